--- /dev/null
+++ b/internal/archive/golden_test.go
@@ -0,0 +1,39 @@
+package archive
+
+import (
+	"flag"
+	"reflect"
+	"testing"
+	"time"
+
+	"onyxroad.dev/onyxroad/internal/golden"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// goldenNode is a state with a value of every kind, a shared pointer and a circle.
+func goldenNode() *node {
+	child := &node{name: "child", n: -2, list: []int{3}, named: map[string]int{}}
+	root := &node{
+		name: "root", n: 300, small: 255, big: 1 << 63, on: true, x: -1.5, at: time.Minute,
+		list: []int{1, -1, 1 << 40}, named: map[string]int{"b": 2, "a": 1},
+	}
+	root.peers = []*node{child, nil, child}
+	child.parent = root
+	return root
+}
+
+// Another build reads and writes the same bytes.
+func TestGoldenArchive(t *testing.T) {
+	const name = "node.archive"
+	want := goldenNode()
+	w := Writer(nil)
+	code(w, &want)
+	golden.Check(t, *update, name, w.Bytes())
+	var got *node
+	r := Reader(golden.Read(t, name))
+	code(r, &got)
+	if err := r.Close(); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+	}
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,60 @@
+package handover
+
+import (
+	"bytes"
+	"flag"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"onyxroad.dev/onyxroad/internal/golden"
+	"onyxroad.dev/onyxroad/internal/journal"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// recordingConn keeps what is written to it.
+type recordingConn struct {
+	net.Conn
+	written bytes.Buffer
+}
+
+func (c *recordingConn) Write(b []byte) (int, error) { return c.written.Write(b) }
+
+func (c *recordingConn) SetWriteDeadline(time.Time) error { return nil }
+
+// goldenFrames are a frame of each kind with every field set, and one with none, by their golden files.
+func goldenFrames() map[string]Frame {
+	return map[string]Frame{
+		"hello.frame":          {Hello: golden.Fill(&Hello{})},
+		"hello-zero.frame":     {Hello: &Hello{}},
+		"welcome.frame":        {Welcome: true},
+		"state.frame":          {State: golden.Fill(&State{})},
+		"state-zero.frame":     {State: &State{}},
+		"outcome.frame":        {Outcome: golden.Fill(&Outcome{})},
+		"outcome-zero.frame":   {Outcome: &Outcome{}},
+		"hand-in.frame":        {HandIn: golden.Fill(&HandIn{})},
+		"hand-in-zero.frame":   {HandIn: &HandIn{}},
+		"hand-in-sparse.frame": {HandIn: &HandIn{Message: &journal.Message{}}},
+		"answer.frame":         {Answer: golden.Fill(&Answer{})},
+		"answer-zero.frame":    {Answer: &Answer{}},
+		"withdraw.frame":       {Withdraw: 4},
+		"empty.frame":          {},
+	}
+}
+
+// A process of another build reads and writes the same frames.
+func TestGoldenFrames(t *testing.T) {
+	for name, frame := range goldenFrames() {
+		var conn recordingConn
+		if err := NewConn(&conn).Send(frame); err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, *update, name, conn.written.Bytes())
+		got, err := receive(golden.Read(t, name))
+		if err != nil || !reflect.DeepEqual(got, frame) {
+			t.Errorf("%s: read as %+v, %v; want %+v", name, got, err, frame)
+		}
+	}
+}
--- /dev/null
+++ b/internal/standing/golden_test.go
@@ -0,0 +1,22 @@
+package standing
+
+import (
+	"flag"
+	"reflect"
+	"testing"
+	"time"
+
+	"onyxroad.dev/onyxroad/internal/golden"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// A process of another build reads and writes the same records.
+func TestGoldenRecords(t *testing.T) {
+	const name = "records.json"
+	records := []Record{*golden.Fill(&Record{}), {}, {Route: "s-1", At: time.Unix(1e9, 0).UTC(), Cold: true}}
+	golden.Check(t, *update, name, Encode(records))
+	if got := Decode(golden.Read(t, name)); !reflect.DeepEqual(got, records) {
+		t.Errorf("read as %+v, want %+v", got, records)
+	}
+}
