--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -30,94 +30,96 @@
 
 // Frame is one of the things that pass. Exactly one field is set.
 type Frame struct {
-	Hello    *Hello   `json:",omitempty"` // from the second process, first
-	Welcome  bool     `json:",omitempty"` // to it: from here on the first process hands over when it ends
-	State    *State   `json:",omitempty"` // to it, once
-	Outcome  *Outcome `json:",omitempty"` // to it
-	HandIn   *HandIn  `json:",omitempty"` // to it
-	Answer   *Answer  `json:",omitempty"` // from it
-	Withdraw uint32   `json:",omitempty"` // to it: the message whose client left without its answer
+	Hello    *Hello   `json:"Hello,omitempty"`    // from the second process, first
+	Welcome  bool     `json:"Welcome,omitempty"`  // to it: from here on the first process hands over when it ends
+	State    *State   `json:"State,omitempty"`    // to it, once
+	Outcome  *Outcome `json:"Outcome,omitempty"`  // to it
+	HandIn   *HandIn  `json:"HandIn,omitempty"`   // to it
+	Answer   *Answer  `json:"Answer,omitempty"`   // from it
+	Withdraw uint32   `json:"Withdraw,omitempty"` // to it: the message whose client left without its answer
 }
 
 // Hello says who takes over.
-type Hello struct{ Revision string }
+type Hello struct {
+	Revision string `json:"Revision"`
+}
 
 // State is all that a relay is, but for its log.
 type State struct {
-	Now      time.Duration // the module's
-	At       time.Time     // wall time then
-	WakeAt   time.Time     // zero: none asked for
-	Snapshot []byte        // policy.Sender.Snapshot
-	Terms    terms.Terms   // that hold
-	Version  int64         // of the list
-	Large    bool          // the list is too long to be told as a whole: what follows of it is what the module knows
-	Routes   []Route
-	Cells    []int // destinations that the list has named; of a long one none are told
-	LastID   uint32
-	Messages []Message
-	Attempts []Attempt // out
-	Later    []policy.Event
-	Ended    []Ended `json:",omitempty"` // in that order
+	Now      time.Duration  `json:"Now"`      // the module's
+	At       time.Time      `json:"At"`       // wall time then
+	WakeAt   time.Time      `json:"WakeAt"`   // zero: none asked for
+	Snapshot []byte         `json:"Snapshot"` // policy.Sender.Snapshot
+	Terms    terms.Terms    `json:"Terms"`    // that hold
+	Version  int64          `json:"Version"`  // of the list
+	Large    bool           `json:"Large"`    // the list is too long to be told as a whole: what follows of it is what the module knows
+	Routes   []Route        `json:"Routes"`
+	Cells    []int          `json:"Cells"` // destinations that the list has named; of a long one none are told
+	LastID   uint32         `json:"LastID"`
+	Messages []Message      `json:"Messages"`
+	Attempts []Attempt      `json:"Attempts"` // out
+	Later    []policy.Event `json:"Later"`
+	Ended    []Ended        `json:"Ended,omitempty"` // in that order
 }
 
 // Ended is a message of which nothing is owed, and what its client is told if it hands it in once more until then.
 type Ended struct {
-	Trace  string
-	Status int
-	Until  time.Time
+	Trace  string    `json:"Trace"`
+	Status int       `json:"Status"`
+	Until  time.Time `json:"Until"`
 }
 
 // Route is a listed host.
 type Route struct {
 	policy.Listing
-	Addr string
+	Addr string `json:"Addr"`
 }
 
 // Message is what a relay knows of a message beside the log.
 type Message struct {
-	ID     uint32
-	Trace  string
-	Sends  int
-	Ended  bool
-	Shared bool
-	Next   uint32 // what it goes on as; 0: nothing
+	ID     uint32 `json:"ID"`
+	Trace  string `json:"Trace"`
+	Sends  int    `json:"Sends"`
+	Ended  bool   `json:"Ended"`
+	Shared bool   `json:"Shared"`
+	Next   uint32 `json:"Next"` // what it goes on as; 0: nothing
 }
 
 // Attempt is one that has no outcome yet.
 type Attempt struct {
-	ID    uint32
-	N     int
-	Route string
-	Zone  int
-	Sent  time.Time
-	Over  bool // its outcome is told, its call goes on for others
+	ID    uint32    `json:"ID"`
+	N     int       `json:"N"`
+	Route string    `json:"Route"`
+	Zone  int       `json:"Zone"`
+	Sent  time.Time `json:"Sent"`
+	Over  bool      `json:"Over"` // its outcome is told, its call goes on for others
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	ID      uint32
-	N       int
-	Outcome policy.Outcome
-	Gone    bool
-	Wait    time.Duration
-	Report  policy.Report
-	Took    time.Duration
-	Last    bool // its call is over, too: nothing more is told of it
+	ID      uint32         `json:"ID"`
+	N       int            `json:"N"`
+	Outcome policy.Outcome `json:"Outcome"`
+	Gone    bool           `json:"Gone"`
+	Wait    time.Duration  `json:"Wait"`
+	Report  policy.Report  `json:"Report"`
+	Took    time.Duration  `json:"Took"`
+	Last    bool           `json:"Last"` // its call is over, too: nothing more is told of it
 }
 
 // HandIn is a message that a client of the first process hands in.
 type HandIn struct {
-	Seq     uint64
-	Message *journal.Message
+	Seq     uint64           `json:"Seq"`
+	Message *journal.Message `json:"Message"`
 }
 
 // Answer is what its client is told.
 type Answer struct {
-	Seq    uint64
-	ID     uint32 // the message's; 0: not taken
-	Status int
-	Again  time.Duration
-	Text   string
+	Seq    uint64        `json:"Seq"`
+	ID     uint32        `json:"ID"` // the message's; 0: not taken
+	Status int           `json:"Status"`
+	Again  time.Duration `json:"Again"`
+	Text   string        `json:"Text"`
 }
 
 // Conn is one end. Send may be called from many goroutines at once, Receive from one.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -19,26 +19,26 @@
 
 // Message is a message that was taken on, with what the journal knows of its fate.
 type Message struct {
-	ID       uint32 // the relay's number for it
-	Trace    string // the client's
-	Key      string // idempotency key; "" if none
-	Order    string // what it is about, in a class that keeps order; "" if none
-	Class    int
-	Service  string // the class by its name: its number is that of one configuration; "" if not known
-	Customer int
-	Dest     int
-	Deadline time.Time
-	Body     []byte // nil where it was left on disk: Journal.Body
-
-	Attempts int       // sends so far
-	MayRun   []Attempt // those of them that have no outcome or one that does not prove that they never ran
-	Final    *Final    // the notice that ends it, once decided
+	ID       uint32    `json:"ID"`    // the relay's number for it
+	Trace    string    `json:"Trace"` // the client's
+	Key      string    `json:"Key"`   // idempotency key; "" if none
+	Order    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
+	Class    int       `json:"Class"`
+	Service  string    `json:"Service"` // the class by its name: its number is that of one configuration; "" if not known
+	Customer int       `json:"Customer"`
+	Dest     int       `json:"Dest"`
+	Deadline time.Time `json:"Deadline"`
+	Body     []byte    `json:"Body"` // nil where it was left on disk: Journal.Body
+
+	Attempts int       `json:"Attempts"` // sends so far
+	MayRun   []Attempt `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
+	Final    *Final    `json:"Final"`    // the notice that ends it, once decided
 
 	// Withdrawn tells that nothing is owed, since its client left without an answer. It may have run, and should it
 	// be handed in once more, that must be known.
-	Withdrawn bool
+	Withdrawn bool `json:"Withdrawn"`
 	// Doubtful tells that records which could not be read may have been about it: it may have run, anywhere.
-	Doubtful bool
+	Doubtful bool `json:"Doubtful"`
 
 	key  uint64 // in the store; 0: not in it
 	size int    // of the body
@@ -46,19 +46,19 @@
 
 // Attempt is one send.
 type Attempt struct {
-	N    int
-	Host string
-	Zone int
-	At   time.Time
+	N    int       `json:"N"`
+	Host string    `json:"Host"`
+	Zone int       `json:"Zone"`
+	At   time.Time `json:"At"`
 	// Undated tells that the machine was started anew since, or that this cannot be told: At goes by the wall clock alone, which
 	// may have been set.
-	Undated bool
+	Undated bool `json:"Undated"`
 }
 
 // Final is the notice that ends a message which was not delivered.
 type Final struct {
-	Deferred bool // the client may safely come again
-	Again    time.Duration
+	Deferred bool          `json:"Deferred"` // the client may safely come again
+	Again    time.Duration `json:"Again"`
 }
 
 // Send is an attempt about to be made, and whose.
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -17,13 +17,13 @@
 
 // Record is how a route stands, where that is not well or where another one of its destination does not. Times are on one axis over all processes: journal.Stamp.
 type Record struct {
-	Route string
-	At    time.Time // seen so
-	Wait  time.Time `json:",omitzero"`  // told: nothing before this
-	Down  bool      `json:",omitempty"` // skipped, and nothing delivered since
-	Cold  bool      `json:",omitempty"` // may be in an outage or coming back from one
-	Paced bool      `json:",omitempty"` // refused above a limit of late
-	Alive bool      `json:",omitempty"` // answered of late, and neither skipped nor in doubt
+	Route string    `json:"Route"`
+	At    time.Time `json:"At"`              // seen so
+	Wait  time.Time `json:"Wait,omitzero"`   // told: nothing before this
+	Down  bool      `json:"Down,omitempty"`  // skipped, and nothing delivered since
+	Cold  bool      `json:"Cold,omitempty"`  // may be in an outage or coming back from one
+	Paced bool      `json:"Paced,omitempty"` // refused above a limit of late
+	Alive bool      `json:"Alive,omitempty"` // answered of late, and neither skipped nor in doubt
 }
 
 // ill tells whether a route does not stand well.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -15,10 +15,10 @@
 
 // Terms are the settings that a relay and its clients go by.
 type Terms struct {
-	Classes   []string // names, in the order of Settings.Classes
-	Customers []string
-	Settings  policy.Settings
-	Shape     Shape // of the file that they stand in
+	Classes   []string        `json:"Classes"` // names, in the order of Settings.Classes
+	Customers []string        `json:"Customers"`
+	Settings  policy.Settings `json:"Settings"`
+	Shape     Shape           `json:"Shape"` // of the file that they stand in
 }
 
 // Shape counts the values of a file by their paths, with * for the number of an entry in a list.
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -21,38 +21,38 @@
 
 // Message is a message that was taken on, with what the log knows of its fate.
 type Message struct {
-	ID       uint32 // the log's own number for it
-	Trace    string // the client's
-	Key      string // idempotency key; "" if none
-	Order    string // what it is about, in a class that keeps order; "" if none
-	Class    int
-	Service  string `json:",omitempty"` // the class by its name: its number is that of one configuration; "" if not known
-	Customer int
-	Dest     int
-	Deadline time.Time
-	Body     []byte `json:"-"`
-
-	Attempts int       // sends so far
-	MayRun   []Attempt // those of them that have no outcome or one that does not prove that they never ran
-	Final    *Final    // the notice that ends it, once decided
+	ID       uint32    `json:"ID"`    // the log's own number for it
+	Trace    string    `json:"Trace"` // the client's
+	Key      string    `json:"Key"`   // idempotency key; "" if none
+	Order    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
+	Class    int       `json:"Class"`
+	Service  string    `json:"Service,omitempty"` // the class by its name: its number is that of one configuration; "" if not known
+	Customer int       `json:"Customer"`
+	Dest     int       `json:"Dest"`
+	Deadline time.Time `json:"Deadline"`
+	Body     []byte    `json:"-"`
+
+	Attempts int       `json:"Attempts"` // sends so far
+	MayRun   []Attempt `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
+	Final    *Final    `json:"Final"`    // the notice that ends it, once decided
 
 	// Withdrawn tells that nothing is owed, since its client left without an answer. It may have run, and should it
 	// be handed in once more, that must be known.
-	Withdrawn bool `json:",omitempty"`
+	Withdrawn bool `json:"Withdrawn,omitempty"`
 }
 
 // Attempt is one send.
 type Attempt struct {
-	N    int
-	Host string
-	Zone int
-	At   time.Time
+	N    int       `json:"N"`
+	Host string    `json:"Host"`
+	Zone int       `json:"Zone"`
+	At   time.Time `json:"At"`
 }
 
 // Final is the notice that ends a message which was not delivered.
 type Final struct {
-	Deferred bool // the client may safely come again
-	Again    time.Duration
+	Deferred bool          `json:"Deferred"` // the client may safely come again
+	Again    time.Duration `json:"Again"`
 }
 
 // Send is an attempt about to be made, and whose.
@@ -95,12 +95,12 @@
 
 // record is the readable part of every record; a body follows it raw.
 type record struct {
-	Kind    byte
-	ID      uint32
-	Message *Message `json:",omitempty"`
-	Attempt *Attempt `json:",omitempty"`
-	N       int      `json:",omitempty"`
-	Final   *Final   `json:",omitempty"`
+	Kind    byte     `json:"Kind"`
+	ID      uint32   `json:"ID"`
+	Message *Message `json:"Message,omitempty"`
+	Attempt *Attempt `json:"Attempt,omitempty"`
+	N       int      `json:"N,omitempty"`
+	Final   *Final   `json:"Final,omitempty"`
 }
 
 // Log is an open log. It is not safe for concurrent use.
--- a/policy/api.go
+++ b/policy/api.go
@@ -29,57 +29,57 @@
 
 // Class is one class of message.
 type Class struct {
-	Effect   Effect
-	GroupAll bool          // Keyed: every route of the destination drops repeats; else those of one zone
-	Window   time.Duration // Keyed: how long repeats are dropped, from the first send that may have run
-	Ordered  bool          // messages of one key take turns
-	Aim      time.Duration // delivered within this, a message earns its full worth
-	GiveUp   time.Duration // how long a message may be delivered
-	Value    float64       // worth of a message; default 1
+	Effect   Effect        `json:"Effect"`
+	GroupAll bool          `json:"GroupAll"` // Keyed: every route of the destination drops repeats; else those of one zone
+	Window   time.Duration `json:"Window"`   // Keyed: how long repeats are dropped, from the first send that may have run
+	Ordered  bool          `json:"Ordered"`  // messages of one key take turns
+	Aim      time.Duration `json:"Aim"`      // delivered within this, a message earns its full worth
+	GiveUp   time.Duration `json:"GiveUp"`   // how long a message may be delivered
+	Value    float64       `json:"Value"`    // worth of a message; default 1
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	Separate bool // its routes are separate: each has its own limit, pace and outages
-	PerCall  int  // messages in one call at most; default 1
+	Separate bool `json:"Separate"` // its routes are separate: each has its own limit, pace and outages
+	PerCall  int  `json:"PerCall"`  // messages in one call at most; default 1
 }
 
 // Customer is one customer of the service.
 type Customer struct {
-	Quota float64 // messages a second within its share, over all senders; 0: no share is set
+	Quota float64 `json:"Quota"` // messages a second within its share, over all senders; 0: no share is set
 }
 
 // Settings are what a Sender is told when it starts. Zero values of optional fields mean their default.
 type Settings struct {
-	Classes        []Class
-	Kinds          []Kind
-	Customers      []Customer
-	Senders        int           // senders of the fleet; default 1
-	Slots          int           // calls out at once; 0: no limit
-	MaxHeld        int           // messages held at once; 0: no limit
-	MaxAttempts    int           // attempts for a message; 0: no limit
-	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
-	RoughWeights   bool          // listed weights may be up to half too high or too low
-	NoWeights      bool          // listed weights tell nothing
-	AskList        bool          // list changes come only after Watch
-	Carriage       []float64     // fee for each zone of a separate route
-	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
-	WarmWithin     time.Duration // and all of it after this; default 30 s
-	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
-	OverloadWindow time.Duration // for this long, it falls over
-	OrderPause     time.Duration // rest of a key after an attempt that may still run
+	Classes        []Class       `json:"Classes"`
+	Kinds          []Kind        `json:"Kinds"`
+	Customers      []Customer    `json:"Customers"`
+	Senders        int           `json:"Senders"`        // senders of the fleet; default 1
+	Slots          int           `json:"Slots"`          // calls out at once; 0: no limit
+	MaxHeld        int           `json:"MaxHeld"`        // messages held at once; 0: no limit
+	MaxAttempts    int           `json:"MaxAttempts"`    // attempts for a message; 0: no limit
+	MaxRetryAfter  time.Duration `json:"MaxRetryAfter"`  // longest advice that a client heeds; 0: none is given
+	RoughWeights   bool          `json:"RoughWeights"`   // listed weights may be up to half too high or too low
+	NoWeights      bool          `json:"NoWeights"`      // listed weights tell nothing
+	AskList        bool          `json:"AskList"`        // list changes come only after Watch
+	Carriage       []float64     `json:"Carriage"`       // fee for each zone of a separate route
+	ColdShare      float64       `json:"ColdShare"`      // share of its capacity that a destination has after an outage; default 0.1
+	WarmWithin     time.Duration `json:"WarmWithin"`     // and all of it after this; default 30 s
+	OverloadFactor float64       `json:"OverloadFactor"` // sent more than this multiple of its capacity; default 1
+	OverloadWindow time.Duration `json:"OverloadWindow"` // for this long, it falls over
+	OrderPause     time.Duration `json:"OrderPause"`     // rest of a key after an attempt that may still run
 }
 
 // Listing is one entry of the list of routes.
 type Listing struct {
-	Route       string
-	Destination int
-	Kind        int
-	Zone        int
-	Weight      float64 // calls a second from all senders together; 0: not told
-	InService   bool    // false: draining
-	Gone        bool    // removed
-	Again       bool    // as it was listed before, and forgotten since (Resting); of a route that is known it says nothing
+	Route       string  `json:"Route"`
+	Destination int     `json:"Destination"`
+	Kind        int     `json:"Kind"`
+	Zone        int     `json:"Zone"`
+	Weight      float64 `json:"Weight"`    // calls a second from all senders together; 0: not told
+	InService   bool    `json:"InService"` // false: draining
+	Gone        bool    `json:"Gone"`      // removed
+	Again       bool    `json:"Again"`     // as it was listed before, and forgotten since (Resting); of a route that is known it says nothing
 }
 
 // EventKind names what an Event tells.
@@ -100,18 +100,18 @@
 
 // Report is what a destination tells of its limit. It is late and noisy.
 type Report struct {
-	Told  bool
-	Left  float64 // share of the limit that is left
-	Limit float64 // calls a second; 0: no limit
+	Told  bool    `json:"Told"`
+	Left  float64 `json:"Left"`  // share of the limit that is left
+	Limit float64 `json:"Limit"` // calls a second; 0: no limit
 }
 
 // Resumed is what became of a message before the process that had taken it on ended. A call that was out then
 // may have run.
 type Resumed struct {
-	Attempts int           // sends used
-	Ran      bool          // one may have run
-	RanAgo   time.Duration // how long ago the first of them was sent
-	RanZone  int           // and to which zone
+	Attempts int           `json:"Attempts"` // sends used
+	Ran      bool          `json:"Ran"`      // one may have run
+	RanAgo   time.Duration `json:"RanAgo"`   // how long ago the first of them was sent
+	RanZone  int           `json:"RanZone"`  // and to which zone
 }
 
 // FirstSpread is the longest time over which the first calls of many senders to what is listed anew spread.
@@ -122,32 +122,32 @@
 
 // Event is one thing that a Sender observes.
 type Event struct {
-	Kind EventKind
-	ID   uint32 // message
+	Kind EventKind `json:"Kind"`
+	ID   uint32    `json:"ID"` // message
 
 	// Taken
-	Key         string
-	Class       int
-	Customer    int
-	Destination int
-	Left        time.Duration // time left to the deadline
-	Resumed     *Resumed      // taken on by an earlier process; nil if new
+	Key         string        `json:"Key"`
+	Class       int           `json:"Class"`
+	Customer    int           `json:"Customer"`
+	Destination int           `json:"Destination"`
+	Left        time.Duration `json:"Left"`    // time left to the deadline
+	Resumed     *Resumed      `json:"Resumed"` // taken on by an earlier process; nil if new
 
 	// Finished, Probed; Rights of a separate route
-	Attempt int
-	Route   string
-	Outcome Outcome
-	Took    time.Duration
-	Ended   bool          // the message is over
-	Wait    time.Duration // the wait told with the outcome; 0: none
-	Report  Report
+	Attempt int           `json:"Attempt"`
+	Route   string        `json:"Route"`
+	Outcome Outcome       `json:"Outcome"`
+	Took    time.Duration `json:"Took"`
+	Ended   bool          `json:"Ended"` // the message is over
+	Wait    time.Duration `json:"Wait"`  // the wait told with the outcome; 0: none
+	Report  Report        `json:"Report"`
 
 	// ListWhole, ListChanges
-	List []Listing
+	List []Listing `json:"List"`
 
 	// Rights of a destination, or of a separate route there. What is heard of others comes as these alone.
-	Share float64 // of its even part that the sender may use of itself: the rest is lent
-	Calls int     // that it may make beyond that, within Left
+	Share float64 `json:"Share"` // of its even part that the sender may use of itself: the rest is lent
+	Calls int     `json:"Calls"` // that it may make beyond that, within Left
 }
 
 // ActionKind names what an Action asks for.
