--- /dev/null
+++ b/cmd/cherrytrestle/golden_test.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/cli"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
+func TestGoldenHelp(t *testing.T) {
+	t.Setenv("COLUMNS", "100") // the width that the help is written for
+	var all strings.Builder
+	for _, args := range []string{"", "serve", "replay", "explain", "fleet", "fleet count", "fleet status",
+		"recording", "recording info", "recording extract", "journal", "journal inspect", "journal verify", "journal dump"} {
+		var stdout, stderr bytes.Buffer
+		line := strings.TrimSpace(args + " --help")
+		status := cli.Run(t.Context(), "cherrytrestle", "A relay for outbound messages.", &app{}, strings.Fields(line), cli.Streams{Out: &stdout, Err: &stderr}, cli.Failed)
+		all.WriteString("$ cherrytrestle " + line + "\n" + stdout.String() + stderr.String())
+		if status != 0 {
+			t.Errorf("cherrytrestle %s: status %d", line, status)
+		}
+	}
+	golden(t, "help.txt", all.String())
+}
--- /dev/null
+++ b/cmd/emulate/golden_test.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/report"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
+func TestGoldenHelp(t *testing.T) {
+	t.Setenv("COLUMNS", "100") // the width that the help is written for
+	var all strings.Builder
+	for _, args := range []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"} {
+		var stdout, stderr bytes.Buffer
+		line := strings.TrimSpace(args + " --help")
+		status := command(t.Context(), strings.Fields(line), &stdout, &stderr)
+		all.WriteString("$ emulate " + line + "\n" + stdout.String() + stderr.String())
+		if status != 0 {
+			t.Errorf("emulate %s: status %d", line, status)
+		}
+	}
+	golden(t, "help.txt", all.String())
+}
+
+// wallTime is how long a run took on this machine.
+var wallTime = regexp.MustCompile(`(?m)^played in [^:]*:`)
+
+// TestGoldenRuns pins the figures of eight runs: the text, and the verdict with every digit.
+func TestGoldenRuns(t *testing.T) {
+	for _, c := range []struct {
+		name, scenario, seed string
+	}{
+		{"first-run", "first-run", "0"},
+		{"quiet-day", "quiet-day", "7"},
+		{"metastable", "metastable", "2"},
+		{"customer-flood", "customer-flood", "11"},
+		{"rolling-restarts", "rolling-restarts", "4"},
+		{"fleet-restarts", "fleet-restarts", "3"},
+		{"fleet-links", "fleet-links", "5"},
+		{"many-relays", filepath.Join("testdata", "many-relays.toml"), "6"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			status, out := do(t, "run", c.scenario, "--seed", c.seed, "--out", dir)
+			verdict, err := os.ReadFile(filepath.Join(dir, report.JSONName))
+			if err != nil {
+				t.Fatal(err)
+			}
+			out = wallTime.ReplaceAllString(out, "played:")
+			out = strings.ReplaceAll(out, dir, "DIR")
+			golden(t, "run-"+c.name+".txt", fmt.Sprintf("%sstatus: %d\n%s", out, status, verdict))
+		})
+	}
+}
--- /dev/null
+++ b/internal/experiment/golden_test.go
@@ -0,0 +1,144 @@
+package experiment
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"onyxroad.dev/onyxroad/internal/emulate"
+	"onyxroad.dev/onyxroad/internal/scenario"
+	"onyxroad.dev/onyxroad/policy"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// loadPlan reads an experiment and the scenario that stands beside it, if it is not shipped.
+func loadPlan(t *testing.T, path string) Plan {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p, err := Parse(filepath.Base(path), data, func(name string) (scenario.File, error) {
+		if strings.HasSuffix(name, ".toml") {
+			name = filepath.Join(filepath.Dir(path), name)
+		}
+		return scenario.LoadFor(name, scenario.EmulatorBounds)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// describe tells of an experiment by the keys of its file, and of its runs.
+func describe(t *testing.T, p Plan) string {
+	t.Helper()
+	data, err := toml.Marshal(p)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s# hash %s\n", data, p.Hash())
+	for _, r := range p.Runs() {
+		fmt.Fprintf(&b, "# run %s\n", r.Key())
+	}
+	return b.String()
+}
+
+// TestGoldenEveryKey reads an experiment that sets every key and every path, and pins the values by their keys.
+func TestGoldenEveryKey(t *testing.T) {
+	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
+	golden(t, "every-key.out.toml", describe(t, p))
+
+	f, o, err := p.world(p.Runs()[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	var m policy.Settings
+	o.Settings(&m)
+	var b strings.Builder
+	for _, c := range []struct {
+		key   string
+		value any
+	}{
+		{"judged", o.Record},
+		{"emulator.latency", o.Latency},
+		{"emulator.zone_latency", o.ZoneLatency},
+		{"emulator.idle_resets", o.IdleResets},
+		{"emulator.connections", o.Connections},
+		{"emulator.beyond", emulate.Beyonds[o.Beyond]},
+		{"emulator.mutant", o.Wrong.Name},
+		{"module.senders", m.Senders},
+		{"module.slots", m.Slots},
+		{"module.cold_share", m.ColdShare},
+		{"module.overload_factor", m.OverloadFactor},
+		{"module.warm_within", m.WarmWithin},
+		{"module.order_pause", m.OrderPause},
+		{"settings.slots", f.Settings.Slots},
+		{"traffic.1.rate", f.Traffic[0].Rate},
+		{"destination.1.weight", f.Destinations[0].Weight},
+		{"destination.2.weight", f.Destinations[1].Weight},
+	} {
+		fmt.Fprintf(&b, "%s = %v\n", c.key, c.value)
+	}
+	golden(t, "every-key.settings.txt", b.String())
+}
+
+// TestGoldenDocuments pins the experiments that are kept beside the documents.
+func TestGoldenDocuments(t *testing.T) {
+	paths, err := filepath.Glob("../../docs/experiments/*.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	for _, path := range paths {
+		if strings.HasPrefix(filepath.Base(path), "fleet-") {
+			continue // scenarios of the others
+		}
+		p := loadPlan(t, path)
+		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n", filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(p.Runs()),
+			p.Runs()[len(p.Runs())-1].Key())
+	}
+	golden(t, "documents.txt", b.String())
+}
+
+// TestGoldenResult pins a line of results: its keys and the names of the measures.
+func TestGoldenResult(t *testing.T) {
+	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
+	r := p.Play(p.Runs()[0])
+	if r.Late == "" {
+		t.Error("no histogram")
+	}
+	r.Late = "compressed: its bytes are those of a version of Go"
+	data, err := json.MarshalIndent(r, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "result.json", string(data)+"\n")
+}
--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,87 @@
+package operator
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"onyxroad.dev/onyxroad/internal/store"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// TestGoldenEveryKey reads a file that sets every key, and pins the values by the keys of the file.
+func TestGoldenEveryKey(t *testing.T) {
+	f, err := Load(filepath.Join("testdata", "golden", "every-key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := toml.Marshal(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "every-key.out.toml", string(data))
+	o := f.Journal.Options(1 << 20)
+	for _, c := range []struct {
+		key       string
+		got, want any
+	}{
+		{"log.format", f.Log.Format, "json"},
+		{"log.level", f.Log.Level, "warn"},
+		{"recorder.enabled", f.Recorder.Enabled, true},
+		{"recorder.ring_mb", f.Recorder.Ring(), 2_621_440},
+		{"recorder.write", f.Recorder.Write, "all"},
+		{"recorder.folder", f.Recorder.Folder, "/var/lib/recordings"},
+		{"recorder.folder_mb", f.Recorder.FolderMB, 96.0},
+		{"journal.sync", o.Sync, store.SyncInterval},
+		{"journal.sync_interval_ms", o.Interval, 250 * time.Millisecond},
+		{"journal.bodies_mb", o.Bodies, int64(13_107_200)},
+		{"fleet.enabled", f.Fleet.Enabled, true},
+		{"fleet.name", f.Fleet.Name, "relay-7"},
+		{"fleet.label", f.Fleet.Label, "north"},
+		{"fleet.listen", f.Fleet.Listen, "10.0.0.7:7946"},
+		{"fleet.rights", f.Fleet.Rights, true},
+		{"fleet.join.relay-7", f.Fleet.Join["relay-7"], "10.0.0.7:7946"},
+		{"fleet.join.relay-8", f.Fleet.Join["relay-8"], "10.0.0.8:7947"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s is %v, want %v", c.key, c.got, c.want)
+		}
+	}
+}
+
+// TestGoldenDefaults pins what an empty file stands for.
+func TestGoldenDefaults(t *testing.T) {
+	f, err := Load("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := toml.Marshal(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "defaults.out.toml", string(data))
+}
--- /dev/null
+++ b/internal/relay/golden_test.go
@@ -0,0 +1,106 @@
+package relay
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// setting is a value that the configuration is read to, by its key there.
+type setting struct {
+	key   string
+	value any
+}
+
+// TestGoldenConfig reads a configuration that sets every key, and pins the values by the keys of the file.
+func TestGoldenConfig(t *testing.T) {
+	path := filepath.Join("testdata", "golden", "every-key.json")
+	c, err := LoadConfig(func(name string) string {
+		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": "/var/lib/state"}[name]
+	})
+	if err != nil || c.Unread != nil {
+		t.Fatal(err, c.Unread)
+	}
+	s := c.Settings
+	all := []setting{
+		{"name", c.Name}, {"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.Second}, {"seed", fmt.Sprintf("%016x", c.Seed)},
+		{"ROUTER_STATE", c.StateDir}, {"ROUTER_INHERITED_FD", c.Inherited},
+		{"limits.cores", c.Limits.Cores}, {"limits.memory_mb", c.Limits.MemoryMB}, {"limits.sockets", c.Limits.Sockets}, {"limits.disk_mb", c.Limits.DiskMB},
+		{"services.*.name", c.Classes}, {"realms.*.name", c.Customers}, {"zones", c.Zones}, {"kinds", c.Kinds},
+		{"tick_ms", c.Tick}, {"stats", c.Reports},
+		{"bounds.connect_timeout_ms", c.ConnectTimeout}, {"bounds.keepalive_ms", c.KeepAlive}, {"bounds.may_duplicate", c.MayDuplicate},
+		{"rules.stop_sending_within_ms", c.Grace},
+		{"fleet_size", s.Senders}, {"extra.call_slots", s.Slots}, {"bounds.open_cap", s.MaxHeld}, {"bounds.send_cap", s.MaxAttempts},
+		{"bounds.max_retry_after_ms", s.MaxRetryAfter}, {"weight_kind rough", s.RoughWeights}, {"weight_kind none", s.NoWeights},
+		{"membership_mode ask", s.AskList}, {"extra.carriage", s.Carriage}, {"rules.cold_from", s.ColdShare},
+		{"rules.warm_within_ms", s.WarmWithin}, {"rules.overload_factor", s.OverloadFactor}, {"rules.fall_ms", s.OverloadWindow},
+		{"rules.order_pause_ms", s.OrderPause},
+	}
+	for i, class := range s.Classes {
+		at := fmt.Sprintf("services.%d.", i)
+		all = append(all, setting{at + "semantics", int(class.Effect)}, setting{at + "group all", class.GroupAll}, setting{at + "repeat_window_ms", class.Window},
+			setting{at + "by_arrival", class.Ordered}, setting{at + "goal_time_ms", class.Aim}, setting{at + "give_up_ms", class.GiveUp}, setting{at + "value", class.Value})
+	}
+	for i, customer := range s.Customers {
+		all = append(all, setting{fmt.Sprintf("realms.%d.quota_per_s", i), customer.Quota})
+	}
+	for i, kind := range s.Kinds {
+		all = append(all, setting{fmt.Sprintf("extra.per_call.%d", i), kind.PerCall}, setting{fmt.Sprintf("extra.separate_routes.%d", i), kind.Separate})
+	}
+	all = append(all, setting{"known.version", c.Known.Version}, setting{"known.full", c.Known.Full})
+	for i, e := range c.Known.Entries {
+		at := fmt.Sprintf("known.servers.%d.", i)
+		all = append(all, setting{at + "id", e.Route}, setting{at + "addr", e.Addr}, setting{at + "zone", e.Zone}, setting{at + "kind", e.Kind},
+			setting{at + "cell", e.Destination}, setting{at + "state ready", e.InService}, setting{at + "state gone", e.Gone}, setting{at + "weight", e.Weight},
+			setting{at + "error", e.err})
+	}
+	var b strings.Builder
+	for _, x := range all {
+		fmt.Fprintf(&b, "%s = %v\n", x.key, x.value)
+	}
+	golden(t, "every-key.out.txt", b.String())
+}
+
+// TestGoldenEnvironment pins the names of the variables that go before the file.
+func TestGoldenEnvironment(t *testing.T) {
+	env := map[string]string{
+		"ROUTER_CONFIG": filepath.Join("testdata", "golden", "every-key.json"), "ROUTER_NAME": "of the environment", "ROUTER_LISTEN": "127.0.0.1:1",
+		"ROUTER_DISCOVERY": "127.0.0.1:2", "ROUTER_STATE": "/state", "ROUTER_MANAGEMENT": "127.0.0.1:3", "ROUTER_INHERITED_FD": "4",
+	}
+	c, err := LoadConfig(func(name string) string { return env[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct{ name, got string }{
+		{"ROUTER_NAME", c.Name}, {"ROUTER_LISTEN", c.Listen}, {"ROUTER_DISCOVERY", c.Discovery}, {"ROUTER_STATE", c.StateDir},
+		{"ROUTER_MANAGEMENT", c.Second}, {"ROUTER_INHERITED_FD", c.Inherited},
+	} {
+		if x.got != env[x.name] {
+			t.Errorf("%s is read as %q, want %q", x.name, x.got, env[x.name])
+		}
+	}
+}
--- /dev/null
+++ b/internal/scenario/golden_test.go
@@ -0,0 +1,78 @@
+package scenario
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares text with the golden file of a name; with -update it writes the file.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
+	}
+}
+
+// notSet is a line of an encoded scenario whose key has no value.
+var notSet = regexp.MustCompile(`(?m)^(\w+) = (0|0\.0|''|'0s'|false|\[\])$`)
+
+// TestGoldenEveryKey reads a scenario that sets every key, and pins what it is written as again, by the keys of the file, and its plan.
+func TestGoldenEveryKey(t *testing.T) {
+	f, err := LoadFor(filepath.Join("testdata", "golden", "every-key.toml"), EmulatorBounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := f.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "every-key.out.toml", string(data))
+	again, err := ParseFor("again", data, EmulatorBounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "every-key.plan.txt", text(t, again.Draw(0)))
+
+	// Between them, the two troubles set each key of a trouble; all else is set in the one table that there is.
+	unset := map[string]int{}
+	for _, m := range notSet.FindAllStringSubmatch(string(data), -1) {
+		unset[m[1]]++
+	}
+	delete(unset, "may_duplicate") // false is not its default
+	for key, n := range unset {
+		if !troubleKeys[key] || n > 1 {
+			t.Errorf("the scenario does not set %s", key)
+		}
+	}
+}
+
+// troubleKeys are those of a trouble that only one of the two sets.
+var troubleKeys = map[string]bool{
+	"destinations": true, "share": true, "zone": true, "replace": true, "same_address": true, "delay": true, "relays": true,
+	"by": true, "stagger": true, "group": true, "loss": true, "mixed": true, "rate": true, "folder": true,
+}
+
+// TestGoldenDefaults pins what a scenario has that sets only what it must.
+func TestGoldenDefaults(t *testing.T) {
+	data, err := parse(t, "").Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "defaults.out.toml", string(data))
+}
