--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -229,6 +229,11 @@
 	}
 }
 
+// namedEntry is an entry of the settings of which the relay goes by the name alone.
+type namedEntry struct {
+	Name string `json:"name"`
+}
+
 // parseRest reads a configuration but for its list of hosts.
 func parseRest(data []byte) (Config, error) {
 	var file struct {
@@ -245,23 +250,23 @@
 	}
 	// What the relay itself goes by; all decisions' settings are mapped by package wire.
 	var own struct {
-		Services []struct{ Name string }
-		Realms   []struct{ Name string }
-		Zones    []string
-		Kinds    []string
-		TickMS   float64 `json:"tick_ms"`
+		Services []namedEntry `json:"services"`
+		Realms   []namedEntry `json:"realms"`
+		Zones    []string     `json:"zones"`
+		Kinds    []string     `json:"kinds"`
+		TickMS   float64      `json:"tick_ms"`
 		Stats    struct {
-			Fields []string
-			How    string
-		}
+			Fields []string `json:"fields"`
+			How    string   `json:"how"`
+		} `json:"stats"`
 		Bounds struct {
 			ConnectTimeoutMS float64 `json:"connect_timeout_ms"`
 			KeepAliveMS      float64 `json:"keepalive_ms"`
 			MayDuplicate     bool    `json:"may_duplicate"`
-		}
+		} `json:"bounds"`
 		Rules struct {
 			StopSendingMS float64 `json:"stop_sending_within_ms"`
-		}
+		} `json:"rules"`
 	}
 	if err := json.Unmarshal(file.Settings, &own); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -366,7 +366,10 @@
 	}
 	states := make(map[string]string, len(raw))
 	for _, x := range raw {
-		var item struct{ ID, State string }
+		var item struct {
+			ID    string `json:"id"`
+			State string `json:"state"`
+		}
 		if json.Unmarshal(x, &item) == nil {
 			states[item.ID] = item.State
 		}
