--- a/cmd/capacity/golden_test.go
+++ b/cmd/capacity/golden_test.go
@@ -3,35 +3,15 @@
 import (
 	"bytes"
 	"flag"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"onyxroad.dev/onyxroad/internal/cli"
+	"onyxroad.dev/onyxroad/internal/goldentest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100") // the width that the help is written for
@@ -45,5 +25,5 @@
 			t.Errorf("capacity %s: status %d", line, status)
 		}
 	}
-	golden(t, "help.txt", all.String())
+	goldentest.Compare(t, *update, "help.txt", all.String())
 }
--- a/cmd/drill/golden_test.go
+++ b/cmd/drill/golden_test.go
@@ -9,29 +9,11 @@
 	"testing"
 
 	"onyxroad.dev/onyxroad/internal/cli"
+	"onyxroad.dev/onyxroad/internal/goldentest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // TestGoldenSession pins the replies to a session with each kind of message that the simulator sends.
 func TestGoldenSession(t *testing.T) {
 	in, err := os.ReadFile(filepath.Join("testdata", "golden", "session.in.txt"))
@@ -42,7 +24,7 @@
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "session.out.txt", out.String())
+	goldentest.Compare(t, *update, "session.out.txt", out.String())
 	for _, name := range []string{"SUBMIT_TO", "REJECT", "SURRENDER", "WAKE_AT", "HANG_UP", "STREAM_CHANGES", "YIELD"} {
 		if !strings.Contains("\n"+out.String(), "\n"+name+" ") {
 			t.Errorf("the session has no %s", name)
@@ -59,5 +41,5 @@
 	if status != 0 {
 		t.Errorf("status %d", status)
 	}
-	golden(t, "help.txt", stdout.String()+stderr.String())
+	goldentest.Compare(t, *update, "help.txt", stdout.String()+stderr.String())
 }
--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -10,30 +10,12 @@
 	"strings"
 	"testing"
 
+	"onyxroad.dev/onyxroad/internal/goldentest"
 	"onyxroad.dev/onyxroad/internal/report"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100") // the width that the help is written for
@@ -47,7 +29,7 @@
 			t.Errorf("emulate %s: status %d", line, status)
 		}
 	}
-	golden(t, "help.txt", all.String())
+	goldentest.Compare(t, *update, "help.txt", all.String())
 }
 
 // wallTime is how long a run took on this machine.
@@ -76,7 +58,7 @@
 			}
 			out = wallTime.ReplaceAllString(out, "played:")
 			out = strings.ReplaceAll(out, dir, "DIR")
-			golden(t, "run-"+c.name+".txt", fmt.Sprintf("%sstatus: %d\n%s", out, status, verdict))
+			goldentest.Compare(t, *update, "run-"+c.name+".txt", fmt.Sprintf("%sstatus: %d\n%s", out, status, verdict))
 		})
 	}
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -12,31 +12,13 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"onyxroad.dev/onyxroad/internal/emulate"
+	"onyxroad.dev/onyxroad/internal/goldentest"
 	"onyxroad.dev/onyxroad/internal/scenario"
 	"onyxroad.dev/onyxroad/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // loadPlan reads an experiment and the scenario that stands beside it, if it is not shipped.
 func loadPlan(t *testing.T, path string) Plan {
 	t.Helper()
@@ -74,7 +56,7 @@
 // TestGoldenEveryKey reads an experiment that sets every key and every path, and pins the values by their keys.
 func TestGoldenEveryKey(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
-	golden(t, "every-key.out.toml", describe(t, p))
+	goldentest.Compare(t, *update, "every-key.out.toml", describe(t, p))
 
 	f, o, err := p.world(p.Runs()[0])
 	if err != nil {
@@ -107,7 +89,7 @@
 	} {
 		fmt.Fprintf(&b, "%s = %v\n", c.key, c.value)
 	}
-	golden(t, "every-key.settings.txt", b.String())
+	goldentest.Compare(t, *update, "every-key.settings.txt", b.String())
 }
 
 // TestGoldenDocuments pins the experiments that are kept beside the documents.
@@ -125,7 +107,7 @@
 		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n", filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(p.Runs()),
 			p.Runs()[len(p.Runs())-1].Key())
 	}
-	golden(t, "documents.txt", b.String())
+	goldentest.Compare(t, *update, "documents.txt", b.String())
 }
 
 // TestGoldenResult pins a line of results: its keys and the names of the measures.
@@ -140,5 +122,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "result.json", string(data)+"\n")
+	goldentest.Compare(t, *update, "result.json", string(data)+"\n")
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -2,37 +2,18 @@
 
 import (
 	"flag"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
+	"onyxroad.dev/onyxroad/internal/goldentest"
 	"onyxroad.dev/onyxroad/internal/store"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // TestGoldenEveryKey reads a file that sets every key, and pins the values by the keys of the file.
 func TestGoldenEveryKey(t *testing.T) {
 	f, err := Load(filepath.Join("testdata", "golden", "every-key.toml"))
@@ -43,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "every-key.out.toml", string(data))
+	goldentest.Compare(t, *update, "every-key.out.toml", string(data))
 	o := f.Journal.Options(1 << 20)
 	for _, c := range []struct {
 		key       string
@@ -83,5 +64,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "defaults.out.toml", string(data))
+	goldentest.Compare(t, *update, "defaults.out.toml", string(data))
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -3,33 +3,15 @@
 import (
 	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"onyxroad.dev/onyxroad/internal/goldentest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // setting is a value that the configuration is read to, by its key there.
 type setting struct {
 	key   string
@@ -82,7 +64,7 @@
 	for _, x := range all {
 		fmt.Fprintf(&b, "%s = %v\n", x.key, x.value)
 	}
-	golden(t, "every-key.out.txt", b.String())
+	goldentest.Compare(t, *update, "every-key.out.txt", b.String())
 }
 
 // TestGoldenEnvironment pins the names of the variables that go before the file.
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -2,33 +2,15 @@
 
 import (
 	"flag"
-	"os"
 	"path/filepath"
 	"regexp"
 	"testing"
+
+	"onyxroad.dev/onyxroad/internal/goldentest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares text with the golden file of a name; with -update it writes the file.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got\n%s\nwant\n%s", path, got, want)
-	}
-}
-
 // notSet is a line of an encoded scenario whose key has no value.
 var notSet = regexp.MustCompile(`(?m)^(\w+) = (0|0\.0|''|'0s'|false|\[\])$`)
 
@@ -42,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "every-key.out.toml", string(data))
+	goldentest.Compare(t, *update, "every-key.out.toml", string(data))
 	again, err := ParseFor("again", data, EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "every-key.plan.txt", text(t, again.Draw(0)))
+	goldentest.Compare(t, *update, "every-key.plan.txt", text(t, again.Draw(0)))
 
 	// Between them, the two troubles set each key of a trouble; all else is set in the one table that there is.
 	unset := map[string]int{}
@@ -74,5 +56,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "defaults.out.toml", string(data))
+	goldentest.Compare(t, *update, "defaults.out.toml", string(data))
 }
--- /dev/null
+++ b/internal/wal/golden_test.go
@@ -0,0 +1,22 @@
+package wal
+
+import (
+	"encoding/json"
+	"flag"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/goldentest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// TestGoldenKeys pins the keys under which records are kept: other builds of the program read them.
+func TestGoldenKeys(t *testing.T) {
+	var x record
+	goldentest.Fill(&x)
+	data, err := json.MarshalIndent(x, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, *update, "keys.json", string(data)+"\n")
+}
