--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,10 @@
-// Package golden compares what a program writes with files that an earlier build of it wrote. It is for tests only.
+// Package golden compares what the program writes with files that an earlier build wrote, and fills values for such
+// comparisons. It is for tests only.
 package golden
 
 import (
 	"bytes"
+	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -10,13 +12,16 @@
 	"time"
 )
 
-// folder is where golden files stand, beside the package under test.
-const folder = "testdata"
+// folder holds the golden files, beside the package under test.
+const folder = "testdata/golden"
 
-// Path is where a golden file of the package under test stands.
+// maxPrinted bounds how much of a file a failed comparison prints, in bytes.
+const maxPrinted = 2000
+
+// Path returns the path of a golden file of the package under test.
 func Path(name string) string { return filepath.Join(folder, name) }
 
-// Read returns the bytes of a golden file.
+// Read returns the content of a golden file.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(Path(name))
@@ -26,78 +31,109 @@
 	return data
 }
 
-// Check compares data with a golden file, byte by byte. With update it writes the file instead.
-func Check(t testing.TB, update bool, name string, data []byte) {
+// Write replaces the content of a golden file.
+func Write(t testing.TB, name string, data []byte) {
+	t.Helper()
+	path := Path(name)
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Check compares got with a golden file, byte by byte, and returns the file's content. With update it writes the file first.
+func Check(t testing.TB, update bool, name string, got []byte) []byte {
 	t.Helper()
 	if update {
-		Write(t, name, data)
-		return
+		Write(t, name, got)
 	}
 	want := Read(t, name)
-	if !bytes.Equal(data, want) {
-		t.Errorf("%s: the program writes\n%q\nand the golden file holds\n%q", name, data, want)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: the program writes\n%s\nand the golden file holds\n%s", name, printable(got), printable(want))
 	}
+	return want
 }
 
-// Write writes a golden file.
-func Write(t testing.TB, name string, data []byte) {
+// Compare compares text with a golden file and prints both as they are. With update it writes the file instead.
+func Compare(t testing.TB, update bool, name, got string) {
 	t.Helper()
-	path := Path(name)
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
+	if update {
+		Write(t, name, []byte(got))
+		return
 	}
-	if err := os.WriteFile(path, data, 0o644); err != nil {
-		t.Fatal(err)
+	if want := string(Read(t, name)); got != want {
+		t.Errorf("%s differs; got\n%s\nwant\n%s", Path(name), got, want)
 	}
 }
 
-// Fill sets every exported field that x points to, at any depth, to a value that is not zero and differs from the others of
-// its type as far as the type allows. Equal types are filled with equal values.
-func Fill[T any](x *T) *T {
-	next := int64(0)
-	fill(reflect.ValueOf(x).Elem(), &next)
-	return x
+func printable(data []byte) string {
+	text := fmt.Sprintf("%q", data)
+	return text[:min(len(text), maxPrinted)]
 }
 
-var timeType = reflect.TypeFor[time.Time]()
+// Fill sets every exported field that v reaches to a value that is not zero, and returns v. Slices and maps get one entry.
+func Fill[T any](v *T) *T {
+	f := filler{}
+	f.fill(reflect.ValueOf(v).Elem())
+	return v
+}
 
-func fill(v reflect.Value, next *int64) {
-	*next++
-	n := *next
+type filler struct{ next int }
+
+func (f *filler) fill(v reflect.Value) {
+	if v.Type() == reflect.TypeFor[time.Time]() {
+		f.next++
+		v.Set(reflect.ValueOf(time.Unix(1e9+int64(f.next), 0).UTC()))
+		return
+	}
 	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(n)
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(n))
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(n) + 0.5)
-	case reflect.String:
-		v.SetString("text " + string(rune('a'+n%26)))
+	case reflect.Struct:
+		f.fillFields(v)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		f.fill(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), next)
+		f.fill(v.Index(0))
+	case reflect.Array:
+		for i := range v.Len() {
+			f.fill(v.Index(i))
+		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, next)
-		fill(value, next)
+		f.fill(key)
+		f.fill(value)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
-	case reflect.Struct:
-		if v.Type() == timeType {
-			v.Set(reflect.ValueOf(time.Unix(1e9, n).UTC()))
-			return
-		}
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), next)
-			}
+	default:
+		f.fillScalar(v)
+	}
+}
+
+func (f *filler) fillFields(v reflect.Value) {
+	for i := range v.NumField() {
+		if v.Type().Field(i).IsExported() {
+			f.fill(v.Field(i))
 		}
+	}
+}
+
+func (f *filler) fillScalar(v reflect.Value) {
+	f.next++
+	switch {
+	case v.Kind() == reflect.Bool:
+		v.SetBool(true)
+	case v.Kind() == reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.next))
+	case v.CanInt():
+		v.SetInt(int64(f.next))
+	case v.CanUint():
+		v.SetUint(uint64(f.next))
+	case v.CanFloat():
+		v.SetFloat(float64(f.next) + 0.5)
 	default:
-		panic("golden: no value of type " + v.Type().String())
+		panic(fmt.Sprintf("golden: no value of %v", v.Type()))
 	}
 }
