--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,62 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/goldentest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// The status that GET /v1/fleet answers with and how it is printed, with every field set and for a member that is not linked.
+func TestGoldenStatus(t *testing.T) {
+	var linked Status
+	goldentest.Fill(&linked)
+	for name, want := range map[string]Status{"linked": linked, "unlinked": {Why: "no port"}} {
+		data, err := json.Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		file := goldentest.Check(t, *update, "status-"+name+".json", append(data, '\n'))
+		var got Status
+		if err := json.Unmarshal(file, &got); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %+v\nwant %+v", name, got, want)
+		}
+		var text bytes.Buffer
+		if err := got.Print(&text); err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Check(t, *update, "status-"+name+".txt", text.Bytes())
+	}
+}
+
+// The incarnation of an earlier build's file is read, and written as the same file.
+func TestGoldenLife(t *testing.T) {
+	const incarnation = 41
+	cfg := Config{Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
+	if err := writeLife(cfg, incarnation); err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(cfg.Folder, "fleet.life")
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := goldentest.Check(t, *update, "fleet.life", data)
+	if err := os.WriteFile(path, file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if n := readLife(cfg); n != incarnation {
+		t.Errorf("incarnation %d, want %d", n, incarnation)
+	}
+}
--- /dev/null
+++ b/internal/fleet/link/golden_test.go
@@ -0,0 +1,32 @@
+package link
+
+import (
+	"flag"
+	"testing"
+	"time"
+
+	"onyxroad.dev/onyxroad/internal/fleet/codec"
+	"onyxroad.dev/onyxroad/internal/fleet/ledger"
+	"onyxroad.dev/onyxroad/internal/goldentest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// What a link hands memberlist for a state exchange; its node's metadata are empty.
+func TestGoldenLocalState(t *testing.T) {
+	c, err := codec.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	life := ledger.Life{Incarnation: 3, Boot: 9}
+	l := &Link{codec: c, ledger: ledger.New("me", life, []string{"a"})}
+	l.cfg = Config{Name: "me", Life: life, now: func() time.Duration { return time.Minute }}
+	page := ledger.Page{Name: "a", Life: ledger.Life{Incarnation: 5, Boot: 6}, Number: 2, Sequence: 7, Cells: []ledger.Cell{{Dest: 8, Calls: 1}}}
+	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != ledger.Changed {
+		t.Fatal(outcome, err)
+	}
+	goldentest.Check(t, *update, "local-state.cbor", (*delegate)(l).LocalState(false))
+	if meta := (*delegate)(l).NodeMeta(512); meta != nil {
+		t.Errorf("metadata %q", meta)
+	}
+}
--- a/internal/flight/export_test.go
+++ b/internal/flight/export_test.go
@@ -28,3 +28,11 @@
 
 // Written is how many bytes the open chunk holds.
 func (r *Recorder) Written() int { return len(r.enc.buf) }
+
+// NewRecorderWithID is NewRecorder for a recording with a known id, so that its bytes are known.
+func NewRecorderWithID(id uint64, meta Meta, ring int, state func([]byte) []byte) *Recorder {
+	r := newRecorder(meta, ring, state)
+	r.id = id
+	r.begin(true)
+	return r
+}
--- /dev/null
+++ b/internal/flight/golden_test.go
@@ -0,0 +1,310 @@
+package flight_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"onyxroad.dev/onyxroad/internal/fleet/ledger"
+	"onyxroad.dev/onyxroad/internal/fleet/rights"
+	"onyxroad.dev/onyxroad/internal/fleet/seam"
+	"onyxroad.dev/onyxroad/internal/flight"
+	"onyxroad.dev/onyxroad/internal/flight/flighttest"
+	"onyxroad.dev/onyxroad/internal/goldentest"
+	"onyxroad.dev/onyxroad/internal/replay"
+	"onyxroad.dev/onyxroad/policy"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const (
+	goldenID    = 0x1122334455667788
+	goldenSeed  = 5
+	goldenSteps = 30
+	goldenEvery = 100 * time.Millisecond
+)
+
+// goldenRun is a short life of a module, with its fleet's seam beside it or without.
+type goldenRun struct {
+	sender   *policy.Sender
+	seam     *seam.Seam // nil: the fleet is off
+	recorder *flight.Recorder
+	events   []policy.Event // of the next step
+}
+
+func newGoldenRun(t *testing.T, fleet bool) *goldenRun {
+	t.Helper()
+	set := flighttest.Settings()
+	sender, err := policy.New(set, goldenSeed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	meta := flight.Meta{Name: "n1", Revision: "golden", Program: "v1", Seed: goldenSeed, Settings: set, Started: time.Unix(1e9, 0).UTC()}
+	run := &goldenRun{sender: sender, recorder: flight.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
+	if fleet {
+		run.seam = seam.New(seam.Settings{
+			Self: "n1", Life: ledger.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.Kinds, Rights: true, Senders: 2,
+		})
+		run.recorder.Beside(run.seam.Snapshot)
+	}
+	return run
+}
+
+func goldenListing() []policy.Listing {
+	return []policy.Listing{
+		{Route: "s-1", Destination: 1, Weight: 5, InService: true},
+		{Route: "s-2", Destination: 1, Zone: 1, Weight: 5, InService: true},
+		{Route: "s-3", Destination: 3, Kind: 1, Weight: 5, InService: true},
+	}
+}
+
+// goldenHeard is what another member tells in a step.
+func goldenHeard(step int) seam.Input {
+	life, scope := ledger.Life{Incarnation: 4, Boot: 5}, rights.Scope{Dest: 1}
+	number := uint64(step + 1)
+	switch step % 5 {
+	case 2:
+		return seam.Input{Heard: []ledger.Page{{
+			Name: "n2", Life: life, Sequence: number, Age: time.Millisecond, Cells: []ledger.Cell{{Dest: 1, Demand: 2, Calls: 1, Backlog: 3, Wait: time.Second}},
+		}}}
+	case 3:
+		return seam.Input{Rights: []rights.Message{{
+			Member: "n2", Life: life, Seq: number, Held: time.Millisecond, Seen: 1, Of: ledger.Life{Incarnation: 1, Boot: 2}, Ping: true,
+			Loans: []rights.Loan{{Scope: scope, Rate: 1, Done: uint32(step)}},
+			Asks:  []rights.Ask{{Scope: scope, ID: uint32(step), N: 2, Done: uint32(step)}},
+			Gives: []rights.Give{{Scope: scope, ID: 1, N: 1}},
+		}}}
+	}
+	return seam.Input{}
+}
+
+// step has the module and the seam take a step, and records it as the relay's loop does.
+func (r *goldenRun) step(number int, now time.Duration) {
+	events := r.events
+	r.events = nil
+	actions := r.sender.Step(now, events)
+	if r.seam == nil {
+		r.recorder.Step(now, events, actions)
+	} else {
+		in := goldenHeard(number)
+		rec := seam.Record{Heard: in.Heard, RightsHeard: in.Rights}
+		in.Events, in.Actions = events, actions
+		in.Views = func() []policy.View { views, _ := r.sender.Views(); return views }
+		out := r.seam.Step(now, in)
+		rec.Told, rec.RightsTold = out.Told, out.Rights
+		r.recorder.StepBeside(now, events, actions, rec.Append(nil))
+		r.events = out.Events
+	}
+	for _, action := range actions {
+		switch action.Kind {
+		case policy.Send:
+			r.events = append(r.events, goldenAnswer(number, action))
+		case policy.Wake:
+			r.events = append(r.events, policy.Event{Kind: policy.Woken})
+		}
+	}
+}
+
+func goldenAnswer(number int, action policy.Action) policy.Event {
+	e := policy.Event{Kind: policy.Finished, ID: action.ID, Route: action.Route, Took: goldenEvery, Ended: true}
+	if number%4 == 0 {
+		e.Outcome, e.Ended, e.Wait = policy.Full, false, time.Second
+	}
+	if number%4 == 1 {
+		e.Report = policy.Report{Told: true, Left: 0.5, Limit: 5}
+	}
+	return e
+}
+
+func (r *goldenRun) take(number int) {
+	id := uint32(number + 1)
+	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
+	for i := range uint32(2) {
+		e := policy.Event{Kind: policy.Taken, ID: 10*id + i, Class: number % 3, Customer: number % 2, Destination: 1, Left: 4 * time.Second}
+		if e.Class == 1 {
+			e.Key = "key"
+		}
+		if number == 7 {
+			e.Resumed = &policy.Resumed{Attempts: 1, Ran: true, RanAgo: time.Second, RanZone: 1}
+		}
+		r.events = append(r.events, e)
+	}
+	switch number {
+	case 9:
+		r.events = append(r.events, policy.Event{Kind: policy.Withdrawn, ID: 10 * id})
+	case 11:
+		r.events = append(r.events, policy.Event{Kind: policy.ListFailed})
+	case 13:
+		gone := goldenListing()[1]
+		gone.InService, gone.Gone = false, true
+		r.events = append(r.events, policy.Event{Kind: policy.ListChanges, List: []policy.Listing{gone}})
+	}
+}
+
+func (r *goldenRun) live() []byte {
+	r.events = []policy.Event{{Kind: policy.ListWhole, List: goldenListing()}}
+	for number := range goldenSteps {
+		now := time.Second + time.Duration(number)*goldenEvery
+		r.take(number)
+		r.step(number, now)
+		switch number {
+		case 15:
+			ids := []uint32{160, 161}
+			r.recorder.Cleared(now, "s-1", ids, r.sender.MayStill("s-1", ids, now))
+		case 20:
+			r.recorder.Note("a remark")
+			r.recorder.Reconfigured(flighttest.Settings()) // a chunk with snapshots begins
+		}
+	}
+	return recorded(r.recorder)
+}
+
+func recorded(r *flight.Recorder) []byte {
+	var buf bytes.Buffer
+	if _, err := r.WriteTo(&buf); err != nil {
+		panic(err) // a buffer takes all
+	}
+	return buf.Bytes()
+}
+
+func goldenEntries(t *testing.T, data []byte) (entries []flight.Entry) {
+	t.Helper()
+	r, err := flight.NewReader(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		e, ok, err := r.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !ok {
+			return entries
+		}
+		entries = append(entries, e)
+	}
+}
+
+// dump is entries as text, in which no name of a field stands.
+func dump(t *testing.T, entries []flight.Entry) []byte {
+	t.Helper()
+	var text strings.Builder
+	for _, e := range entries {
+		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n", e.Kind, e.At, e.Now, e.Route, e.IDs, e.May, e.Message, e.Text)
+		if e.Kind == flight.Begin {
+			fmt.Fprintf(&text, "  begin %x %d %t %v\n", e.ID, e.Chunk, e.Fresh, e.Meta)
+		}
+		if len(e.State) > 0 {
+			fmt.Fprintf(&text, "  state of %d bytes, %x\n", len(e.State), sha256.Sum256(e.State))
+		}
+		for _, x := range e.Events {
+			resumed := x.Resumed
+			x.Resumed = nil
+			fmt.Fprintf(&text, "  event %v", x)
+			if resumed != nil {
+				fmt.Fprintf(&text, " resumed %v", *resumed)
+			}
+			fmt.Fprintln(&text)
+		}
+		for _, a := range e.Actions {
+			fmt.Fprintf(&text, "  action %v\n", a)
+		}
+		if e.Kind == flight.Beside {
+			rec, err := seam.ReadRecord(e.State)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&text, "  beside %v\n", rec)
+		}
+	}
+	return []byte(text.String())
+}
+
+// rewrite records entries anew.
+func rewrite(entries []flight.Entry) []byte {
+	var recorder *flight.Recorder
+	var state, beside []byte
+	for i, e := range entries {
+		switch e.Kind {
+		case flight.Begin:
+			state = e.State
+			hasBeside := entries[i+1].Kind == flight.BesideState
+			if hasBeside {
+				beside = entries[i+1].State
+			}
+			if recorder != nil {
+				recorder.Reconfigured(e.Meta.Settings)
+				continue
+			}
+			recorder = flight.NewRecorderWithID(e.ID, e.Meta, 0, func(b []byte) []byte { return append(b, state...) })
+			if hasBeside {
+				recorder.Beside(func(b []byte) []byte { return append(b, beside...) })
+			}
+		case flight.Step:
+			var told []byte
+			if i+1 < len(entries) && entries[i+1].Kind == flight.Beside {
+				told = entries[i+1].State
+			}
+			recorder.StepBeside(e.Now, e.Events, e.Actions, told)
+		case flight.Cleared:
+			recorder.Cleared(e.Now, e.Route, e.IDs, e.May)
+		case flight.Label:
+			recorder.Label(e.Message, e.Text)
+		case flight.Note:
+			recorder.Note(e.Text)
+		}
+	}
+	return recorded(recorder)
+}
+
+// playGolden plays a recording whole, compares the module's state at its second chunk, and plays it from there.
+func playGolden(t *testing.T, data []byte, entries []flight.Entry, fleet bool) {
+	t.Helper()
+	second := slices.IndexFunc(entries, func(e flight.Entry) bool { return e.Kind == flight.Begin && !e.Fresh })
+	if second < 0 {
+		t.Fatal("no chunk begins with a snapshot")
+	}
+	compared := false
+	before := func(s *policy.Sender, e *flight.Entry) {
+		if !compared && e.At > entries[second].At {
+			compared = true
+			if !bytes.Equal(s.Snapshot(nil), entries[second].State) {
+				t.Error("the module reaches another state than was recorded")
+			}
+		}
+	}
+	check := func(name string, part []byte, visit replay.Visitor) {
+		t.Helper()
+		res, err := replay.Play(part, visit)
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 || (res.Beside > 0) != fleet {
+			t.Errorf("%s: %v, %+v", name, err, res)
+		}
+	}
+	check("whole", data, replay.Visitor{Before: before})
+	check("from the snapshot", data[entries[second].At:], replay.Visitor{})
+	if !compared {
+		t.Error("no state was compared")
+	}
+}
+
+// Recordings of earlier builds are read, played without a difference, and written again as the same bytes.
+func TestGoldenRecordings(t *testing.T) {
+	for name, fleet := range map[string]bool{"fleet-off": false, "fleet-on": true} {
+		t.Run(name, func(t *testing.T) {
+			data := goldentest.Check(t, *update, name+".flight", newGoldenRun(t, fleet).live())
+			entries := goldenEntries(t, data)
+			goldentest.Check(t, *update, name+".txt", dump(t, entries))
+			goldentest.Check(t, false, name+".flight", rewrite(entries))
+			playGolden(t, data, entries, fleet)
+			granted := bytes.Contains(goldentest.Read(t, name+".txt"), fmt.Appendf(nil, "  event {%d ", policy.Rights))
+			if granted != fleet {
+				t.Errorf("rights are granted: %t", granted)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/manage/golden_test.go
@@ -0,0 +1,54 @@
+package manage
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/figures"
+	"onyxroad.dev/onyxroad/internal/fleet"
+	"onyxroad.dev/onyxroad/internal/goldentest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// Every answer of the second address: status, type and body, with every figure that there is.
+func TestGoldenAnswers(t *testing.T) {
+	var counted figures.Figures
+	for i, end := range []figures.End{figures.Completed, figures.Rejected, figures.Failed} {
+		for range i + 1 {
+			counted.Ended("order", end)
+		}
+	}
+	counted.Upstream.Store(11)
+	counted.Reloads.Store(12)
+	counted.ReloadErrors.Store(13)
+	counted.Pending.Store(14)
+	counted.Members.Store(15)
+	counted.Unavailable.Store(16)
+	ready := true
+	var member fleet.Member
+	server := Server{
+		Ready:   func() bool { return ready },
+		Figures: func(w io.Writer) { counted.WriteTo(w) },
+		Fleet:   member.Write, Log: slog.New(slog.DiscardHandler),
+	}
+	var text strings.Builder
+	ask := func(path string) {
+		answer := httptest.NewRecorder()
+		server.Handler().ServeHTTP(answer, httptest.NewRequest("GET", path, nil))
+		fmt.Fprintf(&text, "GET %s\n%d %s\n%s\n", path, answer.Code, answer.Header().Get("Content-Type"), answer.Body)
+	}
+	for _, path := range []string{"/v1/readyz", "/v1/metrics", "/v1/fleet", "/v1/other"} {
+		ask(path)
+	}
+	ready = false
+	ask("/v1/readyz")
+	server.Fleet = nil
+	ask("/v1/fleet")
+	goldentest.Check(t, *update, "answers.txt", []byte(text.String()))
+}
