--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -44,16 +44,16 @@
 
 // Cell is what a relay tells of a destination, or of a route that stands apart there. Rates are a second.
 type Cell struct {
-	Dest       int
-	Route      string // "": all routes of the destination share one limit
-	Demand     float64
-	Calls      float64
-	Refusals   float64
-	Deliveries float64
-	Failures   float64       // outcomes that were neither a delivery nor a refusal
-	Backlog    int           // messages waiting
-	Wait       time.Duration // told to the relay, and left of it at the page's age 0
-	Cold       bool          // the relay holds it to be cold or in an outage
+	Dest       int           `cbor:"Dest"`
+	Route      string        `cbor:"Route"` // "": all routes of the destination share one limit
+	Demand     float64       `cbor:"Demand"`
+	Calls      float64       `cbor:"Calls"`
+	Refusals   float64       `cbor:"Refusals"`
+	Deliveries float64       `cbor:"Deliveries"`
+	Failures   float64       `cbor:"Failures"` // outcomes that were neither a delivery nor a refusal
+	Backlog    int           `cbor:"Backlog"`  // messages waiting
+	Wait       time.Duration `cbor:"Wait"`     // told to the relay, and left of it at the page's age 0
+	Cold       bool          `cbor:"Cold"`     // the relay holds it to be cold or in an outage
 }
 
 func (c Cell) rates() [5]float64 {
@@ -80,8 +80,8 @@
 // Life is one run of a member's process. Incarnations grow with each start; boots tell processes of one incarnation apart,
 // such as two that were started under one name by mistake.
 type Life struct {
-	Incarnation uint64
-	Boot        uint32
+	Incarnation uint64 `json:"Incarnation" cbor:"Incarnation"`
+	Boot        uint32 `json:"Boot" cbor:"Boot"`
 }
 
 // Compare orders lives.
@@ -91,12 +91,12 @@
 
 // Page is what a member tells of the destinations of one page, whole: a newer one takes the place of an older one.
 type Page struct {
-	Name string
+	Name string `cbor:"Name"`
 	Life
-	Number   int
-	Sequence uint64 // within the life, over all pages
-	Age      time.Duration
-	Cells    []Cell // by destination and route; none: nothing is to be told
+	Number   int           `cbor:"Number"`
+	Sequence uint64        `cbor:"Sequence"` // within the life, over all pages
+	Age      time.Duration `cbor:"Age"`
+	Cells    []Cell        `cbor:"Cells"` // by destination and route; none: nothing is to be told
 }
 
 // Outcome is what became of a page that was merged.
--- a/internal/fleet/rights/rights.go
+++ b/internal/fleet/rights/rights.go
@@ -79,140 +79,144 @@
 
 // Loan is what a member lends another of its part, and what became of its own calls.
 type Loan struct {
-	Scope         Scope
-	Rate          float64 // calls a second
-	Done, Refused uint32  // calls in this life that were delivered, that were refused
+	Scope   Scope   `cbor:"Scope"`
+	Rate    float64 `cbor:"Rate"`    // calls a second
+	Done    uint32  `cbor:"Done"`    // calls in this life that were delivered
+	Refused uint32  `cbor:"Refused"` // calls in this life that were refused
 }
 
 // Ask is for calls. Those of one ID are one, and the newest counts: N is how many are wanted in all, 0 takes it back.
 type Ask struct {
-	Scope         Scope
-	ID            uint32
-	N             int
-	Done, Refused uint32
+	Scope   Scope  `cbor:"Scope"`
+	ID      uint32 `cbor:"ID"`
+	N       int    `cbor:"N"`
+	Done    uint32 `cbor:"Done"`
+	Refused uint32 `cbor:"Refused"`
 }
 
 // Give answers an Ask: N calls in all so far.
 type Give struct {
-	Scope Scope
-	ID    uint32
-	N     int
+	Scope Scope  `cbor:"Scope"`
+	ID    uint32 `cbor:"ID"`
+	N     int    `cbor:"N"`
 }
 
 // Message is what one member tells another alone.
 type Message struct {
-	Member string // from whom or to whom
+	Member string `cbor:"Member"` // from whom or to whom
 	ledger.Life
-	Seq   uint64
-	Held  time.Duration // how long it was under way, at most
-	Seen  uint64        // the greatest Seq heard of the other, of SeenLife
-	Of    ledger.Life
-	Ping  bool // asks for an answer
-	New   bool // asks whether a loan of another life of the sender is held
-	None  bool // none is, and none will be taken as long as one may be under way
-	Loans []Loan
-	Asks  []Ask
-	Gives []Give
+	Seq   uint64        `cbor:"Seq"`
+	Held  time.Duration `cbor:"Held"` // how long it was under way, at most
+	Seen  uint64        `cbor:"Seen"` // the greatest Seq heard of the other, of SeenLife
+	Of    ledger.Life   `cbor:"Of"`
+	Ping  bool          `cbor:"Ping"` // asks for an answer
+	New   bool          `cbor:"New"`  // asks whether a loan of another life of the sender is held
+	None  bool          `cbor:"None"` // none is, and none will be taken as long as one may be under way
+	Loans []Loan        `cbor:"Loans"`
+	Asks  []Ask         `cbor:"Asks"`
+	Gives []Give        `cbor:"Gives"`
 }
 
 // Settings are what a Book is made of.
 type Settings struct {
-	Self    string
-	Life    ledger.Life
-	Members []string // that are listed
-	Senders int      // the told size of the fleet: parts are of it, however many are listed
-	Lease   time.Duration
-	Margin  time.Duration
-	Fresh   bool // no earlier life of this member can have lent anything
+	Self    string        `cbor:"Self"`
+	Life    ledger.Life   `cbor:"Life"`
+	Members []string      `cbor:"Members"` // that are listed
+	Senders int           `cbor:"Senders"` // the told size of the fleet: parts are of it, however many are listed
+	Lease   time.Duration `cbor:"Lease"`
+	Margin  time.Duration `cbor:"Margin"`
+	Fresh   bool          `cbor:"Fresh"` // no earlier life of this member can have lent anything
 }
 
 type loan struct {
-	To    string
-	Rate  float64
-	Until time.Duration // the lender leaves it alone before
+	To    string        `cbor:"To"`
+	Rate  float64       `cbor:"Rate"`
+	Until time.Duration `cbor:"Until"` // the lender leaves it alone before
 }
 
 type held struct {
-	From string
+	From string `cbor:"From"`
 	ledger.Life
-	Rate  float64
-	Until time.Duration
+	Rate  float64       `cbor:"Rate"`
+	Until time.Duration `cbor:"Until"`
 }
 
 type count struct {
 	ledger.Life
-	Done, Refused uint32
+	Done    uint32 `cbor:"Done"`
+	Refused uint32 `cbor:"Refused"`
 }
 
 type queued struct {
-	From string
+	From string `cbor:"From"`
 	ledger.Life
-	ID    uint32
-	N     int
-	Given int
-	Until time.Duration
+	ID    uint32        `cbor:"ID"`
+	N     int           `cbor:"N"`
+	Given int           `cbor:"Given"`
+	Until time.Duration `cbor:"Until"`
 }
 
 // want is an ask of this member's.
 type want struct {
-	ID    uint32
-	N     int // 0: there is none
-	Got   int
-	To    string
-	At    time.Duration
-	Again time.Duration // wanted last
-	Sent  time.Duration
-	Seq   uint64 // of the message it left with last; 0: not yet
-	Acked bool
+	ID    uint32        `cbor:"ID"`
+	N     int           `cbor:"N"` // 0: there is none
+	Got   int           `cbor:"Got"`
+	To    string        `cbor:"To"`
+	At    time.Duration `cbor:"At"`
+	Again time.Duration `cbor:"Again"` // wanted last
+	Sent  time.Duration `cbor:"Sent"`
+	Seq   uint64        `cbor:"Seq"` // of the message it left with last; 0: not yet
+	Acked bool          `cbor:"Acked"`
 }
 
 // Account is a Book's of one Scope. Its fields are exported for snapshots alone.
 type Account struct {
-	Limit         float64 // calls a second that all members may make; 0: not told, or no longer
-	Lent          []loan
-	Keeper        string // that is lent to, and asked
-	Held          []held // by lender
-	Tokens        float64
-	At            time.Duration // as of which
-	Queue         []queued
-	Belief        float64
-	Met           float64       // what was delivered of what was believed when it was refused last
-	Looked        time.Duration // at outcomes, last
-	Deaf          time.Duration // what is reported before then does not count
-	Grows         bool          // little was refused at the last look
-	Outcomes      [2]float64    // reported since: done, refused
-	Counts        map[string]count
-	Want          want
-	Done, Refused uint32
-	Told          float64 // share that the module was told last
+	Limit    float64          `cbor:"Limit"` // calls a second that all members may make; 0: not told, or no longer
+	Lent     []loan           `cbor:"Lent"`
+	Keeper   string           `cbor:"Keeper"` // that is lent to, and asked
+	Held     []held           `cbor:"Held"`   // by lender
+	Tokens   float64          `cbor:"Tokens"`
+	At       time.Duration    `cbor:"At"` // as of which
+	Queue    []queued         `cbor:"Queue"`
+	Belief   float64          `cbor:"Belief"`
+	Met      float64          `cbor:"Met"`      // what was delivered of what was believed when it was refused last
+	Looked   time.Duration    `cbor:"Looked"`   // at outcomes, last
+	Deaf     time.Duration    `cbor:"Deaf"`     // what is reported before then does not count
+	Grows    bool             `cbor:"Grows"`    // little was refused at the last look
+	Outcomes [2]float64       `cbor:"Outcomes"` // reported since: done, refused
+	Counts   map[string]count `cbor:"Counts"`
+	Want     want             `cbor:"Want"`
+	Done     uint32           `cbor:"Done"`
+	Refused  uint32           `cbor:"Refused"`
+	Told     float64          `cbor:"Told"` // share that the module was told last
 }
 
 // peer is another member.
 type peer struct {
 	ledger.Life
-	Seen   uint64        // greatest Seq heard of it
-	Heard  time.Duration // last; never: below 0
-	Pinged time.Duration
-	Sent   time.Duration // loans, last
-	Acked  bool          // they are
-	SentAs uint64        // their Seq
-	None   bool          // it holds no loan of another life of this member
-	Asked  time.Duration // that, last
-	Only   ledger.Life   // it was told so: loans of other lives are not taken
-	Until  time.Duration // before then
+	Seen   uint64        `cbor:"Seen"`  // greatest Seq heard of it
+	Heard  time.Duration `cbor:"Heard"` // last; never: below 0
+	Pinged time.Duration `cbor:"Pinged"`
+	Sent   time.Duration `cbor:"Sent"`   // loans, last
+	Acked  bool          `cbor:"Acked"`  // they are
+	SentAs uint64        `cbor:"SentAs"` // their Seq
+	None   bool          `cbor:"None"`   // it holds no loan of another life of this member
+	Asked  time.Duration `cbor:"Asked"`  // that, last
+	Only   ledger.Life   `cbor:"Only"`   // it was told so: loans of other lives are not taken
+	Until  time.Duration `cbor:"Until"`  // before then
 }
 
 // State is all that a Book holds, exported for snapshots alone.
 type State struct {
-	Set      Settings
-	Began    time.Duration
-	Seq      uint64
-	NextID   uint32
-	Accounts map[Scope]*Account
-	Peers    map[string]*peer
-	RenewAt  time.Duration
-	LookAt   time.Duration
-	Now      time.Duration
+	Set      Settings           `cbor:"Set"`
+	Began    time.Duration      `cbor:"Began"`
+	Seq      uint64             `cbor:"Seq"`
+	NextID   uint32             `cbor:"NextID"`
+	Accounts map[Scope]*Account `cbor:"Accounts"`
+	Peers    map[string]*peer   `cbor:"Peers"`
+	RenewAt  time.Duration      `cbor:"RenewAt"`
+	LookAt   time.Duration      `cbor:"LookAt"`
+	Now      time.Duration      `cbor:"Now"`
 }
 
 // Book is a member's.
--- a/internal/fleet/seam/seam.go
+++ b/internal/fleet/seam/seam.go
@@ -41,21 +41,25 @@
 
 // Settings are what a Seam is made of.
 type Settings struct {
-	Self    string
-	Life    ledger.Life
-	Members []string // that are listed, all of the fleet
-	Kinds   []policy.Kind
-	Rights  bool // limits are shared: package rights
-	Senders int  // the told size of the fleet
+	Self    string        `cbor:"Self"`
+	Life    ledger.Life   `cbor:"Life"`
+	Members []string      `cbor:"Members"` // that are listed, all of the fleet
+	Kinds   []policy.Kind `cbor:"Kinds"`
+	Rights  bool          `cbor:"Rights"`  // limits are shared: package rights
+	Senders int           `cbor:"Senders"` // the told size of the fleet
 }
 
 // Tally counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
 type Tally struct {
-	At                                            time.Duration
-	Demand, Calls, Refusals, Deliveries, Failures float64 // levels: a rate times rateSpan
-	Backlog                                       int
-	Wait                                          time.Duration // until then
-	Cold                                          bool
+	At         time.Duration `cbor:"At"`
+	Demand     float64       `cbor:"Demand"` // this and the four below are levels: a rate times rateSpan
+	Calls      float64       `cbor:"Calls"`
+	Refusals   float64       `cbor:"Refusals"`
+	Deliveries float64       `cbor:"Deliveries"`
+	Failures   float64       `cbor:"Failures"`
+	Backlog    int           `cbor:"Backlog"`
+	Wait       time.Duration `cbor:"Wait"` // until then
+	Cold       bool          `cbor:"Cold"`
 }
 
 type scope struct {
@@ -87,20 +91,20 @@
 
 // state is all that a Seam holds beside its ledger.
 type state struct {
-	Set      Settings
-	Life     ledger.Life
-	Sequence uint64
-	Tallies  map[scope]*Tally
-	Routes   map[string]listed
-	Held     map[uint32]held
-	Told     map[int]toldPage
-	LookAt   time.Duration
-	Rest     time.Duration // of a page between two tellings, as of RestAt
-	RestAt   time.Duration
-	SweepAt  time.Duration
-	Pages    []ledger.Page // of the ledger, in snapshots
-	Book     *rights.Book  // in snapshots
-	Now      time.Duration
+	Set      Settings          `cbor:"Set"`
+	Life     ledger.Life       `cbor:"Life"`
+	Sequence uint64            `cbor:"Sequence"`
+	Tallies  map[scope]*Tally  `cbor:"Tallies"`
+	Routes   map[string]listed `cbor:"Routes"`
+	Held     map[uint32]held   `cbor:"Held"`
+	Told     map[int]toldPage  `cbor:"Told"`
+	LookAt   time.Duration     `cbor:"LookAt"`
+	Rest     time.Duration     `cbor:"Rest"` // of a page between two tellings, as of RestAt
+	RestAt   time.Duration     `cbor:"RestAt"`
+	SweepAt  time.Duration     `cbor:"SweepAt"`
+	Pages    []ledger.Page     `cbor:"Pages"` // of the ledger, in snapshots
+	Book     *rights.Book      `cbor:"Book"`  // in snapshots
+	Now      time.Duration     `cbor:"Now"`
 }
 
 // Seam is a member's.
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -26,7 +26,8 @@
 	}
 	want := Read(t, name)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: written otherwise than before:\n%s\nwant\n%s", name, printable(got), printable(want))
+		at := parting(got, want)
+		t.Errorf("%s: written otherwise than before, from byte %d on:\n%s\nwant\n%s", name, at, printable(got[at:]), printable(want[at:]))
 	}
 	return want
 }
@@ -41,7 +42,17 @@
 	return data
 }
 
-const printedMost = 2000
+// parting is where two texts begin to differ.
+func parting(a, b []byte) int {
+	for i := range min(len(a), len(b)) {
+		if a[i] != b[i] {
+			return i
+		}
+	}
+	return min(len(a), len(b))
+}
+
+const printedMost = 300
 
 func printable(data []byte) string {
 	text := fmt.Sprintf("%q", data)
--- a/policy/api.go
+++ b/policy/api.go
@@ -29,45 +29,45 @@
 
 // Class is one class of message.
 type Class struct {
-	Effect   Effect
-	GroupAll bool          // Keyed: every route of the destination drops repeats; else those of one zone
-	Window   time.Duration // Keyed: how long repeats are dropped, from the first send that may have run
-	Ordered  bool          // messages of one key take turns
-	Aim      time.Duration // delivered within this, a message earns its full worth
-	GiveUp   time.Duration // how long a message may be delivered
-	Value    float64       // worth of a message; default 1
+	Effect   Effect        `json:"Effect"`
+	GroupAll bool          `json:"GroupAll"` // Keyed: every route of the destination drops repeats; else those of one zone
+	Window   time.Duration `json:"Window"`   // Keyed: how long repeats are dropped, from the first send that may have run
+	Ordered  bool          `json:"Ordered"`  // messages of one key take turns
+	Aim      time.Duration `json:"Aim"`      // delivered within this, a message earns its full worth
+	GiveUp   time.Duration `json:"GiveUp"`   // how long a message may be delivered
+	Value    float64       `json:"Value"`    // worth of a message; default 1
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	Separate bool // its routes are separate: each has its own limit, pace and outages
-	PerCall  int  // messages in one call at most; default 1
+	Separate bool `json:"Separate"` // its routes are separate: each has its own limit, pace and outages
+	PerCall  int  `json:"PerCall"`  // messages in one call at most; default 1
 }
 
 // Customer is one customer of the service.
 type Customer struct {
-	Quota float64 // messages a second within its share, over all senders; 0: no share is set
+	Quota float64 `json:"Quota"` // messages a second within its share, over all senders; 0: no share is set
 }
 
 // Settings are what a Sender is told when it starts. Zero values of optional fields mean their default.
 type Settings struct {
-	Classes        []Class
-	Kinds          []Kind
-	Customers      []Customer
-	Senders        int           // senders of the fleet; default 1
-	Slots          int           // calls out at once; 0: no limit
-	MaxHeld        int           // messages held at once; 0: no limit
-	MaxAttempts    int           // attempts for a message; 0: no limit
-	MaxRetryAfter  time.Duration // longest advice that a client heeds; 0: none is given
-	RoughWeights   bool          // listed weights may be up to half too high or too low
-	NoWeights      bool          // listed weights tell nothing
-	AskList        bool          // list changes come only after Watch
-	Carriage       []float64     // fee for each zone of a separate route
-	ColdShare      float64       // share of its capacity that a destination has after an outage; default 0.1
-	WarmWithin     time.Duration // and all of it after this; default 30 s
-	OverloadFactor float64       // sent more than this multiple of its capacity; default 1
-	OverloadWindow time.Duration // for this long, it falls over
-	OrderPause     time.Duration // rest of a key after an attempt that may still run
+	Classes        []Class       `json:"Classes"`
+	Kinds          []Kind        `json:"Kinds"`
+	Customers      []Customer    `json:"Customers"`
+	Senders        int           `json:"Senders"`        // senders of the fleet; default 1
+	Slots          int           `json:"Slots"`          // calls out at once; 0: no limit
+	MaxHeld        int           `json:"MaxHeld"`        // messages held at once; 0: no limit
+	MaxAttempts    int           `json:"MaxAttempts"`    // attempts for a message; 0: no limit
+	MaxRetryAfter  time.Duration `json:"MaxRetryAfter"`  // longest advice that a client heeds; 0: none is given
+	RoughWeights   bool          `json:"RoughWeights"`   // listed weights may be up to half too high or too low
+	NoWeights      bool          `json:"NoWeights"`      // listed weights tell nothing
+	AskList        bool          `json:"AskList"`        // list changes come only after Watch
+	Carriage       []float64     `json:"Carriage"`       // fee for each zone of a separate route
+	ColdShare      float64       `json:"ColdShare"`      // share of its capacity that a destination has after an outage; default 0.1
+	WarmWithin     time.Duration `json:"WarmWithin"`     // and all of it after this; default 30 s
+	OverloadFactor float64       `json:"OverloadFactor"` // sent more than this multiple of its capacity; default 1
+	OverloadWindow time.Duration `json:"OverloadWindow"` // for this long, it falls over
+	OrderPause     time.Duration `json:"OrderPause"`     // rest of a key after an attempt that may still run
 }
 
 // Listing is one entry of the list of routes.
