--- /dev/null
+++ b/internal/flight/golden_keys_test.go
@@ -0,0 +1,20 @@
+package flight_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"onyxroad.dev/onyxroad/internal/flight"
+	"onyxroad.dev/onyxroad/internal/golden"
+)
+
+// TestGoldenKeys pins the keys under which recordings begin a chunk: other builds of the program read them.
+func TestGoldenKeys(t *testing.T) {
+	var x flight.Head
+	golden.Fill(&x)
+	data, err := json.MarshalIndent(x, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, *update, "keys.json", string(data)+"\n")
+}
