--- a/cmd/capacity/golden_test.go
+++ b/cmd/capacity/golden_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -12,8 +12,8 @@
 	"path/filepath"
 	"slices"
 
-	"onyxroad.dev/onyxroad/internal/capacity"
-	"onyxroad.dev/onyxroad/internal/hollow"
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/hollow"
 )
 
 // What is measured of fleets of hollow relays, in virtual time: package hollow does that in its tests alone, since a bubble of testing/synctest
--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -13,14 +13,14 @@
 	"syscall"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/capacity"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/operator"
-	"onyxroad.dev/onyxroad/internal/standin"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // What is measured inside this process.
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -23,8 +23,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/capacity"
-	"onyxroad.dev/onyxroad/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
 )
 
 func main() {
--- a/cmd/capacity/main_test.go
+++ b/cmd/capacity/main_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/capacity"
-	"onyxroad.dev/onyxroad/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
 )
 
 func do(t *testing.T, args ...string) (status int, out string) {
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -19,10 +19,10 @@
 	"sync/atomic"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/capacity"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/standin"
 )
 
 // What is measured on a relay process with stand-ins for all that it talks to.
--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/explain"
-	"onyxroad.dev/onyxroad/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/explain"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
 )
 
 type explainCommand struct {
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
 // withPayments adds a class that must never run twice.
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -9,10 +9,10 @@
 	"net/http"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/tally"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/tally"
 )
 
 type fleetCommand struct {
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/link"
-	"onyxroad.dev/onyxroad/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/link"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
 // rig is several relays as processes, each pair of them with a link of its own in each direction.
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
 )
 
 // descriptors is how many a process holds; resident its memory, in bytes.
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
 )
 
 type journalCommand struct {
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
 )
 
 // killVariable names the step at which a relay of the tests kills itself.
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -22,10 +22,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/operator"
-	"onyxroad.dev/onyxroad/internal/relay"
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/relay"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 // heapShare is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
 )
 
 // exitDiffers is the status of a replay that parted from its recording.
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
 )
 
 func command(args ...string) (status int, out, errs string) {
--- a/cmd/cherrytrestle/replay_test.go
+++ b/cmd/cherrytrestle/replay_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
 )
 
 // playAll plays recordings, and fails where anything differs or none holds a step of the seam's.
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
 // sharers is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as they are told.
--- a/cmd/cherrytrestle/standing_test.go
+++ b/cmd/cherrytrestle/standing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/wal"
 )
 
 // A wait that the killed process was told binds the next one.
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -11,9 +11,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/wire"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/wire"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func main() {
--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/explore"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/explore"
 )
 
 type checkCommand struct {
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/experiment"
-	"onyxroad.dev/onyxroad/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
 )
 
 // The experiments that are kept beside the documents load, and a run of each day of many relays breaks no rule. The mutant that
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 type faultsCommand struct {
--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/report"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/report"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/experiment"
 )
 
 type huntCommand struct {
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -28,13 +28,13 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/experiment"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/report"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/report"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The exit statuses.
--- a/cmd/emulate/main_test.go
+++ b/cmd/emulate/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
 )
 
 func do(t *testing.T, args ...string) (status int, out string) {
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -9,11 +9,11 @@
 	"strings"
 	"sync"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/explore"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/explore"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 type powerCommand struct {
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/experiment"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 type scaleCommand struct {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -26,11 +26,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/rehearsal"
-	"onyxroad.dev/onyxroad/internal/report"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/rehearsal"
+	"cherrytrestle.example/cherrytrestle/internal/report"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // The exit statuses.
@@ -263,7 +263,7 @@
 	}
 	clean := func() { os.RemoveAll(dir) }
 	path := filepath.Join(dir, "cherrytrestle")
-	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "onyxroad.dev/onyxroad/cmd/cherrytrestle")
+	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle")
 	build.Stdout, build.Stderr = stderr, stderr
 	if err := build.Run(); err != nil {
 		clean()
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/rehearsal"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/rehearsal"
 )
 
 // The tests run the program as a process of its own where signals matter: this binary under another variable.
--- a/cmd/sockfault/main.go
+++ b/cmd/sockfault/main.go
@@ -18,8 +18,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxroad.dev/onyxroad/internal/cli"
-	"onyxroad.dev/onyxroad/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
 func main() {
--- a/internal/axis/axis.go
+++ b/internal/axis/axis.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
 )
 
 // Anchor is what the next process needs to go on with the axis.
--- a/internal/axis/axis_test.go
+++ b/internal/axis/axis_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
 )
 
 // What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot, and where the
--- a/internal/capacity/golden_test.go
+++ b/internal/capacity/golden_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // entry is an endpoint as a platform names them: two to a destination.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -12,7 +12,7 @@
 	"math/bits"
 	"net/netip"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // WholeMost is how many endpoints a list may have that is told to the module whole, and how many removed destinations are remembered at least.
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // model is a catalog as one would write it that has room and time.
--- a/internal/catalog/lists_test.go
+++ b/internal/catalog/lists_test.go
@@ -9,7 +9,7 @@
 	"time"
 	"unsafe"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // ep reads "id@destination", with "!" in front of what is gone, and "=address" behind.
--- a/internal/catalog/working.go
+++ b/internal/catalog/working.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // WorkingSet is which destinations a module has been told of: those that were used of late, or that it must not forget.
--- a/internal/catalog/young_test.go
+++ b/internal/catalog/young_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A destination that was added of late does not wake as if it had always been known; of very many that were, none does.
--- a/internal/emulate/call.go
+++ b/internal/emulate/call.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // call is a call that a relay makes. The relay has its end of it, the host its own; each learns of the other a latency later.
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The statuses that a client hears.
--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/axis"
-	"onyxroad.dev/onyxroad/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
 )
 
 // longAgoRan is what a relay tells its module of an attempt whose time it cannot know: past every window in which repeats are dropped.
--- a/internal/emulate/clock_test.go
+++ b/internal/emulate/clock_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // clockDay is a small fleet whose partners fall silent, so that calls are in doubt when its relays are killed, with their wall clocks set by so much
--- a/internal/emulate/cold_test.go
+++ b/internal/emulate/cold_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var coldDays = flag.Uint64("cold", 0, "play so many drawn returns of a cold destination with each size of fleet, 100 and 300 relays too")
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -8,14 +8,14 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/des"
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The model of the link between relays, with package gossip's figures: news goes to a few others at a time, and each sends on what is news
--- a/internal/emulate/fleet_test.go
+++ b/internal/emulate/fleet_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // playFleet plays the scenario of links between relays.
--- a/internal/emulate/list.go
+++ b/internal/emulate/list.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Discovery's list is one for all relays. Each change of an entry has a number, and since a relay hears all changes in their order,
--- a/internal/emulate/many_test.go
+++ b/internal/emulate/many_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // crowd is a fleet at one destination whose refused calls use up its limit, told as it is: takes calls a second.
--- a/internal/emulate/measures.go
+++ b/internal/emulate/measures.go
@@ -6,8 +6,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // Measures are what a run is counted by as it goes, in a room that does not grow with the messages.
--- a/internal/emulate/mutant.go
+++ b/internal/emulate/mutant.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Mutant is a relay with something wrong about it: what its module is told, what it is heard to say, or what its journal keeps.
--- a/internal/emulate/recovery_test.go
+++ b/internal/emulate/recovery_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // world is a world in virtual time, with what was delivered in it.
--- a/internal/emulate/relay.go
+++ b/internal/emulate/relay.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/standing"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The times of a relay's process, as package relay and the rehearsal kit have them.
--- a/internal/emulate/rights_test.go
+++ b/internal/emulate/rights_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // shared is a fleet at one destination whose refused calls use up its limit, that shares what it takes or does not.
--- a/internal/emulate/same_test.go
+++ b/internal/emulate/same_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var recordSame = flag.Bool("record-same", false, "write the hashes of TestSameAsBefore anew")
--- a/internal/emulate/working.go
+++ b/internal/emulate/working.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A list of up to Options.WholeMost entries is told to a module whole. Of a larger one it is told of a destination when there is work
--- a/internal/emulate/working_test.go
+++ b/internal/emulate/working_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Of a pair of relay and destination without traffic nothing is kept. A module that is told all keeps its part.
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -13,13 +13,13 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/des"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Module is what decides: a *policy.Sender, or one with something wrong about it.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 const small = `
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/des"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // Hunt is a search for troubles that a base scenario's relays bear badly.
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"onyxroad.dev/onyxroad/internal/plot"
+	"cherrytrestle.example/cherrytrestle/internal/plot"
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,10 +15,10 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/stricttoml"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // runsMost bounds the runs of an experiment.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,8 +15,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
 )
 
 // Result is what came of a run: one line of a file of results.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/replay"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Bounds of what an explanation keeps.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/flight/flighttest"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // script records a Sender that is told things on given times, and woken as it asks.
--- a/internal/explain/write.go
+++ b/internal/explain/write.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/plot"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/plot"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // WriteText writes the explanation of all destinations, those that held messages longest first.
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -18,11 +18,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"onyxroad.dev/onyxroad/internal/des"
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Message is one that is handed in.
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
 )
 
 // shallow is how much less deep tests look than the program does.
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // FleetWorld is a tiny fleet: members that tell one page each, and a network that delivers in any order, or not, or twice, or late, to
--- a/internal/explore/fleet_test.go
+++ b/internal/explore/fleet_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
 )
 
 // All orders of a few tellings, a loss, a doubling, a restart with and without the folder, a stop and a pause: nobody goes back, nothing is
--- a/internal/explore/path.go
+++ b/internal/explore/path.go
@@ -7,9 +7,9 @@
 	"io"
 	"slices"
 
-	"onyxroad.dev/onyxroad/internal/emulate"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Path is a path through a world, as it is kept in a file.
--- a/internal/explore/worlds.go
+++ b/internal/explore/worlds.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // settings are those of all worlds: short times, so that a short path sees the end of each.
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -13,8 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
 )
 
 // Form is the newest form that this program reads in full.
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
 )
 
 func newCodec(t testing.TB) *Codec {
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,11 +24,11 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/link"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/link"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/fleet/link/golden_test.go
+++ b/internal/fleet/link/golden_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/codec"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -19,10 +19,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"onyxroad.dev/onyxroad/internal/fleet/codec"
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
 )
 
 const (
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -18,9 +18,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"onyxroad.dev/onyxroad/internal/fleet/codec"
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
 )
 
 // network joins links within one process, with nothing between them but what a test puts there.
--- a/internal/fleet/rights/rights.go
+++ b/internal/fleet/rights/rights.go
@@ -19,7 +19,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
 )
 
 const (
--- a/internal/fleet/rights/rights_test.go
+++ b/internal/fleet/rights/rights_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
 )
 
 // tiny is a fleet of books on clocks that run apart, and a network that does what it likes.
--- a/internal/fleet/seam/seam.go
+++ b/internal/fleet/seam/seam.go
@@ -13,10 +13,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/fleet/seam/seam_test.go
+++ b/internal/fleet/seam/seam_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/gossip"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/flight/flighttest"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func newSeam() *Seam {
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -20,9 +20,9 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/flight/flighttest"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/flight/flighttest/flighttest.go
+++ b/internal/flight/flighttest/flighttest.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Settings are those of a small site with all kinds of class and destination.
--- a/internal/flight/form.go
+++ b/internal/flight/form.go
@@ -15,7 +15,7 @@
 	"math"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Format is the newest version of the form that this package reads. It writes the first one, which has no frames of what stands beside
--- a/internal/flight/golden_keys_test.go
+++ b/internal/flight/golden_keys_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 // TestGoldenKeys pins the keys under which recordings begin a chunk: other builds of the program read them.
--- a/internal/flight/golden_test.go
+++ b/internal/flight/golden_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/flight/flighttest"
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/replay"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/flight/reader.go
+++ b/internal/flight/reader.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // EntryKind names what an Entry of a recording is.
--- a/internal/flight/recorder.go
+++ b/internal/flight/recorder.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Bounds of a Recorder, in bytes.
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,9 +15,9 @@
 
 	"go.uber.org/goleak"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/hollow/backlog.go
+++ b/internal/hollow/backlog.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -23,9 +23,9 @@
 	"golang.org/x/sys/unix"
 	"gonum.org/v1/gonum/stat"
 
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/hollow/list.go
+++ b/internal/hollow/list.go
@@ -5,9 +5,9 @@
 	"runtime"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Seam measures what a list of destinations, two endpoints each, costs the seam of a member alone: its memory, the whole list, a change of one entry, and
--- a/internal/hollow/rights.go
+++ b/internal/hollow/rights.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/codec"
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
 )
 
 const (
--- a/internal/journal/axis_test.go
+++ b/internal/journal/axis_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/axis"
-	"onyxroad.dev/onyxroad/internal/bootclock"
-	"onyxroad.dev/onyxroad/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
 )
 
 // machine is clocks that tests set. real is what has truly passed.
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/wal"
 )
 
 // The benchmarks run the log of the form before and the journal side by side, on files: go test -run '^$' -bench . and
--- a/internal/journal/form.go
+++ b/internal/journal/form.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
 )
 
 // The form of what is in the store. A value is a message: a version, then its fields as zigzag varints and strings with
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/axis"
-	"onyxroad.dev/onyxroad/internal/bootclock"
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/standing"
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/axis"
-	"onyxroad.dev/onyxroad/internal/bootclock"
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 // ErrFull tells that there is no room for new work. Ends and outcomes still find room.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -13,9 +13,9 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/axis"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
 )
 
 func opened(t testing.TB, fs store.FS) (*Journal, *Recovery) {
--- a/internal/journal/kill_test.go
+++ b/internal/journal/kill_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 var kills = flag.Int("kills", 40, "how often TestKilledUnderLoad kills the process that writes")
--- a/internal/journal/legacy.go
+++ b/internal/journal/legacy.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/wal"
 )
 
 const (
--- a/internal/journal/legacy_test.go
+++ b/internal/journal/legacy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/wal"
 )
 
 // oldLog writes a log of the older form.
--- a/internal/judge/fleet.go
+++ b/internal/judge/fleet.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // The figures that beliefs are judged by.
--- a/internal/judge/fleet_test.go
+++ b/internal/judge/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // What relays believe is judged by what they can know at best: directly, or over others, and nothing over a cut.
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // The figures of the protocol that no setting changes.
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 const (
--- a/internal/judge/service.go
+++ b/internal/judge/service.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // Service is how good a run was: the worth delivered, in full within the aim and in part after it, over the worth asked
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/figures"
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/figures"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"onyxroad.dev/onyxroad/internal/golden"
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -15,10 +15,10 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/stricttoml"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 )
 
 // File is the operator's file.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 func TestDefaults(t *testing.T) {
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/rehearsal/badrelay_test.go
+++ b/internal/rehearsal/badrelay_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
 )
 
 // bad is a plain relay: it sends each message to the first host of its destination in service, again after a pause if
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
 const (
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // The short rig of CI: three relays, of which one is cut off and comes back, one is stopped, and one loses its folder. What they believe
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/sockfault"
-	"onyxroad.dev/onyxroad/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/standin"
 )
 
 const (
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -14,11 +14,11 @@
 
 	"go.uber.org/goleak"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/replay"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // binary is the real relay, built once.
@@ -34,7 +34,7 @@
 	if err == nil {
 		binary = filepath.Join(dir, "cherrytrestle")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-buildvcs=false", "-o", binary, "onyxroad.dev/onyxroad/cmd/cherrytrestle").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-buildvcs=false", "-o", binary, "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
--- a/internal/rehearsal/relay.go
+++ b/internal/rehearsal/relay.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
-	"onyxroad.dev/onyxroad/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/standin"
 )
 
 // The parts of a restart, as the platform has them.
--- a/internal/rehearsal/steps.go
+++ b/internal/rehearsal/steps.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // do carries a step of the plan out. What takes time goes on beside the plan.
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A host may go by the first message of a call, and answer once that one's time is over: what it then tells of the others is
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // closed reads what is left on a connection, to its end; a reset fails the test.
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/operator"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/internal/wire"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/internal/wire"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // tickMost bounds the tick, so that no setting makes clients wait for their answers.
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/herd"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/herd"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/herd"
+	"cherrytrestle.example/cherrytrestle/internal/herd"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called again
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // joinFleet makes this relay a member of its fleet, where the operator's file says so.
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // idleShare is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const patience = 10 * time.Second // longer than any condition takes
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // How the loop takes discovery's list. All of it stands in the catalog. One of up to catalog.WholeMost hosts is told to the module as it
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/handover"
-	"onyxroad.dev/onyxroad/internal/terms"
+	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
 )
 
 // oldShape is how the shape of a file was taken when it was read as a tree.
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // tellLong has the loop's part take a list as a long one comes, with a step after every few slices.
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/herd"
+	"cherrytrestle.example/cherrytrestle/internal/herd"
 )
 
 // A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its module.
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -10,8 +10,8 @@
 	"io"
 	"strings"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/listing_bench_test.go
+++ b/internal/relay/listing_bench_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
 )
 
 // listText is a whole list of so many destinations, each with two hosts, that begins with some.
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // listAgent is discovery's agent: it writes to its watch what a test says, and gives the whole list as it is asked for.
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Bytes and ends that arrive in the very moment in which the relay uses or closes a connection. The order is made by hand: what
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
 )
 
 // parts is the way of a long list to the loop: one part at a time, while the next one is read.
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/handover"
 )
 
 // recentMost bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A message is handed in once more under its id when it was just forgotten, as after an answer that was lost with its connection: what has
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/operator"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // recording is the relay's flight recorder and where its recordings go. A nil one records nothing.
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/operator"
-	"onyxroad.dev/onyxroad/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
 )
 
 // withRecorder has a test relay record; nothing was told to its module before.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,13 +19,13 @@
 	"sync/atomic"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/figures"
-	"onyxroad.dev/onyxroad/internal/fleet"
-	"onyxroad.dev/onyxroad/internal/handover"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/standing"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/figures"
+	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,12 +20,12 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/bootclock"
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/wire"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/wire"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const settingsJSON = `{"bounds":{"cancel":true,"connect_timeout_ms":1500.0,"keepalive_ms":15000.0,"max_retry_after_ms":3000.0,
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 // countingFS counts what goes through a file system.
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/figures"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/manage"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/figures"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/manage"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // oldTarget and oldHosts are how the relay kept its list and told the module of it before it had a catalog: the model that small sites are held to.
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/standing"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // With no room for bodies in memory they are read from the journal as they are sent; a message whose body the disk no longer gives
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Bad input of every kind, over and over: it is logged, and not each time, and what is good beside it goes on.
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/catalog"
-	"onyxroad.dev/onyxroad/internal/handover"
-	"onyxroad.dev/onyxroad/internal/journal"
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/terms"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/terms"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // leaveFor is how long a process that has handed over serves the connections that its clients have: each answer ends one.
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/handover"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // successorOf is a relay that has taken up what another one hands over; edit may spoil the state.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/fleet/ledger"
-	"onyxroad.dev/onyxroad/internal/fleet/rights"
-	"onyxroad.dev/onyxroad/internal/fleet/seam"
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // ErrNoStart tells that a recording holds no place from which it can be played.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/flight/flighttest"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func written(t testing.TB, rec *flight.Recorder) []byte {
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/plot"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/plot"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 const hostsMost = 60 // that have a plot of their own
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // The files that Write leaves.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 const second = time.Second
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -12,8 +12,8 @@
 	"text/tabwriter"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/judge"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // provedBy is how many events that prove a break are told as text.
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/des"
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 // Place is a destination, or a route that stands apart.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -18,9 +18,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/stricttoml"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 )
 
 const (
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/record"
 )
 
 const (
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // Clients hands messages in to one relay, as its clients would: they wait for so long and no longer, come again after
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 const (
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -20,8 +20,8 @@
 
 	"go.uber.org/goleak"
 
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/partner"
-	"onyxroad.dev/onyxroad/internal/record"
-	"onyxroad.dev/onyxroad/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
 // slotPatience is how long a call beyond a relay's slots waits for one to fall free. A relay that gave a call up a
--- a/internal/standing/golden_test.go
+++ b/internal/standing/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // most bounds the records, and so the room that they take: some 100 bytes each.
--- a/internal/standing/standing_test.go
+++ b/internal/standing/standing_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func settings() policy.Settings {
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/store/faultfs/faultfs.go
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 // ErrStopped answers all calls after the one at which the process stopped.
--- a/internal/store/faultfs/kill.go
+++ b/internal/store/faultfs/kill.go
@@ -5,7 +5,7 @@
 	"os"
 	"sync"
 
-	"onyxroad.dev/onyxroad/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store"
 )
 
 // Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real SIGKILL, after which the
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/internal/store"
-	"onyxroad.dev/onyxroad/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
 )
 
 const limit = store.LeastLimit
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -13,9 +13,9 @@
 	"text/tabwriter"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/internal/replay"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Count is what a fleet did with a destination in a stretch of time.
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/flight"
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // relay records a life of one relay: a bundle of two is refused with a wait and later delivered, late by one message.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Terms are the settings that a relay and its clients go by.
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func some() Terms {
--- a/internal/wal/golden_keys_test.go
+++ b/internal/wal/golden_keys_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"onyxroad.dev/onyxroad/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 // TestGoldenKeys pins the keys under which records are kept: other builds of the program read them.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // pairs are the path=value pairs of a CONFIGURE line.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // ItemKind names what an Item of a batch is.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const configure = "CONFIGURE 3 77 services.count=1 services.0.semantics=read_like services.0.goal_time_ms=2000.0 " +
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"onyxroad.dev/onyxroad/policy"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A relay takes one message for destination 7, whose first route answers that it is full.
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"onyxroad.dev/onyxroad/internal/archive"
+	"cherrytrestle.example/cherrytrestle/internal/archive"
 )
 
 // The state of a Sender as bytes, for recordings that begin in mid-life: one description for both directions.
