--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -55,7 +55,7 @@
 	byList    = "`internal/relay`"
 	byFleet   = "`internal/fleet/link`, `ledger`, `codec`"
 	byRights  = "`internal/fleet/rights`"
-	byHerd    = "`internal/herd`"
+	byHerd    = "`internal/relay/discovery/backoff`"
 )
 
 const (
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/herd"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -89,7 +89,7 @@
 	told    func(List)
 	long    parts // takes lists that are not told as a whole
 	listing func(*member) (policy.Listing, string, error)
-	herd    herd.Caller // one of all relays that follow the list
+	herd    backoff.Caller // one of all relays that follow the list
 	rng     *rand.Rand
 	known   bool // a list is known that serves meanwhile
 
@@ -103,8 +103,8 @@
 // listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where they are
 // pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at once, also after it
 // was silent.
-func listCaller(cfg Config) herd.Caller {
-	c := herd.Caller{Clients: 1, Grace: cfg.Grace}
+func listCaller(cfg Config) backoff.Caller {
+	c := backoff.Caller{Clients: 1, Grace: cfg.Grace}
 	if cfg.Settings.AskList {
 		c.Clients = cfg.Settings.Senders
 	}
--- a/internal/herd/herd.go
+++ b/internal/relay/discovery/backoff/herd.go
@@ -4,7 +4,7 @@
 // A service that answers calls in turn and whose callers give up after a while can jam for good: once its queue is as long as
 // they wait, all that it answers is given up on, and what comes again keeps the queue as it is. Only a time with fewer calls ends that.
 // So the pauses of calls that come again grow with the number of clients, double while calls fail up to a bound, and end in turns.
-package herd
+package backoff
 
 import (
 	"math/rand/v2"
--- a/internal/herd/herd_test.go
+++ b/internal/relay/discovery/backoff/herd_test.go
@@ -1,4 +1,4 @@
-package herd
+package backoff
 
 import (
 	"container/heap"
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/herd"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called again
@@ -52,7 +52,7 @@
 	told := make(chan List, 8)
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4, known: true,
-		told: func(l List) { told <- l }, herd: herd.Caller{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
+		told: func(l List) { told <- l }, herd: backoff.Caller{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	ended := make(chan struct{})
 	go func() { w.run(ctx); close(ended) }()
@@ -96,7 +96,7 @@
 	defer func() { stop(); <-ended }()
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(old)), silence: patience, told: func(l List) { told <- l },
-		herd: herd.Caller{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
+		herd: backoff.Caller{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
 	}
 	go func() { w.run(ctx); close(ended) }()
 	hear := func(version int64) {
--- a/internal/handover/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -1,7 +1,7 @@
 // Package handover carries a relay from one process to another, over a Unix socket: the state of the one that ends, and
 // from then on the outcomes of its calls and what its clients still hand in. See docs/design/upgrade.md. Frames are JSON
 // behind their lengths; both ends are processes of one user on one machine.
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/handover/handover_test.go
+++ b/internal/relay/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 )
 
@@ -117,8 +117,8 @@
 // use, and asks for the whole.
 func TestTakingOverALongList(t *testing.T) {
 	addr, requests := rawHost(t, answers)
-	for name, edit := range map[string]func(*handover.State){
-		"the same form": func(*handover.State) {}, "another form": func(s *handover.State) { s.Snapshot = []byte{9} },
+	for name, edit := range map[string]func(*hotrestart.State){
+		"the same form": func(*hotrestart.State) {}, "another form": func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/herd"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 )
 
 // A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its module.
@@ -73,7 +73,7 @@
 	lists, ended := make(chan List, 64), make(chan struct{})
 	defer func() { stop(); <-ended }()
 	w := watcher{
-		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: herd.Caller{Clients: 1},
+		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Caller{Clients: 1},
 		unread: trouble{what: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
 	}
 	go func() { w.run(ctx); close(ended) }()
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 )
 
 // recentMost bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
@@ -50,15 +50,15 @@
 }
 
 // told is what the next process should know of them, and hear takes it there.
-func (r *recent) told() (ended []handover.Ended) {
+func (r *recent) told() (ended []hotrestart.Ended) {
 	for _, trace := range r.order {
 		e := r.ended[trace]
-		ended = append(ended, handover.Ended{Trace: trace, Status: e.answer.status, Until: e.until})
+		ended = append(ended, hotrestart.Ended{Trace: trace, Status: e.answer.status, Until: e.until})
 	}
 	return ended
 }
 
-func (r *recent) hear(ended []handover.Ended) {
+func (r *recent) hear(ended []hotrestart.Ended) {
 	for _, e := range ended {
 		r.keep(e.Trace, ending{answer{status: e.Status}, e.Until})
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,8 +21,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/figures"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/handover"
 	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/standing"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -167,7 +167,7 @@
 	r.joinFleet()
 	r.kept.Store(r.rec)
 	if cfg.Inherited != "" {
-		r.before, err = handover.Dial(r.handoverPath())
+		r.before, err = hotrestart.Dial(r.handoverPath())
 		if err == nil {
 			return r, nil // the log is the other process's, until it hands over
 		}
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/catalog"
-	"cherrytrestle.example/cherrytrestle/internal/handover"
 	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/store"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -31,14 +31,14 @@
 
 // upgrade is what a relay knows of the process before it and of the one behind it.
 type upgrade struct {
-	before *handover.Conn // to take over from; nil: none
+	before *hotrestart.Conn // to take over from; nil: none
 	offers context.CancelFunc
 	// stopLeading ends what only the process that holds the log does: it follows the list and sends notices.
 	stopLeading context.CancelFunc
 
 	// Owned by the loop.
 	remote    map[attemptKey]*attempt // out at the process before
-	successor *handover.Conn          // that is ready to take over; nil: none
+	successor *hotrestart.Conn        // that is ready to take over; nil: none
 	handed    bool                    // it has: this process decides nothing more
 
 	forward forwards
@@ -54,10 +54,10 @@
 
 // The events of the loop in an upgrade.
 type (
-	remoteOutcome handover.Outcome
+	remoteOutcome hotrestart.Outcome
 	beforeGone    struct{}
-	successorCame struct{ conn *handover.Conn }
-	successorGone struct{ conn *handover.Conn }
+	successorCame struct{ conn *hotrestart.Conn }
+	successorGone struct{ conn *hotrestart.Conn }
 	handOff       struct{ done chan bool }
 )
 
@@ -92,8 +92,8 @@
 // takeOver waits until the process before this one hands over, or ends without.
 func (r *Relay) takeOver(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { r.before.Close() })()
-	err := r.before.Send(handover.Frame{Hello: &handover.Hello{Revision: policy.Revision()}})
-	var f handover.Frame
+	err := r.before.Send(hotrestart.Frame{Hello: &hotrestart.Hello{Revision: policy.Revision()}})
+	var f hotrestart.Frame
 	if err == nil {
 		f, err = r.before.Receive()
 	}
@@ -121,7 +121,7 @@
 }
 
 // takeUp goes on where the process before this one has stopped.
-func (r *Relay) takeUp(s *handover.State) {
+func (r *Relay) takeUp(s *hotrestart.State) {
 	now := s.Now + max(0, time.Since(s.At))
 	r.started = time.Now().Add(-now)
 	sender, err := policy.Restore(s.Terms.Settings, s.Snapshot)
@@ -165,7 +165,7 @@
 // takeUpList takes up the list of the process before this one, and returns what the module there knew of it. Of a long list that is all
 // that goes over: for the rest this process begins from the list that it knows itself, as after a restart, and asks for
 // the whole at once.
-func (r *Relay) takeUpList(s *handover.State) policy.Event {
+func (r *Relay) takeUpList(s *hotrestart.State) policy.Event {
 	known := r.cfg.Known.Entries
 	if s.Large {
 		for i := range known {
@@ -192,7 +192,7 @@
 
 // takeUpAwake has awake what the module knows of. Where the list is long, the process before knew better than this one's list
 // what a destination in use has.
-func (r *Relay) takeUpAwake(s *handover.State) {
+func (r *Relay) takeUpAwake(s *hotrestart.State) {
 	if !s.Large {
 		if r.catalog.Endpoints() > catalog.WholeMost {
 			r.enlarge() // its module was told of all
@@ -226,12 +226,12 @@
 }
 
 // takeMessages takes up the messages of the log, with what the state says of them.
-func (r *Relay) takeMessages(s *handover.State) {
+func (r *Relay) takeMessages(s *hotrestart.State) {
 	found := r.found
 	r.found = nil
 	r.lastID = s.LastID
 	r.recent.hear(s.Ended)
-	told := make(map[uint32]*handover.Message, len(s.Messages))
+	told := make(map[uint32]*hotrestart.Message, len(s.Messages))
 	for i := range s.Messages {
 		told[s.Messages[i].ID] = &s.Messages[i]
 	}
@@ -271,7 +271,7 @@
 }
 
 // takeAttempts takes up what is out at the process before this one.
-func (r *Relay) takeAttempts(s *handover.State) {
+func (r *Relay) takeAttempts(s *hotrestart.State) {
 	r.remote = make(map[attemptKey]*attempt, len(s.Attempts))
 	for _, x := range s.Attempts {
 		m := r.msgs[x.ID]
@@ -321,7 +321,7 @@
 			go func() {
 				select {
 				case a := <-in.reply:
-					r.before.Send(handover.Frame{Answer: &handover.Answer{Seq: f.HandIn.Seq, ID: m.ID, Status: a.status, Again: a.again, Text: a.text}})
+					r.before.Send(hotrestart.Frame{Answer: &hotrestart.Answer{Seq: f.HandIn.Seq, ID: m.ID, Status: a.status, Again: a.again, Text: a.text}})
 				case <-r.over:
 				}
 			}()
@@ -374,7 +374,7 @@
 	if r.cfg.Inherited == "" {
 		return
 	}
-	l, err := handover.Listen(r.handoverPath())
+	l, err := hotrestart.Listen(r.handoverPath())
 	if err != nil {
 		r.log.Warn("no process can take over from this one", "err", err)
 		return
@@ -386,13 +386,13 @@
 			if err != nil {
 				return // closed, or out of descriptors: then an upgrade is a restart
 			}
-			go r.serveSuccessor(handover.NewConn(c))
+			go r.serveSuccessor(hotrestart.NewConn(c))
 		}
 	}()
 }
 
 // serveSuccessor hears a process that wants to take over, to its end.
-func (r *Relay) serveSuccessor(c *handover.Conn) {
+func (r *Relay) serveSuccessor(c *hotrestart.Conn) {
 	defer c.Close()
 	f, err := c.Receive()
 	if err != nil || f.Hello == nil {
@@ -410,15 +410,15 @@
 	r.post(successorGone{c})
 }
 
-func (r *Relay) follow(c *handover.Conn) {
+func (r *Relay) follow(c *hotrestart.Conn) {
 	if r.successor != nil {
 		r.successor.Close() // the later one it is
 	}
 	r.successor = c
-	r.send(handover.Frame{Welcome: true})
+	r.send(hotrestart.Frame{Welcome: true})
 }
 
-func (r *Relay) unfollow(c *handover.Conn) {
+func (r *Relay) unfollow(c *hotrestart.Conn) {
 	if r.successor == c {
 		r.successor = nil
 	}
@@ -443,7 +443,7 @@
 	r.stopLeading()
 	r.hosts.close()
 	r.ending.Store(true)
-	if err := r.successor.Send(handover.Frame{State: state}); err != nil {
+	if err := r.successor.Send(hotrestart.Frame{State: state}); err != nil {
 		r.log.Error("handing over", "err", err)
 	}
 	r.log.Info("handed over", "messages", len(state.Messages), "out", len(state.Attempts))
@@ -452,8 +452,8 @@
 }
 
 // state is all that the other process must know beside the log.
-func (r *Relay) state() *handover.State {
-	s := &handover.State{
+func (r *Relay) state() *hotrestart.State {
+	s := &hotrestart.State{
 		Now: r.now(), At: time.Now(), WakeAt: r.wakeAt, Snapshot: r.sender.Snapshot(nil), Terms: r.terms, Version: r.version,
 		Large: r.large.Load(), LastID: r.lastID, Later: r.later,
 	}
@@ -461,13 +461,13 @@
 		views, _ := r.sender.Views()
 		for _, v := range views {
 			if e, ok := r.catalog.Endpoint(v.Route); ok {
-				s.Routes = append(s.Routes, handover.Route{Listing: e.Listing, Addr: e.Addr})
+				s.Routes = append(s.Routes, hotrestart.Route{Listing: e.Listing, Addr: e.Addr})
 			}
 		}
 	} else {
 		cells := map[int]bool{}
 		for e := range r.catalog.All() {
-			s.Routes = append(s.Routes, handover.Route{Listing: e.Listing, Addr: e.Addr})
+			s.Routes = append(s.Routes, hotrestart.Route{Listing: e.Listing, Addr: e.Addr})
 			cells[e.Destination] = true
 		}
 		for cell := range r.catalog.Remembered() {
@@ -475,9 +475,9 @@
 		}
 		s.Cells = slices.Sorted(maps.Keys(cells))
 	}
-	slices.SortFunc(s.Routes, func(a, b handover.Route) int { return strings.Compare(a.Route, b.Route) })
+	slices.SortFunc(s.Routes, func(a, b hotrestart.Route) int { return strings.Compare(a.Route, b.Route) })
 	for _, m := range r.inOrder() {
-		x := handover.Message{ID: m.ID, Trace: m.Trace, Sends: m.sends, Ended: m.ended, Shared: m.shared}
+		x := hotrestart.Message{ID: m.ID, Trace: m.Trace, Sends: m.sends, Ended: m.ended, Shared: m.shared}
 		if m.next != nil {
 			x.Next = m.next.ID
 		}
@@ -485,7 +485,7 @@
 	}
 	s.Ended = r.recent.told()
 	out := func(a *attempt) {
-		s.Attempts = append(s.Attempts, handover.Attempt{ID: a.m.ID, N: a.n, Route: a.route, Zone: a.zone, Sent: a.sent, Over: a.over})
+		s.Attempts = append(s.Attempts, hotrestart.Attempt{ID: a.m.ID, N: a.n, Route: a.route, Zone: a.zone, Sent: a.sent, Over: a.over})
 	}
 	for c := range r.calling {
 		for _, a := range c.attempts {
@@ -505,7 +505,7 @@
 		case *handIn:
 			r.forward.handIn(r.successor, e)
 		case withdrawal:
-			r.send(handover.Frame{Withdraw: e.id})
+			r.send(hotrestart.Frame{Withdraw: e.id})
 		case *callEnd:
 			r.out--
 			for i, a := range e.c.attempts {
@@ -520,8 +520,8 @@
 				r.passOutcome(e.a, result{outcome: policy.Timeout, took: time.Since(e.a.sent)}, false)
 			}
 		case remoteOutcome:
-			o := handover.Outcome(e)
-			r.send(handover.Frame{Outcome: &o})
+			o := hotrestart.Outcome(e)
+			r.send(hotrestart.Frame{Outcome: &o})
 		case *part:
 			e.done <- true // nobody here goes by it any more
 		case clearance:
@@ -545,12 +545,12 @@
 }
 
 func (r *Relay) passOutcome(a *attempt, res result, last bool) {
-	r.send(handover.Frame{Outcome: &handover.Outcome{
+	r.send(hotrestart.Frame{Outcome: &hotrestart.Outcome{
 		ID: a.m.ID, N: a.n, Outcome: res.outcome, Gone: res.gone, Wait: res.wait, Report: res.report, Took: res.took, Last: last,
 	}})
 }
 
-func (r *Relay) send(f handover.Frame) {
+func (r *Relay) send(f hotrestart.Frame) {
 	if r.successor == nil {
 		return // it has died with all that it took: the log tells the next one
 	}
@@ -587,7 +587,7 @@
 var unserved = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 
 // handIn passes a message on. There are no more of them than connections of clients.
-func (f *forwards) handIn(to *handover.Conn, in *handIn) {
+func (f *forwards) handIn(to *hotrestart.Conn, in *handIn) {
 	if to == nil {
 		in.reply <- unserved
 		return
@@ -600,13 +600,13 @@
 	seq := f.seq
 	f.open[seq] = in
 	f.mu.Unlock()
-	if err := to.Send(handover.Frame{HandIn: &handover.HandIn{Seq: seq, Message: in.m}}); err != nil {
-		f.answer(&handover.Answer{Seq: seq, Status: unserved.status, Again: unserved.again})
+	if err := to.Send(hotrestart.Frame{HandIn: &hotrestart.HandIn{Seq: seq, Message: in.m}}); err != nil {
+		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.status, Again: unserved.again})
 	}
 }
 
 // answer gives a client its answer.
-func (f *forwards) answer(a *handover.Answer) {
+func (f *forwards) answer(a *hotrestart.Answer) {
 	f.mu.Lock()
 	in := f.open[a.Seq]
 	delete(f.open, a.Seq)
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/handover"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // successorOf is a relay that has taken up what another one hands over; edit may spoil the state.
-func successorOf(t *testing.T, old *Relay, edit func(*handover.State)) *Relay {
+func successorOf(t *testing.T, old *Relay, edit func(*hotrestart.State)) *Relay {
 	t.Helper()
 	s := old.state()
 	edit(s)
@@ -39,9 +39,9 @@
 // Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome, and
 // that binds: a delivery ends the message, a told wait holds the next one, what was not told may have run.
 func TestTakingOverWithCallsOut(t *testing.T) {
-	forms := map[string]func(*handover.State){
-		"the same form": func(*handover.State) {},
-		"another form":  func(s *handover.State) { s.Snapshot = []byte{9} },
+	forms := map[string]func(*hotrestart.State){
+		"the same form": func(*hotrestart.State) {},
+		"another form":  func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	}
 	for name, edit := range forms {
 		t.Run(name, func(t *testing.T) {
@@ -87,20 +87,20 @@
 // would end without handing over, and its clients' connections with it.
 func TestReadyToTakeOverOnlyWhenWelcome(t *testing.T) {
 	dir := t.TempDir()
-	l, err := handover.Listen(filepath.Join(dir, "s"))
+	l, err := hotrestart.Listen(filepath.Join(dir, "s"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	r := &Relay{log: quiet()}
-	if r.before, err = handover.Dial(filepath.Join(dir, "s")); err != nil {
+	if r.before, err = hotrestart.Dial(filepath.Join(dir, "s")); err != nil {
 		t.Fatal(err)
 	}
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := handover.NewConn(nc)
+	first := hotrestart.NewConn(nc)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- r.takeOver(ctx) }()
@@ -110,7 +110,7 @@
 	if r.waiting.Load() {
 		t.Error("ready before it is welcome")
 	}
-	if err := first.Send(handover.Frame{Welcome: true}); err != nil {
+	if err := first.Send(hotrestart.Frame{Welcome: true}); err != nil {
 		t.Fatal(err)
 	}
 	for !r.waiting.Load() { // the test's own time limit ends what never comes
@@ -127,7 +127,7 @@
 	old := newTestRelay(t)
 	in := newHandIn("m1", 7, 9*time.Second)
 	decide(old, in)
-	r := successorOf(t, old, func(s *handover.State) { s.Messages, s.Attempts = nil, nil })
+	r := successorOf(t, old, func(s *hotrestart.State) { s.Messages, s.Attempts = nil, nil })
 	if len(r.msgs) != 0 || r.held != 0 || r.journal.Owes(in.m) {
 		t.Errorf("held %d, %v", r.held, r.msgs)
 	}
@@ -144,7 +144,7 @@
 	}
 	open := newHandIn("m2", 7, time.Second)
 	f.open = map[uint64]*handIn{3: open}
-	f.answer(&handover.Answer{Seq: 4, Status: 202}) // of nobody
+	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
 	f.end()
 	if a := <-open.reply; a.status != http.StatusInternalServerError || !f.none() {
 		t.Errorf("%+v", a)
