--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -16,10 +16,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
 	"cherrytrestle.example/cherrytrestle/internal/operator"
 	"cherrytrestle.example/cherrytrestle/internal/standin"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 )
 
 // descriptors is how many a process holds; resident its memory, in bytes.
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 )
 
 type journalCommand struct {
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
 // killVariable names the step at which a relay of the tests kills itself.
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -25,7 +25,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/operator"
 	"cherrytrestle.example/cherrytrestle/internal/relay"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // heapShare is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
--- a/cmd/cherrytrestle/standing_test.go
+++ b/cmd/cherrytrestle/standing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
 )
 
 // A wait that the killed process was told binds the next one.
@@ -45,9 +45,9 @@
 	state := filepath.Join(r.dir, "state")
 	must(t, os.RemoveAll(state))
 	must(t, os.Mkdir(state, 0o700))
-	log, _, err := wal.Open(state, 3e6)
+	log, _, err := legacylog.Open(state, 3e6)
 	must(t, err)
-	must(t, log.Accept(&wal.Message{ID: 7, Trace: "old", Key: "k", Dest: 7, Deadline: time.Now().Add(10 * time.Second), Body: []byte("body")}))
+	must(t, log.Accept(&legacylog.Message{ID: 7, Trace: "old", Key: "k", Dest: 7, Deadline: time.Now().Add(10 * time.Second), Body: []byte("body")}))
 	must(t, log.Close())
 	r.start(p)
 	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -50,8 +50,8 @@
 // The packages that carry what is figured.
 const (
 	byModule  = "`policy`"
-	byLoop    = "`internal/relay`, `policy`, `internal/journal`"
-	byJournal = "`internal/journal`, `internal/store`"
+	byLoop    = "`internal/relay`, `policy`, `internal/state/journal`"
+	byJournal = "`internal/state/journal`, `internal/state/store`"
 	byList    = "`internal/relay`"
 	byFleet   = "`internal/fleet/link`, `ledger`, `codec`"
 	byRights  = "`internal/fleet/rights`"
--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
 // longAgoRan is what a relay tells its module of an attempt whose time it cannot know: past every window in which repeats are dropped.
@@ -18,8 +18,8 @@
 	boots   int
 	booted  time.Duration
 	began   time.Duration // the process
-	anchor  *axis.Anchor  // in the journal
-	axis    axis.Axis     // of the process
+	anchor  *clock.Anchor // in the journal
+	axis    clock.Axis    // of the process
 }
 
 // read reads them at a time of the world.
@@ -33,13 +33,13 @@
 
 // start goes on with the axis in a new process.
 func (c *clocks) start(now time.Duration, trustsWall bool) {
-	x, a := axis.GoOn(c.anchor, c.read(now, trustsWall))
+	x, a := clock.GoOn(c.anchor, c.read(now, trustsWall))
 	c.axis, c.anchor, c.began = x, &a, now
 }
 
 // end is what a process that ends in order leaves: by how much the clocks have parted.
 func (c *clocks) end(now time.Duration, trustsWall bool) {
-	if _, a := axis.GoOn(c.anchor, c.read(now, trustsWall)); a.Step != c.anchor.Step {
+	if _, a := clock.GoOn(c.anchor, c.read(now, trustsWall)); a.Step != c.anchor.Step {
 		c.anchor = &a
 	}
 }
--- a/internal/emulate/relay.go
+++ b/internal/emulate/relay.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/record"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -58,8 +58,8 @@
 	held      int
 	calling   map[*call]struct{}
 	pools     map[*host]*pool
-	poolsMost int               // pools that may be kept before those without connections are forgotten
-	stood     []standing.Record // as the journal has it
+	poolsMost int                     // pools that may be kept before those without connections are forgotten
+	stood     []endpointhealth.Record // as the journal has it
 	standsAt  time.Duration
 	journal   journal
 	clocks    clocks
@@ -213,7 +213,7 @@
 	} else {
 		evs = append(evs, policy.Event{Kind: policy.ListWhole, List: r.w.whole(r.heard)})
 	}
-	evs = append(evs, standing.Events(r.stood, r.wall(), r.set.WarmWithin)...)
+	evs = append(evs, endpointhealth.Events(r.stood, r.wall(), r.set.WarmWithin)...)
 	r.wrong.restored(r)
 	r.held = 0
 	for _, id := range slices.Sorted(maps.Keys(r.msgs)) {
@@ -523,7 +523,7 @@
 		return
 	}
 	views, _ := s.Views()
-	if recs := standing.Of(views, r.now(), r.wall()); standing.Changed(r.stood, recs) {
+	if recs := endpointhealth.Of(views, r.now(), r.wall()); endpointhealth.Changed(r.stood, recs) {
 		r.stood = recs
 	}
 }
--- a/internal/emulate/working.go
+++ b/internal/emulate/working.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/des"
 	"cherrytrestle.example/cherrytrestle/internal/judge"
 	"cherrytrestle.example/cherrytrestle/internal/partner"
 	"cherrytrestle.example/cherrytrestle/internal/record"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"cherrytrestle.example/cherrytrestle/internal/golden"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 )
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 func TestDefaults(t *testing.T) {
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/operator"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/internal/wire"
 	"cherrytrestle.example/cherrytrestle/policy"
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/hotrestart/golden_test.go
+++ b/internal/relay/hotrestart/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/golden"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/relay/hotrestart/handover_test.go
+++ b/internal/relay/hotrestart/handover_test.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/goleak"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -10,7 +10,7 @@
 	"io"
 	"strings"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/listing_bench_test.go
+++ b/internal/relay/listing_bench_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
 // listText is a whole list of so many destinations, each with two hosts, that begins with some.
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
 // parts is the way of a long list to the loop: one part at a time, while the next one is read.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,9 +21,9 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/figures"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
-	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -297,7 +297,7 @@
 		known.Full = true
 		evs = append(evs, r.list(known)...)
 	}
-	evs = append(evs, standing.Events(standing.Decode(found.Standing), r.journal.Stamp(time.Now()), r.terms.Settings.WarmWithin)...)
+	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.Standing), r.journal.Stamp(time.Now()), r.terms.Settings.WarmWithin)...)
 	for _, w := range found.Messages {
 		if w.Service != "" {
 			w.Class = slices.Index(r.terms.Classes, w.Service) // the module takes one that is not named for the strictest
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,10 +20,10 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/wire"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // countingFS counts what goes through a file system.
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/figures"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
 	"cherrytrestle.example/cherrytrestle/internal/manage"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/journal"
-	"cherrytrestle.example/cherrytrestle/internal/standing"
+	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -15,7 +15,7 @@
 
 // standingState is what the journal holds of the hosts' standing.
 type standingState struct {
-	kept []standing.Record
+	kept []endpointhealth.Record
 	next time.Time // looked at again then
 	due  bool      // a step then is asked for
 }
@@ -33,9 +33,9 @@
 	}
 	r.standing.due = false
 	views, _ := r.sender.Views()
-	recs := standing.Of(views, r.now(), r.journal.Stamp(now))
-	if standing.Changed(r.standing.kept, recs) {
-		if err := r.journal.Standing(standing.Encode(recs)); err != nil {
+	recs := endpointhealth.Of(views, r.now(), r.journal.Stamp(now))
+	if endpointhealth.Changed(r.standing.kept, recs) {
+		if err := r.journal.Standing(endpointhealth.Encode(recs)); err != nil {
 			r.log.Debug("standing of hosts not kept", "err", err) // a restart knows less; the messages have the room
 		} else {
 			r.standing.kept = recs
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/catalog"
-	"cherrytrestle.example/cherrytrestle/internal/journal"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/axis/axis.go
+++ b/internal/state/clock/axis.go
@@ -1,12 +1,12 @@
 // Package axis is the time of a journal that outlasts processes: an axis that goes on evenly, whatever is done to the wall clock. By the monotonic
 // clock while a process runs, by the boot's clock between two processes of a boot, by the wall clock from one boot to the next. It began as
 // the wall time. It is pure: what the clocks say is the caller's.
-package axis
+package clock
 
 import (
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
 // Anchor is what the next process needs to go on with the axis.
--- a/internal/axis/axis_test.go
+++ b/internal/state/clock/axis_test.go
@@ -1,10 +1,10 @@
-package axis
+package clock
 
 import (
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
 // What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot, and where the
--- a/internal/standing/golden_test.go
+++ b/internal/state/endpointhealth/golden_test.go
@@ -1,4 +1,4 @@
-package standing
+package endpointhealth
 
 import (
 	"flag"
--- a/internal/standing/standing.go
+++ b/internal/state/endpointhealth/standing.go
@@ -1,7 +1,7 @@
 // Package standing decides what a restarted relay must know of the hosts that its former process saw fail, refuse or ask for a
 // pause, and how its decision module is told. It is pure: no clock, no I/O. The module is told through its own events alone, as if it
 // had seen the same itself: a told wait, a refusal, failures in a row.
-package standing
+package endpointhealth
 
 import (
 	"encoding/json"
--- a/internal/standing/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -1,4 +1,4 @@
-package standing
+package endpointhealth
 
 import (
 	"math/rand/v2"
--- a/internal/journal/axis_test.go
+++ b/internal/state/journal/axis_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
-	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
 // machine is clocks that tests set. real is what has truly passed.
@@ -50,7 +50,7 @@
 					t.Fatalf("sent on boot %q, now %q: undated %v", all[i].boot, m.boot, x.MayRun[0].Undated)
 				}
 				ago := base.Sub(x.MayRun[0].At)
-				if off := ago - (m.real - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*axis.StepLeast {
+				if off := ago - (m.real - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.StepLeast {
 					t.Fatalf("sent %v ago, taken for %v", m.real-all[i].at, ago)
 				}
 				if left := x.Deadline.Sub(base); left != 9*time.Second-ago {
@@ -96,8 +96,8 @@
 
 // An anchor that cannot be read is as none: times go by the wall clock.
 func TestAnchorsThatCannotBeRead(t *testing.T) {
-	whole := encodeAnchor(&axis.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}, nil)
-	if a := decodeAnchor(whole); a == nil || *a != (axis.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}) {
+	whole := encodeAnchor(&clock.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}, nil)
+	if a := decodeAnchor(whole); a == nil || *a != (clock.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}) {
 		t.Errorf("%+v", a)
 	}
 	for cut := 1; cut < len(whole); cut++ {
--- a/internal/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // The benchmarks run the log of the form before and the journal side by side, on files: go test -run '^$' -bench . and
@@ -39,12 +39,12 @@
 }
 
 type oldSubject struct {
-	l  *wal.Log
-	ms map[uint32]*wal.Message
+	l  *legacylog.Log
+	ms map[uint32]*legacylog.Message
 }
 
 func (s *oldSubject) accept(id uint32) error {
-	m := &wal.Message{ID: id, Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
+	m := &legacylog.Message{ID: id, Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
 	s.ms[id] = m
 	return s.l.Accept(m)
 }
@@ -79,9 +79,9 @@
 func openSubject(b testing.TB, kind, dir string, limit int64) subject {
 	b.Helper()
 	if kind == "log" {
-		l, found, err := wal.Open(dir, limit)
+		l, found, err := legacylog.Open(dir, limit)
 		must(b, err)
-		s := &oldSubject{l, map[uint32]*wal.Message{}}
+		s := &oldSubject{l, map[uint32]*legacylog.Message{}}
 		for _, m := range found.Messages {
 			s.ms[m.ID] = m
 		}
--- a/internal/journal/form.go
+++ b/internal/state/journal/form.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
 // The form of what is in the store. A value is a message: a version, then its fields as zigzag varints and strings with
@@ -31,7 +31,7 @@
 }
 
 // appendAttempt writes an attempt.
-func appendAttempt(b []byte, a *Attempt, x axis.Axis) []byte {
+func appendAttempt(b []byte, a *Attempt, x clock.Axis) []byte {
 	b = appendInt(b, int64(a.N))
 	b = appendText(b, a.Host)
 	b = appendInt(b, int64(a.Zone))
@@ -51,7 +51,7 @@
 }
 
 // encode appends all of a message but its body.
-func (m *Message) encode(b []byte, x axis.Axis) []byte {
+func (m *Message) encode(b []byte, x clock.Axis) []byte {
 	b = append(b, version)
 	for _, x := range []int64{int64(m.ID), int64(m.Class), int64(m.Customer), int64(m.Dest)} {
 		b = appendInt(b, x)
@@ -69,7 +69,7 @@
 // reader reads fields; the first that is not there makes all behind it zero and bad true.
 type reader struct {
 	data []byte
-	axis axis.Axis
+	axis clock.Axis
 	bad  bool
 }
 
@@ -104,7 +104,7 @@
 }
 
 // decode reads a message; false if the value is none of this form.
-func decode(value []byte, x axis.Axis) (*Message, bool) {
+func decode(value []byte, x clock.Axis) (*Message, bool) {
 	if len(value) == 0 || value[0] != version {
 		return nil, false
 	}
@@ -129,7 +129,7 @@
 }
 
 // apply applies a delta; false if it is none of this form.
-func (m *Message) apply(delta []byte, x axis.Axis) bool {
+func (m *Message) apply(delta []byte, x clock.Axis) bool {
 	if len(delta) == 0 {
 		return false
 	}
@@ -158,15 +158,15 @@
 }
 
 // encodeAnchor writes an anchor.
-func encodeAnchor(a *axis.Anchor, b []byte) []byte {
+func encodeAnchor(a *clock.Anchor, b []byte) []byte {
 	b = appendInt(appendText(append(b, anchorVersion), a.Boot), int64(a.Up))
 	return appendInt(appendInt(appendInt(b, a.At), int64(a.Step)), a.Epoch)
 }
 
 // decodeAnchor reads an anchor; nil if the value is none of this form.
-func decodeAnchor(value []byte) *axis.Anchor {
+func decodeAnchor(value []byte) *clock.Anchor {
 	r := &reader{data: value[1:]}
-	a := &axis.Anchor{Boot: r.text(), Up: time.Duration(r.int()), At: r.int(), Step: time.Duration(r.int()), Epoch: r.int()}
+	a := &clock.Anchor{Boot: r.text(), Up: time.Duration(r.int()), At: r.int(), Step: time.Duration(r.int()), Epoch: r.int()}
 	if r.bad || len(r.data) > 0 {
 		return nil
 	}
--- a/internal/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
-	"cherrytrestle.example/cherrytrestle/internal/standing"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -29,13 +29,13 @@
 
 func goldenOptions() Options { return Options{Limit: store.LeastLimit, Clock: goldenClock} }
 
-func goldenAnchor() axis.Anchor {
-	return axis.Anchor{Boot: "golden-boot", Up: time.Minute, At: goldenStart.UnixNano(), Epoch: 1}
+func goldenAnchor() clock.Anchor {
+	return clock.Anchor{Boot: "golden-boot", Up: time.Minute, At: goldenStart.UnixNano(), Epoch: 1}
 }
 
 // goldenStanding is what the golden journal keeps of the hosts' standing.
 func goldenStanding() []byte {
-	return standing.Encode([]standing.Record{
+	return endpointhealth.Encode([]endpointhealth.Record{
 		{Route: "s-1", At: goldenStart, Wait: goldenStart.Add(time.Second), Down: true, Cold: true, Paced: true},
 		{Route: "s-2", At: goldenStart, Alive: true},
 	})
--- a/internal/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
-	"cherrytrestle.example/cherrytrestle/internal/bootclock"
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // ErrFull tells that there is no room for new work. Ends and outcomes still find room.
@@ -116,9 +116,9 @@
 	// The keys of what Standing kept, and of anchors: all but the last of each are of no use.
 	standings, anchors []uint64
 
-	axis    axis.Axis
-	anchor  axis.Anchor // in the store, if that had room
-	stalled error       // compaction could not go on; told once
+	axis    clock.Axis
+	anchor  clock.Anchor // in the store, if that had room
+	stalled error        // compaction could not go on; told once
 }
 
 // note is an outcome or an end that is not written yet.
@@ -176,7 +176,7 @@
 
 // open reads what is no message, and goes on with the axis; the other keys are returned.
 func (j *Journal) open(found *store.Recovery, rec *Recovery) (keys []uint64, err error) {
-	var last *axis.Anchor
+	var last *clock.Anchor
 	for _, key := range found.Keys {
 		value, err := j.store.Get(key, j.scratch[:0])
 		if err != nil {
@@ -195,7 +195,7 @@
 	if j.opt.Clock == nil {
 		j.opt.Clock = bootclock.Now
 	}
-	j.axis, j.anchor = axis.GoOn(last, j.opt.Clock())
+	j.axis, j.anchor = clock.GoOn(last, j.opt.Clock())
 	if last != nil {
 		rec.Stepped = j.anchor.Step - last.Step
 	}
@@ -271,7 +271,7 @@
 // Close writes what is noted and how far the wall clock has been set by now, and closes the store.
 func (j *Journal) Close() error {
 	err := j.Flush()
-	if _, now := axis.GoOn(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly && now.Step != j.anchor.Step {
+	if _, now := clock.GoOn(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly && now.Step != j.anchor.Step {
 		j.anchor = now
 		err = j.keepAnchor()
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -13,9 +13,9 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/axis"
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
 func opened(t testing.TB, fs store.FS) (*Journal, *Recovery) {
@@ -257,7 +257,7 @@
 }
 
 // unset is the axis of a machine whose clock was never set.
-var unset = axis.Axis{Base: time.Unix(0, 0), Epoch: 1}
+var unset = clock.Axis{Base: time.Unix(0, 0), Epoch: 1}
 
 func TestDecodeRefusesWhatItNeverWrote(t *testing.T) {
 	value := append(message(3).encode(nil, unset), "body"...)
--- a/internal/journal/kill_test.go
+++ b/internal/state/journal/kill_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 var kills = flag.Int("kills", 40, "how often TestKilledUnderLoad kills the process that writes")
--- a/internal/journal/legacy.go
+++ b/internal/state/journal/legacy.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 const (
@@ -48,7 +48,7 @@
 	} else if err != nil {
 		return fmt.Errorf("journal: carry over: %w", err)
 	}
-	log, found, err := wal.Open(state, 1<<40)
+	log, found, err := legacylog.Open(state, 1<<40)
 	if err != nil {
 		return fmt.Errorf("journal: carry over: %w", err)
 	}
--- a/internal/journal/legacy_test.go
+++ b/internal/state/journal/legacy_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/wal"
+	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // oldLog writes a log of the older form.
-func oldLog(t *testing.T, dir string, n int) []*wal.Message {
+func oldLog(t *testing.T, dir string, n int) []*legacylog.Message {
 	t.Helper()
-	l, _, err := wal.Open(dir, 3e6)
+	l, _, err := legacylog.Open(dir, 3e6)
 	must(t, err)
-	var ms []*wal.Message
+	var ms []*legacylog.Message
 	for id := range uint32(n) {
-		m := &wal.Message{ID: id + 1, Trace: fmt.Sprint("t", id), Key: "k", Class: 1, Dest: 7, Deadline: time.Unix(1e9, 0), Body: []byte("body")}
+		m := &legacylog.Message{ID: id + 1, Trace: fmt.Sprint("t", id), Key: "k", Class: 1, Dest: 7, Deadline: time.Unix(1e9, 0), Body: []byte("body")}
 		must(t, l.Accept(m))
-		must(t, l.Sent(wal.Send{Message: m, Attempt: wal.Attempt{Host: "h", Zone: 1, At: time.Unix(2, 0)}}))
+		must(t, l.Sent(legacylog.Send{Message: m, Attempt: legacylog.Attempt{Host: "h", Zone: 1, At: time.Unix(2, 0)}}))
 		ms = append(ms, m)
 	}
 	l.NeverRan(ms[0], 0)
-	l.Decide(ms[1], wal.Final{Deferred: true, Again: time.Second})
+	l.Decide(ms[1], legacylog.Final{Deferred: true, Again: time.Second})
 	l.Withdraw(ms[2])
 	l.End(ms[3])
 	must(t, l.Close())
--- a/internal/wal/golden_test.go
+++ b/internal/state/legacylog/golden_test.go
@@ -1,4 +1,4 @@
-package wal
+package legacylog
 
 import (
 	"flag"
--- a/internal/wal/wal.go
+++ b/internal/state/legacylog/wal.go
@@ -2,7 +2,7 @@
 // one file of the folder that outlasts the process. What was written survives SIGKILL without a sync; only
 // the machine's loss loses it, and then others take the work over. Times in it are wall time, since no
 // process's own clock means anything to the next.
-package wal
+package legacylog
 
 import (
 	"encoding/binary"
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // ErrStopped answers all calls after the one at which the process stopped.
--- a/internal/store/faultfs/kill.go
+++ b/internal/state/store/faultfs/kill.go
@@ -5,7 +5,7 @@
 	"os"
 	"sync"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
 // Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real SIGKILL, after which the
--- a/internal/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/store"
-	"cherrytrestle.example/cherrytrestle/internal/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
 const limit = store.LeastLimit
