--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
-	"cherrytrestle.example/cherrytrestle/internal/operator"
 	"cherrytrestle.example/cherrytrestle/internal/standin"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
@@ -388,7 +388,7 @@
 		for i := range n {
 			fmt.Fprintf(&text, "n%d = \"127.0.0.1:%d\"\n", i, 10_000+i)
 		}
-		if _, err := operator.Parse("operator.toml", []byte(text.String())); err != nil {
+		if _, err := operatorfile.Parse("operator.toml", []byte(text.String())); err != nil {
 			stop(join, n)
 			continue
 		}
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -23,7 +23,7 @@
 	"github.com/alecthomas/kong"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/relay"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
@@ -62,7 +62,7 @@
 	reload, keep := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(keep, syscall.SIGUSR1)
-	file, err := operator.Load(c.Operator)
+	file, err := operatorfile.Load(c.Operator)
 	if err != nil {
 		return err
 	}
--- a/internal/manage/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"flag"
@@ -9,17 +9,17 @@
 	"strings"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/figures"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/metrics"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // Every answer of the second address: status, type and body, with every figure that there is.
 func TestGoldenAnswers(t *testing.T) {
-	var counted figures.Figures
-	for i, end := range []figures.End{figures.Completed, figures.Rejected, figures.Failed} {
+	var counted metrics.Figures
+	for i, end := range []metrics.End{metrics.Completed, metrics.Rejected, metrics.Failed} {
 		for range i + 1 {
 			counted.Ended("order", end)
 		}
--- a/internal/manage/manage.go
+++ b/internal/admin/manage.go
@@ -1,7 +1,7 @@
 // Package manage serves the second address of a relay, where the platform and on-call staff ask whether it is ready and
 // how it fares. One call travels on a connection. Whoever connects and says nothing, or half of a call, is closed within a
 // second and holds nobody up: an answer needs no other connection and nothing of the relay but what it has at hand.
-package manage
+package admin
 
 import (
 	"context"
--- a/internal/manage/manage_test.go
+++ b/internal/admin/manage_test.go
@@ -1,4 +1,4 @@
-package manage
+package admin
 
 import (
 	"bufio"
--- a/internal/operator/operator.go
+++ b/internal/config/operatorfile/operator.go
@@ -1,6 +1,6 @@
 // Package operator reads the operator's file: what this installation turns on beyond what the platform tells a relay.
 // All of it is off where the file does not set it, and the file may be missing altogether.
-package operator
+package operatorfile
 
 import (
 	"errors"
@@ -15,10 +15,10 @@
 	"strings"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
-	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 )
 
 // File is the operator's file.
--- a/internal/operator/operator_test.go
+++ b/internal/config/operatorfile/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"errors"
--- a/internal/terms/terms.go
+++ b/internal/config/reload/terms.go
@@ -1,6 +1,6 @@
 // Package terms decides what becomes of new settings while a relay runs: whether they are taken, and what holds while
 // clients may still go by the old ones. It is pure: no clock, no I/O.
-package terms
+package reload
 
 import (
 	"errors"
--- a/internal/terms/terms_test.go
+++ b/internal/config/reload/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package reload
 
 import (
 	"strings"
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
 // Package figures counts what a relay does, and writes it in the form of statsd: one name:value|type a line. Every process
 // counts from 0. All of it may be used from many goroutines at once; a count costs an atomic addition.
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"strings"
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/operator"
+	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/internal/wire"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -29,18 +29,18 @@
 
 // Config is all that a relay is told at its start.
 type Config struct {
-	Name        string
-	Listen      string // where clients connect
-	Inherited   string // the descriptor of a socket that listens there already, which the platform holds; "": none
-	Second      string // the second address, for on-call staff and the platform; "": none
-	Discovery   string // address of discovery's agent
-	StateDir    string // the folder that outlasts the process
-	Seed        uint64
-	Limits      Limits
-	Known       List             // hosts as this relay last had them; may be old or empty
-	Long        *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
-	Unread      error            // why Known could not be read; it is empty then, and discovery is asked
-	terms.Terms                  // what stands in the settings and may change while the relay runs; Customers empty: the site has none
+	Name         string
+	Listen       string // where clients connect
+	Inherited    string // the descriptor of a socket that listens there already, which the platform holds; "": none
+	Second       string // the second address, for on-call staff and the platform; "": none
+	Discovery    string // address of discovery's agent
+	StateDir     string // the folder that outlasts the process
+	Seed         uint64
+	Limits       Limits
+	Known        List             // hosts as this relay last had them; may be old or empty
+	Long         *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
+	Unread       error            // why Known could not be read; it is empty then, and discovery is asked
+	reload.Terms                  // what stands in the settings and may change while the relay runs; Customers empty: the site has none
 
 	Zones []string
 	Kinds []string
@@ -52,7 +52,7 @@
 	MayDuplicate   bool          // two attempts of a message may be out at once
 	Reports        []string      // fields of the hosts' load reports; empty: none are sent
 
-	Operator        operator.File
+	Operator        operatorfile.File
 	Version         string // of the program
 	unreadable      int    // entries of Long
 	firstUnreadable entry  // the first of them
@@ -283,7 +283,7 @@
 	}
 	c := Config{
 		Name: file.Name, Listen: file.Listen, Second: file.Second, Discovery: file.Discovery, Limits: file.Limits,
-		Terms: terms.Terms{Settings: set, Shape: shape(data)},
+		Terms: reload.Terms{Settings: set, Shape: shape(data)},
 		Zones: own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
 		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
 		Grace: millis(own.Rules.StopSendingMS), Tick: min(millis(own.TickMS), tickMost),
@@ -303,14 +303,14 @@
 }
 
 // shape is that of a whole file, in which true stands for the list of hosts.
-func shape(data []byte) terms.Shape {
+func shape(data []byte) reload.Shape {
 	var file map[string]any
 	if json.Unmarshal(data, &file) != nil {
 		return nil // parseRest has read it
 	}
 	values := map[string]string{}
 	flatten(values, "", file)
-	return terms.ShapeOf(values)
+	return reload.ShapeOf(values)
 }
 
 // longest is the most time that a message of a class may have.
--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -50,7 +50,7 @@
 	At       time.Time      `json:"At"`       // wall time then
 	WakeAt   time.Time      `json:"WakeAt"`   // zero: none asked for
 	Snapshot []byte         `json:"Snapshot"` // policy.Sender.Snapshot
-	Terms    terms.Terms    `json:"Terms"`    // that hold
+	Terms    reload.Terms   `json:"Terms"`    // that hold
 	Version  int64          `json:"Version"`  // of the list
 	Large    bool           `json:"Large"`    // the list is too long to be told as a whole: what follows of it is what the module knows
 	Routes   []Route        `json:"Routes"`
--- a/internal/relay/hotrestart/handover_test.go
+++ b/internal/relay/hotrestart/handover_test.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/goleak"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -29,7 +29,7 @@
 		{Welcome: true},
 		{State: &State{
 			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255}, Version: 41, Cells: []int{7}, LastID: 9,
-			Terms:    terms.Terms{Classes: []string{"order"}, Settings: policy.Settings{Classes: []policy.Class{{Effect: policy.Keyed}}}, Shape: terms.Shape{"a": 1}},
+			Terms:    reload.Terms{Classes: []string{"order"}, Settings: policy.Settings{Classes: []policy.Class{{Effect: policy.Keyed}}}, Shape: reload.Shape{"a": 1}},
 			Routes:   []Route{{Listing: policy.Listing{Route: "s-1", InService: true, Weight: 1.5}, Addr: "127.0.0.1:1"}},
 			Messages: []Message{{ID: 3, Trace: "t", Sends: 2, Next: 5}},
 			Attempts: []Attempt{{ID: 3, N: 1, Route: "s-1", Sent: at, Over: true}},
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 )
 
 // oldShape is how the shape of a file was taken when it was read as a tree.
-func oldShape(t *testing.T, data []byte) terms.Shape {
+func oldShape(t *testing.T, data []byte) reload.Shape {
 	t.Helper()
 	var file map[string]any
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -28,7 +28,7 @@
 	}
 	values := map[string]string{}
 	flatten(values, "", file)
-	return terms.ShapeOf(values)
+	return reload.ShapeOf(values)
 }
 
 // A configuration is the same wherever its list of hosts stands and however its keys are ordered, and its shape is what it was.
@@ -66,7 +66,7 @@
 				if (cfg.Unread != nil) != (c.hosts < 0) || keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) || !keep && hosts != 0 {
 					t.Errorf("%s, kept %v: %d hosts of version %d, %v", c.name, keep, hosts, cfg.Known.Version, cfg.Unread)
 				}
-				if want := oldShape(t, text); !terms.Equal(terms.Terms{Shape: cfg.Shape}, terms.Terms{Shape: want}) || cfg.Name != "n3" || cfg.Limits.Cores != 2 {
+				if want := oldShape(t, text); !reload.Equal(reload.Terms{Shape: cfg.Shape}, reload.Terms{Shape: want}) || cfg.Name != "n3" || cfg.Limits.Cores != 2 {
 					t.Errorf("%s: shape %v, want %v", c.name, cfg.Shape, want)
 				}
 			}
@@ -101,7 +101,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
-	if err != nil || again.Long != nil || len(again.Known.Entries) > 0 || !terms.Equal(cfg.Terms, again.Terms) {
+	if err != nil || again.Long != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Terms, again.Terms) {
 		t.Fatalf("%v, %d hosts", err, len(again.Known.Entries))
 	}
 	if err := r.Reload(again, nil); err != nil || r.catalog.Endpoints() != 40_000 {
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -6,15 +6,15 @@
 	"log/slog"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/operator"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // recording is the relay's flight recorder and where its recordings go. A nil one records nothing.
 type recording struct {
 	*flight.Recorder
-	set    operator.Recorder
+	set    operatorfile.Recorder
 	folder flight.Folder
 	out    io.Writer // the log, where there is no folder
 	log    *slog.Logger
@@ -43,7 +43,7 @@
 
 // run writes the recording out as it goes on, where that is asked for, until ctx ends.
 func (r *recording) run(ctx context.Context) {
-	if r.Recorder == nil || r.set.Write != operator.WriteAll {
+	if r.Recorder == nil || r.set.Write != operatorfile.WriteAll {
 		return
 	}
 	var err error
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -7,13 +7,13 @@
 	"path/filepath"
 	"testing"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/operator"
 	"cherrytrestle.example/cherrytrestle/internal/replay"
 )
 
 // withRecorder has a test relay record; nothing was told to its module before.
-func withRecorder(t *testing.T, set operator.Recorder) (*Relay, *bytes.Buffer) {
+func withRecorder(t *testing.T, set operatorfile.Recorder) (*Relay, *bytes.Buffer) {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
 		`,"known":{"version":1,"full":true,"servers":[
@@ -34,7 +34,7 @@
 // A loop that panics leaves its recording, and the panic goes on.
 func TestACrashKeepsTheRecording(t *testing.T) {
 	for _, folder := range []string{"", filepath.Join(t.TempDir(), "kept")} {
-		r, out := withRecorder(t, operator.Recorder{Enabled: true, RingMB: 1, Write: operator.WriteKept, Folder: folder, FolderMB: 2})
+		r, out := withRecorder(t, operatorfile.Recorder{Enabled: true, RingMB: 1, Write: operatorfile.WriteKept, Folder: folder, FolderMB: 2})
 		r.resume()
 		r.post(nudge{})
 		r.post(&callEnd{}) // a call that there is not
@@ -64,7 +64,7 @@
 }
 
 func TestWithoutARecorderNothingIsKept(t *testing.T) {
-	r, out := withRecorder(t, operator.Recorder{})
+	r, out := withRecorder(t, operatorfile.Recorder{})
 	r.KeepRecording("SIGUSR1")
 	if !bytes.Contains(out.Bytes(), []byte("recorder is off")) {
 		t.Errorf("%s", out)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,12 +19,12 @@
 	"sync/atomic"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/figures"
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
+	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -94,26 +94,26 @@
 	rec     *recording
 	fleet   *fleet.Member // nil: this relay tells others nothing and hears nothing
 	events  chan any
-	kept    atomic.Pointer[recording]   // rec, for other goroutines
-	waiting atomic.Bool                 // for the process before this one to hand over
-	over    chan struct{}               // closed when the loop has ended
-	idle    chan struct{}               // closed when the relay is stopping and nothing is left to wait for
-	door    atomic.Pointer[terms.Terms] // what clients are held to
-	figures figures.Figures
+	kept    atomic.Pointer[recording]    // rec, for other goroutines
+	waiting atomic.Bool                  // for the process before this one to hand over
+	over    chan struct{}                // closed when the loop has ended
+	idle    chan struct{}                // closed when the relay is stopping and nothing is left to wait for
+	door    atomic.Pointer[reload.Terms] // what clients are held to
+	figures metrics.Figures
 	listed  atomic.Bool // it has recovered and holds a list
 	ending  atomic.Bool // SIGTERM came
 	calls   sync.WaitGroup
 
 	// Owned by Reload.
-	settled terms.Terms // taken last
-	turn    int         // of terms: later ones make earlier ones void
+	settled reload.Terms // taken last
+	turn    int          // of terms: later ones make earlier ones void
 
 	upgrade
 	large atomic.Bool // the list is, or was, too long to be told to the module as a whole; set by the loop
 
 	// Owned by the loop.
 	holdings
-	terms    terms.Terms
+	terms    reload.Terms
 	turnNow  int
 	callCtx  context.Context
 	calling  map[*call]struct{} // out
@@ -319,7 +319,7 @@
 			// What it has sent may be missing from the journal: nothing can be promised.
 			m.ended = true
 			r.journal.Decide(w, journal.Final{})
-			r.count(w, figures.Failed)
+			r.count(w, metrics.Failed)
 			r.notify(m)
 		default:
 			r.held++
@@ -557,11 +557,11 @@
 		}
 		switch {
 		case r.named && !r.catalog.Named(in.m.Dest):
-			r.count(in.m, figures.Failed)
+			r.count(in.m, metrics.Failed)
 			in.reply <- bad("no such destination: %d", in.m.Dest)
 			continue
 		case r.terms.Settings.MaxHeld > 0 && r.held >= r.terms.Settings.MaxHeld:
-			r.count(in.m, figures.Rejected)
+			r.count(in.m, metrics.Rejected)
 			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 			continue
 		}
@@ -596,7 +596,7 @@
 			r.held--
 			delete(r.msgs, m.ID)
 			delete(r.traces, m.Trace)
-			r.count(in.m, figures.Rejected)
+			r.count(in.m, metrics.Rejected)
 		}
 		in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
 	}
@@ -656,7 +656,7 @@
 	for ; m != nil; m = m.next {
 		if !m.ended {
 			evs = append(evs, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
-			r.count(m.Message, figures.Completed)
+			r.count(m.Message, metrics.Completed)
 		}
 		r.done(m)
 		r.journal.End(m.Message)
@@ -712,7 +712,7 @@
 	}
 	if ok || res.gone {
 		if ok && !m.ended {
-			r.count(m.Message, figures.Completed)
+			r.count(m.Message, metrics.Completed)
 		}
 		r.done(m)
 		r.journal.End(m.Message)
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/figures"
-	"cherrytrestle.example/cherrytrestle/internal/manage"
+	"cherrytrestle.example/cherrytrestle/internal/admin"
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -25,7 +25,7 @@
 
 type (
 	newTerms struct {
-		terms terms.Terms
+		terms reload.Terms
 		turn  int
 	}
 	gauges struct{ done chan struct{} } // asks for figures that are up to date
@@ -35,7 +35,7 @@
 // the file could not even be read. It must not be called by two goroutines at once.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
-		err = terms.Check(r.settled, cfg.Terms)
+		err = reload.Check(r.settled, cfg.Terms)
 	}
 	if err != nil {
 		r.figures.ReloadErrors.Add(1)
@@ -44,7 +44,7 @@
 	r.figures.Reloads.Add(1)
 	r.log.Info("configuration taken", "discovery", cfg.Discovery, "classes", cfg.Classes)
 	r.agent.move(cfg.Discovery)
-	if terms.Equal(r.settled, cfg.Terms) {
+	if reload.Equal(r.settled, cfg.Terms) {
 		return nil
 	}
 	r.turn++
@@ -55,9 +55,9 @@
 }
 
 // change has fresh terms take the place of old ones, by way of what binds while clients may go by either.
-func (r *Relay) change(old, fresh terms.Terms, turn int) {
-	r.post(newTerms{terms.Overlap(old, fresh), turn})
-	leaving := terms.WithDropped(old, fresh)
+func (r *Relay) change(old, fresh reload.Terms, turn int) {
+	r.post(newTerms{reload.Overlap(old, fresh), turn})
+	leaving := reload.WithDropped(old, fresh)
 	time.AfterFunc(overlapFor, func() { r.post(newTerms{leaving, turn}) })
 	time.AfterFunc(overlapFor+droppedFor, func() { r.post(newTerms{fresh, turn}) })
 }
@@ -77,7 +77,7 @@
 }
 
 // hold has the loop and the door go by terms.
-func (r *Relay) hold(t terms.Terms) {
+func (r *Relay) hold(t reload.Terms) {
 	for _, class := range t.Classes {
 		r.figures.Class(class)
 	}
@@ -86,7 +86,7 @@
 }
 
 // count counts the end of a message.
-func (r *Relay) count(m *journal.Message, e figures.End) {
+func (r *Relay) count(m *journal.Message, e metrics.End) {
 	class := m.Service
 	if class == "" && m.Class >= 0 && m.Class < len(r.terms.Classes) {
 		class = r.terms.Classes[m.Class]
@@ -94,11 +94,11 @@
 	r.figures.Ended(class, e)
 }
 
-func finalEnd(f journal.Final) figures.End {
+func finalEnd(f journal.Final) metrics.End {
 	if f.Deferred {
-		return figures.Rejected
+		return metrics.Rejected
 	}
-	return figures.Failed
+	return metrics.Failed
 }
 
 // gauge brings the loop's own figures up to date. A host is avoided while it drains, is skipped, or told to wait.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return fmt.Errorf("relay: second address: %w", err)
 	}
-	s := manage.Server{
+	s := admin.Server{
 		Ready:   func() bool { return (r.listed.Load() || r.waiting.Load()) && !r.ending.Load() },
 		Figures: r.writeFigures,
 		Log:     r.log,
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
-	"cherrytrestle.example/cherrytrestle/internal/terms"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -129,7 +129,7 @@
 	if known {
 		r.sender, r.wakeAt = sender, s.WakeAt
 		r.hold(s.Terms)
-		if !terms.Equal(s.Terms, r.cfg.Terms) {
+		if !reload.Equal(s.Terms, r.cfg.Terms) {
 			r.change(s.Terms, r.cfg.Terms, 0)
 		}
 	} else {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -18,9 +18,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
 	"cherrytrestle.example/cherrytrestle/internal/partner"
 	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/stricttoml"
 )
 
 const (
