--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -15,8 +15,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/standin"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
@@ -414,12 +414,12 @@
 	return append(list(join, pages, lent), costs...), err
 }
 
-func newSeam(n int, rights bool) *seam.Seam {
-	s := seam.New(seam.Settings{
-		Self: "n0", Life: ledger.Life{Incarnation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: rights, Senders: 8,
+func newSeam(n int, rights bool) *agent.Seam {
+	s := agent.New(agent.Settings{
+		Self: "n0", Life: loadreport.Life{Incarnation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: rights, Senders: 8,
 	})
-	s.Step(time.Second, seam.Input{})
-	s.Step(2*time.Second, seam.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: routes(n, served)}}})
+	s.Step(time.Second, agent.Input{})
+	s.Step(2*time.Second, agent.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: routes(n, served)}}})
 	return s
 }
 
@@ -431,7 +431,7 @@
 		for dest := range n {
 			evs = append(evs, policy.Event{Kind: policy.Taken, ID: uint32(at.Milliseconds())*10_000 + uint32(dest), Destination: dest})
 		}
-		for _, p := range s.Step(at, seam.Input{Events: evs}).Told {
+		for _, p := range s.Step(at, agent.Input{Events: evs}).Told {
 			for _, c := range p.Cells {
 				seen[c.Dest] = true
 			}
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/link"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/membership"
 	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
@@ -259,21 +259,21 @@
 	for i, addr := range g.listens {
 		join[relayName(i)] = addr
 	}
-	life := ledger.Life{Incarnation: 1, Boot: 1}
-	liar, err := link.Start(link.Config{
+	life := loadreport.Life{Incarnation: 1, Boot: 1}
+	liar, err := membership.Start(membership.Config{
 		Name: relayName(3), Listen: g.listens[3], Join: join, Life: life, Log: slog.New(slog.DiscardHandler), Raise: func(uint64) error { return nil },
 	})
 	must(t, err)
 	defer liar.Close()
-	page := func(seq uint64, calls float64) []ledger.Page {
-		return []ledger.Page{{Name: relayName(3), Life: life, Number: ledger.PageOf(7), Sequence: seq, Cells: []ledger.Cell{{Dest: 7, Calls: calls}}}}
+	page := func(seq uint64, calls float64) []loadreport.Page {
+		return []loadreport.Page{{Name: relayName(3), Life: life, Number: loadreport.PageOf(7), Sequence: seq, Cells: []loadreport.Cell{{Dest: 7, Calls: calls}}}}
 	}
 	liar.Tell(page(1, 3))
 	eventually(t, "an honest page is taken", func() bool { _, age := g.sees(0, 3); return age >= 0 })
 	for seq := uint64(2); ; seq++ {
 		liar.Tell(page(seq, 90_000)) // of a destination that takes 500
 		time.Sleep(50 * time.Millisecond)
-		if s := g.status(0); s.Status != nil && s.Refused[ledger.Absurd] > 0 {
+		if s := g.status(0); s.Status != nil && s.Refused[loadreport.Absurd] > 0 {
 			break
 		}
 		if seq > 200 {
@@ -324,10 +324,10 @@
 	g.start(g.all()...)
 	g.traffic()
 	g.hears(g.all(), g.all())
-	life := func(i, j int) ledger.Life {
+	life := func(i, j int) loadreport.Life {
 		s := g.status(i)
 		if s.Status == nil {
-			return ledger.Life{}
+			return loadreport.Life{}
 		}
 		if i == j {
 			return s.Life
@@ -337,10 +337,10 @@
 				return m.Life
 			}
 		}
-		return ledger.Life{}
+		return loadreport.Life{}
 	}
 	// known waits until the others hold the life that relay 0 has, and returns it.
-	known := func(what string, after ledger.Life) (now ledger.Life) {
+	known := func(what string, after loadreport.Life) (now loadreport.Life) {
 		t.Helper()
 		eventually(t, what, func() bool {
 			now = life(0, 0)
@@ -355,7 +355,7 @@
 		g.relays[0].kill()
 		g.start(0)
 	}
-	last := known("the newest life is heard", ledger.Life{})
+	last := known("the newest life is heard", loadreport.Life{})
 	if last.Incarnation != 51 {
 		t.Errorf("after fifty restarts the life is %v", last)
 	}
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/sockfault"
 )
 
@@ -29,11 +29,11 @@
 }
 
 // standing is what a relay says of its only limit.
-func (g *rig) standing(i int) rights.Standing {
+func (g *rig) standing(i int) quota.Standing {
 	if s := g.status(i); len(s.Rights) == 1 {
 		return s.Rights[0]
 	}
-	return rights.Standing{}
+	return quota.Standing{}
 }
 
 // most is the greatest number of calls that came in any span.
@@ -105,7 +105,7 @@
 	if k := index(agree()); k > 0 { // stopped for more than three leases
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
 		shared("another keeper, the first being stopped")
-		time.Sleep(3 * rights.Lease)
+		time.Sleep(3 * quota.Lease)
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGCONT))
 		shared("the first one is back")
 	}
@@ -125,7 +125,7 @@
 
 	// What may be saved up: a call and a half by each, what the keeper saves, and what was given within the time that a right is valid.
 	const span = 10 * time.Second
-	saved := 1.5*n + 0.3*takes + takes*rights.Valid.Seconds()
+	saved := 1.5*n + 0.3*takes + takes*quota.Valid.Seconds()
 	if most := h.most(span); float64(most) > takes*span.Seconds()+saved {
 		t.Errorf("%d calls in %v, of a host that takes %g a second", most, span, takes)
 	}
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -53,8 +53,8 @@
 	byLoop    = "`internal/relay`, `policy`, `internal/state/journal`"
 	byJournal = "`internal/state/journal`, `internal/state/store`"
 	byList    = "`internal/relay`"
-	byFleet   = "`internal/fleet/link`, `ledger`, `codec`"
-	byRights  = "`internal/fleet/rights`"
+	byFleet   = "`internal/fleet/membership`, `ledger`, `codec`"
+	byRights  = "`internal/fleet/quota`"
 	byHerd    = "`internal/relay/discovery/backoff`"
 )
 
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/record"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -29,7 +29,7 @@
 	clocksApart  = 0.01 // two relays' clocks at most
 	ageSlack     = 400 * time.Millisecond
 	absurdFactor = 1000
-	versionsKeep = 2 * ledger.AgeMost
+	versionsKeep = 2 * loadreport.AgeMost
 	mixHold      = 30 * time.Millisecond // a datagram that others overtake
 )
 
@@ -72,7 +72,7 @@
 
 type version struct {
 	name string
-	ledger.Life
+	loadreport.Life
 	sequence uint64
 }
 
@@ -89,16 +89,16 @@
 	life    int
 	began   time.Duration
 	offset  time.Duration // of its clock
-	seam    *seam.Seam
-	ledger  *ledger.Ledger
-	intake  ledger.Intake[fleetPacket]
-	claim   ledger.Claim
-	heard   []rights.Message
+	seam    *agent.Seam
+	ledger  *loadreport.Ledger
+	intake  loadreport.Intake[fleetPacket]
+	claim   loadreport.Claim
+	heard   []quota.Message
 	heardAt []time.Duration // when they were sent at the latest
 	queue   outbox
 	mail    map[fleetPlace]bool
-	raised  ledger.Life   // a new one that the seam has not been told of
-	inbox   []fleetPacket // while the process is stopped
+	raised  loadreport.Life // a new one that the seam has not been told of
+	inbox   []fleetPacket   // while the process is stopped
 	seen    map[fleetPlace]version
 	heardAs map[fleetPlace]time.Duration // of AgesStand
 	arrived uint64                       // of LastWins
@@ -152,9 +152,9 @@
 	from  string
 	boot  uint32
 	clock time.Duration
-	pages []ledger.Page
+	pages []loadreport.Page
 
-	rights *rights.Message
+	rights *quota.Message
 	ping   bool
 	pong   *fleetPong
 }
@@ -185,24 +185,24 @@
 func (n *fleetNet) join(r *relay) *fleetMember {
 	m := &fleetMember{
 		r: r, net: n, name: r.name, life: r.life, began: n.w.Now(), offset: time.Duration(n.draw.Int64N(int64(time.Hour))), mail: map[fleetPlace]bool{},
-		intake: ledger.Intake[fleetPacket]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
+		intake: loadreport.Intake[fleetPacket]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
 		seen:   map[fleetPlace]version{}, heardAs: map[fleetPlace]time.Duration{}, meant: map[fleetPlace]version{},
 	}
 	if n.twin == r.n {
 		m.name = n.w.relays[0].name
 	}
 	r.incarnation++
-	life := ledger.Life{Incarnation: r.incarnation, Boot: n.draw.Uint32()}
+	life := loadreport.Life{Incarnation: r.incarnation, Boot: n.draw.Uint32()}
 	var all []string
 	for i := range n.w.plan.File.Relays {
 		if i%n.fleets == r.n%n.fleets || r.wrong.fleet().NoTable {
 			all = append(all, scenario.RelayName(i+1))
 		}
 	}
-	m.seam = seam.New(seam.Settings{
+	m.seam = agent.New(agent.Settings{
 		Self: m.name, Life: life, Members: all, Kinds: r.set.Kinds, Rights: n.w.plan.File.Fleet.Rights, Senders: r.set.Senders,
 	})
-	m.ledger = ledger.New(m.name, life, all)
+	m.ledger = loadreport.New(m.name, life, all)
 	m.every(gossip.Every, m.gossip)
 	m.every(gossip.SyncEvery, m.digests)
 	m.every(seamEvery, func() { r.plan() })
@@ -232,7 +232,7 @@
 // step is the seam's beside the module's.
 func (m *fleetMember) step(events []policy.Event, actions []policy.Action) {
 	at := m.clock()
-	var heard []ledger.Page
+	var heard []loadreport.Page
 	for _, p := range slices.SortedFunc(maps.Keys(m.mail), func(a, b fleetPlace) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.number, b.number))
 	}) {
@@ -241,11 +241,11 @@
 		}
 	}
 	clear(m.mail)
-	defer func() { m.raised = ledger.Life{} }()
+	defer func() { m.raised = loadreport.Life{} }()
 	for i := range m.heard {
 		m.heard[i].Held = max(0, at-m.heardAt[i])
 	}
-	out := m.seam.Step(m.r.now(), seam.Input{Heard: heard, Life: m.raised, Rights: m.heard, Events: events, Actions: actions, Views: m.views})
+	out := m.seam.Step(m.r.now(), agent.Input{Heard: heard, Life: m.raised, Rights: m.heard, Events: events, Actions: actions, Views: m.views})
 	m.heard, m.heardAt = nil, m.heardAt[:0]
 	for i := range out.Rights {
 		if to := m.net.w.relay(out.Rights[i].Member); to != nil {
@@ -271,7 +271,7 @@
 			m.spread(p) // it holds what it likes
 			continue
 		}
-		if m.ledger.Keep(at, p) == ledger.Changed && !m.claim.Silent(at) {
+		if m.ledger.Keep(at, p) == loadreport.Changed && !m.claim.Silent(at) {
 			m.put(fleetPlace{p.Name, p.Number})
 		}
 	}
@@ -294,7 +294,7 @@
 func (m *fleetMember) gossip() {
 	all := m.net.w.relays
 	for range min(gossip.Targets(len(all)), len(all)-1) {
-		var pages []ledger.Page
+		var pages []loadreport.Page
 		for _, place := range m.queue.take(gossip.PagesInDatagram) {
 			if p, ok := m.page(place); ok {
 				pages = append(pages, p)
@@ -307,7 +307,7 @@
 }
 
 // newer are the pages that another lacks.
-func (m *fleetMember) newer(than ledger.Digest) (pages []ledger.Page) {
+func (m *fleetMember) newer(than loadreport.Digest) (pages []loadreport.Page) {
 	for _, p := range m.ledger.Newer(m.clock(), than) {
 		if p.Name == m.name && m.claim.Silent(m.clock()) {
 			continue
@@ -320,7 +320,7 @@
 }
 
 // page is one as it is told on now.
-func (m *fleetMember) page(at fleetPlace) (ledger.Page, bool) {
+func (m *fleetMember) page(at fleetPlace) (loadreport.Page, bool) {
 	p, ok := m.ledger.Get(m.clock(), at.name, at.number)
 	if age, heard := m.heardAs[at]; heard && m.r.wrong.fleet().AgesStand {
 		p.Age = age
@@ -332,10 +332,10 @@
 }
 
 // spread sends a page to all at once, whatever it holds.
-func (m *fleetMember) spread(p ledger.Page) {
+func (m *fleetMember) spread(p loadreport.Page) {
 	for _, to := range m.net.w.relays {
 		if to != m.r {
-			m.send(to, []ledger.Page{p})
+			m.send(to, []loadreport.Page{p})
 		}
 	}
 }
@@ -358,7 +358,7 @@
 }
 
 // send is a datagram on its way, or what a stream carries.
-func (m *fleetMember) send(to *relay, pages []ledger.Page) {
+func (m *fleetMember) send(to *relay, pages []loadreport.Page) {
 	if len(pages) > 0 {
 		m.post(to, fleetPacket{pages: pages})
 	}
@@ -457,16 +457,16 @@
 			page.Sequence = m.arrived
 		}
 		out, _ := m.ledger.Merge(at, page)
-		if out == ledger.Rival && m.claim.Rival(at) { // a life of this relay that its folder does not know of
+		if out == loadreport.Rival && m.claim.Rival(at) { // a life of this relay that its folder does not know of
 			m.r.incarnation = m.ledger.Rival().Incarnation + 1
-			m.raised = ledger.Life{Incarnation: m.r.incarnation, Boot: m.ledger.Life().Boot}
+			m.raised = loadreport.Life{Incarnation: m.r.incarnation, Boot: m.ledger.Life().Boot}
 			m.ledger.Raise(m.raised)
 			m.r.plan()
 		}
-		if out == ledger.Changed && m.net.known != nil {
+		if out == loadreport.Changed && m.net.known != nil {
 			m.net.known(m.r, meant)
 		}
-		if out == ledger.Changed {
+		if out == loadreport.Changed {
 			m.heardAs[place] = page.Age
 			if wrong.LastWins {
 				if m.meant[place] == meant {
@@ -502,7 +502,7 @@
 		}
 		m, limits := r.fleet, r.fleet.seam.Limits()
 		youngest, lives := map[string]time.Duration{}, map[string]uint64{}
-		m.ledger.Pages(m.clock(), func(p ledger.Page) {
+		m.ledger.Pages(m.clock(), func(p loadreport.Page) {
 			if p.Name == m.name {
 				return
 			}
@@ -534,7 +534,7 @@
 
 // check holds one page that a relay has against the truth: no figure is beyond the bounds, no page is younger than it is, and
 // none goes back to an earlier version.
-func (n *fleetNet) check(m *fleetMember, limits ledger.Limits, p ledger.Page) {
+func (n *fleetNet) check(m *fleetMember, limits loadreport.Limits, p loadreport.Page) {
 	place := fleetPlace{p.Name, p.Number}
 	v := version{p.Name, p.Life, p.Sequence}
 	if meant, other := m.meant[place]; other {
@@ -544,7 +544,7 @@
 		n.wrong("stranger", "%s holds page %d of %s, of another fleet", m.r.name, p.Number, p.Name)
 	}
 	for _, c := range p.Cells {
-		if limit, ok := limits[c.Dest][c.Route]; ok && c.Calls > ledger.Multiple*max(1, limit) {
+		if limit, ok := limits[c.Dest][c.Route]; ok && c.Calls > loadreport.Multiple*max(1, limit) {
 			n.wrong("bound", "%s holds %g calls a second of %s at destination %d, which takes %g", m.r.name, c.Calls, p.Name, c.Dest, limit)
 		}
 	}
@@ -565,7 +565,7 @@
 	if !n.w.plan.File.Fleet.Rights {
 		return
 	}
-	sums, limits := map[rights.Scope]float64{}, map[rights.Scope]float64{}
+	sums, limits := map[quota.Scope]float64{}, map[quota.Scope]float64{}
 	for _, r := range n.w.relays {
 		if !r.up || r.fleet == nil || r.fleet.seam.Rights() == nil {
 			continue
--- a/internal/emulate/rights_test.go
+++ b/internal/emulate/rights_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -42,10 +42,10 @@
 	}
 	stop := func(w *world) {
 		w.At(15*time.Second, func() {
-			a := w.relays[0].fleet.seam.Rights().Accounts[rights.Scope{Dest: 1}]
+			a := w.relays[0].fleet.seam.Rights().Accounts[quota.Scope{Dest: 1}]
 			keeper := w.relay(a.Keeper)
 			keeper.freeze(true)
-			w.After(3*rights.Lease, func() { keeper.freeze(false) })
+			w.After(3*quota.Lease, func() { keeper.freeze(false) })
 		})
 	}
 	for _, c := range []struct {
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -60,21 +60,21 @@
 	from, to int
 	boot     uint32
 	clock    time.Duration
-	page     ledger.Page
+	page     loadreport.Page
 }
 
 // tinyVersion is what a page truly is.
 type tinyVersion struct {
-	ledger.Life
+	loadreport.Life
 	sequence uint64
 }
 
 type tinyMember struct {
 	name     string
-	seam     *seam.Seam
-	raised   ledger.Life // that the seam has not been told of
-	ledger   *ledger.Ledger
-	transit  ledger.Transit
+	seam     *agent.Seam
+	raised   loadreport.Life // that the seam has not been told of
+	ledger   *loadreport.Ledger
+	transit  loadreport.Transit
 	folder   uint64 // incarnation
 	boots    uint32
 	sequence uint64
@@ -133,14 +133,14 @@
 	for j := range t.w.Members {
 		all = append(all, memberName(j))
 	}
-	life := ledger.Life{Incarnation: m.folder, Boot: m.boots + uint32(100*i)}
+	life := loadreport.Life{Incarnation: m.folder, Boot: m.boots + uint32(100*i)}
 	*m = tinyMember{
-		name: m.name, ledger: ledger.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
+		name: m.name, ledger: loadreport.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
 		meant: map[string]tinyVersion{}, heardAs: map[string]time.Duration{},
-		seam: seam.New(seam.Settings{Self: m.name, Life: life, Members: all, Kinds: []policy.Kind{{PerCall: 1}}}),
+		seam: agent.New(agent.Settings{Self: m.name, Life: life, Members: all, Kinds: []policy.Kind{{PerCall: 1}}}),
 	}
-	m.seam.Step(t.now, seam.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "r", Weight: 10, InService: true}}}}})
-	m.ledger.SetLimits(ledger.Limits{0: {"": 10}})
+	m.seam.Step(t.now, agent.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "r", Weight: 10, InService: true}}}}})
+	m.ledger.SetLimits(loadreport.Limits{0: {"": 10}})
 }
 
 // process names a process, of which two may have one member's name.
@@ -247,12 +247,12 @@
 	m := t.members[i]
 	t.now += tellAfter
 	id := uint32(t.now / time.Millisecond)
-	told := m.seam.Step(t.now, seam.Input{
+	told := m.seam.Step(t.now, agent.Input{
 		Life: m.raised, Events: []policy.Event{{Kind: policy.Taken, ID: id}, {Kind: policy.Finished, ID: id, Route: "r", Ended: true}},
 		Views: func() []policy.View { return nil },
 	})
-	m.raised = ledger.Life{}
-	if len(told.Told) != 1 || m.ledger.Keep(t.now, told.Told[0]) != ledger.Changed {
+	m.raised = loadreport.Life{}
+	if len(told.Told) != 1 || m.ledger.Keep(t.now, told.Told[0]) != loadreport.Changed {
 		t.broken = fmt.Sprintf("%s does not tell: %v", m.name, told)
 		return
 	}
@@ -295,11 +295,11 @@
 	}
 	out, _ := m.ledger.Merge(t.now, page)
 	switch out {
-	case ledger.Rival:
+	case loadreport.Rival:
 		m.folder = m.ledger.Rival().Incarnation + 1
-		m.raised = ledger.Life{Incarnation: m.folder, Boot: m.ledger.Life().Boot}
+		m.raised = loadreport.Life{Incarnation: m.folder, Boot: m.ledger.Life().Boot}
 		m.ledger.Raise(m.raised)
-	case ledger.Changed:
+	case loadreport.Changed:
 		m.heardAs[page.Name] = page.Age
 		if t.wrong.LastWins {
 			m.meant[page.Name] = meant
@@ -313,7 +313,7 @@
 // check holds what members hold against what is true.
 func (t *tiny) check() {
 	for _, m := range t.members {
-		m.ledger.Pages(t.now, func(p ledger.Page) {
+		m.ledger.Pages(t.now, func(p loadreport.Page) {
 			if p.Name == m.name {
 				return
 			}
@@ -384,7 +384,7 @@
 	for _, m := range t.members {
 		fmt.Fprint(&b, "|", m.ledger.Life(), m.folder, m.boots, m.sequence, m.tells, m.stopped, m.inbox, m.arrived, m.raised)
 		b.Write(m.seam.Snapshot(nil))
-		m.ledger.Pages(t.now, func(p ledger.Page) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) })
+		m.ledger.Pages(t.now, func(p loadreport.Page) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) })
 	}
 	fmt.Fprint(&b, t.flying)
 	return b.String()
--- a/internal/fleet/seam/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -1,4 +1,4 @@
-package seam
+package agent
 
 import (
 	"flag"
--- a/internal/fleet/seam/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -1,7 +1,7 @@
 // Package seam is the step of a fleet's member beside the decision module: it is told what the module was told and decided, and
 // what was heard of the others, and tells in return what the others should hear. It is pure, as the module is: equal calls in equal
 // order give equal results, in the relay, the emulator and a replay alike.
-package seam
+package agent
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -26,7 +26,7 @@
 	// together would take more than the links have room for. Where a wait, a backlog or coldness begins or ends it is told at once, burst
 	// times in a row, and rests the longer after that. What has not changed is told again after tellAgain, so that it does not fade.
 	tellLeast   = 500 * time.Millisecond
-	tellAgain   = ledger.HalfLife / 2
+	tellAgain   = loadreport.HalfLife / 2
 	burst       = 4
 	restEvery   = time.Second // how long a page rests is found anew
 	changeShare = 0.1
@@ -41,12 +41,12 @@
 
 // Settings are what a Seam is made of.
 type Settings struct {
-	Self    string        `cbor:"Self"`
-	Life    ledger.Life   `cbor:"Life"`
-	Members []string      `cbor:"Members"` // that are listed, all of the fleet
-	Kinds   []policy.Kind `cbor:"Kinds"`
-	Rights  bool          `cbor:"Rights"`  // limits are shared: package rights
-	Senders int           `cbor:"Senders"` // the told size of the fleet
+	Self    string          `cbor:"Self"`
+	Life    loadreport.Life `cbor:"Life"`
+	Members []string        `cbor:"Members"` // that are listed, all of the fleet
+	Kinds   []policy.Kind   `cbor:"Kinds"`
+	Rights  bool            `cbor:"Rights"`  // limits are shared: package rights
+	Senders int             `cbor:"Senders"` // the told size of the fleet
 }
 
 // Tally counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
@@ -86,13 +86,13 @@
 	_     struct{} `cbor:",toarray"`
 	At    time.Duration
 	Paid  time.Duration // all tellings until At have had their rests then: GCRA's theoretical time of arrival
-	Cells []ledger.Cell
+	Cells []loadreport.Cell
 }
 
 // state is all that a Seam holds beside its ledger.
 type state struct {
 	Set      Settings          `cbor:"Set"`
-	Life     ledger.Life       `cbor:"Life"`
+	Life     loadreport.Life   `cbor:"Life"`
 	Sequence uint64            `cbor:"Sequence"`
 	Tallies  map[scope]*Tally  `cbor:"Tallies"`
 	Routes   map[string]listed `cbor:"Routes"`
@@ -102,16 +102,16 @@
 	Rest     time.Duration     `cbor:"Rest"` // of a page between two tellings, as of RestAt
 	RestAt   time.Duration     `cbor:"RestAt"`
 	SweepAt  time.Duration     `cbor:"SweepAt"`
-	Pages    []ledger.Page     `cbor:"Pages"` // of the ledger, in snapshots
-	Book     *rights.Book      `cbor:"Book"`  // in snapshots
+	Pages    []loadreport.Page `cbor:"Pages"` // of the ledger, in snapshots
+	Book     *quota.Book       `cbor:"Book"`  // in snapshots
 	Now      time.Duration     `cbor:"Now"`
 }
 
 // Seam is a member's.
 type Seam struct {
 	state
-	ledger *ledger.Ledger
-	rights *rights.Book  // nil: limits are not shared
+	ledger *loadreport.Ledger
+	rights *quota.Book   // nil: limits are not shared
 	sent   map[scope]int // of the step at hand, messages by route
 }
 
@@ -120,16 +120,16 @@
 	s := &Seam{state: state{
 		Set: set, Life: set.Life, Tallies: map[scope]*Tally{}, Routes: map[string]listed{}, Held: map[uint32]held{}, Told: map[int]toldPage{},
 	}}
-	s.ledger = ledger.New(set.Self, set.Life, set.Members)
+	s.ledger = loadreport.New(set.Self, set.Life, set.Members)
 	s.sent = map[scope]int{}
 	return s
 }
 
 // Input is what a step is told.
 type Input struct {
-	Heard   []ledger.Page // with their ages at the step's time
-	Life    ledger.Life   // the member's own, where it has begun a new one; else zero
-	Rights  []rights.Message
+	Heard   []loadreport.Page // with their ages at the step's time
+	Life    loadreport.Life   // the member's own, where it has begun a new one; else zero
+	Rights  []quota.Message
 	Events  []policy.Event
 	Actions []policy.Action
 	Views   func() []policy.View // the module's routes, asked for only when something may be told
@@ -137,24 +137,24 @@
 
 // Output is what a step tells.
 type Output struct {
-	Told   []ledger.Page    // to all others
-	Rights []rights.Message // each to one
-	Events []policy.Event   // to the decision module, in its next step
+	Told   []loadreport.Page // to all others
+	Rights []quota.Message   // each to one
+	Events []policy.Event    // to the decision module, in its next step
 }
 
 // Record is what a step was told of others, and told them: beside the module's own record all that a replay needs.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
-	Heard       []ledger.Page
-	Life        ledger.Life
-	Told        []ledger.Page
-	RightsHeard []rights.Message
-	RightsTold  []rights.Message
+	Heard       []loadreport.Page
+	Life        loadreport.Life
+	Told        []loadreport.Page
+	RightsHeard []quota.Message
+	RightsTold  []quota.Message
 }
 
 // Append appends a record's bytes; none for one that holds nothing.
 func (r Record) Append(b []byte) []byte {
-	if len(r.Heard)+len(r.Told)+len(r.RightsHeard)+len(r.RightsTold) == 0 && r.Life == (ledger.Life{}) {
+	if len(r.Heard)+len(r.Told)+len(r.RightsHeard)+len(r.RightsTold) == 0 && r.Life == (loadreport.Life{}) {
 		return b
 	}
 	data, err := canonical.Marshal(r)
@@ -180,7 +180,7 @@
 	if s.rights == nil {
 		return out
 	}
-	var changes []rights.Change
+	var changes []quota.Change
 	out.Rights, changes = s.rights.Step(now)
 	for _, c := range changes {
 		out.Events = append(out.Events, policy.Event{
@@ -190,11 +190,11 @@
 	return out
 }
 
-func (s *Seam) step(now time.Duration, in Input) (tell []ledger.Page) {
+func (s *Seam) step(now time.Duration, in Input) (tell []loadreport.Page) {
 	if s.Now = now; s.Set.Rights && s.rights == nil { // its life begins with the first step, whatever the clock says
-		s.rights = rights.New(now, rights.Settings{Self: s.Set.Self, Life: s.Life, Members: s.Set.Members, Senders: s.Set.Senders})
+		s.rights = quota.New(now, quota.Settings{Self: s.Set.Self, Life: s.Life, Members: s.Set.Members, Senders: s.Set.Senders})
 	}
-	if in.Life != (ledger.Life{}) && in.Life.Compare(s.Life) > 0 {
+	if in.Life != (loadreport.Life{}) && in.Life.Compare(s.Life) > 0 {
 		s.Life = in.Life
 		s.ledger.Raise(in.Life)
 		clear(s.Told) // the others forget what the life before has told
@@ -247,7 +247,7 @@
 func (s *Seam) Wake() time.Duration { return s.LookAt }
 
 // Ledger is what the Seam has heard. It must only be asked.
-func (s *Seam) Ledger() *ledger.Ledger { return s.ledger }
+func (s *Seam) Ledger() *loadreport.Ledger { return s.ledger }
 
 func (t *Tally) fade(now time.Duration) {
 	if now > t.At {
@@ -359,9 +359,9 @@
 	}
 }
 
-func (s *Seam) rightsOf(route string) rights.Scope {
+func (s *Seam) rightsOf(route string) quota.Scope {
 	at := s.scopeOf(route)
-	return rights.Scope{Dest: at.Dest, Route: at.Route}
+	return quota.Scope{Dest: at.Dest, Route: at.Route}
 }
 
 // outcome counts for what is believed of a limit. What a host refuses that may be cold tells of that, and the module's recovery budget is for it.
@@ -372,7 +372,7 @@
 }
 
 // Rights are the member's part in sharing limits; nil: it has none. It must only be asked.
-func (s *Seam) Rights() *rights.Book { return s.rights }
+func (s *Seam) Rights() *quota.Book { return s.rights }
 
 func (s *Seam) list(e *policy.Event) {
 	if e.Kind == policy.ListWhole {
@@ -393,8 +393,8 @@
 }
 
 // Limits are what the list tells, by destination and route as in the ledger's cells.
-func (s *Seam) Limits() ledger.Limits {
-	limits := ledger.Limits{}
+func (s *Seam) Limits() loadreport.Limits {
+	limits := loadreport.Limits{}
 	for route, l := range s.Routes {
 		at := s.scopeOf(route)
 		if l.Limit <= 0 {
@@ -430,12 +430,12 @@
 }
 
 // tell returns the pages that are due.
-func (s *Seam) tell(now time.Duration) (pages []ledger.Page) {
-	cells := map[int][]ledger.Cell{}
+func (s *Seam) tell(now time.Duration) (pages []loadreport.Page) {
+	cells := map[int][]loadreport.Cell{}
 	for at, t := range s.Tallies {
 		t.fade(now)
 		if c := t.cell(at, now); !c.Idle() {
-			cells[ledger.PageOf(at.Dest)] = append(cells[ledger.PageOf(at.Dest)], c)
+			cells[loadreport.PageOf(at.Dest)] = append(cells[loadreport.PageOf(at.Dest)], c)
 		}
 	}
 	numbers := slices.Collect(maps.Keys(cells))
@@ -452,7 +452,7 @@
 		if !due(was, page, told, now, rest) {
 			continue
 		}
-		if !told && len(s.Told) >= ledger.PagesMost {
+		if !told && len(s.Told) >= loadreport.PagesMost {
 			continue // more destinations at once than a member may tell of: these wait until others fall idle
 		}
 		s.Sequence++
@@ -478,9 +478,9 @@
 	return s.Rest
 }
 
-func (t *Tally) cell(at scope, now time.Duration) ledger.Cell {
+func (t *Tally) cell(at scope, now time.Duration) loadreport.Cell {
 	rate := func(level float64) float64 { return round(level / rateSpan.Seconds()) }
-	return ledger.Cell{
+	return loadreport.Cell{
 		Dest: at.Dest, Route: at.Route, Demand: rate(t.Demand), Calls: rate(t.Calls), Refusals: rate(t.Refusals), Deliveries: rate(t.Deliveries),
 		Failures: rate(t.Failures), Backlog: t.Backlog, Wait: max(0, t.Wait-now).Round(time.Millisecond), Cold: t.Cold,
 	}
@@ -496,14 +496,16 @@
 }
 
 // fit puts cells into order and leaves the least ones out where a page holds no more.
-func fit(cells []ledger.Cell) []ledger.Cell {
-	byPlace := func(a, b ledger.Cell) int { return cmp.Or(cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Route, b.Route)) }
-	slices.SortFunc(cells, func(a, b ledger.Cell) int {
+func fit(cells []loadreport.Cell) []loadreport.Cell {
+	byPlace := func(a, b loadreport.Cell) int {
+		return cmp.Or(cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Route, b.Route))
+	}
+	slices.SortFunc(cells, func(a, b loadreport.Cell) int {
 		return cmp.Or(cmp.Compare(b.Demand+b.Calls, a.Demand+a.Calls), byPlace(a, b))
 	})
 	size := 0
 	for i, c := range cells {
-		if size += cellBytes + len(c.Route); size > pageBytes || i == ledger.CellsMost {
+		if size += cellBytes + len(c.Route); size > pageBytes || i == loadreport.CellsMost {
 			cells = cells[:i]
 			break
 		}
@@ -513,24 +515,24 @@
 }
 
 // due tells whether a page must be told.
-func due(was toldPage, cells []ledger.Cell, told bool, now, rest time.Duration) bool {
+func due(was toldPage, cells []loadreport.Cell, told bool, now, rest time.Duration) bool {
 	if !told {
 		return len(cells) > 0
 	}
 	if now < was.Paid { // only what is urgent goes before its time, and not without end
 		return now-was.At >= lookEvery && was.Paid-now <= (burst-1)*rest && slices.ContainsFunc(cells, was.urgent(now))
 	}
-	return now-was.At >= max(tellAgain, rest) || !slices.EqualFunc(cells, was.Cells, func(c, o ledger.Cell) bool {
+	return now-was.At >= max(tellAgain, rest) || !slices.EqualFunc(cells, was.Cells, func(c, o loadreport.Cell) bool {
 		return c.Dest == o.Dest && c.Route == o.Route && !moved(c.Demand, o.Demand) && !moved(c.Calls, o.Calls) && !moved(c.Refusals, o.Refusals) &&
 			!moved(c.Deliveries, o.Deliveries) && !moved(c.Failures, o.Failures) && !moved(float64(c.Backlog), float64(o.Backlog))
 	}) || slices.ContainsFunc(cells, was.urgent(now))
 }
 
 // urgent tells of a cell whether a wait, a backlog or coldness began or ended since its page was told.
-func (p toldPage) urgent(now time.Duration) func(ledger.Cell) bool {
-	return func(c ledger.Cell) bool {
-		var o ledger.Cell
-		if i := slices.IndexFunc(p.Cells, func(o ledger.Cell) bool { return o.Dest == c.Dest && o.Route == c.Route }); i >= 0 {
+func (p toldPage) urgent(now time.Duration) func(loadreport.Cell) bool {
+	return func(c loadreport.Cell) bool {
+		var o loadreport.Cell
+		if i := slices.IndexFunc(p.Cells, func(o loadreport.Cell) bool { return o.Dest == c.Dest && o.Route == c.Route }); i >= 0 {
 			o = p.Cells[i]
 		}
 		waits := c.Wait > 0 && (o.Wait == 0 || (c.Wait-(o.Wait-(now-p.At))).Abs() > 2*lookEvery)
@@ -551,7 +553,7 @@
 // Snapshot appends the state, the same bytes for the same state.
 func (s *Seam) Snapshot(b []byte) []byte {
 	x := s.state
-	s.ledger.Pages(s.Now, func(p ledger.Page) { x.Pages = append(x.Pages, p) })
+	s.ledger.Pages(s.Now, func(p loadreport.Page) { x.Pages = append(x.Pages, p) })
 	x.Book = s.rights
 	data, err := canonical.Marshal(x)
 	if err != nil {
--- a/internal/fleet/seam/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -1,4 +1,4 @@
-package seam
+package agent
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func newSeam() *Seam {
-	return New(Settings{Self: "me", Life: ledger.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: flighttest.Settings().Kinds})
+	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: flighttest.Settings().Kinds})
 }
 
 // history is what a module lived through.
@@ -49,7 +49,7 @@
 func input(e flight.Entry, n int) Input {
 	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.View { return nil }}
 	if n%97 == 0 {
-		in.Heard = []ledger.Page{{Name: "a", Life: ledger.Life{Incarnation: 1, Boot: 1}, Sequence: uint64(n + 1), Cells: []ledger.Cell{{Dest: 1, Calls: 2}}}}
+		in.Heard = []loadreport.Page{{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: uint64(n + 1), Cells: []loadreport.Cell{{Dest: 1, Calls: 2}}}}
 	}
 	return in
 }
@@ -65,10 +65,10 @@
 		for i, e := range steps {
 			in := input(e, i)
 			if i%61 == 0 { // another lends and asks, and what is wanted here is asked for
-				s := rights.Scope{Dest: 1}
-				in.Rights = []rights.Message{{
-					Member: "a", Life: ledger.Life{Incarnation: 1, Boot: 1}, Seq: uint64(i + 1), Loans: []rights.Loan{{Scope: s, Rate: 0.1, Done: uint32(i)}},
-					Asks: []rights.Ask{{Scope: s, ID: uint32(i), N: 1}},
+				s := quota.Scope{Dest: 1}
+				in.Rights = []quota.Message{{
+					Member: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Seq: uint64(i + 1), Loans: []quota.Loan{{Scope: s, Rate: 0.1, Done: uint32(i)}},
+					Asks: []quota.Ask{{Scope: s, ID: uint32(i), N: 1}},
 				}}
 				in.Actions = append(slices.Clip(in.Actions), policy.Action{Kind: policy.Ask, Route: "s-1", Calls: 2})
 			}
@@ -102,7 +102,7 @@
 }
 
 // drive has a destination meet so many messages a second, each sent at once, of which every third is refused with a wait.
-func drive(s *Seam, from, to time.Duration, rate float64) (told []ledger.Page) {
+func drive(s *Seam, from, to time.Duration, rate float64) (told []loadreport.Page) {
 	every := time.Duration(float64(time.Second) / rate)
 	for now, id := from, uint32(from); now < to; now, id = now+every, id+1 {
 		told = append(told, s.Step(now, Input{
@@ -126,12 +126,12 @@
 		{Route: "s-1", Destination: 9, Weight: 50, InService: true}, {Route: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
 		{Route: "s-3", Destination: 12, Kind: 1, Weight: 7, InService: true},
 	}}}})
-	if want := (ledger.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(s.Limits(), want) {
+	if want := (loadreport.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(s.Limits(), want) {
 		t.Errorf("%v, want %v", s.Limits(), want)
 	}
 	told := drive(s, time.Second, 41*time.Second, 30)
 	last := told[len(told)-1]
-	if last.Name != "me" || last.Number != ledger.PageOf(9) || len(last.Cells) != 1 {
+	if last.Name != "me" || last.Number != loadreport.PageOf(9) || len(last.Cells) != 1 {
 		t.Fatalf("%+v", last)
 	}
 	c := last.Cells[0]
@@ -186,15 +186,15 @@
 		}
 	}
 	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.View { return nil }}).Told
-	if len(told) != ledger.PagesMost {
+	if len(told) != loadreport.PagesMost {
 		t.Errorf("%d pages", len(told))
 	}
-	if n := len(told[0].Cells); n < 10 || n > ledger.CellsMost {
+	if n := len(told[0].Cells); n < 10 || n > loadreport.CellsMost {
 		t.Errorf("%d cells on a page", n)
 	}
 	// A new life tells all again, and the others forget the one before.
-	again := s.Step(2*time.Second, Input{Life: ledger.Life{Incarnation: 2, Boot: 2}, Views: func() []policy.View { return nil }}).Told
-	if len(again) != ledger.PagesMost || again[0].Incarnation != 2 {
+	again := s.Step(2*time.Second, Input{Life: loadreport.Life{Incarnation: 2, Boot: 2}, Views: func() []policy.View { return nil }}).Told
+	if len(again) != loadreport.PagesMost || again[0].Incarnation != 2 {
 		t.Errorf("%d pages of life %v", len(again), again[0].Life)
 	}
 }
@@ -243,7 +243,7 @@
 				seq += 2
 				for _, m := range set.Members[1:] {
 					for n := range uint64(2) {
-						in.Heard = append(in.Heard, ledger.Page{Name: m, Life: ledger.Life{Incarnation: 1, Boot: 1}, Number: int(n), Sequence: seq + n})
+						in.Heard = append(in.Heard, loadreport.Page{Name: m, Life: loadreport.Life{Incarnation: 1, Boot: 1}, Number: int(n), Sequence: seq + n})
 					}
 				}
 			}
@@ -261,7 +261,7 @@
 	// Coldness that begins is told with the next look, though the page was told just before.
 	s := newSeam()
 	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
-	look := func(now time.Duration, cold bool) []ledger.Page {
+	look := func(now time.Duration, cold bool) []loadreport.Page {
 		return s.Step(now, Input{Events: []policy.Event{{Kind: policy.Taken, ID: uint32(now), Destination: 9}}, Views: func() []policy.View {
 			return []policy.View{{Listing: policy.Listing{Route: "s-1"}, Cold: cold}}
 		}}).Told
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -13,8 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
 // Form is the newest form that this program reads in full.
@@ -167,7 +167,7 @@
 }
 
 // SetPages puts pages into a message.
-func (m *Message) SetPages(pages ...ledger.Page) {
+func (m *Message) SetPages(pages ...loadreport.Page) {
 	m.Pages = make([]page, 0, len(pages))
 	for _, p := range pages {
 		q := page{p.Name, p.Incarnation, p.Boot, p.Number, p.Sequence, millis(p.Age), make([]cell, 0, len(p.Cells))}
@@ -181,14 +181,14 @@
 }
 
 // LedgerPages are the pages of a message.
-func (m Message) LedgerPages() []ledger.Page {
-	pages := make([]ledger.Page, 0, len(m.Pages))
+func (m Message) LedgerPages() []loadreport.Page {
+	pages := make([]loadreport.Page, 0, len(m.Pages))
 	for _, p := range m.Pages {
-		q := ledger.Page{
-			Name: p.Name, Life: ledger.Life{Incarnation: p.Incarnation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: duration(p.Age),
+		q := loadreport.Page{
+			Name: p.Name, Life: loadreport.Life{Incarnation: p.Incarnation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: duration(p.Age),
 		}
 		for _, c := range p.Cells {
-			q.Cells = append(q.Cells, ledger.Cell{
+			q.Cells = append(q.Cells, loadreport.Cell{
 				Dest: c.Dest, Route: c.Route, Demand: c.Demand, Calls: c.Calls, Refusals: c.Refusals, Deliveries: c.Deliveries,
 				Failures: c.Failures, Backlog: c.Backlog, Wait: duration(c.Wait), Cold: c.Cold,
 			})
@@ -212,23 +212,23 @@
 }
 
 // SetDigest puts a digest into a message.
-func (m *Message) SetDigest(d ledger.Digest) {
+func (m *Message) SetDigest(d loadreport.Digest) {
 	for name, v := range d {
 		m.Digest = append(m.Digest, memberPages{name, v.Incarnation, v.Boot, v.Pages})
 	}
 }
 
 // LedgerDigest is the digest of a message.
-func (m Message) LedgerDigest() ledger.Digest {
-	d := ledger.Digest{}
+func (m Message) LedgerDigest() loadreport.Digest {
+	d := loadreport.Digest{}
 	for _, v := range m.Digest {
-		d[v.Name] = ledger.Versions{Life: ledger.Life{Incarnation: v.Incarnation, Boot: v.Boot}, Pages: v.Pages}
+		d[v.Name] = loadreport.Versions{Life: loadreport.Life{Incarnation: v.Incarnation, Boot: v.Boot}, Pages: v.Pages}
 	}
 	return d
 }
 
 // SetRights puts what one member tells another of rights into a message.
-func (m *Message) SetRights(r rights.Message) {
+func (m *Message) SetRights(r quota.Message) {
 	n := &rightsNote{Incarnation: r.Incarnation, Seq: r.Seq, Seen: r.Seen, OfInc: r.Of.Incarnation, OfBoot: r.Of.Boot, Ping: r.Ping, New: r.New, None: r.None}
 	for _, l := range r.Loans {
 		n.Loans = append(n.Loans, loan{l.Scope.Dest, l.Scope.Route, l.Rate, l.Done, l.Refused})
@@ -243,20 +243,20 @@
 }
 
 // RightsMessage is what a message tells of rights; what it tells is checked by package rights.
-func (m Message) RightsMessage() rights.Message {
+func (m Message) RightsMessage() quota.Message {
 	n := m.Rights
-	r := rights.Message{
-		Member: m.From, Life: ledger.Life{Incarnation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, Seen: n.Seen,
-		Of: ledger.Life{Incarnation: n.OfInc, Boot: n.OfBoot}, Ping: n.Ping, New: n.New, None: n.None,
+	r := quota.Message{
+		Member: m.From, Life: loadreport.Life{Incarnation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, Seen: n.Seen,
+		Of: loadreport.Life{Incarnation: n.OfInc, Boot: n.OfBoot}, Ping: n.Ping, New: n.New, None: n.None,
 	}
 	for _, l := range n.Loans {
-		r.Loans = append(r.Loans, rights.Loan{Scope: rights.Scope{Dest: l.Dest, Route: l.Route}, Rate: l.Rate, Done: l.Done, Refused: l.Refused})
+		r.Loans = append(r.Loans, quota.Loan{Scope: quota.Scope{Dest: l.Dest, Route: l.Route}, Rate: l.Rate, Done: l.Done, Refused: l.Refused})
 	}
 	for _, q := range n.Asks {
-		r.Asks = append(r.Asks, rights.Ask{Scope: rights.Scope{Dest: q.Dest, Route: q.Route}, ID: q.ID, N: q.N, Done: q.Done, Refused: q.Refused})
+		r.Asks = append(r.Asks, quota.Ask{Scope: quota.Scope{Dest: q.Dest, Route: q.Route}, ID: q.ID, N: q.N, Done: q.Done, Refused: q.Refused})
 	}
 	for _, g := range n.Gives {
-		r.Gives = append(r.Gives, rights.Give{Scope: rights.Scope{Dest: g.Dest, Route: g.Route}, ID: g.ID, N: g.N})
+		r.Gives = append(r.Gives, quota.Give{Scope: quota.Scope{Dest: g.Dest, Route: g.Route}, ID: g.ID, N: g.N})
 	}
 	return r
 }
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
 func newCodec(t testing.TB) *Codec {
@@ -22,15 +22,15 @@
 	return c
 }
 
-func sample() (Message, []ledger.Page, ledger.Digest) {
-	pages := []ledger.Page{{
-		Name: "r1", Life: ledger.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
-		Cells: []ledger.Cell{
+func sample() (Message, []loadreport.Page, loadreport.Digest) {
+	pages := []loadreport.Page{{
+		Name: "r1", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
+		Cells: []loadreport.Cell{
 			{Dest: 8, Demand: 0.5, Calls: 0.25, Refusals: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, Wait: 2 * time.Second, Cold: true},
 			{Dest: 9, Route: "s-1", Calls: 1},
 		},
-	}, {Name: "r2", Life: ledger.Life{Incarnation: 1, Boot: 1}, Sequence: 1}}
-	digest := ledger.Digest{"r1": {Life: ledger.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77}}, "r2": {Life: ledger.Life{Incarnation: 1}}}
+	}, {Name: "r2", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: 1}}
+	digest := loadreport.Digest{"r1": {Life: loadreport.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77}}, "r2": {Life: loadreport.Life{Incarnation: 1}}}
 	m := Message{From: "r3", Boot: 4, Clock: 123456789, Asks: true}
 	m.SetPages(pages...)
 	m.SetDigest(digest)
@@ -106,15 +106,15 @@
 		if err != nil {
 			return
 		}
-		l := ledger.New("me", ledger.Life{Incarnation: 1}, []string{"r1", "r2"})
+		l := loadreport.New("me", loadreport.Life{Incarnation: 1}, []string{"r1", "r2"})
 		for _, p := range m.LedgerPages() {
 			out, err := l.Merge(time.Hour, p)
-			if (out == ledger.Refused) != (err != nil) && out != ledger.Refused {
+			if (out == loadreport.Refused) != (err != nil) && out != loadreport.Refused {
 				t.Errorf("%v, %v", out, err)
 			}
 		}
-		l.Pages(time.Hour, func(p ledger.Page) {
-			if p.Age < 0 || p.Age > ledger.AgeMost {
+		l.Pages(time.Hour, func(p loadreport.Page) {
+			if p.Age < 0 || p.Age > loadreport.AgeMost {
 				t.Errorf("age %v", p.Age)
 			}
 		})
@@ -128,19 +128,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := rights.Message{
-		Member: "relay-17", Life: ledger.Life{Incarnation: 3, Boot: 9}, Seq: 70000, Seen: 69000, Of: ledger.Life{Incarnation: 12, Boot: 1 << 31},
+	r := quota.Message{
+		Member: "relay-17", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Seq: 70000, Seen: 69000, Of: loadreport.Life{Incarnation: 12, Boot: 1 << 31},
 		Ping: true, New: true, None: true,
 	}
 	for i := range 24 { // the most that one holds
-		at := rights.Scope{Dest: 40000 + i, Route: fmt.Sprintf("s-%08x", i)}
+		at := quota.Scope{Dest: 40000 + i, Route: fmt.Sprintf("s-%08x", i)}
 		switch i % 3 {
 		case 0:
-			r.Loans = append(r.Loans, rights.Loan{Scope: at, Rate: 0.123456789, Done: 1 << 20, Refused: 1 << 12})
+			r.Loans = append(r.Loans, quota.Loan{Scope: at, Rate: 0.123456789, Done: 1 << 20, Refused: 1 << 12})
 		case 1:
-			r.Asks = append(r.Asks, rights.Ask{Scope: at, ID: 1 << 20, N: 16, Done: 1 << 20, Refused: 1 << 12})
+			r.Asks = append(r.Asks, quota.Ask{Scope: at, ID: 1 << 20, N: 16, Done: 1 << 20, Refused: 1 << 12})
 		case 2:
-			r.Gives = append(r.Gives, rights.Give{Scope: at, ID: 1 << 20, N: 16})
+			r.Gives = append(r.Gives, quota.Give{Scope: at, ID: 1 << 20, N: 16})
 		}
 	}
 	m := Message{From: r.Member, Boot: r.Boot, Clock: 1 << 40}
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -6,34 +6,34 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-func goldenRights() rights.Message {
-	scope := rights.Scope{Dest: 7, Route: "s-1"}
-	return rights.Message{
-		Member: "r3", Life: ledger.Life{Incarnation: 5, Boot: 4}, Seq: 70, Seen: 69, Of: ledger.Life{Incarnation: 12, Boot: 13},
+func goldenRights() quota.Message {
+	scope := quota.Scope{Dest: 7, Route: "s-1"}
+	return quota.Message{
+		Member: "r3", Life: loadreport.Life{Incarnation: 5, Boot: 4}, Seq: 70, Seen: 69, Of: loadreport.Life{Incarnation: 12, Boot: 13},
 		Ping: true, New: true, None: true,
-		Loans: []rights.Loan{{Scope: scope, Rate: 0.25, Done: 20, Refused: 21}},
-		Asks:  []rights.Ask{{Scope: scope, ID: 30, N: 31, Done: 32, Refused: 33}},
-		Gives: []rights.Give{{Scope: scope, ID: 40, N: 41}},
+		Loans: []quota.Loan{{Scope: scope, Rate: 0.25, Done: 20, Refused: 21}},
+		Asks:  []quota.Ask{{Scope: scope, ID: 30, N: 31, Done: 32, Refused: 33}},
+		Gives: []quota.Give{{Scope: scope, ID: 40, N: 41}},
 	}
 }
 
 // Every kind of message has the bytes that earlier builds wrote, and is read as the same.
 func TestGoldenMessages(t *testing.T) {
-	page := ledger.Page{
-		Name: "r1", Life: ledger.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
-		Cells: []ledger.Cell{
+	page := loadreport.Page{
+		Name: "r1", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
+		Cells: []loadreport.Cell{
 			{Dest: 8, Demand: 0.5, Calls: 0.25, Refusals: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, Wait: 2 * time.Second, Cold: true},
 			{Dest: 9, Route: "s-1", Calls: 1},
 		},
 	}
-	digest := ledger.Digest{"r1": {Life: ledger.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77, 3: 78}}}
+	digest := loadreport.Digest{"r1": {Life: loadreport.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77, 3: 78}}}
 	var pages, digests, told, filled Message
 	pages.SetPages(page)
 	digests.SetDigest(digest)
@@ -61,7 +61,7 @@
 		}
 		switch name {
 		case "page":
-			if p := got.LedgerPages(); !reflect.DeepEqual(p, []ledger.Page{page}) {
+			if p := got.LedgerPages(); !reflect.DeepEqual(p, []loadreport.Page{page}) {
 				t.Errorf("%+v\nwant %+v", p, page)
 			}
 		case "digest":
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,10 +24,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/link"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/membership"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -58,25 +58,25 @@
 // Member is a relay's place in its fleet. Step is the loop's; the others may be called from any goroutine.
 type Member struct {
 	cfg  Config
-	life ledger.Life
-	seam *seam.Seam
-	last *link.Link    // that Step has met; the loop's
-	told time.Duration // when standing was put last; the loop's
+	life loadreport.Life
+	seam *agent.Seam
+	last *membership.Link // that Step has met; the loop's
+	told time.Duration    // when standing was put last; the loop's
 
-	standing atomic.Pointer[[]rights.Standing]
+	standing atomic.Pointer[[]quota.Standing]
 
 	mu   sync.Mutex
-	link *link.Link // nil: it does not listen yet, or no more
-	why  error      // it does not
+	link *membership.Link // nil: it does not listen yet, or no more
+	why  error            // it does not
 }
 
 // New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the first.
 func New(cfg Config) *Member {
-	life := ledger.Life{Incarnation: readLife(cfg) + 1, Boot: rand.Uint32()}
+	life := loadreport.Life{Incarnation: readLife(cfg) + 1, Boot: rand.Uint32()}
 	if err := writeLife(cfg, life.Incarnation); err != nil {
 		cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
 	}
-	return &Member{cfg: cfg, life: life, seam: seam.New(seam.Settings{
+	return &Member{cfg: cfg, life: life, seam: agent.New(agent.Settings{
 		Self: cfg.Name, Life: life, Members: slices.Sorted(maps.Keys(cfg.Join)), Kinds: cfg.Kinds,
 		Rights: cfg.Rights, Senders: cfg.Senders,
 	})}
@@ -132,7 +132,7 @@
 }
 
 func (m *Member) start() {
-	l, err := link.Start(link.Config{
+	l, err := membership.Start(membership.Config{
 		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Join: m.cfg.Join, Life: m.life, Log: m.cfg.Log, News: m.cfg.Nudge,
 		Raise: func(n uint64) error { return writeLife(m.cfg, n) }, Transport: m.cfg.Transport,
 	})
@@ -143,21 +143,21 @@
 	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.life.Incarnation)
 }
 
-func (m *Member) up() *link.Link {
+func (m *Member) up() *membership.Link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.link
 }
 
-func (m *Member) set(l *link.Link, why error) {
+func (m *Member) set(l *membership.Link, why error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.link, m.why = l, why
 }
 
 // Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in its next step.
-func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.View) (seam.Record, []policy.Event) {
-	var rec seam.Record
+func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.View) (agent.Record, []policy.Event) {
+	var rec agent.Record
 	var decided time.Duration // by the link's clock, when now was or before
 	l := m.up()
 	if l != nil {
@@ -168,7 +168,7 @@
 			rec.RightsHeard = l.HeardRights()
 		}
 	}
-	out := m.seam.Step(now, seam.Input{Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: events, Actions: actions, Views: views})
+	out := m.seam.Step(now, agent.Input{Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: events, Actions: actions, Views: views})
 	rec.Told, rec.RightsTold = out.Told, out.Rights
 	if b := m.seam.Rights(); b != nil && now >= m.told+standingEvery {
 		all := b.Standings(now)
@@ -201,14 +201,14 @@
 }
 
 // Seam is the pure part. It must only be asked, by the loop.
-func (m *Member) Seam() *seam.Seam { return m.seam }
+func (m *Member) Seam() *agent.Seam { return m.seam }
 
 // Status is what a member tells of its fleet.
 type Status struct {
-	Up     bool              `json:"up"`
-	Why    string            `json:"why,omitempty"`    // it is not
-	Rights []rights.Standing `json:"rights,omitempty"` // where limits are shared
-	*link.Status
+	Up     bool             `json:"up"`
+	Why    string           `json:"why,omitempty"`    // it is not
+	Rights []quota.Standing `json:"rights,omitempty"` // where limits are shared
+	*membership.Status
 }
 
 // Status tells of the fleet as this member sees it.
--- a/internal/fleet/ledger/claim_test.go
+++ b/internal/fleet/loadreport/claim_test.go
@@ -1,4 +1,4 @@
-package ledger
+package loadreport
 
 import (
 	"slices"
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/loadreport/ledger.go
@@ -5,7 +5,7 @@
 // for each page, the greatest sequence; of one version heard twice the lesser age, since each that is heard is a bound from above
 // (Transit). Merging is therefore commutative, associative and idempotent, whatever is lost, doubled or late on the way (property tests). What is heard fades with its age,
 // without a step, and is dropped when next to nothing is left of it.
-package ledger
+package loadreport
 
 import (
 	"cmp"
--- a/internal/fleet/link/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package membership
 
 import (
 	"flag"
@@ -6,7 +6,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
 )
 
@@ -18,11 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := ledger.Life{Incarnation: 3, Boot: 9}
-	l := &Link{codec: c, ledger: ledger.New("me", life, []string{"a"})}
+	life := loadreport.Life{Incarnation: 3, Boot: 9}
+	l := &Link{codec: c, ledger: loadreport.New("me", life, []string{"a"})}
 	l.cfg = Config{Name: "me", Life: life, now: func() time.Duration { return time.Minute }}
-	page := ledger.Page{Name: "a", Life: ledger.Life{Incarnation: 5, Boot: 6}, Number: 2, Sequence: 7, Cells: []ledger.Cell{{Dest: 8, Calls: 1}}}
-	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != ledger.Changed {
+	page := loadreport.Page{Name: "a", Life: loadreport.Life{Incarnation: 5, Boot: 6}, Number: 2, Sequence: 7, Cells: []loadreport.Cell{{Dest: 8, Calls: 1}}}
+	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != loadreport.Changed {
 		t.Fatal(outcome, err)
 	}
 	golden.Check(t, *update, "local-state.cbor", (*delegate)(l).LocalState(false))
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/membership/link.go
@@ -1,7 +1,7 @@
 // Package link carries what relays of a fleet tell each other: membership, failure detection and gossip are memberlist's (SWIM
 // with Lifeguard), on its own transport, with each member's name standing for an address of this relay's own. Nothing here decides, and
 // nobody who tells or asks ever waits for the network.
-package link
+package membership
 
 import (
 	"cmp"
@@ -21,8 +21,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
 const (
@@ -46,7 +46,7 @@
 	Fleet  string            // members of another fleet are not heard; "": any
 	Listen string            // IP and port, for TCP and UDP; port 0: any that is free
 	Join   map[string]string // addresses of all members by their names, as this relay reaches them; its own is passed over
-	Life   ledger.Life
+	Life   loadreport.Life
 	Log    *slog.Logger
 	// Raise keeps an incarnation beyond the process. It is called away from whoever tells or asks.
 	Raise func(incarnation uint64) error
@@ -69,12 +69,12 @@
 	wire  *transport
 
 	mu     sync.Mutex
-	ledger *ledger.Ledger
-	intake ledger.Intake[codec.Message]
+	ledger *loadreport.Ledger
+	intake loadreport.Intake[codec.Message]
 	mail   map[place]struct{}
-	life   ledger.Life // a new one that Heard has not told yet
-	going  bool        // a new life is beginning
-	claim  ledger.Claim
+	life   loadreport.Life // a new one that Heard has not told yet
+	going  bool            // a new life is beginning
+	claim  loadreport.Claim
 	rights []heardRights // until HeardRights
 	counts Counts
 	closed bool
@@ -107,19 +107,19 @@
 type note struct {
 	to     string
 	pong   *codec.Pong
-	rights *rights.Message
+	rights *quota.Message
 	at     time.Duration // rights: when they were decided
 }
 
 // heardRights is what came of rights, and when it was sent at the latest.
 type heardRights struct {
-	rights.Message
+	quota.Message
 	sent time.Duration
 }
 
 type reply struct {
 	to     string
-	digest ledger.Digest
+	digest loadreport.Digest
 }
 
 // Start begins to listen, to tell and to hear. It fails where the address cannot be had.
@@ -133,8 +133,8 @@
 		cfg.now = func() time.Duration { return time.Since(began) }
 	}
 	l := &Link{
-		cfg: cfg, codec: c, ledger: ledger.New(cfg.Name, cfg.Life, names(cfg.Join)), mail: map[place]struct{}{},
-		intake:  ledger.Intake[codec.Message]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
+		cfg: cfg, codec: c, ledger: loadreport.New(cfg.Name, cfg.Life, names(cfg.Join)), mail: map[place]struct{}{},
+		intake:  loadreport.Intake[codec.Message]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
 		notes:   make(chan note, notesMost),
 		replies: make(chan reply, repliesMost), raising: make(chan struct{}, 1),
 	}
@@ -214,13 +214,13 @@
 func (l *Link) Alive() int { return l.list.NumMembers() }
 
 // Tell has pages of this member told. It waits for nothing.
-func (l *Link) Tell(pages []ledger.Page) {
+func (l *Link) Tell(pages []loadreport.Page) {
 	now := l.cfg.now()
 	var take []place
 	l.mu.Lock()
 	for _, p := range pages {
 		p.Age = 0
-		if l.ledger.Keep(now, p) == ledger.Changed && !l.claim.Silent(now) {
+		if l.ledger.Keep(now, p) == loadreport.Changed && !l.claim.Silent(now) {
 			take = append(take, place{p.Name, p.Number})
 		}
 	}
@@ -235,7 +235,7 @@
 }
 
 // Heard returns what was heard since it was called last, with the ages that it has now, and the member's own life if that is new.
-func (l *Link) Heard() (pages []ledger.Page, life ledger.Life) {
+func (l *Link) Heard() (pages []loadreport.Page, life loadreport.Life) {
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,10 +245,10 @@
 		}
 	}
 	clear(l.mail)
-	slices.SortFunc(pages, func(a, b ledger.Page) int {
+	slices.SortFunc(pages, func(a, b loadreport.Page) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Number, b.Number))
 	})
-	life, l.life = l.life, ledger.Life{}
+	life, l.life = l.life, loadreport.Life{}
 	return pages, life
 }
 
@@ -257,7 +257,7 @@
 
 // TellRights has messages sent, each to its member, that were decided at a time of Now's. It waits for nothing; what is beyond the room is lost, as a
 // datagram may be.
-func (l *Link) TellRights(at time.Duration, messages []rights.Message) {
+func (l *Link) TellRights(at time.Duration, messages []quota.Message) {
 	l.mu.Lock()
 	silent := l.claim.Silent(l.cfg.now())
 	l.mu.Unlock()
@@ -269,7 +269,7 @@
 }
 
 // HeardRights returns what was heard of rights since it was called last, as old as it is at most.
-func (l *Link) HeardRights() (messages []rights.Message) {
+func (l *Link) HeardRights() (messages []quota.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.now()
@@ -282,7 +282,7 @@
 }
 
 // SetLimits takes what the list tells of destinations, by which absurd figures are known.
-func (l *Link) SetLimits(limits ledger.Limits) {
+func (l *Link) SetLimits(limits loadreport.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.SetLimits(limits)
@@ -290,22 +290,22 @@
 
 // Member is what a link knows of another member.
 type Member struct {
-	ledger.MemberStats
+	loadreport.MemberStats
 	Addr  string `json:"addr"`  // as this relay reaches it
 	State string `json:"state"` // alive, suspect, dead, left, or unseen
 }
 
 // Status is what a link tells of itself.
 type Status struct {
-	Name    string                   `json:"name"`
-	Fleet   string                   `json:"fleet"`
-	Listen  string                   `json:"listen"`
-	Life    ledger.Life              `json:"life"`
-	Twin    bool                     `json:"twin"` // another process has this name: nothing is told
-	Health  int                      `json:"health"`
-	Queued  int                      `json:"queued"`
-	Members []Member                 `json:"members"`
-	Refused map[ledger.Reason]uint64 `json:"refused"`
+	Name    string                       `json:"name"`
+	Fleet   string                       `json:"fleet"`
+	Listen  string                       `json:"listen"`
+	Life    loadreport.Life              `json:"life"`
+	Twin    bool                         `json:"twin"` // another process has this name: nothing is told
+	Health  int                          `json:"health"`
+	Queued  int                          `json:"queued"`
+	Members []Member                     `json:"members"`
+	Refused map[loadreport.Reason]uint64 `json:"refused"`
 	Counts
 }
 
@@ -333,8 +333,8 @@
 		if name == l.cfg.Name {
 			continue
 		}
-		m := Member{MemberStats: ledger.MemberStats{Name: name, Age: -1}, Addr: l.cfg.Join[name], State: cmp.Or(states[name], "unseen")}
-		if i := slices.IndexFunc(told, func(t ledger.MemberStats) bool { return t.Name == name }); i >= 0 {
+		m := Member{MemberStats: loadreport.MemberStats{Name: name, Age: -1}, Addr: l.cfg.Join[name], State: cmp.Or(states[name], "unseen")}
+		if i := slices.IndexFunc(told, func(t loadreport.MemberStats) bool { return t.Name == name }); i >= 0 {
 			m.MemberStats = told[i]
 		}
 		s.Members = append(s.Members, m)
@@ -411,9 +411,9 @@
 			p.Age += held
 		}
 		switch out, _ := l.ledger.Merge(now, p); out { // what it refuses it counts
-		case ledger.Changed:
+		case loadreport.Changed:
 			news = append(news, place{p.Name, p.Number})
-		case ledger.Rival:
+		case loadreport.Rival:
 			l.rival(now)
 		}
 	}
@@ -472,7 +472,7 @@
 
 // tellLoop has the loop told of news. mu is held.
 func (l *Link) tellLoop(news []place) {
-	if len(news) == 0 && l.life == (ledger.Life{}) {
+	if len(news) == 0 && l.life == (loadreport.Life{}) {
 		return
 	}
 	first := len(l.mail) == 0
@@ -518,13 +518,13 @@
 	defer l.mu.Unlock()
 	l.going = false
 	l.cfg.Log.Info("fleet: heard a later life of this relay; beginning a new one", "incarnation", incarnation)
-	l.life = ledger.Life{Incarnation: incarnation, Boot: l.cfg.Life.Boot}
+	l.life = loadreport.Life{Incarnation: incarnation, Boot: l.cfg.Life.Boot}
 	l.ledger.Raise(l.life)
 	l.tellLoop(nil)
 }
 
 // message is what a place holds, as it is to be told now.
-func (l *Link) message(pages ...ledger.Page) []byte {
+func (l *Link) message(pages ...loadreport.Page) []byte {
 	var m codec.Message
 	if len(pages) > 0 {
 		m = codec.Message{From: l.cfg.Name, Boot: l.cfg.Life.Boot, Clock: l.cfg.now().Microseconds()}
@@ -558,7 +558,7 @@
 		l.mu.Lock()
 		pages := l.ledger.Newer(l.cfg.now(), r.digest)
 		if l.claim.Silent(l.cfg.now()) {
-			pages = slices.DeleteFunc(pages, func(p ledger.Page) bool { return p.Name == l.cfg.Name })
+			pages = slices.DeleteFunc(pages, func(p loadreport.Page) bool { return p.Name == l.cfg.Name })
 		}
 		l.mu.Unlock()
 		for batch := range slices.Chunk(pages, batchBytes/pageGuess) {
@@ -587,7 +587,7 @@
 		l.mu.Lock()
 		l.ledger.Sweep(l.cfg.now())
 		l.mu.Unlock()
-		if most := len(all) * ledger.PagesMost; l.queue.NumQueued() > most { // a queue that was never used must not be pruned
+		if most := len(all) * loadreport.PagesMost; l.queue.NumQueued() > most { // a queue that was never used must not be pruned
 			l.queue.Prune(most)
 		}
 		wait := rejoinEvery/2 + rand.N(rejoinEvery)
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/membership/link_test.go
@@ -1,4 +1,4 @@
-package link
+package membership
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
 // network joins links within one process, with nothing between them but what a test puts there.
@@ -94,7 +94,7 @@
 	}
 	for i := range n {
 		c := Config{
-			Name: linkName(i), Join: join, Life: ledger.Life{Incarnation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
+			Name: linkName(i), Join: join, Life: loadreport.Life{Incarnation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
 			Raise: func(uint64) error { return nil }, Transport: taps[i],
 		}
 		if edit != nil {
@@ -116,8 +116,8 @@
 	return links
 }
 
-func pageOf(l *Link, number int, seq uint64, calls float64) ledger.Page {
-	return ledger.Page{Name: l.cfg.Name, Life: l.ledger.Life(), Number: number, Sequence: seq, Cells: []ledger.Cell{
+func pageOf(l *Link, number int, seq uint64, calls float64) loadreport.Page {
+	return loadreport.Page{Name: l.cfg.Name, Life: l.ledger.Life(), Number: number, Sequence: seq, Cells: []loadreport.Cell{
 		{Dest: number << 2, Demand: calls, Calls: calls, Deliveries: calls},
 	}}
 }
@@ -146,7 +146,7 @@
 	net.fault = func(from, to string) bool { return late.Load() != true && (from == linkName(4) || to == linkName(4)) }
 	links := mesh(t, net, 5, func(_ int, c *Config) { c.syncEvery = 300 * time.Millisecond })
 	for _, l := range links {
-		l.Tell([]ledger.Page{pageOf(l, 0, 1, 2)})
+		l.Tell([]loadreport.Page{pageOf(l, 0, 1, 2)})
 	}
 	all := func(of []*Link, seq uint64) func() bool {
 		return func() bool {
@@ -168,7 +168,7 @@
 	eventually(t, "all five hear each other", all(links, 1))
 	for i, l := range links {
 		heard, _ := l.Heard()
-		if len(heard) != 4 || !slices.IsSortedFunc(heard, func(a, b ledger.Page) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) }) {
+		if len(heard) != 4 || !slices.IsSortedFunc(heard, func(a, b loadreport.Page) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) }) {
 			t.Errorf("%d: %v", i, heard)
 		}
 		if again, _ := l.Heard(); len(again) > 0 {
@@ -180,7 +180,7 @@
 		eventually(t, "the queue empties", func() bool { return l.Status().Queued == 0 })
 	}
 	net.loss.Store(1e6)
-	links[0].Tell([]ledger.Page{pageOf(links[0], 0, 2, 3)})
+	links[0].Tell([]loadreport.Page{pageOf(links[0], 0, 2, 3)})
 	eventually(t, "by digests alone", func() bool {
 		return slices.IndexFunc(links[1:], func(l *Link) bool { return l.holds(linkName(0), 0, 2) }) >= 0
 	})
@@ -190,7 +190,7 @@
 // ever, and the relay's loop with them.
 func TestStatusWhileTheQueueIsRead(t *testing.T) {
 	l := mesh(t, &network{}, 1, nil)[0]
-	l.Tell([]ledger.Page{pageOf(l, 0, 1, 2)})
+	l.Tell([]loadreport.Page{pageOf(l, 0, 1, 2)})
 	l.mu.Lock()
 	done := make(chan struct{}, 2)
 	go func() { l.Status(); done <- struct{}{} }()
@@ -211,7 +211,7 @@
 func TestHeldUpIsOlder(t *testing.T) {
 	var clock atomic.Int64
 	now := func() time.Duration { return time.Duration(clock.Load()) }
-	sender := &Link{cfg: Config{Name: "a", Life: ledger.Life{Incarnation: 1, Boot: 1}, now: now}}
+	sender := &Link{cfg: Config{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, now: now}}
 	hearer := mesh(t, &network{}, 2, func(i int, c *Config) {
 		c.Join = map[string]string{"a": "127.0.0.1:1"}
 		if i == 0 {
@@ -219,7 +219,7 @@
 		}
 	})[0]
 	sender.codec = hearer.codec
-	hearer.hear(sender.message(ledger.Page{Name: "a", Life: sender.cfg.Life, Sequence: 1}))
+	hearer.hear(sender.message(loadreport.Page{Name: "a", Life: sender.cfg.Life, Sequence: 1}))
 	if got, _ := hearer.Heard(); len(got) > 0 {
 		t.Fatal("heard of one whose clock is not known, who may have told it at any time:", got)
 	}
@@ -230,8 +230,8 @@
 	if got, _ := hearer.Heard(); len(got) != 1 {
 		t.Fatal("what was put aside is lost:", got)
 	}
-	page := func(seq uint64) ledger.Page {
-		return ledger.Page{Name: "a", Life: sender.cfg.Life, Sequence: seq, Cells: []ledger.Cell{{Dest: 1, Calls: 1}}}
+	page := func(seq uint64) loadreport.Page {
+		return loadreport.Page{Name: "a", Life: sender.cfg.Life, Sequence: seq, Cells: []loadreport.Cell{{Dest: 1, Calls: 1}}}
 	}
 	clock.Add(int64(time.Second))
 	data := sender.message(page(2))
@@ -260,14 +260,14 @@
 	})
 	l := links[0]
 	// What the other process tells comes over a third one.
-	over := &Link{cfg: Config{Name: linkName(1), Life: ledger.Life{Incarnation: 1, Boot: 999}, now: now}, codec: l.codec}
+	over := &Link{cfg: Config{Name: linkName(1), Life: loadreport.Life{Incarnation: 1, Boot: 999}, now: now}, codec: l.codec}
 	l.mu.Lock()
 	l.intake.Calibrate(linkName(1), 999, 0, 0, 0)
 	l.mu.Unlock()
 	for i := range 3 {
-		life := ledger.Life{Incarnation: uint64(10 * (i + 1)), Boot: 999}
-		p := ledger.Page{Name: l.cfg.Name, Life: life, Sequence: 1}
-		l.hear(over.message(p, ledger.Page{Name: l.cfg.Name, Life: life, Number: 1, Sequence: 2}))
+		life := loadreport.Life{Incarnation: uint64(10 * (i + 1)), Boot: 999}
+		p := loadreport.Page{Name: l.cfg.Name, Life: life, Sequence: 1}
+		l.hear(over.message(p, loadreport.Page{Name: l.cfg.Name, Life: life, Number: 1, Sequence: 2}))
 		eventually(t, "a new life", func() bool {
 			_, mine := l.Heard()
 			return mine.Incarnation == life.Incarnation+1 || kept.Load() == life.Incarnation+1 && l.Status().Life.Incarnation == life.Incarnation+1
@@ -276,18 +276,18 @@
 			t.Fatal("silent after", i, "lives of another")
 		}
 	}
-	l.hear(over.message(ledger.Page{Name: l.cfg.Name, Life: ledger.Life{Incarnation: 99, Boot: 999}, Sequence: 1}))
+	l.hear(over.message(loadreport.Page{Name: l.cfg.Name, Life: loadreport.Life{Incarnation: 99, Boot: 999}, Sequence: 1}))
 	if s := l.Status(); !s.Twin {
 		t.Fatalf("%+v", s)
 	}
-	l.Tell([]ledger.Page{pageOf(l, 0, 1, 1)})
+	l.Tell([]loadreport.Page{pageOf(l, 0, 1, 1)})
 	if l.Status().Queued != 0 {
 		t.Error("it goes on telling")
 	}
 	mu.Lock()
 	at += 61 * time.Second
 	mu.Unlock()
-	l.Tell([]ledger.Page{pageOf(l, 0, 2, 1)})
+	l.Tell([]loadreport.Page{pageOf(l, 0, 2, 1)})
 	if s := l.Status(); s.Twin || s.Queued == 0 {
 		t.Errorf("still silent: %+v", s)
 	}
@@ -359,7 +359,7 @@
 	}
 	defer list.Shutdown()
 	for _, l := range links {
-		l.Tell([]ledger.Page{pageOf(l, 0, 1, 1)})
+		l.Tell([]loadreport.Page{pageOf(l, 0, 1, 1)})
 	}
 	for i, l := range links {
 		eventually(t, "the newer one is heard", func() bool { return l.holds("r900", 0, 1) && l.Status().Newer > 0 })
@@ -426,7 +426,7 @@
 					return
 				case <-timer.C:
 				}
-				l.Tell([]ledger.Page{pageOf(l, 0, seq, float64(seq%7))})
+				l.Tell([]loadreport.Page{pageOf(l, 0, seq, float64(seq%7))})
 				timer.Reset(2500 * time.Millisecond)
 			}
 		})
@@ -442,7 +442,7 @@
 		eventually(t, "all know of the change", func() bool {
 			if !time.Now().Before(again) { // it is told anew like all others, so that it does not fade
 				seq++
-				links[0].Tell([]ledger.Page{pageOf(links[0], 0, seq, 5)})
+				links[0].Tell([]loadreport.Page{pageOf(links[0], 0, seq, 5)})
 				again = again.Add(2500 * time.Millisecond)
 			}
 			for i, l := range links {
--- a/internal/fleet/rights/rights.go
+++ b/internal/fleet/quota/rights.go
@@ -8,7 +8,7 @@
 // apart; a keeper stops before that, since it counts the lease from when the loan was sent at the latest. A process that begins anew may have
 // lent all that it lends in a life that it does not remember: it waits a lease out. So what all may use at once is never more than the limit,
 // whatever is lost, doubled, late, stopped or restarted. Nothing of a member that is silent is given away but what it lent itself.
-package rights
+package quota
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
 const (
@@ -104,28 +104,28 @@
 // Message is what one member tells another alone.
 type Message struct {
 	Member string `cbor:"Member"` // from whom or to whom
-	ledger.Life
-	Seq   uint64        `cbor:"Seq"`
-	Held  time.Duration `cbor:"Held"` // how long it was under way, at most
-	Seen  uint64        `cbor:"Seen"` // the greatest Seq heard of the other, of SeenLife
-	Of    ledger.Life   `cbor:"Of"`
-	Ping  bool          `cbor:"Ping"` // asks for an answer
-	New   bool          `cbor:"New"`  // asks whether a loan of another life of the sender is held
-	None  bool          `cbor:"None"` // none is, and none will be taken as long as one may be under way
-	Loans []Loan        `cbor:"Loans"`
-	Asks  []Ask         `cbor:"Asks"`
-	Gives []Give        `cbor:"Gives"`
+	loadreport.Life
+	Seq   uint64          `cbor:"Seq"`
+	Held  time.Duration   `cbor:"Held"` // how long it was under way, at most
+	Seen  uint64          `cbor:"Seen"` // the greatest Seq heard of the other, of SeenLife
+	Of    loadreport.Life `cbor:"Of"`
+	Ping  bool            `cbor:"Ping"` // asks for an answer
+	New   bool            `cbor:"New"`  // asks whether a loan of another life of the sender is held
+	None  bool            `cbor:"None"` // none is, and none will be taken as long as one may be under way
+	Loans []Loan          `cbor:"Loans"`
+	Asks  []Ask           `cbor:"Asks"`
+	Gives []Give          `cbor:"Gives"`
 }
 
 // Settings are what a Book is made of.
 type Settings struct {
-	Self    string        `cbor:"Self"`
-	Life    ledger.Life   `cbor:"Life"`
-	Members []string      `cbor:"Members"` // that are listed
-	Senders int           `cbor:"Senders"` // the told size of the fleet: parts are of it, however many are listed
-	Lease   time.Duration `cbor:"Lease"`
-	Margin  time.Duration `cbor:"Margin"`
-	Fresh   bool          `cbor:"Fresh"` // no earlier life of this member can have lent anything
+	Self    string          `cbor:"Self"`
+	Life    loadreport.Life `cbor:"Life"`
+	Members []string        `cbor:"Members"` // that are listed
+	Senders int             `cbor:"Senders"` // the told size of the fleet: parts are of it, however many are listed
+	Lease   time.Duration   `cbor:"Lease"`
+	Margin  time.Duration   `cbor:"Margin"`
+	Fresh   bool            `cbor:"Fresh"` // no earlier life of this member can have lent anything
 }
 
 type loan struct {
@@ -136,20 +136,20 @@
 
 type held struct {
 	From string `cbor:"From"`
-	ledger.Life
+	loadreport.Life
 	Rate  float64       `cbor:"Rate"`
 	Until time.Duration `cbor:"Until"`
 }
 
 type count struct {
-	ledger.Life
+	loadreport.Life
 	Done    uint32 `cbor:"Done"`
 	Refused uint32 `cbor:"Refused"`
 }
 
 type queued struct {
 	From string `cbor:"From"`
-	ledger.Life
+	loadreport.Life
 	ID    uint32        `cbor:"ID"`
 	N     int           `cbor:"N"`
 	Given int           `cbor:"Given"`
@@ -193,17 +193,17 @@
 
 // peer is another member.
 type peer struct {
-	ledger.Life
-	Seen   uint64        `cbor:"Seen"`  // greatest Seq heard of it
-	Heard  time.Duration `cbor:"Heard"` // last; never: below 0
-	Pinged time.Duration `cbor:"Pinged"`
-	Sent   time.Duration `cbor:"Sent"`   // loans, last
-	Acked  bool          `cbor:"Acked"`  // they are
-	SentAs uint64        `cbor:"SentAs"` // their Seq
-	None   bool          `cbor:"None"`   // it holds no loan of another life of this member
-	Asked  time.Duration `cbor:"Asked"`  // that, last
-	Only   ledger.Life   `cbor:"Only"`   // it was told so: loans of other lives are not taken
-	Until  time.Duration `cbor:"Until"`  // before then
+	loadreport.Life
+	Seen   uint64          `cbor:"Seen"`  // greatest Seq heard of it
+	Heard  time.Duration   `cbor:"Heard"` // last; never: below 0
+	Pinged time.Duration   `cbor:"Pinged"`
+	Sent   time.Duration   `cbor:"Sent"`   // loans, last
+	Acked  bool            `cbor:"Acked"`  // they are
+	SentAs uint64          `cbor:"SentAs"` // their Seq
+	None   bool            `cbor:"None"`   // it holds no loan of another life of this member
+	Asked  time.Duration   `cbor:"Asked"`  // that, last
+	Only   loadreport.Life `cbor:"Only"`   // it was told so: loans of other lives are not taken
+	Until  time.Duration   `cbor:"Until"`  // before then
 }
 
 // State is all that a Book holds, exported for snapshots alone.
@@ -258,17 +258,17 @@
 }
 
 // Raise has the member go on under another life.
-func (b *Book) Raise(life ledger.Life) { b.Set.Life = life }
+func (b *Book) Raise(life loadreport.Life) { b.Set.Life = life }
 
 // hold is how long a lender leaves alone what it lends.
 func (b *Book) hold() time.Duration {
-	return time.Duration(float64(b.Set.Lease)*(1+2*ledger.Drift)) + b.Set.Margin
+	return time.Duration(float64(b.Set.Lease)*(1+2*loadreport.Drift)) + b.Set.Margin
 }
 
 func (b *Book) part(a *Account) float64 { return a.Limit / float64(max(1, b.Set.Senders)) }
 
 // SetLimits takes what the list tells. What was lent of a destination that has gone stays lent.
-func (b *Book) SetLimits(now time.Duration, limits ledger.Limits) {
+func (b *Book) SetLimits(now time.Duration, limits loadreport.Limits) {
 	b.Now = now
 	for s, a := range b.Accounts {
 		b.mint(s, a)
@@ -543,7 +543,7 @@
 }
 
 // counted takes how a member's calls went.
-func (b *Book) counted(a *Account, member string, life ledger.Life, done, refused uint32) {
+func (b *Book) counted(a *Account, member string, life loadreport.Life, done, refused uint32) {
 	was, ok := a.Counts[member]
 	if c := (count{life, done, refused}); !ok || life.Compare(was.Life) > 0 {
 		a.Counts[member] = c // what came before is not known
--- a/internal/fleet/rights/rights_test.go
+++ b/internal/fleet/quota/rights_test.go
@@ -1,4 +1,4 @@
-package rights
+package quota
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
 // tiny is a fleet of books on clocks that run apart, and a network that does what it likes.
@@ -34,7 +34,7 @@
 type tinyMember struct {
 	name    string
 	book    *Book
-	transit ledger.Transit
+	transit loadreport.Transit
 	offset  time.Duration
 	drift   float64
 	lives   uint64 // of its folder
@@ -59,12 +59,12 @@
 		t.set.Members = append(t.set.Members, fmt.Sprint("m", i))
 	}
 	if w.noMargin {
-		t.set.Margin = -time.Duration(2 * ledger.Drift * float64(Lease))
+		t.set.Margin = -time.Duration(2 * loadreport.Drift * float64(Lease))
 	}
 	t.set.Fresh = w.forgets
 	for i := range n {
 		t.members = append(t.members, &tinyMember{
-			name: t.set.Members[i], offset: time.Duration(draw(0, 1000)) * time.Hour, drift: float64(draw(-100, 100)) / 100 * ledger.Drift / 2,
+			name: t.set.Members[i], offset: time.Duration(draw(0, 1000)) * time.Hour, drift: float64(draw(-100, 100)) / 100 * loadreport.Drift / 2,
 		})
 	}
 	for i := range n {
@@ -81,13 +81,13 @@
 	m := t.members[i]
 	m.lives, m.boots = m.lives+1, m.boots+1
 	set := t.set
-	set.Self, set.Life = m.name, ledger.Life{Incarnation: m.lives, Boot: m.boots}
+	set.Self, set.Life = m.name, loadreport.Life{Incarnation: m.lives, Boot: m.boots}
 	now := m.clock(t.now)
 	if m.book = New(now, set); t.wrong.forgets && m.lives > 1 {
 		m.book.Began = now
 	}
-	m.book.SetLimits(now, ledger.Limits{scope.Dest: {"": t.limit}})
-	m.transit, m.inbox, m.stopped = ledger.Transit{}, nil, false
+	m.book.SetLimits(now, loadreport.Limits{scope.Dest: {"": t.limit}})
+	m.transit, m.inbox, m.stopped = loadreport.Transit{}, nil, false
 	for j, o := range t.members { // questions for clocks are the carrier's, and answered at once here
 		if o.book != nil {
 			m.transit.Calibrate(o.name, o.boots, o.clock(t.now), now, now)
@@ -415,7 +415,7 @@
 
 // Of more limits than are lent, equal events lend the same.
 func TestTheSameLimitsAreLentBeyondTheBound(t *testing.T) {
-	limits := ledger.Limits{}
+	limits := loadreport.Limits{}
 	for dest := range scopesMost + 100 {
 		limits[dest] = map[string]float64{"": 10, "a": 5, "b": 5}
 	}
--- a/internal/flight/golden_test.go
+++ b/internal/flight/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
@@ -32,7 +32,7 @@
 // goldenRun is a short life of a module, with its fleet's seam beside it or without.
 type goldenRun struct {
 	sender   *policy.Sender
-	seam     *seam.Seam // nil: the fleet is off
+	seam     *agent.Seam // nil: the fleet is off
 	recorder *flight.Recorder
 	events   []policy.Event // of the next step
 }
@@ -47,8 +47,8 @@
 	meta := flight.Meta{Name: "n1", Revision: "golden", Program: "v1", Seed: goldenSeed, Settings: set, Started: time.Unix(1e9, 0).UTC()}
 	run := &goldenRun{sender: sender, recorder: flight.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
 	if fleet {
-		run.seam = seam.New(seam.Settings{
-			Self: "n1", Life: ledger.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.Kinds, Rights: true, Senders: 2,
+		run.seam = agent.New(agent.Settings{
+			Self: "n1", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.Kinds, Rights: true, Senders: 2,
 		})
 		run.recorder.Beside(run.seam.Snapshot)
 	}
@@ -64,23 +64,23 @@
 }
 
 // goldenHeard is what another member tells in a step.
-func goldenHeard(step int) seam.Input {
-	life, scope := ledger.Life{Incarnation: 4, Boot: 5}, rights.Scope{Dest: 1}
+func goldenHeard(step int) agent.Input {
+	life, scope := loadreport.Life{Incarnation: 4, Boot: 5}, quota.Scope{Dest: 1}
 	number := uint64(step + 1)
 	switch step % 5 {
 	case 2:
-		return seam.Input{Heard: []ledger.Page{{
-			Name: "n2", Life: life, Sequence: number, Age: time.Millisecond, Cells: []ledger.Cell{{Dest: 1, Demand: 2, Calls: 1, Backlog: 3, Wait: time.Second}},
+		return agent.Input{Heard: []loadreport.Page{{
+			Name: "n2", Life: life, Sequence: number, Age: time.Millisecond, Cells: []loadreport.Cell{{Dest: 1, Demand: 2, Calls: 1, Backlog: 3, Wait: time.Second}},
 		}}}
 	case 3:
-		return seam.Input{Rights: []rights.Message{{
-			Member: "n2", Life: life, Seq: number, Held: time.Millisecond, Seen: 1, Of: ledger.Life{Incarnation: 1, Boot: 2}, Ping: true,
-			Loans: []rights.Loan{{Scope: scope, Rate: 1, Done: uint32(step)}},
-			Asks:  []rights.Ask{{Scope: scope, ID: uint32(step), N: 2, Done: uint32(step)}},
-			Gives: []rights.Give{{Scope: scope, ID: 1, N: 1}},
+		return agent.Input{Rights: []quota.Message{{
+			Member: "n2", Life: life, Seq: number, Held: time.Millisecond, Seen: 1, Of: loadreport.Life{Incarnation: 1, Boot: 2}, Ping: true,
+			Loans: []quota.Loan{{Scope: scope, Rate: 1, Done: uint32(step)}},
+			Asks:  []quota.Ask{{Scope: scope, ID: uint32(step), N: 2, Done: uint32(step)}},
+			Gives: []quota.Give{{Scope: scope, ID: 1, N: 1}},
 		}}}
 	}
-	return seam.Input{}
+	return agent.Input{}
 }
 
 // step has the module and the seam take a step, and records it as the relay's loop does.
@@ -92,7 +92,7 @@
 		r.recorder.Step(now, events, actions)
 	} else {
 		in := goldenHeard(number)
-		rec := seam.Record{Heard: in.Heard, RightsHeard: in.Rights}
+		rec := agent.Record{Heard: in.Heard, RightsHeard: in.Rights}
 		in.Events, in.Actions = events, actions
 		in.Views = func() []policy.View { views, _ := r.sender.Views(); return views }
 		out := r.seam.Step(now, in)
@@ -215,7 +215,7 @@
 			fmt.Fprintf(&text, "  action %v\n", a)
 		}
 		if e.Kind == flight.Beside {
-			rec, err := seam.ReadRecord(e.State)
+			rec, err := agent.ReadRecord(e.State)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -24,7 +24,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -192,7 +192,7 @@
 		return
 	}
 	for _, p := range rec.Heard {
-		if p.Name == w.from && slices.ContainsFunc(p.Cells, func(c ledger.Cell) bool { return c.Dest == m.fleet.changed() && c.Wait > 0 }) {
+		if p.Name == w.from && slices.ContainsFunc(p.Cells, func(c loadreport.Cell) bool { return c.Dest == m.fleet.changed() && c.Wait > 0 }) {
 			w.mu.Lock()
 			if _, before := w.known[m.number]; !before {
 				w.known[m.number] = time.Since(w.at)
--- a/internal/hollow/list.go
+++ b/internal/hollow/list.go
@@ -5,8 +5,8 @@
 	"runtime"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -14,13 +14,13 @@
 // steps in which nothing happens. Hollow are the link and all others.
 func Seam(destinations int, shares bool) Reading {
 	before := heap()
-	s := seam.New(seam.Settings{
-		Self: "a", Life: ledger.Life{Incarnation: 1, Boot: 1}, Members: []string{"a", "b"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: shares, Senders: 2,
+	s := agent.New(agent.Settings{
+		Self: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Members: []string{"a", "b"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: shares, Senders: 2,
 	})
 	now := time.Second
 	step := func(e ...policy.Event) float64 {
 		now += 250 * time.Millisecond
-		return micros(spent(func() { s.Step(now, seam.Input{Events: e}) }))
+		return micros(spent(func() { s.Step(now, agent.Input{Events: e}) }))
 	}
 	whole := policy.Event{Kind: policy.ListWhole, List: make([]policy.Listing, 0, 2*destinations)}
 	for d := range destinations {
--- a/internal/hollow/rights.go
+++ b/internal/hollow/rights.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // station is a hollow member as the real one knows it.
 type station struct {
-	life ledger.Life
+	life loadreport.Life
 	seq  uint64
 	at   time.Duration // when it lends next
 }
@@ -54,7 +54,7 @@
 	datagrams, bytes float64
 }
 
-func (p *post) pass(from string, boot uint32, now time.Duration, m rights.Message) (rights.Message, error) {
+func (p *post) pass(from string, boot uint32, now time.Duration, m quota.Message) (quota.Message, error) {
 	w := codec.Message{From: from, Boot: boot, Clock: now.Microseconds()}
 	w.SetRights(m)
 	data, err := p.codec.Encode(w)
@@ -78,17 +78,17 @@
 	for i := range members {
 		names = append(names, memberName(i))
 		stations[memberName(i)] = &station{
-			life: ledger.Life{Incarnation: 1, Boot: uint32(i + 1)}, at: time.Duration(rng.Int64N(int64(renewEvery))),
+			life: loadreport.Life{Incarnation: 1, Boot: uint32(i + 1)}, at: time.Duration(rng.Int64N(int64(renewEvery))),
 		}
 	}
 	me, life := names[self], stations[names[self]].life
-	limits := ledger.Limits{}
+	limits := loadreport.Limits{}
 	for d := range destinations {
 		limits[d] = map[string]float64{"": limit}
 	}
 	part := limit / float64(members)
 	before := heap()
-	b := rights.New(0, rights.Settings{Self: me, Life: life, Members: names, Senders: members})
+	b := quota.New(0, quota.Settings{Self: me, Life: life, Members: names, Senders: members})
 	b.SetLimits(0, limits)
 	sent, heard := &post{codec: c}, &post{codec: c}
 	values := map[string]float64{}
@@ -101,41 +101,41 @@
 			*sent, *heard = post{codec: c}, post{codec: c}
 			used, loans = 0, 0
 		}
-		var told []rights.Message
+		var told []quota.Message
 		used += spent(func() { told, _ = b.Step(now) })
-		var answers []rights.Message
+		var answers []quota.Message
 		for _, m := range told {
 			loans += len(m.Loans)
-			var got rights.Message
+			var got quota.Message
 			used += spent(func() { got, err = sent.pass(me, life.Boot, now, m) }) // with the reading, which is another's: as much as the writing of an answer
 			if err != nil {
 				return nil, fmt.Errorf("hollow: %w", err)
 			}
 			if s := stations[m.Member]; got.Ping || got.New || len(got.Loans)+len(got.Asks) > 0 {
 				s.seq++
-				answers = append(answers, rights.Message{Member: m.Member, Life: s.life, Seq: s.seq, Seen: m.Seq, Of: life, None: got.New})
+				answers = append(answers, quota.Message{Member: m.Member, Life: s.life, Seq: s.seq, Seen: m.Seq, Of: life, None: got.New})
 			}
 		}
-		var mine []rights.Loan
+		var mine []quota.Loan
 		for _, st := range b.Standings(now) {
 			if st.Keeper == me {
-				mine = append(mine, rights.Loan{Scope: rights.Scope{Dest: st.Dest}, Rate: (1 - rights.Kept) * part})
+				mine = append(mine, quota.Loan{Scope: quota.Scope{Dest: st.Dest}, Rate: (1 - quota.Kept) * part})
 			}
 		}
 		for _, name := range names {
-			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 && now > rights.Lease+rights.Margin {
+			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 && now > quota.Lease+quota.Margin {
 				s.at = now + renewEvery
 				for rest := mine; len(rest) > 0; {
 					n := min(len(rest), 24)
 					s.seq++
-					answers = append(answers, rights.Message{Member: name, Life: s.life, Seq: s.seq, Of: life, Loans: rest[:n]})
+					answers = append(answers, quota.Message{Member: name, Life: s.life, Seq: s.seq, Of: life, Loans: rest[:n]})
 					rest = rest[n:]
 				}
 			}
 		}
 		for _, m := range answers {
 			used += spent(func() {
-				var got rights.Message
+				var got quota.Message
 				if got, err = heard.pass(m.Member, m.Life.Boot, now, m); err == nil {
 					b.Hear(now, got)
 				}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/fleet/ledger"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/rights"
-	"cherrytrestle.example/cherrytrestle/internal/fleet/seam"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -83,7 +83,7 @@
 	set    policy.Settings
 	skip   bool // within a chunk that cannot be played
 
-	seam    *seam.Seam      // nil: the recording holds none, or waits for one
+	seam    *agent.Seam     // nil: the recording holds none, or waits for one
 	last    *flight.Entry   // step of the module, which the seam's is beside
 	decided []policy.Action // in it
 }
@@ -249,7 +249,7 @@
 		}
 		return
 	}
-	s, err := seam.Restore(e.State)
+	s, err := agent.Restore(e.State)
 	if err != nil {
 		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
 		return
@@ -259,21 +259,21 @@
 
 // besideStep plays the seam's step beside the module's last one.
 func (p *player) besideStep(e *flight.Entry) {
-	rec, err := seam.ReadRecord(e.State)
+	rec, err := agent.ReadRecord(e.State)
 	if err != nil {
 		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
 		p.seam = nil
 		return
 	}
 	p.res.Beside++
-	out := p.seam.Step(p.last.Now, seam.Input{
+	out := p.seam.Step(p.last.Now, agent.Input{
 		Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: p.last.Events, Actions: p.decided, Views: func() []policy.View { views, _ := p.sender.Views(); return views },
 	})
 	p.last = nil
-	if !slices.EqualFunc(out.Told, rec.Told, func(a, b ledger.Page) bool { return reflect.DeepEqual(a, b) }) {
+	if !slices.EqualFunc(out.Told, rec.Told, func(a, b loadreport.Page) bool { return reflect.DeepEqual(a, b) }) {
 		p.differ(e, "what the seam tells", fmt.Sprint(rec.Told), fmt.Sprint(out.Told))
 	}
-	if !slices.EqualFunc(out.Rights, rec.RightsTold, func(a, b rights.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) {
+	if !slices.EqualFunc(out.Rights, rec.RightsTold, func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) {
 		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.RightsTold), fmt.Sprint(out.Rights))
 	}
 }
