--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/explain"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/explain"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
 type explainCommand struct {
@@ -26,7 +26,7 @@
 
 // Run explains each recording in turn.
 func (c *explainCommand) Run(s *cli.Streams) (err error) {
-	found, err := flight.Load(c.Files...)
+	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -11,8 +11,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/tally"
+	"cherrytrestle.example/cherrytrestle/internal/recording/fleetstats"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
 type fleetCommand struct {
@@ -75,11 +75,11 @@
 
 // Run prints a table.
 func (c *countCommand) Run(s *cli.Streams) error {
-	found, err := flight.Load(c.Files...)
+	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
-	fleet, err := tally.Read(found, max(time.Millisecond, c.Bin))
+	fleet, err := fleetstats.Read(found, max(time.Millisecond, c.Bin))
 	if err != nil {
 		return err
 	}
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
 // exitDiffers is the status of a replay that parted from its recording.
@@ -23,7 +23,7 @@
 // Run exits with 0 if all recordings replay without a difference, with 3 if one does not, and with 1 if one cannot be
 // played.
 func (c *replayCommand) Run(s *cli.Streams) error {
-	found, err := flight.Load(c.Files...)
+	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
@@ -74,14 +74,14 @@
 
 // Run lists what is there, chunk by chunk, and what of it cannot be read.
 func (c *infoCommand) Run(s *cli.Streams) error {
-	found, err := flight.Load(c.Files...)
+	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
 	for _, rec := range found {
 		fmt.Fprintf(s.Out, "%016x: %s, revision %s, program %s, started %s, %d chunks, %d bytes\n", rec.ID, rec.Meta.Name, rec.Meta.Revision,
 			rec.Meta.Program, rec.Meta.Started.Format(time.RFC3339Nano), rec.Chunks, len(rec.Data))
-		r, err := flight.NewReader(rec.Data)
+		r, err := flightrecorder.NewReader(rec.Data)
 		if err != nil {
 			return err
 		}
@@ -96,13 +96,13 @@
 				break
 			}
 			switch e.Kind {
-			case flight.Begin:
+			case flightrecorder.Begin:
 				fmt.Fprintf(s.Out, "  offset %d: chunk %d from %v, state of %d bytes\n", e.At, e.Chunk, e.Now, len(e.State))
-			case flight.Step:
+			case flightrecorder.Step:
 				steps, events, actions, last = steps+1, events+len(e.Events), actions+len(e.Actions), e.Now
-			case flight.Note:
+			case flightrecorder.Note:
 				fmt.Fprintf(s.Out, "  offset %d: %s\n", e.At, e.Text)
-			case flight.Lost:
+			case flightrecorder.Lost:
 				fmt.Fprintf(s.Out, "  offset %d: NOT READ: %s\n", e.At, e.Text)
 			}
 		}
@@ -118,7 +118,7 @@
 
 // Run never writes over a file.
 func (c *extractCommand) Run(s *cli.Streams) error {
-	found, err := flight.Load(c.Files...)
+	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		return err
 	}
 	for _, rec := range found {
-		path := filepath.Join(c.Out, fmt.Sprintf("%s-%016x%s", filepath.Base(filepath.Clean("/"+rec.Meta.Name)), rec.ID, flight.Ext))
+		path := filepath.Join(c.Out, fmt.Sprintf("%s-%016x%s", filepath.Base(filepath.Clean("/"+rec.Meta.Name)), rec.ID, flightrecorder.Ext))
 		f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return err
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
 func command(args ...string) (status int, out, errs string) {
@@ -58,7 +58,7 @@
 	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
 	var paths []string
 	eventually(t, "a recording", func() bool {
-		paths, _ = filepath.Glob(filepath.Join(dir, "n0-*-sigusr1"+flight.Ext))
+		paths, _ = filepath.Glob(filepath.Join(dir, "n0-*-sigusr1"+flightrecorder.Ext))
 		return len(paths) == 1
 	})
 	r.kill()
@@ -81,7 +81,7 @@
 	// A recording that says otherwise is told to.
 	data, err := os.ReadFile(paths[0])
 	must(t, err)
-	found, err := flight.Split(data)
+	found, err := flightrecorder.Split(data)
 	must(t, err)
 	bad := filepath.Join(t.TempDir(), "bad")
 	must(t, os.WriteFile(bad, data[:len(data)-3], 0o600))
--- a/cmd/cherrytrestle/replay_test.go
+++ b/cmd/cherrytrestle/replay_test.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
 // playAll plays recordings, and fails where anything differs or none holds a step of the seam's.
 func playAll(files []string) error {
-	found, err := flight.Load(files...)
+	found, err := flightrecorder.Load(files...)
 	if err != nil {
 		return err
 	}
--- a/internal/config/operatorfile/operator.go
+++ b/internal/config/operatorfile/operator.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
@@ -99,7 +99,7 @@
 	}
 	setDefault(&f.Log.Format, "text")
 	setDefault(&f.Log.Level, "info")
-	setDefault(&f.Recorder.RingMB, flight.DefaultRing>>20)
+	setDefault(&f.Recorder.RingMB, flightrecorder.DefaultRing>>20)
 	setDefault(&f.Recorder.Write, WriteKept)
 	setDefault(&f.Recorder.FolderMB, 64)
 	setDefault(&f.Journal.Sync, "never")
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cherrytrestle.example/cherrytrestle/internal/plot"
+	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
@@ -33,13 +33,13 @@
 		Heads                []string
 		Rows                 [][]string
 	}
-	h := head{Name: name, Runs: len(all), Confidence: Confidence, Style: template.CSS(plot.Style)}
+	h := head{Name: name, Runs: len(all), Confidence: Confidence, Style: template.CSS(chart.Style)}
 	if len(all) > 0 {
 		h.Plan, h.Revision = all[0].Plan, all[0].Revision
 	}
 	axis := numeric(cells)
 	for _, m := range MeasureNames {
-		if c, ok := chart(cells, axis, m); ok {
+		if c, ok := renderChart(cells, axis, m); ok {
 			h.Charts = append(h.Charts, c)
 		}
 	}
@@ -85,10 +85,10 @@
 	return -1
 }
 
-// chart draws a measure that is not 0 throughout.
-func chart(cells []Cell, axis int, m [2]string) (template.HTML, bool) {
-	p := plot.XY{Title: m[0], Unit: m[1], Height: 170}
-	lines := map[string]*plot.Line{}
+// renderChart draws a measure that is not 0 throughout.
+func renderChart(cells []Cell, axis int, m [2]string) (template.HTML, bool) {
+	p := chart.XY{Title: m[0], Unit: m[1], Height: 170}
+	lines := map[string]*chart.Line{}
 	var order []string
 	any := false
 	for i, c := range cells {
@@ -97,7 +97,7 @@
 			continue
 		}
 		any = any || values[len(values)-1] != 0
-		q := plot.Point{X: float64(i + 1)}
+		q := chart.Point{X: float64(i + 1)}
 		q.Y, q.Low, q.High = Interval(values, Confidence)
 		name := ""
 		if axis >= 0 {
@@ -107,7 +107,7 @@
 			name = cellText(rest)
 		}
 		if lines[name] == nil {
-			lines[name] = &plot.Line{Name: name}
+			lines[name] = &chart.Line{Name: name}
 			order = append(order, name)
 		}
 		lines[name].Points = append(lines[name].Points, q)
@@ -117,7 +117,7 @@
 	}
 	for _, n := range order {
 		l := *lines[n]
-		slices.SortFunc(l.Points, func(a, b plot.Point) int { return compareFloats(a.X, b.X) })
+		slices.SortFunc(l.Points, func(a, b chart.Point) int { return compareFloats(a.X, b.X) })
 		if first, last := l.Points[0].X, l.Points[len(l.Points)-1].X; first > 0 && last >= 20*first {
 			p.Log = true
 		}
@@ -138,8 +138,8 @@
 
 // lateness draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each together.
 func lateness(cells []Cell) template.HTML {
-	p := plot.XY{Title: "lateness", Unit: "seconds from hand-in to delivery", Axis: "percentile", Height: 200}
-	for _, c := range cells[:min(len(cells), len(plot.Colours))] {
+	p := chart.XY{Title: "lateness", Unit: "seconds from hand-in to delivery", Axis: "percentile", Height: 200}
+	for _, c := range cells[:min(len(cells), len(chart.Colours))] {
 		var sum *hdrhistogram.Histogram
 		for _, r := range c.Results {
 			if h := r.Histogram(); h != nil && sum == nil {
@@ -151,10 +151,10 @@
 		if sum == nil {
 			continue
 		}
-		l := plot.Line{Name: strings.TrimSpace(c.Name())}
+		l := chart.Line{Name: strings.TrimSpace(c.Name())}
 		for _, x := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.9} {
 			y := float64(sum.ValueAtPercentile(x)) / 1e9
-			l.Points = append(l.Points, plot.Point{X: x, Y: y, Low: y, High: y})
+			l.Points = append(l.Points, chart.Point{X: x, Y: y, Low: y, High: y})
 		}
 		p.Lines = append(p.Lines, l)
 	}
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -12,23 +12,23 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func newSeam() *Seam {
-	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: flighttest.Settings().Kinds})
+	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: recordertest.Settings().Kinds})
 }
 
 // history is what a module lived through.
-func history(t *testing.T, seed uint64) (steps []flight.Entry) {
-	_, rec := flighttest.Drive(seed, 20*time.Second, 64<<20, nil)
+func history(t *testing.T, seed uint64) (steps []flightrecorder.Entry) {
+	_, rec := recordertest.Drive(seed, 20*time.Second, 64<<20, nil)
 	var buf bytes.Buffer
 	if _, err := rec.WriteTo(&buf); err != nil {
 		t.Fatal(err)
 	}
-	r, err := flight.NewReader(buf.Bytes())
+	r, err := flightrecorder.NewReader(buf.Bytes())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 		if !ok {
 			return steps
 		}
-		if e.Kind == flight.Step {
+		if e.Kind == flightrecorder.Step {
 			steps = append(steps, e)
 		}
 	}
 }
 
-func input(e flight.Entry, n int) Input {
+func input(e flightrecorder.Entry, n int) Input {
 	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.View { return nil }}
 	if n%97 == 0 {
 		in.Heard = []loadreport.Page{{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: uint64(n + 1), Cells: []loadreport.Cell{{Dest: 1, Calls: 2}}}}
--- a/internal/plot/plot.go
+++ b/internal/recording/chart/plot.go
@@ -1,5 +1,5 @@
 // Package plot draws charts on a time axis as SVG, without scripts: lines as steps, and stacks.
-package plot
+package chart
 
 import (
 	"fmt"
--- a/internal/plot/xy.go
+++ b/internal/recording/chart/xy.go
@@ -1,4 +1,4 @@
-package plot
+package chart
 
 import (
 	"fmt"
--- a/internal/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -162,7 +162,7 @@
 
 // Report is an explanation of one recording.
 type Report struct {
-	Meta         flight.Meta
+	Meta         flightrecorder.Meta
 	Replay       replay.Result
 	From, To     time.Duration
 	Bin          time.Duration
@@ -237,8 +237,8 @@
 }
 
 // extent is the time that a recording spans.
-func extent(data []byte) (from, to time.Duration, meta flight.Meta, err error) {
-	r, err := flight.NewReader(data)
+func extent(data []byte) (from, to time.Duration, meta flightrecorder.Meta, err error) {
+	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return 0, 0, meta, err
 	}
@@ -252,9 +252,9 @@
 			break
 		}
 		switch e.Kind {
-		case flight.Begin:
+		case flightrecorder.Begin:
 			meta = e.Meta
-		case flight.Step:
+		case flightrecorder.Step:
 			from, to = min(from, e.Now), max(to, e.Now) // a clock may step back
 		}
 	}
@@ -293,30 +293,30 @@
 }
 
 // begin starts with what a Sender holds that was restored in mid-life.
-func (b *builder) begin(s *policy.Sender, e *flight.Entry) {
+func (b *builder) begin(s *policy.Sender, e *flightrecorder.Entry) {
 	b.look(s, e.Now)
 }
 
-func (b *builder) other(e *flight.Entry) {
+func (b *builder) other(e *flightrecorder.Entry) {
 	switch e.Kind {
-	case flight.Label:
+	case flightrecorder.Label:
 		b.traces[e.Message] = e.Text
-	case flight.Note:
+	case flightrecorder.Note:
 		b.rep.Notes = append(b.rep.Notes, e.Text)
-	case flight.Lost:
+	case flightrecorder.Lost:
 		b.held, b.some = nil, false
 	}
 }
 
 // before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what held
 // before it: when the last step fell close behind a look, what it left behind holds all the while.
-func (b *builder) before(s *policy.Sender, e *flight.Entry) {
+func (b *builder) before(s *policy.Sender, e *flightrecorder.Entry) {
 	if b.some && b.stepped > b.looked && e.Now-b.stepped >= b.opts.Every {
 		b.look(s, b.stepped)
 	}
 }
 
-func (b *builder) step(s *policy.Sender, e *flight.Entry) {
+func (b *builder) step(s *policy.Sender, e *flightrecorder.Entry) {
 	now := e.Now
 	b.stepped = now
 	clear(b.outcome)
--- a/internal/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // script records a Sender that is told things on given times, and woken as it asks.
 type script struct {
 	s    *policy.Sender
-	rec  *flight.Recorder
+	rec  *flightrecorder.Recorder
 	now  time.Duration
 	wake time.Duration
 	out  map[uint32]int // sends
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	return &script{s: s, now: time.Second, out: map[uint32]int{},
-		rec: flight.NewRecorder(flight.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set}, 0, s.Snapshot)}
+		rec: flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set}, 0, s.Snapshot)}
 }
 
 func (x *script) step(evs ...policy.Event) {
@@ -164,7 +164,7 @@
 // was there.
 func TestExplanationsAddUp(t *testing.T) {
 	for seed := range uint64(3) {
-		_, rec := flighttest.Drive(seed, 30*time.Second, 64<<20, nil)
+		_, rec := recordertest.Drive(seed, 30*time.Second, 64<<20, nil)
 		var b bytes.Buffer
 		if _, err := rec.WriteTo(&b); err != nil {
 			t.Fatal(err)
--- a/internal/explain/write.go
+++ b/internal/recording/explain/write.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/plot"
+	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -216,30 +216,30 @@
 
 // WriteHTML writes one page with plots, all on one time axis, without a script. Skips are shaded.
 func WriteHTML(w io.Writer, rep *Report) error {
-	t := &plot.Timeline{Length: max(time.Millisecond, rep.To-rep.From), Bin: rep.Bin, Bins: rep.Bins}
+	t := &chart.Timeline{Length: max(time.Millisecond, rep.To-rep.From), Bin: rep.Bin, Bins: rep.Bins}
 	per := 1 / rep.Bin.Seconds()
 	var plots []template.HTML
 	plots = append(plots,
-		t.Draw(plot.Plot{Title: "messages waiting", Unit: "the most in a bin", Height: 110, Series: []plot.Series{{Name: "all destinations", Colour: plot.Blue, Values: rep.Queue}}}),
-		t.Draw(plot.Plot{Title: "slots", Unit: "taken, the most in a bin", Height: 90, Most: float64(rep.SlotsMost), Series: []plot.Series{{Name: "taken", Colour: plot.Orange, Values: rep.Slots}}}))
+		t.Draw(chart.Plot{Title: "messages waiting", Unit: "the most in a bin", Height: 110, Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: rep.Queue}}}),
+		t.Draw(chart.Plot{Title: "slots", Unit: "taken, the most in a bin", Height: 90, Most: float64(rep.SlotsMost), Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: rep.Slots}}}))
 	sorted := ByWait(rep)
 	for _, d := range sorted[:min(plottedMost, len(sorted))] {
 		for i, r := range d.Routes {
 			axis := *t
 			axis.Shades = shades(r, rep)
 			if r.Shared == r.Name {
-				plots = append(plots, axis.Draw(plot.Plot{
-					Title: fmt.Sprintf("destination %d, %s", d.ID, r.Name), Unit: "calls a second", Height: 120, Series: []plot.Series{
-						{Name: "limit believed", Colour: plot.Grey, Values: gaps(r.Believed)}, {Name: "refused last", Colour: plot.Red, Values: gaps(r.Ceiling)},
-						{Name: "pace", Colour: plot.Blue, Values: gaps(r.Pace)}},
+				plots = append(plots, axis.Draw(chart.Plot{
+					Title: fmt.Sprintf("destination %d, %s", d.ID, r.Name), Unit: "calls a second", Height: 120, Series: []chart.Series{
+						{Name: "limit believed", Colour: chart.Grey, Values: gaps(r.Believed)}, {Name: "refused last", Colour: chart.Red, Values: gaps(r.Ceiling)},
+						{Name: "pace", Colour: chart.Blue, Values: gaps(r.Pace)}},
 				}))
 			}
-			series := []plot.Series{{Name: "delivered", Colour: plot.Green, Values: scaled(r.OK, per)}, {Name: "refused", Colour: plot.Orange, Values: scaled(r.Full, per)},
-				{Name: "failed", Colour: plot.Red, Values: scaled(r.Bad, per)}}
-			plots = append(plots, axis.Draw(plot.Plot{Title: "outcomes, " + r.Name, Unit: "a second", Height: 90, Stacked: true, Series: series}))
+			series := []chart.Series{{Name: "delivered", Colour: chart.Green, Values: scaled(r.OK, per)}, {Name: "refused", Colour: chart.Orange, Values: scaled(r.Full, per)},
+				{Name: "failed", Colour: chart.Red, Values: scaled(r.Bad, per)}}
+			plots = append(plots, axis.Draw(chart.Plot{Title: "outcomes, " + r.Name, Unit: "a second", Height: 90, Stacked: true, Series: series}))
 			if i == 0 {
-				plots = append(plots, axis.Draw(plot.Plot{Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
-					Series: []plot.Series{{Name: "waiting", Colour: plot.Blue, Values: r.Queue}}}))
+				plots = append(plots, axis.Draw(chart.Plot{Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
+					Series: []chart.Series{{Name: "waiting", Colour: chart.Blue, Values: r.Queue}}}))
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	return out
 }
 
-func shades(r *Route, rep *Report) (all []plot.Shade) {
+func shades(r *Route, rep *Report) (all []chart.Shade) {
 	for _, x := range []struct {
 		name  string
 		flags []bool
@@ -285,7 +285,7 @@
 			for i < len(x.flags) && x.flags[i] {
 				i++
 			}
-			all = append(all, plot.Shade{Name: x.name, From: time.Duration(from) * rep.Bin, To: time.Duration(i) * rep.Bin})
+			all = append(all, chart.Shade{Name: x.name, From: time.Duration(from) * rep.Bin, To: time.Duration(i) * rep.Bin})
 		}
 	}
 	return all
@@ -296,7 +296,7 @@
 <style>
 body { font: 14px/1.4 system-ui, sans-serif; color: #222; max-width: 1100px; margin: 1.5em auto; padding: 0 1em }
 pre { background: #f6f4f0; padding: .6em; overflow-x: auto; font-size: 12px }
-` + plot.Style + `
+` + chart.Style + `
 </style>
 <h1>What held messages up: {{.Name}}</h1>
 <pre>{{.Text}}</pre>
--- a/internal/tally/tally.go
+++ b/internal/recording/fleetstats/tally.go
@@ -1,6 +1,6 @@
 // Package tally counts across the recordings of a whole fleet what no relay sees by itself: what all of them together
 // sent a destination, and what came of it. It is pure: it reads recordings that others have loaded.
-package tally
+package fleetstats
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 	"text/tabwriter"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -74,7 +74,7 @@
 const unknown = "?"
 
 // Read counts recordings in bins of so long. What is damaged in them is passed over.
-func Read(recordings []flight.Recording, bin time.Duration) (*Fleet, error) {
+func Read(recordings []flightrecorder.Recording, bin time.Duration) (*Fleet, error) {
 	f := &Fleet{Bins: map[int]map[string]Count{}, Told: map[string]float64{}, Bin: bin}
 	names := map[string]bool{}
 	for i, rec := range recordings {
@@ -95,14 +95,14 @@
 // reading is one recording being counted.
 type reading struct {
 	*Fleet
-	meta   flight.Meta
+	meta   flightrecorder.Meta
 	routes map[string]route
 	msgs   map[uint32]message
 	calls  map[uint32]*call // of the attempt that is out, by message
 }
 
-func (f *Fleet) read(rec flight.Recording) error {
-	r, err := flight.NewReader(rec.Data)
+func (f *Fleet) read(rec flightrecorder.Recording) error {
+	r, err := flightrecorder.NewReader(rec.Data)
 	if err != nil {
 		return err
 	}
@@ -113,9 +113,9 @@
 			return err
 		}
 		switch e.Kind {
-		case flight.Begin:
+		case flightrecorder.Begin:
 			x.begin(&e)
-		case flight.Step:
+		case flightrecorder.Step:
 			x.step(&e)
 		}
 	}
@@ -123,7 +123,7 @@
 
 // begin takes the settings of a chunk on. A recording that begins in mid-life has told no list yet: the module's state
 // holds it. Where this build cannot read that, calls count as of no known place until a list comes.
-func (x *reading) begin(e *flight.Entry) {
+func (x *reading) begin(e *flightrecorder.Entry) {
 	x.meta.Settings = e.Meta.Settings
 	if e.Fresh || len(x.routes) > 0 {
 		return
@@ -176,7 +176,7 @@
 	x.Bins[bin][place] = c
 }
 
-func (x *reading) step(e *flight.Entry) {
+func (x *reading) step(e *flightrecorder.Entry) {
 	for i := range e.Events {
 		x.event(e.Now, &e.Events[i])
 	}
--- a/internal/tally/tally_test.go
+++ b/internal/recording/fleetstats/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package fleetstats
 
 import (
 	"bytes"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // relay records a life of one relay: a bundle of two is refused with a wait and later delivered, late by one message.
-func relay(t *testing.T, name string, started time.Time) flight.Recording {
+func relay(t *testing.T, name string, started time.Time) flightrecorder.Recording {
 	t.Helper()
 	set := policy.Settings{
 		Classes: []policy.Class{{Aim: time.Second, GiveUp: 10 * time.Second}}, Kinds: []policy.Kind{{PerCall: 2}, {Separate: true}},
 	}
-	rec := flight.NewRecorder(flight.Meta{Name: name, Settings: set, Started: started}, 1<<20, func(b []byte) []byte { return b })
+	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Name: name, Settings: set, Started: started}, 1<<20, func(b []byte) []byte { return b })
 	rec.Step(time.Second, []policy.Event{
 		{Kind: policy.ListWhole, List: []policy.Listing{{Route: "a", Destination: 1, Weight: 7}, {Route: "b", Destination: 2, Kind: 1, Weight: 3}}},
 		{Kind: policy.Taken, ID: 1, Destination: 1, Left: 10 * time.Second},
@@ -34,12 +34,12 @@
 	if _, err := rec.WriteTo(&data); err != nil {
 		t.Fatal(err)
 	}
-	return flight.Recording{Data: data.Bytes(), Meta: flight.Meta{Name: name, Settings: set, Started: started}}
+	return flightrecorder.Recording{Data: data.Bytes(), Meta: flightrecorder.Meta{Name: name, Settings: set, Started: started}}
 }
 
 func TestCountsAcrossRelays(t *testing.T) {
 	start := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
-	f, err := Read([]flight.Recording{relay(t, "n0", start), relay(t, "n1", start.Add(time.Second))}, time.Second)
+	f, err := Read([]flightrecorder.Recording{relay(t, "n0", start), relay(t, "n1", start.Add(time.Second))}, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,8 +85,8 @@
 		{Kind: policy.ListWhole, List: []policy.Listing{{Route: "b", Destination: 2, Kind: 1, Weight: 3, InService: true}}},
 		{Kind: policy.Taken, ID: 1, Destination: 2, Left: 10 * time.Second},
 	})
-	meta := flight.Meta{Name: "n0", Settings: set, Started: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)}
-	rec := flight.ResumeRecorder(meta, 1<<20, s.Snapshot, time.Second)
+	meta := flightrecorder.Meta{Name: "n0", Settings: set, Started: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)}
+	rec := flightrecorder.ResumeRecorder(meta, 1<<20, s.Snapshot, time.Second)
 	step := func(now time.Duration, evs ...policy.Event) { rec.Step(now, evs, s.Step(now, evs)) }
 	step(2*time.Second, policy.Event{Kind: policy.Finished, ID: 1, Route: "b", Outcome: policy.OK, Ended: true},
 		policy.Event{Kind: policy.Taken, ID: 2, Destination: 2, Left: 10 * time.Second})
@@ -95,7 +95,7 @@
 	if _, err := rec.WriteTo(&data); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Read([]flight.Recording{{Data: data.Bytes(), Meta: meta}}, time.Minute)
+	f, err := Read([]flightrecorder.Recording{{Data: data.Bytes(), Meta: meta}}, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flight/flight_test.go
+++ b/internal/recording/flightrecorder/flight_test.go
@@ -1,4 +1,4 @@
-package flight_test
+package flightrecorder_test
 
 import (
 	"bytes"
@@ -20,14 +20,14 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func written(t testing.TB, rec *flight.Recorder) []byte {
+func written(t testing.TB, rec *flightrecorder.Recorder) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if _, err := rec.WriteTo(&b); err != nil {
@@ -36,9 +36,9 @@
 	return b.Bytes()
 }
 
-func entries(t testing.TB, data []byte) (all []flight.Entry) {
+func entries(t testing.TB, data []byte) (all []flightrecorder.Entry) {
 	t.Helper()
-	r, err := flight.NewReader(data)
+	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-func newRecorder(ring int) *flight.Recorder {
-	return flight.NewRecorder(flight.Meta{Name: "n1", Settings: flighttest.Settings()}, ring, func(b []byte) []byte { return append(b, "state"...) })
+func newRecorder(ring int) *flightrecorder.Recorder {
+	return flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Settings: recordertest.Settings()}, ring, func(b []byte) []byte { return append(b, "state"...) })
 }
 
 func drawEvent(t *rapid.T) policy.Event {
@@ -116,24 +116,24 @@
 func TestReadsBackWhatWasRecorded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rec := newRecorder(64 << 20)
-		var want []flight.Entry
+		var want []flightrecorder.Entry
 		for i := range rapid.IntRange(0, 60).Draw(rt, "entries") {
 			now := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(rt, "now"))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0:
 				rec.Note(fmt.Sprint("note ", i))
-				want = append(want, flight.Entry{Kind: flight.Note, Text: fmt.Sprint("note ", i)})
+				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Note, Text: fmt.Sprint("note ", i)})
 			case 1:
 				id := rapid.Uint32().Draw(rt, "id")
 				rec.Label(id, "trace")
-				want = append(want, flight.Entry{Kind: flight.Label, Message: id, Text: "trace"})
+				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Label, Message: id, Text: "trace"})
 			case 2:
 				ids := rapid.SliceOfN(rapid.Uint32(), 1, 4).Draw(rt, "ids")
 				may := rapid.Bool().Draw(rt, "may")
 				rec.Cleared(now, "s-1", ids, may)
-				want = append(want, flight.Entry{Kind: flight.Cleared, Now: now, Route: "s-1", IDs: ids, May: may})
+				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Cleared, Now: now, Route: "s-1", IDs: ids, May: may})
 			default:
-				e := flight.Entry{Kind: flight.Step, Now: now}
+				e := flightrecorder.Entry{Kind: flightrecorder.Step, Now: now}
 				for range rapid.IntRange(0, 4).Draw(rt, "events") {
 					e.Events = append(e.Events, drawEvent(rt))
 				}
@@ -145,7 +145,7 @@
 			}
 		}
 		got := entries(t, written(t, rec))
-		if got[0].Kind != flight.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" || !reflect.DeepEqual(got[0].Meta.Settings, flighttest.Settings()) {
+		if got[0].Kind != flightrecorder.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" || !reflect.DeepEqual(got[0].Meta.Settings, recordertest.Settings()) {
 			rt.Fatalf("begins with %+v", got[0])
 		}
 		got = got[1:]
@@ -162,7 +162,7 @@
 }
 
 // lists writes an entry out with what its pointers point to, empty lists as none.
-func lists(e flight.Entry) string {
+func lists(e flightrecorder.Entry) string {
 	text := fmt.Sprintf("%+v", e)
 	for _, x := range e.Events {
 		text += fmt.Sprintf(" %+v %q", x.Resumed, x.Key)
@@ -188,13 +188,13 @@
 	if len(all) != 5 || all[4].Events[0].Key != "last" || all[2].Events[0].Key != old {
 		t.Fatalf("%d entries", len(all))
 	}
-	if found, err := flight.Split(data); err != nil || len(found) != 1 || found[0].Chunks != 1 || !bytes.Equal(found[0].Data, data) {
+	if found, err := flightrecorder.Split(data); err != nil || len(found) != 1 || found[0].Chunks != 1 || !bytes.Equal(found[0].Data, data) {
 		t.Errorf("%d recordings, %v", len(found), err)
 	}
 	data[len(data)-1] ^= 1
 	data[all[2].At+9] ^= 1 // the frame that holds the recording
 	for _, e := range entries(t, data) {
-		if e.Kind == flight.Begin && e.At > 0 || e.Kind == flight.Note {
+		if e.Kind == flightrecorder.Begin && e.At > 0 || e.Kind == flightrecorder.Note {
 			t.Errorf("a payload passes for part of the recording: %+v", e)
 		}
 	}
@@ -202,7 +202,7 @@
 
 func TestNewerAndForeignFiles(t *testing.T) {
 	for _, data := range [][]byte{nil, []byte("CTFLIGHT"), []byte("something else altogether"), bytes.Repeat([]byte("CTFLIGH"), 100)} {
-		if _, err := flight.NewReader(data); !errors.Is(err, flight.ErrNoRecording) {
+		if _, err := flightrecorder.NewReader(data); !errors.Is(err, flightrecorder.ErrNoRecording) {
 			t.Errorf("%.10q: %v", data, err)
 		}
 	}
@@ -210,25 +210,25 @@
 	if err := os.WriteFile(path, []byte("CTFLIGHT with nothing behind it that is right"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := flight.Load(path); !errors.Is(err, flight.ErrNoRecording) || !strings.Contains(err.Error(), path) {
+	if _, err := flightrecorder.Load(path); !errors.Is(err, flightrecorder.ErrNoRecording) || !strings.Contains(err.Error(), path) {
 		t.Error(err)
 	}
-	if _, err := flight.Load(path + "y"); !errors.Is(err, os.ErrNotExist) {
+	if _, err := flightrecorder.Load(path + "y"); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	newer := bytes.Replace(written(t, newRecorder(0)), []byte(`"format":1`), []byte(`"format":9`), 1)
-	flight.Reseal(newer)
-	r, err := flight.NewReader(newer)
+	flightrecorder.Reseal(newer)
+	r, err := flightrecorder.NewReader(newer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := r.Next(); !errors.Is(err, flight.ErrNewer) || !strings.Contains(err.Error(), "format 9") {
+	if _, _, err := r.Next(); !errors.Is(err, flightrecorder.ErrNewer) || !strings.Contains(err.Error(), "format 9") {
 		t.Error(err)
 	}
 }
 
 func TestARecorderThatIsOff(t *testing.T) {
-	var rec *flight.Recorder
+	var rec *flightrecorder.Recorder
 	rec.Step(1, nil, nil)
 	rec.Label(1, "x")
 	rec.Cleared(1, "r", nil, true)
@@ -245,7 +245,7 @@
 	rec.Note("behind")
 	all := entries(t, written(t, rec))
 	last := all[len(all)-3:]
-	if last[0].Kind != flight.Begin || string(last[0].State) != "state" || !strings.Contains(last[1].Text, "is missing") || last[2].Text != "behind" {
+	if last[0].Kind != flightrecorder.Begin || string(last[0].State) != "state" || !strings.Contains(last[1].Text, "is missing") || last[2].Text != "behind" {
 		t.Errorf("%+v", all)
 	}
 }
@@ -272,15 +272,15 @@
 	for _, kind := range []string{"log", "files"} {
 		ctx, stop := context.WithCancel(context.Background())
 		var out logWriter
-		folder := flight.Folder{Path: filepath.Join(t.TempDir(), "new"), Limit: 64 << 20, Name: "n 1/x"}
+		folder := flightrecorder.Folder{Path: filepath.Join(t.TempDir(), "new"), Limit: 64 << 20, Name: "n 1/x"}
 		done := make(chan error, 1)
 		var once sync.Once
 		steps := 0
-		_, rec := flighttest.Drive(6, 30*time.Second, flight.LeastRing, func(_ *policy.Sender, rec *flight.Recorder) {
+		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) {
 			once.Do(func() {
 				go func() {
 					if kind == "log" {
-						done <- flight.FollowLog(ctx, rec, &out)
+						done <- flightrecorder.FollowLog(ctx, rec, &out)
 					} else {
 						done <- folder.Follow(ctx, rec)
 					}
@@ -301,18 +301,18 @@
 				t.Fatal(err)
 			}
 		} else {
-			paths, _ = filepath.Glob(filepath.Join(folder.Path, "n-1-x-*"+flight.Ext))
+			paths, _ = filepath.Glob(filepath.Join(folder.Path, "n-1-x-*"+flightrecorder.Ext))
 		}
-		found, err := flight.Load(paths...)
+		found, err := flightrecorder.Load(paths...)
 		if err != nil || len(found) != 1 {
 			t.Fatalf("%s: %d recordings, %v", kind, len(found), err)
 		}
 		got := 0
 		for _, e := range entries(t, found[0].Data) {
 			switch e.Kind {
-			case flight.Step:
+			case flightrecorder.Step:
 				got++
-			case flight.Lost:
+			case flightrecorder.Lost:
 				t.Errorf("%s: lost: %s", kind, e.Text)
 			}
 		}
@@ -325,7 +325,7 @@
 // The folder's limit holds, the oldest files go first, files of others stay, and half-written ones are cleared away.
 func TestFolderKeepsItsLimit(t *testing.T) {
 	dir := t.TempDir()
-	foreign, stale := filepath.Join(dir, "notes.txt"), filepath.Join(dir, "old"+flight.Ext+".tmp")
+	foreign, stale := filepath.Join(dir, "notes.txt"), filepath.Join(dir, "old"+flightrecorder.Ext+".tmp")
 	for _, path := range []string{foreign, stale} {
 		if err := os.WriteFile(path, make([]byte, 100), 0o600); err != nil {
 			t.Fatal(err)
@@ -335,8 +335,8 @@
 	if err := os.Chtimes(stale, hourAgo, hourAgo); err != nil {
 		t.Fatal(err)
 	}
-	_, rec := flighttest.Drive(1, time.Minute, 400<<10, nil)
-	folder := flight.Folder{Path: dir, Limit: 1 << 20, Name: "n1"}
+	_, rec := recordertest.Drive(1, time.Minute, 400<<10, nil)
+	folder := flightrecorder.Folder{Path: dir, Limit: 1 << 20, Name: "n1"}
 	var first string
 	for i := range 6 {
 		path, err := folder.Keep(rec, "SIGUSR1 (by hand)")
@@ -347,7 +347,7 @@
 			first = path
 		}
 		var sum int64
-		files, _ := filepath.Glob(filepath.Join(dir, "*"+flight.Ext))
+		files, _ := filepath.Glob(filepath.Join(dir, "*"+flightrecorder.Ext))
 		for _, f := range files {
 			info, err := os.Stat(f)
 			if err != nil {
@@ -368,10 +368,10 @@
 	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) {
 		t.Error("a half-written file is still there")
 	}
-	if _, err := (flight.Folder{Path: dir, Limit: 1000}).Keep(rec, "x"); err == nil {
+	if _, err := (flightrecorder.Folder{Path: dir, Limit: 1000}).Keep(rec, "x"); err == nil {
 		t.Error("a ring is kept that the folder has no room for")
 	}
-	if _, err := (flight.Folder{Path: foreign, Limit: 1 << 20}).Keep(rec, "x"); err == nil {
+	if _, err := (flightrecorder.Folder{Path: foreign, Limit: 1 << 20}).Keep(rec, "x"); err == nil {
 		t.Error("a file was taken for a folder")
 	}
 }
@@ -381,10 +381,10 @@
 	rec := newRecorder(0)
 	rec.Note("x")
 	out := &logWriter{fail: syscall.ENOSPC}
-	if err := flight.FollowLog(context.Background(), rec, out); !errors.Is(err, syscall.ENOSPC) {
+	if err := flightrecorder.FollowLog(context.Background(), rec, out); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
-	if err := flight.KeepInLog(rec, "x", out); !errors.Is(err, syscall.ENOSPC) {
+	if err := flightrecorder.KeepInLog(rec, "x", out); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
 }
@@ -393,24 +393,24 @@
 func TestPartsArePutTogether(t *testing.T) {
 	var kept [][]byte
 	n := 0
-	_, rec := flighttest.Drive(2, 40*time.Second, flight.LeastRing, func(_ *policy.Sender, rec *flight.Recorder) {
+	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) {
 		if n++; n%1200 == 0 {
 			kept = append(kept, written(t, rec))
 		}
 	})
 	kept = append(kept, written(t, rec))
-	_, other := flighttest.Drive(9, 3*time.Second, flight.LeastRing, nil)
-	found, err := flight.Split(append([][]byte{written(t, other), []byte("junk")}, kept...)...)
+	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.LeastRing, nil)
+	found, err := flightrecorder.Split(append([][]byte{written(t, other), []byte("junk")}, kept...)...)
 	if err != nil || len(found) != 2 {
 		t.Fatalf("%d recordings, %v", len(found), err)
 	}
 	for _, rec := range found {
 		steps := 0
 		for _, e := range entries(t, rec.Data) {
-			if e.Kind == flight.Lost {
+			if e.Kind == flightrecorder.Lost {
 				t.Error(e.Text)
 			}
-			if e.Kind == flight.Step {
+			if e.Kind == flightrecorder.Step {
 				steps++
 			}
 		}
@@ -421,13 +421,13 @@
 }
 
 func FuzzReader(f *testing.F) {
-	_, rec := flighttest.Drive(1, 1500*time.Millisecond, flight.LeastRing, nil)
+	_, rec := recordertest.Drive(1, 1500*time.Millisecond, flightrecorder.LeastRing, nil)
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(append(data[:len(data)/2:len(data)/2], data...))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		flight.Reseal(data) // so that what is behind the checksums is reached, too
-		r, err := flight.NewReader(data)
+		flightrecorder.Reseal(data) // so that what is behind the checksums is reached, too
+		r, err := flightrecorder.NewReader(data)
 		if err != nil {
 			return
 		}
@@ -440,7 +440,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	rec := flight.NewRecorder(flight.Meta{Settings: flighttest.Settings()}, 0, func(b []byte) []byte { return append(b, make([]byte, 4096)...) })
+	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Settings: recordertest.Settings()}, 0, func(b []byte) []byte { return append(b, make([]byte, 4096)...) })
 	took := policy.Event{Kind: policy.Taken, ID: 1, Class: 1, Destination: 7, Left: 16 * time.Second}
 	done := policy.Event{Kind: policy.Finished, ID: 1, Route: "s-5be2a07c", Took: 250 * time.Millisecond, Ended: true}
 	events := []policy.Event{took, done}
@@ -461,7 +461,7 @@
 }
 
 func BenchmarkReader(b *testing.B) {
-	_, rec := flighttest.Drive(4, 30*time.Second, 64<<20, nil)
+	_, rec := recordertest.Drive(4, 30*time.Second, 64<<20, nil)
 	data := written(b, rec)
 	b.SetBytes(int64(len(data)))
 	for b.Loop() {
--- a/internal/flight/form.go
+++ b/internal/recording/flightrecorder/form.go
@@ -5,7 +5,7 @@
 // A recording is a run of chunks, each readable by itself: it begins with a header frame and, unless it is the first of
 // a process, with the module's state. Every frame carries a CRC-32C over its length, its payload and its place, so that
 // a cut or a flipped bit is told and never read as something else.
-package flight
+package flightrecorder
 
 import (
 	"encoding/binary"
--- a/internal/flight/golden_keys_test.go
+++ b/internal/recording/flightrecorder/golden_keys_test.go
@@ -1,16 +1,16 @@
-package flight_test
+package flightrecorder_test
 
 import (
 	"encoding/json"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
 // TestGoldenKeys pins the keys under which recordings begin a chunk: other builds of the program read them.
 func TestGoldenKeys(t *testing.T) {
-	var x flight.Head
+	var x flightrecorder.Head
 	golden.Fill(&x)
 	data, err := json.MarshalIndent(x, "", " ")
 	if err != nil {
--- a/internal/flight/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -1,4 +1,4 @@
-package flight_test
+package flightrecorder_test
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
 	"cherrytrestle.example/cherrytrestle/internal/golden"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -33,19 +33,19 @@
 type goldenRun struct {
 	sender   *policy.Sender
 	seam     *agent.Seam // nil: the fleet is off
-	recorder *flight.Recorder
+	recorder *flightrecorder.Recorder
 	events   []policy.Event // of the next step
 }
 
 func newGoldenRun(t *testing.T, fleet bool) *goldenRun {
 	t.Helper()
-	set := flighttest.Settings()
+	set := recordertest.Settings()
 	sender, err := policy.New(set, goldenSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	meta := flight.Meta{Name: "n1", Revision: "golden", Program: "v1", Seed: goldenSeed, Settings: set, Started: time.Unix(1e9, 0).UTC()}
-	run := &goldenRun{sender: sender, recorder: flight.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
+	meta := flightrecorder.Meta{Name: "n1", Revision: "golden", Program: "v1", Seed: goldenSeed, Settings: set, Started: time.Unix(1e9, 0).UTC()}
+	run := &goldenRun{sender: sender, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
 	if fleet {
 		run.seam = agent.New(agent.Settings{
 			Self: "n1", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.Kinds, Rights: true, Senders: 2,
@@ -158,13 +158,13 @@
 			r.recorder.Cleared(now, "s-1", ids, r.sender.MayStill("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
-			r.recorder.Reconfigured(flighttest.Settings()) // a chunk with snapshots begins
+			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
 		}
 	}
 	return recorded(r.recorder)
 }
 
-func recorded(r *flight.Recorder) []byte {
+func recorded(r *flightrecorder.Recorder) []byte {
 	var buf bytes.Buffer
 	if _, err := r.WriteTo(&buf); err != nil {
 		panic(err) // a buffer takes all
@@ -172,9 +172,9 @@
 	return buf.Bytes()
 }
 
-func goldenEntries(t *testing.T, data []byte) (entries []flight.Entry) {
+func goldenEntries(t *testing.T, data []byte) (entries []flightrecorder.Entry) {
 	t.Helper()
-	r, err := flight.NewReader(data)
+	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,12 +191,12 @@
 }
 
 // dump is entries as text, in which no name of a field stands.
-func dump(t *testing.T, entries []flight.Entry) []byte {
+func dump(t *testing.T, entries []flightrecorder.Entry) []byte {
 	t.Helper()
 	var text strings.Builder
 	for _, e := range entries {
 		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n", e.Kind, e.At, e.Now, e.Route, e.IDs, e.May, e.Message, e.Text)
-		if e.Kind == flight.Begin {
+		if e.Kind == flightrecorder.Begin {
 			fmt.Fprintf(&text, "  begin %x %d %t %v\n", e.ID, e.Chunk, e.Fresh, e.Meta)
 		}
 		if len(e.State) > 0 {
@@ -214,7 +214,7 @@
 		for _, a := range e.Actions {
 			fmt.Fprintf(&text, "  action %v\n", a)
 		}
-		if e.Kind == flight.Beside {
+		if e.Kind == flightrecorder.Beside {
 			rec, err := agent.ReadRecord(e.State)
 			if err != nil {
 				t.Fatal(err)
@@ -226,14 +226,14 @@
 }
 
 // rewrite records entries anew.
-func rewrite(entries []flight.Entry) []byte {
-	var recorder *flight.Recorder
+func rewrite(entries []flightrecorder.Entry) []byte {
+	var recorder *flightrecorder.Recorder
 	var state, beside []byte
 	for i, e := range entries {
 		switch e.Kind {
-		case flight.Begin:
+		case flightrecorder.Begin:
 			state = e.State
-			hasBeside := entries[i+1].Kind == flight.BesideState
+			hasBeside := entries[i+1].Kind == flightrecorder.BesideState
 			if hasBeside {
 				beside = entries[i+1].State
 			}
@@ -241,21 +241,21 @@
 				recorder.Reconfigured(e.Meta.Settings)
 				continue
 			}
-			recorder = flight.NewRecorderWithID(e.ID, e.Meta, 0, func(b []byte) []byte { return append(b, state...) })
+			recorder = flightrecorder.NewRecorderWithID(e.ID, e.Meta, 0, func(b []byte) []byte { return append(b, state...) })
 			if hasBeside {
 				recorder.Beside(func(b []byte) []byte { return append(b, beside...) })
 			}
-		case flight.Step:
+		case flightrecorder.Step:
 			var told []byte
-			if i+1 < len(entries) && entries[i+1].Kind == flight.Beside {
+			if i+1 < len(entries) && entries[i+1].Kind == flightrecorder.Beside {
 				told = entries[i+1].State
 			}
 			recorder.StepBeside(e.Now, e.Events, e.Actions, told)
-		case flight.Cleared:
+		case flightrecorder.Cleared:
 			recorder.Cleared(e.Now, e.Route, e.IDs, e.May)
-		case flight.Label:
+		case flightrecorder.Label:
 			recorder.Label(e.Message, e.Text)
-		case flight.Note:
+		case flightrecorder.Note:
 			recorder.Note(e.Text)
 		}
 	}
@@ -263,14 +263,14 @@
 }
 
 // playGolden plays a recording whole, compares the module's state at its second chunk, and plays it from there.
-func playGolden(t *testing.T, data []byte, entries []flight.Entry, fleet bool) {
+func playGolden(t *testing.T, data []byte, entries []flightrecorder.Entry, fleet bool) {
 	t.Helper()
-	second := slices.IndexFunc(entries, func(e flight.Entry) bool { return e.Kind == flight.Begin && !e.Fresh })
+	second := slices.IndexFunc(entries, func(e flightrecorder.Entry) bool { return e.Kind == flightrecorder.Begin && !e.Fresh })
 	if second < 0 {
 		t.Fatal("no chunk begins with a snapshot")
 	}
 	compared := false
-	before := func(s *policy.Sender, e *flight.Entry) {
+	before := func(s *policy.Sender, e *flightrecorder.Entry) {
 		if !compared && e.At > entries[second].At {
 			compared = true
 			if !bytes.Equal(s.Snapshot(nil), entries[second].State) {
--- a/internal/flight/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -1,4 +1,4 @@
-package flight
+package flightrecorder
 
 import (
 	"bytes"
--- a/internal/flight/flighttest/flighttest.go
+++ b/internal/recording/flightrecorder/recordertest/flighttest.go
@@ -1,6 +1,6 @@
 // Package flighttest drives a decision module through random but legal histories, for tests of what records and replays
 // them: outages, refusals with and without waits, drains and replacements, restarts, clients that leave.
-package flighttest
+package recordertest
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -32,14 +32,14 @@
 }
 
 // Drive has a relay of its own live through a span of time. rec may be nil; each is called after every step, if set.
-func Drive(seed uint64, span time.Duration, ring int, each func(s *policy.Sender, rec *flight.Recorder)) (*policy.Sender, *flight.Recorder) {
+func Drive(seed uint64, span time.Duration, ring int, each func(s *policy.Sender, rec *flightrecorder.Recorder)) (*policy.Sender, *flightrecorder.Recorder) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := Settings()
 	s, err := policy.New(set, seed)
 	if err != nil {
 		panic(err) // the settings above are right
 	}
-	rec := flight.NewRecorder(flight.Meta{Name: "n1", Revision: policy.Revision(), Seed: seed, Settings: set, Started: time.Unix(1e9, 0).UTC()}, ring, s.Snapshot)
+	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: seed, Settings: set, Started: time.Unix(1e9, 0).UTC()}, ring, s.Snapshot)
 	var list []policy.Listing
 	for d := range 5 {
 		for i := range 1 + rng.IntN(3) {
--- a/internal/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -13,7 +13,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -23,14 +23,14 @@
 // Visitor sees a replay as it goes. Any of its functions may be nil.
 type Visitor struct {
 	// Begin is called with each Sender that a stretch is played on, before its first step.
-	Begin func(s *policy.Sender, e *flight.Entry)
+	Begin func(s *policy.Sender, e *flightrecorder.Entry)
 	// Settings is called with the settings that hold from here on.
 	Settings func(set policy.Settings)
 	// Before is called with the Sender as the step before left it.
-	Before func(s *policy.Sender, e *flight.Entry)
+	Before func(s *policy.Sender, e *flightrecorder.Entry)
 	// Step is called after a step was played. The Sender must only be asked, not stepped.
-	Step  func(s *policy.Sender, e *flight.Entry)
-	Other func(e *flight.Entry) // labels, notes, and what is lost
+	Step  func(s *policy.Sender, e *flightrecorder.Entry)
+	Other func(e *flightrecorder.Entry) // labels, notes, and what is lost
 }
 
 // Difference is where a recording and the module part.
@@ -57,7 +57,7 @@
 
 // Result is what a replay told.
 type Result struct {
-	Meta       flight.Meta
+	Meta       flightrecorder.Meta
 	Revision   string // of the module that played
 	Chunks     int
 	Stretches  int // played without a gap
@@ -83,14 +83,14 @@
 	set    policy.Settings
 	skip   bool // within a chunk that cannot be played
 
-	seam    *agent.Seam     // nil: the recording holds none, or waits for one
-	last    *flight.Entry   // step of the module, which the seam's is beside
-	decided []policy.Action // in it
+	seam    *agent.Seam           // nil: the recording holds none, or waits for one
+	last    *flightrecorder.Entry // step of the module, which the seam's is beside
+	decided []policy.Action       // in it
 }
 
 // Play plays a recording, up to the first action that differs. The error tells that nothing could be played.
 func Play(data []byte, visit Visitor) (Result, error) {
-	r, err := flight.NewReader(data)
+	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return Result{}, err
 	}
@@ -112,32 +112,32 @@
 	return p.res, nil
 }
 
-func (p *player) take(e *flight.Entry) {
+func (p *player) take(e *flightrecorder.Entry) {
 	switch e.Kind {
-	case flight.Begin:
+	case flightrecorder.Begin:
 		p.begin(e)
-	case flight.Step:
+	case flightrecorder.Step:
 		if p.sender != nil {
 			p.step(e)
 		}
-	case flight.BesideState:
+	case flightrecorder.BesideState:
 		p.besideState(e)
-	case flight.Beside:
+	case flightrecorder.Beside:
 		if p.sender != nil && p.seam != nil && p.last != nil {
 			p.besideStep(e)
 		}
-	case flight.Cleared:
+	case flightrecorder.Cleared:
 		if p.sender != nil {
 			p.res.Cleared++
 			if may := p.sender.MayStill(e.Route, e.IDs, e.Now); may != e.May {
 				p.differ(e, "whether a call to "+e.Route+" may still leave", fmt.Sprint(e.May), fmt.Sprint(may))
 			}
 		}
-	case flight.Lost:
+	case flightrecorder.Lost:
 		p.lose(fmt.Sprintf("offset %d: %s", e.At, e.Text))
 		p.sender, p.seam, p.last = nil, nil, nil
 	}
-	if (e.Kind == flight.Label || e.Kind == flight.Note || e.Kind == flight.Lost) && p.visit.Other != nil {
+	if (e.Kind == flightrecorder.Label || e.Kind == flightrecorder.Note || e.Kind == flightrecorder.Lost) && p.visit.Other != nil {
 		p.visit.Other(e)
 	}
 }
@@ -153,7 +153,7 @@
 
 // begin goes on in a new chunk, or starts there. The state that a chunk begins with is compared with the one that was
 // reached, so that a Sender that went astray without showing it is found at the next chunk.
-func (p *player) begin(e *flight.Entry) {
+func (p *player) begin(e *flightrecorder.Entry) {
 	if p.res.Chunks++; p.res.Chunks == 1 {
 		p.res.Meta, p.res.From = e.Meta, e.Now
 	}
@@ -199,7 +199,7 @@
 
 // Restore reads the state that a chunk begins with in mid-life. One that some other build wrote may be such as the module
 // never reaches; that is an error.
-func Restore(e *flight.Entry) (s *policy.Sender, err error) {
+func Restore(e *flightrecorder.Entry) (s *policy.Sender, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			s, err = nil, fmt.Errorf("replay: a state that the module does not know: %v", x)
@@ -218,7 +218,7 @@
 	return n
 }
 
-func (p *player) step(e *flight.Entry) {
+func (p *player) step(e *flightrecorder.Entry) {
 	p.res.Steps++
 	p.res.Events += len(e.Events)
 	p.res.Actions += len(e.Actions)
@@ -242,7 +242,7 @@
 }
 
 // besideState goes on with the seam's state that a chunk begins with, or compares it with the one that was reached.
-func (p *player) besideState(e *flight.Entry) {
+func (p *player) besideState(e *flightrecorder.Entry) {
 	if p.seam != nil {
 		if reached := p.seam.Snapshot(nil); !bytes.Equal(reached, e.State) {
 			p.differ(e, "the seam's state", fmt.Sprintf("%d bytes", len(e.State)), fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)))
@@ -258,7 +258,7 @@
 }
 
 // besideStep plays the seam's step beside the module's last one.
-func (p *player) besideStep(e *flight.Entry) {
+func (p *player) besideStep(e *flightrecorder.Entry) {
 	rec, err := agent.ReadRecord(e.State)
 	if err != nil {
 		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
@@ -279,7 +279,7 @@
 }
 
 // step guards against a module that panics, on what another one was told.
-func step(s *policy.Sender, e *flight.Entry) (acts []policy.Action, err error) {
+func step(s *policy.Sender, e *flightrecorder.Entry) (acts []policy.Action, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("panic: %v", x)
@@ -326,7 +326,7 @@
 	return fmt.Sprintf("action %d", a.Kind)
 }
 
-func (p *player) differ(e *flight.Entry, what, recorded, replayed string) {
+func (p *player) differ(e *flightrecorder.Entry, what, recorded, replayed string) {
 	p.res.Difference = &Difference{
 		Step: p.res.Steps, Offset: e.At, Now: e.Now, What: what, Recorded: recorded, Replayed: replayed,
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/flight/flighttest"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func written(t testing.TB, rec *flight.Recorder) []byte {
+func written(t testing.TB, rec *flightrecorder.Recorder) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if _, err := rec.WriteTo(&b); err != nil {
@@ -28,8 +28,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		span := time.Duration(rapid.IntRange(2, 25).Draw(rt, "seconds")) * time.Second
-		ring := rapid.SampledFrom([]int{flight.LeastRing, 64 << 20}).Draw(rt, "ring")
-		_, rec := flighttest.Drive(seed, span, ring, nil)
+		ring := rapid.SampledFrom([]int{flightrecorder.LeastRing, 64 << 20}).Draw(rt, "ring")
+		_, rec := recordertest.Drive(seed, span, ring, nil)
 		res, err := Play(written(t, rec), Visitor{})
 		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Stretches != 1 {
 			rt.Fatalf("%v, %+v", err, res)
@@ -40,10 +40,10 @@
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
 func TestTheRingIsBoundedAndPlays(t *testing.T) {
 	most := 0
-	_, rec := flighttest.Drive(3, 4*time.Minute, flight.LeastRing, func(_ *policy.Sender, rec *flight.Recorder) { most = max(most, rec.Size()) })
+	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
 	data := written(t, rec)
-	if most > flight.LeastRing*5/4 || len(data) < flight.LeastRing/2 {
-		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flight.LeastRing)
+	if most > flightrecorder.LeastRing*5/4 || len(data) < flightrecorder.LeastRing/2 {
+		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.LeastRing)
 	}
 	res, err := Play(data, Visitor{})
 	if err != nil || res.Difference != nil || res.From == 0 || res.Chunks < 2 || res.States != res.Chunks-1 {
@@ -52,13 +52,13 @@
 }
 
 // edit plays a recording again with something of it changed, and has it recorded so.
-func edit(t *testing.T, data []byte, revision string, change func(n int, e *flight.Entry)) []byte {
+func edit(t *testing.T, data []byte, revision string, change func(n int, e *flightrecorder.Entry)) []byte {
 	t.Helper()
-	r, err := flight.NewReader(data)
+	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rec *flight.Recorder
+	var rec *flightrecorder.Recorder
 	for n := 0; ; n++ {
 		e, ok, err := r.Next()
 		if err != nil {
@@ -69,15 +69,15 @@
 		}
 		change(n, &e)
 		switch e.Kind {
-		case flight.Begin:
+		case flightrecorder.Begin:
 			if rec == nil {
 				meta := e.Meta
 				meta.Revision = revision
-				rec = flight.NewRecorder(meta, 64<<20, func(b []byte) []byte { return b })
+				rec = flightrecorder.NewRecorder(meta, 64<<20, func(b []byte) []byte { return b })
 			}
-		case flight.Step:
+		case flightrecorder.Step:
 			rec.Step(e.Now, e.Events, e.Actions)
-		case flight.Cleared:
+		case flightrecorder.Cleared:
 			rec.Cleared(e.Now, e.Route, e.IDs, e.May)
 		}
 	}
@@ -85,7 +85,7 @@
 
 // The first action that differs is shown, whatever it is: a replay that cannot fail shows nothing.
 func TestTheFirstDifferenceIsShown(t *testing.T) {
-	_, rec := flighttest.Drive(5, 10*time.Second, 64<<20, nil)
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	data := written(t, rec)
 	for _, c := range []struct {
 		name   string
@@ -98,7 +98,7 @@
 		{"another advice", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Refuse }, "refuse"},
 	} {
 		done, at := false, time.Duration(0)
-		bad := edit(t, data, policy.Revision(), func(n int, e *flight.Entry) {
+		bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
 			for i := range e.Actions {
 				if x := e.Actions[i]; !done && n > 20 && c.change(&x) {
 					e.Actions[i], done, at = x, true, e.Now
@@ -115,7 +115,7 @@
 		}
 	}
 	dropped := false
-	bad := edit(t, data, policy.Revision(), func(n int, e *flight.Entry) {
+	bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
 		if n > 20 && !dropped && len(e.Actions) > 0 {
 			e.Actions, dropped = slices.Clone(e.Actions[:len(e.Actions)-1]), true
 		}
@@ -123,7 +123,7 @@
 	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || res.Difference.Recorded != "" {
 		t.Errorf("an action that was dropped: %v, %+v", err, res)
 	}
-	bad = edit(t, data, policy.Revision(), func(_ int, e *flight.Entry) { e.May = !e.May })
+	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.May = !e.May })
 	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || !strings.Contains(res.Difference.What, "still leave") {
 		t.Errorf("another clearance: %v, %+v", err, res)
 	}
@@ -131,17 +131,17 @@
 
 // A recording of another revision is told and played; from its middle only where the form of states allows it.
 func TestAnotherRevision(t *testing.T) {
-	_, rec := flighttest.Drive(5, 10*time.Second, 64<<20, nil)
-	res, err := Play(edit(t, written(t, rec), "0123", func(int, *flight.Entry) {}), Visitor{})
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
+	res, err := Play(edit(t, written(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
 	if err != nil || res.Difference != nil || res.SameRevision() || res.Steps == 0 {
 		t.Errorf("%v, %+v", err, res)
 	}
 	// A state that this build does not know.
-	s, err := policy.New(flighttest.Settings(), 1)
+	s, err := policy.New(recordertest.Settings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := flight.NewRecorder(flight.Meta{Revision: "0123", Settings: flighttest.Settings()}, flight.LeastRing, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
+	odd := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}, flightrecorder.LeastRing, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
 	for i := range 40000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
 		evs := []policy.Event{{Kind: policy.Woken}}
@@ -157,11 +157,11 @@
 func TestSettingsThatChangeAndRestoredModules(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		steps := 0
-		s, rec := flighttest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Sender, rec *flight.Recorder) {
+		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Sender, rec *flightrecorder.Recorder) {
 			if steps++; steps != 60 {
 				return
 			}
-			set := flighttest.Settings()
+			set := recordertest.Settings()
 			set.MaxAttempts, set.Slots, set.Classes[0].Effect = 2, 3, policy.Unsafe
 			if err := s.Reconfigure(set); err != nil {
 				t.Fatal(err)
@@ -177,13 +177,13 @@
 		if !told {
 			continue
 		}
-		set := flighttest.Settings()
+		set := recordertest.Settings()
 		set.MaxAttempts, set.Slots, set.Classes[0].Effect = 2, 3, policy.Unsafe
 		again, err := policy.Restore(set, s.Snapshot(nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		resumed := flight.ResumeRecorder(flight.Meta{Revision: policy.Revision(), Settings: set}, 0, again.Snapshot, res.To)
+		resumed := flightrecorder.ResumeRecorder(flightrecorder.Meta{Revision: policy.Revision(), Settings: set}, 0, again.Snapshot, res.To)
 		for i := range 20 {
 			now := res.To + time.Duration(i+1)*50*time.Millisecond
 			evs := []policy.Event{{Kind: policy.Taken, ID: uint32(1<<20 + i), Destination: 1, Left: 3 * time.Second}}
@@ -197,18 +197,18 @@
 
 // A clock that steps is part of what was told: the module is played with it as it was.
 func TestClockSteps(t *testing.T) {
-	s, err := policy.New(flighttest.Settings(), 9)
+	s, err := policy.New(recordertest.Settings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := flight.NewRecorder(flight.Meta{Revision: policy.Revision(), Seed: 9, Settings: flighttest.Settings()}, flight.LeastRing, s.Snapshot)
+	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}, flightrecorder.LeastRing, s.Snapshot)
 	list := policy.Event{Kind: policy.ListWhole, List: []policy.Listing{{Route: "a", Weight: 3, InService: true}}}
 	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
 		evs := []policy.Event{list, {Kind: policy.Taken, ID: uint32(i + 1), Left: 16 * time.Second}}
 		rec.Step(now, evs, s.Step(now, evs))
 	}
 	var seen []time.Duration
-	res, err := Play(written(t, rec), Visitor{Step: func(_ *policy.Sender, e *flight.Entry) { seen = append(seen, e.Now) }})
+	res, err := Play(written(t, rec), Visitor{Step: func(_ *policy.Sender, e *flightrecorder.Entry) { seen = append(seen, e.Now) }})
 	if err != nil || res.Difference != nil || len(seen) != 7 || seen[3] != 30*time.Second || seen[5] != -time.Second {
 		t.Errorf("%v, %+v, %v", err, res, seen)
 	}
@@ -217,7 +217,7 @@
 // A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
 // what cannot be read is told.
 func TestCutAndDamagedRecordings(t *testing.T) {
-	_, rec := flighttest.Drive(7, 2500*time.Millisecond, flight.LeastRing, nil)
+	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.LeastRing, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
 	if err != nil || whole.Difference != nil {
@@ -249,7 +249,7 @@
 
 // After a damaged chunk the next one is played from.
 func TestADamagedMiddleIsPassedOver(t *testing.T) {
-	_, rec := flighttest.Drive(8, 3*time.Minute, 8*flight.LeastRing, nil)
+	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.LeastRing, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
 	if err != nil || whole.Chunks < 3 {
@@ -264,7 +264,7 @@
 }
 
 func FuzzPlay(f *testing.F) {
-	_, rec := flighttest.Drive(2, 1500*time.Millisecond, flight.LeastRing, nil)
+	_, rec := recordertest.Drive(2, 1500*time.Millisecond, flightrecorder.LeastRing, nil)
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
@@ -273,7 +273,7 @@
 			return
 		}
 		Play(data, Visitor{}) // must end, and not panic
-		if found, err := flight.Split(data); err == nil {
+		if found, err := flightrecorder.Split(data); err == nil {
 			for _, x := range found {
 				Play(x.Data, Visitor{})
 			}
@@ -282,7 +282,7 @@
 }
 
 func BenchmarkReplay(b *testing.B) {
-	_, rec := flighttest.Drive(4, time.Minute, 64<<20, nil)
+	_, rec := recordertest.Drive(4, time.Minute, 64<<20, nil)
 	data := written(b, rec)
 	events := 0
 	for b.Loop() {
--- a/internal/archive/archive.go
+++ b/internal/recording/statecodec/archive.go
@@ -1,7 +1,7 @@
 // Package archive writes and reads the state of a pure state machine with one description for both directions: each
 // method of a Coder takes a pointer, writes what it points to or fills it in. It knows nothing of what it carries and
 // does no I/O. Pointers that several records share are written once and are shared again when read.
-package archive
+package statecodec
 
 import (
 	"cmp"
--- a/internal/archive/golden_test.go
+++ b/internal/recording/statecodec/golden_test.go
@@ -1,4 +1,4 @@
-package archive
+package statecodec
 
 import (
 	"flag"
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -14,10 +14,10 @@
 
 	"go.uber.org/goleak"
 
-	"cherrytrestle.example/cherrytrestle/internal/flight"
 	"cherrytrestle.example/cherrytrestle/internal/judge"
 	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 	"cherrytrestle.example/cherrytrestle/internal/scenario"
 )
 
@@ -211,11 +211,11 @@
 	noneLeft(t, dir)
 	// What the relays recorded of it, over a kill and a planned end, replays: equal events give equal actions.
 	for _, name := range []string{"r1", "r2"} {
-		paths, err := filepath.Glob(filepath.Join(dir, name, RecordingsName, "*"+flight.Ext))
+		paths, err := filepath.Glob(filepath.Join(dir, name, RecordingsName, "*"+flightrecorder.Ext))
 		if err != nil {
 			t.Fatal(err)
 		}
-		found, err := flight.Load(paths...)
+		found, err := flightrecorder.Load(paths...)
 		if err != nil || len(found) != 2 {
 			t.Fatalf("%s: %d recordings in %v, %v", name, len(found), paths, err)
 		}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // recording is the relay's flight recorder and where its recordings go. A nil one records nothing.
 type recording struct {
-	*flight.Recorder
+	*flightrecorder.Recorder
 	set    operatorfile.Recorder
-	folder flight.Folder
+	folder flightrecorder.Folder
 	out    io.Writer // the log, where there is no folder
 	log    *slog.Logger
 }
@@ -26,18 +26,18 @@
 	if !set.Enabled {
 		return &recording{log: log}
 	}
-	meta := flight.Meta{
+	meta := flightrecorder.Meta{
 		Name: cfg.Name, Revision: policy.Revision(), Program: cfg.Version, Seed: cfg.Seed, Settings: cfg.Settings, Started: started.Round(0),
 	}
-	rec := flight.NewRecorder
+	rec := flightrecorder.NewRecorder
 	if now > 0 {
-		rec = func(meta flight.Meta, ring int, state func([]byte) []byte) *flight.Recorder {
-			return flight.ResumeRecorder(meta, ring, state, now)
+		rec = func(meta flightrecorder.Meta, ring int, state func([]byte) []byte) *flightrecorder.Recorder {
+			return flightrecorder.ResumeRecorder(meta, ring, state, now)
 		}
 	}
 	return &recording{
 		Recorder: rec(meta, set.Ring(), sender.Snapshot),
-		set:      set, folder: flight.Folder{Path: set.Folder, Limit: int64(set.FolderMB * (1 << 20)), Name: cfg.Name}, out: out, log: log,
+		set:      set, folder: flightrecorder.Folder{Path: set.Folder, Limit: int64(set.FolderMB * (1 << 20)), Name: cfg.Name}, out: out, log: log,
 	}
 }
 
@@ -50,7 +50,7 @@
 	if r.set.Folder != "" {
 		err = r.folder.Follow(ctx, r.Recorder)
 	} else {
-		err = flight.FollowLog(ctx, r.Recorder, r.out)
+		err = flightrecorder.FollowLog(ctx, r.Recorder, r.out)
 	}
 	if err != nil {
 		r.log.Warn("recorder: no longer written", "err", err)
@@ -67,7 +67,7 @@
 	if r.set.Folder != "" {
 		path, err = r.folder.Keep(r.Recorder, reason)
 	} else {
-		err = flight.KeepInLog(r.Recorder, reason, r.out)
+		err = flightrecorder.KeepInLog(r.Recorder, reason, r.out)
 	}
 	if err != nil {
 		r.log.Warn("recording not kept", "reason", reason, "err", err)
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
-	"cherrytrestle.example/cherrytrestle/internal/flight"
-	"cherrytrestle.example/cherrytrestle/internal/replay"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
 // withRecorder has a test relay record; nothing was told to its module before.
@@ -46,13 +46,13 @@
 		if crashed == nil {
 			t.Fatal("no crash: the test shows nothing")
 		}
-		paths, _ := filepath.Glob(filepath.Join(folder, "n3-*-crash"+flight.Ext))
-		var found []flight.Recording
+		paths, _ := filepath.Glob(filepath.Join(folder, "n3-*-crash"+flightrecorder.Ext))
+		var found []flightrecorder.Recording
 		var err error
 		if folder == "" {
-			found, err = flight.Split(flight.FromLog(out.Bytes()))
+			found, err = flightrecorder.Split(flightrecorder.FromLog(out.Bytes()))
 		} else {
-			found, err = flight.Load(paths...)
+			found, err = flightrecorder.Load(paths...)
 		}
 		if err != nil || len(found) != 1 {
 			t.Fatalf("%d recordings in %v, %v: %s", len(found), paths, err, out)
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -11,22 +11,22 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/judge"
 	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/plot"
 	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
 const hostsMost = 60 // that have a plot of their own
 
-func newTimeline(h record.Header, events []record.Event) *plot.Timeline {
+func newTimeline(h record.Header, events []record.Event) *chart.Timeline {
 	length := h.Length
 	if n := len(events); n > 0 {
 		length = max(length, events[n-1].At)
 	}
-	t := plot.NewTimeline(length)
+	t := chart.NewTimeline(length)
 	for _, e := range events {
 		switch {
 		case e.Kind == record.Trouble && e.State == record.StateBegin:
-			t.Shades = append(t.Shades, plot.Shade{Name: e.Name, From: e.At, To: t.Length})
+			t.Shades = append(t.Shades, chart.Shade{Name: e.Name, From: e.At, To: t.Length})
 		case e.Kind == record.Trouble:
 			for i := range t.Shades {
 				if t.Shades[i].Name == e.Name {
@@ -34,16 +34,16 @@
 				}
 			}
 		case e.Kind == record.Process && (e.State == record.StateTerm || e.State == record.StateKill || e.State == record.StateUp) && e.At < h.Length:
-			t.Marks = append(t.Marks, plot.Mark{At: e.At, Text: e.Relay + " " + e.State})
+			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
 		case e.Kind == record.Fell:
-			t.Marks = append(t.Marks, plot.Mark{At: e.At, Text: e.Place + " fell over"})
+			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Place + " fell over"})
 		}
 	}
 	return t
 }
 
 // plots are the charts of a run.
-func plots(t *plot.Timeline, h record.Header, events []record.Event) (all []template.HTML) {
+func plots(t *chart.Timeline, h record.Header, events []record.Event) (all []template.HTML) {
 	tries := judge.Tries(h, events)
 	worth, value, asked := t.Zeros(), t.Zeros(), t.Zeros()
 	latencies := make([][]time.Duration, t.Bins)
@@ -66,17 +66,17 @@
 		}
 	}
 	all = append(all,
-		t.Draw(plot.Plot{Title: "service", Unit: "by when it was asked for", Height: 150, Most: 1, Series: []plot.Series{{Name: "worth delivered over worth asked for", Colour: plot.Green, Values: service}}}),
-		t.Draw(plot.Plot{Title: "delivered after", Unit: "seconds, by when it was asked for", Height: 130, Series: []plot.Series{{Name: "95 %", Colour: plot.Orange, Values: high}, {Name: "median", Colour: plot.Blue, Values: median}}}),
-		t.Draw(plot.Plot{Title: "asked for", Unit: "messages a second", Height: 110, Series: []plot.Series{{Name: "first tries", Colour: plot.Blue, Values: asked}}}),
-		t.Draw(plot.Plot{Title: "calls", Unit: "a second, by outcome", Height: 130, Stacked: true, Series: outcomes(t, events)}))
+		t.Draw(chart.Plot{Title: "service", Unit: "by when it was asked for", Height: 150, Most: 1, Series: []chart.Series{{Name: "worth delivered over worth asked for", Colour: chart.Green, Values: service}}}),
+		t.Draw(chart.Plot{Title: "delivered after", Unit: "seconds, by when it was asked for", Height: 130, Series: []chart.Series{{Name: "95 %", Colour: chart.Orange, Values: high}, {Name: "median", Colour: chart.Blue, Values: median}}}),
+		t.Draw(chart.Plot{Title: "asked for", Unit: "messages a second", Height: 110, Series: []chart.Series{{Name: "first tries", Colour: chart.Blue, Values: asked}}}),
+		t.Draw(chart.Plot{Title: "calls", Unit: "a second, by outcome", Height: 130, Stacked: true, Series: outcomes(t, events)}))
 	return append(all, hostPlots(t, events)...)
 }
 
 // outcomes counts calls by how they ended.
-func outcomes(t *plot.Timeline, events []record.Event) []plot.Series {
+func outcomes(t *chart.Timeline, events []record.Event) []chart.Series {
 	at := map[uint64]int{}
-	s := []plot.Series{{Name: "delivered", Colour: plot.Green, Values: t.Zeros()}, {Name: "refused", Colour: plot.Orange, Values: t.Zeros()}, {Name: "failed", Colour: plot.Red, Values: t.Zeros()}, {Name: "no answer", Colour: plot.Grey, Values: t.Zeros()}}
+	s := []chart.Series{{Name: "delivered", Colour: chart.Green, Values: t.Zeros()}, {Name: "refused", Colour: chart.Orange, Values: t.Zeros()}, {Name: "failed", Colour: chart.Red, Values: t.Zeros()}, {Name: "no answer", Colour: chart.Grey, Values: t.Zeros()}}
 	for _, e := range events {
 		per := 1 / t.Bin.Seconds()
 		switch e.Kind {
@@ -103,7 +103,7 @@
 }
 
 // hosts draws what each host received against what it could do.
-func hostPlots(t *plot.Timeline, events []record.Event) (all []template.HTML) {
+func hostPlots(t *chart.Timeline, events []record.Event) (all []template.HTML) {
 	type host struct {
 		id   string
 		dest int
@@ -139,8 +139,8 @@
 	slices.SortStableFunc(order, func(a, b *host) int { return cmp.Compare(a.dest, b.dest) })
 	for _, h := range order[:min(hostsMost, len(order))] {
 		fill(h, t.Bins)
-		all = append(all, t.Draw(plot.Plot{Title: fmt.Sprintf("%s of destination %d", h.id, h.dest), Unit: "calls a second", Height: 84,
-			Series: []plot.Series{{Name: "can do", Colour: plot.Grey, Values: h.able}, {Name: "received", Colour: plot.Blue, Values: h.got}}}))
+		all = append(all, t.Draw(chart.Plot{Title: fmt.Sprintf("%s of destination %d", h.id, h.dest), Unit: "calls a second", Height: 84,
+			Series: []chart.Series{{Name: "can do", Colour: chart.Grey, Values: h.able}, {Name: "received", Colour: chart.Blue, Values: h.got}}}))
 	}
 	return all
 }
@@ -187,7 +187,7 @@
 table { border-collapse: collapse; margin: .6em 0 1.2em } td, th { padding: .2em .9em .2em 0; text-align: left; vertical-align: top }
 .held { color: #2e8b57 } .BROKEN { color: #c0392b; font-weight: bold } .not { color: #8a8f98 }
 pre { background: #f6f4f0; padding: .6em; white-space: pre-wrap; overflow-wrap: anywhere; font-size: 12px }
-` + plot.Style + `
+` + chart.Style + `
 </style>
 <h1>{{.Run.Scenario}}</h1>
 <p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.Plan}}, {{.Run.Length}}, relays {{range .Run.Relays}}{{.}} {{end}}.</p>
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/archive"
+	"cherrytrestle.example/cherrytrestle/internal/recording/statecodec"
 )
 
 // The state of a Sender as bytes, for recordings that begin in mid-life: one description for both directions.
@@ -16,7 +16,7 @@
 
 // Snapshot appends the Sender's state, between two steps, to buf. Equal states give equal bytes.
 func (s *Sender) Snapshot(buf []byte) []byte {
-	c := archive.Writer(buf)
+	c := statecodec.Writer(buf)
 	s.code(c)
 	return c.Bytes()
 }
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := archive.Reader(data)
+	c := statecodec.Reader(data)
 	s.code(c)
 	if err := c.Close(); err != nil {
 		return nil, fmt.Errorf("policy: snapshot: %w", err)
@@ -43,7 +43,7 @@
 	return s, nil
 }
 
-func (s *Sender) code(c *archive.Coder) {
+func (s *Sender) code(c *statecodec.Coder) {
 	form := snapshotForm
 	if c.Ints(&form); form != snapshotForm {
 		c.Fail()
@@ -59,13 +59,13 @@
 	c.Floats(&s.taken.level)
 	c.Ints(&s.held, &s.slots)
 	msgs := func(m **message) { s.codeMessage(c, m) }
-	archive.List(c, &s.order, func(d **dest) { s.codeDest(c, d) })
-	archive.List(c, &s.active, func(d **dest) { s.codeDest(c, d) })
+	statecodec.List(c, &s.order, func(d **dest) { s.codeDest(c, d) })
+	statecodec.List(c, &s.active, func(d **dest) { s.codeDest(c, d) })
 	var bare []*dest
 	for d := s.bare.first; d != nil; d = d.bareAfter {
 		bare = append(bare, d)
 	}
-	archive.List(c, &bare, func(d **dest) { s.codeDest(c, d) })
+	statecodec.List(c, &bare, func(d **dest) { s.codeDest(c, d) })
 	for _, d := range bare {
 		if c.Reading() && s.bare.has(d) {
 			c.Fail()
@@ -73,68 +73,68 @@
 			s.bare.add(d)
 		}
 	}
-	archive.Map(c, s.msgs, func(id *uint32, m **message) { archive.Uint(c, id); msgs(m) })
+	statecodec.Map(c, s.msgs, func(id *uint32, m **message) { statecodec.Uint(c, id); msgs(m) })
 	for _, d := range s.active { // apart from the destinations, so that messages do not nest
-		archive.List(c, &d.queue, msgs)
+		statecodec.List(c, &d.queue, msgs)
 	}
 	turns := func(t **turn) { s.codeTurn(c, t) }
-	archive.Map(c, s.turns, func(key *string, t **turn) { c.Text(key); turns(t) })
-	archive.List(c, &s.parked, turns)
-	archive.Map(c, s.least, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
+	statecodec.Map(c, s.turns, func(key *string, t **turn) { c.Text(key); turns(t) })
+	statecodec.List(c, &s.parked, turns)
+	statecodec.Map(c, s.least, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
 	for _, until := range []map[int]time.Duration{s.scarce, s.short} {
-		archive.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
+		statecodec.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
 	}
-	archive.List(c, &s.shares, func(b *bucket) { c.Floats(&b.level); c.Times(&b.at) })
+	statecodec.List(c, &s.shares, func(b *bucket) { c.Floats(&b.level); c.Times(&b.at) })
 	if len(s.shares) != len(s.set.Customers) {
 		c.Fail()
 	}
-	archive.List(c, (*[]end)(&s.ends), func(e *end) { c.Times(&e.at); msgs(&e.m) })
+	statecodec.List(c, (*[]end)(&s.ends), func(e *end) { c.Times(&e.at); msgs(&e.m) })
 }
 
-func (s *Sender) codeDest(c *archive.Coder, p **dest) {
-	archive.Must(c, p, func(d *dest) {
+func (s *Sender) codeDest(c *statecodec.Coder, p **dest) {
+	statecodec.Must(c, p, func(d *dest) {
 		c.Ints(&d.id, &d.held, &d.at)
 		c.Times(&d.opens, &d.bareAt)
-		archive.List(c, &d.gates, func(g **gate) { s.codeGate(c, g) })
+		statecodec.List(c, &d.gates, func(g **gate) { s.codeGate(c, g) })
 	})
 }
 
-func (s *Sender) codeGate(c *archive.Coder, p **gate) {
-	archive.Must(c, p, func(g *gate) {
+func (s *Sender) codeGate(c *statecodec.Coder, p **gate) {
+	statecodec.Must(c, p, func(g *gate) {
 		s.codeDest(c, &g.dest)
-		archive.List(c, &g.routes, func(r **route) { archive.Must(c, r, func(r *route) { s.codeRoute(c, r) }) })
+		statecodec.List(c, &g.routes, func(r **route) { statecodec.Must(c, r, func(r *route) { s.codeRoute(c, r) }) })
 		c.Bools(&g.separate, &g.shared)
 		c.Ints(&g.kind, &g.out, &g.streak, &g.tights, &g.rights)
 		c.Floats(&g.pace, &g.ceiling, &g.tokens, &g.credit, &g.limit, &g.got, &g.share)
 		c.Times(&g.wait, &g.halvedAt, &g.creptAt, &g.tokensAt, &g.coldAt, &g.coldLeft, &g.failSent, &g.gotAt, &g.rightsEnd, &g.askedAt)
-		archive.List(c, &g.sent, func(at *time.Duration) { c.Times(at) })
+		statecodec.List(c, &g.sent, func(at *time.Duration) { c.Times(at) })
 	})
 }
 
-func (s *Sender) codeRoute(c *archive.Coder, r *route) {
+func (s *Sender) codeRoute(c *statecodec.Coder, r *route) {
 	c.Text(&r.Route)
 	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.run, &r.streak, &r.refusals)
 	c.Floats(&r.Weight)
 	c.Bools(&r.InService, &r.Gone, &r.down, &r.cold, &r.slight, &r.lost)
 	c.Times(&r.skipUntil, &r.skipLen, &r.failSent, &r.back, &r.refusedAt, &r.okAt, &r.okSent, &r.mean, &r.dev)
-	archive.Uint(c, &r.lot)
-	archive.Uint(c, &r.recent)
+	statecodec.Uint(c, &r.lot)
+	statecodec.Uint(c, &r.recent)
 	s.codeGate(c, &r.gate)
-	archive.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
+	statecodec.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
 }
 
-func (s *Sender) codeCall(c *archive.Coder, p **call) {
-	archive.Must(c, p, func(x *call) {
-		archive.Must(c, &x.r, func(r *route) { s.codeRoute(c, r) })
+func (s *Sender) codeCall(c *statecodec.Coder, p **call) {
+	statecodec.Must(c, p, func(x *call) {
+		statecodec.Must(c, &x.r, func(r *route) { s.codeRoute(c, r) })
 		c.Ints(&x.left)
 		c.Bools(&x.ok)
 		c.Times(&x.sent, &x.expect, &x.cut)
 	})
 }
 
-func (s *Sender) codeMessage(c *archive.Coder, p **message) {
-	archive.Must(c, p, func(m *message) {
-		archive.Uint(c, &m.id)
+func (s *Sender) codeMessage(c *statecodec.Coder, p **message) {
+	statecodec.Must(c, p, func(m *message) {
+		statecodec.Uint(c, &m.id)
 		if c.Reading() {
 			m.class = new(Class)
 		}
@@ -142,7 +142,7 @@
 		if c.Ints(&class); class >= 0 && class < len(s.set.Classes) {
 			m.class = &s.set.Classes[class]
 		} else {
-			archive.Int(c, &m.class.Effect)
+			statecodec.Int(c, &m.class.Effect)
 			c.Bools(&m.class.GroupAll, &m.class.Ordered)
 			c.Times(&m.class.Window, &m.class.Aim, &m.class.GiveUp)
 			c.Floats(&m.class.Value)
@@ -152,16 +152,16 @@
 		c.Times(&m.due, &m.deadline, &m.rank, &m.ranAt)
 		c.Ints(&m.sends, &m.most, &m.ranZone, &m.timeouts)
 		c.Bools(&m.ran, &m.ended, &m.queued, &m.resumed)
-		archive.Ref(c, &m.avoid, func(r *route) { s.codeRoute(c, r) })
-		archive.List(c, &m.out, func(a *attempt) { c.Ints(&a.n); s.codeCall(c, &a.call) })
+		statecodec.Ref(c, &m.avoid, func(r *route) { s.codeRoute(c, r) })
+		statecodec.List(c, &m.out, func(a *attempt) { c.Ints(&a.n); s.codeCall(c, &a.call) })
 	})
 }
 
-func (s *Sender) codeTurn(c *archive.Coder, p **turn) {
-	archive.Ref(c, p, func(t *turn) {
+func (s *Sender) codeTurn(c *statecodec.Coder, p **turn) {
+	statecodec.Ref(c, p, func(t *turn) {
 		c.Text(&t.key)
 		c.Bools(&t.parked)
 		c.Times(&t.rest)
-		archive.List(c, &t.line, func(m **message) { s.codeMessage(c, m) })
+		statecodec.List(c, &t.line, func(m **message) { s.codeMessage(c, m) })
 	})
 }
