--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/golden"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -8,7 +8,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/recording/flightrecorder/golden_keys_test.go
+++ b/internal/recording/flightrecorder/golden_keys_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 // TestGoldenKeys pins the keys under which recordings begin a chunk: other builds of the program read them.
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -13,10 +13,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/golden"
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder/recordertest"
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/relay/hotrestart/golden_keys_test.go
+++ b/internal/relay/hotrestart/golden_keys_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 // TestGoldenKeys pins the keys under which one process tells another what it has: other builds of the program read them.
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
