--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -20,9 +20,9 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // What is measured on a relay process with stand-ins for all that it talks to.
@@ -45,13 +45,13 @@
 	cmd    *exec.Cmd
 	addr   string
 	folder string
-	agent  *standin.Agent
+	agent  *fake.Agent
 	took   time.Duration // until ready
 }
 
 // start starts a relay whose discovery has a list. known has it handed over at the start, too. prepare may write into its folder first.
 // A relay that is not ready in time is ended, and errNeverReady comes back.
-func (b *bench) start(ctx context.Context, list []standin.Member, known bool, memoryMB int, prepare func(folder string) error) (*process, error) {
+func (b *bench) start(ctx context.Context, list []fake.Member, known bool, memoryMB int, prepare func(folder string) error) (*process, error) {
 	folder, err := os.MkdirTemp(b.folder, "relay")
 	if err != nil {
 		return nil, err
@@ -65,11 +65,11 @@
 			return nil, err
 		}
 	}
-	rec, err := record.NewWriter(io.Discard, time.Now(), record.Header{})
+	rec, err := eventlog.NewWriter(io.Discard, time.Now(), eventlog.Header{})
 	if err != nil {
 		return nil, err
 	}
-	agent, err := standin.NewAgent("n0", rec, standin.NewWorld(scenario.Plan{}, rec), list)
+	agent, err := fake.NewAgent("n0", rec, fake.NewWorld(scenario.Plan{}, rec), list)
 	if err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 	return list(all...), nil
 }
 
-func (p *process) listCosts(ctx context.Context, list []standin.Member, n int, memory, ready, started, rest, change *capacity.Series) error {
+func (p *process) listCosts(ctx context.Context, list []fake.Member, n int, memory, ready, started, rest, change *capacity.Series) error {
 	cpu, err := p.spent()
 	if err != nil {
 		return err
@@ -422,7 +422,7 @@
 
 // moves has discovery tell five times that a destination's endpoints are at another address, and returns the longest time from a telling
 // until a message goes there, and how many hand-ins had no answer of 202 meanwhile. errNeverReady: one was not in force by readyMost.
-func (p *process) moves(ctx context.Context, endpoints []standin.Member, here, there *hostServers) (longest time.Duration, late int, err error) {
+func (p *process) moves(ctx context.Context, endpoints []fake.Member, here, there *hostServers) (longest time.Duration, late int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	for i := range 5 {
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
 // withPayments adds a class that must never run twice.
@@ -28,13 +28,13 @@
 	}
 }
 
-func faulty(t testing.TB, h *host, rules ...string) *sockfault.Proxy {
+func faulty(t testing.TB, h *host, rules ...string) *faultproxy.Proxy {
 	t.Helper()
-	p, err := sockfault.Start("127.0.0.1:0", h.addr(), 1)
+	p, err := faultproxy.Start("127.0.0.1:0", h.addr(), 1)
 	must(t, err)
 	t.Cleanup(func() { p.Close() })
 	for _, text := range rules {
-		rule, err := sockfault.ParseRule(text)
+		rule, err := faultproxy.ParseRule(text)
 		must(t, err)
 		_, err = p.Add(rule)
 		must(t, err)
@@ -169,7 +169,7 @@
 			t.Parallel()
 			p, h, other := newPlatform(t), newHost(t, nil), newHost(t, nil)
 			wire := faulty(t, h)
-			rule, err := sockfault.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
+			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
 			must(t, err)
 			id, err := wire.Add(rule)
 			must(t, err)
@@ -219,9 +219,9 @@
 		{`dir=down at=5 do=reset`, 1},
 		{`dir=up match="\r\n\r\n" for=100ms do=stall`, 1},
 	} {
-		p, err := sockfault.Start("127.0.0.1:0", r.addr, 1)
+		p, err := faultproxy.Start("127.0.0.1:0", r.addr, 1)
 		must(t, err)
-		rule, err := sockfault.ParseRule(c.rule)
+		rule, err := faultproxy.ParseRule(c.rule)
 		must(t, err)
 		_, err = p.Add(rule)
 		must(t, err)
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -18,7 +18,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/membership"
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
 // rig is several relays as processes, each pair of them with a link of its own in each direction.
@@ -28,7 +28,7 @@
 	relays    []*relayProcess
 	seconds   []string // second addresses
 	listens   []string
-	links     map[[2]int]*sockfault.Link // from, to
+	links     map[[2]int]*faultproxy.Link // from, to
 }
 
 func freeAddr(t testing.TB) string {
@@ -49,7 +49,7 @@
 
 // newRig prepares n relays that all deliver to one host.
 func newRig(t testing.TB, n int, h *host) *rig {
-	g := &rig{t: t, links: map[[2]int]*sockfault.Link{}}
+	g := &rig{t: t, links: map[[2]int]*faultproxy.Link{}}
 	for range n {
 		g.listens = append(g.listens, freeAddr(t))
 	}
@@ -58,7 +58,7 @@
 			if i == j {
 				continue
 			}
-			l, err := sockfault.StartLink("127.0.0.1", g.listens[j], uint64(i*n+j))
+			l, err := faultproxy.StartLink("127.0.0.1", g.listens[j], uint64(i*n+j))
 			must(t, err)
 			t.Cleanup(func() { l.Close() })
 			g.links[[2]int{i, j}] = l
@@ -108,7 +108,7 @@
 }
 
 // links has faults strike from each of some to each of others.
-func (g *rig) set(from, to []int, f sockfault.LinkFaults) {
+func (g *rig) set(from, to []int, f faultproxy.LinkFaults) {
 	for _, i := range from {
 		for _, j := range to {
 			if l := g.links[[2]int{i, j}]; l != nil {
@@ -187,23 +187,23 @@
 	g.traffic()
 	g.hears(g.all(), g.all())
 
-	g.set([]int{0}, []int{1, 2}, sockfault.LinkFaults{Cut: true})
-	g.set([]int{1, 2}, []int{0}, sockfault.LinkFaults{Cut: true})
+	g.set([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
+	g.set([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
 	for _, i := range []int{1, 2} {
 		eventually(t, "the one that is cut off fades", func() bool { state, age := g.sees(i, 0); return state != "alive" && age > freshly })
 	}
 	g.hears([]int{1, 2}, []int{1, 2})
-	g.set(g.all(), g.all(), sockfault.LinkFaults{})
+	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
 	g.hears(g.all(), g.all())
 
 	// Relay 0 hears and is not heard.
-	g.set([]int{0}, []int{1, 2}, sockfault.LinkFaults{Cut: true})
+	g.set([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
 	eventually(t, "what is not heard fades", func() bool { _, age := g.sees(1, 0); return age > freshly })
-	g.set(g.all(), g.all(), sockfault.LinkFaults{})
+	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
 	g.hears(g.all(), g.all())
 
 	// Nearly a third of all datagrams lost, some doubled, mixed and late.
-	g.set(g.all(), g.all(), sockfault.LinkFaults{DatagramFaults: sockfault.DatagramFaults{Drop: 0.3, Double: 0.1, Reorder: 0.1, Jitter: 20 * time.Millisecond}})
+	g.set(g.all(), g.all(), faultproxy.LinkFaults{DatagramFaults: faultproxy.DatagramFaults{Drop: 0.3, Double: 0.1, Reorder: 0.1, Jitter: 20 * time.Millisecond}})
 	time.Sleep(3 * time.Second)
 	g.hears(g.all(), g.all())
 
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
 // sharers is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as they are told.
@@ -111,10 +111,10 @@
 	}
 
 	others := g.all()[1:]
-	g.set([]int{0}, others, sockfault.LinkFaults{Cut: true})
-	g.set(others, []int{0}, sockfault.LinkFaults{Cut: true})
+	g.set([]int{0}, others, faultproxy.LinkFaults{Cut: true})
+	g.set(others, []int{0}, faultproxy.LinkFaults{Cut: true})
 	eventually(t, "cut off it goes by its own part", func() bool { r := rate(2 * time.Second); return r > 0 && r < 0.5*takes })
-	g.set(g.all(), g.all(), sockfault.LinkFaults{})
+	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
 	shared("the links are sound again")
 
 	for _, i := range others {
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/experiment"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
 // The experiments that are kept beside the documents load, and a run of each day of many relays breaks no rule. The mutant that
@@ -58,7 +58,7 @@
 	t.Helper()
 	for _, r := range p.Runs() {
 		if r.Key() == key {
-			return p.Play(r).Broken[string(judge.Drain)] > 0
+			return p.Play(r).Broken[string(checker.Drain)] > 0
 		}
 	}
 	return false
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -9,9 +9,9 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -131,10 +131,10 @@
 		x.w.Offered, took.Seconds(), float64(x.w.Offered)/took.Seconds(), float64(peak.Load())/1e6)
 	held = x.tell(s)
 	if c.Judged {
-		v := judge.Judge(x.w.Result())
+		v := checker.Judge(x.w.Result())
 		for _, f := range v.Findings {
 			fmt.Fprintf(s.Out, "  %s: %s, %d cases, %d breaks\n", f.Rule, f.State, f.Exercised, f.Count)
-			held = held && f.State != judge.Broken
+			held = held && f.State != checker.Broken
 		}
 		for _, fault := range v.Faults {
 			fmt.Fprintf(s.Out, "  the record proves less: %v\n", fault)
@@ -194,7 +194,7 @@
 		places[p.Name] = p.Dest
 	}
 	for _, step := range x.plan.Steps {
-		switch state := map[scenario.Op]string{scenario.OpList: record.StateReady, scenario.OpDrain: record.StateDraining, scenario.OpGone: record.StateGone}[step.Op]; {
+		switch state := map[scenario.Op]string{scenario.OpList: eventlog.StateReady, scenario.OpDrain: eventlog.StateDraining, scenario.OpGone: eventlog.StateGone}[step.Op]; {
 		case state != "":
 			c := heardChange{step.Target, state}
 			x.changes[c] = &spread{told: step.At}
@@ -217,7 +217,7 @@
 		Heard: func(relay int, route, state string) {
 			s := x.changes[heardChange{route, state}]
 			s.heard++
-			if s.last = x.w.Now(); state == record.StateReady {
+			if s.last = x.w.Now(); state == eventlog.StateReady {
 				return
 			}
 			if x.drained[route] == nil {
@@ -236,7 +236,7 @@
 				if a.Kind != policy.Send {
 					continue
 				}
-				if at := x.drained[a.Route]; at != nil && at[relay] > 0 && now > at[relay]+sendsWithin+judge.Slack {
+				if at := x.drained[a.Route]; at != nil && at[relay] > 0 && now > at[relay]+sendsWithin+checker.Slack {
 					x.late++
 				}
 				d := x.dest[a.Route]
--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/report"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/report"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -31,9 +31,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/experiment"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/report"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/report"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -121,7 +121,7 @@
 	}
 	took := time.Since(began)
 	h, events := w.Result()
-	v := judge.Judge(h, events)
+	v := checker.Judge(h, events)
 	if err := report.Text(s.Out, h, events, v); err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 	return exit(status(v))
 }
 
-func status(v judge.Verdict) int {
-	return map[judge.State]int{judge.Held: exitHeld, judge.Broken: exitBroken, judge.NotJudged: exitNotJudged}[v.State()]
+func status(v checker.Verdict) int {
+	return map[checker.State]int{checker.Held: exitHeld, checker.Broken: exitBroken, checker.NotJudged: exitNotJudged}[v.State()]
 }
 
 // revision names the decisions that results were had with.
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/explore"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 type powerCommand struct {
@@ -26,7 +26,7 @@
 
 // convict is what a scenario or world made of a mutant.
 type convict struct {
-	rules []judge.Rule // that were broken
+	rules []checker.Rule // that were broken
 	err   error
 }
 
@@ -103,8 +103,8 @@
 		if err != nil {
 			return convict{err: err}
 		}
-		for _, x := range judge.Judge(w.Result()).Findings {
-			if x.State == judge.Broken && !slices.Contains(c.rules, x.Rule) {
+		for _, x := range checker.Judge(w.Result()).Findings {
+			if x.State == checker.Broken && !slices.Contains(c.rules, x.Rule) {
 				c.rules = append(c.rules, x.Rule)
 			}
 		}
@@ -118,13 +118,13 @@
 	if err != nil || f.Break == nil {
 		return convict{err: err}
 	}
-	return convict{rules: []judge.Rule{f.Break.Rule}}
+	return convict{rules: []checker.Rule{f.Break.Rule}}
 }
 
 func tellPower(out io.Writer, mutants []*emulate.Mutant, names []string, table [][]convict) error {
 	wrong := 0
 	for i, m := range mutants {
-		name, want := "(sound)", judge.Rule("")
+		name, want := "(sound)", checker.Rule("")
 		if m != nil {
 			name, want = m.Name, m.Rule
 		}
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/experiment"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 type scaleCommand struct {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -27,10 +27,10 @@
 	"github.com/alecthomas/kong"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/rehearsal"
-	"cherrytrestle.example/cherrytrestle/internal/report"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/rehearsal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/report"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // The exit statuses.
@@ -179,8 +179,8 @@
 	return cli.Exit(status)
 }
 
-func status(v judge.Verdict) int {
-	return map[judge.State]int{judge.Held: exitHeld, judge.Broken: exitBroken, judge.NotJudged: exitNotJudged}[v.State()]
+func status(v checker.Verdict) int {
+	return map[checker.State]int{checker.Held: exitHeld, checker.Broken: exitBroken, checker.NotJudged: exitNotJudged}[v.State()]
 }
 
 // progress shows how a run goes, on one line.
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/rehearsal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/rehearsal"
 )
 
 // The tests run the program as a process of its own where signals matter: this binary under another variable.
@@ -110,17 +110,17 @@
 // Recordings are kept where a rule was broken, or if asked for; else they are cleared away.
 func TestRecordingsAreKeptWhereARuleWasBroken(t *testing.T) {
 	for _, c := range []struct {
-		state judge.State
+		state checker.State
 		all   bool
 		kept  bool
-	}{{judge.Held, false, false}, {judge.Broken, false, true}, {judge.Held, true, true}} {
+	}{{checker.Held, false, false}, {checker.Broken, false, true}, {checker.Held, true, true}} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "r1", rehearsal.RecordingsName, "r1-x.flight")
 		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte("x"), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		var out bytes.Buffer
-		r := rehearsal.Result{Verdict: judge.Verdict{Findings: []judge.Finding{{State: c.state}}}}
+		r := rehearsal.Result{Verdict: checker.Verdict{Findings: []checker.Finding{{State: c.state}}}}
 		if err := (&runCommand{KeepAll: c.all}).recordings(&out, dir, r); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/sockfault/main.go
+++ b/cmd/sockfault/main.go
@@ -19,7 +19,7 @@
 	"github.com/alecthomas/kong"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
 func main() {
@@ -45,13 +45,13 @@
 }
 
 func (a *app) Run(ctx context.Context, s *cli.Streams) error {
-	p, err := sockfault.Start(a.Listen, a.Target, a.Seed)
+	p, err := faultproxy.Start(a.Listen, a.Target, a.Seed)
 	if err != nil {
 		return err
 	}
 	defer p.Close()
 	for _, text := range a.Rules {
-		r, err := sockfault.ParseRule(text)
+		r, err := faultproxy.ParseRule(text)
 		if err != nil {
 			return err
 		}
--- a/internal/emulate/call.go
+++ b/internal/emulate/call.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -205,7 +205,7 @@
 // leaves tells the host, a latency later, that the relay has closed the connection.
 func (c *call) leaves() {
 	if c.written && !c.done {
-		c.r.w.After(c.latency(), func() { c.endsAtHost(record.CauseRelay) })
+		c.r.w.After(c.latency(), func() { c.endsAtHost(eventlog.CauseRelay) })
 	}
 }
 
@@ -217,19 +217,19 @@
 
 // endsAtHost ends a call at the host without an answer. What runs there runs on.
 func (c *call) endsAtHost(cause string) {
-	if c.done || c.host.isCut && cause == record.CauseRelay {
+	if c.done || c.host.isCut && cause == eventlog.CauseRelay {
 		return // a machine that is cut off hears nothing of that
 	}
 	c.done = true
 	delete(c.host.calls, c)
 	if c.came {
-		c.r.w.see(record.Event{Kind: record.Ended, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
+		c.r.w.see(eventlog.Event{Kind: eventlog.Ended, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
 	}
 }
 
 // broken is the end of a call whose host breaks its connection.
 func (c *call) broken() {
-	c.endsAtHost(record.CauseHost)
+	c.endsAtHost(eventlog.CauseHost)
 	c.done = true
 	delete(c.host.calls, c)
 	if !c.over {
@@ -249,7 +249,7 @@
 	}
 	c.came = true
 	if w.opts.Record {
-		e := record.Event{Kind: record.Call, Call: c.num, Relay: c.r.name, Host: h.ID, First: w.Now(), Dest: h.Dest, Weight: h.place.Weight(len(c.atts))}
+		e := eventlog.Event{Kind: eventlog.Call, Call: c.num, Relay: c.r.name, Host: h.ID, First: w.Now(), Dest: h.Dest, Weight: h.place.Weight(len(c.atts))}
 		for i := range c.atts {
 			e.IDs = append(e.IDs, c.atts[i].m.name)
 		}
@@ -278,16 +278,16 @@
 	fate := h.place.Arrive(w.Now(), h.ID, live)
 	if fate.Fell {
 		w.Fell++
-		w.see(record.Event{Kind: record.Fell, Place: h.place.Name, Dest: h.Dest, Hosts: ids(h.place.standing())})
+		w.see(eventlog.Event{Kind: eventlog.Fell, Place: h.place.Name, Dest: h.Dest, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
-	if fate.Result != partner.Mute && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
+	if fate.Result != upstream.Mute && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
 		w.After(0, c.broken)
 		return
 	}
 	switch fate.Result {
-	case partner.Mute:
-	case partner.Served:
+	case upstream.Mute:
+	case upstream.Served:
 		if fate.Lost {
 			w.After(fate.After, func() {
 				if !c.done && !h.isCut { // a machine that is cut off breaks nothing before it is back
@@ -297,9 +297,9 @@
 			return
 		}
 		c.reply(fate.After, results, policy.OK, 0)
-	case partner.Refused:
+	case upstream.Refused:
 		c.reply(fate.After, results, policy.Full, fate.Wait.Round(time.Millisecond))
-	case partner.Failed:
+	case upstream.Failed:
 		c.reply(fate.After, results, policy.Error, 0)
 	}
 }
@@ -313,7 +313,7 @@
 		}
 		c.done = true
 		delete(h.calls, c)
-		e := record.Event{Kind: record.Reply, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, Wait: wait}
+		e := eventlog.Event{Kind: eventlog.Reply, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, Wait: wait}
 		switch outcome {
 		case policy.Full:
 			w.CallsFull++
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -69,13 +69,13 @@
 func (t *try) offer() {
 	w := t.w
 	r := w.relays[t.Relay]
-	w.see(record.Event{
-		Kind: record.Offer, ID: t.ID, Origin: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
+	w.see(eventlog.Event{
+		Kind: eventlog.Offer, ID: t.ID, Origin: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
 		For: t.deadline - w.Now(),
 	})
 	if !r.takes {
 		w.Unanswered++
-		w.see(record.Event{Kind: record.Unheard, ID: t.ID, Relay: r.name, Cause: record.CauseUnsent})
+		w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseUnsent})
 		r.waiting = append(r.waiting, t)
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 	t.over = true
 	w.Unanswered++
-	w.see(record.Event{Kind: record.Unheard, ID: t.ID, Relay: r.name, Cause: record.CauseClosed})
+	w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
 	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.Unsafe {
 		return
 	}
@@ -110,7 +110,7 @@
 	t.over = true
 	w := t.w
 	w.After(w.opts.Latency, func() {
-		w.see(record.Event{Kind: record.Heard, ID: t.ID, Relay: r.name, Status: status, Wait: advice})
+		w.see(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: r.name, Status: status, Wait: advice})
 		switch status {
 		case statusFailed:
 			w.Failed++
--- a/internal/emulate/clock_test.go
+++ b/internal/emulate/clock_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // clockDay is a small fleet whose partners fall silent, so that calls are in doubt when its relays are killed, with their wall clocks set by so much
@@ -37,7 +37,7 @@
 func TestClocksThatAreSet(t *testing.T) {
 	offered := func(w *World) [4]int { return [4]int{w.Offered, w.CallsOK, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
-		play := func(by time.Duration, wrong *Mutant) (*World, []judge.Rule) {
+		play := func(by time.Duration, wrong *Mutant) (*World, []checker.Rule) {
 			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: wrong})
 			return w, broken(judged(t, w))
 		}
@@ -59,7 +59,7 @@
 	for seed := range uint64(5) {
 		for _, by := range []time.Duration{-6 * time.Second, -3 * time.Second} {
 			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: &Mutant{Wall: true}})
-			convicted = convicted || slices.Contains(broken(judged(t, w)), judge.Twice)
+			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.Twice)
 		}
 	}
 	if !convicted {
@@ -85,7 +85,7 @@
 		}
 		rules := broken(judged(t, w))
 		if by < 0 {
-			rules = slices.DeleteFunc(rules, func(r judge.Rule) bool { return r == judge.Lost })
+			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.Lost })
 		}
 		if len(rules) > 0 {
 			t.Errorf("set by %v: broken: %v", by, rules)
--- a/internal/emulate/cold_test.go
+++ b/internal/emulate/cold_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -198,7 +198,7 @@
 				w.List(fresh)
 				h := w.hosts[fresh.ID] // it stands in the same outage
 				h.isDown, h.isCut = o.op == scenario.OpDown, o.op == scenario.OpCut
-				w.Tell(e.ID, record.StateGone)
+				w.Tell(e.ID, eventlog.StateGone)
 				w.stop(w.hosts[e.ID])
 			}
 		})
@@ -240,7 +240,7 @@
 	var all []come
 	first := 0
 	for _, e := range w.events {
-		if e.Kind != record.Call || w.hosts[e.Host].place != p || e.At < back || e.At >= back+d.warm {
+		if e.Kind != eventlog.Call || w.hosts[e.Host].place != p || e.At < back || e.At >= back+d.warm {
 			continue
 		}
 		at := told[w.relay(e.Relay).n]
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -39,18 +39,18 @@
 	return w
 }
 
-func judged(t testing.TB, w *World) judge.Verdict {
+func judged(t testing.TB, w *World) checker.Verdict {
 	t.Helper()
-	v := judge.Judge(w.Result())
+	v := checker.Judge(w.Result())
 	if len(v.Faults) > 0 {
 		t.Errorf("faults: %+v", v.Faults)
 	}
 	return v
 }
 
-func broken(v judge.Verdict) (all []judge.Rule) {
+func broken(v checker.Verdict) (all []checker.Rule) {
 	for _, f := range v.Findings {
-		if f.State == judge.Broken {
+		if f.State == checker.Broken {
 			all = append(all, f.Rule)
 		}
 	}
@@ -88,9 +88,9 @@
 
 // Mutants are convicted of the rule that they break, by what ships; those that break nothing decide as a sound relay does.
 func TestMutantsAreConvicted(t *testing.T) {
-	where := map[judge.Rule][]string{
-		judge.Lost: {"first-run", "rolling-restarts", "partner-cold"}, judge.Twice: {"first-run", "partner-cold"}, judge.Drain: {"half-draining"},
-		judge.Return: {"partner-cold"}, judge.Order: {"dinner-rush"}, judge.Wait: {"dinner-rush", "partner-cold"},
+	where := map[checker.Rule][]string{
+		checker.Lost: {"first-run", "rolling-restarts", "partner-cold"}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
+		checker.Return: {"partner-cold"}, checker.Order: {"dinner-rush"}, checker.Wait: {"dinner-rush", "partner-cold"},
 	}
 	// By the tiny worlds, and not by these: see package explore and the table in docs/emulator.md.
 	elsewhere := []string{"notices-lost-over-restarts", "budget-three-times", "budget-for-itself", "budget-twice", "no-pause", "half-a-pause", "pause-too-short"}
@@ -132,7 +132,7 @@
 		}
 		f.SetDefaults()
 		w := played(t, f.Draw(1), Options{Record: true, Wrong: &Mutant{Lag: lag}})
-		if rules := broken(judged(t, w)); slices.Contains(rules, judge.Lost) != (lag > 0) {
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
 	}
@@ -151,7 +151,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		if lost := slices.Contains(broken(judged(t, w)), judge.Lost); lost != (sync != SyncAlways) {
+		if lost := slices.Contains(broken(judged(t, w)), checker.Lost); lost != (sync != SyncAlways) {
 			t.Errorf("sync %d: lost %v", sync, lost)
 		}
 	}
@@ -165,7 +165,7 @@
 	for seed := range uint64(8) {
 		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
 		fell += w.Fell
-		if rules := broken(judged(t, w)); slices.Contains(rules, judge.Lost) || slices.Contains(rules, judge.Twice) {
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) || slices.Contains(rules, checker.Twice) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 	lost := 0
 	for _, e := range w.events {
-		if e.Kind == record.Ended && e.Cause == record.CauseHost {
+		if e.Kind == eventlog.Ended && e.Cause == eventlog.CauseHost {
 			lost++
 		}
 	}
@@ -208,7 +208,7 @@
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
 	wrong := played(t, p, Options{Record: true, Wrong: MutantNamed("reset-never-ran")})
-	if rules := broken(judged(t, wrong)); !slices.Contains(rules, judge.Twice) {
+	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.Twice) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
 }
@@ -255,8 +255,8 @@
 		var means []float64
 		for run := range 30 {
 			rng := des.Stream(7, c.name, run)
-			p := partner.New(partner.Spec{
-				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: partner.NoLimit, ColdShare: 1,
+			p := upstream.New(upstream.Spec{
+				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: upstream.NoLimit, ColdShare: 1,
 			}, rng.Uint64())
 			p.Add("e")
 			at, sum, n := 0.0, 0.0, 0
@@ -280,11 +280,11 @@
 			t.Errorf("%s: mean wait %.4f s, theory %.4f, standard error %.4f", c.name, mean, c.wait, se)
 		}
 	}
-	p := partner.New(partner.Spec{Pace: time.Millisecond, Slots: 100, Queue: time.Hour, Limit: partner.Plain, Rate: 20, ColdShare: 1}, 1)
+	p := upstream.New(upstream.Spec{Pace: time.Millisecond, Slots: 100, Queue: time.Hour, Limit: upstream.Plain, Rate: 20, ColdShare: 1}, 1)
 	p.Add("e")
 	ok := 0
 	for i := range 60_000 { // 60 a second for 1,000 s
-		if p.Arrive(time.Duration(i)*time.Second/60, "e", 1).Result == partner.Served {
+		if p.Arrive(time.Duration(i)*time.Second/60, "e", 1).Result == upstream.Served {
 			ok++
 		}
 	}
@@ -299,9 +299,9 @@
 	w := play(t, 2, 1, 20, 200, scenario.Kind{Pace: 50 * s / 1000, Slots: 20, Limit: "window", TellsWait: 1, Wait: s / 1000}, scenario.Destination{Rate: 5}, Options{Record: true})
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
-	w.see(record.Event{Kind: record.End})
+	w.see(eventlog.Event{Kind: eventlog.End})
 	v := judged(t, w.World)
-	if f := v.Finding(judge.Wait); f.State != judge.Held || f.Exercised < 10 {
+	if f := v.Finding(checker.Wait); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -13,8 +13,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -520,7 +520,7 @@
 			if !ok {
 				age = -1
 			}
-			n.w.see(record.Event{Kind: record.Belief, Relay: r.name, Name: o.name, State: "listed", For: age, Status: int(lives[o.name])})
+			n.w.see(eventlog.Event{Kind: eventlog.Belief, Relay: r.name, Name: o.name, State: "listed", For: age, Status: int(lives[o.name])})
 		}
 	}
 	n.checkRights()
@@ -588,7 +588,7 @@
 	text := fmt.Sprintf(format, args...)
 	if n.Wrong = append(n.Wrong, kind); !n.wrongs[kind] {
 		n.wrongs[kind] = true
-		n.w.see(record.Event{Kind: record.Fault, Cause: text})
+		n.w.see(eventlog.Event{Kind: eventlog.Fault, Cause: text})
 	}
 }
 
@@ -597,15 +597,15 @@
 	if n == nil {
 		return
 	}
-	state := record.LinkFaulty
+	state := eventlog.LinkFaulty
 	switch s.Op {
 	case scenario.OpLinkCut:
-		state = record.LinkCut
+		state = eventlog.LinkCut
 	case scenario.OpLinkSound:
-		state = record.LinkSound
+		state = eventlog.LinkSound
 	}
 	from, to := scenario.LinkEnds(s.Target)
-	n.w.see(record.Event{Kind: record.Link, Relay: from, Name: to, State: state, Cause: string(s.Op)})
+	n.w.see(eventlog.Event{Kind: eventlog.Link, Relay: from, Name: to, State: state, Cause: string(s.Op)})
 	n.links[s.Target] = s
 }
 
@@ -614,11 +614,11 @@
 	if !r.up || r.frozen == on {
 		return
 	}
-	state := record.StateCont
+	state := eventlog.StateCont
 	if on {
-		state = record.StateStop
+		state = eventlog.StateStop
 	}
-	r.w.see(record.Event{Kind: record.Process, Relay: r.name, State: state})
+	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
 	if r.frozen = on; on {
 		return
 	}
--- a/internal/emulate/fleet_test.go
+++ b/internal/emulate/fleet_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // playFleet plays the scenario of links between relays.
-func playFleet(t *testing.T, seed uint64, opts Options) (*World, judge.Verdict) {
+func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Verdict) {
 	t.Helper()
 	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
-	return w, judge.Judge(w.Result())
+	return w, checker.Judge(w.Result())
 }
 
 // Sound relays believe nothing that is not so, whatever is between them and whatever one of them tells; those with something wrong
@@ -55,7 +55,7 @@
 				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") || c.kind == "" && len(w.fleet.Wrong) > 0 {
 					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
 				}
-				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound && (v.State() != judge.Held || v.Beliefs.Apart == 0 || v.Beliefs.Deaf.Exercised == 0) {
+				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound && (v.State() != checker.Held || v.Beliefs.Apart == 0 || v.Beliefs.Deaf.Exercised == 0) {
 					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.Beliefs)
 				}
 				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
@@ -64,7 +64,7 @@
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
 				}
-				if c.kind != "" && v.State() != judge.Broken {
+				if c.kind != "" && v.State() != checker.Broken {
 					t.Errorf("seed %d: not convicted", seed+1)
 				}
 			}
@@ -92,7 +92,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		return fmt.Sprintf("%+v", judge.Judge(w.Result()).Service), w
+		return fmt.Sprintf("%+v", checker.Judge(w.Result()).Service), w
 	}
 	on, a := play(true)
 	again, b := play(true)
--- a/internal/emulate/list.go
+++ b/internal/emulate/list.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -21,7 +21,7 @@
 
 // stateAt is how an entry stands after so many changes of the list; "" where it is not listed.
 func (h *host) stateAt(changes int) string {
-	state := record.StateReady
+	state := eventlog.StateReady
 	if h.later {
 		state = ""
 	}
@@ -31,7 +31,7 @@
 		}
 		state = t.state
 	}
-	if state == record.StateGone {
+	if state == eventlog.StateGone {
 		return ""
 	}
 	return state
@@ -41,7 +41,7 @@
 func (w *World) listing(h *host, state string) policy.Listing {
 	return policy.Listing{
 		Route: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
-		InService: state == record.StateReady, Gone: state == record.StateGone,
+		InService: state == eventlog.StateReady, Gone: state == eventlog.StateGone,
 	}
 }
 
@@ -86,9 +86,9 @@
 	h.told = append(h.told, telling{w.changes, state})
 	c := &change{telling{w.changes, state}, h, 0}
 	switch was := h.stateAt(w.changes - 1); {
-	case was == "" && state != record.StateGone:
+	case was == "" && state != eventlog.StateGone:
 		c.more = 1
-	case was != "" && state == record.StateGone:
+	case was != "" && state == eventlog.StateGone:
 		c.more = -1
 	}
 	d := w.plan.File.Discovery
@@ -123,13 +123,13 @@
 	if w.opts.Heard != nil {
 		w.opts.Heard(r.n, h.ID, c.state)
 	}
-	if c.state == record.StateGone {
+	if c.state == eventlog.StateGone {
 		r.dropPool(h)
 	}
 	if !r.up {
 		return // the next process begins with it
 	}
-	w.see(record.Event{Kind: record.Told, Relay: r.name, Host: h.ID, State: c.state, Dest: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.Told, Relay: r.name, Host: h.ID, State: c.state, Dest: h.Dest})
 	if r.large() && c.more > 0 {
 		r.working.Added(h.Dest, r.now())
 	}
--- a/internal/emulate/measures.go
+++ b/internal/emulate/measures.go
@@ -6,8 +6,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 // Measures are what a run is counted by as it goes, in a room that does not grow with the messages.
@@ -30,7 +30,7 @@
 	Events      int // told to them
 	Woken       int // destinations that modules were told of when there was work for them
 
-	classes []record.Class
+	classes []eventlog.Class
 	worth   []float64 // asked for, in each second
 	value   []float64 // of it, delivered
 	late    *hdrhistogram.Histogram
@@ -41,7 +41,7 @@
 	worstSpan = 10 // seconds
 )
 
-func (m *Measures) init(classes []record.Class, length time.Duration) {
+func (m *Measures) init(classes []eventlog.Class, length time.Duration) {
 	m.classes = classes
 	m.worth = make([]float64, int(length/time.Second)+1)
 	m.value = make([]float64, len(m.worth))
@@ -80,7 +80,7 @@
 	} else {
 		w.InPart++
 	}
-	w.value[w.second(x.at)] += w.worthOf(x) * judge.WorthAfter(c, took)
+	w.value[w.second(x.at)] += w.worthOf(x) * checker.WorthAfter(c, took)
 	w.late.RecordValue(int64(min(took, lateMost))) // within its range
 }
 
--- a/internal/emulate/recovery_test.go
+++ b/internal/emulate/recovery_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -283,7 +283,7 @@
 				fresh.ID += "-2"
 				fresh.Place = fresh.ID
 				w.List(fresh)
-				w.Tell(e.ID, record.StateGone)
+				w.Tell(e.ID, eventlog.StateGone)
 			}
 		})
 		w.run(t, 75*time.Second)
--- a/internal/emulate/relay.go
+++ b/internal/emulate/relay.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -170,7 +170,7 @@
 // start starts a process on what the one before it left in the journal.
 func (r *relay) start() {
 	w := r.w
-	w.see(record.Event{Kind: record.Process, Relay: r.name, State: record.StateStart})
+	w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateStart})
 	r.life++
 	r.up, r.ending, r.noSends, r.planned = true, false, false, false
 	r.epoch, r.last, r.wakeAt, r.standsAt = w.Now()-moduleStart, 0, 0, 0
@@ -190,7 +190,7 @@
 	}
 	begin := func() {
 		r.takes = true
-		w.see(record.Event{Kind: record.Process, Relay: r.name, State: record.StateUp})
+		w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateUp})
 		waiting := r.waiting
 		r.waiting = nil
 		for _, t := range waiting {
@@ -497,11 +497,11 @@
 		if r.wrong.mute(r, m) {
 			return
 		}
-		state := record.Undeliverable
+		state := eventlog.Undeliverable
 		if m.final.deferred {
-			state = record.Deferred
+			state = eventlog.Deferred
 		}
-		w.see(record.Event{Kind: record.Notice, Relay: r.name, ID: m.name, State: state, Wait: m.final.again})
+		w.see(eventlog.Event{Kind: eventlog.Notice, Relay: r.name, ID: m.name, State: state, Wait: m.final.again})
 		r.in(w.opts.Latency, func() { r.end(m) }) // confirmed
 	})
 }
@@ -535,7 +535,7 @@
 	if !r.up || r.ending {
 		return
 	}
-	r.w.see(record.Event{Kind: record.Process, Relay: r.name, State: record.StateTerm})
+	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateTerm})
 	r.ending = true
 	r.in(frontNotices, func() { r.takes = false })
 	r.in(acceptFor, r.idle)
@@ -563,7 +563,7 @@
 	if !r.up {
 		return
 	}
-	r.w.see(record.Event{Kind: record.Process, Relay: r.name, State: record.StateKill})
+	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateKill})
 	if !r.dies {
 		r.noteStanding()
 	}
@@ -582,7 +582,7 @@
 	w := r.w
 	r.up, r.takes, r.frozen = false, false, false
 	r.life++
-	w.see(record.Event{Kind: record.Process, Relay: r.name, State: record.StateExit})
+	w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateExit})
 	for _, in := range r.ins {
 		in.t.broken(r)
 	}
--- a/internal/emulate/rights_test.go
+++ b/internal/emulate/rights_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/emulate/same_test.go
+++ b/internal/emulate/same_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/emulate/working_test.go
+++ b/internal/emulate/working_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -58,8 +58,8 @@
 		}
 	}
 	v := judged(t, played(t, loaded(t, "half-draining").Draw(1), Options{Record: true, WholeMost: 1, Wrong: MutantNamed("drains-ignored")}))
-	if v.Finding(judge.Drain).State != judge.Broken {
-		t.Errorf("drains ignored: %+v", v.Finding(judge.Drain))
+	if v.Finding(checker.Drain).State != checker.Broken {
+		t.Errorf("drains ignored: %+v", v.Finding(checker.Drain))
 	}
 }
 
@@ -92,8 +92,8 @@
 		n := 0
 		w.Every(0, 80*time.Second, 1, func() { n++; w.Offer(scenario.Arrival{Dest: 2 + n%39}) })
 		w.run(t, 100*time.Second)
-		w.see(record.Event{Kind: record.End})
-		if f := judged(t, w.World).Finding(judge.Wait); (f.State == judge.Broken) != forgets || f.Exercised == 0 {
+		w.see(eventlog.Event{Kind: eventlog.End})
+		if f := judged(t, w.World).Finding(checker.Wait); (f.State == checker.Broken) != forgets || f.Exercised == 0 {
 			t.Errorf("forgets %v: %+v", forgets, f)
 		}
 	}
@@ -118,8 +118,8 @@
 		},
 	})
 	hosts := w.Places(1)[0].hosts
-	w.At(3*time.Second, func() { w.Tell(hosts[0].ID, record.StateDraining) })
-	w.At(3*time.Second, func() { w.Tell(hosts[1].ID, record.StateGone) })
+	w.At(3*time.Second, func() { w.Tell(hosts[0].ID, eventlog.StateDraining) })
+	w.At(3*time.Second, func() { w.Tell(hosts[1].ID, eventlog.StateGone) })
 	w.At(4*time.Second, func() {
 		e := hosts[2].Endpoint
 		e.ID = "s-new"
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -100,7 +100,7 @@
 
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
 type Place struct {
-	*partner.Place
+	*upstream.Place
 	Name   string
 	Dest   int
 	Resets func(relay int) float64 // share of a relay's calls whose connections break under them, and which run; nil: none
@@ -148,12 +148,12 @@
 	dying  map[string]bool              // relays that the plan ends
 	net    *rand.Rand                   // what the network does
 	delays *rand.Rand                   // how late discovery is
-	events []record.Event
-	header record.Header
+	events []eventlog.Event
+	header eventlog.Header
 	calls  uint64
 	ids    uint64
 	length time.Duration
-	shares judge.Shares
+	shares checker.Shares
 	fleet  *fleetNet // nil: relays tell each other nothing
 
 	changes   int              // of discovery's list
@@ -187,10 +187,10 @@
 	}
 	w.Bound(opts.EventsMost)
 	w.header = plan.File.Header(plan.Seed)
-	w.header.Format, w.header.Plan = record.Format, plan.Digest()
+	w.header.Format, w.header.Plan = eventlog.Format, plan.Digest()
 	w.header.Began = time.Unix(0, 0).UTC()
 	w.Measures.init(w.header.Classes, w.length)
-	w.shares = judge.NewShares(w.header)
+	w.shares = checker.NewShares(w.header)
 	for _, p := range plan.Places {
 		w.addPlace(p)
 	}
@@ -203,7 +203,7 @@
 			return nil, err
 		}
 		w.entries++
-		w.changed(e, record.StateReady)
+		w.changed(e, eventlog.StateReady)
 	}
 	for _, s := range plan.Steps {
 		if s.Op == scenario.OpTerm || s.Op == scenario.OpKill {
@@ -249,15 +249,15 @@
 }
 
 func (w *World) addPlace(p scenario.Place) {
-	x := &Place{Place: partner.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
+	x := &Place{Place: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
 	w.places[p.Name] = x
 	w.order = append(w.order, x)
 	w.dests[p.Dest] = append(w.dests[p.Dest], x)
 }
 
 // see adds an event to the record, at this moment.
-func (w *World) see(e record.Event) {
-	if w.opts.Record && len(w.events) < record.EventsMost {
+func (w *World) see(e eventlog.Event) {
+	if w.opts.Record && len(w.events) < eventlog.EventsMost {
 		e.At = w.Now()
 		w.events = append(w.events, e)
 	}
@@ -290,13 +290,13 @@
 	for _, c := range w.plan.File.Classes {
 		longest = max(longest, c.GiveUp.D())
 	}
-	if err := w.Run(w.length + longest + judge.FinalWithin + judge.Slack + time.Second); err != nil {
+	if err := w.Run(w.length + longest + checker.FinalWithin + checker.Slack + time.Second); err != nil {
 		return err
 	}
-	if w.opts.Record && len(w.events) >= record.EventsMost {
+	if w.opts.Record && len(w.events) >= eventlog.EventsMost {
 		return ErrRecord
 	}
-	w.see(record.Event{Kind: record.End})
+	w.see(eventlog.Event{Kind: eventlog.End})
 	return nil
 }
 
@@ -338,21 +338,21 @@
 }
 
 // Result is what was seen, for package judge.
-func (w *World) Result() (record.Header, []record.Event) { return w.header, w.events }
+func (w *World) Result() (eventlog.Header, []eventlog.Event) { return w.header, w.events }
 
 // do carries a step of the plan out.
 func (w *World) do(s scenario.Step) {
 	switch s.Op {
 	case scenario.OpBegins:
-		w.see(record.Event{Kind: record.Trouble, Name: s.Target, State: record.StateBegin, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
 	case scenario.OpEnds:
-		w.see(record.Event{Kind: record.Trouble, Name: s.Target, State: record.StateEnd, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
 	case scenario.OpList:
 		w.List(w.later[s.Target])
 	case scenario.OpDrain:
-		w.Tell(s.Target, record.StateDraining)
+		w.Tell(s.Target, eventlog.StateDraining)
 	case scenario.OpGone:
-		w.Tell(s.Target, record.StateGone)
+		w.Tell(s.Target, eventlog.StateGone)
 	case scenario.OpStop:
 		w.stop(w.hosts[s.Target])
 	case scenario.OpSlow:
@@ -386,7 +386,7 @@
 	case scenario.OpLinkCut, scenario.OpLinkLose, scenario.OpLinkDelay, scenario.OpLinkRate, scenario.OpLinkMix, scenario.OpLinkSound:
 		w.fleet.setLink(s)
 	case scenario.OpHUP:
-		w.see(record.Event{Kind: record.Process, Relay: s.Target, State: record.StateHUP})
+		w.see(eventlog.Event{Kind: eventlog.Process, Relay: s.Target, State: eventlog.StateHUP})
 	}
 }
 
@@ -422,7 +422,7 @@
 		return // its place was made above
 	}
 	h.later = true
-	w.Tell(e.ID, record.StateReady)
+	w.Tell(e.ID, eventlog.StateReady)
 }
 
 // hostsOf are the hosts that a destination has ever had.
@@ -438,7 +438,7 @@
 	if e.Place == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.see(record.Event{Kind: record.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
+	w.see(eventlog.Event{Kind: eventlog.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
 }
 
 // standing are a place's hosts that run.
@@ -469,7 +469,7 @@
 		rate = 0
 	}
 	for _, h := range p.standing() {
-		w.see(record.Event{Kind: record.Able, Host: h.ID, Dest: p.Dest, Rate: rate, Share: share, For: warm})
+		w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: p.Dest, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -481,7 +481,7 @@
 	h.stopped = true
 	h.place.Remove(h.ID)
 	w.reset(h)
-	w.see(record.Event{Kind: record.Able, Host: h.ID, Dest: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
 }
 
 // reset breaks all connections of a host.
@@ -512,7 +512,7 @@
 		return // it is out already: the first outage's end ends both
 	}
 	p.outage = op.Cause()
-	w.see(record.Event{Kind: record.Outage, Place: name, Dest: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
+	w.see(eventlog.Event{Kind: eventlog.Outage, Place: name, Dest: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
 	w.able(p, 1, 0)
 	switch op {
 	case scenario.OpFail:
@@ -548,9 +548,9 @@
 		return // all were replaced meanwhile
 	}
 	cold := p.Return(w.Now())
-	w.see(record.Event{Kind: record.Back, Place: name, Dest: p.Dest, Hosts: ids(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm})
+	w.see(eventlog.Event{Kind: eventlog.Back, Place: name, Dest: p.Dest, Hosts: ids(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm})
 	w.able(p, cold.Share, cold.Warm)
-	if cause == record.OutageSilent || cause == record.OutageDown {
+	if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 		for _, h := range hosts { // its processes have started anew
 			h.isDown, h.isCut = false, false
 			w.reset(h)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 const small = `
@@ -174,7 +174,7 @@
 	}
 	h := Hunt{Base: base, Plans: 12, Seed: 3, Wrong: emulate.MutantNamed("drains-ignored")}
 	p, err := h.Run(t.Context())
-	if err != nil || len(p.Rules) == 0 || p.Rules[0] != judge.Drain {
+	if err != nil || len(p.Rules) == 0 || p.Rules[0] != checker.Drain {
 		t.Fatalf("%+v, %v", p.Rules, err)
 	}
 	h.Workers = 1
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -11,8 +11,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // Hunt is a search for troubles that a base scenario's relays bear badly.
@@ -29,8 +29,8 @@
 // Prey is what a hunt found: a scenario, and how it went.
 type Prey struct {
 	File    scenario.File
-	Seed    uint64       // it is played with
-	Rules   []judge.Rule // broken
+	Seed    uint64         // it is played with
+	Rules   []checker.Rule // broken
 	Service float64
 	Tried   int // plans played, those of the shrinking too
 }
@@ -111,9 +111,9 @@
 	if err != nil {
 		return p, err
 	}
-	v := judge.Judge(w.Result())
+	v := checker.Judge(w.Result())
 	for _, x := range v.Findings {
-		if x.State == judge.Broken {
+		if x.State == checker.Broken {
 			p.Rules = append(p.Rules, x.Rule)
 		}
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -17,7 +17,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
 // Result is what came of a run: one line of a file of results.
@@ -73,7 +73,7 @@
 	res.Measures = Measure(&w.Measures)
 	if p.Judged {
 		h, events := w.Result()
-		v := judge.Judge(h, events)
+		v := checker.Judge(h, events)
 		res.Broken = map[string]int{}
 		for _, x := range v.Findings {
 			if x.Count > 0 {
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -20,8 +20,8 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -40,7 +40,7 @@
 // World is what is explored: its moves are all that its fields allow, at any time and in any order.
 type World struct {
 	Name, About string
-	Rules       []judge.Rule // that it puts to the test most
+	Rules       []checker.Rule // that it puts to the test most
 	Relays      int
 	Settings    policy.Settings
 	Routes      []policy.Listing // of one destination
@@ -62,7 +62,7 @@
 // The rules' figures that the settings do not hold.
 const (
 	drainGrace = time.Second
-	lostAfter  = judge.FinalWithin
+	lostAfter  = checker.FinalWithin
 )
 
 // MoveKind names a move.
@@ -91,8 +91,8 @@
 
 // Break is a rule that a path breaks.
 type Break struct {
-	Rule judge.Rule `json:"rule"`
-	Text string     `json:"text"`
+	Rule checker.Rule `json:"rule"`
+	Text string       `json:"text"`
 }
 
 // Found is what an exploration found.
@@ -574,7 +574,7 @@
 	return nil
 }
 
-func (n *node) breaks(rule judge.Rule, format string, args ...any) {
+func (n *node) breaks(rule checker.Rule, format string, args ...any) {
 	if n.brk == nil {
 		n.brk = &Break{rule, fmt.Sprintf("at %v: ", n.now) + fmt.Sprintf(format, args...)}
 	}
@@ -751,7 +751,7 @@
 		}
 		for k := range r.msgs {
 			if m := &r.msgs[k]; !m.told && n.now > m.deadline+lostAfter {
-				n.breaks(judge.Lost, "message %d, taken on by relay %d at %v, has no end %v after its time", m.id, i, m.at, n.now-m.deadline)
+				n.breaks(checker.Lost, "message %d, taken on by relay %d at %v, has no end %v after its time", m.id, i, m.at, n.now-m.deadline)
 			}
 		}
 	}
@@ -816,7 +816,7 @@
 func (x *explorer) heard(n *node, relay int, evs []policy.Event) {
 	s, err := policy.Restore(x.set, n.relays[relay].module)
 	if err != nil {
-		n.breaks(judge.Lost, "relay %d: its state cannot be put back: %v", relay, err)
+		n.breaks(checker.Lost, "relay %d: its state cannot be put back: %v", relay, err)
 		return
 	}
 	x.decide(n, relay, s, evs)
@@ -829,7 +829,7 @@
 	r.life++
 	s, err := policy.New(x.set, uint64(relay+100*r.life))
 	if err != nil {
-		n.breaks(judge.Lost, "relay %d does not start again: %v", relay, err)
+		n.breaks(checker.Lost, "relay %d does not start again: %v", relay, err)
 		return
 	}
 	r.epoch, r.wake, r.calls, r.held = n.now-moduleStart, 0, nil, nil
@@ -900,12 +900,12 @@
 	}
 	m := &r.msgs[k]
 	if m.ended {
-		n.breaks(judge.Lost, "message %d ends twice", m.id)
+		n.breaks(checker.Lost, "message %d ends twice", m.id)
 		return
 	}
 	c := x.w.Settings.Classes[x.w.Messages[m.n].Class]
 	if a.Kind == policy.Refuse && m.ran && (c.Effect == policy.Unsafe || c.Effect == policy.Keyed && !c.GroupAll) {
-		n.breaks(judge.Twice, "message %d is refused, which says that it may come again, though a call may have run", m.id)
+		n.breaks(checker.Twice, "message %d is refused, which says that it may come again, though a call may have run", m.id)
 	}
 	m.ended = true
 }
@@ -921,31 +921,31 @@
 	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.ID })
 	route := slices.IndexFunc(w.Routes, func(l policy.Listing) bool { return l.Route == a.Route })
 	if k < 0 || route < 0 {
-		n.breaks(judge.Lost, "relay %d sends message %d to %q, of which one is not there", relay, a.ID, a.Route)
+		n.breaks(checker.Lost, "relay %d sends message %d to %q, of which one is not there", relay, a.ID, a.Route)
 		return
 	}
 	m, l := &r.msgs[k], w.Routes[route]
 	c := w.Settings.Classes[w.Messages[m.n].Class]
 	if m.ended {
-		n.breaks(judge.Lost, "message %d is sent after its end", m.id)
+		n.breaks(checker.Lost, "message %d is sent after its end", m.id)
 	}
 	if m.ran {
 		switch c.Effect {
 		case policy.Unsafe:
-			n.breaks(judge.Twice, "message %d must never run twice, may have run, and is sent again", m.id)
+			n.breaks(checker.Twice, "message %d must never run twice, may have run, and is sent again", m.id)
 		case policy.Keyed:
 			if late := n.now - m.ranAt - c.Window; late > 0 {
-				n.breaks(judge.Twice, "message %d is repeated %v after its window", m.id, late)
+				n.breaks(checker.Twice, "message %d is repeated %v after its window", m.id, late)
 			} else if l.Zone != m.ranZone && !c.GroupAll {
-				n.breaks(judge.Twice, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
+				n.breaks(checker.Twice, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
 			}
 		}
 	}
 	if t, ok := r.told[a.Route]; ok && n.now > t.at+drainGrace {
-		n.breaks(judge.Drain, "relay %d sends to %s %v after it was told that it is no longer in service", relay, a.Route, n.now-t.at)
+		n.breaks(checker.Drain, "relay %d sends to %s %v after it was told that it is no longer in service", relay, a.Route, n.now-t.at)
 	}
 	if until := r.wait[x.gate(l)]; n.now < until-time.Millisecond {
-		n.breaks(judge.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Route, until-n.now)
+		n.breaks(checker.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Route, until-n.now)
 	}
 	if c.Ordered && w.Messages[m.n].Key != "" {
 		x.inTurn(n, r, m)
@@ -971,11 +971,11 @@
 		}
 		switch {
 		case !e.ended:
-			n.breaks(judge.Order, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
+			n.breaks(checker.Order, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
 		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.id == e.id }):
-			n.breaks(judge.Order, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
+			n.breaks(checker.Order, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
 		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderPause:
-			n.breaks(judge.Order, "message %d is sent %v after a call of %d that may still run", m.id, n.now-e.doubtAt, e.id)
+			n.breaks(checker.Order, "message %d is sent %v after a call of %d that may still run", m.id, n.now-e.doubtAt, e.id)
 		}
 	}
 }
@@ -985,7 +985,7 @@
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
-	able := partner.Cold{At: n.backAt, Rate: l.Weight, Share: set.ColdShare, Warm: set.WarmWithin}.Able(n.now)
+	able := upstream.Cold{At: n.backAt, Rate: l.Weight, Share: set.ColdShare, Warm: set.WarmWithin}.Able(n.now)
 	knew := 0
 	for _, a := range n.arrivals {
 		if n.relays[a.relay].seen >= max(1, x.w.Knows) {
@@ -993,8 +993,8 @@
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmWithin && sum > partner.Budget(set.OverloadFactor, able, set.OverloadWindow) && float64(knew) >= judge.SeenShare*sum {
-		n.breaks(judge.Return, "%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
+	if n.now-n.backAt < set.WarmWithin && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) && float64(knew) >= checker.SeenShare*sum {
+		n.breaks(checker.Return, "%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
 			sum, set.OverloadWindow, n.now-n.backAt, math.Round(able*100)/100, knew)
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
 // shallow is how much less deep tests look than the program does.
@@ -97,7 +97,7 @@
 // Random paths find what needs many calls, and shorten it.
 func TestWalks(t *testing.T) {
 	f := search(t, "return-many", "no-recovery-budget", Options{})
-	if f.Break == nil || f.Break.Rule != judge.Return || len(f.Path) > 100 {
+	if f.Break == nil || f.Break.Rule != checker.Return || len(f.Path) > 100 {
 		t.Errorf("%+v, %d moves", f.Break, len(f.Path))
 	}
 }
--- a/internal/explore/path.go
+++ b/internal/explore/path.go
@@ -8,16 +8,16 @@
 	"slices"
 
 	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Path is a path through a world, as it is kept in a file.
 type Path struct {
-	World  string     `json:"world"`
-	Mutant string     `json:"mutant,omitempty"`
-	Rule   judge.Rule `json:"rule,omitempty"` // that it broke when it was kept
-	Moves  []Move     `json:"moves"`
+	World  string       `json:"world"`
+	Mutant string       `json:"mutant,omitempty"`
+	Rule   checker.Rule `json:"rule,omitempty"` // that it broke when it was kept
+	Moves  []Move       `json:"moves"`
 }
 
 const movesMost = 1000
--- a/internal/explore/worlds.go
+++ b/internal/explore/worlds.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -52,52 +52,52 @@
 	told := Outcome{Outcome: policy.Full, Wait: time.Second}
 	return []World{
 		{
-			Name: "repeats", Rules: []judge.Rule{judge.Twice, judge.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
+			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
 			Outcomes: outcomes(policy.OK, policy.Reset, policy.ConnectFailed, policy.Error), Faults: 2, Restarts: 1, Quantum: quantum, Depth: 11,
 		},
 		{
-			Name: "window", Rules: []judge.Rule{judge.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
+			Name: "window", Rules: []checker.Rule{checker.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
 			Outcomes: outcomes(policy.Reset, policy.Full, policy.ConnectFailed), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
 		},
 		{
-			Name: "order", Rules: []judge.Rule{judge.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
+			Name: "order", Rules: []checker.Rule{checker.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
 			Outcomes: outcomes(policy.OK, policy.Reset, policy.Error), Faults: 3, Quantum: quantum, Drains: []string{"a"}, Depth: 10,
 		},
 		{
-			Name: "waits", Rules: []judge.Rule{judge.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
+			Name: "waits", Rules: []checker.Rule{checker.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
 			Outcomes: []Outcome{{Outcome: policy.OK}, told, {Outcome: policy.Full}}, Faults: 2, Quantum: quantum, Depth: 10,
 		},
 		{
-			Name: "drains", Rules: []judge.Rule{judge.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
+			Name: "drains", Rules: []checker.Rule{checker.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(policy.OK, policy.Full), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
 		},
 		{
-			Name: "return", Rules: []judge.Rule{judge.Return}, About: "one relay, a destination that fails and comes back cold",
+			Name: "return", Rules: []checker.Rule{checker.Return}, About: "one relay, a destination that fails and comes back cold",
 			Relays: 1, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
 			Outcomes: outcomes(policy.OK), Quantum: quantum, Outage: true, Knows: 2, Depth: 10,
 		},
 		{
-			Name: "return-2", Rules: []judge.Rule{judge.Return}, About: "two relays, a destination that is out at the start and comes back cold",
+			Name: "return-2", Rules: []checker.Rule{checker.Return}, About: "two relays, a destination that is out at the start and comes back cold",
 			Relays: 2, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
 			Outcomes: outcomes(policy.OK), Quantum: time.Second, Outage: true, Out: true, Knows: 2, Depth: 9,
 		},
 		{
-			Name: "return-many", Rules: []judge.Rule{judge.Return}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
+			Name: "return-many", Rules: []checker.Rule{checker.Return}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
 			Relays: 2, Settings: settings(), Routes: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
 			Outcomes: outcomes(policy.OK), Quantum: 200 * time.Millisecond, Outage: true, Lasts: 3 * time.Second, Knows: 2, Depth: 4, Walks: 1000, WalkDepth: 200,
 		},
 		{
-			Name: "restarts", Rules: []judge.Rule{judge.Lost, judge.Twice}, About: "two relays that are killed at any moment, with a message given up on",
+			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, About: "two relays that are killed at any moment, with a message given up on",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(policy.OK, policy.Reset, policy.Full), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
 		},
 		{
-			Name: "separate", Rules: []judge.Rule{judge.Drain, judge.Wait, judge.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
+			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
 			Relays: 2, Settings: settings(), Routes: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
 			Outcomes: append(outcomes(policy.OK, policy.Reset), told), Faults: 2, Restarts: 1, Drains: []string{"a"}, Quantum: quantum, Depth: 7,
 		},
--- a/internal/judge/fleet.go
+++ b/internal/testkit/checker/fleet.go
@@ -1,10 +1,10 @@
-package judge
+package checker
 
 import (
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 // The figures that beliefs are judged by.
@@ -114,7 +114,7 @@
 
 // beliefs judges what relays said that they hold of each other; nil if none was asked.
 func (j *judge) beliefs() *Beliefs {
-	if !slices.ContainsFunc(j.events, func(e record.Event) bool { return e.Kind == record.Belief }) {
+	if !slices.ContainsFunc(j.events, func(e eventlog.Event) bool { return e.Kind == eventlog.Belief }) {
 		return nil
 	}
 	b := &Beliefs{Young: Finding{Rule: "nobody is believed to be heard who was not"}, Deaf: Finding{Rule: "who can be heard is heard"}}
@@ -130,19 +130,19 @@
 		r := index(e.Relay)
 		switch {
 		case r < 0:
-		case e.Kind == record.Offer:
+		case e.Kind == eventlog.Offer:
 			offered[r] = e.At
-		case e.Kind == record.Process:
+		case e.Kind == eventlog.Process:
 			switch e.State {
-			case record.StateStart, record.StateCont:
+			case eventlog.StateStart, eventlog.StateCont:
 				change(e.At, func() { t.runs[r] = true })
-			case record.StateExit, record.StateStop, record.StateKill:
+			case eventlog.StateExit, eventlog.StateStop, eventlog.StateKill:
 				change(e.At, func() { t.runs[r] = false })
 			}
-		case e.Kind == record.Link && index(e.Name) >= 0:
+		case e.Kind == eventlog.Link && index(e.Name) >= 0:
 			o := index(e.Name)
-			change(e.At, func() { t.cut[r][o], t.bad[r][o] = e.State == record.LinkCut, e.State == record.LinkFaulty })
-		case e.Kind == record.Belief && index(e.Name) >= 0:
+			change(e.At, func() { t.cut[r][o], t.bad[r][o] = e.State == eventlog.LinkCut, e.State == eventlog.LinkFaulty })
+		case e.Kind == eventlog.Belief && index(e.Name) >= 0:
 			o := index(e.Name)
 			t.until(e.At)
 			b.Asked++
--- a/internal/judge/judge.go
+++ b/internal/testkit/checker/judge.go
@@ -3,7 +3,7 @@
 //
 // A rule is held, broken, or not exercised: a run in which no wait was told proves nothing of waits. Each break names
 // the events that prove it. Time limits are as the protocol gives them, 50 ms longer than in the settings.
-package judge
+package checker
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 // The figures of the protocol that no setting changes.
@@ -122,22 +122,22 @@
 
 // message is one hand-in.
 type message struct {
-	record.Event     // its offer
-	index        int // of that
-	class        record.Class
-	heard        int // index of the answer; -1: none
-	unheard      int
-	notices      []int
-	attempts     []attempt // whole calls with it, by their last byte
+	eventlog.Event     // its offer
+	index          int // of that
+	class          eventlog.Class
+	heard          int // index of the answer; -1: none
+	unheard        int
+	notices        []int
+	attempts       []attempt // whole calls with it, by their last byte
 }
 
 // call is one call to a host.
 type call struct {
-	record.Event      // the last byte's, or the break's
-	index        int  // of that
-	whole        bool // its last byte came
-	reply        int  // index; -1: none
-	ended        int
+	eventlog.Event      // the last byte's, or the break's
+	index          int  // of that
+	whole          bool // its last byte came
+	reply          int  // index; -1: none
+	ended          int
 }
 
 // attempt is a message's part in a call.
@@ -154,8 +154,8 @@
 }
 
 type judge struct {
-	record.Header
-	events   []record.Event
+	eventlog.Header
+	events   []eventlog.Event
 	messages map[string]*message
 	order    []*message // as they were offered
 	calls    map[uint64]*call
@@ -174,7 +174,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // Judge judges a run. events are in order.
-func Judge(h record.Header, events []record.Event) Verdict {
+func Judge(h eventlog.Header, events []eventlog.Event) Verdict {
 	j := newJudge(h, events)
 	for _, r := range []struct {
 		Rule
@@ -200,7 +200,7 @@
 }
 
 // newJudge returns one that has read the events.
-func newJudge(h record.Header, events []record.Event) *judge {
+func newJudge(h eventlog.Header, events []eventlog.Event) *judge {
 	j := &judge{
 		Header: h, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, hosts: map[string]host{},
 		down: map[string][]span{}, starts: map[string][]time.Duration{},
@@ -222,7 +222,7 @@
 	for i, e := range j.events {
 		j.end = e.At
 		switch e.Kind {
-		case record.Offer:
+		case eventlog.Offer:
 			m := &message{Event: e, index: i, heard: -1, unheard: -1}
 			if e.Class >= 0 && e.Class < len(j.Classes) {
 				m.class = j.Classes[e.Class]
@@ -230,39 +230,39 @@
 			j.messages[e.ID] = m
 			j.order = append(j.order, m)
 			late = append(late, e.Late)
-		case record.Heard:
+		case eventlog.Heard:
 			if m := j.messages[e.ID]; m != nil {
 				m.heard = i
 			}
-		case record.Unheard:
+		case eventlog.Unheard:
 			if m := j.messages[e.ID]; m != nil {
 				m.unheard = i
 			}
-		case record.Call, record.Broken:
+		case eventlog.Call, eventlog.Broken:
 			j.readCall(i, e)
-		case record.Reply:
+		case eventlog.Reply:
 			if c := j.calls[e.Call]; c != nil && c.reply < 0 {
 				c.reply = i
 			}
-		case record.Ended:
+		case eventlog.Ended:
 			if c := j.calls[e.Call]; c != nil && c.ended < 0 {
 				c.ended = i
 			}
-		case record.Notice:
+		case eventlog.Notice:
 			if m := j.messages[e.ID]; m != nil {
 				m.notices = append(m.notices, i)
 			} else {
 				j.fault(e.At, []int{i}, "%s sent a notice for message %s, which nobody handed in", e.Relay, e.ID)
 			}
-		case record.Change:
+		case eventlog.Change:
 			j.hosts[e.Host] = host{e.Zone, cmp.Or(e.Place, fmt.Sprint(e.Dest)), e.Dest}
-		case record.Process:
+		case eventlog.Process:
 			j.readProcess(e)
-		case record.Clock:
+		case eventlog.Clock:
 			j.verdict.Steps++
-		case record.Fault:
+		case eventlog.Fault:
 			j.fault(e.At, []int{i}, "%s", e.Cause)
-		case record.End:
+		case eventlog.End:
 			whole = e.Cause == ""
 			if !whole {
 				j.verdict.Doubts = append(j.verdict.Doubts, "the run was cut short: "+e.Cause)
@@ -279,8 +279,8 @@
 	}
 }
 
-func (j *judge) readCall(i int, e record.Event) {
-	c := &call{Event: e, index: i, whole: e.Kind == record.Call, reply: -1, ended: -1}
+func (j *judge) readCall(i int, e eventlog.Event) {
+	c := &call{Event: e, index: i, whole: e.Kind == eventlog.Call, reply: -1, ended: -1}
 	j.calls[e.Call] = c
 	j.all = append(j.all, c)
 	if !c.whole {
@@ -303,21 +303,21 @@
 }
 
 // readProcess notes when a relay was away.
-func (j *judge) readProcess(e record.Event) {
+func (j *judge) readProcess(e eventlog.Event) {
 	spans := j.down[e.Relay]
 	open := len(spans) > 0 && spans[len(spans)-1].to == never
 	switch e.State {
-	case record.StateTerm, record.StateKill, record.StateStop:
+	case eventlog.StateTerm, eventlog.StateKill, eventlog.StateStop:
 		if !open {
 			j.down[e.Relay] = append(spans, span{e.At, never})
 		}
-	case record.StateUp, record.StateCont:
+	case eventlog.StateUp, eventlog.StateCont:
 		if open {
 			spans[len(spans)-1].to = e.At + RestartGrace
 		}
-	case record.StateStart:
+	case eventlog.StateStart:
 		j.starts[e.Relay] = append(j.starts[e.Relay], e.At)
-	case record.StateExit:
+	case eventlog.StateExit:
 		if !open {
 			j.fault(e.At, nil, "%s ended by itself: %s", e.Relay, cmp.Or(e.Cause, fmt.Sprint("status ", e.Status)))
 		}
@@ -380,9 +380,9 @@
 }
 
 // refused tells whether the client was told to come again.
-func refused(e record.Event) bool {
-	return e.Kind == record.Heard && (e.Status == 429 || e.Status == 503) ||
-		e.Kind == record.Notice && e.State == record.Deferred
+func refused(e eventlog.Event) bool {
+	return e.Kind == eventlog.Heard && (e.Status == 429 || e.Status == 503) ||
+		e.Kind == eventlog.Notice && e.State == eventlog.Deferred
 }
 
 // delivered is when a message was delivered first.
@@ -399,7 +399,7 @@
 // lost checks that each message taken on had one final answer in time, and nothing after it.
 func (j *judge) lost(f *Finding) {
 	for _, m := range j.order {
-		if m.unheard >= 0 && j.events[m.unheard].Cause == record.CauseClosed {
+		if m.unheard >= 0 && j.events[m.unheard].Cause == eventlog.CauseClosed {
 			at := j.events[m.unheard].At
 			f.Exercised++
 			if _, away := j.away(m.Relay, at); !away {
@@ -471,7 +471,7 @@
 				}
 			}
 		}
-		mayRefuse := m.class.Effect == record.Safe || m.class.Effect == record.Keyed && m.class.GroupAll
+		mayRefuse := m.class.Effect == eventlog.Safe || m.class.Effect == eventlog.Keyed && m.class.GroupAll
 		for _, n := range append(slices.Clone(m.notices), m.heard) {
 			if n < 0 || mayRefuse || !refused(j.events[n]) {
 				continue
@@ -503,8 +503,8 @@
 		return
 	}
 	switch m.class.Effect {
-	case record.Safe:
-	case record.Keyed:
+	case eventlog.Safe:
+	case eventlog.Keyed:
 		za, zb := j.hosts[a.Host].zone, j.hosts[b.Host].zone
 		if late := b.First - a.First - m.class.Window; late > Slack {
 			f.broken(b.First, proof, "message %s was repeated %v after its window of %v", m.ID, late, m.class.Window)
@@ -525,16 +525,16 @@
 	}
 	closed := map[key][]told{} // from when the relay was told until it was told otherwise
 	for i, e := range j.events {
-		if e.Kind != record.Told {
+		if e.Kind != eventlog.Told {
 			continue
 		}
 		k := key{e.Relay, e.Host}
 		list := closed[k]
 		open := len(list) > 0 && list[len(list)-1].to == never
 		switch {
-		case e.State == record.StateReady && open:
+		case e.State == eventlog.StateReady && open:
 			list[len(list)-1].to = e.At
-		case e.State != record.StateReady && !open:
+		case e.State != eventlog.StateReady && !open:
 			closed[k] = append(list, told{span{e.At, never}, i})
 		}
 	}
@@ -571,7 +571,7 @@
 		return
 	}
 	for i, b := range j.events {
-		if b.Kind != record.Back {
+		if b.Kind != eventlog.Back {
 			continue
 		}
 		began, out := j.outage(i, b)
@@ -579,13 +579,13 @@
 			continue
 		}
 		until := b.At + b.For
-		if n := slices.IndexFunc(j.events[i+1:], func(e record.Event) bool {
-			return e.Kind == record.Outage && e.Place == b.Place
+		if n := slices.IndexFunc(j.events[i+1:], func(e eventlog.Event) bool {
+			return e.Kind == eventlog.Outage && e.Place == b.Place
 		}); n >= 0 {
 			until = min(until, j.events[i+1+n].At)
 		}
 		seen := j.seen(b, out)
-		cold := partner.Cold{At: b.At, Rate: b.Rate, Share: b.Share, Warm: b.For}
+		cold := upstream.Cold{At: b.At, Rate: b.Rate, Share: b.Share, Warm: b.For}
 		var window []*call
 		sum := 0.0
 		for _, c := range j.arrived {
@@ -598,7 +598,7 @@
 				sum -= cmp.Or(window[0].Weight, 1)
 				window = window[1:]
 			}
-			if sum <= partner.Budget(j.Rules.FallMultiple, cold.Able(c.At), j.Rules.FallWindow) {
+			if sum <= upstream.Budget(j.Rules.FallMultiple, cold.Able(c.At), j.Rules.FallWindow) {
 				continue
 			}
 			knew, proof := 0.0, []int{began, i}
@@ -628,18 +628,18 @@
 }
 
 // outage is what a place came back from.
-func (j *judge) outage(back int, b record.Event) (int, record.Event) {
+func (j *judge) outage(back int, b eventlog.Event) (int, eventlog.Event) {
 	for i := back - 1; i >= 0; i-- {
-		if e := j.events[i]; e.Kind == record.Outage && e.Place == b.Place {
+		if e := j.events[i]; e.Kind == eventlog.Outage && e.Place == b.Place {
 			return i, e
 		}
 	}
-	return -1, record.Event{}
+	return -1, eventlog.Event{}
 }
 
 // seen says by which event each relay knew of an outage, -1 if it did not. Where a place refuses connections, that
 // leaves no event at the host: there a relay knew that had a message for the place in that time.
-func (j *judge) seen(b, out record.Event) map[string]int {
+func (j *judge) seen(b, out eventlog.Event) map[string]int {
 	seen := map[string]int{}
 	for _, r := range j.Relays {
 		seen[r] = -1
@@ -667,7 +667,7 @@
 			note(c.Relay, c.ended)
 		}
 	}
-	if out.Cause == record.OutageDown {
+	if out.Cause == eventlog.OutageDown {
 		for _, m := range j.order {
 			if during(m.At) && m.Dest == b.Dest && j.taken(m) {
 				note(m.Relay, m.index)
@@ -747,16 +747,16 @@
 	for i, e := range j.events {
 		k := key{e.Relay, j.hosts[e.Host].place}
 		switch {
-		case e.Kind == record.Reply && e.Wait > WaitLetsBy:
+		case e.Kind == eventlog.Reply && e.Wait > WaitLetsBy:
 			f.Exercised++
 			waits[k] = append(waits[k], told{span{e.At + WaitLetsBy, e.At + e.Wait - waitRounding}, i})
-		case e.Kind == record.Process && e.State == record.StateStart:
+		case e.Kind == eventlog.Process && e.State == eventlog.StateStart:
 			for k := range waits {
 				if k.relay == e.Relay {
 					delete(waits, k)
 				}
 			}
-		case e.Kind == record.Call:
+		case e.Kind == eventlog.Call:
 			waits[k] = slices.DeleteFunc(waits[k], func(t told) bool { return t.to <= e.At })
 			for _, t := range waits[k] {
 				if e.At > t.from {
--- a/internal/judge/judge_test.go
+++ b/internal/testkit/checker/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 const (
@@ -28,16 +28,16 @@
 	keyedAll
 )
 
-func header() record.Header {
-	class := func(name string, e record.Effect) record.Class {
-		return record.Class{Name: name, Effect: e, Aim: 3 * second, GiveUp: 16 * second, Worth: 1, LateWorth: 0.4}
+func header() eventlog.Header {
+	class := func(name string, e eventlog.Effect) eventlog.Class {
+		return eventlog.Class{Name: name, Effect: e, Aim: 3 * second, GiveUp: 16 * second, Worth: 1, LateWorth: 0.4}
 	}
-	h := record.Header{
-		Format: record.Format, Scenario: "scripted", Length: 60 * second, Relays: []string{"r1", "r2"},
-		Rules: record.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, OrderPause: second, MayDuplicate: true, OverShareWorth: 0.2},
-		Classes: []record.Class{class("keyed", record.Keyed), class("unsafe", record.Unsafe), class("safe", record.Safe),
-			class("ordered", record.Safe), class("keyedAll", record.Keyed)},
-		Customers: []record.Customer{{Name: "acme"}, {Name: "bolt"}},
+	h := eventlog.Header{
+		Format: eventlog.Format, Scenario: "scripted", Length: 60 * second, Relays: []string{"r1", "r2"},
+		Rules: eventlog.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, OrderPause: second, MayDuplicate: true, OverShareWorth: 0.2},
+		Classes: []eventlog.Class{class("keyed", eventlog.Keyed), class("unsafe", eventlog.Unsafe), class("safe", eventlog.Safe),
+			class("ordered", eventlog.Safe), class("keyedAll", eventlog.Keyed)},
+		Customers: []eventlog.Customer{{Name: "acme"}, {Name: "bolt"}},
 	}
 	h.Classes[keyed].Window, h.Classes[keyedAll].Window = 10*second, 10*second
 	h.Classes[keyedAll].GroupAll, h.Classes[ordered].Ordered = true, true
@@ -46,8 +46,8 @@
 
 // script is a run as a scripted relay has it. Times are given; events are put in order at the end.
 type script struct {
-	h      record.Header
-	events []record.Event
+	h      eventlog.Header
+	events []eventlog.Event
 	calls  uint64
 }
 
@@ -58,54 +58,54 @@
 		host, zone string
 		dest       int
 	}{{"a1", "a", 7}, {"a2", "b", 7}, {"b1", "a", 8}} {
-		s.add(record.Event{Kind: record.Change, Host: x.host, Zone: x.zone, Dest: x.dest, State: record.StateReady})
+		s.add(eventlog.Event{Kind: eventlog.Change, Host: x.host, Zone: x.zone, Dest: x.dest, State: eventlog.StateReady})
 	}
-	s.process("r1", 0, record.StateStart)
-	s.process("r1", 0, record.StateUp)
+	s.process("r1", 0, eventlog.StateStart)
+	s.process("r1", 0, eventlog.StateUp)
 	return s
 }
 
-func (s *script) add(e record.Event) { s.events = append(s.events, e) }
+func (s *script) add(e eventlog.Event) { s.events = append(s.events, e) }
 
 func (s *script) process(relay string, at time.Duration, state string) {
-	s.add(record.Event{At: at, Kind: record.Process, Relay: relay, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.Process, Relay: relay, State: state})
 }
 
 // offer hands a message in that is heard 1 ms later; status 0: nothing is heard.
 func (s *script) offer(id string, class int, at, left time.Duration, status int) {
-	s.add(record.Event{At: at, Kind: record.Offer, ID: id, Origin: id, Relay: "r1", Class: class, Dest: 7, For: left, Order: "k"})
+	s.add(eventlog.Event{At: at, Kind: eventlog.Offer, ID: id, Origin: id, Relay: "r1", Class: class, Dest: 7, For: left, Order: "k"})
 	if status != 0 {
-		s.add(record.Event{At: at + ms, Kind: record.Heard, ID: id, Relay: "r1", Status: status})
+		s.add(eventlog.Event{At: at + ms, Kind: eventlog.Heard, ID: id, Relay: "r1", Status: status})
 	}
 }
 
 // call is one call with a message; status 0: no answer comes.
 func (s *script) call(relay, host, id string, first, replied time.Duration, status int, wait time.Duration) uint64 {
 	s.calls++
-	s.add(record.Event{At: first + ms, First: first, Kind: record.Call, Call: s.calls, Relay: relay, Host: host, IDs: []string{id}, Weight: 1})
+	s.add(eventlog.Event{At: first + ms, First: first, Kind: eventlog.Call, Call: s.calls, Relay: relay, Host: host, IDs: []string{id}, Weight: 1})
 	if status != 0 {
-		s.add(record.Event{At: replied, Kind: record.Reply, Call: s.calls, Relay: relay, Host: host, Status: status, Wait: wait})
+		s.add(eventlog.Event{At: replied, Kind: eventlog.Reply, Call: s.calls, Relay: relay, Host: host, Status: status, Wait: wait})
 	}
 	return s.calls
 }
 
 func (s *script) ended(call uint64, at time.Duration) {
-	s.add(record.Event{At: at, Kind: record.Ended, Call: call, Relay: "r1", Cause: record.CauseRelay})
+	s.add(eventlog.Event{At: at, Kind: eventlog.Ended, Call: call, Relay: "r1", Cause: eventlog.CauseRelay})
 }
 
 func (s *script) notice(id, state string, at time.Duration) {
-	s.add(record.Event{At: at, Kind: record.Notice, Relay: "r1", ID: id, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.Notice, Relay: "r1", ID: id, State: state})
 }
 
 func (s *script) told(host, state string, at time.Duration) {
-	s.add(record.Event{At: at, Kind: record.Told, Relay: "r1", Host: host, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.Told, Relay: "r1", Host: host, State: state})
 }
 
 // judge ends the run at 60 s.
 func (s *script) judge() Verdict {
 	events := slices.Clone(s.events)
-	slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.At - b.At) })
-	return Judge(s.h, append(events, record.Event{At: 60 * second, Kind: record.End}))
+	slices.SortStableFunc(events, func(a, b eventlog.Event) int { return int(a.At - b.At) })
+	return Judge(s.h, append(events, eventlog.Event{At: 60 * second, Kind: eventlog.End}))
 }
 
 // want checks that a run breaks one rule and no other; "" : none.
@@ -138,7 +138,7 @@
 	}{
 		{"a message without an end", Lost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
-			s.notice("m", record.Undeliverable, 6*second+350*ms+by)
+			s.notice("m", eventlog.Undeliverable, 6*second+350*ms+by)
 		}},
 		{"a delivery too late", Lost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
@@ -146,11 +146,11 @@
 		}},
 		{"overdue after a restart", Lost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
-			s.process("r1", 6*second, record.StateKill)
-			s.process("r1", 6*second+ms, record.StateExit)
-			s.process("r1", 7*second, record.StateStart)
-			s.process("r1", 8*second, record.StateUp)
-			s.notice("m", record.Undeliverable, 9500*ms+by)
+			s.process("r1", 6*second, eventlog.StateKill)
+			s.process("r1", 6*second+ms, eventlog.StateExit)
+			s.process("r1", 7*second, eventlog.StateStart)
+			s.process("r1", 8*second, eventlog.StateUp)
+			s.notice("m", eventlog.Undeliverable, 9500*ms+by)
 		}},
 		{"sent after it was refused", Lost, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 5*second, 503)
@@ -158,7 +158,7 @@
 		}},
 		{"sent after its notice", Lost, func(s *script, by time.Duration) {
 			s.offer("m", safe, second, 5*second, 202)
-			s.notice("m", record.Deferred, 2*second)
+			s.notice("m", eventlog.Deferred, 2*second)
 			s.call("r1", "a1", "m", 2*second+50*ms+by, 3*second, 200, 0)
 		}},
 		{"a keyed repeat past its window", Twice, func(s *script, by time.Duration) {
@@ -179,17 +179,17 @@
 		{"an unsafe message refused while it may run", Twice, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 0)
-			s.notice("m", record.Deferred, 3*second-by)
+			s.notice("m", eventlog.Deferred, 3*second-by)
 		}},
 		{"sent to a host that drains", Drain, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
-			s.told("a1", record.StateDraining, 2*second)
+			s.told("a1", eventlog.StateDraining, 2*second)
 			s.call("r1", "a1", "m", 3*second+50*ms+by, 4*second, 200, 0)
 		}},
 		{"sent to a host that is gone, told as draining before", Drain, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
-			s.told("a1", record.StateDraining, 2*second)
-			s.told("a1", record.StateGone, 2900*ms)
+			s.told("a1", eventlog.StateDraining, 2*second)
+			s.told("a1", eventlog.StateGone, 2900*ms)
 			s.call("r1", "a1", "m", 3*second+50*ms+by, 4*second, 200, 0)
 		}},
 		{"called while it is to wait", Wait, func(s *script, by time.Duration) {
@@ -236,18 +236,18 @@
 func TestAReturningPlacePushedOver(t *testing.T) {
 	run := func(calls int, knowing int) *script {
 		s := newScript()
-		s.add(record.Event{At: second, Kind: record.Outage, Place: "7", Hosts: []string{"a1", "a2"}, Cause: "silent"})
+		s.add(eventlog.Event{At: second, Kind: eventlog.Outage, Place: "7", Hosts: []string{"a1", "a2"}, Cause: "silent"})
 		s.offer("seen", safe, second, 15*second, 202)
 		s.ended(s.call("r1", "a1", "seen", 1500*ms, 0, 0, 0), 4*second)
-		s.add(record.Event{At: 10 * second, Kind: record.Back, Place: "7", Hosts: []string{"a1", "a2"}, Rate: 20, Share: 0.2, For: 14 * second})
+		s.add(eventlog.Event{At: 10 * second, Kind: eventlog.Back, Place: "7", Hosts: []string{"a1", "a2"}, Rate: 20, Share: 0.2, For: 14 * second})
 		for i := range calls {
 			id := fmt.Sprint("m", i)
 			relay := "r1"
 			if i >= knowing {
 				relay = "r2"
 			}
-			s.add(record.Event{At: 10 * second, Kind: record.Offer, ID: id, Origin: id, Relay: relay, Class: safe, Dest: 7, For: 15 * second})
-			s.add(record.Event{At: 10*second + ms, Kind: record.Heard, ID: id, Relay: relay, Status: 202})
+			s.add(eventlog.Event{At: 10 * second, Kind: eventlog.Offer, ID: id, Origin: id, Relay: relay, Class: safe, Dest: 7, For: 15 * second})
+			s.add(eventlog.Event{At: 10*second + ms, Kind: eventlog.Heard, ID: id, Relay: relay, Status: 202})
 			s.call(relay, "a1", id, 10*second+2*ms, 11*second, 200, 0)
 		}
 		s.call("r1", "a1", "seen", 11*second+500*ms, 12*second, 200, 0)
@@ -269,11 +269,11 @@
 
 // Connections that do not come up leave no trace at the host: what a relay had for it tells that it knew.
 func TestRefusedConnectionsCountAsSeen(t *testing.T) {
-	for cause, state := range map[string]State{record.OutageDown: Broken, "silent": NotExercised} {
+	for cause, state := range map[string]State{eventlog.OutageDown: Broken, "silent": NotExercised} {
 		s := newScript()
-		s.add(record.Event{At: second, Kind: record.Outage, Place: "7", Dest: 7, Hosts: []string{"a1"}, Cause: cause})
+		s.add(eventlog.Event{At: second, Kind: eventlog.Outage, Place: "7", Dest: 7, Hosts: []string{"a1"}, Cause: cause})
 		s.offer("m", safe, 2*second, 15*second, 202)
-		s.add(record.Event{At: 10 * second, Kind: record.Back, Place: "7", Dest: 7, Hosts: []string{"a1"}, Rate: 2, Share: 0.2, For: 14 * second})
+		s.add(eventlog.Event{At: 10 * second, Kind: eventlog.Back, Place: "7", Dest: 7, Hosts: []string{"a1"}, Rate: 2, Share: 0.2, For: 14 * second})
 		for range 10 {
 			s.call("r1", "a1", "m", 10*second, 11*second, 500, 0)
 		}
@@ -290,11 +290,11 @@
 	for _, id := range []string{"m1", "m2", "m3"} {
 		s.offer(id, unsafe, second, 15*second, 202)
 	}
-	s.add(record.Event{At: 2 * second, First: 2 * second, Kind: record.Call, Call: 1, Relay: "r1", Host: "a1", IDs: []string{"m1", "m2", "m3"}})
-	s.add(record.Event{At: 3 * second, Kind: record.Reply, Call: 1, Relay: "r1", Host: "a1", Status: 200, States: []string{"ok", "later", "error"}})
+	s.add(eventlog.Event{At: 2 * second, First: 2 * second, Kind: eventlog.Call, Call: 1, Relay: "r1", Host: "a1", IDs: []string{"m1", "m2", "m3"}})
+	s.add(eventlog.Event{At: 3 * second, Kind: eventlog.Reply, Call: 1, Relay: "r1", Host: "a1", Status: 200, States: []string{"ok", "later", "error"}})
 	s.calls = 1
 	s.call("r1", "a1", "m2", 4*second, 5*second, 200, 0)
-	s.notice("m3", record.Undeliverable, 4*second)
+	s.notice("m3", eventlog.Undeliverable, 4*second)
 	want(t, s, "")
 	s.call("r1", "a1", "m3", 3500*ms, 3600*ms, 200, 0)
 	want(t, s, Twice)
@@ -308,10 +308,10 @@
 		s.offer("m1", ordered, second, 3*second, 202)
 		s.offer("other", safe, second, 15*second, 202)
 		s.offer("m2", ordered, second+10*ms, 15*second, 202)
-		s.add(record.Event{At: 2 * second, First: 2 * second, Kind: record.Call, Call: 1, Relay: "r1", Host: "a1", IDs: ids})
+		s.add(eventlog.Event{At: 2 * second, First: 2 * second, Kind: eventlog.Call, Call: 1, Relay: "r1", Host: "a1", IDs: ids})
 		s.calls = 1
 		s.ended(1, 4*second)
-		s.notice("m1", record.Deferred, 4*second)
+		s.notice("m1", eventlog.Deferred, 4*second)
 		s.call("r1", "a1", "m2", 4*second+after, 6*second, 200, 0)
 		s.call("r1", "a1", "other", 8*second, 9*second, 200, 0)
 		return s
@@ -325,7 +325,7 @@
 	// Cut before its last byte, it never ran, and may be sent anywhere; cut after it, it may have.
 	s := newScript()
 	s.offer("m", unsafe, second, 15*second, 202)
-	s.add(record.Event{At: 2 * second, First: 2 * second, Kind: record.Broken, Call: 9, Relay: "r1", Host: "a1"})
+	s.add(eventlog.Event{At: 2 * second, First: 2 * second, Kind: eventlog.Broken, Call: 9, Relay: "r1", Host: "a1"})
 	s.call("r1", "a2", "m", 3*second, 4*second, 200, 0)
 	want(t, s, "")
 	s = newScript()
@@ -336,9 +336,9 @@
 	// And no drain is kept by a call that was cut.
 	s = newScript()
 	s.offer("m", unsafe, second, 15*second, 202)
-	s.told("a1", record.StateGone, 2*second)
-	s.add(record.Event{At: 4 * second, First: 4 * second, Kind: record.Broken, Call: 9, Relay: "r1", Host: "a1"})
-	s.notice("m", record.Deferred, 5*second)
+	s.told("a1", eventlog.StateGone, 2*second)
+	s.add(eventlog.Event{At: 4 * second, First: 4 * second, Kind: eventlog.Broken, Call: 9, Relay: "r1", Host: "a1"})
+	s.notice("m", eventlog.Deferred, 5*second)
 	want(t, s, Drain)
 }
 
@@ -347,25 +347,25 @@
 		s := newScript()
 		s.offer("m", keyed, second, 5*second, 0)
 		if kill {
-			s.process("r1", second+100*ms, record.StateKill)
-			s.process("r1", second+101*ms, record.StateExit)
+			s.process("r1", second+100*ms, eventlog.StateKill)
+			s.process("r1", second+101*ms, eventlog.StateExit)
 		}
-		s.add(record.Event{At: second + 200*ms, Kind: record.Unheard, ID: "m", Relay: "r1", Cause: cause})
+		s.add(eventlog.Event{At: second + 200*ms, Kind: eventlog.Unheard, ID: "m", Relay: "r1", Cause: cause})
 		return s
 	}
-	want(t, unheard(record.CauseClosed, false), Lost)
-	want(t, unheard(record.CauseClosed, true), "")
-	want(t, unheard(record.CauseTimeout, false), "")
-	want(t, unheard(record.CauseUnsent, false), "")
+	want(t, unheard(eventlog.CauseClosed, false), Lost)
+	want(t, unheard(eventlog.CauseClosed, true), "")
+	want(t, unheard(eventlog.CauseTimeout, false), "")
+	want(t, unheard(eventlog.CauseUnsent, false), "")
 }
 
 func TestTwoEndsThatDiffer(t *testing.T) {
 	s := newScript()
 	s.offer("m", safe, second, 5*second, 202)
-	s.notice("m", record.Deferred, 2*second)
-	s.notice("m", record.Deferred, 3*second) // told again: no harm
+	s.notice("m", eventlog.Deferred, 2*second)
+	s.notice("m", eventlog.Deferred, 3*second) // told again: no harm
 	want(t, s, "")
-	s.notice("m", record.Undeliverable, 4*second)
+	s.notice("m", eventlog.Undeliverable, 4*second)
 	want(t, s, Lost)
 }
 
@@ -376,7 +376,7 @@
 		s.offer(id, class, second, 15*second, 202)
 		s.call("r1", "a1", id, 2*second, 3*second, 500, 0)
 		s.call("r1", "a2", id, 4*second, 5*second, 500, 0)
-		s.notice(id, record.Deferred, 6*second)
+		s.notice(id, eventlog.Deferred, 6*second)
 	}
 	want(t, s, "")
 	s.h.Rules.MayDuplicate = false
@@ -390,10 +390,10 @@
 	s.offer("m1", ordered, second, 15*second, 202)
 	s.offer("m2", ordered, second+10*ms, 15*second, 202)
 	s.call("r1", "a1", "m1", 2*second, 3*second, 429, 10*second)
-	s.process("r1", 4*second, record.StateKill)
-	s.process("r1", 4*second+ms, record.StateExit)
-	s.process("r1", 5*second, record.StateStart)
-	s.process("r1", 5*second+ms, record.StateUp)
+	s.process("r1", 4*second, eventlog.StateKill)
+	s.process("r1", 4*second+ms, eventlog.StateExit)
+	s.process("r1", 5*second, eventlog.StateStart)
+	s.process("r1", 5*second+ms, eventlog.StateUp)
 	s.call("r1", "a1", "m2", 6*second, 7*second, 200, 0)
 	s.call("r1", "a1", "m1", 8*second, 9*second, 200, 0)
 	want(t, s, "")
@@ -402,8 +402,8 @@
 func TestRoutesApartWaitAndDestinationsWaitWhole(t *testing.T) {
 	run := func(place1, place2 string) *script {
 		s := newScript()
-		s.add(record.Event{Kind: record.Change, Host: "a1", Zone: "a", Dest: 7, Place: place1})
-		s.add(record.Event{Kind: record.Change, Host: "a2", Zone: "b", Dest: 7, Place: place2})
+		s.add(eventlog.Event{Kind: eventlog.Change, Host: "a1", Zone: "a", Dest: 7, Place: place1})
+		s.add(eventlog.Event{Kind: eventlog.Change, Host: "a2", Zone: "b", Dest: 7, Place: place2})
 		s.offer("m", safe, second, 15*second, 202)
 		s.call("r1", "a1", "m", 2*second, 3*second, 503, 5*second)
 		s.call("r1", "a2", "m", 4*second, 5*second, 200, 0)
@@ -441,14 +441,14 @@
 	if v.OK() || v.Finding(Lost).State != NotJudged || !strings.Contains(v.Doubts[0], "no end") {
 		t.Errorf("no end: %+v", v)
 	}
-	v = Judge(cut.h, append(slices.Clone(cut.events), record.Event{At: 2 * second, Kind: record.End, Cause: "interrupted"}))
+	v = Judge(cut.h, append(slices.Clone(cut.events), eventlog.Event{At: 2 * second, Kind: eventlog.End, Cause: "interrupted"}))
 	if v.OK() || v.Finding(Lost).State != NotJudged || !strings.Contains(v.Doubts[0], "interrupted") {
 		t.Errorf("cut short: %+v", v)
 	}
 	late := func(by time.Duration) Verdict {
 		s := newScript()
-		s.add(record.Event{At: second, Kind: record.Offer, ID: "m", Origin: "m", Relay: "r1", Dest: 7, For: second, Late: by})
-		s.add(record.Event{At: second, Kind: record.Heard, ID: "m", Relay: "r1", Status: 503})
+		s.add(eventlog.Event{At: second, Kind: eventlog.Offer, ID: "m", Origin: "m", Relay: "r1", Dest: 7, For: second, Late: by})
+		s.add(eventlog.Event{At: second, Kind: eventlog.Heard, ID: "m", Relay: "r1", Status: 503})
 		return s.judge()
 	}
 	if v := late(LatenessMost + 1); v.OK() || v.Finding(Lost).State != NotJudged {
@@ -458,7 +458,7 @@
 		t.Errorf("load in time: %+v", v)
 	}
 	// What was seen broken stays broken.
-	cut.notice("m", record.Deferred, 2*second)
+	cut.notice("m", eventlog.Deferred, 2*second)
 	cut.call("r1", "a1", "m", 3*second, 4*second, 200, 0)
 	if v := Judge(cut.h, cut.events); v.Finding(Lost).State != Broken {
 		t.Errorf("broken in a run that was cut short: %+v", v.Finding(Lost))
@@ -468,11 +468,11 @@
 func TestWhatVoidsARun(t *testing.T) {
 	for name, spoil := range map[string]func(*script){
 		"nobody handed in":  func(s *script) { s.call("r1", "a1", "ghost", 2*second, 3*second, 200, 0) },
-		"notice for ghost":  func(s *script) { s.notice("ghost", record.Deferred, 2*second) },
+		"notice for ghost":  func(s *script) { s.notice("ghost", eventlog.Deferred, 2*second) },
 		"wrong destination": func(s *script) { s.call("r1", "b1", "m", 2*second, 3*second, 200, 0) },
 		"wrong relay":       func(s *script) { s.call("r2", "a1", "m", 2*second, 3*second, 200, 0) },
-		"crashed":           func(s *script) { s.process("r1", 2*second, record.StateExit) },
-		"seen by a host":    func(s *script) { s.add(record.Event{At: second, Kind: record.Fault, Cause: "unreadable"}) },
+		"crashed":           func(s *script) { s.process("r1", 2*second, eventlog.StateExit) },
+		"seen by a host":    func(s *script) { s.add(eventlog.Event{At: second, Kind: eventlog.Fault, Cause: "unreadable"}) },
 	} {
 		s := newScript()
 		s.offer("m", safe, second, 5*second, 202)
@@ -490,7 +490,7 @@
 	s.offer("m", keyed, second, 5*second, 202)
 	s.call("r1", "a1", "m", 2*second, 3*second, 200, 0)
 	before := s.judge()
-	s.add(record.Event{At: 1500 * ms, Kind: record.Clock, For: -time.Hour})
+	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.Clock, For: -time.Hour})
 	s.h.Began = s.h.Began.Add(time.Hour)
 	after := s.judge()
 	if after.Steps != 1 {
@@ -511,21 +511,21 @@
 	s.offer("part", keyed, 2*second, 16*second, 202)
 	s.call("r1", "a1", "part", 3*second, 2*second+9500*ms, 200, 0) // half-way from the aim to the end: 0.7
 	s.offer("none", keyed, 25*second, 5*second, 202)
-	s.notice("none", record.Undeliverable, 27*second)
+	s.notice("none", eventlog.Undeliverable, 27*second)
 	// A refusal that comes again belongs to its first try.
 	s.offer("first", keyed, 3*second, 16*second, 503)
-	s.add(record.Event{At: 4 * second, Kind: record.Offer, ID: "again", Origin: "first", Relay: "r1", Dest: 7, For: 15 * second})
-	s.add(record.Event{At: 4 * second, Kind: record.Heard, ID: "again", Relay: "r1", Status: 202})
+	s.add(eventlog.Event{At: 4 * second, Kind: eventlog.Offer, ID: "again", Origin: "first", Relay: "r1", Dest: 7, For: 15 * second})
+	s.add(eventlog.Event{At: 4 * second, Kind: eventlog.Heard, ID: "again", Relay: "r1", Status: 202})
 	s.call("r1", "a1", "again", 5*second, 6*second-ms, 200, 0)
 	// The second customer asks for more than its share of one a second.
 	for i := range 3 {
 		id := fmt.Sprint("b", i)
-		s.add(record.Event{At: 5 * second, Kind: record.Offer, ID: id, Origin: id, Relay: "r1", Dest: 7, For: 5 * second, Customer: 1})
-		s.add(record.Event{At: 5 * second, Kind: record.Heard, ID: id, Relay: "r1", Status: 202})
+		s.add(eventlog.Event{At: 5 * second, Kind: eventlog.Offer, ID: id, Origin: id, Relay: "r1", Dest: 7, For: 5 * second, Customer: 1})
+		s.add(eventlog.Event{At: 5 * second, Kind: eventlog.Heard, ID: id, Relay: "r1", Status: 202})
 		if i == 0 {
 			s.call("r1", "a1", id, 6*second, 6*second+ms, 200, 0)
 		} else {
-			s.notice(id, record.Deferred, 6*second)
+			s.notice(id, eventlog.Deferred, 6*second)
 		}
 	}
 	v := s.judge().Service
@@ -590,9 +590,9 @@
 			switch {
 			case done:
 			case firstMay == never || class == safe || class == keyedAll:
-				s.notice(id, record.Deferred, now)
+				s.notice(id, eventlog.Deferred, now)
 			default:
-				s.notice(id, record.Undeliverable, now)
+				s.notice(id, eventlog.Undeliverable, now)
 			}
 		}
 		for _, f := range s.judge().Findings {
@@ -613,7 +613,7 @@
 			s.call("r1", "a1", id, at+2*ms, at+100*ms, 200, 0)
 		}
 		events := slices.Clone(s.events)
-		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.At - b.At) })
+		slices.SortStableFunc(events, func(a, b eventlog.Event) int { return int(a.At - b.At) })
 		b.Run(fmt.Sprint("messages=", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/judge/service.go
+++ b/internal/testkit/checker/service.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 // Service is how good a run was: the worth delivered, in full within the aim and in part after it, over the worth asked
@@ -58,7 +58,7 @@
 }
 
 // Tries folds the hand-ins of a record into first tries, in the order in which they were due.
-func Tries(h record.Header, events []record.Event) []Asked {
+func Tries(h eventlog.Header, events []eventlog.Event) []Asked {
 	return newJudge(h, events).tries()
 }
 
@@ -98,7 +98,7 @@
 
 // Shares tell which first tries are beyond their customers' shares: a bucket each, with room for a second's worth.
 type Shares struct {
-	customers []record.Customer
+	customers []eventlog.Customer
 	buckets   []struct {
 		tokens float64
 		at     time.Duration
@@ -106,7 +106,7 @@
 }
 
 // NewShares returns the shares of a run that has not begun.
-func NewShares(h record.Header) Shares {
+func NewShares(h eventlog.Header) Shares {
 	s := Shares{customers: h.Customers}
 	s.buckets = slices.Grow(s.buckets, len(h.Customers))[:len(h.Customers)]
 	for i, c := range h.Customers {
@@ -131,7 +131,7 @@
 }
 
 // WorthAfter is the share of its worth that a message has when it is delivered after a time.
-func WorthAfter(c record.Class, after time.Duration) float64 {
+func WorthAfter(c eventlog.Class, after time.Duration) float64 {
 	switch {
 	case after <= c.Aim:
 		return 1
@@ -194,7 +194,7 @@
 			s.Refused++
 		case m.heard >= 0 && !j.taken(m):
 			s.Failed++
-		case len(m.notices) > 0 && j.events[m.notices[0]].State == record.Deferred:
+		case len(m.notices) > 0 && j.events[m.notices[0]].State == eventlog.Deferred:
 			s.Deferred++
 		case len(m.notices) > 0:
 			s.Failed++
--- a/internal/record/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -1,4 +1,4 @@
-package record
+package eventlog
 
 import (
 	"bytes"
--- a/internal/record/record.go
+++ b/internal/testkit/eventlog/record.go
@@ -1,7 +1,7 @@
 // Package record holds what was seen in a rehearsal: one header that says what was to be kept to, and the events in
 // the order in which they happened, all on one monotonic clock. It is what package judge judges and what is kept on
 // disk, one JSON object a line, so that a verdict can be had again long after the run.
-package record
+package eventlog
 
 import (
 	"bufio"
--- a/internal/standin/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 const (
@@ -46,7 +46,7 @@
 // Agent is discovery's agent on the machine of one relay.
 type Agent struct {
 	relay  string
-	rec    *record.Writer
+	rec    *eventlog.Writer
 	world  *World
 	ln     net.Listener
 	server *http.Server
@@ -66,7 +66,7 @@
 }
 
 // NewAgent starts the agent of a relay with the list as it is, which counts as told.
-func NewAgent(relay string, rec *record.Writer, world *World, list []Member) (*Agent, error) {
+func NewAgent(relay string, rec *eventlog.Writer, world *World, list []Member) (*Agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: agent of %s: %w", relay, err)
@@ -99,7 +99,7 @@
 }
 
 func (a *Agent) record(m Member) {
-	a.rec.Add(record.Event{Kind: record.Told, Relay: a.relay, Host: m.ID, State: m.State, Dest: m.Cell})
+	a.rec.Add(eventlog.Event{Kind: eventlog.Told, Relay: a.relay, Host: m.ID, State: m.State, Dest: m.Cell})
 }
 
 // wake is called with mu held.
@@ -122,7 +122,7 @@
 // take is called with mu held.
 func (a *Agent) take(m Member) {
 	a.log = append(a.log, change{Member: m})
-	if m.State == record.StateGone {
+	if m.State == eventlog.StateGone {
 		delete(a.members, m.ID)
 	} else {
 		a.members[m.ID] = m
@@ -184,7 +184,7 @@
 	n := 0
 	known := map[string]Member{}
 	for n < len(a.log) && a.log[n].told {
-		if m := a.log[n].Member; m.State == record.StateGone {
+		if m := a.log[n].Member; m.State == eventlog.StateGone {
 			delete(known, m.ID)
 		} else {
 			known[m.ID] = m
@@ -315,16 +315,16 @@
 		case errors.Is(err, io.EOF):
 			w.WriteHeader(http.StatusNoContent)
 			return
-		case err != nil || n.Status != record.Undeliverable && n.Status != record.Deferred:
+		case err != nil || n.Status != eventlog.Undeliverable && n.Status != eventlog.Deferred:
 			if r.Context().Err() == nil {
-				a.rec.Add(record.Event{Kind: record.Fault, Relay: a.relay, ID: n.ID, Cause: fmt.Sprintf("unreadable notice %q: %v", n.Status, err)})
+				a.rec.Add(eventlog.Event{Kind: eventlog.Fault, Relay: a.relay, ID: n.ID, Cause: fmt.Sprintf("unreadable notice %q: %v", n.Status, err)})
 			}
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		a.world.Settle(n.ID)
-		a.rec.Add(record.Event{
-			Kind: record.Notice, Relay: a.relay, ID: n.ID, State: n.Status, Wait: time.Duration(n.AgainMS) * time.Millisecond,
+		a.rec.Add(eventlog.Event{
+			Kind: eventlog.Notice, Relay: a.relay, ID: n.ID, State: n.Status, Wait: time.Duration(n.AgainMS) * time.Millisecond,
 		})
 	}
 }
--- a/internal/standin/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // Clients hands messages in to one relay, as its clients would: they wait for so long and no longer, come again after
@@ -24,7 +24,7 @@
 	relay   string
 	addr    string
 	file    scenario.File
-	rec     *record.Writer
+	rec     *eventlog.Writer
 	world   *World
 	headers []string // by class and customer: the part of a head that does not change
 
@@ -44,7 +44,7 @@
 }
 
 // NewClients returns the clients of a relay at an address. They wait until Takes.
-func NewClients(relay, addr string, file scenario.File, rec *record.Writer, world *World) *Clients {
+func NewClients(relay, addr string, file scenario.File, rec *eventlog.Writer, world *World) *Clients {
 	c := &Clients{
 		relay: relay, addr: addr, file: file, rec: rec, world: world, open: map[*clientConn]struct{}{},
 		change: make(chan struct{}),
@@ -163,15 +163,15 @@
 // try hands a message in once, and records what came of it.
 func (c *Clients) try(ctx context.Context, t try, late time.Duration) (heard int, advice time.Duration) {
 	c.world.HandIn(t.ID, t.Dest, t.deadline)
-	c.rec.Add(record.Event{
-		Kind: record.Offer, ID: t.ID, Origin: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
+	c.rec.Add(eventlog.Event{
+		Kind: eventlog.Offer, ID: t.ID, Origin: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
 		For: time.Until(t.deadline), Late: late,
 	})
 	leave := time.Now().Add(c.file.Clients.AnswerWithin.D())
 	unheard := func(cause string) (int, time.Duration) {
 		c.world.Withdraw(t.ID)
-		c.rec.Add(record.Event{Kind: record.Unheard, ID: t.ID, Relay: c.relay, Cause: cause})
-		if cause == record.CauseUnsent {
+		c.rec.Add(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: c.relay, Cause: cause})
+		if cause == eventlog.CauseUnsent {
 			return unsent, 0
 		}
 		return noAnswer, 0
@@ -180,7 +180,7 @@
 	for {
 		conn, err := c.get(ctx, leave, fresh)
 		if err != nil {
-			return unheard(record.CauseUnsent)
+			return unheard(eventlog.CauseUnsent)
 		}
 		conn.SetDeadline(leave)
 		if _, err := conn.Write(c.text(t)); err != nil {
@@ -189,7 +189,7 @@
 				fresh = true // the relay closed it between two requests
 				continue
 			}
-			return unheard(record.CauseUnsent)
+			return unheard(eventlog.CauseUnsent)
 		}
 		res, err := http.ReadResponse(conn.r, nil)
 		if err == nil {
@@ -201,17 +201,17 @@
 			c.drop(conn)
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				return unheard(record.CauseTimeout)
+				return unheard(eventlog.CauseTimeout)
 			case conn.used && !fresh && silent:
 				fresh = true // its close crossed the request: this is sent once more, on a new one
 				continue
 			}
-			return unheard(record.CauseClosed)
+			return unheard(eventlog.CauseClosed)
 		}
 		if x, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && x > 0 && x < 1e6 {
 			advice = time.Duration(x * float64(time.Second))
 		}
-		c.rec.Add(record.Event{Kind: record.Heard, ID: t.ID, Relay: c.relay, Status: res.StatusCode, Wait: advice})
+		c.rec.Add(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: c.relay, Status: res.StatusCode, Wait: advice})
 		if res.StatusCode >= 300 {
 			c.world.Settle(t.ID)
 		}
--- a/internal/standin/host.go
+++ b/internal/testkit/fake/host.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 const (
@@ -89,7 +89,7 @@
 	for _, p := range h.ports {
 		p.hold()
 	}
-	h.world.rec.Add(record.Event{Kind: record.Able, Host: h.ID, Dest: h.Dest})
+	h.world.rec.Add(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
 }
 
 // down has the host's process die: connections are reset, and new ones refused.
@@ -252,18 +252,18 @@
 		if err == nil {
 			body, err = io.ReadAll(io.LimitReader(req.Body, 16*bodyMost))
 		}
-		e := record.Event{Call: n, Relay: c.relay, Host: c.host.ID, Dest: c.host.Dest, First: first}
+		e := eventlog.Event{Call: n, Relay: c.relay, Host: c.host.ID, Dest: c.host.Dest, First: first}
 		if err != nil {
 			if !c.ended { // what is cut short is no fault of its form
-				w.rec.Add(record.Event{Kind: record.Fault, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf("unreadable call: %v", err)})
+				w.rec.Add(eventlog.Event{Kind: eventlog.Fault, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf("unreadable call: %v", err)})
 			}
-			e.Kind = record.Broken
+			e.Kind = eventlog.Broken
 			w.rec.Add(e)
 			return
 		}
 		r := request{call: n}
 		r.parse(req, body)
-		e.Kind, e.IDs, e.Weight = record.Call, r.ids, c.host.place.Weight(len(r.ids))
+		e.Kind, e.IDs, e.Weight = eventlog.Call, r.ids, c.host.place.Weight(len(r.ids))
 		r.at = w.rec.Add(e)
 		select {
 		case reqs <- r:
@@ -330,7 +330,7 @@
 		}()
 	}
 	ended := func(by string) bool {
-		w.rec.Add(record.Event{Kind: record.Ended, Call: r.call, Relay: c.relay, Host: c.host.ID, Cause: by})
+		w.rec.Add(eventlog.Event{Kind: eventlog.Ended, Call: r.call, Relay: c.relay, Host: c.host.ID, Cause: by})
 		return false
 	}
 	var due <-chan time.Time
@@ -342,9 +342,9 @@
 	select {
 	case <-due:
 	case <-gone:
-		return ended(record.CauseRelay)
+		return ended(eventlog.CauseRelay)
 	case <-c.reset:
-		return ended(record.CauseHost)
+		return ended(eventlog.CauseHost)
 	}
 	w.mu.Lock()
 	cut := c.host.isCut
@@ -358,13 +358,13 @@
 	w.mu.Unlock()
 	if cut {
 		<-c.reset
-		return ended(record.CauseHost)
+		return ended(eventlog.CauseHost)
 	}
 	if a.lost {
-		return ended(record.CauseHost)
+		return ended(eventlog.CauseHost)
 	}
-	w.rec.Add(record.Event{
-		Kind: record.Reply, Call: r.call, Relay: c.relay, Host: c.host.ID, Status: a.status, Wait: a.wait, States: a.states,
+	w.rec.Add(eventlog.Event{
+		Kind: eventlog.Reply, Call: r.call, Relay: c.relay, Host: c.host.ID, Status: a.status, Wait: a.wait, States: a.states,
 	})
 	_, err := io.WriteString(c, a.text(r))
 	return err == nil
@@ -400,7 +400,7 @@
 func (c *hostConn) decide(r request) reply {
 	w := c.host.world
 	fault := func(status int, format string, args ...any) reply {
-		w.rec.Add(record.Event{Kind: record.Fault, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf(format, args...)})
+		w.rec.Add(eventlog.Event{Kind: eventlog.Fault, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf(format, args...)})
 		return reply{status: status}
 	}
 	if r.bad != 0 {
@@ -438,16 +438,16 @@
 	fate := c.host.place.Arrive(w.rec.Now(), c.host.ID, live)
 	if fate.Fell {
 		hosts := w.placeHosts(c.host.Place)
-		w.rec.Add(record.Event{Kind: record.Fell, Place: c.host.Place, Dest: c.host.Dest, Hosts: hostIDs(hosts)})
+		w.rec.Add(eventlog.Event{Kind: eventlog.Fell, Place: c.host.Place, Dest: c.host.Dest, Hosts: hostIDs(hosts)})
 		w.able(c.host.place, 0, 0)
 	}
 	a := reply{after: fate.After, wait: fate.Wait.Round(time.Millisecond), lost: fate.Lost, slot: true}
 	switch fate.Result {
-	case partner.Mute:
+	case upstream.Mute:
 		a.mute = true
-	case partner.Failed:
+	case upstream.Failed:
 		a.status = http.StatusInternalServerError
-	case partner.Refused:
+	case upstream.Refused:
 		a.status = http.StatusServiceUnavailable
 		if a.wait > 0 {
 			a.status = http.StatusTooManyRequests
--- a/internal/standin/port.go
+++ b/internal/testkit/fake/port.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"errors"
--- a/internal/standin/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 
 	"go.uber.org/goleak"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -60,7 +60,7 @@
 	*World
 	t    testing.TB
 	plan scenario.Plan
-	rec  *record.Writer
+	rec  *eventlog.Writer
 }
 
 func newRig(t testing.TB, more string) *rig {
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	plan := f.Draw(1)
-	rec, err := record.NewWriter(io.Discard, time.Now(), f.Header(1))
+	rec, err := eventlog.NewWriter(io.Discard, time.Now(), f.Header(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 }
 
 // seen waits for an event of a kind that fits.
-func (r *rig) seen(kind record.Kind, fits func(record.Event) bool) record.Event {
+func (r *rig) seen(kind eventlog.Kind, fits func(eventlog.Event) bool) eventlog.Event {
 	r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for _, e := range r.rec.Snapshot() {
@@ -135,7 +135,7 @@
 		}
 	}
 	r.t.Fatalf("never seen: %s", kind)
-	return record.Event{}
+	return eventlog.Event{}
 }
 
 func TestAHostAnswersAndRecords(t *testing.T) {
@@ -148,8 +148,8 @@
 	if res := r.ask(c, callText("m2")); res.StatusCode != 200 { // on the same connection
 		t.Errorf("status %d", res.StatusCode)
 	}
-	call := r.seen(record.Call, func(e record.Event) bool { return slices.Equal(e.IDs, []string{"m2"}) })
-	reply := r.seen(record.Reply, func(e record.Event) bool { return e.Call == call.Call })
+	call := r.seen(eventlog.Call, func(e eventlog.Event) bool { return slices.Equal(e.IDs, []string{"m2"}) })
+	reply := r.seen(eventlog.Reply, func(e eventlog.Event) bool { return e.Call == call.Call })
 	if call.Relay != "r1" || call.Host != r.first().ID || call.First > call.At || reply.At-call.At < 9*time.Millisecond || reply.Status != 200 {
 		t.Errorf("%+v %+v", call, reply)
 	}
@@ -220,8 +220,8 @@
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	call := r.seen(record.Call, nil)
-	if e := r.seen(record.Ended, nil); e.Call != call.Call || e.Cause != record.CauseHost {
+	call := r.seen(eventlog.Call, nil)
+	if e := r.seen(eventlog.Ended, nil); e.Call != call.Call || e.Cause != eventlog.CauseHost {
 		t.Errorf("%+v", e)
 	}
 	must(r.Lose(r.first().Place, 0))
@@ -270,17 +270,17 @@
 		c := r.dial(r.first().Addr("r1"))
 		io.WriteString(c, callText(id))
 		conns = append(conns, c)
-		r.seen(record.Call, func(e record.Event) bool { return e.IDs[0] == id })
+		r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.IDs[0] == id })
 	}
 	r.handIn("more")
 	if res := r.ask(r.dial(r.first().Addr("r1")), callText("more")); res.StatusCode != 503 || res.Header.Get("Slots-Taken") != "1" {
 		t.Errorf("beyond the slots: %d %v", res.StatusCode, res.Header)
 	}
 	conns[0].Close()
-	r.seen(record.Ended, func(e record.Event) bool { return e.Cause == record.CauseRelay })
+	r.seen(eventlog.Ended, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseRelay })
 	c := r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("more"))
-	r.seen(record.Call, func(e record.Event) bool { return e.IDs[0] == "more" && e.Call == 6 })
+	r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.IDs[0] == "more" && e.Call == 6 })
 	c.SetDeadline(time.Now().Add(60 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a silent host: %v", err)
@@ -294,17 +294,17 @@
 	c := r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("m1")[:50])
 	c.Close()
-	if e := r.seen(record.Broken, nil); len(e.IDs) > 0 {
+	if e := r.seen(eventlog.Broken, nil); len(e.IDs) > 0 {
 		t.Errorf("%+v", e)
 	}
 	c = r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("m2"))
 	c.(*net.TCPConn).CloseWrite()
-	if e := r.seen(record.Ended, nil); e.Cause != record.CauseRelay {
+	if e := r.seen(eventlog.Ended, nil); e.Cause != eventlog.CauseRelay {
 		t.Errorf("%+v", e)
 	}
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == record.Call && e.IDs[0] == "m1" || e.Kind == record.Fault {
+		if e.Kind == eventlog.Call && e.IDs[0] == "m1" || e.Kind == eventlog.Fault {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -315,7 +315,7 @@
 	addr := r.first().Addr("r1")
 	open := r.dial(addr)
 	io.WriteString(open, "P") // it is accepted by now, or will be
-	r.seen(record.Able, nil)
+	r.seen(eventlog.Able, nil)
 	if err := r.Outage("d1", scenario.OpDown, 0, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +332,7 @@
 	if res := r.ask(r.dial(addr), callText("m")); res.StatusCode != 200 {
 		t.Errorf("back: %d", res.StatusCode)
 	}
-	out, back := r.seen(record.Outage, nil), r.seen(record.Back, nil)
+	out, back := r.seen(eventlog.Outage, nil), r.seen(eventlog.Back, nil)
 	if out.Place != "d1" || out.Cause != "down" || len(out.Hosts) != 2 || back.Rate != 400 || back.Share != 0.2 || back.For != 12*time.Second {
 		t.Errorf("%+v %+v", out, back)
 	}
@@ -371,7 +371,7 @@
 		t.Errorf("after: %d", res.StatusCode)
 	}
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == record.Call && e.IDs[0] == "meanwhile" {
+		if e.Kind == eventlog.Call && e.IDs[0] == "meanwhile" {
 			t.Error("a call reached a machine that is cut off")
 		}
 	}
@@ -398,7 +398,7 @@
 	if res := r.ask(r.dial(addr), callText("m")); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	r.seen(record.Call, func(e record.Event) bool { return e.Host == "s-new" })
+	r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.Host == "s-new" })
 }
 
 // A reserved address refuses connections, is found by nobody who asks for any, and serves who asks for it.
@@ -425,7 +425,7 @@
 
 func newAgent(t *testing.T, r *rig) *Agent {
 	t.Helper()
-	a, err := NewAgent("r1", r.rec, r.World, []Member{{ID: "s-1", Addr: "x:1", State: record.StateReady, Cell: 1}})
+	a, err := NewAgent("r1", r.rec, r.World, []Member{{ID: "s-1", Addr: "x:1", State: eventlog.StateReady, Cell: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -477,35 +477,35 @@
 	if m := next(); !m.Full || m.Version != 1 || len(m.Servers) != 1 {
 		t.Errorf("%+v", m)
 	}
-	a.Tell(Member{ID: "s-2", State: record.StateReady})
+	a.Tell(Member{ID: "s-2", State: eventlog.StateReady})
 	if m := next(); m.Full || m.Version != 2 || m.Servers[0].ID != "s-2" {
 		t.Errorf("%+v", m)
 	}
 	// A line counts as told once the agent has written it, which may be after a client has read it.
-	r.seen(record.Told, func(e record.Event) bool { return e.Host == "s-2" })
+	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.Host == "s-2" })
 	a.Hush(true)
-	a.Tell(Member{ID: "s-1", State: record.StateDraining})
+	a.Tell(Member{ID: "s-1", State: eventlog.StateDraining})
 	told := func(state string) bool {
-		return slices.ContainsFunc(r.rec.Snapshot(), func(e record.Event) bool { return e.Kind == record.Told && e.State == state })
+		return slices.ContainsFunc(r.rec.Snapshot(), func(e eventlog.Event) bool { return e.Kind == eventlog.Told && e.State == state })
 	}
-	if told(record.StateDraining) || a.Known().Version != 2 {
+	if told(eventlog.StateDraining) || a.Known().Version != 2 {
 		t.Error("told while it was silent")
 	}
 	late := watch(t, a, 1) // and a watch that begins then waits, too
 	a.Hush(false)
-	if m := next(); m.Version != 3 || m.Servers[0].State != record.StateDraining {
+	if m := next(); m.Version != 3 || m.Servers[0].State != eventlog.StateDraining {
 		t.Errorf("%+v", m)
 	}
 	if m := late(); m.Full || m.Version != 3 || len(m.Servers) != 2 {
 		t.Errorf("a watch from version 1: %+v", m)
 	}
-	r.seen(record.Told, func(e record.Event) bool { return e.State == record.StateDraining })
+	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.State == eventlog.StateDraining })
 	if m := watch(t, a, 99)(); !m.Full || m.Version != 3 {
 		t.Errorf("a watch from a version that is not: %+v", m)
 	}
-	a.Tell(Member{ID: "s-1", State: record.StateGone})
+	a.Tell(Member{ID: "s-1", State: eventlog.StateGone})
 	next()
-	r.seen(record.Told, func(e record.Event) bool { return e.State == record.StateGone })
+	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.State == eventlog.StateGone })
 	if k := a.Known(); k.Version != 4 || len(k.Servers) != 1 || k.Servers[0].ID != "s-2" {
 		t.Errorf("known: %+v", k)
 	}
@@ -528,7 +528,7 @@
 	if s := post("{\"id\":\"m1\",\"status\":\"undeliverable\"}\n{\"id\":\"m2\",\"status\":\"deferred\",\"again_ms\":500}\n"); s != 204 {
 		t.Errorf("status %d", s)
 	}
-	if e := r.seen(record.Notice, func(e record.Event) bool { return e.ID == "m2" }); e.State != record.Deferred || e.Wait != 500*time.Millisecond {
+	if e := r.seen(eventlog.Notice, func(e eventlog.Event) bool { return e.ID == "m2" }); e.State != eventlog.Deferred || e.Wait != 500*time.Millisecond {
 		t.Errorf("%+v", e)
 	}
 	if r.Owed() != 0 {
@@ -537,7 +537,7 @@
 	if s := post("{\"id\":\"m1\",\"status\":\"lost\"}"); s != 400 {
 		t.Errorf("status %d", s)
 	}
-	r.seen(record.Fault, nil)
+	r.seen(eventlog.Fault, nil)
 }
 
 // relayStub answers what clients hand in.
@@ -579,18 +579,18 @@
 	return c
 }
 
-func (r *rig) heardBy(c *Clients, a scenario.Arrival) (events []record.Event) {
+func (r *rig) heardBy(c *Clients, a scenario.Arrival) (events []eventlog.Event) {
 	c.HandIn(context.Background(), a, 0)
 	c.Wait()
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == record.Offer || e.Kind == record.Heard || e.Kind == record.Unheard {
+		if e.Kind == eventlog.Offer || e.Kind == eventlog.Heard || e.Kind == eventlog.Unheard {
 			events = append(events, e)
 		}
 	}
 	return events
 }
 
-func kinds(events []record.Event) (text string) {
+func kinds(events []eventlog.Event) (text string) {
 	for _, e := range events {
 		text += fmt.Sprintf("%s %d %s,", e.Kind, e.Status, e.Cause)
 	}
@@ -659,9 +659,9 @@
 	c := newClients(r, addr)
 	c.Takes(false)
 	c.HandIn(context.Background(), scenario.Arrival{ID: "m", Dest: 1, Body: 10}, 0)
-	r.seen(record.Unheard, func(e record.Event) bool { return e.Cause == record.CauseUnsent })
+	r.seen(eventlog.Unheard, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseUnsent })
 	c.Takes(true)
-	r.seen(record.Heard, nil)
+	r.seen(eventlog.Heard, nil)
 	c.Wait()
 }
 
--- a/internal/standin/world.go
+++ b/internal/testkit/fake/world.go
@@ -1,7 +1,7 @@
 // Package standin plays the other sides of a relay on loopback: hosts of destinations, discovery's agent, and clients.
 // They speak the platform's protocol on real sockets and record what they see; what becomes of a call is decided by
 // package partner.
-package standin
+package fake
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 // slotPatience is how long a call beyond a relay's slots waits for one to fall free. A relay that gave a call up a
@@ -22,7 +22,7 @@
 
 // World is all places and hosts, and what was handed in.
 type World struct {
-	rec      *record.Writer
+	rec      *eventlog.Writer
 	settings scenario.Settings
 	relays   []string
 
@@ -37,7 +37,7 @@
 }
 
 type place struct {
-	*partner.Place
+	*upstream.Place
 	name   string
 	dest   int
 	outage string // its cause; "": in service
@@ -54,7 +54,7 @@
 }
 
 // NewWorld returns a world with the places of a plan and no hosts.
-func NewWorld(plan scenario.Plan, rec *record.Writer) *World {
+func NewWorld(plan scenario.Plan, rec *eventlog.Writer) *World {
 	w := &World{
 		rec: rec, settings: plan.File.Settings, places: map[string]*place{}, hosts: map[string]*Host{}, msgs: map[string]*handed{},
 		slots: map[string]int{},
@@ -63,7 +63,7 @@
 		w.relays = append(w.relays, scenario.RelayName(i+1))
 	}
 	for _, p := range plan.Places {
-		w.places[p.Name] = &place{Place: partner.New(p.Spec, p.Seed), name: p.Name, dest: p.Dest, slow: 1}
+		w.places[p.Name] = &place{Place: upstream.New(p.Spec, p.Seed), name: p.Name, dest: p.Dest, slow: 1}
 	}
 	return w
 }
@@ -109,7 +109,7 @@
 		rate = 0
 	}
 	for _, h := range w.placeHosts(p.name) {
-		w.rec.Add(record.Event{Kind: record.Able, Host: h.ID, Dest: p.dest, Rate: rate, Share: share, For: warm})
+		w.rec.Add(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: p.dest, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -141,7 +141,7 @@
 		}
 		p.outage = op.Cause()
 		hosts = w.placeHosts(name)
-		w.rec.Add(record.Event{Kind: record.Outage, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Cause: p.outage})
+		w.rec.Add(eventlog.Event{Kind: eventlog.Outage, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Cause: p.outage})
 		w.able(p, 1, 0)
 		switch op {
 		case scenario.OpFail:
@@ -181,15 +181,15 @@
 			return // all were replaced meanwhile
 		}
 		cold := p.Return(w.rec.Now())
-		w.rec.Add(record.Event{
-			Kind: record.Back, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm,
+		w.rec.Add(eventlog.Event{
+			Kind: eventlog.Back, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm,
 		})
 		w.able(p, cold.Share, cold.Warm)
 	}); err != nil {
 		return err
 	}
 	for _, h := range hosts {
-		if cause == record.OutageSilent || cause == record.OutageDown {
+		if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 			if err := h.up(); err != nil { // its processes have started anew
 				return err
 			}
--- a/internal/sockfault/sockfault_test.go
+++ b/internal/testkit/faultproxy/sockfault_test.go
@@ -1,4 +1,4 @@
-package sockfault
+package faultproxy
 
 import (
 	"bufio"
--- a/internal/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
 // bad is a plain relay: it sends each message to the first host of its destination in service, again after a pause if
@@ -257,8 +257,8 @@
 for = "2s"
 destinations = [1]
 `
-	for mode, want := range map[string]judge.Rule{
-		"none": "", "lose": judge.Lost, "twice": judge.Twice, "drain": judge.Drain, "wait": judge.Wait, "order": judge.Order, "push": judge.Return,
+	for mode, want := range map[string]checker.Rule{
+		"none": "", "lose": checker.Lost, "twice": checker.Twice, "drain": checker.Drain, "wait": checker.Wait, "order": checker.Order, "push": checker.Return,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -277,7 +277,7 @@
 				t.Fatal(err)
 			}
 			for _, x := range r.Verdict.Findings {
-				if (x.State == judge.Broken) != (x.Rule == want) {
+				if (x.State == checker.Broken) != (x.Rule == want) {
 					t.Errorf("%s: %s %d of %d; want only %q broken; %.3v", x.Rule, x.State, x.Count, x.Exercised, want, x.Breaks[:min(2, len(x.Breaks))])
 				}
 			}
--- a/internal/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 const (
@@ -52,13 +52,13 @@
 		}
 		r.fleet = &fleetMember{listen: listen, second: second, join: map[string]string{}}
 	}
-	s.links = map[string]*sockfault.Link{}
+	s.links = map[string]*faultproxy.Link{}
 	for i, from := range s.order {
 		for j, to := range s.order {
 			if i == j {
 				continue
 			}
-			l, err := sockfault.StartLink("127.0.0.1", to.fleet.listen, s.plan.Seed<<16|uint64(i*len(s.order)+j))
+			l, err := faultproxy.StartLink("127.0.0.1", to.fleet.listen, s.plan.Seed<<16|uint64(i*len(s.order)+j))
 			if err != nil {
 				return err
 			}
@@ -104,11 +104,11 @@
 	if l == nil {
 		return fmt.Errorf("rehearsal: no link %s", step.Target)
 	}
-	var f sockfault.LinkFaults
-	state := record.LinkFaulty
+	var f faultproxy.LinkFaults
+	state := eventlog.LinkFaulty
 	switch step.Op {
 	case scenario.OpLinkCut:
-		f.Cut, state = true, record.LinkCut
+		f.Cut, state = true, eventlog.LinkCut
 	case scenario.OpLinkLose:
 		f.Drop = step.X
 	case scenario.OpLinkDelay:
@@ -118,10 +118,10 @@
 	case scenario.OpLinkRate:
 		f.Rate = int(step.X)
 	case scenario.OpLinkSound:
-		state = record.LinkSound
+		state = eventlog.LinkSound
 	}
 	from, to := scenario.LinkEnds(step.Target)
-	s.rec.Add(record.Event{Kind: record.Link, Relay: from, Name: to, State: state, Cause: string(step.Op)})
+	s.rec.Add(eventlog.Event{Kind: eventlog.Link, Relay: from, Name: to, State: state, Cause: string(step.Op)})
 	return l.Set(f)
 }
 
@@ -129,11 +129,11 @@
 func (r *relay) freeze(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sig, state := syscall.SIGSTOP, record.StateStop
+	sig, state := syscall.SIGSTOP, eventlog.StateStop
 	if !on {
-		sig, state = syscall.SIGCONT, record.StateCont
+		sig, state = syscall.SIGCONT, eventlog.StateCont
 	}
-	r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: state})
+	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
 	if err := r.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("rehearsal: %v to %s: %w", sig, r.name, err)
 	}
@@ -189,8 +189,8 @@
 			continue // it is down, or stopped, or its port is not its own yet
 		}
 		for _, m := range st.Members {
-			s.rec.Add(record.Event{
-				Kind: record.Belief, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Late: took, Status: int(m.Life.Incarnation),
+			s.rec.Add(eventlog.Event{
+				Kind: eventlog.Belief, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Late: took, Status: int(m.Life.Incarnation),
 			})
 		}
 	}
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // The short rig of CI: three relays, of which one is cut off and comes back, one is stopped, and one loses its folder. What they believe
@@ -54,7 +54,7 @@
 	}
 	lives := map[string]int{}
 	for _, e := range r.Events {
-		if e.Kind == record.Belief {
+		if e.Kind == eventlog.Belief {
 			lives[e.Name] = max(lives[e.Name], e.Status)
 		}
 	}
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/sockfault"
-	"cherrytrestle.example/cherrytrestle/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 const (
@@ -53,23 +53,23 @@
 
 // Result is a rehearsal that was played.
 type Result struct {
-	Header  record.Header
-	Events  []record.Event
-	Verdict judge.Verdict
+	Header  eventlog.Header
+	Events  []eventlog.Event
+	Verdict checker.Verdict
 }
 
 // stage is a rehearsal at work.
 type stage struct {
 	plan   scenario.Plan
 	opts   Options
-	rec    *record.Writer
-	world  *standin.World
+	rec    *eventlog.Writer
+	world  *fake.World
 	relays map[string]*relay
 	order  []*relay
-	links  map[string]*sockfault.Link // between relays of a fleet, by scenario.LinkName
+	links  map[string]*faultproxy.Link // between relays of a fleet, by scenario.LinkName
 
 	mu       sync.Mutex
-	members  map[string]standin.Member // what is listed, without addresses
+	members  map[string]fake.Member // what is listed, without addresses
 	handedIn int
 	on       []string
 	err      error // the first that went wrong beside the relays
@@ -102,13 +102,13 @@
 	header := file.Header(plan.Seed)
 	header.Plan = plan.Digest()
 	began := time.Now()
-	rec, err := record.NewWriter(out, began, header)
+	rec, err := eventlog.NewWriter(out, began, header)
 	if err != nil {
 		return Result{}, err
 	}
-	header.Format, header.Began = record.Format, began.Round(0)
+	header.Format, header.Began = eventlog.Format, began.Round(0)
 	s := &stage{
-		plan: plan, opts: opts, rec: rec, world: standin.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]standin.Member{},
+		plan: plan, opts: opts, rec: rec, world: fake.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]fake.Member{},
 		delays: rand.New(rand.NewPCG(plan.Delays, 1)), late: map[string]time.Duration{}, changes: map[string]chan change{},
 	}
 	err = s.play(ctx)
@@ -117,7 +117,7 @@
 		cause = err.Error()
 	}
 	events, closeErr := rec.Close(cause)
-	return Result{header, events, judge.Judge(header, events)}, errors.Join(err, closeErr)
+	return Result{header, events, checker.Judge(header, events)}, errors.Join(err, closeErr)
 }
 
 func writePlan(path string, plan scenario.Plan) error {
@@ -209,7 +209,7 @@
 			return err
 		}
 		s.members[e.ID] = member(e)
-		s.changed(e, record.StateReady)
+		s.changed(e, eventlog.StateReady)
 	}
 	for i := range s.plan.File.Relays {
 		if err := s.addRelay(ctx, i); err != nil {
@@ -250,13 +250,13 @@
 	if s.opts.Port > 0 {
 		port = s.opts.Port + i
 	}
-	var list []standin.Member
+	var list []fake.Member
 	for _, e := range s.plan.Endpoints {
 		if !e.Later {
 			list = append(list, s.at(s.members[e.ID], name))
 		}
 	}
-	agent, err := standin.NewAgent(name, s.rec, s.world, list)
+	agent, err := fake.NewAgent(name, s.rec, s.world, list)
 	if err != nil {
 		return err
 	}
@@ -266,7 +266,7 @@
 	}
 	r := &relay{
 		name: name, binary: s.opts.Binary, dir: dir, addr: addr, release: release, rec: s.rec, agent: agent, file: s.plan.File, record: s.opts.Record,
-		clients: standin.NewClients(name, addr, s.plan.File, s.rec, s.world),
+		clients: fake.NewClients(name, addr, s.plan.File, s.rec, s.world),
 	}
 	s.relays[name] = r
 	s.order = append(s.order, r)
@@ -289,16 +289,16 @@
 
 // change is one of the list that a relay is told of at a time.
 type change struct {
-	standin.Member
+	fake.Member
 	due time.Time
 }
 
-func member(e scenario.Endpoint) standin.Member {
-	return standin.Member{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Dest, State: record.StateReady, Weight: e.Weight}
+func member(e scenario.Endpoint) fake.Member {
+	return fake.Member{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Dest, State: eventlog.StateReady, Weight: e.Weight}
 }
 
 // at is an entry with the address that a relay has for it.
-func (s *stage) at(m standin.Member, relay string) standin.Member {
+func (s *stage) at(m fake.Member, relay string) fake.Member {
 	if h := s.world.Host(m.ID); h != nil {
 		m.Addr = h.Addr(relay)
 	}
@@ -310,7 +310,7 @@
 	if e.Place == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	s.rec.Add(record.Event{Kind: record.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
+	s.rec.Add(eventlog.Event{Kind: eventlog.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
 }
 
 // takeDown ends the relays, in order if the rehearsal went well, and the stand-ins.
@@ -366,7 +366,7 @@
 	for _, c := range s.plan.File.Classes {
 		longest = max(longest, c.GiveUp.D())
 	}
-	by := time.Now().Add(longest + judge.FinalWithin + judge.Slack + settleExtra)
+	by := time.Now().Add(longest + checker.FinalWithin + checker.Slack + settleExtra)
 	for time.Now().Before(by) && s.world.Owed() > 0 && sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
 	}
 }
@@ -401,7 +401,7 @@
 		now := time.Now()
 		monotonic, wall := now.Sub(was), now.Round(0).Sub(was.Round(0))
 		if step := wall - monotonic; step.Abs() > clockStep {
-			s.rec.Add(record.Event{Kind: record.Clock, For: step})
+			s.rec.Add(eventlog.Event{Kind: eventlog.Clock, For: step})
 		}
 	}
 }
@@ -413,9 +413,9 @@
 		return Result{}, fmt.Errorf("rehearsal: %w", err)
 	}
 	defer f.Close()
-	h, events, err := record.Read(f)
+	h, events, err := eventlog.Read(f)
 	if err != nil {
 		return Result{}, err
 	}
-	return Result{h, events, judge.Judge(h, events)}, nil
+	return Result{h, events, checker.Judge(h, events)}, nil
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -14,11 +14,11 @@
 
 	"go.uber.org/goleak"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // binary is the real relay, built once.
@@ -197,7 +197,7 @@
 		t.Fatal(err)
 	}
 	for _, x := range r.Verdict.Findings {
-		if x.State != judge.Held {
+		if x.State != checker.Held {
 			t.Errorf("%s: %s after %d occasions %+v", x.Rule, x.State, x.Exercised, x.Breaks)
 		}
 	}
@@ -244,7 +244,7 @@
 	}
 	calls := map[string]int{}
 	for _, e := range r.Events {
-		if e.Kind == record.Call {
+		if e.Kind == eventlog.Call {
 			calls[e.Host]++
 		}
 	}
@@ -291,7 +291,7 @@
 	// While discovery is down nothing is told; what it had meanwhile is told when it is back.
 	told := 0
 	for _, e := range r.Events {
-		if e.Kind == record.Told && e.At > time.Second+500*time.Millisecond {
+		if e.Kind == eventlog.Told && e.At > time.Second+500*time.Millisecond {
 			if told++; e.At < 3900*time.Millisecond {
 				t.Errorf("told at %v: %+v", e.At, e)
 			}
@@ -361,7 +361,7 @@
 	if readErr != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Offered < 30 {
 		t.Errorf("%d events, %v", len(again.Events), readErr)
 	}
-	if again.Verdict.OK() || again.Verdict.Finding(judge.Lost).State != judge.NotJudged {
+	if again.Verdict.OK() || again.Verdict.Finding(checker.Lost).State != checker.NotJudged {
 		t.Errorf("judged: %+v", again.Verdict)
 	}
 	noneLeft(t, dir)
--- a/internal/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
-	"cherrytrestle.example/cherrytrestle/internal/standin"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // The parts of a restart, as the platform has them.
@@ -36,9 +36,9 @@
 	dir     string // of its configuration, state and log
 	addr    string
 	release func() // of addr
-	rec     *record.Writer
-	agent   *standin.Agent
-	clients *standin.Clients
+	rec     *eventlog.Writer
+	agent   *fake.Agent
+	clients *fake.Clients
 	file    scenario.File
 	record  bool         // it records its decisions
 	fleet   *fleetMember // nil: it belongs to none
@@ -50,7 +50,7 @@
 
 // reserve keeps an address for a relay; port 0 lets the system choose.
 func reserve(port int) (addr string, release func(), err error) {
-	addr, release, err = standin.Reserve("127.0.0.1:" + strconv.Itoa(port))
+	addr, release, err = fake.Reserve("127.0.0.1:" + strconv.Itoa(port))
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return "", nil, fmt.Errorf("rehearsal: port %d is in use: choose another with -port, or none: %w", port, err)
 	} else if err != nil {
@@ -168,7 +168,7 @@
 	}
 	cmd.SysProcAttr = childAttr()
 	r.agent.Running(true)
-	r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: record.StateStart})
+	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateStart})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: start %s: %w", r.name, err)
 	}
@@ -182,14 +182,14 @@
 		}
 		r.clients.Takes(false)
 		r.agent.Running(false)
-		r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: record.StateExit, Status: cmd.ProcessState.ExitCode(), Cause: cause})
+		r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateExit, Status: cmd.ProcessState.ExitCode(), Cause: cause})
 		close(exited)
 	}()
 	if err := r.ready(ctx, within); err != nil {
 		r.kill()
 		return err
 	}
-	r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: record.StateUp})
+	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateUp})
 	r.clients.Takes(true)
 	return nil
 }
@@ -237,7 +237,7 @@
 	if r.cmd == nil {
 		return
 	}
-	r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: state})
+	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
 	r.cmd.Process.Signal(s) // it may have ended already
 }
 
@@ -249,7 +249,7 @@
 	select {
 	case <-r.exited:
 	default:
-		r.signal(syscall.SIGKILL, record.StateKill)
+		r.signal(syscall.SIGKILL, eventlog.StateKill)
 		<-r.exited
 	}
 }
@@ -264,7 +264,7 @@
 		return
 	default:
 	}
-	r.signal(syscall.SIGTERM, record.StateTerm)
+	r.signal(syscall.SIGTERM, eventlog.StateTerm)
 	front := time.AfterFunc(frontNotices, func() { r.clients.Takes(false) })
 	defer front.Stop()
 	select {
@@ -301,7 +301,7 @@
 	if err := r.writeConfig(); err != nil {
 		return err
 	}
-	r.rec.Add(record.Event{Kind: record.Process, Relay: r.name, State: record.StateHUP})
+	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateHUP})
 	if err := r.cmd.Process.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("rehearsal: SIGHUP to %s: %w", r.name, err)
 	}
--- a/internal/rehearsal/steps.go
+++ b/internal/testkit/rehearsal/steps.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/record"
-	"cherrytrestle.example/cherrytrestle/internal/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
 // do carries a step of the plan out. What takes time goes on beside the plan.
@@ -18,9 +18,9 @@
 	case scenario.OpList:
 		err = s.list(step.Target)
 	case scenario.OpDrain:
-		s.tell(step.Target, record.StateDraining)
+		s.tell(step.Target, eventlog.StateDraining)
 	case scenario.OpGone:
-		s.tell(step.Target, record.StateGone)
+		s.tell(step.Target, eventlog.StateGone)
 	case scenario.OpStop:
 		s.world.Host(step.Target).Stop()
 	case scenario.OpSlow:
@@ -59,16 +59,16 @@
 
 // trouble notes that one begins or ends.
 func (s *stage) trouble(step scenario.Step) {
-	state := record.StateBegin
+	state := eventlog.StateBegin
 	s.mu.Lock()
 	if step.Op == scenario.OpBegins {
 		s.on = append(s.on, step.Target)
 	} else {
-		state = record.StateEnd
+		state = eventlog.StateEnd
 		s.on = slices.DeleteFunc(s.on, func(name string) bool { return name == step.Target })
 	}
 	s.mu.Unlock()
-	s.rec.Add(record.Event{Kind: record.Trouble, Name: step.Target, State: state, Cause: step.Note})
+	s.rec.Add(eventlog.Event{Kind: eventlog.Trouble, Name: step.Target, State: state, Cause: step.Note})
 }
 
 func (s *stage) endpoint(id string) scenario.Endpoint {
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	s.members[id] = member(e)
 	s.mu.Unlock()
-	s.tell(id, record.StateReady)
+	s.tell(id, eventlog.StateReady)
 	return nil
 }
 
--- a/internal/report/html.go
+++ b/internal/testkit/report/html.go
@@ -9,15 +9,15 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
 	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 const hostsMost = 60 // that have a plot of their own
 
-func newTimeline(h record.Header, events []record.Event) *chart.Timeline {
+func newTimeline(h eventlog.Header, events []eventlog.Event) *chart.Timeline {
 	length := h.Length
 	if n := len(events); n > 0 {
 		length = max(length, events[n-1].At)
@@ -25,17 +25,17 @@
 	t := chart.NewTimeline(length)
 	for _, e := range events {
 		switch {
-		case e.Kind == record.Trouble && e.State == record.StateBegin:
+		case e.Kind == eventlog.Trouble && e.State == eventlog.StateBegin:
 			t.Shades = append(t.Shades, chart.Shade{Name: e.Name, From: e.At, To: t.Length})
-		case e.Kind == record.Trouble:
+		case e.Kind == eventlog.Trouble:
 			for i := range t.Shades {
 				if t.Shades[i].Name == e.Name {
 					t.Shades[i].To = e.At
 				}
 			}
-		case e.Kind == record.Process && (e.State == record.StateTerm || e.State == record.StateKill || e.State == record.StateUp) && e.At < h.Length:
+		case e.Kind == eventlog.Process && (e.State == eventlog.StateTerm || e.State == eventlog.StateKill || e.State == eventlog.StateUp) && e.At < h.Length:
 			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
-		case e.Kind == record.Fell:
+		case e.Kind == eventlog.Fell:
 			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Place + " fell over"})
 		}
 	}
@@ -43,8 +43,8 @@
 }
 
 // plots are the charts of a run.
-func plots(t *chart.Timeline, h record.Header, events []record.Event) (all []template.HTML) {
-	tries := judge.Tries(h, events)
+func plots(t *chart.Timeline, h eventlog.Header, events []eventlog.Event) (all []template.HTML) {
+	tries := checker.Tries(h, events)
 	worth, value, asked := t.Zeros(), t.Zeros(), t.Zeros()
 	latencies := make([][]time.Duration, t.Bins)
 	for _, a := range tries {
@@ -74,16 +74,16 @@
 }
 
 // outcomes counts calls by how they ended.
-func outcomes(t *chart.Timeline, events []record.Event) []chart.Series {
+func outcomes(t *chart.Timeline, events []eventlog.Event) []chart.Series {
 	at := map[uint64]int{}
 	s := []chart.Series{{Name: "delivered", Colour: chart.Green, Values: t.Zeros()}, {Name: "refused", Colour: chart.Orange, Values: t.Zeros()}, {Name: "failed", Colour: chart.Red, Values: t.Zeros()}, {Name: "no answer", Colour: chart.Grey, Values: t.Zeros()}}
 	for _, e := range events {
 		per := 1 / t.Bin.Seconds()
 		switch e.Kind {
-		case record.Call:
+		case eventlog.Call:
 			at[e.Call] = t.At(e.At)
 			s[3].Values[at[e.Call]] += per // until it has one
-		case record.Reply:
+		case eventlog.Reply:
 			i, ok := at[e.Call]
 			if !ok {
 				continue
@@ -103,13 +103,13 @@
 }
 
 // hosts draws what each host received against what it could do.
-func hostPlots(t *chart.Timeline, events []record.Event) (all []template.HTML) {
+func hostPlots(t *chart.Timeline, events []eventlog.Event) (all []template.HTML) {
 	type host struct {
 		id   string
 		dest int
 		got  []float64
 		able []float64
-		now  partner.Cold
+		now  upstream.Cold
 		upTo int
 	}
 	hosts := map[string]*host{}
@@ -121,7 +121,7 @@
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case record.Able:
+		case eventlog.Able:
 			h := hosts[e.Host]
 			if h == nil {
 				h = &host{id: e.Host, dest: e.Dest, got: t.Zeros(), able: t.Zeros()}
@@ -129,8 +129,8 @@
 				order = append(order, h)
 			}
 			fill(h, t.At(e.At))
-			h.now = partner.Cold{At: e.At, Rate: e.Rate, Share: e.Share, Warm: e.For}
-		case record.Call:
+			h.now = upstream.Cold{At: e.At, Rate: e.Rate, Share: e.Share, Warm: e.For}
+		case eventlog.Call:
 			if h := hosts[e.Host]; h != nil {
 				h.got[t.At(e.At)] += 1 / t.Bin.Seconds()
 			}
@@ -146,7 +146,7 @@
 }
 
 // HTML writes one page with all that a run showed. It holds no script and asks for nothing.
-func HTML(w io.Writer, h record.Header, events []record.Event, v judge.Verdict) error {
+func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
 	t := newTimeline(h, events)
 	type row struct{ Name, Value, Note string }
 	s := v.Service
--- a/internal/report/page.go
+++ b/internal/testkit/report/page.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 // The files that Write leaves.
@@ -18,7 +18,7 @@
 )
 
 // Write writes the report of a run into its folder, in all three forms.
-func Write(dir string, h record.Header, events []record.Event, v judge.Verdict) error {
+func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
 	for name, write := range map[string]func(*os.File) error{
 		JSONName: func(f *os.File) error { return JSON(f, h, v) },
 		TextName: func(f *os.File) error { return Text(f, h, events, v) },
--- a/internal/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -12,35 +12,35 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 const second = time.Second
 
 // run is a small run in which a relay sends to a host that drains, during a trouble with a name that needs escaping.
-func run() (record.Header, []record.Event, judge.Verdict) {
-	h := record.Header{
-		Format: record.Format, Scenario: "small <b>", Seed: 3, Plan: "abc", Length: 10 * second, Relays: []string{"r1"},
-		Rules:   record.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, MayDuplicate: true},
-		Classes: []record.Class{{Name: "order", Effect: record.Safe, Aim: 3 * second, GiveUp: 8 * second, Worth: 1}}, Customers: []record.Customer{{Name: "acme"}},
+func run() (eventlog.Header, []eventlog.Event, checker.Verdict) {
+	h := eventlog.Header{
+		Format: eventlog.Format, Scenario: "small <b>", Seed: 3, Plan: "abc", Length: 10 * second, Relays: []string{"r1"},
+		Rules:   eventlog.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, MayDuplicate: true},
+		Classes: []eventlog.Class{{Name: "order", Effect: eventlog.Safe, Aim: 3 * second, GiveUp: 8 * second, Worth: 1}}, Customers: []eventlog.Customer{{Name: "acme"}},
 	}
-	events := []record.Event{
-		{Kind: record.Change, Host: "s-1", Dest: 1, Zone: "a", State: record.StateReady},
-		{Kind: record.Able, Host: "s-1", Dest: 1, Rate: 10, Share: 1},
-		{Kind: record.Process, Relay: "r1", State: record.StateStart},
-		{Kind: record.Process, Relay: "r1", State: record.StateUp},
-		{At: second, Kind: record.Trouble, Name: "drain<&>", State: record.StateBegin},
-		{At: second, Kind: record.Told, Relay: "r1", Host: "s-1", State: record.StateDraining, Dest: 1},
-		{At: 2 * second, Kind: record.Offer, ID: "m", Origin: "m", Relay: "r1", Dest: 1, For: 8 * second},
-		{At: 2 * second, Kind: record.Heard, ID: "m", Relay: "r1", Status: 202},
-		{At: 3 * second, First: 3 * second, Kind: record.Call, Call: 1, Relay: "r1", Host: "s-1", IDs: []string{"m"}},
-		{At: 4 * second, Kind: record.Reply, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
-		{At: 5 * second, Kind: record.Trouble, Name: "drain<&>", State: record.StateEnd},
-		{At: 6 * second, Kind: record.Process, Relay: "r1", State: record.StateKill},
-		{At: 12 * second, Kind: record.End},
+	events := []eventlog.Event{
+		{Kind: eventlog.Change, Host: "s-1", Dest: 1, Zone: "a", State: eventlog.StateReady},
+		{Kind: eventlog.Able, Host: "s-1", Dest: 1, Rate: 10, Share: 1},
+		{Kind: eventlog.Process, Relay: "r1", State: eventlog.StateStart},
+		{Kind: eventlog.Process, Relay: "r1", State: eventlog.StateUp},
+		{At: second, Kind: eventlog.Trouble, Name: "drain<&>", State: eventlog.StateBegin},
+		{At: second, Kind: eventlog.Told, Relay: "r1", Host: "s-1", State: eventlog.StateDraining, Dest: 1},
+		{At: 2 * second, Kind: eventlog.Offer, ID: "m", Origin: "m", Relay: "r1", Dest: 1, For: 8 * second},
+		{At: 2 * second, Kind: eventlog.Heard, ID: "m", Relay: "r1", Status: 202},
+		{At: 3 * second, First: 3 * second, Kind: eventlog.Call, Call: 1, Relay: "r1", Host: "s-1", IDs: []string{"m"}},
+		{At: 4 * second, Kind: eventlog.Reply, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
+		{At: 5 * second, Kind: eventlog.Trouble, Name: "drain<&>", State: eventlog.StateEnd},
+		{At: 6 * second, Kind: eventlog.Process, Relay: "r1", State: eventlog.StateKill},
+		{At: 12 * second, Kind: eventlog.End},
 	}
-	return h, events, judge.Judge(h, events)
+	return h, events, checker.Judge(h, events)
 }
 
 func TestTextTellsTheBreakAndItsProof(t *testing.T) {
@@ -64,12 +64,12 @@
 		t.Fatal(err)
 	}
 	var got struct {
-		Run     record.Header
-		Verdict judge.Verdict
+		Run     eventlog.Header
+		Verdict checker.Verdict
 		OK      bool
 	}
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.OK || got.Run.Scenario != h.Scenario ||
-		got.Verdict.Finding(judge.Drain).State != judge.Broken {
+		got.Verdict.Finding(checker.Drain).State != checker.Broken {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -116,8 +116,8 @@
 
 func TestARunWithNothingInItHasAReport(t *testing.T) {
 	dir := t.TempDir()
-	h := record.Header{Scenario: "empty"}
-	v := judge.Judge(h, nil)
+	h := eventlog.Header{Scenario: "empty"}
+	v := checker.Judge(h, nil)
 	if err := Write(dir, h, nil, v); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/report/text.go
+++ b/internal/testkit/report/text.go
@@ -12,15 +12,15 @@
 	"text/tabwriter"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/judge"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
 // provedBy is how many events that prove a break are told as text.
 const provedBy = 6
 
 // Text writes a verdict as a table.
-func Text(w io.Writer, h record.Header, events []record.Event, v judge.Verdict) error {
+func Text(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "scenario %s, seed %d, plan %s, %v, %d relays\n\n", h.Scenario, h.Seed, h.Plan, h.Length, len(h.Relays))
 	for _, f := range v.Findings {
@@ -80,13 +80,13 @@
 }
 
 // Summary is a verdict in one line.
-func Summary(v judge.Verdict) string {
-	n := map[judge.State]int{}
+func Summary(v checker.Verdict) string {
+	n := map[checker.State]int{}
 	for _, f := range v.Findings {
 		n[f.State]++
 	}
 	text := "rules:"
-	for _, s := range []judge.State{judge.Held, judge.Broken, judge.NotExercised, judge.NotJudged} {
+	for _, s := range []checker.State{checker.Held, checker.Broken, checker.NotExercised, checker.NotJudged} {
 		if n[s] > 0 {
 			text += fmt.Sprintf(" %d %s,", n[s], s)
 		}
@@ -100,7 +100,7 @@
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
 // line is an event as the record has it, without what is empty.
-func line(e record.Event) string {
+func line(e eventlog.Event) string {
 	data, err := json.Marshal(e)
 	if err != nil {
 		return err.Error()
@@ -109,12 +109,12 @@
 }
 
 // JSON writes a verdict as JSON.
-func JSON(w io.Writer, h record.Header, v judge.Verdict) error {
+func JSON(w io.Writer, h eventlog.Header, v checker.Verdict) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(struct {
-		Header  record.Header `json:"run"`
-		Verdict judge.Verdict `json:"verdict"`
-		OK      bool          `json:"ok"`
+		Header  eventlog.Header `json:"run"`
+		Verdict checker.Verdict `json:"verdict"`
+		OK      bool            `json:"ok"`
 	}{h, v, v.OK()})
 }
--- a/internal/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -15,15 +15,15 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/des"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 // Place is a destination, or a route that stands apart.
 type Place struct {
 	Name string
 	Dest int
-	Spec partner.Spec
+	Spec upstream.Spec
 	Seed uint64
 }
 
@@ -105,13 +105,13 @@
 func (o Op) Cause() string {
 	switch o {
 	case OpFail:
-		return record.OutageFailing
+		return eventlog.OutageFailing
 	case OpShut:
-		return record.OutageShut
+		return eventlog.OutageShut
 	case OpMute:
-		return record.OutageSilent
+		return eventlog.OutageSilent
 	case OpDown, OpCut:
-		return record.OutageDown
+		return eventlog.OutageDown
 	}
 	return ""
 }
@@ -558,7 +558,7 @@
 	if t.Share > 0 {
 		can = can[:int(math.Ceil(t.Share*float64(len(can))))]
 	}
-	var specs map[string]partner.Spec // of the places before
+	var specs map[string]upstream.Spec // of the places before
 	batches := (len(can) + t.Batch - 1) / t.Batch
 	for n, i := range can {
 		old := p.Endpoints[i]
@@ -589,7 +589,7 @@
 		if old.Place == old.ID {
 			p.Endpoints[e].Place = p.Endpoints[e].ID
 			if specs == nil {
-				specs = make(map[string]partner.Spec, len(p.Places))
+				specs = make(map[string]upstream.Spec, len(p.Places))
 				for _, x := range p.Places {
 					specs[x.Name] = x.Spec
 				}
--- a/internal/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -19,8 +19,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
-	"cherrytrestle.example/cherrytrestle/internal/partner"
-	"cherrytrestle.example/cherrytrestle/internal/record"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
 const (
@@ -559,10 +559,10 @@
 }
 
 // Spec is what the places of a kind are like, at a rate.
-func (f *File) Spec(k Kind, rate float64) partner.Spec {
-	return partner.Spec{
+func (f *File) Spec(k Kind, rate float64) upstream.Spec {
+	return upstream.Spec{
 		Pace: k.Pace.D(), Spread: k.Spread, Exponential: k.Law == "exponential", Slots: k.Slots, Queue: k.Queue.D(), ItemCost: k.ItemCost,
-		Limit: partner.Limit(k.Limit), Rate: rate, Window: k.Window.D(), TellsWait: k.TellsWait, LeastWait: k.Wait.D(), Counts: k.Counts, Debt: k.Debt.D(),
+		Limit: upstream.Limit(k.Limit), Rate: rate, Window: k.Window.D(), TellsWait: k.TellsWait, LeastWait: k.Wait.D(), Counts: k.Counts, Debt: k.Debt.D(),
 		ColdShare: k.ColdFrom, Warm: k.Warm.D(), FallMultiple: f.Settings.FallMultiple, FallWindow: f.Settings.FallWindow.D(),
 	}
 }
@@ -668,11 +668,11 @@
 }
 
 // Header begins the record of a rehearsal of the scenario.
-func (f *File) Header(seed uint64) record.Header {
+func (f *File) Header(seed uint64) eventlog.Header {
 	s := f.Settings
-	h := record.Header{
+	h := eventlog.Header{
 		Scenario: f.Name, Seed: seed, Length: f.Length.D(),
-		Rules: record.Rules{
+		Rules: eventlog.Rules{
 			DrainGrace: s.DrainGrace.D(), FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OrderPause: s.OrderPause.D(),
 			MayDuplicate: *s.MayDuplicate, OverShareWorth: *s.OverShareWorth,
 		},
@@ -681,13 +681,13 @@
 		h.Relays = append(h.Relays, RelayName(i+1))
 	}
 	for _, c := range f.Classes {
-		h.Classes = append(h.Classes, record.Class{
-			Name: c.Name, Effect: record.Effect(c.Effect), GroupAll: c.Group == "all", Window: c.Window.D(), Ordered: c.Order,
+		h.Classes = append(h.Classes, eventlog.Class{
+			Name: c.Name, Effect: eventlog.Effect(c.Effect), GroupAll: c.Group == "all", Window: c.Window.D(), Ordered: c.Order,
 			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Worth: c.Worth, LateWorth: c.LateWorth,
 		})
 	}
 	for _, c := range f.Customers {
-		h.Customers = append(h.Customers, record.Customer{Name: c.Name, Quota: c.Quota})
+		h.Customers = append(h.Customers, eventlog.Customer{Name: c.Name, Quota: c.Quota})
 	}
 	return h
 }
--- a/internal/partner/partner.go
+++ b/internal/testkit/upstream/partner.go
@@ -4,7 +4,7 @@
 //
 // A Place is what has one limit, one pace and one outage: a destination with all its endpoints, or one endpoint where
 // routes stand apart.
-package partner
+package upstream
 
 import (
 	"fmt"
--- a/internal/partner/partner_test.go
+++ b/internal/testkit/upstream/partner_test.go
@@ -1,4 +1,4 @@
-package partner
+package upstream
 
 import (
 	"math"
