--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
-	"cherrytrestle.example/cherrytrestle/internal/hollow"
+	"cherrytrestle.example/cherrytrestle/internal/capacity/hollow"
 )
 
 // What is measured of fleets of hollow relays, in virtual time: package hollow does that in its tests alone, since a bubble of testing/synctest
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cmd := exec.CommandContext(ctx, "go", "test", "./internal/hollow", "-count=1", "-timeout=15m", "-run", c.run, "-full", "-sizes", string(sizes), "-readings", path)
+		cmd := exec.CommandContext(ctx, "go", "test", "./internal/capacity/hollow", "-count=1", "-timeout=15m", "-run", c.run, "-full", "-sizes", string(sizes), "-readings", path)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/explore"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/modelcheck"
 )
 
 type checkCommand struct {
@@ -26,7 +26,7 @@
 // Run explores.
 func (c *checkCommand) Run(ctx context.Context, s *cli.Streams) error {
 	if c.List {
-		for _, w := range explore.Worlds() {
+		for _, w := range modelcheck.Worlds() {
 			fmt.Fprintf(s.Out, "%-10s to %2d moves: %s\n", w.Name, w.Depth, w.About)
 		}
 		return nil
@@ -38,11 +38,11 @@
 	if err != nil {
 		return err
 	}
-	worlds := explore.Worlds()
+	worlds := modelcheck.Worlds()
 	if len(c.Worlds) > 0 {
 		worlds = nil
 		for _, name := range c.Worlds {
-			w := explore.WorldNamed(name)
+			w := modelcheck.WorldNamed(name)
 			if w == nil {
 				return fmt.Errorf("no world %q", name)
 			}
@@ -57,7 +57,7 @@
 			depth = w.Depth
 		}
 		began := time.Now()
-		f, err := explore.Search(ctx, w, explore.Options{Wrong: wrong, Depth: depth + c.Deeper, StatesMost: c.States})
+		f, err := modelcheck.Search(ctx, w, modelcheck.Options{Wrong: wrong, Depth: depth + c.Deeper, StatesMost: c.States})
 		if err != nil && !errors.Is(err, context.Canceled) {
 			return err
 		}
@@ -79,7 +79,7 @@
 			continue
 		}
 		fmt.Fprintf(s.Out, "\n%s: BROKEN after %d moves: %s\n", f.Break.Rule, len(f.Path), f.Break.Text)
-		p := explore.Path{World: w.Name, Mutant: c.Mutant, Rule: f.Break.Rule, Moves: f.Path}
+		p := modelcheck.Path{World: w.Name, Mutant: c.Mutant, Rule: f.Break.Rule, Moves: f.Path}
 		if err := p.Tell(s.Out); err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := explore.ParsePath(data)
+	p, err := modelcheck.ParsePath(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Replay, err)
 	}
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/experiment"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/experiment"
 )
 
 type huntCommand struct {
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -29,8 +29,8 @@
 	"github.com/alecthomas/kong"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/experiment"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/report"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
--- a/cmd/emulate/main_test.go
+++ b/cmd/emulate/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
 func do(t *testing.T, args ...string) (status int, out string) {
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -10,8 +10,8 @@
 	"sync"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/explore"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/modelcheck"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
@@ -52,7 +52,7 @@
 		}
 	}
 	type task struct{ m, at int }
-	worlds := explore.Worlds()
+	worlds := modelcheck.Worlds()
 	if !c.Check {
 		worlds = nil
 	}
@@ -113,8 +113,8 @@
 }
 
 // tryWorld plays a tiny world with a mutant.
-func tryWorld(ctx context.Context, w *explore.World, m *emulate.Mutant, depth int) convict {
-	f, err := explore.Search(ctx, w, explore.Options{Wrong: m, Depth: depth, Workers: 1})
+func tryWorld(ctx context.Context, w *modelcheck.World, m *emulate.Mutant, depth int) convict {
+	f, err := modelcheck.Search(ctx, w, modelcheck.Options{Wrong: m, Depth: depth, Workers: 1})
 	if err != nil || f.Break == nil {
 		return convict{err: err}
 	}
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
-	"cherrytrestle.example/cherrytrestle/internal/experiment"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/experiment"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
-	"cherrytrestle.example/cherrytrestle/internal/wire"
+	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -37,9 +37,9 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	instances := map[int]*instance{}
-	var b wire.Batch
+	var b simwire.Batch
 	var busy []*instance
 	for {
 		if err := r.Next(&b); err == io.EOF {
@@ -60,15 +60,15 @@
 				busy = append(busy, n)
 			}
 			switch it.Kind {
-			case wire.Start:
+			case simwire.Start:
 				s, err := policy.New(it.Settings, it.Seed)
 				if err != nil {
 					return fmt.Errorf("instance %d: %v", it.Instance, err)
 				}
 				n.sender, n.events = s, n.events[:0]
-			case wire.Stop:
+			case simwire.Stop:
 				n.sender, n.events = nil, n.events[:0]
-			case wire.Event:
+			case simwire.Event:
 				n.events = append(n.events, it.Event)
 			}
 		}
@@ -86,7 +86,7 @@
 }
 
 // step lets one instance decide, and reports a panic in the wire's own word for it.
-func step(w *wire.Writer, n *instance, now time.Duration) {
+func step(w *simwire.Writer, n *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Die(n.number, fmt.Sprint(p))
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -15,9 +15,9 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
-	"cherrytrestle.example/cherrytrestle/internal/wire"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -277,7 +277,7 @@
 	}
 	values := map[string]string{}
 	flatten(values, "", tree)
-	set, err := wire.Settings(values)
+	set, err := simwire.Settings(values)
 	if err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,11 +20,11 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
-	"cherrytrestle.example/cherrytrestle/internal/wire"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -53,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b wire.Batch
+	var b simwire.Batch
 	in := "MARK 1.0 1\nCONFIGURE 0 7 " + configure + "\nGO\n"
-	if err := wire.NewReader(strings.NewReader(in)).Next(&b); err != nil {
+	if err := simwire.NewReader(strings.NewReader(in)).Next(&b); err != nil {
 		t.Fatal(err)
 	}
 	if want := b.Items[0].Settings; !reflect.DeepEqual(c.Settings, want) {
--- a/internal/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.Play(); !errors.Is(err, des.ErrEndless) {
+	if err := x.Play(); !errors.Is(err, engine.ErrEndless) {
 		t.Errorf("unbounded: %v", err)
 	}
 }
@@ -254,7 +254,7 @@
 	} {
 		var means []float64
 		for run := range 30 {
-			rng := des.Stream(7, c.name, run)
+			rng := engine.Stream(7, c.name, run)
 			p := upstream.New(upstream.Spec{
 				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: upstream.NoLimit, ColdShare: 1,
 			}, rng.Uint64())
--- a/internal/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/des"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -170,7 +170,7 @@
 		return nil
 	}
 	n := &fleetNet{
-		w: w, draw: des.Stream(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.Absurd - 1,
+		w: w, draw: engine.Stream(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.Absurd - 1,
 		fleets: max(1, w.opts.Fleets), twin: w.opts.Twin - 1,
 		wrongs: map[string]bool{},
 	}
--- a/internal/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -211,7 +211,7 @@
 // Small worlds are played as they were before lists were shared by the relays: the hashes of their records were made with the
 // commit before (b9f2183 and Options.Module) by
 //
-//	go test ./internal/emulate -run TestSameAsBefore -record-same
+//	go test ./internal/simulation/emulate -run TestSameAsBefore -record-same
 //
 // Those of scripted relays hold whatever package policy decides. Those of policy's own may be recorded anew with a change of its
 // decisions, as long as the former are what they were: the test then says so.
--- a/internal/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/des"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
@@ -133,7 +133,7 @@
 
 // World is a plan at work.
 type World struct {
-	des.Engine
+	engine.Engine
 	Measures
 	plan   scenario.Plan
 	opts   Options
@@ -173,7 +173,7 @@
 	w := &World{
 		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
 		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
-		net: des.Stream(plan.Seed, "network", 0), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
+		net: engine.Stream(plan.Seed, "network", 0), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
 	}
 	if opts.EventsMost == 0 {
 		rate := 0.0
--- a/internal/des/des.go
+++ b/internal/simulation/engine/des.go
@@ -1,7 +1,7 @@
 // Package des is a discrete-event engine: a virtual clock and what is planned on it. Events run in a total order: by their
 // times, and those of one time in the order in which they were planned. The same events therefore run in the same order
 // whatever machine or goroutine the engine is on. An Engine is for one goroutine.
-package des
+package engine
 
 import (
 	"crypto/sha256"
--- a/internal/des/des_test.go
+++ b/internal/simulation/engine/des_test.go
@@ -1,4 +1,4 @@
-package des
+package engine
 
 import (
 	"cmp"
--- a/internal/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
--- a/internal/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
--- a/internal/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -15,7 +15,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
--- a/internal/explore/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -3,7 +3,7 @@
 // give. States that were met before are not visited again; the search is by breadth, so that the first break found is by a
 // shortest path. It does no I/O and knows no clock. The module is the one under test, through its own interface, its state
 // taken and put back by its Snapshot and Restore.
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cherrytrestle.example/cherrytrestle/internal/des"
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/engine"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -265,7 +265,7 @@
 				if i >= x.w.Walks || ctx.Err() != nil {
 					return
 				}
-				rng := des.Stream(1, x.w.Name, i)
+				rng := engine.Stream(1, x.w.Name, i)
 				n, path := root, []Move(nil)
 				for range x.w.WalkDepth {
 					moves := x.moves(n)
--- a/internal/explore/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
--- a/internal/explore/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
--- a/internal/explore/fleet_test.go
+++ b/internal/simulation/modelcheck/fleet_test.go
@@ -1,10 +1,10 @@
-package explore
+package modelcheck
 
 import (
 	"context"
 	"testing"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
 // All orders of a few tellings, a loss, a doubling, a restart with and without the folder, a stop and a pause: nobody goes back, nothing is
--- a/internal/explore/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"io"
 	"slices"
 
-	"cherrytrestle.example/cherrytrestle/internal/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
--- a/internal/explore/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"slices"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package wire reads and writes the bench's dialect: text lines in, text lines out, nothing else.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
