--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -68,24 +68,24 @@
 
 func moduleSettings() policy.Settings {
 	return policy.Settings{
-		Classes: []policy.Class{{Effect: policy.Keyed, Window: 10 * time.Second, Aim: 3 * time.Second, GiveUp: time.Hour, Value: 1}},
-		Kinds:   []policy.Kind{{PerCall: 1}}, Customers: []policy.Customer{{}}, Senders: 1, MaxAttempts: 8, WarmWithin: 30 * time.Second,
-		OverloadFactor: 2, OverloadWindow: 3 * time.Second, ColdShare: 0.1,
+		Classes:          []policy.Class{{Effect: policy.IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: time.Hour, Weight: 1}},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, Tenants: []policy.Tenant{{}}, FleetSize: 1, MaxAttempts: 8, WarmUpDuration: 30 * time.Second,
+		OverloadFactor: 2, OverloadWindow: 3 * time.Second, WarmUpInitialCapacity: 0.1,
 	}
 }
 
 // routes are two of each of n destinations.
-func routes(n int, serves func(dest int) bool) []policy.Listing {
-	all := make([]policy.Listing, 0, 2*n)
+func routes(n int, serves func(dest int) bool) []policy.Endpoint {
+	all := make([]policy.Endpoint, 0, 2*n)
 	for i := range 2 * n {
-		all = append(all, policy.Listing{Route: fmt.Sprintf("s-%08x", i), Destination: i / 2, Zone: i % 2, Weight: 5e5, InService: serves(i / 2)})
+		all = append(all, policy.Endpoint{ID: fmt.Sprintf("s-%08x", i), Destination: i / 2, Zone: i % 2, Weight: 5e5, InService: serves(i / 2)})
 	}
 	return all
 }
 
 // stepper plays a module whose every call succeeds 10 ms after it was made.
 type stepper struct {
-	*policy.Sender
+	*policy.Engine
 	now  time.Duration
 	ends []policy.Event
 	sent int
@@ -98,14 +98,14 @@
 	for _, a := range s.Step(s.now, evs) {
 		if a.Kind == policy.Send {
 			s.sent++
-			s.ends = append(s.ends, policy.Event{Kind: policy.Finished, ID: a.ID, Route: a.Route, Outcome: policy.OK, Took: 10 * time.Millisecond, Ended: true})
+			s.ends = append(s.ends, policy.Event{Kind: policy.AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: policy.OK, Latency: 10 * time.Millisecond, MessageEnded: true})
 		}
 	}
 }
 
 // message hands one in, in a step of its own, so that the next step ends it.
 func (s *stepper) message(id uint32, dest int) {
-	s.step(policy.Event{Kind: policy.Taken, ID: id, Destination: dest, Key: "k", Left: time.Hour})
+	s.step(policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: dest, Key: "k", TimeLeft: time.Hour})
 }
 
 func newStepper(n int, serves func(int) bool) (*stepper, error) {
@@ -113,8 +113,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &stepper{Sender: m, now: time.Minute}
-	s.step(policy.Event{Kind: policy.ListWhole, List: routes(n, serves)})
+	s := &stepper{Engine: m, now: time.Minute}
+	s.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: routes(n, serves)})
 	s.now += 5 * time.Second // first calls are spread over a while after the list
 	return s, nil
 }
@@ -157,7 +157,7 @@
 		rounds := max(3, 500_000/n)
 		began = used()
 		for range rounds {
-			s.step(policy.Event{Kind: policy.ListWhole, List: again})
+			s.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: again})
 		}
 		add(whole, n, (used()-began).Seconds()/float64(rounds))
 		const changes = 20_000
@@ -165,7 +165,7 @@
 		for i := range changes {
 			l := again[rng.IntN(len(again))]
 			l.Weight += float64(i%2 + 1)
-			s.step(policy.Event{Kind: policy.ListChanges, List: []policy.Listing{l}})
+			s.step(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}})
 		}
 		add(change, n, (used()-began).Seconds()/changes)
 		runtime.KeepAlive(s)
@@ -200,13 +200,13 @@
 		for i := 0; i < n; i += batch {
 			evs = evs[:0]
 			for k := range min(batch, n-i) {
-				evs = append(evs, policy.Event{Kind: policy.Taken, ID: uint32(i + k + 1), Destination: 500 + (i+k)%down, Key: "k", Left: 100 * time.Hour})
+				evs = append(evs, policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(i + k + 1), Destination: 500 + (i+k)%down, Key: "k", TimeLeft: 100 * time.Hour})
 			}
 			s.step(evs...)
 		}
 		for range 10 { // until all are late: each is put in another place of its queue then, once
 			s.now += time.Second
-			s.step(policy.Event{Kind: policy.Woken})
+			s.step(policy.Event{Kind: policy.TimerFired})
 		}
 		add(held, n, live()-before)
 		rng, id := rand.New(rand.NewPCG(2, uint64(n))), uint32(1e9)
@@ -416,10 +416,10 @@
 
 func newSeam(n int, rights bool) *agent.Seam {
 	s := agent.New(agent.Settings{
-		Self: "n0", Life: loadreport.Life{Incarnation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: rights, Senders: 8,
+		Self: "n0", Life: loadreport.Life{Incarnation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: rights, Senders: 8,
 	})
 	s.Step(time.Second, agent.Input{})
-	s.Step(2*time.Second, agent.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: routes(n, served)}}})
+	s.Step(2*time.Second, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: routes(n, served)}}})
 	return s
 }
 
@@ -429,7 +429,7 @@
 	for at := 3 * time.Second; at < 6*time.Second; at += 100 * time.Millisecond {
 		var evs []policy.Event
 		for dest := range n {
-			evs = append(evs, policy.Event{Kind: policy.Taken, ID: uint32(at.Milliseconds())*10_000 + uint32(dest), Destination: dest})
+			evs = append(evs, policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(at.Milliseconds())*10_000 + uint32(dest), Destination: dest})
 		}
 		for _, p := range s.Step(at, agent.Input{Events: evs}).Told {
 			for _, c := range p.Cells {
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -236,10 +236,10 @@
 				if a.Kind != policy.Send {
 					continue
 				}
-				if at := x.drained[a.Route]; at != nil && at[relay] > 0 && now > at[relay]+sendsWithin+checker.Slack {
+				if at := x.drained[a.Endpoint]; at != nil && at[relay] > 0 && now > at[relay]+sendsWithin+checker.Slack {
 					x.late++
 				}
-				d := x.dest[a.Route]
+				d := x.dest[a.Endpoint]
 				if out, ok := x.out[d]; ok && now >= out[0] && now < out[1] {
 					x.spent++
 					x.by[relay]++
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -31,7 +31,7 @@
 // instance is one relay's Sender and its events in the batch at hand.
 type instance struct {
 	number int
-	sender *policy.Sender
+	sender *policy.Engine
 	events []policy.Event
 	busy   bool // has something in this batch
 }
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -16,13 +16,13 @@
 // a step for eight; on a step in which nothing happens; on sending the first tenth of them once all are back in service; and on taking all up again in one
 // step, as after a restart. Hollow are the journal, the loop and all hosts, which answer at once.
 func Backlog(held, destinations int) (Reading, error) {
-	set := policy.Settings{Slots: backlogSlots, Classes: []policy.Class{{Effect: policy.Safe, Aim: 3 * time.Second, GiveUp: 24 * time.Hour, Value: 1}}, Kinds: []policy.Kind{{PerCall: 1}}}
-	list := make([]policy.Listing, 0, destinations)
+	set := policy.Settings{MaxInFlightCalls: backlogSlots, Classes: []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1}}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}
+	list := make([]policy.Endpoint, 0, destinations)
 	for d := range destinations {
-		list = append(list, policy.Listing{Route: route(d), Destination: d, Weight: 1e6}) // no pace holds up what is measured
+		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6}) // no pace holds up what is measured
 	}
 	taken := func(i int) policy.Event {
-		return policy.Event{Kind: policy.Taken, ID: uint32(i + 1), Destination: i % destinations, Left: 8 * time.Hour}
+		return policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), Destination: i % destinations, TimeLeft: 8 * time.Hour}
 	}
 	before := heap()
 	s, err := policy.New(set, 1)
@@ -30,7 +30,7 @@
 		return Reading{}, fmt.Errorf("hollow: %w", err)
 	}
 	now := time.Minute
-	s.Step(now, []policy.Event{{Kind: policy.ListWhole, List: list}})
+	s.Step(now, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}})
 	values := map[string]float64{}
 	each := func(n int, f func()) float64 { return micros(spent(f)) / float64(max(1, n)) }
 	took := func(from, to int) float64 {
@@ -64,7 +64,7 @@
 	}
 	// Back in service, in as many steps as it takes.
 	now += time.Second
-	sent, evs := 0, []policy.Event{{Kind: policy.ListWhole, List: list}}
+	sent, evs := 0, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}
 	sending := spent(func() {
 		for step := 0; sent < held/10 && step < held; step++ {
 			acts := s.Step(now, evs)
@@ -72,7 +72,7 @@
 			for _, a := range acts {
 				if a.Kind == policy.Send {
 					sent++
-					evs = append(evs, policy.Event{Kind: policy.Finished, ID: a.ID, Route: a.Route, Outcome: policy.OK, Took: 5 * time.Millisecond, Ended: true})
+					evs = append(evs, policy.Event{Kind: policy.AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: policy.OK, Latency: 5 * time.Millisecond, MessageEnded: true})
 				}
 			}
 			now += 5 * time.Millisecond
@@ -87,10 +87,10 @@
 		list[i].InService = false
 	}
 	all := make([]policy.Event, 0, held+1)
-	all = append(all, policy.Event{Kind: policy.ListWhole, List: list})
+	all = append(all, policy.Event{Kind: policy.EndpointSnapshot, Endpoints: list})
 	for i := range held {
 		e := taken(i)
-		e.Resumed = &policy.Resumed{Attempts: 1}
+		e.Recovered = &policy.RecoveredMessage{Attempts: 1}
 		all = append(all, e)
 	}
 	values["resume_us"] = each(held, func() { s.Step(time.Minute, all) })
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -133,7 +133,7 @@
 			return nil, errors.Join(fmt.Errorf("hollow: %w", err), f.Close())
 		}
 		m.real = fleet.New(fleet.Config{
-			Name: memberName(i), Listen: f.net.all[i].addr, Join: join, Folder: state, Kinds: []policy.Kind{{PerCall: 1}}, Rights: opt.Rights,
+			Name: memberName(i), Listen: f.net.all[i].addr, Join: join, Folder: state, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: opt.Rights,
 			Senders: opt.Members, Clock: m.clock, Log: slog.New(slog.DiscardHandler), Nudge: m.nudge, Transport: f.net.all[i],
 		})
 		own, end := context.WithCancel(ctx)
@@ -210,14 +210,14 @@
 	events, m.out = m.out, nil
 	if !m.told {
 		m.told = true
-		list := policy.Event{Kind: policy.ListWhole}
+		list := policy.Event{Kind: policy.EndpointSnapshot}
 		for d := range m.fleet.opt.Destinations + 1 {
-			list.List = append(list.List, policy.Listing{Route: route(d), Destination: d, Weight: m.fleet.opt.Limit, InService: true})
+			list.Endpoints = append(list.Endpoints, policy.Endpoint{ID: route(d), Destination: d, Weight: m.fleet.opt.Limit, InService: true})
 		}
 		events = append(events, list)
 	}
 	if wait > 0 {
-		events = append(events, policy.Event{Kind: policy.Finished, Route: route(m.fleet.changed()), Outcome: policy.Full, Wait: wait})
+		events = append(events, policy.Event{Kind: policy.AttemptFinished, Endpoint: route(m.fleet.changed()), Outcome: policy.Overloaded, RetryAfter: wait})
 	}
 	if m.fleet.opt.Busy == 0 {
 		return events, nil
@@ -225,9 +225,9 @@
 	for upTo := now.Seconds() * m.fleet.opt.Messages; m.due < upTo; m.due++ {
 		m.nextID++
 		d := int(m.nextID) % m.fleet.opt.Busy
-		events = append(events, policy.Event{Kind: policy.Taken, ID: m.nextID, Destination: d})
-		actions = append(actions, policy.Action{Kind: policy.Send, ID: m.nextID, Route: route(d)})
-		m.out = append(m.out, policy.Event{Kind: policy.Finished, ID: m.nextID, Route: route(d), Outcome: policy.OK, Ended: true})
+		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: m.nextID, Destination: d})
+		actions = append(actions, policy.Action{Kind: policy.Send, MessageID: m.nextID, Endpoint: route(d)})
+		m.out = append(m.out, policy.Event{Kind: policy.AttemptFinished, MessageID: m.nextID, Endpoint: route(d), Outcome: policy.OK, MessageEnded: true})
 	}
 	return events, actions
 }
--- a/internal/capacity/hollow/list.go
+++ b/internal/capacity/hollow/list.go
@@ -15,30 +15,30 @@
 func Seam(destinations int, shares bool) Reading {
 	before := heap()
 	s := agent.New(agent.Settings{
-		Self: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Members: []string{"a", "b"}, Kinds: []policy.Kind{{PerCall: 1}}, Rights: shares, Senders: 2,
+		Self: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Members: []string{"a", "b"}, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: shares, Senders: 2,
 	})
 	now := time.Second
 	step := func(e ...policy.Event) float64 {
 		now += 250 * time.Millisecond
 		return micros(spent(func() { s.Step(now, agent.Input{Events: e}) }))
 	}
-	whole := policy.Event{Kind: policy.ListWhole, List: make([]policy.Listing, 0, 2*destinations)}
+	whole := policy.Event{Kind: policy.EndpointSnapshot, Endpoints: make([]policy.Endpoint, 0, 2*destinations)}
 	for d := range destinations {
 		for k := range 2 {
-			whole.List = append(whole.List, policy.Listing{Route: fmt.Sprintf("s-%06d-%d", d, k), Destination: d, Zone: k, Weight: 8.6, InService: true})
+			whole.Endpoints = append(whole.Endpoints, policy.Endpoint{ID: fmt.Sprintf("s-%06d-%d", d, k), Destination: d, Zone: k, Weight: 8.6, InService: true})
 		}
 	}
 	values := map[string]float64{"whole_list_us": step(whole)}
 	const changes = 11
 	var change, idle []float64
 	for i := range changes {
-		l := whole.List[i*len(whole.List)/changes]
+		l := whole.Endpoints[i*len(whole.Endpoints)/changes]
 		l.Weight++
-		change = append(change, step(policy.Event{Kind: policy.ListChanges, List: []policy.Listing{l}}))
+		change = append(change, step(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}}))
 		idle = append(idle, step())
 	}
 	values["change_us"], values["idle_step_us"] = median(change), median(idle)
-	whole.List = nil
+	whole.Endpoints = nil
 	after := heap()
 	values["memory_bytes"] = float64(after - min(before, after))
 	runtime.KeepAlive(s)
--- a/internal/config/reload/terms.go
+++ b/internal/config/reload/terms.go
@@ -78,7 +78,7 @@
 		if name == "" || slices.Index(fresh.Classes, name) != i {
 			errs = append(errs, fmt.Errorf("class %d has no name of its own", i))
 		}
-		if set.Classes[i].GiveUp <= 0 {
+		if set.Classes[i].Deadline <= 0 {
 			errs = append(errs, fmt.Errorf("class %q: its deadline is not over 0", name))
 		}
 	}
@@ -124,11 +124,11 @@
 	c := b
 	c.Effect = max(a.Effect, b.Effect) // Safe, Keyed, Unsafe
 	c.Ordered = a.Ordered || b.Ordered
-	c.GiveUp = max(a.GiveUp, b.GiveUp) // bounds only what clients may ask for; each message has a deadline of its own
-	if a.Effect == policy.Keyed && b.Effect == policy.Keyed {
-		c.GroupAll, c.Window = a.GroupAll && b.GroupAll, min(a.Window, b.Window)
-	} else if a.Effect == policy.Keyed {
-		c.GroupAll, c.Window = a.GroupAll, a.Window
+	c.Deadline = max(a.Deadline, b.Deadline) // bounds only what clients may ask for; each message has a deadline of its own
+	if a.Effect == policy.IdempotentByKey && b.Effect == policy.IdempotentByKey {
+		c.DedupAllZones, c.DedupWindow = a.DedupAllZones && b.DedupAllZones, min(a.DedupWindow, b.DedupWindow)
+	} else if a.Effect == policy.IdempotentByKey {
+		c.DedupAllZones, c.DedupWindow = a.DedupAllZones, a.DedupWindow
 	}
 	return c
 }
@@ -137,7 +137,7 @@
 func Equal(a, b Terms) bool {
 	x, y := a.Settings, b.Settings
 	return slices.Equal(a.Classes, b.Classes) && slices.Equal(a.Customers, b.Customers) && slices.Equal(x.Classes, y.Classes) &&
-		slices.Equal(x.Kinds, y.Kinds) && slices.Equal(x.Customers, y.Customers) && slices.Equal(x.Carriage, y.Carriage) &&
-		x.MaxAttempts == y.MaxAttempts && x.Slots == y.Slots && x.MaxHeld == y.MaxHeld && x.Senders == y.Senders &&
+		slices.Equal(x.DestinationKinds, y.DestinationKinds) && slices.Equal(x.Tenants, y.Tenants) && slices.Equal(x.ZoneCosts, y.ZoneCosts) &&
+		x.MaxAttempts == y.MaxAttempts && x.MaxInFlightCalls == y.MaxInFlightCalls && x.MaxPendingMessages == y.MaxPendingMessages && x.FleetSize == y.FleetSize &&
 		maps.Equal(a.Shape, b.Shape)
 }
--- a/internal/config/reload/terms_test.go
+++ b/internal/config/reload/terms_test.go
@@ -14,8 +14,8 @@
 	return Terms{
 		Classes: []string{"order", "payment"},
 		Settings: policy.Settings{MaxAttempts: 8, Classes: []policy.Class{
-			{Effect: policy.Keyed, GroupAll: true, Window: 10 * time.Second, GiveUp: 16 * time.Second, Aim: time.Second, Value: 1},
-			{Effect: policy.Safe, GiveUp: 5 * time.Second, Aim: time.Second, Value: 1},
+			{Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, Deadline: 16 * time.Second, LatencyObjective: time.Second, Weight: 1},
+			{Effect: policy.Idempotent, Deadline: 5 * time.Second, LatencyObjective: time.Second, Weight: 1},
 		}},
 		Shape: ShapeOf(map[string]string{
 			"discovery": "x", "settings.bounds.send_cap": "8", "settings.services.count": "2", "settings.services.0.name": "order",
@@ -36,13 +36,13 @@
 		"a key more":            {func(f *Terms) { f.Shape["novel"] = 1 }, ""},
 		"no discovery":          {func(f *Terms) { delete(f.Shape, "discovery") }, "missing: discovery"},
 		"a class without a key": {func(f *Terms) { f.Shape["settings.services.*.give_up_ms"] = 1 }, "missing: settings.services.*.give_up_ms"},
-		"no deadline":           {func(f *Terms) { f.Settings.Classes[1].GiveUp = 0 }, `"payment": its deadline is not over 0`},
-		"a deadline below 0":    {func(f *Terms) { f.Settings.Classes[0].GiveUp = -5 }, `"order": its deadline is not over 0`},
+		"no deadline":           {func(f *Terms) { f.Settings.Classes[1].Deadline = 0 }, `"payment": its deadline is not over 0`},
+		"a deadline below 0":    {func(f *Terms) { f.Settings.Classes[0].Deadline = -5 }, `"order": its deadline is not over 0`},
 		"no attempts":           {func(f *Terms) { f.Settings.MaxAttempts = 0 }, "attempts is not over 0"},
 		"attempts below 0":      {func(f *Terms) { f.Settings.MaxAttempts = -1 }, "attempts is not over 0"},
 		"no class":              {func(f *Terms) { f.Settings.Classes, f.Classes = nil, nil }, "no class"},
 		"a name twice":          {func(f *Terms) { f.Classes[1] = "order" }, "class 1 has no name of its own"},
-		"a negative aim":        {func(f *Terms) { f.Settings.Classes[0].Aim = -1 }, "negative time"},
+		"a negative aim":        {func(f *Terms) { f.Settings.Classes[0].LatencyObjective = -1 }, "negative time"},
 	} {
 		fresh := some()
 		x.change(&fresh)
@@ -58,9 +58,9 @@
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID).Draw(t, label) {
 		tt.Classes = append(tt.Classes, name)
 		tt.Settings.Classes = append(tt.Settings.Classes, policy.Class{
-			Effect:   rapid.SampledFrom([]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}).Draw(t, "effect"),
-			GroupAll: rapid.Bool().Draw(t, "all"), Ordered: rapid.Bool().Draw(t, "ordered"),
-			Window: time.Duration(rapid.IntRange(0, 9).Draw(t, "window")), GiveUp: time.Duration(rapid.IntRange(1, 9).Draw(t, "give up")),
+			Effect:        rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).Draw(t, "effect"),
+			DedupAllZones: rapid.Bool().Draw(t, "all"), Ordered: rapid.Bool().Draw(t, "ordered"),
+			DedupWindow: time.Duration(rapid.IntRange(0, 9).Draw(t, "window")), Deadline: time.Duration(rapid.IntRange(1, 9).Draw(t, "give up")),
 		})
 	}
 	return tt
@@ -69,12 +69,12 @@
 // repeats tells whether a class lets a message that may have run go again, to its zone or to any, so long after.
 func repeats(c policy.Class, all bool, after time.Duration) bool {
 	switch c.Effect {
-	case policy.Safe:
+	case policy.Idempotent:
 		return true
-	case policy.Unsafe:
+	case policy.NonIdempotent:
 		return false
 	}
-	return (c.GroupAll || !all) && after < c.Window
+	return (c.DedupAllZones || !all) && after < c.DedupWindow
 }
 
 // While both terms may bind, nothing is done that one of them forbids, and all that either names is taken.
@@ -94,7 +94,7 @@
 					}
 					b := both.Settings.Classes[j]
 					found = true
-					if c.Ordered && !b.Ordered || b.GiveUp < c.GiveUp {
+					if c.Ordered && !b.Ordered || b.Deadline < c.Deadline {
 						t.Fatalf("%s: %+v of %+v", name, b, c)
 					}
 					for after := range time.Duration(10) {
--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -41,12 +41,12 @@
 
 // Settings are what a Seam is made of.
 type Settings struct {
-	Self    string          `cbor:"Self"`
-	Life    loadreport.Life `cbor:"Life"`
-	Members []string        `cbor:"Members"` // that are listed, all of the fleet
-	Kinds   []policy.Kind   `cbor:"Kinds"`
-	Rights  bool            `cbor:"Rights"`  // limits are shared: package rights
-	Senders int             `cbor:"Senders"` // the told size of the fleet
+	Self    string                   `cbor:"Self"`
+	Life    loadreport.Life          `cbor:"Life"`
+	Members []string                 `cbor:"Members"` // that are listed, all of the fleet
+	Kinds   []policy.DestinationKind `cbor:"Kinds"`
+	Rights  bool                     `cbor:"Rights"`  // limits are shared: package rights
+	Senders int                      `cbor:"Senders"` // the told size of the fleet
 }
 
 // Tally counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
@@ -132,7 +132,7 @@
 	Rights  []quota.Message
 	Events  []policy.Event
 	Actions []policy.Action
-	Views   func() []policy.View // the module's routes, asked for only when something may be told
+	Views   func() []policy.EndpointView // the module's routes, asked for only when something may be told
 }
 
 // Output is what a step tells.
@@ -184,7 +184,7 @@
 	out.Rights, changes = s.rights.Step(now)
 	for _, c := range changes {
 		out.Events = append(out.Events, policy.Event{
-			Kind: policy.Rights, Destination: c.Scope.Dest, Route: c.Scope.Route, Share: c.Share, Calls: c.Calls, Left: c.Left,
+			Kind: policy.QuotaGranted, Destination: c.Scope.Dest, Endpoint: c.Scope.Route, ReservedFraction: c.Share, GrantedCalls: c.Calls, TimeLeft: c.Left,
 		})
 	}
 	return out
@@ -220,7 +220,7 @@
 	for _, at := range slices.SortedFunc(maps.Keys(s.sent), func(a, b scope) int { return cmp.Compare(a.Route, b.Route) }) {
 		n, per := s.sent[at], 1 // in order: sums of floats depend on it
 		if k := s.Routes[at.Route].Kind; k >= 0 && k < len(s.Set.Kinds) {
-			per = max(1, s.Set.Kinds[k].PerCall)
+			per = max(1, s.Set.Kinds[k].MaxBatch)
 		}
 		s.tally(s.scopeOf(at.Route)).Calls += float64((n + per - 1) / per)
 	}
@@ -270,7 +270,7 @@
 // scopeOf is what shares a limit with a route: its destination, or itself where its kind stands apart.
 func (s *Seam) scopeOf(route string) scope {
 	l := s.Routes[route]
-	if l.Kind >= 0 && l.Kind < len(s.Set.Kinds) && s.Set.Kinds[l.Kind].Separate {
+	if l.Kind >= 0 && l.Kind < len(s.Set.Kinds) && s.Set.Kinds[l.Kind].LimitPerEndpoint {
 		return scope{Dest: l.Dest, Route: route}
 	}
 	return scope{Dest: l.Dest}
@@ -300,43 +300,43 @@
 
 func (s *Seam) observe(e *policy.Event) {
 	switch e.Kind {
-	case policy.Taken:
-		s.gone(e.ID)
-		if e.Resumed == nil {
+	case policy.MessageAccepted:
+		s.gone(e.MessageID)
+		if e.Recovered == nil {
 			s.tally(scope{Dest: e.Destination}).Demand++
 		}
-		s.waits(e.ID, held{Dest: e.Destination}, true)
-	case policy.Withdrawn:
-		s.gone(e.ID)
-	case policy.Finished, policy.Probed:
+		s.waits(e.MessageID, held{Dest: e.Destination}, true)
+	case policy.MessageCancelled:
+		s.gone(e.MessageID)
+	case policy.AttemptFinished, policy.HealthChecked:
 		s.finished(e)
-	case policy.ListWhole, policy.ListChanges:
+	case policy.EndpointSnapshot, policy.EndpointDelta:
 		s.list(e)
 	}
 }
 
 func (s *Seam) finished(e *policy.Event) {
-	if _, ok := s.Routes[e.Route]; ok {
-		t := s.tally(s.scopeOf(e.Route))
+	if _, ok := s.Routes[e.Endpoint]; ok {
+		t := s.tally(s.scopeOf(e.Endpoint))
 		switch e.Outcome {
 		case policy.OK:
 			t.Deliveries++
-			s.outcome(e.Route, false)
-		case policy.Full:
+			s.outcome(e.Endpoint, false)
+		case policy.Overloaded:
 			t.Refusals++
-			s.outcome(e.Route, true)
+			s.outcome(e.Endpoint, true)
 		case policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset:
 			t.Failures++
 		}
-		if e.Wait > 0 {
-			t.Wait = max(t.Wait, s.Now+e.Wait)
+		if e.RetryAfter > 0 {
+			t.Wait = max(t.Wait, s.Now+e.RetryAfter)
 		}
 	}
-	if h, ok := s.Held[e.ID]; ok && e.Kind == policy.Finished {
-		if e.Ended {
-			s.gone(e.ID)
+	if h, ok := s.Held[e.MessageID]; ok && e.Kind == policy.AttemptFinished {
+		if e.MessageEnded {
+			s.gone(e.MessageID)
 		} else {
-			s.waits(e.ID, h, true)
+			s.waits(e.MessageID, h, true)
 		}
 	}
 }
@@ -344,17 +344,17 @@
 func (s *Seam) decided(a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
-		if h, ok := s.Held[a.ID]; ok {
-			s.waits(a.ID, h, false)
+		if h, ok := s.Held[a.MessageID]; ok {
+			s.waits(a.MessageID, h, false)
 		}
-		if _, ok := s.Routes[a.Route]; ok {
-			s.sent[scope{Route: a.Route}]++
+		if _, ok := s.Routes[a.Endpoint]; ok {
+			s.sent[scope{Route: a.Endpoint}]++
 		}
-	case policy.Refuse, policy.Fail:
-		s.gone(a.ID)
-	case policy.Ask:
+	case policy.Reject, policy.Fail:
+		s.gone(a.MessageID)
+	case policy.RequestQuota:
 		if s.rights != nil {
-			s.rights.Want(s.Now, s.rightsOf(a.Route), a.Calls)
+			s.rights.Want(s.Now, s.rightsOf(a.Endpoint), a.Calls)
 		}
 	}
 }
@@ -375,14 +375,14 @@
 func (s *Seam) Rights() *quota.Book { return s.rights }
 
 func (s *Seam) list(e *policy.Event) {
-	if e.Kind == policy.ListWhole {
+	if e.Kind == policy.EndpointSnapshot {
 		clear(s.Routes)
 	}
-	for _, l := range e.List {
-		if l.Gone {
-			delete(s.Routes, l.Route)
+	for _, l := range e.Endpoints {
+		if l.Removed {
+			delete(s.Routes, l.ID)
 		} else {
-			s.Routes[l.Route] = listed{Dest: l.Destination, Kind: l.Kind, Limit: l.Weight}
+			s.Routes[l.ID] = listed{Dest: l.Destination, Kind: l.Kind, Limit: l.Weight}
 		}
 	}
 	limits := s.Limits()
@@ -418,13 +418,13 @@
 }
 
 // look takes from the module which routes it holds to be cold.
-func (s *Seam) look(views []policy.View) {
+func (s *Seam) look(views []policy.EndpointView) {
 	for _, t := range s.Tallies {
 		t.Cold = false
 	}
 	for _, v := range views {
-		if _, ok := s.Routes[v.Route]; ok && (v.Cold || v.Down) {
-			s.tally(s.scopeOf(v.Route)).Cold = true
+		if _, ok := s.Routes[v.ID]; ok && (v.WarmingUp || v.Ejected) {
+			s.tally(s.scopeOf(v.ID)).Cold = true
 		}
 	}
 }
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -18,7 +18,7 @@
 )
 
 func newSeam() *Seam {
-	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: recordertest.Settings().Kinds})
+	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: recordertest.Settings().DestinationKinds})
 }
 
 // history is what a module lived through.
@@ -47,7 +47,7 @@
 }
 
 func input(e flightrecorder.Entry, n int) Input {
-	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.View { return nil }}
+	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.EndpointView { return nil }}
 	if n%97 == 0 {
 		in.Heard = []loadreport.Page{{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: uint64(n + 1), Cells: []loadreport.Cell{{Dest: 1, Calls: 2}}}}
 	}
@@ -70,7 +70,7 @@
 					Member: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Seq: uint64(i + 1), Loans: []quota.Loan{{Scope: s, Rate: 0.1, Done: uint32(i)}},
 					Asks: []quota.Ask{{Scope: s, ID: uint32(i), N: 1}},
 				}}
-				in.Actions = append(slices.Clip(in.Actions), policy.Action{Kind: policy.Ask, Route: "s-1", Calls: 2})
+				in.Actions = append(slices.Clip(in.Actions), policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2})
 			}
 			x, y := a.Step(e.Now, in), b.Step(e.Now, in)
 			rightsTold += len(x.Rights) + len(x.Events)
@@ -106,13 +106,13 @@
 	every := time.Duration(float64(time.Second) / rate)
 	for now, id := from, uint32(from); now < to; now, id = now+every, id+1 {
 		told = append(told, s.Step(now, Input{
-			Events:  []policy.Event{{Kind: policy.Taken, ID: id, Destination: 9}},
-			Actions: []policy.Action{{Kind: policy.Send, ID: id, Route: "s-1"}},
-			Views:   func() []policy.View { return nil },
+			Events:  []policy.Event{{Kind: policy.MessageAccepted, MessageID: id, Destination: 9}},
+			Actions: []policy.Action{{Kind: policy.Send, MessageID: id, Endpoint: "s-1"}},
+			Views:   func() []policy.EndpointView { return nil },
 		}).Told...)
-		e := policy.Event{Kind: policy.Finished, ID: id, Route: "s-1", Outcome: policy.OK, Ended: true}
+		e := policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: "s-1", Outcome: policy.OK, MessageEnded: true}
 		if id%3 == 0 {
-			e.Outcome, e.Ended, e.Wait = policy.Full, false, 400*time.Millisecond
+			e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, 400*time.Millisecond
 		}
 		s.Step(now+every/2, Input{Events: []policy.Event{e}})
 	}
@@ -122,9 +122,9 @@
 // What is told is what happened, no more often than all others can bear, and fades when nothing happens any more.
 func TestWhatIsTold(t *testing.T) {
 	s := newSeam()
-	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{
-		{Route: "s-1", Destination: 9, Weight: 50, InService: true}, {Route: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
-		{Route: "s-3", Destination: 12, Kind: 1, Weight: 7, InService: true},
+	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
+		{ID: "s-1", Destination: 9, Weight: 50, InService: true}, {ID: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
+		{ID: "s-3", Destination: 12, Kind: 1, Weight: 7, InService: true},
 	}}}})
 	if want := (loadreport.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(s.Limits(), want) {
 		t.Errorf("%v, want %v", s.Limits(), want)
@@ -155,12 +155,12 @@
 	}
 	var ids []policy.Event
 	for id := range s.Held {
-		ids = append(ids, policy.Event{Kind: policy.Withdrawn, ID: id})
+		ids = append(ids, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 	}
 	s.Step(41*time.Second, Input{Events: ids})
 	empty := false
 	for now := 41 * time.Second; now < 200*time.Second; now += 100 * time.Millisecond {
-		for _, p := range s.Step(now, Input{Views: func() []policy.View { return nil }}).Told {
+		for _, p := range s.Step(now, Input{Views: func() []policy.EndpointView { return nil }}).Told {
 			empty = len(p.Cells) == 0
 		}
 	}
@@ -172,20 +172,20 @@
 // A page holds what fits a datagram, the greatest first; destinations beyond the bound wait.
 func TestBoundsOfWhatIsTold(t *testing.T) {
 	s := newSeam()
-	var list []policy.Listing
+	var list []policy.Endpoint
 	for i := range 40 {
-		list = append(list, policy.Listing{Route: fmt.Sprintf("a-route-of-some-length-%02d", i), Destination: 1, Kind: 1, Weight: 5, InService: true})
+		list = append(list, policy.Endpoint{ID: fmt.Sprintf("a-route-of-some-length-%02d", i), Destination: 1, Kind: 1, Weight: 5, InService: true})
 	}
 	for d := range 600 {
-		list = append(list, policy.Listing{Route: fmt.Sprint("x", d), Destination: 4 + d, Weight: 5, InService: true})
+		list = append(list, policy.Endpoint{ID: fmt.Sprint("x", d), Destination: 4 + d, Weight: 5, InService: true})
 	}
-	evs := []policy.Event{{Kind: policy.ListWhole, List: list}}
+	evs := []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}
 	for i, l := range list {
 		for n := range 1 + i%3 {
-			evs = append(evs, policy.Event{Kind: policy.Finished, ID: uint32(1000*n + i), Route: l.Route, Outcome: policy.OK})
+			evs = append(evs, policy.Event{Kind: policy.AttemptFinished, MessageID: uint32(1000*n + i), Endpoint: l.ID, Outcome: policy.OK})
 		}
 	}
-	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.View { return nil }}).Told
+	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.EndpointView { return nil }}).Told
 	if len(told) != loadreport.PagesMost {
 		t.Errorf("%d pages", len(told))
 	}
@@ -193,7 +193,7 @@
 		t.Errorf("%d cells on a page", n)
 	}
 	// A new life tells all again, and the others forget the one before.
-	again := s.Step(2*time.Second, Input{Life: loadreport.Life{Incarnation: 2, Boot: 2}, Views: func() []policy.View { return nil }}).Told
+	again := s.Step(2*time.Second, Input{Life: loadreport.Life{Incarnation: 2, Boot: 2}, Views: func() []policy.EndpointView { return nil }}).Told
 	if len(again) != loadreport.PagesMost || again[0].Incarnation != 2 {
 		t.Errorf("%d pages of life %v", len(again), again[0].Life)
 	}
@@ -202,21 +202,21 @@
 // BenchmarkStep is the cost of a step beside the module's.
 func BenchmarkStep(b *testing.B) {
 	s := newSeam()
-	var list []policy.Listing
+	var list []policy.Endpoint
 	for d := range 30 {
-		list = append(list, policy.Listing{Route: fmt.Sprint("s-", d), Destination: d, Weight: 50, InService: true})
+		list = append(list, policy.Endpoint{ID: fmt.Sprint("s-", d), Destination: d, Weight: 50, InService: true})
 	}
-	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.ListWhole, List: list}}})
+	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}})
 	ev, act := make([]policy.Event, 1), make([]policy.Action, 1)
-	none := func() []policy.View { return nil }
+	none := func() []policy.EndpointView { return nil }
 	b.ReportAllocs()
 	id := uint32(0)
 	for now := time.Second; b.Loop(); now += time.Millisecond {
 		id++
-		ev[0] = policy.Event{Kind: policy.Taken, ID: id, Destination: int(id % 30)}
-		act[0] = policy.Action{Kind: policy.Send, ID: id, Route: list[id%30].Route}
+		ev[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: int(id % 30)}
+		act[0] = policy.Action{Kind: policy.Send, MessageID: id, Endpoint: list[id%30].ID}
 		s.Step(now, Input{Events: ev, Actions: act, Views: none})
-		ev[0] = policy.Event{Kind: policy.Finished, ID: id, Route: list[id%30].Route, Outcome: policy.OK, Ended: true}
+		ev[0] = policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: list[id%30].ID, Outcome: policy.OK, MessageEnded: true}
 		s.Step(now, Input{Events: ev, Views: none})
 	}
 }
@@ -232,12 +232,12 @@
 			set.Members = append(set.Members, fmt.Sprint("m", i))
 		}
 		s := New(set)
-		s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
+		s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
 		told, seq := 0, uint64(0)
 		for now := time.Second; now < began+length; now += lookEvery {
-			in := Input{Views: func() []policy.View { return nil }, Events: []policy.Event{{Kind: policy.Taken, ID: 1, Destination: 9}}}
+			in := Input{Views: func() []policy.EndpointView { return nil }, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 9}}}
 			if now/lookEvery%2 == 0 { // a backlog begins and ends with every look
-				in.Events = []policy.Event{{Kind: policy.Finished, ID: 1, Route: "s-1", Outcome: policy.OK, Ended: true}}
+				in.Events = []policy.Event{{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "s-1", Outcome: policy.OK, MessageEnded: true}}
 			}
 			if now%(10*time.Second) == 0 { // two pages of each of the others
 				seq += 2
@@ -260,10 +260,10 @@
 	}
 	// Coldness that begins is told with the next look, though the page was told just before.
 	s := newSeam()
-	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
+	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
 	look := func(now time.Duration, cold bool) []loadreport.Page {
-		return s.Step(now, Input{Events: []policy.Event{{Kind: policy.Taken, ID: uint32(now), Destination: 9}}, Views: func() []policy.View {
-			return []policy.View{{Listing: policy.Listing{Route: "s-1"}, Cold: cold}}
+		return s.Step(now, Input{Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(now), Destination: 9}}, Views: func() []policy.EndpointView {
+			return []policy.EndpointView{{Endpoint: policy.Endpoint{ID: "s-1"}, WarmingUp: cold}}
 		}}).Told
 	}
 	if len(look(2*time.Second, false)) != 1 || len(look(2*time.Second+lookEvery, true)) != 1 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -45,7 +45,7 @@
 	Listen  string
 	Join    map[string]string
 	Folder  string // that outlasts the process
-	Kinds   []policy.Kind
+	Kinds   []policy.DestinationKind
 	Rights  bool // limits are shared among Senders, the told size of the fleet
 	Senders int
 	Clock   func() time.Duration // that of Step's now
@@ -156,7 +156,7 @@
 }
 
 // Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in its next step.
-func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.View) (agent.Record, []policy.Event) {
+func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.EndpointView) (agent.Record, []policy.Event) {
 	var rec agent.Record
 	var decided time.Duration // by the link's clock, when now was or before
 	l := m.up()
@@ -178,7 +178,7 @@
 	if l == nil {
 		return rec, out.Events
 	}
-	listed := func(e policy.Event) bool { return e.Kind == policy.ListWhole || e.Kind == policy.ListChanges }
+	listed := func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }
 	if l != m.last || slices.ContainsFunc(events, listed) { // a link comes up after the list was told
 		m.last = l
 		l.SetLimits(m.seam.Limits())
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -23,15 +23,15 @@
 
 // causes are the words for what holds a message.
 var causes = [...]string{
-	policy.Free: "its turn in the queue", policy.Spent: "no attempt or time left", policy.NoService: "no route in service",
-	policy.Turn: "an earlier message of its key", policy.OtherZone: "a repeat is bound to another zone", policy.NoTime: "no time left for an answer",
-	policy.Trial: "a trial call is out", policy.Crammed: "too many calls out or overdue", policy.KeyRest: "its key rests",
-	policy.ToldWait: "told to wait", policy.Skip: "skipped", policy.Recovery: "recovery budget", policy.Pace: "pace",
-	policy.SlotsFull: "no slot free", policy.NoRoute: "no route listed",
+	policy.NotBlocked: "its turn in the queue", policy.AttemptsExhausted: "no attempt or time left", policy.EndpointDraining: "no route in service",
+	policy.WaitingForKey: "an earlier message of its key", policy.WrongDedupZone: "a repeat is bound to another zone", policy.InsufficientTime: "no time left for an answer",
+	policy.TrialInFlight: "a trial call is out", policy.EndpointSaturated: "too many calls out or overdue", policy.OrderingPause: "its key rests",
+	policy.RetryAfterPending: "told to wait", policy.EndpointEjected: "skipped", policy.WarmUpBudget: "recovery budget", policy.Paced: "pace",
+	policy.ConcurrencyLimit: "no slot free", policy.NoEndpoint: "no route listed",
 }
 
 // CauseName is a cause in words.
-func CauseName(c policy.Cause) string {
+func CauseName(c policy.BlockCause) string {
 	if c < 0 || int(c) >= len(causes) {
 		return fmt.Sprintf("cause %d", int(c))
 	}
@@ -40,8 +40,8 @@
 
 // outcomes are the words for how a call ended.
 var outcomes = [...]string{
-	policy.OK: "delivered", policy.Error: "error", policy.Full: "refused", policy.Timeout: "timed out",
-	policy.ConnectFailed: "not connected", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "not sent",
+	policy.OK: "delivered", policy.Error: "error", policy.Overloaded: "refused", policy.Timeout: "timed out",
+	policy.ConnectFailed: "not connected", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
 }
 
 // OutcomeName is an outcome in words.
@@ -63,7 +63,7 @@
 }
 
 // Waits is how long messages waited for each cause, in message-seconds.
-type Waits map[policy.Cause]float64
+type Waits map[policy.BlockCause]float64
 
 // Sum is the time for all causes.
 func (w Waits) Sum() (sum float64) {
@@ -74,13 +74,13 @@
 }
 
 // Sorted are the causes with time, the longest first.
-func (w Waits) Sorted() (causes []policy.Cause) {
+func (w Waits) Sorted() (causes []policy.BlockCause) {
 	for c, x := range w {
 		if x > 0 {
 			causes = append(causes, c)
 		}
 	}
-	slices.SortFunc(causes, func(a, b policy.Cause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(causes, func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) })
 	return causes
 }
 
@@ -109,7 +109,7 @@
 	OK, Full, Bad                []float64 // outcomes in each bin
 	Sent                         []float64
 	Skipped, Doubted, ToldToWait []bool
-	last                         policy.View
+	last                         policy.EndpointView
 	at                           time.Duration // of last
 	seen                         bool
 }
@@ -126,7 +126,7 @@
 // Span is a time in which one cause held a message.
 type Span struct {
 	From, To time.Duration
-	Cause    policy.Cause
+	Cause    policy.BlockCause
 	Route    string
 	Until    time.Duration // as the module saw it; math.MaxInt64: open
 }
@@ -185,7 +185,7 @@
 	routes  map[string]*Route
 	dest    map[uint32]int // of messages
 	traces  map[uint32]string
-	held    []policy.Hold // what held each message that waited at the last look
+	held    []policy.Blocker // what held each message that waited at the last look
 	since   map[uint32]time.Duration
 	looked  time.Duration
 	stepped time.Duration // the last step
@@ -208,7 +208,7 @@
 	if to < from {
 		return nil, fmt.Errorf("explain: the recording holds nothing from %v to %v", from, to)
 	}
-	rep := &Report{Meta: meta, From: from, To: to, Bin: 250 * time.Millisecond, SlotsMost: meta.Settings.Slots, Messages: map[uint32]*Message{}}
+	rep := &Report{Meta: meta, From: from, To: to, Bin: 250 * time.Millisecond, SlotsMost: meta.Settings.MaxInFlightCalls, Messages: map[uint32]*Message{}}
 	for (to-from)/rep.Bin >= binsMost {
 		rep.Bin *= 2
 	}
@@ -276,16 +276,16 @@
 	return d
 }
 
-func (b *builder) route(v policy.View) *Route {
-	r := b.routes[v.Route]
+func (b *builder) route(v policy.EndpointView) *Route {
+	r := b.routes[v.ID]
 	if r == nil {
 		bins := func() []float64 { return make([]float64, b.rep.Bins) }
 		flags := func() []bool { return make([]bool, b.rep.Bins) }
 		r = &Route{
-			Name: v.Route, Destination: v.Destination, Zone: v.Zone, Pace: bins(), Ceiling: bins(), Believed: bins(), Queue: bins(), OK: bins(),
+			Name: v.ID, Destination: v.Destination, Zone: v.Zone, Pace: bins(), Ceiling: bins(), Believed: bins(), Queue: bins(), OK: bins(),
 			Full: bins(), Bad: bins(), Sent: bins(), Skipped: flags(), Doubted: flags(), ToldToWait: flags(),
 		}
-		b.routes[v.Route] = r
+		b.routes[v.ID] = r
 		d := b.destination(v.Destination)
 		d.Routes = append(d.Routes, r)
 	}
@@ -293,7 +293,7 @@
 }
 
 // begin starts with what a Sender holds that was restored in mid-life.
-func (b *builder) begin(s *policy.Sender, e *flightrecorder.Entry) {
+func (b *builder) begin(s *policy.Engine, e *flightrecorder.Entry) {
 	b.look(s, e.Now)
 }
 
@@ -310,13 +310,13 @@
 
 // before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what held
 // before it: when the last step fell close behind a look, what it left behind holds all the while.
-func (b *builder) before(s *policy.Sender, e *flightrecorder.Entry) {
+func (b *builder) before(s *policy.Engine, e *flightrecorder.Entry) {
 	if b.some && b.stepped > b.looked && e.Now-b.stepped >= b.opts.Every {
 		b.look(s, b.stepped)
 	}
 }
 
-func (b *builder) step(s *policy.Sender, e *flightrecorder.Entry) {
+func (b *builder) step(s *policy.Engine, e *flightrecorder.Entry) {
 	now := e.Now
 	b.stepped = now
 	clear(b.outcome)
@@ -337,89 +337,89 @@
 
 func (b *builder) event(now time.Duration, x *policy.Event) {
 	switch x.Kind {
-	case policy.Taken:
-		b.dest[x.ID] = x.Destination
+	case policy.MessageAccepted:
+		b.dest[x.MessageID] = x.Destination
 		if b.in(now) {
 			b.destination(x.Destination).Taken++
 		}
 		if b.opts.Messages {
 			m := &Message{
-				ID: x.ID, Trace: b.traces[x.ID], Destination: x.Destination, Class: x.Class, TakenAt: now, Left: x.Left, Resumed: x.Resumed != nil,
+				ID: x.MessageID, Trace: b.traces[x.MessageID], Destination: x.Destination, Class: x.Class, TakenAt: now, Left: x.TimeLeft, Resumed: x.Recovered != nil,
 			}
 			if m.Resumed {
-				m.Earlier = x.Resumed.Attempts
+				m.Earlier = x.Recovered.Attempts
 			}
-			b.rep.Messages[x.ID] = m
+			b.rep.Messages[x.MessageID] = m
 		}
-		delete(b.traces, x.ID)
-	case policy.Finished:
+		delete(b.traces, x.MessageID)
+	case policy.AttemptFinished:
 		word := OutcomeName(x.Outcome)
-		if x.Wait > 0 {
-			word += fmt.Sprintf(", wait %v", x.Wait)
+		if x.RetryAfter > 0 {
+			word += fmt.Sprintf(", wait %v", x.RetryAfter)
 		}
-		if known := b.outcome[x.Route]; known != "" && known != word {
+		if known := b.outcome[x.Endpoint]; known != "" && known != word {
 			word = known + "; " + word
 		}
-		b.outcome[x.Route] = word
-		if d, known := b.dest[x.ID]; known && b.in(now) {
+		b.outcome[x.Endpoint] = word
+		if d, known := b.dest[x.MessageID]; known && b.in(now) {
 			b.destination(d).Calls[x.Outcome]++
 		}
-		if r := b.routes[x.Route]; r != nil && b.in(now) {
+		if r := b.routes[x.Endpoint]; r != nil && b.in(now) {
 			series := r.Bad
 			switch x.Outcome {
 			case policy.OK:
 				series = r.OK
-			case policy.Full:
+			case policy.Overloaded:
 				series = r.Full
 			}
 			series[b.bin(now)]++
 		}
-		m := b.rep.Messages[x.ID]
+		m := b.rep.Messages[x.MessageID]
 		if m == nil {
 			break
 		}
 		for i := range m.Attempts {
 			if a := &m.Attempts[i]; a.N == x.Attempt && a.EndedAt == 0 {
-				a.EndedAt, a.Outcome, a.Took, a.Wait = now, x.Outcome, x.Took, x.Wait
+				a.EndedAt, a.Outcome, a.Took, a.Wait = now, x.Outcome, x.Latency, x.RetryAfter
 			}
 		}
-		if x.Ended && m.EndedAt == 0 {
+		if x.MessageEnded && m.EndedAt == 0 {
 			m.EndedAt, m.End = now, "delivered"
 			if x.Outcome != policy.OK {
 				m.End = "over: " + OutcomeName(x.Outcome)
 			}
 		}
-	case policy.Withdrawn:
-		if m := b.rep.Messages[x.ID]; m != nil && m.EndedAt == 0 {
+	case policy.MessageCancelled:
+		if m := b.rep.Messages[x.MessageID]; m != nil && m.EndedAt == 0 {
 			m.EndedAt, m.End = now, "withdrawn"
 		}
 	}
 }
 
 func (b *builder) action(now time.Duration, a *policy.Action) {
-	m := b.rep.Messages[a.ID]
-	d, known := b.dest[a.ID]
+	m := b.rep.Messages[a.MessageID]
+	d, known := b.dest[a.MessageID]
 	counts := known && b.in(now)
 	switch a.Kind {
 	case policy.Send:
 		if counts {
 			b.destination(d).Sent++
 		}
-		if r := b.routes[a.Route]; r != nil && b.in(now) {
+		if r := b.routes[a.Endpoint]; r != nil && b.in(now) {
 			r.Sent[b.bin(now)]++
 		}
 		if m != nil {
-			m.Attempts = append(m.Attempts, Attempt{N: m.Earlier + len(m.Attempts), Route: a.Route, At: now, CutAt: a.At})
+			m.Attempts = append(m.Attempts, Attempt{N: m.Earlier + len(m.Attempts), Route: a.Endpoint, At: now, CutAt: a.TimeoutAt})
 		}
-	case policy.Refuse, policy.Fail:
-		if counts && a.Kind == policy.Refuse {
+	case policy.Reject, policy.Fail:
+		if counts && a.Kind == policy.Reject {
 			b.destination(d).Refused++
 		} else if counts {
 			b.destination(d).Failed++
 		}
 		if m != nil && m.EndedAt == 0 {
 			m.EndedAt, m.End, m.Advice = now, "failed", a.Delay
-			if a.Kind == policy.Refuse {
+			if a.Kind == policy.Reject {
 				m.End = "refused"
 			}
 		}
@@ -427,7 +427,7 @@
 }
 
 // look sees what the module holds after a step.
-func (b *builder) look(s *policy.Sender, now time.Duration) {
+func (b *builder) look(s *policy.Engine, now time.Duration) {
 	b.attribute(now)
 	views, slots := s.Views()
 	if b.in(now) {
@@ -444,7 +444,7 @@
 	}
 	b.compare(now, views)
 	b.looked, b.some = now, true
-	waiting := slices.ContainsFunc(views, func(v policy.View) bool { return v.Queued > 0 })
+	waiting := slices.ContainsFunc(views, func(v policy.EndpointView) bool { return v.Queued > 0 })
 	if b.held = nil; !waiting && len(b.dests) > 0 && len(views) > 0 {
 		return
 	}
@@ -454,15 +454,15 @@
 		b.err = cmp.Or(b.err, fmt.Errorf("explain: %w", err))
 		return
 	}
-	b.held = binding(copied.Holds())
+	b.held = binding(copied.Blockers())
 }
 
 // binding keeps for each message the hold that ends first: that of the route it will take.
-func binding(holds []policy.Hold) []policy.Hold {
+func binding(holds []policy.Blocker) []policy.Blocker {
 	kept := holds[:0]
 	for _, h := range holds {
-		if n := len(kept); n > 0 && kept[n-1].ID == h.ID {
-			if h.Until < kept[n-1].Until || h.Until == kept[n-1].Until && h.Cause == policy.Free {
+		if n := len(kept); n > 0 && kept[n-1].MessageID == h.MessageID {
+			if h.Until < kept[n-1].Until || h.Until == kept[n-1].Until && h.Cause == policy.NotBlocked {
 				kept[n-1] = h
 			}
 			continue
@@ -479,22 +479,22 @@
 		return
 	}
 	for _, h := range b.held {
-		id, known := b.dest[h.ID]
+		id, known := b.dest[h.MessageID]
 		if !known { // taken before the recording began
-			if r := b.routes[h.Route]; r != nil {
+			if r := b.routes[h.Endpoint]; r != nil {
 				id = r.Destination
 			}
 		}
 		d := b.destination(id)
 		d.Waits[h.Cause] += (to - from).Seconds()
-		m := b.rep.Messages[h.ID]
+		m := b.rep.Messages[h.MessageID]
 		if m == nil {
 			continue
 		}
-		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause && m.Spans[n-1].Route == h.Route {
+		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause && m.Spans[n-1].Route == h.Endpoint {
 			m.Spans[n-1].To, m.Spans[n-1].Until = to, h.Until
 		} else if n < spansMost {
-			m.Spans = append(m.Spans, Span{from, to, h.Cause, h.Route, h.Until})
+			m.Spans = append(m.Spans, Span{from, to, h.Cause, h.Endpoint, h.Until})
 		} else {
 			b.rep.Truncated = true
 		}
@@ -502,16 +502,16 @@
 }
 
 // compare notes what changed at the routes since the last look.
-func (b *builder) compare(now time.Duration, views []policy.View) {
+func (b *builder) compare(now time.Duration, views []policy.EndpointView) {
 	i := b.bin(now)
 	gates := map[int]string{} // the first route of each shared gate
 	for k := range views {
 		v := &views[k]
 		r := b.route(*v)
-		shared := v.Kind < 0 || v.Kind >= len(b.set.Kinds) || !b.set.Kinds[v.Kind].Separate
-		if r.Shared = v.Route; shared {
+		shared := v.Kind < 0 || v.Kind >= len(b.set.DestinationKinds) || !b.set.DestinationKinds[v.Kind].LimitPerEndpoint
+		if r.Shared = v.ID; shared {
 			if gates[v.Destination] == "" {
-				gates[v.Destination] = v.Route
+				gates[v.Destination] = v.ID
 			}
 			r.Shared = gates[v.Destination]
 		}
@@ -526,12 +526,12 @@
 				if j == i || !r.seen {
 					was = *v
 				}
-				r.Pace[j], r.Ceiling[j], r.Believed[j] = was.Pace, was.Ceiling, was.Limit
+				r.Pace[j], r.Ceiling[j], r.Believed[j] = was.PacingRate, was.LastRejectedRate, was.Limit
 				r.Queue[j] = max(r.Queue[j], float64(was.Queued))
 				at := b.rep.From + time.Duration(j)*b.rep.Bin
-				r.Skipped[j] = r.Skipped[j] || was.Down && was.SkipUntil > at
-				r.Doubted[j] = r.Doubted[j] || was.Cold
-				r.ToldToWait[j] = r.ToldToWait[j] || was.Wait > at
+				r.Skipped[j] = r.Skipped[j] || was.Ejected && was.EjectedUntil > at
+				r.Doubted[j] = r.Doubted[j] || was.WarmingUp
+				r.ToldToWait[j] = r.ToldToWait[j] || was.RetryAfterUntil > at
 			}
 			d := b.destination(v.Destination)
 			d.MostQueue = max(d.MostQueue, v.Queued)
@@ -543,13 +543,13 @@
 	}
 }
 
-func (b *builder) transitions(now time.Duration, r *Route, v *policy.View) {
+func (b *builder) transitions(now time.Duration, r *Route, v *policy.EndpointView) {
 	add := func(format string, args ...any) {
 		if len(b.rep.Transitions) >= transitionsMost {
 			b.rep.Truncated = true
 			return
 		}
-		b.rep.Transitions = append(b.rep.Transitions, Transition{now, v.Destination, v.Route, fmt.Sprintf(format, args...), b.outcome[v.Route]})
+		b.rep.Transitions = append(b.rep.Transitions, Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcome[v.ID]})
 	}
 	was := &r.last
 	switch {
@@ -558,27 +558,27 @@
 	case v.InService != was.InService:
 		add("drains")
 	}
-	if r.Shared == v.Route {
-		if v.Halved != was.Halved {
-			add("pace halved from %s to %.2f a second (limit believed %.2f)", rate(was.Pace), v.Pace, v.Limit)
+	if r.Shared == v.ID {
+		if v.DecreasedAt != was.DecreasedAt {
+			add("pace halved from %s to %.2f a second (limit believed %.2f)", rate(was.PacingRate), v.PacingRate, v.Limit)
 		}
-		if v.Wait > was.Wait && v.Wait > now {
-			add("told to wait until %v", v.Wait)
+		if v.RetryAfterUntil > was.RetryAfterUntil && v.RetryAfterUntil > now {
+			add("told to wait until %v", v.RetryAfterUntil)
 		}
 		if v.Limit != was.Limit {
 			add("limit believed %.2f, was %.2f", v.Limit, was.Limit)
 		}
 	}
-	if v.SkipUntil > was.SkipUntil && v.Down {
-		add("skipped until %v", v.SkipUntil)
-	} else if was.Down && !v.Down {
-		add("answers again: pace restarts at %.2f", v.Pace)
+	if v.EjectedUntil > was.EjectedUntil && v.Ejected {
+		add("skipped until %v", v.EjectedUntil)
+	} else if was.Ejected && !v.Ejected {
+		add("answers again: pace restarts at %.2f", v.PacingRate)
 	}
-	if v.Cold && !was.Cold {
+	if v.WarmingUp && !was.WarmingUp {
 		add("in doubt: under the recovery budget")
-	} else if was.Cold && !v.Cold {
+	} else if was.WarmingUp && !v.WarmingUp {
 		add("no longer in doubt")
-	} else if v.Cold && v.Back == 0 && was.Back != 0 {
+	} else if v.WarmingUp && v.RecoveredAt == 0 && was.RecoveredAt != 0 {
 		add("in doubt anew")
 	}
 }
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -15,7 +15,7 @@
 
 // script records a Sender that is told things on given times, and woken as it asks.
 type script struct {
-	s    *policy.Sender
+	s    *policy.Engine
 	rec  *flightrecorder.Recorder
 	now  time.Duration
 	wake time.Duration
@@ -37,10 +37,10 @@
 	x.rec.Step(x.now, evs, acts)
 	for _, a := range acts {
 		switch a.Kind {
-		case policy.Wake:
+		case policy.SetTimer:
 			x.wake = x.now + a.Delay
 		case policy.Send:
-			x.out[a.ID]++
+			x.out[a.MessageID]++
 		}
 	}
 }
@@ -49,7 +49,7 @@
 func (x *script) until(at time.Duration) {
 	for x.wake > x.now && x.wake <= at {
 		x.now, x.wake = x.wake, 0
-		x.step(policy.Event{Kind: policy.Woken})
+		x.step(policy.Event{Kind: policy.TimerFired})
 	}
 	x.now = at
 }
@@ -69,34 +69,34 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Classes: []policy.Class{{Effect: policy.Safe, Aim: 3 * time.Second, GiveUp: 16 * time.Second}},
-		Kinds:   []policy.Kind{{PerCall: 1}}, Senders: 1, Slots: 10, MaxAttempts: 8, OverloadFactor: 2,
+		Classes:          []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, FleetSize: 1, MaxInFlightCalls: 10, MaxAttempts: 8, OverloadFactor: 2,
 	}
 }
 
 func take(id uint32) policy.Event {
-	return policy.Event{Kind: policy.Taken, ID: id, Destination: 7, Left: 16 * time.Second}
+	return policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: 7, TimeLeft: 16 * time.Second}
 }
 
 // A message that is refused with a wait is held by it for just that long, and its story tells so.
 func TestTheStoryOfAMessage(t *testing.T) {
 	x := newScript(t, settings())
 	x.rec.Label(1, "trace-one")
-	x.step(policy.Event{Kind: policy.ListWhole, List: []policy.Listing{{Route: "r", Destination: 7, Weight: 50, InService: true}}}, take(1))
+	x.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}}}, take(1))
 	x.until(1100 * time.Millisecond)
-	x.step(policy.Event{Kind: policy.Finished, ID: 1, Route: "r", Outcome: policy.Full, Wait: 2 * time.Second, Took: 100 * time.Millisecond})
+	x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "r", Outcome: policy.Overloaded, RetryAfter: 2 * time.Second, Latency: 100 * time.Millisecond})
 	x.until(4 * time.Second)
-	x.step(policy.Event{Kind: policy.Finished, ID: 1, Attempt: 1, Route: "r", Outcome: policy.OK, Took: 500 * time.Millisecond, Ended: true})
+	x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Attempt: 1, Endpoint: "r", Outcome: policy.OK, Latency: 500 * time.Millisecond, MessageEnded: true})
 	rep := x.explain(t, Options{Messages: true})
 	d := rep.Destinations[0]
-	if d.ID != 7 || d.Taken != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Full] != 1 {
+	if d.ID != 7 || d.Taken != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
 		t.Errorf("%+v", d)
 	}
-	if w := d.Waits[policy.ToldWait]; math.Abs(w-2) > 0.01 || math.Abs(d.Waits.Sum()-w) > 0.01 {
+	if w := d.Waits[policy.RetryAfterPending]; math.Abs(w-2) > 0.01 || math.Abs(d.Waits.Sum()-w) > 0.01 {
 		t.Errorf("waits %v", d.Waits)
 	}
 	m := rep.Messages[1]
-	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.ToldWait || len(m.Attempts) != 2 || m.End != "delivered" || m.Attempts[0].Wait != 2*time.Second {
+	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending || len(m.Attempts) != 2 || m.End != "delivered" || m.Attempts[0].Wait != 2*time.Second {
 		t.Errorf("%+v", m)
 	}
 	var text, jsonl, html, changes strings.Builder
@@ -133,25 +133,25 @@
 // Shares of the time by cause come out as they were made: a skip after failures in a row, and the pace after it.
 func TestSharesByCause(t *testing.T) {
 	x := newScript(t, settings())
-	x.step(policy.Event{Kind: policy.ListWhole, List: []policy.Listing{{Route: "r", Destination: 7, Weight: 50, InService: true}}}, take(1), take(2), take(3))
+	x.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}}}, take(1), take(2), take(3))
 	for id := range uint32(3) {
 		x.until(x.now + 10*time.Millisecond)
-		x.step(policy.Event{Kind: policy.Finished, ID: id + 1, Route: "r", Outcome: policy.ConnectFailed})
+		x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: id + 1, Endpoint: "r", Outcome: policy.ConnectFailed})
 	}
 	x.until(x.now + 10*time.Millisecond)
 	var failed []policy.Event
 	for id, n := range x.out {
 		if n == 2 {
-			failed = append(failed, policy.Event{Kind: policy.Finished, ID: id, Attempt: 1, Route: "r", Outcome: policy.ConnectFailed})
+			failed = append(failed, policy.Event{Kind: policy.AttemptFinished, MessageID: id, Attempt: 1, Endpoint: "r", Outcome: policy.ConnectFailed})
 		}
 	}
 	x.step(failed...)
 	from := x.now
 	x.until(from + time.Second)
-	x.step(policy.Event{Kind: policy.Woken})
+	x.step(policy.Event{Kind: policy.TimerFired})
 	rep := x.explain(t, Options{From: from})
 	d := rep.Destinations[0]
-	if share := d.Waits[policy.Skip] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 || d.MostQueue != 3 {
+	if share := d.Waits[policy.EndpointEjected] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 || d.MostQueue != 3 {
 		t.Errorf("%v, %+v", share, d)
 	}
 	var text strings.Builder
@@ -204,12 +204,12 @@
 }
 
 func TestNamesForAll(t *testing.T) {
-	for c := policy.Free; c <= policy.NoRoute; c++ {
+	for c := policy.NotBlocked; c <= policy.NoEndpoint; c++ {
 		if CauseName(c) == "" {
 			t.Errorf("cause %d has no name", c)
 		}
 	}
-	if CauseName(-1) != "cause -1" || OutcomeName(99) != "outcome 99" || OutcomeName(policy.Moot) == "" {
+	if CauseName(-1) != "cause -1" || OutcomeName(99) != "outcome 99" || OutcomeName(policy.NotSent) == "" {
 		t.Error("odd causes and outcomes have no name")
 	}
 }
--- a/internal/recording/explain/write.go
+++ b/internal/recording/explain/write.go
@@ -22,11 +22,11 @@
 	for _, d := range ByWait(rep) {
 		bad := 0
 		for o, n := range d.Calls {
-			if o != policy.OK && o != policy.Full {
+			if o != policy.OK && o != policy.Overloaded {
 				bad += n
 			}
 		}
-		p.line("%-6d %6d %6d %6d %6d %6d %6d %6d %7.1fs %6d  %s", d.ID, d.Taken, d.Sent, d.Calls[policy.OK], d.Calls[policy.Full], bad, d.Refused,
+		p.line("%-6d %6d %6d %6d %6d %6d %6d %6d %7.1fs %6d  %s", d.ID, d.Taken, d.Sent, d.Calls[policy.OK], d.Calls[policy.Overloaded], bad, d.Refused,
 			d.Failed, d.Waits.Sum(), d.MostQueue, Shares(d.Waits))
 	}
 	return p.err
--- a/internal/recording/fleetstats/tally.go
+++ b/internal/recording/fleetstats/tally.go
@@ -134,20 +134,20 @@
 	}
 	views, _ := s.Views()
 	for _, v := range views {
-		x.list(v.Listing)
+		x.list(v.Endpoint)
 	}
 }
 
-func (x *reading) list(l policy.Listing) {
+func (x *reading) list(l policy.Endpoint) {
 	r := route{dest: strconv.Itoa(l.Destination), most: 1}
 	r.place = r.dest
-	if kinds := x.meta.Settings.Kinds; l.Kind >= 0 && l.Kind < len(kinds) {
-		r.most = max(1, kinds[l.Kind].PerCall)
-		if kinds[l.Kind].Separate {
-			r.place += "/" + l.Route
+	if kinds := x.meta.Settings.DestinationKinds; l.Kind >= 0 && l.Kind < len(kinds) {
+		r.most = max(1, kinds[l.Kind].MaxBatch)
+		if kinds[l.Kind].LimitPerEndpoint {
+			r.place += "/" + l.ID
 		}
 	}
-	x.routes[l.Route], x.Told[r.place] = r, l.Weight
+	x.routes[l.ID], x.Told[r.place] = r, l.Weight
 }
 
 // to is where a route leads.
@@ -183,20 +183,20 @@
 	open := map[string]*call{}
 	for i := range e.Actions {
 		a := &e.Actions[i]
-		m := x.message(a.ID)
+		m := x.message(a.MessageID)
 		switch a.Kind {
 		case policy.Send:
-			to := x.to(a.Route)
-			place, c := to.place, open[a.Route]
+			to := x.to(a.Endpoint)
+			place, c := to.place, open[a.Endpoint]
 			if c == nil || c.left >= to.most {
 				c = &call{place: place}
-				open[a.Route] = c
+				open[a.Endpoint] = c
 				x.at(e.Now, place, func(n *Count) { n.Calls++ })
 			}
 			c.left++
-			x.calls[a.ID] = c
+			x.calls[a.MessageID] = c
 			x.at(e.Now, place, func(n *Count) { n.Sent++ })
-		case policy.Refuse:
+		case policy.Reject:
 			x.at(e.Now, m.place, func(n *Count) { n.Deferred++ })
 		case policy.Fail:
 			x.at(e.Now, m.place, func(n *Count) { n.Failed++ })
@@ -206,27 +206,27 @@
 
 func (x *reading) event(now time.Duration, e *policy.Event) {
 	switch e.Kind {
-	case policy.ListWhole, policy.ListChanges:
-		for _, l := range e.List {
+	case policy.EndpointSnapshot, policy.EndpointDelta:
+		for _, l := range e.Endpoints {
 			x.list(l)
 		}
-	case policy.Taken:
-		m := message{place: strconv.Itoa(e.Destination), due: now + e.Left}
+	case policy.MessageAccepted:
+		m := message{place: strconv.Itoa(e.Destination), due: now + e.TimeLeft}
 		if e.Class >= 0 && e.Class < len(x.meta.Settings.Classes) {
 			c := x.meta.Settings.Classes[e.Class]
-			m.due = now + e.Left - c.GiveUp + c.Aim
+			m.due = now + e.TimeLeft - c.Deadline + c.LatencyObjective
 		}
-		x.msgs[e.ID] = m
+		x.msgs[e.MessageID] = m
 		x.at(now, m.place, func(n *Count) {
 			n.Taken++
-			if e.Resumed != nil {
+			if e.Recovered != nil {
 				n.Resumed++
 			}
 		})
-	case policy.Finished:
-		m, c := x.message(e.ID), x.calls[e.ID]
+	case policy.AttemptFinished:
+		m, c := x.message(e.MessageID), x.calls[e.MessageID]
 		if e.Outcome == policy.OK {
-			x.at(now, x.to(e.Route).dest, func(n *Count) {
+			x.at(now, x.to(e.Endpoint).dest, func(n *Count) {
 				n.OK++
 				if now > m.due {
 					n.Late++
@@ -236,8 +236,8 @@
 		if c == nil {
 			return
 		}
-		delete(x.calls, e.ID)
-		c.full, c.wait, c.ok = c.full || e.Outcome == policy.Full, c.wait || e.Wait > 0, c.ok || e.Outcome == policy.OK
+		delete(x.calls, e.MessageID)
+		c.full, c.wait, c.ok = c.full || e.Outcome == policy.Overloaded, c.wait || e.RetryAfter > 0, c.ok || e.Outcome == policy.OK
 		if c.left--; c.left > 0 {
 			return
 		}
--- a/internal/recording/flightrecorder/flight_test.go
+++ b/internal/recording/flightrecorder/flight_test.go
@@ -59,37 +59,37 @@
 }
 
 func drawEvent(t *rapid.T) policy.Event {
-	kind := rapid.SampledFrom([]policy.EventKind{policy.Taken, policy.Finished, policy.Withdrawn, policy.ListWhole, policy.ListChanges, policy.ListFailed, policy.Woken, policy.Probed}).Draw(t, "kind")
+	kind := rapid.SampledFrom([]policy.EventKind{policy.MessageAccepted, policy.AttemptFinished, policy.MessageCancelled, policy.EndpointSnapshot, policy.EndpointDelta, policy.WatchFailed, policy.TimerFired, policy.HealthChecked}).Draw(t, "kind")
 	e := policy.Event{Kind: kind}
 	number := rapid.IntRange(-3, math.MaxInt32)
 	span := rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
 	route := rapid.SampledFrom([]string{"", "s-1", "s-2", "a route with \x00 and ü", strings.Repeat("long", 90)})
 	switch kind {
-	case policy.Taken:
-		e.ID, e.Class, e.Customer, e.Destination = rapid.Uint32().Draw(t, "id"), number.Draw(t, "class"), number.Draw(t, "customer"), number.Draw(t, "dest")
-		e.Left, e.Key = span.Draw(t, "left"), rapid.StringN(0, 40, 400).Draw(t, "key")
+	case policy.MessageAccepted:
+		e.MessageID, e.Class, e.Tenant, e.Destination = rapid.Uint32().Draw(t, "id"), number.Draw(t, "class"), number.Draw(t, "customer"), number.Draw(t, "dest")
+		e.TimeLeft, e.Key = span.Draw(t, "left"), rapid.StringN(0, 40, 400).Draw(t, "key")
 		if rapid.Bool().Draw(t, "resumed") {
-			e.Resumed = &policy.Resumed{Attempts: number.Draw(t, "attempts")}
+			e.Recovered = &policy.RecoveredMessage{Attempts: number.Draw(t, "attempts")}
 			if rapid.Bool().Draw(t, "ran") {
-				e.Resumed.Ran, e.Resumed.RanAgo, e.Resumed.RanZone = true, span.Draw(t, "ago"), number.Draw(t, "zone")
+				e.Recovered.MayHaveRun, e.Recovered.SinceFirstRun, e.Recovered.FirstRunZone = true, span.Draw(t, "ago"), number.Draw(t, "zone")
 			}
 		}
-	case policy.Finished, policy.Probed:
-		e.ID, e.Attempt, e.Route = rapid.Uint32().Draw(t, "id"), number.Draw(t, "attempt"), route.Draw(t, "route")
-		e.Outcome, e.Took, e.Ended = policy.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome")), span.Draw(t, "took"), rapid.Bool().Draw(t, "ended")
+	case policy.AttemptFinished, policy.HealthChecked:
+		e.MessageID, e.Attempt, e.Endpoint = rapid.Uint32().Draw(t, "id"), number.Draw(t, "attempt"), route.Draw(t, "route")
+		e.Outcome, e.Latency, e.MessageEnded = policy.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome")), span.Draw(t, "took"), rapid.Bool().Draw(t, "ended")
 		if rapid.Bool().Draw(t, "wait") {
-			e.Wait = span.Draw(t, "told")
+			e.RetryAfter = span.Draw(t, "told")
 		}
 		if rapid.Bool().Draw(t, "report") {
-			e.Report = policy.Report{Told: true, Left: rapid.Float64().Draw(t, "left"), Limit: rapid.Float64().Draw(t, "limit")}
+			e.LimitReport = policy.LimitReport{Present: true, Remaining: rapid.Float64().Draw(t, "left"), Limit: rapid.Float64().Draw(t, "limit")}
 		}
-	case policy.Withdrawn:
-		e.ID = rapid.Uint32().Draw(t, "id")
-	case policy.ListWhole, policy.ListChanges:
+	case policy.MessageCancelled:
+		e.MessageID = rapid.Uint32().Draw(t, "id")
+	case policy.EndpointSnapshot, policy.EndpointDelta:
 		for range rapid.IntRange(0, 5).Draw(t, "entries") {
-			e.List = append(e.List, policy.Listing{
-				Route: route.Draw(t, "route"), Destination: number.Draw(t, "dest"), Kind: number.Draw(t, "kind"), Zone: number.Draw(t, "zone"),
-				Weight: rapid.Float64().Draw(t, "weight"), InService: rapid.Bool().Draw(t, "in"), Gone: rapid.Bool().Draw(t, "gone"),
+			e.Endpoints = append(e.Endpoints, policy.Endpoint{
+				ID: route.Draw(t, "route"), Destination: number.Draw(t, "dest"), Kind: number.Draw(t, "kind"), Zone: number.Draw(t, "zone"),
+				Weight: rapid.Float64().Draw(t, "weight"), InService: rapid.Bool().Draw(t, "in"), Removed: rapid.Bool().Draw(t, "gone"),
 			})
 		}
 	}
@@ -101,13 +101,13 @@
 	span := time.Duration(rapid.Int64().Draw(t, "span"))
 	switch a.Kind {
 	case policy.Send:
-		a.ID, a.Route, a.At = rapid.Uint32().Draw(t, "id"), "s-9", span
-	case policy.Refuse, policy.Fail:
-		a.ID, a.Delay = rapid.Uint32().Draw(t, "id"), span
-	case policy.Wake:
+		a.MessageID, a.Endpoint, a.TimeoutAt = rapid.Uint32().Draw(t, "id"), "s-9", span
+	case policy.Reject, policy.Fail:
+		a.MessageID, a.Delay = rapid.Uint32().Draw(t, "id"), span
+	case policy.SetTimer:
 		a.Delay = span
 	case policy.CloseIdle:
-		a.Route = "s-9"
+		a.Endpoint = "s-9"
 	}
 	return a
 }
@@ -165,8 +165,8 @@
 func lists(e flightrecorder.Entry) string {
 	text := fmt.Sprintf("%+v", e)
 	for _, x := range e.Events {
-		text += fmt.Sprintf(" %+v %q", x.Resumed, x.Key)
-		text = strings.ReplaceAll(text, fmt.Sprintf("Resumed:%p", x.Resumed), "")
+		text += fmt.Sprintf(" %+v %q", x.Recovered, x.Key)
+		text = strings.ReplaceAll(text, fmt.Sprintf("Resumed:%p", x.Recovered), "")
 	}
 	return text
 }
@@ -175,7 +175,7 @@
 // earlier bytes too, changes nothing, and does not come up after damage either.
 func TestPayloadsNeverPassForChunks(t *testing.T) {
 	rec := newRecorder(64 << 20)
-	take := func(key string) { rec.Step(time.Second, []policy.Event{{Kind: policy.Taken, Key: key}}, nil) }
+	take := func(key string) { rec.Step(time.Second, []policy.Event{{Kind: policy.MessageAccepted, Key: key}}, nil) }
 	take("first")
 	old := string(written(t, rec))
 	take(old)
@@ -276,7 +276,7 @@
 		done := make(chan error, 1)
 		var once sync.Once
 		steps := 0
-		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) {
+		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
 			once.Do(func() {
 				go func() {
 					if kind == "log" {
@@ -393,7 +393,7 @@
 func TestPartsArePutTogether(t *testing.T) {
 	var kept [][]byte
 	n := 0
-	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) {
+	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
 		if n++; n%1200 == 0 {
 			kept = append(kept, written(t, rec))
 		}
@@ -441,21 +441,21 @@
 
 func BenchmarkStep(b *testing.B) {
 	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Settings: recordertest.Settings()}, 0, func(b []byte) []byte { return append(b, make([]byte, 4096)...) })
-	took := policy.Event{Kind: policy.Taken, ID: 1, Class: 1, Destination: 7, Left: 16 * time.Second}
-	done := policy.Event{Kind: policy.Finished, ID: 1, Route: "s-5be2a07c", Took: 250 * time.Millisecond, Ended: true}
+	took := policy.Event{Kind: policy.MessageAccepted, MessageID: 1, Class: 1, Destination: 7, TimeLeft: 16 * time.Second}
+	done := policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "s-5be2a07c", Latency: 250 * time.Millisecond, MessageEnded: true}
 	events := []policy.Event{took, done}
-	actions := []policy.Action{{Kind: policy.Send, ID: 1, Route: "s-5be2a07c", At: time.Hour}, {Kind: policy.Wake, Delay: time.Millisecond}}
+	actions := []policy.Action{{Kind: policy.Send, MessageID: 1, Endpoint: "s-5be2a07c", TimeoutAt: time.Hour}, {Kind: policy.SetTimer, Delay: time.Millisecond}}
 	now := time.Second
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 5 * time.Millisecond
-		events[0].ID++
-		events[1].ID, actions[0].ID = events[0].ID, events[0].ID
+		events[0].MessageID++
+		events[1].MessageID, actions[0].MessageID = events[0].MessageID, events[0].MessageID
 		rec.Step(now, events, actions)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(4*b.N), "ns/event")
 	before := rec.Written()
-	rec.Label(events[0].ID, "9b1f03aa5c7e2d41")
+	rec.Label(events[0].MessageID, "9b1f03aa5c7e2d41")
 	rec.Step(now, events, actions)
 	b.ReportMetric(float64(rec.Written()-before), "bytes/message")
 }
--- a/internal/recording/flightrecorder/form.go
+++ b/internal/recording/flightrecorder/form.go
@@ -144,11 +144,11 @@
 func (e *encoder) event(x *policy.Event) {
 	e.byte(byte(x.Kind))
 	switch x.Kind {
-	case policy.Taken:
+	case policy.MessageAccepted:
 		var has byte
-		if x.Resumed != nil {
+		if x.Recovered != nil {
 			has |= hasResumed
-			if x.Resumed.Ran {
+			if x.Recovered.MayHaveRun {
 				has |= hasRan
 			}
 		}
@@ -156,58 +156,58 @@
 			has |= hasKey
 		}
 		e.byte(has)
-		e.message(x.ID)
+		e.message(x.MessageID)
 		e.int(int64(x.Class))
-		e.int(int64(x.Customer))
+		e.int(int64(x.Tenant))
 		e.int(int64(x.Destination))
-		e.int(int64(x.Left))
+		e.int(int64(x.TimeLeft))
 		if has&hasKey != 0 {
 			e.text(x.Key)
 		}
 		if has&hasResumed != 0 {
-			e.int(int64(x.Resumed.Attempts))
+			e.int(int64(x.Recovered.Attempts))
 		}
 		if has&hasRan != 0 {
-			e.int(int64(x.Resumed.RanAgo))
-			e.int(int64(x.Resumed.RanZone))
+			e.int(int64(x.Recovered.SinceFirstRun))
+			e.int(int64(x.Recovered.FirstRunZone))
 		}
-	case policy.Finished, policy.Probed:
+	case policy.AttemptFinished, policy.HealthChecked:
 		var has byte
-		if x.Ended {
+		if x.MessageEnded {
 			has |= hasEnded
 		}
-		if x.Wait != 0 {
+		if x.RetryAfter != 0 {
 			has |= hasWait
 		}
-		if x.Report != (policy.Report{}) {
+		if x.LimitReport != (policy.LimitReport{}) {
 			has |= hasReport
 		}
 		e.byte(has)
-		e.message(x.ID)
+		e.message(x.MessageID)
 		e.int(int64(x.Attempt))
-		e.name(x.Route)
+		e.name(x.Endpoint)
 		e.byte(byte(x.Outcome))
-		e.int(int64(x.Took))
+		e.int(int64(x.Latency))
 		if has&hasWait != 0 {
-			e.int(int64(x.Wait))
+			e.int(int64(x.RetryAfter))
 		}
 		if has&hasReport != 0 {
-			e.bool(x.Report.Told)
-			e.float(x.Report.Left)
-			e.float(x.Report.Limit)
+			e.bool(x.LimitReport.Present)
+			e.float(x.LimitReport.Remaining)
+			e.float(x.LimitReport.Limit)
 		}
-	case policy.Withdrawn:
-		e.message(x.ID)
-	case policy.Rights:
+	case policy.MessageCancelled:
+		e.message(x.MessageID)
+	case policy.QuotaGranted:
 		e.int(int64(x.Destination))
-		e.name(x.Route)
-		e.float(x.Share)
-		e.int(int64(x.Calls))
-		e.int(int64(x.Left))
-	case policy.ListWhole, policy.ListChanges:
-		e.uint(uint64(len(x.List)))
-		for i := range x.List {
-			e.listing(&x.List[i])
+		e.name(x.Endpoint)
+		e.float(x.ReservedFraction)
+		e.int(int64(x.GrantedCalls))
+		e.int(int64(x.TimeLeft))
+	case policy.EndpointSnapshot, policy.EndpointDelta:
+		e.uint(uint64(len(x.Endpoints)))
+		for i := range x.Endpoints {
+			e.listing(&x.Endpoints[i])
 		}
 	}
 }
@@ -220,19 +220,19 @@
 	}
 }
 
-func (e *encoder) listing(l *policy.Listing) {
+func (e *encoder) listing(l *policy.Endpoint) {
 	var has byte
 	if l.InService {
 		has |= 1
 	}
-	if l.Gone {
+	if l.Removed {
 		has |= 2
 	}
-	if l.Again {
+	if l.Relisted {
 		has |= 4
 	}
 	e.byte(has)
-	e.name(l.Route)
+	e.name(l.ID)
 	e.int(int64(l.Destination))
 	e.int(int64(l.Kind))
 	e.int(int64(l.Zone))
@@ -243,18 +243,18 @@
 	e.byte(byte(a.Kind))
 	switch a.Kind {
 	case policy.Send:
-		e.message(a.ID)
-		e.name(a.Route)
-		e.int(int64(a.At))
-	case policy.Refuse, policy.Fail:
-		e.message(a.ID)
+		e.message(a.MessageID)
+		e.name(a.Endpoint)
+		e.int(int64(a.TimeoutAt))
+	case policy.Reject, policy.Fail:
+		e.message(a.MessageID)
 		e.int(int64(a.Delay))
-	case policy.Wake:
+	case policy.SetTimer:
 		e.int(int64(a.Delay))
 	case policy.CloseIdle:
-		e.name(a.Route)
-	case policy.Ask:
-		e.name(a.Route)
+		e.name(a.Endpoint)
+	case policy.RequestQuota:
+		e.name(a.Endpoint)
 		e.int(int64(a.Calls))
 	}
 }
@@ -363,55 +363,55 @@
 func (d *decoder) event(x *policy.Event) {
 	*x = policy.Event{Kind: policy.EventKind(d.byte())}
 	switch x.Kind {
-	case policy.Taken:
+	case policy.MessageAccepted:
 		has := d.byte()
-		x.ID = d.message()
-		x.Class, x.Customer, x.Destination = int(d.int()), int(d.int()), int(d.int())
-		x.Left = time.Duration(d.int())
+		x.MessageID = d.message()
+		x.Class, x.Tenant, x.Destination = int(d.int()), int(d.int()), int(d.int())
+		x.TimeLeft = time.Duration(d.int())
 		if has&hasKey != 0 {
 			x.Key = string(d.bytes())
 		}
 		if has&hasResumed != 0 {
-			x.Resumed = &policy.Resumed{Attempts: int(d.int())}
+			x.Recovered = &policy.RecoveredMessage{Attempts: int(d.int())}
 			if has&hasRan != 0 {
-				x.Resumed.Ran = true
-				x.Resumed.RanAgo, x.Resumed.RanZone = time.Duration(d.int()), int(d.int())
+				x.Recovered.MayHaveRun = true
+				x.Recovered.SinceFirstRun, x.Recovered.FirstRunZone = time.Duration(d.int()), int(d.int())
 			}
 		}
-	case policy.Finished, policy.Probed:
+	case policy.AttemptFinished, policy.HealthChecked:
 		has := d.byte()
-		x.ID, x.Attempt, x.Route = d.message(), int(d.int()), d.name()
-		x.Outcome, x.Took = policy.Outcome(d.byte()), time.Duration(d.int())
-		x.Ended = has&hasEnded != 0
+		x.MessageID, x.Attempt, x.Endpoint = d.message(), int(d.int()), d.name()
+		x.Outcome, x.Latency = policy.Outcome(d.byte()), time.Duration(d.int())
+		x.MessageEnded = has&hasEnded != 0
 		if has&hasWait != 0 {
-			x.Wait = time.Duration(d.int())
+			x.RetryAfter = time.Duration(d.int())
 		}
 		if has&hasReport != 0 {
-			x.Report = policy.Report{Told: d.bool(), Left: d.float(), Limit: d.float()}
+			x.LimitReport = policy.LimitReport{Present: d.bool(), Remaining: d.float(), Limit: d.float()}
 		}
-	case policy.Withdrawn:
-		x.ID = d.message()
-	case policy.Rights:
-		x.Destination, x.Route = int(d.int()), d.name()
-		x.Share, x.Calls, x.Left = d.float(), int(d.int()), time.Duration(d.int())
-	case policy.ListWhole, policy.ListChanges:
+	case policy.MessageCancelled:
+		x.MessageID = d.message()
+	case policy.QuotaGranted:
+		x.Destination, x.Endpoint = int(d.int()), d.name()
+		x.ReservedFraction, x.GrantedCalls, x.TimeLeft = d.float(), int(d.int()), time.Duration(d.int())
+	case policy.EndpointSnapshot, policy.EndpointDelta:
 		n := d.count()
-		x.List = make([]policy.Listing, 0, min(n, 1<<16))
+		x.Endpoints = make([]policy.Endpoint, 0, min(n, 1<<16))
 		for range n {
-			x.List = append(x.List, d.listing())
+			x.Endpoints = append(x.Endpoints, d.listing())
 			if d.err != nil {
 				return
 			}
 		}
-	case policy.ListFailed, policy.Woken:
+	case policy.WatchFailed, policy.TimerFired:
 	default:
 		d.fail()
 	}
 }
 
-func (d *decoder) listing() policy.Listing {
+func (d *decoder) listing() policy.Endpoint {
 	has := d.byte()
-	l := policy.Listing{InService: has&1 != 0, Gone: has&2 != 0, Again: has&4 != 0, Route: d.name()}
+	l := policy.Endpoint{InService: has&1 != 0, Removed: has&2 != 0, Relisted: has&4 != 0, ID: d.name()}
 	l.Destination, l.Kind, l.Zone, l.Weight = int(d.int()), int(d.int()), int(d.int()), d.float()
 	return l
 }
@@ -420,16 +420,16 @@
 	*a = policy.Action{Kind: policy.ActionKind(d.byte())}
 	switch a.Kind {
 	case policy.Send:
-		a.ID, a.Route, a.At = d.message(), d.name(), time.Duration(d.int())
-	case policy.Refuse, policy.Fail:
-		a.ID, a.Delay = d.message(), time.Duration(d.int())
-	case policy.Wake:
+		a.MessageID, a.Endpoint, a.TimeoutAt = d.message(), d.name(), time.Duration(d.int())
+	case policy.Reject, policy.Fail:
+		a.MessageID, a.Delay = d.message(), time.Duration(d.int())
+	case policy.SetTimer:
 		a.Delay = time.Duration(d.int())
 	case policy.CloseIdle:
-		a.Route = d.name()
-	case policy.Ask:
-		a.Route, a.Calls = d.name(), int(d.int())
-	case policy.Watch:
+		a.Endpoint = d.name()
+	case policy.RequestQuota:
+		a.Endpoint, a.Calls = d.name(), int(d.int())
+	case policy.WatchEndpoints:
 	default:
 		d.fail()
 	}
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -31,7 +31,7 @@
 
 // goldenRun is a short life of a module, with its fleet's seam beside it or without.
 type goldenRun struct {
-	sender   *policy.Sender
+	sender   *policy.Engine
 	seam     *agent.Seam // nil: the fleet is off
 	recorder *flightrecorder.Recorder
 	events   []policy.Event // of the next step
@@ -48,18 +48,18 @@
 	run := &goldenRun{sender: sender, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
 	if fleet {
 		run.seam = agent.New(agent.Settings{
-			Self: "n1", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.Kinds, Rights: true, Senders: 2,
+			Self: "n1", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.DestinationKinds, Rights: true, Senders: 2,
 		})
 		run.recorder.Beside(run.seam.Snapshot)
 	}
 	return run
 }
 
-func goldenListing() []policy.Listing {
-	return []policy.Listing{
-		{Route: "s-1", Destination: 1, Weight: 5, InService: true},
-		{Route: "s-2", Destination: 1, Zone: 1, Weight: 5, InService: true},
-		{Route: "s-3", Destination: 3, Kind: 1, Weight: 5, InService: true},
+func goldenListing() []policy.Endpoint {
+	return []policy.Endpoint{
+		{ID: "s-1", Destination: 1, Weight: 5, InService: true},
+		{ID: "s-2", Destination: 1, Zone: 1, Weight: 5, InService: true},
+		{ID: "s-3", Destination: 3, Kind: 1, Weight: 5, InService: true},
 	}
 }
 
@@ -94,7 +94,7 @@
 		in := goldenHeard(number)
 		rec := agent.Record{Heard: in.Heard, RightsHeard: in.Rights}
 		in.Events, in.Actions = events, actions
-		in.Views = func() []policy.View { views, _ := r.sender.Views(); return views }
+		in.Views = func() []policy.EndpointView { views, _ := r.sender.Views(); return views }
 		out := r.seam.Step(now, in)
 		rec.Told, rec.RightsTold = out.Told, out.Rights
 		r.recorder.StepBeside(now, events, actions, rec.Append(nil))
@@ -104,19 +104,19 @@
 		switch action.Kind {
 		case policy.Send:
 			r.events = append(r.events, goldenAnswer(number, action))
-		case policy.Wake:
-			r.events = append(r.events, policy.Event{Kind: policy.Woken})
+		case policy.SetTimer:
+			r.events = append(r.events, policy.Event{Kind: policy.TimerFired})
 		}
 	}
 }
 
 func goldenAnswer(number int, action policy.Action) policy.Event {
-	e := policy.Event{Kind: policy.Finished, ID: action.ID, Route: action.Route, Took: goldenEvery, Ended: true}
+	e := policy.Event{Kind: policy.AttemptFinished, MessageID: action.MessageID, Endpoint: action.Endpoint, Latency: goldenEvery, MessageEnded: true}
 	if number%4 == 0 {
-		e.Outcome, e.Ended, e.Wait = policy.Full, false, time.Second
+		e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, time.Second
 	}
 	if number%4 == 1 {
-		e.Report = policy.Report{Told: true, Left: 0.5, Limit: 5}
+		e.LimitReport = policy.LimitReport{Present: true, Remaining: 0.5, Limit: 5}
 	}
 	return e
 }
@@ -125,29 +125,29 @@
 	id := uint32(number + 1)
 	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
 	for i := range uint32(2) {
-		e := policy.Event{Kind: policy.Taken, ID: 10*id + i, Class: number % 3, Customer: number % 2, Destination: 1, Left: 4 * time.Second}
+		e := policy.Event{Kind: policy.MessageAccepted, MessageID: 10*id + i, Class: number % 3, Tenant: number % 2, Destination: 1, TimeLeft: 4 * time.Second}
 		if e.Class == 1 {
 			e.Key = "key"
 		}
 		if number == 7 {
-			e.Resumed = &policy.Resumed{Attempts: 1, Ran: true, RanAgo: time.Second, RanZone: 1}
+			e.Recovered = &policy.RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: time.Second, FirstRunZone: 1}
 		}
 		r.events = append(r.events, e)
 	}
 	switch number {
 	case 9:
-		r.events = append(r.events, policy.Event{Kind: policy.Withdrawn, ID: 10 * id})
+		r.events = append(r.events, policy.Event{Kind: policy.MessageCancelled, MessageID: 10 * id})
 	case 11:
-		r.events = append(r.events, policy.Event{Kind: policy.ListFailed})
+		r.events = append(r.events, policy.Event{Kind: policy.WatchFailed})
 	case 13:
 		gone := goldenListing()[1]
-		gone.InService, gone.Gone = false, true
-		r.events = append(r.events, policy.Event{Kind: policy.ListChanges, List: []policy.Listing{gone}})
+		gone.InService, gone.Removed = false, true
+		r.events = append(r.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{gone}})
 	}
 }
 
 func (r *goldenRun) live() []byte {
-	r.events = []policy.Event{{Kind: policy.ListWhole, List: goldenListing()}}
+	r.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: goldenListing()}}
 	for number := range goldenSteps {
 		now := time.Second + time.Duration(number)*goldenEvery
 		r.take(number)
@@ -155,7 +155,7 @@
 		switch number {
 		case 15:
 			ids := []uint32{160, 161}
-			r.recorder.Cleared(now, "s-1", ids, r.sender.MayStill("s-1", ids, now))
+			r.recorder.Cleared(now, "s-1", ids, r.sender.StillAllowed("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
 			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
@@ -203,8 +203,8 @@
 			fmt.Fprintf(&text, "  state of %d bytes, %x\n", len(e.State), sha256.Sum256(e.State))
 		}
 		for _, x := range e.Events {
-			resumed := x.Resumed
-			x.Resumed = nil
+			resumed := x.Recovered
+			x.Recovered = nil
 			fmt.Fprintf(&text, "  event %v", x)
 			if resumed != nil {
 				fmt.Fprintf(&text, " resumed %v", *resumed)
@@ -270,7 +270,7 @@
 		t.Fatal("no chunk begins with a snapshot")
 	}
 	compared := false
-	before := func(s *policy.Sender, e *flightrecorder.Entry) {
+	before := func(s *policy.Engine, e *flightrecorder.Entry) {
 		if !compared && e.At > entries[second].At {
 			compared = true
 			if !bytes.Equal(s.Snapshot(nil), entries[second].State) {
@@ -301,7 +301,7 @@
 			golden.Check(t, *update, name+".txt", dump(t, entries))
 			golden.Check(t, false, name+".flight", rewrite(entries))
 			playGolden(t, data, entries, fleet)
-			granted := bytes.Contains(golden.Read(t, name+".txt"), fmt.Appendf(nil, "  event {%d ", policy.Rights))
+			granted := bytes.Contains(golden.Read(t, name+".txt"), fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted))
 			if granted != fleet {
 				t.Errorf("rights are granted: %t", granted)
 			}
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -17,7 +17,7 @@
 const (
 	Begin       EntryKind = iota // a chunk begins: Meta, Fresh and State tell of the module there
 	Step                         // a step: Now, Events, Actions
-	Cleared                      // an answer of policy.Sender.MayStill: Now, Route, IDs, May
+	Cleared                      // an answer of policy.Engine.StillAllowed: Now, Route, IDs, May
 	Label                        // the trace id of a message: Message, Text
 	Note                         // a remark: Text
 	BesideState                  // the state of what stands beside the module: State
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -68,7 +68,7 @@
 }
 
 // NewRecorder returns a Recorder of a module that has been told nothing yet, with a ring of so many bytes (0:
-// DefaultRing, LeastRing at least). state appends the module's state as policy.Sender.Snapshot does; it is called from
+// DefaultRing, LeastRing at least). state appends the module's state as policy.Engine.Snapshot does; it is called from
 // Step, after the module has taken it.
 func NewRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ring, state)
@@ -221,7 +221,7 @@
 	r.next()
 }
 
-// Cleared records an answer of policy.Sender.MayStill.
+// Cleared records an answer of policy.Engine.StillAllowed.
 func (r *Recorder) Cleared(now time.Duration, route string, ids []uint32, may bool) {
 	if r == nil {
 		return
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -23,13 +23,13 @@
 // Visitor sees a replay as it goes. Any of its functions may be nil.
 type Visitor struct {
 	// Begin is called with each Sender that a stretch is played on, before its first step.
-	Begin func(s *policy.Sender, e *flightrecorder.Entry)
+	Begin func(s *policy.Engine, e *flightrecorder.Entry)
 	// Settings is called with the settings that hold from here on.
 	Settings func(set policy.Settings)
 	// Before is called with the Sender as the step before left it.
-	Before func(s *policy.Sender, e *flightrecorder.Entry)
+	Before func(s *policy.Engine, e *flightrecorder.Entry)
 	// Step is called after a step was played. The Sender must only be asked, not stepped.
-	Step  func(s *policy.Sender, e *flightrecorder.Entry)
+	Step  func(s *policy.Engine, e *flightrecorder.Entry)
 	Other func(e *flightrecorder.Entry) // labels, notes, and what is lost
 }
 
@@ -79,7 +79,7 @@
 type player struct {
 	visit  Visitor
 	res    Result
-	sender *policy.Sender // nil: waits for a chunk to begin with
+	sender *policy.Engine // nil: waits for a chunk to begin with
 	set    policy.Settings
 	skip   bool // within a chunk that cannot be played
 
@@ -129,7 +129,7 @@
 	case flightrecorder.Cleared:
 		if p.sender != nil {
 			p.res.Cleared++
-			if may := p.sender.MayStill(e.Route, e.IDs, e.Now); may != e.May {
+			if may := p.sender.StillAllowed(e.Route, e.IDs, e.Now); may != e.May {
 				p.differ(e, "whether a call to "+e.Route+" may still leave", fmt.Sprint(e.May), fmt.Sprint(may))
 			}
 		}
@@ -199,7 +199,7 @@
 
 // Restore reads the state that a chunk begins with in mid-life. One that some other build wrote may be such as the module
 // never reaches; that is an error.
-func Restore(e *flightrecorder.Entry) (s *policy.Sender, err error) {
+func Restore(e *flightrecorder.Entry) (s *policy.Engine, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			s, err = nil, fmt.Errorf("replay: a state that the module does not know: %v", x)
@@ -267,7 +267,7 @@
 	}
 	p.res.Beside++
 	out := p.seam.Step(p.last.Now, agent.Input{
-		Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: p.last.Events, Actions: p.decided, Views: func() []policy.View { views, _ := p.sender.Views(); return views },
+		Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
 	})
 	p.last = nil
 	if !slices.EqualFunc(out.Told, rec.Told, func(a, b loadreport.Page) bool { return reflect.DeepEqual(a, b) }) {
@@ -279,7 +279,7 @@
 }
 
 // step guards against a module that panics, on what another one was told.
-func step(s *policy.Sender, e *flightrecorder.Entry) (acts []policy.Action, err error) {
+func step(s *policy.Engine, e *flightrecorder.Entry) (acts []policy.Action, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("panic: %v", x)
@@ -311,16 +311,16 @@
 func Describe(a policy.Action) string {
 	switch a.Kind {
 	case policy.Send:
-		return fmt.Sprintf("send %d to %s until %v", a.ID, a.Route, a.At)
-	case policy.Refuse:
-		return fmt.Sprintf("refuse %d, again after %v", a.ID, a.Delay)
+		return fmt.Sprintf("send %d to %s until %v", a.MessageID, a.Endpoint, a.TimeoutAt)
+	case policy.Reject:
+		return fmt.Sprintf("refuse %d, again after %v", a.MessageID, a.Delay)
 	case policy.Fail:
-		return fmt.Sprintf("fail %d", a.ID)
-	case policy.Wake:
+		return fmt.Sprintf("fail %d", a.MessageID)
+	case policy.SetTimer:
 		return fmt.Sprintf("wake after %v", a.Delay)
 	case policy.CloseIdle:
-		return "close idle " + a.Route
-	case policy.Watch:
+		return "close idle " + a.Endpoint
+	case policy.WatchEndpoints:
 		return "watch"
 	}
 	return fmt.Sprintf("action %d", a.Kind)
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -40,7 +40,7 @@
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
 func TestTheRingIsBoundedAndPlays(t *testing.T) {
 	most := 0
-	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.LeastRing, func(_ *policy.Sender, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
+	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
 	data := written(t, rec)
 	if most > flightrecorder.LeastRing*5/4 || len(data) < flightrecorder.LeastRing/2 {
 		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.LeastRing)
@@ -92,10 +92,10 @@
 		change func(a *policy.Action) bool
 		want   string
 	}{
-		{"another route", func(a *policy.Action) bool { a.Route += "x"; return a.Kind == policy.Send }, "send"},
-		{"another time-out", func(a *policy.Action) bool { a.At++; return a.Kind == policy.Send }, "send"},
-		{"another wake", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Wake }, "wake"},
-		{"another advice", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Refuse }, "refuse"},
+		{"another route", func(a *policy.Action) bool { a.Endpoint += "x"; return a.Kind == policy.Send }, "send"},
+		{"another time-out", func(a *policy.Action) bool { a.TimeoutAt++; return a.Kind == policy.Send }, "send"},
+		{"another wake", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.SetTimer }, "wake"},
+		{"another advice", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Reject }, "refuse"},
 	} {
 		done, at := false, time.Duration(0)
 		bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
@@ -144,7 +144,7 @@
 	odd := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}, flightrecorder.LeastRing, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
 	for i := range 40000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
-		evs := []policy.Event{{Kind: policy.Woken}}
+		evs := []policy.Event{{Kind: policy.TimerFired}}
 		odd.Step(now, evs, s.Step(now, evs))
 	}
 	if res, err := Play(written(t, odd), Visitor{}); err == nil || len(res.Lost) == 0 {
@@ -157,12 +157,12 @@
 func TestSettingsThatChangeAndRestoredModules(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		steps := 0
-		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Sender, rec *flightrecorder.Recorder) {
+		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Engine, rec *flightrecorder.Recorder) {
 			if steps++; steps != 60 {
 				return
 			}
 			set := recordertest.Settings()
-			set.MaxAttempts, set.Slots, set.Classes[0].Effect = 2, 3, policy.Unsafe
+			set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
 			if err := s.Reconfigure(set); err != nil {
 				t.Fatal(err)
 			}
@@ -178,7 +178,7 @@
 			continue
 		}
 		set := recordertest.Settings()
-		set.MaxAttempts, set.Slots, set.Classes[0].Effect = 2, 3, policy.Unsafe
+		set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
 		again, err := policy.Restore(set, s.Snapshot(nil))
 		if err != nil {
 			t.Fatal(err)
@@ -186,7 +186,7 @@
 		resumed := flightrecorder.ResumeRecorder(flightrecorder.Meta{Revision: policy.Revision(), Settings: set}, 0, again.Snapshot, res.To)
 		for i := range 20 {
 			now := res.To + time.Duration(i+1)*50*time.Millisecond
-			evs := []policy.Event{{Kind: policy.Taken, ID: uint32(1<<20 + i), Destination: 1, Left: 3 * time.Second}}
+			evs := []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second}}
 			resumed.Step(now, evs, again.Step(now, evs))
 		}
 		if res, err := Play(written(t, resumed), Visitor{}); err != nil || res.Difference != nil || res.Steps != 20 {
@@ -202,13 +202,13 @@
 		t.Fatal(err)
 	}
 	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}, flightrecorder.LeastRing, s.Snapshot)
-	list := policy.Event{Kind: policy.ListWhole, List: []policy.Listing{{Route: "a", Weight: 3, InService: true}}}
+	list := policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}}}
 	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
-		evs := []policy.Event{list, {Kind: policy.Taken, ID: uint32(i + 1), Left: 16 * time.Second}}
+		evs := []policy.Event{list, {Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second}}
 		rec.Step(now, evs, s.Step(now, evs))
 	}
 	var seen []time.Duration
-	res, err := Play(written(t, rec), Visitor{Step: func(_ *policy.Sender, e *flightrecorder.Entry) { seen = append(seen, e.Now) }})
+	res, err := Play(written(t, rec), Visitor{Step: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }})
 	if err != nil || res.Difference != nil || len(seen) != 7 || seen[3] != 30*time.Second || seen[5] != -time.Second {
 		t.Errorf("%v, %+v, %v", err, res, seen)
 	}
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -40,7 +40,7 @@
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				return true
 			})
-			r.catalog.Put(catalog.Endpoint{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, Addr: addr})
+			r.catalog.Put(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
 			var ins []*handIn
 			for i, id := range order {
 				in := newHandIn(id, 7, left[id])
@@ -78,7 +78,7 @@
 	if ms, err := strconv.Atoi(<-expires); err != nil || ms > 400 {
 		t.Errorf("the call tells that it waits %d ms, %v", ms, err)
 	}
-	for i, want := range []policy.Outcome{policy.Moot, policy.Timeout, policy.Timeout} {
+	for i, want := range []policy.Outcome{policy.NotSent, policy.Timeout, policy.Timeout} {
 		if results[i].outcome != want {
 			t.Errorf("%s: %v, want %v", c.attempts[i].m.Trace, results[i].outcome, want)
 		}
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -444,7 +444,7 @@
 	c.watch(nil)
 	if !r.post(in) {
 		c.unwatch()
-		return answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+		return answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 	}
 	a := <-in.reply
 	if open, _ := c.unwatch(); open {
@@ -489,7 +489,7 @@
 		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
 	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
 		return nil, 0, errors.New("more than one id or key")
-	case m.Key == "" && t.Settings.Classes[m.Class].Effect == policy.Keyed:
+	case m.Key == "" && t.Settings.Classes[m.Class].Effect == policy.IdempotentByKey:
 		return nil, 0, errors.New("no Idempotency-Key")
 	}
 	if len(t.Customers) > 0 {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -258,7 +258,7 @@
 	in := newHandIn("m1", 7, 5*time.Second)
 	decide(r, in)
 	m := r.msgs[in.m.ID]
-	r.carryOut([]policy.Action{{Kind: policy.Refuse, ID: m.ID, Delay: 700 * time.Millisecond}}, nil)
+	r.carryOut([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
 	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.again != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
@@ -293,8 +293,8 @@
 		if again == nil || again.ended || again.ID == m.ID {
 			t.Fatalf("restart %d: %+v", restart, again)
 		}
-		e := r.resumed(again).Resumed
-		if e.Attempts != 1 || !e.Ran || e.RanZone != 1 || e.RanAgo < time.Second || !again.MayRun[0].At.Equal(sent.At) {
+		e := r.resumed(again).Recovered
+		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second || !again.MayRun[0].At.Equal(sent.At) {
 			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.MayRun)
 		}
 	}
@@ -318,7 +318,7 @@
 // A Send of a message that is not held must not end the loop.
 func TestASendOfNothingEndsNothing(t *testing.T) {
 	r := newTestRelay(t)
-	r.carryOut([]policy.Action{{Kind: policy.Send, ID: 4711, Route: "s-1", At: time.Minute}}, nil)
+	r.carryOut([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
 	if r.out != 0 {
 		t.Errorf("%d calls", r.out)
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -188,7 +188,7 @@
 	if _, err := from.ReadSlice(':'); err != nil { // blanks at most stand before it
 		return fmt.Errorf("known: %w", err)
 	}
-	var listing func(*member) (policy.Listing, string, error)
+	var listing func(*member) (policy.Endpoint, string, error)
 	if keep {
 		listing = c.listing
 	}
@@ -315,8 +315,8 @@
 
 // longest is the most time that a message of a class may have.
 func longest(class policy.Class) time.Duration {
-	if class.GiveUp > 0 {
-		return class.GiveUp
+	if class.Deadline > 0 {
+		return class.Deadline
 	}
 	return 24 * time.Hour
 }
@@ -391,21 +391,21 @@
 }
 
 // listing is what an entry says. Its id is returned also where the rest cannot be used.
-func (c *Config) listing(m *member) (l policy.Listing, addr string, err error) {
-	l = policy.Listing{Route: m.ID, Zone: slices.Index(c.Zones, m.Zone), Kind: slices.Index(c.Kinds, m.Kind), Weight: m.Weight}
+func (c *Config) listing(m *member) (l policy.Endpoint, addr string, err error) {
+	l = policy.Endpoint{ID: m.ID, Zone: slices.Index(c.Zones, m.Zone), Kind: slices.Index(c.Kinds, m.Kind), Weight: m.Weight}
 	switch m.State {
 	case "ready":
 		l.InService = true
 	case "draining":
 	case "gone":
-		l.Gone = true
+		l.Removed = true
 	default:
 		return l, "", fmt.Errorf("unknown state %q", m.State)
 	}
 	switch {
 	case m.ID == "":
 		return l, "", errors.New("no id")
-	case l.Gone:
+	case l.Removed:
 		return l, "", nil
 	case m.Addr == "" || m.Cell == nil:
 		return l, "", errors.New("no address or no cell")
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "../herd", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -88,7 +88,7 @@
 	within  time.Duration // a list comes whole within this; 0: whenever
 	told    func(List)
 	long    parts // takes lists that are not told as a whole
-	listing func(*member) (policy.Listing, string, error)
+	listing func(*member) (policy.Endpoint, string, error)
 	herd    backoff.Caller // one of all relays that follow the list
 	rng     *rand.Rand
 	known   bool // a list is known that serves meanwhile
@@ -105,8 +105,8 @@
 // was silent.
 func listCaller(cfg Config) backoff.Caller {
 	c := backoff.Caller{Clients: 1, Grace: cfg.Grace}
-	if cfg.Settings.AskList {
-		c.Clients = cfg.Settings.Senders
+	if cfg.Settings.WatchRequired {
+		c.Clients = cfg.Settings.FleetSize
 	}
 	return c
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -134,7 +134,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := Config{Grace: c.grace}
-			cfg.Settings.Senders, cfg.Settings.AskList = c.senders, c.ask
+			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
 			caller, rng := listCaller(cfg), rand.New(most{})
 			if first := caller.First(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
@@ -178,7 +178,7 @@
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
 	cfg := Config{Grace: 400 * time.Millisecond}
-	cfg.Settings.Senders = 300
+	cfg.Settings.FleetSize = 300
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(s)), silence: 30 * time.Millisecond, known: true,
 		told: func(l List) { told <- l }, herd: listCaller(cfg), rng: rand.New(most{}),
@@ -209,7 +209,7 @@
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
 			for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second} {
 				cfg := Config{Grace: grace}
-				cfg.Settings.Senders, cfg.Settings.AskList = senders, ask
+				cfg.Settings.FleetSize, cfg.Settings.WatchRequired = senders, ask
 				worst, at := time.Duration(0), ""
 				note := func(d time.Duration, how string) {
 					if d > worst {
@@ -279,7 +279,7 @@
 			told, ended := make(chan time.Time, 8), make(chan struct{})
 			t.Cleanup(func() { stop(); <-ended; s.Close() })
 			cfg := Config{Grace: time.Second}
-			cfg.Settings.Senders, cfg.Settings.AskList = c.senders, c.ask
+			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
 			w := watcher{
 				log: quiet(), agent: newAgent(addrOf(s)), silence: watchSilence, known: true, version: 4,
 				told: func(List) { told <- time.Now() }, herd: listCaller(cfg), rng: rand.New(most{}),
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -15,7 +15,7 @@
 	}
 	r.fleet = fleet.New(fleet.Config{
 		Name: cmp.Or(set.Name, r.cfg.Name), Label: set.Label, Listen: set.Listen, Join: set.Join, Folder: r.cfg.StateDir,
-		Kinds: r.cfg.Settings.Kinds, Rights: set.Rights, Senders: r.cfg.Settings.Senders, Clock: r.now, Log: r.log, Nudge: r.nudge,
+		Kinds: r.cfg.Settings.DestinationKinds, Rights: set.Rights, Senders: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, Nudge: r.nudge,
 	})
 	r.rec.Beside(r.fleet.Seam().Snapshot)
 }
@@ -32,7 +32,7 @@
 		}
 		evs = append(evs, r.resumed(m))
 		if m.out > 0 {
-			acts = append(acts, policy.Action{Kind: policy.Send, ID: m.ID})
+			acts = append(acts, policy.Action{Kind: policy.Send, MessageID: m.ID})
 		}
 	}
 	r.fleet.Step(r.now(), evs, acts, nil)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -36,28 +36,28 @@
 		{"tick_ms", c.Tick}, {"stats", c.Reports},
 		{"bounds.connect_timeout_ms", c.ConnectTimeout}, {"bounds.keepalive_ms", c.KeepAlive}, {"bounds.may_duplicate", c.MayDuplicate},
 		{"rules.stop_sending_within_ms", c.Grace},
-		{"fleet_size", s.Senders}, {"extra.call_slots", s.Slots}, {"bounds.open_cap", s.MaxHeld}, {"bounds.send_cap", s.MaxAttempts},
-		{"bounds.max_retry_after_ms", s.MaxRetryAfter}, {"weight_kind rough", s.RoughWeights}, {"weight_kind none", s.NoWeights},
-		{"membership_mode ask", s.AskList}, {"extra.carriage", s.Carriage}, {"rules.cold_from", s.ColdShare},
-		{"rules.warm_within_ms", s.WarmWithin}, {"rules.overload_factor", s.OverloadFactor}, {"rules.fall_ms", s.OverloadWindow},
-		{"rules.order_pause_ms", s.OrderPause},
+		{"fleet_size", s.FleetSize}, {"extra.call_slots", s.MaxInFlightCalls}, {"bounds.open_cap", s.MaxPendingMessages}, {"bounds.send_cap", s.MaxAttempts},
+		{"bounds.max_retry_after_ms", s.MaxRetryAfter}, {"weight_kind rough", s.ApproximateWeights}, {"weight_kind none", s.IgnoreWeights},
+		{"membership_mode ask", s.WatchRequired}, {"extra.carriage", s.ZoneCosts}, {"rules.cold_from", s.WarmUpInitialCapacity},
+		{"rules.warm_within_ms", s.WarmUpDuration}, {"rules.overload_factor", s.OverloadFactor}, {"rules.fall_ms", s.OverloadWindow},
+		{"rules.order_pause_ms", s.OrderingPause},
 	}
 	for i, class := range s.Classes {
 		at := fmt.Sprintf("services.%d.", i)
-		all = append(all, setting{at + "semantics", int(class.Effect)}, setting{at + "group all", class.GroupAll}, setting{at + "repeat_window_ms", class.Window},
-			setting{at + "by_arrival", class.Ordered}, setting{at + "goal_time_ms", class.Aim}, setting{at + "give_up_ms", class.GiveUp}, setting{at + "value", class.Value})
+		all = append(all, setting{at + "semantics", int(class.Effect)}, setting{at + "group all", class.DedupAllZones}, setting{at + "repeat_window_ms", class.DedupWindow},
+			setting{at + "by_arrival", class.Ordered}, setting{at + "goal_time_ms", class.LatencyObjective}, setting{at + "give_up_ms", class.Deadline}, setting{at + "value", class.Weight})
 	}
-	for i, customer := range s.Customers {
+	for i, customer := range s.Tenants {
 		all = append(all, setting{fmt.Sprintf("realms.%d.quota_per_s", i), customer.Quota})
 	}
-	for i, kind := range s.Kinds {
-		all = append(all, setting{fmt.Sprintf("extra.per_call.%d", i), kind.PerCall}, setting{fmt.Sprintf("extra.separate_routes.%d", i), kind.Separate})
+	for i, kind := range s.DestinationKinds {
+		all = append(all, setting{fmt.Sprintf("extra.per_call.%d", i), kind.MaxBatch}, setting{fmt.Sprintf("extra.separate_routes.%d", i), kind.LimitPerEndpoint})
 	}
 	all = append(all, setting{"known.version", c.Known.Version}, setting{"known.full", c.Known.Full})
 	for i, e := range c.Known.Entries {
 		at := fmt.Sprintf("known.servers.%d.", i)
-		all = append(all, setting{at + "id", e.Route}, setting{at + "addr", e.Addr}, setting{at + "zone", e.Zone}, setting{at + "kind", e.Kind},
-			setting{at + "cell", e.Destination}, setting{at + "state ready", e.InService}, setting{at + "state gone", e.Gone}, setting{at + "weight", e.Weight},
+		all = append(all, setting{at + "id", e.ID}, setting{at + "addr", e.Addr}, setting{at + "zone", e.Zone}, setting{at + "kind", e.Kind},
+			setting{at + "cell", e.Destination}, setting{at + "state ready", e.InService}, setting{at + "state gone", e.Removed}, setting{at + "weight", e.Weight},
 			setting{at + "error", e.err})
 	}
 	var b strings.Builder
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -82,7 +82,7 @@
 	outcome policy.Outcome
 	gone    bool // the message is over: nothing more is owed
 	wait    time.Duration
-	report  policy.Report
+	report  policy.LimitReport
 	took    time.Duration // from when the request was written
 }
 
@@ -98,7 +98,7 @@
 	conn, fresh, err := h.get(ctx, peer{c.route, c.addr})
 	switch {
 	case err != nil && scarce(err):
-		return alike(c, result{outcome: policy.Moot})
+		return alike(c, result{outcome: policy.NotSent})
 	case err != nil:
 		return alike(c, result{outcome: policy.ConnectFailed})
 	}
@@ -107,7 +107,7 @@
 	if fresh || time.Since(c.sent) > heldUpAfter {
 		leaving.attempts = clear(c)
 	}
-	results := alike(c, result{outcome: policy.Moot})
+	results := alike(c, result{outcome: policy.NotSent})
 	if len(leaving.attempts) == 0 {
 		conn.keep()
 		return results
@@ -342,16 +342,16 @@
 func outcome(head *http.Response) (o policy.Outcome, gone bool) {
 	switch head.StatusCode {
 	case http.StatusTooManyRequests:
-		return policy.Full, false
+		return policy.Overloaded, false
 	case http.StatusServiceUnavailable:
 		if head.Header.Get("Slots-Taken") == "1" {
-			return policy.Moot, false
+			return policy.NotSent, false
 		}
-		return policy.Full, false
+		return policy.Overloaded, false
 	case http.StatusGatewayTimeout:
-		return policy.Moot, false
+		return policy.NotSent, false
 	case http.StatusGone:
-		return policy.Moot, true
+		return policy.NotSent, true
 	}
 	return policy.Error, false // 500, and what is not known: it may have run
 }
@@ -382,19 +382,19 @@
 		case "error":
 			results[i].outcome = policy.Error
 		case "later":
-			results[i].outcome = policy.Full
+			results[i].outcome = policy.Overloaded
 		case "gone":
-			results[i].outcome, results[i].gone = policy.Moot, true
+			results[i].outcome, results[i].gone = policy.NotSent, true
 		case "exhausted":
-			results[i].outcome = policy.Moot
+			results[i].outcome = policy.NotSent
 		}
 	}
 	return results
 }
 
 // report reads what a host tells of its limit.
-func (h *hosts) report(text string) policy.Report {
-	var rep policy.Report
+func (h *hosts) report(text string) policy.LimitReport {
+	var rep policy.LimitReport
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
 		return rep
@@ -408,9 +408,9 @@
 		}
 		switch name {
 		case "x0":
-			rep.Left = x
+			rep.Remaining = x
 		case "x1":
-			rep.Limit, rep.Told = x, true
+			rep.Limit, rep.Present = x, true
 		}
 	}
 	return rep
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -239,7 +239,7 @@
 		return true
 	})
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].outcome != policy.Moot {
+	if r := h.do(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].outcome != policy.NotSent {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 	if n := requests.Load(); n != 0 {
@@ -326,7 +326,7 @@
 		t.Fatal(err)
 	}
 	// That the relay itself has no room is no failure of the host.
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.Moot {
+	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.NotSent {
 		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
 	}
 	busy.drop()
@@ -340,17 +340,17 @@
 	}{
 		{200, nil, result{outcome: policy.OK}},
 		{500, nil, result{outcome: policy.Error}},
-		{429, http.Header{"Retry-After": {"0.75"}}, result{outcome: policy.Full, wait: 750 * time.Millisecond}},
-		{429, http.Header{"Retry-After": {"soon"}}, result{outcome: policy.Full}},
-		{503, nil, result{outcome: policy.Full}},
-		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Full, wait: 2 * time.Second}},
-		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.Moot}},
-		{504, nil, result{outcome: policy.Moot}},
-		{410, nil, result{outcome: policy.Moot, gone: true}},
+		{429, http.Header{"Retry-After": {"0.75"}}, result{outcome: policy.Overloaded, wait: 750 * time.Millisecond}},
+		{429, http.Header{"Retry-After": {"soon"}}, result{outcome: policy.Overloaded}},
+		{503, nil, result{outcome: policy.Overloaded}},
+		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Overloaded, wait: 2 * time.Second}},
+		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.NotSent}},
+		{504, nil, result{outcome: policy.NotSent}},
+		{410, nil, result{outcome: policy.NotSent, gone: true}},
 		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
 		{418, nil, result{outcome: policy.Error}},
 		{200, http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
-			result{outcome: policy.OK, report: policy.Report{Told: true, Left: 0.4, Limit: 25}}},
+			result{outcome: policy.OK, report: policy.LimitReport{Present: true, Remaining: 0.4, Limit: 25}}},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/events" {
@@ -381,11 +381,11 @@
 	}{
 		{"every state", 200, "", `[{"id":"f","state":"what"},{"id":"e","state":"exhausted"},{"id":"d","state":"gone"},
 			{"id":"c","state":"later"},{"id":"b","state":"error"},{"id":"a","state":"ok"}]`,
-			[]policy.Outcome{policy.OK, policy.Error, policy.Full, policy.Moot, policy.Moot, policy.Error}},
+			[]policy.Outcome{policy.OK, policy.Error, policy.Overloaded, policy.NotSent, policy.NotSent, policy.Error}},
 		{"missing and unreadable items", 200, "", `[{"id":"a","state":"ok"},7,{"id":3},{"id":"f","state":"ok"}]`,
 			[]policy.Outcome{policy.OK, policy.Error, policy.Error, policy.Error, policy.Error, policy.OK}},
 		{"unreadable", 200, "", `{`, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
-		{"all turned away", 429, "1.5", ``, slices.Repeat([]policy.Outcome{policy.Full}, 6)},
+		{"all turned away", 429, "1.5", ``, slices.Repeat([]policy.Outcome{policy.Overloaded}, 6)},
 		{"all failed", 500, "", ``, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
 		{"a wait with deliveries", 200, "1.5", `[{"id":"a","state":"ok"}]`,
 			append([]policy.Outcome{policy.OK}, slices.Repeat([]policy.Outcome{policy.Error}, 5)...)},
@@ -561,7 +561,7 @@
 		conn.Close()
 	}()
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].outcome != policy.Full {
+	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].outcome != policy.Overloaded {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
 }
@@ -609,7 +609,7 @@
 		"", "TEXT", "x1=25", "TEXT x1", "TEXT x1=", "TEXT x1=NaN", "TEXT x1=Inf", "TEXT x1=-Inf", "TEXT x1=-3", "TEXT x1=1e300",
 		"TEXT x1=0x", "TEXT y=3", "TEXT x0=nan",
 	} {
-		if r := h.report(text); r != (policy.Report{}) {
+		if r := h.report(text); r != (policy.LimitReport{}) {
 			t.Errorf("%q: %+v", text, r)
 		}
 	}
--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -49,7 +49,7 @@
 	Now      time.Duration  `json:"Now"`      // the module's
 	At       time.Time      `json:"At"`       // wall time then
 	WakeAt   time.Time      `json:"WakeAt"`   // zero: none asked for
-	Snapshot []byte         `json:"Snapshot"` // policy.Sender.Snapshot
+	Snapshot []byte         `json:"Snapshot"` // policy.Engine.Snapshot
 	Terms    reload.Terms   `json:"Terms"`    // that hold
 	Version  int64          `json:"Version"`  // of the list
 	Large    bool           `json:"Large"`    // the list is too long to be told as a whole: what follows of it is what the module knows
@@ -71,7 +71,7 @@
 
 // Route is a listed host.
 type Route struct {
-	policy.Listing
+	policy.Endpoint
 	Addr string `json:"Addr"`
 }
 
@@ -97,14 +97,14 @@
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	ID      uint32         `json:"ID"`
-	N       int            `json:"N"`
-	Outcome policy.Outcome `json:"Outcome"`
-	Gone    bool           `json:"Gone"`
-	Wait    time.Duration  `json:"Wait"`
-	Report  policy.Report  `json:"Report"`
-	Took    time.Duration  `json:"Took"`
-	Last    bool           `json:"Last"` // its call is over, too: nothing more is told of it
+	ID      uint32             `json:"ID"`
+	N       int                `json:"N"`
+	Outcome policy.Outcome     `json:"Outcome"`
+	Gone    bool               `json:"Gone"`
+	Wait    time.Duration      `json:"Wait"`
+	Report  policy.LimitReport `json:"Report"`
+	Took    time.Duration      `json:"Took"`
+	Last    bool               `json:"Last"` // its call is over, too: nothing more is told of it
 }
 
 // HandIn is a message that a client of the first process hands in.
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -67,27 +67,27 @@
 	if l.Full {
 		r.catalog.Begin()
 	}
-	e := policy.Event{Kind: policy.ListChanges}
+	e := policy.Event{Kind: policy.EndpointDelta}
 	if r.large.Load() {
-		e.List = r.slice(l.Entries)
+		e.Endpoints = r.slice(l.Entries)
 	} else {
 		for i := range l.Entries {
-			e.List = r.entry(e.List, &l.Entries[i])
+			e.Endpoints = r.entry(e.Endpoints, &l.Entries[i])
 		}
 	}
 	if l.Full {
 		removed, _ := r.catalog.Sweep(math.MaxInt)
-		e.List = r.swept(e.List, removed)
+		e.Endpoints = r.swept(e.Endpoints, removed)
 	}
 	r.holdsList()
 	if !r.large.Load() {
 		if l.Full {
-			e.Kind = policy.ListWhole
+			e.Kind = policy.EndpointSnapshot
 		}
 		if r.catalog.Endpoints() > catalog.WholeMost {
 			r.enlarge()
 		}
-	} else if len(e.List) == 0 {
+	} else if len(e.Endpoints) == 0 {
 		return nil
 	}
 	return []policy.Event{e}
@@ -102,11 +102,11 @@
 }
 
 // entry takes an entry of a list, and adds what the module is told of it.
-func (r *Relay) entry(told []policy.Listing, e *entry) []policy.Listing {
+func (r *Relay) entry(told []policy.Endpoint, e *entry) []policy.Endpoint {
 	if e.err != nil {
 		r.unlisted.came(r.log, "entry", e.text, "err", e.err)
-		if known, ok := r.catalog.Keep(e.Route); ok && !r.large.Load() {
-			return append(told, known.Listing)
+		if known, ok := r.catalog.Keep(e.ID); ok && !r.large.Load() {
+			return append(told, known.Endpoint)
 		}
 		return told
 	}
@@ -117,13 +117,13 @@
 	}
 	switch {
 	case !r.large.Load():
-		return append(told, e.Listing)
+		return append(told, e.Endpoint.Endpoint)
 	case c.Kind == catalog.Same:
 		return told
 	case c.Kind == catalog.Removed && r.hears(c.Was.Destination):
 		return append(told, departed(c.Was))
 	case c.Kind != catalog.Removed && r.hears(e.Destination):
-		return append(told, e.Listing)
+		return append(told, e.Endpoint.Endpoint)
 	}
 	return told
 }
@@ -134,7 +134,7 @@
 		r.awake.Added(c.Is.Destination, r.now())
 	}
 	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Was.Addr != c.Is.Addr {
-		r.hosts.closeIdle(c.Was.Route)
+		r.hosts.closeIdle(c.Was.ID)
 	}
 	if (c.Kind == catalog.Changed || c.Kind == catalog.Moved || c.Kind == catalog.Removed) && !c.Was.InService {
 		r.draining--
@@ -145,7 +145,7 @@
 }
 
 // swept takes hosts that a whole list did not name, and adds what the module is told of them. It needs not be where it is told the whole.
-func (r *Relay) swept(told []policy.Listing, removed []catalog.Endpoint) []policy.Listing {
+func (r *Relay) swept(told []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
 	for _, was := range removed {
 		r.changed(&catalog.Change{Was: was, Kind: catalog.Removed})
 		if r.large.Load() && r.hears(was.Destination) {
@@ -155,8 +155,8 @@
 	return told
 }
 
-func departed(e catalog.Endpoint) policy.Listing {
-	return policy.Listing{Route: e.Route, Destination: e.Destination, Kind: e.Kind, Zone: e.Zone, Gone: true}
+func departed(e catalog.Endpoint) policy.Endpoint {
+	return policy.Endpoint{ID: e.ID, Destination: e.Destination, Kind: e.Kind, Zone: e.Zone, Removed: true}
 }
 
 // hears tells whether the module knows of a destination.
@@ -186,7 +186,7 @@
 }
 
 func (r *Relay) newAwake() *catalog.WorkingSet {
-	return catalog.NewWorkingSet(cmp.Or(r.terms.Settings.WarmWithin, usualWarm))
+	return catalog.NewWorkingSet(cmp.Or(r.terms.Settings.WarmUpDuration, usualWarm))
 }
 
 // gather takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that came before it waits in the batch.
@@ -240,7 +240,7 @@
 // takePart takes a part of a long list. What the module hears of it, it hears in the next step.
 func (r *Relay) takePart(p *part) {
 	ok := true
-	var told []policy.Listing
+	var told []policy.Endpoint
 	switch p.stage {
 	case listOpens:
 		r.enlarge()
@@ -260,20 +260,20 @@
 		r.receiving = false
 	}
 	if len(told) > 0 {
-		r.later = append(r.later, policy.Event{Kind: policy.ListChanges, List: told})
+		r.later = append(r.later, policy.Event{Kind: policy.EndpointDelta, Endpoints: told})
 	}
 	p.done <- ok
 }
 
 // slice takes some entries of a list: those that end something first.
-func (r *Relay) slice(entries []entry) (told []policy.Listing) {
+func (r *Relay) slice(entries []entry) (told []policy.Endpoint) {
 	var ended map[string]int // the last entry that ends so
 	for i := range entries {
 		if e := &entries[i]; e.err == nil && !e.InService {
 			if ended == nil {
 				ended = map[string]int{}
 			}
-			ended[e.Route] = i
+			ended[e.ID] = i
 			told = r.entry(told, e)
 		}
 	}
@@ -282,11 +282,11 @@
 		if e.err == nil && !e.InService {
 			continue
 		}
-		if last, ok := ended[e.Route]; ok && i < last {
+		if last, ok := ended[e.ID]; ok && i < last {
 			continue // what came behind it holds
 		}
 		if r.catalog.Endpoints() >= entriesMost && e.err == nil {
-			if _, known := r.catalog.Endpoint(e.Route); !known {
+			if _, known := r.catalog.Endpoint(e.ID); !known {
 				r.overfull = true
 				r.unheld.came(r.log, "most", entriesMost)
 				continue
@@ -302,11 +302,11 @@
 func (r *Relay) rouse(now time.Duration, events []policy.Event) []policy.Event {
 	out := make([]policy.Event, 0, len(events)+2)
 	for _, e := range events {
-		if e.Kind == policy.ListChanges || e.Kind == policy.ListWhole {
+		if e.Kind == policy.EndpointDelta || e.Kind == policy.EndpointSnapshot {
 			out = append(out, e)
 		}
 	}
-	var woken []policy.Listing
+	var woken []policy.Endpoint
 	wake := func(dest int) {
 		if !r.awake.Wake(dest, now) {
 			return
@@ -314,45 +314,45 @@
 		settled := r.awake.Settled(dest, now)
 		r.of = r.catalog.Of(dest, r.of[:0])
 		for _, e := range r.of {
-			e.Again = settled
-			woken = append(woken, e.Listing)
+			e.Relisted = settled
+			woken = append(woken, e.Endpoint)
 		}
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case policy.Taken:
+		case policy.MessageAccepted:
 			wake(e.Destination)
-		case policy.Finished:
-			if m := r.msgs[e.ID]; m != nil {
+		case policy.AttemptFinished:
+			if m := r.msgs[e.MessageID]; m != nil {
 				r.awake.Touch(m.Dest, now)
 			}
-			if e.Wait == 0 {
+			if e.RetryAfter == 0 {
 				break
 			}
 			fallthrough
-		case policy.Probed:
-			if at, ok := r.catalog.Endpoint(e.Route); ok {
+		case policy.HealthChecked:
+			if at, ok := r.catalog.Endpoint(e.Endpoint); ok {
 				wake(at.Destination)
 			}
 		}
 	}
 	if len(woken) > 0 {
-		out = append(out, policy.Event{Kind: policy.ListChanges, List: woken})
+		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: woken})
 	}
 	for _, e := range events {
-		if e.Kind != policy.ListChanges && e.Kind != policy.ListWhole {
+		if e.Kind != policy.EndpointDelta && e.Kind != policy.EndpointSnapshot {
 			out = append(out, e)
 		}
 	}
-	var resting []policy.Listing
-	for _, dest := range r.awake.Rest(now, restMost, r.sender.Resting) {
+	var resting []policy.Endpoint
+	for _, dest := range r.awake.Rest(now, restMost, r.sender.Evictable) {
 		r.of = r.catalog.Of(dest, r.of[:0])
 		for _, e := range r.of {
 			resting = append(resting, departed(e))
 		}
 	}
 	if len(resting) > 0 {
-		out = append(out, policy.Event{Kind: policy.ListChanges, List: resting})
+		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: resting})
 	}
 	r.restAgain(len(resting) > 0)
 	return out
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -38,35 +38,35 @@
 }
 
 // ofModule is what a module knows of the list, by destination and route.
-func ofModule(r *Relay) map[int][]policy.Listing {
-	known := map[int][]policy.Listing{}
+func ofModule(r *Relay) map[int][]policy.Endpoint {
+	known := map[int][]policy.Endpoint{}
 	views, _ := r.sender.Views()
 	for _, v := range views {
-		known[v.Destination] = append(known[v.Destination], v.Listing)
+		known[v.Destination] = append(known[v.Destination], v.Endpoint)
 	}
 	return byRoute(known)
 }
 
 // ofAwake is what it must know: all that the catalog has of the destinations that are awake.
-func ofAwake(r *Relay) map[int][]policy.Listing {
-	known := map[int][]policy.Listing{}
+func ofAwake(r *Relay) map[int][]policy.Endpoint {
+	known := map[int][]policy.Endpoint{}
 	for e := range r.catalog.All() {
 		if r.awake.Has(e.Destination) {
-			known[e.Destination] = append(known[e.Destination], e.Listing)
+			known[e.Destination] = append(known[e.Destination], e.Endpoint)
 		}
 	}
 	return byRoute(known)
 }
 
-func byRoute(known map[int][]policy.Listing) map[int][]policy.Listing {
+func byRoute(known map[int][]policy.Endpoint) map[int][]policy.Endpoint {
 	for _, ls := range known {
-		slices.SortFunc(ls, func(a, b policy.Listing) int { return cmp.Compare(a.Route, b.Route) })
+		slices.SortFunc(ls, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return known
 }
 
-func sameListings(a, b map[int][]policy.Listing) bool {
-	return maps.EqualFunc(a, b, func(x, y []policy.Listing) bool { return slices.Equal(x, y) })
+func sameListings(a, b map[int][]policy.Endpoint) bool {
+	return maps.EqualFunc(a, b, func(x, y []policy.Endpoint) bool { return slices.Equal(x, y) })
 }
 
 // Whatever lists, changes and messages come, and whichever destinations are put to rest: the module knows of those that are awake all that
@@ -81,7 +81,7 @@
 		r.awake.Wake(7, r.now())
 		model := map[string]entry{}
 		for e := range r.catalog.All() {
-			model[e.Route] = entry{Endpoint: e}
+			model[e.ID] = entry{Endpoint: e}
 		}
 		for step := range 60 {
 			switch rng.IntN(4) {
@@ -92,15 +92,15 @@
 				for range rng.IntN(hosts) {
 					k := rng.IntN(hosts)
 					e := entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
-					e.Listing = policy.Listing{Route: fmt.Sprint("h-", k), Destination: 100 + rng.IntN(dests), Kind: 1, Zone: k % 2, Weight: 50, InService: rng.IntN(3) > 0}
+					e.Endpoint.Endpoint = policy.Endpoint{ID: fmt.Sprint("h-", k), Destination: 100 + rng.IntN(dests), Kind: 1, Zone: k % 2, Weight: 50, InService: rng.IntN(3) > 0}
 					if rng.IntN(6) == 0 {
-						e.Endpoint = catalog.Endpoint{Listing: policy.Listing{Route: e.Route, Gone: true}}
+						e.Endpoint = catalog.Endpoint{Endpoint: policy.Endpoint{ID: e.ID, Removed: true}}
 					}
-					entries, named[e.Route] = append(entries, e), true
-					if e.Gone {
-						delete(model, e.Route)
+					entries, named[e.ID] = append(entries, e), true
+					if e.Removed {
+						delete(model, e.ID)
 					} else {
-						model[e.Route] = e
+						model[e.ID] = e
 					}
 				}
 				if full {
@@ -146,7 +146,7 @@
 	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Has(50) || r.awake.Has(51) {
 		t.Fatalf("%+v", a)
 	}
-	news := func(entries []entry) (told []policy.Listing) {
+	news := func(entries []entry) (told []policy.Endpoint) {
 		r.catalog.Begin()
 		for _, p := range []*part{{stage: listSlice, entries: entries}, {stage: listSweep}, {stage: listCloses, version: 3}} {
 			p.done = make(chan bool, 1)
@@ -154,7 +154,7 @@
 			<-p.done
 		}
 		for _, e := range r.later {
-			told = append(told, e.List...)
+			told = append(told, e.Endpoints...)
 		}
 		r.later = nil
 		return told
@@ -163,10 +163,10 @@
 		t.Errorf("the same list: told %+v", told)
 	}
 	entries[1].InService, entries[2].InService = false, false
-	if told := news(entries); len(told) != 1 || told[0] != entries[1].Listing {
+	if told := news(entries); len(told) != 1 || told[0] != entries[1].Endpoint.Endpoint {
 		t.Errorf("a drain of what is awake, and one of what is at rest: told %+v", told)
 	}
-	if told := news(entries[1:]); len(told) != 1 || told[0].Route != "s-a" || !told[0].Gone {
+	if told := news(entries[1:]); len(told) != 1 || told[0].ID != "s-a" || !told[0].Removed {
 		t.Errorf("a host that is awake is not named: told %+v", told)
 	}
 }
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -122,7 +122,7 @@
 			told := hear(t, addr, slog.New(slog.NewTextHandler(&log, nil)), 4, func(told []List) bool {
 				return len(told) > 0 && told[len(told)-1].Version == 6 && len(told[len(told)-1].Entries) == 1
 			})
-			if e := told[len(told)-1].Entries[0]; e.err != nil || e.Route != "s-7" {
+			if e := told[len(told)-1].Entries[0]; e.err != nil || e.ID != "s-7" {
 				t.Errorf("%+v", e)
 			}
 			if n := strings.Count(log.String(), "unreadable line"); n > 1 {
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -80,12 +80,12 @@
 	src *listSource
 	dec *json.Decoder
 	// listing reads an entry; nil: entries are not looked into.
-	listing func(*member) (policy.Listing, string, error)
+	listing func(*member) (policy.Endpoint, string, error)
 	begun   func() (stop func() bool) // called when a list has begun; stop when it is over; nil: nobody asks
 	resumed bool
 }
 
-func newListReader(src *listSource, listing func(*member) (policy.Listing, string, error)) *listReader {
+func newListReader(src *listSource, listing func(*member) (policy.Endpoint, string, error)) *listReader {
 	return &listReader{src: src, dec: json.NewDecoder(src), listing: listing}
 }
 
@@ -168,7 +168,7 @@
 // entry is an entry as it was decoded, with what kept it from being.
 func (r *listReader) entry(m *member, err error) entry {
 	l, addr, unusable := r.listing(m)
-	e := entry{Endpoint: catalog.Endpoint{Listing: l, Addr: addr}, err: cmp.Or(err, unusable)}
+	e := entry{Endpoint: catalog.Endpoint{Endpoint: l, Addr: addr}, err: cmp.Or(err, unusable)}
 	if e.err != nil {
 		e.text = fmt.Sprintf("%+v", *m)
 	}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -472,7 +472,7 @@
 		entries := make([]entry, hosts)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
-				Listing: policy.Listing{Route: fmt.Sprintf("h-%d-%d", v, i), Destination: v*hosts + i, Kind: 1, InService: true}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
+				Endpoint: policy.Endpoint{ID: fmt.Sprintf("h-%d-%d", v, i), Destination: v*hosts + i, Kind: 1, InService: true}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
 			}
 		}
 		tellLong(r, true, int64(v), entries)
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -103,7 +103,7 @@
 			eventually(t, "the watch has ended", func() bool { return len(kept.watched) == 1 || requests.Load() > 1 })
 			c.act(<-served)
 			eventually(t, "the system has it", func() bool { return kept.ahead() != aheadNone })
-			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Full {
+			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Overloaded {
 				t.Errorf("the second call: %v, want the host's own answer to it", r[0].outcome)
 			}
 		})
@@ -131,7 +131,7 @@
 		if asked != c.asked {
 			t.Errorf("held up for %v: asked %v", c.held, asked)
 		}
-		if want := map[bool]policy.Outcome{true: policy.Moot, false: policy.OK}[c.asked]; r[0].outcome != want {
+		if want := map[bool]policy.Outcome{true: policy.NotSent, false: policy.OK}[c.asked]; r[0].outcome != want {
 			t.Errorf("held up for %v: %v, want %v", c.held, r[0].outcome, want)
 		}
 	}
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -24,9 +24,9 @@
 	}{
 		{"delivered", &result{outcome: policy.OK}, nil, http.StatusAccepted, false, false},
 		{"delivered when its client had left", &result{outcome: policy.OK}, nil, http.StatusAccepted, false, true},
-		{"refused when its client had left", &result{outcome: policy.Full}, nil, http.StatusAccepted, true, true},
+		{"refused when its client had left", &result{outcome: policy.Overloaded}, nil, http.StatusAccepted, true, true},
 		{"failed, may have run", &result{outcome: policy.Reset}, &policy.Action{Kind: policy.Fail}, http.StatusInternalServerError, false, false},
-		{"put off", &result{outcome: policy.Full}, &policy.Action{Kind: policy.Refuse, Delay: time.Second}, http.StatusAccepted, true, false},
+		{"put off", &result{outcome: policy.Overloaded}, &policy.Action{Kind: policy.Reject, Delay: time.Second}, http.StatusAccepted, true, false},
 		{"failed, never tried", nil, &policy.Action{Kind: policy.Fail}, http.StatusAccepted, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			}
 			if c.final != nil {
 				act := *c.final
-				act.ID = m.ID
+				act.MessageID = m.ID
 				r.carryOut([]policy.Action{act}, nil)
 				r.step([]any{confirmed{[]uint32{m.ID}}})
 			}
@@ -92,9 +92,9 @@
 func TestWhatCannotBeDatedRanBeforeAnyWindow(t *testing.T) {
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
-		r.terms.Settings.Classes[0].Window = window
+		r.terms.Settings.Classes[0].DedupWindow = window
 		m := &message{Message: &journal.Message{Deadline: time.Now(), Attempts: 1, MayRun: []journal.Attempt{{At: time.Now(), Undated: true}}}}
-		if ago := r.resumed(m).Resumed.RanAgo; ago < max(longAgoRan, window) {
+		if ago := r.resumed(m).Recovered.SinceFirstRun; ago < max(longAgoRan, window) {
 			t.Errorf("window %v: ran %v ago", window, ago)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -120,7 +120,7 @@
 	version  int64              // of the list
 	second   context.Context    // ends when the second address falls silent
 	started  time.Time
-	sender   *policy.Sender
+	sender   *policy.Engine
 	journal  *journal.Journal
 	found    *journal.Recovery // until it is taken up
 	standing standingState
@@ -297,7 +297,7 @@
 		known.Full = true
 		evs = append(evs, r.list(known)...)
 	}
-	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.Standing), r.journal.Stamp(time.Now()), r.terms.Settings.WarmWithin)...)
+	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.Standing), r.journal.Stamp(time.Now()), r.terms.Settings.WarmUpDuration)...)
 	for _, w := range found.Messages {
 		if w.Service != "" {
 			w.Class = slices.Index(r.terms.Classes, w.Service) // the module takes one that is not named for the strictest
@@ -347,16 +347,16 @@
 // resumed tells the module of a message of an earlier process, in the module's own time.
 func (r *Relay) resumed(m *message) policy.Event {
 	e := r.taken(m)
-	e.Resumed = &policy.Resumed{Attempts: m.Attempts}
+	e.Recovered = &policy.RecoveredMessage{Attempts: m.Attempts}
 	if len(m.MayRun) > 0 {
 		first := m.MayRun[0]
-		e.Resumed.Ran, e.Resumed.RanZone = true, first.Zone
-		if e.Resumed.RanAgo = time.Since(first.At); first.Undated || e.Resumed.RanAgo < -clockSlack {
+		e.Recovered.MayHaveRun, e.Recovered.FirstRunZone = true, first.Zone
+		if e.Recovered.SinceFirstRun = time.Since(first.At); first.Undated || e.Recovered.SinceFirstRun < -clockSlack {
 			// The clock was set, or may have been: nobody can tell how long its host still drops a repeat.
 			class, _ := r.classOf(m.Message)
-			e.Resumed.RanAgo = max(longAgoRan, class.Window)
+			e.Recovered.SinceFirstRun = max(longAgoRan, class.DedupWindow)
 		}
-		e.Resumed.RanAgo = max(0, e.Resumed.RanAgo)
+		e.Recovered.SinceFirstRun = max(0, e.Recovered.SinceFirstRun)
 	}
 	return e
 }
@@ -367,7 +367,7 @@
 		left = min(left, longest(class)) // a clock that was set back gives no more time
 	}
 	return policy.Event{
-		Kind: policy.Taken, ID: m.ID, Key: m.Order, Class: m.Class, Customer: m.Customer, Destination: m.Dest, Left: left,
+		Kind: policy.MessageAccepted, MessageID: m.ID, Key: m.Order, Class: m.Class, Tenant: m.Customer, Destination: m.Dest, TimeLeft: left,
 	}
 }
 
@@ -560,9 +560,9 @@
 			r.count(in.m, metrics.Failed)
 			in.reply <- bad("no such destination: %d", in.m.Dest)
 			continue
-		case r.terms.Settings.MaxHeld > 0 && r.held >= r.terms.Settings.MaxHeld:
+		case r.terms.Settings.MaxPendingMessages > 0 && r.held >= r.terms.Settings.MaxPendingMessages:
 			r.count(in.m, metrics.Rejected)
-			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 			continue
 		}
 		r.lastID++
@@ -598,7 +598,7 @@
 			delete(r.traces, m.Trace)
 			r.count(in.m, metrics.Rejected)
 		}
-		in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+		in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 	}
 	for _, m := range r.left {
 		if m.next != nil && r.msgs[m.next.ID] == nil {
@@ -636,7 +636,7 @@
 	}
 	r.done(m)
 	r.letGo(m)
-	return append(evs, policy.Event{Kind: policy.Withdrawn, ID: id})
+	return append(evs, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 }
 
 // letGo ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
@@ -655,7 +655,7 @@
 func (r *Relay) delivered(evs []policy.Event, m *message) []policy.Event {
 	for ; m != nil; m = m.next {
 		if !m.ended {
-			evs = append(evs, policy.Event{Kind: policy.Withdrawn, ID: m.ID})
+			evs = append(evs, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID})
 			r.count(m.Message, metrics.Completed)
 		}
 		r.done(m)
@@ -707,7 +707,7 @@
 	}
 	m.out--
 	switch res.outcome {
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
 		r.journal.NeverRan(m.Message, a.n)
 	}
 	if ok || res.gone {
@@ -723,8 +723,8 @@
 		return r.unpark(evs, a, res)
 	}
 	return append(evs, policy.Event{
-		Kind: policy.Finished, ID: m.ID, Attempt: a.n, Route: a.route, Outcome: res.outcome, Took: res.took,
-		Ended: ok || res.gone, Wait: res.wait, Report: res.report,
+		Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: a.n, Endpoint: a.route, Outcome: res.outcome, Latency: res.took,
+		MessageEnded: ok || res.gone, RetryAfter: res.wait, LimitReport: res.report,
 	})
 }
 
@@ -756,32 +756,32 @@
 	var calls []*call
 	var ended []*message
 	for _, a := range acts {
-		m := r.msgs[a.ID]
+		m := r.msgs[a.MessageID]
 		switch a.Kind {
 		case policy.Send:
 			if m == nil {
-				r.log.Error("send of a message that is not held", "id", a.ID) // a slot less is better than no relay
+				r.log.Error("send of a message that is not held", "id", a.MessageID) // a slot less is better than no relay
 				continue
 			}
 			calls = r.addSend(calls, m, a)
-		case policy.Refuse, policy.Fail:
+		case policy.Reject, policy.Fail:
 			if m == nil || m.ended {
 				continue
 			}
 			r.done(m)
-			final := journal.Final{Deferred: a.Kind == policy.Refuse, Again: a.Delay}
+			final := journal.Final{Deferred: a.Kind == policy.Reject, Again: a.Delay}
 			r.count(m.Message, finalEnd(final))
-			if _, ok := answers[a.ID]; ok {
-				answers[a.ID] = finalAnswer(final)
+			if _, ok := answers[a.MessageID]; ok {
+				answers[a.MessageID] = finalAnswer(final)
 				r.letGo(m)
 				continue
 			}
 			r.journal.Decide(m.Message, final)
 			ended = append(ended, m)
-		case policy.Wake:
+		case policy.SetTimer:
 			r.wakeAt = time.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
 		case policy.CloseIdle:
-			r.hosts.closeIdle(a.Route)
+			r.hosts.closeIdle(a.Endpoint)
 		}
 	}
 	if err := r.record(calls); err != nil {
@@ -808,24 +808,24 @@
 		r.unreadable(m, err)
 		return calls
 	}
-	t, _ := r.catalog.Endpoint(a.Route)
+	t, _ := r.catalog.Endpoint(a.Endpoint)
 	most := 1
-	if t.Kind >= 0 && t.Kind < len(r.terms.Settings.Kinds) {
-		most = max(1, r.terms.Settings.Kinds[t.Kind].PerCall)
+	if t.Kind >= 0 && t.Kind < len(r.terms.Settings.DestinationKinds) {
+		most = max(1, r.terms.Settings.DestinationKinds[t.Kind].MaxBatch)
 	}
 	var c *call
 	size := itemSize(m)
 	for _, x := range calls {
 		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
-		if x.route == a.Route && len(x.attempts) < most && x.size+size <= bodyMost {
+		if x.route == a.Endpoint && len(x.attempts) < most && x.size+size <= bodyMost {
 			c = x
 		}
 	}
 	if c == nil {
-		c = &call{route: a.Route, addr: t.Addr, zone: t.Zone, sent: time.Now()}
+		c = &call{route: a.Endpoint, addr: t.Addr, zone: t.Zone, sent: time.Now()}
 		calls = append(calls, c)
 	}
-	until := r.started.Add(a.At)
+	until := r.started.Add(a.TimeoutAt)
 	c.size += size
 	c.lead(&attempt{call: c, m: m, n: m.sends, body: body, until: until})
 	m.sends++
@@ -903,7 +903,7 @@
 		return nil
 	}
 	at := r.now()
-	may := r.sender.MayStill(c.route, ids, at)
+	may := r.sender.StillAllowed(c.route, ids, at)
 	if r.rec.Cleared(at, c.route, ids, may); !may {
 		return nil
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -265,7 +265,7 @@
 	e := r.list(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
-	if r.catalog.Endpoints() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 || len(e[0].List) != 2 {
+	if r.catalog.Endpoints() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 || len(e[0].Endpoints) != 2 {
 		t.Errorf("hosts %+v, %+v, told %+v", one, two, e)
 	}
 }
@@ -378,11 +378,11 @@
 // Together the messages of a bundle may be larger than any body may.
 func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
-	r.catalog.Put(catalog.Endpoint{Listing: policy.Listing{Route: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"})
+	r.catalog.Put(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"})
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
 		m := &message{Message: &journal.Message{Trace: fmt.Sprint("<", i, ">"), Key: "&&&&", Body: make([]byte, size)}}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Route: "s-1", At: time.Minute})
+		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
@@ -454,7 +454,7 @@
 			return
 		}
 		for _, e := range l.Entries {
-			if e.err == nil && (e.Route == "" || !e.Gone && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
+			if e.err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
 				t.Errorf("of %s %+v passes", data, e)
 			}
 		}
@@ -480,12 +480,12 @@
 		at := time.Now().Add(back)
 		class := r.cfg.Settings.Classes[0]
 		ran := &journal.Message{ID: 1, Trace: "ran", Key: "k", Order: "a", Dest: 7, Deadline: at.Add(10 * time.Second), Attempts: 1, MayRun: []journal.Attempt{{Host: "s-1", At: at}}}
-		new := &journal.Message{ID: 2, Trace: "new", Key: "k", Order: "b", Dest: 7, Deadline: at.Add(class.GiveUp)}
+		new := &journal.Message{ID: 2, Trace: "new", Key: "k", Order: "b", Dest: 7, Deadline: at.Add(class.Deadline)}
 		if err := r.journal.Accept(ran, new); err != nil {
 			t.Fatal(err)
 		}
 		r.found = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
-		if left := r.taken(&message{Message: new}).Left; left > class.GiveUp {
+		if left := r.taken(&message{Message: new}).TimeLeft; left > class.Deadline {
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.resume()
@@ -522,7 +522,7 @@
 			now.Boot = "a boot"
 		}
 		class := r.cfg.Settings.Classes[0]
-		away := class.Window / 2
+		away := class.DedupWindow / 2
 		// The process before: it ran until away ago, when the wall clock was step ahead of what it is now.
 		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), Boot: now.Boot, Up: now.Up - away}
 		reopen(t, r, was)
@@ -648,7 +648,7 @@
 // that is back. It must not leave then: no host drops it any more.
 func TestARepeatHeldUpPastItsWindowDoesNotLeave(t *testing.T) {
 	r := newTestRelay(t)
-	window := r.cfg.Settings.Classes[0].Window
+	window := r.cfg.Settings.Classes[0].DedupWindow
 	ends := time.Now().Add(300 * time.Millisecond)
 	up := make(chan struct{})
 	time.AfterFunc(time.Until(ends), func() { close(up) })
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -93,7 +93,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := newTestRelay(t).cfg
-			cfg.StateDir, cfg.Limits.DiskMB, cfg.Settings.MaxHeld = t.TempDir(), c.diskMB, c.room
+			cfg.StateDir, cfg.Limits.DiskMB, cfg.Settings.MaxPendingMessages = t.TempDir(), c.diskMB, c.room
 			n, size := largest(t, cfg, c.body, c.sent)
 			fs := &countingFS{}
 			cfg.JournalThrough = func(under store.FS) store.FS { fs.FS = under; return fs }
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -115,8 +115,8 @@
 	r.figures.Unavailable.Store(avoided)
 }
 
-func avoids(v policy.View, now time.Duration) bool {
-	return !v.InService || v.Down || now < v.SkipUntil || now < v.Wait
+func avoids(v policy.EndpointView, now time.Duration) bool {
+	return !v.InService || v.Ejected || now < v.EjectedUntil || now < v.RetryAfterUntil
 }
 
 // manage begins to answer on the second address, until the process ends.
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -13,7 +13,7 @@
 
 // oldTarget and oldHosts are how the relay kept its list and told the module of it before it had a catalog: the model that small sites are held to.
 type oldTarget struct {
-	policy.Listing
+	policy.Endpoint
 	addr string
 }
 
@@ -23,9 +23,9 @@
 }
 
 func (r *oldHosts) list(full bool, entries []string) policy.Event {
-	e := policy.Event{Kind: policy.ListChanges}
+	e := policy.Event{Kind: policy.EndpointDelta}
 	if full {
-		e.Kind = policy.ListWhole
+		e.Kind = policy.EndpointSnapshot
 	}
 	routes := map[string]oldTarget{}
 	for _, raw := range entries {
@@ -33,18 +33,18 @@
 		decoded := json.Unmarshal([]byte(raw), &m)
 		entry, addr, err := r.cfg.listing(&m)
 		if decoded != nil || err != nil {
-			if known, ok := r.routes[entry.Route]; ok {
-				routes[entry.Route] = known
-				e.List = append(e.List, known.Listing)
+			if known, ok := r.routes[entry.ID]; ok {
+				routes[entry.ID] = known
+				e.Endpoints = append(e.Endpoints, known.Endpoint)
 			}
 			continue
 		}
-		e.List = append(e.List, entry)
-		if entry.Gone {
-			delete(r.routes, entry.Route)
-			delete(routes, entry.Route)
+		e.Endpoints = append(e.Endpoints, entry)
+		if entry.Removed {
+			delete(r.routes, entry.ID)
+			delete(routes, entry.ID)
 		} else {
-			routes[entry.Route] = oldTarget{entry, addr}
+			routes[entry.ID] = oldTarget{entry, addr}
 		}
 	}
 	if full {
@@ -97,7 +97,7 @@
 			}
 			draining := 0
 			for id, want := range old.routes {
-				if got, ok := r.catalog.Endpoint(id); !ok || got.Listing != want.Listing || got.Addr != want.addr {
+				if got, ok := r.catalog.Endpoint(id); !ok || got.Endpoint != want.Endpoint || got.Addr != want.addr {
 					t.Fatalf("seed %d, list %d: %s is %+v, before %+v", seed, i, id, got, want)
 				}
 				if !want.InService {
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -47,7 +47,7 @@
 // bears tells whether a message may run any number of times.
 func (r *Relay) bears(m *journal.Message) bool {
 	class, known := r.classOf(m)
-	return known && class.Effect == policy.Safe
+	return known && class.Effect == policy.Idempotent
 }
 
 // unreadable ends a message whose body the disk no longer gives.
@@ -62,7 +62,7 @@
 	r.journal.Decide(m.Message, final)
 	r.notify(m)
 	// The module has booked an attempt that never leaves.
-	r.later = append(r.later, policy.Event{Kind: policy.Withdrawn, ID: m.ID},
-		policy.Event{Kind: policy.Finished, ID: m.ID, Attempt: m.sends, Outcome: policy.Moot, Ended: true})
+	r.later = append(r.later, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
+		policy.Event{Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: m.sends, Outcome: policy.NotSent, MessageEnded: true})
 	time.AfterFunc(r.cfg.Tick, func() { r.post(nudge{}) })
 }
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -177,11 +177,11 @@
 		r.catalog, r.draining, r.named, r.version = catalog.New(), 0, len(s.Cells) > 0, s.Version
 		r.large.Store(false)
 	}
-	whole := policy.Event{Kind: policy.ListWhole}
+	whole := policy.Event{Kind: policy.EndpointSnapshot}
 	for _, x := range s.Routes {
-		c := r.catalog.Put(catalog.Endpoint{Listing: x.Listing, Addr: x.Addr})
+		c := r.catalog.Put(catalog.Endpoint{Endpoint: x.Endpoint, Addr: x.Addr})
 		r.changed(&c)
-		whole.List = append(whole.List, x.Listing)
+		whole.Endpoints = append(whole.Endpoints, x.Endpoint)
 	}
 	for _, cell := range s.Cells {
 		r.catalog.Remember(cell)
@@ -203,7 +203,7 @@
 	r.awake = r.newAwake()
 	routes := make(map[string]bool, len(s.Routes))
 	for _, x := range s.Routes {
-		routes[x.Route] = true
+		routes[x.ID] = true
 	}
 	wake := func(dest int) {
 		if !r.awake.Wake(dest, r.now()) {
@@ -211,8 +211,8 @@
 		}
 		r.of = r.catalog.Of(dest, r.of[:0])
 		for _, e := range r.of {
-			if !routes[e.Route] {
-				c := r.catalog.Put(catalog.Endpoint{Listing: departed(e)})
+			if !routes[e.ID] {
+				c := r.catalog.Put(catalog.Endpoint{Endpoint: departed(e)})
 				r.changed(&c)
 			}
 		}
@@ -358,7 +358,7 @@
 // unpark tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
 func (r *Relay) unpark(evs []policy.Event, a *attempt, res result) []policy.Event {
 	evs = append(evs, policy.Event{
-		Kind: policy.Probed, Route: a.route, Outcome: res.outcome, Took: res.took, Wait: res.wait, Report: res.report,
+		Kind: policy.HealthChecked, Endpoint: a.route, Outcome: res.outcome, Latency: res.took, RetryAfter: res.wait, LimitReport: res.report,
 	})
 	if m := a.m; !m.ended && m.out == 0 {
 		m.parked = false
@@ -460,14 +460,14 @@
 	if s.Large {
 		views, _ := r.sender.Views()
 		for _, v := range views {
-			if e, ok := r.catalog.Endpoint(v.Route); ok {
-				s.Routes = append(s.Routes, hotrestart.Route{Listing: e.Listing, Addr: e.Addr})
+			if e, ok := r.catalog.Endpoint(v.ID); ok {
+				s.Routes = append(s.Routes, hotrestart.Route{Endpoint: e.Endpoint, Addr: e.Addr})
 			}
 		}
 	} else {
 		cells := map[int]bool{}
 		for e := range r.catalog.All() {
-			s.Routes = append(s.Routes, hotrestart.Route{Listing: e.Listing, Addr: e.Addr})
+			s.Routes = append(s.Routes, hotrestart.Route{Endpoint: e.Endpoint, Addr: e.Addr})
 			cells[e.Destination] = true
 		}
 		for cell := range r.catalog.Remembered() {
@@ -475,7 +475,7 @@
 		}
 		s.Cells = slices.Sorted(maps.Keys(cells))
 	}
-	slices.SortFunc(s.Routes, func(a, b hotrestart.Route) int { return strings.Compare(a.Route, b.Route) })
+	slices.SortFunc(s.Routes, func(a, b hotrestart.Route) int { return strings.Compare(a.ID, b.ID) })
 	for _, m := range r.inOrder() {
 		x := hotrestart.Message{ID: m.ID, Trace: m.Trace, Sends: m.sends, Ended: m.ended, Shared: m.shared}
 		if m.next != nil {
@@ -584,7 +584,7 @@
 }
 
 // unserved is what a client hears where the other process does not answer: it has been told nothing, and may come again.
-var unserved = answer{status: http.StatusServiceUnavailable, again: policy.RetryAdvice}
+var unserved = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 
 // handIn passes a message on. There are no more of them than connections of clients.
 func (f *forwards) handIn(to *hotrestart.Conn, in *handIn) {
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -66,9 +66,9 @@
 			if r.msgs[in[0].m.ID] != nil || r.held != 2 {
 				t.Errorf("delivered there, not ended here: held %d", r.held)
 			}
-			r.step([]any{outcomeOf(policy.Full, in[1].m.ID, 0, 5*time.Second)})
+			r.step([]any{outcomeOf(policy.Overloaded, in[1].m.ID, 0, 5*time.Second)})
 			views, _ := r.sender.Views()
-			if len(r.calling) != 0 || len(views) != 1 || views[0].Wait < r.now()+4*time.Second {
+			if len(r.calling) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
 				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.calling), views)
 			}
 			r.step([]any{beforeGone{}})
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -262,9 +262,9 @@
 		m.calls++
 		switch {
 		case w.Now() > m.deadline || m.gone:
-			results[i] = result{outcome: policy.Moot, gone: true}
+			results[i] = result{outcome: policy.NotSent, gone: true}
 		case m.calls > w.set.MaxAttempts && w.set.MaxAttempts > 0:
-			results[i] = result{outcome: policy.Moot}
+			results[i] = result{outcome: policy.NotSent}
 		default:
 			live++
 			results[i] = result{outcome: policy.OK}
@@ -298,7 +298,7 @@
 		}
 		c.reply(fate.After, results, policy.OK, 0)
 	case upstream.Refused:
-		c.reply(fate.After, results, policy.Full, fate.Wait.Round(time.Millisecond))
+		c.reply(fate.After, results, policy.Overloaded, fate.Wait.Round(time.Millisecond))
 	case upstream.Failed:
 		c.reply(fate.After, results, policy.Error, 0)
 	}
@@ -315,7 +315,7 @@
 		delete(h.calls, c)
 		e := eventlog.Event{Kind: eventlog.Reply, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, Wait: wait}
 		switch outcome {
-		case policy.Full:
+		case policy.Overloaded:
 			w.CallsFull++
 			if e.Status = 503; wait > 0 {
 				e.Status = 429
@@ -386,7 +386,7 @@
 	if a.over { // cut off before; a delivery still ends the message
 		if ok {
 			if !m.ended {
-				r.pending = append(r.pending, policy.Event{Kind: policy.Withdrawn, ID: m.id})
+				r.pending = append(r.pending, policy.Event{Kind: policy.MessageCancelled, MessageID: m.id})
 			}
 			r.done(m)
 			r.end(m)
@@ -396,7 +396,7 @@
 	a.over = true
 	m.out--
 	switch res.outcome {
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
 		if len(m.mayRun) > 0 {
 			if r.undoes {
 				was := slices.Clone(m.mayRun)
@@ -410,6 +410,6 @@
 		r.end(m)
 	}
 	r.tell(policy.Event{
-		Kind: policy.Finished, ID: m.id, Attempt: a.n, Route: c.host.ID, Outcome: res.outcome, Took: res.took, Ended: ok || res.gone, Wait: res.wait,
+		Kind: policy.AttemptFinished, MessageID: m.id, Attempt: a.n, Endpoint: c.host.ID, Outcome: res.outcome, Latency: res.took, MessageEnded: ok || res.gone, RetryAfter: res.wait,
 	})
 }
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -99,7 +99,7 @@
 	t.over = true
 	w.Unanswered++
 	w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
-	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.Unsafe {
+	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.NonIdempotent {
 		return
 	}
 	w.After(anewAfter, t.next)
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -147,17 +147,17 @@
 	told := map[*Place][]time.Duration{} // by relay: when it heard of the outage; 0: it did not
 	opts := Options{Record: true, Wrong: wrong, Latency: 5 * time.Millisecond}
 	opts.Settings = func(s *policy.Settings) {
-		s.RoughWeights, s.NoWeights = d.weights == "rough", d.weights == "none"
+		s.ApproximateWeights, s.IgnoreWeights = d.weights == "rough", d.weights == "none"
 		if d.rates {
-			s.Customers = []policy.Customer{{Quota: asked}}
+			s.Tenants = []policy.Tenant{{Quota: asked}}
 		}
 	}
 	opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
-			if e.Kind != policy.Finished || e.Outcome == policy.OK || e.Outcome == policy.Moot || w.Now() < coldBegins || w.Now()-e.Took >= back {
+			if e.Kind != policy.AttemptFinished || e.Outcome == policy.OK || e.Outcome == policy.NotSent || w.Now() < coldBegins || w.Now()-e.Latency >= back {
 				continue
 			}
-			if at := told[w.hosts[e.Route].place]; at != nil {
+			if at := told[w.hosts[e.Endpoint].place]; at != nil {
 				at[relay] = cmp.Or(at[relay], w.Now())
 			}
 		}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -189,7 +189,7 @@
 // Answers get lost while endpoints are replaced: keyed messages are repeated within their allowance and no rule breaks, and a relay that
 // takes a reset for a call that never ran is convicted on the same day.
 func TestLostAnswers(t *testing.T) {
-	f, err := scenario.LoadFor("../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
+	f, err := scenario.LoadFor("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,4 +321,4 @@
 	}
 }
 
-var _ Module = (*policy.Sender)(nil)
+var _ Module = (*policy.Engine)(nil)
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -200,7 +200,7 @@
 		}
 	}
 	m.seam = agent.New(agent.Settings{
-		Self: m.name, Life: life, Members: all, Kinds: r.set.Kinds, Rights: n.w.plan.File.Fleet.Rights, Senders: r.set.Senders,
+		Self: m.name, Life: life, Members: all, Kinds: r.set.DestinationKinds, Rights: n.w.plan.File.Fleet.Rights, Senders: r.set.FleetSize,
 	})
 	m.ledger = loadreport.New(m.name, life, all)
 	m.every(gossip.Every, m.gossip)
@@ -257,7 +257,7 @@
 		m.r.plan()
 	}
 	told := out.Told
-	if !m.r.wrong.fleet().NoBounds && slices.ContainsFunc(events, func(e policy.Event) bool { return e.Kind == policy.ListWhole || e.Kind == policy.ListChanges }) {
+	if !m.r.wrong.fleet().NoBounds && slices.ContainsFunc(events, func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }) {
 		m.ledger.SetLimits(m.seam.Limits())
 	}
 	for _, p := range told {
@@ -277,9 +277,9 @@
 	}
 }
 
-func (m *fleetMember) views() []policy.View {
+func (m *fleetMember) views() []policy.EndpointView {
 	if s, ok := m.r.module.(interface {
-		Views() ([]policy.View, int)
+		Views() ([]policy.EndpointView, int)
 	}); ok {
 		views, _ := s.Views()
 		return views
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -38,15 +38,15 @@
 }
 
 // listing is how the list has an entry.
-func (w *World) listing(h *host, state string) policy.Listing {
-	return policy.Listing{
-		Route: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
-		InService: state == eventlog.StateReady, Gone: state == eventlog.StateGone,
+func (w *World) listing(h *host, state string) policy.Endpoint {
+	return policy.Endpoint{
+		ID: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
+		InService: state == eventlog.StateReady, Removed: state == eventlog.StateGone,
 	}
 }
 
 // listed appends a destination's entries after so many changes, in the order in which they were first listed.
-func (w *World) listed(all []policy.Listing, dest, changes int) []policy.Listing {
+func (w *World) listed(all []policy.Endpoint, dest, changes int) []policy.Endpoint {
 	var hosts []*host
 	for _, p := range w.Places(dest) {
 		for _, h := range p.hosts {
@@ -63,17 +63,17 @@
 }
 
 // whole is the whole list after so many changes, by its ids. All relays that ask for the same are given one.
-func (w *World) whole(changes int) []policy.Listing {
+func (w *World) whole(changes int) []policy.Endpoint {
 	if w.wholeList != nil && w.wholeAt == changes {
 		return w.wholeList
 	}
-	all := make([]policy.Listing, 0, len(w.hosts))
+	all := make([]policy.Endpoint, 0, len(w.hosts))
 	for _, h := range w.hosts {
 		if state := h.stateAt(changes); state != "" {
 			all = append(all, w.listing(h, state))
 		}
 	}
-	slices.SortFunc(all, func(a, b policy.Listing) int { return strings.Compare(a.Route, b.Route) })
+	slices.SortFunc(all, func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	w.wholeList, w.wholeAt = all, changes
 	return all
 }
@@ -136,7 +136,7 @@
 	if r.large() && !r.working.Has(h.Dest) {
 		return // it is at rest: what the list has is told when it wakes
 	}
-	r.tell(policy.Event{Kind: policy.ListChanges, List: []policy.Listing{w.listing(h, c.state)}})
+	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
 	if !r.large() && r.entries > w.opts.WholeMost {
 		r.becomeLarge()
 	}
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -25,7 +25,7 @@
 
 // told has relays know what the customers send, messages a second.
 func told(quota float64) Options {
-	return Options{Settings: func(s *policy.Settings) { s.Customers = []policy.Customer{{Quota: quota}} }}
+	return Options{Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: quota}} }}
 }
 
 // 300 relays at a destination of 27 calls a second, a call in eleven seconds for each, whose refused calls use up its limit: under it,
@@ -85,7 +85,7 @@
 	w.Every(time.Second, 45*time.Second, 20*0.7*takes/relays, func() { asked++; w.Offer(scenario.Arrival{Relay: 17, Dest: 1}) })
 	w.opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
-			if relay == 17 && e.Kind == policy.Finished && e.Outcome == policy.OK {
+			if relay == 17 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
 			}
 		}
@@ -186,7 +186,7 @@
 	w.Every(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Offer(scenario.Arrival{Relay: 79, Dest: 1}) })
 	w.opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
-			if relay == 79 && e.Kind == policy.Finished && e.Outcome == policy.OK {
+			if relay == 79 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
 			}
 		}
@@ -283,7 +283,7 @@
 // Endpoints are replaced in steps and 80 relays restarted, while every list comes six seconds late, drains among them: no rule breaks, and nothing is
 // sent to an endpoint a second after its drain was told. A relay that ignores drains is convicted on the same day.
 func TestManyWhoseListsComeSixSecondsLate(t *testing.T) {
-	f, err := scenario.LoadFor("../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
+	f, err := scenario.LoadFor("../../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -211,9 +211,9 @@
 	if r.working = nil; r.entries > r.w.opts.WholeMost {
 		r.newWorking()
 	} else {
-		evs = append(evs, policy.Event{Kind: policy.ListWhole, List: r.w.whole(r.heard)})
+		evs = append(evs, policy.Event{Kind: policy.EndpointSnapshot, Endpoints: r.w.whole(r.heard)})
 	}
-	evs = append(evs, endpointhealth.Events(r.stood, r.wall(), r.set.WarmWithin)...)
+	evs = append(evs, endpointhealth.Events(r.stood, r.wall(), r.set.WarmUpDuration)...)
 	r.wrong.restored(r)
 	r.held = 0
 	for _, id := range slices.Sorted(maps.Keys(r.msgs)) {
@@ -226,9 +226,9 @@
 		default:
 			r.held++
 			e := r.taken(m)
-			e.Resumed = &policy.Resumed{Attempts: m.sends}
+			e.Recovered = &policy.RecoveredMessage{Attempts: m.sends}
 			if len(m.mayRun) > 0 {
-				e.Resumed.Ran, e.Resumed.RanZone, e.Resumed.RanAgo = true, m.mayRun[0].zone, r.clocks.ago(m.mayRun[0], r.w.Now())
+				e.Recovered.MayHaveRun, e.Recovered.FirstRunZone, e.Recovered.SinceFirstRun = true, m.mayRun[0].zone, r.clocks.ago(m.mayRun[0], r.w.Now())
 			}
 			evs = append(evs, e)
 		}
@@ -239,7 +239,7 @@
 
 func (r *relay) taken(m *message) policy.Event {
 	return policy.Event{
-		Kind: policy.Taken, ID: m.id, Key: m.order, Class: m.class, Customer: m.cust, Destination: m.dest, Left: r.left(m),
+		Kind: policy.MessageAccepted, MessageID: m.id, Key: m.order, Class: m.class, Tenant: m.cust, Destination: m.dest, TimeLeft: r.left(m),
 	}
 }
 
@@ -247,7 +247,7 @@
 func (r *relay) left(m *message) time.Duration {
 	left := r.clocks.time(m.due) - r.w.Now()
 	if m.class >= 0 && m.class < len(r.set.Classes) {
-		left = min(left, r.set.Classes[m.class].GiveUp)
+		left = min(left, r.set.Classes[m.class].Deadline)
 	}
 	return left
 }
@@ -300,11 +300,11 @@
 	r.carryOut(acts, ins)
 	for _, c := range asked {
 		r.clear(c)
-		if len(c.atts) > 0 && r.module.MayStill(c.host.ID, c.ids(), r.now()) && !r.noSends {
+		if len(c.atts) > 0 && r.module.StillAllowed(c.host.ID, c.ids(), r.now()) && !r.noSends {
 			c.write()
 		} else {
 			r.pool(c.host).put(w.Now())
-			r.callEnded(c, result{outcome: policy.Moot})
+			r.callEnded(c, result{outcome: policy.NotSent})
 		}
 	}
 	r.keepStanding()
@@ -318,7 +318,7 @@
 			return false
 		}
 		if !a.over {
-			r.attemptEnded(c, a, result{outcome: policy.Moot})
+			r.attemptEnded(c, a, result{outcome: policy.NotSent})
 			r.plan()
 		}
 		return true
@@ -328,8 +328,8 @@
 // accept puts new messages in the journal. Those beyond the room have their answers.
 func (r *relay) accept(ins []*handIn) (taken []*handIn) {
 	for _, in := range ins {
-		if r.set.MaxHeld > 0 && r.held >= r.set.MaxHeld {
-			in.t.answer(r, statusRefused, policy.RetryAdvice)
+		if r.set.MaxPendingMessages > 0 && r.held >= r.set.MaxPendingMessages {
+			in.t.answer(r, statusRefused, policy.MinRetryAfter)
 			continue
 		}
 		r.lastID++
@@ -357,19 +357,19 @@
 		return slices.IndexFunc(ins, func(in *handIn) bool { return in.m != nil && in.m.id == id })
 	}
 	for _, a := range acts {
-		m := r.msgs[a.ID]
+		m := r.msgs[a.MessageID]
 		switch a.Kind {
 		case policy.Send:
 			if m != nil {
 				calls = r.addSend(calls, m, a)
 			}
-		case policy.Refuse, policy.Fail:
+		case policy.Reject, policy.Fail:
 			if m == nil || m.ended {
 				continue
 			}
 			r.done(m)
-			f := &final{deferred: a.Kind == policy.Refuse, again: a.Delay}
-			if i := fresh(a.ID); i >= 0 {
+			f := &final{deferred: a.Kind == policy.Reject, again: a.Delay}
+			if i := fresh(a.MessageID); i >= 0 {
 				status := statusFailed
 				if f.deferred {
 					status = statusRefused
@@ -384,17 +384,17 @@
 				r.journal.note(r, func() { m.final = nil })
 			}
 			ended = append(ended, m)
-		case policy.Wake:
+		case policy.SetTimer:
 			at := w.Now() + a.Delay
 			r.wakeAt = at // the module keeps one wake in mind, the last that it asked for
 			r.in(a.Delay, func() {
 				if r.wakeAt == at {
 					r.wakeAt = 0
-					r.tell(policy.Event{Kind: policy.Woken})
+					r.tell(policy.Event{Kind: policy.TimerFired})
 				}
 			})
 		case policy.CloseIdle:
-			if h := w.hosts[a.Route]; h != nil {
+			if h := w.hosts[a.Endpoint]; h != nil {
 				r.dropPool(h)
 			}
 		}
@@ -432,10 +432,10 @@
 // addSend puts a send into a call: those of one step to one route travel as one, up to what its kind allows.
 func (r *relay) addSend(calls []*call, m *message, a policy.Action) []*call {
 	w := r.w
-	h := w.hosts[a.Route]
+	h := w.hosts[a.Endpoint]
 	most := 1
-	if k := r.kindOf(h); k >= 0 && k < len(r.set.Kinds) {
-		most = max(1, r.set.Kinds[k].PerCall)
+	if k := r.kindOf(h); k >= 0 && k < len(r.set.DestinationKinds) {
+		most = max(1, r.set.DestinationKinds[k].MaxBatch)
 	}
 	var c *call
 	for _, x := range calls {
@@ -448,7 +448,7 @@
 		c = &call{r: r, life: r.life, host: h, num: w.calls, sent: w.Now()}
 		calls = append(calls, c)
 	}
-	until := a.At + r.epoch
+	until := a.TimeoutAt + r.epoch
 	c.atts = append(c.atts, &attempt{m: m, n: m.sends, until: until})
 	m.sends++
 	m.out++
@@ -517,7 +517,7 @@
 
 func (r *relay) noteStanding() {
 	s, ok := r.module.(interface {
-		Views() ([]policy.View, int)
+		Views() ([]policy.EndpointView, int)
 	})
 	if !ok {
 		return
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -15,7 +15,7 @@
 func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
 	t.Helper()
 	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
-	opts := Options{Fleet: scenario.Fleet{Enabled: true, Rights: on}, Settings: func(s *policy.Settings) { s.Customers = []policy.Customer{{Quota: takes}} }}
+	opts := Options{Fleet: scenario.Fleet{Enabled: true, Rights: on}, Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} }}
 	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
 }
 
@@ -92,7 +92,7 @@
 			t.Run(fmt.Sprint(relays, " ", day), func(t *testing.T) {
 				t.Parallel()
 				for _, on := range []bool{false, true} {
-					f, err := scenario.LoadFor("../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
+					f, err := scenario.LoadFor("../../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -27,7 +27,7 @@
 type scripted struct {
 	set    policy.Settings
 	seed   uint64
-	routes map[int][]policy.Listing // by destination, sorted by route
+	routes map[int][]policy.Endpoint // by destination, sorted by route
 	held   map[uint32]*scriptedMessage
 }
 
@@ -38,62 +38,62 @@
 }
 
 func newScripted(set policy.Settings, seed uint64) Module {
-	return &scripted{set: set, seed: seed, routes: map[int][]policy.Listing{}, held: map[uint32]*scriptedMessage{}}
+	return &scripted{set: set, seed: seed, routes: map[int][]policy.Endpoint{}, held: map[uint32]*scriptedMessage{}}
 }
 
-func (s *scripted) list(l policy.Listing) {
+func (s *scripted) list(l policy.Endpoint) {
 	for d, routes := range s.routes {
-		s.routes[d] = slices.DeleteFunc(routes, func(x policy.Listing) bool { return x.Route == l.Route })
+		s.routes[d] = slices.DeleteFunc(routes, func(x policy.Endpoint) bool { return x.ID == l.ID })
 	}
-	if !l.Gone {
+	if !l.Removed {
 		s.routes[l.Destination] = append(s.routes[l.Destination], l)
-		slices.SortFunc(s.routes[l.Destination], func(a, b policy.Listing) int { return strings.Compare(a.Route, b.Route) })
+		slices.SortFunc(s.routes[l.Destination], func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	}
 }
 
 func (s *scripted) Step(now time.Duration, events []policy.Event) (acts []policy.Action) {
 	for _, e := range events {
 		switch e.Kind {
-		case policy.ListWhole:
+		case policy.EndpointSnapshot:
 			clear(s.routes)
-			for _, l := range e.List {
+			for _, l := range e.Endpoints {
 				s.list(l)
 			}
-		case policy.ListChanges:
-			for _, l := range e.List {
+		case policy.EndpointDelta:
+			for _, l := range e.Endpoints {
 				s.list(l)
 			}
-		case policy.Taken:
-			m := &scriptedMessage{dest: e.Destination, due: now + e.Left}
-			if e.Resumed != nil {
-				m.sends = e.Resumed.Attempts
+		case policy.MessageAccepted:
+			m := &scriptedMessage{dest: e.Destination, due: now + e.TimeLeft}
+			if e.Recovered != nil {
+				m.sends = e.Recovered.Attempts
 			}
-			s.held[e.ID] = m
-		case policy.Withdrawn:
-			delete(s.held, e.ID)
-		case policy.Finished:
-			if m := s.held[e.ID]; e.Ended {
-				delete(s.held, e.ID)
+			s.held[e.MessageID] = m
+		case policy.MessageCancelled:
+			delete(s.held, e.MessageID)
+		case policy.AttemptFinished:
+			if m := s.held[e.MessageID]; e.MessageEnded {
+				delete(s.held, e.MessageID)
 			} else if m != nil {
-				m.out, m.waits = false, now+max(e.Wait, 50*time.Millisecond)
+				m.out, m.waits = false, now+max(e.RetryAfter, 50*time.Millisecond)
 			}
-			if e.Outcome == policy.Full {
-				acts = append(acts, policy.Action{Kind: policy.CloseIdle, Route: e.Route})
+			if e.Outcome == policy.Overloaded {
+				acts = append(acts, policy.Action{Kind: policy.CloseIdle, Endpoint: e.Endpoint})
 			}
 		}
 	}
 	wake := time.Duration(0)
 	for _, id := range slices.Sorted(maps.Keys(s.held)) {
 		m := s.held[id]
-		open := slices.DeleteFunc(slices.Clone(s.routes[m.dest]), func(l policy.Listing) bool { return !l.InService })
+		open := slices.DeleteFunc(slices.Clone(s.routes[m.dest]), func(l policy.Endpoint) bool { return !l.InService })
 		switch {
 		case m.out:
 		case now >= m.due || s.set.MaxAttempts > 0 && m.sends >= s.set.MaxAttempts:
-			acts = append(acts, policy.Action{Kind: []policy.ActionKind{policy.Fail, policy.Refuse}[id%2], ID: id, Delay: time.Second})
+			acts = append(acts, policy.Action{Kind: []policy.ActionKind{policy.Fail, policy.Reject}[id%2], MessageID: id, Delay: time.Second})
 			delete(s.held, id)
 		case len(open) > 0 && now >= m.waits:
 			n := (s.seed + uint64(id) + uint64(m.sends)) % uint64(len(open))
-			acts = append(acts, policy.Action{Kind: policy.Send, ID: id, Route: open[n].Route, At: min(m.due, now+2*time.Second)})
+			acts = append(acts, policy.Action{Kind: policy.Send, MessageID: id, Endpoint: open[n].ID, TimeoutAt: min(m.due, now+2*time.Second)})
 			m.out = true
 			m.sends++
 		default:
@@ -104,15 +104,15 @@
 		}
 	}
 	if wake > 0 {
-		acts = append(acts, policy.Action{Kind: policy.Wake, Delay: max(wake-now, time.Millisecond)})
+		acts = append(acts, policy.Action{Kind: policy.SetTimer, Delay: max(wake-now, time.Millisecond)})
 	}
 	return acts
 }
 
-func (s *scripted) MayStill(route string, _ []uint32, _ time.Duration) bool {
+func (s *scripted) StillAllowed(route string, _ []uint32, _ time.Duration) bool {
 	for _, routes := range s.routes {
 		for _, l := range routes {
-			if l.Route == route {
+			if l.ID == route {
 				return l.InService
 			}
 		}
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -22,13 +22,13 @@
 )
 
 // rester is a module that tells whether a destination may be taken away from it: nothing that it knows of it would be missed.
-type rester interface{ Resting(dest int) bool }
+type rester interface{ Evictable(dest int) bool }
 
 func (r *relay) large() bool { return r.working != nil }
 
 // newWorking begins a working set: the module knows nothing of a list that is large.
 func (r *relay) newWorking() {
-	r.working, r.restAt = catalog.NewWorkingSet(cmp.Or(r.set.WarmWithin, usualWarm)), 0
+	r.working, r.restAt = catalog.NewWorkingSet(cmp.Or(r.set.WarmUpDuration, usualWarm)), 0
 }
 
 // becomeLarge is a list that has grown beyond what is told whole. It stays large until the process ends.
@@ -49,48 +49,48 @@
 		return evs
 	}
 	w, now := r.w, r.now()
-	var woken, resting []policy.Listing
+	var woken, resting []policy.Endpoint
 	wake := func(dest int) {
 		if r.working.Wake(dest, now) {
 			w.Woken++
 			from := len(woken)
 			woken = w.listed(woken, dest, r.heard)
 			for i := range woken[from:] {
-				woken[from+i].Again = r.working.Settled(dest, now)
+				woken[from+i].Relisted = r.working.Settled(dest, now)
 			}
 		}
 	}
 	for i := range evs {
 		switch e := &evs[i]; e.Kind {
-		case policy.Taken:
+		case policy.MessageAccepted:
 			wake(e.Destination)
-		case policy.Finished, policy.Probed:
-			if h := w.hosts[e.Route]; h != nil {
-				if r.working.Touch(h.Dest, now); e.Wait > 0 || e.Kind == policy.Probed {
+		case policy.AttemptFinished, policy.HealthChecked:
+			if h := w.hosts[e.Endpoint]; h != nil {
+				if r.working.Touch(h.Dest, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
 					wake(h.Dest)
 				}
 			}
 		}
 	}
 	if m, ok := r.module.(rester); ok {
-		for _, dest := range r.working.Rest(now, restMost, m.Resting) {
+		for _, dest := range r.working.Rest(now, restMost, m.Evictable) {
 			resting = w.listed(resting, dest, r.heard)
 		}
 	}
 	for i := range resting {
-		resting[i].InService, resting[i].Gone = false, true
+		resting[i].InService, resting[i].Removed = false, true
 	}
 	r.restAgain(len(resting) > 0)
 	if len(woken)+len(resting) == 0 {
 		return evs
 	}
 	out := r.roused[:0]
-	tell := func(list []policy.Listing) {
+	tell := func(list []policy.Endpoint) {
 		if len(list) > 0 {
-			out = append(out, policy.Event{Kind: policy.ListChanges, List: list})
+			out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: list})
 		}
 	}
-	isList := func(e *policy.Event) bool { return e.Kind == policy.ListChanges || e.Kind == policy.ListWhole }
+	isList := func(e *policy.Event) bool { return e.Kind == policy.EndpointDelta || e.Kind == policy.EndpointSnapshot }
 	for i := range evs {
 		if isList(&evs[i]) {
 			out = append(out, evs[i])
@@ -120,10 +120,10 @@
 	r.in(after, r.plan)
 }
 
-// Resting passes on what the module would say.
-func (m *misled) Resting(dest int) bool {
+// Evictable passes on what the module would say.
+func (m *misled) Evictable(dest int) bool {
 	x, ok := m.Module.(rester)
-	return ok && x.Resting(dest)
+	return ok && x.Evictable(dest)
 }
 
 // Idle connections.
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -64,9 +64,9 @@
 }
 
 // careless lets go of what it must remember.
-type careless struct{ *policy.Sender }
+type careless struct{ *policy.Engine }
 
-func (careless) Resting(int) bool { return true }
+func (careless) Evictable(int) bool { return true }
 
 // A destination that told to wait is not forgotten while it lasts, however long it is idle; a module that lets go of it is convicted.
 func TestAWaitOutlastsRest(t *testing.T) {
@@ -102,17 +102,17 @@
 // A destination that wakes stands as the relay's list has it then: what drains is not called, what has gone is not told, and what came is.
 func TestWhatWakesStandsAsListed(t *testing.T) {
 	const s = scenario.Duration(time.Second)
-	var told []policy.Listing
+	var told []policy.Endpoint
 	sent := map[string]int{}
 	w := play(t, 1, 1, 20, 200, scenario.Kind{Pace: s / 10, Slots: 20}, scenario.Destination{Count: 2, Endpoints: 3}, Options{
 		WholeMost: 1,
 		Stepped: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
 			for _, e := range events {
-				told = append(told, e.List...)
+				told = append(told, e.Endpoints...)
 			}
 			for _, a := range actions {
 				if a.Kind == policy.Send {
-					sent[a.Route]++
+					sent[a.Endpoint]++
 				}
 			}
 		},
@@ -127,7 +127,7 @@
 	})
 	load(w, 10*time.Second, 12*time.Second, 50)
 	w.run(t, 13*time.Second)
-	if len(told) != 3 || told[0].Route != hosts[0].ID || told[0].InService || told[1].Route != hosts[2].ID || told[2].Route != "s-new" || !told[2].InService {
+	if len(told) != 3 || told[0].ID != hosts[0].ID || told[0].InService || told[1].ID != hosts[2].ID || told[2].ID != "s-new" || !told[2].InService {
 		t.Errorf("told %+v", told)
 	}
 	if len(sent) != 2 || sent[hosts[2].ID] == 0 || sent["s-new"] == 0 {
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -22,10 +22,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Module is what decides: a *policy.Sender, or one with something wrong about it.
+// Module is what decides: a *policy.Engine, or one with something wrong about it.
 type Module interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
-	MayStill(route string, ids []uint32, now time.Duration) bool
+	StillAllowed(route string, ids []uint32, now time.Duration) bool
 }
 
 // Sync says what of a relay's journal outlasts a death of its machine. A death of its process alone loses nothing.
@@ -69,7 +69,7 @@
 	Wrong *Mutant
 	// Settings changes what the modules are told, not what the rules are; nil: nothing.
 	Settings func(*policy.Settings)
-	// Module makes what decides for a relay; nil: a policy.Sender.
+	// Module makes what decides for a relay; nil: a policy.Engine.
 	Module func(set policy.Settings, seed uint64) Module
 	// Stepped is told of each step of a module; nil: nobody is.
 	Stepped func(relay int, now time.Duration, events []policy.Event, actions []policy.Action)
@@ -156,9 +156,9 @@
 	shares checker.Shares
 	fleet  *fleetNet // nil: relays tell each other nothing
 
-	changes   int              // of discovery's list
-	entries   int              // that it had at the start
-	wholeList []policy.Listing // after wholeAt changes
+	changes   int               // of discovery's list
+	entries   int               // that it had at the start
+	wholeList []policy.Endpoint // after wholeAt changes
 	wholeAt   int
 }
 
@@ -229,21 +229,21 @@
 func Settings(f scenario.File) policy.Settings {
 	s := f.Settings
 	set := policy.Settings{
-		Senders: f.Relays, Slots: s.Slots, MaxHeld: s.Held, MaxAttempts: s.Attempts, MaxRetryAfter: s.MaxRetryAfter.D(),
-		ColdShare: 1, OverloadFactor: s.FallMultiple, OverloadWindow: s.FallWindow.D(), OrderPause: s.OrderPause.D(),
+		FleetSize: f.Relays, MaxInFlightCalls: s.Slots, MaxPendingMessages: s.Held, MaxAttempts: s.Attempts, MaxRetryAfter: s.MaxRetryAfter.D(),
+		WarmUpInitialCapacity: 1, OverloadFactor: s.FallMultiple, OverloadWindow: s.FallWindow.D(), OrderingPause: s.OrderPause.D(),
 	}
 	for _, c := range f.Classes {
-		effect := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}[c.Effect]
+		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}[c.Effect]
 		set.Classes = append(set.Classes, policy.Class{
-			Effect: effect, GroupAll: c.Group == "all", Window: c.Window.D(), Ordered: c.Order, Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Value: c.Worth,
+			Effect: effect, DedupAllZones: c.Group == "all", DedupWindow: c.Window.D(), Ordered: c.Order, LatencyObjective: c.Aim.D(), Deadline: c.GiveUp.D(), Weight: c.Worth,
 		})
 	}
 	for _, k := range f.Kinds {
-		set.Kinds = append(set.Kinds, policy.Kind{Separate: k.Separate, PerCall: k.PerCall})
-		set.ColdShare, set.WarmWithin = min(set.ColdShare, k.ColdFrom), max(set.WarmWithin, k.Warm.D())
+		set.DestinationKinds = append(set.DestinationKinds, policy.DestinationKind{LimitPerEndpoint: k.Separate, MaxBatch: k.PerCall})
+		set.WarmUpInitialCapacity, set.WarmUpDuration = min(set.WarmUpInitialCapacity, k.ColdFrom), max(set.WarmUpDuration, k.Warm.D())
 	}
 	for _, c := range f.Customers {
-		set.Customers = append(set.Customers, policy.Customer{Quota: c.Quota})
+		set.Tenants = append(set.Tenants, policy.Tenant{Quota: c.Quota})
 	}
 	return set
 }
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -76,12 +76,12 @@
 		{"emulator.connections", o.Connections},
 		{"emulator.beyond", emulate.Beyonds[o.Beyond]},
 		{"emulator.mutant", o.Wrong.Name},
-		{"module.senders", m.Senders},
-		{"module.slots", m.Slots},
-		{"module.cold_share", m.ColdShare},
+		{"module.senders", m.FleetSize},
+		{"module.slots", m.MaxInFlightCalls},
+		{"module.cold_share", m.WarmUpInitialCapacity},
 		{"module.overload_factor", m.OverloadFactor},
-		{"module.warm_within", m.WarmWithin},
-		{"module.order_pause", m.OrderPause},
+		{"module.warm_within", m.WarmUpDuration},
+		{"module.order_pause", m.OrderingPause},
 		{"settings.slots", f.Settings.Slots},
 		{"traffic.1.rate", f.Traffic[0].Rate},
 		{"destination.1.weight", f.Destinations[0].Weight},
@@ -94,7 +94,7 @@
 
 // TestGoldenDocuments pins the experiments that are kept beside the documents.
 func TestGoldenDocuments(t *testing.T) {
-	paths, err := filepath.Glob("../../docs/experiments/*.toml")
+	paths, err := filepath.Glob("../../../docs/experiments/*.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -323,9 +323,9 @@
 		d, err := duration(v)
 		return func(s *policy.Settings) {
 			if key == "warm_within" {
-				s.WarmWithin = d
+				s.WarmUpDuration = d
 			} else {
-				s.OrderPause = d
+				s.OrderingPause = d
 			}
 		}, err
 	case "senders", "slots", "cold_share", "overload_factor":
@@ -333,11 +333,11 @@
 		return func(s *policy.Settings) {
 			switch key {
 			case "senders":
-				s.Senders = int(x)
+				s.FleetSize = int(x)
 			case "slots":
-				s.Slots = int(x)
+				s.MaxInFlightCalls = int(x)
 			case "cold_share":
-				s.ColdShare = x
+				s.WarmUpInitialCapacity = x
 			default:
 				s.OverloadFactor = x
 			}
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -43,18 +43,18 @@
 	Rules       []checker.Rule // that it puts to the test most
 	Relays      int
 	Settings    policy.Settings
-	Routes      []policy.Listing // of one destination
-	Messages    []Message        // handed in in this order, each to any relay
-	Outcomes    []Outcome        // of any call
-	Faults      int              // outcomes other than a delivery, on one path at most; a time-out is none
-	Drains      []string         // routes that each relay may be told drain, and then are gone, each at its own time
-	Restarts    int              // kills of relays, on one path at most
-	Outage      bool             // the destination may fail, once, and come back cold
-	Out         bool             // and is out from the start
-	Lasts       time.Duration    // the outage lasts so long at least
-	Knows       int              // failures in a row that a relay has seen of an outage when it counts as knowing; 0: one
-	Quantum     time.Duration    // time passes by so much at most in a move
-	Depth       int              // moves on a path at most
+	Routes      []policy.Endpoint // of one destination
+	Messages    []Message         // handed in in this order, each to any relay
+	Outcomes    []Outcome         // of any call
+	Faults      int               // outcomes other than a delivery, on one path at most; a time-out is none
+	Drains      []string          // routes that each relay may be told drain, and then are gone, each at its own time
+	Restarts    int               // kills of relays, on one path at most
+	Outage      bool              // the destination may fail, once, and come back cold
+	Out         bool              // and is out from the start
+	Lasts       time.Duration     // the outage lasts so long at least
+	Knows       int               // failures in a row that a relay has seen of an outage when it counts as knowing; 0: one
+	Quantum     time.Duration     // time passes by so much at most in a move
+	Depth       int               // moves on a path at most
 	// Walks are paths of WalkDepth moves, drawn at random, that are played behind the bound: for what needs many calls.
 	Walks, WalkDepth int
 }
@@ -546,7 +546,7 @@
 func begin(w *World, wrong *emulate.Mutant) (*explorer, *node, error) {
 	x := &explorer{w: w, wrong: wrong, set: w.Settings}
 	x.set.Classes = slices.Clone(x.set.Classes)
-	x.set.Senders = w.Relays
+	x.set.FleetSize = w.Relays
 	if wrong != nil && wrong.Set != nil {
 		wrong.Set(&x.set)
 	}
@@ -558,7 +558,7 @@
 		}
 		root.relays = append(root.relays, relayState{wait: map[string]time.Duration{}, told: map[string]toldState{}, epoch: -moduleStart})
 		r := &root.relays[i]
-		x.decide(root, i, s, []policy.Event{{Kind: policy.ListWhole, List: w.Routes}})
+		x.decide(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Routes}})
 		r.module = s.Snapshot(nil)
 	}
 	if w.Out {
@@ -650,7 +650,7 @@
 		r := &n.relays[m.Relay]
 		msg := w.Messages[n.given]
 		n.given++
-		r.msgs = append(r.msgs, msgState{id: uint32(n.given), n: n.given - 1, at: n.now, deadline: n.now + w.Settings.Classes[msg.Class].GiveUp})
+		r.msgs = append(r.msgs, msgState{id: uint32(n.given), n: n.given - 1, at: n.now, deadline: n.now + w.Settings.Classes[msg.Class].Deadline})
 		x.step(n, m.Relay, x.taken(n, &r.msgs[len(r.msgs)-1]))
 	case End:
 		out := Outcome{Outcome: policy.Error}
@@ -665,16 +665,16 @@
 		x.end(n, m.Relay, m.N, out)
 	case Drained, Left:
 		route := w.Drains[m.N]
-		i := slices.IndexFunc(w.Routes, func(l policy.Listing) bool { return l.Route == route })
+		i := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == route })
 		l := w.Routes[i]
-		l.InService, l.Gone = false, m.Kind == Left
+		l.InService, l.Removed = false, m.Kind == Left
 		t, ok := n.relays[m.Relay].told[route]
 		if !ok {
 			t.at = n.now
 		}
-		t.gone = l.Gone
+		t.gone = l.Removed
 		n.relays[m.Relay].told[route] = t
-		x.step(n, m.Relay, policy.Event{Kind: policy.ListChanges, List: []policy.Listing{l}})
+		x.step(n, m.Relay, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}})
 	case Noticed:
 		n.relays[m.Relay].msgs[m.N].told = true
 	case Killed:
@@ -692,7 +692,7 @@
 
 func (x *explorer) taken(n *node, m *msgState) policy.Event {
 	msg := x.w.Messages[m.n]
-	return policy.Event{Kind: policy.Taken, ID: m.id, Key: msg.Key, Class: msg.Class, Customer: -1, Destination: x.w.Routes[0].Destination, Left: m.deadline - n.now}
+	return policy.Event{Kind: policy.MessageAccepted, MessageID: m.id, Key: msg.Key, Class: msg.Class, Tenant: -1, Destination: x.w.Routes[0].Destination, TimeLeft: m.deadline - n.now}
 }
 
 // pass lets time pass until something is due, or by a quantum, and has that happen.
@@ -744,7 +744,7 @@
 		})
 		if r.wake > 0 && r.wake <= n.now {
 			r.wake = 0
-			due = append(due, policy.Event{Kind: policy.Woken})
+			due = append(due, policy.Event{Kind: policy.TimerFired})
 		}
 		if len(due) > 0 {
 			x.heard(n, i, due)
@@ -770,7 +770,7 @@
 		if r.seen < x.w.Knows {
 			r.seen = 0 // not in a row
 		}
-	case policy.Full, policy.ConnectFailed, policy.Moot:
+	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
 		m.mayRun = slices.DeleteFunc(m.mayRun, func(a int) bool { return a == c.n })
 		m.ran = len(m.mayRun) > 0
 	case policy.Reset, policy.Timeout, policy.Cancelled:
@@ -785,14 +785,14 @@
 		r.seen++
 	}
 	x.step(n, relay, policy.Event{
-		Kind: policy.Finished, ID: c.id, Attempt: c.n, Route: route.Route, Outcome: out.Outcome, Took: n.now - c.sent, Ended: out.Outcome == policy.OK, Wait: out.Wait,
+		Kind: policy.AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: route.ID, Outcome: out.Outcome, Latency: n.now - c.sent, MessageEnded: out.Outcome == policy.OK, RetryAfter: out.Wait,
 	})
 }
 
 // gate names what shares a wait.
-func (x *explorer) gate(l policy.Listing) string {
-	if x.w.Settings.Kinds[l.Kind].Separate {
-		return l.Route
+func (x *explorer) gate(l policy.Endpoint) string {
+	if x.w.Settings.DestinationKinds[l.Kind].LimitPerEndpoint {
+		return l.ID
 	}
 	return ""
 }
@@ -800,7 +800,7 @@
 // step tells a relay's module of an event, as far as the mutant lets it hear.
 func (x *explorer) step(n *node, relay int, e policy.Event) {
 	if x.wrong != nil && x.wrong.Hears != nil {
-		e.List = slices.Clone(e.List)
+		e.Endpoints = slices.Clone(e.Endpoints)
 		switch late := x.wrong.Hears(&e); {
 		case late < 0:
 			return
@@ -835,15 +835,15 @@
 	r.epoch, r.wake, r.calls, r.held = n.now-moduleStart, 0, nil, nil
 	clear(r.wait) // a restart ends a wait
 	r.seen = 0
-	whole := policy.Event{Kind: policy.ListWhole}
+	whole := policy.Event{Kind: policy.EndpointSnapshot}
 	for _, l := range x.w.Routes {
-		if t, ok := r.told[l.Route]; ok {
+		if t, ok := r.told[l.ID]; ok {
 			if t.gone {
 				continue
 			}
 			l.InService = false
 		}
-		whole.List = append(whole.List, l)
+		whole.Endpoints = append(whole.Endpoints, l)
 	}
 	evs := []policy.Event{whole}
 	for k := range r.msgs {
@@ -857,9 +857,9 @@
 			continue // its notice is sent once more
 		}
 		e := x.taken(n, m)
-		e.Resumed = &policy.Resumed{Attempts: m.sends, Ran: m.ran, RanAgo: n.now - m.ranAt, RanZone: m.ranZone}
+		e.Recovered = &policy.RecoveredMessage{Attempts: m.sends, MayHaveRun: m.ran, SinceFirstRun: n.now - m.ranAt, FirstRunZone: m.ranZone}
 		if !m.ran {
-			e.Resumed.RanAgo = 0
+			e.Recovered.SinceFirstRun = 0
 		} else {
 			m.doubt, m.doubtAt = true, n.now
 		}
@@ -873,7 +873,7 @@
 }
 
 // decide has a module step, carries out what it says, and judges that.
-func (x *explorer) decide(n *node, relay int, s *policy.Sender, evs []policy.Event) {
+func (x *explorer) decide(n *node, relay int, s *policy.Engine, evs []policy.Event) {
 	r := &n.relays[relay]
 	acts := s.Step(n.now-r.epoch, evs)
 	for i := range acts {
@@ -882,11 +882,11 @@
 			continue
 		}
 		switch a.Kind {
-		case policy.Wake:
+		case policy.SetTimer:
 			r.wake = n.now + a.Delay
 		case policy.Send:
 			x.send(n, relay, a)
-		case policy.Refuse, policy.Fail:
+		case policy.Reject, policy.Fail:
 			x.gaveUp(n, relay, a)
 		}
 	}
@@ -894,7 +894,7 @@
 
 func (x *explorer) gaveUp(n *node, relay int, a policy.Action) {
 	r := &n.relays[relay]
-	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.ID })
+	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
 	if k < 0 {
 		return
 	}
@@ -904,7 +904,7 @@
 		return
 	}
 	c := x.w.Settings.Classes[x.w.Messages[m.n].Class]
-	if a.Kind == policy.Refuse && m.ran && (c.Effect == policy.Unsafe || c.Effect == policy.Keyed && !c.GroupAll) {
+	if a.Kind == policy.Reject && m.ran && (c.Effect == policy.NonIdempotent || c.Effect == policy.IdempotentByKey && !c.DedupAllZones) {
 		n.breaks(checker.Twice, "message %d is refused, which says that it may come again, though a call may have run", m.id)
 	}
 	m.ended = true
@@ -918,10 +918,10 @@
 // send judges a send by the rules.
 func (x *explorer) send(n *node, relay int, a policy.Action) {
 	w, r := x.w, &n.relays[relay]
-	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.ID })
-	route := slices.IndexFunc(w.Routes, func(l policy.Listing) bool { return l.Route == a.Route })
+	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
+	route := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
 	if k < 0 || route < 0 {
-		n.breaks(checker.Lost, "relay %d sends message %d to %q, of which one is not there", relay, a.ID, a.Route)
+		n.breaks(checker.Lost, "relay %d sends message %d to %q, of which one is not there", relay, a.MessageID, a.Endpoint)
 		return
 	}
 	m, l := &r.msgs[k], w.Routes[route]
@@ -931,21 +931,21 @@
 	}
 	if m.ran {
 		switch c.Effect {
-		case policy.Unsafe:
+		case policy.NonIdempotent:
 			n.breaks(checker.Twice, "message %d must never run twice, may have run, and is sent again", m.id)
-		case policy.Keyed:
-			if late := n.now - m.ranAt - c.Window; late > 0 {
+		case policy.IdempotentByKey:
+			if late := n.now - m.ranAt - c.DedupWindow; late > 0 {
 				n.breaks(checker.Twice, "message %d is repeated %v after its window", m.id, late)
-			} else if l.Zone != m.ranZone && !c.GroupAll {
+			} else if l.Zone != m.ranZone && !c.DedupAllZones {
 				n.breaks(checker.Twice, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
 			}
 		}
 	}
-	if t, ok := r.told[a.Route]; ok && n.now > t.at+drainGrace {
-		n.breaks(checker.Drain, "relay %d sends to %s %v after it was told that it is no longer in service", relay, a.Route, n.now-t.at)
+	if t, ok := r.told[a.Endpoint]; ok && n.now > t.at+drainGrace {
+		n.breaks(checker.Drain, "relay %d sends to %s %v after it was told that it is no longer in service", relay, a.Endpoint, n.now-t.at)
 	}
 	if until := r.wait[x.gate(l)]; n.now < until-time.Millisecond {
-		n.breaks(checker.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Route, until-n.now)
+		n.breaks(checker.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
 	}
 	if c.Ordered && w.Messages[m.n].Key != "" {
 		x.inTurn(n, r, m)
@@ -955,7 +955,7 @@
 	if !m.ran {
 		m.ran, m.ranAt, m.ranZone = true, n.now, l.Zone
 	}
-	r.calls = append(r.calls, callState{id: m.id, n: m.sends - 1, route: route, sent: n.now, cut: a.At + r.epoch})
+	r.calls = append(r.calls, callState{id: m.id, n: m.sends - 1, route: route, sent: n.now, cut: a.TimeoutAt + r.epoch})
 	if n.phase == 2 {
 		x.arrived(n, relay, l)
 	}
@@ -974,18 +974,18 @@
 			n.breaks(checker.Order, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
 		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.id == e.id }):
 			n.breaks(checker.Order, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
-		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderPause:
+		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderingPause:
 			n.breaks(checker.Order, "message %d is sent %v after a call of %d that may still run", m.id, n.now-e.doubtAt, e.id)
 		}
 	}
 }
 
 // arrived judges a call to a destination that has come back, as package judge does: by the load of the relays that knew.
-func (x *explorer) arrived(n *node, relay int, l policy.Listing) {
+func (x *explorer) arrived(n *node, relay int, l policy.Endpoint) {
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
-	able := upstream.Cold{At: n.backAt, Rate: l.Weight, Share: set.ColdShare, Warm: set.WarmWithin}.Able(n.now)
+	able := upstream.Cold{At: n.backAt, Rate: l.Weight, Share: set.WarmUpInitialCapacity, Warm: set.WarmUpDuration}.Able(n.now)
 	knew := 0
 	for _, a := range n.arrivals {
 		if n.relays[a.relay].seen >= max(1, x.w.Knows) {
@@ -993,7 +993,7 @@
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmWithin && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) && float64(knew) >= checker.SeenShare*sum {
+	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) && float64(knew) >= checker.SeenShare*sum {
 		n.breaks(checker.Return, "%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
 			sum, set.OverloadWindow, n.now-n.backAt, math.Round(able*100)/100, knew)
 	}
