--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -137,9 +137,9 @@
 	*m = tinyMember{
 		name: m.name, ledger: loadreport.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
 		meant: map[string]tinyVersion{}, heardAs: map[string]time.Duration{},
-		seam: agent.New(agent.Settings{Self: m.name, Life: life, Members: all, Kinds: []policy.Kind{{PerCall: 1}}}),
+		seam: agent.New(agent.Settings{Self: m.name, Life: life, Members: all, Kinds: []policy.DestinationKind{{MaxBatch: 1}}}),
 	}
-	m.seam.Step(t.now, agent.Input{Events: []policy.Event{{Kind: policy.ListWhole, List: []policy.Listing{{Route: "r", Weight: 10, InService: true}}}}})
+	m.seam.Step(t.now, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Weight: 10, InService: true}}}}})
 	m.ledger.SetLimits(loadreport.Limits{0: {"": 10}})
 }
 
@@ -248,8 +248,8 @@
 	t.now += tellAfter
 	id := uint32(t.now / time.Millisecond)
 	told := m.seam.Step(t.now, agent.Input{
-		Life: m.raised, Events: []policy.Event{{Kind: policy.Taken, ID: id}, {Kind: policy.Finished, ID: id, Route: "r", Ended: true}},
-		Views: func() []policy.View { return nil },
+		Life: m.raised, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
+		Views: func() []policy.EndpointView { return nil },
 	})
 	m.raised = loadreport.Life{}
 	if len(told.Told) != 1 || m.ledger.Keep(t.now, told.Told[0]) != loadreport.Changed {
--- a/internal/simulation/modelcheck/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -78,8 +78,8 @@
 func (p Path) Replay() (*Break, error) { return p.walk(nil) }
 
 var outcomeNames = map[policy.Outcome]string{
-	policy.OK: "delivered", policy.Error: "an error", policy.Full: "refused", policy.Timeout: "no answer in time",
-	policy.ConnectFailed: "no connection", policy.Reset: "broken off", policy.Cancelled: "cancelled", policy.Moot: "never sent",
+	policy.OK: "delivered", policy.Error: "an error", policy.Overloaded: "refused", policy.Timeout: "no answer in time",
+	policy.ConnectFailed: "no connection", policy.Reset: "broken off", policy.Cancelled: "cancelled", policy.NotSent: "never sent",
 }
 
 // Tell writes a path for people: each move, and what the modules then had out.
@@ -100,7 +100,7 @@
 			if m.Choice >= 0 {
 				o = w.Outcomes[m.Choice]
 			}
-			text = fmt.Sprintf("relay %d: the call of message %d to %s ends: %s", m.Relay, c.id, w.Routes[c.route].Route, outcomeNames[o.Outcome])
+			text = fmt.Sprintf("relay %d: the call of message %d to %s ends: %s", m.Relay, c.id, w.Routes[c.route].ID, outcomeNames[o.Outcome])
 			if o.Wait > 0 {
 				text += fmt.Sprintf(", told to wait %v", o.Wait)
 			}
@@ -126,7 +126,7 @@
 	for i := range to.relays {
 		for _, c := range to.relays[i].calls {
 			if !slices.Contains(from.relays[i].calls, c) {
-				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.id, w.Routes[c.route].Route)
+				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.id, w.Routes[c.route].ID)
 			}
 		}
 	}
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -12,14 +12,14 @@
 func settings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
-			{Effect: policy.Unsafe, Aim: time.Second, GiveUp: 4 * time.Second, Value: 1},
-			{Effect: policy.Keyed, Window: 2 * time.Second, Aim: time.Second, GiveUp: 4 * time.Second, Value: 1},
-			{Effect: policy.Safe, Ordered: true, Aim: time.Second, GiveUp: 6 * time.Second, Value: 1},
-			{Effect: policy.Safe, Aim: time.Second, GiveUp: 5 * time.Second, Value: 1},
-			{Effect: policy.Safe, Aim: 3 * time.Second, GiveUp: 20 * time.Second, Value: 1},
+			{Effect: policy.NonIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
+			{Effect: policy.IdempotentByKey, DedupWindow: 2 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
+			{Effect: policy.Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 6 * time.Second, Weight: 1},
+			{Effect: policy.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1},
+			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 20 * time.Second, Weight: 1},
 		},
-		Kinds: []policy.Kind{{PerCall: 1}, {PerCall: 1, Separate: true}}, Slots: 8, MaxHeld: 100, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second,
-		ColdShare: 0.18, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second, OrderPause: time.Second,
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}, {MaxBatch: 1, LimitPerEndpoint: true}}, MaxInFlightCalls: 8, MaxPendingMessages: 100, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second,
+		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second, OrderingPause: time.Second,
 	}
 }
 
@@ -32,9 +32,9 @@
 	patient
 )
 
-func routes(weight float64, zones ...int) (all []policy.Listing) {
+func routes(weight float64, zones ...int) (all []policy.Endpoint) {
 	for i, z := range zones {
-		all = append(all, policy.Listing{Route: string(rune('a' + i)), Destination: 1, Zone: z, Weight: weight, InService: true})
+		all = append(all, policy.Endpoint{ID: string(rune('a' + i)), Destination: 1, Zone: z, Weight: weight, InService: true})
 	}
 	return all
 }
@@ -49,7 +49,7 @@
 // Worlds are those that come with the program. Their depths are such that all of them end within a minute on two cores.
 func Worlds() []World {
 	const quantum = 500 * time.Millisecond
-	told := Outcome{Outcome: policy.Full, Wait: time.Second}
+	told := Outcome{Outcome: policy.Overloaded, Wait: time.Second}
 	return []World{
 		{
 			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
@@ -59,7 +59,7 @@
 		{
 			Name: "window", Rules: []checker.Rule{checker.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
-			Outcomes: outcomes(policy.Reset, policy.Full, policy.ConnectFailed), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
+			Outcomes: outcomes(policy.Reset, policy.Overloaded, policy.ConnectFailed), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
 		},
 		{
 			Name: "order", Rules: []checker.Rule{checker.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
@@ -69,12 +69,12 @@
 		{
 			Name: "waits", Rules: []checker.Rule{checker.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
-			Outcomes: []Outcome{{Outcome: policy.OK}, told, {Outcome: policy.Full}}, Faults: 2, Quantum: quantum, Depth: 10,
+			Outcomes: []Outcome{{Outcome: policy.OK}, told, {Outcome: policy.Overloaded}}, Faults: 2, Quantum: quantum, Depth: 10,
 		},
 		{
 			Name: "drains", Rules: []checker.Rule{checker.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(policy.OK, policy.Full), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
+			Outcomes: outcomes(policy.OK, policy.Overloaded), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
 		},
 		{
 			Name: "return", Rules: []checker.Rule{checker.Return}, About: "one relay, a destination that fails and comes back cold",
@@ -94,7 +94,7 @@
 		{
 			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, About: "two relays that are killed at any moment, with a message given up on",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(policy.OK, policy.Reset, policy.Full), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
+			Outcomes: outcomes(policy.OK, policy.Reset, policy.Overloaded), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
 		},
 		{
 			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
@@ -104,7 +104,7 @@
 	}
 }
 
-func apart(all []policy.Listing) []policy.Listing {
+func apart(all []policy.Endpoint) []policy.Endpoint {
 	for i := range all {
 		all[i].Kind = 1
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -35,66 +35,66 @@
 func Settings(values map[string]string) (policy.Settings, error) {
 	p := &pairs{values: values}
 	set := policy.Settings{
-		Senders:        p.integer("fleet_size"),
-		Slots:          p.integer("extra.call_slots"),
-		MaxHeld:        p.integer("bounds.open_cap"),
-		MaxAttempts:    p.integer("bounds.send_cap"),
-		RoughWeights:   p.values["weight_kind"] == "rough",
-		NoWeights:      p.values["weight_kind"] == "none",
-		AskList:        p.values["membership_mode"] == "ask",
-		ColdShare:      p.number("rules.cold_from"),
-		WarmWithin:     p.ms("rules.warm_within_ms"),
-		OverloadFactor: p.number("rules.overload_factor"),
-		OverloadWindow: p.ms("rules.fall_ms"),
-		OrderPause:     p.ms("rules.order_pause_ms"),
+		FleetSize:             p.integer("fleet_size"),
+		MaxInFlightCalls:      p.integer("extra.call_slots"),
+		MaxPendingMessages:    p.integer("bounds.open_cap"),
+		MaxAttempts:           p.integer("bounds.send_cap"),
+		ApproximateWeights:    p.values["weight_kind"] == "rough",
+		IgnoreWeights:         p.values["weight_kind"] == "none",
+		WatchRequired:         p.values["membership_mode"] == "ask",
+		WarmUpInitialCapacity: p.number("rules.cold_from"),
+		WarmUpDuration:        p.ms("rules.warm_within_ms"),
+		OverloadFactor:        p.number("rules.overload_factor"),
+		OverloadWindow:        p.ms("rules.fall_ms"),
+		OrderingPause:         p.ms("rules.order_pause_ms"),
 	}
 	if p.boolean("bounds.retry_after") {
 		set.MaxRetryAfter = p.ms("bounds.max_retry_after_ms")
 	}
 	for _, x := range p.list("extra.carriage") {
-		set.Carriage = append(set.Carriage, p.parse("extra.carriage", x))
+		set.ZoneCosts = append(set.ZoneCosts, p.parse("extra.carriage", x))
 	}
 	for i := range p.count("services") {
 		set.Classes = append(set.Classes, p.class(fmt.Sprintf("services.%d.", i)))
 	}
 	for i := range p.count("realms") {
-		set.Customers = append(set.Customers, policy.Customer{
+		set.Tenants = append(set.Tenants, policy.Tenant{
 			Quota: p.number(fmt.Sprintf("realms.%d.quota_per_s", i)),
 		})
 	}
 	per, apart := p.list("extra.per_call"), p.list("extra.separate_routes")
 	for i := range max(len(p.list("kinds")), len(per), len(apart)) {
-		k := policy.Kind{PerCall: 1}
+		k := policy.DestinationKind{MaxBatch: 1}
 		if i < len(per) {
-			k.PerCall = int(p.parse("extra.per_call", per[i]))
+			k.MaxBatch = int(p.parse("extra.per_call", per[i]))
 		}
 		if i < len(apart) {
-			k.Separate = apart[i] == "true"
+			k.LimitPerEndpoint = apart[i] == "true"
 		}
-		set.Kinds = append(set.Kinds, k)
+		set.DestinationKinds = append(set.DestinationKinds, k)
 	}
 	return set, p.err
 }
 
 func (p *pairs) class(at string) policy.Class {
 	c := policy.Class{
-		GroupAll: p.values[at+"group"] == "all",
-		Window:   p.ms(at + "repeat_window_ms"),
-		Ordered:  p.boolean(at + "by_arrival"),
-		Aim:      p.ms(at + "goal_time_ms"),
-		GiveUp:   p.ms(at + "give_up_ms"),
-		Value:    1,
+		DedupAllZones:    p.values[at+"group"] == "all",
+		DedupWindow:      p.ms(at + "repeat_window_ms"),
+		Ordered:          p.boolean(at + "by_arrival"),
+		LatencyObjective: p.ms(at + "goal_time_ms"),
+		Deadline:         p.ms(at + "give_up_ms"),
+		Weight:           1,
 	}
 	if _, ok := p.values[at+"value"]; ok {
-		c.Value = p.number(at + "value")
+		c.Weight = p.number(at + "value")
 	}
 	switch p.values[at+"semantics"] {
 	case "read_like":
-		c.Effect = policy.Safe
+		c.Effect = policy.Idempotent
 	case "idempotency_key":
-		c.Effect = policy.Keyed
+		c.Effect = policy.IdempotentByKey
 	default: // what is not known to bear a repeat bears none
-		c.Effect = policy.Unsafe
+		c.Effect = policy.NonIdempotent
 	}
 	return c
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -44,7 +44,7 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]policy.Listing
+	lists map[int][]policy.Endpoint
 	cells map[int]*schema
 	pool  struct{ number, left int }
 	buf   []byte
@@ -56,7 +56,7 @@
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Listing{}, cells: map[int]*schema{},
+		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Endpoint{}, cells: map[int]*schema{},
 	}
 }
 
@@ -142,7 +142,7 @@
 		if r.pool.left < 0 {
 			return false, fmt.Errorf("bad number of entries")
 		}
-		r.lists[r.pool.number] = make([]policy.Listing, 0, min(r.pool.left, 1024))
+		r.lists[r.pool.number] = make([]policy.Endpoint, 0, min(r.pool.left, 1024))
 		return false, f.end()
 	case "HOST":
 		r.pool.left--
@@ -177,39 +177,39 @@
 func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
 	switch name {
 	case "KNOCK":
-		e.Kind = policy.Taken
-		e.ID = f.id()
+		e.Kind = policy.MessageAccepted
+		e.MessageID = f.id()
 		e.Key = f.optional()
 		f.integer()
-		e.Customer = f.optionalInteger()
+		e.Tenant = f.optionalInteger()
 		f.optional()
 		e.Class = f.integer()
-		e.Left = f.ms()
+		e.TimeLeft = f.ms()
 		e.Destination = f.integer()
 	case "FINISHED":
-		e.Kind = policy.Finished
-		e.ID = f.id()
+		e.Kind = policy.AttemptFinished
+		e.MessageID = f.id()
 		e.Attempt = f.integer()
-		e.Route = f.word()
+		e.Endpoint = f.word()
 		e.Outcome = f.outcome()
-		e.Took = f.ms()
-		e.Ended = f.boolean()
+		e.Latency = f.ms()
+		e.MessageEnded = f.boolean()
 		note := f.optionalInteger()
-		if e.Outcome == policy.Full {
-			e.Wait = time.Duration(note) * time.Millisecond
+		if e.Outcome == policy.Overloaded {
+			e.RetryAfter = time.Duration(note) * time.Millisecond
 		}
-		e.Report = f.report(sc)
+		e.LimitReport = f.report(sc)
 	case "PONG":
-		e.Kind = policy.Probed
-		e.Route = f.word()
+		e.Kind = policy.HealthChecked
+		e.Endpoint = f.word()
 		e.Outcome = f.outcome()
-		e.Took = f.ms()
-		e.Report = f.report(sc)
+		e.Latency = f.ms()
+		e.LimitReport = f.report(sc)
 	case "TIMED_OUT_CLIENT":
-		e.Kind = policy.Withdrawn
-		e.ID = f.id()
+		e.Kind = policy.MessageCancelled
+		e.MessageID = f.id()
 	case "TICK_DUE":
-		e.Kind = policy.Woken
+		e.Kind = policy.TimerFired
 		f.unsigned()
 	case "TARGETS":
 		mode := f.word()
@@ -217,11 +217,11 @@
 		buffer := f.optionalInteger()
 		switch mode {
 		case "full", "cached":
-			e.Kind = policy.ListWhole
+			e.Kind = policy.EndpointSnapshot
 		case "delta":
-			e.Kind = policy.ListChanges
+			e.Kind = policy.EndpointDelta
 		case "failed":
-			e.Kind = policy.ListFailed
+			e.Kind = policy.WatchFailed
 			return true, f.end()
 		default:
 			return false, fmt.Errorf("unknown mode")
@@ -230,7 +230,7 @@
 		if !ok {
 			return false, fmt.Errorf("no such POOL")
 		}
-		e.List = list
+		e.Endpoints = list
 	case "HEADERS", "INBOX":
 		return false, nil
 	default:
@@ -239,14 +239,14 @@
 	return true, f.end()
 }
 
-func parseHost(f *fields) (policy.Listing, error) {
-	var l policy.Listing
+func parseHost(f *fields) (policy.Endpoint, error) {
+	var l policy.Endpoint
 	switch f.word() {
 	case "in_service":
 		l.InService = true
 	case "terminating":
 	case "terminated":
-		l.Gone = true
+		l.Removed = true
 	default:
 		return l, fmt.Errorf("unknown health")
 	}
@@ -254,7 +254,7 @@
 	l.Destination = f.integer()
 	l.Zone = f.integer()
 	f.optional()
-	l.Route = f.word()
+	l.ID = f.word()
 	if w, err := strconv.ParseFloat(f.optional(), 64); err == nil && w > 0 && !math.IsInf(w, 0) {
 		l.Weight = w
 	}
@@ -366,9 +366,9 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"ok": policy.OK, "error": policy.Error, "full": policy.Full, "timeout": policy.Timeout,
+	"ok": policy.OK, "error": policy.Error, "full": policy.Overloaded, "timeout": policy.Timeout,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
-	"moot": policy.Moot,
+	"moot": policy.NotSent,
 }
 
 func (f *fields) outcome() policy.Outcome {
@@ -380,8 +380,8 @@
 }
 
 // report reads name:value pairs; names that the settings do not explain are passed over.
-func (f *fields) report(sc *schema) policy.Report {
-	var rep policy.Report
+func (f *fields) report(sc *schema) policy.LimitReport {
+	var rep policy.LimitReport
 	text := f.optional()
 	for text != "" {
 		var pair string
@@ -393,9 +393,9 @@
 		}
 		switch name {
 		case sc.left:
-			rep.Left = x
+			rep.Remaining = x
 		case sc.limit:
-			rep.Limit, rep.Told = x, true
+			rep.Limit, rep.Present = x, true
 		}
 	}
 	return rep
@@ -417,24 +417,24 @@
 		switch a.Kind {
 		case policy.Send:
 			w.head("SUBMIT_TO", instance)
-			w.id(a.ID)
-			w.text(a.Route)
-			w.ms(a.At)
-		case policy.Refuse:
+			w.id(a.MessageID)
+			w.text(a.Endpoint)
+			w.ms(a.TimeoutAt)
+		case policy.Reject:
 			w.head("REJECT", instance)
-			w.id(a.ID)
+			w.id(a.MessageID)
 			w.ms(a.Delay)
 		case policy.Fail:
 			w.head("SURRENDER", instance)
-			w.id(a.ID)
-		case policy.Wake:
+			w.id(a.MessageID)
+		case policy.SetTimer:
 			w.head("WAKE_AT", instance)
 			w.id(0)
 			w.ms(a.Delay)
 		case policy.CloseIdle:
 			w.head("HANG_UP", instance)
-			w.text(a.Route)
-		case policy.Watch:
+			w.text(a.Endpoint)
+		case policy.WatchEndpoints:
 			w.head("STREAM_CHANGES", instance)
 			w.id(1)
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -33,29 +33,29 @@
 		lines string
 		want  policy.Event
 	}{
-		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.Taken, ID: 1564119492,
-			Key: "obj/kd6", Customer: 2, Left: 240 * time.Millisecond, Destination: 57}},
-		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.Taken, ID: 4294967295, Class: 1,
-			Left: 500 * time.Microsecond}},
-		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{Kind: policy.Finished, ID: 9, Attempt: 2,
-			Route: "host.a", Took: 18500 * time.Microsecond, Ended: true}},
-		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{Kind: policy.Finished, ID: 9,
-			Route: "host.a", Outcome: policy.Full, Took: time.Millisecond, Wait: 450 * time.Millisecond,
-			Report: policy.Report{Told: true, Left: 0.25, Limit: 3.5}}},
-		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.Finished, ID: 9, Route: "host.a",
-			Outcome: policy.Moot}},
-		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{Kind: policy.Probed, Route: "host.a",
-			Outcome: policy.ConnectFailed, Took: 1500 * time.Microsecond}},
-		{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.Withdrawn, ID: 242166553}},
-		{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.Woken}},
-		{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.ListFailed}},
+		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.MessageAccepted, MessageID: 1564119492,
+			Key: "obj/kd6", Tenant: 2, TimeLeft: 240 * time.Millisecond, Destination: 57}},
+		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.MessageAccepted, MessageID: 4294967295, Class: 1,
+			TimeLeft: 500 * time.Microsecond}},
+		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9, Attempt: 2,
+			Endpoint: "host.a", Latency: 18500 * time.Microsecond, MessageEnded: true}},
+		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9,
+			Endpoint: "host.a", Outcome: policy.Overloaded, Latency: time.Millisecond, RetryAfter: 450 * time.Millisecond,
+			LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5}}},
+		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9, Endpoint: "host.a",
+			Outcome: policy.NotSent}},
+		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{Kind: policy.HealthChecked, Endpoint: "host.a",
+			Outcome: policy.ConnectFailed, Latency: 1500 * time.Microsecond}},
+		{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.MessageCancelled, MessageID: 242166553}},
+		{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.TimerFired}},
+		{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.WatchFailed}},
 		{"POOL 0 2\nHOST in_service 0 57 0 - host.abu 1\nHOST terminating 1 57 1 6100.0 host.azk odd\n" +
-			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.ListWhole, List: []policy.Listing{
-			{Route: "host.abu", Destination: 57, Weight: 1, InService: true},
-			{Route: "host.azk", Destination: 57, Kind: 1, Zone: 1}}}},
+			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
+			{ID: "host.abu", Destination: 57, Weight: 1, InService: true},
+			{ID: "host.azk", Destination: 57, Kind: 1, Zone: 1}}}},
 		{"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n",
-			policy.Event{Kind: policy.ListChanges, List: []policy.Listing{
-				{Route: "host.abu", Destination: 5, Gone: true}}}},
+			policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{
+				{ID: "host.abu", Destination: 5, Removed: true}}}},
 	} {
 		items, err := read(t, c.lines)
 		if err != nil || len(items) != 1 || items[0].Instance != 3 || !reflect.DeepEqual(items[0].Event, c.want) {
@@ -100,15 +100,15 @@
 		"services.0.late_worth=0.4 services.1.semantics=new_kind services.1.by_arrival=true services.1.value=4.0")
 	want := policy.Settings{
 		Classes: []policy.Class{
-			{Effect: policy.Keyed, GroupAll: true, Window: 10 * time.Second, Aim: 3 * time.Second,
-				GiveUp: 16 * time.Second, Value: 1},
-			{Effect: policy.Unsafe, Ordered: true, Value: 4}},
-		Kinds:     []policy.Kind{{PerCall: 10}, {Separate: true, PerCall: 1}},
-		Customers: []policy.Customer{{Quota: 52}, {}},
-		Senders:   2, Slots: 38, MaxHeld: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
-		RoughWeights: true, AskList: true, Carriage: []float64{0, 0.03},
-		ColdShare: 0.18, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
-		OrderPause: 100 * time.Millisecond,
+			{Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second,
+				Deadline: 16 * time.Second, Weight: 1},
+			{Effect: policy.NonIdempotent, Ordered: true, Weight: 4}},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {LimitPerEndpoint: true, MaxBatch: 1}},
+		Tenants:          []policy.Tenant{{Quota: 52}, {}},
+		FleetSize:        2, MaxInFlightCalls: 38, MaxPendingMessages: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
+		ApproximateWeights: true, WatchRequired: true, ZoneCosts: []float64{0, 0.03},
+		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
+		OrderingPause: 100 * time.Millisecond,
 	}
 	if err != nil || !reflect.DeepEqual(set, want) || sc.limit != "" {
 		t.Errorf("got %+v, %v, %v\nwant %+v", set, sc, err, want)
@@ -119,10 +119,10 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	w.Actions(3, []policy.Action{
-		{Kind: policy.Send, ID: 1564119492, Route: "host.a", At: 8492250 * time.Microsecond},
-		{Kind: policy.Refuse, ID: 2, Delay: 250 * time.Millisecond}, {Kind: policy.Fail, ID: 5},
-		{Kind: policy.Wake, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Route: "host.a"},
-		{Kind: policy.Watch},
+		{Kind: policy.Send, MessageID: 1564119492, Endpoint: "host.a", TimeoutAt: 8492250 * time.Microsecond},
+		{Kind: policy.Reject, MessageID: 2, Delay: 250 * time.Millisecond}, {Kind: policy.Fail, MessageID: 5},
+		{Kind: policy.SetTimer, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Endpoint: "host.a"},
+		{Kind: policy.WatchEndpoints},
 	})
 	w.Die(3, "out of\nrange")
 	if err := w.End("12"); err != nil {
--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -11,7 +11,7 @@
 
 // entry is an endpoint as a platform names them: two to a destination.
 func entry(i, generation int) Endpoint {
-	return Endpoint{policy.Listing{Route: fmt.Sprintf("ep-%06d-%02d", i, generation), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 3, Weight: float64(5 + i%40),
+	return Endpoint{policy.Endpoint{ID: fmt.Sprintf("ep-%06d-%02d", i, generation), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 3, Weight: float64(5 + i%40),
 		InService: true}, fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}
 }
 
@@ -77,11 +77,11 @@
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 0; b.Loop(); i++ {
 			e := list[i*7919%len(list)]
-			e.Gone = true
+			e.Removed = true
 			if c.Put(e).Kind != Removed {
 				b.Fatal("not removed")
 			}
-			e.Gone = false
+			e.Removed = false
 			if c.Put(e).Kind != Added {
 				b.Fatal("not added")
 			}
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -20,7 +20,7 @@
 
 // Endpoint is one entry of discovery's list.
 type Endpoint struct {
-	policy.Listing
+	policy.Endpoint
 	Addr string
 }
 
@@ -168,12 +168,12 @@
 
 // Put takes an entry of a list. One that is gone is removed. In a whole list it counts as named and comes behind what was named before.
 func (c *Catalog) Put(e Endpoint) Change {
-	i := c.find(e.Route)
+	i := c.find(e.ID)
 	switch {
-	case e.Gone && i == 0:
+	case e.Removed && i == 0:
 		return Change{e, e, Same}
-	case e.Gone:
-		was := c.read(i, e.Route)
+	case e.Removed:
+		was := c.read(i, e.ID)
 		c.remove(i)
 		return Change{was, e, Removed}
 	}
@@ -188,7 +188,7 @@
 		c.name(i)
 		return Change{e, e, Same}
 	}
-	was := c.read(i, e.Route)
+	was := c.read(i, e.ID)
 	c.rewrite(i)
 	if !here {
 		c.leave(i)
@@ -245,8 +245,8 @@
 
 // appendText appends what is kept of an entry but its destination. The id comes first.
 func appendText(b []byte, e *Endpoint) []byte {
-	b = binary.AppendUvarint(b, uint64(len(e.Route)))
-	b = append(b, e.Route...)
+	b = binary.AppendUvarint(b, uint64(len(e.ID)))
+	b = append(b, e.ID...)
 	at := len(b)
 	b = append(b, 0)
 	if e.InService {
@@ -318,7 +318,7 @@
 		id = string(raw)
 	}
 	head := r.take(1)[0]
-	e.Listing = policy.Listing{Route: id, Destination: c.places.at(s.place).number(), InService: head&inService != 0}
+	e.Endpoint = policy.Endpoint{ID: id, Destination: c.places.at(s.place).number(), InService: head&inService != 0}
 	e.Kind, e.Zone = r.int(), r.int()
 	e.Weight = math.Float64frombits(bits.ReverseBytes64(r.uint()))
 	if head&asNumber != 0 {
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -20,23 +20,23 @@
 }
 
 func (m *model) find(id string) int {
-	return slices.IndexFunc(m.all, func(e Endpoint) bool { return e.Route == id })
+	return slices.IndexFunc(m.all, func(e Endpoint) bool { return e.ID == id })
 }
 
 func (m *model) name(i int) {
 	if m.fresh != nil {
 		e := m.all[i]
 		m.all = append(slices.Delete(m.all, i, i+1), e)
-		m.fresh[e.Route] = true
+		m.fresh[e.ID] = true
 	}
 }
 
 func (m *model) put(e Endpoint) Change {
-	i := m.find(e.Route)
+	i := m.find(e.ID)
 	switch {
-	case e.Gone && i < 0:
+	case e.Removed && i < 0:
 		return Change{e, e, Same}
-	case e.Gone:
+	case e.Removed:
 		was := m.all[i]
 		m.all = slices.Delete(m.all, i, i+1)
 		return Change{was, e, Removed}
@@ -66,10 +66,10 @@
 
 func (m *model) sweep() (removed []Endpoint) {
 	m.all = slices.DeleteFunc(m.all, func(e Endpoint) bool {
-		if !m.fresh[e.Route] {
+		if !m.fresh[e.ID] {
 			removed = append(removed, e)
 		}
-		return !m.fresh[e.Route]
+		return !m.fresh[e.ID]
 	})
 	m.fresh = nil
 	return removed
@@ -85,14 +85,14 @@
 }
 
 func drawEndpoint(t *rapid.T, ids int) Endpoint {
-	return Endpoint{policy.Listing{
-		Route:       rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).Draw(t, "name") + fmt.Sprint(rapid.IntRange(0, ids).Draw(t, "id")),
+	return Endpoint{policy.Endpoint{
+		ID:          rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).Draw(t, "name") + fmt.Sprint(rapid.IntRange(0, ids).Draw(t, "id")),
 		Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
 		Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
 		Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
 		Weight:      rapid.SampledFrom([]float64{0, 1, 27, 0.1, math.MaxFloat64, -2}).Draw(t, "weight"),
 		InService:   rapid.Bool().Draw(t, "in service"),
-		Gone:        rapid.IntRange(0, 5).Draw(t, "gone") == 0,
+		Removed:     rapid.IntRange(0, 5).Draw(t, "gone") == 0,
 	}, rapid.SampledFrom([]string{"127.0.0.1:80", "10.255.0.1:65535", "host-1:80", "[::1]:80", "", "1.2.3.4:080", "999.1.1.1:1", "1.2.3.4"}).Draw(t, "address")}
 }
 
@@ -127,7 +127,7 @@
 				m.fresh = map[string]bool{}
 			},
 			"keep": func(t *rapid.T) {
-				id := drawEndpoint(t, ids).Route
+				id := drawEndpoint(t, ids).ID
 				e, ok := c.Keep(id)
 				i := m.find(id)
 				if ok != (i >= 0) || ok && e != m.all[i] {
@@ -188,8 +188,8 @@
 		t.Fatalf("remembers %v, the model has named %v", remembered, slices.Collect(maps.Keys(m.listed)))
 	}
 	for _, e := range m.all {
-		if got, ok := c.Endpoint(e.Route); !ok || got != e {
-			t.Fatalf("Endpoint(%q) = %+v, %t; the model has %+v", e.Route, got, ok, e)
+		if got, ok := c.Endpoint(e.ID); !ok || got != e {
+			t.Fatalf("Endpoint(%q) = %+v, %t; the model has %+v", e.ID, got, ok, e)
 		}
 	}
 	if _, ok := c.Endpoint("never listed"); ok {
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -19,8 +19,8 @@
 	if !told {
 		addr = "127.0.0.1:1"
 	}
-	e := Endpoint{policy.Listing{InService: !gone, Gone: gone}, addr}
-	e.Route, rest, _ = strings.Cut(rest, "@")
+	e := Endpoint{policy.Endpoint{InService: !gone, Removed: gone}, addr}
+	e.ID, rest, _ = strings.Cut(rest, "@")
 	fmt.Sscan(rest, &e.Destination)
 	return e
 }
@@ -28,7 +28,7 @@
 func names(es []Endpoint) string {
 	var all []string
 	for _, e := range es {
-		all = append(all, e.Route)
+		all = append(all, e.ID)
 	}
 	return strings.Join(all, " ")
 }
@@ -151,26 +151,26 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	ids := make([]string, n)
 	for i := range ids {
-		ids[i] = entry(i, 49).Route
+		ids[i] = entry(i, 49).ID
 	}
 	for i := range 5 * n {
 		old := &ids[rng.IntN(n)]
-		if c.Put(Endpoint{Listing: policy.Listing{Route: *old, Gone: true}}).Kind != Removed {
+		if c.Put(Endpoint{Endpoint: policy.Endpoint{ID: *old, Removed: true}}).Kind != Removed {
 			t.Fatal("not removed: ", *old)
 		}
 		*old = fmt.Sprint("once ", i)
-		c.Put(Endpoint{policy.Listing{Route: *old, Destination: -i%(n/3) - 1}, "127.0.0.1:80"})
+		c.Put(Endpoint{policy.Endpoint{ID: *old, Destination: -i%(n/3) - 1}, "127.0.0.1:80"})
 	}
 	check("changes")
 	for i := range n {
-		c.Put(Endpoint{policy.Listing{Route: ids[i], Destination: -i%(n/3) - 1, Weight: float64(i)}, "127.0.0.1:80"})
-		c.Put(Endpoint{Listing: policy.Listing{Route: "short-lived", Destination: -1}})
-		c.Put(Endpoint{Listing: policy.Listing{Route: "short-lived", Gone: true}})
+		c.Put(Endpoint{policy.Endpoint{ID: ids[i], Destination: -i%(n/3) - 1, Weight: float64(i)}, "127.0.0.1:80"})
+		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
+		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
 	}
 	check("changes in place, and of one that comes and goes")
 	for range n {
-		c.Put(Endpoint{Listing: policy.Listing{Route: "short-lived", Destination: -1}})
-		c.Put(Endpoint{Listing: policy.Listing{Route: "short-lived", Gone: true}})
+		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
+		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
 	}
 	check("one alone that comes and goes")
 	if got := len(slices.Collect(c.Remembered())); got > n {
@@ -191,7 +191,7 @@
 	for i := range WholeMost + 3 {
 		e := entry(2*i, 0)
 		c.Put(e)
-		e.Gone = true
+		e.Removed = true
 		c.Put(e)
 		if i == 1 {
 			c.Put(entry(0, 1)) // destination 0 is back
--- a/internal/state/catalog/working.go
+++ b/internal/state/catalog/working.go
@@ -49,7 +49,7 @@
 		return
 	}
 	for d, at := range w.young {
-		if now >= at+policy.FirstSpread {
+		if now >= at+policy.MaxInitialSpread {
 			delete(w.young, d)
 		}
 	}
@@ -63,7 +63,7 @@
 // module had always known it.
 func (w *WorkingSet) Settled(dest int, now time.Duration) bool {
 	at, young := w.young[dest]
-	return now >= w.crowd+policy.FirstSpread && (!young || now >= at+policy.FirstSpread)
+	return now >= w.crowd+policy.MaxInitialSpread && (!young || now >= at+policy.MaxInitialSpread)
 }
 
 // Touch has a destination count as used at now, which must not go back. One at rest stays so.
--- a/internal/state/catalog/young_test.go
+++ b/internal/state/catalog/young_test.go
@@ -18,7 +18,7 @@
 		for d := range added {
 			w.Added(d, at)
 		}
-		soon := at + policy.FirstSpread - 1
+		soon := at + policy.MaxInitialSpread - 1
 		for _, d := range []int{0, added - 1} {
 			if w.Settled(d, soon) || !w.Settled(d, soon+1) {
 				t.Errorf("%d added: destination %d settled %v, a moment later %v", added, d, w.Settled(d, soon), w.Settled(d, soon+1))
--- a/internal/state/endpointhealth/standing.go
+++ b/internal/state/endpointhealth/standing.go
@@ -36,13 +36,13 @@
 const pacedFor = 10 * time.Second
 
 // Of returns the records of a module's view at now, its own time, which is wall.
-func Of(views []policy.View, now time.Duration, wall time.Time) (recs []Record) {
-	record := func(v *policy.View) Record {
-		r := Record{Route: v.Route, At: wall, Down: v.Down, Cold: v.Cold, Paced: v.Halved > 0 && now < v.Halved+pacedFor}
-		if v.Wait > now {
-			r.Wait = wall.Add(v.Wait - now)
+func Of(views []policy.EndpointView, now time.Duration, wall time.Time) (recs []Record) {
+	record := func(v *policy.EndpointView) Record {
+		r := Record{Route: v.ID, At: wall, Down: v.Ejected, Cold: v.WarmingUp, Paced: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor}
+		if v.RetryAfterUntil > now {
+			r.Wait = wall.Add(v.RetryAfterUntil - now)
 		}
-		r.Alive = v.Alive && !r.Down && !r.Cold
+		r.Alive = v.RecentlyHealthy && !r.Down && !r.Cold
 		return r
 	}
 	ill := map[int]bool{} // destinations
@@ -109,7 +109,7 @@
 	// has not answered for a sign of an outage, and a route that has not for as ill as those beside it.
 	for _, r := range recs {
 		if age := max(0, wall.Sub(r.At)); r.Route != "" && r.Alive && age < aliveFor {
-			evs = append(evs, policy.Event{Kind: policy.Probed, Route: r.Route, Outcome: policy.OK})
+			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Route, Outcome: policy.OK})
 		}
 	}
 	for _, r := range recs {
@@ -118,7 +118,7 @@
 		}
 		age := max(0, wall.Sub(r.At)) // a clock that was set back makes nothing older
 		tell := func(o policy.Outcome, wait time.Duration) {
-			evs = append(evs, policy.Event{Kind: policy.Probed, Route: r.Route, Outcome: o, Wait: wait})
+			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Route, Outcome: o, RetryAfter: wait})
 		}
 		failures := 0
 		switch {
@@ -129,13 +129,13 @@
 			failures = failuresDoubt
 		}
 		if r.Paced && age < pacedFor {
-			tell(policy.Full, 0)
+			tell(policy.Overloaded, 0)
 		}
 		for range failures {
 			tell(policy.Error, 0)
 		}
 		if left := r.Wait.Sub(wall); !r.Wait.IsZero() && left > 0 && left <= waitMost {
-			tell(policy.Moot, left)
+			tell(policy.NotSent, left)
 		}
 	}
 	return evs
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -13,26 +13,26 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Classes: []policy.Class{{Effect: policy.Safe, Aim: 3 * time.Second, GiveUp: 16 * time.Second, Value: 1}},
-		Kinds:   []policy.Kind{{PerCall: 10}, {PerCall: 1, Separate: true}},
-		Senders: 2, Slots: 20, ColdShare: 0.2, WarmWithin: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
+		Classes:          []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {MaxBatch: 1, LimitPerEndpoint: true}},
+		FleetSize:        2, MaxInFlightCalls: 20, WarmUpInitialCapacity: 0.2, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 	}
 }
 
 func list() policy.Event {
-	e := policy.Event{Kind: policy.ListWhole}
-	for _, x := range []policy.Listing{
-		{Route: "a", Destination: 1, Kind: 0}, {Route: "b", Destination: 1, Kind: 0}, {Route: "c", Destination: 2, Kind: 1}, {Route: "d", Destination: 2, Kind: 1},
+	e := policy.Event{Kind: policy.EndpointSnapshot}
+	for _, x := range []policy.Endpoint{
+		{ID: "a", Destination: 1, Kind: 0}, {ID: "b", Destination: 1, Kind: 0}, {ID: "c", Destination: 2, Kind: 1}, {ID: "d", Destination: 2, Kind: 1},
 	} {
 		x.InService, x.Weight = true, 20
-		e.List = append(e.List, x)
+		e.Endpoints = append(e.Endpoints, x)
 	}
 	return e
 }
 
-func viewOf(s *policy.Sender, route string) policy.View {
+func viewOf(s *policy.Engine, route string) policy.EndpointView {
 	views, _ := s.Views()
-	return views[slices.IndexFunc(views, func(v policy.View) bool { return v.Route == route })]
+	return views[slices.IndexFunc(views, func(v policy.EndpointView) bool { return v.ID == route })]
 }
 
 // Over any history: what the former module held back, for an outage or a wait, the restored one does too, and a wait for no shorter
@@ -48,10 +48,10 @@
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
 			now, wall = now+d, wall.Add(d)
-			e := policy.Event{Kind: policy.Probed, Route: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "route")}
-			e.Outcome = rapid.SampledFrom([]policy.Outcome{policy.OK, policy.OK, policy.Error, policy.Timeout, policy.Full, policy.Reset}).Draw(t, "outcome")
-			if e.Outcome == policy.Full && rapid.Bool().Draw(t, "told") {
-				e.Wait = time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond
+			e := policy.Event{Kind: policy.HealthChecked, Endpoint: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "route")}
+			e.Outcome = rapid.SampledFrom([]policy.Outcome{policy.OK, policy.OK, policy.Error, policy.Timeout, policy.Overloaded, policy.Reset}).Draw(t, "outcome")
+			if e.Outcome == policy.Overloaded && rapid.Bool().Draw(t, "told") {
+				e.RetryAfter = time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond
 			}
 			old.Step(now, []policy.Event{e})
 		}
@@ -63,19 +63,19 @@
 		}
 		down := time.Duration(rapid.IntRange(0, 1000).Draw(t, "down for")) * time.Millisecond
 		const at = time.Second
-		fresh.Step(at, append([]policy.Event{list()}, Events(recs, wall.Add(down), settings().WarmWithin)...))
+		fresh.Step(at, append([]policy.Event{list()}, Events(recs, wall.Add(down), settings().WarmUpDuration)...))
 		for _, was := range views {
-			is := viewOf(fresh, was.Route)
-			if was.Down && !is.Down || was.Cold && !is.Cold {
-				t.Fatalf("%s: was %+v, is %+v", was.Route, was, is)
+			is := viewOf(fresh, was.ID)
+			if was.Ejected && !is.Ejected || was.WarmingUp && !is.WarmingUp {
+				t.Fatalf("%s: was %+v, is %+v", was.ID, was, is)
 			}
-			if left := was.Wait - now - down; left > 0 && is.Wait < at+left {
-				t.Fatalf("%s: a wait of %v more is %v", was.Route, left, is.Wait-at)
+			if left := was.RetryAfterUntil - now - down; left > 0 && is.RetryAfterUntil < at+left {
+				t.Fatalf("%s: a wait of %v more is %v", was.ID, left, is.RetryAfterUntil-at)
 			}
-			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Route == was.Route })
+			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Route == was.ID })
 			sibling := slices.ContainsFunc(recs, func(r Record) bool { return viewOf(fresh, r.Route).Destination == was.Destination })
-			if well && !sibling && (is.Down || is.Cold || is.Wait > at || is.Pace > 0) {
-				t.Fatalf("%s was well, and is %+v", was.Route, is)
+			if well && !sibling && (is.Ejected || is.WarmingUp || is.RetryAfterUntil > at || is.PacingRate > 0) {
+				t.Fatalf("%s was well, and is %+v", was.ID, is)
 			}
 		}
 	})
@@ -125,9 +125,9 @@
 
 // What cannot be read is as if nothing had been kept, and there is never more than the bound.
 func TestRecordsAreBoundedAndReadOrNot(t *testing.T) {
-	views := make([]policy.View, 3*most)
+	views := make([]policy.EndpointView, 3*most)
 	for i := range views {
-		views[i].Route, views[i].Down = string(rune('a'+i%26))+string(rune('a'+i/26)), true
+		views[i].ID, views[i].Ejected = string(rune('a'+i%26))+string(rune('a'+i/26)), true
 	}
 	if n := len(Of(views, time.Second, time.Unix(1, 0))); n != most {
 		t.Errorf("%d records", n)
@@ -148,16 +148,16 @@
 // answered a moment before is told so, but not for long, and no more than the former had it.
 func TestWhatAnsweredAMomentAgoStandsSo(t *testing.T) {
 	many := settings()
-	many.Senders = 300
+	many.FleetSize = 300
 	const at = time.Second
-	play := func(seed uint64, recs []Record, wall time.Time) *policy.Sender {
+	play := func(seed uint64, recs []Record, wall time.Time) *policy.Engine {
 		s, err := policy.New(many, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(at, append([]policy.Event{list()}, Events(recs, wall, many.WarmWithin)...))
+		s.Step(at, append([]policy.Event{list()}, Events(recs, wall, many.WarmUpDuration)...))
 		// A message has the routes looked at.
-		s.Step(at, []policy.Event{{Kind: policy.Taken, ID: 1, Destination: 1, Left: 10 * time.Second}})
+		s.Step(at, []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: 10 * time.Second}})
 		return s
 	}
 	wall := time.Unix(1e9, 0)
@@ -177,8 +177,8 @@
 		cold := false
 		for seed := range uint64(40) {
 			s := play(seed, c.recs, wall.Add(c.down))
-			cold = cold || viewOf(s, "a").Cold
-			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Route == "b" }); hasCold && !viewOf(s, "b").Cold {
+			cold = cold || viewOf(s, "a").WarmingUp
+			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Route == "b" }); hasCold && !viewOf(s, "b").WarmingUp {
 				t.Fatalf("%s: the doubt is gone", c.name)
 			}
 		}
@@ -187,9 +187,9 @@
 		}
 	}
 	// Only beside trouble is it worth a record, and it is no news by itself.
-	views := []policy.View{{Alive: true}, {Alive: true}, {Cold: true, Alive: true}}
+	views := []policy.EndpointView{{RecentlyHealthy: true}, {RecentlyHealthy: true}, {WarmingUp: true, RecentlyHealthy: true}}
 	for i, name := range []string{"well", "beside", "ill"} {
-		views[i].Route, views[i].Destination = name, min(i, 1)
+		views[i].ID, views[i].Destination = name, min(i, 1)
 	}
 	recs := Of(views, time.Second, wall)
 	if len(recs) != 2 || recs[0].Route != "beside" || !recs[0].Alive || recs[1].Route != "ill" || recs[1].Alive {
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -158,7 +158,7 @@
 }
 
 // goldenLegacyLog is the log of the older form that an earlier build wrote.
-const goldenLegacyLog = "../wal/testdata/golden/wal.log"
+const goldenLegacyLog = "../legacylog/testdata/golden/wal.log"
 
 // A log of the older form is carried over in full.
 func TestGoldenLegacyLogIsCarriedOver(t *testing.T) {
--- a/policy/again_test.go
+++ b/policy/again_test.go
@@ -10,20 +10,20 @@
 func TestWhatIsToldAgainStandsAsIfKnown(t *testing.T) {
 	calls := func(seed uint64, again, whole bool, after time.Duration) (n int) {
 		set := settings()
-		set.Senders = 300
+		set.FleetSize = 300
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := Listing{Route: "a", Destination: 1, Kind: 1, Weight: 60, InService: true, Again: again}
-		known := Event{Kind: ListWhole}
+		l := Endpoint{ID: "a", Destination: 1, Kind: 1, Weight: 60, InService: true, Relisted: again}
+		known := Event{Kind: EndpointSnapshot}
 		if whole {
-			known.List = []Listing{l}
+			known.Endpoints = []Endpoint{l}
 		}
 		s.Step(time.Second, []Event{known})
-		events := []Event{{Kind: ListChanges, List: []Listing{l}}}
+		events := []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{l}}}
 		for id := range uint32(10) {
-			events = append(events, Event{Kind: Taken, ID: id + 1, Destination: 1, Left: time.Second})
+			events = append(events, Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 1, TimeLeft: time.Second})
 		}
 		for _, a := range s.Step(time.Second+after, events) {
 			if a.Kind == Send {
@@ -32,7 +32,7 @@
 		}
 		return n
 	}
-	for _, after := range []time.Duration{0, time.Second, FirstSpread, time.Minute} {
+	for _, after := range []time.Duration{0, time.Second, MaxInitialSpread, time.Minute} {
 		fresh, again, known := 0, 0, 0
 		for seed := range uint64(50) {
 			fresh += calls(seed, false, false, after)
@@ -43,7 +43,7 @@
 		if again != known {
 			t.Errorf("%v after a start: %d calls to what is told again, %d to what was known", after, again, known)
 		}
-		if after >= FirstSpread && fresh >= again {
+		if after >= MaxInitialSpread && fresh >= again {
 			t.Errorf("%v after a start: %d calls to what is new, %d to what is told again: this shows nothing", after, fresh, again)
 		}
 	}
--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -38,19 +38,19 @@
 }
 
 func (b *plainBook) list(now time.Duration, e Event, held map[int]int) {
-	if e.Kind == ListWhole {
+	if e.Kind == EndpointSnapshot {
 		byDestination := func(x, y string) int { return b.routes[x] - b.routes[y] }
 		for _, id := range slices.SortedFunc(maps.Keys(b.routes), byDestination) {
-			if !slices.ContainsFunc(e.List, func(l Listing) bool { return l.Route == id }) {
+			if !slices.ContainsFunc(e.Endpoints, func(l Endpoint) bool { return l.ID == id }) {
 				b.drop(now, id)
 			}
 		}
 	}
-	for _, l := range e.List {
-		if l.Gone {
-			b.drop(now, l.Route)
-		} else if _, is := b.routes[l.Route]; !is {
-			b.routes[l.Route] = l.Destination
+	for _, l := range e.Endpoints {
+		if l.Removed {
+			b.drop(now, l.ID)
+		} else if _, is := b.routes[l.ID]; !is {
+			b.routes[l.ID] = l.Destination
 			b.known[l.Destination] = true
 		}
 	}
@@ -70,10 +70,10 @@
 
 // playBare plays random lists, changes, messages and pauses. After each step check is told of the list event, if there was one. It returns a sum of
 // all actions, to compare with another Sender's.
-func playBare(t *testing.T, seed uint64, check func(s *Sender, now time.Duration, e *Event, held map[int]int)) uint64 {
+func playBare(t *testing.T, seed uint64, check func(s *Engine, now time.Duration, e *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := settings()
-	set.Senders = []int{1, 300}[rng.IntN(2)]
+	set.FleetSize = []int{1, 300}[rng.IntN(2)]
 	s, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -82,8 +82,8 @@
 	sum := fnv.New64a()
 	var out []Event
 	listed := map[int]bool{}
-	entry := func(i int) Listing {
-		return Listing{Route: fmt.Sprint("r", i), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 2, Weight: 20, InService: rng.IntN(9) > 0}
+	entry := func(i int) Endpoint {
+		return Endpoint{ID: fmt.Sprint("r", i), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 2, Weight: 20, InService: rng.IntN(9) > 0}
 	}
 	for range 1200 {
 		now += time.Duration(rng.IntN(4)*rng.IntN(4)*rng.IntN(400)) * ms
@@ -91,38 +91,38 @@
 		var list *Event
 		switch n := rng.IntN(10); {
 		case n == 0: // some of a few destinations go and come, most wholly
-			e := Event{Kind: ListChanges}
+			e := Event{Kind: EndpointDelta}
 			for range 1 + rng.IntN(4) {
 				d := rng.IntN(12)
 				for i := 2 * d; i < 2*d+2; i++ {
 					l := entry(i)
-					l.Gone = listed[i] && rng.IntN(8) > 0
-					listed[i] = !l.Gone
-					e.List = append(e.List, l)
+					l.Removed = listed[i] && rng.IntN(8) > 0
+					listed[i] = !l.Removed
+					e.Endpoints = append(e.Endpoints, l)
 				}
 			}
 			list = &e
 		case n == 1 && rng.IntN(4) == 0:
-			e := Event{Kind: ListWhole}
+			e := Event{Kind: EndpointSnapshot}
 			clear(listed)
 			for i := range 24 {
 				if listed[i] = rng.IntN(3) > 0; listed[i] {
-					e.List = append(e.List, entry(i))
+					e.Endpoints = append(e.Endpoints, entry(i))
 				}
 			}
 			list = &e
 		case n < 5:
 			id++
-			evs = append(evs, Event{Kind: Taken, ID: id, Destination: rng.IntN(12), Left: time.Duration(1+rng.IntN(20)) * time.Second})
+			evs = append(evs, Event{Kind: MessageAccepted, MessageID: id, Destination: rng.IntN(12), TimeLeft: time.Duration(1+rng.IntN(20)) * time.Second})
 		case n < 8 && len(out) > 0:
 			i := rng.IntN(len(out))
 			e := out[i]
 			out = slices.Delete(out, i, i+1)
-			e.Outcome = []Outcome{OK, OK, Error, Full, Timeout, Reset}[rng.IntN(6)]
-			e.Ended, e.Took = e.Outcome == OK, 50*ms
+			e.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[rng.IntN(6)]
+			e.MessageEnded, e.Latency = e.Outcome == OK, 50*ms
 			evs = append(evs, e)
 		default:
-			evs = append(evs, Event{Kind: Woken})
+			evs = append(evs, Event{Kind: TimerFired})
 		}
 		held := map[int]int{}
 		for _, d := range s.order {
@@ -135,10 +135,10 @@
 			fmt.Fprintln(sum, now, a)
 			if a.Kind == Send {
 				n := 0
-				for _, x := range s.msgs[a.ID].out {
+				for _, x := range s.msgs[a.MessageID].out {
 					n = max(n, x.n)
 				}
-				out = append(out, Event{Kind: Finished, ID: a.ID, Attempt: n, Route: a.Route})
+				out = append(out, Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: n, Endpoint: a.Endpoint})
 			}
 		}
 		check(s, now, list, held)
@@ -150,8 +150,8 @@
 func TestSweepForgetsAsThePlainRule(t *testing.T) {
 	forgotten := 0
 	for seed := range uint64(30) {
-		b := plainBook{warm: settings().WarmWithin, routes: map[string]int{}, known: map[int]bool{}, bareAt: map[int]time.Duration{}}
-		sum := playBare(t, seed, func(s *Sender, now time.Duration, e *Event, held map[int]int) {
+		b := plainBook{warm: settings().WarmUpDuration, routes: map[string]int{}, known: map[int]bool{}, bareAt: map[int]time.Duration{}}
+		sum := playBare(t, seed, func(s *Engine, now time.Duration, e *Event, held map[int]int) {
 			if t.Failed() {
 				return
 			}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -16,20 +16,20 @@
 
 func benchmarkStep(b *testing.B, backlog int) {
 	set := settings()
-	set.Senders, set.Slots, set.MaxHeld = 400, 8, 1000
+	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 400, 8, 1000
 	s, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var list []Listing
+	var list []Endpoint
 	for i := range 1000 {
-		list = append(list, Listing{Route: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5, // no pace holds up what is measured
+		list = append(list, Endpoint{ID: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5, // no pace holds up what is measured
 			InService: i%400 < 200})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: ListWhole, List: list}}
+	evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 	for i := range backlog {
-		evs = append(evs, Event{Kind: Taken, ID: uint32(1e9) + uint32(i), Destination: 200 + i, Left: time.Hour})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour})
 	}
 	s.Step(now, evs)
 	now += time.Second // first calls of many spread over a while after the list
@@ -38,45 +38,45 @@
 		now += 10 * ms
 		id := uint32(i)
 		route := ""
-		for _, a := range s.Step(now, []Event{{Kind: Taken, ID: id, Destination: i % 200, Left: time.Minute}}) {
+		for _, a := range s.Step(now, []Event{{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
-				route = a.Route
+				route = a.Endpoint
 			}
 		}
 		if route == "" {
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
-		s.Step(now, []Event{{Kind: Finished, ID: id, Route: route, Outcome: OK, Took: 10 * ms, Ended: true}})
+		s.Step(now, []Event{{Kind: AttemptFinished, MessageID: id, Endpoint: route, Outcome: OK, Latency: 10 * ms, MessageEnded: true}})
 	}
 }
 
 // BenchmarkFull is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes nothing, with a change of one
 // route, and with a wake for which nothing is due while ten messages wait.
 func BenchmarkFull(b *testing.B) {
-	var list []Listing
+	var list []Endpoint
 	for i := range 31 {
-		list = append(list, Listing{Route: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true})
+		list = append(list, Endpoint{ID: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true})
 	}
 	for _, c := range []struct {
 		name string
 		evs  []Event
 	}{
-		{"list", []Event{{Kind: ListWhole, List: list}}},
-		{"change", []Event{{Kind: ListChanges, List: list[3:4]}}},
-		{"wake", []Event{{Kind: Woken}}},
+		{"list", []Event{{Kind: EndpointSnapshot, Endpoints: list}}},
+		{"change", []Event{{Kind: EndpointDelta, Endpoints: list[3:4]}}},
+		{"wake", []Event{{Kind: TimerFired}}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			set := settings()
-			set.Senders, set.Slots, set.MaxHeld = 300, 5, 60
+			set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 300, 5, 60
 			s, err := New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Minute
-			evs := []Event{{Kind: ListWhole, List: list}}
+			evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 			for i := range 10 {
-				evs = append(evs, Event{Kind: Taken, ID: uint32(i), Destination: i, Left: 1000 * time.Hour})
+				evs = append(evs, Event{Kind: MessageAccepted, MessageID: uint32(i), Destination: i, TimeLeft: 1000 * time.Hour})
 			}
 			s.Step(now, evs)
 			b.ReportAllocs()
@@ -94,23 +94,23 @@
 	for _, awake := range []int{1000, 10000, 50000, 140000} {
 		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
 			set := settings()
-			set.Senders = 400
+			set.FleetSize = 400
 			s, err := New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			entries := func(dest int, gone bool) Event {
 				dest = dest * 7919 % (4 * awake) // not in the order of their numbers
-				e := Event{Kind: ListChanges, List: make([]Listing, 2)}
-				for i := range e.List {
-					e.List[i] = Listing{Route: fmt.Sprint("ep-", dest, "-", i), Destination: dest, Kind: dest % 3, Weight: 20, InService: true, Gone: gone}
+				e := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
+				for i := range e.Endpoints {
+					e.Endpoints[i] = Endpoint{ID: fmt.Sprint("ep-", dest, "-", i), Destination: dest, Kind: dest % 3, Weight: 20, InService: true, Removed: gone}
 				}
 				return e
 			}
 			now := time.Minute
 			turn := func(i int) {
-				now += set.WarmWithin / time.Duration(awake)
-				if id := i - awake; id >= 0 && s.Resting(id*7919%(4*awake)) {
+				now += set.WarmUpDuration / time.Duration(awake)
+				if id := i - awake; id >= 0 && s.Evictable(id*7919%(4*awake)) {
 					s.Step(now, []Event{entries(id, true)})
 				}
 				s.Step(now, []Event{entries(i, false)})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,8 +10,8 @@
 // A relay takes one message for destination 7, whose first route answers that it is full.
 func Example() {
 	sender, err := policy.New(policy.Settings{
-		Classes: []policy.Class{{Effect: policy.Safe, Aim: 2 * time.Second, GiveUp: 20 * time.Second}},
-		Kinds:   []policy.Kind{{Separate: true, PerCall: 1}},
+		Classes:          []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second}},
+		DestinationKinds: []policy.DestinationKind{{LimitPerEndpoint: true, MaxBatch: 1}},
 	}, 1)
 	if err != nil {
 		panic(err)
@@ -19,19 +19,19 @@
 	show := func(actions []policy.Action) {
 		for _, a := range actions {
 			if a.Kind == policy.Send {
-				fmt.Println("send message", a.ID, "to", a.Route)
+				fmt.Println("send message", a.MessageID, "to", a.Endpoint)
 			}
 		}
 	}
 	show(sender.Step(time.Second, []policy.Event{
-		{Kind: policy.ListWhole, List: []policy.Listing{
-			{Route: "b", Destination: 7, InService: true},
-			{Route: "a", Destination: 7, InService: true},
+		{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
+			{ID: "b", Destination: 7, InService: true},
+			{ID: "a", Destination: 7, InService: true},
 		}},
-		{Kind: policy.Taken, ID: 1, Destination: 7, Left: 20 * time.Second},
+		{Kind: policy.MessageAccepted, MessageID: 1, Destination: 7, TimeLeft: 20 * time.Second},
 	}))
 	show(sender.Step(2*time.Second, []policy.Event{
-		{Kind: policy.Finished, ID: 1, Route: "a", Outcome: policy.Full, Took: time.Second},
+		{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: policy.Overloaded, Latency: time.Second},
 	}))
 	// Output:
 	// send message 1 to a
--- a/policy/flat_test.go
+++ b/policy/flat_test.go
@@ -36,8 +36,8 @@
 	const rounds, warmUp, each = 40, 10, 1500
 	rng := rand.New(rand.NewPCG(11, 12))
 	set := settings()
-	set.Senders, set.Slots, set.MaxHeld, set.MaxAttempts = 300, 8, 90, 8
-	set.Classes = []Class{{Effect: Keyed, Window: 8 * time.Second, Aim: 3 * time.Second, GiveUp: 12 * time.Second, Value: 1}, {Effect: Safe, Ordered: true, Aim: time.Second, GiveUp: 5 * time.Second, Value: 1}}
+	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts = 300, 8, 90, 8
+	set.Classes = []Class{{Effect: IdempotentByKey, DedupWindow: 8 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 12 * time.Second, Weight: 1}, {Effect: Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1}}
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -56,29 +56,29 @@
 		for _, a := range acts {
 			switch a.Kind {
 			case Send:
-				calls = append(calls, out{a.ID, tries[a.ID], a.Route, now + time.Duration(20+rng.IntN(300))*time.Millisecond})
-				tries[a.ID]++
-			case Refuse, Fail:
+				calls = append(calls, out{a.MessageID, tries[a.MessageID], a.Endpoint, now + time.Duration(20+rng.IntN(300))*time.Millisecond})
+				tries[a.MessageID]++
+			case Reject, Fail:
 				ended++
 			}
 		}
 	}
 	var xs, ys []float64
 	for round := range rounds {
-		var list []Listing
+		var list []Endpoint
 		for i := range 15 { // the same places, with new routes and numbers each round
-			list = append(list, Listing{Route: fmt.Sprintf("r%d-%d", round, i), Destination: round*15 + i, Kind: i % 2, Zone: i % 2, Weight: 3000, InService: true})
+			list = append(list, Endpoint{ID: fmt.Sprintf("r%d-%d", round, i), Destination: round*15 + i, Kind: i % 2, Zone: i % 2, Weight: 3000, InService: true})
 		}
-		act(s.Step(now, []Event{{Kind: ListWhole, List: list}}))
+		act(s.Step(now, []Event{{Kind: EndpointSnapshot, Endpoints: list}}))
 		for range each {
 			now += 20 * time.Millisecond
 			id++
-			evs := []Event{{Kind: Taken, ID: id, Class: int(id) % 2, Key: fmt.Sprint("k", id/3), Destination: round*15 + rng.IntN(15), Left: 5 * time.Second}}
+			evs := []Event{{Kind: MessageAccepted, MessageID: id, Class: int(id) % 2, Key: fmt.Sprint("k", id/3), Destination: round*15 + rng.IntN(15), TimeLeft: 5 * time.Second}}
 			if leak {
 				kept = append(kept, uint64(id))
 			}
 			if rng.IntN(20) == 0 {
-				evs = append(evs, Event{Kind: Withdrawn, ID: id - uint32(rng.IntN(10))})
+				evs = append(evs, Event{Kind: MessageCancelled, MessageID: id - uint32(rng.IntN(10))})
 			}
 			rest := calls[:0]
 			for _, c := range calls {
@@ -88,9 +88,9 @@
 				}
 				o := OK
 				if rng.IntN(4) == 0 {
-					o = Outcome(rng.IntN(int(Moot) + 1))
+					o = Outcome(rng.IntN(int(NotSent) + 1))
 				}
-				evs = append(evs, Event{Kind: Finished, ID: c.id, Attempt: c.n, Route: c.to, Outcome: o, Took: 100 * time.Millisecond, Ended: o == OK})
+				evs = append(evs, Event{Kind: AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: c.to, Outcome: o, Latency: 100 * time.Millisecond, MessageEnded: o == OK})
 			}
 			calls = rest
 			act(s.Step(now, evs))
@@ -99,10 +99,10 @@
 			now += 16 * time.Second
 			var evs []Event
 			for _, c := range calls {
-				evs = append(evs, Event{Kind: Finished, ID: c.id, Attempt: c.n, Route: c.to, Outcome: Timeout, Took: 16 * time.Second})
+				evs = append(evs, Event{Kind: AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: c.to, Outcome: Timeout, Latency: 16 * time.Second})
 			}
 			calls = calls[:0]
-			act(s.Step(now, append(evs, Event{Kind: Woken})))
+			act(s.Step(now, append(evs, Event{Kind: TimerFired})))
 		}
 		clear(tries)
 		if round < warmUp {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -36,9 +36,9 @@
 
 func fleetSettings(c fleetCase) Settings {
 	return Settings{
-		Classes: []Class{{Effect: Safe, Aim: 4 * time.Second, GiveUp: 28 * time.Second, Value: 1}},
-		Kinds:   []Kind{{Separate: true, PerCall: 1}}, Senders: c.senders, Slots: 8, NoWeights: !c.listed,
-		ColdShare: 0.25, WarmWithin: 14 * time.Second, OverloadFactor: 1.5, OverloadWindow: 3 * time.Second,
+		Classes:          []Class{{Effect: Idempotent, LatencyObjective: 4 * time.Second, Deadline: 28 * time.Second, Weight: 1}},
+		DestinationKinds: []DestinationKind{{LimitPerEndpoint: true, MaxBatch: 1}}, FleetSize: c.senders, MaxInFlightCalls: 8, IgnoreWeights: !c.listed,
+		WarmUpInitialCapacity: 0.25, WarmUpDuration: 14 * time.Second, OverloadFactor: 1.5, OverloadWindow: 3 * time.Second,
 	}
 }
 
@@ -47,7 +47,7 @@
 	c      fleetCase
 	rng    *rand.Rand
 	now    time.Duration
-	fleet  []*Sender
+	fleet  []*Engine
 	inbox  [][]Event
 	due    map[time.Duration][]fleetEvent
 	room   float64        // calls that the limit leaves
@@ -73,7 +73,7 @@
 		return err
 	}
 	w.fleet[i] = s
-	w.inbox[i] = []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: w.c.limit, InService: true}}}}
+	w.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: w.c.limit, InService: true}}}}
 	return nil
 }
 
@@ -83,11 +83,11 @@
 	if w.now >= fleetReturn {
 		w.pushes = append(w.pushes, fleetPush{w.now, w.told[i]})
 	}
-	e := Event{Kind: Finished, ID: a.ID, Attempt: w.tries[a.ID], Route: "a", Took: 2 * fleetTick}
-	w.tries[a.ID]++
+	e := Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: w.tries[a.MessageID], Endpoint: "a", Latency: 2 * fleetTick}
+	w.tries[a.MessageID]++
 	switch {
 	case w.room < 1:
-		e.Outcome = Full
+		e.Outcome = Overloaded
 	default:
 		w.room--
 		if failing && w.rng.Float64() < w.c.fails {
@@ -95,9 +95,9 @@
 		}
 	}
 	if w.c.told {
-		e.Report = Report{Told: true, Limit: w.c.limit}
+		e.LimitReport = LimitReport{Present: true, Limit: w.c.limit}
 	}
-	if e.Ended = e.Outcome == OK; e.Ended {
+	if e.MessageEnded = e.Outcome == OK; e.MessageEnded {
 		w.served++
 	} else if failing {
 		w.told[i] = true
@@ -113,7 +113,7 @@
 // playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
 func playFleet(t *testing.T, c fleetCase, seed uint64) *fleetWorld {
 	t.Helper()
-	w := &fleetWorld{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Sender, c.senders),
+	w := &fleetWorld{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Engine, c.senders),
 		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, told: make([]bool, c.senders),
 		tries: map[uint32]int{}}
 	restarts := fleetFailing + 7*time.Second
@@ -138,7 +138,7 @@
 				i = w.rng.IntN((c.senders + 1) / 2)
 			}
 			id++
-			w.later(i, 0, Event{Kind: Taken, ID: id, Left: 28 * time.Second})
+			w.later(i, 0, Event{Kind: MessageAccepted, MessageID: id, TimeLeft: 28 * time.Second})
 		}
 		for _, e := range w.due[w.now] {
 			w.inbox[e.sender] = append(w.inbox[e.sender], e.ev)
@@ -153,8 +153,8 @@
 				switch a.Kind {
 				case Send:
 					w.call(i, a)
-				case Wake:
-					w.later(i, max(a.Delay, fleetTick), Event{Kind: Woken})
+				case SetTimer:
+					w.later(i, max(a.Delay, fleetTick), Event{Kind: TimerFired})
 				}
 			}
 		}
@@ -168,7 +168,7 @@
 func (w *fleetWorld) fell() (broken bool, used float64) {
 	set := fleetSettings(w.c)
 	for i, last := range w.pushes {
-		share := set.ColdShare + (1-set.ColdShare)*float64(last.at-fleetReturn)/float64(set.WarmWithin)
+		share := set.WarmUpInitialCapacity + (1-set.WarmUpInitialCapacity)*float64(last.at-fleetReturn)/float64(set.WarmUpDuration)
 		budget := set.OverloadFactor * share * w.c.limit * set.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
 		for _, p := range w.pushes[:i+1] {
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -12,31 +12,31 @@
 	t       *testing.T
 	forgets *forgetful
 	idle    time.Duration // least time without an event
-	s       *Sender
-	list    []Listing
+	s       *Engine
+	list    []Endpoint
 	awake   map[int]time.Duration
 	rests   int
 }
 
-func (f *front) step(s *Sender, now time.Duration, evs []Event) []Action {
+func (f *front) step(s *Engine, now time.Duration, evs []Event) []Action {
 	if f.s != s {
 		f.s, f.list, f.awake = s, nil, map[int]time.Duration{}
 	}
 	var told []Event
 	for _, e := range evs {
 		switch e.Kind {
-		case ListWhole:
-			f.list = slices.Clone(e.List)
+		case EndpointSnapshot:
+			f.list = slices.Clone(e.Endpoints)
 			continue
-		case ListChanges:
-			e.List = slices.DeleteFunc(slices.Clone(e.List), f.change)
-		case Taken:
+		case EndpointDelta:
+			e.Endpoints = slices.DeleteFunc(slices.Clone(e.Endpoints), f.change)
+		case MessageAccepted:
 			if _, is := f.awake[e.Destination]; !is {
 				told = append(told, f.all(e.Destination, false))
 			}
 			f.awake[e.Destination] = now
-		case Finished:
-			if i := f.find(e.Route); i >= 0 {
+		case AttemptFinished:
+			if i := f.find(e.Endpoint); i >= 0 {
 				f.awake[f.list[i].Destination] = now
 			}
 		}
@@ -54,18 +54,18 @@
 }
 
 func (f *front) find(route string) int {
-	return slices.IndexFunc(f.list, func(l Listing) bool { return l.Route == route })
+	return slices.IndexFunc(f.list, func(l Endpoint) bool { return l.ID == route })
 }
 
 // change takes on an entry, and tells whether it is of a destination at rest.
-func (f *front) change(l Listing) bool {
-	i := f.find(l.Route)
+func (f *front) change(l Endpoint) bool {
+	i := f.find(l.ID)
 	switch {
-	case l.Gone && i >= 0:
+	case l.Removed && i >= 0:
 		f.list = slices.Delete(f.list, i, i+1)
 	case i >= 0:
 		f.list[i] = l
-	case !l.Gone:
+	case !l.Removed:
 		f.list = append(f.list, l)
 	}
 	_, is := f.awake[l.Destination]
@@ -73,11 +73,11 @@
 }
 
 func (f *front) all(dest int, gone bool) Event {
-	e := Event{Kind: ListChanges}
+	e := Event{Kind: EndpointDelta}
 	for _, l := range f.list {
 		if l.Destination == dest {
-			l.Gone = gone
-			e.List = append(e.List, l)
+			l.Removed = gone
+			e.Endpoints = append(e.Endpoints, l)
 		}
 	}
 	return e
@@ -130,7 +130,7 @@
 	var evs []Event
 	for range n {
 		*id++
-		evs = append(evs, Event{Kind: Taken, ID: *id, Destination: 1, Left: span - 500*ms})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: *id, Destination: 1, TimeLeft: span - 500*ms})
 	}
 	attempts := map[uint32]int{}
 	for end := *now + span; *now < end; *now += 20 * ms {
@@ -139,8 +139,8 @@
 		for _, a := range acts {
 			if a.Kind == Send {
 				calls++
-				evs = append(evs, Event{Kind: Finished, ID: a.ID, Attempt: attempts[a.ID], Route: a.Route, Outcome: o, Took: 20 * ms, Ended: o == OK})
-				attempts[a.ID]++
+				evs = append(evs, Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: attempts[a.MessageID], Endpoint: a.Endpoint, Outcome: o, Latency: 20 * ms, MessageEnded: o == OK})
+				attempts[a.MessageID]++
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 // twoRoutes is a front before a fresh sender, with destination 1 of two routes.
 func twoRoutes(t *testing.T, seed uint64, senders int, forgets *forgetful, idle time.Duration) (f *front, step func(time.Duration, []Event) []Action) {
 	set := settings()
-	set.Senders, set.Slots, set.MaxHeld = senders, 20, 1000
+	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = senders, 20, 1000
 	s, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -159,8 +159,8 @@
 	f = &front{t: t, forgets: forgets, idle: idle}
 	step = func(now time.Duration, evs []Event) []Action { return f.step(s, now, evs) }
 	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
-	step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
-		{Route: "b", Destination: 1, Kind: 1, Weight: 6, InService: true}}}})
+	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
+		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true}}}})
 	return f, step
 }
 
@@ -215,14 +215,14 @@
 			burst(step, &now, &id, 1, OK, 3*time.Second)
 			for range later {
 				now += pause
-				step(now, []Event{{Kind: Woken}})
+				step(now, []Event{{Kind: TimerFired}})
 				after += burst(step, &now, &id, 1, OK, 3*time.Second)
 			}
 			rests += f.rests
 		}
 		return after, rests
 	}
-	warm := settings().WarmWithin
+	warm := settings().WarmUpDuration
 	for _, pause := range []time.Duration{warm + 2*time.Second, 90 * time.Second, 600 * time.Second} {
 		told, _ := play(nil, never, pause)
 		fronted, rests := play(nil, warm, pause)
@@ -241,7 +241,7 @@
 // Each thing that binds keeps a destination awake by itself, for as long as it binds.
 func TestWhatKeepsADestinationAwake(t *testing.T) {
 	const now = time.Minute
-	warm := settings().WarmWithin
+	warm := settings().WarmUpDuration
 	for _, c := range []struct {
 		name string
 		set  func(d *dest, g *gate, r *route)
@@ -269,18 +269,18 @@
 		{"a pace cut to a quarter", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 2.5, 10, now, 1 }, 46900 * ms}, // ln 4 / ln 1.03 s
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			desk := newDesk(t, settings(), Listing{Route: "a", Destination: 1, Weight: 6}, Listing{Route: "b", Destination: 1, Weight: 6})
+			desk := newDesk(t, settings(), Endpoint{ID: "a", Destination: 1, Weight: 6}, Endpoint{ID: "b", Destination: 1, Weight: 6})
 			s, d := desk.s, desk.s.dests[1]
 			g := d.gates[0]
 			g.routes[1].okAt = 1
 			c.set(d, g, g.routes[0])
 			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warm - 1, calmSpan - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
 				s.now = now + after
-				if got, want := s.Resting(1), after >= c.span; got != want {
+				if got, want := s.Evictable(1), after >= c.span; got != want {
 					t.Errorf("after %v it may rest: %t", after, got)
 				}
 			}
-			if !s.Resting(2) {
+			if !s.Evictable(2) {
 				t.Error("one that is not known binds")
 			}
 		})
@@ -290,10 +290,10 @@
 // What others may use of a limit is told once: such a destination stays awake.
 func TestRightsKeepADestinationAwake(t *testing.T) {
 	f, step := twoRoutes(t, 1, 300, nil, never)
-	if step(time.Minute, []Event{{Kind: Taken, ID: 1, Destination: 1, Left: time.Second}, {Kind: Withdrawn, ID: 1}}); !f.s.Resting(1) {
+	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !f.s.Evictable(1) {
 		t.Fatal("an unused destination may not rest")
 	}
-	if step(time.Minute, []Event{{Kind: Rights, Destination: 1, Route: "a", Share: 0.2}}); f.s.Resting(1) {
+	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); f.s.Evictable(1) {
 		t.Error("a destination whose limit is lent may rest")
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -17,43 +17,43 @@
 func goldenSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Effect: Safe, Aim: time.Second, GiveUp: 16 * time.Second, Value: 1},
-			{Effect: Keyed, GroupAll: true, Window: 10 * time.Second, Ordered: true, Aim: 2 * time.Second, GiveUp: 16 * time.Second, Value: 3},
-			{Effect: Unsafe, Aim: 3 * time.Second, GiveUp: 16 * time.Second, Value: 2},
+			{Effect: Idempotent, LatencyObjective: time.Second, Deadline: 16 * time.Second, Weight: 1},
+			{Effect: IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, Ordered: true, LatencyObjective: 2 * time.Second, Deadline: 16 * time.Second, Weight: 3},
+			{Effect: NonIdempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 2},
 		},
-		Kinds: []Kind{{PerCall: 1}, {PerCall: 2, Separate: true}}, Customers: []Customer{{Quota: 50}}, Carriage: []float64{0, 0.5},
-		Senders: 3, Slots: 30, MaxHeld: 100, MaxAttempts: 8, ColdShare: 0.2, WarmWithin: 14 * time.Second, OverloadFactor: 2,
-		OverloadWindow: 3 * time.Second, OrderPause: 500 * time.Millisecond,
+		DestinationKinds: []DestinationKind{{MaxBatch: 1}, {MaxBatch: 2, LimitPerEndpoint: true}}, Tenants: []Tenant{{Quota: 50}}, ZoneCosts: []float64{0, 0.5},
+		FleetSize: 3, MaxInFlightCalls: 30, MaxPendingMessages: 100, MaxAttempts: 8, WarmUpInitialCapacity: 0.2, WarmUpDuration: 14 * time.Second, OverloadFactor: 2,
+		OverloadWindow: 3 * time.Second, OrderingPause: 500 * time.Millisecond,
 	}
 }
 
 // goldenSender is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left alone.
-func goldenSender(t *testing.T) *Sender {
+func goldenSender(t *testing.T) *Engine {
 	t.Helper()
 	s, err := New(goldenSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := Event{Kind: ListWhole}
+	list := Event{Kind: EndpointSnapshot}
 	for i := range 6 {
-		list.List = append(list.List, Listing{Route: fmt.Sprint("s-", i), Destination: 1 + i/2, Kind: i / 4, Zone: i % 2, Weight: 20, InService: true})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint("s-", i), Destination: 1 + i/2, Kind: i / 4, Zone: i % 2, Weight: 20, InService: true})
 	}
 	at := time.Second
 	s.Step(at, []Event{list})
 	probe := func(route string, outcome Outcome, wait time.Duration) Event {
-		return Event{Kind: Probed, Route: route, Outcome: outcome, Wait: wait, Took: 20 * time.Millisecond, Report: Report{Told: true, Left: 0.5, Limit: 30}}
+		return Event{Kind: HealthChecked, Endpoint: route, Outcome: outcome, RetryAfter: wait, Latency: 20 * time.Millisecond, LimitReport: LimitReport{Present: true, Remaining: 0.5, Limit: 30}}
 	}
 	at += time.Second
 	s.Step(at, []Event{probe("s-0", OK, 0), probe("s-4", OK, 0), probe("s-2", Error, 0), probe("s-2", Error, 0), probe("s-2", Error, 0)})
 	taken := func(id uint32) Event {
-		return Event{Kind: Taken, ID: id, Key: fmt.Sprint("key ", id%2), Class: int(id % 3), Destination: 1 + int(id%3), Left: 10 * time.Second}
+		return Event{Kind: MessageAccepted, MessageID: id, Key: fmt.Sprint("key ", id%2), Class: int(id % 3), Destination: 1 + int(id%3), TimeLeft: 10 * time.Second}
 	}
 	var sent []Action
 	for id := range uint32(12) {
 		at += 10 * time.Millisecond
 		e := taken(id + 1)
 		if id == 11 {
-			e.Resumed = &Resumed{Attempts: 1, Ran: true, RanAgo: time.Second, RanZone: 1}
+			e.Recovered = &RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: time.Second, FirstRunZone: 1}
 		}
 		for _, a := range s.Step(at, []Event{e}) {
 			if a.Kind == Send {
@@ -61,14 +61,14 @@
 			}
 		}
 	}
-	for i, outcome := range []Outcome{Full, Timeout, ConnectFailed, OK} {
+	for i, outcome := range []Outcome{Overloaded, Timeout, ConnectFailed, OK} {
 		a := sent[i]
-		e := Event{Kind: Finished, ID: a.ID, Route: a.Route, Outcome: outcome, Took: 30 * time.Millisecond, Ended: outcome == OK}
+		e := Event{Kind: AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: outcome, Latency: 30 * time.Millisecond, MessageEnded: outcome == OK}
 		at += 10 * time.Millisecond
 		s.Step(at, []Event{e})
 	}
 	at += 10 * time.Millisecond
-	s.Step(at, []Event{probe("s-5", Full, 2*time.Second), {Kind: Rights, Destination: 1, Share: 0.5, Calls: 2, Left: time.Second}})
+	s.Step(at, []Event{probe("s-5", Overloaded, 2*time.Second), {Kind: QuotaGranted, Destination: 1, ReservedFraction: 0.5, GrantedCalls: 2, TimeLeft: time.Second}})
 	return s
 }
 
@@ -87,16 +87,16 @@
 	got := content{messages: len(s.msgs), out: s.slots, turns: len(s.turns)}
 	views, _ := s.Views()
 	for _, v := range views {
-		if v.Wait > s.now {
+		if v.RetryAfterUntil > s.now {
 			got.waiting++
 		}
-		if v.Pace > 0 {
+		if v.PacingRate > 0 {
 			got.paced++
 		}
-		if v.Down {
+		if v.Ejected {
 			got.down++
 		}
-		if v.Cold {
+		if v.WarmingUp {
 			got.cold++
 		}
 	}
--- a/policy/hurry_test.go
+++ b/policy/hurry_test.go
@@ -8,7 +8,7 @@
 // A class with less time than an answer of most hosts may take has all its calls cut before that. A host that hangs is skipped all the
 // same; a call of a class with more time that was cut as early, for want of time left, still skips none.
 func TestHostsThatHangAreSkippedForShortTimes(t *testing.T) {
-	hasty := Class{Effect: Safe, Aim: 350 * time.Millisecond, GiveUp: 900 * time.Millisecond, Value: 1}
+	hasty := Class{Effect: Idempotent, LatencyObjective: 350 * time.Millisecond, Deadline: 900 * time.Millisecond, Weight: 1}
 	for _, c := range []struct {
 		name  string
 		class Class
@@ -16,10 +16,10 @@
 		skips bool
 	}{
 		{"short times", hasty, 600 * time.Millisecond, true},
-		{"long times, little left", Class{Effect: Safe, Aim: 3 * time.Second, GiveUp: 16 * time.Second, Value: 1}, 600 * time.Millisecond, false},
+		{"long times, little left", Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}, 600 * time.Millisecond, false},
 		{"short times, hardly any left", hasty, 300 * time.Millisecond, false},
 	} {
-		s, err := New(Settings{Classes: []Class{c.class}, Kinds: []Kind{{PerCall: 1}}, Senders: 2}, 1)
+		s, err := New(Settings{Classes: []Class{c.class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,15 +28,15 @@
 			ev Event
 		}
 		var outs []out
-		evs := []Event{{Kind: ListWhole, List: []Listing{{Route: "hangs", Destination: 5, Weight: 30, InService: true}}}}
+		evs := []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "hangs", Destination: 5, Weight: 30, InService: true}}}}
 		now, id, cut := time.Second, uint32(0), 0
 		for now < 9*time.Second && (s.routes["hangs"] == nil || !s.routes["hangs"].down) {
 			id++
-			evs = append(evs, Event{Kind: Taken, ID: id, Destination: 5, Left: c.left})
+			evs = append(evs, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: c.left})
 			for _, a := range s.Step(now, evs) {
 				if a.Kind == Send {
-					outs = append(outs, out{a.At, Event{
-						Kind: Finished, ID: a.ID, Attempt: s.msgs[a.ID].sends - 1, Route: a.Route, Outcome: Timeout, Took: a.At - now,
+					outs = append(outs, out{a.TimeoutAt, Event{
+						Kind: AttemptFinished, MessageID: a.MessageID, Attempt: s.msgs[a.MessageID].sends - 1, Endpoint: a.Endpoint, Outcome: Timeout, Latency: a.TimeoutAt - now,
 					}})
 				}
 			}
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -10,7 +10,7 @@
 )
 
 // settle clears what a Sender keeps only as scratch, or to have room.
-func settle(s *Sender) {
+func settle(s *Engine) {
 	s.acts, s.ready = nil, nil
 	for _, d := range s.order {
 		d.cand, d.candRt = nil, nil
@@ -30,7 +30,7 @@
 func TestSnapshotHoldsEverything(t *testing.T) {
 	for seed := range uint64(4) {
 		n, compared := 0, 0
-		swap := func(s *Sender) *Sender {
+		swap := func(s *Engine) *Engine {
 			if n++; n%7 != 0 {
 				return s
 			}
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(time.Second, []Event{{Kind: ListWhole, List: []Listing{{Route: "r", InService: true, Weight: 3}}}, {Kind: Taken, ID: 1, Left: time.Second}})
+	s.Step(time.Second, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 3}}}, {Kind: MessageAccepted, MessageID: 1, TimeLeft: time.Second}})
 	data := s.Snapshot(nil)
 	for cut := range data {
 		if _, err := Restore(s.set, data[:cut]); err == nil {
@@ -132,7 +132,7 @@
 		t.Error("a snapshot with a byte more is taken")
 	}
 	other := s.set
-	other.Customers = nil
+	other.Tenants = nil
 	if _, err := Restore(other, data); err == nil {
 		t.Error("a snapshot is taken under settings with fewer customers")
 	}
@@ -141,31 +141,31 @@
 // What holds a message is told for each cause that a test can bring about on given times.
 func TestHoldsTellTheCause(t *testing.T) {
 	set := Settings{
-		Classes: []Class{{Effect: Keyed, Window: 10 * time.Second, Aim: 3 * time.Second, GiveUp: 16 * time.Second}, {Effect: Safe, Ordered: true, GiveUp: 16 * time.Second}},
-		Kinds:   []Kind{{PerCall: 1}}, Senders: 1, Slots: 10, OverloadFactor: 2,
+		Classes:          []Class{{Effect: IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}, {Effect: Idempotent, Ordered: true, Deadline: 16 * time.Second}},
+		DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 1, MaxInFlightCalls: 10, OverloadFactor: 2,
 	}
 	take := func(id uint32, class int, key string) Event {
-		return Event{Kind: Taken, ID: id, Class: class, Key: key, Left: 16 * time.Second}
+		return Event{Kind: MessageAccepted, MessageID: id, Class: class, Key: key, TimeLeft: 16 * time.Second}
 	}
 	done := func(id uint32, n int, o Outcome, wait time.Duration) Event {
-		return Event{Kind: Finished, ID: id, Attempt: n, Route: "r", Outcome: o, Wait: wait, Ended: o == OK, Took: 100 * time.Millisecond}
+		return Event{Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: "r", Outcome: o, RetryAfter: wait, MessageEnded: o == OK, Latency: 100 * time.Millisecond}
 	}
-	listed := Event{Kind: ListWhole, List: []Listing{{Route: "r", InService: true, Weight: 50}}}
-	drained := Event{Kind: ListChanges, List: []Listing{{Route: "r", Weight: 50}}}
+	listed := Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 50}}}
+	drained := Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "r", Weight: 50}}}
 	for _, c := range []struct {
 		name  string
 		steps [][]Event // a tenth of a second apart
 		id    uint32
-		want  Cause
+		want  BlockCause
 	}{
-		{"no route", [][]Event{{take(1, 0, "")}}, 1, NoRoute},
-		{"draining", [][]Event{{listed}, {drained, take(1, 0, "")}}, 1, NoService},
-		{"told wait", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Full, 2*time.Second)}}, 1, ToldWait},
-		{"crammed", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, OK, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, ""), take(5, 0, ""), take(6, 0, "")}}, 6, Crammed},
-		{"turn", [][]Event{{listed, take(1, 1, "k"), take(2, 1, "k")}}, 2, Turn},
-		{"pace", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Full, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, "")}}, 4, Pace},
+		{"no route", [][]Event{{take(1, 0, "")}}, 1, NoEndpoint},
+		{"draining", [][]Event{{listed}, {drained, take(1, 0, "")}}, 1, EndpointDraining},
+		{"told wait", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 2*time.Second)}}, 1, RetryAfterPending},
+		{"crammed", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, OK, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, ""), take(5, 0, ""), take(6, 0, "")}}, 6, EndpointSaturated},
+		{"turn", [][]Event{{listed, take(1, 1, "k"), take(2, 1, "k")}}, 2, WaitingForKey},
+		{"pace", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, "")}}, 4, Paced},
 		{"skip", [][]Event{{listed, take(1, 0, ""), take(2, 0, ""), take(3, 0, "")}, {done(1, 0, ConnectFailed, 0)}, {done(2, 0, ConnectFailed, 0)},
-			{done(3, 0, ConnectFailed, 0)}, {done(1, 1, ConnectFailed, 0), done(2, 1, ConnectFailed, 0)}, {take(9, 0, "")}}, 9, Skip},
+			{done(3, 0, ConnectFailed, 0)}, {done(1, 1, ConnectFailed, 0), done(2, 1, ConnectFailed, 0)}, {take(9, 0, "")}}, 9, EndpointEjected},
 	} {
 		s, err := New(set, 5)
 		if err != nil {
@@ -181,9 +181,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got []Hold
-		for _, h := range copied.Holds() {
-			if h.ID == c.id {
+		var got []Blocker
+		for _, h := range copied.Blockers() {
+			if h.MessageID == c.id {
 				got = append(got, h)
 			}
 		}
--- a/policy/many.go
+++ b/policy/many.go
@@ -23,23 +23,23 @@
 )
 
 // takes is what a gate takes from all, on the low side; where nothing tells, as often what it took from this sender as there are such.
-func (s *Sender) takes(g *gate) float64 {
-	return max(leastLimit, cmp.Or(s.limit(g), s.rate(g)*float64(s.set.Senders)))
+func (s *Engine) takes(g *gate) float64 {
+	return max(leastLimit, cmp.Or(s.limit(g), s.rate(g)*float64(s.set.FleetSize)))
 }
 
 // many tells whether a gate's told limit is shared by more senders than see it filled.
-func (s *Sender) many(g *gate) bool { return s.set.Senders > fewSenders && s.limit(g) > 0 }
+func (s *Engine) many(g *gate) bool { return s.set.FleetSize > fewSenders && s.limit(g) > 0 }
 
 // startPace gives a gate of many its first pace: this sender's part of the told limit. Guards against a fleet that is
 // free at first, together far above the limit, and where refused calls use it up is refused for as long as it goes on.
-func (s *Sender) startPace(g *gate) {
+func (s *Engine) startPace(g *gate) {
 	g.pace, g.creptAt = s.fair(g), s.now // and its tokens grow from when it was listed
 	g.tokens = 1 - s.rng.Float64()*math.Min(1, g.pace*manySpread.Seconds())
 }
 
 // keepPace bounds the pace of one of many where rates are told: by its fair one, and with a backlog by twice that, if it grew there.
 // Guards against paces that grew past it at one success, or whose share has shrunk: their sum passes the limit, and refusals use it up.
-func (s *Sender) keepPace(g *gate, was float64) {
+func (s *Engine) keepPace(g *gate, was float64) {
 	if g.pace == 0 {
 		s.startPace(g)
 	} else if s.usual() > 0 {
@@ -52,18 +52,18 @@
 }
 
 // trial is the least pace of one of many: a call in a message's time, or half of its part: else a trouble's end is learnt too late.
-func (s *Sender) trial(part float64) float64 {
+func (s *Engine) trial(part float64) float64 {
 	least := 0.0
 	for _, c := range s.set.Classes {
-		if c.GiveUp > 0 {
-			least = math.Max(least, 1/c.GiveUp.Seconds())
+		if c.Deadline > 0 {
+			least = math.Max(least, 1/c.Deadline.Seconds())
 		}
 	}
 	return math.Min(least, paceSure*part)
 }
 
 // burst is how many calls beyond one a gate's sender may send at once after idling.
-func (s *Sender) burst(g *gate) float64 {
+func (s *Engine) burst(g *gate) float64 {
 	if s.many(g) {
 		return math.Max(manyBurst, g.pace*paceBurst.Seconds())
 	}
@@ -71,8 +71,8 @@
 }
 
 // usual is the customers' told traffic, messages a second over all senders; 0: not told.
-func (s *Sender) usual() (quota float64) {
-	for _, c := range s.set.Customers {
+func (s *Engine) usual() (quota float64) {
+	for _, c := range s.set.Tenants {
 		quota += c.Quota
 	}
 	return quota
@@ -80,7 +80,7 @@
 
 // manyGrowth is the growth of the pace of one of many, quick below its fair one. These add up to the limit: beyond, a pace grows with a
 // backlog only, into what others leave, and where rates are told long after a refusal; else its share is found out by refusals.
-func (s *Sender) manyGrowth(g *gate) float64 {
+func (s *Engine) manyGrowth(g *gate) float64 {
 	fair, told, refused := s.fair(g), s.usual() > 0, g.halvedAt > 0 && s.now-g.halvedAt < calmSpan
 	switch {
 	case g.pace >= fair && (len(g.dest.queue) == 0 || told && refused):
@@ -95,7 +95,7 @@
 
 // cut is the pace of one of many after a refusal, and after further ones with no answer between. Guards against a limit
 // that was lowered below half: where refused calls use it up, a fleet that stays at half its parts gets none of it.
-func (s *Sender) cut(r *route, pace float64) float64 {
+func (s *Engine) cut(r *route, pace float64) float64 {
 	part, less := s.part(r.gate), math.Min(pace/2, s.fair(r.gate))
 	least := paceSure * part
 	if r.refusals > 1 {
@@ -106,21 +106,21 @@
 
 // fair is the pace that one of many keeps to until it learns better: its part, by the share of all traffic that its own count and
 // the customers' told rates tell. Guards against senders with much traffic that wait at paces which others do not use.
-func (s *Sender) fair(g *gate) float64 {
+func (s *Engine) fair(g *gate) float64 {
 	share := 1.0
 	if quota := s.usual(); quota > 0 {
-		mean := quota / float64(s.set.Senders) * takenSpan.Seconds() * (1 - fade(s.now-s.began, takenSpan))
+		mean := quota / float64(s.set.FleetSize) * takenSpan.Seconds() * (1 - fade(s.now-s.began, takenSpan))
 		share = (takenPrior + s.taken.level*fade(s.now-s.taken.at, takenSpan)) / (takenPrior + mean)
 	}
 	return math.Min(s.limit(g), s.part(g)*(1-takenShare+takenShare*share))
 }
 
 // sparse tells whether this sender's part of a gate is less than a call in the span of a fall.
-func (s *Sender) sparse(g *gate) bool { return s.part(g)*s.set.OverloadWindow.Seconds() < 1 }
+func (s *Engine) sparse(g *gate) bool { return s.part(g)*s.set.OverloadWindow.Seconds() < 1 }
 
 // suspect puts a route in slight doubt, which one delivery clears, where this sender's part is under a call
 // in the span of a fall. Guards against hundreds of senders, told of one failure each, that push as one.
-func (s *Sender) suspect(r *route) {
+func (s *Engine) suspect(r *route) {
 	if !r.cold && s.sparse(r.gate) {
 		s.doubt(r)
 		r.slight = true
@@ -130,10 +130,10 @@
 // hint takes two refusals some time apart for a sign of an outage and, where this sender's part is under a call in a warm-up, by
 // chance one refusal or connection failed as at a full table. Guards against many senders told once that all come again. Most
 // refusals being a limit's, some must: those left are under two thirds while they come less than five times as often as others.
-func (s *Sender) hint(r *route) {
+func (s *Engine) hint(r *route) {
 	again := r.refusals >= sparseShut && s.now-r.refusedAt >= shutSpan
-	seldom := !s.alive(r) && s.part(r.gate)*s.set.WarmWithin.Seconds() < 1
-	if again && s.set.Senders > fewSenders && !s.sparse(r.gate) {
+	seldom := !s.alive(r) && s.part(r.gate)*s.set.WarmUpDuration.Seconds() < 1
+	if again && s.set.FleetSize > fewSenders && !s.sparse(r.gate) {
 		s.doubt(r)
 	} else if again || seldom && s.rng.Float64() < hintDoubt {
 		s.suspect(r)
@@ -142,14 +142,14 @@
 
 // ask has others asked for calls shortly before the own pace is all that closes a gate, and while messages
 // wait: what the recovery budget lets through lapses meanwhile. It returns when to look again.
-func (s *Sender) ask(g *gate, open, paced time.Duration) time.Duration {
+func (s *Engine) ask(g *gate, open, paced time.Duration) time.Duration {
 	if !g.shared || len(g.dest.queue) == 0 {
 		return paced
 	} else if open > s.now+askAhead {
 		return min(paced, open-askAhead)
 	}
 	if n := s.perCall(g.kind); s.now >= g.askedAt+askEvery {
-		s.act(Action{Kind: Ask, Route: g.routes[0].Route, Calls: (len(g.dest.queue) + n - 1) / n})
+		s.act(Action{Kind: RequestQuota, Endpoint: g.routes[0].ID, Calls: (len(g.dest.queue) + n - 1) / n})
 		g.askedAt = s.now
 	}
 	return min(paced, g.askedAt+askEvery)
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -17,14 +17,14 @@
 		sent := 0
 		for i := range c.senders {
 			set := settings()
-			set.Senders, set.Slots = c.senders, 100
+			set.FleetSize, set.MaxInFlightCalls = c.senders, 100
 			s, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			evs := []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: limit, InService: true}}}}
+			evs := []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: limit, InService: true}}}}
 			for id := range uint32(messages) {
-				evs = append(evs, Event{Kind: Taken, ID: id + 1, Left: 20 * time.Second})
+				evs = append(evs, Event{Kind: MessageAccepted, MessageID: id + 1, TimeLeft: 20 * time.Second})
 			}
 			for now := time.Second; now <= 4*time.Second; now += 50 * time.Millisecond {
 				for _, a := range s.Step(now, evs) {
@@ -49,8 +49,8 @@
 	}{{1, 4}, {fewSenders, 4}, {80, 0}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			set := settings()
-			set.Senders = c.senders
-			d := newDesk(t, set, Listing{Route: "a", Weight: c.weight})
+			set.FleetSize = c.senders
+			d := newDesk(t, set, Endpoint{ID: "a", Weight: c.weight})
 			for id := range uint32(5) {
 				if acts := d.take(id+1, 0); !has(acts, Send) {
 					t.Errorf("message %d: %+v, want it sent", id+1, acts)
@@ -65,16 +65,16 @@
 func TestFairPacesGoByTraffic(t *testing.T) {
 	const senders, limit, usual = 40, 60.0, 5.0 // messages a second of a sender
 	set := settings()
-	set.Senders, set.Customers = senders, []Customer{{Quota: senders * usual}}
+	set.FleetSize, set.Tenants = senders, []Tenant{{Quota: senders * usual}}
 	pace := func(rate float64) float64 {
 		s, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(time.Second, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: limit, InService: true}}}})
+		s.Step(time.Second, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: limit, InService: true}}}})
 		for i := range int(rate * 20) {
 			now := 2*time.Second + time.Duration(float64(i)/rate*float64(time.Second))
-			s.Step(now, []Event{{Kind: Taken, ID: uint32(i), Left: time.Second}, {Kind: Withdrawn, ID: uint32(i)}})
+			s.Step(now, []Event{{Kind: MessageAccepted, MessageID: uint32(i), TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: uint32(i)}})
 		}
 		return s.fair(s.routes["a"].gate)
 	}
@@ -90,14 +90,14 @@
 // Pace after refusal: a sender above its fair pace falls back to it at once, and never under half its part.
 func TestRefusedPaceOfMany(t *testing.T) {
 	set := settings()
-	set.Senders = 80
-	d := newDesk(t, set, Listing{Route: "a", Weight: 80})
+	set.FleetSize = 80
+	d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
 	g := d.s.routes["a"].gate
 	for _, c := range []struct{ pace, want float64 }{{5, d.s.fair(g)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
 		d.now += 10 * time.Second
 		d.s.now = d.now
 		g.pace, g.sent = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
-		d.s.halve(d.s.routes["a"], sample{outcome: Full, sent: d.now})
+		d.s.halve(d.s.routes["a"], sample{outcome: Overloaded, sent: d.now})
 		if g.pace < c.want*0.99 || g.pace > c.want*1.01 {
 			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, g.pace, c.want)
 		}
@@ -107,24 +107,24 @@
 // A number of senders that makes no sense is told, and where settings change the ones before stay; none at all is one.
 func TestNumberOfSenders(t *testing.T) {
 	set := settings()
-	set.Senders = 80
-	d := newDesk(t, set, Listing{Route: "a", Weight: 8})
+	set.FleetSize = 80
+	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
 	d.take(1, 0)
 	for _, senders := range []int{-1, sendersMost + 1} {
 		wrong := set
-		wrong.Senders = senders
+		wrong.FleetSize = senders
 		if _, err := New(wrong, 1); err == nil {
 			t.Errorf("%d senders are taken", senders)
 		}
-		if err := d.s.Reconfigure(wrong); err == nil || d.s.set.Senders != 80 {
-			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.s.set.Senders)
+		if err := d.s.Reconfigure(wrong); err == nil || d.s.set.FleetSize != 80 {
+			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.s.set.FleetSize)
 		}
 	}
-	set.Senders = 0
-	if err := d.s.Reconfigure(set); err != nil || d.s.set.Senders != 1 || d.s.msgs[1] == nil {
-		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.s.set.Senders, d.s.msgs[1] != nil)
+	set.FleetSize = 0
+	if err := d.s.Reconfigure(set); err != nil || d.s.set.FleetSize != 1 || d.s.msgs[1] == nil {
+		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.s.set.FleetSize, d.s.msgs[1] != nil)
 	}
-	set.Senders = 8
+	set.FleetSize = 8
 	if err := d.s.Reconfigure(set); err != nil || !d.s.many(d.s.routes["a"].gate) {
 		t.Errorf("8 senders: error %v", err)
 	}
@@ -133,12 +133,12 @@
 // A message that is handed back is not counted as own traffic: its client comes again.
 func TestTrafficHandedBackDoesNotCount(t *testing.T) {
 	set := settings()
-	set.Senders, set.Customers = 80, []Customer{{Quota: 80}}
-	d := newDesk(t, set, Listing{Route: "a", Weight: 8})
+	set.FleetSize, set.Tenants = 80, []Tenant{{Quota: 80}}
+	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
 	g := d.s.routes["a"].gate
 	before := d.s.fair(g)
 	for id := range uint32(20) {
-		d.s.take(&Event{Kind: Taken, ID: id, Left: time.Minute})
+		d.s.take(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
 	if kept := d.s.fair(g); kept <= before {
 		t.Errorf("a fair pace of %v with 20 messages more, %v before", kept, before)
@@ -166,11 +166,11 @@
 		{"not told", false, false, false, 0.99, 3},
 	} {
 		set := settings()
-		set.Senders = 80
+		set.FleetSize = 80
 		if c.told {
-			set.Customers = []Customer{{Quota: 80}}
+			set.Tenants = []Tenant{{Quota: 80}}
 		}
-		d := newDesk(t, set, Listing{Route: "a", Weight: 80})
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
 		g := d.s.routes["a"].gate
 		d.take(0, 0)
 		g.pace /= 2
@@ -207,14 +207,14 @@
 		{400, 0.19, 0.21}, // of four a second: a twentieth of it
 	} {
 		set := settings()
-		set.Senders, set.Classes = 80, []Class{{Effect: Keyed, GiveUp: 12 * time.Second, Aim: 3 * time.Second, Value: 1}}
-		d := newDesk(t, set, Listing{Route: "a", Weight: c.limit})
+		set.FleetSize, set.Classes = 80, []Class{{Effect: IdempotentByKey, Deadline: 12 * time.Second, LatencyObjective: 3 * time.Second, Weight: 1}}
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
 		r := d.s.routes["a"]
 		d.s.startPace(r.gate)
 		for range 30 {
 			d.now += time.Second
 			d.s.now, r.refusals = d.now, r.refusals+1
-			d.s.halve(r, sample{outcome: Full, sent: d.now})
+			d.s.halve(r, sample{outcome: Overloaded, sent: d.now})
 		}
 		if p := r.gate.pace; p < c.least || p > c.most {
 			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", c.limit, p, c.least, c.most)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -73,52 +73,52 @@
 // rule is one failure rule: what it matches, whether the route is skipped, and what else follows.
 type rule struct {
 	name  string
-	match func(s *Sender, r *route, o sample) bool
+	match func(s *Engine, r *route, o sample) bool
 	skip  bool
-	then  func(s *Sender, r *route, o sample)
+	then  func(s *Engine, r *route, o sample)
 }
 
 // failureRules is evaluated in order; the first that matches decides.
 var failureRules = []rule{
 	// A long told wait or a run of refusals is a shut destination: it comes back cold.
-	{"shut", func(s *Sender, r *route, o sample) bool {
+	{"shut", func(s *Engine, r *route, o sample) bool {
 		run := r.refusals >= shutRefusals && s.now-r.refusedAt >= shutSpan
-		return o.outcome == Full && (o.wait > longWait || run)
-	}, true, (*Sender).doubtAll},
-	{"full", func(_ *Sender, _ *route, o sample) bool { return o.outcome == Full }, false, (*Sender).halve},
-	{"trial failed", func(_ *Sender, r *route, _ sample) bool { return r.down }, true, nil},
+		return o.outcome == Overloaded && (o.wait > longWait || run)
+	}, true, (*Engine).doubtAll},
+	{"full", func(_ *Engine, _ *route, o sample) bool { return o.outcome == Overloaded }, false, (*Engine).halve},
+	{"trial failed", func(_ *Engine, r *route, _ sample) bool { return r.down }, true, nil},
 	// A full table refuses at once and may take the next: a short rest, idle connections closed.
-	{"crowded", func(_ *Sender, _ *route, o sample) bool { return o.tight }, false, (*Sender).crowd},
-	{"in a row", func(_ *Sender, r *route, _ sample) bool { return r.streak >= streakSkip }, true, nil},
+	{"crowded", func(_ *Engine, _ *route, o sample) bool { return o.tight }, false, (*Engine).crowd},
+	{"in a row", func(_ *Engine, r *route, _ sample) bool { return r.streak >= streakSkip }, true, nil},
 	// Outages may fail only most calls: successes between do not clear them.
-	{"mostly failing", func(_ *Sender, r *route, _ sample) bool {
+	{"mostly failing", func(_ *Engine, r *route, _ sample) bool {
 		return bits.OnesCount8(r.recent) >= recentSkip
 	}, true, nil},
-	{"failed", func(*Sender, *route, sample) bool { return true }, false, nil},
+	{"failed", func(*Engine, *route, sample) bool { return true }, false, nil},
 }
 
 // New returns a Sender that knows nothing but its settings.
-func New(set Settings, seed uint64) (*Sender, error) {
+func New(set Settings, seed uint64) (*Engine, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	set.Senders = max(1, set.Senders)
-	set.ColdShare = cmp.Or(max(0, set.ColdShare), 0.1)
-	set.WarmWithin = cmp.Or(max(0, set.WarmWithin), 30*time.Second)
+	set.FleetSize = max(1, set.FleetSize)
+	set.WarmUpInitialCapacity = cmp.Or(max(0, set.WarmUpInitialCapacity), 0.1)
+	set.WarmUpDuration = cmp.Or(max(0, set.WarmUpDuration), 30*time.Second)
 	set.OverloadWindow = cmp.Or(set.OverloadWindow, 3*time.Second)
 	set.OverloadFactor = cmp.Or(max(0, set.OverloadFactor), 1)
 	pcg := rand.NewPCG(seed, 0x6f6e7978)
-	return &Sender{
+	return &Engine{
 		set: set, pcg: pcg, rng: rand.New(pcg),
 		routes: map[string]*route{}, least: map[int]float64{}, dests: map[int]*dest{},
 		scarce: map[int]time.Duration{}, short: map[int]time.Duration{},
 		msgs: map[uint32]*message{}, turns: map[string]*turn{},
-		shares: make([]bucket, len(set.Customers)),
+		shares: make([]bucket, len(set.Tenants)),
 	}, nil
 }
 
 // Step takes what has come in at now and returns what to do, in order.
-func (s *Sender) Step(now time.Duration, events []Event) []Action {
+func (s *Engine) Step(now time.Duration, events []Event) []Action {
 	s.now, s.acts = now, s.acts[:0]
 	s.began = cmp.Or(s.began, now)
 	// A wake may come a little early, for a clock coarser than ours: one so near does not count as asked for.
@@ -136,36 +136,36 @@
 	}
 	if s.wantWake > 0 && (s.wakeAt == 0 || s.wantWake < s.wakeAt) {
 		s.wakeAt = max(s.wantWake, now+time.Millisecond)
-		s.act(Action{Kind: Wake, Delay: s.wakeAt - now})
+		s.act(Action{Kind: SetTimer, Delay: s.wakeAt - now})
 	}
 	s.wantWake = 0
 	return s.acts
 }
 
-func (s *Sender) observe(e *Event) {
+func (s *Engine) observe(e *Event) {
 	switch e.Kind {
-	case Taken:
+	case MessageAccepted:
 		s.take(e)
-	case Finished:
+	case AttemptFinished:
 		s.finish(e)
-	case Probed:
-		if r := s.routes[e.Route]; r != nil {
-			s.report(r, e.Report)
-			r.gate.wait = max(r.gate.wait, s.now+e.Wait)
-			s.learn(r, sample{outcome: e.Outcome, wait: e.Wait, sent: s.now - e.Took}, e.Took)
+	case HealthChecked:
+		if r := s.routes[e.Endpoint]; r != nil {
+			s.report(r, e.LimitReport)
+			r.gate.wait = max(r.gate.wait, s.now+e.RetryAfter)
+			s.learn(r, sample{outcome: e.Outcome, wait: e.RetryAfter, sent: s.now - e.Latency}, e.Latency)
 			s.touch(r.gate.dest)
 		}
-	case Withdrawn:
-		if m := s.msgs[e.ID]; m != nil {
+	case MessageCancelled:
+		if m := s.msgs[e.MessageID]; m != nil {
 			s.over(m)
 		}
-	case ListWhole, ListChanges:
-		s.list(e.List, e.Kind == ListWhole)
-	case Rights:
+	case EndpointSnapshot, EndpointDelta:
+		s.list(e.Endpoints, e.Kind == EndpointSnapshot)
+	case QuotaGranted:
 		s.grant(e)
-	case ListFailed:
-		if s.set.AskList {
-			s.act(Action{Kind: Watch})
+	case WatchFailed:
+		if s.set.WatchRequired {
+			s.act(Action{Kind: WatchEndpoints})
 		}
 	}
 }
@@ -174,17 +174,17 @@
 
 // sortRoutes puts routes in their fixed order: listed weight, lower fee, a lot drawn once for each route.
 // Guards against hundreds of senders that all load the first of several equal routes.
-func (s *Sender) sortRoutes(d *dest) {
+func (s *Engine) sortRoutes(d *dest) {
 	less := func(a, b *route) int {
 		switch {
-		case a.Weight != b.Weight && !s.set.NoWeights:
+		case a.Weight != b.Weight && !s.set.IgnoreWeights:
 			return cmp.Compare(b.Weight, a.Weight)
 		case s.fee(a) != s.fee(b):
 			return cmp.Compare(s.fee(a), s.fee(b))
-		case a.lot != b.lot && s.set.Senders > fewSenders:
+		case a.lot != b.lot && s.set.FleetSize > fewSenders:
 			return cmp.Compare(a.lot, b.lot)
 		}
-		return cmp.Compare(a.Route, b.Route)
+		return cmp.Compare(a.ID, b.ID)
 	}
 	for _, g := range d.gates {
 		slices.SortFunc(g.routes, less)
@@ -195,20 +195,20 @@
 }
 
 // fee is what a message costs by its route's zone.
-func (s *Sender) fee(r *route) float64 {
-	if r.gate.separate && r.Zone >= 0 && r.Zone < len(s.set.Carriage) {
-		return s.set.Carriage[r.Zone]
+func (s *Engine) fee(r *route) float64 {
+	if r.gate.separate && r.Zone >= 0 && r.Zone < len(s.set.ZoneCosts) {
+		return s.set.ZoneCosts[r.Zone]
 	}
 	return 0
 }
 
 // limit is what a gate takes from all senders, on the low side, in calls a second; 0 if nothing tells. One
 // that is told in answers and has not been yet is taken for the least told of its kind.
-func (s *Sender) limit(g *gate) float64 {
-	if l := cmp.Or(g.limit, s.least[g.kind]); l > 0 || s.set.NoWeights || len(g.routes) == 0 {
+func (s *Engine) limit(g *gate) float64 {
+	if l := cmp.Or(g.limit, s.least[g.kind]); l > 0 || s.set.IgnoreWeights || len(g.routes) == 0 {
 		return l
 	}
-	if s.set.RoughWeights {
+	if s.set.ApproximateWeights {
 		return g.routes[0].Weight / roughFactor
 	}
 	return g.routes[0].Weight
@@ -216,8 +216,8 @@
 
 // part is this sender's part of the calls a second that a gate takes from all: a fixed mix of an even part
 // and own deliveries, since traffic is uneven. Each adds up to what the gate takes, and so does the mix.
-func (s *Sender) part(g *gate) float64 {
-	return (1-ownPart)*s.takes(g)/float64(s.set.Senders) + ownPart*s.rate(g)
+func (s *Engine) part(g *gate) float64 {
+	return (1-ownPart)*s.takes(g)/float64(s.set.FleetSize) + ownPart*s.rate(g)
 }
 
 // coldRate is how many calls a second this sender may make to a route in doubt that takes L from all when
@@ -226,26 +226,26 @@
 // scatters by sqrt(n), by half a call for each of few. n + scatter*deviation = b gives n, shared by parts
 // that add up. A call not made lapses. The share grows with the time since the first delivery, no further
 // than deliveries in a row bear out: an outage fails most calls, k in a row have a chance of 2^-k in it.
-func (s *Sender) coldRate(r *route) float64 {
-	share, warming := s.set.ColdShare, 1-s.set.ColdShare
-	window, warm := s.set.OverloadWindow.Seconds(), s.set.WarmWithin.Seconds()
+func (s *Engine) coldRate(r *route) float64 {
+	share, warming := s.set.WarmUpInitialCapacity, 1-s.set.WarmUpInitialCapacity
+	window, warm := s.set.OverloadWindow.Seconds(), s.set.WarmUpDuration.Seconds()
 	if r.back > 0 {
 		share += warming * min((s.now-r.back).Seconds()/warm, 1-math.Pow(0.5, float64(r.run)))
 	}
 	takes := max(s.takes(r.gate), s.rate(r.gate))
 	b := toldShare * s.set.OverloadFactor * min(1, share+warming*window/warm) * takes * window
 	root := (math.Sqrt(scatter*scatter+4*b) - scatter) / 2
-	n := max(root*root, b-scatter*math.Sqrt(float64(s.set.Senders))/2)
+	n := max(root*root, b-scatter*math.Sqrt(float64(s.set.FleetSize))/2)
 	return n / (window * (1 + lapseShare)) * s.part(r.gate) / takes
 }
 
 // coldUntil is when a route that may be cold takes its next call. Guards against pushing over a returning
 // destination: every send to a route in doubt draws on one budget of its gate. The first call is drawn by
 // chance, so that the sum over all senders is right. It holds during an outage too, whose end is not told.
-func (s *Sender) coldUntil(r *route) time.Duration {
+func (s *Engine) coldUntil(r *route) time.Duration {
 	g := r.gate
-	r.cold = r.cold && (r.back == 0 || s.now < r.back+s.set.WarmWithin)
-	if r.okAt == 0 && (g.streak >= streakDoubt || g.doubtful() || s.now < g.coldLeft+s.set.WarmWithin) {
+	r.cold = r.cold && (r.back == 0 || s.now < r.back+s.set.WarmUpDuration)
+	if r.okAt == 0 && (g.streak >= streakDoubt || g.doubtful() || s.now < g.coldLeft+s.set.WarmUpDuration) {
 		s.doubt(r) // not answered yet: it stands as its siblings do, or those it replaced
 	}
 	if !r.cold {
@@ -267,9 +267,9 @@
 
 // opensAt is when a route next takes a call, as far as its gate, skip and pace tell; math.MaxInt64 if
 // only an outcome can open it.
-func (s *Sender) opensAt(r *route) time.Duration {
+func (s *Engine) opensAt(r *route) time.Duration {
 	g := r.gate
-	if !r.InService || r.Gone || r.down && len(r.calls) > 0 || s.crammed(r) {
+	if !r.InService || r.Removed || r.down && len(r.calls) > 0 || s.crammed(r) {
 		return math.MaxInt64
 	}
 	at := max(g.wait, r.skipUntil, s.coldUntil(r))
@@ -288,18 +288,18 @@
 // crammed tells whether a route or its gate holds too many slots. Guards against silent or very slow routes
 // that would fill the slots before any time-out tells: while the oldest calls are overdue, only a few may be
 // out. A jam of the whole fleet looks alike; it ends with the first answer.
-func (s *Sender) crammed(r *route) bool {
-	full := r.gate.out >= max(2, int(gateShare*float64(s.set.Slots)))
-	return s.set.Slots > 0 && (full || s.overdue(r, min(streakSkip, max(1, s.set.Slots/4))))
+func (s *Engine) crammed(r *route) bool {
+	full := r.gate.out >= max(2, int(gateShare*float64(s.set.MaxInFlightCalls)))
+	return s.set.MaxInFlightCalls > 0 && (full || s.overdue(r, min(streakSkip, max(1, s.set.MaxInFlightCalls/4))))
 }
 
 // overdue tells whether n calls of a route are overdue, with none answered that were sent later.
-func (s *Sender) overdue(r *route, n int) bool {
+func (s *Engine) overdue(r *route, n int) bool {
 	return len(r.calls) >= n && s.now > r.calls[n-1].expect && r.okSent < r.calls[n-1].sent
 }
 
 // halve sets the pace to half the last second's rate, once for all calls that were out together.
-func (s *Sender) halve(r *route, o sample) {
+func (s *Engine) halve(r *route, o sample) {
 	g := r.gate
 	if o.sent < g.halvedAt {
 		return
@@ -312,7 +312,7 @@
 		g.ceiling, g.pace = 0, s.cut(r, cmp.Or(rate, g.pace)) // one in seconds: none in the last
 	} else {
 		// Counts of few calls a second are rough: halvings must not starve a gate whose limit is known.
-		least := math.Max(paceLeast, paceSure*s.limit(g)/float64(s.set.Senders))
+		least := math.Max(paceLeast, paceSure*s.limit(g)/float64(s.set.FleetSize))
 		g.ceiling, g.pace = math.Max(rate, least), math.Max(rate/2, least)
 	}
 	g.tokens, g.tokensAt, g.halvedAt = 0, s.now, s.now
@@ -323,7 +323,7 @@
 }
 
 // creep lets the pace grow with a success, slowly near the rate that was refused last.
-func (s *Sender) creep(g *gate) {
+func (s *Engine) creep(g *gate) {
 	if g.pace == 0 {
 		return
 	}
@@ -355,30 +355,30 @@
 
 // crowded tells whether a failed connection looks like a full table: it failed at once, at a route that
 // answered of late or, among many senders, of a kind that had such failures. Some in a row are an outage.
-func (s *Sender) crowded(r *route, o sample) bool {
-	short := s.set.Senders > fewSenders && s.now < s.scarce[r.Kind]
+func (s *Engine) crowded(r *route, o sample) bool {
+	short := s.set.FleetSize > fewSenders && s.now < s.scarce[r.Kind]
 	failed := o.outcome == ConnectFailed && s.now-o.sent < leastExpect
 	return failed && r.gate.tights < tightMost && (s.alive(r) || short)
 }
 
 // crowd answers a full connection table.
-func (s *Sender) crowd(r *route, _ sample) {
+func (s *Engine) crowd(r *route, _ sample) {
 	r.skipUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(tightRest))
-	s.act(Action{Kind: CloseIdle, Route: r.Route})
+	s.act(Action{Kind: CloseIdle, Endpoint: r.ID})
 }
 
 // learn takes an outcome as an observation of its route.
-func (s *Sender) learn(r *route, o sample, took time.Duration) {
+func (s *Engine) learn(r *route, o sample, took time.Duration) {
 	if s.now < s.short[r.Kind] {
-		s.act(Action{Kind: CloseIdle, Route: r.Route})
+		s.act(Action{Kind: CloseIdle, Endpoint: r.ID})
 	}
 	switch o.outcome {
 	case OK:
 		s.delivered(r, o.sent, took)
 		return
-	case Moot, Cancelled:
+	case NotSent, Cancelled:
 		return
-	case Full:
+	case Overloaded:
 		if r.refusals == 0 {
 			r.refusedAt = s.now
 		}
@@ -389,7 +389,7 @@
 		r.lost = r.lost || o.outcome == Reset
 		if o.outcome == Timeout || o.outcome == Reset {
 			// Calls may be lost with the connection that carries them: the next one takes a fresh one.
-			s.act(Action{Kind: CloseIdle, Route: r.Route})
+			s.act(Action{Kind: CloseIdle, Endpoint: r.ID})
 			// A later call was answered, or the route lives: this one says nothing of its standing.
 			// Nor does a call with less time than an answer takes. Guards against a backlog whose late calls
 			// keep a route in doubt for good.
@@ -443,10 +443,10 @@
 }
 
 // alive tells whether a route has answered of late.
-func (s *Sender) alive(r *route) bool { return r.okAt > 0 && s.now-r.okAt < aliveSpan }
+func (s *Engine) alive(r *route) bool { return r.okAt > 0 && s.now-r.okAt < aliveSpan }
 
 // doubt puts a route under the recovery budget.
-func (s *Sender) doubt(r *route) {
+func (s *Engine) doubt(r *route) {
 	if g := r.gate; !g.doubtful() {
 		g.credit, g.coldAt = s.rng.Float64(), s.now
 		g.got, g.gotAt = s.rate(g), s.now
@@ -455,14 +455,14 @@
 }
 
 // doubtAll does so with all routes that share the limit of one.
-func (s *Sender) doubtAll(r *route, _ sample) {
+func (s *Engine) doubtAll(r *route, _ sample) {
 	for _, x := range r.gate.routes {
 		s.doubt(x)
 	}
 }
 
 // skip enters a route in the skip table. Failures of calls sent before the skip began add nothing.
-func (s *Sender) skip(r *route, sent time.Duration) {
+func (s *Engine) skip(r *route, sent time.Duration) {
 	s.doubt(r)
 	if r.down && sent < r.skipUntil-r.skipLen {
 		return
@@ -476,7 +476,7 @@
 }
 
 // answered learns how long answers of a route take. A time-out tells that its answer takes longer.
-func (s *Sender) answered(r *route, took time.Duration) {
+func (s *Engine) answered(r *route, took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.dev = took, took/2
 		return
@@ -485,11 +485,11 @@
 	r.mean, r.dev = r.mean+d/8, r.dev+(max(d, -d)-r.dev)/4
 }
 
-func (s *Sender) delivered(r *route, sent, took time.Duration) {
+func (s *Engine) delivered(r *route, sent, took time.Duration) {
 	g := r.gate
 	// A table that was full and takes a call again was not away. Guards against connections closed after
 	// every use for an outage of others: each call of a fleet then cost a handshake.
-	if g.tights > 0 && g.streak == 0 && s.set.Senders > fewSenders {
+	if g.tights > 0 && g.streak == 0 && s.set.FleetSize > fewSenders {
 		s.short[r.Kind] = s.now + scarceSpan
 	}
 	r.okAt, r.okSent, r.streak, r.refusals, r.lost = s.now, max(r.okSent, sent), 0, 0, false
@@ -505,24 +505,24 @@
 	s.count(g)
 	// What was sent before a call that failed at once tells of no return.
 	if r.run++; r.cold && r.back == 0 && sent > r.failSent {
-		r.back, r.cold = s.now, !r.slight || s.part(r.gate)*s.set.WarmWithin.Seconds() > 1
+		r.back, r.cold = s.now, !r.slight || s.part(r.gate)*s.set.WarmUpDuration.Seconds() > 1
 	}
 	s.creep(g)
 }
 
 // Messages.
 
-func (s *Sender) take(e *Event) {
-	c := &Class{Effect: Unsafe, Ordered: true, Aim: e.Left / 2, GiveUp: e.Left, Value: 1} // the strictest
+func (s *Engine) take(e *Event) {
+	c := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: e.TimeLeft / 2, Deadline: e.TimeLeft, Weight: 1} // the strictest
 	if e.Class >= 0 && e.Class < len(s.set.Classes) {
 		c = &s.set.Classes[e.Class]
 	}
-	m := &message{id: e.ID, class: c, most: s.set.MaxAttempts, dest: s.destination(e.Destination)}
-	m.deadline = s.now + e.Left - endMargin
-	m.due = s.now + c.Aim - max(0, c.GiveUp-e.Left)
-	m.rank = s.now + time.Duration(float64(m.due-s.now)/math.Max(c.Value, 0.01))
-	if s.overShare(e.Customer) {
-		m.rank += time.Duration(overShare * float64(e.Left))
+	m := &message{id: e.MessageID, class: c, most: s.set.MaxAttempts, dest: s.destination(e.Destination)}
+	m.deadline = s.now + e.TimeLeft - endMargin
+	m.due = s.now + c.LatencyObjective - max(0, c.Deadline-e.TimeLeft)
+	m.rank = s.now + time.Duration(float64(m.due-s.now)/math.Max(c.Weight, 0.01))
+	if s.overShare(e.Tenant) {
+		m.rank += time.Duration(overShare * float64(e.TimeLeft))
 	}
 	s.msgs[m.id] = m
 	s.tally()
@@ -531,7 +531,7 @@
 	if c.Ordered && e.Key != "" {
 		s.join(m, e.Key)
 	}
-	s.resume(m, e.Resumed)
+	s.resume(m, e.Recovered)
 	s.ends.push(end{m.deadline, m})
 	s.ends.push(end{m.due, m})
 	s.enqueue(m)
@@ -539,11 +539,11 @@
 }
 
 // overShare counts a message against its customer's share and tells whether it lies beyond.
-func (s *Sender) overShare(c int) bool {
-	if c < 0 || c >= len(s.shares) || s.set.Customers[c].Quota <= 0 {
+func (s *Engine) overShare(c int) bool {
+	if c < 0 || c >= len(s.shares) || s.set.Tenants[c].Quota <= 0 {
 		return false
 	}
-	b, rate := &s.shares[c], s.set.Customers[c].Quota/float64(s.set.Senders)
+	b, rate := &s.shares[c], s.set.Tenants[c].Quota/float64(s.set.FleetSize)
 	b.level, b.at = math.Max(0, b.level-rate*(s.now-b.at).Seconds())+1, s.now
 	if b.level > 1+2*rate {
 		b.level--
@@ -553,8 +553,8 @@
 }
 
 // makeRoom refuses the last message of the longest queue while little room is left.
-func (s *Sender) makeRoom() {
-	if s.set.MaxHeld <= 0 || s.held <= int(roomShare*float64(s.set.MaxHeld)) {
+func (s *Engine) makeRoom() {
+	if s.set.MaxPendingMessages <= 0 || s.held <= int(roomShare*float64(s.set.MaxPendingMessages)) {
 		return
 	}
 	long := slices.MaxFunc(s.active, func(a, b *dest) int {
@@ -568,20 +568,20 @@
 	}
 }
 
-func (s *Sender) finish(e *Event) {
-	m := s.msgs[e.ID]
-	r, c := s.routes[e.Route], s.detach(m, e.Attempt)
+func (s *Engine) finish(e *Event) {
+	m := s.msgs[e.MessageID]
+	r, c := s.routes[e.Endpoint], s.detach(m, e.Attempt)
 	if c != nil {
 		r = c.r
 	}
 	// A told wait keeps every message from the gate until it is over, whoever was told.
-	if r != nil && e.Wait > 0 {
-		r.gate.wait = max(r.gate.wait, s.now+e.Wait)
+	if r != nil && e.RetryAfter > 0 {
+		r.gate.wait = max(r.gate.wait, s.now+e.RetryAfter)
 	}
 	if c == nil {
 		return
 	}
-	s.report(r, e.Report)
+	s.report(r, e.LimitReport)
 	c.left, c.ok = c.left-1, c.ok || e.Outcome == OK
 	if c.left == 0 {
 		s.end(c)
@@ -589,14 +589,14 @@
 		if c.ok {
 			o = OK
 		}
-		due := c.sent + min(leastExpect, cmp.Or(m.class.Aim, leastExpect))
+		due := c.sent + min(leastExpect, cmp.Or(m.class.LatencyObjective, leastExpect))
 		short := (o == Timeout || o == ConnectFailed) && c.cut < due
-		s.learn(r, sample{outcome: o, wait: e.Wait, sent: c.sent, short: short}, e.Took)
+		s.learn(r, sample{outcome: o, wait: e.RetryAfter, sent: c.sent, short: short}, e.Latency)
 	}
 	s.touch(m.dest)
 	s.account(m, e, c)
 	switch {
-	case e.Ended:
+	case e.MessageEnded:
 		s.over(m)
 	case m.ended:
 		s.forget(m)
@@ -608,17 +608,17 @@
 }
 
 // account notes for a message what its attempt may have done.
-func (s *Sender) account(m *message, e *Event, c *call) {
+func (s *Engine) account(m *message, e *Event, c *call) {
 	switch e.Outcome {
 	case ConnectFailed:
 		m.avoid = c.r
 		return
-	case Full, Moot:
+	case Overloaded, NotSent:
 		return
 	case Timeout, Reset, Cancelled:
 		m.timeouts++
 		if m.turn != nil {
-			m.turn.rest = max(m.turn.rest, s.now+s.set.OrderPause)
+			m.turn.rest = max(m.turn.rest, s.now+s.set.OrderingPause)
 		}
 	}
 	m.avoid = c.r
@@ -628,14 +628,14 @@
 }
 
 // mayRefuse tells whether a refusal keeps the rule of effects: the client may come again.
-func (s *Sender) mayRefuse(m *message) bool {
-	free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+func (s *Engine) mayRefuse(m *message) bool {
+	free := m.class.Effect == Idempotent || m.class.Effect == IdempotentByKey && m.class.DedupAllZones
 	return !m.ended && (free || !m.ran && len(m.out) == 0)
 }
 
 // mayAttempt is the one guard of all sends. It tells when a send of m to r keeps the rules;
 // math.MaxInt64 if never as things stand.
-func (s *Sender) mayAttempt(m *message, r *route) time.Duration {
+func (s *Engine) mayAttempt(m *message, r *route) time.Duration {
 	const never = time.Duration(math.MaxInt64)
 	// Rule 1: nothing after the end, nothing past the time or the attempts.
 	if m.ended || s.now >= m.deadline || m.most > 0 && m.sends >= m.most {
@@ -647,16 +647,16 @@
 	}
 	if m.ran {
 		switch m.class.Effect {
-		case Unsafe:
+		case NonIdempotent:
 			return never
-		case Keyed:
-			if !m.class.GroupAll && r.Zone != m.ranZone || s.now >= m.windowEnd() {
+		case IdempotentByKey:
+			if !m.class.DedupAllZones && r.Zone != m.ranZone || s.now >= m.windowEnd() {
 				return never
 			}
 		}
 	}
 	// Rule 3: routes in service only.
-	if !r.InService || r.Gone || r.Destination != m.dest.id {
+	if !r.InService || r.Removed || r.Destination != m.dest.id {
 		return never
 	}
 	// Rule 6: the key's turn and its rest.
@@ -676,7 +676,7 @@
 // Route choice.
 
 // choose returns the first route in order that takes the message now; else nil and when one may.
-func (s *Sender) choose(m *message) (*route, time.Duration) {
+func (s *Engine) choose(m *message) (*route, time.Duration) {
 	second, soonest := (*route)(nil), time.Duration(math.MaxInt64)
 	for _, g := range m.dest.gates {
 		var best *route
@@ -686,7 +686,7 @@
 				continue // no time left for an answer
 			}
 			// An unsafe message is lost with its attempt: others try a skipped route first.
-			if r.down && m.class.Effect == Unsafe {
+			if r.down && m.class.Effect == NonIdempotent {
 				at = max(at, m.deadline-(m.deadline-m.due)/2)
 			}
 			if at < math.MaxInt64 {
@@ -713,7 +713,7 @@
 }
 
 // next finds the destination's next message that may go, or when one may.
-func (s *Sender) next(d *dest) {
+func (s *Engine) next(d *dest) {
 	d.cand, d.candRt, d.opens = nil, nil, math.MaxInt64
 	for _, g := range d.gates {
 		for _, r := range g.routes {
@@ -743,7 +743,7 @@
 
 // dispatch sends what may go, first in order first, while slots last. Destinations that nothing touched since
 // they were found closed are not looked at.
-func (s *Sender) dispatch() {
+func (s *Engine) dispatch() {
 	ready := s.ready[:0]
 	for _, d := range s.active {
 		if d.opens <= s.now {
@@ -752,7 +752,7 @@
 		}
 	}
 	s.ready = ready
-	for s.set.Slots <= 0 || s.slots < s.set.Slots {
+	for s.set.MaxInFlightCalls <= 0 || s.slots < s.set.MaxInFlightCalls {
 		var best *dest
 		for _, d := range ready {
 			if d.cand == nil && d.opens <= s.now && len(d.queue) > 0 {
@@ -780,7 +780,7 @@
 
 // release refuses what waits for nothing: messages of a destination that opens only after their deadlines.
 // The client may come again elsewhere, to a sender that was told less.
-func (s *Sender) release(d *dest) {
+func (s *Engine) release(d *dest) {
 	for i := len(d.queue) - 1; i >= 0; i-- {
 		if m := d.queue[i]; d.opens < math.MaxInt64 && d.opens >= m.deadline && s.mayDrop(m) {
 			s.refuse(m)
@@ -790,7 +790,7 @@
 
 // launch starts a call with the destination's next message and, where its kind allows, with further ones.
 // They share one fate: after a failure it carries one, after an answer that was lost half as many.
-func (s *Sender) launch(d *dest) {
+func (s *Engine) launch(d *dest) {
 	r := d.candRt
 	c := &call{r: r, sent: s.now, expect: s.now + s.expect(r, lateDevs)}
 	room := s.perCall(r.Kind)
@@ -811,7 +811,7 @@
 }
 
 // send adds an attempt of m to a call, if the guard lets it.
-func (s *Sender) send(m *message, c *call) bool {
+func (s *Engine) send(m *message, c *call) bool {
 	if s.mayAttempt(m, c.r) > s.now {
 		return false
 	}
@@ -823,12 +823,12 @@
 	if c.cut == 0 || cut < c.cut {
 		c.cut = cut
 	}
-	s.act(Action{Kind: Send, ID: m.id, Route: c.r.Route, At: cut})
+	s.act(Action{Kind: Send, MessageID: m.id, Endpoint: c.r.ID, TimeoutAt: cut})
 	return true
 }
 
 // expect is how long an answer of a route may take: its mean and so many mean deviations.
-func (s *Sender) expect(r *route, devs int) time.Duration {
+func (s *Engine) expect(r *route, devs int) time.Duration {
 	if r.mean == 0 {
 		return 2 * leastExpect
 	}
@@ -837,19 +837,19 @@
 
 // cutAt is when an attempt times out: as long as the route's answers have taken, at most half the time left.
 // An unsafe message has no second try and waits twice as long; a trial of a skipped route waits least.
-func (s *Sender) cutAt(m *message, r *route) time.Duration {
+func (s *Engine) cutAt(m *message, r *route) time.Duration {
 	left := m.deadline - s.now
-	usual := max(s.expect(r, devs), m.class.Aim/2)
-	if m.class.Effect == Keyed && !m.class.GroupAll {
-		usual = max(usual, m.class.Aim) // a repeat is bound to few routes
+	usual := max(s.expect(r, devs), m.class.LatencyObjective/2)
+	if m.class.Effect == IdempotentByKey && !m.class.DedupAllZones {
+		usual = max(usual, m.class.LatencyObjective) // a repeat is bound to few routes
 	}
-	if s.set.Slots > 0 && 2*s.slots > s.set.Slots {
-		usual = min(usual, m.class.Aim)
+	if s.set.MaxInFlightCalls > 0 && 2*s.slots > s.set.MaxInFlightCalls {
+		usual = min(usual, m.class.LatencyObjective)
 	}
 	if r.down {
-		usual = m.class.Aim / 2
+		usual = m.class.LatencyObjective / 2
 	}
-	if m.class.Effect == Unsafe {
+	if m.class.Effect == NonIdempotent {
 		return s.now + min(left, 2*usual)
 	}
 	// Where half of the time is less than an answer may take, one try has all of it.
@@ -862,7 +862,7 @@
 // Deadlines.
 
 // endDue gives every message whose time is up its final answer.
-func (s *Sender) endDue() {
+func (s *Engine) endDue() {
 	for len(s.ends) > 0 && (s.ends[0].at <= s.now || s.ends[0].m.ended) {
 		m := s.ends.pop().m
 		switch {
@@ -876,10 +876,10 @@
 }
 
 // late moves a message back that has missed its aim: what is still in time goes first, with more to lose.
-func (s *Sender) late(m *message) {
+func (s *Engine) late(m *message) {
 	queued := m.queued
 	s.unqueue(m)
-	after := lateShare * float64(m.deadline-s.now) / math.Max(m.class.Value, 0.01)
+	after := lateShare * float64(m.deadline-s.now) / math.Max(m.class.Weight, 0.01)
 	m.rank = max(m.rank, s.now+time.Duration(after))
 	if queued {
 		s.enqueue(m)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 // desk drives one Sender with an explicit clock.
 type desk struct {
 	t     *testing.T
-	s     *Sender
+	s     *Engine
 	now   time.Duration
 	tries map[uint32]int
 }
@@ -21,17 +21,17 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Effect: Safe, Aim: 2 * time.Second, GiveUp: 60 * time.Second, Value: 1},
-			{Effect: Keyed, Window: 10 * time.Second, Aim: 2 * time.Second, GiveUp: 60 * time.Second, Value: 1},
-			{Effect: Unsafe, Ordered: true, Aim: 2 * time.Second, GiveUp: 60 * time.Second, Value: 1},
+			{Effect: Idempotent, LatencyObjective: 2 * time.Second, Deadline: 60 * time.Second, Weight: 1},
+			{Effect: IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 2 * time.Second, Deadline: 60 * time.Second, Weight: 1},
+			{Effect: NonIdempotent, Ordered: true, LatencyObjective: 2 * time.Second, Deadline: 60 * time.Second, Weight: 1},
 		},
-		Kinds:   []Kind{{PerCall: 1}, {Separate: true, PerCall: 1}, {PerCall: 3}},
-		Senders: 1, ColdShare: 0.2, WarmWithin: 10 * time.Second, OverloadFactor: 2,
-		OverloadWindow: 2 * time.Second, OrderPause: 100 * ms,
+		DestinationKinds: []DestinationKind{{MaxBatch: 1}, {LimitPerEndpoint: true, MaxBatch: 1}, {MaxBatch: 3}},
+		FleetSize:        1, WarmUpInitialCapacity: 0.2, WarmUpDuration: 10 * time.Second, OverloadFactor: 2,
+		OverloadWindow: 2 * time.Second, OrderingPause: 100 * ms,
 	}
 }
 
-func newDesk(t *testing.T, set Settings, list ...Listing) *desk {
+func newDesk(t *testing.T, set Settings, list ...Endpoint) *desk {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
@@ -41,7 +41,7 @@
 	for i := range list {
 		list[i].InService = true
 	}
-	d.step(Event{Kind: ListWhole, List: list})
+	d.step(Event{Kind: EndpointSnapshot, Endpoints: list})
 	return d
 }
 
@@ -49,7 +49,7 @@
 func (d *desk) step(evs ...Event) []Action {
 	var acts []Action
 	for _, a := range d.s.Step(d.now, evs) {
-		if a.Kind != Wake {
+		if a.Kind != SetTimer {
 			acts = append(acts, a)
 		}
 	}
@@ -57,28 +57,28 @@
 }
 
 func (d *desk) take(id uint32, class int) []Action {
-	return d.step(Event{Kind: Taken, ID: id, Class: class, Left: 60 * time.Second})
+	return d.step(Event{Kind: MessageAccepted, MessageID: id, Class: class, TimeLeft: 60 * time.Second})
 }
 
 func (d *desk) end(id uint32, route string, o Outcome, after, wait time.Duration) []Action {
 	d.now += after
 	n := d.tries[id]
 	d.tries[id]++
-	return d.step(Event{Kind: Finished, ID: id, Attempt: n, Route: route, Outcome: o, Took: after, Wait: wait,
-		Ended: o == OK})
+	return d.step(Event{Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: o, Latency: after, RetryAfter: wait,
+		MessageEnded: o == OK})
 }
 
 // wake lets time pass and wakes the Sender.
 func (d *desk) wake(after time.Duration) []Action {
 	d.now += after
-	return d.step(Event{Kind: Woken})
+	return d.step(Event{Kind: TimerFired})
 }
 
 // goesTo tells where the first Send of the actions goes; "" if none.
 func goesTo(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == Send {
-			return a.Route
+			return a.Endpoint
 		}
 	}
 	return ""
@@ -90,13 +90,13 @@
 
 func TestRoutesGoByWeightFeeAndLot(t *testing.T) {
 	set := settings()
-	set.Carriage = []float64{0, 0.03}
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Zone: 1, Weight: 5}, Listing{Route: "c", Kind: 1, Weight: 5},
-		Listing{Route: "b", Kind: 1, Weight: 5}, Listing{Route: "z", Kind: 1, Zone: 1, Weight: 9})
+	set.ZoneCosts = []float64{0, 0.03}
+	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Zone: 1, Weight: 5}, Endpoint{ID: "c", Kind: 1, Weight: 5},
+		Endpoint{ID: "b", Kind: 1, Weight: 5}, Endpoint{ID: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
 	got = append(got, goesTo(d.take(1, 0)))
 	for range 3 {
-		got = append(got, goesTo(d.end(1, got[len(got)-1], Full, 10*ms, 0)))
+		got = append(got, goesTo(d.end(1, got[len(got)-1], Overloaded, 10*ms, 0)))
 	}
 	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
 	slices.Sort(got[1:3]) // equal routes go by lot
@@ -110,15 +110,15 @@
 	first := map[string]int{}
 	for seed := range uint64(60) {
 		set := settings()
-		set.Senders = 60
+		set.FleetSize = 60
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		acts := s.Step(time.Minute, []Event{
-			{Kind: ListWhole, List: []Listing{{Route: "a", InService: true}, {Route: "b", InService: true},
-				{Route: "c", InService: true}}},
-			{Kind: Taken, ID: 1, Left: 9 * time.Second}})
+			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", InService: true}, {ID: "b", InService: true},
+				{ID: "c", InService: true}}},
+			{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second}})
 		first[goesTo(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
@@ -134,9 +134,9 @@
 		o    sample
 		skip bool
 	}{
-		{"shut", route{}, sample{outcome: Full, wait: 5 * time.Second}, true},
-		{"shut", route{refusals: shutRefusals, refusedAt: now - shutSpan}, sample{outcome: Full}, true},
-		{"full", route{refusals: shutRefusals, refusedAt: now - shutSpan + 1}, sample{outcome: Full, wait: time.Second}, false},
+		{"shut", route{}, sample{outcome: Overloaded, wait: 5 * time.Second}, true},
+		{"shut", route{refusals: shutRefusals, refusedAt: now - shutSpan}, sample{outcome: Overloaded}, true},
+		{"full", route{refusals: shutRefusals, refusedAt: now - shutSpan + 1}, sample{outcome: Overloaded, wait: time.Second}, false},
 		{"trial failed", route{down: true}, sample{outcome: Error}, true},
 		{"crowded", route{streak: 1}, sample{outcome: ConnectFailed, tight: true}, false},
 		{"failed", route{streak: 1}, sample{outcome: ConnectFailed}, false},
@@ -145,7 +145,7 @@
 		{"failed", route{streak: 1, recent: 0b1011010}, sample{outcome: Error}, false},
 		{"failed", route{streak: 2}, sample{outcome: Timeout}, false},
 	} {
-		s := &Sender{now: now}
+		s := &Engine{now: now}
 		r := &c.r
 		i := slices.IndexFunc(failureRules, func(f rule) bool { return f.match(s, r, c.o) })
 		if i < 0 || failureRules[i].name != c.rule || failureRules[i].skip != c.skip {
@@ -155,14 +155,14 @@
 }
 
 func TestSkipExpires(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 9}, Listing{Route: "b", Kind: 1, Weight: 5})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
 		d.now += time.Second // the recovery budget of a route in doubt
 		if got := goesTo(d.take(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
 		d.end(id, "a", Error, 10*ms, 0)
-		d.step(Event{Kind: Withdrawn, ID: id})
+		d.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
 	if got := goesTo(d.take(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
@@ -180,7 +180,7 @@
 }
 
 func TestPaceHalvesCreepsAndRestarts(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 2})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
 	for id := range uint32(8) {
 		d.take(id, 0)
 	}
@@ -188,11 +188,11 @@
 	if g.pace != 0 {
 		t.Fatalf("the pace starts at %v, want free", g.pace)
 	}
-	d.end(0, "a", Full, 100*ms, 0)
+	d.end(0, "a", Overloaded, 100*ms, 0)
 	if g.pace != 4 {
 		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pace)
 	}
-	d.end(1, "a", Full, ms, 0)
+	d.end(1, "a", Overloaded, ms, 0)
 	if g.pace != 4 {
 		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pace)
 	}
@@ -215,12 +215,12 @@
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
 func TestPaceKeepsItsEvenPart(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 20})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
 	r := d.s.routes["a"]
 	for range 5 {
 		d.now += time.Second
 		d.s.now = d.now
-		d.s.halve(r, sample{outcome: Full, sent: d.now})
+		d.s.halve(r, sample{outcome: Overloaded, sent: d.now})
 	}
 	if want := 20 * paceSure; r.gate.pace != want {
 		t.Errorf("pace %v after five refusals, want %v", r.gate.pace, want)
@@ -234,14 +234,14 @@
 		want    ActionKind
 		early   bool
 	}{
-		{0, Timeout, Refuse, false}, // safe: the client may come again
-		{1, Full, Refuse, false},    // keyed, never ran
-		{1, Timeout, Fail, true},    // keyed, may have run: no repeat is dropped after 10 s
-		{2, ConnectFailed, Refuse, false},
+		{0, Timeout, Reject, false},    // safe: the client may come again
+		{1, Overloaded, Reject, false}, // keyed, never ran
+		{1, Timeout, Fail, true},       // keyed, may have run: no repeat is dropped after 10 s
+		{2, ConnectFailed, Reject, false},
 	} {
-		d := newDesk(t, settings(), Listing{Route: "a"})
+		d := newDesk(t, settings(), Endpoint{ID: "a"})
 		d.take(1, c.class)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}}})
+		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}}})
 		d.end(1, "a", c.outcome, time.Second, 0)
 		if acts := d.wake(58900 * ms); has(acts, c.want) != c.early || !c.early && len(acts) != 0 {
 			t.Errorf("%+v: %+v before the deadline", c, acts)
@@ -253,7 +253,7 @@
 			t.Errorf("%+v: %+v at the deadline", c, acts)
 		}
 	}
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	d.take(1, 2)
 	if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
 		t.Errorf("an unsafe message that may have run: %+v", acts)
@@ -261,18 +261,18 @@
 }
 
 func TestDrainedRouteTakesNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a"}}},
-		Event{Kind: Taken, ID: 1, Left: 9 * time.Second})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
+	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a"}}},
+		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second})
 	if has(acts, Send) {
 		t.Errorf("sent to a draining route: %+v", acts)
 	}
 }
 
 func TestToldWaitHoldsTheGate(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.take(1, 0)
-	d.end(1, "a", Full, 10*ms, 700*ms)
+	d.end(1, "a", Overloaded, 10*ms, 700*ms)
 	if acts := d.take(2, 0); has(acts, Send) {
 		t.Errorf("sent during a wait: %+v", acts)
 	}
@@ -286,17 +286,17 @@
 
 // A wait told to one message of a call whose others were delivered was once lost.
 func TestWaitOfAMixedCall(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
-	d.step(Event{Kind: Taken, ID: 1, Left: 9 * time.Second}, Event{Kind: Taken, ID: 2, Left: 9 * time.Second})
-	d.step(Event{Kind: Finished, ID: 1, Route: "a", Outcome: OK, Ended: true},
-		Event{Kind: Finished, ID: 2, Route: "a", Outcome: Full, Wait: time.Second})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 2})
+	d.step(Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second}, Event{Kind: MessageAccepted, MessageID: 2, TimeLeft: 9 * time.Second})
+	d.step(Event{Kind: AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: OK, MessageEnded: true},
+		Event{Kind: AttemptFinished, MessageID: 2, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second})
 	if got := d.s.routes["a"].gate.wait; got != d.now+time.Second {
 		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
 	}
 }
 
 func TestRecoverySpacesCalls(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1, Weight: 5})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.doubt(r)
@@ -315,17 +315,17 @@
 // Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
 func TestWaitSavesNoBudgetUp(t *testing.T) {
 	set := settings()
-	set.Senders = 400
+	set.FleetSize = 400
 	open := 0
 	for seed := range uint64(400) {
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 400, InService: true}}}})
+		s.Step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 400, InService: true}}}})
 		r := s.routes["a"]
 		r.gate.wait = s.now + 10*time.Second
-		s.learn(r, sample{outcome: Full, wait: 10 * time.Second, sent: s.now}, ms)
+		s.learn(r, sample{outcome: Overloaded, wait: 10 * time.Second, sent: s.now}, ms)
 		s.coldUntil(r)
 		if s.now = r.gate.wait; s.coldUntil(r) <= s.now {
 			open++
@@ -343,8 +343,8 @@
 		cold    bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
 		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
+		set.FleetSize = c.senders
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
 		r := d.s.routes["a"]
 		d.s.now = d.now
 		d.s.learn(r, sample{outcome: Timeout, sent: d.now}, time.Second)
@@ -372,13 +372,13 @@
 		{1, shutSpan, 0, false},
 	} {
 		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4})
+		set.FleetSize = c.senders
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
 		r := d.s.routes["a"]
 		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Full, sent: d.now, wait: c.wait}, ms)
+		d.s.learn(r, sample{outcome: Overloaded, sent: d.now, wait: c.wait}, ms)
 		d.s.now += c.gap
-		d.s.learn(r, sample{outcome: Full, sent: d.s.now, wait: c.wait}, ms)
+		d.s.learn(r, sample{outcome: Overloaded, sent: d.s.now, wait: c.wait}, ms)
 		if r.cold != c.cold {
 			t.Errorf("%+v: in doubt %v", c, r.cold)
 		}
@@ -394,21 +394,21 @@
 		alive       bool
 		least, most int // in doubt, of 200
 	}{
-		{400, Full, false, 100, 140},
+		{400, Overloaded, false, 100, 140},
 		{400, ConnectFailed, false, 100, 140},
-		{400, Full, true, 0, 0}, // it answered within the last seconds
-		{3, Full, false, 0, 0},
-		{20, Full, false, 0, 0}, // its part is more than a call in a warm-up
+		{400, Overloaded, true, 0, 0}, // it answered within the last seconds
+		{3, Overloaded, false, 0, 0},
+		{20, Overloaded, false, 0, 0}, // its part is more than a call in a warm-up
 	} {
 		set := settings()
-		set.Senders = c.senders
+		set.FleetSize = c.senders
 		n := 0
 		for seed := range uint64(200) {
 			s, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(time.Minute, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Weight: 4, InService: true}}}})
+			s.Step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 4, InService: true}}}})
 			r := s.routes["a"]
 			s.scarce[0] = s.now + time.Minute
 			if c.alive {
@@ -427,13 +427,13 @@
 
 // Short-lived messages once had two tries of half their time each, both cut off before the answer.
 func TestShortTimeGoesToOneTry(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
 		{1200 * ms, 1200*ms - endMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
 	} {
-		acts := d.step(Event{Kind: Taken, ID: uint32(c.left), Left: c.left})
-		if len(acts) != 1 || acts[0].Kind != Send || acts[0].At-d.now != c.want {
+		acts := d.step(Event{Kind: MessageAccepted, MessageID: uint32(c.left), TimeLeft: c.left})
+		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-d.now != c.want {
 			t.Errorf("%v left: %+v, want one try cut after %v", c.left, acts, c.want)
 		}
 	}
@@ -442,21 +442,21 @@
 // Messages once waited to their deadlines at destinations that would open after them.
 func TestWhatWaitsForNothingIsRefused(t *testing.T) {
 	set := settings()
-	set.Senders = 400
-	d := newDesk(t, set, Listing{Route: "a", Weight: 4})
+	set.FleetSize = 400
+	d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.doubt(r)
 	r.gate.credit = 0
-	if acts := d.take(1, 0); !has(acts, Refuse) {
+	if acts := d.take(1, 0); !has(acts, Reject) {
 		t.Errorf("opens in %v: %+v, want a refusal", d.s.coldUntil(r)-d.now, acts)
 	}
-	if acts := d.take(2, 2); has(acts, Refuse) != d.s.mayRefuse(&message{class: &set.Classes[2]}) {
+	if acts := d.take(2, 2); has(acts, Reject) != d.s.mayRefuse(&message{class: &set.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
 	r.gate.credit = 1 - d.s.coldRate(r) // opens in a second
 	d.s.touch(r.gate.dest)
-	if acts := d.take(3, 0); has(acts, Refuse) {
+	if acts := d.take(3, 0); has(acts, Reject) {
 		t.Errorf("opens in a second: %+v, want it held", acts)
 	}
 }
@@ -464,7 +464,7 @@
 // Calls saved up by hundreds of senders through a long outage once went out together at its end.
 func TestDueCallsLapse(t *testing.T) {
 	set := settings()
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1, Weight: 4})
+	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.doubt(r)
@@ -492,8 +492,8 @@
 	at := d.now
 	d.s.wake(at + 500*time.Nanosecond)
 	d.s.wakeAt, d.s.wantWake = d.s.wantWake, 0
-	acts := d.s.Step(at, []Event{{Kind: Woken}})
-	if !has(acts, Wake) {
+	acts := d.s.Step(at, []Event{{Kind: TimerFired}})
+	if !has(acts, SetTimer) {
 		t.Errorf("no wake asked for: %+v", acts)
 	}
 }
@@ -505,10 +505,10 @@
 		want    bool
 	}{{fewSenders, false}, {100, true}} {
 		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+		set.FleetSize = c.senders
+		d := newDesk(t, set, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 		other := func(id uint32) bool {
-			d.step(Event{Kind: Taken, ID: id, Destination: 1, Left: 9 * time.Second})
+			d.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
 			return has(d.end(id, "b", OK, 10*ms, 0), CloseIdle)
 		}
 		d.take(1, 0)
@@ -539,8 +539,8 @@
 		{3, 3, 10 * ms, true},               // few senders fill no table
 	} {
 		set := settings()
-		set.Senders = c.senders
-		d := newDesk(t, set, Listing{Route: "a", Weight: 4}, Listing{Route: "b", Weight: 4})
+		set.FleetSize = c.senders
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
 		d.s.now = d.now
 		d.s.scarce[0] = d.now + time.Minute
 		for range c.fails {
@@ -554,7 +554,7 @@
 
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
 func TestPaceRecoversWithTime(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 1})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1})
 	g := d.s.routes["a"].gate
 	g.pace, g.halvedAt, g.tokensAt = 0.1, d.now, d.now
 	d.s.now = d.now + 4*time.Second
@@ -566,22 +566,22 @@
 
 // A replacement listed during an outage was once sent to at full pace.
 func TestReplacementInheritsDoubt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	for id := range uint32(3) {
 		d.take(id, 0)
 		d.end(id, "a", ConnectFailed, time.Second, 0)
-		d.step(Event{Kind: Withdrawn, ID: id})
+		d.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
-	d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", Gone: true}, {Route: "n", InService: true}}})
+	d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
 	if d.s.coldUntil(d.s.routes["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
 
 func TestKeyTakesTurnsAndRests(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
-	d.step(Event{Kind: Taken, ID: 1, Key: "k", Class: 2, Left: 9 * time.Second},
-		Event{Kind: Taken, ID: 2, Key: "k", Class: 2, Left: 9 * time.Second})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
+	d.step(Event{Kind: MessageAccepted, MessageID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
+		Event{Kind: MessageAccepted, MessageID: 2, Key: "k", Class: 2, TimeLeft: 9 * time.Second})
 	if acts := d.end(1, "a", Timeout, time.Second, 0); has(acts, Send) {
 		t.Errorf("sent while the key rests: %+v", acts)
 	}
@@ -595,7 +595,7 @@
 
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
@@ -609,7 +609,7 @@
 
 // Scattered resets once put living routes under the recovery budget.
 func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
@@ -629,7 +629,7 @@
 
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
 func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	d.s.doubt(r)
@@ -654,7 +654,7 @@
 
 // Calls cut off after milliseconds once kept recovered routes skipped.
 func TestShortCallSkipsNothing(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"})
+	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	r := d.s.routes["a"]
 	d.s.now = d.now
 	for range 5 {
@@ -667,11 +667,11 @@
 
 // Calls of a route whose last call failed carry one message: ten once shared each failed trial.
 func TestBatches(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a", Kind: 2})
+	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 2})
 	three := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
-			evs = append(evs, Event{Kind: Taken, ID: first + i, Left: 9 * time.Second})
+			evs = append(evs, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
 		}
 		before := len(d.s.routes["a"].calls)
 		d.step(evs...)
@@ -688,8 +688,8 @@
 
 func TestOverdueCallsKeepSlotsFree(t *testing.T) {
 	set := settings()
-	set.Slots = 8
-	d := newDesk(t, set, Listing{Route: "a", Kind: 1})
+	set.MaxInFlightCalls = 8
+	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1})
 	d.take(1, 0)
 	d.take(2, 0)
 	d.now += 5 * time.Second
@@ -700,13 +700,13 @@
 
 func TestRoomIsMadeFromTheLongestQueue(t *testing.T) {
 	set := settings()
-	set.MaxHeld = 10
+	set.MaxPendingMessages = 10
 	d := newDesk(t, set)
 	for id := range uint32(9) {
 		d.take(id, 0)
 	}
-	acts := d.step(Event{Kind: Taken, ID: 20, Destination: 4, Left: 60 * time.Second})
-	if len(acts) != 1 || acts[0].Kind != Refuse || acts[0].ID == 20 {
+	acts := d.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
+	if len(acts) != 1 || acts[0].Kind != Reject || acts[0].MessageID == 20 {
 		t.Errorf("with little room left: %+v", acts)
 	}
 }
@@ -716,8 +716,8 @@
 	d.take(1, 0)
 	d.wake(3 * time.Second)
 	d.take(2, 0)
-	acts := d.step(Event{Kind: ListChanges, List: []Listing{{Route: "a", InService: true}}})
-	if len(acts) != 2 || acts[0].ID != 2 || acts[1].ID != 1 {
+	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
+	if len(acts) != 2 || acts[0].MessageID != 2 || acts[1].MessageID != 1 {
 		t.Errorf("order of sends: %+v", acts)
 	}
 }
@@ -725,11 +725,11 @@
 func TestNewRefusesSettingsWithoutSense(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
-		"negative slots": func(s *Settings) { s.Slots = -1 },
-		"negative aim":   func(s *Settings) { s.Classes[0].Aim = -1 },
-		"negative pause": func(s *Settings) { s.OrderPause = -1 },
-		"no number":      func(s *Settings) { s.ColdShare = math.NaN() },
-		"endless value":  func(s *Settings) { s.Classes[0].Value = math.Inf(1) },
+		"negative slots": func(s *Settings) { s.MaxInFlightCalls = -1 },
+		"negative aim":   func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"negative pause": func(s *Settings) { s.OrderingPause = -1 },
+		"no number":      func(s *Settings) { s.WarmUpInitialCapacity = math.NaN() },
+		"endless value":  func(s *Settings) { s.Classes[0].Weight = math.Inf(1) },
 	} {
 		set := settings()
 		spoil(&set)
@@ -742,7 +742,7 @@
 // A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, class := range []int{-1, 99} {
-		d := newDesk(t, settings(), Listing{Route: "a", Weight: math.NaN()}, Listing{Route: "b", Kind: 77})
+		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
 		if got := goesTo(d.take(1, class)); got == "" {
 			t.Fatalf("class %d: not sent", class)
 		}
@@ -759,7 +759,7 @@
 }
 
 // bares are the destinations without routes that a Sender still knows, in their order.
-func bares(s *Sender) (all []*dest) {
+func bares(s *Engine) (all []*dest) {
 	for d := s.bare.first; d != nil; d = d.bareAfter {
 		all = append(all, d)
 	}
@@ -769,17 +769,17 @@
 // Turns were once kept for good when their rest outlasted their last message, and destinations always.
 func TestNothingIsHeldForWhatHasGone(t *testing.T) {
 	set := settings()
-	set.Slots, set.MaxHeld = 50, 100
+	set.MaxInFlightCalls, set.MaxPendingMessages = 50, 100
 	d := newDesk(t, set)
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, InService: true}}})
-		d.step(Event{Kind: Taken, ID: id, Key: name, Class: 2, Destination: i, Left: 9 * time.Second})
+		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
+		d.step(Event{Kind: MessageAccepted, MessageID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second})
 		d.end(id, name, Timeout, time.Second, 0)
-		d.step(Event{Kind: ListChanges, List: []Listing{{Route: name, Destination: i, Gone: true}}})
+		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, Removed: true}}})
 	}
 	d.now += time.Minute
-	d.step(Event{Kind: Woken}, Event{Kind: ListChanges})
+	d.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
 	s := d.s
 	if n := len(s.turns) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(bares(s)); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
@@ -789,14 +789,14 @@
 
 // Destinations with nothing to do are not looked at: the next dispatch once walked them all.
 func TestOnlyTouchedDestinationsAreLookedAt(t *testing.T) {
-	d := newDesk(t, settings(), Listing{Route: "a"}, Listing{Route: "b", Destination: 1})
+	d := newDesk(t, settings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.take(1, 0)
-	d.end(1, "a", Full, ms, 5*time.Second)
+	d.end(1, "a", Overloaded, ms, 5*time.Second)
 	if len(d.s.active) != 1 || d.s.active[0].opens <= d.now {
 		t.Fatalf("active %d, want the one destination that waits, closed", len(d.s.active))
 	}
 	opens := d.s.active[0].opens
-	d.step(Event{Kind: Taken, ID: 2, Destination: 1, Left: 9 * time.Second})
+	d.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
 	if len(d.s.active) != 1 || d.s.active[0].opens != opens {
 		t.Error("a message for another destination had the closed one looked at again")
 	}
@@ -805,9 +805,9 @@
 // A told wait that means shut, at one route, puts all routes of its limit in doubt: at its end none of them is free.
 func TestAShutDestinationIsDoubtedWhole(t *testing.T) {
 	set := settings()
-	set.WarmWithin = 20 * time.Second
-	d := newDesk(t, set, Listing{Route: "a", Weight: 8}, Listing{Route: "b", Weight: 8})
-	d.s.learn(d.s.routes["a"], sample{outcome: Full, wait: 2 * longWait, sent: d.s.now}, 0)
+	set.WarmUpDuration = 20 * time.Second
+	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
+	d.s.learn(d.s.routes["a"], sample{outcome: Overloaded, wait: 2 * longWait, sent: d.s.now}, 0)
 	for _, name := range []string{"a", "b"} {
 		if !d.s.routes[name].cold {
 			t.Errorf("route %s is not in doubt", name)
@@ -823,7 +823,7 @@
 		sent    time.Duration // of the answered call, after the failed ones
 		begins  bool
 	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
-		d := newDesk(t, settings(), Listing{Route: "a", Weight: 8})
+		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: 8})
 		r, failed := d.s.routes["a"], d.s.now+time.Minute
 		d.s.now = failed
 		for range streakDoubt {
@@ -845,8 +845,8 @@
 		cold  bool
 	}{{2, false}, {40, true}} {
 		set := settings()
-		set.Senders, set.WarmWithin, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
-		d := newDesk(t, set, Listing{Route: "a", Weight: c.limit})
+		set.FleetSize, set.WarmUpDuration, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
+		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
 		r := d.s.routes["a"]
 		d.s.now += time.Minute
 		d.s.learn(r, sample{outcome: Error, sent: d.s.now}, 0)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -19,8 +19,8 @@
 	rule     int
 	settings func(*Settings)
 	event    func(*Event)
-	swap     func(*Sender) *Sender                                    // after each step
-	step     func(s *Sender, now time.Duration, evs []Event) []Action // in place of the Sender's
+	swap     func(*Engine) *Engine                                    // after each step
+	step     func(s *Engine, now time.Duration, evs []Event) []Action // in place of the Sender's
 	every    int                                                      // clients send as often; 0: every fourth time, and waits are told with refusals alone
 }
 
@@ -55,8 +55,8 @@
 	rng      *rand.Rand
 	set      Settings
 	now      time.Duration
-	routes   []Listing
-	listed   map[string]Listing // as told
+	routes   []Endpoint
+	listed   map[string]Endpoint // as told
 	msgs     map[uint32]*held
 	keys     map[string][]*held
 	rest     map[string]time.Duration
@@ -80,9 +80,9 @@
 	}
 }
 
-func (w *world) scope(l Listing) string {
-	if w.set.Kinds[l.Kind].Separate {
-		return l.Route
+func (w *world) scope(l Endpoint) string {
+	if w.set.DestinationKinds[l.Kind].LimitPerEndpoint {
+		return l.ID
 	}
 	return fmt.Sprint(l.Destination)
 }
@@ -90,18 +90,18 @@
 func randomSettings(rng *rand.Rand) Settings {
 	return Settings{
 		Classes: []Class{
-			{Effect: Safe, Aim: 2 * time.Second, GiveUp: 8 * time.Second, Value: 1},
-			{Effect: Keyed, Window: 4 * time.Second, Aim: 2 * time.Second, GiveUp: 9 * time.Second, Value: 2},
-			{Effect: Keyed, GroupAll: true, Window: 5 * time.Second, Aim: time.Second, GiveUp: 6 * time.Second},
-			{Effect: Unsafe, Ordered: true, Aim: 2 * time.Second, GiveUp: 10 * time.Second, Value: 4},
-			{Effect: Safe, Ordered: true, Aim: time.Second, GiveUp: 5 * time.Second, Value: 1},
+			{Effect: Idempotent, LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, Weight: 1},
+			{Effect: IdempotentByKey, DedupWindow: 4 * time.Second, LatencyObjective: 2 * time.Second, Deadline: 9 * time.Second, Weight: 2},
+			{Effect: IdempotentByKey, DedupAllZones: true, DedupWindow: 5 * time.Second, LatencyObjective: time.Second, Deadline: 6 * time.Second},
+			{Effect: NonIdempotent, Ordered: true, LatencyObjective: 2 * time.Second, Deadline: 10 * time.Second, Weight: 4},
+			{Effect: Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1},
 		},
-		Kinds:     []Kind{{Separate: false, PerCall: 1 + 3*rng.IntN(2)}, {Separate: true, PerCall: 1}},
-		Customers: []Customer{{Quota: 5}, {}},
-		Senders:   1, Slots: 3 + rng.IntN(12), MaxHeld: 30 + rng.IntN(200), MaxAttempts: 4 + rng.IntN(8),
-		MaxRetryAfter: 2 * time.Second,
-		ColdShare:     0.05, WarmWithin: 20 * time.Second, OverloadFactor: 1, OverloadWindow: 3 * time.Second,
-		OrderPause: 150 * time.Millisecond,
+		DestinationKinds: []DestinationKind{{LimitPerEndpoint: false, MaxBatch: 1 + 3*rng.IntN(2)}, {LimitPerEndpoint: true, MaxBatch: 1}},
+		Tenants:          []Tenant{{Quota: 5}, {}},
+		FleetSize:        1, MaxInFlightCalls: 3 + rng.IntN(12), MaxPendingMessages: 30 + rng.IntN(200), MaxAttempts: 4 + rng.IntN(8),
+		MaxRetryAfter:         2 * time.Second,
+		WarmUpInitialCapacity: 0.05, WarmUpDuration: 20 * time.Second, OverloadFactor: 1, OverloadWindow: 3 * time.Second,
+		OrderingPause: 150 * time.Millisecond,
 	}
 }
 
@@ -111,8 +111,8 @@
 	w.outage = map[int][2]time.Duration{}
 	for d := range 4 {
 		for i := range 1 + rng.IntN(3) {
-			w.routes = append(w.routes, Listing{
-				Route: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 6, InService: true,
+			w.routes = append(w.routes, Endpoint{
+				ID: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 6, InService: true,
 			})
 		}
 		from := w.now + time.Duration(5+rng.IntN(20))*time.Second
@@ -124,7 +124,7 @@
 
 // forget starts the books anew, as for a fresh Sender.
 func (w *world) forget() {
-	w.listed, w.msgs, w.keys = map[string]Listing{}, map[uint32]*held{}, map[string][]*held{}
+	w.listed, w.msgs, w.keys = map[string]Endpoint{}, map[uint32]*held{}, map[string][]*held{}
 	w.rest, w.waits, w.told = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
 	w.sends, w.pending, w.slots = map[string][]time.Duration{}, nil, 0
 }
@@ -141,7 +141,7 @@
 				w.slots--
 			}
 		}
-		if p.ev.Kind == Finished {
+		if p.ev.Kind == AttemptFinished {
 			w.note(&p.ev)
 		}
 		evs = append(evs, p.ev)
@@ -156,72 +156,72 @@
 			key = fmt.Sprint("k", w.rng.IntN(5))
 		}
 		m := &held{id: w.nextID, class: w.set.Classes[c], key: key, dest: w.rng.IntN(5)}
-		left := m.class.GiveUp - time.Duration(w.rng.IntN(2000))*time.Millisecond
+		left := m.class.Deadline - time.Duration(w.rng.IntN(2000))*time.Millisecond
 		m.deadline = w.now + left
 		w.nextID++
 		w.msgs[m.id] = m
 		if key != "" {
 			w.keys[key] = append(w.keys[key], m)
 		}
-		evs = append(evs, Event{Kind: Taken, ID: m.id, Key: key, Class: c, Customer: w.rng.IntN(2),
-			Destination: m.dest, Left: left})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: m.id, Key: key, Class: c, Tenant: w.rng.IntN(2),
+			Destination: m.dest, TimeLeft: left})
 	}
 	switch w.rng.IntN(400) {
 	case 0: // a route drains, or comes back
 		l := &w.routes[w.rng.IntN(len(w.routes))]
 		l.InService = !l.InService
-		w.listed[l.Route] = *l
-		evs = append(evs, Event{Kind: ListChanges, List: []Listing{*l}})
+		w.listed[l.ID] = *l
+		evs = append(evs, Event{Kind: EndpointDelta, Endpoints: []Endpoint{*l}})
 	case 1: // a route goes for good and another takes its place
 		i := w.rng.IntN(len(w.routes))
 		old := w.routes[i]
-		old.Gone, old.InService = true, false
-		w.listed[old.Route] = old
-		w.routes[i].Route += "n"
+		old.Removed, old.InService = true, false
+		w.listed[old.ID] = old
+		w.routes[i].ID += "n"
 		w.routes[i].InService = true
-		w.listed[w.routes[i].Route] = w.routes[i]
-		evs = append(evs, Event{Kind: ListChanges, List: []Listing{old, w.routes[i]}})
+		w.listed[w.routes[i].ID] = w.routes[i]
+		evs = append(evs, Event{Kind: EndpointDelta, Endpoints: []Endpoint{old, w.routes[i]}})
 	case 2: // a client goes
 		for id := uint32(1); id < w.nextID; id++ {
 			if m := w.msgs[id]; m != nil && !m.ended {
 				m.ended = true
-				evs = append(evs, Event{Kind: Withdrawn, ID: id})
+				evs = append(evs, Event{Kind: MessageCancelled, MessageID: id})
 				break
 			}
 		}
 	case 3: // events of messages never held
-		evs = append(evs, Event{Kind: Finished, ID: 4e9, Route: "nowhere", Outcome: Timeout},
-			Event{Kind: Withdrawn, ID: 4e9 + 1}, Event{Kind: Woken})
+		evs = append(evs, Event{Kind: AttemptFinished, MessageID: 4e9, Endpoint: "nowhere", Outcome: Timeout},
+			Event{Kind: MessageCancelled, MessageID: 4e9 + 1}, Event{Kind: TimerFired})
 	}
 	return evs
 }
 
 // note books an outcome before the Sender hears of it.
 func (w *world) note(e *Event) {
-	m := w.msgs[e.ID]
+	m := w.msgs[e.MessageID]
 	if m == nil {
 		return
 	}
 	t := &m.tries[e.Attempt]
 	t.out = false
-	t.ran = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
+	t.ran = e.Outcome != Overloaded && e.Outcome != ConnectFailed && e.Outcome != NotSent
 	if e.Outcome == OK {
 		m.ended = true
 		w.answered++
 	}
-	e.Ended = m.ended
+	e.MessageEnded = m.ended
 	if e.Outcome == Timeout || e.Outcome == Reset || e.Outcome == Cancelled {
-		w.rest[m.key] = max(w.rest[m.key], w.now+w.set.OrderPause)
+		w.rest[m.key] = max(w.rest[m.key], w.now+w.set.OrderingPause)
 	}
-	l := w.listed[e.Route]
-	if e.Wait > 0 {
-		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+e.Wait)
+	l := w.listed[e.Endpoint]
+	if e.RetryAfter > 0 {
+		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+e.RetryAfter)
 	}
 	switch e.Outcome {
 	case OK:
 		w.told[w.scope(l)] = 0
 	case Timeout, ConnectFailed, Error, Reset:
-		if span := w.outage[m.dest]; w.now-e.Took >= span[0] && w.now < span[1] {
+		if span := w.outage[m.dest]; w.now-e.Latency >= span[0] && w.now < span[1] {
 			w.told[w.scope(l)]++
 		}
 	}
@@ -230,9 +230,9 @@
 func (w *world) act(acts []Action) {
 	calls := map[string]*callOut{}
 	for _, a := range acts {
-		m := w.msgs[a.ID]
-		if (a.Kind == Send || a.Kind == Refuse || a.Kind == Fail) && m == nil {
-			w.fail(1, "an action for unknown message %d", a.ID)
+		m := w.msgs[a.MessageID]
+		if (a.Kind == Send || a.Kind == Reject || a.Kind == Fail) && m == nil {
+			w.fail(1, "an action for unknown message %d", a.MessageID)
 			continue
 		}
 		switch a.Kind {
@@ -240,9 +240,9 @@
 			w.ends[0]++
 			w.judgeSend(m, a)
 			w.call(m, a, calls)
-		case Refuse:
+		case Reject:
 			w.ends[1]++
-			free := m.class.Effect == Safe || m.class.Effect == Keyed && m.class.GroupAll
+			free := m.class.Effect == Idempotent || m.class.Effect == IdempotentByKey && m.class.DedupAllZones
 			for _, t := range m.tries {
 				if (t.ran || t.out) && !free {
 					w.fail(2, "message %d refused though it may have run", m.id)
@@ -252,14 +252,14 @@
 		case Fail:
 			w.ends[2]++
 			m.ended = true
-		case Wake:
-			w.pending = append(w.pending, due{at: w.now + a.Delay, ev: Event{Kind: Woken}})
+		case SetTimer:
+			w.pending = append(w.pending, due{at: w.now + a.Delay, ev: Event{Kind: TimerFired}})
 		}
 	}
 }
 
 func (w *world) judgeSend(m *held, a Action) {
-	l, known := w.listed[a.Route]
+	l, known := w.listed[a.Endpoint]
 	if m.ended || w.now >= m.deadline || len(m.tries) >= w.set.MaxAttempts {
 		w.fail(1, "message %d sent after its end", m.id)
 	}
@@ -271,19 +271,19 @@
 	if i := slices.IndexFunc(m.tries, func(t trial) bool { return t.ran }); i >= 0 {
 		first := m.tries[i]
 		switch {
-		case m.class.Effect == Unsafe:
+		case m.class.Effect == NonIdempotent:
 			w.fail(2, "unsafe message %d sent again", m.id)
-		case m.class.Effect == Keyed && w.now >= first.sent+m.class.Window:
+		case m.class.Effect == IdempotentByKey && w.now >= first.sent+m.class.DedupWindow:
 			w.fail(2, "keyed message %d sent after its window", m.id)
-		case m.class.Effect == Keyed && !m.class.GroupAll && w.listed[first.route].Zone != l.Zone:
+		case m.class.Effect == IdempotentByKey && !m.class.DedupAllZones && w.listed[first.route].Zone != l.Zone:
 			w.fail(2, "keyed message %d sent outside its group", m.id)
 		}
 	}
-	if !known || !l.InService || l.Gone || l.Destination != m.dest {
-		w.fail(3, "message %d sent to %s, which is not in service", m.id, a.Route)
+	if !known || !l.InService || l.Removed || l.Destination != m.dest {
+		w.fail(3, "message %d sent to %s, which is not in service", m.id, a.Endpoint)
 	}
 	if w.waits[w.scope(l)] > w.now {
-		w.fail(5, "message %d sent to %s during a wait", m.id, a.Route)
+		w.fail(5, "message %d sent to %s during a wait", m.id, a.Endpoint)
 	}
 	if m.key != "" {
 		for _, o := range w.keys[m.key] {
@@ -310,7 +310,7 @@
 			n++
 		}
 	}
-	share := w.set.ColdShare + (1-w.set.ColdShare)*float64(w.now-back)/float64(w.set.WarmWithin)
+	share := w.set.WarmUpInitialCapacity + (1-w.set.WarmUpInitialCapacity)*float64(w.now-back)/float64(w.set.WarmUpDuration)
 	if share >= 1 {
 		return
 	}
@@ -322,19 +322,19 @@
 
 // call plays an attempt: its outcome comes later, at its cut at the latest.
 func (w *world) call(m *held, a Action, calls map[string]*callOut) {
-	l := w.listed[a.Route]
-	e := Event{Kind: Finished, ID: m.id, Attempt: len(m.tries), Route: a.Route}
-	m.tries = append(m.tries, trial{route: a.Route, sent: w.now, out: true})
-	c := calls[a.Route]
-	if c == nil || c.left >= w.set.Kinds[l.Kind].PerCall {
+	l := w.listed[a.Endpoint]
+	e := Event{Kind: AttemptFinished, MessageID: m.id, Attempt: len(m.tries), Endpoint: a.Endpoint}
+	m.tries = append(m.tries, trial{route: a.Endpoint, sent: w.now, out: true})
+	c := calls[a.Endpoint]
+	if c == nil || c.left >= w.set.DestinationKinds[l.Kind].MaxBatch {
 		c = &callOut{}
-		calls[a.Route] = c
-		if w.slots++; w.slots > w.set.Slots {
-			w.fail(1, "%d calls out, %d at most", w.slots, w.set.Slots)
+		calls[a.Endpoint] = c
+		if w.slots++; w.slots > w.set.MaxInFlightCalls {
+			w.fail(1, "%d calls out, %d at most", w.slots, w.set.MaxInFlightCalls)
 		}
 		span := w.outage[m.dest]
 		sc := w.scope(l)
-		if w.now >= span[1] && w.now < span[1]+w.set.WarmWithin && (w.told[sc] >= 3 || w.sends[sc] != nil) {
+		if w.now >= span[1] && w.now < span[1]+w.set.WarmUpDuration && (w.told[sc] >= 3 || w.sends[sc] != nil) {
 			w.judgeReturn(sc, span[1])
 		}
 	}
@@ -349,25 +349,25 @@
 	case down:
 		e.Outcome = Error
 	case n < 4:
-		e.Outcome = Full
+		e.Outcome = Overloaded
 		if n < 2 {
-			e.Wait = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
+			e.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
-		e.Outcome = []Outcome{Error, Reset, Cancelled, Moot}[w.rng.IntN(4)]
+		e.Outcome = []Outcome{Error, Reset, Cancelled, NotSent}[w.rng.IntN(4)]
 	case n == 5:
 		took = time.Hour
 	case n < 12 && w.waitsToo:
-		e.Wait = time.Duration(200+w.rng.IntN(3000)) * time.Millisecond
+		e.RetryAfter = time.Duration(200+w.rng.IntN(3000)) * time.Millisecond
 	}
 	if m.dest%3 == 2 && w.now >= w.outage[m.dest][0]-time.Second {
 		took = min(took, 300*time.Millisecond)
 	}
 	at := w.now + took
-	if cut := min(a.At, m.deadline); at > cut {
-		at, e.Outcome, e.Wait = max(cut, w.now+time.Millisecond), Timeout, 0
+	if cut := min(a.TimeoutAt, m.deadline); at > cut {
+		at, e.Outcome, e.RetryAfter = max(cut, w.now+time.Millisecond), Timeout, 0
 	}
-	e.Took = at - w.now
+	e.Latency = at - w.now
 	w.pending = append(w.pending, due{at: at, ev: e, c: c})
 }
 
@@ -376,11 +376,11 @@
 	t.Helper()
 	w := newWorld(seed)
 	w.every, w.waitsToo = cmp.Or(b.every, 4), b.every > 0
-	step := (*Sender).Step
+	step := (*Engine).Step
 	if b.step != nil {
 		step = b.step
 	}
-	start := func() (*Sender, []Event) {
+	start := func() (*Engine, []Event) {
 		set := w.set
 		set.Classes = slices.Clone(set.Classes)
 		if b.settings != nil {
@@ -392,9 +392,9 @@
 		}
 		w.forget()
 		for _, l := range w.routes {
-			w.listed[l.Route] = l
+			w.listed[l.ID] = l
 		}
-		return s, []Event{{Kind: ListWhole, List: slices.Clone(w.routes)}}
+		return s, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.routes)}}
 	}
 	s, first := start()
 	restart := w.now + time.Duration(30+w.rng.IntN(10))*time.Second
@@ -449,19 +449,19 @@
 
 func TestCheckerSeesMissingGuards(t *testing.T) {
 	for _, b := range []blind{
-		{name: "deadline", rule: 1, event: func(e *Event) { e.Left += time.Second }},
-		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Safe }},
-		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].GroupAll = true }},
-		{name: "window", rule: 2, settings: func(s *Settings) { s.Classes[1].Window = time.Hour }},
+		{name: "deadline", rule: 1, event: func(e *Event) { e.TimeLeft += time.Second }},
+		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Idempotent }},
+		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupAllZones = true }},
+		{name: "window", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupWindow = time.Hour }},
 		{name: "drain", rule: 3, event: func(e *Event) {
-			if e.Kind == ListChanges {
-				e.List = nil
+			if e.Kind == EndpointDelta {
+				e.Endpoints = nil
 			}
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
-		{name: "wait", rule: 5, event: func(e *Event) { e.Wait = 0 }},
+		{name: "wait", rule: 5, event: func(e *Event) { e.RetryAfter = 0 }},
 		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
-		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderPause = 0 }},
+		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderingPause = 0 }},
 	} {
 		t.Run(b.name, func(t *testing.T) {
 			for seed := range uint64(12) {
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -19,9 +19,9 @@
 }
 
 // resting asks Resting, or what a forgetful one would say; nil overlooks nothing.
-func (f *forgetful) resting(t fataler, s *Sender, dest int) bool {
+func (f *forgetful) resting(t fataler, s *Engine, dest int) bool {
 	if f == nil {
-		return s.Resting(dest)
+		return s.Evictable(dest)
 	}
 	copied, err := Restore(s.set, s.Snapshot(nil))
 	if err != nil {
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	return copied.Resting(dest)
+	return copied.Evictable(dest)
 }
 
 type fataler interface{ Fatal(args ...any) }
@@ -69,9 +69,9 @@
 // stream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by destination.
 type stream struct {
 	t      *rapid.T
-	s      *Sender
+	s      *Engine
 	now    time.Duration
-	list   []Listing
+	list   []Endpoint
 	out    []streamCall
 	waits  map[string]time.Duration
 	errors map[string]int           // in a row, by scope
@@ -92,8 +92,8 @@
 
 func newStream(t *rapid.T) *stream {
 	set := settings()
-	set.Senders = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
-	set.Slots, set.MaxHeld, set.WarmWithin = 20, 100, 20*time.Second
+	set.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
+	set.MaxInFlightCalls, set.MaxPendingMessages, set.WarmUpDuration = 20, 100, 20*time.Second
 	s, err := New(set, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
@@ -101,16 +101,16 @@
 	w := &stream{t: t, s: s, now: time.Minute, waits: map[string]time.Duration{}, errors: map[string]int{}, back: map[string]time.Duration{},
 		held: map[uint32]int{}, tried: map[uint32]int{}, nextID: 1}
 	for i := range 8 {
-		w.list = append(w.list, Listing{Route: fmt.Sprint("r", i), Destination: i % 3, Kind: i % 3 % 2, Zone: i % 2, Weight: 50, InService: true})
+		w.list = append(w.list, Endpoint{ID: fmt.Sprint("r", i), Destination: i % 3, Kind: i % 3 % 2, Zone: i % 2, Weight: 50, InService: true})
 	}
-	w.step(Event{Kind: ListWhole, List: slices.Clone(w.list)})
+	w.step(Event{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.list)})
 	return w
 }
 
 // scope names what shares a told wait.
 func (w *stream) scope(route string) string {
-	i := slices.IndexFunc(w.list, func(l Listing) bool { return l.Route == route })
-	if i < 0 || w.s.set.Kinds[w.list[i].Kind].Separate {
+	i := slices.IndexFunc(w.list, func(l Endpoint) bool { return l.ID == route })
+	if i < 0 || w.s.set.DestinationKinds[w.list[i].Kind].LimitPerEndpoint {
 		return route
 	}
 	return fmt.Sprint(w.list[i].Destination)
@@ -120,11 +120,11 @@
 	for _, a := range w.s.Step(w.now, evs) {
 		switch a.Kind {
 		case Send:
-			w.out = append(w.out, streamCall{a.ID, w.tried[a.ID], a.Route, w.now, a.At})
-			w.tried[a.ID]++
-		case Refuse, Fail:
-			delete(w.held, a.ID)
-		case Wake:
+			w.out = append(w.out, streamCall{a.MessageID, w.tried[a.MessageID], a.Endpoint, w.now, a.TimeoutAt})
+			w.tried[a.MessageID]++
+		case Reject, Fail:
+			delete(w.held, a.MessageID)
+		case SetTimer:
 			w.wake = w.now + a.Delay
 		}
 	}
@@ -143,7 +143,7 @@
 		w.now = next
 		if w.wake > 0 && w.wake <= w.now {
 			w.wake = 0
-			w.step(Event{Kind: Woken})
+			w.step(Event{Kind: TimerFired})
 		}
 		for i := 0; i < len(w.out); {
 			if w.out[i].cut <= w.now {
@@ -172,7 +172,7 @@
 	case Error:
 		w.errors[k]++
 	}
-	w.step(Event{Kind: Finished, ID: c.id, Attempt: c.n, Route: c.route, Outcome: o, Took: w.now - c.sent, Ended: o == OK, Wait: wait})
+	w.step(Event{Kind: AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: c.route, Outcome: o, Latency: w.now - c.sent, MessageEnded: o == OK, RetryAfter: wait})
 }
 
 // judge says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of the sender what would keep a
@@ -184,45 +184,45 @@
 		}
 	}
 	for _, c := range w.out {
-		if slices.ContainsFunc(w.list, func(l Listing) bool { return l.Route == c.route && l.Destination == dest }) {
+		if slices.ContainsFunc(w.list, func(l Endpoint) bool { return l.ID == c.route && l.Destination == dest }) {
 			return "a call to " + c.route
 		}
 	}
 	for _, l := range w.list {
-		switch k := w.scope(l.Route); {
+		switch k := w.scope(l.ID); {
 		case l.Destination != dest:
 		case w.waits[k] > w.now:
-			return "a told wait of " + l.Route
+			return "a told wait of " + l.ID
 		case w.errors[k] >= 3:
-			return "an outage of " + l.Route
-		case w.back[k] > 0 && w.now < w.back[k]+w.s.set.WarmWithin:
-			return "a warm-up of " + l.Route
+			return "an outage of " + l.ID
+		case w.back[k] > 0 && w.now < w.back[k]+w.s.set.WarmUpDuration:
+			return "a warm-up of " + l.ID
 		}
 	}
 	s, err := Restore(w.s.set, w.s.Snapshot(nil))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	s.slots = s.set.Slots // so that the probe waits, whatever would let it go
+	s.slots = s.set.MaxInFlightCalls // so that the probe waits, whatever would let it go
 	fresh := map[string]bool{}
 	if d := s.dests[dest]; d != nil {
 		for _, g := range d.gates {
 			for _, r := range g.routes {
-				fresh[r.Route] = g.pace == 0
+				fresh[r.ID] = g.pace == 0
 			}
 		}
 	}
-	s.Step(w.now, []Event{{Kind: Taken, ID: math.MaxUint32, Destination: dest, Left: time.Minute}})
-	for _, h := range s.Holds() {
-		if h.ID != math.MaxUint32 {
+	s.Step(w.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: dest, TimeLeft: time.Minute}})
+	for _, h := range s.Blockers() {
+		if h.MessageID != math.MaxUint32 {
 			continue
 		}
 		switch h.Cause {
-		case ToldWait, Skip, Recovery, Trial, Crammed:
-			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-w.now, h.Route)
-		case Pace:
-			if !fresh[h.Route] {
-				return "a pace at " + h.Route
+		case RetryAfterPending, EndpointEjected, WarmUpBudget, TrialInFlight, EndpointSaturated:
+			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-w.now, h.Endpoint)
+		case Paced:
+			if !fresh[h.Endpoint] {
+				return "a pace at " + h.Endpoint
 			}
 		}
 	}
@@ -251,12 +251,12 @@
 				d := rapid.IntRange(0, 2).Draw(t, "destination")
 				w.held[w.nextID] = d
 				w.nextID++
-				w.step(Event{Kind: Taken, ID: w.nextID - 1, Destination: d, Left: 9 * time.Second})
+				w.step(Event{Kind: MessageAccepted, MessageID: w.nextID - 1, Destination: d, TimeLeft: 9 * time.Second})
 			}
 		},
 		"answer": func(t *rapid.T) {
 			if len(w.out) > 0 {
-				o := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset, Moot}).Draw(t, "outcome")
+				o := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}).Draw(t, "outcome")
 				wait := rapid.SampledFrom([]time.Duration{0, 0, 0, 300 * ms, 50 * time.Second}).Draw(t, "wait")
 				w.pass(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
 				if len(w.out) > 0 {
@@ -283,15 +283,15 @@
 			l := &w.list[rapid.IntRange(0, len(w.list)-1).Draw(t, "route")]
 			if rapid.Bool().Draw(t, "replace") {
 				gone := *l
-				gone.Gone, gone.InService = true, false
-				delete(w.errors, w.scope(l.Route)) // what became of those is asked of the copy alone
-				delete(w.back, w.scope(l.Route))
-				l.Route += "'"
-				w.step(Event{Kind: ListChanges, List: []Listing{gone, *l}})
+				gone.Removed, gone.InService = true, false
+				delete(w.errors, w.scope(l.ID)) // what became of those is asked of the copy alone
+				delete(w.back, w.scope(l.ID))
+				l.ID += "'"
+				w.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{gone, *l}})
 				return
 			}
 			l.InService = !l.InService
-			w.step(Event{Kind: ListChanges, List: []Listing{*l}})
+			w.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{*l}})
 		},
 		"a while":      func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms) },
 		"a long while": func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second) },
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -22,13 +22,13 @@
 type find struct {
 	set     Settings
 	first   []Event
-	late    []Listing // listed at lateAt only
+	late    []Endpoint // listed at lateAt only
 	lateAt  time.Duration
 	msgs    []*left
 	usable  map[int]bool             // destinations with a host in service, in time
 	waits   map[string]time.Duration // told, by route
 	ill     map[int]bool             // something was told of a host of this destination
-	routes  []Listing
+	routes  []Endpoint
 	waiting map[int]bool // by destination: a host is listed late
 }
 
@@ -36,19 +36,19 @@
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := randomSettings(rng)
 	set.Classes = slices.Clone(set.Classes[:3]) // order has rows of its own
-	set.Senders = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
-	set.NoWeights, set.RoughWeights = rng.IntN(3) == 0, rng.IntN(3) == 0
-	set.Slots, set.MaxHeld = 20+rng.IntN(100), 0
+	set.FleetSize = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
+	set.IgnoreWeights, set.ApproximateWeights = rng.IntN(3) == 0, rng.IntN(3) == 0
+	set.MaxInFlightCalls, set.MaxPendingMessages = 20+rng.IntN(100), 0
 	f := &find{set: set, usable: map[int]bool{}, waits: map[string]time.Duration{}, ill: map[int]bool{}, waiting: map[int]bool{}}
 	f.lateAt = time.Duration(rng.IntN(2000)) * time.Millisecond
-	whole := Event{Kind: ListWhole}
+	whole := Event{Kind: EndpointSnapshot}
 	var told []Event
 	for d := range 1 + rng.IntN(5) {
 		late := rng.IntN(5) == 0
 		f.waiting[d] = late
 		for i := range 1 + rng.IntN(3) {
-			l := Listing{
-				Route: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 1 + float64(rng.IntN(60)), InService: rng.IntN(6) > 0,
+			l := Endpoint{
+				ID: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 1 + float64(rng.IntN(60)), InService: rng.IntN(6) > 0,
 			}
 			f.routes = append(f.routes, l)
 			f.usable[d] = f.usable[d] || l.InService
@@ -56,19 +56,19 @@
 				f.late = append(f.late, l)
 				continue
 			}
-			whole.List = append(whole.List, l)
+			whole.Endpoints = append(whole.Endpoints, l)
 			switch rng.IntN(8) {
 			case 0:
-				told, f.ill[d] = append(told, Event{Kind: Probed, Route: l.Route, Outcome: Full}), true
+				told, f.ill[d] = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Overloaded}), true
 			case 1:
 				for range 1 + rng.IntN(3) {
-					told = append(told, Event{Kind: Probed, Route: l.Route, Outcome: Error})
+					told = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Error})
 				}
 				f.ill[d] = true
 			case 2:
 				wait := time.Duration(100+rng.IntN(15_000)) * time.Millisecond
-				told, f.ill[d] = append(told, Event{Kind: Probed, Route: l.Route, Outcome: Moot, Wait: wait}), true
-				f.waits[l.Route] = wait
+				told, f.ill[d] = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: NotSent, RetryAfter: wait}), true
+				f.waits[l.ID] = wait
 			}
 		}
 	}
@@ -76,19 +76,19 @@
 	for id := range uint32(1 + rng.IntN(60)) {
 		class := rng.IntN(len(set.Classes))
 		m := &left{id: id + 1, dest: rng.IntN(len(f.waiting)), sent: -1, end: -1, untried: true}
-		m.time = set.Classes[class].GiveUp * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
+		m.time = set.Classes[class].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
 		f.msgs = append(f.msgs, m)
-		e := Event{Kind: Taken, ID: m.id, Class: class, Destination: m.dest, Left: m.time}
+		e := Event{Kind: MessageAccepted, MessageID: m.id, Class: class, Destination: m.dest, TimeLeft: m.time}
 		if resumed {
-			e.Resumed = &Resumed{}
+			e.Recovered = &RecoveredMessage{}
 			if rng.IntN(6) == 0 {
-				m.untried, e.Resumed.Attempts, e.Resumed.Ran, e.Resumed.RanAgo = false, 1, rng.IntN(2) == 0, time.Second
+				m.untried, e.Recovered.Attempts, e.Recovered.MayHaveRun, e.Recovered.SinceFirstRun = false, 1, rng.IntN(2) == 0, time.Second
 			}
 		}
 		f.first = append(f.first, e)
 	}
 	if len(f.msgs) > 10 && rng.IntN(3) == 0 {
-		f.set.MaxHeld = len(f.msgs) // no room
+		f.set.MaxPendingMessages = len(f.msgs) // no room
 	}
 	return f
 }
@@ -117,20 +117,20 @@
 		wake := now + 500*time.Millisecond
 		routes := map[string]bool{}
 		for _, a := range s.Step(now, evs) {
-			m := byID[a.ID]
+			m := byID[a.MessageID]
 			switch a.Kind {
 			case Send:
 				if m.sent < 0 {
 					m.sent = now - began
 				}
-				if !routes[a.Route] {
-					routes[a.Route] = true
+				if !routes[a.Endpoint] {
+					routes[a.Endpoint] = true
 					calls[m.dest]++
 				}
-				ends = append(ends, end{now + answer, Event{Kind: Finished, ID: a.ID, Attempt: s.msgs[a.ID].sends - 1, Route: a.Route, Outcome: OK, Took: answer, Ended: true}})
-			case Refuse, Fail:
-				m.end, m.refused = now-began, a.Kind == Refuse
-			case Wake:
+				ends = append(ends, end{now + answer, Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: s.msgs[a.MessageID].sends - 1, Endpoint: a.Endpoint, Outcome: OK, Latency: answer, MessageEnded: true}})
+			case Reject, Fail:
+				m.end, m.refused = now-began, a.Kind == Reject
+			case SetTimer:
 				wake = min(wake, now+a.Delay)
 			}
 		}
@@ -146,7 +146,7 @@
 			evs, ends = append(evs, ends[0].ev), ends[1:]
 		}
 		if !lateTold && len(f.late) > 0 && now >= began+f.lateAt {
-			evs, lateTold = append(evs, Event{Kind: ListChanges, List: f.late}), true
+			evs, lateTold = append(evs, Event{Kind: EndpointDelta, Endpoints: f.late}), true
 		}
 	}
 	return calls
@@ -157,11 +157,11 @@
 	shared, all := time.Duration(0), true
 	for _, l := range f.routes {
 		if l.Destination == dest {
-			shared = max(shared, f.waits[l.Route])
-			all = all && f.waits[l.Route] >= d-endMargin
+			shared = max(shared, f.waits[l.ID])
+			all = all && f.waits[l.ID] >= d-endMargin
 		}
 	}
-	return all || !f.set.Kinds[dest%2].Separate && shared >= d-endMargin
+	return all || !f.set.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-endMargin
 }
 
 // wrong judges what became of the messages.
@@ -184,7 +184,7 @@
 			// No host, or one of which something was told, or no time: its destination may have had no call.
 		case calls[m.dest] == 0:
 			faults = append(faults, fmt.Sprintf("message %d: a host that stands well had no call in %v", m.id, m.time))
-		case f.set.NoWeights && listed == 0:
+		case f.set.IgnoreWeights && listed == 0:
 			faults = append(faults, fmt.Sprintf("message %d not tried in %v, where nothing bars it", m.id, m.time))
 		}
 	}
@@ -198,7 +198,7 @@
 	for seed := range uint64(1500) {
 		f := drawFind(seed, true)
 		if wrong := f.wrong(f.play(t, seed)); len(wrong) > 0 {
-			t.Errorf("seed %d, %d senders, no weights %v: %d of %d: %s", seed, f.set.Senders, f.set.NoWeights, len(wrong), len(f.msgs), wrong[0])
+			t.Errorf("seed %d, %d senders, no weights %v: %d of %d: %s", seed, f.set.FleetSize, f.set.IgnoreWeights, len(wrong), len(f.msgs), wrong[0])
 		}
 		for _, m := range f.msgs {
 			if all++; m.sent >= 0 {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -9,46 +9,46 @@
 func resumeSettings() Settings {
 	return Settings{
 		Classes: []Class{{
-			Effect: Keyed, Window: 10 * time.Second, Aim: 3 * time.Second, GiveUp: 16 * time.Second, Value: 1,
+			Effect: IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1,
 		}},
-		Kinds: []Kind{{Separate: true, PerCall: 1}}, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
+		DestinationKinds: []DestinationKind{{LimitPerEndpoint: true, MaxBatch: 1}}, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
 	}
 }
 
 // twoZones is a list of a better route in zone 1 and another in zone 0.
 func twoZones() Event {
-	return Event{Kind: ListWhole, List: []Listing{
-		{Route: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
-		{Route: "other", Destination: 5, Zone: 0, Weight: 20, InService: true},
+	return Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
+		{ID: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
+		{ID: "other", Destination: 5, Zone: 0, Weight: 20, InService: true},
 	}}
 }
 
-func resumeStep(t *testing.T, r *Resumed) []Action {
+func resumeStep(t *testing.T, r *RecoveredMessage) []Action {
 	t.Helper()
 	s, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s.Step(time.Second, []Event{
-		twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second, Resumed: r},
+		twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: r},
 	})
 }
 
 func TestResumedMessagesKeepTheirZoneAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		resumed Resumed
+		resumed RecoveredMessage
 		route   string // "" if none may be tried
 	}{
-		{"nothing ran", Resumed{Attempts: 1}, "best"},
-		{"one may have run in zone 0", Resumed{Attempts: 1, Ran: true, RanAgo: 5 * time.Second}, "other"},
-		{"too long ago", Resumed{Attempts: 1, Ran: true, RanAgo: 11 * time.Second}, ""},
-		{"no attempts left", Resumed{Attempts: 8}, ""},
+		{"nothing ran", RecoveredMessage{Attempts: 1}, "best"},
+		{"one may have run in zone 0", RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 5 * time.Second}, "other"},
+		{"too long ago", RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 11 * time.Second}, ""},
+		{"no attempts left", RecoveredMessage{Attempts: 8}, ""},
 	} {
 		route := ""
 		for _, a := range resumeStep(t, &c.resumed) {
 			if a.Kind == Send {
-				route = a.Route
+				route = a.Endpoint
 			}
 		}
 		if route != c.route {
@@ -59,14 +59,14 @@
 
 func TestOverdueMessagesEndAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		resumed Resumed
+		resumed RecoveredMessage
 		want    ActionKind
-	}{{Resumed{}, Refuse}, {Resumed{Attempts: 1, Ran: true}, Fail}} {
+	}{{RecoveredMessage{}, Reject}, {RecoveredMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
 		s, err := New(resumeSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: -time.Second, Resumed: &c.resumed}})
+		acts := s.Step(time.Second, []Event{twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: -time.Second, Recovered: &c.resumed}})
 		if len(acts) == 0 || acts[0].Kind != c.want {
 			t.Errorf("%+v: %+v", c.resumed, acts)
 		}
@@ -80,7 +80,7 @@
 	}
 	evs := []Event{twoZones()}
 	for i := range uint32(40) {
-		evs = append(evs, Event{Kind: Taken, ID: i, Destination: 5, Left: 8 * time.Second, Resumed: &Resumed{}})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: i, Destination: 5, TimeLeft: 8 * time.Second, Recovered: &RecoveredMessage{}})
 	}
 	sends := 0
 	for _, a := range s.Step(time.Second, evs) {
@@ -98,19 +98,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(time.Second, []Event{twoZones(), {Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second}})
-	if !s.MayStill("best", nil, time.Second) || !s.MayStill("other", nil, time.Second) || s.MayStill("none", nil, time.Second) {
+	s.Step(time.Second, []Event{twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}})
+	if !s.StillAllowed("best", nil, time.Second) || !s.StillAllowed("other", nil, time.Second) || s.StillAllowed("none", nil, time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
 	// A wait that comes with a delivery, as in a bundle's answer, binds too.
-	s.Step(2*time.Second, []Event{{Kind: Finished, ID: 1, Route: "best", Outcome: OK, Ended: true, Wait: time.Second}})
-	if s.MayStill("best", nil, 2900*time.Millisecond) || !s.MayStill("best", nil, 3*time.Second) {
+	s.Step(2*time.Second, []Event{{Kind: AttemptFinished, MessageID: 1, Endpoint: "best", Outcome: OK, MessageEnded: true, RetryAfter: time.Second}})
+	if s.StillAllowed("best", nil, 2900*time.Millisecond) || !s.StillAllowed("best", nil, 3*time.Second) {
 		t.Error("the wait ends at 3 s")
 	}
-	s.Step(4*time.Second, []Event{{Kind: ListChanges, List: []Listing{
-		{Route: "best", Destination: 5, Zone: 1, Weight: 50}, {Route: "other", Gone: true},
+	s.Step(4*time.Second, []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{
+		{ID: "best", Destination: 5, Zone: 1, Weight: 50}, {ID: "other", Removed: true},
 	}}})
-	if s.MayStill("best", nil, 4*time.Second) || s.MayStill("other", nil, 4*time.Second) {
+	if s.StillAllowed("best", nil, 4*time.Second) || s.StillAllowed("other", nil, 4*time.Second) {
 		t.Error("one drains, one is gone")
 	}
 }
@@ -120,18 +120,18 @@
 func TestACallHeldUpPastTheWindowMayNotLeave(t *testing.T) {
 	set := resumeSettings()
 	safe := set.Classes[0]
-	safe.Effect = Safe
+	safe.Effect = Idempotent
 	set.Classes = append(set.Classes, safe)
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ran := &Resumed{Attempts: 1, Ran: true, RanZone: 1, RanAgo: 9 * time.Second}
+	ran := &RecoveredMessage{Attempts: 1, MayHaveRun: true, FirstRunZone: 1, SinceFirstRun: 9 * time.Second}
 	s.Step(time.Second, []Event{
 		twoZones(),
-		{Kind: Taken, ID: 1, Destination: 5, Left: 14 * time.Second, Resumed: ran},
-		{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second},
-		{Kind: Taken, ID: 3, Class: 1, Destination: 5, Left: 14 * time.Second, Resumed: ran},
+		{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
+		{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second},
+		{Kind: MessageAccepted, MessageID: 3, Class: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 	})
 	end := 2*time.Second - endMargin
 	for _, c := range []struct {
@@ -142,7 +142,7 @@
 		{[]uint32{1}, end - 1, true}, {[]uint32{1}, end, false}, {[]uint32{2, 1}, end, false}, {[]uint32{2}, 9 * time.Second, true},
 		{[]uint32{3}, 9 * time.Second, true}, {[]uint32{77}, 9 * time.Second, true},
 	} {
-		if got := s.MayStill("best", c.ids, c.at); got != c.want {
+		if got := s.StillAllowed("best", c.ids, c.at); got != c.want {
 			t.Errorf("messages %v at %v: %v", c.ids, c.at, got)
 		}
 	}
@@ -156,15 +156,15 @@
 	}
 	ends := func(at time.Duration, evs ...Event) (kinds []ActionKind) {
 		for _, a := range s.Step(at, evs) {
-			if a.Kind == Refuse || a.Kind == Fail {
+			if a.Kind == Reject || a.Kind == Fail {
 				kinds = append(kinds, a.Kind)
 			}
 		}
 		return kinds
 	}
 	if got := ends(time.Second, twoZones(),
-		Event{Kind: Taken, ID: 1, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 8, Ran: true, RanZone: 2}},
-		Event{Kind: Taken, ID: 2, Destination: 5, Left: 14 * time.Second, Resumed: &Resumed{Attempts: 2, Ran: true, RanZone: 2}},
+		Event{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: &RecoveredMessage{Attempts: 8, MayHaveRun: true, FirstRunZone: 2}},
+		Event{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second, Recovered: &RecoveredMessage{Attempts: 2, MayHaveRun: true, FirstRunZone: 2}},
 	); len(got) != 1 || got[0] != Fail {
 		t.Errorf("with no attempts left: %v", got)
 	}
@@ -192,7 +192,7 @@
 	began := time.Second
 	now, evs := began, first
 	for id := range uint32(n) {
-		evs = append(evs, Event{Kind: Taken, ID: id + 1, Destination: 5, Left: left, Resumed: &Resumed{}})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: left, Recovered: &RecoveredMessage{}})
 	}
 	for now < began+left+time.Second {
 		wake := now + time.Second
@@ -200,13 +200,13 @@
 		for _, a := range s.Step(now, evs) {
 			switch a.Kind {
 			case Send:
-				u.sent[a.ID] = now - began
-				next = append(next, Event{Kind: Finished, ID: a.ID, Route: a.Route, Outcome: OK, Took: 50 * time.Millisecond, Ended: true})
-			case Refuse:
-				u.refused[a.ID] = now - began
+				u.sent[a.MessageID] = now - began
+				next = append(next, Event{Kind: AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: OK, Latency: 50 * time.Millisecond, MessageEnded: true})
+			case Reject:
+				u.refused[a.MessageID] = now - began
 			case Fail:
-				t.Errorf("message %d failed", a.ID)
-			case Wake:
+				t.Errorf("message %d failed", a.MessageID)
+			case SetTimer:
 				wake = min(wake, now+a.Delay)
 			}
 		}
@@ -223,17 +223,17 @@
 func TestWhatNobodyTriedIsTriedOrKept(t *testing.T) {
 	const left = 10 * time.Second
 	plain := resumeSettings()
-	plain.Kinds, plain.Senders, plain.WarmWithin, plain.OverloadWindow = []Kind{{PerCall: 1}}, 300, 14*time.Second, 3*time.Second
+	plain.DestinationKinds, plain.FleetSize, plain.WarmUpDuration, plain.OverloadWindow = []DestinationKind{{MaxBatch: 1}}, 300, 14*time.Second, 3*time.Second
 	untold := plain
-	untold.NoWeights = true
+	untold.IgnoreWeights = true
 	few := untold
-	few.Senders = 2
+	few.FleetSize = 2
 	full := plain
-	full.MaxHeld = 20
+	full.MaxPendingMessages = 20
 	list := func(weight float64) []Event {
-		return []Event{{Kind: ListWhole, List: []Listing{{Route: "only", Destination: 5, Weight: weight, InService: true}}}}
+		return []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "only", Destination: 5, Weight: weight, InService: true}}}}
 	}
-	told := append(list(500), Event{Kind: Probed, Route: "only", Outcome: Moot, Wait: time.Minute})
+	told := append(list(500), Event{Kind: HealthChecked, Endpoint: "only", Outcome: NotSent, RetryAfter: time.Minute})
 	for _, c := range []struct {
 		name        string
 		set         Settings
@@ -287,23 +287,23 @@
 		{"told", true, 40, 50, 50},
 	} {
 		set := resumeSettings()
-		set.Kinds, set.Senders, set.NoWeights = []Kind{{PerCall: 1}}, 300, !c.weights
+		set.DestinationKinds, set.FleetSize, set.IgnoreWeights = []DestinationKind{{MaxBatch: 1}}, 300, !c.weights
 		s, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Second
-		s.Step(now, []Event{{Kind: ListWhole, List: []Listing{{Route: "only", Destination: 5, Weight: 50, InService: true}}}})
+		s.Step(now, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "only", Destination: 5, Weight: 50, InService: true}}}})
 		for range c.deliveries {
 			now += 100 * time.Millisecond
-			s.Step(now, []Event{{Kind: Probed, Route: "only", Outcome: OK}})
+			s.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: OK}})
 		}
 		r := s.routes["only"]
 		if takes := s.takes(r.gate); takes < c.least || takes > c.most {
 			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", c.name, takes, c.least, c.most)
 		}
-		s.Step(now, []Event{{Kind: Probed, Route: "only", Outcome: Error}, {Kind: Probed, Route: "only", Outcome: Error}})
-		if all := s.coldRate(r) * float64(set.Senders); !r.cold || c.deliveries > 0 && all < 2 || all > s.takes(r.gate) {
+		s.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: Error}, {Kind: HealthChecked, Endpoint: "only", Outcome: Error}})
+		if all := s.coldRate(r) * float64(set.FleetSize); !r.cold || c.deliveries > 0 && all < 2 || all > s.takes(r.gate) {
 			t.Errorf("%s: in doubt all senders may make %.2f calls a second", c.name, all)
 		}
 	}
