--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -8,22 +8,22 @@
 // sharer is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a second, more or less. Its
 // calls are answered with the next step.
 type sharer struct {
-	*Sender
+	*Engine
 	evs []Event
 }
 
 func newSharer(t *testing.T) *sharer {
 	t.Helper()
 	s, err := New(Settings{
-		Classes: []Class{{Effect: Safe, Aim: 5 * time.Second, GiveUp: 100 * time.Second, Value: 1}}, Kinds: []Kind{{PerCall: 1}}, Senders: 40,
-		Customers: []Customer{{Quota: 4000}}, // of which little comes here
+		Classes: []Class{{Effect: Idempotent, LatencyObjective: 5 * time.Second, Deadline: 100 * time.Second, Weight: 1}}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 40,
+		Tenants: []Tenant{{Quota: 4000}}, // of which little comes here
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &sharer{s, []Event{{Kind: ListWhole, List: []Listing{{Route: "a", Destination: 5, Weight: 40, InService: true}}}}}
+	x := &sharer{s, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}}}}
 	for id := range uint32(200) {
-		x.evs = append(x.evs, Event{Kind: Taken, ID: id + 1, Destination: 5, Left: 100 * time.Second})
+		x.evs = append(x.evs, Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second})
 	}
 	x.runFor(time.Second, 9*time.Second)
 	return x
@@ -39,8 +39,8 @@
 			switch a.Kind {
 			case Send:
 				calls++
-				s.evs = append(s.evs, Event{Kind: Finished, ID: a.ID, Route: a.Route, Outcome: OK, Took: time.Millisecond, Ended: true})
-			case Ask:
+				s.evs = append(s.evs, Event{Kind: AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: OK, Latency: time.Millisecond, MessageEnded: true})
+			case RequestQuota:
 				asks, wanted = asks+1, a.Calls
 			}
 		}
@@ -52,7 +52,7 @@
 // where limits are shared, shortly before they may leave.
 func TestRights(t *testing.T) {
 	right := func(share float64, calls int, left time.Duration) Event {
-		return Event{Kind: Rights, Destination: 5, Share: share, Calls: calls, Left: left}
+		return Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: share, GrantedCalls: calls, TimeLeft: left}
 	}
 	const span = 10 * time.Second
 	for name, c := range map[string]struct {
@@ -65,10 +65,10 @@
 		"a fifth is kept":                      {[]Event{right(0.2, 0, 0)}, 0, 2, 50, 100},
 		"nine calls are given":                 {[]Event{right(0.2, 9, span)}, 9, 11, 50, 100},
 		"and void at once":                     {[]Event{right(0.2, 9, 0)}, 0, 2, 50, 100},
-		"of another destination":               {[]Event{{Kind: Rights, Destination: 6, Share: 0.2, Calls: 9, Left: span}}, 3, 9, 0, 0},
-		"while it waits as it was told":        {[]Event{{Kind: Probed, Route: "a", Outcome: Full, Wait: span}, right(0.2, 9, span)}, 0, 0, 0, 10},
-		"while the route drains":               {[]Event{{Kind: ListChanges, List: []Listing{{Route: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
-		"two at a time end with the first one": {[]Event{{Kind: Probed, Route: "a", Outcome: Full, Wait: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
+		"of another destination":               {[]Event{{Kind: QuotaGranted, Destination: 6, ReservedFraction: 0.2, GrantedCalls: 9, TimeLeft: span}}, 3, 9, 0, 0},
+		"while it waits as it was told":        {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: span}, right(0.2, 9, span)}, 0, 0, 0, 10},
+		"while the route drains":               {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
+		"two at a time end with the first one": {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
 	} {
 		s := newSharer(t)
 		calls, asks, wanted := s.runFor(span, span, c.evs...)
@@ -78,7 +78,7 @@
 	}
 	// A call that comes too late for its right is not made by it.
 	s := newSharer(t)
-	if calls, _, _ := s.runFor(span, 2*time.Second, Event{Kind: Probed, Route: "a", Outcome: Full, Wait: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
+	if calls, _, _ := s.runFor(span, 2*time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
 		t.Errorf("%d calls by rights that were void", calls)
 	}
 }
@@ -86,8 +86,8 @@
 // A sender that lends and borrows goes on from its snapshot as it was.
 func TestRightsOutlastSnapshots(t *testing.T) {
 	a := newSharer(t)
-	a.runFor(10*time.Second, time.Second, Event{Kind: Probed, Route: "a", Outcome: Full, Wait: time.Second},
-		Event{Kind: Rights, Destination: 5, Share: 0.2, Calls: 4, Left: 5 * time.Second})
+	a.runFor(10*time.Second, time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second},
+		Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: 0.2, GrantedCalls: 4, TimeLeft: 5 * time.Second})
 	again, err := Restore(a.set, a.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -18,17 +18,17 @@
 		{"near the end", scanDepth - 1, true},
 		{"beyond the depth", scanDepth, false},
 	} {
-		s, err := New(Settings{Classes: []Class{{Effect: Safe, Aim: 3 * time.Second, GiveUp: 16 * time.Second}}, MaxHeld: (c.behind*10 + 8) / 9}, 1) // short with the last
+		s, err := New(Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}, MaxPendingMessages: (c.behind*10 + 8) / 9}, 1) // short with the last
 		if err != nil {
 			t.Fatal(err)
 		}
-		evs := []Event{{Kind: Taken, ID: 1, Destination: 5, Left: 8 * time.Second}}
+		evs := []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}}
 		for i := range c.behind {
-			evs = append(evs, Event{Kind: Taken, ID: uint32(i + 2), Destination: 5, Left: 9 * time.Second, Resumed: &Resumed{}})
+			evs = append(evs, Event{Kind: MessageAccepted, MessageID: uint32(i + 2), Destination: 5, TimeLeft: 9 * time.Second, Recovered: &RecoveredMessage{}})
 		}
 		refused := false
 		for _, a := range s.Step(time.Second, evs) {
-			refused = refused || a.Kind == Refuse && a.ID == 1
+			refused = refused || a.Kind == Reject && a.MessageID == 1
 		}
 		if refused != c.refused {
 			t.Errorf("%s: refused %v, want %v", c.name, refused, c.refused)
@@ -39,13 +39,13 @@
 // A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss their aims, it takes
 // the square of its length. Whichever leave, the order stays.
 func TestALongQueueIsNotMovedForItsFirst(t *testing.T) {
-	s, err := New(Settings{Classes: []Class{{Effect: Safe, Aim: 3 * time.Second, GiveUp: 16 * time.Second}}}, 1)
+	s, err := New(Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var evs []Event
 	for i := range uint32(3 * scanDepth) {
-		evs = append(evs, Event{Kind: Taken, ID: i + 1, Destination: 5, Left: 9 * time.Second})
+		evs = append(evs, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
 	}
 	s.Step(time.Second, evs)
 	d := s.dests[5]
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -15,14 +15,14 @@
 const snapshotForm = 7
 
 // Snapshot appends the Sender's state, between two steps, to buf. Equal states give equal bytes.
-func (s *Sender) Snapshot(buf []byte) []byte {
+func (s *Engine) Snapshot(buf []byte) []byte {
 	c := statecodec.Writer(buf)
 	s.code(c)
 	return c.Bytes()
 }
 
 // Restore returns a Sender of these settings as Snapshot found it: equal events give equal actions from there on.
-func Restore(set Settings, data []byte) (*Sender, error) {
+func Restore(set Settings, data []byte) (*Engine, error) {
 	s, err := New(set, 0)
 	if err != nil {
 		return nil, err
@@ -36,14 +36,14 @@
 		s.dests[d.id] = d
 		for _, g := range d.gates {
 			for _, r := range g.routes {
-				s.routes[r.Route] = r
+				s.routes[r.ID] = r
 			}
 		}
 	}
 	return s, nil
 }
 
-func (s *Sender) code(c *statecodec.Coder) {
+func (s *Engine) code(c *statecodec.Coder) {
 	form := snapshotForm
 	if c.Ints(&form); form != snapshotForm {
 		c.Fail()
@@ -85,13 +85,13 @@
 		statecodec.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
 	}
 	statecodec.List(c, &s.shares, func(b *bucket) { c.Floats(&b.level); c.Times(&b.at) })
-	if len(s.shares) != len(s.set.Customers) {
+	if len(s.shares) != len(s.set.Tenants) {
 		c.Fail()
 	}
 	statecodec.List(c, (*[]end)(&s.ends), func(e *end) { c.Times(&e.at); msgs(&e.m) })
 }
 
-func (s *Sender) codeDest(c *statecodec.Coder, p **dest) {
+func (s *Engine) codeDest(c *statecodec.Coder, p **dest) {
 	statecodec.Must(c, p, func(d *dest) {
 		c.Ints(&d.id, &d.held, &d.at)
 		c.Times(&d.opens, &d.bareAt)
@@ -99,7 +99,7 @@
 	})
 }
 
-func (s *Sender) codeGate(c *statecodec.Coder, p **gate) {
+func (s *Engine) codeGate(c *statecodec.Coder, p **gate) {
 	statecodec.Must(c, p, func(g *gate) {
 		s.codeDest(c, &g.dest)
 		statecodec.List(c, &g.routes, func(r **route) { statecodec.Must(c, r, func(r *route) { s.codeRoute(c, r) }) })
@@ -111,11 +111,11 @@
 	})
 }
 
-func (s *Sender) codeRoute(c *statecodec.Coder, r *route) {
-	c.Text(&r.Route)
+func (s *Engine) codeRoute(c *statecodec.Coder, r *route) {
+	c.Text(&r.ID)
 	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.run, &r.streak, &r.refusals)
 	c.Floats(&r.Weight)
-	c.Bools(&r.InService, &r.Gone, &r.down, &r.cold, &r.slight, &r.lost)
+	c.Bools(&r.InService, &r.Removed, &r.down, &r.cold, &r.slight, &r.lost)
 	c.Times(&r.skipUntil, &r.skipLen, &r.failSent, &r.back, &r.refusedAt, &r.okAt, &r.okSent, &r.mean, &r.dev)
 	statecodec.Uint(c, &r.lot)
 	statecodec.Uint(c, &r.recent)
@@ -123,7 +123,7 @@
 	statecodec.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
 }
 
-func (s *Sender) codeCall(c *statecodec.Coder, p **call) {
+func (s *Engine) codeCall(c *statecodec.Coder, p **call) {
 	statecodec.Must(c, p, func(x *call) {
 		statecodec.Must(c, &x.r, func(r *route) { s.codeRoute(c, r) })
 		c.Ints(&x.left)
@@ -132,7 +132,7 @@
 	})
 }
 
-func (s *Sender) codeMessage(c *statecodec.Coder, p **message) {
+func (s *Engine) codeMessage(c *statecodec.Coder, p **message) {
 	statecodec.Must(c, p, func(m *message) {
 		statecodec.Uint(c, &m.id)
 		if c.Reading() {
@@ -143,9 +143,9 @@
 			m.class = &s.set.Classes[class]
 		} else {
 			statecodec.Int(c, &m.class.Effect)
-			c.Bools(&m.class.GroupAll, &m.class.Ordered)
-			c.Times(&m.class.Window, &m.class.Aim, &m.class.GiveUp)
-			c.Floats(&m.class.Value)
+			c.Bools(&m.class.DedupAllZones, &m.class.Ordered)
+			c.Times(&m.class.DedupWindow, &m.class.LatencyObjective, &m.class.Deadline)
+			c.Floats(&m.class.Weight)
 		}
 		s.codeDest(c, &m.dest)
 		s.codeTurn(c, &m.turn)
@@ -157,7 +157,7 @@
 	})
 }
 
-func (s *Sender) codeTurn(c *statecodec.Coder, p **turn) {
+func (s *Engine) codeTurn(c *statecodec.Coder, p **turn) {
 	statecodec.Ref(c, p, func(t *turn) {
 		c.Text(&t.key)
 		c.Bools(&t.parked)
--- a/policy/state.go
+++ b/policy/state.go
@@ -47,7 +47,7 @@
 
 // route is one way to a destination, with its entry in the skip table.
 type route struct {
-	Listing
+	Endpoint
 	gate      *gate
 	lot       uint64        // decides between equal routes
 	calls     []*call       // out, in order of sending
@@ -136,8 +136,8 @@
 	at    time.Duration
 }
 
-// Sender decides for one relay. It is a pure state machine: equal events give equal actions.
-type Sender struct {
+// Engine decides for one relay. It is a pure state machine: equal events give equal actions.
+type Engine struct {
 	set      Settings
 	pcg      *rand.PCG // of rng
 	rng      *rand.Rand
@@ -166,19 +166,19 @@
 }
 
 // list takes on the list of routes. A route that drains or is gone takes nothing new from here on.
-func (s *Sender) list(entries []Listing, whole bool) {
-	if s.set.AskList && whole && len(s.order) == 0 {
-		s.act(Action{Kind: Watch})
+func (s *Engine) list(entries []Endpoint, whole bool) {
+	if s.set.WatchRequired && whole && len(s.order) == 0 {
+		s.act(Action{Kind: WatchEndpoints})
 	}
 	if whole {
 		keep := make(map[string]bool, len(entries))
 		for i := range entries {
-			keep[entries[i].Route] = true
+			keep[entries[i].ID] = true
 		}
 		for _, d := range s.order {
 			for _, g := range slices.Clone(d.gates) {
 				for _, r := range slices.Clone(g.routes) {
-					if !keep[r.Route] {
+					if !keep[r.ID] {
 						s.drop(r)
 					}
 				}
@@ -190,9 +190,9 @@
 		if !(l.Weight > 0) || math.IsInf(l.Weight, 0) {
 			l.Weight = 0 // not told
 		}
-		r := s.routes[l.Route]
+		r := s.routes[l.ID]
 		switch {
-		case l.Gone:
+		case l.Removed:
 			if r != nil {
 				s.drop(r)
 			}
@@ -203,7 +203,7 @@
 			if l.InService && !r.InService {
 				r.okAt = 0 // as new: what it answered before it drained tells nothing
 			}
-			r.Listing = l
+			r.Endpoint = l
 			changed = append(changed, r.gate.dest)
 		}
 	}
@@ -223,8 +223,8 @@
 }
 
 // sweep forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are due.
-func (s *Sender) sweep() {
-	for d := s.bare.first; d != nil && s.now >= d.bareAt+s.set.WarmWithin; {
+func (s *Engine) sweep() {
+	for d := s.bare.first; d != nil && s.now >= d.bareAt+s.set.WarmUpDuration; {
 		next := d.bareAfter
 		if d.held == 0 {
 			s.bare.remove(d)
@@ -270,15 +270,15 @@
 }
 
 // perCall is how many messages a call to a kind of destination may carry.
-func (s *Sender) perCall(kind int) int {
-	if kind >= 0 && kind < len(s.set.Kinds) {
-		return max(1, s.set.Kinds[kind].PerCall)
+func (s *Engine) perCall(kind int) int {
+	if kind >= 0 && kind < len(s.set.DestinationKinds) {
+		return max(1, s.set.DestinationKinds[kind].MaxBatch)
 	}
 	return 1
 }
 
 // Reconfigure has other settings hold from here on. Open messages keep their class and number of attempts.
-func (s *Sender) Reconfigure(set Settings) error {
+func (s *Engine) Reconfigure(set Settings) error {
 	fresh, err := New(set, 0)
 	if err == nil {
 		s.set, s.shares = fresh.set, fresh.shares
@@ -287,24 +287,24 @@
 }
 
 // grant takes what others leave this sender of a limit. Rights that were not used yet end with the first of them.
-func (s *Sender) grant(e *Event) {
+func (s *Engine) grant(e *Event) {
 	d := s.dests[e.Destination]
 	if d == nil {
 		return
 	}
 	for _, g := range d.gates {
-		if len(g.routes) == 0 || !s.many(g) || g.separate && g.routes[0].Route != e.Route {
+		if len(g.routes) == 0 || !s.many(g) || g.separate && g.routes[0].ID != e.Endpoint {
 			continue
 		}
-		g.shared, g.share = true, math.Min(1, math.Max(0, e.Share))
-		if e.Calls > 0 && e.Left > 0 {
-			end := s.now + e.Left
+		g.shared, g.share = true, math.Min(1, math.Max(0, e.ReservedFraction))
+		if e.GrantedCalls > 0 && e.TimeLeft > 0 {
+			end := s.now + e.TimeLeft
 			if g.righted(s.now) {
 				end = min(end, g.rightsEnd)
 			} else {
 				g.rights = 0
 			}
-			g.rights, g.rightsEnd = g.rights+e.Calls, end
+			g.rights, g.rightsEnd = g.rights+e.GrantedCalls, end
 		}
 		s.touch(d)
 	}
@@ -314,15 +314,15 @@
 func (g *gate) righted(now time.Duration) bool { return g.rights > 0 && now < g.rightsEnd }
 
 // own is the pace that a gate's tokens grow with: of a part that is lent, what is left.
-func (s *Sender) own(g *gate) float64 {
+func (s *Engine) own(g *gate) float64 {
 	if g.shared && g.share < 1 {
-		return math.Min(g.pace, s.limit(g)/float64(s.set.Senders)) * g.share
+		return math.Min(g.pace, s.limit(g)/float64(s.set.FleetSize)) * g.share
 	}
 	return g.pace
 }
 
 // touch has a destination looked at again by the next dispatch.
-func (s *Sender) touch(d *dest) { d.opens = 0 }
+func (s *Engine) touch(d *dest) { d.opens = 0 }
 
 // doubtful tells whether a route of the gate is in doubt.
 func (g *gate) doubtful() bool {
@@ -330,9 +330,9 @@
 }
 
 // drop forgets a route. Calls still out keep it alive until their outcomes.
-func (s *Sender) drop(r *route) {
-	r.Gone = true
-	delete(s.routes, r.Route)
+func (s *Engine) drop(r *route) {
+	r.Removed = true
+	delete(s.routes, r.ID)
 	g := r.gate
 	if r.cold {
 		g.coldLeft = s.now
@@ -347,25 +347,25 @@
 	}
 }
 
-func (s *Sender) add(l Listing) {
+func (s *Engine) add(l Endpoint) {
 	d := s.destination(l.Destination)
-	r := &route{Listing: l, lot: s.rng.Uint64()}
-	s.routes[l.Route] = r
-	separate := l.Kind >= 0 && l.Kind < len(s.set.Kinds) && s.set.Kinds[l.Kind].Separate
+	r := &route{Endpoint: l, lot: s.rng.Uint64()}
+	s.routes[l.ID] = r
+	separate := l.Kind >= 0 && l.Kind < len(s.set.DestinationKinds) && s.set.DestinationKinds[l.Kind].LimitPerEndpoint
 	if separate || len(d.gates) == 0 {
 		d.gates = append(d.gates, &gate{dest: d, separate: separate, kind: l.Kind, tokens: 1, tokensAt: s.now,
 			coldLeft: math.MinInt64 / 2})
-		if l.Again {
+		if l.Relisted {
 			// As if it had stood here since. Guards against a first message that waits as at a start each time that it is told of again.
 			d.gates[len(d.gates)-1].tokensAt = s.began
 		}
 	}
-	r.Again = false
+	r.Relisted = false
 	r.gate = d.gates[len(d.gates)-1]
 	r.gate.routes = append(r.gate.routes, r)
 }
 
-func (s *Sender) destination(id int) *dest {
+func (s *Engine) destination(id int) *dest {
 	d := s.dests[id]
 	if d == nil {
 		d = &dest{id: id}
@@ -384,7 +384,7 @@
 	return min(time.Hour, time.Duration(float64(time.Second)/rate))
 }
 
-func (s *Sender) enqueue(m *message) {
+func (s *Engine) enqueue(m *message) {
 	d := m.dest
 	i := sort.Search(len(d.queue), func(i int) bool { return before(m, d.queue[i]) })
 	d.queue = slices.Insert(d.queue, i, m)
@@ -396,7 +396,7 @@
 	}
 }
 
-func (s *Sender) unqueue(m *message) {
+func (s *Engine) unqueue(m *message) {
 	if !m.queued {
 		return
 	}
@@ -419,7 +419,7 @@
 }
 
 // over ends a message that needs no answer of ours.
-func (s *Sender) over(m *message) {
+func (s *Engine) over(m *message) {
 	if !m.ended {
 		m.ended = true
 		s.held--
@@ -429,7 +429,7 @@
 }
 
 // forget drops an ended message once its attempts have their outcomes, and passes its turn on.
-func (s *Sender) forget(m *message) {
+func (s *Engine) forget(m *message) {
 	if !m.ended || len(m.out) > 0 {
 		return
 	}
@@ -449,7 +449,7 @@
 }
 
 // unpark forgets turns whose line is empty and whose rest is over.
-func (s *Sender) unpark() {
+func (s *Engine) unpark() {
 	for len(s.parked) > 0 && s.parked[0].rest <= s.now {
 		t := s.parked[0]
 		s.parked = s.parked[1:]
@@ -504,17 +504,17 @@
 	return first
 }
 
-func (s *Sender) act(a Action) { s.acts = append(s.acts, a) }
+func (s *Engine) act(a Action) { s.acts = append(s.acts, a) }
 
 // wake asks to be woken at t, if nothing earlier is asked for.
-func (s *Sender) wake(t time.Duration) {
+func (s *Engine) wake(t time.Duration) {
 	if t < math.MaxInt64 && (s.wantWake == 0 || t < s.wantWake) {
 		s.wantWake = t
 	}
 }
 
 // lastSecond is the rate of calls in the last second.
-func (s *Sender) lastSecond(g *gate) float64 {
+func (s *Engine) lastSecond(g *gate) float64 {
 	i := 0
 	for i < len(g.sent) && g.sent[i] <= s.now-time.Second {
 		i++
@@ -527,7 +527,7 @@
 func fade(since, span time.Duration) float64 { return math.Exp(-float64(since) / float64(span)) }
 
 // rate is the mean rate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
-func (s *Sender) rate(g *gate) float64 {
+func (s *Engine) rate(g *gate) float64 {
 	if g.doubtful() {
 		return g.got
 	}
@@ -535,7 +535,7 @@
 }
 
 // count adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
-func (s *Sender) count(g *gate) {
+func (s *Engine) count(g *gate) {
 	since := (s.now - g.gotAt).Seconds()
 	if g.doubtful() && g.got > 0 {
 		since = min(since, 1/g.got)
@@ -544,20 +544,20 @@
 }
 
 // tally counts a message that was handed in.
-func (s *Sender) tally() {
+func (s *Engine) tally() {
 	b := &s.taken
 	b.level, b.at = b.level*fade(s.now-b.at, takenSpan)+1, s.now
 }
 
 // refill adds to a gate's tokens what its pace has earned, up to one and a burst.
-func (s *Sender) refill(g *gate) {
+func (s *Engine) refill(g *gate) {
 	g.tokens = math.Min(1+s.burst(g), g.tokens+s.own(g)*(s.now-g.tokensAt).Seconds())
 	g.tokensAt = s.now
 }
 
 // report notes what a route's destination told of its limit.
-func (s *Sender) report(r *route, rep Report) {
-	if rep.Told && rep.Limit > 0 {
+func (s *Engine) report(r *route, rep LimitReport) {
+	if rep.Present && rep.Limit > 0 {
 		r.gate.limit = rep.Limit
 		if least := s.least[r.Kind]; least == 0 || rep.Limit < least {
 			s.least[r.Kind] = rep.Limit
@@ -566,7 +566,7 @@
 }
 
 // detach takes the attempt of an outcome off its message; nil if it is not known.
-func (s *Sender) detach(m *message, n int) *call {
+func (s *Engine) detach(m *message, n int) *call {
 	if m == nil {
 		return nil
 	}
@@ -580,7 +580,7 @@
 }
 
 // join puts a message at the end of its key's line.
-func (s *Sender) join(m *message, key string) {
+func (s *Engine) join(m *message, key string) {
 	t := s.turns[key]
 	if t == nil {
 		t = &turn{key: key}
@@ -591,7 +591,7 @@
 }
 
 // begin books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
-func (s *Sender) begin(c *call) {
+func (s *Engine) begin(c *call) {
 	g := c.r.gate
 	s.slots++
 	g.out++
@@ -609,7 +609,7 @@
 }
 
 // end books a call whose last outcome is in.
-func (s *Sender) end(c *call) {
+func (s *Engine) end(c *call) {
 	s.slots--
 	c.r.gate.out--
 	c.r.calls = slices.DeleteFunc(c.r.calls, func(x *call) bool { return x == c })
@@ -624,19 +624,19 @@
 	if len(set.Classes) == 0 {
 		return errors.New("policy: settings name no class")
 	}
-	if min(set.Senders, set.Slots, set.MaxHeld, set.MaxAttempts) < 0 {
+	if min(set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts) < 0 {
 		return errors.New("policy: settings hold a negative count")
 	}
-	if set.Senders > sendersMost {
-		return fmt.Errorf("policy: settings name %d senders, %d at most", set.Senders, sendersMost)
+	if set.FleetSize > sendersMost {
+		return fmt.Errorf("policy: settings name %d senders, %d at most", set.FleetSize, sendersMost)
 	}
-	least := min(set.MaxRetryAfter, set.WarmWithin, set.OverloadWindow, set.OrderPause)
-	sum := set.ColdShare + set.OverloadFactor
+	least := min(set.MaxRetryAfter, set.WarmUpDuration, set.OverloadWindow, set.OrderingPause)
+	sum := set.WarmUpInitialCapacity + set.OverloadFactor
 	for _, c := range set.Classes {
-		least = min(least, c.Window, c.Aim, c.GiveUp)
-		sum += c.Value
+		least = min(least, c.DedupWindow, c.LatencyObjective, c.Deadline)
+		sum += c.Weight
 	}
-	for _, c := range set.Customers {
+	for _, c := range set.Tenants {
 		sum += c.Quota
 	}
 	if least < 0 {
