--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -231,13 +231,13 @@
 
 func stored(id uint32, dest int, deadline time.Time, payload []byte) *journal.Message {
 	return &journal.Message{
-		ID: id, Trace: fmt.Sprintf("%016x", id), Key: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id), Service: "order", Dest: dest, Deadline: deadline, Body: payload,
+		ID: id, TraceID: fmt.Sprintf("%016x", id), IdempotencyKey: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id), ClassName: "order", Destination: dest, Deadline: deadline, Body: payload,
 	}
 }
 
 // fill puts n messages to dests destinations into the journal of a folder.
 func fill(folder string, n, dests int) error {
-	j, _, err := journal.OpenFolder(folder, journal.Options{Limit: room(n), Bodies: 1})
+	j, _, err := journal.OpenFolder(folder, journal.Options{Limit: room(n), MaxBodyBytes: 1})
 	if err != nil {
 		return err
 	}
@@ -288,7 +288,7 @@
 		add(disk, n, size)
 		before := live()
 		began := time.Now()
-		j, found, err := journal.OpenFolder(folder, journal.Options{Limit: room(n), Bodies: 1})
+		j, found, err := journal.OpenFolder(folder, journal.Options{Limit: room(n), MaxBodyBytes: 1})
 		if err != nil {
 			return nil, err
 		}
@@ -308,7 +308,7 @@
 				return nil, errors.Join(err, j.Close())
 			}
 			old = append(old, m)
-			j.End(old[i])
+			j.Remove(old[i])
 			if err := j.Flush(); err != nil {
 				return nil, errors.Join(err, j.Close())
 			}
@@ -330,7 +330,7 @@
 	sync := measured(capacity.JournalSync, "messages in a commit", capacity.Seconds)
 	for _, n := range []int{1, 10, 100} {
 		folder := filepath.Join(b.folder, fmt.Sprint("sync", n))
-		j, _, err := journal.OpenFolder(folder, journal.Options{Limit: 256e6, Sync: store.SyncCommit, Bodies: 1})
+		j, _, err := journal.OpenFolder(folder, journal.Options{Limit: 256e6, Sync: store.SyncCommit, MaxBodyBytes: 1})
 		if err != nil {
 			return nil, err
 		}
@@ -414,9 +414,9 @@
 	return append(list(join, pages, lent), costs...), err
 }
 
-func newSeam(n int, rights bool) *agent.Seam {
+func newSeam(n int, rights bool) *agent.Agent {
 	s := agent.New(agent.Settings{
-		Self: "n0", Life: loadreport.Life{Incarnation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: rights, Senders: 8,
+		Self: "n0", Incarnation: loadreport.Incarnation{Generation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: rights, FleetSize: 8,
 	})
 	s.Step(time.Second, agent.Input{})
 	s.Step(2*time.Second, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: routes(n, served)}}})
@@ -431,9 +431,9 @@
 		for dest := range n {
 			evs = append(evs, policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(at.Milliseconds())*10_000 + uint32(dest), Destination: dest})
 		}
-		for _, p := range s.Step(at, agent.Input{Events: evs}).Told {
-			for _, c := range p.Cells {
-				seen[c.Dest] = true
+		for _, p := range s.Step(at, agent.Input{Events: evs}).Published {
+			for _, c := range p.Scopes {
+				seen[c.Destination] = true
 			}
 		}
 	}
@@ -441,4 +441,4 @@
 }
 
 // lentOf is of how many of n destinations with a limit a member's book has an account.
-func lentOf(n int) int { return len(newSeam(n, true).Rights().Accounts) }
+func lentOf(n int) int { return len(newSeam(n, true).Quota().Accounts) }
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -209,7 +209,7 @@
 
 	for _, i := range g.all() {
 		s := g.status(i)
-		if len(s.Refused) > 0 || s.Unread > 0 || s.Twin {
+		if len(s.Rejected) > 0 || s.Unreadable > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s)
 		}
 		g.relays[i].terminate()
@@ -259,21 +259,21 @@
 	for i, addr := range g.listens {
 		join[relayName(i)] = addr
 	}
-	life := loadreport.Life{Incarnation: 1, Boot: 1}
+	life := loadreport.Incarnation{Generation: 1, Boot: 1}
 	liar, err := membership.Start(membership.Config{
-		Name: relayName(3), Listen: g.listens[3], Join: join, Life: life, Log: slog.New(slog.DiscardHandler), Raise: func(uint64) error { return nil },
+		Name: relayName(3), Listen: g.listens[3], Peers: join, Incarnation: life, Log: slog.New(slog.DiscardHandler), SaveIncarnation: func(uint64) error { return nil },
 	})
 	must(t, err)
 	defer liar.Close()
-	page := func(seq uint64, calls float64) []loadreport.Page {
-		return []loadreport.Page{{Name: relayName(3), Life: life, Number: loadreport.PageOf(7), Sequence: seq, Cells: []loadreport.Cell{{Dest: 7, Calls: calls}}}}
+	page := func(seq uint64, calls float64) []loadreport.Report {
+		return []loadreport.Report{{Name: relayName(3), Incarnation: life, Number: loadreport.ReportNumber(7), Sequence: seq, Scopes: []loadreport.ScopeLoad{{Destination: 7, Calls: calls}}}}
 	}
-	liar.Tell(page(1, 3))
+	liar.Publish(page(1, 3))
 	eventually(t, "an honest page is taken", func() bool { _, age := g.sees(0, 3); return age >= 0 })
 	for seq := uint64(2); ; seq++ {
-		liar.Tell(page(seq, 90_000)) // of a destination that takes 500
+		liar.Publish(page(seq, 90_000)) // of a destination that takes 500
 		time.Sleep(50 * time.Millisecond)
-		if s := g.status(0); s.Status != nil && s.Refused[loadreport.Absurd] > 0 {
+		if s := g.status(0); s.Status != nil && s.Rejected[loadreport.OutOfRange] > 0 {
 			break
 		}
 		if seq > 200 {
@@ -305,7 +305,7 @@
 	eventually(t, "a taken port is told", func() bool { s := g.status(0); return !s.Up && strings.Contains(s.Why, "in use") })
 	g.relays[0].take("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
-	eventually(t, "a stranger is kept out", func() bool { return g.status(1).Status != nil && g.status(1).Strangers > 0 })
+	eventually(t, "a stranger is kept out", func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 })
 	taken.Close()
 	g.hears([]int{0, 1}, []int{0, 1})
 	for _, i := range []int{0, 1} {
@@ -324,23 +324,23 @@
 	g.start(g.all()...)
 	g.traffic()
 	g.hears(g.all(), g.all())
-	life := func(i, j int) loadreport.Life {
+	life := func(i, j int) loadreport.Incarnation {
 		s := g.status(i)
 		if s.Status == nil {
-			return loadreport.Life{}
+			return loadreport.Incarnation{}
 		}
 		if i == j {
-			return s.Life
+			return s.Incarnation
 		}
 		for _, m := range s.Members {
 			if m.Name == relayName(j) {
-				return m.Life
+				return m.Incarnation
 			}
 		}
-		return loadreport.Life{}
+		return loadreport.Incarnation{}
 	}
 	// known waits until the others hold the life that relay 0 has, and returns it.
-	known := func(what string, after loadreport.Life) (now loadreport.Life) {
+	known := func(what string, after loadreport.Incarnation) (now loadreport.Incarnation) {
 		t.Helper()
 		eventually(t, what, func() bool {
 			now = life(0, 0)
@@ -355,8 +355,8 @@
 		g.relays[0].kill()
 		g.start(0)
 	}
-	last := known("the newest life is heard", loadreport.Life{})
-	if last.Incarnation != 51 {
+	last := known("the newest life is heard", loadreport.Incarnation{})
+	if last.Generation != 51 {
 		t.Errorf("after fifty restarts the life is %v", last)
 	}
 	g.relays[0].kill()
@@ -375,6 +375,6 @@
 	twin.start(0)
 	twin.traffic()
 	// A relay whose link is not up yet has no status to tell.
-	silent := func(g *rig) bool { s := g.status(0); return s.Status != nil && s.Twin }
+	silent := func(g *rig) bool { s := g.status(0); return s.Status != nil && s.NameConflict }
 	eventually(t, "one of two under a name falls silent", func() bool { return silent(g) || silent(twin) })
 }
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -117,7 +117,7 @@
 	must(t, err)
 	for {
 		m := &journal.Message{
-			ID: uint32(taken + 1), Trace: fmt.Sprint("m", taken), Key: "k", Service: "order", Dest: 7, Body: make([]byte, body),
+			ID: uint32(taken + 1), TraceID: fmt.Sprint("m", taken), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
 			Deadline: time.Now().Add(14 * time.Second),
 		}
 		if err := j.Accept(m); errors.Is(err, journal.ErrFull) {
@@ -155,8 +155,8 @@
 			j, found, err := journal.OpenFolder(filepath.Join(r.dir, "state"), journal.Options{Limit: 3e6})
 			must(t, err)
 			defer j.Close()
-			if len(found.Messages) != n || !found.Sound() {
-				t.Errorf("%d messages of %d, sound %v", len(found.Messages), n, found.Sound())
+			if len(found.Messages) != n || !found.Intact() {
+				t.Errorf("%d messages of %d, sound %v", len(found.Messages), n, found.Intact())
 			}
 		})
 	}
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -41,15 +41,15 @@
 	withdrawn, decided, mayRun, doubtful := 0, 0, 0, 0
 	for _, m := range rec.Messages {
 		switch {
-		case m.Withdrawn:
+		case m.Cancelled:
 			withdrawn++
 		case m.Final != nil:
 			decided++
 		}
-		if len(m.MayRun) > 0 {
+		if len(m.UncertainAttempts) > 0 {
 			mayRun++
 		}
-		if m.Doubtful {
+		if m.Uncertain {
 			doubtful++
 		}
 	}
@@ -103,11 +103,11 @@
 	for _, m := range rec.Messages {
 		if _, err := j.Body(m); err != nil {
 			unread++
-			fmt.Fprintf(s.Out, "message %d (%s): %v\n", m.ID, m.Trace, err)
+			fmt.Fprintf(s.Out, "message %d (%s): %v\n", m.ID, m.TraceID, err)
 		}
 	}
 	tellRecovery(s, rec)
-	if !rec.Sound() || unread > 0 {
+	if !rec.Intact() || unread > 0 {
 		return cli.Exit(exitUnsound)
 	}
 	fmt.Fprintf(s.Out, "sound: %d messages, %d bytes read\n", len(rec.Messages), rec.Store.Bytes())
@@ -130,8 +130,8 @@
 			return err
 		}
 		line := map[string]any{
-			"id": m.ID, "trace": m.Trace, "class": m.Class, "service": m.Service, "customer": m.Customer, "destination": m.Dest, "deadline": m.Deadline.UTC().Format(time.RFC3339Nano),
-			"body_bytes": len(body), "attempts": m.Attempts, "may_have_run": m.MayRun, "withdrawn": m.Withdrawn, "doubtful": m.Doubtful,
+			"id": m.ID, "trace": m.TraceID, "class": m.Class, "service": m.ClassName, "customer": m.Tenant, "destination": m.Destination, "deadline": m.Deadline.UTC().Format(time.RFC3339Nano),
+			"body_bytes": len(body), "attempts": m.Attempts, "may_have_run": m.UncertainAttempts, "withdrawn": m.Cancelled, "doubtful": m.Uncertain,
 		}
 		if m.Final != nil {
 			line["final"] = m.Final
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -41,7 +41,7 @@
 		if !c.Quiet {
 			fmt.Fprintf(s.Out, "%016x: %s, %s of %v, %d bytes in %d chunks: %d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n",
 				rec.ID, res.Meta.Name, revisions(res), (res.To - res.From).Round(time.Millisecond), len(rec.Data), res.Chunks, res.Steps, res.Events,
-				res.Actions, res.Cleared, res.States, float64(res.Events)/took.Seconds())
+				res.Actions, res.SendChecks, res.States, float64(res.Events)/took.Seconds())
 		}
 		if res.Difference != nil {
 			differs = true
@@ -126,7 +126,7 @@
 		return err
 	}
 	for _, rec := range found {
-		path := filepath.Join(c.Out, fmt.Sprintf("%s-%016x%s", filepath.Base(filepath.Clean("/"+rec.Meta.Name)), rec.ID, flightrecorder.Ext))
+		path := filepath.Join(c.Out, fmt.Sprintf("%s-%016x%s", filepath.Base(filepath.Clean("/"+rec.Meta.Name)), rec.ID, flightrecorder.FileExtension))
 		f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return err
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -58,7 +58,7 @@
 	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
 	var paths []string
 	eventually(t, "a recording", func() bool {
-		paths, _ = filepath.Glob(filepath.Join(dir, "n0-*-sigusr1"+flightrecorder.Ext))
+		paths, _ = filepath.Glob(filepath.Join(dir, "n0-*-sigusr1"+flightrecorder.FileExtension))
 		return len(paths) == 1
 	})
 	r.kill()
--- a/cmd/cherrytrestle/replay_test.go
+++ b/cmd/cherrytrestle/replay_test.go
@@ -25,7 +25,7 @@
 		if len(res.Lost) > 0 {
 			return fmt.Errorf("replay: lost %q", res.Lost)
 		}
-		beside += res.Beside
+		beside += res.FleetSteps
 	}
 	if beside == 0 {
 		return fmt.Errorf("replay: no step beside the module's among %d recordings", len(found))
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -29,11 +29,11 @@
 }
 
 // standing is what a relay says of its only limit.
-func (g *rig) standing(i int) quota.Standing {
-	if s := g.status(i); len(s.Rights) == 1 {
-		return s.Rights[0]
+func (g *rig) standing(i int) quota.ScopeStatus {
+	if s := g.status(i); len(s.Quota) == 1 {
+		return s.Quota[0]
 	}
-	return quota.Standing{}
+	return quota.ScopeStatus{}
 }
 
 // most is the greatest number of calls that came in any span.
@@ -87,9 +87,9 @@
 		eventually(t, what, func() bool { return rate(2*time.Second) > 0.65*takes })
 	}
 	agree := func() string {
-		keeper := g.standing(1).Keeper
+		keeper := g.standing(1).LeaseHolder
 		for _, i := range g.all() {
-			if g.standing(i).Keeper != keeper {
+			if g.standing(i).LeaseHolder != keeper {
 				return ""
 			}
 		}
@@ -105,7 +105,7 @@
 	if k := index(agree()); k > 0 { // stopped for more than three leases
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
 		shared("another keeper, the first being stopped")
-		time.Sleep(3 * quota.Lease)
+		time.Sleep(3 * quota.LeaseDuration)
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGCONT))
 		shared("the first one is back")
 	}
@@ -125,7 +125,7 @@
 
 	// What may be saved up: a call and a half by each, what the keeper saves, and what was given within the time that a right is valid.
 	const span = 10 * time.Second
-	saved := 1.5*n + 0.3*takes + takes*quota.Valid.Seconds()
+	saved := 1.5*n + 0.3*takes + takes*quota.GrantTTL.Seconds()
 	if most := h.most(span); float64(most) > takes*span.Seconds()+saved {
 		t.Errorf("%d calls in %v, of a host that takes %g a second", most, span, takes)
 	}
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -45,19 +45,19 @@
 	g.traffic()
 	g.hears(g.all(), g.all())
 	swap := func(i int, program string) {
-		before := g.status(i).Life.Incarnation
+		before := g.status(i).Incarnation.Generation
 		g.relays[i].terminate()
 		g.relays[i].program = program
 		g.start(i)
 		g.hears(g.all(), g.all())
-		if now := g.status(i).Life.Incarnation; now != before+1 {
+		if now := g.status(i).Incarnation.Generation; now != before+1 {
 			t.Errorf("relay %d begins life %d after %d", i, now, before)
 		}
 	}
 	swap(1, "")    // over
 	swap(2, older) // and back
 	for _, i := range g.all() {
-		if s := g.status(i); s.Unread+s.Newer > 0 || len(s.Refused) > 0 || s.Twin {
+		if s := g.status(i); s.Unreadable+s.Newer > 0 || len(s.Rejected) > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -18,23 +18,23 @@
 
 // Every answer of the second address: status, type and body, with every figure that there is.
 func TestGoldenAnswers(t *testing.T) {
-	var counted metrics.Figures
-	for i, end := range []metrics.End{metrics.Completed, metrics.Rejected, metrics.Failed} {
+	var counted metrics.Registry
+	for i, end := range []metrics.Result{metrics.Completed, metrics.Rejected, metrics.Failed} {
 		for range i + 1 {
-			counted.Ended("order", end)
+			counted.CountResult("order", end)
 		}
 	}
-	counted.Upstream.Store(11)
+	counted.UpstreamRequests.Store(11)
 	counted.Reloads.Store(12)
 	counted.ReloadErrors.Store(13)
 	counted.Pending.Store(14)
 	counted.Members.Store(15)
-	counted.Unavailable.Store(16)
+	counted.UnavailableMembers.Store(16)
 	ready := true
 	var member fleet.Member
 	server := Server{
 		Ready:   func() bool { return ready },
-		Figures: func(w io.Writer) { counted.WriteTo(w) },
+		Metrics: func(w io.Writer) { counted.WriteTo(w) },
 		Fleet:   member.Write, Log: slog.New(slog.DiscardHandler),
 	}
 	var text strings.Builder
--- a/internal/admin/manage.go
+++ b/internal/admin/manage.go
@@ -29,7 +29,7 @@
 	// Ready tells whether the process is ready to serve. It may be called from many goroutines at once and must not wait.
 	Ready func() bool
 	// Figures writes the process's figures. The same holds for it.
-	Figures func(io.Writer)
+	Metrics func(io.Writer)
 	// Fleet writes what this process sees of its fleet, as JSON; nil: it belongs to none. The same holds for it.
 	Fleet func(io.Writer) error
 	Log   *slog.Logger
@@ -47,7 +47,7 @@
 	})
 	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		s.Figures(w)
+		s.Metrics(w)
 	})
 	if s.Fleet != nil {
 		mux.HandleFunc("GET /v1/fleet", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/capacity/hollow/faults.go
+++ b/internal/capacity/hollow/faults.go
@@ -27,7 +27,7 @@
 	share := func(members []*member) float64 {
 		parted := 0.0
 		for _, m := range members {
-			if m.real.Alive() == len(members) {
+			if m.real.AliveCount() == len(members) {
 				parted++
 			}
 		}
@@ -54,7 +54,7 @@
 	for len(known) < len(members) && time.Since(began) < f.opt.For {
 		time.Sleep(lookEvery)
 		for i, m := range members {
-			if !seen[i] && m.real.Alive() == alive {
+			if !seen[i] && m.real.AliveCount() == alive {
 				seen[i] = true
 				known = append(known, time.Since(began).Seconds())
 			}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -133,8 +133,8 @@
 			return nil, errors.Join(fmt.Errorf("hollow: %w", err), f.Close())
 		}
 		m.real = fleet.New(fleet.Config{
-			Name: memberName(i), Listen: f.net.all[i].addr, Join: join, Folder: state, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: opt.Rights,
-			Senders: opt.Members, Clock: m.clock, Log: slog.New(slog.DiscardHandler), Nudge: m.nudge, Transport: f.net.all[i],
+			Name: memberName(i), Listen: f.net.all[i].addr, Peers: join, Folder: state, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: opt.Rights,
+			FleetSize: opt.Members, Clock: m.clock, Log: slog.New(slog.DiscardHandler), RequestStep: m.nudge, Transport: f.net.all[i],
 		})
 		own, end := context.WithCancel(ctx)
 		m.end = end
@@ -142,7 +142,7 @@
 		f.works.Go(func() { m.real.Run(own) })
 		f.works.Go(func() { m.loop(own) })
 	}
-	for end := time.Now().Add(joinFor); slices.ContainsFunc(f.members, func(m *member) bool { return m.real.Alive() < opt.Members }); time.Sleep(lookEvery) {
+	for end := time.Now().Add(joinFor); slices.ContainsFunc(f.members, func(m *member) bool { return m.real.AliveCount() < opt.Members }); time.Sleep(lookEvery) {
 		if time.Now().After(end) {
 			return nil, errors.Join(errors.New("hollow: not all become members"), f.Close())
 		}
@@ -191,8 +191,8 @@
 	if w == nil {
 		return
 	}
-	for _, p := range rec.Heard {
-		if p.Name == w.from && slices.ContainsFunc(p.Cells, func(c loadreport.Cell) bool { return c.Dest == m.fleet.changed() && c.Wait > 0 }) {
+	for _, p := range rec.Received {
+		if p.Name == w.from && slices.ContainsFunc(p.Scopes, func(c loadreport.ScopeLoad) bool { return c.Destination == m.fleet.changed() && c.RetryAfter > 0 }) {
 			w.mu.Lock()
 			if _, before := w.known[m.number]; !before {
 				w.known[m.number] = time.Since(w.at)
--- a/internal/capacity/hollow/list.go
+++ b/internal/capacity/hollow/list.go
@@ -15,7 +15,7 @@
 func Seam(destinations int, shares bool) Reading {
 	before := heap()
 	s := agent.New(agent.Settings{
-		Self: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Members: []string{"a", "b"}, Kinds: []policy.DestinationKind{{MaxBatch: 1}}, Rights: shares, Senders: 2,
+		Self: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Members: []string{"a", "b"}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: shares, FleetSize: 2,
 	})
 	now := time.Second
 	step := func(e ...policy.Event) float64 {
--- a/internal/capacity/hollow/rights.go
+++ b/internal/capacity/hollow/rights.go
@@ -43,7 +43,7 @@
 
 // station is a hollow member as the real one knows it.
 type station struct {
-	life loadreport.Life
+	life loadreport.Incarnation
 	seq  uint64
 	at   time.Duration // when it lends next
 }
@@ -56,7 +56,7 @@
 
 func (p *post) pass(from string, boot uint32, now time.Duration, m quota.Message) (quota.Message, error) {
 	w := codec.Message{From: from, Boot: boot, Clock: now.Microseconds()}
-	w.SetRights(m)
+	w.SetQuotaMessage(m)
 	data, err := p.codec.Encode(w)
 	if err != nil {
 		return m, err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return m, err
 	}
-	return r.RightsMessage(), nil
+	return r.QuotaMessage(), nil
 }
 
 func rightsOf(c *codec.Codec, members, destinations int, limit float64, self int) (map[string]float64, error) {
@@ -78,7 +78,7 @@
 	for i := range members {
 		names = append(names, memberName(i))
 		stations[memberName(i)] = &station{
-			life: loadreport.Life{Incarnation: 1, Boot: uint32(i + 1)}, at: time.Duration(rng.Int64N(int64(renewEvery))),
+			life: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, at: time.Duration(rng.Int64N(int64(renewEvery))),
 		}
 	}
 	me, life := names[self], stations[names[self]].life
@@ -88,7 +88,7 @@
 	}
 	part := limit / float64(members)
 	before := heap()
-	b := quota.New(0, quota.Settings{Self: me, Life: life, Members: names, Senders: members})
+	b := quota.New(0, quota.Settings{Self: me, Incarnation: life, Members: names, FleetSize: members})
 	b.SetLimits(0, limits)
 	sent, heard := &post{codec: c}, &post{codec: c}
 	values := map[string]float64{}
@@ -105,30 +105,30 @@
 		used += spent(func() { told, _ = b.Step(now) })
 		var answers []quota.Message
 		for _, m := range told {
-			loans += len(m.Loans)
+			loans += len(m.Leases)
 			var got quota.Message
 			used += spent(func() { got, err = sent.pass(me, life.Boot, now, m) }) // with the reading, which is another's: as much as the writing of an answer
 			if err != nil {
 				return nil, fmt.Errorf("hollow: %w", err)
 			}
-			if s := stations[m.Member]; got.Ping || got.New || len(got.Loans)+len(got.Asks) > 0 {
+			if s := stations[m.Member]; got.Ping || got.AsksForLeases || len(got.Leases)+len(got.Requests) > 0 {
 				s.seq++
-				answers = append(answers, quota.Message{Member: m.Member, Life: s.life, Seq: s.seq, Seen: m.Seq, Of: life, None: got.New})
+				answers = append(answers, quota.Message{Member: m.Member, Incarnation: s.life, Seq: s.seq, AckedSeq: m.Seq, AckedIncarnation: life, HoldsNoLease: got.AsksForLeases})
 			}
 		}
-		var mine []quota.Loan
-		for _, st := range b.Standings(now) {
-			if st.Keeper == me {
-				mine = append(mine, quota.Loan{Scope: quota.Scope{Dest: st.Dest}, Rate: (1 - quota.Kept) * part})
+		var mine []quota.Lease
+		for _, st := range b.Status(now) {
+			if st.LeaseHolder == me {
+				mine = append(mine, quota.Lease{Scope: quota.Scope{Destination: st.Destination}, Rate: (1 - quota.ReservedFraction) * part})
 			}
 		}
 		for _, name := range names {
-			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 && now > quota.Lease+quota.Margin {
+			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 && now > quota.LeaseDuration+quota.LeaseMargin {
 				s.at = now + renewEvery
 				for rest := mine; len(rest) > 0; {
 					n := min(len(rest), 24)
 					s.seq++
-					answers = append(answers, quota.Message{Member: name, Life: s.life, Seq: s.seq, Of: life, Loans: rest[:n]})
+					answers = append(answers, quota.Message{Member: name, Incarnation: s.life, Seq: s.seq, AckedIncarnation: life, Leases: rest[:n]})
 					rest = rest[n:]
 				}
 			}
@@ -136,8 +136,8 @@
 		for _, m := range answers {
 			used += spent(func() {
 				var got quota.Message
-				if got, err = heard.pass(m.Member, m.Life.Boot, now, m); err == nil {
-					b.Hear(now, got)
+				if got, err = heard.pass(m.Member, m.Incarnation.Boot, now, m); err == nil {
+					b.Receive(now, got)
 				}
 			})
 			if err != nil {
@@ -152,9 +152,9 @@
 	values["processor_ms_per_s"] = float64(used.Microseconds()) / 1000 / s
 	after := heap()
 	values["memory_bytes"] = float64(after - min(before, after))
-	keeps, shared := 0, b.Standings(settle+window)
+	keeps, shared := 0, b.Status(settle+window)
 	for _, st := range shared {
-		if st.Keeper == me {
+		if st.LeaseHolder == me {
 			keeps++
 		}
 	}
--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -39,14 +39,14 @@
 		{"recorder.folder_mb", f.Recorder.FolderMB, 96.0},
 		{"journal.sync", o.Sync, store.SyncInterval},
 		{"journal.sync_interval_ms", o.Interval, 250 * time.Millisecond},
-		{"journal.bodies_mb", o.Bodies, int64(13_107_200)},
+		{"journal.bodies_mb", o.MaxBodyBytes, int64(13_107_200)},
 		{"fleet.enabled", f.Fleet.Enabled, true},
 		{"fleet.name", f.Fleet.Name, "relay-7"},
 		{"fleet.label", f.Fleet.Label, "north"},
 		{"fleet.listen", f.Fleet.Listen, "10.0.0.7:7946"},
-		{"fleet.rights", f.Fleet.Rights, true},
-		{"fleet.join.relay-7", f.Fleet.Join["relay-7"], "10.0.0.7:7946"},
-		{"fleet.join.relay-8", f.Fleet.Join["relay-8"], "10.0.0.8:7947"},
+		{"fleet.rights", f.Fleet.ShareQuota, true},
+		{"fleet.join.relay-7", f.Fleet.Peers["relay-7"], "10.0.0.7:7946"},
+		{"fleet.join.relay-8", f.Fleet.Peers["relay-8"], "10.0.0.8:7947"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s is %v, want %v", c.key, c.got, c.want)
--- a/internal/config/operatorfile/operator.go
+++ b/internal/config/operatorfile/operator.go
@@ -31,12 +31,12 @@
 
 // Fleet says whether the relay and others of its fleet tell each other of themselves, and where.
 type Fleet struct {
-	Enabled bool              `toml:"enabled"`
-	Name    string            `toml:"name"`   // of this relay among them; default: the one that the platform gives it
-	Label   string            `toml:"label"`  // of the fleet: relays of another one are not heard
-	Listen  string            `toml:"listen"` // IP and port, for TCP and UDP
-	Join    map[string]string `toml:"join"`   // addresses of all by their names, as this relay reaches them; its own is passed over
-	Rights  bool              `toml:"rights"` // what destinations take from all is shared by who needs it
+	Enabled    bool              `toml:"enabled"`
+	Name       string            `toml:"name"`   // of this relay among them; default: the one that the platform gives it
+	Label      string            `toml:"label"`  // of the fleet: relays of another one are not heard
+	Listen     string            `toml:"listen"` // IP and port, for TCP and UDP
+	Peers      map[string]string `toml:"join"`   // addresses of all by their names, as this relay reaches them; its own is passed over
+	ShareQuota bool              `toml:"rights"` // what destinations take from all is shared by who needs it
 }
 
 // fleetMost bounds the relays of a fleet that tell each other of themselves.
@@ -44,9 +44,9 @@
 
 // Journal says what outlasts more than the process, and what is kept in memory.
 type Journal struct {
-	Sync       string  `toml:"sync"`             // "never", the default; "interval" or "commit": what outlasts the machine
-	IntervalMS float64 `toml:"sync_interval_ms"` // default 1000; 10 to 60000
-	BodiesMB   float64 `toml:"bodies_mb"`        // of bodies kept in memory, the others are read from disk; 0: all are kept
+	Sync        string  `toml:"sync"`             // "never", the default; "interval" or "commit": what outlasts the machine
+	IntervalMS  float64 `toml:"sync_interval_ms"` // default 1000; 10 to 60000
+	MaxBodiesMB float64 `toml:"bodies_mb"`        // of bodies kept in memory, the others are read from disk; 0: all are kept
 }
 
 var syncPolicies = map[string]store.SyncPolicy{"never": store.SyncNever, "interval": store.SyncInterval, "commit": store.SyncCommit}
@@ -54,7 +54,7 @@
 // Options are those of a journal that may take limit bytes.
 func (j Journal) Options(limit int64) journal.Options {
 	return journal.Options{
-		Limit: limit, Sync: syncPolicies[j.Sync], Interval: time.Duration(j.IntervalMS * float64(time.Millisecond)), Bodies: int64(j.BodiesMB * (1 << 20)),
+		Limit: limit, Sync: syncPolicies[j.Sync], Interval: time.Duration(j.IntervalMS * float64(time.Millisecond)), MaxBodyBytes: int64(j.MaxBodiesMB * (1 << 20)),
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	setDefault(&f.Log.Format, "text")
 	setDefault(&f.Log.Level, "info")
-	setDefault(&f.Recorder.RingMB, flightrecorder.DefaultRing>>20)
+	setDefault(&f.Recorder.RingMB, flightrecorder.DefaultRingSize>>20)
 	setDefault(&f.Recorder.Write, WriteKept)
 	setDefault(&f.Recorder.FolderMB, 64)
 	setDefault(&f.Journal.Sync, "never")
@@ -135,7 +135,7 @@
 	_, known := syncPolicies[f.Journal.Sync]
 	bad(known, `journal.sync is %q, not "never", "interval" or "commit"`, f.Journal.Sync)
 	bad(f.Journal.IntervalMS >= 10 && f.Journal.IntervalMS <= 60000, "journal.sync_interval_ms is %g, not from 10 to 60000", f.Journal.IntervalMS)
-	bad(f.Journal.BodiesMB >= 0 && f.Journal.BodiesMB <= 1<<20, "journal.bodies_mb is %g, not from 0 to 1048576", f.Journal.BodiesMB)
+	bad(f.Journal.MaxBodiesMB >= 0 && f.Journal.MaxBodiesMB <= 1<<20, "journal.bodies_mb is %g, not from 0 to 1048576", f.Journal.MaxBodiesMB)
 	return errors.Join(errs...)
 }
 
@@ -157,14 +157,14 @@
 		at, err := netip.ParseAddrPort(f.Listen)
 		bad(err == nil && at.Port() > 0 && !at.Addr().IsUnspecified(), "listen", "is %q, not an IP address of this machine and a port, such as \"10.0.0.7:7946\"", f.Listen)
 	}
-	bad(!f.Enabled || len(f.Join) > 0, "join", "names nobody: a table of all relays' names and addresses is needed")
-	bad(f.Enabled || !f.Rights, "rights", "needs fleet.enabled = true")
-	bad(len(f.Join) <= fleetMost, "join", "names %d relays, %d at most", len(f.Join), fleetMost)
-	for _, n := range slices.Sorted(maps.Keys(f.Join)) {
+	bad(!f.Enabled || len(f.Peers) > 0, "join", "names nobody: a table of all relays' names and addresses is needed")
+	bad(f.Enabled || !f.ShareQuota, "rights", "needs fleet.enabled = true")
+	bad(len(f.Peers) <= fleetMost, "join", "names %d relays, %d at most", len(f.Peers), fleetMost)
+	for _, n := range slices.Sorted(maps.Keys(f.Peers)) {
 		bad(n != "" && named(n), "join."+n, "names %q: 64 bytes at most, without blanks, slashes and quotes", n)
-		host, port, err := net.SplitHostPort(f.Join[n])
+		host, port, err := net.SplitHostPort(f.Peers[n])
 		number, portErr := strconv.ParseUint(port, 10, 16)
-		bad(err == nil && host != "" && portErr == nil && number > 0, "join."+n, "is %q, not an address and a port, such as \"10.0.0.8:7946\"", f.Join[n])
+		bad(err == nil && host != "" && portErr == nil && number > 0, "join."+n, "is %q, not an address and a port, such as \"10.0.0.8:7946\"", f.Peers[n])
 	}
 	return errs
 }
--- a/internal/config/reload/terms.go
+++ b/internal/config/reload/terms.go
@@ -13,12 +13,12 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Terms are the settings that a relay and its clients go by.
-type Terms struct {
-	Classes   []string        `json:"Classes"` // names, in the order of Settings.Classes
-	Customers []string        `json:"Customers"`
-	Settings  policy.Settings `json:"Settings"`
-	Shape     Shape           `json:"Shape"` // of the file that they stand in
+// Config are the settings that a relay and its clients go by.
+type Config struct {
+	ClassNames  []string        `json:"Classes"` // names, in the order of Settings.Classes
+	TenantNames []string        `json:"Customers"`
+	Settings    policy.Settings `json:"Settings"`
+	Shape       Shape           `json:"Shape"` // of the file that they stand in
 }
 
 // Shape counts the values of a file by their paths, with * for the number of an entry in a list.
@@ -63,19 +63,19 @@
 	return paths
 }
 
-// Check tells what keeps fresh settings from being taken in the place of old ones. All is told at once.
-func Check(old, fresh Terms) error {
+// Validate tells what keeps fresh settings from being taken in the place of old ones. All is told at once.
+func Validate(old, fresh Config) error {
 	var errs []error
 	if paths := fresh.Shape.missing(old.Shape); len(paths) > 0 {
 		errs = append(errs, fmt.Errorf("keys are missing: %s", strings.Join(paths, ", ")))
 	}
 	set := fresh.Settings
-	if len(set.Classes) == 0 || len(set.Classes) != len(fresh.Classes) {
+	if len(set.Classes) == 0 || len(set.Classes) != len(fresh.ClassNames) {
 		errs = append(errs, errors.New("no class is named"))
 		return errors.Join(errs...)
 	}
-	for i, name := range fresh.Classes {
-		if name == "" || slices.Index(fresh.Classes, name) != i {
+	for i, name := range fresh.ClassNames {
+		if name == "" || slices.Index(fresh.ClassNames, name) != i {
 			errs = append(errs, fmt.Errorf("class %d has no name of its own", i))
 		}
 		if set.Classes[i].Deadline <= 0 {
@@ -91,12 +91,12 @@
 	return errors.Join(errs...)
 }
 
-// Overlap are the terms for the time in which clients may hold to the old ones still, or to the fresh ones already:
+// Transitional are the terms for the time in which clients may hold to the old ones still, or to the fresh ones already:
 // every class of either, those of both by what binds more, and the fewer attempts.
-func Overlap(old, fresh Terms) Terms {
-	t := WithDropped(old, fresh)
-	for i, name := range old.Classes {
-		j := slices.Index(t.Classes, name)
+func Transitional(old, fresh Config) Config {
+	t := KeepRemovedClasses(old, fresh)
+	for i, name := range old.ClassNames {
+		j := slices.Index(t.ClassNames, name)
 		t.Settings.Classes[j] = stricter(old.Settings.Classes[i], t.Settings.Classes[j])
 	}
 	if a, b := old.Settings.MaxAttempts, fresh.Settings.MaxAttempts; a > 0 && b > 0 {
@@ -105,14 +105,14 @@
 	return t
 }
 
-// WithDropped are fresh terms, with the classes that only the old ones name behind their own.
-func WithDropped(old, fresh Terms) Terms {
+// KeepRemovedClasses are fresh terms, with the classes that only the old ones name behind their own.
+func KeepRemovedClasses(old, fresh Config) Config {
 	t := fresh
-	t.Classes = slices.Clone(fresh.Classes)
+	t.ClassNames = slices.Clone(fresh.ClassNames)
 	t.Settings.Classes = slices.Clone(fresh.Settings.Classes)
-	for i, name := range old.Classes {
-		if !slices.Contains(t.Classes, name) {
-			t.Classes = append(t.Classes, name)
+	for i, name := range old.ClassNames {
+		if !slices.Contains(t.ClassNames, name) {
+			t.ClassNames = append(t.ClassNames, name)
 			t.Settings.Classes = append(t.Settings.Classes, old.Settings.Classes[i])
 		}
 	}
@@ -134,9 +134,9 @@
 }
 
 // Equal tells whether two terms bind alike.
-func Equal(a, b Terms) bool {
+func Equal(a, b Config) bool {
 	x, y := a.Settings, b.Settings
-	return slices.Equal(a.Classes, b.Classes) && slices.Equal(a.Customers, b.Customers) && slices.Equal(x.Classes, y.Classes) &&
+	return slices.Equal(a.ClassNames, b.ClassNames) && slices.Equal(a.TenantNames, b.TenantNames) && slices.Equal(x.Classes, y.Classes) &&
 		slices.Equal(x.DestinationKinds, y.DestinationKinds) && slices.Equal(x.Tenants, y.Tenants) && slices.Equal(x.ZoneCosts, y.ZoneCosts) &&
 		x.MaxAttempts == y.MaxAttempts && x.MaxInFlightCalls == y.MaxInFlightCalls && x.MaxPendingMessages == y.MaxPendingMessages && x.FleetSize == y.FleetSize &&
 		maps.Equal(a.Shape, b.Shape)
--- a/internal/config/reload/terms_test.go
+++ b/internal/config/reload/terms_test.go
@@ -10,9 +10,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func some() Terms {
-	return Terms{
-		Classes: []string{"order", "payment"},
+func some() Config {
+	return Config{
+		ClassNames: []string{"order", "payment"},
 		Settings: policy.Settings{MaxAttempts: 8, Classes: []policy.Class{
 			{Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, Deadline: 16 * time.Second, LatencyObjective: time.Second, Weight: 1},
 			{Effect: policy.Idempotent, Deadline: 5 * time.Second, LatencyObjective: time.Second, Weight: 1},
@@ -27,36 +27,36 @@
 
 func TestWhatIsWrongWithFreshTermsIsTold(t *testing.T) {
 	for name, x := range map[string]struct {
-		change func(*Terms)
+		change func(*Config)
 		want   string // "": taken
 	}{
-		"the same":              {func(*Terms) {}, ""},
-		"a class more":          {func(f *Terms) { f.Shape["settings.services.count"] = 1; f.Shape["settings.services.*.name"] = 1 }, ""},
-		"a key that only some":  {func(f *Terms) { delete(f.Shape, "settings.services.*.group") }, ""},
-		"a key more":            {func(f *Terms) { f.Shape["novel"] = 1 }, ""},
-		"no discovery":          {func(f *Terms) { delete(f.Shape, "discovery") }, "missing: discovery"},
-		"a class without a key": {func(f *Terms) { f.Shape["settings.services.*.give_up_ms"] = 1 }, "missing: settings.services.*.give_up_ms"},
-		"no deadline":           {func(f *Terms) { f.Settings.Classes[1].Deadline = 0 }, `"payment": its deadline is not over 0`},
-		"a deadline below 0":    {func(f *Terms) { f.Settings.Classes[0].Deadline = -5 }, `"order": its deadline is not over 0`},
-		"no attempts":           {func(f *Terms) { f.Settings.MaxAttempts = 0 }, "attempts is not over 0"},
-		"attempts below 0":      {func(f *Terms) { f.Settings.MaxAttempts = -1 }, "attempts is not over 0"},
-		"no class":              {func(f *Terms) { f.Settings.Classes, f.Classes = nil, nil }, "no class"},
-		"a name twice":          {func(f *Terms) { f.Classes[1] = "order" }, "class 1 has no name of its own"},
-		"a negative aim":        {func(f *Terms) { f.Settings.Classes[0].LatencyObjective = -1 }, "negative time"},
+		"the same":              {func(*Config) {}, ""},
+		"a class more":          {func(f *Config) { f.Shape["settings.services.count"] = 1; f.Shape["settings.services.*.name"] = 1 }, ""},
+		"a key that only some":  {func(f *Config) { delete(f.Shape, "settings.services.*.group") }, ""},
+		"a key more":            {func(f *Config) { f.Shape["novel"] = 1 }, ""},
+		"no discovery":          {func(f *Config) { delete(f.Shape, "discovery") }, "missing: discovery"},
+		"a class without a key": {func(f *Config) { f.Shape["settings.services.*.give_up_ms"] = 1 }, "missing: settings.services.*.give_up_ms"},
+		"no deadline":           {func(f *Config) { f.Settings.Classes[1].Deadline = 0 }, `"payment": its deadline is not over 0`},
+		"a deadline below 0":    {func(f *Config) { f.Settings.Classes[0].Deadline = -5 }, `"order": its deadline is not over 0`},
+		"no attempts":           {func(f *Config) { f.Settings.MaxAttempts = 0 }, "attempts is not over 0"},
+		"attempts below 0":      {func(f *Config) { f.Settings.MaxAttempts = -1 }, "attempts is not over 0"},
+		"no class":              {func(f *Config) { f.Settings.Classes, f.ClassNames = nil, nil }, "no class"},
+		"a name twice":          {func(f *Config) { f.ClassNames[1] = "order" }, "class 1 has no name of its own"},
+		"a negative aim":        {func(f *Config) { f.Settings.Classes[0].LatencyObjective = -1 }, "negative time"},
 	} {
 		fresh := some()
 		x.change(&fresh)
-		err := Check(some(), fresh)
+		err := Validate(some(), fresh)
 		if x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)) {
 			t.Errorf("%s: %v, not %q", name, err, x.want)
 		}
 	}
 }
 
-func drawTerms(t *rapid.T, label string) Terms {
-	tt := Terms{Settings: policy.Settings{MaxAttempts: rapid.IntRange(1, 9).Draw(t, label+" attempts")}}
+func drawTerms(t *rapid.T, label string) Config {
+	tt := Config{Settings: policy.Settings{MaxAttempts: rapid.IntRange(1, 9).Draw(t, label+" attempts")}}
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID).Draw(t, label) {
-		tt.Classes = append(tt.Classes, name)
+		tt.ClassNames = append(tt.ClassNames, name)
 		tt.Settings.Classes = append(tt.Settings.Classes, policy.Class{
 			Effect:        rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).Draw(t, "effect"),
 			DedupAllZones: rapid.Bool().Draw(t, "all"), Ordered: rapid.Bool().Draw(t, "ordered"),
@@ -81,14 +81,14 @@
 func TestOverlapBindsBoth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, fresh := drawTerms(t, "old"), drawTerms(t, "fresh")
-		both := Overlap(old, fresh)
-		for _, x := range []Terms{old, fresh} {
+		both := Transitional(old, fresh)
+		for _, x := range []Config{old, fresh} {
 			if both.Settings.MaxAttempts > x.Settings.MaxAttempts {
 				t.Fatal("more attempts than one allows")
 			}
-			for i, name := range x.Classes {
+			for i, name := range x.ClassNames {
 				c, found := x.Settings.Classes[i], false
-				for j, other := range both.Classes {
+				for j, other := range both.ClassNames {
 					if other != name {
 						continue
 					}
@@ -110,7 +110,7 @@
 				}
 			}
 		}
-		if len(both.Settings.Classes) != len(both.Classes) {
+		if len(both.Settings.Classes) != len(both.ClassNames) {
 			t.Fatal("classes without names")
 		}
 	})
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -32,7 +32,7 @@
 // A seam restored from a snapshot of an earlier build writes it again.
 func TestGoldenSnapshot(t *testing.T) {
 	set := newSeam().Set
-	set.Rights, set.Senders = true, 20
+	set.ShareQuota, set.FleetSize = true, 20
 	s := New(set)
 	steps := history(t, 1)
 	for i, e := range steps[:300] {
--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -41,25 +41,25 @@
 
 // Settings are what a Seam is made of.
 type Settings struct {
-	Self    string                   `cbor:"Self"`
-	Life    loadreport.Life          `cbor:"Life"`
-	Members []string                 `cbor:"Members"` // that are listed, all of the fleet
-	Kinds   []policy.DestinationKind `cbor:"Kinds"`
-	Rights  bool                     `cbor:"Rights"`  // limits are shared: package rights
-	Senders int                      `cbor:"Senders"` // the told size of the fleet
-}
-
-// Tally counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
-type Tally struct {
-	At         time.Duration `cbor:"At"`
-	Demand     float64       `cbor:"Demand"` // this and the four below are levels: a rate times rateSpan
-	Calls      float64       `cbor:"Calls"`
-	Refusals   float64       `cbor:"Refusals"`
-	Deliveries float64       `cbor:"Deliveries"`
-	Failures   float64       `cbor:"Failures"`
-	Backlog    int           `cbor:"Backlog"`
-	Wait       time.Duration `cbor:"Wait"` // until then
-	Cold       bool          `cbor:"Cold"`
+	Self             string                   `cbor:"Self"`
+	Incarnation      loadreport.Incarnation   `cbor:"Life"`
+	Members          []string                 `cbor:"Members"` // that are listed, all of the fleet
+	DestinationKinds []policy.DestinationKind `cbor:"Kinds"`
+	ShareQuota       bool                     `cbor:"Rights"`  // limits are shared: package rights
+	FleetSize        int                      `cbor:"Senders"` // the told size of the fleet
+}
+
+// ScopeCounter counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
+type ScopeCounter struct {
+	At              time.Duration `cbor:"At"`
+	Demand          float64       `cbor:"Demand"` // this and the four below are levels: a rate times rateSpan
+	Calls           float64       `cbor:"Calls"`
+	Rejections      float64       `cbor:"Refusals"`
+	Deliveries      float64       `cbor:"Deliveries"`
+	Failures        float64       `cbor:"Failures"`
+	Backlog         int           `cbor:"Backlog"`
+	RetryAfterUntil time.Duration `cbor:"Wait"` // until then
+	WarmingUp       bool          `cbor:"Cold"`
 }
 
 type scope struct {
@@ -86,75 +86,75 @@
 	_     struct{} `cbor:",toarray"`
 	At    time.Duration
 	Paid  time.Duration // all tellings until At have had their rests then: GCRA's theoretical time of arrival
-	Cells []loadreport.Cell
+	Cells []loadreport.ScopeLoad
 }
 
 // state is all that a Seam holds beside its ledger.
 type state struct {
-	Set      Settings          `cbor:"Set"`
-	Life     loadreport.Life   `cbor:"Life"`
-	Sequence uint64            `cbor:"Sequence"`
-	Tallies  map[scope]*Tally  `cbor:"Tallies"`
-	Routes   map[string]listed `cbor:"Routes"`
-	Held     map[uint32]held   `cbor:"Held"`
-	Told     map[int]toldPage  `cbor:"Told"`
-	LookAt   time.Duration     `cbor:"LookAt"`
-	Rest     time.Duration     `cbor:"Rest"` // of a page between two tellings, as of RestAt
-	RestAt   time.Duration     `cbor:"RestAt"`
-	SweepAt  time.Duration     `cbor:"SweepAt"`
-	Pages    []loadreport.Page `cbor:"Pages"` // of the ledger, in snapshots
-	Book     *quota.Book       `cbor:"Book"`  // in snapshots
-	Now      time.Duration     `cbor:"Now"`
-}
-
-// Seam is a member's.
-type Seam struct {
+	Set      Settings                `cbor:"Set"`
+	Life     loadreport.Incarnation  `cbor:"Life"`
+	Sequence uint64                  `cbor:"Sequence"`
+	Tallies  map[scope]*ScopeCounter `cbor:"Tallies"`
+	Routes   map[string]listed       `cbor:"Routes"`
+	Held     map[uint32]held         `cbor:"Held"`
+	Told     map[int]toldPage        `cbor:"Told"`
+	LookAt   time.Duration           `cbor:"LookAt"`
+	Rest     time.Duration           `cbor:"Rest"` // of a page between two tellings, as of RestAt
+	RestAt   time.Duration           `cbor:"RestAt"`
+	SweepAt  time.Duration           `cbor:"SweepAt"`
+	Pages    []loadreport.Report     `cbor:"Pages"` // of the ledger, in snapshots
+	Book     *quota.Ledger           `cbor:"Book"`  // in snapshots
+	Now      time.Duration           `cbor:"Now"`
+}
+
+// Agent is a member's.
+type Agent struct {
 	state
-	ledger *loadreport.Ledger
-	rights *quota.Book   // nil: limits are not shared
+	ledger *loadreport.Table
+	rights *quota.Ledger // nil: limits are not shared
 	sent   map[scope]int // of the step at hand, messages by route
 }
 
 // New returns a Seam that has heard nothing.
-func New(set Settings) *Seam {
-	s := &Seam{state: state{
-		Set: set, Life: set.Life, Tallies: map[scope]*Tally{}, Routes: map[string]listed{}, Held: map[uint32]held{}, Told: map[int]toldPage{},
+func New(set Settings) *Agent {
+	s := &Agent{state: state{
+		Set: set, Life: set.Incarnation, Tallies: map[scope]*ScopeCounter{}, Routes: map[string]listed{}, Held: map[uint32]held{}, Told: map[int]toldPage{},
 	}}
-	s.ledger = loadreport.New(set.Self, set.Life, set.Members)
+	s.ledger = loadreport.New(set.Self, set.Incarnation, set.Members)
 	s.sent = map[scope]int{}
 	return s
 }
 
 // Input is what a step is told.
 type Input struct {
-	Heard   []loadreport.Page // with their ages at the step's time
-	Life    loadreport.Life   // the member's own, where it has begun a new one; else zero
-	Rights  []quota.Message
-	Events  []policy.Event
-	Actions []policy.Action
-	Views   func() []policy.EndpointView // the module's routes, asked for only when something may be told
+	Received    []loadreport.Report    // with their ages at the step's time
+	Incarnation loadreport.Incarnation // the member's own, where it has begun a new one; else zero
+	Quota       []quota.Message
+	Events      []policy.Event
+	Actions     []policy.Action
+	Views       func() []policy.EndpointView // the module's routes, asked for only when something may be told
 }
 
 // Output is what a step tells.
 type Output struct {
-	Told   []loadreport.Page // to all others
-	Rights []quota.Message   // each to one
-	Events []policy.Event    // to the decision module, in its next step
+	Published []loadreport.Report // to all others
+	Quota     []quota.Message     // each to one
+	Events    []policy.Event      // to the decision module, in its next step
 }
 
 // Record is what a step was told of others, and told them: beside the module's own record all that a replay needs.
 type Record struct {
-	_           struct{} `cbor:",toarray"`
-	Heard       []loadreport.Page
-	Life        loadreport.Life
-	Told        []loadreport.Page
-	RightsHeard []quota.Message
-	RightsTold  []quota.Message
+	_             struct{} `cbor:",toarray"`
+	Received      []loadreport.Report
+	Incarnation   loadreport.Incarnation
+	Published     []loadreport.Report
+	QuotaReceived []quota.Message
+	QuotaSent     []quota.Message
 }
 
 // Append appends a record's bytes; none for one that holds nothing.
 func (r Record) Append(b []byte) []byte {
-	if len(r.Heard)+len(r.Told)+len(r.RightsHeard)+len(r.RightsTold) == 0 && r.Life == (loadreport.Life{}) {
+	if len(r.Received)+len(r.Published)+len(r.QuotaReceived)+len(r.QuotaSent) == 0 && r.Incarnation == (loadreport.Incarnation{}) {
 		return b
 	}
 	data, err := canonical.Marshal(r)
@@ -175,40 +175,40 @@
 }
 
 // Step takes what has come in at now, and returns what to tell. It must be told of every step of the module, after it.
-func (s *Seam) Step(now time.Duration, in Input) (out Output) {
-	out.Told = s.step(now, in)
+func (s *Agent) Step(now time.Duration, in Input) (out Output) {
+	out.Published = s.step(now, in)
 	if s.rights == nil {
 		return out
 	}
 	var changes []quota.Change
-	out.Rights, changes = s.rights.Step(now)
+	out.Quota, changes = s.rights.Step(now)
 	for _, c := range changes {
 		out.Events = append(out.Events, policy.Event{
-			Kind: policy.QuotaGranted, Destination: c.Scope.Dest, Endpoint: c.Scope.Route, ReservedFraction: c.Share, GrantedCalls: c.Calls, TimeLeft: c.Left,
+			Kind: policy.QuotaGranted, Destination: c.Scope.Destination, Endpoint: c.Scope.Endpoint, ReservedFraction: c.ReservedFraction, GrantedCalls: c.Calls, TimeLeft: c.TTL,
 		})
 	}
 	return out
 }
 
-func (s *Seam) step(now time.Duration, in Input) (tell []loadreport.Page) {
-	if s.Now = now; s.Set.Rights && s.rights == nil { // its life begins with the first step, whatever the clock says
-		s.rights = quota.New(now, quota.Settings{Self: s.Set.Self, Life: s.Life, Members: s.Set.Members, Senders: s.Set.Senders})
+func (s *Agent) step(now time.Duration, in Input) (tell []loadreport.Report) {
+	if s.Now = now; s.Set.ShareQuota && s.rights == nil { // its life begins with the first step, whatever the clock says
+		s.rights = quota.New(now, quota.Settings{Self: s.Set.Self, Incarnation: s.Life, Members: s.Set.Members, FleetSize: s.Set.FleetSize})
 	}
-	if in.Life != (loadreport.Life{}) && in.Life.Compare(s.Life) > 0 {
-		s.Life = in.Life
-		s.ledger.Raise(in.Life)
+	if in.Incarnation != (loadreport.Incarnation{}) && in.Incarnation.Compare(s.Life) > 0 {
+		s.Life = in.Incarnation
+		s.ledger.SetIncarnation(in.Incarnation)
 		clear(s.Told) // the others forget what the life before has told
 		s.LookAt = 0
 		if s.rights != nil {
-			s.rights.Raise(in.Life)
+			s.rights.SetIncarnation(in.Incarnation)
 		}
 	}
-	for _, m := range in.Rights {
+	for _, m := range in.Quota {
 		if s.rights != nil {
-			s.rights.Hear(now, m)
+			s.rights.Receive(now, m)
 		}
 	}
-	for _, p := range in.Heard {
+	for _, p := range in.Received {
 		s.ledger.Merge(now, p) // what it refuses it counts
 	}
 	for i := range in.Events {
@@ -219,18 +219,18 @@
 	}
 	for _, at := range slices.SortedFunc(maps.Keys(s.sent), func(a, b scope) int { return cmp.Compare(a.Route, b.Route) }) {
 		n, per := s.sent[at], 1 // in order: sums of floats depend on it
-		if k := s.Routes[at.Route].Kind; k >= 0 && k < len(s.Set.Kinds) {
-			per = max(1, s.Set.Kinds[k].MaxBatch)
+		if k := s.Routes[at.Route].Kind; k >= 0 && k < len(s.Set.DestinationKinds) {
+			per = max(1, s.Set.DestinationKinds[k].MaxBatch)
 		}
 		s.tally(s.scopeOf(at.Route)).Calls += float64((n + per - 1) / per)
 	}
 	clear(s.sent)
 	if now >= s.SweepAt {
 		s.SweepAt = now + sweepEvery
-		s.ledger.Sweep(now)
-		maps.DeleteFunc(s.Tallies, func(_ scope, t *Tally) bool {
+		s.ledger.RemoveExpired(now)
+		maps.DeleteFunc(s.Tallies, func(_ scope, t *ScopeCounter) bool {
 			t.fade(now)
-			return t.Backlog == 0 && t.Wait <= now && t.Demand+t.Calls+t.Refusals+t.Deliveries+t.Failures < 1e-6
+			return t.Backlog == 0 && t.RetryAfterUntil <= now && t.Demand+t.Calls+t.Rejections+t.Deliveries+t.Failures < 1e-6
 		})
 	}
 	if now < s.LookAt {
@@ -243,24 +243,24 @@
 	return s.tell(now)
 }
 
-// Wake is when a step is due at the latest, even if nothing happens.
-func (s *Seam) Wake() time.Duration { return s.LookAt }
+// NextStep is when a step is due at the latest, even if nothing happens.
+func (s *Agent) NextStep() time.Duration { return s.LookAt }
 
-// Ledger is what the Seam has heard. It must only be asked.
-func (s *Seam) Ledger() *loadreport.Ledger { return s.ledger }
+// Reports is what the Seam has heard. It must only be asked.
+func (s *Agent) Reports() *loadreport.Table { return s.ledger }
 
-func (t *Tally) fade(now time.Duration) {
+func (t *ScopeCounter) fade(now time.Duration) {
 	if now > t.At {
 		f := math.Exp(-float64(now-t.At) / float64(rateSpan))
-		t.Demand, t.Calls, t.Refusals, t.Deliveries, t.Failures = f*t.Demand, f*t.Calls, f*t.Refusals, f*t.Deliveries, f*t.Failures
+		t.Demand, t.Calls, t.Rejections, t.Deliveries, t.Failures = f*t.Demand, f*t.Calls, f*t.Rejections, f*t.Deliveries, f*t.Failures
 	}
 	t.At = now
 }
 
-func (s *Seam) tally(at scope) *Tally {
+func (s *Agent) tally(at scope) *ScopeCounter {
 	t := s.Tallies[at]
 	if t == nil {
-		t = &Tally{At: s.Now}
+		t = &ScopeCounter{At: s.Now}
 		s.Tallies[at] = t
 	}
 	t.fade(s.Now)
@@ -268,16 +268,16 @@
 }
 
 // scopeOf is what shares a limit with a route: its destination, or itself where its kind stands apart.
-func (s *Seam) scopeOf(route string) scope {
+func (s *Agent) scopeOf(route string) scope {
 	l := s.Routes[route]
-	if l.Kind >= 0 && l.Kind < len(s.Set.Kinds) && s.Set.Kinds[l.Kind].LimitPerEndpoint {
+	if l.Kind >= 0 && l.Kind < len(s.Set.DestinationKinds) && s.Set.DestinationKinds[l.Kind].LimitPerEndpoint {
 		return scope{Dest: l.Dest, Route: route}
 	}
 	return scope{Dest: l.Dest}
 }
 
 // waits books that a message waits or no longer does, at its destination: which route it will take is not known.
-func (s *Seam) waits(id uint32, h held, waiting bool) {
+func (s *Agent) waits(id uint32, h held, waiting bool) {
 	if h.Waiting == waiting {
 		return
 	}
@@ -291,14 +291,14 @@
 	s.Held[id] = h
 }
 
-func (s *Seam) gone(id uint32) {
+func (s *Agent) gone(id uint32) {
 	if h, ok := s.Held[id]; ok {
 		s.waits(id, h, false)
 		delete(s.Held, id)
 	}
 }
 
-func (s *Seam) observe(e *policy.Event) {
+func (s *Agent) observe(e *policy.Event) {
 	switch e.Kind {
 	case policy.MessageAccepted:
 		s.gone(e.MessageID)
@@ -315,7 +315,7 @@
 	}
 }
 
-func (s *Seam) finished(e *policy.Event) {
+func (s *Agent) finished(e *policy.Event) {
 	if _, ok := s.Routes[e.Endpoint]; ok {
 		t := s.tally(s.scopeOf(e.Endpoint))
 		switch e.Outcome {
@@ -323,13 +323,13 @@
 			t.Deliveries++
 			s.outcome(e.Endpoint, false)
 		case policy.Overloaded:
-			t.Refusals++
+			t.Rejections++
 			s.outcome(e.Endpoint, true)
 		case policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset:
 			t.Failures++
 		}
 		if e.RetryAfter > 0 {
-			t.Wait = max(t.Wait, s.Now+e.RetryAfter)
+			t.RetryAfterUntil = max(t.RetryAfterUntil, s.Now+e.RetryAfter)
 		}
 	}
 	if h, ok := s.Held[e.MessageID]; ok && e.Kind == policy.AttemptFinished {
@@ -341,7 +341,7 @@
 	}
 }
 
-func (s *Seam) decided(a *policy.Action) {
+func (s *Agent) decided(a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
 		if h, ok := s.Held[a.MessageID]; ok {
@@ -354,27 +354,27 @@
 		s.gone(a.MessageID)
 	case policy.RequestQuota:
 		if s.rights != nil {
-			s.rights.Want(s.Now, s.rightsOf(a.Endpoint), a.Calls)
+			s.rights.Request(s.Now, s.rightsOf(a.Endpoint), a.Calls)
 		}
 	}
 }
 
-func (s *Seam) rightsOf(route string) quota.Scope {
+func (s *Agent) rightsOf(route string) quota.Scope {
 	at := s.scopeOf(route)
-	return quota.Scope{Dest: at.Dest, Route: at.Route}
+	return quota.Scope{Destination: at.Dest, Endpoint: at.Route}
 }
 
 // outcome counts for what is believed of a limit. What a host refuses that may be cold tells of that, and the module's recovery budget is for it.
-func (s *Seam) outcome(route string, refused bool) {
-	if s.rights != nil && !(refused && s.tally(s.scopeOf(route)).Cold) {
-		s.rights.Outcome(s.rightsOf(route), refused)
+func (s *Agent) outcome(route string, refused bool) {
+	if s.rights != nil && !(refused && s.tally(s.scopeOf(route)).WarmingUp) {
+		s.rights.RecordOutcome(s.rightsOf(route), refused)
 	}
 }
 
-// Rights are the member's part in sharing limits; nil: it has none. It must only be asked.
-func (s *Seam) Rights() *quota.Book { return s.rights }
+// Quota are the member's part in sharing limits; nil: it has none. It must only be asked.
+func (s *Agent) Quota() *quota.Ledger { return s.rights }
 
-func (s *Seam) list(e *policy.Event) {
+func (s *Agent) list(e *policy.Event) {
 	if e.Kind == policy.EndpointSnapshot {
 		clear(s.Routes)
 	}
@@ -393,7 +393,7 @@
 }
 
 // Limits are what the list tells, by destination and route as in the ledger's cells.
-func (s *Seam) Limits() loadreport.Limits {
+func (s *Agent) Limits() loadreport.Limits {
 	limits := loadreport.Limits{}
 	for route, l := range s.Routes {
 		at := s.scopeOf(route)
@@ -418,24 +418,24 @@
 }
 
 // look takes from the module which routes it holds to be cold.
-func (s *Seam) look(views []policy.EndpointView) {
+func (s *Agent) look(views []policy.EndpointView) {
 	for _, t := range s.Tallies {
-		t.Cold = false
+		t.WarmingUp = false
 	}
 	for _, v := range views {
 		if _, ok := s.Routes[v.ID]; ok && (v.WarmingUp || v.Ejected) {
-			s.tally(s.scopeOf(v.ID)).Cold = true
+			s.tally(s.scopeOf(v.ID)).WarmingUp = true
 		}
 	}
 }
 
 // tell returns the pages that are due.
-func (s *Seam) tell(now time.Duration) (pages []loadreport.Page) {
-	cells := map[int][]loadreport.Cell{}
+func (s *Agent) tell(now time.Duration) (pages []loadreport.Report) {
+	cells := map[int][]loadreport.ScopeLoad{}
 	for at, t := range s.Tallies {
 		t.fade(now)
 		if c := t.cell(at, now); !c.Idle() {
-			cells[loadreport.PageOf(at.Dest)] = append(cells[loadreport.PageOf(at.Dest)], c)
+			cells[loadreport.ReportNumber(at.Dest)] = append(cells[loadreport.ReportNumber(at.Dest)], c)
 		}
 	}
 	numbers := slices.Collect(maps.Keys(cells))
@@ -452,11 +452,11 @@
 		if !due(was, page, told, now, rest) {
 			continue
 		}
-		if !told && len(s.Told) >= loadreport.PagesMost {
+		if !told && len(s.Told) >= loadreport.MaxReports {
 			continue // more destinations at once than a member may tell of: these wait until others fall idle
 		}
 		s.Sequence++
-		p, err := s.ledger.Tell(now, n, s.Sequence, page)
+		p, err := s.ledger.Publish(now, n, s.Sequence, page)
 		if err != nil {
 			continue // counted; a figure of this relay's own beyond the bounds is not told
 		}
@@ -470,19 +470,19 @@
 
 // rest is how long a page rests between two tellings, so that all pages of all members together take no more than the links have room for. One who
 // hears a part of the fleet alone knows of that part's pages: it is with these that it shares links.
-func (s *Seam) rest() time.Duration {
+func (s *Agent) rest() time.Duration {
 	if s.Rest == 0 || s.Now >= s.RestAt+restEvery {
-		room := gossip.Room(len(s.Set.Members))
+		room := gossip.MaxReportRate(len(s.Set.Members))
 		s.Rest, s.RestAt = max(tellLeast, time.Duration(float64(s.ledger.Count(s.Now))/room*float64(time.Second))), s.Now
 	}
 	return s.Rest
 }
 
-func (t *Tally) cell(at scope, now time.Duration) loadreport.Cell {
+func (t *ScopeCounter) cell(at scope, now time.Duration) loadreport.ScopeLoad {
 	rate := func(level float64) float64 { return round(level / rateSpan.Seconds()) }
-	return loadreport.Cell{
-		Dest: at.Dest, Route: at.Route, Demand: rate(t.Demand), Calls: rate(t.Calls), Refusals: rate(t.Refusals), Deliveries: rate(t.Deliveries),
-		Failures: rate(t.Failures), Backlog: t.Backlog, Wait: max(0, t.Wait-now).Round(time.Millisecond), Cold: t.Cold,
+	return loadreport.ScopeLoad{
+		Destination: at.Dest, Endpoint: at.Route, Demand: rate(t.Demand), Calls: rate(t.Calls), Rejections: rate(t.Rejections), Deliveries: rate(t.Deliveries),
+		Failures: rate(t.Failures), Backlog: t.Backlog, RetryAfter: max(0, t.RetryAfterUntil-now).Round(time.Millisecond), WarmingUp: t.WarmingUp,
 	}
 }
 
@@ -496,16 +496,16 @@
 }
 
 // fit puts cells into order and leaves the least ones out where a page holds no more.
-func fit(cells []loadreport.Cell) []loadreport.Cell {
-	byPlace := func(a, b loadreport.Cell) int {
-		return cmp.Or(cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Route, b.Route))
+func fit(cells []loadreport.ScopeLoad) []loadreport.ScopeLoad {
+	byPlace := func(a, b loadreport.ScopeLoad) int {
+		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Endpoint, b.Endpoint))
 	}
-	slices.SortFunc(cells, func(a, b loadreport.Cell) int {
+	slices.SortFunc(cells, func(a, b loadreport.ScopeLoad) int {
 		return cmp.Or(cmp.Compare(b.Demand+b.Calls, a.Demand+a.Calls), byPlace(a, b))
 	})
 	size := 0
 	for i, c := range cells {
-		if size += cellBytes + len(c.Route); size > pageBytes || i == loadreport.CellsMost {
+		if size += cellBytes + len(c.Endpoint); size > pageBytes || i == loadreport.MaxScopes {
 			cells = cells[:i]
 			break
 		}
@@ -515,28 +515,28 @@
 }
 
 // due tells whether a page must be told.
-func due(was toldPage, cells []loadreport.Cell, told bool, now, rest time.Duration) bool {
+func due(was toldPage, cells []loadreport.ScopeLoad, told bool, now, rest time.Duration) bool {
 	if !told {
 		return len(cells) > 0
 	}
 	if now < was.Paid { // only what is urgent goes before its time, and not without end
 		return now-was.At >= lookEvery && was.Paid-now <= (burst-1)*rest && slices.ContainsFunc(cells, was.urgent(now))
 	}
-	return now-was.At >= max(tellAgain, rest) || !slices.EqualFunc(cells, was.Cells, func(c, o loadreport.Cell) bool {
-		return c.Dest == o.Dest && c.Route == o.Route && !moved(c.Demand, o.Demand) && !moved(c.Calls, o.Calls) && !moved(c.Refusals, o.Refusals) &&
+	return now-was.At >= max(tellAgain, rest) || !slices.EqualFunc(cells, was.Cells, func(c, o loadreport.ScopeLoad) bool {
+		return c.Destination == o.Destination && c.Endpoint == o.Endpoint && !moved(c.Demand, o.Demand) && !moved(c.Calls, o.Calls) && !moved(c.Rejections, o.Rejections) &&
 			!moved(c.Deliveries, o.Deliveries) && !moved(c.Failures, o.Failures) && !moved(float64(c.Backlog), float64(o.Backlog))
 	}) || slices.ContainsFunc(cells, was.urgent(now))
 }
 
 // urgent tells of a cell whether a wait, a backlog or coldness began or ended since its page was told.
-func (p toldPage) urgent(now time.Duration) func(loadreport.Cell) bool {
-	return func(c loadreport.Cell) bool {
-		var o loadreport.Cell
-		if i := slices.IndexFunc(p.Cells, func(o loadreport.Cell) bool { return o.Dest == c.Dest && o.Route == c.Route }); i >= 0 {
+func (p toldPage) urgent(now time.Duration) func(loadreport.ScopeLoad) bool {
+	return func(c loadreport.ScopeLoad) bool {
+		var o loadreport.ScopeLoad
+		if i := slices.IndexFunc(p.Cells, func(o loadreport.ScopeLoad) bool { return o.Destination == c.Destination && o.Endpoint == c.Endpoint }); i >= 0 {
 			o = p.Cells[i]
 		}
-		waits := c.Wait > 0 && (o.Wait == 0 || (c.Wait-(o.Wait-(now-p.At))).Abs() > 2*lookEvery)
-		return waits || c.Cold != o.Cold || (c.Backlog > 0) != (o.Backlog > 0)
+		waits := c.RetryAfter > 0 && (o.RetryAfter == 0 || (c.RetryAfter-(o.RetryAfter-(now-p.At))).Abs() > 2*lookEvery)
+		return waits || c.WarmingUp != o.WarmingUp || (c.Backlog > 0) != (o.Backlog > 0)
 	}
 }
 
@@ -551,9 +551,9 @@
 }()
 
 // Snapshot appends the state, the same bytes for the same state.
-func (s *Seam) Snapshot(b []byte) []byte {
+func (s *Agent) Snapshot(b []byte) []byte {
 	x := s.state
-	s.ledger.Pages(s.Now, func(p loadreport.Page) { x.Pages = append(x.Pages, p) })
+	s.ledger.Each(s.Now, func(p loadreport.Report) { x.Pages = append(x.Pages, p) })
 	x.Book = s.rights
 	data, err := canonical.Marshal(x)
 	if err != nil {
@@ -563,13 +563,13 @@
 }
 
 // Restore reads what Snapshot wrote.
-func Restore(data []byte) (*Seam, error) {
+func Restore(data []byte) (*Agent, error) {
 	var x state
 	if err := cbor.Unmarshal(data, &x); err != nil {
 		return nil, fmt.Errorf("seam: %w", err)
 	}
 	s := New(x.Set)
-	s.ledger.Raise(x.Life)
+	s.ledger.SetIncarnation(x.Life)
 	pages := x.Pages
 	if s.rights = x.Book; s.rights != nil {
 		s.rights.Restored()
@@ -581,7 +581,7 @@
 	s.state = x
 	for _, p := range pages {
 		if p.Name == x.Set.Self {
-			s.ledger.Keep(x.Now, p)
+			s.ledger.Restore(x.Now, p)
 		} else {
 			s.ledger.Merge(x.Now, p)
 		}
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -17,8 +17,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func newSeam() *Seam {
-	return New(Settings{Self: "me", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, Kinds: recordertest.Settings().DestinationKinds})
+func newSeam() *Agent {
+	return New(Settings{Self: "me", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, DestinationKinds: recordertest.Settings().DestinationKinds})
 }
 
 // history is what a module lived through.
@@ -49,7 +49,7 @@
 func input(e flightrecorder.Entry, n int) Input {
 	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.EndpointView { return nil }}
 	if n%97 == 0 {
-		in.Heard = []loadreport.Page{{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: uint64(n + 1), Cells: []loadreport.Cell{{Dest: 1, Calls: 2}}}}
+		in.Received = []loadreport.Report{{Name: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Sequence: uint64(n + 1), Scopes: []loadreport.ScopeLoad{{Destination: 1, Calls: 2}}}}
 	}
 	return in
 }
@@ -59,25 +59,25 @@
 	for seed := range uint64(3) {
 		steps := history(t, seed)
 		set := newSeam().Set
-		set.Rights, set.Senders = true, 20
+		set.ShareQuota, set.FleetSize = true, 20
 		a, b := New(set), New(set)
 		told, rightsTold := 0, 0
 		for i, e := range steps {
 			in := input(e, i)
 			if i%61 == 0 { // another lends and asks, and what is wanted here is asked for
-				s := quota.Scope{Dest: 1}
-				in.Rights = []quota.Message{{
-					Member: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Seq: uint64(i + 1), Loans: []quota.Loan{{Scope: s, Rate: 0.1, Done: uint32(i)}},
-					Asks: []quota.Ask{{Scope: s, ID: uint32(i), N: 1}},
+				s := quota.Scope{Destination: 1}
+				in.Quota = []quota.Message{{
+					Member: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Seq: uint64(i + 1), Leases: []quota.Lease{{Scope: s, Rate: 0.1, Delivered: uint32(i)}},
+					Requests: []quota.QuotaRequest{{Scope: s, ID: uint32(i), Calls: 1}},
 				}}
 				in.Actions = append(slices.Clip(in.Actions), policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2})
 			}
 			x, y := a.Step(e.Now, in), b.Step(e.Now, in)
-			rightsTold += len(x.Rights) + len(x.Events)
+			rightsTold += len(x.Quota) + len(x.Events)
 			if !reflect.DeepEqual(x, y) {
 				t.Fatalf("seed %d, step %d: %v and %v", seed, i, x, y)
 			}
-			told += len(x.Told)
+			told += len(x.Published)
 			if i%701 == 700 {
 				state := a.Snapshot(nil)
 				var err error
@@ -92,7 +92,7 @@
 		if rightsTold < 50 {
 			t.Errorf("seed %d: only %d messages and events of rights", seed, rightsTold)
 		}
-		if told < 20 || a.Ledger().Others(a.Now, 1, "").Members == 0 {
+		if told < 20 || a.Reports().AggregateOthers(a.Now, 1, "").Members == 0 {
 			t.Errorf("seed %d: only %d pages were told", seed, told)
 		}
 	}
@@ -102,14 +102,14 @@
 }
 
 // drive has a destination meet so many messages a second, each sent at once, of which every third is refused with a wait.
-func drive(s *Seam, from, to time.Duration, rate float64) (told []loadreport.Page) {
+func drive(s *Agent, from, to time.Duration, rate float64) (told []loadreport.Report) {
 	every := time.Duration(float64(time.Second) / rate)
 	for now, id := from, uint32(from); now < to; now, id = now+every, id+1 {
 		told = append(told, s.Step(now, Input{
 			Events:  []policy.Event{{Kind: policy.MessageAccepted, MessageID: id, Destination: 9}},
 			Actions: []policy.Action{{Kind: policy.Send, MessageID: id, Endpoint: "s-1"}},
 			Views:   func() []policy.EndpointView { return nil },
-		}).Told...)
+		}).Published...)
 		e := policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: "s-1", Outcome: policy.OK, MessageEnded: true}
 		if id%3 == 0 {
 			e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, 400*time.Millisecond
@@ -131,19 +131,19 @@
 	}
 	told := drive(s, time.Second, 41*time.Second, 30)
 	last := told[len(told)-1]
-	if last.Name != "me" || last.Number != loadreport.PageOf(9) || len(last.Cells) != 1 {
+	if last.Name != "me" || last.Number != loadreport.ReportNumber(9) || len(last.Scopes) != 1 {
 		t.Fatalf("%+v", last)
 	}
-	c := last.Cells[0]
+	c := last.Scopes[0]
 	for what, got := range map[string][2]float64{
-		"demand": {c.Demand, 30}, "calls": {c.Calls, 30}, "refusals": {c.Refusals, 10}, "deliveries": {c.Deliveries, 20}, "failures": {c.Failures, 0},
+		"demand": {c.Demand, 30}, "calls": {c.Calls, 30}, "refusals": {c.Rejections, 10}, "deliveries": {c.Deliveries, 20}, "failures": {c.Failures, 0},
 	} {
 		if math.Abs(got[0]-got[1]) > 0.1*got[1] {
 			t.Errorf("%s: %g, want %g", what, got[0], got[1])
 		}
 	}
-	if c.Backlog < 100 || c.Wait <= 0 || c.Wait > 400*time.Millisecond {
-		t.Errorf("backlog %d, wait %v: each third message waits", c.Backlog, c.Wait)
+	if c.Backlog < 100 || c.RetryAfter <= 0 || c.RetryAfter > 400*time.Millisecond {
+		t.Errorf("backlog %d, wait %v: each third message waits", c.Backlog, c.RetryAfter)
 	}
 	if len(told) > 40*8 {
 		t.Errorf("%d pages in 40 s", len(told))
@@ -160,8 +160,8 @@
 	s.Step(41*time.Second, Input{Events: ids})
 	empty := false
 	for now := 41 * time.Second; now < 200*time.Second; now += 100 * time.Millisecond {
-		for _, p := range s.Step(now, Input{Views: func() []policy.EndpointView { return nil }}).Told {
-			empty = len(p.Cells) == 0
+		for _, p := range s.Step(now, Input{Views: func() []policy.EndpointView { return nil }}).Published {
+			empty = len(p.Scopes) == 0
 		}
 	}
 	if !empty || len(s.Tallies) > 0 || len(s.Told) > 0 || len(s.Held) > 0 {
@@ -185,17 +185,17 @@
 			evs = append(evs, policy.Event{Kind: policy.AttemptFinished, MessageID: uint32(1000*n + i), Endpoint: l.ID, Outcome: policy.OK})
 		}
 	}
-	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.EndpointView { return nil }}).Told
-	if len(told) != loadreport.PagesMost {
+	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.EndpointView { return nil }}).Published
+	if len(told) != loadreport.MaxReports {
 		t.Errorf("%d pages", len(told))
 	}
-	if n := len(told[0].Cells); n < 10 || n > loadreport.CellsMost {
+	if n := len(told[0].Scopes); n < 10 || n > loadreport.MaxScopes {
 		t.Errorf("%d cells on a page", n)
 	}
 	// A new life tells all again, and the others forget the one before.
-	again := s.Step(2*time.Second, Input{Life: loadreport.Life{Incarnation: 2, Boot: 2}, Views: func() []policy.EndpointView { return nil }}).Told
-	if len(again) != loadreport.PagesMost || again[0].Incarnation != 2 {
-		t.Errorf("%d pages of life %v", len(again), again[0].Life)
+	again := s.Step(2*time.Second, Input{Incarnation: loadreport.Incarnation{Generation: 2, Boot: 2}, Views: func() []policy.EndpointView { return nil }}).Published
+	if len(again) != loadreport.MaxReports || again[0].Generation != 2 {
+		t.Errorf("%d pages of life %v", len(again), again[0].Incarnation)
 	}
 }
 
@@ -243,16 +243,16 @@
 				seq += 2
 				for _, m := range set.Members[1:] {
 					for n := range uint64(2) {
-						in.Heard = append(in.Heard, loadreport.Page{Name: m, Life: loadreport.Life{Incarnation: 1, Boot: 1}, Number: int(n), Sequence: seq + n})
+						in.Received = append(in.Received, loadreport.Report{Name: m, Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Number: int(n), Sequence: seq + n})
 					}
 				}
 			}
-			if pages := s.Step(now, in).Told; now >= began {
+			if pages := s.Step(now, in).Published; now >= began {
 				told += len(pages)
 			}
 		}
 		pages := 2*(members-1) + 1
-		share := gossip.Room(members) / float64(pages) // tellings of one page a second
+		share := gossip.MaxReportRate(members) / float64(pages) // tellings of one page a second
 		most := length.Seconds()*min(share, 1/tellLeast.Seconds()) + burst
 		if float64(told) > most || float64(told) < 0.7*most {
 			t.Errorf("%d members: %d tellings in %v, room for %.0f", members, told, length, most)
@@ -261,10 +261,10 @@
 	// Coldness that begins is told with the next look, though the page was told just before.
 	s := newSeam()
 	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
-	look := func(now time.Duration, cold bool) []loadreport.Page {
+	look := func(now time.Duration, cold bool) []loadreport.Report {
 		return s.Step(now, Input{Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(now), Destination: 9}}, Views: func() []policy.EndpointView {
 			return []policy.EndpointView{{Endpoint: policy.Endpoint{ID: "s-1"}, WarmingUp: cold}}
-		}}).Told
+		}}).Published
 	}
 	if len(look(2*time.Second, false)) != 1 || len(look(2*time.Second+lookEvery, true)) != 1 {
 		t.Error("coldness waits for the page's rest")
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -17,13 +17,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
-// Form is the newest form that this program reads in full.
-const Form = 1
+// Version is the newest form that this program reads in full.
+const Version = 1
 
 const (
-	// MessageMost bounds a message, in bytes, PagesMost its pages.
-	MessageMost = 1 << 20
-	PagesMost   = 1 << 14
+	// MaxMessageSize bounds a message, in bytes, MaxReports its pages.
+	MaxMessageSize = 1 << 20
+	MaxReports     = 1 << 14
 )
 
 // ErrNewer tells that a message cannot be understood without a newer program.
@@ -31,16 +31,16 @@
 
 // Message is what one relay sends another. Clock is the sender's own monotonic time when it was written.
 type Message struct {
-	Needs  int           `cbor:"0,keyasint,omitempty"` // 0: form 1
-	From   string        `cbor:"1,keyasint"`
-	Boot   uint32        `cbor:"2,keyasint"`
-	Clock  int64         `cbor:"3,keyasint"` // microseconds
-	Pages  []page        `cbor:"4,keyasint,omitempty"`
-	Digest []memberPages `cbor:"5,keyasint,omitempty"`
-	Asks   bool          `cbor:"6,keyasint,omitempty"` // to be sent what Digest lacks, which may be empty
-	Ping   bool          `cbor:"7,keyasint,omitempty"` // asks for an answer at once
-	Pong   *Pong         `cbor:"8,keyasint,omitempty"` // is one
-	Rights *rightsNote   `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
+	RequiredVersion int           `cbor:"0,keyasint,omitempty"` // 0: form 1
+	From            string        `cbor:"1,keyasint"`
+	Boot            uint32        `cbor:"2,keyasint"`
+	Clock           int64         `cbor:"3,keyasint"` // microseconds
+	EncodedReports  []page        `cbor:"4,keyasint,omitempty"`
+	Digest          []memberPages `cbor:"5,keyasint,omitempty"`
+	WantsReports    bool          `cbor:"6,keyasint,omitempty"` // to be sent what Digest lacks, which may be empty
+	Ping            bool          `cbor:"7,keyasint,omitempty"` // asks for an answer at once
+	Pong            *Pong         `cbor:"8,keyasint,omitempty"` // is one
+	EncodedQuota    *rightsNote   `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
 }
 
 type rightsNote struct {
@@ -134,7 +134,7 @@
 	}
 	dec, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: 8, MaxArrayElements: PagesMost, MaxMapPairs: PagesMost,
+		MaxNestedLevels: 8, MaxArrayElements: MaxReports, MaxMapPairs: MaxReports,
 	}.DecMode()
 	if err != nil {
 		return nil, fmt.Errorf("codec: %w", err)
@@ -153,44 +153,44 @@
 
 // Decode reads a message. What its pages tell is checked by the ledger.
 func (c *Codec) Decode(data []byte) (Message, error) {
-	if len(data) > MessageMost {
-		return Message{}, fmt.Errorf("codec: a message of %d bytes, %d at most", len(data), MessageMost)
+	if len(data) > MaxMessageSize {
+		return Message{}, fmt.Errorf("codec: a message of %d bytes, %d at most", len(data), MaxMessageSize)
 	}
 	var m Message
 	if err := c.dec.Unmarshal(data, &m); err != nil {
 		return Message{}, fmt.Errorf("codec: %w", err)
 	}
-	if m.Needs > Form {
-		return Message{}, fmt.Errorf("%w: form %d, this one reads %d", ErrNewer, m.Needs, Form)
+	if m.RequiredVersion > Version {
+		return Message{}, fmt.Errorf("%w: form %d, this one reads %d", ErrNewer, m.RequiredVersion, Version)
 	}
 	return m, nil
 }
 
-// SetPages puts pages into a message.
-func (m *Message) SetPages(pages ...loadreport.Page) {
-	m.Pages = make([]page, 0, len(pages))
+// SetReports puts pages into a message.
+func (m *Message) SetReports(pages ...loadreport.Report) {
+	m.EncodedReports = make([]page, 0, len(pages))
 	for _, p := range pages {
-		q := page{p.Name, p.Incarnation, p.Boot, p.Number, p.Sequence, millis(p.Age), make([]cell, 0, len(p.Cells))}
-		for _, c := range p.Cells {
+		q := page{p.Name, p.Generation, p.Boot, p.Number, p.Sequence, millis(p.Age), make([]cell, 0, len(p.Scopes))}
+		for _, c := range p.Scopes {
 			q.Cells = append(q.Cells, cell{
-				c.Dest, c.Route, c.Demand, c.Calls, c.Refusals, c.Deliveries, c.Failures, c.Backlog, millis(c.Wait), c.Cold,
+				c.Destination, c.Endpoint, c.Demand, c.Calls, c.Rejections, c.Deliveries, c.Failures, c.Backlog, millis(c.RetryAfter), c.WarmingUp,
 			})
 		}
-		m.Pages = append(m.Pages, q)
+		m.EncodedReports = append(m.EncodedReports, q)
 	}
 }
 
-// LedgerPages are the pages of a message.
-func (m Message) LedgerPages() []loadreport.Page {
-	pages := make([]loadreport.Page, 0, len(m.Pages))
-	for _, p := range m.Pages {
-		q := loadreport.Page{
-			Name: p.Name, Life: loadreport.Life{Incarnation: p.Incarnation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: duration(p.Age),
+// Reports are the pages of a message.
+func (m Message) Reports() []loadreport.Report {
+	pages := make([]loadreport.Report, 0, len(m.EncodedReports))
+	for _, p := range m.EncodedReports {
+		q := loadreport.Report{
+			Name: p.Name, Incarnation: loadreport.Incarnation{Generation: p.Incarnation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: duration(p.Age),
 		}
 		for _, c := range p.Cells {
-			q.Cells = append(q.Cells, loadreport.Cell{
-				Dest: c.Dest, Route: c.Route, Demand: c.Demand, Calls: c.Calls, Refusals: c.Refusals, Deliveries: c.Deliveries,
-				Failures: c.Failures, Backlog: c.Backlog, Wait: duration(c.Wait), Cold: c.Cold,
+			q.Scopes = append(q.Scopes, loadreport.ScopeLoad{
+				Destination: c.Dest, Endpoint: c.Route, Demand: c.Demand, Calls: c.Calls, Rejections: c.Refusals, Deliveries: c.Deliveries,
+				Failures: c.Failures, Backlog: c.Backlog, RetryAfter: duration(c.Wait), WarmingUp: c.Cold,
 			})
 		}
 		pages = append(pages, q)
@@ -214,49 +214,49 @@
 // SetDigest puts a digest into a message.
 func (m *Message) SetDigest(d loadreport.Digest) {
 	for name, v := range d {
-		m.Digest = append(m.Digest, memberPages{name, v.Incarnation, v.Boot, v.Pages})
+		m.Digest = append(m.Digest, memberPages{name, v.Generation, v.Boot, v.Sequences})
 	}
 }
 
-// LedgerDigest is the digest of a message.
-func (m Message) LedgerDigest() loadreport.Digest {
+// ReportDigest is the digest of a message.
+func (m Message) ReportDigest() loadreport.Digest {
 	d := loadreport.Digest{}
 	for _, v := range m.Digest {
-		d[v.Name] = loadreport.Versions{Life: loadreport.Life{Incarnation: v.Incarnation, Boot: v.Boot}, Pages: v.Pages}
+		d[v.Name] = loadreport.MemberVersions{Incarnation: loadreport.Incarnation{Generation: v.Incarnation, Boot: v.Boot}, Sequences: v.Pages}
 	}
 	return d
 }
 
-// SetRights puts what one member tells another of rights into a message.
-func (m *Message) SetRights(r quota.Message) {
-	n := &rightsNote{Incarnation: r.Incarnation, Seq: r.Seq, Seen: r.Seen, OfInc: r.Of.Incarnation, OfBoot: r.Of.Boot, Ping: r.Ping, New: r.New, None: r.None}
-	for _, l := range r.Loans {
-		n.Loans = append(n.Loans, loan{l.Scope.Dest, l.Scope.Route, l.Rate, l.Done, l.Refused})
+// SetQuotaMessage puts what one member tells another of rights into a message.
+func (m *Message) SetQuotaMessage(r quota.Message) {
+	n := &rightsNote{Incarnation: r.Generation, Seq: r.Seq, Seen: r.AckedSeq, OfInc: r.AckedIncarnation.Generation, OfBoot: r.AckedIncarnation.Boot, Ping: r.Ping, New: r.AsksForLeases, None: r.HoldsNoLease}
+	for _, l := range r.Leases {
+		n.Loans = append(n.Loans, loan{l.Scope.Destination, l.Scope.Endpoint, l.Rate, l.Delivered, l.Rejected})
 	}
-	for _, q := range r.Asks {
-		n.Asks = append(n.Asks, ask{q.Scope.Dest, q.Scope.Route, q.ID, q.N, q.Done, q.Refused})
+	for _, q := range r.Requests {
+		n.Asks = append(n.Asks, ask{q.Scope.Destination, q.Scope.Endpoint, q.ID, q.Calls, q.Delivered, q.Rejected})
 	}
-	for _, g := range r.Gives {
-		n.Gives = append(n.Gives, give{g.Scope.Dest, g.Scope.Route, g.ID, g.N})
+	for _, g := range r.Grants {
+		n.Gives = append(n.Gives, give{g.Scope.Destination, g.Scope.Endpoint, g.ID, g.Calls})
 	}
-	m.Rights = n
+	m.EncodedQuota = n
 }
 
-// RightsMessage is what a message tells of rights; what it tells is checked by package rights.
-func (m Message) RightsMessage() quota.Message {
-	n := m.Rights
+// QuotaMessage is what a message tells of rights; what it tells is checked by package rights.
+func (m Message) QuotaMessage() quota.Message {
+	n := m.EncodedQuota
 	r := quota.Message{
-		Member: m.From, Life: loadreport.Life{Incarnation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, Seen: n.Seen,
-		Of: loadreport.Life{Incarnation: n.OfInc, Boot: n.OfBoot}, Ping: n.Ping, New: n.New, None: n.None,
+		Member: m.From, Incarnation: loadreport.Incarnation{Generation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, AckedSeq: n.Seen,
+		AckedIncarnation: loadreport.Incarnation{Generation: n.OfInc, Boot: n.OfBoot}, Ping: n.Ping, AsksForLeases: n.New, HoldsNoLease: n.None,
 	}
 	for _, l := range n.Loans {
-		r.Loans = append(r.Loans, quota.Loan{Scope: quota.Scope{Dest: l.Dest, Route: l.Route}, Rate: l.Rate, Done: l.Done, Refused: l.Refused})
+		r.Leases = append(r.Leases, quota.Lease{Scope: quota.Scope{Destination: l.Dest, Endpoint: l.Route}, Rate: l.Rate, Delivered: l.Done, Rejected: l.Refused})
 	}
 	for _, q := range n.Asks {
-		r.Asks = append(r.Asks, quota.Ask{Scope: quota.Scope{Dest: q.Dest, Route: q.Route}, ID: q.ID, N: q.N, Done: q.Done, Refused: q.Refused})
+		r.Requests = append(r.Requests, quota.QuotaRequest{Scope: quota.Scope{Destination: q.Dest, Endpoint: q.Route}, ID: q.ID, Calls: q.N, Delivered: q.Done, Rejected: q.Refused})
 	}
 	for _, g := range n.Gives {
-		r.Gives = append(r.Gives, quota.Give{Scope: quota.Scope{Dest: g.Dest, Route: g.Route}, ID: g.ID, N: g.N})
+		r.Grants = append(r.Grants, quota.Grant{Scope: quota.Scope{Destination: g.Dest, Endpoint: g.Route}, ID: g.ID, Calls: g.N})
 	}
 	return r
 }
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -22,17 +22,17 @@
 	return c
 }
 
-func sample() (Message, []loadreport.Page, loadreport.Digest) {
-	pages := []loadreport.Page{{
-		Name: "r1", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
-		Cells: []loadreport.Cell{
-			{Dest: 8, Demand: 0.5, Calls: 0.25, Refusals: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, Wait: 2 * time.Second, Cold: true},
-			{Dest: 9, Route: "s-1", Calls: 1},
+func sample() (Message, []loadreport.Report, loadreport.Digest) {
+	pages := []loadreport.Report{{
+		Name: "r1", Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
+		Scopes: []loadreport.ScopeLoad{
+			{Destination: 8, Demand: 0.5, Calls: 0.25, Rejections: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, RetryAfter: 2 * time.Second, WarmingUp: true},
+			{Destination: 9, Endpoint: "s-1", Calls: 1},
 		},
-	}, {Name: "r2", Life: loadreport.Life{Incarnation: 1, Boot: 1}, Sequence: 1}}
-	digest := loadreport.Digest{"r1": {Life: loadreport.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77}}, "r2": {Life: loadreport.Life{Incarnation: 1}}}
-	m := Message{From: "r3", Boot: 4, Clock: 123456789, Asks: true}
-	m.SetPages(pages...)
+	}, {Name: "r2", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Sequence: 1}}
+	digest := loadreport.Digest{"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77}}, "r2": {Incarnation: loadreport.Incarnation{Generation: 1}}}
+	m := Message{From: "r3", Boot: 4, Clock: 123456789, WantsReports: true}
+	m.SetReports(pages...)
 	m.SetDigest(digest)
 	return m, pages, digest
 }
@@ -45,13 +45,13 @@
 		t.Fatal(err)
 	}
 	got, err := c.Decode(data)
-	if err != nil || got.From != "r3" || got.Boot != 4 || got.Clock != 123456789 || !got.Asks {
+	if err != nil || got.From != "r3" || got.Boot != 4 || got.Clock != 123456789 || !got.WantsReports {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if p := got.LedgerPages(); !reflect.DeepEqual(p, pages) {
+	if p := got.Reports(); !reflect.DeepEqual(p, pages) {
 		t.Errorf("%+v\nwant %+v", p, pages)
 	}
-	if d := got.LedgerDigest(); !reflect.DeepEqual(d, digest) {
+	if d := got.ReportDigest(); !reflect.DeepEqual(d, digest) {
 		t.Errorf("%+v\nwant %+v", d, digest)
 	}
 	for cut := range len(data) {
@@ -84,10 +84,10 @@
 		t.Fatal(err)
 	}
 	got, err := c.Decode(more)
-	if err != nil || !reflect.DeepEqual(got.LedgerPages(), pages) {
+	if err != nil || !reflect.DeepEqual(got.Reports(), pages) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	tree[0] = Form + 1
+	tree[0] = Version + 1
 	more, _ = cbor.Marshal(tree)
 	if _, err := c.Decode(more); !errors.Is(err, ErrNewer) {
 		t.Error(err)
@@ -106,19 +106,19 @@
 		if err != nil {
 			return
 		}
-		l := loadreport.New("me", loadreport.Life{Incarnation: 1}, []string{"r1", "r2"})
-		for _, p := range m.LedgerPages() {
+		l := loadreport.New("me", loadreport.Incarnation{Generation: 1}, []string{"r1", "r2"})
+		for _, p := range m.Reports() {
 			out, err := l.Merge(time.Hour, p)
-			if (out == loadreport.Refused) != (err != nil) && out != loadreport.Refused {
+			if (out == loadreport.Rejected) != (err != nil) && out != loadreport.Rejected {
 				t.Errorf("%v, %v", out, err)
 			}
 		}
-		l.Pages(time.Hour, func(p loadreport.Page) {
-			if p.Age < 0 || p.Age > loadreport.AgeMost {
+		l.Each(time.Hour, func(p loadreport.Report) {
+			if p.Age < 0 || p.Age > loadreport.MaxAge {
 				t.Errorf("age %v", p.Age)
 			}
 		})
-		m.LedgerDigest()
+		m.ReportDigest()
 	})
 }
 
@@ -129,22 +129,22 @@
 		t.Fatal(err)
 	}
 	r := quota.Message{
-		Member: "relay-17", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Seq: 70000, Seen: 69000, Of: loadreport.Life{Incarnation: 12, Boot: 1 << 31},
-		Ping: true, New: true, None: true,
+		Member: "relay-17", Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Seq: 70000, AckedSeq: 69000, AckedIncarnation: loadreport.Incarnation{Generation: 12, Boot: 1 << 31},
+		Ping: true, AsksForLeases: true, HoldsNoLease: true,
 	}
 	for i := range 24 { // the most that one holds
-		at := quota.Scope{Dest: 40000 + i, Route: fmt.Sprintf("s-%08x", i)}
+		at := quota.Scope{Destination: 40000 + i, Endpoint: fmt.Sprintf("s-%08x", i)}
 		switch i % 3 {
 		case 0:
-			r.Loans = append(r.Loans, quota.Loan{Scope: at, Rate: 0.123456789, Done: 1 << 20, Refused: 1 << 12})
+			r.Leases = append(r.Leases, quota.Lease{Scope: at, Rate: 0.123456789, Delivered: 1 << 20, Rejected: 1 << 12})
 		case 1:
-			r.Asks = append(r.Asks, quota.Ask{Scope: at, ID: 1 << 20, N: 16, Done: 1 << 20, Refused: 1 << 12})
+			r.Requests = append(r.Requests, quota.QuotaRequest{Scope: at, ID: 1 << 20, Calls: 16, Delivered: 1 << 20, Rejected: 1 << 12})
 		case 2:
-			r.Gives = append(r.Gives, quota.Give{Scope: at, ID: 1 << 20, N: 16})
+			r.Grants = append(r.Grants, quota.Grant{Scope: at, ID: 1 << 20, Calls: 16})
 		}
 	}
 	m := Message{From: r.Member, Boot: r.Boot, Clock: 1 << 40}
-	m.SetRights(r)
+	m.SetQuotaMessage(r)
 	data, err := c.Encode(m)
 	if err != nil {
 		t.Fatal(err)
@@ -153,10 +153,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back := got.RightsMessage(); !reflect.DeepEqual(back, r) {
+	if back := got.QuotaMessage(); !reflect.DeepEqual(back, r) {
 		t.Errorf("%+v\nwant %+v", back, r)
 	}
-	if len(data) > gossip.DatagramBytes {
+	if len(data) > gossip.MaxDatagramSize {
 		t.Errorf("%d bytes", len(data))
 	}
 }
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -14,33 +14,33 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 func goldenRights() quota.Message {
-	scope := quota.Scope{Dest: 7, Route: "s-1"}
+	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
 	return quota.Message{
-		Member: "r3", Life: loadreport.Life{Incarnation: 5, Boot: 4}, Seq: 70, Seen: 69, Of: loadreport.Life{Incarnation: 12, Boot: 13},
-		Ping: true, New: true, None: true,
-		Loans: []quota.Loan{{Scope: scope, Rate: 0.25, Done: 20, Refused: 21}},
-		Asks:  []quota.Ask{{Scope: scope, ID: 30, N: 31, Done: 32, Refused: 33}},
-		Gives: []quota.Give{{Scope: scope, ID: 40, N: 41}},
+		Member: "r3", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 4}, Seq: 70, AckedSeq: 69, AckedIncarnation: loadreport.Incarnation{Generation: 12, Boot: 13},
+		Ping: true, AsksForLeases: true, HoldsNoLease: true,
+		Leases:   []quota.Lease{{Scope: scope, Rate: 0.25, Delivered: 20, Rejected: 21}},
+		Requests: []quota.QuotaRequest{{Scope: scope, ID: 30, Calls: 31, Delivered: 32, Rejected: 33}},
+		Grants:   []quota.Grant{{Scope: scope, ID: 40, Calls: 41}},
 	}
 }
 
 // Every kind of message has the bytes that earlier builds wrote, and is read as the same.
 func TestGoldenMessages(t *testing.T) {
-	page := loadreport.Page{
-		Name: "r1", Life: loadreport.Life{Incarnation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
-		Cells: []loadreport.Cell{
-			{Dest: 8, Demand: 0.5, Calls: 0.25, Refusals: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, Wait: 2 * time.Second, Cold: true},
-			{Dest: 9, Route: "s-1", Calls: 1},
+	page := loadreport.Report{
+		Name: "r1", Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
+		Scopes: []loadreport.ScopeLoad{
+			{Destination: 8, Demand: 0.5, Calls: 0.25, Rejections: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, RetryAfter: 2 * time.Second, WarmingUp: true},
+			{Destination: 9, Endpoint: "s-1", Calls: 1},
 		},
 	}
-	digest := loadreport.Digest{"r1": {Life: loadreport.Life{Incarnation: 3, Boot: 9}, Pages: map[int]uint64{2: 77, 3: 78}}}
+	digest := loadreport.Digest{"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77, 3: 78}}}
 	var pages, digests, told, filled Message
-	pages.SetPages(page)
+	pages.SetReports(page)
 	digests.SetDigest(digest)
-	digests.Asks = true
-	told.SetRights(goldenRights())
+	digests.WantsReports = true
+	told.SetQuotaMessage(goldenRights())
 	golden.Fill(&filled)
-	filled.Needs = Form
+	filled.RequiredVersion = Version
 	messages := map[string]Message{
 		"page": pages, "digest": digests, "rights": told, "ping": {Ping: true}, "pong": {Pong: &Pong{Boot: 8, Clock: 9}}, "filled": filled,
 	}
@@ -61,15 +61,15 @@
 		}
 		switch name {
 		case "page":
-			if p := got.LedgerPages(); !reflect.DeepEqual(p, []loadreport.Page{page}) {
+			if p := got.Reports(); !reflect.DeepEqual(p, []loadreport.Report{page}) {
 				t.Errorf("%+v\nwant %+v", p, page)
 			}
 		case "digest":
-			if d := got.LedgerDigest(); !reflect.DeepEqual(d, digest) {
+			if d := got.ReportDigest(); !reflect.DeepEqual(d, digest) {
 				t.Errorf("%+v\nwant %+v", d, digest)
 			}
 		case "rights":
-			if r := got.RightsMessage(); !reflect.DeepEqual(r, goldenRights()) {
+			if r := got.QuotaMessage(); !reflect.DeepEqual(r, goldenRights()) {
 				t.Errorf("%+v\nwant %+v", r, goldenRights())
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -40,17 +40,17 @@
 
 // Config is what a Member is made of.
 type Config struct {
-	Name    string
-	Label   string
-	Listen  string
-	Join    map[string]string
-	Folder  string // that outlasts the process
-	Kinds   []policy.DestinationKind
-	Rights  bool // limits are shared among Senders, the told size of the fleet
-	Senders int
-	Clock   func() time.Duration // that of Step's now
-	Log     *slog.Logger
-	Nudge   func() // asks the loop for a step; must not wait
+	Name             string
+	Label            string
+	Listen           string
+	Peers            map[string]string
+	Folder           string // that outlasts the process
+	DestinationKinds []policy.DestinationKind
+	ShareQuota       bool // limits are shared among Senders, the told size of the fleet
+	FleetSize        int
+	Clock            func() time.Duration // that of Step's now
+	Log              *slog.Logger
+	RequestStep      func() // asks the loop for a step; must not wait
 	// Transport is what the link travels by; nil: sockets on Listen.
 	Transport memberlist.NodeAwareTransport
 }
@@ -58,27 +58,27 @@
 // Member is a relay's place in its fleet. Step is the loop's; the others may be called from any goroutine.
 type Member struct {
 	cfg  Config
-	life loadreport.Life
-	seam *agent.Seam
-	last *membership.Link // that Step has met; the loop's
+	life loadreport.Incarnation
+	seam *agent.Agent
+	last *membership.Node // that Step has met; the loop's
 	told time.Duration    // when standing was put last; the loop's
 
-	standing atomic.Pointer[[]quota.Standing]
+	standing atomic.Pointer[[]quota.ScopeStatus]
 
 	mu   sync.Mutex
-	link *membership.Link // nil: it does not listen yet, or no more
+	link *membership.Node // nil: it does not listen yet, or no more
 	why  error            // it does not
 }
 
 // New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the first.
 func New(cfg Config) *Member {
-	life := loadreport.Life{Incarnation: readLife(cfg) + 1, Boot: rand.Uint32()}
-	if err := writeLife(cfg, life.Incarnation); err != nil {
+	life := loadreport.Incarnation{Generation: readLife(cfg) + 1, Boot: rand.Uint32()}
+	if err := writeLife(cfg, life.Generation); err != nil {
 		cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
 	}
 	return &Member{cfg: cfg, life: life, seam: agent.New(agent.Settings{
-		Self: cfg.Name, Life: life, Members: slices.Sorted(maps.Keys(cfg.Join)), Kinds: cfg.Kinds,
-		Rights: cfg.Rights, Senders: cfg.Senders,
+		Self: cfg.Name, Incarnation: life, Members: slices.Sorted(maps.Keys(cfg.Peers)), DestinationKinds: cfg.DestinationKinds,
+		ShareQuota: cfg.ShareQuota, FleetSize: cfg.FleetSize,
 	})}
 }
 
@@ -126,30 +126,30 @@
 			}
 			return
 		case <-step.C:
-			m.cfg.Nudge()
+			m.cfg.RequestStep()
 		}
 	}
 }
 
 func (m *Member) start() {
 	l, err := membership.Start(membership.Config{
-		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Join: m.cfg.Join, Life: m.life, Log: m.cfg.Log, News: m.cfg.Nudge,
-		Raise: func(n uint64) error { return writeLife(m.cfg, n) }, Transport: m.cfg.Transport,
+		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Peers: m.cfg.Peers, Incarnation: m.life, Log: m.cfg.Log, OnReceive: m.cfg.RequestStep,
+		SaveIncarnation: func(n uint64) error { return writeLife(m.cfg, n) }, Transport: m.cfg.Transport,
 	})
 	if m.set(l, err); err != nil {
 		m.cfg.Log.Warn("fleet: not heard by others, and hearing none; serving alone", "err", err)
 		return
 	}
-	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.life.Incarnation)
+	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.life.Generation)
 }
 
-func (m *Member) up() *membership.Link {
+func (m *Member) up() *membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.link
 }
 
-func (m *Member) set(l *membership.Link, why error) {
+func (m *Member) set(l *membership.Node, why error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.link, m.why = l, why
@@ -161,17 +161,17 @@
 	var decided time.Duration // by the link's clock, when now was or before
 	l := m.up()
 	if l != nil {
-		rec.Heard, rec.Life = l.Heard()
-		if m.cfg.Rights {
+		rec.Received, rec.Incarnation = l.Received()
+		if m.cfg.ShareQuota {
 			decided = l.Now() // first: a stop of the process between the two has it earlier, and leases shorter
 			decided -= m.cfg.Clock() - now
-			rec.RightsHeard = l.HeardRights()
+			rec.QuotaReceived = l.ReceivedQuota()
 		}
 	}
-	out := m.seam.Step(now, agent.Input{Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: events, Actions: actions, Views: views})
-	rec.Told, rec.RightsTold = out.Told, out.Rights
-	if b := m.seam.Rights(); b != nil && now >= m.told+standingEvery {
-		all := b.Standings(now)
+	out := m.seam.Step(now, agent.Input{Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: events, Actions: actions, Views: views})
+	rec.Published, rec.QuotaSent = out.Published, out.Quota
+	if b := m.seam.Quota(); b != nil && now >= m.told+standingEvery {
+		all := b.Status(now)
 		m.told = now
 		m.standing.Store(&all)
 	}
@@ -183,31 +183,31 @@
 		m.last = l
 		l.SetLimits(m.seam.Limits())
 	}
-	if len(rec.Told) > 0 {
-		l.Tell(rec.Told)
+	if len(rec.Published) > 0 {
+		l.Publish(rec.Published)
 	}
-	if len(rec.RightsTold) > 0 {
-		l.TellRights(decided, rec.RightsTold)
+	if len(rec.QuotaSent) > 0 {
+		l.SendQuota(decided, rec.QuotaSent)
 	}
 	return rec, out.Events
 }
 
-// Alive is how many members are seen, this one among them; 0: the link is down.
-func (m *Member) Alive() int {
+// AliveCount is how many members are seen, this one among them; 0: the link is down.
+func (m *Member) AliveCount() int {
 	if l := m.up(); l != nil {
-		return l.Alive()
+		return l.AliveCount()
 	}
 	return 0
 }
 
-// Seam is the pure part. It must only be asked, by the loop.
-func (m *Member) Seam() *agent.Seam { return m.seam }
+// Agent is the pure part. It must only be asked, by the loop.
+func (m *Member) Agent() *agent.Agent { return m.seam }
 
 // Status is what a member tells of its fleet.
 type Status struct {
-	Up     bool             `json:"up"`
-	Why    string           `json:"why,omitempty"`    // it is not
-	Rights []quota.Standing `json:"rights,omitempty"` // where limits are shared
+	Up    bool                `json:"up"`
+	Why   string              `json:"why,omitempty"`    // it is not
+	Quota []quota.ScopeStatus `json:"rights,omitempty"` // where limits are shared
 	*membership.Status
 }
 
@@ -218,7 +218,7 @@
 	m.mu.Unlock()
 	s := Status{Up: l != nil}
 	if all := m.standing.Load(); all != nil {
-		s.Rights = *all
+		s.Quota = *all
 	}
 	if l != nil {
 		st := l.Status()
@@ -245,33 +245,33 @@
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%s of fleet %q, listens on %s, life %d/%08x, health %d (0 is best), %d pages queued, %d bytes sent\n",
-		s.Name, s.Fleet, s.Listen, s.Life.Incarnation, s.Life.Boot, s.Health, s.Queued, s.SentBytes)
-	if s.Twin {
+		s.Name, s.Fleet, s.Listen, s.Incarnation.Generation, s.Incarnation.Boot, s.Health, s.Queued, s.SentBytes)
+	if s.NameConflict {
 		fmt.Fprintln(out, "ANOTHER PROCESS RUNS UNDER THIS NAME: this one tells nothing")
 	}
 	fmt.Fprintln(out, "member\tstate\tlife\theard\tpages\tcells\taddress")
 	for _, m := range s.Members {
 		heard, life := "never", "-"
 		if m.Age >= 0 {
-			heard, life = m.Age.Round(10*time.Millisecond).String()+" ago", fmt.Sprint(m.Life.Incarnation)
+			heard, life = m.Age.Round(10*time.Millisecond).String()+" ago", fmt.Sprint(m.Incarnation.Generation)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.State, life, heard, m.Pages, m.Cells, m.Addr)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.State, life, heard, m.Reports, m.Scopes, m.Addr)
 	}
-	for _, r := range slices.Sorted(maps.Keys(s.Refused)) {
-		fmt.Fprintf(out, "refused: %s\t%d\n", r, s.Refused[r])
+	for _, r := range slices.Sorted(maps.Keys(s.Rejected)) {
+		fmt.Fprintf(out, "refused: %s\t%d\n", r, s.Rejected[r])
 	}
-	if len(s.Rights) > 0 {
+	if len(s.Quota) > 0 {
 		fmt.Fprintln(out, "destination\tlimit\town\tlent\tkeeper\tmints\tbelief\twaiting")
 	}
-	for _, r := range s.Rights {
-		at := strconv.Itoa(r.Dest)
-		if r.Route != "" {
-			at += " " + r.Route
+	for _, r := range s.Quota {
+		at := strconv.Itoa(r.Destination)
+		if r.Endpoint != "" {
+			at += " " + r.Endpoint
 		}
-		fmt.Fprintf(out, "%s\t%.3g\t%.3g\t%.3g\t%s\t%.3g\t%.2f\t%d\n", at, r.Limit, r.Own, r.Lent, r.Keeper, r.Mints, r.Belief, r.Waiting)
+		fmt.Fprintf(out, "%s\t%.3g\t%.3g\t%.3g\t%s\t%.3g\t%.2f\t%d\n", at, r.Limit, r.OwnRate, r.Lent, r.LeaseHolder, r.GrantRate, r.Belief, r.PendingRequests)
 	}
 	fmt.Fprintf(out, "messages heard %d, unreadable %d, of newer programs %d; rival pages %d, names with two addresses %d, strangers %d\n",
-		s.Heard, s.Unread, s.Newer, s.Rivals, s.Conflicts, s.Strangers)
+		s.Received, s.Unreadable, s.Newer, s.Rivals, s.Conflicts, s.UnknownMembers)
 	if err := out.Flush(); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
--- a/internal/fleet/loadreport/claim.go
+++ b/internal/fleet/loadreport/claim.go
@@ -11,20 +11,20 @@
 	twinFor    = 60 * time.Second
 )
 
-// Claim is a process's hold on its member's name. The zero value holds it undisputed.
-type Claim struct {
+// NameClaim is a process's hold on its member's name. The zero value holds it undisputed.
+type NameClaim struct {
 	raises int           // new lives since began
 	began  time.Duration // the hearer's monotonic time
 	until  time.Duration // the process tells nothing before
 }
 
-// Silent tells whether another process under the name is taken to run, so that this one must tell nothing.
-func (c *Claim) Silent(now time.Duration) bool { return now < c.until }
+// Suspended tells whether another process under the name is taken to run, so that this one must tell nothing.
+func (c *NameClaim) Suspended(now time.Duration) bool { return now < c.until }
 
-// Rival takes that a life was heard under the name which is not this process's or one before it, and tells whether to begin a new life past it.
-func (c *Claim) Rival(now time.Duration) (raise bool) {
+// ObserveRival takes that a life was heard under the name which is not this process's or one before it, and tells whether to begin a new life past it.
+func (c *NameClaim) ObserveRival(now time.Duration) (raise bool) {
 	if now < c.until || c.raises >= raisesMost && now < c.began+twinSpan {
-		c.Yield(now, twinFor)
+		c.Suspend(now, twinFor)
 		return false
 	}
 	if c.raises == 0 || now >= c.began+twinSpan {
@@ -34,8 +34,8 @@
 	return true
 }
 
-// Yield has the process fall silent for a while. It returns whether it was not so before.
-func (c *Claim) Yield(now, wait time.Duration) (anew bool) {
+// Suspend has the process fall silent for a while. It returns whether it was not so before.
+func (c *NameClaim) Suspend(now, wait time.Duration) (anew bool) {
 	anew = now >= c.until
 	c.until = max(c.until, now+wait)
 	return anew
--- a/internal/fleet/loadreport/claim_test.go
+++ b/internal/fleet/loadreport/claim_test.go
@@ -19,27 +19,27 @@
 		"one that is older still, later": {{5, true, false}, {7, true, false}, {40, true, false}, {80, true, false}},
 		"a twin":                         {{5, true, false}, {6, true, false}, {7, true, false}, {8, false, true}, {40, false, true}, {99, false, true}, {160, true, false}},
 	} {
-		var claim Claim
+		var claim NameClaim
 		for _, x := range c {
 			now := time.Duration(x.s) * time.Second
-			if raise := claim.Rival(now); raise != x.raise || claim.Silent(now) != x.silent {
-				t.Errorf("%s, after %d s: raise %v, silent %v", name, x.s, raise, claim.Silent(now))
+			if raise := claim.ObserveRival(now); raise != x.raise || claim.Suspended(now) != x.silent {
+				t.Errorf("%s, after %d s: raise %v, silent %v", name, x.s, raise, claim.Suspended(now))
 			}
 		}
 	}
-	var claim Claim
-	if !claim.Yield(time.Second, 10*time.Second) || claim.Yield(2*time.Second, time.Second) || !claim.Silent(10*time.Second) || claim.Silent(11*time.Second) {
+	var claim NameClaim
+	if !claim.Suspend(time.Second, 10*time.Second) || claim.Suspend(2*time.Second, time.Second) || !claim.Suspended(10*time.Second) || claim.Suspended(11*time.Second) {
 		t.Error("a name that others saw with another address")
 	}
 }
 
 // What comes before its sender's clock is known waits for that, the newest of it, and the sender is asked now and then.
 func TestIntake(t *testing.T) {
-	in := Intake[int]{AskEvery: time.Second, AsideMost: 2}
+	in := Inbox[int]{ClockRequestInterval: time.Second, MaxDeferred: 2}
 	var asked []int
 	for i := range 25 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		_, known, ask := in.Take(i, "a", 7, time.Hour+now, now)
+		_, known, ask := in.Receive(i, "a", 7, time.Hour+now, now)
 		if known {
 			t.Fatal("known before it answered")
 		}
@@ -51,16 +51,16 @@
 		t.Error("asked at", asked)
 	}
 	now := 3 * time.Second
-	if aside := in.Answered("a", 7, time.Hour+now, now, now); !slices.Equal(aside, []int{23, 24}) {
+	if aside := in.ClockReceived("a", 7, time.Hour+now, now, now); !slices.Equal(aside, []int{23, 24}) {
 		t.Error("put aside:", aside)
 	}
-	if held, known, ask := in.Take(25, "a", 7, time.Hour+now, now+time.Second); !known || ask || held < time.Second || held > time.Second+20*time.Millisecond {
+	if held, known, ask := in.Receive(25, "a", 7, time.Hour+now, now+time.Second); !known || ask || held < time.Second || held > time.Second+20*time.Millisecond {
 		t.Error("held up by", held, known, ask)
 	}
-	if _, known, ask := in.Take(26, "a", 8, 0, now+2*time.Second); known || !ask {
+	if _, known, ask := in.Receive(26, "a", 8, 0, now+2*time.Second); known || !ask {
 		t.Error("another boot's clock is known, or not asked for")
 	}
-	if len(in.Answered("a", 8, 0, now, now)) != 1 {
+	if len(in.ClockReceived("a", 8, 0, now, now)) != 1 {
 		t.Error("what another boot told is not put aside")
 	}
 }
--- a/internal/fleet/loadreport/ledger_test.go
+++ b/internal/fleet/loadreport/ledger_test.go
@@ -14,23 +14,25 @@
 
 var listed = []string{"a", "b", "c"}
 
-func cellOf(dest int, calls float64) Cell { return Cell{Dest: dest, Calls: calls, Demand: 2 * calls} }
+func cellOf(dest int, calls float64) ScopeLoad {
+	return ScopeLoad{Destination: dest, Calls: calls, Demand: 2 * calls}
+}
 
 // drawPage draws few values of each kind, so that pages often meet.
-func drawPage(t *rapid.T) Page {
-	p := Page{
-		Name: rapid.SampledFrom(listed).Draw(t, "name"), Life: Life{rapid.Uint64Range(1, 3).Draw(t, "incarnation"), rapid.Uint32Range(1, 2).Draw(t, "boot")},
+func drawPage(t *rapid.T) Report {
+	p := Report{
+		Name: rapid.SampledFrom(listed).Draw(t, "name"), Incarnation: Incarnation{rapid.Uint64Range(1, 3).Draw(t, "incarnation"), rapid.Uint32Range(1, 2).Draw(t, "boot")},
 		Number: rapid.IntRange(0, 2).Draw(t, "page"), Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
 		Age: time.Duration(rapid.IntRange(0, 60).Draw(t, "age")) * time.Second,
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "cells") {
-		p.Cells = append(p.Cells, cellOf(p.Number<<pageShift+i, float64(rapid.IntRange(0, 3).Draw(t, "calls"))))
+		p.Scopes = append(p.Scopes, cellOf(p.Number<<pageShift+i, float64(rapid.IntRange(0, 3).Draw(t, "calls"))))
 	}
 	return p
 }
 
-func heard(l *Ledger, now time.Duration) (pages []Page) {
-	l.Pages(now, func(p Page) { pages = append(pages, p) })
+func heard(l *Table, now time.Duration) (pages []Report) {
+	l.Each(now, func(p Report) { pages = append(pages, p) })
 	return pages
 }
 
@@ -41,7 +43,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		pages := rapid.SliceOfN(rapid.Custom(drawPage), 1, 12).Draw(t, "pages")
 		order := rapid.Permutation(pages).Draw(t, "order")
-		a, b := New("me", Life{1, 1}, listed), New("me", Life{1, 1}, listed)
+		a, b := New("me", Incarnation{1, 1}, listed), New("me", Incarnation{1, 1}, listed)
 		for _, p := range pages {
 			a.Merge(now, p)
 		}
@@ -53,7 +55,7 @@
 			t.Fatalf("in order %v\nmixed %v", x, y)
 		}
 		// Two that heard other halves, and tell each other.
-		c, d := New("me", Life{1, 1}, listed), New("me", Life{1, 1}, listed)
+		c, d := New("me", Incarnation{1, 1}, listed), New("me", Incarnation{1, 1}, listed)
 		for i, p := range pages {
 			if i%2 == 0 {
 				c.Merge(now, p)
@@ -61,18 +63,18 @@
 				d.Merge(now, p)
 			}
 		}
-		toC, toD := d.Newer(now, c.Digest(now)), c.Newer(now, d.Digest(now))
+		toC, toD := d.MissingFrom(now, c.Digest(now)), c.MissingFrom(now, d.Digest(now))
 		for _, p := range toC {
 			c.Merge(now, p)
 		}
 		for _, p := range toD {
 			d.Merge(now, p)
 		}
-		if x, y := len(c.Newer(now, d.Digest(now))), len(d.Newer(now, c.Digest(now))); x+y > 0 {
+		if x, y := len(c.MissingFrom(now, d.Digest(now))), len(d.MissingFrom(now, c.Digest(now))); x+y > 0 {
 			t.Fatalf("%d and %d pages still differ", x, y)
 		}
 		// And later all of it is gone, whatever it was.
-		a.Sweep(now + AgeMost + time.Second)
+		a.RemoveExpired(now + MaxAge + time.Second)
 		if members, _ := a.Stats(now); len(members) > 0 {
 			t.Fatalf("kept past its age: %v", members)
 		}
@@ -81,11 +83,11 @@
 
 // The lesser age of one version is taken, ages grow with the hearer's time, and figures fade without a step.
 func TestAges(t *testing.T) {
-	l := New("me", Life{1, 1}, listed)
-	p := Page{Name: "a", Life: Life{1, 1}, Sequence: 1, Age: 5 * time.Second, Cells: []Cell{{Dest: 1, Calls: 8, Wait: 10 * time.Second, Cold: true}}}
+	l := New("me", Incarnation{1, 1}, listed)
+	p := Report{Name: "a", Incarnation: Incarnation{1, 1}, Sequence: 1, Age: 5 * time.Second, Scopes: []ScopeLoad{{Destination: 1, Calls: 8, RetryAfter: 10 * time.Second, WarmingUp: true}}}
 	l.Merge(20*time.Second, p)
 	p.Age = 3 * time.Second
-	if out, err := l.Merge(20*time.Second, p); out != Changed || err != nil {
+	if out, err := l.Merge(20*time.Second, p); out != Updated || err != nil {
 		t.Error(out, err)
 	}
 	p.Age = 3*time.Second - 2*time.Millisecond
@@ -99,12 +101,12 @@
 	if got, ok := l.Get(24*time.Second, "a", 0); !ok || got.Age != 7*time.Second-2*time.Millisecond {
 		t.Error(got, ok)
 	}
-	if s := l.Others(24*time.Second, 1, ""); math.Abs(s.Calls-8*math.Exp2(-6.998/5)) > 1e-9 || s.Wait != 3002*time.Millisecond || !s.Cold {
+	if s := l.AggregateOthers(24*time.Second, 1, ""); math.Abs(s.Calls-8*math.Exp2(-6.998/5)) > 1e-9 || s.RetryAfter != 3002*time.Millisecond || !s.WarmingUp {
 		t.Errorf("%+v", s)
 	}
-	was := l.Others(20*time.Second, 1, "").Calls
+	was := l.AggregateOthers(20*time.Second, 1, "").Calls
 	for now := 20 * time.Second; now < 90*time.Second; now += 50 * time.Millisecond {
-		x := l.Others(now, 1, "").Calls
+		x := l.AggregateOthers(now, 1, "").Calls
 		if x > was || was-x > 0.01*8 {
 			t.Fatalf("a step from %g to %g at %v", was, x, now)
 		}
@@ -117,75 +119,75 @@
 
 // What cannot be is refused and counted, and changes nothing.
 func TestBounds(t *testing.T) {
-	good := func() Page {
-		return Page{Name: "a", Life: Life{1, 1}, Number: 1, Sequence: 1, Cells: []Cell{cellOf(4, 1), cellOf(5, 1)}}
+	good := func() Report {
+		return Report{Name: "a", Incarnation: Incarnation{1, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1), cellOf(5, 1)}}
 	}
-	l := New("me", Life{2, 5}, listed)
+	l := New("me", Incarnation{2, 5}, listed)
 	l.SetLimits(Limits{5: {"": 10}})
 	for _, c := range []struct {
-		reason Reason
-		spoil  func(*Page)
+		reason RejectReason
+		spoil  func(*Report)
 	}{
-		{Unlisted, func(p *Page) { p.Name = "stranger" }},
-		{Absurd, func(p *Page) { p.Cells[0].Calls = -1 }},
-		{Absurd, func(p *Page) { p.Cells[0].Demand = math.NaN() }},
-		{Absurd, func(p *Page) { p.Cells[1].Refusals = math.Inf(1) }},
-		{Absurd, func(p *Page) { p.Cells[1].Calls = 10*Multiple + 1 }},
-		{Absurd, func(p *Page) { p.Cells[0].Calls = RateMost + 1 }},
-		{Absurd, func(p *Page) { p.Cells[0].Backlog = -1 }},
-		{Absurd, func(p *Page) { p.Cells[0].Wait = 2 * waitMost }},
-		{Absurd, func(p *Page) { p.Age = -1 }},
-		{TooOld, func(p *Page) { p.Age = AgeMost + 1 }},
-		{BadForm, func(p *Page) { p.Incarnation = 0 }},
-		{BadForm, func(p *Page) { p.Sequence = math.MaxUint64 }},
-		{BadForm, func(p *Page) { p.Cells[0].Dest = 9 }},
-		{BadForm, func(p *Page) { p.Cells[0], p.Cells[1] = p.Cells[1], p.Cells[0] }},
-		{BadForm, func(p *Page) { p.Cells = make([]Cell, CellsMost+1) }},
+		{UnlistedMember, func(p *Report) { p.Name = "stranger" }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].Calls = -1 }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].Demand = math.NaN() }},
+		{OutOfRange, func(p *Report) { p.Scopes[1].Rejections = math.Inf(1) }},
+		{OutOfRange, func(p *Report) { p.Scopes[1].Calls = 10*MaxRateMultiple + 1 }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].Calls = MaxRate + 1 }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].Backlog = -1 }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].RetryAfter = 2 * waitMost }},
+		{OutOfRange, func(p *Report) { p.Age = -1 }},
+		{Expired, func(p *Report) { p.Age = MaxAge + 1 }},
+		{Malformed, func(p *Report) { p.Generation = 0 }},
+		{Malformed, func(p *Report) { p.Sequence = math.MaxUint64 }},
+		{Malformed, func(p *Report) { p.Scopes[0].Destination = 9 }},
+		{Malformed, func(p *Report) { p.Scopes[0], p.Scopes[1] = p.Scopes[1], p.Scopes[0] }},
+		{Malformed, func(p *Report) { p.Scopes = make([]ScopeLoad, MaxScopes+1) }},
 	} {
 		p := good()
 		c.spoil(&p)
 		_, before := l.Stats(0)
 		out, err := l.Merge(0, p)
-		var told *Error
-		if _, after := l.Stats(0); out != Refused || !errors.As(err, &told) || told.Reason != c.reason || after[c.reason] != before[c.reason]+1 {
+		var told *RejectedError
+		if _, after := l.Stats(0); out != Rejected || !errors.As(err, &told) || told.RejectReason != c.reason || after[c.reason] != before[c.reason]+1 {
 			t.Errorf("%v: %v, %v", p, out, err)
 		}
 	}
 	if members, _ := l.Stats(0); len(members) > 0 {
 		t.Error("something was kept:", members)
 	}
-	for n := range PagesMost + 5 {
-		l.Merge(0, Page{Name: "b", Life: Life{1, 1}, Number: n, Sequence: uint64(n + 1)})
+	for n := range MaxReports + 5 {
+		l.Merge(0, Report{Name: "b", Incarnation: Incarnation{1, 1}, Number: n, Sequence: uint64(n + 1)})
 	}
-	if members, refused := l.Stats(0); members[0].Pages != PagesMost || refused[TooMany] != 5 {
+	if members, refused := l.Stats(0); members[0].Reports != MaxReports || refused[TooManyReports] != 5 {
 		t.Error(members, refused)
 	}
 }
 
 // A life goes before all that came before it, and one under the own name is told apart from earlier ones.
 func TestLives(t *testing.T) {
-	l := New("me", Life{3, 7}, append(listed, "me"))
-	l.Merge(0, Page{Name: "a", Life: Life{1, 9}, Number: 0, Sequence: 50, Cells: []Cell{cellOf(1, 5)}})
-	l.Merge(0, Page{Name: "a", Life: Life{2, 1}, Number: 1, Sequence: 1, Cells: []Cell{cellOf(4, 1)}})
+	l := New("me", Incarnation{3, 7}, append(listed, "me"))
+	l.Merge(0, Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{cellOf(1, 5)}})
+	l.Merge(0, Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1)}})
 	if got := heard(l, 0); len(got) != 1 || got[0].Number != 1 {
 		t.Error("the life before was not forgotten:", got)
 	}
-	if out, _ := l.Merge(0, Page{Name: "a", Life: Life{1, 9}, Number: 2, Sequence: 99}); out != Older {
+	if out, _ := l.Merge(0, Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 2, Sequence: 99}); out != Stale {
 		t.Error(out)
 	}
-	for life, want := range map[Life]Outcome{{3, 7}: Own, {2, 9}: Own, {3, 6}: Own, {3, 8}: Rival, {4, 1}: Rival} {
-		if out, _ := l.Merge(0, Page{Name: "me", Life: life, Sequence: 1}); out != want {
+	for life, want := range map[Incarnation]MergeResult{{3, 7}: Own, {2, 9}: Own, {3, 6}: Own, {3, 8}: Rival, {4, 1}: Rival} {
+		if out, _ := l.Merge(0, Report{Name: "me", Incarnation: life, Sequence: 1}); out != want {
 			t.Errorf("%v: %v, want %v", life, out, want)
 		}
 	}
-	if l.Rival() != (Life{4, 1}) {
+	if l.Rival() != (Incarnation{4, 1}) {
 		t.Error(l.Rival())
 	}
-	if _, err := l.Tell(0, 0, 1, []Cell{cellOf(1, 1)}); err != nil {
+	if _, err := l.Publish(0, 0, 1, []ScopeLoad{cellOf(1, 1)}); err != nil {
 		t.Error(err)
 	}
-	l.Raise(Life{5, 7})
-	if _, ok := l.Get(0, "me", 0); ok || l.Life() != (Life{5, 7}) {
+	l.SetIncarnation(Incarnation{5, 7})
+	if _, ok := l.Get(0, "me", 0); ok || l.Incarnation() != (Incarnation{5, 7}) {
 		t.Error("what the life before told is still there")
 	}
 }
@@ -203,12 +205,12 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	l := New("me", Life{1, 1}, names)
+	l := New("me", Incarnation{1, 1}, names)
 	for _, n := range names {
-		for page := range PageOf(29) + 1 {
-			p := Page{Name: n, Life: Life{1, 1}, Number: page, Sequence: uint64(page + 1)}
+		for page := range ReportNumber(29) + 1 {
+			p := Report{Name: n, Incarnation: Incarnation{1, 1}, Number: page, Sequence: uint64(page + 1)}
 			for d := page << pageShift; d < min(30, (page+1)<<pageShift); d++ {
-				p.Cells = append(p.Cells, Cell{Dest: d, Demand: 1, Calls: 1, Deliveries: 1})
+				p.Scopes = append(p.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
 			}
 			if _, err := l.Merge(0, p); err != nil {
 				t.Fatal(err)
@@ -227,14 +229,14 @@
 // less than it was, and hardly to be more.
 func TestTransit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		drift := rapid.Float64Range(-Drift, Drift).Draw(t, "drift")
+		drift := rapid.Float64Range(-MaxClockDrift, MaxClockDrift).Draw(t, "drift")
 		offset := time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "offset"))
 		other := func(now time.Duration) time.Duration { return offset + now + time.Duration(drift*float64(now)) }
 		some := func(name string, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
 		}
-		var x Transit
-		if _, known, stale := x.Of("a", 1, 0, 0); known || !stale {
+		var x TransitEstimator
+		if _, known, stale := x.Estimate("a", 1, 0, 0); known || !stale {
 			t.Fatal("known before it was asked")
 		}
 		now, worst := time.Duration(0), time.Duration(0)
@@ -250,15 +252,15 @@
 		sent := now
 		held := some("held", 20*time.Second)
 		now += held
-		d, known, _ := x.Of("a", 1, other(sent), now)
-		if most := held + worst + time.Duration(2*Drift*float64(now-asked)); !known || d < held-time.Microsecond || d > most+time.Microsecond {
+		d, known, _ := x.Estimate("a", 1, other(sent), now)
+		if most := held + worst + time.Duration(2*MaxClockDrift*float64(now-asked)); !known || d < held-time.Microsecond || d > most+time.Microsecond {
 			t.Fatalf("%v, was %v, %v at most", d, held, most)
 		}
-		if _, known, _ := x.Of("a", 2, other(sent), now); known {
+		if _, known, _ := x.Estimate("a", 2, other(sent), now); known {
 			t.Fatal("a new life goes by the clock of the one before")
 		}
 	})
-	var x Transit
+	var x TransitEstimator
 	for i := range 2 * sendersMost {
 		x.Calibrate(fmt.Sprint(i), 1, 0, 0, 0)
 	}
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -4,18 +4,18 @@
 
 const (
 	// Drift bounds how far two relays' monotonic clocks run apart, as a share of the time that passes.
-	Drift = 0.01
-	// CalibrateEvery is the age at which what is known of a sender's clock should be had anew: by then it makes ages too great by 0.2 s.
-	CalibrateEvery = 10 * time.Second
-	sendersMost    = 4096
+	MaxClockDrift = 0.01
+	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes ages too great by 0.2 s.
+	CalibrationInterval = 10 * time.Second
+	sendersMost         = 4096
 )
 
-// Transit tells how long a message was under way at most. Senders stamp their messages with their own monotonic time. How that stands to the
+// TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own monotonic time. How that stands to the
 // hearer's is found by asking: the hearer sends its time, the other answers with that and its own. The other's time was read between
 // the two, so that no message that it stamps later can have been under way for longer than the bound that follows from it. That
 // finds whatever held a message up: the network, queues, sockets, and either side's being stopped. It is never too small while clocks
 // run apart by no more than Drift, and too great by the round trip that was asked with and by Drift of the time since.
-type Transit struct {
+type TransitEstimator struct {
 	senders map[sender]calibration
 }
 
@@ -30,11 +30,11 @@
 }
 
 func (c calibration) bound(now time.Duration) time.Duration {
-	return c.least - time.Duration(Drift*float64(now-c.at))
+	return c.least - time.Duration(MaxClockDrift*float64(now-c.at))
 }
 
 // Calibrate takes an answer: the other's time was clock, and it was asked at the hearer's time asked and heard now.
-func (t *Transit) Calibrate(name string, boot uint32, clock, asked, now time.Duration) {
+func (t *TransitEstimator) Calibrate(name string, boot uint32, clock, asked, now time.Duration) {
 	if asked > now {
 		return // no answer to what this process has asked
 	}
@@ -48,45 +48,45 @@
 	t.senders[key] = c
 }
 
-// Of returns how long a message that was stamped sent has been under way now, at most; known is false if its sender was not
+// Estimate returns how long a message that was stamped sent has been under way now, at most; known is false if its sender was not
 // asked yet. stale tells that it should be asked again.
-func (t *Transit) Of(name string, boot uint32, sent, now time.Duration) (d time.Duration, known, stale bool) {
+func (t *TransitEstimator) Estimate(name string, boot uint32, sent, now time.Duration) (d time.Duration, known, stale bool) {
 	c, ok := t.senders[sender{name, boot}]
 	if !ok {
 		return 0, false, true
 	}
-	return max(0, now-sent-c.bound(now)), true, now-c.at > CalibrateEvery
+	return max(0, now-sent-c.bound(now)), true, now-c.at > CalibrationInterval
 }
 
-// Intake is Transit for whoever can ask: it tells when to ask a sender for its clock, and puts aside what comes of one whose clock is not
+// Inbox is Transit for whoever can ask: it tells when to ask a sender for its clock, and puts aside what comes of one whose clock is not
 // known yet. M is a message as the caller has it. Names must be of listed members: they bound it.
-type Intake[M any] struct {
-	Transit
-	AskEvery  time.Duration // an unanswered sender is asked again
-	AsideMost int           // messages of one sender that are kept, the newest
+type Inbox[M any] struct {
+	TransitEstimator
+	ClockRequestInterval time.Duration // an unanswered sender is asked again
+	MaxDeferred          int           // messages of one sender that are kept, the newest
 
 	asked map[string]time.Duration
 	aside map[string][]M
 }
 
-// Take takes a message that was stamped sent. known is false if it was put aside; else it has been under way for held at most. ask tells that
+// Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for held at most. ask tells that
 // its sender is to be asked now.
-func (in *Intake[M]) Take(m M, name string, boot uint32, sent, now time.Duration) (held time.Duration, known, ask bool) {
-	held, known, stale := in.Of(name, boot, sent, now)
-	ask = stale && in.Due(name, now)
+func (in *Inbox[M]) Receive(m M, name string, boot uint32, sent, now time.Duration) (held time.Duration, known, ask bool) {
+	held, known, stale := in.Estimate(name, boot, sent, now)
+	ask = stale && in.RequestDue(name, now)
 	if !known {
 		if in.aside == nil {
 			in.aside = map[string][]M{}
 		}
 		aside := append(in.aside[name], m)
-		in.aside[name] = aside[max(0, len(aside)-in.AsideMost):]
+		in.aside[name] = aside[max(0, len(aside)-in.MaxDeferred):]
 	}
 	return held, known, ask
 }
 
-// Due tells whether a sender that should be asked is to be asked now, and notes that it is.
-func (in *Intake[M]) Due(name string, now time.Duration) bool {
-	if at, before := in.asked[name]; before && now-at < in.AskEvery {
+// RequestDue tells whether a sender that should be asked is to be asked now, and notes that it is.
+func (in *Inbox[M]) RequestDue(name string, now time.Duration) bool {
+	if at, before := in.asked[name]; before && now-at < in.ClockRequestInterval {
 		return false
 	}
 	if in.asked == nil {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Answered takes a sender's answer as Calibrate does, and returns what was put aside of it.
-func (in *Intake[M]) Answered(name string, boot uint32, clock, asked, now time.Duration) (aside []M) {
+// ClockReceived takes a sender's answer as Calibrate does, and returns what was put aside of it.
+func (in *Inbox[M]) ClockReceived(name string, boot uint32, clock, asked, now time.Duration) (aside []M) {
 	in.Calibrate(name, boot, clock, asked, now)
 	aside = in.aside[name]
 	delete(in.aside, name)
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -18,11 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := loadreport.Life{Incarnation: 3, Boot: 9}
-	l := &Link{codec: c, ledger: loadreport.New("me", life, []string{"a"})}
-	l.cfg = Config{Name: "me", Life: life, now: func() time.Duration { return time.Minute }}
-	page := loadreport.Page{Name: "a", Life: loadreport.Life{Incarnation: 5, Boot: 6}, Number: 2, Sequence: 7, Cells: []loadreport.Cell{{Dest: 8, Calls: 1}}}
-	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != loadreport.Changed {
+	life := loadreport.Incarnation{Generation: 3, Boot: 9}
+	l := &Node{codec: c, ledger: loadreport.New("me", life, []string{"a"})}
+	l.cfg = Config{Name: "me", Incarnation: life, now: func() time.Duration { return time.Minute }}
+	page := loadreport.Report{Name: "a", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 6}, Number: 2, Sequence: 7, Scopes: []loadreport.ScopeLoad{{Destination: 8, Calls: 1}}}
+	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != loadreport.Updated {
 		t.Fatal(outcome, err)
 	}
 	golden.Check(t, *update, "local-state.cbor", (*delegate)(l).LocalState(false))
--- a/internal/fleet/membership/link.go
+++ b/internal/fleet/membership/link.go
@@ -42,16 +42,16 @@
 
 // Config is what a Link is made of.
 type Config struct {
-	Name   string            // of this member
-	Fleet  string            // members of another fleet are not heard; "": any
-	Listen string            // IP and port, for TCP and UDP; port 0: any that is free
-	Join   map[string]string // addresses of all members by their names, as this relay reaches them; its own is passed over
-	Life   loadreport.Life
-	Log    *slog.Logger
+	Name        string            // of this member
+	Fleet       string            // members of another fleet are not heard; "": any
+	Listen      string            // IP and port, for TCP and UDP; port 0: any that is free
+	Peers       map[string]string // addresses of all members by their names, as this relay reaches them; its own is passed over
+	Incarnation loadreport.Incarnation
+	Log         *slog.Logger
 	// Raise keeps an incarnation beyond the process. It is called away from whoever tells or asks.
-	Raise func(incarnation uint64) error
+	SaveIncarnation func(incarnation uint64) error
 	// News is called when something was heard, at most once until Heard is called. It must not wait.
-	News func()
+	OnReceive func()
 
 	// Transport is what datagrams and streams travel by; nil: sockets on Listen. For many members in one process.
 	Transport memberlist.NodeAwareTransport
@@ -60,8 +60,8 @@
 	syncEvery time.Duration        // of tests; 0: the usual
 }
 
-// Link is one member's.
-type Link struct {
+// Node is one member's.
+type Node struct {
 	cfg   Config
 	codec *codec.Codec
 	list  *memberlist.Memberlist
@@ -69,14 +69,14 @@
 	wire  *transport
 
 	mu     sync.Mutex
-	ledger *loadreport.Ledger
-	intake loadreport.Intake[codec.Message]
+	ledger *loadreport.Table
+	intake loadreport.Inbox[codec.Message]
 	mail   map[place]struct{}
-	life   loadreport.Life // a new one that Heard has not told yet
-	going  bool            // a new life is beginning
-	claim  loadreport.Claim
-	rights []heardRights // until HeardRights
-	counts Counts
+	life   loadreport.Incarnation // a new one that Heard has not told yet
+	going  bool                   // a new life is beginning
+	claim  loadreport.NameClaim
+	rights []heardRights // until ReceivedQuota
+	counts Counters
 	closed bool
 
 	replies chan reply
@@ -86,16 +86,16 @@
 	works   sync.WaitGroup
 }
 
-// Counts are of the link's whole life.
-type Counts struct {
-	Heard     uint64 `json:"heard"`     // messages
-	Unread    uint64 `json:"unread"`    // that could not be read
-	Newer     uint64 `json:"newer"`     // that need a newer program
-	Rivals    uint64 `json:"rivals"`    // pages of another process under this name
-	Conflicts uint64 `json:"conflicts"` // names that were told with two addresses
-	Strangers uint64 `json:"strangers"` // members that nobody lists
-	SentBytes uint64 `json:"sent_bytes"`
-	Streams   uint64 `json:"streams"`
+// Counters are of the link's whole life.
+type Counters struct {
+	Received       uint64 `json:"heard"`     // messages
+	Unreadable     uint64 `json:"unread"`    // that could not be read
+	Newer          uint64 `json:"newer"`     // that need a newer program
+	Rivals         uint64 `json:"rivals"`    // pages of another process under this name
+	Conflicts      uint64 `json:"conflicts"` // names that were told with two addresses
+	UnknownMembers uint64 `json:"strangers"` // members that nobody lists
+	SentBytes      uint64 `json:"sent_bytes"`
+	Streams        uint64 `json:"streams"`
 }
 
 type place struct {
@@ -123,7 +123,7 @@
 }
 
 // Start begins to listen, to tell and to hear. It fails where the address cannot be had.
-func Start(cfg Config) (*Link, error) {
+func Start(cfg Config) (*Node, error) {
 	c, err := codec.New()
 	if err != nil {
 		return nil, err
@@ -132,23 +132,23 @@
 		began := time.Now()
 		cfg.now = func() time.Duration { return time.Since(began) }
 	}
-	l := &Link{
-		cfg: cfg, codec: c, ledger: loadreport.New(cfg.Name, cfg.Life, names(cfg.Join)), mail: map[place]struct{}{},
-		intake:  loadreport.Intake[codec.Message]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
+	l := &Node{
+		cfg: cfg, codec: c, ledger: loadreport.New(cfg.Name, cfg.Incarnation, names(cfg.Peers)), mail: map[place]struct{}{},
+		intake:  loadreport.Inbox[codec.Message]{ClockRequestInterval: gossip.ClockRequestInterval, MaxDeferred: gossip.MaxDeferredMessages},
 		notes:   make(chan note, notesMost),
 		replies: make(chan reply, repliesMost), raising: make(chan struct{}, 1),
 	}
 	// Who listens, not who is seen: one that sees nobody yet tells all the same. A small fleet's datagrams get lost like a large one's.
-	l.queue.NumNodes = func() int { return gossip.Nodes(len(cfg.Join)) }
+	l.queue.NumNodes = func() int { return gossip.EffectiveSize(len(cfg.Peers)) }
 	mc := memberlist.DefaultLANConfig()
 	mc.Name, mc.Label = cfg.Name, cfg.Fleet
 	mc.Logger = slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)
-	mc.UDPBufferSize, mc.GossipInterval, mc.GossipNodes = gossip.DatagramBytes, gossip.Every, gossip.Targets(len(cfg.Join))
+	mc.UDPBufferSize, mc.GossipInterval, mc.GossipNodes = gossip.MaxDatagramSize, gossip.Interval, gossip.FanOut(len(cfg.Peers))
 	mc.ProbeInterval, mc.ProbeTimeout, mc.TCPTimeout = probeEvery, probeFor, streamFor
-	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(cfg.syncEvery, gossip.SyncEvery), false, reclaimFor
+	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(cfg.syncEvery, gossip.SyncInterval), false, reclaimFor
 	mc.Delegate, mc.Conflict, mc.Alive = (*delegate)(l), (*delegate)(l), (*delegate)(l)
 	// memberlist's own number of the delegate's form stays 0 for good: it keeps out whole members that are newer. The codec does better.
-	l.queue.RetransmitMult = gossip.Mult(len(cfg.Join))
+	l.queue.RetransmitMult = gossip.RetransmitMultiplier(len(cfg.Peers))
 	inner := cfg.Transport
 	if inner == nil {
 		at, err := netip.ParseAddrPort(cfg.Listen)
@@ -166,7 +166,7 @@
 		mc.AdvertiseAddr, mc.AdvertisePort = mc.BindAddr, mc.BindPort // given, so that none is looked for
 		inner = sockets
 	}
-	l.wire = &transport{NodeAwareTransport: inner, addrs: cfg.Join}
+	l.wire = &transport{NodeAwareTransport: inner, addrs: cfg.Peers}
 	mc.Transport = l.wire
 	if l.list, err = memberlist.Create(mc); err != nil {
 		return nil, errors.Join(fmt.Errorf("link: %w", err), inner.Shutdown())
@@ -189,7 +189,7 @@
 }
 
 // Close leaves the fleet and ends.
-func (l *Link) Close() error {
+func (l *Node) Close() error {
 	l.mu.Lock()
 	was := l.closed
 	l.closed = true
@@ -198,7 +198,7 @@
 		return nil
 	}
 	l.stop()
-	l.list.Leave(2 * gossip.Every) // nobody need hear of it
+	l.list.Leave(2 * gossip.Interval) // nobody need hear of it
 	err := l.list.Shutdown()
 	l.works.Wait()
 	if err != nil {
@@ -208,19 +208,19 @@
 }
 
 // Addr is where the link listens.
-func (l *Link) Addr() string { return l.list.LocalNode().Address() }
+func (l *Node) Addr() string { return l.list.LocalNode().Address() }
 
-// Alive is how many members are seen, this one among them; of those suspected too.
-func (l *Link) Alive() int { return l.list.NumMembers() }
+// AliveCount is how many members are seen, this one among them; of those suspected too.
+func (l *Node) AliveCount() int { return l.list.NumMembers() }
 
-// Tell has pages of this member told. It waits for nothing.
-func (l *Link) Tell(pages []loadreport.Page) {
+// Publish has pages of this member told. It waits for nothing.
+func (l *Node) Publish(pages []loadreport.Report) {
 	now := l.cfg.now()
 	var take []place
 	l.mu.Lock()
 	for _, p := range pages {
 		p.Age = 0
-		if l.ledger.Keep(now, p) == loadreport.Changed && !l.claim.Silent(now) {
+		if l.ledger.Restore(now, p) == loadreport.Updated && !l.claim.Suspended(now) {
 			take = append(take, place{p.Name, p.Number})
 		}
 	}
@@ -228,14 +228,14 @@
 	l.spread(take)
 }
 
-func (l *Link) spread(places []place) {
+func (l *Node) spread(places []place) {
 	for _, p := range places {
 		l.queue.QueueBroadcast(&broadcast{l, p})
 	}
 }
 
-// Heard returns what was heard since it was called last, with the ages that it has now, and the member's own life if that is new.
-func (l *Link) Heard() (pages []loadreport.Page, life loadreport.Life) {
+// Received returns what was heard since it was called last, with the ages that it has now, and the member's own life if that is new.
+func (l *Node) Received() (pages []loadreport.Report, life loadreport.Incarnation) {
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,21 +245,21 @@
 		}
 	}
 	clear(l.mail)
-	slices.SortFunc(pages, func(a, b loadreport.Page) int {
+	slices.SortFunc(pages, func(a, b loadreport.Report) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Number, b.Number))
 	})
-	life, l.life = l.life, loadreport.Life{}
+	life, l.life = l.life, loadreport.Incarnation{}
 	return pages, life
 }
 
 // Now is the link's monotonic time.
-func (l *Link) Now() time.Duration { return l.cfg.now() }
+func (l *Node) Now() time.Duration { return l.cfg.now() }
 
-// TellRights has messages sent, each to its member, that were decided at a time of Now's. It waits for nothing; what is beyond the room is lost, as a
+// SendQuota has messages sent, each to its member, that were decided at a time of Now's. It waits for nothing; what is beyond the room is lost, as a
 // datagram may be.
-func (l *Link) TellRights(at time.Duration, messages []quota.Message) {
+func (l *Node) SendQuota(at time.Duration, messages []quota.Message) {
 	l.mu.Lock()
-	silent := l.claim.Silent(l.cfg.now())
+	silent := l.claim.Suspended(l.cfg.now())
 	l.mu.Unlock()
 	for i := range messages {
 		if !silent {
@@ -268,13 +268,13 @@
 	}
 }
 
-// HeardRights returns what was heard of rights since it was called last, as old as it is at most.
-func (l *Link) HeardRights() (messages []quota.Message) {
+// ReceivedQuota returns what was heard of rights since it was called last, as old as it is at most.
+func (l *Node) ReceivedQuota() (messages []quota.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.now()
 	for _, h := range l.rights {
-		h.Held = max(0, now-h.sent)
+		h.TransitTime = max(0, now-h.sent)
 		messages = append(messages, h.Message)
 	}
 	l.rights = l.rights[:0]
@@ -282,7 +282,7 @@
 }
 
 // SetLimits takes what the list tells of destinations, by which absurd figures are known.
-func (l *Link) SetLimits(limits loadreport.Limits) {
+func (l *Node) SetLimits(limits loadreport.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.SetLimits(limits)
@@ -297,20 +297,20 @@
 
 // Status is what a link tells of itself.
 type Status struct {
-	Name    string                       `json:"name"`
-	Fleet   string                       `json:"fleet"`
-	Listen  string                       `json:"listen"`
-	Life    loadreport.Life              `json:"life"`
-	Twin    bool                         `json:"twin"` // another process has this name: nothing is told
-	Health  int                          `json:"health"`
-	Queued  int                          `json:"queued"`
-	Members []Member                     `json:"members"`
-	Refused map[loadreport.Reason]uint64 `json:"refused"`
-	Counts
+	Name         string                             `json:"name"`
+	Fleet        string                             `json:"fleet"`
+	Listen       string                             `json:"listen"`
+	Incarnation  loadreport.Incarnation             `json:"life"`
+	NameConflict bool                               `json:"twin"` // another process has this name: nothing is told
+	Health       int                                `json:"health"`
+	Queued       int                                `json:"queued"`
+	Members      []Member                           `json:"members"`
+	Rejected     map[loadreport.RejectReason]uint64 `json:"refused"`
+	Counters
 }
 
 // Status tells how the link fares.
-func (l *Link) Status() Status {
+func (l *Node) Status() Status {
 	states := map[string]string{}
 	for _, n := range l.list.Members() {
 		states[n.Name] = map[memberlist.NodeStateType]string{
@@ -323,17 +323,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Status{
-		Name: l.cfg.Name, Fleet: l.cfg.Fleet, Listen: listen, Life: l.ledger.Life(), Twin: l.claim.Silent(now), Health: health,
-		Queued: queued, Counts: l.counts,
+		Name: l.cfg.Name, Fleet: l.cfg.Fleet, Listen: listen, Incarnation: l.ledger.Incarnation(), NameConflict: l.claim.Suspended(now), Health: health,
+		Queued: queued, Counters: l.counts,
 	}
 	s.SentBytes, s.Streams = l.wire.sent.Load(), l.wire.streams.Load()
 	told, refused := l.ledger.Stats(now)
-	s.Refused = refused
-	for _, name := range names(l.cfg.Join) {
+	s.Rejected = refused
+	for _, name := range names(l.cfg.Peers) {
 		if name == l.cfg.Name {
 			continue
 		}
-		m := Member{MemberStats: loadreport.MemberStats{Name: name, Age: -1}, Addr: l.cfg.Join[name], State: cmp.Or(states[name], "unseen")}
+		m := Member{MemberStats: loadreport.MemberStats{Name: name, Age: -1}, Addr: l.cfg.Peers[name], State: cmp.Or(states[name], "unseen")}
 		if i := slices.IndexFunc(told, func(t loadreport.MemberStats) bool { return t.Name == name }); i >= 0 {
 			m.MemberStats = told[i]
 		}
@@ -343,49 +343,49 @@
 }
 
 // hear takes a message that came.
-func (l *Link) hear(data []byte) {
+func (l *Node) hear(data []byte) {
 	m, err := l.codec.Decode(data)
 	l.spread(l.take(m, err)) // unlocked: the queue asks for messages
 }
 
 // take takes a message that was read, and returns what it told that is new.
-func (l *Link) take(m codec.Message, err error) (news []place) {
+func (l *Node) take(m codec.Message, err error) (news []place) {
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts.Heard++
+	l.counts.Received++
 	if err != nil {
 		if errors.Is(err, codec.ErrNewer) {
 			l.counts.Newer++
 		} else {
-			l.counts.Unread++
+			l.counts.Unreadable++
 		}
 		return nil
 	}
 	if m.From == "" { // nothing was left to tell
 		return nil
 	}
-	if _, listed := l.cfg.Join[m.From]; !listed || m.From == l.cfg.Name {
-		l.counts.Strangers++
+	if _, listed := l.cfg.Peers[m.From]; !listed || m.From == l.cfg.Name {
+		l.counts.UnknownMembers++
 		return nil
 	}
 	if m.Ping {
 		l.send(note{to: m.From, pong: &codec.Pong{Boot: m.Boot, Clock: m.Clock}})
 	}
-	if m.Rights != nil {
+	if m.EncodedQuota != nil {
 		l.takeRights(now, m)
 		return nil
 	}
 	waiting := []codec.Message{m}
-	if m.Pong != nil && m.Pong.Boot == l.cfg.Life.Boot {
-		waiting = append(l.intake.Answered(m.From, m.Boot, micros(m.Clock), micros(m.Pong.Clock), now), m)
+	if m.Pong != nil && m.Pong.Boot == l.cfg.Incarnation.Boot {
+		waiting = append(l.intake.ClockReceived(m.From, m.Boot, micros(m.Clock), micros(m.Pong.Clock), now), m)
 	}
 	for _, m := range waiting {
 		news = append(news, l.pages(now, m)...)
 	}
-	if m.Asks {
+	if m.WantsReports {
 		select {
-		case l.replies <- reply{m.From, m.LedgerDigest()}:
+		case l.replies <- reply{m.From, m.ReportDigest()}:
 		default: // it asks again
 		}
 	}
@@ -395,23 +395,23 @@
 
 // pages takes those of a message, as old as they are: what was held up on the way, or by either side's being stopped, is older than it says.
 // While the sender's clock is not known nobody can tell: they are put aside until it is. mu is held.
-func (l *Link) pages(now time.Duration, m codec.Message) (news []place) {
-	if len(m.Pages) == 0 {
+func (l *Node) pages(now time.Duration, m codec.Message) (news []place) {
+	if len(m.EncodedReports) == 0 {
 		return nil
 	}
-	held, known, ask := l.intake.Take(m, m.From, m.Boot, micros(m.Clock), now)
+	held, known, ask := l.intake.Receive(m, m.From, m.Boot, micros(m.Clock), now)
 	if ask {
 		l.send(note{to: m.From})
 	}
 	if !known {
 		return nil
 	}
-	for _, p := range m.LedgerPages() {
+	for _, p := range m.Reports() {
 		if p.Age >= 0 {
 			p.Age += held
 		}
 		switch out, _ := l.ledger.Merge(now, p); out { // what it refuses it counts
-		case loadreport.Changed:
+		case loadreport.Updated:
 			news = append(news, place{p.Name, p.Number})
 		case loadreport.Rival:
 			l.rival(now)
@@ -421,25 +421,25 @@
 }
 
 // takeRights takes what is told of rights, of a sender whose clock is known: of another it is of no use, and comes again. mu is held.
-func (l *Link) takeRights(now time.Duration, m codec.Message) {
-	held, known, stale := l.intake.Of(m.From, m.Boot, micros(m.Clock), now)
-	if stale && l.intake.Due(m.From, now) {
+func (l *Node) takeRights(now time.Duration, m codec.Message) {
+	held, known, stale := l.intake.Estimate(m.From, m.Boot, micros(m.Clock), now)
+	if stale && l.intake.RequestDue(m.From, now) {
 		l.send(note{to: m.From})
 	}
 	if !known || len(l.rights) >= rightsMost {
 		return
 	}
 	first := len(l.rights) == 0
-	l.rights = append(l.rights, heardRights{m.RightsMessage(), now - held})
-	if first && l.cfg.News != nil {
-		l.cfg.News()
+	l.rights = append(l.rights, heardRights{m.QuotaMessage(), now - held})
+	if first && l.cfg.OnReceive != nil {
+		l.cfg.OnReceive()
 	}
 }
 
 func micros(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
 // send has a note sent; where too many wait it is left out, and asked for again.
-func (l *Link) send(n note) {
+func (l *Node) send(n note) {
 	select {
 	case l.notes <- n:
 	default:
@@ -447,51 +447,51 @@
 }
 
 // sendNotes sends questions for clocks and their answers, stamped as they leave.
-func (l *Link) sendNotes(ctx context.Context) {
+func (l *Node) sendNotes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case n := <-l.notes:
 			m := codec.Message{
-				From: l.cfg.Name, Boot: l.cfg.Life.Boot, Clock: l.cfg.now().Microseconds(), Ping: n.pong == nil && n.rights == nil, Pong: n.pong,
+				From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: l.cfg.now().Microseconds(), Ping: n.pong == nil && n.rights == nil, Pong: n.pong,
 			}
 			if n.rights != nil {
 				m.Clock = n.at.Microseconds()
-				m.SetRights(*n.rights)
+				m.SetQuotaMessage(*n.rights)
 			}
 			data, err := l.codec.Encode(m)
 			if err != nil {
 				continue // all of it can be encoded
 			}
 			// By name: the transport knows the address, also of one that is not seen as a member at the moment.
-			l.list.SendToAddress(memberlist.Address{Addr: l.cfg.Join[n.to], Name: n.to}, data) // asked again
+			l.list.SendToAddress(memberlist.Address{Addr: l.cfg.Peers[n.to], Name: n.to}, data) // asked again
 		}
 	}
 }
 
 // tellLoop has the loop told of news. mu is held.
-func (l *Link) tellLoop(news []place) {
-	if len(news) == 0 && l.life == (loadreport.Life{}) {
+func (l *Node) tellLoop(news []place) {
+	if len(news) == 0 && l.life == (loadreport.Incarnation{}) {
 		return
 	}
 	first := len(l.mail) == 0
 	for _, p := range news {
 		l.mail[p] = struct{}{}
 	}
-	if first && l.cfg.News != nil {
-		l.cfg.News()
+	if first && l.cfg.OnReceive != nil {
+		l.cfg.OnReceive()
 	}
 }
 
 // rival meets a life under the own name that is not this one or before it: the folder was an older one, or another process has
 // the name. mu is held.
-func (l *Link) rival(now time.Duration) {
+func (l *Node) rival(now time.Duration) {
 	l.counts.Rivals++
 	if l.going {
 		return
 	}
-	if was := l.claim.Silent(now); !l.claim.Rival(now) {
+	if was := l.claim.Suspended(now); !l.claim.ObserveRival(now) {
 		l.twinned(!was)
 		return
 	}
@@ -500,35 +500,35 @@
 }
 
 // twinned says that this member tells nothing for a while, if that is anew.
-func (l *Link) twinned(anew bool) {
+func (l *Node) twinned(anew bool) {
 	if anew {
 		l.cfg.Log.Error("fleet: another process runs under this relay's name; this one falls silent", "name", l.cfg.Name)
 	}
 }
 
 // raise begins a new life, past all that were heard of, once that outlasts the process.
-func (l *Link) raise() {
+func (l *Node) raise() {
 	l.mu.Lock()
-	incarnation := l.ledger.Rival().Incarnation + 1
+	incarnation := l.ledger.Rival().Generation + 1
 	l.mu.Unlock()
-	if err := l.cfg.Raise(incarnation); err != nil {
+	if err := l.cfg.SaveIncarnation(incarnation); err != nil {
 		l.cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.going = false
 	l.cfg.Log.Info("fleet: heard a later life of this relay; beginning a new one", "incarnation", incarnation)
-	l.life = loadreport.Life{Incarnation: incarnation, Boot: l.cfg.Life.Boot}
-	l.ledger.Raise(l.life)
+	l.life = loadreport.Incarnation{Generation: incarnation, Boot: l.cfg.Incarnation.Boot}
+	l.ledger.SetIncarnation(l.life)
 	l.tellLoop(nil)
 }
 
 // message is what a place holds, as it is to be told now.
-func (l *Link) message(pages ...loadreport.Page) []byte {
+func (l *Node) message(pages ...loadreport.Report) []byte {
 	var m codec.Message
 	if len(pages) > 0 {
-		m = codec.Message{From: l.cfg.Name, Boot: l.cfg.Life.Boot, Clock: l.cfg.now().Microseconds()}
-		m.SetPages(pages...)
+		m = codec.Message{From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: l.cfg.now().Microseconds()}
+		m.SetReports(pages...)
 	}
 	data, err := l.codec.Encode(m)
 	if err != nil {
@@ -538,7 +538,7 @@
 }
 
 // reply answers digests with what their senders lack, one after the other.
-func (l *Link) reply(ctx context.Context) {
+func (l *Node) reply(ctx context.Context) {
 	for {
 		var r reply
 		select {
@@ -556,9 +556,9 @@
 		}
 		to := others[i]
 		l.mu.Lock()
-		pages := l.ledger.Newer(l.cfg.now(), r.digest)
-		if l.claim.Silent(l.cfg.now()) {
-			pages = slices.DeleteFunc(pages, func(p loadreport.Page) bool { return p.Name == l.cfg.Name })
+		pages := l.ledger.MissingFrom(l.cfg.now(), r.digest)
+		if l.claim.Suspended(l.cfg.now()) {
+			pages = slices.DeleteFunc(pages, func(p loadreport.Report) bool { return p.Name == l.cfg.Name })
 		}
 		l.mu.Unlock()
 		for batch := range slices.Chunk(pages, batchBytes/pageGuess) {
@@ -570,8 +570,8 @@
 }
 
 // rejoin calls members that are listed and not seen, a few at a time: gossip reaches nobody who was away for long.
-func (l *Link) rejoin(ctx context.Context) {
-	all := names(l.cfg.Join)
+func (l *Node) rejoin(ctx context.Context) {
+	all := names(l.cfg.Peers)
 	for {
 		seen := map[string]bool{l.cfg.Name: true}
 		for _, n := range l.list.Members() {
@@ -581,13 +581,13 @@
 		rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 		for _, n := range missing[:min(len(missing), rejoinAtOnce)] {
 			if ctx.Err() == nil {
-				l.list.Join([]string{n + "/" + l.cfg.Join[n]}) // tried again
+				l.list.Join([]string{n + "/" + l.cfg.Peers[n]}) // tried again
 			}
 		}
 		l.mu.Lock()
-		l.ledger.Sweep(l.cfg.now())
+		l.ledger.RemoveExpired(l.cfg.now())
 		l.mu.Unlock()
-		if most := len(all) * loadreport.PagesMost; l.queue.NumQueued() > most { // a queue that was never used must not be pruned
+		if most := len(all) * loadreport.MaxReports; l.queue.NumQueued() > most { // a queue that was never used must not be pruned
 			l.queue.Prune(most)
 		}
 		wait := rejoinEvery/2 + rand.N(rejoinEvery)
@@ -601,7 +601,7 @@
 
 // broadcast is a page on its way to all. Of a page only the newest is told.
 type broadcast struct {
-	l *Link
+	l *Node
 	place
 }
 
@@ -626,9 +626,9 @@
 func (b *broadcast) Finished() {}
 
 // delegate is the side of a Link that memberlist calls.
-type delegate Link
+type delegate Node
 
-func (d *delegate) link() *Link { return (*Link)(d) }
+func (d *delegate) link() *Node { return (*Node)(d) }
 
 func (d *delegate) NodeMeta(int) []byte   { return nil }
 func (d *delegate) NotifyMsg(data []byte) { d.link().hear(data) }
@@ -641,7 +641,7 @@
 func (d *delegate) LocalState(bool) []byte {
 	l := d.link()
 	now := l.cfg.now()
-	m := codec.Message{From: l.cfg.Name, Boot: l.cfg.Life.Boot, Clock: now.Microseconds(), Asks: true}
+	m := codec.Message{From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: now.Microseconds(), WantsReports: true}
 	l.mu.Lock()
 	m.SetDigest(l.ledger.Digest(now))
 	l.mu.Unlock()
@@ -658,11 +658,11 @@
 // NotifyAlive keeps out whom the file does not list.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	l := d.link()
-	if _, ok := l.cfg.Join[n.Name]; ok || n.Name == l.cfg.Name {
+	if _, ok := l.cfg.Peers[n.Name]; ok || n.Name == l.cfg.Name {
 		return nil
 	}
 	l.mu.Lock()
-	l.counts.Strangers++
+	l.counts.UnknownMembers++
 	l.mu.Unlock()
 	return fmt.Errorf("link: %q is not listed", n.Name)
 }
@@ -676,7 +676,7 @@
 		l.cfg.Log.Warn("fleet: a name is told with two addresses", "name", other.Name, "other", other.Address())
 	}
 	if other.Name == l.cfg.Name { // the others know another process by this name, or this one by an address that it had before
-		l.twinned(l.claim.Yield(now, reclaimFor))
+		l.twinned(l.claim.Suspend(now, reclaimFor))
 	}
 }
 
--- a/internal/fleet/membership/link_test.go
+++ b/internal/fleet/membership/link_test.go
@@ -82,7 +82,7 @@
 func linkName(i int) string { return fmt.Sprintf("r%03d", i) }
 
 // mesh starts links that all know each other.
-func mesh(t testing.TB, net *network, n int, edit func(i int, c *Config)) (links []*Link) {
+func mesh(t testing.TB, net *network, n int, edit func(i int, c *Config)) (links []*Node) {
 	taps, join := make([]*tap, n), map[string]string{}
 	for i := range n {
 		taps[i] = net.transport(linkName(i))
@@ -94,8 +94,8 @@
 	}
 	for i := range n {
 		c := Config{
-			Name: linkName(i), Join: join, Life: loadreport.Life{Incarnation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
-			Raise: func(uint64) error { return nil }, Transport: taps[i],
+			Name: linkName(i), Peers: join, Incarnation: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
+			SaveIncarnation: func(uint64) error { return nil }, Transport: taps[i],
 		}
 		if edit != nil {
 			edit(i, &c)
@@ -116,14 +116,14 @@
 	return links
 }
 
-func pageOf(l *Link, number int, seq uint64, calls float64) loadreport.Page {
-	return loadreport.Page{Name: l.cfg.Name, Life: l.ledger.Life(), Number: number, Sequence: seq, Cells: []loadreport.Cell{
-		{Dest: number << 2, Demand: calls, Calls: calls, Deliveries: calls},
+func pageOf(l *Node, number int, seq uint64, calls float64) loadreport.Report {
+	return loadreport.Report{Name: l.cfg.Name, Incarnation: l.ledger.Incarnation(), Number: number, Sequence: seq, Scopes: []loadreport.ScopeLoad{
+		{Destination: number << 2, Demand: calls, Calls: calls, Deliveries: calls},
 	}}
 }
 
 // holds tells whether a link holds a page in at least this sequence.
-func (l *Link) holds(name string, number int, seq uint64) bool {
+func (l *Node) holds(name string, number int, seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.ledger.Get(l.cfg.now(), name, number)
@@ -146,9 +146,9 @@
 	net.fault = func(from, to string) bool { return late.Load() != true && (from == linkName(4) || to == linkName(4)) }
 	links := mesh(t, net, 5, func(_ int, c *Config) { c.syncEvery = 300 * time.Millisecond })
 	for _, l := range links {
-		l.Tell([]loadreport.Page{pageOf(l, 0, 1, 2)})
+		l.Publish([]loadreport.Report{pageOf(l, 0, 1, 2)})
 	}
-	all := func(of []*Link, seq uint64) func() bool {
+	all := func(of []*Node, seq uint64) func() bool {
 		return func() bool {
 			for _, a := range of {
 				for _, b := range of {
@@ -167,11 +167,11 @@
 	late.Store(true)
 	eventually(t, "all five hear each other", all(links, 1))
 	for i, l := range links {
-		heard, _ := l.Heard()
-		if len(heard) != 4 || !slices.IsSortedFunc(heard, func(a, b loadreport.Page) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) }) {
+		heard, _ := l.Received()
+		if len(heard) != 4 || !slices.IsSortedFunc(heard, func(a, b loadreport.Report) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) }) {
 			t.Errorf("%d: %v", i, heard)
 		}
-		if again, _ := l.Heard(); len(again) > 0 {
+		if again, _ := l.Received(); len(again) > 0 {
 			t.Errorf("%d: told twice: %v", i, again)
 		}
 	}
@@ -180,9 +180,9 @@
 		eventually(t, "the queue empties", func() bool { return l.Status().Queued == 0 })
 	}
 	net.loss.Store(1e6)
-	links[0].Tell([]loadreport.Page{pageOf(links[0], 0, 2, 3)})
+	links[0].Publish([]loadreport.Report{pageOf(links[0], 0, 2, 3)})
 	eventually(t, "by digests alone", func() bool {
-		return slices.IndexFunc(links[1:], func(l *Link) bool { return l.holds(linkName(0), 0, 2) }) >= 0
+		return slices.IndexFunc(links[1:], func(l *Node) bool { return l.holds(linkName(0), 0, 2) }) >= 0
 	})
 }
 
@@ -190,12 +190,12 @@
 // ever, and the relay's loop with them.
 func TestStatusWhileTheQueueIsRead(t *testing.T) {
 	l := mesh(t, &network{}, 1, nil)[0]
-	l.Tell([]loadreport.Page{pageOf(l, 0, 1, 2)})
+	l.Publish([]loadreport.Report{pageOf(l, 0, 1, 2)})
 	l.mu.Lock()
 	done := make(chan struct{}, 2)
 	go func() { l.Status(); done <- struct{}{} }()
 	time.Sleep(50 * time.Millisecond) // until it waits for the link; nothing tells
-	go func() { l.queue.GetBroadcasts(2, gossip.DatagramBytes); done <- struct{}{} }()
+	go func() { l.queue.GetBroadcasts(2, gossip.MaxDatagramSize); done <- struct{}{} }()
 	time.Sleep(50 * time.Millisecond) // until it has the queue and waits for the link
 	l.mu.Unlock()
 	for range 2 {
@@ -211,39 +211,39 @@
 func TestHeldUpIsOlder(t *testing.T) {
 	var clock atomic.Int64
 	now := func() time.Duration { return time.Duration(clock.Load()) }
-	sender := &Link{cfg: Config{Name: "a", Life: loadreport.Life{Incarnation: 1, Boot: 1}, now: now}}
+	sender := &Node{cfg: Config{Name: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, now: now}}
 	hearer := mesh(t, &network{}, 2, func(i int, c *Config) {
-		c.Join = map[string]string{"a": "127.0.0.1:1"}
+		c.Peers = map[string]string{"a": "127.0.0.1:1"}
 		if i == 0 {
 			c.now = func() time.Duration { return now() + time.Hour }
 		}
 	})[0]
 	sender.codec = hearer.codec
-	hearer.hear(sender.message(loadreport.Page{Name: "a", Life: sender.cfg.Life, Sequence: 1}))
-	if got, _ := hearer.Heard(); len(got) > 0 {
+	hearer.hear(sender.message(loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: 1}))
+	if got, _ := hearer.Received(); len(got) > 0 {
 		t.Fatal("heard of one whose clock is not known, who may have told it at any time:", got)
 	}
 	pong, _ := sender.codec.Encode(codec.Message{
-		From: "a", Boot: 1, Clock: now().Microseconds(), Pong: &codec.Pong{Boot: hearer.cfg.Life.Boot, Clock: (now() + time.Hour).Microseconds()},
+		From: "a", Boot: 1, Clock: now().Microseconds(), Pong: &codec.Pong{Boot: hearer.cfg.Incarnation.Boot, Clock: (now() + time.Hour).Microseconds()},
 	})
 	hearer.hear(pong)
-	if got, _ := hearer.Heard(); len(got) != 1 {
+	if got, _ := hearer.Received(); len(got) != 1 {
 		t.Fatal("what was put aside is lost:", got)
 	}
-	page := func(seq uint64) loadreport.Page {
-		return loadreport.Page{Name: "a", Life: sender.cfg.Life, Sequence: seq, Cells: []loadreport.Cell{{Dest: 1, Calls: 1}}}
+	page := func(seq uint64) loadreport.Report {
+		return loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: seq, Scopes: []loadreport.ScopeLoad{{Destination: 1, Calls: 1}}}
 	}
 	clock.Add(int64(time.Second))
 	data := sender.message(page(2))
 	clock.Add(int64(10 * time.Second)) // whoever held it
 	hearer.hear(data)
-	got, _ := hearer.Heard()
+	got, _ := hearer.Received()
 	if len(got) != 1 || got[0].Sequence != 2 || got[0].Age < 9900*time.Millisecond {
 		t.Errorf("%+v", got)
 	}
 	hearer.hear([]byte("nothing that can be read"))
-	if s := hearer.Status(); s.Unread != 1 {
-		t.Error(s.Unread)
+	if s := hearer.Status(); s.Unreadable != 1 {
+		t.Error(s.Unreadable)
 	}
 }
 
@@ -255,40 +255,40 @@
 	var kept atomic.Uint64
 	links := mesh(t, &network{}, 2, func(i int, c *Config) {
 		if i == 0 {
-			c.now, c.Raise = now, func(n uint64) error { kept.Store(n); return errors.New("disk full") }
+			c.now, c.SaveIncarnation = now, func(n uint64) error { kept.Store(n); return errors.New("disk full") }
 		}
 	})
 	l := links[0]
 	// What the other process tells comes over a third one.
-	over := &Link{cfg: Config{Name: linkName(1), Life: loadreport.Life{Incarnation: 1, Boot: 999}, now: now}, codec: l.codec}
+	over := &Node{cfg: Config{Name: linkName(1), Incarnation: loadreport.Incarnation{Generation: 1, Boot: 999}, now: now}, codec: l.codec}
 	l.mu.Lock()
 	l.intake.Calibrate(linkName(1), 999, 0, 0, 0)
 	l.mu.Unlock()
 	for i := range 3 {
-		life := loadreport.Life{Incarnation: uint64(10 * (i + 1)), Boot: 999}
-		p := loadreport.Page{Name: l.cfg.Name, Life: life, Sequence: 1}
-		l.hear(over.message(p, loadreport.Page{Name: l.cfg.Name, Life: life, Number: 1, Sequence: 2}))
+		life := loadreport.Incarnation{Generation: uint64(10 * (i + 1)), Boot: 999}
+		p := loadreport.Report{Name: l.cfg.Name, Incarnation: life, Sequence: 1}
+		l.hear(over.message(p, loadreport.Report{Name: l.cfg.Name, Incarnation: life, Number: 1, Sequence: 2}))
 		eventually(t, "a new life", func() bool {
-			_, mine := l.Heard()
-			return mine.Incarnation == life.Incarnation+1 || kept.Load() == life.Incarnation+1 && l.Status().Life.Incarnation == life.Incarnation+1
+			_, mine := l.Received()
+			return mine.Generation == life.Generation+1 || kept.Load() == life.Generation+1 && l.Status().Incarnation.Generation == life.Generation+1
 		})
-		if l.Status().Twin {
+		if l.Status().NameConflict {
 			t.Fatal("silent after", i, "lives of another")
 		}
 	}
-	l.hear(over.message(loadreport.Page{Name: l.cfg.Name, Life: loadreport.Life{Incarnation: 99, Boot: 999}, Sequence: 1}))
-	if s := l.Status(); !s.Twin {
+	l.hear(over.message(loadreport.Report{Name: l.cfg.Name, Incarnation: loadreport.Incarnation{Generation: 99, Boot: 999}, Sequence: 1}))
+	if s := l.Status(); !s.NameConflict {
 		t.Fatalf("%+v", s)
 	}
-	l.Tell([]loadreport.Page{pageOf(l, 0, 1, 1)})
+	l.Publish([]loadreport.Report{pageOf(l, 0, 1, 1)})
 	if l.Status().Queued != 0 {
 		t.Error("it goes on telling")
 	}
 	mu.Lock()
 	at += 61 * time.Second
 	mu.Unlock()
-	l.Tell([]loadreport.Page{pageOf(l, 0, 2, 1)})
-	if s := l.Status(); s.Twin || s.Queued == 0 {
+	l.Publish([]loadreport.Report{pageOf(l, 0, 2, 1)})
+	if s := l.Status(); s.NameConflict || s.Queued == 0 {
 		t.Errorf("still silent: %+v", s)
 	}
 }
@@ -347,11 +347,11 @@
 	ip, port, _ := newcomer.FinalAdvertiseAddr("", 0)
 	links := mesh(t, net, 2, func(i int, c *Config) {
 		if i == 0 { // the table is one, and read from then on
-			c.Join["r900"] = fmt.Sprintf("%s:%d", ip, port)
+			c.Peers["r900"] = fmt.Sprintf("%s:%d", ip, port)
 		}
 	})
 	mc := memberlist.DefaultLANConfig()
-	mc.Name, mc.Transport, mc.GossipInterval = "r900", newcomer, gossip.Every
+	mc.Name, mc.Transport, mc.GossipInterval = "r900", newcomer, gossip.Interval
 	mc.Delegate, mc.Logger = &newer{name: "r900"}, slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
 	list, err := memberlist.Create(mc)
 	if err != nil {
@@ -359,7 +359,7 @@
 	}
 	defer list.Shutdown()
 	for _, l := range links {
-		l.Tell([]loadreport.Page{pageOf(l, 0, 1, 1)})
+		l.Publish([]loadreport.Report{pageOf(l, 0, 1, 1)})
 	}
 	for i, l := range links {
 		eventually(t, "the newer one is heard", func() bool { return l.holds("r900", 0, 1) && l.Status().Newer > 0 })
@@ -400,7 +400,7 @@
 	net := &network{}
 	links := mesh(t, net, n, nil)
 	eventually(t, "all are members", func() bool {
-		return !slices.ContainsFunc(links, func(l *Link) bool { return l.Alive() < n })
+		return !slices.ContainsFunc(links, func(l *Node) bool { return l.AliveCount() < n })
 	})
 	net.loss.Store(loss)
 	bytes := func() (sum uint64) {
@@ -426,7 +426,7 @@
 					return
 				case <-timer.C:
 				}
-				l.Tell([]loadreport.Page{pageOf(l, 0, seq, float64(seq%7))})
+				l.Publish([]loadreport.Report{pageOf(l, 0, seq, float64(seq%7))})
 				timer.Reset(2500 * time.Millisecond)
 			}
 		})
@@ -442,7 +442,7 @@
 		eventually(t, "all know of the change", func() bool {
 			if !time.Now().Before(again) { // it is told anew like all others, so that it does not fade
 				seq++
-				links[0].Tell([]loadreport.Page{pageOf(links[0], 0, seq, 5)})
+				links[0].Publish([]loadreport.Report{pageOf(links[0], 0, seq, 5)})
 				again = again.Add(2500 * time.Millisecond)
 			}
 			for i, l := range links {
--- a/internal/fleet/quota/rights_test.go
+++ b/internal/fleet/quota/rights_test.go
@@ -33,8 +33,8 @@
 
 type tinyMember struct {
 	name    string
-	book    *Book
-	transit loadreport.Transit
+	book    *Ledger
+	transit loadreport.TransitEstimator
 	offset  time.Duration
 	drift   float64
 	lives   uint64 // of its folder
@@ -51,20 +51,20 @@
 	m        Message
 }
 
-var scope = Scope{Dest: 3}
+var scope = Scope{Destination: 3}
 
 func newTiny(n, senders int, limit float64, w wrong, draw func(from, to int) int) *tiny {
-	t := &tiny{limit: limit, wrong: w, now: time.Hour, set: Settings{Senders: senders}}
+	t := &tiny{limit: limit, wrong: w, now: time.Hour, set: Settings{FleetSize: senders}}
 	for i := range n {
 		t.set.Members = append(t.set.Members, fmt.Sprint("m", i))
 	}
 	if w.noMargin {
-		t.set.Margin = -time.Duration(2 * loadreport.Drift * float64(Lease))
+		t.set.LeaseMargin = -time.Duration(2 * loadreport.MaxClockDrift * float64(LeaseDuration))
 	}
 	t.set.Fresh = w.forgets
 	for i := range n {
 		t.members = append(t.members, &tinyMember{
-			name: t.set.Members[i], offset: time.Duration(draw(0, 1000)) * time.Hour, drift: float64(draw(-100, 100)) / 100 * loadreport.Drift / 2,
+			name: t.set.Members[i], offset: time.Duration(draw(0, 1000)) * time.Hour, drift: float64(draw(-100, 100)) / 100 * loadreport.MaxClockDrift / 2,
 		})
 	}
 	for i := range n {
@@ -81,13 +81,13 @@
 	m := t.members[i]
 	m.lives, m.boots = m.lives+1, m.boots+1
 	set := t.set
-	set.Self, set.Life = m.name, loadreport.Life{Incarnation: m.lives, Boot: m.boots}
+	set.Self, set.Incarnation = m.name, loadreport.Incarnation{Generation: m.lives, Boot: m.boots}
 	now := m.clock(t.now)
 	if m.book = New(now, set); t.wrong.forgets && m.lives > 1 {
 		m.book.Began = now
 	}
-	m.book.SetLimits(now, loadreport.Limits{scope.Dest: {"": t.limit}})
-	m.transit, m.inbox, m.stopped = loadreport.Transit{}, nil, false
+	m.book.SetLimits(now, loadreport.Limits{scope.Destination: {"": t.limit}})
+	m.transit, m.inbox, m.stopped = loadreport.TransitEstimator{}, nil, false
 	for j, o := range t.members { // questions for clocks are the carrier's, and answered at once here
 		if o.book != nil {
 			m.transit.Calibrate(o.name, o.boots, o.clock(t.now), now, now)
@@ -103,15 +103,15 @@
 		return
 	}
 	now := m.clock(t.now)
-	held, known, _ := m.transit.Of(t.members[f.from].name, f.boot, f.clock, now)
+	held, known, _ := m.transit.Estimate(t.members[f.from].name, f.boot, f.clock, now)
 	if !known {
 		return
 	}
 	if t.wrong.fromArrival {
 		held = 0
 	}
-	f.m.Member, f.m.Held = t.members[f.from].name, held
-	m.book.Hear(now, f.m)
+	f.m.Member, f.m.TransitTime = t.members[f.from].name, held
+	m.book.Receive(now, f.m)
 }
 
 // step has all that run take a step, and what they tell leave; after tells how long each message is under way, below 0: for ever.
@@ -131,15 +131,15 @@
 		}
 		now := m.clock(t.now)
 		if t.wrong.others {
-			m.book.Set.Senders = 0
+			m.book.Set.FleetSize = 0
 			for _, name := range t.set.Members {
 				if m.book.live(name) {
-					m.book.Set.Senders++
+					m.book.Set.FleetSize++
 				}
 			}
 		}
 		if n := wants(i); n > 0 {
-			m.book.Want(now, scope, n)
+			m.book.Request(now, scope, n)
 		}
 		send, changes := m.book.Step(now)
 		for _, c := range changes {
@@ -165,7 +165,7 @@
 	sum, text := 0.0, ""
 	for _, m := range t.members {
 		now := m.clock(t.now)
-		own, mints := m.book.Own(now, scope), m.book.Mints(now, scope)
+		own, mints := m.book.OwnRate(now, scope), m.book.GrantRate(now, scope)
 		sum += own + mints
 		text += fmt.Sprintf(" %s %.3f+%.3f", m.name, own, mints)
 	}
@@ -298,8 +298,8 @@
 		}
 		f.members[lender].lives = 40
 		f.boot(lender)
-		loans := func(x flying) bool { return x.from == lender && len(x.m.Loans) > 0 }
-		run(2*Lease, loans) // no loan of it comes to the keeper
+		loans := func(x flying) bool { return x.from == lender && len(x.m.Leases) > 0 }
+		run(2*LeaseDuration, loans) // no loan of it comes to the keeper
 		if lent == nil {
 			t.Fatal("it lends nothing")
 		}
@@ -311,7 +311,7 @@
 				t.Fatal("it waits for good")
 			}
 		}
-		if waited := f.members[lender].clock(f.now) - f.members[lender].book.Began; waited > Lease/2 {
+		if waited := f.members[lender].clock(f.now) - f.members[lender].book.Began; waited > LeaseDuration/2 {
 			t.Errorf("waited %v, though nothing is held", waited)
 		}
 		f.members[lender].book.Accounts[scope].Lent = nil // as where it has lent nothing yet
@@ -354,17 +354,17 @@
 		return f.used[0] / d.Seconds()
 	}
 	rate(6 * time.Second) // what an earlier life may have lent is over
-	if got := rate(10 * time.Second); got < 0.95*(1-Kept)*limit || got > (1-Kept)*limit+1 {
-		t.Errorf("%.1f calls a second by right, of %.1f lent", got, (1-Kept)*limit)
+	if got := rate(10 * time.Second); got < 0.95*(1-ReservedFraction)*limit || got > (1-ReservedFraction)*limit+1 {
+		t.Errorf("%.1f calls a second by right, of %.1f lent", got, (1-ReservedFraction)*limit)
 	}
-	keeper := f.members[7].book.Accounts[scope].Keeper
+	keeper := f.members[7].book.Accounts[scope].LeaseHolder
 	for _, m := range f.members {
 		if m.name == keeper {
 			m.stopped = true
 		}
 	}
 	rate(10 * time.Second)
-	if got := rate(10 * time.Second); got < 0.9*(1-Kept)*limit {
+	if got := rate(10 * time.Second); got < 0.9*(1-ReservedFraction)*limit {
 		t.Errorf("%.1f calls a second by right, ten seconds after the keeper stopped", got)
 	}
 }
@@ -391,13 +391,13 @@
 				} else {
 					room--
 				}
-				f.members[k%n].book.Outcome(scope, full)
+				f.members[k%n].book.RecordOutcome(scope, full)
 			}
 		}
 		return (total - refused) / d.Seconds(), refused / max(1, total)
 	}
 	run(10 * time.Second)
-	if rate, share := run(10 * time.Second); rate < 0.9*(1-Kept)*limit || share > 0.02 {
+	if rate, share := run(10 * time.Second); rate < 0.9*(1-ReservedFraction)*limit || share > 0.02 {
 		t.Errorf("at rest %.1f a second, %.2f refused", rate, share)
 	}
 	takes = limit / 4
@@ -408,7 +408,7 @@
 	}
 	takes = limit
 	run(40 * time.Second)
-	if rate, share := run(10 * time.Second); rate < 0.85*(1-Kept)*limit || share > 0.1 {
+	if rate, share := run(10 * time.Second); rate < 0.85*(1-ReservedFraction)*limit || share > 0.1 {
 		t.Errorf("raised again %.1f a second, %.2f refused", rate, share)
 	}
 }
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -15,40 +15,40 @@
 // prefix stands before every name.
 const prefix = "router."
 
-// End is how a message ended.
-type End int
+// Result is how a message ended.
+type Result int
 
 // The ends.
 const (
-	Completed End = iota // delivered
-	Rejected             // refused, or handed back: its client may come again
+	Completed Result = iota // delivered
+	Rejected                // refused, or handed back: its client may come again
 	Failed
 	ends
 )
 
 var endNames = [ends]string{"completed", "rejected", "failed"}
 
-// Figures are a process's. The zero value counts.
-type Figures struct {
-	Upstream     atomic.Int64 // messages written whole to hosts
-	Reloads      atomic.Int64 // configurations taken at SIGHUP
-	ReloadErrors atomic.Int64 // and turned down
-	Pending      atomic.Int64 // messages taken and not ended
-	Members      atomic.Int64 // hosts in the list
-	Unavailable  atomic.Int64 // those of them that are avoided now
+// Registry are a process's. The zero value counts.
+type Registry struct {
+	UpstreamRequests   atomic.Int64 // messages written whole to hosts
+	Reloads            atomic.Int64 // configurations taken at SIGHUP
+	ReloadErrors       atomic.Int64 // and turned down
+	Pending            atomic.Int64 // messages taken and not ended
+	Members            atomic.Int64 // hosts in the list
+	UnavailableMembers atomic.Int64 // those of them that are avoided now
 
 	mu      sync.Mutex
 	classes map[string]*[ends]int64 // never more than the configurations have named
 }
 
-// Class has a class counted from here on, and shown though nothing of it has ended yet.
-func (f *Figures) Class(name string) {
+// RegisterClass has a class counted from here on, and shown though nothing of it has ended yet.
+func (f *Registry) RegisterClass(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.class(name)
 }
 
-func (f *Figures) class(name string) *[ends]int64 {
+func (f *Registry) class(name string) *[ends]int64 {
 	c := f.classes[name]
 	if c == nil {
 		if f.classes == nil {
@@ -60,15 +60,15 @@
 	return c
 }
 
-// Ended counts the end of a message.
-func (f *Figures) Ended(class string, e End) {
+// CountResult counts the end of a message.
+func (f *Registry) CountResult(class string, e Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.class(class)[e]++
 }
 
 // WriteTo writes all figures, in a fixed order.
-func (f *Figures) WriteTo(w io.Writer) (int64, error) {
+func (f *Registry) WriteTo(w io.Writer) (int64, error) {
 	var text strings.Builder
 	line := func(name string, value int64, kind string) {
 		fmt.Fprintf(&text, "%s%s:%d|%s\n", prefix, name, value, kind)
@@ -80,10 +80,10 @@
 		}
 	}
 	f.mu.Unlock()
-	line("upstream_requests", f.Upstream.Load(), "c")
+	line("upstream_requests", f.UpstreamRequests.Load(), "c")
 	line("pending", f.Pending.Load(), "g")
 	line("members", f.Members.Load(), "g")
-	line("members_unavailable", f.Unavailable.Load(), "g")
+	line("members_unavailable", f.UnavailableMembers.Load(), "g")
 	line("config_reloads", f.Reloads.Load(), "c")
 	line("config_reload_errors", f.ReloadErrors.Load(), "c")
 	n, err := io.WriteString(w, text.String())
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -7,19 +7,19 @@
 )
 
 func TestFiguresAreWrittenOneALine(t *testing.T) {
-	var f Figures
-	f.Class("b")
+	var f Registry
+	f.RegisterClass("b")
 	var wg sync.WaitGroup
 	for range 100 {
 		wg.Go(func() {
-			f.Ended("a", Completed)
-			f.Ended("b", Failed)
-			f.Upstream.Add(2)
+			f.CountResult("a", Completed)
+			f.CountResult("b", Failed)
+			f.UpstreamRequests.Add(2)
 			f.WriteTo(&strings.Builder{})
 		})
 	}
 	wg.Wait()
-	f.Ended("a", Rejected)
+	f.CountResult("a", Rejected)
 	f.Pending.Store(14)
 	f.ReloadErrors.Add(1)
 	var text strings.Builder
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -300,7 +300,7 @@
 func (b *builder) other(e *flightrecorder.Entry) {
 	switch e.Kind {
 	case flightrecorder.Label:
-		b.traces[e.Message] = e.Text
+		b.traces[e.MessageID] = e.Text
 	case flightrecorder.Note:
 		b.rep.Notes = append(b.rep.Notes, e.Text)
 	case flightrecorder.Lost:
--- a/internal/recording/flightrecorder/flight_test.go
+++ b/internal/recording/flightrecorder/flight_test.go
@@ -126,12 +126,12 @@
 			case 1:
 				id := rapid.Uint32().Draw(rt, "id")
 				rec.Label(id, "trace")
-				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Label, Message: id, Text: "trace"})
+				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Label, MessageID: id, Text: "trace"})
 			case 2:
 				ids := rapid.SliceOfN(rapid.Uint32(), 1, 4).Draw(rt, "ids")
 				may := rapid.Bool().Draw(rt, "may")
-				rec.Cleared(now, "s-1", ids, may)
-				want = append(want, flightrecorder.Entry{Kind: flightrecorder.Cleared, Now: now, Route: "s-1", IDs: ids, May: may})
+				rec.SendChecked(now, "s-1", ids, may)
+				want = append(want, flightrecorder.Entry{Kind: flightrecorder.SendChecked, Now: now, Endpoint: "s-1", MessageIDs: ids, Allowed: may})
 			default:
 				e := flightrecorder.Entry{Kind: flightrecorder.Step, Now: now}
 				for range rapid.IntRange(0, 4).Draw(rt, "events") {
@@ -231,7 +231,7 @@
 	var rec *flightrecorder.Recorder
 	rec.Step(1, nil, nil)
 	rec.Label(1, "x")
-	rec.Cleared(1, "r", nil, true)
+	rec.SendChecked(1, "r", nil, true)
 	rec.Note("n")
 	if n, err := rec.WriteTo(io.Discard); n != 0 || err != nil {
 		t.Errorf("%d, %v", n, err)
@@ -276,7 +276,7 @@
 		done := make(chan error, 1)
 		var once sync.Once
 		steps := 0
-		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
 			once.Do(func() {
 				go func() {
 					if kind == "log" {
@@ -301,7 +301,7 @@
 				t.Fatal(err)
 			}
 		} else {
-			paths, _ = filepath.Glob(filepath.Join(folder.Path, "n-1-x-*"+flightrecorder.Ext))
+			paths, _ = filepath.Glob(filepath.Join(folder.Path, "n-1-x-*"+flightrecorder.FileExtension))
 		}
 		found, err := flightrecorder.Load(paths...)
 		if err != nil || len(found) != 1 {
@@ -325,7 +325,7 @@
 // The folder's limit holds, the oldest files go first, files of others stay, and half-written ones are cleared away.
 func TestFolderKeepsItsLimit(t *testing.T) {
 	dir := t.TempDir()
-	foreign, stale := filepath.Join(dir, "notes.txt"), filepath.Join(dir, "old"+flightrecorder.Ext+".tmp")
+	foreign, stale := filepath.Join(dir, "notes.txt"), filepath.Join(dir, "old"+flightrecorder.FileExtension+".tmp")
 	for _, path := range []string{foreign, stale} {
 		if err := os.WriteFile(path, make([]byte, 100), 0o600); err != nil {
 			t.Fatal(err)
@@ -339,7 +339,7 @@
 	folder := flightrecorder.Folder{Path: dir, Limit: 1 << 20, Name: "n1"}
 	var first string
 	for i := range 6 {
-		path, err := folder.Keep(rec, "SIGUSR1 (by hand)")
+		path, err := folder.Dump(rec, "SIGUSR1 (by hand)")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -347,7 +347,7 @@
 			first = path
 		}
 		var sum int64
-		files, _ := filepath.Glob(filepath.Join(dir, "*"+flightrecorder.Ext))
+		files, _ := filepath.Glob(filepath.Join(dir, "*"+flightrecorder.FileExtension))
 		for _, f := range files {
 			info, err := os.Stat(f)
 			if err != nil {
@@ -368,10 +368,10 @@
 	if _, err := os.Stat(stale); !errors.Is(err, os.ErrNotExist) {
 		t.Error("a half-written file is still there")
 	}
-	if _, err := (flightrecorder.Folder{Path: dir, Limit: 1000}).Keep(rec, "x"); err == nil {
+	if _, err := (flightrecorder.Folder{Path: dir, Limit: 1000}).Dump(rec, "x"); err == nil {
 		t.Error("a ring is kept that the folder has no room for")
 	}
-	if _, err := (flightrecorder.Folder{Path: foreign, Limit: 1 << 20}).Keep(rec, "x"); err == nil {
+	if _, err := (flightrecorder.Folder{Path: foreign, Limit: 1 << 20}).Dump(rec, "x"); err == nil {
 		t.Error("a file was taken for a folder")
 	}
 }
@@ -384,7 +384,7 @@
 	if err := flightrecorder.FollowLog(context.Background(), rec, out); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
-	if err := flightrecorder.KeepInLog(rec, "x", out); !errors.Is(err, syscall.ENOSPC) {
+	if err := flightrecorder.DumpToLog(rec, "x", out); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
 }
@@ -393,13 +393,13 @@
 func TestPartsArePutTogether(t *testing.T) {
 	var kept [][]byte
 	n := 0
-	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
 		if n++; n%1200 == 0 {
 			kept = append(kept, written(t, rec))
 		}
 	})
 	kept = append(kept, written(t, rec))
-	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.LeastRing, nil)
+	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.MinRingSize, nil)
 	found, err := flightrecorder.Split(append([][]byte{written(t, other), []byte("junk")}, kept...)...)
 	if err != nil || len(found) != 2 {
 		t.Fatalf("%d recordings, %v", len(found), err)
@@ -421,7 +421,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	_, rec := recordertest.Drive(1, 1500*time.Millisecond, flightrecorder.LeastRing, nil)
+	_, rec := recordertest.Drive(1, 1500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(append(data[:len(data)/2:len(data)/2], data...))
--- a/internal/recording/flightrecorder/form.go
+++ b/internal/recording/flightrecorder/form.go
@@ -31,8 +31,8 @@
 	idSize      = 8
 	preamble    = len(magic) + idSize + 4 // and the chunk's number
 	frameHeader = 8
-	// FrameMost bounds a frame's payload. A step that does not fit is told as lost, and a new chunk begins.
-	FrameMost = 64 << 20
+	// MaxFrameSize bounds a frame's payload. A step that does not fit is told as lost, and a new chunk begins.
+	MaxFrameSize = 64 << 20
 	// entriesMost bounds the events, and the actions, of a step.
 	entriesMost = 1 << 20
 )
@@ -443,7 +443,7 @@
 	}
 	n := binary.LittleEndian.Uint32(rest)
 	switch {
-	case n == 0 || n > FrameMost:
+	case n == 0 || n > MaxFrameSize:
 		return nil, at, fmt.Errorf("a frame of %d bytes", n)
 	case int(n) > len(rest)-frameHeader:
 		return nil, at, fmt.Errorf("cut in a frame: %d of %d bytes", len(rest)-frameHeader, n)
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -32,7 +32,7 @@
 // goldenRun is a short life of a module, with its fleet's seam beside it or without.
 type goldenRun struct {
 	sender   *policy.Engine
-	seam     *agent.Seam // nil: the fleet is off
+	seam     *agent.Agent // nil: the fleet is off
 	recorder *flightrecorder.Recorder
 	events   []policy.Event // of the next step
 }
@@ -48,9 +48,9 @@
 	run := &goldenRun{sender: sender, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
 	if fleet {
 		run.seam = agent.New(agent.Settings{
-			Self: "n1", Life: loadreport.Life{Incarnation: 1, Boot: 2}, Members: []string{"n1", "n2"}, Kinds: set.DestinationKinds, Rights: true, Senders: 2,
+			Self: "n1", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Members: []string{"n1", "n2"}, DestinationKinds: set.DestinationKinds, ShareQuota: true, FleetSize: 2,
 		})
-		run.recorder.Beside(run.seam.Snapshot)
+		run.recorder.RecordFleet(run.seam.Snapshot)
 	}
 	return run
 }
@@ -65,19 +65,19 @@
 
 // goldenHeard is what another member tells in a step.
 func goldenHeard(step int) agent.Input {
-	life, scope := loadreport.Life{Incarnation: 4, Boot: 5}, quota.Scope{Dest: 1}
+	life, scope := loadreport.Incarnation{Generation: 4, Boot: 5}, quota.Scope{Destination: 1}
 	number := uint64(step + 1)
 	switch step % 5 {
 	case 2:
-		return agent.Input{Heard: []loadreport.Page{{
-			Name: "n2", Life: life, Sequence: number, Age: time.Millisecond, Cells: []loadreport.Cell{{Dest: 1, Demand: 2, Calls: 1, Backlog: 3, Wait: time.Second}},
+		return agent.Input{Received: []loadreport.Report{{
+			Name: "n2", Incarnation: life, Sequence: number, Age: time.Millisecond, Scopes: []loadreport.ScopeLoad{{Destination: 1, Demand: 2, Calls: 1, Backlog: 3, RetryAfter: time.Second}},
 		}}}
 	case 3:
-		return agent.Input{Rights: []quota.Message{{
-			Member: "n2", Life: life, Seq: number, Held: time.Millisecond, Seen: 1, Of: loadreport.Life{Incarnation: 1, Boot: 2}, Ping: true,
-			Loans: []quota.Loan{{Scope: scope, Rate: 1, Done: uint32(step)}},
-			Asks:  []quota.Ask{{Scope: scope, ID: uint32(step), N: 2, Done: uint32(step)}},
-			Gives: []quota.Give{{Scope: scope, ID: 1, N: 1}},
+		return agent.Input{Quota: []quota.Message{{
+			Member: "n2", Incarnation: life, Seq: number, TransitTime: time.Millisecond, AckedSeq: 1, AckedIncarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Ping: true,
+			Leases:   []quota.Lease{{Scope: scope, Rate: 1, Delivered: uint32(step)}},
+			Requests: []quota.QuotaRequest{{Scope: scope, ID: uint32(step), Calls: 2, Delivered: uint32(step)}},
+			Grants:   []quota.Grant{{Scope: scope, ID: 1, Calls: 1}},
 		}}}
 	}
 	return agent.Input{}
@@ -92,12 +92,12 @@
 		r.recorder.Step(now, events, actions)
 	} else {
 		in := goldenHeard(number)
-		rec := agent.Record{Heard: in.Heard, RightsHeard: in.Rights}
+		rec := agent.Record{Received: in.Received, QuotaReceived: in.Quota}
 		in.Events, in.Actions = events, actions
 		in.Views = func() []policy.EndpointView { views, _ := r.sender.Views(); return views }
 		out := r.seam.Step(now, in)
-		rec.Told, rec.RightsTold = out.Told, out.Rights
-		r.recorder.StepBeside(now, events, actions, rec.Append(nil))
+		rec.Published, rec.QuotaSent = out.Published, out.Quota
+		r.recorder.StepWithFleet(now, events, actions, rec.Append(nil))
 		r.events = out.Events
 	}
 	for _, action := range actions {
@@ -155,7 +155,7 @@
 		switch number {
 		case 15:
 			ids := []uint32{160, 161}
-			r.recorder.Cleared(now, "s-1", ids, r.sender.StillAllowed("s-1", ids, now))
+			r.recorder.SendChecked(now, "s-1", ids, r.sender.StillAllowed("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
 			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
@@ -195,7 +195,7 @@
 	t.Helper()
 	var text strings.Builder
 	for _, e := range entries {
-		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n", e.Kind, e.At, e.Now, e.Route, e.IDs, e.May, e.Message, e.Text)
+		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n", e.Kind, e.At, e.Now, e.Endpoint, e.MessageIDs, e.Allowed, e.MessageID, e.Text)
 		if e.Kind == flightrecorder.Begin {
 			fmt.Fprintf(&text, "  begin %x %d %t %v\n", e.ID, e.Chunk, e.Fresh, e.Meta)
 		}
@@ -214,7 +214,7 @@
 		for _, a := range e.Actions {
 			fmt.Fprintf(&text, "  action %v\n", a)
 		}
-		if e.Kind == flightrecorder.Beside {
+		if e.Kind == flightrecorder.FleetStep {
 			rec, err := agent.ReadRecord(e.State)
 			if err != nil {
 				t.Fatal(err)
@@ -233,7 +233,7 @@
 		switch e.Kind {
 		case flightrecorder.Begin:
 			state = e.State
-			hasBeside := entries[i+1].Kind == flightrecorder.BesideState
+			hasBeside := entries[i+1].Kind == flightrecorder.FleetState
 			if hasBeside {
 				beside = entries[i+1].State
 			}
@@ -243,18 +243,18 @@
 			}
 			recorder = flightrecorder.NewRecorderWithID(e.ID, e.Meta, 0, func(b []byte) []byte { return append(b, state...) })
 			if hasBeside {
-				recorder.Beside(func(b []byte) []byte { return append(b, beside...) })
+				recorder.RecordFleet(func(b []byte) []byte { return append(b, beside...) })
 			}
 		case flightrecorder.Step:
 			var told []byte
-			if i+1 < len(entries) && entries[i+1].Kind == flightrecorder.Beside {
+			if i+1 < len(entries) && entries[i+1].Kind == flightrecorder.FleetStep {
 				told = entries[i+1].State
 			}
-			recorder.StepBeside(e.Now, e.Events, e.Actions, told)
-		case flightrecorder.Cleared:
-			recorder.Cleared(e.Now, e.Route, e.IDs, e.May)
+			recorder.StepWithFleet(e.Now, e.Events, e.Actions, told)
+		case flightrecorder.SendChecked:
+			recorder.SendChecked(e.Now, e.Endpoint, e.MessageIDs, e.Allowed)
 		case flightrecorder.Label:
-			recorder.Label(e.Message, e.Text)
+			recorder.Label(e.MessageID, e.Text)
 		case flightrecorder.Note:
 			recorder.Note(e.Text)
 		}
@@ -281,7 +281,7 @@
 	check := func(name string, part []byte, visit replay.Visitor) {
 		t.Helper()
 		res, err := replay.Play(part, visit)
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 || (res.Beside > 0) != fleet {
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 || (res.FleetSteps > 0) != fleet {
 			t.Errorf("%s: %v, %+v", name, err, res)
 		}
 	}
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -17,11 +17,11 @@
 const (
 	Begin       EntryKind = iota // a chunk begins: Meta, Fresh and State tell of the module there
 	Step                         // a step: Now, Events, Actions
-	Cleared                      // an answer of policy.Engine.StillAllowed: Now, Route, IDs, May
+	SendChecked                  // an answer of policy.Engine.StillAllowed: Now, Route, IDs, May
 	Label                        // the trace id of a message: Message, Text
 	Note                         // a remark: Text
-	BesideState                  // the state of what stands beside the module: State
-	Beside                       // what that was told and told in the step before: State
+	FleetState                   // the state of what stands beside the module: State
+	FleetStep                    // what that was told and told in the step before: State
 	Lost                         // something could not be read, or is missing: Text tells what
 )
 
@@ -34,16 +34,16 @@
 	Chunk uint32 // Begin
 	Meta  Meta   // Begin
 	Fresh bool   // Begin: the module had been told nothing
-	State []byte // Begin, unless Fresh; BesideState, Beside
+	State []byte // Begin, unless Fresh; FleetState, Beside
 
-	Now     time.Duration // the module's time: Begin, Step, Cleared
-	Events  []policy.Event
-	Actions []policy.Action
-	Route   string
-	IDs     []uint32
-	May     bool
-	Message uint32
-	Text    string
+	Now        time.Duration // the module's time: Begin, Step, Cleared
+	Events     []policy.Event
+	Actions    []policy.Action
+	Endpoint   string
+	MessageIDs []uint32
+	Allowed    bool
+	MessageID  uint32
+	Text       string
 }
 
 // Reader reads a recording, entry by entry. What is damaged or cut is passed over and told as Lost entries; reading
@@ -214,19 +214,19 @@
 			}
 		}
 	case frameClear:
-		e.Kind = Cleared
+		e.Kind = SendChecked
 		d.lastNow += time.Duration(d.int())
-		e.Now, e.May, e.Route = d.lastNow, d.bool(), d.name()
+		e.Now, e.Allowed, e.Endpoint = d.lastNow, d.bool(), d.name()
 		for range d.count() {
-			e.IDs = append(e.IDs, d.message())
+			e.MessageIDs = append(e.MessageIDs, d.message())
 		}
 	case frameLabel:
-		e.Kind, e.Message = Label, d.message()
+		e.Kind, e.MessageID = Label, d.message()
 		e.Text = string(d.bytes())
 	case frameBesideState, frameBeside:
-		e.Kind = BesideState
+		e.Kind = FleetState
 		if payload[0] == frameBeside {
-			e.Kind = Beside
+			e.Kind = FleetStep
 		}
 		e.State, d.data = d.data, nil
 	case frameNote:
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -14,10 +14,10 @@
 
 // Bounds of a Recorder, in bytes.
 const (
-	DefaultRing = 4 << 20
-	// LeastRing holds a few chunks of the least size.
-	LeastRing  = 256 << 10
-	chunkShare = 8 // a ring holds about so many chunks
+	DefaultRingSize = 4 << 20
+	// MinRingSize holds a few chunks of the least size.
+	MinRingSize = 256 << 10
+	chunkShare  = 8 // a ring holds about so many chunks
 	// stateShare bounds what states add: a chunk is at least so many times as long as the state that it begins with.
 	stateShare = 4
 	namesMost  = 1 << 16 // a chunk that names more strings ends
@@ -68,7 +68,7 @@
 }
 
 // NewRecorder returns a Recorder of a module that has been told nothing yet, with a ring of so many bytes (0:
-// DefaultRing, LeastRing at least). state appends the module's state as policy.Engine.Snapshot does; it is called from
+// DefaultRingSize, MinRingSize at least). state appends the module's state as policy.Engine.Snapshot does; it is called from
 // Step, after the module has taken it.
 func NewRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ring, state)
@@ -86,9 +86,9 @@
 
 func newRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
 	if ring == 0 {
-		ring = DefaultRing
+		ring = DefaultRingSize
 	}
-	ring = max(ring, LeastRing)
+	ring = max(ring, MinRingSize)
 	meta.Format = formatPlain
 	return &Recorder{
 		meta: meta, state: state, ring: ring, least: ring / chunkShare, id: rand.Uint64(),
@@ -96,9 +96,9 @@
 	}
 }
 
-// Beside has something that stands beside the module recorded with it: state appends its state as Snapshot does. It is called before
-// the first step, on a recorder that nobody follows yet; each step is then StepBeside.
-func (r *Recorder) Beside(state func([]byte) []byte) {
+// RecordFleet has something that stands beside the module recorded with it: state appends its state as Snapshot does. It is called before
+// the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
+func (r *Recorder) RecordFleet(state func([]byte) []byte) {
 	if r == nil {
 		return
 	}
@@ -156,11 +156,11 @@
 
 // Step records a step: what the module was told at now, and what it decided. It is called after the module's own Step.
 func (r *Recorder) Step(now time.Duration, events []policy.Event, actions []policy.Action) {
-	r.StepBeside(now, events, actions, nil)
+	r.StepWithFleet(now, events, actions, nil)
 }
 
-// StepBeside is Step, with what stands beside the module was told and told in the same step; empty: nothing.
-func (r *Recorder) StepBeside(now time.Duration, events []policy.Event, actions []policy.Action, beside []byte) {
+// StepWithFleet is Step, with what stands beside the module was told and told in the same step; empty: nothing.
+func (r *Recorder) StepWithFleet(now time.Duration, events []policy.Event, actions []policy.Action, beside []byte) {
 	if r == nil {
 		return
 	}
@@ -178,7 +178,7 @@
 	for i := range actions {
 		e.action(&actions[i])
 	}
-	if len(e.buf)-e.open-frameHeader > FrameMost || max(len(events), len(actions)) > entriesMost {
+	if len(e.buf)-e.open-frameHeader > MaxFrameSize || max(len(events), len(actions)) > entriesMost {
 		e.buf = e.buf[:e.open] // the chunk that begins here holds the state behind it
 		r.next()
 		r.note("a step was too large for a frame, and is missing before this")
@@ -221,8 +221,8 @@
 	r.next()
 }
 
-// Cleared records an answer of policy.Engine.StillAllowed.
-func (r *Recorder) Cleared(now time.Duration, route string, ids []uint32, may bool) {
+// SendChecked records an answer of policy.Engine.StillAllowed.
+func (r *Recorder) SendChecked(now time.Duration, route string, ids []uint32, may bool) {
 	if r == nil {
 		return
 	}
--- a/internal/recording/flightrecorder/recordertest/flighttest.go
+++ b/internal/recording/flightrecorder/recordertest/flighttest.go
@@ -111,7 +111,7 @@
 		if rng.IntN(40) == 0 {
 			l := list[rng.IntN(len(list))]
 			ids := []uint32{id}
-			rec.Cleared(now, l.ID, ids, s.StillAllowed(l.ID, ids, now))
+			rec.SendChecked(now, l.ID, ids, s.StillAllowed(l.ID, ids, now))
 		}
 		if each != nil {
 			each(s, rec)
--- a/internal/recording/flightrecorder/sink.go
+++ b/internal/recording/flightrecorder/sink.go
@@ -18,24 +18,24 @@
 
 const (
 	// Ext ends the name of a file that holds a recording or a part of one.
-	Ext = ".flight"
-	// LeastFiles is the least room for files, in bytes.
-	LeastFiles = 1 << 20
-	filesParts = 8                      // a folder's room is used up by about so many files
-	followGap  = 100 * time.Millisecond // a sink looks no more often
-	linePart   = lineMost / 8 * 5       // bytes of a recording in a line of the log
+	FileExtension = ".flight"
+	// MinFolderSize is the least room for files, in bytes.
+	MinFolderSize = 1 << 20
+	filesParts    = 8                      // a folder's room is used up by about so many files
+	followGap     = 100 * time.Millisecond // a sink looks no more often
+	linePart      = lineMost / 8 * 5       // bytes of a recording in a line of the log
 )
 
 // Folder is a folder for recordings with a limit of its own on the bytes of the files in it that end in Ext. The oldest
 // make room for new ones.
 type Folder struct {
 	Path  string
-	Limit int64 // bytes; LeastFiles at least
+	Limit int64 // bytes; MinFolderSize at least
 	Name  string
 }
 
-// Keep writes what a Recorder's ring holds into a file of its own and returns the file's path.
-func (f Folder) Keep(r *Recorder, reason string) (string, error) {
+// Dump writes what a Recorder's ring holds into a file of its own and returns the file's path.
+func (f Folder) Dump(r *Recorder, reason string) (string, error) {
 	r.Note("kept: " + reason)
 	var ring bytes.Buffer
 	if _, err := r.WriteTo(&ring); err != nil {
@@ -81,7 +81,7 @@
 
 // file is a name that sorts by time.
 func (f Folder) file(what string) string {
-	return fmt.Sprintf("%s-%s-%s%s", cmp.Or(word(f.Name), "relay"), time.Now().UTC().Format("20060102T150405.000000000"), what, Ext)
+	return fmt.Sprintf("%s-%s-%s%s", cmp.Or(word(f.Name), "relay"), time.Now().UTC().Format("20060102T150405.000000000"), what, FileExtension)
 }
 
 // makeRoom removes the oldest files until so many more bytes fit, and those that a process that died left half-written.
@@ -106,11 +106,11 @@
 			continue
 		}
 		switch name := e.Name(); {
-		case strings.HasSuffix(name, Ext+".tmp") && time.Since(info.ModTime()) > time.Minute:
+		case strings.HasSuffix(name, FileExtension+".tmp") && time.Since(info.ModTime()) > time.Minute:
 			if err := remove(filepath.Join(f.Path, name)); err != nil {
 				return err
 			}
-		case strings.HasSuffix(name, Ext):
+		case strings.HasSuffix(name, FileExtension):
 			files = append(files, file{name, info.Size(), info.ModTime()})
 			sum += info.Size()
 		}
@@ -133,7 +133,7 @@
 func (f Folder) Follow(ctx context.Context, r *Recorder) error {
 	var file *os.File
 	var size int64
-	part := max(f.Limit, LeastFiles) / filesParts
+	part := max(f.Limit, MinFolderSize) / filesParts
 	err := follow(ctx, r, func(p piece) error {
 		if file == nil || p.offset == 0 && size+int64(len(p.data)) > part {
 			if file != nil {
@@ -169,8 +169,8 @@
 	return follow(ctx, r, func(p piece) error { return writeLines(log, p.data) })
 }
 
-// KeepInLog writes what a Recorder's ring holds into a log.
-func KeepInLog(r *Recorder, reason string, log io.Writer) error {
+// DumpToLog writes what a Recorder's ring holds into a log.
+func DumpToLog(r *Recorder, reason string, log io.Writer) error {
 	r.Note("kept: " + reason)
 	var ring bytes.Buffer
 	if _, err := r.WriteTo(&ring); err != nil {
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -64,9 +64,9 @@
 	Steps      int
 	Events     int
 	Actions    int
-	Cleared    int
+	SendChecks int
 	States     int // compared byte by byte at the begins of chunks
-	Beside     int // steps of the fleet's seam that were played, too
+	FleetSteps int // steps of the fleet's seam that were played, too
 	From, To   time.Duration
 	Lost       []string // what could not be read, or not be played
 	Difference *Difference
@@ -83,7 +83,7 @@
 	set    policy.Settings
 	skip   bool // within a chunk that cannot be played
 
-	seam    *agent.Seam           // nil: the recording holds none, or waits for one
+	seam    *agent.Agent          // nil: the recording holds none, or waits for one
 	last    *flightrecorder.Entry // step of the module, which the seam's is beside
 	decided []policy.Action       // in it
 }
@@ -120,17 +120,17 @@
 		if p.sender != nil {
 			p.step(e)
 		}
-	case flightrecorder.BesideState:
+	case flightrecorder.FleetState:
 		p.besideState(e)
-	case flightrecorder.Beside:
+	case flightrecorder.FleetStep:
 		if p.sender != nil && p.seam != nil && p.last != nil {
 			p.besideStep(e)
 		}
-	case flightrecorder.Cleared:
+	case flightrecorder.SendChecked:
 		if p.sender != nil {
-			p.res.Cleared++
-			if may := p.sender.StillAllowed(e.Route, e.IDs, e.Now); may != e.May {
-				p.differ(e, "whether a call to "+e.Route+" may still leave", fmt.Sprint(e.May), fmt.Sprint(may))
+			p.res.SendChecks++
+			if may := p.sender.StillAllowed(e.Endpoint, e.MessageIDs, e.Now); may != e.Allowed {
+				p.differ(e, "whether a call to "+e.Endpoint+" may still leave", fmt.Sprint(e.Allowed), fmt.Sprint(may))
 			}
 		}
 	case flightrecorder.Lost:
@@ -265,16 +265,16 @@
 		p.seam = nil
 		return
 	}
-	p.res.Beside++
+	p.res.FleetSteps++
 	out := p.seam.Step(p.last.Now, agent.Input{
-		Heard: rec.Heard, Life: rec.Life, Rights: rec.RightsHeard, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
+		Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
 	})
 	p.last = nil
-	if !slices.EqualFunc(out.Told, rec.Told, func(a, b loadreport.Page) bool { return reflect.DeepEqual(a, b) }) {
-		p.differ(e, "what the seam tells", fmt.Sprint(rec.Told), fmt.Sprint(out.Told))
+	if !slices.EqualFunc(out.Published, rec.Published, func(a, b loadreport.Report) bool { return reflect.DeepEqual(a, b) }) {
+		p.differ(e, "what the seam tells", fmt.Sprint(rec.Published), fmt.Sprint(out.Published))
 	}
-	if !slices.EqualFunc(out.Rights, rec.RightsTold, func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) {
-		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.RightsTold), fmt.Sprint(out.Rights))
+	if !slices.EqualFunc(out.Quota, rec.QuotaSent, func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) {
+		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.QuotaSent), fmt.Sprint(out.Quota))
 	}
 }
 
