--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -28,7 +28,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		span := time.Duration(rapid.IntRange(2, 25).Draw(rt, "seconds")) * time.Second
-		ring := rapid.SampledFrom([]int{flightrecorder.LeastRing, 64 << 20}).Draw(rt, "ring")
+		ring := rapid.SampledFrom([]int{flightrecorder.MinRingSize, 64 << 20}).Draw(rt, "ring")
 		_, rec := recordertest.Drive(seed, span, ring, nil)
 		res, err := Play(written(t, rec), Visitor{})
 		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Stretches != 1 {
@@ -40,10 +40,10 @@
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
 func TestTheRingIsBoundedAndPlays(t *testing.T) {
 	most := 0
-	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.LeastRing, func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
+	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
 	data := written(t, rec)
-	if most > flightrecorder.LeastRing*5/4 || len(data) < flightrecorder.LeastRing/2 {
-		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.LeastRing)
+	if most > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
+		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.MinRingSize)
 	}
 	res, err := Play(data, Visitor{})
 	if err != nil || res.Difference != nil || res.From == 0 || res.Chunks < 2 || res.States != res.Chunks-1 {
@@ -77,8 +77,8 @@
 			}
 		case flightrecorder.Step:
 			rec.Step(e.Now, e.Events, e.Actions)
-		case flightrecorder.Cleared:
-			rec.Cleared(e.Now, e.Route, e.IDs, e.May)
+		case flightrecorder.SendChecked:
+			rec.SendChecked(e.Now, e.Endpoint, e.MessageIDs, e.Allowed)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || res.Difference.Recorded != "" {
 		t.Errorf("an action that was dropped: %v, %+v", err, res)
 	}
-	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.May = !e.May })
+	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.Allowed = !e.Allowed })
 	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || !strings.Contains(res.Difference.What, "still leave") {
 		t.Errorf("another clearance: %v, %+v", err, res)
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}, flightrecorder.LeastRing, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
+	odd := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}, flightrecorder.MinRingSize, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
 	for i := range 40000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
 		evs := []policy.Event{{Kind: policy.TimerFired}}
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}, flightrecorder.LeastRing, s.Snapshot)
+	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}, flightrecorder.MinRingSize, s.Snapshot)
 	list := policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}}}
 	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
 		evs := []policy.Event{list, {Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second}}
@@ -217,7 +217,7 @@
 // A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
 // what cannot be read is told.
 func TestCutAndDamagedRecordings(t *testing.T) {
-	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.LeastRing, nil)
+	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
 	if err != nil || whole.Difference != nil {
@@ -249,7 +249,7 @@
 
 // After a damaged chunk the next one is played from.
 func TestADamagedMiddleIsPassedOver(t *testing.T) {
-	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.LeastRing, nil)
+	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
 	if err != nil || whole.Chunks < 3 {
@@ -264,7 +264,7 @@
 }
 
 func FuzzPlay(f *testing.F) {
-	_, rec := recordertest.Drive(2, 1500*time.Millisecond, flightrecorder.LeastRing, nil)
+	_, rec := recordertest.Drive(2, 1500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -40,11 +40,11 @@
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				return true
 			})
-			r.catalog.Put(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
+			r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
 			var ins []*handIn
 			for i, id := range order {
 				in := newHandIn(id, 7, left[id])
-				in.m.Order = fmt.Sprint(i)
+				in.m.OrderingKey = fmt.Sprint(i)
 				ins = append(ins, in)
 			}
 			decide(r, ins...)
@@ -80,7 +80,7 @@
 	}
 	for i, want := range []policy.Outcome{policy.NotSent, policy.Timeout, policy.Timeout} {
 		if results[i].outcome != want {
-			t.Errorf("%s: %v, want %v", c.attempts[i].m.Trace, results[i].outcome, want)
+			t.Errorf("%s: %v, want %v", c.attempts[i].m.TraceID, results[i].outcome, want)
 		}
 	}
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -475,25 +475,25 @@
 func (r *Relay) parse(req *http.Request) (m *journal.Message, left time.Duration, err error) {
 	class, t := strings.TrimPrefix(req.URL.Path, "/"), r.door.Load()
 	m = &journal.Message{
-		Trace: req.Header.Get("X-Trace-Id"),
-		Key:   req.Header.Get("Idempotency-Key"),
-		Order: req.URL.Query().Get("key"), // what the message is about, where its class keeps order
-		Class: slices.Index(t.Classes, class), Service: class,
+		TraceID:        req.Header.Get("X-Trace-Id"),
+		IdempotencyKey: req.Header.Get("Idempotency-Key"),
+		OrderingKey:    req.URL.Query().Get("key"), // what the message is about, where its class keeps order
+		Class:          slices.Index(t.ClassNames, class), ClassName: class,
 	}
 	switch {
 	case m.Class < 0:
 		return nil, 0, fmt.Errorf("unknown class %q", class)
 	case req.Header.Get("X-Qos") != class:
 		return nil, 0, errors.New("X-Qos and the path differ")
-	case m.Trace == "" || max(len(m.Trace), len(m.Key), len(m.Order)) > idMost:
+	case m.TraceID == "" || max(len(m.TraceID), len(m.IdempotencyKey), len(m.OrderingKey)) > idMost:
 		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
 	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
 		return nil, 0, errors.New("more than one id or key")
-	case m.Key == "" && t.Settings.Classes[m.Class].Effect == policy.IdempotentByKey:
+	case m.IdempotencyKey == "" && t.Settings.Classes[m.Class].Effect == policy.IdempotentByKey:
 		return nil, 0, errors.New("no Idempotency-Key")
 	}
-	if len(t.Customers) > 0 {
-		if m.Customer = slices.Index(t.Customers, req.Header.Get("X-Customer")); m.Customer < 0 {
+	if len(t.TenantNames) > 0 {
+		if m.Tenant = slices.Index(t.TenantNames, req.Header.Get("X-Customer")); m.Tenant < 0 {
 			return nil, 0, fmt.Errorf("unknown customer %q", req.Header.Get("X-Customer"))
 		}
 	}
@@ -501,7 +501,7 @@
 	if most := longest(t.Settings.Classes[m.Class]); err != nil || ms < 0 || ms > most.Milliseconds() {
 		return nil, 0, errors.New("bad X-Expires-In-Ms")
 	}
-	if m.Dest, err = destination(req.Header.Get("Envelope")); err != nil {
+	if m.Destination, err = destination(req.Header.Get("Envelope")); err != nil {
 		return nil, 0, err
 	}
 	return m, time.Duration(ms) * time.Millisecond, nil
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -220,7 +220,7 @@
 }
 
 func newHandIn(id string, dest int, left time.Duration) *handIn {
-	m := &journal.Message{Trace: id, Key: "k", Dest: dest, Deadline: time.Now().Add(left)}
+	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
 	return &handIn{m: m, reply: make(chan answer, 1)}
 }
 
@@ -270,18 +270,18 @@
 	for restart := range 3 {
 		const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
 		r := newTestRelay(t)
-		r.catalog.Remember(dest)
+		r.catalog.RememberDestination(dest)
 		in := newHandIn("m1", dest, 5*time.Second)
 		decide(r, in)
 		m := r.msgs[in.m.ID]
-		sent := journal.Attempt{N: 0, Host: "s-8", Zone: 1, At: time.Now().Add(-time.Second).Round(0)}
-		if err := r.journal.Sent(journal.Send{Message: m.Message, Attempt: sent}); err != nil {
+		sent := journal.Attempt{Number: 0, Endpoint: "s-8", Zone: 1, SentAt: time.Now().Add(-time.Second).Round(0)}
+		if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: sent}); err != nil {
 			t.Fatal(err)
 		}
 		r.step([]any{withdrawal{m.ID}})
 		if restart == 1 {
 			r = restarted(t, r)
-			r.catalog.Remember(dest)
+			r.catalog.RememberDestination(dest)
 		}
 		if a := decide(r, newHandIn("m1", dest, 5*time.Second))[0]; a.status != http.StatusAccepted {
 			t.Fatalf("answer %+v", a)
@@ -294,8 +294,8 @@
 			t.Fatalf("restart %d: %+v", restart, again)
 		}
 		e := r.resumed(again).Recovered
-		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second || !again.MayRun[0].At.Equal(sent.At) {
-			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.MayRun)
+		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second || !again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
+			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.UncertainAttempts)
 		}
 	}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -29,18 +29,18 @@
 
 // Config is all that a relay is told at its start.
 type Config struct {
-	Name         string
-	Listen       string // where clients connect
-	Inherited    string // the descriptor of a socket that listens there already, which the platform holds; "": none
-	Second       string // the second address, for on-call staff and the platform; "": none
-	Discovery    string // address of discovery's agent
-	StateDir     string // the folder that outlasts the process
-	Seed         uint64
-	Limits       Limits
-	Known        List             // hosts as this relay last had them; may be old or empty
-	Long         *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
-	Unread       error            // why Known could not be read; it is empty then, and discovery is asked
-	reload.Terms                  // what stands in the settings and may change while the relay runs; Customers empty: the site has none
+	Name          string
+	Listen        string // where clients connect
+	Inherited     string // the descriptor of a socket that listens there already, which the platform holds; "": none
+	Second        string // the second address, for on-call staff and the platform; "": none
+	Discovery     string // address of discovery's agent
+	StateDir      string // the folder that outlasts the process
+	Seed          uint64
+	Limits        Limits
+	Known         List             // hosts as this relay last had them; may be old or empty
+	Long          *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
+	Unread        error            // why Known could not be read; it is empty then, and discovery is asked
+	reload.Config                  // what stands in the settings and may change while the relay runs; Customers empty: the site has none
 
 	Zones []string
 	Kinds []string
@@ -197,11 +197,11 @@
 	var long *catalog.Catalog
 	err := newListReader(&listSource{from: from}, listing).next(&head, func(e entry) error {
 		if long == nil {
-			if short = append(short, e); len(short) <= catalog.WholeMost {
+			if short = append(short, e); len(short) <= catalog.MaxEagerEndpoints {
 				return nil
 			}
 			long = catalog.New()
-			long.Begin()
+			long.BeginSnapshot()
 			for _, e := range short {
 				c.keepKnown(long, e)
 			}
@@ -221,7 +221,7 @@
 // keepKnown adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
 func (c *Config) keepKnown(long *catalog.Catalog, e entry) {
 	if e.err == nil {
-		long.Put(e.Endpoint)
+		long.Upsert(e.Endpoint)
 		return
 	}
 	if c.unreadable++; c.unreadable == 1 {
@@ -283,18 +283,18 @@
 	}
 	c := Config{
 		Name: file.Name, Listen: file.Listen, Second: file.Second, Discovery: file.Discovery, Limits: file.Limits,
-		Terms: reload.Terms{Settings: set, Shape: shape(data)},
-		Zones: own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
+		Config: reload.Config{Settings: set, Shape: shape(data)},
+		Zones:  own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
 		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
 		Grace: millis(own.Rules.StopSendingMS), Tick: min(millis(own.TickMS), tickMost),
 	}
 	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
 	for _, s := range own.Services {
-		c.Classes = append(c.Classes, s.Name)
+		c.ClassNames = append(c.ClassNames, s.Name)
 	}
 	for _, r := range own.Realms {
-		c.Customers = append(c.Customers, r.Name)
+		c.TenantNames = append(c.TenantNames, r.Name)
 	}
 	if own.Stats.How == "answers" {
 		c.Reports = own.Stats.Fields
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -89,7 +89,7 @@
 	told    func(List)
 	long    parts // takes lists that are not told as a whole
 	listing func(*member) (policy.Endpoint, string, error)
-	herd    backoff.Caller // one of all relays that follow the list
+	herd    backoff.Backoff // one of all relays that follow the list
 	rng     *rand.Rand
 	known   bool // a list is known that serves meanwhile
 
@@ -103,8 +103,8 @@
 // listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where they are
 // pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at once, also after it
 // was silent.
-func listCaller(cfg Config) backoff.Caller {
-	c := backoff.Caller{Clients: 1, Grace: cfg.Grace}
+func listCaller(cfg Config) backoff.Backoff {
+	c := backoff.Backoff{Clients: 1, Grace: cfg.Grace}
 	if cfg.Settings.WatchRequired {
 		c.Clients = cfg.Settings.FleetSize
 	}
@@ -117,7 +117,7 @@
 	for ctx.Err() == nil {
 		addr, work, done := w.agent.here(ctx)
 		if first {
-			sleep(work, w.herd.First(w.rng))
+			sleep(work, w.herd.InitialDelay(w.rng))
 		}
 		first = false
 		if work.Err() == nil {
@@ -128,7 +128,7 @@
 		if done(); moved {
 			// Another agent need not number its versions alike. The old list serves until this one speaks.
 			w.whole = true
-			w.herd.Answered()
+			w.herd.Succeeded()
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	w.log.Warn("watch ended", "version", w.version, "err", err)
 	if w.version != was {
-		w.herd.Answered()
+		w.herd.Succeeded()
 	}
 	sleep(ctx, w.herd.Failed(w.rng, time.Since(began)))
 }
@@ -171,7 +171,7 @@
 		return ended(ctx, err)
 	}
 	defer res.Body.Close()
-	w.herd.Answered()
+	w.herd.Succeeded()
 	lives := func() { silence.Reset(w.silence) }
 	lists := newListReader(&listSource{from: res.Body, lines: lives}, w.listing)
 	fetched := int64(math.MinInt64) // changes up to this version are in the whole list that was fetched meanwhile
--- a/internal/relay/discovery/backoff/herd.go
+++ b/internal/relay/discovery/backoff/herd.go
@@ -27,8 +27,8 @@
 	pauseMost  = time.Second
 )
 
-// Caller is one of the clients. The zero value is the only one.
-type Caller struct {
+// Backoff is one of the clients. The zero value is the only one.
+type Backoff struct {
 	Clients int           // all of them, this one too
 	Grace   time.Duration // after news could have been heard, so long nothing need heed it
 
@@ -37,12 +37,12 @@
 }
 
 // heeded is how long news may wait to be heard, well within the grace.
-func (c *Caller) heeded() time.Duration { return time.Duration(graceShare * float64(c.Grace)) }
+func (c *Backoff) heeded() time.Duration { return time.Duration(graceShare * float64(c.Grace)) }
 
-// First is how long to wait before the first call, where what an earlier one told is still of use. It ends well within the grace:
+// InitialDelay is how long to wait before the first call, where what an earlier one told is still of use. It ends well within the grace:
 // what changed while no process ran can be heard from the first moment on. Guards against a restarted fleet of which
 // some go on for seconds by a list that has changed.
-func (c *Caller) First(rng *rand.Rand) time.Duration {
+func (c *Backoff) InitialDelay(rng *rand.Rand) time.Duration {
 	if c.Clients <= few {
 		return 0
 	}
@@ -56,7 +56,7 @@
 // The windows of many grow to the period and no further, so it is not by calling seldom that they leave a slow service room, but by calling
 // in turns: those that were turned away together come again together, within the jitter, and until then the service works off
 // what it has. Drawn from all of the window, the pauses of 300 would spread evenly over it and keep a queue full for good.
-func (c *Caller) Failed(rng *rand.Rand, took time.Duration) time.Duration {
+func (c *Backoff) Failed(rng *rand.Rand, took time.Duration) time.Duration {
 	k := min(c.failed, 10)
 	c.failed++
 	switch ended := c.answered; {
@@ -68,7 +68,7 @@
 		return min(most, pauseFirst<<k)
 	case ended:
 		c.failed, c.answered = 0, false
-		return pauseFirst + c.First(rng)
+		return pauseFirst + c.InitialDelay(rng)
 	}
 	window := min(period, (time.Duration(c.Clients)*share)<<k)
 	least := max(window/2, window-jitter)
@@ -76,5 +76,5 @@
 	return pauseFirst + least + time.Duration(rng.Float64()*float64(window-least))
 }
 
-// Answered notes a call that was answered.
-func (c *Caller) Answered() { c.failed, c.answered = 0, true }
+// Succeeded notes a call that was answered.
+func (c *Backoff) Succeeded() { c.failed, c.answered = 0, true }
--- a/internal/relay/discovery/backoff/herd_test.go
+++ b/internal/relay/discovery/backoff/herd_test.go
@@ -37,12 +37,12 @@
 
 // allAnswered plays clients that all have to call at 0, and returns when the last had its answer; false if that is not
 // within a minute.
-func allAnswered(s service, n int, seed uint64, first func(*Caller, *rand.Rand) time.Duration, failed func(c *Caller, rng *rand.Rand, took time.Duration) time.Duration) (time.Duration, bool) {
+func allAnswered(s service, n int, seed uint64, first func(*Backoff, *rand.Rand) time.Duration, failed func(c *Backoff, rng *rand.Rand, took time.Duration) time.Duration) (time.Duration, bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	callers := make([]Caller, n)
+	callers := make([]Backoff, n)
 	var a agenda
 	for i := range callers {
-		callers[i] = Caller{Clients: n, Grace: time.Second}
+		callers[i] = Backoff{Clients: n, Grace: time.Second}
 		heap.Push(&a, due{at: first(&callers[i], rng), client: i})
 	}
 	left, last := n, time.Duration(0)
@@ -77,24 +77,24 @@
 // drawn from all of the period: the test can fail.
 func TestManyThatCallAtOnceAreAllAnswered(t *testing.T) {
 	jammed, spread := false, false
-	anyMoment := func(_ *Caller, rng *rand.Rand) time.Duration { return time.Duration(rng.Float64() * float64(period)) }
+	anyMoment := func(_ *Backoff, rng *rand.Rand) time.Duration { return time.Duration(rng.Float64() * float64(period)) }
 	for _, n := range []int{1, 3, 8, 16, 36, 48, 80, 300, 2600} {
 		for _, all := range []time.Duration{2 * time.Second, 8 * time.Second} {
 			for seed := range uint64(20) {
 				s := service{each: all / time.Duration(max(n, 12)), patience: 2 * time.Second}
 				bound := 5*all + 2*time.Second
-				for i, first := range []func(*Caller, *rand.Rand) time.Duration{(*Caller).First, anyMoment} {
-					took, ok := allAnswered(s, n, seed, first, (*Caller).Failed)
+				for i, first := range []func(*Backoff, *rand.Rand) time.Duration{(*Backoff).InitialDelay, anyMoment} {
+					took, ok := allAnswered(s, n, seed, first, (*Backoff).Failed)
 					if !ok || took > bound {
 						t.Errorf("%d clients, %v for all, first calls %d, seed %d: %v, %v, not within %v", n, all, i, seed, took, ok, bound)
 					}
 				}
-				took, ok := allAnswered(s, n, seed, (*Caller).First, func(c *Caller, rng *rand.Rand, _ time.Duration) time.Duration {
+				took, ok := allAnswered(s, n, seed, (*Backoff).InitialDelay, func(c *Backoff, rng *rand.Rand, _ time.Duration) time.Duration {
 					return pauseFirst + time.Duration(rng.Float64()*float64(period))
 				})
 				spread = spread || !ok || took > bound
-				took, ok = allAnswered(s, n, seed, func(*Caller, *rand.Rand) time.Duration { return 0 },
-					func(c *Caller, _ *rand.Rand, _ time.Duration) time.Duration {
+				took, ok = allAnswered(s, n, seed, func(*Backoff, *rand.Rand) time.Duration { return 0 },
+					func(c *Backoff, _ *rand.Rand, _ time.Duration) time.Duration {
 						k := min(c.failed, 10)
 						c.failed++
 						return min(pauseMost, pauseFirst<<k)
@@ -111,8 +111,8 @@
 // Few clients neither wait at first nor long.
 func TestFewCallAtOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	c := Caller{Clients: 3}
-	if d := c.First(rng); d != 0 {
+	c := Backoff{Clients: 3}
+	if d := c.InitialDelay(rng); d != 0 {
 		t.Errorf("first after %v", d)
 	}
 	for i, want := range []time.Duration{50, 100, 200, 400, 800, 1000, 1000} {
@@ -120,7 +120,7 @@
 			t.Errorf("pause %d: %v", i, d)
 		}
 	}
-	c.Answered()
+	c.Succeeded()
 	if d := c.Failed(rng, 0); d != 50*time.Millisecond {
 		t.Errorf("after an answer: %v", d)
 	}
@@ -133,12 +133,12 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	const grace = time.Second
 	for _, n := range []int{7, 80, 300, 100_000} {
-		c := Caller{Clients: n, Grace: grace}
+		c := Backoff{Clients: n, Grace: grace}
 		first, after := time.Duration(0), time.Duration(0)
 		for range 1000 {
-			d := c.First(rng)
+			d := c.InitialDelay(rng)
 			first, after = max(first, d), max(after, c.Failed(rng, 0))
-			c.Answered()
+			c.Succeeded()
 			if again := c.Failed(rng, 0); d > grace/2 || again > grace/2+pauseFirst {
 				t.Fatalf("%d clients: first call after %v, again %v after one that was answered", n, d, again)
 			}
@@ -156,7 +156,7 @@
 func TestFewCallAgainWithinTheGrace(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 10 * time.Second} {
-		c := Caller{Clients: 1, Grace: grace}
+		c := Backoff{Clients: 1, Grace: grace}
 		for i := range 20 {
 			if d := c.Failed(rng, 0); d > grace/2 || d > pauseMost {
 				t.Errorf("grace %v: pause %d is %v", grace, i, d)
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -52,7 +52,7 @@
 	told := make(chan List, 8)
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4, known: true,
-		told: func(l List) { told <- l }, herd: backoff.Caller{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
+		told: func(l List) { told <- l }, herd: backoff.Backoff{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	ended := make(chan struct{})
 	go func() { w.run(ctx); close(ended) }()
@@ -96,7 +96,7 @@
 	defer func() { stop(); <-ended }()
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(old)), silence: patience, told: func(l List) { told <- l },
-		herd: backoff.Caller{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
+		herd: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
 	}
 	go func() { w.run(ctx); close(ended) }()
 	hear := func(version int64) {
@@ -136,10 +136,10 @@
 			cfg := Config{Grace: c.grace}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
 			caller, rng := listCaller(cfg), rand.New(most{})
-			if first := caller.First(rng); first > c.grace {
+			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
-			caller.Answered()
+			caller.Succeeded()
 			// A watch falls silent right after a line; the next ones are never answered.
 			clock, unasked := watchSilence, time.Duration(0)
 			if again := caller.Failed(rng, 0); clock+again > 6*time.Second {
@@ -222,9 +222,9 @@
 						rng = rand.New(most{})
 					}
 					caller := listCaller(cfg)
-					note(caller.First(rng), "the first call")
+					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
-						caller.Answered() // a watch, which falls silent
+						caller.Succeeded() // a watch, which falls silent
 						note(watchSilence+caller.Failed(rng, watchSilence), "after a watch")
 						for i := range 12 {
 							for way, took := range ways {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -14,10 +14,10 @@
 		return
 	}
 	r.fleet = fleet.New(fleet.Config{
-		Name: cmp.Or(set.Name, r.cfg.Name), Label: set.Label, Listen: set.Listen, Join: set.Join, Folder: r.cfg.StateDir,
-		Kinds: r.cfg.Settings.DestinationKinds, Rights: set.Rights, Senders: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, Nudge: r.nudge,
+		Name: cmp.Or(set.Name, r.cfg.Name), Label: set.Label, Listen: set.Listen, Peers: set.Peers, Folder: r.cfg.StateDir,
+		DestinationKinds: r.cfg.Settings.DestinationKinds, ShareQuota: set.ShareQuota, FleetSize: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, RequestStep: r.nudge,
 	})
-	r.rec.Beside(r.fleet.Seam().Snapshot)
+	r.rec.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
 // takeUpFleet tells a member that goes on for another process what that knew: the list, and what waits.
@@ -36,7 +36,7 @@
 		}
 	}
 	r.fleet.Step(r.now(), evs, acts, nil)
-	r.rec.Beside(r.fleet.Seam().Snapshot)
+	r.rec.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
 // nudge asks the loop for a step. It waits for nothing: a loop that has much to do takes its steps anyway.
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -32,7 +32,7 @@
 		{"name", c.Name}, {"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.Second}, {"seed", fmt.Sprintf("%016x", c.Seed)},
 		{"ROUTER_STATE", c.StateDir}, {"ROUTER_INHERITED_FD", c.Inherited},
 		{"limits.cores", c.Limits.Cores}, {"limits.memory_mb", c.Limits.MemoryMB}, {"limits.sockets", c.Limits.Sockets}, {"limits.disk_mb", c.Limits.DiskMB},
-		{"services.*.name", c.Classes}, {"realms.*.name", c.Customers}, {"zones", c.Zones}, {"kinds", c.Kinds},
+		{"services.*.name", c.ClassNames}, {"realms.*.name", c.TenantNames}, {"zones", c.Zones}, {"kinds", c.Kinds},
 		{"tick_ms", c.Tick}, {"stats", c.Reports},
 		{"bounds.connect_timeout_ms", c.ConnectTimeout}, {"bounds.keepalive_ms", c.KeepAlive}, {"bounds.may_duplicate", c.MayDuplicate},
 		{"rules.stop_sending_within_ms", c.Grace},
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -289,9 +289,9 @@
 		header.Set("Content-Type", "application/json")
 	} else {
 		m := c.attempts[0].m
-		header.Set("X-Trace-Id", m.Trace)
-		if m.Key != "" {
-			header.Set("Idempotency-Key", m.Key)
+		header.Set("X-Trace-Id", m.TraceID)
+		if m.IdempotencyKey != "" {
+			header.Set("Idempotency-Key", m.IdempotencyKey)
 		}
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.addr+path, nil)
@@ -314,13 +314,13 @@
 
 // itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
 func itemSize(m *message) int {
-	return base64.StdEncoding.EncodedLen(m.Size()) + 6*(len(m.Trace)+len(m.Key)) + len(`{"id":"","key":"","body":""},[]`)
+	return base64.StdEncoding.EncodedLen(m.Size()) + 6*(len(m.TraceID)+len(m.IdempotencyKey)) + len(`{"id":"","key":"","body":""},[]`)
 }
 
 func bundle(c *call) []byte {
 	items := make([]item, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, item{a.m.Trace, a.m.Key, append([]byte{}, a.body...)}) // null is no body
+		items = append(items, item{a.m.TraceID, a.m.IdempotencyKey, append([]byte{}, a.body...)}) // null is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
@@ -376,7 +376,7 @@
 	}
 	results := alike(c, unread)
 	for i, a := range c.attempts {
-		switch states[a.m.Trace] {
+		switch states[a.m.TraceID] {
 		case "ok":
 			results[i].outcome = policy.OK
 		case "error":
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -39,7 +39,7 @@
 func newCall(addr string, ids ...string) *call {
 	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
 	for _, id := range ids {
-		m := &message{Message: &journal.Message{Trace: id, Key: "key-" + id, Body: []byte("body of " + id)}}
+		m := &message{Message: &journal.Message{TraceID: id, IdempotencyKey: "key-" + id, Body: []byte("body of " + id)}}
 		c.attempts = append(c.attempts, &attempt{call: c, m: m, body: m.Body, until: c.until})
 	}
 	return c
--- a/internal/relay/hotrestart/golden_test.go
+++ b/internal/relay/hotrestart/golden_test.go
@@ -34,12 +34,12 @@
 		"state-zero.frame":     {State: &State{}},
 		"outcome.frame":        {Outcome: golden.Fill(&Outcome{})},
 		"outcome-zero.frame":   {Outcome: &Outcome{}},
-		"hand-in.frame":        {HandIn: golden.Fill(&HandIn{})},
-		"hand-in-zero.frame":   {HandIn: &HandIn{}},
-		"hand-in-sparse.frame": {HandIn: &HandIn{Message: &journal.Message{}}},
+		"hand-in.frame":        {Submission: golden.Fill(&Submission{})},
+		"hand-in-zero.frame":   {Submission: &Submission{}},
+		"hand-in-sparse.frame": {Submission: &Submission{Message: &journal.Message{}}},
 		"answer.frame":         {Answer: golden.Fill(&Answer{})},
 		"answer-zero.frame":    {Answer: &Answer{}},
-		"withdraw.frame":       {Withdraw: 4},
+		"withdraw.frame":       {Cancel: 4},
 		"empty.frame":          {},
 	}
 }
--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -30,13 +30,13 @@
 
 // Frame is one of the things that pass. Exactly one field is set.
 type Frame struct {
-	Hello    *Hello   `json:"Hello,omitempty"`    // from the second process, first
-	Welcome  bool     `json:"Welcome,omitempty"`  // to it: from here on the first process hands over when it ends
-	State    *State   `json:"State,omitempty"`    // to it, once
-	Outcome  *Outcome `json:"Outcome,omitempty"`  // to it
-	HandIn   *HandIn  `json:"HandIn,omitempty"`   // to it
-	Answer   *Answer  `json:"Answer,omitempty"`   // from it
-	Withdraw uint32   `json:"Withdraw,omitempty"` // to it: the message whose client left without its answer
+	Hello      *Hello      `json:"Hello,omitempty"`    // from the second process, first
+	Welcome    bool        `json:"Welcome,omitempty"`  // to it: from here on the first process hands over when it ends
+	State      *State      `json:"State,omitempty"`    // to it, once
+	Outcome    *Outcome    `json:"Outcome,omitempty"`  // to it
+	Submission *Submission `json:"HandIn,omitempty"`   // to it
+	Answer     *Answer     `json:"Answer,omitempty"`   // from it
+	Cancel     uint32      `json:"Withdraw,omitempty"` // to it: the message whose client left without its answer
 }
 
 // Hello says who takes over.
@@ -46,80 +46,80 @@
 
 // State is all that a relay is, but for its log.
 type State struct {
-	Now      time.Duration  `json:"Now"`      // the module's
-	At       time.Time      `json:"At"`       // wall time then
-	WakeAt   time.Time      `json:"WakeAt"`   // zero: none asked for
-	Snapshot []byte         `json:"Snapshot"` // policy.Engine.Snapshot
-	Terms    reload.Terms   `json:"Terms"`    // that hold
-	Version  int64          `json:"Version"`  // of the list
-	Large    bool           `json:"Large"`    // the list is too long to be told as a whole: what follows of it is what the module knows
-	Routes   []Route        `json:"Routes"`
-	Cells    []int          `json:"Cells"` // destinations that the list has named; of a long one none are told
-	LastID   uint32         `json:"LastID"`
-	Messages []Message      `json:"Messages"`
-	Attempts []Attempt      `json:"Attempts"` // out
-	Later    []policy.Event `json:"Later"`
-	Ended    []Ended        `json:"Ended,omitempty"` // in that order
+	Now              time.Duration     `json:"Now"`      // the module's
+	At               time.Time         `json:"At"`       // wall time then
+	WakeAt           time.Time         `json:"WakeAt"`   // zero: none asked for
+	Snapshot         []byte            `json:"Snapshot"` // policy.Engine.Snapshot
+	Config           reload.Config     `json:"Terms"`    // that hold
+	Version          int64             `json:"Version"`  // of the list
+	LargeList        bool              `json:"Large"`    // the list is too long to be told as a whole: what follows of it is what the module knows
+	Endpoints        []Endpoint        `json:"Routes"`
+	Destinations     []int             `json:"Cells"` // destinations that the list has named; of a long one none are told
+	LastID           uint32            `json:"LastID"`
+	Messages         []Message         `json:"Messages"`
+	Attempts         []Attempt         `json:"Attempts"` // out
+	PendingEvents    []policy.Event    `json:"Later"`
+	FinishedMessages []FinishedMessage `json:"Ended,omitempty"` // in that order
 }
 
-// Ended is a message of which nothing is owed, and what its client is told if it hands it in once more until then.
-type Ended struct {
-	Trace  string    `json:"Trace"`
-	Status int       `json:"Status"`
-	Until  time.Time `json:"Until"`
+// FinishedMessage is a message of which nothing is owed, and what its client is told if it hands it in once more until then.
+type FinishedMessage struct {
+	TraceID string    `json:"Trace"`
+	Status  int       `json:"Status"`
+	Until   time.Time `json:"Until"`
 }
 
-// Route is a listed host.
-type Route struct {
+// Endpoint is a listed host.
+type Endpoint struct {
 	policy.Endpoint
 	Addr string `json:"Addr"`
 }
 
 // Message is what a relay knows of a message beside the log.
 type Message struct {
-	ID     uint32 `json:"ID"`
-	Trace  string `json:"Trace"`
-	Sends  int    `json:"Sends"`
-	Ended  bool   `json:"Ended"`
-	Shared bool   `json:"Shared"`
-	Next   uint32 `json:"Next"` // what it goes on as; 0: nothing
+	ID      uint32 `json:"ID"`
+	TraceID string `json:"Trace"`
+	Sends   int    `json:"Sends"`
+	Ended   bool   `json:"Ended"`
+	Shared  bool   `json:"Shared"`
+	Next    uint32 `json:"Next"` // what it goes on as; 0: nothing
 }
 
 // Attempt is one that has no outcome yet.
 type Attempt struct {
-	ID    uint32    `json:"ID"`
-	N     int       `json:"N"`
-	Route string    `json:"Route"`
-	Zone  int       `json:"Zone"`
-	Sent  time.Time `json:"Sent"`
-	Over  bool      `json:"Over"` // its outcome is told, its call goes on for others
+	ID       uint32    `json:"ID"`
+	Number   int       `json:"N"`
+	Endpoint string    `json:"Route"`
+	Zone     int       `json:"Zone"`
+	Sent     time.Time `json:"Sent"`
+	Finished bool      `json:"Over"` // its outcome is told, its call goes on for others
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	ID      uint32             `json:"ID"`
-	N       int                `json:"N"`
-	Outcome policy.Outcome     `json:"Outcome"`
-	Gone    bool               `json:"Gone"`
-	Wait    time.Duration      `json:"Wait"`
-	Report  policy.LimitReport `json:"Report"`
-	Took    time.Duration      `json:"Took"`
-	Last    bool               `json:"Last"` // its call is over, too: nothing more is told of it
+	ID           uint32             `json:"ID"`
+	Number       int                `json:"N"`
+	Outcome      policy.Outcome     `json:"Outcome"`
+	MessageEnded bool               `json:"Gone"`
+	RetryAfter   time.Duration      `json:"Wait"`
+	LimitReport  policy.LimitReport `json:"Report"`
+	Latency      time.Duration      `json:"Took"`
+	CallFinished bool               `json:"Last"` // its call is over, too: nothing more is told of it
 }
 
-// HandIn is a message that a client of the first process hands in.
-type HandIn struct {
+// Submission is a message that a client of the first process hands in.
+type Submission struct {
 	Seq     uint64           `json:"Seq"`
 	Message *journal.Message `json:"Message"`
 }
 
 // Answer is what its client is told.
 type Answer struct {
-	Seq    uint64        `json:"Seq"`
-	ID     uint32        `json:"ID"` // the message's; 0: not taken
-	Status int           `json:"Status"`
-	Again  time.Duration `json:"Again"`
-	Text   string        `json:"Text"`
+	Seq        uint64        `json:"Seq"`
+	ID         uint32        `json:"ID"` // the message's; 0: not taken
+	Status     int           `json:"Status"`
+	RetryAfter time.Duration `json:"Again"`
+	Text       string        `json:"Text"`
 }
 
 // Conn is one end. Send may be called from many goroutines at once, Receive from one.
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -65,7 +65,7 @@
 func (r *Relay) list(l List) []policy.Event {
 	r.version = l.Version
 	if l.Full {
-		r.catalog.Begin()
+		r.catalog.BeginSnapshot()
 	}
 	e := policy.Event{Kind: policy.EndpointDelta}
 	if r.large.Load() {
@@ -84,7 +84,7 @@
 		if l.Full {
 			e.Kind = policy.EndpointSnapshot
 		}
-		if r.catalog.Endpoints() > catalog.WholeMost {
+		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
 			r.enlarge()
 		}
 	} else if len(e.Endpoints) == 0 {
@@ -95,7 +95,7 @@
 
 // holdsList notes that a list is known to its end.
 func (r *Relay) holdsList() {
-	if r.catalog.Endpoints() > 0 {
+	if r.catalog.EndpointCount() > 0 {
 		r.named = true
 		r.listed.Store(true)
 	}
@@ -105,23 +105,23 @@
 func (r *Relay) entry(told []policy.Endpoint, e *entry) []policy.Endpoint {
 	if e.err != nil {
 		r.unlisted.came(r.log, "entry", e.text, "err", e.err)
-		if known, ok := r.catalog.Keep(e.ID); ok && !r.large.Load() {
+		if known, ok := r.catalog.MarkSeen(e.ID); ok && !r.large.Load() {
 			return append(told, known.Endpoint)
 		}
 		return told
 	}
-	c := r.catalog.Put(e.Endpoint)
+	c := r.catalog.Upsert(e.Endpoint)
 	r.changed(&c)
-	if c.Kind == catalog.Moved && c.Was.Destination != e.Destination && r.hears(c.Was.Destination) {
-		told = append(told, departed(c.Was)) // a route's gate is its destination's for good: it begins anew at the other one
+	if c.Kind == catalog.Moved && c.Old.Destination != e.Destination && r.hears(c.Old.Destination) {
+		told = append(told, departed(c.Old)) // a route's gate is its destination's for good: it begins anew at the other one
 	}
 	switch {
 	case !r.large.Load():
 		return append(told, e.Endpoint.Endpoint)
-	case c.Kind == catalog.Same:
+	case c.Kind == catalog.Unchanged:
 		return told
-	case c.Kind == catalog.Removed && r.hears(c.Was.Destination):
-		return append(told, departed(c.Was))
+	case c.Kind == catalog.Removed && r.hears(c.Old.Destination):
+		return append(told, departed(c.Old))
 	case c.Kind != catalog.Removed && r.hears(e.Destination):
 		return append(told, e.Endpoint.Endpoint)
 	}
@@ -130,16 +130,16 @@
 
 // changed books a change of the catalog: calls go to no address that a host has left.
 func (r *Relay) changed(c *catalog.Change) {
-	if r.awake != nil && (c.Kind == catalog.Added || c.Kind == catalog.Moved && c.Was.Destination != c.Is.Destination) {
-		r.awake.Added(c.Is.Destination, r.now())
+	if r.awake != nil && (c.Kind == catalog.Added || c.Kind == catalog.Moved && c.Old.Destination != c.New.Destination) {
+		r.awake.EndpointAdded(c.New.Destination, r.now())
 	}
-	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Was.Addr != c.Is.Addr {
-		r.hosts.closeIdle(c.Was.ID)
+	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Old.Addr != c.New.Addr {
+		r.hosts.closeIdle(c.Old.ID)
 	}
-	if (c.Kind == catalog.Changed || c.Kind == catalog.Moved || c.Kind == catalog.Removed) && !c.Was.InService {
+	if (c.Kind == catalog.Updated || c.Kind == catalog.Moved || c.Kind == catalog.Removed) && !c.Old.InService {
 		r.draining--
 	}
-	if (c.Kind == catalog.Changed || c.Kind == catalog.Moved || c.Kind == catalog.Added) && !c.Is.InService {
+	if (c.Kind == catalog.Updated || c.Kind == catalog.Moved || c.Kind == catalog.Added) && !c.New.InService {
 		r.draining++
 	}
 }
@@ -147,7 +147,7 @@
 // swept takes hosts that a whole list did not name, and adds what the module is told of them. It needs not be where it is told the whole.
 func (r *Relay) swept(told []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
 	for _, was := range removed {
-		r.changed(&catalog.Change{Was: was, Kind: catalog.Removed})
+		r.changed(&catalog.Change{Old: was, Kind: catalog.Removed})
 		if r.large.Load() && r.hears(was.Destination) {
 			told = append(told, departed(was))
 		}
@@ -160,7 +160,7 @@
 }
 
 // hears tells whether the module knows of a destination.
-func (r *Relay) hears(dest int) bool { return !r.large.Load() || r.awake.Has(dest) }
+func (r *Relay) hears(dest int) bool { return !r.large.Load() || r.awake.Contains(dest) }
 
 // Long lists.
 
@@ -230,10 +230,10 @@
 	r.awake = r.newAwake()
 	now := r.now()
 	for e := range r.catalog.All() {
-		r.awake.Wake(e.Destination, now)
+		r.awake.Activate(e.Destination, now)
 	}
 	for _, m := range r.inOrder() {
-		r.awake.Wake(m.Dest, now)
+		r.awake.Activate(m.Destination, now)
 	}
 }
 
@@ -244,7 +244,7 @@
 	switch p.stage {
 	case listOpens:
 		r.enlarge()
-		r.catalog.Begin()
+		r.catalog.BeginSnapshot()
 		r.receiving, r.overfull = true, false
 	case listSlice:
 		told = r.slice(p.entries)
@@ -285,7 +285,7 @@
 		if last, ok := ended[e.ID]; ok && i < last {
 			continue // what came behind it holds
 		}
-		if r.catalog.Endpoints() >= entriesMost && e.err == nil {
+		if r.catalog.EndpointCount() >= entriesMost && e.err == nil {
 			if _, known := r.catalog.Endpoint(e.ID); !known {
 				r.overfull = true
 				r.unheld.came(r.log, "most", entriesMost)
@@ -308,11 +308,11 @@
 	}
 	var woken []policy.Endpoint
 	wake := func(dest int) {
-		if !r.awake.Wake(dest, now) {
+		if !r.awake.Activate(dest, now) {
 			return
 		}
 		settled := r.awake.Settled(dest, now)
-		r.of = r.catalog.Of(dest, r.of[:0])
+		r.of = r.catalog.AppendEndpoints(dest, r.of[:0])
 		for _, e := range r.of {
 			e.Relisted = settled
 			woken = append(woken, e.Endpoint)
@@ -324,7 +324,7 @@
 			wake(e.Destination)
 		case policy.AttemptFinished:
 			if m := r.msgs[e.MessageID]; m != nil {
-				r.awake.Touch(m.Dest, now)
+				r.awake.Touch(m.Destination, now)
 			}
 			if e.RetryAfter == 0 {
 				break
@@ -345,8 +345,8 @@
 		}
 	}
 	var resting []policy.Endpoint
-	for _, dest := range r.awake.Rest(now, restMost, r.sender.Evictable) {
-		r.of = r.catalog.Of(dest, r.of[:0])
+	for _, dest := range r.awake.EvictIdle(now, restMost, r.sender.Evictable) {
+		r.of = r.catalog.AppendEndpoints(dest, r.of[:0])
 		for _, e := range r.of {
 			resting = append(resting, departed(e))
 		}
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -61,12 +61,12 @@
 				}
 				hosts := len(cfg.Known.Entries)
 				if cfg.Long != nil {
-					hosts = cfg.Long.Endpoints()
+					hosts = cfg.Long.EndpointCount()
 				}
 				if (cfg.Unread != nil) != (c.hosts < 0) || keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) || !keep && hosts != 0 {
 					t.Errorf("%s, kept %v: %d hosts of version %d, %v", c.name, keep, hosts, cfg.Known.Version, cfg.Unread)
 				}
-				if want := oldShape(t, text); !reload.Equal(reload.Terms{Shape: cfg.Shape}, reload.Terms{Shape: want}) || cfg.Name != "n3" || cfg.Limits.Cores != 2 {
+				if want := oldShape(t, text); !reload.Equal(reload.Config{Shape: cfg.Shape}, reload.Config{Shape: want}) || cfg.Name != "n3" || cfg.Limits.Cores != 2 {
 					t.Errorf("%s: shape %v, want %v", c.name, cfg.Shape, want)
 				}
 			}
@@ -101,11 +101,11 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
-	if err != nil || again.Long != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Terms, again.Terms) {
+	if err != nil || again.Long != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Config, again.Config) {
 		t.Fatalf("%v, %d hosts", err, len(again.Known.Entries))
 	}
-	if err := r.Reload(again, nil); err != nil || r.catalog.Endpoints() != 40_000 {
-		t.Errorf("%v, %d hosts", err, r.catalog.Endpoints())
+	if err := r.Reload(again, nil); err != nil || r.catalog.EndpointCount() != 40_000 {
+		t.Errorf("%v, %d hosts", err, r.catalog.EndpointCount())
 	}
 	runtime.ReadMemStats(&after)
 	if took := after.TotalAlloc - before.TotalAlloc; took > uint64(len(text))/2 {
@@ -138,8 +138,8 @@
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
 			w := r.newWatcher()
-			if !w.whole || r.catalog.Endpoints() != 6002 || !r.large.Load() || r.held != 2 {
-				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.Endpoints(), r.held)
+			if !w.whole || r.catalog.EndpointCount() != 6002 || !r.large.Load() || r.held != 2 {
+				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.EndpointCount(), r.held)
 			}
 			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 || got[61][0].InService {
 				t.Errorf("the module knows %v, awake are %v", got, want)
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -51,7 +51,7 @@
 func ofAwake(r *Relay) map[int][]policy.Endpoint {
 	known := map[int][]policy.Endpoint{}
 	for e := range r.catalog.All() {
-		if r.awake.Has(e.Destination) {
+		if r.awake.Contains(e.Destination) {
 			known[e.Destination] = append(known[e.Destination], e.Endpoint)
 		}
 	}
@@ -78,7 +78,7 @@
 		r := newTestRelay(t)
 		r.enlarge()
 		r.awake = catalog.NewWorkingSet(restFor)
-		r.awake.Wake(7, r.now())
+		r.awake.Activate(7, r.now())
 		model := map[string]entry{}
 		for e := range r.catalog.All() {
 			model[e.ID] = entry{Endpoint: e}
@@ -126,8 +126,8 @@
 			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) {
 				t.Fatalf("seed %d, step %d: the module knows\n%v\nawake\n%v", seed, step, got, want)
 			}
-			if r.catalog.Endpoints() != len(model) {
-				t.Fatalf("seed %d, step %d: %d hosts, want %d", seed, step, r.catalog.Endpoints(), len(model))
+			if r.catalog.EndpointCount() != len(model) {
+				t.Fatalf("seed %d, step %d: %d hosts, want %d", seed, step, r.catalog.EndpointCount(), len(model))
 			}
 			for id, want := range model {
 				if got, ok := r.catalog.Endpoint(id); !ok || got != want.Endpoint {
@@ -143,11 +143,11 @@
 	r := newTestRelay(t)
 	entries := entriesOf(r, liveText("s-a", "127.0.0.1:1", 50, "ready"), liveText("s-b", "127.0.0.1:1", 50, "ready"), liveText("s-c", "127.0.0.1:1", 51, "ready"))
 	tellLong(r, true, 2, entries)
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Has(50) || r.awake.Has(51) {
+	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Contains(50) || r.awake.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
 	news := func(entries []entry) (told []policy.Endpoint) {
-		r.catalog.Begin()
+		r.catalog.BeginSnapshot()
 		for _, p := range []*part{{stage: listSlice, entries: entries}, {stage: listSweep}, {stage: listCloses, version: 3}} {
 			p.done = make(chan bool, 1)
 			r.gather(nil, p)
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -31,7 +31,7 @@
 		r.step([]any{List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}})
 		known, ok := r.catalog.Endpoint("s-1")
 		views, _ := r.sender.Views()
-		if ok != c.listed || len(views) != r.catalog.Endpoints() || c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
+		if ok != c.listed || len(views) != r.catalog.EndpointCount() || c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
 			t.Errorf("%v, whole %v: listed %v %+v, in the module %+v", c.entries, c.full, ok, known, views)
 		}
 	}
@@ -73,7 +73,7 @@
 	lists, ended := make(chan List, 64), make(chan struct{})
 	defer func() { stop(); <-ended }()
 	w := watcher{
-		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Caller{Clients: 1},
+		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
 		unread: trouble{what: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
 	}
 	go func() { w.run(ctx); close(ended) }()
--- a/internal/relay/listing_bench_test.go
+++ b/internal/relay/listing_bench_test.go
@@ -49,8 +49,8 @@
 		{"read", func() func(entry) error { return func(entry) error { return nil } }},
 		{"read-and-put", func() func(entry) error {
 			known := catalog.New()
-			known.Begin()
-			return func(e entry) error { known.Put(e.Endpoint); return nil }
+			known.BeginSnapshot()
+			return func(e entry) error { known.Upsert(e.Endpoint); return nil }
 		}},
 	} {
 		b.Run(bench.name, func(b *testing.B) {
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -165,8 +165,8 @@
 	follow(t, r, a)
 	a.tell(t, r, listText(2, dests, first, last))
 	drive(t, r, "the list is known", func() bool { return r.version == 2 })
-	if n := len(ofModule(r)); r.catalog.Endpoints() != 2*dests+2 || n != 1 || !r.large.Load() {
-		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.Endpoints(), n)
+	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.large.Load() {
+		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
 	if n := len(ofModule(r)); n != 2 {
@@ -176,8 +176,8 @@
 	drive(t, r, "the list once more", func() bool { return r.version == 3 })
 	a.tell(t, r, []byte(`{"version":4,"servers":[`+hostText(8, 4, "draining")+`,`+hostText(10, 5, "gone")+"]}\n"))
 	drive(t, r, "changes", func() bool { return r.version == 4 })
-	if r.draining != 1 || r.catalog.Endpoints() != 2*dests+1 {
-		t.Errorf("%d hosts drain of %d", r.draining, r.catalog.Endpoints())
+	if r.draining != 1 || r.catalog.EndpointCount() != 2*dests+1 {
+		t.Errorf("%d hosts drain of %d", r.draining, r.catalog.EndpointCount())
 	}
 	a.tell(t, r, []byte(`{"version":5,"servers":[`+liveText("s-last", addr, 99, "draining")+`,`+liveText("s-1", addr, 7, "gone")+"]}\n"))
 	drive(t, r, "changes of what is in use", func() bool { return r.version == 5 })
@@ -330,7 +330,7 @@
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
 		half = half[:len(half)-1]
 	}
-	held := func() int { return r.catalog.Endpoints() }
+	held := func() int { return r.catalog.EndpointCount() }
 	asked := func(what, want string) {
 		t.Helper()
 		drive(t, r, "a watch after "+what, func() bool {
@@ -377,8 +377,8 @@
 	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
 		a.tell(t, r, listText(l.version, l.dests))
 		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.version == int64(l.version) })
-		if r.catalog.Endpoints() != 2*l.dests {
-			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.Endpoints(), 2*l.dests)
+		if r.catalog.EndpointCount() != 2*l.dests {
+			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
 		}
 	}
 }
@@ -402,8 +402,8 @@
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+hostText(0, 0, "draining")+"]}\n"...))
 			drive(t, r, "the list", func() bool { return r.version == 8 })
-			if r.draining != 1 || r.catalog.Endpoints() != 2*dests {
-				t.Errorf("%d of %d hosts drain", r.draining, r.catalog.Endpoints())
+			if r.draining != 1 || r.catalog.EndpointCount() != 2*dests {
+				t.Errorf("%d of %d hosts drain", r.draining, r.catalog.EndpointCount())
 			}
 		})
 	}
@@ -426,8 +426,8 @@
 	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
 		t.Errorf("logged %d times: %s", n, text)
 	}
-	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.Endpoints() != 1 || r.version != 1 {
-		t.Errorf("%d hosts, version %d", r.catalog.Endpoints(), r.version)
+	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.version != 1 {
+		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.version)
 	}
 }
 
@@ -480,8 +480,8 @@
 			few = heap()
 		}
 	}
-	if many := heap(); r.catalog.Endpoints() != hosts || many > few+few/2 {
-		t.Errorf("%d hosts; %d bytes after 5 lists, %d after 50", r.catalog.Endpoints(), few, many)
+	if many := heap(); r.catalog.EndpointCount() != hosts || many > few+few/2 {
+		t.Errorf("%d hosts; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), few, many)
 	}
 }
 
@@ -490,7 +490,7 @@
 	addr, requests := rawHost(t, answers)
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
-		m := &journal.Message{ID: uint32(i + 1), Trace: fmt.Sprint("m", i), Key: "k", Dest: dest, Deadline: time.Now().Add(9 * time.Second)}
+		m := &journal.Message{ID: uint32(i + 1), TraceID: fmt.Sprint("m", i), IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(9 * time.Second)}
 		if err := old.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -499,7 +499,7 @@
 		t.Fatal(err)
 	}
 	cfg, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`, listText(4, 3000, liveText("s-50", addr, 50, "ready")), settingsJSON))
-	if err != nil || cfg.Long == nil || cfg.Long.Endpoints() != 6001 || len(cfg.Known.Entries) != 0 || cfg.Known.Version != 4 {
+	if err != nil || cfg.Long == nil || cfg.Long.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 || cfg.Known.Version != 4 {
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
 	cfg.StateDir = old.cfg.StateDir
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -59,7 +59,7 @@
 	if x.large != nil && x.large() {
 		return sliceMost
 	}
-	return catalog.WholeMost
+	return catalog.MaxEagerEndpoints
 }
 
 // receipt is how a list is received.
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -27,16 +27,16 @@
 func (r *recent) add(m *message) {
 	e := ending{until: m.Deadline}
 	switch {
-	case len(m.MayRun) == 0: // it surely never ran: it may come as a new one
+	case len(m.UncertainAttempts) == 0: // it surely never ran: it may come as a new one
 		return
 	case m.Final == nil:
 		e.answer.status = http.StatusAccepted // delivered; also one that its client had taken back meanwhile
-	case m.Final.Deferred:
+	case m.Final.Retryable:
 		return // its client was told to come again
 	default:
 		e.answer = finalAnswer(*m.Final)
 	}
-	r.keep(m.Trace, e)
+	r.keep(m.TraceID, e)
 }
 
 func (r *recent) keep(trace string, e ending) {
@@ -50,17 +50,17 @@
 }
 
 // told is what the next process should know of them, and hear takes it there.
-func (r *recent) told() (ended []hotrestart.Ended) {
+func (r *recent) told() (ended []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
 		e := r.ended[trace]
-		ended = append(ended, hotrestart.Ended{Trace: trace, Status: e.answer.status, Until: e.until})
+		ended = append(ended, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
 	}
 	return ended
 }
 
-func (r *recent) hear(ended []hotrestart.Ended) {
+func (r *recent) hear(ended []hotrestart.FinishedMessage) {
 	for _, e := range ended {
-		r.keep(e.Trace, ending{answer{status: e.Status}, e.Until})
+		r.keep(e.TraceID, ending{answer{status: e.Status}, e.Until})
 	}
 }
 
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -31,17 +31,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.catalog.Remember(dest)
+			r.catalog.RememberDestination(dest)
 			in := newHandIn("m1", dest, 5*time.Second)
 			decide(r, in)
 			m := r.msgs[in.m.ID]
 			if c.result != nil {
-				at := journal.Attempt{N: 0, Host: "s-8", At: time.Now()}
-				if err := r.journal.Sent(journal.Send{Message: m.Message, Attempt: at}); err != nil {
+				at := journal.Attempt{Number: 0, Endpoint: "s-8", SentAt: time.Now()}
+				if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: at}); err != nil {
 					t.Fatal(err)
 				}
 				m.sends, m.out = 1, 1
-				a := &attempt{call: &call{route: "s-8", sent: at.At}, m: m}
+				a := &attempt{call: &call{route: "s-8", sent: at.SentAt}, m: m}
 				r.out++
 				a.call.attempts = []*attempt{a}
 				if c.left {
@@ -77,7 +77,7 @@
 	var r recent
 	now := time.Now()
 	for i := range 3 * recentMost {
-		r.add(&message{Message: &journal.Message{Trace: fmt.Sprint(i), Deadline: now.Add(time.Hour), MayRun: []journal.Attempt{{}}}})
+		r.add(&message{Message: &journal.Message{TraceID: fmt.Sprint(i), Deadline: now.Add(time.Hour), UncertainAttempts: []journal.Attempt{{}}}})
 		r.forget(now)
 	}
 	if _, last := r.ended[fmt.Sprint(3*recentMost-1)]; len(r.ended) != recentMost || len(r.order) != recentMost || !last {
@@ -93,7 +93,7 @@
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
 		r.terms.Settings.Classes[0].DedupWindow = window
-		m := &message{Message: &journal.Message{Deadline: time.Now(), Attempts: 1, MayRun: []journal.Attempt{{At: time.Now(), Undated: true}}}}
+		m := &message{Message: &journal.Message{Deadline: time.Now(), Attempts: 1, UncertainAttempts: []journal.Attempt{{SentAt: time.Now(), Undated: true}}}}
 		if ago := r.resumed(m).Recovered.SinceFirstRun; ago < max(longAgoRan, window) {
 			t.Errorf("window %v: ran %v ago", window, ago)
 		}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -65,9 +65,9 @@
 	}
 	path, err := "the log", error(nil)
 	if r.set.Folder != "" {
-		path, err = r.folder.Keep(r.Recorder, reason)
+		path, err = r.folder.Dump(r.Recorder, reason)
 	} else {
-		err = flightrecorder.KeepInLog(r.Recorder, reason, r.out)
+		err = flightrecorder.DumpToLog(r.Recorder, reason, r.out)
 	}
 	if err != nil {
 		r.log.Warn("recording not kept", "reason", reason, "err", err)
@@ -99,7 +99,7 @@
 	}
 	beside, told := r.fleet.Step(now, events, acts, func() []policy.EndpointView { views, _ := r.sender.Views(); return views })
 	if r.rec.Recorder != nil {
-		r.rec.StepBeside(now, events, acts, beside.Append(nil))
+		r.rec.StepWithFleet(now, events, acts, beside.Append(nil))
 	}
 	if r.later = append(r.later, told...); len(told) > 0 {
 		r.nudge() // the module hears it in a step of its own, soon
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -46,7 +46,7 @@
 		if crashed == nil {
 			t.Fatal("no crash: the test shows nothing")
 		}
-		paths, _ := filepath.Glob(filepath.Join(folder, "n3-*-crash"+flightrecorder.Ext))
+		paths, _ := filepath.Glob(filepath.Join(folder, "n3-*-crash"+flightrecorder.FileExtension))
 		var found []flightrecorder.Recording
 		var err error
 		if folder == "" {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -94,26 +94,26 @@
 	rec     *recording
 	fleet   *fleet.Member // nil: this relay tells others nothing and hears nothing
 	events  chan any
-	kept    atomic.Pointer[recording]    // rec, for other goroutines
-	waiting atomic.Bool                  // for the process before this one to hand over
-	over    chan struct{}                // closed when the loop has ended
-	idle    chan struct{}                // closed when the relay is stopping and nothing is left to wait for
-	door    atomic.Pointer[reload.Terms] // what clients are held to
-	figures metrics.Figures
+	kept    atomic.Pointer[recording]     // rec, for other goroutines
+	waiting atomic.Bool                   // for the process before this one to hand over
+	over    chan struct{}                 // closed when the loop has ended
+	idle    chan struct{}                 // closed when the relay is stopping and nothing is left to wait for
+	door    atomic.Pointer[reload.Config] // what clients are held to
+	figures metrics.Registry
 	listed  atomic.Bool // it has recovered and holds a list
 	ending  atomic.Bool // SIGTERM came
 	calls   sync.WaitGroup
 
 	// Owned by Reload.
-	settled reload.Terms // taken last
-	turn    int          // of terms: later ones make earlier ones void
+	settled reload.Config // taken last
+	turn    int           // of terms: later ones make earlier ones void
 
 	upgrade
 	large atomic.Bool // the list is, or was, too long to be told to the module as a whole; set by the loop
 
 	// Owned by the loop.
 	holdings
-	terms    reload.Terms
+	terms    reload.Config
 	turnNow  int
 	callCtx  context.Context
 	calling  map[*call]struct{} // out
@@ -153,16 +153,16 @@
 		events: make(chan any, eventRoom), over: make(chan struct{}), idle: make(chan struct{}),
 		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: trouble{what: "no room for all hosts"}},
 		full: trouble{what: "refusing new messages"}, unlogged: trouble{what: "log not written"}, unlisted: trouble{what: "unreadable entry of the list"},
-		msgs: map[uint32]*message{}, traces: map[string]*message{}, settled: cfg.Terms, version: cfg.Known.Version,
+		msgs: map[uint32]*message{}, traces: map[string]*message{}, settled: cfg.Config, version: cfg.Known.Version,
 	}
-	r.hold(cfg.Terms)
+	r.hold(cfg.Config)
 	r.holdKnown()
 	if cfg.Unread != nil {
 		log.Warn("starting without a list of hosts", "err", cfg.Unread)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
-	r.hosts = newHosts(cfg, log, func(n int) { r.figures.Upstream.Add(int64(n)) })
+	r.hosts = newHosts(cfg, log, func(n int) { r.figures.UpstreamRequests.Add(int64(n)) })
 	r.finals = newFinals(log, r.agent, func(ids []uint32) { r.post(confirmed{ids}) })
 	r.joinFleet()
 	r.kept.Store(r.rec)
@@ -297,41 +297,41 @@
 		known.Full = true
 		evs = append(evs, r.list(known)...)
 	}
-	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.Standing), r.journal.Stamp(time.Now()), r.terms.Settings.WarmUpDuration)...)
+	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.EndpointHealth), r.journal.Stamp(time.Now()), r.terms.Settings.WarmUpDuration)...)
 	for _, w := range found.Messages {
-		if w.Service != "" {
-			w.Class = slices.Index(r.terms.Classes, w.Service) // the module takes one that is not named for the strictest
+		if w.ClassName != "" {
+			w.Class = slices.Index(r.terms.ClassNames, w.ClassName) // the module takes one that is not named for the strictest
 		}
 		m := &message{Message: w, sends: w.Attempts}
-		if w.Doubtful && r.bears(w) {
-			w.Doubtful = false // whatever it has done may be done once more
+		if w.Uncertain && r.bears(w) {
+			w.Uncertain = false // whatever it has done may be done once more
 		}
-		r.msgs[m.ID], r.traces[m.Trace] = m, m
+		r.msgs[m.ID], r.traces[m.TraceID] = m, m
 		r.lastID = max(r.lastID, m.ID)
 		switch {
-		case w.Withdrawn:
+		case w.Cancelled:
 			m.ended = true
 			r.left = append(r.left, m)
 		case w.Final != nil:
 			m.ended = true
 			r.notify(m)
-		case w.Doubtful:
+		case w.Uncertain:
 			// What it has sent may be missing from the journal: nothing can be promised.
 			m.ended = true
-			r.journal.Decide(w, journal.Final{})
+			r.journal.RecordFinal(w, journal.FinalAnswer{})
 			r.count(w, metrics.Failed)
 			r.notify(m)
 		default:
 			r.held++
-			r.rec.Label(m.ID, m.Trace)
+			r.rec.Label(m.ID, m.TraceID)
 			evs = append(evs, r.resumed(m))
 		}
 	}
-	if len(found.Messages) > 0 || !found.Sound() {
-		r.log.Info("recovered", "messages", len(found.Messages), "sound", found.Sound())
+	if len(found.Messages) > 0 || !found.Intact() {
+		r.log.Info("recovered", "messages", len(found.Messages), "sound", found.Intact())
 	}
-	if found.Stepped != 0 {
-		r.log.Warn("the wall clock was set since the journal was last open; times of messages go by the boot's clock", "by", found.Stepped)
+	if found.ClockStep != 0 {
+		r.log.Warn("the wall clock was set since the journal was last open; times of messages go by the boot's clock", "by", found.ClockStep)
 	}
 	r.carryOut(r.decide(r.now(), evs), nil)
 }
@@ -348,10 +348,10 @@
 func (r *Relay) resumed(m *message) policy.Event {
 	e := r.taken(m)
 	e.Recovered = &policy.RecoveredMessage{Attempts: m.Attempts}
-	if len(m.MayRun) > 0 {
-		first := m.MayRun[0]
+	if len(m.UncertainAttempts) > 0 {
+		first := m.UncertainAttempts[0]
 		e.Recovered.MayHaveRun, e.Recovered.FirstRunZone = true, first.Zone
-		if e.Recovered.SinceFirstRun = time.Since(first.At); first.Undated || e.Recovered.SinceFirstRun < -clockSlack {
+		if e.Recovered.SinceFirstRun = time.Since(first.SentAt); first.Undated || e.Recovered.SinceFirstRun < -clockSlack {
 			// The clock was set, or may have been: nobody can tell how long its host still drops a repeat.
 			class, _ := r.classOf(m.Message)
 			e.Recovered.SinceFirstRun = max(longAgoRan, class.DedupWindow)
@@ -367,7 +367,7 @@
 		left = min(left, longest(class)) // a clock that was set back gives no more time
 	}
 	return policy.Event{
-		Kind: policy.MessageAccepted, MessageID: m.ID, Key: m.Order, Class: m.Class, Tenant: m.Customer, Destination: m.Dest, TimeLeft: left,
+		Kind: policy.MessageAccepted, MessageID: m.ID, Key: m.OrderingKey, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: left,
 	}
 }
 
@@ -461,7 +461,7 @@
 		case confirmed:
 			for _, id := range e.ids {
 				if m := r.msgs[id]; m != nil {
-					r.journal.End(m.Message)
+					r.journal.Remove(m.Message)
 					r.retire(m)
 				}
 			}
@@ -521,7 +521,7 @@
 // owesNothing tells whether all is ended, and all outcomes are in.
 func (r *Relay) owesNothing() bool {
 	for _, m := range r.msgs {
-		if m.out > 0 || !m.Withdrawn {
+		if m.out > 0 || !m.Cancelled {
 			return false
 		}
 	}
@@ -534,31 +534,31 @@
 	var ms []*journal.Message
 	now := time.Now()
 	for _, in := range ins {
-		if in.m.Service != "" {
+		if in.m.ClassName != "" {
 			// The terms may have changed since the door read them.
-			if in.m.Class = slices.Index(r.terms.Classes, in.m.Service); in.m.Class < 0 {
-				in.reply <- bad("unknown class %q", in.m.Service)
+			if in.m.Class = slices.Index(r.terms.ClassNames, in.m.ClassName); in.m.Class < 0 {
+				in.reply <- bad("unknown class %q", in.m.ClassName)
 				continue
 			}
 		}
-		old := r.traces[in.m.Trace]
+		old := r.traces[in.m.TraceID]
 		if old != nil && old.fresh {
 			in.as, old.shared = old, true
 			waiting = append(waiting, in)
 			continue
 		}
-		if old != nil && !(old.Withdrawn && (old.out == 0 || r.cfg.MayDuplicate)) {
+		if old != nil && !(old.Cancelled && (old.out == 0 || r.cfg.MayDuplicate)) {
 			in.reply <- r.again(old)
 			continue
 		}
-		if a, ended := r.recent.again(in.m.Trace, now); old == nil && ended {
+		if a, ended := r.recent.again(in.m.TraceID, now); old == nil && ended {
 			in.reply <- a
 			continue
 		}
 		switch {
-		case r.named && !r.catalog.Named(in.m.Dest):
+		case r.named && !r.catalog.HasDestination(in.m.Destination):
 			r.count(in.m, metrics.Failed)
-			in.reply <- bad("no such destination: %d", in.m.Dest)
+			in.reply <- bad("no such destination: %d", in.m.Destination)
 			continue
 		case r.terms.Settings.MaxPendingMessages > 0 && r.held >= r.terms.Settings.MaxPendingMessages:
 			r.count(in.m, metrics.Rejected)
@@ -570,11 +570,11 @@
 		m := &message{Message: in.m, fresh: true}
 		if old != nil {
 			// It may have run, and goes on from there.
-			m.Attempts, m.MayRun, m.sends = old.Attempts, slices.Clone(old.MayRun), old.sends
+			m.Attempts, m.UncertainAttempts, m.sends = old.Attempts, slices.Clone(old.UncertainAttempts), old.sends
 			old.next = m
 		}
-		r.msgs[m.ID], r.traces[m.Trace] = m, m
-		r.rec.Label(m.ID, m.Trace)
+		r.msgs[m.ID], r.traces[m.TraceID] = m, m
+		r.rec.Label(m.ID, m.TraceID)
 		r.held++
 		in.as = m
 		waiting, ms = append(waiting, in), append(ms, in.m)
@@ -595,14 +595,14 @@
 		if m := in.as; m.Message == in.m {
 			r.held--
 			delete(r.msgs, m.ID)
-			delete(r.traces, m.Trace)
+			delete(r.traces, m.TraceID)
 			r.count(in.m, metrics.Rejected)
 		}
 		in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 	}
 	for _, m := range r.left {
 		if m.next != nil && r.msgs[m.next.ID] == nil {
-			m.next, r.traces[m.Trace] = nil, m
+			m.next, r.traces[m.TraceID] = nil, m
 		}
 	}
 	return nil
@@ -611,7 +611,7 @@
 // again is the answer to a hand-in under the id of a message that is known: the end that this one has, if any.
 func (r *Relay) again(m *message) answer {
 	switch {
-	case m.Withdrawn: // its call is still out, and may not have company
+	case m.Cancelled: // its call is still out, and may not have company
 		return answer{status: http.StatusInternalServerError}
 	case m.Final == nil: // under way, or delivered
 		m.shared = true
@@ -621,9 +621,9 @@
 }
 
 // finalAnswer is what a client is told of a message that is not delivered.
-func finalAnswer(f journal.Final) answer {
-	if f.Deferred {
-		return answer{status: http.StatusServiceUnavailable, again: f.Again}
+func finalAnswer(f journal.FinalAnswer) answer {
+	if f.Retryable {
+		return answer{status: http.StatusServiceUnavailable, again: f.RetryAfter}
 	}
 	return answer{status: http.StatusInternalServerError}
 }
@@ -642,12 +642,12 @@
 // letGo ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
 // once more under its id: that must not make it a new one.
 func (r *Relay) letGo(m *message) {
-	if len(m.MayRun) == 0 {
-		r.journal.End(m.Message)
+	if len(m.UncertainAttempts) == 0 {
+		r.journal.Remove(m.Message)
 		r.retire(m)
 		return
 	}
-	r.journal.Withdraw(m.Message)
+	r.journal.RecordCancelled(m.Message)
 	r.left = append(r.left, m)
 }
 
@@ -659,7 +659,7 @@
 			r.count(m.Message, metrics.Completed)
 		}
 		r.done(m)
-		r.journal.End(m.Message)
+		r.journal.Remove(m.Message)
 		r.retire(m)
 	}
 	return evs
@@ -671,10 +671,10 @@
 	now := time.Now()
 	r.recent.forget(now)
 	r.left = slices.DeleteFunc(r.left, func(m *message) bool {
-		if m.next == nil && len(m.MayRun) > 0 && now.Before(m.Deadline) {
+		if m.next == nil && len(m.UncertainAttempts) > 0 && now.Before(m.Deadline) {
 			return false
 		}
-		r.journal.End(m.Message)
+		r.journal.Remove(m.Message)
 		r.retire(m)
 		return true
 	})
@@ -708,14 +708,14 @@
 	m.out--
 	switch res.outcome {
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
-		r.journal.NeverRan(m.Message, a.n)
+		r.journal.RecordNotRun(m.Message, a.n)
 	}
 	if ok || res.gone {
 		if ok && !m.ended {
 			r.count(m.Message, metrics.Completed)
 		}
 		r.done(m)
-		r.journal.End(m.Message)
+		r.journal.Remove(m.Message)
 		evs = r.delivered(evs, m.next)
 	}
 	r.retire(m)
@@ -738,10 +738,10 @@
 
 // retire forgets a message for which nothing is owed and nothing is out.
 func (r *Relay) retire(m *message) {
-	if m.out == 0 && m.ended && !r.journal.Owes(m.Message) {
+	if m.out == 0 && m.ended && !r.journal.Tracks(m.Message) {
 		delete(r.msgs, m.ID)
-		if r.traces[m.Trace] == m {
-			delete(r.traces, m.Trace)
+		if r.traces[m.TraceID] == m {
+			delete(r.traces, m.TraceID)
 			r.recent.add(m)
 		}
 	}
@@ -769,14 +769,14 @@
 				continue
 			}
 			r.done(m)
-			final := journal.Final{Deferred: a.Kind == policy.Reject, Again: a.Delay}
+			final := journal.FinalAnswer{Retryable: a.Kind == policy.Reject, RetryAfter: a.Delay}
 			r.count(m.Message, finalEnd(final))
 			if _, ok := answers[a.MessageID]; ok {
 				answers[a.MessageID] = finalAnswer(final)
 				r.letGo(m)
 				continue
 			}
-			r.journal.Decide(m.Message, final)
+			r.journal.RecordFinal(m.Message, final)
 			ended = append(ended, m)
 		case policy.SetTimer:
 			r.wakeAt = time.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
@@ -852,14 +852,14 @@
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			sends = append(sends, journal.Send{
-				Message: a.m.Message, Attempt: journal.Attempt{N: a.n, Host: c.route, Zone: c.zone, At: c.sent},
+				Message: a.m.Message, Attempt: journal.Attempt{Number: a.n, Endpoint: c.route, Zone: c.zone, SentAt: c.sent},
 			})
 		}
 	}
 	if len(sends) == 0 {
 		return r.journal.Flush()
 	}
-	return r.journal.Sent(sends...)
+	return r.journal.RecordSends(sends...)
 }
 
 // giveBack ends calls that could not be recorded as never connected.
@@ -904,7 +904,7 @@
 	}
 	at := r.now()
 	may := r.sender.StillAllowed(c.route, ids, at)
-	if r.rec.Cleared(at, c.route, ids, may); !may {
+	if r.rec.SendChecked(at, c.route, ids, may); !may {
 		return nil
 	}
 	return left
@@ -926,9 +926,9 @@
 
 // notify queues the notice that ends a message.
 func (r *Relay) notify(m *message) {
-	n := notice{id: m.ID, ID: m.Trace, Status: "undeliverable"}
-	if m.Final.Deferred {
-		n.Status, n.AgainMS = "deferred", m.Final.Again.Milliseconds()
+	n := notice{id: m.ID, ID: m.TraceID, Status: "undeliverable"}
+	if m.Final.Retryable {
+		n.Status, n.AgainMS = "deferred", m.Final.RetryAfter.Milliseconds()
 	}
 	r.finals.add(n)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -62,7 +62,7 @@
 		t.Errorf("from JSON\n%+v\non the wire\n%+v", c.Settings, want)
 	}
 	if c.ConnectTimeout != 1500*time.Millisecond || c.KeepAlive != 15*time.Second || c.Tick != 5*time.Millisecond ||
-		c.Seed != 0x8c1f30d27a5be964 || !reflect.DeepEqual(c.Customers, []string{"acme", "bolt"}) {
+		c.Seed != 0x8c1f30d27a5be964 || !reflect.DeepEqual(c.TenantNames, []string{"acme", "bolt"}) {
 		t.Errorf("the relay's own part: %+v", c)
 	}
 }
@@ -265,7 +265,7 @@
 	e := r.list(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
-	if r.catalog.Endpoints() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 || len(e[0].Endpoints) != 2 {
+	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 || len(e[0].Endpoints) != 2 {
 		t.Errorf("hosts %+v, %+v, told %+v", one, two, e)
 	}
 }
@@ -378,10 +378,10 @@
 // Together the messages of a bundle may be larger than any body may.
 func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
-	r.catalog.Put(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"})
+	r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"})
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
-		m := &message{Message: &journal.Message{Trace: fmt.Sprint("<", i, ">"), Key: "&&&&", Body: make([]byte, size)}}
+		m := &message{Message: &journal.Message{TraceID: fmt.Sprint("<", i, ">"), IdempotencyKey: "&&&&", Body: make([]byte, size)}}
 		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
@@ -479,8 +479,8 @@
 		r := newTestRelay(t)
 		at := time.Now().Add(back)
 		class := r.cfg.Settings.Classes[0]
-		ran := &journal.Message{ID: 1, Trace: "ran", Key: "k", Order: "a", Dest: 7, Deadline: at.Add(10 * time.Second), Attempts: 1, MayRun: []journal.Attempt{{Host: "s-1", At: at}}}
-		new := &journal.Message{ID: 2, Trace: "new", Key: "k", Order: "b", Dest: 7, Deadline: at.Add(class.Deadline)}
+		ran := &journal.Message{ID: 1, TraceID: "ran", IdempotencyKey: "k", OrderingKey: "a", Destination: 7, Deadline: at.Add(10 * time.Second), Attempts: 1, UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: at}}}
+		new := &journal.Message{ID: 2, TraceID: "new", IdempotencyKey: "k", OrderingKey: "b", Destination: 7, Deadline: at.Add(class.Deadline)}
 		if err := r.journal.Accept(ran, new); err != nil {
 			t.Fatal(err)
 		}
@@ -518,26 +518,26 @@
 	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
-		if now.Boot == "" {
-			now.Boot = "a boot"
+		if now.BootID == "" {
+			now.BootID = "a boot"
 		}
 		class := r.cfg.Settings.Classes[0]
 		away := class.DedupWindow / 2
 		// The process before: it ran until away ago, when the wall clock was step ahead of what it is now.
-		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), Boot: now.Boot, Up: now.Up - away}
+		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), BootID: now.BootID, Uptime: now.Uptime - away}
 		reopen(t, r, was)
 		for id, sent := range map[uint32]time.Duration{1: away + time.Second, 2: away - time.Second} {
-			m := &journal.Message{ID: id, Trace: fmt.Sprint("m", id), Key: "k", Order: fmt.Sprint(id), Dest: 7, Deadline: was.Wall.Add(away + 9*time.Second)}
+			m := &journal.Message{ID: id, TraceID: fmt.Sprint("m", id), IdempotencyKey: "k", OrderingKey: fmt.Sprint(id), Destination: 7, Deadline: was.Wall.Add(away + 9*time.Second)}
 			if err := r.journal.Accept(m); err != nil {
 				t.Fatal(err)
 			}
-			if err := r.journal.Sent(journal.Send{Message: m, Attempt: journal.Attempt{Host: "s-1", At: was.Wall.Add(-sent)}}); err != nil {
+			if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(-sent)}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r.found = reopen(t, r, now)
-		if d := (r.found.Stepped - step).Abs(); d > time.Millisecond {
-			t.Errorf("step %v: taken for %v", step, r.found.Stepped)
+		if d := (r.found.ClockStep - step).Abs(); d > time.Millisecond {
+			t.Errorf("step %v: taken for %v", step, r.found.ClockStep)
 		}
 		for _, m := range r.found.Messages {
 			if left := time.Until(m.Deadline); left < 8*time.Second || left > 9*time.Second {
@@ -558,17 +558,17 @@
 	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
-		was := bootclock.Reading{Wall: now.Wall.Add(-6*time.Second - step), Boot: "before", Up: time.Hour}
-		later := bootclock.Reading{Wall: now.Wall, Boot: "after", Up: 6 * time.Second}
+		was := bootclock.Reading{Wall: now.Wall.Add(-6*time.Second - step), BootID: "before", Uptime: time.Hour}
+		later := bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 6 * time.Second}
 		reopen(t, r, was)
-		m := &journal.Message{ID: 1, Trace: "m1", Key: "k", Order: "1", Dest: 7, Deadline: was.Wall.Add(15 * time.Second)}
+		m := &journal.Message{ID: 1, TraceID: "m1", IdempotencyKey: "k", OrderingKey: "1", Destination: 7, Deadline: was.Wall.Add(15 * time.Second)}
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.journal.Sent(journal.Send{Message: m, Attempt: journal.Attempt{Host: "s-1", At: was.Wall.Add(time.Second)}}); err != nil {
+		if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(time.Second)}}); err != nil {
 			t.Fatal(err)
 		}
-		reopen(t, r, bootclock.Reading{Wall: now.Wall, Boot: "after", Up: 5 * time.Second})
+		reopen(t, r, bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 5 * time.Second})
 		if r.found = reopen(t, r, later); len(r.found.Messages) != 1 {
 			t.Fatalf("%d messages", len(r.found.Messages))
 		}
@@ -619,7 +619,7 @@
 	r.cfg.Known.Entries = entriesOf(r, `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`)
 	r.found = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
-		m := &journal.Message{ID: uint32(i + 1), Trace: fmt.Sprint("m", i), Key: "k", Dest: 9, Deadline: time.Now().Add(left)}
+		m := &journal.Message{ID: uint32(i + 1), TraceID: fmt.Sprint("m", i), IdempotencyKey: "k", Destination: 9, Deadline: time.Now().Add(left)}
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -654,8 +654,8 @@
 	time.AfterFunc(time.Until(ends), func() { close(up) })
 	dialled, came := heldUp(t, r, up)
 	m := &journal.Message{
-		ID: 1, Trace: "m", Key: "k", Dest: 7, Deadline: time.Now().Add(10 * time.Second), Attempts: 1,
-		MayRun: []journal.Attempt{{Host: "s-1", At: ends.Add(-window)}},
+		ID: 1, TraceID: "m", IdempotencyKey: "k", Destination: 7, Deadline: time.Now().Add(10 * time.Second), Attempts: 1,
+		UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: ends.Add(-window)}},
 	}
 	if err := r.journal.Accept(m); err != nil {
 		t.Fatal(err)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -51,14 +51,14 @@
 	}
 	for {
 		m := &journal.Message{
-			ID: uint32(messages + 1), Trace: fmt.Sprintf("%016x", messages), Key: "k", Service: "order", Dest: 7, Body: make([]byte, body),
+			ID: uint32(messages + 1), TraceID: fmt.Sprintf("%016x", messages), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
 			Deadline: time.Now().Add(time.Hour), // of which a process grants what the class has
 		}
 		err := j.Accept(m)
 		if err == nil {
 			messages++
 			if sent && messages%2 == 0 {
-				err = j.Sent(journal.Send{Message: m, Attempt: journal.Attempt{Host: "s-1", At: time.Now()}})
+				err = j.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: time.Now()}})
 			}
 		}
 		if errors.Is(err, journal.ErrFull) {
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -25,7 +25,7 @@
 
 type (
 	newTerms struct {
-		terms reload.Terms
+		terms reload.Config
 		turn  int
 	}
 	gauges struct{ done chan struct{} } // asks for figures that are up to date
@@ -35,29 +35,29 @@
 // the file could not even be read. It must not be called by two goroutines at once.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
-		err = reload.Check(r.settled, cfg.Terms)
+		err = reload.Validate(r.settled, cfg.Config)
 	}
 	if err != nil {
 		r.figures.ReloadErrors.Add(1)
 		return fmt.Errorf("relay: the configuration stays as it was: %w", err)
 	}
 	r.figures.Reloads.Add(1)
-	r.log.Info("configuration taken", "discovery", cfg.Discovery, "classes", cfg.Classes)
+	r.log.Info("configuration taken", "discovery", cfg.Discovery, "classes", cfg.ClassNames)
 	r.agent.move(cfg.Discovery)
-	if reload.Equal(r.settled, cfg.Terms) {
+	if reload.Equal(r.settled, cfg.Config) {
 		return nil
 	}
 	r.turn++
-	turn, old, fresh := r.turn, *r.door.Load(), cfg.Terms
+	turn, old, fresh := r.turn, *r.door.Load(), cfg.Config
 	r.settled = fresh
 	r.change(old, fresh, turn)
 	return nil
 }
 
 // change has fresh terms take the place of old ones, by way of what binds while clients may go by either.
-func (r *Relay) change(old, fresh reload.Terms, turn int) {
-	r.post(newTerms{reload.Overlap(old, fresh), turn})
-	leaving := reload.WithDropped(old, fresh)
+func (r *Relay) change(old, fresh reload.Config, turn int) {
+	r.post(newTerms{reload.Transitional(old, fresh), turn})
+	leaving := reload.KeepRemovedClasses(old, fresh)
 	time.AfterFunc(overlapFor, func() { r.post(newTerms{leaving, turn}) })
 	time.AfterFunc(overlapFor+droppedFor, func() { r.post(newTerms{fresh, turn}) })
 }
@@ -77,25 +77,25 @@
 }
 
 // hold has the loop and the door go by terms.
-func (r *Relay) hold(t reload.Terms) {
-	for _, class := range t.Classes {
-		r.figures.Class(class)
+func (r *Relay) hold(t reload.Config) {
+	for _, class := range t.ClassNames {
+		r.figures.RegisterClass(class)
 	}
 	r.terms = t
 	r.door.Store(&t)
 }
 
 // count counts the end of a message.
-func (r *Relay) count(m *journal.Message, e metrics.End) {
-	class := m.Service
-	if class == "" && m.Class >= 0 && m.Class < len(r.terms.Classes) {
-		class = r.terms.Classes[m.Class]
+func (r *Relay) count(m *journal.Message, e metrics.Result) {
+	class := m.ClassName
+	if class == "" && m.Class >= 0 && m.Class < len(r.terms.ClassNames) {
+		class = r.terms.ClassNames[m.Class]
 	}
-	r.figures.Ended(class, e)
+	r.figures.CountResult(class, e)
 }
 
-func finalEnd(f journal.Final) metrics.End {
-	if f.Deferred {
+func finalEnd(f journal.FinalAnswer) metrics.Result {
+	if f.Retryable {
 		return metrics.Rejected
 	}
 	return metrics.Failed
@@ -104,7 +104,7 @@
 // gauge brings the loop's own figures up to date. A host is avoided while it drains, is skipped, or told to wait.
 func (r *Relay) gauge() {
 	r.figures.Pending.Store(int64(r.held))
-	r.figures.Members.Store(int64(r.catalog.Endpoints()))
+	r.figures.Members.Store(int64(r.catalog.EndpointCount()))
 	views, _ := r.sender.Views()
 	avoided, now := int64(r.draining), r.now()
 	for _, v := range views {
@@ -112,7 +112,7 @@
 			avoided++
 		}
 	}
-	r.figures.Unavailable.Store(avoided)
+	r.figures.UnavailableMembers.Store(avoided)
 }
 
 func avoids(v policy.EndpointView, now time.Duration) bool {
@@ -127,7 +127,7 @@
 	}
 	s := admin.Server{
 		Ready:   func() bool { return (r.listed.Load() || r.waiting.Load()) && !r.ending.Load() },
-		Figures: r.writeFigures,
+		Metrics: r.writeFigures,
 		Log:     r.log,
 	}
 	if r.fleet != nil {
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -92,8 +92,8 @@
 			if got := r.list(l); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 				t.Fatalf("seed %d, list %d of %v: told\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
 			}
-			if r.catalog.Endpoints() != len(old.routes) {
-				t.Fatalf("seed %d, list %d: %d hosts, before %d", seed, i, r.catalog.Endpoints(), len(old.routes))
+			if r.catalog.EndpointCount() != len(old.routes) {
+				t.Fatalf("seed %d, list %d: %d hosts, before %d", seed, i, r.catalog.EndpointCount(), len(old.routes))
 			}
 			draining := 0
 			for id, want := range old.routes {
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -33,9 +33,9 @@
 	}
 	r.standing.due = false
 	views, _ := r.sender.Views()
-	recs := endpointhealth.Of(views, r.now(), r.journal.Stamp(now))
+	recs := endpointhealth.FromViews(views, r.now(), r.journal.Stamp(now))
 	if endpointhealth.Changed(r.standing.kept, recs) {
-		if err := r.journal.Standing(endpointhealth.Encode(recs)); err != nil {
+		if err := r.journal.SaveEndpointHealth(endpointhealth.Encode(recs)); err != nil {
 			r.log.Debug("standing of hosts not kept", "err", err) // a restart knows less; the messages have the room
 		} else {
 			r.standing.kept = recs
@@ -52,14 +52,14 @@
 
 // unreadable ends a message whose body the disk no longer gives.
 func (r *Relay) unreadable(m *message, err error) {
-	r.log.Error("a message's body cannot be read: it is given up", "trace", m.Trace, "err", err)
+	r.log.Error("a message's body cannot be read: it is given up", "trace", m.TraceID, "err", err)
 	if m.ended {
 		return
 	}
 	r.done(m)
-	final := journal.Final{}
+	final := journal.FinalAnswer{}
 	r.count(m.Message, finalEnd(final))
-	r.journal.Decide(m.Message, final)
+	r.journal.RecordFinal(m.Message, final)
 	r.notify(m)
 	// The module has booked an attempt that never leaves.
 	r.later = append(r.later, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -16,7 +16,7 @@
 // ends with a notice, and the loop goes on.
 func TestBodiesLeftOnDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
-	cfg.StateDir, cfg.Operator.Journal.BodiesMB = t.TempDir(), 1.0/(1<<20) // a byte
+	cfg.StateDir, cfg.Operator.Journal.MaxBodiesMB = t.TempDir(), 1.0/(1<<20) // a byte
 	r, err := New(cfg, quiet(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -65,7 +65,7 @@
 
 func (r *Relay) openLog() error {
 	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - besideJournal)
-	opt.Through = r.cfg.JournalThrough
+	opt.WrapFS = r.cfg.JournalThrough
 	for end := time.Now().Add(lockFor); ; time.Sleep(lockPause) {
 		j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
 		if errors.Is(err, store.ErrLocked) && r.before != nil && time.Now().Before(end) {
@@ -124,13 +124,13 @@
 func (r *Relay) takeUp(s *hotrestart.State) {
 	now := s.Now + max(0, time.Since(s.At))
 	r.started = time.Now().Add(-now)
-	sender, err := policy.Restore(s.Terms.Settings, s.Snapshot)
+	sender, err := policy.Restore(s.Config.Settings, s.Snapshot)
 	known := err == nil
 	if known {
 		r.sender, r.wakeAt = sender, s.WakeAt
-		r.hold(s.Terms)
-		if !reload.Equal(s.Terms, r.cfg.Terms) {
-			r.change(s.Terms, r.cfg.Terms, 0)
+		r.hold(s.Config)
+		if !reload.Equal(s.Config, r.cfg.Config) {
+			r.change(s.Config, r.cfg.Config, 0)
 		}
 	} else {
 		r.log.Warn("the module's state is of another form: going on from the log", "err", err)
@@ -140,7 +140,7 @@
 	r.rec = newRecording(cfg, r.log, r.logOut, r.started, r.sender, now)
 	r.kept.Store(r.rec)
 	whole := r.takeUpList(s)
-	evs := s.Later
+	evs := s.PendingEvents
 	if !known {
 		evs = []policy.Event{whole}
 	}
@@ -167,61 +167,61 @@
 // the whole at once.
 func (r *Relay) takeUpList(s *hotrestart.State) policy.Event {
 	known := r.cfg.Known.Entries
-	if s.Large {
+	if s.LargeList {
 		for i := range known {
 			r.entry(nil, &known[i])
 		}
 		r.holdsList()
 		r.askWhole = true
 	} else {
-		r.catalog, r.draining, r.named, r.version = catalog.New(), 0, len(s.Cells) > 0, s.Version
+		r.catalog, r.draining, r.named, r.version = catalog.New(), 0, len(s.Destinations) > 0, s.Version
 		r.large.Store(false)
 	}
 	whole := policy.Event{Kind: policy.EndpointSnapshot}
-	for _, x := range s.Routes {
-		c := r.catalog.Put(catalog.Endpoint{Endpoint: x.Endpoint, Addr: x.Addr})
+	for _, x := range s.Endpoints {
+		c := r.catalog.Upsert(catalog.Endpoint{Endpoint: x.Endpoint, Addr: x.Addr})
 		r.changed(&c)
 		whole.Endpoints = append(whole.Endpoints, x.Endpoint)
 	}
-	for _, cell := range s.Cells {
-		r.catalog.Remember(cell)
+	for _, cell := range s.Destinations {
+		r.catalog.RememberDestination(cell)
 	}
-	r.listed.Store(r.catalog.Endpoints() > 0)
+	r.listed.Store(r.catalog.EndpointCount() > 0)
 	return whole
 }
 
 // takeUpAwake has awake what the module knows of. Where the list is long, the process before knew better than this one's list
 // what a destination in use has.
 func (r *Relay) takeUpAwake(s *hotrestart.State) {
-	if !s.Large {
-		if r.catalog.Endpoints() > catalog.WholeMost {
+	if !s.LargeList {
+		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
 			r.enlarge() // its module was told of all
 		}
 		return
 	}
 	r.large.Store(true)
 	r.awake = r.newAwake()
-	routes := make(map[string]bool, len(s.Routes))
-	for _, x := range s.Routes {
+	routes := make(map[string]bool, len(s.Endpoints))
+	for _, x := range s.Endpoints {
 		routes[x.ID] = true
 	}
 	wake := func(dest int) {
-		if !r.awake.Wake(dest, r.now()) {
+		if !r.awake.Activate(dest, r.now()) {
 			return
 		}
-		r.of = r.catalog.Of(dest, r.of[:0])
+		r.of = r.catalog.AppendEndpoints(dest, r.of[:0])
 		for _, e := range r.of {
 			if !routes[e.ID] {
-				c := r.catalog.Put(catalog.Endpoint{Endpoint: departed(e)})
+				c := r.catalog.Upsert(catalog.Endpoint{Endpoint: departed(e)})
 				r.changed(&c)
 			}
 		}
 	}
-	for _, x := range s.Routes {
+	for _, x := range s.Endpoints {
 		wake(x.Destination)
 	}
 	for _, m := range r.inOrder() {
-		wake(m.Dest)
+		wake(m.Destination)
 	}
 }
 
@@ -230,7 +230,7 @@
 	found := r.found
 	r.found = nil
 	r.lastID = s.LastID
-	r.recent.hear(s.Ended)
+	r.recent.hear(s.FinishedMessages)
 	told := make(map[uint32]*hotrestart.Message, len(s.Messages))
 	for i := range s.Messages {
 		told[s.Messages[i].ID] = &s.Messages[i]
@@ -239,17 +239,17 @@
 		r.lastID = max(r.lastID, w.ID)
 		x := told[w.ID]
 		if x == nil { // its end could not be written
-			r.journal.End(w)
+			r.journal.Remove(w)
 			continue
 		}
-		if w.Service != "" {
-			w.Class = slices.Index(r.terms.Classes, w.Service)
+		if w.ClassName != "" {
+			w.Class = slices.Index(r.terms.ClassNames, w.ClassName)
 		}
 		m := &message{Message: w, sends: x.Sends, ended: x.Ended, shared: x.Shared}
-		r.msgs[m.ID], r.traces[m.Trace] = m, m // in the order in which they were taken: the last of a trace stays
-		r.rec.Label(m.ID, m.Trace)
+		r.msgs[m.ID], r.traces[m.TraceID] = m, m // in the order in which they were taken: the last of a trace stays
+		r.rec.Label(m.ID, m.TraceID)
 		switch {
-		case w.Withdrawn:
+		case w.Cancelled:
 			r.left = append(r.left, m)
 		case w.Final != nil:
 			r.notify(m)
@@ -260,7 +260,7 @@
 	}
 	for id, x := range told {
 		if r.msgs[id] == nil { // nothing is owed, but an attempt is out
-			r.msgs[id] = &message{Message: &journal.Message{ID: id, Trace: x.Trace, Withdrawn: true}, sends: x.Sends, ended: true}
+			r.msgs[id] = &message{Message: &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true}, sends: x.Sends, ended: true}
 		}
 	}
 	for id, x := range told {
@@ -278,10 +278,10 @@
 		if m == nil {
 			continue // all is over for it
 		}
-		r.remote[attemptKey{x.ID, x.N}] = &attempt{
-			call: &call{route: x.Route, zone: x.Zone, sent: x.Sent}, m: m, n: x.N, over: x.Over,
+		r.remote[attemptKey{x.ID, x.Number}] = &attempt{
+			call: &call{route: x.Endpoint, zone: x.Zone, sent: x.Sent}, m: m, n: x.Number, over: x.Finished,
 		}
-		if !x.Over {
+		if !x.Finished {
 			m.out++
 		}
 	}
@@ -310,10 +310,10 @@
 		switch {
 		case f.Outcome != nil:
 			r.post(remoteOutcome(*f.Outcome))
-		case f.Withdraw != 0:
-			r.post(withdrawal{f.Withdraw})
-		case f.HandIn != nil && f.HandIn.Message != nil:
-			m := f.HandIn.Message
+		case f.Cancel != 0:
+			r.post(withdrawal{f.Cancel})
+		case f.Submission != nil && f.Submission.Message != nil:
+			m := f.Submission.Message
 			in := &handIn{m: m, reply: make(chan answer, 1)}
 			if !r.post(in) {
 				return
@@ -321,7 +321,7 @@
 			go func() {
 				select {
 				case a := <-in.reply:
-					r.before.Send(hotrestart.Frame{Answer: &hotrestart.Answer{Seq: f.HandIn.Seq, ID: m.ID, Status: a.status, Again: a.again, Text: a.text}})
+					r.before.Send(hotrestart.Frame{Answer: &hotrestart.Answer{Seq: f.Submission.Seq, ID: m.ID, Status: a.status, RetryAfter: a.again, Text: a.text}})
 				case <-r.over:
 				}
 			}()
@@ -331,13 +331,13 @@
 
 // remoteEnded takes the outcome of an attempt of the process before this one.
 func (r *Relay) remoteEnded(evs []policy.Event, o remoteOutcome) []policy.Event {
-	key := attemptKey{o.ID, o.N}
+	key := attemptKey{o.ID, o.Number}
 	a := r.remote[key]
 	if a == nil {
 		return evs
 	}
-	evs = r.attemptEnded(evs, a, result{outcome: o.Outcome, gone: o.Gone, wait: o.Wait, report: o.Report, took: o.Took})
-	if o.Last {
+	evs = r.attemptEnded(evs, a, result{outcome: o.Outcome, gone: o.MessageEnded, wait: o.RetryAfter, report: o.LimitReport, took: o.Latency})
+	if o.CallFinished {
 		delete(r.remote, key)
 	}
 	return evs
@@ -454,38 +454,38 @@
 // state is all that the other process must know beside the log.
 func (r *Relay) state() *hotrestart.State {
 	s := &hotrestart.State{
-		Now: r.now(), At: time.Now(), WakeAt: r.wakeAt, Snapshot: r.sender.Snapshot(nil), Terms: r.terms, Version: r.version,
-		Large: r.large.Load(), LastID: r.lastID, Later: r.later,
+		Now: r.now(), At: time.Now(), WakeAt: r.wakeAt, Snapshot: r.sender.Snapshot(nil), Config: r.terms, Version: r.version,
+		LargeList: r.large.Load(), LastID: r.lastID, PendingEvents: r.later,
 	}
-	if s.Large {
+	if s.LargeList {
 		views, _ := r.sender.Views()
 		for _, v := range views {
 			if e, ok := r.catalog.Endpoint(v.ID); ok {
-				s.Routes = append(s.Routes, hotrestart.Route{Endpoint: e.Endpoint, Addr: e.Addr})
+				s.Endpoints = append(s.Endpoints, hotrestart.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
 			}
 		}
 	} else {
 		cells := map[int]bool{}
 		for e := range r.catalog.All() {
-			s.Routes = append(s.Routes, hotrestart.Route{Endpoint: e.Endpoint, Addr: e.Addr})
+			s.Endpoints = append(s.Endpoints, hotrestart.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
 			cells[e.Destination] = true
 		}
-		for cell := range r.catalog.Remembered() {
+		for cell := range r.catalog.RememberedDestinations() {
 			cells[cell] = true
 		}
-		s.Cells = slices.Sorted(maps.Keys(cells))
+		s.Destinations = slices.Sorted(maps.Keys(cells))
 	}
-	slices.SortFunc(s.Routes, func(a, b hotrestart.Route) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.Endpoints, func(a, b hotrestart.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	for _, m := range r.inOrder() {
-		x := hotrestart.Message{ID: m.ID, Trace: m.Trace, Sends: m.sends, Ended: m.ended, Shared: m.shared}
+		x := hotrestart.Message{ID: m.ID, TraceID: m.TraceID, Sends: m.sends, Ended: m.ended, Shared: m.shared}
 		if m.next != nil {
 			x.Next = m.next.ID
 		}
 		s.Messages = append(s.Messages, x)
 	}
-	s.Ended = r.recent.told()
+	s.FinishedMessages = r.recent.told()
 	out := func(a *attempt) {
-		s.Attempts = append(s.Attempts, hotrestart.Attempt{ID: a.m.ID, N: a.n, Route: a.route, Zone: a.zone, Sent: a.sent, Over: a.over})
+		s.Attempts = append(s.Attempts, hotrestart.Attempt{ID: a.m.ID, Number: a.n, Endpoint: a.route, Zone: a.zone, Sent: a.sent, Finished: a.over})
 	}
 	for c := range r.calling {
 		for _, a := range c.attempts {
@@ -505,7 +505,7 @@
 		case *handIn:
 			r.forward.handIn(r.successor, e)
 		case withdrawal:
-			r.send(hotrestart.Frame{Withdraw: e.id})
+			r.send(hotrestart.Frame{Cancel: e.id})
 		case *callEnd:
 			r.out--
 			for i, a := range e.c.attempts {
@@ -546,7 +546,7 @@
 
 func (r *Relay) passOutcome(a *attempt, res result, last bool) {
 	r.send(hotrestart.Frame{Outcome: &hotrestart.Outcome{
-		ID: a.m.ID, N: a.n, Outcome: res.outcome, Gone: res.gone, Wait: res.wait, Report: res.report, Took: res.took, Last: last,
+		ID: a.m.ID, Number: a.n, Outcome: res.outcome, MessageEnded: res.gone, RetryAfter: res.wait, LimitReport: res.report, Latency: res.took, CallFinished: last,
 	}})
 }
 
@@ -600,8 +600,8 @@
 	seq := f.seq
 	f.open[seq] = in
 	f.mu.Unlock()
-	if err := to.Send(hotrestart.Frame{HandIn: &hotrestart.HandIn{Seq: seq, Message: in.m}}); err != nil {
-		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.status, Again: unserved.again})
+	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.m}}); err != nil {
+		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.status, RetryAfter: unserved.again})
 	}
 }
 
@@ -613,7 +613,7 @@
 	f.mu.Unlock()
 	if in != nil {
 		in.m.ID = a.ID
-		in.reply <- answer{status: a.Status, again: a.Again, text: a.Text}
+		in.reply <- answer{status: a.Status, again: a.RetryAfter, text: a.Text}
 	}
 }
 
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -33,7 +33,7 @@
 }
 
 func outcomeOf(o policy.Outcome, id uint32, n int, wait time.Duration) remoteOutcome {
-	return remoteOutcome{ID: id, N: n, Outcome: o, Wait: wait, Took: 10 * time.Millisecond, Last: true}
+	return remoteOutcome{ID: id, Number: n, Outcome: o, RetryAfter: wait, Latency: 10 * time.Millisecond, CallFinished: true}
 }
 
 // Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome, and
@@ -48,7 +48,7 @@
 			old := newTestRelay(t)
 			in := []*handIn{newHandIn("m1", 7, 9*time.Second), newHandIn("m2", 7, 9*time.Second), newHandIn("m3", 7, 9*time.Second)}
 			for i, x := range in {
-				x.m.Service, x.m.Order = "order", string(rune('a'+i))
+				x.m.ClassName, x.m.OrderingKey = "order", string(rune('a'+i))
 			}
 			decide(old, in...)
 			if len(old.calling) != 3 {
@@ -73,7 +73,7 @@
 			}
 			r.step([]any{beforeGone{}})
 			m := r.msgs[in[2].m.ID]
-			if len(r.remote) != 0 || m == nil || m.ended || m.out != 0 || len(m.MayRun) != 1 || len(r.msgs[in[1].m.ID].MayRun) != 0 {
+			if len(r.remote) != 0 || m == nil || m.ended || m.out != 0 || len(m.UncertainAttempts) != 1 || len(r.msgs[in[1].m.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
 			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.held != 2 {
@@ -128,7 +128,7 @@
 	in := newHandIn("m1", 7, 9*time.Second)
 	decide(old, in)
 	r := successorOf(t, old, func(s *hotrestart.State) { s.Messages, s.Attempts = nil, nil })
-	if len(r.msgs) != 0 || r.held != 0 || r.journal.Owes(in.m) {
+	if len(r.msgs) != 0 || r.held != 0 || r.journal.Tracks(in.m) {
 		t.Errorf("held %d, %v", r.held, r.msgs)
 	}
 }
--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -17,35 +17,35 @@
 	stepped time.Duration // by which the wall clock has been set
 	boots   int
 	booted  time.Duration
-	began   time.Duration // the process
-	anchor  *clock.Anchor // in the journal
-	axis    clock.Axis    // of the process
+	began   time.Duration  // the process
+	anchor  *clock.Anchor  // in the journal
+	axis    clock.Timeline // of the process
 }
 
 // read reads them at a time of the world.
 func (c *clocks) read(now time.Duration, trustsWall bool) bootclock.Reading {
-	r := bootclock.Reading{Wall: time.Unix(1e9, 0).Add(now + c.stepped), Boot: fmt.Sprint(c.boots), Up: now - c.booted}
+	r := bootclock.Reading{Wall: time.Unix(1e9, 0).Add(now + c.stepped), BootID: fmt.Sprint(c.boots), Uptime: now - c.booted}
 	if trustsWall {
-		r.Up += c.stepped
+		r.Uptime += c.stepped
 	}
 	return r
 }
 
 // start goes on with the axis in a new process.
 func (c *clocks) start(now time.Duration, trustsWall bool) {
-	x, a := clock.GoOn(c.anchor, c.read(now, trustsWall))
+	x, a := clock.Resume(c.anchor, c.read(now, trustsWall))
 	c.axis, c.anchor, c.began = x, &a, now
 }
 
 // end is what a process that ends in order leaves: by how much the clocks have parted.
 func (c *clocks) end(now time.Duration, trustsWall bool) {
-	if _, a := clock.GoOn(c.anchor, c.read(now, trustsWall)); a.Step != c.anchor.Step {
+	if _, a := clock.Resume(c.anchor, c.read(now, trustsWall)); a.WallOffset != c.anchor.WallOffset {
 		c.anchor = &a
 	}
 }
 
 // stamp is a time of the process on the axis.
-func (c *clocks) stamp(at time.Duration) int64 { return c.axis.Of(c.axis.Base.Add(at - c.began)) }
+func (c *clocks) stamp(at time.Duration) int64 { return c.axis.Stamp(c.axis.Base.Add(at - c.began)) }
 
 // time is what stands on the axis, as the process takes it.
 func (c *clocks) time(stamp int64) time.Duration {
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -29,7 +29,7 @@
 	clocksApart  = 0.01 // two relays' clocks at most
 	ageSlack     = 400 * time.Millisecond
 	absurdFactor = 1000
-	versionsKeep = 2 * loadreport.AgeMost
+	versionsKeep = 2 * loadreport.MaxAge
 	mixHold      = 30 * time.Millisecond // a datagram that others overtake
 )
 
@@ -72,7 +72,7 @@
 
 type version struct {
 	name string
-	loadreport.Life
+	loadreport.Incarnation
 	sequence uint64
 }
 
@@ -89,16 +89,16 @@
 	life    int
 	began   time.Duration
 	offset  time.Duration // of its clock
-	seam    *agent.Seam
-	ledger  *loadreport.Ledger
-	intake  loadreport.Intake[fleetPacket]
-	claim   loadreport.Claim
+	seam    *agent.Agent
+	ledger  *loadreport.Table
+	intake  loadreport.Inbox[fleetPacket]
+	claim   loadreport.NameClaim
 	heard   []quota.Message
 	heardAt []time.Duration // when they were sent at the latest
 	queue   outbox
 	mail    map[fleetPlace]bool
-	raised  loadreport.Life // a new one that the seam has not been told of
-	inbox   []fleetPacket   // while the process is stopped
+	raised  loadreport.Incarnation // a new one that the seam has not been told of
+	inbox   []fleetPacket          // while the process is stopped
 	seen    map[fleetPlace]version
 	heardAs map[fleetPlace]time.Duration // of AgesStand
 	arrived uint64                       // of LastWins
@@ -152,7 +152,7 @@
 	from  string
 	boot  uint32
 	clock time.Duration
-	pages []loadreport.Page
+	pages []loadreport.Report
 
 	rights *quota.Message
 	ping   bool
@@ -185,14 +185,14 @@
 func (n *fleetNet) join(r *relay) *fleetMember {
 	m := &fleetMember{
 		r: r, net: n, name: r.name, life: r.life, began: n.w.Now(), offset: time.Duration(n.draw.Int64N(int64(time.Hour))), mail: map[fleetPlace]bool{},
-		intake: loadreport.Intake[fleetPacket]{AskEvery: gossip.AskEvery, AsideMost: gossip.AsideMost},
+		intake: loadreport.Inbox[fleetPacket]{ClockRequestInterval: gossip.ClockRequestInterval, MaxDeferred: gossip.MaxDeferredMessages},
 		seen:   map[fleetPlace]version{}, heardAs: map[fleetPlace]time.Duration{}, meant: map[fleetPlace]version{},
 	}
 	if n.twin == r.n {
 		m.name = n.w.relays[0].name
 	}
 	r.incarnation++
-	life := loadreport.Life{Incarnation: r.incarnation, Boot: n.draw.Uint32()}
+	life := loadreport.Incarnation{Generation: r.incarnation, Boot: n.draw.Uint32()}
 	var all []string
 	for i := range n.w.plan.File.Relays {
 		if i%n.fleets == r.n%n.fleets || r.wrong.fleet().NoTable {
@@ -200,11 +200,11 @@
 		}
 	}
 	m.seam = agent.New(agent.Settings{
-		Self: m.name, Life: life, Members: all, Kinds: r.set.DestinationKinds, Rights: n.w.plan.File.Fleet.Rights, Senders: r.set.FleetSize,
+		Self: m.name, Incarnation: life, Members: all, DestinationKinds: r.set.DestinationKinds, ShareQuota: n.w.plan.File.Fleet.Rights, FleetSize: r.set.FleetSize,
 	})
 	m.ledger = loadreport.New(m.name, life, all)
-	m.every(gossip.Every, m.gossip)
-	m.every(gossip.SyncEvery, m.digests)
+	m.every(gossip.Interval, m.gossip)
+	m.every(gossip.SyncInterval, m.digests)
 	m.every(seamEvery, func() { r.plan() })
 	return m
 }
@@ -232,7 +232,7 @@
 // step is the seam's beside the module's.
 func (m *fleetMember) step(events []policy.Event, actions []policy.Action) {
 	at := m.clock()
-	var heard []loadreport.Page
+	var heard []loadreport.Report
 	for _, p := range slices.SortedFunc(maps.Keys(m.mail), func(a, b fleetPlace) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.number, b.number))
 	}) {
@@ -241,37 +241,37 @@
 		}
 	}
 	clear(m.mail)
-	defer func() { m.raised = loadreport.Life{} }()
+	defer func() { m.raised = loadreport.Incarnation{} }()
 	for i := range m.heard {
-		m.heard[i].Held = max(0, at-m.heardAt[i])
+		m.heard[i].TransitTime = max(0, at-m.heardAt[i])
 	}
-	out := m.seam.Step(m.r.now(), agent.Input{Heard: heard, Life: m.raised, Rights: m.heard, Events: events, Actions: actions, Views: m.views})
+	out := m.seam.Step(m.r.now(), agent.Input{Received: heard, Incarnation: m.raised, Quota: m.heard, Events: events, Actions: actions, Views: m.views})
 	m.heard, m.heardAt = nil, m.heardAt[:0]
-	for i := range out.Rights {
-		if to := m.net.w.relay(out.Rights[i].Member); to != nil {
-			m.post(to, fleetPacket{rights: &out.Rights[i]})
+	for i := range out.Quota {
+		if to := m.net.w.relay(out.Quota[i].Member); to != nil {
+			m.post(to, fleetPacket{rights: &out.Quota[i]})
 		}
 	}
 	if len(out.Events) > 0 {
 		m.r.pending = append(m.r.pending, out.Events...)
 		m.r.plan()
 	}
-	told := out.Told
+	told := out.Published
 	if !m.r.wrong.fleet().NoBounds && slices.ContainsFunc(events, func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }) {
 		m.ledger.SetLimits(m.seam.Limits())
 	}
 	for _, p := range told {
-		v := version{p.Name, p.Life, p.Sequence}
+		v := version{p.Name, p.Incarnation, p.Sequence}
 		m.net.told[v], m.net.pageOf[v] = m.net.w.Now(), p.Number
 		if m.net.absurd == m.r.n {
-			p.Cells = slices.Clone(p.Cells)
-			for i := range p.Cells {
-				p.Cells[i].Calls = absurdFactor * (1 + p.Cells[i].Calls)
+			p.Scopes = slices.Clone(p.Scopes)
+			for i := range p.Scopes {
+				p.Scopes[i].Calls = absurdFactor * (1 + p.Scopes[i].Calls)
 			}
 			m.spread(p) // it holds what it likes
 			continue
 		}
-		if m.ledger.Keep(at, p) == loadreport.Changed && !m.claim.Silent(at) {
+		if m.ledger.Restore(at, p) == loadreport.Updated && !m.claim.Suspended(at) {
 			m.put(fleetPlace{p.Name, p.Number})
 		}
 	}
@@ -288,14 +288,14 @@
 }
 
 // put queues a page to be told to others.
-func (m *fleetMember) put(p fleetPlace) { m.queue.put(p, gossip.Times(len(m.net.w.relays))) }
+func (m *fleetMember) put(p fleetPlace) { m.queue.put(p, gossip.Retransmissions(len(m.net.w.relays))) }
 
 // gossip tells a few others what is news, first what was told least.
 func (m *fleetMember) gossip() {
 	all := m.net.w.relays
-	for range min(gossip.Targets(len(all)), len(all)-1) {
-		var pages []loadreport.Page
-		for _, place := range m.queue.take(gossip.PagesInDatagram) {
+	for range min(gossip.FanOut(len(all)), len(all)-1) {
+		var pages []loadreport.Report
+		for _, place := range m.queue.take(gossip.ReportsPerDatagram) {
 			if p, ok := m.page(place); ok {
 				pages = append(pages, p)
 			}
@@ -307,9 +307,9 @@
 }
 
 // newer are the pages that another lacks.
-func (m *fleetMember) newer(than loadreport.Digest) (pages []loadreport.Page) {
-	for _, p := range m.ledger.Newer(m.clock(), than) {
-		if p.Name == m.name && m.claim.Silent(m.clock()) {
+func (m *fleetMember) newer(than loadreport.Digest) (pages []loadreport.Report) {
+	for _, p := range m.ledger.MissingFrom(m.clock(), than) {
+		if p.Name == m.name && m.claim.Suspended(m.clock()) {
 			continue
 		}
 		if p, ok := m.page(fleetPlace{p.Name, p.Number}); ok {
@@ -320,7 +320,7 @@
 }
 
 // page is one as it is told on now.
-func (m *fleetMember) page(at fleetPlace) (loadreport.Page, bool) {
+func (m *fleetMember) page(at fleetPlace) (loadreport.Report, bool) {
 	p, ok := m.ledger.Get(m.clock(), at.name, at.number)
 	if age, heard := m.heardAs[at]; heard && m.r.wrong.fleet().AgesStand {
 		p.Age = age
@@ -332,10 +332,10 @@
 }
 
 // spread sends a page to all at once, whatever it holds.
-func (m *fleetMember) spread(p loadreport.Page) {
+func (m *fleetMember) spread(p loadreport.Report) {
 	for _, to := range m.net.w.relays {
 		if to != m.r {
-			m.send(to, []loadreport.Page{p})
+			m.send(to, []loadreport.Report{p})
 		}
 	}
 }
@@ -358,7 +358,7 @@
 }
 
 // send is a datagram on its way, or what a stream carries.
-func (m *fleetMember) send(to *relay, pages []loadreport.Page) {
+func (m *fleetMember) send(to *relay, pages []loadreport.Report) {
 	if len(pages) > 0 {
 		m.post(to, fleetPacket{pages: pages})
 	}
@@ -369,11 +369,11 @@
 	n := m.net
 	n.Packets++
 	for _, p := range p.pages {
-		n.Bytes += 40 + 30*len(p.Cells)
+		n.Bytes += 40 + 30*len(p.Scopes)
 	}
 	if p.rights != nil {
 		n.RightsPackets++
-		n.Bytes += 60 + 25*(len(p.rights.Loans)+len(p.rights.Asks)+len(p.rights.Gives))
+		n.Bytes += 60 + 25*(len(p.rights.Leases)+len(p.rights.Requests)+len(p.rights.Grants))
 	}
 	late, again := linkLatency, time.Duration(-1)
 	switch f := n.links[scenario.LinkName(m.r.name, to.name)]; f.Op {
@@ -393,9 +393,9 @@
 			late += mixHold
 		}
 	case scenario.OpLinkRate:
-		late += time.Duration(gossip.DatagramBytes / f.X * float64(time.Second))
+		late += time.Duration(gossip.MaxDatagramSize / f.X * float64(time.Second))
 	}
-	p.from, p.boot, p.clock = m.name, m.ledger.Life().Boot, m.clock()
+	p.from, p.boot, p.clock = m.name, m.ledger.Incarnation().Boot, m.clock()
 	come := func() {
 		switch o := to.fleet; {
 		case o == nil || !to.up:
@@ -419,16 +419,16 @@
 		return
 	}
 	if p.pong != nil {
-		if p.pong.boot == m.ledger.Life().Boot {
-			for _, p := range m.intake.Answered(p.from, p.boot, p.clock, p.pong.clock, at) {
+		if p.pong.boot == m.ledger.Incarnation().Boot {
+			for _, p := range m.intake.ClockReceived(p.from, p.boot, p.clock, p.pong.clock, at) {
 				m.hear(p)
 			}
 		}
 		return
 	}
 	if p.rights != nil {
-		held, known, stale := m.intake.Of(p.from, p.boot, p.clock, at)
-		if stale && m.intake.Due(p.from, at) {
+		held, known, stale := m.intake.Estimate(p.from, p.boot, p.clock, at)
+		if stale && m.intake.RequestDue(p.from, at) {
 			m.post(sender, fleetPacket{ping: true})
 		}
 		if known {
@@ -439,7 +439,7 @@
 		}
 		return
 	}
-	held, known, ask := m.intake.Take(p, p.from, p.boot, p.clock, at)
+	held, known, ask := m.intake.Receive(p, p.from, p.boot, p.clock, at)
 	if ask {
 		m.post(sender, fleetPacket{ping: true})
 	}
@@ -451,22 +451,22 @@
 	for _, page := range p.pages {
 		place := fleetPlace{page.Name, page.Number}
 		page.Age = (page.Age + held + time.Millisecond - 1).Truncate(time.Millisecond) // as the wire has it
-		meant := version{page.Name, page.Life, page.Sequence}
+		meant := version{page.Name, page.Incarnation, page.Sequence}
 		if wrong.LastWins {
 			m.arrived++
 			page.Sequence = m.arrived
 		}
 		out, _ := m.ledger.Merge(at, page)
-		if out == loadreport.Rival && m.claim.Rival(at) { // a life of this relay that its folder does not know of
-			m.r.incarnation = m.ledger.Rival().Incarnation + 1
-			m.raised = loadreport.Life{Incarnation: m.r.incarnation, Boot: m.ledger.Life().Boot}
-			m.ledger.Raise(m.raised)
+		if out == loadreport.Rival && m.claim.ObserveRival(at) { // a life of this relay that its folder does not know of
+			m.r.incarnation = m.ledger.Rival().Generation + 1
+			m.raised = loadreport.Incarnation{Generation: m.r.incarnation, Boot: m.ledger.Incarnation().Boot}
+			m.ledger.SetIncarnation(m.raised)
 			m.r.plan()
 		}
-		if out == loadreport.Changed && m.net.known != nil {
+		if out == loadreport.Updated && m.net.known != nil {
 			m.net.known(m.r, meant)
 		}
-		if out == loadreport.Changed {
+		if out == loadreport.Updated {
 			m.heardAs[place] = page.Age
 			if wrong.LastWins {
 				if m.meant[place] == meant {
@@ -502,7 +502,7 @@
 		}
 		m, limits := r.fleet, r.fleet.seam.Limits()
 		youngest, lives := map[string]time.Duration{}, map[string]uint64{}
-		m.ledger.Pages(m.clock(), func(p loadreport.Page) {
+		m.ledger.Each(m.clock(), func(p loadreport.Report) {
 			if p.Name == m.name {
 				return
 			}
@@ -510,7 +510,7 @@
 			if age, ok := youngest[p.Name]; !ok || p.Age < age {
 				youngest[p.Name] = p.Age
 			}
-			lives[p.Name] = p.Incarnation
+			lives[p.Name] = p.Generation
 		})
 		for _, o := range n.w.relays {
 			if o == r {
@@ -534,18 +534,18 @@
 
 // check holds one page that a relay has against the truth: no figure is beyond the bounds, no page is younger than it is, and
 // none goes back to an earlier version.
-func (n *fleetNet) check(m *fleetMember, limits loadreport.Limits, p loadreport.Page) {
+func (n *fleetNet) check(m *fleetMember, limits loadreport.Limits, p loadreport.Report) {
 	place := fleetPlace{p.Name, p.Number}
-	v := version{p.Name, p.Life, p.Sequence}
+	v := version{p.Name, p.Incarnation, p.Sequence}
 	if meant, other := m.meant[place]; other {
 		v = meant
 	}
 	if of := n.w.relay(p.Name); of.n%n.fleets != m.r.n%n.fleets {
 		n.wrong("stranger", "%s holds page %d of %s, of another fleet", m.r.name, p.Number, p.Name)
 	}
-	for _, c := range p.Cells {
-		if limit, ok := limits[c.Dest][c.Route]; ok && c.Calls > loadreport.Multiple*max(1, limit) {
-			n.wrong("bound", "%s holds %g calls a second of %s at destination %d, which takes %g", m.r.name, c.Calls, p.Name, c.Dest, limit)
+	for _, c := range p.Scopes {
+		if limit, ok := limits[c.Destination][c.Endpoint]; ok && c.Calls > loadreport.MaxRateMultiple*max(1, limit) {
+			n.wrong("bound", "%s holds %g calls a second of %s at destination %d, which takes %g", m.r.name, c.Calls, p.Name, c.Destination, limit)
 		}
 	}
 	if at, ok := n.told[v]; ok {
@@ -554,7 +554,7 @@
 		}
 	}
 	was, ok := m.seen[place]
-	if ok && (v.Life.Compare(was.Life) < 0 || v.Life == was.Life && v.sequence < was.sequence) {
+	if ok && (v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence) {
 		n.wrong("back", "%s goes back from version %d to %d of page %d of %s", m.r.name, was.sequence, v.sequence, p.Number, p.Name)
 	}
 	m.seen[place] = v
@@ -567,18 +567,18 @@
 	}
 	sums, limits := map[quota.Scope]float64{}, map[quota.Scope]float64{}
 	for _, r := range n.w.relays {
-		if !r.up || r.fleet == nil || r.fleet.seam.Rights() == nil {
+		if !r.up || r.fleet == nil || r.fleet.seam.Quota() == nil {
 			continue
 		}
-		b := r.fleet.seam.Rights()
+		b := r.fleet.seam.Quota()
 		for s, a := range b.Accounts {
-			sums[s] += b.Own(r.now(), s) + b.Mints(r.now(), s)
+			sums[s] += b.OwnRate(r.now(), s) + b.GrantRate(r.now(), s)
 			limits[s] = max(limits[s], a.Limit)
 		}
 	}
 	for s, sum := range sums {
 		if n.Sums++; sum > limits[s]*(1+1e-6) {
-			n.wrong("sum", "all may use %.2f calls a second of destination %d%s, which takes %.2f", sum, s.Dest, s.Route, limits[s])
+			n.wrong("sum", "all may use %.2f calls a second of destination %d%s, which takes %.2f", sum, s.Destination, s.Endpoint, limits[s])
 		}
 	}
 }
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -60,7 +60,7 @@
 				}
 				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
 					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
-					if mine := w.relays[0].fleet.ledger.Life(); !ok || held.Boot != mine.Boot || held.Age > 10*time.Second {
+					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot || held.Age > 10*time.Second {
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
 				}
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -131,9 +131,9 @@
 	}
 	w.see(eventlog.Event{Kind: eventlog.Told, Relay: r.name, Host: h.ID, State: c.state, Dest: h.Dest})
 	if r.large() && c.more > 0 {
-		r.working.Added(h.Dest, r.now())
+		r.working.EndpointAdded(h.Dest, r.now())
 	}
-	if r.large() && !r.working.Has(h.Dest) {
+	if r.large() && !r.working.Contains(h.Dest) {
 		return // it is at rest: what the list has is told when it wakes
 	}
 	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -523,7 +523,7 @@
 		return
 	}
 	views, _ := s.Views()
-	if recs := endpointhealth.Of(views, r.now(), r.wall()); endpointhealth.Changed(r.stood, recs) {
+	if recs := endpointhealth.FromViews(views, r.now(), r.wall()); endpointhealth.Changed(r.stood, recs) {
 		r.stood = recs
 	}
 }
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -35,10 +35,10 @@
 func (r *relay) becomeLarge() {
 	r.newWorking()
 	for _, l := range r.w.whole(r.heard) {
-		r.working.Wake(l.Destination, r.now())
+		r.working.Activate(l.Destination, r.now())
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.msgs)) {
-		r.working.Wake(r.msgs[id].dest, r.now())
+		r.working.Activate(r.msgs[id].dest, r.now())
 	}
 }
 
@@ -51,7 +51,7 @@
 	w, now := r.w, r.now()
 	var woken, resting []policy.Endpoint
 	wake := func(dest int) {
-		if r.working.Wake(dest, now) {
+		if r.working.Activate(dest, now) {
 			w.Woken++
 			from := len(woken)
 			woken = w.listed(woken, dest, r.heard)
@@ -73,7 +73,7 @@
 		}
 	}
 	if m, ok := r.module.(rester); ok {
-		for _, dest := range r.working.Rest(now, restMost, m.Evictable) {
+		for _, dest := range r.working.EvictIdle(now, restMost, m.Evictable) {
 			resting = w.listed(resting, dest, r.heard)
 		}
 	}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -169,7 +169,7 @@
 func New(plan scenario.Plan, opts Options) (*World, error) {
 	opts.Latency = cmp.Or(opts.Latency, 100*time.Microsecond)
 	opts.StartAfter = cmp.Or(opts.StartAfter, startAfter)
-	opts.WholeMost = cmp.Or(opts.WholeMost, catalog.WholeMost)
+	opts.WholeMost = cmp.Or(opts.WholeMost, catalog.MaxEagerEndpoints)
 	w := &World{
 		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
 		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -60,21 +60,21 @@
 	from, to int
 	boot     uint32
 	clock    time.Duration
-	page     loadreport.Page
+	page     loadreport.Report
 }
 
 // tinyVersion is what a page truly is.
 type tinyVersion struct {
-	loadreport.Life
+	loadreport.Incarnation
 	sequence uint64
 }
 
 type tinyMember struct {
 	name     string
-	seam     *agent.Seam
-	raised   loadreport.Life // that the seam has not been told of
-	ledger   *loadreport.Ledger
-	transit  loadreport.Transit
+	seam     *agent.Agent
+	raised   loadreport.Incarnation // that the seam has not been told of
+	ledger   *loadreport.Table
+	transit  loadreport.TransitEstimator
 	folder   uint64 // incarnation
 	boots    uint32
 	sequence uint64
@@ -133,11 +133,11 @@
 	for j := range t.w.Members {
 		all = append(all, memberName(j))
 	}
-	life := loadreport.Life{Incarnation: m.folder, Boot: m.boots + uint32(100*i)}
+	life := loadreport.Incarnation{Generation: m.folder, Boot: m.boots + uint32(100*i)}
 	*m = tinyMember{
 		name: m.name, ledger: loadreport.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
 		meant: map[string]tinyVersion{}, heardAs: map[string]time.Duration{},
-		seam: agent.New(agent.Settings{Self: m.name, Life: life, Members: all, Kinds: []policy.DestinationKind{{MaxBatch: 1}}}),
+		seam: agent.New(agent.Settings{Self: m.name, Incarnation: life, Members: all, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}),
 	}
 	m.seam.Step(t.now, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Weight: 10, InService: true}}}}})
 	m.ledger.SetLimits(loadreport.Limits{0: {"": 10}})
@@ -248,17 +248,17 @@
 	t.now += tellAfter
 	id := uint32(t.now / time.Millisecond)
 	told := m.seam.Step(t.now, agent.Input{
-		Life: m.raised, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
+		Incarnation: m.raised, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
 		Views: func() []policy.EndpointView { return nil },
 	})
-	m.raised = loadreport.Life{}
-	if len(told.Told) != 1 || m.ledger.Keep(t.now, told.Told[0]) != loadreport.Changed {
+	m.raised = loadreport.Incarnation{}
+	if len(told.Published) != 1 || m.ledger.Restore(t.now, told.Published[0]) != loadreport.Updated {
 		t.broken = fmt.Sprintf("%s does not tell: %v", m.name, told)
 		return
 	}
-	p := told.Told[0]
+	p := told.Published[0]
 	m.sequence = p.Sequence
-	t.told[p.Name][tinyVersion{p.Life, p.Sequence}] = t.now
+	t.told[p.Name][tinyVersion{p.Incarnation, p.Sequence}] = t.now
 	t.send(i, (i+1)%len(t.members), p.Name)
 }
 
@@ -269,7 +269,7 @@
 		return
 	}
 	if v, other := m.meant[name]; other {
-		p.Sequence, p.Life = v.sequence, v.Life
+		p.Sequence, p.Incarnation = v.sequence, v.Incarnation
 	}
 	if age, heard := m.heardAs[name]; heard && t.wrong.AgesStand {
 		p.Age = age
@@ -279,7 +279,7 @@
 
 func (t *tiny) hear(p tinyPacket) {
 	m := t.members[p.to]
-	held, known, _ := m.transit.Of(process(p.from), p.boot, p.clock, t.now)
+	held, known, _ := m.transit.Estimate(process(p.from), p.boot, p.clock, t.now)
 	if !known {
 		return // put aside until it is; here never
 	}
@@ -288,7 +288,7 @@
 	}
 	page := p.page
 	page.Age += held
-	meant := tinyVersion{page.Life, page.Sequence}
+	meant := tinyVersion{page.Incarnation, page.Sequence}
 	if t.wrong.LastWins {
 		m.arrived++
 		page.Sequence = m.arrived
@@ -296,10 +296,10 @@
 	out, _ := m.ledger.Merge(t.now, page)
 	switch out {
 	case loadreport.Rival:
-		m.folder = m.ledger.Rival().Incarnation + 1
-		m.raised = loadreport.Life{Incarnation: m.folder, Boot: m.ledger.Life().Boot}
-		m.ledger.Raise(m.raised)
-	case loadreport.Changed:
+		m.folder = m.ledger.Rival().Generation + 1
+		m.raised = loadreport.Incarnation{Generation: m.folder, Boot: m.ledger.Incarnation().Boot}
+		m.ledger.SetIncarnation(m.raised)
+	case loadreport.Updated:
 		m.heardAs[page.Name] = page.Age
 		if t.wrong.LastWins {
 			m.meant[page.Name] = meant
@@ -313,11 +313,11 @@
 // check holds what members hold against what is true.
 func (t *tiny) check() {
 	for _, m := range t.members {
-		m.ledger.Pages(t.now, func(p loadreport.Page) {
+		m.ledger.Each(t.now, func(p loadreport.Report) {
 			if p.Name == m.name {
 				return
 			}
-			v := tinyVersion{p.Life, p.Sequence}
+			v := tinyVersion{p.Incarnation, p.Sequence}
 			if meant, other := m.meant[p.Name]; other {
 				v = meant
 			}
@@ -325,7 +325,7 @@
 			switch was, seen := m.seen[p.Name]; {
 			case !ok:
 				t.broken = fmt.Sprintf("%s holds version %d of %s, which it never told", m.name, v.sequence, p.Name)
-			case seen && (v.Life.Compare(was.Life) < 0 || v.Life == was.Life && v.sequence < was.sequence):
+			case seen && (v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence):
 				t.broken = fmt.Sprintf("%s goes back from version %d to %d of %s", m.name, was.sequence, v.sequence, p.Name)
 			case p.Age < t.now-at:
 				t.broken = fmt.Sprintf("%s holds what %s told %v ago to be %v old", m.name, p.Name, t.now-at, p.Age)
@@ -353,13 +353,13 @@
 				if i == j {
 					continue
 				}
-				for _, p := range t.members[i].ledger.Newer(t.now, o.ledger.Digest(t.now)) {
-					was := o.ledger.Life()
+				for _, p := range t.members[i].ledger.MissingFrom(t.now, o.ledger.Digest(t.now)) {
+					was := o.ledger.Incarnation()
 					if v, other := t.members[i].meant[p.Name]; other {
-						p.Sequence, p.Life = v.sequence, v.Life
+						p.Sequence, p.Incarnation = v.sequence, v.Incarnation
 					}
 					t.hear(tinyPacket{i, j, t.members[i].boots, t.clock(i), p})
-					if o.ledger.Life() != was {
+					if o.ledger.Incarnation() != was {
 						t.tell(j)
 					}
 				}
@@ -370,8 +370,8 @@
 	for _, m := range t.members {
 		for _, o := range t.members {
 			p, ok := o.ledger.Get(t.now, m.name, 0)
-			if t.broken == "" && !t.wrong.LastWins && (!ok || p.Life != m.ledger.Life() || p.Sequence != m.sequence) {
-				t.broken = fmt.Sprintf("after all was exchanged, version %d of %s in life %v is held as %d in %v", m.sequence, m.name, m.ledger.Life(), p.Sequence, p.Life)
+			if t.broken == "" && !t.wrong.LastWins && (!ok || p.Incarnation != m.ledger.Incarnation() || p.Sequence != m.sequence) {
+				t.broken = fmt.Sprintf("after all was exchanged, version %d of %s in life %v is held as %d in %v", m.sequence, m.name, m.ledger.Incarnation(), p.Sequence, p.Incarnation)
 			}
 		}
 	}
@@ -382,9 +382,9 @@
 	var b strings.Builder
 	fmt.Fprint(&b, t.now, t.left)
 	for _, m := range t.members {
-		fmt.Fprint(&b, "|", m.ledger.Life(), m.folder, m.boots, m.sequence, m.tells, m.stopped, m.inbox, m.arrived, m.raised)
+		fmt.Fprint(&b, "|", m.ledger.Incarnation(), m.folder, m.boots, m.sequence, m.tells, m.stopped, m.inbox, m.arrived, m.raised)
 		b.Write(m.seam.Snapshot(nil))
-		m.ledger.Pages(t.now, func(p loadreport.Page) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) })
+		m.ledger.Each(t.now, func(p loadreport.Report) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) })
 	}
 	fmt.Fprint(&b, t.flying)
 	return b.String()
--- a/internal/state/bootclock/bootclock.go
+++ b/internal/state/bootclock/bootclock.go
@@ -12,9 +12,9 @@
 
 // Reading is both clocks at one moment.
 type Reading struct {
-	Wall time.Time     // with its monotonic reading
-	Boot string        // names the boot; "": not known, and then Up means nothing
-	Up   time.Duration // since the boot, time asleep included; it is never set
+	Wall   time.Time     // with its monotonic reading
+	BootID string        // names the boot; "": not known, and then Up means nothing
+	Uptime time.Duration // since the boot, time asleep included; it is never set
 }
 
 const bootID = "/proc/sys/kernel/random/boot_id"
@@ -29,5 +29,5 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
 		return Reading{Wall: time.Now()}
 	}
-	return Reading{Wall: time.Now(), Boot: strings.TrimSpace(string(id)), Up: time.Duration(up.Nano())}
+	return Reading{Wall: time.Now(), BootID: strings.TrimSpace(string(id)), Uptime: time.Duration(up.Nano())}
 }
--- a/internal/state/bootclock/bootclock_test.go
+++ b/internal/state/bootclock/bootclock_test.go
@@ -8,16 +8,16 @@
 // Both clocks go on together; the boot stays the same.
 func TestNow(t *testing.T) {
 	a := Now()
-	if a.Boot == "" {
+	if a.BootID == "" {
 		t.Skip("this machine tells no boot")
 	}
-	for a.Up == Now().Up {
+	for a.Uptime == Now().Uptime {
 	}
 	b := Now()
-	if b.Boot != a.Boot || b.Up <= a.Up {
+	if b.BootID != a.BootID || b.Uptime <= a.Uptime {
 		t.Errorf("%+v, then %+v", a, b)
 	}
-	if d := b.Wall.Sub(a.Wall) - (b.Up - a.Up); d.Abs() > time.Second {
+	if d := b.Wall.Sub(a.Wall) - (b.Uptime - a.Uptime); d.Abs() > time.Second {
 		t.Errorf("the clocks part by %v", d)
 	}
 }
--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -25,9 +25,9 @@
 
 // tell tells a whole list, and sweeps it in slices.
 func tell(c *Catalog, list []Endpoint) {
-	c.Begin()
+	c.BeginSnapshot()
 	for i := range list {
-		c.Put(list[i])
+		c.Upsert(list[i])
 	}
 	for done := false; !done; {
 		_, done = c.Sweep(256)
@@ -65,7 +65,7 @@
 		for i := 0; b.Loop(); i++ {
 			e := &list[i*7919%len(list)]
 			e.Weight++
-			if c.Put(*e).Kind != Changed {
+			if c.Upsert(*e).Kind != Updated {
 				b.Fatal("not changed")
 			}
 		}
@@ -78,11 +78,11 @@
 		for i := 0; b.Loop(); i++ {
 			e := list[i*7919%len(list)]
 			e.Removed = true
-			if c.Put(e).Kind != Removed {
+			if c.Upsert(e).Kind != Removed {
 				b.Fatal("not removed")
 			}
 			e.Removed = false
-			if c.Put(e).Kind != Added {
+			if c.Upsert(e).Kind != Added {
 				b.Fatal("not added")
 			}
 		}
@@ -119,7 +119,7 @@
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		var of []Endpoint
 		for i := 0; b.Loop(); i++ {
-			if of = c.Of(i*7919%(len(list)/2), of[:0]); len(of) != 2 {
+			if of = c.AppendEndpoints(i*7919%(len(list)/2), of[:0]); len(of) != 2 {
 				b.Fatal("not two endpoints")
 			}
 		}
@@ -133,13 +133,13 @@
 			w := NewWorkingSet(time.Duration(n))
 			now := time.Duration(0)
 			for ; now < time.Duration(n); now++ {
-				w.Wake(int(now), now)
+				w.Activate(int(now), now)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				w.Wake(int(now), now)
-				w.Rest(now, 16, func(int) bool { return true })
+				w.Activate(int(now), now)
+				w.EvictIdle(now, 16, func(int) bool { return true })
 			}
 			if w.Len() < n-1 || w.Len() > n+1 {
 				b.Fatalf("%d awake", w.Len())
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -15,8 +15,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// WholeMost is how many endpoints a list may have that is told to the module whole, and how many removed destinations are remembered at least.
-const WholeMost = 4096
+// MaxEagerEndpoints is how many endpoints a list may have that is told to the module whole, and how many removed destinations are remembered at least.
+const MaxEagerEndpoints = 4096
 
 // Endpoint is one entry of discovery's list.
 type Endpoint struct {
@@ -29,17 +29,17 @@
 
 // The kinds of change.
 const (
-	Same    ChangeKind = iota // nothing; also the removal of what is not known
-	Added                     // it was not known
-	Changed                   // its state, weight, zone or kind differs
-	Moved                     // its address or destination differs
+	Unchanged ChangeKind = iota // nothing; also the removal of what is not known
+	Added                       // it was not known
+	Updated                     // its state, weight, zone or kind differs
+	Moved                       // its address or destination differs
 	Removed
 )
 
 // Change is what Put did. Was is as Is after Same, and empty after Added; of what was removed Is is as given.
 type Change struct {
-	Was, Is Endpoint
-	Kind    ChangeKind
+	Old, New Endpoint
+	Kind     ChangeKind
 }
 
 // slot is one endpoint. Numbers of slots and places begin at 1; 0 is none.
@@ -98,27 +98,27 @@
 	return c
 }
 
-// Endpoints is how many there are.
-func (c *Catalog) Endpoints() int { return c.slots.n - 1 }
+// EndpointCount is how many there are.
+func (c *Catalog) EndpointCount() int { return c.slots.n - 1 }
 
-// Destinations is how many have an endpoint now.
-func (c *Catalog) Destinations() int { return c.filled }
+// DestinationCount is how many have an endpoint now.
+func (c *Catalog) DestinationCount() int { return c.filled }
 
-// Named tells whether a list has named a destination. Of those without an endpoint now as many are remembered as the most that ever had one, or
-// WholeMost if that is more: those longest without are forgotten first.
-func (c *Catalog) Named(dest int) bool {
+// HasDestination tells whether a list has named a destination. Of those without an endpoint now as many are remembered as the most that ever had one, or
+// MaxEagerEndpoints if that is more: those longest without are forgotten first.
+func (c *Catalog) HasDestination(dest int) bool {
 	return c.place(dest) != 0
 }
 
-// Remember has a destination count as named, as an earlier process knew it.
-func (c *Catalog) Remember(dest int) {
+// RememberDestination has a destination count as named, as an earlier process knew it.
+func (c *Catalog) RememberDestination(dest int) {
 	if c.place(dest) == 0 {
 		c.abandon(c.newPlace(dest))
 	}
 }
 
-// Remembered are the destinations that a list has named and that have no endpoint now, those longest without first.
-func (c *Catalog) Remembered() iter.Seq[int] {
+// RememberedDestinations are the destinations that a list has named and that have no endpoint now, those longest without first.
+func (c *Catalog) RememberedDestinations() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for p := c.oldest; p != 0; {
 			x := c.places.at(p)
@@ -139,8 +139,8 @@
 	return c.read(i, id), true
 }
 
-// Of appends a destination's endpoints, in the order listed.
-func (c *Catalog) Of(dest int, into []Endpoint) []Endpoint {
+// AppendEndpoints appends a destination's endpoints, in the order listed.
+func (c *Catalog) AppendEndpoints(dest int, into []Endpoint) []Endpoint {
 	p := c.place(dest)
 	if p == 0 || c.places.at(p).empty() {
 		return into
@@ -163,15 +163,15 @@
 	}
 }
 
-// Begin begins a whole list: its entries follow by Put and Keep, then Sweep. One that broke off is forgotten, what it said stays in force.
-func (c *Catalog) Begin() { c.whole, c.named = true, 0 }
+// BeginSnapshot begins a whole list: its entries follow by Put and Keep, then Sweep. One that broke off is forgotten, what it said stays in force.
+func (c *Catalog) BeginSnapshot() { c.whole, c.named = true, 0 }
 
-// Put takes an entry of a list. One that is gone is removed. In a whole list it counts as named and comes behind what was named before.
-func (c *Catalog) Put(e Endpoint) Change {
+// Upsert takes an entry of a list. One that is gone is removed. In a whole list it counts as named and comes behind what was named before.
+func (c *Catalog) Upsert(e Endpoint) Change {
 	i := c.find(e.ID)
 	switch {
 	case e.Removed && i == 0:
-		return Change{e, e, Same}
+		return Change{e, e, Unchanged}
 	case e.Removed:
 		was := c.read(i, e.ID)
 		c.remove(i)
@@ -180,13 +180,13 @@
 	c.scratch = appendText(c.scratch[:0], &e)
 	if i == 0 {
 		c.add(e.Destination)
-		return Change{Is: e, Kind: Added}
+		return Change{New: e, Kind: Added}
 	}
 	s := c.slots.at(i)
 	here := c.places.at(s.place).number() == e.Destination
 	if here && bytes.HasPrefix(c.text.from(s.text), c.scratch) { // an entry's text tells its own end
 		c.name(i)
-		return Change{e, e, Same}
+		return Change{e, e, Unchanged}
 	}
 	was := c.read(i, e.ID)
 	c.rewrite(i)
@@ -198,13 +198,13 @@
 	}
 	c.name(i)
 	if here && was.Addr == e.Addr {
-		return Change{was, e, Changed}
+		return Change{was, e, Updated}
 	}
 	return Change{was, e, Moved}
 }
 
-// Keep has an entry that could not be read count as named; what is known of it stays.
-func (c *Catalog) Keep(id string) (Endpoint, bool) {
+// MarkSeen has an entry that could not be read count as named; what is known of it stays.
+func (c *Catalog) MarkSeen(id string) (Endpoint, bool) {
 	i := c.find(id)
 	if i == 0 {
 		return Endpoint{}, false
@@ -568,7 +568,7 @@
 		c.places.at(c.newest).last = n
 	}
 	c.newest = n
-	if c.empties++; c.empties > max(WholeMost, c.most) {
+	if c.empties++; c.empties > max(MaxEagerEndpoints, c.most) {
 		n := c.oldest
 		p := c.places.at(n)
 		c.recall(p)
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -35,7 +35,7 @@
 	i := m.find(e.ID)
 	switch {
 	case e.Removed && i < 0:
-		return Change{e, e, Same}
+		return Change{e, e, Unchanged}
 	case e.Removed:
 		was := m.all[i]
 		m.all = slices.Delete(m.all, i, i+1)
@@ -45,14 +45,14 @@
 	if i < 0 {
 		m.all = append(m.all, e)
 		m.name(len(m.all) - 1)
-		return Change{Is: e, Kind: Added}
+		return Change{New: e, Kind: Added}
 	}
 	was := m.all[i]
 	m.all[i] = e
-	kind := Changed
+	kind := Updated
 	switch {
 	case was == e:
-		kind = Same
+		kind = Unchanged
 	case was.Destination != e.Destination:
 		m.all = append(slices.Delete(m.all, i, i+1), e)
 		i = len(m.all) - 1
@@ -103,7 +103,7 @@
 		ids := rapid.SampledFrom([]int{4, 30, 1000}).Draw(t, "ids")
 		put := func(t *rapid.T) {
 			e := drawEndpoint(t, ids)
-			if got, want := c.Put(e), m.put(e); got != want {
+			if got, want := c.Upsert(e), m.put(e); got != want {
 				t.Fatalf("Put(%+v) = %+v, the model %+v", e, got, want)
 			}
 		}
@@ -117,18 +117,18 @@
 			"again": func(t *rapid.T) { // what is known, word for word
 				if len(m.all) > 0 {
 					e := rapid.SampledFrom(m.all).Draw(t, "known")
-					if got, want := c.Put(e), m.put(e); got != want || got.Kind != Same {
+					if got, want := c.Upsert(e), m.put(e); got != want || got.Kind != Unchanged {
 						t.Fatalf("Put(%+v) = %+v, the model %+v", e, got, want)
 					}
 				}
 			},
 			"begin": func(*rapid.T) {
-				c.Begin()
+				c.BeginSnapshot()
 				m.fresh = map[string]bool{}
 			},
 			"keep": func(t *rapid.T) {
 				id := drawEndpoint(t, ids).ID
-				e, ok := c.Keep(id)
+				e, ok := c.MarkSeen(id)
 				i := m.find(id)
 				if ok != (i >= 0) || ok && e != m.all[i] {
 					t.Fatalf("Keep(%q) = %+v, %t", id, e, ok)
@@ -162,16 +162,16 @@
 	if all := slices.Collect(c.All()); !slices.Equal(all, m.all) {
 		t.Fatalf("all are %v, the model's %v", all, m.all)
 	}
-	if c.Endpoints() != len(m.all) {
-		t.Fatalf("%d endpoints, the model has %d", c.Endpoints(), len(m.all))
+	if c.EndpointCount() != len(m.all) {
+		t.Fatalf("%d endpoints, the model has %d", c.EndpointCount(), len(m.all))
 	}
 	filled, without := 0, 0
 	for dest := range m.listed {
 		want := m.of(dest)
-		if got := c.Of(dest, nil); !slices.Equal(got, want) {
+		if got := c.AppendEndpoints(dest, nil); !slices.Equal(got, want) {
 			t.Fatalf("destination %d has %v, the model %v", dest, got, want)
 		}
-		if !c.Named(dest) {
+		if !c.HasDestination(dest) {
 			t.Fatalf("destination %d is not named", dest)
 		}
 		if len(want) > 0 {
@@ -180,10 +180,10 @@
 			without++
 		}
 	}
-	if c.Destinations() != filled || c.Named(-100) && !m.listed[-100] {
-		t.Fatalf("%d destinations, the model has %d", c.Destinations(), filled)
+	if c.DestinationCount() != filled || c.HasDestination(-100) && !m.listed[-100] {
+		t.Fatalf("%d destinations, the model has %d", c.DestinationCount(), filled)
 	}
-	remembered := slices.Collect(c.Remembered())
+	remembered := slices.Collect(c.RememberedDestinations())
 	if len(remembered) != without || slices.ContainsFunc(remembered, func(d int) bool { return !m.listed[d] || len(m.of(d)) > 0 }) {
 		t.Fatalf("remembers %v, the model has named %v", remembered, slices.Collect(maps.Keys(m.listed)))
 	}
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -43,20 +43,20 @@
 		swept string // by all of them
 		named bool   // destination 2
 	}{
-		{"whole twice", []string{"whole: a@1 b@2", "whole: a@1 b@2"}, []ChangeKind{Added, Added, Same, Same}, "a b", "a", "", true},
-		{"a version that begins again, with less", []string{"whole: a@1 b@2 c@1", "whole: c@1"}, []ChangeKind{Added, Added, Added, Same}, "c", "c", "a b", true},
+		{"whole twice", []string{"whole: a@1 b@2", "whole: a@1 b@2"}, []ChangeKind{Added, Added, Unchanged, Unchanged}, "a b", "a", "", true},
+		{"a version that begins again, with less", []string{"whole: a@1 b@2 c@1", "whole: c@1"}, []ChangeKind{Added, Added, Added, Unchanged}, "c", "c", "a b", true},
 		{"an empty one", []string{"whole: a@1 b@2", "whole:"}, []ChangeKind{Added, Added}, "", "", "a b", true},
-		{"in another order", []string{"whole: a@1 b@1 c@1", "whole: c@1 a@1 b@1"}, []ChangeKind{Added, Added, Added, Same, Same, Same}, "c a b", "c a b", "", false},
+		{"in another order", []string{"whole: a@1 b@1 c@1", "whole: c@1 a@1 b@1"}, []ChangeKind{Added, Added, Added, Unchanged, Unchanged, Unchanged}, "c a b", "c a b", "", false},
 		{"an id twice: the last counts", []string{"whole: a@1 b@1 a@1=h:2"}, []ChangeKind{Added, Added, Moved}, "b a", "b a", "", false},
-		{"an id twice, the first of the list", []string{"whole: a@1 b@1", "whole: a@1 b@1 a@1"}, []ChangeKind{Added, Added, Same, Same, Same}, "b a", "b a", "", false},
+		{"an id twice, the first of the list", []string{"whole: a@1 b@1", "whole: a@1 b@1 a@1"}, []ChangeKind{Added, Added, Unchanged, Unchanged, Unchanged}, "b a", "b a", "", false},
 		{"another destination", []string{"whole: a@1 b@1", "a@2"}, []ChangeKind{Added, Added, Moved}, "b a", "b", "", true},
 		{"another destination and back in one list", []string{"whole: a@1 b@1", "a@2 a@1"}, []ChangeKind{Added, Added, Moved, Moved}, "b a", "b a", "", true},
-		{"gone and back in one list", []string{"whole: a@1 b@1", "whole: !a@1 b@1 a@1"}, []ChangeKind{Added, Added, Removed, Same, Added}, "b a", "b a", "", false},
-		{"gone and not back", []string{"whole: a@1 b@1", "whole: !a@1 b@1"}, []ChangeKind{Added, Added, Removed, Same}, "b", "b", "", false},
-		{"gone that never was", []string{"!a@1"}, []ChangeKind{Same}, "", "", "", false},
+		{"gone and back in one list", []string{"whole: a@1 b@1", "whole: !a@1 b@1 a@1"}, []ChangeKind{Added, Added, Removed, Unchanged, Added}, "b a", "b a", "", false},
+		{"gone and not back", []string{"whole: a@1 b@1", "whole: !a@1 b@1"}, []ChangeKind{Added, Added, Removed, Unchanged}, "b", "b", "", false},
+		{"gone that never was", []string{"!a@1"}, []ChangeKind{Unchanged}, "", "", "", false},
 		{"a change stays in place", []string{"whole: a@1 b@1", "a@1=h:2 c@1"}, []ChangeKind{Added, Added, Moved, Added}, "a b c", "a b c", "", false},
-		{"broken off: all stays in force", []string{"whole: a@1 b@1 c@2", "broken: b@1 d@1"}, []ChangeKind{Added, Added, Added, Same, Added}, "a c b d", "a b d", "", true},
-		{"and then whole", []string{"whole: a@1 b@1 c@2", "broken: b@1 d@1", "whole: c@2 b@1"}, []ChangeKind{Added, Added, Added, Same, Added, Same, Same}, "c b", "b", "a d", true},
+		{"broken off: all stays in force", []string{"whole: a@1 b@1 c@2", "broken: b@1 d@1"}, []ChangeKind{Added, Added, Added, Unchanged, Added}, "a c b d", "a b d", "", true},
+		{"and then whole", []string{"whole: a@1 b@1 c@2", "broken: b@1 d@1", "whole: c@2 b@1"}, []ChangeKind{Added, Added, Added, Unchanged, Added, Unchanged, Unchanged}, "c b", "b", "a d", true},
 		{"broken off before its first entry", []string{"whole: a@1", "broken:", "whole: b@1"}, []ChangeKind{Added, Added}, "b", "b", "a", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,10 +67,10 @@
 				text, whole := strings.CutPrefix(list, "whole:")
 				text, broken := strings.CutPrefix(text, "broken:")
 				if whole || broken {
-					x.Begin()
+					x.BeginSnapshot()
 				}
 				for _, f := range strings.Fields(text) {
-					kinds = append(kinds, x.Put(ep(f)).Kind)
+					kinds = append(kinds, x.Upsert(ep(f)).Kind)
 				}
 				for done := !whole; !done; {
 					var more []Endpoint
@@ -84,14 +84,14 @@
 			if got := names(slices.Collect(x.All())); got != c.all {
 				t.Errorf("all are %q, want %q", got, c.all)
 			}
-			if got := names(x.Of(1, nil)); got != c.of1 {
+			if got := names(x.AppendEndpoints(1, nil)); got != c.of1 {
 				t.Errorf("destination 1 has %q, want %q", got, c.of1)
 			}
 			if got := names(swept); got != c.swept {
 				t.Errorf("swept %q, want %q", got, c.swept)
 			}
-			if x.Named(2) != c.named {
-				t.Errorf("destination 2 named: %t", x.Named(2))
+			if x.HasDestination(2) != c.named {
+				t.Errorf("destination 2 named: %t", x.HasDestination(2))
 			}
 		})
 	}
@@ -129,18 +129,18 @@
 		}
 	}
 	for round := range 50 {
-		c.Begin()
+		c.BeginSnapshot()
 		for i := range n {
 			e := entry(i, round)
 			e.Destination += round * n
 			e.Addr = fmt.Sprintf("host-%d-%d:80", round, i)
-			c.Put(e)
+			c.Upsert(e)
 		}
 		for done := false; !done; {
 			_, done = c.Sweep(100)
 		}
-		if c.Endpoints() != n || c.Destinations() != n/2 {
-			t.Fatalf("round %d: %d endpoints, %d destinations", round, c.Endpoints(), c.Destinations())
+		if c.EndpointCount() != n || c.DestinationCount() != n/2 {
+			t.Fatalf("round %d: %d endpoints, %d destinations", round, c.EndpointCount(), c.DestinationCount())
 		}
 		if round == 4 {
 			early = c.room()
@@ -155,25 +155,25 @@
 	}
 	for i := range 5 * n {
 		old := &ids[rng.IntN(n)]
-		if c.Put(Endpoint{Endpoint: policy.Endpoint{ID: *old, Removed: true}}).Kind != Removed {
+		if c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: *old, Removed: true}}).Kind != Removed {
 			t.Fatal("not removed: ", *old)
 		}
 		*old = fmt.Sprint("once ", i)
-		c.Put(Endpoint{policy.Endpoint{ID: *old, Destination: -i%(n/3) - 1}, "127.0.0.1:80"})
+		c.Upsert(Endpoint{policy.Endpoint{ID: *old, Destination: -i%(n/3) - 1}, "127.0.0.1:80"})
 	}
 	check("changes")
 	for i := range n {
-		c.Put(Endpoint{policy.Endpoint{ID: ids[i], Destination: -i%(n/3) - 1, Weight: float64(i)}, "127.0.0.1:80"})
-		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
-		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
+		c.Upsert(Endpoint{policy.Endpoint{ID: ids[i], Destination: -i%(n/3) - 1, Weight: float64(i)}, "127.0.0.1:80"})
+		c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
+		c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
 	}
 	check("changes in place, and of one that comes and goes")
 	for range n {
-		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
-		c.Put(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
+		c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
+		c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
 	}
 	check("one alone that comes and goes")
-	if got := len(slices.Collect(c.Remembered())); got > n {
+	if got := len(slices.Collect(c.RememberedDestinations())); got > n {
 		t.Errorf("%d destinations without endpoints are remembered", got)
 	}
 	tell(c, entries(5, 0))
@@ -181,35 +181,35 @@
 	if r := c.room(); r.rest > early.rest/3 || r.texts > 2*chunkSize {
 		t.Errorf("after a short list: %+v bytes; after five long ones %+v", r, early)
 	}
-	if c.Endpoints() != 10 || len(c.Of(0, nil)) != 2 {
+	if c.EndpointCount() != 10 || len(c.AppendEndpoints(0, nil)) != 2 {
 		t.Error("not the ten that were listed")
 	}
 }
 
 func TestDestinationsLongestWithoutEndpointsAreForgotten(t *testing.T) {
 	c := New()
-	for i := range WholeMost + 3 {
+	for i := range MaxEagerEndpoints + 3 {
 		e := entry(2*i, 0)
-		c.Put(e)
+		c.Upsert(e)
 		e.Removed = true
-		c.Put(e)
+		c.Upsert(e)
 		if i == 1 {
-			c.Put(entry(0, 1)) // destination 0 is back
+			c.Upsert(entry(0, 1)) // destination 0 is back
 		}
 	}
-	for dest, want := range map[int]bool{0: true, 1: false, 2: false, 3: true, WholeMost + 2: true, WholeMost + 3: false} {
-		if c.Named(dest) != want {
-			t.Errorf("destination %d: named %t", dest, c.Named(dest))
+	for dest, want := range map[int]bool{0: true, 1: false, 2: false, 3: true, MaxEagerEndpoints + 2: true, MaxEagerEndpoints + 3: false} {
+		if c.HasDestination(dest) != want {
+			t.Errorf("destination %d: named %t", dest, c.HasDestination(dest))
 		}
 	}
-	if got := slices.Collect(c.Remembered()); len(got) != WholeMost || got[0] != 3 || got[WholeMost-1] != WholeMost+2 {
+	if got := slices.Collect(c.RememberedDestinations()); len(got) != MaxEagerEndpoints || got[0] != 3 || got[MaxEagerEndpoints-1] != MaxEagerEndpoints+2 {
 		t.Errorf("%d remembered, from %d to %d", len(got), got[0], got[len(got)-1])
 	}
 	other := New()
-	for d := range c.Remembered() {
-		other.Remember(d)
+	for d := range c.RememberedDestinations() {
+		other.RememberDestination(d)
 	}
-	if !other.Named(3) || other.Named(0) || other.Destinations() != 0 {
+	if !other.HasDestination(3) || other.HasDestination(0) || other.DestinationCount() != 0 {
 		t.Error("another catalog does not remember the same")
 	}
 }
@@ -221,12 +221,12 @@
 	resting := func(d int) bool { return !bound[d] }
 	rest := func(now time.Duration, most int, want ...int) {
 		t.Helper()
-		if got := w.Rest(now, most, resting); !slices.Equal(got, want) {
+		if got := w.EvictIdle(now, most, resting); !slices.Equal(got, want) {
 			t.Errorf("at %v: put to rest %v, want %v", now, got, want)
 		}
 	}
 	for i, d := range []int{7, -1, 3, 9} {
-		if !w.Wake(d, time.Duration(i)*s) || w.Wake(d, time.Duration(i)*s) || !w.Has(d) {
+		if !w.Activate(d, time.Duration(i)*s) || w.Activate(d, time.Duration(i)*s) || !w.Contains(d) {
 			t.Fatalf("destination %d does not wake once", d)
 		}
 	}
@@ -240,13 +240,13 @@
 	delete(bound, -1)
 	rest(60*s, 9)
 	rest(63*s, 9, 3, -1)
-	if w.Len() != 0 || w.Has(7) || !w.Wake(7, 64*s) || w.Len() != 1 {
+	if w.Len() != 0 || w.Contains(7) || !w.Activate(7, 64*s) || w.Len() != 1 {
 		t.Error("not all at rest")
 	}
 	// Where all are bound and the rest is none, one step still ends.
 	all := NewWorkingSet(0)
-	all.Wake(1, 0)
-	if got := all.Rest(0, 100, func(int) bool { return false }); got != nil || !all.Has(1) {
+	all.Activate(1, 0)
+	if got := all.EvictIdle(0, 100, func(int) bool { return false }); got != nil || !all.Contains(1) {
 		t.Errorf("put to rest %v", got)
 	}
 }
--- a/internal/state/catalog/working.go
+++ b/internal/state/catalog/working.go
@@ -27,15 +27,15 @@
 	return &WorkingSet{rest: rest, byID: map[int]*list.Element{}, young: map[int]time.Duration{}, crowd: math.MinInt64 / 2}
 }
 
-// Has tells whether a destination is awake.
-func (w *WorkingSet) Has(dest int) bool { return w.byID[dest] != nil }
+// Contains tells whether a destination is awake.
+func (w *WorkingSet) Contains(dest int) bool { return w.byID[dest] != nil }
 
 // Len is how many are awake.
 func (w *WorkingSet) Len() int { return len(w.byID) }
 
-// Wake uses a destination at now. It tells whether it was at rest: then the module must be told of its endpoints first.
-func (w *WorkingSet) Wake(dest int, now time.Duration) bool {
-	if w.Has(dest) {
+// Activate uses a destination at now. It tells whether it was at rest: then the module must be told of its endpoints first.
+func (w *WorkingSet) Activate(dest int, now time.Duration) bool {
+	if w.Contains(dest) {
 		w.Touch(dest, now)
 		return false
 	}
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Added notes that an endpoint of a destination was added to the list at now. Beyond WholeMost of late all destinations count as added.
-func (w *WorkingSet) Added(dest int, now time.Duration) {
-	if w.young[dest] = now; len(w.young) <= WholeMost {
+// EndpointAdded notes that an endpoint of a destination was added to the list at now. Beyond MaxEagerEndpoints of late all destinations count as added.
+func (w *WorkingSet) EndpointAdded(dest int, now time.Duration) {
+	if w.young[dest] = now; len(w.young) <= MaxEagerEndpoints {
 		return
 	}
 	for d, at := range w.young {
@@ -53,7 +53,7 @@
 			delete(w.young, d)
 		}
 	}
-	if len(w.young) > WholeMost {
+	if len(w.young) > MaxEagerEndpoints {
 		clear(w.young)
 		w.crowd = now
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// Rest puts to rest, of the destinations that were not used for long enough, those of which resting says that it may be: they are returned, the
+// EvictIdle puts to rest, of the destinations that were not used for long enough, those of which resting says that it may be: they are returned, the
 // one that was not used for longest first. So many are looked at; one that stays awake is looked at again as if it had been used now.
-func (w *WorkingSet) Rest(now time.Duration, most int, resting func(dest int) bool) (rested []int) {
+func (w *WorkingSet) EvictIdle(now time.Duration, most int, resting func(dest int) bool) (rested []int) {
 	for ; most > 0 && w.idle.Len() > 0; most-- {
 		e := w.idle.Front()
 		u := e.Value.(*used)
--- a/internal/state/clock/axis.go
+++ b/internal/state/clock/axis.go
@@ -11,50 +11,50 @@
 
 // Anchor is what the next process needs to go on with the axis.
 type Anchor struct {
-	Boot string
-	Up   time.Duration // of the boot
-	At   int64         // on the axis, then
-	Step time.Duration // wall time less axis, when last looked at
+	BootID     string
+	Uptime     time.Duration // of the boot
+	At         int64         // on the axis, then
+	WallOffset time.Duration // wall time less axis, when last looked at
 	// Epoch counts the boots, from 1: between two of them the axis goes by the wall clock. 0: this machine tells no boot.
 	Epoch int64
 }
 
-// StepLeast is by how much the clocks must part to count as set. Guards against taking the time between the reading of the two,
+// MinStep is by how much the clocks must part to count as set. Guards against taking the time between the reading of the two,
 // or their drift, for a step.
-const StepLeast = 10 * time.Millisecond
+const MinStep = 10 * time.Millisecond
 
-// Axis is the time in one process, in nanoseconds.
-type Axis struct {
+// Timeline is the time in one process, in nanoseconds.
+type Timeline struct {
 	Base  time.Time // of this process, with its monotonic reading
 	At    int64     // on the axis, then
 	Epoch int64     // as Anchor's; 0 where the machine tells no boot
 }
 
-// Of is a time of this process on the axis.
-func (x Axis) Of(t time.Time) int64 { return x.At + int64(t.Sub(x.Base)) }
+// Stamp is a time of this process on the axis.
+func (x Timeline) Stamp(t time.Time) int64 { return x.At + int64(t.Sub(x.Base)) }
 
 // Time is what stands on the axis as a time of this process, with its monotonic reading, so that time.Since and time.Until tell what has
 // truly passed.
-func (x Axis) Time(ns int64) time.Time { return x.Base.Add(time.Duration(ns - x.At)) }
+func (x Timeline) Time(ns int64) time.Time { return x.Base.Add(time.Duration(ns - x.At)) }
 
-// GoOn is the axis of a process that begins at now, and the anchor from then on. Without an anchor the axis begins.
-func GoOn(a *Anchor, now bootclock.Reading) (Axis, Anchor) {
+// Resume is the axis of a process that begins at now, and the anchor from then on. Without an anchor the axis begins.
+func Resume(a *Anchor, now bootclock.Reading) (Timeline, Anchor) {
 	if a == nil {
 		a = &Anchor{}
 	}
 	wall := now.Wall.UnixNano()
-	x := Axis{Base: now.Wall, At: wall - int64(a.Step), Epoch: a.Epoch}
+	x := Timeline{Base: now.Wall, At: wall - int64(a.WallOffset), Epoch: a.Epoch}
 	switch {
-	case now.Boot == "":
+	case now.BootID == "":
 		x.Epoch = 0
-	case a.Boot != now.Boot:
+	case a.BootID != now.BootID:
 		x.Epoch++
 	default:
-		at := a.At + int64(now.Up-a.Up)
-		if time.Duration(at-x.At).Abs() < StepLeast {
+		at := a.At + int64(now.Uptime-a.Uptime)
+		if time.Duration(at-x.At).Abs() < MinStep {
 			return x, *a
 		}
 		x.At = at // the wall clock was set
 	}
-	return x, Anchor{Boot: now.Boot, Up: now.Up, At: x.At, Step: time.Duration(wall - x.At), Epoch: max(x.Epoch, a.Epoch)}
+	return x, Anchor{BootID: now.BootID, Uptime: now.Uptime, At: x.At, WallOffset: time.Duration(wall - x.At), Epoch: max(x.Epoch, a.Epoch)}
 }
--- a/internal/state/clock/axis_test.go
+++ b/internal/state/clock/axis_test.go
@@ -26,10 +26,10 @@
 		"no boot is told, set back by 2s": {[2]string{"", ""}, -2 * time.Second, 5 * time.Second, 3 * time.Second, [2]int64{0, 0}},
 	} {
 		up := time.Minute
-		one, anchor := GoOn(nil, bootclock.Reading{Wall: wall, Boot: c.boots[0], Up: up})
-		stamp := one.Of(wall)
+		one, anchor := Resume(nil, bootclock.Reading{Wall: wall, BootID: c.boots[0], Uptime: up})
+		stamp := one.Stamp(wall)
 		later := wall.Add(c.passed + c.set)
-		two, next := GoOn(&anchor, bootclock.Reading{Wall: later, Boot: c.boots[1], Up: up + c.passed})
+		two, next := Resume(&anchor, bootclock.Reading{Wall: later, BootID: c.boots[1], Uptime: up + c.passed})
 		if ago := later.Sub(two.Time(stamp)); ago != c.ago {
 			t.Errorf("%s: taken for %v ago, want %v", name, ago, c.ago)
 		}
@@ -37,7 +37,7 @@
 			t.Errorf("%s: epochs %v, want %v", name, got, c.epochs)
 		}
 		// A third process goes on evenly from the second, whatever was set before it.
-		if three, _ := GoOn(&next, bootclock.Reading{Wall: later.Add(time.Second), Boot: c.boots[1], Up: up + c.passed + time.Second}); three.At-two.At != int64(time.Second) {
+		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.At-two.At != int64(time.Second) {
 			t.Errorf("%s: a second later the axis is %v on", name, time.Duration(three.At-two.At))
 		}
 	}
--- a/internal/state/endpointhealth/standing.go
+++ b/internal/state/endpointhealth/standing.go
@@ -17,17 +17,19 @@
 
 // Record is how a route stands, where that is not well or where another one of its destination does not. Times are on one axis over all processes: journal.Stamp.
 type Record struct {
-	Route string    `json:"Route"`
-	At    time.Time `json:"At"`              // seen so
-	Wait  time.Time `json:"Wait,omitzero"`   // told: nothing before this
-	Down  bool      `json:"Down,omitempty"`  // skipped, and nothing delivered since
-	Cold  bool      `json:"Cold,omitempty"`  // may be in an outage or coming back from one
-	Paced bool      `json:"Paced,omitempty"` // refused above a limit of late
-	Alive bool      `json:"Alive,omitempty"` // answered of late, and neither skipped nor in doubt
+	Endpoint         string    `json:"Route"`
+	ObservedAt       time.Time `json:"At"`              // seen so
+	RetryAfterUntil  time.Time `json:"Wait,omitzero"`   // told: nothing before this
+	Ejected          bool      `json:"Down,omitempty"`  // skipped, and nothing delivered since
+	WarmingUp        bool      `json:"Cold,omitempty"`  // may be in an outage or coming back from one
+	RecentlyRejected bool      `json:"Paced,omitempty"` // refused above a limit of late
+	RecentlyHealthy  bool      `json:"Alive,omitempty"` // answered of late, and neither skipped nor in doubt
 }
 
 // ill tells whether a route does not stand well.
-func (r *Record) ill() bool { return r.Down || r.Cold || r.Paced || !r.Wait.IsZero() }
+func (r *Record) ill() bool {
+	return r.Ejected || r.WarmingUp || r.RecentlyRejected || !r.RetryAfterUntil.IsZero()
+}
 
 // aliveFor is how long after it was written down an answer still counts as one of late.
 const aliveFor = 3 * time.Second
@@ -35,14 +37,14 @@
 // pacedFor is how long a refusal above a limit is of use to the next process.
 const pacedFor = 10 * time.Second
 
-// Of returns the records of a module's view at now, its own time, which is wall.
-func Of(views []policy.EndpointView, now time.Duration, wall time.Time) (recs []Record) {
+// FromViews returns the records of a module's view at now, its own time, which is wall.
+func FromViews(views []policy.EndpointView, now time.Duration, wall time.Time) (recs []Record) {
 	record := func(v *policy.EndpointView) Record {
-		r := Record{Route: v.ID, At: wall, Down: v.Ejected, Cold: v.WarmingUp, Paced: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor}
+		r := Record{Endpoint: v.ID, ObservedAt: wall, Ejected: v.Ejected, WarmingUp: v.WarmingUp, RecentlyRejected: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor}
 		if v.RetryAfterUntil > now {
-			r.Wait = wall.Add(v.RetryAfterUntil - now)
+			r.RetryAfterUntil = wall.Add(v.RetryAfterUntil - now)
 		}
-		r.Alive = v.RecentlyHealthy && !r.Down && !r.Cold
+		r.RecentlyHealthy = v.RecentlyHealthy && !r.Ejected && !r.WarmingUp
 		return r
 	}
 	ill := map[int]bool{} // destinations
@@ -52,11 +54,11 @@
 		}
 	}
 	for i := range views {
-		if r := record(&views[i]); len(recs) < most && r.Alive && !r.ill() && ill[views[i].Destination] {
+		if r := record(&views[i]); len(recs) < most && r.RecentlyHealthy && !r.ill() && ill[views[i].Destination] {
 			recs = append(recs, r)
 		}
 	}
-	slices.SortFunc(recs, func(a, b Record) int { return strings.Compare(a.Route, b.Route) })
+	slices.SortFunc(recs, func(a, b Record) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return recs
 }
 
@@ -71,12 +73,12 @@
 func Changed(was, is []Record) bool {
 	well := func(r Record) bool { return !r.ill() }
 	was, is = slices.DeleteFunc(slices.Clone(was), well), slices.DeleteFunc(slices.Clone(is), well)
-	if len(was) > 0 && len(is) > 0 && is[0].At.Sub(was[0].At).Abs() > fresh {
+	if len(was) > 0 && len(is) > 0 && is[0].ObservedAt.Sub(was[0].ObservedAt).Abs() > fresh {
 		return true
 	}
 	return !slices.EqualFunc(was, is, func(a, b Record) bool {
-		return a.Route == b.Route && a.Down == b.Down && a.Cold == b.Cold && a.Paced == b.Paced &&
-			(b.Wait.IsZero() || b.Wait.Sub(a.Wait).Abs() < slack)
+		return a.Endpoint == b.Endpoint && a.Ejected == b.Ejected && a.WarmingUp == b.WarmingUp && a.RecentlyRejected == b.RecentlyRejected &&
+			(b.RetryAfterUntil.IsZero() || b.RetryAfterUntil.Sub(a.RetryAfterUntil).Abs() < slack)
 	})
 }
 
@@ -108,33 +110,33 @@
 	// What answered a moment ago is told first. Guards against doubts that the former module had not: it takes a refusal by a route that
 	// has not answered for a sign of an outage, and a route that has not for as ill as those beside it.
 	for _, r := range recs {
-		if age := max(0, wall.Sub(r.At)); r.Route != "" && r.Alive && age < aliveFor {
-			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Route, Outcome: policy.OK})
+		if age := max(0, wall.Sub(r.ObservedAt)); r.Endpoint != "" && r.RecentlyHealthy && age < aliveFor {
+			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: policy.OK})
 		}
 	}
 	for _, r := range recs {
-		if r.Route == "" {
+		if r.Endpoint == "" {
 			continue
 		}
-		age := max(0, wall.Sub(r.At)) // a clock that was set back makes nothing older
+		age := max(0, wall.Sub(r.ObservedAt)) // a clock that was set back makes nothing older
 		tell := func(o policy.Outcome, wait time.Duration) {
-			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Route, Outcome: o, RetryAfter: wait})
+			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: o, RetryAfter: wait})
 		}
 		failures := 0
 		switch {
 		case age >= warm:
-		case r.Down:
+		case r.Ejected:
 			failures = failuresSkip
-		case r.Cold:
+		case r.WarmingUp:
 			failures = failuresDoubt
 		}
-		if r.Paced && age < pacedFor {
+		if r.RecentlyRejected && age < pacedFor {
 			tell(policy.Overloaded, 0)
 		}
 		for range failures {
 			tell(policy.Error, 0)
 		}
-		if left := r.Wait.Sub(wall); !r.Wait.IsZero() && left > 0 && left <= waitMost {
+		if left := r.RetryAfterUntil.Sub(wall); !r.RetryAfterUntil.IsZero() && left > 0 && left <= waitMost {
 			tell(policy.NotSent, left)
 		}
 	}
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -56,7 +56,7 @@
 			old.Step(now, []policy.Event{e})
 		}
 		views, _ := old.Views()
-		recs := Decode(Encode(Of(views, now, wall)))
+		recs := Decode(Encode(FromViews(views, now, wall)))
 		fresh, err := policy.New(settings(), 2)
 		if err != nil {
 			t.Fatal(err)
@@ -72,8 +72,8 @@
 			if left := was.RetryAfterUntil - now - down; left > 0 && is.RetryAfterUntil < at+left {
 				t.Fatalf("%s: a wait of %v more is %v", was.ID, left, is.RetryAfterUntil-at)
 			}
-			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Route == was.ID })
-			sibling := slices.ContainsFunc(recs, func(r Record) bool { return viewOf(fresh, r.Route).Destination == was.Destination })
+			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Endpoint == was.ID })
+			sibling := slices.ContainsFunc(recs, func(r Record) bool { return viewOf(fresh, r.Endpoint).Destination == was.Destination })
 			if well && !sibling && (is.Ejected || is.WarmingUp || is.RetryAfterUntil > at || is.PacingRate > 0) {
 				t.Fatalf("%s was well, and is %+v", was.ID, is)
 			}
@@ -83,7 +83,7 @@
 
 func TestWhatIsOldBindsNoMore(t *testing.T) {
 	wall := time.Unix(1e9, 0)
-	recs := []Record{{Route: "a", At: wall, Down: true, Cold: true, Paced: true, Wait: wall.Add(time.Second)}, {Route: "c", At: wall, Cold: true}}
+	recs := []Record{{Endpoint: "a", ObservedAt: wall, Ejected: true, WarmingUp: true, RecentlyRejected: true, RetryAfterUntil: wall.Add(time.Second)}, {Endpoint: "c", ObservedAt: wall, WarmingUp: true}}
 	for _, x := range []struct {
 		after time.Duration
 		want  int // events
@@ -99,18 +99,18 @@
 
 func TestWhatIsNewsIsWrittenDown(t *testing.T) {
 	wall := time.Unix(1e9, 0)
-	was := []Record{{Route: "a", At: wall, Cold: true, Wait: wall.Add(time.Second)}}
+	was := []Record{{Endpoint: "a", ObservedAt: wall, WarmingUp: true, RetryAfterUntil: wall.Add(time.Second)}}
 	for name, x := range map[string]struct {
 		change func(*Record)
 		want   bool
 	}{
-		"nothing":             {func(r *Record) { r.At = wall.Add(time.Second) }, false},
-		"read off two clocks": {func(r *Record) { r.Wait = r.Wait.Add(time.Millisecond) }, false},
-		"the wait is over":    {func(r *Record) { r.Wait = time.Time{} }, false},
-		"a longer wait":       {func(r *Record) { r.Wait = r.Wait.Add(time.Second) }, true},
-		"skipped":             {func(r *Record) { r.Down = true }, true},
-		"well":                {func(r *Record) { r.Cold = false }, true},
-		"no longer fresh":     {func(r *Record) { r.At = wall.Add(3 * time.Second) }, true},
+		"nothing":             {func(r *Record) { r.ObservedAt = wall.Add(time.Second) }, false},
+		"read off two clocks": {func(r *Record) { r.RetryAfterUntil = r.RetryAfterUntil.Add(time.Millisecond) }, false},
+		"the wait is over":    {func(r *Record) { r.RetryAfterUntil = time.Time{} }, false},
+		"a longer wait":       {func(r *Record) { r.RetryAfterUntil = r.RetryAfterUntil.Add(time.Second) }, true},
+		"skipped":             {func(r *Record) { r.Ejected = true }, true},
+		"well":                {func(r *Record) { r.WarmingUp = false }, true},
+		"no longer fresh":     {func(r *Record) { r.ObservedAt = wall.Add(3 * time.Second) }, true},
 	} {
 		is := slices.Clone(was)
 		x.change(&is[0])
@@ -129,10 +129,10 @@
 	for i := range views {
 		views[i].ID, views[i].Ejected = string(rune('a'+i%26))+string(rune('a'+i/26)), true
 	}
-	if n := len(Of(views, time.Second, time.Unix(1, 0))); n != most {
+	if n := len(FromViews(views, time.Second, time.Unix(1, 0))); n != most {
 		t.Errorf("%d records", n)
 	}
-	data := Encode(Of(views[:3], time.Second, time.Unix(1, 0)))
+	data := Encode(FromViews(views[:3], time.Second, time.Unix(1, 0)))
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range data {
 		if recs := Decode(data[:n]); recs != nil {
@@ -167,18 +167,18 @@
 		down time.Duration
 		cold bool // "a", under some seed
 	}{
-		{"refused, alive", []Record{{Route: "a", At: wall, Paced: true, Alive: true}}, time.Second, false},
-		{"refused, not alive", []Record{{Route: "a", At: wall, Paced: true}}, time.Second, true},
-		{"refused, alive long ago", []Record{{Route: "a", At: wall, Paced: true, Alive: true}}, 4 * time.Second, true},
-		{"beside one in doubt, alive", []Record{{Route: "a", At: wall, Alive: true}, {Route: "b", At: wall, Cold: true}}, time.Second, false},
-		{"beside one in doubt, not told", []Record{{Route: "b", At: wall, Cold: true}}, time.Second, true},
-		{"in doubt", []Record{{Route: "a", At: wall, Cold: true}}, time.Second, true},
+		{"refused, alive", []Record{{Endpoint: "a", ObservedAt: wall, RecentlyRejected: true, RecentlyHealthy: true}}, time.Second, false},
+		{"refused, not alive", []Record{{Endpoint: "a", ObservedAt: wall, RecentlyRejected: true}}, time.Second, true},
+		{"refused, alive long ago", []Record{{Endpoint: "a", ObservedAt: wall, RecentlyRejected: true, RecentlyHealthy: true}}, 4 * time.Second, true},
+		{"beside one in doubt, alive", []Record{{Endpoint: "a", ObservedAt: wall, RecentlyHealthy: true}, {Endpoint: "b", ObservedAt: wall, WarmingUp: true}}, time.Second, false},
+		{"beside one in doubt, not told", []Record{{Endpoint: "b", ObservedAt: wall, WarmingUp: true}}, time.Second, true},
+		{"in doubt", []Record{{Endpoint: "a", ObservedAt: wall, WarmingUp: true}}, time.Second, true},
 	} {
 		cold := false
 		for seed := range uint64(40) {
 			s := play(seed, c.recs, wall.Add(c.down))
 			cold = cold || viewOf(s, "a").WarmingUp
-			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Route == "b" }); hasCold && !viewOf(s, "b").WarmingUp {
+			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Endpoint == "b" }); hasCold && !viewOf(s, "b").WarmingUp {
 				t.Fatalf("%s: the doubt is gone", c.name)
 			}
 		}
@@ -191,8 +191,8 @@
 	for i, name := range []string{"well", "beside", "ill"} {
 		views[i].ID, views[i].Destination = name, min(i, 1)
 	}
-	recs := Of(views, time.Second, wall)
-	if len(recs) != 2 || recs[0].Route != "beside" || !recs[0].Alive || recs[1].Route != "ill" || recs[1].Alive {
+	recs := FromViews(views, time.Second, wall)
+	if len(recs) != 2 || recs[0].Endpoint != "beside" || !recs[0].RecentlyHealthy || recs[1].Endpoint != "ill" || recs[1].RecentlyHealthy {
 		t.Errorf("records %+v", recs)
 	}
 	if Changed(recs, recs[1:]) {
--- a/internal/state/journal/axis_test.go
+++ b/internal/state/journal/axis_test.go
@@ -21,7 +21,7 @@
 func (m *machine) pass(d time.Duration) { m.real, m.up, m.wall = m.real+d, m.up+d, m.wall.Add(d) }
 
 func (m *machine) read() bootclock.Reading {
-	return bootclock.Reading{Wall: m.wall, Boot: m.boot, Up: m.up}
+	return bootclock.Reading{Wall: m.wall, BootID: m.boot, Uptime: m.up}
 }
 
 // Over any history of processes, boots and settings of the wall clock: what a process reads of a time is as long ago as it truly
@@ -46,11 +46,11 @@
 			}
 			base, began := j.axis.Base, m.real
 			for i, x := range rec.Messages {
-				if x.MayRun[0].Undated != (all[i].boot != m.boot) {
-					t.Fatalf("sent on boot %q, now %q: undated %v", all[i].boot, m.boot, x.MayRun[0].Undated)
+				if x.UncertainAttempts[0].Undated != (all[i].boot != m.boot) {
+					t.Fatalf("sent on boot %q, now %q: undated %v", all[i].boot, m.boot, x.UncertainAttempts[0].Undated)
 				}
-				ago := base.Sub(x.MayRun[0].At)
-				if off := ago - (m.real - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.StepLeast {
+				ago := base.Sub(x.UncertainAttempts[0].SentAt)
+				if off := ago - (m.real - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.MinStep {
 					t.Fatalf("sent %v ago, taken for %v", m.real-all[i].at, ago)
 				}
 				if left := x.Deadline.Sub(base); left != 9*time.Second-ago {
@@ -62,7 +62,7 @@
 			at := base.Add(m.real - began)
 			x := &Message{ID: uint32(n + 1), Deadline: at.Add(9 * time.Second)}
 			mustBe(t, j.Accept(x))
-			mustBe(t, j.Sent(Send{x, Attempt{Host: "h", At: at}}))
+			mustBe(t, j.RecordSends(Send{x, Attempt{Endpoint: "h", SentAt: at}}))
 			all = append(all, &sent{at: m.real, boot: m.boot})
 			if stamp := j.Stamp(at); j.axis.Time(stamp.UnixNano()) != at {
 				t.Fatalf("stamp %v of %v", stamp, at)
@@ -83,7 +83,7 @@
 				}
 			}
 			m.pass(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms down")) * time.Millisecond)
-			if m.up > 0 && rapid.Bool().Draw(t, "set while down") && m.boot == j.anchor.Boot {
+			if m.up > 0 && rapid.Bool().Draw(t, "set while down") && m.boot == j.anchor.BootID {
 				m.wall = m.wall.Add(step(t))
 			}
 		}
@@ -96,8 +96,8 @@
 
 // An anchor that cannot be read is as none: times go by the wall clock.
 func TestAnchorsThatCannotBeRead(t *testing.T) {
-	whole := encodeAnchor(&clock.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}, nil)
-	if a := decodeAnchor(whole); a == nil || *a != (clock.Anchor{Boot: "b", Up: 1, At: 2, Step: 3, Epoch: 4}) {
+	whole := encodeAnchor(&clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}, nil)
+	if a := decodeAnchor(whole); a == nil || *a != (clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}) {
 		t.Errorf("%+v", a)
 	}
 	for cut := 1; cut < len(whole); cut++ {
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -44,13 +44,13 @@
 }
 
 func (s *oldSubject) accept(id uint32) error {
-	m := &legacylog.Message{ID: id, Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
+	m := &legacylog.Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
 	s.ms[id] = m
 	return s.l.Accept(m)
 }
 
 func (s *oldSubject) end(id uint32) error {
-	s.l.End(s.ms[id])
+	s.l.Remove(s.ms[id])
 	delete(s.ms, id)
 	return s.l.Flush()
 }
@@ -63,13 +63,13 @@
 }
 
 func (s *newSubject) accept(id uint32) error {
-	m := &Message{ID: id, Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
+	m := &Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
 	s.ms[id] = m
 	return s.j.Accept(m)
 }
 
 func (s *newSubject) end(id uint32) error {
-	s.j.End(s.ms[id])
+	s.j.Remove(s.ms[id])
 	delete(s.ms, id)
 	return s.j.Flush()
 }
@@ -153,7 +153,7 @@
 	for _, n := range counts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s, _, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.LeastLimit, int64(n)*3000)})
+			s, _, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.MinLimit, int64(n)*3000)})
 			must(b, err)
 			value := make([]byte, bodySize)
 			for i := 0; i < n; i += 100 {
@@ -169,7 +169,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for b.Loop() {
-				s, rec, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.LeastLimit, int64(n)*3000)})
+				s, rec, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.MinLimit, int64(n)*3000)})
 				must(b, err)
 				if len(rec.Keys) != n {
 					b.Fatal(len(rec.Keys))
@@ -242,7 +242,7 @@
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s := openSubject(b, "journal", dir, max(store.LeastLimit, int64(n)*3000))
+			s := openSubject(b, "journal", dir, max(store.MinLimit, int64(n)*3000))
 			for id := range uint32(n) {
 				must(b, s.accept(id+1))
 			}
@@ -251,7 +251,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				j, rec, err := OpenFolder(dir, Options{Limit: max(store.LeastLimit, int64(n)*3000), Bodies: 1})
+				j, rec, err := OpenFolder(dir, Options{Limit: max(store.MinLimit, int64(n)*3000), MaxBodyBytes: 1})
 				must(b, err)
 				if len(rec.Messages) != n {
 					b.Fatal(len(rec.Messages))
@@ -286,7 +286,7 @@
 					now := int(at/tick) % len(ends)
 					began := time.Now()
 					for _, m := range ends[now] {
-						j.End(m)
+						j.Remove(m)
 						live--
 					}
 					ends[now] = ends[now][:0]
@@ -294,7 +294,7 @@
 					var ms []*Message
 					for n := (40 + 320*swell*swell) * tick.Seconds(); n > 0 && rng.Float64() < n; n-- {
 						id++
-						ms = append(ms, &Message{ID: id, Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, 100+rng.IntN(500))})
+						ms = append(ms, &Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, 100+rng.IntN(500))})
 					}
 					if err := j.Accept(ms...); errors.Is(err, ErrFull) {
 						refused += len(ms)
@@ -305,7 +305,7 @@
 					for _, m := range ms {
 						attempts := 1 + rng.IntN(5)/4
 						for n := range attempts {
-							must(b, j.Sent(Send{m, Attempt{N: n, Host: "s-5be2a07c", At: time.Unix(1e9, 0)}}))
+							must(b, j.RecordSends(Send{m, Attempt{Number: n, Endpoint: "s-5be2a07c", SentAt: time.Unix(1e9, 0)}}))
 						}
 						lasts := time.Duration(rng.Float64() * float64(600*time.Millisecond))
 						if rng.IntN(10) == 0 {
--- a/internal/state/journal/form.go
+++ b/internal/state/journal/form.go
@@ -31,37 +31,37 @@
 }
 
 // appendAttempt writes an attempt.
-func appendAttempt(b []byte, a *Attempt, x clock.Axis) []byte {
-	b = appendInt(b, int64(a.N))
-	b = appendText(b, a.Host)
+func appendAttempt(b []byte, a *Attempt, x clock.Timeline) []byte {
+	b = appendInt(b, int64(a.Number))
+	b = appendText(b, a.Endpoint)
 	b = appendInt(b, int64(a.Zone))
-	b = appendInt(b, x.Of(a.At))
+	b = appendInt(b, x.Stamp(a.SentAt))
 	if a.Undated {
 		return appendInt(b, 0)
 	}
 	return appendInt(b, x.Epoch)
 }
 
-func appendFinal(b []byte, f *Final) []byte {
+func appendFinal(b []byte, f *FinalAnswer) []byte {
 	deferred := int64(0)
-	if f.Deferred {
+	if f.Retryable {
 		deferred = 1
 	}
-	return appendInt(appendInt(b, deferred), int64(f.Again))
+	return appendInt(appendInt(b, deferred), int64(f.RetryAfter))
 }
 
 // encode appends all of a message but its body.
-func (m *Message) encode(b []byte, x clock.Axis) []byte {
+func (m *Message) encode(b []byte, x clock.Timeline) []byte {
 	b = append(b, version)
-	for _, x := range []int64{int64(m.ID), int64(m.Class), int64(m.Customer), int64(m.Dest)} {
+	for _, x := range []int64{int64(m.ID), int64(m.Class), int64(m.Tenant), int64(m.Destination)} {
 		b = appendInt(b, x)
 	}
-	b = appendInt(b, x.Of(m.Deadline))
-	b = appendText(appendText(appendText(appendText(b, m.Trace), m.Key), m.Order), m.Service)
+	b = appendInt(b, x.Stamp(m.Deadline))
+	b = appendText(appendText(appendText(appendText(b, m.TraceID), m.IdempotencyKey), m.OrderingKey), m.ClassName)
 	b = appendInt(b, int64(m.Attempts))
-	b = appendInt(b, int64(len(m.MayRun)))
-	for i := range m.MayRun {
-		b = appendAttempt(b, &m.MayRun[i], x)
+	b = appendInt(b, int64(len(m.UncertainAttempts)))
+	for i := range m.UncertainAttempts {
+		b = appendAttempt(b, &m.UncertainAttempts[i], x)
 	}
 	return b
 }
@@ -69,7 +69,7 @@
 // reader reads fields; the first that is not there makes all behind it zero and bad true.
 type reader struct {
 	data []byte
-	axis clock.Axis
+	axis clock.Timeline
 	bad  bool
 }
 
@@ -97,27 +97,27 @@
 func (r *reader) time() time.Time { return r.axis.Time(r.int()) }
 
 func (r *reader) attempt() Attempt {
-	a := Attempt{N: int(r.int()), Host: r.text(), Zone: int(r.int()), At: r.time()}
+	a := Attempt{Number: int(r.int()), Endpoint: r.text(), Zone: int(r.int()), SentAt: r.time()}
 	epoch := r.int()
 	a.Undated = epoch == 0 || epoch != r.axis.Epoch
 	return a
 }
 
 // decode reads a message; false if the value is none of this form.
-func decode(value []byte, x clock.Axis) (*Message, bool) {
+func decode(value []byte, x clock.Timeline) (*Message, bool) {
 	if len(value) == 0 || value[0] != version {
 		return nil, false
 	}
 	r := &reader{data: value[1:], axis: x}
-	m := &Message{ID: uint32(r.int()), Class: int(r.int()), Customer: int(r.int()), Dest: int(r.int()), Deadline: r.time()}
-	m.Trace, m.Key, m.Order, m.Service = r.text(), r.text(), r.text(), r.text()
+	m := &Message{ID: uint32(r.int()), Class: int(r.int()), Tenant: int(r.int()), Destination: int(r.int()), Deadline: r.time()}
+	m.TraceID, m.IdempotencyKey, m.OrderingKey, m.ClassName = r.text(), r.text(), r.text(), r.text()
 	m.Attempts = int(r.int())
 	n := r.int()
 	if n < 0 || n > int64(len(r.data)) {
 		return nil, false
 	}
 	for range n {
-		m.MayRun = append(m.MayRun, r.attempt())
+		m.UncertainAttempts = append(m.UncertainAttempts, r.attempt())
 	}
 	if r.bad {
 		return nil, false
@@ -129,7 +129,7 @@
 }
 
 // apply applies a delta; false if it is none of this form.
-func (m *Message) apply(delta []byte, x clock.Axis) bool {
+func (m *Message) apply(delta []byte, x clock.Timeline) bool {
 	if len(delta) == 0 {
 		return false
 	}
@@ -145,12 +145,12 @@
 			m.neverRan(int(n))
 		}
 	case deltaFinal:
-		f := Final{Deferred: r.int() == 1, Again: time.Duration(r.int())}
+		f := FinalAnswer{Retryable: r.int() == 1, RetryAfter: time.Duration(r.int())}
 		if !r.bad {
 			m.Final = &f
 		}
 	case deltaWithdrawn:
-		m.Withdrawn = true
+		m.Cancelled = true
 	default:
 		return false
 	}
@@ -159,14 +159,14 @@
 
 // encodeAnchor writes an anchor.
 func encodeAnchor(a *clock.Anchor, b []byte) []byte {
-	b = appendInt(appendText(append(b, anchorVersion), a.Boot), int64(a.Up))
-	return appendInt(appendInt(appendInt(b, a.At), int64(a.Step)), a.Epoch)
+	b = appendInt(appendText(append(b, anchorVersion), a.BootID), int64(a.Uptime))
+	return appendInt(appendInt(appendInt(b, a.At), int64(a.WallOffset)), a.Epoch)
 }
 
 // decodeAnchor reads an anchor; nil if the value is none of this form.
 func decodeAnchor(value []byte) *clock.Anchor {
 	r := &reader{data: value[1:]}
-	a := &clock.Anchor{Boot: r.text(), Up: time.Duration(r.int()), At: r.int(), Step: time.Duration(r.int()), Epoch: r.int()}
+	a := &clock.Anchor{BootID: r.text(), Uptime: time.Duration(r.int()), At: r.int(), WallOffset: time.Duration(r.int()), Epoch: r.int()}
 	if r.bad || len(r.data) > 0 {
 		return nil
 	}
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -24,25 +24,25 @@
 var goldenStart = time.Unix(1e9, 0).UTC()
 
 func goldenClock() bootclock.Reading {
-	return bootclock.Reading{Wall: goldenStart, Boot: "golden-boot", Up: time.Minute}
+	return bootclock.Reading{Wall: goldenStart, BootID: "golden-boot", Uptime: time.Minute}
 }
 
-func goldenOptions() Options { return Options{Limit: store.LeastLimit, Clock: goldenClock} }
+func goldenOptions() Options { return Options{Limit: store.MinLimit, Clock: goldenClock} }
 
 func goldenAnchor() clock.Anchor {
-	return clock.Anchor{Boot: "golden-boot", Up: time.Minute, At: goldenStart.UnixNano(), Epoch: 1}
+	return clock.Anchor{BootID: "golden-boot", Uptime: time.Minute, At: goldenStart.UnixNano(), Epoch: 1}
 }
 
 // goldenStanding is what the golden journal keeps of the hosts' standing.
 func goldenStanding() []byte {
 	return endpointhealth.Encode([]endpointhealth.Record{
-		{Route: "s-1", At: goldenStart, Wait: goldenStart.Add(time.Second), Down: true, Cold: true, Paced: true},
-		{Route: "s-2", At: goldenStart, Alive: true},
+		{Endpoint: "s-1", ObservedAt: goldenStart, RetryAfterUntil: goldenStart.Add(time.Second), Ejected: true, WarmingUp: true, RecentlyRejected: true},
+		{Endpoint: "s-2", ObservedAt: goldenStart, RecentlyHealthy: true},
 	})
 }
 
 func goldenAttempt(n int) Attempt {
-	return Attempt{N: n, Host: fmt.Sprint("s-", n), Zone: 1, At: goldenStart.Add(time.Duration(n) * time.Second)}
+	return Attempt{Number: n, Endpoint: fmt.Sprint("s-", n), Zone: 1, SentAt: goldenStart.Add(time.Duration(n) * time.Second)}
 }
 
 // writeGolden writes messages of every kind to a state folder, and returns those that are unfinished.
@@ -52,20 +52,20 @@
 	must(t, err)
 	untried, sent, withdrawn, deferred, failed, ended := message(1), message(2), message(3), message(4), message(5), message(6)
 	tried := message(7) // when it was taken on
-	tried.Attempts, tried.MayRun = 2, []Attempt{goldenAttempt(1)}
+	tried.Attempts, tried.UncertainAttempts = 2, []Attempt{goldenAttempt(1)}
 	undated := message(8)
-	undated.Attempts, undated.MayRun = 1, []Attempt{goldenAttempt(0)}
-	undated.MayRun[0].Undated = true
+	undated.Attempts, undated.UncertainAttempts = 1, []Attempt{goldenAttempt(0)}
+	undated.UncertainAttempts[0].Undated = true
 	must(t, j.Accept(untried, sent, withdrawn, deferred, failed, ended, tried, undated))
-	must(t, j.Sent(Send{sent, goldenAttempt(0)}, Send{sent, goldenAttempt(1)}, Send{sent, goldenAttempt(2)}))
-	must(t, j.Sent(Send{withdrawn, goldenAttempt(0)}, Send{failed, goldenAttempt(0)}))
-	j.NeverRan(sent, 1)
-	j.Withdraw(withdrawn)
-	j.Decide(deferred, Final{Deferred: true, Again: 1500 * time.Millisecond})
-	j.Decide(failed, Final{})
-	j.End(ended)
+	must(t, j.RecordSends(Send{sent, goldenAttempt(0)}, Send{sent, goldenAttempt(1)}, Send{sent, goldenAttempt(2)}))
+	must(t, j.RecordSends(Send{withdrawn, goldenAttempt(0)}, Send{failed, goldenAttempt(0)}))
+	j.RecordNotRun(sent, 1)
+	j.RecordCancelled(withdrawn)
+	j.RecordFinal(deferred, FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond})
+	j.RecordFinal(failed, FinalAnswer{})
+	j.Remove(ended)
 	must(t, j.Flush())
-	must(t, j.Standing(goldenStanding()))
+	must(t, j.SaveEndpointHealth(goldenStanding()))
 	must(t, j.Close())
 	return []*Message{untried, sent, withdrawn, deferred, failed, tried, undated}
 }
@@ -81,10 +81,10 @@
 // dump tells what stands in the store of a state folder: keys, values and deltas.
 func dump(t *testing.T, state string) []byte {
 	t.Helper()
-	s, found, err := store.Open(store.Dir(Folder(state)), store.Options{Limit: store.LeastLimit, ReadOnly: true})
+	s, found, err := store.Open(store.Dir(Folder(state)), store.Options{Limit: store.MinLimit, ReadOnly: true})
 	must(t, err)
 	defer s.Close()
-	if !found.Sound() {
+	if !found.Intact() {
 		t.Fatalf("the store is not sound: %+v", found)
 	}
 	var out bytes.Buffer
@@ -126,12 +126,12 @@
 	j, found, err := OpenFolder(goldenCopy(t), goldenOptions())
 	must(t, err)
 	defer j.Close()
-	if !found.Sound() || found.Stepped != 0 {
+	if !found.Intact() || found.ClockStep != 0 {
 		t.Errorf("found %+v", found)
 	}
 	checkMessages(t, found.Messages, want)
-	if !bytes.Equal(found.Standing, goldenStanding()) {
-		t.Errorf("standing %s", found.Standing)
+	if !bytes.Equal(found.EndpointHealth, goldenStanding()) {
+		t.Errorf("standing %s", found.EndpointHealth)
 	}
 	if j.anchor != goldenAnchor() {
 		t.Errorf("anchor %+v, want %+v", j.anchor, goldenAnchor())
@@ -143,14 +143,14 @@
 	options := goldenOptions()
 	options.Clock = func() bootclock.Reading {
 		now := goldenClock()
-		now.Wall, now.Up = now.Wall.Add(time.Hour), now.Up+5*time.Second
+		now.Wall, now.Uptime = now.Wall.Add(time.Hour), now.Uptime+5*time.Second
 		return now
 	}
 	j, found, err := OpenFolder(goldenCopy(t), options)
 	must(t, err)
 	defer j.Close()
-	if found.Stepped != time.Hour-5*time.Second {
-		t.Errorf("stepped by %v", found.Stepped)
+	if found.ClockStep != time.Hour-5*time.Second {
+		t.Errorf("stepped by %v", found.ClockStep)
 	}
 	if got, want := j.axis.At, goldenStart.Add(5*time.Second).UnixNano(); got != want {
 		t.Errorf("the axis goes on at %d, want %d", got, want)
@@ -169,7 +169,7 @@
 	j, found, err := OpenFolder(state, goldenOptions())
 	must(t, err)
 	must(t, j.Close())
-	carried := found.Carried
+	carried := found.Migrated
 	golden.Check(t, *update, "carried-over.txt", dump(t, state))
 
 	// The next process reads the same from the journal alone.
@@ -178,23 +178,23 @@
 	defer j.Close()
 	old := func(id uint32) *Message {
 		return &Message{
-			ID: id, Trace: "trace", Key: "key", Order: "order", Class: 2, Service: "orders", Customer: 3, Dest: 7,
+			ID: id, TraceID: "trace", IdempotencyKey: "key", OrderingKey: "order", Class: 2, ClassName: "orders", Tenant: 3, Destination: 7,
 			Deadline: time.Unix(1e9, int64(id)), Body: []byte("body"),
 		}
 	}
 	attempt := func(n int) []Attempt {
-		return []Attempt{{N: n, Host: "s-1", Zone: 1, At: goldenStart, Undated: true}}
+		return []Attempt{{Number: n, Endpoint: "s-1", Zone: 1, SentAt: goldenStart, Undated: true}}
 	}
 	untried, sent, deferred, failed, withdrawn, rewritten := old(1), old(2), old(3), old(4), old(5), old(7)
-	sent.Attempts, sent.MayRun = 2, attempt(0)
-	deferred.Final = &Final{Deferred: true, Again: 1500 * time.Millisecond}
-	failed.Attempts, failed.MayRun, failed.Final = 1, attempt(0), &Final{}
-	withdrawn.Attempts, withdrawn.MayRun, withdrawn.Withdrawn = 1, attempt(0), true
-	rewritten.Attempts, rewritten.MayRun, rewritten.Final, rewritten.Withdrawn = 3, attempt(2), &Final{Deferred: true, Again: time.Second}, true
+	sent.Attempts, sent.UncertainAttempts = 2, attempt(0)
+	deferred.Final = &FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond}
+	failed.Attempts, failed.UncertainAttempts, failed.Final = 1, attempt(0), &FinalAnswer{}
+	withdrawn.Attempts, withdrawn.UncertainAttempts, withdrawn.Cancelled = 1, attempt(0), true
+	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, attempt(2), &FinalAnswer{Retryable: true, RetryAfter: time.Second}, true
 	plain := &Message{ID: 8, Deadline: goldenStart}
 	want := []*Message{untried, sent, deferred, failed, withdrawn, rewritten, plain}
 	checkMessages(t, found.Messages, want)
-	if carried != len(want) || found.Carried != 0 {
-		t.Errorf("%d carried over, then %d", carried, found.Carried)
+	if carried != len(want) || found.Migrated != 0 {
+		t.Errorf("%d carried over, then %d", carried, found.Migrated)
 	}
 }
