--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -19,26 +19,26 @@
 
 // Message is a message that was taken on, with what the journal knows of its fate.
 type Message struct {
-	ID       uint32    `json:"ID"`    // the relay's number for it
-	Trace    string    `json:"Trace"` // the client's
-	Key      string    `json:"Key"`   // idempotency key; "" if none
-	Order    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
-	Class    int       `json:"Class"`
-	Service  string    `json:"Service"` // the class by its name: its number is that of one configuration; "" if not known
-	Customer int       `json:"Customer"`
-	Dest     int       `json:"Dest"`
-	Deadline time.Time `json:"Deadline"`
-	Body     []byte    `json:"Body"` // nil where it was left on disk: Journal.Body
-
-	Attempts int       `json:"Attempts"` // sends so far
-	MayRun   []Attempt `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
-	Final    *Final    `json:"Final"`    // the notice that ends it, once decided
+	ID             uint32    `json:"ID"`    // the relay's number for it
+	TraceID        string    `json:"Trace"` // the client's
+	IdempotencyKey string    `json:"Key"`   // idempotency key; "" if none
+	OrderingKey    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
+	Class          int       `json:"Class"`
+	ClassName      string    `json:"Service"` // the class by its name: its number is that of one configuration; "" if not known
+	Tenant         int       `json:"Customer"`
+	Destination    int       `json:"Dest"`
+	Deadline       time.Time `json:"Deadline"`
+	Body           []byte    `json:"Body"` // nil where it was left on disk: Journal.Body
+
+	Attempts          int          `json:"Attempts"` // sends so far
+	UncertainAttempts []Attempt    `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
+	Final             *FinalAnswer `json:"Final"`    // the notice that ends it, once decided
 
 	// Withdrawn tells that nothing is owed, since its client left without an answer. It may have run, and should it
 	// be handed in once more, that must be known.
-	Withdrawn bool `json:"Withdrawn"`
+	Cancelled bool `json:"Withdrawn"`
 	// Doubtful tells that records which could not be read may have been about it: it may have run, anywhere.
-	Doubtful bool `json:"Doubtful"`
+	Uncertain bool `json:"Doubtful"`
 
 	key  uint64 // in the store; 0: not in it
 	size int    // of the body
@@ -46,19 +46,19 @@
 
 // Attempt is one send.
 type Attempt struct {
-	N    int       `json:"N"`
-	Host string    `json:"Host"`
-	Zone int       `json:"Zone"`
-	At   time.Time `json:"At"`
+	Number   int       `json:"N"`
+	Endpoint string    `json:"Host"`
+	Zone     int       `json:"Zone"`
+	SentAt   time.Time `json:"At"`
 	// Undated tells that the machine was started anew since, or that this cannot be told: At goes by the wall clock alone, which
 	// may have been set.
 	Undated bool `json:"Undated"`
 }
 
-// Final is the notice that ends a message which was not delivered.
-type Final struct {
-	Deferred bool          `json:"Deferred"` // the client may safely come again
-	Again    time.Duration `json:"Again"`
+// FinalAnswer is the notice that ends a message which was not delivered.
+type FinalAnswer struct {
+	Retryable  bool          `json:"Deferred"` // the client may safely come again
+	RetryAfter time.Duration `json:"Again"`
 }
 
 // Send is an attempt about to be made, and whose.
@@ -72,17 +72,17 @@
 	Messages []*Message // unfinished, in the order in which they were taken on
 	Store    *store.Recovery
 	// Standing is what was kept last by Journal.Standing.
-	Standing []byte
+	EndpointHealth []byte
 	// Carried is how many messages came over from a log of the form before this one.
-	Carried int
+	Migrated int
 	// Stepped is by how much the wall clock was set since the journal was last opened, as far as the boot's clock tells.
-	Stepped time.Duration
+	ClockStep time.Duration
 	// Unreadable are values of the store that hold no message of this form.
 	Unreadable int
 }
 
-// Sound tells whether all that was ever written could be read.
-func (r *Recovery) Sound() bool { return r.Store.Sound() && r.Unreadable == 0 }
+// Intact tells whether all that was ever written could be read.
+func (r *Recovery) Intact() bool { return r.Store.Intact() && r.Unreadable == 0 }
 
 // Options are those of a Journal.
 type Options struct {
@@ -90,11 +90,11 @@
 	Sync     store.SyncPolicy
 	Interval time.Duration
 	// Bodies bounds the bodies that are kept in memory beside the store, in bytes; 0: all are.
-	Bodies int64
+	MaxBodyBytes int64
 	// Clock reads the machine's clocks; nil: bootclock.Now.
 	Clock func() bootclock.Reading
 	// Through is what stands between the journal and the files of its folder; nil: nothing.
-	Through func(store.FS) store.FS
+	WrapFS func(store.FS) store.FS
 
 	readOnly bool
 }
@@ -116,7 +116,7 @@
 	// The keys of what Standing kept, and of anchors: all but the last of each are of no use.
 	standings, anchors []uint64
 
-	axis    clock.Axis
+	axis    clock.Timeline
 	anchor  clock.Anchor // in the store, if that had room
 	stalled error        // compaction could not go on; told once
 }
@@ -157,10 +157,10 @@
 			rec.Unreadable++
 			continue
 		}
-		m.key, m.Doubtful = key, found.Doubtful(key)
+		m.key, m.Uncertain = key, found.Doubtful(key)
 		for _, d := range found.Deltas(key) {
 			if !m.apply(d, j.axis) {
-				m.Doubtful = true
+				m.Uncertain = true
 			}
 		}
 		if was := j.live[m.ID]; was != nil { // the carrying over of an older log was cut off between two writes
@@ -185,7 +185,7 @@
 		switch j.scratch = value; {
 		case len(value) > 0 && value[0] == standingVersion:
 			j.standings = append(j.standings, key) // in the order of their keys: the last counts
-			rec.Standing = append([]byte(nil), value[1:]...)
+			rec.EndpointHealth = append([]byte(nil), value[1:]...)
 		case len(value) > 0 && value[0] == anchorVersion:
 			j.anchors, last = append(j.anchors, key), decodeAnchor(value)
 		default:
@@ -195,9 +195,9 @@
 	if j.opt.Clock == nil {
 		j.opt.Clock = bootclock.Now
 	}
-	j.axis, j.anchor = clock.GoOn(last, j.opt.Clock())
+	j.axis, j.anchor = clock.Resume(last, j.opt.Clock())
 	if last != nil {
-		rec.Stepped = j.anchor.Step - last.Step
+		rec.ClockStep = j.anchor.WallOffset - last.WallOffset
 	}
 	return keys, nil
 }
@@ -221,12 +221,12 @@
 
 // Stamp is a time of this process on the journal's axis, to which nothing that is done to the wall clock matters, in the
 // form of a wall time. What Standing keeps should be timed so.
-func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.axis.Of(t)) }
+func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.axis.Stamp(t)) }
 
 // keep leaves a body on disk where the bodies in memory would be too many.
 func (j *Journal) keep(m *Message) {
 	m.size = len(m.Body)
-	if j.opt.Bodies > 0 && j.bodies+int64(m.size) > j.opt.Bodies {
+	if j.opt.MaxBodyBytes > 0 && j.bodies+int64(m.size) > j.opt.MaxBodyBytes {
 		m.Body = nil
 		return
 	}
@@ -248,9 +248,9 @@
 // Size is the length of a message's body, in bytes.
 func (m *Message) Size() int { return max(m.size, len(m.Body)) }
 
-// Standing keeps data in the place of what was kept before: what a process wants the next one to know beside the messages. It is
+// SaveEndpointHealth keeps data in the place of what was kept before: what a process wants the next one to know beside the messages. It is
 // one commit with all that is noted. With ErrFull what was kept before stays.
-func (j *Journal) Standing(data []byte) error {
+func (j *Journal) SaveEndpointHealth(data []byte) error {
 	return j.replace(&j.standings, append([]byte{standingVersion}, data...))
 }
 
@@ -271,7 +271,7 @@
 // Close writes what is noted and how far the wall clock has been set by now, and closes the store.
 func (j *Journal) Close() error {
 	err := j.Flush()
-	if _, now := clock.GoOn(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly && now.Step != j.anchor.Step {
+	if _, now := clock.Resume(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly && now.WallOffset != j.anchor.WallOffset {
 		j.anchor = now
 		err = j.keepAnchor()
 	}
@@ -281,8 +281,8 @@
 // Stats tells how the store fares.
 func (j *Journal) Stats() store.Stats { return j.store.Stats() }
 
-// Owes tells whether m has no end yet.
-func (j *Journal) Owes(m *Message) bool { return j.live[m.ID] == m }
+// Tracks tells whether m has no end yet.
+func (j *Journal) Tracks(m *Message) bool { return j.live[m.ID] == m }
 
 // Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the journal.
 func (j *Journal) Accept(ms ...*Message) error {
@@ -303,8 +303,8 @@
 	return nil
 }
 
-// Sent records attempts before their first byte, all or none.
-func (j *Journal) Sent(sends ...Send) error {
+// RecordSends records attempts before their first byte, all or none.
+func (j *Journal) RecordSends(sends ...Send) error {
 	b := j.begin()
 	for i := range sends {
 		s := &sends[i]
@@ -320,37 +320,37 @@
 	return nil
 }
 
-// NeverRan notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of what a
+// RecordNotRun notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of what a
 // restart has to go by.
-func (j *Journal) NeverRan(m *Message, n int) {
-	if !j.Owes(m) {
+func (j *Journal) RecordNotRun(m *Message, n int) {
+	if !j.Tracks(m) {
 		return
 	}
 	m.neverRan(n)
 	j.notes = append(j.notes, note{m, deltaNeverRan, n})
 }
 
-// Decide notes the notice that will end m.
-func (j *Journal) Decide(m *Message, f Final) {
-	if !j.Owes(m) {
+// RecordFinal notes the notice that will end m.
+func (j *Journal) RecordFinal(m *Message, f FinalAnswer) {
+	if !j.Tracks(m) {
 		return
 	}
 	m.Final = &f
 	j.notes = append(j.notes, note{m, deltaFinal, 0})
 }
 
-// Withdraw notes that nothing is owed for m but to remember what may have run, until End.
-func (j *Journal) Withdraw(m *Message) {
-	if !j.Owes(m) {
+// RecordCancelled notes that nothing is owed for m but to remember what may have run, until End.
+func (j *Journal) RecordCancelled(m *Message) {
+	if !j.Tracks(m) {
 		return
 	}
-	m.Withdrawn = true
+	m.Cancelled = true
 	j.notes = append(j.notes, note{m, deltaWithdrawn, 0})
 }
 
-// End notes that nothing more is owed for m.
-func (j *Journal) End(m *Message) {
-	if !j.Owes(m) {
+// Remove notes that nothing more is owed for m.
+func (j *Journal) Remove(m *Message) {
+	if !j.Tracks(m) {
 		return
 	}
 	delete(j.live, m.ID)
@@ -417,18 +417,18 @@
 	return nil
 }
 
-// Stalled is the first error that kept compaction from going on, if any did since it was last asked for.
-func (j *Journal) Stalled() error {
+// CompactionError is the first error that kept compaction from going on, if any did since it was last asked for.
+func (j *Journal) CompactionError() error {
 	err := j.stalled
 	j.stalled = nil
 	return err
 }
 
 func (m *Message) sent(a Attempt) {
-	m.Attempts = max(m.Attempts, a.N+1)
-	m.MayRun = append(m.MayRun, a)
+	m.Attempts = max(m.Attempts, a.Number+1)
+	m.UncertainAttempts = append(m.UncertainAttempts, a)
 }
 
 func (m *Message) neverRan(n int) {
-	m.MayRun = slices.DeleteFunc(m.MayRun, func(a Attempt) bool { return a.N == n })
+	m.UncertainAttempts = slices.DeleteFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == n })
 }
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -20,7 +20,7 @@
 
 func opened(t testing.TB, fs store.FS) (*Journal, *Recovery) {
 	t.Helper()
-	j, rec, err := Open(fs, Options{Limit: store.LeastLimit})
+	j, rec, err := Open(fs, Options{Limit: store.MinLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 
 func message(id uint32) *Message {
 	return &Message{
-		ID: id, Trace: fmt.Sprint("trace-", id), Key: "key", Order: "order", Class: 2, Service: "orders", Customer: -1, Dest: 7,
+		ID: id, TraceID: fmt.Sprint("trace-", id), IdempotencyKey: "key", OrderingKey: "order", Class: 2, ClassName: "orders", Tenant: -1, Destination: 7,
 		Deadline: time.Unix(1e9, int64(id)), Body: []byte(fmt.Sprint("body of ", id)),
 	}
 }
@@ -46,12 +46,12 @@
 	x, y := *a, *b
 	for _, m := range []*Message{&x, &y} {
 		m.key, m.size = 0, 0
-		if len(m.MayRun) == 0 {
-			m.MayRun = nil
+		if len(m.UncertainAttempts) == 0 {
+			m.UncertainAttempts = nil
 		}
-		m.MayRun = slices.Clone(m.MayRun)
-		for i := range m.MayRun {
-			m.MayRun[i].At = m.MayRun[i].At.Round(0).UTC()
+		m.UncertainAttempts = slices.Clone(m.UncertainAttempts)
+		for i := range m.UncertainAttempts {
+			m.UncertainAttempts[i].SentAt = m.UncertainAttempts[i].SentAt.Round(0).UTC()
 		}
 		m.Deadline = m.Deadline.Round(0).UTC()
 	}
@@ -61,25 +61,25 @@
 func TestWhatIsUnfinishedComesBack(t *testing.T) {
 	fs := faultfs.New()
 	j, rec := opened(t, fs)
-	if len(rec.Messages) != 0 || !rec.Sound() {
+	if len(rec.Messages) != 0 || !rec.Intact() {
 		t.Fatalf("%+v", rec)
 	}
 	var ms []*Message
 	for id := range uint32(6) {
 		ms = append(ms, message(id+1))
 	}
-	ms[5].Body, ms[5].Attempts, ms[5].MayRun = nil, 2, []Attempt{{N: 1, Host: "h", Zone: 1, At: time.Unix(5, 5)}}
+	ms[5].Body, ms[5].Attempts, ms[5].UncertainAttempts = nil, 2, []Attempt{{Number: 1, Endpoint: "h", Zone: 1, SentAt: time.Unix(5, 5)}}
 	must(t, j.Accept(ms...))
 	at := time.Unix(7, 8)
-	must(t, j.Sent(Send{ms[0], Attempt{N: 0, Host: "s-1", Zone: 1, At: at}}, Send{ms[1], Attempt{N: 0, Host: "s-2", Zone: 0, At: at}}))
-	must(t, j.Sent(Send{ms[0], Attempt{N: 1, Host: "s-3", Zone: 1, At: at}}))
-	j.NeverRan(ms[0], 0)
-	j.Decide(ms[1], Final{Deferred: true, Again: 500 * time.Millisecond})
-	j.Decide(ms[2], Final{})
-	j.Withdraw(ms[3])
-	j.End(ms[4])
+	must(t, j.RecordSends(Send{ms[0], Attempt{Number: 0, Endpoint: "s-1", Zone: 1, SentAt: at}}, Send{ms[1], Attempt{Number: 0, Endpoint: "s-2", Zone: 0, SentAt: at}}))
+	must(t, j.RecordSends(Send{ms[0], Attempt{Number: 1, Endpoint: "s-3", Zone: 1, SentAt: at}}))
+	j.RecordNotRun(ms[0], 0)
+	j.RecordFinal(ms[1], FinalAnswer{Retryable: true, RetryAfter: 500 * time.Millisecond})
+	j.RecordFinal(ms[2], FinalAnswer{})
+	j.RecordCancelled(ms[3])
+	j.Remove(ms[4])
 	must(t, j.Flush())
-	if j.Owes(ms[4]) || !j.Owes(ms[3]) {
+	if j.Tracks(ms[4]) || !j.Tracks(ms[3]) {
 		t.Error("owes the wrong ones")
 	}
 	_, rec = opened(t, fs.Reboot())
@@ -102,7 +102,7 @@
 		owed, sent, next := map[uint32]bool{}, map[uint32]map[int]bool{}, uint32(0)
 		for range rapid.IntRange(1, 5).Draw(rt, "lives") {
 			fs = fs.Reboot()
-			j, rec, err := Open(fs, Options{Limit: store.LeastLimit, Bodies: 2000})
+			j, rec, err := Open(fs, Options{Limit: store.MinLimit, MaxBodyBytes: 2000})
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 					rt.Fatalf("body of %d: %.30q, %v", m.ID, body, err)
 				}
 				for n := range sent[m.ID] {
-					if !slices.ContainsFunc(m.MayRun, func(a Attempt) bool { return a.N == n }) {
+					if !slices.ContainsFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == n }) {
 						rt.Fatalf("message %d: attempt %d may have run, and is not known", m.ID, n)
 					}
 				}
@@ -125,7 +125,7 @@
 					rt.Fatalf("message %d is forgotten", id)
 				}
 			}
-			if !rec.Sound() {
+			if !rec.Intact() {
 				rt.Fatalf("%+v", rec.Store)
 			}
 			clear(owed)
@@ -143,7 +143,7 @@
 					if err = j.Accept(m); errors.Is(err, ErrFull) {
 						err = nil
 						if len(ms) > 0 {
-							j.End(ms[0])
+							j.Remove(ms[0])
 							if err = j.Flush(); err == nil {
 								delete(owed, ms[0].ID)
 							}
@@ -155,19 +155,19 @@
 					}
 				case n < 6:
 					m := ms[rng.IntN(len(ms))]
-					a := Attempt{N: m.Attempts, Host: "s", At: time.Unix(1, 0)}
-					if err = j.Sent(Send{m, a}); err == nil {
+					a := Attempt{Number: m.Attempts, Endpoint: "s", SentAt: time.Unix(1, 0)}
+					if err = j.RecordSends(Send{m, a}); err == nil {
 						if sent[m.ID] == nil {
 							sent[m.ID] = map[int]bool{}
 						}
-						sent[m.ID][a.N] = true
+						sent[m.ID][a.Number] = true
 					}
 				case n < 7:
 					m := ms[rng.IntN(len(ms))]
-					if len(m.MayRun) > 0 {
-						n := m.MayRun[0].N
+					if len(m.UncertainAttempts) > 0 {
+						n := m.UncertainAttempts[0].Number
 						delete(sent[m.ID], n) // from the note on either is right
-						j.NeverRan(m, n)
+						j.RecordNotRun(m, n)
 						err = j.Flush()
 					}
 				default:
@@ -175,7 +175,7 @@
 					m := ms[i]
 					ms = slices.Delete(slices.Clone(ms), i, i+1)
 					delete(owed, m.ID) // from the note on either is right
-					j.End(m)
+					j.Remove(m)
 					err = j.Flush()
 				}
 			}
@@ -201,13 +201,13 @@
 		must(t, err)
 		ms = append(ms, m)
 	}
-	if j.Owes(&Message{ID: uint32(len(ms) + 1)}) {
+	if j.Tracks(&Message{ID: uint32(len(ms) + 1)}) {
 		t.Error("the one that was refused is owed")
 	}
 	for i, m := range ms {
-		must(t, j.Sent(Send{m, Attempt{N: 0, Host: "s-0123456789", Zone: 1, At: time.Unix(1, 1)}}))
+		must(t, j.RecordSends(Send{m, Attempt{Number: 0, Endpoint: "s-0123456789", Zone: 1, SentAt: time.Unix(1, 1)}}))
 		if i%2 == 0 {
-			j.NeverRan(m, 0)
+			j.RecordNotRun(m, 0)
 			if err := j.Accept(&Message{ID: 1e6, Body: make([]byte, 100000)}); !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -218,16 +218,16 @@
 		t.Fatalf("%d messages, want %d", len(rec.Messages), len(ms))
 	}
 	for i, m := range rec.Messages {
-		if len(m.MayRun) != i%2 {
-			t.Errorf("message %d: %d may have run", m.ID, len(m.MayRun))
+		if len(m.UncertainAttempts) != i%2 {
+			t.Errorf("message %d: %d may have run", m.ID, len(m.UncertainAttempts))
 		}
 	}
 	for _, m := range ms {
-		j.End(m)
+		j.Remove(m)
 		must(t, j.Flush())
 	}
 	must(t, j.Accept(message(1)))
-	if err := j.Stalled(); err != nil {
+	if err := j.CompactionError(); err != nil {
 		t.Error(err)
 	}
 }
@@ -247,17 +247,17 @@
 	_, rec := opened(t, fs.Reboot())
 	doubtful := 0
 	for _, m := range rec.Messages {
-		if m.Doubtful {
+		if m.Uncertain {
 			doubtful++
 		}
 	}
-	if rec.Sound() || len(rec.Messages) < 37 || doubtful < 15 || doubtful > 25 {
+	if rec.Intact() || len(rec.Messages) < 37 || doubtful < 15 || doubtful > 25 {
 		t.Errorf("%d messages, %d doubtful: %+v", len(rec.Messages), doubtful, rec.Store)
 	}
 }
 
 // unset is the axis of a machine whose clock was never set.
-var unset = clock.Axis{Base: time.Unix(0, 0), Epoch: 1}
+var unset = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
 
 func TestDecodeRefusesWhatItNeverWrote(t *testing.T) {
 	value := append(message(3).encode(nil, unset), "body"...)
@@ -276,7 +276,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(append(message(3).encode(nil, unset), "body"...))
-	f.Add(appendAttempt([]byte{deltaSend}, &Attempt{N: 1, Host: "h", Zone: 2, At: time.Unix(1, 2)}, unset))
+	f.Add(appendAttempt([]byte{deltaSend}, &Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}, unset))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, ok := decode(data, unset)
 		if !ok {
--- a/internal/state/journal/kill_test.go
+++ b/internal/state/journal/kill_test.go
@@ -28,7 +28,7 @@
 
 // write tells on standard output what it found, each message once it is taken on, and each before it is ended.
 func write(dir string) error {
-	j, rec, err := OpenFolder(dir, Options{Limit: store.LeastLimit})
+	j, rec, err := OpenFolder(dir, Options{Limit: store.MinLimit})
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 		fmt.Println("found", m.ID)
 		next = max(next, m.ID)
 	}
-	fmt.Println("sound", rec.Sound())
+	fmt.Println("sound", rec.Intact())
 	live := rec.Messages
 	for {
 		next++
@@ -48,12 +48,12 @@
 		}
 		fmt.Println("took", m.ID)
 		live = append(live, m)
-		if err := j.Sent(Send{m, Attempt{Host: "s-1", At: time.Unix(1, 0)}}); err != nil {
+		if err := j.RecordSends(Send{m, Attempt{Endpoint: "s-1", SentAt: time.Unix(1, 0)}}); err != nil {
 			return err
 		}
 		for len(live) > 100 {
 			fmt.Println("ends", live[0].ID)
-			j.End(live[0])
+			j.Remove(live[0])
 			live = live[1:]
 		}
 		if err := j.Flush(); err != nil {
--- a/internal/state/journal/legacy.go
+++ b/internal/state/journal/legacy.go
@@ -27,8 +27,8 @@
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	var fs store.FS = store.Dir(dir)
-	if opt.Through != nil {
-		fs = opt.Through(fs)
+	if opt.WrapFS != nil {
+		fs = opt.WrapFS(fs)
 	}
 	j, rec, err := Open(fs, opt)
 	if err != nil {
@@ -58,26 +58,26 @@
 			continue // it came over before a crash
 		}
 		m := &Message{
-			ID: old.ID, Trace: old.Trace, Key: old.Key, Order: old.Order, Class: old.Class, Service: old.Service, Customer: old.Customer, Dest: old.Dest,
-			Deadline: old.Deadline, Body: old.Body, Attempts: old.Attempts, Doubtful: found.Damaged,
+			ID: old.ID, TraceID: old.TraceID, IdempotencyKey: old.IdempotencyKey, OrderingKey: old.OrderingKey, Class: old.Class, ClassName: old.ClassName, Tenant: old.Tenant, Destination: old.Destination,
+			Deadline: old.Deadline, Body: old.Body, Attempts: old.Attempts, Uncertain: found.Damaged,
 		}
-		for _, a := range old.MayRun {
-			m.MayRun = append(m.MayRun, Attempt{N: a.N, Host: a.Host, Zone: a.Zone, At: a.At, Undated: true})
+		for _, a := range old.UncertainAttempts {
+			m.UncertainAttempts = append(m.UncertainAttempts, Attempt{Number: a.Number, Endpoint: a.Endpoint, Zone: a.Zone, SentAt: a.SentAt, Undated: true})
 		}
 		if err := j.Accept(m); err != nil {
 			return fmt.Errorf("journal: carry over: %w", err)
 		}
 		if old.Final != nil {
-			j.Decide(m, Final(*old.Final))
+			j.RecordFinal(m, FinalAnswer(*old.Final))
 		}
-		if old.Withdrawn {
-			j.Withdraw(m)
+		if old.Cancelled {
+			j.RecordCancelled(m)
 		}
 		if err := j.Flush(); err != nil {
 			return fmt.Errorf("journal: carry over: %w", err)
 		}
 		rec.Messages = append(rec.Messages, m)
-		rec.Carried++
+		rec.Migrated++
 	}
 	if err := os.Remove(path); err != nil {
 		return fmt.Errorf("journal: carry over: %w", err)
--- a/internal/state/journal/legacy_test.go
+++ b/internal/state/journal/legacy_test.go
@@ -18,15 +18,15 @@
 	must(t, err)
 	var ms []*legacylog.Message
 	for id := range uint32(n) {
-		m := &legacylog.Message{ID: id + 1, Trace: fmt.Sprint("t", id), Key: "k", Class: 1, Dest: 7, Deadline: time.Unix(1e9, 0), Body: []byte("body")}
+		m := &legacylog.Message{ID: id + 1, TraceID: fmt.Sprint("t", id), IdempotencyKey: "k", Class: 1, Destination: 7, Deadline: time.Unix(1e9, 0), Body: []byte("body")}
 		must(t, l.Accept(m))
-		must(t, l.Sent(legacylog.Send{Message: m, Attempt: legacylog.Attempt{Host: "h", Zone: 1, At: time.Unix(2, 0)}}))
+		must(t, l.RecordSends(legacylog.Send{Message: m, Attempt: legacylog.Attempt{Endpoint: "h", Zone: 1, SentAt: time.Unix(2, 0)}}))
 		ms = append(ms, m)
 	}
-	l.NeverRan(ms[0], 0)
-	l.Decide(ms[1], legacylog.Final{Deferred: true, Again: time.Second})
-	l.Withdraw(ms[2])
-	l.End(ms[3])
+	l.RecordNotRun(ms[0], 0)
+	l.RecordFinal(ms[1], legacylog.FinalAnswer{Retryable: true, RetryAfter: time.Second})
+	l.RecordCancelled(ms[2])
+	l.Remove(ms[3])
 	must(t, l.Close())
 	return ms
 }
@@ -37,11 +37,11 @@
 	for life := range 2 {
 		j, rec, err := OpenFolder(dir, Options{Limit: 3e6})
 		must(t, err)
-		if len(rec.Messages) != 5 || rec.Carried != 5*(1-life) {
-			t.Fatalf("life %d: %d messages, %d carried over", life, len(rec.Messages), rec.Carried)
+		if len(rec.Messages) != 5 || rec.Migrated != 5*(1-life) {
+			t.Fatalf("life %d: %d messages, %d carried over", life, len(rec.Messages), rec.Migrated)
 		}
 		m := rec.Messages
-		if len(m[0].MayRun) != 0 || m[1].Final == nil || m[1].Final.Again != time.Second || !m[2].Withdrawn || len(m[3].MayRun) != 1 || m[3].MayRun[0].Zone != 1 {
+		if len(m[0].UncertainAttempts) != 0 || m[1].Final == nil || m[1].Final.RetryAfter != time.Second || !m[2].Cancelled || len(m[3].UncertainAttempts) != 1 || m[3].UncertainAttempts[0].Zone != 1 {
 			t.Errorf("life %d: %+v", life, m)
 		}
 		if _, err := os.Stat(filepath.Join(dir, legacyLog)); !os.IsNotExist(err) {
--- a/internal/state/legacylog/wal.go
+++ b/internal/state/legacylog/wal.go
@@ -21,38 +21,38 @@
 
 // Message is a message that was taken on, with what the log knows of its fate.
 type Message struct {
-	ID       uint32    `json:"ID"`    // the log's own number for it
-	Trace    string    `json:"Trace"` // the client's
-	Key      string    `json:"Key"`   // idempotency key; "" if none
-	Order    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
-	Class    int       `json:"Class"`
-	Service  string    `json:"Service,omitempty"` // the class by its name: its number is that of one configuration; "" if not known
-	Customer int       `json:"Customer"`
-	Dest     int       `json:"Dest"`
-	Deadline time.Time `json:"Deadline"`
-	Body     []byte    `json:"-"`
-
-	Attempts int       `json:"Attempts"` // sends so far
-	MayRun   []Attempt `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
-	Final    *Final    `json:"Final"`    // the notice that ends it, once decided
+	ID             uint32    `json:"ID"`    // the log's own number for it
+	TraceID        string    `json:"Trace"` // the client's
+	IdempotencyKey string    `json:"Key"`   // idempotency key; "" if none
+	OrderingKey    string    `json:"Order"` // what it is about, in a class that keeps order; "" if none
+	Class          int       `json:"Class"`
+	ClassName      string    `json:"Service,omitempty"` // the class by its name: its number is that of one configuration; "" if not known
+	Tenant         int       `json:"Customer"`
+	Destination    int       `json:"Dest"`
+	Deadline       time.Time `json:"Deadline"`
+	Body           []byte    `json:"-"`
+
+	Attempts          int          `json:"Attempts"` // sends so far
+	UncertainAttempts []Attempt    `json:"MayRun"`   // those of them that have no outcome or one that does not prove that they never ran
+	Final             *FinalAnswer `json:"Final"`    // the notice that ends it, once decided
 
 	// Withdrawn tells that nothing is owed, since its client left without an answer. It may have run, and should it
 	// be handed in once more, that must be known.
-	Withdrawn bool `json:"Withdrawn,omitempty"`
+	Cancelled bool `json:"Withdrawn,omitempty"`
 }
 
 // Attempt is one send.
 type Attempt struct {
-	N    int       `json:"N"`
-	Host string    `json:"Host"`
-	Zone int       `json:"Zone"`
-	At   time.Time `json:"At"`
+	Number   int       `json:"N"`
+	Endpoint string    `json:"Host"`
+	Zone     int       `json:"Zone"`
+	SentAt   time.Time `json:"At"`
 }
 
-// Final is the notice that ends a message which was not delivered.
-type Final struct {
-	Deferred bool          `json:"Deferred"` // the client may safely come again
-	Again    time.Duration `json:"Again"`
+// FinalAnswer is the notice that ends a message which was not delivered.
+type FinalAnswer struct {
+	Retryable  bool          `json:"Deferred"` // the client may safely come again
+	RetryAfter time.Duration `json:"Again"`
 }
 
 // Send is an attempt about to be made, and whose.
@@ -95,12 +95,12 @@
 
 // record is the readable part of every record; a body follows it raw.
 type record struct {
-	Kind    byte     `json:"Kind"`
-	ID      uint32   `json:"ID"`
-	Message *Message `json:"Message,omitempty"`
-	Attempt *Attempt `json:"Attempt,omitempty"`
-	N       int      `json:"N,omitempty"`
-	Final   *Final   `json:"Final,omitempty"`
+	Kind    byte         `json:"Kind"`
+	ID      uint32       `json:"ID"`
+	Message *Message     `json:"Message,omitempty"`
+	Attempt *Attempt     `json:"Attempt,omitempty"`
+	N       int          `json:"N,omitempty"`
+	Final   *FinalAnswer `json:"Final,omitempty"`
 }
 
 // Log is an open log. It is not safe for concurrent use.
@@ -143,8 +143,8 @@
 // Close writes what is noted and closes the file.
 func (l *Log) Close() error { return errors.Join(l.Flush(), l.file.Close()) }
 
-// Owes tells whether m has no end yet.
-func (l *Log) Owes(m *Message) bool { return l.live[m.ID] != nil }
+// Tracks tells whether m has no end yet.
+func (l *Log) Tracks(m *Message) bool { return l.live[m.ID] != nil }
 
 // Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the log.
 func (l *Log) Accept(ms ...*Message) error {
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// Sent records attempts before their first byte, all or none.
-func (l *Log) Sent(sends ...Send) error {
+// RecordSends records attempts before their first byte, all or none.
+func (l *Log) RecordSends(sends ...Send) error {
 	var buf []byte
 	for _, s := range sends {
 		buf = appendRecord(buf, record{Kind: recSend, ID: s.Message.ID, Attempt: &s.Attempt}, nil)
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// NeverRan notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of
+// RecordNotRun notes an outcome which proves that attempt n took no effect. Any other outcome changes nothing of
 // what a restart has to go by.
-func (l *Log) NeverRan(m *Message, n int) {
+func (l *Log) RecordNotRun(m *Message, n int) {
 	if l.live[m.ID] == nil {
 		return
 	}
@@ -194,8 +194,8 @@
 	l.notes = appendRecord(l.notes, record{Kind: recOutcome, ID: m.ID, N: n}, nil)
 }
 
-// Decide notes the notice that will end m.
-func (l *Log) Decide(m *Message, f Final) {
+// RecordFinal notes the notice that will end m.
+func (l *Log) RecordFinal(m *Message, f FinalAnswer) {
 	if l.live[m.ID] == nil {
 		return
 	}
@@ -203,17 +203,17 @@
 	l.notes = appendRecord(l.notes, record{Kind: recFinal, ID: m.ID, Final: &f}, nil)
 }
 
-// Withdraw notes that nothing is owed for m but to remember what may have run, until End.
-func (l *Log) Withdraw(m *Message) {
+// RecordCancelled notes that nothing is owed for m but to remember what may have run, until End.
+func (l *Log) RecordCancelled(m *Message) {
 	if l.live[m.ID] == nil {
 		return
 	}
-	m.Withdrawn = true
+	m.Cancelled = true
 	l.notes = appendRecord(l.notes, record{Kind: recWithdrawn, ID: m.ID}, nil)
 }
 
-// End notes that nothing more is owed for m.
-func (l *Log) End(m *Message) {
+// Remove notes that nothing more is owed for m.
+func (l *Log) Remove(m *Message) {
 	if l.live[m.ID] == nil {
 		return
 	}
@@ -297,20 +297,20 @@
 
 // cost is about what m takes in a new file.
 func cost(m *Message) int64 {
-	n := 280 + len(m.Body) + len(m.Trace) + len(m.Key) + len(m.Order)
-	for _, a := range m.MayRun {
-		n += 80 + len(a.Host)
+	n := 280 + len(m.Body) + len(m.TraceID) + len(m.IdempotencyKey) + len(m.OrderingKey)
+	for _, a := range m.UncertainAttempts {
+		n += 80 + len(a.Endpoint)
 	}
 	return int64(n)
 }
 
 func (m *Message) sent(a Attempt) {
-	m.Attempts = max(m.Attempts, a.N+1)
-	m.MayRun = append(m.MayRun, a)
+	m.Attempts = max(m.Attempts, a.Number+1)
+	m.UncertainAttempts = append(m.UncertainAttempts, a)
 }
 
 func (m *Message) neverRan(n int) {
-	m.MayRun = slices.DeleteFunc(m.MayRun, func(a Attempt) bool { return a.N == n })
+	m.UncertainAttempts = slices.DeleteFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == n })
 }
 
 // replay applies the records in data. It passes over what it cannot read and returns the end of the last good
@@ -353,7 +353,7 @@
 	case rec.Kind == recFinal && rec.Final != nil:
 		m.Final = rec.Final
 	case rec.Kind == recWithdrawn:
-		m.Withdrawn = true
+		m.Cancelled = true
 	case rec.Kind == recEnd:
 		delete(l.live, m.ID)
 		return
--- a/internal/state/legacylog/wal_test.go
+++ b/internal/state/legacylog/wal_test.go
@@ -34,7 +34,7 @@
 
 func message(id uint32) *Message {
 	return &Message{
-		ID: id, Trace: fmt.Sprintf("trace-%d", id), Key: fmt.Sprintf("key-%d", id), Dest: 7, Customer: 1,
+		ID: id, TraceID: fmt.Sprintf("trace-%d", id), IdempotencyKey: fmt.Sprintf("key-%d", id), Destination: 7, Tenant: 1,
 		Deadline: noon.Add(time.Duration(id) * time.Second), Body: []byte{0, 'b', '\n', byte(id)},
 	}
 }
@@ -67,13 +67,13 @@
 	l, _ := open(t, dir, roomy)
 	delivered, refused, pending, taken := message(1), message(2), message(3), message(4)
 	must(t, l.Accept(delivered, refused, pending, taken))
-	out := Attempt{N: 0, Host: "s-1", Zone: 1, At: noon}
-	must(t, l.Sent(Send{delivered, out}, Send{pending, out}))
-	l.NeverRan(pending, 0)
-	second := Attempt{N: 1, Host: "s-2", Zone: 1, At: noon.Add(time.Second)}
-	must(t, l.Sent(Send{pending, second}))
-	l.End(delivered)
-	l.Decide(refused, Final{Deferred: true, Again: 700 * time.Millisecond})
+	out := Attempt{Number: 0, Endpoint: "s-1", Zone: 1, SentAt: noon}
+	must(t, l.RecordSends(Send{delivered, out}, Send{pending, out}))
+	l.RecordNotRun(pending, 0)
+	second := Attempt{Number: 1, Endpoint: "s-2", Zone: 1, SentAt: noon.Add(time.Second)}
+	must(t, l.RecordSends(Send{pending, second}))
+	l.Remove(delivered)
+	l.RecordFinal(refused, FinalAnswer{Retryable: true, RetryAfter: 700 * time.Millisecond})
 	must(t, l.Flush())
 
 	// No Close: the process was killed.
@@ -82,15 +82,15 @@
 		t.Fatalf("found %q, damaged %v", got, found.Damaged)
 	}
 	r, p, k := found.Messages[0], found.Messages[1], found.Messages[2]
-	if r.Final == nil || !r.Final.Deferred || r.Final.Again != 700*time.Millisecond {
+	if r.Final == nil || !r.Final.Retryable || r.Final.RetryAfter != 700*time.Millisecond {
 		t.Errorf("the notice decided on: %+v", r.Final)
 	}
 	// The refused attempt is used up but never ran; the one that was out may have.
-	if p.Attempts != 2 || len(p.MayRun) != 1 || p.MayRun[0].N != 1 || p.MayRun[0].Zone != 1 ||
-		!p.MayRun[0].At.Equal(second.At) {
-		t.Errorf("attempts of the one that was out: %d, %+v", p.Attempts, p.MayRun)
+	if p.Attempts != 2 || len(p.UncertainAttempts) != 1 || p.UncertainAttempts[0].Number != 1 || p.UncertainAttempts[0].Zone != 1 ||
+		!p.UncertainAttempts[0].SentAt.Equal(second.SentAt) {
+		t.Errorf("attempts of the one that was out: %d, %+v", p.Attempts, p.UncertainAttempts)
 	}
-	if k.Trace != taken.Trace || k.Key != taken.Key || k.Dest != 7 || k.Customer != 1 ||
+	if k.TraceID != taken.TraceID || k.IdempotencyKey != taken.IdempotencyKey || k.Destination != 7 || k.Tenant != 1 ||
 		!k.Deadline.Equal(taken.Deadline) || !bytes.Equal(k.Body, taken.Body) {
 		t.Errorf("taken on %+v, came back %+v", taken, k)
 	}
@@ -145,7 +145,7 @@
 	l, _ := open(t, source, roomy)
 	for i := range uint32(20) {
 		must(t, l.Accept(message(i)))
-		must(t, l.Sent(Send{l.live[i], Attempt{Host: "s-1", At: noon}}))
+		must(t, l.RecordSends(Send{l.live[i], Attempt{Endpoint: "s-1", SentAt: noon}}))
 	}
 	data, err := os.ReadFile(filepath.Join(source, name))
 	must(t, err)
@@ -177,9 +177,9 @@
 		m := message(i)
 		before := l.size
 		must(t, l.Accept(m))
-		must(t, l.Sent(Send{m, Attempt{Host: "s-5be2a07c", At: noon}}))
+		must(t, l.RecordSends(Send{m, Attempt{Endpoint: "s-5be2a07c", SentAt: noon}}))
 		if held = append(held, m); len(held) > 20 {
-			l.End(held[0])
+			l.Remove(held[0])
 			held = held[1:]
 			must(t, l.Flush())
 		}
@@ -197,7 +197,7 @@
 	if compactions < 10 {
 		t.Errorf("%d compactions", compactions)
 	}
-	if _, found := open(t, dir, limit); len(found.Messages) != len(held) || len(found.Messages[0].MayRun) != 1 {
+	if _, found := open(t, dir, limit); len(found.Messages) != len(held) || len(found.Messages[0].UncertainAttempts) != 1 {
 		t.Errorf("%d messages held, %d found", len(held), len(found.Messages))
 	}
 }
@@ -235,12 +235,12 @@
 	}
 	for round := range 4 { // what is held can be sent, again and again, and ended
 		for _, m := range held {
-			must(t, l.Sent(Send{m, Attempt{N: round, Host: "s-5be2a07c", At: noon}}))
-			l.NeverRan(m, round)
+			must(t, l.RecordSends(Send{m, Attempt{Number: round, Endpoint: "s-5be2a07c", SentAt: noon}}))
+			l.RecordNotRun(m, round)
 		}
 	}
 	for _, m := range held {
-		l.End(m)
+		l.Remove(m)
 		must(t, l.Flush())
 	}
 	must(t, l.Accept(message(9999)))
@@ -265,10 +265,10 @@
 	if err := l.Accept(message(3)); err == nil {
 		t.Error("taken on without a record")
 	}
-	if err := l.Sent(Send{one, Attempt{Host: "s-1", At: noon}}); err == nil || one.Attempts != 0 {
+	if err := l.RecordSends(Send{one, Attempt{Endpoint: "s-1", SentAt: noon}}); err == nil || one.Attempts != 0 {
 		t.Errorf("sent without a record: %v", err)
 	}
-	l.End(two)
+	l.Remove(two)
 	if err := l.Flush(); err == nil {
 		t.Error("an end counts as written")
 	}
@@ -284,9 +284,9 @@
 	m := message(1)
 	m.Body = make([]byte, 500)
 	m.Attempts = 8
-	m.Final = &Final{Deferred: true, Again: time.Second}
+	m.Final = &FinalAnswer{Retryable: true, RetryAfter: time.Second}
 	for n := range 4 {
-		m.MayRun = append(m.MayRun, Attempt{N: n, Host: "s-5be2a07c", Zone: 1, At: noon.Add(time.Nanosecond)})
+		m.UncertainAttempts = append(m.UncertainAttempts, Attempt{Number: n, Endpoint: "s-5be2a07c", Zone: 1, SentAt: noon.Add(time.Nanosecond)})
 	}
 	if got := len(appendRecord(nil, record{Kind: recAccept, ID: 1, Message: m}, m.Body)); int64(got) > cost(m) {
 		t.Errorf("a record of %d bytes counts as %d", got, cost(m))
@@ -296,7 +296,7 @@
 // Whatever stands in the file, it is read to an end, and a record behind it is found.
 func FuzzReplay(f *testing.F) {
 	whole := appendRecord(nil, record{Kind: recAccept, ID: 1, Message: message(1)}, []byte("body"))
-	whole = appendRecord(whole, record{Kind: recSend, ID: 1, Attempt: &Attempt{Host: "s-1"}}, nil)
+	whole = appendRecord(whole, record{Kind: recSend, ID: 1, Attempt: &Attempt{Endpoint: "s-1"}}, nil)
 	f.Add(appendRecord(whole, record{Kind: recWithdrawn, ID: 1}, nil))
 	f.Add(whole[:len(whole)-3])
 	last := appendRecord(nil, record{Kind: recAccept, ID: 1 << 30, Message: message(1 << 30)}, nil)
--- a/internal/state/store/recover.go
+++ b/internal/state/store/recover.go
@@ -63,8 +63,8 @@
 	return slices.ContainsFunc(r.Lost, func(n Numbers) bool { return n.To > key+1 })
 }
 
-// Sound tells whether all that was ever committed was read.
-func (r *Recovery) Sound() bool {
+// Intact tells whether all that was ever committed was read.
+func (r *Recovery) Intact() bool {
 	return len(r.Damaged) == 0 && len(r.Missing) == 0 && len(r.Lost) == 0 && len(r.LostValues) == 0
 }
 
@@ -89,8 +89,8 @@
 
 // Open opens the store in a folder, or begins one. It changes nothing but to remove what was done with.
 func Open(fs FS, opt Options) (_ *Store, _ *Recovery, err error) {
-	if opt.Limit < LeastLimit {
-		return nil, nil, fmt.Errorf("store: a limit of %d bytes, %d at least", opt.Limit, LeastLimit)
+	if opt.Limit < MinLimit {
+		return nil, nil, fmt.Errorf("store: a limit of %d bytes, %d at least", opt.Limit, MinLimit)
 	}
 	if opt.Now == nil {
 		opt.Now = time.Now
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -21,8 +21,8 @@
 
 // Bounds, in bytes.
 const (
-	// LeastLimit is the least that a store may be limited to.
-	LeastLimit   = 1 << 20
+	// MinLimit is the least that a store may be limited to.
+	MinLimit     = 1 << 20
 	leastSegment = 128 << 10
 	mostSegment  = 16 << 20
 	segments     = 16  // a limit is about so many segments
@@ -69,7 +69,7 @@
 
 // Options are those of a Store.
 type Options struct {
-	Limit    int64 // bytes on disk, LeastLimit at least
+	Limit    int64 // bytes on disk, MinLimit at least
 	Sync     SyncPolicy
 	Interval time.Duration // SyncInterval: default 1 s
 	ReadOnly bool          // nothing is written, removed or locked
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -17,7 +17,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-const limit = store.LeastLimit
+const limit = store.MinLimit
 
 // model is what a store must hold: a plain map.
 type model map[uint64][]string // value and deltas
@@ -161,7 +161,7 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if diff := m.differs(s, rec); diff != "" || !rec.Sound() || len(rec.Torn)+len(rec.Stale)+len(rec.Foreign) > 0 {
+			if diff := m.differs(s, rec); diff != "" || !rec.Intact() || len(rec.Torn)+len(rec.Stale)+len(rec.Foreign) > 0 {
 				rt.Fatalf("life %d: %s: %+v", life, diff, rec)
 			}
 			d := newDriver(s, m, seed+uint64(life))
@@ -212,7 +212,7 @@
 					ok = ""
 				}
 			}
-			if ok != "" || !rec.Sound() {
+			if ok != "" || !rec.Intact() {
 				t.Fatalf("stopped at call %d with %d bytes written: %s: %+v", n, partial, ok, rec)
 			}
 			// And the next life goes on from there, through more compactions.
@@ -271,7 +271,7 @@
 	for _, key := range rec.Keys {
 		m, ok := want[key]
 		if !ok {
-			if rec.Sound() && len(rec.Torn) == 0 && !cut {
+			if rec.Intact() && len(rec.Torn) == 0 && !cut {
 				t.Fatalf("%s: value %d lives again, and nothing is told", what, key)
 			}
 			continue // its end was lost: told
@@ -291,7 +291,7 @@
 			lost++
 		}
 	}
-	if len(rec.Keys) < len(want) && rec.Sound() && len(rec.Torn) == 0 && !cut { // cut between two records it is as if they had not come
+	if len(rec.Keys) < len(want) && rec.Intact() && len(rec.Torn) == 0 && !cut { // cut between two records it is as if they had not come
 		t.Fatalf("%s: %d values of %d, and nothing is told", what, len(rec.Keys), len(want))
 	}
 	if err := s.Close(); err != nil {
@@ -362,7 +362,7 @@
 		bad[at] ^= 0x40
 		g.Put(name, bad)
 		s, rec := open(t, g)
-		if len(rec.Damaged) > 1 || rec.Sound() && len(rec.Keys) != len(want) {
+		if len(rec.Damaged) > 1 || rec.Intact() && len(rec.Keys) != len(want) {
 			t.Fatalf("%s byte %d: %+v", name, at, rec)
 		}
 		if span := int64(0); len(rec.Damaged) == 1 {
@@ -377,7 +377,7 @@
 	for _, name := range segs[:len(segs)-1] { // one that is missing is told, also where another's copy stands in its place
 		g := fs.Reboot()
 		g.Put(name, nil)
-		if _, rec := open(t, g); len(rec.Missing) != 1 || rec.Sound() {
+		if _, rec := open(t, g); len(rec.Missing) != 1 || rec.Intact() {
 			t.Errorf("without %s: %+v", name, rec)
 		}
 		g = fs.Reboot()
@@ -468,7 +468,7 @@
 					}
 				}
 				after, rec := open(t, fs.Reboot())
-				if diff := d.m.differs(after, rec); diff != "" || !rec.Sound() {
+				if diff := d.m.differs(after, rec); diff != "" || !rec.Intact() {
 					t.Fatalf("%v at call %d, %d bytes written: %s: %+v", fault, n, short, diff, rec)
 				}
 			}
@@ -503,7 +503,7 @@
 			}
 		}
 		after, rec := open(t, fs.Reboot())
-		if diff := d.m.differs(after, rec); diff != "" || !rec.Sound() {
+		if diff := d.m.differs(after, rec); diff != "" || !rec.Intact() {
 			t.Fatalf("a disk of %d bytes: %s", room, diff)
 		}
 	}
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -190,7 +190,7 @@
 		}
 		for _, m := range st.Members {
 			s.rec.Add(eventlog.Event{
-				Kind: eventlog.Belief, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Late: took, Status: int(m.Life.Incarnation),
+				Kind: eventlog.Belief, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Late: took, Status: int(m.Incarnation.Generation),
 			})
 		}
 	}
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -211,7 +211,7 @@
 	noneLeft(t, dir)
 	// What the relays recorded of it, over a kill and a planned end, replays: equal events give equal actions.
 	for _, name := range []string{"r1", "r2"} {
-		paths, err := filepath.Glob(filepath.Join(dir, name, RecordingsName, "*"+flightrecorder.Ext))
+		paths, err := filepath.Glob(filepath.Join(dir, name, RecordingsName, "*"+flightrecorder.FileExtension))
 		if err != nil {
 			t.Fatal(err)
 		}
