--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -16,8 +16,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/hollow"
 )
 
-// What is measured of fleets of hollow relays, in virtual time: package hollow does that in its tests alone, since a bubble of testing/synctest
-// is one of a test. It writes its readings to a file.
+// What is measured of fleets of hollow relays, in virtual time: package hollow does that in its tests alone, since a
+// bubble of testing/synctest is one of a test. It writes its readings to a file.
 
 // reading is a line of that file.
 type reading struct {
@@ -51,7 +51,8 @@
 	{capacity.FleetLending, manyRights, "sent_bytes_per_s", capacity.ByteRate, 1, hollowRight},
 }
 
-// hollowSeries has package hollow measure. A check of its own that fails ends nothing here: it is told, with what was read.
+// hollowSeries has package hollow measure. A check of its own that fails ends nothing here: it is told, with what was
+// read.
 func hollowSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	path := filepath.Join(b.folder, "hollow.jsonl")
 	failed := ""
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -3,7 +3,8 @@
 //	capacity [measure] [flags]   measures what things cost at three sizes or more, keeps it as data, and writes the page's tables
 //	capacity tables [flags]      writes the same tables again from the data, or checks that the page holds them
 //
-// It starts relays and stand-ins on loopback. It exits with 0 if all went well, 1 if a check or the command itself failed.
+// It starts relays and stand-ins on loopback. It exits with 0 if all went well, 1 if a check or the command itself
+// failed.
 package main
 
 import (
--- a/cmd/capacity/main_test.go
+++ b/cmd/capacity/main_test.go
@@ -18,7 +18,8 @@
 	return status, all.String()
 }
 
-// The command measures a part, keeps it, and writes a page that then passes its check; a page that is changed by hand fails it.
+// The command measures a part, keeps it, and writes a page that then passes its check; a page that is changed by hand
+// fails it.
 func TestCommands(t *testing.T) {
 	folder := t.TempDir()
 	data, page := filepath.Join(folder, "capacity.json"), filepath.Join(folder, "CAPACITY.md")
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -28,7 +28,8 @@
 // What is measured on a relay process with stand-ins for all that it talks to.
 
 const (
-	// The relay's memory limit, which its collector goes by: the one that it takes where none is told, and one for a backlog in memory.
+	// The relay's memory limit, which its collector goes by: the one that it takes where none is told, and one for a
+	// backlog in memory.
 	usualMB, backlogMB = 192, 4096
 
 	readyMost = 15 * time.Second // more than a restart may take
@@ -49,8 +50,8 @@
 	took   time.Duration // until ready
 }
 
-// start starts a relay whose discovery has a list. known has it handed over at the start, too. prepare may write into its folder first.
-// A relay that is not ready in time is ended, and errNeverReady comes back.
+// start starts a relay whose discovery has a list. known has it handed over at the start, too. prepare may write into
+// its folder first. A relay that is not ready in time is ended, and errNeverReady comes back.
 func (b *bench) start(ctx context.Context, list []fake.Member, known bool, memoryMB int, prepare func(folder string) error) (*process, error) {
 	folder, err := os.MkdirTemp(b.folder, "relay")
 	if err != nil {
@@ -316,8 +317,8 @@
 	return nil
 }
 
-// relayDiscoverySeries measures a relay that has its list from discovery alone. After two sizes at which it never became ready the larger
-// ones are left out.
+// relayDiscoverySeries measures a relay that has its list from discovery alone. After two sizes at which it never
+// became ready the larger ones are left out.
 func relayDiscoverySeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	ready := measured(capacity.RelayDiscovery, "destinations", capacity.Seconds)
 	stopped := 0
@@ -369,8 +370,9 @@
 	return list(memory, ready), nil
 }
 
-// relayLoadSeries measures messages that are taken, journaled and delivered: to few destinations, whose connections serve again, and to so
-// many that nearly each call has one of its own, as where a relay sees a destination once in minutes.
+// relayLoadSeries measures messages that are taken, journaled and delivered: to few destinations, whose connections
+// serve again, and to so many that nearly each call has one of its own, as where a relay sees a destination once in
+// minutes.
 func relayLoadSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const few, many = 100, 20_000
 	load := measured(capacity.RelayLoad, "messages a second", capacity.Cores)
@@ -420,8 +422,9 @@
 	}
 }
 
-// moves has discovery tell five times that a destination's endpoints are at another address, and returns the longest time from a telling
-// until a message goes there, and how many hand-ins had no answer of 202 meanwhile. errNeverReady: one was not in force by readyMost.
+// moves has discovery tell five times that a destination's endpoints are at another address, and returns the longest
+// time from a telling until a message goes there, and how many hand-ins had no answer of 202 meanwhile. errNeverReady:
+// one was not in force by readyMost.
 func (p *process) moves(ctx context.Context, endpoints []fake.Member, here, there *hostServers) (longest time.Duration, late int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
@@ -453,7 +456,8 @@
 	return longest, late, nil
 }
 
-// load has messages handed in at a rate, and returns how many a second were delivered and the cores that the relay used.
+// load has messages handed in at a rate, and returns how many a second were delivered and the cores that the relay
+// used.
 func (b *bench) load(ctx context.Context, rate, dests int) (delivered, cores float64, err error) {
 	warm, length := 5*time.Second, 8*time.Second
 	if b.quick {
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -34,8 +34,9 @@
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime tells what a relay of the full fleet uses: for a start, for a second in which nothing comes, and for a message
-// taken, delivered and journaled. It goes by the kernel's count of the process, whose grain is a clock tick or less.
+// BenchmarkProcessorTime tells what a relay of the full fleet uses: for a start, for a second in which nothing comes,
+// and for a message taken, delivered and journaled. It goes by the kernel's count of the process, whose grain is a
+// clock tick or less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, p := oneOf300(b)
@@ -66,8 +67,8 @@
 	return string(id)
 }
 
-// BenchmarkAccept tells how long a client waits for its 202, and a message for its delivery, at the 99th percentile: alone, in a fleet of
-// three, and in one of which a member hangs. All three take turns in one run, message by message.
+// BenchmarkAccept tells how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
+// alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
 	h := newHost(b, nil)
@@ -107,7 +108,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReady tells how long a process takes from its start to its first health answer, with the largest journal that its disk allows.
+// BenchmarkReady tells how long a process takes from its start to its first health answer, with the largest journal
+// that its disk allows.
 func BenchmarkReady(b *testing.B) {
 	for _, c := range []struct {
 		name   string
--- a/cmd/cherrytrestle/crowd_test.go
+++ b/cmd/cherrytrestle/crowd_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// crowd has n clients connect, do what first does, and stay until the relay closes, each anew after a moment, until ctx ends.
+// crowd has n clients connect, do what first does, and stay until the relay closes, each anew after a moment, until ctx
+// ends.
 func crowd(ctx context.Context, addr string, n int, first func(net.Conn)) (wait func()) {
 	var all sync.WaitGroup
 	for range n {
@@ -50,8 +51,8 @@
 	return all.Wait
 }
 
-// Idle clients fill the descriptors that the machine gives while discovery is down. The health answer, a new connection to a host, and the call to
-// discovery that finds it back still get theirs.
+// Idle clients fill the descriptors that the machine gives while discovery is down. The health answer, a new connection
+// to a host, and the call to discovery that finds it back still get theirs.
 func TestIdleClientsLeaveDescriptorsForTheOthers(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
--- a/cmd/cherrytrestle/daily_test.go
+++ b/cmd/cherrytrestle/daily_test.go
@@ -193,8 +193,9 @@
 	r.cmd = nil
 }
 
-// SIGHUP moves discovery while the old address is silent, breaks off or turns callers away: the relay, one of 300, hears the new one at once, and
-// goes by its list alone; SIGTERM in the middle of a move ends it in order, with its message kept or delivered.
+// SIGHUP moves discovery while the old address is silent, breaks off or turns callers away: the relay, one of 300,
+// hears the new one at once, and goes by its list alone; SIGTERM in the middle of a move ends it in order, with its
+// message kept or delivered.
 func TestDiscoveryMovesAwayFromOneInTrouble(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -246,7 +247,8 @@
 	}
 }
 
-// A known list that cannot be read or is empty is none: the relay starts, keeps what it had taken, and is ready once discovery has told one.
+// A known list that cannot be read or is empty is none: the relay starts, keeps what it had taken, and is ready once
+// discovery has told one.
 func TestAKnownListThatCannotBeRead(t *testing.T) {
 	p, h := newPlatform(t), newHost(t, nil)
 	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "draining")}, nil)
--- a/cmd/cherrytrestle/endings_test.go
+++ b/cmd/cherrytrestle/endings_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and what it had taken on and not tried
-// is tried by the next process.
+// Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and what it had taken on
+// and not tried is tried by the next process.
 func TestAPlannedEndAtAnOddMoment(t *testing.T) {
 	const killAfter = 3700 * time.Millisecond
 	term := func(r *relayProcess) { must(r.t, r.cmd.Process.Signal(syscall.SIGTERM)) }
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -75,8 +75,8 @@
 		{"half-closed behind the body", `dir=down do=halfclose`, failed, 1, 2, ""},
 		{"reset instead of an answer", `dir=down do=reset`, failed, 1, 2, ""},
 		{"closed instead of an answer", `dir=down do=close`, failed, 1, 2, ""},
-		// A reset may overtake the body in front of it: the host drops what it has not read yet. And the answer of a host that is
-		// quick may come through before either.
+		// A reset may overtake the body in front of it: the host drops what it has not read yet. And the answer of a
+		// host that is quick may come through before either.
 		{"reset behind the body", `dir=up match="\r\n\r\nbody" do=reset`, doubtful, 1, -2, ""},
 		{"closed behind the body", `dir=up match="\r\n\r\nbody" do=close`, doubtful, 1, -2, ""},
 		{"silent behind the body", `dir=down do=stall`, failed, 1, 2, ""},
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -29,7 +29,8 @@
 	Addrs []string `arg:"" name:"address" help:"Second addresses of relays (ROUTER_MANAGEMENT)."`
 }
 
-// Run prints, for each relay that is asked, the members as it sees them, and what it refused and why. It fails if one does not answer.
+// Run prints, for each relay that is asked, the members as it sees them, and what it refused and why. It fails if one
+// does not answer.
 func (c *statusCommand) Run(ctx context.Context, s *cli.Streams) error {
 	client := http.Client{Timeout: statusFor}
 	var errs []error
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -178,8 +178,9 @@
 	}()
 }
 
-// Three relays hear each other; two halves that are cut apart each go on with what they have, and hear each other again when the links
-// heal, also when that takes longer than gossip goes on to those taken for dead. One that hears but is not heard is seen to be gone.
+// Three relays hear each other; two halves that are cut apart each go on with what they have, and hear each other again
+// when the links heal, also when that takes longer than gossip goes on to those taken for dead. One that hears but is
+// not heard is seen to be gone.
 func TestRelaysHearOfEachOther(t *testing.T) {
 	h := newHost(t, nil)
 	g := newRig(t, 3, h)
@@ -227,7 +228,8 @@
 	return playAll(files)
 }
 
-// A relay that is stopped in the middle of telling is neither taken for fresh by the others, nor takes for fresh what waited for it.
+// A relay that is stopped in the middle of telling is neither taken for fresh by the others, nor takes for fresh what
+// waited for it.
 func TestAStalledRelay(t *testing.T) {
 	g := newRig(t, 3, newHost(t, nil))
 	g.start(g.all()...)
@@ -239,8 +241,8 @@
 	g.hears(g.all(), g.all())
 }
 
-// All relays restarted at once hear each other again; one that hangs holds none of them up; one that tells absurd figures is not believed,
-// and one that needs a newer program is counted.
+// All relays restarted at once hear each other again; one that hangs holds none of them up; one that tells absurd
+// figures is not believed, and one that needs a newer program is counted.
 func TestAllRestartedAndOneThatLies(t *testing.T) {
 	h := newHost(t, nil)
 	g := newRig(t, 4, h)
@@ -284,7 +286,8 @@
 	eventually(t, "delivered all the same", func() bool { return h.count("after-lies") > 0 })
 }
 
-// A relay whose port is taken serves, says so, and joins when the port is free. What a stranger or another fleet tells is not heard.
+// A relay whose port is taken serves, says so, and joins when the port is free. What a stranger or another fleet tells
+// is not heard.
 func TestWhoIsNotHeard(t *testing.T) {
 	h := newHost(t, nil)
 	g := newRig(t, 4, h)
@@ -317,8 +320,8 @@
 	}
 }
 
-// A relay that is restarted over and over is heard each time with its newest life. One that comes back with an older folder, or without
-// one, or finds a name taken by another process is told apart.
+// A relay that is restarted over and over is heard each time with its newest life. One that comes back with an older
+// folder, or without one, or finds a name taken by another process is told apart.
 func TestLivesOfARelay(t *testing.T) {
 	g := newRig(t, 3, newHost(t, nil))
 	g.start(g.all()...)
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -33,8 +33,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// Many connections at once that say nothing, stop half way, send much and go, or read nothing of their answers: whoever hands a whole
-// message in is answered and delivered, and descriptors and memory stay inside their limits.
+// Many connections at once that say nothing, stop half way, send much and go, or read nothing of their answers: whoever
+// hands a whole message in is answered and delivered, and descriptors and memory stay inside their limits.
 func TestFloodsHoldNobodyUp(t *testing.T) {
 	const flood, sockets, memoryMB = 400, 192, 64
 	whole := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: flood\r\nContent-Length: 60000\r\n\r\n"
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -14,8 +14,8 @@
 
 var relayKills = flag.Int("relaykills", 8, "how often TestKilledUnderLoad kills the relay")
 
-// Killed again and again under load, at any point, with compactions on the way since its disk is small: no message that it took on is
-// forgotten, and none that must not run twice does.
+// Killed again and again under load, at any point, with compactions on the way since its disk is small: no message that
+// it took on is forgotten, and none that must not run twice does.
 func TestKilledUnderLoad(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -90,8 +90,9 @@
 	return len(h.seen)
 }
 
-// Killed, and killed again twice before the start that follows is done, at points that are drawn: what was taken on still ends, and nothing runs
-// twice that must not. The first kill leaves a journal full of messages whose host did not answer, so that there is much to recover.
+// Killed, and killed again twice before the start that follows is done, at points that are drawn: what was taken on
+// still ends, and nothing runs twice that must not. The first kill leaves a journal full of messages whose host did not
+// answer, so that there is much to recover.
 func TestKilledAgainDuringRecovery(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -64,8 +64,8 @@
 	return g
 }
 
-// killedAt has a relay take messages that its host does not answer, killed, and killed twice at one step of the recovery, and then recover.
-// It tells what was wrong, and whether the recovery had such a step.
+// killedAt has a relay take messages that its host does not answer, killed, and killed twice at one step of the
+// recovery, and then recover. It tells what was wrong, and whether the recovery had such a step.
 func killedAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
 	p, h := newPlatform(t), newGatedHost(t)
 	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
@@ -134,8 +134,8 @@
 	return wrong, reached
 }
 
-// Killed at every step of a recovery, before each call to the journal's files and in the midst of each write, twice in a row: what was taken on
-// ends, and nothing runs twice that must not.
+// Killed at every step of a recovery, before each call to the journal's files and in the midst of each write, twice in
+// a row: what was taken on ends, and nothing runs twice that must not.
 func TestKilledAtEachStepOfRecovery(t *testing.T) {
 	last := 0
 	for _, torn := range []bool{false, true} {
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -20,9 +20,9 @@
 	return members
 }
 
-// A relay ends, in order or not, in the middle of a whole list that would take away the host which holds a message up and the host of another
-// destination. What the list has said by then does not matter to the next process, which goes on from what it knows itself: each message
-// that was taken on is delivered, once.
+// A relay ends, in order or not, in the middle of a whole list that would take away the host which holds a message up
+// and the host of another destination. What the list has said by then does not matter to the next process, which goes
+// on from what it knows itself: each message that was taken on is delivered, once.
 func TestAnEndInTheMiddleOfALongList(t *testing.T) {
 	const dests = 3000
 	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -75,7 +75,8 @@
 	watches atomic.Int32 // that are answered
 }
 
-// cut ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the next line with it.
+// cut ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the
+// next line with it.
 func (p *platform) cut(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
@@ -246,7 +247,8 @@
 	if change != nil {
 		change(settings)
 	}
-	// An address of its own: while the relay is down nobody else of this machine takes its port, as all that connect from 127.0.0.1 might.
+	// An address of its own: while the relay is down nobody else of this machine takes its port, as all that connect
+	// from 127.0.0.1 might.
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	must(t, err)
 	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
--- a/cmd/cherrytrestle/refused_test.go
+++ b/cmd/cherrytrestle/refused_test.go
@@ -13,8 +13,9 @@
 	"testing"
 )
 
-// Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library takes the last two by itself where
-// it copies from a socket or a file to a socket; the daemon copies to nothing but io.Discard, and starts no program.
+// Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library takes the last two by
+// itself where it copies from a socket or a file to a socket; the daemon copies to nothing but io.Discard, and starts
+// no program.
 func TestTheDaemonAsksForNothingThatIsRefused(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -14,7 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// sharers is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as they are told.
+// sharers is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as
+// they are told.
 func sharers(t *testing.T, n int, h *host, takes float64) *rig {
 	g := newRig(t, n, h)
 	for i, r := range g.relays {
@@ -52,9 +53,9 @@
 
 func (h *host) total() int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
 
-// Eight relays share a host of 16 calls a second, and one of them has all the backlog: it uses nearly all of that, also when the keeper is stopped and
-// when it is killed; cut off from all it goes on by its own part, and is back when the links are. All restarted while rights are lent, the
-// host never gets more than it takes beyond what may be saved up.
+// Eight relays share a host of 16 calls a second, and one of them has all the backlog: it uses nearly all of that, also
+// when the keeper is stopped and when it is killed; cut off from all it goes on by its own part, and is back when the
+// links are. All restarted while rights are lent, the host never gets more than it takes beyond what may be saved up.
 func TestRightsAreSharedByProcesses(t *testing.T) {
 	const n, takes = 8, 16.0
 	h := newHost(t, nil)
@@ -123,7 +124,8 @@
 	g.start(others...)
 	shared("all others were killed while they lent")
 
-	// What may be saved up: a call and a half by each, what the keeper saves, and what was given within the time that a right is valid.
+	// What may be saved up: a call and a half by each, what the keeper saves, and what was given within the time that a
+	// right is valid.
 	const span = 10 * time.Second
 	saved := 1.5*n + 0.3*takes + takes*quota.GrantTTL.Seconds()
 	if most := h.most(span); float64(most) > takes*span.Seconds()+saved {
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -185,8 +185,8 @@
 	return mb
 }
 
-// health asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that an answer took or
-// that lay between two, once there was one.
+// health asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
+// an answer took or that lay between two, once there was one.
 type health struct {
 	began   time.Time
 	stop    chan struct{}
@@ -248,7 +248,8 @@
 	readyWithin       = 30 * time.Second
 )
 
-// A relay starts with a list of many destinations, by discovery or as it last had it, serves health meanwhile, and obeys a change of one entry.
+// A relay starts with a list of many destinations, by discovery or as it last had it, serves health meanwhile, and
+// obeys a change of one entry.
 func TestLargeCatalog(t *testing.T) {
 	for _, how := range []string{"listed", "known"} {
 		for _, n := range scale(t, []int{20000}, 1000, 10000, 50000, 140000) {
@@ -310,7 +311,8 @@
 	a.told = make(chan struct{})
 }
 
-// hold hands in messages from first to last over so many connections, to destinations in turn, and returns how many were not taken.
+// hold hands in messages from first to last over so many connections, to destinations in turn, and returns how many
+// were not taken.
 func (r *relayProcess) hold(first, last, destinations, connections int) (refused int64) {
 	var next, not atomic.Int64
 	next.Store(int64(first))
@@ -337,8 +339,8 @@
 	return not.Load()
 }
 
-// A relay holds many messages for hosts that are down, is killed and started again, and holds them all still. What a message costs as more are held is
-// told, and held to nothing here: the machine has other work.
+// A relay holds many messages for hosts that are down, is killed and started again, and holds them all still. What a
+// message costs as more are held is told, and held to nothing here: the machine has other work.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
 		for _, n := range scale(t, []int{2000}, 10000, 50000, 100000) {
@@ -413,8 +415,8 @@
 	}
 }
 
-// Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries: nothing new goes to it from
-// 1 s after that was told, at any of them, and what was taken is delivered.
+// Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries:
+// nothing new goes to it from 1 s after that was told, at any of them, and what was taken is delivered.
 func TestManyRelaysOfOneCatalog(t *testing.T) {
 	destinations := 2000
 	if *full {
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -94,8 +94,8 @@
 	return res.StatusCode
 }
 
-// Upgrades under load, one after the other, while hosts answer late, err and refuse: no client meets a connection that is
-// refused, reset or unread, each message is delivered, and none is by more calls than its class allows.
+// Upgrades under load, one after the other, while hosts answer late, err and refuse: no client meets a connection that
+// is refused, reset or unread, each message is delivered, and none is by more calls than its class allows.
 func TestUpgradesUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -225,7 +225,8 @@
 	}
 }
 
-// A message that the first process has delivered and forgotten is handed in once more at the second: it does not run again.
+// A message that the first process has delivered and forgotten is handed in once more at the second: it does not run
+// again.
 func TestAnUpgradeRemembersWhatHasEnded(t *testing.T) {
 	p, h := newPlatform(t), newHost(t, nil)
 	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
@@ -252,8 +253,8 @@
 	}
 }
 
-// The first process dies in the middle of it, or the second before it has taken over: what was out may have run, nothing is
-// lost, and the one that remains serves on.
+// The first process dies in the middle of it, or the second before it has taken over: what was out may have run,
+// nothing is lost, and the one that remains serves on.
 func TestUpgradesThatDie(t *testing.T) {
 	for _, who := range []string{"first, with a call out", "second, before"} {
 		t.Run(who, func(t *testing.T) {
@@ -296,8 +297,8 @@
 	}
 }
 
-// SIGTERM at any moment of a hand-over, to the second process or to both: each ends in order, and what was taken on, tried or not, goes on with the
-// next process and runs no more often than its class allows.
+// SIGTERM at any moment of a hand-over, to the second process or to both: each ends in order, and what was taken on,
+// tried or not, goes on with the next process and runs no more often than its class allows.
 func TestToldToEndInAHandOver(t *testing.T) {
 	for _, who := range []string{"second, before", "second", "both"} {
 		for _, after := range []time.Duration{0, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond} {
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// formBefore is a commit whose program tells by its own rests, sends each page on more often and knows no page's theoretical time of telling.
+// formBefore is a commit whose program tells by its own rests, sends each page on more often and knows no page's
+// theoretical time of telling.
 const formBefore = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
 
 // olderProgram builds the program of an earlier commit.
@@ -34,7 +35,8 @@
 	return program
 }
 
-// A fleet of which half run the version before hears as one, also while its relays go over to the new version and back with their folders.
+// A fleet of which half run the version before hears as one, also while its relays go over to the new version and back
+// with their folders.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, formBefore)
 	g := newRig(t, 4, newHost(t, nil))
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
-// The experiments that are kept beside the documents load, and a run of each day of many relays breaks no rule. The mutant that
-// ignores drains breaks one of the herd day: the judge is at work.
+// The experiments that are kept beside the documents load, and a run of each day of many relays breaks no rule. The
+// mutant that ignores drains breaks one of the herd day: the judge is at work.
 func TestTheExperimentsOfTheDocuments(t *testing.T) {
 	paths, err := filepath.Glob("../../docs/experiments/*.toml")
 	if err != nil || len(paths) < 8 {
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -1,4 +1,5 @@
-// Command emulate plays scenarios in virtual time, experiments on them, and decision modules through all orders of events.
+// Command emulate plays scenarios in virtual time, experiments on them, and decision modules through all orders of
+// events.
 //
 //	emulate run [flags] NAME|FILE        plays a scenario and judges it
 //	emulate experiment [flags] FILE      plays an experiment's runs, and goes on with one that was cut off
@@ -10,8 +11,8 @@
 //	emulate scale [flags]                how service and cost go with the number of relays
 //	emulate faults [flags] FAULT         what a fault costs in a large world, and when all relays know
 //
-// It exits with 0 if all went well and no rule was broken, 1 if one was, 2 if the command itself failed, 3 if a judged run
-// proves nothing.
+// It exits with 0 if all went well and no rule was broken, 1 if one was, 2 if the command itself failed, 3 if a judged
+// run proves nothing.
 package main
 
 import (
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -30,8 +30,8 @@
 	err   error
 }
 
-// Run tells which scenarios and worlds convict which mutants, and acquit the sound relay. It fails where a mutant goes free, or a
-// sound relay or an equivalent mutant does not.
+// Run tells which scenarios and worlds convict which mutants, and acquit the sound relay. It fails where a mutant goes
+// free, or a sound relay or an equivalent mutant does not.
 func (c *powerCommand) Run(ctx context.Context, s *cli.Streams) error {
 	names := c.Scenarios
 	if len(names) == 0 {
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -47,8 +47,9 @@
 	return all, nil
 }
 
-// Run plays a world for each size, with the load as it is. What they hold is the heap after a collection: of a world in which nothing has
-// happened, with one relay and with all, and of one at its end. Peak is the most that the program held of the machine's memory meanwhile.
+// Run plays a world for each size, with the load as it is. What they hold is the heap after a collection: of a world in
+// which nothing has happened, with one relay and with all, and of one at its end. Peak is the most that the program
+// held of the machine's memory meanwhile.
 func (c *scaleCommand) Run(ctx context.Context, s *cli.Streams) error {
 	sizes, err := c.sizes()
 	if err != nil {
@@ -118,7 +119,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// watchMemory notes the most bytes that the program holds of the machine's memory, looking ten times a second, until it is stopped.
+// watchMemory notes the most bytes that the program holds of the machine's memory, looking ten times a second, until it
+// is stopped.
 func watchMemory() (peak *atomic.Int64, stop func()) {
 	peak = &atomic.Int64{}
 	look := func() {
@@ -143,8 +145,8 @@
 	return peak, sync.OnceFunc(func() { look(); close(quit); <-done })
 }
 
-// scaleScenario is a world of plain shape whose parts are the same for any number of relays: destinations that take twice what is
-// asked of them in the mean, a tenth of which fail together for ten seconds at half time.
+// scaleScenario is a world of plain shape whose parts are the same for any number of relays: destinations that take
+// twice what is asked of them in the mean, a tenth of which fail together for ten seconds at half time.
 func scaleScenario(relays, destinations int, rate float64, length time.Duration) scenario.File {
 	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
 	f := scenario.File{
--- a/internal/admin/manage.go
+++ b/internal/admin/manage.go
@@ -1,6 +1,7 @@
 // Package manage serves the second address of a relay, where the platform and on-call staff ask whether it is ready and
-// how it fares. One call travels on a connection. Whoever connects and says nothing, or half of a call, is closed within a
-// second and holds nobody up: an answer needs no other connection and nothing of the relay but what it has at hand.
+// how it fares. One call travels on a connection. Whoever connects and says nothing, or half of a call, is closed
+// within a second and holds nobody up: an answer needs no other connection and nothing of the relay but what it has at
+// hand.
 package admin
 
 import (
@@ -16,17 +17,19 @@
 )
 
 const (
-	// callFor bounds how long a call may take to come, and its answer to leave. An answer is owed within 1 s of the call.
+	// callFor bounds how long a call may take to come, and its answer to leave. An answer is owed within 1 s of the
+	// call.
 	callFor  = 700 * time.Millisecond
 	headMost = 4 << 10 // bytes
-	// connsMost bounds the connections: the oldest makes way. Guards against callers that stay and say nothing, of which
-	// each costs a descriptor for callFor.
+	// connsMost bounds the connections: the oldest makes way. Guards against callers that stay and say nothing, of
+	// which each costs a descriptor for callFor.
 	connsMost = 16
 )
 
 // Server answers on the second address.
 type Server struct {
-	// Ready tells whether the process is ready to serve. It may be called from many goroutines at once and must not wait.
+	// Ready tells whether the process is ready to serve. It may be called from many goroutines at once and must not
+	// wait.
 	Ready func() bool
 	// Figures writes the process's figures. The same holds for it.
 	Metrics func(io.Writer)
--- a/internal/capacity/breaks.go
+++ b/internal/capacity/breaks.go
@@ -36,9 +36,9 @@
 // Share is how much of the axis' target is reached.
 func (b Break) Share() float64 { return b.At / b.Target }
 
-// Breaks are those that are below their axes' targets or near, by the readings of a run, in the order in which they come: what stops
-// entirely goes before what leaves something out, that before what is over a budget, and each by its share of the target. Those that are
-// not known come last.
+// Breaks are those that are below their axes' targets or near, by the readings of a run, in the order in which they
+// come: what stops entirely goes before what leaves something out, that before what is over a budget, and each by its
+// share of the target. Those that are not known come last.
 func Breaks(t Target, r Run) []Break {
 	b := book{t, r}
 	all := slices.Concat(b.byDestinations(), b.byRelays(), b.byEvents(), b.byBacklog(), b.byChanges(), b.byRegions())
@@ -60,8 +60,8 @@
 	return all
 }
 
-// Missing is the break whose mechanism is missing first: that which stops at the smallest share of its axis' target, where what stops
-// entirely goes before what is over a budget. False: nothing breaks below its target.
+// Missing is the break whose mechanism is missing first: that which stops at the smallest share of its axis' target,
+// where what stops entirely goes before what is over a budget. False: nothing breaks below its target.
 func Missing(all []Break) (Break, bool) {
 	for _, x := range all {
 		if x.Share() < 1 {
@@ -91,8 +91,8 @@
 	return x
 }
 
-// budget is a break where a measured cost comes to y. Where the line bends and would only come to it past ten times its largest size, which
-// is past the target, none is found.
+// budget is a break where a measured cost comes to y. Where the line bends and would only come to it past ten times its
+// largest size, which is past the target, none is found.
 func (b book) budget(x Break, name string, y float64) Break { return b.budgetOf(x, name, y, 1) }
 
 // budgetOf is budget where the axis counts of many relays together and the readings of one.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// A line that bends is read between its readings, and not drawn out past ten times its largest size without a word on why.
+// A line that bends is read between its readings, and not drawn out past ten times its largest size without a word on
+// why.
 func TestABendIsNotDrawnOut(t *testing.T) {
 	s := series("x", Seconds, Point{N: 1, Value: 1}, Point{N: 10, Value: 100}, Point{N: 100, Value: 10_000})
 	l, err := Fit(s)
@@ -311,7 +312,8 @@
 	}
 }
 
-// What stops entirely goes first, however small the share at which a budget is passed; among equals the smallest share does.
+// What stops entirely goes first, however small the share at which a budget is passed; among equals the smallest share
+// does.
 func TestMissing(t *testing.T) {
 	target, run := small()
 	over := Run{Series: []Series{straight(FleetBytes, ByteRate, 0, 1e6, 10, 30, 100)}}
@@ -332,7 +334,8 @@
 	}
 }
 
-// A line that bends, and would come to its budget only where it may not be drawn to, breaks nothing below a target that is nearer.
+// A line that bends, and would come to its budget only where it may not be drawn to, breaks nothing below a target that
+// is nearer.
 func TestABendFarOff(t *testing.T) {
 	target, _ := small()
 	bending := func(most float64) Run {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -36,8 +36,8 @@
 	Power, Scale float64
 }
 
-// Fit draws a line through the readings of a series. Each counts by its share, so that the small sizes say as much as the large ones. A
-// cost that falls with size is taken as level, at its mean.
+// Fit draws a line through the readings of a series. Each counts by its share, so that the small sizes say as much as
+// the large ones. A cost that falls with size is taken as level, at its mean.
 func Fit(s Series) (Line, error) {
 	l := Line{Why: s.Why}
 	var xs, ys, weights []float64
@@ -90,9 +90,9 @@
 
 func (l Line) line(n float64) float64 { return l.Base + l.Slope*n }
 
-// At is the cost at size n: by the line, or where the line bends between the readings beside n, and past them by the dearer of the line and
-// the power by which the last three grow. Beyond ten times the largest size a line that bends gives an error, unless the series says why it
-// may.
+// At is the cost at size n: by the line, or where the line bends between the readings beside n, and past them by the
+// dearer of the line and the power by which the last three grow. Beyond ten times the largest size a line that bends
+// gives an error, unless the series says why it may.
 func (l Line) At(n float64) (float64, error) {
 	switch {
 	case !l.Bends():
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -12,9 +12,10 @@
 	backlogSlots = 64 // calls out at once
 )
 
-// Backlog measures what the decision module spends on held messages, spread over destinations that are out of service: on taking the last tenth of them,
-// a step for eight; on a step in which nothing happens; on sending the first tenth of them once all are back in service; and on taking all up again in one
-// step, as after a restart. Hollow are the journal, the loop and all hosts, which answer at once.
+// Backlog measures what the decision module spends on held messages, spread over destinations that are out of service:
+// on taking the last tenth of them, a step for eight; on a step in which nothing happens; on sending the first tenth of
+// them once all are back in service; and on taking all up again in one step, as after a restart. Hollow are the
+// journal, the loop and all hosts, which answer at once.
 func Backlog(held, destinations int) (Reading, error) {
 	set := policy.Settings{MaxInFlightCalls: backlogSlots, Classes: []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1}}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}
 	list := make([]policy.Endpoint, 0, destinations)
--- a/internal/capacity/hollow/faults.go
+++ b/internal/capacity/hollow/faults.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ZoneLost has a zone of so many members gone at once, as if its machines had lost their power, and measures until the others know of it, and what they send
-// and spend meanwhile. Those that are gone are ended while nothing reaches them or comes from them.
+// ZoneLost has a zone of so many members gone at once, as if its machines had lost their power, and measures until the
+// others know of it, and what they send and spend meanwhile. Those that are gone are ended while nothing reaches them
+// or comes from them.
 func (f *Fleet) ZoneLost(zone int) Reading {
 	gone := func(i int) bool { return i < zone }
 	cut := func(from, to int) bool { return gone(from) || gone(to) }
@@ -17,9 +18,10 @@
 	return Reading{f.opt.Members, f.until("gone", f.members[zone:], f.opt.Members-zone)}
 }
 
-// RegionsCut cuts the first members off from all others for so long, heals it, and measures until all are members of one fleet again, and what they send and
-// spend from the healing on. On each side it tells the share of those that took all of the other side for dead by then: a few who hear nobody of many doubt
-// themselves first (Lifeguard), and take longer.
+// RegionsCut cuts the first members off from all others for so long, heals it, and measures until all are members of
+// one fleet again, and what they send and spend from the healing on. On each side it tells the share of those that took
+// all of the other side for dead by then: a few who hear nobody of many doubt themselves first (Lifeguard), and take
+// longer.
 func (f *Fleet) RegionsCut(region int, lasts time.Duration) Reading {
 	cut := func(from, to int) bool { return (from < region) != (to < region) }
 	f.net.cut.Store(&cut)
@@ -40,7 +42,8 @@
 	return Reading{f.opt.Members, values}
 }
 
-// until follows members until each sees so many alive, for the options' For at most, and tells how long it took them and what they sent.
+// until follows members until each sees so many alive, for the options' For at most, and tells how long it took them
+// and what they sent.
 func (f *Fleet) until(what string, members []*member, alive int) map[string]float64 {
 	sent := func() (sum uint64) {
 		for _, m := range members {
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -1,9 +1,11 @@
-// Package hollow measures what a relay's control costs as its fleet grows, with many members in one process. Each is the real membership, gossip,
-// ledger, codec, seam and rights of a relay (package fleet), stepped by a loop like the relay's. Hollow are the sockets, the clients, the hosts, the
-// decision module and the journal: messages are told to the seam as a relay's loop would tell of them. So what is measured hides what the system spends on
-// sockets, a network's delay and loss, and the stops of a process that has other work.
+// Package hollow measures what a relay's control costs as its fleet grows, with many members in one process. Each is
+// the real membership, gossip, ledger, codec, seam and rights of a relay (package fleet), stepped by a loop like the
+// relay's. Hollow are the sockets, the clients, the hosts, the decision module and the journal: messages are told to
+// the seam as a relay's loop would tell of them. So what is measured hides what the system spends on sockets, a
+// network's delay and loss, and the stops of a process that has other work.
 //
-// All that waits goes by package time: in real time, or in a bubble of testing/synctest, where more members fit than the machine's cores could run.
+// All that waits goes by package time: in real time, or in a bubble of testing/synctest, where more members fit than
+// the machine's cores could run.
 package hollow
 
 import (
@@ -51,7 +53,8 @@
 
 	Settle time.Duration // before the measure, once all are members
 	Window time.Duration // of the measure
-	// Changes are timed one after the other, each told by another member, before the measure of the rates; For is how long each is followed at most.
+	// Changes are timed one after the other, each told by another member, before the measure of the rates; For is how
+	// long each is followed at most.
 	Changes int
 	For     time.Duration
 }
@@ -204,8 +207,8 @@
 
 func route(dest int) string { return fmt.Sprintf("s-%06d", dest) }
 
-// events are those of a step: the list with the first one, messages as they are due, their outcomes with the step after. Asked for a wait, an answer that
-// tells it.
+// events are those of a step: the list with the first one, messages as they are due, their outcomes with the step
+// after. Asked for a wait, an answer that tells it.
 func (m *member) events(now, wait time.Duration) (events []policy.Event, actions []policy.Action) {
 	events, m.out = m.out, nil
 	if !m.told {
@@ -232,7 +235,8 @@
 	return events, actions
 }
 
-// Change has one member told of a wait, and returns the sorted times until the others know; of those who do not within the options' For there is none.
+// Change has one member told of a wait, and returns the sorted times until the others know; of those who do not within
+// the options' For there is none.
 func (f *Fleet) Change(by int) (known []time.Duration) {
 	w := &watch{from: memberName(by), at: time.Now(), known: map[int]time.Duration{}}
 	f.watch.Store(w)
@@ -272,7 +276,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// spent runs f and returns the processor time of its thread: what else the machine has to do is not in it, nor is what the collector does beside it.
+// spent runs f and returns the processor time of its thread: what else the machine has to do is not in it, nor is what
+// the collector does beside it.
 func spent(f func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/capacity/hollow/hollow_test.go
+++ b/internal/capacity/hollow/hollow_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// bubble runs f in virtual time. What memberlist leaves behind, probes and calls that wait, ends after it: time stands still once f is over.
+// bubble runs f in virtual time. What memberlist leaves behind, probes and calls that wait, ends after it: time stands
+// still once f is over.
 func bubble(t *testing.T, f func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
@@ -77,10 +78,12 @@
 	})
 }
 
-// What members spend and how soon they know, in virtual time: at rest, with two busy pages at each, and with shared limits.
+// What members spend and how soon they know, in virtual time: at rest, with two busy pages at each, and with shared
+// limits.
 func TestMembers(t *testing.T) {
-	// Sizes are those that fit: 600 with busy pages took 3.4 GB and had not ended after 440 s of processor time.
-	// Large fleets exchange digests and tables of members once in a minute or more: only the window at rest is long enough to have its share of them.
+	// Sizes are those that fit: 600 with busy pages took 3.4 GB and had not ended after 440 s of processor time. Large
+	// fleets exchange digests and tables of members once in a minute or more: only the window at rest is long enough to
+	// have its share of them.
 	for _, c := range []struct {
 		name   string
 		opt    Options
@@ -193,7 +196,8 @@
 	}
 }
 
-// What a list costs the seam: no more memory than a destination at rest may take in all. Times are told and held to nothing.
+// What a list costs the seam: no more memory than a destination at rest may take in all. Times are told and held to
+// nothing.
 func TestSeam(t *testing.T) {
 	for _, d := range scale(t, []int{1000}, 1000, 10000, 50000, 140000) {
 		r := Seam(d, false)
--- a/internal/capacity/hollow/list.go
+++ b/internal/capacity/hollow/list.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Seam measures what a list of destinations, two endpoints each, costs the seam of a member alone: its memory, the whole list, a change of one entry, and
-// steps in which nothing happens. Hollow are the link and all others.
+// Seam measures what a list of destinations, two endpoints each, costs the seam of a member alone: its memory, the
+// whole list, a change of one entry, and steps in which nothing happens. Hollow are the link and all others.
 func Seam(destinations int, shares bool) Reading {
 	before := heap()
 	s := agent.New(agent.Settings{
--- a/internal/capacity/hollow/network.go
+++ b/internal/capacity/hollow/network.go
@@ -13,12 +13,14 @@
 
 const (
 	port = 7946
-	// datagramsMost wait at a member, more are dropped, as a socket's buffer would; streamsMost connections wait to be taken.
+	// datagramsMost wait at a member, more are dropped, as a socket's buffer would; streamsMost connections wait to be
+	// taken.
 	datagramsMost = 1024
 	streamsMost   = 64
 )
 
-// network joins the members of one process. A datagram is handed over at once and whole; nothing is lost but what finds no room or is cut.
+// network joins the members of one process. A datagram is handed over at once and whole; nothing is lost but what finds
+// no room or is cut.
 type network struct {
 	all    []*wire
 	byName map[string]*wire
--- a/internal/capacity/hollow/rights.go
+++ b/internal/capacity/hollow/rights.go
@@ -17,9 +17,10 @@
 	stationsMax = 1 << 16
 )
 
-// Rights measures one member's part in sharing limits, in virtual time: its book (package rights) and codec are real, and what it tells and hears passes
-// through the codec. Hollow are all others: they acknowledge, say that they hold no loans of an earlier life, and each lends to it what it is the keeper of;
-// they ask for nothing. So what busy destinations add is not in it, nor what the link spends on datagrams. Compare Measure with Rights on.
+// Rights measures one member's part in sharing limits, in virtual time: its book (package rights) and codec are real,
+// and what it tells and hears passes through the codec. Hollow are all others: they acknowledge, say that they hold no
+// loans of an earlier life, and each lends to it what it is the keeper of; they ask for nothing. So what busy
+// destinations add is not in it, nor what the link spends on datagrams. Compare Measure with Rights on.
 func Rights(members, destinations int, limit float64) (Reading, error) {
 	if members < 2 || destinations < 1 || members > stationsMax || destinations > stationsMax {
 		return Reading{}, fmt.Errorf("hollow: rights of %d members and %d destinations", members, destinations)
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Names of the series that the figures are worked out from. A total stands over its size, a cost of one over the size at which it was had.
+// Names of the series that the figures are worked out from. A total stands over its size, a cost of one over the size
+// at which it was had.
 const (
 	ModuleMessage = "module.message" // seconds of a processor for a message, over the destinations told
 	ModuleBacklog = "module.backlog" // the same, over the messages held
@@ -172,8 +173,8 @@
 	}}
 }
 
-// together is what the list and the fleet take of one budget. What is not known of either is left out, and the sum is one only where it is
-// over without.
+// together is what the list and the fleet take of one budget. What is not known of either is left out, and the sum is
+// one only where it is over without.
 func (b book) together(what string, u Unit, budget float64, parts []float64) Figure {
 	f := Figure{What: what, Unit: u, Budget: budget, Allowed: control, Mechanism: byList + ", " + byFleet}
 	names, known := []string{"the list", "membership and what is shared with two busy pages"}, []string{}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,8 +1,10 @@
-// Package capacity works out what a fleet of a size to design for asks of each of its parts: from slopes that were measured at three
-// sizes or more, by arithmetic that a test holds, into the tables of docs/CAPACITY.md. It is pure: what is measured comes as Data.
+// Package capacity works out what a fleet of a size to design for asks of each of its parts: from slopes that were
+// measured at three sizes or more, by arithmetic that a test holds, into the tables of docs/CAPACITY.md. It is pure:
+// what is measured comes as Data.
 package capacity
 
-// Target is the size to design for, and what may be spent on it. Rates are by the second, times in seconds, amounts in bytes.
+// Target is the size to design for, and what may be spent on it. Rates are by the second, times in seconds, amounts in
+// bytes.
 type Target struct {
 	Relays       float64
 	Events       float64 // a second, that all relays take
--- a/internal/config/reload/terms.go
+++ b/internal/config/reload/terms.go
@@ -91,8 +91,8 @@
 	return errors.Join(errs...)
 }
 
-// Transitional are the terms for the time in which clients may hold to the old ones still, or to the fresh ones already:
-// every class of either, those of both by what binds more, and the fewer attempts.
+// Transitional are the terms for the time in which clients may hold to the old ones still, or to the fresh ones
+// already: every class of either, those of both by what binds more, and the fewer attempts.
 func Transitional(old, fresh Config) Config {
 	t := KeepRemovedClasses(old, fresh)
 	for i, name := range old.ClassNames {
--- a/internal/config/stricttoml/lines.go
+++ b/internal/config/stricttoml/lines.go
@@ -7,8 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines tells where the keys of a file stand, by their paths: "a.b", or "a[2].b" in the second of several tables of one name. Of a table
-// it is the line of its header, of a key that stands in a value of its own nothing. A file that cannot be read has those before the error.
+// Lines tells where the keys of a file stand, by their paths: "a.b", or "a[2].b" in the second of several tables of one
+// name. Of a table it is the line of its header, of a key that stands in a value of its own nothing. A file that cannot
+// be read has those before the error.
 func Lines(data []byte) map[string]int {
 	lines, tables := map[string]int{}, map[string]int{}
 	var p unstable.Parser
--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -1,6 +1,6 @@
-// Package seam is the step of a fleet's member beside the decision module: it is told what the module was told and decided, and
-// what was heard of the others, and tells in return what the others should hear. It is pure, as the module is: equal calls in equal
-// order give equal results, in the relay, the emulator and a replay alike.
+// Package seam is the step of a fleet's member beside the decision module: it is told what the module was told and
+// decided, and what was heard of the others, and tells in return what the others should hear. It is pure, as the module
+// is: equal calls in equal order give equal results, in the relay, the emulator and a replay alike.
 package agent
 
 import (
@@ -22,9 +22,10 @@
 const (
 	rateSpan = 5 * time.Second // rates are means over about so long
 
-	// A page is told when a rate has changed by changeShare, no more often than after its rest: tellLeast, or longer where all members' pages
-	// together would take more than the links have room for. Where a wait, a backlog or coldness begins or ends it is told at once, burst
-	// times in a row, and rests the longer after that. What has not changed is told again after tellAgain, so that it does not fade.
+	// A page is told when a rate has changed by changeShare, no more often than after its rest: tellLeast, or longer
+	// where all members' pages together would take more than the links have room for. Where a wait, a backlog or
+	// coldness begins or ends it is told at once, burst times in a row, and rests the longer after that. What has not
+	// changed is told again after tellAgain, so that it does not fade.
 	tellLeast   = 500 * time.Millisecond
 	tellAgain   = loadreport.HalfLife / 2
 	burst       = 4
@@ -49,7 +50,8 @@
 	FleetSize        int                      `cbor:"Senders"` // the told size of the fleet
 }
 
-// ScopeCounter counts one destination's traffic, or that of a route that stands apart. Its fields are exported for snapshots alone.
+// ScopeCounter counts one destination's traffic, or that of a route that stands apart. Its fields are exported for
+// snapshots alone.
 type ScopeCounter struct {
 	At              time.Duration `cbor:"At"`
 	Demand          float64       `cbor:"Demand"` // this and the four below are levels: a rate times rateSpan
@@ -364,7 +366,8 @@
 	return quota.Scope{Destination: at.Dest, Endpoint: at.Route}
 }
 
-// outcome counts for what is believed of a limit. What a host refuses that may be cold tells of that, and the module's recovery budget is for it.
+// outcome counts for what is believed of a limit. What a host refuses that may be cold tells of that, and the module's
+// recovery budget is for it.
 func (s *Agent) outcome(route string, refused bool) {
 	if s.rights != nil && !(refused && s.tally(s.scopeOf(route)).WarmingUp) {
 		s.rights.RecordOutcome(s.rightsOf(route), refused)
@@ -468,8 +471,9 @@
 	return pages
 }
 
-// rest is how long a page rests between two tellings, so that all pages of all members together take no more than the links have room for. One who
-// hears a part of the fleet alone knows of that part's pages: it is with these that it shares links.
+// rest is how long a page rests between two tellings, so that all pages of all members together take no more than the
+// links have room for. One who hears a part of the fleet alone knows of that part's pages: it is with these that it
+// shares links.
 func (s *Agent) rest() time.Duration {
 	if s.Rest == 0 || s.Now >= s.RestAt+restEvery {
 		room := gossip.MaxReportRate(len(s.Set.Members))
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// drive has a destination meet so many messages a second, each sent at once, of which every third is refused with a wait.
+// drive has a destination meet so many messages a second, each sent at once, of which every third is refused with a
+// wait.
 func drive(s *Agent, from, to time.Duration, rate float64) (told []loadreport.Report) {
 	every := time.Duration(float64(time.Second) / rate)
 	for now, id := from, uint32(from); now < to; now, id = now+every, id+1 {
@@ -221,8 +222,8 @@
 	}
 }
 
-// However much changes, the pages of all members together take no more than the links have room for; what is urgent goes at once, a few
-// times in a row.
+// However much changes, the pages of all members together take no more than the links have room for; what is urgent
+// goes at once, a few times in a row.
 func TestRestsGrowWithTheFleet(t *testing.T) {
 	const began, length = 30 * time.Second, 120 * time.Second
 	for _, members := range []int{3, 100, 300} {
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -1,8 +1,8 @@
 // Package codec writes what relays tell each other as CBOR (RFC 8949), and reads it with bounds. It is pure.
 //
-// How the form is extended: every struct is a map with whole numbers as keys. A new field gets a new key, which older programs pass
-// over; a key is never used for anything else. What older programs must not pass over raises Needs: they refuse such a message, count
-// it, and go on with the others.
+// How the form is extended: every struct is a map with whole numbers as keys. A new field gets a new key, which older
+// programs pass over; a key is never used for anything else. What older programs must not pass over raises Needs: they
+// refuse such a message, count it, and go on with the others.
 package codec
 
 import (
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -122,7 +122,8 @@
 	})
 }
 
-// What one member tells another of rights comes as it was told, all of it, and a message that is full of it fits a datagram.
+// What one member tells another of rights comes as it was told, all of it, and a message that is full of it fits a
+// datagram.
 func TestRightsOnTheWire(t *testing.T) {
 	c, err := New()
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet is what the relay's loop has of its fleet: one step beside the decision module's (package seam, pure), and the link that
-// carries what it tells (package link). The loop never waits for the link, and without one it goes on alone.
+// Package fleet is what the relay's loop has of its fleet: one step beside the decision module's (package seam, pure),
+// and the link that carries what it tells (package link). The loop never waits for the link, and without one it goes on
+// alone.
 package fleet
 
 import (
@@ -70,7 +71,8 @@
 	why  error            // it does not
 }
 
-// New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the first.
+// New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the
+// first.
 func New(cfg Config) *Member {
 	life := loadreport.Incarnation{Generation: readLife(cfg) + 1, Boot: rand.Uint32()}
 	if err := writeLife(cfg, life.Generation); err != nil {
@@ -155,7 +157,8 @@
 	m.link, m.why = l, why
 }
 
-// Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in its next step.
+// Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in
+// its next step.
 func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.EndpointView) (agent.Record, []policy.Event) {
 	var rec agent.Record
 	var decided time.Duration // by the link's clock, when now was or before
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// The status that GET /v1/fleet answers with and how it is printed, with every field set and for a member that is not linked.
+// The status that GET /v1/fleet answers with and how it is printed, with every field set and for a member that is not
+// linked.
 func TestGoldenStatus(t *testing.T) {
 	var linked Status
 	golden.Fill(&linked)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip holds how news of a fleet's members goes round: the figures that the link, its model in virtual time and the seam share. The
-// seam must not tell more than the links have room for. It is pure.
+// Package gossip holds how news of a fleet's members goes round: the figures that the link, its model in virtual time
+// and the seam share. The seam must not tell more than the links have room for. It is pure.
 package gossip
 
 import (
@@ -38,7 +38,8 @@
 	return targetsMany
 }
 
-// RetransmitMultiplier is what the order of magnitude of a fleet's size is multiplied with for Times: memberlist's RetransmitMult.
+// RetransmitMultiplier is what the order of magnitude of a fleet's size is multiplied with for Times: memberlist's
+// RetransmitMult.
 func RetransmitMultiplier(n int) int {
 	if n < largeFleet {
 		return multFew
@@ -46,14 +47,14 @@
 	return multMany
 }
 
-// Retransmissions is how often each member sends a page on. One in four hundred members is not met by any of six; what they lack comes with the next
-// version or digest.
+// Retransmissions is how often each member sends a page on. One in four hundred members is not met by any of six; what
+// they lack comes with the next version or digest.
 func Retransmissions(n int) int {
 	return RetransmitMultiplier(n) * int(math.Ceil(math.Log10(float64(EffectiveSize(n)+1))))
 }
 
-// MaxReportRate is how many pages a second a fleet's members may tell in all, for all to hear of each before it has to be told again. Each page passes over every
-// member's links, so that it does not grow with the fleet.
+// MaxReportRate is how many pages a second a fleet's members may tell in all, for all to hear of each before it has to
+// be told again. Each page passes over every member's links, so that it does not grow with the fleet.
 func MaxReportRate(n int) float64 {
 	return roomShare * float64(FanOut(n)*ReportsPerDatagram) / Interval.Seconds() / float64(Retransmissions(n))
 }
--- a/internal/fleet/loadreport/claim.go
+++ b/internal/fleet/loadreport/claim.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// An earlier life of a member that it hears of is gone past once, or a few times where its last ones are heard of late. Who answers each
-	// new life with a greater one is another process under the same name: after raisesMost within twinSpan a member falls silent,
-	// until none was heard for twinFor.
+	// An earlier life of a member that it hears of is gone past once, or a few times where its last ones are heard of
+	// late. Who answers each new life with a greater one is another process under the same name: after raisesMost
+	// within twinSpan a member falls silent, until none was heard for twinFor.
 	raisesMost = 3
 	twinSpan   = 30 * time.Second
 	twinFor    = 60 * time.Second
@@ -21,7 +21,8 @@
 // Suspended tells whether another process under the name is taken to run, so that this one must tell nothing.
 func (c *NameClaim) Suspended(now time.Duration) bool { return now < c.until }
 
-// ObserveRival takes that a life was heard under the name which is not this process's or one before it, and tells whether to begin a new life past it.
+// ObserveRival takes that a life was heard under the name which is not this process's or one before it, and tells
+// whether to begin a new life past it.
 func (c *NameClaim) ObserveRival(now time.Duration) (raise bool) {
 	if now < c.until || c.raises >= raisesMost && now < c.began+twinSpan {
 		c.Suspend(now, twinFor)
--- a/internal/fleet/loadreport/claim_test.go
+++ b/internal/fleet/loadreport/claim_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Lives under the own name are gone past a few times; who goes on answering is another process, and this one falls silent until none was heard
-// for long.
+// Lives under the own name are gone past a few times; who goes on answering is another process, and this one falls
+// silent until none was heard for long.
 func TestClaim(t *testing.T) {
 	type at struct {
 		s      int // seconds
--- a/internal/fleet/loadreport/ledger.go
+++ b/internal/fleet/loadreport/ledger.go
@@ -1,10 +1,11 @@
-// Package ledger holds what the relays of a fleet tell of themselves, by destination and route. It is pure: no clock, no
-// I/O, no random numbers. All times are the hearer's own monotonic time; what travels are ages.
+// Package ledger holds what the relays of a fleet tell of themselves, by destination and route. It is pure: no clock,
+// no I/O, no random numbers. All times are the hearer's own monotonic time; what travels are ages.
 //
-// A ledger is a join-semilattice. Of each member it keeps the life that is greatest (incarnation, then boot), and of that life,
-// for each page, the greatest sequence; of one version heard twice the lesser age, since each that is heard is a bound from above
-// (Transit). Merging is therefore commutative, associative and idempotent, whatever is lost, doubled or late on the way (property tests). What is heard fades with its age,
-// without a step, and is dropped when next to nothing is left of it.
+// A ledger is a join-semilattice. Of each member it keeps the life that is greatest (incarnation, then boot), and of
+// that life, for each page, the greatest sequence; of one version heard twice the lesser age, since each that is heard
+// is a bound from above (Transit). Merging is therefore commutative, associative and idempotent, whatever is lost,
+// doubled or late on the way (property tests). What is heard fades with its age, without a step, and is dropped when
+// next to nothing is left of it.
 package loadreport
 
 import (
@@ -29,8 +30,9 @@
 	MaxAge  = 10 * HalfLife
 	ageNews = 250 * time.Millisecond // so much younger than it was held to be, a page is told on once more
 
-	// Multiple bounds a rate by what the list tells of a destination, MaxRate one of which it tells nothing. A relay tells
-	// its own part: more than so many times what the destination takes from all is no relay's traffic but a mistake.
+	// Multiple bounds a rate by what the list tells of a destination, MaxRate one of which it tells nothing. A relay
+	// tells its own part: more than so many times what the destination takes from all is no relay's traffic but a
+	// mistake.
 	MaxRateMultiple = 20
 	MaxRate         = 1e5
 	leastLimit      = 1.0 // calls a second that any destination is taken to bear
@@ -77,8 +79,8 @@
 		cmp.Compare(c.Backlog, o.Backlog), cmp.Compare(c.RetryAfter, o.RetryAfter), cmp.Compare(cold(c.WarmingUp), cold(o.WarmingUp)))
 }
 
-// Incarnation is one run of a member's process. Incarnations grow with each start; boots tell processes of one incarnation apart,
-// such as two that were started under one name by mistake.
+// Incarnation is one run of a member's process. Incarnations grow with each start; boots tell processes of one
+// incarnation apart, such as two that were started under one name by mistake.
 type Incarnation struct {
 	Generation uint64 `json:"Incarnation" cbor:"Incarnation"`
 	Boot       uint32 `json:"Boot" cbor:"Boot"`
@@ -172,7 +174,8 @@
 	return l
 }
 
-// Limits are what the list tells of destinations, in calls a second from all relays, by destination and route as in Cell.
+// Limits are what the list tells of destinations, in calls a second from all relays, by destination and route as in
+// Cell.
 type Limits map[int]map[string]float64
 
 // SetLimits takes what the list tells, whole.
@@ -185,7 +188,8 @@
 	}
 }
 
-// SetIncarnation begins a new life of the own member. What it told before is forgotten, here and by all who hear the new one.
+// SetIncarnation begins a new life of the own member. What it told before is forgotten, here and by all who hear the
+// new one.
 func (l *Table) SetIncarnation(life Incarnation) {
 	if life.Compare(l.life) > 0 {
 		l.life = life
@@ -244,8 +248,8 @@
 	case e.sequence < old.sequence:
 		return Stale
 	default:
-		// One version heard on two ways: neither age is less than the true one, so that the lesser is nearer to it. Two contents
-		// under one version are no relay's doing; all keep the same one.
+		// One version heard on two ways: neither age is less than the true one, so that the lesser is nearer to it. Two
+		// contents under one version are no relay's doing; all keep the same one.
 		c := slices.CompareFunc(e.cells, old.cells, ScopeLoad.compare)
 		if c >= 0 && e.told <= old.told {
 			return Known
@@ -301,7 +305,8 @@
 	return nil
 }
 
-// Publish puts a page of the own member into the ledger, as of now, and returns it as it is to be told. Sequence must grow.
+// Publish puts a page of the own member into the ledger, as of now, and returns it as it is to be told. Sequence must
+// grow.
 func (l *Table) Publish(now time.Duration, number int, sequence uint64, cells []ScopeLoad) (Report, error) {
 	p := Report{Name: l.self, Incarnation: l.life, Number: number, Sequence: sequence, Scopes: cells}
 	if err := l.check(p); err != nil {
--- a/internal/fleet/loadreport/ledger_test.go
+++ b/internal/fleet/loadreport/ledger_test.go
@@ -36,8 +36,8 @@
 	return pages
 }
 
-// What a ledger holds does not depend on the order in which it heard, nor on how often; and it tells others what they lack until both
-// hold the same.
+// What a ledger holds does not depend on the order in which it heard, nor on how often; and it tells others what they
+// lack until both hold the same.
 func TestLaws(t *testing.T) {
 	const now = 100 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -225,8 +225,8 @@
 	runtime.KeepAlive(l)
 }
 
-// However long a message, a question or an answer was held up, and whichever clock runs faster, a message's time under way is never taken to be
-// less than it was, and hardly to be more.
+// However long a message, a question or an answer was held up, and whichever clock runs faster, a message's time under
+// way is never taken to be less than it was, and hardly to be more.
 func TestTransit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drift := rapid.Float64Range(-MaxClockDrift, MaxClockDrift).Draw(t, "drift")
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -5,16 +5,18 @@
 const (
 	// Drift bounds how far two relays' monotonic clocks run apart, as a share of the time that passes.
 	MaxClockDrift = 0.01
-	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes ages too great by 0.2 s.
+	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes
+	// ages too great by 0.2 s.
 	CalibrationInterval = 10 * time.Second
 	sendersMost         = 4096
 )
 
-// TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own monotonic time. How that stands to the
-// hearer's is found by asking: the hearer sends its time, the other answers with that and its own. The other's time was read between
-// the two, so that no message that it stamps later can have been under way for longer than the bound that follows from it. That
-// finds whatever held a message up: the network, queues, sockets, and either side's being stopped. It is never too small while clocks
-// run apart by no more than Drift, and too great by the round trip that was asked with and by Drift of the time since.
+// TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own
+// monotonic time. How that stands to the hearer's is found by asking: the hearer sends its time, the other answers with
+// that and its own. The other's time was read between the two, so that no message that it stamps later can have been
+// under way for longer than the bound that follows from it. That finds whatever held a message up: the network, queues,
+// sockets, and either side's being stopped. It is never too small while clocks run apart by no more than Drift, and too
+// great by the round trip that was asked with and by Drift of the time since.
 type TransitEstimator struct {
 	senders map[sender]calibration
 }
@@ -24,7 +26,8 @@
 	boot uint32
 }
 
-// calibration: at the hearer's time at or later, the difference of the two clocks was least or more. No later is known for it.
+// calibration: at the hearer's time at or later, the difference of the two clocks was least or more. No later is known
+// for it.
 type calibration struct {
 	least, at time.Duration
 }
@@ -48,8 +51,8 @@
 	t.senders[key] = c
 }
 
-// Estimate returns how long a message that was stamped sent has been under way now, at most; known is false if its sender was not
-// asked yet. stale tells that it should be asked again.
+// Estimate returns how long a message that was stamped sent has been under way now, at most; known is false if its
+// sender was not asked yet. stale tells that it should be asked again.
 func (t *TransitEstimator) Estimate(name string, boot uint32, sent, now time.Duration) (d time.Duration, known, stale bool) {
 	c, ok := t.senders[sender{name, boot}]
 	if !ok {
@@ -58,8 +61,8 @@
 	return max(0, now-sent-c.bound(now)), true, now-c.at > CalibrationInterval
 }
 
-// Inbox is Transit for whoever can ask: it tells when to ask a sender for its clock, and puts aside what comes of one whose clock is not
-// known yet. M is a message as the caller has it. Names must be of listed members: they bound it.
+// Inbox is Transit for whoever can ask: it tells when to ask a sender for its clock, and puts aside what comes of one
+// whose clock is not known yet. M is a message as the caller has it. Names must be of listed members: they bound it.
 type Inbox[M any] struct {
 	TransitEstimator
 	ClockRequestInterval time.Duration // an unanswered sender is asked again
@@ -69,8 +72,8 @@
 	aside map[string][]M
 }
 
-// Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for held at most. ask tells that
-// its sender is to be asked now.
+// Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for
+// held at most. ask tells that its sender is to be asked now.
 func (in *Inbox[M]) Receive(m M, name string, boot uint32, sent, now time.Duration) (held time.Duration, known, ask bool) {
 	held, known, stale := in.Estimate(name, boot, sent, now)
 	ask = stale && in.RequestDue(name, now)
--- a/internal/fleet/membership/link.go
+++ b/internal/fleet/membership/link.go
@@ -1,6 +1,6 @@
-// Package link carries what relays of a fleet tell each other: membership, failure detection and gossip are memberlist's (SWIM
-// with Lifeguard), on its own transport, with each member's name standing for an address of this relay's own. Nothing here decides, and
-// nobody who tells or asks ever waits for the network.
+// Package link carries what relays of a fleet tell each other: membership, failure detection and gossip are
+// memberlist's (SWIM with Lifeguard), on its own transport, with each member's name standing for an address of this
+// relay's own. Nothing here decides, and nobody who tells or asks ever waits for the network.
 package membership
 
 import (
@@ -138,7 +138,8 @@
 		notes:   make(chan note, notesMost),
 		replies: make(chan reply, repliesMost), raising: make(chan struct{}, 1),
 	}
-	// Who listens, not who is seen: one that sees nobody yet tells all the same. A small fleet's datagrams get lost like a large one's.
+	// Who listens, not who is seen: one that sees nobody yet tells all the same. A small fleet's datagrams get lost
+	// like a large one's.
 	l.queue.NumNodes = func() int { return gossip.EffectiveSize(len(cfg.Peers)) }
 	mc := memberlist.DefaultLANConfig()
 	mc.Name, mc.Label = cfg.Name, cfg.Fleet
@@ -147,7 +148,8 @@
 	mc.ProbeInterval, mc.ProbeTimeout, mc.TCPTimeout = probeEvery, probeFor, streamFor
 	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(cfg.syncEvery, gossip.SyncInterval), false, reclaimFor
 	mc.Delegate, mc.Conflict, mc.Alive = (*delegate)(l), (*delegate)(l), (*delegate)(l)
-	// memberlist's own number of the delegate's form stays 0 for good: it keeps out whole members that are newer. The codec does better.
+	// memberlist's own number of the delegate's form stays 0 for good: it keeps out whole members that are newer. The
+	// codec does better.
 	l.queue.RetransmitMult = gossip.RetransmitMultiplier(len(cfg.Peers))
 	inner := cfg.Transport
 	if inner == nil {
@@ -234,7 +236,8 @@
 	}
 }
 
-// Received returns what was heard since it was called last, with the ages that it has now, and the member's own life if that is new.
+// Received returns what was heard since it was called last, with the ages that it has now, and the member's own life if
+// that is new.
 func (l *Node) Received() (pages []loadreport.Report, life loadreport.Incarnation) {
 	now := l.cfg.now()
 	l.mu.Lock()
@@ -255,8 +258,8 @@
 // Now is the link's monotonic time.
 func (l *Node) Now() time.Duration { return l.cfg.now() }
 
-// SendQuota has messages sent, each to its member, that were decided at a time of Now's. It waits for nothing; what is beyond the room is lost, as a
-// datagram may be.
+// SendQuota has messages sent, each to its member, that were decided at a time of Now's. It waits for nothing; what is
+// beyond the room is lost, as a datagram may be.
 func (l *Node) SendQuota(at time.Duration, messages []quota.Message) {
 	l.mu.Lock()
 	silent := l.claim.Suspended(l.cfg.now())
@@ -317,7 +320,8 @@
 			memberlist.StateAlive: "alive", memberlist.StateSuspect: "suspect", memberlist.StateDead: "dead", memberlist.StateLeft: "left",
 		}[n.State]
 	}
-	// Unlocked: the queue asks for messages and memberlist tells of members, which lock, while they are locked themselves.
+	// Unlocked: the queue asks for messages and memberlist tells of members, which lock, while they are locked
+	// themselves.
 	queued, listen, health := l.queue.NumQueued(), l.Addr(), l.list.GetHealthScore()
 	now := l.cfg.now()
 	l.mu.Lock()
@@ -393,8 +397,9 @@
 	return news
 }
 
-// pages takes those of a message, as old as they are: what was held up on the way, or by either side's being stopped, is older than it says.
-// While the sender's clock is not known nobody can tell: they are put aside until it is. mu is held.
+// pages takes those of a message, as old as they are: what was held up on the way, or by either side's being stopped,
+// is older than it says. While the sender's clock is not known nobody can tell: they are put aside until it is. mu is
+// held.
 func (l *Node) pages(now time.Duration, m codec.Message) (news []place) {
 	if len(m.EncodedReports) == 0 {
 		return nil
@@ -420,7 +425,8 @@
 	return news
 }
 
-// takeRights takes what is told of rights, of a sender whose clock is known: of another it is of no use, and comes again. mu is held.
+// takeRights takes what is told of rights, of a sender whose clock is known: of another it is of no use, and comes
+// again. mu is held.
 func (l *Node) takeRights(now time.Duration, m codec.Message) {
 	held, known, stale := l.intake.Estimate(m.From, m.Boot, micros(m.Clock), now)
 	if stale && l.intake.RequestDue(m.From, now) {
@@ -484,8 +490,8 @@
 	}
 }
 
-// rival meets a life under the own name that is not this one or before it: the folder was an older one, or another process has
-// the name. mu is held.
+// rival meets a life under the own name that is not this one or before it: the folder was an older one, or another
+// process has the name. mu is held.
 func (l *Node) rival(now time.Duration) {
 	l.counts.Rivals++
 	if l.going {
@@ -680,8 +686,8 @@
 	}
 }
 
-// transport leads a member's name to the address that this relay has for it: that may differ from one relay to the next, as
-// discovery's addresses of hosts do, so that every pair can be led through a proxy of its own.
+// transport leads a member's name to the address that this relay has for it: that may differ from one relay to the
+// next, as discovery's addresses of hosts do, so that every pair can be led through a proxy of its own.
 type transport struct {
 	memberlist.NodeAwareTransport
 	addrs         map[string]string
@@ -706,7 +712,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Where memberlist sets a bound of its own, that goes on; for messages to one it sets none, and a peer that hangs would hold them for ever.
+	// Where memberlist sets a bound of its own, that goes on; for messages to one it sets none, and a peer that hangs
+	// would hold them for ever.
 	if err := conn.SetDeadline(time.Now().Add(2 * streamFor)); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
--- a/internal/fleet/membership/link_test.go
+++ b/internal/fleet/membership/link_test.go
@@ -51,7 +51,8 @@
 	if lost || p.net.fault != nil && p.net.fault(p.from, a.Name) {
 		return time.Now(), nil
 	}
-	// The network of memberlist's own hands a packet over to who reads: two that answer each other at once would wait for ever.
+	// The network of memberlist's own hands a packet over to who reads: two that answer each other at once would wait
+	// for ever.
 	b = slices.Clone(b)
 	go p.MockTransport.WriteToAddress(b, a)
 	return time.Now(), nil
@@ -139,7 +140,8 @@
 	}
 }
 
-// Everyone hears of everyone, also who comes late, and a page that every datagram of was lost comes with the next exchange of digests.
+// Everyone hears of everyone, also who comes late, and a page that every datagram of was lost comes with the next
+// exchange of digests.
 func TestAllHear(t *testing.T) {
 	net := &network{}
 	var late atomic.Bool
@@ -186,8 +188,8 @@
 	})
 }
 
-// Who asks for the status while the queue is being read waits for it and not the other way round: holding the link meanwhile, both would wait for
-// ever, and the relay's loop with them.
+// Who asks for the status while the queue is being read waits for it and not the other way round: holding the link
+// meanwhile, both would wait for ever, and the relay's loop with them.
 func TestStatusWhileTheQueueIsRead(t *testing.T) {
 	l := mesh(t, &network{}, 1, nil)[0]
 	l.Publish([]loadreport.Report{pageOf(l, 0, 1, 2)})
@@ -247,7 +249,8 @@
 	}
 }
 
-// Another process under the own name is outbid a few times; then this one falls silent, and tells again when none was heard for long.
+// Another process under the own name is outbid a few times; then this one falls silent, and tells again when none was
+// heard for long.
 func TestTwins(t *testing.T) {
 	at := time.Duration(0)
 	var mu sync.Mutex
@@ -339,8 +342,8 @@
 	return told
 }
 
-// Half of the fleet runs a program that is not written yet: what this one understands of it is taken, the rest counted, and the others are
-// heard as before.
+// Half of the fleet runs a program that is not written yet: what this one understands of it is taken, the rest counted,
+// and the others are heard as before.
 func TestNewerMembers(t *testing.T) {
 	net := &network{}
 	newcomer := net.transport("r900")
@@ -383,7 +386,8 @@
 
 var large = flag.Bool("large", false, "measure fleets of 3 to 300 links in one process, for some minutes")
 
-// TestSpread measures, with -large, how soon all hear of a change, and what a member pays: links of one process, in real time.
+// TestSpread measures, with -large, how soon all hear of a change, and what a member pays: links of one process, in
+// real time.
 func TestSpread(t *testing.T) {
 	sizes := []int{3}
 	if *large {
@@ -414,7 +418,8 @@
 		syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	// Each member tells a page of its own each 2.5 s, as one does that has nothing new; changes of one are timed meanwhile.
+	// Each member tells a page of its own each 2.5 s, as one does that has nothing new; changes of one are timed
+	// meanwhile.
 	stop := make(chan struct{})
 	var background sync.WaitGroup
 	for i, l := range links[1:] {
--- a/internal/fleet/quota/rights.go
+++ b/internal/fleet/quota/rights.go
@@ -1,13 +1,16 @@
-// Package rights splits what a destination takes from all relays of a fleet into rights to call it. It is pure: no clock, no I/O, no random
-// numbers. Times are the member's own monotonic ones; what travels is as old as its carrier's bound from above says (ledger.Transit).
+// Package rights splits what a destination takes from all relays of a fleet into rights to call it. It is pure: no
+// clock, no I/O, no random numbers. Times are the member's own monotonic ones; what travels is as old as its carrier's
+// bound from above says (ledger.Transit).
 //
-// Each member has an even part of a told limit. It keeps a share of it for itself, always, and lends the rest, for a lease, to the one of
-// those that it hears which stands first for that destination: its keeper. A keeper mints whole calls from what it holds and gives them to members that ask.
+// Each member has an even part of a told limit. It keeps a share of it for itself, always, and lends the rest, for a
+// lease, to the one of those that it hears which stands first for that destination: its keeper. A keeper mints whole
+// calls from what it holds and gives them to members that ask.
 //
-// What holds by construction: a lender does not use what it has lent until the lease is over by its own clock, with a margin for clocks that run
-// apart; a keeper stops before that, since it counts the lease from when the loan was sent at the latest. A process that begins anew may have
-// lent all that it lends in a life that it does not remember: it waits a lease out. So what all may use at once is never more than the limit,
-// whatever is lost, doubled, late, stopped or restarted. Nothing of a member that is silent is given away but what it lent itself.
+// What holds by construction: a lender does not use what it has lent until the lease is over by its own clock, with a
+// margin for clocks that run apart; a keeper stops before that, since it counts the lease from when the loan was sent
+// at the latest. A process that begins anew may have lent all that it lends in a life that it does not remember: it
+// waits a lease out. So what all may use at once is never more than the limit, whatever is lost, doubled, late, stopped
+// or restarted. Nothing of a member that is silent is given away but what it lent itself.
 package quota
 
 import (
@@ -23,8 +26,8 @@
 )
 
 const (
-	// Lease is how long a loan lasts, Margin how much longer its lender leaves it alone: clocks run apart by ledger.Drift, and steps are taken
-	// a little late.
+	// Lease is how long a loan lasts, Margin how much longer its lender leaves it alone: clocks run apart by
+	// ledger.Drift, and steps are taken a little late.
 	LeaseDuration = 2 * time.Second
 	LeaseMargin   = 150 * time.Millisecond
 	// Kept is the share of its even part that a member never lends.
@@ -57,8 +60,8 @@
 	cutMost      = 0.25                   // a cut leaves so much at least
 	beliefLeast  = 0.08
 	episode      = 3 * time.Second // cuts that follow so soon are of one fall: what the first one tells is the nearest to the limit
-	// Of itself a second, after a look that found little refused: quickly up to near what was refused last, slowly past it, and quickly
-	// again: the limit is another one then.
+	// Of itself a second, after a look that found little refused: quickly up to near what was refused last, slowly past
+	// it, and quickly again: the limit is another one then.
 	growsQuick = 0.35
 	growsSlow  = 0.08
 	nearBelow  = 0.85
@@ -85,7 +88,8 @@
 	Rejected  uint32  `cbor:"Refused"` // calls in this life that were refused
 }
 
-// QuotaRequest is for calls. Those of one ID are one, and the newest counts: N is how many are wanted in all, 0 takes it back.
+// QuotaRequest is for calls. Those of one ID are one, and the newest counts: N is how many are wanted in all, 0 takes
+// it back.
 type QuotaRequest struct {
 	Scope     Scope  `cbor:"Scope"`
 	ID        uint32 `cbor:"ID"`
@@ -290,7 +294,8 @@
 	}
 }
 
-// unsure tells whether others may hold what an earlier life of this member has lent: until a lease is over, or all have said that they do not.
+// unsure tells whether others may hold what an earlier life of this member has lent: until a lease is over, or all have
+// said that they do not.
 func (b *Ledger) unsure() bool {
 	if b.Set.Fresh || b.Now >= b.Began+b.hold() {
 		return false
@@ -334,7 +339,8 @@
 	return sum + a.loans(b.Now)
 }
 
-// loans is what members but those named may still use of what was lent: of each the greatest loan counts until it is over.
+// loans is what members but those named may still use of what was lent: of each the greatest loan counts until it is
+// over.
 func (a *Account) loans(now time.Duration, but ...string) (sum float64) {
 	most := map[string]float64{}
 	for _, l := range a.Lent {
@@ -408,8 +414,8 @@
 	return b.order
 }
 
-// mint turns what is held into calls up to now. What was held while this process was stopped counts as long as it was held, and no more is saved
-// up than savedSpan's.
+// mint turns what is held into calls up to now. What was held while this process was stopped counts as long as it was
+// held, and no more is saved up than savedSpan's.
 func (b *Ledger) mint(s Scope, a *Account) {
 	if b.Now <= a.At {
 		return
@@ -457,8 +463,8 @@
 	return p
 }
 
-// Receive takes a message that came. One that is older than another of the same life is late, or has come twice: only what it gives still counts,
-// since that is counted in all.
+// Receive takes a message that came. One that is older than another of the same life is late, or has come twice: only
+// what it gives still counts, since that is counted in all.
 func (b *Ledger) Receive(now time.Duration, m Message) {
 	b.Now = now
 	if !slices.Contains(b.Set.Members, m.Member) || m.Member == b.Set.Self || m.TransitTime < 0 {
@@ -503,7 +509,8 @@
 		}
 		b.mint(l.Scope, a)
 		b.counted(a, m.Member, m.Incarnation, l.Delivered, l.Rejected)
-		// No member can lend more than its part. Counted from when it was sent at the latest. A lease is never shortened by a later loan: its lender counts both.
+		// No member can lend more than its part. Counted from when it was sent at the latest. A lease is never
+		// shortened by a later loan: its lender counts both.
 		a.hold(held{m.Member, m.Incarnation, min(l.Rate, (1-ReservedFraction)*b.part(a)), now - m.TransitTime + b.Set.LeaseDuration}, now)
 	}
 	for _, q := range m.Requests {
@@ -555,7 +562,8 @@
 	}
 }
 
-// believe lowers what is believed of a limit by what was refused, once for all that was out together, and lets it grow where little was.
+// believe lowers what is believed of a limit by what was refused, once for all that was out together, and lets it grow
+// where little was.
 func (b *Ledger) believe(a *Account) {
 	all, since := a.Outcomes[0]+a.Outcomes[1], b.Now-a.Looked
 	if since < believeEvery || all < believeMany && (a.Outcomes[1] > 0 || since < believeSlow) {
@@ -717,8 +725,8 @@
 	return name == b.Set.Self || b.Now-b.peer(name).Heard < liveFor
 }
 
-// keeper is the first of those heard, in the order of a Scope's own: rendezvous hashing, so that few keepers change when members do. Those before
-// it are called, so that one that is back is found.
+// keeper is the first of those heard, in the order of a Scope's own: rendezvous hashing, so that few keepers change
+// when members do. Those before it are called, so that one that is back is found.
 func (b *Ledger) keeper(s Scope) string {
 	type ranked struct {
 		name string
--- a/internal/fleet/quota/rights_test.go
+++ b/internal/fleet/quota/rights_test.go
@@ -114,7 +114,8 @@
 	m.book.Receive(now, f.m)
 }
 
-// step has all that run take a step, and what they tell leave; after tells how long each message is under way, below 0: for ever.
+// step has all that run take a step, and what they tell leave; after tells how long each message is under way, below 0:
+// for ever.
 func (t *tiny) step(after func(from, to int) []time.Duration, wants func(i int) int) (err error) {
 	var later []flying
 	for _, f := range t.flying {
@@ -271,8 +272,9 @@
 	}
 }
 
-// A member that has lost its folder uses its part as soon as all others say that they hold nothing of an earlier life of it. What that life had
-// lent and is still under way is not taken any more: one that took it all the same would break the sum.
+// A member that has lost its folder uses its part as soon as all others say that they hold nothing of an earlier life
+// of it. What that life had lent and is still under way is not taken any more: one that took it all the same would
+// break the sum.
 func TestNothingOfAnEarlierLife(t *testing.T) {
 	for _, keeps := range []bool{true, false} {
 		f := newTiny(2, 2, 10, wrong{}, func(from, to int) int { return (from + to) / 2 })
@@ -335,7 +337,8 @@
 	return nil
 }
 
-// One member with all the backlog uses all that is lent, and its own part beside it; when its keeper has gone, another one's within seconds.
+// One member with all the backlog uses all that is lent, and its own part beside it; when its keeper has gone, another
+// one's within seconds.
 func TestOneWithTheBacklogUsesAll(t *testing.T) {
 	const limit, n = 40.0, 20
 	f := newTiny(n, n, limit, wrong{}, func(from, to int) int { return (from + to) / 2 })
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -1,5 +1,5 @@
-// Package figures counts what a relay does, and writes it in the form of statsd: one name:value|type a line. Every process
-// counts from 0. All of it may be used from many goroutines at once; a count costs an atomic addition.
+// Package figures counts what a relay does, and writes it in the form of statsd: one name:value|type a line. Every
+// process counts from 0. All of it may be used from many goroutines at once; a count costs an atomic addition.
 package metrics
 
 import (
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -308,8 +308,8 @@
 	}
 }
 
-// before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what held
-// before it: when the last step fell close behind a look, what it left behind holds all the while.
+// before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what
+// held before it: when the last step fell close behind a look, what it left behind holds all the while.
 func (b *builder) before(s *policy.Engine, e *flightrecorder.Entry) {
 	if b.some && b.stepped > b.looked && e.Now-b.stepped >= b.opts.Every {
 		b.look(s, b.stepped)
--- a/internal/recording/fleetstats/tally_test.go
+++ b/internal/recording/fleetstats/tally_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A recording that begins in mid-life, a ring that was written out say, tells its places from the module's state; what it says
-// of messages that came before is told apart.
+// A recording that begins in mid-life, a ring that was written out say, tells its places from the module's state; what
+// it says of messages that came before is told apart.
 func TestARecordingThatBeginsInMidLife(t *testing.T) {
 	set := policy.Settings{Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}}, DestinationKinds: []policy.DestinationKind{{}, {LimitPerEndpoint: true}}}
 	s, err := policy.New(set, 1)
--- a/internal/recording/flightrecorder/form.go
+++ b/internal/recording/flightrecorder/form.go
@@ -1,6 +1,6 @@
 // Package flight is the relay's flight recorder: it keeps what the decision module was told and what it decided, in a
-// bounded ring in memory and, where asked for, in files or in the log, so that a stretch of a relay's life can be played
-// again. It decides nothing and holds up no step: see docs/design/flight-recorder.md for the form.
+// bounded ring in memory and, where asked for, in files or in the log, so that a stretch of a relay's life can be
+// played again. It decides nothing and holds up no step: see docs/design/flight-recorder.md for the form.
 //
 // A recording is a run of chunks, each readable by itself: it begins with a header frame and, unless it is the first of
 // a process, with the module's state. Every frame carries a CRC-32C over its length, its payload and its place, so that
@@ -18,8 +18,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Format is the newest version of the form that this package reads. It writes the first one, which has no frames of what stands beside
-// the module, unless such are asked for.
+// Format is the newest version of the form that this package reads. It writes the first one, which has no frames of
+// what stands beside the module, unless such are asked for.
 const (
 	Format      = 2
 	formatPlain = 1
@@ -45,7 +45,8 @@
 	frameClear byte = 'C'
 	frameLabel byte = 'L'
 	frameNote  byte = 'N'
-	// What stands beside the module: its state, behind the module's own in each chunk, and what it was told and told in a step.
+	// What stands beside the module: its state, behind the module's own in each chunk, and what it was told and told in
+	// a step.
 	frameBesideState byte = 'G'
 	frameBeside      byte = 'F'
 )
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -68,15 +68,16 @@
 }
 
 // NewRecorder returns a Recorder of a module that has been told nothing yet, with a ring of so many bytes (0:
-// DefaultRingSize, MinRingSize at least). state appends the module's state as policy.Engine.Snapshot does; it is called from
-// Step, after the module has taken it.
+// DefaultRingSize, MinRingSize at least). state appends the module's state as policy.Engine.Snapshot does; it is called
+// from Step, after the module has taken it.
 func NewRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ring, state)
 	r.begin(true)
 	return r
 }
 
-// ResumeRecorder is NewRecorder for a module that was restored in mid-life, at now: the recording begins with its state.
+// ResumeRecorder is NewRecorder for a module that was restored in mid-life, at now: the recording begins with its
+// state.
 func ResumeRecorder(meta Meta, ring int, state func([]byte) []byte, now time.Duration) *Recorder {
 	r := newRecorder(meta, ring, state)
 	r.now = now
@@ -96,8 +97,8 @@
 	}
 }
 
-// RecordFleet has something that stands beside the module recorded with it: state appends its state as Snapshot does. It is called before
-// the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
+// RecordFleet has something that stands beside the module recorded with it: state appends its state as Snapshot does.
+// It is called before the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
 func (r *Recorder) RecordFleet(state func([]byte) []byte) {
 	if r == nil {
 		return
@@ -210,7 +211,8 @@
 	r.begin(false)
 }
 
-// Reconfigured records that other settings hold: a chunk with them begins. It is called after the module has taken them.
+// Reconfigured records that other settings hold: a chunk with them begins. It is called after the module has taken
+// them.
 func (r *Recorder) Reconfigured(set policy.Settings) {
 	if r == nil {
 		return
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Restore reads the state that a chunk begins with in mid-life. One that some other build wrote may be such as the module
-// never reaches; that is an error.
+// Restore reads the state that a chunk begins with in mid-life. One that some other build wrote may be such as the
+// module never reaches; that is an error.
 func Restore(e *flightrecorder.Entry) (s *policy.Engine, err error) {
 	defer func() {
 		if x := recover(); x != nil {
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Settings that change in mid-life are part of what was told, and a module that is restored in mid-life begins a recording with its
-// state: both play without a difference, and not so if what was told is left out.
+// Settings that change in mid-life are part of what was told, and a module that is restored in mid-life begins a
+// recording with its state: both play without a difference, and not so if what was told is left out.
 func TestSettingsThatChangeAndRestoredModules(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		steps := 0
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -16,8 +16,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A host may go by the first message of a call, and answer once that one's time is over: what it then tells of the others is
-// not certain, however whole it is. Here the answer comes as soon as the message with the least time has had its final answer.
+// A host may go by the first message of a call, and answer once that one's time is over: what it then tells of the
+// others is not certain, however whole it is. Here the answer comes as soon as the message with the least time has had
+// its final answer.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{{"short", "long", "middle"}, {"long", "short", "middle"}, {"middle", "short", "long"}} {
 		t.Run(strings.Join(order, " "), func(t *testing.T) {
@@ -64,7 +65,8 @@
 	}
 }
 
-// The message with the most time may be over before the connection is up: the call is then no longer than what the rest has.
+// The message with the most time may be over before the connection is up: the call is then no longer than what the rest
+// has.
 func TestACallIsNoLongerThanWhatStillLeaves(t *testing.T) {
 	expires := make(chan string, 1)
 	addr, _ := rawHost(t, func(_ int, _ net.Conn, req *http.Request) bool {
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -186,8 +186,8 @@
 // rests tells whether nothing of a request was read on a client's connection that is not answered.
 func (c *client) rests() bool { return c.phase == silent || c.phase == idle }
 
-// quiet tells whether nothing came of a client that was not read: closed over that, its connection would be reset, and a request
-// that was whole be left without an answer. One on which something came is about to be served.
+// quiet tells whether nothing came of a client that was not read: closed over that, its connection would be reset, and
+// a request that was whole be left without an answer. One on which something came is about to be served.
 func (c *client) quiet() bool { return c.ahead() != aheadBytes }
 
 // enter notes what a connection is at; false if it was dropped meanwhile, or is not to be kept.
@@ -277,8 +277,8 @@
 	}
 }
 
-// wholeBy is when a request that begins now must have come, on a connection that was given until by to begin one. One that began in
-// the last moment has a little longer.
+// wholeBy is when a request that begins now must have come, on a connection that was given until by to begin one. One
+// that began in the last moment has a little longer.
 func wholeBy(now, by time.Time) time.Time {
 	switch soon := now.Add(requestFor); {
 	case soon.Before(by): // it was idle before
@@ -379,7 +379,8 @@
 	return false
 }
 
-// reply writes an answer, with advice if there is any. It returns whether the connection ends with it, asked for or not.
+// reply writes an answer, with advice if there is any. It returns whether the connection ends with it, asked for or
+// not.
 func (s *clients) reply(c *client, a answer, last bool) (bool, error) {
 	if a.status >= 400 && a.status < 500 {
 		s.bad.came(s.log, "from", c.RemoteAddr(), "status", a.status, "text", a.text)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -117,8 +117,8 @@
 	return c, nil
 }
 
-// scanConfig reads a configuration as it comes: its list of hosts may be longer than all that is kept of it. known tells
-// whether that is kept, or only looked at.
+// scanConfig reads a configuration as it comes: its list of hosts may be longer than all that is kept of it. known
+// tells whether that is kept, or only looked at.
 func scanConfig(src io.ReadSeeker, known bool) (Config, error) {
 	rest, at, err := beside(src)
 	if err != nil {
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// What stands behind each constant of this package, of herd and of policy: no settings tell of it. One that stands in for something that they
-// tell comes from them, and has no place here.
+// What stands behind each constant of this package, of herd and of policy: no settings tell of it. One that stands in
+// for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.acceptFor", "relay.answerFor", "relay.sendFor", "relay.endBy",
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -100,9 +100,9 @@
 	oversize trouble // lists
 }
 
-// listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where they are
-// pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at once, also after it
-// was silent.
+// listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where
+// they are pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at
+// once, also after it was silent.
 func listCaller(cfg Config) backoff.Backoff {
 	c := backoff.Backoff{Clients: 1, Grace: cfg.Grace}
 	if cfg.Settings.WatchRequired {
@@ -141,8 +141,9 @@
 	}
 }
 
-// follow is one watch, until its connection ends or falls silent, and the pause before the next. A connection that is cut off says
-// nothing: only the missing lines tell. version is kept up, so that the next watch resumes where this one ended.
+// follow is one watch, until its connection ends or falls silent, and the pause before the next. A connection that is
+// cut off says nothing: only the missing lines tell. version is kept up, so that the next watch resumes where this one
+// ended.
 func (w *watcher) follow(ctx context.Context, addr string) {
 	was, began := w.version, time.Now()
 	err := w.stream(ctx, addr)
--- a/internal/relay/discovery/backoff/herd_test.go
+++ b/internal/relay/discovery/backoff/herd_test.go
@@ -72,9 +72,9 @@
 	return last, true
 }
 
-// All have their answers within a few times the time that the service needs for one call of each, whatever that is, and whether their
-// first calls come together or at any moment of a period. The pauses of few clients, used by many, jam it, and so do pauses that are
-// drawn from all of the period: the test can fail.
+// All have their answers within a few times the time that the service needs for one call of each, whatever that is, and
+// whether their first calls come together or at any moment of a period. The pauses of few clients, used by many, jam
+// it, and so do pauses that are drawn from all of the period: the test can fail.
 func TestManyThatCallAtOnceAreAllAnswered(t *testing.T) {
 	jammed, spread := false, false
 	anyMoment := func(_ *Backoff, rng *rand.Rand) time.Duration { return time.Duration(rng.Float64() * float64(period)) }
@@ -126,9 +126,9 @@
 	}
 }
 
-// However many they are, a client's first call comes well within the grace after its start, and so does the one after a call
-// whose answer has ended: news that the service has binds from then on. After one that failed the next is less than six seconds
-// away.
+// However many they are, a client's first call comes well within the grace after its start, and so does the one after a
+// call whose answer has ended: news that the service has binds from then on. After one that failed the next is less
+// than six seconds away.
 func TestCallsThatMayFindNewsComeSoon(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	const grace = time.Second
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 )
 
-// Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called again
-// until it answers, from the version that is known, and never by calls side by side.
+// Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
+// again until it answers, from the version that is known, and never by calls side by side.
 func TestDiscoveryThatTurnsCallersAwayIsCalledAgain(t *testing.T) {
 	var calls, open, most atomic.Int64
 	ways := []func(w http.ResponseWriter, r *http.Request){
@@ -77,7 +77,8 @@
 
 func (most) Uint64() uint64 { return math.MaxUint64 }
 
-// A relay that waits before it calls discovery again calls at once where discovery has moved: what the new address has binds.
+// A relay that waits before it calls discovery again calls at once where discovery has moved: what the new address has
+// binds.
 func TestAMoveEndsThePauseBetweenCalls(t *testing.T) {
 	serve := func(version int, stay bool) *httptest.Server {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,9 +116,10 @@
 	hear(9)
 }
 
-// Where lists are pushed, what the agent has binds within the grace. It is silent while discovery is down, and answers what it was
-// asked meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times, however many failed before.
-// The times here are those of a clock that stands still while nothing waits: each call's silence, and the pauses as they are drawn.
+// Where lists are pushed, what the agent has binds within the grace. It is silent while discovery is down, and answers
+// what it was asked meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times,
+// however many failed before. The times here are those of a clock that stands still while nothing waits: each call's
+// silence, and the pauses as they are drawn.
 func TestAnAgentThatWasSilentIsAskedWithinTheGrace(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -194,15 +196,16 @@
 	t.Logf("told after %v and %d calls", time.Since(began), calls.Load())
 }
 
-// toldWithin is when a change counts as told: so long after discovery had it and could be reached, however the calls before went. callTakes
-// is left of it for the call that finds it.
+// toldWithin is when a change counts as told: so long after discovery had it and could be reached, however the calls
+// before went. callTakes is left of it for the call that finds it.
 const (
 	toldWithin = 6 * time.Second
 	callTakes  = 400 * time.Millisecond
 )
 
-// However many relays share discovery and however their calls fail, the next call begins in time. The clock is that of the calls and pauses
-// alone; the worst moment for discovery to be back is right after a call began that comes to nothing.
+// However many relays share discovery and however their calls fail, the next call begins in time. The clock is that of
+// the calls and pauses alone; the worst moment for discovery to be back is right after a call began that comes to
+// nothing.
 func TestWhatDiscoveryHasIsAskedForInTime(t *testing.T) {
 	ways := map[string]time.Duration{"refused": 0, "turned away": 2 * time.Second, "not connected": time.Second, "silent": watchSilence}
 	for _, ask := range []bool{false, true} {
@@ -241,7 +244,8 @@
 	}
 }
 
-// The same on real connections: discovery fails two calls, and has news from the moment on at which the second has begun.
+// The same on real connections: discovery fails two calls, and has news from the moment on at which the second has
+// begun.
 func TestNewsOfDiscoveryThatIsBackIsToldInTime(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -31,7 +31,8 @@
 	// reportMost bounds what a host may tell of its limit.
 	reportMost = 1e9
 	informMost = 16 // 1xx answers before one
-	// heldUpAfter is how long after its decision a call may leave unasked: within what the module's times leave before they bind.
+	// heldUpAfter is how long after its decision a call may leave unasked: within what the module's times leave before
+	// they bind.
 	heldUpAfter = 10 * time.Millisecond
 )
 
@@ -90,8 +91,9 @@
 	return &hosts{pool: newPool(cfg), reports: cfg.Reports, written: written, log: log, spoilt: trouble{what: "spoilt answer"}}
 }
 
-// do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is written where that was
-// held up, as by a new connection that had to come up first: for the attempts that may leave even then.
+// do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is
+// written where that was held up, as by a new connection that had to come up first: for the attempts that may leave
+// even then.
 func (h *hosts) do(ctx context.Context, c *call, clear func(*call) []*attempt) []result {
 	ctx, cancel := context.WithDeadline(ctx, c.until)
 	defer cancel()
@@ -102,7 +104,8 @@
 	case err != nil:
 		return alike(c, result{outcome: policy.ConnectFailed})
 	}
-	// While the connection came up, or the journal was slow to write, a drain or a wait may have been told, and messages may have ended.
+	// While the connection came up, or the journal was slow to write, a drain or a wait may have been told, and
+	// messages may have ended.
 	leaving := *c
 	if fresh || time.Since(c.sent) > heldUpAfter {
 		leaving.attempts = clear(c)
--- a/internal/relay/hotrestart/golden_keys_test.go
+++ b/internal/relay/hotrestart/golden_keys_test.go
@@ -7,7 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-// TestGoldenKeys pins the keys under which one process tells another what it has: other builds of the program read them.
+// TestGoldenKeys pins the keys under which one process tells another what it has: other builds of the program read
+// them.
 func TestGoldenKeys(t *testing.T) {
 	var x Frame
 	golden.Fill(&x)
--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -1,6 +1,6 @@
 // Package handover carries a relay from one process to another, over a Unix socket: the state of the one that ends, and
-// from then on the outcomes of its calls and what its clients still hand in. See docs/design/upgrade.md. Frames are JSON
-// behind their lengths; both ends are processes of one user on one machine.
+// from then on the outcomes of its calls and what its clients still hand in. See docs/design/upgrade.md. Frames are
+// JSON behind their lengths; both ends are processes of one user on one machine.
 package hotrestart
 
 import (
@@ -62,7 +62,8 @@
 	FinishedMessages []FinishedMessage `json:"Ended,omitempty"` // in that order
 }
 
-// FinishedMessage is a message of which nothing is owed, and what its client is told if it hands it in once more until then.
+// FinishedMessage is a message of which nothing is owed, and what its client is told if it hands it in once more until
+// then.
 type FinishedMessage struct {
 	TraceID string    `json:"Trace"`
 	Status  int       `json:"Status"`
@@ -144,8 +145,8 @@
 // ErrNobody tells that no process listens there.
 var ErrNobody = errors.New("handover: no process to take over from")
 
-// Listen listens at path, in the place of a process that listened there before. The path stays when the listener closes: by
-// then it may be another's.
+// Listen listens at path, in the place of a process that listened there before. The path stays when the listener
+// closes: by then it may be another's.
 func Listen(path string) (net.Listener, error) {
 	if len(path) > pathMost {
 		return nil, fmt.Errorf("handover: %q is longer than a socket's path may be", path)
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -9,9 +9,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// How the loop takes discovery's list. All of it stands in the catalog. One of up to catalog.WholeMost hosts is told to the module as it
-// comes. Of a longer one the module hears only what it needs: the destinations in use. Such a list comes in parts, each applied
-// between two steps.
+// How the loop takes discovery's list. All of it stands in the catalog. One of up to catalog.WholeMost hosts is told to
+// the module as it comes. Of a longer one the module hears only what it needs: the destinations in use. Such a list
+// comes in parts, each applied between two steps.
 
 const (
 	// sliceMost is how many entries the loop takes at once: well under a millisecond's work.
@@ -39,7 +39,8 @@
 	stage   stage
 	entries []entry
 	version int64
-	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for it all.
+	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
+	// it all.
 	done chan bool
 }
 
@@ -60,8 +61,8 @@
 	of     []catalog.Endpoint  // scratch
 }
 
-// list takes a list of hosts, or changes to it, and returns what the module is told. An entry that cannot be read is passed
-// over; if it names a host that is known, that host stays as it was.
+// list takes a list of hosts, or changes to it, and returns what the module is told. An entry that cannot be read is
+// passed over; if it names a host that is known, that host stays as it was.
 func (r *Relay) list(l List) []policy.Event {
 	r.version = l.Version
 	if l.Full {
@@ -144,7 +145,8 @@
 	}
 }
 
-// swept takes hosts that a whole list did not name, and adds what the module is told of them. It needs not be where it is told the whole.
+// swept takes hosts that a whole list did not name, and adds what the module is told of them. It needs not be where it
+// is told the whole.
 func (r *Relay) swept(told []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
 	for _, was := range removed {
 		r.changed(&catalog.Change{Old: was, Kind: catalog.Removed})
@@ -164,7 +166,8 @@
 
 // Long lists.
 
-// holdKnown has the relay hold the list that its configuration knows, if that is long. A short one is told to the module by resume.
+// holdKnown has the relay hold the list that its configuration knows, if that is long. A short one is told to the
+// module by resume.
 func (r *Relay) holdKnown() {
 	if r.catalog = r.cfg.Long; r.catalog == nil {
 		r.catalog = catalog.New()
@@ -189,7 +192,8 @@
 	return catalog.NewWorkingSet(cmp.Or(r.terms.Settings.WarmUpDuration, usualWarm))
 }
 
-// gather takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that came before it waits in the batch.
+// gather takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that
+// came before it waits in the batch.
 func (r *Relay) gather(batch []any, e any) []any {
 	if p, ok := e.(*part); ok && p.stage != listOpens && !r.handed {
 		r.takePart(p)
@@ -297,8 +301,8 @@
 	return told
 }
 
-// rouse has the module told of destinations at rest before what concerns them, and of changes of the list before all else. Then it
-// puts some to rest that have nothing to remember.
+// rouse has the module told of destinations at rest before what concerns them, and of changes of the list before all
+// else. Then it puts some to rest that have nothing to remember.
 func (r *Relay) rouse(now time.Duration, events []policy.Event) []policy.Event {
 	out := make([]policy.Event, 0, len(events)+2)
 	for _, e := range events {
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -31,7 +31,8 @@
 	return reload.ShapeOf(values)
 }
 
-// A configuration is the same wherever its list of hosts stands and however its keys are ordered, and its shape is what it was.
+// A configuration is the same wherever its list of hosts stands and however its keys are ordered, and its shape is what
+// it was.
 func TestAConfigurationIsReadAsItComes(t *testing.T) {
 	const one = `{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	settings, head := `"settings":`+settingsJSON, `"name":"n3","limits":{"cores":2}`
@@ -113,8 +114,8 @@
 	}
 }
 
-// A process of a long list hands over what its module knows. The other one begins from the list that it knows itself, knows better of what is in
-// use, and asks for the whole.
+// A process of a long list hands over what its module knows. The other one begins from the list that it knows itself,
+// knows better of what is in use, and asks for the whole.
 func TestTakingOverALongList(t *testing.T) {
 	addr, requests := rawHost(t, answers)
 	for name, edit := range map[string]func(*hotrestart.State){
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -69,8 +69,9 @@
 	return maps.EqualFunc(a, b, func(x, y []policy.Endpoint) bool { return slices.Equal(x, y) })
 }
 
-// Whatever lists, changes and messages come, and whichever destinations are put to rest: the module knows of those that are awake all that
-// the list says, and of the others nothing. The list itself is that of a relay which keeps all in a map.
+// Whatever lists, changes and messages come, and whichever destinations are put to rest: the module knows of those that
+// are awake all that the list says, and of the others nothing. The list itself is that of a relay which keeps all in a
+// map.
 func TestTheModuleKnowsWhatIsAwake(t *testing.T) {
 	const dests, hosts, restFor = 12, 40, 40 * time.Millisecond
 	for seed := range uint64(20) {
@@ -138,7 +139,8 @@
 	}
 }
 
-// A whole list once more is no news to the module, and of a list with one change it hears that one alone: neither asks for a step.
+// A whole list once more is no news to the module, and of a list with one change it hears that one alone: neither asks
+// for a step.
 func TestTheSameListOnceMoreIsNoNews(t *testing.T) {
 	r := newTestRelay(t)
 	entries := entriesOf(r, liveText("s-a", "127.0.0.1:1", 50, "ready"), liveText("s-b", "127.0.0.1:1", 50, "ready"), liveText("s-c", "127.0.0.1:1", 51, "ready"))
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -17,7 +17,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 )
 
-// A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its module.
+// A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its
+// module.
 func TestAHostThatGoesAndComesBackInOneList(t *testing.T) {
 	const gone, back = `{"id":"s-1","state":"gone"}`, `{"id":"s-1","addr":"127.0.0.1:7","zone":"b","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	for _, c := range []struct {
@@ -88,7 +89,8 @@
 	return told
 }
 
-// An agent's versions begin again, as those of another machine would: what it tells is taken, and the next watch goes on from there.
+// An agent's versions begin again, as those of another machine would: what it tells is taken, and the next watch goes
+// on from there.
 func TestVersionsThatBeginAgain(t *testing.T) {
 	addr, indexes := agentOf(t, `{"version":3,"full":true,"servers":[]}`,
 		`{"version":41,"full":false,"servers":[]}`+"\n", `{"version":2,"full":true,"servers":[]}`+"\n", `{"version":3,"full":false,"servers":[]}`+"\n")
--- a/internal/relay/listing.go
+++ b/internal/relay/listing.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// entriesMost bounds a list, and all that is kept of lists: some hundred bytes each. Several times what the largest sites have.
+	// entriesMost bounds a list, and all that is kept of lists: some hundred bytes each. Several times what the largest
+	// sites have.
 	entriesMost = 1 << 20
 	// entryMost bounds one entry, in bytes, and any one value beside the entries: some 150 are usual.
 	entryMost = 16 << 10
@@ -42,7 +43,8 @@
 	came  int    // bytes of the list that is read
 	left  int    // bytes that may still come; blanks are not counted
 	lines func() // a line has ended: a sign of life; nil: nobody asks
-	// between has blanks passed over: no list has begun. Guards against a decoder that keeps all blank lines of a quiet day.
+	// between has blanks passed over: no list has begun. Guards against a decoder that keeps all blank lines of a quiet
+	// day.
 	between bool
 }
 
@@ -89,9 +91,9 @@
 	return &listReader{src: src, dec: json.NewDecoder(src), listing: listing}
 }
 
-// next reads one list. Its keys may come in any order: head is filled in as they do. Each entry is handed to take, whose
-// error ends the reading. The error is io.EOF where no list comes any more; one that is none of reading tells that what has come is no
-// list, see resume.
+// next reads one list. Its keys may come in any order: head is filled in as they do. Each entry is handed to take,
+// whose error ends the reading. The error is io.EOF where no list comes any more; one that is none of reading tells
+// that what has come is no list, see resume.
 func (r *listReader) next(head *listHead, take func(entry) error) error {
 	if !r.resumed {
 		ahead, _ := io.ReadAll(r.dec.Buffered()) // cannot fail
@@ -222,8 +224,8 @@
 // UnmarshalJSON takes anything.
 func (*ignored) UnmarshalJSON([]byte) error { return nil }
 
-// skipValue reads over a value, and is never further ahead than an entry of an array. before is called before each read. It
-// returns the value's first token: nil for null.
+// skipValue reads over a value, and is never further ahead than an entry of an array. before is called before each
+// read. It returns the value's first token: nil for null.
 func skipValue(dec *json.Decoder, before func()) (first json.Token, err error) {
 	before()
 	if first, err = dec.Token(); err != nil {
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -75,7 +75,8 @@
 	a.whole = whole
 }
 
-// follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was begun.
+// follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was
+// begun.
 func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*watcher)) {
 	t.Helper()
 	r.agent.move(addrOf(a.Server))
@@ -155,8 +156,8 @@
 	return true
 }
 
-// A list that is far too long for a module comes by the watch: its module hears of what is in use, the rest is delivered to as well, and
-// changes reach the one and the other.
+// A list that is far too long for a module comes by the watch: its module hears of what is in use, the rest is
+// delivered to as well, and changes reach the one and the other.
 func TestALongListIsToldAsFarAsItIsUsed(t *testing.T) {
 	const dests = 6000
 	r, a := newTestRelay(t), newListAgent(t)
@@ -197,7 +198,8 @@
 	}
 }
 
-// A destination at rest whose only host drains is woken by a message: that waits, and goes to the host that is listed next.
+// A destination at rest whose only host drains is woken by a message: that waits, and goes to the host that is listed
+// next.
 func TestWakingWhileTheOnlyHostDrains(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	old, oldRequests := rawHost(t, answers)
@@ -267,7 +269,8 @@
 	t.Logf("%d woken and delivered in %v", dests, time.Since(began))
 }
 
-// A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new leaves for the host once the grace is over.
+// A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new leaves for the host
+// once the grace is over.
 func TestADrainBehindALongList(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
@@ -317,8 +320,8 @@
 	}
 }
 
-// A long list that breaks off in the middle of an entry: what it has said holds, nothing goes for not being named yet, its version is not taken on, and
-// it is asked for again. One that stalls or never ends is cut off.
+// A long list that breaks off in the middle of an entry: what it has said holds, nothing goes for not being named yet,
+// its version is not taken on, and it is asked for again. One that stalls or never ends is cut off.
 func TestALongListThatBreaksOff(t *testing.T) {
 	const dests = 4000
 	r, a := newTestRelay(t), newListAgent(t)
@@ -383,8 +386,8 @@
 	}
 }
 
-// A line that cannot be read is made up for by the whole list, also where that is long; changes that it holds already are not told again,
-// whether their version comes before them or behind.
+// A line that cannot be read is made up for by the whole list, also where that is long; changes that it holds already
+// are not told again, whether their version comes before them or behind.
 func TestALongListMakesUpForAnUnreadableLine(t *testing.T) {
 	const dests = 3000
 	for name, older := range map[string]func([]byte) []byte{
@@ -485,7 +488,8 @@
 	}
 }
 
-// What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the standing of a host.
+// What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the
+// standing of a host.
 func TestARestartWakesWhatItNeeds(t *testing.T) {
 	addr, requests := rawHost(t, answers)
 	old := newTestRelay(t)
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bytes and ends that arrive in the very moment in which the relay uses or closes a connection. The order is made by hand: what
-// reads a connection is held back until the system has what the peer sent.
+// Bytes and ends that arrive in the very moment in which the relay uses or closes a connection. The order is made by
+// hand: what reads a connection is held back until the system has what the peer sent.
 
 // pair is a connection of real sockets: the relay's side and the peer's.
 func pair(t *testing.T) (ours, peer net.Conn) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A kept connection on which the host spoke or left in the moment of its next use carries no call: what stands there would be taken
-// for the answer, and a message be lost as delivered.
+// A kept connection on which the host spoke or left in the moment of its next use carries no call: what stands there
+// would be taken for the answer, and a message be lost as delivered.
 func TestAKeptConnectionIsLookedAtBeforeItsUse(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -199,8 +199,8 @@
 	eventually(t, "the end has begun", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.closed })
 }
 
-// A request that comes in the last moment of a connection's time is read, one that never comes is not waited for; and what begins so
-// late has a little longer to come whole.
+// A request that comes in the last moment of a connection's time is read, one that never comes is not waited for; and
+// what begins so late has a little longer to come whole.
 func TestARequestInTheLastMomentOfAConnection(t *testing.T) {
 	s := newClients(quiet(), 100, nil)
 	for _, c := range peerActs {
@@ -222,7 +222,8 @@
 	}
 }
 
-// What comes and goes on a whole relay at the moment of SIGTERM: clients that rest with a request on its way are answered.
+// What comes and goes on a whole relay at the moment of SIGTERM: clients that rest with a request on its way are
+// answered.
 func TestAPlannedEndAnswersWhatHadCome(t *testing.T) {
 	r := newTestRelay(t)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -70,7 +70,8 @@
 	stop  context.CancelCauseFunc // ends the reading of a list without end
 }
 
-// receive reads one list and tells of it: as a whole, or, a long one, in parts as it comes. Its version is taken on at its end.
+// receive reads one list and tells of it: as a whole, or, a long one, in parts as it comes. Its version is taken on at
+// its end.
 func (w *watcher) receive(lists *listReader, how receipt) error {
 	head := listHead{Full: how.whole}
 	var entries, spare []entry
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// scarce tells whether a connection did not come up for want of what this relay may hold: that says nothing of the host.
+// scarce tells whether a connection did not come up for want of what this relay may hold: that says nothing of the
+// host.
 func scarce(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -10,8 +10,9 @@
 // recentMost bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
 const recentMost = 4096
 
-// recent are the messages of this process, and of one that handed over to it, that have ended and of which nothing is owed any more, for as long as they had time. A client
-// whose answer was lost with its connection hands its message in once more under the same id, and that may be after its delivery.
+// recent are the messages of this process, and of one that handed over to it, that have ended and of which nothing is
+// owed any more, for as long as they had time. A client whose answer was lost with its connection hands its message in
+// once more under the same id, and that may be after its delivery.
 type recent struct {
 	ended map[string]ending
 	order []string // their ids, as they ended
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A message is handed in once more under its id when it was just forgotten, as after an answer that was lost with its connection: what has
-// run, or may have, does not run again; what surely never ran, or was put off, is a new one.
+// A message is handed in once more under its id when it was just forgotten, as after an answer that was lost with its
+// connection: what has run, or may have, does not run again; what surely never ran, or was put off, is a new one.
 func TestAnIDThatWasJustForgotten(t *testing.T) {
 	const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
 	for _, c := range []struct {
@@ -88,7 +88,8 @@
 	}
 }
 
-// A restart that cannot tell how long ago a message ran takes it for longer than any window, also one of more than a day.
+// A restart that cannot tell how long ago a message ran takes it for longer than any window, also one of more than a
+// day.
 func TestWhatCannotBeDatedRanBeforeAnyWindow(t *testing.T) {
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -836,8 +836,9 @@
 	return calls
 }
 
-// lead adds an attempt before those whose messages have less time left. A call goes by its first message: an answer that comes
-// after this one's time tells nothing certain of the others, however whole it is. So no call may outlast its first message.
+// lead adds an attempt before those whose messages have less time left. A call goes by its first message: an answer
+// that comes after this one's time tells nothing certain of the others, however whole it is. So no call may outlast its
+// first message.
 func (c *call) lead(a *attempt) {
 	i := slices.IndexFunc(c.attempts, func(b *attempt) bool { return b.m.Deadline.Before(a.m.Deadline) })
 	if i < 0 {
@@ -890,8 +891,9 @@
 	}()
 }
 
-// clear tells which attempts of a call that was held up may still leave, if the module lets it leave at all. A message that has had its final
-// answer meanwhile, or whose time in this call is up, has no part in it any more: the others' connection may come up long after that.
+// clear tells which attempts of a call that was held up may still leave, if the module lets it leave at all. A message
+// that has had its final answer meanwhile, or whose time in this call is up, has no part in it any more: the others'
+// connection may come up long after that.
 func (r *Relay) clear(c *call) (left []*attempt) {
 	var ids []uint32
 	for _, a := range c.attempts {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -396,8 +396,8 @@
 	}
 }
 
-// A damaged journal may lack sends. What they may be about is ended, not repeated, and it alone: what was taken on behind the
-// damage goes on.
+// A damaged journal may lack sends. What they may be about is ended, not repeated, and it alone: what was taken on
+// behind the damage goes on.
 func TestADamagedJournalRepeatsNothing(t *testing.T) {
 	r := newTestRelay(t)
 	addr := door(t, r)
@@ -472,8 +472,8 @@
 	})
 }
 
-// With the clock set back between two processes a message that may have run is not repeated: how long its host drops repeats
-// cannot be told. One that never ran goes on, with no more time than its class gives.
+// With the clock set back between two processes a message that may have run is not repeated: how long its host drops
+// repeats cannot be told. One that never ran goes on, with no more time than its class gives.
 func TestAClockThatWasSetBack(t *testing.T) {
 	for _, back := range []time.Duration{0, time.Minute} {
 		r := newTestRelay(t)
@@ -512,8 +512,9 @@
 	return found
 }
 
-// The wall clock is set while no process runs. A message that was sent before the window in which its host drops repeats is not
-// repeated, one sent within it is, and each keeps the time that it truly has left: the boot's clock tells.
+// The wall clock is set while no process runs. A message that was sent before the window in which its host drops
+// repeats is not repeated, one sent within it is, and each keeps the time that it truly has left: the boot's clock
+// tells.
 func TestTheWindowGoesByTheBootsClock(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
@@ -552,8 +553,9 @@
 	}
 }
 
-// The machine was started anew while a call was out, and its clock set: whatever the wall clock says, what may have run is not repeated,
-// since nobody can tell how long its host drops repeats. So over the next process of the new boot, too.
+// The machine was started anew while a call was out, and its clock set: whatever the wall clock says, what may have run
+// is not repeated, since nobody can tell how long its host drops repeats. So over the next process of the new boot,
+// too.
 func TestAfterANewBootNothingThatMayHaveRunIsRepeated(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
 		r := newTestRelay(t)
@@ -580,7 +582,8 @@
 	}
 }
 
-// heldUp has connections to hosts come up only once up is closed. dialled tells of each that is asked for, came of each request.
+// heldUp has connections to hosts come up only once up is closed. dialled tells of each that is asked for, came of each
+// request.
 func heldUp(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
 	t.Helper()
 	asked, requests := make(chan struct{}, 16), make(chan string, 16)
@@ -610,8 +613,8 @@
 	go r.loop(ctx)
 }
 
-// The connection of a call with several messages comes up late: one of them has had its final answer meanwhile, since its time was up. It must
-// not leave with the others.
+// The connection of a call with several messages comes up late: one of them has had its final answer meanwhile, since
+// its time was up. It must not leave with the others.
 func TestAMessageThatEndedMeanwhileDoesNotLeaveWithOthers(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -41,8 +41,8 @@
 
 func (f countingFile) Sync() error { f.fs.syncs++; return f.File.Sync() }
 
-// largest fills the journal of a relay until it takes no more, as a process that is killed leaves it, and returns what it holds: messages that
-// were never sent, or one in two with an attempt out.
+// largest fills the journal of a relay until it takes no more, as a process that is killed leaves it, and returns what
+// it holds: messages that were never sent, or one in two with an attempt out.
 func largest(t testing.TB, cfg Config, body int, sent bool) (messages int, bytes int64) {
 	t.Helper()
 	j, _, err := journal.OpenFolder(cfg.StateDir, cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6)-besideJournal))
@@ -74,8 +74,9 @@
 	return messages, bytes
 }
 
-// What a restart does with the largest journal that its disk allows grows with what that holds and no faster, whatever may be held: so many reads
-// and allocations a message, each byte read no more than three times, and few writes before clients are told that it is ready.
+// What a restart does with the largest journal that its disk allows grows with what that holds and no faster, whatever
+// may be held: so many reads and allocations a message, each byte read no more than three times, and few writes before
+// clients are told that it is ready.
 func TestARestartWithTheLargestJournal(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -31,8 +31,8 @@
 	gauges struct{ done chan struct{} } // asks for figures that are up to date
 )
 
-// Reload takes on what may change while the relay runs: the settings and discovery's address, or neither. err tells that
-// the file could not even be read. It must not be called by two goroutines at once.
+// Reload takes on what may change while the relay runs: the settings and discovery's address, or neither. err tells
+// that the file could not even be read. It must not be called by two goroutines at once.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
 		err = reload.Validate(r.settled, cfg.Config)
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -11,7 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// oldTarget and oldHosts are how the relay kept its list and told the module of it before it had a catalog: the model that small sites are held to.
+// oldTarget and oldHosts are how the relay kept its list and told the module of it before it had a catalog: the model
+// that small sites are held to.
 type oldTarget struct {
 	policy.Endpoint
 	addr string
@@ -57,8 +58,9 @@
 	return e
 }
 
-// randomLists are lists of a small site: whole ones and changes, with hosts that drain, go, come back, move to other addresses, are named
-// twice or cannot be read. None moves to another destination: there the old relay never sent to it again.
+// randomLists are lists of a small site: whole ones and changes, with hosts that drain, go, come back, move to other
+// addresses, are named twice or cannot be read. None moves to another destination: there the old relay never sent to it
+// again.
 func randomLists(rng *rand.Rand) (lists []List, texts [][]string) {
 	for range 1 + rng.IntN(20) {
 		l := List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
@@ -77,7 +79,8 @@
 	return lists, texts
 }
 
-// On a small site the module hears the same events as before there was a catalog, and the relay knows the same addresses.
+// On a small site the module hears the same events as before there was a catalog, and the relay knows the same
+// addresses.
 func TestSmallListsAreToldAsBefore(t *testing.T) {
 	r := newTestRelay(t)
 	for seed := range uint64(300) {
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// With no room for bodies in memory they are read from the journal as they are sent; a message whose body the disk no longer gives
-// ends with a notice, and the loop goes on.
+// With no room for bodies in memory they are read from the journal as they are sent; a message whose body the disk no
+// longer gives ends with a notice, and the loop goes on.
 func TestBodiesLeftOnDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.StateDir, cfg.Operator.Journal.MaxBodiesMB = t.TempDir(), 1.0/(1<<20) // a byte
--- a/internal/relay/trouble.go
+++ b/internal/relay/trouble.go
@@ -9,8 +9,8 @@
 // troubleEvery is how often a trouble is logged at most.
 const troubleEvery = time.Minute
 
-// trouble is something that goes wrong outside, and may do so any number of times: its log is rate-limited, so that bad input of any kind
-// is seen and does not fill it.
+// trouble is something that goes wrong outside, and may do so any number of times: its log is rate-limited, so that bad
+// input of any kind is seen and does not fill it.
 type trouble struct {
 	what string
 
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -20,7 +20,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// leaveFor is how long a process that has handed over serves the connections that its clients have: each answer ends one.
+// leaveFor is how long a process that has handed over serves the connections that its clients have: each answer ends
+// one.
 const leaveFor = 2 * time.Second
 
 const (
@@ -98,7 +99,8 @@
 		f, err = r.before.Receive()
 	}
 	if err == nil && f.Welcome {
-		// Not before: told to end between a yes here and the hello there, the first process would end without handing over.
+		// Not before: told to end between a yes here and the hello there, the first process would end without handing
+		// over.
 		r.waiting.Store(true)
 		f, err = r.before.Receive()
 		r.waiting.Store(false)
@@ -162,9 +164,9 @@
 	r.carryOut(r.decide(r.now(), evs), nil)
 }
 
-// takeUpList takes up the list of the process before this one, and returns what the module there knew of it. Of a long list that is all
-// that goes over: for the rest this process begins from the list that it knows itself, as after a restart, and asks for
-// the whole at once.
+// takeUpList takes up the list of the process before this one, and returns what the module there knew of it. Of a long
+// list that is all that goes over: for the rest this process begins from the list that it knows itself, as after a
+// restart, and asks for the whole at once.
 func (r *Relay) takeUpList(s *hotrestart.State) policy.Event {
 	known := r.cfg.Known.Entries
 	if s.LargeList {
@@ -190,8 +192,8 @@
 	return whole
 }
 
-// takeUpAwake has awake what the module knows of. Where the list is long, the process before knew better than this one's list
-// what a destination in use has.
+// takeUpAwake has awake what the module knows of. Where the list is long, the process before knew better than this
+// one's list what a destination in use has.
 func (r *Relay) takeUpAwake(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
@@ -583,7 +585,8 @@
 	open map[uint64]*handIn
 }
 
-// unserved is what a client hears where the other process does not answer: it has been told nothing, and may come again.
+// unserved is what a client hears where the other process does not answer: it has been told nothing, and may come
+// again.
 var unserved = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 
 // handIn passes a message on. There are no more of them than connections of clients.
@@ -617,8 +620,8 @@
 	}
 }
 
-// end tells that no answer comes any more. What was passed on may have been taken on: its client must not hear that it may
-// come again, and hears that it failed.
+// end tells that no answer comes any more. What was passed on may have been taken on: its client must not hear that it
+// may come again, and hears that it failed.
 func (f *forwards) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -36,8 +36,8 @@
 	return remoteOutcome{ID: id, Number: n, Outcome: o, RetryAfter: wait, Latency: 10 * time.Millisecond, CallFinished: true}
 }
 
-// Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome, and
-// that binds: a delivery ends the message, a told wait holds the next one, what was not told may have run.
+// Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome,
+// and that binds: a delivery ends the message, a told wait holds the next one, what was not told may have run.
 func TestTakingOverWithCallsOut(t *testing.T) {
 	forms := map[string]func(*hotrestart.State){
 		"the same form": func(*hotrestart.State) {},
@@ -83,8 +83,8 @@
 	}
 }
 
-// A process that takes over says that it is ready only once the one before it knows of it: told to end before that, this one
-// would end without handing over, and its clients' connections with it.
+// A process that takes over says that it is ready only once the one before it knows of it: told to end before that,
+// this one would end without handing over, and its clients' connections with it.
 func TestReadyToTakeOverOnlyWhenWelcome(t *testing.T) {
 	dir := t.TempDir()
 	l, err := hotrestart.Listen(filepath.Join(dir, "s"))
@@ -133,8 +133,8 @@
 	}
 }
 
-// A process to which nothing can be handed answers its clients all the same; one that may have taken a message on is not
-// said to have refused it.
+// A process to which nothing can be handed answers its clients all the same; one that may have taken a message on is
+// not said to have refused it.
 func TestForwardsEnd(t *testing.T) {
 	var f forwards
 	none := newHandIn("m1", 7, time.Second)
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -9,7 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// call is a call that a relay makes. The relay has its end of it, the host its own; each learns of the other a latency later.
+// call is a call that a relay makes. The relay has its end of it, the host its own; each learns of the other a latency
+// later.
 type call struct {
 	r     *relay
 	life  int
--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -8,11 +8,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
-// longAgoRan is what a relay tells its module of an attempt whose time it cannot know: past every window in which repeats are dropped.
+// longAgoRan is what a relay tells its module of an attempt whose time it cannot know: past every window in which
+// repeats are dropped.
 const longAgoRan = 24 * time.Hour
 
-// clocks are those of a relay's machine, and the time that its journal goes by, as package journal has it. What a relay reads from its
-// journal is timed by them and not by the world's clock.
+// clocks are those of a relay's machine, and the time that its journal goes by, as package journal has it. What a relay
+// reads from its journal is timed by them and not by the world's clock.
 type clocks struct {
 	stepped time.Duration // by which the wall clock has been set
 	boots   int
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// clockDay is a small fleet whose partners fall silent, so that calls are in doubt when its relays are killed, with their wall clocks set by so much
-// just before; 0: they are not.
+// clockDay is a small fleet whose partners fall silent, so that calls are in doubt when its relays are killed, with
+// their wall clocks set by so much just before; 0: they are not.
 func clockDay(t *testing.T, by time.Duration) scenario.File {
 	t.Helper()
 	const s = scenario.Duration(time.Second)
@@ -32,8 +32,9 @@
 	return f
 }
 
-// The wall clocks of relays are set, forth and back, by moments and hours, before they are killed with calls in doubt: no rule breaks, and the
-// decisions are those of a day on which no clock was set. A relay whose journal goes by the wall clock is convicted.
+// The wall clocks of relays are set, forth and back, by moments and hours, before they are killed with calls in doubt:
+// no rule breaks, and the decisions are those of a day on which no clock was set. A relay whose journal goes by the
+// wall clock is convicted.
 func TestClocksThatAreSet(t *testing.T) {
 	offered := func(w *World) [4]int { return [4]int{w.Offered, w.CallsOK, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
@@ -67,8 +68,9 @@
 	}
 }
 
-// A new boot makes the time of an attempt unknown: it is not repeated, whatever the clock says then. Where the clock was set back and nobody had
-// looked before the machine died, final answers come late by as much, a class's time at most: nothing there tells.
+// A new boot makes the time of an attempt unknown: it is not repeated, whatever the clock says then. Where the clock
+// was set back and nobody had looked before the machine died, final answers come late by as much, a class's time at
+// most: nothing there tells.
 func TestANewBootLeavesAttemptsUndated(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
 		f := clockDay(t, by)
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -92,8 +92,9 @@
 // kept tells whether the relays that could know kept the bound, whoever else called, and the rule held.
 func (c coldCount) kept() bool { return c.told <= 1 && !c.fell }
 
-// bears is N + 2 x root of N + 2 for a place that came back so long ago. N is read as of the end of the window, as partner.Place does: the
-// overload factor, times the share that the place has then, times the rate that all relays are told, times the window.
+// bears is N + 2 x root of N + 2 for a place that came back so long ago. N is read as of the end of the window, as
+// partner.Place does: the overload factor, times the share that the place has then, times the rate that all relays are
+// told, times the window.
 func (d coldDay) bears(since time.Duration) float64 {
 	share := d.coldFrom + (1-d.coldFrom)*min(1, since.Seconds()/d.warm.Seconds())
 	n := d.factor * share * d.rate * d.window.Seconds()
@@ -268,9 +269,10 @@
 	return c
 }
 
-// A destination that fails, hangs, is cut off, refuses connections or calls, and comes back cold is sent no more than it bears by those that had been told, in
-// any window of its ramp: fleets of all sizes, with limits, shares, warm-ups, windows, traffic, restarts, replaced hosts and weights drawn
-// by seed. What relays that never were told send beside is logged: where nothing is shared they cannot know.
+// A destination that fails, hangs, is cut off, refuses connections or calls, and comes back cold is sent no more than
+// it bears by those that had been told, in any window of its ramp: fleets of all sizes, with limits, shares, warm-ups,
+// windows, traffic, restarts, replaced hosts and weights drawn by seed. What relays that never were told send beside is
+// logged: where nothing is shared they cannot know.
 func TestAReturningDestinationGetsWhatItBears(t *testing.T) {
 	sizes, days := []int{1, 2, 6, 7, 20, 30}, uint64(12)
 	if *coldDays > 0 {
@@ -296,9 +298,9 @@
 	}
 }
 
-// Days on which the bound was broken before. Each cause: a told wait put one route of a limit in doubt, and at its end the others had all;
-// an answer to a call from before the outage began the ramp at the outage's start; one delivery cleared the doubt of relays
-// that were told once, long before the destination was warm.
+// Days on which the bound was broken before. Each cause: a told wait put one route of a limit in doubt, and at its end
+// the others had all; an answer to a call from before the outage began the ramp at the outage's start; one delivery
+// cleared the doubt of relays that were told once, long before the destination was warm.
 func TestReturnsThatOnceGotMore(t *testing.T) {
 	for _, c := range []struct {
 		cause  string
@@ -311,8 +313,8 @@
 	}
 }
 
-// Relays whose budget is wrong are convicted by the same count on days that ask much of them, on which sound relays are not: a tenth of
-// what 80 calls a second are at first, for 30 s, and messages for half as much again.
+// Relays whose budget is wrong are convicted by the same count on days that ask much of them, on which sound relays are
+// not: a tenth of what 80 calls a second are at first, for 30 s, and messages for half as much again.
 func TestWrongBudgetsAtAReturningDestination(t *testing.T) {
 	const days = 3
 	names := []string{"", "no-recovery-budget", "warm-at-once", "budget-three-times", "budget-for-itself"}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -57,8 +57,8 @@
 	return all
 }
 
-// All that the rehearsal kit ships is played with the rules held, the same trace for the same seed whatever runs beside it, and
-// what the measures count is what the judge counts.
+// All that the rehearsal kit ships is played with the rules held, the same trace for the same seed whatever runs beside
+// it, and what the measures count is what the judge counts.
 func TestShippedScenarios(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		f := loaded(t, name)
@@ -86,7 +86,8 @@
 	}
 }
 
-// Mutants are convicted of the rule that they break, by what ships; those that break nothing decide as a sound relay does.
+// Mutants are convicted of the rule that they break, by what ships; those that break nothing decide as a sound relay
+// does.
 func TestMutantsAreConvicted(t *testing.T) {
 	where := map[checker.Rule][]string{
 		checker.Lost: {"first-run", "rolling-restarts", "partner-cold"}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
@@ -121,7 +122,8 @@
 	}
 }
 
-// A relay that dies between a call's first byte and its journal record makes the call again; one that logs first does not.
+// A relay that dies between a call's first byte and its journal record makes the call again; one that logs first does
+// not.
 func TestDeathBetweenAFirstByteAndItsRecord(t *testing.T) {
 	for _, lag := range []time.Duration{0, 50 * time.Millisecond} {
 		f := loaded(t, "quiet-day")
@@ -174,7 +176,8 @@
 	}
 }
 
-// 58 % of the endpoints are replaced with lists seconds apart between relays, and an outage begins and ends between two lists.
+// 58 % of the endpoints are replaced with lists seconds apart between relays, and an outage begins and ends between two
+// lists.
 func TestListsOutOfStep(t *testing.T) {
 	f := loaded(t, "replace-58")
 	f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Death, At: f.Troubles[0].At + scenario.Duration(500*time.Millisecond),
@@ -186,8 +189,8 @@
 	}
 }
 
-// Answers get lost while endpoints are replaced: keyed messages are repeated within their allowance and no rule breaks, and a relay that
-// takes a reset for a call that never ran is convicted on the same day.
+// Answers get lost while endpoints are replaced: keyed messages are repeated within their allowance and no rule breaks,
+// and a relay that takes a reset for a call that never ran is convicted on the same day.
 func TestLostAnswers(t *testing.T) {
 	f, err := scenario.LoadFor("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
 	if err != nil {
@@ -229,8 +232,8 @@
 	}
 }
 
-// Waits in queues are those of theory: M/M/1, M/D/1 and M/M/c, the mean of 30 runs within four standard errors; and a token bucket
-// lets its rate through in the long run.
+// Waits in queues are those of theory: M/M/1, M/D/1 and M/M/c, the mean of 30 runs within four standard errors; and a
+// token bucket lets its rate through in the long run.
 func TestQueueingTheory(t *testing.T) {
 	const lambda, mu = 8.0, 10.0
 	erlangC := func(c int, a float64) float64 {
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -18,8 +18,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The model of the link between relays, with package gossip's figures: news goes to a few others at a time, and each sends on what is news
-// to it; digests are exchanged now and then. What it leaves out: membership (all try all that are listed) and the wire's form.
+// The model of the link between relays, with package gossip's figures: news goes to a few others at a time, and each
+// sends on what is news to it; digests are exchanged now and then. What it leaves out: membership (all try all that are
+// listed) and the wire's form.
 const (
 	linkLatency  = 500 * time.Microsecond
 	inboxMost    = 256 // datagrams that wait for a process that is stopped
@@ -532,8 +533,8 @@
 	})
 }
 
-// check holds one page that a relay has against the truth: no figure is beyond the bounds, no page is younger than it is, and
-// none goes back to an earlier version.
+// check holds one page that a relay has against the truth: no figure is beyond the bounds, no page is younger than it
+// is, and none goes back to an earlier version.
 func (n *fleetNet) check(m *fleetMember, limits loadreport.Limits, p loadreport.Report) {
 	place := fleetPlace{p.Name, p.Number}
 	v := version{p.Name, p.Incarnation, p.Sequence}
@@ -560,7 +561,8 @@
 	m.seen[place] = v
 }
 
-// checkRights holds what all relays may use of each limit at this moment against it: of themselves, and by what they mint for others.
+// checkRights holds what all relays may use of each limit at this moment against it: of themselves, and by what they
+// mint for others.
 func (n *fleetNet) checkRights() {
 	if !n.w.plan.File.Fleet.Rights {
 		return
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -29,8 +29,8 @@
 	return w, checker.Judge(w.Result())
 }
 
-// Sound relays believe nothing that is not so, whatever is between them and whatever one of them tells; those with something wrong
-// about their links are convicted, each of its own fault.
+// Sound relays believe nothing that is not so, whatever is between them and whatever one of them tells; those with
+// something wrong about their links are convicted, each of its own fault.
 func TestFleetMutants(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -72,7 +72,8 @@
 	}
 }
 
-// The same plan gives the same beliefs, and a fleet changes no decision: what relays hear reaches the module nowhere yet.
+// The same plan gives the same beliefs, and a fleet changes no decision: what relays hear reaches the module nowhere
+// yet.
 func TestFleetDecidesNothing(t *testing.T) {
 	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
@@ -106,7 +107,8 @@
 
 var large = flag.Bool("large", false, "measure fleets of 100 and 300 relays in virtual time, too")
 
-// TestFleetSpread tells how soon all know of what one tells, in virtual time. A fleet of any size knows within a few seconds.
+// TestFleetSpread tells how soon all know of what one tells, in virtual time. A fleet of any size knows within a few
+// seconds.
 func TestFleetSpread(t *testing.T) {
 	sizes := []int{3, 20}
 	if *large {
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -10,8 +10,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Discovery's list is one for all relays. Each change of an entry has a number, and since a relay hears all changes in their order,
-// the number of the last that it heard tells what it holds of every entry: nothing is kept for a pair of relay and destination.
+// Discovery's list is one for all relays. Each change of an entry has a number, and since a relay hears all changes in
+// their order, the number of the last that it heard tells what it holds of every entry: nothing is kept for a pair of
+// relay and destination.
 
 // telling is a change of an entry.
 type telling struct {
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -28,9 +28,10 @@
 	return Options{Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: quota}} }}
 }
 
-// 300 relays at a destination of 27 calls a second, a call in eleven seconds for each, whose refused calls use up its limit: under it,
-// near it, over it; lowered to a third for nine seconds; down for five and back cold. The whole fleet never sends more than told over
-// ten seconds, and what is served is stated. A fleet that is free at first fails all but the first.
+// 300 relays at a destination of 27 calls a second, a call in eleven seconds for each, whose refused calls use up its
+// limit: under it, near it, over it; lowered to a third for nine seconds; down for five and back cold. The whole fleet
+// never sends more than told over ten seconds, and what is served is stated. A fleet that is free at first fails all
+// but the first.
 func TestThreeHundredAtAThinDestination(t *testing.T) {
 	const takes, relays, seeds = 27.0, 300, 3
 	for _, c := range []struct {
@@ -76,7 +77,8 @@
 	}
 }
 
-// One of 300 relays has twenty times the mean traffic: of what it is asked for a third is delivered, a seventh before paces kept to fair ones.
+// One of 300 relays has twenty times the mean traffic: of what it is asked for a third is delivered, a seventh before
+// paces kept to fair ones.
 func TestOneWithMuchTrafficAmongThreeHundred(t *testing.T) {
 	const takes, relays = 27.0, 300
 	w := crowdAt(t, relays, 1, takes, told(0.7*takes))
@@ -96,8 +98,9 @@
 	}
 }
 
-// Fleets of all sizes use most of a limit that refused calls use up, and are seldom refused: at 0.8 of it, and asked for
-// more than it. Free at first, as they were, 80 relays asked for 1.3 of it had 37 % of their calls refused and 0.57 served.
+// Fleets of all sizes use most of a limit that refused calls use up, and are seldom refused: at 0.8 of it, and asked
+// for more than it. Free at first, as they were, 80 relays asked for 1.3 of it had 37 % of their calls refused and 0.57
+// served.
 func TestManyShareALimitThatRefusalsUseUp(t *testing.T) {
 	for _, c := range []struct {
 		relays  int
@@ -138,7 +141,8 @@
 	}
 }
 
-// A limit that is cut to a quarter for good, and its list does not say so: the paces stay down, and what is left is used.
+// A limit that is cut to a quarter for good, and its list does not say so: the paces stay down, and what is left is
+// used.
 func TestManyAtALimitThatIsLoweredForGood(t *testing.T) {
 	for _, relays := range []int{2, 20, 80} {
 		share := 0.0
@@ -155,8 +159,8 @@
 	}
 }
 
-// An outage of five seconds, shorter than many gaps between a relay's calls: the sum of all calls does not push over the
-// destination that returns cold, and it is served again within 20 s.
+// An outage of five seconds, shorter than many gaps between a relay's calls: the sum of all calls does not push over
+// the destination that returns cold, and it is served again within 20 s.
 func TestManyAtADestinationThatReturnsCold(t *testing.T) {
 	for _, relays := range []int{2, 20, 80, 300} {
 		worst := time.Duration(0)
@@ -208,8 +212,8 @@
 	}
 }
 
-// All relays die in one second, half of them with a journal full of messages, and come back together: what they resume goes
-// out at the paces of a fleet, not as one.
+// All relays die in one second, half of them with a journal full of messages, and come back together: what they resume
+// goes out at the paces of a fleet, not as one.
 func TestManyThatAreRestartedTogether(t *testing.T) {
 	const seeds = 5
 	after, refused := 0.0, 0
@@ -243,9 +247,10 @@
 	}
 }
 
-// A host that takes fewer connections than there are relays, while their idle ones are held elsewhere, and refuses one more, or takes it and breaks
-// it off, or never answers it: relays close theirs after use, and nearly all is served all the same. That some connections meet that shows
-// that the bound binds; that a host has no more of them, that it is kept.
+// A host that takes fewer connections than there are relays, while their idle ones are held elsewhere, and refuses one
+// more, or takes it and breaks it off, or never answers it: relays close theirs after use, and nearly all is served all
+// the same. That some connections meet that shows that the bound binds; that a host has no more of them, that it is
+// kept.
 func TestManyAtAHostThatTakesFewConnections(t *testing.T) {
 	const seeds = 5
 	for _, c := range []struct {
@@ -280,8 +285,9 @@
 	}
 }
 
-// Endpoints are replaced in steps and 80 relays restarted, while every list comes six seconds late, drains among them: no rule breaks, and nothing is
-// sent to an endpoint a second after its drain was told. A relay that ignores drains is convicted on the same day.
+// Endpoints are replaced in steps and 80 relays restarted, while every list comes six seconds late, drains among them:
+// no rule breaks, and nothing is sent to an endpoint a second after its drain was told. A relay that ignores drains is
+// convicted on the same day.
 func TestManyWhoseListsComeSixSecondsLate(t *testing.T) {
 	f, err := scenario.LoadFor("../../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
 	if err != nil {
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -9,8 +9,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Mutant is a relay with something wrong about it: what its module is told, what it is heard to say, or what its journal keeps.
-// The module itself is as it is. Mutants show which scenario, emulation or check can tell a broken relay from a sound one.
+// Mutant is a relay with something wrong about it: what its module is told, what it is heard to say, or what its
+// journal keeps. The module itself is as it is. Mutants show which scenario, emulation or check can tell a broken relay
+// from a sound one.
 type Mutant struct {
 	Name  string
 	About string
@@ -192,7 +193,8 @@
 	}
 }
 
-// Mutants are the table of what a checker of the rules must tell from a sound relay: for each rule from gross to a hair's breadth.
+// Mutants are the table of what a checker of the rules must tell from a sound relay: for each rule from gross to a
+// hair's breadth.
 func Mutants() []Mutant {
 	const ms = time.Millisecond
 	return []Mutant{
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -143,8 +143,8 @@
 	return watch
 }
 
-// bundles is the shape of the churn day's worst destination: a platform that takes bundles, at 15 calls a second from two
-// relays, in two zones; for eight seconds most answers get lost after the calls ran.
+// bundles is the shape of the churn day's worst destination: a platform that takes bundles, at 15 calls a second from
+// two relays, in two zones; for eight seconds most answers get lost after the calls ran.
 func bundles(t testing.TB, relays int, seed uint64, resets func(relay int) float64) *world {
 	t.Helper()
 	ms := scenario.Duration(time.Millisecond)
@@ -173,10 +173,10 @@
 	return 0.2
 }
 
-// Messages that cannot go, since their repeats are bound to a zone in trouble, hold up none that can; and a relay without
-// a backlog leaves room to one that has one. Once the answers come again the destination is served at 80 % of what is
-// asked for, with each seed, and most of a day's worth is delivered. With no more than 24 messages looked at, as it once
-// was, bundles of one left at the pace of full ones, and seed 7 stayed at half for good.
+// Messages that cannot go, since their repeats are bound to a zone in trouble, hold up none that can; and a relay
+// without a backlog leaves room to one that has one. Once the answers come again the destination is served at 80 % of
+// what is asked for, with each seed, and most of a day's worth is delivered. With no more than 24 messages looked at,
+// as it once was, bundles of one left at the pace of full ones, and seed 7 stayed at half for good.
 func TestServedAfterLostAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -205,8 +205,8 @@
 }
 
 // A destination that recovers is served, over the next 5 s, at 80 % of what is asked for within 20 s of the trouble's
-// end: twice its length, or its warm-up and a skip. With 20 relays at a place whose refused calls use up its limit it is 35 s:
-// see docs/design/many-relays.md.
+// end: twice its length, or its warm-up and a skip. With 20 relays at a place whose refused calls use up its limit it
+// is 35 s: see docs/design/many-relays.md.
 func TestServedAgainWithinABound(t *testing.T) {
 	for name, trouble := range troubles {
 		for _, kind := range []string{"rate", "window", "separate", "counts"} {
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -506,8 +506,8 @@
 	})
 }
 
-// keepStanding notes in the journal how hosts in trouble stand, every so often. Where the plan does not end the process that would be a look
-// at all routes for nothing: one at its end, should there be one, tells as much.
+// keepStanding notes in the journal how hosts in trouble stand, every so often. Where the plan does not end the process
+// that would be a look at all routes for nothing: one at its end, should there be one, tells as much.
 func (r *relay) keepStanding() {
 	if r.dies && r.w.Now() >= r.standsAt {
 		r.standsAt = r.w.Now() + standingEvery
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -19,9 +19,9 @@
 	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
 }
 
-// Relays of which each has a call in three seconds are served better and refused less where they share what a destination takes: near its limit,
-// over it, with a third of them cut off all the while, with three in ten messages lost, and with the keeper stopped for three leases. What all
-// may use is never more than the limit.
+// Relays of which each has a call in three seconds are served better and refused less where they share what a
+// destination takes: near its limit, over it, with a third of them cut off all the while, with three in ten messages
+// lost, and with the keeper stopped for three leases. What all may use is never more than the limit.
 func TestSharedRights(t *testing.T) {
 	const takes, relays, length = 27.0, 80, 30 * time.Second
 	cut := func(w *world) {
@@ -81,7 +81,8 @@
 	}
 }
 
-// TestRightsOnTheDays tells, with -large, what rights bring on the first 20 s of the days of docs/experiments, by the number of relays: some minutes.
+// TestRightsOnTheDays tells, with -large, what rights bring on the first 20 s of the days of docs/experiments, by the
+// number of relays: some minutes.
 func TestRightsOnTheDays(t *testing.T) {
 	if !*large {
 		t.Skip("measures; -large")
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -22,8 +22,8 @@
 
 const sameFile = "testdata/same.json"
 
-// scripted decides by a few plain rules, so that what it is told and what becomes of its calls show in a record whatever the
-// decisions of package policy are: a message goes over the routes of its destination in turn.
+// scripted decides by a few plain rules, so that what it is told and what becomes of its calls show in a record
+// whatever the decisions of package policy are: a message goes over the routes of its destination in turn.
 type scripted struct {
 	set    policy.Settings
 	seed   uint64
@@ -128,8 +128,8 @@
 	then func(w *World)
 }
 
-// sameWorlds are the scenarios that are shipped, cut short, and random plans on them with other networks, broken relays, new
-// endpoints and processes and machines that end.
+// sameWorlds are the scenarios that are shipped, cut short, and random plans on them with other networks, broken
+// relays, new endpoints and processes and machines that end.
 func sameWorlds(t *testing.T) (all []sameWorld) {
 	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
 	short := func(f scenario.File) scenario.File {
@@ -208,13 +208,13 @@
 	return all
 }
 
-// Small worlds are played as they were before lists were shared by the relays: the hashes of their records were made with the
-// commit before (b9f2183 and Options.Module) by
+// Small worlds are played as they were before lists were shared by the relays: the hashes of their records were made
+// with the commit before (b9f2183 and Options.Module) by
 //
 //	go test ./internal/simulation/emulate -run TestSameAsBefore -record-same
 //
-// Those of scripted relays hold whatever package policy decides. Those of policy's own may be recorded anew with a change of its
-// decisions, as long as the former are what they were: the test then says so.
+// Those of scripted relays hold whatever package policy decides. Those of policy's own may be recorded anew with a
+// change of its decisions, as long as the former are what they were: the test then says so.
 func TestSameAsBefore(t *testing.T) {
 	hash := func(x sameWorld) string {
 		x.opts.Record = true
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -10,18 +10,20 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A list of up to Options.WholeMost entries is told to a module whole. Of a larger one it is told of a destination when there is work
-// for it, and has it taken away again once the module says that nothing is lost by that: as package relay does it.
+// A list of up to Options.WholeMost entries is told to a module whole. Of a larger one it is told of a destination when
+// there is work for it, and has it taken away again once the module says that nothing is lost by that: as package relay
+// does it.
 
-// The figures of package relay: how many destinations a step looks at that may be put to rest, and how often that is looked at while
-// nothing else happens.
+// The figures of package relay: how many destinations a step looks at that may be put to rest, and how often that is
+// looked at while nothing else happens.
 const (
 	restMost  = 128
 	restEvery = time.Second
 	usualWarm = 30 * time.Second // where settings tell no time to warm up
 )
 
-// rester is a module that tells whether a destination may be taken away from it: nothing that it knows of it would be missed.
+// rester is a module that tells whether a destination may be taken away from it: nothing that it knows of it would be
+// missed.
 type rester interface{ Evictable(dest int) bool }
 
 func (r *relay) large() bool { return r.working != nil }
@@ -42,8 +44,8 @@
 	}
 }
 
-// rouse has the module told of destinations at rest before what concerns them, and of changes of the list before all else. Then it
-// puts some to rest that have nothing to remember.
+// rouse has the module told of destinations at rest before what concerns them, and of changes of the list before all
+// else. Then it puts some to rest that have nothing to remember.
 func (r *relay) rouse(evs []policy.Event) []policy.Event {
 	if !r.large() {
 		return evs
@@ -136,8 +138,8 @@
 	}
 }
 
-// addPool is a pool for a host that a relay has none for. Once there are twice as many as were left the last time, those that hold no
-// connection are forgotten.
+// addPool is a pool for a host that a relay has none for. Once there are twice as many as were left the last time,
+// those that hold no connection are forgotten.
 func (r *relay) addPool(h *host) *pool {
 	if len(r.pools) >= r.poolsMost {
 		since := r.w.Now() - r.w.keep()
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Modules that are told of what there is work for keep the rules on all that the kit ships, serve as those that are told all, and
-// one that does not heed drains is convicted.
+// Modules that are told of what there is work for keep the rules on all that the kit ships, serve as those that are
+// told all, and one that does not heed drains is convicted.
 func TestWorkingSetsKeepTheRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		f := loaded(t, name)
@@ -68,7 +68,8 @@
 
 func (careless) Evictable(int) bool { return true }
 
-// A destination that told to wait is not forgotten while it lasts, however long it is idle; a module that lets go of it is convicted.
+// A destination that told to wait is not forgotten while it lasts, however long it is idle; a module that lets go of it
+// is convicted.
 func TestAWaitOutlastsRest(t *testing.T) {
 	const s = scenario.Duration(time.Second)
 	for _, forgets := range []bool{false, true} {
@@ -99,7 +100,8 @@
 	}
 }
 
-// A destination that wakes stands as the relay's list has it then: what drains is not called, what has gone is not told, and what came is.
+// A destination that wakes stands as the relay's list has it then: what drains is not called, what has gone is not
+// told, and what came is.
 func TestWhatWakesStandsAsListed(t *testing.T) {
 	const s = scenario.Duration(time.Second)
 	var told []policy.Endpoint
@@ -138,8 +140,8 @@
 	}
 }
 
-// The first message for a destination at rest is delivered as soon as where modules are told all: also by one of many relays, whose
-// calls spread over the first seconds after a start.
+// The first message for a destination at rest is delivered as soon as where modules are told all: also by one of many
+// relays, whose calls spread over the first seconds after a start.
 func TestWhatWakesIsNotLate(t *testing.T) {
 	f := loaded(t, "quiet-day")
 	f.Relays, f.Troubles = 40, nil
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -1,7 +1,8 @@
-// Package emulate plays a scenario in virtual time: decision modules as they are, each as a relay of its own that shares
-// nothing with the others, beside models of what relays serve. No clock, no socket, no disk; the same plan and options give
-// the same history, byte for byte. What it sees is a record in the form of package record, so that package judge judges it as
-// it judges a rehearsal of real processes. What the models follow and what they leave out: docs/emulator.md.
+// Package emulate plays a scenario in virtual time: decision modules as they are, each as a relay of its own that
+// shares nothing with the others, beside models of what relays serve. No clock, no socket, no disk; the same plan and
+// options give the same history, byte for byte. What it sees is a record in the form of package record, so that package
+// judge judges it as it judges a rehearsal of real processes. What the models follow and what they leave out:
+// docs/emulator.md.
 package emulate
 
 import (
@@ -79,8 +80,8 @@
 	Asked func(relay, dest int)
 	// Heard is told of each change of the list that comes to a relay's agent; nil: nobody is.
 	Heard func(relay int, route, state string)
-	// WholeMost is up to how many entries of a list a module is told whole; 0: catalog.WholeMost. Of a longer one it is told of the
-	// destinations that there is work for.
+	// WholeMost is up to how many entries of a list a module is told whole; 0: catalog.WholeMost. Of a longer one it is
+	// told of the destinations that there is work for.
 	WholeMost int
 	// Delivered is told of each message that is delivered for the first time; nil: nobody is.
 	Delivered func(dest int, asked, at time.Duration)
@@ -92,9 +93,11 @@
 	Fleet scenario.Fleet
 	// Twin is one that was started under the name of the first; 0: none is.
 	Twin int
-	// Fleets is how many fleets were joined by mistake, relays in turns: each relay lists those of its own, and reaches all; 0: one.
+	// Fleets is how many fleets were joined by mistake, relays in turns: each relay lists those of its own, and reaches
+	// all; 0: one.
 	Fleets int
-	// EventsMost bounds the engine's events; 0: 2,000 for each message and second of length and relay, and a million more.
+	// EventsMost bounds the engine's events; 0: 2,000 for each message and second of length and relay, and a million
+	// more.
 	EventsMost uint64
 }
 
--- a/internal/simulation/engine/des.go
+++ b/internal/simulation/engine/des.go
@@ -1,6 +1,6 @@
-// Package des is a discrete-event engine: a virtual clock and what is planned on it. Events run in a total order: by their
-// times, and those of one time in the order in which they were planned. The same events therefore run in the same order
-// whatever machine or goroutine the engine is on. An Engine is for one goroutine.
+// Package des is a discrete-event engine: a virtual clock and what is planned on it. Events run in a total order: by
+// their times, and those of one time in the order in which they were planned. The same events therefore run in the same
+// order whatever machine or goroutine the engine is on. An Engine is for one goroutine.
 package engine
 
 import (
@@ -106,8 +106,8 @@
 	return first
 }
 
-// Stream is the random stream of a component. Each name and number has one of its own, so that a component more or a draw
-// more in one leaves all others as they were.
+// Stream is the random stream of a component. Each name and number has one of its own, so that a component more or a
+// draw more in one leaves all others as they were.
 func Stream(seed uint64, component string, n int) *rand.Rand {
 	return rand.New(rand.NewChaCha8(sha256.Sum256(fmt.Appendf(nil, "%d/%s/%d", seed, component, n))))
 }
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -39,8 +39,8 @@
 // Confidence is that of the intervals, unless another is asked for.
 const Confidence = 0.95
 
-// Interval is the mean of values and the interval in which the mean of all such is, with a confidence, by Student's t. Of fewer
-// than two the interval is unbounded.
+// Interval is the mean of values and the interval in which the mean of all such is, with a confidence, by Student's t.
+// Of fewer than two the interval is unbounded.
 func Interval(values []float64, confidence float64) (mean, low, high float64) {
 	if len(values) == 0 {
 		return math.NaN(), math.Inf(-1), math.Inf(1)
@@ -96,7 +96,8 @@
 	return all
 }
 
-// Split are the results with a factor at a value, and a key that leaves that factor out: those of two values can be paired.
+// Split are the results with a factor at a value, and a key that leaves that factor out: those of two values can be
+// paired.
 func Split(all []Result, path, value string) (some []Result) {
 	for _, r := range all {
 		if slices.Contains(r.Cell, Value{path, value}) {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -38,7 +38,8 @@
 	return p
 }
 
-// Runs are the same on any number of workers, and an experiment that was cut off, also in mid-line, goes on to the same end.
+// Runs are the same on any number of workers, and an experiment that was cut off, also in mid-line, goes on to the same
+// end.
 func TestCutOffAndResumed(t *testing.T) {
 	p := parsed(t, small)
 	var whole bytes.Buffer
@@ -166,7 +167,8 @@
 	}
 }
 
-// A hunt finds the broken relay's break, the same on any number of workers, in a scenario that is small, reads back and still breaks it.
+// A hunt finds the broken relay's break, the same on any number of workers, in a scenario that is small, reads back and
+// still breaks it.
 func TestHunting(t *testing.T) {
 	base, err := scenario.Load("quiet-day")
 	if err != nil {
--- a/internal/simulation/experiment/page.go
+++ b/internal/simulation/experiment/page.go
@@ -20,8 +20,8 @@
 <table><tr><th>cell{{range .Heads}}<th>{{.}}{{end}}</tr>{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}</tr>{{end}}</table></html>
 `))
 
-// Page writes one page with plots of results: each measure over the first factor that is a number, a line for each of the others'
-// values, and how late messages were.
+// Page writes one page with plots of results: each measure over the first factor that is a number, a line for each of
+// the others' values, and how late messages were.
 func Page(out io.Writer, name string, all []Result) error {
 	cells := Cells(all)
 	type head struct {
@@ -136,7 +136,8 @@
 	return 0
 }
 
-// lateness draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each together.
+// lateness draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each
+// together.
 func lateness(cells []Cell) template.HTML {
 	p := chart.XY{Title: "lateness", Unit: "seconds from hand-in to delivery", Axis: "percentile", Height: 200}
 	for _, c := range cells[:min(len(cells), len(chart.Colours))] {
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment says what an experiment in virtual time is (a scenario, factors, seeds), has each of its runs played, and
-// tells gain from spread: paired differences over the same seeds with intervals of confidence. It does no I/O but through the
-// readers and writers that it is given.
+// Package experiment says what an experiment in virtual time is (a scenario, factors, seeds), has each of its runs
+// played, and tells gain from spread: paired differences over the same seeds with intervals of confidence. It does no
+// I/O but through the readers and writers that it is given.
 package experiment
 
 import (
@@ -40,11 +40,11 @@
 	base  scenario.File
 }
 
-// Factor is what varies: each value of each factor with each of the others. Paths are those of a scenario's file, with entries
-// of lists by their numbers, from 1, or * for all: relays, settings.slots, traffic.1.rate, destination.*.count; those of the
-// emulator (emulator.latency, emulator.zone_latency, emulator.idle_resets, emulator.connections,
-// emulator.beyond, emulator.mutant); and what modules are told beside
-// the scenario (module.senders, module.cold_share, module.overload_factor, module.warm_within, module.order_pause, module.slots).
+// Factor is what varies: each value of each factor with each of the others. Paths are those of a scenario's file, with
+// entries of lists by their numbers, from 1, or * for all: relays, settings.slots, traffic.1.rate, destination.*.count;
+// those of the emulator (emulator.latency, emulator.zone_latency, emulator.idle_resets, emulator.connections,
+// emulator.beyond, emulator.mutant); and what modules are told beside the scenario (module.senders, module.cold_share,
+// module.overload_factor, module.warm_within, module.order_pause, module.slots).
 type Factor struct {
 	Path   string `toml:"path"`
 	Values []any  `toml:"values"`
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -106,9 +106,9 @@
 // Progress is told after each run.
 type Progress func(done, of int, res Result)
 
-// Do plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes each result
-// as it comes, a line at a time: what is done is kept whatever ends it. It ends early, with ctx's error, once the runs that are
-// under way are done.
+// Do plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes
+// each result as it comes, a line at a time: what is done is kept whatever ends it. It ends early, with ctx's error,
+// once the runs that are under way are done.
 func (p Plan) Do(ctx context.Context, out io.Writer, revision string, had []Result, workers int, progress Progress) (n int, err error) {
 	done := map[string]bool{}
 	hash := p.Hash()
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -1,8 +1,8 @@
-// Package explore plays decision modules through all orders of events of tiny worlds, up to a bound, and asserts the six rules
-// on every path: what the module is told by whom comes in any order that a network, a partner, an operator and a death may
-// give. States that were met before are not visited again; the search is by breadth, so that the first break found is by a
-// shortest path. It does no I/O and knows no clock. The module is the one under test, through its own interface, its state
-// taken and put back by its Snapshot and Restore.
+// Package explore plays decision modules through all orders of events of tiny worlds, up to a bound, and asserts the
+// six rules on every path: what the module is told by whom comes in any order that a network, a partner, an operator
+// and a death may give. States that were met before are not visited again; the search is by breadth, so that the first
+// break found is by a shortest path. It does no I/O and knows no clock. The module is the one under test, through its
+// own interface, its state taken and put back by its Snapshot and Restore.
 package modelcheck
 
 import (
@@ -248,8 +248,8 @@
 	return f, ctx.Err()
 }
 
-// walks plays random paths. Of those that break a rule the first by its number is taken, and what is not needed for the break
-// left out.
+// walks plays random paths. Of those that break a rule the first by its number is taken, and what is not needed for the
+// break left out.
 func (x *explorer) walks(ctx context.Context, root *node, workers int, f *Found) {
 	found := make([][]Move, x.w.Walks)
 	var wg sync.WaitGroup
@@ -329,8 +329,8 @@
 	stopped bool
 }
 
-// level plays every move at every state of a frontier. The result does not hang on the workers: states are in the order of
-// their paths, and of several breaks the first by that order is taken.
+// level plays every move at every state of a frontier. The result does not hang on the workers: states are in the order
+// of their paths, and of several breaks the first by that order is taken.
 func (x *explorer) level(ctx context.Context, frontier []*node, workers int, last bool, room int) (f found, paths int, broken *node) {
 	type part struct {
 		nodes  []*node
@@ -980,7 +980,8 @@
 	}
 }
 
-// arrived judges a call to a destination that has come back, as package judge does: by the load of the relays that knew.
+// arrived judges a call to a destination that has come back, as package judge does: by the load of the relays that
+// knew.
 func (x *explorer) arrived(n *node, relay int, l policy.Endpoint) {
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A gross mutant of each rule is convicted by a path that breaks that rule, that is one of the shortest, and that replays: with the
-// mutant it breaks the rule again, and not with the module as it is.
+// A gross mutant of each rule is convicted by a path that breaks that rule, that is one of the shortest, and that
+// replays: with the mutant it breaks the rule again, and not with the module as it is.
 func TestBrokenModulesAreConvicted(t *testing.T) {
 	for _, c := range []struct {
 		world, mutant string
