--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// FleetWorld is a tiny fleet: members that tell one page each, and a network that delivers in any order, or not, or twice, or late, to
-// processes that are stopped and restarted.
+// FleetWorld is a tiny fleet: members that tell one page each, and a network that delivers in any order, or not, or
+// twice, or late, to processes that are stopped and restarted.
 type FleetWorld struct {
 	Members  int  // three
 	Twin     bool // a fourth process runs under the name of the first
@@ -146,7 +146,8 @@
 // process names a process, of which two may have one member's name.
 func process(i int) string { return fmt.Sprintf("p%d", i) }
 
-// askAll has a member and all others know of each other's clocks. What is asked of one that is stopped is answered when it goes on.
+// askAll has a member and all others know of each other's clocks. What is asked of one that is stopped is answered when
+// it goes on.
 func (t *tiny) askAll(i int) {
 	for j, o := range t.members {
 		t.members[i].transit.Calibrate(process(j), o.boots, t.clock(j), t.now, t.now)
@@ -335,7 +336,8 @@
 	}
 }
 
-// settle lets all exchange digests, again and again: all then hold the same of each member, and of one that goes on telling its newest.
+// settle lets all exchange digests, again and again: all then hold the same of each member, and of one that goes on
+// telling its newest.
 func (t *tiny) settle() {
 	if t.w.Twin {
 		return // of two processes under one name there is no newest telling
@@ -390,7 +392,8 @@
 	return b.String()
 }
 
-// SearchFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the fewest moves.
+// SearchFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the
+// fewest moves.
 func SearchFleet(ctx context.Context, w FleetWorld, wrong emulate.FleetWrong) (f FleetFound, err error) {
 	at := func(path []FleetMove) *tiny {
 		t := newTiny(&w, wrong)
--- a/internal/simulation/modelcheck/fleet_test.go
+++ b/internal/simulation/modelcheck/fleet_test.go
@@ -7,8 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 )
 
-// All orders of a few tellings, a loss, a doubling, a restart with and without the folder, a stop and a pause: nobody goes back, nothing is
-// held to be younger than it is, and all agree in the end. What is wrong is found in a few moves.
+// All orders of a few tellings, a loss, a doubling, a restart with and without the folder, a stop and a pause: nobody
+// goes back, nothing is held to be younger than it is, and all agree in the end. What is wrong is found in a few moves.
 func TestAllOrdersOfATinyFleet(t *testing.T) {
 	w := TinyFleet
 	w.Depth = 4
--- a/internal/state/catalog/arena.go
+++ b/internal/state/catalog/arena.go
@@ -8,7 +8,8 @@
 	live int // bytes
 }
 
-// arena holds texts. Their owner moves the last live ones out of a chunk that is sparse, so that half of the room is in use at least.
+// arena holds texts. Their owner moves the last live ones out of a chunk that is sparse, so that half of the room is in
+// use at least.
 type arena struct {
 	chunks  []chunk
 	free    []int // chunks without data
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog keeps all endpoints of discovery's list in little room, and tells what changed between any two lists. A relay whose list is
-// long tells its decision module of the destinations in use alone (WorkingSet); the rest stands here. It is pure: no clock, no I/O, and equal
-// calls give equal results.
+// Package catalog keeps all endpoints of discovery's list in little room, and tells what changed between any two lists.
+// A relay whose list is long tells its decision module of the destinations in use alone (WorkingSet); the rest stands
+// here. It is pure: no clock, no I/O, and equal calls give equal results.
 package catalog
 
 import (
@@ -15,7 +15,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// MaxEagerEndpoints is how many endpoints a list may have that is told to the module whole, and how many removed destinations are remembered at least.
+// MaxEagerEndpoints is how many endpoints a list may have that is told to the module whole, and how many removed
+// destinations are remembered at least.
 const MaxEagerEndpoints = 4096
 
 // Endpoint is one entry of discovery's list.
@@ -104,8 +105,8 @@
 // DestinationCount is how many have an endpoint now.
 func (c *Catalog) DestinationCount() int { return c.filled }
 
-// HasDestination tells whether a list has named a destination. Of those without an endpoint now as many are remembered as the most that ever had one, or
-// MaxEagerEndpoints if that is more: those longest without are forgotten first.
+// HasDestination tells whether a list has named a destination. Of those without an endpoint now as many are remembered
+// as the most that ever had one, or MaxEagerEndpoints if that is more: those longest without are forgotten first.
 func (c *Catalog) HasDestination(dest int) bool {
 	return c.place(dest) != 0
 }
@@ -117,7 +118,8 @@
 	}
 }
 
-// RememberedDestinations are the destinations that a list has named and that have no endpoint now, those longest without first.
+// RememberedDestinations are the destinations that a list has named and that have no endpoint now, those longest
+// without first.
 func (c *Catalog) RememberedDestinations() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for p := c.oldest; p != 0; {
@@ -151,8 +153,8 @@
 	return into
 }
 
-// All is all endpoints in the order listed: as the last whole list named them, and what changes added since behind. It must not be changed
-// meanwhile.
+// All is all endpoints in the order listed: as the last whole list named them, and what changes added since behind. It
+// must not be changed meanwhile.
 func (c *Catalog) All() iter.Seq[Endpoint] {
 	return func(yield func(Endpoint) bool) {
 		for i := c.first; i != 0; i = c.slots.at(i).next {
@@ -163,10 +165,12 @@
 	}
 }
 
-// BeginSnapshot begins a whole list: its entries follow by Put and Keep, then Sweep. One that broke off is forgotten, what it said stays in force.
+// BeginSnapshot begins a whole list: its entries follow by Put and Keep, then Sweep. One that broke off is forgotten,
+// what it said stays in force.
 func (c *Catalog) BeginSnapshot() { c.whole, c.named = true, 0 }
 
-// Upsert takes an entry of a list. One that is gone is removed. In a whole list it counts as named and comes behind what was named before.
+// Upsert takes an entry of a list. One that is gone is removed. In a whole list it counts as named and comes behind
+// what was named before.
 func (c *Catalog) Upsert(e Endpoint) Change {
 	i := c.find(e.ID)
 	switch {
@@ -214,7 +218,8 @@
 	return e, true
 }
 
-// Sweep removes, after the last entry of a whole list, what it did not name: so many at most, in the order listed. done tells that this was all.
+// Sweep removes, after the last entry of a whole list, what it did not name: so many at most, in the order listed. done
+// tells that this was all.
 func (c *Catalog) Sweep(most int) (removed []Endpoint, done bool) {
 	for ; c.whole && c.first != c.named && most > 0; most-- {
 		removed = append(removed, c.read(c.first, ""))
@@ -228,7 +233,8 @@
 
 // Texts.
 
-// number4 tells whether an address may be an IPv4 address and port. Guards against the parser's error, which takes room for each name.
+// number4 tells whether an address may be an IPv4 address and port. Guards against the parser's error, which takes room
+// for each name.
 func number4(addr string) bool {
 	for i := range len(addr) {
 		if b := addr[i]; b != '.' && b != ':' && (b < '0' || b > '9') {
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -96,7 +96,8 @@
 	}, rapid.SampledFrom([]string{"127.0.0.1:80", "10.255.0.1:65535", "host-1:80", "[::1]:80", "", "1.2.3.4:080", "999.1.1.1:1", "1.2.3.4"}).Draw(t, "address")}
 }
 
-// A catalog does what the model does, over changes, whole lists, such as break off, and sweeps in pieces with changes between.
+// A catalog does what the model does, over changes, whole lists, such as break off, and sweeps in pieces with changes
+// between.
 func TestCatalogIsTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, m := New(), &model{listed: map[int]bool{}}
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// room is what a catalog's memory adds up to, in bytes: its texts, what of those is live, its destinations, and the rest.
+// room is what a catalog's memory adds up to, in bytes: its texts, what of those is live, its destinations, and the
+// rest.
 type room struct{ texts, live, destinations, rest int }
 
 func (c *Catalog) room() (r room) {
@@ -110,8 +111,9 @@
 	return r
 }
 
-// Fifty whole lists with other ids, addresses and destinations each time take no more room than five, and one of ten endpoints gives that of
-// endpoints and texts back. The records of destinations stay, for others. Half of what texts take is in use at least.
+// Fifty whole lists with other ids, addresses and destinations each time take no more room than five, and one of ten
+// endpoints gives that of endpoints and texts back. The records of destinations stay, for others. Half of what texts
+// take is in use at least.
 func TestRoomIsBounded(t *testing.T) {
 	const n = 20000
 	c := New()
@@ -147,7 +149,8 @@
 		}
 	}
 	check("fifty lists")
-	// One at a time, too, in whatever order: an endpoint goes and another comes, every second time its destination with it.
+	// One at a time, too, in whatever order: an endpoint goes and another comes, every second time its destination with
+	// it.
 	rng := rand.New(rand.NewPCG(1, 2))
 	ids := make([]string, n)
 	for i := range ids {
--- a/internal/state/catalog/table.go
+++ b/internal/state/catalog/table.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// index finds records by a hash: linear hashing, which grows and shrinks by one bucket with a record. The records hold the chains.
+// index finds records by a hash: linear hashing, which grows and shrinks by one bucket with a record. The records hold
+// the chains.
 type index struct {
 	heads table[uint32]
 	n     int // records
--- a/internal/state/catalog/working.go
+++ b/internal/state/catalog/working.go
@@ -33,7 +33,8 @@
 // Len is how many are awake.
 func (w *WorkingSet) Len() int { return len(w.byID) }
 
-// Activate uses a destination at now. It tells whether it was at rest: then the module must be told of its endpoints first.
+// Activate uses a destination at now. It tells whether it was at rest: then the module must be told of its endpoints
+// first.
 func (w *WorkingSet) Activate(dest int, now time.Duration) bool {
 	if w.Contains(dest) {
 		w.Touch(dest, now)
@@ -43,7 +44,8 @@
 	return true
 }
 
-// EndpointAdded notes that an endpoint of a destination was added to the list at now. Beyond MaxEagerEndpoints of late all destinations count as added.
+// EndpointAdded notes that an endpoint of a destination was added to the list at now. Beyond MaxEagerEndpoints of late
+// all destinations count as added.
 func (w *WorkingSet) EndpointAdded(dest int, now time.Duration) {
 	if w.young[dest] = now; len(w.young) <= MaxEagerEndpoints {
 		return
@@ -59,8 +61,8 @@
 	}
 }
 
-// Settled tells whether a destination has been listed for as long as first calls to what is new spread: one that wakes then stands as if its
-// module had always known it.
+// Settled tells whether a destination has been listed for as long as first calls to what is new spread: one that wakes
+// then stands as if its module had always known it.
 func (w *WorkingSet) Settled(dest int, now time.Duration) bool {
 	at, young := w.young[dest]
 	return now >= w.crowd+policy.MaxInitialSpread && (!young || now >= at+policy.MaxInitialSpread)
@@ -74,8 +76,9 @@
 	}
 }
 
-// EvictIdle puts to rest, of the destinations that were not used for long enough, those of which resting says that it may be: they are returned, the
-// one that was not used for longest first. So many are looked at; one that stays awake is looked at again as if it had been used now.
+// EvictIdle puts to rest, of the destinations that were not used for long enough, those of which resting says that it
+// may be: they are returned, the one that was not used for longest first. So many are looked at; one that stays awake
+// is looked at again as if it had been used now.
 func (w *WorkingSet) EvictIdle(now time.Duration, most int, resting func(dest int) bool) (rested []int) {
 	for ; most > 0 && w.idle.Len() > 0; most-- {
 		e := w.idle.Front()
--- a/internal/state/clock/axis.go
+++ b/internal/state/clock/axis.go
@@ -1,6 +1,6 @@
-// Package axis is the time of a journal that outlasts processes: an axis that goes on evenly, whatever is done to the wall clock. By the monotonic
-// clock while a process runs, by the boot's clock between two processes of a boot, by the wall clock from one boot to the next. It began as
-// the wall time. It is pure: what the clocks say is the caller's.
+// Package axis is the time of a journal that outlasts processes: an axis that goes on evenly, whatever is done to the
+// wall clock. By the monotonic clock while a process runs, by the boot's clock between two processes of a boot, by the
+// wall clock from one boot to the next. It began as the wall time. It is pure: what the clocks say is the caller's.
 package clock
 
 import (
@@ -15,12 +15,13 @@
 	Uptime     time.Duration // of the boot
 	At         int64         // on the axis, then
 	WallOffset time.Duration // wall time less axis, when last looked at
-	// Epoch counts the boots, from 1: between two of them the axis goes by the wall clock. 0: this machine tells no boot.
+	// Epoch counts the boots, from 1: between two of them the axis goes by the wall clock. 0: this machine tells no
+	// boot.
 	Epoch int64
 }
 
-// MinStep is by how much the clocks must part to count as set. Guards against taking the time between the reading of the two,
-// or their drift, for a step.
+// MinStep is by how much the clocks must part to count as set. Guards against taking the time between the reading of
+// the two, or their drift, for a step.
 const MinStep = 10 * time.Millisecond
 
 // Timeline is the time in one process, in nanoseconds.
@@ -33,8 +34,8 @@
 // Stamp is a time of this process on the axis.
 func (x Timeline) Stamp(t time.Time) int64 { return x.At + int64(t.Sub(x.Base)) }
 
-// Time is what stands on the axis as a time of this process, with its monotonic reading, so that time.Since and time.Until tell what has
-// truly passed.
+// Time is what stands on the axis as a time of this process, with its monotonic reading, so that time.Since and
+// time.Until tell what has truly passed.
 func (x Timeline) Time(ns int64) time.Time { return x.Base.Add(time.Duration(ns - x.At)) }
 
 // Resume is the axis of a process that begins at now, and the anchor from then on. Without an anchor the axis begins.
--- a/internal/state/clock/axis_test.go
+++ b/internal/state/clock/axis_test.go
@@ -7,8 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
-// What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot, and where the
-// machine tells none, as the wall clock has it.
+// What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot,
+// and where the machine tells none, as the wall clock has it.
 func TestGoOn(t *testing.T) {
 	wall := time.Unix(1e9, 0)
 	for name, c := range map[string]struct {
--- a/internal/state/endpointhealth/standing.go
+++ b/internal/state/endpointhealth/standing.go
@@ -1,6 +1,6 @@
-// Package standing decides what a restarted relay must know of the hosts that its former process saw fail, refuse or ask for a
-// pause, and how its decision module is told. It is pure: no clock, no I/O. The module is told through its own events alone, as if it
-// had seen the same itself: a told wait, a refusal, failures in a row.
+// Package standing decides what a restarted relay must know of the hosts that its former process saw fail, refuse or
+// ask for a pause, and how its decision module is told. It is pure: no clock, no I/O. The module is told through its
+// own events alone, as if it had seen the same itself: a told wait, a refusal, failures in a row.
 package endpointhealth
 
 import (
@@ -15,7 +15,8 @@
 // most bounds the records, and so the room that they take: some 100 bytes each.
 const most = 256
 
-// Record is how a route stands, where that is not well or where another one of its destination does not. Times are on one axis over all processes: journal.Stamp.
+// Record is how a route stands, where that is not well or where another one of its destination does not. Times are on
+// one axis over all processes: journal.Stamp.
 type Record struct {
 	Endpoint         string    `json:"Route"`
 	ObservedAt       time.Time `json:"At"`              // seen so
@@ -68,8 +69,8 @@
 // slack is by how much a wait may be told later without that being news: it is read off two clocks.
 const slack = 20 * time.Millisecond
 
-// Changed tells whether there is anything to write down that was is not worth any more. A route that stands well again is news,
-// too; that time has passed is none, until what is written down is no longer fresh.
+// Changed tells whether there is anything to write down that was is not worth any more. A route that stands well again
+// is news, too; that time has passed is none, until what is written down is no longer fresh.
 func Changed(was, is []Record) bool {
 	well := func(r Record) bool { return !r.ill() }
 	was, is = slices.DeleteFunc(slices.Clone(was), well), slices.DeleteFunc(slices.Clone(is), well)
@@ -104,11 +105,12 @@
 	failuresSkip  = 3 // and that skip it
 )
 
-// Events tell a fresh module, at wall, of records that a former process left. They come behind the list. A route is told as
-// cold for as long as an outage's traces last: warm after it was seen.
+// Events tell a fresh module, at wall, of records that a former process left. They come behind the list. A route is
+// told as cold for as long as an outage's traces last: warm after it was seen.
 func Events(recs []Record, wall time.Time, warm time.Duration) (evs []policy.Event) {
-	// What answered a moment ago is told first. Guards against doubts that the former module had not: it takes a refusal by a route that
-	// has not answered for a sign of an outage, and a route that has not for as ill as those beside it.
+	// What answered a moment ago is told first. Guards against doubts that the former module had not: it takes a
+	// refusal by a route that has not answered for a sign of an outage, and a route that has not for as ill as those
+	// beside it.
 	for _, r := range recs {
 		if age := max(0, wall.Sub(r.ObservedAt)); r.Endpoint != "" && r.RecentlyHealthy && age < aliveFor {
 			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: policy.OK})
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -35,8 +35,8 @@
 	return views[slices.IndexFunc(views, func(v policy.EndpointView) bool { return v.ID == route })]
 }
 
-// Over any history: what the former module held back, for an outage or a wait, the restored one does too, and a wait for no shorter
-// time; what was well is well.
+// Over any history: what the former module held back, for an outage or a wait, the restored one does too, and a wait
+// for no shorter time; what was well is well.
 func TestARestartedModuleStandsAsItsFormer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, err := policy.New(settings(), 1)
@@ -144,8 +144,8 @@
 	}
 }
 
-// A refusal that a former module took for a limit's casts no doubt in the next, nor does a sibling's trouble on what answers: what had
-// answered a moment before is told so, but not for long, and no more than the former had it.
+// A refusal that a former module took for a limit's casts no doubt in the next, nor does a sibling's trouble on what
+// answers: what had answered a moment before is told so, but not for long, and no more than the former had it.
 func TestWhatAnsweredAMomentAgoStandsSo(t *testing.T) {
 	many := settings()
 	many.FleetSize = 300
--- a/internal/state/journal/axis_test.go
+++ b/internal/state/journal/axis_test.go
@@ -24,8 +24,9 @@
 	return bootclock.Reading{Wall: m.wall, BootID: m.boot, Uptime: m.up}
 }
 
-// Over any history of processes, boots and settings of the wall clock: what a process reads of a time is as long ago as it truly
-// is. Only what the wall clock is set by between the last look and a new boot shows, since nothing there tells.
+// Over any history of processes, boots and settings of the wall clock: what a process reads of a time is as long ago as
+// it truly is. Only what the wall clock is set by between the last look and a new boot shows, since nothing there
+// tells.
 func TestTimesGoByWhatHasPassed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{wall: time.Unix(1e9, 0), boot: "first", up: time.Minute}
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -96,8 +96,8 @@
 	return s
 }
 
-// BenchmarkAcceptAndEnd takes a message on and ends the oldest, with 30 % of the limit live, and tells the longest accept:
-// the one in which the old log writes itself anew.
+// BenchmarkAcceptAndEnd takes a message on and ends the oldest, with 30 % of the limit live, and tells the longest
+// accept: the one in which the old log writes itself anew.
 func BenchmarkAcceptAndEnd(b *testing.B) {
 	for _, name := range []string{"3MB", "64MB", "512MB"} {
 		limit, ok := limits()[name]
@@ -266,9 +266,9 @@
 	}
 }
 
-// BenchmarkSaturdayRush plays an hour of messages, in virtual time: arrivals swell from 40 to 360 a second and back, nine of ten
-// messages end within 0.6 s and the others within 12 s, a fifth has a second attempt; the limit is the platform's. What it tells
-// is what the hour costs, and that none of it was refused.
+// BenchmarkSaturdayRush plays an hour of messages, in virtual time: arrivals swell from 40 to 360 a second and back,
+// nine of ten messages end within 0.6 s and the others within 12 s, a fifth has a second attempt; the limit is the
+// platform's. What it tells is what the hour costs, and that none of it was refused.
 func BenchmarkSaturdayRush(b *testing.B) {
 	if !*large {
 		b.Skip("with -large")
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// A journal that another build wrote is read in full, and what this one writes is the same but for the random numbers of segments.
+// A journal that another build wrote is read in full, and what this one writes is the same but for the random numbers
+// of segments.
 func TestGoldenJournal(t *testing.T) {
 	written := t.TempDir()
 	want := writeGolden(t, written)
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal is what a relay must remember over its restarts, on the embedded store: the messages that it has taken
-// on, their attempts, what may have run, and the notices that end them. What was written outlasts the process; nothing
-// is decided here. A Journal is for one goroutine.
+// Package journal is what a relay must remember over its restarts, on the embedded store: the messages that it has
+// taken on, their attempts, what may have run, and the notices that end them. What was written outlasts the process;
+// nothing is decided here. A Journal is for one goroutine.
 package journal
 
 import (
@@ -50,8 +50,8 @@
 	Endpoint string    `json:"Host"`
 	Zone     int       `json:"Zone"`
 	SentAt   time.Time `json:"At"`
-	// Undated tells that the machine was started anew since, or that this cannot be told: At goes by the wall clock alone, which
-	// may have been set.
+	// Undated tells that the machine was started anew since, or that this cannot be told: At goes by the wall clock
+	// alone, which may have been set.
 	Undated bool `json:"Undated"`
 }
 
@@ -75,7 +75,8 @@
 	EndpointHealth []byte
 	// Carried is how many messages came over from a log of the form before this one.
 	Migrated int
-	// Stepped is by how much the wall clock was set since the journal was last opened, as far as the boot's clock tells.
+	// Stepped is by how much the wall clock was set since the journal was last opened, as far as the boot's clock
+	// tells.
 	ClockStep time.Duration
 	// Unreadable are values of the store that hold no message of this form.
 	Unreadable int
@@ -202,7 +203,8 @@
 	return keys, nil
 }
 
-// keepAnchor writes the anchor, if it is not what was written last. Without room the next process goes by the one before it.
+// keepAnchor writes the anchor, if it is not what was written last. Without room the next process goes by the one
+// before it.
 func (j *Journal) keepAnchor() error {
 	if len(j.anchors) > 0 {
 		value, err := j.store.Get(j.anchors[len(j.anchors)-1], nil)
@@ -219,8 +221,8 @@
 	return nil
 }
 
-// Stamp is a time of this process on the journal's axis, to which nothing that is done to the wall clock matters, in the
-// form of a wall time. What Standing keeps should be timed so.
+// Stamp is a time of this process on the journal's axis, to which nothing that is done to the wall clock matters, in
+// the form of a wall time. What Standing keeps should be timed so.
 func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.axis.Stamp(t)) }
 
 // keep leaves a body on disk where the bodies in memory would be too many.
@@ -248,8 +250,8 @@
 // Size is the length of a message's body, in bytes.
 func (m *Message) Size() int { return max(m.size, len(m.Body)) }
 
-// SaveEndpointHealth keeps data in the place of what was kept before: what a process wants the next one to know beside the messages. It is
-// one commit with all that is noted. With ErrFull what was kept before stays.
+// SaveEndpointHealth keeps data in the place of what was kept before: what a process wants the next one to know beside
+// the messages. It is one commit with all that is noted. With ErrFull what was kept before stays.
 func (j *Journal) SaveEndpointHealth(data []byte) error {
 	return j.replace(&j.standings, append([]byte{standingVersion}, data...))
 }
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -290,8 +290,9 @@
 	})
 }
 
-// Over many messages taken on and ended the folder does not grow: what it holds at most in the last part of the run is no more than in the first.
-// A journal that ended nothing would fill its limit and turn messages away, which the test shows.
+// Over many messages taken on and ended the folder does not grow: what it holds at most in the last part of the run is
+// no more than in the first. A journal that ended nothing would fill its limit and turn messages away, which the test
+// shows.
 func TestTheFolderStaysFlatOverALongRun(t *testing.T) {
 	const limit, each, live = 1 << 20, 8000, 30
 	for _, ends := range []bool{true, false} {
--- a/internal/state/journal/legacy.go
+++ b/internal/state/journal/legacy.go
@@ -18,9 +18,9 @@
 // Folder is where the journal of a state folder stands.
 func Folder(state string) string { return filepath.Join(state, folder) }
 
-// OpenFolder opens the journal in a relay's state folder, or begins one. What a log of the form before this one holds is
-// carried over first, and the log removed once all of it is in the journal: a crash on the way leaves the log, and what
-// came over before it is not taken twice.
+// OpenFolder opens the journal in a relay's state folder, or begins one. What a log of the form before this one holds
+// is carried over first, and the log removed once all of it is in the journal: a crash on the way leaves the log, and
+// what came over before it is not taken twice.
 func OpenFolder(state string, opt Options) (*Journal, *Recovery, error) {
 	dir := Folder(state)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/state/store/compact.go
+++ b/internal/state/store/compact.go
@@ -19,9 +19,9 @@
 // Due tells whether there is enough to win for Compact.
 func (s *Store) Due() bool { return s.victim != nil || s.pick() != nil }
 
-// pick chooses the segment to compact: of those that are not written to, the one with the least that lives for its size,
-// once garbage takes more than what lives and some segments, or room gets short. A segment that is nearly all alive is
-// left until room is very short: it would be written again for little.
+// pick chooses the segment to compact: of those that are not written to, the one with the least that lives for its
+// size, once garbage takes more than what lives and some segments, or room gets short. A segment that is nearly all
+// alive is left until room is very short: it would be written again for little.
 func (s *Store) pick() *segment {
 	limit := s.opt.Limit
 	if s.opt.ReadOnly || len(s.segs) < 2 || len(s.segs) < 2*segments && s.disk <= min(2*s.live+slackSegments*s.segSize, limit*6/10) {
@@ -95,8 +95,8 @@
 	return used, nil
 }
 
-// nextRecord reads the first whole record of a segment from an offset on; record is nil if there is none. What cannot be
-// read on the way was told at recovery, or has been damaged since: it is passed over.
+// nextRecord reads the first whole record of a segment from an offset on; record is nil if there is none. What cannot
+// be read on the way was told at recovery, or has been damaged since: it is passed over.
 func (s *Store) nextRecord(g *segment, at int64) (number uint32, record []byte, from, next int64, err error) {
 	began := int64(-1)
 	for at < g.size {
--- a/internal/state/store/faultfs/kill.go
+++ b/internal/state/store/faultfs/kill.go
@@ -8,14 +8,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real SIGKILL, after which the
-// files are as the calls before left them.
+// Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real
+// SIGKILL, after which the files are as the calls before left them.
 type Killer struct {
 	FS   store.FS
 	At   int  // the call, from 1; 0: never
 	Torn bool // where that call is a write, half of it is written first
-	// Late has each write reach the file only with the next one, so that a kill takes the last one with it: the fault of a journal that is written
-	// behind what it is for. It is for showing that a check convicts it.
+	// Late has each write reach the file only with the next one, so that a kill takes the last one with it: the fault
+	// of a journal that is written behind what it is for. It is for showing that a check convicts it.
 	Late bool
 
 	mu    sync.Mutex
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -88,8 +88,8 @@
 	return crc32.Update(uint32(place^place>>32), castagnoli, rest)
 }
 
-// AppendRecord appends a record's frames to b, which will be written at an offset of the segment of epoch, the first one
-// at HeaderSize. Records follow one another without gaps, but for a block's last bytes where no frame header fits.
+// AppendRecord appends a record's frames to b, which will be written at an offset of the segment of epoch, the first
+// one at HeaderSize. Records follow one another without gaps, but for a block's last bytes where no frame header fits.
 func AppendRecord(b []byte, epoch uint64, offset int64, number uint64, record []byte) []byte {
 	for first := true; ; first = false {
 		room := BlockSize - int(offset%BlockSize)
--- a/internal/state/store/frame_test.go
+++ b/internal/state/store/frame_test.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// A payload that holds a whole segment, at whatever offset, and is laid bare by damage in front of it, yields no record.
+// A payload that holds a whole segment, at whatever offset, and is laid bare by damage in front of it, yields no
+// record.
 func TestAPayloadNeverPassesForARecord(t *testing.T) {
 	evil, _ := wholeSegment([][]byte{[]byte("end of another's message")})
 	for shift := range BlockSize {
--- a/internal/state/store/recover.go
+++ b/internal/state/store/recover.go
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// directories reads the first record of each segment. It returns what the newest that can be read says of the others, with
-// the ends that earlier ones told, and that segment's number.
+// directories reads the first record of each segment. It returns what the newest that can be read says of the others,
+// with the ends that earlier ones told, and that segment's number.
 func (r *recovery) directories() (map[uint32]directoryEntry, uint32, error) {
 	dir, newest := map[uint32]directoryEntry{}, uint32(0)
 	for _, g := range r.s.segs {
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -259,8 +259,8 @@
 	return fs, d.m
 }
 
-// What can be read after damage is never wrong: every value and delta that is there is as it was, nothing that had ended
-// lives, and if anything is missing it is told, with the values that it touches.
+// What can be read after damage is never wrong: every value and delta that is there is as it was, nothing that had
+// ended lives, and if anything is missing it is told, with the values that it touches.
 func neverWrong(t *testing.T, what string, fs *faultfs.FS, want model, cut bool) {
 	t.Helper()
 	s, rec, err := store.Open(fs, store.Options{Limit: limit})
@@ -394,8 +394,8 @@
 	}
 }
 
-// A value that holds whole segments, records and headers of this very store passes for none of them, also where the record
-// that holds it is torn at any byte.
+// A value that holds whole segments, records and headers of this very store passes for none of them, also where the
+// record that holds it is torn at any byte.
 func TestValuesNeverPassForRecords(t *testing.T) {
 	fs := faultfs.New()
 	s, _ := open(t, fs)
--- a/internal/testkit/checker/fleet.go
+++ b/internal/testkit/checker/fleet.go
@@ -9,10 +9,12 @@
 
 // The figures that beliefs are judged by.
 const (
-	// beliefSlack is what a belief may be younger than it can be: what its asking took, and the least time under way, which nobody sees.
+	// beliefSlack is what a belief may be younger than it can be: what its asking took, and the least time under way,
+	// which nobody sees.
 	beliefSlack = 400 * time.Millisecond
-	// hearsWithin is how long two relays may take to hear of each other once both run and all between them is sound, and how old
-	// what one holds of the other may be from then on: who is taken for dead is called again within seconds.
+	// hearsWithin is how long two relays may take to hear of each other once both run and all between them is sound,
+	// and how old what one holds of the other may be from then on: who is taken for dead is called again within
+	// seconds.
 	hearsWithin = 20 * time.Second
 	youngWithin = 8 * time.Second
 	// toldWithin is how lately a relay must have been handed a message for others to be owed news of it.
@@ -61,7 +63,8 @@
 	return t
 }
 
-// until lets time pass: while nothing changes, all that a relay can be reached by, directly or over others, it may know as of now.
+// until lets time pass: while nothing changes, all that a relay can be reached by, directly or over others, it may know
+// as of now.
 func (t *truth) until(at time.Duration) {
 	n := len(t.names)
 	reach := make([][]bool, n) // to, from
--- a/internal/testkit/checker/judge.go
+++ b/internal/testkit/checker/judge.go
@@ -94,7 +94,8 @@
 	Steps    int       `json:"clock_steps,omitempty"` // of the wall clock, of which nothing here depends
 }
 
-// State sums the verdict up: Broken if a rule was, or what voids the run came up; NotJudged if it proves nothing; else Held.
+// State sums the verdict up: Broken if a rule was, or what voids the run came up; NotJudged if it proves nothing; else
+// Held.
 func (v Verdict) State() State {
 	broken := slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.State == Broken })
 	switch {
@@ -721,8 +722,8 @@
 			}
 			o, at := j.outcome(a, b.First)
 			if len(a.IDs) > 1 && (o == open || o == mayRun && a.reply < 0) {
-				// One message of several may be cut off while its call goes on for the others, at any time since it was sent,
-				// and its key rests from then. No host can see when that was.
+				// One message of several may be cut off while its call goes on for the others, at any time since it was
+				// sent, and its key rests from then. No host can see when that was.
 				continue
 			}
 			switch {
--- a/internal/testkit/checker/judge_test.go
+++ b/internal/testkit/checker/judge_test.go
@@ -300,8 +300,8 @@
 	want(t, s, Twice)
 }
 
-// One message of a bundle may be cut off alone, while its call is still out for the others: its key rests from then, and no host
-// sees when that was. Of a call of its own the host sees the end.
+// One message of a bundle may be cut off alone, while its call is still out for the others: its key rests from then,
+// and no host sees when that was. Of a call of its own the host sees the end.
 func TestAMessageThatIsGivenUpInABundle(t *testing.T) {
 	run := func(after time.Duration, ids ...string) *script {
 		s := newScript()
--- a/internal/testkit/eventlog/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -23,7 +23,8 @@
 	LinkFaulty, StateBegin, StateEnd, Undeliverable, Deferred, string(Safe), string(Keyed), string(Unsafe),
 }
 
-// A record with every field set and every kind of event has the bytes that earlier builds wrote, and is read as the same.
+// A record with every field set and every kind of event has the bytes that earlier builds wrote, and is read as the
+// same.
 func TestGoldenRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // its clock begins at the same time always
 		var header Header
--- a/internal/testkit/eventlog/record.go
+++ b/internal/testkit/eventlog/record.go
@@ -114,10 +114,11 @@
 	Trouble Kind = "trouble"
 	// Clock: the machine's wall clock was stepped. For: by how much.
 	Clock Kind = "clock"
-	// Link: what becomes of what one relay tells another. Relay, Name (the other), State (sound, cut, or faulty), Cause.
+	// Link: what becomes of what one relay tells another. Relay, Name (the other), State (sound, cut, or faulty),
+	// Cause.
 	Link Kind = "link"
-	// Belief: what a relay says that it holds of another. Relay, Name (the other), State (as it sees it), For (how old the youngest
-	// is that it heard, below 0: nothing), Status (the other's incarnation).
+	// Belief: what a relay says that it holds of another. Relay, Name (the other), State (as it sees it), For (how old
+	// the youngest is that it heard, below 0: nothing), Status (the other's incarnation).
 	Belief Kind = "belief"
 	// Fault: something that voids the run, such as a call with a message that nobody handed in. Relay, Host, ID, Cause.
 	Fault Kind = "fault"
--- a/internal/testkit/faultproxy/link.go
+++ b/internal/testkit/faultproxy/link.go
@@ -42,8 +42,8 @@
 // Addr is where it listens.
 func (l *Link) Addr() string { return l.streams.Addr() }
 
-// Set has faults strike from now on. Streams bear delays and rates as datagrams do; a share that is dropped costs them nothing but, at
-// half and more, everything.
+// Set has faults strike from now on. Streams bear delays and rates as datagrams do; a share that is dropped costs them
+// nothing but, at half and more, everything.
 func (l *Link) Set(f LinkFaults) error {
 	if f.Cut {
 		f.DatagramFaults = DatagramFaults{Drop: 1}
--- a/internal/testkit/faultproxy/rule.go
+++ b/internal/testkit/faultproxy/rule.go
@@ -1,6 +1,7 @@
 // Package sockfault stands between two sockets and does to their bytes what networks and peers do: it delays, trickles,
-// cuts, half-closes, stalls, garbles, truncates, doubles or refuses them. When and to which connection is said by rules,
-// which a test or a script adds and takes away while traffic runs. The same seed, rules and bytes give the same faults.
+// cuts, half-closes, stalls, garbles, truncates, doubles or refuses them. When and to which connection is said by
+// rules, which a test or a script adds and takes away while traffic runs. The same seed, rules and bytes give the same
+// faults.
 package faultproxy
 
 import (
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// Check compares got with a golden file, byte by byte, and returns the file's content. With update it writes the file first.
+// Check compares got with a golden file, byte by byte, and returns the file's content. With update it writes the file
+// first.
 func Check(t testing.TB, update bool, name string, got []byte) []byte {
 	t.Helper()
 	if update {
@@ -73,7 +74,8 @@
 	return text[:min(len(text), maxPrinted)]
 }
 
-// Fill sets every exported field that v reaches to a value that is not zero, and returns v. Slices and maps get one entry.
+// Fill sets every exported field that v reaches to a value that is not zero, and returns v. Slices and maps get one
+// entry.
 func Fill[T any](v *T) *T {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem())
--- a/internal/testkit/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The short rig of CI: three relays, of which one is cut off and comes back, one is stopped, and one loses its folder. What they believe
-// of each other is what is true.
+// The short rig of CI: three relays, of which one is cut off and comes back, one is stopped, and one loses its folder.
+// What they believe of each other is what is true.
 func TestAShortRigOfThreeRelays(t *testing.T) {
 	f := parse(t, "24s", 3, `
 [fleet]
--- a/internal/testkit/scenario/golden_test.go
+++ b/internal/testkit/scenario/golden_test.go
@@ -14,7 +14,8 @@
 // notSet is a line of an encoded scenario whose key has no value.
 var notSet = regexp.MustCompile(`(?m)^(\w+) = (0|0\.0|''|'0s'|false|\[\])$`)
 
-// TestGoldenEveryKey reads a scenario that sets every key, and pins what it is written as again, by the keys of the file, and its plan.
+// TestGoldenEveryKey reads a scenario that sets every key, and pins what it is written as again, by the keys of the
+// file, and its plan.
 func TestGoldenEveryKey(t *testing.T) {
 	f, err := LoadFor(filepath.Join("testdata", "golden", "every-key.toml"), EmulatorBounds)
 	if err != nil {
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -252,8 +252,8 @@
 	return x
 }
 
-// uneven draws what comes to each relay, lognormal with the mean of an even part, summed up to it; nil for even parts. All
-// traffic of a plan has the same.
+// uneven draws what comes to each relay, lognormal with the mean of an even part, summed up to it; nil for even parts.
+// All traffic of a plan has the same.
 func (f File) uneven(seed uint64) (upTo []float64) {
 	if f.Clients.Uneven == 0 {
 		return nil
--- a/policy/again_test.go
+++ b/policy/again_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Of many senders' first calls to what is listed anew spread; what is told again stands as if it had been known all along, and is
-// free for the same calls as that: no more.
+// Of many senders' first calls to what is listed anew spread; what is told again stands as if it had been known all
+// along, and is free for the same calls as that: no more.
 func TestWhatIsToldAgainStandsAsIfKnown(t *testing.T) {
 	calls := func(seed uint64, again, whole bool, after time.Duration) (n int) {
 		set := settings()
--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// plainBook is what a Sender knows of destinations, by the plain rule: at every list event all without routes are looked at.
+// plainBook is what a Sender knows of destinations, by the plain rule: at every list event all without routes are
+// looked at.
 type plainBook struct {
 	warm   time.Duration
 	routes map[string]int // destinations
@@ -68,8 +69,8 @@
 	})
 }
 
-// playBare plays random lists, changes, messages and pauses. After each step check is told of the list event, if there was one. It returns a sum of
-// all actions, to compare with another Sender's.
+// playBare plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
+// was one. It returns a sum of all actions, to compare with another Sender's.
 func playBare(t *testing.T, seed uint64, check func(s *Engine, now time.Duration, e *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := settings()
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkFull is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes nothing, with a change of one
-// route, and with a wake for which nothing is due while ten messages wait.
+// BenchmarkFull is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes
+// nothing, with a change of one route, and with a wake for which nothing is due while ten messages wait.
 func BenchmarkFull(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
@@ -88,8 +88,8 @@
 	}
 }
 
-// BenchmarkWakeAndRest is one destination of two routes that is told of and another that is put to rest, of so many told of; as many were put to rest
-// within the last warm-up.
+// BenchmarkWakeAndRest is one destination of two routes that is told of and another that is put to rest, of so many
+// told of; as many were put to rest within the last warm-up.
 func BenchmarkWakeAndRest(b *testing.B) {
 	for _, awake := range []int{1000, 10000, 50000, 140000} {
 		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
--- a/policy/ends_test.go
+++ b/policy/ends_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The heap of ends gives them in order, whatever comes in between, and takes no memory of its own for an entry once it has grown.
+// The heap of ends gives them in order, whatever comes in between, and takes no memory of its own for an entry once it
+// has grown.
 func TestEndsComeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h endHeap
--- a/policy/flat_test.go
+++ b/policy/flat_test.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// A long run of one of 300 senders, with destinations that come and go, every outcome, withdrawals and messages that are given up on:
-// its heap after collection does not grow with the messages. One that keeps a word for each message fails the same check.
+// A long run of one of 300 senders, with destinations that come and go, every outcome, withdrawals and messages that
+// are given up on: its heap after collection does not grow with the messages. One that keeps a word for each message
+// fails the same check.
 func TestTheHeapStaysFlatOverALongRun(t *testing.T) {
-	// The heap is that of all the process: what tests before this one left moves it, by a few hundred bytes a round. Only growth that shows
-	// each time is the module's.
+	// The heap is that of all the process: what tests before this one left moves it, by a few hundred bytes a round.
+	// Only growth that shows each time is the module's.
 	for try := 1; ; try++ {
 		least, most := heapSlope(t, false)
 		t.Logf("the heap grows by %.2f to %.2f bytes a message", least, most)
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// front stands before a Sender as a relay with a long list does: it keeps the list, tells of a destination when it is first needed, and has it
-// forgotten once it may rest. It does so without waiting for a destination to be idle, which is harder on what is forgotten.
+// front stands before a Sender as a relay with a long list does: it keeps the list, tells of a destination when it is
+// first needed, and has it forgotten once it may rest. It does so without waiting for a destination to be idle, which
+// is harder on what is forgotten.
 type front struct {
 	t       *testing.T
 	forgets *forgetful
@@ -83,7 +84,8 @@
 	return e
 }
 
-// playFront plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with whatever answer.
+// playFront plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
+// whatever answer.
 func playFront(t *testing.T, seed uint64, every int, forgets *forgetful) (*world, *front) {
 	f := &front{t: t, forgets: forgets}
 	return play(t, seed, blind{every: every, step: f.step}), f
@@ -166,8 +168,8 @@
 
 const never = 1000 * time.Hour
 
-// A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A front that forgets outages
-// pours its backlog out.
+// A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A
+// front that forgets outages pours its backlog out.
 func TestRestsPushNoReturningDestinationOver(t *testing.T) {
 	play := func(forgets *forgetful, idle time.Duration) (calls, rests int) {
 		for seed := range uint64(20) {
@@ -197,8 +199,9 @@
 	}
 }
 
-// Messages with rests between take no more calls of one of 3,000 senders than where nothing is ever put to rest, and those after a rest no more
-// than the first at a sender that has just started; where a call's worth is not waited for they do.
+// Messages with rests between take no more calls of one of 3,000 senders than where nothing is ever put to rest, and
+// those after a rest no more than the first at a sender that has just started; where a call's worth is not waited for
+// they do.
 func TestRestsAreNoWayAroundAPace(t *testing.T) {
 	const later = 20
 	const seeds = 60
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// goldenSender is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left alone.
+// goldenSender is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left
+// alone.
 func goldenSender(t *testing.T) *Engine {
 	t.Helper()
 	s, err := New(goldenSettings(), 1)
@@ -72,8 +73,8 @@
 	return s
 }
 
-// A Sender that another build wrote is restored, and written again byte by byte. How it came about is not checked here: decisions
-// may change where the form of the state does not.
+// A Sender that another build wrote is restored, and written again byte by byte. How it came about is not checked here:
+// decisions may change where the form of the state does not.
 func TestGoldenSnapshot(t *testing.T) {
 	if *update {
 		golden.Write(t, goldenSnapshot, goldenSender(t).Snapshot(nil))
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -54,8 +54,8 @@
 	Until     time.Duration
 }
 
-// Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of a
-// Snapshot): looking may cast doubt on a route, as dispatch itself does.
+// Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of
+// a Snapshot): looking may cast doubt on a route, as dispatch itself does.
 func (s *Engine) Blockers() (holds []Blocker) {
 	for _, d := range s.order {
 		for _, m := range d.queue {
@@ -110,7 +110,8 @@
 	return cause, until
 }
 
-// EndpointView is what a Sender holds of a route and of its gate, the scope that shares a limit. Rates are in calls a second.
+// EndpointView is what a Sender holds of a route and of its gate, the scope that shares a limit. Rates are in calls a
+// second.
 type EndpointView struct {
 	Endpoint
 	PacingRate, LastRejectedRate, Limit, FairShare          float64 // 0: free, none, not told
--- a/policy/many.go
+++ b/policy/many.go
@@ -22,7 +22,8 @@
 	askAhead   = 700 * time.Millisecond // and so long before the calls may leave
 )
 
-// takes is what a gate takes from all, on the low side; where nothing tells, as often what it took from this sender as there are such.
+// takes is what a gate takes from all, on the low side; where nothing tells, as often what it took from this sender as
+// there are such.
 func (s *Engine) takes(g *gate) float64 {
 	return max(leastLimit, cmp.Or(s.limit(g), s.rate(g)*float64(s.set.FleetSize)))
 }
@@ -37,8 +38,9 @@
 	g.tokens = 1 - s.rng.Float64()*math.Min(1, g.pace*manySpread.Seconds())
 }
 
-// keepPace bounds the pace of one of many where rates are told: by its fair one, and with a backlog by twice that, if it grew there.
-// Guards against paces that grew past it at one success, or whose share has shrunk: their sum passes the limit, and refusals use it up.
+// keepPace bounds the pace of one of many where rates are told: by its fair one, and with a backlog by twice that, if
+// it grew there. Guards against paces that grew past it at one success, or whose share has shrunk: their sum passes the
+// limit, and refusals use it up.
 func (s *Engine) keepPace(g *gate, was float64) {
 	if g.pace == 0 {
 		s.startPace(g)
@@ -51,7 +53,8 @@
 	}
 }
 
-// trial is the least pace of one of many: a call in a message's time, or half of its part: else a trouble's end is learnt too late.
+// trial is the least pace of one of many: a call in a message's time, or half of its part: else a trouble's end is
+// learnt too late.
 func (s *Engine) trial(part float64) float64 {
 	least := 0.0
 	for _, c := range s.set.Classes {
@@ -78,8 +81,9 @@
 	return quota
 }
 
-// manyGrowth is the growth of the pace of one of many, quick below its fair one. These add up to the limit: beyond, a pace grows with a
-// backlog only, into what others leave, and where rates are told long after a refusal; else its share is found out by refusals.
+// manyGrowth is the growth of the pace of one of many, quick below its fair one. These add up to the limit: beyond, a
+// pace grows with a backlog only, into what others leave, and where rates are told long after a refusal; else its share
+// is found out by refusals.
 func (s *Engine) manyGrowth(g *gate) float64 {
 	fair, told, refused := s.fair(g), s.usual() > 0, g.halvedAt > 0 && s.now-g.halvedAt < calmSpan
 	switch {
@@ -104,8 +108,9 @@
 	return math.Min(pace, math.Max(less, least))
 }
 
-// fair is the pace that one of many keeps to until it learns better: its part, by the share of all traffic that its own count and
-// the customers' told rates tell. Guards against senders with much traffic that wait at paces which others do not use.
+// fair is the pace that one of many keeps to until it learns better: its part, by the share of all traffic that its own
+// count and the customers' told rates tell. Guards against senders with much traffic that wait at paces which others do
+// not use.
 func (s *Engine) fair(g *gate) float64 {
 	share := 1.0
 	if quota := s.usual(); quota > 0 {
@@ -127,9 +132,10 @@
 	}
 }
 
-// hint takes two refusals some time apart for a sign of an outage and, where this sender's part is under a call in a warm-up, by
-// chance one refusal or connection failed as at a full table. Guards against many senders told once that all come again. Most
-// refusals being a limit's, some must: those left are under two thirds while they come less than five times as often as others.
+// hint takes two refusals some time apart for a sign of an outage and, where this sender's part is under a call in a
+// warm-up, by chance one refusal or connection failed as at a full table. Guards against many senders told once that
+// all come again. Most refusals being a limit's, some must: those left are under two thirds while they come less than
+// five times as often as others.
 func (s *Engine) hint(r *route) {
 	again := r.refusals >= sparseShut && s.now-r.refusedAt >= shutSpan
 	seldom := !s.alive(r) && s.part(r.gate)*s.set.WarmUpDuration.Seconds() < 1
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A sender with twice the usual traffic takes more of a limit than one with half of it, and a whole fleet of both no more
-// than the limit.
+// A sender with twice the usual traffic takes more of a limit than one with half of it, and a whole fleet of both no
+// more than the limit.
 func TestFairPacesGoByTraffic(t *testing.T) {
 	const senders, limit, usual = 40, 60.0, 5.0 // messages a second of a sender
 	set := settings()
@@ -151,8 +151,9 @@
 	}
 }
 
-// Where rates are told a pace comes back to the fair one, not past it by one success that stands for seconds, and stays there without a
-// backlog or after a refusal; with a backlog and no refusal for long it grows, to twice the fair one. Where none are told it grows.
+// Where rates are told a pace comes back to the fair one, not past it by one success that stands for seconds, and stays
+// there without a backlog or after a refusal; with a backlog and no refusal for long it grows, to twice the fair one.
+// Where none are told it grows.
 func TestGrowthOfAPaceOfMany(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -815,7 +815,8 @@
 	}
 }
 
-// The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and to any after a loss.
+// The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and
+// to any after a loss.
 func TestAnswersToEarlierCallsBeginNoWarmUp(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -838,7 +839,8 @@
 	}
 }
 
-// One delivery clears the slight doubt of a sender whose part is under a call in a warm-up; of others it begins the warm-up.
+// One delivery clears the slight doubt of a sender whose part is under a call in a warm-up; of others it begins the
+// warm-up.
 func TestSlightDoubtOfThinPartsAlone(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Which destinations a caller with very many may have a Sender forget (EndpointDelta with Gone) and tell it again later. Nothing is sent or held
-// by what stands here, and nothing changes: asking leaves no trace.
+// Which destinations a caller with very many may have a Sender forget (EndpointDelta with Gone) and tell it again
+// later. Nothing is sent or held by what stands here, and nothing changes: asking leaves no trace.
 
-// Evictable tells whether forgetting a destination, as of the last step, drops nothing that binds: no message is held and no call out, no told wait
-// and no skip is in force, no route is cold, in doubt or warming up, what it was refused no longer matters, and others share none of its limit. Told
-// of again it stands as at a start, which is bolder in nothing of that. The caller leaves a destination alone for WarmUpDuration first: what one failure
-// or one refusal tells is not looked at here.
+// Evictable tells whether forgetting a destination, as of the last step, drops nothing that binds: no message is held
+// and no call out, no told wait and no skip is in force, no route is cold, in doubt or warming up, what it was refused
+// no longer matters, and others share none of its limit. Told of again it stands as at a start, which is bolder in
+// nothing of that. The caller leaves a destination alone for WarmUpDuration first: what one failure or one refusal
+// tells is not looked at here.
 func (s *Engine) Evictable(dest int) bool {
 	d := s.dests[dest]
 	return d == nil || d.held == 0 && !slices.ContainsFunc(d.gates, s.binds)
@@ -44,8 +45,9 @@
 	return r.okAt == 0 && r.gate.doubtful() // it stands as its siblings do, when it is looked at
 }
 
-// lowered tells whether a gate's pace is one that a start must not do away with: a call's worth is not yet earned back, or a refusal lowered it and
-// it would not have grown back by now, even at its slowest growth. After calmSpan a refusal is of no account, as in growth itself.
+// lowered tells whether a gate's pace is one that a start must not do away with: a call's worth is not yet earned back,
+// or a refusal lowered it and it would not have grown back by now, even at its slowest growth. After calmSpan a refusal
+// is of no account, as in growth itself.
 func (s *Engine) lowered(g *gate) bool {
 	switch {
 	case g.pace == 0:
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -66,7 +66,8 @@
 	{name: "paces", gate: func(g *gate) { g.tokens, g.tokensAt, g.halvedAt = 1, 0, 0 }},
 }
 
-// stream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by destination.
+// stream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by
+// destination.
 type stream struct {
 	t      *rapid.T
 	s      *Engine
@@ -175,8 +176,8 @@
 	w.step(Event{Kind: AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: c.route, Outcome: o, Latency: w.now - c.sent, MessageEnded: o == OK, RetryAfter: wait})
 }
 
-// judge says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of the sender what would keep a
-// message from each of its routes.
+// judge says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of
+// the sender what would keep a message from each of its routes.
 func (w *stream) judge(dest int) string {
 	for id, d := range w.held {
 		if d == dest {
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -93,8 +93,8 @@
 	return f
 }
 
-// play has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts the calls of each
-// destination.
+// play has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts
+// the calls of each destination.
 func (f *find) play(t *testing.T, seed uint64) (calls map[int]int) {
 	t.Helper()
 	s, err := New(f.set, seed)
@@ -191,8 +191,8 @@
 	return faults
 }
 
-// Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all hosts are told to wait past
-// it, or capacity bars it, which the calls made show; and it never ends early without one.
+// Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all hosts
+// are told to wait past it, or capacity bars it, which the calls made show; and it never ends early without one.
 func TestWhatAnyRestartFindsIsTriedOrKept(t *testing.T) {
 	sent, all := 0, 0
 	for seed := range uint64(1500) {
@@ -209,7 +209,8 @@
 	if t.Logf("%d of %d sent", sent, all); sent < all/4 {
 		t.Error("the test shows little")
 	}
-	// The same with messages that no earlier process took on: refused early, as they may be. It shows that the test can fail.
+	// The same with messages that no earlier process took on: refused early, as they may be. It shows that the test can
+	// fail.
 	found := 0
 	for seed := range uint64(200) {
 		f := drawFind(seed, false)
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// untried plays a sender of many that resumes messages nobody has tried, for as long as they have; what becomes of each.
+// untried plays a sender of many that resumes messages nobody has tried, for as long as they have; what becomes of
+// each.
 type untried struct {
 	sent, refused map[uint32]time.Duration // when
 }
@@ -218,8 +219,9 @@
 	return u
 }
 
-// Where nothing tells of limits a part of them tells nothing either: what waits is tried in half of its time. Where a limit bars
-// some of it, or no room is left, it is kept until its time is up; it ends early only where a wait is told beyond that.
+// Where nothing tells of limits a part of them tells nothing either: what waits is tried in half of its time. Where a
+// limit bars some of it, or no room is left, it is kept until its time is up; it ends early only where a wait is told
+// beyond that.
 func TestWhatNobodyTriedIsTriedOrKept(t *testing.T) {
 	const left = 10 * time.Second
 	plain := resumeSettings()
@@ -272,8 +274,9 @@
 	}
 }
 
-// Where nothing tells what a destination takes, a sender goes by what it took from it: the budget of a route in doubt is then this
-// sender's part of a destination of that size, not of one call a second; it is no less than that, and a told limit goes before it.
+// Where nothing tells what a destination takes, a sender goes by what it took from it: the budget of a route in doubt
+// is then this sender's part of a destination of that size, not of one call a second; it is no less than that, and a
+// told limit goes before it.
 func TestWhatNobodyTellsIsTakenFromOwnDeliveries(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sharer is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a second, more or less. Its
-// calls are answered with the next step.
+// sharer is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
+// second, more or less. Its calls are answered with the next step.
 type sharer struct {
 	*Engine
 	evs []Event
@@ -48,8 +48,8 @@
 	return calls, asks, wanted
 }
 
-// What others leave a sender lets it make so many calls beyond its own pace, for so long; what it lends slows that; and it asks for calls only
-// where limits are shared, shortly before they may leave.
+// What others leave a sender lets it make so many calls beyond its own pace, for so long; what it lends slows that; and
+// it asks for calls only where limits are shared, shortly before they may leave.
 func TestRights(t *testing.T) {
 	right := func(share float64, calls int, left time.Duration) Event {
 		return Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: share, GrantedCalls: calls, TimeLeft: left}
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of which none may be
-// refused, and would look through all of it for each message that it takes up, and for each new one.
+// Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of
+// which none may be refused, and would look through all of it for each message that it takes up, and for each new one.
 func TestRoomIsLookedForOnlySoFar(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -36,8 +36,8 @@
 	}
 }
 
-// A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss their aims, it takes
-// the square of its length. Whichever leave, the order stays.
+// A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss
+// their aims, it takes the square of its length. Whichever leave, the order stays.
 func TestALongQueueIsNotMovedForItsFirst(t *testing.T) {
 	s, err := New(Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}}, 1)
 	if err != nil {
--- a/policy/state.go
+++ b/policy/state.go
@@ -222,7 +222,8 @@
 	s.sweep()
 }
 
-// sweep forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are due.
+// sweep forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are
+// due.
 func (s *Engine) sweep() {
 	for d := s.bare.first; d != nil && s.now >= d.bareAt+s.set.WarmUpDuration; {
 		next := d.bareAfter
@@ -236,7 +237,8 @@
 	}
 }
 
-// bareList is the destinations without routes, the one whose last route went first in front: a list through them, as they come and go one by one.
+// bareList is the destinations without routes, the one whose last route went first in front: a list through them, as
+// they come and go one by one.
 type bareList struct{ first, last *dest }
 
 func (l *bareList) has(d *dest) bool { return l.first == d || d.bareBefore != nil }
@@ -356,7 +358,8 @@
 		d.gates = append(d.gates, &gate{dest: d, separate: separate, kind: l.Kind, tokens: 1, tokensAt: s.now,
 			coldLeft: math.MinInt64 / 2})
 		if l.Relisted {
-			// As if it had stood here since. Guards against a first message that waits as at a start each time that it is told of again.
+			// As if it had stood here since. Guards against a first message that waits as at a start each time that it
+			// is told of again.
 			d.gates[len(d.gates)-1].tokensAt = s.began
 		}
 	}
@@ -404,7 +407,8 @@
 	d := m.dest
 	i := sort.Search(len(d.queue), func(i int) bool { return !before(d.queue[i], m) })
 	if len(d.queue) > scanDepth && i < len(d.queue)/2 {
-		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss their aims.
+		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss
+		// their aims.
 		copy(d.queue[1:i+1], d.queue[:i])
 		d.queue[0] = nil
 		d.queue = d.queue[1:]
@@ -466,8 +470,8 @@
 
 func (e *end) before(o *end) bool { return e.at < o.at || e.at == o.at && e.m.id < o.m.id }
 
-// endHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the heap of the
-// program, twice for each message.
+// endHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the
+// heap of the program, twice for each message.
 type endHeap []end
 
 func (h *endHeap) push(e end) {
@@ -615,8 +619,8 @@
 	c.r.calls = slices.DeleteFunc(c.r.calls, func(x *call) bool { return x == c })
 }
 
-// sendersMost bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a call
-// through within a message's time.
+// sendersMost bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a
+// call through within a message's time.
 const sendersMost = 1_000_000
 
 // check tells what makes no sense in settings.
