--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -123,8 +123,14 @@
 
 func groups() []group {
 	return []group{
-		{"module", moduleSeries}, {"journal", journalSeries}, {"list", listSeries}, {"relay.list", relayListSeries}, {"relay.discovery", relayDiscoverySeries},
-		{"relay.load", relayLoadSeries}, {"relay.backlog", relayBacklogSeries}, {"fleet", fleetSeries},
+		{"module", moduleSeries},
+		{"journal", journalSeries},
+		{"list", listSeries},
+		{"relay.list", relayListSeries},
+		{"relay.discovery", relayDiscoverySeries},
+		{"relay.load", relayLoadSeries},
+		{"relay.backlog", relayBacklogSeries},
+		{"fleet", fleetSeries},
 	}
 }
 
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -139,13 +139,17 @@
 
 func relaySettings() map[string]any {
 	return map[string]any{
-		"bounds": map[string]any{"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000, "may_duplicate": true,
-			"open_cap": 5_000_000, "retry_after": true, "send_cap": 8},
+		"bounds": map[string]any{
+			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000, "may_duplicate": true,
+			"open_cap": 5_000_000, "retry_after": true, "send_cap": 8,
+		},
 		"extra":      map[string]any{"call_slots": 0, "per_call": []int{1}, "separate_routes": []bool{false}},
 		"fleet_size": 1, "kinds": []string{"platform"}, "tick_ms": 5, "zones": []string{"a", "b"},
 		"rules": map[string]any{"cold_from": 0.2, "fall_ms": 3000, "overload_factor": 2, "warm_within_ms": 30000},
-		"services": []map[string]any{{"name": "order", "semantics": "idempotency_key", "group": "zone", "goal_time_ms": 3000, "give_up_ms": 360_000_000,
-			"repeat_window_ms": 10000, "value": 1}},
+		"services": []map[string]any{{
+			"name": "order", "semantics": "idempotency_key", "group": "zone", "goal_time_ms": 3000, "give_up_ms": 360_000_000,
+			"repeat_window_ms": 10000, "value": 1,
+		}},
 		"realms": []map[string]any{{"name": "acme", "share": 1}}, "stats": map[string]any{"how": "none"},
 	}
 }
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -117,7 +117,10 @@
 		body   int
 		room   int
 	}{
-		{"small", 3, 0, 1 << 20}, {"small, room for few", 3, 0, 50}, {"large", 3, 60 << 10, 50}, {"small on 12 MB", 12, 0, 1 << 20},
+		{"small", 3, 0, 1 << 20},
+		{"small, room for few", 3, 0, 50},
+		{"large", 3, 60 << 10, 50},
+		{"small on 12 MB", 12, 0, 1 << 20},
 		{"small on 12 MB, room for half", 12, 0, 40_000},
 	} {
 		b.Run(c.name, func(b *testing.B) {
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -148,7 +148,8 @@
 					t.Errorf("ended after %v", took)
 				}
 				var exit *exec.ExitError
-				if !errors.As(err, &exit) || !exit.Sys().(syscall.WaitStatus).Signaled() { // else it had not come to catch the signal
+				// else it had not come to catch the signal
+				if !errors.As(err, &exit) || !exit.Sys().(syscall.WaitStatus).Signaled() {
 					must(t, err)
 				}
 			}
--- a/cmd/cherrytrestle/golden_test.go
+++ b/cmd/cherrytrestle/golden_test.go
@@ -16,8 +16,10 @@
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100") // the width that the help is written for
 	var all strings.Builder
-	for _, args := range []string{"", "serve", "replay", "explain", "fleet", "fleet count", "fleet status",
-		"recording", "recording info", "recording extract", "journal", "journal inspect", "journal verify", "journal dump"} {
+	for _, args := range []string{
+		"", "serve", "replay", "explain", "fleet", "fleet count", "fleet status",
+		"recording", "recording info", "recording extract", "journal", "journal inspect", "journal verify", "journal dump",
+	} {
 		var stdout, stderr bytes.Buffer
 		line := strings.TrimSpace(args + " --help")
 		status := cli.Run(t.Context(), "cherrytrestle", "A relay for outbound messages.", &app{}, strings.Fields(line), cli.Streams{Out: &stdout, Err: &stderr}, cli.Failed)
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -234,13 +234,17 @@
 // prepareRelay writes a relay's configuration.
 func prepareRelay(t testing.TB, known []member, change func(settings map[string]any)) *relayProcess {
 	settings := map[string]any{
-		"bounds": map[string]any{"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
-			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8},
+		"bounds": map[string]any{
+			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
+			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8,
+		},
 		"extra":      map[string]any{"call_slots": 8, "per_call": []int{10, 1}, "separate_routes": []bool{false, true}},
 		"fleet_size": 1, "kinds": []string{"platform", "gateway"}, "tick_ms": 5, "zones": []string{"a", "b"},
 		"rules": map[string]any{"cold_from": 0.2, "fall_ms": 3000, "overload_factor": 2, "warm_within_ms": 14000},
-		"services": []map[string]any{{"name": "order", "semantics": "idempotency_key", "group": "zone",
-			"goal_time_ms": 3000, "give_up_ms": 16000, "repeat_window_ms": 10000, "value": 1}},
+		"services": []map[string]any{{
+			"name": "order", "semantics": "idempotency_key", "group": "zone",
+			"goal_time_ms": 3000, "give_up_ms": 16000, "repeat_window_ms": 10000, "value": 1,
+		}},
 		"realms": []map[string]any{{"name": "acme", "share": 1}},
 		"stats":  map[string]any{"how": "none"},
 	}
@@ -575,7 +579,8 @@
 					case <-time.After(20 * time.Millisecond):
 					}
 					id := fmt.Sprintf("%s-%d-%d", round, c, i)
-					res, err := client.Do(r.request(id, 16*time.Second, nil)) // comes once more if its connection closed crosswise
+					// comes once more if its connection closed crosswise
+					res, err := client.Do(r.request(id, 16*time.Second, nil))
 					mu.Lock()
 					if err != nil {
 						unanswered++
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -126,7 +126,8 @@
 func catalog(from, to int, addr string) (list []member) {
 	for d := from; d < to; d++ {
 		for k := range 2 {
-			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k)) // nobody is there, nor called
+			// nobody is there, nor called
+			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
 			list = append(list, member{
 				"id": fmt.Sprintf("s-%06d-%d", d, k), "addr": own, "zone": "ab"[k : k+1], "kind": "platform", "cell": d, "state": "ready", "weight": 8.6,
 			})
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -344,7 +344,8 @@
 					t.Helper()
 					err := cmd.Wait()
 					var exit *exec.ExitError
-					uncaught := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() // it had not come to catch the signal
+					// it had not come to catch the signal
+					uncaught := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
 					if err != nil && !(uncaught && who == "second, before") {
 						t.Errorf("ended: %v", err)
 					}
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -44,13 +44,15 @@
 func (c *faultsCommand) file(relays int) (f scenario.File, begin, end time.Duration) {
 	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
 	f = scaleScenario(relays, c.Destinations, c.Rate, c.Length)
-	f.Kinds[0] = scenario.Kind{Name: "store", Pace: d(500 * time.Millisecond), Spread: 0.5, Slots: 5} // ten calls a second an endpoint
+	// ten calls a second an endpoint
+	f.Kinds[0] = scenario.Kind{Name: "store", Pace: d(500 * time.Millisecond), Spread: 0.5, Slots: 5}
 	begin, end = c.Length/3, c.Length*2/3
 	switch c.Fault {
 	case "changes":
 		begin, end = 0, c.Length
 		endpoints := c.Destinations * f.Destinations[0].Endpoints
-		share := math.Nextafter(float64(c.Count/replaceSteps)/float64(endpoints), 0) // rounded up to the count by the plan
+		// rounded up to the count by the plan
+		share := math.Nextafter(float64(c.Count/replaceSteps)/float64(endpoints), 0)
 		f.Troubles = []scenario.Trouble{{Kind: scenario.Draining, At: d(time.Second), For: d(c.Length - 10*time.Second), Share: share, Replace: true, Batch: 1}}
 	case "outages":
 		var down []int
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -20,7 +20,8 @@
 	set := policy.Settings{MaxInFlightCalls: backlogSlots, Classes: []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1}}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}
 	list := make([]policy.Endpoint, 0, destinations)
 	for d := range destinations {
-		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6}) // no pace holds up what is measured
+		// no pace holds up what is measured
+		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6})
 	}
 	taken := func(i int) policy.Event {
 		return policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), Destination: i % destinations, TimeLeft: 8 * time.Hour}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -47,9 +47,10 @@
 	Members      int
 	Destinations int     // that are listed, each with a limit of Limit calls a second
 	Limit        float64 // 0: 50
-	Busy         int     // destinations that each member sends to, from the first on: four share a page; 0: the fleet rests
-	Messages     float64 // a second at each member, over those
-	Rights       bool    // limits are shared
+	// destinations that each member sends to, from the first on: four share a page; 0: the fleet rests
+	Busy     int
+	Messages float64 // a second at each member, over those
+	Rights   bool    // limits are shared
 
 	Settle time.Duration // before the measure, once all are members
 	Window time.Duration // of the measure
--- a/internal/capacity/hollow/hollow_test.go
+++ b/internal/capacity/hollow/hollow_test.go
@@ -189,7 +189,8 @@
 			}
 			tell(t, fmt.Sprintf("rights of %d destinations", d), r)
 			within(t, r, "shared_destinations", float64(d), float64(d))
-			due := (float64(d) - r.Values["kept_destinations"]) / renewEvery.Seconds() // all that it does not keep itself is lent anew
+			// all that it does not keep itself is lent anew
+			due := (float64(d) - r.Values["kept_destinations"]) / renewEvery.Seconds()
 			within(t, r, "loans_per_s", 0.9*due, 1.1*due)
 			within(t, r, "sent_datagrams_per_s", due/24, 2*due+float64(n)/renewEvery.Seconds()*float64(d))
 		}
--- a/internal/capacity/hollow/rights.go
+++ b/internal/capacity/hollow/rights.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	rightsStep  = 50 * time.Millisecond // a relay under traffic steps more often: that is in the measure of whole members
+	// a relay under traffic steps more often: that is in the measure of whole members
+	rightsStep  = 50 * time.Millisecond
 	renewEvery  = 600 * time.Millisecond
 	measured    = 4 // members, one after the other
 	stationsMax = 1 << 16
@@ -108,7 +109,8 @@
 		for _, m := range told {
 			loans += len(m.Leases)
 			var got quota.Message
-			used += spent(func() { got, err = sent.pass(me, life.Boot, now, m) }) // with the reading, which is another's: as much as the writing of an answer
+			// with the reading, which is another's: as much as the writing of an answer
+			used += spent(func() { got, err = sent.pass(me, life.Boot, now, m) })
 			if err != nil {
 				return nil, fmt.Errorf("hollow: %w", err)
 			}
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -24,7 +24,8 @@
 
 	ListWhole = "list.whole" // bytes of a whole list on the wire, over destinations
 
-	RelayMemory    = "relay.memory"    // highest resident bytes of a relay process that was handed its list, over destinations
+	// highest resident bytes of a relay process that was handed its list, over destinations
+	RelayMemory    = "relay.memory"
 	RelayReady     = "relay.ready"     // seconds until it is ready
 	RelayStart     = "relay.start"     // seconds of a processor until it is ready
 	RelayDiscovery = "relay.discovery" // seconds until a relay that must ask discovery is ready
@@ -129,8 +130,10 @@
 	bytes, bytesHow := b.at(FleetBytes, b.Relays)
 	cores, coresHow := b.at(FleetCores, b.Relays)
 	fleetMemory, fleetMemoryHow := b.at(FleetMemory, b.Relays)
-	discovery := b.stops(Figure{What: "list: destinations with which it becomes ready by discovery", Value: b.Destinations, Mechanism: byList,
-		Stops: "it never becomes ready"}, RelayDiscovery)
+	discovery := b.stops(Figure{
+		What: "list: destinations with which it becomes ready by discovery", Value: b.Destinations, Mechanism: byList,
+		Stops: "it never becomes ready",
+	}, RelayDiscovery)
 	join := b.stops(Figure{What: "membership: relays that hear of each other", Value: b.Relays, Mechanism: byFleet, Stops: "it does not start with the table"}, FleetJoin)
 	awake := b.Awake()
 	pages := b.stops(Figure{What: "what is shared: destinations told of at once", Value: awake, Mechanism: byFleet, Stops: "of the others it tells nothing"}, FleetPages)
@@ -145,19 +148,29 @@
 		{What: "messages in: changes, and an empty line every 2 s", Value: b.Changes/day + 0.5, Unit: Rate, How: fmt.Sprintf("%s changes a day", exact(b.Changes)), Mechanism: byList},
 		discovery,
 		{What: "list: ready when handed over", Value: ready, Unit: Seconds, How: readyHow, Budget: b.ReadyIn, Allowed: restart, Mechanism: byList},
-		{What: "list: memory", Value: memory - base, Unit: Bytes, How: memoryHow + fmt.Sprintf(", less %s of a relay with no list", Format(base, Bytes)),
-			Budget: b.ControlMemory, Allowed: control, Mechanism: byList},
-		{What: "list: bytes in by changes", Value: b.Changes * entry / day, Unit: ByteRate, How: fmt.Sprintf("%s changes a day, %s", exact(b.Changes), entryHow),
-			Budget: b.ControlBytes, Allowed: control, Mechanism: byList},
-		{What: "list: bytes in by whole lists after restarts", Value: whole * b.RestartedADay / b.Relays / day, Unit: ByteRate,
-			How: wholeHow + fmt.Sprintf(", %s restarts a day of all", exact(b.RestartedADay)), Budget: b.ControlBytes, Allowed: control, Mechanism: byList},
-		{What: "list: one whole list", Value: whole / b.ControlBytes, Unit: Seconds, How: fmt.Sprintf("%s at %s", Format(whole, Bytes), Format(b.ControlBytes, ByteRate)),
-			Mechanism: byList},
+		{
+			What: "list: memory", Value: memory - base, Unit: Bytes, How: memoryHow + fmt.Sprintf(", less %s of a relay with no list", Format(base, Bytes)),
+			Budget: b.ControlMemory, Allowed: control, Mechanism: byList,
+		},
+		{
+			What: "list: bytes in by changes", Value: b.Changes * entry / day, Unit: ByteRate, How: fmt.Sprintf("%s changes a day, %s", exact(b.Changes), entryHow),
+			Budget: b.ControlBytes, Allowed: control, Mechanism: byList,
+		},
+		{
+			What: "list: bytes in by whole lists after restarts", Value: whole * b.RestartedADay / b.Relays / day, Unit: ByteRate,
+			How: wholeHow + fmt.Sprintf(", %s restarts a day of all", exact(b.RestartedADay)), Budget: b.ControlBytes, Allowed: control, Mechanism: byList,
+		},
+		{
+			What: "list: one whole list", Value: whole / b.ControlBytes, Unit: Seconds, How: fmt.Sprintf("%s at %s", Format(whole, Bytes), Format(b.ControlBytes, ByteRate)),
+			Mechanism: byList,
+		},
 		{What: "list: a change in force at a relay", Value: force, Unit: Seconds, How: forceHow, Budget: b.InForce, Allowed: "everywhere", Mechanism: byList},
 		{What: "list: processor with no change", Value: rested - none, Unit: Cores, How: restedHow + fmt.Sprintf(", less %s of a relay with no list", Format(none, Cores)), Budget: b.ControlCores, Allowed: control, Mechanism: byList},
 		{What: "list: processor for changes", Value: cpu, Unit: Cores, How: changeHow + ", for each change", Budget: b.ControlCores, Allowed: control, Mechanism: byList},
-		{What: "list: the same, all changes of a day in one hour", Value: 24 * b.Changes * change / day, Unit: Cores, How: "24 times as many a second",
-			Budget: b.ControlCores, Allowed: control, Mechanism: byList},
+		{
+			What: "list: the same, all changes of a day in one hour", Value: 24 * b.Changes * change / day, Unit: Cores, How: "24 times as many a second",
+			Budget: b.ControlCores, Allowed: control, Mechanism: byList,
+		},
 		{What: "settings: in force everywhere", Value: math.NaN(), Unit: Seconds, How: "a relay reads its own file at SIGHUP; nothing takes a change to all of them", Budget: b.InForce, Allowed: control},
 		join,
 		{What: "membership and what is shared: messages out", Value: messages, Unit: Rate, How: messagesHow, Mechanism: byFleet},
--- a/internal/config/operatorfile/operator_test.go
+++ b/internal/config/operatorfile/operator_test.go
@@ -53,14 +53,17 @@
 		"[recorder]\nenabled = \"yes\"\n":            {"f.toml:2:"},
 		"[recorder\n":                                {"f.toml:1:"},
 		"[recorder]\nring_mb = 0.1\nwrite = \"some\"\nfolder_mb = -1\n[log]\nformat = \"xml\"\nlevel = \"loud\"\n": {
-			"recorder.ring_mb is 0.1", `recorder.write is "some"`, "recorder.folder_mb is -1", `log.format is "xml"`, `log.level is "loud"`},
+			"recorder.ring_mb is 0.1", `recorder.write is "some"`, "recorder.folder_mb is -1", `log.format is "xml"`, `log.level is "loud"`,
+		},
 		"[recorder]\nring_mb = 100\nfolder = \"/x\"\nfolder_mb = 50\n": {"does not fit into folder_mb = 50"},
 		"[journal]\nsync = \"often\"\nsync_interval_ms = 1\nbodies_mb = -1\n": {
-			`journal.sync is "often"`, "journal.sync_interval_ms is 1", "journal.bodies_mb is -1"},
+			`journal.sync is "often"`, "journal.sync_interval_ms is 1", "journal.bodies_mb is -1",
+		},
 		"[recorder]\nring_mb = nan\n": {"recorder.ring_mb is NaN"},
 		"[fleet]\nenabled = true\n":   {`fleet.listen is ""`, "fleet.join names nobody"},
 		"[fleet]\nenabled = true\nname = \"a b\"\nlabel = \"x/y\"\nlisten = \"0.0.0.0:1\"\n[fleet.join]\nb = \"10.0.0.1\"\nc = \"10.0.0.1:0\"\n": {
-			`line 3: fleet.name is "a b"`, `line 4: fleet.label is "x/y"`, `line 5: fleet.listen is "0.0.0.0:1"`, `line 7: fleet.join.b is`, `line 8: fleet.join.c is`},
+			`line 3: fleet.name is "a b"`, `line 4: fleet.label is "x/y"`, `line 5: fleet.listen is "0.0.0.0:1"`, `line 7: fleet.join.b is`, `line 8: fleet.join.c is`,
+		},
 	} {
 		_, err := Parse("f.toml", []byte(text))
 		for _, want := range wants {
--- a/internal/config/reload/terms.go
+++ b/internal/config/reload/terms.go
@@ -124,7 +124,8 @@
 	c := b
 	c.Effect = max(a.Effect, b.Effect) // Safe, Keyed, Unsafe
 	c.Ordered = a.Ordered || b.Ordered
-	c.Deadline = max(a.Deadline, b.Deadline) // bounds only what clients may ask for; each message has a deadline of its own
+	// bounds only what clients may ask for; each message has a deadline of its own
+	c.Deadline = max(a.Deadline, b.Deadline)
 	if a.Effect == policy.IdempotentByKey && b.Effect == policy.IdempotentByKey {
 		c.DedupAllZones, c.DedupWindow = a.DedupAllZones && b.DedupAllZones, min(a.DedupWindow, b.DedupWindow)
 	} else if a.Effect == policy.IdempotentByKey {
--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -193,7 +193,8 @@
 }
 
 func (s *Agent) step(now time.Duration, in Input) (tell []loadreport.Report) {
-	if s.Now = now; s.Set.ShareQuota && s.rights == nil { // its life begins with the first step, whatever the clock says
+	// its life begins with the first step, whatever the clock says
+	if s.Now = now; s.Set.ShareQuota && s.rights == nil {
 		s.rights = quota.New(now, quota.Settings{Self: s.Set.Self, Incarnation: s.Life, Members: s.Set.Members, FleetSize: s.Set.FleetSize})
 	}
 	if in.Incarnation != (loadreport.Incarnation{}) && in.Incarnation.Compare(s.Life) > 0 {
@@ -403,7 +404,8 @@
 		if l.Limit <= 0 {
 			continue
 		}
-		for _, name := range []string{at.Route, ""} { // of separate routes, backlog and demand are told for the destination
+		// of separate routes, backlog and demand are told for the destination
+		for _, name := range []string{at.Route, ""} {
 			if limits[l.Dest] == nil {
 				limits[l.Dest] = map[string]float64{}
 			}
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -124,7 +124,8 @@
 func TestWhatIsTold(t *testing.T) {
 	s := newSeam()
 	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
-		{ID: "s-1", Destination: 9, Weight: 50, InService: true}, {ID: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
+		{ID: "s-1", Destination: 9, Weight: 50, InService: true},
+		{ID: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
 		{ID: "s-3", Destination: 12, Kind: 1, Weight: 7, InService: true},
 	}}}})
 	if want := (loadreport.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(s.Limits(), want) {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -9,9 +9,10 @@
 
 // The figures that do not depend on the fleet's size.
 const (
-	Interval             = 100 * time.Millisecond // each member tells a few others
-	MaxDatagramSize      = 1350                   // of news at most, so that no network splits it
-	SyncInterval         = 10 * time.Second       // digests are exchanged with one other so often, less often in large fleets
+	Interval        = 100 * time.Millisecond // each member tells a few others
+	MaxDatagramSize = 1350                   // of news at most, so that no network splits it
+	// digests are exchanged with one other so often, less often in large fleets
+	SyncInterval         = 10 * time.Second
 	ClockRequestInterval = 250 * time.Millisecond // another is asked for its clock, until it answers
 	MaxDeferredMessages  = 8                      // messages that wait for their sender's clock to be known
 
@@ -24,7 +25,8 @@
 	multMany    = 2
 	targetsFew  = 3
 	targetsMany = 5
-	roomShare   = 0.8 // of what the links carry, that is planned for: the rest is what is told anew where datagrams are lost
+	// of what the links carry, that is planned for: the rest is what is told anew where datagrams are lost
+	roomShare = 0.8
 )
 
 // EffectiveSize is the size that a fleet of n members is taken for.
--- a/internal/fleet/membership/link.go
+++ b/internal/fleet/membership/link.go
@@ -42,10 +42,11 @@
 
 // Config is what a Link is made of.
 type Config struct {
-	Name        string            // of this member
-	Fleet       string            // members of another fleet are not heard; "": any
-	Listen      string            // IP and port, for TCP and UDP; port 0: any that is free
-	Peers       map[string]string // addresses of all members by their names, as this relay reaches them; its own is passed over
+	Name   string // of this member
+	Fleet  string // members of another fleet are not heard; "": any
+	Listen string // IP and port, for TCP and UDP; port 0: any that is free
+	// addresses of all members by their names, as this relay reaches them; its own is passed over
+	Peers       map[string]string
 	Incarnation loadreport.Incarnation
 	Log         *slog.Logger
 	// Raise keeps an incarnation beyond the process. It is called away from whoever tells or asks.
@@ -593,7 +594,8 @@
 		l.mu.Lock()
 		l.ledger.RemoveExpired(l.cfg.now())
 		l.mu.Unlock()
-		if most := len(all) * loadreport.MaxReports; l.queue.NumQueued() > most { // a queue that was never used must not be pruned
+		// a queue that was never used must not be pruned
+		if most := len(all) * loadreport.MaxReports; l.queue.NumQueued() > most {
 			l.queue.Prune(most)
 		}
 		wait := rejoinEvery/2 + rand.N(rejoinEvery)
@@ -681,7 +683,8 @@
 	if l.counts.Conflicts++; l.counts.Conflicts == 1 {
 		l.cfg.Log.Warn("fleet: a name is told with two addresses", "name", other.Name, "other", other.Address())
 	}
-	if other.Name == l.cfg.Name { // the others know another process by this name, or this one by an address that it had before
+	// the others know another process by this name, or this one by an address that it had before
+	if other.Name == l.cfg.Name {
 		l.twinned(l.claim.Suspend(now, reclaimFor))
 	}
 }
--- a/internal/fleet/quota/rights.go
+++ b/internal/fleet/quota/rights.go
@@ -59,7 +59,8 @@
 	cutStrength  = 1.2                    // of the share that was refused
 	cutMost      = 0.25                   // a cut leaves so much at least
 	beliefLeast  = 0.08
-	episode      = 3 * time.Second // cuts that follow so soon are of one fall: what the first one tells is the nearest to the limit
+	// cuts that follow so soon are of one fall: what the first one tells is the nearest to the limit
+	episode = 3 * time.Second
 	// Of itself a second, after a look that found little refused: quickly up to near what was refused last, slowly past
 	// it, and quickly again: the limit is another one then.
 	growsQuick = 0.35
@@ -542,7 +543,8 @@
 	case i >= 0 && a.Queue[i].ID == x.ID && a.Queue[i].Incarnation == x.Incarnation:
 		a.Queue[i].N = x.N // the time to use it in stays that of the first
 		if a.Queue[i].Given > 0 {
-			b.to(m.Member).Grants = append(b.to(m.Member).Grants, Grant{q.Scope, x.ID, a.Queue[i].Given}) // the answer may be lost
+			// the answer may be lost
+			b.to(m.Member).Grants = append(b.to(m.Member).Grants, Grant{q.Scope, x.ID, a.Queue[i].Given})
 		}
 	case i >= 0:
 		a.Queue[i] = x
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -28,8 +28,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{s: s, now: time.Second, out: map[uint32]int{},
-		rec: flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set}, 0, s.Snapshot)}
+	return &script{
+		s: s, now: time.Second, out: map[uint32]int{},
+		rec: flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set}, 0, s.Snapshot),
+	}
 }
 
 func (x *script) step(evs ...policy.Event) {
--- a/internal/recording/explain/write.go
+++ b/internal/recording/explain/write.go
@@ -230,16 +230,23 @@
 			if r.Shared == r.Name {
 				plots = append(plots, axis.Draw(chart.Plot{
 					Title: fmt.Sprintf("destination %d, %s", d.ID, r.Name), Unit: "calls a second", Height: 120, Series: []chart.Series{
-						{Name: "limit believed", Colour: chart.Grey, Values: gaps(r.Believed)}, {Name: "refused last", Colour: chart.Red, Values: gaps(r.Ceiling)},
-						{Name: "pace", Colour: chart.Blue, Values: gaps(r.Pace)}},
+						{Name: "limit believed", Colour: chart.Grey, Values: gaps(r.Believed)},
+						{Name: "refused last", Colour: chart.Red, Values: gaps(r.Ceiling)},
+						{Name: "pace", Colour: chart.Blue, Values: gaps(r.Pace)},
+					},
 				}))
 			}
-			series := []chart.Series{{Name: "delivered", Colour: chart.Green, Values: scaled(r.OK, per)}, {Name: "refused", Colour: chart.Orange, Values: scaled(r.Full, per)},
-				{Name: "failed", Colour: chart.Red, Values: scaled(r.Bad, per)}}
+			series := []chart.Series{
+				{Name: "delivered", Colour: chart.Green, Values: scaled(r.OK, per)},
+				{Name: "refused", Colour: chart.Orange, Values: scaled(r.Full, per)},
+				{Name: "failed", Colour: chart.Red, Values: scaled(r.Bad, per)},
+			}
 			plots = append(plots, axis.Draw(chart.Plot{Title: "outcomes, " + r.Name, Unit: "a second", Height: 90, Stacked: true, Series: series}))
 			if i == 0 {
-				plots = append(plots, axis.Draw(chart.Plot{Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
-					Series: []chart.Series{{Name: "waiting", Colour: chart.Blue, Values: r.Queue}}}))
+				plots = append(plots, axis.Draw(chart.Plot{
+					Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
+					Series: []chart.Series{{Name: "waiting", Colour: chart.Blue, Values: r.Queue}},
+				}))
 			}
 		}
 	}
--- a/internal/recording/fleetstats/tally.go
+++ b/internal/recording/fleetstats/tally.go
@@ -42,10 +42,11 @@
 // Fleet is what all recordings together tell.
 type Fleet struct {
 	Relays int
-	Start  time.Time                // of the process that began first
-	Bins   map[int]map[string]Count // by time since Start in bins, and by place: a destination, or a route that stands apart
-	Told   map[string]float64       // the rate that the list tells of a place, in calls a second, last
-	Bin    time.Duration
+	Start  time.Time // of the process that began first
+	// by time since Start in bins, and by place: a destination, or a route that stands apart
+	Bins map[int]map[string]Count
+	Told map[string]float64 // the rate that the list tells of a place, in calls a second, last
+	Bin  time.Duration
 }
 
 // message is what is known of a message while it is held.
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -29,18 +29,19 @@
 
 // Config is all that a relay is told at its start.
 type Config struct {
-	Name          string
-	Listen        string // where clients connect
-	Inherited     string // the descriptor of a socket that listens there already, which the platform holds; "": none
-	Second        string // the second address, for on-call staff and the platform; "": none
-	Discovery     string // address of discovery's agent
-	StateDir      string // the folder that outlasts the process
-	Seed          uint64
-	Limits        Limits
-	Known         List             // hosts as this relay last had them; may be old or empty
-	Long          *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
-	Unread        error            // why Known could not be read; it is empty then, and discovery is asked
-	reload.Config                  // what stands in the settings and may change while the relay runs; Customers empty: the site has none
+	Name      string
+	Listen    string // where clients connect
+	Inherited string // the descriptor of a socket that listens there already, which the platform holds; "": none
+	Second    string // the second address, for on-call staff and the platform; "": none
+	Discovery string // address of discovery's agent
+	StateDir  string // the folder that outlasts the process
+	Seed      uint64
+	Limits    Limits
+	Known     List             // hosts as this relay last had them; may be old or empty
+	Long      *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
+	Unread    error            // why Known could not be read; it is empty then, and discovery is asked
+	// what stands in the settings and may change while the relay runs; Customers empty: the site has none
+	reload.Config
 
 	Zones []string
 	Kinds []string
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -29,17 +29,40 @@
 	}
 	s := c.Settings
 	all := []setting{
-		{"name", c.Name}, {"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.Second}, {"seed", fmt.Sprintf("%016x", c.Seed)},
-		{"ROUTER_STATE", c.StateDir}, {"ROUTER_INHERITED_FD", c.Inherited},
-		{"limits.cores", c.Limits.Cores}, {"limits.memory_mb", c.Limits.MemoryMB}, {"limits.sockets", c.Limits.Sockets}, {"limits.disk_mb", c.Limits.DiskMB},
-		{"services.*.name", c.ClassNames}, {"realms.*.name", c.TenantNames}, {"zones", c.Zones}, {"kinds", c.Kinds},
-		{"tick_ms", c.Tick}, {"stats", c.Reports},
-		{"bounds.connect_timeout_ms", c.ConnectTimeout}, {"bounds.keepalive_ms", c.KeepAlive}, {"bounds.may_duplicate", c.MayDuplicate},
+		{"name", c.Name},
+		{"listen", c.Listen},
+		{"discovery", c.Discovery},
+		{"management", c.Second},
+		{"seed", fmt.Sprintf("%016x", c.Seed)},
+		{"ROUTER_STATE", c.StateDir},
+		{"ROUTER_INHERITED_FD", c.Inherited},
+		{"limits.cores", c.Limits.Cores},
+		{"limits.memory_mb", c.Limits.MemoryMB},
+		{"limits.sockets", c.Limits.Sockets},
+		{"limits.disk_mb", c.Limits.DiskMB},
+		{"services.*.name", c.ClassNames},
+		{"realms.*.name", c.TenantNames},
+		{"zones", c.Zones},
+		{"kinds", c.Kinds},
+		{"tick_ms", c.Tick},
+		{"stats", c.Reports},
+		{"bounds.connect_timeout_ms", c.ConnectTimeout},
+		{"bounds.keepalive_ms", c.KeepAlive},
+		{"bounds.may_duplicate", c.MayDuplicate},
 		{"rules.stop_sending_within_ms", c.Grace},
-		{"fleet_size", s.FleetSize}, {"extra.call_slots", s.MaxInFlightCalls}, {"bounds.open_cap", s.MaxPendingMessages}, {"bounds.send_cap", s.MaxAttempts},
-		{"bounds.max_retry_after_ms", s.MaxRetryAfter}, {"weight_kind rough", s.ApproximateWeights}, {"weight_kind none", s.IgnoreWeights},
-		{"membership_mode ask", s.WatchRequired}, {"extra.carriage", s.ZoneCosts}, {"rules.cold_from", s.WarmUpInitialCapacity},
-		{"rules.warm_within_ms", s.WarmUpDuration}, {"rules.overload_factor", s.OverloadFactor}, {"rules.fall_ms", s.OverloadWindow},
+		{"fleet_size", s.FleetSize},
+		{"extra.call_slots", s.MaxInFlightCalls},
+		{"bounds.open_cap", s.MaxPendingMessages},
+		{"bounds.send_cap", s.MaxAttempts},
+		{"bounds.max_retry_after_ms", s.MaxRetryAfter},
+		{"weight_kind rough", s.ApproximateWeights},
+		{"weight_kind none", s.IgnoreWeights},
+		{"membership_mode ask", s.WatchRequired},
+		{"extra.carriage", s.ZoneCosts},
+		{"rules.cold_from", s.WarmUpInitialCapacity},
+		{"rules.warm_within_ms", s.WarmUpDuration},
+		{"rules.overload_factor", s.OverloadFactor},
+		{"rules.fall_ms", s.OverloadWindow},
 		{"rules.order_pause_ms", s.OrderingPause},
 	}
 	for i, class := range s.Classes {
@@ -78,8 +101,12 @@
 		t.Fatal(err)
 	}
 	for _, x := range []struct{ name, got string }{
-		{"ROUTER_NAME", c.Name}, {"ROUTER_LISTEN", c.Listen}, {"ROUTER_DISCOVERY", c.Discovery}, {"ROUTER_STATE", c.StateDir},
-		{"ROUTER_MANAGEMENT", c.Second}, {"ROUTER_INHERITED_FD", c.Inherited},
+		{"ROUTER_NAME", c.Name},
+		{"ROUTER_LISTEN", c.Listen},
+		{"ROUTER_DISCOVERY", c.Discovery},
+		{"ROUTER_STATE", c.StateDir},
+		{"ROUTER_MANAGEMENT", c.Second},
+		{"ROUTER_INHERITED_FD", c.Inherited},
 	} {
 		if x.got != env[x.name] {
 			t.Errorf("%s is read as %q, want %q", x.name, x.got, env[x.name])
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -349,8 +349,11 @@
 		{410, nil, result{outcome: policy.NotSent, gone: true}},
 		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
 		{418, nil, result{outcome: policy.Error}},
-		{200, http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
-			result{outcome: policy.OK, report: policy.LimitReport{Present: true, Remaining: 0.4, Limit: 25}}},
+		{
+			200,
+			http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
+			result{outcome: policy.OK, report: policy.LimitReport{Present: true, Remaining: 0.4, Limit: 25}},
+		},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/events" {
@@ -379,16 +382,22 @@
 		answer string
 		want   []policy.Outcome
 	}{
-		{"every state", 200, "", `[{"id":"f","state":"what"},{"id":"e","state":"exhausted"},{"id":"d","state":"gone"},
+		{
+			"every state", 200, "", `[{"id":"f","state":"what"},{"id":"e","state":"exhausted"},{"id":"d","state":"gone"},
 			{"id":"c","state":"later"},{"id":"b","state":"error"},{"id":"a","state":"ok"}]`,
-			[]policy.Outcome{policy.OK, policy.Error, policy.Overloaded, policy.NotSent, policy.NotSent, policy.Error}},
-		{"missing and unreadable items", 200, "", `[{"id":"a","state":"ok"},7,{"id":3},{"id":"f","state":"ok"}]`,
-			[]policy.Outcome{policy.OK, policy.Error, policy.Error, policy.Error, policy.Error, policy.OK}},
+			[]policy.Outcome{policy.OK, policy.Error, policy.Overloaded, policy.NotSent, policy.NotSent, policy.Error},
+		},
+		{
+			"missing and unreadable items", 200, "", `[{"id":"a","state":"ok"},7,{"id":3},{"id":"f","state":"ok"}]`,
+			[]policy.Outcome{policy.OK, policy.Error, policy.Error, policy.Error, policy.Error, policy.OK},
+		},
 		{"unreadable", 200, "", `{`, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
 		{"all turned away", 429, "1.5", ``, slices.Repeat([]policy.Outcome{policy.Overloaded}, 6)},
 		{"all failed", 500, "", ``, slices.Repeat([]policy.Outcome{policy.Error}, 6)},
-		{"a wait with deliveries", 200, "1.5", `[{"id":"a","state":"ok"}]`,
-			append([]policy.Outcome{policy.OK}, slices.Repeat([]policy.Outcome{policy.Error}, 5)...)},
+		{
+			"a wait with deliveries", 200, "1.5", `[{"id":"a","state":"ok"}]`,
+			append([]policy.Outcome{policy.OK}, slices.Repeat([]policy.Outcome{policy.Error}, 5)...),
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -114,7 +114,8 @@
 	c := r.catalog.Upsert(e.Endpoint)
 	r.changed(&c)
 	if c.Kind == catalog.Moved && c.Old.Destination != e.Destination && r.hears(c.Old.Destination) {
-		told = append(told, departed(c.Old)) // a route's gate is its destination's for good: it begins anew at the other one
+		// a route's gate is its destination's for good: it begins anew at the other one
+		told = append(told, departed(c.Old))
 	}
 	switch {
 	case !r.large.Load():
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -252,7 +252,8 @@
 	for w := range workers {
 		clients.Go(func() {
 			for i := w; i < dests; i += workers {
-				for int(taken.Load())-int(requests.Load()) > 250 { // with more of its room taken a relay turns messages away
+				// with more of its room taken a relay turns messages away
+				for int(taken.Load())-int(requests.Load()) > 250 {
 					time.Sleep(time.Millisecond)
 				}
 				taken.Add(1)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -300,7 +300,8 @@
 	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.EndpointHealth), r.journal.Stamp(time.Now()), r.terms.Settings.WarmUpDuration)...)
 	for _, w := range found.Messages {
 		if w.ClassName != "" {
-			w.Class = slices.Index(r.terms.ClassNames, w.ClassName) // the module takes one that is not named for the strictest
+			// the module takes one that is not named for the strictest
+			w.Class = slices.Index(r.terms.ClassNames, w.ClassName)
 		}
 		m := &message{Message: w, sends: w.Attempts}
 		if w.Uncertain && r.bears(w) {
@@ -760,7 +761,8 @@
 		switch a.Kind {
 		case policy.Send:
 			if m == nil {
-				r.log.Error("send of a message that is not held", "id", a.MessageID) // a slot less is better than no relay
+				// a slot less is better than no relay
+				r.log.Error("send of a message that is not held", "id", a.MessageID)
 				continue
 			}
 			calls = r.addSend(calls, m, a)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -663,7 +663,8 @@
 	if err := r.journal.Accept(m); err != nil {
 		t.Fatal(err)
 	}
-	r.found = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}} // as an earlier process left it
+	// as an earlier process left it
+	r.found = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
 	r.resume()
 	run(t, r)
 	<-dialled
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -23,8 +23,13 @@
 	share float64 // OpFail: of the calls
 	tells float64 // share of the refusals that tell a wait
 }{
-	{"failing", scenario.OpFail, 1, 0.5}, {"mostly failing", scenario.OpFail, 0.85, 0.5}, {"hanging", scenario.OpMute, 0, 0.5}, {"refused", scenario.OpDown, 0, 0.5},
-	{"cut off", scenario.OpCut, 0, 0.5}, {"shut", scenario.OpShut, 0, 0}, {"shut, waits end together", scenario.OpShut, 0, 1},
+	{"failing", scenario.OpFail, 1, 0.5},
+	{"mostly failing", scenario.OpFail, 0.85, 0.5},
+	{"hanging", scenario.OpMute, 0, 0.5},
+	{"refused", scenario.OpDown, 0, 0.5},
+	{"cut off", scenario.OpCut, 0, 0.5},
+	{"shut", scenario.OpShut, 0, 0},
+	{"shut, waits end together", scenario.OpShut, 0, 1},
 }
 
 // The weights that a fleet is told of a destination.
@@ -82,7 +87,8 @@
 
 // coldCount is what a returning place got, as the worst of all spans of the window's length in its ramp.
 type coldCount struct {
-	all, told float64       // calls of all relays, and of those that had been told of the outage, as a multiple of what it bears
+	// calls of all relays, and of those that had been told of the outage, as a multiple of what it bears
+	all, told float64
 	at        time.Duration // when all were most, since the return
 	calls     int
 	over      bool // a span was too much, whoever sent it
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -180,8 +180,10 @@
 // lists.
 func TestListsOutOfStep(t *testing.T) {
 	f := loaded(t, "replace-58")
-	f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Death, At: f.Troubles[0].At + scenario.Duration(500*time.Millisecond),
-		For: scenario.Duration(time.Second), Destinations: []int{1}})
+	f.Troubles = append(f.Troubles, scenario.Trouble{
+		Kind: scenario.Death, At: f.Troubles[0].At + scenario.Duration(500*time.Millisecond),
+		For: scenario.Duration(time.Second), Destinations: []int{1},
+	})
 	f.SetDefaults()
 	w := played(t, f.Draw(1), Options{Record: true, ListDelay: func(relay int) time.Duration { return time.Duration(1+3*relay) * time.Second }})
 	if rules := broken(judged(t, w)); len(rules) > 0 {
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -458,7 +458,8 @@
 			page.Sequence = m.arrived
 		}
 		out, _ := m.ledger.Merge(at, page)
-		if out == loadreport.Rival && m.claim.ObserveRival(at) { // a life of this relay that its folder does not know of
+		// a life of this relay that its folder does not know of
+		if out == loadreport.Rival && m.claim.ObserveRival(at) {
 			m.r.incarnation = m.ledger.Rival().Generation + 1
 			m.raised = loadreport.Incarnation{Generation: m.r.incarnation, Boot: m.ledger.Incarnation().Boot}
 			m.ledger.SetIncarnation(m.raised)
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -153,7 +153,8 @@
 			w.run(t, 90*time.Second)
 			share += w.rate(40*time.Second, 90*time.Second) / (takes / 4) / 5
 		}
-		if t.Logf("%d relays: %.2f of the quarter used", relays, share); share < 0.2 { // free at first, and never under half a part: 0.12 with 80
+		// free at first, and never under half a part: 0.12 with 80
+		if t.Logf("%d relays: %.2f of the quarter used", relays, share); share < 0.2 {
 			t.Errorf("%d relays: %.2f of the quarter used", relays, share)
 		}
 	}
@@ -268,7 +269,8 @@
 					t.Errorf("%d relays, %d connections at a host, one more %s, seed %d: %d met that of %d", relays, most, Beyonds[beyond], seed, w.NotOpened, w.Opened+w.NotOpened)
 				}
 				for _, h := range w.hosts {
-					if n := w.connections(h); most > 0 && n > most+relays/10 { // those that come up at once see each other late
+					// those that come up at once see each other late
+					if n := w.connections(h); most > 0 && n > most+relays/10 {
 						t.Errorf("%d relays, seed %d: %d connections at a host that takes %d", relays, seed, n, most)
 					}
 				}
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -159,8 +159,10 @@
 			return d(time.Duration(least+rng.IntN(most-least)) * time.Second)
 		}
 		for range 2 + rng.IntN(4) {
-			kinds := []string{scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.Silent, scenario.Death, scenario.Cut,
-				scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill, scenario.LostAnswers, scenario.Lowered}
+			kinds := []string{
+				scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.Silent, scenario.Death, scenario.Cut,
+				scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill, scenario.LostAnswers, scenario.Lowered,
+			}
 			x := scenario.Trouble{Kind: kinds[rng.IntN(len(kinds))], At: sec(1, min(15, int(f.Length.D()/time.Second))), For: sec(1, 8), Share: 0.2 + 0.6*rng.Float64()}
 			if slices.ContainsFunc(f.Troubles, func(y scenario.Trouble) bool { return y.Replace }) && (x.Kind == scenario.Draining || x.Kind == scenario.Gone) {
 				continue // it might strike an endpoint that is still to come
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -104,11 +104,12 @@
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
 type Place struct {
 	*upstream.Place
-	Name   string
-	Dest   int
-	Resets func(relay int) float64 // share of a relay's calls whose connections break under them, and which run; nil: none
-	Slots  int                     // calls that are being served
-	outage string                  // its cause; "": in service
+	Name string
+	Dest int
+	// share of a relay's calls whose connections break under them, and which run; nil: none
+	Resets func(relay int) float64
+	Slots  int    // calls that are being served
+	outage string // its cause; "": in service
 	slow   float64
 	hosts  []*host
 }
@@ -379,7 +380,8 @@
 	case scenario.OpKill:
 		r := w.relay(s.Target)
 		if r.kill(false); s.Note != "" {
-			r.incarnation = min(r.incarnation, 1) // of a folder that is gone or older the model takes the fleet's part alone
+			// of a folder that is gone or older the model takes the fleet's part alone
+			r.incarnation = min(r.incarnation, 1)
 			if s.Note == scenario.FolderNone {
 				r.incarnation = 0
 			}
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -52,9 +52,10 @@
 	Outage      bool              // the destination may fail, once, and come back cold
 	Out         bool              // and is out from the start
 	Lasts       time.Duration     // the outage lasts so long at least
-	Knows       int               // failures in a row that a relay has seen of an outage when it counts as knowing; 0: one
-	Quantum     time.Duration     // time passes by so much at most in a move
-	Depth       int               // moves on a path at most
+	// failures in a row that a relay has seen of an outage when it counts as knowing; 0: one
+	Knows   int
+	Quantum time.Duration // time passes by so much at most in a move
+	Depth   int           // moves on a path at most
 	// Walks are paths of WalkDepth moves, drawn at random, that are played behind the bound: for what needs many calls.
 	Walks, WalkDepth int
 }
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -50,8 +50,15 @@
 		world, mutant string
 		depth         int
 	}{
-		{"repeats", "unsafe-repeated", 0}, {"repeats", "any-zone", 0}, {"restarts", "journal-not-restored", 7}, {"window", "no-window", 16},
-		{"drains", "drains-ignored", 7}, {"waits", "waits-dropped", 0}, {"order", "no-order", 0}, {"order", "no-pause", 8}, {"return-2", "no-recovery-budget", 9},
+		{"repeats", "unsafe-repeated", 0},
+		{"repeats", "any-zone", 0},
+		{"restarts", "journal-not-restored", 7},
+		{"window", "no-window", 16},
+		{"drains", "drains-ignored", 7},
+		{"waits", "waits-dropped", 0},
+		{"order", "no-order", 0},
+		{"order", "no-pause", 8},
+		{"return-2", "no-recovery-budget", 9},
 	} {
 		f := search(t, c.world, c.mutant, Options{Depth: c.depth, NoWalks: true})
 		m := emulate.MutantNamed(c.mutant)
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -33,9 +33,11 @@
 
 // FleetMove is one thing that happens.
 type FleetMove struct {
-	Kind   string // tell, retell (what it heard of others), deliver, lose, double, restart, forget (restart without the folder), stop, pass
-	Member int    // counted from 0
-	Packet int    // of those on their way, in order
+	// tell, retell (what it heard of others), deliver, lose, double, restart, forget (restart without the folder),
+	// stop, pass
+	Kind   string
+	Member int // counted from 0
+	Packet int // of those on their way, in order
 }
 
 func (m FleetMove) String() string {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -33,29 +33,45 @@
 		lines string
 		want  policy.Event
 	}{
-		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{Kind: policy.MessageAccepted, MessageID: 1564119492,
-			Key: "obj/kd6", Tenant: 2, TimeLeft: 240 * time.Millisecond, Destination: 57}},
-		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{Kind: policy.MessageAccepted, MessageID: 4294967295, Class: 1,
-			TimeLeft: 500 * time.Microsecond}},
-		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9, Attempt: 2,
-			Endpoint: "host.a", Latency: 18500 * time.Microsecond, MessageEnded: true}},
-		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9,
+		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{
+			Kind: policy.MessageAccepted, MessageID: 1564119492,
+			Key: "obj/kd6", Tenant: 2, TimeLeft: 240 * time.Millisecond, Destination: 57,
+		}},
+		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{
+			Kind: policy.MessageAccepted, MessageID: 4294967295, Class: 1,
+			TimeLeft: 500 * time.Microsecond,
+		}},
+		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{
+			Kind: policy.AttemptFinished, MessageID: 9, Attempt: 2,
+			Endpoint: "host.a", Latency: 18500 * time.Microsecond, MessageEnded: true,
+		}},
+		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{
+			Kind: policy.AttemptFinished, MessageID: 9,
 			Endpoint: "host.a", Outcome: policy.Overloaded, Latency: time.Millisecond, RetryAfter: 450 * time.Millisecond,
-			LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5}}},
-		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{Kind: policy.AttemptFinished, MessageID: 9, Endpoint: "host.a",
-			Outcome: policy.NotSent}},
-		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{Kind: policy.HealthChecked, Endpoint: "host.a",
-			Outcome: policy.ConnectFailed, Latency: 1500 * time.Microsecond}},
+			LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5},
+		}},
+		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{
+			Kind: policy.AttemptFinished, MessageID: 9, Endpoint: "host.a",
+			Outcome: policy.NotSent,
+		}},
+		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{
+			Kind: policy.HealthChecked, Endpoint: "host.a",
+			Outcome: policy.ConnectFailed, Latency: 1500 * time.Microsecond,
+		}},
 		{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.MessageCancelled, MessageID: 242166553}},
 		{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.TimerFired}},
 		{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.WatchFailed}},
 		{"POOL 0 2\nHOST in_service 0 57 0 - host.abu 1\nHOST terminating 1 57 1 6100.0 host.azk odd\n" +
 			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
 			{ID: "host.abu", Destination: 57, Weight: 1, InService: true},
-			{ID: "host.azk", Destination: 57, Kind: 1, Zone: 1}}}},
-		{"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n",
+			{ID: "host.azk", Destination: 57, Kind: 1, Zone: 1},
+		}}},
+		{
+			"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n",
 			policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{
-				{ID: "host.abu", Destination: 5, Removed: true}}}},
+				{ID: "host.abu", Destination: 5, Removed: true},
+			}},
+		},
 	} {
 		items, err := read(t, c.lines)
 		if err != nil || len(items) != 1 || items[0].Instance != 3 || !reflect.DeepEqual(items[0].Event, c.want) {
@@ -100,9 +116,12 @@
 		"services.0.late_worth=0.4 services.1.semantics=new_kind services.1.by_arrival=true services.1.value=4.0")
 	want := policy.Settings{
 		Classes: []policy.Class{
-			{Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second,
-				Deadline: 16 * time.Second, Weight: 1},
-			{Effect: policy.NonIdempotent, Ordered: true, Weight: 4}},
+			{
+				Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second,
+				Deadline: 16 * time.Second, Weight: 1,
+			},
+			{Effect: policy.NonIdempotent, Ordered: true, Weight: 4},
+		},
 		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {LimitPerEndpoint: true, MaxBatch: 1}},
 		Tenants:          []policy.Tenant{{Quota: 52}, {}},
 		FleetSize:        2, MaxInFlightCalls: 38, MaxPendingMessages: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
@@ -120,8 +139,10 @@
 	w := NewWriter(&out)
 	w.Actions(3, []policy.Action{
 		{Kind: policy.Send, MessageID: 1564119492, Endpoint: "host.a", TimeoutAt: 8492250 * time.Microsecond},
-		{Kind: policy.Reject, MessageID: 2, Delay: 250 * time.Millisecond}, {Kind: policy.Fail, MessageID: 5},
-		{Kind: policy.SetTimer, Delay: 500 * time.Microsecond}, {Kind: policy.CloseIdle, Endpoint: "host.a"},
+		{Kind: policy.Reject, MessageID: 2, Delay: 250 * time.Millisecond},
+		{Kind: policy.Fail, MessageID: 5},
+		{Kind: policy.SetTimer, Delay: 500 * time.Microsecond},
+		{Kind: policy.CloseIdle, Endpoint: "host.a"},
 		{Kind: policy.WatchEndpoints},
 	})
 	w.Die(3, "out of\nrange")
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -55,9 +55,11 @@
 
 // place is one destination that a list has named. Its number is in two halves, for a record without padding.
 type place struct {
-	low, high   uint32
-	chain       uint32 // next of its bucket, or the next free place
-	first, last uint32 // its endpoints; of a destination without: bare and the one before, and the one after, in the order that they lost the last
+	low, high uint32
+	chain     uint32 // next of its bucket, or the next free place
+	// its endpoints; of a destination without: bare and the one before, and the one after, in the order that they lost
+	// the last
+	first, last uint32
 }
 
 const bare = 1 << 31 // no number of a slot or place has this bit
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -88,8 +88,12 @@
 		after time.Duration
 		want  int // events
 	}{
-		{0, 1 + failuresSkip + 1 + failuresDoubt}, {2 * time.Second, 1 + failuresSkip + failuresDoubt}, {12 * time.Second, failuresSkip + failuresDoubt},
-		{14 * time.Second, 0}, {-time.Minute, 1 + failuresSkip + 1 + failuresDoubt}, {-2 * time.Hour, 1 + failuresSkip + failuresDoubt},
+		{0, 1 + failuresSkip + 1 + failuresDoubt},
+		{2 * time.Second, 1 + failuresSkip + failuresDoubt},
+		{12 * time.Second, failuresSkip + failuresDoubt},
+		{14 * time.Second, 0},
+		{-time.Minute, 1 + failuresSkip + 1 + failuresDoubt},
+		{-2 * time.Hour, 1 + failuresSkip + failuresDoubt},
 	} {
 		if evs := Events(recs, wall.Add(x.after), 14*time.Second); len(evs) != x.want {
 			t.Errorf("after %v: %d events, not %d: %+v", x.after, len(evs), x.want, evs)
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -524,7 +524,8 @@
 	}
 	h := Header{Format: Format, Epoch: rand.Uint64(), Segment: uint64(number), First: s.next}
 	data := h.Append(nil)
-	data = AppendRecord(data, h.Epoch, HeaderSize, s.next-1, s.directory(number)) // it counts for none: keys are not moved by it
+	// it counts for none: keys are not moved by it
+	data = AppendRecord(data, h.Epoch, HeaderSize, s.next-1, s.directory(number))
 	if s.disk+units(int64(len(data))) > s.opt.Limit-s.reserved() {
 		return ErrNoRoom
 	}
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -291,7 +291,8 @@
 			lost++
 		}
 	}
-	if len(rec.Keys) < len(want) && rec.Intact() && len(rec.Torn) == 0 && !cut { // cut between two records it is as if they had not come
+	// cut between two records it is as if they had not come
+	if len(rec.Keys) < len(want) && rec.Intact() && len(rec.Torn) == 0 && !cut {
 		t.Fatalf("%s: %d values of %d, and nothing is told", what, len(rec.Keys), len(want))
 	}
 	if err := s.Close(); err != nil {
@@ -374,7 +375,8 @@
 		s.Close()
 		neverWrong(t, fmt.Sprintf("%s byte %d", name, at), g, want, false)
 	}
-	for _, name := range segs[:len(segs)-1] { // one that is missing is told, also where another's copy stands in its place
+	// one that is missing is told, also where another's copy stands in its place
+	for _, name := range segs[:len(segs)-1] {
 		g := fs.Reboot()
 		g.Put(name, nil)
 		if _, rec := open(t, g); len(rec.Missing) != 1 || rec.Intact() {
--- a/internal/testkit/checker/fleet_test.go
+++ b/internal/testkit/checker/fleet_test.go
@@ -33,13 +33,18 @@
 	}{
 		"fresh over sound links": {[]eventlog.Event{offer(29*s, "b"), belief(30*s, "a", "b", s)}, 0, 0},
 		"over a third, past a cut": {[]eventlog.Event{
-			link(s, "b", "a", eventlog.LinkCut), link(s, "a", "b", eventlog.LinkCut), belief(30*s, "a", "b", s)}, 0, 0},
+			link(s, "b", "a", eventlog.LinkCut), link(s, "a", "b", eventlog.LinkCut), belief(30*s, "a", "b", s),
+		}, 0, 0},
 		"younger than a cut": {[]eventlog.Event{
-			link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), belief(10*s, "a", "b", 5*s), belief(10*s, "a", "b", 4*s)}, 1, 0},
+			link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), belief(10*s, "a", "b", 5*s), belief(10*s, "a", "b", 4*s),
+		}, 1, 0},
 		"one way is cut, the other is not": {[]eventlog.Event{
-			link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), belief(10*s, "b", "a", 0)}, 0, 0},
-		"of one that is stopped": {[]eventlog.Event{process(5*s, "b", eventlog.StateStop), belief(10*s, "a", "b", 2*s),
-			process(11*s, "b", eventlog.StateCont), belief(12*s, "a", "b", s/10)}, 1, 0},
+			link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), belief(10*s, "b", "a", 0),
+		}, 0, 0},
+		"of one that is stopped": {[]eventlog.Event{
+			process(5*s, "b", eventlog.StateStop), belief(10*s, "a", "b", 2*s),
+			process(11*s, "b", eventlog.StateCont), belief(12*s, "a", "b", s/10),
+		}, 1, 0},
 		"of one that ended":            {[]eventlog.Event{process(5*s, "b", eventlog.StateKill), belief(10*s, "a", "b", s)}, 1, 0},
 		"never heard":                  {[]eventlog.Event{offer(19*s, "b"), belief(19*s, "a", "b", -1), offer(21*s, "b"), belief(21*s, "a", "b", -1)}, 0, 1},
 		"heard long ago":               {[]eventlog.Event{offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 1},
--- a/internal/testkit/checker/judge_test.go
+++ b/internal/testkit/checker/judge_test.go
@@ -35,8 +35,10 @@
 	h := eventlog.Header{
 		Format: eventlog.Format, Scenario: "scripted", Length: 60 * second, Relays: []string{"r1", "r2"},
 		Rules: eventlog.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, OrderPause: second, MayDuplicate: true, OverShareWorth: 0.2},
-		Classes: []eventlog.Class{class("keyed", eventlog.Keyed), class("unsafe", eventlog.Unsafe), class("safe", eventlog.Safe),
-			class("ordered", eventlog.Safe), class("keyedAll", eventlog.Keyed)},
+		Classes: []eventlog.Class{
+			class("keyed", eventlog.Keyed), class("unsafe", eventlog.Unsafe), class("safe", eventlog.Safe),
+			class("ordered", eventlog.Safe), class("keyedAll", eventlog.Keyed),
+		},
 		Customers: []eventlog.Customer{{Name: "acme"}, {Name: "bolt"}},
 	}
 	h.Classes[keyed].Window, h.Classes[keyedAll].Window = 10*second, 10*second
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -167,8 +167,13 @@
 		text   string
 		status int
 	}{
-		{callText("over"), 410}, {callText("late"), 410}, {callText("nobody's"), 400}, {post("/events", "", "x"), 400}, {post("/other", "", "x"), 404},
-		{post("/events/bundle", "", "{"), 400}, {post("/events/bundle", "", "[]"), 400},
+		{callText("over"), 410},
+		{callText("late"), 410},
+		{callText("nobody's"), 400},
+		{post("/events", "", "x"), 400},
+		{post("/other", "", "x"), 404},
+		{post("/events/bundle", "", "{"), 400},
+		{post("/events/bundle", "", "[]"), 400},
 		{post("/events/bundle", "", `[{"id":"late"},{"id":"late"}]`), 400},
 		{"GET /events HTTP/1.1\r\nHost: x\r\n\r\n", 405},
 	} {
--- a/internal/testkit/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -48,8 +48,10 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	b := &bad{mode: mode, discovery: os.Getenv("ROUTER_DISCOVERY"), hosts: map[string]badHost{}, waits: map[string]time.Time{},
-		turns: map[string]chan struct{}{}}
+	b := &bad{
+		mode: mode, discovery: os.Getenv("ROUTER_DISCOVERY"), hosts: map[string]badHost{}, waits: map[string]time.Time{},
+		turns: map[string]chan struct{}{},
+	}
 	for _, h := range config.Known.Servers {
 		b.hosts[h.ID] = h
 	}
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -139,8 +139,10 @@
 	slices.SortStableFunc(order, func(a, b *host) int { return cmp.Compare(a.dest, b.dest) })
 	for _, h := range order[:min(hostsMost, len(order))] {
 		fill(h, t.Bins)
-		all = append(all, t.Draw(chart.Plot{Title: fmt.Sprintf("%s of destination %d", h.id, h.dest), Unit: "calls a second", Height: 84,
-			Series: []chart.Series{{Name: "can do", Colour: chart.Grey, Values: h.able}, {Name: "received", Colour: chart.Blue, Values: h.got}}}))
+		all = append(all, t.Draw(chart.Plot{
+			Title: fmt.Sprintf("%s of destination %d", h.id, h.dest), Unit: "calls a second", Height: 84,
+			Series: []chart.Series{{Name: "can do", Colour: chart.Grey, Values: h.able}, {Name: "received", Colour: chart.Blue, Values: h.got}},
+		}))
 	}
 	return all
 }
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -49,8 +49,10 @@
 	if err := Text(&b, h, events, v); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"small <b>, seed 3", "drains are kept", "BROKEN at 3s", `event 8: {"at":3000000000,"k":"call"`, "1 asked for: 1 in full",
-		"rules: 1 held, 1 BROKEN, 4 not exercised, service 1.000"} {
+	for _, want := range []string{
+		"small <b>, seed 3", "drains are kept", "BROKEN at 3s", `event 8: {"at":3000000000,"k":"call"`, "1 asked for: 1 in full",
+		"rules: 1 held, 1 BROKEN, 4 not exercised, service 1.000",
+	} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("no %q in\n%s", want, b.String())
 		}
--- a/internal/testkit/upstream/partner.go
+++ b/internal/testkit/upstream/partner.go
@@ -39,7 +39,8 @@
 	TellsWait float64       // share of refusals that tell how long to wait
 	LeastWait time.Duration // and they tell this much at least
 	Counts    bool          // refused calls use up the limit too
-	Debt      time.Duration // Plain, Counts: what they use up ahead, at the limit's rate, at most; 0: as much as may come at once
+	// Plain, Counts: what they use up ahead, at the limit's rate, at most; 0: as much as may come at once
+	Debt time.Duration
 
 	ColdShare    float64       // of its capacity that a place has right after an outage
 	Warm         time.Duration // all of it after this
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -23,8 +23,11 @@
 	}
 	var list []Endpoint
 	for i := range 1000 {
-		list = append(list, Endpoint{ID: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5, // no pace holds up what is measured
-			InService: i%400 < 200})
+		// no pace holds up what is measured
+		list = append(list, Endpoint{
+			ID: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5,
+			InService: i%400 < 200,
+		})
 	}
 	now := time.Minute
 	evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -113,9 +113,11 @@
 // playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
 func playFleet(t *testing.T, c fleetCase, seed uint64) *fleetWorld {
 	t.Helper()
-	w := &fleetWorld{c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Engine, c.senders),
+	w := &fleetWorld{
+		c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Engine, c.senders),
 		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, told: make([]bool, c.senders),
-		tries: map[uint32]int{}}
+		tries: map[uint32]int{},
+	}
 	restarts := fleetFailing + 7*time.Second
 	for i := range w.fleet {
 		if err := w.start(i, w.rng.Uint64()); err != nil {
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -161,8 +161,10 @@
 	f = &front{t: t, forgets: forgets, idle: idle}
 	step = func(now time.Duration, evs []Event) []Action { return f.step(s, now, evs) }
 	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
-	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
-		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true}}}})
+	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
+		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
+		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true},
+	}}})
 	return f, step
 }
 
@@ -269,7 +271,8 @@
 		{"a lent limit", func(_ *dest, g *gate, _ *route) { g.shared, g.share = true, 0.2 }, never},
 		{"a call not yet earned back", func(_ *dest, g *gate, _ *route) { g.pace, g.tokens, g.tokensAt = 0.5, 0, now }, 2 * time.Second},
 		{"a refusal of late", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 9, 10, now, 1 }, calmSpan},
-		{"a pace cut to a quarter", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 2.5, 10, now, 1 }, 46900 * ms}, // ln 4 / ln 1.03 s
+		// ln 4 / ln 1.03 s
+		{"a pace cut to a quarter", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 2.5, 10, now, 1 }, 46900 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			desk := newDesk(t, settings(), Endpoint{ID: "a", Destination: 1, Weight: 6}, Endpoint{ID: "b", Destination: 1, Weight: 6})
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -118,7 +118,8 @@
 	RetryAfterUntil, DecreasedAt, EjectedUntil, RecoveredAt time.Duration
 	LatencyMean                                             time.Duration // of its answers
 	Ejected, WarmingUp, RecentlyHealthy                     bool          // Alive: it has answered of late
-	Calls, InFlight, Queued                                 int           // calls of the route, of its gate; messages waiting at the destination
+	// calls of the route, of its gate; messages waiting at the destination
+	Calls, InFlight, Queued int
 }
 
 // Views tells of all routes, by destination, and how many slots are taken.
@@ -126,8 +127,10 @@
 	for _, d := range s.order {
 		for _, g := range d.gates {
 			for _, r := range g.routes {
-				views = append(views, EndpointView{r.Endpoint, g.pace, g.ceiling, s.limit(g), s.part(g), g.wait, g.halvedAt, r.skipUntil,
-					r.back, r.mean, r.down, r.cold, s.alive(r), len(r.calls), g.out, len(d.queue)})
+				views = append(views, EndpointView{
+					r.Endpoint, g.pace, g.ceiling, s.limit(g), s.part(g), g.wait, g.halvedAt, r.skipUntil,
+					r.back, r.mean, r.down, r.cold, s.alive(r), len(r.calls), g.out, len(d.queue),
+				})
 			}
 		}
 	}
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -164,8 +164,14 @@
 		{"crammed", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, OK, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, ""), take(5, 0, ""), take(6, 0, "")}}, 6, EndpointSaturated},
 		{"turn", [][]Event{{listed, take(1, 1, "k"), take(2, 1, "k")}}, 2, WaitingForKey},
 		{"pace", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, "")}}, 4, Paced},
-		{"skip", [][]Event{{listed, take(1, 0, ""), take(2, 0, ""), take(3, 0, "")}, {done(1, 0, ConnectFailed, 0)}, {done(2, 0, ConnectFailed, 0)},
-			{done(3, 0, ConnectFailed, 0)}, {done(1, 1, ConnectFailed, 0), done(2, 1, ConnectFailed, 0)}, {take(9, 0, "")}}, 9, EndpointEjected},
+		{"skip", [][]Event{
+			{listed, take(1, 0, ""), take(2, 0, ""), take(3, 0, "")},
+			{done(1, 0, ConnectFailed, 0)},
+			{done(2, 0, ConnectFailed, 0)},
+			{done(3, 0, ConnectFailed, 0)},
+			{done(1, 1, ConnectFailed, 0), done(2, 1, ConnectFailed, 0)},
+			{take(9, 0, "")},
+		}, 9, EndpointEjected},
 	} {
 		s, err := New(set, 5)
 		if err != nil {
--- a/policy/many.go
+++ b/policy/many.go
@@ -9,10 +9,11 @@
 // What senders of a large fleet do otherwise than a few: what is harmless from one of them is not from all.
 
 const (
-	manyBurst  = 0.5                    // calls beyond one that one of many may send after idling
-	calmSpan   = 20 * time.Second       // without a refusal for so long, a pace grows past the fair one, or faster
-	manyCreep  = 0.1                    // growth of the pace of one of many above its fair one
-	manyMost   = 2                      // multiple of its fair pace that one of many may reach with a backlog, where rates are told
+	manyBurst = 0.5              // calls beyond one that one of many may send after idling
+	calmSpan  = 20 * time.Second // without a refusal for so long, a pace grows past the fair one, or faster
+	manyCreep = 0.1              // growth of the pace of one of many above its fair one
+	// multiple of its fair pace that one of many may reach with a backlog, where rates are told
+	manyMost   = 2
 	manyLeast  = 0.05                   // of its part: refused again and again, its pace does not fall below
 	takenSpan  = 10 * time.Second       // span over which a sender's own traffic is counted
 	takenPrior = 5                      // messages that count as seen at the usual rate before any
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -513,7 +513,8 @@
 // Messages.
 
 func (s *Engine) take(e *Event) {
-	c := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: e.TimeLeft / 2, Deadline: e.TimeLeft, Weight: 1} // the strictest
+	// the strictest
+	c := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: e.TimeLeft / 2, Deadline: e.TimeLeft, Weight: 1}
 	if e.Class >= 0 && e.Class < len(s.set.Classes) {
 		c = &s.set.Classes[e.Class]
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -64,8 +64,10 @@
 	d.now += after
 	n := d.tries[id]
 	d.tries[id]++
-	return d.step(Event{Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: o, Latency: after, RetryAfter: wait,
-		MessageEnded: o == OK})
+	return d.step(Event{
+		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: o, Latency: after, RetryAfter: wait,
+		MessageEnded: o == OK,
+	})
 }
 
 // wake lets time pass and wakes the Sender.
@@ -116,9 +118,13 @@
 			t.Fatal(err)
 		}
 		acts := s.Step(time.Minute, []Event{
-			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", InService: true}, {ID: "b", InService: true},
-				{ID: "c", InService: true}}},
-			{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second}})
+			{Kind: EndpointSnapshot, Endpoints: []Endpoint{
+				{ID: "a", InService: true},
+				{ID: "b", InService: true},
+				{ID: "c", InService: true},
+			}},
+			{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second},
+		})
 		first[goesTo(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -21,7 +21,8 @@
 	event    func(*Event)
 	swap     func(*Engine) *Engine                                    // after each step
 	step     func(s *Engine, now time.Duration, evs []Event) []Action // in place of the Sender's
-	every    int                                                      // clients send as often; 0: every fourth time, and waits are told with refusals alone
+	// clients send as often; 0: every fourth time, and waits are told with refusals alone
+	every int
 }
 
 type trial struct {
@@ -163,8 +164,10 @@
 		if key != "" {
 			w.keys[key] = append(w.keys[key], m)
 		}
-		evs = append(evs, Event{Kind: MessageAccepted, MessageID: m.id, Key: key, Class: c, Tenant: w.rng.IntN(2),
-			Destination: m.dest, TimeLeft: left})
+		evs = append(evs, Event{
+			Kind: MessageAccepted, MessageID: m.id, Key: key, Class: c, Tenant: w.rng.IntN(2),
+			Destination: m.dest, TimeLeft: left,
+		})
 	}
 	switch w.rng.IntN(400) {
 	case 0: // a route drains, or comes back
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -99,8 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &stream{t: t, s: s, now: time.Minute, waits: map[string]time.Duration{}, errors: map[string]int{}, back: map[string]time.Duration{},
-		held: map[uint32]int{}, tried: map[uint32]int{}, nextID: 1}
+	w := &stream{
+		t: t, s: s, now: time.Minute, waits: map[string]time.Duration{}, errors: map[string]int{}, back: map[string]time.Duration{},
+		held: map[uint32]int{}, tried: map[uint32]int{}, nextID: 1,
+	}
 	for i := range 8 {
 		w.list = append(w.list, Endpoint{ID: fmt.Sprint("r", i), Destination: i % 3, Kind: i % 3 % 2, Zone: i % 2, Weight: 50, InService: true})
 	}
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -139,8 +139,12 @@
 		at   time.Duration
 		want bool
 	}{
-		{[]uint32{1}, end - 1, true}, {[]uint32{1}, end, false}, {[]uint32{2, 1}, end, false}, {[]uint32{2}, 9 * time.Second, true},
-		{[]uint32{3}, 9 * time.Second, true}, {[]uint32{77}, 9 * time.Second, true},
+		{[]uint32{1}, end - 1, true},
+		{[]uint32{1}, end, false},
+		{[]uint32{2, 1}, end, false},
+		{[]uint32{2}, 9 * time.Second, true},
+		{[]uint32{3}, 9 * time.Second, true},
+		{[]uint32{77}, 9 * time.Second, true},
 	} {
 		if got := s.StillAllowed("best", c.ids, c.at); got != c.want {
 			t.Errorf("messages %v at %v: %v", c.ids, c.at, got)
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -18,7 +18,8 @@
 		{"near the end", scanDepth - 1, true},
 		{"beyond the depth", scanDepth, false},
 	} {
-		s, err := New(Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}, MaxPendingMessages: (c.behind*10 + 8) / 9}, 1) // short with the last
+		// short with the last
+		s, err := New(Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}, MaxPendingMessages: (c.behind*10 + 8) / 9}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -355,8 +355,10 @@
 	s.routes[l.ID] = r
 	separate := l.Kind >= 0 && l.Kind < len(s.set.DestinationKinds) && s.set.DestinationKinds[l.Kind].LimitPerEndpoint
 	if separate || len(d.gates) == 0 {
-		d.gates = append(d.gates, &gate{dest: d, separate: separate, kind: l.Kind, tokens: 1, tokensAt: s.now,
-			coldLeft: math.MinInt64 / 2})
+		d.gates = append(d.gates, &gate{
+			dest: d, separate: separate, kind: l.Kind, tokens: 1, tokensAt: s.now,
+			coldLeft: math.MinInt64 / 2,
+		})
 		if l.Relisted {
 			// As if it had stood here since. Guards against a first message that waits as at a start each time that it
 			// is told of again.
