--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -68,7 +68,21 @@
 		if err != nil {
 			return nil, err
 		}
-		cmd := exec.CommandContext(ctx, "go", "test", "./internal/capacity/hollow", "-count=1", "-timeout=15m", "-run", c.run, "-full", "-sizes", string(sizes), "-readings", path)
+		cmd := exec.CommandContext(
+			ctx,
+			"go",
+			"test",
+			"./internal/capacity/hollow",
+			"-count=1",
+			"-timeout=15m",
+			"-run",
+			c.run,
+			"-full",
+			"-sizes",
+			string(sizes),
+			"-readings",
+			path,
+		)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -68,8 +68,18 @@
 
 func moduleSettings() policy.Settings {
 	return policy.Settings{
-		Classes:          []policy.Class{{Effect: policy.IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: time.Hour, Weight: 1}},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, Tenants: []policy.Tenant{{}}, FleetSize: 1, MaxAttempts: 8, WarmUpDuration: 30 * time.Second,
+		Classes: []policy.Class{
+			{
+				Effect:           policy.IdempotentByKey,
+				DedupWindow:      10 * time.Second,
+				LatencyObjective: 3 * time.Second,
+				Deadline:         time.Hour,
+				Weight:           1,
+			},
+		},
+		DestinationKinds: []policy.DestinationKind{
+			{MaxBatch: 1},
+		}, Tenants: []policy.Tenant{{}}, FleetSize: 1, MaxAttempts: 8, WarmUpDuration: 30 * time.Second,
 		OverloadFactor: 2, OverloadWindow: 3 * time.Second, WarmUpInitialCapacity: 0.1,
 	}
 }
@@ -78,7 +88,16 @@
 func routes(n int, serves func(dest int) bool) []policy.Endpoint {
 	all := make([]policy.Endpoint, 0, 2*n)
 	for i := range 2 * n {
-		all = append(all, policy.Endpoint{ID: fmt.Sprintf("s-%08x", i), Destination: i / 2, Zone: i % 2, Weight: 5e5, InService: serves(i / 2)})
+		all = append(
+			all,
+			policy.Endpoint{
+				ID:          fmt.Sprintf("s-%08x", i),
+				Destination: i / 2,
+				Zone:        i % 2,
+				Weight:      5e5,
+				InService:   serves(i / 2),
+			},
+		)
 	}
 	return all
 }
@@ -98,7 +117,17 @@
 	for _, a := range s.Step(s.now, evs) {
 		if a.Kind == policy.Send {
 			s.sent++
-			s.ends = append(s.ends, policy.Event{Kind: policy.AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: policy.OK, Latency: 10 * time.Millisecond, MessageEnded: true})
+			s.ends = append(
+				s.ends,
+				policy.Event{
+					Kind:         policy.AttemptFinished,
+					MessageID:    a.MessageID,
+					Endpoint:     a.Endpoint,
+					Outcome:      policy.OK,
+					Latency:      10 * time.Millisecond,
+					MessageEnded: true,
+				},
+			)
 		}
 	}
 }
@@ -149,7 +178,12 @@
 		began, sent := used(), s.sent
 		pass(messages)
 		if got := s.sent - sent; got < messages*9/10 {
-			return nil, fmt.Errorf("%d of %d messages were sent at %d destinations: the pace of the run measures something else", got, messages, n)
+			return nil, fmt.Errorf(
+				"%d of %d messages were sent at %d destinations: the pace of the run measures something else",
+				got,
+				messages,
+				n,
+			)
 		}
 		add(message, n, (used()-began).Seconds()/messages)
 
@@ -184,7 +218,10 @@
 func moduleBacklog(ctx context.Context, b *bench) (held, beside *capacity.Series, err error) {
 	held = measured(capacity.ModuleHeld, "messages held", capacity.Bytes)
 	beside = measured(capacity.ModuleBacklog, "messages held", capacity.Seconds)
-	held.Hollow = fmt.Sprintf("held for %d destinations that are out of service, so nothing of them is tried; 500 others are served", down)
+	held.Hollow = fmt.Sprintf(
+		"held for %d destinations that are out of service, so nothing of them is tried; 500 others are served",
+		down,
+	)
 	beside.Hollow = held.Hollow
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000, 1_000_000}) {
 		if err := ctx.Err(); err != nil {
@@ -200,7 +237,16 @@
 		for i := 0; i < n; i += batch {
 			evs = evs[:0]
 			for k := range min(batch, n-i) {
-				evs = append(evs, policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(i + k + 1), Destination: 500 + (i+k)%down, Key: "k", TimeLeft: 100 * time.Hour})
+				evs = append(
+					evs,
+					policy.Event{
+						Kind:        policy.MessageAccepted,
+						MessageID:   uint32(i + k + 1),
+						Destination: 500 + (i+k)%down,
+						Key:         "k",
+						TimeLeft:    100 * time.Hour,
+					},
+				)
 			}
 			s.step(evs...)
 		}
@@ -360,7 +406,10 @@
 	all := make([]fake.Member, 0, 2*n)
 	for i := range 2 * n {
 		all = append(all, fake.Member{
-			ID: fmt.Sprintf("s-%08x", i), Addr: addr, Zone: []string{"a", "b"}[i%2], Kind: "platform", Cell: i / 2, State: state, Weight: 5000, Started: 1_780_000_000_000,
+			ID: fmt.Sprintf(
+				"s-%08x",
+				i,
+			), Addr: addr, Zone: []string{"a", "b"}[i%2], Kind: "platform", Cell: i / 2, State: state, Weight: 5000, Started: 1_780_000_000_000,
 		})
 	}
 	return all
@@ -370,7 +419,9 @@
 func listSeries(_ context.Context, b *bench) ([]capacity.Series, error) {
 	whole := measured(capacity.ListWhole, "destinations", capacity.Bytes)
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{1000, 5000, 20_000, 50_000, 140_000}) {
-		data, err := json.Marshal(fake.Members{Version: int64(2 * n), Full: true, Servers: members(n, "10.20.30.40:8080", "ready")})
+		data, err := json.Marshal(
+			fake.Members{Version: int64(2 * n), Full: true, Servers: members(n, "10.20.30.40:8080", "ready")},
+		)
 		if err != nil {
 			return nil, err
 		}
@@ -419,7 +470,10 @@
 		Self: "n0", Incarnation: loadreport.Incarnation{Generation: 1}, Members: []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7"}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: rights, FleetSize: 8,
 	})
 	s.Step(time.Second, agent.Input{})
-	s.Step(2*time.Second, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: routes(n, served)}}})
+	s.Step(
+		2*time.Second,
+		agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: routes(n, served)}}},
+	)
 	return s
 }
 
@@ -429,7 +483,14 @@
 	for at := 3 * time.Second; at < 6*time.Second; at += 100 * time.Millisecond {
 		var evs []policy.Event
 		for dest := range n {
-			evs = append(evs, policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(at.Milliseconds())*10_000 + uint32(dest), Destination: dest})
+			evs = append(
+				evs,
+				policy.Event{
+					Kind:        policy.MessageAccepted,
+					MessageID:   uint32(at.Milliseconds())*10_000 + uint32(dest),
+					Destination: dest,
+				},
+			)
 		}
 		for _, p := range s.Step(at, agent.Input{Events: evs}).Published {
 			for _, c := range p.Scopes {
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -36,7 +36,15 @@
 }
 
 func command(ctx context.Context, args []string, s cli.Streams) int {
-	return cli.Run(ctx, "capacity", "Tells what a fleet of the size to design for asks of each of its parts.", &app{}, args, s, cli.Failed)
+	return cli.Run(
+		ctx,
+		"capacity",
+		"Tells what a fleet of the size to design for asks of each of its parts.",
+		&app{},
+		args,
+		s,
+		cli.Failed,
+	)
 }
 
 type app struct {
@@ -161,10 +169,16 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	b := &bench{quick: c.Quick, relay: c.Relay, folder: folder, tell: func(format string, args ...any) { fmt.Fprintf(s.Err, format+"\n", args...) }}
+	b := &bench{
+		quick:  c.Quick,
+		relay:  c.Relay,
+		folder: folder,
+		tell:   func(format string, args ...any) { fmt.Fprintf(s.Err, format+"\n", args...) },
+	}
 	var chosen []group
 	for _, g := range groups() {
-		if len(c.Only) == 0 || slices.ContainsFunc(c.Only, func(only string) bool { return strings.HasPrefix(g.name, only) }) {
+		if len(c.Only) == 0 ||
+			slices.ContainsFunc(c.Only, func(only string) bool { return strings.HasPrefix(g.name, only) }) {
 			chosen = append(chosen, g)
 		}
 	}
@@ -179,7 +193,14 @@
 			return fmt.Errorf("build the relay: %w", err)
 		}
 	}
-	run := capacity.Run{Program: c.Program, Date: time.Now().UTC().Format(time.DateOnly), Commit: c.Commit, Quick: c.Quick, AtRest: c.AtRest, Machine: machine()}
+	run := capacity.Run{
+		Program: c.Program,
+		Date:    time.Now().UTC().Format(time.DateOnly),
+		Commit:  c.Commit,
+		Quick:   c.Quick,
+		AtRest:  c.AtRest,
+		Machine: machine(),
+	}
 	if run.Commit == "" {
 		run.Commit = commit(ctx)
 	}
--- a/cmd/capacity/main_test.go
+++ b/cmd/capacity/main_test.go
@@ -44,7 +44,8 @@
 		{"--quick --only list,journal --commit abc", cli.OK, "wrote"},
 		{"tables --check", cli.OK, "holds what"},
 	} {
-		if status, out := do(t, append(strings.Fields(c.args), at...)...); status != c.status || !strings.Contains(out, c.says) {
+		if status, out := do(t, append(strings.Fields(c.args), at...)...); status != c.status ||
+			!strings.Contains(out, c.says) {
 			t.Errorf("capacity %s: status %d, want %d and %q:\n%s", c.args, status, c.status, c.says, out)
 		}
 	}
@@ -59,7 +60,8 @@
 	if err := os.WriteFile(page, []byte(spoilt), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if status, out := do(t, append([]string{"tables", "--check"}, at...)...); status != cli.Failed || !strings.Contains(out, "does not hold") {
+	if status, out := do(t, append([]string{"tables", "--check"}, at...)...); status != cli.Failed ||
+		!strings.Contains(out, "does not hold") {
 		t.Errorf("a page changed by hand passes: %d, %s", status, out)
 	}
 }
@@ -107,12 +109,29 @@
 		return `{"what":"` + what + `","n":` + n + `,"values":{` + values + `}}` + "\n"
 	}
 	const values = `"sent_bytes_per_s":10,"processor_ms_per_s":5,"memory_bytes":7,"sent_datagrams_per_s":3,"known_all_s":2`
-	good := line(busyPages, "300", values) + line(atRest, "1", values) + line(busyPages, "100", values) + line(manyRights, "100", values)
+	good := line(
+		busyPages,
+		"300",
+		values,
+	) + line(
+		atRest,
+		"1",
+		values,
+	) + line(
+		busyPages,
+		"100",
+		values,
+	) + line(
+		manyRights,
+		"100",
+		values,
+	)
 	series, err := readHollow([]byte(good), "")
 	if err != nil || len(series) != len(hollowValues) {
 		t.Fatal(series, err)
 	}
-	if p := series[1].Points; series[1].Name != capacity.FleetCores || len(p) != 2 || p[0].N != 100 || p[1].N != 300 || p[0].Value != 0.005 {
+	if p := series[1].Points; series[1].Name != capacity.FleetCores || len(p) != 2 || p[0].N != 100 || p[1].N != 300 ||
+		p[0].Value != 0.005 {
 		t.Errorf("%+v", series[1])
 	}
 	for _, bad := range []string{"", "{", line(busyPages, "100", values)} {
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -52,7 +52,13 @@
 
 // start starts a relay whose discovery has a list. known has it handed over at the start, too. prepare may write into
 // its folder first. A relay that is not ready in time is ended, and errNeverReady comes back.
-func (b *bench) start(ctx context.Context, list []fake.Member, known bool, memoryMB int, prepare func(folder string) error) (*process, error) {
+func (b *bench) start(
+	ctx context.Context,
+	list []fake.Member,
+	known bool,
+	memoryMB int,
+	prepare func(folder string) error,
+) (*process, error) {
 	folder, err := os.MkdirTemp(b.folder, "relay")
 	if err != nil {
 		return nil, err
@@ -98,7 +104,13 @@
 	defer log.Close()
 	p.cmd = exec.CommandContext(ctx, b.relay)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.Env = append(os.Environ(), "ROUTER_LISTEN="+p.addr, "ROUTER_DISCOVERY="+agent.Addr(), "ROUTER_STATE="+state, "ROUTER_CONFIG="+filepath.Join(folder, "config.json"))
+	p.cmd.Env = append(
+		os.Environ(),
+		"ROUTER_LISTEN="+p.addr,
+		"ROUTER_DISCOVERY="+agent.Addr(),
+		"ROUTER_STATE="+state,
+		"ROUTER_CONFIG="+filepath.Join(folder, "config.json"),
+	)
 	began := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Join(err, p.end())
@@ -222,7 +234,10 @@
 	ready := measured(capacity.RelayReady, "destinations", capacity.Seconds)
 	started := measured(capacity.RelayStart, "destinations", capacity.Seconds)
 	change := measured(capacity.RelayChange, "destinations", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf("a memory limit of %d MB, the one that a relay takes where none is told; no load", usualMB)
+	memory.Hollow = fmt.Sprintf(
+		"a memory limit of %d MB, the one that a relay takes where none is told; no load",
+		usualMB,
+	)
 	force := measured(capacity.RelayForce, "destinations", capacity.Seconds)
 	force.Hollow = "one relay with its agent beside it; the longest of five moves of a destination to another address"
 	rest := measured(capacity.RelayRest, "destinations", capacity.Cores)
@@ -265,7 +280,12 @@
 	return list(all...), nil
 }
 
-func (p *process) listCosts(ctx context.Context, list []fake.Member, n int, memory, ready, started, rest, change *capacity.Series) error {
+func (p *process) listCosts(
+	ctx context.Context,
+	list []fake.Member,
+	n int,
+	memory, ready, started, rest, change *capacity.Series,
+) error {
 	cpu, err := p.spent()
 	if err != nil {
 		return err
@@ -349,10 +369,20 @@
 func relayBacklogSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	memory := measured(capacity.RelayBacklog, "messages held", capacity.Bytes)
 	ready := measured(capacity.RelayRecovery, "messages held", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf("%d destinations, all out of service: nothing of what is held is tried; bodies of 1,000 bytes in memory; a memory limit of %d MB", down, backlogMB)
+	memory.Hollow = fmt.Sprintf(
+		"%d destinations, all out of service: nothing of what is held is tried; bodies of 1,000 bytes in memory; a memory limit of %d MB",
+		down,
+		backlogMB,
+	)
 	ready.Hollow = memory.Hollow
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000}) {
-		p, err := b.start(ctx, members(down, "127.0.0.1:9", "draining"), true, backlogMB, func(folder string) error { return fill(folder, n, down) })
+		p, err := b.start(
+			ctx,
+			members(down, "127.0.0.1:9", "draining"),
+			true,
+			backlogMB,
+			func(folder string) error { return fill(folder, n, down) },
+		)
 		if errors.Is(err, errNeverReady) && ctx.Err() == nil {
 			stop(memory, n)
 			stop(ready, n)
@@ -429,7 +459,11 @@
 // moves has discovery tell five times that a destination's endpoints are at another address, and returns the longest
 // time from a telling until a message goes there, and how many hand-ins had no answer of 202 meanwhile. errNeverReady:
 // one was not in force by readyMost.
-func (p *process) moves(ctx context.Context, endpoints []fake.Member, here, there *hostServers) (longest time.Duration, late int, err error) {
+func (p *process) moves(
+	ctx context.Context,
+	endpoints []fake.Member,
+	here, there *hostServers,
+) (longest time.Duration, late int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	for i := range 5 {
@@ -498,7 +532,8 @@
 					return
 				case <-tick.C:
 				}
-				if handIn(work, client, p.addr, fmt.Sprintf("%04x%012x", c, i), (i*many+c)*7919%dests) != nil && work.Err() == nil {
+				if handIn(work, client, p.addr, fmt.Sprintf("%04x%012x", c, i), (i*many+c)*7919%dests) != nil &&
+					work.Err() == nil {
 					refused.Add(1)
 				}
 			}
@@ -522,7 +557,12 @@
 }
 
 func handIn(ctx context.Context, client *http.Client, addr, id string, dest int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/order", bytes.NewReader(make([]byte, body)))
+	req, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+addr+"/order",
+		bytes.NewReader(make([]byte, body)),
+	)
 	if err != nil {
 		return err
 	}
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -13,7 +13,12 @@
 // oneOf300 is a relay of the full fleet, with 31 hosts listed.
 func oneOf300(b *testing.B) (*relayProcess, *platform) {
 	b.Helper()
-	p, h := newPlatform(b), newHost(b, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) })
+	p, h := newPlatform(
+		b,
+	), newHost(
+		b,
+		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) },
+	)
 	var known []member
 	for i := range 31 {
 		m := listed("s-"+string(rune('a'+i)), h.addr(), "a", "gateway", "ready")
@@ -125,9 +130,13 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			p, h := newPlatform(b), newHost(b, nil)
-			r := prepareRelay(b, []member{listed("s-1", h.addr(), "a", "gateway", "draining")}, func(settings map[string]any) {
-				settings["bounds"].(map[string]any)["open_cap"] = c.room
-			})
+			r := prepareRelay(
+				b,
+				[]member{listed("s-1", h.addr(), "a", "gateway", "draining")},
+				func(settings map[string]any) {
+					settings["bounds"].(map[string]any)["open_cap"] = c.room
+				},
+			)
 			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": c.diskMB}
 			r.writeConfig()
 			n := fill(b, r, c.diskMB, c.body)
--- a/cmd/cherrytrestle/crowd_test.go
+++ b/cmd/cherrytrestle/crowd_test.go
@@ -20,7 +20,15 @@
 func (r *relayProcess) bound(descriptors uint64) {
 	r.t.Helper()
 	limit := syscall.Rlimit{Cur: descriptors, Max: descriptors}
-	_, _, err := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(r.cmd.Process.Pid), syscall.RLIMIT_NOFILE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
+	_, _, err := syscall.RawSyscall6(
+		syscall.SYS_PRLIMIT64,
+		uintptr(r.cmd.Process.Pid),
+		syscall.RLIMIT_NOFILE,
+		uintptr(unsafe.Pointer(&limit)),
+		0,
+		0,
+		0,
+	)
 	if err != 0 {
 		r.t.Fatal(err)
 	}
@@ -76,7 +84,11 @@
 					conn.Close()
 					return
 				}
-				list := map[string]any{"version": 9, "full": true, "servers": []member{listed("s-2", two.addr(), "a", "gateway", "ready")}}
+				list := map[string]any{
+					"version": 9,
+					"full":    true,
+					"servers": []member{listed("s-2", two.addr(), "a", "gateway", "ready")},
+				}
 				must(t, json.NewEncoder(w).Encode(list))
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
@@ -114,7 +126,11 @@
 			for i := range 5 {
 				eventually(t, "a health answer", answered(health, http.StatusOK))
 				id := fmt.Sprint("m", i)
-				eventually(t, id+" taken on", answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted))
+				eventually(
+					t,
+					id+" taken on",
+					answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted),
+				)
 				eventually(t, id+" at the host", func() bool { return one.count(id) > 0 })
 				one.CloseClientConnections() // the next call needs a connection of its own
 			}
@@ -122,7 +138,11 @@
 			down.Store(false)
 			eventually(t, "a message at the host that discovery names", func() bool {
 				id := fmt.Sprint("n", time.Now().UnixNano())
-				eventually(t, id+" taken on", answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted))
+				eventually(
+					t,
+					id+" taken on",
+					answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted),
+				)
 				eventually(t, id+" delivered", func() bool { return one.count(id)+two.count(id) > 0 })
 				return two.count(id) > 0
 			})
--- a/cmd/cherrytrestle/daily_test.go
+++ b/cmd/cherrytrestle/daily_test.go
@@ -163,7 +163,12 @@
 		}
 	})
 	p := newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready"), listed("s-2", h.addr(), "a", "gateway", "draining")}, nil)
+	r := newRelay(
+		t,
+		p,
+		[]member{listed("s-1", h.addr(), "a", "gateway", "ready"), listed("s-2", h.addr(), "a", "gateway", "draining")},
+		nil,
+	)
 	r.kill()
 	second := withSecond(t, r)
 	r.start(p)
@@ -220,13 +225,25 @@
 			one, two := newHost(t, nil), newHost(t, nil)
 			second := newPlatform(t)
 			second.version = 7 // it counts by itself
-			second.whole = []member{listed("s-1", one.addr(), "a", "gateway", "draining"), listed("s-2", two.addr(), "a", "gateway", "ready")}
-			r := newRelay(t, old, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, func(set map[string]any) { set["fleet_size"] = 300 })
+			second.whole = []member{
+				listed("s-1", one.addr(), "a", "gateway", "draining"),
+				listed("s-2", two.addr(), "a", "gateway", "ready"),
+			}
+			r := newRelay(
+				t,
+				old,
+				[]member{listed("s-1", one.addr(), "a", "gateway", "ready")},
+				func(set map[string]any) { set["fleet_size"] = 300 },
+			)
 			<-called
 			r.config["discovery"] = second.Listener.Addr().String()
 			r.writeConfig()
 			must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-			eventually(t, "a watch at the new address", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.indexes) > 0 })
+			eventually(
+				t,
+				"a watch at the new address",
+				func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.indexes) > 0 },
+			)
 			second.mu.Lock()
 			if second.indexes[0] != "7" {
 				t.Errorf("a watch from %s, want it from the whole list's 7", second.indexes[0])
--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -48,7 +48,10 @@
 		if id := fmt.Sprintf("%016x", rec.ID); len(id) < len(c.Recording) || id[:len(c.Recording)] != c.Recording {
 			continue
 		}
-		rep, err := explain.Explain(rec.Data, explain.Options{From: c.From, To: c.To, Every: c.Every, Messages: c.Message != "" || c.Format == "jsonl"})
+		rep, err := explain.Explain(
+			rec.Data,
+			explain.Options{From: c.From, To: c.To, Every: c.Every, Messages: c.Message != "" || c.Format == "jsonl"},
+		)
 		if err != nil {
 			return fmt.Errorf("recording %016x: %w", rec.ID, err)
 		}
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -129,7 +129,8 @@
 					return h.count(next) > 0
 				})
 				eventually(t, "nothing owed", func() bool {
-					return len(p.statuses(id)) > 0 || h.count(id) > 0 && (class == "order" && h.count(id) >= least || c.unsafe != failed)
+					return len(p.statuses(id)) > 0 ||
+						h.count(id) > 0 && (class == "order" && h.count(id) >= least || c.unsafe != failed)
 				})
 				if err := r.terminate(); err != nil {
 					t.Fatalf("ended: %v", err)
@@ -190,7 +191,8 @@
 				eventually(t, "repeated", func() bool { return h.count("m") == 2 })
 			}
 			must(t, r.terminate())
-			if ends := p.statuses("m"); class == "pay" && (h.count("m") != 1 || !slices.Equal(ends, []string{"undeliverable"})) ||
+			if ends := p.statuses("m"); class == "pay" &&
+				(h.count("m") != 1 || !slices.Equal(ends, []string{"undeliverable"})) ||
 				class == "order" && (h.count("m") != 2 || len(ends) > 0) {
 				t.Errorf("%d calls, ends %v", h.count("m"), ends)
 			}
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -65,7 +65,11 @@
 		}
 	}
 	for i := range n {
-		r := prepareRelay(t, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, func(s map[string]any) { s["fleet_size"] = n })
+		r := prepareRelay(
+			t,
+			[]member{listed("s-1", h.addr(), "a", "platform", "ready")},
+			func(s map[string]any) { s["fleet_size"] = n },
+		)
 		r.config["name"] = relayName(i)
 		g.seconds = append(g.seconds, withSecond(t, r))
 		g.relays, g.platforms = append(g.relays, r), append(g.platforms, newPlatform(t))
@@ -77,7 +81,11 @@
 // operator writes a relay's operator's file. more is put before its addresses of the others; join goes before these.
 func (g *rig) operator(i int, more string, join map[string]string) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[recorder]\nenabled = true\nwrite = \"all\"\nfolder = %q\n", filepath.Join(g.relays[i].dir, "recordings"))
+	fmt.Fprintf(
+		&b,
+		"[recorder]\nenabled = true\nwrite = \"all\"\nfolder = %q\n",
+		filepath.Join(g.relays[i].dir, "recordings"),
+	)
 	fmt.Fprintf(&b, "[fleet]\nenabled = true\nlisten = %q\n%s\n[fleet.join]\n", g.listens[i], more)
 	for j := range g.listens {
 		addr := g.listens[j]
@@ -191,7 +199,11 @@
 	g.set([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
 	g.set([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
 	for _, i := range []int{1, 2} {
-		eventually(t, "the one that is cut off fades", func() bool { state, age := g.sees(i, 0); return state != "alive" && age > freshly })
+		eventually(
+			t,
+			"the one that is cut off fades",
+			func() bool { state, age := g.sees(i, 0); return state != "alive" && age > freshly },
+		)
 	}
 	g.hears([]int{1, 2}, []int{1, 2})
 	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
@@ -204,7 +216,18 @@
 	g.hears(g.all(), g.all())
 
 	// Nearly a third of all datagrams lost, some doubled, mixed and late.
-	g.set(g.all(), g.all(), faultproxy.LinkFaults{DatagramFaults: faultproxy.DatagramFaults{Drop: 0.3, Double: 0.1, Reorder: 0.1, Jitter: 20 * time.Millisecond}})
+	g.set(
+		g.all(),
+		g.all(),
+		faultproxy.LinkFaults{
+			DatagramFaults: faultproxy.DatagramFaults{
+				Drop:    0.3,
+				Double:  0.1,
+				Reorder: 0.1,
+				Jitter:  20 * time.Millisecond,
+			},
+		},
+	)
 	time.Sleep(3 * time.Second)
 	g.hears(g.all(), g.all())
 
@@ -263,12 +286,22 @@
 	}
 	life := loadreport.Incarnation{Generation: 1, Boot: 1}
 	liar, err := membership.Start(membership.Config{
-		Name: relayName(3), Listen: g.listens[3], Peers: join, Incarnation: life, Log: slog.New(slog.DiscardHandler), SaveIncarnation: func(uint64) error { return nil },
+		Name: relayName(
+			3,
+		), Listen: g.listens[3], Peers: join, Incarnation: life, Log: slog.New(slog.DiscardHandler), SaveIncarnation: func(uint64) error { return nil },
 	})
 	must(t, err)
 	defer liar.Close()
 	page := func(seq uint64, calls float64) []loadreport.Report {
-		return []loadreport.Report{{Name: relayName(3), Incarnation: life, Number: loadreport.ReportNumber(7), Sequence: seq, Scopes: []loadreport.ScopeLoad{{Destination: 7, Calls: calls}}}}
+		return []loadreport.Report{
+			{
+				Name:        relayName(3),
+				Incarnation: life,
+				Number:      loadreport.ReportNumber(7),
+				Sequence:    seq,
+				Scopes:      []loadreport.ScopeLoad{{Destination: 7, Calls: calls}},
+			},
+		}
 	}
 	liar.Publish(page(1, 3))
 	eventually(t, "an honest page is taken", func() bool { _, age := g.sees(0, 3); return age >= 0 })
@@ -305,10 +338,18 @@
 	}
 	g.start(g.all()...)
 	g.traffic()
-	eventually(t, "a taken port is told", func() bool { s := g.status(0); return !s.Up && strings.Contains(s.Why, "in use") })
+	eventually(
+		t,
+		"a taken port is told",
+		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.Why, "in use") },
+	)
 	g.relays[0].take("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
-	eventually(t, "a stranger is kept out", func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 })
+	eventually(
+		t,
+		"a stranger is kept out",
+		func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 },
+	)
 	taken.Close()
 	g.hears([]int{0, 1}, []int{0, 1})
 	for _, i := range []int{0, 1} {
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -117,7 +117,9 @@
 	must(t, err)
 	for {
 		m := &journal.Message{
-			ID: uint32(taken + 1), TraceID: fmt.Sprint("m", taken), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
+			ID: uint32(
+				taken + 1,
+			), TraceID: fmt.Sprint("m", taken), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
 			Deadline: time.Now().Add(14 * time.Second),
 		}
 		if err := j.Accept(m); errors.Is(err, journal.ErrFull) {
--- a/cmd/cherrytrestle/golden_test.go
+++ b/cmd/cherrytrestle/golden_test.go
@@ -22,7 +22,15 @@
 	} {
 		var stdout, stderr bytes.Buffer
 		line := strings.TrimSpace(args + " --help")
-		status := cli.Run(t.Context(), "cherrytrestle", "A relay for outbound messages.", &app{}, strings.Fields(line), cli.Streams{Out: &stdout, Err: &stderr}, cli.Failed)
+		status := cli.Run(
+			t.Context(),
+			"cherrytrestle",
+			"A relay for outbound messages.",
+			&app{},
+			strings.Fields(line),
+			cli.Streams{Out: &stdout, Err: &stderr},
+			cli.Failed,
+		)
 		all.WriteString("$ cherrytrestle " + line + "\n" + stdout.String() + stderr.String())
 		if status != 0 {
 			t.Errorf("cherrytrestle %s: status %d", line, status)
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -53,10 +53,25 @@
 			doubtful++
 		}
 	}
-	fmt.Fprintf(s.Out, "messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, %d may have run, %d are doubtful\n",
-		len(rec.Messages), withdrawn, decided, mayRun, doubtful)
-	fmt.Fprintf(s.Out, "store: %d segments, %d bytes on disk of %d, %d of them live; room for %d bytes of new messages, %d of ends and outcomes\n",
-		st.Segments, st.DiskBytes, st.Limit, st.LiveBytes, st.RoomForValues, st.RoomForAll)
+	fmt.Fprintf(
+		s.Out,
+		"messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, %d may have run, %d are doubtful\n",
+		len(rec.Messages),
+		withdrawn,
+		decided,
+		mayRun,
+		doubtful,
+	)
+	fmt.Fprintf(
+		s.Out,
+		"store: %d segments, %d bytes on disk of %d, %d of them live; room for %d bytes of new messages, %d of ends and outcomes\n",
+		st.Segments,
+		st.DiskBytes,
+		st.Limit,
+		st.LiveBytes,
+		st.RoomForValues,
+		st.RoomForAll,
+	)
 	tellRecovery(s, rec)
 	return nil
 }
@@ -65,7 +80,13 @@
 func tellRecovery(s *cli.Streams, rec *journal.Recovery) {
 	f := rec.Store
 	for _, x := range f.Torn {
-		fmt.Fprintf(s.Out, "segment %d: torn behind byte %d, never acknowledged (%d bytes)\n", x.Segment, x.From, x.To-x.From)
+		fmt.Fprintf(
+			s.Out,
+			"segment %d: torn behind byte %d, never acknowledged (%d bytes)\n",
+			x.Segment,
+			x.From,
+			x.To-x.From,
+		)
 	}
 	for _, x := range f.Damaged {
 		fmt.Fprintf(s.Out, "segment %d: DAMAGED from byte %d to %d\n", x.Segment, x.From, x.To)
@@ -131,7 +152,9 @@
 		}
 		line := map[string]any{
 			"id": m.ID, "trace": m.TraceID, "class": m.Class, "service": m.ClassName, "customer": m.Tenant, "destination": m.Destination, "deadline": m.Deadline.UTC().Format(time.RFC3339Nano),
-			"body_bytes": len(body), "attempts": m.Attempts, "may_have_run": m.UncertainAttempts, "withdrawn": m.Cancelled, "doubtful": m.Uncertain,
+			"body_bytes": len(
+				body,
+			), "attempts": m.Attempts, "may_have_run": m.UncertainAttempts, "withdrawn": m.Cancelled, "doubtful": m.Uncertain,
 		}
 		if m.Final != nil {
 			line["final"] = m.Final
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -45,7 +45,11 @@
 					class := []string{"order", "pay"}[i%2]
 					id := fmt.Sprintf("%s-%d-%d-%d", class, round, c, i)
 					req := r.request(id, 8*time.Second, as(class))
-					req.Body, req.ContentLength, req.GetBody = io.NopCloser(strings.NewReader(body)), int64(len(body)), nil
+					req.Body, req.ContentLength, req.GetBody = io.NopCloser(
+						strings.NewReader(body),
+					), int64(
+						len(body),
+					), nil
 					res, err := client.Do(req)
 					if err != nil {
 						continue
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -30,7 +30,9 @@
 	if err := json.Unmarshal([]byte(step), &k); err != nil {
 		panic(err)
 	}
-	relay := serve{through: func(fs store.FS) store.FS { return &faultfs.Killer{FS: fs, At: k.At, Torn: k.Torn, Late: k.Late} }}
+	relay := serve{
+		through: func(fs store.FS) store.FS { return &faultfs.Killer{FS: fs, At: k.At, Torn: k.Torn, Late: k.Late} },
+	}
 	if err := relay.Run(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -13,7 +13,13 @@
 func restingMembers(n, from int) []member {
 	members := make([]member, 0, 2*n)
 	for i := range 2 * n {
-		m := listed(fmt.Sprint("rest-", from, "-", i), fmt.Sprintf("127.9.%d.%d:1", i>>8&255, i&255), "a", "gateway", "ready")
+		m := listed(
+			fmt.Sprint("rest-", from, "-", i),
+			fmt.Sprintf("127.9.%d.%d:1", i>>8&255, i&255),
+			"a",
+			"gateway",
+			"ready",
+		)
 		m["cell"] = from + i/2
 		members = append(members, m)
 	}
@@ -40,11 +46,23 @@
 				if i > 0 {
 					whole = append(whole, ',')
 				}
-				whole = fmt.Appendf(whole, `{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":"ready"}`, m["id"], m["addr"], m["cell"])
+				whole = fmt.Appendf(
+					whole,
+					`{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":"ready"}`,
+					m["id"],
+					m["addr"],
+					m["cell"],
+				)
 			}
 			p.lines <- string(bytes.TrimRight(whole, "}")) // and a line's end, and never more
 			eventually(t, "the list is being applied", func() bool {
-				res, err := r.client.Do(r.request("probe", 50*time.Millisecond, func(req *http.Request) { req.Header.Set("Envelope", "dest=100001") }))
+				res, err := r.client.Do(
+					r.request(
+						"probe",
+						50*time.Millisecond,
+						func(req *http.Request) { req.Header.Set("Envelope", "dest=100001") },
+					),
+				)
 				if err == nil {
 					res.Body.Close()
 				}
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -450,7 +450,10 @@
 func TestNoticesGoUntilTheyAreTaken(t *testing.T) {
 	p := newPlatform(t)
 	p.refuse = 3
-	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
+	h := newHost(
+		t,
+		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
+	)
 	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.take("m1", 700*time.Millisecond)
 	eventually(t, "a notice", func() bool { return p.final("m1") != nil })
@@ -761,7 +764,10 @@
 // follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	one, two := newHost(t, nil), newHost(t, nil)
-	shut := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) })
+	shut := newHost(
+		t,
+		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
+	)
 	first, second := newPlatform(t), newPlatform(t)
 	first.version = 40
 	r := newRelay(t, first, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
@@ -776,7 +782,11 @@
 		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
 		return shut.count(id) > 0
 	})
-	eventually(t, "a notice under way", func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuse < many })
+	eventually(
+		t,
+		"a notice under way",
+		func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuse < many },
+	)
 
 	hup := func(p *platform) {
 		t.Helper()
@@ -788,11 +798,19 @@
 	hup(second)
 	r.take("m2", 10*time.Second)
 	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
-	eventually(t, "the notice that was under way", func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.finals) > 0 })
+	eventually(
+		t,
+		"the notice that was under way",
+		func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.finals) > 0 },
+	)
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
 	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	second.tell(false, listed("s-2", two.addr(), "a", "gateway", "draining"), listed("s-1", one.addr(), "a", "gateway", "ready"))
+	second.tell(
+		false,
+		listed("s-2", two.addr(), "a", "gateway", "draining"),
+		listed("s-1", one.addr(), "a", "gateway", "ready"),
+	)
 	r.take("m3", 10*time.Second)
 	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -39,9 +39,22 @@
 			fmt.Fprintf(s.Out, "%016x: not read: %s\n", rec.ID, what)
 		}
 		if !c.Quiet {
-			fmt.Fprintf(s.Out, "%016x: %s, %s of %v, %d bytes in %d chunks: %d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n",
-				rec.ID, res.Meta.Name, revisions(res), (res.To - res.From).Round(time.Millisecond), len(rec.Data), res.Chunks, res.Steps, res.Events,
-				res.Actions, res.SendChecks, res.States, float64(res.Events)/took.Seconds())
+			fmt.Fprintf(
+				s.Out,
+				"%016x: %s, %s of %v, %d bytes in %d chunks: %d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n",
+				rec.ID,
+				res.Meta.Name,
+				revisions(res),
+				(res.To - res.From).Round(time.Millisecond),
+				len(rec.Data),
+				res.Chunks,
+				res.Steps,
+				res.Events,
+				res.Actions,
+				res.SendChecks,
+				res.States,
+				float64(res.Events)/took.Seconds(),
+			)
 		}
 		if res.Difference != nil {
 			differs = true
@@ -79,8 +92,17 @@
 		return err
 	}
 	for _, rec := range found {
-		fmt.Fprintf(s.Out, "%016x: %s, revision %s, program %s, started %s, %d chunks, %d bytes\n", rec.ID, rec.Meta.Name, rec.Meta.Revision,
-			rec.Meta.Program, rec.Meta.Started.Format(time.RFC3339Nano), rec.Chunks, len(rec.Data))
+		fmt.Fprintf(
+			s.Out,
+			"%016x: %s, revision %s, program %s, started %s, %d chunks, %d bytes\n",
+			rec.ID,
+			rec.Meta.Name,
+			rec.Meta.Revision,
+			rec.Meta.Program,
+			rec.Meta.Started.Format(time.RFC3339Nano),
+			rec.Chunks,
+			len(rec.Data),
+		)
 		r, err := flightrecorder.NewReader(rec.Data)
 		if err != nil {
 			return err
@@ -97,7 +119,14 @@
 			}
 			switch e.Kind {
 			case flightrecorder.Begin:
-				fmt.Fprintf(s.Out, "  offset %d: chunk %d from %v, state of %d bytes\n", e.At, e.Chunk, e.Now, len(e.State))
+				fmt.Fprintf(
+					s.Out,
+					"  offset %d: chunk %d from %v, state of %d bytes\n",
+					e.At,
+					e.Chunk,
+					e.Now,
+					len(e.State),
+				)
 			case flightrecorder.Step:
 				steps, events, actions, last = steps+1, events+len(e.Events), actions+len(e.Actions), e.Now
 			case flightrecorder.Note:
@@ -126,7 +155,15 @@
 		return err
 	}
 	for _, rec := range found {
-		path := filepath.Join(c.Out, fmt.Sprintf("%s-%016x%s", filepath.Base(filepath.Clean("/"+rec.Meta.Name)), rec.ID, flightrecorder.FileExtension))
+		path := filepath.Join(
+			c.Out,
+			fmt.Sprintf(
+				"%s-%016x%s",
+				filepath.Base(filepath.Clean("/"+rec.Meta.Name)),
+				rec.ID,
+				flightrecorder.FileExtension,
+			),
+		)
 		f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return err
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -67,7 +67,8 @@
 		t.Errorf("%d, %s%s", status, out, errs)
 	}
 	status, out, errs = command("explain", "--message", "m2", paths[0])
-	if status != 0 || !strings.Contains(out, "told to wait") || !strings.Contains(out, "delivered") || !strings.Contains(out, "(m2)") {
+	if status != 0 || !strings.Contains(out, "told to wait") || !strings.Contains(out, "delivered") ||
+		!strings.Contains(out, "(m2)") {
 		t.Errorf("%d, %s%s", status, out, errs)
 	}
 	for _, format := range []string{"text", "jsonl", "html"} {
@@ -75,7 +76,8 @@
 			t.Errorf("%s: %d, %s%s", format, status, out, errs)
 		}
 	}
-	if status, out, _ := command("recording", "info", paths[0]); status != 0 || !strings.Contains(out, "kept: SIGUSR1") {
+	if status, out, _ := command("recording", "info", paths[0]); status != 0 ||
+		!strings.Contains(out, "kept: SIGUSR1") {
 		t.Errorf("%d, %s", status, out)
 	}
 	// A recording that says otherwise is told to.
@@ -108,7 +110,8 @@
 	if status, text, errs := command("replay", path, log); status != 0 || strings.Count(text, "no difference") != 1 {
 		t.Errorf("%d, %s%s", status, text, errs)
 	}
-	if status, _, errs := command("recording", "extract", "--out", out, log); status != 1 || !strings.Contains(errs, "exists") {
+	if status, _, errs := command("recording", "extract", "--out", out, log); status != 1 ||
+		!strings.Contains(errs, "exists") {
 		t.Errorf("a file was written over: %d, %s", status, errs)
 	}
 	data, err := os.ReadFile(log)
--- a/cmd/cherrytrestle/refused_test.go
+++ b/cmd/cherrytrestle/refused_test.go
@@ -71,8 +71,13 @@
 			return true
 		}
 		name := dotted(call.Fun)
-		copies := slices.Contains([]string{"io.Copy", "io.CopyN", "io.CopyBuffer"}, name) && dotted(call.Args[0]) != "io.Discard"
-		if copies || slices.Contains([]string{"http.ServeFile", "http.ServeContent", "syscall.ForkExec", "os.StartProcess"}, name) {
+		copies := slices.Contains([]string{"io.Copy", "io.CopyN", "io.CopyBuffer"}, name) &&
+			dotted(call.Args[0]) != "io.Discard"
+		if copies ||
+			slices.Contains(
+				[]string{"http.ServeFile", "http.ServeContent", "syscall.ForkExec", "os.StartProcess"},
+				name,
+			) {
 			found = append(found, set.Position(call.Pos()).String()+": "+name)
 		}
 		return true
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/rights_test.go
@@ -22,7 +22,9 @@
 		entry := listed("s-1", h.addr(), "a", "gateway", "ready")
 		entry["weight"] = takes
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": []member{entry}}
-		r.config["settings"].(map[string]any)["realms"] = []map[string]any{{"name": "acme", "share": 1, "quota_per_s": 50 * takes}}
+		r.config["settings"].(map[string]any)["realms"] = []map[string]any{
+			{"name": "acme", "share": 1, "quota_per_s": 50 * takes},
+		}
 		r.writeConfig()
 		g.operator(i, "rights = true\n", nil)
 	}
@@ -114,7 +116,11 @@
 	others := g.all()[1:]
 	g.set([]int{0}, others, faultproxy.LinkFaults{Cut: true})
 	g.set(others, []int{0}, faultproxy.LinkFaults{Cut: true})
-	eventually(t, "cut off it goes by its own part", func() bool { r := rate(2 * time.Second); return r > 0 && r < 0.5*takes })
+	eventually(
+		t,
+		"cut off it goes by its own part",
+		func() bool { r := rate(2 * time.Second); return r > 0 && r < 0.5*takes },
+	)
 	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
 	shared("the links are sound again")
 
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -78,7 +78,12 @@
 	t.Helper()
 	whole, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
 	must(t, err)
-	a := &catalogAgent{whole: append(whole, '\n'), version: version, told: make(chan struct{}), finals: map[string]string{}}
+	a := &catalogAgent{
+		whole:   append(whole, '\n'),
+		version: version,
+		told:    make(chan struct{}),
+		finals:  map[string]string{},
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
 		has, err := strconv.Atoi(r.URL.Query().Get("index"))
@@ -129,7 +134,11 @@
 			// nobody is there, nor called
 			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
 			list = append(list, member{
-				"id": fmt.Sprintf("s-%06d-%d", d, k), "addr": own, "zone": "ab"[k : k+1], "kind": "platform", "cell": d, "state": "ready", "weight": 8.6,
+				"id": fmt.Sprintf(
+					"s-%06d-%d",
+					d,
+					k,
+				), "addr": own, "zone": "ab"[k : k+1], "kind": "platform", "cell": d, "state": "ready", "weight": 8.6,
 			})
 		}
 	}
@@ -291,7 +300,11 @@
 				values["change_obeyed_ms"] = time.Since(told).Seconds() * 1000
 				eventually(t, "delivered", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.calls > 0 })
 				follow.end()
-				values["memory_most_mb"], values["health_longest_all_ms"] = r.memory("VmHWM"), float64(follow.longest.Load())/1e6
+				values["memory_most_mb"], values["health_longest_all_ms"] = r.memory(
+					"VmHWM",
+				), float64(
+					follow.longest.Load(),
+				)/1e6
 				if most := values["memory_most_mb"]; most > catalogMemoryMost {
 					t.Errorf("%.0f MB at the most, %d wanted", most, catalogMemoryMost)
 				}
@@ -305,7 +318,9 @@
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	line, err := json.Marshal(map[string]any{"version": a.version + len(a.changes) + 1, "full": false, "servers": changes})
+	line, err := json.Marshal(
+		map[string]any{"version": a.version + len(a.changes) + 1, "full": false, "servers": changes},
+	)
 	must(t, err)
 	a.changes = append(a.changes, append(line, '\n'))
 	close(a.told)
@@ -324,7 +339,11 @@
 	for range connections {
 		clients.Go(func() {
 			for i := next.Add(1) - 1; i < int64(last); i = next.Add(1) - 1 {
-				req := r.request(traceID(int(i)), 8*time.Hour, func(q *http.Request) { q.Header.Set("Envelope", fmt.Sprintf("dest=%d", i%int64(destinations))) })
+				req := r.request(
+					traceID(int(i)),
+					8*time.Hour,
+					func(q *http.Request) { q.Header.Set("Envelope", fmt.Sprintf("dest=%d", i%int64(destinations))) },
+				)
 				res, err := client.Do(req)
 				if err != nil {
 					not.Add(1)
@@ -345,7 +364,10 @@
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
 		for _, n := range scale(t, []int{2000}, 10000, 50000, 100000) {
-			t.Run(fmt.Sprintf("%d destinations, %d", destinations, n), func(t *testing.T) { backlog(t, n, destinations) })
+			t.Run(
+				fmt.Sprintf("%d destinations, %d", destinations, n),
+				func(t *testing.T) { backlog(t, n, destinations) },
+			)
 		}
 	}
 }
@@ -377,12 +399,22 @@
 		refused += r.hold(first, end, destinations, 32)
 		now := r.spentSoFar()
 		if k == 0 || k == parts/2 || k == parts-1 {
-			values[fmt.Sprintf("processor_us_per_message_part_%02d", k+1)] = float64((now - last).Microseconds()) / float64(end-first)
+			values[fmt.Sprintf("processor_us_per_message_part_%02d", k+1)] = float64(
+				(now - last).Microseconds(),
+			) / float64(
+				end-first,
+			)
 			values[fmt.Sprintf("accepted_per_s_part_%02d", k+1)] = float64(end-first) / time.Since(began).Seconds()
 		}
 		last = now
 	}
-	values["refused"], values["memory_mb"], values["memory_most_mb"], values["disk_mb"] = float64(refused), r.memory("VmRSS"), r.memory("VmHWM"), r.disk()
+	values["refused"], values["memory_mb"], values["memory_most_mb"], values["disk_mb"] = float64(
+		refused,
+	), r.memory(
+		"VmRSS",
+	), r.memory(
+		"VmHWM",
+	), r.disk()
 	time.Sleep(2 * time.Second) // what it spends while they wait
 	values["processor_ms_per_s_waiting"] = float64((r.spentSoFar() - last).Milliseconds()) / 2
 	r.kill()
@@ -391,7 +423,11 @@
 	if !follow.untilReady(2 * time.Minute) {
 		t.Fatal("not ready again after 2 minutes")
 	}
-	values["restart_ready_s"], values["restart_memory_most_mb"] = time.Duration(follow.ready.Load()).Seconds(), r.memory("VmHWM")
+	values["restart_ready_s"], values["restart_memory_most_mb"] = time.Duration(follow.ready.Load()).
+		Seconds(),
+		r.memory(
+			"VmHWM",
+		)
 	values["restart_processor_s"] = r.spentSoFar().Seconds()
 	follow.end()
 	if refused > 0 {
@@ -424,7 +460,10 @@
 		destinations = 50000
 	}
 	for _, n := range scale(t, []int{3}, 30) {
-		t.Run(fmt.Sprintf("%d relays, %d destinations", n, destinations), func(t *testing.T) { manyRelays(t, n, destinations) })
+		t.Run(
+			fmt.Sprintf("%d relays, %d destinations", n, destinations),
+			func(t *testing.T) { manyRelays(t, n, destinations) },
+		)
 	}
 }
 
@@ -459,7 +498,13 @@
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
-				res, err := r.client.Do(r.request(fmt.Sprintf("m-%d-%d", i, k), 15*time.Second, func(q *http.Request) { q.Header.Set("Envelope", "dest=0") }))
+				res, err := r.client.Do(
+					r.request(
+						fmt.Sprintf("m-%d-%d", i, k),
+						15*time.Second,
+						func(q *http.Request) { q.Header.Set("Envelope", "dest=0") },
+					),
+				)
 				if err != nil {
 					turnedAway.Add(1)
 					continue
@@ -505,7 +550,13 @@
 	if last > time.Second {
 		t.Errorf("called %v after its drain was told", last)
 	}
-	values["last_call_to_the_drained_ms"], values["taken"], values["turned_away"] = float64(last.Milliseconds()), float64(taken.Load()), float64(turnedAway.Load())
+	values["last_call_to_the_drained_ms"], values["taken"], values["turned_away"] = float64(
+		last.Milliseconds(),
+	), float64(
+		taken.Load(),
+	), float64(
+		turnedAway.Load(),
+	)
 	for i, r := range relays {
 		follow[i].end()
 		values["memory_most_mb"] = max(values["memory_most_mb"], r.memory("VmHWM"))
--- a/cmd/cherrytrestle/standing_test.go
+++ b/cmd/cherrytrestle/standing_test.go
@@ -47,7 +47,19 @@
 	must(t, os.Mkdir(state, 0o700))
 	log, _, err := legacylog.Open(state, 3e6)
 	must(t, err)
-	must(t, log.Accept(&legacylog.Message{ID: 7, TraceID: "old", IdempotencyKey: "k", Destination: 7, Deadline: time.Now().Add(10 * time.Second), Body: []byte("body")}))
+	must(
+		t,
+		log.Accept(
+			&legacylog.Message{
+				ID:             7,
+				TraceID:        "old",
+				IdempotencyKey: "k",
+				Destination:    7,
+				Deadline:       time.Now().Add(10 * time.Second),
+				Body:           []byte("body"),
+			},
+		),
+	)
 	must(t, log.Close())
 	r.start(p)
 	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -112,11 +112,18 @@
 	}
 	one, two := newHost(t, answer), newHost(t, answer)
 	p := newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", one.addr(), "a", "gateway", "ready"), listed("s-2", two.addr(), "a", "gateway", "ready")},
+	r := newRelay(
+		t,
+		p,
+		[]member{
+			listed("s-1", one.addr(), "a", "gateway", "ready"),
+			listed("s-2", two.addr(), "a", "gateway", "ready"),
+		},
 		func(set map[string]any) {
 			set["bounds"].(map[string]any)["open_cap"] = 500
 			set["extra"].(map[string]any)["call_slots"] = 40
-		})
+		},
+	)
 	held(t, r, p)
 	var met, taken, refused atomic.Int64
 	var accepted sync.Map
@@ -313,17 +320,26 @@
 				})
 				later := listed("s-2", h.addr(), "a", "gateway", "draining")
 				later["cell"] = 8
-				r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready"), later}, func(set map[string]any) {
-					withPayments(set)
-					set["extra"].(map[string]any)["call_slots"] = 40
-				})
+				r := newRelay(
+					t,
+					p,
+					[]member{listed("s-1", h.addr(), "a", "gateway", "ready"), later},
+					func(set map[string]any) {
+						withPayments(set)
+						set["extra"].(map[string]any)["call_slots"] = 40
+					},
+				)
 				held(t, r, p)
 				var taken []string
 				for i := range messages {
 					for _, dest := range []int{7, 8} { // out, and untried
 						id := fmt.Sprint(map[int]string{7: "o", 8: "u"}[dest], i)
 						pay := as([]string{"order", "pay"}[i%2])
-						status, _ := r.handIn(id, 12*time.Second, func(req *http.Request) { pay(req); req.Header.Set("Envelope", fmt.Sprint("dest=", dest)) })
+						status, _ := r.handIn(
+							id,
+							12*time.Second,
+							func(req *http.Request) { pay(req); req.Header.Set("Envelope", fmt.Sprint("dest=", dest)) },
+						)
 						if status != http.StatusAccepted {
 							t.Fatalf("%s: status %d", id, status)
 						}
@@ -365,7 +381,11 @@
 				r.client.CloseIdleConnections()
 				later["state"] = "ready"
 				if r.cmd == nil {
-					r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []member{listed("s-1", h.addr(), "a", "gateway", "ready"), later}}
+					r.config["known"] = map[string]any{
+						"version": 2,
+						"full":    true,
+						"servers": []member{listed("s-1", h.addr(), "a", "gateway", "ready"), later},
+					}
 					r.writeConfig()
 					r.start(p)
 				} else {
--- a/cmd/cherrytrestle/window_test.go
+++ b/cmd/cherrytrestle/window_test.go
@@ -89,7 +89,11 @@
 			repeated := 0
 			for i := range messages {
 				id := fmt.Sprint("m", i)
-				eventually(t, id+" repeated or ended", func() bool { return one.count(id) > 1 || p.final(id) != nil || other.count(id) > 0 })
+				eventually(
+					t,
+					id+" repeated or ended",
+					func() bool { return one.count(id) > 1 || p.final(id) != nil || other.count(id) > 0 },
+				)
 				at := one.arrivals(id)
 				for _, again := range at[1:] {
 					if repeated++; again.Sub(at[0]) > window {
--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -57,7 +57,11 @@
 			depth = w.Depth
 		}
 		began := time.Now()
-		f, err := modelcheck.Search(ctx, w, modelcheck.Options{Wrong: wrong, Depth: depth + c.Deeper, StatesMost: c.States})
+		f, err := modelcheck.Search(
+			ctx,
+			w,
+			modelcheck.Options{Wrong: wrong, Depth: depth + c.Deeper, StatesMost: c.States},
+		)
 		if err != nil && !errors.Is(err, context.Canceled) {
 			return err
 		}
@@ -70,7 +74,15 @@
 		case f.Stopped:
 			how += ", and part of the next: cut off"
 		}
-		fmt.Fprintf(s.Out, "%-10s %9d states  %9d moves played  %s  %v", w.Name, f.States, f.Paths, how, time.Since(began).Round(time.Millisecond))
+		fmt.Fprintf(
+			s.Out,
+			"%-10s %9d states  %9d moves played  %s  %v",
+			w.Name,
+			f.States,
+			f.Paths,
+			how,
+			time.Since(began).Round(time.Millisecond),
+		)
 		if f.Break == nil {
 			fmt.Fprintln(s.Out, "  all rules held")
 			if err != nil {
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -38,8 +38,16 @@
 			if r.Cell[0].Is != "20" || r.Seed > 1 {
 				continue
 			}
-			if res := p.Play(r); res.Error != "" || res.Measures["broken"] > 0 || res.Measures["fell"] > 0 || res.Measures["service"] < least {
-				t.Errorf("%s, %s: %s, service %.2f, broken %v", p.Name, r.Key(), res.Error, res.Measures["service"], res.Broken)
+			if res := p.Play(r); res.Error != "" || res.Measures["broken"] > 0 || res.Measures["fell"] > 0 ||
+				res.Measures["service"] < least {
+				t.Errorf(
+					"%s, %s: %s, service %.2f, broken %v",
+					p.Name,
+					r.Key(),
+					res.Error,
+					res.Measures["service"],
+					res.Broken,
+				)
 			}
 			if p.Name != "many-herd" {
 				continue
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -53,7 +53,16 @@
 		endpoints := c.Destinations * f.Destinations[0].Endpoints
 		// rounded up to the count by the plan
 		share := math.Nextafter(float64(c.Count/replaceSteps)/float64(endpoints), 0)
-		f.Troubles = []scenario.Trouble{{Kind: scenario.Draining, At: d(time.Second), For: d(c.Length - 10*time.Second), Share: share, Replace: true, Batch: 1}}
+		f.Troubles = []scenario.Trouble{
+			{
+				Kind:    scenario.Draining,
+				At:      d(time.Second),
+				For:     d(c.Length - 10*time.Second),
+				Share:   share,
+				Replace: true,
+				Batch:   1,
+			},
+		}
 	case "outages":
 		var down []int
 		for i := range c.Count {
@@ -76,7 +85,14 @@
 	case "restarts":
 		end = begin + min(restartSpan, c.Length/3)
 		count := math.Ceil(restartShare * float64(relays))
-		f.Troubles = []scenario.Trouble{{Kind: scenario.Term, At: d(begin), Share: restartShare, Stagger: d(time.Duration(float64(end-begin) / count))}}
+		f.Troubles = []scenario.Trouble{
+			{
+				Kind:    scenario.Term,
+				At:      d(begin),
+				Share:   restartShare,
+				Stagger: d(time.Duration(float64(end-begin) / count)),
+			},
+		}
 	}
 	f.SetDefaults()
 	return f, begin, end
@@ -129,8 +145,18 @@
 	}
 	took := time.Since(began)
 	stop()
-	fmt.Fprintf(s.Out, "%s: %d relays, %d destinations, %v of virtual time, %d messages in %.1f s, %.0f a second; peak %.0f MB\n", c.Fault, relays, c.Destinations, c.Length,
-		x.w.Offered, took.Seconds(), float64(x.w.Offered)/took.Seconds(), float64(peak.Load())/1e6)
+	fmt.Fprintf(
+		s.Out,
+		"%s: %d relays, %d destinations, %v of virtual time, %d messages in %.1f s, %.0f a second; peak %.0f MB\n",
+		c.Fault,
+		relays,
+		c.Destinations,
+		c.Length,
+		x.w.Offered,
+		took.Seconds(),
+		float64(x.w.Offered)/took.Seconds(),
+		float64(peak.Load())/1e6,
+	)
 	held = x.tell(s)
 	if c.Judged {
 		v := checker.Judge(x.w.Result())
@@ -238,7 +264,8 @@
 				if a.Kind != policy.Send {
 					continue
 				}
-				if at := x.drained[a.Endpoint]; at != nil && at[relay] > 0 && now > at[relay]+sendsWithin+checker.Slack {
+				if at := x.drained[a.Endpoint]; at != nil && at[relay] > 0 &&
+					now > at[relay]+sendsWithin+checker.Slack {
 					x.late++
 				}
 				d := x.dest[a.Endpoint]
@@ -276,10 +303,26 @@
 // tell prints what was measured; false if a rule was broken or a relay does not have a change.
 func (x *faultWatch) tell(s *cli.Streams) bool {
 	share := func(from, to time.Duration) float64 { return x.w.Between(from, to) }
-	fmt.Fprintf(s.Out, "  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n", share(0, x.begin-beforeUntil), share(x.begin, x.end),
-		share(x.end, x.plan.File.Length.D()), x.w.Fell)
-	fmt.Fprintf(s.Out, "  calls %d: refused %d, failed %d; not opened %d; hand-ins refused %d, unanswered %d; deferred %d, failed %d\n", x.w.Calls, x.w.CallsFull, x.w.CallsFailed,
-		x.w.NotOpened, x.w.Refused, x.w.Unanswered, x.w.Deferred, x.w.Failed)
+	fmt.Fprintf(
+		s.Out,
+		"  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n",
+		share(0, x.begin-beforeUntil),
+		share(x.begin, x.end),
+		share(x.end, x.plan.File.Length.D()),
+		x.w.Fell,
+	)
+	fmt.Fprintf(
+		s.Out,
+		"  calls %d: refused %d, failed %d; not opened %d; hand-ins refused %d, unanswered %d; deferred %d, failed %d\n",
+		x.w.Calls,
+		x.w.CallsFull,
+		x.w.CallsFailed,
+		x.w.NotOpened,
+		x.w.Refused,
+		x.w.Unanswered,
+		x.w.Deferred,
+		x.w.Failed,
+	)
 	held := x.w.Fell == 0
 	if len(x.order) > 0 {
 		var all []time.Duration
@@ -299,8 +342,20 @@
 			}
 			return all[int(share*float64(len(all)-1))].Round(time.Millisecond)
 		}
-		fmt.Fprintf(s.Out, "  %d changes; %d that some relay does not have; the last relay has one after %v in the median, %v at most\n", len(x.order), missing, at(0.5), at(1))
-		fmt.Fprintf(s.Out, "  sends more than %v after the relay had heard that an endpoint takes nothing new: %d\n", sendsWithin, x.late)
+		fmt.Fprintf(
+			s.Out,
+			"  %d changes; %d that some relay does not have; the last relay has one after %v in the median, %v at most\n",
+			len(x.order),
+			missing,
+			at(0.5),
+			at(1),
+		)
+		fmt.Fprintf(
+			s.Out,
+			"  sends more than %v after the relay had heard that an endpoint takes nothing new: %d\n",
+			sendsWithin,
+			x.late,
+		)
 		held = held && missing == 0 && x.late == 0
 	}
 	if len(x.out) > 0 {
@@ -308,9 +363,22 @@
 		for _, n := range x.by {
 			most = max(most, n)
 		}
-		fmt.Fprintf(s.Out, "  %d destinations down: %d calls to them, %.2f a destination, %.2f a relay (%d at most); %d pairs of relay and destination made one\n", len(x.out), x.spent,
-			float64(x.spent)/float64(len(x.out)), float64(x.spent)/float64(x.relays), most, len(x.found))
-		fmt.Fprintf(s.Out, "  messages served: for those that came back, from then on, %v; for those that were never down %v\n", x.back, x.others)
+		fmt.Fprintf(
+			s.Out,
+			"  %d destinations down: %d calls to them, %.2f a destination, %.2f a relay (%d at most); %d pairs of relay and destination made one\n",
+			len(x.out),
+			x.spent,
+			float64(x.spent)/float64(len(x.out)),
+			float64(x.spent)/float64(x.relays),
+			most,
+			len(x.found),
+		)
+		fmt.Fprintf(
+			s.Out,
+			"  messages served: for those that came back, from then on, %v; for those that were never down %v\n",
+			x.back,
+			x.others,
+		)
 	}
 	if x.ended > 0 {
 		fmt.Fprintf(s.Out, "  %d relays ended\n", x.ended)
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -35,7 +35,14 @@
 	h := experiment.Hunt{Base: base, Plans: c.Plans, Seed: c.Seed, Wrong: wrong}
 	if !c.Quiet {
 		h.Progress = func(done int, worst experiment.Prey) {
-			fmt.Fprintf(s.Err, "\r\x1b[K%d of %d  worst: service %.3f  %d rules broken", done, c.Plans, worst.Service, len(worst.Rules))
+			fmt.Fprintf(
+				s.Err,
+				"\r\x1b[K%d of %d  worst: service %.3f  %d rules broken",
+				done,
+				c.Plans,
+				worst.Service,
+				len(worst.Rules),
+			)
 		}
 	}
 	p, err := h.Run(ctx)
@@ -53,9 +60,27 @@
 	if err := os.WriteFile(c.Out, data, 0o600); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Out, "worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n", c.Plans, p.Service, len(p.File.Troubles), p.Seed, c.Out, c.Out)
+	fmt.Fprintf(
+		s.Out,
+		"worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
+		c.Plans,
+		p.Service,
+		len(p.File.Troubles),
+		p.Seed,
+		c.Out,
+		c.Out,
+	)
 	for _, t := range p.File.Troubles {
-		fmt.Fprintf(s.Out, "  %v  %s for %v  destinations %v share %.2f relays %v\n", t.At.D(), t.Kind, t.For.D(), t.Destinations, t.Share, t.Relays)
+		fmt.Fprintf(
+			s.Out,
+			"  %v  %s for %v  destinations %v share %.2f relays %v\n",
+			t.At.D(),
+			t.Kind,
+			t.For.D(),
+			t.Destinations,
+			t.Share,
+			t.Relays,
+		)
 	}
 	for _, r := range p.Rules {
 		fmt.Fprintf(s.Out, "BROKEN: %s\n", r)
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -66,8 +66,15 @@
 }
 
 func command(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	return cli.Run(ctx, "emulate", "Plays scenarios in virtual time, experiments on them, and decision modules through all orders of events.",
-		&app{}, args, cli.Streams{Out: stdout, Err: stderr}, exitFailed)
+	return cli.Run(
+		ctx,
+		"emulate",
+		"Plays scenarios in virtual time, experiments on them, and decision modules through all orders of events.",
+		&app{},
+		args,
+		cli.Streams{Out: stdout, Err: stderr},
+		exitFailed,
+	)
 }
 
 func load(name string) (scenario.File, error) { return scenario.LoadFor(name, scenario.EmulatorBounds) }
@@ -189,7 +196,15 @@
 	}
 	progress := func(done, of int, r experiment.Result) {
 		if !c.Quiet {
-			fmt.Fprintf(s.Err, "\r\x1b[K%d of %d  %s seed=%d  service %.3f", done, of, experiment.Cell{Cell: r.Cell}.Name(), r.Seed, r.Measures["service"])
+			fmt.Fprintf(
+				s.Err,
+				"\r\x1b[K%d of %d  %s seed=%d  service %.3f",
+				done,
+				of,
+				experiment.Cell{Cell: r.Cell}.Name(),
+				r.Seed,
+				r.Measures["service"],
+			)
 		}
 	}
 	n, err := p.Do(ctx, out, revision(), had, c.Workers, progress)
@@ -236,15 +251,39 @@
 }
 
 func tellCells(out io.Writer, all []experiment.Result) error {
-	fmt.Fprintf(out, "%-44s %5s  %-25s %-10s %-8s %-8s %-8s %s\n", "cell", "runs", "service (95 %)", "worst 10 s", "p99 s", "refused", "calls", "fell, broken")
+	fmt.Fprintf(
+		out,
+		"%-44s %5s  %-25s %-10s %-8s %-8s %-8s %s\n",
+		"cell",
+		"runs",
+		"service (95 %)",
+		"worst 10 s",
+		"p99 s",
+		"refused",
+		"calls",
+		"fell, broken",
+	)
 	for _, c := range experiment.Cells(all) {
 		mean := func(m string) float64 {
 			x, _, _ := experiment.Interval(c.Values(m), experiment.Confidence)
 			return x
 		}
 		x, low, high := experiment.Interval(c.Values("service"), experiment.Confidence)
-		fmt.Fprintf(out, "%-44s %5d  %.4f [%.4f, %.4f]   %.4f     %-8.3f %-8.4f %-8.3f %g, %g\n", c.Name(), len(c.Values("service")), x, low, high, mean("worst_10s"),
-			mean("late_p99"), mean("refused"), mean("calls"), mean("fell"), mean("broken"))
+		fmt.Fprintf(
+			out,
+			"%-44s %5d  %.4f [%.4f, %.4f]   %.4f     %-8.3f %-8.4f %-8.3f %g, %g\n",
+			c.Name(),
+			len(c.Values("service")),
+			x,
+			low,
+			high,
+			mean("worst_10s"),
+			mean("late_p99"),
+			mean("refused"),
+			mean("calls"),
+			mean("fell"),
+			mean("broken"),
+		)
 		for _, r := range c.Results {
 			if r.Error != "" {
 				fmt.Fprintf(out, "  seed %d: %s\n", r.Seed, r.Error)
@@ -293,7 +332,17 @@
 		if err != nil {
 			return err
 		}
-		a, b, key = experiment.Split(all, c.Factor, c.A), experiment.Split(all, c.Factor, c.B), experiment.KeyWithout(c.Factor)
+		a, b, key = experiment.Split(
+			all,
+			c.Factor,
+			c.A,
+		), experiment.Split(
+			all,
+			c.Factor,
+			c.B,
+		), experiment.KeyWithout(
+			c.Factor,
+		)
 	default:
 		return fmt.Errorf("give two files, or one with --factor, --a and --b")
 	}
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -63,7 +63,8 @@
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for t := range tasks {
-				if t.at >= len(files) && mutants[t.m] != nil && mutants[t.m].Rule != "" && !slices.Contains(worlds[t.at-len(files)].Rules, mutants[t.m].Rule) {
+				if t.at >= len(files) && mutants[t.m] != nil && mutants[t.m].Rule != "" &&
+					!slices.Contains(worlds[t.at-len(files)].Rules, mutants[t.m].Rule) {
 					continue // it says little of that rule
 				}
 				if t.at < len(files) {
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -56,8 +56,27 @@
 		return err
 	}
 	fmt.Fprintf(s.Out, "%v of virtual time, %g messages a second\n", c.Length, c.Rate)
-	fmt.Fprintf(s.Out, "%7s %12s %9s %9s %10s %9s %9s %8s %8s %6s %9s %12s %9s %9s %13s %8s %8s\n", "relays", "destinations", "messages", "service", "worst 10 s", "p99 s", "refused",
-		"full", "calls", "fell", "seconds", "messages/s", "MB", "peak MB", "B/destination", "B/relay", "B/pair")
+	fmt.Fprintf(
+		s.Out,
+		"%7s %12s %9s %9s %10s %9s %9s %8s %8s %6s %9s %12s %9s %9s %13s %8s %8s\n",
+		"relays",
+		"destinations",
+		"messages",
+		"service",
+		"worst 10 s",
+		"p99 s",
+		"refused",
+		"full",
+		"calls",
+		"fell",
+		"seconds",
+		"messages/s",
+		"MB",
+		"peak MB",
+		"B/destination",
+		"B/relay",
+		"B/pair",
+	)
 	for _, x := range sizes {
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -105,9 +124,29 @@
 	end := heap() - before
 	m := experiment.Measure(&w.Measures)
 	perRelay := float64(atRest-ofOne) / float64(max(1, x.relays-1))
-	fmt.Fprintf(s.Out, "%7d %12d %9d %9.4f %10.4f %9.3f %9.4f %8.4f %8.3f %6d %9.1f %12.0f %9.0f %9.0f %13.0f %8.0f %8.1f\n", x.relays, x.destinations, w.Offered, m["service"],
-		m["worst_10s"], m["late_p99"], m["refused"], m["calls_full"], m["calls"], w.Fell, took.Seconds(), float64(w.Offered)/took.Seconds(), float64(end)/1e6, float64(peak.Load())/1e6,
-		(float64(ofOne)-perRelay)/float64(x.destinations), perRelay, float64(end-ofOne)/float64(x.relays)/float64(x.destinations))
+	fmt.Fprintf(
+		s.Out,
+		"%7d %12d %9d %9.4f %10.4f %9.3f %9.4f %8.4f %8.3f %6d %9.1f %12.0f %9.0f %9.0f %13.0f %8.0f %8.1f\n",
+		x.relays,
+		x.destinations,
+		w.Offered,
+		m["service"],
+		m["worst_10s"],
+		m["late_p99"],
+		m["refused"],
+		m["calls_full"],
+		m["calls"],
+		w.Fell,
+		took.Seconds(),
+		float64(w.Offered)/took.Seconds(),
+		float64(end)/1e6,
+		float64(peak.Load())/1e6,
+		(float64(ofOne)-perRelay)/float64(
+			x.destinations,
+		),
+		perRelay,
+		float64(end-ofOne)/float64(x.relays)/float64(x.destinations),
+	)
 	runtime.KeepAlive(w)
 	return nil
 }
@@ -152,16 +191,42 @@
 	f := scenario.File{
 		Name: "scale", Length: d(length), Relays: relays, Zones: []string{"north", "south"},
 		Classes: []scenario.Class{
-			{Name: "order", Share: 8, Effect: "keyed", Window: d(10 * time.Second), Aim: d(3 * time.Second), GiveUp: d(12 * time.Second), LateWorth: 0.4},
-			{Name: "payment", Share: 1, Effect: "unsafe", Aim: d(3 * time.Second), GiveUp: d(10 * time.Second), LateWorth: 0.4},
-			{Name: "status", Share: 1, Effect: "safe", Aim: d(4 * time.Second), GiveUp: d(10 * time.Second), LateWorth: 0.4},
+			{
+				Name:      "order",
+				Share:     8,
+				Effect:    "keyed",
+				Window:    d(10 * time.Second),
+				Aim:       d(3 * time.Second),
+				GiveUp:    d(12 * time.Second),
+				LateWorth: 0.4,
+			},
+			{
+				Name:      "payment",
+				Share:     1,
+				Effect:    "unsafe",
+				Aim:       d(3 * time.Second),
+				GiveUp:    d(10 * time.Second),
+				LateWorth: 0.4,
+			},
+			{
+				Name:      "status",
+				Share:     1,
+				Effect:    "safe",
+				Aim:       d(4 * time.Second),
+				GiveUp:    d(10 * time.Second),
+				LateWorth: 0.4,
+			},
 		},
 		Kinds: []scenario.Kind{{
 			Name: "store", Pace: d(200 * time.Millisecond), Spread: 0.5, Slots: 8, Limit: "rate", TellsWait: 0.5, Wait: d(300 * time.Millisecond),
 		}},
-		Destinations: []scenario.Destination{{Kind: "store", Count: destinations, Rate: max(1, 2*rate/float64(destinations))}},
-		Traffic:      []scenario.Traffic{{Rate: rate}},
-		Troubles:     []scenario.Trouble{{Kind: scenario.Fail, At: d(length / 2), For: d(min(10*time.Second, length/4)), Share: 0.1}},
+		Destinations: []scenario.Destination{
+			{Kind: "store", Count: destinations, Rate: max(1, 2*rate/float64(destinations))},
+		},
+		Traffic: []scenario.Traffic{{Rate: rate}},
+		Troubles: []scenario.Trouble{
+			{Kind: scenario.Fail, At: d(length / 2), For: d(min(10*time.Second, length/4)), Share: 0.1},
+		},
 	}
 	f.SetDefaults()
 	return f
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -59,8 +59,15 @@
 
 // command runs a command line and returns the exit status.
 func command(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	return cli.Run(ctx, "rehearse", "Plays partner failures against real relay processes on loopback, and tells of each of the six rules whether it held.",
-		&app{}, args, cli.Streams{Out: stdout, Err: stderr}, exitFailed)
+	return cli.Run(
+		ctx,
+		"rehearse",
+		"Plays partner failures against real relay processes on loopback, and tells of each of the six rules whether it held.",
+		&app{},
+		args,
+		cli.Streams{Out: stdout, Err: stderr},
+		exitFailed,
+	)
 }
 
 type listCommand struct{}
@@ -126,7 +133,13 @@
 	worst := exitHeld
 	var summary []string
 	for _, f := range files {
-		opts := rehearsal.Options{Dir: folder(c.Out, f.Name), Binary: path, Seed: c.Seed, Port: c.Port, Record: c.Record || c.KeepAll}
+		opts := rehearsal.Options{
+			Dir:    folder(c.Out, f.Name),
+			Binary: path,
+			Seed:   c.Seed,
+			Port:   c.Port,
+			Record: c.Record || c.KeepAll,
+		}
 		if !c.Quiet {
 			fmt.Fprintf(s.Err, "%s: %s\n", f.Name, f.About)
 			opts.Progress = func(p rehearsal.Progress) { progress(s.Err, p) }
@@ -191,8 +204,16 @@
 	if p.Settling {
 		on = "waiting for the last ends"
 	}
-	fmt.Fprintf(w, "\r\x1b[K[%s%s] %3.0fs of %.0fs  %d handed in  %s", strings.Repeat("#", done), strings.Repeat(".", width-done),
-		p.At.Seconds(), p.Length.Seconds(), p.HandedIn, on)
+	fmt.Fprintf(
+		w,
+		"\r\x1b[K[%s%s] %3.0fs of %.0fs  %d handed in  %s",
+		strings.Repeat("#", done),
+		strings.Repeat(".", width-done),
+		p.At.Seconds(),
+		p.Length.Seconds(),
+		p.HandedIn,
+		on,
+	)
 }
 
 // folder names the folder of a run.
@@ -263,11 +284,22 @@
 	}
 	clean := func() { os.RemoveAll(dir) }
 	path := filepath.Join(dir, "cherrytrestle")
-	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle")
+	build := exec.CommandContext(
+		ctx,
+		"go",
+		"build",
+		"-buildvcs=false",
+		"-o",
+		path,
+		"cherrytrestle.example/cherrytrestle/cmd/cherrytrestle",
+	)
 	build.Stdout, build.Stderr = stderr, stderr
 	if err := build.Run(); err != nil {
 		clean()
-		return "", func() {}, fmt.Errorf("no relay beside this program, and none could be built here: %w (name one with --relay)", err)
+		return "", func() {}, fmt.Errorf(
+			"no relay beside this program, and none could be built here: %w (name one with --relay)",
+			err,
+		)
 	}
 	return path, clean, nil
 }
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -184,7 +184,8 @@
 		if status, out, _ := call("report", found[0]); status != exitNotJudged {
 			t.Errorf("%v: status %d: %s", sig, status, out)
 		}
-		if sig != syscall.SIGKILL && (cmd.ProcessState.ExitCode() != exitFailed || !strings.Contains(errs.String(), "is kept in")) {
+		if sig != syscall.SIGKILL &&
+			(cmd.ProcessState.ExitCode() != exitFailed || !strings.Contains(errs.String(), "is kept in")) {
 			t.Errorf("%v: %v, %s", sig, cmd.ProcessState, errs.String())
 		}
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,8 +17,17 @@
 )
 
 func main() {
-	os.Exit(cli.Run(context.Background(), "drill", "The decision module on the simulator's wire, on standard input and output.", &app{}, os.Args[1:],
-		cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}, cli.Failed))
+	os.Exit(
+		cli.Run(
+			context.Background(),
+			"drill",
+			"The decision module on the simulator's wire, on standard input and output.",
+			&app{},
+			os.Args[1:],
+			cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr},
+			cli.Failed,
+		),
+	)
 }
 
 type app struct {
--- a/cmd/sockfault/main_test.go
+++ b/cmd/sockfault/main_test.go
@@ -119,7 +119,8 @@
 	defer cancel()
 	var out, errs strings.Builder
 	status := run(ctx, []string{"--target", "127.0.0.1:1", "--script", path}, &out, &errs)
-	if status != 1 || !strings.Contains(errs.String(), "line 2: unknown command") || !strings.Contains(out.String(), "add do=refuse: 1") {
+	if status != 1 || !strings.Contains(errs.String(), "line 2: unknown command") ||
+		!strings.Contains(out.String(), "add do=refuse: 1") {
 		t.Errorf("%d, %s, %s", status, errs.String(), out.String())
 	}
 }
@@ -136,7 +137,8 @@
 		{[]string{"--target", "127.0.0.1:1", "--script", "/nonexistent"}, "no such file"},
 	} {
 		var errs strings.Builder
-		if status := run(context.Background(), c.args, io.Discard, &errs); status == 0 || !strings.Contains(errs.String(), c.want) {
+		if status := run(context.Background(), c.args, io.Discard, &errs); status == 0 ||
+			!strings.Contains(errs.String(), c.want) {
 			t.Errorf("%v: %d, %s, want %q", c.args, status, errs.String(), c.want)
 		}
 	}
--- a/internal/admin/manage_test.go
+++ b/internal/admin/manage_test.go
@@ -24,7 +24,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	s := Server{Ready: ready.Load, Metrics: func(w io.Writer) { fmt.Fprintln(w, "router.pending:3|g") }, Log: slog.New(slog.DiscardHandler)}
+	s := Server{
+		Ready:   ready.Load,
+		Metrics: func(w io.Writer) { fmt.Fprintln(w, "router.pending:3|g") },
+		Log:     slog.New(slog.DiscardHandler),
+	}
 	go func() { ended <- s.Serve(ctx, l) }()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/capacity/breaks.go
+++ b/internal/capacity/breaks.go
@@ -101,7 +101,13 @@
 	x.At, x.How = b.reaches(name, y)
 	x.At *= relays
 	if _, l, err := b.line(name); err == nil && math.IsNaN(x.At) && drawnOut*l.Most*relays >= x.Target {
-		x.At, x.How = math.Inf(1), fmt.Sprintf("`%s` bends by %.0f %%: none up to ten times the largest measured", name, 100*l.Residual)
+		x.At, x.How = math.Inf(
+			1,
+		), fmt.Sprintf(
+			"`%s` bends by %.0f %%: none up to ten times the largest measured",
+			name,
+			100*l.Residual,
+		)
 	}
 	return x
 }
@@ -121,10 +127,22 @@
 	module.Mechanism = byModule
 	return []Break{
 		b.bound(with("a relay that asks discovery never becomes ready"), RelayDiscovery),
-		b.budget(with(fmt.Sprintf("the list takes %s", Format(b.ControlMemory, Bytes))), RelayMemory, base+b.ControlMemory),
+		b.budget(
+			with(fmt.Sprintf("the list takes %s", Format(b.ControlMemory, Bytes))),
+			RelayMemory,
+			base+b.ControlMemory,
+		),
 		b.budget(with(fmt.Sprintf("a start takes %s", Format(b.ReadyIn, Seconds))), RelayReady, b.ReadyIn),
-		b.budget(with(fmt.Sprintf("the list at rest takes %s", Format(b.ControlCores, Cores))), RelayRest, none+b.ControlCores),
-		b.budget(with(fmt.Sprintf("%s changes a day take %s", exact(b.Changes), Format(b.ControlCores, Cores))), RelayChange, b.ControlCores*day/b.Changes),
+		b.budget(
+			with(fmt.Sprintf("the list at rest takes %s", Format(b.ControlCores, Cores))),
+			RelayRest,
+			none+b.ControlCores,
+		),
+		b.budget(
+			with(fmt.Sprintf("%s changes a day take %s", exact(b.Changes), Format(b.ControlCores, Cores))),
+			RelayChange,
+			b.ControlCores*day/b.Changes,
+		),
 		b.bound(pages, FleetPages),
 		b.bound(rights, FleetRights),
 		b.budget(module, ModuleMessage, b.Cores/b.PerRelay()),
@@ -136,11 +154,27 @@
 	with := func(what string) Break { axis.What = what; return axis }
 	return []Break{
 		b.bound(with("a relay with a longer table of members does not start"), FleetJoin),
-		b.budget(with(fmt.Sprintf("what a member sends takes %s", Format(b.ControlBytes, ByteRate))), FleetBytes, b.ControlBytes),
-		b.budget(with(fmt.Sprintf("what a member sends to lend 1,000 limits takes %s", Format(b.ControlBytes, ByteRate))), FleetLending, b.ControlBytes),
-		b.budget(with(fmt.Sprintf("what one tells is known to all after %s", Format(b.InForce, Seconds))), FleetKnown, b.InForce),
+		b.budget(
+			with(fmt.Sprintf("what a member sends takes %s", Format(b.ControlBytes, ByteRate))),
+			FleetBytes,
+			b.ControlBytes,
+		),
+		b.budget(
+			with(fmt.Sprintf("what a member sends to lend 1,000 limits takes %s", Format(b.ControlBytes, ByteRate))),
+			FleetLending,
+			b.ControlBytes,
+		),
+		b.budget(
+			with(fmt.Sprintf("what one tells is known to all after %s", Format(b.InForce, Seconds))),
+			FleetKnown,
+			b.InForce,
+		),
 		b.budget(with(fmt.Sprintf("membership takes %s", Format(b.ControlCores, Cores))), FleetCores, b.ControlCores),
-		b.budget(with(fmt.Sprintf("membership takes %s", Format(b.ControlMemory, Bytes))), FleetMemory, b.ControlMemory),
+		b.budget(
+			with(fmt.Sprintf("membership takes %s", Format(b.ControlMemory, Bytes))),
+			FleetMemory,
+			b.ControlMemory,
+		),
 	}
 }
 
@@ -157,21 +191,42 @@
 	ready, module := axis, axis
 	ready.What = fmt.Sprintf("a restart takes %s", Format(b.ReadyIn, Seconds))
 	module.What, module.Mechanism = "the module takes a core", byModule
-	return []Break{b.budgetOf(ready, RelayRecovery, b.ReadyIn, b.Relays), b.budgetOf(module, ModuleBacklog, b.Cores/b.PerRelay(), b.Relays)}
+	return []Break{
+		b.budgetOf(ready, RelayRecovery, b.ReadyIn, b.Relays),
+		b.budgetOf(module, ModuleBacklog, b.Cores/b.PerRelay(), b.Relays),
+	}
 }
 
 func (b book) byChanges() []Break {
 	axis := Break{Axis: "changes a day", Target: b.Changes, Mechanism: byList, Effect: OverBudget}
 	cores, bytes, force := axis, axis, axis
 	cost, costHow := b.at(RelayChange, b.Destinations)
-	cores.What, cores.How, cores.At = fmt.Sprintf("they take %s", Format(b.ControlCores, Cores)), costHow, b.ControlCores*day/cost
+	cores.What, cores.How, cores.At = fmt.Sprintf(
+		"they take %s",
+		Format(b.ControlCores, Cores),
+	), costHow, b.ControlCores*day/cost
 	entry, entryHow := b.entry()
-	bytes.What, bytes.How, bytes.At = fmt.Sprintf("they take %s", Format(b.ControlBytes, ByteRate)), entryHow, b.ControlBytes*day/entry
-	force.What, force.How, force.At = fmt.Sprintf("not in force everywhere in %s", Format(b.InForce, Seconds)), "one relay alone was measured", math.NaN()
+	bytes.What, bytes.How, bytes.At = fmt.Sprintf(
+		"they take %s",
+		Format(b.ControlBytes, ByteRate),
+	), entryHow, b.ControlBytes*day/entry
+	force.What, force.How, force.At = fmt.Sprintf(
+		"not in force everywhere in %s",
+		Format(b.InForce, Seconds),
+	), "one relay alone was measured", math.NaN()
 	force.Mechanism = ""
 	return []Break{cores, bytes, force}
 }
 
 func (b book) byRegions() []Break {
-	return []Break{{Axis: "regions", Target: b.Regions, At: math.NaN(), Effect: OverBudget, What: "nothing knows of regions: links between them are taken like any others", How: "no mechanism, so no value"}}
+	return []Break{
+		{
+			Axis:   "regions",
+			Target: b.Regions,
+			At:     math.NaN(),
+			Effect: OverBudget,
+			What:   "nothing knows of regions: links between them are taken like any others",
+			How:    "no mechanism, so no value",
+		},
+	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -46,7 +46,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !math.IsNaN(c.base) && (!near(l.Slope, c.slope) && math.Abs(l.Slope-c.slope) > 1e-9 || math.Abs(l.Base-c.base) > 1e-6) {
+			if !math.IsNaN(c.base) &&
+				(!near(l.Slope, c.slope) && math.Abs(l.Slope-c.slope) > 1e-9 || math.Abs(l.Base-c.base) > 1e-6) {
 				t.Errorf("%g + %g n, want %g + %g n", l.Base, l.Slope, c.base, c.slope)
 			}
 			if l.Bends() != c.bends {
@@ -65,11 +66,21 @@
 		off   float64
 		bends bool
 	}{{0.1, false}, {0.5, true}} {
-		l, err := Fit(series("x", Bytes, Point{N: 1, Value: 100}, Point{N: 2, Value: 200 * (1 + c.off)}, Point{N: 3, Value: 300}, Point{N: 4, Value: 400}))
+		l, err := Fit(
+			series(
+				"x",
+				Bytes,
+				Point{N: 1, Value: 100},
+				Point{N: 2, Value: 200 * (1 + c.off)},
+				Point{N: 3, Value: 300},
+				Point{N: 4, Value: 400},
+			),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if worst := math.Abs(l.line(2)-200*(1+c.off)) / (200 * (1 + c.off)); !near(l.Residual, worst) || l.Bends() != c.bends {
+		if worst := math.Abs(l.line(2)-200*(1+c.off)) / (200 * (1 + c.off)); !near(l.Residual, worst) ||
+			l.Bends() != c.bends {
 			t.Errorf("off by %g: residual %g, want %g; bends: %v", c.off, l.Residual, worst, l.Bends())
 		}
 	}
@@ -237,12 +248,16 @@
 		}
 	}
 	run.Series = append(run.Series, straight(FleetCores, Cores, 0.001, 1e-4, 10, 30, 100))
-	if f := figures(target, run)[control+"all: processor"]; !near(f.Value, 0.1*1.1e-3+0.02+0.011) || f.Verdict() != Carried {
+	if f := figures(target, run)[control+"all: processor"]; !near(f.Value, 0.1*1.1e-3+0.02+0.011) ||
+		f.Verdict() != Carried {
 		t.Errorf("all control: %g, %s", f.Value, f.Says())
 	}
 	run.AtRest = true
 	busy := 1 - math.Exp(-30.0/(100/10.0)) // an event to a destination in ten seconds
-	if f := figures(target, run)[sending+"state: destinations that the module knows"]; !near(f.Value, 1000*(0.02+0.98*busy)) {
+	if f := figures(target, run)[sending+"state: destinations that the module knows"]; !near(
+		f.Value,
+		1000*(0.02+0.98*busy),
+	) {
 		t.Errorf("awake: %g", f.Value)
 	}
 }
@@ -324,7 +339,10 @@
 	if m, _ := Missing(Breaks(target, over)); m.Effect != StopsEntirely || m.At != 99 {
 		t.Errorf("%+v", m)
 	}
-	over.Series = append(over.Series, series(RelayDiscovery, Seconds, Point{N: 980, Value: 1}, Point{N: 990, Stopped: true}))
+	over.Series = append(
+		over.Series,
+		series(RelayDiscovery, Seconds, Point{N: 980, Value: 1}, Point{N: 990, Stopped: true}),
+	)
 	if m, _ := Missing(Breaks(target, over)); m.At != 980 {
 		t.Errorf("%+v", m)
 	}
@@ -339,7 +357,17 @@
 func TestABendFarOff(t *testing.T) {
 	target, _ := small()
 	bending := func(most float64) Run {
-		return Run{Series: []Series{series(RelayReady, Seconds, Point{N: most / 100, Value: 1e-6}, Point{N: most / 10, Value: 3e-6}, Point{N: most, Value: 4e-6})}}
+		return Run{
+			Series: []Series{
+				series(
+					RelayReady,
+					Seconds,
+					Point{N: most / 100, Value: 1e-6},
+					Point{N: most / 10, Value: 3e-6},
+					Point{N: most, Value: 4e-6},
+				),
+			},
+		}
 	}
 	for most, want := range map[float64]float64{100: math.Inf(1), 99: math.NaN()} {
 		for _, b := range Breaks(target, bending(most)) {
@@ -430,7 +458,8 @@
 		blank += "words of " + name + "\n" + marker(name, false) + "\nold\n" + marker(name, true) + "\n"
 	}
 	page, err := Fill(blank, sections)
-	if err != nil || strings.Contains(page, "old\n") || !strings.Contains(page, "words of breaks") || !strings.Contains(page, "it does not start with the table") {
+	if err != nil || strings.Contains(page, "old\n") || !strings.Contains(page, "words of breaks") ||
+		!strings.Contains(page, "it does not start with the table") {
 		t.Fatalf("%v:\n%s", err, page)
 	}
 	if again, err := Fill(page, sections); err != nil || again != page {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -104,7 +104,13 @@
 		}
 		return between.Predict(n), nil
 	case n > drawnOut*l.Most && l.Why == "":
-		return 0, fmt.Errorf("%w by %.0f %% and is not drawn out from %s to %s", errBent, 100*l.Residual, Format(l.Most, Count), Format(n, Count))
+		return 0, fmt.Errorf(
+			"%w by %.0f %% and is not drawn out from %s to %s",
+			errBent,
+			100*l.Residual,
+			Format(l.Most, Count),
+			Format(n, Count),
+		)
 	case n > l.Most:
 		return l.beyond(n), nil
 	}
@@ -146,7 +152,13 @@
 		n = min(n, math.Pow(y/l.Scale, 1/l.Power))
 	}
 	if l.Bends() && n > drawnOut*l.Most && l.Why == "" {
-		return 0, fmt.Errorf("%w by %.0f %% and is not drawn out from %s to %s", errBent, 100*l.Residual, Format(l.Most, Count), Format(n, Count))
+		return 0, fmt.Errorf(
+			"%w by %.0f %% and is not drawn out from %s to %s",
+			errBent,
+			100*l.Residual,
+			Format(l.Most, Count),
+			Format(n, Count),
+		)
 	}
 	return n, nil
 }
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -17,14 +17,25 @@
 // them once all are back in service; and on taking all up again in one step, as after a restart. Hollow are the
 // journal, the loop and all hosts, which answer at once.
 func Backlog(held, destinations int) (Reading, error) {
-	set := policy.Settings{MaxInFlightCalls: backlogSlots, Classes: []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1}}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}
+	set := policy.Settings{
+		MaxInFlightCalls: backlogSlots,
+		Classes: []policy.Class{
+			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1},
+		},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}},
+	}
 	list := make([]policy.Endpoint, 0, destinations)
 	for d := range destinations {
 		// no pace holds up what is measured
 		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6})
 	}
 	taken := func(i int) policy.Event {
-		return policy.Event{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), Destination: i % destinations, TimeLeft: 8 * time.Hour}
+		return policy.Event{
+			Kind:        policy.MessageAccepted,
+			MessageID:   uint32(i + 1),
+			Destination: i % destinations,
+			TimeLeft:    8 * time.Hour,
+		}
 	}
 	before := heap()
 	s, err := policy.New(set, 1)
@@ -74,7 +85,17 @@
 			for _, a := range acts {
 				if a.Kind == policy.Send {
 					sent++
-					evs = append(evs, policy.Event{Kind: policy.AttemptFinished, MessageID: a.MessageID, Endpoint: a.Endpoint, Outcome: policy.OK, Latency: 5 * time.Millisecond, MessageEnded: true})
+					evs = append(
+						evs,
+						policy.Event{
+							Kind:         policy.AttemptFinished,
+							MessageID:    a.MessageID,
+							Endpoint:     a.Endpoint,
+							Outcome:      policy.OK,
+							Latency:      5 * time.Millisecond,
+							MessageEnded: true,
+						},
+					)
 				}
 			}
 			now += 5 * time.Millisecond
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -117,7 +117,12 @@
 func Start(opt Options) (*Fleet, error) {
 	opt.setDefaults()
 	if opt.Members < 2 || opt.Destinations < opt.Busy {
-		return nil, fmt.Errorf("hollow: %d members, %d destinations, %d of them busy", opt.Members, opt.Destinations, opt.Busy)
+		return nil, fmt.Errorf(
+			"hollow: %d members, %d destinations, %d of them busy",
+			opt.Members,
+			opt.Destinations,
+			opt.Busy,
+		)
 	}
 	folder, err := os.MkdirTemp("", "hollow")
 	if err != nil {
@@ -137,7 +142,9 @@
 			return nil, errors.Join(fmt.Errorf("hollow: %w", err), f.Close())
 		}
 		m.real = fleet.New(fleet.Config{
-			Name: memberName(i), Listen: f.net.all[i].addr, Peers: join, Folder: state, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: opt.Rights,
+			Name: memberName(
+				i,
+			), Listen: f.net.all[i].addr, Peers: join, Folder: state, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, ShareQuota: opt.Rights,
 			FleetSize: opt.Members, Clock: m.clock, Log: slog.New(slog.DiscardHandler), RequestStep: m.nudge, Transport: f.net.all[i],
 		})
 		own, end := context.WithCancel(ctx)
@@ -196,7 +203,11 @@
 		return
 	}
 	for _, p := range rec.Received {
-		if p.Name == w.from && slices.ContainsFunc(p.Scopes, func(c loadreport.ScopeLoad) bool { return c.Destination == m.fleet.changed() && c.RetryAfter > 0 }) {
+		if p.Name == w.from &&
+			slices.ContainsFunc(
+				p.Scopes,
+				func(c loadreport.ScopeLoad) bool { return c.Destination == m.fleet.changed() && c.RetryAfter > 0 },
+			) {
 			w.mu.Lock()
 			if _, before := w.known[m.number]; !before {
 				w.known[m.number] = time.Since(w.at)
@@ -216,12 +227,23 @@
 		m.told = true
 		list := policy.Event{Kind: policy.EndpointSnapshot}
 		for d := range m.fleet.opt.Destinations + 1 {
-			list.Endpoints = append(list.Endpoints, policy.Endpoint{ID: route(d), Destination: d, Weight: m.fleet.opt.Limit, InService: true})
+			list.Endpoints = append(
+				list.Endpoints,
+				policy.Endpoint{ID: route(d), Destination: d, Weight: m.fleet.opt.Limit, InService: true},
+			)
 		}
 		events = append(events, list)
 	}
 	if wait > 0 {
-		events = append(events, policy.Event{Kind: policy.AttemptFinished, Endpoint: route(m.fleet.changed()), Outcome: policy.Overloaded, RetryAfter: wait})
+		events = append(
+			events,
+			policy.Event{
+				Kind:       policy.AttemptFinished,
+				Endpoint:   route(m.fleet.changed()),
+				Outcome:    policy.Overloaded,
+				RetryAfter: wait,
+			},
+		)
 	}
 	if m.fleet.opt.Busy == 0 {
 		return events, nil
@@ -231,7 +253,16 @@
 		d := int(m.nextID) % m.fleet.opt.Busy
 		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: m.nextID, Destination: d})
 		actions = append(actions, policy.Action{Kind: policy.Send, MessageID: m.nextID, Endpoint: route(d)})
-		m.out = append(m.out, policy.Event{Kind: policy.AttemptFinished, MessageID: m.nextID, Endpoint: route(d), Outcome: policy.OK, MessageEnded: true})
+		m.out = append(
+			m.out,
+			policy.Event{
+				Kind:         policy.AttemptFinished,
+				MessageID:    m.nextID,
+				Endpoint:     route(d),
+				Outcome:      policy.OK,
+				MessageEnded: true,
+			},
+		)
 	}
 	return events, actions
 }
@@ -323,10 +354,16 @@
 	slices.Sort(each)
 	return Reading{f.opt.Members, map[string]float64{
 		"sent_bytes_per_s": per(a.sent, b.sent), "sent_bytes_per_s_p99": stat.Quantile(0.99, stat.Empirical, each, nil),
-		"heard_bytes_per_s":    per(a.heard, b.heard),
-		"sent_datagrams_per_s": per(a.sentDatagrams, b.sentDatagrams), "heard_datagrams_per_s": per(a.heardDatagrams, b.heardDatagrams),
+		"heard_bytes_per_s": per(a.heard, b.heard),
+		"sent_datagrams_per_s": per(
+			a.sentDatagrams,
+			b.sentDatagrams,
+		), "heard_datagrams_per_s": per(a.heardDatagrams, b.heardDatagrams),
 		"streams_per_s": per(a.streams, b.streams), "datagrams_without_room_per_s": per(a.lost, b.lost),
-		"steps_per_s": per(a.steps, b.steps), "processor_ms_per_s": float64((b.cpu - a.cpu).Microseconds()) / 1000 / n / seconds,
+		"steps_per_s": per(
+			a.steps,
+			b.steps,
+		), "processor_ms_per_s": float64((b.cpu - a.cpu).Microseconds()) / 1000 / n / seconds,
 	}}
 }
 
@@ -367,7 +404,13 @@
 	after := heap()
 	r.Values["memory_bytes"] = float64(after-min(before, after)) / float64(f.opt.Members)
 	if len(half) > 0 {
-		r.Values["known_half_s"], r.Values["known_99_s"], r.Values["known_all_s"] = median(half), median(most), median(all)
+		r.Values["known_half_s"], r.Values["known_99_s"], r.Values["known_all_s"] = median(
+			half,
+		), median(
+			most,
+		), median(
+			all,
+		)
 		r.Values["known_all_worst_s"], r.Values["known_share"] = slices.Max(all), slices.Min(share)
 	}
 	return r, nil
--- a/internal/capacity/hollow/list.go
+++ b/internal/capacity/hollow/list.go
@@ -25,7 +25,16 @@
 	whole := policy.Event{Kind: policy.EndpointSnapshot, Endpoints: make([]policy.Endpoint, 0, 2*destinations)}
 	for d := range destinations {
 		for k := range 2 {
-			whole.Endpoints = append(whole.Endpoints, policy.Endpoint{ID: fmt.Sprintf("s-%06d-%d", d, k), Destination: d, Zone: k, Weight: 8.6, InService: true})
+			whole.Endpoints = append(
+				whole.Endpoints,
+				policy.Endpoint{
+					ID:          fmt.Sprintf("s-%06d-%d", d, k),
+					Destination: d,
+					Zone:        k,
+					Weight:      8.6,
+					InService:   true,
+				},
+			)
 		}
 	}
 	values := map[string]float64{"whole_list_us": step(whole)}
--- a/internal/capacity/hollow/rights.go
+++ b/internal/capacity/hollow/rights.go
@@ -80,7 +80,10 @@
 	for i := range members {
 		names = append(names, memberName(i))
 		stations[memberName(i)] = &station{
-			life: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, at: time.Duration(rng.Int64N(int64(renewEvery))),
+			life: loadreport.Incarnation{
+				Generation: 1,
+				Boot:       uint32(i + 1),
+			}, at: time.Duration(rng.Int64N(int64(renewEvery))),
 		}
 	}
 	me, life := names[self], stations[names[self]].life
@@ -116,22 +119,48 @@
 			}
 			if s := stations[m.Member]; got.Ping || got.AsksForLeases || len(got.Leases)+len(got.Requests) > 0 {
 				s.seq++
-				answers = append(answers, quota.Message{Member: m.Member, Incarnation: s.life, Seq: s.seq, AckedSeq: m.Seq, AckedIncarnation: life, HoldsNoLease: got.AsksForLeases})
+				answers = append(
+					answers,
+					quota.Message{
+						Member:           m.Member,
+						Incarnation:      s.life,
+						Seq:              s.seq,
+						AckedSeq:         m.Seq,
+						AckedIncarnation: life,
+						HoldsNoLease:     got.AsksForLeases,
+					},
+				)
 			}
 		}
 		var mine []quota.Lease
 		for _, st := range b.Status(now) {
 			if st.LeaseHolder == me {
-				mine = append(mine, quota.Lease{Scope: quota.Scope{Destination: st.Destination}, Rate: (1 - quota.ReservedFraction) * part})
+				mine = append(
+					mine,
+					quota.Lease{
+						Scope: quota.Scope{Destination: st.Destination},
+						Rate:  (1 - quota.ReservedFraction) * part,
+					},
+				)
 			}
 		}
 		for _, name := range names {
-			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 && now > quota.LeaseDuration+quota.LeaseMargin {
+			if s := stations[name]; name != me && now >= s.at && len(mine) > 0 &&
+				now > quota.LeaseDuration+quota.LeaseMargin {
 				s.at = now + renewEvery
 				for rest := mine; len(rest) > 0; {
 					n := min(len(rest), 24)
 					s.seq++
-					answers = append(answers, quota.Message{Member: name, Incarnation: s.life, Seq: s.seq, AckedIncarnation: life, Leases: rest[:n]})
+					answers = append(
+						answers,
+						quota.Message{
+							Member:           name,
+							Incarnation:      s.life,
+							Seq:              s.seq,
+							AckedIncarnation: life,
+							Leases:           rest[:n],
+						},
+					)
 					rest = rest[n:]
 				}
 			}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -24,7 +24,11 @@
 		return nil, fmt.Errorf("capacity: nothing was measured")
 	}
 	return map[string]string{
-		SectionSummary: summary(t, d, r), SectionRoles: roles(t, r), SectionFailures: failures(t, r), SectionBreaks: breaks(t, d),
+		SectionSummary: summary(
+			t,
+			d,
+			r,
+		), SectionRoles: roles(t, r), SectionFailures: failures(t, r), SectionBreaks: breaks(t, d),
 		SectionSlopes: slopes(r), SectionPrograms: programs(d),
 	}, nil
 }
@@ -75,7 +79,15 @@
 	if r.Quick {
 		quick = ", quick: at the smaller sizes alone"
 	}
-	return fmt.Sprintf("%s, commit %s, %d cores, %.0f GB, %s%s", r.Date, r.Commit, r.Machine.Cores, float64(r.Machine.MemoryMB)/1024, r.Machine.Go, quick)
+	return fmt.Sprintf(
+		"%s, commit %s, %d cores, %.0f GB, %s%s",
+		r.Date,
+		r.Commit,
+		r.Machine.Cores,
+		float64(r.Machine.MemoryMB)/1024,
+		r.Machine.Go,
+		quick,
+	)
 }
 
 func summary(t Target, d Data, r Run) string {
@@ -91,7 +103,13 @@
 			name := strings.ToLower(strings.SplitN(role.Name, " (", 2)[0]) + ", " + f.What
 			switch v {
 			case Over:
-				line := fmt.Sprintf("%s: %s of %s (%s)", name, Format(f.Value, f.Unit), Format(f.Budget, f.Unit), strings.ReplaceAll(f.Says(), "*", ""))
+				line := fmt.Sprintf(
+					"%s: %s of %s (%s)",
+					name,
+					Format(f.Value, f.Unit),
+					Format(f.Budget, f.Unit),
+					strings.ReplaceAll(f.Says(), "*", ""),
+				)
 				if strings.Contains(f.How, "bends") {
 					line += "; the line bends: a coarse figure"
 				}
@@ -108,16 +126,45 @@
 	fmt.Fprintf(&s, "Measured: %s (the program %s).\n\n", stamp(r), r.Program)
 	found := Breaks(t, r)
 	if x, ok := Missing(found); ok {
-		fmt.Fprintf(&s, "**Missing first: %s.** At %s of %s %s (%.2g %% of the target) %s: %s.\n\n", mechanism(x), Format(x.At, Count), exact(x.Target), x.Axis, 100*x.Share(), x.What, x.Effect)
+		fmt.Fprintf(
+			&s,
+			"**Missing first: %s.** At %s of %s %s (%.2g %% of the target) %s: %s.\n\n",
+			mechanism(x),
+			Format(x.At, Count),
+			exact(x.Target),
+			x.Axis,
+			100*x.Share(),
+			x.What,
+			x.Effect,
+		)
 	} else {
 		s.WriteString("**Nothing that was measured breaks below its target.**\n\n")
 	}
 	if was, ok := d.Run(Before); ok && r.Program != Before {
 		if x, ok := Missing(Breaks(t, was)); ok {
-			fmt.Fprintf(&s, "Of the program before (%s) it was %s: at %s of %s %s (%.2g %%) %s: %s.\n\n", was.Commit, mechanism(x), Format(x.At, Count), exact(x.Target), x.Axis, 100*x.Share(), x.What, x.Effect)
+			fmt.Fprintf(
+				&s,
+				"Of the program before (%s) it was %s: at %s of %s %s (%.2g %%) %s: %s.\n\n",
+				was.Commit,
+				mechanism(x),
+				Format(x.At, Count),
+				exact(x.Target),
+				x.Axis,
+				100*x.Share(),
+				x.What,
+				x.Effect,
+			)
 		}
 	}
-	fmt.Fprintf(&s, "Of %d figures %d are carried, %d over, %d not measured, and %d have no mechanism yet.\n\n", all, counts[Carried], counts[Over], counts[NotMeasured], counts[NoMechanism])
+	fmt.Fprintf(
+		&s,
+		"Of %d figures %d are carried, %d over, %d not measured, and %d have no mechanism yet.\n\n",
+		all,
+		counts[Carried],
+		counts[Over],
+		counts[NotMeasured],
+		counts[NoMechanism],
+	)
 	t1 := table{}
 	t1.head("axis", "target", "first break", "at", "share of the target", "effect")
 	for _, axis := range axes(found) {
@@ -211,7 +258,18 @@
 
 func failures(t Target, r Run) string {
 	var x table
-	x.head("failure", "relays away", "each other relay takes", "its processor", "messages out of reach", "held more by each", "on its disk", "lists that come anew", "ready after", "promises to clients")
+	x.head(
+		"failure",
+		"relays away",
+		"each other relay takes",
+		"its processor",
+		"messages out of reach",
+		"held more by each",
+		"on its disk",
+		"lists that come anew",
+		"ready after",
+		"promises to clients",
+	)
 	none := func(v float64, u Unit) string {
 		if v == 0 {
 			return ""
@@ -219,8 +277,18 @@
 		return Format(v, u)
 	}
 	for _, f := range Failures(t, r) {
-		x.row(f.Name, Format(f.Away, Count), Format(f.Load, Rate), Format(f.Cores, Cores), none(f.Beyond, Count), none(f.Held, Count), none(f.Disk, Bytes), none(f.Lists, Bytes),
-			Format(f.Ready, Seconds), f.Promises)
+		x.row(
+			f.Name,
+			Format(f.Away, Count),
+			Format(f.Load, Rate),
+			Format(f.Cores, Cores),
+			none(f.Beyond, Count),
+			none(f.Held, Count),
+			none(f.Disk, Bytes),
+			none(f.Lists, Bytes),
+			Format(f.Ready, Seconds),
+			f.Promises,
+		)
 	}
 	return x.String()
 }
@@ -236,7 +304,16 @@
 		var x table
 		x.head("axis", "target", "breaks at", "share of the target", "effect", "what", "carried by", "worked out from")
 		for _, b := range Breaks(t, r) {
-			x.row(b.Axis, Format(b.Target, Count), at(b), share(b), effect(b), b.What, cmpOr(b.Mechanism, "nothing"), b.How)
+			x.row(
+				b.Axis,
+				Format(b.Target, Count),
+				at(b),
+				share(b),
+				effect(b),
+				b.What,
+				cmpOr(b.Mechanism, "nothing"),
+				b.How,
+			)
 		}
 		s.WriteString(x.String() + "\n")
 	}
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -91,18 +91,93 @@
 	recovery, recoveryHow := b.at(RelayRecovery, b.HeldByRelay())
 	sync, syncHow := b.at(JournalSync, 1)
 	return Role{"A relay: deciding and sending", []Figure{
-		{What: "state: messages held", Value: b.HeldByRelay(), How: fmt.Sprintf("%s of all relays", exact(b.Backlog)), Mechanism: byJournal},
+		{
+			What:      "state: messages held",
+			Value:     b.HeldByRelay(),
+			How:       fmt.Sprintf("%s of all relays", exact(b.Backlog)),
+			Mechanism: byJournal,
+		},
 		{What: "state: destinations that the module knows", Value: told, How: why, Mechanism: byModule},
-		{What: "messages in", Value: b.PerRelay(), Unit: Rate, How: fmt.Sprintf("%s a second of all", exact(b.Events)), Mechanism: byLoop},
-		{What: "calls out", Value: b.PerRelay() * (1 - b.Down), Unit: Rate, How: fmt.Sprintf("one for each message but the %.1f %% whose destination is down", 100*b.Down), Mechanism: byLoop},
-		{What: "processor, connections used again", Value: load, Unit: Cores, How: loadHow, Budget: b.Cores, Allowed: coreOfAll, Mechanism: byLoop},
-		{What: "processor, a connection for each call", Value: fresh, Unit: Cores, How: freshHow, Budget: b.Cores, Allowed: coreOfAll, Mechanism: byLoop},
-		{What: "processor, the module alone", Value: module * b.PerRelay(), Unit: Cores, How: moduleHow + ", for each message", Budget: b.Cores, Allowed: coreOfAll, Mechanism: byModule},
-		{What: "processor, the module beside the backlog", Value: backlog * b.PerRelay(), Unit: Cores, How: backlogHow + ", for each message", Budget: b.Cores, Allowed: coreOfAll, Mechanism: byModule},
-		{What: "memory with the backlog", Value: memory, Unit: Bytes, How: memoryHow + "; `limits.memory_mb` has to allow it", Mechanism: byLoop},
-		{What: "disk with the backlog", Value: disk, Unit: Bytes, How: diskHow + "; `limits.disk_mb` has to allow it, and as much again for what is not yet compacted", Mechanism: byJournal},
-		{What: "ready after a restart with the backlog", Value: recovery, Unit: Seconds, How: recoveryHow, Budget: b.ReadyIn, Allowed: restart, Mechanism: byLoop},
-		{What: "a commit that outlasts the machine, if `journal.sync` asks for it", Value: sync, Unit: Seconds, How: syncHow, Mechanism: byJournal},
+		{
+			What:      "messages in",
+			Value:     b.PerRelay(),
+			Unit:      Rate,
+			How:       fmt.Sprintf("%s a second of all", exact(b.Events)),
+			Mechanism: byLoop,
+		},
+		{
+			What:      "calls out",
+			Value:     b.PerRelay() * (1 - b.Down),
+			Unit:      Rate,
+			How:       fmt.Sprintf("one for each message but the %.1f %% whose destination is down", 100*b.Down),
+			Mechanism: byLoop,
+		},
+		{
+			What:      "processor, connections used again",
+			Value:     load,
+			Unit:      Cores,
+			How:       loadHow,
+			Budget:    b.Cores,
+			Allowed:   coreOfAll,
+			Mechanism: byLoop,
+		},
+		{
+			What:      "processor, a connection for each call",
+			Value:     fresh,
+			Unit:      Cores,
+			How:       freshHow,
+			Budget:    b.Cores,
+			Allowed:   coreOfAll,
+			Mechanism: byLoop,
+		},
+		{
+			What:      "processor, the module alone",
+			Value:     module * b.PerRelay(),
+			Unit:      Cores,
+			How:       moduleHow + ", for each message",
+			Budget:    b.Cores,
+			Allowed:   coreOfAll,
+			Mechanism: byModule,
+		},
+		{
+			What:      "processor, the module beside the backlog",
+			Value:     backlog * b.PerRelay(),
+			Unit:      Cores,
+			How:       backlogHow + ", for each message",
+			Budget:    b.Cores,
+			Allowed:   coreOfAll,
+			Mechanism: byModule,
+		},
+		{
+			What:      "memory with the backlog",
+			Value:     memory,
+			Unit:      Bytes,
+			How:       memoryHow + "; `limits.memory_mb` has to allow it",
+			Mechanism: byLoop,
+		},
+		{
+			What:      "disk with the backlog",
+			Value:     disk,
+			Unit:      Bytes,
+			How:       diskHow + "; `limits.disk_mb` has to allow it, and as much again for what is not yet compacted",
+			Mechanism: byJournal,
+		},
+		{
+			What:      "ready after a restart with the backlog",
+			Value:     recovery,
+			Unit:      Seconds,
+			How:       recoveryHow,
+			Budget:    b.ReadyIn,
+			Allowed:   restart,
+			Mechanism: byLoop,
+		},
+		{
+			What:      "a commit that outlasts the machine, if `journal.sync` asks for it",
+			Value:     sync,
+			Unit:      Seconds,
+			How:       syncHow,
+			Mechanism: byJournal,
+		},
 	}}
 }
 
@@ -134,20 +209,63 @@
 		What: "list: destinations with which it becomes ready by discovery", Value: b.Destinations, Mechanism: byList,
 		Stops: "it never becomes ready",
 	}, RelayDiscovery)
-	join := b.stops(Figure{What: "membership: relays that hear of each other", Value: b.Relays, Mechanism: byFleet, Stops: "it does not start with the table"}, FleetJoin)
+	join := b.stops(
+		Figure{
+			What:      "membership: relays that hear of each other",
+			Value:     b.Relays,
+			Mechanism: byFleet,
+			Stops:     "it does not start with the table",
+		},
+		FleetJoin,
+	)
 	awake := b.Awake()
-	pages := b.stops(Figure{What: "what is shared: destinations told of at once", Value: awake, Mechanism: byFleet, Stops: "of the others it tells nothing"}, FleetPages)
-	rights := b.stops(Figure{What: "rights: limits lent", Value: b.Destinations, Mechanism: byRights, Stops: "the others go by their even parts"}, FleetRights)
+	pages := b.stops(
+		Figure{
+			What:      "what is shared: destinations told of at once",
+			Value:     awake,
+			Mechanism: byFleet,
+			Stops:     "of the others it tells nothing",
+		},
+		FleetPages,
+	)
+	rights := b.stops(
+		Figure{
+			What:      "rights: limits lent",
+			Value:     b.Destinations,
+			Mechanism: byRights,
+			Stops:     "the others go by their even parts",
+		},
+		FleetRights,
+	)
 	cpu := b.Changes * change / day
 	none, _ := b.at(RelayRest, 0)
 	rested, restedHow := b.at(RelayRest, b.Destinations)
 	return Role{"A relay: its control", []Figure{
 		b.together("all: processor", Cores, b.ControlCores, []float64{cpu + rested - none, cores}),
 		b.together("all: memory", Bytes, b.ControlMemory, []float64{memory - base, fleetMemory}),
-		b.together("all: bytes", ByteRate, b.ControlBytes, []float64{b.Changes*entry/day + whole*b.RestartedADay/b.Relays/day, bytes}),
-		{What: "messages in: changes, and an empty line every 2 s", Value: b.Changes/day + 0.5, Unit: Rate, How: fmt.Sprintf("%s changes a day", exact(b.Changes)), Mechanism: byList},
+		b.together(
+			"all: bytes",
+			ByteRate,
+			b.ControlBytes,
+			[]float64{b.Changes*entry/day + whole*b.RestartedADay/b.Relays/day, bytes},
+		),
+		{
+			What:      "messages in: changes, and an empty line every 2 s",
+			Value:     b.Changes/day + 0.5,
+			Unit:      Rate,
+			How:       fmt.Sprintf("%s changes a day", exact(b.Changes)),
+			Mechanism: byList,
+		},
 		discovery,
-		{What: "list: ready when handed over", Value: ready, Unit: Seconds, How: readyHow, Budget: b.ReadyIn, Allowed: restart, Mechanism: byList},
+		{
+			What:      "list: ready when handed over",
+			Value:     ready,
+			Unit:      Seconds,
+			How:       readyHow,
+			Budget:    b.ReadyIn,
+			Allowed:   restart,
+			Mechanism: byList,
+		},
 		{
 			What: "list: memory", Value: memory - base, Unit: Bytes, How: memoryHow + fmt.Sprintf(", less %s of a relay with no list", Format(base, Bytes)),
 			Budget: b.ControlMemory, Allowed: control, Mechanism: byList,
@@ -158,31 +276,125 @@
 		},
 		{
 			What: "list: bytes in by whole lists after restarts", Value: whole * b.RestartedADay / b.Relays / day, Unit: ByteRate,
-			How: wholeHow + fmt.Sprintf(", %s restarts a day of all", exact(b.RestartedADay)), Budget: b.ControlBytes, Allowed: control, Mechanism: byList,
+			How: wholeHow + fmt.Sprintf(
+				", %s restarts a day of all",
+				exact(b.RestartedADay),
+			), Budget: b.ControlBytes, Allowed: control, Mechanism: byList,
 		},
 		{
 			What: "list: one whole list", Value: whole / b.ControlBytes, Unit: Seconds, How: fmt.Sprintf("%s at %s", Format(whole, Bytes), Format(b.ControlBytes, ByteRate)),
 			Mechanism: byList,
 		},
-		{What: "list: a change in force at a relay", Value: force, Unit: Seconds, How: forceHow, Budget: b.InForce, Allowed: "everywhere", Mechanism: byList},
-		{What: "list: processor with no change", Value: rested - none, Unit: Cores, How: restedHow + fmt.Sprintf(", less %s of a relay with no list", Format(none, Cores)), Budget: b.ControlCores, Allowed: control, Mechanism: byList},
-		{What: "list: processor for changes", Value: cpu, Unit: Cores, How: changeHow + ", for each change", Budget: b.ControlCores, Allowed: control, Mechanism: byList},
+		{
+			What:      "list: a change in force at a relay",
+			Value:     force,
+			Unit:      Seconds,
+			How:       forceHow,
+			Budget:    b.InForce,
+			Allowed:   "everywhere",
+			Mechanism: byList,
+		},
+		{
+			What:      "list: processor with no change",
+			Value:     rested - none,
+			Unit:      Cores,
+			How:       restedHow + fmt.Sprintf(", less %s of a relay with no list", Format(none, Cores)),
+			Budget:    b.ControlCores,
+			Allowed:   control,
+			Mechanism: byList,
+		},
+		{
+			What:      "list: processor for changes",
+			Value:     cpu,
+			Unit:      Cores,
+			How:       changeHow + ", for each change",
+			Budget:    b.ControlCores,
+			Allowed:   control,
+			Mechanism: byList,
+		},
 		{
 			What: "list: the same, all changes of a day in one hour", Value: 24 * b.Changes * change / day, Unit: Cores, How: "24 times as many a second",
 			Budget: b.ControlCores, Allowed: control, Mechanism: byList,
 		},
-		{What: "settings: in force everywhere", Value: math.NaN(), Unit: Seconds, How: "a relay reads its own file at SIGHUP; nothing takes a change to all of them", Budget: b.InForce, Allowed: control},
+		{
+			What:    "settings: in force everywhere",
+			Value:   math.NaN(),
+			Unit:    Seconds,
+			How:     "a relay reads its own file at SIGHUP; nothing takes a change to all of them",
+			Budget:  b.InForce,
+			Allowed: control,
+		},
 		join,
-		{What: "membership and what is shared: messages out", Value: messages, Unit: Rate, How: messagesHow, Mechanism: byFleet},
-		{What: "membership alone: bytes out", Value: rest, Unit: ByteRate, How: restHow, Budget: b.ControlBytes, Allowed: control, Mechanism: byFleet},
-		{What: "membership and what is shared: bytes out", Value: bytes, Unit: ByteRate, How: bytesHow, Budget: b.ControlBytes, Allowed: control, Mechanism: byFleet},
-		{What: "membership and what is shared: processor", Value: cores, Unit: Cores, How: coresHow, Budget: b.ControlCores, Allowed: control, Mechanism: byFleet},
-		{What: "membership and what is shared: memory", Value: fleetMemory, Unit: Bytes, How: fleetMemoryHow, Budget: b.ControlMemory, Allowed: control, Mechanism: byFleet},
-		{What: "what is shared: a change known to all", Value: known, Unit: Seconds, How: knownHow, Budget: b.InForce, Allowed: "everywhere", Mechanism: byFleet},
+		{
+			What:      "membership and what is shared: messages out",
+			Value:     messages,
+			Unit:      Rate,
+			How:       messagesHow,
+			Mechanism: byFleet,
+		},
+		{
+			What:      "membership alone: bytes out",
+			Value:     rest,
+			Unit:      ByteRate,
+			How:       restHow,
+			Budget:    b.ControlBytes,
+			Allowed:   control,
+			Mechanism: byFleet,
+		},
+		{
+			What:      "membership and what is shared: bytes out",
+			Value:     bytes,
+			Unit:      ByteRate,
+			How:       bytesHow,
+			Budget:    b.ControlBytes,
+			Allowed:   control,
+			Mechanism: byFleet,
+		},
+		{
+			What:      "membership and what is shared: processor",
+			Value:     cores,
+			Unit:      Cores,
+			How:       coresHow,
+			Budget:    b.ControlCores,
+			Allowed:   control,
+			Mechanism: byFleet,
+		},
+		{
+			What:      "membership and what is shared: memory",
+			Value:     fleetMemory,
+			Unit:      Bytes,
+			How:       fleetMemoryHow,
+			Budget:    b.ControlMemory,
+			Allowed:   control,
+			Mechanism: byFleet,
+		},
+		{
+			What:      "what is shared: a change known to all",
+			Value:     known,
+			Unit:      Seconds,
+			How:       knownHow,
+			Budget:    b.InForce,
+			Allowed:   "everywhere",
+			Mechanism: byFleet,
+		},
 		pages,
 		rights,
-		{What: "rights: bytes out for 1,000 limits", Value: lending, Unit: ByteRate, How: lendingHow, Budget: b.ControlBytes, Allowed: control, Mechanism: byRights},
-		{What: "disk", Value: 0, Unit: Bytes, How: "the list is handed over by the platform; the journal keeps hosts' standing, and a number for the fleet's life", Mechanism: byList},
+		{
+			What:      "rights: bytes out for 1,000 limits",
+			Value:     lending,
+			Unit:      ByteRate,
+			How:       lendingHow,
+			Budget:    b.ControlBytes,
+			Allowed:   control,
+			Mechanism: byRights,
+		},
+		{
+			What:      "disk",
+			Value:     0,
+			Unit:      Bytes,
+			How:       "the list is handed over by the platform; the journal keeps hosts' standing, and a number for the fleet's life",
+			Mechanism: byList,
+		},
 	}}
 }
 
@@ -234,10 +446,19 @@
 	served := b.Relays / b.ControlMachines
 	return Role{fmt.Sprintf("A control machine, of %s", exact(b.ControlMachines)), []Figure{
 		{What: "state: the list", Value: whole, Unit: Bytes, How: wholeHow},
-		{What: "relays that it would serve", Value: served, How: fmt.Sprintf("%s of %s", exact(b.Relays), exact(b.ControlMachines))},
+		{
+			What:  "relays that it would serve",
+			Value: served,
+			How:   fmt.Sprintf("%s of %s", exact(b.Relays), exact(b.ControlMachines)),
+		},
 		{What: "messages out: changes", Value: served * b.Changes / day, Unit: Rate, How: "each change to each relay"},
 		{What: "bytes out: changes", Value: served * b.Changes * entry / day, Unit: ByteRate, How: entryHow},
-		{What: "bytes out: whole lists after restarts", Value: whole * b.RestartedADay / b.ControlMachines / day, Unit: ByteRate, How: wholeHow},
+		{
+			What:  "bytes out: whole lists after restarts",
+			Value: whole * b.RestartedADay / b.ControlMachines / day,
+			Unit:  ByteRate,
+			How:   wholeHow,
+		},
 		{What: "bytes out: all its relays ask at once", Value: served * whole, Unit: Bytes, How: wholeHow},
 		{What: "processor, memory, disk", Value: math.NaN(), How: "no program of ours runs there"},
 	}}
@@ -248,11 +469,41 @@
 	entry, entryHow := b.entry()
 	return Role{"Discovery's agent (the platform's; one beside each relay)", []Figure{
 		{What: "state: the list", Value: whole, Unit: Bytes, How: wholeHow, Mechanism: "the platform's"},
-		{What: "messages out", Value: b.Changes/day + 0.5, Unit: Rate, How: "changes, and an empty line every 2 s", Mechanism: byList},
-		{What: "bytes for one change, to all relays", Value: entry * b.Relays, Unit: Bytes, How: entryHow, Mechanism: byList},
-		{What: "bytes for a day's changes, to all relays", Value: entry * b.Relays * b.Changes, Unit: Bytes, How: entryHow, Mechanism: byList},
-		{What: "bytes for a whole list, to all relays", Value: whole * b.Relays, Unit: Bytes, How: wholeHow, Mechanism: byList},
-		{What: "calls for the list after restarts, where lists are asked for", Value: b.RestartedADay / day, Unit: Rate, How: "one for each restart", Mechanism: byHerd},
+		{
+			What:      "messages out",
+			Value:     b.Changes/day + 0.5,
+			Unit:      Rate,
+			How:       "changes, and an empty line every 2 s",
+			Mechanism: byList,
+		},
+		{
+			What:      "bytes for one change, to all relays",
+			Value:     entry * b.Relays,
+			Unit:      Bytes,
+			How:       entryHow,
+			Mechanism: byList,
+		},
+		{
+			What:      "bytes for a day's changes, to all relays",
+			Value:     entry * b.Relays * b.Changes,
+			Unit:      Bytes,
+			How:       entryHow,
+			Mechanism: byList,
+		},
+		{
+			What:      "bytes for a whole list, to all relays",
+			Value:     whole * b.Relays,
+			Unit:      Bytes,
+			How:       wholeHow,
+			Mechanism: byList,
+		},
+		{
+			What:      "calls for the list after restarts, where lists are asked for",
+			Value:     b.RestartedADay / day,
+			Unit:      Rate,
+			How:       "one for each restart",
+			Mechanism: byHerd,
+		},
 		{What: "processor, memory", Value: math.NaN(), How: "not ours", Mechanism: "the platform's"},
 	}}
 }
@@ -260,11 +511,30 @@
 func (b book) heir() Role {
 	disk, diskHow := b.at(JournalDisk, b.HeldByRelay())
 	return Role{"Whoever takes over lost work", []Figure{
-		{What: "state: the backlog of a machine that is gone", Value: b.HeldByRelay(), How: "a relay's journal lies on its own disk alone"},
+		{
+			What:  "state: the backlog of a machine that is gone",
+			Value: b.HeldByRelay(),
+			How:   "a relay's journal lies on its own disk alone",
+		},
 		{What: "bytes of it", Value: disk, Unit: Bytes, How: diskHow},
-		{What: "messages a second to keep a second copy, of each relay", Value: 2 * b.PerRelay(), Unit: Rate, How: "each accept and each end"},
-		{What: "bytes a second to keep a second copy, of each relay", Value: disk / b.HeldByRelay() * b.PerRelay(), Unit: ByteRate, How: "each accept, with its body"},
-		{What: "backlogs to take over", Value: b.FailedADay, Unit: CountADay, How: "machines that fail on an ordinary day"},
+		{
+			What:  "messages a second to keep a second copy, of each relay",
+			Value: 2 * b.PerRelay(),
+			Unit:  Rate,
+			How:   "each accept and each end",
+		},
+		{
+			What:  "bytes a second to keep a second copy, of each relay",
+			Value: disk / b.HeldByRelay() * b.PerRelay(),
+			Unit:  ByteRate,
+			How:   "each accept, with its body",
+		},
+		{
+			What:  "backlogs to take over",
+			Value: b.FailedADay,
+			Unit:  CountADay,
+			How:   "machines that fail on an ordinary day",
+		},
 		{What: "processor, memory", Value: math.NaN(), How: "nothing takes over"},
 	}}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -64,9 +64,20 @@
 			status = int(code)
 		}
 	}()
-	parser, err := kong.New(app, kong.Name(name), kong.Description(about), kong.Writers(s.Out, s.Err), kong.UsageOnError(),
-		kong.Vars{"version": name + " " + Version()}, kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(&s),
-		kong.Exit(func(code int) { panic(ended(code)) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}))
+	parser, err := kong.New(
+		app,
+		kong.Name(name),
+		kong.Description(about),
+		kong.Writers(s.Out, s.Err),
+		kong.UsageOnError(),
+		kong.Vars{"version": name + " " + Version()},
+		kong.BindTo(ctx, (*context.Context)(nil)),
+		kong.Bind(&s),
+		kong.Exit(
+			func(code int) { panic(ended(code)) },
+		),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
+	)
 	if err != nil {
 		fmt.Fprintf(s.Err, "%s: %v\n", name, err)
 		return Usage
--- a/internal/config/operatorfile/operator.go
+++ b/internal/config/operatorfile/operator.go
@@ -49,7 +49,11 @@
 	MaxBodiesMB float64 `toml:"bodies_mb"`        // of bodies kept in memory, the others are read from disk; 0: all are kept
 }
 
-var syncPolicies = map[string]store.SyncPolicy{"never": store.SyncNever, "interval": store.SyncInterval, "commit": store.SyncCommit}
+var syncPolicies = map[string]store.SyncPolicy{
+	"never":    store.SyncNever,
+	"interval": store.SyncInterval,
+	"commit":   store.SyncCommit,
+}
 
 // Options are those of a journal that may take limit bytes.
 func (j Journal) Options(limit int64) journal.Options {
@@ -127,15 +131,32 @@
 	r := f.Recorder
 	bad(f.Log.Format == "text" || f.Log.Format == "json", `log.format is %q, not "text" or "json"`, f.Log.Format)
 	var level slog.Level
-	bad(level.UnmarshalText([]byte(f.Log.Level)) == nil, `log.level is %q, not "debug", "info", "warn" or "error"`, f.Log.Level)
+	bad(
+		level.UnmarshalText([]byte(f.Log.Level)) == nil,
+		`log.level is %q, not "debug", "info", "warn" or "error"`,
+		f.Log.Level,
+	)
 	bad(r.RingMB >= 0.25 && r.RingMB <= 4096, "recorder.ring_mb is %g, not from 0.25 to 4096", r.RingMB)
 	bad(r.Write == WriteKept || r.Write == WriteAll, `recorder.write is %q, not "kept" or "all"`, r.Write)
 	bad(r.FolderMB >= 1 && r.FolderMB <= 1<<20, "recorder.folder_mb is %g, not from 1 to 1048576", r.FolderMB)
-	bad(r.Folder == "" || r.RingMB <= r.FolderMB, "recorder.ring_mb is %g: a kept ring does not fit into folder_mb = %g", r.RingMB, r.FolderMB)
+	bad(
+		r.Folder == "" || r.RingMB <= r.FolderMB,
+		"recorder.ring_mb is %g: a kept ring does not fit into folder_mb = %g",
+		r.RingMB,
+		r.FolderMB,
+	)
 	_, known := syncPolicies[f.Journal.Sync]
 	bad(known, `journal.sync is %q, not "never", "interval" or "commit"`, f.Journal.Sync)
-	bad(f.Journal.IntervalMS >= 10 && f.Journal.IntervalMS <= 60000, "journal.sync_interval_ms is %g, not from 10 to 60000", f.Journal.IntervalMS)
-	bad(f.Journal.MaxBodiesMB >= 0 && f.Journal.MaxBodiesMB <= 1<<20, "journal.bodies_mb is %g, not from 0 to 1048576", f.Journal.MaxBodiesMB)
+	bad(
+		f.Journal.IntervalMS >= 10 && f.Journal.IntervalMS <= 60000,
+		"journal.sync_interval_ms is %g, not from 10 to 60000",
+		f.Journal.IntervalMS,
+	)
+	bad(
+		f.Journal.MaxBodiesMB >= 0 && f.Journal.MaxBodiesMB <= 1<<20,
+		"journal.bodies_mb is %g, not from 0 to 1048576",
+		f.Journal.MaxBodiesMB,
+	)
 	return errors.Join(errs...)
 }
 
@@ -155,7 +176,12 @@
 	bad(named(f.Label), "label", "is %q: 64 bytes at most, without blanks, slashes and quotes", f.Label)
 	if f.Listen != "" || f.Enabled {
 		at, err := netip.ParseAddrPort(f.Listen)
-		bad(err == nil && at.Port() > 0 && !at.Addr().IsUnspecified(), "listen", "is %q, not an IP address of this machine and a port, such as \"10.0.0.7:7946\"", f.Listen)
+		bad(
+			err == nil && at.Port() > 0 && !at.Addr().IsUnspecified(),
+			"listen",
+			"is %q, not an IP address of this machine and a port, such as \"10.0.0.7:7946\"",
+			f.Listen,
+		)
 	}
 	bad(!f.Enabled || len(f.Peers) > 0, "join", "names nobody: a table of all relays' names and addresses is needed")
 	bad(f.Enabled || !f.ShareQuota, "rights", "needs fleet.enabled = true")
@@ -164,7 +190,12 @@
 		bad(n != "" && named(n), "join."+n, "names %q: 64 bytes at most, without blanks, slashes and quotes", n)
 		host, port, err := net.SplitHostPort(f.Peers[n])
 		number, portErr := strconv.ParseUint(port, 10, 16)
-		bad(err == nil && host != "" && portErr == nil && number > 0, "join."+n, "is %q, not an address and a port, such as \"10.0.0.8:7946\"", f.Peers[n])
+		bad(
+			err == nil && host != "" && portErr == nil && number > 0,
+			"join."+n,
+			"is %q, not an address and a port, such as \"10.0.0.8:7946\"",
+			f.Peers[n],
+		)
 	}
 	return errs
 }
--- a/internal/config/operatorfile/operator_test.go
+++ b/internal/config/operatorfile/operator_test.go
@@ -14,7 +14,8 @@
 
 func TestDefaults(t *testing.T) {
 	f, err := Load("")
-	if err != nil || f.Recorder.Enabled || f.Recorder.Write != WriteKept || f.Recorder.Ring() != 4<<20 || f.Log.Format != "text" {
+	if err != nil || f.Recorder.Enabled || f.Recorder.Write != WriteKept || f.Recorder.Ring() != 4<<20 ||
+		f.Log.Format != "text" {
 		t.Errorf("%+v, %v", f, err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
@@ -27,7 +28,12 @@
 }
 
 func TestFleet(t *testing.T) {
-	f, err := Parse("f.toml", []byte("[fleet]\nenabled = true\nname = \"r1\"\nlisten = \"127.0.0.1:7946\"\n[fleet.join]\nr1 = \"127.0.0.1:7946\"\nr2 = \"relay-2:7946\"\n"))
+	f, err := Parse(
+		"f.toml",
+		[]byte(
+			"[fleet]\nenabled = true\nname = \"r1\"\nlisten = \"127.0.0.1:7946\"\n[fleet.join]\nr1 = \"127.0.0.1:7946\"\nr2 = \"relay-2:7946\"\n",
+		),
+	)
 	if err != nil || !f.Fleet.Enabled || f.Fleet.Peers["r2"] != "relay-2:7946" || f.Fleet.Listen != "127.0.0.1:7946" {
 		t.Errorf("%+v, %v", f.Fleet, err)
 	}
@@ -38,7 +44,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o := f.Journal.Options(3e6); o.Limit != 3e6 || o.Sync != store.SyncInterval || o.Interval != 250*time.Millisecond || o.MaxBodyBytes != 512<<10 {
+	if o := f.Journal.Options(3e6); o.Limit != 3e6 || o.Sync != store.SyncInterval ||
+		o.Interval != 250*time.Millisecond ||
+		o.MaxBodyBytes != 512<<10 {
 		t.Errorf("%+v", o)
 	}
 	if o := (Journal{}).Options(1); o.Sync != store.SyncNever || o.MaxBodyBytes != 0 {
--- a/internal/config/reload/terms.go
+++ b/internal/config/reload/terms.go
@@ -139,6 +139,8 @@
 	x, y := a.Settings, b.Settings
 	return slices.Equal(a.ClassNames, b.ClassNames) && slices.Equal(a.TenantNames, b.TenantNames) && slices.Equal(x.Classes, y.Classes) &&
 		slices.Equal(x.DestinationKinds, y.DestinationKinds) && slices.Equal(x.Tenants, y.Tenants) && slices.Equal(x.ZoneCosts, y.ZoneCosts) &&
-		x.MaxAttempts == y.MaxAttempts && x.MaxInFlightCalls == y.MaxInFlightCalls && x.MaxPendingMessages == y.MaxPendingMessages && x.FleetSize == y.FleetSize &&
+		x.MaxAttempts == y.MaxAttempts && x.MaxInFlightCalls == y.MaxInFlightCalls &&
+		x.MaxPendingMessages == y.MaxPendingMessages &&
+		x.FleetSize == y.FleetSize &&
 		maps.Equal(a.Shape, b.Shape)
 }
--- a/internal/config/reload/terms_test.go
+++ b/internal/config/reload/terms_test.go
@@ -14,7 +14,14 @@
 	return Config{
 		ClassNames: []string{"order", "payment"},
 		Settings: policy.Settings{MaxAttempts: 8, Classes: []policy.Class{
-			{Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, Deadline: 16 * time.Second, LatencyObjective: time.Second, Weight: 1},
+			{
+				Effect:           policy.IdempotentByKey,
+				DedupAllZones:    true,
+				DedupWindow:      10 * time.Second,
+				Deadline:         16 * time.Second,
+				LatencyObjective: time.Second,
+				Weight:           1,
+			},
 			{Effect: policy.Idempotent, Deadline: 5 * time.Second, LatencyObjective: time.Second, Weight: 1},
 		}},
 		Shape: ShapeOf(map[string]string{
@@ -58,9 +65,12 @@
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID).Draw(t, label) {
 		tt.ClassNames = append(tt.ClassNames, name)
 		tt.Settings.Classes = append(tt.Settings.Classes, policy.Class{
-			Effect:        rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).Draw(t, "effect"),
+			Effect: rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).
+				Draw(t, "effect"),
 			DedupAllZones: rapid.Bool().Draw(t, "all"), Ordered: rapid.Bool().Draw(t, "ordered"),
-			DedupWindow: time.Duration(rapid.IntRange(0, 9).Draw(t, "window")), Deadline: time.Duration(rapid.IntRange(1, 9).Draw(t, "give up")),
+			DedupWindow: time.Duration(
+				rapid.IntRange(0, 9).Draw(t, "window"),
+			), Deadline: time.Duration(rapid.IntRange(1, 9).Draw(t, "give up")),
 		})
 	}
 	return tt
--- a/internal/config/stricttoml/lines_test.go
+++ b/internal/config/stricttoml/lines_test.go
@@ -6,7 +6,11 @@
 )
 
 func TestLines(t *testing.T) {
-	got := Lines([]byte("name = \"x\"\n\n[set]\n\"settings.slots\" = 5 # of all\na.b = 1\n[[factor]]\npath = \"p\"\nvalues = [\n  1,\n]\n[[factor]]\npath = \"q\"\nbroken ="))
+	got := Lines(
+		[]byte(
+			"name = \"x\"\n\n[set]\n\"settings.slots\" = 5 # of all\na.b = 1\n[[factor]]\npath = \"p\"\nvalues = [\n  1,\n]\n[[factor]]\npath = \"q\"\nbroken =",
+		),
+	)
 	want := map[string]int{
 		"name": 1, "set": 3, "set.settings.slots": 4, "set.a.b": 5, "factor[1]": 6, "factor[1].path": 7, "factor[1].values": 8, "factor[2]": 11, "factor[2].path": 12,
 	}
--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -156,7 +156,8 @@
 
 // Append appends a record's bytes; none for one that holds nothing.
 func (r Record) Append(b []byte) []byte {
-	if len(r.Received)+len(r.Published)+len(r.QuotaReceived)+len(r.QuotaSent) == 0 && r.Incarnation == (loadreport.Incarnation{}) {
+	if len(r.Received)+len(r.Published)+len(r.QuotaReceived)+len(r.QuotaSent) == 0 &&
+		r.Incarnation == (loadreport.Incarnation{}) {
 		return b
 	}
 	data, err := canonical.Marshal(r)
@@ -195,7 +196,10 @@
 func (s *Agent) step(now time.Duration, in Input) (tell []loadreport.Report) {
 	// its life begins with the first step, whatever the clock says
 	if s.Now = now; s.Set.ShareQuota && s.rights == nil {
-		s.rights = quota.New(now, quota.Settings{Self: s.Set.Self, Incarnation: s.Life, Members: s.Set.Members, FleetSize: s.Set.FleetSize})
+		s.rights = quota.New(
+			now,
+			quota.Settings{Self: s.Set.Self, Incarnation: s.Life, Members: s.Set.Members, FleetSize: s.Set.FleetSize},
+		)
 	}
 	if in.Incarnation != (loadreport.Incarnation{}) && in.Incarnation.Compare(s.Life) > 0 {
 		s.Life = in.Incarnation
@@ -233,7 +237,8 @@
 		s.ledger.RemoveExpired(now)
 		maps.DeleteFunc(s.Tallies, func(_ scope, t *ScopeCounter) bool {
 			t.fade(now)
-			return t.Backlog == 0 && t.RetryAfterUntil <= now && t.Demand+t.Calls+t.Rejections+t.Deliveries+t.Failures < 1e-6
+			return t.Backlog == 0 && t.RetryAfterUntil <= now &&
+				t.Demand+t.Calls+t.Rejections+t.Deliveries+t.Failures < 1e-6
 		})
 	}
 	if now < s.LookAt {
@@ -479,7 +484,10 @@
 func (s *Agent) rest() time.Duration {
 	if s.Rest == 0 || s.Now >= s.RestAt+restEvery {
 		room := gossip.MaxReportRate(len(s.Set.Members))
-		s.Rest, s.RestAt = max(tellLeast, time.Duration(float64(s.ledger.Count(s.Now))/room*float64(time.Second))), s.Now
+		s.Rest, s.RestAt = max(
+			tellLeast,
+			time.Duration(float64(s.ledger.Count(s.Now))/room*float64(time.Second)),
+		), s.Now
 	}
 	return s.Rest
 }
@@ -488,7 +496,9 @@
 	rate := func(level float64) float64 { return round(level / rateSpan.Seconds()) }
 	return loadreport.ScopeLoad{
 		Destination: at.Dest, Endpoint: at.Route, Demand: rate(t.Demand), Calls: rate(t.Calls), Rejections: rate(t.Rejections), Deliveries: rate(t.Deliveries),
-		Failures: rate(t.Failures), Backlog: t.Backlog, RetryAfter: max(0, t.RetryAfterUntil-now).Round(time.Millisecond), WarmingUp: t.WarmingUp,
+		Failures: rate(
+			t.Failures,
+		), Backlog: t.Backlog, RetryAfter: max(0, t.RetryAfterUntil-now).Round(time.Millisecond), WarmingUp: t.WarmingUp,
 	}
 }
 
@@ -528,10 +538,12 @@
 	if now < was.Paid { // only what is urgent goes before its time, and not without end
 		return now-was.At >= lookEvery && was.Paid-now <= (burst-1)*rest && slices.ContainsFunc(cells, was.urgent(now))
 	}
-	return now-was.At >= max(tellAgain, rest) || !slices.EqualFunc(cells, was.Cells, func(c, o loadreport.ScopeLoad) bool {
-		return c.Destination == o.Destination && c.Endpoint == o.Endpoint && !moved(c.Demand, o.Demand) && !moved(c.Calls, o.Calls) && !moved(c.Rejections, o.Rejections) &&
-			!moved(c.Deliveries, o.Deliveries) && !moved(c.Failures, o.Failures) && !moved(float64(c.Backlog), float64(o.Backlog))
-	}) || slices.ContainsFunc(cells, was.urgent(now))
+	return now-was.At >= max(tellAgain, rest) ||
+		!slices.EqualFunc(cells, was.Cells, func(c, o loadreport.ScopeLoad) bool {
+			return c.Destination == o.Destination && c.Endpoint == o.Endpoint && !moved(c.Demand, o.Demand) && !moved(c.Calls, o.Calls) && !moved(c.Rejections, o.Rejections) &&
+				!moved(c.Deliveries, o.Deliveries) && !moved(c.Failures, o.Failures) && !moved(float64(c.Backlog), float64(o.Backlog))
+		}) ||
+		slices.ContainsFunc(cells, was.urgent(now))
 }
 
 // urgent tells of a cell whether a wait, a backlog or coldness began or ended since its page was told.
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -18,7 +18,14 @@
 )
 
 func newSeam() *Agent {
-	return New(Settings{Self: "me", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Members: []string{"me", "a", "b"}, DestinationKinds: recordertest.Settings().DestinationKinds})
+	return New(
+		Settings{
+			Self:             "me",
+			Incarnation:      loadreport.Incarnation{Generation: 1, Boot: 2},
+			Members:          []string{"me", "a", "b"},
+			DestinationKinds: recordertest.Settings().DestinationKinds,
+		},
+	)
 }
 
 // history is what a module lived through.
@@ -49,7 +56,14 @@
 func input(e flightrecorder.Entry, n int) Input {
 	in := Input{Events: e.Events, Actions: e.Actions, Views: func() []policy.EndpointView { return nil }}
 	if n%97 == 0 {
-		in.Received = []loadreport.Report{{Name: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Sequence: uint64(n + 1), Scopes: []loadreport.ScopeLoad{{Destination: 1, Calls: 2}}}}
+		in.Received = []loadreport.Report{
+			{
+				Name:        "a",
+				Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1},
+				Sequence:    uint64(n + 1),
+				Scopes:      []loadreport.ScopeLoad{{Destination: 1, Calls: 2}},
+			},
+		}
 	}
 	return in
 }
@@ -70,7 +84,10 @@
 					Member: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Seq: uint64(i + 1), Leases: []quota.Lease{{Scope: s, Rate: 0.1, Delivered: uint32(i)}},
 					Requests: []quota.QuotaRequest{{Scope: s, ID: uint32(i), Calls: 1}},
 				}}
-				in.Actions = append(slices.Clip(in.Actions), policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2})
+				in.Actions = append(
+					slices.Clip(in.Actions),
+					policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2},
+				)
 			}
 			x, y := a.Step(e.Now, in), b.Step(e.Now, in)
 			rightsTold += len(x.Quota) + len(x.Events)
@@ -111,7 +128,13 @@
 			Actions: []policy.Action{{Kind: policy.Send, MessageID: id, Endpoint: "s-1"}},
 			Views:   func() []policy.EndpointView { return nil },
 		}).Published...)
-		e := policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: "s-1", Outcome: policy.OK, MessageEnded: true}
+		e := policy.Event{
+			Kind:         policy.AttemptFinished,
+			MessageID:    id,
+			Endpoint:     "s-1",
+			Outcome:      policy.OK,
+			MessageEnded: true,
+		}
 		if id%3 == 0 {
 			e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, 400*time.Millisecond
 		}
@@ -128,7 +151,10 @@
 		{ID: "s-2", Destination: 12, Kind: 1, Weight: 5, InService: true},
 		{ID: "s-3", Destination: 12, Kind: 1, Weight: 7, InService: true},
 	}}}})
-	if want := (loadreport.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(s.Limits(), want) {
+	if want := (loadreport.Limits{9: {"": 50}, 12: {"": 12, "s-2": 5, "s-3": 7}}); !reflect.DeepEqual(
+		s.Limits(),
+		want,
+	) {
 		t.Errorf("%v, want %v", s.Limits(), want)
 	}
 	told := drive(s, time.Second, 41*time.Second, 30)
@@ -176,7 +202,16 @@
 	s := newSeam()
 	var list []policy.Endpoint
 	for i := range 40 {
-		list = append(list, policy.Endpoint{ID: fmt.Sprintf("a-route-of-some-length-%02d", i), Destination: 1, Kind: 1, Weight: 5, InService: true})
+		list = append(
+			list,
+			policy.Endpoint{
+				ID:          fmt.Sprintf("a-route-of-some-length-%02d", i),
+				Destination: 1,
+				Kind:        1,
+				Weight:      5,
+				InService:   true,
+			},
+		)
 	}
 	for d := range 600 {
 		list = append(list, policy.Endpoint{ID: fmt.Sprint("x", d), Destination: 4 + d, Weight: 5, InService: true})
@@ -184,7 +219,15 @@
 	evs := []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}
 	for i, l := range list {
 		for n := range 1 + i%3 {
-			evs = append(evs, policy.Event{Kind: policy.AttemptFinished, MessageID: uint32(1000*n + i), Endpoint: l.ID, Outcome: policy.OK})
+			evs = append(
+				evs,
+				policy.Event{
+					Kind:      policy.AttemptFinished,
+					MessageID: uint32(1000*n + i),
+					Endpoint:  l.ID,
+					Outcome:   policy.OK,
+				},
+			)
 		}
 	}
 	told := s.Step(time.Second, Input{Events: evs, Views: func() []policy.EndpointView { return nil }}).Published
@@ -195,7 +238,13 @@
 		t.Errorf("%d cells on a page", n)
 	}
 	// A new life tells all again, and the others forget the one before.
-	again := s.Step(2*time.Second, Input{Incarnation: loadreport.Incarnation{Generation: 2, Boot: 2}, Views: func() []policy.EndpointView { return nil }}).Published
+	again := s.Step(
+		2*time.Second,
+		Input{
+			Incarnation: loadreport.Incarnation{Generation: 2, Boot: 2},
+			Views:       func() []policy.EndpointView { return nil },
+		},
+	).Published
 	if len(again) != loadreport.MaxReports || again[0].Generation != 2 {
 		t.Errorf("%d pages of life %v", len(again), again[0].Incarnation)
 	}
@@ -218,7 +267,13 @@
 		ev[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: int(id % 30)}
 		act[0] = policy.Action{Kind: policy.Send, MessageID: id, Endpoint: list[id%30].ID}
 		s.Step(now, Input{Events: ev, Actions: act, Views: none})
-		ev[0] = policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: list[id%30].ID, Outcome: policy.OK, MessageEnded: true}
+		ev[0] = policy.Event{
+			Kind:         policy.AttemptFinished,
+			MessageID:    id,
+			Endpoint:     list[id%30].ID,
+			Outcome:      policy.OK,
+			MessageEnded: true,
+		}
 		s.Step(now, Input{Events: ev, Views: none})
 	}
 }
@@ -234,18 +289,47 @@
 			set.Members = append(set.Members, fmt.Sprint("m", i))
 		}
 		s := New(set)
-		s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
+		s.Step(
+			time.Second,
+			Input{
+				Events: []policy.Event{
+					{
+						Kind:      policy.EndpointSnapshot,
+						Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}},
+					},
+				},
+			},
+		)
 		told, seq := 0, uint64(0)
 		for now := time.Second; now < began+length; now += lookEvery {
-			in := Input{Views: func() []policy.EndpointView { return nil }, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 9}}}
+			in := Input{
+				Views:  func() []policy.EndpointView { return nil },
+				Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 9}},
+			}
 			if now/lookEvery%2 == 0 { // a backlog begins and ends with every look
-				in.Events = []policy.Event{{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "s-1", Outcome: policy.OK, MessageEnded: true}}
+				in.Events = []policy.Event{
+					{
+						Kind:         policy.AttemptFinished,
+						MessageID:    1,
+						Endpoint:     "s-1",
+						Outcome:      policy.OK,
+						MessageEnded: true,
+					},
+				}
 			}
 			if now%(10*time.Second) == 0 { // two pages of each of the others
 				seq += 2
 				for _, m := range set.Members[1:] {
 					for n := range uint64(2) {
-						in.Received = append(in.Received, loadreport.Report{Name: m, Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Number: int(n), Sequence: seq + n})
+						in.Received = append(
+							in.Received,
+							loadreport.Report{
+								Name:        m,
+								Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1},
+								Number:      int(n),
+								Sequence:    seq + n,
+							},
+						)
 					}
 				}
 			}
@@ -262,11 +346,27 @@
 	}
 	// Coldness that begins is told with the next look, though the page was told just before.
 	s := newSeam()
-	s.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}}}}})
+	s.Step(
+		time.Second,
+		Input{
+			Events: []policy.Event{
+				{
+					Kind:      policy.EndpointSnapshot,
+					Endpoints: []policy.Endpoint{{ID: "s-1", Destination: 9, Weight: 500, InService: true}},
+				},
+			},
+		},
+	)
 	look := func(now time.Duration, cold bool) []loadreport.Report {
-		return s.Step(now, Input{Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(now), Destination: 9}}, Views: func() []policy.EndpointView {
-			return []policy.EndpointView{{Endpoint: policy.Endpoint{ID: "s-1"}, WarmingUp: cold}}
-		}}).Published
+		return s.Step(
+			now,
+			Input{
+				Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(now), Destination: 9}},
+				Views: func() []policy.EndpointView {
+					return []policy.EndpointView{{Endpoint: policy.Endpoint{ID: "s-1"}, WarmingUp: cold}}
+				},
+			},
+		).Published
 	}
 	if len(look(2*time.Second, false)) != 1 || len(look(2*time.Second+lookEvery, true)) != 1 {
 		t.Error("coldness waits for the page's rest")
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -222,14 +222,26 @@
 func (m Message) ReportDigest() loadreport.Digest {
 	d := loadreport.Digest{}
 	for _, v := range m.Digest {
-		d[v.Name] = loadreport.MemberVersions{Incarnation: loadreport.Incarnation{Generation: v.Incarnation, Boot: v.Boot}, Sequences: v.Pages}
+		d[v.Name] = loadreport.MemberVersions{
+			Incarnation: loadreport.Incarnation{Generation: v.Incarnation, Boot: v.Boot},
+			Sequences:   v.Pages,
+		}
 	}
 	return d
 }
 
 // SetQuotaMessage puts what one member tells another of rights into a message.
 func (m *Message) SetQuotaMessage(r quota.Message) {
-	n := &rightsNote{Incarnation: r.Generation, Seq: r.Seq, Seen: r.AckedSeq, OfInc: r.AckedIncarnation.Generation, OfBoot: r.AckedIncarnation.Boot, Ping: r.Ping, New: r.AsksForLeases, None: r.HoldsNoLease}
+	n := &rightsNote{
+		Incarnation: r.Generation,
+		Seq:         r.Seq,
+		Seen:        r.AckedSeq,
+		OfInc:       r.AckedIncarnation.Generation,
+		OfBoot:      r.AckedIncarnation.Boot,
+		Ping:        r.Ping,
+		New:         r.AsksForLeases,
+		None:        r.HoldsNoLease,
+	}
 	for _, l := range r.Leases {
 		n.Loans = append(n.Loans, loan{l.Scope.Destination, l.Scope.Endpoint, l.Rate, l.Delivered, l.Rejected})
 	}
@@ -247,16 +259,39 @@
 	n := m.EncodedQuota
 	r := quota.Message{
 		Member: m.From, Incarnation: loadreport.Incarnation{Generation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, AckedSeq: n.Seen,
-		AckedIncarnation: loadreport.Incarnation{Generation: n.OfInc, Boot: n.OfBoot}, Ping: n.Ping, AsksForLeases: n.New, HoldsNoLease: n.None,
+		AckedIncarnation: loadreport.Incarnation{
+			Generation: n.OfInc,
+			Boot:       n.OfBoot,
+		}, Ping: n.Ping, AsksForLeases: n.New, HoldsNoLease: n.None,
 	}
 	for _, l := range n.Loans {
-		r.Leases = append(r.Leases, quota.Lease{Scope: quota.Scope{Destination: l.Dest, Endpoint: l.Route}, Rate: l.Rate, Delivered: l.Done, Rejected: l.Refused})
+		r.Leases = append(
+			r.Leases,
+			quota.Lease{
+				Scope:     quota.Scope{Destination: l.Dest, Endpoint: l.Route},
+				Rate:      l.Rate,
+				Delivered: l.Done,
+				Rejected:  l.Refused,
+			},
+		)
 	}
 	for _, q := range n.Asks {
-		r.Requests = append(r.Requests, quota.QuotaRequest{Scope: quota.Scope{Destination: q.Dest, Endpoint: q.Route}, ID: q.ID, Calls: q.N, Delivered: q.Done, Rejected: q.Refused})
+		r.Requests = append(
+			r.Requests,
+			quota.QuotaRequest{
+				Scope:     quota.Scope{Destination: q.Dest, Endpoint: q.Route},
+				ID:        q.ID,
+				Calls:     q.N,
+				Delivered: q.Done,
+				Rejected:  q.Refused,
+			},
+		)
 	}
 	for _, g := range n.Gives {
-		r.Grants = append(r.Grants, quota.Grant{Scope: quota.Scope{Destination: g.Dest, Endpoint: g.Route}, ID: g.ID, Calls: g.N})
+		r.Grants = append(
+			r.Grants,
+			quota.Grant{Scope: quota.Scope{Destination: g.Dest, Endpoint: g.Route}, ID: g.ID, Calls: g.N},
+		)
 	}
 	return r
 }
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -26,11 +26,24 @@
 	pages := []loadreport.Report{{
 		Name: "r1", Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
 		Scopes: []loadreport.ScopeLoad{
-			{Destination: 8, Demand: 0.5, Calls: 0.25, Rejections: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, RetryAfter: 2 * time.Second, WarmingUp: true},
+			{
+				Destination: 8,
+				Demand:      0.5,
+				Calls:       0.25,
+				Rejections:  1.5,
+				Deliveries:  3,
+				Failures:    0.125,
+				Backlog:     12,
+				RetryAfter:  2 * time.Second,
+				WarmingUp:   true,
+			},
 			{Destination: 9, Endpoint: "s-1", Calls: 1},
 		},
 	}, {Name: "r2", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Sequence: 1}}
-	digest := loadreport.Digest{"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77}}, "r2": {Incarnation: loadreport.Incarnation{Generation: 1}}}
+	digest := loadreport.Digest{
+		"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77}},
+		"r2": {Incarnation: loadreport.Incarnation{Generation: 1}},
+	}
 	m := Message{From: "r3", Boot: 4, Clock: 123456789, WantsReports: true}
 	m.SetReports(pages...)
 	m.SetDigest(digest)
@@ -137,9 +150,15 @@
 		at := quota.Scope{Destination: 40000 + i, Endpoint: fmt.Sprintf("s-%08x", i)}
 		switch i % 3 {
 		case 0:
-			r.Leases = append(r.Leases, quota.Lease{Scope: at, Rate: 0.123456789, Delivered: 1 << 20, Rejected: 1 << 12})
+			r.Leases = append(
+				r.Leases,
+				quota.Lease{Scope: at, Rate: 0.123456789, Delivered: 1 << 20, Rejected: 1 << 12},
+			)
 		case 1:
-			r.Requests = append(r.Requests, quota.QuotaRequest{Scope: at, ID: 1 << 20, Calls: 16, Delivered: 1 << 20, Rejected: 1 << 12})
+			r.Requests = append(
+				r.Requests,
+				quota.QuotaRequest{Scope: at, ID: 1 << 20, Calls: 16, Delivered: 1 << 20, Rejected: 1 << 12},
+			)
 		case 2:
 			r.Grants = append(r.Grants, quota.Grant{Scope: at, ID: 1 << 20, Calls: 16})
 		}
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -29,11 +29,23 @@
 	page := loadreport.Report{
 		Name: "r1", Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Number: 2, Sequence: 77, Age: 1500 * time.Millisecond,
 		Scopes: []loadreport.ScopeLoad{
-			{Destination: 8, Demand: 0.5, Calls: 0.25, Rejections: 1.5, Deliveries: 3, Failures: 0.125, Backlog: 12, RetryAfter: 2 * time.Second, WarmingUp: true},
+			{
+				Destination: 8,
+				Demand:      0.5,
+				Calls:       0.25,
+				Rejections:  1.5,
+				Deliveries:  3,
+				Failures:    0.125,
+				Backlog:     12,
+				RetryAfter:  2 * time.Second,
+				WarmingUp:   true,
+			},
 			{Destination: 9, Endpoint: "s-1", Calls: 1},
 		},
 	}
-	digest := loadreport.Digest{"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77, 3: 78}}}
+	digest := loadreport.Digest{
+		"r1": {Incarnation: loadreport.Incarnation{Generation: 3, Boot: 9}, Sequences: map[int]uint64{2: 77, 3: 78}},
+	}
 	var pages, digests, told, filled Message
 	pages.SetReports(page)
 	digests.SetDigest(digest)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -159,7 +159,12 @@
 
 // Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in
 // its next step.
-func (m *Member) Step(now time.Duration, events []policy.Event, actions []policy.Action, views func() []policy.EndpointView) (agent.Record, []policy.Event) {
+func (m *Member) Step(
+	now time.Duration,
+	events []policy.Event,
+	actions []policy.Action,
+	views func() []policy.EndpointView,
+) (agent.Record, []policy.Event) {
 	var rec agent.Record
 	var decided time.Duration // by the link's clock, when now was or before
 	l := m.up()
@@ -171,7 +176,17 @@
 			rec.QuotaReceived = l.ReceivedQuota()
 		}
 	}
-	out := m.seam.Step(now, agent.Input{Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: events, Actions: actions, Views: views})
+	out := m.seam.Step(
+		now,
+		agent.Input{
+			Received:    rec.Received,
+			Incarnation: rec.Incarnation,
+			Quota:       rec.QuotaReceived,
+			Events:      events,
+			Actions:     actions,
+			Views:       views,
+		},
+	)
 	rec.Published, rec.QuotaSent = out.Published, out.Quota
 	if b := m.seam.Quota(); b != nil && now >= m.told+standingEvery {
 		all := b.Status(now)
@@ -247,8 +262,18 @@
 		return err
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(out, "%s of fleet %q, listens on %s, life %d/%08x, health %d (0 is best), %d pages queued, %d bytes sent\n",
-		s.Name, s.Fleet, s.Listen, s.Incarnation.Generation, s.Incarnation.Boot, s.Health, s.Queued, s.SentBytes)
+	fmt.Fprintf(
+		out,
+		"%s of fleet %q, listens on %s, life %d/%08x, health %d (0 is best), %d pages queued, %d bytes sent\n",
+		s.Name,
+		s.Fleet,
+		s.Listen,
+		s.Incarnation.Generation,
+		s.Incarnation.Boot,
+		s.Health,
+		s.Queued,
+		s.SentBytes,
+	)
 	if s.NameConflict {
 		fmt.Fprintln(out, "ANOTHER PROCESS RUNS UNDER THIS NAME: this one tells nothing")
 	}
@@ -271,10 +296,29 @@
 		if r.Endpoint != "" {
 			at += " " + r.Endpoint
 		}
-		fmt.Fprintf(out, "%s\t%.3g\t%.3g\t%.3g\t%s\t%.3g\t%.2f\t%d\n", at, r.Limit, r.OwnRate, r.Lent, r.LeaseHolder, r.GrantRate, r.Belief, r.PendingRequests)
+		fmt.Fprintf(
+			out,
+			"%s\t%.3g\t%.3g\t%.3g\t%s\t%.3g\t%.2f\t%d\n",
+			at,
+			r.Limit,
+			r.OwnRate,
+			r.Lent,
+			r.LeaseHolder,
+			r.GrantRate,
+			r.Belief,
+			r.PendingRequests,
+		)
 	}
-	fmt.Fprintf(out, "messages heard %d, unreadable %d, of newer programs %d; rival pages %d, names with two addresses %d, strangers %d\n",
-		s.Received, s.Unreadable, s.Newer, s.Rivals, s.Conflicts, s.UnknownMembers)
+	fmt.Fprintf(
+		out,
+		"messages heard %d, unreadable %d, of newer programs %d; rival pages %d, names with two addresses %d, strangers %d\n",
+		s.Received,
+		s.Unreadable,
+		s.Newer,
+		s.Rivals,
+		s.Conflicts,
+		s.UnknownMembers,
+	)
 	if err := out.Flush(); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
--- a/internal/fleet/loadreport/claim_test.go
+++ b/internal/fleet/loadreport/claim_test.go
@@ -28,7 +28,9 @@
 		}
 	}
 	var claim NameClaim
-	if !claim.Suspend(time.Second, 10*time.Second) || claim.Suspend(2*time.Second, time.Second) || !claim.Suspended(10*time.Second) || claim.Suspended(11*time.Second) {
+	if !claim.Suspend(time.Second, 10*time.Second) || claim.Suspend(2*time.Second, time.Second) ||
+		!claim.Suspended(10*time.Second) ||
+		claim.Suspended(11*time.Second) {
 		t.Error("a name that others saw with another address")
 	}
 }
@@ -54,7 +56,9 @@
 	if aside := in.ClockReceived("a", 7, time.Hour+now, now, now); !slices.Equal(aside, []int{23, 24}) {
 		t.Error("put aside:", aside)
 	}
-	if held, known, ask := in.Receive(25, "a", 7, time.Hour+now, now+time.Second); !known || ask || held < time.Second || held > time.Second+20*time.Millisecond {
+	if held, known, ask := in.Receive(25, "a", 7, time.Hour+now, now+time.Second); !known || ask ||
+		held < time.Second ||
+		held > time.Second+20*time.Millisecond {
 		t.Error("held up by", held, known, ask)
 	}
 	if _, known, ask := in.Receive(26, "a", 8, 0, now+2*time.Second); known || !ask {
--- a/internal/fleet/loadreport/ledger.go
+++ b/internal/fleet/loadreport/ledger.go
@@ -75,8 +75,17 @@
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(c.Destination, o.Destination), cmp.Compare(c.Endpoint, o.Endpoint), slices.Compare(a[:], b[:]),
-		cmp.Compare(c.Backlog, o.Backlog), cmp.Compare(c.RetryAfter, o.RetryAfter), cmp.Compare(cold(c.WarmingUp), cold(o.WarmingUp)))
+	return cmp.Or(
+		cmp.Compare(c.Destination, o.Destination),
+		cmp.Compare(c.Endpoint, o.Endpoint),
+		slices.Compare(a[:], b[:]),
+		cmp.Compare(
+			c.Backlog,
+			o.Backlog,
+		),
+		cmp.Compare(c.RetryAfter, o.RetryAfter),
+		cmp.Compare(cold(c.WarmingUp), cold(o.WarmingUp)),
+	)
 }
 
 // Incarnation is one run of a member's process. Incarnations grow with each start; boots tell processes of one
@@ -276,7 +285,15 @@
 	case len(p.Name) > nameMost || !l.listed[p.Name]:
 		return bad(UnlistedMember, "%.64q", p.Name)
 	case p.Generation == 0 || p.Generation > sequenceMax || p.Sequence == 0 || p.Sequence > sequenceMax || p.Number < 0 || len(p.Scopes) > MaxScopes:
-		return bad(Malformed, "%s: incarnation %d, sequence %d, page %d of %d cells", p.Name, p.Generation, p.Sequence, p.Number, len(p.Scopes))
+		return bad(
+			Malformed,
+			"%s: incarnation %d, sequence %d, page %d of %d cells",
+			p.Name,
+			p.Generation,
+			p.Sequence,
+			p.Number,
+			len(p.Scopes),
+		)
 	case p.Age < 0:
 		return bad(OutOfRange, "%s: age %v", p.Name, p.Age)
 	case p.Age > MaxAge:
@@ -286,7 +303,11 @@
 		if c.Destination < 0 || ReportNumber(c.Destination) != p.Number || len(c.Endpoint) > routeMost {
 			return bad(Malformed, "%s: destination %d on page %d", p.Name, c.Destination, p.Number)
 		}
-		if i > 0 && cmp.Or(cmp.Compare(c.Destination, p.Scopes[i-1].Destination), cmp.Compare(c.Endpoint, p.Scopes[i-1].Endpoint)) <= 0 {
+		if i > 0 &&
+			cmp.Or(
+				cmp.Compare(c.Destination, p.Scopes[i-1].Destination),
+				cmp.Compare(c.Endpoint, p.Scopes[i-1].Endpoint),
+			) <= 0 {
 			return bad(Malformed, "%s: cells of page %d are not in order", p.Name, p.Number)
 		}
 		most := MaxRate
@@ -299,7 +320,14 @@
 			}
 		}
 		if c.Backlog < 0 || c.Backlog > backlogMost || c.RetryAfter < 0 || c.RetryAfter > waitMost {
-			return bad(OutOfRange, "%s: backlog %d, wait %v at destination %d", p.Name, c.Backlog, c.RetryAfter, c.Destination)
+			return bad(
+				OutOfRange,
+				"%s: backlog %d, wait %v at destination %d",
+				p.Name,
+				c.Backlog,
+				c.RetryAfter,
+				c.Destination,
+			)
 		}
 	}
 	return nil
--- a/internal/fleet/loadreport/ledger_test.go
+++ b/internal/fleet/loadreport/ledger_test.go
@@ -21,7 +21,12 @@
 // drawPage draws few values of each kind, so that pages often meet.
 func drawPage(t *rapid.T) Report {
 	p := Report{
-		Name: rapid.SampledFrom(listed).Draw(t, "name"), Incarnation: Incarnation{rapid.Uint64Range(1, 3).Draw(t, "incarnation"), rapid.Uint32Range(1, 2).Draw(t, "boot")},
+		Name: rapid.SampledFrom(listed).
+			Draw(t, "name"),
+		Incarnation: Incarnation{
+			rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
+			rapid.Uint32Range(1, 2).Draw(t, "boot"),
+		},
 		Number: rapid.IntRange(0, 2).Draw(t, "page"), Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
 		Age: time.Duration(rapid.IntRange(0, 60).Draw(t, "age")) * time.Second,
 	}
@@ -84,7 +89,13 @@
 // The lesser age of one version is taken, ages grow with the hearer's time, and figures fade without a step.
 func TestAges(t *testing.T) {
 	l := New("me", Incarnation{1, 1}, listed)
-	p := Report{Name: "a", Incarnation: Incarnation{1, 1}, Sequence: 1, Age: 5 * time.Second, Scopes: []ScopeLoad{{Destination: 1, Calls: 8, RetryAfter: 10 * time.Second, WarmingUp: true}}}
+	p := Report{
+		Name:        "a",
+		Incarnation: Incarnation{1, 1},
+		Sequence:    1,
+		Age:         5 * time.Second,
+		Scopes:      []ScopeLoad{{Destination: 1, Calls: 8, RetryAfter: 10 * time.Second, WarmingUp: true}},
+	}
 	l.Merge(20*time.Second, p)
 	p.Age = 3 * time.Second
 	if out, err := l.Merge(20*time.Second, p); out != Updated || err != nil {
@@ -101,7 +112,9 @@
 	if got, ok := l.Get(24*time.Second, "a", 0); !ok || got.Age != 7*time.Second-2*time.Millisecond {
 		t.Error(got, ok)
 	}
-	if s := l.AggregateOthers(24*time.Second, 1, ""); math.Abs(s.Calls-8*math.Exp2(-6.998/5)) > 1e-9 || s.RetryAfter != 3002*time.Millisecond || !s.WarmingUp {
+	if s := l.AggregateOthers(24*time.Second, 1, ""); math.Abs(s.Calls-8*math.Exp2(-6.998/5)) > 1e-9 ||
+		s.RetryAfter != 3002*time.Millisecond ||
+		!s.WarmingUp {
 		t.Errorf("%+v", s)
 	}
 	was := l.AggregateOthers(20*time.Second, 1, "").Calls
@@ -120,7 +133,13 @@
 // What cannot be is refused and counted, and changes nothing.
 func TestBounds(t *testing.T) {
 	good := func() Report {
-		return Report{Name: "a", Incarnation: Incarnation{1, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1), cellOf(5, 1)}}
+		return Report{
+			Name:        "a",
+			Incarnation: Incarnation{1, 1},
+			Number:      1,
+			Sequence:    1,
+			Scopes:      []ScopeLoad{cellOf(4, 1), cellOf(5, 1)},
+		}
 	}
 	l := New("me", Incarnation{2, 5}, listed)
 	l.SetLimits(Limits{5: {"": 10}})
@@ -149,7 +168,8 @@
 		_, before := l.Stats(0)
 		out, err := l.Merge(0, p)
 		var told *RejectedError
-		if _, after := l.Stats(0); out != Rejected || !errors.As(err, &told) || told.RejectReason != c.reason || after[c.reason] != before[c.reason]+1 {
+		if _, after := l.Stats(0); out != Rejected || !errors.As(err, &told) || told.RejectReason != c.reason ||
+			after[c.reason] != before[c.reason]+1 {
 			t.Errorf("%v: %v, %v", p, out, err)
 		}
 	}
@@ -167,8 +187,14 @@
 // A life goes before all that came before it, and one under the own name is told apart from earlier ones.
 func TestLives(t *testing.T) {
 	l := New("me", Incarnation{3, 7}, append(listed, "me"))
-	l.Merge(0, Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{cellOf(1, 5)}})
-	l.Merge(0, Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1)}})
+	l.Merge(
+		0,
+		Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{cellOf(1, 5)}},
+	)
+	l.Merge(
+		0,
+		Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1)}},
+	)
 	if got := heard(l, 0); len(got) != 1 || got[0].Number != 1 {
 		t.Error("the life before was not forgotten:", got)
 	}
@@ -253,7 +279,9 @@
 		held := some("held", 20*time.Second)
 		now += held
 		d, known, _ := x.Estimate("a", 1, other(sent), now)
-		if most := held + worst + time.Duration(2*MaxClockDrift*float64(now-asked)); !known || d < held-time.Microsecond || d > most+time.Microsecond {
+		if most := held + worst + time.Duration(2*MaxClockDrift*float64(now-asked)); !known ||
+			d < held-time.Microsecond ||
+			d > most+time.Microsecond {
 			t.Fatalf("%v, was %v, %v at most", d, held, most)
 		}
 		if _, known, _ := x.Estimate("a", 2, other(sent), now); known {
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -53,7 +53,11 @@
 
 // Estimate returns how long a message that was stamped sent has been under way now, at most; known is false if its
 // sender was not asked yet. stale tells that it should be asked again.
-func (t *TransitEstimator) Estimate(name string, boot uint32, sent, now time.Duration) (d time.Duration, known, stale bool) {
+func (t *TransitEstimator) Estimate(
+	name string,
+	boot uint32,
+	sent, now time.Duration,
+) (d time.Duration, known, stale bool) {
 	c, ok := t.senders[sender{name, boot}]
 	if !ok {
 		return 0, false, true
@@ -74,7 +78,12 @@
 
 // Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for
 // held at most. ask tells that its sender is to be asked now.
-func (in *Inbox[M]) Receive(m M, name string, boot uint32, sent, now time.Duration) (held time.Duration, known, ask bool) {
+func (in *Inbox[M]) Receive(
+	m M,
+	name string,
+	boot uint32,
+	sent, now time.Duration,
+) (held time.Duration, known, ask bool) {
 	held, known, stale := in.Estimate(name, boot, sent, now)
 	ask = stale && in.RequestDue(name, now)
 	if !known {
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -21,7 +21,13 @@
 	life := loadreport.Incarnation{Generation: 3, Boot: 9}
 	l := &Node{codec: c, ledger: loadreport.New("me", life, []string{"a"})}
 	l.cfg = Config{Name: "me", Incarnation: life, now: func() time.Duration { return time.Minute }}
-	page := loadreport.Report{Name: "a", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 6}, Number: 2, Sequence: 7, Scopes: []loadreport.ScopeLoad{{Destination: 8, Calls: 1}}}
+	page := loadreport.Report{
+		Name:        "a",
+		Incarnation: loadreport.Incarnation{Generation: 5, Boot: 6},
+		Number:      2,
+		Sequence:    7,
+		Scopes:      []loadreport.ScopeLoad{{Destination: 8, Calls: 1}},
+	}
 	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != loadreport.Updated {
 		t.Fatal(outcome, err)
 	}
--- a/internal/fleet/membership/link.go
+++ b/internal/fleet/membership/link.go
@@ -135,7 +135,10 @@
 	}
 	l := &Node{
 		cfg: cfg, codec: c, ledger: loadreport.New(cfg.Name, cfg.Incarnation, names(cfg.Peers)), mail: map[place]struct{}{},
-		intake:  loadreport.Inbox[codec.Message]{ClockRequestInterval: gossip.ClockRequestInterval, MaxDeferred: gossip.MaxDeferredMessages},
+		intake: loadreport.Inbox[codec.Message]{
+			ClockRequestInterval: gossip.ClockRequestInterval,
+			MaxDeferred:          gossip.MaxDeferredMessages,
+		},
 		notes:   make(chan note, notesMost),
 		replies: make(chan reply, repliesMost), raising: make(chan struct{}, 1),
 	}
@@ -145,9 +148,14 @@
 	mc := memberlist.DefaultLANConfig()
 	mc.Name, mc.Label = cfg.Name, cfg.Fleet
 	mc.Logger = slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)
-	mc.UDPBufferSize, mc.GossipInterval, mc.GossipNodes = gossip.MaxDatagramSize, gossip.Interval, gossip.FanOut(len(cfg.Peers))
+	mc.UDPBufferSize, mc.GossipInterval, mc.GossipNodes = gossip.MaxDatagramSize, gossip.Interval, gossip.FanOut(
+		len(cfg.Peers),
+	)
 	mc.ProbeInterval, mc.ProbeTimeout, mc.TCPTimeout = probeEvery, probeFor, streamFor
-	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(cfg.syncEvery, gossip.SyncInterval), false, reclaimFor
+	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(
+		cfg.syncEvery,
+		gossip.SyncInterval,
+	), false, reclaimFor
 	mc.Delegate, mc.Conflict, mc.Alive = (*delegate)(l), (*delegate)(l), (*delegate)(l)
 	// memberlist's own number of the delegate's form stays 0 for good: it keeps out whole members that are newer. The
 	// codec does better.
@@ -338,7 +346,11 @@
 		if name == l.cfg.Name {
 			continue
 		}
-		m := Member{MemberStats: loadreport.MemberStats{Name: name, Age: -1}, Addr: l.cfg.Peers[name], State: cmp.Or(states[name], "unseen")}
+		m := Member{
+			MemberStats: loadreport.MemberStats{Name: name, Age: -1},
+			Addr:        l.cfg.Peers[name],
+			State:       cmp.Or(states[name], "unseen"),
+		}
 		if i := slices.IndexFunc(told, func(t loadreport.MemberStats) bool { return t.Name == name }); i >= 0 {
 			m.MemberStats = told[i]
 		}
@@ -509,7 +521,11 @@
 // twinned says that this member tells nothing for a while, if that is anew.
 func (l *Node) twinned(anew bool) {
 	if anew {
-		l.cfg.Log.Error("fleet: another process runs under this relay's name; this one falls silent", "name", l.cfg.Name)
+		l.cfg.Log.Error(
+			"fleet: another process runs under this relay's name; this one falls silent",
+			"name",
+			l.cfg.Name,
+		)
 	}
 }
 
--- a/internal/fleet/membership/link_test.go
+++ b/internal/fleet/membership/link_test.go
@@ -95,7 +95,9 @@
 	}
 	for i := range n {
 		c := Config{
-			Name: linkName(i), Peers: join, Incarnation: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
+			Name: linkName(
+				i,
+			), Peers: join, Incarnation: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
 			SaveIncarnation: func(uint64) error { return nil }, Transport: taps[i],
 		}
 		if edit != nil {
@@ -118,9 +120,15 @@
 }
 
 func pageOf(l *Node, number int, seq uint64, calls float64) loadreport.Report {
-	return loadreport.Report{Name: l.cfg.Name, Incarnation: l.ledger.Incarnation(), Number: number, Sequence: seq, Scopes: []loadreport.ScopeLoad{
-		{Destination: number << 2, Demand: calls, Calls: calls, Deliveries: calls},
-	}}
+	return loadreport.Report{
+		Name:        l.cfg.Name,
+		Incarnation: l.ledger.Incarnation(),
+		Number:      number,
+		Sequence:    seq,
+		Scopes: []loadreport.ScopeLoad{
+			{Destination: number << 2, Demand: calls, Calls: calls, Deliveries: calls},
+		},
+	}
 }
 
 // holds tells whether a link holds a page in at least this sequence.
@@ -170,7 +178,11 @@
 	eventually(t, "all five hear each other", all(links, 1))
 	for i, l := range links {
 		heard, _ := l.Received()
-		if len(heard) != 4 || !slices.IsSortedFunc(heard, func(a, b loadreport.Report) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) }) {
+		if len(heard) != 4 ||
+			!slices.IsSortedFunc(
+				heard,
+				func(a, b loadreport.Report) int { return slices.Compare([]byte(a.Name), []byte(b.Name)) },
+			) {
 			t.Errorf("%d: %v", i, heard)
 		}
 		if again, _ := l.Received(); len(again) > 0 {
@@ -233,7 +245,12 @@
 		t.Fatal("what was put aside is lost:", got)
 	}
 	page := func(seq uint64) loadreport.Report {
-		return loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: seq, Scopes: []loadreport.ScopeLoad{{Destination: 1, Calls: 1}}}
+		return loadreport.Report{
+			Name:        "a",
+			Incarnation: sender.cfg.Incarnation,
+			Sequence:    seq,
+			Scopes:      []loadreport.ScopeLoad{{Destination: 1, Calls: 1}},
+		}
 	}
 	clock.Add(int64(time.Second))
 	data := sender.message(page(2))
@@ -263,7 +280,10 @@
 	})
 	l := links[0]
 	// What the other process tells comes over a third one.
-	over := &Node{cfg: Config{Name: linkName(1), Incarnation: loadreport.Incarnation{Generation: 1, Boot: 999}, now: now}, codec: l.codec}
+	over := &Node{
+		cfg:   Config{Name: linkName(1), Incarnation: loadreport.Incarnation{Generation: 1, Boot: 999}, now: now},
+		codec: l.codec,
+	}
 	l.mu.Lock()
 	l.intake.Calibrate(linkName(1), 999, 0, 0, 0)
 	l.mu.Unlock()
@@ -273,13 +293,22 @@
 		l.hear(over.message(p, loadreport.Report{Name: l.cfg.Name, Incarnation: life, Number: 1, Sequence: 2}))
 		eventually(t, "a new life", func() bool {
 			_, mine := l.Received()
-			return mine.Generation == life.Generation+1 || kept.Load() == life.Generation+1 && l.Status().Incarnation.Generation == life.Generation+1
+			return mine.Generation == life.Generation+1 ||
+				kept.Load() == life.Generation+1 && l.Status().Incarnation.Generation == life.Generation+1
 		})
 		if l.Status().NameConflict {
 			t.Fatal("silent after", i, "lives of another")
 		}
 	}
-	l.hear(over.message(loadreport.Report{Name: l.cfg.Name, Incarnation: loadreport.Incarnation{Generation: 99, Boot: 999}, Sequence: 1}))
+	l.hear(
+		over.message(
+			loadreport.Report{
+				Name:        l.cfg.Name,
+				Incarnation: loadreport.Incarnation{Generation: 99, Boot: 999},
+				Sequence:    1,
+			},
+		),
+	)
 	if s := l.Status(); !s.NameConflict {
 		t.Fatalf("%+v", s)
 	}
@@ -309,8 +338,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.n++
-	page := map[any]any{1: d.name, 2: 1, 3: 7, 4: 0, 5: d.n, 7: []any{map[any]any{1: 0, 4: 2.5, 77: "new"}}, 78: []int{1}}
-	data, err := cbor.Marshal(map[any]any{0: needs, 1: d.name, 2: 7, 3: d.n * 1000, 4: []any{page}, 79: map[string]int{"new": 1}})
+	page := map[any]any{
+		1:  d.name,
+		2:  1,
+		3:  7,
+		4:  0,
+		5:  d.n,
+		7:  []any{map[any]any{1: 0, 4: 2.5, 77: "new"}},
+		78: []int{1},
+	}
+	data, err := cbor.Marshal(
+		map[any]any{0: needs, 1: d.name, 2: 7, 3: d.n * 1000, 4: []any{page}, 79: map[string]int{"new": 1}},
+	)
 	if err != nil {
 		panic(err) // all of it can be encoded
 	}
@@ -325,7 +364,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	answer, err := cbor.Marshal(map[any]any{1: d.name, 2: 7, 3: d.n * 1000, 8: map[any]any{1: m.Boot, 2: m.Clock}, 80: "new"})
+	answer, err := cbor.Marshal(
+		map[any]any{1: d.name, 2: 7, 3: d.n * 1000, 8: map[any]any{1: m.Boot, 2: m.Clock}, 80: "new"},
+	)
 	if err == nil {
 		d.answers = append(d.answers, answer)
 	}
@@ -471,6 +512,14 @@
 	mid := func(d []time.Duration) time.Duration { slices.Sort(d); return d[len(d)/2].Round(time.Millisecond) }
 	var heap runtime.MemStats
 	runtime.ReadMemStats(&heap)
-	t.Logf("n %d, loss %.0f%%: half %v, 99%% %v, all %v; %.0f bytes a second and %.2f ms of processor time a second a member",
-		n, float64(loss)/1e4, mid(half), mid(most), mid(all), float64(sent)/took.Seconds()/float64(n), used.Seconds()*1e3/took.Seconds()/float64(n))
+	t.Logf(
+		"n %d, loss %.0f%%: half %v, 99%% %v, all %v; %.0f bytes a second and %.2f ms of processor time a second a member",
+		n,
+		float64(loss)/1e4,
+		mid(half),
+		mid(most),
+		mid(all),
+		float64(sent)/took.Seconds()/float64(n),
+		used.Seconds()*1e3/took.Seconds()/float64(n),
+	)
 }
--- a/internal/fleet/quota/rights.go
+++ b/internal/fleet/quota/rights.go
@@ -243,7 +243,10 @@
 // New returns the Book of a member that begins now.
 func New(now time.Duration, set Settings) *Ledger {
 	set.LeaseDuration, set.LeaseMargin = cmp.Or(set.LeaseDuration, LeaseDuration), cmp.Or(set.LeaseMargin, LeaseMargin)
-	return &Ledger{State: State{Set: set, Began: now, Now: now, Accounts: map[Scope]*Account{}, Peers: map[string]*peer{}}, out: map[string]*Message{}}
+	return &Ledger{
+		State: State{Set: set, Began: now, Now: now, Accounts: map[Scope]*Account{}, Peers: map[string]*peer{}},
+		out:   map[string]*Message{},
+	}
 }
 
 // Restored readies a Book that was read from a snapshot.
@@ -289,7 +292,13 @@
 			}
 			if b.Accounts[s] == nil && len(b.Accounts) < scopesMost {
 				b.order = b.order[:0]
-				b.Accounts[s] = &Account{Limit: limit, At: now, Belief: 1, Counts: map[string]count{}, NotifiedFraction: 1}
+				b.Accounts[s] = &Account{
+					Limit:            limit,
+					At:               now,
+					Belief:           1,
+					Counts:           map[string]count{},
+					NotifiedFraction: 1,
+				}
 			}
 		}
 	}
@@ -398,7 +407,20 @@
 	for _, s := range b.scopes() {
 		if a := b.Accounts[s]; a.Limit > 0 {
 			own := b.OwnRate(now, s)
-			all = append(all, ScopeStatus{s.Destination, s.Endpoint, a.Limit, own, b.lent(s, a), a.LeaseHolder, b.GrantRate(now, s), a.Belief, len(a.Queue)})
+			all = append(
+				all,
+				ScopeStatus{
+					s.Destination,
+					s.Endpoint,
+					a.Limit,
+					own,
+					b.lent(s, a),
+					a.LeaseHolder,
+					b.GrantRate(now, s),
+					a.Belief,
+					len(a.Queue),
+				},
+			)
 		}
 	}
 	return all
@@ -489,7 +511,8 @@
 		p.Acked = true
 	}
 	for _, a := range b.Accounts {
-		if w := &a.Pending; w.To == m.Member && w.Seq > 0 && m.AckedIncarnation == b.Set.Incarnation && m.AckedSeq >= w.Seq {
+		if w := &a.Pending; w.To == m.Member && w.Seq > 0 && m.AckedIncarnation == b.Set.Incarnation &&
+			m.AckedSeq >= w.Seq {
 			w.Acked = true
 		}
 	}
@@ -512,7 +535,15 @@
 		b.counted(a, m.Member, m.Incarnation, l.Delivered, l.Rejected)
 		// No member can lend more than its part. Counted from when it was sent at the latest. A lease is never
 		// shortened by a later loan: its lender counts both.
-		a.hold(held{m.Member, m.Incarnation, min(l.Rate, (1-ReservedFraction)*b.part(a)), now - m.TransitTime + b.Set.LeaseDuration}, now)
+		a.hold(
+			held{
+				m.Member,
+				m.Incarnation,
+				min(l.Rate, (1-ReservedFraction)*b.part(a)),
+				now - m.TransitTime + b.Set.LeaseDuration,
+			},
+			now,
+		)
 	}
 	for _, q := range m.Requests {
 		if a := b.Accounts[q.Scope]; a != nil {
@@ -524,7 +555,11 @@
 
 // hold takes a loan in place of the one before it.
 func (a *Account) hold(h held, now time.Duration) {
-	i, had := slices.BinarySearchFunc(a.Held, h.From, func(o held, from string) int { return cmp.Compare(o.From, from) })
+	i, had := slices.BinarySearchFunc(
+		a.Held,
+		h.From,
+		func(o held, from string) int { return cmp.Compare(o.From, from) },
+	)
 	switch {
 	case h.Until <= now: // it came too late
 	case had:
@@ -535,7 +570,13 @@
 }
 
 func (b *Ledger) queue(a *Account, m Message, q QuotaRequest) {
-	x := queued{From: m.Member, Incarnation: m.Incarnation, ID: q.ID, N: min(q.Calls, askMost), Until: b.Now - m.TransitTime + GrantTTL}
+	x := queued{
+		From:        m.Member,
+		Incarnation: m.Incarnation,
+		ID:          q.ID,
+		N:           min(q.Calls, askMost),
+		Until:       b.Now - m.TransitTime + GrantTTL,
+	}
 	i := slices.IndexFunc(a.Queue, func(x queued) bool { return x.From == m.Member })
 	switch {
 	case i < 0 && len(a.Queue) < queueMost && x.N > 0:
@@ -586,7 +627,8 @@
 // given takes calls that a keeper gives.
 func (b *Ledger) given(member string, g Grant) {
 	a := b.Accounts[g.Scope]
-	if a == nil || a.Pending.N == 0 || a.Pending.ID != g.ID || a.Pending.To != member || b.Now >= a.Pending.At+GrantTTL {
+	if a == nil || a.Pending.N == 0 || a.Pending.ID != g.ID || a.Pending.To != member ||
+		b.Now >= a.Pending.At+GrantTTL {
 		return // it comes too late, or twice
 	}
 	if n := min(g.Calls, askMost) - a.Pending.Got; n > 0 {
@@ -699,7 +741,16 @@
 func (b *Ledger) leave(m *Message) Message {
 	p := b.peer(m.Member)
 	b.Seq++
-	now := Message{Member: m.Member, Incarnation: b.Set.Incarnation, Seq: b.Seq, AckedSeq: p.Seen, AckedIncarnation: p.Incarnation, Ping: m.Ping, AsksForLeases: m.AsksForLeases, HoldsNoLease: m.HoldsNoLease}
+	now := Message{
+		Member:           m.Member,
+		Incarnation:      b.Set.Incarnation,
+		Seq:              b.Seq,
+		AckedSeq:         p.Seen,
+		AckedIncarnation: p.Incarnation,
+		Ping:             m.Ping,
+		AsksForLeases:    m.AsksForLeases,
+		HoldsNoLease:     m.HoldsNoLease,
+	}
 	if m.HoldsNoLease {
 		now.AckedIncarnation = p.Only
 	}
@@ -747,7 +798,10 @@
 		d.WriteString(s.Endpoint)
 		all = append(all, ranked{name, d.Sum64()})
 	}
-	slices.SortFunc(all, func(x, y ranked) int { return cmp.Or(cmp.Compare(y.sum, x.sum), cmp.Compare(x.name, y.name)) })
+	slices.SortFunc(
+		all,
+		func(x, y ranked) int { return cmp.Or(cmp.Compare(y.sum, x.sum), cmp.Compare(x.name, y.name)) },
+	)
 	pings := 0
 	for _, r := range all {
 		if b.live(r.name) {
--- a/internal/recording/chart/plot.go
+++ b/internal/recording/chart/plot.go
@@ -84,20 +84,46 @@
 	inner := p.Height - plotTop - plotBottom
 	y := func(v float64) float64 { return plotTop + inner*(1-min(1, max(0, v/most))) }
 	var b strings.Builder
-	fmt.Fprintf(&b, `<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`, plotWidth, p.Height, template.HTMLEscapeString(p.Title))
+	fmt.Fprintf(
+		&b,
+		`<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`,
+		plotWidth,
+		p.Height,
+		template.HTMLEscapeString(p.Title),
+	)
 	for i, s := range t.Shades {
 		fmt.Fprintf(&b, `<rect class="shade" x="%.1f" y="%g" width="%.1f" height="%.1f"><title>%s</title></rect>`,
 			t.x(s.From), plotTop, max(1, t.x(s.To)-t.x(s.From)), inner, template.HTMLEscapeString(s.Name))
 		if p.Height > 100 {
-			fmt.Fprintf(&b, `<text class="note" x="%.1f" y="%.1f">%s</text>`, t.x(s.From)+2, plotTop+9+float64(i%3)*9, template.HTMLEscapeString(s.Name))
+			fmt.Fprintf(
+				&b,
+				`<text class="note" x="%.1f" y="%.1f">%s</text>`,
+				t.x(s.From)+2,
+				plotTop+9+float64(i%3)*9,
+				template.HTMLEscapeString(s.Name),
+			)
 		}
 	}
 	for _, v := range []float64{0, most / 2, most} {
-		fmt.Fprintf(&b, `<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%s</text>`,
-			plotLeft, y(v), plotWidth-plotRight, plotLeft-4, y(v)+3, number(v))
+		fmt.Fprintf(
+			&b,
+			`<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%s</text>`,
+			plotLeft,
+			y(v),
+			plotWidth-plotRight,
+			plotLeft-4,
+			y(v)+3,
+			number(v),
+		)
 	}
 	for s, step := time.Duration(0), timeStep(t.Length); s <= t.Length; s += step {
-		fmt.Fprintf(&b, `<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`, t.x(s), p.Height-5, s.Seconds())
+		fmt.Fprintf(
+			&b,
+			`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`,
+			t.x(s),
+			p.Height-5,
+			s.Seconds(),
+		)
 	}
 	if p.Stacked {
 		t.stack(&b, p, y)
@@ -107,14 +133,27 @@
 		}
 	}
 	for _, m := range t.Marks {
-		fmt.Fprintf(&b, `<path class="mark" d="M%.1f %gV%.1f"><title>%s</title></path>`, t.x(m.At), plotTop, plotTop+inner, template.HTMLEscapeString(m.Text))
+		fmt.Fprintf(
+			&b,
+			`<path class="mark" d="M%.1f %gV%.1f"><title>%s</title></path>`,
+			t.x(m.At),
+			plotTop,
+			plotTop+inner,
+			template.HTMLEscapeString(m.Text),
+		)
 	}
 	x := plotLeft
 	fmt.Fprintf(&b, `<text class="title" x="%g" y="11">%s</text>`, x, template.HTMLEscapeString(p.Title+", "+p.Unit))
 	x += 7*float64(len(p.Title)+len(p.Unit)) + 30
 	for _, s := range p.Series {
-		fmt.Fprintf(&b, `<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`, x, s.Colour, x+11,
-			template.HTMLEscapeString(s.Name))
+		fmt.Fprintf(
+			&b,
+			`<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`,
+			x,
+			s.Colour,
+			x+11,
+			template.HTMLEscapeString(s.Name),
+		)
 		x += 24 + 6*float64(len(s.Name))
 	}
 	b.WriteString("</svg>")
@@ -164,7 +203,15 @@
 				continue
 			}
 			x, to := t.x(time.Duration(i)*t.Bin), t.x(min(t.Length, time.Duration(i+1)*t.Bin))
-			fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="%s"/>`, x, y(below[i]+v), max(0.5, to-x-0.5), y(below[i])-y(below[i]+v), s.Colour)
+			fmt.Fprintf(
+				b,
+				`<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="%s"/>`,
+				x,
+				y(below[i]+v),
+				max(0.5, to-x-0.5),
+				y(below[i])-y(below[i]+v),
+				s.Colour,
+			)
 			below[i] += v
 		}
 	}
--- a/internal/recording/chart/xy.go
+++ b/internal/recording/chart/xy.go
@@ -63,10 +63,24 @@
 	}
 	py := func(v float64) float64 { return plotTop + inner*(1-min(1, max(0, (v-lowY)/(highY-lowY)))) }
 	var b strings.Builder
-	fmt.Fprintf(&b, `<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`, plotWidth, p.Height, template.HTMLEscapeString(p.Title))
+	fmt.Fprintf(
+		&b,
+		`<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`,
+		plotWidth,
+		p.Height,
+		template.HTMLEscapeString(p.Title),
+	)
 	for _, v := range []float64{lowY, (lowY + highY) / 2, highY} {
-		fmt.Fprintf(&b, `<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%.3g</text>`,
-			plotLeft, py(v), plotWidth-plotRight, plotLeft-4, py(v)+3, v)
+		fmt.Fprintf(
+			&b,
+			`<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%.3g</text>`,
+			plotLeft,
+			py(v),
+			plotWidth-plotRight,
+			plotLeft-4,
+			py(v)+3,
+			v,
+		)
 	}
 	ticks := map[float64]bool{}
 	for i, l := range p.Lines {
@@ -89,18 +103,58 @@
 			back := down.String()
 			down.Reset()
 			fmt.Fprintf(&down, "L%.1f %.1f%s", px(q.X), py(low), back)
-			fmt.Fprintf(&b, `<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`, px(q.X), py(q.Y), colour,
-				template.HTMLEscapeString(l.Name), q.X, q.Y, q.Low, q.High)
+			fmt.Fprintf(
+				&b,
+				`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`,
+				px(q.X),
+				py(q.Y),
+				colour,
+				template.HTMLEscapeString(l.Name),
+				q.X,
+				q.Y,
+				q.Low,
+				q.High,
+			)
 			if !ticks[q.X] && len(ticks) < 20 {
 				ticks[q.X] = true
-				fmt.Fprintf(&b, `<text class="tick" text-anchor="middle" x="%.1f" y="%g">%.4g</text>`, px(q.X), p.Height-5, q.X)
+				fmt.Fprintf(
+					&b,
+					`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%.4g</text>`,
+					px(q.X),
+					p.Height-5,
+					q.X,
+				)
 			}
 		}
-		fmt.Fprintf(&b, `<path fill="%s" opacity=".15" d="%s%sZ"/><path fill="none" stroke="%s" stroke-width="1.5" d="%s"/>`, colour, up.String(), down.String(), colour, line.String())
+		fmt.Fprintf(
+			&b,
+			`<path fill="%s" opacity=".15" d="%s%sZ"/><path fill="none" stroke="%s" stroke-width="1.5" d="%s"/>`,
+			colour,
+			up.String(),
+			down.String(),
+			colour,
+			line.String(),
+		)
 		x := plotLeft + 7*float64(len(p.Title)+len(p.Unit)) + 30 + float64(i)*110
-		fmt.Fprintf(&b, `<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`, x, colour, x+11, template.HTMLEscapeString(l.Name))
+		fmt.Fprintf(
+			&b,
+			`<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`,
+			x,
+			colour,
+			x+11,
+			template.HTMLEscapeString(l.Name),
+		)
 	}
-	fmt.Fprintf(&b, `<text class="title" x="%g" y="11">%s</text><text class="note" text-anchor="end" x="%g" y="%g">%s</text></svg>`, plotLeft,
-		template.HTMLEscapeString(p.Title+", "+p.Unit), plotWidth-plotRight, p.Height-18, template.HTMLEscapeString(p.Axis))
+	fmt.Fprintf(
+		&b,
+		`<text class="title" x="%g" y="11">%s</text><text class="note" text-anchor="end" x="%g" y="%g">%s</text></svg>`,
+		plotLeft,
+		template.HTMLEscapeString(
+			p.Title+", "+p.Unit,
+		),
+		plotWidth-plotRight,
+		p.Height-18,
+		template.HTMLEscapeString(p.Axis),
+	)
 	return template.HTML(b.String()) // numbers, and text that is escaped above
 }
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -80,7 +80,10 @@
 			causes = append(causes, c)
 		}
 	}
-	slices.SortFunc(causes, func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(
+		causes,
+		func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) },
+	)
 	return causes
 }
 
@@ -208,7 +211,14 @@
 	if to < from {
 		return nil, fmt.Errorf("explain: the recording holds nothing from %v to %v", from, to)
 	}
-	rep := &Report{Meta: meta, From: from, To: to, Bin: 250 * time.Millisecond, SlotsMost: meta.Settings.MaxInFlightCalls, Messages: map[uint32]*Message{}}
+	rep := &Report{
+		Meta:      meta,
+		From:      from,
+		To:        to,
+		Bin:       250 * time.Millisecond,
+		SlotsMost: meta.Settings.MaxInFlightCalls,
+		Messages:  map[uint32]*Message{},
+	}
 	for (to-from)/rep.Bin >= binsMost {
 		rep.Bin *= 2
 	}
@@ -409,7 +419,10 @@
 			r.Sent[b.bin(now)]++
 		}
 		if m != nil {
-			m.Attempts = append(m.Attempts, Attempt{N: m.Earlier + len(m.Attempts), Route: a.Endpoint, At: now, CutAt: a.TimeoutAt})
+			m.Attempts = append(
+				m.Attempts,
+				Attempt{N: m.Earlier + len(m.Attempts), Route: a.Endpoint, At: now, CutAt: a.TimeoutAt},
+			)
 		}
 	case policy.Reject, policy.Fail:
 		if counts && a.Kind == policy.Reject {
@@ -491,7 +504,8 @@
 		if m == nil {
 			continue
 		}
-		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause && m.Spans[n-1].Route == h.Endpoint {
+		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause &&
+			m.Spans[n-1].Route == h.Endpoint {
 			m.Spans[n-1].To, m.Spans[n-1].Until = to, h.Until
 		} else if n < spansMost {
 			m.Spans = append(m.Spans, Span{from, to, h.Cause, h.Endpoint, h.Until})
@@ -508,7 +522,8 @@
 	for k := range views {
 		v := &views[k]
 		r := b.route(*v)
-		shared := v.Kind < 0 || v.Kind >= len(b.set.DestinationKinds) || !b.set.DestinationKinds[v.Kind].LimitPerEndpoint
+		shared := v.Kind < 0 || v.Kind >= len(b.set.DestinationKinds) ||
+			!b.set.DestinationKinds[v.Kind].LimitPerEndpoint
 		if r.Shared = v.ID; shared {
 			if gates[v.Destination] == "" {
 				gates[v.Destination] = v.ID
@@ -549,7 +564,10 @@
 			b.rep.Truncated = true
 			return
 		}
-		b.rep.Transitions = append(b.rep.Transitions, Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcome[v.ID]})
+		b.rep.Transitions = append(
+			b.rep.Transitions,
+			Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcome[v.ID]},
+		)
 	}
 	was := &r.last
 	switch {
@@ -560,7 +578,12 @@
 	}
 	if r.Shared == v.ID {
 		if v.DecreasedAt != was.DecreasedAt {
-			add("pace halved from %s to %.2f a second (limit believed %.2f)", rate(was.PacingRate), v.PacingRate, v.Limit)
+			add(
+				"pace halved from %s to %.2f a second (limit believed %.2f)",
+				rate(was.PacingRate),
+				v.PacingRate,
+				v.Limit,
+			)
 		}
 		if v.RetryAfterUntil > was.RetryAfterUntil && v.RetryAfterUntil > now {
 			add("told to wait until %v", v.RetryAfterUntil)
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -30,7 +30,11 @@
 	}
 	return &script{
 		s: s, now: time.Second, out: map[uint32]int{},
-		rec: flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set}, 0, s.Snapshot),
+		rec: flightrecorder.NewRecorder(
+			flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set},
+			0,
+			s.Snapshot,
+		),
 	}
 }
 
@@ -71,8 +75,12 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Classes:          []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}, FleetSize: 1, MaxInFlightCalls: 10, MaxAttempts: 8, OverloadFactor: 2,
+		Classes: []policy.Class{
+			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
+		},
+		DestinationKinds: []policy.DestinationKind{
+			{MaxBatch: 1},
+		}, FleetSize: 1, MaxInFlightCalls: 10, MaxAttempts: 8, OverloadFactor: 2,
 	}
 }
 
@@ -84,11 +92,36 @@
 func TestTheStoryOfAMessage(t *testing.T) {
 	x := newScript(t, settings())
 	x.rec.Label(1, "trace-one")
-	x.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}}}, take(1))
+	x.step(
+		policy.Event{
+			Kind:      policy.EndpointSnapshot,
+			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
+		},
+		take(1),
+	)
 	x.until(1100 * time.Millisecond)
-	x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "r", Outcome: policy.Overloaded, RetryAfter: 2 * time.Second, Latency: 100 * time.Millisecond})
+	x.step(
+		policy.Event{
+			Kind:       policy.AttemptFinished,
+			MessageID:  1,
+			Endpoint:   "r",
+			Outcome:    policy.Overloaded,
+			RetryAfter: 2 * time.Second,
+			Latency:    100 * time.Millisecond,
+		},
+	)
 	x.until(4 * time.Second)
-	x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Attempt: 1, Endpoint: "r", Outcome: policy.OK, Latency: 500 * time.Millisecond, MessageEnded: true})
+	x.step(
+		policy.Event{
+			Kind:         policy.AttemptFinished,
+			MessageID:    1,
+			Attempt:      1,
+			Endpoint:     "r",
+			Outcome:      policy.OK,
+			Latency:      500 * time.Millisecond,
+			MessageEnded: true,
+		},
+	)
 	rep := x.explain(t, Options{Messages: true})
 	d := rep.Destinations[0]
 	if d.ID != 7 || d.Taken != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
@@ -98,7 +131,9 @@
 		t.Errorf("waits %v", d.Waits)
 	}
 	m := rep.Messages[1]
-	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending || len(m.Attempts) != 2 || m.End != "delivered" || m.Attempts[0].Wait != 2*time.Second {
+	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending || len(m.Attempts) != 2 ||
+		m.End != "delivered" ||
+		m.Attempts[0].Wait != 2*time.Second {
 		t.Errorf("%+v", m)
 	}
 	var text, jsonl, html, changes strings.Builder
@@ -124,10 +159,13 @@
 	if kinds["report"] != 1 || kinds["destination"] != 1 || kinds["message"] != 1 || kinds["transition"] < 2 {
 		t.Errorf("%v", kinds)
 	}
-	if err := WriteHTML(&html, rep); err != nil || strings.Contains(html.String(), "<script") || strings.Count(html.String(), "<svg") < 4 {
+	if err := WriteHTML(&html, rep); err != nil || strings.Contains(html.String(), "<script") ||
+		strings.Count(html.String(), "<svg") < 4 {
 		t.Errorf("%v: %d bytes", err, html.Len())
 	}
-	if err := WriteTransitions(&changes, rep, 7); err != nil || !strings.Contains(changes.String(), "pace halved from free to") || !strings.Contains(changes.String(), "(refused, wait 2s)") {
+	if err := WriteTransitions(&changes, rep, 7); err != nil ||
+		!strings.Contains(changes.String(), "pace halved from free to") ||
+		!strings.Contains(changes.String(), "(refused, wait 2s)") {
 		t.Errorf("%v\n%s", err, changes.String())
 	}
 }
@@ -135,16 +173,35 @@
 // Shares of the time by cause come out as they were made: a skip after failures in a row, and the pace after it.
 func TestSharesByCause(t *testing.T) {
 	x := newScript(t, settings())
-	x.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}}}, take(1), take(2), take(3))
+	x.step(
+		policy.Event{
+			Kind:      policy.EndpointSnapshot,
+			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
+		},
+		take(1),
+		take(2),
+		take(3),
+	)
 	for id := range uint32(3) {
 		x.until(x.now + 10*time.Millisecond)
-		x.step(policy.Event{Kind: policy.AttemptFinished, MessageID: id + 1, Endpoint: "r", Outcome: policy.ConnectFailed})
+		x.step(
+			policy.Event{Kind: policy.AttemptFinished, MessageID: id + 1, Endpoint: "r", Outcome: policy.ConnectFailed},
+		)
 	}
 	x.until(x.now + 10*time.Millisecond)
 	var failed []policy.Event
 	for id, n := range x.out {
 		if n == 2 {
-			failed = append(failed, policy.Event{Kind: policy.AttemptFinished, MessageID: id, Attempt: 1, Endpoint: "r", Outcome: policy.ConnectFailed})
+			failed = append(
+				failed,
+				policy.Event{
+					Kind:      policy.AttemptFinished,
+					MessageID: id,
+					Attempt:   1,
+					Endpoint:  "r",
+					Outcome:   policy.ConnectFailed,
+				},
+			)
 		}
 	}
 	x.step(failed...)
@@ -153,7 +210,8 @@
 	x.step(policy.Event{Kind: policy.TimerFired})
 	rep := x.explain(t, Options{From: from})
 	d := rep.Destinations[0]
-	if share := d.Waits[policy.EndpointEjected] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 || d.MostQueue != 3 {
+	if share := d.Waits[policy.EndpointEjected] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 ||
+		d.MostQueue != 3 {
 		t.Errorf("%v, %+v", share, d)
 	}
 	var text strings.Builder
--- a/internal/recording/explain/write.go
+++ b/internal/recording/explain/write.go
@@ -18,7 +18,20 @@
 func WriteText(w io.Writer, rep *Report) error {
 	p := &printer{w: w}
 	p.head(rep)
-	p.line("%-6s %6s %6s %6s %6s %6s %6s %6s %8s %6s  %s", "dest", "taken", "sent", "ok", "full", "bad", "refuse", "fail", "waited", "queue", "what held its messages")
+	p.line(
+		"%-6s %6s %6s %6s %6s %6s %6s %6s %8s %6s  %s",
+		"dest",
+		"taken",
+		"sent",
+		"ok",
+		"full",
+		"bad",
+		"refuse",
+		"fail",
+		"waited",
+		"queue",
+		"what held its messages",
+	)
 	for _, d := range ByWait(rep) {
 		bad := 0
 		for o, n := range d.Calls {
@@ -26,8 +39,20 @@
 				bad += n
 			}
 		}
-		p.line("%-6d %6d %6d %6d %6d %6d %6d %6d %7.1fs %6d  %s", d.ID, d.Taken, d.Sent, d.Calls[policy.OK], d.Calls[policy.Overloaded], bad, d.Refused,
-			d.Failed, d.Waits.Sum(), d.MostQueue, Shares(d.Waits))
+		p.line(
+			"%-6d %6d %6d %6d %6d %6d %6d %6d %7.1fs %6d  %s",
+			d.ID,
+			d.Taken,
+			d.Sent,
+			d.Calls[policy.OK],
+			d.Calls[policy.Overloaded],
+			bad,
+			d.Refused,
+			d.Failed,
+			d.Waits.Sum(),
+			d.MostQueue,
+			Shares(d.Waits),
+		)
 	}
 	return p.err
 }
@@ -51,8 +76,16 @@
 // WriteMessage writes the story of a message.
 func WriteMessage(w io.Writer, m *Message) error {
 	p := &printer{w: w}
-	p.line("message %d (%s) for destination %d, class %d, taken at %.3fs with %.3fs left%s", m.ID, m.Trace, m.Destination, m.Class, m.TakenAt.Seconds(),
-		m.Left.Seconds(), map[bool]string{true: ", from an earlier process"}[m.Resumed])
+	p.line(
+		"message %d (%s) for destination %d, class %d, taken at %.3fs with %.3fs left%s",
+		m.ID,
+		m.Trace,
+		m.Destination,
+		m.Class,
+		m.TakenAt.Seconds(),
+		m.Left.Seconds(),
+		map[bool]string{true: ", from an earlier process"}[m.Resumed],
+	)
 	type line struct {
 		at   time.Duration
 		text string
@@ -63,16 +96,34 @@
 		if s.Until != math.MaxInt64 && s.Until > s.To {
 			until = fmt.Sprintf(", by then until %.3fs", s.Until.Seconds())
 		}
-		lines = append(lines, line{s.From, fmt.Sprintf("waits %6.3fs: %s %s%s", (s.To - s.From).Seconds(), CauseName(s.Cause), s.Route, until)})
+		lines = append(
+			lines,
+			line{
+				s.From,
+				fmt.Sprintf("waits %6.3fs: %s %s%s", (s.To - s.From).Seconds(), CauseName(s.Cause), s.Route, until),
+			},
+		)
 	}
 	for _, a := range m.Attempts {
-		lines = append(lines, line{a.At, fmt.Sprintf("attempt %d leaves for %s, to be cut off at %.3fs", a.N, a.Route, a.CutAt.Seconds())})
+		lines = append(
+			lines,
+			line{
+				a.At,
+				fmt.Sprintf("attempt %d leaves for %s, to be cut off at %.3fs", a.N, a.Route, a.CutAt.Seconds()),
+			},
+		)
 		if a.EndedAt > 0 {
 			told := ""
 			if a.Wait > 0 {
 				told = fmt.Sprintf(", told to wait %v", a.Wait)
 			}
-			lines = append(lines, line{a.EndedAt, fmt.Sprintf("attempt %d: %s after %.3fs%s", a.N, OutcomeName(a.Outcome), a.Took.Seconds(), told)})
+			lines = append(
+				lines,
+				line{
+					a.EndedAt,
+					fmt.Sprintf("attempt %d: %s after %.3fs%s", a.N, OutcomeName(a.Outcome), a.Took.Seconds(), told),
+				},
+			)
 		}
 	}
 	if m.EndedAt > 0 {
@@ -80,7 +131,13 @@
 		if m.Advice > 0 {
 			advice = fmt.Sprintf(", to come again after %v", m.Advice)
 		}
-		lines = append(lines, line{m.EndedAt, fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, (m.EndedAt - m.TakenAt).Seconds(), advice)})
+		lines = append(
+			lines,
+			line{
+				m.EndedAt,
+				fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, (m.EndedAt - m.TakenAt).Seconds(), advice),
+			},
+		)
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return int(max(-1, min(1, a.at-b.at))) })
 	for _, l := range lines {
@@ -131,7 +188,13 @@
 }
 
 func (p *printer) head(rep *Report) {
-	p.line("%s, from %.3fs to %.3fs (0 is %s)", rep.Meta.Name, rep.From.Seconds(), rep.To.Seconds(), rep.Meta.Started.UTC().Format(time.RFC3339Nano))
+	p.line(
+		"%s, from %.3fs to %.3fs (0 is %s)",
+		rep.Meta.Name,
+		rep.From.Seconds(),
+		rep.To.Seconds(),
+		rep.Meta.Started.UTC().Format(time.RFC3339Nano),
+	)
 	if !rep.Replay.SameRevision() {
 		p.line("recorded by revision %s of the module, explained by %s", rep.Meta.Revision, rep.Replay.Revision)
 	}
@@ -179,18 +242,37 @@
 		})
 	}
 	for _, t := range rep.Transitions {
-		line("transition", map[string]any{"at": t.At.Seconds(), "destination": t.Destination, "route": t.Route, "what": t.What, "by": t.By})
+		line(
+			"transition",
+			map[string]any{
+				"at":          t.At.Seconds(),
+				"destination": t.Destination,
+				"route":       t.Route,
+				"what":        t.What,
+				"by":          t.By,
+			},
+		)
 	}
 	for _, id := range sortedIDs(rep) {
 		m := rep.Messages[id]
 		var spans, attempts []map[string]any
 		for _, s := range m.Spans {
-			spans = append(spans, map[string]any{"from": s.From.Seconds(), "to": s.To.Seconds(), "cause": CauseName(s.Cause), "route": s.Route})
+			spans = append(
+				spans,
+				map[string]any{
+					"from":  s.From.Seconds(),
+					"to":    s.To.Seconds(),
+					"cause": CauseName(s.Cause),
+					"route": s.Route,
+				},
+			)
 		}
 		for _, a := range m.Attempts {
 			attempt := map[string]any{"n": a.N, "route": a.Route, "at": a.At.Seconds()}
 			if a.EndedAt > 0 {
-				attempt["ended"], attempt["outcome"], attempt["told_wait"] = a.EndedAt.Seconds(), OutcomeName(a.Outcome), a.Wait.Seconds()
+				attempt["ended"], attempt["outcome"], attempt["told_wait"] = a.EndedAt.Seconds(), OutcomeName(
+					a.Outcome,
+				), a.Wait.Seconds()
 			}
 			attempts = append(attempts, attempt)
 		}
@@ -219,9 +301,26 @@
 	t := &chart.Timeline{Length: max(time.Millisecond, rep.To-rep.From), Bin: rep.Bin, Bins: rep.Bins}
 	per := 1 / rep.Bin.Seconds()
 	var plots []template.HTML
-	plots = append(plots,
-		t.Draw(chart.Plot{Title: "messages waiting", Unit: "the most in a bin", Height: 110, Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: rep.Queue}}}),
-		t.Draw(chart.Plot{Title: "slots", Unit: "taken, the most in a bin", Height: 90, Most: float64(rep.SlotsMost), Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: rep.Slots}}}))
+	plots = append(
+		plots,
+		t.Draw(
+			chart.Plot{
+				Title:  "messages waiting",
+				Unit:   "the most in a bin",
+				Height: 110,
+				Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: rep.Queue}},
+			},
+		),
+		t.Draw(
+			chart.Plot{
+				Title:  "slots",
+				Unit:   "taken, the most in a bin",
+				Height: 90,
+				Most:   float64(rep.SlotsMost),
+				Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: rep.Slots}},
+			},
+		),
+	)
 	sorted := ByWait(rep)
 	for _, d := range sorted[:min(plottedMost, len(sorted))] {
 		for i, r := range d.Routes {
@@ -229,7 +328,11 @@
 			axis.Shades = shades(r, rep)
 			if r.Shared == r.Name {
 				plots = append(plots, axis.Draw(chart.Plot{
-					Title: fmt.Sprintf("destination %d, %s", d.ID, r.Name), Unit: "calls a second", Height: 120, Series: []chart.Series{
+					Title: fmt.Sprintf(
+						"destination %d, %s",
+						d.ID,
+						r.Name,
+					), Unit: "calls a second", Height: 120, Series: []chart.Series{
 						{Name: "limit believed", Colour: chart.Grey, Values: gaps(r.Believed)},
 						{Name: "refused last", Colour: chart.Red, Values: gaps(r.Ceiling)},
 						{Name: "pace", Colour: chart.Blue, Values: gaps(r.Pace)},
@@ -241,7 +344,18 @@
 				{Name: "refused", Colour: chart.Orange, Values: scaled(r.Full, per)},
 				{Name: "failed", Colour: chart.Red, Values: scaled(r.Bad, per)},
 			}
-			plots = append(plots, axis.Draw(chart.Plot{Title: "outcomes, " + r.Name, Unit: "a second", Height: 90, Stacked: true, Series: series}))
+			plots = append(
+				plots,
+				axis.Draw(
+					chart.Plot{
+						Title:   "outcomes, " + r.Name,
+						Unit:    "a second",
+						Height:  90,
+						Stacked: true,
+						Series:  series,
+					},
+				),
+			)
 			if i == 0 {
 				plots = append(plots, axis.Draw(chart.Plot{
 					Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
@@ -257,7 +371,10 @@
 	if err := WriteTransitions(&changes, rep, -1); err != nil {
 		return err
 	}
-	return page.Execute(w, map[string]any{"Name": rep.Meta.Name, "Text": text.String(), "Plots": plots, "Changes": changes.String()})
+	return page.Execute(
+		w,
+		map[string]any{"Name": rep.Meta.Name, "Text": text.String(), "Plots": plots, "Changes": changes.String()},
+	)
 }
 
 // gaps leaves out what is free or not told.
@@ -292,7 +409,10 @@
 			for i < len(x.flags) && x.flags[i] {
 				i++
 			}
-			all = append(all, chart.Shade{Name: x.name, From: time.Duration(from) * rep.Bin, To: time.Duration(i) * rep.Bin})
+			all = append(
+				all,
+				chart.Shade{Name: x.name, From: time.Duration(from) * rep.Bin, To: time.Duration(i) * rep.Bin},
+			)
 		}
 	}
 	return all
--- a/internal/recording/fleetstats/tally.go
+++ b/internal/recording/fleetstats/tally.go
@@ -107,7 +107,13 @@
 	if err != nil {
 		return err
 	}
-	x := &reading{Fleet: f, meta: rec.Meta, routes: map[string]route{}, msgs: map[uint32]message{}, calls: map[uint32]*call{}}
+	x := &reading{
+		Fleet:  f,
+		meta:   rec.Meta,
+		routes: map[string]route{},
+		msgs:   map[uint32]message{},
+		calls:  map[uint32]*call{},
+	}
 	for {
 		e, ok, err := r.Next()
 		if err != nil || !ok {
@@ -238,7 +244,10 @@
 			return
 		}
 		delete(x.calls, e.MessageID)
-		c.full, c.wait, c.ok = c.full || e.Outcome == policy.Overloaded, c.wait || e.RetryAfter > 0, c.ok || e.Outcome == policy.OK
+		c.full, c.wait, c.ok = c.full ||
+			e.Outcome == policy.Overloaded, c.wait ||
+			e.RetryAfter > 0, c.ok ||
+			e.Outcome == policy.OK
 		if c.left--; c.left > 0 {
 			return
 		}
@@ -279,14 +288,32 @@
 			rows[key].add(&c)
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(rows), func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) })
+	keys := slices.SortedFunc(
+		maps.Keys(rows),
+		func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) },
+	)
 	fmt.Fprintf(w, "%d relays, from %s\n", f.Relays, f.Start.Format(time.RFC3339))
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "place\ttold/s\ttaken\tresumed\tcalls\tsent\tfull\twaits\tbad\tok\tlate\tdeferred\tfailed\t")
 	for _, k := range keys {
 		c := rows[k]
-		fmt.Fprintf(tw, "%s\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", k, f.Told[k], c.Taken, c.Resumed, c.Calls, c.Sent,
-			c.Refused, c.Waits, c.Bad, c.OK, c.Late, c.Deferred, c.Failed)
+		fmt.Fprintf(
+			tw,
+			"%s\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n",
+			k,
+			f.Told[k],
+			c.Taken,
+			c.Resumed,
+			c.Calls,
+			c.Sent,
+			c.Refused,
+			c.Waits,
+			c.Bad,
+			c.OK,
+			c.Late,
+			c.Deferred,
+			c.Failed,
+		)
 	}
 	return tw.Flush()
 }
