--- a/internal/recording/fleetstats/tally_test.go
+++ b/internal/recording/fleetstats/tally_test.go
@@ -14,32 +14,78 @@
 func relay(t *testing.T, name string, started time.Time) flightrecorder.Recording {
 	t.Helper()
 	set := policy.Settings{
-		Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 2}, {LimitPerEndpoint: true}},
+		Classes: []policy.Class{
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second},
+		}, DestinationKinds: []policy.DestinationKind{{MaxBatch: 2}, {LimitPerEndpoint: true}},
 	}
-	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Name: name, Settings: set, Started: started}, 1<<20, func(b []byte) []byte { return b })
+	rec := flightrecorder.NewRecorder(
+		flightrecorder.Meta{Name: name, Settings: set, Started: started},
+		1<<20,
+		func(b []byte) []byte { return b },
+	)
 	rec.Step(time.Second, []policy.Event{
-		{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "a", Destination: 1, Weight: 7}, {ID: "b", Destination: 2, Kind: 1, Weight: 3}}},
+		{
+			Kind: policy.EndpointSnapshot,
+			Endpoints: []policy.Endpoint{
+				{ID: "a", Destination: 1, Weight: 7},
+				{ID: "b", Destination: 2, Kind: 1, Weight: 3},
+			},
+		},
 		{Kind: policy.MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: 10 * time.Second},
-		{Kind: policy.MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 10 * time.Second, Recovered: &policy.RecoveredMessage{}},
+		{
+			Kind:        policy.MessageAccepted,
+			MessageID:   2,
+			Destination: 1,
+			TimeLeft:    10 * time.Second,
+			Recovered:   &policy.RecoveredMessage{},
+		},
 	}, []policy.Action{{Kind: policy.Send, MessageID: 1, Endpoint: "a"}, {Kind: policy.Send, MessageID: 2, Endpoint: "a"}})
 	rec.Step(2*time.Second, []policy.Event{
-		{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: policy.Overloaded, RetryAfter: time.Second},
+		{
+			Kind:       policy.AttemptFinished,
+			MessageID:  1,
+			Endpoint:   "a",
+			Outcome:    policy.Overloaded,
+			RetryAfter: time.Second,
+		},
 		{Kind: policy.AttemptFinished, MessageID: 2, Endpoint: "a", Outcome: policy.Overloaded},
 		{Kind: policy.MessageAccepted, MessageID: 3, Destination: 2, TimeLeft: 10 * time.Second},
 	}, []policy.Action{{Kind: policy.Send, MessageID: 3, Endpoint: "b"}, {Kind: policy.Reject, MessageID: 2}})
-	rec.Step(3*time.Second, []policy.Event{{Kind: policy.AttemptFinished, MessageID: 3, Endpoint: "b", Outcome: policy.Timeout}},
-		[]policy.Action{{Kind: policy.Fail, MessageID: 3}, {Kind: policy.Send, MessageID: 1, Endpoint: "a"}})
-	rec.Step(4*time.Second, []policy.Event{{Kind: policy.AttemptFinished, MessageID: 1, Attempt: 1, Endpoint: "a", Outcome: policy.OK, MessageEnded: true}}, nil)
+	rec.Step(
+		3*time.Second,
+		[]policy.Event{{Kind: policy.AttemptFinished, MessageID: 3, Endpoint: "b", Outcome: policy.Timeout}},
+		[]policy.Action{{Kind: policy.Fail, MessageID: 3}, {Kind: policy.Send, MessageID: 1, Endpoint: "a"}},
+	)
+	rec.Step(
+		4*time.Second,
+		[]policy.Event{
+			{
+				Kind:         policy.AttemptFinished,
+				MessageID:    1,
+				Attempt:      1,
+				Endpoint:     "a",
+				Outcome:      policy.OK,
+				MessageEnded: true,
+			},
+		},
+		nil,
+	)
 	var data bytes.Buffer
 	if _, err := rec.WriteTo(&data); err != nil {
 		t.Fatal(err)
 	}
-	return flightrecorder.Recording{Data: data.Bytes(), Meta: flightrecorder.Meta{Name: name, Settings: set, Started: started}}
+	return flightrecorder.Recording{
+		Data: data.Bytes(),
+		Meta: flightrecorder.Meta{Name: name, Settings: set, Started: started},
+	}
 }
 
 func TestCountsAcrossRelays(t *testing.T) {
 	start := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
-	f, err := Read([]flightrecorder.Recording{relay(t, "n0", start), relay(t, "n1", start.Add(time.Second))}, time.Second)
+	f, err := Read(
+		[]flightrecorder.Recording{relay(t, "n0", start), relay(t, "n1", start.Add(time.Second))},
+		time.Second,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,20 +122,29 @@
 // A recording that begins in mid-life, a ring that was written out say, tells its places from the module's state; what
 // it says of messages that came before is told apart.
 func TestARecordingThatBeginsInMidLife(t *testing.T) {
-	set := policy.Settings{Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}}, DestinationKinds: []policy.DestinationKind{{}, {LimitPerEndpoint: true}}}
+	set := policy.Settings{
+		Classes:          []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}},
+		DestinationKinds: []policy.DestinationKind{{}, {LimitPerEndpoint: true}},
+	}
 	s, err := policy.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Step(time.Second, []policy.Event{
-		{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "b", Destination: 2, Kind: 1, Weight: 3, InService: true}}},
+		{
+			Kind:      policy.EndpointSnapshot,
+			Endpoints: []policy.Endpoint{{ID: "b", Destination: 2, Kind: 1, Weight: 3, InService: true}},
+		},
 		{Kind: policy.MessageAccepted, MessageID: 1, Destination: 2, TimeLeft: 10 * time.Second},
 	})
 	meta := flightrecorder.Meta{Name: "n0", Settings: set, Started: time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)}
 	rec := flightrecorder.ResumeRecorder(meta, 1<<20, s.Snapshot, time.Second)
 	step := func(now time.Duration, evs ...policy.Event) { rec.Step(now, evs, s.Step(now, evs)) }
-	step(2*time.Second, policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "b", Outcome: policy.OK, MessageEnded: true},
-		policy.Event{Kind: policy.MessageAccepted, MessageID: 2, Destination: 2, TimeLeft: 10 * time.Second})
+	step(
+		2*time.Second,
+		policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "b", Outcome: policy.OK, MessageEnded: true},
+		policy.Event{Kind: policy.MessageAccepted, MessageID: 2, Destination: 2, TimeLeft: 10 * time.Second},
+	)
 	step(3*time.Second, policy.Event{Kind: policy.AttemptFinished, MessageID: 2, Endpoint: "b", Outcome: policy.Error})
 	var data bytes.Buffer
 	if _, err := rec.WriteTo(&data); err != nil {
--- a/internal/recording/flightrecorder/export_test.go
+++ b/internal/recording/flightrecorder/export_test.go
@@ -8,14 +8,21 @@
 // Reseal sets the checksums of the frames in data right, so that tests reach what stands behind them.
 func Reseal(data []byte) {
 	for start := bytes.Index(data, []byte(magic)); start >= 0 && len(data)-start >= preamble; {
-		id, number := binary.LittleEndian.Uint64(data[start+len(magic):]), binary.LittleEndian.Uint32(data[start+len(magic)+idSize:])
+		id, number := binary.LittleEndian.Uint64(
+			data[start+len(magic):],
+		), binary.LittleEndian.Uint32(
+			data[start+len(magic)+idSize:],
+		)
 		at := preamble
 		for rest := data[start:]; len(rest)-at >= frameHeader && !bytes.HasPrefix(rest[at:], []byte(magic)); {
 			n := int(binary.LittleEndian.Uint32(rest[at:]))
 			if n <= 0 || n > len(rest)-at-frameHeader {
 				break
 			}
-			binary.LittleEndian.PutUint32(rest[at+4:], frameSum(new([20]byte), id, number, at, rest[at+frameHeader:at+frameHeader+n]))
+			binary.LittleEndian.PutUint32(
+				rest[at+4:],
+				frameSum(new([20]byte), id, number, at, rest[at+frameHeader:at+frameHeader+n]),
+			)
 			at += frameHeader + n
 		}
 		next := bytes.Index(data[start+at:], []byte(magic))
--- a/internal/recording/flightrecorder/flight_test.go
+++ b/internal/recording/flightrecorder/flight_test.go
@@ -55,41 +55,86 @@
 }
 
 func newRecorder(ring int) *flightrecorder.Recorder {
-	return flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Settings: recordertest.Settings()}, ring, func(b []byte) []byte { return append(b, "state"...) })
+	return flightrecorder.NewRecorder(
+		flightrecorder.Meta{Name: "n1", Settings: recordertest.Settings()},
+		ring,
+		func(b []byte) []byte { return append(b, "state"...) },
+	)
 }
 
 func drawEvent(t *rapid.T) policy.Event {
-	kind := rapid.SampledFrom([]policy.EventKind{policy.MessageAccepted, policy.AttemptFinished, policy.MessageCancelled, policy.EndpointSnapshot, policy.EndpointDelta, policy.WatchFailed, policy.TimerFired, policy.HealthChecked}).Draw(t, "kind")
+	kind := rapid.SampledFrom([]policy.EventKind{policy.MessageAccepted, policy.AttemptFinished, policy.MessageCancelled, policy.EndpointSnapshot, policy.EndpointDelta, policy.WatchFailed, policy.TimerFired, policy.HealthChecked}).
+		Draw(t, "kind")
 	e := policy.Event{Kind: kind}
 	number := rapid.IntRange(-3, math.MaxInt32)
 	span := rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
 	route := rapid.SampledFrom([]string{"", "s-1", "s-2", "a route with \x00 and ü", strings.Repeat("long", 90)})
 	switch kind {
 	case policy.MessageAccepted:
-		e.MessageID, e.Class, e.Tenant, e.Destination = rapid.Uint32().Draw(t, "id"), number.Draw(t, "class"), number.Draw(t, "customer"), number.Draw(t, "dest")
+		e.MessageID, e.Class, e.Tenant, e.Destination = rapid.Uint32().
+			Draw(t, "id"),
+			number.Draw(
+				t,
+				"class",
+			), number.Draw(
+				t,
+				"customer",
+			), number.Draw(
+				t,
+				"dest",
+			)
 		e.TimeLeft, e.Key = span.Draw(t, "left"), rapid.StringN(0, 40, 400).Draw(t, "key")
 		if rapid.Bool().Draw(t, "resumed") {
 			e.Recovered = &policy.RecoveredMessage{Attempts: number.Draw(t, "attempts")}
 			if rapid.Bool().Draw(t, "ran") {
-				e.Recovered.MayHaveRun, e.Recovered.SinceFirstRun, e.Recovered.FirstRunZone = true, span.Draw(t, "ago"), number.Draw(t, "zone")
+				e.Recovered.MayHaveRun, e.Recovered.SinceFirstRun, e.Recovered.FirstRunZone = true, span.Draw(
+					t,
+					"ago",
+				), number.Draw(
+					t,
+					"zone",
+				)
 			}
 		}
 	case policy.AttemptFinished, policy.HealthChecked:
-		e.MessageID, e.Attempt, e.Endpoint = rapid.Uint32().Draw(t, "id"), number.Draw(t, "attempt"), route.Draw(t, "route")
-		e.Outcome, e.Latency, e.MessageEnded = policy.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome")), span.Draw(t, "took"), rapid.Bool().Draw(t, "ended")
+		e.MessageID, e.Attempt, e.Endpoint = rapid.Uint32().
+			Draw(t, "id"),
+			number.Draw(
+				t,
+				"attempt",
+			), route.Draw(
+				t,
+				"route",
+			)
+		e.Outcome, e.Latency, e.MessageEnded = policy.Outcome(
+			rapid.IntRange(0, 7).Draw(t, "outcome"),
+		), span.Draw(
+			t,
+			"took",
+		), rapid.Bool().
+			Draw(t, "ended")
 		if rapid.Bool().Draw(t, "wait") {
 			e.RetryAfter = span.Draw(t, "told")
 		}
 		if rapid.Bool().Draw(t, "report") {
-			e.LimitReport = policy.LimitReport{Present: true, Remaining: rapid.Float64().Draw(t, "left"), Limit: rapid.Float64().Draw(t, "limit")}
+			e.LimitReport = policy.LimitReport{
+				Present:   true,
+				Remaining: rapid.Float64().Draw(t, "left"),
+				Limit:     rapid.Float64().Draw(t, "limit"),
+			}
 		}
 	case policy.MessageCancelled:
 		e.MessageID = rapid.Uint32().Draw(t, "id")
 	case policy.EndpointSnapshot, policy.EndpointDelta:
 		for range rapid.IntRange(0, 5).Draw(t, "entries") {
 			e.Endpoints = append(e.Endpoints, policy.Endpoint{
-				ID: route.Draw(t, "route"), Destination: number.Draw(t, "dest"), Kind: number.Draw(t, "kind"), Zone: number.Draw(t, "zone"),
-				Weight: rapid.Float64().Draw(t, "weight"), InService: rapid.Bool().Draw(t, "in"), Removed: rapid.Bool().Draw(t, "gone"),
+				ID: route.Draw(
+					t,
+					"route",
+				), Destination: number.Draw(t, "dest"), Kind: number.Draw(t, "kind"), Zone: number.Draw(t, "zone"),
+				Weight: rapid.Float64().
+					Draw(t, "weight"),
+				InService: rapid.Bool().Draw(t, "in"), Removed: rapid.Bool().Draw(t, "gone"),
 			})
 		}
 	}
@@ -131,7 +176,16 @@
 				ids := rapid.SliceOfN(rapid.Uint32(), 1, 4).Draw(rt, "ids")
 				may := rapid.Bool().Draw(rt, "may")
 				rec.SendChecked(now, "s-1", ids, may)
-				want = append(want, flightrecorder.Entry{Kind: flightrecorder.SendChecked, Now: now, Endpoint: "s-1", MessageIDs: ids, Allowed: may})
+				want = append(
+					want,
+					flightrecorder.Entry{
+						Kind:       flightrecorder.SendChecked,
+						Now:        now,
+						Endpoint:   "s-1",
+						MessageIDs: ids,
+						Allowed:    may,
+					},
+				)
 			default:
 				e := flightrecorder.Entry{Kind: flightrecorder.Step, Now: now}
 				for range rapid.IntRange(0, 4).Draw(rt, "events") {
@@ -145,7 +199,8 @@
 			}
 		}
 		got := entries(t, written(t, rec))
-		if got[0].Kind != flightrecorder.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" || !reflect.DeepEqual(got[0].Meta.Settings, recordertest.Settings()) {
+		if got[0].Kind != flightrecorder.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" ||
+			!reflect.DeepEqual(got[0].Meta.Settings, recordertest.Settings()) {
 			rt.Fatalf("begins with %+v", got[0])
 		}
 		got = got[1:]
@@ -188,7 +243,8 @@
 	if len(all) != 5 || all[4].Events[0].Key != "last" || all[2].Events[0].Key != old {
 		t.Fatalf("%d entries", len(all))
 	}
-	if found, err := flightrecorder.Split(data); err != nil || len(found) != 1 || found[0].Chunks != 1 || !bytes.Equal(found[0].Data, data) {
+	if found, err := flightrecorder.Split(data); err != nil || len(found) != 1 || found[0].Chunks != 1 ||
+		!bytes.Equal(found[0].Data, data) {
 		t.Errorf("%d recordings, %v", len(found), err)
 	}
 	data[len(data)-1] ^= 1
@@ -210,7 +266,8 @@
 	if err := os.WriteFile(path, []byte("CTFLIGHT with nothing behind it that is right"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := flightrecorder.Load(path); !errors.Is(err, flightrecorder.ErrNoRecording) || !strings.Contains(err.Error(), path) {
+	if _, err := flightrecorder.Load(path); !errors.Is(err, flightrecorder.ErrNoRecording) ||
+		!strings.Contains(err.Error(), path) {
 		t.Error(err)
 	}
 	if _, err := flightrecorder.Load(path + "y"); !errors.Is(err, os.ErrNotExist) {
@@ -245,7 +302,9 @@
 	rec.Note("behind")
 	all := entries(t, written(t, rec))
 	last := all[len(all)-3:]
-	if last[0].Kind != flightrecorder.Begin || string(last[0].State) != "state" || !strings.Contains(last[1].Text, "is missing") || last[2].Text != "behind" {
+	if last[0].Kind != flightrecorder.Begin || string(last[0].State) != "state" ||
+		!strings.Contains(last[1].Text, "is missing") ||
+		last[2].Text != "behind" {
 		t.Errorf("%+v", all)
 	}
 }
@@ -276,20 +335,25 @@
 		done := make(chan error, 1)
 		var once sync.Once
 		steps := 0
-		_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
-			once.Do(func() {
-				go func() {
-					if kind == "log" {
-						done <- flightrecorder.FollowLog(ctx, rec, &out)
-					} else {
-						done <- folder.Follow(ctx, rec)
-					}
-				}()
-			})
-			if steps++; steps%500 == 0 {
-				time.Sleep(120 * time.Millisecond) // real time for the sink, which looks so often
-			}
-		})
+		_, rec := recordertest.Drive(
+			6,
+			30*time.Second,
+			flightrecorder.MinRingSize,
+			func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+				once.Do(func() {
+					go func() {
+						if kind == "log" {
+							done <- flightrecorder.FollowLog(ctx, rec, &out)
+						} else {
+							done <- folder.Follow(ctx, rec)
+						}
+					}()
+				})
+				if steps++; steps%500 == 0 {
+					time.Sleep(120 * time.Millisecond) // real time for the sink, which looks so often
+				}
+			},
+		)
 		stop()
 		if err := <-done; err != nil {
 			t.Fatal(err)
@@ -317,7 +381,14 @@
 			}
 		}
 		if got != steps || rec.Size() >= len(found[0].Data) {
-			t.Errorf("%s: %d steps of %d, %d bytes of which the ring holds %d", kind, got, steps, len(found[0].Data), rec.Size())
+			t.Errorf(
+				"%s: %d steps of %d, %d bytes of which the ring holds %d",
+				kind,
+				got,
+				steps,
+				len(found[0].Data),
+				rec.Size(),
+			)
 		}
 	}
 }
@@ -355,7 +426,8 @@
 			}
 			sum += info.Size()
 		}
-		if sum > folder.Limit || len(files) == 0 || files[len(files)-1] != path || !strings.Contains(path, "sigusr1--by-hand") {
+		if sum > folder.Limit || len(files) == 0 || files[len(files)-1] != path ||
+			!strings.Contains(path, "sigusr1--by-hand") {
 			t.Errorf("%d bytes in %v after %s", sum, files, path)
 		}
 	}
@@ -393,11 +465,16 @@
 func TestPartsArePutTogether(t *testing.T) {
 	var kept [][]byte
 	n := 0
-	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) {
-		if n++; n%1200 == 0 {
-			kept = append(kept, written(t, rec))
-		}
-	})
+	_, rec := recordertest.Drive(
+		2,
+		40*time.Second,
+		flightrecorder.MinRingSize,
+		func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+			if n++; n%1200 == 0 {
+				kept = append(kept, written(t, rec))
+			}
+		},
+	)
 	kept = append(kept, written(t, rec))
 	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.MinRingSize, nil)
 	found, err := flightrecorder.Split(append([][]byte{written(t, other), []byte("junk")}, kept...)...)
@@ -440,11 +517,30 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Settings: recordertest.Settings()}, 0, func(b []byte) []byte { return append(b, make([]byte, 4096)...) })
-	took := policy.Event{Kind: policy.MessageAccepted, MessageID: 1, Class: 1, Destination: 7, TimeLeft: 16 * time.Second}
-	done := policy.Event{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "s-5be2a07c", Latency: 250 * time.Millisecond, MessageEnded: true}
+	rec := flightrecorder.NewRecorder(
+		flightrecorder.Meta{Settings: recordertest.Settings()},
+		0,
+		func(b []byte) []byte { return append(b, make([]byte, 4096)...) },
+	)
+	took := policy.Event{
+		Kind:        policy.MessageAccepted,
+		MessageID:   1,
+		Class:       1,
+		Destination: 7,
+		TimeLeft:    16 * time.Second,
+	}
+	done := policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    1,
+		Endpoint:     "s-5be2a07c",
+		Latency:      250 * time.Millisecond,
+		MessageEnded: true,
+	}
 	events := []policy.Event{took, done}
-	actions := []policy.Action{{Kind: policy.Send, MessageID: 1, Endpoint: "s-5be2a07c", TimeoutAt: time.Hour}, {Kind: policy.SetTimer, Delay: time.Millisecond}}
+	actions := []policy.Action{
+		{Kind: policy.Send, MessageID: 1, Endpoint: "s-5be2a07c", TimeoutAt: time.Hour},
+		{Kind: policy.SetTimer, Delay: time.Millisecond},
+	}
 	now := time.Second
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -44,7 +44,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	meta := flightrecorder.Meta{Name: "n1", Revision: "golden", Program: "v1", Seed: goldenSeed, Settings: set, Started: time.Unix(1e9, 0).UTC()}
+	meta := flightrecorder.Meta{
+		Name:     "n1",
+		Revision: "golden",
+		Program:  "v1",
+		Seed:     goldenSeed,
+		Settings: set,
+		Started:  time.Unix(1e9, 0).UTC(),
+	}
 	run := &goldenRun{sender: sender, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
 	if fleet {
 		run.seam = agent.New(agent.Settings{
@@ -111,7 +118,13 @@
 }
 
 func goldenAnswer(number int, action policy.Action) policy.Event {
-	e := policy.Event{Kind: policy.AttemptFinished, MessageID: action.MessageID, Endpoint: action.Endpoint, Latency: goldenEvery, MessageEnded: true}
+	e := policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    action.MessageID,
+		Endpoint:     action.Endpoint,
+		Latency:      goldenEvery,
+		MessageEnded: true,
+	}
 	if number%4 == 0 {
 		e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, time.Second
 	}
@@ -125,12 +138,24 @@
 	id := uint32(number + 1)
 	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
 	for i := range uint32(2) {
-		e := policy.Event{Kind: policy.MessageAccepted, MessageID: 10*id + i, Class: number % 3, Tenant: number % 2, Destination: 1, TimeLeft: 4 * time.Second}
+		e := policy.Event{
+			Kind:        policy.MessageAccepted,
+			MessageID:   10*id + i,
+			Class:       number % 3,
+			Tenant:      number % 2,
+			Destination: 1,
+			TimeLeft:    4 * time.Second,
+		}
 		if e.Class == 1 {
 			e.Key = "key"
 		}
 		if number == 7 {
-			e.Recovered = &policy.RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: time.Second, FirstRunZone: 1}
+			e.Recovered = &policy.RecoveredMessage{
+				Attempts:      1,
+				MayHaveRun:    true,
+				SinceFirstRun: time.Second,
+				FirstRunZone:  1,
+			}
 		}
 		r.events = append(r.events, e)
 	}
@@ -195,7 +220,18 @@
 	t.Helper()
 	var text strings.Builder
 	for _, e := range entries {
-		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n", e.Kind, e.At, e.Now, e.Endpoint, e.MessageIDs, e.Allowed, e.MessageID, e.Text)
+		fmt.Fprintf(
+			&text,
+			"%d at %d: %v %q %v %t %d %q\n",
+			e.Kind,
+			e.At,
+			e.Now,
+			e.Endpoint,
+			e.MessageIDs,
+			e.Allowed,
+			e.MessageID,
+			e.Text,
+		)
 		if e.Kind == flightrecorder.Begin {
 			fmt.Fprintf(&text, "  begin %x %d %t %v\n", e.ID, e.Chunk, e.Fresh, e.Meta)
 		}
@@ -241,7 +277,12 @@
 				recorder.Reconfigured(e.Meta.Settings)
 				continue
 			}
-			recorder = flightrecorder.NewRecorderWithID(e.ID, e.Meta, 0, func(b []byte) []byte { return append(b, state...) })
+			recorder = flightrecorder.NewRecorderWithID(
+				e.ID,
+				e.Meta,
+				0,
+				func(b []byte) []byte { return append(b, state...) },
+			)
 			if hasBeside {
 				recorder.RecordFleet(func(b []byte) []byte { return append(b, beside...) })
 			}
@@ -265,7 +306,10 @@
 // playGolden plays a recording whole, compares the module's state at its second chunk, and plays it from there.
 func playGolden(t *testing.T, data []byte, entries []flightrecorder.Entry, fleet bool) {
 	t.Helper()
-	second := slices.IndexFunc(entries, func(e flightrecorder.Entry) bool { return e.Kind == flightrecorder.Begin && !e.Fresh })
+	second := slices.IndexFunc(
+		entries,
+		func(e flightrecorder.Entry) bool { return e.Kind == flightrecorder.Begin && !e.Fresh },
+	)
 	if second < 0 {
 		t.Fatal("no chunk begins with a snapshot")
 	}
@@ -281,7 +325,8 @@
 	check := func(name string, part []byte, visit replay.Visitor) {
 		t.Helper()
 		res, err := replay.Play(part, visit)
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 || (res.FleetSteps > 0) != fleet {
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 ||
+			(res.FleetSteps > 0) != fleet {
 			t.Errorf("%s: %v, %+v", name, err, res)
 		}
 	}
@@ -301,7 +346,10 @@
 			golden.Check(t, *update, name+".txt", dump(t, entries))
 			golden.Check(t, false, name+".flight", rewrite(entries))
 			playGolden(t, data, entries, fleet)
-			granted := bytes.Contains(golden.Read(t, name+".txt"), fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted))
+			granted := bytes.Contains(
+				golden.Read(t, name+".txt"),
+				fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted),
+			)
 			if granted != fleet {
 				t.Errorf("rights are granted: %t", granted)
 			}
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -124,7 +124,11 @@
 			r.at = len(r.data)
 			if lost := r.at - from; lost > 1 && !r.told {
 				r.told = true
-				return Entry{Kind: Lost, At: int64(from), Text: fmt.Sprintf("%d bytes that belong to no chunk", lost)}, true, nil
+				return Entry{
+					Kind: Lost,
+					At:   int64(from),
+					Text: fmt.Sprintf("%d bytes that belong to no chunk", lost),
+				}, true, nil
 			}
 			return Entry{}, false, nil
 		}
@@ -146,7 +150,11 @@
 		}
 		if r.some && !r.any && number != r.last+1 && !r.told {
 			r.told = true
-			return Entry{Kind: Lost, At: int64(r.at), Text: fmt.Sprintf("chunks between %d and %d are missing", r.last, number)}, true, nil
+			return Entry{
+				Kind: Lost,
+				At:   int64(r.at),
+				Text: fmt.Sprintf("chunks between %d and %d are missing", r.last, number),
+			}, true, nil
 		}
 		r.told, r.scan = false, false
 		r.id, r.known, r.chunk, r.last, r.some = id, true, number, number, true
--- a/internal/recording/flightrecorder/recordertest/flighttest.go
+++ b/internal/recording/flightrecorder/recordertest/flighttest.go
@@ -16,11 +16,26 @@
 func Settings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
-			{Effect: policy.IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1},
-			{Effect: policy.NonIdempotent, Ordered: true, LatencyObjective: 2 * time.Second, Deadline: 10 * time.Second, Weight: 4},
+			{
+				Effect:           policy.IdempotentByKey,
+				DedupWindow:      10 * time.Second,
+				LatencyObjective: 3 * time.Second,
+				Deadline:         16 * time.Second,
+				Weight:           1,
+			},
+			{
+				Effect:           policy.NonIdempotent,
+				Ordered:          true,
+				LatencyObjective: 2 * time.Second,
+				Deadline:         10 * time.Second,
+				Weight:           4,
+			},
 			{Effect: policy.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second},
 		},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 4}, {LimitPerEndpoint: true, MaxBatch: 1}}, Tenants: []policy.Tenant{{Quota: 20}, {}},
+		DestinationKinds: []policy.DestinationKind{
+			{MaxBatch: 4},
+			{LimitPerEndpoint: true, MaxBatch: 1},
+		}, Tenants: []policy.Tenant{{Quota: 20}, {}},
 		FleetSize: 2, MaxInFlightCalls: 12, MaxPendingMessages: 120, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second, ZoneCosts: []float64{0, 0.03},
 		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second, OrderingPause: 100 * time.Millisecond,
 	}
@@ -32,18 +47,43 @@
 }
 
 // Drive has a relay of its own live through a span of time. rec may be nil; each is called after every step, if set.
-func Drive(seed uint64, span time.Duration, ring int, each func(s *policy.Engine, rec *flightrecorder.Recorder)) (*policy.Engine, *flightrecorder.Recorder) {
+func Drive(
+	seed uint64,
+	span time.Duration,
+	ring int,
+	each func(s *policy.Engine, rec *flightrecorder.Recorder),
+) (*policy.Engine, *flightrecorder.Recorder) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := Settings()
 	s, err := policy.New(set, seed)
 	if err != nil {
 		panic(err) // the settings above are right
 	}
-	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: seed, Settings: set, Started: time.Unix(1e9, 0).UTC()}, ring, s.Snapshot)
+	rec := flightrecorder.NewRecorder(
+		flightrecorder.Meta{
+			Name:     "n1",
+			Revision: policy.Revision(),
+			Seed:     seed,
+			Settings: set,
+			Started:  time.Unix(1e9, 0).UTC(),
+		},
+		ring,
+		s.Snapshot,
+	)
 	var list []policy.Endpoint
 	for d := range 5 {
 		for i := range 1 + rng.IntN(3) {
-			list = append(list, policy.Endpoint{ID: fmt.Sprintf("s-%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 5, InService: true})
+			list = append(
+				list,
+				policy.Endpoint{
+					ID:          fmt.Sprintf("s-%d-%d", d, i),
+					Destination: d,
+					Kind:        d % 2,
+					Zone:        i % 2,
+					Weight:      5,
+					InService:   true,
+				},
+			)
 		}
 	}
 	outage := map[int][2]time.Duration{}
@@ -60,12 +100,24 @@
 		for rng.IntN(3) == 0 {
 			id++
 			dest[id] = rng.IntN(5)
-			e := policy.Event{Kind: policy.MessageAccepted, MessageID: id, Class: rng.IntN(3), Tenant: rng.IntN(2), Destination: dest[id], TimeLeft: 4*time.Second + time.Duration(rng.IntN(1e9))}
+			e := policy.Event{
+				Kind:        policy.MessageAccepted,
+				MessageID:   id,
+				Class:       rng.IntN(3),
+				Tenant:      rng.IntN(2),
+				Destination: dest[id],
+				TimeLeft:    4*time.Second + time.Duration(rng.IntN(1e9)),
+			}
 			if e.Class == 1 {
 				e.Key = fmt.Sprint("key-", rng.IntN(6))
 			}
 			if rng.IntN(50) == 0 {
-				e.Recovered = &policy.RecoveredMessage{Attempts: 1, MayHaveRun: rng.IntN(2) == 0, SinceFirstRun: time.Second, FirstRunZone: rng.IntN(2)}
+				e.Recovered = &policy.RecoveredMessage{
+					Attempts:      1,
+					MayHaveRun:    rng.IntN(2) == 0,
+					SinceFirstRun: time.Second,
+					FirstRunZone:  rng.IntN(2),
+				}
 				sends[id] = 1
 			}
 			rec.Label(id, fmt.Sprintf("trace-%d", id))
@@ -128,7 +180,11 @@
 	case down && rng.IntN(3) > 0:
 		e.Outcome = []policy.Outcome{policy.Timeout, policy.Error, policy.ConnectFailed, policy.Overloaded}[rng.IntN(4)]
 	case k < 2:
-		e.Outcome, e.RetryAfter = policy.Overloaded, time.Duration(rng.IntN(2))*time.Duration(200+rng.IntN(700))*time.Millisecond
+		e.Outcome, e.RetryAfter = policy.Overloaded, time.Duration(
+			rng.IntN(2),
+		)*time.Duration(
+			200+rng.IntN(700),
+		)*time.Millisecond
 	case k == 2:
 		e.Outcome = []policy.Outcome{policy.Reset, policy.Cancelled, policy.NotSent, policy.Timeout}[rng.IntN(4)]
 	case k == 3:
--- a/internal/recording/flightrecorder/sink.go
+++ b/internal/recording/flightrecorder/sink.go
@@ -81,7 +81,13 @@
 
 // file is a name that sorts by time.
 func (f Folder) file(what string) string {
-	return fmt.Sprintf("%s-%s-%s%s", cmp.Or(word(f.Name), "relay"), time.Now().UTC().Format("20060102T150405.000000000"), what, FileExtension)
+	return fmt.Sprintf(
+		"%s-%s-%s%s",
+		cmp.Or(word(f.Name), "relay"),
+		time.Now().UTC().Format("20060102T150405.000000000"),
+		what,
+		FileExtension,
+	)
 }
 
 // makeRoom removes the oldest files until so many more bytes fit, and those that a process that died left half-written.
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -137,7 +137,8 @@
 		p.lose(fmt.Sprintf("offset %d: %s", e.At, e.Text))
 		p.sender, p.seam, p.last = nil, nil, nil
 	}
-	if (e.Kind == flightrecorder.Label || e.Kind == flightrecorder.Note || e.Kind == flightrecorder.Lost) && p.visit.Other != nil {
+	if (e.Kind == flightrecorder.Label || e.Kind == flightrecorder.Note || e.Kind == flightrecorder.Lost) &&
+		p.visit.Other != nil {
 		p.visit.Other(e)
 	}
 }
@@ -168,7 +169,12 @@
 		if p.res.SameRevision() {
 			p.res.States++
 			if reached := p.sender.Snapshot(nil); !bytes.Equal(reached, e.State) {
-				p.differ(e, "state", fmt.Sprintf("%d bytes", len(e.State)), fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)))
+				p.differ(
+					e,
+					"state",
+					fmt.Sprintf("%d bytes", len(e.State)),
+					fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
+				)
 			}
 		}
 		return
@@ -233,7 +239,12 @@
 		return
 	}
 	if i := firstDifference(e.Actions, acts); i >= 0 {
-		p.differ(e, fmt.Sprintf("action %d of %d", i+1, max(len(e.Actions), len(acts))), text(e.Actions, i), text(acts, i))
+		p.differ(
+			e,
+			fmt.Sprintf("action %d of %d", i+1, max(len(e.Actions), len(acts))),
+			text(e.Actions, i),
+			text(acts, i),
+		)
 		return
 	}
 	if p.visit.Step != nil {
@@ -245,7 +256,12 @@
 func (p *player) besideState(e *flightrecorder.Entry) {
 	if p.seam != nil {
 		if reached := p.seam.Snapshot(nil); !bytes.Equal(reached, e.State) {
-			p.differ(e, "the seam's state", fmt.Sprintf("%d bytes", len(e.State)), fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)))
+			p.differ(
+				e,
+				"the seam's state",
+				fmt.Sprintf("%d bytes", len(e.State)),
+				fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
+			)
 		}
 		return
 	}
@@ -270,10 +286,18 @@
 		Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
 	})
 	p.last = nil
-	if !slices.EqualFunc(out.Published, rec.Published, func(a, b loadreport.Report) bool { return reflect.DeepEqual(a, b) }) {
+	if !slices.EqualFunc(
+		out.Published,
+		rec.Published,
+		func(a, b loadreport.Report) bool { return reflect.DeepEqual(a, b) },
+	) {
 		p.differ(e, "what the seam tells", fmt.Sprint(rec.Published), fmt.Sprint(out.Published))
 	}
-	if !slices.EqualFunc(out.Quota, rec.QuotaSent, func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) {
+	if !slices.EqualFunc(
+		out.Quota,
+		rec.QuotaSent,
+		func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) },
+	) {
 		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.QuotaSent), fmt.Sprint(out.Quota))
 	}
 }
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -40,7 +40,12 @@
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
 func TestTheRingIsBoundedAndPlays(t *testing.T) {
 	most := 0
-	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.MinRingSize, func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) })
+	_, rec := recordertest.Drive(
+		3,
+		4*time.Minute,
+		flightrecorder.MinRingSize,
+		func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) },
+	)
 	data := written(t, rec)
 	if most > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
 		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.MinRingSize)
@@ -124,7 +129,8 @@
 		t.Errorf("an action that was dropped: %v, %+v", err, res)
 	}
 	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.Allowed = !e.Allowed })
-	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || !strings.Contains(res.Difference.What, "still leave") {
+	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil ||
+		!strings.Contains(res.Difference.What, "still leave") {
 		t.Errorf("another clearance: %v, %+v", err, res)
 	}
 }
@@ -141,7 +147,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}, flightrecorder.MinRingSize, func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) })
+	odd := flightrecorder.NewRecorder(
+		flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()},
+		flightrecorder.MinRingSize,
+		func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) },
+	)
 	for i := range 40000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
 		evs := []policy.Event{{Kind: policy.TimerFired}}
@@ -183,10 +193,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resumed := flightrecorder.ResumeRecorder(flightrecorder.Meta{Revision: policy.Revision(), Settings: set}, 0, again.Snapshot, res.To)
+		resumed := flightrecorder.ResumeRecorder(
+			flightrecorder.Meta{Revision: policy.Revision(), Settings: set},
+			0,
+			again.Snapshot,
+			res.To,
+		)
 		for i := range 20 {
 			now := res.To + time.Duration(i+1)*50*time.Millisecond
-			evs := []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second}}
+			evs := []policy.Event{
+				{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
+			}
 			resumed.Step(now, evs, again.Step(now, evs))
 		}
 		if res, err := Play(written(t, resumed), Visitor{}); err != nil || res.Difference != nil || res.Steps != 20 {
@@ -201,14 +218,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := flightrecorder.NewRecorder(flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}, flightrecorder.MinRingSize, s.Snapshot)
-	list := policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}}}
+	rec := flightrecorder.NewRecorder(
+		flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()},
+		flightrecorder.MinRingSize,
+		s.Snapshot,
+	)
+	list := policy.Event{
+		Kind:      policy.EndpointSnapshot,
+		Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}},
+	}
 	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
-		evs := []policy.Event{list, {Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second}}
+		evs := []policy.Event{
+			list,
+			{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second},
+		}
 		rec.Step(now, evs, s.Step(now, evs))
 	}
 	var seen []time.Duration
-	res, err := Play(written(t, rec), Visitor{Step: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }})
+	res, err := Play(
+		written(t, rec),
+		Visitor{Step: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }},
+	)
 	if err != nil || res.Difference != nil || len(seen) != 7 || seen[3] != 30*time.Second || seen[5] != -time.Second {
 		t.Errorf("%v, %+v, %v", err, res, seen)
 	}
@@ -258,7 +288,8 @@
 	bad := bytes.Clone(data)
 	bad[len(bad)/2] ^= 4
 	res, err := Play(bad, Visitor{})
-	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Stretches != 2 || res.Steps < whole.Steps/2 || res.Steps >= whole.Steps {
+	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Stretches != 2 || res.Steps < whole.Steps/2 ||
+		res.Steps >= whole.Steps {
 		t.Errorf("%v, %d steps of %d: %+v", err, res.Steps, whole.Steps, res)
 	}
 }
--- a/internal/recording/statecodec/archive_test.go
+++ b/internal/recording/statecodec/archive_test.go
@@ -47,9 +47,15 @@
 	nodes := make([]*node, rapid.IntRange(1, 6).Draw(t, "nodes"))
 	for i := range nodes {
 		nodes[i] = &node{
-			name: rapid.String().Draw(t, "name"), n: rapid.Int().Draw(t, "n"), small: rapid.Uint8().Draw(t, "small"), big: rapid.Uint64().Draw(t, "big"),
-			on: rapid.Bool().Draw(t, "on"), x: rapid.Float64().Draw(t, "x"), at: time.Duration(rapid.Int64().Draw(t, "at")),
-			list: rapid.SliceOfN(rapid.Int(), 1, 3).Draw(t, "list"), named: rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "named"),
+			name: rapid.String().
+				Draw(t, "name"),
+			n: rapid.Int().Draw(t, "n"), small: rapid.Uint8().Draw(t, "small"), big: rapid.Uint64().Draw(t, "big"),
+			on: rapid.Bool().
+				Draw(t, "on"),
+			x: rapid.Float64().Draw(t, "x"), at: time.Duration(rapid.Int64().Draw(t, "at")),
+			list: rapid.SliceOfN(rapid.Int(), 1, 3).
+				Draw(t, "list"),
+			named: rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "named"),
 		}
 	}
 	for _, x := range nodes {
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -22,7 +22,11 @@
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{{"short", "long", "middle"}, {"long", "short", "middle"}, {"middle", "short", "long"}} {
 		t.Run(strings.Join(order, " "), func(t *testing.T) {
-			left := map[string]time.Duration{"short": 400 * time.Millisecond, "middle": 8 * time.Second, "long": 10 * time.Second}
+			left := map[string]time.Duration{
+				"short":  400 * time.Millisecond,
+				"middle": 8 * time.Second,
+				"long":   10 * time.Second,
+			}
 			r := newTestRelay(t)
 			given := make(chan struct{}) // the short one is given up on
 			var mu sync.Mutex
@@ -41,7 +45,9 @@
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				return true
 			})
-			r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
+			r.catalog.Upsert(
+				catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr},
+			)
 			var ins []*handIn
 			for i, id := range order {
 				in := newHandIn(id, 7, left[id])
@@ -55,7 +61,12 @@
 				return slices.ContainsFunc(r.finals.queue, func(n notice) bool { return n.ID == "short" })
 			})
 			close(given)
-			settle(t, r, "the others are over", func() bool { return r.traces["long"] == nil && r.traces["middle"] == nil })
+			settle(
+				t,
+				r,
+				"the others are over",
+				func() bool { return r.traces["long"] == nil && r.traces["middle"] == nil },
+			)
 			mu.Lock()
 			defer mu.Unlock()
 			if !slices.Equal(first, []string{"long"}) {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -106,7 +106,8 @@
 		}
 		conn.(*net.TCPConn).CloseWrite()
 		answers := bufio.NewReader(conn)
-		if res := read(t, answers); res.StatusCode != http.StatusRequestEntityTooLarge && res.StatusCode != http.StatusBadRequest {
+		if res := read(t, answers); res.StatusCode != http.StatusRequestEntityTooLarge &&
+			res.StatusCode != http.StatusBadRequest {
 			t.Errorf("status %d", res.StatusCode)
 		}
 		closed(t, "the rest", answers)
@@ -172,7 +173,11 @@
 		t.Error("kept in a crowd")
 	}
 	closed(t, "the second", second)
-	eventually(t, "room again", func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 })
+	eventually(
+		t,
+		"room again",
+		func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 },
+	)
 	io.WriteString(conn, health)
 	if res := read(t, alone); res.Close {
 		t.Error("not kept, though it is alone again")
@@ -259,7 +264,8 @@
 	decide(r, in)
 	m := r.msgs[in.m.ID]
 	r.carryOut([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
-	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable || a.again != 700*time.Millisecond {
+	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable ||
+		a.again != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -294,7 +300,8 @@
 			t.Fatalf("restart %d: %+v", restart, again)
 		}
 		e := r.resumed(again).Recovered
-		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second || !again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
+		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second ||
+			!again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
 			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.UncertainAttempts)
 		}
 	}
@@ -333,7 +340,8 @@
 		c.allow(headMost)
 		c.keepRaw()
 		req, err := http.ReadRequest(c.r)
-		if err == nil && len(req.TransferEncoding) > 0 && bytes.Contains(bytes.ToLower(c.kept), []byte("\ncontent-length:")) {
+		if err == nil && len(req.TransferEncoding) > 0 &&
+			bytes.Contains(bytes.ToLower(c.kept), []byte("\ncontent-length:")) {
 			// The head alone counts, so what stands behind it may still hold that text.
 			head, _, _ := bytes.Cut(c.kept, []byte("\r\n\r\n"))
 			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !twoLengths(req, c.kept) {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -393,7 +393,12 @@
 
 // listing is what an entry says. Its id is returned also where the rest cannot be used.
 func (c *Config) listing(m *member) (l policy.Endpoint, addr string, err error) {
-	l = policy.Endpoint{ID: m.ID, Zone: slices.Index(c.Zones, m.Zone), Kind: slices.Index(c.Kinds, m.Kind), Weight: m.Weight}
+	l = policy.Endpoint{
+		ID:     m.ID,
+		Zone:   slices.Index(c.Zones, m.Zone),
+		Kind:   slices.Index(c.Kinds, m.Kind),
+		Weight: m.Weight,
+	}
 	switch m.State {
 	case "ready":
 		l.InService = true
--- a/internal/relay/discovery/backoff/herd_test.go
+++ b/internal/relay/discovery/backoff/herd_test.go
@@ -37,7 +37,13 @@
 
 // allAnswered plays clients that all have to call at 0, and returns when the last had its answer; false if that is not
 // within a minute.
-func allAnswered(s service, n int, seed uint64, first func(*Backoff, *rand.Rand) time.Duration, failed func(c *Backoff, rng *rand.Rand, took time.Duration) time.Duration) (time.Duration, bool) {
+func allAnswered(
+	s service,
+	n int,
+	seed uint64,
+	first func(*Backoff, *rand.Rand) time.Duration,
+	failed func(c *Backoff, rng *rand.Rand, took time.Duration) time.Duration,
+) (time.Duration, bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	callers := make([]Backoff, n)
 	var a agenda
@@ -86,12 +92,27 @@
 				for i, first := range []func(*Backoff, *rand.Rand) time.Duration{(*Backoff).InitialDelay, anyMoment} {
 					took, ok := allAnswered(s, n, seed, first, (*Backoff).Failed)
 					if !ok || took > bound {
-						t.Errorf("%d clients, %v for all, first calls %d, seed %d: %v, %v, not within %v", n, all, i, seed, took, ok, bound)
+						t.Errorf(
+							"%d clients, %v for all, first calls %d, seed %d: %v, %v, not within %v",
+							n,
+							all,
+							i,
+							seed,
+							took,
+							ok,
+							bound,
+						)
 					}
 				}
-				took, ok := allAnswered(s, n, seed, (*Backoff).InitialDelay, func(c *Backoff, rng *rand.Rand, _ time.Duration) time.Duration {
-					return pauseFirst + time.Duration(rng.Float64()*float64(period))
-				})
+				took, ok := allAnswered(
+					s,
+					n,
+					seed,
+					(*Backoff).InitialDelay,
+					func(c *Backoff, rng *rand.Rand, _ time.Duration) time.Duration {
+						return pauseFirst + time.Duration(rng.Float64()*float64(period))
+					},
+				)
 				spread = spread || !ok || took > bound
 				took, ok = allAnswered(s, n, seed, func(*Backoff, *rand.Rand) time.Duration { return 0 },
 					func(c *Backoff, _ *rand.Rand, _ time.Duration) time.Duration {
@@ -104,7 +125,9 @@
 		}
 	}
 	if !jammed || !spread {
-		t.Error("the pauses of few clients, used by many, or pauses of any length never jam it: this test shows nothing")
+		t.Error(
+			"the pauses of few clients, used by many, or pauses of any length never jam it: this test shows nothing",
+		)
 	}
 }
 
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -207,7 +207,12 @@
 // the calls and pauses alone; the worst moment for discovery to be back is right after a call began that comes to
 // nothing.
 func TestWhatDiscoveryHasIsAskedForInTime(t *testing.T) {
-	ways := map[string]time.Duration{"refused": 0, "turned away": 2 * time.Second, "not connected": time.Second, "silent": watchSilence}
+	ways := map[string]time.Duration{
+		"refused":       0,
+		"turned away":   2 * time.Second,
+		"not connected": time.Second,
+		"silent":        watchSilence,
+	}
 	for _, ask := range []bool{false, true} {
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
 			for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second} {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -14,7 +14,10 @@
 		return
 	}
 	r.fleet = fleet.New(fleet.Config{
-		Name: cmp.Or(set.Name, r.cfg.Name), Label: set.Label, Listen: set.Listen, Peers: set.Peers, Folder: r.cfg.StateDir,
+		Name: cmp.Or(
+			set.Name,
+			r.cfg.Name,
+		), Label: set.Label, Listen: set.Listen, Peers: set.Peers, Folder: r.cfg.StateDir,
 		DestinationKinds: r.cfg.Settings.DestinationKinds, ShareQuota: set.ShareQuota, FleetSize: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, RequestStep: r.nudge,
 	})
 	r.rec.RecordFleet(r.fleet.Agent().Snapshot)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -67,21 +67,48 @@
 	}
 	for i, class := range s.Classes {
 		at := fmt.Sprintf("services.%d.", i)
-		all = append(all, setting{at + "semantics", int(class.Effect)}, setting{at + "group all", class.DedupAllZones}, setting{at + "repeat_window_ms", class.DedupWindow},
-			setting{at + "by_arrival", class.Ordered}, setting{at + "goal_time_ms", class.LatencyObjective}, setting{at + "give_up_ms", class.Deadline}, setting{at + "value", class.Weight})
+		all = append(
+			all,
+			setting{at + "semantics", int(class.Effect)},
+			setting{at + "group all", class.DedupAllZones},
+			setting{at + "repeat_window_ms", class.DedupWindow},
+			setting{
+				at + "by_arrival",
+				class.Ordered,
+			},
+			setting{at + "goal_time_ms", class.LatencyObjective},
+			setting{at + "give_up_ms", class.Deadline},
+			setting{at + "value", class.Weight},
+		)
 	}
 	for i, customer := range s.Tenants {
 		all = append(all, setting{fmt.Sprintf("realms.%d.quota_per_s", i), customer.Quota})
 	}
 	for i, kind := range s.DestinationKinds {
-		all = append(all, setting{fmt.Sprintf("extra.per_call.%d", i), kind.MaxBatch}, setting{fmt.Sprintf("extra.separate_routes.%d", i), kind.LimitPerEndpoint})
+		all = append(
+			all,
+			setting{fmt.Sprintf("extra.per_call.%d", i), kind.MaxBatch},
+			setting{fmt.Sprintf("extra.separate_routes.%d", i), kind.LimitPerEndpoint},
+		)
 	}
 	all = append(all, setting{"known.version", c.Known.Version}, setting{"known.full", c.Known.Full})
 	for i, e := range c.Known.Entries {
 		at := fmt.Sprintf("known.servers.%d.", i)
-		all = append(all, setting{at + "id", e.ID}, setting{at + "addr", e.Addr}, setting{at + "zone", e.Zone}, setting{at + "kind", e.Kind},
-			setting{at + "cell", e.Destination}, setting{at + "state ready", e.InService}, setting{at + "state gone", e.Removed}, setting{at + "weight", e.Weight},
-			setting{at + "error", e.err})
+		all = append(
+			all,
+			setting{at + "id", e.ID},
+			setting{at + "addr", e.Addr},
+			setting{at + "zone", e.Zone},
+			setting{at + "kind", e.Kind},
+			setting{
+				at + "cell",
+				e.Destination,
+			},
+			setting{at + "state ready", e.InService},
+			setting{at + "state gone", e.Removed},
+			setting{at + "weight", e.Weight},
+			setting{at + "error", e.err},
+		)
 	}
 	var b strings.Builder
 	for _, x := range all {
@@ -93,7 +120,11 @@
 // TestGoldenEnvironment pins the names of the variables that go before the file.
 func TestGoldenEnvironment(t *testing.T) {
 	env := map[string]string{
-		"ROUTER_CONFIG": filepath.Join("testdata", "golden", "every-key.json"), "ROUTER_NAME": "of the environment", "ROUTER_LISTEN": "127.0.0.1:1",
+		"ROUTER_CONFIG": filepath.Join(
+			"testdata",
+			"golden",
+			"every-key.json",
+		), "ROUTER_NAME": "of the environment", "ROUTER_LISTEN": "127.0.0.1:1",
 		"ROUTER_DISCOVERY": "127.0.0.1:2", "ROUTER_STATE": "/state", "ROUTER_MANAGEMENT": "127.0.0.1:3", "ROUTER_INHERITED_FD": "4",
 	}
 	c, err := LoadConfig(func(name string) string { return env[name] })
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -88,7 +88,13 @@
 }
 
 func newHosts(cfg Config, log *slog.Logger, written func(int)) *hosts {
-	return &hosts{pool: newPool(cfg), reports: cfg.Reports, written: written, log: log, spoilt: trouble{what: "spoilt answer"}}
+	return &hosts{
+		pool:    newPool(cfg),
+		reports: cfg.Reports,
+		written: written,
+		log:     log,
+		spoilt:  trouble{what: "spoilt answer"},
+	}
 }
 
 // do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is
@@ -240,7 +246,10 @@
 
 // firstLine reads a first line by itself; nil if it cannot be read.
 func firstLine(line []byte, req *http.Request) *http.Response {
-	head, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))), req)
+	head, err := http.ReadResponse(
+		bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))),
+		req,
+	)
 	if err != nil {
 		return nil
 	}
@@ -317,7 +326,11 @@
 
 // itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
 func itemSize(m *message) int {
-	return base64.StdEncoding.EncodedLen(m.Size()) + 6*(len(m.TraceID)+len(m.IdempotencyKey)) + len(`{"id":"","key":"","body":""},[]`)
+	return base64.StdEncoding.EncodedLen(
+		m.Size(),
+	) + 6*(len(m.TraceID)+len(m.IdempotencyKey)) + len(
+		`{"id":"","key":"","body":""},[]`,
+	)
 }
 
 func bundle(c *call) []byte {
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -39,7 +39,9 @@
 func newCall(addr string, ids ...string) *call {
 	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
 	for _, id := range ids {
-		m := &message{Message: &journal.Message{TraceID: id, IdempotencyKey: "key-" + id, Body: []byte("body of " + id)}}
+		m := &message{
+			Message: &journal.Message{TraceID: id, IdempotencyKey: "key-" + id, Body: []byte("body of " + id)},
+		}
 		c.attempts = append(c.attempts, &attempt{call: c, m: m, body: m.Body, until: c.until})
 	}
 	return c
@@ -61,7 +63,10 @@
 
 // rawHost reads whole requests on plain sockets and hands each to serve, with its place among all, from 1.
 // serve returns false to close the connection.
-func rawHost(t *testing.T, serve func(n int, conn net.Conn, req *http.Request) bool) (addr string, requests *atomic.Int32) {
+func rawHost(
+	t *testing.T,
+	serve func(n int, conn net.Conn, req *http.Request) bool,
+) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +122,8 @@
 		t.Fatalf("outcome %v", r[0].outcome)
 	}
 	g := <-got
-	if g.path != "/events" || g.id != "a" || g.key != "key-a" || g.body != "body of a" || g.length != 9 || g.expires == "" {
+	if g.path != "/events" || g.id != "a" || g.key != "key-a" || g.body != "body of a" || g.length != 9 ||
+		g.expires == "" {
 		t.Errorf("the host saw %+v", g)
 	}
 }
@@ -472,7 +478,11 @@
 			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
 				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
 			}
-			eventually(t, "the connection dropped", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+			eventually(
+				t,
+				"the connection dropped",
+				func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 },
+			)
 			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Error {
 				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].outcome)
 			}
--- a/internal/relay/hotrestart/handover_test.go
+++ b/internal/relay/hotrestart/handover_test.go
@@ -29,14 +29,34 @@
 		{Welcome: true},
 		{State: &State{
 			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255}, Version: 41, Destinations: []int{7}, LastID: 9,
-			Config:        reload.Config{ClassNames: []string{"order"}, Settings: policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}}, Shape: reload.Shape{"a": 1}},
-			Endpoints:     []Endpoint{{Endpoint: policy.Endpoint{ID: "s-1", InService: true, Weight: 1.5}, Addr: "127.0.0.1:1"}},
+			Config: reload.Config{
+				ClassNames: []string{"order"},
+				Settings:   policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}},
+				Shape:      reload.Shape{"a": 1},
+			},
+			Endpoints: []Endpoint{
+				{Endpoint: policy.Endpoint{ID: "s-1", InService: true, Weight: 1.5}, Addr: "127.0.0.1:1"},
+			},
 			Messages:      []Message{{ID: 3, TraceID: "t", Sends: 2, Next: 5}},
 			Attempts:      []Attempt{{ID: 3, Number: 1, Endpoint: "s-1", Sent: at, Finished: true}},
 			PendingEvents: []policy.Event{{Kind: policy.AttemptFinished, MessageID: 3, Outcome: policy.ConnectFailed}},
 		}},
-		{Outcome: &Outcome{ID: 3, Number: 1, Outcome: policy.Overloaded, RetryAfter: time.Second, LimitReport: policy.LimitReport{Present: true, Limit: 2}, CallFinished: true}},
-		{Submission: &Submission{Seq: 1, Message: &journal.Message{TraceID: "t", ClassName: "order", Deadline: at, Body: []byte{0xff}}}},
+		{
+			Outcome: &Outcome{
+				ID:           3,
+				Number:       1,
+				Outcome:      policy.Overloaded,
+				RetryAfter:   time.Second,
+				LimitReport:  policy.LimitReport{Present: true, Limit: 2},
+				CallFinished: true,
+			},
+		},
+		{
+			Submission: &Submission{
+				Seq:     1,
+				Message: &journal.Message{TraceID: "t", ClassName: "order", Deadline: at, Body: []byte{0xff}},
+			},
+		},
 		{Answer: &Answer{Seq: 1, ID: 4, Status: 202}},
 		{Cancel: 4},
 	}
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -132,7 +132,8 @@
 
 // changed books a change of the catalog: calls go to no address that a host has left.
 func (r *Relay) changed(c *catalog.Change) {
-	if r.awake != nil && (c.Kind == catalog.Added || c.Kind == catalog.Moved && c.Old.Destination != c.New.Destination) {
+	if r.awake != nil &&
+		(c.Kind == catalog.Added || c.Kind == catalog.Moved && c.Old.Destination != c.New.Destination) {
 		r.awake.EndpointAdded(c.New.Destination, r.now())
 	}
 	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Old.Addr != c.New.Addr {
@@ -176,8 +177,15 @@
 	}
 	r.cfg.Long = nil
 	if r.cfg.unreadable > 0 {
-		r.log.Warn("unreadable entries of the known list", "count", r.cfg.unreadable, "entry", r.cfg.firstUnreadable.text,
-			"err", r.cfg.firstUnreadable.err)
+		r.log.Warn(
+			"unreadable entries of the known list",
+			"count",
+			r.cfg.unreadable,
+			"entry",
+			r.cfg.firstUnreadable.text,
+			"err",
+			r.cfg.firstUnreadable.err,
+		)
 	}
 	for e := range r.catalog.All() {
 		if !e.InService {
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -64,10 +64,24 @@
 				if cfg.Long != nil {
 					hosts = cfg.Long.EndpointCount()
 				}
-				if (cfg.Unread != nil) != (c.hosts < 0) || keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) || !keep && hosts != 0 {
-					t.Errorf("%s, kept %v: %d hosts of version %d, %v", c.name, keep, hosts, cfg.Known.Version, cfg.Unread)
+				if (cfg.Unread != nil) != (c.hosts < 0) ||
+					keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) ||
+					!keep && hosts != 0 {
+					t.Errorf(
+						"%s, kept %v: %d hosts of version %d, %v",
+						c.name,
+						keep,
+						hosts,
+						cfg.Known.Version,
+						cfg.Unread,
+					)
 				}
-				if want := oldShape(t, text); !reload.Equal(reload.Config{Shape: cfg.Shape}, reload.Config{Shape: want}) || cfg.Name != "n3" || cfg.Limits.Cores != 2 {
+				if want := oldShape(t, text); !reload.Equal(
+					reload.Config{Shape: cfg.Shape},
+					reload.Config{Shape: want},
+				) ||
+					cfg.Name != "n3" ||
+					cfg.Limits.Cores != 2 {
 					t.Errorf("%s: shape %v, want %v", c.name, cfg.Shape, want)
 				}
 			}
@@ -83,7 +97,12 @@
 // The same file read again by SIGHUP changes nothing, and takes no room for the list in it.
 func TestAReloadKeepsNoList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Appendf(nil, `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`, listText(4, 20_000), settingsJSON)
+	text := fmt.Appendf(
+		nil,
+		`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
+		listText(4, 20_000),
+		settingsJSON,
+	)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -123,15 +142,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
-			tellLong(old, true, 8, entriesOf(old, liveText("s-moved", "127.0.0.1:1", 50, "ready"), liveText("s-rest", addr, 60, "ready"), liveText("s-drains", addr, 61, "draining")))
+			tellLong(
+				old,
+				true,
+				8,
+				entriesOf(
+					old,
+					liveText("s-moved", "127.0.0.1:1", 50, "ready"),
+					liveText("s-rest", addr, 60, "ready"),
+					liveText("s-drains", addr, 61, "draining"),
+				),
+			)
 			if a := decide(old, newHandIn("m", 61, 9*time.Second))[0]; a.status != 202 {
 				t.Fatalf("%+v", a)
 			}
 			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.status != 202 || len(old.calling) != 1 {
 				t.Fatalf("%+v", a)
 			}
-			cfg, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-				listText(4, 3000, liveText("s-moved", addr, 77, "ready"), liveText("s-gone", "127.0.0.1:1", 61, "ready")), settingsJSON))
+			cfg, err := parseConfig(fmt.Appendf(
+				nil,
+				`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
+				listText(
+					4,
+					3000,
+					liveText("s-moved", addr, 77, "ready"),
+					liveText("s-gone", "127.0.0.1:1", 61, "ready"),
+				),
+				settingsJSON,
+			))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -142,13 +180,24 @@
 			if !w.whole || r.catalog.EndpointCount() != 6002 || !r.large.Load() || r.held != 2 {
 				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.EndpointCount(), r.held)
 			}
-			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 || got[61][0].InService {
+			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 ||
+				got[61][0].InService {
 				t.Errorf("the module knows %v, awake are %v", got, want)
 			}
 			was := requests.Load()
 			r.step([]any{outcomeOf(0, 2, 0, 0)})
-			tellLong(r, false, 9, entriesOf(r, liveText("s-next", addr, 61, "ready"), liveText("s-rest", addr, 60, "ready")))
-			drive(t, r, "the one that waited is delivered", func() bool { return requests.Load() == was+1 && len(r.calling) == 0 })
+			tellLong(
+				r,
+				false,
+				9,
+				entriesOf(r, liveText("s-next", addr, 61, "ready"), liveText("s-rest", addr, 60, "ready")),
+			)
+			drive(
+				t,
+				r,
+				"the one that waited is delivered",
+				func() bool { return requests.Load() == was+1 && len(r.calling) == 0 },
+			)
 			r.deliver(t, requests, "later", 60)
 		})
 	}
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -93,7 +93,14 @@
 				for range rng.IntN(hosts) {
 					k := rng.IntN(hosts)
 					e := entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
-					e.Endpoint.Endpoint = policy.Endpoint{ID: fmt.Sprint("h-", k), Destination: 100 + rng.IntN(dests), Kind: 1, Zone: k % 2, Weight: 50, InService: rng.IntN(3) > 0}
+					e.Endpoint.Endpoint = policy.Endpoint{
+						ID:          fmt.Sprint("h-", k),
+						Destination: 100 + rng.IntN(dests),
+						Kind:        1,
+						Zone:        k % 2,
+						Weight:      50,
+						InService:   rng.IntN(3) > 0,
+					}
 					if rng.IntN(6) == 0 {
 						e.Endpoint = catalog.Endpoint{Endpoint: policy.Endpoint{ID: e.ID, Removed: true}}
 					}
@@ -110,7 +117,11 @@
 				tellLong(r, full, int64(step), entries)
 			case 2:
 				for range rng.IntN(4) {
-					in := newHandIn(fmt.Sprint(seed, "-", step, "-", rng.Uint64()), 100+rng.IntN(dests), time.Duration(1+rng.IntN(30))*time.Millisecond)
+					in := newHandIn(
+						fmt.Sprint(seed, "-", step, "-", rng.Uint64()),
+						100+rng.IntN(dests),
+						time.Duration(1+rng.IntN(30))*time.Millisecond,
+					)
 					r.step([]any{in})
 					<-in.reply
 				}
@@ -143,9 +154,15 @@
 // for a step.
 func TestTheSameListOnceMoreIsNoNews(t *testing.T) {
 	r := newTestRelay(t)
-	entries := entriesOf(r, liveText("s-a", "127.0.0.1:1", 50, "ready"), liveText("s-b", "127.0.0.1:1", 50, "ready"), liveText("s-c", "127.0.0.1:1", 51, "ready"))
+	entries := entriesOf(
+		r,
+		liveText("s-a", "127.0.0.1:1", 50, "ready"),
+		liveText("s-b", "127.0.0.1:1", 50, "ready"),
+		liveText("s-c", "127.0.0.1:1", 51, "ready"),
+	)
 	tellLong(r, true, 2, entries)
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Contains(50) || r.awake.Contains(51) {
+	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Contains(50) ||
+		r.awake.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
 	news := func(entries []entry) (told []policy.Endpoint) {
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -32,7 +32,8 @@
 		r.step([]any{List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}})
 		known, ok := r.catalog.Endpoint("s-1")
 		views, _ := r.sender.Views()
-		if ok != c.listed || len(views) != r.catalog.EndpointCount() || c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
+		if ok != c.listed || len(views) != r.catalog.EndpointCount() ||
+			c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
 			t.Errorf("%v, whole %v: listed %v %+v, in the module %+v", c.entries, c.full, ok, known, views)
 		}
 	}
@@ -92,8 +93,13 @@
 // An agent's versions begin again, as those of another machine would: what it tells is taken, and the next watch goes
 // on from there.
 func TestVersionsThatBeginAgain(t *testing.T) {
-	addr, indexes := agentOf(t, `{"version":3,"full":true,"servers":[]}`,
-		`{"version":41,"full":false,"servers":[]}`+"\n", `{"version":2,"full":true,"servers":[]}`+"\n", `{"version":3,"full":false,"servers":[]}`+"\n")
+	addr, indexes := agentOf(
+		t,
+		`{"version":3,"full":true,"servers":[]}`,
+		`{"version":41,"full":false,"servers":[]}`+"\n",
+		`{"version":2,"full":true,"servers":[]}`+"\n",
+		`{"version":3,"full":false,"servers":[]}`+"\n",
+	)
 	told := hear(t, addr, quiet(), 40, func(told []List) bool { return len(told) == 3 })
 	for i, want := range []int64{41, 2, 3} {
 		if told[i].Version != want || told[i].Full != (want == 2) {
--- a/internal/relay/listing_bench_test.go
+++ b/internal/relay/listing_bench_test.go
@@ -30,8 +30,16 @@
 
 // hostText is the entry of a host that nobody answers at.
 func hostText(i, dest int, state string) string {
-	return fmt.Sprintf(`{"id":"h-%08x","addr":"127.%d.%d.%d:1","zone":"%c","kind":"gateway","cell":%d,"state":%q,"weight":500.0,"started_ms":0}`,
-		uint32(i)*2654435761, 1+i>>16, i>>8&255, i&255, 'a'+i%2, 100+dest, state)
+	return fmt.Sprintf(
+		`{"id":"h-%08x","addr":"127.%d.%d.%d:1","zone":"%c","kind":"gateway","cell":%d,"state":%q,"weight":500.0,"started_ms":0}`,
+		uint32(i)*2654435761,
+		1+i>>16,
+		i>>8&255,
+		i&255,
+		'a'+i%2,
+		100+dest,
+		state,
+	)
 }
 
 // BenchmarkListEntry tells what an entry of a long list costs: to read, and to apply.
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -136,7 +136,13 @@
 
 // liveText is the entry of a host that answers.
 func liveText(id, addr string, dest int, state string) string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`, id, addr, dest, state)
+	return fmt.Sprintf(
+		`{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`,
+		id,
+		addr,
+		dest,
+		state,
+	)
 }
 
 // delivered hands messages in and has the loop go on until each has been delivered.
@@ -148,7 +154,12 @@
 			t.Fatalf("destination %d: %+v", dest, a)
 		}
 	}
-	drive(t, r, fmt.Sprintf("%d messages of %q are delivered", len(dests), ids), func() bool { return int(requests.Load()) == was+len(dests) && len(r.calling) == 0 })
+	drive(
+		t,
+		r,
+		fmt.Sprintf("%d messages of %q are delivered", len(dests), ids),
+		func() bool { return int(requests.Load()) == was+len(dests) && len(r.calling) == 0 },
+	)
 }
 
 func answers(_ int, conn net.Conn, _ *http.Request) bool {
@@ -180,7 +191,23 @@
 	if r.draining != 1 || r.catalog.EndpointCount() != 2*dests+1 {
 		t.Errorf("%d hosts drain of %d", r.draining, r.catalog.EndpointCount())
 	}
-	a.tell(t, r, []byte(`{"version":5,"servers":[`+liveText("s-last", addr, 99, "draining")+`,`+liveText("s-1", addr, 7, "gone")+"]}\n"))
+	a.tell(
+		t,
+		r,
+		[]byte(
+			`{"version":5,"servers":[`+liveText(
+				"s-last",
+				addr,
+				99,
+				"draining",
+			)+`,`+liveText(
+				"s-1",
+				addr,
+				7,
+				"gone",
+			)+"]}\n",
+		),
+	)
 	drive(t, r, "changes of what is in use", func() bool { return r.version == 5 })
 	drive(t, r, "the module hears of them", func() bool {
 		known := ofModule(r)
@@ -418,7 +445,12 @@
 	var mu sync.Mutex
 	var log bytes.Buffer
 	r, a := newTestRelay(t), newListAgent(t)
-	r.log = slog.New(slog.NewTextHandler(writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return log.Write(b) }), nil))
+	r.log = slog.New(
+		slog.NewTextHandler(
+			writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return log.Write(b) }),
+			nil,
+		),
+	)
 	a.give(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*entryMost))
 	})
@@ -438,7 +470,11 @@
 // A list has a bound, and an entry has: what lies within is read, whatever else stands beside it.
 func TestBoundsOfLists(t *testing.T) {
 	entries := func(n int) io.Reader {
-		return io.MultiReader(strings.NewReader(`{"version":9,"servers":[7`), strings.NewReader(strings.Repeat(",7", n-1)), strings.NewReader("]}"))
+		return io.MultiReader(
+			strings.NewReader(`{"version":9,"servers":[7`),
+			strings.NewReader(strings.Repeat(",7", n-1)),
+			strings.NewReader("]}"),
+		)
 	}
 	long := func(n int) io.Reader {
 		return strings.NewReader(`{"servers":[{},"` + strings.Repeat("x", n) + `",{}]}`)
@@ -476,7 +512,12 @@
 		entries := make([]entry, hosts)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
-				Endpoint: policy.Endpoint{ID: fmt.Sprintf("h-%d-%d", v, i), Destination: v*hosts + i, Kind: 1, InService: true}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
+				Endpoint: policy.Endpoint{
+					ID:          fmt.Sprintf("h-%d-%d", v, i),
+					Destination: v*hosts + i,
+					Kind:        1,
+					InService:   true,
+				}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
 			}
 		}
 		tellLong(r, true, int64(v), entries)
@@ -495,7 +536,13 @@
 	addr, requests := rawHost(t, answers)
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
-		m := &journal.Message{ID: uint32(i + 1), TraceID: fmt.Sprint("m", i), IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(9 * time.Second)}
+		m := &journal.Message{
+			ID:             uint32(i + 1),
+			TraceID:        fmt.Sprint("m", i),
+			IdempotencyKey: "k",
+			Destination:    dest,
+			Deadline:       time.Now().Add(9 * time.Second),
+		}
 		if err := old.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -503,8 +550,16 @@
 	if err := old.journal.Close(); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`, listText(4, 3000, liveText("s-50", addr, 50, "ready")), settingsJSON))
-	if err != nil || cfg.Long == nil || cfg.Long.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 || cfg.Known.Version != 4 {
+	cfg, err := parseConfig(
+		fmt.Appendf(
+			nil,
+			`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
+			listText(4, 3000, liveText("s-50", addr, 50, "ready")),
+			settingsJSON,
+		),
+	)
+	if err != nil || cfg.Long == nil || cfg.Long.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
+		cfg.Known.Version != 4 {
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
 	cfg.StateDir = old.cfg.StateDir
@@ -518,7 +573,12 @@
 		t.Errorf("ready %v, version %d", r.listed.Load(), r.version)
 	}
 	r.resume()
-	drive(t, r, "the one whose destination is known is delivered", func() bool { return requests.Load() == 1 && len(r.calling) == 0 })
+	drive(
+		t,
+		r,
+		"the one whose destination is known is delivered",
+		func() bool { return requests.Load() == 1 && len(r.calling) == 0 },
+	)
 	if n := len(ofModule(r)); n != 1 || r.held != 1 {
 		t.Errorf("the module knows %d destinations, %d messages are held", n, r.held)
 	}
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -89,7 +89,8 @@
 		}
 		if !long {
 			long = true
-			passed = !how.whole && !head.Full && how.known != math.MinInt64 && (!head.versioned || head.Version <= how.known)
+			passed = !how.whole && !head.Full && how.known != math.MinInt64 &&
+				(!head.versioned || head.Version <= how.known)
 			if !passed {
 				if _, err := w.long.ask(&part{stage: listOpens}); err != nil {
 					return err
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -77,10 +77,19 @@
 	var r recent
 	now := time.Now()
 	for i := range 3 * recentMost {
-		r.add(&message{Message: &journal.Message{TraceID: fmt.Sprint(i), Deadline: now.Add(time.Hour), UncertainAttempts: []journal.Attempt{{}}}})
+		r.add(
+			&message{
+				Message: &journal.Message{
+					TraceID:           fmt.Sprint(i),
+					Deadline:          now.Add(time.Hour),
+					UncertainAttempts: []journal.Attempt{{}},
+				},
+			},
+		)
 		r.forget(now)
 	}
-	if _, last := r.ended[fmt.Sprint(3*recentMost-1)]; len(r.ended) != recentMost || len(r.order) != recentMost || !last {
+	if _, last := r.ended[fmt.Sprint(3*recentMost-1)]; len(r.ended) != recentMost || len(r.order) != recentMost ||
+		!last {
 		t.Errorf("%d ended, %d in order, the last among them: %v", len(r.ended), len(r.order), last)
 	}
 	if r.forget(now.Add(2 * time.Hour)); len(r.ended) != 0 || r.order != nil {
@@ -94,7 +103,13 @@
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
 		r.terms.Settings.Classes[0].DedupWindow = window
-		m := &message{Message: &journal.Message{Deadline: time.Now(), Attempts: 1, UncertainAttempts: []journal.Attempt{{SentAt: time.Now(), Undated: true}}}}
+		m := &message{
+			Message: &journal.Message{
+				Deadline:          time.Now(),
+				Attempts:          1,
+				UncertainAttempts: []journal.Attempt{{SentAt: time.Now(), Undated: true}},
+			},
+		}
 		if ago := r.resumed(m).Recovered.SinceFirstRun; ago < max(longAgoRan, window) {
 			t.Errorf("window %v: ran %v ago", window, ago)
 		}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -21,7 +21,14 @@
 }
 
 // newRecording begins a recording of a module that knows nothing yet, or, with now over 0, of one in mid-life.
-func newRecording(cfg Config, log *slog.Logger, out io.Writer, started time.Time, sender *policy.Engine, now time.Duration) *recording {
+func newRecording(
+	cfg Config,
+	log *slog.Logger,
+	out io.Writer,
+	started time.Time,
+	sender *policy.Engine,
+	now time.Duration,
+) *recording {
 	set := cfg.Operator.Recorder
 	if !set.Enabled {
 		return &recording{log: log}
@@ -97,7 +104,12 @@
 		r.rec.Step(now, events, acts)
 		return acts
 	}
-	beside, told := r.fleet.Step(now, events, acts, func() []policy.EndpointView { views, _ := r.sender.Views(); return views })
+	beside, told := r.fleet.Step(
+		now,
+		events,
+		acts,
+		func() []policy.EndpointView { views, _ := r.sender.Views(); return views },
+	)
 	if r.rec.Recorder != nil {
 		r.rec.StepWithFleet(now, events, acts, beside.Append(nil))
 	}
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -15,9 +15,11 @@
 // withRecorder has a test relay record; nothing was told to its module before.
 func withRecorder(t *testing.T, set operatorfile.Recorder) (*Relay, *bytes.Buffer) {
 	t.Helper()
-	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
-		`,"known":{"version":1,"full":true,"servers":[
-		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`))
+	c, err := parseConfig(
+		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
+			`,"known":{"version":1,"full":true,"servers":[
+		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +36,10 @@
 // A loop that panics leaves its recording, and the panic goes on.
 func TestACrashKeepsTheRecording(t *testing.T) {
 	for _, folder := range []string{"", filepath.Join(t.TempDir(), "kept")} {
-		r, out := withRecorder(t, operatorfile.Recorder{Enabled: true, RingMB: 1, Write: operatorfile.WriteKept, Folder: folder, FolderMB: 2})
+		r, out := withRecorder(
+			t,
+			operatorfile.Recorder{Enabled: true, RingMB: 1, Write: operatorfile.WriteKept, Folder: folder, FolderMB: 2},
+		)
 		r.resume()
 		r.post(nudge{})
 		r.post(&callEnd{}) // a call that there is not
@@ -57,7 +62,8 @@
 		if err != nil || len(found) != 1 {
 			t.Fatalf("%d recordings in %v, %v: %s", len(found), paths, err, out)
 		}
-		if res, err := replay.Play(found[0].Data, replay.Visitor{}); err != nil || res.Difference != nil || res.Steps != 1 {
+		if res, err := replay.Play(found[0].Data, replay.Visitor{}); err != nil || res.Difference != nil ||
+			res.Steps != 1 {
 			t.Errorf("%v, %+v", err, res)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -152,7 +152,9 @@
 		cfg: cfg, log: log, logOut: out, rec: newRecording(cfg, log, out, started, sender, 0), agent: newAgent(cfg.Discovery),
 		events: make(chan any, eventRoom), over: make(chan struct{}), idle: make(chan struct{}),
 		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: trouble{what: "no room for all hosts"}},
-		full: trouble{what: "refusing new messages"}, unlogged: trouble{what: "log not written"}, unlisted: trouble{what: "unreadable entry of the list"},
+		full: trouble{
+			what: "refusing new messages",
+		}, unlogged: trouble{what: "log not written"}, unlisted: trouble{what: "unreadable entry of the list"},
 		msgs: map[uint32]*message{}, traces: map[string]*message{}, settled: cfg.Config, version: cfg.Known.Version,
 	}
 	r.hold(cfg.Config)
@@ -297,7 +299,13 @@
 		known.Full = true
 		evs = append(evs, r.list(known)...)
 	}
-	evs = append(evs, endpointhealth.Events(endpointhealth.Decode(found.EndpointHealth), r.journal.Stamp(time.Now()), r.terms.Settings.WarmUpDuration)...)
+	evs = append(
+		evs,
+		endpointhealth.Events(
+			endpointhealth.Decode(found.EndpointHealth),
+			r.journal.Stamp(time.Now()),
+			r.terms.Settings.WarmUpDuration,
+		)...)
 	for _, w := range found.Messages {
 		if w.ClassName != "" {
 			// the module takes one that is not named for the strictest
@@ -332,7 +340,11 @@
 		r.log.Info("recovered", "messages", len(found.Messages), "sound", found.Intact())
 	}
 	if found.ClockStep != 0 {
-		r.log.Warn("the wall clock was set since the journal was last open; times of messages go by the boot's clock", "by", found.ClockStep)
+		r.log.Warn(
+			"the wall clock was set since the journal was last open; times of messages go by the boot's clock",
+			"by",
+			found.ClockStep,
+		)
 	}
 	r.carryOut(r.decide(r.now(), evs), nil)
 }
@@ -352,7 +364,8 @@
 	if len(m.UncertainAttempts) > 0 {
 		first := m.UncertainAttempts[0]
 		e.Recovered.MayHaveRun, e.Recovered.FirstRunZone = true, first.Zone
-		if e.Recovered.SinceFirstRun = time.Since(first.SentAt); first.Undated || e.Recovered.SinceFirstRun < -clockSlack {
+		if e.Recovered.SinceFirstRun = time.Since(first.SentAt); first.Undated ||
+			e.Recovered.SinceFirstRun < -clockSlack {
 			// The clock was set, or may have been: nobody can tell how long its host still drops a repeat.
 			class, _ := r.classOf(m.Message)
 			e.Recovered.SinceFirstRun = max(longAgoRan, class.DedupWindow)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -49,7 +49,9 @@
 
 // The relay's configuration and the simulator's wire give the module the same settings.
 func TestConfigMapsAsTheWireDoes(t *testing.T) {
-	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`))
+	c, err := parseConfig(
+		[]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,9 +98,11 @@
 // newTestRelay is a relay whose loop is not running: the test takes its part.
 func newTestRelay(t *testing.T) *Relay {
 	t.Helper()
-	c, err := parseConfig([]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
-		`,"known":{"version":1,"full":true,"servers":[
-		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`))
+	c, err := parseConfig(
+		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
+			`,"known":{"version":1,"full":true,"servers":[
+		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,15 +261,19 @@
 
 func TestUnreadableEntriesSpoilNoOther(t *testing.T) {
 	r := newTestRelay(t)
-	l, err := parseList(&r.cfg, []byte(`{"version":2,"full":true,"servers":[7,{"id":"s-1","state":"asleep"},{"id":"s-8","zone":"x"},
-		{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,"state":"ready","weight":5}]}`))
+	l, err := parseList(
+		&r.cfg,
+		[]byte(`{"version":2,"full":true,"servers":[7,{"id":"s-1","state":"asleep"},{"id":"s-8","zone":"x"},
+		{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,"state":"ready","weight":5}]}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := r.list(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
-	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 || len(e[0].Endpoints) != 2 {
+	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 ||
+		len(e[0].Endpoints) != 2 {
 		t.Errorf("hosts %+v, %+v, told %+v", one, two, e)
 	}
 }
@@ -321,7 +329,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{log: quiet(), agent: newAgent(addrOf(s)), silence: patience, version: 4, told: func(l List) { told <- l }}
+	w := watcher{
+		log:     quiet(),
+		agent:   newAgent(addrOf(s)),
+		silence: patience,
+		version: 4,
+		told:    func(l List) { told <- l },
+	}
 	go func() { w.run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
@@ -378,10 +392,18 @@
 // Together the messages of a bundle may be larger than any body may.
 func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
-	r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"})
+	r.catalog.Upsert(
+		catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"},
+	)
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
-		m := &message{Message: &journal.Message{TraceID: fmt.Sprint("<", i, ">"), IdempotencyKey: "&&&&", Body: make([]byte, size)}}
+		m := &message{
+			Message: &journal.Message{
+				TraceID:        fmt.Sprint("<", i, ">"),
+				IdempotencyKey: "&&&&",
+				Body:           make([]byte, size),
+			},
+		}
 		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
@@ -441,8 +463,10 @@
 
 // Whatever discovery says, an entry that passes can be used, and none ends the relay.
 func FuzzLists(f *testing.F) {
-	f.Add([]byte(`{"version":2,"full":true,"servers":[{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,
-		"state":"ready","weight":5}]}`))
+	f.Add(
+		[]byte(`{"version":2,"full":true,"servers":[{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,
+		"state":"ready","weight":5}]}`),
+	)
 	f.Add([]byte(`{"version":-1,"servers":[7,null,{"id":"s-1","state":"gone"},{"id":"","state":"ready","cell":-1}]}`))
 	c, err := parseConfig([]byte(`{"settings":` + settingsJSON + `}`))
 	if err != nil {
@@ -479,8 +503,24 @@
 		r := newTestRelay(t)
 		at := time.Now().Add(back)
 		class := r.cfg.Settings.Classes[0]
-		ran := &journal.Message{ID: 1, TraceID: "ran", IdempotencyKey: "k", OrderingKey: "a", Destination: 7, Deadline: at.Add(10 * time.Second), Attempts: 1, UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: at}}}
-		new := &journal.Message{ID: 2, TraceID: "new", IdempotencyKey: "k", OrderingKey: "b", Destination: 7, Deadline: at.Add(class.Deadline)}
+		ran := &journal.Message{
+			ID:                1,
+			TraceID:           "ran",
+			IdempotencyKey:    "k",
+			OrderingKey:       "a",
+			Destination:       7,
+			Deadline:          at.Add(10 * time.Second),
+			Attempts:          1,
+			UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: at}},
+		}
+		new := &journal.Message{
+			ID:             2,
+			TraceID:        "new",
+			IdempotencyKey: "k",
+			OrderingKey:    "b",
+			Destination:    7,
+			Deadline:       at.Add(class.Deadline),
+		}
 		if err := r.journal.Accept(ran, new); err != nil {
 			t.Fatal(err)
 		}
@@ -489,7 +529,9 @@
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.resume()
-		if given := len(r.finals.queue) == 1 && r.finals.queue[0].ID == "ran"; given != (back > 0) || r.msgs[2] == nil || r.msgs[2].ended {
+		if given := len(r.finals.queue) == 1 && r.finals.queue[0].ID == "ran"; given != (back > 0) ||
+			r.msgs[2] == nil ||
+			r.msgs[2].ended {
 			t.Errorf("back by %v: notices %+v", back, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -528,7 +570,14 @@
 		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), BootID: now.BootID, Uptime: now.Uptime - away}
 		reopen(t, r, was)
 		for id, sent := range map[uint32]time.Duration{1: away + time.Second, 2: away - time.Second} {
-			m := &journal.Message{ID: id, TraceID: fmt.Sprint("m", id), IdempotencyKey: "k", OrderingKey: fmt.Sprint(id), Destination: 7, Deadline: was.Wall.Add(away + 9*time.Second)}
+			m := &journal.Message{
+				ID:             id,
+				TraceID:        fmt.Sprint("m", id),
+				IdempotencyKey: "k",
+				OrderingKey:    fmt.Sprint(id),
+				Destination:    7,
+				Deadline:       was.Wall.Add(away + 9*time.Second),
+			}
 			if err := r.journal.Accept(m); err != nil {
 				t.Fatal(err)
 			}
@@ -563,7 +612,14 @@
 		was := bootclock.Reading{Wall: now.Wall.Add(-6*time.Second - step), BootID: "before", Uptime: time.Hour}
 		later := bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 6 * time.Second}
 		reopen(t, r, was)
-		m := &journal.Message{ID: 1, TraceID: "m1", IdempotencyKey: "k", OrderingKey: "1", Destination: 7, Deadline: was.Wall.Add(15 * time.Second)}
+		m := &journal.Message{
+			ID:             1,
+			TraceID:        "m1",
+			IdempotencyKey: "k",
+			OrderingKey:    "1",
+			Destination:    7,
+			Deadline:       was.Wall.Add(15 * time.Second),
+		}
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
@@ -619,10 +675,19 @@
 	r := newTestRelay(t)
 	up := make(chan struct{})
 	dialled, came := heldUp(t, r, up)
-	r.cfg.Known.Entries = entriesOf(r, `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`)
+	r.cfg.Known.Entries = entriesOf(
+		r,
+		`{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`,
+	)
 	r.found = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
-		m := &journal.Message{ID: uint32(i + 1), TraceID: fmt.Sprint("m", i), IdempotencyKey: "k", Destination: 9, Deadline: time.Now().Add(left)}
+		m := &journal.Message{
+			ID:             uint32(i + 1),
+			TraceID:        fmt.Sprint("m", i),
+			IdempotencyKey: "k",
+			Destination:    9,
+			Deadline:       time.Now().Add(left),
+		}
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -45,20 +45,27 @@
 // it holds: messages that were never sent, or one in two with an attempt out.
 func largest(t testing.TB, cfg Config, body int, sent bool) (messages int, bytes int64) {
 	t.Helper()
-	j, _, err := journal.OpenFolder(cfg.StateDir, cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6)-besideJournal))
+	j, _, err := journal.OpenFolder(
+		cfg.StateDir,
+		cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6)-besideJournal),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for {
 		m := &journal.Message{
-			ID: uint32(messages + 1), TraceID: fmt.Sprintf("%016x", messages), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
+			ID: uint32(
+				messages + 1,
+			), TraceID: fmt.Sprintf("%016x", messages), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
 			Deadline: time.Now().Add(time.Hour), // of which a process grants what the class has
 		}
 		err := j.Accept(m)
 		if err == nil {
 			messages++
 			if sent && messages%2 == 0 {
-				err = j.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: time.Now()}})
+				err = j.RecordSends(
+					journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: time.Now()}},
+				)
 			}
 		}
 		if errors.Is(err, journal.ErrFull) {
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -67,8 +67,16 @@
 		var entries []string
 		for range rng.IntN(30) {
 			k := rng.IntN(25)
-			text := fmt.Sprintf(`{"id":"s-%d","addr":"127.0.0.%d:1","zone":%q,"kind":%q,"cell":%d,"state":%q,"weight":%d}`, k, 1+rng.IntN(2),
-				[]string{"a", "b"}[rng.IntN(2)], []string{"platform", "gateway", "store"}[k%3], k/3, []string{"ready", "ready", "draining", "gone"}[rng.IntN(4)], rng.IntN(3)*25)
+			text := fmt.Sprintf(
+				`{"id":"s-%d","addr":"127.0.0.%d:1","zone":%q,"kind":%q,"cell":%d,"state":%q,"weight":%d}`,
+				k,
+				1+rng.IntN(2),
+				[]string{"a", "b"}[rng.IntN(2)],
+				[]string{"platform", "gateway", "store"}[k%3],
+				k/3,
+				[]string{"ready", "ready", "draining", "gone"}[rng.IntN(4)],
+				rng.IntN(3)*25,
+			)
 			if rng.IntN(12) == 0 && !strings.Contains(strings.Join(entries, " "), fmt.Sprintf("\"s-%d\"", k)) {
 				text = fmt.Sprintf(`{"id":"s-%d","state":"asleep"}`, k)
 			}
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -62,7 +62,16 @@
 	r.journal.RecordFinal(m.Message, final)
 	r.notify(m)
 	// The module has booked an attempt that never leaves.
-	r.later = append(r.later, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
-		policy.Event{Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: m.sends, Outcome: policy.NotSent, MessageEnded: true})
+	r.later = append(
+		r.later,
+		policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
+		policy.Event{
+			Kind:         policy.AttemptFinished,
+			MessageID:    m.ID,
+			Attempt:      m.sends,
+			Outcome:      policy.NotSent,
+			MessageEnded: true,
+		},
+	)
 	time.AfterFunc(r.cfg.Tick, func() { r.post(nudge{}) })
 }
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -45,7 +45,9 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if calls := r.addSend(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(calls) != 0 {
+	if calls := r.addSend(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
+		calls,
+	) != 0 {
 		t.Error("sent without its body")
 	}
 	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.held != 0 || !m.ended {
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -19,7 +19,12 @@
 func TestBadInputIsLoggedOnce(t *testing.T) {
 	var mu sync.Mutex
 	var text bytes.Buffer
-	log := slog.New(slog.NewTextHandler(writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return text.Write(b) }), nil))
+	log := slog.New(
+		slog.NewTextHandler(
+			writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return text.Write(b) }),
+			nil,
+		),
+	)
 	const times = 20
 	for _, c := range []struct {
 		name, logged string
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -262,7 +262,11 @@
 	}
 	for id, x := range told {
 		if r.msgs[id] == nil { // nothing is owed, but an attempt is out
-			r.msgs[id] = &message{Message: &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true}, sends: x.Sends, ended: true}
+			r.msgs[id] = &message{
+				Message: &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true},
+				sends:   x.Sends,
+				ended:   true,
+			}
 		}
 	}
 	for id, x := range told {
@@ -323,7 +327,17 @@
 			go func() {
 				select {
 				case a := <-in.reply:
-					r.before.Send(hotrestart.Frame{Answer: &hotrestart.Answer{Seq: f.Submission.Seq, ID: m.ID, Status: a.status, RetryAfter: a.again, Text: a.text}})
+					r.before.Send(
+						hotrestart.Frame{
+							Answer: &hotrestart.Answer{
+								Seq:        f.Submission.Seq,
+								ID:         m.ID,
+								Status:     a.status,
+								RetryAfter: a.again,
+								Text:       a.text,
+							},
+						},
+					)
 				case <-r.over:
 				}
 			}()
@@ -338,7 +352,11 @@
 	if a == nil {
 		return evs
 	}
-	evs = r.attemptEnded(evs, a, result{outcome: o.Outcome, gone: o.MessageEnded, wait: o.RetryAfter, report: o.LimitReport, took: o.Latency})
+	evs = r.attemptEnded(
+		evs,
+		a,
+		result{outcome: o.Outcome, gone: o.MessageEnded, wait: o.RetryAfter, report: o.LimitReport, took: o.Latency},
+	)
 	if o.CallFinished {
 		delete(r.remote, key)
 	}
@@ -487,7 +505,17 @@
 	}
 	s.FinishedMessages = r.recent.told()
 	out := func(a *attempt) {
-		s.Attempts = append(s.Attempts, hotrestart.Attempt{ID: a.m.ID, Number: a.n, Endpoint: a.route, Zone: a.zone, Sent: a.sent, Finished: a.over})
+		s.Attempts = append(
+			s.Attempts,
+			hotrestart.Attempt{
+				ID:       a.m.ID,
+				Number:   a.n,
+				Endpoint: a.route,
+				Zone:     a.zone,
+				Sent:     a.sent,
+				Finished: a.over,
+			},
+		)
 	}
 	for c := range r.calling {
 		for _, a := range c.attempts {
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -33,7 +33,14 @@
 }
 
 func outcomeOf(o policy.Outcome, id uint32, n int, wait time.Duration) remoteOutcome {
-	return remoteOutcome{ID: id, Number: n, Outcome: o, RetryAfter: wait, Latency: 10 * time.Millisecond, CallFinished: true}
+	return remoteOutcome{
+		ID:           id,
+		Number:       n,
+		Outcome:      o,
+		RetryAfter:   wait,
+		Latency:      10 * time.Millisecond,
+		CallFinished: true,
+	}
 }
 
 // Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome,
@@ -46,7 +53,11 @@
 	for name, edit := range forms {
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
-			in := []*handIn{newHandIn("m1", 7, 9*time.Second), newHandIn("m2", 7, 9*time.Second), newHandIn("m3", 7, 9*time.Second)}
+			in := []*handIn{
+				newHandIn("m1", 7, 9*time.Second),
+				newHandIn("m2", 7, 9*time.Second),
+				newHandIn("m3", 7, 9*time.Second),
+			}
 			for i, x := range in {
 				x.m.ClassName, x.m.OrderingKey = "order", string(rune('a'+i))
 			}
@@ -73,7 +84,8 @@
 			}
 			r.step([]any{beforeGone{}})
 			m := r.msgs[in[2].m.ID]
-			if len(r.remote) != 0 || m == nil || m.ended || m.out != 0 || len(m.UncertainAttempts) != 1 || len(r.msgs[in[1].m.ID].UncertainAttempts) != 0 {
+			if len(r.remote) != 0 || m == nil || m.ended || m.out != 0 || len(m.UncertainAttempts) != 1 ||
+				len(r.msgs[in[1].m.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
 			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.held != 2 {
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -250,7 +250,15 @@
 	}
 	c.came = true
 	if w.opts.Record {
-		e := eventlog.Event{Kind: eventlog.Call, Call: c.num, Relay: c.r.name, Host: h.ID, First: w.Now(), Dest: h.Dest, Weight: h.place.Weight(len(c.atts))}
+		e := eventlog.Event{
+			Kind:   eventlog.Call,
+			Call:   c.num,
+			Relay:  c.r.name,
+			Host:   h.ID,
+			First:  w.Now(),
+			Dest:   h.Dest,
+			Weight: h.place.Weight(len(c.atts)),
+		}
 		for i := range c.atts {
 			e.IDs = append(e.IDs, c.atts[i].m.name)
 		}
--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -25,7 +25,11 @@
 
 // read reads them at a time of the world.
 func (c *clocks) read(now time.Duration, trustsWall bool) bootclock.Reading {
-	r := bootclock.Reading{Wall: time.Unix(1e9, 0).Add(now + c.stepped), BootID: fmt.Sprint(c.boots), Uptime: now - c.booted}
+	r := bootclock.Reading{
+		Wall:   time.Unix(1e9, 0).Add(now + c.stepped),
+		BootID: fmt.Sprint(c.boots),
+		Uptime: now - c.booted,
+	}
 	if trustsWall {
 		r.Uptime += c.stepped
 	}
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -14,7 +14,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-var coldDays = flag.Uint64("cold", 0, "play so many drawn returns of a cold destination with each size of fleet, 100 and 300 relays too")
+var coldDays = flag.Uint64(
+	"cold",
+	0,
+	"play so many drawn returns of a cold destination with each size of fleet, 100 and 300 relays too",
+)
 
 // coldOutages are the ways in which a destination is away.
 var coldOutages = []struct {
@@ -80,9 +84,28 @@
 }
 
 func (d coldDay) String() string {
-	return fmt.Sprintf("%d relays, seed %d: %.1f calls a second of each place, asked for %.2f of it, limit %s, %d endpoints (separate %v), from %.2f warm in %v, "+
-		"%.2f times over %v, %s for %v, uneven %v, hosts replaced %v, relays restarted %v, weights %s, rates told %v", d.relays, d.seed, d.rate, d.asked, d.limit,
-		d.endpoints, d.separate, d.coldFrom, d.warm, d.factor, d.window, coldOutages[d.outage].name, d.lasts, d.uneven, d.replaced, d.restarted, d.weights, d.rates)
+	return fmt.Sprintf(
+		"%d relays, seed %d: %.1f calls a second of each place, asked for %.2f of it, limit %s, %d endpoints (separate %v), from %.2f warm in %v, "+
+			"%.2f times over %v, %s for %v, uneven %v, hosts replaced %v, relays restarted %v, weights %s, rates told %v",
+		d.relays,
+		d.seed,
+		d.rate,
+		d.asked,
+		d.limit,
+		d.endpoints,
+		d.separate,
+		d.coldFrom,
+		d.warm,
+		d.factor,
+		d.window,
+		coldOutages[d.outage].name,
+		d.lasts,
+		d.uneven,
+		d.replaced,
+		d.restarted,
+		d.weights,
+		d.rates,
+	)
 }
 
 // coldCount is what a returning place got, as the worst of all spans of the window's length in its ramp.
@@ -126,8 +149,17 @@
 	}
 	f := scenario.File{
 		Name: "cold", Length: sec(end + time.Second), Relays: d.relays, Zones: []string{"north", "south"},
-		Settings:     scenario.Settings{Slots: 40, Held: 400, FallMultiple: d.factor, FallWindow: sec(d.window)},
-		Classes:      []scenario.Class{{Name: "order", Effect: d.effect, Window: sec(10 * time.Second), Aim: sec(d.giveUp / 4), GiveUp: sec(d.giveUp), LateWorth: 0.4}},
+		Settings: scenario.Settings{Slots: 40, Held: 400, FallMultiple: d.factor, FallWindow: sec(d.window)},
+		Classes: []scenario.Class{
+			{
+				Name:      "order",
+				Effect:    d.effect,
+				Window:    sec(10 * time.Second),
+				Aim:       sec(d.giveUp / 4),
+				GiveUp:    sec(d.giveUp),
+				LateWorth: 0.4,
+			},
+		},
 		Kinds:        []scenario.Kind{kind},
 		Destinations: []scenario.Destination{{Kind: "kind", Rate: d.rate, Endpoints: d.endpoints}},
 		Traffic:      []scenario.Traffic{{Rate: 1}},
@@ -161,7 +193,9 @@
 	}
 	opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
-			if e.Kind != policy.AttemptFinished || e.Outcome == policy.OK || e.Outcome == policy.NotSent || w.Now() < coldBegins || w.Now()-e.Latency >= back {
+			if e.Kind != policy.AttemptFinished || e.Outcome == policy.OK || e.Outcome == policy.NotSent ||
+				w.Now() < coldBegins ||
+				w.Now()-e.Latency >= back {
 				continue
 			}
 			if at := told[w.hosts[e.Endpoint].place]; at != nil {
@@ -293,11 +327,25 @@
 				over++
 			}
 			if !c.kept() {
-				t.Errorf("%.2f of what it bears, %.2f by relays told, at worst %v after the return: %v", c.all, c.told, c.at, d)
+				t.Errorf(
+					"%.2f of what it bears, %.2f by relays told, at worst %v after the return: %v",
+					c.all,
+					c.told,
+					c.at,
+					d,
+				)
 			}
 		}
-		t.Logf("%d relays, seeds 0 to %d: at most %.2f of what it bears, %.2f by relays told; %d of %d days over it by others; %d calls", relays, days-1, worst.all, worst.told,
-			over, days, worst.calls)
+		t.Logf(
+			"%d relays, seeds 0 to %d: at most %.2f of what it bears, %.2f by relays told; %d of %d days over it by others; %d calls",
+			relays,
+			days-1,
+			worst.all,
+			worst.told,
+			over,
+			days,
+			worst.calls,
+		)
 		if worst.calls == 0 {
 			t.Errorf("%d relays: no call in any ramp", relays)
 		}
@@ -314,7 +362,13 @@
 		seed   uint64
 	}{{"wait", 20, 56}, {"wait", 6, 41}, {"answer", 7, 33}, {"delivery", 30, 329}} {
 		if x := drawCold(c.relays, c.seed).play(t, nil); !x.kept() {
-			t.Errorf("%s: %.2f of what it bears, %.2f by relays told: %v", c.cause, x.all, x.told, drawCold(c.relays, c.seed))
+			t.Errorf(
+				"%s: %.2f of what it bears, %.2f by relays told: %v",
+				c.cause,
+				x.all,
+				x.told,
+				drawCold(c.relays, c.seed),
+			)
 		}
 	}
 }
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -73,8 +73,11 @@
 				if rules := broken(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
-				if s := v.Service; math.Abs(s.Whole-w.Whole()) > 1e-9 || s.Offered != w.Offered || s.InFull != w.InFull || s.CallsFull != w.CallsFull ||
-					s.Deferred != w.Deferred || s.Refused != w.Refused {
+				if s := v.Service; math.Abs(s.Whole-w.Whole()) > 1e-9 || s.Offered != w.Offered ||
+					s.InFull != w.InFull ||
+					s.CallsFull != w.CallsFull ||
+					s.Deferred != w.Deferred ||
+					s.Refused != w.Refused {
 					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Measures, w.Whole())
 				}
 			})
@@ -90,11 +93,23 @@
 // does.
 func TestMutantsAreConvicted(t *testing.T) {
 	where := map[checker.Rule][]string{
-		checker.Lost: {"first-run", "rolling-restarts", "partner-cold"}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
+		checker.Lost: {
+			"first-run",
+			"rolling-restarts",
+			"partner-cold",
+		}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
 		checker.Return: {"partner-cold"}, checker.Order: {"dinner-rush"}, checker.Wait: {"dinner-rush", "partner-cold"},
 	}
 	// By the tiny worlds, and not by these: see package explore and the table in docs/emulator.md.
-	elsewhere := []string{"notices-lost-over-restarts", "budget-three-times", "budget-for-itself", "budget-twice", "no-pause", "half-a-pause", "pause-too-short"}
+	elsewhere := []string{
+		"notices-lost-over-restarts",
+		"budget-three-times",
+		"budget-for-itself",
+		"budget-twice",
+		"no-pause",
+		"half-a-pause",
+		"pause-too-short",
+	}
 	for _, m := range Mutants() {
 		if slices.Contains(elsewhere, m.Name) {
 			continue
@@ -105,7 +120,10 @@
 				if found {
 					break
 				}
-				found = slices.Contains(broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Wrong: &m}))), m.Rule)
+				found = slices.Contains(
+					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Wrong: &m}))),
+					m.Rule,
+				)
 			}
 		}
 		if m.Rule != "" && !found {
@@ -127,7 +145,9 @@
 func TestDeathBetweenAFirstByteAndItsRecord(t *testing.T) {
 	for _, lag := range []time.Duration{0, 50 * time.Millisecond} {
 		f := loaded(t, "quiet-day")
-		f.Classes = []scenario.Class{{Name: "payment", Share: 1, Effect: "unsafe", Aim: f.Classes[0].Aim, GiveUp: f.Classes[0].GiveUp, Worth: 1}}
+		f.Classes = []scenario.Class{
+			{Name: "payment", Share: 1, Effect: "unsafe", Aim: f.Classes[0].Aim, GiveUp: f.Classes[0].GiveUp, Worth: 1},
+		}
 		f.Troubles = nil
 		for at := 5 * time.Second; at < 30*time.Second; at += 4 * time.Second {
 			f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Kill, At: scenario.Duration(at)})
@@ -167,7 +187,8 @@
 	for seed := range uint64(8) {
 		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
 		fell += w.Fell
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) || slices.Contains(rules, checker.Twice) {
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) ||
+			slices.Contains(rules, checker.Twice) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
 		}
 	}
@@ -185,7 +206,14 @@
 		For: scenario.Duration(time.Second), Destinations: []int{1},
 	})
 	f.SetDefaults()
-	w := played(t, f.Draw(1), Options{Record: true, ListDelay: func(relay int) time.Duration { return time.Duration(1+3*relay) * time.Second }})
+	w := played(
+		t,
+		f.Draw(1),
+		Options{
+			Record:    true,
+			ListDelay: func(relay int) time.Duration { return time.Duration(1+3*relay) * time.Second },
+		},
+	)
 	if rules := broken(judged(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
@@ -221,7 +249,11 @@
 // Kept connections that break, zones that are far, and a plan without end.
 func TestNetworksAndBounds(t *testing.T) {
 	p := loaded(t, "first-run").Draw(1)
-	w := played(t, p, Options{Record: true, IdleResets: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond})
+	w := played(
+		t,
+		p,
+		Options{Record: true, IdleResets: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
+	)
 	if rules := broken(judged(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
@@ -285,7 +317,17 @@
 			t.Errorf("%s: mean wait %.4f s, theory %.4f, standard error %.4f", c.name, mean, c.wait, se)
 		}
 	}
-	p := upstream.New(upstream.Spec{Pace: time.Millisecond, Slots: 100, Queue: time.Hour, Limit: upstream.Plain, Rate: 20, ColdShare: 1}, 1)
+	p := upstream.New(
+		upstream.Spec{
+			Pace:      time.Millisecond,
+			Slots:     100,
+			Queue:     time.Hour,
+			Limit:     upstream.Plain,
+			Rate:      20,
+			ColdShare: 1,
+		},
+		1,
+	)
 	p.Add("e")
 	ok := 0
 	for i := range 60_000 { // 60 a second for 1,000 s
@@ -301,7 +343,16 @@
 // The wait of a window's limit ends at its border, and no call comes before it.
 func TestAWaitThatEndsAtASpansBorder(t *testing.T) {
 	s := scenario.Duration(time.Second)
-	w := play(t, 2, 1, 20, 200, scenario.Kind{Pace: 50 * s / 1000, Slots: 20, Limit: "window", TellsWait: 1, Wait: s / 1000}, scenario.Destination{Rate: 5}, Options{Record: true})
+	w := play(
+		t,
+		2,
+		1,
+		20,
+		200,
+		scenario.Kind{Pace: 50 * s / 1000, Slots: 20, Limit: "window", TellsWait: 1, Wait: s / 1000},
+		scenario.Destination{Rate: 5},
+		Options{Record: true},
+	)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
 	w.see(eventlog.Event{Kind: eventlog.End})
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -186,8 +186,11 @@
 func (n *fleetNet) join(r *relay) *fleetMember {
 	m := &fleetMember{
 		r: r, net: n, name: r.name, life: r.life, began: n.w.Now(), offset: time.Duration(n.draw.Int64N(int64(time.Hour))), mail: map[fleetPlace]bool{},
-		intake: loadreport.Inbox[fleetPacket]{ClockRequestInterval: gossip.ClockRequestInterval, MaxDeferred: gossip.MaxDeferredMessages},
-		seen:   map[fleetPlace]version{}, heardAs: map[fleetPlace]time.Duration{}, meant: map[fleetPlace]version{},
+		intake: loadreport.Inbox[fleetPacket]{
+			ClockRequestInterval: gossip.ClockRequestInterval,
+			MaxDeferred:          gossip.MaxDeferredMessages,
+		},
+		seen: map[fleetPlace]version{}, heardAs: map[fleetPlace]time.Duration{}, meant: map[fleetPlace]version{},
 	}
 	if n.twin == r.n {
 		m.name = n.w.relays[0].name
@@ -246,7 +249,17 @@
 	for i := range m.heard {
 		m.heard[i].TransitTime = max(0, at-m.heardAt[i])
 	}
-	out := m.seam.Step(m.r.now(), agent.Input{Received: heard, Incarnation: m.raised, Quota: m.heard, Events: events, Actions: actions, Views: m.views})
+	out := m.seam.Step(
+		m.r.now(),
+		agent.Input{
+			Received:    heard,
+			Incarnation: m.raised,
+			Quota:       m.heard,
+			Events:      events,
+			Actions:     actions,
+			Views:       m.views,
+		},
+	)
 	m.heard, m.heardAt = nil, m.heardAt[:0]
 	for i := range out.Quota {
 		if to := m.net.w.relay(out.Quota[i].Member); to != nil {
@@ -258,7 +271,11 @@
 		m.r.plan()
 	}
 	told := out.Published
-	if !m.r.wrong.fleet().NoBounds && slices.ContainsFunc(events, func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }) {
+	if !m.r.wrong.fleet().NoBounds &&
+		slices.ContainsFunc(
+			events,
+			func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta },
+		) {
 		m.ledger.SetLimits(m.seam.Limits())
 	}
 	for _, p := range told {
@@ -522,7 +539,16 @@
 			if !ok {
 				age = -1
 			}
-			n.w.see(eventlog.Event{Kind: eventlog.Belief, Relay: r.name, Name: o.name, State: "listed", For: age, Status: int(lives[o.name])})
+			n.w.see(
+				eventlog.Event{
+					Kind:   eventlog.Belief,
+					Relay:  r.name,
+					Name:   o.name,
+					State:  "listed",
+					For:    age,
+					Status: int(lives[o.name]),
+				},
+			)
 		}
 	}
 	n.checkRights()
@@ -547,7 +573,15 @@
 	}
 	for _, c := range p.Scopes {
 		if limit, ok := limits[c.Destination][c.Endpoint]; ok && c.Calls > loadreport.MaxRateMultiple*max(1, limit) {
-			n.wrong("bound", "%s holds %g calls a second of %s at destination %d, which takes %g", m.r.name, c.Calls, p.Name, c.Destination, limit)
+			n.wrong(
+				"bound",
+				"%s holds %g calls a second of %s at destination %d, which takes %g",
+				m.r.name,
+				c.Calls,
+				p.Name,
+				c.Destination,
+				limit,
+			)
 		}
 	}
 	if at, ok := n.told[v]; ok {
@@ -556,8 +590,17 @@
 		}
 	}
 	was, ok := m.seen[place]
-	if ok && (v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence) {
-		n.wrong("back", "%s goes back from version %d to %d of page %d of %s", m.r.name, was.sequence, v.sequence, p.Number, p.Name)
+	if ok &&
+		(v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence) {
+		n.wrong(
+			"back",
+			"%s goes back from version %d to %d of page %d of %s",
+			m.r.name,
+			was.sequence,
+			v.sequence,
+			p.Number,
+			p.Name,
+		)
 	}
 	m.seen[place] = v
 }
@@ -581,7 +624,14 @@
 	}
 	for s, sum := range sums {
 		if n.Sums++; sum > limits[s]*(1+1e-6) {
-			n.wrong("sum", "all may use %.2f calls a second of destination %d%s, which takes %.2f", sum, s.Destination, s.Endpoint, limits[s])
+			n.wrong(
+				"sum",
+				"all may use %.2f calls a second of destination %d%s, which takes %.2f",
+				sum,
+				s.Destination,
+				s.Endpoint,
+				limits[s],
+			)
 		}
 	}
 }
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -52,15 +52,18 @@
 			for seed := range uint64(3) {
 				c.opts.Wrong = &Mutant{Fleet: c.wrong}
 				w, v := playFleet(t, seed+1, c.opts)
-				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") || c.kind == "" && len(w.fleet.Wrong) > 0 {
+				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") ||
+					c.kind == "" && len(w.fleet.Wrong) > 0 {
 					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
 				}
-				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound && (v.State() != checker.Held || v.Beliefs.Apart == 0 || v.Beliefs.Deaf.Exercised == 0) {
+				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound &&
+					(v.State() != checker.Held || v.Beliefs.Apart == 0 || v.Beliefs.Deaf.Exercised == 0) {
 					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.Beliefs)
 				}
 				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
 					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
-					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot || held.Age > 10*time.Second {
+					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot ||
+						held.Age > 10*time.Second {
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
 				}
@@ -84,7 +87,10 @@
 		f.Fleet.Enabled = enabled
 		plan := f.Draw(1)
 		if !enabled {
-			plan.Steps = slices.DeleteFunc(plan.Steps, func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkSound })
+			plan.Steps = slices.DeleteFunc(
+				plan.Steps,
+				func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkSound },
+			)
 		}
 		w, err := New(plan, Options{Record: true})
 		if err != nil {
@@ -117,7 +123,15 @@
 	for _, n := range sizes {
 		for _, loss := range []float64{0, 0.3} {
 			half, most, all, bytes := spread(t, n, loss)
-			t.Logf("%3d relays, %.0f %% lost: known to half after %v, to 99 %% after %v, to all after %v; %d bytes a second a member", n, 100*loss, half, most, all, bytes)
+			t.Logf(
+				"%3d relays, %.0f %% lost: known to half after %v, to 99 %% after %v, to all after %v; %d bytes a second a member",
+				n,
+				100*loss,
+				half,
+				most,
+				all,
+				bytes,
+			)
 			if all == 0 || all > 5*time.Second && n < 100 {
 				t.Errorf("%d relays, %.0f %% lost: all know after %v", n, 100*loss, all)
 			}
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -71,8 +71,16 @@
 				t.Errorf("%s, seed %d: pushed over", c.name, seed)
 			}
 		}
-		if t.Logf("%s: %.2f served, at most %.2f of the limit sent in ten seconds", c.name, share, worst); share < c.served || worst > c.sent {
-			t.Errorf("%s: %.2f served, want %.2f; %.2f of the limit sent in ten seconds, want %.2f at most", c.name, share, c.served, worst, c.sent)
+		if t.Logf("%s: %.2f served, at most %.2f of the limit sent in ten seconds", c.name, share, worst); share < c.served ||
+			worst > c.sent {
+			t.Errorf(
+				"%s: %.2f served, want %.2f; %.2f of the limit sent in ten seconds, want %.2f at most",
+				c.name,
+				share,
+				c.served,
+				worst,
+				c.sent,
+			)
 		}
 	}
 }
@@ -84,7 +92,12 @@
 	w := crowdAt(t, relays, 1, takes, told(0.7*takes))
 	load(w, time.Second, 60*time.Second, 0.65*takes)
 	asked, got := 0, 0
-	w.Every(time.Second, 45*time.Second, 20*0.7*takes/relays, func() { asked++; w.Offer(scenario.Arrival{Relay: 17, Dest: 1}) })
+	w.Every(
+		time.Second,
+		45*time.Second,
+		20*0.7*takes/relays,
+		func() { asked++; w.Offer(scenario.Arrival{Relay: 17, Dest: 1}) },
+	)
 	w.opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 17 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
@@ -117,8 +130,17 @@
 			share += w.rate(5*time.Second, 40*time.Second) / (takes * min(1, c.asked)) / seeds
 			refused += float64(w.CallsFull) / float64(w.CallsFull+w.CallsOK) / seeds
 		}
-		if t.Logf("%d relays, asked for %.1f of the limit: %.2f served, %.2f of the calls refused", c.relays, c.asked, share, refused); share < c.share || refused > c.refused {
-			t.Errorf("%d relays, asked for %.1f of the limit: %.2f served, want %.2f; %.2f of the calls refused, %.2f at most", c.relays, c.asked, share, c.share, refused, c.refused)
+		if t.Logf("%d relays, asked for %.1f of the limit: %.2f served, %.2f of the calls refused", c.relays, c.asked, share, refused); share < c.share ||
+			refused > c.refused {
+			t.Errorf(
+				"%d relays, asked for %.1f of the limit: %.2f served, want %.2f; %.2f of the calls refused, %.2f at most",
+				c.relays,
+				c.asked,
+				share,
+				c.share,
+				refused,
+				c.refused,
+			)
 		}
 	}
 }
@@ -198,7 +220,13 @@
 	}
 	w.run(t, 55*time.Second)
 	if rate := w.rate(10*time.Second, 40*time.Second); asked == 0 || got < asked*3/4 || rate < 0.5*takes {
-		t.Errorf("%d of %d messages of the one with little delivered; %.1f a second of all, of %.0f", got, asked, rate, takes)
+		t.Errorf(
+			"%d of %d messages of the one with little delivered; %.1f a second of all, of %.0f",
+			got,
+			asked,
+			rate,
+			takes,
+		)
 	}
 }
 
@@ -243,7 +271,8 @@
 			t.Errorf("seed %d: broken: %v", seed, rules)
 		}
 	}
-	if t.Logf("%d calls refused a run in the six seconds from the kill, %.2f of what is asked for served in the fourteen that follow", refused/seeds, after); refused/seeds > 50 || after < 0.85 {
+	if t.Logf("%d calls refused a run in the six seconds from the kill, %.2f of what is asked for served in the fourteen that follow", refused/seeds, after); refused/seeds > 50 ||
+		after < 0.85 {
 		t.Errorf("%d calls refused a run, want 50 at most; %.2f served, want 0.85", refused/seeds, after)
 	}
 }
@@ -266,7 +295,15 @@
 				w.run(t, 55*time.Second)
 				share += (1 - float64(w.Undelivered())/float64(w.Offered)) / seeds
 				if bound := most > 0 && relays > 20; w.NotOpened == 0 && bound || w.NotOpened > 0 && most == 0 {
-					t.Errorf("%d relays, %d connections at a host, one more %s, seed %d: %d met that of %d", relays, most, Beyonds[beyond], seed, w.NotOpened, w.Opened+w.NotOpened)
+					t.Errorf(
+						"%d relays, %d connections at a host, one more %s, seed %d: %d met that of %d",
+						relays,
+						most,
+						Beyonds[beyond],
+						seed,
+						w.NotOpened,
+						w.Opened+w.NotOpened,
+					)
 				}
 				for _, h := range w.hosts {
 					// those that come up at once see each other late
@@ -281,7 +318,13 @@
 		for beyond, name := range Beyonds {
 			full := served(c.most, Beyond(beyond))
 			if t.Logf("%d relays, one connection more %s: %.3f of the messages served, %.3f with any number", relays, name, full, none); full < none-c.lost {
-				t.Errorf("%d relays, one connection more %s: %.3f of the messages served, %.3f with any number", relays, name, full, none)
+				t.Errorf(
+					"%d relays, one connection more %s: %.3f of the messages served, %.3f with any number",
+					relays,
+					name,
+					full,
+					none,
+				)
 			}
 		}
 	}
@@ -299,7 +342,13 @@
 	for i := range f.Troubles {
 		switch x := &f.Troubles[i]; x.Kind {
 		case scenario.DiscoveryLate:
-			x.At, x.For, x.Delay = scenario.Duration(2*time.Second), scenario.Duration(14*time.Second), scenario.Duration(6*time.Second)
+			x.At, x.For, x.Delay = scenario.Duration(
+				2*time.Second,
+			), scenario.Duration(
+				14*time.Second,
+			), scenario.Duration(
+				6*time.Second,
+			)
 		case scenario.Draining:
 			x.Drain = scenario.Duration(12 * time.Second) // they are still there when the list comes
 		}
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -202,17 +202,32 @@
 			Name: "journal-not-restored", About: "a restart begins with nothing", Rule: checker.Lost,
 			Loses: func(bool, bool, uint32) bool { return true },
 		},
-		{Name: "no-notices", About: "what is given up on is told to nobody", Rule: checker.Lost, Quiet: func(uint32) bool { return true }},
+		{
+			Name:  "no-notices",
+			About: "what is given up on is told to nobody",
+			Rule:  checker.Lost,
+			Quiet: func(uint32) bool { return true },
+		},
 		{
 			Name: "ends-forgotten", About: "what is given up on is kept, and never ended", Rule: checker.Lost,
 			Says: func(a *policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject },
 		},
-		{Name: "some-notices-lost", About: "one notice in 25 is not sent", Rule: checker.Lost, Quiet: func(id uint32) bool { return id%25 == 0 }},
+		{
+			Name:  "some-notices-lost",
+			About: "one notice in 25 is not sent",
+			Rule:  checker.Lost,
+			Quiet: func(id uint32) bool { return id%25 == 0 },
+		},
 		{
 			Name: "notices-lost-over-restarts", About: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.Lost,
 			Loses: func(final, _ bool, _ uint32) bool { return final }, Quiet: func(id uint32) bool { return false },
 		},
-		{Name: "logged-late", About: "what is taken on is in the journal 30 ms after the client was told", Rule: checker.Lost, Lag: 30 * ms},
+		{
+			Name:  "logged-late",
+			About: "what is taken on is in the journal 30 ms after the client was told",
+			Rule:  checker.Lost,
+			Lag:   30 * ms,
+		},
 
 		{
 			Name: "unsafe-repeated", About: "what must never run twice is taken for what may", Rule: checker.Twice,
@@ -222,7 +237,12 @@
 				}
 			}),
 		},
-		{Name: "any-zone", About: "keyed repeats go to any zone", Rule: checker.Twice, Set: eachClass(func(c *policy.Class) { c.DedupAllZones = true })},
+		{
+			Name:  "any-zone",
+			About: "keyed repeats go to any zone",
+			Rule:  checker.Twice,
+			Set:   eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
+		},
 		{
 			Name: "no-window", About: "keyed repeats go at any time", Rule: checker.Twice,
 			Set: eachClass(func(c *policy.Class) { c.DedupWindow *= 100 }),
@@ -257,9 +277,24 @@
 			Name: "some-drains-ignored", About: "of the endpoints one in four stays in service for good", Rule: checker.Drain,
 			Hears: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
 		},
-		{Name: "news-3s-late", About: "the list is heeded 3 s after it was told", Rule: checker.Drain, Hears: lateNews(3 * time.Second)},
-		{Name: "news-1.4s-late", About: "the list is heeded 1.4 s after it was told", Rule: checker.Drain, Hears: lateNews(1400 * ms)},
-		{Name: "news-1.1s-late", About: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack", Rule: checker.Drain, Hears: lateNews(1100 * ms)},
+		{
+			Name:  "news-3s-late",
+			About: "the list is heeded 3 s after it was told",
+			Rule:  checker.Drain,
+			Hears: lateNews(3 * time.Second),
+		},
+		{
+			Name:  "news-1.4s-late",
+			About: "the list is heeded 1.4 s after it was told",
+			Rule:  checker.Drain,
+			Hears: lateNews(1400 * ms),
+		},
+		{
+			Name:  "news-1.1s-late",
+			About: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
+			Rule:  checker.Drain,
+			Hears: lateNews(1100 * ms),
+		},
 
 		{
 			Name: "no-recovery-budget", About: "a returning destination is sent what it takes when it is warm", Rule: checker.Return,
@@ -282,7 +317,12 @@
 			Set: func(s *policy.Settings) { s.OverloadFactor *= 2 },
 		},
 
-		{Name: "no-order", About: "messages of a key do not take turns", Rule: checker.Order, Set: eachClass(func(c *policy.Class) { c.Ordered = false })},
+		{
+			Name:  "no-order",
+			About: "messages of a key do not take turns",
+			Rule:  checker.Order,
+			Set:   eachClass(func(c *policy.Class) { c.Ordered = false }),
+		},
 		{
 			Name: "some-keys-lost", About: "one message in six has no key", Rule: checker.Order,
 			Hears: func(e *policy.Event) time.Duration {
@@ -292,11 +332,31 @@
 				return 0
 			},
 		},
-		{Name: "no-pause", About: "a key does not rest after a call that may still run", Rule: checker.Order, Set: func(s *policy.Settings) { s.OrderingPause = 0 }},
-		{Name: "half-a-pause", About: "a key rests half as long", Rule: checker.Order, Set: func(s *policy.Settings) { s.OrderingPause /= 2 }},
-		{Name: "pause-too-short", About: "a key rests 100 ms less than it must", Rule: checker.Order, Set: func(s *policy.Settings) { s.OrderingPause -= 100 * ms }},
+		{
+			Name:  "no-pause",
+			About: "a key does not rest after a call that may still run",
+			Rule:  checker.Order,
+			Set:   func(s *policy.Settings) { s.OrderingPause = 0 },
+		},
+		{
+			Name:  "half-a-pause",
+			About: "a key rests half as long",
+			Rule:  checker.Order,
+			Set:   func(s *policy.Settings) { s.OrderingPause /= 2 },
+		},
+		{
+			Name:  "pause-too-short",
+			About: "a key rests 100 ms less than it must",
+			Rule:  checker.Order,
+			Set:   func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
+		},
 
-		{Name: "waits-dropped", About: "told waits are not heard", Rule: checker.Wait, Hears: waitAs(func(*policy.Event) time.Duration { return 0 })},
+		{
+			Name:  "waits-dropped",
+			About: "told waits are not heard",
+			Rule:  checker.Wait,
+			Hears: waitAs(func(*policy.Event) time.Duration { return 0 }),
+		},
 		{
 			Name: "some-waits-dropped", About: "one told wait in eight is not heard", Rule: checker.Wait,
 			Hears: waitAs(func(e *policy.Event) time.Duration {
@@ -306,9 +366,24 @@
 				return e.RetryAfter
 			}),
 		},
-		{Name: "half-a-wait", About: "told waits are heard as half as long", Rule: checker.Wait, Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 })},
-		{Name: "wait-150ms-short", About: "told waits end 150 ms early", Rule: checker.Wait, Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms })},
-		{Name: "wait-20ms-short", About: "told waits end 20 ms early", Rule: checker.Wait, Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms })},
+		{
+			Name:  "half-a-wait",
+			About: "told waits are heard as half as long",
+			Rule:  checker.Wait,
+			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
+		},
+		{
+			Name:  "wait-150ms-short",
+			About: "told waits end 150 ms early",
+			Rule:  checker.Wait,
+			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
+		},
+		{
+			Name:  "wait-20ms-short",
+			About: "told waits end 20 ms early",
+			Rule:  checker.Wait,
+			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
+		},
 
 		{
 			Name: "waits-of-nothing", About: "waits of under a millisecond are not heard",
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -25,16 +25,29 @@
 }
 
 // play makes a world of one destination, with a class of keyed messages.
-func play(t testing.TB, relays int, seed uint64, slots, held int, kind scenario.Kind, d scenario.Destination, opts Options) *world {
+func play(
+	t testing.TB,
+	relays int,
+	seed uint64,
+	slots, held int,
+	kind scenario.Kind,
+	d scenario.Destination,
+	opts Options,
+) *world {
 	t.Helper()
 	const s = scenario.Duration(time.Second)
-	kind.Name, kind.TellsWait, kind.ColdFrom, kind.Warm, kind.Queue, kind.Spread = "kind", cmp.Or(kind.TellsWait, 0.5), 0.18, 14*s, s/2, 0.5
+	kind.Name, kind.TellsWait, kind.ColdFrom, kind.Warm, kind.Queue, kind.Spread = "kind", cmp.Or(
+		kind.TellsWait,
+		0.5,
+	), 0.18, 14*s, s/2, 0.5
 	kind.Wait = cmp.Or(kind.Wait, 300*s/1000)
 	d.Kind = "kind"
 	f := scenario.File{
 		Name: "recovery", Length: 100 * s, Relays: relays, Zones: []string{"north", "south"},
-		Settings:     scenario.Settings{Slots: slots, Held: held, FallMultiple: 2, FallWindow: 3 * s},
-		Classes:      []scenario.Class{{Name: "order", Effect: "keyed", Window: 10 * s, Aim: 3 * s, GiveUp: 12 * s, LateWorth: 0.4}},
+		Settings: scenario.Settings{Slots: slots, Held: held, FallMultiple: 2, FallWindow: 3 * s},
+		Classes: []scenario.Class{
+			{Name: "order", Effect: "keyed", Window: 10 * s, Aim: 3 * s, GiveUp: 12 * s, LateWorth: 0.4},
+		},
 		Kinds:        []scenario.Kind{kind},
 		Destinations: []scenario.Destination{d},
 		Traffic:      []scenario.Traffic{{Rate: 1}}, // for its check: what is offered, the tests say
@@ -148,13 +161,30 @@
 func bundles(t testing.TB, relays int, seed uint64, resets func(relay int) float64) *world {
 	t.Helper()
 	ms := scenario.Duration(time.Millisecond)
-	k := scenario.Kind{PerCall: 10, Pace: 250 * ms, Slots: 8, ItemCost: 0.1, Limit: "rate", TellsWait: 0.75, Wait: 700 * ms}
+	k := scenario.Kind{
+		PerCall:   10,
+		Pace:      250 * ms,
+		Slots:     8,
+		ItemCost:  0.1,
+		Limit:     "rate",
+		TellsWait: 0.75,
+		Wait:      700 * ms,
+	}
 	var calls []string
-	w := play(t, relays, seed, 70, 1200, k, scenario.Destination{Rate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}}, Options{
-		Stepped: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
-			calls = append(calls, fmt.Sprint(relay, now, acts))
+	w := play(
+		t,
+		relays,
+		seed,
+		70,
+		1200,
+		k,
+		scenario.Destination{Rate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}},
+		Options{
+			Stepped: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
+				calls = append(calls, fmt.Sprint(relay, now, acts))
+			},
 		},
-	})
+	)
 	load(w, time.Second, 60*time.Second, 80)
 	w.At(12*time.Second, func() { w.order[0].Resets = resets })
 	w.At(20*time.Second, func() { w.order[0].Resets = nil })
@@ -194,7 +224,13 @@
 			}
 			offered += w.Offered
 			if rate := w.rate(26*time.Second, 56*time.Second); rate < 0.8*80 {
-				t.Errorf("%s, %d relays, seed %d: %.1f messages a second once the trouble was over", c.name, c.relays, seed, rate)
+				t.Errorf(
+					"%s, %d relays, seed %d: %.1f messages a second once the trouble was over",
+					c.name,
+					c.relays,
+					seed,
+					rate,
+				)
 			}
 		}
 		share := worth / float64(offered)
@@ -222,7 +258,14 @@
 					trouble(w, 20*time.Second, 30*time.Second)
 					w.run(t, 100*time.Second)
 					if after := back(w, 30*time.Second, 55*time.Second, 0.8*rate); after > bound {
-						t.Errorf("%s, %s, %d relays, seed %d: served again %v after the trouble", name, kind, relays, seed, after)
+						t.Errorf(
+							"%s, %s, %d relays, seed %d: served again %v after the trouble",
+							name,
+							kind,
+							relays,
+							seed,
+							after,
+						)
 					}
 					for _, p := range w.order {
 						if p.Fallen() {
@@ -246,7 +289,14 @@
 		w.run(t, 90*time.Second)
 		full, ok = full+w.CallsFull, ok+w.CallsOK
 		if rate := w.rate(40*time.Second, 90*time.Second); rate < 0.6*takes/2 || full > ok {
-			t.Errorf("%d relays: %.1f a second of %.1f, %d calls refused for %d served", relays, rate, takes/2, full, ok)
+			t.Errorf(
+				"%d relays: %.1f a second of %.1f, %d calls refused for %d served",
+				relays,
+				rate,
+				takes/2,
+				full,
+				ok,
+			)
 		}
 	}
 }
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -228,7 +228,10 @@
 			e := r.taken(m)
 			e.Recovered = &policy.RecoveredMessage{Attempts: m.sends}
 			if len(m.mayRun) > 0 {
-				e.Recovered.MayHaveRun, e.Recovered.FirstRunZone, e.Recovered.SinceFirstRun = true, m.mayRun[0].zone, r.clocks.ago(m.mayRun[0], r.w.Now())
+				e.Recovered.MayHaveRun, e.Recovered.FirstRunZone, e.Recovered.SinceFirstRun = true, m.mayRun[0].zone, r.clocks.ago(
+					m.mayRun[0],
+					r.w.Now(),
+				)
 			}
 			evs = append(evs, e)
 		}
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -15,7 +15,10 @@
 func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
 	t.Helper()
 	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
-	opts := Options{Fleet: scenario.Fleet{Enabled: true, Rights: on}, Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} }}
+	opts := Options{
+		Fleet:    scenario.Fleet{Enabled: true, Rights: on},
+		Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
+	}
 	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
 }
 
@@ -76,7 +79,14 @@
 		}
 		t.Logf("%s: served %.2f and %.2f, refused %d and %d", c.name, served[0], served[1], refused[0], refused[1])
 		if served[1] < served[0]+c.gain || float64(refused[1]) > c.less*float64(refused[0]) {
-			t.Errorf("%s: served %.2f and %.2f, refused %d and %d", c.name, served[0], served[1], refused[0], refused[1])
+			t.Errorf(
+				"%s: served %.2f and %.2f, refused %d and %d",
+				c.name,
+				served[0],
+				served[1],
+				refused[0],
+				refused[1],
+			)
 		}
 	}
 }
@@ -97,16 +107,30 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					f.Relays, f.Length, f.Fleet = relays, scenario.Duration(length), scenario.Fleet{Enabled: true, Rights: on}
+					f.Relays, f.Length, f.Fleet = relays, scenario.Duration(
+						length,
+					), scenario.Fleet{
+						Enabled: true,
+						Rights:  on,
+					}
 					for i := range f.Traffic {
 						f.Traffic[i].To = min(f.Traffic[i].To, f.Length)
 					}
-					f.Troubles = slices.DeleteFunc(f.Troubles, func(x scenario.Trouble) bool { return x.At >= f.Length })
+					f.Troubles = slices.DeleteFunc(
+						f.Troubles,
+						func(x scenario.Trouble) bool { return x.At >= f.Length },
+					)
 					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, Connections: 400})
 					if len(w.fleet.Wrong) > 0 {
 						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.Wrong))
 					}
-					t.Logf("rights %v: whole day %.3f, %d calls refused of %d", on, w.Whole(), w.CallsFull, w.CallsFull+w.CallsOK)
+					t.Logf(
+						"rights %v: whole day %.3f, %d calls refused of %d",
+						on,
+						w.Whole(),
+						w.CallsFull,
+						w.CallsFull+w.CallsOK,
+					)
 				}
 			})
 		}
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -89,11 +89,26 @@
 		switch {
 		case m.out:
 		case now >= m.due || s.set.MaxAttempts > 0 && m.sends >= s.set.MaxAttempts:
-			acts = append(acts, policy.Action{Kind: []policy.ActionKind{policy.Fail, policy.Reject}[id%2], MessageID: id, Delay: time.Second})
+			acts = append(
+				acts,
+				policy.Action{
+					Kind:      []policy.ActionKind{policy.Fail, policy.Reject}[id%2],
+					MessageID: id,
+					Delay:     time.Second,
+				},
+			)
 			delete(s.held, id)
 		case len(open) > 0 && now >= m.waits:
 			n := (s.seed + uint64(id) + uint64(m.sends)) % uint64(len(open))
-			acts = append(acts, policy.Action{Kind: policy.Send, MessageID: id, Endpoint: open[n].ID, TimeoutAt: min(m.due, now+2*time.Second)})
+			acts = append(
+				acts,
+				policy.Action{
+					Kind:      policy.Send,
+					MessageID: id,
+					Endpoint:  open[n].ID,
+					TimeoutAt: min(m.due, now+2*time.Second),
+				},
+			)
 			m.out = true
 			m.sends++
 		default:
@@ -163,8 +178,14 @@
 				scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.Silent, scenario.Death, scenario.Cut,
 				scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill, scenario.LostAnswers, scenario.Lowered,
 			}
-			x := scenario.Trouble{Kind: kinds[rng.IntN(len(kinds))], At: sec(1, min(15, int(f.Length.D()/time.Second))), For: sec(1, 8), Share: 0.2 + 0.6*rng.Float64()}
-			if slices.ContainsFunc(f.Troubles, func(y scenario.Trouble) bool { return y.Replace }) && (x.Kind == scenario.Draining || x.Kind == scenario.Gone) {
+			x := scenario.Trouble{
+				Kind:  kinds[rng.IntN(len(kinds))],
+				At:    sec(1, min(15, int(f.Length.D()/time.Second))),
+				For:   sec(1, 8),
+				Share: 0.2 + 0.6*rng.Float64(),
+			}
+			if slices.ContainsFunc(f.Troubles, func(y scenario.Trouble) bool { return y.Replace }) &&
+				(x.Kind == scenario.Draining || x.Kind == scenario.Gone) {
 				continue // it might strike an endpoint that is still to come
 			}
 			switch x.Kind {
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -16,7 +16,16 @@
 	held := func(relays, destinations, whole int) float64 {
 		f := loaded(t, "quiet-day")
 		f.Relays, f.Troubles = relays, nil
-		f.Destinations = []scenario.Destination{{Kind: f.Destinations[0].Kind, Rate: f.Destinations[0].Rate, Weight: 1, Count: destinations, Endpoints: 2, Zones: f.Zones}}
+		f.Destinations = []scenario.Destination{
+			{
+				Kind:      f.Destinations[0].Kind,
+				Rate:      f.Destinations[0].Rate,
+				Weight:    1,
+				Count:     destinations,
+				Endpoints: 2,
+				Zones:     f.Zones,
+			},
+		}
 		heap := func() float64 {
 			runtime.GC()
 			var m runtime.MemStats
@@ -37,7 +46,23 @@
 		relays, whole int
 		free          bool
 	}{{200, 0, true}, {20, 1_000_000, false}} {
-		more := held(c.relays, most, c.whole) - held(c.relays, least, c.whole) - held(1, most, c.whole) + held(1, least, c.whole)
+		more := held(
+			c.relays,
+			most,
+			c.whole,
+		) - held(
+			c.relays,
+			least,
+			c.whole,
+		) - held(
+			1,
+			most,
+			c.whole,
+		) + held(
+			1,
+			least,
+			c.whole,
+		)
 		if perPair := more / float64(c.relays-1) / (most - least); (perPair < 1) != c.free {
 			t.Errorf("%d relays, lists told whole up to %d entries: %.2f bytes a pair", c.relays, c.whole, perPair)
 		}
@@ -57,7 +82,14 @@
 			t.Errorf("%s: served %.4f, told all %.4f; %d woken", name, b, a, working.Woken)
 		}
 	}
-	v := judged(t, played(t, loaded(t, "half-draining").Draw(1), Options{Record: true, WholeMost: 1, Wrong: MutantNamed("drains-ignored")}))
+	v := judged(
+		t,
+		played(
+			t,
+			loaded(t, "half-draining").Draw(1),
+			Options{Record: true, WholeMost: 1, Wrong: MutantNamed("drains-ignored")},
+		),
+	)
 	if v.Finding(checker.Drain).State != checker.Broken {
 		t.Errorf("drains ignored: %+v", v.Finding(checker.Drain))
 	}
@@ -83,7 +115,16 @@
 				return careless{x}
 			}
 		}
-		w := play(t, 1, 1, 20, 200, scenario.Kind{Pace: s / 10, Slots: 20, TellsWait: 1}, scenario.Destination{Count: 40}, opts)
+		w := play(
+			t,
+			1,
+			1,
+			20,
+			200,
+			scenario.Kind{Pace: s / 10, Slots: 20, TellsWait: 1},
+			scenario.Destination{Count: 40},
+			opts,
+		)
 		shut := w.Places(1)[0].Name
 		w.At(10*time.Second, func() { w.Outage(shut, scenario.OpShut, 0, 60*time.Second) })
 		w.At(70*time.Second, func() { w.Back(shut) })
@@ -106,19 +147,28 @@
 	const s = scenario.Duration(time.Second)
 	var told []policy.Endpoint
 	sent := map[string]int{}
-	w := play(t, 1, 1, 20, 200, scenario.Kind{Pace: s / 10, Slots: 20}, scenario.Destination{Count: 2, Endpoints: 3}, Options{
-		WholeMost: 1,
-		Stepped: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
-			for _, e := range events {
-				told = append(told, e.Endpoints...)
-			}
-			for _, a := range actions {
-				if a.Kind == policy.Send {
-					sent[a.Endpoint]++
+	w := play(
+		t,
+		1,
+		1,
+		20,
+		200,
+		scenario.Kind{Pace: s / 10, Slots: 20},
+		scenario.Destination{Count: 2, Endpoints: 3},
+		Options{
+			WholeMost: 1,
+			Stepped: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
+				for _, e := range events {
+					told = append(told, e.Endpoints...)
 				}
-			}
+				for _, a := range actions {
+					if a.Kind == policy.Send {
+						sent[a.Endpoint]++
+					}
+				}
+			},
 		},
-	})
+	)
 	hosts := w.Places(1)[0].hosts
 	w.At(3*time.Second, func() { w.Tell(hosts[0].ID, eventlog.StateDraining) })
 	w.At(3*time.Second, func() { w.Tell(hosts[1].ID, eventlog.StateGone) })
@@ -129,7 +179,9 @@
 	})
 	load(w, 10*time.Second, 12*time.Second, 50)
 	w.run(t, 13*time.Second)
-	if len(told) != 3 || told[0].ID != hosts[0].ID || told[0].InService || told[1].ID != hosts[2].ID || told[2].ID != "s-new" || !told[2].InService {
+	if len(told) != 3 || told[0].ID != hosts[0].ID || told[0].InService || told[1].ID != hosts[2].ID ||
+		told[2].ID != "s-new" ||
+		!told[2].InService {
 		t.Errorf("told %+v", told)
 	}
 	if len(sent) != 2 || sent[hosts[2].ID] == 0 || sent["s-new"] == 0 {
@@ -145,7 +197,9 @@
 func TestWhatWakesIsNotLate(t *testing.T) {
 	f := loaded(t, "quiet-day")
 	f.Relays, f.Troubles = 40, nil
-	f.Destinations = []scenario.Destination{{Kind: f.Destinations[0].Kind, Rate: 20, Weight: 1, Count: 500, Endpoints: 2, Zones: f.Zones}}
+	f.Destinations = []scenario.Destination{
+		{Kind: f.Destinations[0].Kind, Rate: 20, Weight: 1, Count: 500, Endpoints: 2, Zones: f.Zones},
+	}
 	whole, working := played(t, f.DrawWorld(1), Options{}), played(t, f.DrawWorld(1), Options{WholeMost: 1})
 	if a, b := whole.Late(50), working.Late(50); b > a+a/10 {
 		t.Errorf("half of the messages are delivered within %v, where modules are told all within %v", b, a)
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -177,7 +177,11 @@
 	w := &World{
 		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
 		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
-		net: engine.Stream(plan.Seed, "network", 0), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
+		net: engine.Stream(
+			plan.Seed,
+			"network",
+			0,
+		), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
 	}
 	if opts.EventsMost == 0 {
 		rate := 0.0
@@ -187,7 +191,9 @@
 		if plan.File.Fleet.Enabled { // each relay's links, whatever is handed in
 			rate += 100 * float64(plan.File.Relays) * w.length.Seconds() / 10
 		}
-		opts.EventsMost = 1e6 + uint64(2000*(rate+float64(len(plan.Arrivals))+w.length.Seconds()*float64(plan.File.Relays)))
+		opts.EventsMost = 1e6 + uint64(
+			2000*(rate+float64(len(plan.Arrivals))+w.length.Seconds()*float64(plan.File.Relays)),
+		)
 	}
 	w.Bound(opts.EventsMost)
 	w.header = plan.File.Header(plan.Seed)
@@ -243,8 +249,17 @@
 		})
 	}
 	for _, k := range f.Kinds {
-		set.DestinationKinds = append(set.DestinationKinds, policy.DestinationKind{LimitPerEndpoint: k.Separate, MaxBatch: k.PerCall})
-		set.WarmUpInitialCapacity, set.WarmUpDuration = min(set.WarmUpInitialCapacity, k.ColdFrom), max(set.WarmUpDuration, k.Warm.D())
+		set.DestinationKinds = append(
+			set.DestinationKinds,
+			policy.DestinationKind{LimitPerEndpoint: k.Separate, MaxBatch: k.PerCall},
+		)
+		set.WarmUpInitialCapacity, set.WarmUpDuration = min(
+			set.WarmUpInitialCapacity,
+			k.ColdFrom,
+		), max(
+			set.WarmUpDuration,
+			k.Warm.D(),
+		)
 	}
 	for _, c := range f.Customers {
 		set.Tenants = append(set.Tenants, policy.Tenant{Quota: c.Quota})
@@ -388,7 +403,12 @@
 		}
 	case scenario.OpFreeze, scenario.OpThaw:
 		w.relay(s.Target).freeze(s.Op == scenario.OpFreeze)
-	case scenario.OpLinkCut, scenario.OpLinkLose, scenario.OpLinkDelay, scenario.OpLinkRate, scenario.OpLinkMix, scenario.OpLinkSound:
+	case scenario.OpLinkCut,
+		scenario.OpLinkLose,
+		scenario.OpLinkDelay,
+		scenario.OpLinkRate,
+		scenario.OpLinkMix,
+		scenario.OpLinkSound:
 		w.fleet.setLink(s)
 	case scenario.OpHUP:
 		w.see(eventlog.Event{Kind: eventlog.Process, Relay: s.Target, State: eventlog.StateHUP})
@@ -553,7 +573,17 @@
 		return // all were replaced meanwhile
 	}
 	cold := p.Return(w.Now())
-	w.see(eventlog.Event{Kind: eventlog.Back, Place: name, Dest: p.Dest, Hosts: ids(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm})
+	w.see(
+		eventlog.Event{
+			Kind:  eventlog.Back,
+			Place: name,
+			Dest:  p.Dest,
+			Hosts: ids(hosts),
+			Rate:  cold.Rate,
+			Share: cold.Share,
+			For:   cold.Warm,
+		},
+	)
 	w.able(p, cold.Share, cold.Warm)
 	if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 		for _, h := range hosts { // its processes have started anew
--- a/internal/simulation/engine/des_test.go
+++ b/internal/simulation/engine/des_test.go
@@ -59,7 +59,8 @@
 }
 
 func TestStreams(t *testing.T) {
-	if Stream(1, "a", 0).Uint64() != Stream(1, "a", 0).Uint64() || Stream(1, "a", 0).Uint64() == Stream(1, "a", 1).Uint64() ||
+	if Stream(1, "a", 0).Uint64() != Stream(1, "a", 0).Uint64() ||
+		Stream(1, "a", 0).Uint64() == Stream(1, "a", 1).Uint64() ||
 		Stream(1, "a", 0).Uint64() == Stream(2, "a", 0).Uint64() {
 		t.Error("a stream is not its component's")
 	}
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -32,8 +32,19 @@
 	if d.Seen() {
 		verdict = fmt.Sprintf("%+.4f", d.Mean)
 	}
-	return fmt.Sprintf("%-13s %.4f  %.4f  %+.4f  [%+.4f, %+.4f] of %d pairs, up in %d, down in %d: %s", d.Measure, d.A, d.B, d.Mean, d.Low, d.High,
-		d.Pairs, d.Up, d.Down, verdict)
+	return fmt.Sprintf(
+		"%-13s %.4f  %.4f  %+.4f  [%+.4f, %+.4f] of %d pairs, up in %d, down in %d: %s",
+		d.Measure,
+		d.A,
+		d.B,
+		d.Mean,
+		d.Low,
+		d.High,
+		d.Pairs,
+		d.Up,
+		d.Down,
+		verdict,
+	)
 }
 
 // Confidence is that of the intervals, unless another is asked for.
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -133,7 +133,10 @@
 
 // Two settings on equal seeds: one that matters is seen, and one that is the same is not.
 func TestComparing(t *testing.T) {
-	p := parsed(t, "name = \"x\"\nscenario = \"dinner-rush\"\nseeds = 6\n[[factor]]\npath = \"settings.slots\"\nvalues = [2, 40]\n[[factor]]\npath = \"module.senders\"\nvalues = [2]")
+	p := parsed(
+		t,
+		"name = \"x\"\nscenario = \"dinner-rush\"\nseeds = 6\n[[factor]]\npath = \"settings.slots\"\nvalues = [2, 40]\n[[factor]]\npath = \"module.senders\"\nvalues = [2]",
+	)
 	var out bytes.Buffer
 	if _, err := p.Do(t.Context(), &out, "r", nil, 0, nil); err != nil {
 		t.Fatal(err)
@@ -162,7 +165,8 @@
 		t.Errorf("%v", d)
 	}
 	// Student's t of 4 values by the table: 3.182 standard errors.
-	if mean, low, high := Interval([]float64{1, 2, 3, 4}, 0.95); mean != 2.5 || math.Abs(high-low-2*3.182446*1.2909944/2) > 1e-5 {
+	if mean, low, high := Interval([]float64{1, 2, 3, 4}, 0.95); mean != 2.5 ||
+		math.Abs(high-low-2*3.182446*1.2909944/2) > 1e-5 {
 		t.Errorf("%v, %v to %v", mean, low, high)
 	}
 }
@@ -180,7 +184,8 @@
 		t.Fatalf("%+v, %v", p.Rules, err)
 	}
 	h.Workers = 1
-	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.File.Troubles) != len(p.File.Troubles) || q.Service != p.Service {
+	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.File.Troubles) != len(p.File.Troubles) ||
+		q.Service != p.Service {
 		t.Errorf("one worker found another: %v", err)
 	}
 	data, err := p.File.Encode()
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -104,8 +104,16 @@
 			continue // scenarios of the others
 		}
 		p := loadPlan(t, path)
-		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n", filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(p.Runs()),
-			p.Runs()[len(p.Runs())-1].Key())
+		fmt.Fprintf(
+			&b,
+			"%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
+			filepath.Base(path),
+			p.Name,
+			p.Scenario,
+			p.Hash(),
+			len(p.Runs()),
+			p.Runs()[len(p.Runs())-1].Key(),
+		)
 	}
 	golden.Compare(t, *update, "documents.txt", b.String())
 }
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/hunt.go
@@ -234,7 +234,11 @@
 		return scenario.Duration((least + time.Duration(rng.Int64N(int64(most-least)))).Round(100 * time.Millisecond))
 	}
 	for range 1 + rng.IntN(troublesMost) {
-		t := scenario.Trouble{Kind: struck[rng.IntN(len(struck))], At: ms(time.Second, f.Length.D()*7/10), For: ms(time.Second, 12*time.Second)}
+		t := scenario.Trouble{
+			Kind: struck[rng.IntN(len(struck))],
+			At:   ms(time.Second, f.Length.D()*7/10),
+			For:  ms(time.Second, 12*time.Second),
+		}
 		switch t.Kind {
 		case scenario.Draining, scenario.Gone:
 			t.Share, t.Replace, t.Batch = 0.1+0.6*rng.Float64(), rng.IntN(4) > 0, 1+rng.IntN(3)
--- a/internal/simulation/experiment/page.go
+++ b/internal/simulation/experiment/page.go
@@ -12,13 +12,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
+var page = template.Must(
+	template.New("page").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body { font: 14px sans-serif; max-width: 1000px; margin: 1em auto; color: #222 } table { border-collapse: collapse } td, th { padding: 2px 8px; text-align: right; border-bottom: 1px solid #e4e4e4 }
 td:first-child, th:first-child { text-align: left } {{.Style}}</style>
 <h1>{{.Name}}</h1><p>{{.Runs}} runs, plan {{.Plan}}, decisions {{.Revision}}. Bands and brackets are {{.Confidence}} intervals of the mean over the seeds.</p>
 {{range .Charts}}{{.}}{{end}}
 <table><tr><th>cell{{range .Heads}}<th>{{.}}{{end}}</tr>{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}</tr>{{end}}</table></html>
-`))
+`),
+)
 
 // Page writes one page with plots of results: each measure over the first factor that is a number, a line for each of
 // the others' values, and how late messages were.
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -191,7 +191,10 @@
 		for _, c := range cells {
 			for _, v := range f.Values {
 				next = append(next, Run{
-					Cell: append(slices.Clone(c.Cell), Value{f.Path, text(v)}), set: append(slices.Clone(c.set), assignment{f.Path, v, p.lines[fmt.Sprintf("factor[%d].values", i+1)]}),
+					Cell: append(
+						slices.Clone(c.Cell),
+						Value{f.Path, text(v)},
+					), set: append(slices.Clone(c.set), assignment{f.Path, v, p.lines[fmt.Sprintf("factor[%d].values", i+1)]}),
 				})
 			}
 		}
@@ -312,7 +315,9 @@
 			err = fmt.Errorf("no such mutant")
 		}
 	default:
-		err = fmt.Errorf("the emulator has no such setting: latency, zone_latency, idle_resets, connections, beyond or mutant")
+		err = fmt.Errorf(
+			"the emulator has no such setting: latency, zone_latency, idle_resets, connections, beyond or mutant",
+		)
 	}
 	return err
 }
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -94,10 +94,19 @@
 	return map[string]float64{
 		"service": round(m.Whole()), "worst_10s": round(m.Worst10s()), "in_full": share(m.InFull, m.Offered),
 		"late_p50": m.Late(50).Seconds(), "late_p99": m.Late(99).Seconds(),
-		"refused": share(m.Refused, m.Offered), "deferred": share(m.Deferred, m.Offered), "failed": share(m.Failed, m.Offered),
+		"refused": share(
+			m.Refused,
+			m.Offered,
+		), "deferred": share(m.Deferred, m.Offered), "failed": share(m.Failed, m.Offered),
 		"undelivered": share(m.Undelivered(), m.Offered), "calls": share(m.Calls, m.Offered),
-		"calls_full": share(m.CallsFull, m.Calls), "calls_failed": share(m.CallsFailed, m.Calls), "fell": float64(m.Fell),
-		"connections": share(m.Opened+m.NotOpened, m.Offered), "connections_full": share(m.NotOpened, m.Opened+m.NotOpened),
+		"calls_full": share(
+			m.CallsFull,
+			m.Calls,
+		), "calls_failed": share(m.CallsFailed, m.Calls), "fell": float64(m.Fell),
+		"connections": share(
+			m.Opened+m.NotOpened,
+			m.Offered,
+		), "connections_full": share(m.NotOpened, m.Opened+m.NotOpened),
 	}
 }
 
@@ -109,7 +118,14 @@
 // Do plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes
 // each result as it comes, a line at a time: what is done is kept whatever ends it. It ends early, with ctx's error,
 // once the runs that are under way are done.
-func (p Plan) Do(ctx context.Context, out io.Writer, revision string, had []Result, workers int, progress Progress) (n int, err error) {
+func (p Plan) Do(
+	ctx context.Context,
+	out io.Writer,
+	revision string,
+	had []Result,
+	workers int,
+	progress Progress,
+) (n int, err error) {
 	done := map[string]bool{}
 	hash := p.Hash()
 	for _, r := range had {
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -332,7 +332,13 @@
 
 // level plays every move at every state of a frontier. The result does not hang on the workers: states are in the order
 // of their paths, and of several breaks the first by that order is taken.
-func (x *explorer) level(ctx context.Context, frontier []*node, workers int, last bool, room int) (f found, paths int, broken *node) {
+func (x *explorer) level(
+	ctx context.Context,
+	frontier []*node,
+	workers int,
+	last bool,
+	room int,
+) (f found, paths int, broken *node) {
 	type part struct {
 		nodes  []*node
 		moves  []Move
@@ -557,7 +563,10 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("explore: %s: %w", w.Name, err)
 		}
-		root.relays = append(root.relays, relayState{wait: map[string]time.Duration{}, told: map[string]toldState{}, epoch: -moduleStart})
+		root.relays = append(
+			root.relays,
+			relayState{wait: map[string]time.Duration{}, told: map[string]toldState{}, epoch: -moduleStart},
+		)
 		r := &root.relays[i]
 		x.decide(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Routes}})
 		r.module = s.Snapshot(nil)
@@ -634,7 +643,8 @@
 
 // equal tells whether nothing has happened to two relays.
 func equal(a, b *relayState) bool {
-	return len(a.msgs)+len(b.msgs)+len(a.told)+len(b.told)+len(a.wait)+len(b.wait) == 0 && a.seen+b.seen == 0 && a.life == b.life
+	return len(a.msgs)+len(b.msgs)+len(a.told)+len(b.told)+len(a.wait)+len(b.wait) == 0 && a.seen+b.seen == 0 &&
+		a.life == b.life
 }
 
 // play is the state after a move.
@@ -651,7 +661,15 @@
 		r := &n.relays[m.Relay]
 		msg := w.Messages[n.given]
 		n.given++
-		r.msgs = append(r.msgs, msgState{id: uint32(n.given), n: n.given - 1, at: n.now, deadline: n.now + w.Settings.Classes[msg.Class].Deadline})
+		r.msgs = append(
+			r.msgs,
+			msgState{
+				id:       uint32(n.given),
+				n:        n.given - 1,
+				at:       n.now,
+				deadline: n.now + w.Settings.Classes[msg.Class].Deadline,
+			},
+		)
 		x.step(n, m.Relay, x.taken(n, &r.msgs[len(r.msgs)-1]))
 	case End:
 		out := Outcome{Outcome: policy.Error}
@@ -693,7 +711,15 @@
 
 func (x *explorer) taken(n *node, m *msgState) policy.Event {
 	msg := x.w.Messages[m.n]
-	return policy.Event{Kind: policy.MessageAccepted, MessageID: m.id, Key: msg.Key, Class: msg.Class, Tenant: -1, Destination: x.w.Routes[0].Destination, TimeLeft: m.deadline - n.now}
+	return policy.Event{
+		Kind:        policy.MessageAccepted,
+		MessageID:   m.id,
+		Key:         msg.Key,
+		Class:       msg.Class,
+		Tenant:      -1,
+		Destination: x.w.Routes[0].Destination,
+		TimeLeft:    m.deadline - n.now,
+	}
 }
 
 // pass lets time pass until something is due, or by a quantum, and has that happen.
@@ -752,7 +778,14 @@
 		}
 		for k := range r.msgs {
 			if m := &r.msgs[k]; !m.told && n.now > m.deadline+lostAfter {
-				n.breaks(checker.Lost, "message %d, taken on by relay %d at %v, has no end %v after its time", m.id, i, m.at, n.now-m.deadline)
+				n.breaks(
+					checker.Lost,
+					"message %d, taken on by relay %d at %v, has no end %v after its time",
+					m.id,
+					i,
+					m.at,
+					n.now-m.deadline,
+				)
 			}
 		}
 	}
@@ -850,7 +883,8 @@
 	for k := range r.msgs {
 		m := &r.msgs[k]
 		m.freed = true
-		if x.wrong != nil && x.wrong.Loses != nil && x.wrong.Loses(m.ended, m.ran, m.id) || x.wrong != nil && x.wrong.Lag > 0 && n.now-m.at < x.wrong.Lag {
+		if x.wrong != nil && x.wrong.Loses != nil && x.wrong.Loses(m.ended, m.ran, m.id) ||
+			x.wrong != nil && x.wrong.Lag > 0 && n.now-m.at < x.wrong.Lag {
 			m.lost = true
 			continue // it is owed all the same
 		}
@@ -858,7 +892,12 @@
 			continue // its notice is sent once more
 		}
 		e := x.taken(n, m)
-		e.Recovered = &policy.RecoveredMessage{Attempts: m.sends, MayHaveRun: m.ran, SinceFirstRun: n.now - m.ranAt, FirstRunZone: m.ranZone}
+		e.Recovered = &policy.RecoveredMessage{
+			Attempts:      m.sends,
+			MayHaveRun:    m.ran,
+			SinceFirstRun: n.now - m.ranAt,
+			FirstRunZone:  m.ranZone,
+		}
 		if !m.ran {
 			e.Recovered.SinceFirstRun = 0
 		} else {
@@ -905,8 +944,13 @@
 		return
 	}
 	c := x.w.Settings.Classes[x.w.Messages[m.n].Class]
-	if a.Kind == policy.Reject && m.ran && (c.Effect == policy.NonIdempotent || c.Effect == policy.IdempotentByKey && !c.DedupAllZones) {
-		n.breaks(checker.Twice, "message %d is refused, which says that it may come again, though a call may have run", m.id)
+	if a.Kind == policy.Reject && m.ran &&
+		(c.Effect == policy.NonIdempotent || c.Effect == policy.IdempotentByKey && !c.DedupAllZones) {
+		n.breaks(
+			checker.Twice,
+			"message %d is refused, which says that it may come again, though a call may have run",
+			m.id,
+		)
 	}
 	m.ended = true
 }
@@ -922,7 +966,13 @@
 	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
 	route := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
 	if k < 0 || route < 0 {
-		n.breaks(checker.Lost, "relay %d sends message %d to %q, of which one is not there", relay, a.MessageID, a.Endpoint)
+		n.breaks(
+			checker.Lost,
+			"relay %d sends message %d to %q, of which one is not there",
+			relay,
+			a.MessageID,
+			a.Endpoint,
+		)
 		return
 	}
 	m, l := &r.msgs[k], w.Routes[route]
@@ -943,7 +993,13 @@
 		}
 	}
 	if t, ok := r.told[a.Endpoint]; ok && n.now > t.at+drainGrace {
-		n.breaks(checker.Drain, "relay %d sends to %s %v after it was told that it is no longer in service", relay, a.Endpoint, n.now-t.at)
+		n.breaks(
+			checker.Drain,
+			"relay %d sends to %s %v after it was told that it is no longer in service",
+			relay,
+			a.Endpoint,
+			n.now-t.at,
+		)
 	}
 	if until := r.wait[x.gate(l)]; n.now < until-time.Millisecond {
 		n.breaks(checker.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
@@ -956,7 +1012,10 @@
 	if !m.ran {
 		m.ran, m.ranAt, m.ranZone = true, n.now, l.Zone
 	}
-	r.calls = append(r.calls, callState{id: m.id, n: m.sends - 1, route: route, sent: n.now, cut: a.TimeoutAt + r.epoch})
+	r.calls = append(
+		r.calls,
+		callState{id: m.id, n: m.sends - 1, route: route, sent: n.now, cut: a.TimeoutAt + r.epoch},
+	)
 	if n.phase == 2 {
 		x.arrived(n, relay, l)
 	}
@@ -967,7 +1026,8 @@
 	key := x.w.Messages[m.n].Key
 	for k := range r.msgs {
 		e := &r.msgs[k]
-		if e.id >= m.id || x.w.Messages[e.n].Key != key || e.freed || x.w.Messages[e.n].Class != x.w.Messages[m.n].Class {
+		if e.id >= m.id || x.w.Messages[e.n].Key != key || e.freed ||
+			x.w.Messages[e.n].Class != x.w.Messages[m.n].Class {
 			continue
 		}
 		switch {
@@ -976,7 +1036,13 @@
 		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.id == e.id }):
 			n.breaks(checker.Order, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
 		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderingPause:
-			n.breaks(checker.Order, "message %d is sent %v after a call of %d that may still run", m.id, n.now-e.doubtAt, e.id)
+			n.breaks(
+				checker.Order,
+				"message %d is sent %v after a call of %d that may still run",
+				m.id,
+				n.now-e.doubtAt,
+				e.id,
+			)
 		}
 	}
 }
@@ -987,7 +1053,14 @@
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
-	able := upstream.Cold{At: n.backAt, Rate: l.Weight, Share: set.WarmUpInitialCapacity, Warm: set.WarmUpDuration}.Able(n.now)
+	able := upstream.Cold{
+		At:    n.backAt,
+		Rate:  l.Weight,
+		Share: set.WarmUpInitialCapacity,
+		Warm:  set.WarmUpDuration,
+	}.Able(
+		n.now,
+	)
 	knew := 0
 	for _, a := range n.arrivals {
 		if n.relays[a.relay].seen >= max(1, x.w.Knows) {
@@ -995,8 +1068,16 @@
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) && float64(knew) >= checker.SeenShare*sum {
-		n.breaks(checker.Return, "%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
-			sum, set.OverloadWindow, n.now-n.backAt, math.Round(able*100)/100, knew)
+	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) &&
+		float64(knew) >= checker.SeenShare*sum {
+		n.breaks(
+			checker.Return,
+			"%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
+			sum,
+			set.OverloadWindow,
+			n.now-n.backAt,
+			math.Round(able*100)/100,
+			knew,
+		)
 	}
 }
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -110,7 +110,11 @@
 }
 
 func FuzzParsePath(f *testing.F) {
-	f.Add([]byte(`{"world":"repeats","moves":[{"kind":"hand in"},{"kind":"killed"},{"kind":"time passes"},{"kind":"a call ends","choice":9,"n":-1}]}`))
+	f.Add(
+		[]byte(
+			`{"world":"repeats","moves":[{"kind":"hand in"},{"kind":"killed"},{"kind":"time passes"},{"kind":"a call ends","choice":9,"n":-1}]}`,
+		),
+	)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if p, err := ParsePath(data); err == nil {
 			p.Replay()
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -29,7 +29,18 @@
 }
 
 // TinyFleet is the world that comes with it.
-var TinyFleet = FleetWorld{Members: 3, Tells: 2, Retells: 1, Losses: 1, Doubles: 1, Restarts: 1, Stops: 1, Passes: 1, Pass: 2 * time.Second, Depth: 6}
+var TinyFleet = FleetWorld{
+	Members:  3,
+	Tells:    2,
+	Retells:  1,
+	Losses:   1,
+	Doubles:  1,
+	Restarts: 1,
+	Stops:    1,
+	Passes:   1,
+	Pass:     2 * time.Second,
+	Depth:    6,
+}
 
 // FleetMove is one thing that happens.
 type FleetMove struct {
@@ -139,9 +150,23 @@
 	*m = tinyMember{
 		name: m.name, ledger: loadreport.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
 		meant: map[string]tinyVersion{}, heardAs: map[string]time.Duration{},
-		seam: agent.New(agent.Settings{Self: m.name, Incarnation: life, Members: all, DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}}}),
+		seam: agent.New(
+			agent.Settings{
+				Self:             m.name,
+				Incarnation:      life,
+				Members:          all,
+				DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}},
+			},
+		),
 	}
-	m.seam.Step(t.now, agent.Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Weight: 10, InService: true}}}}})
+	m.seam.Step(
+		t.now,
+		agent.Input{
+			Events: []policy.Event{
+				{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{{ID: "r", Weight: 10, InService: true}}},
+			},
+		},
+	)
 	m.ledger.SetLimits(loadreport.Limits{0: {"": 10}})
 }
 
@@ -329,7 +354,13 @@
 			case !ok:
 				t.broken = fmt.Sprintf("%s holds version %d of %s, which it never told", m.name, v.sequence, p.Name)
 			case seen && (v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence):
-				t.broken = fmt.Sprintf("%s goes back from version %d to %d of %s", m.name, was.sequence, v.sequence, p.Name)
+				t.broken = fmt.Sprintf(
+					"%s goes back from version %d to %d of %s",
+					m.name,
+					was.sequence,
+					v.sequence,
+					p.Name,
+				)
 			case p.Age < t.now-at:
 				t.broken = fmt.Sprintf("%s holds what %s told %v ago to be %v old", m.name, p.Name, t.now-at, p.Age)
 			}
@@ -374,8 +405,16 @@
 	for _, m := range t.members {
 		for _, o := range t.members {
 			p, ok := o.ledger.Get(t.now, m.name, 0)
-			if t.broken == "" && !t.wrong.LastWins && (!ok || p.Incarnation != m.ledger.Incarnation() || p.Sequence != m.sequence) {
-				t.broken = fmt.Sprintf("after all was exchanged, version %d of %s in life %v is held as %d in %v", m.sequence, m.name, m.ledger.Incarnation(), p.Sequence, p.Incarnation)
+			if t.broken == "" && !t.wrong.LastWins &&
+				(!ok || p.Incarnation != m.ledger.Incarnation() || p.Sequence != m.sequence) {
+				t.broken = fmt.Sprintf(
+					"after all was exchanged, version %d of %s in life %v is held as %d in %v",
+					m.sequence,
+					m.name,
+					m.ledger.Incarnation(),
+					p.Sequence,
+					p.Incarnation,
+				)
 			}
 		}
 	}
@@ -386,9 +425,24 @@
 	var b strings.Builder
 	fmt.Fprint(&b, t.now, t.left)
 	for _, m := range t.members {
-		fmt.Fprint(&b, "|", m.ledger.Incarnation(), m.folder, m.boots, m.sequence, m.tells, m.stopped, m.inbox, m.arrived, m.raised)
+		fmt.Fprint(
+			&b,
+			"|",
+			m.ledger.Incarnation(),
+			m.folder,
+			m.boots,
+			m.sequence,
+			m.tells,
+			m.stopped,
+			m.inbox,
+			m.arrived,
+			m.raised,
+		)
 		b.Write(m.seam.Snapshot(nil))
-		m.ledger.Each(t.now, func(p loadreport.Report) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) })
+		m.ledger.Each(
+			t.now,
+			func(p loadreport.Report) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) },
+		)
 	}
 	fmt.Fprint(&b, t.flying)
 	return b.String()
--- a/internal/simulation/modelcheck/fleet_test.go
+++ b/internal/simulation/modelcheck/fleet_test.go
@@ -19,7 +19,8 @@
 	t.Logf("%d states, %d moves", f.States, f.Paths)
 	twin := w
 	twin.Twin, twin.Depth = true, 3
-	if f, err := SearchFleet(context.Background(), twin, emulate.FleetWrong{}); err != nil || f.Break != "" || f.States < 300 {
+	if f, err := SearchFleet(context.Background(), twin, emulate.FleetWrong{}); err != nil || f.Break != "" ||
+		f.States < 300 {
 		t.Errorf("two processes under one name: %d states, %v: %s, by %v", f.States, err, f.Break, f.Path)
 	}
 	w.Depth, w.Restarts, w.Stops, w.Losses, w.Doubles = 5, 0, 0, 0, 0
--- a/internal/simulation/modelcheck/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -60,7 +60,11 @@
 	}
 	for i, m := range p.Moves {
 		if !slices.Contains(x.moves(n), m) {
-			return nil, fmt.Errorf("path: move %d (%s) cannot be made there: the decisions are not those that it was kept with", i+1, m.Kind)
+			return nil, fmt.Errorf(
+				"path: move %d (%s) cannot be made there: the decisions are not those that it was kept with",
+				i+1,
+				m.Kind,
+			)
 		}
 		next := x.play(n, m)
 		if told != nil {
@@ -100,7 +104,13 @@
 			if m.Choice >= 0 {
 				o = w.Outcomes[m.Choice]
 			}
-			text = fmt.Sprintf("relay %d: the call of message %d to %s ends: %s", m.Relay, c.id, w.Routes[c.route].ID, outcomeNames[o.Outcome])
+			text = fmt.Sprintf(
+				"relay %d: the call of message %d to %s ends: %s",
+				m.Relay,
+				c.id,
+				w.Routes[c.route].ID,
+				outcomeNames[o.Outcome],
+			)
 			if o.Wait > 0 {
 				text += fmt.Sprintf(", told to wait %v", o.Wait)
 			}
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -13,12 +13,27 @@
 	return policy.Settings{
 		Classes: []policy.Class{
 			{Effect: policy.NonIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
-			{Effect: policy.IdempotentByKey, DedupWindow: 2 * time.Second, LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
-			{Effect: policy.Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 6 * time.Second, Weight: 1},
+			{
+				Effect:           policy.IdempotentByKey,
+				DedupWindow:      2 * time.Second,
+				LatencyObjective: time.Second,
+				Deadline:         4 * time.Second,
+				Weight:           1,
+			},
+			{
+				Effect:           policy.Idempotent,
+				Ordered:          true,
+				LatencyObjective: time.Second,
+				Deadline:         6 * time.Second,
+				Weight:           1,
+			},
 			{Effect: policy.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1},
 			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 20 * time.Second, Weight: 1},
 		},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}, {MaxBatch: 1, LimitPerEndpoint: true}}, MaxInFlightCalls: 8, MaxPendingMessages: 100, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second,
+		DestinationKinds: []policy.DestinationKind{
+			{MaxBatch: 1},
+			{MaxBatch: 1, LimitPerEndpoint: true},
+		}, MaxInFlightCalls: 8, MaxPendingMessages: 100, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second,
 		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second, OrderingPause: time.Second,
 	}
 }
@@ -34,7 +49,10 @@
 
 func routes(weight float64, zones ...int) (all []policy.Endpoint) {
 	for i, z := range zones {
-		all = append(all, policy.Endpoint{ID: string(rune('a' + i)), Destination: 1, Zone: z, Weight: weight, InService: true})
+		all = append(
+			all,
+			policy.Endpoint{ID: string(rune('a' + i)), Destination: 1, Zone: z, Weight: weight, InService: true},
+		)
 	}
 	return all
 }
@@ -54,27 +72,47 @@
 		{
 			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
-			Outcomes: outcomes(policy.OK, policy.Reset, policy.ConnectFailed, policy.Error), Faults: 2, Restarts: 1, Quantum: quantum, Depth: 11,
+			Outcomes: outcomes(
+				policy.OK,
+				policy.Reset,
+				policy.ConnectFailed,
+				policy.Error,
+			), Faults: 2, Restarts: 1, Quantum: quantum, Depth: 11,
 		},
 		{
 			Name: "window", Rules: []checker.Rule{checker.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
-			Outcomes: outcomes(policy.Reset, policy.Overloaded, policy.ConnectFailed), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
+			Outcomes: outcomes(
+				policy.Reset,
+				policy.Overloaded,
+				policy.ConnectFailed,
+			), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
 		},
 		{
 			Name: "order", Rules: []checker.Rule{checker.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
-			Outcomes: outcomes(policy.OK, policy.Reset, policy.Error), Faults: 3, Quantum: quantum, Drains: []string{"a"}, Depth: 10,
+			Outcomes: outcomes(
+				policy.OK,
+				policy.Reset,
+				policy.Error,
+			), Faults: 3, Quantum: quantum, Drains: []string{"a"}, Depth: 10,
 		},
 		{
 			Name: "waits", Rules: []checker.Rule{checker.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
-			Outcomes: []Outcome{{Outcome: policy.OK}, told, {Outcome: policy.Overloaded}}, Faults: 2, Quantum: quantum, Depth: 10,
+			Outcomes: []Outcome{
+				{Outcome: policy.OK},
+				told,
+				{Outcome: policy.Overloaded},
+			}, Faults: 2, Quantum: quantum, Depth: 10,
 		},
 		{
 			Name: "drains", Rules: []checker.Rule{checker.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(policy.OK, policy.Overloaded), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
+			Outcomes: outcomes(
+				policy.OK,
+				policy.Overloaded,
+			), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
 		},
 		{
 			Name: "return", Rules: []checker.Rule{checker.Return}, About: "one relay, a destination that fails and comes back cold",
@@ -89,17 +127,26 @@
 		{
 			Name: "return-many", Rules: []checker.Rule{checker.Return}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
 			Relays: 2, Settings: settings(), Routes: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
-			Outcomes: outcomes(policy.OK), Quantum: 200 * time.Millisecond, Outage: true, Lasts: 3 * time.Second, Knows: 2, Depth: 4, Walks: 1000, WalkDepth: 200,
+			Outcomes: outcomes(
+				policy.OK,
+			), Quantum: 200 * time.Millisecond, Outage: true, Lasts: 3 * time.Second, Knows: 2, Depth: 4, Walks: 1000, WalkDepth: 200,
 		},
 		{
 			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, About: "two relays that are killed at any moment, with a message given up on",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(policy.OK, policy.Reset, policy.Overloaded), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
+			Outcomes: outcomes(
+				policy.OK,
+				policy.Reset,
+				policy.Overloaded,
+			), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
 		},
 		{
 			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
 			Relays: 2, Settings: settings(), Routes: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
-			Outcomes: append(outcomes(policy.OK, policy.Reset), told), Faults: 2, Restarts: 1, Drains: []string{"a"}, Quantum: quantum, Depth: 7,
+			Outcomes: append(
+				outcomes(policy.OK, policy.Reset),
+				told,
+			), Faults: 2, Restarts: 1, Drains: []string{"a"}, Quantum: quantum, Depth: 7,
 		},
 	}
 }
--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -12,7 +12,11 @@
 // entry is an endpoint as a platform names them: two to a destination.
 func entry(i, generation int) Endpoint {
 	return Endpoint{policy.Endpoint{
-		ID: fmt.Sprintf("ep-%06d-%02d", i, generation), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 3, Weight: float64(5 + i%40),
+		ID: fmt.Sprintf(
+			"ep-%06d-%02d",
+			i,
+			generation,
+		), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 3, Weight: float64(5 + i%40),
 		InService: true,
 	}, fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}
 }
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -265,7 +265,8 @@
 	b = binary.AppendUvarint(b, bits.ReverseBytes64(math.Float64bits(e.Weight))) // short for round numbers
 	if number4(e.Addr) {
 		var room [21]byte
-		if a, err := netip.ParseAddrPort(e.Addr); err == nil && a.Addr().Is4() && string(a.AppendTo(room[:0])) == e.Addr {
+		if a, err := netip.ParseAddrPort(e.Addr); err == nil && a.Addr().Is4() &&
+			string(a.AppendTo(room[:0])) == e.Addr {
 			b[at] |= asNumber
 			four := a.Addr().As4()
 			return binary.BigEndian.AppendUint16(append(b, four[:]...), a.Port())
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -86,7 +86,11 @@
 
 func drawEndpoint(t *rapid.T, ids int) Endpoint {
 	return Endpoint{policy.Endpoint{
-		ID:          rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).Draw(t, "name") + fmt.Sprint(rapid.IntRange(0, ids).Draw(t, "id")),
+		ID: rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).
+			Draw(t, "name") +
+			fmt.Sprint(
+				rapid.IntRange(0, ids).Draw(t, "id"),
+			),
 		Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
 		Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
 		Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
@@ -185,7 +189,8 @@
 		t.Fatalf("%d destinations, the model has %d", c.DestinationCount(), filled)
 	}
 	remembered := slices.Collect(c.RememberedDestinations())
-	if len(remembered) != without || slices.ContainsFunc(remembered, func(d int) bool { return !m.listed[d] || len(m.of(d)) > 0 }) {
+	if len(remembered) != without ||
+		slices.ContainsFunc(remembered, func(d int) bool { return !m.listed[d] || len(m.of(d)) > 0 }) {
 		t.Fatalf("remembers %v, the model has named %v", remembered, slices.Collect(maps.Keys(m.listed)))
 	}
 	for _, e := range m.all {
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -106,8 +106,18 @@
 		r.texts, r.live = r.texts+cap(k.data), r.live+k.live
 	}
 	r.destinations = perChunk * len(c.places.chunks) * int(unsafe.Sizeof(place{}))
-	r.rest = perChunk*len(c.slots.chunks)*int(unsafe.Sizeof(slot{})) + perChunk*4*(len(c.ids.heads.chunks)+len(c.numbers.heads.chunks)) +
-		cap(c.text.chunks)*int(unsafe.Sizeof(chunk{})) + cap(c.text.free)*8
+	r.rest = perChunk*len(
+		c.slots.chunks,
+	)*int(
+		unsafe.Sizeof(slot{}),
+	) + perChunk*4*(len(c.ids.heads.chunks)+len(c.numbers.heads.chunks)) +
+		cap(
+			c.text.chunks,
+		)*int(
+			unsafe.Sizeof(chunk{}),
+		) + cap(
+		c.text.free,
+	)*8
 	return r
 }
 
@@ -126,7 +136,8 @@
 			_, n := skipText(c.text.from(c.slots.at(uint32(i + 1)).text))
 			live += n
 		}
-		if r.live != live || r.texts > 2*r.live+4*chunkSize || r.destinations > early.destinations || r.rest > early.rest {
+		if r.live != live || r.texts > 2*r.live+4*chunkSize || r.destinations > early.destinations ||
+			r.rest > early.rest {
 			t.Errorf("after %s: %+v bytes, %d of texts in use; after five lists %+v", after, r, live, early)
 		}
 	}
@@ -205,7 +216,8 @@
 			t.Errorf("destination %d: named %t", dest, c.HasDestination(dest))
 		}
 	}
-	if got := slices.Collect(c.RememberedDestinations()); len(got) != MaxEagerEndpoints || got[0] != 3 || got[MaxEagerEndpoints-1] != MaxEagerEndpoints+2 {
+	if got := slices.Collect(c.RememberedDestinations()); len(got) != MaxEagerEndpoints || got[0] != 3 ||
+		got[MaxEagerEndpoints-1] != MaxEagerEndpoints+2 {
 		t.Errorf("%d remembered, from %d to %d", len(got), got[0], got[len(got)-1])
 	}
 	other := New()
--- a/internal/state/catalog/working.go
+++ b/internal/state/catalog/working.go
@@ -24,7 +24,12 @@
 
 // NewWorkingSet returns an empty one, whose destinations may be put to rest when they were not used for rest.
 func NewWorkingSet(rest time.Duration) *WorkingSet {
-	return &WorkingSet{rest: rest, byID: map[int]*list.Element{}, young: map[int]time.Duration{}, crowd: math.MinInt64 / 2}
+	return &WorkingSet{
+		rest:  rest,
+		byID:  map[int]*list.Element{},
+		young: map[int]time.Duration{},
+		crowd: math.MinInt64 / 2,
+	}
 }
 
 // Contains tells whether a destination is awake.
--- a/internal/state/catalog/young_test.go
+++ b/internal/state/catalog/young_test.go
@@ -21,7 +21,13 @@
 		soon := at + policy.MaxInitialSpread - 1
 		for _, d := range []int{0, added - 1} {
 			if w.Settled(d, soon) || !w.Settled(d, soon+1) {
-				t.Errorf("%d added: destination %d settled %v, a moment later %v", added, d, w.Settled(d, soon), w.Settled(d, soon+1))
+				t.Errorf(
+					"%d added: destination %d settled %v, a moment later %v",
+					added,
+					d,
+					w.Settled(d, soon),
+					w.Settled(d, soon+1),
+				)
 			}
 		}
 		if other := w.Settled(added+7, soon); other != (added <= MaxEagerEndpoints) {
--- a/internal/state/clock/axis.go
+++ b/internal/state/clock/axis.go
@@ -57,5 +57,11 @@
 		}
 		x.At = at // the wall clock was set
 	}
-	return x, Anchor{BootID: now.BootID, Uptime: now.Uptime, At: x.At, WallOffset: time.Duration(wall - x.At), Epoch: max(x.Epoch, a.Epoch)}
+	return x, Anchor{
+		BootID:     now.BootID,
+		Uptime:     now.Uptime,
+		At:         x.At,
+		WallOffset: time.Duration(wall - x.At),
+		Epoch:      max(x.Epoch, a.Epoch),
+	}
 }
--- a/internal/state/clock/axis_test.go
+++ b/internal/state/clock/axis_test.go
@@ -37,7 +37,9 @@
 			t.Errorf("%s: epochs %v, want %v", name, got, c.epochs)
 		}
 		// A third process goes on evenly from the second, whatever was set before it.
-		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.At-two.At != int64(time.Second) {
+		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.At-two.At != int64(
+			time.Second,
+		) {
 			t.Errorf("%s: a second later the axis is %v on", name, time.Duration(three.At-two.At))
 		}
 	}
--- a/internal/state/endpointhealth/golden_test.go
+++ b/internal/state/endpointhealth/golden_test.go
@@ -14,7 +14,11 @@
 // A process of another build reads and writes the same records.
 func TestGoldenRecords(t *testing.T) {
 	const name = "records.json"
-	records := []Record{*golden.Fill(&Record{}), {}, {Endpoint: "s-1", ObservedAt: time.Unix(1e9, 0).UTC(), WarmingUp: true}}
+	records := []Record{
+		*golden.Fill(&Record{}),
+		{},
+		{Endpoint: "s-1", ObservedAt: time.Unix(1e9, 0).UTC(), WarmingUp: true},
+	}
 	golden.Check(t, *update, name, Encode(records))
 	if got := Decode(golden.Read(t, name)); !reflect.DeepEqual(got, records) {
 		t.Errorf("read as %+v, want %+v", got, records)
--- a/internal/state/endpointhealth/standing.go
+++ b/internal/state/endpointhealth/standing.go
@@ -41,7 +41,13 @@
 // FromViews returns the records of a module's view at now, its own time, which is wall.
 func FromViews(views []policy.EndpointView, now time.Duration, wall time.Time) (recs []Record) {
 	record := func(v *policy.EndpointView) Record {
-		r := Record{Endpoint: v.ID, ObservedAt: wall, Ejected: v.Ejected, WarmingUp: v.WarmingUp, RecentlyRejected: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor}
+		r := Record{
+			Endpoint:         v.ID,
+			ObservedAt:       wall,
+			Ejected:          v.Ejected,
+			WarmingUp:        v.WarmingUp,
+			RecentlyRejected: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor,
+		}
 		if v.RetryAfterUntil > now {
 			r.RetryAfterUntil = wall.Add(v.RetryAfterUntil - now)
 		}
@@ -78,7 +84,8 @@
 		return true
 	}
 	return !slices.EqualFunc(was, is, func(a, b Record) bool {
-		return a.Endpoint == b.Endpoint && a.Ejected == b.Ejected && a.WarmingUp == b.WarmingUp && a.RecentlyRejected == b.RecentlyRejected &&
+		return a.Endpoint == b.Endpoint && a.Ejected == b.Ejected && a.WarmingUp == b.WarmingUp &&
+			a.RecentlyRejected == b.RecentlyRejected &&
 			(b.RetryAfterUntil.IsZero() || b.RetryAfterUntil.Sub(a.RetryAfterUntil).Abs() < slack)
 	})
 }
@@ -122,7 +129,10 @@
 		}
 		age := max(0, wall.Sub(r.ObservedAt)) // a clock that was set back makes nothing older
 		tell := func(o policy.Outcome, wait time.Duration) {
-			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: o, RetryAfter: wait})
+			evs = append(
+				evs,
+				policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: o, RetryAfter: wait},
+			)
 		}
 		failures := 0
 		switch {
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/standing_test.go
@@ -13,7 +13,9 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Classes:          []policy.Class{{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}},
+		Classes: []policy.Class{
+			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1},
+		},
 		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {MaxBatch: 1, LimitPerEndpoint: true}},
 		FleetSize:        2, MaxInFlightCalls: 20, WarmUpInitialCapacity: 0.2, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 	}
@@ -48,8 +50,12 @@
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
 			now, wall = now+d, wall.Add(d)
-			e := policy.Event{Kind: policy.HealthChecked, Endpoint: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "route")}
-			e.Outcome = rapid.SampledFrom([]policy.Outcome{policy.OK, policy.OK, policy.Error, policy.Timeout, policy.Overloaded, policy.Reset}).Draw(t, "outcome")
+			e := policy.Event{
+				Kind:     policy.HealthChecked,
+				Endpoint: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "route"),
+			}
+			e.Outcome = rapid.SampledFrom([]policy.Outcome{policy.OK, policy.OK, policy.Error, policy.Timeout, policy.Overloaded, policy.Reset}).
+				Draw(t, "outcome")
 			if e.Outcome == policy.Overloaded && rapid.Bool().Draw(t, "told") {
 				e.RetryAfter = time.Duration(rapid.IntRange(1, 4000).Draw(t, "wait")) * time.Millisecond
 			}
@@ -73,7 +79,10 @@
 				t.Fatalf("%s: a wait of %v more is %v", was.ID, left, is.RetryAfterUntil-at)
 			}
 			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Endpoint == was.ID })
-			sibling := slices.ContainsFunc(recs, func(r Record) bool { return viewOf(fresh, r.Endpoint).Destination == was.Destination })
+			sibling := slices.ContainsFunc(
+				recs,
+				func(r Record) bool { return viewOf(fresh, r.Endpoint).Destination == was.Destination },
+			)
 			if well && !sibling && (is.Ejected || is.WarmingUp || is.RetryAfterUntil > at || is.PacingRate > 0) {
 				t.Fatalf("%s was well, and is %+v", was.ID, is)
 			}
@@ -83,7 +92,17 @@
 
 func TestWhatIsOldBindsNoMore(t *testing.T) {
 	wall := time.Unix(1e9, 0)
-	recs := []Record{{Endpoint: "a", ObservedAt: wall, Ejected: true, WarmingUp: true, RecentlyRejected: true, RetryAfterUntil: wall.Add(time.Second)}, {Endpoint: "c", ObservedAt: wall, WarmingUp: true}}
+	recs := []Record{
+		{
+			Endpoint:         "a",
+			ObservedAt:       wall,
+			Ejected:          true,
+			WarmingUp:        true,
+			RecentlyRejected: true,
+			RetryAfterUntil:  wall.Add(time.Second),
+		},
+		{Endpoint: "c", ObservedAt: wall, WarmingUp: true},
+	}
 	for _, x := range []struct {
 		after time.Duration
 		want  int // events
@@ -161,7 +180,10 @@
 		}
 		s.Step(at, append([]policy.Event{list()}, Events(recs, wall, many.WarmUpDuration)...))
 		// A message has the routes looked at.
-		s.Step(at, []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: 10 * time.Second}})
+		s.Step(
+			at,
+			[]policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: 10 * time.Second}},
+		)
 		return s
 	}
 	wall := time.Unix(1e9, 0)
@@ -182,7 +204,8 @@
 		for seed := range uint64(40) {
 			s := play(seed, c.recs, wall.Add(c.down))
 			cold = cold || viewOf(s, "a").WarmingUp
-			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Endpoint == "b" }); hasCold && !viewOf(s, "b").WarmingUp {
+			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Endpoint == "b" }); hasCold &&
+				!viewOf(s, "b").WarmingUp {
 				t.Fatalf("%s: the doubt is gone", c.name)
 			}
 		}
@@ -191,12 +214,17 @@
 		}
 	}
 	// Only beside trouble is it worth a record, and it is no news by itself.
-	views := []policy.EndpointView{{RecentlyHealthy: true}, {RecentlyHealthy: true}, {WarmingUp: true, RecentlyHealthy: true}}
+	views := []policy.EndpointView{
+		{RecentlyHealthy: true},
+		{RecentlyHealthy: true},
+		{WarmingUp: true, RecentlyHealthy: true},
+	}
 	for i, name := range []string{"well", "beside", "ill"} {
 		views[i].ID, views[i].Destination = name, min(i, 1)
 	}
 	recs := FromViews(views, time.Second, wall)
-	if len(recs) != 2 || recs[0].Endpoint != "beside" || !recs[0].RecentlyHealthy || recs[1].Endpoint != "ill" || recs[1].RecentlyHealthy {
+	if len(recs) != 2 || recs[0].Endpoint != "beside" || !recs[0].RecentlyHealthy || recs[1].Endpoint != "ill" ||
+		recs[1].RecentlyHealthy {
 		t.Errorf("records %+v", recs)
 	}
 	if Changed(recs, recs[1:]) {
--- a/internal/state/journal/axis_test.go
+++ b/internal/state/journal/axis_test.go
@@ -92,13 +92,16 @@
 }
 
 func step(t *rapid.T) time.Duration {
-	return time.Duration(rapid.SampledFrom([]int{0, 0, -3600_000, -3000, -20, 5, 20, 3000, 3600_000}).Draw(t, "step ms")) * time.Millisecond
+	return time.Duration(
+		rapid.SampledFrom([]int{0, 0, -3600_000, -3000, -20, 5, 20, 3000, 3600_000}).Draw(t, "step ms"),
+	) * time.Millisecond
 }
 
 // An anchor that cannot be read is as none: times go by the wall clock.
 func TestAnchorsThatCannotBeRead(t *testing.T) {
 	whole := encodeAnchor(&clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}, nil)
-	if a := decodeAnchor(whole); a == nil || *a != (clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}) {
+	if a := decodeAnchor(whole); a == nil ||
+		*a != (clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}) {
 		t.Errorf("%+v", a)
 	}
 	for cut := 1; cut < len(whole); cut++ {
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -44,7 +44,13 @@
 }
 
 func (s *oldSubject) accept(id uint32) error {
-	m := &legacylog.Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
+	m := &legacylog.Message{
+		ID:             id,
+		TraceID:        "9b1f03aa5c7e2d41",
+		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		Deadline:       time.Unix(1e9, 0),
+		Body:           make([]byte, bodySize),
+	}
 	s.ms[id] = m
 	return s.l.Accept(m)
 }
@@ -63,7 +69,13 @@
 }
 
 func (s *newSubject) accept(id uint32) error {
-	m := &Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, bodySize)}
+	m := &Message{
+		ID:             id,
+		TraceID:        "9b1f03aa5c7e2d41",
+		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		Deadline:       time.Unix(1e9, 0),
+		Body:           make([]byte, bodySize),
+	}
 	s.ms[id] = m
 	return s.j.Accept(m)
 }
@@ -294,7 +306,16 @@
 					var ms []*Message
 					for n := (40 + 320*swell*swell) * tick.Seconds(); n > 0 && rng.Float64() < n; n-- {
 						id++
-						ms = append(ms, &Message{ID: id, TraceID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Deadline: time.Unix(1e9, 0), Body: make([]byte, 100+rng.IntN(500))})
+						ms = append(
+							ms,
+							&Message{
+								ID:             id,
+								TraceID:        "9b1f03aa5c7e2d41",
+								IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+								Deadline:       time.Unix(1e9, 0),
+								Body:           make([]byte, 100+rng.IntN(500)),
+							},
+						)
 					}
 					if err := j.Accept(ms...); errors.Is(err, ErrFull) {
 						refused += len(ms)
@@ -305,7 +326,12 @@
 					for _, m := range ms {
 						attempts := 1 + rng.IntN(5)/4
 						for n := range attempts {
-							must(b, j.RecordSends(Send{m, Attempt{Number: n, Endpoint: "s-5be2a07c", SentAt: time.Unix(1e9, 0)}}))
+							must(
+								b,
+								j.RecordSends(
+									Send{m, Attempt{Number: n, Endpoint: "s-5be2a07c", SentAt: time.Unix(1e9, 0)}},
+								),
+							)
 						}
 						lasts := time.Duration(rng.Float64() * float64(600*time.Millisecond))
 						if rng.IntN(10) == 0 {
--- a/internal/state/journal/form.go
+++ b/internal/state/journal/form.go
@@ -109,7 +109,13 @@
 		return nil, false
 	}
 	r := &reader{data: value[1:], axis: x}
-	m := &Message{ID: uint32(r.int()), Class: int(r.int()), Tenant: int(r.int()), Destination: int(r.int()), Deadline: r.time()}
+	m := &Message{
+		ID:          uint32(r.int()),
+		Class:       int(r.int()),
+		Tenant:      int(r.int()),
+		Destination: int(r.int()),
+		Deadline:    r.time(),
+	}
 	m.TraceID, m.IdempotencyKey, m.OrderingKey, m.ClassName = r.text(), r.text(), r.text(), r.text()
 	m.Attempts = int(r.int())
 	n := r.int()
@@ -166,7 +172,13 @@
 // decodeAnchor reads an anchor; nil if the value is none of this form.
 func decodeAnchor(value []byte) *clock.Anchor {
 	r := &reader{data: value[1:]}
-	a := &clock.Anchor{BootID: r.text(), Uptime: time.Duration(r.int()), At: r.int(), WallOffset: time.Duration(r.int()), Epoch: r.int()}
+	a := &clock.Anchor{
+		BootID:     r.text(),
+		Uptime:     time.Duration(r.int()),
+		At:         r.int(),
+		WallOffset: time.Duration(r.int()),
+		Epoch:      r.int(),
+	}
 	if r.bad || len(r.data) > 0 {
 		return nil
 	}
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -36,13 +36,25 @@
 // goldenStanding is what the golden journal keeps of the hosts' standing.
 func goldenStanding() []byte {
 	return endpointhealth.Encode([]endpointhealth.Record{
-		{Endpoint: "s-1", ObservedAt: goldenStart, RetryAfterUntil: goldenStart.Add(time.Second), Ejected: true, WarmingUp: true, RecentlyRejected: true},
+		{
+			Endpoint:         "s-1",
+			ObservedAt:       goldenStart,
+			RetryAfterUntil:  goldenStart.Add(time.Second),
+			Ejected:          true,
+			WarmingUp:        true,
+			RecentlyRejected: true,
+		},
 		{Endpoint: "s-2", ObservedAt: goldenStart, RecentlyHealthy: true},
 	})
 }
 
 func goldenAttempt(n int) Attempt {
-	return Attempt{Number: n, Endpoint: fmt.Sprint("s-", n), Zone: 1, SentAt: goldenStart.Add(time.Duration(n) * time.Second)}
+	return Attempt{
+		Number:   n,
+		Endpoint: fmt.Sprint("s-", n),
+		Zone:     1,
+		SentAt:   goldenStart.Add(time.Duration(n) * time.Second),
+	}
 }
 
 // writeGolden writes messages of every kind to a state folder, and returns those that are unfinished.
@@ -50,7 +62,19 @@
 	t.Helper()
 	j, _, err := OpenFolder(state, goldenOptions())
 	must(t, err)
-	untried, sent, withdrawn, deferred, failed, ended := message(1), message(2), message(3), message(4), message(5), message(6)
+	untried, sent, withdrawn, deferred, failed, ended := message(
+		1,
+	), message(
+		2,
+	), message(
+		3,
+	), message(
+		4,
+	), message(
+		5,
+	), message(
+		6,
+	)
 	tried := message(7) // when it was taken on
 	tried.Attempts, tried.UncertainAttempts = 2, []Attempt{goldenAttempt(1)}
 	undated := message(8)
@@ -191,7 +215,12 @@
 	deferred.Final = &FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond}
 	failed.Attempts, failed.UncertainAttempts, failed.Final = 1, attempt(0), &FinalAnswer{}
 	withdrawn.Attempts, withdrawn.UncertainAttempts, withdrawn.Cancelled = 1, attempt(0), true
-	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, attempt(2), &FinalAnswer{Retryable: true, RetryAfter: time.Second}, true
+	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, attempt(
+		2,
+	), &FinalAnswer{
+		Retryable:  true,
+		RetryAfter: time.Second,
+	}, true
 	plain := &Message{ID: 8, Deadline: goldenStart}
 	want := []*Message{untried, sent, deferred, failed, withdrawn, rewritten, plain}
 	checkMessages(t, found.Messages, want)
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -133,7 +133,10 @@
 func Open(fs store.FS, opt Options) (*Journal, *Recovery, error) { return open(fs, opt, false) }
 
 func open(fs store.FS, opt Options, readOnly bool) (*Journal, *Recovery, error) {
-	s, found, err := store.Open(fs, store.Options{Limit: opt.Limit, Sync: opt.Sync, Interval: opt.Interval, ReadOnly: readOnly})
+	s, found, err := store.Open(
+		fs,
+		store.Options{Limit: opt.Limit, Sync: opt.Sync, Interval: opt.Interval, ReadOnly: readOnly},
+	)
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
@@ -273,7 +276,8 @@
 // Close writes what is noted and how far the wall clock has been set by now, and closes the store.
 func (j *Journal) Close() error {
 	err := j.Flush()
-	if _, now := clock.Resume(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly && now.WallOffset != j.anchor.WallOffset {
+	if _, now := clock.Resume(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly &&
+		now.WallOffset != j.anchor.WallOffset {
 		j.anchor = now
 		err = j.keepAnchor()
 	}
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -68,10 +68,18 @@
 	for id := range uint32(6) {
 		ms = append(ms, message(id+1))
 	}
-	ms[5].Body, ms[5].Attempts, ms[5].UncertainAttempts = nil, 2, []Attempt{{Number: 1, Endpoint: "h", Zone: 1, SentAt: time.Unix(5, 5)}}
+	ms[5].Body, ms[5].Attempts, ms[5].UncertainAttempts = nil, 2, []Attempt{
+		{Number: 1, Endpoint: "h", Zone: 1, SentAt: time.Unix(5, 5)},
+	}
 	must(t, j.Accept(ms...))
 	at := time.Unix(7, 8)
-	must(t, j.RecordSends(Send{ms[0], Attempt{Number: 0, Endpoint: "s-1", Zone: 1, SentAt: at}}, Send{ms[1], Attempt{Number: 0, Endpoint: "s-2", Zone: 0, SentAt: at}}))
+	must(
+		t,
+		j.RecordSends(
+			Send{ms[0], Attempt{Number: 0, Endpoint: "s-1", Zone: 1, SentAt: at}},
+			Send{ms[1], Attempt{Number: 0, Endpoint: "s-2", Zone: 0, SentAt: at}},
+		),
+	)
 	must(t, j.RecordSends(Send{ms[0], Attempt{Number: 1, Endpoint: "s-3", Zone: 1, SentAt: at}}))
 	j.RecordNotRun(ms[0], 0)
 	j.RecordFinal(ms[1], FinalAnswer{Retryable: true, RetryAfter: 500 * time.Millisecond})
--- a/internal/state/journal/legacy.go
+++ b/internal/state/journal/legacy.go
@@ -62,7 +62,10 @@
 			Deadline: old.Deadline, Body: old.Body, Attempts: old.Attempts, Uncertain: found.Damaged,
 		}
 		for _, a := range old.UncertainAttempts {
-			m.UncertainAttempts = append(m.UncertainAttempts, Attempt{Number: a.Number, Endpoint: a.Endpoint, Zone: a.Zone, SentAt: a.SentAt, Undated: true})
+			m.UncertainAttempts = append(
+				m.UncertainAttempts,
+				Attempt{Number: a.Number, Endpoint: a.Endpoint, Zone: a.Zone, SentAt: a.SentAt, Undated: true},
+			)
 		}
 		if err := j.Accept(m); err != nil {
 			return fmt.Errorf("journal: carry over: %w", err)
--- a/internal/state/journal/legacy_test.go
+++ b/internal/state/journal/legacy_test.go
@@ -18,9 +18,22 @@
 	must(t, err)
 	var ms []*legacylog.Message
 	for id := range uint32(n) {
-		m := &legacylog.Message{ID: id + 1, TraceID: fmt.Sprint("t", id), IdempotencyKey: "k", Class: 1, Destination: 7, Deadline: time.Unix(1e9, 0), Body: []byte("body")}
+		m := &legacylog.Message{
+			ID:             id + 1,
+			TraceID:        fmt.Sprint("t", id),
+			IdempotencyKey: "k",
+			Class:          1,
+			Destination:    7,
+			Deadline:       time.Unix(1e9, 0),
+			Body:           []byte("body"),
+		}
 		must(t, l.Accept(m))
-		must(t, l.RecordSends(legacylog.Send{Message: m, Attempt: legacylog.Attempt{Endpoint: "h", Zone: 1, SentAt: time.Unix(2, 0)}}))
+		must(
+			t,
+			l.RecordSends(
+				legacylog.Send{Message: m, Attempt: legacylog.Attempt{Endpoint: "h", Zone: 1, SentAt: time.Unix(2, 0)}},
+			),
+		)
 		ms = append(ms, m)
 	}
 	l.RecordNotRun(ms[0], 0)
@@ -41,7 +54,10 @@
 			t.Fatalf("life %d: %d messages, %d carried over", life, len(rec.Messages), rec.Migrated)
 		}
 		m := rec.Messages
-		if len(m[0].UncertainAttempts) != 0 || m[1].Final == nil || m[1].Final.RetryAfter != time.Second || !m[2].Cancelled || len(m[3].UncertainAttempts) != 1 || m[3].UncertainAttempts[0].Zone != 1 {
+		if len(m[0].UncertainAttempts) != 0 || m[1].Final == nil || m[1].Final.RetryAfter != time.Second ||
+			!m[2].Cancelled ||
+			len(m[3].UncertainAttempts) != 1 ||
+			m[3].UncertainAttempts[0].Zone != 1 {
 			t.Errorf("life %d: %+v", life, m)
 		}
 		if _, err := os.Stat(filepath.Join(dir, legacyLog)); !os.IsNotExist(err) {
--- a/internal/state/legacylog/golden_test.go
+++ b/internal/state/legacylog/golden_test.go
@@ -32,12 +32,37 @@
 	t.Helper()
 	log, _, err := Open(folder, goldenLimit)
 	check(t, err)
-	untried, sent, deferred, failed, withdrawn, ended := goldenMessage(1), goldenMessage(2), goldenMessage(3), goldenMessage(4), goldenMessage(5), goldenMessage(6)
+	untried, sent, deferred, failed, withdrawn, ended := goldenMessage(
+		1,
+	), goldenMessage(
+		2,
+	), goldenMessage(
+		3,
+	), goldenMessage(
+		4,
+	), goldenMessage(
+		5,
+	), goldenMessage(
+		6,
+	)
 	rewritten := goldenMessage(7) // as a compaction writes it
-	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, []Attempt{goldenAttempt(2)}, &FinalAnswer{Retryable: true, RetryAfter: time.Second}, true
+	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, []Attempt{
+		goldenAttempt(2),
+	}, &FinalAnswer{
+		Retryable:  true,
+		RetryAfter: time.Second,
+	}, true
 	plain := &Message{ID: 8, Deadline: time.Unix(1e9, 0).UTC()}
 	check(t, log.Accept(untried, sent, deferred, failed, withdrawn, ended, rewritten, plain))
-	check(t, log.RecordSends(Send{sent, goldenAttempt(0)}, Send{sent, goldenAttempt(1)}, Send{failed, goldenAttempt(0)}, Send{withdrawn, goldenAttempt(0)}))
+	check(
+		t,
+		log.RecordSends(
+			Send{sent, goldenAttempt(0)},
+			Send{sent, goldenAttempt(1)},
+			Send{failed, goldenAttempt(0)},
+			Send{withdrawn, goldenAttempt(0)},
+		),
+	)
 	log.RecordNotRun(sent, 1)
 	log.RecordFinal(deferred, FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond})
 	log.RecordFinal(failed, FinalAnswer{})
--- a/internal/state/legacylog/wal_test.go
+++ b/internal/state/legacylog/wal_test.go
@@ -86,7 +86,8 @@
 		t.Errorf("the notice decided on: %+v", r.Final)
 	}
 	// The refused attempt is used up but never ran; the one that was out may have.
-	if p.Attempts != 2 || len(p.UncertainAttempts) != 1 || p.UncertainAttempts[0].Number != 1 || p.UncertainAttempts[0].Zone != 1 ||
+	if p.Attempts != 2 || len(p.UncertainAttempts) != 1 || p.UncertainAttempts[0].Number != 1 ||
+		p.UncertainAttempts[0].Zone != 1 ||
 		!p.UncertainAttempts[0].SentAt.Equal(second.SentAt) {
 		t.Errorf("attempts of the one that was out: %d, %+v", p.Attempts, p.UncertainAttempts)
 	}
@@ -197,7 +198,8 @@
 	if compactions < 10 {
 		t.Errorf("%d compactions", compactions)
 	}
-	if _, found := open(t, dir, limit); len(found.Messages) != len(held) || len(found.Messages[0].UncertainAttempts) != 1 {
+	if _, found := open(t, dir, limit); len(found.Messages) != len(held) ||
+		len(found.Messages[0].UncertainAttempts) != 1 {
 		t.Errorf("%d messages held, %d found", len(held), len(found.Messages))
 	}
 }
@@ -286,7 +288,10 @@
 	m.Attempts = 8
 	m.Final = &FinalAnswer{Retryable: true, RetryAfter: time.Second}
 	for n := range 4 {
-		m.UncertainAttempts = append(m.UncertainAttempts, Attempt{Number: n, Endpoint: "s-5be2a07c", Zone: 1, SentAt: noon.Add(time.Nanosecond)})
+		m.UncertainAttempts = append(
+			m.UncertainAttempts,
+			Attempt{Number: n, Endpoint: "s-5be2a07c", Zone: 1, SentAt: noon.Add(time.Nanosecond)},
+		)
 	}
 	if got := len(appendRecord(nil, record{Kind: recAccept, ID: 1, Message: m}, m.Body)); int64(got) > cost(m) {
 		t.Errorf("a record of %d bytes counts as %d", got, cost(m))
