--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -84,18 +84,18 @@
 	ending bool // answers end their connections
 	closed bool
 
-	bad trouble // requests
+	bad Warning // requests
 }
 
 func newClients(log *slog.Logger, most int, answer func(*client, *http.Request) answer) *clients {
 	s := &clients{log: log, answer: answer, most: most, roomy: most * 3 / 8, conns: map[*client]struct{}{}}
-	s.room.L, s.bad.what = &s.mu, "bad request"
+	s.room.L, s.bad.Message = &s.mu, "bad request"
 	return s
 }
 
 // run accepts connections until the listener is closed.
 func (s *clients) run(l net.Listener) error {
-	unaccepted := trouble{what: "accept"}
+	unaccepted := Warning{Message: "accept"}
 	for {
 		nc, err := l.Accept()
 		switch {
@@ -103,7 +103,7 @@
 			return nil
 		case err != nil:
 			// Out of descriptors, say, or a client that left at once: no reason to end.
-			unaccepted.came(s.log, "err", err)
+			unaccepted.Log(s.log, "err", err)
 			s.makeRoom(true)
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -383,7 +383,7 @@
 // not.
 func (s *clients) reply(c *client, a answer, last bool) (bool, error) {
 	if a.status >= 400 && a.status < 500 {
-		s.bad.came(s.log, "from", c.RemoteAddr(), "status", a.status, "text", a.text)
+		s.bad.Log(s.log, "from", c.RemoteAddr(), "status", a.status, "text", a.text)
 	}
 	s.mu.Lock()
 	// Clients can hold only so many connections, too: where many are held, those that ask once and stay would keep
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -24,7 +24,7 @@
 	"a bound of the relay's own, on its own work": {
 		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
 		"relay.retryFirst", "relay.retryMost", "relay.overlapFor", "relay.droppedFor", "relay.gaugesFor", "relay.standingEvery", "relay.standingShare",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "relay.troubleEvery",
+		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "relay.minInterval",
 		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.scanDepth",
 		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
 	},
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -96,8 +96,8 @@
 	version int64 // of the list as told
 	whole   bool  // changes alone won't do: the list is to be had whole
 
-	unread   trouble // lines
-	oversize trouble // lists
+	unread   Warning // lines
+	oversize Warning // lists
 }
 
 // listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where
@@ -183,7 +183,7 @@
 		case err == nil:
 		case spoilt:
 			// Asked for once more it would be as unreadable, for ever: the whole list makes up for it.
-			w.unread.came(w.log, "err", err)
+			w.unread.Log(w.log, "err", err)
 			w.whole = true
 		default:
 			w.whole = w.whole || errors.Is(err, errTooLong)
@@ -286,7 +286,7 @@
 // message that is over does no harm, one that is missing loses a message.
 func (f *finals) run(ctx context.Context) {
 	pause := retryFirst
-	untaken := trouble{what: "notices not taken"}
+	untaken := Warning{Message: "notices not taken"}
 	for {
 		f.mu.Lock()
 		batch := f.queue[:min(len(f.queue), noticeMost)]
@@ -300,7 +300,7 @@
 			continue
 		}
 		if err := f.post(ctx, batch); err != nil {
-			untaken.came(f.log, "count", len(batch), "err", err)
+			untaken.Log(f.log, "count", len(batch), "err", err)
 			if errors.Is(err, errMoved) {
 				pause = retryFirst
 				continue // at once, to the new address
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -48,7 +48,7 @@
 	written func(messages int) // whole, to a host
 
 	log    *slog.Logger
-	spoilt trouble
+	spoilt Warning
 }
 
 // call is one request to a host, with one message or several.
@@ -93,7 +93,7 @@
 		reports: cfg.Reports,
 		written: written,
 		log:     log,
-		spoilt:  trouble{what: "spoilt answer"},
+		spoilt:  Warning{Message: "spoilt answer"},
 	}
 }
 
@@ -163,7 +163,7 @@
 	r.took = a.came.Sub(began)
 	spoilt := a.err != nil && !errors.Is(a.err, errLast)
 	if spoilt && !gone(a.err) {
-		h.spoilt.came(h.log, "route", c.route, "err", a.err)
+		h.spoilt.Log(h.log, "route", c.route, "err", a.err)
 	}
 	switch {
 	case a.head != nil && a.head.StatusCode == http.StatusOK && !several:
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -53,7 +53,7 @@
 	askWhole  bool // what the configuration knows may lack some
 	overfull  bool // entries of the list that comes now found no room
 
-	unheld trouble // hosts for which there is no room
+	unheld Warning // hosts for which there is no room
 
 	// Of a long list:
 	awake  *catalog.WorkingSet // what the module was told of
@@ -105,7 +105,7 @@
 // entry takes an entry of a list, and adds what the module is told of it.
 func (r *Relay) entry(told []policy.Endpoint, e *entry) []policy.Endpoint {
 	if e.err != nil {
-		r.unlisted.came(r.log, "entry", e.text, "err", e.err)
+		r.unlisted.Log(r.log, "entry", e.text, "err", e.err)
 		if known, ok := r.catalog.MarkSeen(e.ID); ok && !r.large.Load() {
 			return append(told, known.Endpoint)
 		}
@@ -301,7 +301,7 @@
 		if r.catalog.EndpointCount() >= entriesMost && e.err == nil {
 			if _, known := r.catalog.Endpoint(e.ID); !known {
 				r.overfull = true
-				r.unheld.came(r.log, "most", entriesMost)
+				r.unheld.Log(r.log, "most", entriesMost)
 				continue
 			}
 		}
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -76,7 +76,7 @@
 	defer func() { stop(); <-ended }()
 	w := watcher{
 		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
-		unread: trouble{what: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
+		unread: Warning{Message: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
 	}
 	go func() { w.run(ctx); close(ended) }()
 	for !ok(told) {
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -113,7 +113,7 @@
 		return nil
 	})
 	if errors.Is(err, errTooLong) {
-		w.oversize.came(w.log, "err", err, "entries", read, "bytes", lists.src.came)
+		w.oversize.Log(w.log, "err", err, "entries", read, "bytes", lists.src.came)
 	}
 	if err != nil {
 		return err
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -133,9 +133,9 @@
 	lastID   uint32
 	wakeAt   time.Time      // zero: none asked for
 	later    []policy.Event // for the next step
-	full     trouble        // the log takes no new work
-	unlogged trouble        // nor the sends of calls
-	unlisted trouble        // entries of the list cannot be read
+	full     Warning        // the log takes no new work
+	unlogged Warning        // nor the sends of calls
+	unlisted Warning        // entries of the list cannot be read
 
 	stopping, noSends, idled bool
 }
@@ -151,10 +151,10 @@
 	r := &Relay{
 		cfg: cfg, log: log, logOut: out, rec: newRecording(cfg, log, out, started, sender, 0), agent: newAgent(cfg.Discovery),
 		events: make(chan any, eventRoom), over: make(chan struct{}), idle: make(chan struct{}),
-		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: trouble{what: "no room for all hosts"}},
-		full: trouble{
-			what: "refusing new messages",
-		}, unlogged: trouble{what: "log not written"}, unlisted: trouble{what: "unreadable entry of the list"},
+		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: Warning{Message: "no room for all hosts"}},
+		full: Warning{
+			Message: "refusing new messages",
+		}, unlogged: Warning{Message: "log not written"}, unlisted: Warning{Message: "unreadable entry of the list"},
 		msgs: map[uint32]*message{}, traces: map[string]*message{}, settled: cfg.Config, version: cfg.Known.Version,
 	}
 	r.hold(cfg.Config)
@@ -250,7 +250,7 @@
 		told: func(l List) { r.post(l) }, listing: r.cfg.listing,
 		long: parts{post: func(p *part) bool { return r.post(p) }, over: r.over, large: r.large.Load},
 		herd: listCaller(r.cfg), rng: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
-		unread: trouble{what: "unreadable line of the watch"}, oversize: trouble{what: "list not taken"},
+		unread: Warning{Message: "unreadable line of the watch"}, oversize: Warning{Message: "list not taken"},
 	}
 }
 
@@ -604,7 +604,7 @@
 		return waiting
 	}
 	// A full disk is no reason to die: what is held goes on, new work is refused.
-	r.full.came(r.log, "err", err)
+	r.full.Log(r.log, "err", err)
 	for _, in := range waiting {
 		if m := in.as; m.Message == in.m {
 			r.held--
@@ -800,7 +800,7 @@
 		}
 	}
 	if err := r.record(calls); err != nil {
-		r.unlogged.came(r.log, "calls", len(calls), "err", err)
+		r.unlogged.Log(r.log, "calls", len(calls), "err", err)
 		// A send that is not in the log must not leave: after a restart it would be made again.
 		r.giveBack(calls)
 		calls = nil
--- a/internal/relay/trouble.go
+++ b/internal/relay/trouble.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// troubleEvery is how often a trouble is logged at most.
-const troubleEvery = time.Minute
+// minInterval is how often a trouble is logged at most.
+const minInterval = time.Minute
 
-// trouble is something that goes wrong outside, and may do so any number of times: its log is rate-limited, so that bad
+// Warning is something that goes wrong outside, and may do so any number of times: its log is rate-limited, so that bad
 // input of any kind is seen and does not fill it.
-type trouble struct {
-	what string
+type Warning struct {
+	Message string
 
 	mu   sync.Mutex
-	last time.Time // logged
-	more int       // times since then
+	lastLogged time.Time // logged
+	suppressed int       // times since then
 }
 
-// came logs that it came, or counts it.
-func (t *trouble) came(log *slog.Logger, args ...any) {
+// Log logs that it came, or counts it.
+func (t *Warning) Log(log *slog.Logger, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	if !t.last.IsZero() && now.Sub(t.last) < troubleEvery {
-		t.more++
+	if !t.lastLogged.IsZero() && now.Sub(t.lastLogged) < minInterval {
+		t.suppressed++
 		return
 	}
-	if t.more > 0 {
-		args = append(args, "unlogged_before", t.more)
+	if t.suppressed > 0 {
+		args = append(args, "unlogged_before", t.suppressed)
 	}
-	log.Warn(t.what, args...)
-	t.last, t.more = now, 0
+	log.Warn(t.Message, args...)
+	t.lastLogged, t.suppressed = now, 0
 }
