--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -17,6 +17,7 @@
 	"sync"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -84,7 +85,7 @@
 	ending bool // answers end their connections
 	closed bool
 
-	bad Warning // requests
+	bad ratelog.Warning // requests
 }
 
 func newClients(log *slog.Logger, most int, answer func(*client, *http.Request) answer) *clients {
@@ -95,7 +96,7 @@
 
 // run accepts connections until the listener is closed.
 func (s *clients) run(l net.Listener) error {
-	unaccepted := Warning{Message: "accept"}
+	unaccepted := ratelog.Warning{Message: "accept"}
 	for {
 		nc, err := l.Accept()
 		switch {
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -15,7 +15,7 @@
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.acceptFor", "relay.answerFor", "relay.sendFor", "relay.endBy",
-		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "herd.period", "policy.toldShare",
+		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "backoff.period", "policy.toldShare",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.headMost",
@@ -24,15 +24,15 @@
 	"a bound of the relay's own, on its own work": {
 		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
 		"relay.retryFirst", "relay.retryMost", "relay.overlapFor", "relay.droppedFor", "relay.gaugesFor", "relay.standingEvery", "relay.standingShare",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "relay.minInterval",
+		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "ratelog.minInterval",
 		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.scanDepth",
 		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
 	},
 	"a share of what the settings tell": {
-		"relay.idleShare", "herd.graceShare", "policy.lapseShare", "policy.roomShare", "policy.gateShare", "policy.overShare", "policy.lateShare",
+		"relay.idleShare", "backoff.graceShare", "policy.lapseShare", "policy.roomShare", "policy.gateShare", "policy.overShare", "policy.lateShare",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.longAgoRan", "relay.usualWarm", "policy.leastExpect", "policy.retryAdvice", "policy.RetryAdvice", "policy.leastLimit", "herd.pauseMost",
+		"relay.longAgoRan", "relay.usualWarm", "policy.leastExpect", "policy.retryAdvice", "policy.MinRetryAfter", "policy.leastLimit", "backoff.pauseMost",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
 		"policy.skipFirst", "policy.skipMost", "policy.skipGrowth", "policy.skipJitter", "policy.longWait", "policy.shutRefusals", "policy.sparseShut",
@@ -40,7 +40,7 @@
 		"policy.paceRestart", "policy.paceLeast", "policy.paceSure", "policy.paceCreep", "policy.paceCrawl", "policy.creepSteps", "policy.paceNear",
 		"policy.paceFree", "policy.paceBurst", "policy.manyBurst", "policy.calmSpan", "policy.manyCreep", "policy.manyMost", "policy.manyLeast",
 		"policy.takenSpan", "policy.takenPrior", "policy.takenShare", "policy.askEvery", "policy.askAhead", "policy.tightMost", "policy.tightRest",
-		"policy.scarceSpan", "policy.aliveSpan", "policy.fewSenders", "policy.manySpread", "policy.FirstSpread", "herd.few", "herd.share", "herd.pauseFirst", "herd.jitter",
+		"policy.scarceSpan", "policy.aliveSpan", "policy.fewSenders", "policy.manySpread", "policy.MaxInitialSpread", "backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.scatter", "policy.ownPart", "policy.roughFactor", "policy.ownSpan", "policy.devs", "policy.lateDevs",
@@ -59,7 +59,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -96,8 +97,8 @@
 	version int64 // of the list as told
 	whole   bool  // changes alone won't do: the list is to be had whole
 
-	unread   Warning // lines
-	oversize Warning // lists
+	unread   ratelog.Warning // lines
+	oversize ratelog.Warning // lists
 }
 
 // listCaller tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where
@@ -286,7 +287,7 @@
 // message that is over does no harm, one that is missing loses a message.
 func (f *finals) run(ctx context.Context) {
 	pause := retryFirst
-	untaken := Warning{Message: "notices not taken"}
+	untaken := ratelog.Warning{Message: "notices not taken"}
 	for {
 		f.mu.Lock()
 		batch := f.queue[:min(len(f.queue), noticeMost)]
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -17,6 +17,7 @@
 	"strings"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -48,7 +49,7 @@
 	written func(messages int) // whole, to a host
 
 	log    *slog.Logger
-	spoilt Warning
+	spoilt ratelog.Warning
 }
 
 // call is one request to a host, with one message or several.
@@ -93,7 +94,7 @@
 		reports: cfg.Reports,
 		written: written,
 		log:     log,
-		spoilt:  Warning{Message: "spoilt answer"},
+		spoilt:  ratelog.Warning{Message: "spoilt answer"},
 	}
 }
 
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -5,6 +5,7 @@
 	"math"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -53,7 +54,7 @@
 	askWhole  bool // what the configuration knows may lack some
 	overfull  bool // entries of the list that comes now found no room
 
-	unheld Warning // hosts for which there is no room
+	unheld ratelog.Warning // hosts for which there is no room
 
 	// Of a long list:
 	awake  *catalog.WorkingSet // what the module was told of
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 )
 
 // A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its
@@ -76,7 +77,7 @@
 	defer func() { stop(); <-ended }()
 	w := watcher{
 		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
-		unread: Warning{Message: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
+		unread: ratelog.Warning{Message: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
 	}
 	go func() { w.run(ctx); close(ended) }()
 	for !ok(told) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,6 +23,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -131,11 +132,11 @@
 	held     int // messages that the module has not done with
 	out      int // calls
 	lastID   uint32
-	wakeAt   time.Time      // zero: none asked for
-	later    []policy.Event // for the next step
-	full     Warning        // the log takes no new work
-	unlogged Warning        // nor the sends of calls
-	unlisted Warning        // entries of the list cannot be read
+	wakeAt   time.Time       // zero: none asked for
+	later    []policy.Event  // for the next step
+	full     ratelog.Warning // the log takes no new work
+	unlogged ratelog.Warning // nor the sends of calls
+	unlisted ratelog.Warning // entries of the list cannot be read
 
 	stopping, noSends, idled bool
 }
@@ -151,10 +152,10 @@
 	r := &Relay{
 		cfg: cfg, log: log, logOut: out, rec: newRecording(cfg, log, out, started, sender, 0), agent: newAgent(cfg.Discovery),
 		events: make(chan any, eventRoom), over: make(chan struct{}), idle: make(chan struct{}),
-		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: Warning{Message: "no room for all hosts"}},
-		full: Warning{
+		started: started, sender: sender, calling: map[*call]struct{}{}, holdings: holdings{unheld: ratelog.Warning{Message: "no room for all hosts"}},
+		full: ratelog.Warning{
 			Message: "refusing new messages",
-		}, unlogged: Warning{Message: "log not written"}, unlisted: Warning{Message: "unreadable entry of the list"},
+		}, unlogged: ratelog.Warning{Message: "log not written"}, unlisted: ratelog.Warning{Message: "unreadable entry of the list"},
 		msgs: map[uint32]*message{}, traces: map[string]*message{}, settled: cfg.Config, version: cfg.Known.Version,
 	}
 	r.hold(cfg.Config)
@@ -250,7 +251,7 @@
 		told: func(l List) { r.post(l) }, listing: r.cfg.listing,
 		long: parts{post: func(p *part) bool { return r.post(p) }, over: r.over, large: r.large.Load},
 		herd: listCaller(r.cfg), rng: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
-		unread: Warning{Message: "unreadable line of the watch"}, oversize: Warning{Message: "list not taken"},
+		unread: ratelog.Warning{Message: "unreadable line of the watch"}, oversize: ratelog.Warning{Message: "list not taken"},
 	}
 }
 
