--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Operator, cfg.Version, cfg.JournalThrough = file, cli.Version(), c.through
+	cfg.Operator, cfg.Version, cfg.WrapJournalFS = file, cli.Version(), c.through
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	r, err := relay.New(cfg, log, os.Stderr)
@@ -83,7 +83,7 @@
 		for {
 			select {
 			case <-keep:
-				r.KeepRecording("SIGUSR1")
+				r.DumpRecording("SIGUSR1")
 			case <-reload:
 				if err := r.Reload(relay.ReloadConfig(os.Getenv)); err != nil {
 					log.Warn("keeping the configuration", "err", err)
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -48,10 +48,10 @@
 			r.catalog.Upsert(
 				catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr},
 			)
-			var ins []*handIn
+			var ins []*submitEvent
 			for i, id := range order {
 				in := newHandIn(id, 7, left[id])
-				in.m.OrderingKey = fmt.Sprint(i)
+				in.message.OrderingKey = fmt.Sprint(i)
 				ins = append(ins, in)
 			}
 			decide(r, ins...)
@@ -65,7 +65,7 @@
 				t,
 				r,
 				"the others are over",
-				func() bool { return r.traces["long"] == nil && r.traces["middle"] == nil },
+				func() bool { return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil },
 			)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -412,7 +412,7 @@
 func (r *Relay) request(c *client, req *http.Request) answer {
 	switch {
 	case req.URL.Path == "/_health" && req.Method == http.MethodGet:
-		if !r.listed.Load() || r.ending.Load() {
+		if !r.endpointsKnown.Load() || r.terminating.Load() {
 			return answer{status: http.StatusServiceUnavailable}
 		}
 		return answer{status: http.StatusOK}
@@ -442,7 +442,7 @@
 	if !r.clients.enter(c, busy) {
 		return answer{}
 	}
-	in := &handIn{m: m, reply: make(chan answer, 1)}
+	in := &submitEvent{message: m, reply: make(chan answer, 1)}
 	c.watch(nil)
 	if !r.post(in) {
 		c.unwatch()
@@ -454,7 +454,7 @@
 	}
 	// A client that has left without the answer hands the message in anew: this one must not be sent as well.
 	if m.ID != 0 {
-		r.post(withdrawal{m.ID})
+		r.post(cancelEvent{m.ID})
 	}
 	return answer{}
 }
@@ -475,7 +475,7 @@
 
 // parse reads all of a request but its body.
 func (r *Relay) parse(req *http.Request) (m *journal.Message, left time.Duration, err error) {
-	class, t := strings.TrimPrefix(req.URL.Path, "/"), r.door.Load()
+	class, t := strings.TrimPrefix(req.URL.Path, "/"), r.clientConfig.Load()
 	m = &journal.Message{
 		TraceID:        req.Header.Get("X-Trace-Id"),
 		IdempotencyKey: req.Header.Get("Idempotency-Key"),
@@ -500,7 +500,7 @@
 		}
 	}
 	ms, err := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
-	if most := longest(t.Settings.Classes[m.Class]); err != nil || ms < 0 || ms > most.Milliseconds() {
+	if most := maxTimeLeft(t.Settings.Classes[m.Class]); err != nil || ms < 0 || ms > most.Milliseconds() {
 		return nil, 0, errors.New("bad X-Expires-In-Ms")
 	}
 	if m.Destination, err = destination(req.Header.Get("Envelope")); err != nil {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -81,8 +81,8 @@
 	r := newTestRelay(t)
 	answers := bufio.NewReader(dial(t, door(t, r), handInText("a", "dest=7", "dest=8")))
 	r.next()
-	if res := read(t, answers); res.StatusCode != http.StatusBadRequest || len(r.msgs) > 0 {
-		t.Errorf("status %d, %d messages", res.StatusCode, len(r.msgs))
+	if res := read(t, answers); res.StatusCode != http.StatusBadRequest || len(r.messages) > 0 {
+		t.Errorf("status %d, %d messages", res.StatusCode, len(r.messages))
 	}
 }
 
@@ -127,7 +127,7 @@
 		t.Errorf("status %d", res.StatusCode)
 	}
 	io.WriteString(conn, handInText("b"))
-	settle(t, r, "taken on", func() bool { return r.traces["b"] != nil })
+	settle(t, r, "taken on", func() bool { return r.messagesByTrace["b"] != nil })
 	if res := read(t, answers); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -196,7 +196,7 @@
 	if res := read(t, first); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	settle(t, r, "the second is taken on", func() bool { return r.traces["m2"] != nil })
+	settle(t, r, "the second is taken on", func() bool { return r.messagesByTrace["m2"] != nil })
 	if res := read(t, second); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -212,7 +212,7 @@
 }
 
 // decide has the loop take all of these hand-ins in one step.
-func decide(r *Relay, ins ...*handIn) (answers []answer) {
+func decide(r *Relay, ins ...*submitEvent) (answers []answer) {
 	batch := make([]any, len(ins))
 	for i, in := range ins {
 		batch[i] = in
@@ -224,9 +224,9 @@
 	return answers
 }
 
-func newHandIn(id string, dest int, left time.Duration) *handIn {
+func newHandIn(id string, dest int, left time.Duration) *submitEvent {
 	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
-	return &handIn{m: m, reply: make(chan answer, 1)}
+	return &submitEvent{message: m, reply: make(chan answer, 1)}
 }
 
 // A second copy of what is refused in the same step is not told that it is taken on.
@@ -251,8 +251,8 @@
 	first := newHandIn("m1", 7, 5*time.Second)
 	decide(r, first)
 	decide(r, newHandIn("m1", 7, 5*time.Second))
-	r.step([]any{withdrawal{first.m.ID}})
-	if m := r.msgs[first.m.ID]; m == nil || m.ended {
+	r.step([]any{cancelEvent{first.message.ID}})
+	if m := r.messages[first.message.ID]; m == nil || m.completed {
 		t.Errorf("withdrawn: %+v", m)
 	}
 }
@@ -262,8 +262,8 @@
 	r := newTestRelay(t)
 	in := newHandIn("m1", 7, 5*time.Second)
 	decide(r, in)
-	m := r.msgs[in.m.ID]
-	r.carryOut([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
+	m := r.messages[in.message.ID]
+	r.execute([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
 	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable ||
 		a.again != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
@@ -279,12 +279,12 @@
 		r.catalog.RememberDestination(dest)
 		in := newHandIn("m1", dest, 5*time.Second)
 		decide(r, in)
-		m := r.msgs[in.m.ID]
+		m := r.messages[in.message.ID]
 		sent := journal.Attempt{Number: 0, Endpoint: "s-8", Zone: 1, SentAt: time.Now().Add(-time.Second).Round(0)}
 		if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: sent}); err != nil {
 			t.Fatal(err)
 		}
-		r.step([]any{withdrawal{m.ID}})
+		r.step([]any{cancelEvent{m.ID}})
 		if restart == 1 {
 			r = restarted(t, r)
 			r.catalog.RememberDestination(dest)
@@ -295,11 +295,11 @@
 		if restart == 2 {
 			r = restarted(t, r)
 		}
-		again := r.traces["m1"]
-		if again == nil || again.ended || again.ID == m.ID {
+		again := r.messagesByTrace["m1"]
+		if again == nil || again.completed || again.ID == m.ID {
 			t.Fatalf("restart %d: %+v", restart, again)
 		}
-		e := r.resumed(again).Recovered
+		e := r.recoveredEvent(again).Recovered
 		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second ||
 			!again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
 			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.UncertainAttempts)
@@ -318,16 +318,16 @@
 		t.Fatal(err)
 	}
 	r.callCtx = old.callCtx
-	r.resume()
+	r.recoverState()
 	return r
 }
 
 // A Send of a message that is not held must not end the loop.
 func TestASendOfNothingEndsNothing(t *testing.T) {
 	r := newTestRelay(t)
-	r.carryOut([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
-	if r.out != 0 {
-		t.Errorf("%d calls", r.out)
+	r.execute([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
+	if r.callsInFlight != 0 {
+		t.Errorf("%d calls", r.callsInFlight)
 	}
 }
 
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -21,45 +21,45 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// tickMost bounds the tick, so that no setting makes clients wait for their answers.
-const tickMost = 20 * time.Millisecond
+// maxTick bounds the tick, so that no setting makes clients wait for their answers.
+const maxTick = 20 * time.Millisecond
 
-// readAhead is how much of a file is read at once, in bytes.
-const readAhead = 64 << 10
+// readBufferSize is how much of a file is read at once, in bytes.
+const readBufferSize = 64 << 10
 
 // Config is all that a relay is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Inherited string // the descriptor of a socket that listens there already, which the platform holds; "": none
-	Second    string // the second address, for on-call staff and the platform; "": none
-	Discovery string // address of discovery's agent
-	StateDir  string // the folder that outlasts the process
-	Seed      uint64
-	Limits    Limits
-	Known     List             // hosts as this relay last had them; may be old or empty
-	Long      *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
-	Unread    error            // why Known could not be read; it is empty then, and discovery is asked
+	Name          string
+	Listen        string // where clients connect
+	InheritedFD   string // the descriptor of a socket that listens there already, which the platform holds; "": none
+	AdminListen   string // the second address, for on-call staff and the platform; "": none
+	DiscoveryAddr string // address of discovery's agent
+	StateDir      string // the folder that outlasts the process
+	Seed          uint64
+	Limits        Limits
+	Known         List             // hosts as this relay last had them; may be old or empty
+	KnownCatalog  *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
+	KnownErr      error            // why Known could not be read; it is empty then, and discovery is asked
 	// what stands in the settings and may change while the relay runs; Customers empty: the site has none
 	reload.Config
 
 	Zones []string
 	Kinds []string
 
-	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // hosts close a connection that stood idle for so long
-	Grace          time.Duration // after a drain or removal was told, sends to its host must have ended; default 1 s
-	Tick           time.Duration // the module is asked no more often than this
-	MayDuplicate   bool          // two attempts of a message may be out at once
-	Reports        []string      // fields of the hosts' load reports; empty: none are sent
+	ConnectTimeout   time.Duration
+	KeepAlive        time.Duration // hosts close a connection that stood idle for so long
+	DrainGrace       time.Duration // after a drain or removal was told, sends to its host must have ended; default 1 s
+	Tick             time.Duration // the module is asked no more often than this
+	AllowHedging     bool          // two attempts of a message may be out at once
+	LoadReportFields []string      // fields of the hosts' load reports; empty: none are sent
 
 	Operator        operatorfile.File
 	Version         string // of the program
 	unreadable      int    // entries of Long
 	firstUnreadable entry  // the first of them
 
-	// JournalThrough is what stands between the journal and the files of its folder; nil: nothing.
-	JournalThrough func(store.FS) store.FS
+	// WrapJournalFS is what stands between the journal and the files of its folder; nil: nothing.
+	WrapJournalFS func(store.FS) store.FS
 }
 
 // Limits are those of the relay's machine.
@@ -77,10 +77,10 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if c.Unread != nil {
-		return Config{}, fmt.Errorf("config: %w", c.Unread)
+	if c.KnownErr != nil {
+		return Config{}, fmt.Errorf("config: %w", c.KnownErr)
 	}
-	c.Discovery = cmp.Or(c.Discovery, getenv("ROUTER_DISCOVERY"))
+	c.DiscoveryAddr = cmp.Or(c.DiscoveryAddr, getenv("ROUTER_DISCOVERY"))
 	return c, nil
 }
 
@@ -105,14 +105,14 @@
 		return Config{}, err
 	}
 	for name, field := range map[string]*string{
-		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_STATE": &c.StateDir,
-		"ROUTER_MANAGEMENT": &c.Second, "ROUTER_INHERITED_FD": &c.Inherited,
+		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.DiscoveryAddr, "ROUTER_STATE": &c.StateDir,
+		"ROUTER_MANAGEMENT": &c.AdminListen, "ROUTER_INHERITED_FD": &c.InheritedFD,
 	} {
 		if v := getenv(name); v != "" {
 			*field = v
 		}
 	}
-	if c.Listen == "" || c.Discovery == "" || c.StateDir == "" {
+	if c.Listen == "" || c.DiscoveryAddr == "" || c.StateDir == "" {
 		return Config{}, errors.New("config: ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_STATE must be set")
 	}
 	return c, nil
@@ -121,15 +121,15 @@
 // scanConfig reads a configuration as it comes: its list of hosts may be longer than all that is kept of it. known
 // tells whether that is kept, or only looked at.
 func scanConfig(src io.ReadSeeker, known bool) (Config, error) {
-	rest, at, err := beside(src)
+	rest, at, err := splitKnownEndpoints(src)
 	if err != nil {
 		return Config{}, err
 	}
-	c, err := parseRest(rest)
+	c, err := parseSettings(rest)
 	if err == nil && at >= 0 {
 		// Read last, wherever it stands: its zones and kinds are named by the settings.
 		if _, err = src.Seek(at, io.SeekStart); err == nil {
-			c.Unread = c.readKnown(src, known)
+			c.KnownErr = c.readKnownEndpoints(src, known)
 		}
 	}
 	if err != nil {
@@ -139,10 +139,10 @@
 	return c, nil
 }
 
-// beside returns a configuration without its list of hosts, for which true stands, and where that begins, just behind
-// its key; -1: there is none.
-func beside(src io.Reader) (rest []byte, known int64, err error) {
-	dec := json.NewDecoder(bufio.NewReaderSize(src, readAhead))
+// splitKnownEndpoints returns a configuration without its list of hosts, for which true stands, and where that begins,
+// just behind its key; -1: there is none.
+func splitKnownEndpoints(src io.Reader) (rest []byte, known int64, err error) {
+	dec := json.NewDecoder(bufio.NewReaderSize(src, readBufferSize))
 	if t, err := dec.Token(); err != nil {
 		return nil, 0, err
 	} else if t != json.Delim('{') {
@@ -183,9 +183,9 @@
 	return rest, known, err
 }
 
-// readKnown reads the list of hosts of a configuration, from just behind its key.
-func (c *Config) readKnown(src io.Reader, keep bool) error {
-	from := bufio.NewReaderSize(src, readAhead)
+// readKnownEndpoints reads the list of hosts of a configuration, from just behind its key.
+func (c *Config) readKnownEndpoints(src io.Reader, keep bool) error {
+	from := bufio.NewReaderSize(src, readBufferSize)
 	if _, err := from.ReadSlice(':'); err != nil { // blanks at most stand before it
 		return fmt.Errorf("known: %w", err)
 	}
@@ -204,23 +204,23 @@
 			long = catalog.New()
 			long.BeginSnapshot()
 			for _, e := range short {
-				c.keepKnown(long, e)
+				c.addKnownEntry(long, e)
 			}
 			short = nil
 			return nil
 		}
-		c.keepKnown(long, e)
+		c.addKnownEntry(long, e)
 		return nil
 	})
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.Known, c.Long = List{Version: head.Version, Full: head.Full, Entries: short}, long
+	c.Known, c.KnownCatalog = List{Version: head.Version, Full: head.Full, Entries: short}, long
 	return nil
 }
 
-// keepKnown adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
-func (c *Config) keepKnown(long *catalog.Catalog, e entry) {
+// addKnownEntry adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
+func (c *Config) addKnownEntry(long *catalog.Catalog, e entry) {
 	if e.err == nil {
 		long.Upsert(e.Endpoint)
 		return
@@ -235,8 +235,8 @@
 	Name string `json:"name"`
 }
 
-// parseRest reads a configuration but for its list of hosts.
-func parseRest(data []byte) (Config, error) {
+// parseSettings reads a configuration but for its list of hosts.
+func parseSettings(data []byte) (Config, error) {
 	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -283,11 +283,11 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c := Config{
-		Name: file.Name, Listen: file.Listen, Second: file.Second, Discovery: file.Discovery, Limits: file.Limits,
+		Name: file.Name, Listen: file.Listen, AdminListen: file.Second, DiscoveryAddr: file.Discovery, Limits: file.Limits,
 		Config: reload.Config{Settings: set, Shape: shape(data)},
-		Zones:  own.Zones, Kinds: own.Kinds, MayDuplicate: own.Bounds.MayDuplicate,
+		Zones:  own.Zones, Kinds: own.Kinds, AllowHedging: own.Bounds.MayDuplicate,
 		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
-		Grace: millis(own.Rules.StopSendingMS), Tick: min(millis(own.TickMS), tickMost),
+		DrainGrace: millis(own.Rules.StopSendingMS), Tick: min(millis(own.TickMS), maxTick),
 	}
 	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
@@ -298,7 +298,7 @@
 		c.TenantNames = append(c.TenantNames, r.Name)
 	}
 	if own.Stats.How == "answers" {
-		c.Reports = own.Stats.Fields
+		c.LoadReportFields = own.Stats.Fields
 	}
 	return c, nil
 }
@@ -307,15 +307,15 @@
 func shape(data []byte) reload.Shape {
 	var file map[string]any
 	if json.Unmarshal(data, &file) != nil {
-		return nil // parseRest has read it
+		return nil // parseSettings has read it
 	}
 	values := map[string]string{}
 	flatten(values, "", file)
 	return reload.ShapeOf(values)
 }
 
-// longest is the most time that a message of a class may have.
-func longest(class policy.Class) time.Duration {
+// maxTimeLeft is the most time that a message of a class may have.
+func maxTimeLeft(class policy.Class) time.Duration {
 	if class.Deadline > 0 {
 		return class.Deadline
 	}
@@ -326,7 +326,7 @@
 func (c *Config) setDefaults() {
 	setDefault(&c.ConnectTimeout, time.Second)
 	setDefault(&c.KeepAlive, 15*time.Second)
-	setDefault(&c.Grace, time.Second)
+	setDefault(&c.DrainGrace, time.Second)
 	setDefault(&c.Limits.MemoryMB, 192)
 	setDefault(&c.Limits.Sockets, 1024)
 	setDefault(&c.Limits.DiskMB, 3)
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -14,7 +14,7 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
-		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.acceptFor", "relay.answerFor", "relay.sendFor", "relay.endBy",
+		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
 		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "backoff.period", "policy.toldShare",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
@@ -22,17 +22,17 @@
 		"relay.readRoom", "relay.entriesMost", "relay.entryMost", "relay.listFor", "relay.noticeMost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
-		"relay.retryFirst", "relay.retryMost", "relay.overlapFor", "relay.droppedFor", "relay.gaugesFor", "relay.standingEvery", "relay.standingShare",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "ratelog.minInterval",
-		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.scanDepth",
+		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
+		"relay.retryFirst", "relay.retryMost", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
+		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
+		"relay.readBufferSize", "relay.maxPartEntries", "relay.maxEvictions", "relay.evictInterval", "policy.scanDepth",
 		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
 	},
 	"a share of what the settings tell": {
 		"relay.idleShare", "backoff.graceShare", "policy.lapseShare", "policy.roomShare", "policy.gateShare", "policy.overShare", "policy.lateShare",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.longAgoRan", "relay.usualWarm", "policy.leastExpect", "policy.retryAdvice", "policy.MinRetryAfter", "policy.leastLimit", "backoff.pauseMost",
+		"relay.unknownRunAge", "relay.defaultWarmUp", "policy.leastExpect", "policy.retryAdvice", "policy.MinRetryAfter", "policy.leastLimit", "backoff.pauseMost",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
 		"policy.skipFirst", "policy.skipMost", "policy.skipGrowth", "policy.skipJitter", "policy.longWait", "policy.shutRefusals", "policy.sparseShut",
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -105,7 +105,7 @@
 // they are pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at
 // once, also after it was silent.
 func listCaller(cfg Config) backoff.Backoff {
-	c := backoff.Backoff{Clients: 1, Grace: cfg.Grace}
+	c := backoff.Backoff{Clients: 1, Grace: cfg.DrainGrace}
 	if cfg.Settings.WatchRequired {
 		c.Clients = cfg.Settings.FleetSize
 	}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -135,7 +135,7 @@
 		{"asked for, 300 relays", true, 300, time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := Config{Grace: c.grace}
+			cfg := Config{DrainGrace: c.grace}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
 			caller, rng := listCaller(cfg), rand.New(most{})
 			if first := caller.InitialDelay(rng); first > c.grace {
@@ -179,7 +179,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	cfg := Config{Grace: 400 * time.Millisecond}
+	cfg := Config{DrainGrace: 400 * time.Millisecond}
 	cfg.Settings.FleetSize = 300
 	w := watcher{
 		log: quiet(), agent: newAgent(addrOf(s)), silence: 30 * time.Millisecond, known: true,
@@ -216,7 +216,7 @@
 	for _, ask := range []bool{false, true} {
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
 			for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second} {
-				cfg := Config{Grace: grace}
+				cfg := Config{DrainGrace: grace}
 				cfg.Settings.FleetSize, cfg.Settings.WatchRequired = senders, ask
 				worst, at := time.Duration(0), ""
 				note := func(d time.Duration, how string) {
@@ -287,7 +287,7 @@
 			ctx, stop := context.WithCancel(context.Background())
 			told, ended := make(chan time.Time, 8), make(chan struct{})
 			t.Cleanup(func() { stop(); <-ended; s.Close() })
-			cfg := Config{Grace: time.Second}
+			cfg := Config{DrainGrace: time.Second}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
 			w := watcher{
 				log: quiet(), agent: newAgent(addrOf(s)), silence: watchSilence, known: true, version: 4,
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -18,34 +18,34 @@
 			set.Name,
 			r.cfg.Name,
 		), Label: set.Label, Listen: set.Listen, Peers: set.Peers, Folder: r.cfg.StateDir,
-		DestinationKinds: r.cfg.Settings.DestinationKinds, ShareQuota: set.ShareQuota, FleetSize: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, RequestStep: r.nudge,
+		DestinationKinds: r.cfg.Settings.DestinationKinds, ShareQuota: set.ShareQuota, FleetSize: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, RequestStep: r.requestStep,
 	})
-	r.rec.RecordFleet(r.fleet.Agent().Snapshot)
+	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
-// takeUpFleet tells a member that goes on for another process what that knew: the list, and what waits.
-func (r *Relay) takeUpFleet(whole policy.Event) {
+// restoreFleet tells a member that goes on for another process what that knew: the list, and what waits.
+func (r *Relay) restoreFleet(whole policy.Event) {
 	if r.fleet == nil {
 		return
 	}
 	evs, acts := []policy.Event{whole}, []policy.Action(nil)
 	for _, m := range r.inOrder() {
-		if m.ended {
+		if m.completed {
 			continue
 		}
-		evs = append(evs, r.resumed(m))
-		if m.out > 0 {
+		evs = append(evs, r.recoveredEvent(m))
+		if m.inFlight > 0 {
 			acts = append(acts, policy.Action{Kind: policy.Send, MessageID: m.ID})
 		}
 	}
 	r.fleet.Step(r.now(), evs, acts, nil)
-	r.rec.RecordFleet(r.fleet.Agent().Snapshot)
+	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
-// nudge asks the loop for a step. It waits for nothing: a loop that has much to do takes its steps anyway.
-func (r *Relay) nudge() {
+// requestStep asks the loop for a step. It waits for nothing: a loop that has much to do takes its steps anyway.
+func (r *Relay) requestStep() {
 	select {
-	case r.events <- nudge{}:
+	case r.events <- tick{}:
 	default:
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -24,18 +24,18 @@
 	c, err := LoadConfig(func(name string) string {
 		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": "/var/lib/state"}[name]
 	})
-	if err != nil || c.Unread != nil {
-		t.Fatal(err, c.Unread)
+	if err != nil || c.KnownErr != nil {
+		t.Fatal(err, c.KnownErr)
 	}
 	s := c.Settings
 	all := []setting{
 		{"name", c.Name},
 		{"listen", c.Listen},
-		{"discovery", c.Discovery},
-		{"management", c.Second},
+		{"discovery", c.DiscoveryAddr},
+		{"management", c.AdminListen},
 		{"seed", fmt.Sprintf("%016x", c.Seed)},
 		{"ROUTER_STATE", c.StateDir},
-		{"ROUTER_INHERITED_FD", c.Inherited},
+		{"ROUTER_INHERITED_FD", c.InheritedFD},
 		{"limits.cores", c.Limits.Cores},
 		{"limits.memory_mb", c.Limits.MemoryMB},
 		{"limits.sockets", c.Limits.Sockets},
@@ -45,11 +45,11 @@
 		{"zones", c.Zones},
 		{"kinds", c.Kinds},
 		{"tick_ms", c.Tick},
-		{"stats", c.Reports},
+		{"stats", c.LoadReportFields},
 		{"bounds.connect_timeout_ms", c.ConnectTimeout},
 		{"bounds.keepalive_ms", c.KeepAlive},
-		{"bounds.may_duplicate", c.MayDuplicate},
-		{"rules.stop_sending_within_ms", c.Grace},
+		{"bounds.may_duplicate", c.AllowHedging},
+		{"rules.stop_sending_within_ms", c.DrainGrace},
 		{"fleet_size", s.FleetSize},
 		{"extra.call_slots", s.MaxInFlightCalls},
 		{"bounds.open_cap", s.MaxPendingMessages},
@@ -134,10 +134,10 @@
 	for _, x := range []struct{ name, got string }{
 		{"ROUTER_NAME", c.Name},
 		{"ROUTER_LISTEN", c.Listen},
-		{"ROUTER_DISCOVERY", c.Discovery},
+		{"ROUTER_DISCOVERY", c.DiscoveryAddr},
 		{"ROUTER_STATE", c.StateDir},
-		{"ROUTER_MANAGEMENT", c.Second},
-		{"ROUTER_INHERITED_FD", c.Inherited},
+		{"ROUTER_MANAGEMENT", c.AdminListen},
+		{"ROUTER_INHERITED_FD", c.InheritedFD},
 	} {
 		if x.got != env[x.name] {
 			t.Errorf("%s is read as %q, want %q", x.name, x.got, env[x.name])
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -91,7 +91,7 @@
 func newHosts(cfg Config, log *slog.Logger, written func(int)) *hosts {
 	return &hosts{
 		pool:    newPool(cfg),
-		reports: cfg.Reports,
+		reports: cfg.LoadReportFields,
 		written: written,
 		log:     log,
 		spoilt:  ratelog.Warning{Message: "spoilt answer"},
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -24,7 +24,7 @@
 const patience = 10 * time.Second // longer than any condition takes
 
 func testConfig() Config {
-	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
+	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, LoadReportFields: []string{"x0", "x1"}}
 	c.setDefaults()
 	return c
 }
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -61,10 +61,10 @@
 					t.Fatalf("%s: %v", c.name, err)
 				}
 				hosts := len(cfg.Known.Entries)
-				if cfg.Long != nil {
-					hosts = cfg.Long.EndpointCount()
+				if cfg.KnownCatalog != nil {
+					hosts = cfg.KnownCatalog.EndpointCount()
 				}
-				if (cfg.Unread != nil) != (c.hosts < 0) ||
+				if (cfg.KnownErr != nil) != (c.hosts < 0) ||
 					keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) ||
 					!keep && hosts != 0 {
 					t.Errorf(
@@ -73,7 +73,7 @@
 						keep,
 						hosts,
 						cfg.Known.Version,
-						cfg.Unread,
+						cfg.KnownErr,
 					)
 				}
 				if want := oldShape(t, text); !reload.Equal(
@@ -121,7 +121,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
-	if err != nil || again.Long != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Config, again.Config) {
+	if err != nil || again.KnownCatalog != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Config, again.Config) {
 		t.Fatalf("%v, %d hosts", err, len(again.Known.Entries))
 	}
 	if err := r.Reload(again, nil); err != nil || r.catalog.EndpointCount() != 40_000 {
@@ -156,7 +156,7 @@
 			if a := decide(old, newHandIn("m", 61, 9*time.Second))[0]; a.status != 202 {
 				t.Fatalf("%+v", a)
 			}
-			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.status != 202 || len(old.calling) != 1 {
+			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.status != 202 || len(old.activeCalls) != 1 {
 				t.Fatalf("%+v", a)
 			}
 			cfg, err := parseConfig(fmt.Appendf(
@@ -177,8 +177,8 @@
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
 			w := r.newWatcher()
-			if !w.whole || r.catalog.EndpointCount() != 6002 || !r.large.Load() || r.held != 2 {
-				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.EndpointCount(), r.held)
+			if !w.whole || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
+				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.EndpointCount(), r.pending)
 			}
 			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 ||
 				got[61][0].InService {
@@ -196,7 +196,7 @@
 				t,
 				r,
 				"the one that waited is delivered",
-				func() bool { return requests.Load() == was+1 && len(r.calling) == 0 },
+				func() bool { return requests.Load() == was+1 && len(r.activeCalls) == 0 },
 			)
 			r.deliver(t, requests, "later", 60)
 		})
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -15,32 +15,32 @@
 
 // tellLong has the loop's part take a list as a long one comes, with a step after every few slices.
 func tellLong(r *Relay, full bool, version int64, entries []entry) {
-	give := func(p *part) bool {
-		p.done = make(chan bool, 1)
-		if p.stage == listOpens {
+	give := func(p *snapshotPart) bool {
+		p.reply = make(chan bool, 1)
+		if p.kind == snapshotBegin {
 			r.step([]any{p})
 		} else {
-			r.gather(nil, p)
+			r.collect(nil, p)
 		}
-		return <-p.done
+		return <-p.reply
 	}
-	give(&part{stage: listOpens})
+	give(&snapshotPart{kind: snapshotBegin})
 	for some := range slices.Chunk(entries, 7) {
-		give(&part{stage: listSlice, entries: some})
+		give(&snapshotPart{kind: snapshotEntries, entries: some})
 		if len(some)%2 == 0 {
 			r.step(nil)
 		}
 	}
-	for full && !give(&part{stage: listSweep}) {
+	for full && !give(&snapshotPart{kind: snapshotSweep}) {
 	}
-	give(&part{stage: listCloses, version: version})
+	give(&snapshotPart{kind: snapshotEnd, version: version})
 	r.step(nil)
 }
 
 // ofModule is what a module knows of the list, by destination and route.
 func ofModule(r *Relay) map[int][]policy.Endpoint {
 	known := map[int][]policy.Endpoint{}
-	views, _ := r.sender.Views()
+	views, _ := r.engine.Views()
 	for _, v := range views {
 		known[v.Destination] = append(known[v.Destination], v.Endpoint)
 	}
@@ -51,7 +51,7 @@
 func ofAwake(r *Relay) map[int][]policy.Endpoint {
 	known := map[int][]policy.Endpoint{}
 	for e := range r.catalog.All() {
-		if r.awake.Contains(e.Destination) {
+		if r.workingSet.Contains(e.Destination) {
 			known[e.Destination] = append(known[e.Destination], e.Endpoint)
 		}
 	}
@@ -77,9 +77,9 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		r := newTestRelay(t)
-		r.enlarge()
-		r.awake = catalog.NewWorkingSet(restFor)
-		r.awake.Activate(7, r.now())
+		r.switchToLargeList()
+		r.workingSet = catalog.NewWorkingSet(restFor)
+		r.workingSet.Activate(7, r.now())
 		model := map[string]entry{}
 		for e := range r.catalog.All() {
 			model[e.ID] = entry{Endpoint: e}
@@ -129,7 +129,7 @@
 				for range rng.IntN(3) {
 					select {
 					case e := <-r.events:
-						r.step(r.gather(nil, e))
+						r.step(r.collect(nil, e))
 					case <-time.After(20 * time.Millisecond):
 						r.step(nil)
 					}
@@ -161,21 +161,21 @@
 		liveText("s-c", "127.0.0.1:1", 51, "ready"),
 	)
 	tellLong(r, true, 2, entries)
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.awake.Contains(50) ||
-		r.awake.Contains(51) {
+	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.workingSet.Contains(50) ||
+		r.workingSet.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
 	news := func(entries []entry) (told []policy.Endpoint) {
 		r.catalog.BeginSnapshot()
-		for _, p := range []*part{{stage: listSlice, entries: entries}, {stage: listSweep}, {stage: listCloses, version: 3}} {
-			p.done = make(chan bool, 1)
-			r.gather(nil, p)
-			<-p.done
+		for _, p := range []*snapshotPart{{kind: snapshotEntries, entries: entries}, {kind: snapshotSweep}, {kind: snapshotEnd, version: 3}} {
+			p.reply = make(chan bool, 1)
+			r.collect(nil, p)
+			<-p.reply
 		}
-		for _, e := range r.later {
+		for _, e := range r.deferredEvents {
 			told = append(told, e.Endpoints...)
 		}
-		r.later = nil
+		r.deferredEvents = nil
 		return told
 	}
 	if told := news(entries); len(told) != 0 {
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -32,7 +32,7 @@
 		r := newTestRelay(t)
 		r.step([]any{List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}})
 		known, ok := r.catalog.Endpoint("s-1")
-		views, _ := r.sender.Views()
+		views, _ := r.engine.Views()
 		if ok != c.listed || len(views) != r.catalog.EndpointCount() ||
 			c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
 			t.Errorf("%v, whole %v: listed %v %+v, in the module %+v", c.entries, c.full, ok, known, views)
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -92,8 +92,8 @@
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*part); ok {
-					p.done <- true
+				if p, ok := e.(*snapshotPart); ok {
+					p.reply <- true
 				}
 			case <-ended:
 				return
@@ -108,7 +108,7 @@
 	for end := time.Now().Add(patience); !ok(); {
 		select {
 		case e := <-r.events:
-			if batch := r.gather(nil, e); len(batch) > 0 || len(r.later) > 0 {
+			if batch := r.collect(nil, e); len(batch) > 0 || len(r.deferredEvents) > 0 {
 				r.step(batch)
 			}
 		case <-time.After(time.Millisecond):
@@ -158,7 +158,7 @@
 		t,
 		r,
 		fmt.Sprintf("%d messages of %q are delivered", len(dests), ids),
-		func() bool { return int(requests.Load()) == was+len(dests) && len(r.calling) == 0 },
+		func() bool { return int(requests.Load()) == was+len(dests) && len(r.activeCalls) == 0 },
 	)
 }
 
@@ -176,8 +176,8 @@
 	first, last := liveText("s-1", addr, 7, "ready"), liveText("s-last", addr, 99, "ready")
 	follow(t, r, a)
 	a.tell(t, r, listText(2, dests, first, last))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
-	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.large.Load() {
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
+	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
 		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
@@ -185,11 +185,11 @@
 		t.Errorf("the module knows %d destinations", n)
 	}
 	a.tell(t, r, listText(3, dests, first, last))
-	drive(t, r, "the list once more", func() bool { return r.version == 3 })
+	drive(t, r, "the list once more", func() bool { return r.listVersion == 3 })
 	a.tell(t, r, []byte(`{"version":4,"servers":[`+hostText(8, 4, "draining")+`,`+hostText(10, 5, "gone")+"]}\n"))
-	drive(t, r, "changes", func() bool { return r.version == 4 })
-	if r.draining != 1 || r.catalog.EndpointCount() != 2*dests+1 {
-		t.Errorf("%d hosts drain of %d", r.draining, r.catalog.EndpointCount())
+	drive(t, r, "changes", func() bool { return r.listVersion == 4 })
+	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
+		t.Errorf("%d hosts drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
 	a.tell(
 		t,
@@ -208,7 +208,7 @@
 			)+"]}\n",
 		),
 	)
-	drive(t, r, "changes of what is in use", func() bool { return r.version == 5 })
+	drive(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
 	drive(t, r, "the module hears of them", func() bool {
 		known := ofModule(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
@@ -233,7 +233,7 @@
 	next, nextRequests := rawHost(t, answers)
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 3000, liveText("s-old", old, 50, "draining")))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
@@ -253,7 +253,7 @@
 			follow(t, r, a)
 			for i, dest := range []int{50, 51, 50, 51} {
 				a.tell(t, r, listText(2+i, rest, liveText("s-moves", addr, dest, "ready")))
-				drive(t, r, "the list is known", func() bool { return r.version == int64(2+i) })
+				drive(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
 				r.deliver(t, requests, fmt.Sprint("m", i, "-"), dest)
 			}
 		})
@@ -271,7 +271,7 @@
 	}
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 1000, hosts...))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	run(t, r)
 	began := time.Now()
 	var clients sync.WaitGroup
@@ -339,11 +339,11 @@
 	told := <-a.written
 	was := nextRequests.Load()
 	eventually(t, "the other one is used", func() bool {
-		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.Grace+300*time.Millisecond
+		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.DrainGrace+300*time.Millisecond
 	})
 	lag := time.Unix(0, last.Load()).Sub(told)
 	t.Logf("%d entries of %d MB: the last request %v after the drain was written", longList, len(text)>>20, lag)
-	if lag > r.cfg.Grace {
+	if lag > r.cfg.DrainGrace {
 		t.Errorf("used %v after its drain was told", lag)
 	}
 }
@@ -379,8 +379,8 @@
 	asked("the start", "1")
 	a.tell(t, r, append(bytes.Clone(half), "CUT"...))
 	asked("an end in an entry", "1")
-	if n := held(); n < 1000 || n > 2*dests || r.version != 1 {
-		t.Errorf("%d hosts, version %d", n, r.version)
+	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", n, r.listVersion)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok {
 		t.Error("a host is gone that the list had not come to yet")
@@ -388,11 +388,11 @@
 	r.deliver(t, requests, "a", 50)
 	a.tell(t, r, half) // and blank lines: they are a sign of life, but not for ever
 	asked("a list without end", "1")
-	if r.version != 1 {
-		t.Errorf("version %d", r.version)
+	if r.listVersion != 1 {
+		t.Errorf("version %d", r.listVersion)
 	}
 	a.tell(t, r, whole)
-	drive(t, r, "the whole list", func() bool { return r.version == 9 })
+	drive(t, r, "the whole list", func() bool { return r.listVersion == 9 })
 	if n := held(); n != 2*dests+1 {
 		t.Errorf("%d hosts", n)
 	}
@@ -407,7 +407,7 @@
 	follow(t, r, a)
 	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
 		a.tell(t, r, listText(l.version, l.dests))
-		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.version == int64(l.version) })
+		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
 		if r.catalog.EndpointCount() != 2*l.dests {
 			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
 		}
@@ -432,9 +432,9 @@
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+hostText(0, 0, "draining")+"]}\n"...))
-			drive(t, r, "the list", func() bool { return r.version == 8 })
-			if r.draining != 1 || r.catalog.EndpointCount() != 2*dests {
-				t.Errorf("%d of %d hosts drain", r.draining, r.catalog.EndpointCount())
+			drive(t, r, "the list", func() bool { return r.listVersion == 8 })
+			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
+				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
 		})
 	}
@@ -462,8 +462,8 @@
 	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
 		t.Errorf("logged %d times: %s", n, text)
 	}
-	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.version != 1 {
-		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.version)
+	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.listVersion)
 	}
 }
 
@@ -558,7 +558,7 @@
 			settingsJSON,
 		),
 	)
-	if err != nil || cfg.Long == nil || cfg.Long.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
+	if err != nil || cfg.KnownCatalog == nil || cfg.KnownCatalog.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
 		cfg.Known.Version != 4 {
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
@@ -569,18 +569,18 @@
 	}
 	r.callCtx = t.Context()
 	t.Cleanup(func() { r.hosts.close(); r.calls.Wait() })
-	if !r.listed.Load() || r.version != 4 {
-		t.Errorf("ready %v, version %d", r.listed.Load(), r.version)
+	if !r.endpointsKnown.Load() || r.listVersion != 4 {
+		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
-	r.resume()
+	r.recoverState()
 	drive(
 		t,
 		r,
 		"the one whose destination is known is delivered",
-		func() bool { return requests.Load() == 1 && len(r.calling) == 0 },
+		func() bool { return requests.Load() == 1 && len(r.activeCalls) == 0 },
 	)
-	if n := len(ofModule(r)); n != 1 || r.held != 1 {
-		t.Errorf("the module knows %d destinations, %d messages are held", n, r.held)
+	if n := len(ofModule(r)); n != 1 || r.pending != 1 {
+		t.Errorf("the module knows %d destinations, %d messages are held", n, r.pending)
 	}
 	tellLong(r, false, 5, entriesOf(r, liveText("s-60000", addr, 60_000, "ready")))
 	drive(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -228,7 +228,7 @@
 	r := newTestRelay(t)
 	ctx, stop := context.WithCancel(context.Background())
 	go r.loop(ctx)
-	defer func() { stop(); <-r.over }()
+	defer func() { stop(); <-r.loopDone }()
 	ours, peer := pair(t)
 	x := &client{conn: newConn(ours), phase: idle, since: time.Now()}
 	r.clients.mu.Lock()
--- a/internal/relay/parts.go
+++ b/internal/relay/parts.go
@@ -11,9 +11,9 @@
 
 // parts is the way of a long list to the loop: one part at a time, while the next one is read.
 type parts struct {
-	post  func(*part) bool // false: nobody takes parts any more
-	over  <-chan struct{}  // closed then
-	large func() bool      // all lists go this way that are not short changes; nil: none do
+	post  func(*snapshotPart) bool // false: nobody takes parts any more
+	over  <-chan struct{}          // closed then
+	large func() bool              // all lists go this way that are not short changes; nil: none do
 
 	out chan bool // answers the part that was handed over last
 }
@@ -21,14 +21,14 @@
 var errOver = errors.New("the relay ends")
 
 // hand waits for the answer to the part before and hands over the next one.
-func (x *parts) hand(p *part) error {
+func (x *parts) hand(p *snapshotPart) error {
 	if _, err := x.answer(); err != nil {
 		return err
 	}
-	if p.done = make(chan bool, 1); x.post == nil || !x.post(p) {
+	if p.reply = make(chan bool, 1); x.post == nil || !x.post(p) {
 		return errOver
 	}
-	x.out = p.done
+	x.out = p.reply
 	return nil
 }
 
@@ -47,7 +47,7 @@
 }
 
 // ask hands over a part and waits for its answer.
-func (x *parts) ask(p *part) (ok bool, err error) {
+func (x *parts) ask(p *snapshotPart) (ok bool, err error) {
 	if err := x.hand(p); err != nil {
 		return false, err
 	}
@@ -57,7 +57,7 @@
 // most is how many entries a list may have that is told as a whole.
 func (x *parts) most() int {
 	if x.large != nil && x.large() {
-		return sliceMost
+		return maxPartEntries
 	}
 	return catalog.MaxEagerEndpoints
 }
@@ -81,10 +81,10 @@
 		lists.begun = func() func() bool { return time.AfterFunc(w.within, func() { how.stop(errEndless) }).Stop }
 	}
 	err := lists.next(&head, func(e entry) error {
-		if read++; read%sliceMost == 0 {
+		if read++; read%maxPartEntries == 0 {
 			how.moves()
 		}
-		if entries = append(entries, e); !long && len(entries) <= w.long.most() || long && len(entries) < sliceMost {
+		if entries = append(entries, e); !long && len(entries) <= w.long.most() || long && len(entries) < maxPartEntries {
 			return nil
 		}
 		if !long {
@@ -92,7 +92,7 @@
 			passed = !how.whole && !head.Full && how.known != math.MinInt64 &&
 				(!head.versioned || head.Version <= how.known)
 			if !passed {
-				if _, err := w.long.ask(&part{stage: listOpens}); err != nil {
+				if _, err := w.long.ask(&snapshotPart{kind: snapshotBegin}); err != nil {
 					return err
 				}
 			}
@@ -101,12 +101,12 @@
 			entries = entries[:0]
 			return nil
 		}
-		for len(entries) >= sliceMost {
-			if err := w.long.hand(&part{stage: listSlice, entries: entries[:sliceMost:sliceMost]}); err != nil {
+		for len(entries) >= maxPartEntries {
+			if err := w.long.hand(&snapshotPart{kind: snapshotEntries, entries: entries[:maxPartEntries:maxPartEntries]}); err != nil {
 				return err
 			}
 			// The part before this one has been taken: what it stood in is free.
-			rest := entries[sliceMost:]
+			rest := entries[maxPartEntries:]
 			entries, spare = append(spare[:0], rest...), entries[:0]
 			how.moves()
 		}
@@ -129,7 +129,7 @@
 		}
 		return nil
 	case !long:
-		if _, err := w.long.ask(&part{stage: listOpens}); err != nil {
+		if _, err := w.long.ask(&snapshotPart{kind: snapshotBegin}); err != nil {
 			return err
 		}
 	}
@@ -138,16 +138,16 @@
 
 // close tells the rest of a long list, and that it is at its end.
 func (w *watcher) close(entries []entry, version int64, full bool, moves func()) error {
-	if _, err := w.long.ask(&part{stage: listSlice, entries: entries}); err != nil {
+	if _, err := w.long.ask(&snapshotPart{kind: snapshotEntries, entries: entries}); err != nil {
 		return err
 	}
 	for done := !full; !done; moves() {
 		var err error
-		if done, err = w.long.ask(&part{stage: listSweep}); err != nil {
+		if done, err = w.long.ask(&snapshotPart{kind: snapshotSweep}); err != nil {
 			return err
 		}
 	}
-	held, err := w.long.ask(&part{stage: listCloses, version: version})
+	held, err := w.long.ask(&snapshotPart{kind: snapshotEnd, version: version})
 	if err != nil {
 		return err
 	}
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -7,26 +7,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 )
 
-// recentMost bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
-const recentMost = 4096
+// maxFinishedMessages bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
+const maxFinishedMessages = 4096
 
-// recent are the messages of this process, and of one that handed over to it, that have ended and of which nothing is
-// owed any more, for as long as they had time. A client whose answer was lost with its connection hands its message in
-// once more under the same id, and that may be after its delivery.
-type recent struct {
-	ended map[string]ending
-	order []string // their ids, as they ended
+// finishedMessages are the messages of this process, and of one that handed over to it, that have ended and of which
+// nothing is owed any more, for as long as they had time. A client whose answer was lost with its connection hands its
+// message in once more under the same id, and that may be after its delivery.
+type finishedMessages struct {
+	replies map[string]finishedReply
+	order   []string // their ids, as they ended
 }
 
-// ending is what a message's client is told if it comes again, and until when.
-type ending struct {
+// finishedReply is what a message's client is told if it comes again, and until when.
+type finishedReply struct {
 	answer answer
 	until  time.Time
 }
 
 // add remembers a message, if handing it in again could make it run once more.
-func (r *recent) add(m *message) {
-	e := ending{until: m.Deadline}
+func (r *finishedMessages) add(m *message) {
+	e := finishedReply{until: m.Deadline}
 	switch {
 	case len(m.UncertainAttempts) == 0: // it surely never ran: it may come as a new one
 		return
@@ -37,45 +37,45 @@
 	default:
 		e.answer = finalAnswer(*m.Final)
 	}
-	r.keep(m.TraceID, e)
+	r.put(m.TraceID, e)
 }
 
-func (r *recent) keep(trace string, e ending) {
-	if r.ended == nil {
-		r.ended = map[string]ending{}
+func (r *finishedMessages) put(trace string, e finishedReply) {
+	if r.replies == nil {
+		r.replies = map[string]finishedReply{}
 	}
-	if _, known := r.ended[trace]; !known {
+	if _, known := r.replies[trace]; !known {
 		r.order = append(r.order, trace)
 	}
-	r.ended[trace] = e
+	r.replies[trace] = e
 }
 
-// told is what the next process should know of them, and hear takes it there.
-func (r *recent) told() (ended []hotrestart.FinishedMessage) {
+// export is what the next process should know of them, and hear takes it there.
+func (r *finishedMessages) export() (ended []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
-		e := r.ended[trace]
+		e := r.replies[trace]
 		ended = append(ended, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
 	}
 	return ended
 }
 
-func (r *recent) hear(ended []hotrestart.FinishedMessage) {
+func (r *finishedMessages) restore(ended []hotrestart.FinishedMessage) {
 	for _, e := range ended {
-		r.keep(e.TraceID, ending{answer{status: e.Status}, e.Until})
+		r.put(e.TraceID, finishedReply{answer{status: e.Status}, e.Until})
 	}
 }
 
-// again is the answer to a hand-in under the id of a message that has ended; false if none is remembered.
-func (r *recent) again(trace string, now time.Time) (answer, bool) {
-	e, ok := r.ended[trace]
+// reply is the answer to a hand-in under the id of a message that has ended; false if none is remembered.
+func (r *finishedMessages) reply(trace string, now time.Time) (answer, bool) {
+	e, ok := r.replies[trace]
 	return e.answer, ok && now.Before(e.until)
 }
 
-// forget drops what nobody can hand in any more, and the oldest beyond the bound.
-func (r *recent) forget(now time.Time) {
+// expire drops what nobody can hand in any more, and the oldest beyond the bound.
+func (r *finishedMessages) expire(now time.Time) {
 	n := 0
-	for n < len(r.order) && (len(r.order)-n > recentMost || !now.Before(r.ended[r.order[n]].until)) {
-		delete(r.ended, r.order[n])
+	for n < len(r.order) && (len(r.order)-n > maxFinishedMessages || !now.Before(r.replies[r.order[n]].until)) {
+		delete(r.replies, r.order[n])
 		n++
 	}
 	if r.order = r.order[n:]; len(r.order) == 0 {
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -34,38 +34,38 @@
 			r.catalog.RememberDestination(dest)
 			in := newHandIn("m1", dest, 5*time.Second)
 			decide(r, in)
-			m := r.msgs[in.m.ID]
+			m := r.messages[in.message.ID]
 			if c.result != nil {
 				at := journal.Attempt{Number: 0, Endpoint: "s-8", SentAt: time.Now()}
 				if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: at}); err != nil {
 					t.Fatal(err)
 				}
-				m.sends, m.out = 1, 1
+				m.attemptsStarted, m.inFlight = 1, 1
 				a := &attempt{call: &call{route: "s-8", sent: at.SentAt}, m: m}
-				r.out++
+				r.callsInFlight++
 				a.call.attempts = []*attempt{a}
 				if c.left {
-					r.step([]any{withdrawal{m.ID}})
+					r.step([]any{cancelEvent{m.ID}})
 				}
-				r.step([]any{&callEnd{a.call, []result{*c.result}}})
+				r.step([]any{&callFinished{a.call, []result{*c.result}}})
 			}
 			if c.final != nil {
 				act := *c.final
 				act.MessageID = m.ID
-				r.carryOut([]policy.Action{act}, nil)
-				r.step([]any{confirmed{[]uint32{m.ID}}})
+				r.execute([]policy.Action{act}, nil)
+				r.step([]any{notificationsAcked{[]uint32{m.ID}}})
 			}
-			if r.msgs[m.ID] != nil || r.traces["m1"] != nil {
+			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
 				t.Fatal("it is not forgotten")
 			}
 			again := newHandIn("m1", dest, 5*time.Second)
 			if a := decide(r, again)[0]; a.status != c.status {
 				t.Errorf("answer %+v, want %d", a, c.status)
 			}
-			if _, old := r.recent.again("m1", m.Deadline); old {
+			if _, old := r.finished.reply("m1", m.Deadline); old {
 				t.Error("remembered past its time")
 			}
-			if taken := r.traces["m1"] != nil; taken != c.taken {
+			if taken := r.messagesByTrace["m1"] != nil; taken != c.taken {
 				t.Errorf("taken as a new one: %v", taken)
 			}
 		})
@@ -74,9 +74,9 @@
 
 // What is remembered is bounded, in number and time.
 func TestWhatIsRememberedIsBounded(t *testing.T) {
-	var r recent
+	var r finishedMessages
 	now := time.Now()
-	for i := range 3 * recentMost {
+	for i := range 3 * maxFinishedMessages {
 		r.add(
 			&message{
 				Message: &journal.Message{
@@ -86,14 +86,14 @@
 				},
 			},
 		)
-		r.forget(now)
+		r.expire(now)
 	}
-	if _, last := r.ended[fmt.Sprint(3*recentMost-1)]; len(r.ended) != recentMost || len(r.order) != recentMost ||
+	if _, last := r.replies[fmt.Sprint(3*maxFinishedMessages-1)]; len(r.replies) != maxFinishedMessages || len(r.order) != maxFinishedMessages ||
 		!last {
-		t.Errorf("%d ended, %d in order, the last among them: %v", len(r.ended), len(r.order), last)
+		t.Errorf("%d ended, %d in order, the last among them: %v", len(r.replies), len(r.order), last)
 	}
-	if r.forget(now.Add(2 * time.Hour)); len(r.ended) != 0 || r.order != nil {
-		t.Errorf("%d ended after their time", len(r.ended))
+	if r.expire(now.Add(2 * time.Hour)); len(r.replies) != 0 || r.order != nil {
+		t.Errorf("%d ended after their time", len(r.replies))
 	}
 }
 
@@ -102,7 +102,7 @@
 func TestWhatCannotBeDatedRanBeforeAnyWindow(t *testing.T) {
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
-		r.terms.Settings.Classes[0].DedupWindow = window
+		r.activeConfig.Settings.Classes[0].DedupWindow = window
 		m := &message{
 			Message: &journal.Message{
 				Deadline:          time.Now(),
@@ -110,7 +110,7 @@
 				UncertainAttempts: []journal.Attempt{{SentAt: time.Now(), Undated: true}},
 			},
 		}
-		if ago := r.resumed(m).Recovered.SinceFirstRun; ago < max(longAgoRan, window) {
+		if ago := r.recoveredEvent(m).Recovered.SinceFirstRun; ago < max(unknownRunAge, window) {
 			t.Errorf("window %v: ran %v ago", window, ago)
 		}
 	}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -14,10 +14,10 @@
 // recording is the relay's flight recorder and where its recordings go. A nil one records nothing.
 type recording struct {
 	*flightrecorder.Recorder
-	set    operatorfile.Recorder
-	folder flightrecorder.Folder
-	out    io.Writer // the log, where there is no folder
-	log    *slog.Logger
+	settings operatorfile.Recorder
+	folder   flightrecorder.Folder
+	out      io.Writer // the log, where there is no folder
+	log      *slog.Logger
 }
 
 // newRecording begins a recording of a module that knows nothing yet, or, with now over 0, of one in mid-life.
@@ -44,17 +44,17 @@
 	}
 	return &recording{
 		Recorder: rec(meta, set.Ring(), sender.Snapshot),
-		set:      set, folder: flightrecorder.Folder{Path: set.Folder, Limit: int64(set.FolderMB * (1 << 20)), Name: cfg.Name}, out: out, log: log,
+		settings: set, folder: flightrecorder.Folder{Path: set.Folder, Limit: int64(set.FolderMB * (1 << 20)), Name: cfg.Name}, out: out, log: log,
 	}
 }
 
 // run writes the recording out as it goes on, where that is asked for, until ctx ends.
 func (r *recording) run(ctx context.Context) {
-	if r.Recorder == nil || r.set.Write != operatorfile.WriteAll {
+	if r.Recorder == nil || r.settings.Write != operatorfile.WriteAll {
 		return
 	}
 	var err error
-	if r.set.Folder != "" {
+	if r.settings.Folder != "" {
 		err = r.folder.Follow(ctx, r.Recorder)
 	} else {
 		err = flightrecorder.FollowLog(ctx, r.Recorder, r.out)
@@ -64,14 +64,14 @@
 	}
 }
 
-// keep writes out what the ring holds.
-func (r *recording) keep(reason string) {
+// dump writes out what the ring holds.
+func (r *recording) dump(reason string) {
 	if r.Recorder == nil {
 		r.log.Warn("no recording is kept: the recorder is off")
 		return
 	}
 	path, err := "the log", error(nil)
-	if r.set.Folder != "" {
+	if r.settings.Folder != "" {
 		path, err = r.folder.Dump(r.Recorder, reason)
 	} else {
 		err = flightrecorder.DumpToLog(r.Recorder, reason, r.out)
@@ -83,38 +83,38 @@
 	r.log.Info("recording kept", "reason", reason, "in", path)
 }
 
-// KeepRecording keeps what the flight recorder's ring holds. It may be called at any time, from any goroutine.
-func (r *Relay) KeepRecording(reason string) { r.kept.Load().keep(reason) }
+// DumpRecording keeps what the flight recorder's ring holds. It may be called at any time, from any goroutine.
+func (r *Relay) DumpRecording(reason string) { r.sharedRecorder.Load().dump(reason) }
 
-// keepOnPanic keeps the recording of a loop that panics, and lets it. It must be deferred.
-func (r *Relay) keepOnPanic() {
+// dumpOnPanic keeps the recording of a loop that panics, and lets it. It must be deferred.
+func (r *Relay) dumpOnPanic() {
 	if x := recover(); x != nil {
-		r.rec.keep("crash")
+		r.recorder.dump("crash")
 		panic(x)
 	}
 }
 
 // decide has the module take a step, and records it.
 func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
-	if r.large.Load() {
-		events = r.rouse(now, events)
+	if r.largeList.Load() {
+		events = r.wakeDestinations(now, events)
 	}
-	acts := r.sender.Step(now, events)
+	acts := r.engine.Step(now, events)
 	if r.fleet == nil {
-		r.rec.Step(now, events, acts)
+		r.recorder.Step(now, events, acts)
 		return acts
 	}
 	beside, told := r.fleet.Step(
 		now,
 		events,
 		acts,
-		func() []policy.EndpointView { views, _ := r.sender.Views(); return views },
+		func() []policy.EndpointView { views, _ := r.engine.Views(); return views },
 	)
-	if r.rec.Recorder != nil {
-		r.rec.StepWithFleet(now, events, acts, beside.Append(nil))
+	if r.recorder.Recorder != nil {
+		r.recorder.StepWithFleet(now, events, acts, beside.Append(nil))
 	}
-	if r.later = append(r.later, told...); len(told) > 0 {
-		r.nudge() // the module hears it in a step of its own, soon
+	if r.deferredEvents = append(r.deferredEvents, told...); len(told) > 0 {
+		r.requestStep() // the module hears it in a step of its own, soon
 	}
 	return acts
 }
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -40,9 +40,9 @@
 			t,
 			operatorfile.Recorder{Enabled: true, RingMB: 1, Write: operatorfile.WriteKept, Folder: folder, FolderMB: 2},
 		)
-		r.resume()
-		r.post(nudge{})
-		r.post(&callEnd{}) // a call that there is not
+		r.recoverState()
+		r.post(tick{})
+		r.post(&callFinished{}) // a call that there is not
 		crashed := func() (x any) {
 			defer func() { x = recover() }()
 			r.loop(t.Context())
@@ -71,7 +71,7 @@
 
 func TestWithoutARecorderNothingIsKept(t *testing.T) {
 	r, out := withRecorder(t, operatorfile.Recorder{})
-	r.KeepRecording("SIGUSR1")
+	r.DumpRecording("SIGUSR1")
 	if !bytes.Contains(out.Bytes(), []byte("recorder is off")) {
 		t.Errorf("%s", out)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); r.calls.Wait() })
 	r.callCtx = ctx
-	r.resume()
+	r.recoverState()
 	return r
 }
 
@@ -171,7 +171,7 @@
 	t.Helper()
 	c := dial(t, addr, handInText(id))
 	for {
-		if _, ok := r.next().(*handIn); ok {
+		if _, ok := r.next().(*submitEvent); ok {
 			break
 		}
 	}
@@ -223,11 +223,11 @@
 	noticed(t, r)
 	r.step([]any{e})
 	for {
-		if _, ok := r.next().(withdrawal); ok {
+		if _, ok := r.next().(cancelEvent); ok {
 			break
 		}
 	}
-	settle(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be out
+	settle(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
 }
 
 // A message that comes once more because its connection closed crosswise is the same message.
@@ -239,8 +239,8 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	if len(r.msgs) != 1 {
-		t.Errorf("%d messages held", len(r.msgs))
+	if len(r.messages) != 1 {
+		t.Errorf("%d messages held", len(r.messages))
 	}
 }
 
@@ -254,8 +254,8 @@
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
 	}
-	if len(r.msgs) != 0 || r.held != 0 || r.out != 0 {
-		t.Errorf("%d held, %d out", r.held, r.out)
+	if len(r.messages) != 0 || r.pending != 0 || r.callsInFlight != 0 {
+		t.Errorf("%d held, %d out", r.pending, r.callsInFlight)
 	}
 }
 
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := r.list(l)
+	e := r.applyList(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
 	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 ||
@@ -404,7 +404,7 @@
 				Body:           make([]byte, size),
 			},
 		}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
+		calls = r.addToCalls(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
@@ -447,7 +447,7 @@
 		t.Fatal(err)
 	}
 	again.callCtx = t.Context()
-	again.resume()
+	again.recoverState()
 	t.Cleanup(func() { again.calls.Wait() })
 	doubtful := map[string]bool{}
 	for _, n := range again.finals.queue {
@@ -456,8 +456,8 @@
 	if !doubtful["m100"] || !doubtful["m109"] || doubtful["m299"] {
 		t.Errorf("notices %+v", again.finals.queue)
 	}
-	if m := again.traces["m299"]; again.held < 10 || m == nil || m.ended {
-		t.Errorf("%d held: what stands behind the damage is to go on", again.held)
+	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
+		t.Errorf("%d held: what stands behind the damage is to go on", again.pending)
 	}
 }
 
@@ -524,14 +524,14 @@
 		if err := r.journal.Accept(ran, new); err != nil {
 			t.Fatal(err)
 		}
-		r.found = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
-		if left := r.taken(&message{Message: new}).TimeLeft; left > class.Deadline {
+		r.recovery = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
+		if left := r.acceptedEvent(&message{Message: new}).TimeLeft; left > class.Deadline {
 			t.Errorf("back by %v: %v left", back, left)
 		}
-		r.resume()
+		r.recoverState()
 		if given := len(r.finals.queue) == 1 && r.finals.queue[0].ID == "ran"; given != (back > 0) ||
-			r.msgs[2] == nil ||
-			r.msgs[2].ended {
+			r.messages[2] == nil ||
+			r.messages[2].completed {
 			t.Errorf("back by %v: notices %+v", back, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -585,17 +585,17 @@
 				t.Fatal(err)
 			}
 		}
-		r.found = reopen(t, r, now)
-		if d := (r.found.ClockStep - step).Abs(); d > time.Millisecond {
-			t.Errorf("step %v: taken for %v", step, r.found.ClockStep)
+		r.recovery = reopen(t, r, now)
+		if d := (r.recovery.ClockStep - step).Abs(); d > time.Millisecond {
+			t.Errorf("step %v: taken for %v", step, r.recovery.ClockStep)
 		}
-		for _, m := range r.found.Messages {
+		for _, m := range r.recovery.Messages {
 			if left := time.Until(m.Deadline); left < 8*time.Second || left > 9*time.Second {
 				t.Errorf("step %v: %v left of 9 s", step, left)
 			}
 		}
-		r.resume()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" || r.msgs[2] == nil || r.msgs[2].ended {
+		r.recoverState()
+		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" || r.messages[2] == nil || r.messages[2].completed {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -627,10 +627,10 @@
 			t.Fatal(err)
 		}
 		reopen(t, r, bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 5 * time.Second})
-		if r.found = reopen(t, r, later); len(r.found.Messages) != 1 {
-			t.Fatalf("%d messages", len(r.found.Messages))
+		if r.recovery = reopen(t, r, later); len(r.recovery.Messages) != 1 {
+			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
-		r.resume()
+		r.recoverState()
 		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
@@ -665,7 +665,7 @@
 // run has the relay's loop run until the test ends.
 func run(t *testing.T, r *Relay) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); <-r.over })
+	t.Cleanup(func() { cancel(); <-r.loopDone })
 	go r.loop(ctx)
 }
 
@@ -679,7 +679,7 @@
 		r,
 		`{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`,
 	)
-	r.found = &journal.Recovery{Store: &store.Recovery{}}
+	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
 		m := &journal.Message{
 			ID:             uint32(i + 1),
@@ -691,9 +691,9 @@
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
-		r.found.Messages = append(r.found.Messages, m)
+		r.recovery.Messages = append(r.recovery.Messages, m)
 	}
-	r.resume()
+	r.recoverState()
 	run(t, r)
 	<-dialled
 	eventually(t, "the one whose time is up has its final answer", func() bool {
@@ -729,8 +729,8 @@
 		t.Fatal(err)
 	}
 	// as an earlier process left it
-	r.found = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
-	r.resume()
+	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
+	r.recoverState()
 	run(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -104,7 +104,7 @@
 			cfg.StateDir, cfg.Limits.DiskMB, cfg.Settings.MaxPendingMessages = t.TempDir(), c.diskMB, c.room
 			n, size := largest(t, cfg, c.body, c.sent)
 			fs := &countingFS{}
-			cfg.JournalThrough = func(under store.FS) store.FS { fs.FS = under; return fs }
+			cfg.WrapJournalFS = func(under store.FS) store.FS { fs.FS = under; return fs }
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -113,11 +113,11 @@
 				t.Fatal(err)
 			}
 			r.callCtx = t.Context()
-			r.resume()
+			r.recoverState()
 			runtime.ReadMemStats(&after)
 			t.Cleanup(func() { r.hosts.close(); r.calls.Wait(); r.journal.Close() })
 			did := map[string][2]int{ // and may do at most
-				"messages lost":         {n - len(r.msgs), 0},
+				"messages lost":         {n - len(r.messages), 0},
 				"reads":                 {fs.reads, 2*n + 100},
 				"bytes read":            {fs.read, int(2e6 * c.diskMB)},
 				"writes":                {fs.writes, 4},
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -16,143 +16,144 @@
 )
 
 const (
-	// Clients go by other settings from 1.2 s after SIGHUP on. Until overlapFor both bind.
-	overlapFor = 1500 * time.Millisecond
+	// Clients go by other settings from 1.2 s after SIGHUP on. Until configOverlap both bind.
+	configOverlap = 1500 * time.Millisecond
 	// A class that is no longer named is taken for so long: what was refused under it comes again.
-	droppedFor = 10 * time.Second
-	gaugesFor  = 300 * time.Millisecond // longest wait for the loop's own figures
+	removedClassGrace = 10 * time.Second
+	metricsTimeout    = 300 * time.Millisecond // longest wait for the loop's own figures
 )
 
 type (
-	newTerms struct {
-		terms reload.Config
-		turn  int
+	configChange struct {
+		config     reload.Config
+		generation int
 	}
-	gauges struct{ done chan struct{} } // asks for figures that are up to date
+	metricsRequest struct{ done chan struct{} } // asks for figures that are up to date
 )
 
 // Reload takes on what may change while the relay runs: the settings and discovery's address, or neither. err tells
 // that the file could not even be read. It must not be called by two goroutines at once.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
-		err = reload.Validate(r.settled, cfg.Config)
+		err = reload.Validate(r.latestConfig, cfg.Config)
 	}
 	if err != nil {
-		r.figures.ReloadErrors.Add(1)
+		r.metrics.ReloadErrors.Add(1)
 		return fmt.Errorf("relay: the configuration stays as it was: %w", err)
 	}
-	r.figures.Reloads.Add(1)
-	r.log.Info("configuration taken", "discovery", cfg.Discovery, "classes", cfg.ClassNames)
-	r.agent.move(cfg.Discovery)
-	if reload.Equal(r.settled, cfg.Config) {
+	r.metrics.Reloads.Add(1)
+	r.log.Info("configuration taken", "discovery", cfg.DiscoveryAddr, "classes", cfg.ClassNames)
+	r.agent.move(cfg.DiscoveryAddr)
+	if reload.Equal(r.latestConfig, cfg.Config) {
 		return nil
 	}
-	r.turn++
-	turn, old, fresh := r.turn, *r.door.Load(), cfg.Config
-	r.settled = fresh
-	r.change(old, fresh, turn)
+	r.latestGeneration++
+	turn, old, fresh := r.latestGeneration, *r.clientConfig.Load(), cfg.Config
+	r.latestConfig = fresh
+	r.scheduleConfig(old, fresh, turn)
 	return nil
 }
 
-// change has fresh terms take the place of old ones, by way of what binds while clients may go by either.
-func (r *Relay) change(old, fresh reload.Config, turn int) {
-	r.post(newTerms{reload.Transitional(old, fresh), turn})
+// scheduleConfig has fresh terms take the place of old ones, by way of what binds while clients may go by either.
+func (r *Relay) scheduleConfig(old, fresh reload.Config, turn int) {
+	r.post(configChange{reload.Transitional(old, fresh), turn})
 	leaving := reload.KeepRemovedClasses(old, fresh)
-	time.AfterFunc(overlapFor, func() { r.post(newTerms{leaving, turn}) })
-	time.AfterFunc(overlapFor+droppedFor, func() { r.post(newTerms{fresh, turn}) })
+	time.AfterFunc(configOverlap, func() { r.post(configChange{leaving, turn}) })
+	time.AfterFunc(configOverlap+removedClassGrace, func() { r.post(configChange{fresh, turn}) })
 }
 
-// reconfigure has other terms hold, unless later ones came meanwhile.
-func (r *Relay) reconfigure(e newTerms) {
-	if e.turn < r.turnNow {
+// changeConfig has other terms hold, unless later ones came meanwhile.
+func (r *Relay) changeConfig(e configChange) {
+	if e.generation < r.activeGeneration {
 		return
 	}
-	r.turnNow = e.turn
-	if err := r.sender.Reconfigure(e.terms.Settings); err != nil {
+	r.activeGeneration = e.generation
+	if err := r.engine.Reconfigure(e.config.Settings); err != nil {
 		r.log.Error("settings not taken", "err", err) // terms.Check has asked the module
 		return
 	}
-	r.rec.Reconfigured(e.terms.Settings)
-	r.hold(e.terms)
+	r.recorder.Reconfigured(e.config.Settings)
+	r.applyConfig(e.config)
 }
 
-// hold has the loop and the door go by terms.
-func (r *Relay) hold(t reload.Config) {
+// applyConfig has the loop and the door go by terms.
+func (r *Relay) applyConfig(t reload.Config) {
 	for _, class := range t.ClassNames {
-		r.figures.RegisterClass(class)
+		r.metrics.RegisterClass(class)
 	}
-	r.terms = t
-	r.door.Store(&t)
+	r.activeConfig = t
+	r.clientConfig.Store(&t)
 }
 
-// count counts the end of a message.
-func (r *Relay) count(m *journal.Message, e metrics.Result) {
+// countResult counts the end of a message.
+func (r *Relay) countResult(m *journal.Message, e metrics.Result) {
 	class := m.ClassName
-	if class == "" && m.Class >= 0 && m.Class < len(r.terms.ClassNames) {
-		class = r.terms.ClassNames[m.Class]
+	if class == "" && m.Class >= 0 && m.Class < len(r.activeConfig.ClassNames) {
+		class = r.activeConfig.ClassNames[m.Class]
 	}
-	r.figures.CountResult(class, e)
+	r.metrics.CountResult(class, e)
 }
 
-func finalEnd(f journal.FinalAnswer) metrics.Result {
+func finalResult(f journal.FinalAnswer) metrics.Result {
 	if f.Retryable {
 		return metrics.Rejected
 	}
 	return metrics.Failed
 }
 
-// gauge brings the loop's own figures up to date. A host is avoided while it drains, is skipped, or told to wait.
-func (r *Relay) gauge() {
-	r.figures.Pending.Store(int64(r.held))
-	r.figures.Members.Store(int64(r.catalog.EndpointCount()))
-	views, _ := r.sender.Views()
-	avoided, now := int64(r.draining), r.now()
+// updateGauges brings the loop's own figures up to date. A host is avoided while it drains, is skipped, or told to
+// wait.
+func (r *Relay) updateGauges() {
+	r.metrics.Pending.Store(int64(r.pending))
+	r.metrics.Members.Store(int64(r.catalog.EndpointCount()))
+	views, _ := r.engine.Views()
+	avoided, now := int64(r.drainingEndpoints), r.now()
 	for _, v := range views {
-		if v.InService && avoids(v, now) {
+		if v.InService && unavailable(v, now) {
 			avoided++
 		}
 	}
-	r.figures.UnavailableMembers.Store(avoided)
+	r.metrics.UnavailableMembers.Store(avoided)
 }
 
-func avoids(v policy.EndpointView, now time.Duration) bool {
+func unavailable(v policy.EndpointView, now time.Duration) bool {
 	return !v.InService || v.Ejected || now < v.EjectedUntil || now < v.RetryAfterUntil
 }
 
-// manage begins to answer on the second address, until the process ends.
-func (r *Relay) manage() error {
-	l, err := net.Listen("tcp", r.cfg.Second)
+// serveAdmin begins to answer on the second address, until the process ends.
+func (r *Relay) serveAdmin() error {
+	l, err := net.Listen("tcp", r.cfg.AdminListen)
 	if err != nil {
 		return fmt.Errorf("relay: second address: %w", err)
 	}
 	s := admin.Server{
-		Ready:   func() bool { return (r.listed.Load() || r.waiting.Load()) && !r.ending.Load() },
-		Metrics: r.writeFigures,
+		Ready:   func() bool { return (r.endpointsKnown.Load() || r.awaitingHandover.Load()) && !r.terminating.Load() },
+		Metrics: r.writeMetrics,
 		Log:     r.log,
 	}
 	if r.fleet != nil {
 		s.Fleet = r.fleet.Write
 	}
-	go s.Serve(r.second, l)
+	go s.Serve(r.adminCtx, l)
 	return nil
 }
 
-// writeFigures asks the loop for its own figures, but does not wait for long: late ones are of no use.
-func (r *Relay) writeFigures(w io.Writer) {
-	late := time.NewTimer(gaugesFor)
+// writeMetrics asks the loop for its own figures, but does not wait for long: late ones are of no use.
+func (r *Relay) writeMetrics(w io.Writer) {
+	late := time.NewTimer(metricsTimeout)
 	defer late.Stop()
-	g := gauges{make(chan struct{})}
+	g := metricsRequest{make(chan struct{})}
 	select {
 	case r.events <- g:
 		select {
 		case <-g.done:
-		case <-r.over:
+		case <-r.loopDone:
 		case <-late.C:
 		}
-	case <-r.over:
+	case <-r.loopDone:
 	case <-late.C:
 	}
-	r.figures.WriteTo(w)
+	r.metrics.WriteTo(w)
 }
 
 // listen listens for clients, on the socket that the platform holds where there is one. That one goes on when this
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -93,14 +93,14 @@
 	r := newTestRelay(t)
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		r.holdings = holdings{}
-		r.holdKnown()
+		r.endpointState = endpointState{}
+		r.loadKnownEndpoints()
 		old := oldHosts{cfg: r.cfg, routes: map[string]oldTarget{}}
 		lists, texts := randomLists(rng)
 		for i, l := range lists {
 			l.Entries = entriesOf(r, texts[i]...)
 			want := old.list(l.Full, texts[i])
-			if got := r.list(l); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+			if got := r.applyList(l); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 				t.Fatalf("seed %d, list %d of %v: told\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
 			}
 			if r.catalog.EndpointCount() != len(old.routes) {
@@ -115,8 +115,8 @@
 					draining++
 				}
 			}
-			if r.draining != draining {
-				t.Fatalf("seed %d, list %d: %d drain, want %d", seed, i, r.draining, draining)
+			if r.drainingEndpoints != draining {
+				t.Fatalf("seed %d, list %d: %d drain, want %d", seed, i, r.drainingEndpoints, draining)
 			}
 		}
 	}
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -22,16 +22,16 @@
 		t.Fatal(err)
 	}
 	r.callCtx = t.Context()
-	r.resume()
+	r.recoverState()
 	t.Cleanup(func() { r.hosts.close(); r.calls.Wait() })
 	in := newHandIn("m1", 7, 5*time.Second)
-	in.m.Body = []byte("a body on disk")
+	in.message.Body = []byte("a body on disk")
 	decide(r, in)
-	m := r.msgs[in.m.ID]
-	if m.Body != nil || m.Size() != 14 || len(r.calling) != 1 {
-		t.Fatalf("body %q of %d, %d calls", m.Body, m.Size(), len(r.calling))
+	m := r.messages[in.message.ID]
+	if m.Body != nil || m.Size() != 14 || len(r.activeCalls) != 1 {
+		t.Fatalf("body %q of %d, %d calls", m.Body, m.Size(), len(r.activeCalls))
 	}
-	for c := range r.calling {
+	for c := range r.activeCalls {
 		if string(c.attempts[0].body) != "a body on disk" {
 			t.Errorf("sent %q", c.attempts[0].body)
 		}
@@ -45,13 +45,13 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if calls := r.addSend(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
+	if calls := r.addToCalls(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
 		calls,
 	) != 0 {
 		t.Error("sent without its body")
 	}
-	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.held != 0 || !m.ended {
-		t.Errorf("notices %+v, held %d", r.finals.queue, r.held)
+	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
+		t.Errorf("notices %+v, held %d", r.finals.queue, r.pending)
 	}
 	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.status != 202 {
 		t.Errorf("afterwards: %+v", a)
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -66,7 +66,7 @@
 
 func (r *Relay) openLog() error {
 	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - besideJournal)
-	opt.WrapFS = r.cfg.JournalThrough
+	opt.WrapFS = r.cfg.WrapJournalFS
 	for end := time.Now().Add(lockFor); ; time.Sleep(lockPause) {
 		j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
 		if errors.Is(err, store.ErrLocked) && r.before != nil && time.Now().Before(end) {
@@ -75,7 +75,7 @@
 		if err != nil {
 			return fmt.Errorf("relay: %w", err)
 		}
-		r.journal, r.found = j, found
+		r.journal, r.recovery = j, found
 		return nil
 	}
 }
@@ -101,9 +101,9 @@
 	if err == nil && f.Welcome {
 		// Not before: told to end between a yes here and the hello there, the first process would end without handing
 		// over.
-		r.waiting.Store(true)
+		r.awaitingHandover.Store(true)
 		f, err = r.before.Receive()
-		r.waiting.Store(false)
+		r.awaitingHandover.Store(false)
 	}
 	if ctx.Err() != nil {
 		return errEnded
@@ -114,7 +114,7 @@
 	}
 	if err != nil || f.State == nil {
 		r.before.Close()
-		r.resume()
+		r.recoverState()
 		return nil
 	}
 	r.takeUp(f.State)
@@ -129,18 +129,18 @@
 	sender, err := policy.Restore(s.Config.Settings, s.Snapshot)
 	known := err == nil
 	if known {
-		r.sender, r.wakeAt = sender, s.WakeAt
-		r.hold(s.Config)
+		r.engine, r.timerAt = sender, s.WakeAt
+		r.applyConfig(s.Config)
 		if !reload.Equal(s.Config, r.cfg.Config) {
-			r.change(s.Config, r.cfg.Config, 0)
+			r.scheduleConfig(s.Config, r.cfg.Config, 0)
 		}
 	} else {
 		r.log.Warn("the module's state is of another form: going on from the log", "err", err)
 	}
 	cfg := r.cfg
-	cfg.Settings = r.terms.Settings
-	r.rec = newRecording(cfg, r.log, r.logOut, r.started, r.sender, now)
-	r.kept.Store(r.rec)
+	cfg.Settings = r.activeConfig.Settings
+	r.recorder = newRecording(cfg, r.log, r.logOut, r.started, r.engine, now)
+	r.sharedRecorder.Store(r.recorder)
 	whole := r.takeUpList(s)
 	evs := s.PendingEvents
 	if !known {
@@ -151,17 +151,17 @@
 	r.takeUpAwake(s)
 	if !known {
 		for _, m := range r.inOrder() {
-			if m.ended {
+			if m.completed {
 				continue
 			}
-			if m.parked = m.out > 0; !m.parked {
-				evs = append(evs, r.resumed(m))
+			if m.awaitingRemote = m.inFlight > 0; !m.awaitingRemote {
+				evs = append(evs, r.recoveredEvent(m))
 			}
 		}
 	}
-	r.takeUpFleet(whole)
-	r.log.Info("taken over", "messages", len(r.msgs), "held", r.held, "out", len(r.remote), "state", known)
-	r.carryOut(r.decide(r.now(), evs), nil)
+	r.restoreFleet(whole)
+	r.log.Info("taken over", "messages", len(r.messages), "held", r.pending, "out", len(r.remote), "state", known)
+	r.execute(r.decide(r.now(), evs), nil)
 }
 
 // takeUpList takes up the list of the process before this one, and returns what the module there knew of it. Of a long
@@ -171,24 +171,24 @@
 	known := r.cfg.Known.Entries
 	if s.LargeList {
 		for i := range known {
-			r.entry(nil, &known[i])
+			r.applyEntry(nil, &known[i])
 		}
-		r.holdsList()
-		r.askWhole = true
+		r.markEndpointsKnown()
+		r.snapshotNeeded = true
 	} else {
-		r.catalog, r.draining, r.named, r.version = catalog.New(), 0, len(s.Destinations) > 0, s.Version
-		r.large.Store(false)
+		r.catalog, r.drainingEndpoints, r.listReceived, r.listVersion = catalog.New(), 0, len(s.Destinations) > 0, s.Version
+		r.largeList.Store(false)
 	}
 	whole := policy.Event{Kind: policy.EndpointSnapshot}
 	for _, x := range s.Endpoints {
 		c := r.catalog.Upsert(catalog.Endpoint{Endpoint: x.Endpoint, Addr: x.Addr})
-		r.changed(&c)
+		r.recordChange(&c)
 		whole.Endpoints = append(whole.Endpoints, x.Endpoint)
 	}
 	for _, cell := range s.Destinations {
 		r.catalog.RememberDestination(cell)
 	}
-	r.listed.Store(r.catalog.EndpointCount() > 0)
+	r.endpointsKnown.Store(r.catalog.EndpointCount() > 0)
 	return whole
 }
 
@@ -197,25 +197,25 @@
 func (r *Relay) takeUpAwake(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
-			r.enlarge() // its module was told of all
+			r.switchToLargeList() // its module was told of all
 		}
 		return
 	}
-	r.large.Store(true)
-	r.awake = r.newAwake()
+	r.largeList.Store(true)
+	r.workingSet = r.newWorkingSet()
 	routes := make(map[string]bool, len(s.Endpoints))
 	for _, x := range s.Endpoints {
 		routes[x.ID] = true
 	}
 	wake := func(dest int) {
-		if !r.awake.Activate(dest, r.now()) {
+		if !r.workingSet.Activate(dest, r.now()) {
 			return
 		}
-		r.of = r.catalog.AppendEndpoints(dest, r.of[:0])
-		for _, e := range r.of {
+		r.scratch = r.catalog.AppendEndpoints(dest, r.scratch[:0])
+		for _, e := range r.scratch {
 			if !routes[e.ID] {
-				c := r.catalog.Upsert(catalog.Endpoint{Endpoint: departed(e)})
-				r.changed(&c)
+				c := r.catalog.Upsert(catalog.Endpoint{Endpoint: removedEndpoint(e)})
+				r.recordChange(&c)
 			}
 		}
 	}
@@ -229,49 +229,49 @@
 
 // takeMessages takes up the messages of the log, with what the state says of them.
 func (r *Relay) takeMessages(s *hotrestart.State) {
-	found := r.found
-	r.found = nil
-	r.lastID = s.LastID
-	r.recent.hear(s.FinishedMessages)
+	found := r.recovery
+	r.recovery = nil
+	r.lastMessageID = s.LastID
+	r.finished.restore(s.FinishedMessages)
 	told := make(map[uint32]*hotrestart.Message, len(s.Messages))
 	for i := range s.Messages {
 		told[s.Messages[i].ID] = &s.Messages[i]
 	}
 	for _, w := range found.Messages {
-		r.lastID = max(r.lastID, w.ID)
+		r.lastMessageID = max(r.lastMessageID, w.ID)
 		x := told[w.ID]
 		if x == nil { // its end could not be written
 			r.journal.Remove(w)
 			continue
 		}
 		if w.ClassName != "" {
-			w.Class = slices.Index(r.terms.ClassNames, w.ClassName)
+			w.Class = slices.Index(r.activeConfig.ClassNames, w.ClassName)
 		}
-		m := &message{Message: w, sends: x.Sends, ended: x.Ended, shared: x.Shared}
-		r.msgs[m.ID], r.traces[m.TraceID] = m, m // in the order in which they were taken: the last of a trace stays
-		r.rec.Label(m.ID, m.TraceID)
+		m := &message{Message: w, attemptsStarted: x.Sends, completed: x.Ended, hasDuplicates: x.Shared}
+		r.messages[m.ID], r.messagesByTrace[m.TraceID] = m, m // in the order in which they were taken: the last of a trace stays
+		r.recorder.Label(m.ID, m.TraceID)
 		switch {
 		case w.Cancelled:
-			r.left = append(r.left, m)
+			r.cancelled = append(r.cancelled, m)
 		case w.Final != nil:
-			r.notify(m)
+			r.queueNotification(m)
 		}
-		if !m.ended {
-			r.held++
+		if !m.completed {
+			r.pending++
 		}
 	}
 	for id, x := range told {
-		if r.msgs[id] == nil { // nothing is owed, but an attempt is out
-			r.msgs[id] = &message{
-				Message: &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true},
-				sends:   x.Sends,
-				ended:   true,
+		if r.messages[id] == nil { // nothing is owed, but an attempt is out
+			r.messages[id] = &message{
+				Message:         &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true},
+				attemptsStarted: x.Sends,
+				completed:       true,
 			}
 		}
 	}
 	for id, x := range told {
 		if x.Next != 0 {
-			r.msgs[id].next = r.msgs[x.Next]
+			r.messages[id].resubmittedAs = r.messages[x.Next]
 		}
 	}
 }
@@ -280,7 +280,7 @@
 func (r *Relay) takeAttempts(s *hotrestart.State) {
 	r.remote = make(map[attemptKey]*attempt, len(s.Attempts))
 	for _, x := range s.Attempts {
-		m := r.msgs[x.ID]
+		m := r.messages[x.ID]
 		if m == nil {
 			continue // all is over for it
 		}
@@ -288,17 +288,17 @@
 			call: &call{route: x.Endpoint, zone: x.Zone, sent: x.Sent}, m: m, n: x.Number, over: x.Finished,
 		}
 		if !x.Finished {
-			m.out++
+			m.inFlight++
 		}
 	}
 	for _, m := range r.inOrder() {
-		r.retire(m)
+		r.remove(m)
 	}
 }
 
 // inOrder are the messages in the order in which they were taken.
 func (r *Relay) inOrder() []*message {
-	ms := slices.Collect(maps.Values(r.msgs))
+	ms := slices.Collect(maps.Values(r.messages))
 	slices.SortFunc(ms, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
 	return ms
 }
@@ -317,10 +317,10 @@
 		case f.Outcome != nil:
 			r.post(remoteOutcome(*f.Outcome))
 		case f.Cancel != 0:
-			r.post(withdrawal{f.Cancel})
+			r.post(cancelEvent{f.Cancel})
 		case f.Submission != nil && f.Submission.Message != nil:
 			m := f.Submission.Message
-			in := &handIn{m: m, reply: make(chan answer, 1)}
+			in := &submitEvent{message: m, reply: make(chan answer, 1)}
 			if !r.post(in) {
 				return
 			}
@@ -338,7 +338,7 @@
 							},
 						},
 					)
-				case <-r.over:
+				case <-r.loopDone:
 				}
 			}()
 		}
@@ -380,9 +380,9 @@
 	evs = append(evs, policy.Event{
 		Kind: policy.HealthChecked, Endpoint: a.route, Outcome: res.outcome, Latency: res.took, RetryAfter: res.wait, LimitReport: res.report,
 	})
-	if m := a.m; !m.ended && m.out == 0 {
-		m.parked = false
-		evs = append(evs, r.resumed(m))
+	if m := a.m; !m.completed && m.inFlight == 0 {
+		m.awaitingRemote = false
+		evs = append(evs, r.recoveredEvent(m))
 	}
 	return evs
 }
@@ -391,7 +391,7 @@
 
 // offer lets another process take over from this one, where the platform holds the clients' socket.
 func (r *Relay) offer(ctx context.Context) {
-	if r.cfg.Inherited == "" {
+	if r.cfg.InheritedFD == "" {
 		return
 	}
 	l, err := hotrestart.Listen(r.handoverPath())
@@ -462,23 +462,23 @@
 	r.handed = true
 	r.stopLeading()
 	r.hosts.close()
-	r.ending.Store(true)
+	r.terminating.Store(true)
 	if err := r.successor.Send(hotrestart.Frame{State: state}); err != nil {
 		r.log.Error("handing over", "err", err)
 	}
 	r.log.Info("handed over", "messages", len(state.Messages), "out", len(state.Attempts))
-	r.held = 0
+	r.pending = 0
 	return true
 }
 
 // state is all that the other process must know beside the log.
 func (r *Relay) state() *hotrestart.State {
 	s := &hotrestart.State{
-		Now: r.now(), At: time.Now(), WakeAt: r.wakeAt, Snapshot: r.sender.Snapshot(nil), Config: r.terms, Version: r.version,
-		LargeList: r.large.Load(), LastID: r.lastID, PendingEvents: r.later,
+		Now: r.now(), At: time.Now(), WakeAt: r.timerAt, Snapshot: r.engine.Snapshot(nil), Config: r.activeConfig, Version: r.listVersion,
+		LargeList: r.largeList.Load(), LastID: r.lastMessageID, PendingEvents: r.deferredEvents,
 	}
 	if s.LargeList {
-		views, _ := r.sender.Views()
+		views, _ := r.engine.Views()
 		for _, v := range views {
 			if e, ok := r.catalog.Endpoint(v.ID); ok {
 				s.Endpoints = append(s.Endpoints, hotrestart.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
@@ -497,13 +497,13 @@
 	}
 	slices.SortFunc(s.Endpoints, func(a, b hotrestart.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	for _, m := range r.inOrder() {
-		x := hotrestart.Message{ID: m.ID, TraceID: m.TraceID, Sends: m.sends, Ended: m.ended, Shared: m.shared}
-		if m.next != nil {
-			x.Next = m.next.ID
+		x := hotrestart.Message{ID: m.ID, TraceID: m.TraceID, Sends: m.attemptsStarted, Ended: m.completed, Shared: m.hasDuplicates}
+		if m.resubmittedAs != nil {
+			x.Next = m.resubmittedAs.ID
 		}
 		s.Messages = append(s.Messages, x)
 	}
-	s.FinishedMessages = r.recent.told()
+	s.FinishedMessages = r.finished.export()
 	out := func(a *attempt) {
 		s.Attempts = append(
 			s.Attempts,
@@ -517,7 +517,7 @@
 			},
 		)
 	}
-	for c := range r.calling {
+	for c := range r.activeCalls {
 		for _, a := range c.attempts {
 			out(a)
 		}
@@ -528,38 +528,38 @@
 	return s
 }
 
-// passOn is the loop's step once another process decides.
-func (r *Relay) passOn(batch []any) {
+// forwardEvents is the loop's step once another process decides.
+func (r *Relay) forwardEvents(batch []any) {
 	for _, e := range batch {
 		switch e := e.(type) {
-		case *handIn:
+		case *submitEvent:
 			r.forward.handIn(r.successor, e)
-		case withdrawal:
-			r.send(hotrestart.Frame{Cancel: e.id})
-		case *callEnd:
-			r.out--
-			for i, a := range e.c.attempts {
+		case cancelEvent:
+			r.send(hotrestart.Frame{Cancel: e.messageID})
+		case *callFinished:
+			r.callsInFlight--
+			for i, a := range e.call.attempts {
 				if a.timer != nil {
 					a.timer.Stop()
 				}
 				r.passOutcome(a, e.results[i], true)
 			}
-		case cutOff:
-			if !e.a.over {
-				e.a.over = true
-				r.passOutcome(e.a, result{outcome: policy.Timeout, took: time.Since(e.a.sent)}, false)
+		case attemptTimeout:
+			if !e.attempt.over {
+				e.attempt.over = true
+				r.passOutcome(e.attempt, result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)}, false)
 			}
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
 			r.send(hotrestart.Frame{Outcome: &o})
-		case *part:
-			e.done <- true // nobody here goes by it any more
-		case clearance:
+		case *snapshotPart:
+			e.reply <- true // nobody here goes by it any more
+		case sendCheck:
 			e.reply <- nil // nobody here can tell any more
-		case gauges:
-			r.figures.Pending.Store(0)
+		case metricsRequest:
+			r.metrics.Pending.Store(0)
 			close(e.done)
-		case stopping:
+		case stopAccepting:
 			r.stopping = true
 		case successorGone:
 			if r.successor == e.conn {
@@ -568,9 +568,9 @@
 			r.unfollow(e.conn)
 		}
 	}
-	if r.stopping && !r.idled && r.out == 0 && r.forward.none() {
-		r.idled = true
-		close(r.idle)
+	if r.stopping && !r.drainedClosed && r.callsInFlight == 0 && r.forward.none() {
+		r.drainedClosed = true
+		close(r.drained)
 	}
 }
 
@@ -589,7 +589,7 @@
 	}
 }
 
-// leave ends a process that has handed over, within endBy.
+// leave ends a process that has handed over, within shutdownTimeout.
 func (r *Relay) leave() {
 	began := time.Now()
 	by := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
@@ -598,11 +598,11 @@
 	case <-r.clients.empty(leaveFor):
 	case <-by(leaveFor):
 	}
-	r.clients.close(began.Add(sendFor + answerFor/2))
-	r.post(stopping{})
+	r.clients.close(began.Add(shutdownSendTime + shutdownAnswerTime/2))
+	r.post(stopAccepting{})
 	select {
-	case <-r.idle:
-	case <-by(endBy):
+	case <-r.drained:
+	case <-by(shutdownTimeout):
 	}
 }
 
@@ -610,28 +610,28 @@
 type forwards struct {
 	mu   sync.Mutex
 	seq  uint64
-	open map[uint64]*handIn
+	open map[uint64]*submitEvent
 }
 
 // unserved is what a client hears where the other process does not answer: it has been told nothing, and may come
 // again.
 var unserved = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 
-// handIn passes a message on. There are no more of them than connections of clients.
-func (f *forwards) handIn(to *hotrestart.Conn, in *handIn) {
+// submitEvent passes a message on. There are no more of them than connections of clients.
+func (f *forwards) handIn(to *hotrestart.Conn, in *submitEvent) {
 	if to == nil {
 		in.reply <- unserved
 		return
 	}
 	f.mu.Lock()
 	if f.open == nil {
-		f.open = map[uint64]*handIn{}
+		f.open = map[uint64]*submitEvent{}
 	}
 	f.seq++
 	seq := f.seq
 	f.open[seq] = in
 	f.mu.Unlock()
-	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.m}}); err != nil {
+	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.message}}); err != nil {
 		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.status, RetryAfter: unserved.again})
 	}
 }
@@ -643,7 +643,7 @@
 	delete(f.open, a.Seq)
 	f.mu.Unlock()
 	if in != nil {
-		in.m.ID = a.ID
+		in.message.ID = a.ID
 		in.reply <- answer{status: a.Status, again: a.RetryAfter, text: a.Text}
 	}
 }
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -53,43 +53,43 @@
 	for name, edit := range forms {
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
-			in := []*handIn{
+			in := []*submitEvent{
 				newHandIn("m1", 7, 9*time.Second),
 				newHandIn("m2", 7, 9*time.Second),
 				newHandIn("m3", 7, 9*time.Second),
 			}
 			for i, x := range in {
-				x.m.ClassName, x.m.OrderingKey = "order", string(rune('a'+i))
+				x.message.ClassName, x.message.OrderingKey = "order", string(rune('a'+i))
 			}
 			decide(old, in...)
-			if len(old.calling) != 3 {
-				t.Fatalf("%d calls out", len(old.calling))
+			if len(old.activeCalls) != 3 {
+				t.Fatalf("%d calls out", len(old.activeCalls))
 			}
 			r := successorOf(t, old, edit)
-			if len(r.remote) != 3 || r.held != 3 || len(r.calling) != 0 {
-				t.Fatalf("remote %d, held %d, calls %d", len(r.remote), r.held, len(r.calling))
+			if len(r.remote) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
+				t.Fatalf("remote %d, held %d, calls %d", len(r.remote), r.pending, len(r.activeCalls))
 			}
-			r.step([]any{nudge{}})
-			if len(r.calling) != 0 {
+			r.step([]any{tick{}})
+			if len(r.activeCalls) != 0 {
 				t.Fatal("sent again with the outcome still to come")
 			}
-			r.step([]any{outcomeOf(policy.OK, in[0].m.ID, 0, 0)})
-			if r.msgs[in[0].m.ID] != nil || r.held != 2 {
-				t.Errorf("delivered there, not ended here: held %d", r.held)
+			r.step([]any{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
+			if r.messages[in[0].message.ID] != nil || r.pending != 2 {
+				t.Errorf("delivered there, not ended here: held %d", r.pending)
 			}
-			r.step([]any{outcomeOf(policy.Overloaded, in[1].m.ID, 0, 5*time.Second)})
-			views, _ := r.sender.Views()
-			if len(r.calling) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
-				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.calling), views)
+			r.step([]any{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
+			views, _ := r.engine.Views()
+			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
+				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.activeCalls), views)
 			}
 			r.step([]any{beforeGone{}})
-			m := r.msgs[in[2].m.ID]
-			if len(r.remote) != 0 || m == nil || m.ended || m.out != 0 || len(m.UncertainAttempts) != 1 ||
-				len(r.msgs[in[1].m.ID].UncertainAttempts) != 0 {
+			m := r.messages[in[2].message.ID]
+			if len(r.remote) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
+				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
-			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.held != 2 {
-				t.Errorf("handed in again: %+v, held %d", a, r.held)
+			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.pending != 2 {
+				t.Errorf("handed in again: %+v, held %d", a, r.pending)
 			}
 		})
 	}
@@ -119,13 +119,13 @@
 	if f, err := first.Receive(); err != nil || f.Hello == nil {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if r.waiting.Load() {
+	if r.awaitingHandover.Load() {
 		t.Error("ready before it is welcome")
 	}
 	if err := first.Send(hotrestart.Frame{Welcome: true}); err != nil {
 		t.Fatal(err)
 	}
-	for !r.waiting.Load() { // the test's own time limit ends what never comes
+	for !r.awaitingHandover.Load() { // the test's own time limit ends what never comes
 		runtime.Gosched()
 	}
 	cancel()
@@ -140,8 +140,8 @@
 	in := newHandIn("m1", 7, 9*time.Second)
 	decide(old, in)
 	r := successorOf(t, old, func(s *hotrestart.State) { s.Messages, s.Attempts = nil, nil })
-	if len(r.msgs) != 0 || r.held != 0 || r.journal.Tracks(in.m) {
-		t.Errorf("held %d, %v", r.held, r.msgs)
+	if len(r.messages) != 0 || r.pending != 0 || r.journal.Tracks(in.message) {
+		t.Errorf("held %d, %v", r.pending, r.messages)
 	}
 }
 
@@ -155,7 +155,7 @@
 		t.Errorf("%+v", a)
 	}
 	open := newHandIn("m2", 7, time.Second)
-	f.open = map[uint64]*handIn{3: open}
+	f.open = map[uint64]*submitEvent{3: open}
 	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
 	f.end()
 	if a := <-open.reply; a.status != http.StatusInternalServerError || !f.none() {
