--- a/internal/fleet/agent/seam.go
+++ b/internal/fleet/agent/seam.go
@@ -590,7 +590,7 @@
 	s.ledger.SetIncarnation(x.Life)
 	pages := x.Pages
 	if s.rights = x.Book; s.rights != nil {
-		s.rights.Restored()
+		s.rights.FinishRestore()
 	}
 	x.Pages, x.Book = nil, nil
 	for _, m := range []func(){func() { fill(&x.Tallies) }, func() { fill(&x.Routes) }, func() { fill(&x.Held) }, func() { fill(&x.Told) }} {
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/seam_test.go
@@ -82,7 +82,7 @@
 				s := quota.Scope{Destination: 1}
 				in.Quota = []quota.Message{{
 					Member: "a", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 1}, Seq: uint64(i + 1), Leases: []quota.Lease{{Scope: s, Rate: 0.1, Delivered: uint32(i)}},
-					Requests: []quota.QuotaRequest{{Scope: s, ID: uint32(i), Calls: 1}},
+					Requests: []quota.Request{{Scope: s, ID: uint32(i), Calls: 1}},
 				}}
 				in.Actions = append(
 					slices.Clip(in.Actions),
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -278,7 +278,7 @@
 	for _, q := range n.Asks {
 		r.Requests = append(
 			r.Requests,
-			quota.QuotaRequest{
+			quota.Request{
 				Scope:     quota.Scope{Destination: q.Dest, Endpoint: q.Route},
 				ID:        q.ID,
 				Calls:     q.N,
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -157,7 +157,7 @@
 		case 1:
 			r.Requests = append(
 				r.Requests,
-				quota.QuotaRequest{Scope: at, ID: 1 << 20, Calls: 16, Delivered: 1 << 20, Rejected: 1 << 12},
+				quota.Request{Scope: at, ID: 1 << 20, Calls: 16, Delivered: 1 << 20, Rejected: 1 << 12},
 			)
 		case 2:
 			r.Grants = append(r.Grants, quota.Grant{Scope: at, ID: 1 << 20, Calls: 16})
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -19,7 +19,7 @@
 		Member: "r3", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 4}, Seq: 70, AckedSeq: 69, AckedIncarnation: loadreport.Incarnation{Generation: 12, Boot: 13},
 		Ping: true, AsksForLeases: true, HoldsNoLease: true,
 		Leases:   []quota.Lease{{Scope: scope, Rate: 0.25, Delivered: 20, Rejected: 21}},
-		Requests: []quota.QuotaRequest{{Scope: scope, ID: 30, Calls: 31, Delivered: 32, Rejected: 33}},
+		Requests: []quota.Request{{Scope: scope, ID: 30, Calls: 31, Delivered: 32, Rejected: 33}},
 		Grants:   []quota.Grant{{Scope: scope, ID: 40, Calls: 41}},
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -305,7 +305,7 @@
 			r.Lent,
 			r.LeaseHolder,
 			r.GrantRate,
-			r.Belief,
+			r.CapacityFraction,
 			r.PendingRequests,
 		)
 	}
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -19,34 +19,34 @@
 	// ReportsPerDatagram is what fits one, more or less, where a page tells of two destinations.
 	ReportsPerDatagram = 12
 
-	nodesLeast  = 10 // that a fleet's size is taken for: a small one's datagrams get lost like a large one's
-	largeFleet  = 99 // members from which on a page is sent on less often by each, and to more at once
-	multFew     = 3
-	multMany    = 2
-	targetsFew  = 3
-	targetsMany = 5
+	minEffectiveSize  = 10 // that a fleet's size is taken for: a small one's datagrams get lost like a large one's
+	largeFleetSize  = 99 // members from which on a page is sent on less often by each, and to more at once
+	smallFleetRetransmitMultiplier     = 3
+	largeFleetRetransmitMultiplier    = 2
+	smallFleetFanOut  = 3
+	largeFleetFanOut = 5
 	// of what the links carry, that is planned for: the rest is what is told anew where datagrams are lost
-	roomShare = 0.8
+	plannedLoadRatio = 0.8
 )
 
 // EffectiveSize is the size that a fleet of n members is taken for.
-func EffectiveSize(n int) int { return max(nodesLeast, n) }
+func EffectiveSize(n int) int { return max(minEffectiveSize, n) }
 
 // FanOut is how many others each member tells at once.
 func FanOut(n int) int {
-	if n < largeFleet {
-		return targetsFew
+	if n < largeFleetSize {
+		return smallFleetFanOut
 	}
-	return targetsMany
+	return largeFleetFanOut
 }
 
 // RetransmitMultiplier is what the order of magnitude of a fleet's size is multiplied with for Times: memberlist's
 // RetransmitMult.
 func RetransmitMultiplier(n int) int {
-	if n < largeFleet {
-		return multFew
+	if n < largeFleetSize {
+		return smallFleetRetransmitMultiplier
 	}
-	return multMany
+	return largeFleetRetransmitMultiplier
 }
 
 // Retransmissions is how often each member sends a page on. One in four hundred members is not met by any of six; what
@@ -58,5 +58,5 @@
 // MaxReportRate is how many pages a second a fleet's members may tell in all, for all to hear of each before it has to
 // be told again. Each page passes over every member's links, so that it does not grow with the fleet.
 func MaxReportRate(n int) float64 {
-	return roomShare * float64(FanOut(n)*ReportsPerDatagram) / Interval.Seconds() / float64(Retransmissions(n))
+	return plannedLoadRatio * float64(FanOut(n)*ReportsPerDatagram) / Interval.Seconds() / float64(Retransmissions(n))
 }
--- a/internal/fleet/loadreport/claim_test.go
+++ b/internal/fleet/loadreport/nameclaim_test.go
@@ -8,7 +8,7 @@
 
 // Lives under the own name are gone past a few times; who goes on answering is another process, and this one falls
 // silent until none was heard for long.
-func TestClaim(t *testing.T) {
+func TestNameClaim(t *testing.T) {
 	type at struct {
 		s      int // seconds
 		raise  bool
@@ -36,7 +36,7 @@
 }
 
 // What comes before its sender's clock is known waits for that, the newest of it, and the sender is asked now and then.
-func TestIntake(t *testing.T) {
+func TestInbox(t *testing.T) {
 	in := Inbox[int]{ClockRequestInterval: time.Second, MaxDeferred: 2}
 	var asked []int
 	for i := range 25 {
--- a/internal/fleet/loadreport/ledger.go
+++ b/internal/fleet/loadreport/table.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	pageShift = 2 // destinations n<<pageShift to (n+1)<<pageShift-1 share page n
+	reportShift = 2 // destinations n<<reportShift to (n+1)<<reportShift-1 share page n
 	// MaxScopes bounds the cells of a page, MaxReports the pages of a member: so many must be kept for each.
 	MaxScopes  = 24
 	MaxReports = 64
-	nameMost   = 64  // bytes of a member's name
-	routeMost  = 128 // bytes of a route's name
+	maxNameLength   = 64  // bytes of a member's name
+	maxEndpointLength  = 128 // bytes of a route's name
 
 	// HalfLife is the time in which what was heard loses half of its weight.
 	HalfLife = 5 * time.Second
 	// MaxAge is the age at which it is dropped: less than a thousandth is left of it then.
 	MaxAge  = 10 * HalfLife
-	ageNews = 250 * time.Millisecond // so much younger than it was held to be, a page is told on once more
+	minAgeGain = 250 * time.Millisecond // so much younger than it was held to be, a page is told on once more
 
 	// Multiple bounds a rate by what the list tells of a destination, MaxRate one of which it tells nothing. A relay
 	// tells its own part: more than so many times what the destination takes from all is no relay's traffic but a
 	// mistake.
 	MaxRateMultiple = 20
 	MaxRate         = 1e5
-	leastLimit      = 1.0 // calls a second that any destination is taken to bear
-	backlogMost     = 1 << 20
-	waitMost        = time.Hour
-	sequenceMax     = math.MaxUint64 / 2 // a sequence or incarnation beyond it would leave no room for a greater one
+	minLimit      = 1.0 // calls a second that any destination is taken to bear
+	maxBacklog     = 1 << 20
+	maxRetryAfter        = time.Hour
+	maxSequence     = math.MaxUint64 / 2 // a sequence or incarnation beyond it would leave no room for a greater one
 )
 
 // ReportNumber is the page of a destination.
-func ReportNumber(dest int) int { return dest >> pageShift }
+func ReportNumber(dest int) int { return dest >> reportShift }
 
 // ScopeLoad is what a relay tells of a destination, or of a route that stands apart there. Rates are a second.
 type ScopeLoad struct {
@@ -145,37 +145,37 @@
 	return fmt.Sprintf("ledger: %s: %s", e.RejectReason, e.Detail)
 }
 
-type entry struct {
+type storedReport struct {
 	sequence uint64
-	told     time.Duration // the hearer's time at which it was told, or before it was
-	cells    []ScopeLoad
+	publishedAt     time.Duration // the hearer's time at which it was told, or before it was
+	scopes    []ScopeLoad
 }
 
 type member struct {
 	Incarnation
-	pages map[int]entry
+	reports map[int]storedReport
 }
 
-type scope struct {
-	dest  int
-	route string
+type scopeKey struct {
+	destination  int
+	endpoint string
 }
 
 // Table is what one relay holds.
 type Table struct {
 	self    string
-	life    Incarnation
+	incarnation    Incarnation
 	listed  map[string]bool
 	members map[string]*member
-	limits  map[scope]float64
-	refused map[RejectReason]uint64
+	limits  map[scopeKey]float64
+	rejected map[RejectReason]uint64
 	rival   Incarnation // the greatest heard under the own name that is not the own
 }
 
 // New returns the ledger of a member that hears those listed.
 func New(self string, life Incarnation, listed []string) *Table {
 	l := &Table{
-		self: self, life: life, listed: map[string]bool{self: true}, members: map[string]*member{}, limits: map[scope]float64{}, refused: map[RejectReason]uint64{},
+		self: self, incarnation: life, listed: map[string]bool{self: true}, members: map[string]*member{}, limits: map[scopeKey]float64{}, rejected: map[RejectReason]uint64{},
 	}
 	for _, n := range listed {
 		l.listed[n] = true
@@ -192,7 +192,7 @@
 	clear(l.limits)
 	for dest, routes := range limits {
 		for route, x := range routes {
-			l.limits[scope{dest, route}] = x
+			l.limits[scopeKey{dest, route}] = x
 		}
 	}
 }
@@ -200,26 +200,26 @@
 // SetIncarnation begins a new life of the own member. What it told before is forgotten, here and by all who hear the
 // new one.
 func (l *Table) SetIncarnation(life Incarnation) {
-	if life.Compare(l.life) > 0 {
-		l.life = life
+	if life.Compare(l.incarnation) > 0 {
+		l.incarnation = life
 		delete(l.members, l.self)
 	}
 }
 
 // Incarnation is the own one; Rival the greatest that was heard under the own name beside it.
-func (l *Table) Incarnation() Incarnation { return l.life }
+func (l *Table) Incarnation() Incarnation { return l.incarnation }
 
 // Rival is the greatest life that was heard under the own name and is not this one or one before it; zero: none.
 func (l *Table) Rival() Incarnation { return l.rival }
 
 // Merge takes a page that was heard.
 func (l *Table) Merge(now time.Duration, p Report) (MergeResult, error) {
-	if err := l.check(p); err != nil {
-		l.refused[err.RejectReason]++
+	if err := l.validate(p); err != nil {
+		l.rejected[err.RejectReason]++
 		return Rejected, err
 	}
-	if p.Name == l.self && p.Incarnation != l.life {
-		if p.Incarnation.Compare(l.life) < 0 {
+	if p.Name == l.self && p.Incarnation != l.incarnation {
+		if p.Incarnation.Compare(l.incarnation) < 0 {
 			return Own, nil
 		}
 		if p.Incarnation.Compare(l.rival) > 0 {
@@ -230,13 +230,13 @@
 	if p.Name == l.self {
 		return Own, nil
 	}
-	return l.join(now, p), nil
+	return l.mergeReport(now, p), nil
 }
 
-func (l *Table) join(now time.Duration, p Report) MergeResult {
+func (l *Table) mergeReport(now time.Duration, p Report) MergeResult {
 	m := l.members[p.Name]
 	if m == nil {
-		m = &member{Incarnation: p.Incarnation, pages: map[int]entry{}}
+		m = &member{Incarnation: p.Incarnation, reports: map[int]storedReport{}}
 		l.members[p.Name] = m
 	}
 	switch c := p.Incarnation.Compare(m.Incarnation); {
@@ -244,12 +244,12 @@
 		return Stale
 	case c > 0:
 		m.Incarnation = p.Incarnation
-		clear(m.pages)
+		clear(m.reports)
 	}
-	e := entry{p.Sequence, now - p.Age, p.Scopes}
-	old, ok := m.pages[p.Number]
-	if !ok && len(m.pages) >= MaxReports {
-		l.refused[TooManyReports]++ // a member tells no more pages of one life, and no other takes its room
+	e := storedReport{p.Sequence, now - p.Age, p.Scopes}
+	old, ok := m.reports[p.Number]
+	if !ok && len(m.reports) >= MaxReports {
+		l.rejected[TooManyReports]++ // a member tells no more pages of one life, and no other takes its room
 		return Rejected
 	}
 	switch {
@@ -259,32 +259,32 @@
 	default:
 		// One version heard on two ways: neither age is less than the true one, so that the lesser is nearer to it. Two
 		// contents under one version are no relay's doing; all keep the same one.
-		c := slices.CompareFunc(e.cells, old.cells, ScopeLoad.compare)
-		if c >= 0 && e.told <= old.told {
+		c := slices.CompareFunc(e.scopes, old.scopes, ScopeLoad.compare)
+		if c >= 0 && e.publishedAt <= old.publishedAt {
 			return Known
 		}
 		// A little younger is no news: told on, it would go round once more for nothing.
-		news := c < 0 || e.told-old.told >= ageNews
-		e.told = max(e.told, old.told)
+		news := c < 0 || e.publishedAt-old.publishedAt >= minAgeGain
+		e.publishedAt = max(e.publishedAt, old.publishedAt)
 		if c > 0 {
-			e.cells = old.cells
+			e.scopes = old.scopes
 		}
-		if m.pages[p.Number] = e; !news {
+		if m.reports[p.Number] = e; !news {
 			return Known
 		}
 	}
-	m.pages[p.Number] = e
+	m.reports[p.Number] = e
 	return Updated
 }
 
-func (l *Table) check(p Report) *RejectedError {
+func (l *Table) validate(p Report) *RejectedError {
 	bad := func(r RejectReason, format string, args ...any) *RejectedError {
 		return &RejectedError{r, fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case len(p.Name) > nameMost || !l.listed[p.Name]:
+	case len(p.Name) > maxNameLength || !l.listed[p.Name]:
 		return bad(UnlistedMember, "%.64q", p.Name)
-	case p.Generation == 0 || p.Generation > sequenceMax || p.Sequence == 0 || p.Sequence > sequenceMax || p.Number < 0 || len(p.Scopes) > MaxScopes:
+	case p.Generation == 0 || p.Generation > maxSequence || p.Sequence == 0 || p.Sequence > maxSequence || p.Number < 0 || len(p.Scopes) > MaxScopes:
 		return bad(
 			Malformed,
 			"%s: incarnation %d, sequence %d, page %d of %d cells",
@@ -300,7 +300,7 @@
 		return bad(Expired, "%s: age %v", p.Name, p.Age)
 	}
 	for i, c := range p.Scopes {
-		if c.Destination < 0 || ReportNumber(c.Destination) != p.Number || len(c.Endpoint) > routeMost {
+		if c.Destination < 0 || ReportNumber(c.Destination) != p.Number || len(c.Endpoint) > maxEndpointLength {
 			return bad(Malformed, "%s: destination %d on page %d", p.Name, c.Destination, p.Number)
 		}
 		if i > 0 &&
@@ -311,15 +311,15 @@
 			return bad(Malformed, "%s: cells of page %d are not in order", p.Name, p.Number)
 		}
 		most := MaxRate
-		if limit, ok := l.limits[scope{c.Destination, c.Endpoint}]; ok {
-			most = MaxRateMultiple * max(leastLimit, limit)
+		if limit, ok := l.limits[scopeKey{c.Destination, c.Endpoint}]; ok {
+			most = MaxRateMultiple * max(minLimit, limit)
 		}
 		for _, x := range c.rates() {
 			if !(x >= 0 && x <= most) { // also what is no number
 				return bad(OutOfRange, "%s: %g a second at destination %d, %g at most", p.Name, x, c.Destination, most)
 			}
 		}
-		if c.Backlog < 0 || c.Backlog > backlogMost || c.RetryAfter < 0 || c.RetryAfter > waitMost {
+		if c.Backlog < 0 || c.Backlog > maxBacklog || c.RetryAfter < 0 || c.RetryAfter > maxRetryAfter {
 			return bad(
 				OutOfRange,
 				"%s: backlog %d, wait %v at destination %d",
@@ -336,12 +336,12 @@
 // Publish puts a page of the own member into the ledger, as of now, and returns it as it is to be told. Sequence must
 // grow.
 func (l *Table) Publish(now time.Duration, number int, sequence uint64, cells []ScopeLoad) (Report, error) {
-	p := Report{Name: l.self, Incarnation: l.life, Number: number, Sequence: sequence, Scopes: cells}
-	if err := l.check(p); err != nil {
-		l.refused[err.RejectReason]++
+	p := Report{Name: l.self, Incarnation: l.incarnation, Number: number, Sequence: sequence, Scopes: cells}
+	if err := l.validate(p); err != nil {
+		l.rejected[err.RejectReason]++
 		return Report{}, err
 	}
-	if l.join(now, p) != Updated {
+	if l.mergeReport(now, p) != Updated {
 		return Report{}, &RejectedError{TooManyReports, fmt.Sprintf("page %d is not told", number)}
 	}
 	return p, nil
@@ -349,10 +349,10 @@
 
 // Restore takes a page of the own member that was told already.
 func (l *Table) Restore(now time.Duration, p Report) MergeResult {
-	if p.Name != l.self || p.Incarnation != l.life || l.check(p) != nil {
+	if p.Name != l.self || p.Incarnation != l.incarnation || l.validate(p) != nil {
 		return Rejected
 	}
-	return l.join(now, p)
+	return l.mergeReport(now, p)
 }
 
 // Get returns a page with its age now.
@@ -361,17 +361,17 @@
 	if m == nil {
 		return Report{}, false
 	}
-	e, ok := m.pages[number]
-	if !ok || now-e.told > MaxAge {
+	e, ok := m.reports[number]
+	if !ok || now-e.publishedAt > MaxAge {
 		return Report{}, false
 	}
-	return Report{name, m.Incarnation, number, e.sequence, max(0, now-e.told), e.cells}, true
+	return Report{name, m.Incarnation, number, e.sequence, max(0, now-e.publishedAt), e.scopes}, true
 }
 
 // Each calls f with each page that has not aged out, by name and number.
 func (l *Table) Each(now time.Duration, f func(Report)) {
-	for _, name := range sorted(l.members) {
-		for _, n := range sorted(l.members[name].pages) {
+	for _, name := range sortedKeys(l.members) {
+		for _, n := range sortedKeys(l.members[name].reports) {
 			if p, ok := l.Get(now, name, n); ok {
 				f(p)
 			}
@@ -379,7 +379,7 @@
 	}
 }
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -391,8 +391,8 @@
 // Count is how many pages it holds that have not aged out.
 func (l *Table) Count(now time.Duration) (n int) {
 	for _, m := range l.members {
-		for _, e := range m.pages {
-			if now-e.told <= MaxAge {
+		for _, e := range m.reports {
+			if now-e.publishedAt <= MaxAge {
 				n++
 			}
 		}
@@ -403,12 +403,12 @@
 // RemoveExpired drops what has aged out.
 func (l *Table) RemoveExpired(now time.Duration) {
 	for name, m := range l.members {
-		for n, e := range m.pages {
-			if now-e.told > MaxAge {
-				delete(m.pages, n)
+		for n, e := range m.reports {
+			if now-e.publishedAt > MaxAge {
+				delete(m.reports, n)
 			}
 		}
-		if len(m.pages) == 0 {
+		if len(m.reports) == 0 {
 			delete(l.members, name)
 		}
 	}
@@ -430,18 +430,18 @@
 func (l *Table) AggregateOthers(now time.Duration, dest int, route string) Aggregate {
 	s := Aggregate{ScopeLoad: ScopeLoad{Destination: dest, Endpoint: route}}
 	backlog := 0.0
-	for _, name := range sorted(l.members) { // in one order: sums of floats must be the same wherever they are made
-		e, ok := l.members[name].pages[ReportNumber(dest)]
-		if name == l.self || !ok || now-e.told > MaxAge {
+	for _, name := range sortedKeys(l.members) { // in one order: sums of floats must be the same wherever they are made
+		e, ok := l.members[name].reports[ReportNumber(dest)]
+		if name == l.self || !ok || now-e.publishedAt > MaxAge {
 			continue
 		}
-		i, ok := slices.BinarySearchFunc(e.cells, scope{dest, route}, func(c ScopeLoad, at scope) int {
-			return cmp.Or(cmp.Compare(c.Destination, at.dest), cmp.Compare(c.Endpoint, at.route))
+		i, ok := slices.BinarySearchFunc(e.scopes, scopeKey{dest, route}, func(c ScopeLoad, at scopeKey) int {
+			return cmp.Or(cmp.Compare(c.Destination, at.destination), cmp.Compare(c.Endpoint, at.endpoint))
 		})
 		if !ok {
 			continue
 		}
-		c, age := e.cells[i], now-e.told
+		c, age := e.scopes[i], now-e.publishedAt
 		w := DecayWeight(age)
 		s.Members += w
 		s.Demand += w * c.Demand
@@ -472,9 +472,9 @@
 func (l *Table) Digest(now time.Duration) Digest {
 	d := Digest{}
 	for name, m := range l.members {
-		v := MemberVersions{m.Incarnation, make(map[int]uint64, len(m.pages))}
-		for n, e := range m.pages {
-			if now-e.told <= MaxAge {
+		v := MemberVersions{m.Incarnation, make(map[int]uint64, len(m.reports))}
+		for n, e := range m.reports {
+			if now-e.publishedAt <= MaxAge {
 				v.Sequences[n] = e.sequence
 			}
 		}
@@ -506,18 +506,18 @@
 
 // Stats tells of all members, by name, and what was refused, by reason.
 func (l *Table) Stats(now time.Duration) (members []MemberStats, refused map[RejectReason]uint64) {
-	for _, name := range sorted(l.members) {
+	for _, name := range sortedKeys(l.members) {
 		m := l.members[name]
 		s := MemberStats{Name: name, Incarnation: m.Incarnation, Age: MaxAge}
-		for _, e := range m.pages {
+		for _, e := range m.reports {
 			s.Reports++
-			s.Scopes += len(e.cells)
-			s.Age = min(s.Age, max(0, now-e.told))
+			s.Scopes += len(e.scopes)
+			s.Age = min(s.Age, max(0, now-e.publishedAt))
 		}
 		members = append(members, s)
 	}
 	refused = map[RejectReason]uint64{}
-	for r, n := range l.refused {
+	for r, n := range l.rejected {
 		refused[r] = n
 	}
 	return members, refused
--- a/internal/fleet/loadreport/ledger_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -12,16 +12,16 @@
 	"pgregory.net/rapid"
 )
 
-var listed = []string{"a", "b", "c"}
+var testMembers = []string{"a", "b", "c"}
 
-func cellOf(dest int, calls float64) ScopeLoad {
+func newScopeLoad(dest int, calls float64) ScopeLoad {
 	return ScopeLoad{Destination: dest, Calls: calls, Demand: 2 * calls}
 }
 
-// drawPage draws few values of each kind, so that pages often meet.
-func drawPage(t *rapid.T) Report {
+// drawReport draws few values of each kind, so that pages often meet.
+func drawReport(t *rapid.T) Report {
 	p := Report{
-		Name: rapid.SampledFrom(listed).
+		Name: rapid.SampledFrom(testMembers).
 			Draw(t, "name"),
 		Incarnation: Incarnation{
 			rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
@@ -31,24 +31,24 @@
 		Age: time.Duration(rapid.IntRange(0, 60).Draw(t, "age")) * time.Second,
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "cells") {
-		p.Scopes = append(p.Scopes, cellOf(p.Number<<pageShift+i, float64(rapid.IntRange(0, 3).Draw(t, "calls"))))
+		p.Scopes = append(p.Scopes, newScopeLoad(p.Number<<reportShift+i, float64(rapid.IntRange(0, 3).Draw(t, "calls"))))
 	}
 	return p
 }
 
-func heard(l *Table, now time.Duration) (pages []Report) {
+func allReports(l *Table, now time.Duration) (pages []Report) {
 	l.Each(now, func(p Report) { pages = append(pages, p) })
 	return pages
 }
 
 // What a ledger holds does not depend on the order in which it heard, nor on how often; and it tells others what they
 // lack until both hold the same.
-func TestLaws(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	const now = 100 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		pages := rapid.SliceOfN(rapid.Custom(drawPage), 1, 12).Draw(t, "pages")
+		pages := rapid.SliceOfN(rapid.Custom(drawReport), 1, 12).Draw(t, "pages")
 		order := rapid.Permutation(pages).Draw(t, "order")
-		a, b := New("me", Incarnation{1, 1}, listed), New("me", Incarnation{1, 1}, listed)
+		a, b := New("me", Incarnation{1, 1}, testMembers), New("me", Incarnation{1, 1}, testMembers)
 		for _, p := range pages {
 			a.Merge(now, p)
 		}
@@ -56,11 +56,11 @@
 			b.Merge(now, p)
 			b.Merge(now, p)
 		}
-		if x, y := heard(a, now), heard(b, now); !reflect.DeepEqual(x, y) {
+		if x, y := allReports(a, now), allReports(b, now); !reflect.DeepEqual(x, y) {
 			t.Fatalf("in order %v\nmixed %v", x, y)
 		}
 		// Two that heard other halves, and tell each other.
-		c, d := New("me", Incarnation{1, 1}, listed), New("me", Incarnation{1, 1}, listed)
+		c, d := New("me", Incarnation{1, 1}, testMembers), New("me", Incarnation{1, 1}, testMembers)
 		for i, p := range pages {
 			if i%2 == 0 {
 				c.Merge(now, p)
@@ -87,8 +87,8 @@
 }
 
 // The lesser age of one version is taken, ages grow with the hearer's time, and figures fade without a step.
-func TestAges(t *testing.T) {
-	l := New("me", Incarnation{1, 1}, listed)
+func TestReportAges(t *testing.T) {
+	l := New("me", Incarnation{1, 1}, testMembers)
 	p := Report{
 		Name:        "a",
 		Incarnation: Incarnation{1, 1},
@@ -131,17 +131,17 @@
 }
 
 // What cannot be is refused and counted, and changes nothing.
-func TestBounds(t *testing.T) {
+func TestMergeRejectsInvalidReports(t *testing.T) {
 	good := func() Report {
 		return Report{
 			Name:        "a",
 			Incarnation: Incarnation{1, 1},
 			Number:      1,
 			Sequence:    1,
-			Scopes:      []ScopeLoad{cellOf(4, 1), cellOf(5, 1)},
+			Scopes:      []ScopeLoad{newScopeLoad(4, 1), newScopeLoad(5, 1)},
 		}
 	}
-	l := New("me", Incarnation{2, 5}, listed)
+	l := New("me", Incarnation{2, 5}, testMembers)
 	l.SetLimits(Limits{5: {"": 10}})
 	for _, c := range []struct {
 		reason RejectReason
@@ -154,7 +154,7 @@
 		{OutOfRange, func(p *Report) { p.Scopes[1].Calls = 10*MaxRateMultiple + 1 }},
 		{OutOfRange, func(p *Report) { p.Scopes[0].Calls = MaxRate + 1 }},
 		{OutOfRange, func(p *Report) { p.Scopes[0].Backlog = -1 }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].RetryAfter = 2 * waitMost }},
+		{OutOfRange, func(p *Report) { p.Scopes[0].RetryAfter = 2 * maxRetryAfter }},
 		{OutOfRange, func(p *Report) { p.Age = -1 }},
 		{Expired, func(p *Report) { p.Age = MaxAge + 1 }},
 		{Malformed, func(p *Report) { p.Generation = 0 }},
@@ -185,17 +185,17 @@
 }
 
 // A life goes before all that came before it, and one under the own name is told apart from earlier ones.
-func TestLives(t *testing.T) {
-	l := New("me", Incarnation{3, 7}, append(listed, "me"))
+func TestIncarnations(t *testing.T) {
+	l := New("me", Incarnation{3, 7}, append(testMembers, "me"))
 	l.Merge(
 		0,
-		Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{cellOf(1, 5)}},
+		Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{newScopeLoad(1, 5)}},
 	)
 	l.Merge(
 		0,
-		Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{cellOf(4, 1)}},
+		Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{newScopeLoad(4, 1)}},
 	)
-	if got := heard(l, 0); len(got) != 1 || got[0].Number != 1 {
+	if got := allReports(l, 0); len(got) != 1 || got[0].Number != 1 {
 		t.Error("the life before was not forgotten:", got)
 	}
 	if out, _ := l.Merge(0, Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 2, Sequence: 99}); out != Stale {
@@ -209,7 +209,7 @@
 	if l.Rival() != (Incarnation{4, 1}) {
 		t.Error(l.Rival())
 	}
-	if _, err := l.Publish(0, 0, 1, []ScopeLoad{cellOf(1, 1)}); err != nil {
+	if _, err := l.Publish(0, 0, 1, []ScopeLoad{newScopeLoad(1, 1)}); err != nil {
 		t.Error(err)
 	}
 	l.SetIncarnation(Incarnation{5, 7})
@@ -219,7 +219,7 @@
 }
 
 // 300 members that each tell of 30 destinations fit 4 MB.
-func TestMemory(t *testing.T) {
+func TestTableMemory(t *testing.T) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("relay-%03d", i))
@@ -235,7 +235,7 @@
 	for _, n := range names {
 		for page := range ReportNumber(29) + 1 {
 			p := Report{Name: n, Incarnation: Incarnation{1, 1}, Number: page, Sequence: uint64(page + 1)}
-			for d := page << pageShift; d < min(30, (page+1)<<pageShift); d++ {
+			for d := page << reportShift; d < min(30, (page+1)<<reportShift); d++ {
 				p.Scopes = append(p.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
 			}
 			if _, err := l.Merge(0, p); err != nil {
@@ -253,7 +253,7 @@
 
 // However long a message, a question or an answer was held up, and whichever clock runs faster, a message's time under
 // way is never taken to be less than it was, and hardly to be more.
-func TestTransit(t *testing.T) {
+func TestTransitEstimate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drift := rapid.Float64Range(-MaxClockDrift, MaxClockDrift).Draw(t, "drift")
 		offset := time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "offset"))
@@ -289,10 +289,10 @@
 		}
 	})
 	var x TransitEstimator
-	for i := range 2 * sendersMost {
+	for i := range 2 * maxSenders {
 		x.Calibrate(fmt.Sprint(i), 1, 0, 0, 0)
 	}
-	if len(x.senders) > sendersMost {
+	if len(x.senders) > maxSenders {
 		t.Error(len(x.senders), "senders are kept")
 	}
 }
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -8,7 +8,7 @@
 	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes
 	// ages too great by 0.2 s.
 	CalibrationInterval = 10 * time.Second
-	sendersMost         = 4096
+	maxSenders         = 4096
 )
 
 // TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own
@@ -18,10 +18,10 @@
 // sockets, and either side's being stopped. It is never too small while clocks run apart by no more than Drift, and too
 // great by the round trip that was asked with and by Drift of the time since.
 type TransitEstimator struct {
-	senders map[sender]calibration
+	senders map[senderKey]calibration
 }
 
-type sender struct {
+type senderKey struct {
 	name string
 	boot uint32
 }
@@ -29,11 +29,11 @@
 // calibration: at the hearer's time at or later, the difference of the two clocks was least or more. No later is known
 // for it.
 type calibration struct {
-	least, at time.Duration
+	minOffset, at time.Duration
 }
 
 func (c calibration) bound(now time.Duration) time.Duration {
-	return c.least - time.Duration(MaxClockDrift*float64(now-c.at))
+	return c.minOffset - time.Duration(MaxClockDrift*float64(now-c.at))
 }
 
 // Calibrate takes an answer: the other's time was clock, and it was asked at the hearer's time asked and heard now.
@@ -41,12 +41,12 @@
 	if asked > now {
 		return // no answer to what this process has asked
 	}
-	if t.senders == nil || len(t.senders) >= sendersMost { // restarts without end; whoever still tells is asked again
-		t.senders = map[sender]calibration{}
+	if t.senders == nil || len(t.senders) >= maxSenders { // restarts without end; whoever still tells is asked again
+		t.senders = map[senderKey]calibration{}
 	}
-	key, c := sender{name, boot}, calibration{asked - clock, asked}
-	if was, ok := t.senders[key]; ok && was.bound(asked) > c.least {
-		c.least = was.bound(asked) // an answer that was long in coming tells less than an earlier one
+	key, c := senderKey{name, boot}, calibration{asked - clock, asked}
+	if was, ok := t.senders[key]; ok && was.bound(asked) > c.minOffset {
+		c.minOffset = was.bound(asked) // an answer that was long in coming tells less than an earlier one
 	}
 	t.senders[key] = c
 }
@@ -58,7 +58,7 @@
 	boot uint32,
 	sent, now time.Duration,
 ) (d time.Duration, known, stale bool) {
-	c, ok := t.senders[sender{name, boot}]
+	c, ok := t.senders[senderKey{name, boot}]
 	if !ok {
 		return 0, false, true
 	}
@@ -72,8 +72,8 @@
 	ClockRequestInterval time.Duration // an unanswered sender is asked again
 	MaxDeferred          int           // messages of one sender that are kept, the newest
 
-	asked map[string]time.Duration
-	aside map[string][]M
+	requestedAt map[string]time.Duration
+	deferred map[string][]M
 }
 
 // Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for
@@ -87,31 +87,31 @@
 	held, known, stale := in.Estimate(name, boot, sent, now)
 	ask = stale && in.RequestDue(name, now)
 	if !known {
-		if in.aside == nil {
-			in.aside = map[string][]M{}
+		if in.deferred == nil {
+			in.deferred = map[string][]M{}
 		}
-		aside := append(in.aside[name], m)
-		in.aside[name] = aside[max(0, len(aside)-in.MaxDeferred):]
+		aside := append(in.deferred[name], m)
+		in.deferred[name] = aside[max(0, len(aside)-in.MaxDeferred):]
 	}
 	return held, known, ask
 }
 
 // RequestDue tells whether a sender that should be asked is to be asked now, and notes that it is.
 func (in *Inbox[M]) RequestDue(name string, now time.Duration) bool {
-	if at, before := in.asked[name]; before && now-at < in.ClockRequestInterval {
+	if at, before := in.requestedAt[name]; before && now-at < in.ClockRequestInterval {
 		return false
 	}
-	if in.asked == nil {
-		in.asked = map[string]time.Duration{}
+	if in.requestedAt == nil {
+		in.requestedAt = map[string]time.Duration{}
 	}
-	in.asked[name] = now
+	in.requestedAt[name] = now
 	return true
 }
 
 // ClockReceived takes a sender's answer as Calibrate does, and returns what was put aside of it.
 func (in *Inbox[M]) ClockReceived(name string, boot uint32, clock, asked, now time.Duration) (aside []M) {
 	in.Calibrate(name, boot, clock, asked, now)
-	aside = in.aside[name]
-	delete(in.aside, name)
+	aside = in.deferred[name]
+	delete(in.deferred, name)
 	return aside
 }
--- a/internal/fleet/quota/rights_test.go
+++ b/internal/fleet/quota/ledger_test.go
@@ -12,58 +12,58 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// tiny is a fleet of books on clocks that run apart, and a network that does what it likes.
-type tiny struct {
+// testFleet is a fleet of books on clocks that run apart, and a network that does what it likes.
+type testFleet struct {
 	set     Settings
 	now     time.Duration
 	limit   float64
-	members []*tinyMember
-	flying  []flying
-	wrong   wrong
+	members []*testMember
+	inFlight  []packet
+	faults   faults
 	used    []float64 // calls that were made by right, of each second
 }
 
-// wrong is what is wrong with the fleet; the zero value is nothing.
-type wrong struct {
-	fromArrival bool // a lease is counted from when the loan came
+// faults is what is wrong with the fleet; the zero value is nothing.
+type faults struct {
+	leaseFromArrival bool // a lease is counted from when the loan came
 	noMargin    bool // a lender uses its part again when its lease is over by its own clock
-	forgets     bool // a process that begins anew lends at once, and uses all of its part
-	others      bool // the parts of those who are silent are given away
+	forgetsLeases     bool // a process that begins anew lends at once, and uses all of its part
+	reassignsSilent      bool // the parts of those who are silent are given away
 }
 
-type tinyMember struct {
+type testMember struct {
 	name    string
-	book    *Ledger
+	ledger    *Ledger
 	transit loadreport.TransitEstimator
 	offset  time.Duration
 	drift   float64
-	lives   uint64 // of its folder
+	generation   uint64 // of its folder
 	boots   uint32
 	stopped bool
-	inbox   []flying
+	inbox   []packet
 }
 
-type flying struct {
+type packet struct {
 	from, to int
 	boot     uint32
 	clock    time.Duration
-	at       time.Duration // it comes
-	m        Message
+	arrivesAt       time.Duration // it comes
+	message        Message
 }
 
-var scope = Scope{Destination: 3}
+var testScope = Scope{Destination: 3}
 
-func newTiny(n, senders int, limit float64, w wrong, draw func(from, to int) int) *tiny {
-	t := &tiny{limit: limit, wrong: w, now: time.Hour, set: Settings{FleetSize: senders}}
+func newTestFleet(n, senders int, limit float64, w faults, draw func(from, to int) int) *testFleet {
+	t := &testFleet{limit: limit, faults: w, now: time.Hour, set: Settings{FleetSize: senders}}
 	for i := range n {
 		t.set.Members = append(t.set.Members, fmt.Sprint("m", i))
 	}
 	if w.noMargin {
 		t.set.LeaseMargin = -time.Duration(2 * loadreport.MaxClockDrift * float64(LeaseDuration))
 	}
-	t.set.Fresh = w.forgets
+	t.set.Fresh = w.forgetsLeases
 	for i := range n {
-		t.members = append(t.members, &tinyMember{
+		t.members = append(t.members, &testMember{
 			name: t.set.Members[i], offset: time.Duration(draw(0, 1000)) * time.Hour, drift: float64(draw(-100, 100)) / 100 * loadreport.MaxClockDrift / 2,
 		})
 	}
@@ -73,30 +73,30 @@
 	return t
 }
 
-func (m *tinyMember) clock(now time.Duration) time.Duration {
+func (m *testMember) clock(now time.Duration) time.Duration {
 	return m.offset + now + time.Duration(float64(now-time.Hour)*m.drift)
 }
 
-func (t *tiny) boot(i int) {
+func (t *testFleet) boot(i int) {
 	m := t.members[i]
-	m.lives, m.boots = m.lives+1, m.boots+1
+	m.generation, m.boots = m.generation+1, m.boots+1
 	set := t.set
-	set.Self, set.Incarnation = m.name, loadreport.Incarnation{Generation: m.lives, Boot: m.boots}
+	set.Self, set.Incarnation = m.name, loadreport.Incarnation{Generation: m.generation, Boot: m.boots}
 	now := m.clock(t.now)
-	if m.book = New(now, set); t.wrong.forgets && m.lives > 1 {
-		m.book.Began = now
+	if m.ledger = New(now, set); t.faults.forgetsLeases && m.generation > 1 {
+		m.ledger.StartedAt = now
 	}
-	m.book.SetLimits(now, loadreport.Limits{scope.Destination: {"": t.limit}})
+	m.ledger.SetLimits(now, loadreport.Limits{testScope.Destination: {"": t.limit}})
 	m.transit, m.inbox, m.stopped = loadreport.TransitEstimator{}, nil, false
 	for j, o := range t.members { // questions for clocks are the carrier's, and answered at once here
-		if o.book != nil {
+		if o.ledger != nil {
 			m.transit.Calibrate(o.name, o.boots, o.clock(t.now), now, now)
 			t.members[j].transit.Calibrate(m.name, m.boots, now, o.clock(t.now), o.clock(t.now))
 		}
 	}
 }
 
-func (t *tiny) hear(f flying) {
+func (t *testFleet) deliver(f packet) {
 	m := t.members[f.to]
 	if m.stopped {
 		m.inbox = append(m.inbox, f)
@@ -107,42 +107,42 @@
 	if !known {
 		return
 	}
-	if t.wrong.fromArrival {
+	if t.faults.leaseFromArrival {
 		held = 0
 	}
-	f.m.Member, f.m.TransitTime = t.members[f.from].name, held
-	m.book.Receive(now, f.m)
+	f.message.Member, f.message.TransitTime = t.members[f.from].name, held
+	m.ledger.Receive(now, f.message)
 }
 
 // step has all that run take a step, and what they tell leave; after tells how long each message is under way, below 0:
 // for ever.
-func (t *tiny) step(after func(from, to int) []time.Duration, wants func(i int) int) (err error) {
-	var later []flying
-	for _, f := range t.flying {
-		if f.at > t.now {
+func (t *testFleet) step(after func(from, to int) []time.Duration, wants func(i int) int) (err error) {
+	var later []packet
+	for _, f := range t.inFlight {
+		if f.arrivesAt > t.now {
 			later = append(later, f)
 		} else {
-			t.hear(f)
+			t.deliver(f)
 		}
 	}
-	t.flying = later
+	t.inFlight = later
 	for i, m := range t.members {
 		if m.stopped {
 			continue
 		}
 		now := m.clock(t.now)
-		if t.wrong.others {
-			m.book.Set.FleetSize = 0
+		if t.faults.reassignsSilent {
+			m.ledger.Settings.FleetSize = 0
 			for _, name := range t.set.Members {
-				if m.book.live(name) {
-					m.book.Set.FleetSize++
+				if m.ledger.alive(name) {
+					m.ledger.Settings.FleetSize++
 				}
 			}
 		}
 		if n := wants(i); n > 0 {
-			m.book.Request(now, scope, n)
+			m.ledger.Request(now, testScope, n)
 		}
-		send, changes := m.book.Step(now)
+		send, changes := m.ledger.Step(now)
 		for _, c := range changes {
 			t.used[len(t.used)-1] += float64(c.Calls)
 		}
@@ -154,7 +154,7 @@
 				}
 			}
 			for _, d := range after(i, to) {
-				t.flying = append(t.flying, flying{i, to, m.boots, now, t.now + d, x})
+				t.inFlight = append(t.inFlight, packet{i, to, m.boots, now, t.now + d, x})
 			}
 		}
 	}
@@ -162,11 +162,11 @@
 }
 
 // check holds the sum of what all may use at this moment against the limit.
-func (t *tiny) check() error {
+func (t *testFleet) check() error {
 	sum, text := 0.0, ""
 	for _, m := range t.members {
 		now := m.clock(t.now)
-		own, mints := m.book.OwnRate(now, scope), m.book.GrantRate(now, scope)
+		own, mints := m.ledger.OwnRate(now, testScope), m.ledger.GrantRate(now, testScope)
 		sum += own + mints
 		text += fmt.Sprintf(" %s %.3f+%.3f", m.name, own, mints)
 	}
@@ -176,10 +176,10 @@
 	return nil
 }
 
-// play drives a fleet through losses, doublings, delays, cuts, stops and restarts, and returns what was broken.
-func play(t *rapid.T, n int, w wrong) error {
+// runFaultyFleet drives a fleet through losses, doublings, delays, cuts, stops and restarts, and returns what was broken.
+func runFaultyFleet(t *rapid.T, n int, w faults) error {
 	draw := func(from, to int) int { return rapid.IntRange(from, to).Draw(t, "x") }
-	f := newTiny(n, n+draw(0, 2), float64(draw(1, 40)), w, draw)
+	f := newTestFleet(n, n+draw(0, 2), float64(draw(1, 40)), w, draw)
 	cut := map[[2]int]time.Duration{}
 	seed := rand.New(rand.NewPCG(uint64(draw(0, 1<<30)), 1))
 	lose, late := float64(draw(0, 60))/100, time.Duration(draw(0, 3000))*time.Millisecond
@@ -209,7 +209,7 @@
 			i := draw(0, n-1)
 			switch draw(0, 5) {
 			case 5: // without its folder
-				f.members[i].lives = 0
+				f.members[i].generation = 0
 				f.boot(i)
 			case 0:
 				f.boot(i)
@@ -221,7 +221,7 @@
 					inbox := m.inbox
 					m.inbox = nil
 					for _, x := range inbox {
-						f.hear(x)
+						f.deliver(x)
 					}
 				}
 			case 2:
@@ -244,23 +244,23 @@
 }
 
 // Whatever is lost, doubled, late, cut off, stopped or restarted, all together may never use more than the limit.
-func TestTheSumHolds(t *testing.T) {
+func TestTotalRateStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := play(t, rapid.IntRange(2, 5).Draw(t, "n"), wrong{}); err != nil {
+		if err := runFaultyFleet(t, rapid.IntRange(2, 5).Draw(t, "n"), faults{}); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // Each thing that keeps it is needed: without it the sum is broken within some hundred plays.
-func TestWithoutWhatKeepsTheSum(t *testing.T) {
-	for name, w := range map[string]wrong{
-		"a lease counted from its arrival": {fromArrival: true}, "no margin for drift": {noMargin: true}, "a restart that forgets": {forgets: true},
-		"parts of the silent given away": {others: true},
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for name, w := range map[string]faults{
+		"a lease counted from its arrival": {leaseFromArrival: true}, "no margin for drift": {noMargin: true}, "a restart that forgets": {forgetsLeases: true},
+		"parts of the silent given away": {reassignsSilent: true},
 	} {
 		found := 0
 		for seed := 0; seed < 400 && found == 0; seed++ {
-			ex := rapid.Custom(func(t *rapid.T) error { return play(t, 3, w) }).Example(seed)
+			ex := rapid.Custom(func(t *rapid.T) error { return runFaultyFleet(t, 3, w) }).Example(seed)
 			if ex != nil {
 				found = seed + 1
 				t.Logf("%s: after %d plays: %v", name, found, ex)
@@ -275,60 +275,60 @@
 // A member that has lost its folder uses its part as soon as all others say that they hold nothing of an earlier life
 // of it. What that life had lent and is still under way is not taken any more: one that took it all the same would
 // break the sum.
-func TestNothingOfAnEarlierLife(t *testing.T) {
+func TestLeasesOfEarlierIncarnationAreRefused(t *testing.T) {
 	for _, keeps := range []bool{true, false} {
-		f := newTiny(2, 2, 10, wrong{}, func(from, to int) int { return (from + to) / 2 })
+		f := newTestFleet(2, 2, 10, faults{}, func(from, to int) int { return (from + to) / 2 })
 		f.used = []float64{0}
-		var lent *flying
+		var lent *packet
 		sound := func(from, to int) []time.Duration { return []time.Duration{time.Millisecond} }
-		run := func(d time.Duration, hold func(flying) bool) {
+		run := func(d time.Duration, hold func(packet) bool) {
 			for end := f.now + d; f.now < end; f.now += 10 * time.Millisecond {
 				if err := f.step(sound, func(int) int { return 0 }); err != nil {
 					t.Fatal(err)
 				}
-				for i := len(f.flying) - 1; i >= 0; i-- {
-					if x := f.flying[i]; hold(x) {
-						lent, f.flying = &x, slices.Delete(f.flying, i, i+1)
+				for i := len(f.inFlight) - 1; i >= 0; i-- {
+					if x := f.inFlight[i]; hold(x) {
+						lent, f.inFlight = &x, slices.Delete(f.inFlight, i, i+1)
 					}
 				}
 			}
 		}
 		lender, keeper := 0, 1
-		f.members[0].book.peer("m1").Heard = f.members[0].book.Now
-		if f.members[0].book.keeper(scope) == "m0" {
+		f.members[0].ledger.peer("m1").ReceivedAt = f.members[0].ledger.Now
+		if f.members[0].ledger.leaseHolder(testScope) == "m0" {
 			lender, keeper = 1, 0
 		}
-		f.members[lender].lives = 40
+		f.members[lender].generation = 40
 		f.boot(lender)
-		loans := func(x flying) bool { return x.from == lender && len(x.m.Leases) > 0 }
+		loans := func(x packet) bool { return x.from == lender && len(x.message.Leases) > 0 }
 		run(2*LeaseDuration, loans) // no loan of it comes to the keeper
 		if lent == nil {
 			t.Fatal("it lends nothing")
 		}
-		f.members[lender].lives = 0
+		f.members[lender].generation = 0
 		f.boot(lender)
-		for f.members[lender].book.unsure() {
+		for f.members[lender].ledger.earlierLeasesPossible() {
 			run(10*time.Millisecond, loans)
 			if f.now > time.Hour+time.Minute {
 				t.Fatal("it waits for good")
 			}
 		}
-		if waited := f.members[lender].clock(f.now) - f.members[lender].book.Began; waited > LeaseDuration/2 {
+		if waited := f.members[lender].clock(f.now) - f.members[lender].ledger.StartedAt; waited > LeaseDuration/2 {
 			t.Errorf("waited %v, though nothing is held", waited)
 		}
-		f.members[lender].book.Accounts[scope].Lent = nil // as where it has lent nothing yet
+		f.members[lender].ledger.Accounts[testScope].LentLeases = nil // as where it has lent nothing yet
 		if !keeps {
-			f.members[keeper].book.peer(f.members[lender].name).Until = 0
+			f.members[keeper].ledger.peer(f.members[lender].name).AcceptOnlyUntil = 0
 		}
-		f.hear(*lent)
+		f.deliver(*lent)
 		if broken := f.check() != nil; broken == keeps {
 			t.Errorf("the promise is kept: %v, the sum is broken: %v", keeps, broken)
 		}
 	}
 }
 
-// fleet plays a sound network for a while and returns how many calls were given to each member.
-func (t *tiny) fleet(length time.Duration, wants func(i int) int) (err error) {
+// run plays a sound network for a while and returns how many calls were given to each member.
+func (t *testFleet) run(length time.Duration, wants func(i int) int) (err error) {
 	for end := t.now + length; t.now < end; t.now += 10 * time.Millisecond {
 		if err = t.step(func(int, int) []time.Duration { return []time.Duration{time.Millisecond} }, wants); err != nil {
 			return err
@@ -339,9 +339,9 @@
 
 // One member with all the backlog uses all that is lent, and its own part beside it; when its keeper has gone, another
 // one's within seconds.
-func TestOneWithTheBacklogUsesAll(t *testing.T) {
+func TestSingleBackloggedMemberUsesAllLentRate(t *testing.T) {
 	const limit, n = 40.0, 20
-	f := newTiny(n, n, limit, wrong{}, func(from, to int) int { return (from + to) / 2 })
+	f := newTestFleet(n, n, limit, faults{}, func(from, to int) int { return (from + to) / 2 })
 	f.used = []float64{0}
 	one := func(i int) int {
 		if i == 7 {
@@ -351,7 +351,7 @@
 	}
 	rate := func(d time.Duration) float64 {
 		f.used = []float64{0}
-		if err := f.fleet(d, one); err != nil {
+		if err := f.run(d, one); err != nil {
 			t.Fatal(err)
 		}
 		return f.used[0] / d.Seconds()
@@ -360,7 +360,7 @@
 	if got := rate(10 * time.Second); got < 0.95*(1-ReservedFraction)*limit || got > (1-ReservedFraction)*limit+1 {
 		t.Errorf("%.1f calls a second by right, of %.1f lent", got, (1-ReservedFraction)*limit)
 	}
-	keeper := f.members[7].book.Accounts[scope].LeaseHolder
+	keeper := f.members[7].ledger.Accounts[testScope].LeaseHolder
 	for _, m := range f.members {
 		if m.name == keeper {
 			m.stopped = true
@@ -373,9 +373,9 @@
 }
 
 // What a destination refuses lowers what is minted for it within seconds, and what it takes again raises it again.
-func TestBelief(t *testing.T) {
+func TestCapacityEstimateFollowsDestination(t *testing.T) {
 	const limit, n = 40.0, 12
-	f := newTiny(n, n, limit, wrong{}, func(from, to int) int { return (from + to) / 2 })
+	f := newTestFleet(n, n, limit, faults{}, func(from, to int) int { return (from + to) / 2 })
 	takes, room := limit, 0.0
 	total, refused := 0.0, 0.0
 	run := func(d time.Duration) (rate, share float64) {
@@ -394,7 +394,7 @@
 				} else {
 					room--
 				}
-				f.members[k%n].book.RecordOutcome(scope, full)
+				f.members[k%n].ledger.RecordOutcome(testScope, full)
 			}
 		}
 		return (total - refused) / d.Seconds(), refused / max(1, total)
@@ -417,17 +417,17 @@
 }
 
 // Of more limits than are lent, equal events lend the same.
-func TestTheSameLimitsAreLentBeyondTheBound(t *testing.T) {
+func TestScopeSelectionIsDeterministic(t *testing.T) {
 	limits := loadreport.Limits{}
-	for dest := range scopesMost + 100 {
+	for dest := range maxScopes + 100 {
 		limits[dest] = map[string]float64{"": 10, "a": 5, "b": 5}
 	}
 	var first map[Scope]*Account
 	for range 3 {
 		b := New(0, Settings{})
 		b.SetLimits(time.Second, limits)
-		if len(b.Accounts) != scopesMost {
-			t.Fatalf("%d limits are lent, want %d", len(b.Accounts), scopesMost)
+		if len(b.Accounts) != maxScopes {
+			t.Fatalf("%d limits are lent, want %d", len(b.Accounts), maxScopes)
 		}
 		if first == nil {
 			first = b.Accounts
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -83,7 +83,7 @@
 		return agent.Input{Quota: []quota.Message{{
 			Member: "n2", Incarnation: life, Seq: number, TransitTime: time.Millisecond, AckedSeq: 1, AckedIncarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Ping: true,
 			Leases:   []quota.Lease{{Scope: scope, Rate: 1, Delivered: uint32(step)}},
-			Requests: []quota.QuotaRequest{{Scope: scope, ID: uint32(step), Calls: 2, Delivered: uint32(step)}},
+			Requests: []quota.Request{{Scope: scope, ID: uint32(step), Calls: 2, Delivered: uint32(step)}},
 			Grants:   []quota.Grant{{Scope: scope, ID: 1, Calls: 1}},
 		}}}
 	}
