--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -19,12 +19,12 @@
 	// ReportsPerDatagram is what fits one, more or less, where a page tells of two destinations.
 	ReportsPerDatagram = 12
 
-	minEffectiveSize  = 10 // that a fleet's size is taken for: a small one's datagrams get lost like a large one's
-	largeFleetSize  = 99 // members from which on a page is sent on less often by each, and to more at once
-	smallFleetRetransmitMultiplier     = 3
-	largeFleetRetransmitMultiplier    = 2
-	smallFleetFanOut  = 3
-	largeFleetFanOut = 5
+	minEffectiveSize               = 10 // that a fleet's size is taken for: a small one's datagrams get lost like a large one's
+	largeFleetSize                 = 99 // members from which on a page is sent on less often by each, and to more at once
+	smallFleetRetransmitMultiplier = 3
+	largeFleetRetransmitMultiplier = 2
+	smallFleetFanOut               = 3
+	largeFleetFanOut               = 5
 	// of what the links carry, that is planned for: the rest is what is told anew where datagrams are lost
 	plannedLoadRatio = 0.8
 )
--- a/internal/fleet/loadreport/nameclaim.go
+++ b/internal/fleet/loadreport/nameclaim.go
@@ -6,16 +6,16 @@
 	// An earlier life of a member that it hears of is gone past once, or a few times where its last ones are heard of
 	// late. Who answers each new life with a greater one is another process under the same name: after maxTakeovers
 	// within takeoverWindow a member falls silent, until none was heard for rivalSuspension.
-	maxTakeovers = 3
-	takeoverWindow   = 30 * time.Second
-	rivalSuspension    = 60 * time.Second
+	maxTakeovers    = 3
+	takeoverWindow  = 30 * time.Second
+	rivalSuspension = 60 * time.Second
 )
 
 // NameClaim is a process's hold on its member's name. The zero value holds it undisputed.
 type NameClaim struct {
-	takeovers int           // new lives since began
-	windowStart  time.Duration // the hearer's monotonic time
-	suspendedUntil  time.Duration // the process tells nothing before
+	takeovers      int           // new lives since began
+	windowStart    time.Duration // the hearer's monotonic time
+	suspendedUntil time.Duration // the process tells nothing before
 }
 
 // Suspended tells whether another process under the name is taken to run, so that this one must tell nothing.
--- a/internal/fleet/loadreport/table.go
+++ b/internal/fleet/loadreport/table.go
@@ -19,15 +19,15 @@
 const (
 	reportShift = 2 // destinations n<<reportShift to (n+1)<<reportShift-1 share page n
 	// MaxScopes bounds the cells of a page, MaxReports the pages of a member: so many must be kept for each.
-	MaxScopes  = 24
-	MaxReports = 64
-	maxNameLength   = 64  // bytes of a member's name
-	maxEndpointLength  = 128 // bytes of a route's name
+	MaxScopes         = 24
+	MaxReports        = 64
+	maxNameLength     = 64  // bytes of a member's name
+	maxEndpointLength = 128 // bytes of a route's name
 
 	// HalfLife is the time in which what was heard loses half of its weight.
 	HalfLife = 5 * time.Second
 	// MaxAge is the age at which it is dropped: less than a thousandth is left of it then.
-	MaxAge  = 10 * HalfLife
+	MaxAge     = 10 * HalfLife
 	minAgeGain = 250 * time.Millisecond // so much younger than it was held to be, a page is told on once more
 
 	// Multiple bounds a rate by what the list tells of a destination, MaxRate one of which it tells nothing. A relay
@@ -35,9 +35,9 @@
 	// mistake.
 	MaxRateMultiple = 20
 	MaxRate         = 1e5
-	minLimit      = 1.0 // calls a second that any destination is taken to bear
-	maxBacklog     = 1 << 20
-	maxRetryAfter        = time.Hour
+	minLimit        = 1.0 // calls a second that any destination is taken to bear
+	maxBacklog      = 1 << 20
+	maxRetryAfter   = time.Hour
 	maxSequence     = math.MaxUint64 / 2 // a sequence or incarnation beyond it would leave no room for a greater one
 )
 
@@ -146,9 +146,9 @@
 }
 
 type storedReport struct {
-	sequence uint64
-	publishedAt     time.Duration // the hearer's time at which it was told, or before it was
-	scopes    []ScopeLoad
+	sequence    uint64
+	publishedAt time.Duration // the hearer's time at which it was told, or before it was
+	scopes      []ScopeLoad
 }
 
 type member struct {
@@ -157,19 +157,19 @@
 }
 
 type scopeKey struct {
-	destination  int
-	endpoint string
+	destination int
+	endpoint    string
 }
 
 // Table is what one relay holds.
 type Table struct {
-	self    string
-	incarnation    Incarnation
-	listed  map[string]bool
-	members map[string]*member
-	limits  map[scopeKey]float64
-	rejected map[RejectReason]uint64
-	rival   Incarnation // the greatest heard under the own name that is not the own
+	self        string
+	incarnation Incarnation
+	listed      map[string]bool
+	members     map[string]*member
+	limits      map[scopeKey]float64
+	rejected    map[RejectReason]uint64
+	rival       Incarnation // the greatest heard under the own name that is not the own
 }
 
 // New returns the ledger of a member that hears those listed.
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -8,7 +8,7 @@
 	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes
 	// ages too great by 0.2 s.
 	CalibrationInterval = 10 * time.Second
-	maxSenders         = 4096
+	maxSenders          = 4096
 )
 
 // TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own
@@ -73,7 +73,7 @@
 	MaxDeferred          int           // messages of one sender that are kept, the newest
 
 	requestedAt map[string]time.Duration
-	deferred map[string][]M
+	deferred    map[string][]M
 }
 
 // Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for
--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -35,39 +35,39 @@
 	// Valid is how long a right may be used, from when it was asked for.
 	GrantTTL = 2 * time.Second
 
-	checkInterval   = 100 * time.Millisecond // at the latest all is looked at
-	renewInterval  = 600 * time.Millisecond
-	resendInterval = 300 * time.Millisecond // what is not acknowledged, and an ask that is not answered
-	livenessTimeout     = 3 * time.Second        // who was heard within it may be a keeper
+	checkInterval         = 100 * time.Millisecond // at the latest all is looked at
+	renewInterval         = 600 * time.Millisecond
+	resendInterval        = 300 * time.Millisecond // what is not acknowledged, and an ask that is not answered
+	livenessTimeout       = 3 * time.Second        // who was heard within it may be a keeper
 	outcomeReportInterval = time.Second            // one that is acknowledged, with how calls went meanwhile
-	startupWindow      = 4 * time.Second
-	pingInterval   = 250 * time.Millisecond
-	maxPings   = 3                      // of those that would stand before the keeper, if they were heard
-	requestIdleTimeout     = 600 * time.Millisecond // an ask that nobody repeats is taken back
-	tokenBurstWindow   = 300 * time.Millisecond // of what a keeper mints, it saves up at most, and one call at least
-	maxCallsPerRequest     = 16                     // calls
-	maxQueuedRequests   = 4096                   // asks at a keeper, by destination
-	maxScopes  = 1024
-	maxMessageItems = 24 // loans, asks and gives
+	startupWindow         = 4 * time.Second
+	pingInterval          = 250 * time.Millisecond
+	maxPings              = 3                      // of those that would stand before the keeper, if they were heard
+	requestIdleTimeout    = 600 * time.Millisecond // an ask that nobody repeats is taken back
+	tokenBurstWindow      = 300 * time.Millisecond // of what a keeper mints, it saves up at most, and one call at least
+	maxCallsPerRequest    = 16                     // calls
+	maxQueuedRequests     = 4096                   // asks at a keeper, by destination
+	maxScopes             = 1024
+	maxMessageItems       = 24 // loans, asks and gives
 
 	// A keeper believes in the limit as far as calls bear it out: AIMD of one sender, over what all members report.
-	estimateInterval = 500 * time.Millisecond
-	minOutcomes  = 8                      // outcomes that a look needs
-	sparseEstimateInterval  = 2 * time.Second        // after which few are enough to let it grow, if none was refused
-	ignoreAfterDecrease      = 800 * time.Millisecond // after a cut: what is reported then was out before
-	maxRejectedRatio        = 0.12                   // refused of all
-	decreaseGain  = 1.2                    // of the share that was refused
+	estimateInterval       = 500 * time.Millisecond
+	minOutcomes            = 8                      // outcomes that a look needs
+	sparseEstimateInterval = 2 * time.Second        // after which few are enough to let it grow, if none was refused
+	ignoreAfterDecrease    = 800 * time.Millisecond // after a cut: what is reported then was out before
+	maxRejectedRatio       = 0.12                   // refused of all
+	decreaseGain           = 1.2                    // of the share that was refused
 	minDecreaseFactor      = 0.25                   // a cut leaves so much at least
-	minCapacityFraction  = 0.08
+	minCapacityFraction    = 0.08
 	// cuts that follow so soon are of one fall: what the first one tells is the nearest to the limit
 	episodeWindow = 3 * time.Second
 	// Of itself a second, after a look that found little refused: quickly up to near what was refused last, slowly past
 	// it, and quickly again: the limit is another one then.
 	fastGrowthRate = 0.35
-	slowGrowthRate  = 0.08
-	slowGrowthFrom  = 0.85
-	slowGrowthTo  = 1.1
-	headroomRatio     = 0.05 // of what is lent, that is not minted: calls come in clumps, and a limit that is hit costs more
+	slowGrowthRate = 0.08
+	slowGrowthFrom = 0.85
+	slowGrowthTo   = 1.1
+	headroomRatio  = 0.05 // of what is lent, that is not minted: calls come in clumps, and a limit that is hit costs more
 )
 
 // Scope is what shares a limit: a destination, or a route of it that stands apart.
@@ -118,7 +118,7 @@
 	AsksForLeases    bool                   `cbor:"New"`  // asks whether a loan of another life of the sender is held
 	HoldsNoLease     bool                   `cbor:"None"` // none is, and none will be taken as long as one may be under way
 	Leases           []Lease                `cbor:"Loans"`
-	Requests         []Request         `cbor:"Asks"`
+	Requests         []Request              `cbor:"Asks"`
 	Grants           []Grant                `cbor:"Gives"`
 }
 
@@ -134,102 +134,102 @@
 }
 
 type lentLease struct {
-	Holder    string        `cbor:"To"`
-	Rate  float64       `cbor:"Rate"`
+	Holder        string        `cbor:"To"`
+	Rate          float64       `cbor:"Rate"`
 	ReservedUntil time.Duration `cbor:"Until"` // the lender leaves it alone before
 }
 
 type heldLease struct {
 	Lender string `cbor:"From"`
 	loadreport.Incarnation
-	Rate  float64       `cbor:"Rate"`
+	Rate      float64       `cbor:"Rate"`
 	ExpiresAt time.Duration `cbor:"Until"`
 }
 
 type outcomeCount struct {
 	loadreport.Incarnation
-	Delivered    uint32 `cbor:"Done"`
-	Rejected uint32 `cbor:"Refused"`
+	Delivered uint32 `cbor:"Done"`
+	Rejected  uint32 `cbor:"Refused"`
 }
 
 type queuedRequest struct {
 	Requester string `cbor:"From"`
 	loadreport.Incarnation
-	ID    uint32        `cbor:"ID"`
+	ID        uint32        `cbor:"ID"`
 	Calls     int           `cbor:"N"`
-	Granted int           `cbor:"Given"`
+	Granted   int           `cbor:"Given"`
 	ExpiresAt time.Duration `cbor:"Until"`
 }
 
 // pendingRequest is an ask of this member's.
 type pendingRequest struct {
-	ID    uint32        `cbor:"ID"`
-	Calls     int           `cbor:"N"` // 0: there is none
-	Granted   int           `cbor:"Got"`
-	LeaseHolder    string        `cbor:"To"`
-	RequestedAt    time.Duration `cbor:"At"`
-	RepeatedAt time.Duration `cbor:"Again"` // wanted last
-	SentAt  time.Duration `cbor:"Sent"`
-	SentSeq   uint64        `cbor:"Seq"` // of the message it left with last; 0: not yet
-	Acked bool          `cbor:"Acked"`
+	ID          uint32        `cbor:"ID"`
+	Calls       int           `cbor:"N"` // 0: there is none
+	Granted     int           `cbor:"Got"`
+	LeaseHolder string        `cbor:"To"`
+	RequestedAt time.Duration `cbor:"At"`
+	RepeatedAt  time.Duration `cbor:"Again"` // wanted last
+	SentAt      time.Duration `cbor:"Sent"`
+	SentSeq     uint64        `cbor:"Seq"` // of the message it left with last; 0: not yet
+	Acked       bool          `cbor:"Acked"`
 }
 
 // Account is a Book's of one Scope. Its fields are exported for snapshots alone.
 type Account struct {
-	Limit            float64          `cbor:"Limit"` // calls a second that all members may make; 0: not told, or no longer
-	LentLeases             []lentLease           `cbor:"Lent"`
-	LeaseHolder      string           `cbor:"Keeper"` // that is lent to, and asked
-	HeldLeases             []heldLease           `cbor:"Held"`   // by lender
-	Tokens           float64          `cbor:"Tokens"`
-	RefilledAt               time.Duration    `cbor:"At"` // as of which
-	Queue            []queuedRequest         `cbor:"Queue"`
-	CapacityFraction           float64          `cbor:"Belief"`
-	LastRejectedFraction              float64          `cbor:"Met"`      // what was delivered of what was believed when it was refused last
-	EstimatedAt           time.Duration    `cbor:"Looked"`   // at outcomes, last
-	IgnoreOutcomesUntil             time.Duration    `cbor:"Deaf"`     // what is reported before then does not count
-	Growing            bool             `cbor:"Grows"`    // little was refused at the last look
-	Outcomes         [2]float64       `cbor:"Outcomes"` // reported since: done, refused
-	MemberOutcomes           map[string]outcomeCount `cbor:"Counts"`
-	Pending          pendingRequest             `cbor:"Want"`
-	Delivered        uint32           `cbor:"Done"`
-	Rejected         uint32           `cbor:"Refused"`
-	NotifiedFraction float64          `cbor:"Told"` // share that the module was told last
+	Limit                float64                 `cbor:"Limit"` // calls a second that all members may make; 0: not told, or no longer
+	LentLeases           []lentLease             `cbor:"Lent"`
+	LeaseHolder          string                  `cbor:"Keeper"` // that is lent to, and asked
+	HeldLeases           []heldLease             `cbor:"Held"`   // by lender
+	Tokens               float64                 `cbor:"Tokens"`
+	RefilledAt           time.Duration           `cbor:"At"` // as of which
+	Queue                []queuedRequest         `cbor:"Queue"`
+	CapacityFraction     float64                 `cbor:"Belief"`
+	LastRejectedFraction float64                 `cbor:"Met"`      // what was delivered of what was believed when it was refused last
+	EstimatedAt          time.Duration           `cbor:"Looked"`   // at outcomes, last
+	IgnoreOutcomesUntil  time.Duration           `cbor:"Deaf"`     // what is reported before then does not count
+	Growing              bool                    `cbor:"Grows"`    // little was refused at the last look
+	Outcomes             [2]float64              `cbor:"Outcomes"` // reported since: done, refused
+	MemberOutcomes       map[string]outcomeCount `cbor:"Counts"`
+	Pending              pendingRequest          `cbor:"Want"`
+	Delivered            uint32                  `cbor:"Done"`
+	Rejected             uint32                  `cbor:"Refused"`
+	NotifiedFraction     float64                 `cbor:"Told"` // share that the module was told last
 }
 
 // peer is another member.
 type peer struct {
 	loadreport.Incarnation
-	LastSeq   uint64                 `cbor:"Seen"`  // greatest Seq heard of it
-	ReceivedAt  time.Duration          `cbor:"Heard"` // last; never: below 0
-	PingedAt time.Duration          `cbor:"Pinged"`
-	LeasesSentAt   time.Duration          `cbor:"Sent"`   // loans, last
-	LeasesAcked  bool                   `cbor:"Acked"`  // they are
-	LeasesSeq uint64                 `cbor:"SentAs"` // their Seq
-	HoldsNoLease   bool                   `cbor:"None"`   // it holds no loan of another life of this member
-	QueriedAt  time.Duration          `cbor:"Asked"`  // that, last
-	AcceptedIncarnation   loadreport.Incarnation `cbor:"Only"`   // it was told so: loans of other lives are not taken
-	AcceptOnlyUntil  time.Duration          `cbor:"Until"`  // before then
+	LastSeq             uint64                 `cbor:"Seen"`  // greatest Seq heard of it
+	ReceivedAt          time.Duration          `cbor:"Heard"` // last; never: below 0
+	PingedAt            time.Duration          `cbor:"Pinged"`
+	LeasesSentAt        time.Duration          `cbor:"Sent"`   // loans, last
+	LeasesAcked         bool                   `cbor:"Acked"`  // they are
+	LeasesSeq           uint64                 `cbor:"SentAs"` // their Seq
+	HoldsNoLease        bool                   `cbor:"None"`   // it holds no loan of another life of this member
+	QueriedAt           time.Duration          `cbor:"Asked"`  // that, last
+	AcceptedIncarnation loadreport.Incarnation `cbor:"Only"`   // it was told so: loans of other lives are not taken
+	AcceptOnlyUntil     time.Duration          `cbor:"Until"`  // before then
 }
 
 // State is all that a Book holds, exported for snapshots alone.
 type State struct {
-	Settings      Settings           `cbor:"Set"`
-	StartedAt    time.Duration      `cbor:"Began"`
-	Seq      uint64             `cbor:"Seq"`
-	NextID   uint32             `cbor:"NextID"`
-	Accounts map[Scope]*Account `cbor:"Accounts"`
-	Peers    map[string]*peer   `cbor:"Peers"`
-	RenewAt  time.Duration      `cbor:"RenewAt"`
+	Settings  Settings           `cbor:"Set"`
+	StartedAt time.Duration      `cbor:"Began"`
+	Seq       uint64             `cbor:"Seq"`
+	NextID    uint32             `cbor:"NextID"`
+	Accounts  map[Scope]*Account `cbor:"Accounts"`
+	Peers     map[string]*peer   `cbor:"Peers"`
+	RenewAt   time.Duration      `cbor:"RenewAt"`
 	CheckAt   time.Duration      `cbor:"LookAt"`
-	Now      time.Duration      `cbor:"Now"`
+	Now       time.Duration      `cbor:"Now"`
 }
 
 // Ledger is a member's.
 type Ledger struct {
 	State
 	sortedScopes []Scope // of the accounts
-	outbox   map[string]*Message
-	changes   []Change
+	outbox       map[string]*Message
+	changes      []Change
 }
 
 // Change is what the decision module is told.
@@ -244,8 +244,8 @@
 func New(now time.Duration, set Settings) *Ledger {
 	set.LeaseDuration, set.LeaseMargin = cmp.Or(set.LeaseDuration, LeaseDuration), cmp.Or(set.LeaseMargin, LeaseMargin)
 	return &Ledger{
-		State: State{Settings: set, StartedAt: now, Now: now, Accounts: map[Scope]*Account{}, Peers: map[string]*peer{}},
-		outbox:   map[string]*Message{},
+		State:  State{Settings: set, StartedAt: now, Now: now, Accounts: map[Scope]*Account{}, Peers: map[string]*peer{}},
+		outbox: map[string]*Message{},
 	}
 }
 
@@ -273,7 +273,9 @@
 	return time.Duration(float64(b.Settings.LeaseDuration)*(1+2*loadreport.MaxClockDrift)) + b.Settings.LeaseMargin
 }
 
-func (b *Ledger) evenShare(a *Account) float64 { return a.Limit / float64(max(1, b.Settings.FleetSize)) }
+func (b *Ledger) evenShare(a *Account) float64 {
+	return a.Limit / float64(max(1, b.Settings.FleetSize))
+}
 
 // SetLimits takes what the list tells. What was lent of a destination that has gone stays lent.
 func (b *Ledger) SetLimits(now time.Duration, limits loadreport.Limits) {
@@ -294,9 +296,9 @@
 				b.sortedScopes = b.sortedScopes[:0]
 				b.Accounts[s] = &Account{
 					Limit:            limit,
-					RefilledAt:               now,
-					CapacityFraction:           1,
-					MemberOutcomes:           map[string]outcomeCount{},
+					RefilledAt:       now,
+					CapacityFraction: 1,
+					MemberOutcomes:   map[string]outcomeCount{},
 					NotifiedFraction: 1,
 				}
 			}
@@ -391,15 +393,15 @@
 
 // ScopeStatus tells of one Scope how a member stands.
 type ScopeStatus struct {
-	Destination     int     `json:"dest"`
-	Endpoint        string  `json:"route,omitempty"`
-	Limit           float64 `json:"limit"`   // calls a second that all may make, as the list tells
-	OwnRate         float64 `json:"own"`     // that this member may make of itself
-	Lent            float64 `json:"lent"`    // of its part that others may use
-	LeaseHolder     string  `json:"keeper"`  // that it lends to, and asks
-	GrantRate       float64 `json:"mints"`   // that it gives to others as a keeper
-	CapacityFraction          float64 `json:"belief"`  // in the limit, as a keeper: 1 is all of it
-	PendingRequests int     `json:"waiting"` // asks, as a keeper
+	Destination      int     `json:"dest"`
+	Endpoint         string  `json:"route,omitempty"`
+	Limit            float64 `json:"limit"`   // calls a second that all may make, as the list tells
+	OwnRate          float64 `json:"own"`     // that this member may make of itself
+	Lent             float64 `json:"lent"`    // of its part that others may use
+	LeaseHolder      string  `json:"keeper"`  // that it lends to, and asks
+	GrantRate        float64 `json:"mints"`   // that it gives to others as a keeper
+	CapacityFraction float64 `json:"belief"`  // in the limit, as a keeper: 1 is all of it
+	PendingRequests  int     `json:"waiting"` // asks, as a keeper
 }
 
 // Status tells of all Scopes with a limit, in order.
@@ -571,11 +573,11 @@
 
 func (b *Ledger) enqueue(a *Account, m Message, q Request) {
 	x := queuedRequest{
-		Requester:        m.Member,
+		Requester:   m.Member,
 		Incarnation: m.Incarnation,
 		ID:          q.ID,
-		Calls:           min(q.Calls, maxCallsPerRequest),
-		ExpiresAt:       b.Now - m.TransitTime + GrantTTL,
+		Calls:       min(q.Calls, maxCallsPerRequest),
+		ExpiresAt:   b.Now - m.TransitTime + GrantTTL,
 	}
 	i := slices.IndexFunc(a.Queue, func(x queuedRequest) bool { return x.Requester == m.Member })
 	switch {
--- a/internal/fleet/quota/ledger_test.go
+++ b/internal/fleet/quota/ledger_test.go
@@ -14,41 +14,41 @@
 
 // testFleet is a fleet of books on clocks that run apart, and a network that does what it likes.
 type testFleet struct {
-	set     Settings
-	now     time.Duration
-	limit   float64
-	members []*testMember
-	inFlight  []packet
+	set      Settings
+	now      time.Duration
+	limit    float64
+	members  []*testMember
+	inFlight []packet
 	faults   faults
-	used    []float64 // calls that were made by right, of each second
+	used     []float64 // calls that were made by right, of each second
 }
 
 // faults is what is wrong with the fleet; the zero value is nothing.
 type faults struct {
 	leaseFromArrival bool // a lease is counted from when the loan came
-	noMargin    bool // a lender uses its part again when its lease is over by its own clock
-	forgetsLeases     bool // a process that begins anew lends at once, and uses all of its part
-	reassignsSilent      bool // the parts of those who are silent are given away
+	noMargin         bool // a lender uses its part again when its lease is over by its own clock
+	forgetsLeases    bool // a process that begins anew lends at once, and uses all of its part
+	reassignsSilent  bool // the parts of those who are silent are given away
 }
 
 type testMember struct {
-	name    string
-	ledger    *Ledger
-	transit loadreport.TransitEstimator
-	offset  time.Duration
-	drift   float64
-	generation   uint64 // of its folder
-	boots   uint32
-	stopped bool
-	inbox   []packet
+	name       string
+	ledger     *Ledger
+	transit    loadreport.TransitEstimator
+	offset     time.Duration
+	drift      float64
+	generation uint64 // of its folder
+	boots      uint32
+	stopped    bool
+	inbox      []packet
 }
 
 type packet struct {
-	from, to int
-	boot     uint32
-	clock    time.Duration
-	arrivesAt       time.Duration // it comes
-	message        Message
+	from, to  int
+	boot      uint32
+	clock     time.Duration
+	arrivesAt time.Duration // it comes
+	message   Message
 }
 
 var testScope = Scope{Destination: 3}
