--- a/internal/state/bootclock/bootclock.go
+++ b/internal/state/bootclock/bootclock.go
@@ -17,11 +17,11 @@
 	Uptime time.Duration // since the boot, time asleep included; it is never set
 }
 
-const bootID = "/proc/sys/kernel/random/boot_id"
+const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
 // Now reads the clocks. Where the machine tells no boot the wall time stands alone.
 func Now() Reading {
-	id, err := os.ReadFile(bootID)
+	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
 		return Reading{Wall: time.Now()}
 	}
--- a/internal/state/clock/axis_test.go
+++ b/internal/state/clock/timeline_test.go
@@ -9,7 +9,7 @@
 
 // What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot,
 // and where the machine tells none, as the wall clock has it.
-func TestGoOn(t *testing.T) {
+func TestResumeKeepsElapsedTime(t *testing.T) {
 	wall := time.Unix(1e9, 0)
 	for name, c := range map[string]struct {
 		boots  [2]string
@@ -37,10 +37,10 @@
 			t.Errorf("%s: epochs %v, want %v", name, got, c.epochs)
 		}
 		// A third process goes on evenly from the second, whatever was set before it.
-		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.At-two.At != int64(
+		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.BaseStamp-two.BaseStamp != int64(
 			time.Second,
 		) {
-			t.Errorf("%s: a second later the axis is %v on", name, time.Duration(three.At-two.At))
+			t.Errorf("%s: a second later the axis is %v on", name, time.Duration(three.BaseStamp-two.BaseStamp))
 		}
 	}
 }
--- a/internal/state/endpointhealth/standing.go
+++ b/internal/state/endpointhealth/endpointhealth.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// most bounds the records, and so the room that they take: some 100 bytes each.
-const most = 256
+// maxRecords bounds the records, and so the room that they take: some 100 bytes each.
+const maxRecords = 256
 
 // Record is how a route stands, where that is not well or where another one of its destination does not. Times are on
 // one axis over all processes: journal.Stamp.
@@ -27,16 +27,16 @@
 	RecentlyHealthy  bool      `json:"Alive,omitempty"` // answered of late, and neither skipped nor in doubt
 }
 
-// ill tells whether a route does not stand well.
-func (r *Record) ill() bool {
+// unhealthy tells whether a route does not stand well.
+func (r *Record) unhealthy() bool {
 	return r.Ejected || r.WarmingUp || r.RecentlyRejected || !r.RetryAfterUntil.IsZero()
 }
 
-// aliveFor is how long after it was written down an answer still counts as one of late.
-const aliveFor = 3 * time.Second
+// healthyTTL is how long after it was written down an answer still counts as one of late.
+const healthyTTL = 3 * time.Second
 
-// pacedFor is how long a refusal above a limit is of use to the next process.
-const pacedFor = 10 * time.Second
+// rejectedTTL is how long a refusal above a limit is of use to the next process.
+const rejectedTTL = 10 * time.Second
 
 // FromViews returns the records of a module's view at now, its own time, which is wall.
 func FromViews(views []policy.EndpointView, now time.Duration, wall time.Time) (recs []Record) {
@@ -46,7 +46,7 @@
 			ObservedAt:       wall,
 			Ejected:          v.Ejected,
 			WarmingUp:        v.WarmingUp,
-			RecentlyRejected: v.DecreasedAt > 0 && now < v.DecreasedAt+pacedFor,
+			RecentlyRejected: v.DecreasedAt > 0 && now < v.DecreasedAt+rejectedTTL,
 		}
 		if v.RetryAfterUntil > now {
 			r.RetryAfterUntil = wall.Add(v.RetryAfterUntil - now)
@@ -56,12 +56,12 @@
 	}
 	ill := map[int]bool{} // destinations
 	for i := range views {
-		if r := record(&views[i]); len(recs) < most && r.ill() {
+		if r := record(&views[i]); len(recs) < maxRecords && r.unhealthy() {
 			recs, ill[views[i].Destination] = append(recs, r), true
 		}
 	}
 	for i := range views {
-		if r := record(&views[i]); len(recs) < most && r.RecentlyHealthy && !r.ill() && ill[views[i].Destination] {
+		if r := record(&views[i]); len(recs) < maxRecords && r.RecentlyHealthy && !r.unhealthy() && ill[views[i].Destination] {
 			recs = append(recs, r)
 		}
 	}
@@ -69,24 +69,24 @@
 	return recs
 }
 
-// fresh is how old what is written down may become while a route stands so: a restart goes by its age.
-const fresh = 2 * time.Second
+// refreshInterval is how old what is written down may become while a route stands so: a restart goes by its age.
+const refreshInterval = 2 * time.Second
 
-// slack is by how much a wait may be told later without that being news: it is read off two clocks.
-const slack = 20 * time.Millisecond
+// retryAfterTolerance is by how much a wait may be told later without that being news: it is read off two clocks.
+const retryAfterTolerance = 20 * time.Millisecond
 
 // Changed tells whether there is anything to write down that was is not worth any more. A route that stands well again
 // is news, too; that time has passed is none, until what is written down is no longer fresh.
 func Changed(was, is []Record) bool {
-	well := func(r Record) bool { return !r.ill() }
+	well := func(r Record) bool { return !r.unhealthy() }
 	was, is = slices.DeleteFunc(slices.Clone(was), well), slices.DeleteFunc(slices.Clone(is), well)
-	if len(was) > 0 && len(is) > 0 && is[0].ObservedAt.Sub(was[0].ObservedAt).Abs() > fresh {
+	if len(was) > 0 && len(is) > 0 && is[0].ObservedAt.Sub(was[0].ObservedAt).Abs() > refreshInterval {
 		return true
 	}
 	return !slices.EqualFunc(was, is, func(a, b Record) bool {
 		return a.Endpoint == b.Endpoint && a.Ejected == b.Ejected && a.WarmingUp == b.WarmingUp &&
 			a.RecentlyRejected == b.RecentlyRejected &&
-			(b.RetryAfterUntil.IsZero() || b.RetryAfterUntil.Sub(a.RetryAfterUntil).Abs() < slack)
+			(b.RetryAfterUntil.IsZero() || b.RetryAfterUntil.Sub(a.RetryAfterUntil).Abs() < retryAfterTolerance)
 	})
 }
 
@@ -101,15 +101,15 @@
 
 // Decode reads them; nil if they cannot be read: a restart without them is as safe as one after the loss of the folder.
 func Decode(data []byte) (recs []Record) {
-	if len(data) == 0 || json.Unmarshal(data, &recs) != nil || len(recs) > most {
+	if len(data) == 0 || json.Unmarshal(data, &recs) != nil || len(recs) > maxRecords {
 		return nil
 	}
 	return recs
 }
 
 const (
-	failuresDoubt = 2 // in a row that put a route in doubt
-	failuresSkip  = 3 // and that skip it
+	failuresToSuspect = 2 // in a row that put a route in doubt
+	failuresToEject   = 3 // and that skip it
 )
 
 // Events tell a fresh module, at wall, of records that a former process left. They come behind the list. A route is
@@ -119,7 +119,7 @@
 	// refusal by a route that has not answered for a sign of an outage, and a route that has not for as ill as those
 	// beside it.
 	for _, r := range recs {
-		if age := max(0, wall.Sub(r.ObservedAt)); r.Endpoint != "" && r.RecentlyHealthy && age < aliveFor {
+		if age := max(0, wall.Sub(r.ObservedAt)); r.Endpoint != "" && r.RecentlyHealthy && age < healthyTTL {
 			evs = append(evs, policy.Event{Kind: policy.HealthChecked, Endpoint: r.Endpoint, Outcome: policy.OK})
 		}
 	}
@@ -138,22 +138,22 @@
 		switch {
 		case age >= warm:
 		case r.Ejected:
-			failures = failuresSkip
+			failures = failuresToEject
 		case r.WarmingUp:
-			failures = failuresDoubt
+			failures = failuresToSuspect
 		}
-		if r.RecentlyRejected && age < pacedFor {
+		if r.RecentlyRejected && age < rejectedTTL {
 			tell(policy.Overloaded, 0)
 		}
 		for range failures {
 			tell(policy.Error, 0)
 		}
-		if left := r.RetryAfterUntil.Sub(wall); !r.RetryAfterUntil.IsZero() && left > 0 && left <= waitMost {
+		if left := r.RetryAfterUntil.Sub(wall); !r.RetryAfterUntil.IsZero() && left > 0 && left <= maxRetryAfter {
 			tell(policy.NotSent, left)
 		}
 	}
 	return evs
 }
 
-// waitMost bounds a wait that is kept. Guards against a clock that was set back by far.
-const waitMost = time.Hour
+// maxRetryAfter bounds a wait that is kept. Guards against a clock that was set back by far.
+const maxRetryAfter = time.Hour
--- a/internal/state/endpointhealth/standing_test.go
+++ b/internal/state/endpointhealth/endpointhealth_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func list() policy.Event {
+func endpointSnapshot() policy.Event {
 	e := policy.Event{Kind: policy.EndpointSnapshot}
 	for _, x := range []policy.Endpoint{
 		{ID: "a", Destination: 1, Kind: 0}, {ID: "b", Destination: 1, Kind: 0}, {ID: "c", Destination: 2, Kind: 1}, {ID: "d", Destination: 2, Kind: 1},
@@ -32,21 +32,21 @@
 	return e
 }
 
-func viewOf(s *policy.Engine, route string) policy.EndpointView {
+func findView(s *policy.Engine, route string) policy.EndpointView {
 	views, _ := s.Views()
 	return views[slices.IndexFunc(views, func(v policy.EndpointView) bool { return v.ID == route })]
 }
 
 // Over any history: what the former module held back, for an outage or a wait, the restored one does too, and a wait
 // for no shorter time; what was well is well.
-func TestARestartedModuleStandsAsItsFormer(t *testing.T) {
+func TestRestoredEngineKeepsEndpointHealth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, err := policy.New(settings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, wall := time.Second, time.Unix(1e9, 0)
-		old.Step(now, []policy.Event{list()})
+		old.Step(now, []policy.Event{endpointSnapshot()})
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			d := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
 			now, wall = now+d, wall.Add(d)
@@ -69,9 +69,9 @@
 		}
 		down := time.Duration(rapid.IntRange(0, 1000).Draw(t, "down for")) * time.Millisecond
 		const at = time.Second
-		fresh.Step(at, append([]policy.Event{list()}, Events(recs, wall.Add(down), settings().WarmUpDuration)...))
+		fresh.Step(at, append([]policy.Event{endpointSnapshot()}, Events(recs, wall.Add(down), settings().WarmUpDuration)...))
 		for _, was := range views {
-			is := viewOf(fresh, was.ID)
+			is := findView(fresh, was.ID)
 			if was.Ejected && !is.Ejected || was.WarmingUp && !is.WarmingUp {
 				t.Fatalf("%s: was %+v, is %+v", was.ID, was, is)
 			}
@@ -81,7 +81,7 @@
 			well := !slices.ContainsFunc(recs, func(r Record) bool { return r.Endpoint == was.ID })
 			sibling := slices.ContainsFunc(
 				recs,
-				func(r Record) bool { return viewOf(fresh, r.Endpoint).Destination == was.Destination },
+				func(r Record) bool { return findView(fresh, r.Endpoint).Destination == was.Destination },
 			)
 			if well && !sibling && (is.Ejected || is.WarmingUp || is.RetryAfterUntil > at || is.PacingRate > 0) {
 				t.Fatalf("%s was well, and is %+v", was.ID, is)
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestWhatIsOldBindsNoMore(t *testing.T) {
+func TestOldRecordsExpire(t *testing.T) {
 	wall := time.Unix(1e9, 0)
 	recs := []Record{
 		{
@@ -107,12 +107,12 @@
 		after time.Duration
 		want  int // events
 	}{
-		{0, 1 + failuresSkip + 1 + failuresDoubt},
-		{2 * time.Second, 1 + failuresSkip + failuresDoubt},
-		{12 * time.Second, failuresSkip + failuresDoubt},
+		{0, 1 + failuresToEject + 1 + failuresToSuspect},
+		{2 * time.Second, 1 + failuresToEject + failuresToSuspect},
+		{12 * time.Second, failuresToEject + failuresToSuspect},
 		{14 * time.Second, 0},
-		{-time.Minute, 1 + failuresSkip + 1 + failuresDoubt},
-		{-2 * time.Hour, 1 + failuresSkip + failuresDoubt},
+		{-time.Minute, 1 + failuresToEject + 1 + failuresToSuspect},
+		{-2 * time.Hour, 1 + failuresToEject + failuresToSuspect},
 	} {
 		if evs := Events(recs, wall.Add(x.after), 14*time.Second); len(evs) != x.want {
 			t.Errorf("after %v: %d events, not %d: %+v", x.after, len(evs), x.want, evs)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestWhatIsNewsIsWrittenDown(t *testing.T) {
+func TestChanged(t *testing.T) {
 	wall := time.Unix(1e9, 0)
 	was := []Record{{Endpoint: "a", ObservedAt: wall, WarmingUp: true, RetryAfterUntil: wall.Add(time.Second)}}
 	for name, x := range map[string]struct {
@@ -147,12 +147,12 @@
 }
 
 // What cannot be read is as if nothing had been kept, and there is never more than the bound.
-func TestRecordsAreBoundedAndReadOrNot(t *testing.T) {
-	views := make([]policy.EndpointView, 3*most)
+func TestRecordsAreBoundedAndDecodeRejectsDamage(t *testing.T) {
+	views := make([]policy.EndpointView, 3*maxRecords)
 	for i := range views {
 		views[i].ID, views[i].Ejected = string(rune('a'+i%26))+string(rune('a'+i/26)), true
 	}
-	if n := len(FromViews(views, time.Second, time.Unix(1, 0))); n != most {
+	if n := len(FromViews(views, time.Second, time.Unix(1, 0))); n != maxRecords {
 		t.Errorf("%d records", n)
 	}
 	data := Encode(FromViews(views[:3], time.Second, time.Unix(1, 0)))
@@ -169,7 +169,7 @@
 
 // A refusal that a former module took for a limit's casts no doubt in the next, nor does a sibling's trouble on what
 // answers: what had answered a moment before is told so, but not for long, and no more than the former had it.
-func TestWhatAnsweredAMomentAgoStandsSo(t *testing.T) {
+func TestRecentlyHealthyEndpointIsRestored(t *testing.T) {
 	many := settings()
 	many.FleetSize = 300
 	const at = time.Second
@@ -178,7 +178,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(at, append([]policy.Event{list()}, Events(recs, wall, many.WarmUpDuration)...))
+		s.Step(at, append([]policy.Event{endpointSnapshot()}, Events(recs, wall, many.WarmUpDuration)...))
 		// A message has the routes looked at.
 		s.Step(
 			at,
@@ -203,9 +203,9 @@
 		cold := false
 		for seed := range uint64(40) {
 			s := play(seed, c.recs, wall.Add(c.down))
-			cold = cold || viewOf(s, "a").WarmingUp
+			cold = cold || findView(s, "a").WarmingUp
 			if hasCold := slices.ContainsFunc(c.recs, func(r Record) bool { return r.Endpoint == "b" }); hasCold &&
-				!viewOf(s, "b").WarmingUp {
+				!findView(s, "b").WarmingUp {
 				t.Fatalf("%s: the doubt is gone", c.name)
 			}
 		}
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -21,7 +21,7 @@
 // with -large at 512 MB, too.
 var large = flag.Bool("large", false, "benchmarks at 512 MB and a million records")
 
-const bodySize = 1000
+const benchBodySize = 1000
 
 func limits() map[string]int64 {
 	all := map[string]int64{"3MB": 3e6, "64MB": 64e6}
@@ -31,69 +31,69 @@
 	return all
 }
 
-// subject is either of the two.
-type subject interface {
+// writer is either of the two.
+type writer interface {
 	accept(id uint32) error
 	end(id uint32) error
 	close() error
 }
 
-type oldSubject struct {
+type legacyWriter struct {
 	l  *legacylog.Log
 	ms map[uint32]*legacylog.Message
 }
 
-func (s *oldSubject) accept(id uint32) error {
+func (s *legacyWriter) accept(id uint32) error {
 	m := &legacylog.Message{
 		ID:             id,
 		TraceID:        "9b1f03aa5c7e2d41",
 		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 		Deadline:       time.Unix(1e9, 0),
-		Body:           make([]byte, bodySize),
+		Body:           make([]byte, benchBodySize),
 	}
 	s.ms[id] = m
 	return s.l.Accept(m)
 }
 
-func (s *oldSubject) end(id uint32) error {
+func (s *legacyWriter) end(id uint32) error {
 	s.l.Remove(s.ms[id])
 	delete(s.ms, id)
 	return s.l.Flush()
 }
 
-func (s *oldSubject) close() error { return s.l.Close() }
+func (s *legacyWriter) close() error { return s.l.Close() }
 
-type newSubject struct {
+type journalWriter struct {
 	j  *Journal
 	ms map[uint32]*Message
 }
 
-func (s *newSubject) accept(id uint32) error {
+func (s *journalWriter) accept(id uint32) error {
 	m := &Message{
 		ID:             id,
 		TraceID:        "9b1f03aa5c7e2d41",
 		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 		Deadline:       time.Unix(1e9, 0),
-		Body:           make([]byte, bodySize),
+		Body:           make([]byte, benchBodySize),
 	}
 	s.ms[id] = m
 	return s.j.Accept(m)
 }
 
-func (s *newSubject) end(id uint32) error {
+func (s *journalWriter) end(id uint32) error {
 	s.j.Remove(s.ms[id])
 	delete(s.ms, id)
 	return s.j.Flush()
 }
 
-func (s *newSubject) close() error { return s.j.Close() }
+func (s *journalWriter) close() error { return s.j.Close() }
 
-func openSubject(b testing.TB, kind, dir string, limit int64) subject {
+func openWriter(b testing.TB, kind, dir string, limit int64) writer {
 	b.Helper()
 	if kind == "log" {
 		l, found, err := legacylog.Open(dir, limit)
 		must(b, err)
-		s := &oldSubject{l, map[uint32]*legacylog.Message{}}
+		s := &legacyWriter{l, map[uint32]*legacylog.Message{}}
 		for _, m := range found.Messages {
 			s.ms[m.ID] = m
 		}
@@ -101,16 +101,16 @@
 	}
 	j, rec, err := OpenFolder(dir, Options{Limit: limit})
 	must(b, err)
-	s := &newSubject{j, map[uint32]*Message{}}
+	s := &journalWriter{j, map[uint32]*Message{}}
 	for _, m := range rec.Messages {
 		s.ms[m.ID] = m
 	}
 	return s
 }
 
-// BenchmarkAcceptAndEnd takes a message on and ends the oldest, with 30 % of the limit live, and tells the longest
+// BenchmarkAcceptAndRemove takes a message on and ends the oldest, with 30 % of the limit live, and tells the longest
 // accept: the one in which the old log writes itself anew.
-func BenchmarkAcceptAndEnd(b *testing.B) {
+func BenchmarkAcceptAndRemove(b *testing.B) {
 	for _, name := range []string{"3MB", "64MB", "512MB"} {
 		limit, ok := limits()[name]
 		if !ok {
@@ -119,7 +119,7 @@
 		for _, kind := range []string{"log", "journal"} {
 			b.Run(kind+"/"+name, func(b *testing.B) {
 				dir := b.TempDir()
-				s := openSubject(b, kind, dir, limit)
+				s := openWriter(b, kind, dir, limit)
 				live := uint32(float64(limit) * 0.3 / 1300)
 				next := uint32(0)
 				for next < live {
@@ -141,14 +141,14 @@
 				b.ReportMetric(float64(times[len(times)-1].Microseconds())/1000, "longest-ms")
 				b.ReportMetric(float64(times[len(times)*999/1000].Microseconds()), "p99.9-us")
 				b.ReportMetric(float64(live), "live")
-				if s, ok := s.(*newSubject); ok {
+				if s, ok := s.(*journalWriter); ok {
 					st := s.j.Stats()
 					b.ReportMetric(float64(st.Committed+st.Copied)/float64(st.Committed), "write-amp")
 					b.ReportMetric(float64(st.DiskBytes)/float64(st.LiveBytes), "disk/live")
 				}
 				must(b, s.close())
 				began := time.Now()
-				s = openSubject(b, kind, dir, limit)
+				s = openWriter(b, kind, dir, limit)
 				b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "open-ms")
 				must(b, s.close())
 			})
@@ -167,7 +167,7 @@
 			dir := b.TempDir()
 			s, _, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.MinLimit, int64(n)*3000)})
 			must(b, err)
-			value := make([]byte, bodySize)
+			value := make([]byte, benchBodySize)
 			for i := 0; i < n; i += 100 {
 				batch := s.Begin()
 				for range 100 {
@@ -205,7 +205,7 @@
 func BenchmarkCommit(b *testing.B) {
 	s, _, err := store.Open(store.Dir(b.TempDir()), store.Options{Limit: 64e6})
 	must(b, err)
-	value, delta := make([]byte, bodySize), make([]byte, 30)
+	value, delta := make([]byte, benchBodySize), make([]byte, 30)
 	var keys []uint64
 	b.ReportAllocs()
 	for b.Loop() {
@@ -225,13 +225,13 @@
 	must(b, s.Close())
 }
 
-// BenchmarkDiskForAMessage tells how many bytes a message takes on disk.
-func BenchmarkDiskForAMessage(b *testing.B) {
+// BenchmarkDiskPerMessage tells how many bytes a message takes on disk.
+func BenchmarkDiskPerMessage(b *testing.B) {
 	for _, kind := range []string{"log", "journal"} {
 		b.Run(kind, func(b *testing.B) {
 			for b.Loop() {
 				dir := b.TempDir()
-				s := openSubject(b, kind, dir, 64e6)
+				s := openWriter(b, kind, dir, 64e6)
 				for id := range uint32(1000) {
 					must(b, s.accept(id+1))
 				}
@@ -243,18 +243,18 @@
 					}
 					return err
 				}))
-				b.ReportMetric(float64(sum)/1000-bodySize, "B/message-beside-body")
+				b.ReportMetric(float64(sum)/1000-benchBodySize, "B/message-beside-body")
 			}
 		})
 	}
 }
 
-// BenchmarkLive tells what a live message takes in memory with its body left on disk, all that the journal holds of it.
-func BenchmarkLive(b *testing.B) {
+// BenchmarkMemoryPerMessage tells what a live message takes in memory with its body left on disk, all that the journal holds of it.
+func BenchmarkMemoryPerMessage(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s := openSubject(b, "journal", dir, max(store.MinLimit, int64(n)*3000))
+			s := openWriter(b, "journal", dir, max(store.MinLimit, int64(n)*3000))
 			for id := range uint32(n) {
 				must(b, s.accept(id+1))
 			}
@@ -278,10 +278,10 @@
 	}
 }
 
-// BenchmarkSaturdayRush plays an hour of messages, in virtual time: arrivals swell from 40 to 360 a second and back,
+// BenchmarkPeakHour plays an hour of messages, in virtual time: arrivals swell from 40 to 360 a second and back,
 // nine of ten messages end within 0.6 s and the others within 12 s, a fifth has a second attempt; the limit is the
 // platform's. What it tells is what the hour costs, and that none of it was refused.
-func BenchmarkSaturdayRush(b *testing.B) {
+func BenchmarkPeakHour(b *testing.B) {
 	if !*large {
 		b.Skip("with -large")
 	}
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -30,11 +30,11 @@
 func goldenOptions() Options { return Options{Limit: store.MinLimit, Clock: goldenClock} }
 
 func goldenAnchor() clock.Anchor {
-	return clock.Anchor{BootID: "golden-boot", Uptime: time.Minute, At: goldenStart.UnixNano(), Epoch: 1}
+	return clock.Anchor{BootID: "golden-boot", Uptime: time.Minute, Stamp: goldenStart.UnixNano(), Epoch: 1}
 }
 
-// goldenStanding is what the golden journal keeps of the hosts' standing.
-func goldenStanding() []byte {
+// goldenHealth is what the golden journal keeps of the hosts' standing.
+func goldenHealth() []byte {
 	return endpointhealth.Encode([]endpointhealth.Record{
 		{
 			Endpoint:         "s-1",
@@ -89,7 +89,7 @@
 	j.RecordFinal(failed, FinalAnswer{})
 	j.Remove(ended)
 	must(t, j.Flush())
-	must(t, j.SaveEndpointHealth(goldenStanding()))
+	must(t, j.SaveEndpointHealth(goldenHealth()))
 	must(t, j.Close())
 	return []*Message{untried, sent, withdrawn, deferred, failed, tried, undated}
 }
@@ -130,7 +130,7 @@
 		t.Fatalf("%d messages, want %d", len(got), len(want))
 	}
 	for i := range got {
-		if !same(got[i], want[i]) {
+		if !equalMessages(got[i], want[i]) {
 			t.Errorf("read as %+v, want %+v", got[i], want[i])
 		}
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("found %+v", found)
 	}
 	checkMessages(t, found.Messages, want)
-	if !bytes.Equal(found.EndpointHealth, goldenStanding()) {
+	if !bytes.Equal(found.EndpointHealth, goldenHealth()) {
 		t.Errorf("standing %s", found.EndpointHealth)
 	}
 	if j.anchor != goldenAnchor() {
@@ -177,7 +177,7 @@
 	if found.ClockStep != time.Hour-5*time.Second {
 		t.Errorf("stepped by %v", found.ClockStep)
 	}
-	if got, want := j.axis.At, goldenStart.Add(5*time.Second).UnixNano(); got != want {
+	if got, want := j.timeline.BaseStamp, goldenStart.Add(5*time.Second).UnixNano(); got != want {
 		t.Errorf("the axis goes on at %d, want %d", got, want)
 	}
 }
@@ -186,11 +186,11 @@
 const goldenLegacyLog = "../legacylog/testdata/golden/wal.log"
 
 // A log of the older form is carried over in full.
-func TestGoldenLegacyLogIsCarriedOver(t *testing.T) {
+func TestGoldenLegacyLogMigration(t *testing.T) {
 	log, err := os.ReadFile(goldenLegacyLog)
 	must(t, err)
 	state := t.TempDir()
-	must(t, os.WriteFile(filepath.Join(state, legacyLog), log, 0o600))
+	must(t, os.WriteFile(filepath.Join(state, legacyLogName), log, 0o600))
 	j, found, err := OpenFolder(state, goldenOptions())
 	must(t, err)
 	must(t, j.Close())
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -40,8 +40,8 @@
 	// Doubtful tells that records which could not be read may have been about it: it may have run, anywhere.
 	Uncertain bool `json:"Doubtful"`
 
-	key  uint64 // in the store; 0: not in it
-	size int    // of the body
+	key      uint64 // in the store; 0: not in it
+	bodySize int    // of the body
 }
 
 // Attempt is one send.
@@ -102,28 +102,28 @@
 
 // Steps of compaction, for each write.
 const (
-	compactLeast = 8 << 10
-	compactShare = 3 // so many times what was written
+	minCompaction   = 8 << 10
+	compactionRatio = 3 // so many times what was written
 )
 
 // Journal is an open journal.
 type Journal struct {
-	store   *store.Store
-	opt     Options
-	live    map[uint32]*Message
-	notes   []note
-	scratch []byte
-	bodies  int64
+	store     *store.Store
+	options   Options
+	live      map[uint32]*Message
+	pending   []pendingRecord
+	scratch   []byte
+	bodyBytes int64
 	// The keys of what Standing kept, and of anchors: all but the last of each are of no use.
-	standings, anchors []uint64
+	healthKeys, anchorKeys []uint64
 
-	axis    clock.Timeline
-	anchor  clock.Anchor // in the store, if that had room
-	stalled error        // compaction could not go on; told once
+	timeline      clock.Timeline
+	anchor        clock.Anchor // in the store, if that had room
+	compactionErr error        // compaction could not go on; told once
 }
 
-// note is an outcome or an end that is not written yet.
-type note struct {
+// pendingRecord is an outcome or an end that is not written yet.
+type pendingRecord struct {
 	m    *Message
 	kind byte // of a delta; 0: the message ends
 	n    int
@@ -141,11 +141,11 @@
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	opt.readOnly = readOnly
-	j := &Journal{store: s, opt: opt, live: map[uint32]*Message{}}
+	j := &Journal{store: s, options: opt, live: map[uint32]*Message{}}
 	rec := &Recovery{Store: found}
-	keys, err := j.open(found, rec)
+	keys, err := j.loadMetadata(found, rec)
 	if err == nil && !readOnly {
-		err = j.keepAnchor()
+		err = j.saveAnchor()
 	}
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("journal: %w", err), s.Close())
@@ -156,14 +156,14 @@
 			return nil, nil, errors.Join(fmt.Errorf("journal: %w", err), s.Close())
 		}
 		j.scratch = value
-		m, ok := decode(value, j.axis)
+		m, ok := decode(value, j.timeline)
 		if !ok {
 			rec.Unreadable++
 			continue
 		}
 		m.key, m.Uncertain = key, found.Doubtful(key)
 		for _, d := range found.Deltas(key) {
-			if !m.apply(d, j.axis) {
+			if !m.apply(d, j.timeline) {
 				m.Uncertain = true
 			}
 		}
@@ -171,15 +171,15 @@
 			continue
 		}
 		j.live[m.ID] = m
-		j.keep(m)
+		j.retainBody(m)
 		rec.Messages = append(rec.Messages, m)
 	}
 	slices.SortFunc(rec.Messages, func(a, b *Message) int { return int(int64(a.ID) - int64(b.ID)) })
 	return j, rec, nil
 }
 
-// open reads what is no message, and goes on with the axis; the other keys are returned.
-func (j *Journal) open(found *store.Recovery, rec *Recovery) (keys []uint64, err error) {
+// loadMetadata reads what is no message, and goes on with the axis; the other keys are returned.
+func (j *Journal) loadMetadata(found *store.Recovery, rec *Recovery) (keys []uint64, err error) {
 	var last *clock.Anchor
 	for _, key := range found.Keys {
 		value, err := j.store.Get(key, j.scratch[:0])
@@ -187,30 +187,30 @@
 			return nil, err
 		}
 		switch j.scratch = value; {
-		case len(value) > 0 && value[0] == standingVersion:
-			j.standings = append(j.standings, key) // in the order of their keys: the last counts
+		case len(value) > 0 && value[0] == healthVersion:
+			j.healthKeys = append(j.healthKeys, key) // in the order of their keys: the last counts
 			rec.EndpointHealth = append([]byte(nil), value[1:]...)
 		case len(value) > 0 && value[0] == anchorVersion:
-			j.anchors, last = append(j.anchors, key), decodeAnchor(value)
+			j.anchorKeys, last = append(j.anchorKeys, key), decodeAnchor(value)
 		default:
 			keys = append(keys, key)
 		}
 	}
-	if j.opt.Clock == nil {
-		j.opt.Clock = bootclock.Now
+	if j.options.Clock == nil {
+		j.options.Clock = bootclock.Now
 	}
-	j.axis, j.anchor = clock.Resume(last, j.opt.Clock())
+	j.timeline, j.anchor = clock.Resume(last, j.options.Clock())
 	if last != nil {
 		rec.ClockStep = j.anchor.WallOffset - last.WallOffset
 	}
 	return keys, nil
 }
 
-// keepAnchor writes the anchor, if it is not what was written last. Without room the next process goes by the one
+// saveAnchor writes the anchor, if it is not what was written last. Without room the next process goes by the one
 // before it.
-func (j *Journal) keepAnchor() error {
-	if len(j.anchors) > 0 {
-		value, err := j.store.Get(j.anchors[len(j.anchors)-1], nil)
+func (j *Journal) saveAnchor() error {
+	if len(j.anchorKeys) > 0 {
+		value, err := j.store.Get(j.anchorKeys[len(j.anchorKeys)-1], nil)
 		if err != nil {
 			return err
 		}
@@ -218,7 +218,7 @@
 			return nil
 		}
 	}
-	if err := j.replace(&j.anchors, encodeAnchor(&j.anchor, nil)); err != nil && !errors.Is(err, ErrFull) {
+	if err := j.replace(&j.anchorKeys, encodeAnchor(&j.anchor, nil)); err != nil && !errors.Is(err, ErrFull) {
 		return err
 	}
 	return nil
@@ -226,42 +226,42 @@
 
 // Stamp is a time of this process on the journal's axis, to which nothing that is done to the wall clock matters, in
 // the form of a wall time. What Standing keeps should be timed so.
-func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.axis.Stamp(t)) }
+func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.timeline.Stamp(t)) }
 
-// keep leaves a body on disk where the bodies in memory would be too many.
-func (j *Journal) keep(m *Message) {
-	m.size = len(m.Body)
-	if j.opt.MaxBodyBytes > 0 && j.bodies+int64(m.size) > j.opt.MaxBodyBytes {
+// retainBody leaves a body on disk where the bodies in memory would be too many.
+func (j *Journal) retainBody(m *Message) {
+	m.bodySize = len(m.Body)
+	if j.options.MaxBodyBytes > 0 && j.bodyBytes+int64(m.bodySize) > j.options.MaxBodyBytes {
 		m.Body = nil
 		return
 	}
-	j.bodies += int64(m.size)
+	j.bodyBytes += int64(m.bodySize)
 }
 
 // Body is a message's body, from memory or from the store.
 func (j *Journal) Body(m *Message) ([]byte, error) {
-	if m.Body != nil || m.size == 0 {
+	if m.Body != nil || m.bodySize == 0 {
 		return m.Body, nil
 	}
 	value, err := j.store.Get(m.key, nil)
 	if err != nil {
 		return nil, fmt.Errorf("journal: body: %w", err)
 	}
-	return value[len(value)-m.size:], nil
+	return value[len(value)-m.bodySize:], nil
 }
 
 // Size is the length of a message's body, in bytes.
-func (m *Message) Size() int { return max(m.size, len(m.Body)) }
+func (m *Message) Size() int { return max(m.bodySize, len(m.Body)) }
 
 // SaveEndpointHealth keeps data in the place of what was kept before: what a process wants the next one to know beside
 // the messages. It is one commit with all that is noted. With ErrFull what was kept before stays.
 func (j *Journal) SaveEndpointHealth(data []byte) error {
-	return j.replace(&j.standings, append([]byte{standingVersion}, data...))
+	return j.replace(&j.healthKeys, append([]byte{healthVersion}, data...))
 }
 
 // replace puts a value in the place of those under keys.
 func (j *Journal) replace(keys *[]uint64, value []byte) error {
-	b := j.begin()
+	b := j.beginBatch()
 	key := b.Put(nil, value)
 	for _, old := range *keys {
 		b.Delete(old)
@@ -276,10 +276,10 @@
 // Close writes what is noted and how far the wall clock has been set by now, and closes the store.
 func (j *Journal) Close() error {
 	err := j.Flush()
-	if _, now := clock.Resume(&j.anchor, j.opt.Clock()); err == nil && !j.opt.readOnly &&
+	if _, now := clock.Resume(&j.anchor, j.options.Clock()); err == nil && !j.options.readOnly &&
 		now.WallOffset != j.anchor.WallOffset {
 		j.anchor = now
-		err = j.keepAnchor()
+		err = j.saveAnchor()
 	}
 	return errors.Join(err, j.store.Close())
 }
@@ -292,10 +292,10 @@
 
 // Accept records that ms are taken on, all or none. With ErrFull nothing of them is in the journal.
 func (j *Journal) Accept(ms ...*Message) error {
-	b := j.begin()
+	b := j.beginBatch()
 	keys := make([]uint64, 0, 16)
 	for _, m := range ms {
-		j.scratch = m.encode(j.scratch[:0], j.axis)
+		j.scratch = m.encode(j.scratch[:0], j.timeline)
 		keys = append(keys, b.Put(j.scratch, m.Body))
 	}
 	if err := j.commit(b); err != nil {
@@ -304,24 +304,24 @@
 	for i, m := range ms {
 		m.key = keys[i]
 		j.live[m.ID] = m
-		j.keep(m)
+		j.retainBody(m)
 	}
 	return nil
 }
 
 // RecordSends records attempts before their first byte, all or none.
 func (j *Journal) RecordSends(sends ...Send) error {
-	b := j.begin()
+	b := j.beginBatch()
 	for i := range sends {
 		s := &sends[i]
-		j.scratch = appendAttempt(append(j.scratch[:0], deltaSend), &s.Attempt, j.axis)
+		j.scratch = appendAttempt(append(j.scratch[:0], deltaSend), &s.Attempt, j.timeline)
 		b.Append(s.Message.key, j.scratch)
 	}
 	if err := j.commit(b); err != nil {
 		return err
 	}
 	for _, s := range sends {
-		s.Message.sent(s.Attempt)
+		s.Message.addAttempt(s.Attempt)
 	}
 	return nil
 }
@@ -332,8 +332,8 @@
 	if !j.Tracks(m) {
 		return
 	}
-	m.neverRan(n)
-	j.notes = append(j.notes, note{m, deltaNeverRan, n})
+	m.removeAttempt(n)
+	j.pending = append(j.pending, pendingRecord{m, deltaNotRun, n})
 }
 
 // RecordFinal notes the notice that will end m.
@@ -342,7 +342,7 @@
 		return
 	}
 	m.Final = &f
-	j.notes = append(j.notes, note{m, deltaFinal, 0})
+	j.pending = append(j.pending, pendingRecord{m, deltaFinal, 0})
 }
 
 // RecordCancelled notes that nothing is owed for m but to remember what may have run, until End.
@@ -351,7 +351,7 @@
 		return
 	}
 	m.Cancelled = true
-	j.notes = append(j.notes, note{m, deltaWithdrawn, 0})
+	j.pending = append(j.pending, pendingRecord{m, deltaCancelled, 0})
 }
 
 // Remove notes that nothing more is owed for m.
@@ -361,34 +361,34 @@
 	}
 	delete(j.live, m.ID)
 	if m.Body != nil {
-		j.bodies -= int64(m.size)
+		j.bodyBytes -= int64(m.bodySize)
 	}
-	j.notes = append(j.notes, note{m, 0, 0})
+	j.pending = append(j.pending, pendingRecord{m, 0, 0})
 }
 
 // Flush writes what is noted. After an error the notes are kept for the next write.
 func (j *Journal) Flush() error {
-	if len(j.notes) == 0 {
+	if len(j.pending) == 0 {
 		return nil
 	}
-	return j.commit(j.begin())
+	return j.commit(j.beginBatch())
 }
 
-// begin is a batch with all that is noted.
-func (j *Journal) begin() *store.Batch {
+// beginBatch is a batch with all that is noted.
+func (j *Journal) beginBatch() *store.Batch {
 	b := j.store.Begin()
-	for _, n := range j.notes {
+	for _, n := range j.pending {
 		switch n.kind {
 		case 0:
 			b.Delete(n.m.key)
-		case deltaNeverRan:
-			j.scratch = appendInt(append(j.scratch[:0], deltaNeverRan), int64(n.n))
+		case deltaNotRun:
+			j.scratch = appendVarint(append(j.scratch[:0], deltaNotRun), int64(n.n))
 			b.Append(n.m.key, j.scratch)
 		case deltaFinal:
 			j.scratch = appendFinal(append(j.scratch[:0], deltaFinal), n.m.Final)
 			b.Append(n.m.key, j.scratch)
-		case deltaWithdrawn:
-			b.Append(n.m.key, []byte{deltaWithdrawn})
+		case deltaCancelled:
+			b.Append(n.m.key, []byte{deltaCancelled})
 		}
 	}
 	return b
@@ -401,20 +401,20 @@
 	err := j.store.Commit(b)
 	if errors.Is(err, store.ErrFull) {
 		err = ErrFull
-		if len(j.notes) > 0 {
-			if e := j.store.Commit(j.begin()); e != nil {
+		if len(j.pending) > 0 {
+			if e := j.store.Commit(j.beginBatch()); e != nil {
 				return errors.Join(err, e)
 			}
-			j.notes = j.notes[:0]
+			j.pending = j.pending[:0]
 		}
 	}
 	if err == nil {
-		j.notes = j.notes[:0]
+		j.pending = j.pending[:0]
 	}
 	if j.store.Due() {
 		written := int(j.store.Stats().Committed - before)
-		if _, e := j.store.Compact(max(compactLeast, compactShare*written)); e != nil && j.stalled == nil {
-			j.stalled = e // the next step tries again
+		if _, e := j.store.Compact(max(minCompaction, compactionRatio*written)); e != nil && j.compactionErr == nil {
+			j.compactionErr = e // the next step tries again
 		}
 	}
 	if err != nil {
@@ -425,16 +425,16 @@
 
 // CompactionError is the first error that kept compaction from going on, if any did since it was last asked for.
 func (j *Journal) CompactionError() error {
-	err := j.stalled
-	j.stalled = nil
+	err := j.compactionErr
+	j.compactionErr = nil
 	return err
 }
 
-func (m *Message) sent(a Attempt) {
+func (m *Message) addAttempt(a Attempt) {
 	m.Attempts = max(m.Attempts, a.Number+1)
 	m.UncertainAttempts = append(m.UncertainAttempts, a)
 }
 
-func (m *Message) neverRan(n int) {
+func (m *Message) removeAttempt(n int) {
 	m.UncertainAttempts = slices.DeleteFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == n })
 }
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -18,7 +18,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-func opened(t testing.TB, fs store.FS) (*Journal, *Recovery) {
+func openMemory(t testing.TB, fs store.FS) (*Journal, *Recovery) {
 	t.Helper()
 	j, rec, err := Open(fs, Options{Limit: store.MinLimit})
 	if err != nil {
@@ -41,11 +41,11 @@
 	}
 }
 
-// same tells whether two messages are alike in all that must last.
-func same(a, b *Message) bool {
+// equalMessages tells whether two messages are alike in all that must last.
+func equalMessages(a, b *Message) bool {
 	x, y := *a, *b
 	for _, m := range []*Message{&x, &y} {
-		m.key, m.size = 0, 0
+		m.key, m.bodySize = 0, 0
 		if len(m.UncertainAttempts) == 0 {
 			m.UncertainAttempts = nil
 		}
@@ -58,9 +58,9 @@
 	return reflect.DeepEqual(x, y)
 }
 
-func TestWhatIsUnfinishedComesBack(t *testing.T) {
+func TestOpenRecoversUnfinishedMessages(t *testing.T) {
 	fs := faultfs.New()
-	j, rec := opened(t, fs)
+	j, rec := openMemory(t, fs)
 	if len(rec.Messages) != 0 || !rec.Intact() {
 		t.Fatalf("%+v", rec)
 	}
@@ -90,12 +90,12 @@
 	if j.Tracks(ms[4]) || !j.Tracks(ms[3]) {
 		t.Error("owes the wrong ones")
 	}
-	_, rec = opened(t, fs.Reboot())
+	_, rec = openMemory(t, fs.Reboot())
 	if len(rec.Messages) != 5 {
 		t.Fatalf("%d messages", len(rec.Messages))
 	}
 	for i, m := range rec.Messages {
-		if want := ms[[]int{0, 1, 2, 3, 5}[i]]; !same(m, want) {
+		if want := ms[[]int{0, 1, 2, 3, 5}[i]]; !equalMessages(m, want) {
 			t.Errorf("%+v, want %+v", m, want)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // Over many lives, with crashes at any call of the file system, no message that was taken on is forgotten, none that
 // ended comes back, and what may have run is never taken for what did not.
-func TestNothingIsForgottenOverCrashes(t *testing.T) {
+func TestCrashesLoseNoMessage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 3))
 		fs := faultfs.New()
@@ -195,9 +195,9 @@
 }
 
 // Where new work finds no room, ends and outcomes do, and they are written although the new work was not.
-func TestAFullJournalRefusesNewWorkOnly(t *testing.T) {
+func TestFullJournalRejectsOnlyNewMessages(t *testing.T) {
 	fs := faultfs.New()
-	j, _ := opened(t, fs)
+	j, _ := openMemory(t, fs)
 	var ms []*Message
 	for id := uint32(1); ; id++ {
 		m := message(id)
@@ -221,7 +221,7 @@
 			}
 		}
 	}
-	_, rec := opened(t, fs.Reboot())
+	_, rec := openMemory(t, fs.Reboot())
 	if len(rec.Messages) != len(ms) {
 		t.Fatalf("%d messages, want %d", len(rec.Messages), len(ms))
 	}
@@ -241,9 +241,9 @@
 }
 
 // Damage touches the messages that it may be about, and no others.
-func TestDamageTouchesWhatItIsAbout(t *testing.T) {
+func TestDamageMarksOnlyEarlierMessagesUncertain(t *testing.T) {
 	fs := faultfs.New()
-	j, _ := opened(t, fs)
+	j, _ := openMemory(t, fs)
 	for id := range uint32(40) {
 		m := message(id + 1)
 		m.Body = make([]byte, 3000)
@@ -252,7 +252,7 @@
 	name := fs.Files()[0]
 	data := fs.Data(name)
 	data[len(data)/2] ^= 1
-	_, rec := opened(t, fs.Reboot())
+	_, rec := openMemory(t, fs.Reboot())
 	doubtful := 0
 	for _, m := range rec.Messages {
 		if m.Uncertain {
@@ -264,35 +264,35 @@
 	}
 }
 
-// unset is the axis of a machine whose clock was never set.
-var unset = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
+// fixedTimeline is the axis of a machine whose clock was never set.
+var fixedTimeline = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
 
-func TestDecodeRefusesWhatItNeverWrote(t *testing.T) {
-	value := append(message(3).encode(nil, unset), "body"...)
+func TestDecodeRejectsMalformedInput(t *testing.T) {
+	value := append(message(3).encode(nil, fixedTimeline), "body"...)
 	for cut := range len(value) - len("body") {
-		if m, ok := decode(value[:cut], unset); ok {
+		if m, ok := decode(value[:cut], fixedTimeline); ok {
 			t.Errorf("a message cut at byte %d is taken: %+v", cut, m)
 		}
 	}
 	m := message(1)
-	for _, d := range [][]byte{nil, {99}, {deltaSend}, {deltaFinal, 2}, {deltaWithdrawn, 1}, append([]byte{deltaNeverRan, 2}, strings.Repeat("x", 9)...)} {
-		if m.apply(d, unset) {
+	for _, d := range [][]byte{nil, {99}, {deltaSend}, {deltaFinal, 2}, {deltaCancelled, 1}, append([]byte{deltaNotRun, 2}, strings.Repeat("x", 9)...)} {
+		if m.apply(d, fixedTimeline) {
 			t.Errorf("delta %v is taken", d)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(append(message(3).encode(nil, unset), "body"...))
-	f.Add(appendAttempt([]byte{deltaSend}, &Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}, unset))
+	f.Add(append(message(3).encode(nil, fixedTimeline), "body"...))
+	f.Add(appendAttempt([]byte{deltaSend}, &Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}, fixedTimeline))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := decode(data, unset)
+		m, ok := decode(data, fixedTimeline)
 		if !ok {
-			message(1).apply(data, unset)
+			message(1).apply(data, fixedTimeline)
 			return
 		}
-		again, ok := decode(append(m.encode(nil, unset), m.Body...), unset)
-		if !ok || !same(m, again) {
+		again, ok := decode(append(m.encode(nil, fixedTimeline), m.Body...), fixedTimeline)
+		if !ok || !equalMessages(m, again) {
 			t.Errorf("%+v, %+v", m, again)
 		}
 	})
@@ -301,10 +301,10 @@
 // Over many messages taken on and ended the folder does not grow: what it holds at most in the last part of the run is
 // no more than in the first. A journal that ended nothing would fill its limit and turn messages away, which the test
 // shows.
-func TestTheFolderStaysFlatOverALongRun(t *testing.T) {
+func TestDiskUseStaysBounded(t *testing.T) {
 	const limit, each, live = 1 << 20, 8000, 30
 	for _, ends := range []bool{true, false} {
-		s := openSubject(t, "journal", t.TempDir(), limit).(*newSubject)
+		s := openWriter(t, "journal", t.TempDir(), limit).(*journalWriter)
 		var most [3]int64
 		refused := false
 		for id := uint32(1); id <= 3*each && !refused; id++ {
--- a/internal/state/journal/kill_test.go
+++ b/internal/state/journal/kill_test.go
@@ -13,12 +13,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-var kills = flag.Int("kills", 40, "how often TestKilledUnderLoad kills the process that writes")
+var kills = flag.Int("kills", 40, "how often TestKilledWriterLosesNoMessage kills the process that writes")
 
 // Under a variable this binary is a process that writes a journal as fast as it can, until it is killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("JOURNAL_TEST_WRITER"); dir != "" {
-		if err := write(dir); err != nil {
+		if err := runWriter(dir); err != nil {
 			fmt.Println("error", err)
 		}
 		return
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// write tells on standard output what it found, each message once it is taken on, and each before it is ended.
-func write(dir string) error {
+// runWriter tells on standard output what it found, each message once it is taken on, and each before it is ended.
+func runWriter(dir string) error {
 	j, rec, err := OpenFolder(dir, Options{Limit: store.MinLimit})
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 
 // Killed at any moment of append, roll, compaction and removal, hundreds of times over one folder, the journal has
 // forgotten nothing that was taken on and not ended.
-func TestKilledUnderLoad(t *testing.T) {
+func TestKilledWriterLosesNoMessage(t *testing.T) {
 	dir := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, uint64(*kills)))
 	owed := map[uint32]bool{}
--- a/internal/state/journal/legacy.go
+++ b/internal/state/journal/migrate.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	folder    = "journal" // of a state folder
-	legacyLog = "wal.log"
+	folderName    = "journal" // of a state folder
+	legacyLogName = "wal.log"
 )
 
 // Folder is where the journal of a state folder stands.
-func Folder(state string) string { return filepath.Join(state, folder) }
+func Folder(state string) string { return filepath.Join(state, folderName) }
 
 // OpenFolder opens the journal in a relay's state folder, or begins one. What a log of the form before this one holds
 // is carried over first, and the log removed once all of it is in the journal: a crash on the way leaves the log, and
@@ -34,15 +34,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := j.carryOver(state, rec); err != nil {
+	if err := j.migrateLegacyLog(state, rec); err != nil {
 		return nil, nil, errors.Join(err, j.store.Close())
 	}
 	return j, rec, nil
 }
 
-// carryOver takes in what an older log holds, if there is one.
-func (j *Journal) carryOver(state string, rec *Recovery) error {
-	path := filepath.Join(state, legacyLog)
+// migrateLegacyLog takes in what an older log holds, if there is one.
+func (j *Journal) migrateLegacyLog(state string, rec *Recovery) error {
+	path := filepath.Join(state, legacyLogName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	} else if err != nil {
--- a/internal/state/journal/legacy_test.go
+++ b/internal/state/journal/migrate_test.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// oldLog writes a log of the older form.
-func oldLog(t *testing.T, dir string, n int) []*legacylog.Message {
+// writeLegacyLog writes a log of the older form.
+func writeLegacyLog(t *testing.T, dir string, n int) []*legacylog.Message {
 	t.Helper()
 	l, _, err := legacylog.Open(dir, 3e6)
 	must(t, err)
@@ -44,9 +44,9 @@
 	return ms
 }
 
-func TestAnOlderLogIsCarriedOver(t *testing.T) {
+func TestOpenFolderMigratesLegacyLog(t *testing.T) {
 	dir := t.TempDir()
-	oldLog(t, dir, 6)
+	writeLegacyLog(t, dir, 6)
 	for life := range 2 {
 		j, rec, err := OpenFolder(dir, Options{Limit: 3e6})
 		must(t, err)
@@ -60,7 +60,7 @@
 			m[3].UncertainAttempts[0].Zone != 1 {
 			t.Errorf("life %d: %+v", life, m)
 		}
-		if _, err := os.Stat(filepath.Join(dir, legacyLog)); !os.IsNotExist(err) {
+		if _, err := os.Stat(filepath.Join(dir, legacyLogName)); !os.IsNotExist(err) {
 			t.Errorf("the older log is still there: %v", err)
 		}
 		must(t, j.Close())
@@ -68,17 +68,17 @@
 }
 
 // A crash anywhere on the way leaves the log; the next start takes what is missing, once.
-func TestACarryOverThatIsCutOff(t *testing.T) {
+func TestInterruptedMigrationIsCompleted(t *testing.T) {
 	for cut := range 40 {
 		dir := t.TempDir()
-		oldLog(t, dir, 6)
-		log, err := os.ReadFile(filepath.Join(dir, legacyLog))
+		writeLegacyLog(t, dir, 6)
+		log, err := os.ReadFile(filepath.Join(dir, legacyLogName))
 		must(t, err)
 		j, _, err := OpenFolder(dir, Options{Limit: 3e6})
 		must(t, err)
 		must(t, j.Close())
 		// As if the process had died with a part of the store written, before the log was removed.
-		must(t, os.WriteFile(filepath.Join(dir, legacyLog), log, 0o600))
+		must(t, os.WriteFile(filepath.Join(dir, legacyLogName), log, 0o600))
 		names, err := store.Dir(Folder(dir)).List()
 		must(t, err)
 		for _, name := range names {
--- a/internal/state/journal/axis_test.go
+++ b/internal/state/journal/timeline_test.go
@@ -11,25 +11,27 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// machine is clocks that tests set. real is what has truly passed.
-type machine struct {
-	real, up time.Duration
-	wall     time.Time // at real
-	boot     string
+// fakeMachine is clocks that tests set. real is what has truly passed.
+type fakeMachine struct {
+	elapsed, up time.Duration
+	wall        time.Time // at real
+	boot        string
 }
 
-func (m *machine) pass(d time.Duration) { m.real, m.up, m.wall = m.real+d, m.up+d, m.wall.Add(d) }
+func (m *fakeMachine) pass(d time.Duration) {
+	m.elapsed, m.up, m.wall = m.elapsed+d, m.up+d, m.wall.Add(d)
+}
 
-func (m *machine) read() bootclock.Reading {
+func (m *fakeMachine) read() bootclock.Reading {
 	return bootclock.Reading{Wall: m.wall, BootID: m.boot, Uptime: m.up}
 }
 
 // Over any history of processes, boots and settings of the wall clock: what a process reads of a time is as long ago as
 // it truly is. Only what the wall clock is set by between the last look and a new boot shows, since nothing there
 // tells.
-func TestTimesGoByWhatHasPassed(t *testing.T) {
+func TestTimestampsFollowElapsedTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{wall: time.Unix(1e9, 0), boot: "first", up: time.Minute}
+		m := &fakeMachine{wall: time.Unix(1e9, 0), boot: "first", up: time.Minute}
 		fs := faultfs.New()
 		type sent struct {
 			at    time.Duration // real
@@ -45,39 +47,39 @@
 			if len(rec.Messages) != len(all) {
 				t.Fatalf("%d messages of %d", len(rec.Messages), len(all))
 			}
-			base, began := j.axis.Base, m.real
+			base, began := j.timeline.Base, m.elapsed
 			for i, x := range rec.Messages {
 				if x.UncertainAttempts[0].Undated != (all[i].boot != m.boot) {
 					t.Fatalf("sent on boot %q, now %q: undated %v", all[i].boot, m.boot, x.UncertainAttempts[0].Undated)
 				}
 				ago := base.Sub(x.UncertainAttempts[0].SentAt)
-				if off := ago - (m.real - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.MinStep {
-					t.Fatalf("sent %v ago, taken for %v", m.real-all[i].at, ago)
+				if off := ago - (m.elapsed - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.MinStep {
+					t.Fatalf("sent %v ago, taken for %v", m.elapsed-all[i].at, ago)
 				}
 				if left := x.Deadline.Sub(base); left != 9*time.Second-ago {
 					t.Fatalf("left %v, sent %v ago", left, ago)
 				}
 			}
 			m.pass(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			m.wall = m.wall.Add(step(t)) // while it runs: its own times do not heed that
-			at := base.Add(m.real - began)
+			m.wall = m.wall.Add(drawClockStep(t)) // while it runs: its own times do not heed that
+			at := base.Add(m.elapsed - began)
 			x := &Message{ID: uint32(n + 1), Deadline: at.Add(9 * time.Second)}
-			mustBe(t, j.Accept(x))
-			mustBe(t, j.RecordSends(Send{x, Attempt{Endpoint: "h", SentAt: at}}))
-			all = append(all, &sent{at: m.real, boot: m.boot})
-			if stamp := j.Stamp(at); j.axis.Time(stamp.UnixNano()) != at {
+			mustRapid(t, j.Accept(x))
+			mustRapid(t, j.RecordSends(Send{x, Attempt{Endpoint: "h", SentAt: at}}))
+			all = append(all, &sent{at: m.elapsed, boot: m.boot})
+			if stamp := j.Stamp(at); j.timeline.Time(stamp.UnixNano()) != at {
 				t.Fatalf("stamp %v of %v", stamp, at)
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "end") {
 			case 0:
-				mustBe(t, j.Close())
+				mustRapid(t, j.Close())
 			case 1: // killed
-				mustBe(t, j.Flush())
-				mustBe(t, j.store.Close())
+				mustRapid(t, j.Flush())
+				mustRapid(t, j.store.Close())
 			default: // and the machine with it
-				mustBe(t, j.Close())
+				mustRapid(t, j.Close())
 				m.boot, m.up = m.boot+"'", 0
-				lost := step(t)
+				lost := drawClockStep(t)
 				m.wall = m.wall.Add(lost)
 				for _, s := range all {
 					s.error += lost
@@ -85,23 +87,23 @@
 			}
 			m.pass(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms down")) * time.Millisecond)
 			if m.up > 0 && rapid.Bool().Draw(t, "set while down") && m.boot == j.anchor.BootID {
-				m.wall = m.wall.Add(step(t))
+				m.wall = m.wall.Add(drawClockStep(t))
 			}
 		}
 	})
 }
 
-func step(t *rapid.T) time.Duration {
+func drawClockStep(t *rapid.T) time.Duration {
 	return time.Duration(
 		rapid.SampledFrom([]int{0, 0, -3600_000, -3000, -20, 5, 20, 3000, 3600_000}).Draw(t, "step ms"),
 	) * time.Millisecond
 }
 
 // An anchor that cannot be read is as none: times go by the wall clock.
-func TestAnchorsThatCannotBeRead(t *testing.T) {
-	whole := encodeAnchor(&clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}, nil)
+func TestDecodeAnchorRejectsMalformedInput(t *testing.T) {
+	whole := encodeAnchor(&clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}, nil)
 	if a := decodeAnchor(whole); a == nil ||
-		*a != (clock.Anchor{BootID: "b", Uptime: 1, At: 2, WallOffset: 3, Epoch: 4}) {
+		*a != (clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}) {
 		t.Errorf("%+v", a)
 	}
 	for cut := 1; cut < len(whole); cut++ {
@@ -114,7 +116,7 @@
 	}
 }
 
-func mustBe(t *rapid.T, err error) {
+func mustRapid(t *rapid.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/legacylog/golden_test.go
+++ b/internal/state/legacylog/golden_test.go
@@ -83,12 +83,12 @@
 func TestGoldenLog(t *testing.T) {
 	written := t.TempDir()
 	want := writeGoldenLog(t, written)
-	data, err := os.ReadFile(filepath.Join(written, name))
+	data, err := os.ReadFile(filepath.Join(written, fileName))
 	check(t, err)
-	golden.Check(t, *update, name, data)
+	golden.Check(t, *update, fileName, data)
 
 	folder := t.TempDir()
-	check(t, os.WriteFile(filepath.Join(folder, name), golden.Read(t, name), 0o600))
+	check(t, os.WriteFile(filepath.Join(folder, fileName), golden.Read(t, fileName), 0o600))
 	log, found, err := Open(folder, goldenLimit)
 	check(t, err)
 	defer log.Close()
--- a/internal/state/legacylog/wal.go
+++ b/internal/state/legacylog/log.go
@@ -70,27 +70,27 @@
 
 // The kinds of record.
 const (
-	recAccept byte = iota + 1
-	recSend
-	recOutcome
-	recFinal
-	recEnd
-	recWithdrawn
+	recordAccept byte = iota + 1
+	recordSend
+	recordNotRun
+	recordFinal
+	recordRemove
+	recordCancelled
 )
 
 const (
-	name     = "wal.log"
-	tempName = "wal.tmp"
+	fileName     = "wal.log"
+	tempFileName = "wal.tmp"
 
-	magic     = 0xC7A1
-	headBytes = 10 // magic, length, checksum
-	block     = 512
-	mostBytes = 1 << 20 // of a record: a message's is far smaller
+	magic         = 0xC7A1
+	headerSize    = 10 // magic, length, checksum
+	blockSize     = 512
+	maxRecordSize = 1 << 20 // of a record: a message's is far smaller
 
 	// Shares of the disk limit. While the log is compacted the old and the new file stand side by side, and
-	// both must fit: liveShare + compactShare stays clear of 1 by more than a batch.
-	liveShare    = 0.36
-	compactShare = 0.5
+	// both must fit: maxLiveRatio + compactionRatio stays clear of 1 by more than a batch.
+	maxLiveRatio    = 0.36
+	compactionRatio = 0.5
 )
 
 // record is the readable part of every record; a body follows it raw.
@@ -105,23 +105,23 @@
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	dir   string
-	limit int64 // bytes on disk
-	file  *os.File
-	size  int64 // of the file, all of it good
-	live  map[uint32]*Message
-	bytes int64  // that the live messages would take in a new file, about
-	notes []byte // outcomes and ends not yet written
+	dir       string
+	limit     int64 // bytes on disk
+	file      *os.File
+	size      int64 // of the file, all of it good
+	live      map[uint32]*Message
+	liveBytes int64  // that the live messages would take in a new file, about
+	pending   []byte // outcomes and ends not yet written
 }
 
 // Open reads the log in dir, or begins one, that may take limit bytes of disk.
 func Open(dir string, limit int64) (*Log, Recovery, error) {
 	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}}
 	// A crash in mid-compaction leaves the old file whole and a part of the new one.
-	if err := os.Remove(filepath.Join(dir, tempName)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, tempFileName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
 	}
-	path := filepath.Join(dir, name)
+	path := filepath.Join(dir, fileName)
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Recovery{}, fmt.Errorf("wal: %w", err)
@@ -150,9 +150,9 @@
 func (l *Log) Accept(ms ...*Message) error {
 	var buf []byte
 	for _, m := range ms {
-		buf = appendRecord(buf, record{Kind: recAccept, ID: m.ID, Message: m}, m.Body)
+		buf = appendRecord(buf, record{Kind: recordAccept, ID: m.ID, Message: m}, m.Body)
 	}
-	if l.bytes+int64(len(buf)) > l.share(liveShare) {
+	if l.liveBytes+int64(len(buf)) > l.limitShare(maxLiveRatio) {
 		return ErrFull
 	}
 	if err := l.write(buf); err != nil {
@@ -160,7 +160,7 @@
 	}
 	for _, m := range ms {
 		l.live[m.ID] = m
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 	}
 	return nil
 }
@@ -169,15 +169,15 @@
 func (l *Log) RecordSends(sends ...Send) error {
 	var buf []byte
 	for _, s := range sends {
-		buf = appendRecord(buf, record{Kind: recSend, ID: s.Message.ID, Attempt: &s.Attempt}, nil)
+		buf = appendRecord(buf, record{Kind: recordSend, ID: s.Message.ID, Attempt: &s.Attempt}, nil)
 	}
 	if err := l.write(buf); err != nil {
 		return err
 	}
 	for _, s := range sends {
-		l.bytes -= cost(s.Message)
-		s.Message.sent(s.Attempt)
-		l.bytes += cost(s.Message)
+		l.liveBytes -= estimatedSize(s.Message)
+		s.Message.addAttempt(s.Attempt)
+		l.liveBytes += estimatedSize(s.Message)
 	}
 	return nil
 }
@@ -188,10 +188,10 @@
 	if l.live[m.ID] == nil {
 		return
 	}
-	l.bytes -= cost(m)
-	m.neverRan(n)
-	l.bytes += cost(m)
-	l.notes = appendRecord(l.notes, record{Kind: recOutcome, ID: m.ID, N: n}, nil)
+	l.liveBytes -= estimatedSize(m)
+	m.removeAttempt(n)
+	l.liveBytes += estimatedSize(m)
+	l.pending = appendRecord(l.pending, record{Kind: recordNotRun, ID: m.ID, N: n}, nil)
 }
 
 // RecordFinal notes the notice that will end m.
@@ -200,7 +200,7 @@
 		return
 	}
 	m.Final = &f
-	l.notes = appendRecord(l.notes, record{Kind: recFinal, ID: m.ID, Final: &f}, nil)
+	l.pending = appendRecord(l.pending, record{Kind: recordFinal, ID: m.ID, Final: &f}, nil)
 }
 
 // RecordCancelled notes that nothing is owed for m but to remember what may have run, until End.
@@ -209,7 +209,7 @@
 		return
 	}
 	m.Cancelled = true
-	l.notes = appendRecord(l.notes, record{Kind: recWithdrawn, ID: m.ID}, nil)
+	l.pending = appendRecord(l.pending, record{Kind: recordCancelled, ID: m.ID}, nil)
 }
 
 // Remove notes that nothing more is owed for m.
@@ -218,13 +218,13 @@
 		return
 	}
 	delete(l.live, m.ID)
-	l.bytes -= cost(m)
-	l.notes = appendRecord(l.notes, record{Kind: recEnd, ID: m.ID}, nil)
+	l.liveBytes -= estimatedSize(m)
+	l.pending = appendRecord(l.pending, record{Kind: recordRemove, ID: m.ID}, nil)
 }
 
 // Flush writes what is noted. After an error the notes are kept for the next write.
 func (l *Log) Flush() error {
-	if len(l.notes) == 0 {
+	if len(l.pending) == 0 {
 		return nil
 	}
 	return l.write(nil)
@@ -232,8 +232,8 @@
 
 // write appends the notes and buf in one write. Only buf is given up on an error.
 func (l *Log) write(buf []byte) error {
-	all := append(l.notes, buf...)
-	if l.size+int64(len(all)) > l.share(compactShare) {
+	all := append(l.pending, buf...)
+	if l.size+int64(len(all)) > l.limitShare(compactionRatio) {
 		// The notes are in the state that a compaction writes, so they need no records of their own. Where it
 		// fails, the room beyond the share is left.
 		if err := l.compact(); err == nil {
@@ -243,7 +243,7 @@
 	if len(all) == 0 {
 		return nil
 	}
-	if l.size+int64(len(all)) > l.limit-2*block {
+	if l.size+int64(len(all)) > l.limit-2*blockSize {
 		return ErrFull
 	}
 	if _, err := l.file.WriteAt(all, l.size); err != nil {
@@ -251,7 +251,7 @@
 		return errors.Join(fmt.Errorf("wal: %w", err), l.file.Truncate(l.size))
 	}
 	l.size += int64(len(all))
-	l.notes = l.notes[:0]
+	l.pending = l.pending[:0]
 	return nil
 }
 
@@ -259,31 +259,31 @@
 func (l *Log) compact() error {
 	var buf []byte
 	for _, m := range l.messages() {
-		buf = appendRecord(buf, record{Kind: recAccept, ID: m.ID, Message: m}, m.Body)
+		buf = appendRecord(buf, record{Kind: recordAccept, ID: m.ID, Message: m}, m.Body)
 	}
-	if l.size+int64(len(buf))+4*block > l.limit {
+	if l.size+int64(len(buf))+4*blockSize > l.limit {
 		return ErrFull
 	}
-	temp := filepath.Join(l.dir, tempName)
+	temp := filepath.Join(l.dir, tempFileName)
 	f, err := os.OpenFile(temp, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("wal: compact: %w", err)
 	}
 	if _, err = f.Write(buf); err == nil {
-		err = os.Rename(temp, filepath.Join(l.dir, name)) // a crash leaves the one or the other, whole
+		err = os.Rename(temp, filepath.Join(l.dir, fileName)) // a crash leaves the one or the other, whole
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("wal: compact: %w", err), f.Close(), os.Remove(temp))
 	}
 	l.file.Close()
-	l.file, l.size, l.notes, l.bytes = f, int64(len(buf)), l.notes[:0], 0
+	l.file, l.size, l.pending, l.liveBytes = f, int64(len(buf)), l.pending[:0], 0
 	for _, m := range l.live {
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 	}
 	return nil
 }
 
-func (l *Log) share(x float64) int64 { return int64(x * float64(l.limit)) }
+func (l *Log) limitShare(x float64) int64 { return int64(x * float64(l.limit)) }
 
 // messages are the live ones in the order in which they were taken on.
 func (l *Log) messages() []*Message {
@@ -295,8 +295,8 @@
 	return ms
 }
 
-// cost is about what m takes in a new file.
-func cost(m *Message) int64 {
+// estimatedSize is about what m takes in a new file.
+func estimatedSize(m *Message) int64 {
 	n := 280 + len(m.Body) + len(m.TraceID) + len(m.IdempotencyKey) + len(m.OrderingKey)
 	for _, a := range m.UncertainAttempts {
 		n += 80 + len(a.Endpoint)
@@ -304,12 +304,12 @@
 	return int64(n)
 }
 
-func (m *Message) sent(a Attempt) {
+func (m *Message) addAttempt(a Attempt) {
 	m.Attempts = max(m.Attempts, a.Number+1)
 	m.UncertainAttempts = append(m.UncertainAttempts, a)
 }
 
-func (m *Message) neverRan(n int) {
+func (m *Message) removeAttempt(n int) {
 	m.UncertainAttempts = slices.DeleteFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == n })
 }
 
@@ -335,30 +335,30 @@
 func (l *Log) apply(rec record, body []byte) {
 	m := l.live[rec.ID]
 	switch {
-	case rec.Kind == recAccept && rec.Message != nil:
+	case rec.Kind == recordAccept && rec.Message != nil:
 		m = rec.Message
 		m.ID, m.Body = rec.ID, slices.Clone(body)
 		l.live[m.ID] = m
-		l.bytes += cost(m)
+		l.liveBytes += estimatedSize(m)
 		return
 	case m == nil:
 		return // its first record is unreadable
 	}
-	l.bytes -= cost(m)
+	l.liveBytes -= estimatedSize(m)
 	switch {
-	case rec.Kind == recSend && rec.Attempt != nil:
-		m.sent(*rec.Attempt)
-	case rec.Kind == recOutcome:
-		m.neverRan(rec.N)
-	case rec.Kind == recFinal && rec.Final != nil:
+	case rec.Kind == recordSend && rec.Attempt != nil:
+		m.addAttempt(*rec.Attempt)
+	case rec.Kind == recordNotRun:
+		m.removeAttempt(rec.N)
+	case rec.Kind == recordFinal && rec.Final != nil:
 		m.Final = rec.Final
-	case rec.Kind == recWithdrawn:
+	case rec.Kind == recordCancelled:
 		m.Cancelled = true
-	case rec.Kind == recEnd:
+	case rec.Kind == recordRemove:
 		delete(l.live, m.ID)
 		return
 	}
-	l.bytes += cost(m)
+	l.liveBytes += estimatedSize(m)
 }
 
 // appendRecord appends a record: magic, length, checksum, then the length of the readable part, that, and the
@@ -369,11 +369,11 @@
 		panic(err) // plain fields only: cannot fail
 	}
 	start := len(buf)
-	buf = append(buf, make([]byte, headBytes)...)
+	buf = append(buf, make([]byte, headerSize)...)
 	buf = binary.AppendUvarint(buf, uint64(len(text)))
 	buf = append(buf, text...)
 	buf = append(buf, body...)
-	payload := buf[start+headBytes:]
+	payload := buf[start+headerSize:]
 	binary.LittleEndian.PutUint16(buf[start:], magic)
 	binary.LittleEndian.PutUint32(buf[start+2:], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(buf[start+6:], crc32.ChecksumIEEE(payload))
@@ -382,14 +382,14 @@
 
 // readRecord reads the record at the start of data; n is 0 if there is no whole one.
 func readRecord(data []byte) (rec record, body []byte, n int) {
-	if len(data) < headBytes || binary.LittleEndian.Uint16(data) != magic {
+	if len(data) < headerSize || binary.LittleEndian.Uint16(data) != magic {
 		return rec, nil, 0
 	}
 	size := int64(binary.LittleEndian.Uint32(data[2:]))
-	if size > mostBytes || size > int64(len(data)-headBytes) {
+	if size > maxRecordSize || size > int64(len(data)-headerSize) {
 		return rec, nil, 0
 	}
-	payload := data[headBytes : headBytes+size]
+	payload := data[headerSize : headerSize+size]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(data[6:]) {
 		return rec, nil, 0
 	}
@@ -401,5 +401,5 @@
 	if json.Unmarshal(payload[:text], &rec) != nil {
 		return rec, nil, 0
 	}
-	return rec, payload[text:], headBytes + int(size)
+	return rec, payload[text:], headerSize + int(size)
 }
--- a/internal/state/legacylog/wal_test.go
+++ b/internal/state/legacylog/log_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const roomy = 3_000_000
+const ampleLimit = 3_000_000
 
 var noon = time.Date(2026, 11, 29, 12, 0, 0, 0, time.UTC)
 
@@ -57,14 +57,14 @@
 	for _, e := range entries {
 		info, err := e.Info()
 		must(t, err)
-		sum += (info.Size() + block - 1) / block * block
+		sum += (info.Size() + blockSize - 1) / blockSize * blockSize
 	}
 	return sum
 }
 
-func TestWhatIsUnfinishedComesBack(t *testing.T) {
+func TestOpenRecoversUnfinishedMessages(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	delivered, refused, pending, taken := message(1), message(2), message(3), message(4)
 	must(t, l.Accept(delivered, refused, pending, taken))
 	out := Attempt{Number: 0, Endpoint: "s-1", Zone: 1, SentAt: noon}
@@ -77,7 +77,7 @@
 	must(t, l.Flush())
 
 	// No Close: the process was killed.
-	_, found := open(t, dir, roomy)
+	_, found := open(t, dir, ampleLimit)
 	if got := ids(found); got != "2 3 4 " || found.Damaged {
 		t.Fatalf("found %q, damaged %v", got, found.Damaged)
 	}
@@ -97,58 +97,58 @@
 	}
 }
 
-func TestATornTailIsDropped(t *testing.T) {
+func TestOpenDropsTornTail(t *testing.T) {
 	whole := t.TempDir()
-	l, _ := open(t, whole, roomy)
+	l, _ := open(t, whole, ampleLimit)
 	must(t, l.Accept(message(1)))
 	keep := l.size
 	must(t, l.Accept(message(2)))
-	data, err := os.ReadFile(filepath.Join(whole, name))
+	data, err := os.ReadFile(filepath.Join(whole, fileName))
 	must(t, err)
 	for cut := keep; cut < int64(len(data)); cut++ {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), data[:cut], 0o600))
-		l, found := open(t, dir, roomy)
+		must(t, os.WriteFile(filepath.Join(dir, fileName), data[:cut], 0o600))
+		l, found := open(t, dir, ampleLimit)
 		if got := ids(found); got != "1 " || found.Damaged {
 			t.Fatalf("cut at %d: found %q, damaged %v", cut, got, found.Damaged)
 		}
 		must(t, l.Accept(message(3)))
-		if _, found := open(t, dir, roomy); ids(found) != "1 3 " {
+		if _, found := open(t, dir, ampleLimit); ids(found) != "1 3 " {
 			t.Fatalf("cut at %d: appended after it, found %q", cut, ids(found))
 		}
 	}
 }
 
-func TestADamagedRecordHidesNoOther(t *testing.T) {
+func TestDamagedRecordHidesNoOther(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	must(t, l.Accept(message(1)))
 	first := l.size
 	must(t, l.Accept(message(2)))
 	second := l.size
 	must(t, l.Accept(message(3)))
-	data, err := os.ReadFile(filepath.Join(dir, name))
+	data, err := os.ReadFile(filepath.Join(dir, fileName))
 	must(t, err)
 	for at := first; at < second; at++ {
 		bad := bytes.Clone(data)
 		bad[at] ^= 0x55
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), bad, 0o600))
-		if _, found := open(t, dir, roomy); ids(found) != "1 3 " || !found.Damaged {
+		must(t, os.WriteFile(filepath.Join(dir, fileName), bad, 0o600))
+		if _, found := open(t, dir, ampleLimit); ids(found) != "1 3 " || !found.Damaged {
 			t.Fatalf("byte %d damaged: found %q, damaged %v", at, ids(found), found.Damaged)
 		}
 	}
 }
 
-func TestNoContentStopsTheStart(t *testing.T) {
+func TestOpenSurvivesArbitraryContent(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	source := t.TempDir()
-	l, _ := open(t, source, roomy)
+	l, _ := open(t, source, ampleLimit)
 	for i := range uint32(20) {
 		must(t, l.Accept(message(i)))
 		must(t, l.RecordSends(Send{l.live[i], Attempt{Endpoint: "s-1", SentAt: noon}}))
 	}
-	data, err := os.ReadFile(filepath.Join(source, name))
+	data, err := os.ReadFile(filepath.Join(source, fileName))
 	must(t, err)
 	for range 300 {
 		bad := bytes.Clone(data)
@@ -156,11 +156,11 @@
 			bad[rng.IntN(len(bad))] = byte(rng.Uint32())
 		}
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, name), bad[:rng.IntN(len(bad))], 0o600))
-		l, found := open(t, dir, roomy)
+		must(t, os.WriteFile(filepath.Join(dir, fileName), bad[:rng.IntN(len(bad))], 0o600))
+		l, found := open(t, dir, ampleLimit)
 		before := len(found.Messages)
 		must(t, l.Accept(message(1000)))
-		if _, found := open(t, dir, roomy); len(found.Messages) != before+1 {
+		if _, found := open(t, dir, ampleLimit); len(found.Messages) != before+1 {
 			t.Fatalf("%d messages found, then %d with one more", before, len(found.Messages))
 		}
 		l.file.Close()
@@ -168,7 +168,7 @@
 }
 
 // The old and the new file stand side by side during a compaction: neither may grow past its share.
-func TestTheDiskLimitIsKept(t *testing.T) {
+func TestCompactionKeepsDiskLimit(t *testing.T) {
 	const limit = 100_000
 	dir := t.TempDir()
 	l, _ := open(t, dir, limit)
@@ -187,7 +187,7 @@
 		if l.size < before {
 			compactions++
 			// before is what the old file held when the new one stood beside it.
-			if sum := before + l.size + 4*block; sum > limit {
+			if sum := before + l.size + 4*blockSize; sum > limit {
 				t.Fatalf("%d bytes on disk during a compaction", sum)
 			}
 		}
@@ -204,22 +204,22 @@
 	}
 }
 
-func TestACrashInMidCompactionLosesNothing(t *testing.T) {
+func TestInterruptedCompactionLosesNothing(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	must(t, l.Accept(message(1), message(2)))
-	data, err := os.ReadFile(filepath.Join(dir, name))
+	data, err := os.ReadFile(filepath.Join(dir, fileName))
 	must(t, err)
-	must(t, os.WriteFile(filepath.Join(dir, tempName), data[:len(data)/2], 0o600))
-	if _, found := open(t, dir, roomy); ids(found) != "1 2 " {
+	must(t, os.WriteFile(filepath.Join(dir, tempFileName), data[:len(data)/2], 0o600))
+	if _, found := open(t, dir, ampleLimit); ids(found) != "1 2 " {
 		t.Errorf("found %q", ids(found))
 	}
-	if _, err := os.Stat(filepath.Join(dir, tempName)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(dir, tempFileName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the unfinished file is still there: %v", err)
 	}
 }
 
-func TestAFullLogRefusesNewWorkOnly(t *testing.T) {
+func TestFullLogRejectsOnlyNewMessages(t *testing.T) {
 	const limit = 50_000
 	dir := t.TempDir()
 	l, _ := open(t, dir, limit)
@@ -254,13 +254,13 @@
 	}
 }
 
-func TestAFailedWriteLeavesNoTrace(t *testing.T) {
+func TestFailedWriteChangesNothing(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, roomy)
+	l, _ := open(t, dir, ampleLimit)
 	one, two := message(1), message(2)
 	must(t, l.Accept(one, two))
 	good := l.file
-	bad, err := os.Open(filepath.Join(dir, name)) // takes no writes, as a full disk
+	bad, err := os.Open(filepath.Join(dir, fileName)) // takes no writes, as a full disk
 	must(t, err)
 	defer bad.Close()
 	l.file = bad
@@ -277,12 +277,12 @@
 	l.file = good
 	must(t, l.Flush()) // the end was kept
 	must(t, l.Accept(message(4)))
-	if _, found := open(t, dir, roomy); ids(found) != "1 4 " {
+	if _, found := open(t, dir, ampleLimit); ids(found) != "1 4 " {
 		t.Errorf("found %q", ids(found))
 	}
 }
 
-func TestTheCostCoversTheRecord(t *testing.T) {
+func TestEstimatedSizeCoversRecord(t *testing.T) {
 	m := message(1)
 	m.Body = make([]byte, 500)
 	m.Attempts = 8
@@ -293,18 +293,18 @@
 			Attempt{Number: n, Endpoint: "s-5be2a07c", Zone: 1, SentAt: noon.Add(time.Nanosecond)},
 		)
 	}
-	if got := len(appendRecord(nil, record{Kind: recAccept, ID: 1, Message: m}, m.Body)); int64(got) > cost(m) {
-		t.Errorf("a record of %d bytes counts as %d", got, cost(m))
+	if got := len(appendRecord(nil, record{Kind: recordAccept, ID: 1, Message: m}, m.Body)); int64(got) > estimatedSize(m) {
+		t.Errorf("a record of %d bytes counts as %d", got, estimatedSize(m))
 	}
 }
 
 // Whatever stands in the file, it is read to an end, and a record behind it is found.
 func FuzzReplay(f *testing.F) {
-	whole := appendRecord(nil, record{Kind: recAccept, ID: 1, Message: message(1)}, []byte("body"))
-	whole = appendRecord(whole, record{Kind: recSend, ID: 1, Attempt: &Attempt{Endpoint: "s-1"}}, nil)
-	f.Add(appendRecord(whole, record{Kind: recWithdrawn, ID: 1}, nil))
+	whole := appendRecord(nil, record{Kind: recordAccept, ID: 1, Message: message(1)}, []byte("body"))
+	whole = appendRecord(whole, record{Kind: recordSend, ID: 1, Attempt: &Attempt{Endpoint: "s-1"}}, nil)
+	f.Add(appendRecord(whole, record{Kind: recordCancelled, ID: 1}, nil))
 	f.Add(whole[:len(whole)-3])
-	last := appendRecord(nil, record{Kind: recAccept, ID: 1 << 30, Message: message(1 << 30)}, nil)
+	last := appendRecord(nil, record{Kind: recordAccept, ID: 1 << 30, Message: message(1 << 30)}, nil)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l := &Log{live: map[uint32]*Message{}}
 		good, _ := l.replay(data)
