--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -58,7 +58,7 @@
 			settle(t, r, "the short one is given up on", func() bool {
 				r.finals.mu.Lock()
 				defer r.finals.mu.Unlock()
-				return slices.ContainsFunc(r.finals.queue, func(n notice) bool { return n.ID == "short" })
+				return slices.ContainsFunc(r.finals.queue, func(n Notice) bool { return n.TraceID == "short" })
 			})
 			close(given)
 			settle(
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -56,7 +56,7 @@
 	Operator        operatorfile.File
 	Version         string // of the program
 	unreadable      int    // entries of Long
-	firstUnreadable entry  // the first of them
+	firstUnreadable Entry  // the first of them
 
 	// WrapJournalFS is what stands between the journal and the files of its folder; nil: nothing.
 	WrapJournalFS func(store.FS) store.FS
@@ -153,7 +153,7 @@
 	for dec.More() {
 		t, err := dec.Token()
 		if err != nil {
-			return nil, 0, unfinished(err)
+			return nil, 0, unexpectedEOF(err)
 		}
 		key, _ := t.(string)
 		var value json.RawMessage
@@ -161,7 +161,7 @@
 			err = dec.Decode(&value)
 		} else {
 			at, first := dec.InputOffset(), json.Token(nil)
-			if first, err = skipValue(dec, func() {}); err == nil && first == nil {
+			if first, err = SkipValue(dec, func() {}); err == nil && first == nil {
 				known = -1
 				delete(values, key)
 				continue
@@ -169,12 +169,12 @@
 			known, value = at, json.RawMessage("true")
 		}
 		if err != nil {
-			return nil, 0, unfinished(err)
+			return nil, 0, unexpectedEOF(err)
 		}
 		values[key] = value
 	}
 	if _, err := dec.Token(); err != nil {
-		return nil, 0, unfinished(err)
+		return nil, 0, unexpectedEOF(err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return nil, 0, errTrailing
@@ -189,14 +189,14 @@
 	if _, err := from.ReadSlice(':'); err != nil { // blanks at most stand before it
 		return fmt.Errorf("known: %w", err)
 	}
-	var listing func(*member) (policy.Endpoint, string, error)
+	var listing func(*EndpointRecord) (policy.Endpoint, string, error)
 	if keep {
-		listing = c.listing
+		listing = c.parseEndpoint
 	}
-	var head listHead
-	var short []entry
+	var head ListHead
+	var short []Entry
 	var long *catalog.Catalog
-	err := newListReader(&listSource{from: from}, listing).next(&head, func(e entry) error {
+	err := NewListReader(&boundedSource{src: from}, listing).Next(&head, func(e Entry) error {
 		if long == nil {
 			if short = append(short, e); len(short) <= catalog.MaxEagerEndpoints {
 				return nil
@@ -220,8 +220,8 @@
 }
 
 // addKnownEntry adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
-func (c *Config) addKnownEntry(long *catalog.Catalog, e entry) {
-	if e.err == nil {
+func (c *Config) addKnownEntry(long *catalog.Catalog, e Entry) {
+	if e.Err == nil {
 		long.Upsert(e.Endpoint)
 		return
 	}
@@ -377,11 +377,11 @@
 type List struct {
 	Version int64
 	Full    bool
-	Entries []entry // each is read by itself: one that cannot be read spoils no other
+	Entries []Entry // each is read by itself: one that cannot be read spoils no other
 }
 
-// member is one entry of the list.
-type member struct {
+// EndpointRecord is one entry of the list.
+type EndpointRecord struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
 	Zone   string  `json:"zone"`
@@ -391,8 +391,8 @@
 	Weight float64 `json:"weight"`
 }
 
-// listing is what an entry says. Its id is returned also where the rest cannot be used.
-func (c *Config) listing(m *member) (l policy.Endpoint, addr string, err error) {
+// parseEndpoint is what an entry says. Its id is returned also where the rest cannot be used.
+func (c *Config) parseEndpoint(m *EndpointRecord) (l policy.Endpoint, addr string, err error) {
 	l = policy.Endpoint{
 		ID:     m.ID,
 		Zone:   slices.Index(c.Zones, m.Zone),
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -15,17 +15,17 @@
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
-		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "backoff.period", "policy.toldShare",
+		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period", "policy.toldShare",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.headMost",
-		"relay.readRoom", "relay.entriesMost", "relay.entryMost", "relay.listFor", "relay.noticeMost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchTimeout",
+		"relay.readRoom", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
-		"relay.retryFirst", "relay.retryMost", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
+		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
 		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "relay.maxPartEntries", "relay.maxEvictions", "relay.evictInterval", "policy.scanDepth",
+		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval", "policy.scanDepth",
 		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
 	},
 	"a share of what the settings tell": {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -50,12 +50,12 @@
 	}))
 	ctx, stop := context.WithCancel(context.Background())
 	told := make(chan List, 8)
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4, known: true,
-		told: func(l List) { told <- l }, herd: backoff.Backoff{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
+		OnUpdate: func(l List) { told <- l }, Backoff: backoff.Backoff{Clients: 1}, Rand: rand.New(rand.NewPCG(1, 2)),
 	}
 	ended := make(chan struct{})
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	select {
 	case l := <-told:
 		if l.Version != 9 || !l.Full {
@@ -95,11 +95,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(old)), silence: patience, told: func(l List) { told <- l },
-		herd: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(old)), IdleTimeout: patience, OnUpdate: func(l List) { told <- l },
+		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(most{}),
 	}
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	hear := func(version int64) {
 		t.Helper()
 		select {
@@ -112,7 +112,7 @@
 		}
 	}
 	hear(5) // and the watch has ended, or ends soon: the next call is half a day away
-	w.agent.move(addrOf(fresh))
+	w.Client.Move(addrOf(fresh))
 	hear(9)
 }
 
@@ -137,13 +137,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := Config{DrainGrace: c.grace}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			caller, rng := listCaller(cfg), rand.New(most{})
+			caller, rng := NewBackoff(cfg), rand.New(most{})
 			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
 			caller.Succeeded()
 			// A watch falls silent right after a line; the next ones are never answered.
-			clock, unasked := watchSilence, time.Duration(0)
+			clock, unasked := WatchIdleTimeout, time.Duration(0)
 			if again := caller.Failed(rng, 0); clock+again > 6*time.Second {
 				t.Errorf("asked again %v after the watch fell silent, when what it missed binds already", clock+again)
 			}
@@ -181,12 +181,12 @@
 	defer func() { stop(); <-ended }()
 	cfg := Config{DrainGrace: 400 * time.Millisecond}
 	cfg.Settings.FleetSize = 300
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 30 * time.Millisecond, known: true,
-		told: func(l List) { told <- l }, herd: listCaller(cfg), rng: rand.New(most{}),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
+		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
 	}
 	began := time.Now()
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	select {
 	case <-told:
 	case <-time.After(patience):
@@ -211,7 +211,7 @@
 		"refused":       0,
 		"turned away":   2 * time.Second,
 		"not connected": time.Second,
-		"silent":        watchSilence,
+		"silent":        WatchIdleTimeout,
 	}
 	for _, ask := range []bool{false, true} {
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
@@ -229,11 +229,11 @@
 					if seed == 0 {
 						rng = rand.New(most{})
 					}
-					caller := listCaller(cfg)
+					caller := NewBackoff(cfg)
 					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
 						caller.Succeeded() // a watch, which falls silent
-						note(watchSilence+caller.Failed(rng, watchSilence), "after a watch")
+						note(WatchIdleTimeout+caller.Failed(rng, WatchIdleTimeout), "after a watch")
 						for i := range 12 {
 							for way, took := range ways {
 								note(took+caller.Failed(rng, took), fmt.Sprintf("after call %d, %s", i, way))
@@ -289,11 +289,11 @@
 			t.Cleanup(func() { stop(); <-ended; s.Close() })
 			cfg := Config{DrainGrace: time.Second}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			w := watcher{
-				log: quiet(), agent: newAgent(addrOf(s)), silence: watchSilence, known: true, version: 4,
-				told: func(List) { told <- time.Now() }, herd: listCaller(cfg), rng: rand.New(most{}),
+			w := Watcher{
+				Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
+				OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
 			}
-			go func() { w.run(ctx); close(ended) }()
+			go func() { w.Run(ctx); close(ended) }()
 			var since time.Time
 			select {
 			case since = <-had:
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -107,7 +107,7 @@
 			setting{at + "state ready", e.InService},
 			setting{at + "state gone", e.Removed},
 			setting{at + "weight", e.Weight},
-			setting{at + "error", e.err},
+			setting{at + "error", e.Err},
 		)
 	}
 	var b strings.Builder
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -15,8 +15,8 @@
 // comes in parts, each applied between two steps.
 
 const (
-	// maxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
-	maxPartEntries = 512
+	// MaxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
+	MaxPartEntries = 512
 	// maxEvictions bounds how many destinations a step looks at that may be put to rest.
 	maxEvictions = 128
 	// evictInterval is how often that is looked at while nothing else happens.
@@ -25,24 +25,24 @@
 	defaultWarmUp = 30 * time.Second
 )
 
-// partKind is what a part of a long list is.
-type partKind int
+// PartKind is what a part of a long list is.
+type PartKind int
 
 const (
-	snapshotBegin   partKind = iota // of a list
-	snapshotEntries                 // some of its entries
-	snapshotSweep                   // of those that a whole list did not name
-	snapshotEnd                     // all has been told: its version holds
+	PartBegin   PartKind = iota // of a list
+	PartEntries                 // some of its entries
+	PartSweep                   // of those that a whole list did not name
+	PartEnd                     // all has been told: its version holds
 )
 
-// snapshotPart is a part of a long list. The next one comes once done has its answer.
-type snapshotPart struct {
-	kind    partKind
-	entries []entry
-	version int64
+// SnapshotPart is a part of a long list. The next one comes once done has its answer.
+type SnapshotPart struct {
+	Kind    PartKind
+	Entries []Entry
+	Version int64
 	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
 	// it all.
-	reply chan bool
+	Reply chan bool
 }
 
 // endpointState is what the loop knows of hosts.
@@ -104,9 +104,9 @@
 }
 
 // applyEntry takes an entry of a list, and adds what the module is told of it.
-func (r *Relay) applyEntry(told []policy.Endpoint, e *entry) []policy.Endpoint {
-	if e.err != nil {
-		r.unreadableEntries.Log(r.log, "entry", e.text, "err", e.err)
+func (r *Relay) applyEntry(told []policy.Endpoint, e *Entry) []policy.Endpoint {
+	if e.Err != nil {
+		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
 		if known, ok := r.catalog.MarkSeen(e.ID); ok && !r.largeList.Load() {
 			return append(told, known.Endpoint)
 		}
@@ -183,9 +183,9 @@
 			"count",
 			r.cfg.unreadable,
 			"entry",
-			r.cfg.firstUnreadable.text,
+			r.cfg.firstUnreadable.Text,
 			"err",
-			r.cfg.firstUnreadable.err,
+			r.cfg.firstUnreadable.Err,
 		)
 	}
 	for e := range r.catalog.All() {
@@ -205,7 +205,7 @@
 // collect takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that
 // came before it waits in the batch.
 func (r *Relay) collect(batch []any, e any) []any {
-	if p, ok := e.(*snapshotPart); ok && p.kind != snapshotBegin && !r.handed {
+	if p, ok := e.(*SnapshotPart); ok && p.Kind != PartBegin && !r.handed {
 		r.applyPart(p)
 		return batch
 	}
@@ -252,23 +252,23 @@
 }
 
 // applyPart takes a part of a long list. What the module hears of it, it hears in the next step.
-func (r *Relay) applyPart(p *snapshotPart) {
+func (r *Relay) applyPart(p *SnapshotPart) {
 	ok := true
 	var told []policy.Endpoint
-	switch p.kind {
-	case snapshotBegin:
+	switch p.Kind {
+	case PartBegin:
 		r.switchToLargeList()
 		r.catalog.BeginSnapshot()
 		r.receivingSnapshot, r.snapshotTruncated = true, false
-	case snapshotEntries:
-		told = r.applyEntries(p.entries)
-	case snapshotSweep:
+	case PartEntries:
+		told = r.applyEntries(p.Entries)
+	case PartSweep:
 		var removed []catalog.Endpoint
-		removed, ok = r.catalog.Sweep(maxPartEntries)
+		removed, ok = r.catalog.Sweep(MaxPartEntries)
 		told = r.endpointsRemoved(nil, removed)
-	case snapshotEnd:
+	case PartEnd:
 		if ok = !r.snapshotTruncated; ok {
-			r.listVersion = p.version
+			r.listVersion = p.Version
 		}
 		r.markEndpointsKnown()
 		r.receivingSnapshot = false
@@ -276,14 +276,14 @@
 	if len(told) > 0 {
 		r.deferredEvents = append(r.deferredEvents, policy.Event{Kind: policy.EndpointDelta, Endpoints: told})
 	}
-	p.reply <- ok
+	p.Reply <- ok
 }
 
 // applyEntries takes some entries of a list: those that end something first.
-func (r *Relay) applyEntries(entries []entry) (told []policy.Endpoint) {
+func (r *Relay) applyEntries(entries []Entry) (told []policy.Endpoint) {
 	var ended map[string]int // the last entry that ends so
 	for i := range entries {
-		if e := &entries[i]; e.err == nil && !e.InService {
+		if e := &entries[i]; e.Err == nil && !e.InService {
 			if ended == nil {
 				ended = map[string]int{}
 			}
@@ -293,16 +293,16 @@
 	}
 	for i := range entries {
 		e := &entries[i]
-		if e.err == nil && !e.InService {
+		if e.Err == nil && !e.InService {
 			continue
 		}
 		if last, ok := ended[e.ID]; ok && i < last {
 			continue // what came behind it holds
 		}
-		if r.catalog.EndpointCount() >= entriesMost && e.err == nil {
+		if r.catalog.EndpointCount() >= MaxEntries && e.Err == nil {
 			if _, known := r.catalog.Endpoint(e.ID); !known {
 				r.snapshotTruncated = true
-				r.catalogFull.Log(r.log, "most", entriesMost)
+				r.catalogFull.Log(r.log, "most", MaxEntries)
 				continue
 			}
 		}
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -49,7 +49,7 @@
 		{"a number", `"known":7`, -1, 0},
 		{"servers that are none", `"known":{"version":4,"servers":{}}`, -1, 0},
 		{"a version that is none", `"known":{"version":"x","servers":[` + one + `]}`, -1, 0},
-		{"an entry without end", `"known":{"version":4,"servers":["` + strings.Repeat("x", 3*entryMost) + `"]}`, -1, 0},
+		{"an entry without end", `"known":{"version":4,"servers":["` + strings.Repeat("x", 3*maxEntrySize) + `"]}`, -1, 0},
 		{"a long list", `"known":` + strings.TrimSpace(string(listText(9, 3000, one))), 6001, 9},
 		{"a long list with entries that cannot be read", `"known":` + strings.TrimSpace(string(listText(9, 3000, `7`, `{"id":"x"}`, one))), 6001, 9},
 	} {
@@ -177,8 +177,8 @@
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
 			w := r.newWatcher()
-			if !w.whole || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
-				t.Errorf("asks for the whole %v, %d hosts, %d held", w.whole, r.catalog.EndpointCount(), r.pending)
+			if !w.NeedsSnapshot || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
+				t.Errorf("asks for the whole %v, %d hosts, %d held", w.NeedsSnapshot, r.catalog.EndpointCount(), r.pending)
 			}
 			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 ||
 				got[61][0].InService {
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -14,26 +14,26 @@
 )
 
 // tellLong has the loop's part take a list as a long one comes, with a step after every few slices.
-func tellLong(r *Relay, full bool, version int64, entries []entry) {
-	give := func(p *snapshotPart) bool {
-		p.reply = make(chan bool, 1)
-		if p.kind == snapshotBegin {
+func tellLong(r *Relay, full bool, version int64, entries []Entry) {
+	give := func(p *SnapshotPart) bool {
+		p.Reply = make(chan bool, 1)
+		if p.Kind == PartBegin {
 			r.step([]any{p})
 		} else {
 			r.collect(nil, p)
 		}
-		return <-p.reply
+		return <-p.Reply
 	}
-	give(&snapshotPart{kind: snapshotBegin})
+	give(&SnapshotPart{Kind: PartBegin})
 	for some := range slices.Chunk(entries, 7) {
-		give(&snapshotPart{kind: snapshotEntries, entries: some})
+		give(&SnapshotPart{Kind: PartEntries, Entries: some})
 		if len(some)%2 == 0 {
 			r.step(nil)
 		}
 	}
-	for full && !give(&snapshotPart{kind: snapshotSweep}) {
+	for full && !give(&SnapshotPart{Kind: PartSweep}) {
 	}
-	give(&snapshotPart{kind: snapshotEnd, version: version})
+	give(&SnapshotPart{Kind: PartEnd, Version: version})
 	r.step(nil)
 }
 
@@ -80,19 +80,19 @@
 		r.switchToLargeList()
 		r.workingSet = catalog.NewWorkingSet(restFor)
 		r.workingSet.Activate(7, r.now())
-		model := map[string]entry{}
+		model := map[string]Entry{}
 		for e := range r.catalog.All() {
-			model[e.ID] = entry{Endpoint: e}
+			model[e.ID] = Entry{Endpoint: e}
 		}
 		for step := range 60 {
 			switch rng.IntN(4) {
 			case 0, 1:
 				full := rng.IntN(3) == 0
-				var entries []entry
+				var entries []Entry
 				named := map[string]bool{}
 				for range rng.IntN(hosts) {
 					k := rng.IntN(hosts)
-					e := entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
+					e := Entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
 					e.Endpoint.Endpoint = policy.Endpoint{
 						ID:          fmt.Sprint("h-", k),
 						Destination: 100 + rng.IntN(dests),
@@ -112,7 +112,7 @@
 					}
 				}
 				if full {
-					maps.DeleteFunc(model, func(id string, _ entry) bool { return !named[id] })
+					maps.DeleteFunc(model, func(id string, _ Entry) bool { return !named[id] })
 				}
 				tellLong(r, full, int64(step), entries)
 			case 2:
@@ -165,12 +165,12 @@
 		r.workingSet.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
-	news := func(entries []entry) (told []policy.Endpoint) {
+	news := func(entries []Entry) (told []policy.Endpoint) {
 		r.catalog.BeginSnapshot()
-		for _, p := range []*snapshotPart{{kind: snapshotEntries, entries: entries}, {kind: snapshotSweep}, {kind: snapshotEnd, version: 3}} {
-			p.reply = make(chan bool, 1)
+		for _, p := range []*SnapshotPart{{Kind: PartEntries, Entries: entries}, {Kind: PartSweep}, {Kind: PartEnd, Version: 3}} {
+			p.Reply = make(chan bool, 1)
 			r.collect(nil, p)
-			<-p.reply
+			<-p.Reply
 		}
 		for _, e := range r.deferredEvents {
 			told = append(told, e.Endpoints...)
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -75,11 +75,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	lists, ended := make(chan List, 64), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	w := watcher{
-		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
-		unread: ratelog.Warning{Message: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
+	w := Watcher{
+		Log: log, Client: NewClient(addr), IdleTimeout: patience, Version: version, OnUpdate: func(l List) { lists <- l }, Backoff: backoff.Backoff{Clients: 1},
+		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, Parse: newTestRelay(t).cfg.parseEndpoint,
 	}
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	for !ok(told) {
 		select {
 		case l := <-lists:
@@ -131,7 +131,7 @@
 			told := hear(t, addr, slog.New(slog.NewTextHandler(&log, nil)), 4, func(told []List) bool {
 				return len(told) > 0 && told[len(told)-1].Version == 6 && len(told[len(told)-1].Entries) == 1
 			})
-			if e := told[len(told)-1].Entries[0]; e.err != nil || e.ID != "s-7" {
+			if e := told[len(told)-1].Entries[0]; e.Err != nil || e.ID != "s-7" {
 				t.Errorf("%+v", e)
 			}
 			if n := strings.Count(log.String(), "unreadable line"); n > 1 {
--- a/internal/relay/listing_bench_test.go
+++ b/internal/relay/listing_bench_test.go
@@ -52,19 +52,19 @@
 	text := listText(1, destinations)
 	for _, bench := range []struct {
 		name string
-		take func() func(entry) error
+		take func() func(Entry) error
 	}{
-		{"read", func() func(entry) error { return func(entry) error { return nil } }},
-		{"read-and-put", func() func(entry) error {
+		{"read", func() func(Entry) error { return func(Entry) error { return nil } }},
+		{"read-and-put", func() func(Entry) error {
 			known := catalog.New()
 			known.BeginSnapshot()
-			return func(e entry) error { known.Upsert(e.Endpoint); return nil }
+			return func(e Entry) error { known.Upsert(e.Endpoint); return nil }
 		}},
 	} {
 		b.Run(bench.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if err := newListReader(&listSource{from: bytes.NewReader(text)}, c.listing).next(&listHead{}, bench.take()); err != nil {
+				if err := NewListReader(&boundedSource{src: bytes.NewReader(text)}, c.parseEndpoint).Next(&ListHead{}, bench.take()); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -73,7 +73,7 @@
 	}
 	b.Run("skip", func(b *testing.B) {
 		for range b.N {
-			if err := newListReader(&listSource{from: bytes.NewReader(text)}, nil).next(&listHead{}, nil); err != nil {
+			if err := NewListReader(&boundedSource{src: bytes.NewReader(text)}, nil).Next(&ListHead{}, nil); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -77,23 +77,23 @@
 
 // follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was
 // begun.
-func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*watcher)) {
+func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*Watcher)) {
 	t.Helper()
-	r.agent.move(addrOf(a.Server))
+	r.agent.Move(addrOf(a.Server))
 	w := r.newWatcher()
 	for _, f := range change {
 		f(w)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); w.run(ctx) }()
+	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*snapshotPart); ok {
-					p.reply <- true
+				if p, ok := e.(*SnapshotPart); ok {
+					p.Reply <- true
 				}
 			case <-ended:
 				return
@@ -355,7 +355,7 @@
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := rawHost(t, answers)
 	live := liveText("s-new", addr, 50, "ready")
-	follow(t, r, a, func(w *watcher) { w.silence, w.within = 300*time.Millisecond, 600*time.Millisecond })
+	follow(t, r, a, func(w *Watcher) { w.IdleTimeout, w.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
 	whole := listText(9, dests, live)
 	half := whole[:len(whole)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
@@ -452,9 +452,9 @@
 		),
 	)
 	a.give(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*entryMost))
+		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*maxEntrySize))
 	})
-	follow(t, r, a, func(w *watcher) { w.whole = true })
+	follow(t, r, a, func(w *Watcher) { w.NeedsSnapshot = true })
 	drive(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
 	mu.Lock()
 	text := log.String()
@@ -484,14 +484,14 @@
 		from io.Reader
 		want error
 	}{
-		{"as many entries as may be", entries(entriesMost), nil},
-		{"one more", entries(entriesMost + 1), errEntries},
-		{"an entry as long as may be", long(entryMost - 2), nil},
-		{"a longer one", long(3 * entryMost), errEntry},
-		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*entryMost) + `"}`), errEntry},
-		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*entryMost) + `7],"servers":null}`), nil},
+		{"as many entries as may be", entries(MaxEntries), nil},
+		{"one more", entries(MaxEntries + 1), errTooManyEntries},
+		{"an entry as long as may be", long(maxEntrySize - 2), nil},
+		{"a longer one", long(3 * maxEntrySize), errEntryTooLong},
+		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*maxEntrySize) + `"}`), errEntryTooLong},
+		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*maxEntrySize) + `7],"servers":null}`), nil},
 	} {
-		if err := newListReader(&listSource{from: c.from}, nil).next(&listHead{}, nil); !errors.Is(err, c.want) {
+		if err := NewListReader(&boundedSource{src: c.from}, nil).Next(&ListHead{}, nil); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -509,7 +509,7 @@
 	}
 	var few uint64
 	for v := range 50 {
-		entries := make([]entry, hosts)
+		entries := make([]Entry, hosts)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
 				Endpoint: policy.Endpoint{
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -90,8 +90,8 @@
 	logOut           io.Writer // where recordings go
 	hosts            *hosts
 	clients          *clients
-	finals           *finals
-	agent            *agent
+	finals           *Sender
+	agent            *Client
 	recorder         *recording
 	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
 	events           chan any
@@ -150,7 +150,7 @@
 	}
 	started := time.Now().Add(-initialClock)
 	r := &Relay{
-		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: newAgent(cfg.DiscoveryAddr),
+		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: NewClient(cfg.DiscoveryAddr),
 		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
 		journalFull: ratelog.Warning{
@@ -166,7 +166,7 @@
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
 	r.hosts = newHosts(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
-	r.finals = newFinals(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
+	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
@@ -218,8 +218,8 @@
 	go func() { defer close(recorded); r.recorder.run(recCtx) }()
 	defer func() { stopRecording(); <-recorded }()
 	go r.loop(work)
-	go r.finals.run(lead)
-	go r.newWatcher().run(lead)
+	go r.finals.Run(lead)
+	go r.newWatcher().Run(lead)
 
 	accepting := make(chan struct{})
 	go func() { defer close(accepting); r.clients.run(listener) }()
@@ -245,13 +245,13 @@
 }
 
 // newWatcher is what follows discovery's list for the loop.
-func (r *Relay) newWatcher() *watcher {
-	return &watcher{
-		log: r.log, agent: r.agent, silence: watchSilence, within: listFor, version: r.listVersion, whole: r.snapshotNeeded, known: r.endpointsKnown.Load(),
-		told: func(l List) { r.post(l) }, listing: r.cfg.listing,
-		long: parts{post: func(p *snapshotPart) bool { return r.post(p) }, over: r.loopDone, large: r.largeList.Load},
-		herd: listCaller(r.cfg), rng: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
-		unread: ratelog.Warning{Message: "unreadable line of the watch"}, oversize: ratelog.Warning{Message: "list not taken"},
+func (r *Relay) newWatcher() *Watcher {
+	return &Watcher{
+		Log: r.log, Client: r.agent, IdleTimeout: WatchIdleTimeout, ListTimeout: ListTimeout, Version: r.listVersion, NeedsSnapshot: r.snapshotNeeded, HasList: r.endpointsKnown.Load(),
+		OnUpdate: func(l List) { r.post(l) }, Parse: r.cfg.parseEndpoint,
+		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(p) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
+		Backoff: NewBackoff(r.cfg), Rand: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
+		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, oversizeLists: ratelog.Warning{Message: "list not taken"},
 	}
 }
 
@@ -467,7 +467,7 @@
 			evs = r.attemptEnded(evs, e.attempt, result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)})
 		case List:
 			evs = append(evs, r.applyList(e)...)
-		case *snapshotPart:
+		case *SnapshotPart:
 			r.applyPart(e)
 			evs = append(evs, r.deferredEvents...)
 			r.deferredEvents = r.deferredEvents[:0]
@@ -944,9 +944,9 @@
 
 // queueNotification queues the notice that ends a message.
 func (r *Relay) queueNotification(m *message) {
-	n := notice{id: m.ID, ID: m.TraceID, Status: "undeliverable"}
+	n := Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
-		n.Status, n.AgainMS = "deferred", m.Final.RetryAfter.Milliseconds()
+		n.Status, n.RetryAfterMS = "deferred", m.Final.RetryAfter.Milliseconds()
 	}
-	r.finals.add(n)
+	r.finals.Add(n)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -74,8 +74,8 @@
 
 // parseList reads a list that is all there.
 func parseList(c *Config, data []byte) (l List, err error) {
-	var head listHead
-	err = newListReader(&listSource{from: bytes.NewReader(data)}, c.listing).next(&head, func(e entry) error {
+	var head ListHead
+	err = NewListReader(&boundedSource{src: bytes.NewReader(data)}, c.parseEndpoint).Next(&head, func(e Entry) error {
 		l.Entries = append(l.Entries, e)
 		return nil
 	})
@@ -84,11 +84,11 @@
 }
 
 // entriesOf are entries as a relay reads them.
-func entriesOf(r *Relay, texts ...string) (entries []entry) {
+func entriesOf(r *Relay, texts ...string) (entries []Entry) {
 	for _, text := range texts {
-		var m member
+		var m EndpointRecord
 		err := json.Unmarshal([]byte(text), &m)
-		entries = append(entries, (&listReader{listing: r.cfg.listing}).entry(&m, err))
+		entries = append(entries, (&ListReader{parse: r.cfg.parseEndpoint}).parseEntry(&m, err))
 	}
 	return entries
 }
@@ -291,11 +291,11 @@
 	told := make(chan List, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4,
-		told: func(l List) { told <- l },
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
+		OnUpdate: func(l List) { told <- l },
 	}
-	go w.run(ctx)
+	go w.Run(ctx)
 	for _, want := range []string{"4", "9"} {
 		select {
 		case got := <-indexes:
@@ -329,14 +329,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{
-		log:     quiet(),
-		agent:   newAgent(addrOf(s)),
-		silence: patience,
-		version: 4,
-		told:    func(l List) { told <- l },
-	}
-	go func() { w.run(ctx); close(ended) }()
+	w := Watcher{
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: patience,
+		Version:     4,
+		OnUpdate:    func(l List) { told <- l },
+	}
+	go func() { w.Run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
 		case l := <-told:
@@ -374,11 +374,11 @@
 	}))
 	defer s.Close()
 	taken := make(chan []uint32, 10)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := NewSender(quiet(), NewClient(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f.add(notice{id: 1, ID: "a", Status: "undeliverable"}, notice{id: 2, ID: "b", Status: "deferred", AgainMS: 500})
-	go f.run(ctx)
+	f.Add(Notice{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notice{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
+	go f.Run(ctx)
 	select {
 	case ids := <-taken:
 		if len(ids) != 2 || lines != 2 || posts != 3 {
@@ -451,7 +451,7 @@
 	t.Cleanup(func() { again.calls.Wait() })
 	doubtful := map[string]bool{}
 	for _, n := range again.finals.queue {
-		doubtful[n.ID] = n.Status == "undeliverable"
+		doubtful[n.TraceID] = n.Status == "undeliverable"
 	}
 	if !doubtful["m100"] || !doubtful["m109"] || doubtful["m299"] {
 		t.Errorf("notices %+v", again.finals.queue)
@@ -478,7 +478,7 @@
 			return
 		}
 		for _, e := range l.Entries {
-			if e.err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
+			if e.Err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
 				t.Errorf("of %s %+v passes", data, e)
 			}
 		}
@@ -529,7 +529,7 @@
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.recoverState()
-		if given := len(r.finals.queue) == 1 && r.finals.queue[0].ID == "ran"; given != (back > 0) ||
+		if given := len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "ran"; given != (back > 0) ||
 			r.messages[2] == nil ||
 			r.messages[2].completed {
 			t.Errorf("back by %v: notices %+v", back, r.finals.queue)
@@ -595,7 +595,7 @@
 			}
 		}
 		r.recoverState()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" || r.messages[2] == nil || r.messages[2].completed {
+		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -631,7 +631,7 @@
 			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
 		r.recoverState()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" {
+		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -699,7 +699,7 @@
 	eventually(t, "the one whose time is up has its final answer", func() bool {
 		r.finals.mu.Lock()
 		defer r.finals.mu.Unlock()
-		return len(r.finals.queue) == 1 && r.finals.queue[0].ID == "m1"
+		return len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "m1"
 	})
 	close(up)
 	select {
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -43,7 +43,7 @@
 	}
 	r.metrics.Reloads.Add(1)
 	r.log.Info("configuration taken", "discovery", cfg.DiscoveryAddr, "classes", cfg.ClassNames)
-	r.agent.move(cfg.DiscoveryAddr)
+	r.agent.Move(cfg.DiscoveryAddr)
 	if reload.Equal(r.latestConfig, cfg.Config) {
 		return nil
 	}
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -30,9 +30,9 @@
 	}
 	routes := map[string]oldTarget{}
 	for _, raw := range entries {
-		var m member
+		var m EndpointRecord
 		decoded := json.Unmarshal([]byte(raw), &m)
-		entry, addr, err := r.cfg.listing(&m)
+		entry, addr, err := r.cfg.parseEndpoint(&m)
 		if decoded != nil || err != nil {
 			if known, ok := r.routes[entry.ID]; ok {
 				routes[entry.ID] = known
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -552,8 +552,8 @@
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
 			r.send(hotrestart.Frame{Outcome: &o})
-		case *snapshotPart:
-			e.reply <- true // nobody here goes by it any more
+		case *SnapshotPart:
+			e.Reply <- true // nobody here goes by it any more
 		case sendCheck:
 			e.reply <- nil // nobody here can tell any more
 		case metricsRequest:
