--- a/internal/config/operatorfile/operator_test.go
+++ b/internal/config/operatorfile/operator_test.go
@@ -21,7 +21,7 @@
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	shipped, err := Load("../../deploy/cherrytrestle.toml")
+	shipped, err := Load("../../../deploy/cherrytrestle.toml")
 	if err != nil || !reflect.DeepEqual(shipped, f) {
 		t.Errorf("the shipped file turns something on: %+v, %v", shipped, err)
 	}
