--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -341,7 +341,7 @@
 	eventually(
 		t,
 		"a taken port is told",
-		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.Why, "in use") },
+		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.DownReason, "in use") },
 	)
 	g.relays[0].take("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -59,7 +59,7 @@
 	swap(1, "")    // over
 	swap(2, older) // and back
 	for _, i := range g.all() {
-		if s := g.status(i); s.Unreadable+s.Newer > 0 || len(s.Rejected) > 0 || s.NameConflict {
+		if s := g.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -35,7 +35,7 @@
 	server := Server{
 		Ready:   func() bool { return ready },
 		Metrics: func(w io.Writer) { counted.WriteTo(w) },
-		Fleet:   member.Write, Log: slog.New(slog.DiscardHandler),
+		Fleet:   member.WriteJSON, Log: slog.New(slog.DiscardHandler),
 	}
 	var text strings.Builder
 	ask := func(path string) {
--- a/internal/fleet/agent/seam_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -72,7 +72,7 @@
 func TestRestoredGoesOnAlike(t *testing.T) {
 	for seed := range uint64(3) {
 		steps := history(t, seed)
-		set := newSeam().Set
+		set := newSeam().Settings
 		set.ShareQuota, set.FleetSize = true, 20
 		a, b := New(set), New(set)
 		told, rightsTold := 0, 0
@@ -182,7 +182,7 @@
 		}
 	}
 	var ids []policy.Event
-	for id := range s.Held {
+	for id := range s.Pending {
 		ids = append(ids, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 	}
 	s.Step(41*time.Second, Input{Events: ids})
@@ -192,8 +192,8 @@
 			empty = len(p.Scopes) == 0
 		}
 	}
-	if !empty || len(s.Tallies) > 0 || len(s.Told) > 0 || len(s.Held) > 0 {
-		t.Errorf("empty told: %v; kept: %v %v %v", empty, s.Tallies, s.Told, s.Held)
+	if !empty || len(s.Counters) > 0 || len(s.Published) > 0 || len(s.Pending) > 0 {
+		t.Errorf("empty told: %v; kept: %v %v %v", empty, s.Counters, s.Published, s.Pending)
 	}
 }
 
@@ -283,7 +283,7 @@
 func TestRestsGrowWithTheFleet(t *testing.T) {
 	const began, length = 30 * time.Second, 120 * time.Second
 	for _, members := range []int{3, 100, 300} {
-		set := newSeam().Set
+		set := newSeam().Settings
 		set.Members = []string{"me"}
 		for i := range members - 1 {
 			set.Members = append(set.Members, fmt.Sprint("m", i))
@@ -301,12 +301,12 @@
 			},
 		)
 		told, seq := 0, uint64(0)
-		for now := time.Second; now < began+length; now += lookEvery {
+		for now := time.Second; now < began+length; now += publishCheckInterval {
 			in := Input{
 				Views:  func() []policy.EndpointView { return nil },
 				Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: 1, Destination: 9}},
 			}
-			if now/lookEvery%2 == 0 { // a backlog begins and ends with every look
+			if now/publishCheckInterval%2 == 0 { // a backlog begins and ends with every look
 				in.Events = []policy.Event{
 					{
 						Kind:         policy.AttemptFinished,
@@ -339,7 +339,7 @@
 		}
 		pages := 2*(members-1) + 1
 		share := gossip.MaxReportRate(members) / float64(pages) // tellings of one page a second
-		most := length.Seconds()*min(share, 1/tellLeast.Seconds()) + burst
+		most := length.Seconds()*min(share, 1/minPublishInterval.Seconds()) + maxUrgentBurst
 		if float64(told) > most || float64(told) < 0.7*most {
 			t.Errorf("%d members: %d tellings in %v, room for %.0f", members, told, length, most)
 		}
@@ -368,7 +368,7 @@
 			},
 		).Published
 	}
-	if len(look(2*time.Second, false)) != 1 || len(look(2*time.Second+lookEvery, true)) != 1 {
+	if len(look(2*time.Second, false)) != 1 || len(look(2*time.Second+publishCheckInterval, true)) != 1 {
 		t.Error("coldness waits for the page's rest")
 	}
 }
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -16,7 +16,7 @@
 func TestGoldenState(t *testing.T) {
 	var want, got state
 	golden.Fill(&want)
-	data, err := canonical.Marshal(want)
+	data, err := canonicalEncoding.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 
 // A seam restored from a snapshot of an earlier build writes it again.
 func TestGoldenSnapshot(t *testing.T) {
-	set := newSeam().Set
+	set := newSeam().Settings
 	set.ShareQuota, set.FleetSize = true, 20
 	s := New(set)
 	steps := history(t, 1)
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, false, "snapshot.cbor", restored.Snapshot(nil))
-	if restored.rights == nil || len(restored.Tallies) == 0 {
+	if restored.quota == nil || len(restored.Counters) == 0 {
 		t.Error("the snapshot holds no rights or no tallies")
 	}
 }
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -26,8 +26,8 @@
 	MaxReports     = 1 << 14
 )
 
-// ErrNewer tells that a message cannot be understood without a newer program.
-var ErrNewer = errors.New("codec: the message needs a newer program")
+// ErrUnsupportedVersion tells that a message cannot be understood without a newer program.
+var ErrUnsupportedVersion = errors.New("codec: the message needs a newer program")
 
 // Message is what one relay sends another. Clock is the sender's own monotonic time when it was written.
 type Message struct {
@@ -35,50 +35,50 @@
 	From            string        `cbor:"1,keyasint"`
 	Boot            uint32        `cbor:"2,keyasint"`
 	Clock           int64         `cbor:"3,keyasint"` // microseconds
-	EncodedReports  []page        `cbor:"4,keyasint,omitempty"`
-	Digest          []memberPages `cbor:"5,keyasint,omitempty"`
+	EncodedReports  []report        `cbor:"4,keyasint,omitempty"`
+	Digest          []memberVersions `cbor:"5,keyasint,omitempty"`
 	WantsReports    bool          `cbor:"6,keyasint,omitempty"` // to be sent what Digest lacks, which may be empty
 	Ping            bool          `cbor:"7,keyasint,omitempty"` // asks for an answer at once
 	Pong            *Pong         `cbor:"8,keyasint,omitempty"` // is one
-	EncodedQuota    *rightsNote   `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
+	EncodedQuota    *quotaMessage   `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
 }
 
-type rightsNote struct {
-	Incarnation uint64 `cbor:"1,keyasint"`
+type quotaMessage struct {
+	Generation uint64 `cbor:"1,keyasint"`
 	Seq         uint64 `cbor:"2,keyasint"`
-	Seen        uint64 `cbor:"3,keyasint,omitempty"`
-	OfInc       uint64 `cbor:"4,keyasint,omitempty"`
-	OfBoot      uint32 `cbor:"5,keyasint,omitempty"`
+	AckedSeq        uint64 `cbor:"3,keyasint,omitempty"`
+	AckedGeneration       uint64 `cbor:"4,keyasint,omitempty"`
+	AckedBoot      uint32 `cbor:"5,keyasint,omitempty"`
 	Ping        bool   `cbor:"6,keyasint,omitempty"`
-	Loans       []loan `cbor:"7,keyasint,omitempty"`
-	Asks        []ask  `cbor:"8,keyasint,omitempty"`
-	Gives       []give `cbor:"9,keyasint,omitempty"`
-	New         bool   `cbor:"10,keyasint,omitempty"`
-	None        bool   `cbor:"11,keyasint,omitempty"`
+	Leases       []lease `cbor:"7,keyasint,omitempty"`
+	Requests        []quotaRequest  `cbor:"8,keyasint,omitempty"`
+	Grants       []grant `cbor:"9,keyasint,omitempty"`
+	AsksForLeases         bool   `cbor:"10,keyasint,omitempty"`
+	HoldsNoLease        bool   `cbor:"11,keyasint,omitempty"`
 }
 
-type loan struct {
-	Dest    int     `cbor:"1,keyasint,omitempty"`
-	Route   string  `cbor:"2,keyasint,omitempty"`
+type lease struct {
+	Destination    int     `cbor:"1,keyasint,omitempty"`
+	Endpoint   string  `cbor:"2,keyasint,omitempty"`
 	Rate    float64 `cbor:"3,keyasint,omitempty"`
-	Done    uint32  `cbor:"4,keyasint,omitempty"`
-	Refused uint32  `cbor:"5,keyasint,omitempty"`
+	Delivered    uint32  `cbor:"4,keyasint,omitempty"`
+	Rejected uint32  `cbor:"5,keyasint,omitempty"`
 }
 
-type ask struct {
-	Dest    int    `cbor:"1,keyasint,omitempty"`
-	Route   string `cbor:"2,keyasint,omitempty"`
+type quotaRequest struct {
+	Destination    int    `cbor:"1,keyasint,omitempty"`
+	Endpoint   string `cbor:"2,keyasint,omitempty"`
 	ID      uint32 `cbor:"3,keyasint"`
-	N       int    `cbor:"4,keyasint,omitempty"`
-	Done    uint32 `cbor:"5,keyasint,omitempty"`
-	Refused uint32 `cbor:"6,keyasint,omitempty"`
+	Calls       int    `cbor:"4,keyasint,omitempty"`
+	Delivered    uint32 `cbor:"5,keyasint,omitempty"`
+	Rejected uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-type give struct {
-	Dest  int    `cbor:"1,keyasint,omitempty"`
-	Route string `cbor:"2,keyasint,omitempty"`
+type grant struct {
+	Destination  int    `cbor:"1,keyasint,omitempty"`
+	Endpoint string `cbor:"2,keyasint,omitempty"`
 	ID    uint32 `cbor:"3,keyasint"`
-	N     int    `cbor:"4,keyasint"`
+	Calls     int    `cbor:"4,keyasint"`
 }
 
 // Pong answers a Ping: with whose it was, and when that was sent by its own clock.
@@ -87,34 +87,34 @@
 	Clock int64  `cbor:"2,keyasint"` // microseconds
 }
 
-type page struct {
+type report struct {
 	Name        string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
+	Generation uint64 `cbor:"2,keyasint"`
 	Boot        uint32 `cbor:"3,keyasint"`
 	Number      int    `cbor:"4,keyasint,omitempty"`
 	Sequence    uint64 `cbor:"5,keyasint"`
 	Age         uint64 `cbor:"6,keyasint,omitempty"` // milliseconds
-	Cells       []cell `cbor:"7,keyasint,omitempty"`
+	Scopes       []scopeLoad `cbor:"7,keyasint,omitempty"`
 }
 
-type cell struct {
-	Dest       int     `cbor:"1,keyasint"`
-	Route      string  `cbor:"2,keyasint,omitempty"`
+type scopeLoad struct {
+	Destination       int     `cbor:"1,keyasint"`
+	Endpoint      string  `cbor:"2,keyasint,omitempty"`
 	Demand     float64 `cbor:"3,keyasint,omitempty"`
 	Calls      float64 `cbor:"4,keyasint,omitempty"`
-	Refusals   float64 `cbor:"5,keyasint,omitempty"`
+	Rejections   float64 `cbor:"5,keyasint,omitempty"`
 	Deliveries float64 `cbor:"6,keyasint,omitempty"`
 	Failures   float64 `cbor:"7,keyasint,omitempty"`
 	Backlog    int     `cbor:"8,keyasint,omitempty"`
-	Wait       uint64  `cbor:"9,keyasint,omitempty"` // milliseconds
-	Cold       bool    `cbor:"10,keyasint,omitempty"`
+	RetryAfter       uint64  `cbor:"9,keyasint,omitempty"` // milliseconds
+	WarmingUp       bool    `cbor:"10,keyasint,omitempty"`
 }
 
-type memberPages struct {
+type memberVersions struct {
 	Name        string         `cbor:"1,keyasint"`
-	Incarnation uint64         `cbor:"2,keyasint"`
+	Generation uint64         `cbor:"2,keyasint"`
 	Boot        uint32         `cbor:"3,keyasint"`
-	Pages       map[int]uint64 `cbor:"4,keyasint,omitempty"`
+	Sequences       map[int]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Codec encodes and decodes. It may be used from any goroutine.
@@ -161,19 +161,19 @@
 		return Message{}, fmt.Errorf("codec: %w", err)
 	}
 	if m.RequiredVersion > Version {
-		return Message{}, fmt.Errorf("%w: form %d, this one reads %d", ErrNewer, m.RequiredVersion, Version)
+		return Message{}, fmt.Errorf("%w: form %d, this one reads %d", ErrUnsupportedVersion, m.RequiredVersion, Version)
 	}
 	return m, nil
 }
 
 // SetReports puts pages into a message.
 func (m *Message) SetReports(pages ...loadreport.Report) {
-	m.EncodedReports = make([]page, 0, len(pages))
+	m.EncodedReports = make([]report, 0, len(pages))
 	for _, p := range pages {
-		q := page{p.Name, p.Generation, p.Boot, p.Number, p.Sequence, millis(p.Age), make([]cell, 0, len(p.Scopes))}
+		q := report{p.Name, p.Generation, p.Boot, p.Number, p.Sequence, toMilliseconds(p.Age), make([]scopeLoad, 0, len(p.Scopes))}
 		for _, c := range p.Scopes {
-			q.Cells = append(q.Cells, cell{
-				c.Destination, c.Endpoint, c.Demand, c.Calls, c.Rejections, c.Deliveries, c.Failures, c.Backlog, millis(c.RetryAfter), c.WarmingUp,
+			q.Scopes = append(q.Scopes, scopeLoad{
+				c.Destination, c.Endpoint, c.Demand, c.Calls, c.Rejections, c.Deliveries, c.Failures, c.Backlog, toMilliseconds(c.RetryAfter), c.WarmingUp,
 			})
 		}
 		m.EncodedReports = append(m.EncodedReports, q)
@@ -185,12 +185,12 @@
 	pages := make([]loadreport.Report, 0, len(m.EncodedReports))
 	for _, p := range m.EncodedReports {
 		q := loadreport.Report{
-			Name: p.Name, Incarnation: loadreport.Incarnation{Generation: p.Incarnation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: duration(p.Age),
+			Name: p.Name, Incarnation: loadreport.Incarnation{Generation: p.Generation, Boot: p.Boot}, Number: p.Number, Sequence: p.Sequence, Age: fromMilliseconds(p.Age),
 		}
-		for _, c := range p.Cells {
+		for _, c := range p.Scopes {
 			q.Scopes = append(q.Scopes, loadreport.ScopeLoad{
-				Destination: c.Dest, Endpoint: c.Route, Demand: c.Demand, Calls: c.Calls, Rejections: c.Refusals, Deliveries: c.Deliveries,
-				Failures: c.Failures, Backlog: c.Backlog, RetryAfter: duration(c.Wait), WarmingUp: c.Cold,
+				Destination: c.Destination, Endpoint: c.Endpoint, Demand: c.Demand, Calls: c.Calls, Rejections: c.Rejections, Deliveries: c.Deliveries,
+				Failures: c.Failures, Backlog: c.Backlog, RetryAfter: fromMilliseconds(c.RetryAfter), WarmingUp: c.WarmingUp,
 			})
 		}
 		pages = append(pages, q)
@@ -198,13 +198,13 @@
 	return pages
 }
 
-// millis rounds up: what is told is rather older, and a wait rather longer.
-func millis(d time.Duration) uint64 {
+// toMilliseconds rounds up: what is told is rather older, and a wait rather longer.
+func toMilliseconds(d time.Duration) uint64 {
 	return uint64((max(0, d) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// duration is that of so many milliseconds. One that is too long is below zero, which every bound refuses.
-func duration(ms uint64) time.Duration {
+// fromMilliseconds is that of so many milliseconds. One that is too long is below zero, which every bound refuses.
+func fromMilliseconds(ms uint64) time.Duration {
 	if ms > math.MaxInt64/uint64(time.Millisecond) {
 		return -1
 	}
@@ -214,7 +214,7 @@
 // SetDigest puts a digest into a message.
 func (m *Message) SetDigest(d loadreport.Digest) {
 	for name, v := range d {
-		m.Digest = append(m.Digest, memberPages{name, v.Generation, v.Boot, v.Sequences})
+		m.Digest = append(m.Digest, memberVersions{name, v.Generation, v.Boot, v.Sequences})
 	}
 }
 
@@ -223,8 +223,8 @@
 	d := loadreport.Digest{}
 	for _, v := range m.Digest {
 		d[v.Name] = loadreport.MemberVersions{
-			Incarnation: loadreport.Incarnation{Generation: v.Incarnation, Boot: v.Boot},
-			Sequences:   v.Pages,
+			Incarnation: loadreport.Incarnation{Generation: v.Generation, Boot: v.Boot},
+			Sequences:   v.Sequences,
 		}
 	}
 	return d
@@ -232,24 +232,24 @@
 
 // SetQuotaMessage puts what one member tells another of rights into a message.
 func (m *Message) SetQuotaMessage(r quota.Message) {
-	n := &rightsNote{
-		Incarnation: r.Generation,
+	n := &quotaMessage{
+		Generation: r.Generation,
 		Seq:         r.Seq,
-		Seen:        r.AckedSeq,
-		OfInc:       r.AckedIncarnation.Generation,
-		OfBoot:      r.AckedIncarnation.Boot,
+		AckedSeq:        r.AckedSeq,
+		AckedGeneration:       r.AckedIncarnation.Generation,
+		AckedBoot:      r.AckedIncarnation.Boot,
 		Ping:        r.Ping,
-		New:         r.AsksForLeases,
-		None:        r.HoldsNoLease,
+		AsksForLeases:         r.AsksForLeases,
+		HoldsNoLease:        r.HoldsNoLease,
 	}
 	for _, l := range r.Leases {
-		n.Loans = append(n.Loans, loan{l.Scope.Destination, l.Scope.Endpoint, l.Rate, l.Delivered, l.Rejected})
+		n.Leases = append(n.Leases, lease{l.Scope.Destination, l.Scope.Endpoint, l.Rate, l.Delivered, l.Rejected})
 	}
 	for _, q := range r.Requests {
-		n.Asks = append(n.Asks, ask{q.Scope.Destination, q.Scope.Endpoint, q.ID, q.Calls, q.Delivered, q.Rejected})
+		n.Requests = append(n.Requests, quotaRequest{q.Scope.Destination, q.Scope.Endpoint, q.ID, q.Calls, q.Delivered, q.Rejected})
 	}
 	for _, g := range r.Grants {
-		n.Gives = append(n.Gives, give{g.Scope.Destination, g.Scope.Endpoint, g.ID, g.Calls})
+		n.Grants = append(n.Grants, grant{g.Scope.Destination, g.Scope.Endpoint, g.ID, g.Calls})
 	}
 	m.EncodedQuota = n
 }
@@ -258,39 +258,39 @@
 func (m Message) QuotaMessage() quota.Message {
 	n := m.EncodedQuota
 	r := quota.Message{
-		Member: m.From, Incarnation: loadreport.Incarnation{Generation: n.Incarnation, Boot: m.Boot}, Seq: n.Seq, AckedSeq: n.Seen,
+		Member: m.From, Incarnation: loadreport.Incarnation{Generation: n.Generation, Boot: m.Boot}, Seq: n.Seq, AckedSeq: n.AckedSeq,
 		AckedIncarnation: loadreport.Incarnation{
-			Generation: n.OfInc,
-			Boot:       n.OfBoot,
-		}, Ping: n.Ping, AsksForLeases: n.New, HoldsNoLease: n.None,
+			Generation: n.AckedGeneration,
+			Boot:       n.AckedBoot,
+		}, Ping: n.Ping, AsksForLeases: n.AsksForLeases, HoldsNoLease: n.HoldsNoLease,
 	}
-	for _, l := range n.Loans {
+	for _, l := range n.Leases {
 		r.Leases = append(
 			r.Leases,
 			quota.Lease{
-				Scope:     quota.Scope{Destination: l.Dest, Endpoint: l.Route},
+				Scope:     quota.Scope{Destination: l.Destination, Endpoint: l.Endpoint},
 				Rate:      l.Rate,
-				Delivered: l.Done,
-				Rejected:  l.Refused,
+				Delivered: l.Delivered,
+				Rejected:  l.Rejected,
 			},
 		)
 	}
-	for _, q := range n.Asks {
+	for _, q := range n.Requests {
 		r.Requests = append(
 			r.Requests,
 			quota.QuotaRequest{
-				Scope:     quota.Scope{Destination: q.Dest, Endpoint: q.Route},
+				Scope:     quota.Scope{Destination: q.Destination, Endpoint: q.Endpoint},
 				ID:        q.ID,
-				Calls:     q.N,
-				Delivered: q.Done,
-				Rejected:  q.Refused,
+				Calls:     q.Calls,
+				Delivered: q.Delivered,
+				Rejected:  q.Rejected,
 			},
 		)
 	}
-	for _, g := range n.Gives {
+	for _, g := range n.Grants {
 		r.Grants = append(
 			r.Grants,
-			quota.Grant{Scope: quota.Scope{Destination: g.Dest, Endpoint: g.Route}, ID: g.ID, Calls: g.N},
+			quota.Grant{Scope: quota.Scope{Destination: g.Destination, Endpoint: g.Endpoint}, ID: g.ID, Calls: g.Calls},
 		)
 	}
 	return r
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -102,7 +102,7 @@
 	}
 	tree[0] = Version + 1
 	more, _ = cbor.Marshal(tree)
-	if _, err := c.Decode(more); !errors.Is(err, ErrNewer) {
+	if _, err := c.Decode(more); !errors.Is(err, ErrUnsupportedVersion) {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-func goldenRights() quota.Message {
+func goldenQuota() quota.Message {
 	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
 	return quota.Message{
 		Member: "r3", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 4}, Seq: 70, AckedSeq: 69, AckedIncarnation: loadreport.Incarnation{Generation: 12, Boot: 13},
@@ -50,7 +50,7 @@
 	pages.SetReports(page)
 	digests.SetDigest(digest)
 	digests.WantsReports = true
-	told.SetQuotaMessage(goldenRights())
+	told.SetQuotaMessage(goldenQuota())
 	golden.Fill(&filled)
 	filled.RequiredVersion = Version
 	messages := map[string]Message{
@@ -81,8 +81,8 @@
 				t.Errorf("%+v\nwant %+v", d, digest)
 			}
 		case "rights":
-			if r := got.QuotaMessage(); !reflect.DeepEqual(r, goldenRights()) {
-				t.Errorf("%+v\nwant %+v", r, goldenRights())
+			if r := got.QuotaMessage(); !reflect.DeepEqual(r, goldenQuota()) {
+				t.Errorf("%+v\nwant %+v", r, goldenQuota())
 			}
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	lifeFile      = "fleet.life" // in the relay's folder
-	startEvery    = 2 * time.Second
-	standingEvery = 500 * time.Millisecond
-	stepEvery     = 250 * time.Millisecond // the loop is asked for a step so often, even if nothing happens
+	incarnationFile      = "fleet.life" // in the relay's folder
+	listenRetryInterval    = 2 * time.Second
+	quotaStatusInterval = 500 * time.Millisecond
+	stepInterval     = 250 * time.Millisecond // the loop is asked for a step so often, even if nothing happens
 )
 
 // Config is what a Member is made of.
@@ -59,34 +59,34 @@
 // Member is a relay's place in its fleet. Step is the loop's; the others may be called from any goroutine.
 type Member struct {
 	cfg  Config
-	life loadreport.Incarnation
-	seam *agent.Agent
-	last *membership.Node // that Step has met; the loop's
-	told time.Duration    // when standing was put last; the loop's
+	incarnation loadreport.Incarnation
+	agent *agent.Agent
+	lastNode *membership.Node // that Step has met; the loop's
+	quotaStatusAt time.Duration    // when standing was put last; the loop's
 
-	standing atomic.Pointer[[]quota.ScopeStatus]
+	quotaStatus atomic.Pointer[[]quota.ScopeStatus]
 
 	mu   sync.Mutex
-	link *membership.Node // nil: it does not listen yet, or no more
-	why  error            // it does not
+	node *membership.Node // nil: it does not listen yet, or no more
+	downReason  error            // it does not
 }
 
 // New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the
 // first.
 func New(cfg Config) *Member {
-	life := loadreport.Incarnation{Generation: readLife(cfg) + 1, Boot: rand.Uint32()}
-	if err := writeLife(cfg, life.Generation); err != nil {
+	life := loadreport.Incarnation{Generation: readIncarnation(cfg) + 1, Boot: rand.Uint32()}
+	if err := writeIncarnation(cfg, life.Generation); err != nil {
 		cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
 	}
-	return &Member{cfg: cfg, life: life, seam: agent.New(agent.Settings{
+	return &Member{cfg: cfg, incarnation: life, agent: agent.New(agent.Settings{
 		Self: cfg.Name, Incarnation: life, Members: slices.Sorted(maps.Keys(cfg.Peers)), DestinationKinds: cfg.DestinationKinds,
 		ShareQuota: cfg.ShareQuota, FleetSize: cfg.FleetSize,
 	})}
 }
 
-// readLife is the incarnation of the life before; 0: none is known, and if there was one the others will tell.
-func readLife(cfg Config) uint64 {
-	data, err := os.ReadFile(filepath.Join(cfg.Folder, lifeFile))
+// readIncarnation is the incarnation of the life before; 0: none is known, and if there was one the others will tell.
+func readIncarnation(cfg Config) uint64 {
+	data, err := os.ReadFile(filepath.Join(cfg.Folder, incarnationFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0
 	}
@@ -97,8 +97,8 @@
 	return n
 }
 
-func writeLife(cfg Config, incarnation uint64) error {
-	path := filepath.Join(cfg.Folder, lifeFile)
+func writeIncarnation(cfg Config, incarnation uint64) error {
+	path := filepath.Join(cfg.Folder, incarnationFile)
 	if err := os.WriteFile(path+".new", fmt.Appendf(nil, "%d\n", incarnation), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
@@ -110,18 +110,18 @@
 
 // Run keeps the link up until ctx ends. A port that is taken is tried again: the relay serves meanwhile.
 func (m *Member) Run(ctx context.Context) {
-	step := time.NewTicker(stepEvery)
+	step := time.NewTicker(stepInterval)
 	defer step.Stop()
 	var next time.Time
 	for {
-		if m.up() == nil && !time.Now().Before(next) {
-			m.start()
-			next = time.Now().Add(startEvery)
+		if m.currentNode() == nil && !time.Now().Before(next) {
+			m.startNode()
+			next = time.Now().Add(listenRetryInterval)
 		}
 		select {
 		case <-ctx.Done():
-			if l := m.up(); l != nil {
-				m.set(nil, errors.New("fleet: ended"))
+			if l := m.currentNode(); l != nil {
+				m.setNode(nil, errors.New("fleet: ended"))
 				if err := l.Close(); err != nil {
 					m.cfg.Log.Warn("fleet: end", "err", err)
 				}
@@ -133,28 +133,28 @@
 	}
 }
 
-func (m *Member) start() {
+func (m *Member) startNode() {
 	l, err := membership.Start(membership.Config{
-		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Peers: m.cfg.Peers, Incarnation: m.life, Log: m.cfg.Log, OnReceive: m.cfg.RequestStep,
-		SaveIncarnation: func(n uint64) error { return writeLife(m.cfg, n) }, Transport: m.cfg.Transport,
+		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Peers: m.cfg.Peers, Incarnation: m.incarnation, Log: m.cfg.Log, OnReceive: m.cfg.RequestStep,
+		SaveIncarnation: func(n uint64) error { return writeIncarnation(m.cfg, n) }, Transport: m.cfg.Transport,
 	})
-	if m.set(l, err); err != nil {
+	if m.setNode(l, err); err != nil {
 		m.cfg.Log.Warn("fleet: not heard by others, and hearing none; serving alone", "err", err)
 		return
 	}
-	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.life.Generation)
+	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.incarnation.Generation)
 }
 
-func (m *Member) up() *membership.Node {
+func (m *Member) currentNode() *membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.link
+	return m.node
 }
 
-func (m *Member) set(l *membership.Node, why error) {
+func (m *Member) setNode(l *membership.Node, why error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.link, m.why = l, why
+	m.node, m.downReason = l, why
 }
 
 // Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in
@@ -167,7 +167,7 @@
 ) (agent.Record, []policy.Event) {
 	var rec agent.Record
 	var decided time.Duration // by the link's clock, when now was or before
-	l := m.up()
+	l := m.currentNode()
 	if l != nil {
 		rec.Received, rec.Incarnation = l.Received()
 		if m.cfg.ShareQuota {
@@ -176,7 +176,7 @@
 			rec.QuotaReceived = l.ReceivedQuota()
 		}
 	}
-	out := m.seam.Step(
+	out := m.agent.Step(
 		now,
 		agent.Input{
 			Received:    rec.Received,
@@ -188,18 +188,18 @@
 		},
 	)
 	rec.Published, rec.QuotaSent = out.Published, out.Quota
-	if b := m.seam.Quota(); b != nil && now >= m.told+standingEvery {
+	if b := m.agent.Quota(); b != nil && now >= m.quotaStatusAt+quotaStatusInterval {
 		all := b.Status(now)
-		m.told = now
-		m.standing.Store(&all)
+		m.quotaStatusAt = now
+		m.quotaStatus.Store(&all)
 	}
 	if l == nil {
 		return rec, out.Events
 	}
 	listed := func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }
-	if l != m.last || slices.ContainsFunc(events, listed) { // a link comes up after the list was told
-		m.last = l
-		l.SetLimits(m.seam.Limits())
+	if l != m.lastNode || slices.ContainsFunc(events, listed) { // a link comes up after the list was told
+		m.lastNode = l
+		l.SetLimits(m.agent.Limits())
 	}
 	if len(rec.Published) > 0 {
 		l.Publish(rec.Published)
@@ -212,19 +212,19 @@
 
 // AliveCount is how many members are seen, this one among them; 0: the link is down.
 func (m *Member) AliveCount() int {
-	if l := m.up(); l != nil {
+	if l := m.currentNode(); l != nil {
 		return l.AliveCount()
 	}
 	return 0
 }
 
 // Agent is the pure part. It must only be asked, by the loop.
-func (m *Member) Agent() *agent.Agent { return m.seam }
+func (m *Member) Agent() *agent.Agent { return m.agent }
 
 // Status is what a member tells of its fleet.
 type Status struct {
 	Up    bool                `json:"up"`
-	Why   string              `json:"why,omitempty"`    // it is not
+	DownReason   string              `json:"why,omitempty"`    // it is not
 	Quota []quota.ScopeStatus `json:"rights,omitempty"` // where limits are shared
 	*membership.Status
 }
@@ -232,23 +232,23 @@
 // Status tells of the fleet as this member sees it.
 func (m *Member) Status() Status {
 	m.mu.Lock()
-	l, why := m.link, m.why
+	l, why := m.node, m.downReason
 	m.mu.Unlock()
 	s := Status{Up: l != nil}
-	if all := m.standing.Load(); all != nil {
+	if all := m.quotaStatus.Load(); all != nil {
 		s.Quota = *all
 	}
 	if l != nil {
 		st := l.Status()
 		s.Status = &st
 	} else if why != nil {
-		s.Why = why.Error()
+		s.DownReason = why.Error()
 	}
 	return s
 }
 
-// Write writes the Status as JSON.
-func (m *Member) Write(w io.Writer) error {
+// WriteJSON writes the Status as JSON.
+func (m *Member) WriteJSON(w io.Writer) error {
 	if err := json.NewEncoder(w).Encode(m.Status()); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
@@ -258,7 +258,7 @@
 // Print writes a Status for people.
 func (s Status) Print(w io.Writer) error {
 	if !s.Up || s.Status == nil {
-		_, err := fmt.Fprintf(w, "not linked: %s\n", s.Why)
+		_, err := fmt.Fprintf(w, "not linked: %s\n", s.DownReason)
 		return err
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -314,9 +314,9 @@
 		"messages heard %d, unreadable %d, of newer programs %d; rival pages %d, names with two addresses %d, strangers %d\n",
 		s.Received,
 		s.Unreadable,
-		s.Newer,
-		s.Rivals,
-		s.Conflicts,
+		s.UnsupportedVersion,
+		s.RivalReports,
+		s.AddressConflicts,
 		s.UnknownMembers,
 	)
 	if err := out.Flush(); err != nil {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -20,7 +20,7 @@
 func TestGoldenStatus(t *testing.T) {
 	var linked Status
 	golden.Fill(&linked)
-	for name, want := range map[string]Status{"linked": linked, "unlinked": {Why: "no port"}} {
+	for name, want := range map[string]Status{"linked": linked, "unlinked": {DownReason: "no port"}} {
 		data, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
@@ -45,7 +45,7 @@
 func TestGoldenLife(t *testing.T) {
 	const incarnation = 41
 	cfg := Config{Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
-	if err := writeLife(cfg, incarnation); err != nil {
+	if err := writeIncarnation(cfg, incarnation); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(cfg.Folder, "fleet.life")
@@ -57,7 +57,7 @@
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if n := readLife(cfg); n != incarnation {
+	if n := readIncarnation(cfg); n != incarnation {
 		t.Errorf("incarnation %d, want %d", n, incarnation)
 	}
 }
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	life := loadreport.Incarnation{Generation: 3, Boot: 9}
-	l := &Node{codec: c, ledger: loadreport.New("me", life, []string{"a"})}
+	l := &Node{codec: c, reports: loadreport.New("me", life, []string{"a"})}
 	l.cfg = Config{Name: "me", Incarnation: life, now: func() time.Duration { return time.Minute }}
 	page := loadreport.Report{
 		Name:        "a",
@@ -28,7 +28,7 @@
 		Sequence:    7,
 		Scopes:      []loadreport.ScopeLoad{{Destination: 8, Calls: 1}},
 	}
-	if outcome, err := l.ledger.Merge(time.Minute, page); outcome != loadreport.Updated {
+	if outcome, err := l.reports.Merge(time.Minute, page); outcome != loadreport.Updated {
 		t.Fatal(outcome, err)
 	}
 	golden.Check(t, *update, "local-state.cbor", (*delegate)(l).LocalState(false))
--- a/internal/fleet/membership/link.go
+++ b/internal/fleet/membership/node.go
@@ -26,18 +26,18 @@
 )
 
 const (
-	probeEvery   = time.Second
-	probeFor     = 400 * time.Millisecond
-	streamFor    = 2 * time.Second // a peer that hangs holds a stream no longer
-	rejoinEvery  = 2 * time.Second
-	rejoinAtOnce = 2
-	repliesMost  = 8
-	notesMost    = 1024
-	rightsMost   = 4096     // messages that wait for the loop; more are dropped, as the network may
-	batchBytes   = 16 << 10 // of pages in a message on a stream, more or less
-	pageGuess    = 200      // bytes
-
-	reclaimFor = 10 * time.Second // after which the others let a name that is silent have another address
+	probeInterval   = time.Second
+	probeTimeout     = 400 * time.Millisecond
+	streamTimeout    = 2 * time.Second // a peer that hangs holds a stream no longer
+	rejoinInterval  = 2 * time.Second
+	maxRejoinsPerRound = 2
+	maxPendingReplies  = 8
+	maxPendingDirect    = 1024
+	maxReceivedQuota   = 4096     // messages that wait for the loop; more are dropped, as the network may
+	replyBatchBytes   = 16 << 10 // of pages in a message on a stream, more or less
+	estimatedReportBytes    = 200      // bytes
+
+	nameReclaimTimeout = 10 * time.Second // after which the others let a name that is silent have another address
 )
 
 // Config is what a Link is made of.
@@ -65,60 +65,60 @@
 type Node struct {
 	cfg   Config
 	codec *codec.Codec
-	list  *memberlist.Memberlist
-	queue memberlist.TransmitLimitedQueue
-	wire  *transport
+	memberlist  *memberlist.Memberlist
+	broadcasts memberlist.TransmitLimitedQueue
+	transport  *transport
 
 	mu     sync.Mutex
-	ledger *loadreport.Table
-	intake loadreport.Inbox[codec.Message]
-	mail   map[place]struct{}
-	life   loadreport.Incarnation // a new one that Heard has not told yet
-	going  bool                   // a new life is beginning
-	claim  loadreport.NameClaim
-	rights []heardRights // until ReceivedQuota
-	counts Counters
+	reports *loadreport.Table
+	inbox loadreport.Inbox[codec.Message]
+	updatedReports   map[reportKey]struct{}
+	newIncarnation   loadreport.Incarnation // a new one that Heard has not told yet
+	incarnationPending  bool                   // a new life is beginning
+	nameClaim  loadreport.NameClaim
+	receivedQuota []timedQuota // until ReceivedQuota
+	counters Counters
 	closed bool
 
-	replies chan reply
-	notes   chan note
-	raising chan struct{}
-	stop    context.CancelFunc
-	works   sync.WaitGroup
+	digestReplies chan digestReply
+	directMessages   chan directMessage
+	incarnationRequests chan struct{}
+	cancel    context.CancelFunc
+	workers   sync.WaitGroup
 }
 
 // Counters are of the link's whole life.
 type Counters struct {
 	Received       uint64 `json:"heard"`     // messages
 	Unreadable     uint64 `json:"unread"`    // that could not be read
-	Newer          uint64 `json:"newer"`     // that need a newer program
-	Rivals         uint64 `json:"rivals"`    // pages of another process under this name
-	Conflicts      uint64 `json:"conflicts"` // names that were told with two addresses
+	UnsupportedVersion          uint64 `json:"newer"`     // that need a newer program
+	RivalReports         uint64 `json:"rivals"`    // pages of another process under this name
+	AddressConflicts      uint64 `json:"conflicts"` // names that were told with two addresses
 	UnknownMembers uint64 `json:"strangers"` // members that nobody lists
 	SentBytes      uint64 `json:"sent_bytes"`
 	Streams        uint64 `json:"streams"`
 }
 
-type place struct {
+type reportKey struct {
 	name   string
 	number int
 }
 
-// note is a question for another's clock, or the answer, or what is told of rights.
-type note struct {
+// directMessage is a question for another's clock, or the answer, or what is told of rights.
+type directMessage struct {
 	to     string
 	pong   *codec.Pong
-	rights *quota.Message
-	at     time.Duration // rights: when they were decided
+	quota *quota.Message
+	decidedAt     time.Duration // rights: when they were decided
 }
 
-// heardRights is what came of rights, and when it was sent at the latest.
-type heardRights struct {
+// timedQuota is what came of rights, and when it was sent at the latest.
+type timedQuota struct {
 	quota.Message
-	sent time.Duration
+	sentAt time.Duration
 }
 
-type reply struct {
+type digestReply struct {
 	to     string
 	digest loadreport.Digest
 }
@@ -134,32 +134,32 @@
 		cfg.now = func() time.Duration { return time.Since(began) }
 	}
 	l := &Node{
-		cfg: cfg, codec: c, ledger: loadreport.New(cfg.Name, cfg.Incarnation, names(cfg.Peers)), mail: map[place]struct{}{},
-		intake: loadreport.Inbox[codec.Message]{
+		cfg: cfg, codec: c, reports: loadreport.New(cfg.Name, cfg.Incarnation, memberNames(cfg.Peers)), updatedReports: map[reportKey]struct{}{},
+		inbox: loadreport.Inbox[codec.Message]{
 			ClockRequestInterval: gossip.ClockRequestInterval,
 			MaxDeferred:          gossip.MaxDeferredMessages,
 		},
-		notes:   make(chan note, notesMost),
-		replies: make(chan reply, repliesMost), raising: make(chan struct{}, 1),
+		directMessages:   make(chan directMessage, maxPendingDirect),
+		digestReplies: make(chan digestReply, maxPendingReplies), incarnationRequests: make(chan struct{}, 1),
 	}
 	// Who listens, not who is seen: one that sees nobody yet tells all the same. A small fleet's datagrams get lost
 	// like a large one's.
-	l.queue.NumNodes = func() int { return gossip.EffectiveSize(len(cfg.Peers)) }
+	l.broadcasts.NumNodes = func() int { return gossip.EffectiveSize(len(cfg.Peers)) }
 	mc := memberlist.DefaultLANConfig()
 	mc.Name, mc.Label = cfg.Name, cfg.Fleet
 	mc.Logger = slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)
 	mc.UDPBufferSize, mc.GossipInterval, mc.GossipNodes = gossip.MaxDatagramSize, gossip.Interval, gossip.FanOut(
 		len(cfg.Peers),
 	)
-	mc.ProbeInterval, mc.ProbeTimeout, mc.TCPTimeout = probeEvery, probeFor, streamFor
+	mc.ProbeInterval, mc.ProbeTimeout, mc.TCPTimeout = probeInterval, probeTimeout, streamTimeout
 	mc.PushPullInterval, mc.EnableCompression, mc.DeadNodeReclaimTime = cmp.Or(
 		cfg.syncEvery,
 		gossip.SyncInterval,
-	), false, reclaimFor
+	), false, nameReclaimTimeout
 	mc.Delegate, mc.Conflict, mc.Alive = (*delegate)(l), (*delegate)(l), (*delegate)(l)
 	// memberlist's own number of the delegate's form stays 0 for good: it keeps out whole members that are newer. The
 	// codec does better.
-	l.queue.RetransmitMult = gossip.RetransmitMultiplier(len(cfg.Peers))
+	l.broadcasts.RetransmitMult = gossip.RetransmitMultiplier(len(cfg.Peers))
 	inner := cfg.Transport
 	if inner == nil {
 		at, err := netip.ParseAddrPort(cfg.Listen)
@@ -177,20 +177,20 @@
 		mc.AdvertiseAddr, mc.AdvertisePort = mc.BindAddr, mc.BindPort // given, so that none is looked for
 		inner = sockets
 	}
-	l.wire = &transport{NodeAwareTransport: inner, addrs: cfg.Peers}
-	mc.Transport = l.wire
-	if l.list, err = memberlist.Create(mc); err != nil {
+	l.transport = &transport{NodeAwareTransport: inner, addresses: cfg.Peers}
+	mc.Transport = l.transport
+	if l.memberlist, err = memberlist.Create(mc); err != nil {
 		return nil, errors.Join(fmt.Errorf("link: %w", err), inner.Shutdown())
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l.stop = stop
-	l.works.Go(func() { l.reply(ctx) })
-	l.works.Go(func() { l.rejoin(ctx) })
-	l.works.Go(func() { l.sendNotes(ctx) })
+	l.cancel = stop
+	l.workers.Go(func() { l.replyLoop(ctx) })
+	l.workers.Go(func() { l.rejoinLoop(ctx) })
+	l.workers.Go(func() { l.sendDirectLoop(ctx) })
 	return l, nil
 }
 
-func names(join map[string]string) []string {
+func memberNames(join map[string]string) []string {
 	all := make([]string, 0, len(join))
 	for n := range join {
 		all = append(all, n)
@@ -208,10 +208,10 @@
 	if was {
 		return nil
 	}
-	l.stop()
-	l.list.Leave(2 * gossip.Interval) // nobody need hear of it
-	err := l.list.Shutdown()
-	l.works.Wait()
+	l.cancel()
+	l.memberlist.Leave(2 * gossip.Interval) // nobody need hear of it
+	err := l.memberlist.Shutdown()
+	l.workers.Wait()
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
@@ -219,29 +219,29 @@
 }
 
 // Addr is where the link listens.
-func (l *Node) Addr() string { return l.list.LocalNode().Address() }
+func (l *Node) Addr() string { return l.memberlist.LocalNode().Address() }
 
 // AliveCount is how many members are seen, this one among them; of those suspected too.
-func (l *Node) AliveCount() int { return l.list.NumMembers() }
+func (l *Node) AliveCount() int { return l.memberlist.NumMembers() }
 
 // Publish has pages of this member told. It waits for nothing.
 func (l *Node) Publish(pages []loadreport.Report) {
 	now := l.cfg.now()
-	var take []place
+	var take []reportKey
 	l.mu.Lock()
 	for _, p := range pages {
 		p.Age = 0
-		if l.ledger.Restore(now, p) == loadreport.Updated && !l.claim.Suspended(now) {
-			take = append(take, place{p.Name, p.Number})
+		if l.reports.Restore(now, p) == loadreport.Updated && !l.nameClaim.Suspended(now) {
+			take = append(take, reportKey{p.Name, p.Number})
 		}
 	}
 	l.mu.Unlock()
-	l.spread(take)
+	l.queueBroadcasts(take)
 }
 
-func (l *Node) spread(places []place) {
+func (l *Node) queueBroadcasts(places []reportKey) {
 	for _, p := range places {
-		l.queue.QueueBroadcast(&broadcast{l, p})
+		l.broadcasts.QueueBroadcast(&broadcast{l, p})
 	}
 }
 
@@ -251,16 +251,16 @@
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.mail {
-		if page, ok := l.ledger.Get(now, p.name, p.number); ok {
+	for p := range l.updatedReports {
+		if page, ok := l.reports.Get(now, p.name, p.number); ok {
 			pages = append(pages, page)
 		}
 	}
-	clear(l.mail)
+	clear(l.updatedReports)
 	slices.SortFunc(pages, func(a, b loadreport.Report) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Number, b.Number))
 	})
-	life, l.life = l.life, loadreport.Incarnation{}
+	life, l.newIncarnation = l.newIncarnation, loadreport.Incarnation{}
 	return pages, life
 }
 
@@ -271,11 +271,11 @@
 // beyond the room is lost, as a datagram may be.
 func (l *Node) SendQuota(at time.Duration, messages []quota.Message) {
 	l.mu.Lock()
-	silent := l.claim.Suspended(l.cfg.now())
+	silent := l.nameClaim.Suspended(l.cfg.now())
 	l.mu.Unlock()
 	for i := range messages {
 		if !silent {
-			l.send(note{to: messages[i].Member, rights: &messages[i], at: at})
+			l.enqueueDirect(directMessage{to: messages[i].Member, quota: &messages[i], decidedAt: at})
 		}
 	}
 }
@@ -285,11 +285,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.now()
-	for _, h := range l.rights {
-		h.TransitTime = max(0, now-h.sent)
+	for _, h := range l.receivedQuota {
+		h.TransitTime = max(0, now-h.sentAt)
 		messages = append(messages, h.Message)
 	}
-	l.rights = l.rights[:0]
+	l.receivedQuota = l.receivedQuota[:0]
 	return messages
 }
 
@@ -297,7 +297,7 @@
 func (l *Node) SetLimits(limits loadreport.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ledger.SetLimits(limits)
+	l.reports.SetLimits(limits)
 }
 
 // Member is what a link knows of another member.
@@ -324,25 +324,25 @@
 // Status tells how the link fares.
 func (l *Node) Status() Status {
 	states := map[string]string{}
-	for _, n := range l.list.Members() {
+	for _, n := range l.memberlist.Members() {
 		states[n.Name] = map[memberlist.NodeStateType]string{
 			memberlist.StateAlive: "alive", memberlist.StateSuspect: "suspect", memberlist.StateDead: "dead", memberlist.StateLeft: "left",
 		}[n.State]
 	}
 	// Unlocked: the queue asks for messages and memberlist tells of members, which lock, while they are locked
 	// themselves.
-	queued, listen, health := l.queue.NumQueued(), l.Addr(), l.list.GetHealthScore()
+	queued, listen, health := l.broadcasts.NumQueued(), l.Addr(), l.memberlist.GetHealthScore()
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Status{
-		Name: l.cfg.Name, Fleet: l.cfg.Fleet, Listen: listen, Incarnation: l.ledger.Incarnation(), NameConflict: l.claim.Suspended(now), Health: health,
-		Queued: queued, Counters: l.counts,
+		Name: l.cfg.Name, Fleet: l.cfg.Fleet, Listen: listen, Incarnation: l.reports.Incarnation(), NameConflict: l.nameClaim.Suspended(now), Health: health,
+		Queued: queued, Counters: l.counters,
 	}
-	s.SentBytes, s.Streams = l.wire.sent.Load(), l.wire.streams.Load()
-	told, refused := l.ledger.Stats(now)
+	s.SentBytes, s.Streams = l.transport.sentBytes.Load(), l.transport.streams.Load()
+	told, refused := l.reports.Stats(now)
 	s.Rejected = refused
-	for _, name := range names(l.cfg.Peers) {
+	for _, name := range memberNames(l.cfg.Peers) {
 		if name == l.cfg.Name {
 			continue
 		}
@@ -359,23 +359,23 @@
 	return s
 }
 
-// hear takes a message that came.
-func (l *Node) hear(data []byte) {
+// receive takes a message that came.
+func (l *Node) receive(data []byte) {
 	m, err := l.codec.Decode(data)
-	l.spread(l.take(m, err)) // unlocked: the queue asks for messages
+	l.queueBroadcasts(l.process(m, err)) // unlocked: the queue asks for messages
 }
 
-// take takes a message that was read, and returns what it told that is new.
-func (l *Node) take(m codec.Message, err error) (news []place) {
+// process takes a message that was read, and returns what it told that is new.
+func (l *Node) process(m codec.Message, err error) (news []reportKey) {
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts.Received++
+	l.counters.Received++
 	if err != nil {
-		if errors.Is(err, codec.ErrNewer) {
-			l.counts.Newer++
+		if errors.Is(err, codec.ErrUnsupportedVersion) {
+			l.counters.UnsupportedVersion++
 		} else {
-			l.counts.Unreadable++
+			l.counters.Unreadable++
 		}
 		return nil
 	}
@@ -383,43 +383,43 @@
 		return nil
 	}
 	if _, listed := l.cfg.Peers[m.From]; !listed || m.From == l.cfg.Name {
-		l.counts.UnknownMembers++
+		l.counters.UnknownMembers++
 		return nil
 	}
 	if m.Ping {
-		l.send(note{to: m.From, pong: &codec.Pong{Boot: m.Boot, Clock: m.Clock}})
+		l.enqueueDirect(directMessage{to: m.From, pong: &codec.Pong{Boot: m.Boot, Clock: m.Clock}})
 	}
 	if m.EncodedQuota != nil {
-		l.takeRights(now, m)
+		l.receiveQuota(now, m)
 		return nil
 	}
 	waiting := []codec.Message{m}
 	if m.Pong != nil && m.Pong.Boot == l.cfg.Incarnation.Boot {
-		waiting = append(l.intake.ClockReceived(m.From, m.Boot, micros(m.Clock), micros(m.Pong.Clock), now), m)
+		waiting = append(l.inbox.ClockReceived(m.From, m.Boot, microseconds(m.Clock), microseconds(m.Pong.Clock), now), m)
 	}
 	for _, m := range waiting {
-		news = append(news, l.pages(now, m)...)
+		news = append(news, l.mergeReports(now, m)...)
 	}
 	if m.WantsReports {
 		select {
-		case l.replies <- reply{m.From, m.ReportDigest()}:
+		case l.digestReplies <- digestReply{m.From, m.ReportDigest()}:
 		default: // it asks again
 		}
 	}
-	l.tellLoop(news)
+	l.markUpdated(news)
 	return news
 }
 
-// pages takes those of a message, as old as they are: what was held up on the way, or by either side's being stopped,
+// mergeReports takes those of a message, as old as they are: what was held up on the way, or by either side's being stopped,
 // is older than it says. While the sender's clock is not known nobody can tell: they are put aside until it is. mu is
 // held.
-func (l *Node) pages(now time.Duration, m codec.Message) (news []place) {
+func (l *Node) mergeReports(now time.Duration, m codec.Message) (news []reportKey) {
 	if len(m.EncodedReports) == 0 {
 		return nil
 	}
-	held, known, ask := l.intake.Receive(m, m.From, m.Boot, micros(m.Clock), now)
+	held, known, ask := l.inbox.Receive(m, m.From, m.Boot, microseconds(m.Clock), now)
 	if ask {
-		l.send(note{to: m.From})
+		l.enqueueDirect(directMessage{to: m.From})
 	}
 	if !known {
 		return nil
@@ -428,98 +428,98 @@
 		if p.Age >= 0 {
 			p.Age += held
 		}
-		switch out, _ := l.ledger.Merge(now, p); out { // what it refuses it counts
+		switch out, _ := l.reports.Merge(now, p); out { // what it refuses it counts
 		case loadreport.Updated:
-			news = append(news, place{p.Name, p.Number})
+			news = append(news, reportKey{p.Name, p.Number})
 		case loadreport.Rival:
-			l.rival(now)
+			l.observeRival(now)
 		}
 	}
 	return news
 }
 
-// takeRights takes what is told of rights, of a sender whose clock is known: of another it is of no use, and comes
+// receiveQuota takes what is told of rights, of a sender whose clock is known: of another it is of no use, and comes
 // again. mu is held.
-func (l *Node) takeRights(now time.Duration, m codec.Message) {
-	held, known, stale := l.intake.Estimate(m.From, m.Boot, micros(m.Clock), now)
-	if stale && l.intake.RequestDue(m.From, now) {
-		l.send(note{to: m.From})
+func (l *Node) receiveQuota(now time.Duration, m codec.Message) {
+	held, known, stale := l.inbox.Estimate(m.From, m.Boot, microseconds(m.Clock), now)
+	if stale && l.inbox.RequestDue(m.From, now) {
+		l.enqueueDirect(directMessage{to: m.From})
 	}
-	if !known || len(l.rights) >= rightsMost {
+	if !known || len(l.receivedQuota) >= maxReceivedQuota {
 		return
 	}
-	first := len(l.rights) == 0
-	l.rights = append(l.rights, heardRights{m.QuotaMessage(), now - held})
+	first := len(l.receivedQuota) == 0
+	l.receivedQuota = append(l.receivedQuota, timedQuota{m.QuotaMessage(), now - held})
 	if first && l.cfg.OnReceive != nil {
 		l.cfg.OnReceive()
 	}
 }
 
-func micros(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
+func microseconds(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
-// send has a note sent; where too many wait it is left out, and asked for again.
-func (l *Node) send(n note) {
+// enqueueDirect has a note sent; where too many wait it is left out, and asked for again.
+func (l *Node) enqueueDirect(n directMessage) {
 	select {
-	case l.notes <- n:
+	case l.directMessages <- n:
 	default:
 	}
 }
 
-// sendNotes sends questions for clocks and their answers, stamped as they leave.
-func (l *Node) sendNotes(ctx context.Context) {
+// sendDirectLoop sends questions for clocks and their answers, stamped as they leave.
+func (l *Node) sendDirectLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-l.notes:
+		case n := <-l.directMessages:
 			m := codec.Message{
-				From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: l.cfg.now().Microseconds(), Ping: n.pong == nil && n.rights == nil, Pong: n.pong,
+				From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: l.cfg.now().Microseconds(), Ping: n.pong == nil && n.quota == nil, Pong: n.pong,
 			}
-			if n.rights != nil {
-				m.Clock = n.at.Microseconds()
-				m.SetQuotaMessage(*n.rights)
+			if n.quota != nil {
+				m.Clock = n.decidedAt.Microseconds()
+				m.SetQuotaMessage(*n.quota)
 			}
 			data, err := l.codec.Encode(m)
 			if err != nil {
 				continue // all of it can be encoded
 			}
 			// By name: the transport knows the address, also of one that is not seen as a member at the moment.
-			l.list.SendToAddress(memberlist.Address{Addr: l.cfg.Peers[n.to], Name: n.to}, data) // asked again
+			l.memberlist.SendToAddress(memberlist.Address{Addr: l.cfg.Peers[n.to], Name: n.to}, data) // asked again
 		}
 	}
 }
 
-// tellLoop has the loop told of news. mu is held.
-func (l *Node) tellLoop(news []place) {
-	if len(news) == 0 && l.life == (loadreport.Incarnation{}) {
+// markUpdated has the loop told of news. mu is held.
+func (l *Node) markUpdated(news []reportKey) {
+	if len(news) == 0 && l.newIncarnation == (loadreport.Incarnation{}) {
 		return
 	}
-	first := len(l.mail) == 0
+	first := len(l.updatedReports) == 0
 	for _, p := range news {
-		l.mail[p] = struct{}{}
+		l.updatedReports[p] = struct{}{}
 	}
 	if first && l.cfg.OnReceive != nil {
 		l.cfg.OnReceive()
 	}
 }
 
-// rival meets a life under the own name that is not this one or before it: the folder was an older one, or another
+// observeRival meets a life under the own name that is not this one or before it: the folder was an older one, or another
 // process has the name. mu is held.
-func (l *Node) rival(now time.Duration) {
-	l.counts.Rivals++
-	if l.going {
+func (l *Node) observeRival(now time.Duration) {
+	l.counters.RivalReports++
+	if l.incarnationPending {
 		return
 	}
-	if was := l.claim.Suspended(now); !l.claim.ObserveRival(now) {
-		l.twinned(!was)
+	if was := l.nameClaim.Suspended(now); !l.nameClaim.ObserveRival(now) {
+		l.logSuspended(!was)
 		return
 	}
-	l.going = true
-	l.raising <- struct{}{} // has room: one is beginning at most
+	l.incarnationPending = true
+	l.incarnationRequests <- struct{}{} // has room: one is beginning at most
 }
 
-// twinned says that this member tells nothing for a while, if that is anew.
-func (l *Node) twinned(anew bool) {
+// logSuspended says that this member tells nothing for a while, if that is anew.
+func (l *Node) logSuspended(anew bool) {
 	if anew {
 		l.cfg.Log.Error(
 			"fleet: another process runs under this relay's name; this one falls silent",
@@ -529,25 +529,25 @@
 	}
 }
 
-// raise begins a new life, past all that were heard of, once that outlasts the process.
-func (l *Node) raise() {
+// startIncarnation begins a new life, past all that were heard of, once that outlasts the process.
+func (l *Node) startIncarnation() {
 	l.mu.Lock()
-	incarnation := l.ledger.Rival().Generation + 1
+	incarnation := l.reports.Rival().Generation + 1
 	l.mu.Unlock()
 	if err := l.cfg.SaveIncarnation(incarnation); err != nil {
 		l.cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.going = false
+	l.incarnationPending = false
 	l.cfg.Log.Info("fleet: heard a later life of this relay; beginning a new one", "incarnation", incarnation)
-	l.life = loadreport.Incarnation{Generation: incarnation, Boot: l.cfg.Incarnation.Boot}
-	l.ledger.SetIncarnation(l.life)
-	l.tellLoop(nil)
+	l.newIncarnation = loadreport.Incarnation{Generation: incarnation, Boot: l.cfg.Incarnation.Boot}
+	l.reports.SetIncarnation(l.newIncarnation)
+	l.markUpdated(nil)
 }
 
-// message is what a place holds, as it is to be told now.
-func (l *Node) message(pages ...loadreport.Report) []byte {
+// encodeReports is what a place holds, as it is to be told now.
+func (l *Node) encodeReports(pages ...loadreport.Report) []byte {
 	var m codec.Message
 	if len(pages) > 0 {
 		m = codec.Message{From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: l.cfg.now().Microseconds()}
@@ -560,61 +560,61 @@
 	return data
 }
 
-// reply answers digests with what their senders lack, one after the other.
-func (l *Node) reply(ctx context.Context) {
+// replyLoop answers digests with what their senders lack, one after the other.
+func (l *Node) replyLoop(ctx context.Context) {
 	for {
-		var r reply
+		var r digestReply
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.raising:
-			l.raise()
+		case <-l.incarnationRequests:
+			l.startIncarnation()
 			continue
-		case r = <-l.replies:
+		case r = <-l.digestReplies:
 		}
-		others := l.list.Members()
+		others := l.memberlist.Members()
 		i := slices.IndexFunc(others, func(n *memberlist.Node) bool { return n.Name == r.to })
 		if i < 0 {
 			continue
 		}
 		to := others[i]
 		l.mu.Lock()
-		pages := l.ledger.MissingFrom(l.cfg.now(), r.digest)
-		if l.claim.Suspended(l.cfg.now()) {
+		pages := l.reports.MissingFrom(l.cfg.now(), r.digest)
+		if l.nameClaim.Suspended(l.cfg.now()) {
 			pages = slices.DeleteFunc(pages, func(p loadreport.Report) bool { return p.Name == l.cfg.Name })
 		}
 		l.mu.Unlock()
-		for batch := range slices.Chunk(pages, batchBytes/pageGuess) {
-			if err := l.list.SendReliable(to, l.message(batch...)); err != nil || ctx.Err() != nil {
+		for batch := range slices.Chunk(pages, replyBatchBytes/estimatedReportBytes) {
+			if err := l.memberlist.SendReliable(to, l.encodeReports(batch...)); err != nil || ctx.Err() != nil {
 				break // it asks again
 			}
 		}
 	}
 }
 
-// rejoin calls members that are listed and not seen, a few at a time: gossip reaches nobody who was away for long.
-func (l *Node) rejoin(ctx context.Context) {
-	all := names(l.cfg.Peers)
+// rejoinLoop calls members that are listed and not seen, a few at a time: gossip reaches nobody who was away for long.
+func (l *Node) rejoinLoop(ctx context.Context) {
+	all := memberNames(l.cfg.Peers)
 	for {
 		seen := map[string]bool{l.cfg.Name: true}
-		for _, n := range l.list.Members() {
+		for _, n := range l.memberlist.Members() {
 			seen[n.Name] = true
 		}
 		missing := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return seen[n] })
 		rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
-		for _, n := range missing[:min(len(missing), rejoinAtOnce)] {
+		for _, n := range missing[:min(len(missing), maxRejoinsPerRound)] {
 			if ctx.Err() == nil {
-				l.list.Join([]string{n + "/" + l.cfg.Peers[n]}) // tried again
+				l.memberlist.Join([]string{n + "/" + l.cfg.Peers[n]}) // tried again
 			}
 		}
 		l.mu.Lock()
-		l.ledger.RemoveExpired(l.cfg.now())
+		l.reports.RemoveExpired(l.cfg.now())
 		l.mu.Unlock()
 		// a queue that was never used must not be pruned
-		if most := len(all) * loadreport.MaxReports; l.queue.NumQueued() > most {
-			l.queue.Prune(most)
+		if most := len(all) * loadreport.MaxReports; l.broadcasts.NumQueued() > most {
+			l.broadcasts.Prune(most)
 		}
-		wait := rejoinEvery/2 + rand.N(rejoinEvery)
+		wait := rejoinInterval/2 + rand.N(rejoinInterval)
 		select {
 		case <-ctx.Done():
 			return
@@ -625,26 +625,26 @@
 
 // broadcast is a page on its way to all. Of a page only the newest is told.
 type broadcast struct {
-	l *Node
-	place
+	node *Node
+	reportKey
 }
 
-func (b *broadcast) Name() string { return fmt.Sprintf("%s/%d", b.place.name, b.number) }
+func (b *broadcast) Name() string { return fmt.Sprintf("%s/%d", b.reportKey.name, b.number) }
 
 func (b *broadcast) Invalidates(o memberlist.Broadcast) bool {
 	x, ok := o.(*broadcast)
-	return ok && x.place == b.place
+	return ok && x.reportKey == b.reportKey
 }
 
 // Message is the page with its age at this moment, not at that when it was queued.
 func (b *broadcast) Message() []byte {
-	b.l.mu.Lock()
-	page, ok := b.l.ledger.Get(b.l.cfg.now(), b.place.name, b.number)
-	b.l.mu.Unlock()
+	b.node.mu.Lock()
+	page, ok := b.node.reports.Get(b.node.cfg.now(), b.reportKey.name, b.number)
+	b.node.mu.Unlock()
 	if !ok {
-		return b.l.message()
+		return b.node.encodeReports()
 	}
-	return b.l.message(page)
+	return b.node.encodeReports(page)
 }
 
 func (b *broadcast) Finished() {}
@@ -652,22 +652,22 @@
 // delegate is the side of a Link that memberlist calls.
 type delegate Node
 
-func (d *delegate) link() *Node { return (*Node)(d) }
+func (d *delegate) node() *Node { return (*Node)(d) }
 
 func (d *delegate) NodeMeta(int) []byte   { return nil }
-func (d *delegate) NotifyMsg(data []byte) { d.link().hear(data) }
+func (d *delegate) NotifyMsg(data []byte) { d.node().receive(data) }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.queue.GetBroadcasts(overhead, limit)
+	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 // LocalState is a digest of what this relay holds.
 func (d *delegate) LocalState(bool) []byte {
-	l := d.link()
+	l := d.node()
 	now := l.cfg.now()
 	m := codec.Message{From: l.cfg.Name, Boot: l.cfg.Incarnation.Boot, Clock: now.Microseconds(), WantsReports: true}
 	l.mu.Lock()
-	m.SetDigest(l.ledger.Digest(now))
+	m.SetDigest(l.reports.Digest(now))
 	l.mu.Unlock()
 	data, err := l.codec.Encode(m)
 	if err != nil {
@@ -677,31 +677,31 @@
 }
 
 // MergeRemoteState takes another's digest, and has it sent what it lacks.
-func (d *delegate) MergeRemoteState(data []byte, _ bool) { d.link().hear(data) }
+func (d *delegate) MergeRemoteState(data []byte, _ bool) { d.node().receive(data) }
 
 // NotifyAlive keeps out whom the file does not list.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	l := d.link()
+	l := d.node()
 	if _, ok := l.cfg.Peers[n.Name]; ok || n.Name == l.cfg.Name {
 		return nil
 	}
 	l.mu.Lock()
-	l.counts.UnknownMembers++
+	l.counters.UnknownMembers++
 	l.mu.Unlock()
 	return fmt.Errorf("link: %q is not listed", n.Name)
 }
 
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) {
-	l := d.link()
+	l := d.node()
 	now := l.cfg.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.counts.Conflicts++; l.counts.Conflicts == 1 {
+	if l.counters.AddressConflicts++; l.counters.AddressConflicts == 1 {
 		l.cfg.Log.Warn("fleet: a name is told with two addresses", "name", other.Name, "other", other.Address())
 	}
 	// the others know another process by this name, or this one by an address that it had before
 	if other.Name == l.cfg.Name {
-		l.twinned(l.claim.Suspend(now, reclaimFor))
+		l.logSuspended(l.nameClaim.Suspend(now, nameReclaimTimeout))
 	}
 }
 
@@ -709,44 +709,44 @@
 // next, as discovery's addresses of hosts do, so that every pair can be led through a proxy of its own.
 type transport struct {
 	memberlist.NodeAwareTransport
-	addrs         map[string]string
-	sent, streams atomic.Uint64
+	addresses         map[string]string
+	sentBytes, streams atomic.Uint64
 }
 
-func (t *transport) lead(a memberlist.Address) memberlist.Address {
-	if addr, ok := t.addrs[a.Name]; ok {
+func (t *transport) resolve(a memberlist.Address) memberlist.Address {
+	if addr, ok := t.addresses[a.Name]; ok {
 		a.Addr = addr
 	}
 	return a
 }
 
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	t.sent.Add(uint64(len(b)))
-	return t.NodeAwareTransport.WriteToAddress(b, t.lead(a))
+	t.sentBytes.Add(uint64(len(b)))
+	return t.NodeAwareTransport.WriteToAddress(b, t.resolve(a))
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.streams.Add(1)
-	conn, err := t.NodeAwareTransport.DialAddressTimeout(t.lead(a), timeout)
+	conn, err := t.NodeAwareTransport.DialAddressTimeout(t.resolve(a), timeout)
 	if err != nil {
 		return nil, err
 	}
 	// Where memberlist sets a bound of its own, that goes on; for messages to one it sets none, and a peer that hangs
 	// would hold them for ever.
-	if err := conn.SetDeadline(time.Now().Add(2 * streamFor)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(2 * streamTimeout)); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
-	return &counted{conn, &t.sent}, nil
+	return &countingConn{conn, &t.sentBytes}, nil
 }
 
-// counted counts what is written.
-type counted struct {
+// countingConn counts what is written.
+type countingConn struct {
 	net.Conn
-	sent *atomic.Uint64
+	sentBytes *atomic.Uint64
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.sent.Add(uint64(n))
+	c.sentBytes.Add(uint64(n))
 	return n, err
 }
--- a/internal/fleet/membership/link_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -31,7 +31,7 @@
 	fault func(from, to string) (lost bool)
 }
 
-type tap struct {
+type memberTransport struct {
 	*memberlist.MockTransport
 	net  *network
 	from string
@@ -39,12 +39,12 @@
 	draw *rand.Rand
 }
 
-func (n *network) transport(name string) *tap {
+func (n *network) transport(name string) *memberTransport {
 	n.seed++
-	return &tap{MockTransport: n.NewTransport(name), net: n, from: name, draw: rand.New(rand.NewPCG(n.seed, 3))}
+	return &memberTransport{MockTransport: n.NewTransport(name), net: n, from: name, draw: rand.New(rand.NewPCG(n.seed, 3))}
 }
 
-func (p *tap) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (p *memberTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	p.mu.Lock()
 	lost := p.draw.Uint64N(1e6) < p.net.loss.Load()
 	p.mu.Unlock()
@@ -58,7 +58,7 @@
 	return time.Now(), nil
 }
 
-func (p *tap) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
+func (p *memberTransport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
 	if p.net.fault != nil && p.net.fault(p.from, a.Name) {
 		return nil, errors.New("cut")
 	}
@@ -80,22 +80,22 @@
 	}
 }
 
-func linkName(i int) string { return fmt.Sprintf("r%03d", i) }
+func memberName(i int) string { return fmt.Sprintf("r%03d", i) }
 
 // mesh starts links that all know each other.
 func mesh(t testing.TB, net *network, n int, edit func(i int, c *Config)) (links []*Node) {
-	taps, join := make([]*tap, n), map[string]string{}
+	taps, join := make([]*memberTransport, n), map[string]string{}
 	for i := range n {
-		taps[i] = net.transport(linkName(i))
+		taps[i] = net.transport(memberName(i))
 		ip, port, err := taps[i].FinalAdvertiseAddr("", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		join[linkName(i)] = fmt.Sprintf("%s:%d", ip, port)
+		join[memberName(i)] = fmt.Sprintf("%s:%d", ip, port)
 	}
 	for i := range n {
 		c := Config{
-			Name: linkName(
+			Name: memberName(
 				i,
 			), Peers: join, Incarnation: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)}, Log: slog.New(slog.DiscardHandler),
 			SaveIncarnation: func(uint64) error { return nil }, Transport: taps[i],
@@ -119,10 +119,10 @@
 	return links
 }
 
-func pageOf(l *Node, number int, seq uint64, calls float64) loadreport.Report {
+func reportOf(l *Node, number int, seq uint64, calls float64) loadreport.Report {
 	return loadreport.Report{
 		Name:        l.cfg.Name,
-		Incarnation: l.ledger.Incarnation(),
+		Incarnation: l.reports.Incarnation(),
 		Number:      number,
 		Sequence:    seq,
 		Scopes: []loadreport.ScopeLoad{
@@ -131,11 +131,11 @@
 	}
 }
 
-// holds tells whether a link holds a page in at least this sequence.
-func (l *Node) holds(name string, number int, seq uint64) bool {
+// holdsReport tells whether a link holds a page in at least this sequence.
+func (l *Node) holdsReport(name string, number int, seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p, ok := l.ledger.Get(l.cfg.now(), name, number)
+	p, ok := l.reports.Get(l.cfg.now(), name, number)
 	return ok && p.Sequence >= seq
 }
 
@@ -153,16 +153,16 @@
 func TestAllHear(t *testing.T) {
 	net := &network{}
 	var late atomic.Bool
-	net.fault = func(from, to string) bool { return late.Load() != true && (from == linkName(4) || to == linkName(4)) }
+	net.fault = func(from, to string) bool { return late.Load() != true && (from == memberName(4) || to == memberName(4)) }
 	links := mesh(t, net, 5, func(_ int, c *Config) { c.syncEvery = 300 * time.Millisecond })
 	for _, l := range links {
-		l.Publish([]loadreport.Report{pageOf(l, 0, 1, 2)})
+		l.Publish([]loadreport.Report{reportOf(l, 0, 1, 2)})
 	}
 	all := func(of []*Node, seq uint64) func() bool {
 		return func() bool {
 			for _, a := range of {
 				for _, b := range of {
-					if !a.holds(b.cfg.Name, 0, seq) {
+					if !a.holdsReport(b.cfg.Name, 0, seq) {
 						return false
 					}
 				}
@@ -171,7 +171,7 @@
 		}
 	}
 	eventually(t, "four hear each other", all(links[:4], 1))
-	if links[0].holds(linkName(4), 0, 1) {
+	if links[0].holdsReport(memberName(4), 0, 1) {
 		t.Fatal("the one that is cut off is heard")
 	}
 	late.Store(true)
@@ -194,9 +194,9 @@
 		eventually(t, "the queue empties", func() bool { return l.Status().Queued == 0 })
 	}
 	net.loss.Store(1e6)
-	links[0].Publish([]loadreport.Report{pageOf(links[0], 0, 2, 3)})
+	links[0].Publish([]loadreport.Report{reportOf(links[0], 0, 2, 3)})
 	eventually(t, "by digests alone", func() bool {
-		return slices.IndexFunc(links[1:], func(l *Node) bool { return l.holds(linkName(0), 0, 2) }) >= 0
+		return slices.IndexFunc(links[1:], func(l *Node) bool { return l.holdsReport(memberName(0), 0, 2) }) >= 0
 	})
 }
 
@@ -204,12 +204,12 @@
 // meanwhile, both would wait for ever, and the relay's loop with them.
 func TestStatusWhileTheQueueIsRead(t *testing.T) {
 	l := mesh(t, &network{}, 1, nil)[0]
-	l.Publish([]loadreport.Report{pageOf(l, 0, 1, 2)})
+	l.Publish([]loadreport.Report{reportOf(l, 0, 1, 2)})
 	l.mu.Lock()
 	done := make(chan struct{}, 2)
 	go func() { l.Status(); done <- struct{}{} }()
 	time.Sleep(50 * time.Millisecond) // until it waits for the link; nothing tells
-	go func() { l.queue.GetBroadcasts(2, gossip.MaxDatagramSize); done <- struct{}{} }()
+	go func() { l.broadcasts.GetBroadcasts(2, gossip.MaxDatagramSize); done <- struct{}{} }()
 	time.Sleep(50 * time.Millisecond) // until it has the queue and waits for the link
 	l.mu.Unlock()
 	for range 2 {
@@ -233,14 +233,14 @@
 		}
 	})[0]
 	sender.codec = hearer.codec
-	hearer.hear(sender.message(loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: 1}))
+	hearer.receive(sender.encodeReports(loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: 1}))
 	if got, _ := hearer.Received(); len(got) > 0 {
 		t.Fatal("heard of one whose clock is not known, who may have told it at any time:", got)
 	}
 	pong, _ := sender.codec.Encode(codec.Message{
 		From: "a", Boot: 1, Clock: now().Microseconds(), Pong: &codec.Pong{Boot: hearer.cfg.Incarnation.Boot, Clock: (now() + time.Hour).Microseconds()},
 	})
-	hearer.hear(pong)
+	hearer.receive(pong)
 	if got, _ := hearer.Received(); len(got) != 1 {
 		t.Fatal("what was put aside is lost:", got)
 	}
@@ -253,14 +253,14 @@
 		}
 	}
 	clock.Add(int64(time.Second))
-	data := sender.message(page(2))
+	data := sender.encodeReports(page(2))
 	clock.Add(int64(10 * time.Second)) // whoever held it
-	hearer.hear(data)
+	hearer.receive(data)
 	got, _ := hearer.Received()
 	if len(got) != 1 || got[0].Sequence != 2 || got[0].Age < 9900*time.Millisecond {
 		t.Errorf("%+v", got)
 	}
-	hearer.hear([]byte("nothing that can be read"))
+	hearer.receive([]byte("nothing that can be read"))
 	if s := hearer.Status(); s.Unreadable != 1 {
 		t.Error(s.Unreadable)
 	}
@@ -281,16 +281,16 @@
 	l := links[0]
 	// What the other process tells comes over a third one.
 	over := &Node{
-		cfg:   Config{Name: linkName(1), Incarnation: loadreport.Incarnation{Generation: 1, Boot: 999}, now: now},
+		cfg:   Config{Name: memberName(1), Incarnation: loadreport.Incarnation{Generation: 1, Boot: 999}, now: now},
 		codec: l.codec,
 	}
 	l.mu.Lock()
-	l.intake.Calibrate(linkName(1), 999, 0, 0, 0)
+	l.inbox.Calibrate(memberName(1), 999, 0, 0, 0)
 	l.mu.Unlock()
 	for i := range 3 {
 		life := loadreport.Incarnation{Generation: uint64(10 * (i + 1)), Boot: 999}
 		p := loadreport.Report{Name: l.cfg.Name, Incarnation: life, Sequence: 1}
-		l.hear(over.message(p, loadreport.Report{Name: l.cfg.Name, Incarnation: life, Number: 1, Sequence: 2}))
+		l.receive(over.encodeReports(p, loadreport.Report{Name: l.cfg.Name, Incarnation: life, Number: 1, Sequence: 2}))
 		eventually(t, "a new life", func() bool {
 			_, mine := l.Received()
 			return mine.Generation == life.Generation+1 ||
@@ -300,8 +300,8 @@
 			t.Fatal("silent after", i, "lives of another")
 		}
 	}
-	l.hear(
-		over.message(
+	l.receive(
+		over.encodeReports(
 			loadreport.Report{
 				Name:        l.cfg.Name,
 				Incarnation: loadreport.Incarnation{Generation: 99, Boot: 999},
@@ -312,14 +312,14 @@
 	if s := l.Status(); !s.NameConflict {
 		t.Fatalf("%+v", s)
 	}
-	l.Publish([]loadreport.Report{pageOf(l, 0, 1, 1)})
+	l.Publish([]loadreport.Report{reportOf(l, 0, 1, 1)})
 	if l.Status().Queued != 0 {
 		t.Error("it goes on telling")
 	}
 	mu.Lock()
 	at += 61 * time.Second
 	mu.Unlock()
-	l.Publish([]loadreport.Report{pageOf(l, 0, 2, 1)})
+	l.Publish([]loadreport.Report{reportOf(l, 0, 2, 1)})
 	if s := l.Status(); s.NameConflict || s.Queued == 0 {
 		t.Errorf("still silent: %+v", s)
 	}
@@ -403,11 +403,11 @@
 	}
 	defer list.Shutdown()
 	for _, l := range links {
-		l.Publish([]loadreport.Report{pageOf(l, 0, 1, 1)})
+		l.Publish([]loadreport.Report{reportOf(l, 0, 1, 1)})
 	}
 	for i, l := range links {
-		eventually(t, "the newer one is heard", func() bool { return l.holds("r900", 0, 1) && l.Status().Newer > 0 })
-		eventually(t, "so is the other", func() bool { return l.holds(linkName(1-i), 0, 1) })
+		eventually(t, "the newer one is heard", func() bool { return l.holdsReport("r900", 0, 1) && l.Status().UnsupportedVersion > 0 })
+		eventually(t, "so is the other", func() bool { return l.holdsReport(memberName(1-i), 0, 1) })
 	}
 }
 
@@ -450,7 +450,7 @@
 	net.loss.Store(loss)
 	bytes := func() (sum uint64) {
 		for _, l := range links {
-			sum += l.wire.sent.Load()
+			sum += l.transport.sentBytes.Load()
 		}
 		return sum
 	}
@@ -472,7 +472,7 @@
 					return
 				case <-timer.C:
 				}
-				l.Publish([]loadreport.Report{pageOf(l, 0, seq, float64(seq%7))})
+				l.Publish([]loadreport.Report{reportOf(l, 0, seq, float64(seq%7))})
 				timer.Reset(2500 * time.Millisecond)
 			}
 		})
@@ -488,11 +488,11 @@
 		eventually(t, "all know of the change", func() bool {
 			if !time.Now().Before(again) { // it is told anew like all others, so that it does not fade
 				seq++
-				links[0].Publish([]loadreport.Report{pageOf(links[0], 0, seq, 5)})
+				links[0].Publish([]loadreport.Report{reportOf(links[0], 0, seq, 5)})
 				again = again.Add(2500 * time.Millisecond)
 			}
 			for i, l := range links {
-				if !known[i] && l.holds(links[0].cfg.Name, 0, first) {
+				if !known[i] && l.holdsReport(links[0].cfg.Name, 0, first) {
 					known[i] = true
 					times = append(times, time.Since(at))
 				}
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -131,7 +131,7 @@
 		Log:     r.log,
 	}
 	if r.fleet != nil {
-		s.Fleet = r.fleet.Write
+		s.Fleet = r.fleet.WriteJSON
 	}
 	go s.Serve(r.second, l)
 	return nil
