--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -26,17 +26,17 @@
 	// where all members' pages together would take more than the links have room for. Where a wait, a backlog or
 	// coldness begins or ends it is told at once, burst times in a row, and rests the longer after that. What has not
 	// changed is told again after republishInterval, so that it does not fade.
-	minPublishInterval   = 500 * time.Millisecond
-	republishInterval   = loadreport.HalfLife / 2
-	maxUrgentBurst       = 4
-	publishIntervalRefresh   = time.Second // how long a page rests is found anew
-	minRelativeChange = 0.1
-	minAbsoluteChange = 0.05                   // a second, under which no change counts
+	minPublishInterval     = 500 * time.Millisecond
+	republishInterval      = loadreport.HalfLife / 2
+	maxUrgentBurst         = 4
+	publishIntervalRefresh = time.Second // how long a page rests is found anew
+	minRelativeChange      = 0.1
+	minAbsoluteChange      = 0.05                   // a second, under which no change counts
 	publishCheckInterval   = 100 * time.Millisecond // what is to be told is looked at so often
-	sweepInterval  = 5 * time.Second
+	sweepInterval          = 5 * time.Second
 
 	// A page must fit a datagram: what a cell takes at most, beside its route's name, and what a page may.
-	maxScopeBytes = 42
+	maxScopeBytes  = 42
 	maxReportBytes = 1100
 )
 
@@ -53,7 +53,7 @@
 // scopeCounter counts one destination's traffic, or that of a route that stands apart. Its fields are exported for
 // snapshots alone.
 type scopeCounter struct {
-	UpdatedAt              time.Duration `cbor:"At"`
+	UpdatedAt       time.Duration `cbor:"At"`
 	Demand          float64       `cbor:"Demand"` // this and the four below are levels: a rate times rateWindow
 	Calls           float64       `cbor:"Calls"`
 	Rejections      float64       `cbor:"Refusals"`
@@ -65,56 +65,56 @@
 }
 
 type limitScope struct {
-	_     struct{} `cbor:",toarray"`
-	Destination  int
-	Endpoint string
+	_           struct{} `cbor:",toarray"`
+	Destination int
+	Endpoint    string
 }
 
 type endpointInfo struct {
-	_     struct{} `cbor:",toarray"`
-	Destination  int
-	Kind  int
-	Limit float64
+	_           struct{} `cbor:",toarray"`
+	Destination int
+	Kind        int
+	Limit       float64
 }
 
 type pendingMessage struct {
-	_       struct{} `cbor:",toarray"`
-	Destination    int
-	Waiting bool
+	_           struct{} `cbor:",toarray"`
+	Destination int
+	Waiting     bool
 }
 
 // publishedReport is what was told of a page last.
 type publishedReport struct {
-	_     struct{} `cbor:",toarray"`
-	PublishedAt    time.Duration
-	NextRegular  time.Duration // all tellings until At have had their rests then: GCRA's theoretical time of arrival
-	Scopes []loadreport.ScopeLoad
+	_           struct{} `cbor:",toarray"`
+	PublishedAt time.Duration
+	NextRegular time.Duration // all tellings until At have had their rests then: GCRA's theoretical time of arrival
+	Scopes      []loadreport.ScopeLoad
 }
 
 // state is all that a Seam holds beside its ledger.
 type state struct {
-	Settings      Settings                `cbor:"Set"`
-	Incarnation     loadreport.Incarnation  `cbor:"Life"`
-	Sequence uint64                  `cbor:"Sequence"`
-	Counters  map[limitScope]*scopeCounter `cbor:"Tallies"`
-	Endpoints   map[string]endpointInfo       `cbor:"Routes"`
-	Pending     map[uint32]pendingMessage         `cbor:"Held"`
-	Published     map[int]publishedReport        `cbor:"Told"`
-	NextCheck   time.Duration           `cbor:"LookAt"`
-	PublishInterval     time.Duration           `cbor:"Rest"` // of a page between two tellings, as of PublishIntervalAt
-	PublishIntervalAt   time.Duration           `cbor:"RestAt"`
-	NextSweep  time.Duration           `cbor:"SweepAt"`
-	SavedReports    []loadreport.Report     `cbor:"Pages"` // of the ledger, in snapshots
-	SavedQuota     *quota.Ledger           `cbor:"Book"`  // in snapshots
-	Now      time.Duration           `cbor:"Now"`
+	Settings          Settings                     `cbor:"Set"`
+	Incarnation       loadreport.Incarnation       `cbor:"Life"`
+	Sequence          uint64                       `cbor:"Sequence"`
+	Counters          map[limitScope]*scopeCounter `cbor:"Tallies"`
+	Endpoints         map[string]endpointInfo      `cbor:"Routes"`
+	Pending           map[uint32]pendingMessage    `cbor:"Held"`
+	Published         map[int]publishedReport      `cbor:"Told"`
+	NextCheck         time.Duration                `cbor:"LookAt"`
+	PublishInterval   time.Duration                `cbor:"Rest"` // of a page between two tellings, as of PublishIntervalAt
+	PublishIntervalAt time.Duration                `cbor:"RestAt"`
+	NextSweep         time.Duration                `cbor:"SweepAt"`
+	SavedReports      []loadreport.Report          `cbor:"Pages"` // of the ledger, in snapshots
+	SavedQuota        *quota.Ledger                `cbor:"Book"`  // in snapshots
+	Now               time.Duration                `cbor:"Now"`
 }
 
 // Agent is a member's.
 type Agent struct {
 	state
-	reports *loadreport.Table
-	quota *quota.Ledger // nil: limits are not shared
-	sentMessages   map[limitScope]int // of the step at hand, messages by route
+	reports      *loadreport.Table
+	quota        *quota.Ledger      // nil: limits are not shared
+	sentMessages map[limitScope]int // of the step at hand, messages by route
 }
 
 // New returns a Seam that has heard nothing.
@@ -558,7 +558,9 @@
 	}
 }
 
-func changedNotably(a, b float64) bool { return math.Abs(a-b) > max(minAbsoluteChange, minRelativeChange*max(a, b)) }
+func changedNotably(a, b float64) bool {
+	return math.Abs(a-b) > max(minAbsoluteChange, minRelativeChange*max(a, b))
+}
 
 var canonicalEncoding = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -31,54 +31,54 @@
 
 // Message is what one relay sends another. Clock is the sender's own monotonic time when it was written.
 type Message struct {
-	RequiredVersion int           `cbor:"0,keyasint,omitempty"` // 0: form 1
-	From            string        `cbor:"1,keyasint"`
-	Boot            uint32        `cbor:"2,keyasint"`
-	Clock           int64         `cbor:"3,keyasint"` // microseconds
-	EncodedReports  []report        `cbor:"4,keyasint,omitempty"`
+	RequiredVersion int              `cbor:"0,keyasint,omitempty"` // 0: form 1
+	From            string           `cbor:"1,keyasint"`
+	Boot            uint32           `cbor:"2,keyasint"`
+	Clock           int64            `cbor:"3,keyasint"` // microseconds
+	EncodedReports  []report         `cbor:"4,keyasint,omitempty"`
 	Digest          []memberVersions `cbor:"5,keyasint,omitempty"`
-	WantsReports    bool          `cbor:"6,keyasint,omitempty"` // to be sent what Digest lacks, which may be empty
-	Ping            bool          `cbor:"7,keyasint,omitempty"` // asks for an answer at once
-	Pong            *Pong         `cbor:"8,keyasint,omitempty"` // is one
-	EncodedQuota    *quotaMessage   `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
+	WantsReports    bool             `cbor:"6,keyasint,omitempty"` // to be sent what Digest lacks, which may be empty
+	Ping            bool             `cbor:"7,keyasint,omitempty"` // asks for an answer at once
+	Pong            *Pong            `cbor:"8,keyasint,omitempty"` // is one
+	EncodedQuota    *quotaMessage    `cbor:"9,keyasint,omitempty"` // for the receiver alone; Clock is then when it was decided
 }
 
 type quotaMessage struct {
-	Generation uint64 `cbor:"1,keyasint"`
-	Seq         uint64 `cbor:"2,keyasint"`
-	AckedSeq        uint64 `cbor:"3,keyasint,omitempty"`
-	AckedGeneration       uint64 `cbor:"4,keyasint,omitempty"`
-	AckedBoot      uint32 `cbor:"5,keyasint,omitempty"`
-	Ping        bool   `cbor:"6,keyasint,omitempty"`
-	Leases       []lease `cbor:"7,keyasint,omitempty"`
-	Requests        []quotaRequest  `cbor:"8,keyasint,omitempty"`
-	Grants       []grant `cbor:"9,keyasint,omitempty"`
-	AsksForLeases         bool   `cbor:"10,keyasint,omitempty"`
-	HoldsNoLease        bool   `cbor:"11,keyasint,omitempty"`
+	Generation      uint64         `cbor:"1,keyasint"`
+	Seq             uint64         `cbor:"2,keyasint"`
+	AckedSeq        uint64         `cbor:"3,keyasint,omitempty"`
+	AckedGeneration uint64         `cbor:"4,keyasint,omitempty"`
+	AckedBoot       uint32         `cbor:"5,keyasint,omitempty"`
+	Ping            bool           `cbor:"6,keyasint,omitempty"`
+	Leases          []lease        `cbor:"7,keyasint,omitempty"`
+	Requests        []quotaRequest `cbor:"8,keyasint,omitempty"`
+	Grants          []grant        `cbor:"9,keyasint,omitempty"`
+	AsksForLeases   bool           `cbor:"10,keyasint,omitempty"`
+	HoldsNoLease    bool           `cbor:"11,keyasint,omitempty"`
 }
 
 type lease struct {
-	Destination    int     `cbor:"1,keyasint,omitempty"`
-	Endpoint   string  `cbor:"2,keyasint,omitempty"`
-	Rate    float64 `cbor:"3,keyasint,omitempty"`
-	Delivered    uint32  `cbor:"4,keyasint,omitempty"`
-	Rejected uint32  `cbor:"5,keyasint,omitempty"`
+	Destination int     `cbor:"1,keyasint,omitempty"`
+	Endpoint    string  `cbor:"2,keyasint,omitempty"`
+	Rate        float64 `cbor:"3,keyasint,omitempty"`
+	Delivered   uint32  `cbor:"4,keyasint,omitempty"`
+	Rejected    uint32  `cbor:"5,keyasint,omitempty"`
 }
 
 type quotaRequest struct {
-	Destination    int    `cbor:"1,keyasint,omitempty"`
-	Endpoint   string `cbor:"2,keyasint,omitempty"`
-	ID      uint32 `cbor:"3,keyasint"`
+	Destination int    `cbor:"1,keyasint,omitempty"`
+	Endpoint    string `cbor:"2,keyasint,omitempty"`
+	ID          uint32 `cbor:"3,keyasint"`
 	Calls       int    `cbor:"4,keyasint,omitempty"`
-	Delivered    uint32 `cbor:"5,keyasint,omitempty"`
-	Rejected uint32 `cbor:"6,keyasint,omitempty"`
+	Delivered   uint32 `cbor:"5,keyasint,omitempty"`
+	Rejected    uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 type grant struct {
-	Destination  int    `cbor:"1,keyasint,omitempty"`
-	Endpoint string `cbor:"2,keyasint,omitempty"`
-	ID    uint32 `cbor:"3,keyasint"`
-	Calls     int    `cbor:"4,keyasint"`
+	Destination int    `cbor:"1,keyasint,omitempty"`
+	Endpoint    string `cbor:"2,keyasint,omitempty"`
+	ID          uint32 `cbor:"3,keyasint"`
+	Calls       int    `cbor:"4,keyasint"`
 }
 
 // Pong answers a Ping: with whose it was, and when that was sent by its own clock.
@@ -88,33 +88,33 @@
 }
 
 type report struct {
-	Name        string `cbor:"1,keyasint"`
-	Generation uint64 `cbor:"2,keyasint"`
-	Boot        uint32 `cbor:"3,keyasint"`
-	Number      int    `cbor:"4,keyasint,omitempty"`
-	Sequence    uint64 `cbor:"5,keyasint"`
-	Age         uint64 `cbor:"6,keyasint,omitempty"` // milliseconds
-	Scopes       []scopeLoad `cbor:"7,keyasint,omitempty"`
+	Name       string      `cbor:"1,keyasint"`
+	Generation uint64      `cbor:"2,keyasint"`
+	Boot       uint32      `cbor:"3,keyasint"`
+	Number     int         `cbor:"4,keyasint,omitempty"`
+	Sequence   uint64      `cbor:"5,keyasint"`
+	Age        uint64      `cbor:"6,keyasint,omitempty"` // milliseconds
+	Scopes     []scopeLoad `cbor:"7,keyasint,omitempty"`
 }
 
 type scopeLoad struct {
-	Destination       int     `cbor:"1,keyasint"`
-	Endpoint      string  `cbor:"2,keyasint,omitempty"`
-	Demand     float64 `cbor:"3,keyasint,omitempty"`
-	Calls      float64 `cbor:"4,keyasint,omitempty"`
-	Rejections   float64 `cbor:"5,keyasint,omitempty"`
-	Deliveries float64 `cbor:"6,keyasint,omitempty"`
-	Failures   float64 `cbor:"7,keyasint,omitempty"`
-	Backlog    int     `cbor:"8,keyasint,omitempty"`
-	RetryAfter       uint64  `cbor:"9,keyasint,omitempty"` // milliseconds
-	WarmingUp       bool    `cbor:"10,keyasint,omitempty"`
+	Destination int     `cbor:"1,keyasint"`
+	Endpoint    string  `cbor:"2,keyasint,omitempty"`
+	Demand      float64 `cbor:"3,keyasint,omitempty"`
+	Calls       float64 `cbor:"4,keyasint,omitempty"`
+	Rejections  float64 `cbor:"5,keyasint,omitempty"`
+	Deliveries  float64 `cbor:"6,keyasint,omitempty"`
+	Failures    float64 `cbor:"7,keyasint,omitempty"`
+	Backlog     int     `cbor:"8,keyasint,omitempty"`
+	RetryAfter  uint64  `cbor:"9,keyasint,omitempty"` // milliseconds
+	WarmingUp   bool    `cbor:"10,keyasint,omitempty"`
 }
 
 type memberVersions struct {
-	Name        string         `cbor:"1,keyasint"`
+	Name       string         `cbor:"1,keyasint"`
 	Generation uint64         `cbor:"2,keyasint"`
-	Boot        uint32         `cbor:"3,keyasint"`
-	Sequences       map[int]uint64 `cbor:"4,keyasint,omitempty"`
+	Boot       uint32         `cbor:"3,keyasint"`
+	Sequences  map[int]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Codec encodes and decodes. It may be used from any goroutine.
@@ -233,14 +233,14 @@
 // SetQuotaMessage puts what one member tells another of rights into a message.
 func (m *Message) SetQuotaMessage(r quota.Message) {
 	n := &quotaMessage{
-		Generation: r.Generation,
-		Seq:         r.Seq,
+		Generation:      r.Generation,
+		Seq:             r.Seq,
 		AckedSeq:        r.AckedSeq,
-		AckedGeneration:       r.AckedIncarnation.Generation,
-		AckedBoot:      r.AckedIncarnation.Boot,
-		Ping:        r.Ping,
-		AsksForLeases:         r.AsksForLeases,
-		HoldsNoLease:        r.HoldsNoLease,
+		AckedGeneration: r.AckedIncarnation.Generation,
+		AckedBoot:       r.AckedIncarnation.Boot,
+		Ping:            r.Ping,
+		AsksForLeases:   r.AsksForLeases,
+		HoldsNoLease:    r.HoldsNoLease,
 	}
 	for _, l := range r.Leases {
 		n.Leases = append(n.Leases, lease{l.Scope.Destination, l.Scope.Endpoint, l.Rate, l.Delivered, l.Rejected})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	incarnationFile      = "fleet.life" // in the relay's folder
-	listenRetryInterval    = 2 * time.Second
+	incarnationFile     = "fleet.life" // in the relay's folder
+	listenRetryInterval = 2 * time.Second
 	quotaStatusInterval = 500 * time.Millisecond
-	stepInterval     = 250 * time.Millisecond // the loop is asked for a step so often, even if nothing happens
+	stepInterval        = 250 * time.Millisecond // the loop is asked for a step so often, even if nothing happens
 )
 
 // Config is what a Member is made of.
@@ -58,17 +58,17 @@
 
 // Member is a relay's place in its fleet. Step is the loop's; the others may be called from any goroutine.
 type Member struct {
-	cfg  Config
-	incarnation loadreport.Incarnation
-	agent *agent.Agent
-	lastNode *membership.Node // that Step has met; the loop's
+	cfg           Config
+	incarnation   loadreport.Incarnation
+	agent         *agent.Agent
+	lastNode      *membership.Node // that Step has met; the loop's
 	quotaStatusAt time.Duration    // when standing was put last; the loop's
 
 	quotaStatus atomic.Pointer[[]quota.ScopeStatus]
 
-	mu   sync.Mutex
-	node *membership.Node // nil: it does not listen yet, or no more
-	downReason  error            // it does not
+	mu         sync.Mutex
+	node       *membership.Node // nil: it does not listen yet, or no more
+	downReason error            // it does not
 }
 
 // New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the
@@ -223,9 +223,9 @@
 
 // Status is what a member tells of its fleet.
 type Status struct {
-	Up    bool                `json:"up"`
-	DownReason   string              `json:"why,omitempty"`    // it is not
-	Quota []quota.ScopeStatus `json:"rights,omitempty"` // where limits are shared
+	Up         bool                `json:"up"`
+	DownReason string              `json:"why,omitempty"`    // it is not
+	Quota      []quota.ScopeStatus `json:"rights,omitempty"` // where limits are shared
 	*membership.Status
 }
 
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -26,16 +26,16 @@
 )
 
 const (
-	probeInterval   = time.Second
-	probeTimeout     = 400 * time.Millisecond
-	streamTimeout    = 2 * time.Second // a peer that hangs holds a stream no longer
-	rejoinInterval  = 2 * time.Second
-	maxRejoinsPerRound = 2
-	maxPendingReplies  = 8
-	maxPendingDirect    = 1024
-	maxReceivedQuota   = 4096     // messages that wait for the loop; more are dropped, as the network may
-	replyBatchBytes   = 16 << 10 // of pages in a message on a stream, more or less
-	estimatedReportBytes    = 200      // bytes
+	probeInterval        = time.Second
+	probeTimeout         = 400 * time.Millisecond
+	streamTimeout        = 2 * time.Second // a peer that hangs holds a stream no longer
+	rejoinInterval       = 2 * time.Second
+	maxRejoinsPerRound   = 2
+	maxPendingReplies    = 8
+	maxPendingDirect     = 1024
+	maxReceivedQuota     = 4096     // messages that wait for the loop; more are dropped, as the network may
+	replyBatchBytes      = 16 << 10 // of pages in a message on a stream, more or less
+	estimatedReportBytes = 200      // bytes
 
 	nameReclaimTimeout = 10 * time.Second // after which the others let a name that is silent have another address
 )
@@ -63,40 +63,40 @@
 
 // Node is one member's.
 type Node struct {
-	cfg   Config
-	codec *codec.Codec
-	memberlist  *memberlist.Memberlist
+	cfg        Config
+	codec      *codec.Codec
+	memberlist *memberlist.Memberlist
 	broadcasts memberlist.TransmitLimitedQueue
 	transport  *transport
 
-	mu     sync.Mutex
-	reports *loadreport.Table
-	inbox loadreport.Inbox[codec.Message]
-	updatedReports   map[reportKey]struct{}
-	newIncarnation   loadreport.Incarnation // a new one that Heard has not told yet
-	incarnationPending  bool                   // a new life is beginning
-	nameClaim  loadreport.NameClaim
-	receivedQuota []timedQuota // until ReceivedQuota
-	counters Counters
-	closed bool
-
-	digestReplies chan digestReply
-	directMessages   chan directMessage
+	mu                 sync.Mutex
+	reports            *loadreport.Table
+	inbox              loadreport.Inbox[codec.Message]
+	updatedReports     map[reportKey]struct{}
+	newIncarnation     loadreport.Incarnation // a new one that Heard has not told yet
+	incarnationPending bool                   // a new life is beginning
+	nameClaim          loadreport.NameClaim
+	receivedQuota      []timedQuota // until ReceivedQuota
+	counters           Counters
+	closed             bool
+
+	digestReplies       chan digestReply
+	directMessages      chan directMessage
 	incarnationRequests chan struct{}
-	cancel    context.CancelFunc
-	workers   sync.WaitGroup
+	cancel              context.CancelFunc
+	workers             sync.WaitGroup
 }
 
 // Counters are of the link's whole life.
 type Counters struct {
-	Received       uint64 `json:"heard"`     // messages
-	Unreadable     uint64 `json:"unread"`    // that could not be read
-	UnsupportedVersion          uint64 `json:"newer"`     // that need a newer program
-	RivalReports         uint64 `json:"rivals"`    // pages of another process under this name
-	AddressConflicts      uint64 `json:"conflicts"` // names that were told with two addresses
-	UnknownMembers uint64 `json:"strangers"` // members that nobody lists
-	SentBytes      uint64 `json:"sent_bytes"`
-	Streams        uint64 `json:"streams"`
+	Received           uint64 `json:"heard"`     // messages
+	Unreadable         uint64 `json:"unread"`    // that could not be read
+	UnsupportedVersion uint64 `json:"newer"`     // that need a newer program
+	RivalReports       uint64 `json:"rivals"`    // pages of another process under this name
+	AddressConflicts   uint64 `json:"conflicts"` // names that were told with two addresses
+	UnknownMembers     uint64 `json:"strangers"` // members that nobody lists
+	SentBytes          uint64 `json:"sent_bytes"`
+	Streams            uint64 `json:"streams"`
 }
 
 type reportKey struct {
@@ -106,10 +106,10 @@
 
 // directMessage is a question for another's clock, or the answer, or what is told of rights.
 type directMessage struct {
-	to     string
-	pong   *codec.Pong
-	quota *quota.Message
-	decidedAt     time.Duration // rights: when they were decided
+	to        string
+	pong      *codec.Pong
+	quota     *quota.Message
+	decidedAt time.Duration // rights: when they were decided
 }
 
 // timedQuota is what came of rights, and when it was sent at the latest.
@@ -139,8 +139,8 @@
 			ClockRequestInterval: gossip.ClockRequestInterval,
 			MaxDeferred:          gossip.MaxDeferredMessages,
 		},
-		directMessages:   make(chan directMessage, maxPendingDirect),
-		digestReplies: make(chan digestReply, maxPendingReplies), incarnationRequests: make(chan struct{}, 1),
+		directMessages: make(chan directMessage, maxPendingDirect),
+		digestReplies:  make(chan digestReply, maxPendingReplies), incarnationRequests: make(chan struct{}, 1),
 	}
 	// Who listens, not who is seen: one that sees nobody yet tells all the same. A small fleet's datagrams get lost
 	// like a large one's.
@@ -709,7 +709,7 @@
 // next, as discovery's addresses of hosts do, so that every pair can be led through a proxy of its own.
 type transport struct {
 	memberlist.NodeAwareTransport
-	addresses         map[string]string
+	addresses          map[string]string
 	sentBytes, streams atomic.Uint64
 }
 
--- a/internal/fleet/membership/node_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -153,7 +153,9 @@
 func TestAllHear(t *testing.T) {
 	net := &network{}
 	var late atomic.Bool
-	net.fault = func(from, to string) bool { return late.Load() != true && (from == memberName(4) || to == memberName(4)) }
+	net.fault = func(from, to string) bool {
+		return late.Load() != true && (from == memberName(4) || to == memberName(4))
+	}
 	links := mesh(t, net, 5, func(_ int, c *Config) { c.syncEvery = 300 * time.Millisecond })
 	for _, l := range links {
 		l.Publish([]loadreport.Report{reportOf(l, 0, 1, 2)})
