--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -592,7 +592,7 @@
 	s.reports.SetIncarnation(x.Incarnation)
 	pages := x.SavedReports
 	if s.quota = x.SavedQuota; s.quota != nil {
-		s.quota.Restored()
+		s.quota.FinishRestore()
 	}
 	x.SavedReports, x.SavedQuota = nil, nil
 	for _, m := range []func(){func() { ensureMap(&x.Counters) }, func() { ensureMap(&x.Endpoints) }, func() { ensureMap(&x.Pending) }, func() { ensureMap(&x.Published) }} {
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -278,7 +278,7 @@
 	for _, q := range n.Requests {
 		r.Requests = append(
 			r.Requests,
-			quota.QuotaRequest{
+			quota.Request{
 				Scope:     quota.Scope{Destination: q.Destination, Endpoint: q.Endpoint},
 				ID:        q.ID,
 				Calls:     q.Calls,
