--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -65,12 +65,12 @@
 	fmt.Fprintf(
 		s.Out,
 		"store: %d segments, %d bytes on disk of %d, %d of them live; room for %d bytes of new messages, %d of ends and outcomes\n",
-		st.Segments,
+		st.SegmentCount,
 		st.DiskBytes,
 		st.Limit,
 		st.LiveBytes,
-		st.RoomForValues,
-		st.RoomForAll,
+		st.AvailableForValues,
+		st.AvailableBytes,
 	)
 	tellRecovery(s, rec)
 	return nil
@@ -97,7 +97,7 @@
 	for _, n := range f.Lost {
 		fmt.Fprintf(s.Out, "records %d to %d: LOST; messages taken on before them may have run\n", n.From, n.To-1)
 	}
-	for _, key := range f.LostValues {
+	for _, key := range f.LostKeys {
 		fmt.Fprintf(s.Out, "message with key %d: LOST\n", key)
 	}
 	for _, name := range f.Foreign {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -74,7 +74,7 @@
 			t.Fatal(err)
 		}
 	}
-	bytes = j.Stats().Committed
+	bytes = j.Stats().CommittedBytes
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -143,7 +143,7 @@
 				b.ReportMetric(float64(live), "live")
 				if s, ok := s.(*newSubject); ok {
 					st := s.j.Stats()
-					b.ReportMetric(float64(st.Committed+st.Copied)/float64(st.Committed), "write-amp")
+					b.ReportMetric(float64(st.CommittedBytes+st.CompactedBytes)/float64(st.CommittedBytes), "write-amp")
 					b.ReportMetric(float64(st.DiskBytes)/float64(st.LiveBytes), "disk/live")
 				}
 				must(b, s.close())
@@ -217,7 +217,7 @@
 			keys = append(keys[:0], keys[1:]...)
 		}
 		must(b, s.Commit(batch))
-		if s.Due() {
+		if s.CompactionDue() {
 			_, err := s.Compact(8 << 10)
 			must(b, err)
 		}
@@ -348,8 +348,8 @@
 				b.ReportMetric(float64(id), "messages")
 				b.ReportMetric(float64(refused), "refused")
 				b.ReportMetric(float64(most), "most-live")
-				b.ReportMetric(float64(st.Committed+st.Copied)/float64(st.Committed), "write-amp")
-				b.ReportMetric(float64(st.Committed)/1e6, "MB-written")
+				b.ReportMetric(float64(st.CommittedBytes+st.CompactedBytes)/float64(st.CommittedBytes), "write-amp")
+				b.ReportMetric(float64(st.CommittedBytes)/1e6, "MB-written")
 				b.ReportMetric(float64(longest.Microseconds())/1000, "longest-step-ms")
 				must(b, j.Close())
 			}
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -161,7 +161,7 @@
 			rec.Unreadable++
 			continue
 		}
-		m.key, m.Uncertain = key, found.Doubtful(key)
+		m.key, m.Uncertain = key, found.Uncertain(key)
 		for _, d := range found.Deltas(key) {
 			if !m.apply(d, j.axis) {
 				m.Uncertain = true
@@ -397,7 +397,7 @@
 // commit writes a batch, which begins with the notes, and has the store compact in proportion. Where new work finds no
 // room the notes are written by themselves.
 func (j *Journal) commit(b *store.Batch) error {
-	before := j.store.Stats().Committed
+	before := j.store.Stats().CommittedBytes
 	err := j.store.Commit(b)
 	if errors.Is(err, store.ErrFull) {
 		err = ErrFull
@@ -411,8 +411,8 @@
 	if err == nil {
 		j.notes = j.notes[:0]
 	}
-	if j.store.Due() {
-		written := int(j.store.Stats().Committed - before)
+	if j.store.CompactionDue() {
+		written := int(j.store.Stats().CommittedBytes - before)
 		if _, e := j.store.Compact(max(compactLeast, compactShare*written)); e != nil && j.stalled == nil {
 			j.stalled = e // the next step tries again
 		}
--- a/internal/state/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -27,15 +27,15 @@
 	calls   int
 	stopAt  int              // 0: never
 	partial int              // bytes that the call at which it stops still writes
-	room    int64            // bytes in all files; 0: no bound
-	fail    func(Call) error // nil: none
-	short   func(Call) int   // bytes of a write that are written before fail's error; nil: none
+	capacity    int64            // bytes in all files; 0: no bound
+	failCall    func(Call) error // nil: none
+	partialWrite   func(Call) int   // bytes of a write that are written before fail's error; nil: none
 	log     []Call
 }
 
 // Call is one call that changes something or reads.
 type Call struct {
-	N    int // from 1
+	Number    int // from 1
 	Op   string
 	Name string
 	Size int
@@ -49,11 +49,11 @@
 
 // Fail has calls fail for which fail returns an error; short says how much of such a write is written.
 func (f *FS) Fail(fail func(Call) error, short func(Call) int) {
-	f.set(func() { f.fail, f.short = fail, short })
+	f.set(func() { f.failCall, f.partialWrite = fail, short })
 }
 
-// Room bounds the bytes of all files.
-func (f *FS) Room(n int64) { f.set(func() { f.room = n }) }
+// SetCapacity bounds the bytes of all files.
+func (f *FS) SetCapacity(n int64) { f.set(func() { f.capacity = n }) }
 
 func (f *FS) set(do func()) {
 	f.mu.Lock()
@@ -112,8 +112,8 @@
 	return sum
 }
 
-// call counts a call and returns its error, and how much of a write is done all the same.
-func (f *FS) call(op, name string, size int) (written int, err error) {
+// beginCall counts a call and returns its error, and how much of a write is done all the same.
+func (f *FS) beginCall(op, name string, size int) (written int, err error) {
 	f.calls++
 	c := Call{f.calls, op, name, size}
 	switch {
@@ -121,12 +121,12 @@
 		return 0, ErrStopped
 	case f.stopAt > 0 && f.calls == f.stopAt:
 		return min(f.partial, size), ErrStopped
-	case f.fail == nil:
+	case f.failCall == nil:
 		return size, nil
 	}
-	if err := f.fail(c); err != nil {
-		if f.short != nil {
-			written = min(size, f.short(c))
+	if err := f.failCall(c); err != nil {
+		if f.partialWrite != nil {
+			written = min(size, f.partialWrite(c))
 		}
 		return written, fmt.Errorf("%s %s: %w", op, name, err)
 	}
@@ -137,7 +137,7 @@
 func (f *FS) List() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.call("list", "", 0); err != nil {
+	if _, err := f.beginCall("list", "", 0); err != nil {
 		return nil, err
 	}
 	return slices.Sorted(maps.Keys(f.files)), nil
@@ -147,7 +147,7 @@
 func (f *FS) Open(name string, create bool) (store.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.call("open", name, 0); err != nil {
+	if _, err := f.beginCall("open", name, 0); err != nil {
 		return nil, err
 	}
 	_, there := f.files[name]
@@ -166,7 +166,7 @@
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.call("remove", name, 0); err != nil {
+	if _, err := f.beginCall("remove", name, 0); err != nil {
 		return err
 	}
 	if _, there := f.files[name]; !there {
@@ -180,7 +180,7 @@
 func (f *FS) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, err := f.call("syncdir", "", 0)
+	_, err := f.beginCall("syncdir", "", 0)
 	return err
 }
 
@@ -191,7 +191,7 @@
 	if f.locked {
 		return nil, store.ErrLocked
 	}
-	if _, err := f.call("lock", name, 0); err != nil {
+	if _, err := f.beginCall("lock", name, 0); err != nil {
 		return nil, err
 	}
 	f.locked = true
@@ -210,7 +210,7 @@
 func (x *file) ReadAt(p []byte, at int64) (int, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
-	if _, err := x.fs.call("read", x.name, len(p)); err != nil {
+	if _, err := x.fs.beginCall("read", x.name, len(p)); err != nil {
 		return 0, err
 	}
 	data := x.fs.files[x.name]
@@ -228,14 +228,14 @@
 	f := x.fs
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, err := f.call("write", x.name, len(p))
+	n, err := f.beginCall("write", x.name, len(p))
 	data := f.files[x.name]
-	if end := at + int64(n); f.room > 0 && n > 0 {
+	if end := at + int64(n); f.capacity > 0 && n > 0 {
 		sum := int64(0)
 		for _, d := range f.files {
 			sum += int64(len(d))
 		}
-		if over := sum + max(0, end-int64(len(data))) - f.room; over > 0 {
+		if over := sum + max(0, end-int64(len(data))) - f.capacity; over > 0 {
 			n, err = max(0, n-int(over)), syscall.ENOSPC
 		}
 	}
@@ -259,7 +259,7 @@
 	f := x.fs
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.call("truncate", x.name, 0); err != nil {
+	if _, err := f.beginCall("truncate", x.name, 0); err != nil {
 		return err
 	}
 	if data := f.files[x.name]; size < int64(len(data)) {
@@ -271,7 +271,7 @@
 func (x *file) Sync() error {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
-	_, err := x.fs.call("sync", x.name, 0)
+	_, err := x.fs.beginCall("sync", x.name, 0)
 	return err
 }
 
--- a/internal/state/store/faultfs/kill.go
+++ b/internal/state/store/faultfs/kill.go
@@ -12,25 +12,25 @@
 // SIGKILL, after which the files are as the calls before left them.
 type Killer struct {
 	FS   store.FS
-	At   int  // the call, from 1; 0: never
-	Torn bool // where that call is a write, half of it is written first
+	KillAt   int  // the call, from 1; 0: never
+	TornWrite bool // where that call is a write, half of it is written first
 	// Late has each write reach the file only with the next one, so that a kill takes the last one with it: the fault
 	// of a journal that is written behind what it is for. It is for showing that a check convicts it.
-	Late bool
+	DelayWrites bool
 
 	mu    sync.Mutex
 	calls int
-	held  func() error // the write that has not reached its file
+	delayedWrite  func() error // the write that has not reached its file
 }
 
 // step counts a call and kills the process if it is the one.
 func (k *Killer) step(torn func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.calls++; k.calls != k.At {
+	if k.calls++; k.calls != k.KillAt {
 		return
 	}
-	if k.Torn && torn != nil {
+	if k.TornWrite && torn != nil {
 		torn()
 	}
 	if p, err := os.FindProcess(os.Getpid()); err == nil {
@@ -42,8 +42,8 @@
 // flush has the write that is held reach its file.
 func (k *Killer) flush() error {
 	k.mu.Lock()
-	held := k.held
-	k.held = nil
+	held := k.delayedWrite
+	k.delayedWrite = nil
 	k.mu.Unlock()
 	if held == nil {
 		return nil
@@ -75,35 +75,35 @@
 
 type killerFile struct {
 	store.File
-	k *Killer
+	killer *Killer
 }
 
 func (f *killerFile) ReadAt(p []byte, off int64) (int, error) {
-	f.k.step(nil)
-	if err := f.k.flush(); err != nil {
+	f.killer.step(nil)
+	if err := f.killer.flush(); err != nil {
 		return 0, err
 	}
 	return f.File.ReadAt(p, off)
 }
 
 func (f *killerFile) WriteAt(p []byte, off int64) (int, error) {
-	f.k.step(func() { f.File.WriteAt(p[:len(p)/2], off) })
-	if !f.k.Late {
+	f.killer.step(func() { f.File.WriteAt(p[:len(p)/2], off) })
+	if !f.killer.DelayWrites {
 		return f.File.WriteAt(p, off)
 	}
-	err, data := f.k.flush(), append([]byte(nil), p...)
-	f.k.mu.Lock()
-	f.k.held = func() error { _, err := f.File.WriteAt(data, off); return err }
-	f.k.mu.Unlock()
+	err, data := f.killer.flush(), append([]byte(nil), p...)
+	f.killer.mu.Lock()
+	f.killer.delayedWrite = func() error { _, err := f.File.WriteAt(data, off); return err }
+	f.killer.mu.Unlock()
 	return len(p), err
 }
 
 func (f *killerFile) Truncate(size int64) error {
-	f.k.step(nil)
-	if err := f.k.flush(); err != nil {
+	f.killer.step(nil)
+	if err := f.killer.flush(); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
 }
 
-func (f *killerFile) Sync() error { f.k.step(nil); return f.File.Sync() }
+func (f *killerFile) Sync() error { f.killer.step(nil); return f.File.Sync() }
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -13,7 +13,7 @@
 const (
 	BlockSize   = 4096 // a frame header stands at the start of each block
 	HeaderSize  = 64   // of a segment; the first block's frames follow it
-	frameHeader = 11
+	frameHeaderSize = 11
 	// Format is the version of the form. A folder of a newer one is refused and left as it is.
 	Format = 1
 )
@@ -22,8 +22,8 @@
 
 // The errors of a segment's header.
 var (
-	ErrNoSegment = errors.New("store: no segment")
-	ErrNewer     = errors.New("store: written by a newer version")
+	ErrNotSegment = errors.New("store: no segment")
+	ErrNewerFormat     = errors.New("store: written by a newer version")
 	ErrDamaged   = errors.New("store: damaged header")
 )
 
@@ -32,7 +32,7 @@
 	Format  uint16
 	Epoch   uint64 // random, new with each segment: no frame verifies in another
 	Segment uint64
-	First   uint64 // number of the segment's first record
+	FirstRecord   uint64 // number of the segment's first record
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -47,7 +47,7 @@
 	binary.LittleEndian.PutUint16(x[10:], BlockSize/512)
 	binary.LittleEndian.PutUint64(x[16:], h.Epoch)
 	binary.LittleEndian.PutUint64(x[24:], h.Segment)
-	binary.LittleEndian.PutUint64(x[32:], h.First)
+	binary.LittleEndian.PutUint64(x[32:], h.FirstRecord)
 	binary.LittleEndian.PutUint32(x[60:], crc32.Checksum(x[:60], castagnoli))
 	return b
 }
@@ -56,17 +56,17 @@
 func ParseHeader(b []byte) (Header, error) {
 	switch {
 	case len(b) < HeaderSize || string(b[:8]) != magic:
-		return Header{}, ErrNoSegment
+		return Header{}, ErrNotSegment
 	case binary.LittleEndian.Uint32(b[60:]) != crc32.Checksum(b[:60], castagnoli):
 		return Header{}, ErrDamaged
 	}
 	h := Header{
 		Format: binary.LittleEndian.Uint16(b[8:]), Epoch: binary.LittleEndian.Uint64(b[16:]),
-		Segment: binary.LittleEndian.Uint64(b[24:]), First: binary.LittleEndian.Uint64(b[32:]),
+		Segment: binary.LittleEndian.Uint64(b[24:]), FirstRecord: binary.LittleEndian.Uint64(b[32:]),
 	}
 	switch {
 	case h.Format > Format:
-		return Header{}, fmt.Errorf("%w: format %d, this one reads %d", ErrNewer, h.Format, Format)
+		return Header{}, fmt.Errorf("%w: format %d, this one reads %d", ErrNewerFormat, h.Format, Format)
 	case h.Format == 0 || binary.LittleEndian.Uint16(b[10:]) != BlockSize/512:
 		return Header{}, ErrDamaged
 	}
@@ -81,9 +81,9 @@
 	partLast
 )
 
-// sum is the checksum of a frame at an offset of a segment: of what is behind the checksum, and of where it stands. A
+// frameChecksum is the checksum of a frame at an offset of a segment: of what is behind the checksum, and of where it stands. A
 // frame that was copied to another place, by whoever, does not verify there.
-func sum(epoch uint64, offset int64, rest []byte) uint32 {
+func frameChecksum(epoch uint64, offset int64, rest []byte) uint32 {
 	place := (epoch ^ uint64(offset)) * 0x9e3779b97f4a7c15 // spreads both over all bits
 	return crc32.Update(uint32(place^place>>32), castagnoli, rest)
 }
@@ -93,12 +93,12 @@
 func AppendRecord(b []byte, epoch uint64, offset int64, number uint64, record []byte) []byte {
 	for first := true; ; first = false {
 		room := BlockSize - int(offset%BlockSize)
-		if room < frameHeader {
+		if room < frameHeaderSize {
 			b = append(b, make([]byte, room)...)
 			offset += int64(room)
 			room = BlockSize
 		}
-		n := min(room-frameHeader, len(record))
+		n := min(room-frameHeaderSize, len(record))
 		part := partMiddle
 		switch last := n == len(record); {
 		case first && last:
@@ -109,14 +109,14 @@
 			part = partLast
 		}
 		at := len(b)
-		b = append(b, make([]byte, frameHeader)...)
+		b = append(b, make([]byte, frameHeaderSize)...)
 		b = append(b, record[:n]...)
 		x := b[at:]
 		binary.LittleEndian.PutUint16(x[4:], uint16(n))
 		x[6] = part
 		binary.LittleEndian.PutUint32(x[7:], uint32(number))
-		binary.LittleEndian.PutUint32(x, sum(epoch, offset, x[4:]))
-		offset, record = offset+int64(frameHeader+n), record[n:]
+		binary.LittleEndian.PutUint32(x, frameChecksum(epoch, offset, x[4:]))
+		offset, record = offset+int64(frameHeaderSize+n), record[n:]
 		if part == partWhole || part == partLast {
 			return b
 		}
@@ -149,7 +149,7 @@
 	for at := int64(HeaderSize); at < int64(len(data)); {
 		block := at - at%BlockSize
 		next := min(block+BlockSize, int64(len(data)))
-		if block+BlockSize-at < frameHeader {
+		if block+BlockSize-at < frameHeaderSize {
 			at = block + BlockSize // the block's last bytes hold none
 			continue
 		}
@@ -170,7 +170,7 @@
 		if part == partWhole || part == partFirst {
 			began, number, record = at, n, record[:0]
 		}
-		record = append(record, frame[frameHeader:]...)
+		record = append(record, frame[frameHeaderSize:]...)
 		at += int64(len(frame))
 		if part == partWhole || part == partLast {
 			if lost >= 0 {
@@ -186,12 +186,12 @@
 
 // readFrame reads the frame at the start of data, which end with its block.
 func readFrame(epoch uint64, at int64, data []byte) ([]byte, bool) {
-	if len(data) < frameHeader {
+	if len(data) < frameHeaderSize {
 		return nil, false
 	}
-	n := frameHeader + int(binary.LittleEndian.Uint16(data[4:]))
+	n := frameHeaderSize + int(binary.LittleEndian.Uint16(data[4:]))
 	if n > len(data) || data[6] < partWhole || data[6] > partLast ||
-		binary.LittleEndian.Uint32(data) != sum(epoch, at, data[4:n]) {
+		binary.LittleEndian.Uint32(data) != frameChecksum(epoch, at, data[4:n]) {
 		return nil, false
 	}
 	return data[:n], true
--- a/internal/state/store/frame_test.go
+++ b/internal/state/store/frame_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-var header = Header{Format: Format, Epoch: 0x1234567890abcdef, Segment: 7, First: 100}
+var header = Header{Format: Format, Epoch: 0x1234567890abcdef, Segment: 7, FirstRecord: 100}
 
 // wholeSegment is one with records, and where each ends.
 func wholeSegment(records [][]byte) (data []byte, ends []int64) {
 	data = header.Append(nil)
 	for i, r := range records {
-		data = AppendRecord(data, header.Epoch, int64(len(data)), header.First+uint64(i), r)
+		data = AppendRecord(data, header.Epoch, int64(len(data)), header.FirstRecord+uint64(i), r)
 		ends = append(ends, int64(len(data)))
 	}
 	return data, ends
@@ -34,7 +34,7 @@
 // sizes reach over a block's end in every way.
 func sizes() (records [][]byte) {
 	draw := rand.New(rand.NewPCG(1, 2))
-	for _, n := range []int{0, 1, 100, BlockSize - 300, 5, BlockSize, 3 * BlockSize, 0, BlockSize - 2*frameHeader, 700} {
+	for _, n := range []int{0, 1, 100, BlockSize - 300, 5, BlockSize, 3 * BlockSize, 0, BlockSize - 2*frameHeaderSize, 700} {
 		r := make([]byte, n)
 		for i := range r {
 			r[i] = byte(draw.Uint32())
@@ -53,7 +53,7 @@
 			t.Fatalf("%d of %d records, end %d of %d, damaged %v", len(order), len(records), end, len(data), damaged)
 		}
 		for i, r := range records {
-			if n := uint32(header.First) + uint32(i); order[i] != n || !bytes.Equal(got[n], r) {
+			if n := uint32(header.FirstRecord) + uint32(i); order[i] != n || !bytes.Equal(got[n], r) {
 				t.Fatalf("record %d differs", i)
 			}
 		}
@@ -100,7 +100,7 @@
 		start := int64(HeaderSize)
 		missing := 0
 		for i, r := range records {
-			n := uint32(header.First) + uint32(i)
+			n := uint32(header.FirstRecord) + uint32(i)
 			x, ok := got[n]
 			touches := start/BlockSize <= block && (ends[i]-1)/BlockSize >= block
 			if ok && !bytes.Equal(x, r) || !ok && !touches {
@@ -146,18 +146,18 @@
 	for bit := range 8 * HeaderSize {
 		bad := bytes.Clone(good)
 		bad[bit/8] ^= 1 << (bit % 8)
-		if _, err := ParseHeader(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNoSegment) {
+		if _, err := ParseHeader(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSegment) {
 			t.Errorf("bit %d: %v", bit, err)
 		}
 	}
 	for n := range HeaderSize {
-		if _, err := ParseHeader(good[:n]); !errors.Is(err, ErrNoSegment) {
+		if _, err := ParseHeader(good[:n]); !errors.Is(err, ErrNotSegment) {
 			t.Errorf("%d bytes: %v", n, err)
 		}
 	}
 	newer := header
 	newer.Format++
-	if _, err := ParseHeader(newer.Append(nil)); !errors.Is(err, ErrNewer) {
+	if _, err := ParseHeader(newer.Append(nil)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("newer: %v", err)
 	}
 }
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -114,7 +114,7 @@
 	switch {
 	case err == nil:
 		d.m, d.maybe = next, nil
-	case errors.Is(err, store.ErrFull) || errors.Is(err, store.ErrNoRoom):
+	case errors.Is(err, store.ErrFull) || errors.Is(err, store.ErrNoSpace):
 		d.full++
 		d.maybe = nil
 		d.sync()
@@ -132,8 +132,8 @@
 		return err
 	}
 	d.sync()
-	if d.s.Due() {
-		if _, err := d.s.Compact(8 << 10); err != nil && !errors.Is(err, store.ErrNoRoom) {
+	if d.s.CompactionDue() {
+		if _, err := d.s.Compact(8 << 10); err != nil && !errors.Is(err, store.ErrNoSpace) {
 			return err
 		}
 	}
@@ -286,7 +286,7 @@
 			deltas = append(deltas, string(d))
 		}
 		if !slices.Equal(deltas, m[1:]) {
-			if !rec.Doubtful(key) && len(rec.Torn) == 0 && !cut {
+			if !rec.Uncertain(key) && len(rec.Torn) == 0 && !cut {
 				t.Fatalf(
 					"%s: value %d has deltas %q, want %q, and is not told as doubtful: %+v",
 					what,
@@ -501,7 +501,7 @@
 		fs := faultfs.New()
 		s, _ := open(t, fs)
 		d := newDriver(s, model{}, uint64(room))
-		fs.Room(room)
+		fs.SetCapacity(room)
 		for range 200 {
 			m := d.m.clone()
 			if err := d.step(3000); err != nil {
@@ -514,7 +514,7 @@
 				d.sync()
 			}
 		}
-		fs.Room(0)
+		fs.SetCapacity(0)
 		for range 50 {
 			if err := d.step(3000); err != nil {
 				t.Fatalf("room again: %v", err)
@@ -542,7 +542,7 @@
 		}
 		keys = append(keys, key)
 	}
-	if st := s.Stats(); st.LiveBytes < limit/2 || st.RoomForValues > 2000 || st.RoomForAll < limit/8 {
+	if st := s.Stats(); st.LiveBytes < limit/2 || st.AvailableForValues > 2000 || st.AvailableBytes < limit/8 {
 		t.Errorf("%+v", st)
 	}
 	for range 2 {
@@ -552,7 +552,7 @@
 			if err := s.Commit(b); err != nil {
 				t.Fatal(err)
 			}
-			if s.Due() {
+			if s.CompactionDue() {
 				if _, err := s.Compact(4 << 10); err != nil {
 					t.Fatal(err)
 				}
@@ -612,7 +612,7 @@
 	h.Format = store.Format + 1
 	copy(newer, h.Append(nil))
 	before := fs.Reboot()
-	if _, _, err := store.Open(fs, store.Options{Limit: limit}); !errors.Is(err, store.ErrNewer) ||
+	if _, _, err := store.Open(fs, store.Options{Limit: limit}); !errors.Is(err, store.ErrNewerFormat) ||
 		!strings.Contains(err.Error(), name) {
 		t.Error(err)
 	}
@@ -630,7 +630,7 @@
 	s, _ := open(t, faultfs.New())
 	b := s.Begin()
 	b.Append(77, []byte("x"))
-	if err := s.Commit(b); !errors.Is(err, store.ErrNoKey) {
+	if err := s.Commit(b); !errors.Is(err, store.ErrKeyNotFound) {
 		t.Error(err)
 	}
 	b = s.Begin()
@@ -659,7 +659,7 @@
 			t.Errorf("%d bytes, %v", len(got), err)
 		}
 	}
-	if _, err := s.Get(12345, nil); !errors.Is(err, store.ErrNoKey) {
+	if _, err := s.Get(12345, nil); !errors.Is(err, store.ErrKeyNotFound) {
 		t.Error(err)
 	}
 }
