--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -31,7 +31,9 @@
 		panic(err)
 	}
 	relay := serve{
-		through: func(fs store.FS) store.FS { return &faultfs.Killer{FS: fs, KillAt: k.At, TornWrite: k.Torn, DelayWrites: k.Late} },
+		through: func(fs store.FS) store.FS {
+			return &faultfs.Killer{FS: fs, KillAt: k.At, TornWrite: k.Torn, DelayWrites: k.Late}
+		},
 	}
 	if err := relay.Run(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -102,21 +102,21 @@
 type room struct{ texts, live, destinations, rest int }
 
 func (c *Catalog) room() (r room) {
-	for _, k := range c.text.chunks {
+	for _, k := range c.texts.chunks {
 		r.texts, r.live = r.texts+cap(k.data), r.live+k.live
 	}
-	r.destinations = perChunk * len(c.places.chunks) * int(unsafe.Sizeof(place{}))
-	r.rest = perChunk*len(
-		c.slots.chunks,
+	r.destinations = tableChunkSize * len(c.destinations.chunks) * int(unsafe.Sizeof(destinationSlot{}))
+	r.rest = tableChunkSize*len(
+		c.endpoints.chunks,
 	)*int(
-		unsafe.Sizeof(slot{}),
-	) + perChunk*4*(len(c.ids.heads.chunks)+len(c.numbers.heads.chunks)) +
+		unsafe.Sizeof(endpointSlot{}),
+	) + tableChunkSize*4*(len(c.endpointIndex.buckets.chunks)+len(c.destinationIndex.buckets.chunks)) +
 		cap(
-			c.text.chunks,
+			c.texts.chunks,
 		)*int(
-			unsafe.Sizeof(chunk{}),
+			unsafe.Sizeof(textChunk{}),
 		) + cap(
-		c.text.free,
+		c.texts.free,
 	)*8
 	return r
 }
@@ -132,11 +132,11 @@
 		t.Helper()
 		r := c.room()
 		live := 0
-		for i := range c.slots.n - 1 {
-			_, n := skipText(c.text.from(c.slots.at(uint32(i + 1)).text))
+		for i := range c.endpoints.count - 1 {
+			_, n := measureText(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text))
 			live += n
 		}
-		if r.live != live || r.texts > 2*r.live+4*chunkSize || r.destinations > early.destinations ||
+		if r.live != live || r.texts > 2*r.live+4*textChunkSize || r.destinations > early.destinations ||
 			r.rest > early.rest {
 			t.Errorf("after %s: %+v bytes, %d of texts in use; after five lists %+v", after, r, live, early)
 		}
@@ -192,7 +192,7 @@
 	}
 	tell(c, entries(5, 0))
 	check("a short list")
-	if r := c.room(); r.rest > early.rest/3 || r.texts > 2*chunkSize {
+	if r := c.room(); r.rest > early.rest/3 || r.texts > 2*textChunkSize {
 		t.Errorf("after a short list: %+v bytes; after five long ones %+v", r, early)
 	}
 	if c.EndpointCount() != 10 || len(c.AppendEndpoints(0, nil)) != 2 {
--- a/internal/state/catalog/young_test.go
+++ b/internal/state/catalog/workingset_test.go
@@ -33,14 +33,14 @@
 		if other := w.Settled(added+7, soon); other != (added <= MaxEagerEndpoints) {
 			t.Errorf("%d added: another settled %v", added, other)
 		}
-		if len(w.young) > MaxEagerEndpoints {
-			t.Errorf("%d are kept", len(w.young))
+		if len(w.recentlyAdded) > MaxEagerEndpoints {
+			t.Errorf("%d are kept", len(w.recentlyAdded))
 		}
 		for d := range MaxEagerEndpoints { // later ones take the room of those
 			w.EndpointAdded(d+2*added, at+time.Hour)
 		}
-		if len(w.young) > MaxEagerEndpoints || !w.Settled(0, at+time.Hour) && added < MaxEagerEndpoints {
-			t.Errorf("%d added, an hour ago: %d are kept, settled %v", added, len(w.young), w.Settled(0, at+time.Hour))
+		if len(w.recentlyAdded) > MaxEagerEndpoints || !w.Settled(0, at+time.Hour) && added < MaxEagerEndpoints {
+			t.Errorf("%d added, an hour ago: %d are kept, settled %v", added, len(w.recentlyAdded), w.Settled(0, at+time.Hour))
 		}
 	}
 }
--- a/internal/state/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -21,24 +21,24 @@
 
 // FS is a folder. Its faults may be set at any time.
 type FS struct {
-	mu      sync.Mutex
-	files   map[string][]byte
-	locked  bool
-	calls   int
-	stopAt  int              // 0: never
-	partial int              // bytes that the call at which it stops still writes
-	capacity    int64            // bytes in all files; 0: no bound
-	failCall    func(Call) error // nil: none
-	partialWrite   func(Call) int   // bytes of a write that are written before fail's error; nil: none
-	log     []Call
+	mu           sync.Mutex
+	files        map[string][]byte
+	locked       bool
+	calls        int
+	stopAt       int              // 0: never
+	partial      int              // bytes that the call at which it stops still writes
+	capacity     int64            // bytes in all files; 0: no bound
+	failCall     func(Call) error // nil: none
+	partialWrite func(Call) int   // bytes of a write that are written before fail's error; nil: none
+	log          []Call
 }
 
 // Call is one call that changes something or reads.
 type Call struct {
-	Number    int // from 1
-	Op   string
-	Name string
-	Size int
+	Number int // from 1
+	Op     string
+	Name   string
+	Size   int
 }
 
 // New returns an empty folder.
--- a/internal/state/store/faultfs/kill.go
+++ b/internal/state/store/faultfs/kill.go
@@ -11,16 +11,16 @@
 // Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real
 // SIGKILL, after which the files are as the calls before left them.
 type Killer struct {
-	FS   store.FS
-	KillAt   int  // the call, from 1; 0: never
+	FS        store.FS
+	KillAt    int  // the call, from 1; 0: never
 	TornWrite bool // where that call is a write, half of it is written first
 	// Late has each write reach the file only with the next one, so that a kill takes the last one with it: the fault
 	// of a journal that is written behind what it is for. It is for showing that a check convicts it.
 	DelayWrites bool
 
-	mu    sync.Mutex
-	calls int
-	delayedWrite  func() error // the write that has not reached its file
+	mu           sync.Mutex
+	calls        int
+	delayedWrite func() error // the write that has not reached its file
 }
 
 // step counts a call and kills the process if it is the one.
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -11,8 +11,8 @@
 
 // Sizes of the form, in bytes.
 const (
-	BlockSize   = 4096 // a frame header stands at the start of each block
-	HeaderSize  = 64   // of a segment; the first block's frames follow it
+	BlockSize       = 4096 // a frame header stands at the start of each block
+	HeaderSize      = 64   // of a segment; the first block's frames follow it
 	frameHeaderSize = 11
 	// Format is the version of the form. A folder of a newer one is refused and left as it is.
 	Format = 1
@@ -22,17 +22,17 @@
 
 // The errors of a segment's header.
 var (
-	ErrNotSegment = errors.New("store: no segment")
-	ErrNewerFormat     = errors.New("store: written by a newer version")
-	ErrDamaged   = errors.New("store: damaged header")
+	ErrNotSegment  = errors.New("store: no segment")
+	ErrNewerFormat = errors.New("store: written by a newer version")
+	ErrDamaged     = errors.New("store: damaged header")
 )
 
 // Header begins a segment.
 type Header struct {
-	Format  uint16
-	Epoch   uint64 // random, new with each segment: no frame verifies in another
-	Segment uint64
-	FirstRecord   uint64 // number of the segment's first record
+	Format      uint16
+	Epoch       uint64 // random, new with each segment: no frame verifies in another
+	Segment     uint64
+	FirstRecord uint64 // number of the segment's first record
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/state/store/recover.go
+++ b/internal/state/store/recover.go
@@ -37,15 +37,15 @@
 	// LostKeys are keys of which deltas were found, and no value.
 	LostKeys []uint64
 
-	deltas map[uint64][]foundDelta
-	bytesRead   int64
+	deltas    map[uint64][]foundDelta
+	bytesRead int64
 }
 
 type foundDelta struct {
-	number  uint64
-	segment uint32
-	diskSize    uint32
-	data    []byte
+	number   uint64
+	segment  uint32
+	diskSize uint32
+	data     []byte
 }
 
 // Deltas are a key's, in the order in which they were appended.
@@ -76,13 +76,13 @@
 
 // recoverer is Open at work.
 type recoverer struct {
-	store    *Store
+	store   *Store
 	result  *Recovery
-	values map[uint64]valueLocation
+	values  map[uint64]valueLocation
 	deleted map[uint64]bool
 	// old are segments that hold a value that was moved on, as a compaction that was cut off leaves one.
-	superseded  map[uint32]bool
-	removed map[uint32]bool
+	superseded map[uint32]bool
+	removed    map[uint32]bool
 	// tombs are deletes: bytes by the segment that they stand in and the one that held the put.
 	tombstones map[[2]uint32]uint32
 }
@@ -97,11 +97,11 @@
 	}
 	opt.Interval = cmp.Or(opt.Interval, time.Second)
 	s := &Store{
-		fs:      fs,
+		fs:          fs,
 		options:     opt,
-		index:   map[uint64]valueLocation{},
+		index:       map[uint64]valueLocation{},
 		segmentSize: max(minSegmentSize, min(maxSegmentSize, opt.Limit/segmentsPerLimit)),
-		nextNumber:    1,
+		nextNumber:  1,
 	}
 	if !opt.ReadOnly {
 		if s.lock, err = fs.Lock(lockFileName); err != nil {
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -22,22 +22,22 @@
 // Bounds, in bytes.
 const (
 	// MinLimit is the least that a store may be limited to.
-	MinLimit     = 1 << 20
-	minSegmentSize = 128 << 10
-	maxSegmentSize  = 16 << 20
-	segmentsPerLimit     = 16  // a limit is about so many segments
-	allocationUnit     = 512 // each file counts in whole ones of these
+	MinLimit         = 1 << 20
+	minSegmentSize   = 128 << 10
+	maxSegmentSize   = 16 << 20
+	segmentsPerLimit = 16  // a limit is about so many segments
+	allocationUnit   = 512 // each file counts in whole ones of these
 )
 
 // Shares of the limit.
 const (
-	maxLiveRatio = 0.55 // puts are refused beyond this much that lives
+	maxLiveRatio    = 0.55 // puts are refused beyond this much that lives
 	maxPutDiskRatio = 0.80 // and beyond this much on disk: the rest is for deltas, deletes and compaction
 )
 
 const (
-	segmentSuffix   = ".seg"
-	lockFileName = "lock"
+	segmentSuffix = ".seg"
+	lockFileName  = "lock"
 )
 
 // The errors of a Store.
@@ -85,87 +85,87 @@
 	kindMovedDelta                 // key, number that it had, delta
 	kindDelete                     // key, segment that held its put
 	kindDirectory                  // the segments that are there: see directory
-	kindRemoved                       // segment that is removed
+	kindRemoved                    // segment that is removed
 )
 
 // valueLocation is where a live value stands.
 type valueLocation struct {
-	segment uint32
-	offset  uint32
+	segment     uint32
+	offset      uint32
 	diskSize    uint32 // bytes that its frames take
-	size    uint32 // of the value
-	newestDelta  int32  // chain of its deltas in Store.deltas, from 1; 0: none
+	size        uint32 // of the value
+	newestDelta int32  // chain of its deltas in Store.deltas, from 1; 0: none
 }
 
 // deltaEntry is what is kept of one: where it stands, to count that segment's live bytes.
 type deltaEntry struct {
-	number        uint64 // of its record, before any move
+	number            uint64 // of its record, before any move
 	segment, diskSize uint32
-	next          int32
+	next              int32
 }
 
 // segment is one file.
 type segment struct {
-	number uint32
-	header Header
-	file   File
-	size   int64             // good bytes
-	fileSize int64             // bytes of the file, at the most
-	nextNumber    uint64            // number behind its last record
-	liveBytes   int64             // bytes of records that live
-	tombstones  map[uint32]uint32 // bytes of deletes in it, by the segment that held the put
-	values int               // live values in it
+	number     uint32
+	header     Header
+	file       File
+	size       int64             // good bytes
+	fileSize   int64             // bytes of the file, at the most
+	nextNumber uint64            // number behind its last record
+	liveBytes  int64             // bytes of records that live
+	tombstones map[uint32]uint32 // bytes of deletes in it, by the segment that held the put
+	values     int               // live values in it
 }
 
 // Store is an open store.
 type Store struct {
-	fs    FS
-	options   Options
-	lock  io.Closer
-	segments  []*segment // by number; the last is written to
-	index map[uint64]valueLocation
+	fs       FS
+	options  Options
+	lock     io.Closer
+	segments []*segment // by number; the last is written to
+	index    map[uint64]valueLocation
 	// deltas are the chains of all keys, free the first unused one of them.
-	deltas []deltaEntry
-	freeDelta   int32
+	deltas    []deltaEntry
+	freeDelta int32
 
-	nextNumber    uint64 // number of the next record
+	nextNumber  uint64 // number of the next record
 	segmentSize int64
-	liveBytes    int64 // bytes of all records that live
-	diskBytes    int64 // bytes of all files
+	liveBytes   int64 // bytes of all records that live
+	diskBytes   int64 // bytes of all files
 
-	batch    Batch
-	writeBuf      []byte
-	closed   bool
-	appendable     bool // the last segment may be written to
-	syncedAt time.Time
-	unsynced bool
+	batch      Batch
+	writeBuf   []byte
+	closed     bool
+	appendable bool // the last segment may be written to
+	syncedAt   time.Time
+	unsynced   bool
 
 	recordBuf, moveBuf []byte  // scratch of records
-	recordEnds       []int64 // of the records of a write
-	readBuf    []byte  // a stretch of segment readSegment from readOffset on
-	readSegment    uint32
-	readOffset     int64
+	recordEnds         []int64 // of the records of a write
+	readBuf            []byte  // a stretch of segment readSegment from readOffset on
+	readSegment        uint32
+	readOffset         int64
 
-	compacting *segment // being compacted
-	compactOffset     int64    // how far
+	compacting    *segment // being compacted
+	compactOffset int64    // how far
 	compactNumber uint64   // of the record there
-	stats  Stats
-	truncateErr error // a write failed in a way that leaves its segment in doubt: a new one must be begun
+	stats         Stats
+	truncateErr   error // a write failed in a way that leaves its segment in doubt: a new one must be begun
 	// pendingDeletes are values of a batch that failed half-way: they stand on disk, and are ended before anything else.
-	pendingDeletes  []uint64
+	pendingDeletes   []uint64
 	pendingDeleteErr error
 }
 
 // Stats tell how a store fares.
 type Stats struct {
 	LiveValues      int   // values
-	LiveBytes int64 // that they and their deltas take
-	DiskBytes int64
-	Limit     int64
-	SegmentCount  int
-	CommittedBytes int64 // bytes written by commits
-	CompactedBytes    int64 // bytes written again by compaction
-	RemovedSegments   int   // segments
+	LiveBytes       int64 // that they and their deltas take
+	DiskBytes       int64
+	Limit           int64
+	SegmentCount    int
+	CommittedBytes  int64 // bytes written by commits
+	CompactedBytes  int64 // bytes written again by compaction
+	RemovedSegments int   // segments
 	// AvailableForValues is how many more bytes of new values fit as things stand; AvailableBytes, of anything.
 	AvailableForValues, AvailableBytes int64
 }
@@ -193,10 +193,10 @@
 // Batch is what one commit does. Its methods add to it; it must not be kept over Commit.
 type Batch struct {
 	store    *Store
-	ops  []op
-	data []byte // of all ops
+	ops      []op
+	data     []byte // of all ops
 	putCount int
-	err  error
+	err      error
 }
 
 type op struct {
@@ -556,12 +556,12 @@
 		}
 	}
 	seg := &segment{
-		number: number,
-		header: h,
-		file:   file,
-		size:   int64(len(data)),
-		tombstones:  map[uint32]uint32{},
-		nextNumber:    s.nextNumber,
+		number:     number,
+		header:     h,
+		file:       file,
+		size:       int64(len(data)),
+		tombstones: map[uint32]uint32{},
+		nextNumber: s.nextNumber,
 	}
 	s.segments = append(s.segments, seg)
 	s.recordFileSize(seg, seg.size)
