--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -132,7 +132,7 @@
 		Log:     r.log,
 	}
 	if r.fleet != nil {
-		s.Fleet = r.fleet.Write
+		s.Fleet = r.fleet.WriteJSON
 	}
 	go s.Serve(r.adminCtx, l)
 	return nil
