--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -41,11 +41,3 @@
 	r.fleet.Step(r.now(), evs, acts, nil)
 	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
-
-// requestStep asks the loop for a step. It waits for nothing: a loop that has much to do takes its steps anyway.
-func (r *Relay) requestStep() {
-	select {
-	case r.events <- tick{}:
-	default:
-	}
-}
--- a/internal/relay/standing.go
+++ b/internal/relay/health.go
@@ -4,8 +4,6 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
-	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -43,35 +41,3 @@
 	}
 	r.health.nextSave = now.Add(max(healthSaveInterval, healthSaveCostRatio*time.Since(now)))
 }
-
-// isIdempotent tells whether a message may run any number of times.
-func (r *Relay) isIdempotent(m *journal.Message) bool {
-	class, known := r.classOf(m)
-	return known && class.Effect == policy.Idempotent
-}
-
-// failUnreadable ends a message whose body the disk no longer gives.
-func (r *Relay) failUnreadable(m *message, err error) {
-	r.log.Error("a message's body cannot be read: it is given up", "trace", m.TraceID, "err", err)
-	if m.completed {
-		return
-	}
-	r.markCompleted(m)
-	final := journal.FinalAnswer{}
-	r.countResult(m.Message, finalResult(final))
-	r.journal.RecordFinal(m.Message, final)
-	r.queueNotification(m)
-	// The module has booked an attempt that never leaves.
-	r.deferredEvents = append(
-		r.deferredEvents,
-		policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
-		policy.Event{
-			Kind:         policy.AttemptFinished,
-			MessageID:    m.ID,
-			Attempt:      m.attemptsStarted,
-			Outcome:      policy.NotSent,
-			MessageEnded: true,
-		},
-	)
-	time.AfterFunc(r.cfg.Tick, func() { r.post(tick{}) })
-}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -93,28 +93,3 @@
 		panic(x)
 	}
 }
-
-// decide has the module take a step, and records it.
-func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
-	if r.largeList.Load() {
-		events = r.wakeDestinations(now, events)
-	}
-	acts := r.engine.Step(now, events)
-	if r.fleet == nil {
-		r.recorder.Step(now, events, acts)
-		return acts
-	}
-	beside, told := r.fleet.Step(
-		now,
-		events,
-		acts,
-		func() []policy.EndpointView { views, _ := r.engine.Views(); return views },
-	)
-	if r.recorder.Recorder != nil {
-		r.recorder.StepWithFleet(now, events, acts, beside.Append(nil))
-	}
-	if r.deferredEvents = append(r.deferredEvents, told...); len(told) > 0 {
-		r.requestStep() // the module hears it in a step of its own, soon
-	}
-	return acts
-}
