--- /dev/null
+++ b/internal/fleet/quota/peer.go
@@ -0,0 +1,145 @@
+package quota
+
+import (
+	"cmp"
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+)
+
+const (
+	// livenessTimeout is how long a member counts as live after a message of it: only a live one becomes lease holder.
+	livenessTimeout = 3 * time.Second
+	// pingInterval is how often a member that does not answer is asked again.
+	pingInterval = 250 * time.Millisecond
+	// maxPings bounds the silent members that are pinged for one scope at a time.
+	maxPings = 3
+)
+
+// peer is the state of another member.
+type peer struct {
+	loadreport.Incarnation
+	LastSeq    uint64        `cbor:"Seen"`  // the greatest received in this incarnation
+	ReceivedAt time.Duration `cbor:"Heard"` // when the last message was sent, at the earliest
+	PingedAt   time.Duration `cbor:"Pinged"`
+
+	// The last leases sent to it, and whether it has acknowledged them.
+	LeasesSentAt time.Duration `cbor:"Sent"`
+	LeasesAcked  bool          `cbor:"Acked"`
+	LeasesSeq    uint64        `cbor:"SentAs"`
+
+	// HoldsNoLease is set once it has said that it holds no lease of another incarnation of this member.
+	HoldsNoLease bool          `cbor:"None"`
+	QueriedAt    time.Duration `cbor:"Asked"` // when it was last asked for that
+
+	// AcceptedIncarnation is the incarnation that was promised that no lease of another one is accepted before
+	// AcceptOnlyUntil.
+	AcceptedIncarnation loadreport.Incarnation `cbor:"Only"`
+	AcceptOnlyUntil     time.Duration          `cbor:"Until"`
+}
+
+// peer returns the state of another member, a new one if there is none yet.
+func (l *Ledger) peer(member string) *peer {
+	p := l.Peers[member]
+	if p == nil {
+		p = &peer{ReceivedAt: never, PingedAt: never, LeasesSentAt: never, LeasesAcked: true}
+		l.Peers[member] = p
+	}
+	return p
+}
+
+// accepts reports whether messages of an incarnation are accepted: not of one that is over, and of no other than was
+// promised.
+func (p *peer) accepts(now time.Duration, incarnation loadreport.Incarnation) bool {
+	if incarnation.Compare(p.Incarnation) < 0 {
+		return false
+	}
+	return now >= p.AcceptOnlyUntil || incarnation == p.AcceptedIncarnation
+}
+
+// updatePeer takes from a message what it says of its sender, and what it acknowledges.
+func (l *Ledger) updatePeer(p *peer, m Message) {
+	acksThisIncarnation := m.AckedIncarnation == l.Settings.Incarnation
+	if m.HoldsNoLease && acksThisIncarnation {
+		p.HoldsNoLease = true
+	}
+	if m.Incarnation != p.Incarnation {
+		p.Incarnation = m.Incarnation
+		p.LastSeq = 0
+	}
+	if m.TransitTime <= livenessTimeout {
+		p.ReceivedAt = max(p.ReceivedAt, l.Now-m.TransitTime)
+	}
+	if !acksThisIncarnation {
+		return
+	}
+	if m.AckedSeq >= p.LeasesSeq {
+		p.LeasesAcked = true
+	}
+	for _, account := range l.Accounts {
+		pending := &account.Pending
+		if pending.LeaseHolder == m.Member && pending.SentSeq > 0 && m.AckedSeq >= pending.SentSeq {
+			pending.Acked = true
+		}
+	}
+}
+
+// alive reports whether a member may become lease holder.
+func (l *Ledger) alive(member string) bool {
+	return member == l.Settings.Self || l.Now-l.peer(member).ReceivedAt < livenessTimeout
+}
+
+// leaseHolder returns the first live member in a scope's own order. The order is that of rendezvous hashing, so that
+// few lease holders change when members do. Silent members before the first live one are pinged, so that one that
+// is back is noticed.
+func (l *Ledger) leaseHolder(scope Scope) string {
+	pings := 0
+	for _, candidate := range rankMembers(l.Settings.Members, scope) {
+		if l.alive(candidate.name) {
+			return candidate.name
+		}
+		p := l.peer(candidate.name)
+		if pings < maxPings && l.Now >= p.PingedAt+pingInterval {
+			p.PingedAt = l.Now
+			l.messageTo(candidate.name).Ping = true
+			pings++
+		}
+	}
+	return l.Settings.Self
+}
+
+// rankedMember is a candidate for lease holder.
+type rankedMember struct {
+	name string
+	hash uint64
+}
+
+// rankMembers sorts members by their rendezvous hash for a scope, the greatest first.
+func rankMembers(members []string, scope Scope) []rankedMember {
+	ranked := make([]rankedMember, 0, len(members))
+	for _, name := range members {
+		ranked = append(ranked, rankedMember{name, rendezvousHash(name, scope)})
+	}
+	slices.SortFunc(ranked, func(x, y rankedMember) int {
+		return cmp.Or(cmp.Compare(y.hash, x.hash), cmp.Compare(x.name, y.name))
+	})
+	return ranked
+}
+
+// rendezvousHash must be the same on all members: it is computed from the name, the destination as eight bytes, the
+// least significant first, and the endpoint.
+func rendezvousHash(member string, scope Scope) uint64 {
+	var destination [8]byte
+	binary.LittleEndian.PutUint64(destination[:], uint64(scope.Destination))
+	var digest xxhash.Digest
+	digest.Reset()
+	// Writes to a digest never fail.
+	_, _ = digest.WriteString(member)
+	_, _ = digest.Write(destination[:])
+	_, _ = digest.WriteString(scope.Endpoint)
+	return digest.Sum64()
+}
--- /dev/null
+++ b/internal/fleet/quota/status.go
@@ -0,0 +1,64 @@
+package quota
+
+import "time"
+
+// OwnRate is how many calls a second of a scope this member may make without a grant.
+func (l *Ledger) OwnRate(now time.Duration, scope Scope) float64 {
+	account := l.Accounts[scope]
+	if account == nil {
+		return 0
+	}
+	l.Now = now
+	return l.ownRate(account)
+}
+
+// GrantRate is how many calls a second of a scope this member may grant as a lease holder.
+func (l *Ledger) GrantRate(now time.Duration, scope Scope) float64 {
+	account := l.Accounts[scope]
+	if account == nil {
+		return 0
+	}
+	held := 0.0
+	for _, lease := range account.HeldLeases {
+		if now < lease.ExpiresAt {
+			held += lease.Rate
+		}
+	}
+	return min(held, lendableFraction*account.Limit) * account.CapacityFraction * (1 - headroomRatio)
+}
+
+// ScopeStatus describes one scope for status reports. Rates are calls a second.
+type ScopeStatus struct {
+	Destination      int     `json:"dest"`
+	Endpoint         string  `json:"route,omitempty"`
+	Limit            float64 `json:"limit"`   // of all members together, from the endpoint list
+	OwnRate          float64 `json:"own"`     // that this member may use without a grant
+	Lent             float64 `json:"lent"`    // the part of its share that others may use
+	LeaseHolder      string  `json:"keeper"`  // the member that gets its leases and requests
+	GrantRate        float64 `json:"mints"`   // that it grants as a lease holder
+	CapacityFraction float64 `json:"belief"`  // as a lease holder: the part of the limit that the destination takes
+	PendingRequests  int     `json:"waiting"` // as a lease holder: requests in its queue
+}
+
+// Status describes all scopes with a limit, sorted.
+func (l *Ledger) Status(now time.Duration) (statuses []ScopeStatus) {
+	for _, scope := range l.scopes() {
+		account := l.Accounts[scope]
+		if account.Limit <= 0 {
+			continue
+		}
+		l.Now = now
+		statuses = append(statuses, ScopeStatus{
+			Destination:      scope.Destination,
+			Endpoint:         scope.Endpoint,
+			Limit:            account.Limit,
+			OwnRate:          l.ownRate(account),
+			Lent:             l.lentRate(account),
+			LeaseHolder:      account.LeaseHolder,
+			GrantRate:        l.GrantRate(now, scope),
+			CapacityFraction: account.CapacityFraction,
+			PendingRequests:  len(account.Queue),
+		})
+	}
+	return statuses
+}
