--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -66,7 +66,7 @@
 
 // client is one connection of a client.
 type client struct {
-	*conn
+	*Conn
 	phase phase // this and since: guarded by clients.mu
 	since time.Time
 	gone  bool
@@ -110,7 +110,7 @@
 			continue
 		}
 		s.makeRoom(false)
-		c := &client{conn: newConn(nc), since: time.Now()}
+		c := &client{Conn: newPeekConn(nc), since: time.Now()}
 		s.mu.Lock()
 		if s.closed && c.quiet() {
 			s.mu.Unlock()
@@ -189,7 +189,7 @@
 
 // quiet tells whether nothing came of a client that was not read: closed over that, its connection would be reset, and
 // a request that was whole be left without an answer. One on which something came is about to be served.
-func (c *client) quiet() bool { return c.ahead() != aheadBytes }
+func (c *client) quiet() bool { return c.Pending() != PendingBytes }
 
 // enter notes what a connection is at; false if it was dropped meanwhile, or is not to be kept.
 func (s *clients) enter(c *client, p phase) bool {
@@ -293,12 +293,12 @@
 // comes waits until a request begins, until by. A deadline that has passed hides what came just before it.
 func (s *clients) comes(c *client, by time.Time) bool {
 	c.SetReadDeadline(by)
-	c.allow(headMost)
-	_, err := c.r.Peek(1)
+	c.AllowBytes(MaxHeaderSize)
+	_, err := c.Reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.SetReadDeadline(time.Time{})
-		if c.ahead() == aheadBytes {
-			_, err = c.r.Peek(1)
+		if c.Pending() == PendingBytes {
+			_, err = c.Reader.Peek(1)
 		}
 	}
 	return err == nil
@@ -306,10 +306,10 @@
 
 // request reads a request and answers it; false if the connection is of no further use.
 func (s *clients) request(c *client) bool {
-	c.keepRaw()
-	req, err := http.ReadRequest(c.r)
-	head := c.kept
-	c.keepNone()
+	c.StartCapture()
+	req, err := http.ReadRequest(c.Reader)
+	head := c.Captured()
+	c.StopCapture()
 	if err != nil {
 		return s.refuse(c, unreadable(err))
 	}
@@ -320,11 +320,11 @@
 	case req.ContentLength > bodyMost:
 		return s.refuse(c, answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"})
 	}
-	c.allow(wireMost)
+	c.AllowBytes(wireMost)
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
-		io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
+		io.WriteString(c.Conn.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	whole := int64(c.r.Buffered()) >= req.ContentLength && req.ContentLength >= 0
+	whole := int64(c.Reader.Buffered()) >= req.ContentLength && req.ContentLength >= 0
 	a := s.answer(c, req)
 	switch {
 	case a.status == 0:
@@ -333,7 +333,7 @@
 		if whole {
 			io.Copy(io.Discard, req.Body) // waits for nothing
 		}
-		if !whole || c.r.Buffered() > 0 {
+		if !whole || c.Reader.Buffered() > 0 {
 			return s.refuse(c, a)
 		}
 	}
@@ -346,7 +346,7 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return answer{status: http.StatusRequestTimeout, text: "request not whole in time"}
-	case errors.Is(err, errTooMuch):
+	case errors.Is(err, ErrReadBudget):
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "head or body too large"}
 	}
 	return bad("unreadable request")
@@ -372,11 +372,11 @@
 	if _, err := s.reply(c, a, true); err != nil || !s.enter(c, lingering) {
 		return false
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+	if half, ok := c.Conn.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
 	c.SetReadDeadline(time.Now().Add(lingerFor))
-	io.Copy(io.Discard, io.LimitReader(c.Conn, lingerMost))
+	io.Copy(io.Discard, io.LimitReader(c.Conn.Conn, lingerMost))
 	return false
 }
 
@@ -430,12 +430,12 @@
 		return bad("%v", err)
 	}
 	m.Deadline = came.Add(left)
-	if m.Body, err = readBody(req); errors.Is(err, errTooMuch) {
+	if m.Body, err = readBody(req); errors.Is(err, ErrReadBudget) {
 		return answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"}
 	} else if err != nil {
 		return unreadable(err)
 	}
-	if c.r.Buffered() > 0 {
+	if c.Reader.Buffered() > 0 {
 		// Clients send one request at a time: the length was wrong, and the body is not what was meant.
 		return bad("more bytes than the length tells")
 	}
@@ -443,13 +443,13 @@
 		return answer{}
 	}
 	in := &handIn{m: m, reply: make(chan answer, 1)}
-	c.watch(nil)
+	c.Watch(nil)
 	if !r.post(in) {
-		c.unwatch()
+		c.Unwatch()
 		return answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
 	}
 	a := <-in.reply
-	if open, _ := c.unwatch(); open {
+	if open, _ := c.Unwatch(); open {
 		return a
 	}
 	// A client that has left without the answer hands the message in anew: this one must not be sent as well.
@@ -468,7 +468,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
 	if err == nil && len(body) > bodyMost {
-		err = errTooMuch
+		err = ErrReadBudget
 	}
 	return body, err
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -335,16 +335,16 @@
 	f.Add([]byte(handInText("a")))
 	f.Add([]byte("POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := newConn(struct{ net.Conn }{})
+		c := newPeekConn(struct{ net.Conn }{})
 		c.Conn = readConn{r: bytes.NewReader(data)}
-		c.allow(headMost)
-		c.keepRaw()
-		req, err := http.ReadRequest(c.r)
+		c.AllowBytes(MaxHeaderSize)
+		c.StartCapture()
+		req, err := http.ReadRequest(c.Reader)
 		if err == nil && len(req.TransferEncoding) > 0 &&
-			bytes.Contains(bytes.ToLower(c.kept), []byte("\ncontent-length:")) {
+			bytes.Contains(bytes.ToLower(c.Captured()), []byte("\ncontent-length:")) {
 			// The head alone counts, so what stands behind it may still hold that text.
-			head, _, _ := bytes.Cut(c.kept, []byte("\r\n\r\n"))
-			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !twoLengths(req, c.kept) {
+			head, _, _ := bytes.Cut(c.Captured(), []byte("\r\n\r\n"))
+			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !twoLengths(req, c.Captured()) {
 				t.Errorf("%q passes", data)
 			}
 		}
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -10,67 +10,71 @@
 )
 
 const (
-	headMost = 16 << 10 // bytes of a request's or an answer's head
-	readRoom = 4 << 10  // bytes read ahead
+	MaxHeaderSize  = 16 << 10 // bytes of a request's or an answer's head
+	readBufferSize = 4 << 10  // bytes read ahead
 )
 
 var (
-	errTooMuch = errors.New("more bytes than are allowed here")
-	longAgo    = time.Unix(1, 0)
+	ErrReadBudget = errors.New("more bytes than are allowed here")
+	Past          = time.Unix(1, 0)
 )
 
-// conn is a connection that messages of HTTP are read from. It bounds what a peer can have read of it, shows what
+// Conn is a connection that messages of HTTP are read from. It bounds what a peer can have read of it, shows what
 // came beyond a message, and notices a peer that speaks or leaves out of turn.
-type conn struct {
+type Conn struct {
 	net.Conn
-	r       *bufio.Reader
-	left    int // bytes that may still come
-	keep    bool
-	kept    []byte // what came since keepFrom
-	watched chan error
+	Reader     *bufio.Reader
+	readBudget int // bytes that may still come
+	capturing  bool
+	captured   []byte     // what came since keepFrom
+	watchDone  chan error // buffered, so that a watch ends also if nobody asks
 }
 
-func newConn(c net.Conn) *conn {
-	x := &conn{Conn: c}
-	x.r = bufio.NewReaderSize(x, readRoom)
+func newPeekConn(c net.Conn) *Conn {
+	x := &Conn{Conn: c}
+	x.Reader = bufio.NewReaderSize(x, readBufferSize)
 	return x
 }
 
-// allow lets n more bytes come. Guards against heads and bodies without end.
-func (c *conn) allow(n int) { c.left = n }
+// AllowBytes lets n more bytes come. Guards against heads and bodies without end.
+func (c *Conn) AllowBytes(n int) { c.readBudget = n }
 
 // Read is for the buffered reader.
-func (c *conn) Read(b []byte) (int, error) {
-	if c.left <= 0 {
-		return 0, errTooMuch
+func (c *Conn) Read(b []byte) (int, error) {
+	if c.readBudget <= 0 {
+		return 0, ErrReadBudget
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
-	if c.keep {
-		c.kept = append(c.kept, b[:n]...)
+	n, err := c.Conn.Read(b[:min(len(b), c.readBudget)])
+	c.readBudget -= n
+	if c.capturing {
+		c.captured = append(c.captured, b[:n]...)
 	}
 	return n, err
 }
 
-// keepRaw has all that comes from here on kept as it is on the wire, in kept, until keepNone.
-func (c *conn) keepRaw() {
-	ahead, _ := c.r.Peek(c.r.Buffered()) // cannot fail: it is there
-	c.keep, c.kept = true, append(c.kept[:0], ahead...)
+// StartCapture has all that comes from here on kept as it is on the wire, in kept, until StopCapture.
+func (c *Conn) StartCapture() {
+	ahead, _ := c.Reader.Peek(c.Reader.Buffered()) // cannot fail: it is there
+	c.capturing, c.captured = true, append(c.captured[:0], ahead...)
 }
 
-func (c *conn) keepNone() {
-	if c.keep = false; cap(c.kept) > readRoom {
-		c.kept = nil
+// Captured is what came since StartCapture. It is overwritten by the next one.
+func (c *Conn) Captured() []byte { return c.captured }
+
+// StopCapture ends what StartCapture began.
+func (c *Conn) StopCapture() {
+	if c.capturing = false; cap(c.captured) > readBufferSize {
+		c.captured = nil
 	}
 }
 
-// watch looks out for a peer that speaks or leaves while nothing is due from it, and tells noticed, if not nil.
-func (c *conn) watch(noticed func()) {
-	c.allow(readRoom)
+// Watch looks out for a peer that speaks or leaves while nothing is due from it, and tells noticed, if not nil.
+func (c *Conn) Watch(noticed func()) {
+	c.AllowBytes(readBufferSize)
 	watched := make(chan error, 1)
-	c.watched = watched
+	c.watchDone = watched
 	go func() {
-		_, err := c.r.Peek(1)
+		_, err := c.Reader.Peek(1)
 		watched <- err
 		if noticed != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			noticed()
@@ -78,39 +82,39 @@
 	}()
 }
 
-// unwatch ends a watch. open is false if the peer has left, quiet is false if it left or spoke.
-func (c *conn) unwatch() (open, quiet bool) {
-	c.SetReadDeadline(longAgo)
-	err := <-c.watched
+// Unwatch ends a watch. open is false if the peer has left, quiet is false if it left or spoke.
+func (c *Conn) Unwatch() (open, quiet bool) {
+	c.SetReadDeadline(Past)
+	err := <-c.watchDone
 	c.SetReadDeadline(time.Time{})
-	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || c.r.Buffered() > 0 {
+	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || c.Reader.Buffered() > 0 {
 		return err == nil, false
 	}
 	// A deadline that has passed hides what came just before it.
-	found := c.ahead()
-	return found != aheadEnd, found == aheadNone
+	found := c.Pending()
+	return found != PendingEnd, found == PendingNone
 }
 
-// ahead is what the system holds of a connection that nobody has read.
-type ahead int
+// PendingInput is what the system holds of a connection that nobody has read.
+type PendingInput int
 
 const (
-	aheadNone  ahead = iota
-	aheadBytes       // the peer spoke
-	aheadEnd         // it has left, or nothing more can be read
+	PendingNone  PendingInput = iota
+	PendingBytes              // the peer spoke
+	PendingEnd                // it has left, or nothing more can be read
 )
 
-// ahead looks at what has come and was not read, without waiting for more.
-func (c *conn) ahead() ahead {
+// Pending looks at what has come and was not read, without waiting for more.
+func (c *Conn) Pending() PendingInput {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return aheadNone // no socket: nothing stands between the peer and a read
+		return PendingNone // no socket: nothing stands between the peer and a read
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return aheadEnd
+		return PendingEnd
 	}
-	found := aheadEnd
+	found := PendingEnd
 	// Not by its Read, which waits for a reader that is at it.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -120,13 +124,13 @@
 		}
 		switch {
 		case err == syscall.EAGAIN:
-			found = aheadNone
+			found = PendingNone
 		case err == nil && n > 0:
-			found = aheadBytes
+			found = PendingBytes
 		}
 	})
 	if err != nil {
-		return aheadEnd
+		return PendingEnd
 	}
 	return found
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -142,7 +142,7 @@
 // exchange writes the request, reads its answer, and keeps or drops the connection.
 func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
 	// A call is given up by closing its connection: no answer to it is read any more.
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(Past) })
 	began := time.Now()
 	err := writeRequest(conn, req)
 	written := err == nil
@@ -206,8 +206,8 @@
 
 // readAnswer reads an answer, to several messages or to one.
 func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
-	conn.allow(headMost)
-	if _, a.err = conn.r.Peek(1); a.err != nil {
+	conn.AllowBytes(MaxHeaderSize)
+	if _, a.err = conn.Reader.Peek(1); a.err != nil {
 		return a
 	}
 	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
@@ -215,10 +215,10 @@
 	conn.SetReadDeadline(a.came.Add(wholeFor))
 	for range informMost {
 		var line []byte
-		if line, a.err = peekLine(conn.r); a.err != nil {
+		if line, a.err = peekLine(conn.Reader); a.err != nil {
 			return a
 		}
-		if a.head, a.err = http.ReadResponse(conn.r, req); a.err != nil {
+		if a.head, a.err = http.ReadResponse(conn.Reader, req); a.err != nil {
 			a.head = firstLine(line, req)
 			return a
 		}
@@ -262,7 +262,7 @@
 	if head.ContentLength > bodyMost {
 		return nil, errSpoilt
 	}
-	conn.allow(wireMost)
+	conn.AllowBytes(wireMost)
 	rest := io.LimitReader(head.Body, bodyMost+1)
 	if several && head.StatusCode == http.StatusOK {
 		if body, err = io.ReadAll(rest); err == nil && len(body) > bodyMost {
@@ -274,7 +274,7 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case conn.r.Buffered() > 0, head.Close, head.ContentLength < 0 && len(head.TransferEncoding) == 0:
+	case conn.Reader.Buffered() > 0, head.Close, head.ContentLength < 0 && len(head.TransferEncoding) == 0:
 		return body, errLast
 	}
 	return body, nil
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -658,14 +658,14 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"+okAnswer+okAnswer), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n[{\"id\":\"a\"}]"), true)
 	f.Fuzz(func(t *testing.T, data []byte, several bool) {
-		conn := &hostConn{conn: newConn(readConn{r: bytes.NewReader(data)})}
+		conn := &hostConn{Conn: newPeekConn(readConn{r: bytes.NewReader(data)})}
 		c := newCall("x:1", "a")
 		req, err := newRequest(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		a := readAnswer(conn, req, several)
-		if a.err == nil && (a.head == nil || conn.r.Buffered() > 0) {
+		if a.err == nil && (a.head == nil || conn.Reader.Buffered() > 0) {
 			t.Errorf("%q can carry another call", data)
 		}
 		if len(a.body) > bodyMost {
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -42,15 +42,15 @@
 var peerActs = []struct {
 	name        string
 	act         func(peer net.Conn)
-	ahead       ahead
+	ahead       PendingInput
 	open, quiet bool
 }{
-	{"nothing", func(net.Conn) {}, aheadNone, true, true},
-	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, aheadBytes, true, false},
-	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, aheadEnd, false, false},
-	{"a close", func(p net.Conn) { p.Close() }, aheadEnd, false, false},
-	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, aheadEnd, false, false},
-	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, aheadBytes, true, false},
+	{"nothing", func(net.Conn) {}, PendingNone, true, true},
+	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, PendingBytes, true, false},
+	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, PendingEnd, false, false},
+	{"a close", func(p net.Conn) { p.Close() }, PendingEnd, false, false},
+	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, PendingEnd, false, false},
+	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, PendingBytes, true, false},
 }
 
 // A deadline that has passed hides what the system holds already. Here it has passed before the watch begins.
@@ -58,13 +58,13 @@
 	for _, c := range peerActs {
 		t.Run(c.name, func(t *testing.T) {
 			ours, peer := pair(t)
-			x := newConn(ours)
-			x.SetReadDeadline(longAgo)
-			x.watch(nil)
-			eventually(t, "the watch has ended", func() bool { return len(x.watched) == 1 })
+			x := newPeekConn(ours)
+			x.SetReadDeadline(Past)
+			x.Watch(nil)
+			eventually(t, "the watch has ended", func() bool { return len(x.watchDone) == 1 })
 			c.act(peer)
-			eventually(t, "the system has it", func() bool { return x.ahead() == c.ahead })
-			if open, quiet := x.unwatch(); open != c.open || quiet != c.quiet {
+			eventually(t, "the system has it", func() bool { return x.Pending() == c.ahead })
+			if open, quiet := x.Unwatch(); open != c.open || quiet != c.quiet {
 				t.Errorf("open %v, quiet %v; want %v, %v", open, quiet, c.open, c.quiet)
 			}
 		})
@@ -97,12 +97,12 @@
 				t.Fatalf("the first call: %v", r[0].outcome)
 			}
 			kept := h.takeIdle(peer{"s-1", addr})
-			kept.unwatch()
-			kept.SetReadDeadline(longAgo) // its watch will see nothing
+			kept.Unwatch()
+			kept.SetReadDeadline(Past) // its watch will see nothing
 			kept.keep()
-			eventually(t, "the watch has ended", func() bool { return len(kept.watched) == 1 || requests.Load() > 1 })
+			eventually(t, "the watch has ended", func() bool { return len(kept.watchDone) == 1 || requests.Load() > 1 })
 			c.act(<-served)
-			eventually(t, "the system has it", func() bool { return kept.ahead() != aheadNone })
+			eventually(t, "the system has it", func() bool { return kept.Pending() != PendingNone })
 			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Overloaded {
 				t.Errorf("the second call: %v, want the host's own answer to it", r[0].outcome)
 			}
@@ -164,16 +164,16 @@
 				return answer{status: http.StatusAccepted}
 			})
 			ours, peer := pair(t)
-			x := &client{conn: newConn(ours), phase: c.phase, since: time.Now().Add(-time.Minute)}
+			x := &client{Conn: newPeekConn(ours), phase: c.phase, since: time.Now().Add(-time.Minute)}
 			s.conns[x] = struct{}{}
 			// Beside it one that may go: it is the newer, and the last choice.
 			other, _ := pair(t)
-			y := &client{conn: newConn(other), phase: idle, since: time.Now().Add(-spareFor / 2)}
+			y := &client{Conn: newPeekConn(other), phase: idle, since: time.Now().Add(-spareFor / 2)}
 			s.conns[y] = struct{}{}
 			if _, err := io.WriteString(peer, text); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "the request is there", func() bool { return x.ahead() == aheadBytes })
+			eventually(t, "the request is there", func() bool { return x.Pending() == PendingBytes })
 			c.close(t, s)
 			served := make(chan struct{})
 			go func() { s.serve(x); close(served) }()
@@ -205,10 +205,10 @@
 	s := newClients(quiet(), 100, nil)
 	for _, c := range peerActs {
 		ours, peer := pair(t)
-		x := &client{conn: newConn(ours)}
+		x := &client{Conn: newPeekConn(ours)}
 		c.act(peer)
-		eventually(t, c.name, func() bool { return x.ahead() == c.ahead })
-		if comes := s.comes(x, longAgo); comes != (c.ahead == aheadBytes) {
+		eventually(t, c.name, func() bool { return x.Pending() == c.ahead })
+		if comes := s.comes(x, Past); comes != (c.ahead == PendingBytes) {
 			t.Errorf("%s: comes %v", c.name, comes)
 		}
 	}
@@ -230,14 +230,14 @@
 	go r.loop(ctx)
 	defer func() { stop(); <-r.over }()
 	ours, peer := pair(t)
-	x := &client{conn: newConn(ours), phase: idle, since: time.Now()}
+	x := &client{Conn: newPeekConn(ours), phase: idle, since: time.Now()}
 	r.clients.mu.Lock()
 	r.clients.conns[x] = struct{}{}
 	r.clients.mu.Unlock()
 	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the request is there", func() bool { return x.ahead() == aheadBytes })
+	eventually(t, "the request is there", func() bool { return x.Pending() == PendingBytes })
 	r.clients.drain()
 	go r.clients.serve(x)
 	if res := read(t, bufio.NewReader(peer)); res.StatusCode != http.StatusAccepted || !res.Close {
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -40,7 +40,7 @@
 
 // hostConn is a connection to a host.
 type hostConn struct {
-	*conn
+	*Conn
 	pool  *pool
 	peer  peer
 	since time.Time // idle since then
@@ -61,7 +61,7 @@
 // get returns an idle connection to a host, else a new one; fresh tells which.
 func (p *pool) get(ctx context.Context, to peer) (c *hostConn, fresh bool, err error) {
 	for c := p.takeIdle(to); c != nil; c = p.takeIdle(to) {
-		if _, quiet := c.unwatch(); quiet && time.Since(c.since) < p.idleFor {
+		if _, quiet := c.Unwatch(); quiet && time.Since(c.since) < p.idleFor {
 			return c, false, nil
 		}
 		c.drop() // closed by the host, or something came that no call had asked for
@@ -109,7 +109,7 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	return &hostConn{conn: newConn(nc), pool: p, peer: to}, nil
+	return &hostConn{Conn: newPeekConn(nc), pool: p, peer: to}, nil
 }
 
 // takeIdle takes the connection that was used last out of the pool; nil if there is none.
@@ -147,7 +147,7 @@
 		p.hosts[c.peer.route]++
 	}
 	p.idle[c.peer] = append(p.idle[c.peer], c)
-	c.watch(dropIdle)
+	c.Watch(dropIdle)
 }
 
 func (c *hostConn) drop() {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -206,7 +206,7 @@
 		r.clients.mu.Lock()
 		defer r.clients.mu.Unlock()
 		for c := range r.clients.conns {
-			if c.phase == busy && len(c.watched) == 1 {
+			if c.phase == busy && len(c.watchDone) == 1 {
 				return true
 			}
 		}
