--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -31,7 +32,7 @@
 			given := make(chan struct{}) // the short one is given up on
 			var mu sync.Mutex
 			var first []string
-			addr, _ := rawHost(t, func(_ int, conn net.Conn, req *http.Request) bool {
+			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 				var items []item
 				if err := json.NewDecoder(req.Body).Decode(&items); err != nil || len(items) != 3 {
 					t.Errorf("%d messages, %v", len(items), err)
@@ -80,7 +81,7 @@
 // has.
 func TestACallIsNoLongerThanWhatStillLeaves(t *testing.T) {
 	expires := make(chan string, 1)
-	addr, _ := rawHost(t, func(_ int, _ net.Conn, req *http.Request) bool {
+	addr, _ := nettest.RawServer(t, func(_ int, _ net.Conn, req *http.Request) bool {
 		expires <- req.Header.Get("X-Expires-In-Ms")
 		return true
 	})
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -17,6 +17,7 @@
 	"sync"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -66,7 +67,7 @@
 
 // client is one connection of a client.
 type client struct {
-	*Conn
+	*netconn.Conn
 	phase phase // this and since: guarded by clients.mu
 	since time.Time
 	gone  bool
@@ -110,7 +111,7 @@
 			continue
 		}
 		s.makeRoom(false)
-		c := &client{Conn: newPeekConn(nc), since: time.Now()}
+		c := &client{Conn: netconn.New(nc), since: time.Now()}
 		s.mu.Lock()
 		if s.closed && c.quiet() {
 			s.mu.Unlock()
@@ -189,7 +190,7 @@
 
 // quiet tells whether nothing came of a client that was not read: closed over that, its connection would be reset, and
 // a request that was whole be left without an answer. One on which something came is about to be served.
-func (c *client) quiet() bool { return c.Pending() != PendingBytes }
+func (c *client) quiet() bool { return c.Pending() != netconn.PendingBytes }
 
 // enter notes what a connection is at; false if it was dropped meanwhile, or is not to be kept.
 func (s *clients) enter(c *client, p phase) bool {
@@ -293,11 +294,11 @@
 // comes waits until a request begins, until by. A deadline that has passed hides what came just before it.
 func (s *clients) comes(c *client, by time.Time) bool {
 	c.SetReadDeadline(by)
-	c.AllowBytes(MaxHeaderSize)
+	c.AllowBytes(netconn.MaxHeaderSize)
 	_, err := c.Reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.SetReadDeadline(time.Time{})
-		if c.Pending() == PendingBytes {
+		if c.Pending() == netconn.PendingBytes {
 			_, err = c.Reader.Peek(1)
 		}
 	}
@@ -346,7 +347,7 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return answer{status: http.StatusRequestTimeout, text: "request not whole in time"}
-	case errors.Is(err, ErrReadBudget):
+	case errors.Is(err, netconn.ErrReadBudget):
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "head or body too large"}
 	}
 	return bad("unreadable request")
@@ -430,7 +431,7 @@
 		return bad("%v", err)
 	}
 	m.Deadline = came.Add(left)
-	if m.Body, err = readBody(req); errors.Is(err, ErrReadBudget) {
+	if m.Body, err = readBody(req); errors.Is(err, netconn.ErrReadBudget) {
 		return answer{status: http.StatusRequestEntityTooLarge, text: "body over 64 KiB"}
 	} else if err != nil {
 		return unreadable(err)
@@ -468,7 +469,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
 	if err == nil && len(body) > bodyMost {
-		err = ErrReadBudget
+		err = netconn.ErrReadBudget
 	}
 	return body, err
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -11,7 +11,9 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -173,7 +175,7 @@
 		t.Error("kept in a crowd")
 	}
 	closed(t, "the second", second)
-	eventually(
+	nettest.Eventually(
 		t,
 		"room again",
 		func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 },
@@ -335,9 +337,9 @@
 	f.Add([]byte(handInText("a")))
 	f.Add([]byte("POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := newPeekConn(struct{ net.Conn }{})
+		c := netconn.New(struct{ net.Conn }{})
 		c.Conn = readConn{r: bytes.NewReader(data)}
-		c.AllowBytes(MaxHeaderSize)
+		c.AllowBytes(netconn.MaxHeaderSize)
 		c.StartCapture()
 		req, err := http.ReadRequest(c.Reader)
 		if err == nil && len(req.TransferEncoding) > 0 &&
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -18,8 +18,8 @@
 		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "backoff.period", "policy.toldShare",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.MaxHeaderSize",
-		"relay.readBufferSize", "relay.entriesMost", "relay.entryMost", "relay.listFor", "relay.noticeMost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchTimeout",
+		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
+		"netconn.readBufferSize", "relay.entriesMost", "relay.entryMost", "relay.listFor", "relay.noticeMost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
@@ -59,7 +59,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "ratelog", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "netconn", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
@@ -61,7 +62,7 @@
 		if l.Version != 9 || !l.Full {
 			t.Errorf("told %+v", l)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Errorf("never told after %d calls", calls.Load())
 	}
 	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
@@ -96,7 +97,7 @@
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
 	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(old)), silence: patience, told: func(l List) { told <- l },
+		log: quiet(), agent: newAgent(addrOf(old)), silence: nettest.Patience, told: func(l List) { told <- l },
 		herd: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
 	}
 	go func() { w.run(ctx); close(ended) }()
@@ -107,7 +108,7 @@
 			if l.Version != version {
 				t.Errorf("told version %d, want %d", l.Version, version)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("version %d never told", version)
 		}
 	}
@@ -189,7 +190,7 @@
 	go func() { w.run(ctx); close(ended) }()
 	select {
 	case <-told:
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Fatal("never told")
 	}
 	// Four silent calls and the pauses between; as one of a fleet that asks, the pauses alone are over twenty seconds.
@@ -297,7 +298,7 @@
 			var since time.Time
 			select {
 			case since = <-had:
-			case <-time.After(patience):
+			case <-time.After(nettest.Patience):
 				t.Fatal("no second call")
 			}
 			select {
@@ -307,7 +308,7 @@
 				} else {
 					t.Logf("told after %v", took)
 				}
-			case <-time.After(patience):
+			case <-time.After(nettest.Patience):
 				t.Error("never told")
 			}
 		})
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -17,6 +17,7 @@
 	"strings"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -142,7 +143,7 @@
 // exchange writes the request, reads its answer, and keeps or drops the connection.
 func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
 	// A call is given up by closing its connection: no answer to it is read any more.
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(Past) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(netconn.Past) })
 	began := time.Now()
 	err := writeRequest(conn, req)
 	written := err == nil
@@ -206,7 +207,7 @@
 
 // readAnswer reads an answer, to several messages or to one.
 func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
-	conn.AllowBytes(MaxHeaderSize)
+	conn.AllowBytes(netconn.MaxHeaderSize)
 	if _, a.err = conn.Reader.Peek(1); a.err != nil {
 		return a
 	}
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
@@ -17,12 +16,12 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-const patience = 10 * time.Second // longer than any condition takes
-
 func testConfig() Config {
 	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
 	c.setDefaults()
@@ -37,7 +36,7 @@
 
 // newCall is a call to addr with messages of these ids.
 func newCall(addr string, ids ...string) *call {
-	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(patience)}
+	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(nettest.Patience)}
 	for _, id := range ids {
 		m := &message{
 			Message: &journal.Message{TraceID: id, IdempotencyKey: "key-" + id, Body: []byte("body of " + id)},
@@ -49,60 +48,8 @@
 
 func yes(c *call) []*attempt { return c.attempts }
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
-		}
-	}
-}
-
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// rawHost reads whole requests on plain sockets and hands each to serve, with its place among all, from 1.
-// serve returns false to close the connection.
-func rawHost(
-	t *testing.T,
-	serve func(n int, conn net.Conn, req *http.Request) bool,
-) (addr string, requests *atomic.Int32) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	requests = new(atomic.Int32)
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer conn.Close()
-				r := bufio.NewReader(conn)
-				for {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(req.Body)
-					if err != nil {
-						return
-					}
-					req.Body = io.NopCloser(bytes.NewReader(body))
-					if !serve(int(requests.Add(1)), conn, req) {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return l.Addr().String(), requests
-}
-
 func TestASingleCallCarriesTheMessageUnchanged(t *testing.T) {
 	type seen struct {
 		path, id, key, expires, body string
@@ -132,7 +79,7 @@
 // before, and no byte of an answer came.
 func TestNothingIsSentAgainByItself(t *testing.T) {
 	for _, body := range []string{"some", ""} {
-		addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
+		addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 			if n == 1 {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
@@ -177,7 +124,7 @@
 	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].outcome != policy.ConnectFailed {
 		t.Errorf("outcome %v", r[0].outcome)
 	}
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > nettest.Patience/2 {
 		t.Errorf("took %v", took)
 	}
 	if h.open != 0 {
@@ -202,7 +149,7 @@
 }
 
 func TestABreakBeforeTheLastByteNeverRan(t *testing.T) {
-	addr, requests := rawHost(t, func(int, net.Conn, *http.Request) bool { return true })
+	addr, requests := nettest.RawServer(t, func(int, net.Conn, *http.Request) bool { return true })
 	h := testHosts(t, testConfig())
 	h.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
@@ -234,13 +181,13 @@
 	}
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Error("the host still has the connection")
 	}
 }
 
 func TestACallIsLookedAtAgainOnceItsConnectionIsUp(t *testing.T) {
-	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+	addr, requests := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -310,7 +257,7 @@
 	}
 	select {
 	case <-closed: // the server sets no limit of its own: the relay closed it
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Error("still open")
 	}
 }
@@ -440,7 +387,7 @@
 }
 
 func TestABundlesAnswerMustBeWhole(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
@@ -454,23 +401,21 @@
 	}
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-
 // An answer brings more than belongs to it: the rest must not answer the next call.
 func TestWhatComesBehindAnAnswerAnswersNoOtherCall(t *testing.T) {
-	for _, behind := range []string{okAnswer, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
+	for _, behind := range []string{nettest.OKResponse, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
 			var conns sync.Map
-			addr, _ := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
+			addr, _ := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 				conns.Store(conn, true)
 				switch {
 				case n > 1:
 					fmt.Fprint(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 				case late:
-					fmt.Fprint(conn, okAnswer)
+					fmt.Fprint(conn, nettest.OKResponse)
 					fmt.Fprint(conn, behind)
 				default:
-					fmt.Fprint(conn, okAnswer+behind)
+					fmt.Fprint(conn, nettest.OKResponse+behind)
 				}
 				return true
 			})
@@ -478,7 +423,7 @@
 			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
 				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
 			}
-			eventually(
+			nettest.Eventually(
 				t,
 				"the connection dropped",
 				func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 },
@@ -519,7 +464,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				io.WriteString(conn, c.answer) // and the connection stays open
 				return true
 			})
@@ -550,8 +495,8 @@
 
 // 1xx answers come ahead of the one that counts, and a connection that carried them can carry more.
 func TestInformationAheadOfAnAnswer(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+okAnswer)
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+nettest.OKResponse)
 		return true
 	})
 	h := testHosts(t, testConfig())
@@ -587,8 +532,8 @@
 
 // A host's connections go with it: another one may come up at its address.
 func TestAHostThatGoesLosesItsConnections(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, okAnswer)
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	h := testHosts(t, testConfig())
@@ -608,8 +553,8 @@
 
 // A host that closes an idle connection is noticed before a request is written to it.
 func TestAnIdleCloseIsNoticed(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, okAnswer)
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		fmt.Fprint(conn, nettest.OKResponse)
 		return false
 	})
 	h := testHosts(t, testConfig())
@@ -617,7 +562,7 @@
 		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
 			t.Errorf("outcome %v", r[0].outcome)
 		}
-		eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
+		nettest.Eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 	}
 }
 
@@ -636,8 +581,8 @@
 
 // Took is from the request's writing: a connection that is slow to come up says nothing of how long answers take.
 func TestACallIsTimedFromItsWriting(t *testing.T) {
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, okAnswer)
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	h := testHosts(t, testConfig())
@@ -654,11 +599,11 @@
 }
 
 func FuzzAnswers(f *testing.F) {
-	f.Add([]byte(okAnswer), true)
-	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"+okAnswer+okAnswer), false)
+	f.Add([]byte(nettest.OKResponse), true)
+	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"+nettest.OKResponse+nettest.OKResponse), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n[{\"id\":\"a\"}]"), true)
 	f.Fuzz(func(t *testing.T, data []byte, several bool) {
-		conn := &hostConn{Conn: newPeekConn(readConn{r: bytes.NewReader(data)})}
+		conn := &hostConn{Conn: netconn.New(readConn{r: bytes.NewReader(data)})}
 		c := newCall("x:1", "a")
 		req, err := newRequest(c)
 		if err != nil {
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -14,6 +14,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
 // oldShape is how the shape of a file was taken when it was read as a tree.
@@ -136,7 +137,7 @@
 // A process of a long list hands over what its module knows. The other one begins from the list that it knows itself,
 // knows better of what is in use, and asks for the whole.
 func TestTakingOverALongList(t *testing.T) {
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	for name, edit := range map[string]func(*hotrestart.State){
 		"the same form": func(*hotrestart.State) {}, "another form": func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	} {
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -16,6 +16,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
 // A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its
@@ -76,7 +77,7 @@
 	lists, ended := make(chan List, 64), make(chan struct{})
 	defer func() { stop(); <-ended }()
 	w := watcher{
-		log: log, agent: newAgent(addr), silence: patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
+		log: log, agent: newAgent(addr), silence: nettest.Patience, version: version, told: func(l List) { lists <- l }, herd: backoff.Backoff{Clients: 1},
 		unread: ratelog.Warning{Message: "unreadable line of the watch"}, listing: newTestRelay(t).cfg.listing,
 	}
 	go func() { w.run(ctx); close(ended) }()
@@ -84,7 +85,7 @@
 		select {
 		case l := <-lists:
 			told = append(told, l)
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("told %d lists only: %+v", len(told), told)
 		}
 	}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -19,6 +19,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -105,7 +106,7 @@
 // drive takes the loop's part until ok holds.
 func drive(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); {
+	for end := time.Now().Add(nettest.Patience); !ok(); {
 		select {
 		case e := <-r.events:
 			if batch := r.gather(nil, e); len(batch) > 0 || len(r.later) > 0 {
@@ -172,7 +173,7 @@
 func TestALongListIsToldAsFarAsItIsUsed(t *testing.T) {
 	const dests = 6000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	first, last := liveText("s-1", addr, 7, "ready"), liveText("s-last", addr, 99, "ready")
 	follow(t, r, a)
 	a.tell(t, r, listText(2, dests, first, last))
@@ -229,8 +230,8 @@
 // next.
 func TestWakingWhileTheOnlyHostDrains(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
-	old, oldRequests := rawHost(t, answers)
-	next, nextRequests := rawHost(t, answers)
+	old, oldRequests := nettest.RawServer(t, answers)
+	next, nextRequests := nettest.RawServer(t, answers)
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 3000, liveText("s-old", old, 50, "draining")))
 	drive(t, r, "the list is known", func() bool { return r.version == 2 })
@@ -249,7 +250,7 @@
 	for name, rest := range map[string]int{"a small site": 1, "a long list": 3000} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			addr, requests := rawHost(t, answers)
+			addr, requests := nettest.RawServer(t, answers)
 			follow(t, r, a)
 			for i, dest := range []int{50, 51, 50, 51} {
 				a.tell(t, r, listText(2+i, rest, liveText("s-moves", addr, dest, "ready")))
@@ -264,7 +265,7 @@
 func TestThousandsWakeAtOnce(t *testing.T) {
 	const dests, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	var hosts []string
 	for i := range dests {
 		hosts = append(hosts, liveText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
@@ -293,7 +294,7 @@
 		})
 	}
 	clients.Wait()
-	eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
+	nettest.Eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
 	t.Logf("%d woken and delivered in %v", dests, time.Since(began))
 }
 
@@ -302,11 +303,11 @@
 func TestADrainBehindALongList(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
-	old, oldRequests := rawHost(t, func(n int, conn net.Conn, req *http.Request) bool {
+	old, oldRequests := nettest.RawServer(t, func(n int, conn net.Conn, req *http.Request) bool {
 		last.Store(time.Now().UnixNano())
 		return answers(n, conn, req)
 	})
-	next, nextRequests := rawHost(t, answers)
+	next, nextRequests := nettest.RawServer(t, answers)
 	run(t, r)
 	follow(t, r, a)
 	servers := func(version int, full bool, old, next string, more []byte) []byte {
@@ -329,7 +330,7 @@
 			}
 		}
 	}()
-	eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
+	nettest.Eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
 	var more []byte
 	for i := range longList {
 		more = append(append(more, hostText(i, i/2, "ready")...), ',')
@@ -338,7 +339,7 @@
 	a.texts <- text
 	told := <-a.written
 	was := nextRequests.Load()
-	eventually(t, "the other one is used", func() bool {
+	nettest.Eventually(t, "the other one is used", func() bool {
 		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.Grace+300*time.Millisecond
 	})
 	lag := time.Unix(0, last.Load()).Sub(told)
@@ -353,7 +354,7 @@
 func TestALongListThatBreaksOff(t *testing.T) {
 	const dests = 4000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	live := liveText("s-new", addr, 50, "ready")
 	follow(t, r, a, func(w *watcher) { w.silence, w.within = 300*time.Millisecond, 600*time.Millisecond })
 	whole := listText(9, dests, live)
@@ -533,7 +534,7 @@
 // What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the
 // standing of a host.
 func TestARestartWakesWhatItNeeds(t *testing.T) {
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
 		m := &journal.Message{
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -11,64 +11,27 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Bytes and ends that arrive in the very moment in which the relay uses or closes a connection. The order is made by
 // hand: what reads a connection is held back until the system has what the peer sent.
 
-// pair is a connection of real sockets: the relay's side and the peer's.
-func pair(t *testing.T) (ours, peer net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	peer, err = net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	ours, err = l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ours.Close(); peer.Close() })
-	peer.SetDeadline(time.Now().Add(patience))
-	return ours, peer
-}
-
 // peerActs are what a peer may do in the last moment, and what is then to be seen of it.
 var peerActs = []struct {
 	name        string
 	act         func(peer net.Conn)
-	ahead       PendingInput
+	ahead       netconn.PendingInput
 	open, quiet bool
 }{
-	{"nothing", func(net.Conn) {}, PendingNone, true, true},
-	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, PendingBytes, true, false},
-	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, PendingEnd, false, false},
-	{"a close", func(p net.Conn) { p.Close() }, PendingEnd, false, false},
-	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, PendingEnd, false, false},
-	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, PendingBytes, true, false},
-}
-
-// A deadline that has passed hides what the system holds already. Here it has passed before the watch begins.
-func TestAWatchSeesWhatCameBeforeItsEnd(t *testing.T) {
-	for _, c := range peerActs {
-		t.Run(c.name, func(t *testing.T) {
-			ours, peer := pair(t)
-			x := newPeekConn(ours)
-			x.SetReadDeadline(Past)
-			x.Watch(nil)
-			eventually(t, "the watch has ended", func() bool { return len(x.watchDone) == 1 })
-			c.act(peer)
-			eventually(t, "the system has it", func() bool { return x.Pending() == c.ahead })
-			if open, quiet := x.Unwatch(); open != c.open || quiet != c.quiet {
-				t.Errorf("open %v, quiet %v; want %v, %v", open, quiet, c.open, c.quiet)
-			}
-		})
-	}
+	{"nothing", func(net.Conn) {}, netconn.PendingNone, true, true},
+	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, netconn.PendingBytes, true, false},
+	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, netconn.PendingEnd, false, false},
+	{"a close", func(p net.Conn) { p.Close() }, netconn.PendingEnd, false, false},
+	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, netconn.PendingEnd, false, false},
+	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, netconn.PendingBytes, true, false},
 }
 
 // A kept connection on which the host spoke or left in the moment of its next use carries no call: what stands there
@@ -78,31 +41,44 @@
 		name string
 		act  func(conn net.Conn)
 	}{
-		{"an answer that nobody asked for", func(conn net.Conn) { io.WriteString(conn, okAnswer) }},
+		{"an answer that nobody asked for", func(conn net.Conn) { io.WriteString(conn, nettest.OKResponse) }},
 		{"a close", func(conn net.Conn) { conn.Close() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			served := make(chan net.Conn, 2)
-			addr, requests := rawHost(t, func(n int, conn net.Conn, _ *http.Request) bool {
+			addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 				served <- conn
 				if n > 1 {
 					fmt.Fprint(conn, "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n")
 				} else {
-					fmt.Fprint(conn, okAnswer)
+					fmt.Fprint(conn, nettest.OKResponse)
 				}
 				return true
 			})
 			h := testHosts(t, testConfig())
+			var observed *nettest.ObservedConn
+			h.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+				if err != nil {
+					return nil, err
+				}
+				dialed := &nettest.ObservedConn{TCPConn: conn.(*net.TCPConn)}
+				if observed == nil {
+					observed = dialed
+				}
+				return dialed, nil
+			}
 			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
 				t.Fatalf("the first call: %v", r[0].outcome)
 			}
 			kept := h.takeIdle(peer{"s-1", addr})
 			kept.Unwatch()
-			kept.SetReadDeadline(Past) // its watch will see nothing
+			failedBefore := observed.FailedReads()
+			kept.SetReadDeadline(netconn.Past) // its watch will see nothing
 			kept.keep()
-			eventually(t, "the watch has ended", func() bool { return len(kept.watchDone) == 1 || requests.Load() > 1 })
+			nettest.Eventually(t, "the watch has ended", func() bool { return observed.FailedReads() > failedBefore || requests.Load() > 1 })
 			c.act(<-served)
-			eventually(t, "the system has it", func() bool { return kept.Pending() != PendingNone })
+			nettest.Eventually(t, "the system has it", func() bool { return kept.Pending() != netconn.PendingNone })
 			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Overloaded {
 				t.Errorf("the second call: %v, want the host's own answer to it", r[0].outcome)
 			}
@@ -112,8 +88,8 @@
 
 // A call that was held up on its way to a kept connection, as by a slow journal, is looked at again before it leaves.
 func TestACallThatWasHeldUpIsLookedAtAgain(t *testing.T) {
-	addr, requests := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, okAnswer)
+	addr, requests := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	h := testHosts(t, testConfig())
@@ -163,17 +139,17 @@
 				io.Copy(io.Discard, req.Body)
 				return answer{status: http.StatusAccepted}
 			})
-			ours, peer := pair(t)
-			x := &client{Conn: newPeekConn(ours), phase: c.phase, since: time.Now().Add(-time.Minute)}
+			ours, peer := nettest.Pair(t)
+			x := &client{Conn: netconn.New(ours), phase: c.phase, since: time.Now().Add(-time.Minute)}
 			s.conns[x] = struct{}{}
 			// Beside it one that may go: it is the newer, and the last choice.
-			other, _ := pair(t)
-			y := &client{Conn: newPeekConn(other), phase: idle, since: time.Now().Add(-spareFor / 2)}
+			other, _ := nettest.Pair(t)
+			y := &client{Conn: netconn.New(other), phase: idle, since: time.Now().Add(-spareFor / 2)}
 			s.conns[y] = struct{}{}
 			if _, err := io.WriteString(peer, text); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "the request is there", func() bool { return x.Pending() == PendingBytes })
+			nettest.Eventually(t, "the request is there", func() bool { return x.Pending() == netconn.PendingBytes })
 			c.close(t, s)
 			served := make(chan struct{})
 			go func() { s.serve(x); close(served) }()
@@ -194,9 +170,9 @@
 func closing(t *testing.T, s *clients) {
 	ended := make(chan struct{})
 	s.finish()
-	go func() { s.close(time.Now().Add(patience)); close(ended) }()
+	go func() { s.close(time.Now().Add(nettest.Patience)); close(ended) }()
 	t.Cleanup(func() { <-ended })
-	eventually(t, "the end has begun", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.closed })
+	nettest.Eventually(t, "the end has begun", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.closed })
 }
 
 // A request that comes in the last moment of a connection's time is read, one that never comes is not waited for; and
@@ -204,11 +180,11 @@
 func TestARequestInTheLastMomentOfAConnection(t *testing.T) {
 	s := newClients(quiet(), 100, nil)
 	for _, c := range peerActs {
-		ours, peer := pair(t)
-		x := &client{Conn: newPeekConn(ours)}
+		ours, peer := nettest.Pair(t)
+		x := &client{Conn: netconn.New(ours)}
 		c.act(peer)
-		eventually(t, c.name, func() bool { return x.Pending() == c.ahead })
-		if comes := s.comes(x, Past); comes != (c.ahead == PendingBytes) {
+		nettest.Eventually(t, c.name, func() bool { return x.Pending() == c.ahead })
+		if comes := s.comes(x, netconn.Past); comes != (c.ahead == netconn.PendingBytes) {
 			t.Errorf("%s: comes %v", c.name, comes)
 		}
 	}
@@ -229,15 +205,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go r.loop(ctx)
 	defer func() { stop(); <-r.over }()
-	ours, peer := pair(t)
-	x := &client{Conn: newPeekConn(ours), phase: idle, since: time.Now()}
+	ours, peer := nettest.Pair(t)
+	x := &client{Conn: netconn.New(ours), phase: idle, since: time.Now()}
 	r.clients.mu.Lock()
 	r.clients.conns[x] = struct{}{}
 	r.clients.mu.Unlock()
 	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the request is there", func() bool { return x.Pending() == PendingBytes })
+	nettest.Eventually(t, "the request is there", func() bool { return x.Pending() == netconn.PendingBytes })
 	r.clients.drain()
 	go r.clients.serve(x)
 	if res := read(t, bufio.NewReader(peer)); res.StatusCode != http.StatusAccepted || !res.Close {
--- a/internal/relay/conn.go
+++ b/internal/relay/netconn/netconn.go
@@ -1,4 +1,4 @@
-package relay
+package netconn
 
 import (
 	"bufio"
@@ -30,7 +30,7 @@
 	watchDone  chan error // buffered, so that a watch ends also if nobody asks
 }
 
-func newPeekConn(c net.Conn) *Conn {
+func New(c net.Conn) *Conn {
 	x := &Conn{Conn: c}
 	x.Reader = bufio.NewReaderSize(x, readBufferSize)
 	return x
--- /dev/null
+++ b/internal/relay/netconn/netconn_test.go
@@ -0,0 +1,42 @@
+package netconn
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+)
+
+// peerActs are what a peer may do in the last moment, and what is then to be seen of it.
+var peerActs = []struct {
+	name        string
+	act         func(peer net.Conn)
+	ahead       PendingInput
+	open, quiet bool
+}{
+	{"nothing", func(net.Conn) {}, PendingNone, true, true},
+	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, PendingBytes, true, false},
+	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, PendingEnd, false, false},
+	{"a close", func(p net.Conn) { p.Close() }, PendingEnd, false, false},
+	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, PendingEnd, false, false},
+	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, PendingBytes, true, false},
+}
+
+// A deadline that has passed hides what the system holds already. Here it has passed before the watch begins.
+func TestAWatchSeesWhatCameBeforeItsEnd(t *testing.T) {
+	for _, c := range peerActs {
+		t.Run(c.name, func(t *testing.T) {
+			ours, peer := nettest.Pair(t)
+			x := New(ours)
+			x.SetReadDeadline(Past)
+			x.Watch(nil)
+			nettest.Eventually(t, "the watch has ended", func() bool { return len(x.watchDone) == 1 })
+			c.act(peer)
+			nettest.Eventually(t, "the system has it", func() bool { return x.Pending() == c.ahead })
+			if open, quiet := x.Unwatch(); open != c.open || quiet != c.quiet {
+				t.Errorf("open %v, quiet %v; want %v, %v", open, quiet, c.open, c.quiet)
+			}
+		})
+	}
+}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -9,6 +9,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 )
 
 // besidePool are descriptors of the hosts' share that the journal's files and the second address may need.
@@ -40,7 +42,7 @@
 
 // hostConn is a connection to a host.
 type hostConn struct {
-	*Conn
+	*netconn.Conn
 	pool  *pool
 	peer  peer
 	since time.Time // idle since then
@@ -109,7 +111,7 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	return &hostConn{Conn: newPeekConn(nc), pool: p, peer: to}, nil
+	return &hostConn{Conn: netconn.New(nc), pool: p, peer: to}, nil
 }
 
 // takeIdle takes the connection that was used last out of the pool; nil if there is none.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,6 +25,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -126,9 +127,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	doorAt(t, r, l)
+	return l.Addr().String()
+}
+
+// doorAt lets clients in at a listener.
+func doorAt(t *testing.T, r *Relay, l net.Listener) {
+	t.Helper()
 	t.Cleanup(func() { l.Close(); r.clients.close(time.Now()) })
 	go r.clients.run(l)
-	return l.Addr().String()
 }
 
 // handInText is a hand-in as it stands on the wire; edit may spoil it.
@@ -146,7 +153,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(nettest.Patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +195,7 @@
 // settle has the loop decide until ok holds.
 func settle(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
-	eventually(t, what, func() bool {
+	nettest.Eventually(t, what, func() bool {
 		select {
 		case e := <-r.events:
 			r.step([]any{e})
@@ -199,28 +206,16 @@
 	})
 }
 
-// noticed waits until the only client's connection is seen to be closed.
-func noticed(t *testing.T, r *Relay) {
-	t.Helper()
-	eventually(t, "the client is seen to leave", func() bool {
-		r.clients.mu.Lock()
-		defer r.clients.mu.Unlock()
-		for c := range r.clients.conns {
-			if c.phase == busy && len(c.watchDone) == 1 {
-				return true
-			}
-		}
-		return false
-	})
-}
-
 // A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
 func TestAClientThatLeftWithoutAnAnswerTakesItsMessageAlong(t *testing.T) {
 	r := newTestRelay(t)
-	c := dial(t, door(t, r), handInText("m1"))
+	listener := nettest.Listen(t)
+	doorAt(t, r, listener)
+	c := dial(t, listener.Addr().String(), handInText("m1"))
+	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
-	noticed(t, r)
+	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
 	r.step([]any{e})
 	for {
 		if _, ok := r.next().(withdrawal); ok {
@@ -302,7 +297,7 @@
 			if l := <-told; got != want || l.Version != 9 || !l.Full {
 				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("no watch from %s", want)
 		}
 	}
@@ -332,7 +327,7 @@
 	w := watcher{
 		log:     quiet(),
 		agent:   newAgent(addrOf(s)),
-		silence: patience,
+		silence: nettest.Patience,
 		version: 4,
 		told:    func(l List) { told <- l },
 	}
@@ -343,7 +338,7 @@
 			if l.Version != want || l.Full != (want == 7) {
 				t.Errorf("told %+v, want version %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("never told version %d", want)
 		}
 	}
@@ -384,7 +379,7 @@
 		if len(ids) != 2 || lines != 2 || posts != 3 {
 			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Fatal("never taken")
 	}
 }
@@ -643,10 +638,10 @@
 func heldUp(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
 	t.Helper()
 	asked, requests := make(chan struct{}, 16), make(chan string, 16)
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, req *http.Request) bool {
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
 		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
-		fmt.Fprint(conn, okAnswer)
+		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	r.hosts.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -696,7 +691,7 @@
 	r.resume()
 	run(t, r)
 	<-dialled
-	eventually(t, "the one whose time is up has its final answer", func() bool {
+	nettest.Eventually(t, "the one whose time is up has its final answer", func() bool {
 		r.finals.mu.Lock()
 		defer r.finals.mu.Unlock()
 		return len(r.finals.queue) == 1 && r.finals.queue[0].ID == "m1"
@@ -707,7 +702,7 @@
 		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
 			t.Error("the host was sent", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Error("the others do not leave")
 	}
 }
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -39,7 +40,7 @@
 			r.step([]any{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}})
 		}},
 		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
-			addr, _ := rawHost(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
 				return false
 			})
