--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -23,7 +23,7 @@
 )
 
 func testConfig() Config {
-	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, Reports: []string{"x0", "x1"}}
+	c := Config{ConnectTimeout: 2 * time.Second, KeepAlive: time.Minute, LoadReportFields: []string{"x0", "x1"}}
 	c.setDefaults()
 	return c
 }
