--- a/internal/state/journal/encoding.go
+++ b/internal/state/journal/encoding.go
@@ -7,122 +7,156 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
-// The form of what is in the store. A value is a message: a version, then its fields as zigzag varints and strings with
-// their lengths, then the body as the rest. A delta is a kind and its fields.
+// This file defines the encoding of what is in the store. A message is a value: a version byte, then its fields as
+// zigzag varints and as strings behind their lengths, then the body up to the end of the value. What happens to a
+// message later is a delta to its value: a kind byte and the fields of that kind.
 
+// The version bytes, with which each value begins.
 const (
 	messageVersion = 1
-	healthVersion  = 0x81 // the first byte of what Journal.Standing keeps
-	anchorVersion  = 0x82 // and of an anchor of the journal's time
+	healthVersion  = 0x81 // data of Journal.SaveEndpointHealth
+	anchorVersion  = 0x82 // anchor of the timeline
 )
 
-// The kinds of delta.
+// deltaKind is the byte with which a delta begins.
+type deltaKind byte
+
 const (
-	deltaSend byte = iota + 1
+	// deltaRemove is never stored: a removed message is deleted from the store.
+	deltaRemove deltaKind = iota
+	deltaSend
 	deltaNotRun
 	deltaFinal
 	deltaCancelled
 )
 
+// valueVersion returns the version byte of a value; 0, which is no version, if the value is empty.
+func valueVersion(value []byte) byte {
+	if len(value) == 0 {
+		return 0
+	}
+	return value[0]
+}
+
 func appendVarint(b []byte, x int64) []byte { return binary.AppendVarint(b, x) }
 
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// appendAttempt writes an attempt.
-func appendAttempt(b []byte, a *Attempt, x clock.Timeline) []byte {
+// appendAttempt appends an attempt. Its epoch is 0 if the attempt is undated.
+func appendAttempt(b []byte, a *Attempt, timeline clock.Timeline) []byte {
 	b = appendVarint(b, int64(a.Number))
 	b = appendString(b, a.Endpoint)
 	b = appendVarint(b, int64(a.Zone))
-	b = appendVarint(b, x.Stamp(a.SentAt))
+	b = appendVarint(b, timeline.Stamp(a.SentAt))
 	if a.Undated {
 		return appendVarint(b, 0)
 	}
-	return appendVarint(b, x.Epoch)
+	return appendVarint(b, timeline.Epoch)
 }
 
-func appendFinal(b []byte, f *FinalAnswer) []byte {
-	deferred := int64(0)
-	if f.Retryable {
-		deferred = 1
+func appendFinal(b []byte, answer *FinalAnswer) []byte {
+	retryable := int64(0)
+	if answer.Retryable {
+		retryable = 1
 	}
-	return appendVarint(appendVarint(b, deferred), int64(f.RetryAfter))
+	b = appendVarint(b, retryable)
+	return appendVarint(b, int64(answer.RetryAfter))
 }
 
-// encode appends all of a message but its body.
-func (m *Message) encode(b []byte, x clock.Timeline) []byte {
+// appendHeader appends all of a message but its body.
+func (m *Message) appendHeader(b []byte, timeline clock.Timeline) []byte {
 	b = append(b, messageVersion)
-	for _, x := range []int64{int64(m.ID), int64(m.Class), int64(m.Tenant), int64(m.Destination)} {
-		b = appendVarint(b, x)
-	}
-	b = appendVarint(b, x.Stamp(m.Deadline))
-	b = appendString(appendString(appendString(appendString(b, m.TraceID), m.IdempotencyKey), m.OrderingKey), m.ClassName)
+	b = appendVarint(b, int64(m.ID))
+	b = appendVarint(b, int64(m.Class))
+	b = appendVarint(b, int64(m.Tenant))
+	b = appendVarint(b, int64(m.Destination))
+	b = appendVarint(b, timeline.Stamp(m.Deadline))
+	b = appendString(b, m.TraceID)
+	b = appendString(b, m.IdempotencyKey)
+	b = appendString(b, m.OrderingKey)
+	b = appendString(b, m.ClassName)
 	b = appendVarint(b, int64(m.Attempts))
 	b = appendVarint(b, int64(len(m.UncertainAttempts)))
 	for i := range m.UncertainAttempts {
-		b = appendAttempt(b, &m.UncertainAttempts[i], x)
+		b = appendAttempt(b, &m.UncertainAttempts[i], timeline)
 	}
 	return b
 }
 
-// reader reads fields; the first that is not there makes all behind it zero and bad true.
+// reader reads fields in sequence. Once a field is malformed failed is set, and this field and all later ones are zero.
 type reader struct {
-	data     []byte
+	data     []byte // not read yet
 	timeline clock.Timeline
 	failed   bool
 }
 
+func (r *reader) fail() {
+	r.failed = true
+	r.data = nil
+}
+
 func (r *reader) readInt() int64 {
-	x, n := binary.Varint(r.data)
-	if n <= 0 {
-		r.failed, r.data = true, nil
+	x, size := binary.Varint(r.data)
+	if size <= 0 {
+		r.fail()
 		return 0
 	}
-	r.data = r.data[n:]
+	r.data = r.data[size:]
 	return x
 }
 
 func (r *reader) readString() string {
-	n, k := binary.Uvarint(r.data)
-	if k <= 0 || n > uint64(len(r.data)-k) {
-		r.failed, r.data = true, nil
+	length, prefix := binary.Uvarint(r.data)
+	if prefix <= 0 || length > uint64(len(r.data)-prefix) {
+		r.fail()
 		return ""
 	}
-	s := string(r.data[k : k+int(n)])
-	r.data = r.data[k+int(n):]
+	end := prefix + int(length)
+	s := string(r.data[prefix:end])
+	r.data = r.data[end:]
 	return s
 }
 
 func (r *reader) readTime() time.Time { return r.timeline.Time(r.readInt()) }
 
+// readAttempt reads an attempt. One that was made in another epoch is undated.
 func (r *reader) readAttempt() Attempt {
-	a := Attempt{Number: int(r.readInt()), Endpoint: r.readString(), Zone: int(r.readInt()), SentAt: r.readTime()}
+	a := Attempt{
+		Number:   int(r.readInt()),
+		Endpoint: r.readString(),
+		Zone:     int(r.readInt()),
+		SentAt:   r.readTime(),
+	}
 	epoch := r.readInt()
 	a.Undated = epoch == 0 || epoch != r.timeline.Epoch
 	return a
 }
 
-// decode reads a message; false if the value is none of this form.
-func decode(value []byte, x clock.Timeline) (*Message, bool) {
-	if len(value) == 0 || value[0] != messageVersion {
+// decodeMessage decodes a message. It returns false if the value is not of this encoding.
+func decodeMessage(value []byte, timeline clock.Timeline) (*Message, bool) {
+	if valueVersion(value) != messageVersion {
 		return nil, false
 	}
-	r := &reader{data: value[1:], timeline: x}
-	m := &Message{
-		ID:          uint32(r.readInt()),
-		Class:       int(r.readInt()),
-		Tenant:      int(r.readInt()),
-		Destination: int(r.readInt()),
-		Deadline:    r.readTime(),
-	}
-	m.TraceID, m.IdempotencyKey, m.OrderingKey, m.ClassName = r.readString(), r.readString(), r.readString(), r.readString()
-	m.Attempts = int(r.readInt())
-	n := r.readInt()
-	if n < 0 || n > int64(len(r.data)) {
-		return nil, false
-	}
-	for range n {
+	r := &reader{data: value[1:], timeline: timeline}
+	m := &Message{ // the fields in the order in which appendHeader writes them
+		ID:             uint32(r.readInt()),
+		Class:          int(r.readInt()),
+		Tenant:         int(r.readInt()),
+		Destination:    int(r.readInt()),
+		Deadline:       r.readTime(),
+		TraceID:        r.readString(),
+		IdempotencyKey: r.readString(),
+		OrderingKey:    r.readString(),
+		ClassName:      r.readString(),
+		Attempts:       int(r.readInt()),
+	}
+	count := r.readInt()
+	if count < 0 || count > int64(len(r.data)) {
+		return nil, false // an attempt takes more than a byte: this guards against a huge loop over damaged data
+	}
+	for range count {
 		m.UncertainAttempts = append(m.UncertainAttempts, r.readAttempt())
 	}
 	if r.failed {
@@ -134,26 +168,27 @@
 	return m, true
 }
 
-// apply applies a delta; false if it is none of this form.
-func (m *Message) apply(delta []byte, x clock.Timeline) bool {
+// applyDelta applies a delta. It returns false if the delta is not of this encoding.
+func (m *Message) applyDelta(delta []byte, timeline clock.Timeline) bool {
 	if len(delta) == 0 {
 		return false
 	}
-	r := &reader{data: delta[1:], timeline: x}
-	switch delta[0] {
+	r := &reader{data: delta[1:], timeline: timeline}
+	switch deltaKind(delta[0]) {
 	case deltaSend:
-		a := r.readAttempt()
+		attempt := r.readAttempt()
 		if !r.failed {
-			m.addAttempt(a)
+			m.addAttempt(attempt)
 		}
 	case deltaNotRun:
-		if n := r.readInt(); !r.failed {
-			m.removeAttempt(int(n))
+		number := r.readInt()
+		if !r.failed {
+			m.removeAttempt(int(number))
 		}
 	case deltaFinal:
-		f := FinalAnswer{Retryable: r.readInt() == 1, RetryAfter: time.Duration(r.readInt())}
+		answer := FinalAnswer{Retryable: r.readInt() == 1, RetryAfter: time.Duration(r.readInt())}
 		if !r.failed {
-			m.Final = &f
+			m.Final = &answer
 		}
 	case deltaCancelled:
 		m.Cancelled = true
@@ -163,13 +198,17 @@
 	return !r.failed && len(r.data) == 0
 }
 
-// encodeAnchor writes an anchor.
+// encodeAnchor appends an anchor.
 func encodeAnchor(a *clock.Anchor, b []byte) []byte {
-	b = appendVarint(appendString(append(b, anchorVersion), a.BootID), int64(a.Uptime))
-	return appendVarint(appendVarint(appendVarint(b, a.Stamp), int64(a.WallOffset)), a.Epoch)
+	b = append(b, anchorVersion)
+	b = appendString(b, a.BootID)
+	b = appendVarint(b, int64(a.Uptime))
+	b = appendVarint(b, a.Stamp)
+	b = appendVarint(b, int64(a.WallOffset))
+	return appendVarint(b, a.Epoch)
 }
 
-// decodeAnchor reads an anchor; nil if the value is none of this form.
+// decodeAnchor decodes an anchor; nil if the value is not of this encoding.
 func decodeAnchor(value []byte) *clock.Anchor {
 	r := &reader{data: value[1:]}
 	a := &clock.Anchor{
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -268,30 +268,37 @@
 var fixedTimeline = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
 
 func TestDecodeRejectsMalformedInput(t *testing.T) {
-	value := append(message(3).encode(nil, fixedTimeline), "body"...)
+	value := append(message(3).appendHeader(nil, fixedTimeline), "body"...)
 	for cut := range len(value) - len("body") {
-		if m, ok := decode(value[:cut], fixedTimeline); ok {
+		if m, ok := decodeMessage(value[:cut], fixedTimeline); ok {
 			t.Errorf("a message cut at byte %d is taken: %+v", cut, m)
 		}
 	}
 	m := message(1)
-	for _, d := range [][]byte{nil, {99}, {deltaSend}, {deltaFinal, 2}, {deltaCancelled, 1}, append([]byte{deltaNotRun, 2}, strings.Repeat("x", 9)...)} {
-		if m.apply(d, fixedTimeline) {
-			t.Errorf("delta %v is taken", d)
+	for name, delta := range map[string][]byte{
+		"empty":              nil,
+		"unknown kind":       {99},
+		"send without field": {byte(deltaSend)},
+		"final cut off":      {byte(deltaFinal), 2},
+		"cancelled and more": {byte(deltaCancelled), 1},
+		"not run and more":   append([]byte{byte(deltaNotRun), 2}, strings.Repeat("x", 9)...),
+	} {
+		if m.applyDelta(delta, fixedTimeline) {
+			t.Errorf("%s: delta %v is accepted", name, delta)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(append(message(3).encode(nil, fixedTimeline), "body"...))
-	f.Add(appendAttempt([]byte{deltaSend}, &Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}, fixedTimeline))
+	f.Add(append(message(3).appendHeader(nil, fixedTimeline), "body"...))
+	f.Add(appendAttempt([]byte{byte(deltaSend)}, &Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}, fixedTimeline))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := decode(data, fixedTimeline)
+		m, ok := decodeMessage(data, fixedTimeline)
 		if !ok {
-			message(1).apply(data, fixedTimeline)
+			message(1).applyDelta(data, fixedTimeline)
 			return
 		}
-		again, ok := decode(append(m.encode(nil, fixedTimeline), m.Body...), fixedTimeline)
+		again, ok := decodeMessage(append(m.appendHeader(nil, fixedTimeline), m.Body...), fixedTimeline)
 		if !ok || !equalMessages(m, again) {
 			t.Errorf("%+v, %+v", m, again)
 		}
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"os"
 	"path/filepath"
 
@@ -11,84 +12,112 @@
 )
 
 const (
-	folderName    = "journal" // of a state folder
+	folderName    = "journal" // within a state folder
 	legacyLogName = "wal.log"
 )
 
-// Folder is where the journal of a state folder stands.
-func Folder(state string) string { return filepath.Join(state, folderName) }
+// Folder returns the path of the journal within a state folder.
+func Folder(stateFolder string) string { return filepath.Join(stateFolder, folderName) }
 
-// OpenFolder opens the journal in a relay's state folder, or begins one. What a log of the form before this one holds
-// is carried over first, and the log removed once all of it is in the journal: a crash on the way leaves the log, and
-// what came over before it is not taken twice.
-func OpenFolder(state string, opt Options) (*Journal, *Recovery, error) {
-	dir := Folder(state)
+// OpenFolder opens the journal in a relay's state folder, or creates one, and migrates the messages of a legacy log
+// there. The log is removed once all of it is in the journal: after a crash on the way the log is still there, and what
+// was migrated before is not migrated again.
+func OpenFolder(stateFolder string, options Options) (*Journal, *Recovery, error) {
+	dir := Folder(stateFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	var fs store.FS = store.Dir(dir)
-	if opt.WrapFS != nil {
-		fs = opt.WrapFS(fs)
+	if options.WrapFS != nil {
+		fs = options.WrapFS(fs)
 	}
-	j, rec, err := Open(fs, opt)
+	j, recovery, err := Open(fs, options)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := j.migrateLegacyLog(state, rec); err != nil {
-		return nil, nil, errors.Join(err, j.store.Close())
+	if err := j.migrateLegacyLog(stateFolder, recovery); err != nil {
+		return nil, nil, errors.Join(fmt.Errorf("journal: migrate the legacy log: %w", err), j.store.Close())
 	}
-	return j, rec, nil
+	return j, recovery, nil
 }
 
-// migrateLegacyLog takes in what an older log holds, if there is one.
-func (j *Journal) migrateLegacyLog(state string, rec *Recovery) error {
-	path := filepath.Join(state, legacyLogName)
-	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
+// Read opens the journal of a state folder to be read only, also while a relay uses it.
+func Read(stateFolder string, limit int64) (*Journal, *Recovery, error) {
+	return Open(store.Dir(Folder(stateFolder)), Options{Limit: limit, readOnly: true})
+}
+
+// migrateLegacyLog moves the messages of a legacy log to the journal, if there is such a log.
+func (j *Journal) migrateLegacyLog(stateFolder string, recovery *Recovery) error {
+	path := filepath.Join(stateFolder, legacyLogName)
+	_, err := os.Stat(path)
+	if errors.Is(err, os.ErrNotExist) {
 		return nil
-	} else if err != nil {
-		return fmt.Errorf("journal: carry over: %w", err)
 	}
-	log, found, err := legacylog.Open(state, 1<<40)
 	if err != nil {
-		return fmt.Errorf("journal: carry over: %w", err)
+		return err
+	}
+	log, found, err := legacylog.Open(stateFolder, math.MaxInt64) // nothing is written to it, so no limit is needed
+	if err != nil {
+		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // an error loses nothing: the log was only read
 	for _, old := range found.Messages {
 		if j.live[old.ID] != nil {
-			continue // it came over before a crash
-		}
-		m := &Message{
-			ID: old.ID, TraceID: old.TraceID, IdempotencyKey: old.IdempotencyKey, OrderingKey: old.OrderingKey, Class: old.Class, ClassName: old.ClassName, Tenant: old.Tenant, Destination: old.Destination,
-			Deadline: old.Deadline, Body: old.Body, Attempts: old.Attempts, Uncertain: found.Damaged,
-		}
-		for _, a := range old.UncertainAttempts {
-			m.UncertainAttempts = append(
-				m.UncertainAttempts,
-				Attempt{Number: a.Number, Endpoint: a.Endpoint, Zone: a.Zone, SentAt: a.SentAt, Undated: true},
-			)
-		}
-		if err := j.Accept(m); err != nil {
-			return fmt.Errorf("journal: carry over: %w", err)
-		}
-		if old.Final != nil {
-			j.RecordFinal(m, FinalAnswer(*old.Final))
+			continue // migrated before a crash
 		}
-		if old.Cancelled {
-			j.RecordCancelled(m)
+		m, err := j.migrateMessage(old, found.Damaged)
+		if err != nil {
+			return err
 		}
-		if err := j.Flush(); err != nil {
-			return fmt.Errorf("journal: carry over: %w", err)
-		}
-		rec.Messages = append(rec.Messages, m)
-		rec.Migrated++
+		recovery.Messages = append(recovery.Messages, m)
+		recovery.Migrated++
+	}
+	return os.Remove(path)
+}
+
+// migrateMessage writes a message of a legacy log to the journal.
+func (j *Journal) migrateMessage(old *legacylog.Message, uncertain bool) (*Message, error) {
+	m := convertMessage(old)
+	m.Uncertain = uncertain
+	if err := j.Accept(m); err != nil {
+		return nil, err
 	}
-	if err := os.Remove(path); err != nil {
-		return fmt.Errorf("journal: carry over: %w", err)
+	if old.Final != nil {
+		j.RecordFinal(m, FinalAnswer(*old.Final))
 	}
-	return nil
+	if old.Cancelled {
+		j.RecordCancelled(m)
+	}
+	if err := j.Flush(); err != nil {
+		return nil, err
+	}
+	return m, nil
 }
 
-// Read reads the journal of a state folder, of a relay that runs or not, and changes nothing.
-func Read(state string, limit int64) (*Journal, *Recovery, error) {
-	return open(store.Dir(Folder(state)), Options{Limit: limit}, true)
+// convertMessage returns a message of a legacy log as it is accepted by the journal. Its attempts are undated: the
+// legacy log does not tell in which boot they were made.
+func convertMessage(old *legacylog.Message) *Message {
+	m := &Message{
+		ID:             old.ID,
+		TraceID:        old.TraceID,
+		IdempotencyKey: old.IdempotencyKey,
+		OrderingKey:    old.OrderingKey,
+		Class:          old.Class,
+		ClassName:      old.ClassName,
+		Tenant:         old.Tenant,
+		Destination:    old.Destination,
+		Deadline:       old.Deadline,
+		Body:           old.Body,
+		Attempts:       old.Attempts,
+	}
+	for _, attempt := range old.UncertainAttempts {
+		m.UncertainAttempts = append(m.UncertainAttempts, Attempt{
+			Number:   attempt.Number,
+			Endpoint: attempt.Endpoint,
+			Zone:     attempt.Zone,
+			SentAt:   attempt.SentAt,
+			Undated:  true,
+		})
+	}
+	return m
 }
