--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -13,13 +13,13 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-func goldenRights() quota.Message {
+func goldenQuota() quota.Message {
 	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
 	return quota.Message{
 		Member: "r3", Incarnation: loadreport.Incarnation{Generation: 5, Boot: 4}, Seq: 70, AckedSeq: 69, AckedIncarnation: loadreport.Incarnation{Generation: 12, Boot: 13},
 		Ping: true, AsksForLeases: true, HoldsNoLease: true,
 		Leases:   []quota.Lease{{Scope: scope, Rate: 0.25, Delivered: 20, Rejected: 21}},
-		Requests: []quota.QuotaRequest{{Scope: scope, ID: 30, Calls: 31, Delivered: 32, Rejected: 33}},
+		Requests: []quota.Request{{Scope: scope, ID: 30, Calls: 31, Delivered: 32, Rejected: 33}},
 		Grants:   []quota.Grant{{Scope: scope, ID: 40, Calls: 41}},
 	}
 }
@@ -50,7 +50,7 @@
 	pages.SetReports(page)
 	digests.SetDigest(digest)
 	digests.WantsReports = true
-	told.SetQuotaMessage(goldenRights())
+	told.SetQuotaMessage(goldenQuota())
 	golden.Fill(&filled)
 	filled.RequiredVersion = Version
 	messages := map[string]Message{
@@ -81,8 +81,8 @@
 				t.Errorf("%+v\nwant %+v", d, digest)
 			}
 		case "rights":
-			if r := got.QuotaMessage(); !reflect.DeepEqual(r, goldenRights()) {
-				t.Errorf("%+v\nwant %+v", r, goldenRights())
+			if r := got.QuotaMessage(); !reflect.DeepEqual(r, goldenQuota()) {
+				t.Errorf("%+v\nwant %+v", r, goldenQuota())
 			}
 		}
 	}
--- a/internal/state/journal/recovery.go
+++ b/internal/state/journal/recovery.go
@@ -88,7 +88,7 @@
 		return nil
 	}
 	m.key = key
-	m.Uncertain = found.Doubtful(key)
+	m.Uncertain = found.Uncertain(key)
 	for _, delta := range found.Deltas(key) {
 		if !m.applyDelta(delta, j.timeline) {
 			m.Uncertain = true
--- a/internal/state/journal/write.go
+++ b/internal/state/journal/write.go
@@ -129,7 +129,7 @@
 // commit writes a batch, which begins with the pending records, and then compacts in proportion. If there is no room
 // for new messages it writes the pending records alone.
 func (j *Journal) commit(batch *store.Batch) error {
-	committedBefore := j.store.Stats().Committed
+	committedBefore := j.store.Stats().CommittedBytes
 	err := j.store.Commit(batch)
 	if errors.Is(err, store.ErrFull) {
 		if pendingErr := j.commitPending(); pendingErr != nil {
@@ -159,14 +159,14 @@
 	return nil
 }
 
-// compact runs a step of compaction if the store needs one, in proportion to what was written since Stats.Committed was
+// compact runs a step of compaction if the store needs one, in proportion to what was written since Stats.CommittedBytes was
 // committedBefore. An error does not fail the write, which succeeded: the next step tries again, and CompactionError
 // reports it.
 func (j *Journal) compact(committedBefore int64) {
-	if !j.store.Due() {
+	if !j.store.CompactionDue() {
 		return
 	}
-	written := int(j.store.Stats().Committed - committedBefore)
+	written := int(j.store.Stats().CommittedBytes - committedBefore)
 	_, err := j.store.Compact(max(minCompaction, compactionRatio*written))
 	if err != nil && j.compactionErr == nil {
 		j.compactionErr = err
