--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -31,7 +32,7 @@
 			given := make(chan struct{}) // the short one is given up on
 			var mu sync.Mutex
 			var first []string
-			addr, _ := rawHost(t, func(_ int, conn net.Conn, req *http.Request) bool {
+			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 				var items []item
 				if err := json.NewDecoder(req.Body).Decode(&items); err != nil || len(items) != 3 {
 					t.Errorf("%d messages, %v", len(items), err)
@@ -48,24 +49,24 @@
 			r.catalog.Upsert(
 				catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr},
 			)
-			var ins []*handIn
+			var ins []*submitEvent
 			for i, id := range order {
 				in := newHandIn(id, 7, left[id])
-				in.m.OrderingKey = fmt.Sprint(i)
+				in.message.OrderingKey = fmt.Sprint(i)
 				ins = append(ins, in)
 			}
 			decide(r, ins...)
 			settle(t, r, "the short one is given up on", func() bool {
 				r.finals.mu.Lock()
 				defer r.finals.mu.Unlock()
-				return slices.ContainsFunc(r.finals.queue, func(n notice) bool { return n.ID == "short" })
+				return slices.ContainsFunc(r.finals.queue, func(n Notice) bool { return n.TraceID == "short" })
 			})
 			close(given)
 			settle(
 				t,
 				r,
 				"the others are over",
-				func() bool { return r.traces["long"] == nil && r.traces["middle"] == nil },
+				func() bool { return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil },
 			)
 			mu.Lock()
 			defer mu.Unlock()
@@ -80,7 +81,7 @@
 // has.
 func TestACallIsNoLongerThanWhatStillLeaves(t *testing.T) {
 	expires := make(chan string, 1)
-	addr, _ := rawHost(t, func(_ int, _ net.Conn, req *http.Request) bool {
+	addr, _ := nettest.RawServer(t, func(_ int, _ net.Conn, req *http.Request) bool {
 		expires <- req.Header.Get("X-Expires-In-Ms")
 		return true
 	})
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -19,6 +19,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -77,23 +78,23 @@
 
 // follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was
 // begun.
-func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*watcher)) {
+func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*Watcher)) {
 	t.Helper()
-	r.agent.move(addrOf(a.Server))
+	r.agent.Move(addrOf(a.Server))
 	w := r.newWatcher()
 	for _, f := range change {
 		f(w)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); w.run(ctx) }()
+	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*part); ok {
-					p.done <- true
+				if p, ok := e.(*SnapshotPart); ok {
+					p.Reply <- true
 				}
 			case <-ended:
 				return
@@ -105,10 +106,10 @@
 // drive takes the loop's part until ok holds.
 func drive(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); {
+	for end := time.Now().Add(nettest.Patience); !ok(); {
 		select {
 		case e := <-r.events:
-			if batch := r.gather(nil, e); len(batch) > 0 || len(r.later) > 0 {
+			if batch := r.collect(nil, e); len(batch) > 0 || len(r.deferredEvents) > 0 {
 				r.step(batch)
 			}
 		case <-time.After(time.Millisecond):
@@ -158,7 +159,7 @@
 		t,
 		r,
 		fmt.Sprintf("%d messages of %q are delivered", len(dests), ids),
-		func() bool { return int(requests.Load()) == was+len(dests) && len(r.calling) == 0 },
+		func() bool { return int(requests.Load()) == was+len(dests) && len(r.activeCalls) == 0 },
 	)
 }
 
@@ -172,12 +173,12 @@
 func TestALongListIsToldAsFarAsItIsUsed(t *testing.T) {
 	const dests = 6000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	first, last := liveText("s-1", addr, 7, "ready"), liveText("s-last", addr, 99, "ready")
 	follow(t, r, a)
 	a.tell(t, r, listText(2, dests, first, last))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
-	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.large.Load() {
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
+	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
 		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
@@ -185,11 +186,11 @@
 		t.Errorf("the module knows %d destinations", n)
 	}
 	a.tell(t, r, listText(3, dests, first, last))
-	drive(t, r, "the list once more", func() bool { return r.version == 3 })
+	drive(t, r, "the list once more", func() bool { return r.listVersion == 3 })
 	a.tell(t, r, []byte(`{"version":4,"servers":[`+hostText(8, 4, "draining")+`,`+hostText(10, 5, "gone")+"]}\n"))
-	drive(t, r, "changes", func() bool { return r.version == 4 })
-	if r.draining != 1 || r.catalog.EndpointCount() != 2*dests+1 {
-		t.Errorf("%d hosts drain of %d", r.draining, r.catalog.EndpointCount())
+	drive(t, r, "changes", func() bool { return r.listVersion == 4 })
+	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
+		t.Errorf("%d hosts drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
 	a.tell(
 		t,
@@ -208,7 +209,7 @@
 			)+"]}\n",
 		),
 	)
-	drive(t, r, "changes of what is in use", func() bool { return r.version == 5 })
+	drive(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
 	drive(t, r, "the module hears of them", func() bool {
 		known := ofModule(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
@@ -229,11 +230,11 @@
 // next.
 func TestWakingWhileTheOnlyHostDrains(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
-	old, oldRequests := rawHost(t, answers)
-	next, nextRequests := rawHost(t, answers)
+	old, oldRequests := nettest.RawServer(t, answers)
+	next, nextRequests := nettest.RawServer(t, answers)
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 3000, liveText("s-old", old, 50, "draining")))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
@@ -249,11 +250,11 @@
 	for name, rest := range map[string]int{"a small site": 1, "a long list": 3000} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			addr, requests := rawHost(t, answers)
+			addr, requests := nettest.RawServer(t, answers)
 			follow(t, r, a)
 			for i, dest := range []int{50, 51, 50, 51} {
 				a.tell(t, r, listText(2+i, rest, liveText("s-moves", addr, dest, "ready")))
-				drive(t, r, "the list is known", func() bool { return r.version == int64(2+i) })
+				drive(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
 				r.deliver(t, requests, fmt.Sprint("m", i, "-"), dest)
 			}
 		})
@@ -264,14 +265,14 @@
 func TestThousandsWakeAtOnce(t *testing.T) {
 	const dests, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	var hosts []string
 	for i := range dests {
 		hosts = append(hosts, liveText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
 	}
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 1000, hosts...))
-	drive(t, r, "the list is known", func() bool { return r.version == 2 })
+	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	run(t, r)
 	began := time.Now()
 	var clients sync.WaitGroup
@@ -293,7 +294,7 @@
 		})
 	}
 	clients.Wait()
-	eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
+	nettest.Eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
 	t.Logf("%d woken and delivered in %v", dests, time.Since(began))
 }
 
@@ -302,11 +303,11 @@
 func TestADrainBehindALongList(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
-	old, oldRequests := rawHost(t, func(n int, conn net.Conn, req *http.Request) bool {
+	old, oldRequests := nettest.RawServer(t, func(n int, conn net.Conn, req *http.Request) bool {
 		last.Store(time.Now().UnixNano())
 		return answers(n, conn, req)
 	})
-	next, nextRequests := rawHost(t, answers)
+	next, nextRequests := nettest.RawServer(t, answers)
 	run(t, r)
 	follow(t, r, a)
 	servers := func(version int, full bool, old, next string, more []byte) []byte {
@@ -329,7 +330,7 @@
 			}
 		}
 	}()
-	eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
+	nettest.Eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
 	var more []byte
 	for i := range longList {
 		more = append(append(more, hostText(i, i/2, "ready")...), ',')
@@ -338,12 +339,12 @@
 	a.texts <- text
 	told := <-a.written
 	was := nextRequests.Load()
-	eventually(t, "the other one is used", func() bool {
-		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.Grace+300*time.Millisecond
+	nettest.Eventually(t, "the other one is used", func() bool {
+		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.DrainGrace+300*time.Millisecond
 	})
 	lag := time.Unix(0, last.Load()).Sub(told)
 	t.Logf("%d entries of %d MB: the last request %v after the drain was written", longList, len(text)>>20, lag)
-	if lag > r.cfg.Grace {
+	if lag > r.cfg.DrainGrace {
 		t.Errorf("used %v after its drain was told", lag)
 	}
 }
@@ -353,9 +354,9 @@
 func TestALongListThatBreaksOff(t *testing.T) {
 	const dests = 4000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	live := liveText("s-new", addr, 50, "ready")
-	follow(t, r, a, func(w *watcher) { w.silence, w.within = 300*time.Millisecond, 600*time.Millisecond })
+	follow(t, r, a, func(w *Watcher) { w.IdleTimeout, w.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
 	whole := listText(9, dests, live)
 	half := whole[:len(whole)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
@@ -379,8 +380,8 @@
 	asked("the start", "1")
 	a.tell(t, r, append(bytes.Clone(half), "CUT"...))
 	asked("an end in an entry", "1")
-	if n := held(); n < 1000 || n > 2*dests || r.version != 1 {
-		t.Errorf("%d hosts, version %d", n, r.version)
+	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", n, r.listVersion)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok {
 		t.Error("a host is gone that the list had not come to yet")
@@ -388,11 +389,11 @@
 	r.deliver(t, requests, "a", 50)
 	a.tell(t, r, half) // and blank lines: they are a sign of life, but not for ever
 	asked("a list without end", "1")
-	if r.version != 1 {
-		t.Errorf("version %d", r.version)
+	if r.listVersion != 1 {
+		t.Errorf("version %d", r.listVersion)
 	}
 	a.tell(t, r, whole)
-	drive(t, r, "the whole list", func() bool { return r.version == 9 })
+	drive(t, r, "the whole list", func() bool { return r.listVersion == 9 })
 	if n := held(); n != 2*dests+1 {
 		t.Errorf("%d hosts", n)
 	}
@@ -407,7 +408,7 @@
 	follow(t, r, a)
 	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
 		a.tell(t, r, listText(l.version, l.dests))
-		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.version == int64(l.version) })
+		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
 		if r.catalog.EndpointCount() != 2*l.dests {
 			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
 		}
@@ -432,9 +433,9 @@
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+hostText(0, 0, "draining")+"]}\n"...))
-			drive(t, r, "the list", func() bool { return r.version == 8 })
-			if r.draining != 1 || r.catalog.EndpointCount() != 2*dests {
-				t.Errorf("%d of %d hosts drain", r.draining, r.catalog.EndpointCount())
+			drive(t, r, "the list", func() bool { return r.listVersion == 8 })
+			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
+				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
 		})
 	}
@@ -452,9 +453,9 @@
 		),
 	)
 	a.give(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*entryMost))
+		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*maxEntrySize))
 	})
-	follow(t, r, a, func(w *watcher) { w.whole = true })
+	follow(t, r, a, func(w *Watcher) { w.NeedsSnapshot = true })
 	drive(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
 	mu.Lock()
 	text := log.String()
@@ -462,8 +463,8 @@
 	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
 		t.Errorf("logged %d times: %s", n, text)
 	}
-	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.version != 1 {
-		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.version)
+	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.listVersion)
 	}
 }
 
@@ -484,14 +485,14 @@
 		from io.Reader
 		want error
 	}{
-		{"as many entries as may be", entries(entriesMost), nil},
-		{"one more", entries(entriesMost + 1), errEntries},
-		{"an entry as long as may be", long(entryMost - 2), nil},
-		{"a longer one", long(3 * entryMost), errEntry},
-		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*entryMost) + `"}`), errEntry},
-		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*entryMost) + `7],"servers":null}`), nil},
+		{"as many entries as may be", entries(MaxEntries), nil},
+		{"one more", entries(MaxEntries + 1), errTooManyEntries},
+		{"an entry as long as may be", long(maxEntrySize - 2), nil},
+		{"a longer one", long(3 * maxEntrySize), errEntryTooLong},
+		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*maxEntrySize) + `"}`), errEntryTooLong},
+		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*maxEntrySize) + `7],"servers":null}`), nil},
 	} {
-		if err := newListReader(&listSource{from: c.from}, nil).next(&listHead{}, nil); !errors.Is(err, c.want) {
+		if err := NewListReader(&boundedSource{src: c.from}, nil).Next(&ListHead{}, nil); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -509,7 +510,7 @@
 	}
 	var few uint64
 	for v := range 50 {
-		entries := make([]entry, hosts)
+		entries := make([]Entry, hosts)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
 				Endpoint: policy.Endpoint{
@@ -533,7 +534,7 @@
 // What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the
 // standing of a host.
 func TestARestartWakesWhatItNeeds(t *testing.T) {
-	addr, requests := rawHost(t, answers)
+	addr, requests := nettest.RawServer(t, answers)
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
 		m := &journal.Message{
@@ -558,7 +559,7 @@
 			settingsJSON,
 		),
 	)
-	if err != nil || cfg.Long == nil || cfg.Long.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
+	if err != nil || cfg.KnownCatalog == nil || cfg.KnownCatalog.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
 		cfg.Known.Version != 4 {
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
@@ -569,18 +570,18 @@
 	}
 	r.callCtx = t.Context()
 	t.Cleanup(func() { r.hosts.close(); r.calls.Wait() })
-	if !r.listed.Load() || r.version != 4 {
-		t.Errorf("ready %v, version %d", r.listed.Load(), r.version)
+	if !r.endpointsKnown.Load() || r.listVersion != 4 {
+		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
-	r.resume()
+	r.recoverState()
 	drive(
 		t,
 		r,
 		"the one whose destination is known is delivered",
-		func() bool { return requests.Load() == 1 && len(r.calling) == 0 },
+		func() bool { return requests.Load() == 1 && len(r.activeCalls) == 0 },
 	)
-	if n := len(ofModule(r)); n != 1 || r.held != 1 {
-		t.Errorf("the module knows %d destinations, %d messages are held", n, r.held)
+	if n := len(ofModule(r)); n != 1 || r.pending != 1 {
+		t.Errorf("the module knows %d destinations, %d messages are held", n, r.pending)
 	}
 	tellLong(r, false, 5, entriesOf(r, liveText("s-60000", addr, 60_000, "ready")))
 	drive(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,6 +25,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -74,8 +75,8 @@
 
 // parseList reads a list that is all there.
 func parseList(c *Config, data []byte) (l List, err error) {
-	var head listHead
-	err = newListReader(&listSource{from: bytes.NewReader(data)}, c.listing).next(&head, func(e entry) error {
+	var head ListHead
+	err = NewListReader(&boundedSource{src: bytes.NewReader(data)}, c.parseEndpoint).Next(&head, func(e Entry) error {
 		l.Entries = append(l.Entries, e)
 		return nil
 	})
@@ -84,11 +85,11 @@
 }
 
 // entriesOf are entries as a relay reads them.
-func entriesOf(r *Relay, texts ...string) (entries []entry) {
+func entriesOf(r *Relay, texts ...string) (entries []Entry) {
 	for _, text := range texts {
-		var m member
+		var m EndpointRecord
 		err := json.Unmarshal([]byte(text), &m)
-		entries = append(entries, (&listReader{listing: r.cfg.listing}).entry(&m, err))
+		entries = append(entries, (&ListReader{parse: r.cfg.parseEndpoint}).parseEntry(&m, err))
 	}
 	return entries
 }
@@ -115,7 +116,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); r.calls.Wait() })
 	r.callCtx = ctx
-	r.resume()
+	r.recoverState()
 	return r
 }
 
@@ -126,9 +127,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	doorAt(t, r, l)
+	return l.Addr().String()
+}
+
+// doorAt lets clients in at a listener.
+func doorAt(t *testing.T, r *Relay, l net.Listener) {
+	t.Helper()
 	t.Cleanup(func() { l.Close(); r.clients.close(time.Now()) })
 	go r.clients.run(l)
-	return l.Addr().String()
 }
 
 // handInText is a hand-in as it stands on the wire; edit may spoil it.
@@ -146,7 +153,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(nettest.Patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +178,7 @@
 	t.Helper()
 	c := dial(t, addr, handInText(id))
 	for {
-		if _, ok := r.next().(*handIn); ok {
+		if _, ok := r.next().(*submitEvent); ok {
 			break
 		}
 	}
@@ -188,7 +195,7 @@
 // settle has the loop decide until ok holds.
 func settle(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
-	eventually(t, what, func() bool {
+	nettest.Eventually(t, what, func() bool {
 		select {
 		case e := <-r.events:
 			r.step([]any{e})
@@ -199,35 +206,23 @@
 	})
 }
 
-// noticed waits until the only client's connection is seen to be closed.
-func noticed(t *testing.T, r *Relay) {
-	t.Helper()
-	eventually(t, "the client is seen to leave", func() bool {
-		r.clients.mu.Lock()
-		defer r.clients.mu.Unlock()
-		for c := range r.clients.conns {
-			if c.phase == busy && len(c.watched) == 1 {
-				return true
-			}
-		}
-		return false
-	})
-}
-
 // A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
 func TestAClientThatLeftWithoutAnAnswerTakesItsMessageAlong(t *testing.T) {
 	r := newTestRelay(t)
-	c := dial(t, door(t, r), handInText("m1"))
+	listener := nettest.Listen(t)
+	doorAt(t, r, listener)
+	c := dial(t, listener.Addr().String(), handInText("m1"))
+	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
-	noticed(t, r)
+	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
 	r.step([]any{e})
 	for {
-		if _, ok := r.next().(withdrawal); ok {
+		if _, ok := r.next().(cancelEvent); ok {
 			break
 		}
 	}
-	settle(t, r, "forgotten", func() bool { return len(r.msgs) == 0 && r.held == 0 }) // its call may still be out
+	settle(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
 }
 
 // A message that comes once more because its connection closed crosswise is the same message.
@@ -239,8 +234,8 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	if len(r.msgs) != 1 {
-		t.Errorf("%d messages held", len(r.msgs))
+	if len(r.messages) != 1 {
+		t.Errorf("%d messages held", len(r.messages))
 	}
 }
 
@@ -254,8 +249,8 @@
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
 	}
-	if len(r.msgs) != 0 || r.held != 0 || r.out != 0 {
-		t.Errorf("%d held, %d out", r.held, r.out)
+	if len(r.messages) != 0 || r.pending != 0 || r.callsInFlight != 0 {
+		t.Errorf("%d held, %d out", r.pending, r.callsInFlight)
 	}
 }
 
@@ -269,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := r.list(l)
+	e := r.applyList(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
 	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 ||
@@ -291,18 +286,18 @@
 	told := make(chan List, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4,
-		told: func(l List) { told <- l },
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
+		OnUpdate: func(l List) { told <- l },
 	}
-	go w.run(ctx)
+	go w.Run(ctx)
 	for _, want := range []string{"4", "9"} {
 		select {
 		case got := <-indexes:
 			if l := <-told; got != want || l.Version != 9 || !l.Full {
 				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("no watch from %s", want)
 		}
 	}
@@ -329,21 +324,21 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	defer func() { cancel(); <-ended }()
-	w := watcher{
-		log:     quiet(),
-		agent:   newAgent(addrOf(s)),
-		silence: patience,
-		version: 4,
-		told:    func(l List) { told <- l },
-	}
-	go func() { w.run(ctx); close(ended) }()
+	w := Watcher{
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: nettest.Patience,
+		Version:     4,
+		OnUpdate:    func(l List) { told <- l },
+	}
+	go func() { w.Run(ctx); close(ended) }()
 	for _, want := range []int64{7, 8} {
 		select {
 		case l := <-told:
 			if l.Version != want || l.Full != (want == 7) {
 				t.Errorf("told %+v, want version %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("never told version %d", want)
 		}
 	}
@@ -374,17 +369,17 @@
 	}))
 	defer s.Close()
 	taken := make(chan []uint32, 10)
-	f := newFinals(quiet(), newAgent(addrOf(s)), func(ids []uint32) { taken <- ids })
+	f := NewSender(quiet(), NewClient(addrOf(s)), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f.add(notice{id: 1, ID: "a", Status: "undeliverable"}, notice{id: 2, ID: "b", Status: "deferred", AgainMS: 500})
-	go f.run(ctx)
+	f.Add(Notice{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notice{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
+	go f.Run(ctx)
 	select {
 	case ids := <-taken:
 		if len(ids) != 2 || lines != 2 || posts != 3 {
 			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Fatal("never taken")
 	}
 }
@@ -404,7 +399,7 @@
 				Body:           make([]byte, size),
 			},
 		}
-		calls = r.addSend(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
+		calls = r.addToCalls(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
@@ -447,17 +442,17 @@
 		t.Fatal(err)
 	}
 	again.callCtx = t.Context()
-	again.resume()
+	again.recoverState()
 	t.Cleanup(func() { again.calls.Wait() })
 	doubtful := map[string]bool{}
 	for _, n := range again.finals.queue {
-		doubtful[n.ID] = n.Status == "undeliverable"
+		doubtful[n.TraceID] = n.Status == "undeliverable"
 	}
 	if !doubtful["m100"] || !doubtful["m109"] || doubtful["m299"] {
 		t.Errorf("notices %+v", again.finals.queue)
 	}
-	if m := again.traces["m299"]; again.held < 10 || m == nil || m.ended {
-		t.Errorf("%d held: what stands behind the damage is to go on", again.held)
+	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
+		t.Errorf("%d held: what stands behind the damage is to go on", again.pending)
 	}
 }
 
@@ -478,7 +473,7 @@
 			return
 		}
 		for _, e := range l.Entries {
-			if e.err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
+			if e.Err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
 				t.Errorf("of %s %+v passes", data, e)
 			}
 		}
@@ -524,14 +519,14 @@
 		if err := r.journal.Accept(ran, new); err != nil {
 			t.Fatal(err)
 		}
-		r.found = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
-		if left := r.taken(&message{Message: new}).TimeLeft; left > class.Deadline {
+		r.recovery = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
+		if left := r.acceptedEvent(&message{Message: new}).TimeLeft; left > class.Deadline {
 			t.Errorf("back by %v: %v left", back, left)
 		}
-		r.resume()
-		if given := len(r.finals.queue) == 1 && r.finals.queue[0].ID == "ran"; given != (back > 0) ||
-			r.msgs[2] == nil ||
-			r.msgs[2].ended {
+		r.recoverState()
+		if given := len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "ran"; given != (back > 0) ||
+			r.messages[2] == nil ||
+			r.messages[2].completed {
 			t.Errorf("back by %v: notices %+v", back, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -585,17 +580,17 @@
 				t.Fatal(err)
 			}
 		}
-		r.found = reopen(t, r, now)
-		if d := (r.found.ClockStep - step).Abs(); d > time.Millisecond {
-			t.Errorf("step %v: taken for %v", step, r.found.ClockStep)
+		r.recovery = reopen(t, r, now)
+		if d := (r.recovery.ClockStep - step).Abs(); d > time.Millisecond {
+			t.Errorf("step %v: taken for %v", step, r.recovery.ClockStep)
 		}
-		for _, m := range r.found.Messages {
+		for _, m := range r.recovery.Messages {
 			if left := time.Until(m.Deadline); left < 8*time.Second || left > 9*time.Second {
 				t.Errorf("step %v: %v left of 9 s", step, left)
 			}
 		}
-		r.resume()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" || r.msgs[2] == nil || r.msgs[2].ended {
+		r.recoverState()
+		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -627,11 +622,11 @@
 			t.Fatal(err)
 		}
 		reopen(t, r, bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 5 * time.Second})
-		if r.found = reopen(t, r, later); len(r.found.Messages) != 1 {
-			t.Fatalf("%d messages", len(r.found.Messages))
+		if r.recovery = reopen(t, r, later); len(r.recovery.Messages) != 1 {
+			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
-		r.resume()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].ID != "m1" {
+		r.recoverState()
+		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" {
 			t.Errorf("step %v: notices %+v", step, r.finals.queue)
 		}
 		r.calls.Wait()
@@ -643,10 +638,10 @@
 func heldUp(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
 	t.Helper()
 	asked, requests := make(chan struct{}, 16), make(chan string, 16)
-	addr, _ := rawHost(t, func(_ int, conn net.Conn, req *http.Request) bool {
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
 		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
-		fmt.Fprint(conn, okAnswer)
+		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	r.hosts.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -665,7 +660,7 @@
 // run has the relay's loop run until the test ends.
 func run(t *testing.T, r *Relay) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); <-r.over })
+	t.Cleanup(func() { cancel(); <-r.loopDone })
 	go r.loop(ctx)
 }
 
@@ -679,7 +674,7 @@
 		r,
 		`{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`,
 	)
-	r.found = &journal.Recovery{Store: &store.Recovery{}}
+	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
 		m := &journal.Message{
 			ID:             uint32(i + 1),
@@ -691,15 +686,15 @@
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
-		r.found.Messages = append(r.found.Messages, m)
+		r.recovery.Messages = append(r.recovery.Messages, m)
 	}
-	r.resume()
+	r.recoverState()
 	run(t, r)
 	<-dialled
-	eventually(t, "the one whose time is up has its final answer", func() bool {
+	nettest.Eventually(t, "the one whose time is up has its final answer", func() bool {
 		r.finals.mu.Lock()
 		defer r.finals.mu.Unlock()
-		return len(r.finals.queue) == 1 && r.finals.queue[0].ID == "m1"
+		return len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "m1"
 	})
 	close(up)
 	select {
@@ -707,7 +702,7 @@
 		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
 			t.Error("the host was sent", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Error("the others do not leave")
 	}
 }
@@ -729,8 +724,8 @@
 		t.Fatal(err)
 	}
 	// as an earlier process left it
-	r.found = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
-	r.resume()
+	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
+	r.recoverState()
 	run(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
