--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -10,99 +10,142 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// accept puts new messages in the log and returns the hand-ins that are answered when this step is decided. The
-// others have their answers.
-func (r *Relay) accept(ins []*submitEvent) (waiting []*submitEvent) {
-	var ms []*journal.Message
+// unavailableReply asks the client to try again soon.
+var unavailableReply = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
+
+// accept puts new messages into the journal and returns the submissions that are answered once this step is decided.
+// All others have their answers.
+func (r *Relay) accept(submissions []*submitEvent) (waiting []*submitEvent) {
+	var records []*journal.Message
 	now := time.Now()
-	for _, in := range ins {
-		if in.message.ClassName != "" {
-			// The terms may have changed since the door read them.
-			if in.message.Class = slices.Index(r.activeConfig.ClassNames, in.message.ClassName); in.message.Class < 0 {
-				in.reply <- bad("unknown class %q", in.message.ClassName)
-				continue
-			}
-		}
-		old := r.messagesByTrace[in.message.TraceID]
-		if old != nil && old.accepting {
-			in.acceptedAs, old.hasDuplicates = old, true
-			waiting = append(waiting, in)
+	for _, s := range submissions {
+		if !r.resolveClass(s.message) {
+			s.reply <- bad("unknown class %q", s.message.ClassName)
 			continue
 		}
-		if old != nil && !(old.Cancelled && (old.inFlight == 0 || r.cfg.AllowHedging)) {
-			in.reply <- r.duplicateReply(old)
+		known := r.messagesByTrace[s.message.TraceID]
+		if known != nil && known.accepting {
+			known.hasDuplicates = true
+			s.acceptedAs = known
+			waiting = append(waiting, s)
 			continue
 		}
-		if a, ended := r.finished.reply(in.message.TraceID, now); old == nil && ended {
-			in.reply <- a
+		if reply, duplicate := r.replyToDuplicate(s.message, known, now); duplicate {
+			s.reply <- reply
 			continue
 		}
-		switch {
-		case r.listReceived && !r.catalog.HasDestination(in.message.Destination):
-			r.countResult(in.message, metrics.Failed)
-			in.reply <- bad("no such destination: %d", in.message.Destination)
-			continue
-		case r.activeConfig.Settings.MaxPendingMessages > 0 && r.pending >= r.activeConfig.Settings.MaxPendingMessages:
-			r.countResult(in.message, metrics.Rejected)
-			in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
+		if reply, admitted := r.admit(s.message); !admitted {
+			s.reply <- reply
 			continue
 		}
-		r.lastMessageID++
-		in.message.ID = r.lastMessageID
-		m := &message{Message: in.message, accepting: true}
-		if old != nil {
-			// It may have run, and goes on from there.
-			m.Attempts, m.UncertainAttempts, m.attemptsStarted = old.Attempts, slices.Clone(old.UncertainAttempts), old.attemptsStarted
-			old.resubmittedAs = m
-		}
-		r.messages[m.ID], r.messagesByTrace[m.TraceID] = m, m
-		r.recorder.Label(m.ID, m.TraceID)
-		r.pending++
-		in.acceptedAs = m
-		waiting, ms = append(waiting, in), append(ms, in.message)
+		s.acceptedAs = r.register(s.message, known)
+		waiting = append(waiting, s)
+		records = append(records, s.message)
 	}
-	if len(ms) == 0 {
+	if len(records) == 0 {
 		return waiting
 	}
-	err := r.journal.Accept(ms...)
-	for _, in := range waiting {
-		in.acceptedAs.accepting = false
+	err := r.journal.Accept(records...)
+	for _, s := range waiting {
+		s.acceptedAs.accepting = false
 	}
-	if err == nil {
-		return waiting
+	if err != nil {
+		// A full disk is no reason to die: pending messages go on, new ones are rejected.
+		r.journalFull.Log(r.log, "err", err)
+		r.rollBack(waiting)
+		return nil
+	}
+	return waiting
+}
+
+// resolveClass looks up a message's class once more, as the configuration may have changed since the client's request
+// was read; false if the class exists no more.
+func (r *Relay) resolveClass(m *journal.Message) bool {
+	if m.ClassName != "" {
+		m.Class = slices.Index(r.activeConfig.ClassNames, m.ClassName)
+		return m.Class >= 0
+	}
+	return true
+}
+
+// replyToDuplicate is the answer to a message whose id is in use, by known, or was until recently. A cancelled message
+// may be submitted once more, unless its call is still in flight and no second one may be.
+func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply answer, duplicate bool) {
+	if known == nil {
+		return r.finished.reply(m.TraceID, now)
 	}
-	// A full disk is no reason to die: what is held goes on, new work is refused.
-	r.journalFull.Log(r.log, "err", err)
-	for _, in := range waiting {
-		if m := in.acceptedAs; m.Message == in.message {
+	if known.Cancelled && (known.inFlight == 0 || r.cfg.AllowHedging) {
+		return answer{}, false
+	}
+	return r.duplicateReply(known), true
+}
+
+// admit tells whether there is a destination and capacity for a new message; if not, reply rejects it.
+func (r *Relay) admit(m *journal.Message) (reply answer, admitted bool) {
+	if r.listReceived && !r.catalog.HasDestination(m.Destination) {
+		r.countResult(m, metrics.Failed)
+		return bad("no such destination: %d", m.Destination), false
+	}
+	limit := r.activeConfig.Settings.MaxPendingMessages
+	if limit > 0 && r.pending >= limit {
+		r.countResult(m, metrics.Rejected)
+		return unavailableReply, false
+	}
+	return answer{}, true
+}
+
+// register adds a new message to the relay's state. One that was cancelled before, and may have run then, goes on from
+// there: previous is what it was.
+func (r *Relay) register(record *journal.Message, previous *message) *message {
+	r.lastMessageID++
+	record.ID = r.lastMessageID
+	m := &message{Message: record, accepting: true}
+	if previous != nil {
+		m.Attempts = previous.Attempts
+		m.UncertainAttempts = slices.Clone(previous.UncertainAttempts)
+		m.attemptsStarted = previous.attemptsStarted
+		previous.resubmittedAs = m
+	}
+	r.messages[m.ID] = m
+	r.messagesByTrace[m.TraceID] = m
+	r.recorder.Label(m.ID, m.TraceID)
+	r.pending++
+	return m
+}
+
+// rollBack rejects messages that could not be journaled, and restores what register changed.
+func (r *Relay) rollBack(waiting []*submitEvent) {
+	for _, s := range waiting {
+		if m := s.acceptedAs; m.Message == s.message {
 			r.pending--
 			delete(r.messages, m.ID)
 			delete(r.messagesByTrace, m.TraceID)
-			r.countResult(in.message, metrics.Rejected)
+			r.countResult(s.message, metrics.Rejected)
 		}
-		in.reply <- answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
+		s.reply <- unavailableReply
 	}
 	for _, m := range r.cancelled {
 		if m.resubmittedAs != nil && r.messages[m.resubmittedAs.ID] == nil {
-			m.resubmittedAs, r.messagesByTrace[m.TraceID] = nil, m
+			m.resubmittedAs = nil
+			r.messagesByTrace[m.TraceID] = m
 		}
 	}
-	return nil
 }
 
-// duplicateReply is the answer to a hand-in under the id of a message that is known: the end that this one has, if any.
+// duplicateReply is the answer to a message under the id of one that is known: the final answer that this one has, if
+// any.
 func (r *Relay) duplicateReply(m *message) answer {
 	switch {
-	case m.Cancelled: // its call is still out, and may not have company
+	case m.Cancelled: // its call is still in flight, and no second one may be
 		return answer{status: http.StatusInternalServerError}
-	case m.Final == nil: // under way, or delivered
+	case m.Final == nil: // pending, or delivered
 		m.hasDuplicates = true
 		return answer{status: http.StatusAccepted}
 	}
 	return finalAnswer(*m.Final)
 }
 
-// finalAnswer is what a client is told of a message that is not delivered.
+// finalAnswer is the answer to the client of a message that is not delivered.
 func finalAnswer(f journal.FinalAnswer) answer {
 	if f.Retryable {
 		return answer{status: http.StatusServiceUnavailable, again: f.RetryAfter}
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -194,7 +194,7 @@
 	first := bufio.NewReader(dial(t, addr, handInText("m1")))
 	e := <-r.events
 	second := bufio.NewReader(dial(t, addr, handInText("m2")))
-	r.step([]any{e})
+	r.step([]event{e})
 	if res := read(t, first); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -215,7 +215,7 @@
 
 // decide has the loop take all of these hand-ins in one step.
 func decide(r *Relay, ins ...*submitEvent) (answers []answer) {
-	batch := make([]any, len(ins))
+	batch := make([]event, len(ins))
 	for i, in := range ins {
 		batch[i] = in
 	}
@@ -253,7 +253,7 @@
 	first := newHandIn("m1", 7, 5*time.Second)
 	decide(r, first)
 	decide(r, newHandIn("m1", 7, 5*time.Second))
-	r.step([]any{cancelEvent{first.message.ID}})
+	r.step([]event{cancelEvent{first.message.ID}})
 	if m := r.messages[first.message.ID]; m == nil || m.completed {
 		t.Errorf("withdrawn: %+v", m)
 	}
@@ -286,7 +286,7 @@
 		if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: sent}); err != nil {
 			t.Fatal(err)
 		}
-		r.step([]any{cancelEvent{m.ID}})
+		r.step([]event{cancelEvent{m.ID}})
 		if restart == 1 {
 			r = restarted(t, r)
 			r.catalog.RememberDestination(dest)
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -1,26 +1,105 @@
 package relay
 
-import "cherrytrestle.example/cherrytrestle/internal/state/journal"
-
-// The events of the loop, besides policy's own.
-type (
-	submitEvent struct {
-		message    *journal.Message
-		acceptedAs *message    // what it was taken for
-		reply      chan answer // takes one without waiting
-	}
-	cancelEvent  struct{ messageID uint32 }
-	callFinished struct {
-		call    *call
-		results []result
-	}
-	attemptTimeout struct{ attempt *attempt }
-	sendCheck      struct {
-		call  *call
-		reply chan []*attempt // those that may still leave
-	}
-	notificationsAcked struct{ messageIDs []uint32 } // their notices were taken
-	stopAccepting      struct{}                      // no more messages come
-	stopSending        struct{}                      // from here on only outcomes are noted
-	tick               struct{}                      // asks for a step
+import (
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
+
+// event is something that happened outside the loop. Its handler runs on the loop's goroutine: it updates the relay's
+// state at once, and adds to the step whatever has to wait until the policy has decided.
+type event interface {
+	apply(r *Relay, s *stepState)
+}
+
+// submitEvent is a message that a client submits.
+type submitEvent struct {
+	message    *journal.Message
+	acceptedAs *message    // set by the loop: the message that it became, or that it duplicates
+	reply      chan answer // buffered: the loop never waits for the client
+}
+
+// cancelEvent tells that the client left before it had the answer to its message.
+type cancelEvent struct{ messageID uint32 }
+
+// callFinished carries the results of a call, one for each of its attempts.
+type callFinished struct {
+	call    *call
+	results []result
+}
+
+// attemptTimeout tells that the time of one attempt is up while its call goes on for others.
+type attemptTimeout struct{ attempt *attempt }
+
+// sendCheck asks which attempts of a delayed call may still be sent.
+type sendCheck struct {
+	call  *call
+	reply chan []*attempt // buffered; receives the attempts that may still be sent
+}
+
+// notificationsAcked tells that the platform has taken the final notifications of these messages.
+type notificationsAcked struct{ messageIDs []uint32 }
+
+// stopAccepting tells that no more messages come.
+type stopAccepting struct{}
+
+// stopSending ends all decisions: from here on only outcomes are recorded.
+type stopSending struct{}
+
+// tick asks for a step and carries nothing.
+type tick struct{}
+
+// listEvent is a short endpoint list, or a change of it.
+type listEvent struct{ list List }
+
+// partEvent is one part of a long endpoint list.
+type partEvent struct{ part *SnapshotPart }
+
+func (e *submitEvent) apply(_ *Relay, s *stepState) { s.submissions = append(s.submissions, e) }
+
+func (e cancelEvent) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.cancel(s.policyEvents, e.messageID)
+}
+
+func (e *callFinished) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.callEnded(s.policyEvents, e)
+}
+
+func (e attemptTimeout) apply(r *Relay, s *stepState) {
+	timeout := result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)}
+	s.policyEvents = r.attemptEnded(s.policyEvents, e.attempt, timeout)
+}
+
+func (e sendCheck) apply(_ *Relay, s *stepState) { s.sendChecks = append(s.sendChecks, e) }
+
+func (e notificationsAcked) apply(r *Relay, _ *stepState) {
+	for _, id := range e.messageIDs {
+		if m := r.messages[id]; m != nil {
+			r.journal.Remove(m.Message)
+			r.remove(m)
+		}
+	}
+}
+
+func (stopAccepting) apply(r *Relay, _ *stepState) { r.stopping = true }
+
+func (stopSending) apply(r *Relay, _ *stepState) { r.sendingStopped = true }
+
+func (tick) apply(*Relay, *stepState) {}
+
+func (e listEvent) apply(r *Relay, s *stepState) {
+	s.policyEvents = append(s.policyEvents, r.applyList(e.list)...)
+}
+
+func (e partEvent) apply(r *Relay, s *stepState) {
+	r.applyPart(e.part)
+	s.policyEvents = append(s.policyEvents, r.deferredEvents...)
+	r.deferredEvents = r.deferredEvents[:0]
+}
+
+func (e configChange) apply(r *Relay, _ *stepState) { r.changeConfig(e) }
+
+func (e metricsRequest) apply(_ *Relay, s *stepState) {
+	s.metricsRequests = append(s.metricsRequests, e)
+}
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -186,7 +186,7 @@
 				t.Errorf("the module knows %v, awake are %v", got, want)
 			}
 			was := requests.Load()
-			r.step([]any{outcomeOf(0, 2, 0, 0)})
+			r.step([]event{outcomeOf(0, 2, 0, 0)})
 			tellLong(
 				r,
 				false,
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -18,9 +18,9 @@
 	give := func(p *SnapshotPart) bool {
 		p.Reply = make(chan bool, 1)
 		if p.Kind == PartBegin {
-			r.step([]any{p})
+			r.step([]event{partEvent{p}})
 		} else {
-			r.collect(nil, p)
+			r.collect(nil, partEvent{p})
 		}
 		return <-p.Reply
 	}
@@ -122,7 +122,7 @@
 						100+rng.IntN(dests),
 						time.Duration(1+rng.IntN(30))*time.Millisecond,
 					)
-					r.step([]any{in})
+					r.step([]event{in})
 					<-in.reply
 				}
 			case 3:
@@ -169,7 +169,7 @@
 		r.catalog.BeginSnapshot()
 		for _, p := range []*SnapshotPart{{Kind: PartEntries, Entries: entries}, {Kind: PartSweep}, {Kind: PartEnd, Version: 3}} {
 			p.Reply = make(chan bool, 1)
-			r.collect(nil, p)
+			r.collect(nil, partEvent{p})
 			<-p.Reply
 		}
 		for _, e := range r.deferredEvents {
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -31,7 +31,7 @@
 		{false, []string{gone, back}, true}, {false, []string{back, gone}, false}, {true, []string{gone, back}, true}, {true, []string{back, gone}, false},
 	} {
 		r := newTestRelay(t)
-		r.step([]any{List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}})
+		r.step([]event{listEvent{List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}}})
 		known, ok := r.catalog.Endpoint("s-1")
 		views, _ := r.engine.Views()
 		if ok != c.listed || len(views) != r.catalog.EndpointCount() ||
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -93,8 +93,8 @@
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*SnapshotPart); ok {
-					p.Reply <- true
+				if p, ok := e.(partEvent); ok {
+					p.part.Reply <- true
 				}
 			case <-ended:
 				return
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -6,7 +6,7 @@
 )
 
 // post hands an event to the loop; false if that has ended.
-func (r *Relay) post(e any) bool {
+func (r *Relay) post(e event) bool {
 	select {
 	case r.events <- e:
 		return true
@@ -24,7 +24,7 @@
 	defer r.dumpOnPanic()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var batch []any
+	var batch []event
 	var last time.Time
 	for {
 		batch = batch[:0]
@@ -63,7 +63,7 @@
 	for {
 		select {
 		case e := <-r.events:
-			r.step([]any{e})
+			r.step([]event{e})
 		default:
 			return
 		}
@@ -80,16 +80,16 @@
 
 // collect takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that
 // came before it waits in the batch.
-func (r *Relay) collect(batch []any, e any) []any {
-	if p, ok := e.(*SnapshotPart); ok && p.Kind != PartBegin && !r.handed {
-		r.applyPart(p)
+func (r *Relay) collect(batch []event, e event) []event {
+	if p, ok := e.(partEvent); ok && p.part.Kind != PartBegin && !r.handed {
+		r.applyPart(p.part)
 		return batch
 	}
 	return append(batch, e)
 }
 
 // waitForTick waits for the next step's time. Parts of a long list are taken meanwhile.
-func (r *Relay) waitForTick(batch []any, rest time.Duration) []any {
+func (r *Relay) waitForTick(batch []event, rest time.Duration) []event {
 	if rest <= 0 {
 		return batch
 	}
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -45,15 +45,15 @@
 				r.callsInFlight++
 				a.call.attempts = []*attempt{a}
 				if c.left {
-					r.step([]any{cancelEvent{m.ID}})
+					r.step([]event{cancelEvent{m.ID}})
 				}
-				r.step([]any{&callFinished{a.call, []result{*c.result}}})
+				r.step([]event{&callFinished{a.call, []result{*c.result}}})
 			}
 			if c.final != nil {
 				act := *c.final
 				act.MessageID = m.ID
 				r.execute([]policy.Action{act}, nil)
-				r.step([]any{notificationsAcked{[]uint32{m.ID}}})
+				r.step([]event{notificationsAcked{[]uint32{m.ID}}})
 			}
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
 				t.Fatal("it is not forgotten")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -54,7 +54,7 @@
 	agent            *Client
 	recorder         *recording
 	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
-	events           chan any
+	events           chan event
 	sharedRecorder   atomic.Pointer[recording]     // rec, for other goroutines
 	awaitingHandover atomic.Bool                   // for the process before this one to hand over
 	loopDone         chan struct{}                 // closed when the loop has ended
@@ -94,6 +94,7 @@
 	lastMessageID     uint32
 	timerAt           time.Time       // zero: none asked for
 	deferredEvents    []policy.Event  // for the next step
+	current           stepState       // of the step that runs
 	journalFull       ratelog.Warning // the log takes no new work
 	sendsUnrecorded   ratelog.Warning // nor the sends of calls
 	unreadableEntries ratelog.Warning // entries of the list cannot be read
@@ -111,7 +112,7 @@
 	started := time.Now().Add(-initialClock)
 	r := &Relay{
 		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: NewClient(cfg.DiscoveryAddr),
-		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
+		events: make(chan event, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
 		journalFull: ratelog.Warning{
 			Message: "refusing new messages",
@@ -208,8 +209,8 @@
 func (r *Relay) newWatcher() *Watcher {
 	return &Watcher{
 		Log: r.log, Client: r.agent, IdleTimeout: WatchIdleTimeout, ListTimeout: ListTimeout, Version: r.listVersion, NeedsSnapshot: r.snapshotNeeded, HasList: r.endpointsKnown.Load(),
-		OnUpdate: func(l List) { r.post(l) }, Parse: r.cfg.parseEndpoint,
-		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(p) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
+		OnUpdate: func(l List) { r.post(listEvent{l}) }, Parse: r.cfg.parseEndpoint,
+		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(partEvent{p}) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
 		Backoff: NewBackoff(r.cfg), Rand: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
 		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, oversizeLists: ratelog.Warning{Message: "list not taken"},
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -186,9 +186,9 @@
 }
 
 // next takes the loop's next event and decides on it.
-func (r *Relay) next() any {
+func (r *Relay) next() event {
 	e := <-r.events
-	r.step([]any{e})
+	r.step([]event{e})
 	return e
 }
 
@@ -198,7 +198,7 @@
 	nettest.Eventually(t, what, func() bool {
 		select {
 		case e := <-r.events:
-			r.step([]any{e})
+			r.step([]event{e})
 		default:
 			r.step(nil)
 		}
@@ -216,7 +216,7 @@
 	e := <-r.events
 	c.Close()
 	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
-	r.step([]any{e})
+	r.step([]event{e})
 	for {
 		if _, ok := r.next().(cancelEvent); ok {
 			break
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -6,8 +6,30 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// step takes a batch of events to the module and carries out what it decides.
-func (r *Relay) step(batch []any) {
+// stepState is what a step collects from its events, and carries out in the order that step gives.
+type stepState struct {
+	policyEvents    []policy.Event
+	submissions     []*submitEvent
+	sendChecks      []sendCheck
+	metricsRequests []metricsRequest
+	handOff         *handOff // nil: nobody asks to take over
+}
+
+// reset empties the state for the next step. It keeps the slices that only a step refers to, and their room.
+func (s *stepState) reset() {
+	clear(s.submissions)
+	clear(s.sendChecks)
+	clear(s.metricsRequests)
+	*s = stepState{
+		submissions:     s.submissions[:0],
+		sendChecks:      s.sendChecks[:0],
+		metricsRequests: s.metricsRequests[:0],
+	}
+}
+
+// step applies a batch of events, has the policy decide, and carries out what it decides. The order is fixed: state
+// first, then new messages, decisions and calls, and at last the answers to those who asked about the outcome.
+func (r *Relay) step(batch []event) {
 	if r.handed {
 		r.forwardEvents(batch)
 		return
@@ -16,111 +38,86 @@
 	if !r.timerAt.IsZero() && !time.Now().Before(r.timerAt) {
 		r.timerAt = time.Time{}
 	}
-	evs := append([]policy.Event(nil), r.deferredEvents...)
+	s := &r.current
+	s.policyEvents = append([]policy.Event(nil), r.deferredEvents...)
 	r.deferredEvents = r.deferredEvents[:0]
-	var asked []sendCheck
-	var fetches []metricsRequest
-	var ins []*submitEvent
-	var handing *handOff
 	for _, e := range batch {
-		switch e := e.(type) {
-		case *submitEvent:
-			ins = append(ins, e)
-		case cancelEvent:
-			evs = r.cancel(evs, e.messageID)
-		case *callFinished:
-			evs = r.callEnded(evs, e)
-		case attemptTimeout:
-			evs = r.attemptEnded(evs, e.attempt, result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)})
-		case List:
-			evs = append(evs, r.applyList(e)...)
-		case *SnapshotPart:
-			r.applyPart(e)
-			evs = append(evs, r.deferredEvents...)
-			r.deferredEvents = r.deferredEvents[:0]
-		case sendCheck:
-			asked = append(asked, e)
-		case notificationsAcked:
-			for _, id := range e.messageIDs {
-				if m := r.messages[id]; m != nil {
-					r.journal.Remove(m.Message)
-					r.remove(m)
-				}
-			}
-		case stopAccepting:
-			r.stopping = true
-		case stopSending:
-			r.sendingStopped = true
-		case configChange:
-			r.changeConfig(e)
-		case remoteOutcome:
-			evs = r.remoteEnded(evs, e)
-		case beforeGone:
-			evs = r.remoteGone(evs)
-		case successorCame:
-			r.follow(e.conn)
-		case successorGone:
-			r.unfollow(e.conn)
-		case handOff:
-			handing = &e
-		case metricsRequest:
-			fetches = append(fetches, e)
-		}
+		e.apply(r, s)
 	}
 	r.expire()
-	waiting := r.accept(ins)
-	if !r.sendingStopped {
-		for _, in := range waiting {
-			switch m := in.acceptedAs; {
-			case m.Message != in.message: // a twin of one before it
-			case m.Attempts > 0:
-				evs = append(evs, r.recoveredEvent(m))
-			default:
-				evs = append(evs, r.acceptedEvent(m))
-			}
-		}
-		r.execute(r.decide(now, evs), waiting)
-	} else {
+	r.decideAndExecute(now, s)
+	r.saveEndpointHealth()
+	r.answerRequests(s)
+	s.reset()
+	r.closeWhenDrained()
+}
+
+// decideAndExecute accepts the step's messages, has the policy decide, and executes its actions.
+func (r *Relay) decideAndExecute(now time.Duration, s *stepState) {
+	waiting := r.accept(s.submissions)
+	if r.sendingStopped {
 		r.execute(nil, waiting)
+		return
 	}
-	r.saveEndpointHealth()
-	for _, c := range asked {
-		c.reply <- r.sendableAttempts(c.call)
+	events := s.policyEvents
+	for _, submitted := range waiting {
+		switch m := submitted.acceptedAs; {
+		case m.Message != submitted.message: // a duplicate of one before it
+		case m.Attempts > 0:
+			events = append(events, r.recoveredEvent(m))
+		default:
+			events = append(events, r.acceptedEvent(m))
+		}
+	}
+	r.execute(r.decide(now, events), waiting)
+}
+
+// answerRequests answers those who asked about the state after this step.
+func (r *Relay) answerRequests(s *stepState) {
+	for _, check := range s.sendChecks {
+		check.reply <- r.sendableAttempts(check.call)
 	}
-	for _, g := range fetches {
+	for _, request := range s.metricsRequests {
 		r.updateGauges()
-		close(g.done)
+		close(request.done)
 	}
-	if handing != nil {
-		handing.done <- r.handOff()
+	if s.handOff != nil {
+		s.handOff.done <- r.handOff()
 	}
-	if r.stopping && !r.drainedClosed && (r.allFinished() || r.sendingStopped && r.callsInFlight == 0) {
+}
+
+// closeWhenDrained tells shutdown once nothing is left to wait for.
+func (r *Relay) closeWhenDrained() {
+	if !r.stopping || r.drainedClosed {
+		return
+	}
+	if r.allFinished() || r.sendingStopped && r.callsInFlight == 0 {
 		r.drainedClosed = true
 		close(r.drained)
 	}
 }
 
-// decide has the module take a step, and records it.
+// decide has the policy take a step, and records it.
 func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
 	if r.largeList.Load() {
 		events = r.wakeDestinations(now, events)
 	}
-	acts := r.engine.Step(now, events)
+	actions := r.engine.Step(now, events)
 	if r.fleet == nil {
-		r.recorder.Step(now, events, acts)
-		return acts
-	}
-	beside, told := r.fleet.Step(
-		now,
-		events,
-		acts,
-		func() []policy.EndpointView { views, _ := r.engine.Views(); return views },
-	)
+		r.recorder.Step(now, events, actions)
+		return actions
+	}
+	views := func() []policy.EndpointView {
+		views, _ := r.engine.Views()
+		return views
+	}
+	fleetStep, received := r.fleet.Step(now, events, actions, views)
 	if r.recorder.Recorder != nil {
-		r.recorder.StepWithFleet(now, events, acts, beside.Append(nil))
+		r.recorder.StepWithFleet(now, events, actions, fleetStep.Append(nil))
 	}
-	if r.deferredEvents = append(r.deferredEvents, told...); len(told) > 0 {
-		r.requestStep() // the module hears it in a step of its own, soon
+	if len(received) > 0 {
+		r.deferredEvents = append(r.deferredEvents, received...)
+		r.requestStep() // the policy learns of it in a step of its own, soon
 	}
-	return acts
+	return actions
 }
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -37,7 +37,7 @@
 			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
-			r.step([]any{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}})
+			r.step([]event{listEvent{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
 		}},
 		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -62,6 +62,18 @@
 	handOff       struct{ done chan bool }
 )
 
+func (e remoteOutcome) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.remoteEnded(s.policyEvents, e)
+}
+
+func (beforeGone) apply(r *Relay, s *stepState) { s.policyEvents = r.remoteGone(s.policyEvents) }
+
+func (e successorCame) apply(r *Relay, _ *stepState) { r.follow(e.conn) }
+
+func (e successorGone) apply(r *Relay, _ *stepState) { r.unfollow(e.conn) }
+
+func (e handOff) apply(_ *Relay, s *stepState) { s.handOff = &e }
+
 func (r *Relay) handoverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
 
 func (r *Relay) openLog() error {
@@ -529,7 +541,7 @@
 }
 
 // forwardEvents is the loop's step once another process decides.
-func (r *Relay) forwardEvents(batch []any) {
+func (r *Relay) forwardEvents(batch []event) {
 	for _, e := range batch {
 		switch e := e.(type) {
 		case *submitEvent:
@@ -552,8 +564,8 @@
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
 			r.send(hotrestart.Frame{Outcome: &o})
-		case *SnapshotPart:
-			e.Reply <- true // nobody here goes by it any more
+		case partEvent:
+			e.part.Reply <- true // nobody here goes by it any more
 		case sendCheck:
 			e.reply <- nil // nobody here can tell any more
 		case metricsRequest:
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -69,20 +69,20 @@
 			if len(r.remote) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
 				t.Fatalf("remote %d, held %d, calls %d", len(r.remote), r.pending, len(r.activeCalls))
 			}
-			r.step([]any{tick{}})
+			r.step([]event{tick{}})
 			if len(r.activeCalls) != 0 {
 				t.Fatal("sent again with the outcome still to come")
 			}
-			r.step([]any{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
+			r.step([]event{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
 			if r.messages[in[0].message.ID] != nil || r.pending != 2 {
 				t.Errorf("delivered there, not ended here: held %d", r.pending)
 			}
-			r.step([]any{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
+			r.step([]event{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
 			views, _ := r.engine.Views()
 			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
 				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.activeCalls), views)
 			}
-			r.step([]any{beforeGone{}})
+			r.step([]event{beforeGone{}})
 			m := r.messages[in[2].message.ID]
 			if len(r.remote) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
 				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
