--- a/internal/recording/flightrecorder/flight_test.go
+++ b/internal/recording/flightrecorder/flight_test.go
@@ -221,7 +221,7 @@
 	text := fmt.Sprintf("%+v", e)
 	for _, x := range e.Events {
 		text += fmt.Sprintf(" %+v %q", x.Recovered, x.Key)
-		text = strings.ReplaceAll(text, fmt.Sprintf("Resumed:%p", x.Recovered), "")
+		text = strings.ReplaceAll(text, fmt.Sprintf("Recovered:%p", x.Recovered), "")
 	}
 	return text
 }
