--- /dev/null
+++ b/internal/fleet/agent/observe.go
@@ -0,0 +1,174 @@
+package agent
+
+import (
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// endpointInfo is what the endpoint list says of an endpoint.
+type endpointInfo struct {
+	_           struct{} `cbor:",toarray"`
+	Destination int
+	Kind        int
+	Limit       float64 // calls a second from all relays; 0 if the list does not say
+}
+
+// pendingMessage is a message that the engine has accepted and not ended.
+type pendingMessage struct {
+	_           struct{} `cbor:",toarray"`
+	Destination int
+	Waiting     bool // part of the backlog: no call with it is in flight
+}
+
+func (a *Agent) observeEvent(event *policy.Event) {
+	switch event.Kind {
+	case policy.MessageAccepted:
+		a.removeMessage(event.MessageID)
+		if event.Recovered == nil {
+			a.counter(limitScope{Destination: event.Destination}).Demand++
+		}
+		a.setWaiting(event.MessageID, pendingMessage{Destination: event.Destination}, true)
+	case policy.MessageCancelled:
+		a.removeMessage(event.MessageID)
+	case policy.AttemptFinished:
+		a.countOutcome(event)
+		a.attemptFinished(event)
+	case policy.HealthChecked:
+		a.countOutcome(event)
+	case policy.EndpointSnapshot:
+		clear(a.Endpoints)
+		a.updateEndpoints(event.Endpoints)
+	case policy.EndpointDelta:
+		a.updateEndpoints(event.Endpoints)
+	}
+}
+
+func (a *Agent) observeAction(action *policy.Action) {
+	switch action.Kind {
+	case policy.Send:
+		if message, ok := a.Pending[action.MessageID]; ok {
+			a.setWaiting(action.MessageID, message, false)
+		}
+		if _, ok := a.Endpoints[action.Endpoint]; ok {
+			a.sentMessages[action.Endpoint]++
+		}
+	case policy.Reject, policy.Fail:
+		a.removeMessage(action.MessageID)
+	case policy.RequestQuota:
+		if a.quota != nil {
+			a.quota.Request(a.Now, a.quotaScope(action.Endpoint), action.Calls)
+		}
+	}
+}
+
+// countOutcome counts the outcome of an attempt or a health check for its endpoint's limit scope.
+func (a *Agent) countOutcome(event *policy.Event) {
+	if _, ok := a.Endpoints[event.Endpoint]; !ok {
+		return
+	}
+	counter := a.counter(a.scopeOf(event.Endpoint))
+	switch event.Outcome {
+	case policy.OK:
+		counter.Deliveries++
+		a.recordOutcome(event.Endpoint, false)
+	case policy.Overloaded:
+		counter.Rejections++
+		a.recordOutcome(event.Endpoint, true)
+	case policy.Error, policy.Timeout, policy.ConnectFailed, policy.Reset:
+		counter.Failures++
+	}
+	if event.RetryAfter > 0 {
+		counter.RetryAfterUntil = max(counter.RetryAfterUntil, a.Now+event.RetryAfter)
+	}
+}
+
+// attemptFinished removes the attempt's message if it has ended, and otherwise adds it to the backlog again.
+func (a *Agent) attemptFinished(event *policy.Event) {
+	message, ok := a.Pending[event.MessageID]
+	if !ok {
+		return
+	}
+	if event.MessageEnded {
+		a.removeMessage(event.MessageID)
+		return
+	}
+	a.setWaiting(event.MessageID, message, true)
+}
+
+// setWaiting records whether a message waits. The backlog is counted for the destination, because it is not known
+// which endpoint the message will be sent to.
+func (a *Agent) setWaiting(id uint32, message pendingMessage, waiting bool) {
+	if message.Waiting == waiting {
+		return
+	}
+	counter := a.counter(limitScope{Destination: message.Destination})
+	if waiting {
+		counter.Backlog++
+	} else {
+		counter.Backlog = max(0, counter.Backlog-1)
+	}
+	message.Waiting = waiting
+	a.Pending[id] = message
+}
+
+func (a *Agent) removeMessage(id uint32) {
+	message, ok := a.Pending[id]
+	if !ok {
+		return
+	}
+	a.setWaiting(id, message, false)
+	delete(a.Pending, id)
+}
+
+func (a *Agent) updateEndpoints(endpoints []policy.Endpoint) {
+	for _, endpoint := range endpoints {
+		if endpoint.Removed {
+			delete(a.Endpoints, endpoint.ID)
+			continue
+		}
+		a.Endpoints[endpoint.ID] = endpointInfo{
+			Destination: endpoint.Destination,
+			Kind:        endpoint.Kind,
+			Limit:       endpoint.Weight,
+		}
+	}
+	limits := a.Limits()
+	a.reports.SetLimits(limits)
+	if a.quota != nil {
+		a.quota.SetLimits(a.Now, limits)
+	}
+}
+
+// Limits returns the limits of the endpoint list, by destination and endpoint as in loadreport.ScopeLoad.
+func (a *Agent) Limits() loadreport.Limits {
+	limits := loadreport.Limits{}
+	for endpoint, info := range a.Endpoints {
+		if info.Limit <= 0 {
+			continue
+		}
+		byEndpoint := limits[info.Destination]
+		if byEndpoint == nil {
+			byEndpoint = map[string]float64{}
+			limits[info.Destination] = byEndpoint
+		}
+		scope := a.scopeOf(endpoint)
+		byEndpoint[scope.Endpoint] = max(byEndpoint[scope.Endpoint], info.Limit)
+		if scope.Endpoint != "" {
+			// Backlog and demand of separately limited endpoints are reported for the destination.
+			byEndpoint[""] += info.Limit
+		}
+	}
+	return limits
+}
+
+// updateWarmingUp takes over from the engine which endpoints are warming up or ejected.
+func (a *Agent) updateWarmingUp(views []policy.EndpointView) {
+	for _, counter := range a.Counters {
+		counter.WarmingUp = false
+	}
+	for _, view := range views {
+		if _, ok := a.Endpoints[view.ID]; ok && (view.WarmingUp || view.Ejected) {
+			a.counter(a.scopeOf(view.ID)).WarmingUp = true
+		}
+	}
+}
