--- /dev/null
+++ b/internal/fleet/membership/transport.go
@@ -0,0 +1,58 @@
+package membership
+
+import (
+	"errors"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// transport resolves a member's name to the address that this relay has for it. That may differ from one relay to the
+// next, so that each pair of members can be connected through a proxy of its own.
+type transport struct {
+	memberlist.NodeAwareTransport
+	addresses map[string]string
+	sentBytes atomic.Uint64
+	streams   atomic.Uint64
+}
+
+func (t *transport) resolve(address memberlist.Address) memberlist.Address {
+	if addr, ok := t.addresses[address.Name]; ok {
+		address.Addr = addr
+	}
+	return address
+}
+
+// WriteToAddress sends a datagram.
+func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
+	t.sentBytes.Add(uint64(len(b)))
+	return t.NodeAwareTransport.WriteToAddress(b, t.resolve(address))
+}
+
+// DialAddressTimeout opens a stream. Where memberlist sets a deadline of its own that one counts; for messages to one
+// member it sets none, and a peer that hangs would hold them for ever.
+func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	t.streams.Add(1)
+	conn, err := t.NodeAwareTransport.DialAddressTimeout(t.resolve(address), timeout)
+	if err != nil {
+		return nil, err
+	}
+	if err := conn.SetDeadline(time.Now().Add(2 * streamTimeout)); err != nil {
+		return nil, errors.Join(err, conn.Close())
+	}
+	return &countingConn{conn, &t.sentBytes}, nil
+}
+
+// countingConn counts the bytes that are written.
+type countingConn struct {
+	net.Conn
+	sentBytes *atomic.Uint64
+}
+
+func (c *countingConn) Write(b []byte) (int, error) {
+	written, err := c.Conn.Write(b)
+	c.sentBytes.Add(uint64(written))
+	return written, err
+}
