--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -12,15 +12,16 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// A snapshot's form, with every field of it set, the ledger's and the rights' among them.
+// A snapshot's form, with every field of it set, those of the reports and the quota among them.
 func TestGoldenState(t *testing.T) {
-	var want, got state
+	var want state
 	golden.Fill(&want)
 	data, err := canonicalEncoding.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := golden.Check(t, *update, "state.cbor", data)
+	var got state
 	if err := cbor.Unmarshal(file, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -29,27 +30,25 @@
 	}
 }
 
-// A seam restored from a snapshot of an earlier build writes it again.
+// An agent restored from a snapshot of an earlier build writes it again.
 func TestGoldenSnapshot(t *testing.T) {
-	set := newSeam().Settings
-	set.ShareQuota, set.FleetSize = true, 20
-	s := New(set)
-	steps := history(t, 1)
-	for i, e := range steps[:300] {
-		s.Step(e.Now, input(e, i))
+	a := New(quotaSettings())
+	steps := engineHistory(t, 1)
+	for i, entry := range steps[:300] {
+		a.Step(entry.Now, historyInput(entry, i))
 	}
-	file := golden.Check(t, *update, "snapshot.cbor", s.Snapshot(nil))
+	file := golden.Check(t, *update, "snapshot.cbor", a.Snapshot(nil))
 	restored, err := Restore(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, false, "snapshot.cbor", restored.Snapshot(nil))
 	if restored.quota == nil || len(restored.Counters) == 0 {
-		t.Error("the snapshot holds no rights or no tallies")
+		t.Error("the snapshot holds no quota or no counters")
 	}
 }
 
-// What a step was told of others and told them, with every field set.
+// What a step received and sent, with every field set.
 func TestGoldenRecord(t *testing.T) {
 	var want Record
 	golden.Fill(&want)
