--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,26 +1,17 @@
-// Package fleet is what the relay's loop has of its fleet: one step beside the decision module's (package seam, pure),
-// and the link that carries what it tells (package link). The loop never waits for the link, and without one it goes on
-// alone.
+// Package fleet connects the relay's loop to its fleet. A Member steps the pure state machine of package agent beside
+// the decision engine, and hands its output to a node of package membership, which carries it to the other members. The
+// loop never waits for the node, and without one the relay serves alone.
 package fleet
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
-	"io/fs"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"text/tabwriter"
 	"time"
 
 	"github.com/hashicorp/memberlist"
@@ -33,294 +24,219 @@
 )
 
 const (
-	incarnationFile     = "fleet.life" // in the relay's folder
+	// listenRetryInterval is how often a member that cannot listen tries again.
 	listenRetryInterval = 2 * time.Second
+	// quotaStatusInterval is how often the quota's status is copied for Status.
 	quotaStatusInterval = 500 * time.Millisecond
-	stepInterval        = 250 * time.Millisecond // the loop is asked for a step so often, even if nothing happens
+	// stepInterval is how often the loop is asked for a step if nothing else happens.
+	stepInterval = 250 * time.Millisecond
 )
 
-// Config is what a Member is made of.
+// errStopped is the reason for a member's being down after Run has returned.
+var errStopped = errors.New("fleet: ended")
+
+// Config configures a Member.
 type Config struct {
 	Name             string
 	Label            string
 	Listen           string
 	Peers            map[string]string
-	Folder           string // that outlasts the process
+	Folder           string // outlasts the process
 	DestinationKinds []policy.DestinationKind
-	ShareQuota       bool // limits are shared among Senders, the told size of the fleet
-	FleetSize        int
-	Clock            func() time.Duration // that of Step's now
-	Log              *slog.Logger
-	RequestStep      func() // asks the loop for a step; must not wait
-	// Transport is what the link travels by; nil: sockets on Listen.
+	ShareQuota       bool // limits are shared among FleetSize relays
+	FleetSize        int  // as the platform reports it
+	// Clock is the clock of Step's now.
+	Clock func() time.Duration
+	Log   *slog.Logger
+	// RequestStep asks the loop for a step. It must not block.
+	RequestStep func()
+	// Transport carries the node's datagrams and streams; nil: sockets on Listen.
 	Transport memberlist.NodeAwareTransport
 }
 
-// Member is a relay's place in its fleet. Step is the loop's; the others may be called from any goroutine.
+// Member is a relay's membership of its fleet. Step and Agent belong to the loop; the other methods may be called from
+// any goroutine.
 type Member struct {
 	cfg           Config
 	incarnation   loadreport.Incarnation
 	agent         *agent.Agent
-	lastNode      *membership.Node // that Step has met; the loop's
-	quotaStatusAt time.Duration    // when standing was put last; the loop's
+	lastNode      *membership.Node // that the last step used; the loop's
+	quotaStatusAt time.Duration    // when quotaStatus was set last; the loop's
 
 	quotaStatus atomic.Pointer[[]quota.ScopeStatus]
 
 	mu         sync.Mutex
-	node       *membership.Node // nil: it does not listen yet, or no more
-	downReason error            // it does not
+	node       *membership.Node // nil while the member is down
+	downReason error
 }
 
-// New returns a Member that has heard nothing. Where its folder does not tell of an earlier life it begins with the
-// first.
+// New returns a Member that is down. It begins a new incarnation, the first one if its folder has none.
 func New(cfg Config) *Member {
-	life := loadreport.Incarnation{Generation: readIncarnation(cfg) + 1, Boot: rand.Uint32()}
-	if err := writeIncarnation(cfg, life.Generation); err != nil {
-		cfg.Log.Warn("fleet: the incarnation is not kept", "err", err)
-	}
-	return &Member{cfg: cfg, incarnation: life, agent: agent.New(agent.Settings{
-		Self: cfg.Name, Incarnation: life, Members: slices.Sorted(maps.Keys(cfg.Peers)), DestinationKinds: cfg.DestinationKinds,
-		ShareQuota: cfg.ShareQuota, FleetSize: cfg.FleetSize,
-	})}
-}
-
-// readIncarnation is the incarnation of the life before; 0: none is known, and if there was one the others will tell.
-func readIncarnation(cfg Config) uint64 {
-	data, err := os.ReadFile(filepath.Join(cfg.Folder, incarnationFile))
-	if errors.Is(err, fs.ErrNotExist) {
-		return 0
-	}
-	n, parseErr := strconv.ParseUint(strings.TrimSpace(string(data)), 10, 62)
-	if err = errors.Join(err, parseErr); err != nil {
-		cfg.Log.Warn("fleet: the incarnation cannot be read", "err", err)
+	incarnation := loadreport.Incarnation{Generation: readIncarnation(cfg) + 1, Boot: rand.Uint32()}
+	if err := writeIncarnation(cfg, incarnation.Generation); err != nil {
+		cfg.Log.Warn("fleet: incarnation not saved", "err", err)
+	}
+	return &Member{
+		cfg:         cfg,
+		incarnation: incarnation,
+		agent: agent.New(agent.Settings{
+			Self:             cfg.Name,
+			Incarnation:      incarnation,
+			Members:          slices.Sorted(maps.Keys(cfg.Peers)),
+			DestinationKinds: cfg.DestinationKinds,
+			ShareQuota:       cfg.ShareQuota,
+			FleetSize:        cfg.FleetSize,
+		}),
 	}
-	return n
 }
 
-func writeIncarnation(cfg Config, incarnation uint64) error {
-	path := filepath.Join(cfg.Folder, incarnationFile)
-	if err := os.WriteFile(path+".new", fmt.Appendf(nil, "%d\n", incarnation), 0o600); err != nil {
-		return fmt.Errorf("fleet: %w", err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("fleet: %w", err)
-	}
-	return nil
-}
-
-// Run keeps the link up until ctx ends. A port that is taken is tried again: the relay serves meanwhile.
+// Run keeps the node up until ctx is done. If the port is taken it tries again; the relay serves meanwhile.
 func (m *Member) Run(ctx context.Context) {
-	step := time.NewTicker(stepInterval)
-	defer step.Stop()
-	var next time.Time
+	ticker := time.NewTicker(stepInterval)
+	defer ticker.Stop()
+	var nextStart time.Time
 	for {
-		if m.currentNode() == nil && !time.Now().Before(next) {
+		if m.currentNode() == nil && !time.Now().Before(nextStart) {
 			m.startNode()
-			next = time.Now().Add(listenRetryInterval)
+			nextStart = time.Now().Add(listenRetryInterval)
 		}
 		select {
 		case <-ctx.Done():
-			if l := m.currentNode(); l != nil {
-				m.setNode(nil, errors.New("fleet: ended"))
-				if err := l.Close(); err != nil {
-					m.cfg.Log.Warn("fleet: end", "err", err)
-				}
-			}
+			m.stopNode()
 			return
-		case <-step.C:
+		case <-ticker.C:
 			m.cfg.RequestStep()
 		}
 	}
 }
 
 func (m *Member) startNode() {
-	l, err := membership.Start(membership.Config{
-		Name: m.cfg.Name, Fleet: m.cfg.Label, Listen: m.cfg.Listen, Peers: m.cfg.Peers, Incarnation: m.incarnation, Log: m.cfg.Log, OnReceive: m.cfg.RequestStep,
-		SaveIncarnation: func(n uint64) error { return writeIncarnation(m.cfg, n) }, Transport: m.cfg.Transport,
+	node, err := membership.Start(membership.Config{
+		Name:            m.cfg.Name,
+		Fleet:           m.cfg.Label,
+		Listen:          m.cfg.Listen,
+		Peers:           m.cfg.Peers,
+		Incarnation:     m.incarnation,
+		Log:             m.cfg.Log,
+		OnReceive:       m.cfg.RequestStep,
+		SaveIncarnation: func(generation uint64) error { return writeIncarnation(m.cfg, generation) },
+		Transport:       m.cfg.Transport,
 	})
-	if m.setNode(l, err); err != nil {
-		m.cfg.Log.Warn("fleet: not heard by others, and hearing none; serving alone", "err", err)
+	m.setNode(node, err)
+	if err != nil {
+		m.cfg.Log.Warn("fleet: not connected; serving alone", "err", err)
 		return
 	}
-	m.cfg.Log.Info("fleet: listening", "name", m.cfg.Name, "listen", l.Addr(), "incarnation", m.incarnation.Generation)
+	m.cfg.Log.Info("fleet: listening",
+		"member", m.cfg.Name, "listen", node.Addr(), "incarnation", m.incarnation.Generation)
 }
 
+func (m *Member) stopNode() {
+	node := m.currentNode()
+	if node == nil {
+		return
+	}
+	m.setNode(nil, errStopped)
+	if err := node.Close(); err != nil {
+		m.cfg.Log.Warn("fleet: node not closed cleanly", "err", err)
+	}
+}
+
+// currentNode returns the node, or nil while the member is down.
 func (m *Member) currentNode() *membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node
 }
 
-func (m *Member) setNode(l *membership.Node, why error) {
+func (m *Member) setNode(node *membership.Node, downReason error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.node, m.downReason = l, why
+	m.node = node
+	m.downReason = downReason
 }
 
-// Step takes a step of the module, and returns what a recording must hold of it, and what the module is to be told in
-// its next step.
+// Step steps the agent after a step of the engine. It returns what a recording must hold of it, and events for the
+// engine's next step.
 func (m *Member) Step(
 	now time.Duration,
 	events []policy.Event,
 	actions []policy.Action,
 	views func() []policy.EndpointView,
 ) (agent.Record, []policy.Event) {
-	var rec agent.Record
-	var decided time.Duration // by the link's clock, when now was or before
-	l := m.currentNode()
-	if l != nil {
-		rec.Received, rec.Incarnation = l.Received()
+	var record agent.Record
+	var decidedAt time.Duration // the node's time at now, or before that
+	node := m.currentNode()
+	if node != nil {
+		record.Received, record.Incarnation = node.Received()
 		if m.cfg.ShareQuota {
-			decided = l.Now() // first: a stop of the process between the two has it earlier, and leases shorter
-			decided -= m.cfg.Clock() - now
-			rec.QuotaReceived = l.ReceivedQuota()
+			// The node's clock is read first: if the process is stopped between the two, quota messages count as
+			// decided earlier and leases are shorter, never longer.
+			decidedAt = node.Now()
+			decidedAt -= m.cfg.Clock() - now
+			record.QuotaReceived = node.ReceivedQuota()
 		}
 	}
-	out := m.agent.Step(
-		now,
-		agent.Input{
-			Received:    rec.Received,
-			Incarnation: rec.Incarnation,
-			Quota:       rec.QuotaReceived,
-			Events:      events,
-			Actions:     actions,
-			Views:       views,
-		},
-	)
-	rec.Published, rec.QuotaSent = out.Published, out.Quota
-	if b := m.agent.Quota(); b != nil && now >= m.quotaStatusAt+quotaStatusInterval {
-		all := b.Status(now)
-		m.quotaStatusAt = now
-		m.quotaStatus.Store(&all)
-	}
-	if l == nil {
-		return rec, out.Events
-	}
-	listed := func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta }
-	if l != m.lastNode || slices.ContainsFunc(events, listed) { // a link comes up after the list was told
-		m.lastNode = l
-		l.SetLimits(m.agent.Limits())
-	}
-	if len(rec.Published) > 0 {
-		l.Publish(rec.Published)
-	}
-	if len(rec.QuotaSent) > 0 {
-		l.SendQuota(decided, rec.QuotaSent)
-	}
-	return rec, out.Events
+	out := m.agent.Step(now, agent.Input{
+		Received:    record.Received,
+		Incarnation: record.Incarnation,
+		Quota:       record.QuotaReceived,
+		Events:      events,
+		Actions:     actions,
+		Views:       views,
+	})
+	record.Published = out.Published
+	record.QuotaSent = out.Quota
+	m.updateQuotaStatus(now)
+	if node != nil {
+		m.updateLimits(node, events)
+		m.send(node, decidedAt, out)
+	}
+	return record, out.Events
 }
 
-// AliveCount is how many members are seen, this one among them; 0: the link is down.
-func (m *Member) AliveCount() int {
-	if l := m.currentNode(); l != nil {
-		return l.AliveCount()
+// updateQuotaStatus copies the quota's status for Status, every quotaStatusInterval.
+func (m *Member) updateQuotaStatus(now time.Duration) {
+	ledger := m.agent.Quota()
+	if ledger == nil || now < m.quotaStatusAt+quotaStatusInterval {
+		return
 	}
-	return 0
+	m.quotaStatusAt = now
+	status := ledger.Status(now)
+	m.quotaStatus.Store(&status)
 }
 
-// Agent is the pure part. It must only be asked, by the loop.
-func (m *Member) Agent() *agent.Agent { return m.agent }
+// updateLimits sets the limits of the endpoint list at the node, if the list has changed or the node is a new one.
+func (m *Member) updateLimits(node *membership.Node, events []policy.Event) {
+	if node == m.lastNode && !slices.ContainsFunc(events, changesEndpoints) {
+		return
+	}
+	m.lastNode = node
+	node.SetLimits(m.agent.Limits())
+}
 
-// Status is what a member tells of its fleet.
-type Status struct {
-	Up         bool                `json:"up"`
-	DownReason string              `json:"why,omitempty"`    // it is not
-	Quota      []quota.ScopeStatus `json:"rights,omitempty"` // where limits are shared
-	*membership.Status
+func changesEndpoints(event policy.Event) bool {
+	return event.Kind == policy.EndpointSnapshot || event.Kind == policy.EndpointDelta
 }
 
-// Status tells of the fleet as this member sees it.
-func (m *Member) Status() Status {
-	m.mu.Lock()
-	l, why := m.node, m.downReason
-	m.mu.Unlock()
-	s := Status{Up: l != nil}
-	if all := m.quotaStatus.Load(); all != nil {
-		s.Quota = *all
+// send hands the agent's output to the node.
+func (m *Member) send(node *membership.Node, decidedAt time.Duration, out agent.Output) {
+	if len(out.Published) > 0 {
+		node.Publish(out.Published)
 	}
-	if l != nil {
-		st := l.Status()
-		s.Status = &st
-	} else if why != nil {
-		s.DownReason = why.Error()
+	if len(out.Quota) > 0 {
+		node.SendQuota(decidedAt, out.Quota)
 	}
-	return s
 }
 
-// WriteJSON writes the Status as JSON.
-func (m *Member) WriteJSON(w io.Writer) error {
-	if err := json.NewEncoder(w).Encode(m.Status()); err != nil {
-		return fmt.Errorf("fleet: %w", err)
+// AliveCount is the number of alive members, this one among them; 0 while the member is down.
+func (m *Member) AliveCount() int {
+	node := m.currentNode()
+	if node == nil {
+		return 0
 	}
-	return nil
+	return node.AliveCount()
 }
 
-// Print writes a Status for people.
-func (s Status) Print(w io.Writer) error {
-	if !s.Up || s.Status == nil {
-		_, err := fmt.Fprintf(w, "not linked: %s\n", s.DownReason)
-		return err
-	}
-	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(
-		out,
-		"%s of fleet %q, listens on %s, life %d/%08x, health %d (0 is best), %d pages queued, %d bytes sent\n",
-		s.Name,
-		s.Fleet,
-		s.Listen,
-		s.Incarnation.Generation,
-		s.Incarnation.Boot,
-		s.Health,
-		s.Queued,
-		s.SentBytes,
-	)
-	if s.NameConflict {
-		fmt.Fprintln(out, "ANOTHER PROCESS RUNS UNDER THIS NAME: this one tells nothing")
-	}
-	fmt.Fprintln(out, "member\tstate\tlife\theard\tpages\tcells\taddress")
-	for _, m := range s.Members {
-		heard, life := "never", "-"
-		if m.Age >= 0 {
-			heard, life = m.Age.Round(10*time.Millisecond).String()+" ago", fmt.Sprint(m.Incarnation.Generation)
-		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.State, life, heard, m.Reports, m.Scopes, m.Addr)
-	}
-	for _, r := range slices.Sorted(maps.Keys(s.Rejected)) {
-		fmt.Fprintf(out, "refused: %s\t%d\n", r, s.Rejected[r])
-	}
-	if len(s.Quota) > 0 {
-		fmt.Fprintln(out, "destination\tlimit\town\tlent\tkeeper\tmints\tbelief\twaiting")
-	}
-	for _, r := range s.Quota {
-		at := strconv.Itoa(r.Destination)
-		if r.Endpoint != "" {
-			at += " " + r.Endpoint
-		}
-		fmt.Fprintf(
-			out,
-			"%s\t%.3g\t%.3g\t%.3g\t%s\t%.3g\t%.2f\t%d\n",
-			at,
-			r.Limit,
-			r.OwnRate,
-			r.Lent,
-			r.LeaseHolder,
-			r.GrantRate,
-			r.CapacityFraction,
-			r.PendingRequests,
-		)
-	}
-	fmt.Fprintf(
-		out,
-		"messages heard %d, unreadable %d, of newer programs %d; rival pages %d, names with two addresses %d, strangers %d\n",
-		s.Received,
-		s.Unreadable,
-		s.UnsupportedVersion,
-		s.RivalReports,
-		s.AddressConflicts,
-		s.UnknownMembers,
-	)
-	if err := out.Flush(); err != nil {
-		return fmt.Errorf("fleet: %w", err)
-	}
-	return nil
-}
+// Agent returns the member's state machine, which the loop alone may use, and only read.
+func (m *Member) Agent() *agent.Agent { return m.agent }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -15,8 +15,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// The status that GET /v1/fleet answers with and how it is printed, with every field set and for a member that is not
-// linked.
+// The status as GET /v1/fleet returns it and as it is printed, with every field set and for a member that is down.
 func TestGoldenStatus(t *testing.T) {
 	var linked Status
 	golden.Fill(&linked)
@@ -41,8 +40,8 @@
 	}
 }
 
-// The incarnation of an earlier build's file is read, and written as the same file.
-func TestGoldenLife(t *testing.T) {
+// The generation in an earlier build's file is read, and written as the same file.
+func TestGoldenIncarnation(t *testing.T) {
 	const incarnation = 41
 	cfg := Config{Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
 	if err := writeIncarnation(cfg, incarnation); err != nil {
