--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -12,27 +12,34 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// What a link hands memberlist for a state exchange; its node's metadata are empty.
+// What a node gives memberlist for a state exchange; it has no metadata.
 func TestGoldenLocalState(t *testing.T) {
-	c, err := codec.New()
+	messageCodec, err := codec.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := loadreport.Incarnation{Generation: 3, Boot: 9}
-	l := &Node{codec: c, reports: loadreport.New("me", life, []string{"a"})}
-	l.cfg = Config{Name: "me", Incarnation: life, now: func() time.Duration { return time.Minute }}
-	page := loadreport.Report{
+	incarnation := loadreport.Incarnation{Generation: 3, Boot: 9}
+	node := &Node{
+		cfg: Config{
+			Name:        "me",
+			Incarnation: incarnation,
+			now:         func() time.Duration { return time.Minute },
+		},
+		codec:   messageCodec,
+		reports: loadreport.New("me", incarnation, []string{"a"}),
+	}
+	report := loadreport.Report{
 		Name:        "a",
 		Incarnation: loadreport.Incarnation{Generation: 5, Boot: 6},
 		Number:      2,
 		Sequence:    7,
 		Scopes:      []loadreport.ScopeLoad{{Destination: 8, Calls: 1}},
 	}
-	if outcome, err := l.reports.Merge(time.Minute, page); outcome != loadreport.Updated {
-		t.Fatal(outcome, err)
+	if result, err := node.reports.Merge(time.Minute, report); result != loadreport.Updated {
+		t.Fatal(result, err)
 	}
-	golden.Check(t, *update, "local-state.cbor", (*delegate)(l).LocalState(false))
-	if meta := (*delegate)(l).NodeMeta(512); meta != nil {
+	golden.Check(t, *update, "local-state.cbor", (*delegate)(node).LocalState(false))
+	if meta := (*delegate)(node).NodeMeta(512); meta != nil {
 		t.Errorf("metadata %q", meta)
 	}
 }
