--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,31 +9,31 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// pairs are the path=value pairs of a CONFIGURE line.
-type pairs struct {
+// settingValues are the path=value pairs of a CONFIGURE line.
+type settingValues struct {
 	values map[string]string
 	err    error
 }
 
-func parseSettings(text string) (policy.Settings, *schema, error) {
-	p := &pairs{values: map[string]string{}}
+func parseConfigure(text string) (policy.Settings, *limitFields, error) {
+	p := &settingValues{values: map[string]string{}}
 	for _, f := range strings.Fields(text) {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
-			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", clip(f))
+			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", truncate(f))
 		}
 		if v != "-" {
 			p.values[k] = v
 		}
 	}
 	set, err := Settings(p.values)
-	return set, p.schema(), err
+	return set, p.limitFields(), err
 }
 
 // Settings maps the settings, by their paths, to the decision module's. The real relay's configuration holds the
 // same ones as JSON and comes through here too: what a setting means is said once.
 func Settings(values map[string]string) (policy.Settings, error) {
-	p := &pairs{values: values}
+	p := &settingValues{values: values}
 	set := policy.Settings{
 		FleetSize:             p.integer("fleet_size"),
 		MaxInFlightCalls:      p.integer("extra.call_slots"),
@@ -43,13 +43,13 @@
 		IgnoreWeights:         p.values["weight_kind"] == "none",
 		WatchRequired:         p.values["membership_mode"] == "ask",
 		WarmUpInitialCapacity: p.number("rules.cold_from"),
-		WarmUpDuration:        p.ms("rules.warm_within_ms"),
+		WarmUpDuration:        p.milliseconds("rules.warm_within_ms"),
 		OverloadFactor:        p.number("rules.overload_factor"),
-		OverloadWindow:        p.ms("rules.fall_ms"),
-		OrderingPause:         p.ms("rules.order_pause_ms"),
+		OverloadWindow:        p.milliseconds("rules.fall_ms"),
+		OrderingPause:         p.milliseconds("rules.order_pause_ms"),
 	}
 	if p.boolean("bounds.retry_after") {
-		set.MaxRetryAfter = p.ms("bounds.max_retry_after_ms")
+		set.MaxRetryAfter = p.milliseconds("bounds.max_retry_after_ms")
 	}
 	for _, x := range p.list("extra.carriage") {
 		set.ZoneCosts = append(set.ZoneCosts, p.parse("extra.carriage", x))
@@ -76,13 +76,13 @@
 	return set, p.err
 }
 
-func (p *pairs) class(at string) policy.Class {
+func (p *settingValues) class(at string) policy.Class {
 	c := policy.Class{
 		DedupAllZones:    p.values[at+"group"] == "all",
-		DedupWindow:      p.ms(at + "repeat_window_ms"),
+		DedupWindow:      p.milliseconds(at + "repeat_window_ms"),
 		Ordered:          p.boolean(at + "by_arrival"),
-		LatencyObjective: p.ms(at + "goal_time_ms"),
-		Deadline:         p.ms(at + "give_up_ms"),
+		LatencyObjective: p.milliseconds(at + "goal_time_ms"),
+		Deadline:         p.milliseconds(at + "give_up_ms"),
 		Weight:           1,
 	}
 	if _, ok := p.values[at+"value"]; ok {
@@ -99,13 +99,13 @@
 	return c
 }
 
-// schema finds which reported values tell of a limit.
-func (p *pairs) schema() *schema {
-	sc := &schema{}
+// limitFields finds which reported values tell of a limit.
+func (p *settingValues) limitFields() *limitFields {
+	sc := &limitFields{}
 	for _, name := range p.list("stats.fields") {
 		switch name {
 		case "x0":
-			sc.left = name
+			sc.remaining = name
 		case "x1":
 			sc.limit = name
 		}
@@ -113,7 +113,7 @@
 	return sc
 }
 
-func (p *pairs) parse(key, value string) float64 {
+func (p *settingValues) parse(key, value string) float64 {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil && p.err == nil {
 		p.err = fmt.Errorf("bad setting %s", key)
@@ -121,24 +121,24 @@
 	return x
 }
 
-func (p *pairs) number(key string) float64 {
+func (p *settingValues) number(key string) float64 {
 	if v, ok := p.values[key]; ok {
 		return p.parse(key, v)
 	}
 	return 0
 }
 
-func (p *pairs) integer(key string) int { return int(p.number(key)) }
+func (p *settingValues) integer(key string) int { return int(p.number(key)) }
 
-func (p *pairs) count(path string) int { return min(1000, p.integer(path+".count")) }
+func (p *settingValues) count(path string) int { return min(1000, p.integer(path+".count")) }
 
-func (p *pairs) ms(key string) time.Duration {
+func (p *settingValues) milliseconds(key string) time.Duration {
 	return time.Duration(p.number(key)*1000) * time.Microsecond
 }
 
-func (p *pairs) boolean(key string) bool { return p.values[key] == "true" || p.values[key] == "1" }
+func (p *settingValues) boolean(key string) bool { return p.values[key] == "true" || p.values[key] == "1" }
 
-func (p *pairs) list(key string) []string {
+func (p *settingValues) list(key string) []string {
 	if p.values[key] == "" {
 		return nil
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -42,21 +42,21 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]policy.Endpoint
-	cells map[int]*schema
-	pool  struct{ number, left int }
-	buf   []byte
+	input    *bufio.Reader
+	lineNumber  int
+	endpointLists map[int][]policy.Endpoint
+	limitFields map[int]*limitFields
+	pendingList  struct{ number, left int }
+	lineBuffer   []byte
 }
 
-// schema is what an instance's settings say of its events.
-type schema struct{ left, limit string }
+// limitFields is what an instance's settings say of its events.
+type limitFields struct{ remaining, limit string }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in: bufio.NewReaderSize(in, 1<<16), lists: map[int][]policy.Endpoint{}, cells: map[int]*schema{},
+		input: bufio.NewReaderSize(in, 1<<16), endpointLists: map[int][]policy.Endpoint{}, limitFields: map[int]*limitFields{},
 	}
 }
 
@@ -73,18 +73,18 @@
 			return err
 		}
 		if err == io.EOF {
-			return fmt.Errorf("line %d: the input ends inside a batch", r.line)
+			return fmt.Errorf("line %d: the input ends inside a batch", r.lineNumber)
 		}
 		if text == "" && !open {
 			continue
 		}
-		f := fields{text: text}
+		f := lineFields{text: text}
 		done, err := r.parse(&f, b, &open)
 		if err == nil {
 			err = f.err
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %v: %q", r.line, err, clip(text))
+			return fmt.Errorf("line %d: %v: %q", r.lineNumber, err, truncate(text))
 		}
 		if done {
 			return nil
@@ -92,7 +92,7 @@
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 120 {
 		return s[:120] + "..."
 	}
@@ -100,27 +100,27 @@
 }
 
 func (r *Reader) readLine() (string, error) {
-	r.line++
-	r.buf = r.buf[:0]
+	r.lineNumber++
+	r.lineBuffer = r.lineBuffer[:0]
 	for {
-		part, err := r.in.ReadSlice('\n')
-		r.buf = append(r.buf, part...)
+		part, err := r.input.ReadSlice('\n')
+		r.lineBuffer = append(r.lineBuffer, part...)
 		if err == bufio.ErrBufferFull {
 			continue
 		}
-		return string(bytes.TrimRight(r.buf, "\r\n")), err
+		return string(bytes.TrimRight(r.lineBuffer, "\r\n")), err
 	}
 }
 
 // parse takes one line of a batch; done tells that it was the last.
-func (r *Reader) parse(f *fields, b *Batch, open *bool) (done bool, err error) {
+func (r *Reader) parse(f *lineFields, b *Batch, open *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
 		if *open {
 			return false, fmt.Errorf("MARK inside a batch")
 		}
 		*open = true
-		b.Now = f.ms()
+		b.Now = f.milliseconds()
 		b.Number = f.word()
 		if _, err := strconv.ParseUint(b.Number, 10, 64); err != nil {
 			return false, fmt.Errorf("bad batch number")
@@ -130,31 +130,31 @@
 	if !*open {
 		return false, fmt.Errorf("a line outside a batch")
 	}
-	if (name == "HOST") != (r.pool.left > 0) {
+	if (name == "HOST") != (r.pendingList.left > 0) {
 		return false, fmt.Errorf("POOL and its HOST lines do not match")
 	}
 	switch name {
 	case "GO":
 		return true, f.end()
 	case "POOL":
-		r.pool.number = f.integer()
-		r.pool.left = f.integer()
-		if r.pool.left < 0 {
+		r.pendingList.number = f.integer()
+		r.pendingList.left = f.integer()
+		if r.pendingList.left < 0 {
 			return false, fmt.Errorf("bad number of entries")
 		}
-		r.lists[r.pool.number] = make([]policy.Endpoint, 0, min(r.pool.left, 1024))
+		r.endpointLists[r.pendingList.number] = make([]policy.Endpoint, 0, min(r.pendingList.left, 1024))
 		return false, f.end()
 	case "HOST":
-		r.pool.left--
+		r.pendingList.left--
 		l, err := parseHost(f)
-		r.lists[r.pool.number] = append(r.lists[r.pool.number], l)
+		r.endpointLists[r.pendingList.number] = append(r.endpointLists[r.pendingList.number], l)
 		return false, err
 	case "CONFIGURE":
 		it := Item{Kind: Start, Instance: f.integer()}
 		it.Seed = f.unsigned()
-		set, sc, err := parseSettings(f.rest())
+		set, sc, err := parseConfigure(f.rest())
 		it.Settings = set
-		r.cells[it.Instance] = sc
+		r.limitFields[it.Instance] = sc
 		b.Items = append(b.Items, it)
 		return false, err
 	case "RETIRE":
@@ -162,7 +162,7 @@
 		return false, f.end()
 	}
 	it := Item{Kind: Event, Instance: f.integer()}
-	sc := r.cells[it.Instance]
+	sc := r.limitFields[it.Instance]
 	if sc == nil {
 		return false, fmt.Errorf("no such instance")
 	}
@@ -174,40 +174,40 @@
 }
 
 // parseEvent fills e; known is false for an event that no decision uses.
-func (r *Reader) parseEvent(name string, f *fields, e *policy.Event, sc *schema) (known bool, err error) {
+func (r *Reader) parseEvent(name string, f *lineFields, e *policy.Event, sc *limitFields) (known bool, err error) {
 	switch name {
 	case "KNOCK":
 		e.Kind = policy.MessageAccepted
-		e.MessageID = f.id()
+		e.MessageID = f.messageID()
 		e.Key = f.optional()
 		f.integer()
 		e.Tenant = f.optionalInteger()
 		f.optional()
 		e.Class = f.integer()
-		e.TimeLeft = f.ms()
+		e.TimeLeft = f.milliseconds()
 		e.Destination = f.integer()
 	case "FINISHED":
 		e.Kind = policy.AttemptFinished
-		e.MessageID = f.id()
+		e.MessageID = f.messageID()
 		e.Attempt = f.integer()
 		e.Endpoint = f.word()
 		e.Outcome = f.outcome()
-		e.Latency = f.ms()
+		e.Latency = f.milliseconds()
 		e.MessageEnded = f.boolean()
 		note := f.optionalInteger()
 		if e.Outcome == policy.Overloaded {
 			e.RetryAfter = time.Duration(note) * time.Millisecond
 		}
-		e.LimitReport = f.report(sc)
+		e.LimitReport = f.limitReport(sc)
 	case "PONG":
 		e.Kind = policy.HealthChecked
 		e.Endpoint = f.word()
 		e.Outcome = f.outcome()
-		e.Latency = f.ms()
-		e.LimitReport = f.report(sc)
+		e.Latency = f.milliseconds()
+		e.LimitReport = f.limitReport(sc)
 	case "TIMED_OUT_CLIENT":
 		e.Kind = policy.MessageCancelled
-		e.MessageID = f.id()
+		e.MessageID = f.messageID()
 	case "TICK_DUE":
 		e.Kind = policy.TimerFired
 		f.unsigned()
@@ -226,7 +226,7 @@
 		default:
 			return false, fmt.Errorf("unknown mode")
 		}
-		list, ok := r.lists[buffer]
+		list, ok := r.endpointLists[buffer]
 		if !ok {
 			return false, fmt.Errorf("no such POOL")
 		}
@@ -239,7 +239,7 @@
 	return true, f.end()
 }
 
-func parseHost(f *fields) (policy.Endpoint, error) {
+func parseHost(f *lineFields) (policy.Endpoint, error) {
 	var l policy.Endpoint
 	switch f.word() {
 	case "in_service":
@@ -261,48 +261,48 @@
 	return l, f.end()
 }
 
-// fields splits a line; the first error sticks.
-type fields struct {
+// lineFields splits a line; the first error sticks.
+type lineFields struct {
 	text string
 	err  error
-	over bool
+	exhausted bool
 }
 
-func (f *fields) fail(what string) {
+func (f *lineFields) fail(what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s", what)
 	}
 }
 
-func (f *fields) word() string {
-	if f.over {
+func (f *lineFields) word() string {
+	if f.exhausted {
 		f.fail("line: too few values")
 		return ""
 	}
 	w, rest, more := strings.Cut(f.text, " ")
-	f.text, f.over = rest, !more
+	f.text, f.exhausted = rest, !more
 	if w == "" {
 		f.fail("line: an empty value")
 	}
 	return w
 }
 
-func (f *fields) rest() string {
-	f.over = true
+func (f *lineFields) rest() string {
+	f.exhausted = true
 	return f.text
 }
 
 // end reports what went wrong in the line so far. Values beyond those known are passed over.
-func (f *fields) end() error { return f.err }
+func (f *lineFields) end() error { return f.err }
 
-func (f *fields) optional() string {
+func (f *lineFields) optional() string {
 	if w := f.word(); w != "-" {
 		return w
 	}
 	return ""
 }
 
-func (f *fields) integer() int {
+func (f *lineFields) integer() int {
 	n, err := strconv.Atoi(f.word())
 	if err != nil {
 		f.fail("whole number")
@@ -310,7 +310,7 @@
 	return n
 }
 
-func (f *fields) optionalInteger() int {
+func (f *lineFields) optionalInteger() int {
 	w := f.optional()
 	if w == "" {
 		return 0
@@ -322,7 +322,7 @@
 	return n
 }
 
-func (f *fields) unsigned() uint64 {
+func (f *lineFields) unsigned() uint64 {
 	n, err := strconv.ParseUint(f.word(), 10, 64)
 	if err != nil {
 		f.fail("whole number")
@@ -330,7 +330,7 @@
 	return n
 }
 
-func (f *fields) id() uint32 {
+func (f *lineFields) messageID() uint32 {
 	n, err := strconv.ParseUint(f.word(), 10, 32)
 	if err != nil {
 		f.fail("message id")
@@ -338,7 +338,7 @@
 	return uint32(n)
 }
 
-func (f *fields) boolean() bool {
+func (f *lineFields) boolean() bool {
 	switch f.word() {
 	case "1":
 		return true
@@ -349,15 +349,15 @@
 	return false
 }
 
-func (f *fields) ms() time.Duration {
-	d, err := millis(f.word())
+func (f *lineFields) milliseconds() time.Duration {
+	d, err := parseMilliseconds(f.word())
 	if err != nil {
 		f.fail("time")
 	}
 	return d
 }
 
-func millis(w string) (time.Duration, error) {
+func parseMilliseconds(w string) (time.Duration, error) {
 	x, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > 1e12 {
 		return 0, fmt.Errorf("bad time")
@@ -365,22 +365,22 @@
 	return time.Duration(math.Round(x*1000)) * time.Microsecond, nil
 }
 
-var outcomes = map[string]policy.Outcome{
+var outcomeByName = map[string]policy.Outcome{
 	"ok": policy.OK, "error": policy.Error, "full": policy.Overloaded, "timeout": policy.Timeout,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
 	"moot": policy.NotSent,
 }
 
-func (f *fields) outcome() policy.Outcome {
-	o, ok := outcomes[f.word()]
+func (f *lineFields) outcome() policy.Outcome {
+	o, ok := outcomeByName[f.word()]
 	if !ok {
 		f.fail("outcome")
 	}
 	return o
 }
 
-// report reads name:value pairs; names that the settings do not explain are passed over.
-func (f *fields) report(sc *schema) policy.LimitReport {
+// limitReport reads name:value pairs; names that the settings do not explain are passed over.
+func (f *lineFields) limitReport(sc *limitFields) policy.LimitReport {
 	var rep policy.LimitReport
 	text := f.optional()
 	for text != "" {
@@ -392,7 +392,7 @@
 			continue
 		}
 		switch name {
-		case sc.left:
+		case sc.remaining:
 			rep.Remaining = x
 		case sc.limit:
 			rep.Limit, rep.Present = x, true
@@ -403,12 +403,12 @@
 
 // Writer writes replies.
 type Writer struct {
-	out *bufio.Writer
-	buf []byte
+	output *bufio.Writer
+	line []byte
 }
 
 // NewWriter returns a Writer to out.
-func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
+func NewWriter(out io.Writer) *Writer { return &Writer{output: bufio.NewWriterSize(out, 1<<16)} }
 
 // Actions writes an instance's actions at now.
 func (w *Writer) Actions(instance int, acts []policy.Action) {
@@ -416,71 +416,71 @@
 		a := &acts[i]
 		switch a.Kind {
 		case policy.Send:
-			w.head("SUBMIT_TO", instance)
-			w.id(a.MessageID)
+			w.begin("SUBMIT_TO", instance)
+			w.unsigned(a.MessageID)
 			w.text(a.Endpoint)
-			w.ms(a.TimeoutAt)
+			w.milliseconds(a.TimeoutAt)
 		case policy.Reject:
-			w.head("REJECT", instance)
-			w.id(a.MessageID)
-			w.ms(a.Delay)
+			w.begin("REJECT", instance)
+			w.unsigned(a.MessageID)
+			w.milliseconds(a.Delay)
 		case policy.Fail:
-			w.head("SURRENDER", instance)
-			w.id(a.MessageID)
+			w.begin("SURRENDER", instance)
+			w.unsigned(a.MessageID)
 		case policy.SetTimer:
-			w.head("WAKE_AT", instance)
-			w.id(0)
-			w.ms(a.Delay)
+			w.begin("WAKE_AT", instance)
+			w.unsigned(0)
+			w.milliseconds(a.Delay)
 		case policy.CloseIdle:
-			w.head("HANG_UP", instance)
+			w.begin("HANG_UP", instance)
 			w.text(a.Endpoint)
 		case policy.WatchEndpoints:
-			w.head("STREAM_CHANGES", instance)
-			w.id(1)
+			w.begin("STREAM_CHANGES", instance)
+			w.unsigned(1)
 		}
-		w.buf = append(w.buf, '\n')
-		w.out.Write(w.buf)
+		w.line = append(w.line, '\n')
+		w.output.Write(w.line)
 	}
 }
 
 // Die writes that an instance's decisions broke.
 func (w *Writer) Die(instance int, words string) {
-	w.head("DIE", instance)
+	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' {
 			return ' '
 		}
 		return r
 	}, words))
-	w.buf = append(w.buf, '\n')
-	w.out.Write(w.buf)
+	w.line = append(w.line, '\n')
+	w.output.Write(w.line)
 }
 
 // End ends the reply to a batch and flushes it.
 func (w *Writer) End(number string) error {
-	w.out.WriteString("YIELD ")
-	w.out.WriteString(number)
-	w.out.WriteByte('\n')
-	return w.out.Flush()
+	w.output.WriteString("YIELD ")
+	w.output.WriteString(number)
+	w.output.WriteByte('\n')
+	return w.output.Flush()
 }
 
-func (w *Writer) head(name string, instance int) {
-	w.buf = append(w.buf[:0], name...)
-	w.buf = append(w.buf, ' ')
-	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
+func (w *Writer) begin(name string, instance int) {
+	w.line = append(w.line[:0], name...)
+	w.line = append(w.line, ' ')
+	w.line = strconv.AppendInt(w.line, int64(instance), 10)
 }
 
 func (w *Writer) text(s string) {
-	w.buf = append(w.buf, ' ')
-	w.buf = append(w.buf, s...)
+	w.line = append(w.line, ' ')
+	w.line = append(w.line, s...)
 }
 
-func (w *Writer) id(n uint32) {
-	w.buf = append(w.buf, ' ')
-	w.buf = strconv.AppendUint(w.buf, uint64(n), 10)
+func (w *Writer) unsigned(n uint32) {
+	w.line = append(w.line, ' ')
+	w.line = strconv.AppendUint(w.line, uint64(n), 10)
 }
 
-func (w *Writer) ms(d time.Duration) {
-	w.buf = append(w.buf, ' ')
-	w.buf = strconv.AppendFloat(w.buf, float64(d/time.Microsecond)/1000, 'f', -1, 64)
+func (w *Writer) milliseconds(d time.Duration) {
+	w.line = append(w.line, ' ')
+	w.line = strconv.AppendFloat(w.line, float64(d/time.Microsecond)/1000, 'f', -1, 64)
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -106,7 +106,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	set, sc, err := parseSettings("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
+	set, sc, err := parseConfigure("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
 		"extra.separate_routes=false,true bounds.open_cap=438 bounds.send_cap=8 bounds.retry_after=true " +
 		"bounds.max_retry_after_ms=3000.0 fleet_size=2 weight_kind=rough membership_mode=ask new.key=1 " +
 		"realms.count=2 realms.0.quota_per_s=52.0 rules.answer_slack_ms=20.0 rules.cold_from=0.18 " +
