--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -36,15 +36,8 @@
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "100") // the width that the help is written for
 	var stdout, stderr bytes.Buffer
-	status := cli.Run(
-		t.Context(),
-		"drill",
-		"The decision module on the simulator's wire, on standard input and output.",
-		&app{},
-		[]string{"--help"},
-		cli.Streams{Out: &stdout, Err: &stderr},
-		cli.Failed,
-	)
+	streams := cli.Streams{Out: &stdout, Err: &stderr}
+	status := cli.Run(t.Context(), name, description, &app{}, []string{"--help"}, streams, cli.Failed)
 	if status != 0 {
 		t.Errorf("status %d", status)
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,10 @@
-// Command drill is the adapter between the bench's wire and the decision module: one Sender for each
-// instance, batches from standard input, replies to standard output. It decides nothing.
+// Command simadapter connects the simulator's protocol to the decision engine: one policy.Engine for each instance,
+// batches from standard input, replies to standard output. It decides nothing itself.
 package main
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -17,19 +18,15 @@
 )
 
 func main() {
-	os.Exit(
-		cli.Run(
-			context.Background(),
-			"drill",
-			"The decision module on the simulator's wire, on standard input and output.",
-			&app{},
-			os.Args[1:],
-			cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr},
-			cli.Failed,
-		),
-	)
+	streams := cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
+	os.Exit(cli.Run(context.Background(), name, description, &app{}, os.Args[1:], streams, cli.Failed))
 }
 
+const (
+	name        = "simadapter"
+	description = "The decision engine on the simulator's protocol, on standard input and output."
+)
+
 type app struct {
 	Version kong.VersionFlag `help:"Print the version and end."`
 }
@@ -37,70 +34,97 @@
 // Run serves until the input ends.
 func (*app) Run(s *cli.Streams) error { return run(s.In, s.Out) }
 
-// instance is one relay's Sender and its events in the batch at hand.
+// instance is the engine of one relay, with its events in the current batch.
 type instance struct {
 	number int
-	sender *policy.Engine
+	engine *policy.Engine // nil: stopped, or it has panicked
 	events []policy.Event
-	busy   bool // has something in this batch
+	active bool // the current batch has something for it
+}
+
+// adapter holds the instances by number, and those that the current batch has something for, in order of appearance.
+type adapter struct {
+	instances map[int]*instance
+	active    []*instance
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	instances := map[int]*instance{}
-	var b simwire.Batch
-	var busy []*instance
+	reader := simwire.NewReader(in)
+	writer := simwire.NewWriter(out)
+	a := adapter{instances: map[int]*instance{}}
+	var batch simwire.Batch
 	for {
-		if err := r.Next(&b); err == io.EOF {
+		err := reader.Next(&batch)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		busy = busy[:0]
-		for i := range b.Items {
-			it := &b.Items[i]
-			n := instances[it.Instance]
-			if n == nil {
-				n = &instance{number: it.Instance}
-				instances[it.Instance] = n
-			}
-			if !n.busy {
-				n.busy = true
-				busy = append(busy, n)
-			}
-			switch it.Kind {
-			case simwire.Start:
-				s, err := policy.New(it.Settings, it.Seed)
-				if err != nil {
-					return fmt.Errorf("instance %d: %v", it.Instance, err)
-				}
-				n.sender, n.events = s, n.events[:0]
-			case simwire.Stop:
-				n.sender, n.events = nil, n.events[:0]
-			case simwire.Event:
-				n.events = append(n.events, it.Event)
-			}
+		if err := a.collect(batch.Items); err != nil {
+			return err
+		}
+		a.step(writer, batch.Now)
+		if err := writer.End(batch.Number); err != nil {
+			return err
 		}
-		for _, n := range busy {
-			n.busy = false
-			if n.sender != nil {
-				step(w, n, b.Now)
+	}
+}
+
+// collect gives each instance its events, and starts and stops instances.
+func (a *adapter) collect(items []simwire.Item) error {
+	a.active = a.active[:0]
+	for i := range items {
+		item := &items[i]
+		n := a.activate(item.Instance)
+		switch item.Kind {
+		case simwire.Start:
+			engine, err := policy.New(item.Settings, item.Seed)
+			if err != nil {
+				return fmt.Errorf("instance %d: %w", item.Instance, err)
 			}
-			n.events = n.events[:0]
+			n.engine, n.events = engine, n.events[:0]
+		case simwire.Stop:
+			n.engine, n.events = nil, n.events[:0]
+		case simwire.Event:
+			n.events = append(n.events, item.Event)
 		}
-		if err := w.End(b.Number); err != nil {
-			return err
+	}
+	return nil
+}
+
+// activate returns the instance of a number as one of the current batch.
+func (a *adapter) activate(number int) *instance {
+	n := a.instances[number]
+	if n == nil {
+		n = &instance{number: number}
+		a.instances[number] = n
+	}
+	if !n.active {
+		n.active = true
+		a.active = append(a.active, n)
+	}
+	return n
+}
+
+// step lets the instances of the batch decide, in order.
+func (a *adapter) step(w *simwire.Writer, now time.Duration) {
+	for _, n := range a.active {
+		n.active = false
+		if n.engine != nil {
+			n.step(w, now)
 		}
+		n.events = n.events[:0]
 	}
 }
 
-// step lets one instance decide, and reports a panic in the wire's own word for it.
-func step(w *simwire.Writer, n *instance, now time.Duration) {
+// step lets one instance decide. A panic ends the instance and is reported.
+func (n *instance) step(w *simwire.Writer, now time.Duration) {
 	defer func() {
-		if p := recover(); p != nil {
-			w.Die(n.number, fmt.Sprint(p))
-			n.sender = nil
+		if reason := recover(); reason != nil {
+			w.Die(n.number, fmt.Sprint(reason))
+			n.engine = nil
 		}
 	}()
-	w.Actions(n.number, n.sender.Step(now, n.events))
+	w.Actions(n.number, n.engine.Step(now, n.events))
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,14 +6,16 @@
 	"testing"
 )
 
-const start = "MARK 100.0 1\nCONFIGURE 0 7 services.count=1 services.0.semantics=read_like services.0.goal_time_ms=2000.0 " +
-	"services.0.give_up_ms=9000.0 separate=1\nPOOL 0 1\nHOST in_service 0 5 0 - host.a 1\nTARGETS 0 cached 1 0\n" +
+const start = "MARK 100.0 1\nCONFIGURE 0 7 services.count=1 services.0.semantics=read_like " +
+	"services.0.goal_time_ms=2000.0 services.0.give_up_ms=9000.0 separate=1\n" +
+	"POOL 0 1\nHOST in_service 0 5 0 - host.a 1\nTARGETS 0 cached 1 0\n" +
 	"KNOCK 0 11 - 0 - - 0 9000.0 5\nGO\n"
 
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
 	// A relay that dies and starts again in one batch knows nothing of the message it held.
-	in := start + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\nMARK 300.0 3\nTIMED_OUT_CLIENT 0 11\nGO\n"
+	in := start + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\n" +
+		"MARK 300.0 3\nTIMED_OUT_CLIENT 0 11\nGO\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -136,7 +136,9 @@
 	return time.Duration(p.number(key)*1000) * time.Microsecond
 }
 
-func (p *settingValues) boolean(key string) bool { return p.values[key] == "true" || p.values[key] == "1" }
+func (p *settingValues) boolean(key string) bool {
+	return p.values[key] == "true" || p.values[key] == "1"
+}
 
 func (p *settingValues) list(key string) []string {
 	if p.values[key] == "" {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -47,7 +48,8 @@
 		}},
 		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{
 			Kind: policy.AttemptFinished, MessageID: 9,
-			Endpoint: "host.a", Outcome: policy.Overloaded, Latency: time.Millisecond, RetryAfter: 450 * time.Millisecond,
+			Endpoint: "host.a", Outcome: policy.Overloaded, Latency: time.Millisecond,
+			RetryAfter:  450 * time.Millisecond,
 			LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5},
 		}},
 		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{
@@ -97,10 +99,10 @@
 		}
 	}
 	var b Batch
-	if err := NewReader(strings.NewReader("GO\n")).Next(&b); err == nil || err == io.EOF {
+	if err := NewReader(strings.NewReader("GO\n")).Next(&b); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("a line outside a batch: error %v", err)
 	}
-	if err := NewReader(strings.NewReader("MARK 1 1\n")).Next(&b); err == nil || err == io.EOF {
+	if err := NewReader(strings.NewReader("MARK 1 1\n")).Next(&b); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("input that ends in a batch: error %v", err)
 	}
 }
@@ -117,16 +119,18 @@
 	want := policy.Settings{
 		Classes: []policy.Class{
 			{
-				Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second,
-				Deadline: 16 * time.Second, Weight: 1,
+				Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second,
+				LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1,
 			},
 			{Effect: policy.NonIdempotent, Ordered: true, Weight: 4},
 		},
 		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {LimitPerEndpoint: true, MaxBatch: 1}},
 		Tenants:          []policy.Tenant{{Quota: 52}, {}},
-		FleetSize:        2, MaxInFlightCalls: 38, MaxPendingMessages: 438, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
+		FleetSize:        2, MaxInFlightCalls: 38, MaxPendingMessages: 438, MaxAttempts: 8,
+		MaxRetryAfter:      3 * time.Second,
 		ApproximateWeights: true, WatchRequired: true, ZoneCosts: []float64{0, 0.03},
-		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second, OverloadFactor: 2, OverloadWindow: 3 * time.Second,
+		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second,
+		OverloadFactor: 2, OverloadWindow: 3 * time.Second,
 		OrderingPause: 100 * time.Millisecond,
 	}
 	if err != nil || !reflect.DeepEqual(set, want) || sc.limit != "" {
