--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -1,11 +1,8 @@
 package journal
 
 import (
-	"errors"
 	"flag"
 	"fmt"
-	"math"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -13,344 +10,217 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// The benchmarks run the log of the form before and the journal side by side, on files: go test -run '^$' -bench . and
-// with -large at 512 MB, too.
+// The benchmarks compare the legacy log and the journal, both on files: go test -run '^$' -bench . and, at 512 MB, too,
+// with -large.
 var large = flag.Bool("large", false, "benchmarks at 512 MB and a million records")
 
-const benchBodySize = 1000
+// diskLimit is a limit on disk at which benchmarks run.
+type diskLimit struct {
+	name  string
+	bytes int64
+}
 
-func limits() map[string]int64 {
-	all := map[string]int64{"3MB": 3e6, "64MB": 64e6}
+func diskLimits() []diskLimit {
+	limits := []diskLimit{{"3MB", 3e6}, {"64MB", 64e6}}
 	if *large {
-		all["512MB"] = 512e6
+		limits = append(limits, diskLimit{"512MB", 512e6})
 	}
-	return all
-}
-
-// writer is either of the two.
-type writer interface {
-	accept(id uint32) error
-	end(id uint32) error
-	close() error
-}
-
-type legacyWriter struct {
-	l  *legacylog.Log
-	ms map[uint32]*legacylog.Message
+	return limits
 }
 
-func (s *legacyWriter) accept(id uint32) error {
-	m := &legacylog.Message{
-		ID:             id,
-		TraceID:        "9b1f03aa5c7e2d41",
-		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-		Deadline:       time.Unix(1e9, 0),
-		Body:           make([]byte, benchBodySize),
-	}
-	s.ms[id] = m
-	return s.l.Accept(m)
-}
+// limitFor returns a limit that leaves ample room for a number of messages.
+func limitFor(messages int) int64 { return max(store.MinLimit, int64(messages)*3000) }
 
-func (s *legacyWriter) end(id uint32) error {
-	s.l.Remove(s.ms[id])
-	delete(s.ms, id)
-	return s.l.Flush()
+// heapBytes returns the bytes in use on the heap after a collection.
+func heapBytes() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
 }
 
-func (s *legacyWriter) close() error { return s.l.Close() }
+// milliseconds returns a duration as a fraction of milliseconds.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-type journalWriter struct {
-	j  *Journal
-	ms map[uint32]*Message
+// reportWrites reports how many bytes the store has written for each committed byte.
+func reportWrites(b *testing.B, stats store.Stats) {
+	b.Helper()
+	written := stats.CommittedBytes + stats.CompactedBytes
+	b.ReportMetric(float64(written)/float64(stats.CommittedBytes), "write-amp")
 }
 
-func (s *journalWriter) accept(id uint32) error {
-	m := &Message{
-		ID:             id,
-		TraceID:        "9b1f03aa5c7e2d41",
-		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-		Deadline:       time.Unix(1e9, 0),
-		Body:           make([]byte, benchBodySize),
+// BenchmarkAcceptAndRemove accepts a message and removes the oldest one, with 30 % of the limit in use, and reports the
+// longest accept: the one in which the legacy log compacts itself.
+func BenchmarkAcceptAndRemove(b *testing.B) {
+	for _, limit := range diskLimits() {
+		for _, kind := range []writerKind{legacyKind, journalKind} {
+			b.Run(string(kind)+"/"+limit.name, func(b *testing.B) { benchmarkAcceptAndRemove(b, kind, limit.bytes) })
+		}
 	}
-	s.ms[id] = m
-	return s.j.Accept(m)
-}
-
-func (s *journalWriter) end(id uint32) error {
-	s.j.Remove(s.ms[id])
-	delete(s.ms, id)
-	return s.j.Flush()
 }
 
-func (s *journalWriter) close() error { return s.j.Close() }
-
-func openWriter(b testing.TB, kind, dir string, limit int64) writer {
-	b.Helper()
-	if kind == "log" {
-		l, found, err := legacylog.Open(dir, limit)
-		must(b, err)
-		s := &legacyWriter{l, map[uint32]*legacylog.Message{}}
-		for _, m := range found.Messages {
-			s.ms[m.ID] = m
-		}
-		return s
+func benchmarkAcceptAndRemove(b *testing.B, kind writerKind, limit int64) {
+	const bytesPerMessage = 1300 // in either of the two, with room to spare
+	dir := b.TempDir()
+	w := openWriter(b, kind, dir, limit)
+	live := uint32(float64(limit) * 0.3 / bytesPerMessage)
+	id := uint32(0)
+	for id < live {
+		id++
+		must(b, w.accept(id))
 	}
-	j, rec, err := OpenFolder(dir, Options{Limit: limit})
-	must(b, err)
-	s := &journalWriter{j, map[uint32]*Message{}}
-	for _, m := range rec.Messages {
-		s.ms[m.ID] = m
+	var durations []time.Duration
+	b.ReportAllocs()
+	for b.Loop() {
+		id++
+		begin := time.Now()
+		err := w.accept(id)
+		durations = append(durations, time.Since(begin))
+		must(b, err)
+		must(b, w.remove(id-live))
 	}
-	return s
-}
-
-// BenchmarkAcceptAndRemove takes a message on and ends the oldest, with 30 % of the limit live, and tells the longest
-// accept: the one in which the old log writes itself anew.
-func BenchmarkAcceptAndRemove(b *testing.B) {
-	for _, name := range []string{"3MB", "64MB", "512MB"} {
-		limit, ok := limits()[name]
-		if !ok {
-			continue
-		}
-		for _, kind := range []string{"log", "journal"} {
-			b.Run(kind+"/"+name, func(b *testing.B) {
-				dir := b.TempDir()
-				s := openWriter(b, kind, dir, limit)
-				live := uint32(float64(limit) * 0.3 / 1300)
-				next := uint32(0)
-				for next < live {
-					next++
-					must(b, s.accept(next))
-				}
-				var times []time.Duration
-				b.ReportAllocs()
-				for b.Loop() {
-					next++
-					began := time.Now()
-					err := s.accept(next)
-					times = append(times, time.Since(began))
-					must(b, err)
-					must(b, s.end(next-live))
-				}
-				b.StopTimer()
-				slices.Sort(times)
-				b.ReportMetric(float64(times[len(times)-1].Microseconds())/1000, "longest-ms")
-				b.ReportMetric(float64(times[len(times)*999/1000].Microseconds()), "p99.9-us")
-				b.ReportMetric(float64(live), "live")
-				if s, ok := s.(*journalWriter); ok {
-					st := s.j.Stats()
-					b.ReportMetric(float64(st.CommittedBytes+st.CompactedBytes)/float64(st.CommittedBytes), "write-amp")
-					b.ReportMetric(float64(st.DiskBytes)/float64(st.LiveBytes), "disk/live")
-				}
-				must(b, s.close())
-				began := time.Now()
-				s = openWriter(b, kind, dir, limit)
-				b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "open-ms")
-				must(b, s.close())
-			})
-		}
+	b.StopTimer()
+	slices.Sort(durations)
+	b.ReportMetric(milliseconds(durations[len(durations)-1]), "longest-ms")
+	b.ReportMetric(float64(durations[len(durations)*999/1000].Microseconds()), "p99.9-us")
+	b.ReportMetric(float64(live), "live")
+	if w, ok := w.(*journalWriter); ok {
+		stats := w.journal.Stats()
+		reportWrites(b, stats)
+		b.ReportMetric(float64(stats.DiskBytes)/float64(stats.LiveBytes), "disk/live")
 	}
+	must(b, w.close())
+	begin := time.Now()
+	w = openWriter(b, kind, dir, limit)
+	b.ReportMetric(milliseconds(time.Since(begin)), "open-ms")
+	must(b, w.close())
 }
 
-// BenchmarkOpen recovers stores of so many live records.
+// BenchmarkOpen recovers stores of many live records.
 func BenchmarkOpen(b *testing.B) {
 	counts := []int{1000, 100_000}
 	if *large {
 		counts = append(counts, 1_000_000)
 	}
-	for _, n := range counts {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			dir := b.TempDir()
-			s, _, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.MinLimit, int64(n)*3000)})
-			must(b, err)
-			value := make([]byte, benchBodySize)
-			for i := 0; i < n; i += 100 {
-				batch := s.Begin()
-				for range 100 {
-					batch.Put(value)
-				}
-				must(b, s.Commit(batch))
-			}
-			must(b, s.Close())
-			var bytes int64
-			var before, after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			for b.Loop() {
-				s, rec, err := store.Open(store.Dir(dir), store.Options{Limit: max(store.MinLimit, int64(n)*3000)})
-				must(b, err)
-				if len(rec.Keys) != n {
-					b.Fatal(len(rec.Keys))
-				}
-				bytes += rec.Bytes()
-				b.StopTimer()
-				rec = nil
-				runtime.GC()
-				runtime.ReadMemStats(&after)
-				runtime.KeepAlive(s)
-				must(b, s.Close())
-				b.StartTimer()
-			}
-			b.ReportMetric(float64(bytes)/1e6/b.Elapsed().Seconds(), "MB/s")
-			b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/float64(n), "B/live")
-		})
+	for _, count := range counts {
+		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkOpen(b, count) })
+	}
+}
+
+func benchmarkOpen(b *testing.B, count int) {
+	const batchSize = 100
+	dir := b.TempDir()
+	options := store.Options{Limit: limitFor(count)}
+	st, _, err := store.Open(store.Dir(dir), options)
+	must(b, err)
+	value := make([]byte, benchBodySize)
+	for i := 0; i < count; i += batchSize {
+		batch := st.Begin()
+		for range batchSize {
+			batch.Put(value)
+		}
+		must(b, st.Commit(batch))
+	}
+	must(b, st.Close())
+	var bytesRead, heapAfter int64
+	heapBefore := heapBytes()
+	for b.Loop() {
+		st, recovery, err := store.Open(store.Dir(dir), options)
+		must(b, err)
+		if len(recovery.Keys) != count {
+			b.Fatal(len(recovery.Keys))
+		}
+		bytesRead += recovery.Bytes()
+		b.StopTimer()
+		recovery = nil // what is left on the heap is the store's
+		heapAfter = heapBytes()
+		runtime.KeepAlive(st)
+		must(b, st.Close())
+		b.StartTimer()
 	}
+	b.ReportMetric(float64(bytesRead)/1e6/b.Elapsed().Seconds(), "MB/s")
+	b.ReportMetric(float64(heapAfter-heapBefore)/float64(count), "B/live")
 }
 
-// BenchmarkCommit is the store alone: a put, a delta and a delete in a commit.
+// BenchmarkCommit measures the store alone: a value, a delta and a deletion in one commit.
 func BenchmarkCommit(b *testing.B) {
-	s, _, err := store.Open(store.Dir(b.TempDir()), store.Options{Limit: 64e6})
+	const maxLive = 1000
+	st, _, err := store.Open(store.Dir(b.TempDir()), store.Options{Limit: 64e6})
 	must(b, err)
-	value, delta := make([]byte, benchBodySize), make([]byte, 30)
+	value := make([]byte, benchBodySize)
+	delta := make([]byte, 30)
 	var keys []uint64
 	b.ReportAllocs()
 	for b.Loop() {
-		batch := s.Begin()
+		batch := st.Begin()
 		keys = append(keys, batch.Put(value))
 		batch.Append(keys[len(keys)-1], delta)
-		if len(keys) > 1000 {
+		if len(keys) > maxLive {
 			batch.Delete(keys[0])
 			keys = append(keys[:0], keys[1:]...)
 		}
-		must(b, s.Commit(batch))
-		if s.CompactionDue() {
-			_, err := s.Compact(8 << 10)
+		must(b, st.Commit(batch))
+		if st.CompactionDue() {
+			_, err := st.Compact(minCompaction)
 			must(b, err)
 		}
 	}
-	must(b, s.Close())
+	must(b, st.Close())
 }
 
-// BenchmarkDiskPerMessage tells how many bytes a message takes on disk.
+// BenchmarkDiskPerMessage reports how many bytes a message takes on disk in addition to its body.
 func BenchmarkDiskPerMessage(b *testing.B) {
-	for _, kind := range []string{"log", "journal"} {
-		b.Run(kind, func(b *testing.B) {
+	const count = 1000
+	for _, kind := range []writerKind{legacyKind, journalKind} {
+		b.Run(string(kind), func(b *testing.B) {
 			for b.Loop() {
 				dir := b.TempDir()
-				s := openWriter(b, kind, dir, 64e6)
-				for id := range uint32(1000) {
-					must(b, s.accept(id+1))
+				w := openWriter(b, kind, dir, 64e6)
+				for id := range uint32(count) {
+					must(b, w.accept(id+1))
 				}
-				must(b, s.close())
-				var sum int64
-				must(b, filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
-					if err == nil && info.Mode().IsRegular() {
-						sum += info.Size()
-					}
-					return err
-				}))
-				b.ReportMetric(float64(sum)/1000-benchBodySize, "B/message-beside-body")
+				must(b, w.close())
+				b.ReportMetric(float64(folderSize(b, dir))/count-benchBodySize, "B/message-beside-body")
 			}
 		})
 	}
 }
 
-// BenchmarkMemoryPerMessage tells what a live message takes in memory with its body left on disk, all that the journal holds of it.
+// folderSize returns the bytes of all files in a folder and below it.
+func folderSize(b *testing.B, dir string) int64 {
+	b.Helper()
+	size := int64(0)
+	must(b, filepath.Walk(dir, func(_ string, info os.FileInfo, err error) error {
+		if err == nil && info.Mode().IsRegular() {
+			size += info.Size()
+		}
+		return err
+	}))
+	return size
+}
+
+// BenchmarkMemoryPerMessage reports what an open journal holds in memory for each live message whose body is on disk.
 func BenchmarkMemoryPerMessage(b *testing.B) {
-	for _, n := range []int{1000, 100_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, count := range []int{1000, 100_000} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			dir := b.TempDir()
-			s := openWriter(b, "journal", dir, max(store.MinLimit, int64(n)*3000))
-			for id := range uint32(n) {
-				must(b, s.accept(id+1))
+			w := openWriter(b, journalKind, dir, limitFor(count))
+			for id := range uint32(count) {
+				must(b, w.accept(id+1))
 			}
-			must(b, s.close())
-			for b.Loop() {
-				var before, after runtime.MemStats
-				runtime.GC()
-				runtime.ReadMemStats(&before)
-				j, rec, err := OpenFolder(dir, Options{Limit: max(store.MinLimit, int64(n)*3000), MaxBodyBytes: 1})
-				must(b, err)
-				if len(rec.Messages) != n {
-					b.Fatal(len(rec.Messages))
-				}
-				rec = nil
-				runtime.GC()
-				runtime.ReadMemStats(&after)
-				b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/float64(n), "B/live")
-				must(b, j.Close())
-			}
-		})
-	}
-}
-
-// BenchmarkPeakHour plays an hour of messages, in virtual time: arrivals swell from 40 to 360 a second and back,
-// nine of ten messages end within 0.6 s and the others within 12 s, a fifth has a second attempt; the limit is the
-// platform's. What it tells is what the hour costs, and that none of it was refused.
-func BenchmarkPeakHour(b *testing.B) {
-	if !*large {
-		b.Skip("with -large")
-	}
-	for _, limit := range []int64{3e6, 64e6} {
-		b.Run(fmt.Sprint(limit/1e6, "MB"), func(b *testing.B) {
+			must(b, w.close())
 			for b.Loop() {
-				rng := rand.New(rand.NewPCG(1, 7))
-				j, _, err := OpenFolder(b.TempDir(), Options{Limit: limit})
+				heapBefore := heapBytes()
+				j, recovery, err := OpenFolder(dir, Options{Limit: limitFor(count), MaxBodyBytes: 1})
 				must(b, err)
-				const tick, hour = 5 * time.Millisecond, time.Hour
-				ends := make([][]*Message, int(12*time.Second/tick)+1)
-				id, refused, live, most, longest := uint32(0), 0, 0, 0, time.Duration(0)
-				for at := time.Duration(0); at < hour; at += tick {
-					now := int(at/tick) % len(ends)
-					began := time.Now()
-					for _, m := range ends[now] {
-						j.Remove(m)
-						live--
-					}
-					ends[now] = ends[now][:0]
-					swell := math.Sin(math.Pi * float64(at) / float64(hour))
-					var ms []*Message
-					for n := (40 + 320*swell*swell) * tick.Seconds(); n > 0 && rng.Float64() < n; n-- {
-						id++
-						ms = append(
-							ms,
-							&Message{
-								ID:             id,
-								TraceID:        "9b1f03aa5c7e2d41",
-								IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-								Deadline:       time.Unix(1e9, 0),
-								Body:           make([]byte, 100+rng.IntN(500)),
-							},
-						)
-					}
-					if err := j.Accept(ms...); errors.Is(err, ErrFull) {
-						refused += len(ms)
-						continue
-					} else {
-						must(b, err)
-					}
-					for _, m := range ms {
-						attempts := 1 + rng.IntN(5)/4
-						for n := range attempts {
-							must(
-								b,
-								j.RecordSends(
-									Send{m, Attempt{Number: n, Endpoint: "s-5be2a07c", SentAt: time.Unix(1e9, 0)}},
-								),
-							)
-						}
-						lasts := time.Duration(rng.Float64() * float64(600*time.Millisecond))
-						if rng.IntN(10) == 0 {
-							lasts = time.Duration(rng.Float64() * float64(12*time.Second-tick))
-						}
-						k := (now + 1 + int(lasts/tick)) % len(ends)
-						ends[k] = append(ends[k], m)
-						live++
-					}
-					must(b, j.Flush())
-					most, longest = max(most, live), max(longest, time.Since(began))
+				if len(recovery.Messages) != count {
+					b.Fatal(len(recovery.Messages))
 				}
-				st := j.Stats()
-				b.ReportMetric(float64(id), "messages")
-				b.ReportMetric(float64(refused), "refused")
-				b.ReportMetric(float64(most), "most-live")
-				b.ReportMetric(float64(st.CommittedBytes+st.CompactedBytes)/float64(st.CommittedBytes), "write-amp")
-				b.ReportMetric(float64(st.CommittedBytes)/1e6, "MB-written")
-				b.ReportMetric(float64(longest.Microseconds())/1000, "longest-step-ms")
+				recovery = nil // what is left on the heap is the journal's
+				b.ReportMetric(float64(heapBytes()-heapBefore)/float64(count), "B/live")
 				must(b, j.Close())
 			}
 		})
--- /dev/null
+++ b/internal/state/journal/crash_test.go
@@ -0,0 +1,176 @@
+package journal
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
+)
+
+// crashModel is what a journal must know in spite of crashes.
+type crashModel struct {
+	rng        *rand.Rand
+	unfinished map[uint32]bool         // messages that were accepted and not removed
+	removed    map[uint32]bool         // messages whose removal was written
+	uncertain  map[uint32]map[int]bool // attempts that may have run, by message
+	lastID     uint32
+
+	journal  *Journal
+	messages []*Message // in the open journal
+}
+
+// Over many crashes, at any call of the file system, no accepted message is lost, no removed one comes back, and no
+// attempt that may have run is taken for one that did not.
+func TestCrashesLoseNoMessage(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := &crashModel{
+			rng:        rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3)),
+			unfinished: map[uint32]bool{},
+			removed:    map[uint32]bool{},
+			uncertain:  map[uint32]map[int]bool{},
+		}
+		fs := faultfs.New()
+		for range rapid.IntRange(1, 5).Draw(t, "processes") {
+			fs = fs.Reboot()
+			model.open(t, fs)
+			fs.StopAt(1+model.rng.IntN(400), model.rng.IntN(6000))
+			var err error
+			for err == nil {
+				err = model.step()
+			}
+			if !errors.Is(err, faultfs.ErrStopped) {
+				t.Fatal(err)
+			}
+		}
+	})
+}
+
+// open opens the journal and compares what it found with the model.
+func (c *crashModel) open(t *rapid.T, fs store.FS) {
+	j, recovery, err := Open(fs, Options{Limit: store.MinLimit, MaxBodyBytes: 2000})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !recovery.Intact() {
+		t.Fatalf("%+v", recovery.Store)
+	}
+	c.journal = j
+	c.messages = recovery.Messages
+	found := map[uint32]bool{}
+	for _, m := range recovery.Messages {
+		found[m.ID] = true
+		c.lastID = max(c.lastID, m.ID)
+		c.checkMessage(t, m)
+	}
+	for id := range c.unfinished {
+		if !found[id] {
+			t.Fatalf("message %d is lost", id)
+		}
+	}
+	c.unfinished = found
+}
+
+// checkMessage compares a message that was found with the model.
+func (c *crashModel) checkMessage(t *rapid.T, m *Message) {
+	if c.removed[m.ID] {
+		t.Fatalf("message %d was removed and comes back", m.ID)
+	}
+	body, err := c.journal.Body(m)
+	if err != nil || !bytes.HasPrefix(body, []byte(fmt.Sprint("body of ", m.ID))) {
+		t.Fatalf("body of %d: %.30q, %v", m.ID, body, err)
+	}
+	for number := range c.uncertain[m.ID] {
+		if !slices.ContainsFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == number }) {
+			t.Fatalf("message %d: attempt %d may have run, and the journal does not know it", m.ID, number)
+		}
+	}
+}
+
+// step makes one random change.
+func (c *crashModel) step() error {
+	n := c.rng.IntN(10)
+	switch {
+	case n < 4 || len(c.messages) == 0:
+		return c.accept()
+	case n < 6:
+		return c.send(c.messages[c.rng.IntN(len(c.messages))])
+	case n < 7:
+		return c.recordNotRun(c.messages[c.rng.IntN(len(c.messages))])
+	default:
+		return c.remove(c.rng.IntN(min(len(c.messages), 10)))
+	}
+}
+
+// accept accepts a new message. If there is no room it removes the oldest message instead.
+func (c *crashModel) accept() error {
+	c.lastID++
+	m := message(c.lastID)
+	m.Body = append(m.Body, make([]byte, c.rng.IntN(4000))...)
+	err := c.journal.Accept(m)
+	if errors.Is(err, ErrFull) {
+		return c.removeOldest()
+	}
+	if err == nil {
+		c.unfinished[m.ID] = true
+		c.messages = append(c.messages, m)
+	}
+	return err
+}
+
+// removeOldest removes the oldest message. Until this is written the message must not be lost.
+func (c *crashModel) removeOldest() error {
+	if len(c.messages) == 0 {
+		return nil
+	}
+	oldest := c.messages[0]
+	c.messages = c.messages[1:]
+	c.journal.Remove(oldest)
+	if err := c.journal.Flush(); err != nil {
+		return err
+	}
+	delete(c.unfinished, oldest.ID)
+	c.removed[oldest.ID] = true
+	return nil
+}
+
+func (c *crashModel) send(m *Message) error {
+	attempt := Attempt{Number: m.Attempts, Endpoint: "s", SentAt: time.Unix(1, 0)}
+	if err := c.journal.RecordSends(Send{m, attempt}); err != nil {
+		return err
+	}
+	if c.uncertain[m.ID] == nil {
+		c.uncertain[m.ID] = map[int]bool{}
+	}
+	c.uncertain[m.ID][attempt.Number] = true
+	return nil
+}
+
+func (c *crashModel) recordNotRun(m *Message) error {
+	if len(m.UncertainAttempts) == 0 {
+		return nil
+	}
+	number := m.UncertainAttempts[0].Number
+	delete(c.uncertain[m.ID], number) // once it is pending, the attempt may be known or not
+	c.journal.RecordNotRun(m, number)
+	return c.journal.Flush()
+}
+
+func (c *crashModel) remove(i int) error {
+	m := c.messages[i]
+	c.messages = slices.Delete(slices.Clone(c.messages), i, i+1)
+	delete(c.unfinished, m.ID) // once it is pending, the message may come back or not
+	c.journal.Remove(m)
+	if err := c.journal.Flush(); err != nil {
+		return err
+	}
+	c.removed[m.ID] = true
+	return nil
+}
--- /dev/null
+++ b/internal/state/journal/encoding_test.go
@@ -0,0 +1,79 @@
+package journal
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+)
+
+// fixedTimeline is the timeline of a machine whose clock was never set.
+var fixedTimeline = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
+
+// encodeMessage returns the value of a message.
+func encodeMessage(m *Message) []byte {
+	return append(m.appendHeader(nil, fixedTimeline), m.Body...)
+}
+
+func TestDecodeMessageRejectsMalformedInput(t *testing.T) {
+	m := message(3)
+	value := encodeMessage(m)
+	for cut := range len(value) - len(m.Body) {
+		if m, ok := decodeMessage(value[:cut], fixedTimeline); ok {
+			t.Errorf("a message cut at byte %d is accepted: %+v", cut, m)
+		}
+	}
+}
+
+func TestApplyDeltaRejectsMalformedInput(t *testing.T) {
+	for name, delta := range map[string][]byte{
+		"empty":               nil,
+		"unknown kind":        {99},
+		"send without fields": {byte(deltaSend)},
+		"final cut off":       {byte(deltaFinal), 2},
+		"cancelled and more":  {byte(deltaCancelled), 1},
+		"not run and more":    append([]byte{byte(deltaNotRun), 2}, strings.Repeat("x", 9)...),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if message(1).applyDelta(delta, fixedTimeline) {
+				t.Errorf("delta %v is accepted", delta)
+			}
+		})
+	}
+}
+
+// Whatever is decoded is the same after it is encoded and decoded again.
+func FuzzDecode(f *testing.F) {
+	f.Add(encodeMessage(message(3)))
+	attempt := Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}
+	f.Add(appendAttempt([]byte{byte(deltaSend)}, &attempt, fixedTimeline))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		m, ok := decodeMessage(data, fixedTimeline)
+		if !ok {
+			message(1).applyDelta(data, fixedTimeline)
+			return
+		}
+		again, ok := decodeMessage(encodeMessage(m), fixedTimeline)
+		if !ok || !equalMessages(m, again) {
+			t.Errorf("%+v, %+v", m, again)
+		}
+	})
+}
+
+// An anchor that cannot be decoded counts as none: times then depend on the wall clock.
+func TestDecodeAnchorRejectsMalformedInput(t *testing.T) {
+	want := clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}
+	value := encodeAnchor(&want, nil)
+	if got := decodeAnchor(value); got == nil || *got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+	for cut := 1; cut < len(value); cut++ {
+		if got := decodeAnchor(value[:cut]); got != nil {
+			t.Errorf("cut at %d: %+v", cut, got)
+		}
+	}
+	if decodeAnchor(append(value, 0)) != nil {
+		t.Error("an anchor with a byte behind it is accepted")
+	}
+}
--- a/internal/state/journal/migrate_test.go
+++ b/internal/state/journal/migrate_test.go
@@ -11,13 +11,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// writeLegacyLog writes a log of the older form.
-func writeLegacyLog(t *testing.T, dir string, n int) []*legacylog.Message {
+const legacyLimit = 3e6 // bytes on disk
+
+// writeLegacyLog writes a legacy log of six messages, of which five are not removed.
+func writeLegacyLog(t *testing.T, dir string) {
 	t.Helper()
-	l, _, err := legacylog.Open(dir, 3e6)
+	log, _, err := legacylog.Open(dir, legacyLimit)
 	must(t, err)
-	var ms []*legacylog.Message
-	for id := range uint32(n) {
+	var messages []*legacylog.Message
+	for id := range uint32(6) {
 		m := &legacylog.Message{
 			ID:             id + 1,
 			TraceID:        fmt.Sprint("t", id),
@@ -27,57 +29,65 @@
 			Deadline:       time.Unix(1e9, 0),
 			Body:           []byte("body"),
 		}
-		must(t, l.Accept(m))
-		must(
-			t,
-			l.RecordSends(
-				legacylog.Send{Message: m, Attempt: legacylog.Attempt{Endpoint: "h", Zone: 1, SentAt: time.Unix(2, 0)}},
-			),
-		)
-		ms = append(ms, m)
+		must(t, log.Accept(m))
+		attempt := legacylog.Attempt{Endpoint: "h", Zone: 1, SentAt: time.Unix(2, 0)}
+		must(t, log.RecordSends(legacylog.Send{Message: m, Attempt: attempt}))
+		messages = append(messages, m)
 	}
-	l.RecordNotRun(ms[0], 0)
-	l.RecordFinal(ms[1], legacylog.FinalAnswer{Retryable: true, RetryAfter: time.Second})
-	l.RecordCancelled(ms[2])
-	l.Remove(ms[3])
-	must(t, l.Close())
-	return ms
+	log.RecordNotRun(messages[0], 0)
+	log.RecordFinal(messages[1], legacylog.FinalAnswer{Retryable: true, RetryAfter: time.Second})
+	log.RecordCancelled(messages[2])
+	log.Remove(messages[3])
+	must(t, log.Close())
 }
 
 func TestOpenFolderMigratesLegacyLog(t *testing.T) {
 	dir := t.TempDir()
-	writeLegacyLog(t, dir, 6)
-	for life := range 2 {
-		j, rec, err := OpenFolder(dir, Options{Limit: 3e6})
+	writeLegacyLog(t, dir)
+	for i, migrated := range []int{5, 0} {
+		j, recovery, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
-		if len(rec.Messages) != 5 || rec.Migrated != 5*(1-life) {
-			t.Fatalf("life %d: %d messages, %d carried over", life, len(rec.Messages), rec.Migrated)
-		}
-		m := rec.Messages
-		if len(m[0].UncertainAttempts) != 0 || m[1].Final == nil || m[1].Final.RetryAfter != time.Second ||
-			!m[2].Cancelled ||
-			len(m[3].UncertainAttempts) != 1 ||
-			m[3].UncertainAttempts[0].Zone != 1 {
-			t.Errorf("life %d: %+v", life, m)
+		if len(recovery.Messages) != 5 || recovery.Migrated != migrated {
+			t.Fatalf("start %d: %d messages, %d migrated", i, len(recovery.Messages), recovery.Migrated)
 		}
+		checkMigrated(t, recovery.Messages)
 		if _, err := os.Stat(filepath.Join(dir, legacyLogName)); !os.IsNotExist(err) {
-			t.Errorf("the older log is still there: %v", err)
+			t.Errorf("the legacy log is still there: %v", err)
 		}
 		must(t, j.Close())
 	}
 }
 
-// A crash anywhere on the way leaves the log; the next start takes what is missing, once.
+// checkMigrated checks the messages of writeLegacyLog after their migration.
+func checkMigrated(t *testing.T, messages []*Message) {
+	t.Helper()
+	notRun, final, cancelled, sent := messages[0], messages[1], messages[2], messages[3]
+	if len(notRun.UncertainAttempts) != 0 {
+		t.Errorf("uncertain attempts of the message that never ran: %+v", notRun.UncertainAttempts)
+	}
+	if final.Final == nil || final.Final.RetryAfter != time.Second {
+		t.Errorf("final answer %+v", final.Final)
+	}
+	if !cancelled.Cancelled {
+		t.Errorf("not cancelled: %+v", cancelled)
+	}
+	if len(sent.UncertainAttempts) != 1 || sent.UncertainAttempts[0].Zone != 1 {
+		t.Errorf("uncertain attempts of the message that was sent: %+v", sent.UncertainAttempts)
+	}
+}
+
+// A crash during the migration leaves the log; the next start migrates what is missing, and nothing twice.
 func TestInterruptedMigrationIsCompleted(t *testing.T) {
-	for cut := range 40 {
+	const cuts = 40
+	for cut := range cuts {
 		dir := t.TempDir()
-		writeLegacyLog(t, dir, 6)
+		writeLegacyLog(t, dir)
 		log, err := os.ReadFile(filepath.Join(dir, legacyLogName))
 		must(t, err)
-		j, _, err := OpenFolder(dir, Options{Limit: 3e6})
+		j, _, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
 		must(t, j.Close())
-		// As if the process had died with a part of the store written, before the log was removed.
+		// As if the process had died when a part of the store was written, before it removed the log.
 		must(t, os.WriteFile(filepath.Join(dir, legacyLogName), log, 0o600))
 		names, err := store.Dir(Folder(dir)).List()
 		must(t, err)
@@ -85,12 +95,12 @@
 			path := filepath.Join(Folder(dir), name)
 			data, err := os.ReadFile(path)
 			must(t, err)
-			must(t, os.WriteFile(path, data[:len(data)*cut/40], 0o600))
+			must(t, os.WriteFile(path, data[:len(data)*cut/cuts], 0o600))
 		}
-		j, rec, err := OpenFolder(dir, Options{Limit: 3e6})
+		j, recovery, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
-		if len(rec.Messages) != 5 {
-			t.Errorf("cut at %d of 40: %d messages", cut, len(rec.Messages))
+		if len(recovery.Messages) != 5 {
+			t.Errorf("cut at %d of %d: %d messages", cut, cuts, len(recovery.Messages))
 		}
 		must(t, j.Close())
 	}
--- a/internal/state/journal/timeline_test.go
+++ b/internal/state/journal/timeline_test.go
@@ -11,111 +11,144 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// fakeMachine is clocks that tests set. real is what has truly passed.
+// fakeMachine has clocks that a test sets.
 type fakeMachine struct {
-	elapsed, up time.Duration
-	wall        time.Time // at real
-	boot        string
+	elapsed time.Duration // since the test began
+	uptime  time.Duration
+	wall    time.Time
+	bootID  string
 }
 
-func (m *fakeMachine) pass(d time.Duration) {
-	m.elapsed, m.up, m.wall = m.elapsed+d, m.up+d, m.wall.Add(d)
+// advance lets time pass on all clocks.
+func (m *fakeMachine) advance(d time.Duration) {
+	m.elapsed += d
+	m.uptime += d
+	m.wall = m.wall.Add(d)
+}
+
+// setWall sets the wall clock by a step.
+func (m *fakeMachine) setWall(step time.Duration) { m.wall = m.wall.Add(step) }
+
+// reboot gives the machine a new boot ID and sets the uptime back.
+func (m *fakeMachine) reboot() {
+	m.bootID += "'"
+	m.uptime = 0
 }
 
 func (m *fakeMachine) read() bootclock.Reading {
-	return bootclock.Reading{Wall: m.wall, BootID: m.boot, Uptime: m.up}
+	return bootclock.Reading{Wall: m.wall, BootID: m.bootID, Uptime: m.uptime}
+}
+
+// recordedSend is what a test knows of an attempt in the journal.
+type recordedSend struct {
+	at     time.Duration // elapsed time of the test
+	bootID string
+	// lost is the sum of the steps of the wall clock between the last reading in a boot and the next boot: no clock
+	// can tell them.
+	lost time.Duration
+}
+
+// timelineTest runs processes one after the other on one machine and one journal.
+type timelineTest struct {
+	machine *fakeMachine
+	fs      *faultfs.FS
+	sends   []*recordedSend // one for each message, in the order of the messages
 }
 
-// Over any history of processes, boots and settings of the wall clock: what a process reads of a time is as long ago as
-// it truly is. Only what the wall clock is set by between the last look and a new boot shows, since nothing there
-// tells.
+const testDeadline = 9 * time.Second // of a message, from its attempt
+
+// Over any sequence of processes, boots and steps of the wall clock, a time in the journal is as long ago as it truly
+// is. Only steps of the wall clock that a reboot hides show up.
 func TestTimestampsFollowElapsedTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &fakeMachine{wall: time.Unix(1e9, 0), boot: "first", up: time.Minute}
-		fs := faultfs.New()
-		type sent struct {
-			at    time.Duration // real
-			boot  string
-			error time.Duration // by which a boot without a look put it off
+		test := &timelineTest{
+			machine: &fakeMachine{wall: time.Unix(1e9, 0), bootID: "first", uptime: time.Minute},
+			fs:      faultfs.New(),
 		}
-		var all []*sent
-		for n := range rapid.IntRange(1, 12).Draw(t, "lives") {
-			j, rec, err := Open(fs, Options{Limit: 1 << 20, Clock: m.read})
-			if err != nil {
-				t.Fatal(err)
-			}
-			if len(rec.Messages) != len(all) {
-				t.Fatalf("%d messages of %d", len(rec.Messages), len(all))
-			}
-			base, began := j.timeline.Base, m.elapsed
-			for i, x := range rec.Messages {
-				if x.UncertainAttempts[0].Undated != (all[i].boot != m.boot) {
-					t.Fatalf("sent on boot %q, now %q: undated %v", all[i].boot, m.boot, x.UncertainAttempts[0].Undated)
-				}
-				ago := base.Sub(x.UncertainAttempts[0].SentAt)
-				if off := ago - (m.elapsed - all[i].at + all[i].error); off.Abs() > time.Duration(n+1)*clock.MinStep {
-					t.Fatalf("sent %v ago, taken for %v", m.elapsed-all[i].at, ago)
-				}
-				if left := x.Deadline.Sub(base); left != 9*time.Second-ago {
-					t.Fatalf("left %v, sent %v ago", left, ago)
-				}
-			}
-			m.pass(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			m.wall = m.wall.Add(drawClockStep(t)) // while it runs: its own times do not heed that
-			at := base.Add(m.elapsed - began)
-			x := &Message{ID: uint32(n + 1), Deadline: at.Add(9 * time.Second)}
-			mustRapid(t, j.Accept(x))
-			mustRapid(t, j.RecordSends(Send{x, Attempt{Endpoint: "h", SentAt: at}}))
-			all = append(all, &sent{at: m.elapsed, boot: m.boot})
-			if stamp := j.Stamp(at); j.timeline.Time(stamp.UnixNano()) != at {
-				t.Fatalf("stamp %v of %v", stamp, at)
-			}
-			switch rapid.IntRange(0, 2).Draw(t, "end") {
-			case 0:
-				mustRapid(t, j.Close())
-			case 1: // killed
-				mustRapid(t, j.Flush())
-				mustRapid(t, j.store.Close())
-			default: // and the machine with it
-				mustRapid(t, j.Close())
-				m.boot, m.up = m.boot+"'", 0
-				lost := drawClockStep(t)
-				m.wall = m.wall.Add(lost)
-				for _, s := range all {
-					s.error += lost
-				}
-			}
-			m.pass(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms down")) * time.Millisecond)
-			if m.up > 0 && rapid.Bool().Draw(t, "set while down") && m.boot == j.anchor.BootID {
-				m.wall = m.wall.Add(drawClockStep(t))
-			}
+		for n := range rapid.IntRange(1, 12).Draw(t, "processes") {
+			test.runProcess(t, n)
 		}
 	})
 }
 
-func drawClockStep(t *rapid.T) time.Duration {
-	return time.Duration(
-		rapid.SampledFrom([]int{0, 0, -3600_000, -3000, -20, 5, 20, 3000, 3600_000}).Draw(t, "step ms"),
-	) * time.Millisecond
+// runProcess opens the journal, checks the times in it, writes one message and ends.
+func (c *timelineTest) runProcess(t *rapid.T, n int) {
+	j, recovery, err := Open(c.fs, Options{Limit: 1 << 20, Clock: c.machine.read})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.checkMessages(t, j, recovery, time.Duration(n+1)*clock.MinStep)
+	c.writeMessage(t, j, uint32(n+1))
+	c.endProcess(t, j)
+	c.machine.advance(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms down")) * time.Millisecond)
+	sameBoot := c.machine.uptime > 0 && c.machine.bootID == j.anchor.BootID
+	if sameBoot && rapid.Bool().Draw(t, "set while down") {
+		c.machine.setWall(drawClockStep(t))
+	}
 }
 
-// An anchor that cannot be read is as none: times go by the wall clock.
-func TestDecodeAnchorRejectsMalformedInput(t *testing.T) {
-	whole := encodeAnchor(&clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}, nil)
-	if a := decodeAnchor(whole); a == nil ||
-		*a != (clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}) {
-		t.Errorf("%+v", a)
+// checkMessages compares the times of recovered messages with the true ones.
+func (c *timelineTest) checkMessages(t *rapid.T, j *Journal, recovery *Recovery, tolerance time.Duration) {
+	if len(recovery.Messages) != len(c.sends) {
+		t.Fatalf("%d messages of %d", len(recovery.Messages), len(c.sends))
 	}
-	for cut := 1; cut < len(whole); cut++ {
-		if a := decodeAnchor(whole[:cut]); a != nil {
-			t.Errorf("cut at %d: %+v", cut, a)
+	for i, m := range recovery.Messages {
+		send := c.sends[i]
+		attempt := m.UncertainAttempts[0]
+		if attempt.Undated != (send.bootID != c.machine.bootID) {
+			t.Fatalf("sent in boot %q, now %q: undated %v", send.bootID, c.machine.bootID, attempt.Undated)
+		}
+		age := j.timeline.Base.Sub(attempt.SentAt)
+		wantAge := c.machine.elapsed - send.at + send.lost
+		if off := age - wantAge; off.Abs() > tolerance {
+			t.Fatalf("sent %v ago, recovered as %v ago", wantAge, age)
+		}
+		if left := m.Deadline.Sub(j.timeline.Base); left != testDeadline-age {
+			t.Fatalf("%v left, sent %v ago", left, age)
 		}
 	}
-	if decodeAnchor(append(whole, 0)) != nil {
-		t.Error("bytes behind it are taken")
+}
+
+// writeMessage accepts a message and records an attempt, after the wall clock was set: that has no effect on times of
+// the running process.
+func (c *timelineTest) writeMessage(t *rapid.T, j *Journal, id uint32) {
+	begin := c.machine.elapsed
+	c.machine.advance(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
+	c.machine.setWall(drawClockStep(t))
+	now := j.timeline.Base.Add(c.machine.elapsed - begin)
+	m := &Message{ID: id, Deadline: now.Add(testDeadline)}
+	mustRapid(t, j.Accept(m))
+	mustRapid(t, j.RecordSends(Send{m, Attempt{Endpoint: "h", SentAt: now}}))
+	c.sends = append(c.sends, &recordedSend{at: c.machine.elapsed, bootID: c.machine.bootID})
+	if stamp := j.Stamp(now); j.timeline.Time(stamp.UnixNano()) != now {
+		t.Fatalf("stamp %v of %v", stamp, now)
+	}
+}
+
+// endProcess ends the process in order, by a kill, or together with the machine.
+func (c *timelineTest) endProcess(t *rapid.T, j *Journal) {
+	switch rapid.IntRange(0, 2).Draw(t, "end") {
+	case 0:
+		mustRapid(t, j.Close())
+	case 1: // killed
+		mustRapid(t, j.Flush())
+		mustRapid(t, j.store.Close())
+	default: // rebooted
+		mustRapid(t, j.Close())
+		c.machine.reboot()
+		lost := drawClockStep(t)
+		c.machine.setWall(lost)
+		for _, send := range c.sends {
+			send.lost += lost
+		}
 	}
 }
 
+func drawClockStep(t *rapid.T) time.Duration {
+	steps := []int{0, 0, -3600_000, -3000, -20, 5, 20, 3000, 3600_000}
+	return time.Duration(rapid.SampledFrom(steps).Draw(t, "step ms")) * time.Millisecond
+}
+
 func mustRapid(t *rapid.T, err error) {
 	t.Helper()
 	if err != nil {
--- a/internal/state/journal/write.go
+++ b/internal/state/journal/write.go
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// compact runs a step of compaction if the store needs one, in proportion to what was written since Stats.CommittedBytes was
-// committedBefore. An error does not fail the write, which succeeded: the next step tries again, and CompactionError
-// reports it.
+// compact runs a step of compaction if the store needs one, in proportion to what was written since
+// Stats.CommittedBytes was committedBefore. An error does not fail the write, which succeeded: the next step tries
+// again, and CompactionError reports it.
 func (j *Journal) compact(committedBefore int64) {
 	if !j.store.CompactionDue() {
 		return
