--- a/internal/state/store/compact.go
+++ b/internal/state/store/compact.go
@@ -4,71 +4,124 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"slices"
 )
 
-// Compaction moves what lives in one segment forward, a bounded stretch in each step, and removes the segment then. It
-// goes through the ordinary write path: a crash leaves a record twice, under the same key and number, which recovery
-// takes once.
+// Compaction moves the live records of one segment forward, a bounded number of bytes in each step, and then removes
+// the segment. It uses the ordinary write path: a crash leaves a record twice, under the same key and number, and
+// recovery takes it once.
 
-// Garbage that is let stand: so many segments' worth beside as much as lives.
-const maxGarbageSegments = 4
+const (
+	// maxGarbageSegments is how much garbage, in segments, is left beside as many bytes as are live.
+	maxGarbageSegments = 4
 
-// CompactionDue tells whether there is enough to win for Compact.
-func (s *Store) CompactionDue() bool { return s.compacting != nil || s.pickSegment() != nil }
+	// Above compactionDiskTenths of the limit any garbage makes compaction due. Segments with a live ratio above
+	// maxLiveRatioToCompact win little for what is written again: they are compacted only above shortageDiskQuarters of
+	// the limit. Those above maxLiveRatioInShortage win nothing.
+	compactionDiskTenths   = 6
+	shortageDiskQuarters   = 3
+	maxLiveRatioToCompact  = 0.75
+	maxLiveRatioInShortage = 0.97
 
-// pickSegment chooses the segment to compact: of those that are not written to, the one with the least that lives for its
-// size, once garbage takes more than what lives and some segments, or room gets short. A segment that is nearly all
-// alive is left until room is very short: it would be written again for little.
+	// maxSegments is how many segments make compaction due whatever they hold: it bounds the open files.
+	maxSegments = 2 * segmentsPerLimit
+
+	// compactionReadBlocks is how many blocks compaction reads at a time.
+	compactionReadBlocks = 16
+)
+
+// compaction is the compaction that is going on.
+type compaction struct {
+	segment *segment // being compacted; nil: none
+	offset  int64    // of its next record
+	number  uint64   // of the last record that was read
+
+	frames assembler // reused for the record that is read
+
+	// buffer holds bytes of the segment bufferSegment from bufferOffset on; 0: of none.
+	buffer        []byte
+	bufferSegment uint32
+	bufferOffset  int64
+}
+
+// begin begins to compact a segment.
+func (c *compaction) begin(seg *segment) {
+	c.segment = seg
+	c.offset = HeaderSize
+	c.number = seg.header.FirstRecord
+}
+
+// CompactionDue reports whether there is enough garbage for Compact.
+func (s *Store) CompactionDue() bool { return s.compaction.segment != nil || s.pickSegment() != nil }
+
+// pickSegment chooses the segment to compact; nil: none. Of those that are not written to it is the one with the
+// smallest live ratio, once garbage takes more than what is live and some segments, or space gets short. A segment that
+// is nearly all live is left until space is very short: compaction would write it again for little.
 func (s *Store) pickSegment() *segment {
-	limit := s.options.Limit
-	if s.options.ReadOnly || len(s.segments) < 2 ||
-		len(s.segments) < 2*segmentsPerLimit && s.diskBytes <= min(2*s.liveBytes+maxGarbageSegments*s.segmentSize, limit*6/10) {
+	if s.options.ReadOnly || len(s.segments) < 2 {
+		return nil
+	}
+	tooMany := len(s.segments) >= maxSegments
+	if !tooMany && s.diskBytes <= s.maxBytesWithoutCompaction() {
 		return nil
 	}
 	var best *segment
-	for _, g := range s.segments[:len(s.segments)-1] {
-		if best == nil || liveRatio(g) < liveRatio(best) {
-			best = g
+	for _, seg := range s.segments[:len(s.segments)-1] {
+		if best == nil || seg.liveRatio() < best.liveRatio() {
+			best = seg
 		}
 	}
-	if x := liveRatio(best); len(s.segments) < 2*segmentsPerLimit && x > 0.75 && (x > 0.97 || s.diskBytes <= limit*3/4) {
+	if !tooMany && !s.isWorthCompacting(best) {
 		return nil
 	}
 	return best
 }
 
-func liveRatio(g *segment) float64 { return float64(g.liveBytes) / float64(max(1, g.size)) }
+// maxBytesWithoutCompaction is how many bytes may be on disk before compaction is due.
+func (s *Store) maxBytesWithoutCompaction() int64 {
+	withGarbage := 2*s.liveBytes + maxGarbageSegments*s.segmentSize
+	return min(withGarbage, s.options.Limit*compactionDiskTenths/10)
+}
 
-// Compact does a step of compaction: it reads and writes about budget bytes at most, 64 KiB of them at least where a
-// record is so long. It reports whether there is more to do. Where it fails nothing is lost, and the next step tries
-// again.
+// isWorthCompacting reports whether a segment has enough garbage for the space that is left.
+func (s *Store) isWorthCompacting(seg *segment) bool {
+	ratio := seg.liveRatio()
+	if ratio <= maxLiveRatioToCompact {
+		return true
+	}
+	short := s.diskBytes > s.options.Limit*shortageDiskQuarters/4
+	return short && ratio <= maxLiveRatioInShortage
+}
+
+// Compact does a step of compaction: it reads and writes about budget bytes, and a whole record where one is longer. It
+// reports whether there is more to do. Where it fails nothing is lost, and the next step tries again.
 func (s *Store) Compact(budget int) (more bool, err error) {
 	if s.options.ReadOnly {
 		return false, ErrReadOnly
 	}
-	if s.compacting == nil {
-		if s.compacting = s.pickSegment(); s.compacting == nil {
+	c := &s.compaction
+	if c.segment == nil {
+		seg := s.pickSegment()
+		if seg == nil {
 			return false, nil
 		}
-		s.compactOffset, s.compactNumber = HeaderSize, s.compacting.header.FirstRecord
+		c.begin(seg)
 	}
 	// A segment is compacted into those behind it.
-	if s.compacting == s.segments[len(s.segments)-1] || !s.appendable {
+	if c.segment == s.activeSegment() || !s.appendable {
 		if err := s.rollSegment(); err != nil {
 			return true, err
 		}
 	}
 	for budget > 0 {
-		if s.compacting.liveBytes <= 0 || s.compactOffset >= s.compacting.size {
+		if c.segment.liveBytes <= 0 || c.offset >= c.segment.size {
 			if err := s.removeCompacted(); err != nil {
 				return true, err
 			}
 			return s.pickSegment() != nil, nil
 		}
-		used, err := s.moveNextRecord(budget)
+		used, err := s.moveNextRecord()
 		if err != nil {
 			return true, err
 		}
@@ -77,215 +130,236 @@
 	return true, nil
 }
 
-// moveNextRecord moves what lives in the next stretch of the victim.
-func (s *Store) moveNextRecord(budget int) (used int, err error) {
-	v := s.compacting
-	number, record, from, next, err := s.nextRecord(v, s.compactOffset)
+// moveNextRecord moves the next record of the segment that is compacted if it is live, and returns how many bytes were
+// read for it.
+func (s *Store) moveNextRecord() (used int, err error) {
+	c := &s.compaction
+	next, found, err := s.readNextRecord()
 	if err != nil {
 		return 0, err
 	}
-	used = max(1, int(next-s.compactOffset))
-	if record == nil { // nothing more can be read
-		s.compactOffset = v.size
-		return used, nil
-	}
-	if err := s.moveRecord(v, number, from, record); err != nil {
-		return used, err
+	used = max(1, int(next-c.offset))
+	if found {
+		if err := s.moveRecord(c.frames.number, c.frames.offset, c.frames.record); err != nil {
+			return used, err
+		}
 	}
-	s.compactOffset = next
+	c.offset = next
 	return used, nil
 }
 
-// nextRecord reads the first whole record of a segment from an offset on; record is nil if there is none. What cannot
-// be read on the way was told at recovery, or has been damaged since: it is passed over.
-func (s *Store) nextRecord(g *segment, at int64) (number uint32, record []byte, from, next int64, err error) {
-	began := int64(-1)
-	for at < g.size {
-		block := at - at%BlockSize
-		if block+BlockSize-at < frameHeaderSize {
-			at = block + BlockSize
+// readNextRecord reads the next complete record of the segment that is compacted into its frames. It returns the offset
+// behind the record; found is false if there is none, and the offset is the segment's end. What cannot be read on the
+// way was reported at recovery, or has been damaged since: it is skipped.
+func (s *Store) readNextRecord() (next int64, found bool, err error) {
+	c := &s.compaction
+	c.frames.discard()
+	for offset := c.offset; offset < c.segment.size; {
+		if blockRemaining(offset) < frameHeaderSize {
+			offset = blockEnd(offset)
 			continue
 		}
-		data, err := s.readBlock(g, at)
+		data, err := s.readBlock(offset)
 		if err != nil {
-			return 0, nil, 0, 0, err
+			return 0, false, err
 		}
-		frame, ok := readFrame(g.header.Epoch, at, data)
+		f, ok := readFrame(c.segment.header.Epoch, offset, data)
 		if !ok {
-			began, at = -1, block+BlockSize
+			c.frames.discard()
+			offset = blockEnd(offset)
 			continue
 		}
-		part, n := frame[6], binary.LittleEndian.Uint32(frame[7:])
-		if joins := began >= 0 && n == number; joins != (part == partMiddle || part == partLast) {
-			began = -1
-			if part == partMiddle || part == partLast {
-				at += int64(len(frame))
-				continue
-			}
-		}
-		if part == partWhole || part == partFirst {
-			began, number, record = at, n, s.moveBuf[:0]
+		if !c.frames.accepts(f) {
+			c.frames.discard()
 		}
-		record = append(record, frame[frameHeaderSize:]...)
-		s.moveBuf = record
-		at += int64(len(frame))
-		if part == partWhole || part == partLast {
-			return number, record, began, at, nil
+		complete := c.frames.add(offset, f)
+		offset += int64(len(f))
+		if complete {
+			return offset, true, nil
 		}
 	}
-	return 0, nil, 0, g.size, nil
+	return c.segment.size, false, nil
 }
 
-// readBlock returns a segment's bytes from an offset to the end of its block. It reads a stretch of blocks at a time.
-func (s *Store) readBlock(g *segment, at int64) ([]byte, error) {
-	end := min(at-at%BlockSize+BlockSize, g.size)
-	if s.readSegment != g.number || at < s.readOffset || end > s.readOffset+int64(len(s.readBuf)) {
-		from := at - at%BlockSize
-		if s.readBuf = s.readBuf[:cap(s.readBuf)]; len(s.readBuf) < 16*BlockSize {
-			s.readBuf = make([]byte, 16*BlockSize)
+// readBlock returns the bytes of the segment that is compacted from an offset to the end of its block. It reads several
+// blocks at a time.
+func (s *Store) readBlock(offset int64) ([]byte, error) {
+	c := &s.compaction
+	seg := c.segment
+	end := min(blockEnd(offset), seg.size)
+	buffered := c.bufferSegment == seg.number && offset >= c.bufferOffset &&
+		end <= c.bufferOffset+int64(len(c.buffer))
+	if !buffered {
+		const bufferSize = compactionReadBlocks * BlockSize
+		if c.buffer == nil {
+			c.buffer = make([]byte, bufferSize)
 		}
-		n, err := g.file.ReadAt(s.readBuf[:min(int64(len(s.readBuf)), g.size-from)], from)
-		if err != nil && err != io.EOF {
-			s.readSegment = 0
+		start := offset - offset%BlockSize
+		c.buffer = c.buffer[:min(bufferSize, seg.size-start)]
+		n, err := readAvailable(seg.file, c.buffer, start)
+		if err != nil {
+			c.bufferSegment = 0
 			return nil, fmt.Errorf("store: compact: %w", err)
 		}
-		s.readSegment, s.readOffset, s.readBuf = g.number, from, s.readBuf[:n]
-		if end > from+int64(n) {
-			end = from + int64(n)
-		}
+		c.buffer = c.buffer[:n]
+		c.bufferSegment = seg.number
+		c.bufferOffset = start
+		end = min(end, start+int64(n))
 	}
-	return s.readBuf[at-s.readOffset : end-s.readOffset], nil
+	return c.buffer[offset-c.bufferOffset : end-c.bufferOffset], nil
 }
 
-// moveRecord writes a record of the victim again if it lives.
-func (s *Store) moveRecord(v *segment, low uint32, at int64, record []byte) error {
-	number := s.compactNumber + uint64(int64(int32(low-uint32(s.compactNumber))))
-	s.compactNumber = number
+// moveRecord writes a record of the segment that is compacted again if it is live.
+func (s *Store) moveRecord(low uint32, offset int64, record []byte) error {
+	s.compaction.number = fullNumber(s.compaction.number, low)
 	if len(record) == 0 {
 		return nil
 	}
-	switch record[0] {
+	switch recordKind(record[0]) {
 	case kindPut:
-		return s.movePut(v, number, at, record[1:])
+		return s.movePut(s.compaction.number, offset, record[1:])
 	case kindMovedPut:
-		if x, rest, ok := parseFields(record, 1); ok {
-			return s.movePut(v, x[0], at, rest)
+		if fields, value, ok := parseFields(record, 1); ok {
+			return s.movePut(fields[0], offset, value)
 		}
 	case kindDelta:
-		if x, rest, ok := parseFields(record, 1); ok {
-			return s.moveDelta(v, x[0], number, rest)
+		if fields, data, ok := parseFields(record, 1); ok {
+			return s.moveDelta(fields[0], s.compaction.number, data)
 		}
 	case kindMovedDelta:
-		if x, rest, ok := parseFields(record, 2); ok {
-			return s.moveDelta(v, x[0], x[1], rest)
+		if fields, data, ok := parseFields(record, 2); ok {
+			return s.moveDelta(fields[0], fields[1], data)
 		}
 	case kindDelete:
-		x, _, ok := parseFields(record, 2)
-		if !ok || uint32(x[1]) == v.number || s.findSegment(uint32(x[1])) == nil {
-			return nil // the value that it ends is gone
+		if fields, _, ok := parseFields(record, 2); ok {
+			return s.moveDelete(uint32(fields[1]), offset, record)
 		}
-		seg, _, disk, err := s.writeRecord(record)
-		if err != nil {
-			return err
-		}
-		was := uint32(framedSize(at, int64(len(record))))
-		v.tombstones[uint32(x[1])] -= min(was, v.tombstones[uint32(x[1])])
-		s.addLiveBytes(v, -int64(was))
-		seg.tombstones[uint32(x[1])] += uint32(disk)
-		s.addLiveBytes(seg, disk)
 	}
 	return nil
 }
 
-func (s *Store) movePut(v *segment, key uint64, at int64, value []byte) error {
-	p, ok := s.index[key]
-	if !ok || p.segment != v.number || int64(p.offset) != at {
+func (s *Store) movePut(key uint64, offset int64, data []byte) error {
+	from := s.compaction.segment
+	value, ok := s.index[key]
+	if !ok || value.segment != from.number || int64(value.offset) != offset {
 		return nil
 	}
-	s.recordBuf = binary.AppendUvarint(append(s.recordBuf[:0], kindMovedPut), key)
-	s.recordBuf = append(s.recordBuf, value...)
-	seg, to, disk, err := s.writeRecord(s.recordBuf)
+	s.recordBuf = append(s.recordBuf[:0], byte(kindMovedPut))
+	s.recordBuf = binary.AppendUvarint(s.recordBuf, key)
+	s.recordBuf = append(s.recordBuf, data...)
+	to, err := s.writeRecord(s.recordBuf)
 	if err != nil {
 		return err
 	}
-	s.addLiveBytes(v, -int64(p.diskSize))
-	v.values--
-	p.segment, p.offset, p.diskSize = seg.number, uint32(to), uint32(disk)
-	s.index[key] = p
-	seg.values++
-	s.addLiveBytes(seg, disk)
+	s.addLiveBytes(from, -int64(value.diskSize))
+	value.segment = to.segment.number
+	value.offset = uint32(to.offset)
+	value.diskSize = uint32(to.diskSize)
+	s.index[key] = value
+	s.addLiveBytes(to.segment, to.diskSize)
 	return nil
 }
 
-func (s *Store) moveDelta(v *segment, key, number uint64, data []byte) error {
-	p, ok := s.index[key]
+func (s *Store) moveDelta(key, number uint64, data []byte) error {
+	from := s.compaction.segment
+	value, ok := s.index[key]
 	if !ok {
 		return nil
 	}
-	for i := p.newestDelta; i != 0; i = s.deltas[i-1].next {
-		d := s.deltas[i-1]
-		if d.number != number || d.segment != v.number {
+	for i := value.newestDelta; i != 0; i = s.deltas[i-1].next {
+		entry := &s.deltas[i-1]
+		if entry.number != number || entry.segment != from.number {
 			continue
 		}
-		s.recordBuf = binary.AppendUvarint(append(s.recordBuf[:0], kindMovedDelta), key)
-		s.recordBuf = append(binary.AppendUvarint(s.recordBuf, number), data...)
-		seg, _, disk, err := s.writeRecord(s.recordBuf)
+		s.recordBuf = append(s.recordBuf[:0], byte(kindMovedDelta))
+		s.recordBuf = binary.AppendUvarint(s.recordBuf, key)
+		s.recordBuf = binary.AppendUvarint(s.recordBuf, number)
+		s.recordBuf = append(s.recordBuf, data...)
+		to, err := s.writeRecord(s.recordBuf)
 		if err != nil {
 			return err
 		}
-		s.addLiveBytes(v, -int64(d.diskSize))
-		s.deltas[i-1].segment, s.deltas[i-1].diskSize = seg.number, uint32(disk)
-		s.addLiveBytes(seg, disk)
+		s.addLiveBytes(from, -int64(entry.diskSize))
+		entry.segment = to.segment.number
+		entry.diskSize = uint32(to.diskSize)
+		s.addLiveBytes(to.segment, to.diskSize)
 		return nil
 	}
 	return nil
 }
 
-// writeRecord writes a record of its own at the end of the log.
-func (s *Store) writeRecord(record []byte) (seg *segment, at, disk int64, err error) {
+// moveDelete moves the delete of a value whose put stands in another segment, unless that one is gone.
+func (s *Store) moveDelete(target uint32, offset int64, record []byte) error {
+	from := s.compaction.segment
+	if target == from.number || s.findSegment(target) == nil {
+		return nil
+	}
+	to, err := s.writeRecord(record)
+	if err != nil {
+		return err
+	}
+	oldSize := uint32(framedSize(offset, int64(len(record))))
+	from.tombstones[target] -= min(oldSize, from.tombstones[target])
+	s.addLiveBytes(from, -int64(oldSize))
+	to.segment.tombstones[target] += uint32(to.diskSize)
+	s.addLiveBytes(to.segment, to.diskSize)
+	return nil
+}
+
+// recordLocation tells where a record was written.
+type recordLocation struct {
+	segment  *segment
+	offset   int64
+	diskSize int64
+}
+
+// writeRecord writes a record by itself at the end of the log.
+func (s *Store) writeRecord(record []byte) (recordLocation, error) {
 	if err := s.ensureSpace(maxFramedSize(int64(len(record)))); err != nil {
-		return nil, 0, 0, err
+		return recordLocation{}, err
 	}
-	seg = s.segments[len(s.segments)-1]
-	at = seg.size
-	s.writeBuf = AppendRecord(s.writeBuf[:0], seg.header.Epoch, at, s.nextNumber, record)
+	seg := s.activeSegment()
+	start := seg.size
+	s.writeBuf = AppendRecord(s.writeBuf[:0], seg.header.Epoch, start, s.nextNumber, record)
 	if err := s.appendToSegment(seg, s.writeBuf); err != nil {
-		return nil, 0, 0, err
+		return recordLocation{}, err
 	}
 	s.nextNumber++
 	seg.nextNumber = s.nextNumber
 	s.stats.CompactedBytes += int64(len(s.writeBuf))
-	at = frameOffset(at)
-	return seg, at, seg.size - at, nil
+	offset := frameOffset(start)
+	return recordLocation{segment: seg, offset: offset, diskSize: seg.size - offset}, nil
 }
 
-// removeCompacted removes the victim, of which nothing is needed any more. First it is written that it is gone: a file that a
-// crash leaves behind is then not taken for one that should be there.
+// removeCompacted removes the compacted segment, of which nothing is needed any more. First it is recorded as removed,
+// so that a file that a crash leaves behind is not taken for one that should exist.
 func (s *Store) removeCompacted() error {
-	v := s.compacting
-	if _, _, _, err := s.writeRecord(binary.AppendUvarint([]byte{kindRemoved}, uint64(v.number))); err != nil {
+	removed := s.compaction.segment
+	record := binary.AppendUvarint([]byte{byte(kindRemoved)}, uint64(removed.number))
+	if _, err := s.writeRecord(record); err != nil {
 		return err
 	}
-	if s.options.Sync != SyncNever { // what was moved must be as lasting as what it was moved from
-		if err := s.segments[len(s.segments)-1].file.Sync(); err != nil {
+	if s.options.Sync != SyncNever { // what was moved must be as durable as what it was moved from
+		if err := s.activeSegment().file.Sync(); err != nil {
 			return fmt.Errorf("store: compact: %w", err)
 		}
 	}
-	s.compacting = nil
-	s.segments = slices.DeleteFunc(s.segments, func(g *segment) bool { return g == v })
-	for _, g := range s.segments { // deletes that ended its values have done their part
-		if n := g.tombstones[v.number]; n > 0 {
-			s.addLiveBytes(g, -int64(n))
-			delete(g.tombstones, v.number)
+	s.compaction.segment = nil
+	s.segments = slices.DeleteFunc(s.segments, func(seg *segment) bool { return seg == removed })
+	for _, seg := range s.segments { // deletes of its values are not needed any more
+		if n := seg.tombstones[removed.number]; n > 0 {
+			s.addLiveBytes(seg, -int64(n))
+			delete(seg.tombstones, removed.number)
 		}
 	}
-	s.liveBytes -= v.liveBytes // what could not be read
+	s.liveBytes -= removed.liveBytes // of what could not be read
 	s.stats.RemovedSegments++
-	err := v.file.Close()
-	if e := s.fs.Remove(segmentName(v.number)); e != nil && !errors.Is(e, os.ErrNotExist) {
-		err = errors.Join(err, e) // its room is not had again before the next start
+	err := removed.file.Close()
+	removeErr := s.fs.Remove(segmentName(removed.number))
+	if removeErr != nil && !errors.Is(removeErr, os.ErrNotExist) {
+		err = errors.Join(err, removeErr) // its space stays taken until the next start
 	} else {
-		s.diskBytes -= roundToUnits(v.fileSize)
+		s.diskBytes -= roundToUnits(removed.fileSize)
 	}
 	if err != nil {
 		return fmt.Errorf("store: compact: %w", err)
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -1,198 +1,255 @@
-// Package store is to become the embedded store under the relay's journal: see docs/design/store.md. So far it holds
-// the form of segments on disk, and nothing uses it.
 package store
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
 	"hash/crc32"
 )
 
-// Sizes of the form, in bytes.
 const (
-	BlockSize       = 4096 // a frame header stands at the start of each block
-	HeaderSize      = 64   // of a segment; the first block's frames follow it
+	// BlockSize is the size of a block in bytes. A frame header stands at the start of each block, so that recovery
+	// finds the next frame behind damage without looking at bytes inside a payload.
+	BlockSize = 4096
+
 	frameHeaderSize = 11
-	// Format is the version of the form. A folder of a newer one is refused and left as it is.
-	Format = 1
 )
 
-const magic = "CTSTORE\x00"
+// Offsets of the frame header's fields. The checksum stands first and covers all that follows.
+const (
+	frameLengthOffset = 4
+	framePartOffset   = 6
+	frameNumberOffset = 7
+)
 
-// The errors of a segment's header.
-var (
-	ErrNotSegment  = errors.New("store: no segment")
-	ErrNewerFormat = errors.New("store: written by a newer version")
-	ErrDamaged     = errors.New("store: damaged header")
+// framePart tells which part of a record a frame holds.
+type framePart byte
+
+const (
+	partWhole framePart = iota + 1
+	partFirst
+	partMiddle
+	partLast
 )
 
-// Header begins a segment.
-type Header struct {
-	Format      uint16
-	Epoch       uint64 // random, new with each segment: no frame verifies in another
-	Segment     uint64
-	FirstRecord uint64 // number of the segment's first record
+// partOf returns the part of a record's frame that is its first, its last, both or neither.
+func partOf(first, last bool) framePart {
+	switch {
+	case first && last:
+		return partWhole
+	case first:
+		return partFirst
+	case last:
+		return partLast
+	}
+	return partMiddle
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// Append appends the header as it stands on disk.
-func (h Header) Append(b []byte) []byte {
-	at := len(b)
-	b = append(b, make([]byte, HeaderSize)...)
-	x := b[at:]
-	copy(x, magic)
-	binary.LittleEndian.PutUint16(x[8:], h.Format)
-	binary.LittleEndian.PutUint16(x[10:], BlockSize/512)
-	binary.LittleEndian.PutUint64(x[16:], h.Epoch)
-	binary.LittleEndian.PutUint64(x[24:], h.Segment)
-	binary.LittleEndian.PutUint64(x[32:], h.FirstRecord)
-	binary.LittleEndian.PutUint32(x[60:], crc32.Checksum(x[:60], castagnoli))
-	return b
+// frame is a verified frame: its header, and a part of a record.
+type frame []byte
+
+func (f frame) part() framePart { return framePart(f[framePartOffset]) }
+
+// recordNumber returns the low bits of the record's number.
+func (f frame) recordNumber() uint32 { return binary.LittleEndian.Uint32(f[frameNumberOffset:]) }
+
+func (f frame) payload() []byte { return f[frameHeaderSize:] }
+
+// isContinuation reports whether an earlier frame holds the record's first part.
+func (f frame) isContinuation() bool { return f.part() == partMiddle || f.part() == partLast }
+
+// isFinal reports whether the record ends with this frame.
+func (f frame) isFinal() bool { return f.part() == partWhole || f.part() == partLast }
+
+// frameChecksum is the checksum of a frame at an offset of a segment. It covers the bytes behind the checksum and the
+// frame's position: a frame that was copied to another position, by whomever, does not verify there.
+func frameChecksum(epoch uint64, offset int64, rest []byte) uint32 {
+	const mixer = 0x9e3779b97f4a7c15 // 2^64 / golden ratio: spreads epoch and offset over all bits
+	position := (epoch ^ uint64(offset)) * mixer
+	return crc32.Update(uint32(position^position>>32), castagnoli, rest)
 }
 
-// ParseHeader reads the header at the start of a segment.
-func ParseHeader(b []byte) (Header, error) {
-	switch {
-	case len(b) < HeaderSize || string(b[:8]) != magic:
-		return Header{}, ErrNotSegment
-	case binary.LittleEndian.Uint32(b[60:]) != crc32.Checksum(b[:60], castagnoli):
-		return Header{}, ErrDamaged
-	}
-	h := Header{
-		Format: binary.LittleEndian.Uint16(b[8:]), Epoch: binary.LittleEndian.Uint64(b[16:]),
-		Segment: binary.LittleEndian.Uint64(b[24:]), FirstRecord: binary.LittleEndian.Uint64(b[32:]),
-	}
-	switch {
-	case h.Format > Format:
-		return Header{}, fmt.Errorf("%w: format %d, this one reads %d", ErrNewerFormat, h.Format, Format)
-	case h.Format == 0 || binary.LittleEndian.Uint16(b[10:]) != BlockSize/512:
-		return Header{}, ErrDamaged
+// blockEnd returns the offset behind the block that an offset lies in.
+func blockEnd(offset int64) int64 { return offset - offset%BlockSize + BlockSize }
+
+// blockRemaining returns the number of bytes from an offset to the end of its block.
+func blockRemaining(offset int64) int64 { return BlockSize - offset%BlockSize }
+
+// frameOffset returns where the first frame of a record stands that is written at an offset: not in a block's last
+// bytes, where no frame header fits.
+func frameOffset(offset int64) int64 {
+	if remaining := blockRemaining(offset); remaining < frameHeaderSize {
+		return offset + remaining
 	}
-	return h, nil
+	return offset
 }
 
-// The parts of a record that a frame holds.
-const (
-	partWhole byte = iota + 1
-	partFirst
-	partMiddle
-	partLast
-)
+// framedSize returns the number of bytes that a record of n bytes takes at an offset.
+func framedSize(offset, n int64) int64 {
+	start := offset
+	for first := true; first || n > 0; first = false {
+		offset = frameOffset(offset)
+		length := min(blockRemaining(offset)-frameHeaderSize, n)
+		offset += frameHeaderSize + length
+		n -= length
+	}
+	return offset - start
+}
 
-// frameChecksum is the checksum of a frame at an offset of a segment: of what is behind the checksum, and of where it stands. A
-// frame that was copied to another place, by whoever, does not verify there.
-func frameChecksum(epoch uint64, offset int64, rest []byte) uint32 {
-	place := (epoch ^ uint64(offset)) * 0x9e3779b97f4a7c15 // spreads both over all bits
-	return crc32.Update(uint32(place^place>>32), castagnoli, rest)
+// maxFramedSize returns the number of bytes that a record of n bytes takes at most, wherever it begins.
+func maxFramedSize(n int64) int64 {
+	return n + frameHeaderSize*(2+n/(BlockSize-frameHeaderSize)) + frameHeaderSize
 }
 
-// AppendRecord appends a record's frames to b, which will be written at an offset of the segment of epoch, the first
-// one at HeaderSize. Records follow one another without gaps, but for a block's last bytes where no frame header fits.
+// AppendRecord appends a record's frames to b, which will be written at an offset of the segment with this epoch, the
+// first record at HeaderSize. Records follow one another without gaps, but for a block's last bytes where no frame
+// header fits.
 func AppendRecord(b []byte, epoch uint64, offset int64, number uint64, record []byte) []byte {
 	for first := true; ; first = false {
-		room := BlockSize - int(offset%BlockSize)
-		if room < frameHeaderSize {
-			b = append(b, make([]byte, room)...)
-			offset += int64(room)
-			room = BlockSize
+		remaining := int(blockRemaining(offset))
+		if remaining < frameHeaderSize {
+			b = append(b, make([]byte, remaining)...)
+			offset += int64(remaining)
+			remaining = BlockSize
 		}
-		n := min(room-frameHeaderSize, len(record))
-		part := partMiddle
-		switch last := n == len(record); {
-		case first && last:
-			part = partWhole
-		case first:
-			part = partFirst
-		case last:
-			part = partLast
-		}
-		at := len(b)
+		length := min(remaining-frameHeaderSize, len(record))
+		last := length == len(record)
+		start := len(b)
 		b = append(b, make([]byte, frameHeaderSize)...)
-		b = append(b, record[:n]...)
-		x := b[at:]
-		binary.LittleEndian.PutUint16(x[4:], uint16(n))
-		x[6] = part
-		binary.LittleEndian.PutUint32(x[7:], uint32(number))
-		binary.LittleEndian.PutUint32(x, frameChecksum(epoch, offset, x[4:]))
-		offset, record = offset+int64(frameHeaderSize+n), record[n:]
-		if part == partWhole || part == partLast {
+		b = append(b, record[:length]...)
+		raw := b[start:]
+		binary.LittleEndian.PutUint16(raw[frameLengthOffset:], uint16(length))
+		raw[framePartOffset] = byte(partOf(first, last))
+		binary.LittleEndian.PutUint32(raw[frameNumberOffset:], uint32(number))
+		binary.LittleEndian.PutUint32(raw, frameChecksum(epoch, offset, raw[frameLengthOffset:]))
+		if last {
 			return b
 		}
+		offset += int64(frameHeaderSize + length)
+		record = record[length:]
 	}
 }
 
-// Range is a stretch of a segment, from its first byte to behind its last.
+// readFrame reads the frame at the start of data, which end with the frame's block.
+func readFrame(epoch uint64, offset int64, data []byte) (frame, bool) {
+	if len(data) < frameHeaderSize {
+		return nil, false
+	}
+	size := frameHeaderSize + int(binary.LittleEndian.Uint16(data[frameLengthOffset:]))
+	part := framePart(data[framePartOffset])
+	if size > len(data) || part < partWhole || part > partLast {
+		return nil, false
+	}
+	if binary.LittleEndian.Uint32(data) != frameChecksum(epoch, offset, data[frameLengthOffset:size]) {
+		return nil, false
+	}
+	return data[:size], true
+}
+
+// assembler joins the frames of one record.
+type assembler struct {
+	started bool   // a record has begun, and its last frame has not come
+	number  uint32 // low bits of the record's number
+	offset  int64  // of its first frame
+	record  []byte
+}
+
+// accepts reports whether a frame continues the record that has begun, or begins a record where none is open under its
+// number.
+func (a *assembler) accepts(f frame) bool {
+	continues := a.started && f.recordNumber() == a.number
+	return continues == f.isContinuation()
+}
+
+// discard gives up the record that has begun.
+func (a *assembler) discard() { a.started = false }
+
+// add takes the frame at an offset and reports whether its record is complete. A continuation of no record is skipped.
+func (a *assembler) add(offset int64, f frame) bool {
+	if !f.isContinuation() {
+		a.started = true
+		a.number = f.recordNumber()
+		a.offset = offset
+		a.record = a.record[:0]
+	}
+	if !a.started {
+		return false
+	}
+	a.record = append(a.record, f.payload()...)
+	if f.isFinal() {
+		a.started = false
+		return true
+	}
+	return false
+}
+
+// Range is a range of a segment's bytes, from its first to behind its last.
 type Range struct{ From, To int64 }
 
-// Scan reads the records of a segment, whose header data begin with, and hands each to found, with the low bits of its
-// number and the offset of its first frame; record is only good until found returns. It goes on behind what is damaged
-// at the next block, and never looks for a frame where none can begin. end is the end of the last record that is whole;
-// damaged are the stretches before that which could not be read. What stands behind end is torn, and was never
-// acknowledged as written.
-func Scan(h Header, data []byte, found func(number uint32, at int64, record []byte)) (end int64, damaged []Range) {
+// Scan reads the records of a segment, whose header data begin with, and passes each to found, with the low bits of its
+// number and the offset of its first frame; record is valid until found returns. Behind damage it goes on at the next
+// block, and never looks for a frame where none can begin. end is the end of the last complete record; damaged are the
+// ranges before that which could not be read. What stands behind end is torn, and was never acknowledged as written.
+func Scan(h Header, data []byte, found func(number uint32, offset int64, record []byte)) (end int64, damaged []Range) {
+	const none = -1
 	end = HeaderSize
-	var record []byte
-	var number uint32
-	began := int64(-1) // of a record whose last frame has not come
-	lost := int64(-1)  // where what is unread begins
-	lose := func(at int64) {
-		if lost < 0 {
-			lost = at
-			if began >= 0 {
-				lost = began
+	unreadFrom := int64(none) // where the bytes begin that could not be read since the last complete record
+	var a assembler
+	markUnread := func(offset int64) {
+		if unreadFrom == none {
+			unreadFrom = offset
+			if a.started {
+				unreadFrom = a.offset
 			}
 		}
-		began = -1
+		a.discard()
 	}
-	for at := int64(HeaderSize); at < int64(len(data)); {
-		block := at - at%BlockSize
-		next := min(block+BlockSize, int64(len(data)))
-		if block+BlockSize-at < frameHeaderSize {
-			at = block + BlockSize // the block's last bytes hold none
+	for offset := int64(HeaderSize); offset < int64(len(data)); {
+		if blockRemaining(offset) < frameHeaderSize {
+			offset = blockEnd(offset)
 			continue
 		}
-		frame, ok := readFrame(h.Epoch, at, data[at:next])
+		f, ok := readFrame(h.Epoch, offset, data[offset:min(blockEnd(offset), int64(len(data)))])
 		if !ok {
-			lose(at)
-			at = block + BlockSize
+			markUnread(offset)
+			offset = blockEnd(offset)
 			continue
 		}
-		part, n := frame[6], binary.LittleEndian.Uint32(frame[7:])
-		if joins := began >= 0 && n == number; joins != (part == partMiddle || part == partLast) {
-			lose(at) // its other parts are missing; a first one may still begin here
-			if part == partMiddle || part == partLast {
-				at += int64(len(frame))
-				continue
-			}
+		if !a.accepts(f) {
+			markUnread(offset) // other parts of its record are missing, or of the record before it
 		}
-		if part == partWhole || part == partFirst {
-			began, number, record = at, n, record[:0]
+		complete := a.add(offset, f)
+		offset += int64(len(f))
+		if !complete {
+			continue
 		}
-		record = append(record, frame[frameHeaderSize:]...)
-		at += int64(len(frame))
-		if part == partWhole || part == partLast {
-			if lost >= 0 {
-				damaged = append(damaged, Range{lost, began})
-				lost = -1
-			}
-			found(number, began, record)
-			began, end = -1, at
+		if unreadFrom != none {
+			damaged = append(damaged, Range{unreadFrom, a.offset})
+			unreadFrom = none
 		}
+		found(a.number, a.offset, a.record)
+		end = offset
 	}
 	return end, damaged
 }
 
-// readFrame reads the frame at the start of data, which end with its block.
-func readFrame(epoch uint64, at int64, data []byte) ([]byte, bool) {
-	if len(data) < frameHeaderSize {
-		return nil, false
-	}
-	n := frameHeaderSize + int(binary.LittleEndian.Uint16(data[4:]))
-	if n > len(data) || data[6] < partWhole || data[6] > partLast ||
-		binary.LittleEndian.Uint32(data) != frameChecksum(epoch, at, data[4:n]) {
-		return nil, false
+// joinFrames returns the record whose frames data are, from an offset of its segment on.
+func joinFrames(epoch uint64, offset int64, data []byte) ([]byte, error) {
+	var record []byte
+	for len(data) > 0 {
+		if remaining := blockRemaining(offset); remaining < frameHeaderSize {
+			if int64(len(data)) < remaining {
+				return nil, ErrDamaged
+			}
+			offset += remaining
+			data = data[remaining:]
+			continue
+		}
+		f, ok := readFrame(epoch, offset, data[:min(int64(len(data)), blockRemaining(offset))])
+		if !ok {
+			return nil, ErrDamaged
+		}
+		record = append(record, f.payload()...)
+		offset += int64(len(f))
+		data = data[len(f):]
 	}
-	return data[:n], true
+	return record, nil
 }
--- a/internal/state/store/fs.go
+++ b/internal/state/store/fs.go
@@ -9,16 +9,17 @@
 	"syscall"
 )
 
-// FS is what the store asks of a file system. Names are of files within the one folder that it was made for.
+// FS is what the store needs of a file system: one folder, whose files it names.
 type FS interface {
 	// List returns the names of the folder's files, in any order.
 	List() ([]string, error)
-	// Open opens a file; with create it must not be there yet.
+	// Open opens a file. With create it creates one, which must not exist yet.
 	Open(name string, create bool) (File, error)
 	Remove(name string) error
-	// Sync has the folder's entries outlast the machine.
+	// Sync makes the folder's entries survive the loss of the machine.
 	Sync() error
-	// Lock keeps a second process from the folder until the Closer is closed; ErrLocked if one is there already.
+	// Lock keeps other processes from the folder until the Closer is closed. It fails with ErrLocked if another process
+	// holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -32,7 +33,7 @@
 	Sync() error
 }
 
-// ErrLocked tells that another process has the folder open.
+// ErrLocked reports that another process has the folder open.
 var ErrLocked = errors.New("store: the folder is in use by another process")
 
 // Dir is a folder of the operating system.
@@ -63,7 +64,7 @@
 	}
 	f, err := os.OpenFile(d.path(name), flag, 0o600)
 	if !create && errors.Is(err, os.ErrPermission) {
-		f, err = os.Open(d.path(name)) // to be read, at least
+		f, err = os.Open(d.path(name)) // a read-only store needs no more
 	}
 	if err != nil {
 		return nil, err
@@ -90,17 +91,20 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrLocked
+			err = ErrLocked
+		} else {
+			err = fmt.Errorf("lock: %w", err)
 		}
-		return nil, fmt.Errorf("lock: %w", err)
+		return nil, errors.Join(err, f.Close())
 	}
 	return f, nil
 }
 
+// osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
+// Size implements File.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
