--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// What stands behind each constant of this package, of herd and of policy: no settings tell of it. One that stands in
+// What stands behind each constant of this package, of backoff and of policy: no settings tell of it. One that stands in
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.acceptFor", "relay.answerFor", "relay.sendFor", "relay.endBy",
-		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "herd.period", "policy.toldShare",
+		"relay.watchSilence", "relay.leaveFor", "relay.noticeTimeout", "backoff.period", "policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.headMost",
@@ -25,25 +25,25 @@
 		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
 		"relay.retryFirst", "relay.retryMost", "relay.overlapFor", "relay.droppedFor", "relay.gaugesFor", "relay.standingEvery", "relay.standingShare",
 		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "relay.troubleEvery",
-		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.scanDepth",
-		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
+		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.maxQueueScan",
+		"policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 	},
 	"a share of what the settings tell": {
-		"relay.idleShare", "herd.graceShare", "policy.lapseShare", "policy.roomShare", "policy.gateShare", "policy.overShare", "policy.lateShare",
+		"relay.idleShare", "backoff.graceShare", "policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio", "policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.longAgoRan", "relay.usualWarm", "policy.leastExpect", "policy.retryAdvice", "policy.RetryAdvice", "policy.leastLimit", "herd.pauseMost",
+		"relay.longAgoRan", "relay.usualWarm", "policy.minLatencyBound", "policy.defaultRetryAfter", "policy.MinRetryAfter", "policy.minScopeCapacity", "backoff.pauseMost",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
-		"policy.skipFirst", "policy.skipMost", "policy.skipGrowth", "policy.skipJitter", "policy.longWait", "policy.shutRefusals", "policy.sparseShut",
-		"policy.hintDoubt", "policy.sparseSpread", "policy.shutSpan", "policy.streakSkip", "policy.streakDoubt", "policy.recentDoubt", "policy.recentSkip",
-		"policy.paceRestart", "policy.paceLeast", "policy.paceSure", "policy.paceCreep", "policy.paceCrawl", "policy.creepSteps", "policy.paceNear",
-		"policy.paceFree", "policy.paceBurst", "policy.manyBurst", "policy.calmSpan", "policy.manyCreep", "policy.manyMost", "policy.manyLeast",
-		"policy.takenSpan", "policy.takenPrior", "policy.takenShare", "policy.askEvery", "policy.askAhead", "policy.tightMost", "policy.tightRest",
-		"policy.scarceSpan", "policy.aliveSpan", "policy.fewSenders", "policy.manySpread", "policy.FirstSpread", "herd.few", "herd.share", "herd.pauseFirst", "herd.jitter",
+		"policy.initialEjectionTime", "policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter", "policy.outageRetryAfter", "policy.outageRejections", "policy.sparseOutageRejections",
+		"policy.weakSignalProbability", "policy.sparseSpreadCalls", "policy.minOutageRejectionTime", "policy.ejectAfterFailures", "policy.suspectAfterFailures", "policy.suspectAfterRecentFailures", "policy.ejectAfterRecentFailures",
+		"policy.pacingRestartRate", "policy.minPacingRate", "policy.minPacingShareRatio", "policy.pacingGrowth", "policy.cautiousPacingGrowth", "policy.maxGrowthSeconds", "policy.nearLimitRatio",
+		"policy.maxUnusedPacingRatio", "policy.pacingBurstWindow", "policy.fleetBurstTokens", "policy.rejectionFreeWindow", "policy.fleetExcessPacingGrowth", "policy.maxFleetPacingRatio", "policy.minFleetPacingRatio",
+		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio", "policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions", "policy.connectExhaustionPause",
+		"policy.connectShortageWindow", "policy.recentlyHealthyWindow", "policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread", "backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
-		"policy.scatter", "policy.ownPart", "policy.roughFactor", "policy.ownSpan", "policy.devs", "policy.lateDevs",
+		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor", "policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
 	},
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -115,10 +115,10 @@
 }
 
 // MaxInitialSpread is the longest time over which the first calls of many senders to what is listed anew spread.
-const MaxInitialSpread = manySpread
+const MaxInitialSpread = initialSpreadTime
 
 // MinRetryAfter is the least time that a client turned away is told to stay away.
-const MinRetryAfter = retryAdvice
+const MinRetryAfter = defaultRetryAfter
 
 // Event is one thing that a Sender observes.
 type Event struct {
--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -141,8 +141,8 @@
 			evs = append(evs, Event{Kind: TimerFired})
 		}
 		held := map[int]int{}
-		for _, d := range s.order {
-			held[d.id] = d.held
+		for _, d := range s.sortedDestinations {
+			held[d.id] = d.messageCount
 		}
 		if list != nil {
 			evs = append([]Event{*list}, evs...)
@@ -151,8 +151,8 @@
 			fmt.Fprintln(sum, now, a)
 			if a.Kind == Send {
 				n := 0
-				for _, x := range s.msgs[a.MessageID].out {
-					n = max(n, x.n)
+				for _, x := range s.messages[a.MessageID].inFlight {
+					n = max(n, x.number)
 				}
 				out = append(
 					out,
@@ -184,12 +184,12 @@
 				b.list(now, *e, held)
 				forgotten += max(0, was-len(b.known))
 			}
-			for d := range s.dests {
-				if !b.known[d] && s.dests[d].held > 0 {
+			for d := range s.destinations {
+				if !b.known[d] && s.destinations[d].messageCount > 0 {
 					b.known[d] = true // taken for a destination that no list named
 				}
 			}
-			got, want := slices.Sorted(maps.Keys(s.dests)), slices.Sorted(maps.Keys(b.known))
+			got, want := slices.Sorted(maps.Keys(s.destinations)), slices.Sorted(maps.Keys(b.known))
 			if !slices.Equal(got, want) {
 				t.Errorf("seed %d, at %v: knows %v, by the plain rule %v", seed, now, got, want)
 			}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -155,7 +155,7 @@
 				turn(i)
 				i++
 			}
-			if n := len(s.routes); n < 2*awake || n > 2*awake+4 {
+			if n := len(s.endpoints); n < 2*awake || n > 2*awake+4 {
 				b.Fatalf("%d routes", n)
 			}
 		})
--- a/policy/ends_test.go
+++ b/policy/ends_test.go
@@ -12,11 +12,11 @@
 // has grown.
 func TestEndsComeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h endHeap
-		var model []end
+		var h deadlineHeap
+		var model []deadlineEntry
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(model) == 0 || rapid.IntRange(0, 2).Draw(t, "push") > 0 {
-				e := end{
+				e := deadlineEntry{
 					time.Duration(rapid.IntRange(0, 20).Draw(t, "at")),
 					&message{id: rapid.Uint32Range(0, 5).Draw(t, "id")},
 				}
@@ -26,8 +26,8 @@
 			}
 			got := h.pop()
 			for i := range model {
-				if model[i].before(&got) {
-					t.Fatalf("%v, %d came before %v, %d", got.at, got.m.id, model[i].at, model[i].m.id)
+				if model[i].precedes(&got) {
+					t.Fatalf("%v, %d came before %v, %d", got.at, got.message.id, model[i].at, model[i].message.id)
 				}
 			}
 			i := slices.Index(model, got)
@@ -40,8 +40,8 @@
 			t.Fatalf("%d left of %d", len(h), len(model))
 		}
 	})
-	h, m := make(endHeap, 0, 8), &message{id: 1}
-	if n := testing.AllocsPerRun(100, func() { h.push(end{1, m}); h.pop() }); n > 0 {
+	h, m := make(deadlineHeap, 0, 8), &message{id: 1}
+	if n := testing.AllocsPerRun(100, func() { h.push(deadlineEntry{1, m}); h.pop() }); n > 0 {
 		t.Errorf("%.0f allocations for an entry", n)
 	}
 }
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -109,14 +109,14 @@
 }
 
 // forgetsPaces overlooks what a refusal, calls and failures left behind.
-func forgetsPaces(g *gate) {
-	g.tokens, g.tokensAt, g.halvedAt, g.pace, g.streak, g.tights = 1, 0, 0, 0, 0, 0
+func forgetsPaces(g *limitScope) {
+	g.tokens, g.tokensUpdatedAt, g.decreasedAt, g.pacingRate, g.consecutiveFailures, g.connectExhaustions = 1, 0, 0, 0, 0, 0
 }
 
 func TestAFrontThatForgetsWaitsBreaksTheirRule(t *testing.T) {
-	forgets := &forgetful{gate: func(g *gate) {
+	forgets := &forgetful{gate: func(g *limitScope) {
 		forgetsPaces(g)
-		g.wait = 0
+		g.retryAfterUntil = 0
 	}}
 	for seed := range uint64(60) {
 		if w, _ := playFront(t, seed, 80, forgets); w.broken[5] != "" {
@@ -211,10 +211,10 @@
 	}
 	told, _ := play(nil, never)
 	fronted, _ := play(nil, 0)
-	forgot, rests := play(&forgetful{gate: func(g *gate) {
+	forgot, rests := play(&forgetful{gate: func(g *limitScope) {
 		forgetsPaces(g)
-		g.coldLeft = -time.Hour
-		eachRoute(func(r *route) { r.skipUntil, r.down, r.cold = 0, false, false })(g)
+		g.suspectRemovedAt = -time.Hour
+		eachRoute(func(r *endpoint) { r.ejectedUntil, r.ejected, r.warmingUp = 0, false, false })(g)
 	}}, 0)
 	t.Logf(
 		"%d calls where all is told, %d behind a front, %d behind one that forgets outages, after %d rests",
@@ -293,30 +293,46 @@
 	warm := settings().WarmUpDuration
 	for _, c := range []struct {
 		name string
-		set  func(d *dest, g *gate, r *route)
+		set  func(d *destination, g *limitScope, r *endpoint)
 		span time.Duration // it binds so long; never: until an event ends it
 	}{
-		{"nothing", func(*dest, *gate, *route) {}, 0},
-		{"one failure, and a reset", func(_ *dest, g *gate, r *route) { g.streak, r.streak, r.recent, r.lost, g.tights = 1, 1, 1, true, 1 }, 0},
-		{"a pace of its start", func(_ *dest, g *gate, _ *route) { g.pace, g.tokens, g.tokensAt = 1, 1, now }, 0},
-		{"a warm-up that is over", func(_ *dest, _ *gate, r *route) { r.cold, r.back, r.okAt = true, now-warm, now }, 0},
-		{"a message", func(d *dest, _ *gate, _ *route) { d.held = 1 }, never},
-		{"a call", func(_ *dest, _ *gate, r *route) { r.calls = []*call{{r: r}} }, never},
-		{"a call of a route that has gone", func(_ *dest, g *gate, _ *route) { g.out = 1 }, never},
-		{"a told wait", func(_ *dest, g *gate, _ *route) { g.wait = now + 5*time.Second }, 5 * time.Second},
-		{"a skip", func(_ *dest, _ *gate, r *route) { r.skipUntil = now + 300*ms }, 300 * ms},
-		{"an outage", func(_ *dest, _ *gate, r *route) { r.down, r.okAt = true, 1 }, never},
-		{"a doubt", func(_ *dest, _ *gate, r *route) { r.cold, r.okAt = true, 1 }, never},
-		{"a warm-up", func(_ *dest, _ *gate, r *route) { r.cold, r.back, r.okAt = true, now, now }, warm},
-		{"a sibling's doubt, taken on at the next look", func(_ *dest, g *gate, r *route) { r.cold, r.back, r.okAt, g.routes[1].okAt = true, now-warm, now, 0 }, never},
-		{"a doubt that left the list", func(_ *dest, g *gate, _ *route) { g.coldLeft = now }, warm},
-		{"failures over routes", func(_ *dest, g *gate, _ *route) { g.streak = streakDoubt }, never},
-		{"connections that failed", func(_ *dest, g *gate, _ *route) { g.tights = tightMost }, never},
-		{"a lent limit", func(_ *dest, g *gate, _ *route) { g.shared, g.share = true, 0.2 }, never},
-		{"a call not yet earned back", func(_ *dest, g *gate, _ *route) { g.pace, g.tokens, g.tokensAt = 0.5, 0, now }, 2 * time.Second},
-		{"a refusal of late", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 9, 10, now, 1 }, calmSpan},
+		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
+		{"one failure, and a reset", func(_ *destination, g *limitScope, r *endpoint) {
+			g.consecutiveFailures, r.consecutiveFailures, r.recentFailures, r.answerLost, g.connectExhaustions = 1, 1, 1, true, 1
+		}, 0},
+		{"a pace of its start", func(_ *destination, g *limitScope, _ *endpoint) {
+			g.pacingRate, g.tokens, g.tokensUpdatedAt = 1, 1, now
+		}, 0},
+		{"a warm-up that is over", func(_ *destination, _ *limitScope, r *endpoint) {
+			r.warmingUp, r.recoveredAt, r.lastSuccessAt = true, now-warm, now
+		}, 0},
+		{"a message", func(d *destination, _ *limitScope, _ *endpoint) { d.messageCount = 1 }, never},
+		{"a call", func(_ *destination, _ *limitScope, r *endpoint) { r.calls = []*call{{endpoint: r}} }, never},
+		{"a call of a route that has gone", func(_ *destination, g *limitScope, _ *endpoint) { g.inFlight = 1 }, never},
+		{"a told wait", func(_ *destination, g *limitScope, _ *endpoint) { g.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
+		{"a skip", func(_ *destination, _ *limitScope, r *endpoint) { r.ejectedUntil = now + 300*ms }, 300 * ms},
+		{"an outage", func(_ *destination, _ *limitScope, r *endpoint) { r.ejected, r.lastSuccessAt = true, 1 }, never},
+		{"a doubt", func(_ *destination, _ *limitScope, r *endpoint) { r.warmingUp, r.lastSuccessAt = true, 1 }, never},
+		{"a warm-up", func(_ *destination, _ *limitScope, r *endpoint) {
+			r.warmingUp, r.recoveredAt, r.lastSuccessAt = true, now, now
+		}, warm},
+		{"a sibling's doubt, taken on at the next look", func(_ *destination, g *limitScope, r *endpoint) {
+			r.warmingUp, r.recoveredAt, r.lastSuccessAt, g.endpoints[1].lastSuccessAt = true, now-warm, now, 0
+		}, never},
+		{"a doubt that left the list", func(_ *destination, g *limitScope, _ *endpoint) { g.suspectRemovedAt = now }, warm},
+		{"failures over routes", func(_ *destination, g *limitScope, _ *endpoint) { g.consecutiveFailures = suspectAfterFailures }, never},
+		{"connections that failed", func(_ *destination, g *limitScope, _ *endpoint) { g.connectExhaustions = maxConnectExhaustions }, never},
+		{"a lent limit", func(_ *destination, g *limitScope, _ *endpoint) { g.quotaShared, g.reservedFraction = true, 0.2 }, never},
+		{"a call not yet earned back", func(_ *destination, g *limitScope, _ *endpoint) {
+			g.pacingRate, g.tokens, g.tokensUpdatedAt = 0.5, 0, now
+		}, 2 * time.Second},
+		{"a refusal of late", func(_ *destination, g *limitScope, _ *endpoint) {
+			g.pacingRate, g.lastRejectedRate, g.decreasedAt, g.tokens = 9, 10, now, 1
+		}, rejectionFreeWindow},
 		// ln 4 / ln 1.03 s
-		{"a pace cut to a quarter", func(_ *dest, g *gate, _ *route) { g.pace, g.ceiling, g.halvedAt, g.tokens = 2.5, 10, now, 1 }, 46900 * ms},
+		{"a pace cut to a quarter", func(_ *destination, g *limitScope, _ *endpoint) {
+			g.pacingRate, g.lastRejectedRate, g.decreasedAt, g.tokens = 2.5, 10, now, 1
+		}, 46900 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			desk := newDesk(
@@ -325,11 +341,11 @@
 				Endpoint{ID: "a", Destination: 1, Weight: 6},
 				Endpoint{ID: "b", Destination: 1, Weight: 6},
 			)
-			s, d := desk.s, desk.s.dests[1]
-			g := d.gates[0]
-			g.routes[1].okAt = 1
-			c.set(d, g, g.routes[0])
-			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warm - 1, calmSpan - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
+			s, d := desk.s, desk.s.destinations[1]
+			g := d.scopes[0]
+			g.endpoints[1].lastSuccessAt = 1
+			c.set(d, g, g.endpoints[0])
+			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warm - 1, rejectionFreeWindow - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
 				s.now = now + after
 				if got, want := s.Evictable(1), after >= c.span; got != want {
 					t.Errorf("after %v it may rest: %t", after, got)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -142,7 +142,7 @@
 	}
 	golden.Check(t, false, goldenSnapshot, s.Snapshot(nil))
 	type content struct{ messages, out, waiting, paced, down, cold, turns int }
-	got := content{messages: len(s.msgs), out: s.slots, turns: len(s.turns)}
+	got := content{messages: len(s.messages), out: s.callsInFlight, turns: len(s.keyQueues)}
 	views, _ := s.Views()
 	for _, v := range views {
 		if v.RetryAfterUntil > s.now {
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -11,14 +11,14 @@
 // What a Sender tells of itself, for recordings and explanations. Nothing here decides.
 
 //go:embed api.go many.go policy.go resume.go spent.go state.go
-var text embed.FS
+var sourceFiles embed.FS
 
 // Revision names the text of the decisions as built: equal revisions decide alike.
 func Revision() string {
 	sum := sha256.New()
-	files, _ := text.ReadDir(".") // sorted; cannot fail
+	files, _ := sourceFiles.ReadDir(".") // sorted; cannot fail
 	for _, f := range files {
-		data, _ := text.ReadFile(f.Name())
+		data, _ := sourceFiles.ReadFile(f.Name())
 		sum.Write(data)
 	}
 	return hex.EncodeToString(sum.Sum(nil)[:6])
@@ -57,14 +57,14 @@
 // Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of
 // a Snapshot): looking may cast doubt on a route, as dispatch itself does.
 func (s *Engine) Blockers() (holds []Blocker) {
-	for _, d := range s.order {
+	for _, d := range s.sortedDestinations {
 		for _, m := range d.queue {
-			if !d.routed() {
+			if !d.hasEndpoints() {
 				holds = append(holds, Blocker{m.id, "", NoEndpoint, math.MaxInt64})
 			}
-			for _, g := range d.gates {
-				for _, r := range g.routes {
-					c, at := s.hold(m, r)
+			for _, g := range d.scopes {
+				for _, r := range g.endpoints {
+					c, at := s.findBlocker(m, r)
 					holds = append(holds, Blocker{m.id, r.ID, c, at})
 				}
 			}
@@ -73,22 +73,22 @@
 	return holds
 }
 
-func (s *Engine) hold(m *message, r *route) (BlockCause, time.Duration) {
+func (s *Engine) findBlocker(m *message, r *endpoint) (BlockCause, time.Duration) {
 	const never = time.Duration(math.MaxInt64)
 	switch {
-	case s.spent(m) || s.now >= m.deadline:
+	case s.attemptsExhausted(m) || s.now >= m.deadline:
 		return AttemptsExhausted, never
 	case !r.InService || r.Removed:
 		return EndpointDraining, never
-	case m.turn != nil && m.turn.line[0] != m:
+	case m.keyQueue != nil && m.keyQueue.messages[0] != m:
 		return WaitingForKey, never
-	case s.mayAttempt(m, r) == never:
+	case s.attemptAllowedAt(m, r) == never:
 		return WrongDedupZone, never
-	case m.deadline-s.now < r.mean:
+	case m.deadline-s.now < r.latencyMean:
 		return InsufficientTime, never
-	case r.down && len(r.calls) > 0:
+	case r.ejected && len(r.calls) > 0:
 		return TrialInFlight, never
-	case s.crammed(r):
+	case s.saturated(r):
 		return EndpointSaturated, never
 	}
 	cause, until := NotBlocked, s.now
@@ -97,14 +97,14 @@
 			cause, until = c, at
 		}
 	}
-	if m.turn != nil && m.sends == 0 {
-		longer(OrderingPause, m.turn.rest)
+	if m.keyQueue != nil && m.attempts == 0 {
+		longer(OrderingPause, m.keyQueue.pausedUntil)
 	}
-	longer(RetryAfterPending, r.gate.wait)
-	longer(EndpointEjected, r.skipUntil)
-	longer(WarmUpBudget, s.coldUntil(r))
-	longer(Paced, s.opensAt(r))
-	if cause == NotBlocked && s.set.MaxInFlightCalls > 0 && s.slots >= s.set.MaxInFlightCalls {
+	longer(RetryAfterPending, r.scope.retryAfterUntil)
+	longer(EndpointEjected, r.ejectedUntil)
+	longer(WarmUpBudget, s.recoveryBudgetAt(r))
+	longer(Paced, s.acceptsCallAt(r))
+	if cause == NotBlocked && s.settings.MaxInFlightCalls > 0 && s.callsInFlight >= s.settings.MaxInFlightCalls {
 		return ConcurrencyLimit, never
 	}
 	return cause, until
@@ -124,15 +124,15 @@
 
 // Views tells of all routes, by destination, and how many slots are taken.
 func (s *Engine) Views() (views []EndpointView, slots int) {
-	for _, d := range s.order {
-		for _, g := range d.gates {
-			for _, r := range g.routes {
+	for _, d := range s.sortedDestinations {
+		for _, g := range d.scopes {
+			for _, r := range g.endpoints {
 				views = append(views, EndpointView{
-					r.Endpoint, g.pace, g.ceiling, s.limit(g), s.part(g), g.wait, g.halvedAt, r.skipUntil,
-					r.back, r.mean, r.down, r.cold, s.alive(r), len(r.calls), g.out, len(d.queue),
+					r.Endpoint, g.pacingRate, g.lastRejectedRate, s.knownLimit(g), s.fairShare(g), g.retryAfterUntil, g.decreasedAt, r.ejectedUntil,
+					r.recoveredAt, r.latencyMean, r.ejected, r.warmingUp, s.recentlyHealthy(r), len(r.calls), g.inFlight, len(d.queue),
 				})
 			}
 		}
 	}
-	return views, s.slots
+	return views, s.callsInFlight
 }
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -11,14 +11,14 @@
 
 // settle clears what a Sender keeps only as scratch, or to have room.
 func settle(s *Engine) {
-	s.acts, s.ready = nil, nil
-	for _, d := range s.order {
-		d.cand, d.candRt = nil, nil
-		for _, g := range d.gates {
-			g.sent = append([]time.Duration(nil), g.sent...)
+	s.actions, s.ready = nil, nil
+	for _, d := range s.sortedDestinations {
+		d.candidate, d.candidateEndpoint = nil, nil
+		for _, g := range d.scopes {
+			g.recentSends = append([]time.Duration(nil), g.recentSends...)
 		}
 	}
-	for _, list := range []*[]*dest{&s.order, &s.active} {
+	for _, list := range []*[]*destination{&s.sortedDestinations, &s.active} {
 		if len(*list) == 0 {
 			*list = nil
 		}
@@ -35,7 +35,7 @@
 				return s
 			}
 			data := s.Snapshot(nil)
-			copied, err := Restore(s.set, data)
+			copied, err := Restore(s.settings, data)
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, n, err)
 			}
@@ -137,14 +137,14 @@
 	)
 	data := s.Snapshot(nil)
 	for cut := range data {
-		if _, err := Restore(s.set, data[:cut]); err == nil {
+		if _, err := Restore(s.settings, data[:cut]); err == nil {
 			t.Errorf("a snapshot cut at byte %d of %d is taken", cut, len(data))
 		}
 	}
-	if _, err := Restore(s.set, append(slices.Clone(data), 0)); err == nil {
+	if _, err := Restore(s.settings, append(slices.Clone(data), 0)); err == nil {
 		t.Error("a snapshot with a byte more is taken")
 	}
-	other := s.set
+	other := s.settings
 	other.Tenants = nil
 	if _, err := Restore(other, data); err == nil {
 		t.Error("a snapshot is taken under settings with fewer customers")
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -52,7 +52,7 @@
 	for _, c := range []struct {
 		senders int
 		weight  float64
-	}{{1, 4}, {fewSenders, 4}, {80, 0}} {
+	}{{1, 4}, {smallFleetSize, 4}, {80, 0}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			set := settings()
 			set.FleetSize = c.senders
@@ -91,7 +91,7 @@
 				},
 			)
 		}
-		return s.fair(s.routes["a"].gate)
+		return s.fairPacingRate(s.endpoints["a"].scope)
 	}
 	busy, quiet, part := pace(2*usual), pace(usual/2), limit/senders
 	if busy < 1.05*part || quiet > 0.65*part {
@@ -107,14 +107,14 @@
 	set := settings()
 	set.FleetSize = 80
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-	g := d.s.routes["a"].gate
-	for _, c := range []struct{ pace, want float64 }{{5, d.s.fair(g)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
+	g := d.s.endpoints["a"].scope
+	for _, c := range []struct{ pace, want float64 }{{5, d.s.fairPacingRate(g)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
 		d.now += 10 * time.Second
 		d.s.now = d.now
-		g.pace, g.sent = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
-		d.s.halve(d.s.routes["a"], sample{outcome: Overloaded, sent: d.now})
-		if g.pace < c.want*0.99 || g.pace > c.want*1.01 {
-			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, g.pace, c.want)
+		g.pacingRate, g.recentSends = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
+		d.s.decreasePacing(d.s.endpoints["a"], observation{outcome: Overloaded, sentAt: d.now})
+		if g.pacingRate < c.want*0.99 || g.pacingRate > c.want*1.01 {
+			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, g.pacingRate, c.want)
 		}
 	}
 }
@@ -125,22 +125,22 @@
 	set.FleetSize = 80
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
 	d.take(1, 0)
-	for _, senders := range []int{-1, sendersMost + 1} {
+	for _, senders := range []int{-1, maxFleetSize + 1} {
 		wrong := set
 		wrong.FleetSize = senders
 		if _, err := New(wrong, 1); err == nil {
 			t.Errorf("%d senders are taken", senders)
 		}
-		if err := d.s.Reconfigure(wrong); err == nil || d.s.set.FleetSize != 80 {
-			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.s.set.FleetSize)
+		if err := d.s.Reconfigure(wrong); err == nil || d.s.settings.FleetSize != 80 {
+			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.s.settings.FleetSize)
 		}
 	}
 	set.FleetSize = 0
-	if err := d.s.Reconfigure(set); err != nil || d.s.set.FleetSize != 1 || d.s.msgs[1] == nil {
-		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.s.set.FleetSize, d.s.msgs[1] != nil)
+	if err := d.s.Reconfigure(set); err != nil || d.s.settings.FleetSize != 1 || d.s.messages[1] == nil {
+		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.s.settings.FleetSize, d.s.messages[1] != nil)
 	}
 	set.FleetSize = 8
-	if err := d.s.Reconfigure(set); err != nil || !d.s.many(d.s.routes["a"].gate) {
+	if err := d.s.Reconfigure(set); err != nil || !d.s.isLargeFleet(d.s.endpoints["a"].scope) {
 		t.Errorf("8 senders: error %v", err)
 	}
 }
@@ -150,18 +150,18 @@
 	set := settings()
 	set.FleetSize, set.Tenants = 80, []Tenant{{Quota: 80}}
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
-	g := d.s.routes["a"].gate
-	before := d.s.fair(g)
+	g := d.s.endpoints["a"].scope
+	before := d.s.fairPacingRate(g)
 	for id := range uint32(20) {
-		d.s.take(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
+		d.s.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
-	if kept := d.s.fair(g); kept <= before {
+	if kept := d.s.fairPacingRate(g); kept <= before {
 		t.Errorf("a fair pace of %v with 20 messages more, %v before", kept, before)
 	}
 	for id := range uint32(20) {
-		d.s.refuse(d.s.msgs[id])
+		d.s.reject(d.s.messages[id])
 	}
-	if after := d.s.fair(g); after != before {
+	if after := d.s.fairPacingRate(g); after != before {
 		t.Errorf("a fair pace of %v once they were handed back, %v before", after, before)
 	}
 }
@@ -187,27 +187,27 @@
 			set.Tenants = []Tenant{{Quota: 80}}
 		}
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-		g := d.s.routes["a"].gate
+		g := d.s.endpoints["a"].scope
 		d.take(0, 0)
-		g.pace /= 2
+		g.pacingRate /= 2
 		got := 0.0
 		for id := range uint32(60) { // at the usual rate
 			d.now += time.Second
 			d.take(id+1, 0)
-			queue := g.dest.queue
-			if g.dest.queue = nil; c.backlog {
-				g.dest.queue = []*message{{}}
+			queue := g.destination.queue
+			if g.destination.queue = nil; c.backlog {
+				g.destination.queue = []*message{{}}
 			}
 			if c.refused {
-				g.halvedAt = d.now - 5*time.Second
+				g.decreasedAt = d.now - 5*time.Second
 			}
-			below := g.pace < d.s.fair(g)
-			g.creptAt = d.now - creepSteps*time.Second // the success stands for as long as one may
-			if d.s.creep(g); c.told && below && g.pace > d.s.fair(g) {
-				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, g.pace/d.s.fair(g))
+			below := g.pacingRate < d.s.fairPacingRate(g)
+			g.increasedAt = d.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
+			if d.s.increasePacing(g); c.told && below && g.pacingRate > d.s.fairPacingRate(g) {
+				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, g.pacingRate/d.s.fairPacingRate(g))
 			}
-			d.s.keepPace(g, g.pace)
-			got, g.dest.queue = g.pace/d.s.fair(g), queue
+			d.s.boundPacing(g, g.pacingRate)
+			got, g.destination.queue = g.pacingRate/d.s.fairPacingRate(g), queue
 		}
 		if got < c.least || got > c.most+1e-9 {
 			t.Errorf("%s: %v of the fair pace after a minute of successes, want %v to %v", c.name, got, c.least, c.most)
@@ -227,14 +227,14 @@
 			{Effect: IdempotentByKey, Deadline: 12 * time.Second, LatencyObjective: 3 * time.Second, Weight: 1},
 		}
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		r := d.s.routes["a"]
-		d.s.startPace(r.gate)
+		r := d.s.endpoints["a"]
+		d.s.initializePacing(r.scope)
 		for range 30 {
 			d.now += time.Second
-			d.s.now, r.refusals = d.now, r.refusals+1
-			d.s.halve(r, sample{outcome: Overloaded, sent: d.now})
+			d.s.now, r.consecutiveRejections = d.now, r.consecutiveRejections+1
+			d.s.decreasePacing(r, observation{outcome: Overloaded, sentAt: d.now})
 		}
-		if p := r.gate.pace; p < c.least || p > c.most {
+		if p := r.scope.pacingRate; p < c.least || p > c.most {
 			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", c.limit, p, c.least, c.most)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -148,25 +148,25 @@
 	now := time.Minute
 	for _, c := range []struct {
 		rule string
-		r    route
-		o    sample
+		r    endpoint
+		o    observation
 		skip bool
 	}{
-		{"shut", route{}, sample{outcome: Overloaded, wait: 5 * time.Second}, true},
-		{"shut", route{refusals: shutRefusals, refusedAt: now - shutSpan}, sample{outcome: Overloaded}, true},
-		{"full", route{refusals: shutRefusals, refusedAt: now - shutSpan + 1}, sample{outcome: Overloaded, wait: time.Second}, false},
-		{"trial failed", route{down: true}, sample{outcome: Error}, true},
-		{"crowded", route{streak: 1}, sample{outcome: ConnectFailed, tight: true}, false},
-		{"failed", route{streak: 1}, sample{outcome: ConnectFailed}, false},
-		{"in a row", route{streak: 3, okAt: now - time.Second}, sample{outcome: ConnectFailed}, true},
-		{"mostly failing", route{streak: 1, recent: 0b10111010}, sample{outcome: Error}, true},
-		{"failed", route{streak: 1, recent: 0b1011010}, sample{outcome: Error}, false},
-		{"failed", route{streak: 2}, sample{outcome: Timeout}, false},
+		{"shut", endpoint{}, observation{outcome: Overloaded, retryAfter: 5 * time.Second}, true},
+		{"shut", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime}, observation{outcome: Overloaded}, true},
+		{"full", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime + 1}, observation{outcome: Overloaded, retryAfter: time.Second}, false},
+		{"trial failed", endpoint{ejected: true}, observation{outcome: Error}, true},
+		{"crowded", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed, connectExhausted: true}, false},
+		{"failed", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed}, false},
+		{"in a row", endpoint{consecutiveFailures: 3, lastSuccessAt: now - time.Second}, observation{outcome: ConnectFailed}, true},
+		{"mostly failing", endpoint{consecutiveFailures: 1, recentFailures: 0b10111010}, observation{outcome: Error}, true},
+		{"failed", endpoint{consecutiveFailures: 1, recentFailures: 0b1011010}, observation{outcome: Error}, false},
+		{"failed", endpoint{consecutiveFailures: 2}, observation{outcome: Timeout}, false},
 	} {
 		s := &Engine{now: now}
 		r := &c.r
-		i := slices.IndexFunc(failureRules, func(f rule) bool { return f.match(s, r, c.o) })
-		if i < 0 || failureRules[i].name != c.rule || failureRules[i].skip != c.skip {
+		i := slices.IndexFunc(failureRules, func(f failureRule) bool { return f.matches(s, r, c.o) })
+		if i < 0 || failureRules[i].name != c.rule || failureRules[i].ejects != c.skip {
 			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", c.r, c.o, i, c.rule, c.skip)
 		}
 	}
@@ -185,7 +185,7 @@
 	if got := goesTo(d.take(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
 	}
-	d.now += time.Duration(float64(skipFirst) * (1 + skipJitter))
+	d.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
 	if got := goesTo(d.take(11, 0)); got != "a" {
 		t.Errorf("message to %q after the skip", got)
 	}
@@ -202,46 +202,46 @@
 	for id := range uint32(8) {
 		d.take(id, 0)
 	}
-	g := d.s.routes["a"].gate
-	if g.pace != 0 {
-		t.Fatalf("the pace starts at %v, want free", g.pace)
+	g := d.s.endpoints["a"].scope
+	if g.pacingRate != 0 {
+		t.Fatalf("the pace starts at %v, want free", g.pacingRate)
 	}
 	d.end(0, "a", Overloaded, 100*ms, 0)
-	if g.pace != 4 {
-		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pace)
+	if g.pacingRate != 4 {
+		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pacingRate)
 	}
 	d.end(1, "a", Overloaded, ms, 0)
-	if g.pace != 4 {
-		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pace)
+	if g.pacingRate != 4 {
+		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pacingRate)
 	}
 	d.end(2, "a", OK, ms, 0)
-	if want := 4 * (1 + paceCreep); g.pace != want {
-		t.Errorf("pace %v after a delivery, want %v", g.pace, want)
+	if want := 4 * (1 + pacingGrowth); g.pacingRate != want {
+		t.Errorf("pace %v after a delivery, want %v", g.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
 		d.end(id, "a", Error, ms, 0)
 	}
-	r := d.s.routes["a"]
-	if !r.down {
+	r := d.s.endpoints["a"]
+	if !r.ejected {
 		t.Fatal("three failures in a row did not skip the route")
 	}
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	if want := paceRestart * (1 + paceCreep); r.down || g.pace != want {
-		t.Errorf("pace %v at the end of a skip, want %v", g.pace, want)
+	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
+	if want := pacingRestartRate * (1 + pacingGrowth); r.ejected || g.pacingRate != want {
+		t.Errorf("pace %v at the end of a skip, want %v", g.pacingRate, want)
 	}
 }
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
 func TestPaceKeepsItsEvenPart(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	for range 5 {
 		d.now += time.Second
 		d.s.now = d.now
-		d.s.halve(r, sample{outcome: Overloaded, sent: d.now})
+		d.s.decreasePacing(r, observation{outcome: Overloaded, sentAt: d.now})
 	}
-	if want := 20 * paceSure; r.gate.pace != want {
-		t.Errorf("pace %v after five refusals, want %v", r.gate.pace, want)
+	if want := 20 * minPacingShareRatio; r.scope.pacingRate != want {
+		t.Errorf("pace %v after five refusals, want %v", r.scope.pacingRate, want)
 	}
 }
 
@@ -311,24 +311,24 @@
 	)
 	d.step(Event{Kind: AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: OK, MessageEnded: true},
 		Event{Kind: AttemptFinished, MessageID: 2, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second})
-	if got := d.s.routes["a"].gate.wait; got != d.now+time.Second {
+	if got := d.s.endpoints["a"].scope.retryAfterUntil; got != d.now+time.Second {
 		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
 	}
 }
 
 func TestRecoverySpacesCalls(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
+	d.s.suspect(r)
+	r.scope.recoveryTokens = 0
 	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
-	rate := (toldShare*2*0.36*5*2 - 0.5) / (2 * (1 + lapseShare)) * (1 - ownPart)
-	if got, want := d.s.coldUntil(r), d.now+span(rate); got != want {
+	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
+	if got, want := d.s.recoveryBudgetAt(r), d.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	r.back, d.s.now = d.now, d.now+10*time.Second
-	if got := d.s.coldUntil(r); got != 0 || r.cold {
+	r.recoveredAt, d.s.now = d.now, d.now+10*time.Second
+	if got := d.s.recoveryBudgetAt(r); got != 0 || r.warmingUp {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
@@ -347,11 +347,11 @@
 			time.Minute,
 			[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 400, InService: true}}}},
 		)
-		r := s.routes["a"]
-		r.gate.wait = s.now + 10*time.Second
-		s.learn(r, sample{outcome: Overloaded, wait: 10 * time.Second, sent: s.now}, ms)
-		s.coldUntil(r)
-		if s.now = r.gate.wait; s.coldUntil(r) <= s.now {
+		r := s.endpoints["a"]
+		r.scope.retryAfterUntil = s.now + 10*time.Second
+		s.observeOutcome(r, observation{outcome: Overloaded, retryAfter: 10 * time.Second, sentAt: s.now}, ms)
+		s.recoveryBudgetAt(r)
+		if s.now = r.scope.retryAfterUntil; s.recoveryBudgetAt(r) <= s.now {
 			open++
 		}
 	}
@@ -369,14 +369,14 @@
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		r := d.s.routes["a"]
+		r := d.s.endpoints["a"]
 		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now}, time.Second)
-		if r.cold != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.cold)
+		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now}, time.Second)
+		if r.warmingUp != c.cold {
+			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.warmingUp)
 		}
-		d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-		if r.cold {
+		d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
+		if r.warmingUp {
 			t.Errorf("%d senders: in doubt after a delivery", c.senders)
 		}
 	}
@@ -389,22 +389,22 @@
 		gap, wait time.Duration
 		cold      bool
 	}{
-		{20, shutSpan, 0, true},
-		{20, shutSpan - ms, 0, false},  // a clump: over by then
-		{20, shutSpan, 500 * ms, true}, // waits are told by shut destinations too
-		{10, shutSpan, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
-		{1, shutSpan, 0, false},
+		{20, minOutageRejectionTime, 0, true},
+		{20, minOutageRejectionTime - ms, 0, false},  // a clump: over by then
+		{20, minOutageRejectionTime, 500 * ms, true}, // waits are told by shut destinations too
+		{10, minOutageRejectionTime, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
+		{1, minOutageRejectionTime, 0, false},
 	} {
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		r := d.s.routes["a"]
+		r := d.s.endpoints["a"]
 		d.s.now = d.now
-		d.s.learn(r, sample{outcome: Overloaded, sent: d.now, wait: c.wait}, ms)
+		d.s.observeOutcome(r, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
 		d.s.now += c.gap
-		d.s.learn(r, sample{outcome: Overloaded, sent: d.s.now, wait: c.wait}, ms)
-		if r.cold != c.cold {
-			t.Errorf("%+v: in doubt %v", c, r.cold)
+		d.s.observeOutcome(r, observation{outcome: Overloaded, sentAt: d.s.now, retryAfter: c.wait}, ms)
+		if r.warmingUp != c.cold {
+			t.Errorf("%+v: in doubt %v", c, r.warmingUp)
 		}
 	}
 }
@@ -436,13 +436,13 @@
 				time.Minute,
 				[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 4, InService: true}}}},
 			)
-			r := s.routes["a"]
-			s.scarce[0] = s.now + time.Minute
+			r := s.endpoints["a"]
+			s.connectShortageUntil[0] = s.now + time.Minute
 			if c.alive {
-				s.delivered(r, s.now, ms)
+				s.recordSuccess(r, s.now, ms)
 			}
-			s.learn(r, sample{outcome: c.outcome, sent: s.now}, ms)
-			if r.cold {
+			s.observeOutcome(r, observation{outcome: c.outcome, sentAt: s.now}, ms)
+			if r.warmingUp {
 				n++
 			}
 		}
@@ -456,7 +456,7 @@
 func TestShortTimeGoesToOneTry(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
-		{1200 * ms, 1200*ms - endMargin},
+		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
 	} {
 		acts := d.step(Event{Kind: MessageAccepted, MessageID: uint32(c.left), TimeLeft: c.left})
@@ -471,18 +471,18 @@
 	set := settings()
 	set.FleetSize = 400
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
+	d.s.suspect(r)
+	r.scope.recoveryTokens = 0
 	if acts := d.take(1, 0); !has(acts, Reject) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.s.coldUntil(r)-d.now, acts)
+		t.Errorf("opens in %v: %+v, want a refusal", d.s.recoveryBudgetAt(r)-d.now, acts)
 	}
-	if acts := d.take(2, 2); has(acts, Reject) != d.s.mayRefuse(&message{class: &set.Classes[2]}) {
+	if acts := d.take(2, 2); has(acts, Reject) != d.s.mayReject(&message{class: &set.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
-	r.gate.credit = 1 - d.s.coldRate(r) // opens in a second
-	d.s.touch(r.gate.dest)
+	r.scope.recoveryTokens = 1 - d.s.recoveryRate(r) // opens in a second
+	d.s.recheck(r.scope.destination)
 	if acts := d.take(3, 0); has(acts, Reject) {
 		t.Errorf("opens in a second: %+v, want it held", acts)
 	}
@@ -492,20 +492,20 @@
 func TestDueCallsLapse(t *testing.T) {
 	set := settings()
 	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.doubt(r)
-	r.gate.credit = 0
-	rate := d.s.coldRate(r)
+	d.s.suspect(r)
+	r.scope.recoveryTokens = 0
+	rate := d.s.recoveryRate(r)
 	open := 0
 	const steps = 10000
 	for range steps {
 		d.s.now += 10 * ms
-		if d.s.coldUntil(r) <= d.s.now {
+		if d.s.recoveryBudgetAt(r) <= d.s.now {
 			open++
 		}
 	}
-	want := rate * lapseShare * set.OverloadWindow.Seconds()
+	want := rate * recoveryLapseRatio * set.OverloadWindow.Seconds()
 	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
 		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
 	}
@@ -517,8 +517,8 @@
 	d.take(1, 0)
 	d.now += 1500 * ms
 	at := d.now
-	d.s.wake(at + 500*time.Nanosecond)
-	d.s.wakeAt, d.s.wantWake = d.s.wantWake, 0
+	d.s.requestTimer(at + 500*time.Nanosecond)
+	d.s.timerAt, d.s.requestedTimerAt = d.s.requestedTimerAt, 0
 	acts := d.s.Step(at, []Event{{Kind: TimerFired}})
 	if !has(acts, SetTimer) {
 		t.Errorf("no wake asked for: %+v", acts)
@@ -530,7 +530,7 @@
 	for _, c := range []struct {
 		senders int
 		want    bool
-	}{{fewSenders, false}, {100, true}} {
+	}{{smallFleetSize, false}, {100, true}} {
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
@@ -560,20 +560,20 @@
 		took           time.Duration
 		cold           bool
 	}{
-		{20, 2, 10 * ms, false},             // a full table
-		{100, tightMost + 3, 10 * ms, true}, // an outage after all
-		{100, 3, time.Second, true},         // not at once: silence
-		{3, 3, 10 * ms, true},               // few senders fill no table
+		{20, 2, 10 * ms, false},                         // a full table
+		{100, maxConnectExhaustions + 3, 10 * ms, true}, // an outage after all
+		{100, 3, time.Second, true},                     // not at once: silence
+		{3, 3, 10 * ms, true},                           // few senders fill no table
 	} {
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
 		d.s.now = d.now
-		d.s.scarce[0] = d.now + time.Minute
+		d.s.connectShortageUntil[0] = d.now + time.Minute
 		for range c.fails {
-			d.s.learn(d.s.routes["a"], sample{outcome: ConnectFailed, sent: d.now - c.took}, c.took)
+			d.s.observeOutcome(d.s.endpoints["a"], observation{outcome: ConnectFailed, sentAt: d.now - c.took}, c.took)
 		}
-		if got := d.s.routes["a"].cold; got != c.cold {
+		if got := d.s.endpoints["a"].warmingUp; got != c.cold {
 			t.Errorf("%+v: in doubt %v", c, got)
 		}
 	}
@@ -582,12 +582,12 @@
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
 func TestPaceRecoversWithTime(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1})
-	g := d.s.routes["a"].gate
-	g.pace, g.halvedAt, g.tokensAt = 0.1, d.now, d.now
+	g := d.s.endpoints["a"].scope
+	g.pacingRate, g.decreasedAt, g.tokensUpdatedAt = 0.1, d.now, d.now
 	d.s.now = d.now + 4*time.Second
-	d.s.creep(g)
-	if want := 0.1 * math.Pow(1+paceCreep, 4); math.Abs(g.pace-want) > 1e-9 {
-		t.Errorf("pace %v after a success in 4 s, want %v", g.pace, want)
+	d.s.increasePacing(g)
+	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(g.pacingRate-want) > 1e-9 {
+		t.Errorf("pace %v after a success in 4 s, want %v", g.pacingRate, want)
 	}
 }
 
@@ -600,7 +600,7 @@
 		d.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
 	d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
-	if d.s.coldUntil(d.s.routes["n"]) == 0 {
+	if d.s.recoveryBudgetAt(d.s.endpoints["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
@@ -623,33 +623,33 @@
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
+	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now - time.Second}, time.Second)
+		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
 	}
-	if r.down || r.cold || r.streak != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", r.down, r.cold, r.streak)
+	if r.ejected || r.warmingUp || r.consecutiveFailures != 0 {
+		t.Errorf("down %v, cold %v, streak %d after lost calls", r.ejected, r.warmingUp, r.consecutiveFailures)
 	}
 }
 
 // Scattered resets once put living routes under the recovery budget.
 func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
-	if r.cold {
+	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
+	d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	if r.warmingUp {
 		t.Error("in doubt after two resets within 3 s of an answer")
 	}
-	d.s.now += aliveSpan
+	d.s.now += recentlyHealthyWindow
 	for range 3 {
-		d.s.learn(r, sample{outcome: Reset, sent: d.now + 1}, ms)
+		d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
 	}
-	if !r.down {
+	if !r.ejected {
 		t.Error("not skipped after three resets in a row and no answer for 3 s")
 	}
 }
@@ -657,24 +657,24 @@
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
 func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.doubt(r)
-	d.s.learn(r, sample{outcome: OK, sent: d.now}, ms)
-	back := r.back
+	d.s.suspect(r)
+	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
+	back := r.recoveredAt
 	for range 6 {
 		d.s.now += time.Second
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now - ms}, time.Second)
-		d.s.learn(r, sample{outcome: OK, sent: d.s.now}, ms)
+		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.s.now - ms}, time.Second)
+		d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.s.now}, ms)
 	}
-	if back == 0 || r.back != back || r.down {
-		t.Errorf("back at %v, then %v, down %v", back, r.back, r.down)
+	if back == 0 || r.recoveredAt != back || r.ejected {
+		t.Errorf("back at %v, then %v, down %v", back, r.recoveredAt, r.ejected)
 	}
 	d.s.now += time.Second
 	for range 2 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.s.now}, time.Second)
+		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.s.now}, time.Second)
 	}
-	if r.back != 0 {
+	if r.recoveredAt != 0 {
 		t.Error("two time-outs in a row did not restart the warm-up")
 	}
 }
@@ -682,13 +682,13 @@
 // Calls cut off after milliseconds once kept recovered routes skipped.
 func TestShortCallSkipsNothing(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.routes["a"]
+	r := d.s.endpoints["a"]
 	d.s.now = d.now
 	for range 5 {
-		d.s.learn(r, sample{outcome: Timeout, sent: d.now, short: true}, ms)
+		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
 	}
-	if r.down || !r.cold {
-		t.Errorf("down %v, cold %v after short calls", r.down, r.cold)
+	if r.ejected || !r.warmingUp {
+		t.Errorf("down %v, cold %v after short calls", r.ejected, r.warmingUp)
 	}
 }
 
@@ -700,14 +700,14 @@
 		for i := range uint32(3) {
 			evs = append(evs, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
 		}
-		before := len(d.s.routes["a"].calls)
+		before := len(d.s.endpoints["a"].calls)
 		d.step(evs...)
-		return len(d.s.routes["a"].calls) - before
+		return len(d.s.endpoints["a"].calls) - before
 	}
 	if n := three(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
-	d.s.routes["a"].streak = 1
+	d.s.endpoints["a"].consecutiveFailures = 1
 	if n := three(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
@@ -780,14 +780,14 @@
 }
 
 func TestSpanIsBounded(t *testing.T) {
-	if span(0) != time.Hour || span(1e-9) != time.Hour || span(math.Inf(1)) != 0 || span(4) != 250*ms {
-		t.Errorf("spans %v %v %v", span(0), span(1e-9), span(4))
+	if callInterval(0) != time.Hour || callInterval(1e-9) != time.Hour || callInterval(math.Inf(1)) != 0 || callInterval(4) != 250*ms {
+		t.Errorf("spans %v %v %v", callInterval(0), callInterval(1e-9), callInterval(4))
 	}
 }
 
 // bares are the destinations without routes that a Sender still knows, in their order.
-func bares(s *Engine) (all []*dest) {
-	for d := s.bare.first; d != nil; d = d.bareAfter {
+func bares(s *Engine) (all []*destination) {
+	for d := s.emptyDestinations.first; d != nil; d = d.nextEmpty {
 		all = append(all, d)
 	}
 	return all
@@ -810,9 +810,9 @@
 	d.now += time.Minute
 	d.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
 	s := d.s
-	if n := len(s.turns) + len(s.dests) + len(s.order) + len(s.routes) + len(s.msgs) + len(s.active) + len(bares(s)); n != 0 {
+	if n := len(s.keyQueues) + len(s.destinations) + len(s.sortedDestinations) + len(s.endpoints) + len(s.messages) + len(s.active) + len(bares(s)); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(s.turns), len(s.dests), len(s.order), len(s.routes), len(s.msgs), len(s.active), len(bares(s)))
+			len(s.keyQueues), len(s.destinations), len(s.sortedDestinations), len(s.endpoints), len(s.messages), len(s.active), len(bares(s)))
 	}
 }
 
@@ -821,12 +821,12 @@
 	d := newDesk(t, settings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.take(1, 0)
 	d.end(1, "a", Overloaded, ms, 5*time.Second)
-	if len(d.s.active) != 1 || d.s.active[0].opens <= d.now {
+	if len(d.s.active) != 1 || d.s.active[0].blockedUntil <= d.now {
 		t.Fatalf("active %d, want the one destination that waits, closed", len(d.s.active))
 	}
-	opens := d.s.active[0].opens
+	opens := d.s.active[0].blockedUntil
 	d.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
-	if len(d.s.active) != 1 || d.s.active[0].opens != opens {
+	if len(d.s.active) != 1 || d.s.active[0].blockedUntil != opens {
 		t.Error("a message for another destination had the closed one looked at again")
 	}
 }
@@ -836,9 +836,9 @@
 	set := settings()
 	set.WarmUpDuration = 20 * time.Second
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
-	d.s.learn(d.s.routes["a"], sample{outcome: Overloaded, wait: 2 * longWait, sent: d.s.now}, 0)
+	d.s.observeOutcome(d.s.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: d.s.now}, 0)
 	for _, name := range []string{"a", "b"} {
-		if !d.s.routes[name].cold {
+		if !d.s.endpoints[name].warmingUp {
 			t.Errorf("route %s is not in doubt", name)
 		}
 	}
@@ -854,16 +854,16 @@
 		begins  bool
 	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
 		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: 8})
-		r, failed := d.s.routes["a"], d.s.now+time.Minute
+		r, failed := d.s.endpoints["a"], d.s.now+time.Minute
 		d.s.now = failed
-		for range streakDoubt {
-			d.s.learn(r, sample{outcome: c.outcome, sent: failed}, 0)
+		for range suspectAfterFailures {
+			d.s.observeOutcome(r, observation{outcome: c.outcome, sentAt: failed}, 0)
 		}
-		if d.s.now += 2 * time.Second; !r.cold {
+		if d.s.now += 2 * time.Second; !r.warmingUp {
 			t.Fatalf("%s: not in doubt", c.name)
 		}
-		if d.s.delivered(r, failed+c.sent, time.Second); (r.back > 0) != c.begins {
-			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, r.back > 0)
+		if d.s.recordSuccess(r, failed+c.sent, time.Second); (r.recoveredAt > 0) != c.begins {
+			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, r.recoveredAt > 0)
 		}
 	}
 }
@@ -878,12 +878,12 @@
 		set := settings()
 		set.FleetSize, set.WarmUpDuration, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		r := d.s.routes["a"]
+		r := d.s.endpoints["a"]
 		d.s.now += time.Minute
-		d.s.learn(r, sample{outcome: Error, sent: d.s.now}, 0)
+		d.s.observeOutcome(r, observation{outcome: Error, sentAt: d.s.now}, 0)
 		d.s.now += time.Second
-		if d.s.delivered(r, d.s.now, time.Second); r.cold != c.cold {
-			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, r.cold)
+		if d.s.recordSuccess(r, d.s.now, time.Second); r.warmingUp != c.cold {
+			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, r.warmingUp)
 		}
 	}
 }
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -15,52 +15,52 @@
 // nothing of that. The caller leaves a destination alone for WarmUpDuration first: what one failure or one refusal
 // tells is not looked at here.
 func (s *Engine) Evictable(dest int) bool {
-	d := s.dests[dest]
-	return d == nil || d.held == 0 && !slices.ContainsFunc(d.gates, s.binds)
+	d := s.destinations[dest]
+	return d == nil || d.messageCount == 0 && !slices.ContainsFunc(d.scopes, s.hasBindingState)
 }
 
-// binds tells whether a gate holds anything that must outlast it.
-func (s *Engine) binds(g *gate) bool {
+// hasBindingState tells whether a gate holds anything that must outlast it.
+func (s *Engine) hasBindingState(g *limitScope) bool {
 	switch {
-	case g.out > 0, s.now < g.wait:
+	case g.inFlight > 0, s.now < g.retryAfterUntil:
 		return true
-	case g.shared: // the fleet tells changes alone: a fresh gate would use the part that is lent
+	case g.quotaShared: // the fleet tells changes alone: a fresh gate would use the part that is lent
 		return true
-	case s.now < g.coldLeft+s.set.WarmUpDuration: // what takes the place of a route in doubt inherits it
+	case s.now < g.suspectRemovedAt+s.settings.WarmUpDuration: // what takes the place of a route in doubt inherits it
 		return true
-	case g.streak >= streakDoubt || g.tights >= tightMost: // of whatever routes: the next failure is an outage's
+	case g.consecutiveFailures >= suspectAfterFailures || g.connectExhaustions >= maxConnectExhaustions: // of whatever routes: the next failure is an outage's
 		return true
 	}
-	return s.lowered(g) || slices.ContainsFunc(g.routes, s.ill)
+	return s.hasReducedPacing(g) || slices.ContainsFunc(g.endpoints, s.isImpaired)
 }
 
-// ill tells whether a route is skipped, in doubt, or coming back.
-func (s *Engine) ill(r *route) bool {
+// isImpaired tells whether a route is skipped, in doubt, or coming back.
+func (s *Engine) isImpaired(r *endpoint) bool {
 	switch {
-	case len(r.calls) > 0, r.down, s.now < r.skipUntil:
+	case len(r.calls) > 0, r.ejected, s.now < r.ejectedUntil:
 		return true
-	case r.cold && (r.back == 0 || s.now < r.back+s.set.WarmUpDuration):
+	case r.warmingUp && (r.recoveredAt == 0 || s.now < r.recoveredAt+s.settings.WarmUpDuration):
 		return true
 	}
-	return r.okAt == 0 && r.gate.doubtful() // it stands as its siblings do, when it is looked at
+	return r.lastSuccessAt == 0 && r.scope.hasSuspect() // it stands as its siblings do, when it is looked at
 }
 
-// lowered tells whether a gate's pace is one that a start must not do away with: a call's worth is not yet earned back,
-// or a refusal lowered it and it would not have grown back by now, even at its slowest growth. After calmSpan a refusal
+// hasReducedPacing tells whether a gate's pace is one that a start must not do away with: a call's worth is not yet earned back,
+// or a refusal lowered it and it would not have grown back by now, even at its slowest growth. After rejectionFreeWindow a refusal
 // is of no account, as in growth itself.
-func (s *Engine) lowered(g *gate) bool {
+func (s *Engine) hasReducedPacing(g *limitScope) bool {
 	switch {
-	case g.pace == 0:
+	case g.pacingRate == 0:
 		return false
-	case g.tokens+s.own(g)*(s.now-g.tokensAt).Seconds() < 1:
+	case g.tokens+s.tokenRate(g)*(s.now-g.tokensUpdatedAt).Seconds() < 1:
 		return true
-	case g.halvedAt == 0:
+	case g.decreasedAt == 0:
 		return false
 	}
-	most := g.ceiling // of a few, who start free: the rate that was refused
-	if s.many(g) {
-		most = s.fair(g)
+	most := g.lastRejectedRate // of a few, who start free: the rate that was refused
+	if s.isLargeFleet(g) {
+		most = s.fairPacingRate(g)
 	}
-	back := math.Log(most/g.pace) / math.Log1p(paceCrawl)
-	return s.now < g.halvedAt+max(calmSpan, time.Duration(back*float64(time.Second)))
+	back := math.Log(most/g.pacingRate) / math.Log1p(cautiousPacingGrowth)
+	return s.now < g.decreasedAt+max(rejectionFreeWindow, time.Duration(back*float64(time.Second)))
 }
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -14,8 +14,8 @@
 // forgetful is a Resting that overlooks something: it is asked of a copy in which that was never so.
 type forgetful struct {
 	name string
-	gate func(*gate)
-	dest func(*dest)
+	gate func(*limitScope)
+	dest func(*destination)
 }
 
 // resting asks Resting, or what a forgetful one would say; nil overlooks nothing.
@@ -23,15 +23,15 @@
 	if f == nil {
 		return s.Evictable(dest)
 	}
-	copied, err := Restore(s.set, s.Snapshot(nil))
+	copied, err := Restore(s.settings, s.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := copied.dests[dest]; d != nil {
+	if d := copied.destinations[dest]; d != nil {
 		if f.dest != nil {
 			f.dest(d)
 		}
-		for _, g := range d.gates {
+		for _, g := range d.scopes {
 			if f.gate != nil {
 				f.gate(g)
 			}
@@ -42,9 +42,9 @@
 
 type fataler interface{ Fatal(args ...any) }
 
-func eachRoute(set func(*route)) func(*gate) {
-	return func(g *gate) {
-		for _, r := range g.routes {
+func eachRoute(set func(*endpoint)) func(*limitScope) {
+	return func(g *limitScope) {
+		for _, r := range g.endpoints {
 			set(r)
 		}
 	}
@@ -52,18 +52,18 @@
 
 // forgetfuls are those that must be convicted by the random streams. TestRightsKeepADestinationAwake has one more.
 var forgetfuls = []forgetful{
-	{name: "messages", dest: func(d *dest) { d.held = 0 }},
-	{name: "told waits", gate: func(g *gate) { g.wait = 0 }},
-	{name: "skips", gate: eachRoute(func(r *route) { r.skipUntil, r.down, r.cold = 0, false, false })},
-	{name: "cold routes", gate: eachRoute(func(r *route) { r.cold = false })},
-	{name: "warm-ups", gate: eachRoute(func(r *route) {
-		if r.back > 0 {
-			r.cold = false
+	{name: "messages", dest: func(d *destination) { d.messageCount = 0 }},
+	{name: "told waits", gate: func(g *limitScope) { g.retryAfterUntil = 0 }},
+	{name: "skips", gate: eachRoute(func(r *endpoint) { r.ejectedUntil, r.ejected, r.warmingUp = 0, false, false })},
+	{name: "cold routes", gate: eachRoute(func(r *endpoint) { r.warmingUp = false })},
+	{name: "warm-ups", gate: eachRoute(func(r *endpoint) {
+		if r.recoveredAt > 0 {
+			r.warmingUp = false
 		}
 	})},
-	{name: "routes replaced in doubt", gate: func(g *gate) { g.coldLeft = math.MinInt64 / 2 }},
-	{name: "failures over routes", gate: func(g *gate) { g.streak = 0 }},
-	{name: "paces", gate: func(g *gate) { g.tokens, g.tokensAt, g.halvedAt = 1, 0, 0 }},
+	{name: "routes replaced in doubt", gate: func(g *limitScope) { g.suspectRemovedAt = math.MinInt64 / 2 }},
+	{name: "failures over routes", gate: func(g *limitScope) { g.consecutiveFailures = 0 }},
+	{name: "paces", gate: func(g *limitScope) { g.tokens, g.tokensUpdatedAt, g.decreasedAt = 1, 0, 0 }},
 }
 
 // stream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by
@@ -123,7 +123,7 @@
 // scope names what shares a told wait.
 func (w *stream) scope(route string) string {
 	i := slices.IndexFunc(w.list, func(l Endpoint) bool { return l.ID == route })
-	if i < 0 || w.s.set.DestinationKinds[w.list[i].Kind].LimitPerEndpoint {
+	if i < 0 || w.s.settings.DestinationKinds[w.list[i].Kind].LimitPerEndpoint {
 		return route
 	}
 	return fmt.Sprint(w.list[i].Destination)
@@ -219,20 +219,20 @@
 			return "a told wait of " + l.ID
 		case w.errors[k] >= 3:
 			return "an outage of " + l.ID
-		case w.back[k] > 0 && w.now < w.back[k]+w.s.set.WarmUpDuration:
+		case w.back[k] > 0 && w.now < w.back[k]+w.s.settings.WarmUpDuration:
 			return "a warm-up of " + l.ID
 		}
 	}
-	s, err := Restore(w.s.set, w.s.Snapshot(nil))
+	s, err := Restore(w.s.settings, w.s.Snapshot(nil))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	s.slots = s.set.MaxInFlightCalls // so that the probe waits, whatever would let it go
+	s.callsInFlight = s.settings.MaxInFlightCalls // so that the probe waits, whatever would let it go
 	fresh := map[string]bool{}
-	if d := s.dests[dest]; d != nil {
-		for _, g := range d.gates {
-			for _, r := range g.routes {
-				fresh[r.ID] = g.pace == 0
+	if d := s.destinations[dest]; d != nil {
+		for _, g := range d.scopes {
+			for _, r := range g.endpoints {
+				fresh[r.ID] = g.pacingRate == 0
 			}
 		}
 	}
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -149,7 +149,7 @@
 						Event{
 							Kind:         AttemptFinished,
 							MessageID:    a.MessageID,
-							Attempt:      s.msgs[a.MessageID].sends - 1,
+							Attempt:      s.messages[a.MessageID].attempts - 1,
 							Endpoint:     a.Endpoint,
 							Outcome:      OK,
 							Latency:      answer,
@@ -187,15 +187,15 @@
 	for _, l := range f.routes {
 		if l.Destination == dest {
 			shared = max(shared, f.waits[l.ID])
-			all = all && f.waits[l.ID] >= d-endMargin
+			all = all && f.waits[l.ID] >= d-deadlineMargin
 		}
 	}
-	return all || !f.set.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-endMargin
+	return all || !f.set.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-deadlineMargin
 }
 
 // wrong judges what became of the messages.
 func (f *find) wrong(calls map[int]int) (faults []string) {
-	const spread = manySpread + 200*time.Millisecond // first calls of many come within this
+	const spread = initialSpreadTime + 200*time.Millisecond // first calls of many come within this
 	for _, m := range f.msgs {
 		listed := time.Duration(0)
 		if f.waiting[m.dest] {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -166,7 +166,7 @@
 		{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second},
 		{Kind: MessageAccepted, MessageID: 3, Class: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 	})
-	end := 2*time.Second - endMargin
+	end := 2*time.Second - deadlineMargin
 	for _, c := range []struct {
 		ids  []uint32
 		at   time.Duration
@@ -372,8 +372,8 @@
 			now += 100 * time.Millisecond
 			s.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: OK}})
 		}
-		r := s.routes["only"]
-		if takes := s.takes(r.gate); takes < c.least || takes > c.most {
+		r := s.endpoints["only"]
+		if takes := s.scopeCapacity(r.scope); takes < c.least || takes > c.most {
 			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", c.name, takes, c.least, c.most)
 		}
 		s.Step(
@@ -383,8 +383,8 @@
 				{Kind: HealthChecked, Endpoint: "only", Outcome: Error},
 			},
 		)
-		if all := s.coldRate(r) * float64(set.FleetSize); !r.cold || c.deliveries > 0 && all < 2 ||
-			all > s.takes(r.gate) {
+		if all := s.recoveryRate(r) * float64(set.FleetSize); !r.warmingUp || c.deliveries > 0 && all < 2 ||
+			all > s.scopeCapacity(r.scope) {
 			t.Errorf("%s: in doubt all senders may make %.2f calls a second", c.name, all)
 		}
 	}
--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -113,7 +113,7 @@
 		Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second},
 		Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: 0.2, GrantedCalls: 4, TimeLeft: 5 * time.Second},
 	)
-	again, err := Restore(a.set, a.Snapshot(nil))
+	again, err := Restore(a.settings, a.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -15,8 +15,8 @@
 		behind  int // messages that may not be refused, behind one that may
 		refused bool
 	}{
-		{"near the end", scanDepth - 1, true},
-		{"beyond the depth", scanDepth, false},
+		{"near the end", maxQueueScan - 1, true},
+		{"beyond the depth", maxQueueScan, false},
 	} {
 		// short with the last
 		s, err := New(
@@ -65,14 +65,14 @@
 		t.Fatal(err)
 	}
 	var evs []Event
-	for i := range uint32(3 * scanDepth) {
+	for i := range uint32(3 * maxQueueScan) {
 		evs = append(evs, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
 	}
 	s.Step(time.Second, evs)
-	d := s.dests[5]
-	for range scanDepth {
+	d := s.destinations[5]
+	for range maxQueueScan {
 		second := &d.queue[1]
-		if s.unqueue(d.queue[0]); &d.queue[0] != second {
+		if s.dequeue(d.queue[0]); &d.queue[0] != second {
 			t.Fatal("the queue was moved")
 		}
 	}
@@ -83,7 +83,7 @@
 		if i%3 == 0 {
 			i = 0
 		}
-		s.unqueue(left[i])
+		s.dequeue(left[i])
 		if left = slices.Delete(left, i, i+1); !slices.Equal(d.queue, left) {
 			t.Fatalf("with %d left another order", len(left))
 		}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -17,7 +17,7 @@
 // Snapshot appends the Sender's state, between two steps, to buf. Equal states give equal bytes.
 func (s *Engine) Snapshot(buf []byte) []byte {
 	c := statecodec.Writer(buf)
-	s.code(c)
+	s.codeState(c)
 	return c.Bytes()
 }
 
@@ -28,22 +28,22 @@
 		return nil, err
 	}
 	c := statecodec.Reader(data)
-	s.code(c)
+	s.codeState(c)
 	if err := c.Close(); err != nil {
 		return nil, fmt.Errorf("policy: snapshot: %w", err)
 	}
-	for _, d := range s.order {
-		s.dests[d.id] = d
-		for _, g := range d.gates {
-			for _, r := range g.routes {
-				s.routes[r.ID] = r
+	for _, d := range s.sortedDestinations {
+		s.destinations[d.id] = d
+		for _, g := range d.scopes {
+			for _, r := range g.endpoints {
+				s.endpoints[r.ID] = r
 			}
 		}
 	}
 	return s, nil
 }
 
-func (s *Engine) code(c *statecodec.Coder) {
+func (s *Engine) codeState(c *statecodec.Coder) {
 	form := snapshotForm
 	if c.Ints(&form); form != snapshotForm {
 		c.Fail()
@@ -55,91 +55,91 @@
 		c.Fail()
 	}
 	s.rng = rand.New(s.pcg)
-	c.Times(&s.now, &s.wakeAt, &s.began, &s.taken.at)
-	c.Floats(&s.taken.level)
-	c.Ints(&s.held, &s.slots)
+	c.Times(&s.now, &s.timerAt, &s.startedAt, &s.acceptedTraffic.updatedAt)
+	c.Floats(&s.acceptedTraffic.level)
+	c.Ints(&s.pendingMessages, &s.callsInFlight)
 	msgs := func(m **message) { s.codeMessage(c, m) }
-	statecodec.List(c, &s.order, func(d **dest) { s.codeDest(c, d) })
-	statecodec.List(c, &s.active, func(d **dest) { s.codeDest(c, d) })
-	var bare []*dest
-	for d := s.bare.first; d != nil; d = d.bareAfter {
+	statecodec.List(c, &s.sortedDestinations, func(d **destination) { s.codeDestination(c, d) })
+	statecodec.List(c, &s.active, func(d **destination) { s.codeDestination(c, d) })
+	var bare []*destination
+	for d := s.emptyDestinations.first; d != nil; d = d.nextEmpty {
 		bare = append(bare, d)
 	}
-	statecodec.List(c, &bare, func(d **dest) { s.codeDest(c, d) })
+	statecodec.List(c, &bare, func(d **destination) { s.codeDestination(c, d) })
 	for _, d := range bare {
-		if c.Reading() && s.bare.has(d) {
+		if c.Reading() && s.emptyDestinations.has(d) {
 			c.Fail()
 		} else if c.Reading() {
-			s.bare.add(d)
+			s.emptyDestinations.add(d)
 		}
 	}
-	statecodec.Map(c, s.msgs, func(id *uint32, m **message) { statecodec.Uint(c, id); msgs(m) })
+	statecodec.Map(c, s.messages, func(id *uint32, m **message) { statecodec.Uint(c, id); msgs(m) })
 	for _, d := range s.active { // apart from the destinations, so that messages do not nest
 		statecodec.List(c, &d.queue, msgs)
 	}
-	turns := func(t **turn) { s.codeTurn(c, t) }
-	statecodec.Map(c, s.turns, func(key *string, t **turn) { c.Text(key); turns(t) })
-	statecodec.List(c, &s.parked, turns)
-	statecodec.Map(c, s.least, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
-	for _, until := range []map[int]time.Duration{s.scarce, s.short} {
+	turns := func(t **keyQueue) { s.codeKeyQueue(c, t) }
+	statecodec.Map(c, s.keyQueues, func(key *string, t **keyQueue) { c.Text(key); turns(t) })
+	statecodec.List(c, &s.expiringKeyQueues, turns)
+	statecodec.Map(c, s.lowestReportedLimit, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
+	for _, until := range []map[int]time.Duration{s.connectShortageUntil, s.closeIdleUntil} {
 		statecodec.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
 	}
-	statecodec.List(c, &s.shares, func(b *bucket) { c.Floats(&b.level); c.Times(&b.at) })
-	if len(s.shares) != len(s.set.Tenants) {
+	statecodec.List(c, &s.tenantTraffic, func(b *trafficMeter) { c.Floats(&b.level); c.Times(&b.updatedAt) })
+	if len(s.tenantTraffic) != len(s.settings.Tenants) {
 		c.Fail()
 	}
-	statecodec.List(c, (*[]end)(&s.ends), func(e *end) { c.Times(&e.at); msgs(&e.m) })
+	statecodec.List(c, (*[]deadlineEntry)(&s.deadlines), func(e *deadlineEntry) { c.Times(&e.at); msgs(&e.message) })
 }
 
-func (s *Engine) codeDest(c *statecodec.Coder, p **dest) {
-	statecodec.Must(c, p, func(d *dest) {
-		c.Ints(&d.id, &d.held, &d.at)
-		c.Times(&d.opens, &d.bareAt)
-		statecodec.List(c, &d.gates, func(g **gate) { s.codeGate(c, g) })
+func (s *Engine) codeDestination(c *statecodec.Coder, p **destination) {
+	statecodec.Must(c, p, func(d *destination) {
+		c.Ints(&d.id, &d.messageCount, &d.activeIndex)
+		c.Times(&d.blockedUntil, &d.emptySince)
+		statecodec.List(c, &d.scopes, func(g **limitScope) { s.codeScope(c, g) })
 	})
 }
 
-func (s *Engine) codeGate(c *statecodec.Coder, p **gate) {
-	statecodec.Must(c, p, func(g *gate) {
-		s.codeDest(c, &g.dest)
-		statecodec.List(c, &g.routes, func(r **route) { statecodec.Must(c, r, func(r *route) { s.codeRoute(c, r) }) })
-		c.Bools(&g.separate, &g.shared)
-		c.Ints(&g.kind, &g.out, &g.streak, &g.tights, &g.rights)
-		c.Floats(&g.pace, &g.ceiling, &g.tokens, &g.credit, &g.limit, &g.got, &g.share)
+func (s *Engine) codeScope(c *statecodec.Coder, p **limitScope) {
+	statecodec.Must(c, p, func(g *limitScope) {
+		s.codeDestination(c, &g.destination)
+		statecodec.List(c, &g.endpoints, func(r **endpoint) { statecodec.Must(c, r, func(r *endpoint) { s.codeEndpoint(c, r) }) })
+		c.Bools(&g.perEndpoint, &g.quotaShared)
+		c.Ints(&g.kind, &g.inFlight, &g.consecutiveFailures, &g.connectExhaustions, &g.grantedCalls)
+		c.Floats(&g.pacingRate, &g.lastRejectedRate, &g.tokens, &g.recoveryTokens, &g.reportedLimit, &g.deliveryRate, &g.reservedFraction)
 		c.Times(
-			&g.wait,
-			&g.halvedAt,
-			&g.creptAt,
-			&g.tokensAt,
-			&g.coldAt,
-			&g.coldLeft,
-			&g.failSent,
-			&g.gotAt,
-			&g.rightsEnd,
-			&g.askedAt,
+			&g.retryAfterUntil,
+			&g.decreasedAt,
+			&g.increasedAt,
+			&g.tokensUpdatedAt,
+			&g.recoveryUpdatedAt,
+			&g.suspectRemovedAt,
+			&g.lastFailureSentAt,
+			&g.deliveryRateAt,
+			&g.grantExpiresAt,
+			&g.quotaRequestedAt,
 		)
-		statecodec.List(c, &g.sent, func(at *time.Duration) { c.Times(at) })
+		statecodec.List(c, &g.recentSends, func(at *time.Duration) { c.Times(at) })
 	})
 }
 
-func (s *Engine) codeRoute(c *statecodec.Coder, r *route) {
+func (s *Engine) codeEndpoint(c *statecodec.Coder, r *endpoint) {
 	c.Text(&r.ID)
-	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.run, &r.streak, &r.refusals)
+	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.consecutiveSuccesses, &r.consecutiveFailures, &r.consecutiveRejections)
 	c.Floats(&r.Weight)
-	c.Bools(&r.InService, &r.Removed, &r.down, &r.cold, &r.slight, &r.lost)
-	c.Times(&r.skipUntil, &r.skipLen, &r.failSent, &r.back, &r.refusedAt, &r.okAt, &r.okSent, &r.mean, &r.dev)
-	statecodec.Uint(c, &r.lot)
-	statecodec.Uint(c, &r.recent)
-	s.codeGate(c, &r.gate)
+	c.Bools(&r.InService, &r.Removed, &r.ejected, &r.warmingUp, &r.weaklySuspected, &r.answerLost)
+	c.Times(&r.ejectedUntil, &r.ejectionTime, &r.lastFailureSentAt, &r.recoveredAt, &r.firstRejectedAt, &r.lastSuccessAt, &r.lastAnsweredSendAt, &r.latencyMean, &r.latencyDeviation)
+	statecodec.Uint(c, &r.tieBreaker)
+	statecodec.Uint(c, &r.recentFailures)
+	s.codeScope(c, &r.scope)
 	statecodec.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
 }
 
 func (s *Engine) codeCall(c *statecodec.Coder, p **call) {
 	statecodec.Must(c, p, func(x *call) {
-		statecodec.Must(c, &x.r, func(r *route) { s.codeRoute(c, r) })
-		c.Ints(&x.left)
-		c.Bools(&x.ok)
-		c.Times(&x.sent, &x.expect, &x.cut)
+		statecodec.Must(c, &x.endpoint, func(r *endpoint) { s.codeEndpoint(c, r) })
+		c.Ints(&x.pending)
+		c.Bools(&x.delivered)
+		c.Times(&x.sentAt, &x.overdueAt, &x.timeoutAt)
 	})
 }
 
@@ -149,30 +149,30 @@
 		if c.Reading() {
 			m.class = new(Class)
 		}
-		class := slices.Index(s.set.Classes, *m.class) // by its value; the settings may no longer name it
-		if c.Ints(&class); class >= 0 && class < len(s.set.Classes) {
-			m.class = &s.set.Classes[class]
+		class := slices.Index(s.settings.Classes, *m.class) // by its value; the settings may no longer name it
+		if c.Ints(&class); class >= 0 && class < len(s.settings.Classes) {
+			m.class = &s.settings.Classes[class]
 		} else {
 			statecodec.Int(c, &m.class.Effect)
 			c.Bools(&m.class.DedupAllZones, &m.class.Ordered)
 			c.Times(&m.class.DedupWindow, &m.class.LatencyObjective, &m.class.Deadline)
 			c.Floats(&m.class.Weight)
 		}
-		s.codeDest(c, &m.dest)
-		s.codeTurn(c, &m.turn)
-		c.Times(&m.due, &m.deadline, &m.rank, &m.ranAt)
-		c.Ints(&m.sends, &m.most, &m.ranZone, &m.timeouts)
-		c.Bools(&m.ran, &m.ended, &m.queued, &m.resumed)
-		statecodec.Ref(c, &m.avoid, func(r *route) { s.codeRoute(c, r) })
-		statecodec.List(c, &m.out, func(a *attempt) { c.Ints(&a.n); s.codeCall(c, &a.call) })
+		s.codeDestination(c, &m.destination)
+		s.codeKeyQueue(c, &m.keyQueue)
+		c.Times(&m.objectiveAt, &m.deadline, &m.queueRank, &m.firstRunAt)
+		c.Ints(&m.attempts, &m.maxAttempts, &m.firstRunZone, &m.timeouts)
+		c.Bools(&m.mayHaveRun, &m.ended, &m.queued, &m.recovered)
+		statecodec.Ref(c, &m.lastFailedEndpoint, func(r *endpoint) { s.codeEndpoint(c, r) })
+		statecodec.List(c, &m.inFlight, func(a *attempt) { c.Ints(&a.number); s.codeCall(c, &a.call) })
 	})
 }
 
-func (s *Engine) codeTurn(c *statecodec.Coder, p **turn) {
-	statecodec.Ref(c, p, func(t *turn) {
+func (s *Engine) codeKeyQueue(c *statecodec.Coder, p **keyQueue) {
+	statecodec.Ref(c, p, func(t *keyQueue) {
 		c.Text(&t.key)
-		c.Bools(&t.parked)
-		c.Times(&t.rest)
-		statecodec.List(c, &t.line, func(m **message) { s.codeMessage(c, m) })
+		c.Bools(&t.expiring)
+		c.Times(&t.pausedUntil)
+		statecodec.List(c, &t.messages, func(m **message) { s.codeMessage(c, m) })
 	})
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -12,269 +12,271 @@
 
 // The records that the decisions in policy.go are made on, and their upkeep. Nothing is decided here.
 
-// gate is the scope that shares a limit, a pace, told waits and outages: a destination, or one route
+// limitScope is the scope that shares a limit, a pace, told waits and outages: a destination, or one route
 // where its kind has separate routes.
-type gate struct {
-	dest     *dest
-	routes   []*route // sorted by rank
-	separate bool
-	kind     int
-	wait     time.Duration // no send before this: a told wait
-	pace     float64       // calls a second; 0: free
-	ceiling  float64       // rate that was refused last
-	halvedAt time.Duration
-	creptAt  time.Duration
-	tokens   float64
-	tokensAt time.Duration
-	sent     []time.Duration // sends of the last second
-	credit   float64         // calls that routes in doubt may take now, as of coldAt; one at most
-	coldAt   time.Duration
-	failSent time.Duration // latest send of a call that failed at once
-	coldLeft time.Duration // when a route in doubt last left the list; long ago if none
-	limit    float64       // reported, calls a second
-	got      float64       // own deliveries a second, in the mean, as of gotAt
-	gotAt    time.Duration
-	out      int // calls out
-	streak   int // failures in a row
-	tights   int // failed connections that looked like a full table, since the last delivery
-
-	shared    bool          // others may use a part of this sender's, and it of theirs
-	share     float64       // of its even part that is its own
-	rights    int           // calls beyond it
-	rightsEnd time.Duration // until then
-	askedAt   time.Duration
-}
-
-// route is one way to a destination, with its entry in the skip table.
-type route struct {
+type limitScope struct {
+	destination         *destination
+	endpoints           []*endpoint // sorted by rank
+	perEndpoint         bool
+	kind                int
+	retryAfterUntil     time.Duration // no send before this: a told wait
+	pacingRate          float64       // calls a second; 0: free
+	lastRejectedRate    float64       // rate that was refused last
+	decreasedAt         time.Duration
+	increasedAt         time.Duration
+	tokens              float64
+	tokensUpdatedAt     time.Duration
+	recentSends         []time.Duration // sends of the last second
+	recoveryTokens      float64         // calls that routes in doubt may take now, as of recoveryUpdatedAt; one at most
+	recoveryUpdatedAt   time.Duration
+	lastFailureSentAt   time.Duration // latest send of a call that failed at once
+	suspectRemovedAt    time.Duration // when a route in doubt last left the list; long ago if none
+	reportedLimit       float64       // reported, calls a second
+	deliveryRate        float64       // own deliveries a second, in the mean, as of deliveryRateAt
+	deliveryRateAt      time.Duration
+	inFlight            int // calls out
+	consecutiveFailures int // failures in a row
+	connectExhaustions  int // failed connections that looked like a full table, since the last delivery
+
+	quotaShared      bool          // others may use a part of this sender's, and it of theirs
+	reservedFraction float64       // of its even part that is its own
+	grantedCalls     int           // calls beyond it
+	grantExpiresAt   time.Duration // until then
+	quotaRequestedAt time.Duration
+}
+
+// endpoint is one way to a destination, with its entry in the skip table.
+type endpoint struct {
 	Endpoint
-	gate      *gate
-	lot       uint64        // decides between equal routes
-	calls     []*call       // out, in order of sending
-	skipUntil time.Duration // skipped by messages before this
-	skipLen   time.Duration // length of the last skip; 0 in good standing
-	down      bool          // skipped, and nothing delivered since
-	cold      bool          // may be in an outage or coming back from one
-	lost      bool          // an answer was, and none came since
-	slight    bool          // on one failure alone: one delivery clears it
-	failSent  time.Duration // gate's, as of the last doubt
-	back      time.Duration // first delivery of a call sent since then, while cold; 0: none yet
-	run       int           // deliveries in a row since the last doubt
-	streak    int           // failures in a row
-	recent    uint8         // last 8 deliveries, errors and failed connections, a bit set for a failure
-	refusals  int           // refusals since the last other answer
-	refusedAt time.Duration // the first of them
-	okAt      time.Duration // last delivery
-	okSent    time.Duration // latest send that was answered
-	mean, dev time.Duration // answer times
-}
-
-// dest is a destination with its queue.
-type dest struct {
-	id     int
-	gates  []*gate
-	queue  []*message // waiting, first to go first
-	cand   *message   // next to go in this dispatch, with its route
-	candRt *route
-	opens  time.Duration // nothing may go before this unless something touches the destination
-	held   int           // messages not forgotten
-	at     int           // place among the active, from 1; 0: not active
-	bareAt time.Duration // when its last route went
-
-	bareBefore, bareAfter *dest // among those without routes
+	scope                         *limitScope
+	tieBreaker                    uint64        // decides between equal routes
+	calls                         []*call       // out, in order of sending
+	ejectedUntil                  time.Duration // skipped by messages before this
+	ejectionTime                  time.Duration // length of the last skip; 0 in good standing
+	ejected                       bool          // skipped, and nothing delivered since
+	warmingUp                     bool          // may be in an outage or coming back from one
+	answerLost                    bool          // an answer was, and none came since
+	weaklySuspected               bool          // on one failure alone: one delivery clears it
+	lastFailureSentAt             time.Duration // gate's, as of the last doubt
+	recoveredAt                   time.Duration // first delivery of a call sent since then, while cold; 0: none yet
+	consecutiveSuccesses          int           // deliveries in a row since the last doubt
+	consecutiveFailures           int           // failures in a row
+	recentFailures                uint8         // last 8 deliveries, errors and failed connections, a bit set for a failure
+	consecutiveRejections         int           // refusals since the last other answer
+	firstRejectedAt               time.Duration // the first of them
+	lastSuccessAt                 time.Duration // last delivery
+	lastAnsweredSendAt            time.Duration // latest send that was answered
+	latencyMean, latencyDeviation time.Duration // answer times
+}
+
+// destination is a destination with its queue.
+type destination struct {
+	id                int
+	scopes            []*limitScope
+	queue             []*message // waiting, first to go first
+	candidate         *message   // next to go in this dispatch, with its route
+	candidateEndpoint *endpoint
+	blockedUntil      time.Duration // nothing may go before this unless something touches the destination
+	messageCount      int           // messages not forgotten
+	activeIndex       int           // place among the active, from 1; 0: not active
+	emptySince        time.Duration // when its last route went
+
+	previousEmpty, nextEmpty *destination // among those without routes
 }
 
 // call is one call out; messages of one destination may share it.
 type call struct {
-	r      *route
-	left   int           // messages whose outcome is missing
-	ok     bool          // one was delivered
-	sent   time.Duration // when
-	expect time.Duration // overdue after this
-	cut    time.Duration // the first of its messages times out then
+	endpoint  *endpoint
+	pending   int           // messages whose outcome is missing
+	delivered bool          // one was delivered
+	sentAt    time.Duration // when
+	overdueAt time.Duration // overdue after this
+	timeoutAt time.Duration // the first of its messages times out then
 }
 
 // attempt is one message's part in a call.
 type attempt struct {
-	n    int
-	call *call
+	number int
+	call   *call
 }
 
 // message is one message held, or ended with attempts still out.
 type message struct {
-	id       uint32
-	class    *Class
-	dest     *dest
-	turn     *turn // order of its key; nil if none
-	due      time.Duration
-	deadline time.Duration
-	rank     time.Duration // place in the queue
-	sends    int
-	most     int // of them; 0: no limit
-	out      []attempt
-	ranAt    time.Duration // send of the first attempt that may have run
-	ran      bool          // one may have run
-	ranZone  int
-	timeouts int
-	avoid    *route // failed this message last
-	ended    bool
-	queued   bool
-	resumed  bool // an earlier process took it on
-}
-
-// turn is the order of one key.
-type turn struct {
-	key    string
-	line   []*message // in the order taken; the first has the turn
-	rest   time.Duration
-	parked bool // kept for its rest alone
-}
-
-// bucket measures a customer's traffic against its share.
-type bucket struct {
-	level float64
-	at    time.Duration
+	id                 uint32
+	class              *Class
+	destination        *destination
+	keyQueue           *keyQueue // order of its key; nil if none
+	objectiveAt        time.Duration
+	deadline           time.Duration
+	queueRank          time.Duration // place in the queue
+	attempts           int
+	maxAttempts        int // of them; 0: no limit
+	inFlight           []attempt
+	firstRunAt         time.Duration // send of the first attempt that may have run
+	mayHaveRun         bool          // one may have run
+	firstRunZone       int
+	timeouts           int
+	lastFailedEndpoint *endpoint // failed this message last
+	ended              bool
+	queued             bool
+	recovered          bool // an earlier process took it on
+}
+
+// keyQueue is the order of one key.
+type keyQueue struct {
+	key         string
+	messages    []*message // in the order taken; the first has the turn
+	pausedUntil time.Duration
+	expiring    bool // kept for its rest alone
+}
+
+// trafficMeter measures a customer's traffic against its share.
+type trafficMeter struct {
+	level     float64
+	updatedAt time.Duration
 }
 
 // Engine decides for one relay. It is a pure state machine: equal events give equal actions.
 type Engine struct {
-	set      Settings
-	pcg      *rand.PCG // of rng
-	rng      *rand.Rand
-	now      time.Duration
-	routes   map[string]*route // looked up, never iterated
-	dests    map[int]*dest     // looked up, never iterated
-	order    []*dest           // by number
-	active   []*dest           // with messages waiting
-	ready    []*dest           // scratch of dispatch
-	bare     bareList          // destinations without routes, until they are forgotten
-	parked   []*turn           // in the order of their rests
-	msgs     map[uint32]*message
-	turns    map[string]*turn
-	least    map[int]float64       // by kind: the least limit told
-	scarce   map[int]time.Duration // by kind: a failed connection may be a full table's until then
-	short    map[int]time.Duration // by kind: tables were full: connections are closed after use until then
-	held     int
-	slots    int // used
-	shares   []bucket
-	taken    bucket        // messages handed in, fading over takenSpan
-	began    time.Duration // of the first step
-	ends     endHeap
-	wakeAt   time.Duration // earliest wake asked for; 0: none
-	wantWake time.Duration
-	acts     []Action
-}
-
-// list takes on the list of routes. A route that drains or is gone takes nothing new from here on.
-func (s *Engine) list(entries []Endpoint, whole bool) {
-	if s.set.WatchRequired && whole && len(s.order) == 0 {
-		s.act(Action{Kind: WatchEndpoints})
+	settings             Settings
+	pcg                  *rand.PCG // of rng
+	rng                  *rand.Rand
+	now                  time.Duration
+	endpoints            map[string]*endpoint // looked up, never iterated
+	destinations         map[int]*destination // looked up, never iterated
+	sortedDestinations   []*destination       // by number
+	active               []*destination       // with messages waiting
+	ready                []*destination       // scratch of dispatch
+	emptyDestinations    emptyDestinationList // destinations without routes, until they are forgotten
+	expiringKeyQueues    []*keyQueue          // in the order of their rests
+	messages             map[uint32]*message
+	keyQueues            map[string]*keyQueue
+	lowestReportedLimit  map[int]float64       // by kind: the least limit told
+	connectShortageUntil map[int]time.Duration // by kind: a failed connection may be a full table's until then
+	closeIdleUntil       map[int]time.Duration // by kind: tables were full: connections are closed after use until then
+	pendingMessages      int
+	callsInFlight        int // used
+	tenantTraffic        []trafficMeter
+	acceptedTraffic      trafficMeter  // messages handed in, fading over trafficWindow
+	startedAt            time.Duration // of the first step
+	deadlines            deadlineHeap
+	timerAt              time.Duration // earliest wake asked for; 0: none
+	requestedTimerAt     time.Duration
+	actions              []Action
+}
+
+// updateEndpoints takes on the list of routes. A route that drains or is gone takes nothing new from here on.
+func (s *Engine) updateEndpoints(entries []Endpoint, whole bool) {
+	if s.settings.WatchRequired && whole && len(s.sortedDestinations) == 0 {
+		s.emit(Action{Kind: WatchEndpoints})
 	}
 	if whole {
 		keep := make(map[string]bool, len(entries))
 		for i := range entries {
 			keep[entries[i].ID] = true
 		}
-		for _, d := range s.order {
-			for _, g := range slices.Clone(d.gates) {
-				for _, r := range slices.Clone(g.routes) {
+		for _, d := range s.sortedDestinations {
+			for _, g := range slices.Clone(d.scopes) {
+				for _, r := range slices.Clone(g.endpoints) {
 					if !keep[r.ID] {
-						s.drop(r)
+						s.removeEndpoint(r)
 					}
 				}
 			}
 		}
 	}
-	var changed []*dest
+	var changed []*destination
 	for _, l := range entries {
 		if !(l.Weight > 0) || math.IsInf(l.Weight, 0) {
 			l.Weight = 0 // not told
 		}
-		r := s.routes[l.ID]
+		r := s.endpoints[l.ID]
 		switch {
 		case l.Removed:
 			if r != nil {
-				s.drop(r)
+				s.removeEndpoint(r)
 			}
 		case r == nil:
-			s.add(l)
-			changed = append(changed, s.dests[l.Destination])
+			s.addEndpoint(l)
+			changed = append(changed, s.destinations[l.Destination])
 		default:
 			if l.InService && !r.InService {
-				r.okAt = 0 // as new: what it answered before it drained tells nothing
+				r.lastSuccessAt = 0 // as new: what it answered before it drained tells nothing
 			}
 			r.Endpoint = l
-			changed = append(changed, r.gate.dest)
+			changed = append(changed, r.scope.destination)
 		}
 	}
 	for i, d := range changed {
 		if i == 0 || d != changed[i-1] {
-			s.sortRoutes(d)
-			s.touch(d)
+			s.sortEndpoints(d)
+			s.recheck(d)
 		}
 	}
 	for _, d := range changed {
-		if s.bare.has(d) && d.routed() {
-			s.bare.remove(d)
-			d.bareAt = 0
+		if s.emptyDestinations.has(d) && d.hasEndpoints() {
+			s.emptyDestinations.remove(d)
+			d.emptySince = 0
 		}
 	}
-	s.sweep()
+	s.removeEmptyDestinations()
 }
 
-// sweep forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are
+// removeEmptyDestinations forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are
 // due.
-func (s *Engine) sweep() {
-	for d := s.bare.first; d != nil && s.now >= d.bareAt+s.set.WarmUpDuration; {
-		next := d.bareAfter
-		if d.held == 0 {
-			s.bare.remove(d)
-			delete(s.dests, d.id)
-			i := sort.Search(len(s.order), func(i int) bool { return s.order[i].id >= d.id })
-			s.order = slices.Delete(s.order, i, i+1)
+func (s *Engine) removeEmptyDestinations() {
+	for d := s.emptyDestinations.first; d != nil && s.now >= d.emptySince+s.settings.WarmUpDuration; {
+		next := d.nextEmpty
+		if d.messageCount == 0 {
+			s.emptyDestinations.remove(d)
+			delete(s.destinations, d.id)
+			i := sort.Search(len(s.sortedDestinations), func(i int) bool { return s.sortedDestinations[i].id >= d.id })
+			s.sortedDestinations = slices.Delete(s.sortedDestinations, i, i+1)
 		}
 		d = next
 	}
 }
 
-// bareList is the destinations without routes, the one whose last route went first in front: a list through them, as
+// emptyDestinationList is the destinations without routes, the one whose last route went first in front: a list through them, as
 // they come and go one by one.
-type bareList struct{ first, last *dest }
+type emptyDestinationList struct{ first, last *destination }
 
-func (l *bareList) has(d *dest) bool { return l.first == d || d.bareBefore != nil }
+func (l *emptyDestinationList) has(d *destination) bool {
+	return l.first == d || d.previousEmpty != nil
+}
 
-func (l *bareList) add(d *dest) {
-	if d.bareBefore = l.last; l.last == nil {
+func (l *emptyDestinationList) add(d *destination) {
+	if d.previousEmpty = l.last; l.last == nil {
 		l.first = d
 	} else {
-		l.last.bareAfter = d
+		l.last.nextEmpty = d
 	}
 	l.last = d
 }
 
-func (l *bareList) remove(d *dest) {
-	if d.bareBefore == nil {
-		l.first = d.bareAfter
+func (l *emptyDestinationList) remove(d *destination) {
+	if d.previousEmpty == nil {
+		l.first = d.nextEmpty
 	} else {
-		d.bareBefore.bareAfter = d.bareAfter
+		d.previousEmpty.nextEmpty = d.nextEmpty
 	}
-	if d.bareAfter == nil {
-		l.last = d.bareBefore
+	if d.nextEmpty == nil {
+		l.last = d.previousEmpty
 	} else {
-		d.bareAfter.bareBefore = d.bareBefore
+		d.nextEmpty.previousEmpty = d.previousEmpty
 	}
-	d.bareBefore, d.bareAfter = nil, nil
+	d.previousEmpty, d.nextEmpty = nil, nil
 }
 
-// routed tells whether the destination has a route.
-func (d *dest) routed() bool {
-	return slices.ContainsFunc(d.gates, func(g *gate) bool { return len(g.routes) > 0 })
+// hasEndpoints tells whether the destination has a route.
+func (d *destination) hasEndpoints() bool {
+	return slices.ContainsFunc(d.scopes, func(g *limitScope) bool { return len(g.endpoints) > 0 })
 }
 
-// perCall is how many messages a call to a kind of destination may carry.
-func (s *Engine) perCall(kind int) int {
-	if kind >= 0 && kind < len(s.set.DestinationKinds) {
-		return max(1, s.set.DestinationKinds[kind].MaxBatch)
+// maxBatch is how many messages a call to a kind of destination may carry.
+func (s *Engine) maxBatch(kind int) int {
+	if kind >= 0 && kind < len(s.settings.DestinationKinds) {
+		return max(1, s.settings.DestinationKinds[kind].MaxBatch)
 	}
 	return 1
 }
@@ -283,106 +285,108 @@
 func (s *Engine) Reconfigure(set Settings) error {
 	fresh, err := New(set, 0)
 	if err == nil {
-		s.set, s.shares = fresh.set, fresh.shares
+		s.settings, s.tenantTraffic = fresh.settings, fresh.tenantTraffic
 	}
 	return err
 }
 
-// grant takes what others leave this sender of a limit. Rights that were not used yet end with the first of them.
-func (s *Engine) grant(e *Event) {
-	d := s.dests[e.Destination]
+// applyGrant takes what others leave this sender of a limit. Rights that were not used yet end with the first of them.
+func (s *Engine) applyGrant(e *Event) {
+	d := s.destinations[e.Destination]
 	if d == nil {
 		return
 	}
-	for _, g := range d.gates {
-		if len(g.routes) == 0 || !s.many(g) || g.separate && g.routes[0].ID != e.Endpoint {
+	for _, g := range d.scopes {
+		if len(g.endpoints) == 0 || !s.isLargeFleet(g) || g.perEndpoint && g.endpoints[0].ID != e.Endpoint {
 			continue
 		}
-		g.shared, g.share = true, math.Min(1, math.Max(0, e.ReservedFraction))
+		g.quotaShared, g.reservedFraction = true, math.Min(1, math.Max(0, e.ReservedFraction))
 		if e.GrantedCalls > 0 && e.TimeLeft > 0 {
 			end := s.now + e.TimeLeft
-			if g.righted(s.now) {
-				end = min(end, g.rightsEnd)
+			if g.hasGrant(s.now) {
+				end = min(end, g.grantExpiresAt)
 			} else {
-				g.rights = 0
+				g.grantedCalls = 0
 			}
-			g.rights, g.rightsEnd = g.rights+e.GrantedCalls, end
+			g.grantedCalls, g.grantExpiresAt = g.grantedCalls+e.GrantedCalls, end
 		}
-		s.touch(d)
+		s.recheck(d)
 	}
 }
 
-// righted tells whether a call may be made beyond the sender's own pace.
-func (g *gate) righted(now time.Duration) bool { return g.rights > 0 && now < g.rightsEnd }
+// hasGrant tells whether a call may be made beyond the sender's own pace.
+func (g *limitScope) hasGrant(now time.Duration) bool {
+	return g.grantedCalls > 0 && now < g.grantExpiresAt
+}
 
-// own is the pace that a gate's tokens grow with: of a part that is lent, what is left.
-func (s *Engine) own(g *gate) float64 {
-	if g.shared && g.share < 1 {
-		return math.Min(g.pace, s.limit(g)/float64(s.set.FleetSize)) * g.share
+// tokenRate is the pace that a gate's tokens grow with: of a part that is lent, what is left.
+func (s *Engine) tokenRate(g *limitScope) float64 {
+	if g.quotaShared && g.reservedFraction < 1 {
+		return math.Min(g.pacingRate, s.knownLimit(g)/float64(s.settings.FleetSize)) * g.reservedFraction
 	}
-	return g.pace
+	return g.pacingRate
 }
 
-// touch has a destination looked at again by the next dispatch.
-func (s *Engine) touch(d *dest) { d.opens = 0 }
+// recheck has a destination looked at again by the next dispatch.
+func (s *Engine) recheck(d *destination) { d.blockedUntil = 0 }
 
-// doubtful tells whether a route of the gate is in doubt.
-func (g *gate) doubtful() bool {
-	return slices.ContainsFunc(g.routes, func(x *route) bool { return x.cold })
+// hasSuspect tells whether a route of the gate is in doubt.
+func (g *limitScope) hasSuspect() bool {
+	return slices.ContainsFunc(g.endpoints, func(x *endpoint) bool { return x.warmingUp })
 }
 
-// drop forgets a route. Calls still out keep it alive until their outcomes.
-func (s *Engine) drop(r *route) {
+// removeEndpoint forgets a route. Calls still out keep it alive until their outcomes.
+func (s *Engine) removeEndpoint(r *endpoint) {
 	r.Removed = true
-	delete(s.routes, r.ID)
-	g := r.gate
-	if r.cold {
-		g.coldLeft = s.now
-	}
-	g.routes = slices.DeleteFunc(g.routes, func(x *route) bool { return x == r })
-	if g.separate {
-		g.dest.gates = slices.DeleteFunc(g.dest.gates, func(x *gate) bool { return x == g })
-	}
-	if d := g.dest; !s.bare.has(d) && !d.routed() {
-		d.bareAt = s.now
-		s.bare.add(d)
-	}
-}
-
-func (s *Engine) add(l Endpoint) {
-	d := s.destination(l.Destination)
-	r := &route{Endpoint: l, lot: s.rng.Uint64()}
-	s.routes[l.ID] = r
-	separate := l.Kind >= 0 && l.Kind < len(s.set.DestinationKinds) && s.set.DestinationKinds[l.Kind].LimitPerEndpoint
-	if separate || len(d.gates) == 0 {
-		d.gates = append(d.gates, &gate{
-			dest: d, separate: separate, kind: l.Kind, tokens: 1, tokensAt: s.now,
-			coldLeft: math.MinInt64 / 2,
+	delete(s.endpoints, r.ID)
+	g := r.scope
+	if r.warmingUp {
+		g.suspectRemovedAt = s.now
+	}
+	g.endpoints = slices.DeleteFunc(g.endpoints, func(x *endpoint) bool { return x == r })
+	if g.perEndpoint {
+		g.destination.scopes = slices.DeleteFunc(g.destination.scopes, func(x *limitScope) bool { return x == g })
+	}
+	if d := g.destination; !s.emptyDestinations.has(d) && !d.hasEndpoints() {
+		d.emptySince = s.now
+		s.emptyDestinations.add(d)
+	}
+}
+
+func (s *Engine) addEndpoint(l Endpoint) {
+	d := s.ensureDestination(l.Destination)
+	r := &endpoint{Endpoint: l, tieBreaker: s.rng.Uint64()}
+	s.endpoints[l.ID] = r
+	separate := l.Kind >= 0 && l.Kind < len(s.settings.DestinationKinds) && s.settings.DestinationKinds[l.Kind].LimitPerEndpoint
+	if separate || len(d.scopes) == 0 {
+		d.scopes = append(d.scopes, &limitScope{
+			destination: d, perEndpoint: separate, kind: l.Kind, tokens: 1, tokensUpdatedAt: s.now,
+			suspectRemovedAt: math.MinInt64 / 2,
 		})
 		if l.Relisted {
 			// As if it had stood here since. Guards against a first message that waits as at a start each time that it
 			// is told of again.
-			d.gates[len(d.gates)-1].tokensAt = s.began
+			d.scopes[len(d.scopes)-1].tokensUpdatedAt = s.startedAt
 		}
 	}
 	r.Relisted = false
-	r.gate = d.gates[len(d.gates)-1]
-	r.gate.routes = append(r.gate.routes, r)
+	r.scope = d.scopes[len(d.scopes)-1]
+	r.scope.endpoints = append(r.scope.endpoints, r)
 }
 
-func (s *Engine) destination(id int) *dest {
-	d := s.dests[id]
+func (s *Engine) ensureDestination(id int) *destination {
+	d := s.destinations[id]
 	if d == nil {
-		d = &dest{id: id}
-		s.dests[id] = d
-		i := sort.Search(len(s.order), func(i int) bool { return s.order[i].id > id })
-		s.order = slices.Insert(s.order, i, d)
+		d = &destination{id: id}
+		s.destinations[id] = d
+		i := sort.Search(len(s.sortedDestinations), func(i int) bool { return s.sortedDestinations[i].id > id })
+		s.sortedDestinations = slices.Insert(s.sortedDestinations, i, d)
 	}
 	return d
 }
 
-// span is the time between calls at a rate.
-func span(rate float64) time.Duration {
+// callInterval is the time between calls at a rate.
+func callInterval(rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Hour
 	}
@@ -390,25 +394,25 @@
 }
 
 func (s *Engine) enqueue(m *message) {
-	d := m.dest
-	i := sort.Search(len(d.queue), func(i int) bool { return before(m, d.queue[i]) })
+	d := m.destination
+	i := sort.Search(len(d.queue), func(i int) bool { return precedes(m, d.queue[i]) })
 	d.queue = slices.Insert(d.queue, i, m)
 	m.queued = true
-	s.touch(d)
-	if d.at == 0 {
+	s.recheck(d)
+	if d.activeIndex == 0 {
 		s.active = append(s.active, d)
-		d.at = len(s.active)
+		d.activeIndex = len(s.active)
 	}
 }
 
-func (s *Engine) unqueue(m *message) {
+func (s *Engine) dequeue(m *message) {
 	if !m.queued {
 		return
 	}
 	m.queued = false
-	d := m.dest
-	i := sort.Search(len(d.queue), func(i int) bool { return !before(d.queue[i], m) })
-	if len(d.queue) > scanDepth && i < len(d.queue)/2 {
+	d := m.destination
+	i := sort.Search(len(d.queue), func(i int) bool { return !precedes(d.queue[i], m) })
+	if len(d.queue) > maxQueueScan && i < len(d.queue)/2 {
 		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss
 		// their aims.
 		copy(d.queue[1:i+1], d.queue[:i])
@@ -419,70 +423,72 @@
 	}
 	if len(d.queue) == 0 {
 		last := s.active[len(s.active)-1]
-		s.active[d.at-1], last.at = last, d.at
-		s.active, d.at = s.active[:len(s.active)-1], 0
+		s.active[d.activeIndex-1], last.activeIndex = last, d.activeIndex
+		s.active, d.activeIndex = s.active[:len(s.active)-1], 0
 	}
 }
 
-// over ends a message that needs no answer of ours.
-func (s *Engine) over(m *message) {
+// finishMessage ends a message that needs no answer of ours.
+func (s *Engine) finishMessage(m *message) {
 	if !m.ended {
 		m.ended = true
-		s.held--
-		s.unqueue(m)
+		s.pendingMessages--
+		s.dequeue(m)
 	}
-	s.forget(m)
+	s.releaseMessage(m)
 }
 
-// forget drops an ended message once its attempts have their outcomes, and passes its turn on.
-func (s *Engine) forget(m *message) {
-	if !m.ended || len(m.out) > 0 {
+// releaseMessage drops an ended message once its attempts have their outcomes, and passes its turn on.
+func (s *Engine) releaseMessage(m *message) {
+	if !m.ended || len(m.inFlight) > 0 {
 		return
 	}
-	delete(s.msgs, m.id)
-	m.dest.held--
-	if t := m.turn; t != nil {
-		m.turn = nil
-		t.line = slices.DeleteFunc(t.line, func(x *message) bool { return x == m })
+	delete(s.messages, m.id)
+	m.destination.messageCount--
+	if t := m.keyQueue; t != nil {
+		m.keyQueue = nil
+		t.messages = slices.DeleteFunc(t.messages, func(x *message) bool { return x == m })
 		switch {
-		case len(t.line) > 0:
-			s.touch(t.line[0].dest)
-		case !t.parked:
-			t.parked = true
-			s.parked = append(s.parked, t)
+		case len(t.messages) > 0:
+			s.recheck(t.messages[0].destination)
+		case !t.expiring:
+			t.expiring = true
+			s.expiringKeyQueues = append(s.expiringKeyQueues, t)
 		}
 	}
 }
 
-// unpark forgets turns whose line is empty and whose rest is over.
-func (s *Engine) unpark() {
-	for len(s.parked) > 0 && s.parked[0].rest <= s.now {
-		t := s.parked[0]
-		s.parked = s.parked[1:]
-		if t.parked = false; len(t.line) == 0 {
-			delete(s.turns, t.key)
+// expireKeyQueues forgets turns whose line is empty and whose rest is over.
+func (s *Engine) expireKeyQueues() {
+	for len(s.expiringKeyQueues) > 0 && s.expiringKeyQueues[0].pausedUntil <= s.now {
+		t := s.expiringKeyQueues[0]
+		s.expiringKeyQueues = s.expiringKeyQueues[1:]
+		if t.expiring = false; len(t.messages) == 0 {
+			delete(s.keyQueues, t.key)
 		}
 	}
 }
 
-type end struct {
-	at time.Duration
-	m  *message
+type deadlineEntry struct {
+	at      time.Duration
+	message *message
 }
 
-func (e *end) before(o *end) bool { return e.at < o.at || e.at == o.at && e.m.id < o.m.id }
+func (e *deadlineEntry) precedes(o *deadlineEntry) bool {
+	return e.at < o.at || e.at == o.at && e.message.id < o.message.id
+}
 
-// endHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the
+// deadlineHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the
 // heap of the program, twice for each message.
-type endHeap []end
+type deadlineHeap []deadlineEntry
 
-func (h *endHeap) push(e end) {
+func (h *deadlineHeap) push(e deadlineEntry) {
 	*h = append(*h, e)
 	a := *h
 	i := len(a) - 1
 	for i > 0 {
 		up := (i - 1) / 2
-		if !e.before(&a[up]) {
+		if !e.precedes(&a[up]) {
 			break
 		}
 		a[i], i = a[up], up
@@ -490,18 +496,18 @@
 	a[i] = e
 }
 
-func (h *endHeap) pop() end {
+func (h *deadlineHeap) pop() deadlineEntry {
 	a := *h
 	n := len(a) - 1
 	first, e := a[0], a[n]
-	a[n] = end{}
+	a[n] = deadlineEntry{}
 	*h = a[:n]
 	for i := 0; n > 0; {
 		c := 2*i + 1
-		if c+1 < n && a[c+1].before(&a[c]) {
+		if c+1 < n && a[c+1].precedes(&a[c]) {
 			c++
 		}
-		if c >= n || !a[c].before(&e) {
+		if c >= n || !a[c].precedes(&e) {
 			a[i] = e
 			break
 		}
@@ -510,131 +516,131 @@
 	return first
 }
 
-func (s *Engine) act(a Action) { s.acts = append(s.acts, a) }
+func (s *Engine) emit(a Action) { s.actions = append(s.actions, a) }
 
-// wake asks to be woken at t, if nothing earlier is asked for.
-func (s *Engine) wake(t time.Duration) {
-	if t < math.MaxInt64 && (s.wantWake == 0 || t < s.wantWake) {
-		s.wantWake = t
+// requestTimer asks to be woken at t, if nothing earlier is asked for.
+func (s *Engine) requestTimer(t time.Duration) {
+	if t < math.MaxInt64 && (s.requestedTimerAt == 0 || t < s.requestedTimerAt) {
+		s.requestedTimerAt = t
 	}
 }
 
-// lastSecond is the rate of calls in the last second.
-func (s *Engine) lastSecond(g *gate) float64 {
+// sendRate is the rate of calls in the last second.
+func (s *Engine) sendRate(g *limitScope) float64 {
 	i := 0
-	for i < len(g.sent) && g.sent[i] <= s.now-time.Second {
+	for i < len(g.recentSends) && g.recentSends[i] <= s.now-time.Second {
 		i++
 	}
-	g.sent = append(g.sent[:0], g.sent[i:]...)
-	return float64(len(g.sent))
+	g.recentSends = append(g.recentSends[:0], g.recentSends[i:]...)
+	return float64(len(g.recentSends))
 }
 
-// fade is what is left after a while of a count that fades over a span.
-func fade(since, span time.Duration) float64 { return math.Exp(-float64(since) / float64(span)) }
+// decay is what is left after a while of a count that fades over a span.
+func decay(since, span time.Duration) float64 { return math.Exp(-float64(since) / float64(span)) }
 
-// rate is the mean rate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
-func (s *Engine) rate(g *gate) float64 {
-	if g.doubtful() {
-		return g.got
+// deliveryRate is the mean rate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
+func (s *Engine) deliveryRate(g *limitScope) float64 {
+	if g.hasSuspect() {
+		return g.deliveryRate
 	}
-	return g.got * fade(s.now-g.gotAt, ownSpan)
+	return g.deliveryRate * decay(s.now-g.deliveryRateAt, deliveryRateWindow)
 }
 
-// count adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
-func (s *Engine) count(g *gate) {
-	since := (s.now - g.gotAt).Seconds()
-	if g.doubtful() && g.got > 0 {
-		since = min(since, 1/g.got)
+// recordDelivery adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
+func (s *Engine) recordDelivery(g *limitScope) {
+	since := (s.now - g.deliveryRateAt).Seconds()
+	if g.hasSuspect() && g.deliveryRate > 0 {
+		since = min(since, 1/g.deliveryRate)
 	}
-	g.got, g.gotAt = g.got*math.Exp(-since/ownSpan.Seconds())+1/ownSpan.Seconds(), s.now
+	g.deliveryRate, g.deliveryRateAt = g.deliveryRate*math.Exp(-since/deliveryRateWindow.Seconds())+1/deliveryRateWindow.Seconds(), s.now
 }
 
-// tally counts a message that was handed in.
-func (s *Engine) tally() {
-	b := &s.taken
-	b.level, b.at = b.level*fade(s.now-b.at, takenSpan)+1, s.now
+// countAccepted counts a message that was handed in.
+func (s *Engine) countAccepted() {
+	b := &s.acceptedTraffic
+	b.level, b.updatedAt = b.level*decay(s.now-b.updatedAt, trafficWindow)+1, s.now
 }
 
-// refill adds to a gate's tokens what its pace has earned, up to one and a burst.
-func (s *Engine) refill(g *gate) {
-	g.tokens = math.Min(1+s.burst(g), g.tokens+s.own(g)*(s.now-g.tokensAt).Seconds())
-	g.tokensAt = s.now
+// refillTokens adds to a gate's tokens what its pace has earned, up to one and a burst.
+func (s *Engine) refillTokens(g *limitScope) {
+	g.tokens = math.Min(1+s.burstTokens(g), g.tokens+s.tokenRate(g)*(s.now-g.tokensUpdatedAt).Seconds())
+	g.tokensUpdatedAt = s.now
 }
 
-// report notes what a route's destination told of its limit.
-func (s *Engine) report(r *route, rep LimitReport) {
+// recordLimit notes what a route's destination told of its limit.
+func (s *Engine) recordLimit(r *endpoint, rep LimitReport) {
 	if rep.Present && rep.Limit > 0 {
-		r.gate.limit = rep.Limit
-		if least := s.least[r.Kind]; least == 0 || rep.Limit < least {
-			s.least[r.Kind] = rep.Limit
+		r.scope.reportedLimit = rep.Limit
+		if least := s.lowestReportedLimit[r.Kind]; least == 0 || rep.Limit < least {
+			s.lowestReportedLimit[r.Kind] = rep.Limit
 		}
 	}
 }
 
-// detach takes the attempt of an outcome off its message; nil if it is not known.
-func (s *Engine) detach(m *message, n int) *call {
+// takeCall takes the attempt of an outcome off its message; nil if it is not known.
+func (s *Engine) takeCall(m *message, n int) *call {
 	if m == nil {
 		return nil
 	}
-	for i, a := range m.out {
-		if a.n == n {
-			m.out = slices.Delete(m.out, i, i+1)
+	for i, a := range m.inFlight {
+		if a.number == n {
+			m.inFlight = slices.Delete(m.inFlight, i, i+1)
 			return a.call
 		}
 	}
 	return nil
 }
 
-// join puts a message at the end of its key's line.
-func (s *Engine) join(m *message, key string) {
-	t := s.turns[key]
+// joinKeyQueue puts a message at the end of its key's line.
+func (s *Engine) joinKeyQueue(m *message, key string) {
+	t := s.keyQueues[key]
 	if t == nil {
-		t = &turn{key: key}
-		s.turns[key] = t
-	}
-	t.line = append(t.line, m)
-	m.turn = t
-}
-
-// begin books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
-func (s *Engine) begin(c *call) {
-	g := c.r.gate
-	s.slots++
-	g.out++
-	c.r.calls = append(c.r.calls, c)
-	s.lastSecond(g)
-	g.sent = append(g.sent, s.now)
-	if g.pace > 0 && g.righted(s.now) {
-		g.rights--
-	} else if g.pace > 0 {
+		t = &keyQueue{key: key}
+		s.keyQueues[key] = t
+	}
+	t.messages = append(t.messages, m)
+	m.keyQueue = t
+}
+
+// recordCallStart books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
+func (s *Engine) recordCallStart(c *call) {
+	g := c.endpoint.scope
+	s.callsInFlight++
+	g.inFlight++
+	c.endpoint.calls = append(c.endpoint.calls, c)
+	s.sendRate(g)
+	g.recentSends = append(g.recentSends, s.now)
+	if g.pacingRate > 0 && g.hasGrant(s.now) {
+		g.grantedCalls--
+	} else if g.pacingRate > 0 {
 		g.tokens--
 	}
-	if c.r.cold {
-		g.credit--
+	if c.endpoint.warmingUp {
+		g.recoveryTokens--
 	}
 }
 
-// end books a call whose last outcome is in.
-func (s *Engine) end(c *call) {
-	s.slots--
-	c.r.gate.out--
-	c.r.calls = slices.DeleteFunc(c.r.calls, func(x *call) bool { return x == c })
+// recordCallEnd books a call whose last outcome is in.
+func (s *Engine) recordCallEnd(c *call) {
+	s.callsInFlight--
+	c.endpoint.scope.inFlight--
+	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *call) bool { return x == c })
 }
 
-// sendersMost bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a
+// maxFleetSize bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a
 // call through within a message's time.
-const sendersMost = 1_000_000
+const maxFleetSize = 1_000_000
 
-// check tells what makes no sense in settings.
-func (set *Settings) check() error {
+// validate tells what makes no sense in settings.
+func (set *Settings) validate() error {
 	if len(set.Classes) == 0 {
 		return errors.New("policy: settings name no class")
 	}
 	if min(set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts) < 0 {
 		return errors.New("policy: settings hold a negative count")
 	}
-	if set.FleetSize > sendersMost {
-		return fmt.Errorf("policy: settings name %d senders, %d at most", set.FleetSize, sendersMost)
+	if set.FleetSize > maxFleetSize {
+		return fmt.Errorf("policy: settings name %d senders, %d at most", set.FleetSize, maxFleetSize)
 	}
 	least := min(set.MaxRetryAfter, set.WarmUpDuration, set.OverloadWindow, set.OrderingPause)
 	sum := set.WarmUpInitialCapacity + set.OverloadFactor
