--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// What stands behind each constant of this package, of backoff and of policy: no settings tell of it. One that stands in
+// What stands behind each constant of this package, of herd and of policy: no settings tell of it. One that stands in
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
@@ -24,7 +24,7 @@
 	"a bound of the relay's own, on its own work": {
 		"relay.tickMost", "relay.eventRoom", "relay.batchMost", "relay.heldUpAfter", "relay.clockSlack", "relay.clockStart", "relay.roomPause",
 		"relay.retryFirst", "relay.retryMost", "relay.overlapFor", "relay.droppedFor", "relay.gaugesFor", "relay.standingEvery", "relay.standingShare",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "relay.troubleEvery",
+		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.recentMost", "ratelog.minInterval",
 		"relay.readAhead", "relay.sliceMost", "relay.restMost", "relay.restEvery", "policy.maxQueueScan",
 		"policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 	},
@@ -59,7 +59,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
