--- a/policy/again_test.go
+++ b/policy/again_test.go
@@ -8,19 +8,19 @@
 // Of many senders' first calls to what is listed anew spread; what is told again stands as if it had been known all
 // along, and is free for the same calls as that: no more.
 func TestWhatIsToldAgainStandsAsIfKnown(t *testing.T) {
-	calls := func(seed uint64, again, whole bool, after time.Duration) (n int) {
+	calls := func(seed uint64, repeated, complete bool, after time.Duration) (n int) {
 		set := settings()
 		set.FleetSize = 300
-		s, err := New(set, seed)
+		engine, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := Endpoint{ID: "a", Destination: 1, Kind: 1, Weight: 60, InService: true, Relisted: again}
+		l := Endpoint{ID: "a", Destination: 1, Kind: 1, Weight: 60, InService: true, Relisted: repeated}
 		known := Event{Kind: EndpointSnapshot}
-		if whole {
+		if complete {
 			known.Endpoints = []Endpoint{l}
 		}
-		s.Step(time.Second, []Event{known})
+		engine.Step(time.Second, []Event{known})
 		events := []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{l}}}
 		for id := range uint32(10) {
 			events = append(
@@ -28,7 +28,7 @@
 				Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 1, TimeLeft: time.Second},
 			)
 		}
-		for _, a := range s.Step(time.Second+after, events) {
+		for _, a := range engine.Step(time.Second+after, events) {
 			if a.Kind == Send {
 				n++
 			}
--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -38,16 +38,16 @@
 	}
 }
 
-func (b *plainBook) list(now time.Duration, e Event, held map[int]int) {
-	if e.Kind == EndpointSnapshot {
+func (b *plainBook) list(now time.Duration, event Event, held map[int]int) {
+	if event.Kind == EndpointSnapshot {
 		byDestination := func(x, y string) int { return b.routes[x] - b.routes[y] }
 		for _, id := range slices.SortedFunc(maps.Keys(b.routes), byDestination) {
-			if !slices.ContainsFunc(e.Endpoints, func(l Endpoint) bool { return l.ID == id }) {
+			if !slices.ContainsFunc(event.Endpoints, func(l Endpoint) bool { return l.ID == id }) {
 				b.drop(now, id)
 			}
 		}
 	}
-	for _, l := range e.Endpoints {
+	for _, l := range event.Endpoints {
 		if l.Removed {
 			b.drop(now, l.ID)
 		} else if _, is := b.routes[l.ID]; !is {
@@ -71,11 +71,11 @@
 
 // playBare plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
 // was one. It returns a sum of all actions, to compare with another Sender's.
-func playBare(t *testing.T, seed uint64, check func(s *Engine, now time.Duration, e *Event, held map[int]int)) uint64 {
+func playBare(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := settings()
 	set.FleetSize = []int{1, 300}[rng.IntN(2)]
-	s, err := New(set, seed)
+	engine, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,26 +99,26 @@
 		var list *Event
 		switch n := rng.IntN(10); {
 		case n == 0: // some of a few destinations go and come, most wholly
-			e := Event{Kind: EndpointDelta}
+			event := Event{Kind: EndpointDelta}
 			for range 1 + rng.IntN(4) {
 				d := rng.IntN(12)
 				for i := 2 * d; i < 2*d+2; i++ {
 					l := entry(i)
 					l.Removed = listed[i] && rng.IntN(8) > 0
 					listed[i] = !l.Removed
-					e.Endpoints = append(e.Endpoints, l)
+					event.Endpoints = append(event.Endpoints, l)
 				}
 			}
-			list = &e
+			list = &event
 		case n == 1 && rng.IntN(4) == 0:
-			e := Event{Kind: EndpointSnapshot}
+			event := Event{Kind: EndpointSnapshot}
 			clear(listed)
 			for i := range 24 {
 				if listed[i] = rng.IntN(3) > 0; listed[i] {
-					e.Endpoints = append(e.Endpoints, entry(i))
+					event.Endpoints = append(event.Endpoints, entry(i))
 				}
 			}
-			list = &e
+			list = &event
 		case n < 5:
 			id++
 			evs = append(
@@ -132,26 +132,26 @@
 			)
 		case n < 8 && len(out) > 0:
 			i := rng.IntN(len(out))
-			e := out[i]
+			event := out[i]
 			out = slices.Delete(out, i, i+1)
-			e.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[rng.IntN(6)]
-			e.MessageEnded, e.Latency = e.Outcome == OK, 50*ms
-			evs = append(evs, e)
+			event.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[rng.IntN(6)]
+			event.MessageEnded, event.Latency = event.Outcome == OK, 50*ms
+			evs = append(evs, event)
 		default:
 			evs = append(evs, Event{Kind: TimerFired})
 		}
 		held := map[int]int{}
-		for _, d := range s.sortedDestinations {
+		for _, d := range engine.sortedDestinations {
 			held[d.id] = d.messageCount
 		}
 		if list != nil {
 			evs = append([]Event{*list}, evs...)
 		}
-		for _, a := range s.Step(now, evs) {
+		for _, a := range engine.Step(now, evs) {
 			fmt.Fprintln(sum, now, a)
 			if a.Kind == Send {
 				n := 0
-				for _, x := range s.messages[a.MessageID].inFlight {
+				for _, x := range engine.messages[a.MessageID].inFlight {
 					n = max(n, x.number)
 				}
 				out = append(
@@ -160,7 +160,7 @@
 				)
 			}
 		}
-		check(s, now, list, held)
+		check(engine, now, list, held)
 	}
 	return sum.Sum64()
 }
@@ -175,26 +175,26 @@
 			known:  map[int]bool{},
 			bareAt: map[int]time.Duration{},
 		}
-		sum := playBare(t, seed, func(s *Engine, now time.Duration, e *Event, held map[int]int) {
+		sum := playBare(t, seed, func(engine *Engine, now time.Duration, event *Event, held map[int]int) {
 			if t.Failed() {
 				return
 			}
-			if e != nil {
+			if event != nil {
 				was := len(b.known)
-				b.list(now, *e, held)
+				b.list(now, *event, held)
 				forgotten += max(0, was-len(b.known))
 			}
-			for d := range s.destinations {
-				if !b.known[d] && s.destinations[d].messageCount > 0 {
+			for d := range engine.destinations {
+				if !b.known[d] && engine.destinations[d].messageCount > 0 {
 					b.known[d] = true // taken for a destination that no list named
 				}
 			}
-			got, want := slices.Sorted(maps.Keys(s.destinations)), slices.Sorted(maps.Keys(b.known))
+			got, want := slices.Sorted(maps.Keys(engine.destinations)), slices.Sorted(maps.Keys(b.known))
 			if !slices.Equal(got, want) {
 				t.Errorf("seed %d, at %v: knows %v, by the plain rule %v", seed, now, got, want)
 			}
 			var bare []int
-			for _, d := range bares(s) {
+			for _, d := range bares(engine) {
 				bare = append(bare, d.id)
 			}
 			if !slices.Equal(bare, b.bare) {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -17,7 +17,7 @@
 func benchmarkStep(b *testing.B, backlog int) {
 	set := settings()
 	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 400, 8, 1000
-	s, err := New(set, 1)
+	engine, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -37,14 +37,14 @@
 			Event{Kind: MessageAccepted, MessageID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour},
 		)
 	}
-	s.Step(now, evs)
+	engine.Step(now, evs)
 	now += time.Second // first calls of many spread over a while after the list
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		id := uint32(i)
 		route := ""
-		for _, a := range s.Step(now, []Event{{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
+		for _, a := range engine.Step(now, []Event{{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
 				route = a.Endpoint
 			}
@@ -53,7 +53,7 @@
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
-		s.Step(
+		engine.Step(
 			now,
 			[]Event{
 				{
@@ -90,7 +90,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			set := settings()
 			set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 300, 5, 60
-			s, err := New(set, 1)
+			engine, err := New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -102,11 +102,11 @@
 					Event{Kind: MessageAccepted, MessageID: uint32(i), Destination: i, TimeLeft: 1000 * time.Hour},
 				)
 			}
-			s.Step(now, evs)
+			engine.Step(now, evs)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += time.Microsecond
-				s.Step(now, c.evs)
+				engine.Step(now, c.evs)
 			}
 		})
 	}
@@ -119,15 +119,15 @@
 		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
 			set := settings()
 			set.FleetSize = 400
-			s, err := New(set, 1)
+			engine, err := New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			entries := func(dest int, gone bool) Event {
 				dest = dest * 7919 % (4 * awake) // not in the order of their numbers
-				e := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
-				for i := range e.Endpoints {
-					e.Endpoints[i] = Endpoint{
+				event := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
+				for i := range event.Endpoints {
+					event.Endpoints[i] = Endpoint{
 						ID:          fmt.Sprint("ep-", dest, "-", i),
 						Destination: dest,
 						Kind:        dest % 3,
@@ -136,15 +136,15 @@
 						Removed:     gone,
 					}
 				}
-				return e
+				return event
 			}
 			now := time.Minute
 			turn := func(i int) {
 				now += set.WarmUpDuration / time.Duration(awake)
-				if id := i - awake; id >= 0 && s.Evictable(id*7919%(4*awake)) {
-					s.Step(now, []Event{entries(id, true)})
+				if id := i - awake; id >= 0 && engine.Evictable(id*7919%(4*awake)) {
+					engine.Step(now, []Event{entries(id, true)})
 				}
-				s.Step(now, []Event{entries(i, false)})
+				engine.Step(now, []Event{entries(i, false)})
 			}
 			i := 0
 			for ; i < 3*awake; i++ {
@@ -155,7 +155,7 @@
 				turn(i)
 				i++
 			}
-			if n := len(s.endpoints); n < 2*awake || n > 2*awake+4 {
+			if n := len(engine.endpoints); n < 2*awake || n > 2*awake+4 {
 				b.Fatalf("%d routes", n)
 			}
 		})
--- a/policy/ends_test.go
+++ b/policy/ends_test.go
@@ -16,12 +16,12 @@
 		var model []deadlineEntry
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(model) == 0 || rapid.IntRange(0, 2).Draw(t, "push") > 0 {
-				e := deadlineEntry{
+				entry := deadlineEntry{
 					time.Duration(rapid.IntRange(0, 20).Draw(t, "at")),
 					&message{id: rapid.Uint32Range(0, 5).Draw(t, "id")},
 				}
-				h.push(e)
-				model = append(model, e)
+				h.push(entry)
+				model = append(model, entry)
 				continue
 			}
 			got := h.pop()
@@ -40,8 +40,8 @@
 			t.Fatalf("%d left of %d", len(h), len(model))
 		}
 	})
-	h, m := make(deadlineHeap, 0, 8), &message{id: 1}
-	if n := testing.AllocsPerRun(100, func() { h.push(deadlineEntry{1, m}); h.pop() }); n > 0 {
+	h, msg := make(deadlineHeap, 0, 8), &message{id: 1}
+	if n := testing.AllocsPerRun(100, func() { h.push(deadlineEntry{1, msg}); h.pop() }); n > 0 {
 		t.Errorf("%.0f allocations for an entry", n)
 	}
 }
--- a/policy/flat_test.go
+++ b/policy/flat_test.go
@@ -51,7 +51,7 @@
 		},
 		{Effect: Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1},
 	}
-	s, err := New(set, 1)
+	engine, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 				},
 			)
 		}
-		act(s.Step(now, []Event{{Kind: EndpointSnapshot, Endpoints: list}}))
+		act(engine.Step(now, []Event{{Kind: EndpointSnapshot, Endpoints: list}}))
 		for range each {
 			now += 20 * time.Millisecond
 			id++
@@ -126,9 +126,9 @@
 					rest = append(rest, c)
 					continue
 				}
-				o := OK
+				outcome := OK
 				if rng.IntN(4) == 0 {
-					o = Outcome(rng.IntN(int(NotSent) + 1))
+					outcome = Outcome(rng.IntN(int(NotSent) + 1))
 				}
 				evs = append(
 					evs,
@@ -137,14 +137,14 @@
 						MessageID:    c.id,
 						Attempt:      c.n,
 						Endpoint:     c.to,
-						Outcome:      o,
+						Outcome:      outcome,
 						Latency:      100 * time.Millisecond,
-						MessageEnded: o == OK,
+						MessageEnded: outcome == OK,
 					},
 				)
 			}
 			calls = rest
-			act(s.Step(now, evs))
+			act(engine.Step(now, evs))
 		}
 		for range 2 { // all time is up
 			now += 16 * time.Second
@@ -163,7 +163,7 @@
 				)
 			}
 			calls = calls[:0]
-			act(s.Step(now, append(evs, Event{Kind: TimerFired})))
+			act(engine.Step(now, append(evs, Event{Kind: TimerFired})))
 		}
 		clear(tries)
 		if round < warmUp {
@@ -178,7 +178,7 @@
 	if ended == 0 || len(kept) > 0 != leak {
 		t.Fatalf("%d messages given up on: the run shows little", ended)
 	}
-	runtime.KeepAlive(s)
+	runtime.KeepAlive(engine)
 	return slope(xs, ys)
 }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -72,11 +72,11 @@
 }
 
 func (w *fleetWorld) start(i int, seed uint64) error {
-	s, err := New(fleetSettings(w.c), seed)
+	engine, err := New(fleetSettings(w.c), seed)
 	if err != nil {
 		return err
 	}
-	w.fleet[i] = s
+	w.fleet[i] = engine
 	w.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: w.c.limit, InService: true}}}}
 	return nil
 }
@@ -87,7 +87,7 @@
 	if w.now >= fleetReturn {
 		w.pushes = append(w.pushes, fleetPush{w.now, w.told[i]})
 	}
-	e := Event{
+	event := Event{
 		Kind:      AttemptFinished,
 		MessageID: a.MessageID,
 		Attempt:   w.tries[a.MessageID],
@@ -97,27 +97,27 @@
 	w.tries[a.MessageID]++
 	switch {
 	case w.room < 1:
-		e.Outcome = Overloaded
+		event.Outcome = Overloaded
 	default:
 		w.room--
 		if failing && w.rng.Float64() < w.c.fails {
-			e.Outcome = Error
+			event.Outcome = Error
 		}
 	}
 	if w.c.told {
-		e.LimitReport = LimitReport{Present: true, Limit: w.c.limit}
+		event.LimitReport = LimitReport{Present: true, Limit: w.c.limit}
 	}
-	if e.MessageEnded = e.Outcome == OK; e.MessageEnded {
+	if event.MessageEnded = event.Outcome == OK; event.MessageEnded {
 		w.served++
 	} else if failing {
 		w.told[i] = true
 	}
-	w.later(i, 2*fleetTick, e)
+	w.later(i, 2*fleetTick, event)
 }
 
-func (w *fleetWorld) later(i int, after time.Duration, e Event) {
+func (w *fleetWorld) later(i int, after time.Duration, event Event) {
 	at := (w.now + after + fleetTick - 1) / fleetTick * fleetTick
-	w.due[at] = append(w.due[at], fleetEvent{i, e})
+	w.due[at] = append(w.due[at], fleetEvent{i, event})
 }
 
 // playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -19,34 +19,34 @@
 	rests   int
 }
 
-func (f *front) step(s *Engine, now time.Duration, evs []Event) []Action {
-	if f.s != s {
-		f.s, f.list, f.awake = s, nil, map[int]time.Duration{}
+func (f *front) step(engine *Engine, now time.Duration, evs []Event) []Action {
+	if f.s != engine {
+		f.s, f.list, f.awake = engine, nil, map[int]time.Duration{}
 	}
 	var told []Event
-	for _, e := range evs {
-		switch e.Kind {
+	for _, event := range evs {
+		switch event.Kind {
 		case EndpointSnapshot:
-			f.list = slices.Clone(e.Endpoints)
+			f.list = slices.Clone(event.Endpoints)
 			continue
 		case EndpointDelta:
-			e.Endpoints = slices.DeleteFunc(slices.Clone(e.Endpoints), f.change)
+			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), f.change)
 		case MessageAccepted:
-			if _, is := f.awake[e.Destination]; !is {
-				told = append(told, f.all(e.Destination, false))
+			if _, is := f.awake[event.Destination]; !is {
+				told = append(told, f.all(event.Destination, false))
 			}
-			f.awake[e.Destination] = now
+			f.awake[event.Destination] = now
 		case AttemptFinished:
-			if i := f.find(e.Endpoint); i >= 0 {
+			if i := f.find(event.Endpoint); i >= 0 {
 				f.awake[f.list[i].Destination] = now
 			}
 		}
-		told = append(told, e)
+		told = append(told, event)
 	}
-	acts := slices.Clone(s.Step(now, told))
+	acts := slices.Clone(engine.Step(now, told))
 	for d := range 5 {
-		if at, is := f.awake[d]; is && now >= at+f.idle && f.forgets.resting(f.t, s, d) {
-			acts = append(acts, s.Step(now, []Event{f.all(d, true)})...)
+		if at, is := f.awake[d]; is && now >= at+f.idle && f.forgets.resting(f.t, engine, d) {
+			acts = append(acts, engine.Step(now, []Event{f.all(d, true)})...)
 			delete(f.awake, d)
 			f.rests++
 		}
@@ -74,14 +74,14 @@
 }
 
 func (f *front) all(dest int, gone bool) Event {
-	e := Event{Kind: EndpointDelta}
+	event := Event{Kind: EndpointDelta}
 	for _, l := range f.list {
 		if l.Destination == dest {
 			l.Removed = gone
-			e.Endpoints = append(e.Endpoints, l)
+			event.Endpoints = append(event.Endpoints, l)
 		}
 	}
-	return e
+	return event
 }
 
 // playFront plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
@@ -109,14 +109,14 @@
 }
 
 // forgetsPaces overlooks what a refusal, calls and failures left behind.
-func forgetsPaces(g *limitScope) {
-	g.tokens, g.tokensUpdatedAt, g.decreasedAt, g.pacingRate, g.consecutiveFailures, g.connectExhaustions = 1, 0, 0, 0, 0, 0
+func forgetsPaces(scope *limitScope) {
+	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt, scope.pacingRate, scope.consecutiveFailures, scope.connectExhaustions = 1, 0, 0, 0, 0, 0
 }
 
 func TestAFrontThatForgetsWaitsBreaksTheirRule(t *testing.T) {
-	forgets := &forgetful{gate: func(g *limitScope) {
-		forgetsPaces(g)
-		g.retryAfterUntil = 0
+	forgets := &forgetful{gate: func(scope *limitScope) {
+		forgetsPaces(scope)
+		scope.retryAfterUntil = 0
 	}}
 	for seed := range uint64(60) {
 		if w, _ := playFront(t, seed, 80, forgets); w.broken[5] != "" {
@@ -133,7 +133,7 @@
 	now *time.Duration,
 	id *uint32,
 	n int,
-	o Outcome,
+	outcome Outcome,
 	span time.Duration,
 ) (calls int) {
 	var evs []Event
@@ -142,7 +142,7 @@
 		evs = append(evs, Event{Kind: MessageAccepted, MessageID: *id, Destination: 1, TimeLeft: span - 500*ms})
 	}
 	attempts := map[uint32]int{}
-	for end := *now + span; *now < end; *now += 20 * ms {
+	for expiresAt := *now + span; *now < expiresAt; *now += 20 * ms {
 		acts := slices.Clone(step(*now, evs))
 		evs = nil
 		for _, a := range acts {
@@ -155,9 +155,9 @@
 						MessageID:    a.MessageID,
 						Attempt:      attempts[a.MessageID],
 						Endpoint:     a.Endpoint,
-						Outcome:      o,
+						Outcome:      outcome,
 						Latency:      20 * ms,
-						MessageEnded: o == OK,
+						MessageEnded: outcome == OK,
 					},
 				)
 				attempts[a.MessageID]++
@@ -178,12 +178,12 @@
 ) (f *front, step func(time.Duration, []Event) []Action) {
 	set := settings()
 	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = senders, 20, 1000
-	s, err := New(set, seed)
+	engine, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f = &front{t: t, forgets: forgets, idle: idle}
-	step = func(now time.Duration, evs []Event) []Action { return f.step(s, now, evs) }
+	step = func(now time.Duration, evs []Event) []Action { return f.step(engine, now, evs) }
 	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
 	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
@@ -211,10 +211,10 @@
 	}
 	told, _ := play(nil, never)
 	fronted, _ := play(nil, 0)
-	forgot, rests := play(&forgetful{gate: func(g *limitScope) {
-		forgetsPaces(g)
-		g.suspectRemovedAt = -time.Hour
-		eachRoute(func(r *endpoint) { r.ejectedUntil, r.ejected, r.warmingUp = 0, false, false })(g)
+	forgot, rests := play(&forgetful{gate: func(scope *limitScope) {
+		forgetsPaces(scope)
+		scope.suspectRemovedAt = -time.Hour
+		eachRoute(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
 	}}, 0)
 	t.Logf(
 		"%d calls where all is told, %d behind a front, %d behind one that forgets outages, after %d rests",
@@ -293,45 +293,47 @@
 	warm := settings().WarmUpDuration
 	for _, c := range []struct {
 		name string
-		set  func(d *destination, g *limitScope, r *endpoint)
+		set  func(d *destination, scope *limitScope, ep *endpoint)
 		span time.Duration // it binds so long; never: until an event ends it
 	}{
 		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
-		{"one failure, and a reset", func(_ *destination, g *limitScope, r *endpoint) {
-			g.consecutiveFailures, r.consecutiveFailures, r.recentFailures, r.answerLost, g.connectExhaustions = 1, 1, 1, true, 1
+		{"one failure, and a reset", func(_ *destination, scope *limitScope, ep *endpoint) {
+			scope.consecutiveFailures, ep.consecutiveFailures, ep.recentFailures, ep.answerLost, scope.connectExhaustions = 1, 1, 1, true, 1
 		}, 0},
-		{"a pace of its start", func(_ *destination, g *limitScope, _ *endpoint) {
-			g.pacingRate, g.tokens, g.tokensUpdatedAt = 1, 1, now
+		{"a pace of its start", func(_ *destination, scope *limitScope, _ *endpoint) {
+			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 1, 1, now
 		}, 0},
-		{"a warm-up that is over", func(_ *destination, _ *limitScope, r *endpoint) {
-			r.warmingUp, r.recoveredAt, r.lastSuccessAt = true, now-warm, now
+		{"a warm-up that is over", func(_ *destination, _ *limitScope, ep *endpoint) {
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warm, now
 		}, 0},
 		{"a message", func(d *destination, _ *limitScope, _ *endpoint) { d.messageCount = 1 }, never},
-		{"a call", func(_ *destination, _ *limitScope, r *endpoint) { r.calls = []*call{{endpoint: r}} }, never},
-		{"a call of a route that has gone", func(_ *destination, g *limitScope, _ *endpoint) { g.inFlight = 1 }, never},
-		{"a told wait", func(_ *destination, g *limitScope, _ *endpoint) { g.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
-		{"a skip", func(_ *destination, _ *limitScope, r *endpoint) { r.ejectedUntil = now + 300*ms }, 300 * ms},
-		{"an outage", func(_ *destination, _ *limitScope, r *endpoint) { r.ejected, r.lastSuccessAt = true, 1 }, never},
-		{"a doubt", func(_ *destination, _ *limitScope, r *endpoint) { r.warmingUp, r.lastSuccessAt = true, 1 }, never},
-		{"a warm-up", func(_ *destination, _ *limitScope, r *endpoint) {
-			r.warmingUp, r.recoveredAt, r.lastSuccessAt = true, now, now
+		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, never},
+		{"a call of a route that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, never},
+		{"a told wait", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
+		{"a skip", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejectedUntil = now + 300*ms }, 300 * ms},
+		{"an outage", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }, never},
+		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, never},
+		{"a warm-up", func(_ *destination, _ *limitScope, ep *endpoint) {
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now, now
 		}, warm},
-		{"a sibling's doubt, taken on at the next look", func(_ *destination, g *limitScope, r *endpoint) {
-			r.warmingUp, r.recoveredAt, r.lastSuccessAt, g.endpoints[1].lastSuccessAt = true, now-warm, now, 0
+		{"a sibling's doubt, taken on at the next look", func(_ *destination, scope *limitScope, ep *endpoint) {
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warm, now, 0
 		}, never},
-		{"a doubt that left the list", func(_ *destination, g *limitScope, _ *endpoint) { g.suspectRemovedAt = now }, warm},
-		{"failures over routes", func(_ *destination, g *limitScope, _ *endpoint) { g.consecutiveFailures = suspectAfterFailures }, never},
-		{"connections that failed", func(_ *destination, g *limitScope, _ *endpoint) { g.connectExhaustions = maxConnectExhaustions }, never},
-		{"a lent limit", func(_ *destination, g *limitScope, _ *endpoint) { g.quotaShared, g.reservedFraction = true, 0.2 }, never},
-		{"a call not yet earned back", func(_ *destination, g *limitScope, _ *endpoint) {
-			g.pacingRate, g.tokens, g.tokensUpdatedAt = 0.5, 0, now
+		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warm},
+		{"failures over routes", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, never},
+		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, never},
+		{"a lent limit", func(_ *destination, scope *limitScope, _ *endpoint) {
+			scope.quotaShared, scope.reservedFraction = true, 0.2
+		}, never},
+		{"a call not yet earned back", func(_ *destination, scope *limitScope, _ *endpoint) {
+			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 0.5, 0, now
 		}, 2 * time.Second},
-		{"a refusal of late", func(_ *destination, g *limitScope, _ *endpoint) {
-			g.pacingRate, g.lastRejectedRate, g.decreasedAt, g.tokens = 9, 10, now, 1
+		{"a refusal of late", func(_ *destination, scope *limitScope, _ *endpoint) {
+			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 9, 10, now, 1
 		}, rejectionFreeWindow},
 		// ln 4 / ln 1.03 s
-		{"a pace cut to a quarter", func(_ *destination, g *limitScope, _ *endpoint) {
-			g.pacingRate, g.lastRejectedRate, g.decreasedAt, g.tokens = 2.5, 10, now, 1
+		{"a pace cut to a quarter", func(_ *destination, scope *limitScope, _ *endpoint) {
+			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 2.5, 10, now, 1
 		}, 46900 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -341,17 +343,17 @@
 				Endpoint{ID: "a", Destination: 1, Weight: 6},
 				Endpoint{ID: "b", Destination: 1, Weight: 6},
 			)
-			s, d := desk.s, desk.s.destinations[1]
-			g := d.scopes[0]
-			g.endpoints[1].lastSuccessAt = 1
-			c.set(d, g, g.endpoints[0])
+			engine, d := desk.s, desk.s.destinations[1]
+			scope := d.scopes[0]
+			scope.endpoints[1].lastSuccessAt = 1
+			c.set(d, scope, scope.endpoints[0])
 			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warm - 1, rejectionFreeWindow - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
-				s.now = now + after
-				if got, want := s.Evictable(1), after >= c.span; got != want {
+				engine.now = now + after
+				if got, want := engine.Evictable(1), after >= c.span; got != want {
 					t.Errorf("after %v it may rest: %t", after, got)
 				}
 			}
-			if !s.Evictable(2) {
+			if !engine.Evictable(2) {
 				t.Error("one that is not known binds")
 			}
 		})
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -42,7 +42,7 @@
 // alone.
 func goldenSender(t *testing.T) *Engine {
 	t.Helper()
-	s, err := New(goldenSettings(), 1)
+	engine, err := New(goldenSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		)
 	}
 	at := time.Second
-	s.Step(at, []Event{list})
+	engine.Step(at, []Event{list})
 	probe := func(route string, outcome Outcome, wait time.Duration) Event {
 		return Event{
 			Kind:        HealthChecked,
@@ -73,7 +73,7 @@
 		}
 	}
 	at += time.Second
-	s.Step(
+	engine.Step(
 		at,
 		[]Event{
 			probe("s-0", OK, 0),
@@ -96,11 +96,11 @@
 	var sent []Action
 	for id := range uint32(12) {
 		at += 10 * time.Millisecond
-		e := taken(id + 1)
+		event := taken(id + 1)
 		if id == 11 {
-			e.Recovered = &RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: time.Second, FirstRunZone: 1}
+			event.Recovered = &RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: time.Second, FirstRunZone: 1}
 		}
-		for _, a := range s.Step(at, []Event{e}) {
+		for _, a := range engine.Step(at, []Event{event}) {
 			if a.Kind == Send {
 				sent = append(sent, a)
 			}
@@ -108,7 +108,7 @@
 	}
 	for i, outcome := range []Outcome{Overloaded, Timeout, ConnectFailed, OK} {
 		a := sent[i]
-		e := Event{
+		event := Event{
 			Kind:         AttemptFinished,
 			MessageID:    a.MessageID,
 			Endpoint:     a.Endpoint,
@@ -117,17 +117,17 @@
 			MessageEnded: outcome == OK,
 		}
 		at += 10 * time.Millisecond
-		s.Step(at, []Event{e})
+		engine.Step(at, []Event{event})
 	}
 	at += 10 * time.Millisecond
-	s.Step(
+	engine.Step(
 		at,
 		[]Event{
 			probe("s-5", Overloaded, 2*time.Second),
 			{Kind: QuotaGranted, Destination: 1, ReservedFraction: 0.5, GrantedCalls: 2, TimeLeft: time.Second},
 		},
 	)
-	return s
+	return engine
 }
 
 // A Sender that another build wrote is restored, and written again byte by byte. How it came about is not checked here:
@@ -136,16 +136,16 @@
 	if *update {
 		golden.Write(t, goldenSnapshot, goldenSender(t).Snapshot(nil))
 	}
-	s, err := Restore(goldenSettings(), golden.Read(t, goldenSnapshot))
+	engine, err := Restore(goldenSettings(), golden.Read(t, goldenSnapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, false, goldenSnapshot, s.Snapshot(nil))
+	golden.Check(t, false, goldenSnapshot, engine.Snapshot(nil))
 	type content struct{ messages, out, waiting, paced, down, cold, turns int }
-	got := content{messages: len(s.messages), out: s.callsInFlight, turns: len(s.keyQueues)}
-	views, _ := s.Views()
+	got := content{messages: len(engine.messages), out: engine.callsInFlight, turns: len(engine.keyQueues)}
+	views, _ := engine.Views()
 	for _, v := range views {
-		if v.RetryAfterUntil > s.now {
+		if v.RetryAfterUntil > engine.now {
 			got.waiting++
 		}
 		if v.PacingRate > 0 {
--- a/policy/hurry_test.go
+++ b/policy/hurry_test.go
@@ -25,7 +25,7 @@
 		{"long times, little left", Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}, 600 * time.Millisecond, false},
 		{"short times, hardly any left", hasty, 300 * time.Millisecond, false},
 	} {
-		s, err := New(
+		engine, err := New(
 			Settings{Classes: []Class{c.class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2},
 			1,
 		)
@@ -41,13 +41,13 @@
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "hangs", Destination: 5, Weight: 30, InService: true}}},
 		}
 		now, id, cut := time.Second, uint32(0), 0
-		for now < 9*time.Second && (s.endpoints["hangs"] == nil || !s.endpoints["hangs"].ejected) {
+		for now < 9*time.Second && (engine.endpoints["hangs"] == nil || !engine.endpoints["hangs"].ejected) {
 			id++
 			evs = append(evs, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: c.left})
-			for _, a := range s.Step(now, evs) {
+			for _, a := range engine.Step(now, evs) {
 				if a.Kind == Send {
 					outs = append(outs, out{a.TimeoutAt, Event{
-						Kind: AttemptFinished, MessageID: a.MessageID, Attempt: s.messages[a.MessageID].attempts - 1, Endpoint: a.Endpoint, Outcome: Timeout, Latency: a.TimeoutAt - now,
+						Kind: AttemptFinished, MessageID: a.MessageID, Attempt: engine.messages[a.MessageID].attempts - 1, Endpoint: a.Endpoint, Outcome: Timeout, Latency: a.TimeoutAt - now,
 					}})
 				}
 			}
@@ -56,7 +56,7 @@
 				evs, outs, cut = append(evs, outs[0].ev), outs[1:], cut+1
 			}
 		}
-		if down := s.endpoints["hangs"].ejected; down != c.skips || cut < ejectAfterFailures {
+		if down := engine.endpoints["hangs"].ejected; down != c.skips || cut < ejectAfterFailures {
 			t.Errorf("%s: skipped %v after %d calls, want %v", c.name, down, cut, c.skips)
 		}
 	}
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -56,55 +56,55 @@
 
 // Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of
 // a Snapshot): looking may cast doubt on a route, as dispatch itself does.
-func (s *Engine) Blockers() (holds []Blocker) {
-	for _, d := range s.sortedDestinations {
-		for _, m := range d.queue {
-			if !d.hasEndpoints() {
-				holds = append(holds, Blocker{m.id, "", NoEndpoint, math.MaxInt64})
+func (e *Engine) Blockers() (blockers []Blocker) {
+	for _, dest := range e.sortedDestinations {
+		for _, msg := range dest.queue {
+			if !dest.hasEndpoints() {
+				blockers = append(blockers, Blocker{msg.id, "", NoEndpoint, math.MaxInt64})
 			}
-			for _, g := range d.scopes {
-				for _, r := range g.endpoints {
-					c, at := s.findBlocker(m, r)
-					holds = append(holds, Blocker{m.id, r.ID, c, at})
+			for _, scope := range dest.scopes {
+				for _, ep := range scope.endpoints {
+					c, at := e.findBlocker(msg, ep)
+					blockers = append(blockers, Blocker{msg.id, ep.ID, c, at})
 				}
 			}
 		}
 	}
-	return holds
+	return blockers
 }
 
-func (s *Engine) findBlocker(m *message, r *endpoint) (BlockCause, time.Duration) {
+func (e *Engine) findBlocker(msg *message, ep *endpoint) (BlockCause, time.Duration) {
 	const never = time.Duration(math.MaxInt64)
 	switch {
-	case s.attemptsExhausted(m) || s.now >= m.deadline:
+	case e.attemptsExhausted(msg) || e.now >= msg.deadline:
 		return AttemptsExhausted, never
-	case !r.InService || r.Removed:
+	case !ep.InService || ep.Removed:
 		return EndpointDraining, never
-	case m.keyQueue != nil && m.keyQueue.messages[0] != m:
+	case msg.keyQueue != nil && msg.keyQueue.messages[0] != msg:
 		return WaitingForKey, never
-	case s.attemptAllowedAt(m, r) == never:
+	case e.attemptAllowedAt(msg, ep) == never:
 		return WrongDedupZone, never
-	case m.deadline-s.now < r.latencyMean:
+	case msg.deadline-e.now < ep.latencyMean:
 		return InsufficientTime, never
-	case r.ejected && len(r.calls) > 0:
+	case ep.ejected && len(ep.calls) > 0:
 		return TrialInFlight, never
-	case s.saturated(r):
+	case e.saturated(ep):
 		return EndpointSaturated, never
 	}
-	cause, until := NotBlocked, s.now
+	cause, until := NotBlocked, e.now
 	longer := func(c BlockCause, at time.Duration) {
 		if at > until {
 			cause, until = c, at
 		}
 	}
-	if m.keyQueue != nil && m.attempts == 0 {
-		longer(OrderingPause, m.keyQueue.pausedUntil)
+	if msg.keyQueue != nil && msg.attempts == 0 {
+		longer(OrderingPause, msg.keyQueue.pausedUntil)
 	}
-	longer(RetryAfterPending, r.scope.retryAfterUntil)
-	longer(EndpointEjected, r.ejectedUntil)
-	longer(WarmUpBudget, s.recoveryBudgetAt(r))
-	longer(Paced, s.acceptsCallAt(r))
-	if cause == NotBlocked && s.settings.MaxInFlightCalls > 0 && s.callsInFlight >= s.settings.MaxInFlightCalls {
+	longer(RetryAfterPending, ep.scope.retryAfterUntil)
+	longer(EndpointEjected, ep.ejectedUntil)
+	longer(WarmUpBudget, e.recoveryBudgetAt(ep))
+	longer(Paced, e.acceptsCallAt(ep))
+	if cause == NotBlocked && e.settings.MaxInFlightCalls > 0 && e.callsInFlight >= e.settings.MaxInFlightCalls {
 		return ConcurrencyLimit, never
 	}
 	return cause, until
@@ -123,16 +123,16 @@
 }
 
 // Views tells of all routes, by destination, and how many slots are taken.
-func (s *Engine) Views() (views []EndpointView, slots int) {
-	for _, d := range s.sortedDestinations {
-		for _, g := range d.scopes {
-			for _, r := range g.endpoints {
+func (e *Engine) Views() (views []EndpointView, slots int) {
+	for _, dest := range e.sortedDestinations {
+		for _, scope := range dest.scopes {
+			for _, ep := range scope.endpoints {
 				views = append(views, EndpointView{
-					r.Endpoint, g.pacingRate, g.lastRejectedRate, s.knownLimit(g), s.fairShare(g), g.retryAfterUntil, g.decreasedAt, r.ejectedUntil,
-					r.recoveredAt, r.latencyMean, r.ejected, r.warmingUp, s.recentlyHealthy(r), len(r.calls), g.inFlight, len(d.queue),
+					ep.Endpoint, scope.pacingRate, scope.lastRejectedRate, e.knownLimit(scope), e.fairShare(scope), scope.retryAfterUntil, scope.decreasedAt, ep.ejectedUntil,
+					ep.recoveredAt, ep.latencyMean, ep.ejected, ep.warmingUp, e.recentlyHealthy(ep), len(ep.calls), scope.inFlight, len(dest.queue),
 				})
 			}
 		}
 	}
-	return views, s.callsInFlight
+	return views, e.callsInFlight
 }
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -10,15 +10,15 @@
 )
 
 // settle clears what a Sender keeps only as scratch, or to have room.
-func settle(s *Engine) {
-	s.actions, s.ready = nil, nil
-	for _, d := range s.sortedDestinations {
+func settle(engine *Engine) {
+	engine.actions, engine.ready = nil, nil
+	for _, d := range engine.sortedDestinations {
 		d.candidate, d.candidateEndpoint = nil, nil
-		for _, g := range d.scopes {
-			g.recentSends = append([]time.Duration(nil), g.recentSends...)
+		for _, scope := range d.scopes {
+			scope.recentSends = append([]time.Duration(nil), scope.recentSends...)
 		}
 	}
-	for _, list := range []*[]*destination{&s.sortedDestinations, &s.active} {
+	for _, list := range []*[]*destination{&engine.sortedDestinations, &engine.active} {
 		if len(*list) == 0 {
 			*list = nil
 		}
@@ -30,12 +30,12 @@
 func TestSnapshotHoldsEverything(t *testing.T) {
 	for seed := range uint64(4) {
 		n, compared := 0, 0
-		swap := func(s *Engine) *Engine {
+		swap := func(engine *Engine) *Engine {
 			if n++; n%7 != 0 {
-				return s
+				return engine
 			}
-			data := s.Snapshot(nil)
-			copied, err := Restore(s.settings, data)
+			data := engine.Snapshot(nil)
+			copied, err := Restore(engine.settings, data)
 			if err != nil {
 				t.Fatalf("seed %d, step %d: %v", seed, n, err)
 			}
@@ -43,9 +43,9 @@
 				t.Fatalf("seed %d, step %d: the copy's snapshot differs", seed, n)
 			}
 			if n%49 == 0 {
-				settle(s)
+				settle(engine)
 				settle(copied)
-				if diff := difference("s", reflect.ValueOf(s), reflect.ValueOf(copied), map[[2]uintptr]bool{}); diff != "" {
+				if diff := difference("s", reflect.ValueOf(engine), reflect.ValueOf(copied), map[[2]uintptr]bool{}); diff != "" {
 					t.Fatalf("seed %d, step %d: %s", seed, n, diff)
 				}
 				compared++
@@ -124,27 +124,27 @@
 }
 
 func TestRestoreRefusesWhatNoSnapshotHolds(t *testing.T) {
-	s, err := New(randomSettings(newWorld(1).rng), 1)
+	engine, err := New(randomSettings(newWorld(1).rng), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(
+	engine.Step(
 		time.Second,
 		[]Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 3}}},
 			{Kind: MessageAccepted, MessageID: 1, TimeLeft: time.Second},
 		},
 	)
-	data := s.Snapshot(nil)
+	data := engine.Snapshot(nil)
 	for cut := range data {
-		if _, err := Restore(s.settings, data[:cut]); err == nil {
+		if _, err := Restore(engine.settings, data[:cut]); err == nil {
 			t.Errorf("a snapshot cut at byte %d of %d is taken", cut, len(data))
 		}
 	}
-	if _, err := Restore(s.settings, append(slices.Clone(data), 0)); err == nil {
+	if _, err := Restore(engine.settings, append(slices.Clone(data), 0)); err == nil {
 		t.Error("a snapshot with a byte more is taken")
 	}
-	other := s.settings
+	other := engine.settings
 	other.Tenants = nil
 	if _, err := Restore(other, data); err == nil {
 		t.Error("a snapshot is taken under settings with fewer customers")
@@ -165,18 +165,18 @@
 		},
 		DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 1, MaxInFlightCalls: 10, OverloadFactor: 2,
 	}
-	take := func(id uint32, class int, key string) Event {
-		return Event{Kind: MessageAccepted, MessageID: id, Class: class, Key: key, TimeLeft: 16 * time.Second}
+	take := func(id uint32, classIndex int, key string) Event {
+		return Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, Key: key, TimeLeft: 16 * time.Second}
 	}
-	done := func(id uint32, n int, o Outcome, wait time.Duration) Event {
+	done := func(id uint32, n int, outcome Outcome, wait time.Duration) Event {
 		return Event{
 			Kind:         AttemptFinished,
 			MessageID:    id,
 			Attempt:      n,
 			Endpoint:     "r",
-			Outcome:      o,
+			Outcome:      outcome,
 			RetryAfter:   wait,
-			MessageEnded: o == OK,
+			MessageEnded: outcome == OK,
 			Latency:      100 * time.Millisecond,
 		}
 	}
@@ -203,16 +203,16 @@
 			{take(9, 0, "")},
 		}, 9, EndpointEjected},
 	} {
-		s, err := New(set, 5)
+		engine, err := New(set, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Second
 		for _, evs := range c.steps {
-			s.Step(now, evs)
+			engine.Step(now, evs)
 			now += 100 * time.Millisecond
 		}
-		before := s.Snapshot(nil)
+		before := engine.Snapshot(nil)
 		copied, err := Restore(set, before)
 		if err != nil {
 			t.Fatal(err)
@@ -223,10 +223,10 @@
 				got = append(got, h)
 			}
 		}
-		if len(got) != 1 || got[0].Cause != c.want || got[0].Until <= s.now && got[0].Until < math.MaxInt64 {
+		if len(got) != 1 || got[0].Cause != c.want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
 			t.Errorf("%s: %+v, want cause %d", c.name, got, c.want)
 		}
-		if views, _ := s.Views(); !bytes.Equal(s.Snapshot(nil), before) {
+		if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
 			t.Errorf("%s: looking changed the Sender: %v", c.name, views)
 		}
 	}
--- a/policy/many.go
+++ b/policy/many.go
@@ -25,61 +25,61 @@
 
 // scopeCapacity is what a gate takes from all, on the low side; where nothing tells, as often what it took from this sender as
 // there are such.
-func (s *Engine) scopeCapacity(g *limitScope) float64 {
-	return max(minScopeCapacity, cmp.Or(s.knownLimit(g), s.deliveryRate(g)*float64(s.settings.FleetSize)))
+func (e *Engine) scopeCapacity(scope *limitScope) float64 {
+	return max(minScopeCapacity, cmp.Or(e.knownLimit(scope), e.deliveryRate(scope)*float64(e.settings.FleetSize)))
 }
 
 // isLargeFleet tells whether a gate's told limit is shared by more senders than see it filled.
-func (s *Engine) isLargeFleet(g *limitScope) bool {
-	return s.settings.FleetSize > smallFleetSize && s.knownLimit(g) > 0
+func (e *Engine) isLargeFleet(scope *limitScope) bool {
+	return e.settings.FleetSize > smallFleetSize && e.knownLimit(scope) > 0
 }
 
 // initializePacing gives a gate of many its first pace: this sender's part of the told limit. Guards against a fleet that is
 // free at first, together far above the limit, and where refused calls use it up is refused for as long as it goes on.
-func (s *Engine) initializePacing(g *limitScope) {
-	g.pacingRate, g.increasedAt = s.fairPacingRate(g), s.now // and its tokens grow from when it was listed
-	g.tokens = 1 - s.rng.Float64()*math.Min(1, g.pacingRate*initialSpreadTime.Seconds())
+func (e *Engine) initializePacing(scope *limitScope) {
+	scope.pacingRate, scope.increasedAt = e.fairPacingRate(scope), e.now // and its tokens grow from when it was listed
+	scope.tokens = 1 - e.rng.Float64()*math.Min(1, scope.pacingRate*initialSpreadTime.Seconds())
 }
 
 // boundPacing bounds the pace of one of many where rates are told: by its fair one, and with a backlog by twice that, if
 // it grew there. Guards against paces that grew past it at one success, or whose share has shrunk: their sum passes the
 // limit, and refusals use it up.
-func (s *Engine) boundPacing(g *limitScope, was float64) {
-	if g.pacingRate == 0 {
-		s.initializePacing(g)
-	} else if s.totalQuota() > 0 {
-		most := s.fairPacingRate(g)
-		if was >= most && len(g.destination.queue) > 0 {
+func (e *Engine) boundPacing(scope *limitScope, was float64) {
+	if scope.pacingRate == 0 {
+		e.initializePacing(scope)
+	} else if e.totalQuota() > 0 {
+		most := e.fairPacingRate(scope)
+		if was >= most && len(scope.destination.queue) > 0 {
 			most *= maxFleetPacingRatio
 		}
-		g.pacingRate = math.Min(g.pacingRate, most)
+		scope.pacingRate = math.Min(scope.pacingRate, most)
 	}
 }
 
 // minTrialRate is the least pace of one of many: a call in a message's time, or half of its part: else a trouble's end is
 // learnt too late.
-func (s *Engine) minTrialRate(part float64) float64 {
+func (e *Engine) minTrialRate(fairShare float64) float64 {
 	least := 0.0
-	for _, c := range s.settings.Classes {
-		if c.Deadline > 0 {
-			least = math.Max(least, 1/c.Deadline.Seconds())
+	for _, class := range e.settings.Classes {
+		if class.Deadline > 0 {
+			least = math.Max(least, 1/class.Deadline.Seconds())
 		}
 	}
-	return math.Min(least, minPacingShareRatio*part)
+	return math.Min(least, minPacingShareRatio*fairShare)
 }
 
 // burstTokens is how many calls beyond one a gate's sender may send at once after idling.
-func (s *Engine) burstTokens(g *limitScope) float64 {
-	if s.isLargeFleet(g) {
-		return math.Max(fleetBurstTokens, g.pacingRate*pacingBurstWindow.Seconds())
+func (e *Engine) burstTokens(scope *limitScope) float64 {
+	if e.isLargeFleet(scope) {
+		return math.Max(fleetBurstTokens, scope.pacingRate*pacingBurstWindow.Seconds())
 	}
-	return g.pacingRate * pacingBurstWindow.Seconds()
+	return scope.pacingRate * pacingBurstWindow.Seconds()
 }
 
 // totalQuota is the customers' told traffic, messages a second over all senders; 0: not told.
-func (s *Engine) totalQuota() (quota float64) {
-	for _, c := range s.settings.Tenants {
-		quota += c.Quota
+func (e *Engine) totalQuota() (quota float64) {
+	for _, tenant := range e.settings.Tenants {
+		quota += tenant.Quota
 	}
 	return quota
 }
@@ -87,12 +87,12 @@
 // fleetPacingGrowth is the growth of the pace of one of many, quick below its fair one. These add up to the limit: beyond, a
 // pace grows with a backlog only, into what others leave, and where rates are told long after a refusal; else its share
 // is found out by refusals.
-func (s *Engine) fleetPacingGrowth(g *limitScope) float64 {
-	fair, told, refused := s.fairPacingRate(g), s.totalQuota() > 0, g.decreasedAt > 0 && s.now-g.decreasedAt < rejectionFreeWindow
+func (e *Engine) fleetPacingGrowth(scope *limitScope) float64 {
+	fair, told, refused := e.fairPacingRate(scope), e.totalQuota() > 0, scope.decreasedAt > 0 && e.now-scope.decreasedAt < rejectionFreeWindow
 	switch {
-	case g.pacingRate >= fair && (len(g.destination.queue) == 0 || told && refused):
+	case scope.pacingRate >= fair && (len(scope.destination.queue) == 0 || told && refused):
 		return 0
-	case g.pacingRate <= nearLimitRatio*fair:
+	case scope.pacingRate <= nearLimitRatio*fair:
 		return pacingGrowth
 	case refused:
 		return cautiousPacingGrowth
@@ -102,11 +102,11 @@
 
 // fleetRateAfterRejection is the pace of one of many after a refusal, and after further ones with no answer between. Guards against a limit
 // that was lowered below half: where refused calls use it up, a fleet that stays at half its parts gets none of it.
-func (s *Engine) fleetRateAfterRejection(r *endpoint, pace float64) float64 {
-	part, less := s.fairShare(r.scope), math.Min(pace/2, s.fairPacingRate(r.scope))
-	least := minPacingShareRatio * part
-	if r.consecutiveRejections > 1 {
-		least = math.Max(s.minTrialRate(part), minFleetPacingRatio*part)
+func (e *Engine) fleetRateAfterRejection(ep *endpoint, pace float64) float64 {
+	fairShare, less := e.fairShare(ep.scope), math.Min(pace/2, e.fairPacingRate(ep.scope))
+	least := minPacingShareRatio * fairShare
+	if ep.consecutiveRejections > 1 {
+		least = math.Max(e.minTrialRate(fairShare), minFleetPacingRatio*fairShare)
 	}
 	return math.Min(pace, math.Max(less, least))
 }
@@ -114,26 +114,26 @@
 // fairPacingRate is the pace that one of many keeps to until it learns better: its part, by the share of all traffic that its own
 // count and the customers' told rates tell. Guards against senders with much traffic that wait at paces which others do
 // not use.
-func (s *Engine) fairPacingRate(g *limitScope) float64 {
+func (e *Engine) fairPacingRate(scope *limitScope) float64 {
 	share := 1.0
-	if quota := s.totalQuota(); quota > 0 {
-		mean := quota / float64(s.settings.FleetSize) * trafficWindow.Seconds() * (1 - decay(s.now-s.startedAt, trafficWindow))
-		share = (trafficPriorMessages + s.acceptedTraffic.level*decay(s.now-s.acceptedTraffic.updatedAt, trafficWindow)) / (trafficPriorMessages + mean)
+	if quota := e.totalQuota(); quota > 0 {
+		mean := quota / float64(e.settings.FleetSize) * trafficWindow.Seconds() * (1 - decay(e.now-e.startedAt, trafficWindow))
+		share = (trafficPriorMessages + e.acceptedTraffic.level*decay(e.now-e.acceptedTraffic.updatedAt, trafficWindow)) / (trafficPriorMessages + mean)
 	}
-	return math.Min(s.knownLimit(g), s.fairShare(g)*(1-ownTrafficRatio+ownTrafficRatio*share))
+	return math.Min(e.knownLimit(scope), e.fairShare(scope)*(1-ownTrafficRatio+ownTrafficRatio*share))
 }
 
 // hasSparseShare tells whether this sender's part of a gate is less than a call in the span of a fall.
-func (s *Engine) hasSparseShare(g *limitScope) bool {
-	return s.fairShare(g)*s.settings.OverloadWindow.Seconds() < 1
+func (e *Engine) hasSparseShare(scope *limitScope) bool {
+	return e.fairShare(scope)*e.settings.OverloadWindow.Seconds() < 1
 }
 
 // suspectWeakly puts a route in slight doubt, which one delivery clears, where this sender's part is under a call
 // in the span of a fall. Guards against hundreds of senders, told of one failure each, that push as one.
-func (s *Engine) suspectWeakly(r *endpoint) {
-	if !r.warmingUp && s.hasSparseShare(r.scope) {
-		s.suspect(r)
-		r.weaklySuspected = true
+func (e *Engine) suspectWeakly(ep *endpoint) {
+	if !ep.warmingUp && e.hasSparseShare(ep.scope) {
+		e.suspect(ep)
+		ep.weaklySuspected = true
 	}
 }
 
@@ -141,27 +141,27 @@
 // warm-up, by chance one refusal or connection failed as at a full table. Guards against many senders told once that
 // all come again. Most refusals being a limit's, some must: those left are under two thirds while they come less than
 // five times as often as others.
-func (s *Engine) suspectOnWeakSignal(r *endpoint) {
-	again := r.consecutiveRejections >= sparseOutageRejections && s.now-r.firstRejectedAt >= minOutageRejectionTime
-	seldom := !s.recentlyHealthy(r) && s.fairShare(r.scope)*s.settings.WarmUpDuration.Seconds() < 1
-	if again && s.settings.FleetSize > smallFleetSize && !s.hasSparseShare(r.scope) {
-		s.suspect(r)
-	} else if again || seldom && s.rng.Float64() < weakSignalProbability {
-		s.suspectWeakly(r)
+func (e *Engine) suspectOnWeakSignal(ep *endpoint) {
+	repeated := ep.consecutiveRejections >= sparseOutageRejections && e.now-ep.firstRejectedAt >= minOutageRejectionTime
+	seldom := !e.recentlyHealthy(ep) && e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() < 1
+	if repeated && e.settings.FleetSize > smallFleetSize && !e.hasSparseShare(ep.scope) {
+		e.suspect(ep)
+	} else if repeated || seldom && e.rng.Float64() < weakSignalProbability {
+		e.suspectWeakly(ep)
 	}
 }
 
 // requestQuota has others asked for calls shortly before the own pace is all that closes a gate, and while messages
 // wait: what the recovery budget lets through lapses meanwhile. It returns when to look again.
-func (s *Engine) requestQuota(g *limitScope, open, paced time.Duration) time.Duration {
-	if !g.quotaShared || len(g.destination.queue) == 0 {
+func (e *Engine) requestQuota(scope *limitScope, open, paced time.Duration) time.Duration {
+	if !scope.quotaShared || len(scope.destination.queue) == 0 {
 		return paced
-	} else if open > s.now+quotaRequestLead {
+	} else if open > e.now+quotaRequestLead {
 		return min(paced, open-quotaRequestLead)
 	}
-	if n := s.maxBatch(g.kind); s.now >= g.quotaRequestedAt+quotaRequestInterval {
-		s.emit(Action{Kind: RequestQuota, Endpoint: g.endpoints[0].ID, Calls: (len(g.destination.queue) + n - 1) / n})
-		g.quotaRequestedAt = s.now
+	if n := e.maxBatch(scope.kind); e.now >= scope.quotaRequestedAt+quotaRequestInterval {
+		e.emit(Action{Kind: RequestQuota, Endpoint: scope.endpoints[0].ID, Calls: (len(scope.destination.queue) + n - 1) / n})
+		scope.quotaRequestedAt = e.now
 	}
-	return min(paced, g.quotaRequestedAt+quotaRequestInterval)
+	return min(paced, scope.quotaRequestedAt+quotaRequestInterval)
 }
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -18,7 +18,7 @@
 		for i := range c.senders {
 			set := settings()
 			set.FleetSize, set.MaxInFlightCalls = c.senders, 100
-			s, err := New(set, uint64(i))
+			engine, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -27,7 +27,7 @@
 				evs = append(evs, Event{Kind: MessageAccepted, MessageID: id + 1, TimeLeft: 20 * time.Second})
 			}
 			for now := time.Second; now <= 4*time.Second; now += 50 * time.Millisecond {
-				for _, a := range s.Step(now, evs) {
+				for _, a := range engine.Step(now, evs) {
 					if a.Kind == Send {
 						sent++
 					}
@@ -73,17 +73,17 @@
 	set := settings()
 	set.FleetSize, set.Tenants = senders, []Tenant{{Quota: senders * usual}}
 	pace := func(rate float64) float64 {
-		s, err := New(set, 1)
+		engine, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(
+		engine.Step(
 			time.Second,
 			[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: limit, InService: true}}}},
 		)
 		for i := range int(rate * 20) {
 			now := 2*time.Second + time.Duration(float64(i)/rate*float64(time.Second))
-			s.Step(
+			engine.Step(
 				now,
 				[]Event{
 					{Kind: MessageAccepted, MessageID: uint32(i), TimeLeft: time.Second},
@@ -91,11 +91,11 @@
 				},
 			)
 		}
-		return s.fairPacingRate(s.endpoints["a"].scope)
+		return engine.fairPacingRate(engine.endpoints["a"].scope)
 	}
-	busy, quiet, part := pace(2*usual), pace(usual/2), limit/senders
-	if busy < 1.05*part || quiet > 0.65*part {
-		t.Errorf("paces %.2f and %.2f of a part of %.2f", busy, quiet, part)
+	busy, quiet, fairShare := pace(2*usual), pace(usual/2), limit/senders
+	if busy < 1.05*fairShare || quiet > 0.65*fairShare {
+		t.Errorf("paces %.2f and %.2f of a part of %.2f", busy, quiet, fairShare)
 	}
 	if sum := senders/3*busy + 2*senders/3*quiet; sum > limit {
 		t.Errorf("the fleet's paces add up to %.1f of %v", sum, limit)
@@ -107,14 +107,14 @@
 	set := settings()
 	set.FleetSize = 80
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-	g := d.s.endpoints["a"].scope
-	for _, c := range []struct{ pace, want float64 }{{5, d.s.fairPacingRate(g)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
+	scope := d.s.endpoints["a"].scope
+	for _, c := range []struct{ pace, want float64 }{{5, d.s.fairPacingRate(scope)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
 		d.now += 10 * time.Second
 		d.s.now = d.now
-		g.pacingRate, g.recentSends = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
+		scope.pacingRate, scope.recentSends = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
 		d.s.decreasePacing(d.s.endpoints["a"], observation{outcome: Overloaded, sentAt: d.now})
-		if g.pacingRate < c.want*0.99 || g.pacingRate > c.want*1.01 {
-			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, g.pacingRate, c.want)
+		if scope.pacingRate < c.want*0.99 || scope.pacingRate > c.want*1.01 {
+			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, scope.pacingRate, c.want)
 		}
 	}
 }
@@ -150,18 +150,18 @@
 	set := settings()
 	set.FleetSize, set.Tenants = 80, []Tenant{{Quota: 80}}
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
-	g := d.s.endpoints["a"].scope
-	before := d.s.fairPacingRate(g)
+	scope := d.s.endpoints["a"].scope
+	before := d.s.fairPacingRate(scope)
 	for id := range uint32(20) {
 		d.s.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
-	if kept := d.s.fairPacingRate(g); kept <= before {
+	if kept := d.s.fairPacingRate(scope); kept <= before {
 		t.Errorf("a fair pace of %v with 20 messages more, %v before", kept, before)
 	}
 	for id := range uint32(20) {
 		d.s.reject(d.s.messages[id])
 	}
-	if after := d.s.fairPacingRate(g); after != before {
+	if after := d.s.fairPacingRate(scope); after != before {
 		t.Errorf("a fair pace of %v once they were handed back, %v before", after, before)
 	}
 }
@@ -187,27 +187,27 @@
 			set.Tenants = []Tenant{{Quota: 80}}
 		}
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-		g := d.s.endpoints["a"].scope
+		scope := d.s.endpoints["a"].scope
 		d.take(0, 0)
-		g.pacingRate /= 2
+		scope.pacingRate /= 2
 		got := 0.0
 		for id := range uint32(60) { // at the usual rate
 			d.now += time.Second
 			d.take(id+1, 0)
-			queue := g.destination.queue
-			if g.destination.queue = nil; c.backlog {
-				g.destination.queue = []*message{{}}
+			queue := scope.destination.queue
+			if scope.destination.queue = nil; c.backlog {
+				scope.destination.queue = []*message{{}}
 			}
 			if c.refused {
-				g.decreasedAt = d.now - 5*time.Second
+				scope.decreasedAt = d.now - 5*time.Second
 			}
-			below := g.pacingRate < d.s.fairPacingRate(g)
-			g.increasedAt = d.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
-			if d.s.increasePacing(g); c.told && below && g.pacingRate > d.s.fairPacingRate(g) {
-				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, g.pacingRate/d.s.fairPacingRate(g))
+			below := scope.pacingRate < d.s.fairPacingRate(scope)
+			scope.increasedAt = d.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
+			if d.s.increasePacing(scope); c.told && below && scope.pacingRate > d.s.fairPacingRate(scope) {
+				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, scope.pacingRate/d.s.fairPacingRate(scope))
 			}
-			d.s.boundPacing(g, g.pacingRate)
-			got, g.destination.queue = g.pacingRate/d.s.fairPacingRate(g), queue
+			d.s.boundPacing(scope, scope.pacingRate)
+			got, scope.destination.queue = scope.pacingRate/d.s.fairPacingRate(scope), queue
 		}
 		if got < c.least || got > c.most+1e-9 {
 			t.Errorf("%s: %v of the fair pace after a minute of successes, want %v to %v", c.name, got, c.least, c.most)
@@ -227,14 +227,14 @@
 			{Effect: IdempotentByKey, Deadline: 12 * time.Second, LatencyObjective: 3 * time.Second, Weight: 1},
 		}
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		r := d.s.endpoints["a"]
-		d.s.initializePacing(r.scope)
+		ep := d.s.endpoints["a"]
+		d.s.initializePacing(ep.scope)
 		for range 30 {
 			d.now += time.Second
-			d.s.now, r.consecutiveRejections = d.now, r.consecutiveRejections+1
-			d.s.decreasePacing(r, observation{outcome: Overloaded, sentAt: d.now})
+			d.s.now, ep.consecutiveRejections = d.now, ep.consecutiveRejections+1
+			d.s.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
 		}
-		if p := r.scope.pacingRate; p < c.least || p > c.most {
+		if p := ep.scope.pacingRate; p < c.least || p > c.most {
 			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", c.limit, p, c.least, c.most)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -73,99 +73,99 @@
 // failureRule is one failure rule: what it matches, whether the route is skipped, and what else follows.
 type failureRule struct {
 	name    string
-	matches func(s *Engine, r *endpoint, o observation) bool
+	matches func(e *Engine, ep *endpoint, obs observation) bool
 	ejects  bool
-	respond func(s *Engine, r *endpoint, o observation)
+	respond func(e *Engine, ep *endpoint, obs observation)
 }
 
 // failureRules is evaluated in order; the first that matches decides.
 var failureRules = []failureRule{
 	// A long told wait or a run of refusals is a shut destination: it comes back cold.
-	{"shut", func(s *Engine, r *endpoint, o observation) bool {
-		run := r.consecutiveRejections >= outageRejections && s.now-r.firstRejectedAt >= minOutageRejectionTime
-		return o.outcome == Overloaded && (o.retryAfter > outageRetryAfter || run)
+	{"shut", func(e *Engine, ep *endpoint, obs observation) bool {
+		run := ep.consecutiveRejections >= outageRejections && e.now-ep.firstRejectedAt >= minOutageRejectionTime
+		return obs.outcome == Overloaded && (obs.retryAfter > outageRetryAfter || run)
 	}, true, (*Engine).suspectScope},
-	{"full", func(_ *Engine, _ *endpoint, o observation) bool { return o.outcome == Overloaded }, false, (*Engine).decreasePacing},
-	{"trial failed", func(_ *Engine, r *endpoint, _ observation) bool { return r.ejected }, true, nil},
+	{"full", func(_ *Engine, _ *endpoint, obs observation) bool { return obs.outcome == Overloaded }, false, (*Engine).decreasePacing},
+	{"trial failed", func(_ *Engine, ep *endpoint, _ observation) bool { return ep.ejected }, true, nil},
 	// A full table refuses at once and may take the next: a short rest, idle connections closed.
-	{"crowded", func(_ *Engine, _ *endpoint, o observation) bool { return o.connectExhausted }, false, (*Engine).pauseConnecting},
-	{"in a row", func(_ *Engine, r *endpoint, _ observation) bool { return r.consecutiveFailures >= ejectAfterFailures }, true, nil},
+	{"crowded", func(_ *Engine, _ *endpoint, obs observation) bool { return obs.connectExhausted }, false, (*Engine).pauseConnecting},
+	{"in a row", func(_ *Engine, ep *endpoint, _ observation) bool { return ep.consecutiveFailures >= ejectAfterFailures }, true, nil},
 	// Outages may fail only most calls: successes between do not clear them.
-	{"mostly failing", func(_ *Engine, r *endpoint, _ observation) bool {
-		return bits.OnesCount8(r.recentFailures) >= ejectAfterRecentFailures
+	{"mostly failing", func(_ *Engine, ep *endpoint, _ observation) bool {
+		return bits.OnesCount8(ep.recentFailures) >= ejectAfterRecentFailures
 	}, true, nil},
 	{"failed", func(*Engine, *endpoint, observation) bool { return true }, false, nil},
 }
 
 // New returns a Sender that knows nothing but its settings.
-func New(set Settings, seed uint64) (*Engine, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Engine, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	set.FleetSize = max(1, set.FleetSize)
-	set.WarmUpInitialCapacity = cmp.Or(max(0, set.WarmUpInitialCapacity), 0.1)
-	set.WarmUpDuration = cmp.Or(max(0, set.WarmUpDuration), 30*time.Second)
-	set.OverloadWindow = cmp.Or(set.OverloadWindow, 3*time.Second)
-	set.OverloadFactor = cmp.Or(max(0, set.OverloadFactor), 1)
+	settings.FleetSize = max(1, settings.FleetSize)
+	settings.WarmUpInitialCapacity = cmp.Or(max(0, settings.WarmUpInitialCapacity), 0.1)
+	settings.WarmUpDuration = cmp.Or(max(0, settings.WarmUpDuration), 30*time.Second)
+	settings.OverloadWindow = cmp.Or(settings.OverloadWindow, 3*time.Second)
+	settings.OverloadFactor = cmp.Or(max(0, settings.OverloadFactor), 1)
 	pcg := rand.NewPCG(seed, 0x6f6e7978)
 	return &Engine{
-		settings: set, pcg: pcg, rng: rand.New(pcg),
+		settings: settings, pcg: pcg, rng: rand.New(pcg),
 		endpoints: map[string]*endpoint{}, lowestReportedLimit: map[int]float64{}, destinations: map[int]*destination{},
 		connectShortageUntil: map[int]time.Duration{}, closeIdleUntil: map[int]time.Duration{},
 		messages: map[uint32]*message{}, keyQueues: map[string]*keyQueue{},
-		tenantTraffic: make([]trafficMeter, len(set.Tenants)),
+		tenantTraffic: make([]trafficMeter, len(settings.Tenants)),
 	}, nil
 }
 
 // Step takes what has come in at now and returns what to do, in order.
-func (s *Engine) Step(now time.Duration, events []Event) []Action {
-	s.now, s.actions = now, s.actions[:0]
-	s.startedAt = cmp.Or(s.startedAt, now)
+func (e *Engine) Step(now time.Duration, events []Event) []Action {
+	e.now, e.actions = now, e.actions[:0]
+	e.startedAt = cmp.Or(e.startedAt, now)
 	// A wake may come a little early, for a clock coarser than ours: one so near does not count as asked for.
-	if s.timerAt <= now+time.Millisecond {
-		s.timerAt = 0
+	if e.timerAt <= now+time.Millisecond {
+		e.timerAt = 0
 	}
 	for i := range events {
-		s.observe(&events[i])
+		e.observe(&events[i])
 	}
-	s.expireKeyQueues()
-	s.handleDeadlines()
-	s.dispatch()
-	if n := len(s.deadlines); n > 0 {
-		s.requestTimer(s.deadlines[0].at)
+	e.expireKeyQueues()
+	e.handleDeadlines()
+	e.dispatch()
+	if n := len(e.deadlines); n > 0 {
+		e.requestTimer(e.deadlines[0].at)
 	}
-	if s.requestedTimerAt > 0 && (s.timerAt == 0 || s.requestedTimerAt < s.timerAt) {
-		s.timerAt = max(s.requestedTimerAt, now+time.Millisecond)
-		s.emit(Action{Kind: SetTimer, Delay: s.timerAt - now})
+	if e.requestedTimerAt > 0 && (e.timerAt == 0 || e.requestedTimerAt < e.timerAt) {
+		e.timerAt = max(e.requestedTimerAt, now+time.Millisecond)
+		e.emit(Action{Kind: SetTimer, Delay: e.timerAt - now})
 	}
-	s.requestedTimerAt = 0
-	return s.actions
+	e.requestedTimerAt = 0
+	return e.actions
 }
 
-func (s *Engine) observe(e *Event) {
-	switch e.Kind {
+func (e *Engine) observe(event *Event) {
+	switch event.Kind {
 	case MessageAccepted:
-		s.acceptMessage(e)
+		e.acceptMessage(event)
 	case AttemptFinished:
-		s.attemptFinished(e)
+		e.attemptFinished(event)
 	case HealthChecked:
-		if r := s.endpoints[e.Endpoint]; r != nil {
-			s.recordLimit(r, e.LimitReport)
-			r.scope.retryAfterUntil = max(r.scope.retryAfterUntil, s.now+e.RetryAfter)
-			s.observeOutcome(r, observation{outcome: e.Outcome, retryAfter: e.RetryAfter, sentAt: s.now - e.Latency}, e.Latency)
-			s.recheck(r.scope.destination)
+		if ep := e.endpoints[event.Endpoint]; ep != nil {
+			e.recordLimit(ep, event.LimitReport)
+			ep.scope.retryAfterUntil = max(ep.scope.retryAfterUntil, e.now+event.RetryAfter)
+			e.observeOutcome(ep, observation{outcome: event.Outcome, retryAfter: event.RetryAfter, sentAt: e.now - event.Latency}, event.Latency)
+			e.recheck(ep.scope.destination)
 		}
 	case MessageCancelled:
-		if m := s.messages[e.MessageID]; m != nil {
-			s.finishMessage(m)
+		if msg := e.messages[event.MessageID]; msg != nil {
+			e.finishMessage(msg)
 		}
 	case EndpointSnapshot, EndpointDelta:
-		s.updateEndpoints(e.Endpoints, e.Kind == EndpointSnapshot)
+		e.updateEndpoints(event.Endpoints, event.Kind == EndpointSnapshot)
 	case QuotaGranted:
-		s.applyGrant(e)
+		e.applyGrant(event)
 	case WatchFailed:
-		if s.settings.WatchRequired {
-			s.emit(Action{Kind: WatchEndpoints})
+		if e.settings.WatchRequired {
+			e.emit(Action{Kind: WatchEndpoints})
 		}
 	}
 }
@@ -174,50 +174,50 @@
 
 // sortEndpoints puts routes in their fixed order: listed weight, lower fee, a lot drawn once for each route.
 // Guards against hundreds of senders that all load the first of several equal routes.
-func (s *Engine) sortEndpoints(d *destination) {
+func (e *Engine) sortEndpoints(dest *destination) {
 	less := func(a, b *endpoint) int {
 		switch {
-		case a.Weight != b.Weight && !s.settings.IgnoreWeights:
+		case a.Weight != b.Weight && !e.settings.IgnoreWeights:
 			return cmp.Compare(b.Weight, a.Weight)
-		case s.zoneCost(a) != s.zoneCost(b):
-			return cmp.Compare(s.zoneCost(a), s.zoneCost(b))
-		case a.tieBreaker != b.tieBreaker && s.settings.FleetSize > smallFleetSize:
+		case e.zoneCost(a) != e.zoneCost(b):
+			return cmp.Compare(e.zoneCost(a), e.zoneCost(b))
+		case a.tieBreaker != b.tieBreaker && e.settings.FleetSize > smallFleetSize:
 			return cmp.Compare(a.tieBreaker, b.tieBreaker)
 		}
 		return cmp.Compare(a.ID, b.ID)
 	}
-	for _, g := range d.scopes {
-		slices.SortFunc(g.endpoints, less)
+	for _, scope := range dest.scopes {
+		slices.SortFunc(scope.endpoints, less)
 	}
-	if len(d.scopes) > 1 {
-		slices.SortFunc(d.scopes, func(a, b *limitScope) int { return less(a.endpoints[0], b.endpoints[0]) })
+	if len(dest.scopes) > 1 {
+		slices.SortFunc(dest.scopes, func(a, b *limitScope) int { return less(a.endpoints[0], b.endpoints[0]) })
 	}
 }
 
 // zoneCost is what a message costs by its route's zone.
-func (s *Engine) zoneCost(r *endpoint) float64 {
-	if r.scope.perEndpoint && r.Zone >= 0 && r.Zone < len(s.settings.ZoneCosts) {
-		return s.settings.ZoneCosts[r.Zone]
+func (e *Engine) zoneCost(ep *endpoint) float64 {
+	if ep.scope.perEndpoint && ep.Zone >= 0 && ep.Zone < len(e.settings.ZoneCosts) {
+		return e.settings.ZoneCosts[ep.Zone]
 	}
 	return 0
 }
 
 // knownLimit is what a gate takes from all senders, on the low side, in calls a second; 0 if nothing tells. One
 // that is told in answers and has not been yet is taken for the least told of its kind.
-func (s *Engine) knownLimit(g *limitScope) float64 {
-	if l := cmp.Or(g.reportedLimit, s.lowestReportedLimit[g.kind]); l > 0 || s.settings.IgnoreWeights || len(g.endpoints) == 0 {
+func (e *Engine) knownLimit(scope *limitScope) float64 {
+	if l := cmp.Or(scope.reportedLimit, e.lowestReportedLimit[scope.kind]); l > 0 || e.settings.IgnoreWeights || len(scope.endpoints) == 0 {
 		return l
 	}
-	if s.settings.ApproximateWeights {
-		return g.endpoints[0].Weight / approximateWeightFactor
+	if e.settings.ApproximateWeights {
+		return scope.endpoints[0].Weight / approximateWeightFactor
 	}
-	return g.endpoints[0].Weight
+	return scope.endpoints[0].Weight
 }
 
 // fairShare is this sender's part of the calls a second that a gate takes from all: a fixed mix of an even part
 // and own deliveries, since traffic is uneven. Each adds up to what the gate takes, and so does the mix.
-func (s *Engine) fairShare(g *limitScope) float64 {
-	return (1-ownDeliveryRatio)*s.scopeCapacity(g)/float64(s.settings.FleetSize) + ownDeliveryRatio*s.deliveryRate(g)
+func (e *Engine) fairShare(scope *limitScope) float64 {
+	return (1-ownDeliveryRatio)*e.scopeCapacity(scope)/float64(e.settings.FleetSize) + ownDeliveryRatio*e.deliveryRate(scope)
 }
 
 // recoveryRate is how many calls a second this sender may make to a route in doubt that takes L from all when
@@ -226,60 +226,60 @@
 // scatters by sqrt(n), by half a call for each of few. n + scatter*deviation = b gives n, shared by parts
 // that add up. A call not made lapses. The share grows with the time since the first delivery, no further
 // than deliveries in a row bear out: an outage fails most calls, k in a row have a chance of 2^-k in it.
-func (s *Engine) recoveryRate(r *endpoint) float64 {
-	share, warming := s.settings.WarmUpInitialCapacity, 1-s.settings.WarmUpInitialCapacity
-	window, warm := s.settings.OverloadWindow.Seconds(), s.settings.WarmUpDuration.Seconds()
-	if r.recoveredAt > 0 {
-		share += warming * min((s.now-r.recoveredAt).Seconds()/warm, 1-math.Pow(0.5, float64(r.consecutiveSuccesses)))
-	}
-	takes := max(s.scopeCapacity(r.scope), s.deliveryRate(r.scope))
-	b := recoveryPushRatio * s.settings.OverloadFactor * min(1, share+warming*window/warm) * takes * window
+func (e *Engine) recoveryRate(ep *endpoint) float64 {
+	share, warming := e.settings.WarmUpInitialCapacity, 1-e.settings.WarmUpInitialCapacity
+	window, warm := e.settings.OverloadWindow.Seconds(), e.settings.WarmUpDuration.Seconds()
+	if ep.recoveredAt > 0 {
+		share += warming * min((e.now-ep.recoveredAt).Seconds()/warm, 1-math.Pow(0.5, float64(ep.consecutiveSuccesses)))
+	}
+	capacity := max(e.scopeCapacity(ep.scope), e.deliveryRate(ep.scope))
+	b := recoveryPushRatio * e.settings.OverloadFactor * min(1, share+warming*window/warm) * capacity * window
 	root := (math.Sqrt(recoveryDeviations*recoveryDeviations+4*b) - recoveryDeviations) / 2
-	n := max(root*root, b-recoveryDeviations*math.Sqrt(float64(s.settings.FleetSize))/2)
-	return n / (window * (1 + recoveryLapseRatio)) * s.fairShare(r.scope) / takes
+	n := max(root*root, b-recoveryDeviations*math.Sqrt(float64(e.settings.FleetSize))/2)
+	return n / (window * (1 + recoveryLapseRatio)) * e.fairShare(ep.scope) / capacity
 }
 
 // recoveryBudgetAt is when a route that may be cold takes its next call. Guards against pushing over a returning
 // destination: every send to a route in doubt draws on one budget of its gate. The first call is drawn by
 // chance, so that the sum over all senders is right. It holds during an outage too, whose end is not told.
-func (s *Engine) recoveryBudgetAt(r *endpoint) time.Duration {
-	g := r.scope
-	r.warmingUp = r.warmingUp && (r.recoveredAt == 0 || s.now < r.recoveredAt+s.settings.WarmUpDuration)
-	if r.lastSuccessAt == 0 && (g.consecutiveFailures >= suspectAfterFailures || g.hasSuspect() || s.now < g.suspectRemovedAt+s.settings.WarmUpDuration) {
-		s.suspect(r) // not answered yet: it stands as its siblings do, or those it replaced
+func (e *Engine) recoveryBudgetAt(ep *endpoint) time.Duration {
+	scope := ep.scope
+	ep.warmingUp = ep.warmingUp && (ep.recoveredAt == 0 || e.now < ep.recoveredAt+e.settings.WarmUpDuration)
+	if ep.lastSuccessAt == 0 && (scope.consecutiveFailures >= suspectAfterFailures || scope.hasSuspect() || e.now < scope.suspectRemovedAt+e.settings.WarmUpDuration) {
+		e.suspect(ep) // not answered yet: it stands as its siblings do, or those it replaced
 	}
-	if !r.warmingUp {
+	if !ep.warmingUp {
 		return 0
 	}
-	rate := s.recoveryRate(r)
+	rate := e.recoveryRate(ep)
 	// A told wait saves nothing up: all who were told it would call at its end.
-	g.recoveryUpdatedAt = max(g.recoveryUpdatedAt, g.retryAfterUntil)
-	if s.now > g.recoveryUpdatedAt {
-		g.recoveryTokens += rate * (s.now - g.recoveryUpdatedAt).Seconds()
-		g.recoveryTokens -= math.Max(0, math.Floor(g.recoveryTokens-rate*recoveryLapseRatio*s.settings.OverloadWindow.Seconds()))
-		g.recoveryUpdatedAt = s.now
+	scope.recoveryUpdatedAt = max(scope.recoveryUpdatedAt, scope.retryAfterUntil)
+	if e.now > scope.recoveryUpdatedAt {
+		scope.recoveryTokens += rate * (e.now - scope.recoveryUpdatedAt).Seconds()
+		scope.recoveryTokens -= math.Max(0, math.Floor(scope.recoveryTokens-rate*recoveryLapseRatio*e.settings.OverloadWindow.Seconds()))
+		scope.recoveryUpdatedAt = e.now
 	}
-	if g.recoveryTokens >= 1 {
+	if scope.recoveryTokens >= 1 {
 		return 0
 	}
-	return g.recoveryUpdatedAt + max(time.Millisecond, callInterval(rate/(1-g.recoveryTokens)))
+	return scope.recoveryUpdatedAt + max(time.Millisecond, callInterval(rate/(1-scope.recoveryTokens)))
 }
 
 // acceptsCallAt is when a route next takes a call, as far as its gate, skip and pace tell; math.MaxInt64 if
 // only an outcome can open it.
-func (s *Engine) acceptsCallAt(r *endpoint) time.Duration {
-	g := r.scope
-	if !r.InService || r.Removed || r.ejected && len(r.calls) > 0 || s.saturated(r) {
+func (e *Engine) acceptsCallAt(ep *endpoint) time.Duration {
+	scope := ep.scope
+	if !ep.InService || ep.Removed || ep.ejected && len(ep.calls) > 0 || e.saturated(ep) {
 		return math.MaxInt64
 	}
-	at := max(g.retryAfterUntil, r.ejectedUntil, s.recoveryBudgetAt(r))
-	if s.isLargeFleet(g) {
-		s.boundPacing(g, g.pacingRate)
+	at := max(scope.retryAfterUntil, ep.ejectedUntil, e.recoveryBudgetAt(ep))
+	if e.isLargeFleet(scope) {
+		e.boundPacing(scope, scope.pacingRate)
 	}
-	if g.pacingRate > 0 {
-		s.refillTokens(g)
-		if g.tokens < 1 && !g.hasGrant(s.now) {
-			at = s.requestQuota(g, at, max(at, g.tokensUpdatedAt+callInterval(s.tokenRate(g)/(1-g.tokens))))
+	if scope.pacingRate > 0 {
+		e.refillTokens(scope)
+		if scope.tokens < 1 && !scope.hasGrant(e.now) {
+			at = e.requestQuota(scope, at, max(at, scope.tokensUpdatedAt+callInterval(e.tokenRate(scope)/(1-scope.tokens))))
 		}
 	}
 	return at
@@ -288,154 +288,154 @@
 // saturated tells whether a route or its gate holds too many slots. Guards against silent or very slow routes
 // that would fill the slots before any time-out tells: while the oldest calls are overdue, only a few may be
 // out. A jam of the whole fleet looks alike; it ends with the first answer.
-func (s *Engine) saturated(r *endpoint) bool {
-	full := r.scope.inFlight >= max(2, int(maxScopeInFlightRatio*float64(s.settings.MaxInFlightCalls)))
-	return s.settings.MaxInFlightCalls > 0 && (full || s.hasOverdueCalls(r, min(ejectAfterFailures, max(1, s.settings.MaxInFlightCalls/4))))
+func (e *Engine) saturated(ep *endpoint) bool {
+	scopeFull := ep.scope.inFlight >= max(2, int(maxScopeInFlightRatio*float64(e.settings.MaxInFlightCalls)))
+	return e.settings.MaxInFlightCalls > 0 && (scopeFull || e.hasOverdueCalls(ep, min(ejectAfterFailures, max(1, e.settings.MaxInFlightCalls/4))))
 }
 
 // hasOverdueCalls tells whether n calls of a route are overdue, with none answered that were sent later.
-func (s *Engine) hasOverdueCalls(r *endpoint, n int) bool {
-	return len(r.calls) >= n && s.now > r.calls[n-1].overdueAt && r.lastAnsweredSendAt < r.calls[n-1].sentAt
+func (e *Engine) hasOverdueCalls(ep *endpoint, n int) bool {
+	return len(ep.calls) >= n && e.now > ep.calls[n-1].overdueAt && ep.lastAnsweredSendAt < ep.calls[n-1].sentAt
 }
 
 // decreasePacing sets the pace to half the last second's rate, once for all calls that were out together.
-func (s *Engine) decreasePacing(r *endpoint, o observation) {
-	g := r.scope
-	if o.sentAt < g.decreasedAt {
+func (e *Engine) decreasePacing(ep *endpoint, obs observation) {
+	scope := ep.scope
+	if obs.sentAt < scope.decreasedAt {
 		return
 	}
-	rate := s.sendRate(g)
-	if g.pacingRate > 0 {
-		rate = math.Min(rate, g.pacingRate)
+	rate := e.sendRate(scope)
+	if scope.pacingRate > 0 {
+		rate = math.Min(rate, scope.pacingRate)
 	}
-	if s.isLargeFleet(g) {
-		g.lastRejectedRate, g.pacingRate = 0, s.fleetRateAfterRejection(r, cmp.Or(rate, g.pacingRate)) // one in seconds: none in the last
+	if e.isLargeFleet(scope) {
+		scope.lastRejectedRate, scope.pacingRate = 0, e.fleetRateAfterRejection(ep, cmp.Or(rate, scope.pacingRate)) // one in seconds: none in the last
 	} else {
 		// Counts of few calls a second are rough: halvings must not starve a gate whose limit is known.
-		least := math.Max(minPacingRate, minPacingShareRatio*s.knownLimit(g)/float64(s.settings.FleetSize))
-		g.lastRejectedRate, g.pacingRate = math.Max(rate, least), math.Max(rate/2, least)
+		least := math.Max(minPacingRate, minPacingShareRatio*e.knownLimit(scope)/float64(e.settings.FleetSize))
+		scope.lastRejectedRate, scope.pacingRate = math.Max(rate, least), math.Max(rate/2, least)
 	}
-	g.tokens, g.tokensUpdatedAt, g.decreasedAt = 0, s.now, s.now
+	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 0, e.now, e.now
 	// A clump refused at hundreds of senders comes again spread over a call's time.
-	if s.hasSparseShare(g) {
-		g.tokens = 0.5 - sparseSpreadCalls*s.rng.Float64()
+	if e.hasSparseShare(scope) {
+		scope.tokens = 0.5 - sparseSpreadCalls*e.rng.Float64()
 	}
 }
 
 // increasePacing lets the pace grow with a success, slowly near the rate that was refused last.
-func (s *Engine) increasePacing(g *limitScope) {
-	if g.pacingRate == 0 {
+func (e *Engine) increasePacing(scope *limitScope) {
+	if scope.pacingRate == 0 {
 		return
 	}
-	s.refillTokens(g)
-	if g.pacingRate > maxUnusedPacingRatio*math.Max(1, s.sendRate(g)) {
+	e.refillTokens(scope)
+	if scope.pacingRate > maxUnusedPacingRatio*math.Max(1, e.sendRate(scope)) {
 		return
 	}
 	growth := pacingGrowth
-	if s.isLargeFleet(g) {
-		growth = s.fleetPacingGrowth(g)
-	} else if g.lastRejectedRate > 0 && g.pacingRate > nearLimitRatio*g.lastRejectedRate {
+	if e.isLargeFleet(scope) {
+		growth = e.fleetPacingGrowth(scope)
+	} else if scope.lastRejectedRate > 0 && scope.pacingRate > nearLimitRatio*scope.lastRejectedRate {
 		growth = cautiousPacingGrowth
 	}
 	if growth == 0 {
 		return
 	}
 	// Where successes are seconds apart, each counts for the seconds that it stands for.
-	steps := min(max(1, (s.now-max(g.increasedAt, g.decreasedAt)).Seconds()), maxGrowthSeconds)
-	was := g.pacingRate
-	g.pacingRate, g.increasedAt = g.pacingRate*math.Pow(1+growth, steps), s.now
-	if s.isLargeFleet(g) {
-		s.boundPacing(g, was)
+	steps := min(max(1, (e.now-max(scope.increasedAt, scope.decreasedAt)).Seconds()), maxGrowthSeconds)
+	was := scope.pacingRate
+	scope.pacingRate, scope.increasedAt = scope.pacingRate*math.Pow(1+growth, steps), e.now
+	if e.isLargeFleet(scope) {
+		e.boundPacing(scope, was)
 	}
 	// While one call carries all that waits, more than this part only takes the room of others' backlogs.
-	if n := s.maxBatch(g.kind); n > 1 && len(g.destination.queue) < n && s.knownLimit(g) > 0 {
-		g.pacingRate = math.Min(g.pacingRate, s.fairShare(g))
+	if n := e.maxBatch(scope.kind); n > 1 && len(scope.destination.queue) < n && e.knownLimit(scope) > 0 {
+		scope.pacingRate = math.Min(scope.pacingRate, e.fairShare(scope))
 	}
 }
 
 // looksConnectExhausted tells whether a failed connection looks like a full table: it failed at once, at a route that
 // answered of late or, among many senders, of a kind that had such failures. Some in a row are an outage.
-func (s *Engine) looksConnectExhausted(r *endpoint, o observation) bool {
-	short := s.settings.FleetSize > smallFleetSize && s.now < s.connectShortageUntil[r.Kind]
-	failed := o.outcome == ConnectFailed && s.now-o.sentAt < minLatencyBound
-	return failed && r.scope.connectExhaustions < maxConnectExhaustions && (s.recentlyHealthy(r) || short)
+func (e *Engine) looksConnectExhausted(ep *endpoint, obs observation) bool {
+	truncated := e.settings.FleetSize > smallFleetSize && e.now < e.connectShortageUntil[ep.Kind]
+	failed := obs.outcome == ConnectFailed && e.now-obs.sentAt < minLatencyBound
+	return failed && ep.scope.connectExhaustions < maxConnectExhaustions && (e.recentlyHealthy(ep) || truncated)
 }
 
 // pauseConnecting answers a full connection table.
-func (s *Engine) pauseConnecting(r *endpoint, _ observation) {
-	r.ejectedUntil = s.now + time.Duration((0.5+s.rng.Float64())*float64(connectExhaustionPause))
-	s.emit(Action{Kind: CloseIdle, Endpoint: r.ID})
+func (e *Engine) pauseConnecting(ep *endpoint, _ observation) {
+	ep.ejectedUntil = e.now + time.Duration((0.5+e.rng.Float64())*float64(connectExhaustionPause))
+	e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
 }
 
 // observeOutcome takes an outcome as an observation of its route.
-func (s *Engine) observeOutcome(r *endpoint, o observation, took time.Duration) {
-	if s.now < s.closeIdleUntil[r.Kind] {
-		s.emit(Action{Kind: CloseIdle, Endpoint: r.ID})
+func (e *Engine) observeOutcome(ep *endpoint, obs observation, latency time.Duration) {
+	if e.now < e.closeIdleUntil[ep.Kind] {
+		e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
 	}
-	switch o.outcome {
+	switch obs.outcome {
 	case OK:
-		s.recordSuccess(r, o.sentAt, took)
+		e.recordSuccess(ep, obs.sentAt, latency)
 		return
 	case NotSent, Cancelled:
 		return
 	case Overloaded:
-		if r.consecutiveRejections == 0 {
-			r.firstRejectedAt = s.now
+		if ep.consecutiveRejections == 0 {
+			ep.firstRejectedAt = e.now
 		}
-		r.consecutiveRejections++
-		r.scope.lastFailureSentAt = max(r.scope.lastFailureSentAt, o.sentAt)
-		s.suspectOnWeakSignal(r)
+		ep.consecutiveRejections++
+		ep.scope.lastFailureSentAt = max(ep.scope.lastFailureSentAt, obs.sentAt)
+		e.suspectOnWeakSignal(ep)
 	default:
-		r.answerLost = r.answerLost || o.outcome == Reset
-		if o.outcome == Timeout || o.outcome == Reset {
+		ep.answerLost = ep.answerLost || obs.outcome == Reset
+		if obs.outcome == Timeout || obs.outcome == Reset {
 			// Calls may be lost with the connection that carries them: the next one takes a fresh one.
-			s.emit(Action{Kind: CloseIdle, Endpoint: r.ID})
+			e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
 			// A later call was answered, or the route lives: this one says nothing of its standing.
 			// Nor does a call with less time than an answer takes. Guards against a backlog whose late calls
 			// keep a route in doubt for good.
-			if r.lastAnsweredSendAt >= o.sentAt || (o.outcome == Reset || o.truncated) && s.recentlyHealthy(r) {
+			if ep.lastAnsweredSendAt >= obs.sentAt || (obs.outcome == Reset || obs.truncated) && e.recentlyHealthy(ep) {
 				return
 			}
 		}
-		if o.outcome == Timeout {
-			s.recordLatency(r, took+took/2)
+		if obs.outcome == Timeout {
+			e.recordLatency(ep, latency+latency/2)
 		}
-		o.connectExhausted = s.looksConnectExhausted(r, o)
-		if o.outcome == ConnectFailed && s.now-o.sentAt < minLatencyBound {
-			s.connectShortageUntil[r.Kind] = s.now + connectShortageWindow
+		obs.connectExhausted = e.looksConnectExhausted(ep, obs)
+		if obs.outcome == ConnectFailed && e.now-obs.sentAt < minLatencyBound {
+			e.connectShortageUntil[ep.Kind] = e.now + connectShortageWindow
 		}
-		if o.connectExhausted {
-			r.scope.connectExhaustions++
-			s.suspectOnWeakSignal(r)
+		if obs.connectExhausted {
+			ep.scope.connectExhaustions++
+			e.suspectOnWeakSignal(ep)
 			break
 		}
-		r.consecutiveFailures, r.consecutiveRejections = r.consecutiveFailures+1, 0
+		ep.consecutiveFailures, ep.consecutiveRejections = ep.consecutiveFailures+1, 0
 		// An outage answers no call or fails most at once: time-outs between answers are losses, not that.
-		if o.outcome == Error || o.outcome == ConnectFailed {
-			r.recentFailures = r.recentFailures<<1 | 1
-			r.scope.lastFailureSentAt = max(r.scope.lastFailureSentAt, o.sentAt)
+		if obs.outcome == Error || obs.outcome == ConnectFailed {
+			ep.recentFailures = ep.recentFailures<<1 | 1
+			ep.scope.lastFailureSentAt = max(ep.scope.lastFailureSentAt, obs.sentAt)
 		}
-		if r.consecutiveFailures >= suspectAfterFailures || bits.OnesCount8(r.recentFailures) >= suspectAfterRecentFailures {
-			s.suspect(r)
+		if ep.consecutiveFailures >= suspectAfterFailures || bits.OnesCount8(ep.recentFailures) >= suspectAfterRecentFailures {
+			e.suspect(ep)
 		} else {
-			s.suspectWeakly(r)
+			e.suspectWeakly(ep)
 		}
 		// Failures in a row over all routes of a gate tell of an outage of them all.
-		if r.scope.consecutiveFailures++; r.scope.consecutiveFailures >= ejectAfterFailures {
-			s.suspectScope(r, o)
+		if ep.scope.consecutiveFailures++; ep.scope.consecutiveFailures >= ejectAfterFailures {
+			e.suspectScope(ep, obs)
 		}
 	}
 	// A call cut off early, for lack of time left, may cast doubt on its route but skips none.
-	if o.truncated {
+	if obs.truncated {
 		return
 	}
-	for _, f := range failureRules {
-		if f.matches(s, r, o) {
-			if f.respond != nil {
-				f.respond(s, r, o)
+	for _, rule := range failureRules {
+		if rule.matches(e, ep, obs) {
+			if rule.respond != nil {
+				rule.respond(e, ep, obs)
 			}
-			if f.ejects {
-				s.eject(r, o.sentAt)
+			if rule.ejects {
+				e.eject(ep, obs.sentAt)
 			}
 			return
 		}
@@ -443,297 +443,297 @@
 }
 
 // recentlyHealthy tells whether a route has answered of late.
-func (s *Engine) recentlyHealthy(r *endpoint) bool {
-	return r.lastSuccessAt > 0 && s.now-r.lastSuccessAt < recentlyHealthyWindow
+func (e *Engine) recentlyHealthy(ep *endpoint) bool {
+	return ep.lastSuccessAt > 0 && e.now-ep.lastSuccessAt < recentlyHealthyWindow
 }
 
 // suspect puts a route under the recovery budget.
-func (s *Engine) suspect(r *endpoint) {
-	if g := r.scope; !g.hasSuspect() {
-		g.recoveryTokens, g.recoveryUpdatedAt = s.rng.Float64(), s.now
-		g.deliveryRate, g.deliveryRateAt = s.deliveryRate(g), s.now
+func (e *Engine) suspect(ep *endpoint) {
+	if scope := ep.scope; !scope.hasSuspect() {
+		scope.recoveryTokens, scope.recoveryUpdatedAt = e.rng.Float64(), e.now
+		scope.deliveryRate, scope.deliveryRateAt = e.deliveryRate(scope), e.now
 	}
-	r.warmingUp, r.weaklySuspected, r.recoveredAt, r.consecutiveSuccesses, r.lastFailureSentAt = true, false, 0, 0, r.scope.lastFailureSentAt
+	ep.warmingUp, ep.weaklySuspected, ep.recoveredAt, ep.consecutiveSuccesses, ep.lastFailureSentAt = true, false, 0, 0, ep.scope.lastFailureSentAt
 }
 
 // suspectScope does so with all routes that share the limit of one.
-func (s *Engine) suspectScope(r *endpoint, _ observation) {
-	for _, x := range r.scope.endpoints {
-		s.suspect(x)
+func (e *Engine) suspectScope(ep *endpoint, _ observation) {
+	for _, other := range ep.scope.endpoints {
+		e.suspect(other)
 	}
 }
 
 // eject enters a route in the skip table. Failures of calls sent before the skip began add nothing.
-func (s *Engine) eject(r *endpoint, sent time.Duration) {
-	s.suspect(r)
-	if r.ejected && sent < r.ejectedUntil-r.ejectionTime {
+func (e *Engine) eject(ep *endpoint, sent time.Duration) {
+	e.suspect(ep)
+	if ep.ejected && sent < ep.ejectedUntil-ep.ejectionTime {
 		return
 	}
 	next := initialEjectionTime
-	if r.ejected && r.ejectionTime > 0 {
-		next = min(maxEjectionTime, time.Duration(float64(r.ejectionTime)*ejectionGrowth))
+	if ep.ejected && ep.ejectionTime > 0 {
+		next = min(maxEjectionTime, time.Duration(float64(ep.ejectionTime)*ejectionGrowth))
 	}
-	r.ejectionTime = time.Duration(float64(next) * (1 + ejectionJitter*(2*s.rng.Float64()-1)))
-	r.ejected, r.ejectedUntil = true, s.now+r.ejectionTime
+	ep.ejectionTime = time.Duration(float64(next) * (1 + ejectionJitter*(2*e.rng.Float64()-1)))
+	ep.ejected, ep.ejectedUntil = true, e.now+ep.ejectionTime
 }
 
 // recordLatency learns how long answers of a route take. A time-out tells that its answer takes longer.
-func (s *Engine) recordLatency(r *endpoint, took time.Duration) {
-	if r.latencyMean == 0 {
-		r.latencyMean, r.latencyDeviation = took, took/2
+func (e *Engine) recordLatency(ep *endpoint, latency time.Duration) {
+	if ep.latencyMean == 0 {
+		ep.latencyMean, ep.latencyDeviation = latency, latency/2
 		return
 	}
-	d := took - r.latencyMean
-	r.latencyMean, r.latencyDeviation = r.latencyMean+d/8, r.latencyDeviation+(max(d, -d)-r.latencyDeviation)/4
+	d := latency - ep.latencyMean
+	ep.latencyMean, ep.latencyDeviation = ep.latencyMean+d/8, ep.latencyDeviation+(max(d, -d)-ep.latencyDeviation)/4
 }
 
-func (s *Engine) recordSuccess(r *endpoint, sent, took time.Duration) {
-	g := r.scope
+func (e *Engine) recordSuccess(ep *endpoint, sent, latency time.Duration) {
+	scope := ep.scope
 	// A table that was full and takes a call again was not away. Guards against connections closed after
 	// every use for an outage of others: each call of a fleet then cost a handshake.
-	if g.connectExhaustions > 0 && g.consecutiveFailures == 0 && s.settings.FleetSize > smallFleetSize {
-		s.closeIdleUntil[r.Kind] = s.now + connectShortageWindow
-	}
-	r.lastSuccessAt, r.lastAnsweredSendAt, r.consecutiveFailures, r.consecutiveRejections, r.answerLost = s.now, max(r.lastAnsweredSendAt, sent), 0, 0, false
-	r.recentFailures, g.consecutiveFailures, g.connectExhaustions = r.recentFailures<<1, 0, 0
-	s.recordLatency(r, took)
-	if r.ejected {
-		r.ejected, r.ejectedUntil, r.ejectionTime = false, 0, 0
+	if scope.connectExhaustions > 0 && scope.consecutiveFailures == 0 && e.settings.FleetSize > smallFleetSize {
+		e.closeIdleUntil[ep.Kind] = e.now + connectShortageWindow
+	}
+	ep.lastSuccessAt, ep.lastAnsweredSendAt, ep.consecutiveFailures, ep.consecutiveRejections, ep.answerLost = e.now, max(ep.lastAnsweredSendAt, sent), 0, 0, false
+	ep.recentFailures, scope.consecutiveFailures, scope.connectExhaustions = ep.recentFailures<<1, 0, 0
+	e.recordLatency(ep, latency)
+	if ep.ejected {
+		ep.ejected, ep.ejectedUntil, ep.ejectionTime = false, 0, 0
 		// Where a sibling answered all the while, the destination was not away: its pace stands.
-		if !slices.ContainsFunc(g.endpoints, func(x *endpoint) bool { return x != r && s.recentlyHealthy(x) }) {
-			g.pacingRate, g.tokens, g.tokensUpdatedAt = pacingRestartRate, 0, s.now
+		if !slices.ContainsFunc(scope.endpoints, func(other *endpoint) bool { return other != ep && e.recentlyHealthy(other) }) {
+			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = pacingRestartRate, 0, e.now
 		}
 	}
-	s.recordDelivery(g)
+	e.recordDelivery(scope)
 	// What was sent before a call that failed at once tells of no return.
-	if r.consecutiveSuccesses++; r.warmingUp && r.recoveredAt == 0 && sent > r.lastFailureSentAt {
-		r.recoveredAt, r.warmingUp = s.now, !r.weaklySuspected || s.fairShare(r.scope)*s.settings.WarmUpDuration.Seconds() > 1
+	if ep.consecutiveSuccesses++; ep.warmingUp && ep.recoveredAt == 0 && sent > ep.lastFailureSentAt {
+		ep.recoveredAt, ep.warmingUp = e.now, !ep.weaklySuspected || e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() > 1
 	}
-	s.increasePacing(g)
+	e.increasePacing(scope)
 }
 
 // Messages.
 
-func (s *Engine) acceptMessage(e *Event) {
+func (e *Engine) acceptMessage(event *Event) {
 	// the strictest
-	c := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: e.TimeLeft / 2, Deadline: e.TimeLeft, Weight: 1}
-	if e.Class >= 0 && e.Class < len(s.settings.Classes) {
-		c = &s.settings.Classes[e.Class]
-	}
-	m := &message{id: e.MessageID, class: c, maxAttempts: s.settings.MaxAttempts, destination: s.ensureDestination(e.Destination)}
-	m.deadline = s.now + e.TimeLeft - deadlineMargin
-	m.objectiveAt = s.now + c.LatencyObjective - max(0, c.Deadline-e.TimeLeft)
-	m.queueRank = s.now + time.Duration(float64(m.objectiveAt-s.now)/math.Max(c.Weight, 0.01))
-	if s.exceedsQuota(e.Tenant) {
-		m.queueRank += time.Duration(overQuotaDelayRatio * float64(e.TimeLeft))
-	}
-	s.messages[m.id] = m
-	s.countAccepted()
-	s.pendingMessages++
-	m.destination.messageCount++
-	if c.Ordered && e.Key != "" {
-		s.joinKeyQueue(m, e.Key)
-	}
-	s.recoverMessage(m, e.Recovered)
-	s.deadlines.push(deadlineEntry{m.deadline, m})
-	s.deadlines.push(deadlineEntry{m.objectiveAt, m})
-	s.enqueue(m)
-	s.shedLoad()
+	class := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: event.TimeLeft / 2, Deadline: event.TimeLeft, Weight: 1}
+	if event.Class >= 0 && event.Class < len(e.settings.Classes) {
+		class = &e.settings.Classes[event.Class]
+	}
+	msg := &message{id: event.MessageID, class: class, maxAttempts: e.settings.MaxAttempts, destination: e.ensureDestination(event.Destination)}
+	msg.deadline = e.now + event.TimeLeft - deadlineMargin
+	msg.objectiveAt = e.now + class.LatencyObjective - max(0, class.Deadline-event.TimeLeft)
+	msg.queueRank = e.now + time.Duration(float64(msg.objectiveAt-e.now)/math.Max(class.Weight, 0.01))
+	if e.exceedsQuota(event.Tenant) {
+		msg.queueRank += time.Duration(overQuotaDelayRatio * float64(event.TimeLeft))
+	}
+	e.messages[msg.id] = msg
+	e.countAccepted()
+	e.pendingMessages++
+	msg.destination.messageCount++
+	if class.Ordered && event.Key != "" {
+		e.joinKeyQueue(msg, event.Key)
+	}
+	e.recoverMessage(msg, event.Recovered)
+	e.deadlines.push(deadlineEntry{msg.deadline, msg})
+	e.deadlines.push(deadlineEntry{msg.objectiveAt, msg})
+	e.enqueue(msg)
+	e.shedLoad()
 }
 
 // exceedsQuota counts a message against its customer's share and tells whether it lies beyond.
-func (s *Engine) exceedsQuota(c int) bool {
-	if c < 0 || c >= len(s.tenantTraffic) || s.settings.Tenants[c].Quota <= 0 {
+func (e *Engine) exceedsQuota(c int) bool {
+	if c < 0 || c >= len(e.tenantTraffic) || e.settings.Tenants[c].Quota <= 0 {
 		return false
 	}
-	b, rate := &s.tenantTraffic[c], s.settings.Tenants[c].Quota/float64(s.settings.FleetSize)
-	b.level, b.updatedAt = math.Max(0, b.level-rate*(s.now-b.updatedAt).Seconds())+1, s.now
-	if b.level > 1+2*rate {
-		b.level--
+	meter, rate := &e.tenantTraffic[c], e.settings.Tenants[c].Quota/float64(e.settings.FleetSize)
+	meter.level, meter.updatedAt = math.Max(0, meter.level-rate*(e.now-meter.updatedAt).Seconds())+1, e.now
+	if meter.level > 1+2*rate {
+		meter.level--
 		return true
 	}
 	return false
 }
 
 // shedLoad refuses the last message of the longest queue while little room is left.
-func (s *Engine) shedLoad() {
-	if s.settings.MaxPendingMessages <= 0 || s.pendingMessages <= int(maxPendingRatio*float64(s.settings.MaxPendingMessages)) {
+func (e *Engine) shedLoad() {
+	if e.settings.MaxPendingMessages <= 0 || e.pendingMessages <= int(maxPendingRatio*float64(e.settings.MaxPendingMessages)) {
 		return
 	}
-	long := slices.MaxFunc(s.active, func(a, b *destination) int {
+	longest := slices.MaxFunc(e.active, func(a, b *destination) int {
 		return cmp.Or(len(a.queue)-len(b.queue), b.id-a.id)
 	})
-	for i := len(long.queue) - 1; i >= max(0, len(long.queue)-maxQueueScan); i-- {
-		if m := long.queue[i]; s.mayShed(m) {
-			s.reject(m)
+	for i := len(longest.queue) - 1; i >= max(0, len(longest.queue)-maxQueueScan); i-- {
+		if msg := longest.queue[i]; e.mayShed(msg) {
+			e.reject(msg)
 			return
 		}
 	}
 }
 
-func (s *Engine) attemptFinished(e *Event) {
-	m := s.messages[e.MessageID]
-	r, c := s.endpoints[e.Endpoint], s.takeCall(m, e.Attempt)
+func (e *Engine) attemptFinished(event *Event) {
+	msg := e.messages[event.MessageID]
+	ep, c := e.endpoints[event.Endpoint], e.takeCall(msg, event.Attempt)
 	if c != nil {
-		r = c.endpoint
+		ep = c.endpoint
 	}
 	// A told wait keeps every message from the gate until it is over, whoever was told.
-	if r != nil && e.RetryAfter > 0 {
-		r.scope.retryAfterUntil = max(r.scope.retryAfterUntil, s.now+e.RetryAfter)
+	if ep != nil && event.RetryAfter > 0 {
+		ep.scope.retryAfterUntil = max(ep.scope.retryAfterUntil, e.now+event.RetryAfter)
 	}
 	if c == nil {
 		return
 	}
-	s.recordLimit(r, e.LimitReport)
-	c.pending, c.delivered = c.pending-1, c.delivered || e.Outcome == OK
+	e.recordLimit(ep, event.LimitReport)
+	c.pending, c.delivered = c.pending-1, c.delivered || event.Outcome == OK
 	if c.pending == 0 {
-		s.recordCallEnd(c)
-		o := e.Outcome
+		e.recordCallEnd(c)
+		outcome := event.Outcome
 		if c.delivered {
-			o = OK
+			outcome = OK
 		}
-		due := c.sentAt + min(minLatencyBound, cmp.Or(m.class.LatencyObjective, minLatencyBound))
-		short := (o == Timeout || o == ConnectFailed) && c.timeoutAt < due
-		s.observeOutcome(r, observation{outcome: o, retryAfter: e.RetryAfter, sentAt: c.sentAt, truncated: short}, e.Latency)
+		due := c.sentAt + min(minLatencyBound, cmp.Or(msg.class.LatencyObjective, minLatencyBound))
+		truncated := (outcome == Timeout || outcome == ConnectFailed) && c.timeoutAt < due
+		e.observeOutcome(ep, observation{outcome: outcome, retryAfter: event.RetryAfter, sentAt: c.sentAt, truncated: truncated}, event.Latency)
 	}
-	s.recheck(m.destination)
-	s.recordPossibleEffect(m, e, c)
+	e.recheck(msg.destination)
+	e.recordPossibleEffect(msg, event, c)
 	switch {
-	case e.MessageEnded:
-		s.finishMessage(m)
-	case m.ended:
-		s.releaseMessage(m)
-	case s.attemptsExhausted(m):
-		s.rejectOrFail(m)
+	case event.MessageEnded:
+		e.finishMessage(msg)
+	case msg.ended:
+		e.releaseMessage(msg)
+	case e.attemptsExhausted(msg):
+		e.rejectOrFail(msg)
 	default:
-		s.enqueue(m)
+		e.enqueue(msg)
 	}
 }
 
 // recordPossibleEffect notes for a message what its attempt may have done.
-func (s *Engine) recordPossibleEffect(m *message, e *Event, c *call) {
-	switch e.Outcome {
+func (e *Engine) recordPossibleEffect(msg *message, event *Event, c *call) {
+	switch event.Outcome {
 	case ConnectFailed:
-		m.lastFailedEndpoint = c.endpoint
+		msg.lastFailedEndpoint = c.endpoint
 		return
 	case Overloaded, NotSent:
 		return
 	case Timeout, Reset, Cancelled:
-		m.timeouts++
-		if m.keyQueue != nil {
-			m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, s.now+s.settings.OrderingPause)
+		msg.timeouts++
+		if msg.keyQueue != nil {
+			msg.keyQueue.pausedUntil = max(msg.keyQueue.pausedUntil, e.now+e.settings.OrderingPause)
 		}
 	}
-	m.lastFailedEndpoint = c.endpoint
-	if !m.mayHaveRun || c.sentAt < m.firstRunAt {
-		s.recordFirstRun(m, c.sentAt, c.endpoint.Zone)
+	msg.lastFailedEndpoint = c.endpoint
+	if !msg.mayHaveRun || c.sentAt < msg.firstRunAt {
+		e.recordFirstRun(msg, c.sentAt, c.endpoint.Zone)
 	}
 }
 
 // mayReject tells whether a refusal keeps the rule of effects: the client may come again.
-func (s *Engine) mayReject(m *message) bool {
-	free := m.class.Effect == Idempotent || m.class.Effect == IdempotentByKey && m.class.DedupAllZones
-	return !m.ended && (free || !m.mayHaveRun && len(m.inFlight) == 0)
+func (e *Engine) mayReject(msg *message) bool {
+	free := msg.class.Effect == Idempotent || msg.class.Effect == IdempotentByKey && msg.class.DedupAllZones
+	return !msg.ended && (free || !msg.mayHaveRun && len(msg.inFlight) == 0)
 }
 
 // attemptAllowedAt is the one guard of all sends. It tells when a send of m to r keeps the rules;
 // math.MaxInt64 if never as things stand.
-func (s *Engine) attemptAllowedAt(m *message, r *endpoint) time.Duration {
+func (e *Engine) attemptAllowedAt(msg *message, ep *endpoint) time.Duration {
 	const never = time.Duration(math.MaxInt64)
 	// Rule 1: nothing after the end, nothing past the time or the attempts.
-	if m.ended || s.now >= m.deadline || m.maxAttempts > 0 && m.attempts >= m.maxAttempts {
+	if msg.ended || e.now >= msg.deadline || msg.maxAttempts > 0 && msg.attempts >= msg.maxAttempts {
 		return never
 	}
 	// Rule 2: one attempt at a time; repeats only where they are dropped.
-	if len(m.inFlight) > 0 {
+	if len(msg.inFlight) > 0 {
 		return never
 	}
-	if m.mayHaveRun {
-		switch m.class.Effect {
+	if msg.mayHaveRun {
+		switch msg.class.Effect {
 		case NonIdempotent:
 			return never
 		case IdempotentByKey:
-			if !m.class.DedupAllZones && r.Zone != m.firstRunZone || s.now >= m.dedupWindowEnd() {
+			if !msg.class.DedupAllZones && ep.Zone != msg.firstRunZone || e.now >= msg.dedupWindowEnd() {
 				return never
 			}
 		}
 	}
 	// Rule 3: routes in service only.
-	if !r.InService || r.Removed || r.Destination != m.destination.id {
+	if !ep.InService || ep.Removed || ep.Destination != msg.destination.id {
 		return never
 	}
 	// Rule 6: the key's turn and its rest.
 	at := time.Duration(0)
-	if t := m.keyQueue; t != nil {
-		if t.messages[0] != m {
+	if queue := msg.keyQueue; queue != nil {
+		if queue.messages[0] != msg {
 			return never
 		}
-		if m.attempts == 0 {
-			at = t.pausedUntil
+		if msg.attempts == 0 {
+			at = queue.pausedUntil
 		}
 	}
 	// Rule 4: the recovery budget. Rule 5: told waits.
-	return max(at, r.scope.retryAfterUntil, s.recoveryBudgetAt(r))
+	return max(at, ep.scope.retryAfterUntil, e.recoveryBudgetAt(ep))
 }
 
 // Route choice.
 
 // selectEndpoint returns the first route in order that takes the message now; else nil and when one may.
-func (s *Engine) selectEndpoint(m *message) (*endpoint, time.Duration) {
-	second, soonest := (*endpoint)(nil), time.Duration(math.MaxInt64)
-	for _, g := range m.destination.scopes {
+func (e *Engine) selectEndpoint(msg *message) (*endpoint, time.Duration) {
+	fallback, soonest := (*endpoint)(nil), time.Duration(math.MaxInt64)
+	for _, scope := range msg.destination.scopes {
 		var best *endpoint
-		for _, r := range g.endpoints {
-			at := s.attemptAllowedAt(m, r)
-			if m.deadline-s.now < r.latencyMean {
+		for _, ep := range scope.endpoints {
+			at := e.attemptAllowedAt(msg, ep)
+			if msg.deadline-e.now < ep.latencyMean {
 				continue // no time left for an answer
 			}
 			// An unsafe message is lost with its attempt: others try a skipped route first.
-			if r.ejected && m.class.Effect == NonIdempotent {
-				at = max(at, m.deadline-(m.deadline-m.objectiveAt)/2)
+			if ep.ejected && msg.class.Effect == NonIdempotent {
+				at = max(at, msg.deadline-(msg.deadline-msg.objectiveAt)/2)
 			}
 			if at < math.MaxInt64 {
-				at = max(at, s.acceptsCallAt(r))
+				at = max(at, e.acceptsCallAt(ep))
 			}
-			if at > s.now {
+			if at > e.now {
 				soonest = min(soonest, at)
 				continue
 			}
-			if r == m.lastFailedEndpoint || s.hasOverdueCalls(r, 1) {
-				second = r
+			if ep == msg.lastFailedEndpoint || e.hasOverdueCalls(ep, 1) {
+				fallback = ep
 				continue
 			}
 			// Routes that share a gate are one tier: the one with fewest calls out, in order.
-			if best == nil || len(r.calls) < len(best.calls) {
-				best = r
+			if best == nil || len(ep.calls) < len(best.calls) {
+				best = ep
 			}
 		}
 		if best != nil {
-			return best, s.now
+			return best, e.now
 		}
 	}
-	return second, soonest
+	return fallback, soonest
 }
 
 // selectNext finds the destination's next message that may go, or when one may.
-func (s *Engine) selectNext(d *destination) {
-	d.candidate, d.candidateEndpoint, d.blockedUntil = nil, nil, math.MaxInt64
-	for _, g := range d.scopes {
-		for _, r := range g.endpoints {
-			d.blockedUntil = min(d.blockedUntil, s.acceptsCallAt(r))
+func (e *Engine) selectNext(dest *destination) {
+	dest.candidate, dest.candidateEndpoint, dest.blockedUntil = nil, nil, math.MaxInt64
+	for _, scope := range dest.scopes {
+		for _, ep := range scope.endpoints {
+			dest.blockedUntil = min(dest.blockedUntil, e.acceptsCallAt(ep))
 		}
 	}
-	if d.blockedUntil > s.now {
+	if dest.blockedUntil > e.now {
 		return
 	}
-	d.blockedUntil = math.MaxInt64
-	for i := 0; i < len(d.queue) && i < maxQueueScan; i++ {
-		r, at := s.selectEndpoint(d.queue[i])
-		if r != nil {
-			d.candidate, d.candidateEndpoint, d.blockedUntil = d.queue[i], r, 0
+	dest.blockedUntil = math.MaxInt64
+	for i := 0; i < len(dest.queue) && i < maxQueueScan; i++ {
+		ep, at := e.selectEndpoint(dest.queue[i])
+		if ep != nil {
+			dest.candidate, dest.candidateEndpoint, dest.blockedUntil = dest.queue[i], ep, 0
 			return
 		}
-		d.blockedUntil = min(d.blockedUntil, at)
+		dest.blockedUntil = min(dest.blockedUntil, at)
 	}
 }
 
@@ -746,145 +746,145 @@
 
 // dispatch sends what may go, first in order first, while slots last. Destinations that nothing touched since
 // they were found closed are not looked at.
-func (s *Engine) dispatch() {
-	ready := s.ready[:0]
-	for _, d := range s.active {
-		if d.blockedUntil <= s.now {
-			ready = append(ready, d)
-			d.candidate, d.blockedUntil = nil, 0
+func (e *Engine) dispatch() {
+	ready := e.ready[:0]
+	for _, dest := range e.active {
+		if dest.blockedUntil <= e.now {
+			ready = append(ready, dest)
+			dest.candidate, dest.blockedUntil = nil, 0
 		}
 	}
-	s.ready = ready
-	for s.settings.MaxInFlightCalls <= 0 || s.callsInFlight < s.settings.MaxInFlightCalls {
+	e.ready = ready
+	for e.settings.MaxInFlightCalls <= 0 || e.callsInFlight < e.settings.MaxInFlightCalls {
 		var best *destination
-		for _, d := range ready {
-			if d.candidate == nil && d.blockedUntil <= s.now && len(d.queue) > 0 {
-				s.selectNext(d)
+		for _, dest := range ready {
+			if dest.candidate == nil && dest.blockedUntil <= e.now && len(dest.queue) > 0 {
+				e.selectNext(dest)
 			}
-			if d.candidate != nil && (best == nil || precedes(d.candidate, best.candidate)) {
-				best = d
+			if dest.candidate != nil && (best == nil || precedes(dest.candidate, best.candidate)) {
+				best = dest
 			}
 		}
 		if best == nil {
 			break
 		}
-		s.startCall(best)
+		e.startCall(best)
 		best.candidate = nil
 	}
-	for _, d := range ready {
-		s.rejectUnservable(d)
+	for _, dest := range ready {
+		e.rejectUnservable(dest)
 	}
-	for _, d := range s.active {
-		if d.blockedUntil > s.now {
-			s.requestTimer(d.blockedUntil)
+	for _, dest := range e.active {
+		if dest.blockedUntil > e.now {
+			e.requestTimer(dest.blockedUntil)
 		}
 	}
 }
 
 // rejectUnservable refuses what waits for nothing: messages of a destination that opens only after their deadlines.
 // The client may come again elsewhere, to a sender that was told less.
-func (s *Engine) rejectUnservable(d *destination) {
-	for i := len(d.queue) - 1; i >= 0; i-- {
-		if m := d.queue[i]; d.blockedUntil < math.MaxInt64 && d.blockedUntil >= m.deadline && s.mayShed(m) {
-			s.reject(m)
+func (e *Engine) rejectUnservable(dest *destination) {
+	for i := len(dest.queue) - 1; i >= 0; i-- {
+		if msg := dest.queue[i]; dest.blockedUntil < math.MaxInt64 && dest.blockedUntil >= msg.deadline && e.mayShed(msg) {
+			e.reject(msg)
 		}
 	}
 }
 
 // startCall starts a call with the destination's next message and, where its kind allows, with further ones.
 // They share one fate: after a failure it carries one, after an answer that was lost half as many.
-func (s *Engine) startCall(d *destination) {
-	r := d.candidateEndpoint
-	c := &call{endpoint: r, sentAt: s.now, overdueAt: s.now + s.latencyBound(r, overdueDeviations)}
-	room := s.maxBatch(r.Kind)
-	if r.consecutiveFailures > 0 || r.ejected {
-		room = 1
-	} else if r.answerLost {
-		room = (room + 1) / 2
-	}
-	if !s.addToCall(d.candidate, c) {
+func (e *Engine) startCall(dest *destination) {
+	ep := dest.candidateEndpoint
+	c := &call{endpoint: ep, sentAt: e.now, overdueAt: e.now + e.latencyBound(ep, overdueDeviations)}
+	capacity := e.maxBatch(ep.Kind)
+	if ep.consecutiveFailures > 0 || ep.ejected {
+		capacity = 1
+	} else if ep.answerLost {
+		capacity = (capacity + 1) / 2
+	}
+	if !e.addToCall(dest.candidate, c) {
 		return
 	}
-	for i := 0; c.pending < room && i < len(d.queue) && i < maxQueueScan; {
-		if m := d.queue[i]; m.lastFailedEndpoint == r || !s.addToCall(m, c) {
+	for i := 0; c.pending < capacity && i < len(dest.queue) && i < maxQueueScan; {
+		if msg := dest.queue[i]; msg.lastFailedEndpoint == ep || !e.addToCall(msg, c) {
 			i++
 		}
 	}
-	s.recordCallStart(c)
+	e.recordCallStart(c)
 }
 
 // addToCall adds an attempt of m to a call, if the guard lets it.
-func (s *Engine) addToCall(m *message, c *call) bool {
-	if s.attemptAllowedAt(m, c.endpoint) > s.now {
+func (e *Engine) addToCall(msg *message, c *call) bool {
+	if e.attemptAllowedAt(msg, c.endpoint) > e.now {
 		return false
 	}
-	s.dequeue(m)
-	m.inFlight = append(m.inFlight, attempt{m.attempts, c})
-	m.attempts++
+	e.dequeue(msg)
+	msg.inFlight = append(msg.inFlight, attempt{msg.attempts, c})
+	msg.attempts++
 	c.pending++
-	cut := s.attemptTimeoutAt(m, c.endpoint)
-	if c.timeoutAt == 0 || cut < c.timeoutAt {
-		c.timeoutAt = cut
+	timeoutAt := e.attemptTimeoutAt(msg, c.endpoint)
+	if c.timeoutAt == 0 || timeoutAt < c.timeoutAt {
+		c.timeoutAt = timeoutAt
 	}
-	s.emit(Action{Kind: Send, MessageID: m.id, Endpoint: c.endpoint.ID, TimeoutAt: cut})
+	e.emit(Action{Kind: Send, MessageID: msg.id, Endpoint: c.endpoint.ID, TimeoutAt: timeoutAt})
 	return true
 }
 
 // latencyBound is how long an answer of a route may take: its mean and so many mean deviations.
-func (s *Engine) latencyBound(r *endpoint, devs int) time.Duration {
-	if r.latencyMean == 0 {
+func (e *Engine) latencyBound(ep *endpoint, deviations int) time.Duration {
+	if ep.latencyMean == 0 {
 		return 2 * minLatencyBound
 	}
-	return max(minLatencyBound, r.latencyMean+time.Duration(devs)*r.latencyDeviation)
+	return max(minLatencyBound, ep.latencyMean+time.Duration(deviations)*ep.latencyDeviation)
 }
 
 // attemptTimeoutAt is when an attempt times out: as long as the route's answers have taken, at most half the time left.
 // An unsafe message has no second try and waits twice as long; a trial of a skipped route waits least.
-func (s *Engine) attemptTimeoutAt(m *message, r *endpoint) time.Duration {
-	left := m.deadline - s.now
-	usual := max(s.latencyBound(r, timeoutDeviations), m.class.LatencyObjective/2)
-	if m.class.Effect == IdempotentByKey && !m.class.DedupAllZones {
-		usual = max(usual, m.class.LatencyObjective) // a repeat is bound to few routes
+func (e *Engine) attemptTimeoutAt(msg *message, ep *endpoint) time.Duration {
+	left := msg.deadline - e.now
+	usualLatency := max(e.latencyBound(ep, timeoutDeviations), msg.class.LatencyObjective/2)
+	if msg.class.Effect == IdempotentByKey && !msg.class.DedupAllZones {
+		usualLatency = max(usualLatency, msg.class.LatencyObjective) // a repeat is bound to few routes
 	}
-	if s.settings.MaxInFlightCalls > 0 && 2*s.callsInFlight > s.settings.MaxInFlightCalls {
-		usual = min(usual, m.class.LatencyObjective)
+	if e.settings.MaxInFlightCalls > 0 && 2*e.callsInFlight > e.settings.MaxInFlightCalls {
+		usualLatency = min(usualLatency, msg.class.LatencyObjective)
 	}
-	if r.ejected {
-		usual = m.class.LatencyObjective / 2
+	if ep.ejected {
+		usualLatency = msg.class.LatencyObjective / 2
 	}
-	if m.class.Effect == NonIdempotent {
-		return s.now + min(left, 2*usual)
+	if msg.class.Effect == NonIdempotent {
+		return e.now + min(left, 2*usualLatency)
 	}
 	// Where half of the time is less than an answer may take, one try has all of it.
-	if left/2 >= s.latencyBound(r, overdueDeviations) {
+	if left/2 >= e.latencyBound(ep, overdueDeviations) {
 		left /= 2
 	}
-	return s.now + min(left, usual)
+	return e.now + min(left, usualLatency)
 }
 
 // Deadlines.
 
 // handleDeadlines gives every message whose time is up its final answer.
-func (s *Engine) handleDeadlines() {
-	for len(s.deadlines) > 0 && (s.deadlines[0].at <= s.now || s.deadlines[0].message.ended) {
-		m := s.deadlines.pop().message
+func (e *Engine) handleDeadlines() {
+	for len(e.deadlines) > 0 && (e.deadlines[0].at <= e.now || e.deadlines[0].message.ended) {
+		msg := e.deadlines.pop().message
 		switch {
-		case m.ended:
-		case s.attemptsExhausted(m) || s.now >= m.deadline:
-			s.rejectOrFail(m)
-		case s.now >= m.objectiveAt:
-			s.deprioritize(m)
+		case msg.ended:
+		case e.attemptsExhausted(msg) || e.now >= msg.deadline:
+			e.rejectOrFail(msg)
+		case e.now >= msg.objectiveAt:
+			e.deprioritize(msg)
 		}
 	}
 }
 
 // deprioritize moves a message back that has missed its aim: what is still in time goes first, with more to lose.
-func (s *Engine) deprioritize(m *message) {
-	queued := m.queued
-	s.dequeue(m)
-	after := missedObjectiveDelayRatio * float64(m.deadline-s.now) / math.Max(m.class.Weight, 0.01)
-	m.queueRank = max(m.queueRank, s.now+time.Duration(after))
+func (e *Engine) deprioritize(msg *message) {
+	queued := msg.queued
+	e.dequeue(msg)
+	after := missedObjectiveDelayRatio * float64(msg.deadline-e.now) / math.Max(msg.class.Weight, 0.01)
+	msg.queueRank = max(msg.queueRank, e.now+time.Duration(after))
 	if queued {
-		s.enqueue(m)
+		e.enqueue(msg)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,11 +45,11 @@
 
 func newDesk(t *testing.T, set Settings, list ...Endpoint) *desk {
 	t.Helper()
-	s, err := New(set, 1)
+	engine, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{t: t, s: s, now: time.Minute, tries: map[uint32]int{}}
+	d := &desk{t: t, s: engine, now: time.Minute, tries: map[uint32]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
@@ -68,17 +68,17 @@
 	return acts
 }
 
-func (d *desk) take(id uint32, class int) []Action {
-	return d.step(Event{Kind: MessageAccepted, MessageID: id, Class: class, TimeLeft: 60 * time.Second})
+func (d *desk) take(id uint32, classIndex int) []Action {
+	return d.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
-func (d *desk) end(id uint32, route string, o Outcome, after, wait time.Duration) []Action {
+func (d *desk) end(id uint32, route string, outcome Outcome, after, wait time.Duration) []Action {
 	d.now += after
 	n := d.tries[id]
 	d.tries[id]++
 	return d.step(Event{
-		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: o, Latency: after, RetryAfter: wait,
-		MessageEnded: o == OK,
+		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: outcome, Latency: after, RetryAfter: wait,
+		MessageEnded: outcome == OK,
 	})
 }
 
@@ -125,11 +125,11 @@
 	for seed := range uint64(60) {
 		set := settings()
 		set.FleetSize = 60
-		s, err := New(set, seed)
+		engine, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(time.Minute, []Event{
+		acts := engine.Step(time.Minute, []Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 				{ID: "a", InService: true},
 				{ID: "b", InService: true},
@@ -163,9 +163,9 @@
 		{"failed", endpoint{consecutiveFailures: 1, recentFailures: 0b1011010}, observation{outcome: Error}, false},
 		{"failed", endpoint{consecutiveFailures: 2}, observation{outcome: Timeout}, false},
 	} {
-		s := &Engine{now: now}
-		r := &c.r
-		i := slices.IndexFunc(failureRules, func(f failureRule) bool { return f.matches(s, r, c.o) })
+		engine := &Engine{now: now}
+		ep := &c.r
+		i := slices.IndexFunc(failureRules, func(rule failureRule) bool { return rule.matches(engine, ep, c.o) })
 		if i < 0 || failureRules[i].name != c.rule || failureRules[i].ejects != c.skip {
 			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", c.r, c.o, i, c.rule, c.skip)
 		}
@@ -202,46 +202,46 @@
 	for id := range uint32(8) {
 		d.take(id, 0)
 	}
-	g := d.s.endpoints["a"].scope
-	if g.pacingRate != 0 {
-		t.Fatalf("the pace starts at %v, want free", g.pacingRate)
+	scope := d.s.endpoints["a"].scope
+	if scope.pacingRate != 0 {
+		t.Fatalf("the pace starts at %v, want free", scope.pacingRate)
 	}
 	d.end(0, "a", Overloaded, 100*ms, 0)
-	if g.pacingRate != 4 {
-		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", g.pacingRate)
+	if scope.pacingRate != 4 {
+		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", scope.pacingRate)
 	}
 	d.end(1, "a", Overloaded, ms, 0)
-	if g.pacingRate != 4 {
-		t.Errorf("pace %v after a refusal of the same burst, want 4", g.pacingRate)
+	if scope.pacingRate != 4 {
+		t.Errorf("pace %v after a refusal of the same burst, want 4", scope.pacingRate)
 	}
 	d.end(2, "a", OK, ms, 0)
-	if want := 4 * (1 + pacingGrowth); g.pacingRate != want {
-		t.Errorf("pace %v after a delivery, want %v", g.pacingRate, want)
+	if want := 4 * (1 + pacingGrowth); scope.pacingRate != want {
+		t.Errorf("pace %v after a delivery, want %v", scope.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
 		d.end(id, "a", Error, ms, 0)
 	}
-	r := d.s.endpoints["a"]
-	if !r.ejected {
+	ep := d.s.endpoints["a"]
+	if !ep.ejected {
 		t.Fatal("three failures in a row did not skip the route")
 	}
-	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
-	if want := pacingRestartRate * (1 + pacingGrowth); r.ejected || g.pacingRate != want {
-		t.Errorf("pace %v at the end of a skip, want %v", g.pacingRate, want)
+	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	if want := pacingRestartRate * (1 + pacingGrowth); ep.ejected || scope.pacingRate != want {
+		t.Errorf("pace %v at the end of a skip, want %v", scope.pacingRate, want)
 	}
 }
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
 func TestPaceKeepsItsEvenPart(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	for range 5 {
 		d.now += time.Second
 		d.s.now = d.now
-		d.s.decreasePacing(r, observation{outcome: Overloaded, sentAt: d.now})
+		d.s.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
 	}
-	if want := 20 * minPacingShareRatio; r.scope.pacingRate != want {
-		t.Errorf("pace %v after five refusals, want %v", r.scope.pacingRate, want)
+	if want := 20 * minPacingShareRatio; ep.scope.pacingRate != want {
+		t.Errorf("pace %v after five refusals, want %v", ep.scope.pacingRate, want)
 	}
 }
 
@@ -318,17 +318,17 @@
 
 func TestRecoverySpacesCalls(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.suspect(r)
-	r.scope.recoveryTokens = 0
+	d.s.suspect(ep)
+	ep.scope.recoveryTokens = 0
 	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
 	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
-	if got, want := d.s.recoveryBudgetAt(r), d.now+callInterval(rate); got != want {
+	if got, want := d.s.recoveryBudgetAt(ep), d.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	r.recoveredAt, d.s.now = d.now, d.now+10*time.Second
-	if got := d.s.recoveryBudgetAt(r); got != 0 || r.warmingUp {
+	ep.recoveredAt, d.s.now = d.now, d.now+10*time.Second
+	if got := d.s.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
@@ -339,19 +339,19 @@
 	set.FleetSize = 400
 	open := 0
 	for seed := range uint64(400) {
-		s, err := New(set, seed)
+		engine, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(
+		engine.Step(
 			time.Minute,
 			[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 400, InService: true}}}},
 		)
-		r := s.endpoints["a"]
-		r.scope.retryAfterUntil = s.now + 10*time.Second
-		s.observeOutcome(r, observation{outcome: Overloaded, retryAfter: 10 * time.Second, sentAt: s.now}, ms)
-		s.recoveryBudgetAt(r)
-		if s.now = r.scope.retryAfterUntil; s.recoveryBudgetAt(r) <= s.now {
+		ep := engine.endpoints["a"]
+		ep.scope.retryAfterUntil = engine.now + 10*time.Second
+		engine.observeOutcome(ep, observation{outcome: Overloaded, retryAfter: 10 * time.Second, sentAt: engine.now}, ms)
+		engine.recoveryBudgetAt(ep)
+		if engine.now = ep.scope.retryAfterUntil; engine.recoveryBudgetAt(ep) <= engine.now {
 			open++
 		}
 	}
@@ -369,14 +369,14 @@
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		r := d.s.endpoints["a"]
+		ep := d.s.endpoints["a"]
 		d.s.now = d.now
-		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now}, time.Second)
-		if r.warmingUp != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, r.warmingUp)
+		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now}, time.Second)
+		if ep.warmingUp != c.cold {
+			t.Errorf("%d senders: in doubt %v after one failure", c.senders, ep.warmingUp)
 		}
-		d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
-		if r.warmingUp {
+		d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+		if ep.warmingUp {
 			t.Errorf("%d senders: in doubt after a delivery", c.senders)
 		}
 	}
@@ -398,13 +398,13 @@
 		set := settings()
 		set.FleetSize = c.senders
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		r := d.s.endpoints["a"]
+		ep := d.s.endpoints["a"]
 		d.s.now = d.now
-		d.s.observeOutcome(r, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
+		d.s.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
 		d.s.now += c.gap
-		d.s.observeOutcome(r, observation{outcome: Overloaded, sentAt: d.s.now, retryAfter: c.wait}, ms)
-		if r.warmingUp != c.cold {
-			t.Errorf("%+v: in doubt %v", c, r.warmingUp)
+		d.s.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.s.now, retryAfter: c.wait}, ms)
+		if ep.warmingUp != c.cold {
+			t.Errorf("%+v: in doubt %v", c, ep.warmingUp)
 		}
 	}
 }
@@ -428,21 +428,21 @@
 		set.FleetSize = c.senders
 		n := 0
 		for seed := range uint64(200) {
-			s, err := New(set, seed)
+			engine, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Step(
+			engine.Step(
 				time.Minute,
 				[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 4, InService: true}}}},
 			)
-			r := s.endpoints["a"]
-			s.connectShortageUntil[0] = s.now + time.Minute
+			ep := engine.endpoints["a"]
+			engine.connectShortageUntil[0] = engine.now + time.Minute
 			if c.alive {
-				s.recordSuccess(r, s.now, ms)
+				engine.recordSuccess(ep, engine.now, ms)
 			}
-			s.observeOutcome(r, observation{outcome: c.outcome, sentAt: s.now}, ms)
-			if r.warmingUp {
+			engine.observeOutcome(ep, observation{outcome: c.outcome, sentAt: engine.now}, ms)
+			if ep.warmingUp {
 				n++
 			}
 		}
@@ -471,18 +471,18 @@
 	set := settings()
 	set.FleetSize = 400
 	d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.suspect(r)
-	r.scope.recoveryTokens = 0
+	d.s.suspect(ep)
+	ep.scope.recoveryTokens = 0
 	if acts := d.take(1, 0); !has(acts, Reject) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.s.recoveryBudgetAt(r)-d.now, acts)
+		t.Errorf("opens in %v: %+v, want a refusal", d.s.recoveryBudgetAt(ep)-d.now, acts)
 	}
 	if acts := d.take(2, 2); has(acts, Reject) != d.s.mayReject(&message{class: &set.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
-	r.scope.recoveryTokens = 1 - d.s.recoveryRate(r) // opens in a second
-	d.s.recheck(r.scope.destination)
+	ep.scope.recoveryTokens = 1 - d.s.recoveryRate(ep) // opens in a second
+	d.s.recheck(ep.scope.destination)
 	if acts := d.take(3, 0); has(acts, Reject) {
 		t.Errorf("opens in a second: %+v, want it held", acts)
 	}
@@ -492,16 +492,16 @@
 func TestDueCallsLapse(t *testing.T) {
 	set := settings()
 	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.suspect(r)
-	r.scope.recoveryTokens = 0
-	rate := d.s.recoveryRate(r)
+	d.s.suspect(ep)
+	ep.scope.recoveryTokens = 0
+	rate := d.s.recoveryRate(ep)
 	open := 0
 	const steps = 10000
 	for range steps {
 		d.s.now += 10 * ms
-		if d.s.recoveryBudgetAt(r) <= d.s.now {
+		if d.s.recoveryBudgetAt(ep) <= d.s.now {
 			open++
 		}
 	}
@@ -582,12 +582,12 @@
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
 func TestPaceRecoversWithTime(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1})
-	g := d.s.endpoints["a"].scope
-	g.pacingRate, g.decreasedAt, g.tokensUpdatedAt = 0.1, d.now, d.now
+	scope := d.s.endpoints["a"].scope
+	scope.pacingRate, scope.decreasedAt, scope.tokensUpdatedAt = 0.1, d.now, d.now
 	d.s.now = d.now + 4*time.Second
-	d.s.increasePacing(g)
-	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(g.pacingRate-want) > 1e-9 {
-		t.Errorf("pace %v after a success in 4 s, want %v", g.pacingRate, want)
+	d.s.increasePacing(scope)
+	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(scope.pacingRate-want) > 1e-9 {
+		t.Errorf("pace %v after a success in 4 s, want %v", scope.pacingRate, want)
 	}
 }
 
@@ -623,33 +623,33 @@
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
+	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
 	for range 5 {
-		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
+		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
 	}
-	if r.ejected || r.warmingUp || r.consecutiveFailures != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", r.ejected, r.warmingUp, r.consecutiveFailures)
+	if ep.ejected || ep.warmingUp || ep.consecutiveFailures != 0 {
+		t.Errorf("down %v, cold %v, streak %d after lost calls", ep.ejected, ep.warmingUp, ep.consecutiveFailures)
 	}
 }
 
 // Scattered resets once put living routes under the recovery budget.
 func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
-	d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
-	d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
-	if r.warmingUp {
+	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	if ep.warmingUp {
 		t.Error("in doubt after two resets within 3 s of an answer")
 	}
 	d.s.now += recentlyHealthyWindow
 	for range 3 {
-		d.s.observeOutcome(r, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+		d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
 	}
-	if !r.ejected {
+	if !ep.ejected {
 		t.Error("not skipped after three resets in a row and no answer for 3 s")
 	}
 }
@@ -657,24 +657,24 @@
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
 func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
-	d.s.suspect(r)
-	d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.now}, ms)
-	back := r.recoveredAt
+	d.s.suspect(ep)
+	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	back := ep.recoveredAt
 	for range 6 {
 		d.s.now += time.Second
-		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.s.now - ms}, time.Second)
-		d.s.observeOutcome(r, observation{outcome: OK, sentAt: d.s.now}, ms)
+		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.s.now - ms}, time.Second)
+		d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.s.now}, ms)
 	}
-	if back == 0 || r.recoveredAt != back || r.ejected {
-		t.Errorf("back at %v, then %v, down %v", back, r.recoveredAt, r.ejected)
+	if back == 0 || ep.recoveredAt != back || ep.ejected {
+		t.Errorf("back at %v, then %v, down %v", back, ep.recoveredAt, ep.ejected)
 	}
 	d.s.now += time.Second
 	for range 2 {
-		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.s.now}, time.Second)
+		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.s.now}, time.Second)
 	}
-	if r.recoveredAt != 0 {
+	if ep.recoveredAt != 0 {
 		t.Error("two time-outs in a row did not restart the warm-up")
 	}
 }
@@ -682,13 +682,13 @@
 // Calls cut off after milliseconds once kept recovered routes skipped.
 func TestShortCallSkipsNothing(t *testing.T) {
 	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	r := d.s.endpoints["a"]
+	ep := d.s.endpoints["a"]
 	d.s.now = d.now
 	for range 5 {
-		d.s.observeOutcome(r, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
+		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
 	}
-	if r.ejected || !r.warmingUp {
-		t.Errorf("down %v, cold %v after short calls", r.ejected, r.warmingUp)
+	if ep.ejected || !ep.warmingUp {
+		t.Errorf("down %v, cold %v after short calls", ep.ejected, ep.warmingUp)
 	}
 }
 
@@ -768,13 +768,13 @@
 
 // A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
-	for _, class := range []int{-1, 99} {
+	for _, classIndex := range []int{-1, 99} {
 		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
-		if got := goesTo(d.take(1, class)); got == "" {
-			t.Fatalf("class %d: not sent", class)
+		if got := goesTo(d.take(1, classIndex)); got == "" {
+			t.Fatalf("class %d: not sent", classIndex)
 		}
 		if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
-			t.Errorf("class %d: %+v after a time-out", class, acts)
+			t.Errorf("class %d: %+v after a time-out", classIndex, acts)
 		}
 	}
 }
@@ -786,8 +786,8 @@
 }
 
 // bares are the destinations without routes that a Sender still knows, in their order.
-func bares(s *Engine) (all []*destination) {
-	for d := s.emptyDestinations.first; d != nil; d = d.nextEmpty {
+func bares(engine *Engine) (all []*destination) {
+	for d := engine.emptyDestinations.first; d != nil; d = d.nextEmpty {
 		all = append(all, d)
 	}
 	return all
@@ -809,10 +809,10 @@
 	}
 	d.now += time.Minute
 	d.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
-	s := d.s
-	if n := len(s.keyQueues) + len(s.destinations) + len(s.sortedDestinations) + len(s.endpoints) + len(s.messages) + len(s.active) + len(bares(s)); n != 0 {
+	engine := d.s
+	if n := len(engine.keyQueues) + len(engine.destinations) + len(engine.sortedDestinations) + len(engine.endpoints) + len(engine.messages) + len(engine.active) + len(bares(engine)); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(s.keyQueues), len(s.destinations), len(s.sortedDestinations), len(s.endpoints), len(s.messages), len(s.active), len(bares(s)))
+			len(engine.keyQueues), len(engine.destinations), len(engine.sortedDestinations), len(engine.endpoints), len(engine.messages), len(engine.active), len(bares(engine)))
 	}
 }
 
@@ -854,16 +854,16 @@
 		begins  bool
 	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
 		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: 8})
-		r, failed := d.s.endpoints["a"], d.s.now+time.Minute
+		ep, failed := d.s.endpoints["a"], d.s.now+time.Minute
 		d.s.now = failed
 		for range suspectAfterFailures {
-			d.s.observeOutcome(r, observation{outcome: c.outcome, sentAt: failed}, 0)
+			d.s.observeOutcome(ep, observation{outcome: c.outcome, sentAt: failed}, 0)
 		}
-		if d.s.now += 2 * time.Second; !r.warmingUp {
+		if d.s.now += 2 * time.Second; !ep.warmingUp {
 			t.Fatalf("%s: not in doubt", c.name)
 		}
-		if d.s.recordSuccess(r, failed+c.sent, time.Second); (r.recoveredAt > 0) != c.begins {
-			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, r.recoveredAt > 0)
+		if d.s.recordSuccess(ep, failed+c.sent, time.Second); (ep.recoveredAt > 0) != c.begins {
+			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, ep.recoveredAt > 0)
 		}
 	}
 }
@@ -878,12 +878,12 @@
 		set := settings()
 		set.FleetSize, set.WarmUpDuration, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
 		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		r := d.s.endpoints["a"]
+		ep := d.s.endpoints["a"]
 		d.s.now += time.Minute
-		d.s.observeOutcome(r, observation{outcome: Error, sentAt: d.s.now}, 0)
+		d.s.observeOutcome(ep, observation{outcome: Error, sentAt: d.s.now}, 0)
 		d.s.now += time.Second
-		if d.s.recordSuccess(r, d.s.now, time.Second); r.warmingUp != c.cold {
-			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, r.warmingUp)
+		if d.s.recordSuccess(ep, d.s.now, time.Second); ep.warmingUp != c.cold {
+			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, ep.warmingUp)
 		}
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -19,8 +19,8 @@
 	rule     int
 	settings func(*Settings)
 	event    func(*Event)
-	swap     func(*Engine) *Engine                                    // after each step
-	step     func(s *Engine, now time.Duration, evs []Event) []Action // in place of the Sender's
+	swap     func(*Engine) *Engine                                         // after each step
+	step     func(engine *Engine, now time.Duration, evs []Event) []Action // in place of the Sender's
 	// clients send as often; 0: every fourth time, and waits are told with refusals alone
 	every int
 }
@@ -221,31 +221,31 @@
 }
 
 // note books an outcome before the Sender hears of it.
-func (w *world) note(e *Event) {
-	m := w.msgs[e.MessageID]
+func (w *world) note(event *Event) {
+	m := w.msgs[event.MessageID]
 	if m == nil {
 		return
 	}
-	t := &m.tries[e.Attempt]
+	t := &m.tries[event.Attempt]
 	t.out = false
-	t.ran = e.Outcome != Overloaded && e.Outcome != ConnectFailed && e.Outcome != NotSent
-	if e.Outcome == OK {
+	t.ran = event.Outcome != Overloaded && event.Outcome != ConnectFailed && event.Outcome != NotSent
+	if event.Outcome == OK {
 		m.ended = true
 		w.answered++
 	}
-	e.MessageEnded = m.ended
-	if e.Outcome == Timeout || e.Outcome == Reset || e.Outcome == Cancelled {
+	event.MessageEnded = m.ended
+	if event.Outcome == Timeout || event.Outcome == Reset || event.Outcome == Cancelled {
 		w.rest[m.key] = max(w.rest[m.key], w.now+w.set.OrderingPause)
 	}
-	l := w.listed[e.Endpoint]
-	if e.RetryAfter > 0 {
-		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+e.RetryAfter)
+	l := w.listed[event.Endpoint]
+	if event.RetryAfter > 0 {
+		w.waits[w.scope(l)] = max(w.waits[w.scope(l)], w.now+event.RetryAfter)
 	}
-	switch e.Outcome {
+	switch event.Outcome {
 	case OK:
 		w.told[w.scope(l)] = 0
 	case Timeout, ConnectFailed, Error, Reset:
-		if span := w.outage[m.dest]; w.now-e.Latency >= span[0] && w.now < span[1] {
+		if span := w.outage[m.dest]; w.now-event.Latency >= span[0] && w.now < span[1] {
 			w.told[w.scope(l)]++
 		}
 	}
@@ -351,7 +351,7 @@
 // call plays an attempt: its outcome comes later, at its cut at the latest.
 func (w *world) call(m *held, a Action, calls map[string]*callOut) {
 	l := w.listed[a.Endpoint]
-	e := Event{Kind: AttemptFinished, MessageID: m.id, Attempt: len(m.tries), Endpoint: a.Endpoint}
+	event := Event{Kind: AttemptFinished, MessageID: m.id, Attempt: len(m.tries), Endpoint: a.Endpoint}
 	m.tries = append(m.tries, trial{route: a.Endpoint, sent: w.now, out: true})
 	c := calls[a.Endpoint]
 	if c == nil || c.left >= w.set.DestinationKinds[l.Kind].MaxBatch {
@@ -367,36 +367,36 @@
 		}
 	}
 	c.left++
-	took := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
+	latency := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
 	down := w.now >= w.outage[m.dest][0] && w.now < w.outage[m.dest][1]
 	switch n := w.rng.IntN(40); {
 	case down && m.dest%3 == 0:
-		took = time.Hour // silent
+		latency = time.Hour // silent
 	case down && m.dest%3 == 1:
-		e.Outcome = ConnectFailed
+		event.Outcome = ConnectFailed
 	case down:
-		e.Outcome = Error
+		event.Outcome = Error
 	case n < 4:
-		e.Outcome = Overloaded
+		event.Outcome = Overloaded
 		if n < 2 {
-			e.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
+			event.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
-		e.Outcome = []Outcome{Error, Reset, Cancelled, NotSent}[w.rng.IntN(4)]
+		event.Outcome = []Outcome{Error, Reset, Cancelled, NotSent}[w.rng.IntN(4)]
 	case n == 5:
-		took = time.Hour
+		latency = time.Hour
 	case n < 12 && w.waitsToo:
-		e.RetryAfter = time.Duration(200+w.rng.IntN(3000)) * time.Millisecond
+		event.RetryAfter = time.Duration(200+w.rng.IntN(3000)) * time.Millisecond
 	}
 	if m.dest%3 == 2 && w.now >= w.outage[m.dest][0]-time.Second {
-		took = min(took, 300*time.Millisecond)
+		latency = min(latency, 300*time.Millisecond)
 	}
-	at := w.now + took
-	if cut := min(a.TimeoutAt, m.deadline); at > cut {
-		at, e.Outcome, e.RetryAfter = max(cut, w.now+time.Millisecond), Timeout, 0
+	at := w.now + latency
+	if timeoutAt := min(a.TimeoutAt, m.deadline); at > timeoutAt {
+		at, event.Outcome, event.RetryAfter = max(timeoutAt, w.now+time.Millisecond), Timeout, 0
 	}
-	e.Latency = at - w.now
-	w.pending = append(w.pending, due{at: at, ev: e, c: c})
+	event.Latency = at - w.now
+	w.pending = append(w.pending, due{at: at, ev: event, c: c})
 }
 
 // play runs one world and returns the rules broken.
@@ -414,7 +414,7 @@
 		if b.settings != nil {
 			b.settings(&set)
 		}
-		s, err := New(set, seed)
+		engine, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -422,18 +422,18 @@
 		for _, l := range w.routes {
 			w.listed[l.ID] = l
 		}
-		return s, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.routes)}}
+		return engine, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.routes)}}
 	}
-	s, first := start()
+	engine, first := start()
 	restart := w.now + time.Duration(30+w.rng.IntN(10))*time.Second
-	end := w.now + time.Minute
-	for w.now < end {
+	expiresAt := w.now + time.Minute
+	for w.now < expiresAt {
 		w.now += 5 * time.Millisecond
 		if restart > 0 && w.now >= restart {
-			s, first = start()
+			engine, first = start()
 			restart = 0
 		}
-		evs := append(first, w.events(w.now > end-15*time.Second)...)
+		evs := append(first, w.events(w.now > expiresAt-15*time.Second)...)
 		first = nil
 		if b.event != nil {
 			for i := range evs {
@@ -441,9 +441,9 @@
 			}
 		}
 		if len(evs) > 0 {
-			w.act(step(s, w.now, evs))
+			w.act(step(engine, w.now, evs))
 			if b.swap != nil {
-				s = b.swap(s)
+				engine = b.swap(engine)
 			}
 		}
 		for id, m := range w.msgs {
@@ -477,17 +477,17 @@
 
 func TestCheckerSeesMissingGuards(t *testing.T) {
 	for _, b := range []blind{
-		{name: "deadline", rule: 1, event: func(e *Event) { e.TimeLeft += time.Second }},
+		{name: "deadline", rule: 1, event: func(event *Event) { event.TimeLeft += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Idempotent }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupAllZones = true }},
 		{name: "window", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupWindow = time.Hour }},
-		{name: "drain", rule: 3, event: func(e *Event) {
-			if e.Kind == EndpointDelta {
-				e.Endpoints = nil
+		{name: "drain", rule: 3, event: func(event *Event) {
+			if event.Kind == EndpointDelta {
+				event.Endpoints = nil
 			}
 		}},
 		{name: "recovery", rule: 4, settings: func(s *Settings) { s.OverloadFactor = 1000 }},
-		{name: "wait", rule: 5, event: func(e *Event) { e.RetryAfter = 0 }},
+		{name: "wait", rule: 5, event: func(event *Event) { event.RetryAfter = 0 }},
 		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderingPause = 0 }},
 	} {
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -19,11 +19,11 @@
 }
 
 // resting asks Resting, or what a forgetful one would say; nil overlooks nothing.
-func (f *forgetful) resting(t fataler, s *Engine, dest int) bool {
+func (f *forgetful) resting(t fataler, engine *Engine, dest int) bool {
 	if f == nil {
-		return s.Evictable(dest)
+		return engine.Evictable(dest)
 	}
-	copied, err := Restore(s.settings, s.Snapshot(nil))
+	copied, err := Restore(engine.settings, engine.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,9 +31,9 @@
 		if f.dest != nil {
 			f.dest(d)
 		}
-		for _, g := range d.scopes {
+		for _, scope := range d.scopes {
 			if f.gate != nil {
-				f.gate(g)
+				f.gate(scope)
 			}
 		}
 	}
@@ -43,9 +43,9 @@
 type fataler interface{ Fatal(args ...any) }
 
 func eachRoute(set func(*endpoint)) func(*limitScope) {
-	return func(g *limitScope) {
-		for _, r := range g.endpoints {
-			set(r)
+	return func(scope *limitScope) {
+		for _, ep := range scope.endpoints {
+			set(ep)
 		}
 	}
 }
@@ -53,17 +53,17 @@
 // forgetfuls are those that must be convicted by the random streams. TestRightsKeepADestinationAwake has one more.
 var forgetfuls = []forgetful{
 	{name: "messages", dest: func(d *destination) { d.messageCount = 0 }},
-	{name: "told waits", gate: func(g *limitScope) { g.retryAfterUntil = 0 }},
-	{name: "skips", gate: eachRoute(func(r *endpoint) { r.ejectedUntil, r.ejected, r.warmingUp = 0, false, false })},
-	{name: "cold routes", gate: eachRoute(func(r *endpoint) { r.warmingUp = false })},
-	{name: "warm-ups", gate: eachRoute(func(r *endpoint) {
-		if r.recoveredAt > 0 {
-			r.warmingUp = false
+	{name: "told waits", gate: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
+	{name: "skips", gate: eachRoute(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })},
+	{name: "cold routes", gate: eachRoute(func(ep *endpoint) { ep.warmingUp = false })},
+	{name: "warm-ups", gate: eachRoute(func(ep *endpoint) {
+		if ep.recoveredAt > 0 {
+			ep.warmingUp = false
 		}
 	})},
-	{name: "routes replaced in doubt", gate: func(g *limitScope) { g.suspectRemovedAt = math.MinInt64 / 2 }},
-	{name: "failures over routes", gate: func(g *limitScope) { g.consecutiveFailures = 0 }},
-	{name: "paces", gate: func(g *limitScope) { g.tokens, g.tokensUpdatedAt, g.decreasedAt = 1, 0, 0 }},
+	{name: "routes replaced in doubt", gate: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
+	{name: "failures over routes", gate: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
+	{name: "paces", gate: func(scope *limitScope) { scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 1, 0, 0 }},
 }
 
 // stream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by
@@ -95,12 +95,12 @@
 	set := settings()
 	set.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
 	set.MaxInFlightCalls, set.MaxPendingMessages, set.WarmUpDuration = 20, 100, 20*time.Second
-	s, err := New(set, rapid.Uint64().Draw(t, "seed"))
+	engine, err := New(set, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &stream{
-		t: t, s: s, now: time.Minute, waits: map[string]time.Duration{}, errors: map[string]int{}, back: map[string]time.Duration{},
+		t: t, s: engine, now: time.Minute, waits: map[string]time.Duration{}, errors: map[string]int{}, back: map[string]time.Duration{},
 		held: map[uint32]int{}, tried: map[uint32]int{}, nextID: 1,
 	}
 	for i := range 8 {
@@ -145,8 +145,8 @@
 
 // pass lets time go by, with the wakes and time-outs that fall due.
 func (w *stream) pass(by time.Duration) {
-	for end := w.now + by; w.now < end; {
-		next := end
+	for expiresAt := w.now + by; w.now < expiresAt; {
+		next := expiresAt
 		if w.wake > w.now {
 			next = min(next, w.wake)
 		}
@@ -168,14 +168,14 @@
 	}
 }
 
-func (w *stream) end(i int, o Outcome, wait time.Duration) {
+func (w *stream) end(i int, outcome Outcome, wait time.Duration) {
 	c := w.out[i]
 	w.out = slices.Delete(w.out, i, i+1)
 	if wait > 0 {
 		k := w.scope(c.route)
 		w.waits[k] = max(w.waits[k], w.now+wait)
 	}
-	switch k := w.scope(c.route); o {
+	switch k := w.scope(c.route); outcome {
 	case OK:
 		delete(w.held, c.id)
 		if w.errors[k] >= 3 {
@@ -191,9 +191,9 @@
 			MessageID:    c.id,
 			Attempt:      c.n,
 			Endpoint:     c.route,
-			Outcome:      o,
+			Outcome:      outcome,
 			Latency:      w.now - c.sent,
-			MessageEnded: o == OK,
+			MessageEnded: outcome == OK,
 			RetryAfter:   wait,
 		},
 	)
@@ -223,21 +223,21 @@
 			return "a warm-up of " + l.ID
 		}
 	}
-	s, err := Restore(w.s.settings, w.s.Snapshot(nil))
+	engine, err := Restore(w.s.settings, w.s.Snapshot(nil))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	s.callsInFlight = s.settings.MaxInFlightCalls // so that the probe waits, whatever would let it go
+	engine.callsInFlight = engine.settings.MaxInFlightCalls // so that the probe waits, whatever would let it go
 	fresh := map[string]bool{}
-	if d := s.destinations[dest]; d != nil {
-		for _, g := range d.scopes {
-			for _, r := range g.endpoints {
-				fresh[r.ID] = g.pacingRate == 0
+	if d := engine.destinations[dest]; d != nil {
+		for _, scope := range d.scopes {
+			for _, ep := range scope.endpoints {
+				fresh[ep.ID] = scope.pacingRate == 0
 			}
 		}
 	}
-	s.Step(w.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: dest, TimeLeft: time.Minute}})
-	for _, h := range s.Blockers() {
+	engine.Step(w.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: dest, TimeLeft: time.Minute}})
+	for _, h := range engine.Blockers() {
 		if h.MessageID != math.MaxUint32 {
 			continue
 		}
@@ -280,12 +280,12 @@
 		},
 		"answer": func(t *rapid.T) {
 			if len(w.out) > 0 {
-				o := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}).
+				outcome := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}).
 					Draw(t, "outcome")
 				wait := rapid.SampledFrom([]time.Duration{0, 0, 0, 300 * ms, 50 * time.Second}).Draw(t, "wait")
 				w.pass(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
 				if len(w.out) > 0 {
-					w.end(rapid.IntRange(0, len(w.out)-1).Draw(t, "call"), o, wait)
+					w.end(rapid.IntRange(0, len(w.out)-1).Draw(t, "call"), outcome, wait)
 				}
 			}
 		},
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -87,20 +87,20 @@
 	}
 	f.first = append([]Event{whole}, told...)
 	for id := range uint32(1 + rng.IntN(60)) {
-		class := rng.IntN(len(set.Classes))
+		classIndex := rng.IntN(len(set.Classes))
 		m := &left{id: id + 1, dest: rng.IntN(len(f.waiting)), sent: -1, end: -1, untried: true}
-		m.time = set.Classes[class].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
+		m.time = set.Classes[classIndex].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
 		f.msgs = append(f.msgs, m)
-		e := Event{Kind: MessageAccepted, MessageID: m.id, Class: class, Destination: m.dest, TimeLeft: m.time}
+		event := Event{Kind: MessageAccepted, MessageID: m.id, Class: classIndex, Destination: m.dest, TimeLeft: m.time}
 		if resumed {
-			e.Recovered = &RecoveredMessage{}
+			event.Recovered = &RecoveredMessage{}
 			if rng.IntN(6) == 0 {
-				m.untried, e.Recovered.Attempts, e.Recovered.MayHaveRun, e.Recovered.SinceFirstRun = false, 1, rng.IntN(
+				m.untried, event.Recovered.Attempts, event.Recovered.MayHaveRun, event.Recovered.SinceFirstRun = false, 1, rng.IntN(
 					2,
 				) == 0, time.Second
 			}
 		}
-		f.first = append(f.first, e)
+		f.first = append(f.first, event)
 	}
 	if len(f.msgs) > 10 && rng.IntN(3) == 0 {
 		f.set.MaxPendingMessages = len(f.msgs) // no room
@@ -112,7 +112,7 @@
 // the calls of each destination.
 func (f *find) play(t *testing.T, seed uint64) (calls map[int]int) {
 	t.Helper()
-	s, err := New(f.set, seed)
+	engine, err := New(f.set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 	for now < began+12*time.Second {
 		wake := now + 500*time.Millisecond
 		routes := map[string]bool{}
-		for _, a := range s.Step(now, evs) {
+		for _, a := range engine.Step(now, evs) {
 			m := byID[a.MessageID]
 			switch a.Kind {
 			case Send:
@@ -149,7 +149,7 @@
 						Event{
 							Kind:         AttemptFinished,
 							MessageID:    a.MessageID,
-							Attempt:      s.messages[a.MessageID].attempts - 1,
+							Attempt:      engine.messages[a.MessageID].attempts - 1,
 							Endpoint:     a.Endpoint,
 							Outcome:      OK,
 							Latency:      answer,
--- a/policy/resume.go
+++ b/policy/resume.go
@@ -9,52 +9,52 @@
 
 // recoverMessage gives a message what an earlier process knew of it, so that the guards hold across a restart. No
 // backlog is poured onto hosts as one: paces start at this sender's part, those of many spread as first calls.
-func (s *Engine) recoverMessage(m *message, e *RecoveredMessage) {
-	if e == nil {
+func (e *Engine) recoverMessage(msg *message, recovered *RecoveredMessage) {
+	if recovered == nil {
 		return
 	}
-	m.attempts, m.recovered = e.Attempts, true
-	if e.MayHaveRun {
-		s.recordFirstRun(m, s.now-e.SinceFirstRun, e.FirstRunZone)
+	msg.attempts, msg.recovered = recovered.Attempts, true
+	if recovered.MayHaveRun {
+		e.recordFirstRun(msg, e.now-recovered.SinceFirstRun, recovered.FirstRunZone)
 	}
-	if s.attemptsExhausted(m) {
-		s.deadlines.push(deadlineEntry{s.now, m}) // ends in this step
+	if e.attemptsExhausted(msg) {
+		e.deadlines.push(deadlineEntry{e.now, msg}) // ends in this step
 	}
-	if m.keyQueue != nil && e.MayHaveRun {
-		m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, s.now+s.settings.OrderingPause) // a call out when the process ended may still run
+	if msg.keyQueue != nil && recovered.MayHaveRun {
+		msg.keyQueue.pausedUntil = max(msg.keyQueue.pausedUntil, e.now+e.settings.OrderingPause) // a call out when the process ended may still run
 	}
-	for _, g := range m.destination.scopes {
-		if g.pacingRate == 0 && s.isLargeFleet(g) {
-			s.initializePacing(g)
-		} else if g.pacingRate == 0 {
-			g.pacingRate, g.tokens, g.tokensUpdatedAt = s.fairShare(g), 1, s.now
-			if s.settings.FleetSize > smallFleetSize {
-				g.tokens = s.rng.Float64()
+	for _, scope := range msg.destination.scopes {
+		if scope.pacingRate == 0 && e.isLargeFleet(scope) {
+			e.initializePacing(scope)
+		} else if scope.pacingRate == 0 {
+			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = e.fairShare(scope), 1, e.now
+			if e.settings.FleetSize > smallFleetSize {
+				scope.tokens = e.rng.Float64()
 			}
 		}
-		if n := (m.destination.messageCount-1)/s.maxBatch(g.kind) + 1; s.knownLimit(g) == 0 { // no part is known: all in half of its time
-			g.pacingRate = max(g.pacingRate, 2*float64(n)/max(time.Second, m.deadline-s.now).Seconds())
+		if n := (msg.destination.messageCount-1)/e.maxBatch(scope.kind) + 1; e.knownLimit(scope) == 0 { // no part is known: all in half of its time
+			scope.pacingRate = max(scope.pacingRate, 2*float64(n)/max(time.Second, msg.deadline-e.now).Seconds())
 		}
 	}
 }
 
 // mayShed tells whether m may be refused for want of room or pace: not where a restart found it untried.
-func (s *Engine) mayShed(m *message) bool {
-	open := func(g *limitScope) bool { return g.retryAfterUntil < m.deadline }
-	owed := len(m.destination.scopes) == 0 || slices.ContainsFunc(m.destination.scopes, open)
-	return s.mayReject(m) && !(owed && m.recovered && m.attempts == 0)
+func (e *Engine) mayShed(msg *message) bool {
+	open := func(scope *limitScope) bool { return scope.retryAfterUntil < msg.deadline }
+	owed := len(msg.destination.scopes) == 0 || slices.ContainsFunc(msg.destination.scopes, open)
+	return e.mayReject(msg) && !(owed && msg.recovered && msg.attempts == 0)
 }
 
 // StillAllowed tells whether a call to a route that was decided earlier, with these messages, may leave at now. Guards
 // against one that was held up, by a slow connection say, while a drain or a wait was told, or until a message that
 // may have run is past the time in which its repeat is dropped.
-func (s *Engine) StillAllowed(route string, ids []uint32, now time.Duration) bool {
-	r := s.endpoints[route]
-	if r == nil || !r.InService || now < r.scope.retryAfterUntil {
+func (e *Engine) StillAllowed(endpointID string, messageIDs []uint32, now time.Duration) bool {
+	ep := e.endpoints[endpointID]
+	if ep == nil || !ep.InService || now < ep.scope.retryAfterUntil {
 		return false
 	}
-	for _, id := range ids {
-		if m := s.messages[id]; m != nil && m.mayHaveRun && m.class.Effect == IdempotentByKey && now >= m.dedupWindowEnd() {
+	for _, id := range messageIDs {
+		if msg := e.messages[id]; msg != nil && msg.mayHaveRun && msg.class.Effect == IdempotentByKey && now >= msg.dedupWindowEnd() {
 			return false
 		}
 	}
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -27,11 +27,11 @@
 
 func resumeStep(t *testing.T, r *RecoveredMessage) []Action {
 	t.Helper()
-	s, err := New(resumeSettings(), 1)
+	engine, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Step(time.Second, []Event{
+	return engine.Step(time.Second, []Event{
 		twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: r},
 	})
 }
@@ -64,11 +64,11 @@
 		resumed RecoveredMessage
 		want    ActionKind
 	}{{RecoveredMessage{}, Reject}, {RecoveredMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
-		s, err := New(resumeSettings(), 1)
+		engine, err := New(resumeSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(
+		acts := engine.Step(
 			time.Second,
 			[]Event{
 				twoZones(),
@@ -82,7 +82,7 @@
 }
 
 func TestABacklogIsNotPouredOut(t *testing.T) {
-	s, err := New(resumeSettings(), 1)
+	engine, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 		)
 	}
 	sends := 0
-	for _, a := range s.Step(time.Second, evs) {
+	for _, a := range engine.Step(time.Second, evs) {
 		if a.Kind == Send {
 			sends++
 		}
@@ -111,20 +111,20 @@
 }
 
 func TestACallMayNoLongerLeave(t *testing.T) {
-	s, err := New(resumeSettings(), 1)
+	engine, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(
+	engine.Step(
 		time.Second,
 		[]Event{twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}},
 	)
-	if !s.StillAllowed("best", nil, time.Second) || !s.StillAllowed("other", nil, time.Second) ||
-		s.StillAllowed("none", nil, time.Second) {
+	if !engine.StillAllowed("best", nil, time.Second) || !engine.StillAllowed("other", nil, time.Second) ||
+		engine.StillAllowed("none", nil, time.Second) {
 		t.Error("routes in service may be called, others not")
 	}
 	// A wait that comes with a delivery, as in a bundle's answer, binds too.
-	s.Step(
+	engine.Step(
 		2*time.Second,
 		[]Event{
 			{
@@ -137,13 +137,13 @@
 			},
 		},
 	)
-	if s.StillAllowed("best", nil, 2900*time.Millisecond) || !s.StillAllowed("best", nil, 3*time.Second) {
+	if engine.StillAllowed("best", nil, 2900*time.Millisecond) || !engine.StillAllowed("best", nil, 3*time.Second) {
 		t.Error("the wait ends at 3 s")
 	}
-	s.Step(4*time.Second, []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{
+	engine.Step(4*time.Second, []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{
 		{ID: "best", Destination: 5, Zone: 1, Weight: 50}, {ID: "other", Removed: true},
 	}}})
-	if s.StillAllowed("best", nil, 4*time.Second) || s.StillAllowed("other", nil, 4*time.Second) {
+	if engine.StillAllowed("best", nil, 4*time.Second) || engine.StillAllowed("other", nil, 4*time.Second) {
 		t.Error("one drains, one is gone")
 	}
 }
@@ -155,31 +155,31 @@
 	safe := set.Classes[0]
 	safe.Effect = Idempotent
 	set.Classes = append(set.Classes, safe)
-	s, err := New(set, 1)
+	engine, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ran := &RecoveredMessage{Attempts: 1, MayHaveRun: true, FirstRunZone: 1, SinceFirstRun: 9 * time.Second}
-	s.Step(time.Second, []Event{
+	engine.Step(time.Second, []Event{
 		twoZones(),
 		{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 		{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second},
 		{Kind: MessageAccepted, MessageID: 3, Class: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 	})
-	end := 2*time.Second - deadlineMargin
+	expiresAt := 2*time.Second - deadlineMargin
 	for _, c := range []struct {
 		ids  []uint32
 		at   time.Duration
 		want bool
 	}{
-		{[]uint32{1}, end - 1, true},
-		{[]uint32{1}, end, false},
-		{[]uint32{2, 1}, end, false},
+		{[]uint32{1}, expiresAt - 1, true},
+		{[]uint32{1}, expiresAt, false},
+		{[]uint32{2, 1}, expiresAt, false},
 		{[]uint32{2}, 9 * time.Second, true},
 		{[]uint32{3}, 9 * time.Second, true},
 		{[]uint32{77}, 9 * time.Second, true},
 	} {
-		if got := s.StillAllowed("best", c.ids, c.at); got != c.want {
+		if got := engine.StillAllowed("best", c.ids, c.at); got != c.want {
 			t.Errorf("messages %v at %v: %v", c.ids, c.at, got)
 		}
 	}
@@ -187,12 +187,12 @@
 
 // A message that no route may ever take again gets its answer then, not at its deadline.
 func TestSpentMessagesEndAtOnce(t *testing.T) {
-	s, err := New(resumeSettings(), 1)
+	engine, err := New(resumeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ends := func(at time.Duration, evs ...Event) (kinds []ActionKind) {
-		for _, a := range s.Step(at, evs) {
+		for _, a := range engine.Step(at, evs) {
 			if a.Kind == Reject || a.Kind == Fail {
 				kinds = append(kinds, a.Kind)
 			}
@@ -222,7 +222,7 @@
 
 func playUntried(t *testing.T, set Settings, first []Event, n int, left time.Duration) untried {
 	t.Helper()
-	s, err := New(set, 7)
+	engine, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 	for now < began+left+time.Second {
 		wake := now + time.Second
 		var next []Event
-		for _, a := range s.Step(now, evs) {
+		for _, a := range engine.Step(now, evs) {
 			switch a.Kind {
 			case Send:
 				u.sent[a.MessageID] = now - began
@@ -354,12 +354,12 @@
 	} {
 		set := resumeSettings()
 		set.DestinationKinds, set.FleetSize, set.IgnoreWeights = []DestinationKind{{MaxBatch: 1}}, 300, !c.weights
-		s, err := New(set, 3)
+		engine, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Second
-		s.Step(
+		engine.Step(
 			now,
 			[]Event{
 				{
@@ -370,21 +370,21 @@
 		)
 		for range c.deliveries {
 			now += 100 * time.Millisecond
-			s.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: OK}})
+			engine.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: OK}})
 		}
-		r := s.endpoints["only"]
-		if takes := s.scopeCapacity(r.scope); takes < c.least || takes > c.most {
-			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", c.name, takes, c.least, c.most)
+		ep := engine.endpoints["only"]
+		if capacity := engine.scopeCapacity(ep.scope); capacity < c.least || capacity > c.most {
+			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", c.name, capacity, c.least, c.most)
 		}
-		s.Step(
+		engine.Step(
 			now,
 			[]Event{
 				{Kind: HealthChecked, Endpoint: "only", Outcome: Error},
 				{Kind: HealthChecked, Endpoint: "only", Outcome: Error},
 			},
 		)
-		if all := s.recoveryRate(r) * float64(set.FleetSize); !r.warmingUp || c.deliveries > 0 && all < 2 ||
-			all > s.scopeCapacity(r.scope) {
+		if all := engine.recoveryRate(ep) * float64(set.FleetSize); !ep.warmingUp || c.deliveries > 0 && all < 2 ||
+			all > engine.scopeCapacity(ep.scope) {
 			t.Errorf("%s: in doubt all senders may make %.2f calls a second", c.name, all)
 		}
 	}
--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -14,7 +14,7 @@
 
 func newSharer(t *testing.T) *sharer {
 	t.Helper()
-	s, err := New(Settings{
+	engine, err := New(Settings{
 		Classes: []Class{
 			{Effect: Idempotent, LatencyObjective: 5 * time.Second, Deadline: 100 * time.Second, Weight: 1},
 		}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 40,
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	x := &sharer{
-		s,
+		engine,
 		[]Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}},
 		},
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -19,7 +19,7 @@
 		{"beyond the depth", maxQueueScan, false},
 	} {
 		// short with the last
-		s, err := New(
+		engine, err := New(
 			Settings{
 				Classes: []Class{
 					{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
@@ -45,7 +45,7 @@
 			)
 		}
 		refused := false
-		for _, a := range s.Step(time.Second, evs) {
+		for _, a := range engine.Step(time.Second, evs) {
 			refused = refused || a.Kind == Reject && a.MessageID == 1
 		}
 		if refused != c.refused {
@@ -57,7 +57,7 @@
 // A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss
 // their aims, it takes the square of its length. Whichever leave, the order stays.
 func TestALongQueueIsNotMovedForItsFirst(t *testing.T) {
-	s, err := New(
+	engine, err := New(
 		Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}},
 		1,
 	)
@@ -68,11 +68,11 @@
 	for i := range uint32(3 * maxQueueScan) {
 		evs = append(evs, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
 	}
-	s.Step(time.Second, evs)
-	d := s.destinations[5]
+	engine.Step(time.Second, evs)
+	d := engine.destinations[5]
 	for range maxQueueScan {
 		second := &d.queue[1]
-		if s.dequeue(d.queue[0]); &d.queue[0] != second {
+		if engine.dequeue(d.queue[0]); &d.queue[0] != second {
 			t.Fatal("the queue was moved")
 		}
 	}
@@ -83,7 +83,7 @@
 		if i%3 == 0 {
 			i = 0
 		}
-		s.dequeue(left[i])
+		engine.dequeue(left[i])
 		if left = slices.Delete(left, i, i+1); !slices.Equal(d.queue, left) {
 			t.Fatalf("with %d left another order", len(left))
 		}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -15,164 +15,164 @@
 const snapshotForm = 7
 
 // Snapshot appends the Sender's state, between two steps, to buf. Equal states give equal bytes.
-func (s *Engine) Snapshot(buf []byte) []byte {
-	c := statecodec.Writer(buf)
-	s.codeState(c)
-	return c.Bytes()
+func (e *Engine) Snapshot(buf []byte) []byte {
+	coder := statecodec.Writer(buf)
+	e.codeState(coder)
+	return coder.Bytes()
 }
 
 // Restore returns a Sender of these settings as Snapshot found it: equal events give equal actions from there on.
-func Restore(set Settings, data []byte) (*Engine, error) {
-	s, err := New(set, 0)
+func Restore(settings Settings, data []byte) (*Engine, error) {
+	e, err := New(settings, 0)
 	if err != nil {
 		return nil, err
 	}
-	c := statecodec.Reader(data)
-	s.codeState(c)
-	if err := c.Close(); err != nil {
+	coder := statecodec.Reader(data)
+	e.codeState(coder)
+	if err := coder.Close(); err != nil {
 		return nil, fmt.Errorf("policy: snapshot: %w", err)
 	}
-	for _, d := range s.sortedDestinations {
-		s.destinations[d.id] = d
-		for _, g := range d.scopes {
-			for _, r := range g.endpoints {
-				s.endpoints[r.ID] = r
+	for _, dest := range e.sortedDestinations {
+		e.destinations[dest.id] = dest
+		for _, scope := range dest.scopes {
+			for _, ep := range scope.endpoints {
+				e.endpoints[ep.ID] = ep
 			}
 		}
 	}
-	return s, nil
+	return e, nil
 }
 
-func (s *Engine) codeState(c *statecodec.Coder) {
+func (e *Engine) codeState(coder *statecodec.Coder) {
 	form := snapshotForm
-	if c.Ints(&form); form != snapshotForm {
-		c.Fail()
+	if coder.Ints(&form); form != snapshotForm {
+		coder.Fail()
 		return
 	}
-	state, _ := s.pcg.MarshalBinary() // never fails
+	state, _ := e.pcg.MarshalBinary() // never fails
 	text := string(state)
-	if c.Text(&text); c.Reading() && s.pcg.UnmarshalBinary([]byte(text)) != nil {
-		c.Fail()
+	if coder.Text(&text); coder.Reading() && e.pcg.UnmarshalBinary([]byte(text)) != nil {
+		coder.Fail()
 	}
-	s.rng = rand.New(s.pcg)
-	c.Times(&s.now, &s.timerAt, &s.startedAt, &s.acceptedTraffic.updatedAt)
-	c.Floats(&s.acceptedTraffic.level)
-	c.Ints(&s.pendingMessages, &s.callsInFlight)
-	msgs := func(m **message) { s.codeMessage(c, m) }
-	statecodec.List(c, &s.sortedDestinations, func(d **destination) { s.codeDestination(c, d) })
-	statecodec.List(c, &s.active, func(d **destination) { s.codeDestination(c, d) })
-	var bare []*destination
-	for d := s.emptyDestinations.first; d != nil; d = d.nextEmpty {
-		bare = append(bare, d)
+	e.rng = rand.New(e.pcg)
+	coder.Times(&e.now, &e.timerAt, &e.startedAt, &e.acceptedTraffic.updatedAt)
+	coder.Floats(&e.acceptedTraffic.level)
+	coder.Ints(&e.pendingMessages, &e.callsInFlight)
+	codeMsg := func(msg **message) { e.codeMessage(coder, msg) }
+	statecodec.List(coder, &e.sortedDestinations, func(dest **destination) { e.codeDestination(coder, dest) })
+	statecodec.List(coder, &e.active, func(dest **destination) { e.codeDestination(coder, dest) })
+	var empty []*destination
+	for dest := e.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
+		empty = append(empty, dest)
 	}
-	statecodec.List(c, &bare, func(d **destination) { s.codeDestination(c, d) })
-	for _, d := range bare {
-		if c.Reading() && s.emptyDestinations.has(d) {
-			c.Fail()
-		} else if c.Reading() {
-			s.emptyDestinations.add(d)
+	statecodec.List(coder, &empty, func(dest **destination) { e.codeDestination(coder, dest) })
+	for _, dest := range empty {
+		if coder.Reading() && e.emptyDestinations.has(dest) {
+			coder.Fail()
+		} else if coder.Reading() {
+			e.emptyDestinations.add(dest)
 		}
 	}
-	statecodec.Map(c, s.messages, func(id *uint32, m **message) { statecodec.Uint(c, id); msgs(m) })
-	for _, d := range s.active { // apart from the destinations, so that messages do not nest
-		statecodec.List(c, &d.queue, msgs)
+	statecodec.Map(coder, e.messages, func(id *uint32, msg **message) { statecodec.Uint(coder, id); codeMsg(msg) })
+	for _, dest := range e.active { // apart from the destinations, so that messages do not nest
+		statecodec.List(coder, &dest.queue, codeMsg)
 	}
-	turns := func(t **keyQueue) { s.codeKeyQueue(c, t) }
-	statecodec.Map(c, s.keyQueues, func(key *string, t **keyQueue) { c.Text(key); turns(t) })
-	statecodec.List(c, &s.expiringKeyQueues, turns)
-	statecodec.Map(c, s.lowestReportedLimit, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
-	for _, until := range []map[int]time.Duration{s.connectShortageUntil, s.closeIdleUntil} {
-		statecodec.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
+	codeQueue := func(queue **keyQueue) { e.codeKeyQueue(coder, queue) }
+	statecodec.Map(coder, e.keyQueues, func(key *string, queue **keyQueue) { coder.Text(key); codeQueue(queue) })
+	statecodec.List(coder, &e.expiringKeyQueues, codeQueue)
+	statecodec.Map(coder, e.lowestReportedLimit, func(k *int, v *float64) { coder.Ints(k); coder.Floats(v) })
+	for _, until := range []map[int]time.Duration{e.connectShortageUntil, e.closeIdleUntil} {
+		statecodec.Map(coder, until, func(k *int, v *time.Duration) { coder.Ints(k); coder.Times(v) })
 	}
-	statecodec.List(c, &s.tenantTraffic, func(b *trafficMeter) { c.Floats(&b.level); c.Times(&b.updatedAt) })
-	if len(s.tenantTraffic) != len(s.settings.Tenants) {
-		c.Fail()
+	statecodec.List(coder, &e.tenantTraffic, func(meter *trafficMeter) { coder.Floats(&meter.level); coder.Times(&meter.updatedAt) })
+	if len(e.tenantTraffic) != len(e.settings.Tenants) {
+		coder.Fail()
 	}
-	statecodec.List(c, (*[]deadlineEntry)(&s.deadlines), func(e *deadlineEntry) { c.Times(&e.at); msgs(&e.message) })
+	statecodec.List(coder, (*[]deadlineEntry)(&e.deadlines), func(entry *deadlineEntry) { coder.Times(&entry.at); codeMsg(&entry.message) })
 }
 
-func (s *Engine) codeDestination(c *statecodec.Coder, p **destination) {
-	statecodec.Must(c, p, func(d *destination) {
-		c.Ints(&d.id, &d.messageCount, &d.activeIndex)
-		c.Times(&d.blockedUntil, &d.emptySince)
-		statecodec.List(c, &d.scopes, func(g **limitScope) { s.codeScope(c, g) })
+func (e *Engine) codeDestination(coder *statecodec.Coder, p **destination) {
+	statecodec.Must(coder, p, func(dest *destination) {
+		coder.Ints(&dest.id, &dest.messageCount, &dest.activeIndex)
+		coder.Times(&dest.blockedUntil, &dest.emptySince)
+		statecodec.List(coder, &dest.scopes, func(scope **limitScope) { e.codeScope(coder, scope) })
 	})
 }
 
-func (s *Engine) codeScope(c *statecodec.Coder, p **limitScope) {
-	statecodec.Must(c, p, func(g *limitScope) {
-		s.codeDestination(c, &g.destination)
-		statecodec.List(c, &g.endpoints, func(r **endpoint) { statecodec.Must(c, r, func(r *endpoint) { s.codeEndpoint(c, r) }) })
-		c.Bools(&g.perEndpoint, &g.quotaShared)
-		c.Ints(&g.kind, &g.inFlight, &g.consecutiveFailures, &g.connectExhaustions, &g.grantedCalls)
-		c.Floats(&g.pacingRate, &g.lastRejectedRate, &g.tokens, &g.recoveryTokens, &g.reportedLimit, &g.deliveryRate, &g.reservedFraction)
-		c.Times(
-			&g.retryAfterUntil,
-			&g.decreasedAt,
-			&g.increasedAt,
-			&g.tokensUpdatedAt,
-			&g.recoveryUpdatedAt,
-			&g.suspectRemovedAt,
-			&g.lastFailureSentAt,
-			&g.deliveryRateAt,
-			&g.grantExpiresAt,
-			&g.quotaRequestedAt,
+func (e *Engine) codeScope(coder *statecodec.Coder, p **limitScope) {
+	statecodec.Must(coder, p, func(scope *limitScope) {
+		e.codeDestination(coder, &scope.destination)
+		statecodec.List(coder, &scope.endpoints, func(ep **endpoint) { statecodec.Must(coder, ep, func(ep *endpoint) { e.codeEndpoint(coder, ep) }) })
+		coder.Bools(&scope.perEndpoint, &scope.quotaShared)
+		coder.Ints(&scope.kind, &scope.inFlight, &scope.consecutiveFailures, &scope.connectExhaustions, &scope.grantedCalls)
+		coder.Floats(&scope.pacingRate, &scope.lastRejectedRate, &scope.tokens, &scope.recoveryTokens, &scope.reportedLimit, &scope.deliveryRate, &scope.reservedFraction)
+		coder.Times(
+			&scope.retryAfterUntil,
+			&scope.decreasedAt,
+			&scope.increasedAt,
+			&scope.tokensUpdatedAt,
+			&scope.recoveryUpdatedAt,
+			&scope.suspectRemovedAt,
+			&scope.lastFailureSentAt,
+			&scope.deliveryRateAt,
+			&scope.grantExpiresAt,
+			&scope.quotaRequestedAt,
 		)
-		statecodec.List(c, &g.recentSends, func(at *time.Duration) { c.Times(at) })
+		statecodec.List(coder, &scope.recentSends, func(at *time.Duration) { coder.Times(at) })
 	})
 }
 
-func (s *Engine) codeEndpoint(c *statecodec.Coder, r *endpoint) {
-	c.Text(&r.ID)
-	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.consecutiveSuccesses, &r.consecutiveFailures, &r.consecutiveRejections)
-	c.Floats(&r.Weight)
-	c.Bools(&r.InService, &r.Removed, &r.ejected, &r.warmingUp, &r.weaklySuspected, &r.answerLost)
-	c.Times(&r.ejectedUntil, &r.ejectionTime, &r.lastFailureSentAt, &r.recoveredAt, &r.firstRejectedAt, &r.lastSuccessAt, &r.lastAnsweredSendAt, &r.latencyMean, &r.latencyDeviation)
-	statecodec.Uint(c, &r.tieBreaker)
-	statecodec.Uint(c, &r.recentFailures)
-	s.codeScope(c, &r.scope)
-	statecodec.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
+func (e *Engine) codeEndpoint(coder *statecodec.Coder, ep *endpoint) {
+	coder.Text(&ep.ID)
+	coder.Ints(&ep.Destination, &ep.Kind, &ep.Zone, &ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections)
+	coder.Floats(&ep.Weight)
+	coder.Bools(&ep.InService, &ep.Removed, &ep.ejected, &ep.warmingUp, &ep.weaklySuspected, &ep.answerLost)
+	coder.Times(&ep.ejectedUntil, &ep.ejectionTime, &ep.lastFailureSentAt, &ep.recoveredAt, &ep.firstRejectedAt, &ep.lastSuccessAt, &ep.lastAnsweredSendAt, &ep.latencyMean, &ep.latencyDeviation)
+	statecodec.Uint(coder, &ep.tieBreaker)
+	statecodec.Uint(coder, &ep.recentFailures)
+	e.codeScope(coder, &ep.scope)
+	statecodec.List(coder, &ep.calls, func(c **call) { e.codeCall(coder, c) })
 }
 
-func (s *Engine) codeCall(c *statecodec.Coder, p **call) {
-	statecodec.Must(c, p, func(x *call) {
-		statecodec.Must(c, &x.endpoint, func(r *endpoint) { s.codeEndpoint(c, r) })
-		c.Ints(&x.pending)
-		c.Bools(&x.delivered)
-		c.Times(&x.sentAt, &x.overdueAt, &x.timeoutAt)
+func (e *Engine) codeCall(coder *statecodec.Coder, p **call) {
+	statecodec.Must(coder, p, func(c *call) {
+		statecodec.Must(coder, &c.endpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+		coder.Ints(&c.pending)
+		coder.Bools(&c.delivered)
+		coder.Times(&c.sentAt, &c.overdueAt, &c.timeoutAt)
 	})
 }
 
-func (s *Engine) codeMessage(c *statecodec.Coder, p **message) {
-	statecodec.Must(c, p, func(m *message) {
-		statecodec.Uint(c, &m.id)
-		if c.Reading() {
-			m.class = new(Class)
+func (e *Engine) codeMessage(coder *statecodec.Coder, p **message) {
+	statecodec.Must(coder, p, func(msg *message) {
+		statecodec.Uint(coder, &msg.id)
+		if coder.Reading() {
+			msg.class = new(Class)
 		}
-		class := slices.Index(s.settings.Classes, *m.class) // by its value; the settings may no longer name it
-		if c.Ints(&class); class >= 0 && class < len(s.settings.Classes) {
-			m.class = &s.settings.Classes[class]
+		classIndex := slices.Index(e.settings.Classes, *msg.class) // by its value; the settings may no longer name it
+		if coder.Ints(&classIndex); classIndex >= 0 && classIndex < len(e.settings.Classes) {
+			msg.class = &e.settings.Classes[classIndex]
 		} else {
-			statecodec.Int(c, &m.class.Effect)
-			c.Bools(&m.class.DedupAllZones, &m.class.Ordered)
-			c.Times(&m.class.DedupWindow, &m.class.LatencyObjective, &m.class.Deadline)
-			c.Floats(&m.class.Weight)
+			statecodec.Int(coder, &msg.class.Effect)
+			coder.Bools(&msg.class.DedupAllZones, &msg.class.Ordered)
+			coder.Times(&msg.class.DedupWindow, &msg.class.LatencyObjective, &msg.class.Deadline)
+			coder.Floats(&msg.class.Weight)
 		}
-		s.codeDestination(c, &m.destination)
-		s.codeKeyQueue(c, &m.keyQueue)
-		c.Times(&m.objectiveAt, &m.deadline, &m.queueRank, &m.firstRunAt)
-		c.Ints(&m.attempts, &m.maxAttempts, &m.firstRunZone, &m.timeouts)
-		c.Bools(&m.mayHaveRun, &m.ended, &m.queued, &m.recovered)
-		statecodec.Ref(c, &m.lastFailedEndpoint, func(r *endpoint) { s.codeEndpoint(c, r) })
-		statecodec.List(c, &m.inFlight, func(a *attempt) { c.Ints(&a.number); s.codeCall(c, &a.call) })
+		e.codeDestination(coder, &msg.destination)
+		e.codeKeyQueue(coder, &msg.keyQueue)
+		coder.Times(&msg.objectiveAt, &msg.deadline, &msg.queueRank, &msg.firstRunAt)
+		coder.Ints(&msg.attempts, &msg.maxAttempts, &msg.firstRunZone, &msg.timeouts)
+		coder.Bools(&msg.mayHaveRun, &msg.ended, &msg.queued, &msg.recovered)
+		statecodec.Ref(coder, &msg.lastFailedEndpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+		statecodec.List(coder, &msg.inFlight, func(a *attempt) { coder.Ints(&a.number); e.codeCall(coder, &a.call) })
 	})
 }
 
-func (s *Engine) codeKeyQueue(c *statecodec.Coder, p **keyQueue) {
-	statecodec.Ref(c, p, func(t *keyQueue) {
-		c.Text(&t.key)
-		c.Bools(&t.expiring)
-		c.Times(&t.pausedUntil)
-		statecodec.List(c, &t.messages, func(m **message) { s.codeMessage(c, m) })
+func (e *Engine) codeKeyQueue(coder *statecodec.Coder, p **keyQueue) {
+	statecodec.Ref(coder, p, func(queue *keyQueue) {
+		coder.Text(&queue.key)
+		coder.Bools(&queue.expiring)
+		coder.Times(&queue.pausedUntil)
+		statecodec.List(coder, &queue.messages, func(msg **message) { e.codeMessage(coder, msg) })
 	})
 }
