--- a/policy/state.go
+++ b/policy/state.go
@@ -166,74 +166,74 @@
 }
 
 // updateEndpoints takes on the list of routes. A route that drains or is gone takes nothing new from here on.
-func (s *Engine) updateEndpoints(entries []Endpoint, whole bool) {
-	if s.settings.WatchRequired && whole && len(s.sortedDestinations) == 0 {
-		s.emit(Action{Kind: WatchEndpoints})
+func (e *Engine) updateEndpoints(entries []Endpoint, complete bool) {
+	if e.settings.WatchRequired && complete && len(e.sortedDestinations) == 0 {
+		e.emit(Action{Kind: WatchEndpoints})
 	}
-	if whole {
+	if complete {
 		keep := make(map[string]bool, len(entries))
 		for i := range entries {
 			keep[entries[i].ID] = true
 		}
-		for _, d := range s.sortedDestinations {
-			for _, g := range slices.Clone(d.scopes) {
-				for _, r := range slices.Clone(g.endpoints) {
-					if !keep[r.ID] {
-						s.removeEndpoint(r)
+		for _, dest := range e.sortedDestinations {
+			for _, scope := range slices.Clone(dest.scopes) {
+				for _, ep := range slices.Clone(scope.endpoints) {
+					if !keep[ep.ID] {
+						e.removeEndpoint(ep)
 					}
 				}
 			}
 		}
 	}
 	var changed []*destination
-	for _, l := range entries {
-		if !(l.Weight > 0) || math.IsInf(l.Weight, 0) {
-			l.Weight = 0 // not told
+	for _, listed := range entries {
+		if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) {
+			listed.Weight = 0 // not told
 		}
-		r := s.endpoints[l.ID]
+		ep := e.endpoints[listed.ID]
 		switch {
-		case l.Removed:
-			if r != nil {
-				s.removeEndpoint(r)
+		case listed.Removed:
+			if ep != nil {
+				e.removeEndpoint(ep)
 			}
-		case r == nil:
-			s.addEndpoint(l)
-			changed = append(changed, s.destinations[l.Destination])
+		case ep == nil:
+			e.addEndpoint(listed)
+			changed = append(changed, e.destinations[listed.Destination])
 		default:
-			if l.InService && !r.InService {
-				r.lastSuccessAt = 0 // as new: what it answered before it drained tells nothing
+			if listed.InService && !ep.InService {
+				ep.lastSuccessAt = 0 // as new: what it answered before it drained tells nothing
 			}
-			r.Endpoint = l
-			changed = append(changed, r.scope.destination)
+			ep.Endpoint = listed
+			changed = append(changed, ep.scope.destination)
 		}
 	}
-	for i, d := range changed {
-		if i == 0 || d != changed[i-1] {
-			s.sortEndpoints(d)
-			s.recheck(d)
+	for i, dest := range changed {
+		if i == 0 || dest != changed[i-1] {
+			e.sortEndpoints(dest)
+			e.recheck(dest)
 		}
 	}
-	for _, d := range changed {
-		if s.emptyDestinations.has(d) && d.hasEndpoints() {
-			s.emptyDestinations.remove(d)
-			d.emptySince = 0
+	for _, dest := range changed {
+		if e.emptyDestinations.has(dest) && dest.hasEndpoints() {
+			e.emptyDestinations.remove(dest)
+			dest.emptySince = 0
 		}
 	}
-	s.removeEmptyDestinations()
+	e.removeEmptyDestinations()
 }
 
 // removeEmptyDestinations forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are
 // due.
-func (s *Engine) removeEmptyDestinations() {
-	for d := s.emptyDestinations.first; d != nil && s.now >= d.emptySince+s.settings.WarmUpDuration; {
-		next := d.nextEmpty
-		if d.messageCount == 0 {
-			s.emptyDestinations.remove(d)
-			delete(s.destinations, d.id)
-			i := sort.Search(len(s.sortedDestinations), func(i int) bool { return s.sortedDestinations[i].id >= d.id })
-			s.sortedDestinations = slices.Delete(s.sortedDestinations, i, i+1)
+func (e *Engine) removeEmptyDestinations() {
+	for dest := e.emptyDestinations.first; dest != nil && e.now >= dest.emptySince+e.settings.WarmUpDuration; {
+		next := dest.nextEmpty
+		if dest.messageCount == 0 {
+			e.emptyDestinations.remove(dest)
+			delete(e.destinations, dest.id)
+			i := sort.Search(len(e.sortedDestinations), func(i int) bool { return e.sortedDestinations[i].id >= dest.id })
+			e.sortedDestinations = slices.Delete(e.sortedDestinations, i, i+1)
 		}
-		d = next
+		dest = next
 	}
 }
 
@@ -241,148 +241,148 @@
 // they come and go one by one.
 type emptyDestinationList struct{ first, last *destination }
 
-func (l *emptyDestinationList) has(d *destination) bool {
-	return l.first == d || d.previousEmpty != nil
+func (l *emptyDestinationList) has(dest *destination) bool {
+	return l.first == dest || dest.previousEmpty != nil
 }
 
-func (l *emptyDestinationList) add(d *destination) {
-	if d.previousEmpty = l.last; l.last == nil {
-		l.first = d
+func (l *emptyDestinationList) add(dest *destination) {
+	if dest.previousEmpty = l.last; l.last == nil {
+		l.first = dest
 	} else {
-		l.last.nextEmpty = d
+		l.last.nextEmpty = dest
 	}
-	l.last = d
+	l.last = dest
 }
 
-func (l *emptyDestinationList) remove(d *destination) {
-	if d.previousEmpty == nil {
-		l.first = d.nextEmpty
+func (l *emptyDestinationList) remove(dest *destination) {
+	if dest.previousEmpty == nil {
+		l.first = dest.nextEmpty
 	} else {
-		d.previousEmpty.nextEmpty = d.nextEmpty
+		dest.previousEmpty.nextEmpty = dest.nextEmpty
 	}
-	if d.nextEmpty == nil {
-		l.last = d.previousEmpty
+	if dest.nextEmpty == nil {
+		l.last = dest.previousEmpty
 	} else {
-		d.nextEmpty.previousEmpty = d.previousEmpty
+		dest.nextEmpty.previousEmpty = dest.previousEmpty
 	}
-	d.previousEmpty, d.nextEmpty = nil, nil
+	dest.previousEmpty, dest.nextEmpty = nil, nil
 }
 
 // hasEndpoints tells whether the destination has a route.
-func (d *destination) hasEndpoints() bool {
-	return slices.ContainsFunc(d.scopes, func(g *limitScope) bool { return len(g.endpoints) > 0 })
+func (dest *destination) hasEndpoints() bool {
+	return slices.ContainsFunc(dest.scopes, func(scope *limitScope) bool { return len(scope.endpoints) > 0 })
 }
 
 // maxBatch is how many messages a call to a kind of destination may carry.
-func (s *Engine) maxBatch(kind int) int {
-	if kind >= 0 && kind < len(s.settings.DestinationKinds) {
-		return max(1, s.settings.DestinationKinds[kind].MaxBatch)
+func (e *Engine) maxBatch(kind int) int {
+	if kind >= 0 && kind < len(e.settings.DestinationKinds) {
+		return max(1, e.settings.DestinationKinds[kind].MaxBatch)
 	}
 	return 1
 }
 
 // Reconfigure has other settings hold from here on. Open messages keep their class and number of attempts.
-func (s *Engine) Reconfigure(set Settings) error {
-	fresh, err := New(set, 0)
+func (e *Engine) Reconfigure(settings Settings) error {
+	validated, err := New(settings, 0)
 	if err == nil {
-		s.settings, s.tenantTraffic = fresh.settings, fresh.tenantTraffic
+		e.settings, e.tenantTraffic = validated.settings, validated.tenantTraffic
 	}
 	return err
 }
 
 // applyGrant takes what others leave this sender of a limit. Rights that were not used yet end with the first of them.
-func (s *Engine) applyGrant(e *Event) {
-	d := s.destinations[e.Destination]
-	if d == nil {
+func (e *Engine) applyGrant(event *Event) {
+	dest := e.destinations[event.Destination]
+	if dest == nil {
 		return
 	}
-	for _, g := range d.scopes {
-		if len(g.endpoints) == 0 || !s.isLargeFleet(g) || g.perEndpoint && g.endpoints[0].ID != e.Endpoint {
+	for _, scope := range dest.scopes {
+		if len(scope.endpoints) == 0 || !e.isLargeFleet(scope) || scope.perEndpoint && scope.endpoints[0].ID != event.Endpoint {
 			continue
 		}
-		g.quotaShared, g.reservedFraction = true, math.Min(1, math.Max(0, e.ReservedFraction))
-		if e.GrantedCalls > 0 && e.TimeLeft > 0 {
-			end := s.now + e.TimeLeft
-			if g.hasGrant(s.now) {
-				end = min(end, g.grantExpiresAt)
+		scope.quotaShared, scope.reservedFraction = true, math.Min(1, math.Max(0, event.ReservedFraction))
+		if event.GrantedCalls > 0 && event.TimeLeft > 0 {
+			expiresAt := e.now + event.TimeLeft
+			if scope.hasGrant(e.now) {
+				expiresAt = min(expiresAt, scope.grantExpiresAt)
 			} else {
-				g.grantedCalls = 0
+				scope.grantedCalls = 0
 			}
-			g.grantedCalls, g.grantExpiresAt = g.grantedCalls+e.GrantedCalls, end
+			scope.grantedCalls, scope.grantExpiresAt = scope.grantedCalls+event.GrantedCalls, expiresAt
 		}
-		s.recheck(d)
+		e.recheck(dest)
 	}
 }
 
 // hasGrant tells whether a call may be made beyond the sender's own pace.
-func (g *limitScope) hasGrant(now time.Duration) bool {
-	return g.grantedCalls > 0 && now < g.grantExpiresAt
+func (scope *limitScope) hasGrant(now time.Duration) bool {
+	return scope.grantedCalls > 0 && now < scope.grantExpiresAt
 }
 
 // tokenRate is the pace that a gate's tokens grow with: of a part that is lent, what is left.
-func (s *Engine) tokenRate(g *limitScope) float64 {
-	if g.quotaShared && g.reservedFraction < 1 {
-		return math.Min(g.pacingRate, s.knownLimit(g)/float64(s.settings.FleetSize)) * g.reservedFraction
+func (e *Engine) tokenRate(scope *limitScope) float64 {
+	if scope.quotaShared && scope.reservedFraction < 1 {
+		return math.Min(scope.pacingRate, e.knownLimit(scope)/float64(e.settings.FleetSize)) * scope.reservedFraction
 	}
-	return g.pacingRate
+	return scope.pacingRate
 }
 
 // recheck has a destination looked at again by the next dispatch.
-func (s *Engine) recheck(d *destination) { d.blockedUntil = 0 }
+func (e *Engine) recheck(dest *destination) { dest.blockedUntil = 0 }
 
 // hasSuspect tells whether a route of the gate is in doubt.
-func (g *limitScope) hasSuspect() bool {
-	return slices.ContainsFunc(g.endpoints, func(x *endpoint) bool { return x.warmingUp })
+func (scope *limitScope) hasSuspect() bool {
+	return slices.ContainsFunc(scope.endpoints, func(other *endpoint) bool { return other.warmingUp })
 }
 
 // removeEndpoint forgets a route. Calls still out keep it alive until their outcomes.
-func (s *Engine) removeEndpoint(r *endpoint) {
-	r.Removed = true
-	delete(s.endpoints, r.ID)
-	g := r.scope
-	if r.warmingUp {
-		g.suspectRemovedAt = s.now
-	}
-	g.endpoints = slices.DeleteFunc(g.endpoints, func(x *endpoint) bool { return x == r })
-	if g.perEndpoint {
-		g.destination.scopes = slices.DeleteFunc(g.destination.scopes, func(x *limitScope) bool { return x == g })
-	}
-	if d := g.destination; !s.emptyDestinations.has(d) && !d.hasEndpoints() {
-		d.emptySince = s.now
-		s.emptyDestinations.add(d)
-	}
-}
-
-func (s *Engine) addEndpoint(l Endpoint) {
-	d := s.ensureDestination(l.Destination)
-	r := &endpoint{Endpoint: l, tieBreaker: s.rng.Uint64()}
-	s.endpoints[l.ID] = r
-	separate := l.Kind >= 0 && l.Kind < len(s.settings.DestinationKinds) && s.settings.DestinationKinds[l.Kind].LimitPerEndpoint
-	if separate || len(d.scopes) == 0 {
-		d.scopes = append(d.scopes, &limitScope{
-			destination: d, perEndpoint: separate, kind: l.Kind, tokens: 1, tokensUpdatedAt: s.now,
+func (e *Engine) removeEndpoint(ep *endpoint) {
+	ep.Removed = true
+	delete(e.endpoints, ep.ID)
+	scope := ep.scope
+	if ep.warmingUp {
+		scope.suspectRemovedAt = e.now
+	}
+	scope.endpoints = slices.DeleteFunc(scope.endpoints, func(other *endpoint) bool { return other == ep })
+	if scope.perEndpoint {
+		scope.destination.scopes = slices.DeleteFunc(scope.destination.scopes, func(other *limitScope) bool { return other == scope })
+	}
+	if dest := scope.destination; !e.emptyDestinations.has(dest) && !dest.hasEndpoints() {
+		dest.emptySince = e.now
+		e.emptyDestinations.add(dest)
+	}
+}
+
+func (e *Engine) addEndpoint(listed Endpoint) {
+	dest := e.ensureDestination(listed.Destination)
+	ep := &endpoint{Endpoint: listed, tieBreaker: e.rng.Uint64()}
+	e.endpoints[listed.ID] = ep
+	perEndpoint := listed.Kind >= 0 && listed.Kind < len(e.settings.DestinationKinds) && e.settings.DestinationKinds[listed.Kind].LimitPerEndpoint
+	if perEndpoint || len(dest.scopes) == 0 {
+		dest.scopes = append(dest.scopes, &limitScope{
+			destination: dest, perEndpoint: perEndpoint, kind: listed.Kind, tokens: 1, tokensUpdatedAt: e.now,
 			suspectRemovedAt: math.MinInt64 / 2,
 		})
-		if l.Relisted {
+		if listed.Relisted {
 			// As if it had stood here since. Guards against a first message that waits as at a start each time that it
 			// is told of again.
-			d.scopes[len(d.scopes)-1].tokensUpdatedAt = s.startedAt
+			dest.scopes[len(dest.scopes)-1].tokensUpdatedAt = e.startedAt
 		}
 	}
-	r.Relisted = false
-	r.scope = d.scopes[len(d.scopes)-1]
-	r.scope.endpoints = append(r.scope.endpoints, r)
+	ep.Relisted = false
+	ep.scope = dest.scopes[len(dest.scopes)-1]
+	ep.scope.endpoints = append(ep.scope.endpoints, ep)
 }
 
-func (s *Engine) ensureDestination(id int) *destination {
-	d := s.destinations[id]
-	if d == nil {
-		d = &destination{id: id}
-		s.destinations[id] = d
-		i := sort.Search(len(s.sortedDestinations), func(i int) bool { return s.sortedDestinations[i].id > id })
-		s.sortedDestinations = slices.Insert(s.sortedDestinations, i, d)
+func (e *Engine) ensureDestination(id int) *destination {
+	dest := e.destinations[id]
+	if dest == nil {
+		dest = &destination{id: id}
+		e.destinations[id] = dest
+		i := sort.Search(len(e.sortedDestinations), func(i int) bool { return e.sortedDestinations[i].id > id })
+		e.sortedDestinations = slices.Insert(e.sortedDestinations, i, dest)
 	}
-	return d
+	return dest
 }
 
 // callInterval is the time between calls at a rate.
@@ -393,78 +393,78 @@
 	return min(time.Hour, time.Duration(float64(time.Second)/rate))
 }
 
-func (s *Engine) enqueue(m *message) {
-	d := m.destination
-	i := sort.Search(len(d.queue), func(i int) bool { return precedes(m, d.queue[i]) })
-	d.queue = slices.Insert(d.queue, i, m)
-	m.queued = true
-	s.recheck(d)
-	if d.activeIndex == 0 {
-		s.active = append(s.active, d)
-		d.activeIndex = len(s.active)
+func (e *Engine) enqueue(msg *message) {
+	dest := msg.destination
+	i := sort.Search(len(dest.queue), func(i int) bool { return precedes(msg, dest.queue[i]) })
+	dest.queue = slices.Insert(dest.queue, i, msg)
+	msg.queued = true
+	e.recheck(dest)
+	if dest.activeIndex == 0 {
+		e.active = append(e.active, dest)
+		dest.activeIndex = len(e.active)
 	}
 }
 
-func (s *Engine) dequeue(m *message) {
-	if !m.queued {
+func (e *Engine) dequeue(msg *message) {
+	if !msg.queued {
 		return
 	}
-	m.queued = false
-	d := m.destination
-	i := sort.Search(len(d.queue), func(i int) bool { return !precedes(d.queue[i], m) })
-	if len(d.queue) > maxQueueScan && i < len(d.queue)/2 {
+	msg.queued = false
+	dest := msg.destination
+	i := sort.Search(len(dest.queue), func(i int) bool { return !precedes(dest.queue[i], msg) })
+	if len(dest.queue) > maxQueueScan && i < len(dest.queue)/2 {
 		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss
 		// their aims.
-		copy(d.queue[1:i+1], d.queue[:i])
-		d.queue[0] = nil
-		d.queue = d.queue[1:]
+		copy(dest.queue[1:i+1], dest.queue[:i])
+		dest.queue[0] = nil
+		dest.queue = dest.queue[1:]
 	} else {
-		d.queue = slices.Delete(d.queue, i, i+1)
+		dest.queue = slices.Delete(dest.queue, i, i+1)
 	}
-	if len(d.queue) == 0 {
-		last := s.active[len(s.active)-1]
-		s.active[d.activeIndex-1], last.activeIndex = last, d.activeIndex
-		s.active, d.activeIndex = s.active[:len(s.active)-1], 0
+	if len(dest.queue) == 0 {
+		last := e.active[len(e.active)-1]
+		e.active[dest.activeIndex-1], last.activeIndex = last, dest.activeIndex
+		e.active, dest.activeIndex = e.active[:len(e.active)-1], 0
 	}
 }
 
 // finishMessage ends a message that needs no answer of ours.
-func (s *Engine) finishMessage(m *message) {
-	if !m.ended {
-		m.ended = true
-		s.pendingMessages--
-		s.dequeue(m)
+func (e *Engine) finishMessage(msg *message) {
+	if !msg.ended {
+		msg.ended = true
+		e.pendingMessages--
+		e.dequeue(msg)
 	}
-	s.releaseMessage(m)
+	e.releaseMessage(msg)
 }
 
 // releaseMessage drops an ended message once its attempts have their outcomes, and passes its turn on.
-func (s *Engine) releaseMessage(m *message) {
-	if !m.ended || len(m.inFlight) > 0 {
+func (e *Engine) releaseMessage(msg *message) {
+	if !msg.ended || len(msg.inFlight) > 0 {
 		return
 	}
-	delete(s.messages, m.id)
-	m.destination.messageCount--
-	if t := m.keyQueue; t != nil {
-		m.keyQueue = nil
-		t.messages = slices.DeleteFunc(t.messages, func(x *message) bool { return x == m })
+	delete(e.messages, msg.id)
+	msg.destination.messageCount--
+	if queue := msg.keyQueue; queue != nil {
+		msg.keyQueue = nil
+		queue.messages = slices.DeleteFunc(queue.messages, func(other *message) bool { return other == msg })
 		switch {
-		case len(t.messages) > 0:
-			s.recheck(t.messages[0].destination)
-		case !t.expiring:
-			t.expiring = true
-			s.expiringKeyQueues = append(s.expiringKeyQueues, t)
+		case len(queue.messages) > 0:
+			e.recheck(queue.messages[0].destination)
+		case !queue.expiring:
+			queue.expiring = true
+			e.expiringKeyQueues = append(e.expiringKeyQueues, queue)
 		}
 	}
 }
 
 // expireKeyQueues forgets turns whose line is empty and whose rest is over.
-func (s *Engine) expireKeyQueues() {
-	for len(s.expiringKeyQueues) > 0 && s.expiringKeyQueues[0].pausedUntil <= s.now {
-		t := s.expiringKeyQueues[0]
-		s.expiringKeyQueues = s.expiringKeyQueues[1:]
-		if t.expiring = false; len(t.messages) == 0 {
-			delete(s.keyQueues, t.key)
+func (e *Engine) expireKeyQueues() {
+	for len(e.expiringKeyQueues) > 0 && e.expiringKeyQueues[0].pausedUntil <= e.now {
+		queue := e.expiringKeyQueues[0]
+		e.expiringKeyQueues = e.expiringKeyQueues[1:]
+		if queue.expiring = false; len(queue.messages) == 0 {
+			delete(e.keyQueues, queue.key)
 		}
 	}
 }
@@ -474,32 +474,32 @@
 	message *message
 }
 
-func (e *deadlineEntry) precedes(o *deadlineEntry) bool {
-	return e.at < o.at || e.at == o.at && e.message.id < o.message.id
+func (entry *deadlineEntry) precedes(other *deadlineEntry) bool {
+	return entry.at < other.at || entry.at == other.at && entry.message.id < other.message.id
 }
 
 // deadlineHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the
 // heap of the program, twice for each message.
 type deadlineHeap []deadlineEntry
 
-func (h *deadlineHeap) push(e deadlineEntry) {
-	*h = append(*h, e)
+func (h *deadlineHeap) push(entry deadlineEntry) {
+	*h = append(*h, entry)
 	a := *h
 	i := len(a) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if !e.precedes(&a[up]) {
+		parent := (i - 1) / 2
+		if !entry.precedes(&a[parent]) {
 			break
 		}
-		a[i], i = a[up], up
+		a[i], i = a[parent], parent
 	}
-	a[i] = e
+	a[i] = entry
 }
 
 func (h *deadlineHeap) pop() deadlineEntry {
 	a := *h
 	n := len(a) - 1
-	first, e := a[0], a[n]
+	first, entry := a[0], a[n]
 	a[n] = deadlineEntry{}
 	*h = a[:n]
 	for i := 0; n > 0; {
@@ -507,8 +507,8 @@
 		if c+1 < n && a[c+1].precedes(&a[c]) {
 			c++
 		}
-		if c >= n || !a[c].precedes(&e) {
-			a[i] = e
+		if c >= n || !a[c].precedes(&entry) {
+			a[i] = entry
 			break
 		}
 		a[i], i = a[c], c
@@ -516,75 +516,75 @@
 	return first
 }
 
-func (s *Engine) emit(a Action) { s.actions = append(s.actions, a) }
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
 // requestTimer asks to be woken at t, if nothing earlier is asked for.
-func (s *Engine) requestTimer(t time.Duration) {
-	if t < math.MaxInt64 && (s.requestedTimerAt == 0 || t < s.requestedTimerAt) {
-		s.requestedTimerAt = t
+func (e *Engine) requestTimer(t time.Duration) {
+	if t < math.MaxInt64 && (e.requestedTimerAt == 0 || t < e.requestedTimerAt) {
+		e.requestedTimerAt = t
 	}
 }
 
 // sendRate is the rate of calls in the last second.
-func (s *Engine) sendRate(g *limitScope) float64 {
+func (e *Engine) sendRate(scope *limitScope) float64 {
 	i := 0
-	for i < len(g.recentSends) && g.recentSends[i] <= s.now-time.Second {
+	for i < len(scope.recentSends) && scope.recentSends[i] <= e.now-time.Second {
 		i++
 	}
-	g.recentSends = append(g.recentSends[:0], g.recentSends[i:]...)
-	return float64(len(g.recentSends))
+	scope.recentSends = append(scope.recentSends[:0], scope.recentSends[i:]...)
+	return float64(len(scope.recentSends))
 }
 
 // decay is what is left after a while of a count that fades over a span.
 func decay(since, span time.Duration) float64 { return math.Exp(-float64(since) / float64(span)) }
 
 // deliveryRate is the mean rate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
-func (s *Engine) deliveryRate(g *limitScope) float64 {
-	if g.hasSuspect() {
-		return g.deliveryRate
+func (e *Engine) deliveryRate(scope *limitScope) float64 {
+	if scope.hasSuspect() {
+		return scope.deliveryRate
 	}
-	return g.deliveryRate * decay(s.now-g.deliveryRateAt, deliveryRateWindow)
+	return scope.deliveryRate * decay(e.now-scope.deliveryRateAt, deliveryRateWindow)
 }
 
 // recordDelivery adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
-func (s *Engine) recordDelivery(g *limitScope) {
-	since := (s.now - g.deliveryRateAt).Seconds()
-	if g.hasSuspect() && g.deliveryRate > 0 {
-		since = min(since, 1/g.deliveryRate)
+func (e *Engine) recordDelivery(scope *limitScope) {
+	since := (e.now - scope.deliveryRateAt).Seconds()
+	if scope.hasSuspect() && scope.deliveryRate > 0 {
+		since = min(since, 1/scope.deliveryRate)
 	}
-	g.deliveryRate, g.deliveryRateAt = g.deliveryRate*math.Exp(-since/deliveryRateWindow.Seconds())+1/deliveryRateWindow.Seconds(), s.now
+	scope.deliveryRate, scope.deliveryRateAt = scope.deliveryRate*math.Exp(-since/deliveryRateWindow.Seconds())+1/deliveryRateWindow.Seconds(), e.now
 }
 
 // countAccepted counts a message that was handed in.
-func (s *Engine) countAccepted() {
-	b := &s.acceptedTraffic
-	b.level, b.updatedAt = b.level*decay(s.now-b.updatedAt, trafficWindow)+1, s.now
+func (e *Engine) countAccepted() {
+	meter := &e.acceptedTraffic
+	meter.level, meter.updatedAt = meter.level*decay(e.now-meter.updatedAt, trafficWindow)+1, e.now
 }
 
 // refillTokens adds to a gate's tokens what its pace has earned, up to one and a burst.
-func (s *Engine) refillTokens(g *limitScope) {
-	g.tokens = math.Min(1+s.burstTokens(g), g.tokens+s.tokenRate(g)*(s.now-g.tokensUpdatedAt).Seconds())
-	g.tokensUpdatedAt = s.now
+func (e *Engine) refillTokens(scope *limitScope) {
+	scope.tokens = math.Min(1+e.burstTokens(scope), scope.tokens+e.tokenRate(scope)*(e.now-scope.tokensUpdatedAt).Seconds())
+	scope.tokensUpdatedAt = e.now
 }
 
 // recordLimit notes what a route's destination told of its limit.
-func (s *Engine) recordLimit(r *endpoint, rep LimitReport) {
-	if rep.Present && rep.Limit > 0 {
-		r.scope.reportedLimit = rep.Limit
-		if least := s.lowestReportedLimit[r.Kind]; least == 0 || rep.Limit < least {
-			s.lowestReportedLimit[r.Kind] = rep.Limit
+func (e *Engine) recordLimit(ep *endpoint, report LimitReport) {
+	if report.Present && report.Limit > 0 {
+		ep.scope.reportedLimit = report.Limit
+		if least := e.lowestReportedLimit[ep.Kind]; least == 0 || report.Limit < least {
+			e.lowestReportedLimit[ep.Kind] = report.Limit
 		}
 	}
 }
 
 // takeCall takes the attempt of an outcome off its message; nil if it is not known.
-func (s *Engine) takeCall(m *message, n int) *call {
-	if m == nil {
+func (e *Engine) takeCall(msg *message, n int) *call {
+	if msg == nil {
 		return nil
 	}
-	for i, a := range m.inFlight {
+	for i, a := range msg.inFlight {
 		if a.number == n {
-			m.inFlight = slices.Delete(m.inFlight, i, i+1)
+			msg.inFlight = slices.Delete(msg.inFlight, i, i+1)
 			return a.call
 		}
 	}
@@ -592,39 +592,39 @@
 }
 
 // joinKeyQueue puts a message at the end of its key's line.
-func (s *Engine) joinKeyQueue(m *message, key string) {
-	t := s.keyQueues[key]
-	if t == nil {
-		t = &keyQueue{key: key}
-		s.keyQueues[key] = t
+func (e *Engine) joinKeyQueue(msg *message, key string) {
+	queue := e.keyQueues[key]
+	if queue == nil {
+		queue = &keyQueue{key: key}
+		e.keyQueues[key] = queue
 	}
-	t.messages = append(t.messages, m)
-	m.keyQueue = t
+	queue.messages = append(queue.messages, msg)
+	msg.keyQueue = queue
 }
 
 // recordCallStart books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
-func (s *Engine) recordCallStart(c *call) {
-	g := c.endpoint.scope
-	s.callsInFlight++
-	g.inFlight++
+func (e *Engine) recordCallStart(c *call) {
+	scope := c.endpoint.scope
+	e.callsInFlight++
+	scope.inFlight++
 	c.endpoint.calls = append(c.endpoint.calls, c)
-	s.sendRate(g)
-	g.recentSends = append(g.recentSends, s.now)
-	if g.pacingRate > 0 && g.hasGrant(s.now) {
-		g.grantedCalls--
-	} else if g.pacingRate > 0 {
-		g.tokens--
+	e.sendRate(scope)
+	scope.recentSends = append(scope.recentSends, e.now)
+	if scope.pacingRate > 0 && scope.hasGrant(e.now) {
+		scope.grantedCalls--
+	} else if scope.pacingRate > 0 {
+		scope.tokens--
 	}
 	if c.endpoint.warmingUp {
-		g.recoveryTokens--
+		scope.recoveryTokens--
 	}
 }
 
 // recordCallEnd books a call whose last outcome is in.
-func (s *Engine) recordCallEnd(c *call) {
-	s.callsInFlight--
+func (e *Engine) recordCallEnd(c *call) {
+	e.callsInFlight--
 	c.endpoint.scope.inFlight--
-	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *call) bool { return x == c })
+	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(call1 *call) bool { return call1 == c })
 }
 
 // maxFleetSize bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a
@@ -644,12 +644,12 @@
 	}
 	least := min(set.MaxRetryAfter, set.WarmUpDuration, set.OverloadWindow, set.OrderingPause)
 	sum := set.WarmUpInitialCapacity + set.OverloadFactor
-	for _, c := range set.Classes {
-		least = min(least, c.DedupWindow, c.LatencyObjective, c.Deadline)
-		sum += c.Weight
+	for _, class := range set.Classes {
+		least = min(least, class.DedupWindow, class.LatencyObjective, class.Deadline)
+		sum += class.Weight
 	}
-	for _, c := range set.Tenants {
-		sum += c.Quota
+	for _, tenant := range set.Tenants {
+		sum += tenant.Quota
 	}
 	if least < 0 {
 		return errors.New("policy: settings hold a negative time")
