--- a/policy/rest.go
+++ b/policy/eviction.go
@@ -6,9 +6,6 @@
 	"time"
 )
 
-// Which destinations a caller with very many may have a Sender forget (EndpointDelta with Gone) and tell it again
-// later. Nothing is sent or held by what stands here, and nothing changes: asking leaves no trace.
-
 // Evictable tells whether forgetting a destination, as of the last step, drops nothing that binds: no message is held
 // and no call out, no told wait and no skip is in force, no route is cold, in doubt or warming up, what it was refused
 // no longer matters, and others share none of its limit. Told of again it stands as at a start, which is bolder in
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -1,29 +1,10 @@
 package policy
 
 import (
-	"crypto/sha256"
-	"embed"
-	"encoding/hex"
 	"math"
 	"time"
 )
 
-// What a Sender tells of itself, for recordings and explanations. Nothing here decides.
-
-//go:embed api.go many.go policy.go resume.go spent.go state.go
-var sourceFiles embed.FS
-
-// Revision names the text of the decisions as built: equal revisions decide alike.
-func Revision() string {
-	sum := sha256.New()
-	files, _ := sourceFiles.ReadDir(".") // sorted; cannot fail
-	for _, f := range files {
-		data, _ := sourceFiles.ReadFile(f.Name())
-		sum.Write(data)
-	}
-	return hex.EncodeToString(sum.Sum(nil)[:6])
-}
-
 // BlockCause is what keeps a message from a route.
 type BlockCause int
 
--- /dev/null
+++ b/policy/queue.go
@@ -0,0 +1,46 @@
+package policy
+
+import (
+	"slices"
+	"sort"
+)
+
+// precedes tells which of two messages goes first.
+func precedes(a, b *message) bool {
+	return a.queueRank < b.queueRank || a.queueRank == b.queueRank && a.id < b.id
+}
+
+func (e *Engine) enqueue(msg *message) {
+	dest := msg.destination
+	i := sort.Search(len(dest.queue), func(i int) bool { return precedes(msg, dest.queue[i]) })
+	dest.queue = slices.Insert(dest.queue, i, msg)
+	msg.queued = true
+	e.recheck(dest)
+	if dest.activeIndex == 0 {
+		e.active = append(e.active, dest)
+		dest.activeIndex = len(e.active)
+	}
+}
+
+func (e *Engine) dequeue(msg *message) {
+	if !msg.queued {
+		return
+	}
+	msg.queued = false
+	dest := msg.destination
+	i := sort.Search(len(dest.queue), func(i int) bool { return !precedes(dest.queue[i], msg) })
+	if len(dest.queue) > maxQueueScan && i < len(dest.queue)/2 {
+		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss
+		// their aims.
+		copy(dest.queue[1:i+1], dest.queue[:i])
+		dest.queue[0] = nil
+		dest.queue = dest.queue[1:]
+	} else {
+		dest.queue = slices.Delete(dest.queue, i, i+1)
+	}
+	if len(dest.queue) == 0 {
+		last := e.active[len(e.active)-1]
+		e.active[dest.activeIndex-1], last.activeIndex = last, dest.activeIndex
+		e.active, dest.activeIndex = e.active[:len(e.active)-1], 0
+	}
+}
--- a/policy/resume.go
+++ b/policy/restart.go
@@ -1,11 +1,6 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
-
-// What a real relay needs beyond the simulator's events: messages outlast a process, and calls take time to leave.
+import "time"
 
 // recoverMessage gives a message what an earlier process knew of it, so that the guards hold across a restart. No
 // backlog is poured onto hosts as one: paces start at this sender's part, those of many spread as first calls.
@@ -37,26 +32,3 @@
 		}
 	}
 }
-
-// mayShed tells whether m may be refused for want of room or pace: not where a restart found it untried.
-func (e *Engine) mayShed(msg *message) bool {
-	open := func(scope *limitScope) bool { return scope.retryAfterUntil < msg.deadline }
-	owed := len(msg.destination.scopes) == 0 || slices.ContainsFunc(msg.destination.scopes, open)
-	return e.mayReject(msg) && !(owed && msg.recovered && msg.attempts == 0)
-}
-
-// StillAllowed tells whether a call to a route that was decided earlier, with these messages, may leave at now. Guards
-// against one that was held up, by a slow connection say, while a drain or a wait was told, or until a message that
-// may have run is past the time in which its repeat is dropped.
-func (e *Engine) StillAllowed(endpointID string, messageIDs []uint32, now time.Duration) bool {
-	ep := e.endpoints[endpointID]
-	if ep == nil || !ep.InService || now < ep.scope.retryAfterUntil {
-		return false
-	}
-	for _, id := range messageIDs {
-		if msg := e.messages[id]; msg != nil && msg.mayHaveRun && msg.class.Effect == IdempotentByKey && now >= msg.dedupWindowEnd() {
-			return false
-		}
-	}
-	return true
-}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -9,8 +9,6 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/statecodec"
 )
 
-// The state of a Sender as bytes, for recordings that begin in mid-life: one description for both directions.
-
 // snapshotForm is raised with every change of what follows: one of another form is refused.
 const snapshotForm = 7
 
