--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -19,8 +19,8 @@
 		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.headMost",
-		"relay.readRoom", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
+		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
+		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
@@ -72,7 +72,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "ratelog", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "netconn", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
