--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -15,35 +15,48 @@
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
-		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period", "policy.toldShare",
+		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
+		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "relay.headMost",
-		"relay.readRoom", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
+		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
+		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
 		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
 		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval", "policy.scanDepth",
-		"policy.sendersMost", "policy.snapshotForm", "policy.endMargin",
+		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
+		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 	},
 	"a share of what the settings tell": {
-		"relay.idleShare", "backoff.graceShare", "policy.lapseShare", "policy.roomShare", "policy.gateShare", "policy.overShare", "policy.lateShare",
+		"relay.idleShare", "backoff.graceShare",
+		"policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio",
+		"policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.unknownRunAge", "relay.defaultWarmUp", "policy.leastExpect", "policy.retryAdvice", "policy.MinRetryAfter", "policy.leastLimit", "backoff.pauseMost",
+		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost",
+		"policy.minLatencyBound", "policy.defaultRetryAfter", "policy.MinRetryAfter", "policy.minScopeCapacity",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
-		"policy.skipFirst", "policy.skipMost", "policy.skipGrowth", "policy.skipJitter", "policy.longWait", "policy.shutRefusals", "policy.sparseShut",
-		"policy.hintDoubt", "policy.sparseSpread", "policy.shutSpan", "policy.streakSkip", "policy.streakDoubt", "policy.recentDoubt", "policy.recentSkip",
-		"policy.paceRestart", "policy.paceLeast", "policy.paceSure", "policy.paceCreep", "policy.paceCrawl", "policy.creepSteps", "policy.paceNear",
-		"policy.paceFree", "policy.paceBurst", "policy.manyBurst", "policy.calmSpan", "policy.manyCreep", "policy.manyMost", "policy.manyLeast",
-		"policy.takenSpan", "policy.takenPrior", "policy.takenShare", "policy.askEvery", "policy.askAhead", "policy.tightMost", "policy.tightRest",
-		"policy.scarceSpan", "policy.aliveSpan", "policy.fewSenders", "policy.manySpread", "policy.MaxInitialSpread", "backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
+		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
+		"policy.initialEjectionTime", "policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter",
+		"policy.outageRetryAfter", "policy.outageRejections", "policy.sparseOutageRejections",
+		"policy.weakSignalProbability", "policy.sparseSpreadCalls", "policy.minOutageRejectionTime",
+		"policy.ejectAfterFailures", "policy.suspectAfterFailures", "policy.suspectAfterRecentFailures",
+		"policy.ejectAfterRecentFailures", "policy.pacingRestartRate", "policy.minPacingRate",
+		"policy.minPacingShareRatio", "policy.pacingGrowth", "policy.cautiousPacingGrowth",
+		"policy.maxGrowthSeconds", "policy.nearLimitRatio", "policy.maxUnusedPacingRatio",
+		"policy.pacingBurstWindow", "policy.fleetBurstTokens", "policy.rejectionFreeWindow",
+		"policy.fleetExcessPacingGrowth", "policy.maxFleetPacingRatio", "policy.minFleetPacingRatio",
+		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio",
+		"policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions",
+		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
+		"policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
-		"policy.scatter", "policy.ownPart", "policy.roughFactor", "policy.ownSpan", "policy.devs", "policy.lateDevs",
+		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
+		"policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
 	},
 }
 
@@ -59,7 +72,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "ratelog", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "netconn", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
