--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -14,7 +14,7 @@
 
 func newSharer(t *testing.T) *sharer {
 	t.Helper()
-	s, err := New(Settings{
+	engine, err := New(Settings{
 		Classes: []Class{
 			{Effect: Idempotent, LatencyObjective: 5 * time.Second, Deadline: 100 * time.Second, Weight: 1},
 		}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 40,
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	x := &sharer{
-		s,
+		engine,
 		[]Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}},
 		},
@@ -113,7 +113,7 @@
 		Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second},
 		Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: 0.2, GrantedCalls: 4, TimeLeft: 5 * time.Second},
 	)
-	again, err := Restore(a.set, a.Snapshot(nil))
+	again, err := Restore(a.settings, a.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -9,170 +9,168 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/statecodec"
 )
 
-// The state of a Sender as bytes, for recordings that begin in mid-life: one description for both directions.
-
 // snapshotForm is raised with every change of what follows: one of another form is refused.
 const snapshotForm = 7
 
 // Snapshot appends the Sender's state, between two steps, to buf. Equal states give equal bytes.
-func (s *Engine) Snapshot(buf []byte) []byte {
-	c := statecodec.Writer(buf)
-	s.code(c)
-	return c.Bytes()
+func (e *Engine) Snapshot(buf []byte) []byte {
+	coder := statecodec.Writer(buf)
+	e.codeState(coder)
+	return coder.Bytes()
 }
 
 // Restore returns a Sender of these settings as Snapshot found it: equal events give equal actions from there on.
-func Restore(set Settings, data []byte) (*Engine, error) {
-	s, err := New(set, 0)
+func Restore(settings Settings, data []byte) (*Engine, error) {
+	e, err := New(settings, 0)
 	if err != nil {
 		return nil, err
 	}
-	c := statecodec.Reader(data)
-	s.code(c)
-	if err := c.Close(); err != nil {
+	coder := statecodec.Reader(data)
+	e.codeState(coder)
+	if err := coder.Close(); err != nil {
 		return nil, fmt.Errorf("policy: snapshot: %w", err)
 	}
-	for _, d := range s.order {
-		s.dests[d.id] = d
-		for _, g := range d.gates {
-			for _, r := range g.routes {
-				s.routes[r.ID] = r
+	for _, dest := range e.sortedDestinations {
+		e.destinations[dest.id] = dest
+		for _, scope := range dest.scopes {
+			for _, ep := range scope.endpoints {
+				e.endpoints[ep.ID] = ep
 			}
 		}
 	}
-	return s, nil
+	return e, nil
 }
 
-func (s *Engine) code(c *statecodec.Coder) {
+func (e *Engine) codeState(coder *statecodec.Coder) {
 	form := snapshotForm
-	if c.Ints(&form); form != snapshotForm {
-		c.Fail()
+	if coder.Ints(&form); form != snapshotForm {
+		coder.Fail()
 		return
 	}
-	state, _ := s.pcg.MarshalBinary() // never fails
+	state, _ := e.pcg.MarshalBinary() // never fails
 	text := string(state)
-	if c.Text(&text); c.Reading() && s.pcg.UnmarshalBinary([]byte(text)) != nil {
-		c.Fail()
+	if coder.Text(&text); coder.Reading() && e.pcg.UnmarshalBinary([]byte(text)) != nil {
+		coder.Fail()
 	}
-	s.rng = rand.New(s.pcg)
-	c.Times(&s.now, &s.wakeAt, &s.began, &s.taken.at)
-	c.Floats(&s.taken.level)
-	c.Ints(&s.held, &s.slots)
-	msgs := func(m **message) { s.codeMessage(c, m) }
-	statecodec.List(c, &s.order, func(d **dest) { s.codeDest(c, d) })
-	statecodec.List(c, &s.active, func(d **dest) { s.codeDest(c, d) })
-	var bare []*dest
-	for d := s.bare.first; d != nil; d = d.bareAfter {
-		bare = append(bare, d)
+	e.rng = rand.New(e.pcg)
+	coder.Times(&e.now, &e.timerAt, &e.startedAt, &e.acceptedTraffic.updatedAt)
+	coder.Floats(&e.acceptedTraffic.level)
+	coder.Ints(&e.pendingMessages, &e.callsInFlight)
+	codeMsg := func(msg **message) { e.codeMessage(coder, msg) }
+	statecodec.List(coder, &e.sortedDestinations, func(dest **destination) { e.codeDestination(coder, dest) })
+	statecodec.List(coder, &e.active, func(dest **destination) { e.codeDestination(coder, dest) })
+	var empty []*destination
+	for dest := e.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
+		empty = append(empty, dest)
 	}
-	statecodec.List(c, &bare, func(d **dest) { s.codeDest(c, d) })
-	for _, d := range bare {
-		if c.Reading() && s.bare.has(d) {
-			c.Fail()
-		} else if c.Reading() {
-			s.bare.add(d)
+	statecodec.List(coder, &empty, func(dest **destination) { e.codeDestination(coder, dest) })
+	for _, dest := range empty {
+		if coder.Reading() && e.emptyDestinations.has(dest) {
+			coder.Fail()
+		} else if coder.Reading() {
+			e.emptyDestinations.add(dest)
 		}
 	}
-	statecodec.Map(c, s.msgs, func(id *uint32, m **message) { statecodec.Uint(c, id); msgs(m) })
-	for _, d := range s.active { // apart from the destinations, so that messages do not nest
-		statecodec.List(c, &d.queue, msgs)
+	statecodec.Map(coder, e.messages, func(id *uint32, msg **message) { statecodec.Uint(coder, id); codeMsg(msg) })
+	for _, dest := range e.active { // apart from the destinations, so that messages do not nest
+		statecodec.List(coder, &dest.queue, codeMsg)
 	}
-	turns := func(t **turn) { s.codeTurn(c, t) }
-	statecodec.Map(c, s.turns, func(key *string, t **turn) { c.Text(key); turns(t) })
-	statecodec.List(c, &s.parked, turns)
-	statecodec.Map(c, s.least, func(k *int, v *float64) { c.Ints(k); c.Floats(v) })
-	for _, until := range []map[int]time.Duration{s.scarce, s.short} {
-		statecodec.Map(c, until, func(k *int, v *time.Duration) { c.Ints(k); c.Times(v) })
+	codeQueue := func(queue **keyQueue) { e.codeKeyQueue(coder, queue) }
+	statecodec.Map(coder, e.keyQueues, func(key *string, queue **keyQueue) { coder.Text(key); codeQueue(queue) })
+	statecodec.List(coder, &e.expiringKeyQueues, codeQueue)
+	statecodec.Map(coder, e.lowestReportedLimit, func(k *int, v *float64) { coder.Ints(k); coder.Floats(v) })
+	for _, until := range []map[int]time.Duration{e.connectShortageUntil, e.closeIdleUntil} {
+		statecodec.Map(coder, until, func(k *int, v *time.Duration) { coder.Ints(k); coder.Times(v) })
 	}
-	statecodec.List(c, &s.shares, func(b *bucket) { c.Floats(&b.level); c.Times(&b.at) })
-	if len(s.shares) != len(s.set.Tenants) {
-		c.Fail()
+	statecodec.List(coder, &e.tenantTraffic, func(meter *trafficMeter) { coder.Floats(&meter.level); coder.Times(&meter.updatedAt) })
+	if len(e.tenantTraffic) != len(e.settings.Tenants) {
+		coder.Fail()
 	}
-	statecodec.List(c, (*[]end)(&s.ends), func(e *end) { c.Times(&e.at); msgs(&e.m) })
+	statecodec.List(coder, (*[]deadlineEntry)(&e.deadlines), func(entry *deadlineEntry) { coder.Times(&entry.at); codeMsg(&entry.message) })
 }
 
-func (s *Engine) codeDest(c *statecodec.Coder, p **dest) {
-	statecodec.Must(c, p, func(d *dest) {
-		c.Ints(&d.id, &d.held, &d.at)
-		c.Times(&d.opens, &d.bareAt)
-		statecodec.List(c, &d.gates, func(g **gate) { s.codeGate(c, g) })
+func (e *Engine) codeDestination(coder *statecodec.Coder, p **destination) {
+	statecodec.Must(coder, p, func(dest *destination) {
+		coder.Ints(&dest.id, &dest.messageCount, &dest.activeIndex)
+		coder.Times(&dest.blockedUntil, &dest.emptySince)
+		statecodec.List(coder, &dest.scopes, func(scope **limitScope) { e.codeScope(coder, scope) })
 	})
 }
 
-func (s *Engine) codeGate(c *statecodec.Coder, p **gate) {
-	statecodec.Must(c, p, func(g *gate) {
-		s.codeDest(c, &g.dest)
-		statecodec.List(c, &g.routes, func(r **route) { statecodec.Must(c, r, func(r *route) { s.codeRoute(c, r) }) })
-		c.Bools(&g.separate, &g.shared)
-		c.Ints(&g.kind, &g.out, &g.streak, &g.tights, &g.rights)
-		c.Floats(&g.pace, &g.ceiling, &g.tokens, &g.credit, &g.limit, &g.got, &g.share)
-		c.Times(
-			&g.wait,
-			&g.halvedAt,
-			&g.creptAt,
-			&g.tokensAt,
-			&g.coldAt,
-			&g.coldLeft,
-			&g.failSent,
-			&g.gotAt,
-			&g.rightsEnd,
-			&g.askedAt,
+func (e *Engine) codeScope(coder *statecodec.Coder, p **limitScope) {
+	statecodec.Must(coder, p, func(scope *limitScope) {
+		e.codeDestination(coder, &scope.destination)
+		statecodec.List(coder, &scope.endpoints, func(ep **endpoint) { statecodec.Must(coder, ep, func(ep *endpoint) { e.codeEndpoint(coder, ep) }) })
+		coder.Bools(&scope.perEndpoint, &scope.quotaShared)
+		coder.Ints(&scope.kind, &scope.inFlight, &scope.consecutiveFailures, &scope.connectExhaustions, &scope.grantedCalls)
+		coder.Floats(&scope.pacingRate, &scope.lastRejectedRate, &scope.tokens, &scope.recoveryTokens, &scope.reportedLimit, &scope.deliveryRate, &scope.reservedFraction)
+		coder.Times(
+			&scope.retryAfterUntil,
+			&scope.decreasedAt,
+			&scope.increasedAt,
+			&scope.tokensUpdatedAt,
+			&scope.recoveryUpdatedAt,
+			&scope.suspectRemovedAt,
+			&scope.lastFailureSentAt,
+			&scope.deliveryRateAt,
+			&scope.grantExpiresAt,
+			&scope.quotaRequestedAt,
 		)
-		statecodec.List(c, &g.sent, func(at *time.Duration) { c.Times(at) })
+		statecodec.List(coder, &scope.recentSends, func(at *time.Duration) { coder.Times(at) })
 	})
 }
 
-func (s *Engine) codeRoute(c *statecodec.Coder, r *route) {
-	c.Text(&r.ID)
-	c.Ints(&r.Destination, &r.Kind, &r.Zone, &r.run, &r.streak, &r.refusals)
-	c.Floats(&r.Weight)
-	c.Bools(&r.InService, &r.Removed, &r.down, &r.cold, &r.slight, &r.lost)
-	c.Times(&r.skipUntil, &r.skipLen, &r.failSent, &r.back, &r.refusedAt, &r.okAt, &r.okSent, &r.mean, &r.dev)
-	statecodec.Uint(c, &r.lot)
-	statecodec.Uint(c, &r.recent)
-	s.codeGate(c, &r.gate)
-	statecodec.List(c, &r.calls, func(x **call) { s.codeCall(c, x) })
+func (e *Engine) codeEndpoint(coder *statecodec.Coder, ep *endpoint) {
+	coder.Text(&ep.ID)
+	coder.Ints(&ep.Destination, &ep.Kind, &ep.Zone, &ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections)
+	coder.Floats(&ep.Weight)
+	coder.Bools(&ep.InService, &ep.Removed, &ep.ejected, &ep.warmingUp, &ep.weaklySuspected, &ep.answerLost)
+	coder.Times(&ep.ejectedUntil, &ep.ejectionTime, &ep.lastFailureSentAt, &ep.recoveredAt, &ep.firstRejectedAt, &ep.lastSuccessAt, &ep.lastAnsweredSendAt, &ep.latencyMean, &ep.latencyDeviation)
+	statecodec.Uint(coder, &ep.tieBreaker)
+	statecodec.Uint(coder, &ep.recentFailures)
+	e.codeScope(coder, &ep.scope)
+	statecodec.List(coder, &ep.calls, func(c **call) { e.codeCall(coder, c) })
 }
 
-func (s *Engine) codeCall(c *statecodec.Coder, p **call) {
-	statecodec.Must(c, p, func(x *call) {
-		statecodec.Must(c, &x.r, func(r *route) { s.codeRoute(c, r) })
-		c.Ints(&x.left)
-		c.Bools(&x.ok)
-		c.Times(&x.sent, &x.expect, &x.cut)
+func (e *Engine) codeCall(coder *statecodec.Coder, p **call) {
+	statecodec.Must(coder, p, func(c *call) {
+		statecodec.Must(coder, &c.endpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+		coder.Ints(&c.pending)
+		coder.Bools(&c.delivered)
+		coder.Times(&c.sentAt, &c.overdueAt, &c.timeoutAt)
 	})
 }
 
-func (s *Engine) codeMessage(c *statecodec.Coder, p **message) {
-	statecodec.Must(c, p, func(m *message) {
-		statecodec.Uint(c, &m.id)
-		if c.Reading() {
-			m.class = new(Class)
+func (e *Engine) codeMessage(coder *statecodec.Coder, p **message) {
+	statecodec.Must(coder, p, func(msg *message) {
+		statecodec.Uint(coder, &msg.id)
+		if coder.Reading() {
+			msg.class = new(Class)
 		}
-		class := slices.Index(s.set.Classes, *m.class) // by its value; the settings may no longer name it
-		if c.Ints(&class); class >= 0 && class < len(s.set.Classes) {
-			m.class = &s.set.Classes[class]
+		classIndex := slices.Index(e.settings.Classes, *msg.class) // by its value; the settings may no longer name it
+		if coder.Ints(&classIndex); classIndex >= 0 && classIndex < len(e.settings.Classes) {
+			msg.class = &e.settings.Classes[classIndex]
 		} else {
-			statecodec.Int(c, &m.class.Effect)
-			c.Bools(&m.class.DedupAllZones, &m.class.Ordered)
-			c.Times(&m.class.DedupWindow, &m.class.LatencyObjective, &m.class.Deadline)
-			c.Floats(&m.class.Weight)
+			statecodec.Int(coder, &msg.class.Effect)
+			coder.Bools(&msg.class.DedupAllZones, &msg.class.Ordered)
+			coder.Times(&msg.class.DedupWindow, &msg.class.LatencyObjective, &msg.class.Deadline)
+			coder.Floats(&msg.class.Weight)
 		}
-		s.codeDest(c, &m.dest)
-		s.codeTurn(c, &m.turn)
-		c.Times(&m.due, &m.deadline, &m.rank, &m.ranAt)
-		c.Ints(&m.sends, &m.most, &m.ranZone, &m.timeouts)
-		c.Bools(&m.ran, &m.ended, &m.queued, &m.resumed)
-		statecodec.Ref(c, &m.avoid, func(r *route) { s.codeRoute(c, r) })
-		statecodec.List(c, &m.out, func(a *attempt) { c.Ints(&a.n); s.codeCall(c, &a.call) })
+		e.codeDestination(coder, &msg.destination)
+		e.codeKeyQueue(coder, &msg.keyQueue)
+		coder.Times(&msg.objectiveAt, &msg.deadline, &msg.queueRank, &msg.firstRunAt)
+		coder.Ints(&msg.attempts, &msg.maxAttempts, &msg.firstRunZone, &msg.timeouts)
+		coder.Bools(&msg.mayHaveRun, &msg.ended, &msg.queued, &msg.recovered)
+		statecodec.Ref(coder, &msg.lastFailedEndpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+		statecodec.List(coder, &msg.inFlight, func(a *attempt) { coder.Ints(&a.number); e.codeCall(coder, &a.call) })
 	})
 }
 
-func (s *Engine) codeTurn(c *statecodec.Coder, p **turn) {
-	statecodec.Ref(c, p, func(t *turn) {
-		c.Text(&t.key)
-		c.Bools(&t.parked)
-		c.Times(&t.rest)
-		statecodec.List(c, &t.line, func(m **message) { s.codeMessage(c, m) })
+func (e *Engine) codeKeyQueue(coder *statecodec.Coder, p **keyQueue) {
+	statecodec.Ref(coder, p, func(queue *keyQueue) {
+		coder.Text(&queue.key)
+		coder.Bools(&queue.expiring)
+		coder.Times(&queue.pausedUntil)
+		statecodec.List(coder, &queue.messages, func(msg **message) { e.codeMessage(coder, msg) })
 	})
 }
