--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -1,29 +1,10 @@
 package policy
 
 import (
-	"crypto/sha256"
-	"embed"
-	"encoding/hex"
 	"math"
 	"time"
 )
 
-// What a Sender tells of itself, for recordings and explanations. Nothing here decides.
-
-//go:embed api.go many.go policy.go resume.go spent.go state.go
-var text embed.FS
-
-// Revision names the text of the decisions as built: equal revisions decide alike.
-func Revision() string {
-	sum := sha256.New()
-	files, _ := text.ReadDir(".") // sorted; cannot fail
-	for _, f := range files {
-		data, _ := text.ReadFile(f.Name())
-		sum.Write(data)
-	}
-	return hex.EncodeToString(sum.Sum(nil)[:6])
-}
-
 // BlockCause is what keeps a message from a route.
 type BlockCause int
 
@@ -56,55 +37,55 @@
 
 // Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of
 // a Snapshot): looking may cast doubt on a route, as dispatch itself does.
-func (s *Engine) Blockers() (holds []Blocker) {
-	for _, d := range s.order {
-		for _, m := range d.queue {
-			if !d.routed() {
-				holds = append(holds, Blocker{m.id, "", NoEndpoint, math.MaxInt64})
+func (e *Engine) Blockers() (blockers []Blocker) {
+	for _, dest := range e.sortedDestinations {
+		for _, msg := range dest.queue {
+			if !dest.hasEndpoints() {
+				blockers = append(blockers, Blocker{msg.id, "", NoEndpoint, math.MaxInt64})
 			}
-			for _, g := range d.gates {
-				for _, r := range g.routes {
-					c, at := s.hold(m, r)
-					holds = append(holds, Blocker{m.id, r.ID, c, at})
+			for _, scope := range dest.scopes {
+				for _, ep := range scope.endpoints {
+					c, at := e.findBlocker(msg, ep)
+					blockers = append(blockers, Blocker{msg.id, ep.ID, c, at})
 				}
 			}
 		}
 	}
-	return holds
+	return blockers
 }
 
-func (s *Engine) hold(m *message, r *route) (BlockCause, time.Duration) {
+func (e *Engine) findBlocker(msg *message, ep *endpoint) (BlockCause, time.Duration) {
 	const never = time.Duration(math.MaxInt64)
 	switch {
-	case s.spent(m) || s.now >= m.deadline:
+	case e.attemptsExhausted(msg) || e.now >= msg.deadline:
 		return AttemptsExhausted, never
-	case !r.InService || r.Removed:
+	case !ep.InService || ep.Removed:
 		return EndpointDraining, never
-	case m.turn != nil && m.turn.line[0] != m:
+	case msg.keyQueue != nil && msg.keyQueue.messages[0] != msg:
 		return WaitingForKey, never
-	case s.mayAttempt(m, r) == never:
+	case e.attemptAllowedAt(msg, ep) == never:
 		return WrongDedupZone, never
-	case m.deadline-s.now < r.mean:
+	case msg.deadline-e.now < ep.latencyMean:
 		return InsufficientTime, never
-	case r.down && len(r.calls) > 0:
+	case ep.ejected && len(ep.calls) > 0:
 		return TrialInFlight, never
-	case s.crammed(r):
+	case e.saturated(ep):
 		return EndpointSaturated, never
 	}
-	cause, until := NotBlocked, s.now
+	cause, until := NotBlocked, e.now
 	longer := func(c BlockCause, at time.Duration) {
 		if at > until {
 			cause, until = c, at
 		}
 	}
-	if m.turn != nil && m.sends == 0 {
-		longer(OrderingPause, m.turn.rest)
+	if msg.keyQueue != nil && msg.attempts == 0 {
+		longer(OrderingPause, msg.keyQueue.pausedUntil)
 	}
-	longer(RetryAfterPending, r.gate.wait)
-	longer(EndpointEjected, r.skipUntil)
-	longer(WarmUpBudget, s.coldUntil(r))
-	longer(Paced, s.opensAt(r))
-	if cause == NotBlocked && s.set.MaxInFlightCalls > 0 && s.slots >= s.set.MaxInFlightCalls {
+	longer(RetryAfterPending, ep.scope.retryAfterUntil)
+	longer(EndpointEjected, ep.ejectedUntil)
+	longer(WarmUpBudget, e.recoveryBudgetAt(ep))
+	longer(Paced, e.acceptsCallAt(ep))
+	if cause == NotBlocked && e.settings.MaxInFlightCalls > 0 && e.callsInFlight >= e.settings.MaxInFlightCalls {
 		return ConcurrencyLimit, never
 	}
 	return cause, until
@@ -123,16 +104,16 @@
 }
 
 // Views tells of all routes, by destination, and how many slots are taken.
-func (s *Engine) Views() (views []EndpointView, slots int) {
-	for _, d := range s.order {
-		for _, g := range d.gates {
-			for _, r := range g.routes {
+func (e *Engine) Views() (views []EndpointView, slots int) {
+	for _, dest := range e.sortedDestinations {
+		for _, scope := range dest.scopes {
+			for _, ep := range scope.endpoints {
 				views = append(views, EndpointView{
-					r.Endpoint, g.pace, g.ceiling, s.limit(g), s.part(g), g.wait, g.halvedAt, r.skipUntil,
-					r.back, r.mean, r.down, r.cold, s.alive(r), len(r.calls), g.out, len(d.queue),
+					ep.Endpoint, scope.pacingRate, scope.lastRejectedRate, e.knownLimit(scope), e.fairShare(scope), scope.retryAfterUntil, scope.decreasedAt, ep.ejectedUntil,
+					ep.recoveredAt, ep.latencyMean, ep.ejected, ep.warmingUp, e.recentlyHealthy(ep), len(ep.calls), scope.inFlight, len(dest.queue),
 				})
 			}
 		}
 	}
-	return views, s.slots
+	return views, e.callsInFlight
 }
