--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"fmt"
 	"net"
 
@@ -8,7 +9,7 @@
 )
 
 // serveAdmin begins to answer on the second address, until the process ends.
-func (r *Relay) serveAdmin() error {
+func (r *Relay) serveAdmin(ctx context.Context) error {
 	l, err := net.Listen("tcp", r.cfg.AdminListen)
 	if err != nil {
 		return fmt.Errorf("relay: second address: %w", err)
@@ -21,6 +22,6 @@
 	if r.fleet != nil {
 		s.Fleet = r.fleet.WriteJSON
 	}
-	go s.Serve(r.adminCtx, l)
+	go s.Serve(ctx, l)
 	return nil
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -1,15 +1,32 @@
 package relay
 
 import (
+	"context"
 	"net/http"
 	"slices"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
+// callState is the state of the calls in flight.
+type callState struct {
+	callCtx         context.Context // ends when calls must be given up
+	activeCalls     map[*call]struct{}
+	callsInFlight   int
+	sendsUnrecorded ratelog.Warning // the journal does not accept the sends of calls
+}
+
+func newCallState() callState {
+	return callState{
+		activeCalls:     map[*call]struct{}{},
+		sendsUnrecorded: ratelog.Warning{Message: "log not written"},
+	}
+}
+
 // execute does what the module has decided: first in the log, in one write, then on the sockets.
 func (r *Relay) execute(acts []policy.Action, waiting []*submitEvent) {
 	answers := make(map[uint32]answer, len(waiting))
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -54,6 +54,7 @@
 		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
 		"policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread",
 	},
+	"an identifier, no quantity": {"relay.watcherStream"},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
 		"policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -47,13 +47,15 @@
 // endpointState is what the loop knows of hosts.
 type endpointState struct {
 	catalog           *catalog.Catalog
+	listVersion       int64
 	listReceived      bool // a list was read: a destination that none has named is unknown
 	drainingEndpoints int  // hosts that are not in service
 	receivingSnapshot bool // a long list is coming, or broke off
 	snapshotNeeded    bool // what the configuration knows may lack some
 	snapshotTruncated bool // entries of the list that comes now found no room
 
-	catalogFull ratelog.Warning // hosts for which there is no room
+	catalogFull       ratelog.Warning // hosts for which there is no room
+	unreadableEntries ratelog.Warning
 
 	// Of a long list:
 	workingSet *catalog.WorkingSet // what the module was told of
@@ -61,6 +63,13 @@
 	scratch    []catalog.Endpoint  // scratch
 }
 
+func newEndpointState() endpointState {
+	return endpointState{
+		catalogFull:       ratelog.Warning{Message: "no room for all hosts"},
+		unreadableEntries: ratelog.Warning{Message: "unreadable entry of the list"},
+	}
+}
+
 // applyList takes a list of hosts, or changes to it, and returns what the module is told. An entry that cannot be read
 // is passed over; if it names a host that is known, that host stays as it was.
 func (r *Relay) applyList(l List) []policy.Event {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -3,8 +3,55 @@
 import (
 	"context"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+const (
+	// eventQueueSize is how many events may wait for the loop before those who post them wait, too.
+	eventQueueSize = 1024
+	// maxBatchEvents bounds the events of one step, so that no step takes long.
+	maxBatchEvents = 512
+	// initialClock keeps the policy's clock away from 0, which it takes for never.
+	initialClock = time.Second
 )
 
+// loopState is the state that the loop owns. Until the loop runs, New, recovery and hot restart set it.
+type loopState struct {
+	engine         *policy.Engine
+	started        time.Time // when the policy's clock stood at 0
+	recorder       *recording
+	journal        *journal.Journal
+	recovery       *journal.Recovery // what the journal held at the start, until it is restored
+	health         healthState
+	timerAt        time.Time      // when the policy wants a step at the latest; zero: it wants none
+	deferredEvents []policy.Event // for the next step
+	current        stepState      // of the step that runs
+
+	activeConfig     reload.Config
+	activeGeneration int // of activeConfig, see configChange
+
+	endpointState
+	messageState
+	callState
+
+	stopping       bool // no more messages come
+	sendingStopped bool // no more decisions are taken
+	drainedClosed  bool
+}
+
+func newLoopState(engine *policy.Engine) loopState {
+	return loopState{
+		engine:        engine,
+		started:       time.Now().Add(-initialClock),
+		endpointState: newEndpointState(),
+		messageState:  newMessageState(),
+		callState:     newCallState(),
+	}
+}
+
 // post hands an event to the loop; false if that has ended.
 func (r *Relay) post(e event) bool {
 	select {
@@ -15,10 +62,11 @@
 	}
 }
 
+// now is the time on the policy's clock.
 func (r *Relay) now() time.Duration { return time.Since(r.started) }
 
-// loop is the one goroutine that decides. A step takes what has come in since the last one, no more often than
-// the settings' tick: what comes together can then travel together.
+// loop runs the steps, until ctx ends. A step takes the events since the last one, no more often than the settings'
+// tick: messages that come together can then share a call.
 func (r *Relay) loop(ctx context.Context) {
 	defer close(r.loopDone)
 	defer r.dumpOnPanic()
@@ -34,20 +82,12 @@
 			return
 		case e := <-r.events:
 			if batch = r.collect(batch, e); len(batch) == 0 && len(r.deferredEvents) == 0 {
-				continue // a part of a long list of which the module need not hear
+				continue // a part of a long list that changes nothing for the policy
 			}
 		case <-timer.C:
 		}
 		batch = r.waitForTick(batch, r.cfg.Tick-time.Since(last))
-	more:
-		for len(batch) < maxBatchEvents {
-			select {
-			case e := <-r.events:
-				batch = r.collect(batch, e)
-			default:
-				break more
-			}
-		}
+		batch = r.collectQueued(batch)
 		last = time.Now()
 		r.step(batch)
 		clear(batch)
@@ -57,7 +97,20 @@
 	}
 }
 
-// drainEvents answers and notes what came before the end, without deciding anything more.
+// collectQueued adds the events that are there already to a batch.
+func (r *Relay) collectQueued(batch []event) []event {
+	for len(batch) < maxBatchEvents {
+		select {
+		case e := <-r.events:
+			batch = r.collect(batch, e)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// drainEvents answers and records what came before the end, without any further decision.
 func (r *Relay) drainEvents() {
 	r.sendingStopped = true
 	for {
@@ -70,7 +123,7 @@
 	}
 }
 
-// requestStep asks the loop for a step. It waits for nothing: a loop that has much to do takes its steps anyway.
+// requestStep asks the loop for a step. It never waits: a loop whose queue is full takes its steps anyway.
 func (r *Relay) requestStep() {
 	select {
 	case r.events <- tick{}:
@@ -78,8 +131,8 @@
 	}
 }
 
-// collect takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that
-// came before it waits in the batch.
+// collect adds an event to a step's batch. All parts of a long list but the first are applied at once: their sender
+// waits for the reply to each part, so that no earlier one can be in the batch.
 func (r *Relay) collect(batch []event, e event) []event {
 	if p, ok := e.(partEvent); ok && p.part.Kind != PartBegin && !r.handed {
 		r.applyPart(p.part)
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -22,6 +23,25 @@
 	awaitingRemote bool     // the module does not know of it: its outcome at another process comes first
 }
 
+// messageState is the state of all messages.
+type messageState struct {
+	messages        map[uint32]*message
+	messagesByTrace map[string]*message // the latest message of each client's id
+	cancelled       []*message          // cancelled ones that may have run, roughly in the order of their deadlines
+	finished        finishedMessages
+	pending         int // messages without a final answer
+	lastMessageID   uint32
+	journalFull     ratelog.Warning // the journal accepts no new message
+}
+
+func newMessageState() messageState {
+	return messageState{
+		messages:        map[uint32]*message{},
+		messagesByTrace: map[string]*message{},
+		journalFull:     ratelog.Warning{Message: "refusing new messages"},
+	}
+}
+
 // cancel ends a message whose client has left before its answer.
 func (r *Relay) cancel(evs []policy.Event, id uint32) []policy.Event {
 	m := r.messages[id]
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -10,6 +10,13 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
+const (
+	// clockTolerance is how much two readings of a clock that is slewed may differ.
+	clockTolerance = 10 * time.Millisecond
+	// unknownRunAge stands for the age of an attempt whose time is unknown: past the usual deduplication windows.
+	unknownRunAge = 24 * time.Hour
+)
+
 // recoverState hands the module the known list and what an earlier process left, in one step.
 func (r *Relay) recoverState() {
 	found := r.recovery
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,8 +1,9 @@
-// Package relay carries out on real sockets what package policy decides: it takes messages from clients, calls
-// hosts, follows discovery's list, and keeps what it owes in a journal. It decides nothing itself.
+// Package relay is the daemon: it accepts messages from clients, calls endpoints, follows the endpoint list of service
+// discovery, and keeps a journal of all messages that are not finished. It connects these with package policy, which
+// takes every decision.
 //
-// One goroutine, the loop, owns the decision module and the log. Everything that happens comes to it as an
-// event, so that no send leaves on a decision older than what the loop has learned.
+// One goroutine, the loop, owns the policy's engine, the journal and all state of messages. Whatever happens elsewhere
+// reaches it as an event, so that no request is sent on a decision older than what the loop has learned.
 package relay
 
 import (
@@ -12,113 +13,73 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
-	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-const (
-	eventQueueSize = 1024
-	maxBatchEvents = 512 // events in a step
-
-	clockTolerance = 10 * time.Millisecond // what two readings of a clock that is slewed may differ by
-	unknownRunAge  = 24 * time.Hour        // past the usual windows in which repeats are dropped
+// Relay is one relay. The embedded state types say which goroutine owns them; all other fields are either set before
+// Run starts goroutines or safe for concurrent use.
+type Relay struct {
+	cfg    Config
+	log    *slog.Logger
+	logOut io.Writer // receives recordings, where no folder is set for them
 
-	// initialClock keeps the module's clock away from 0, which it takes for never.
-	initialClock = time.Second
+	clients *clients
+	hosts   *hosts
+	agent   *Client       // service discovery's
+	finals  *Sender       // final notifications
+	fleet   *fleet.Member // nil: this relay shares nothing with others
+	metrics metrics.Registry
 
-	// The parts of a planned end, from SIGTERM, after which SIGKILL comes no sooner than 3.7 s. New connections
-	// go on coming for up to 0.4 s.
-	shutdownAcceptTime = 500 * time.Millisecond
-	shutdownAnswerTime = time.Second             // requests that were read by then have their answers
-	shutdownSendTime   = 2200 * time.Millisecond // no new calls after this: they would be cut off with no outcome
-	shutdownTimeout    = 3300 * time.Millisecond
-)
-
-// Relay is one relay.
-type Relay struct {
-	cfg              Config
-	log              *slog.Logger
-	logOut           io.Writer // where recordings go
-	hosts            *hosts
-	clients          *clients
-	finals           *Sender
-	agent            *Client
-	recorder         *recording
-	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
-	events           chan event
-	sharedRecorder   atomic.Pointer[recording]     // rec, for other goroutines
-	awaitingHandover atomic.Bool                   // for the process before this one to hand over
-	loopDone         chan struct{}                 // closed when the loop has ended
-	drained          chan struct{}                 // closed when the relay is stopping and nothing is left to wait for
-	clientConfig     atomic.Pointer[reload.Config] // what clients are held to
-	metrics          metrics.Registry
-	endpointsKnown   atomic.Bool // it has recovered and holds a list
-	terminating      atomic.Bool // SIGTERM came
-	calls            sync.WaitGroup
-
-	// Owned by Reload.
-	latestConfig     reload.Config // taken last
-	latestGeneration int           // of terms: later ones make earlier ones void
+	events   chan event
+	loopDone chan struct{}  // closed when the loop has ended
+	drained  chan struct{}  // closed when the relay is stopping and nothing is left to wait for
+	calls    sync.WaitGroup // calls in flight
 
+	sharedState
+	reloadState
 	upgrade
-	largeList atomic.Bool // the list is, or was, too long to be told to the module as a whole; set by the loop
-
-	// Owned by the loop.
-	endpointState
-	activeConfig      reload.Config
-	activeGeneration  int
-	callCtx           context.Context
-	activeCalls       map[*call]struct{} // out
-	listVersion       int64              // of the list
-	adminCtx          context.Context    // ends when the second address falls silent
-	started           time.Time
-	engine            *policy.Engine
-	journal           *journal.Journal
-	recovery          *journal.Recovery // until it is taken up
-	health            healthState
-	messages          map[uint32]*message
-	messagesByTrace   map[string]*message
-	cancelled         []*message // withdrawn, may have run; by deadline, more or less
-	finished          finishedMessages
-	pending           int // messages that the module has not done with
-	callsInFlight     int // calls
-	lastMessageID     uint32
-	timerAt           time.Time       // zero: none asked for
-	deferredEvents    []policy.Event  // for the next step
-	current           stepState       // of the step that runs
-	journalFull       ratelog.Warning // the log takes no new work
-	sendsUnrecorded   ratelog.Warning // nor the sends of calls
-	unreadableEntries ratelog.Warning // entries of the list cannot be read
-
-	stopping, sendingStopped, drainedClosed bool
+	loopState
 }
 
-// New returns a relay that has read what an earlier process left in the log.
-// What is recorded into the log goes to out.
+// sharedState is what any goroutine may read.
+type sharedState struct {
+	clientConfig     atomic.Pointer[reload.Config] // the configuration that clients' requests are read by
+	sharedRecorder   atomic.Pointer[recording]     // the loop's recorder
+	endpointsKnown   atomic.Bool                   // the state is recovered and an endpoint list is known
+	largeList        atomic.Bool                   // the list is, or was, too long for the policy to hold all of it
+	terminating      atomic.Bool                   // SIGTERM came, or another process has taken over
+	awaitingHandover atomic.Bool                   // the process before this one is about to hand over
+}
+
+// New returns a relay that has read what an earlier process left in the journal. Recordings that go to the log are
+// written to out.
 func New(cfg Config, log *slog.Logger, out io.Writer) (*Relay, error) {
-	sender, err := policy.New(cfg.Settings, cfg.Seed)
+	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	started := time.Now().Add(-initialClock)
 	r := &Relay{
-		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: NewClient(cfg.DiscoveryAddr),
-		events: make(chan event, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
-		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
-		journalFull: ratelog.Warning{
-			Message: "refusing new messages",
-		}, sendsUnrecorded: ratelog.Warning{Message: "log not written"}, unreadableEntries: ratelog.Warning{Message: "unreadable entry of the list"},
-		messages: map[uint32]*message{}, messagesByTrace: map[string]*message{}, latestConfig: cfg.Config, listVersion: cfg.Known.Version,
+		cfg:         cfg,
+		log:         log,
+		logOut:      out,
+		agent:       NewClient(cfg.DiscoveryAddr),
+		events:      make(chan event, eventQueueSize),
+		loopDone:    make(chan struct{}),
+		drained:     make(chan struct{}),
+		reloadState: reloadState{latestConfig: cfg.Config},
+		loopState:   newLoopState(engine),
 	}
+	r.listVersion = cfg.Known.Version
+	r.recorder = newRecording(cfg, log, out, r.started, engine, 0)
 	r.applyConfig(cfg.Config)
 	r.loadKnownEndpoints()
 	if cfg.KnownErr != nil {
@@ -143,7 +104,7 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, and then ends in order: see shutdownTimeout.
+// Run serves until ctx ends, and then shuts down in order: see shutdown.
 func (r *Relay) Run(ctx context.Context) error {
 	listener, err := listen(r.cfg.Listen, r.cfg.InheritedFD)
 	if err != nil {
@@ -151,67 +112,119 @@
 	}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	if r.adminCtx = work; r.cfg.AdminListen != "" {
-		if err := r.serveAdmin(); err != nil {
+	if r.cfg.AdminListen != "" {
+		if err := r.serveAdmin(work); err != nil {
 			return errors.Join(err, listener.Close(), r.closeLog())
 		}
 	}
 	callCtx, stopCalls := context.WithCancel(context.Background())
 	defer stopCalls()
 	r.callCtx = callCtx
-	if r.before == nil {
-		r.recoverState() // before clients are told that the relay is ready
-	} else if err := r.takeOver(ctx); errors.Is(err, errEnded) {
+	err = r.restore(ctx) // before clients learn that the relay is ready
+	if errors.Is(err, errEnded) {
 		return listener.Close()
-	} else if err != nil {
+	}
+	if err != nil {
 		return errors.Join(err, listener.Close(), r.closeLog())
 	}
 	r.offer(work)
-	lead, stopLeading := context.WithCancel(work)
-	var linked sync.WaitGroup
-	if r.fleet != nil {
-		linked.Go(func() { r.fleet.Run(lead) })
-	}
-	r.stopLeading = stopLeading
+	leading, stopLeading := context.WithCancel(work)
 	defer stopLeading()
-	recorded := make(chan struct{})
-	recCtx, stopRecording := context.WithCancel(context.Background())
-	go func() { defer close(recorded); r.recorder.run(recCtx) }()
-	defer func() { stopRecording(); <-recorded }()
+	r.stopLeading = stopLeading
+	var background sync.WaitGroup
+	r.startBackground(leading, &background)
+	stopRecorder := r.startRecorder()
+	defer stopRecorder()
 	go r.loop(work)
-	go r.finals.Run(lead)
-	go r.newWatcher().Run(lead)
 
-	accepting := make(chan struct{})
-	go func() { defer close(accepting); r.clients.run(listener) }()
-	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
-	<-ctx.Done()
-	if r.handOver() {
-		listener.Close() // connections wait for the other process from here on
-		<-accepting      // one that was taken just before is served like the others
-		r.leave()
-	} else {
-		r.shutdown(listener)
-	}
+	r.serveUntil(ctx, listener)
 	stopCalls()
-	r.calls.Wait() // their outcomes reach the log
+	r.calls.Wait() // their outcomes reach the journal
 	stop()
 	<-r.loopDone
-	linked.Wait()
+	background.Wait()
 	r.hosts.close()
 	if r.successor != nil {
-		r.successor.Close()
+		_ = r.successor.Close() // everything for it is sent
 	}
 	return r.closeLog()
 }
 
-// newWatcher is what follows discovery's list for the loop.
+// restore takes over from the process before this one, or goes on from the journal.
+func (r *Relay) restore(ctx context.Context) error {
+	if r.before == nil {
+		r.recoverState()
+		return nil
+	}
+	return r.takeOver(ctx)
+}
+
+// startBackground starts what only the process that owns the journal does, until ctx ends.
+func (r *Relay) startBackground(ctx context.Context, background *sync.WaitGroup) {
+	if r.fleet != nil {
+		background.Go(func() { r.fleet.Run(ctx) })
+	}
+	watcher := r.newWatcher()
+	background.Go(func() { r.finals.Run(ctx) })
+	background.Go(func() { watcher.Run(ctx) })
+}
+
+// startRecorder has recordings written out as they go on, where that is set, until stop is called.
+func (r *Relay) startRecorder() (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		r.recorder.run(ctx)
+	}()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+// serveUntil serves clients until ctx ends. Then it leaves the listener to another process, if one takes over, or
+// shuts down.
+func (r *Relay) serveUntil(ctx context.Context, listener net.Listener) {
+	accepting := make(chan struct{})
+	go func() {
+		defer close(accepting)
+		_ = r.clients.run(listener) // returns only once the listener is closed
+	}()
+	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
+	<-ctx.Done()
+	if !r.handOver() {
+		r.shutdown(listener)
+		return
+	}
+	_ = listener.Close() // connections wait for the other process from here on
+	<-accepting          // one that was accepted just before is served like the others
+	r.leave()
+}
+
+// newWatcher returns a watcher that follows the endpoint list for the loop.
 func (r *Relay) newWatcher() *Watcher {
 	return &Watcher{
-		Log: r.log, Client: r.agent, IdleTimeout: WatchIdleTimeout, ListTimeout: ListTimeout, Version: r.listVersion, NeedsSnapshot: r.snapshotNeeded, HasList: r.endpointsKnown.Load(),
-		OnUpdate: func(l List) { r.post(listEvent{l}) }, Parse: r.cfg.parseEndpoint,
-		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(partEvent{p}) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
-		Backoff: NewBackoff(r.cfg), Rand: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
-		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, oversizeLists: ratelog.Warning{Message: "list not taken"},
+		Log:           r.log,
+		Client:        r.agent,
+		IdleTimeout:   WatchIdleTimeout,
+		ListTimeout:   ListTimeout,
+		Version:       r.listVersion,
+		NeedsSnapshot: r.snapshotNeeded,
+		HasList:       r.endpointsKnown.Load(),
+		OnUpdate:      func(l List) { r.post(listEvent{l}) },
+		Parse:         r.cfg.parseEndpoint,
+		Parts: PartSender{
+			Post:      func(p *SnapshotPart) bool { return r.post(partEvent{p}) },
+			Stopped:   r.loopDone,
+			LargeList: r.largeList.Load,
+		},
+		Backoff:         NewBackoff(r.cfg),
+		Rand:            rand.New(rand.NewPCG(r.cfg.Seed, watcherStream)),
+		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"},
+		oversizeLists:   ratelog.Warning{Message: "list not taken"},
 	}
 }
+
+// watcherStream tells the watcher's random numbers from those of other parts that have the same seed.
+const watcherStream = 0x68657264
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -23,6 +23,12 @@
 	metricsRequest struct{ done chan struct{} } // asks for figures that are up to date
 )
 
+// reloadState is owned by the goroutine that calls Reload.
+type reloadState struct {
+	latestConfig     reload.Config // taken last; the loop changes over to it in steps
+	latestGeneration int           // of latestConfig: changes of an earlier generation are void
+}
+
 // Reload takes on what may change while the relay runs: the settings and discovery's address, or neither. err tells
 // that the file could not even be read. It must not be called by two goroutines at once.
 func (r *Relay) Reload(cfg Config, err error) error {
