--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip holds how news of a fleet's members goes round: the figures that the link, its model in virtual time
-// and the seam share. The seam must not tell more than the links have room for. It is pure.
+// Package gossip holds the parameters by which load reports spread through a fleet. The membership protocol, its model
+// in virtual time and the agent share them: the agent must not publish more than the network's datagrams can carry. It
+// is pure.
 package gossip
 
 import (
@@ -7,32 +8,40 @@
 	"time"
 )
 
-// The figures that do not depend on the fleet's size.
+// Parameters that do not depend on the fleet's size.
 const (
-	Interval        = 100 * time.Millisecond // each member tells a few others
-	MaxDatagramSize = 1350                   // of news at most, so that no network splits it
-	// digests are exchanged with one other so often, less often in large fleets
-	SyncInterval         = 10 * time.Second
-	ClockRequestInterval = 250 * time.Millisecond // another is asked for its clock, until it answers
-	MaxDeferredMessages  = 8                      // messages that wait for their sender's clock to be known
-
-	// ReportsPerDatagram is what fits one, more or less, where a page tells of two destinations.
+	// Interval is how often each member sends to a few others.
+	Interval = 100 * time.Millisecond
+	// MaxDatagramSize bounds the bytes of reports in a datagram, so that no network fragments it.
+	MaxDatagramSize = 1350
+	// SyncInterval is how often a member exchanges digests with one other; less often in large fleets.
+	SyncInterval = 10 * time.Second
+	// ClockRequestInterval is how often a member is asked for its clock until it answers.
+	ClockRequestInterval = 250 * time.Millisecond
+	// MaxDeferredMessages bounds the messages that wait for their sender's clock to be known.
+	MaxDeferredMessages = 8
+	// ReportsPerDatagram is about how many reports fit a datagram, where each has two destinations.
 	ReportsPerDatagram = 12
+)
 
-	minEffectiveSize               = 10 // that a fleet's size is taken for: a small one's datagrams get lost like a large one's
-	largeFleetSize                 = 99 // members from which on a page is sent on less often by each, and to more at once
+const (
+	// minEffectiveSize is the size that a small fleet is taken for: its datagrams get lost like those of a large one.
+	minEffectiveSize = 10
+	// largeFleetSize is the size from which on each member forwards a report less often, and to more members at once.
+	largeFleetSize                 = 99
 	smallFleetRetransmitMultiplier = 3
 	largeFleetRetransmitMultiplier = 2
 	smallFleetFanOut               = 3
 	largeFleetFanOut               = 5
-	// of what the links carry, that is planned for: the rest is what is told anew where datagrams are lost
+	// plannedLoadRatio is the part of the network's capacity that is planned for. The rest is for what is published
+	// again where datagrams are lost.
 	plannedLoadRatio = 0.8
 )
 
 // EffectiveSize is the size that a fleet of n members is taken for.
 func EffectiveSize(n int) int { return max(minEffectiveSize, n) }
 
-// FanOut is how many others each member tells at once.
+// FanOut is to how many others each member sends at once.
 func FanOut(n int) int {
 	if n < largeFleetSize {
 		return smallFleetFanOut
@@ -40,8 +49,8 @@
 	return largeFleetFanOut
 }
 
-// RetransmitMultiplier is what the order of magnitude of a fleet's size is multiplied with for Times: memberlist's
-// RetransmitMult.
+// RetransmitMultiplier is the factor of the fleet size's order of magnitude in Retransmissions: RetransmitMult of
+// memberlist.
 func RetransmitMultiplier(n int) int {
 	if n < largeFleetSize {
 		return smallFleetRetransmitMultiplier
@@ -49,14 +58,14 @@
 	return largeFleetRetransmitMultiplier
 }
 
-// Retransmissions is how often each member sends a page on. One in four hundred members is not met by any of six; what
-// they lack comes with the next version or digest.
+// Retransmissions is how often each member forwards a report. One in four hundred members gets none of six copies; what
+// it lacks comes with the next version or digest.
 func Retransmissions(n int) int {
 	return RetransmitMultiplier(n) * int(math.Ceil(math.Log10(float64(EffectiveSize(n)+1))))
 }
 
-// MaxReportRate is how many pages a second a fleet's members may tell in all, for all to hear of each before it has to
-// be told again. Each page passes over every member's links, so that it does not grow with the fleet.
+// MaxReportRate is how many reports a second all members together may publish so that each reaches all others before it
+// has to be published again. Each report passes through every member, so that the rate does not grow with the fleet.
 func MaxReportRate(n int) float64 {
 	return plannedLoadRatio * float64(FanOut(n)*ReportsPerDatagram) / Interval.Seconds() / float64(Retransmissions(n))
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -1,15 +1,32 @@
 package gossip
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// Each page is met by all but a few, and the room hardly depends on the fleet's size.
+// Each report reaches all but a few members, and the report rate hardly depends on the fleet's size.
 func TestFleetSizeParameters(t *testing.T) {
-	for n, want := range map[int]struct{ targets, times int }{1: {3, 6}, 3: {3, 6}, 20: {3, 6}, 98: {3, 6}, 100: {5, 6}, 300: {5, 6}, 998: {5, 6}, 1000: {5, 8}} {
-		if targets, times := FanOut(n), Retransmissions(n); targets != want.targets || times != want.times {
-			t.Errorf("%d members: to %d, %d times, want %+v", n, targets, times, want)
-		}
-		if room := MaxReportRate(n); room < 45 || room > 85 {
-			t.Errorf("%d members have room for %g pages a second", n, room)
-		}
+	for _, test := range []struct {
+		members, fanOut, retransmissions int
+	}{
+		{1, 3, 6},
+		{3, 3, 6},
+		{20, 3, 6},
+		{98, 3, 6},
+		{100, 5, 6},
+		{300, 5, 6},
+		{998, 5, 6},
+		{1000, 5, 8},
+	} {
+		t.Run(fmt.Sprint(test.members, " members"), func(t *testing.T) {
+			fanOut, retransmissions := FanOut(test.members), Retransmissions(test.members)
+			if fanOut != test.fanOut || retransmissions != test.retransmissions {
+				t.Errorf("to %d, %d times, want %+v", fanOut, retransmissions, test)
+			}
+			if rate := MaxReportRate(test.members); rate < 45 || rate > 85 {
+				t.Errorf("%g reports a second", rate)
+			}
+		})
 	}
 }
--- a/internal/fleet/loadreport/table_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -14,285 +14,286 @@
 
 var testMembers = []string{"a", "b", "c"}
 
-func newScopeLoad(dest int, calls float64) ScopeLoad {
-	return ScopeLoad{Destination: dest, Calls: calls, Demand: 2 * calls}
+func newTestTable() *Table { return New("me", Incarnation{1, 1}, testMembers) }
+
+func newScopeLoad(destination int, calls float64) ScopeLoad {
+	return ScopeLoad{Destination: destination, Calls: calls, Demand: 2 * calls}
 }
 
-// drawReport draws few values of each kind, so that pages often meet.
+// drawReport draws few values of each kind, so that reports often meet.
 func drawReport(t *rapid.T) Report {
-	p := Report{
-		Name: rapid.SampledFrom(testMembers).
-			Draw(t, "name"),
+	r := Report{
+		Name: rapid.SampledFrom(testMembers).Draw(t, "name"),
 		Incarnation: Incarnation{
-			rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
+			rapid.Uint64Range(1, 3).Draw(t, "generation"),
 			rapid.Uint32Range(1, 2).Draw(t, "boot"),
 		},
-		Number: rapid.IntRange(0, 2).Draw(t, "page"), Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
-		Age: time.Duration(rapid.IntRange(0, 60).Draw(t, "age")) * time.Second,
+		Number:   rapid.IntRange(0, 2).Draw(t, "number"),
+		Sequence: rapid.Uint64Range(1, 4).Draw(t, "sequence"),
+		Age:      time.Duration(rapid.IntRange(0, 60).Draw(t, "age")) * time.Second,
+	}
+	for i := range rapid.IntRange(0, 2).Draw(t, "scopes") {
+		calls := float64(rapid.IntRange(0, 3).Draw(t, "calls"))
+		r.Scopes = append(r.Scopes, newScopeLoad(r.Number<<reportShift+i, calls))
 	}
-	for i := range rapid.IntRange(0, 2).Draw(t, "cells") {
-		p.Scopes = append(p.Scopes, newScopeLoad(p.Number<<reportShift+i, float64(rapid.IntRange(0, 3).Draw(t, "calls"))))
+	return r
+}
+
+// mergeTime is when mergeAll merges: later than any age that is drawn.
+const mergeTime = 100 * time.Second
+
+// mergeAll merges drawn reports. Some of them are rejected, which must not depend on the order either.
+func mergeAll(table *Table, reports ...Report) {
+	for _, r := range reports {
+		_, _ = table.Merge(mergeTime, r)
+	}
+}
+
+// mustMerge merges a report that is valid.
+func mustMerge(t *testing.T, table *Table, now time.Duration, r Report) MergeResult {
+	t.Helper()
+	result, err := table.Merge(now, r)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return p
+	return result
 }
 
-func allReports(l *Table, now time.Duration) (pages []Report) {
-	l.Each(now, func(p Report) { pages = append(pages, p) })
-	return pages
+func allReports(table *Table, now time.Duration) (reports []Report) {
+	table.Each(now, func(r Report) { reports = append(reports, r) })
+	return reports
 }
 
-// What a ledger holds does not depend on the order in which it heard, nor on how often; and it tells others what they
-// lack until both hold the same.
+// What a table holds does not depend on the order in which it received reports, nor on how often. Two tables that send
+// each other what the other lacks hold the same afterwards.
 func TestMergeIsOrderIndependent(t *testing.T) {
-	const now = 100 * time.Second
+	const now = mergeTime
 	rapid.Check(t, func(t *rapid.T) {
-		pages := rapid.SliceOfN(rapid.Custom(drawReport), 1, 12).Draw(t, "pages")
-		order := rapid.Permutation(pages).Draw(t, "order")
-		a, b := New("me", Incarnation{1, 1}, testMembers), New("me", Incarnation{1, 1}, testMembers)
-		for _, p := range pages {
-			a.Merge(now, p)
-		}
-		for _, p := range order {
-			b.Merge(now, p)
-			b.Merge(now, p)
+		reports := rapid.SliceOfN(rapid.Custom(drawReport), 1, 12).Draw(t, "reports")
+		shuffled := rapid.Permutation(reports).Draw(t, "order")
+		a, b := newTestTable(), newTestTable()
+		mergeAll(a, reports...)
+		for _, r := range shuffled {
+			mergeAll(b, r, r)
 		}
 		if x, y := allReports(a, now), allReports(b, now); !reflect.DeepEqual(x, y) {
-			t.Fatalf("in order %v\nmixed %v", x, y)
+			t.Fatalf("in order %v\nshuffled %v", x, y)
 		}
-		// Two that heard other halves, and tell each other.
-		c, d := New("me", Incarnation{1, 1}, testMembers), New("me", Incarnation{1, 1}, testMembers)
-		for i, p := range pages {
+
+		c, d := newTestTable(), newTestTable()
+		for i, r := range reports {
 			if i%2 == 0 {
-				c.Merge(now, p)
+				mergeAll(c, r)
 			} else {
-				d.Merge(now, p)
+				mergeAll(d, r)
 			}
 		}
-		toC, toD := d.MissingFrom(now, c.Digest(now)), c.MissingFrom(now, d.Digest(now))
-		for _, p := range toC {
-			c.Merge(now, p)
-		}
-		for _, p := range toD {
-			d.Merge(now, p)
-		}
+		missingFromC, missingFromD := d.MissingFrom(now, c.Digest(now)), c.MissingFrom(now, d.Digest(now))
+		mergeAll(c, missingFromC...)
+		mergeAll(d, missingFromD...)
 		if x, y := len(c.MissingFrom(now, d.Digest(now))), len(d.MissingFrom(now, c.Digest(now))); x+y > 0 {
-			t.Fatalf("%d and %d pages still differ", x, y)
+			t.Fatalf("%d and %d reports still differ", x, y)
 		}
-		// And later all of it is gone, whatever it was.
+
 		a.RemoveExpired(now + MaxAge + time.Second)
 		if members, _ := a.Stats(now); len(members) > 0 {
-			t.Fatalf("kept past its age: %v", members)
+			t.Fatalf("held past the greatest age: %v", members)
 		}
 	})
 }
 
-// The lesser age of one version is taken, ages grow with the hearer's time, and figures fade without a step.
+// Of one version the lesser age counts, and ages grow with the receiver's time.
 func TestReportAges(t *testing.T) {
-	l := New("me", Incarnation{1, 1}, testMembers)
-	p := Report{
+	table := newTestTable()
+	r := Report{
 		Name:        "a",
 		Incarnation: Incarnation{1, 1},
 		Sequence:    1,
 		Age:         5 * time.Second,
 		Scopes:      []ScopeLoad{{Destination: 1, Calls: 8, RetryAfter: 10 * time.Second, WarmingUp: true}},
 	}
-	l.Merge(20*time.Second, p)
-	p.Age = 3 * time.Second
-	if out, err := l.Merge(20*time.Second, p); out != Updated || err != nil {
-		t.Error(out, err)
-	}
-	p.Age = 3*time.Second - 2*time.Millisecond
-	if out, _ := l.Merge(20*time.Second, p); out != Known {
-		t.Error("what is hardly younger is news, which goes round once more:", out)
-	}
-	p.Age = 4 * time.Second
-	if out, _ := l.Merge(20*time.Second, p); out != Known {
-		t.Error("an older telling of a version that was heard before is taken:", out)
+	const receivedAt = 20 * time.Second
+	mustMerge(t, table, receivedAt, r)
+	for _, copied := range []struct {
+		name string
+		age  time.Duration
+		want MergeResult
+	}{
+		{"much younger", 3 * time.Second, Updated},
+		{"hardly younger, which is not forwarded again", 3*time.Second - 2*time.Millisecond, Known},
+		{"older", 4 * time.Second, Known},
+	} {
+		r.Age = copied.age
+		if result := mustMerge(t, table, receivedAt, r); result != copied.want {
+			t.Errorf("%s: %v, want %v", copied.name, result, copied.want)
+		}
 	}
-	if got, ok := l.Get(24*time.Second, "a", 0); !ok || got.Age != 7*time.Second-2*time.Millisecond {
+
+	const later = 24 * time.Second
+	if got, ok := table.Get(later, "a", 0); !ok || got.Age != 7*time.Second-2*time.Millisecond {
 		t.Error(got, ok)
 	}
-	if s := l.AggregateOthers(24*time.Second, 1, ""); math.Abs(s.Calls-8*math.Exp2(-6.998/5)) > 1e-9 ||
-		s.RetryAfter != 3002*time.Millisecond ||
-		!s.WarmingUp {
-		t.Errorf("%+v", s)
+	sum := table.AggregateOthers(later, 1, "")
+	callsDecayed := math.Abs(sum.Calls-8*math.Exp2(-6.998/5)) <= 1e-9
+	if !callsDecayed || sum.RetryAfter != 3002*time.Millisecond || !sum.WarmingUp {
+		t.Errorf("%+v", sum)
 	}
-	was := l.AggregateOthers(20*time.Second, 1, "").Calls
-	for now := 20 * time.Second; now < 90*time.Second; now += 50 * time.Millisecond {
-		x := l.AggregateOthers(now, 1, "").Calls
-		if x > was || was-x > 0.01*8 {
-			t.Fatalf("a step from %g to %g at %v", was, x, now)
+	checkDecay(t, table, receivedAt)
+}
+
+// checkDecay checks that a table's calls at destination 1 decay to nothing without a step.
+func checkDecay(t *testing.T, table *Table, start time.Duration) {
+	t.Helper()
+	last := table.AggregateOthers(start, 1, "").Calls
+	for now := start; now < 90*time.Second; now += 50 * time.Millisecond {
+		calls := table.AggregateOthers(now, 1, "").Calls
+		if calls > last || last-calls > 0.01*8 {
+			t.Fatalf("a step from %g to %g at %v", last, calls, now)
 		}
-		was = x
+		last = calls
 	}
-	if was != 0 {
-		t.Error("something is left:", was)
+	if last != 0 {
+		t.Error("something is left:", last)
 	}
 }
 
-// What cannot be is refused and counted, and changes nothing.
+// Invalid reports are rejected and counted, and change nothing.
 func TestMergeRejectsInvalidReports(t *testing.T) {
-	good := func() Report {
-		return Report{
-			Name:        "a",
-			Incarnation: Incarnation{1, 1},
-			Number:      1,
-			Sequence:    1,
-			Scopes:      []ScopeLoad{newScopeLoad(4, 1), newScopeLoad(5, 1)},
-		}
-	}
-	l := New("me", Incarnation{2, 5}, testMembers)
-	l.SetLimits(Limits{5: {"": 10}})
-	for _, c := range []struct {
+	table := New("me", Incarnation{2, 5}, testMembers)
+	table.SetLimits(Limits{5: {"": 10}})
+	for _, test := range []struct {
+		name   string
 		reason RejectReason
 		spoil  func(*Report)
 	}{
-		{UnlistedMember, func(p *Report) { p.Name = "stranger" }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].Calls = -1 }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].Demand = math.NaN() }},
-		{OutOfRange, func(p *Report) { p.Scopes[1].Rejections = math.Inf(1) }},
-		{OutOfRange, func(p *Report) { p.Scopes[1].Calls = 10*MaxRateMultiple + 1 }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].Calls = MaxRate + 1 }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].Backlog = -1 }},
-		{OutOfRange, func(p *Report) { p.Scopes[0].RetryAfter = 2 * maxRetryAfter }},
-		{OutOfRange, func(p *Report) { p.Age = -1 }},
-		{Expired, func(p *Report) { p.Age = MaxAge + 1 }},
-		{Malformed, func(p *Report) { p.Generation = 0 }},
-		{Malformed, func(p *Report) { p.Sequence = math.MaxUint64 }},
-		{Malformed, func(p *Report) { p.Scopes[0].Destination = 9 }},
-		{Malformed, func(p *Report) { p.Scopes[0], p.Scopes[1] = p.Scopes[1], p.Scopes[0] }},
-		{Malformed, func(p *Report) { p.Scopes = make([]ScopeLoad, MaxScopes+1) }},
+		{"unlisted member", UnlistedMember, func(r *Report) { r.Name = "stranger" }},
+		{"negative rate", OutOfRange, func(r *Report) { r.Scopes[0].Calls = -1 }},
+		{"rate not a number", OutOfRange, func(r *Report) { r.Scopes[0].Demand = math.NaN() }},
+		{"infinite rate", OutOfRange, func(r *Report) { r.Scopes[1].Rejections = math.Inf(1) }},
+		{"rate far over the limit", OutOfRange, func(r *Report) { r.Scopes[1].Calls = 10*MaxRateMultiple + 1 }},
+		{"rate without a limit", OutOfRange, func(r *Report) { r.Scopes[0].Calls = MaxRate + 1 }},
+		{"negative backlog", OutOfRange, func(r *Report) { r.Scopes[0].Backlog = -1 }},
+		{"long Retry-After", OutOfRange, func(r *Report) { r.Scopes[0].RetryAfter = 2 * maxRetryAfter }},
+		{"negative age", OutOfRange, func(r *Report) { r.Age = -1 }},
+		{"too old", Expired, func(r *Report) { r.Age = MaxAge + 1 }},
+		{"no generation", Malformed, func(r *Report) { r.Generation = 0 }},
+		{"greatest sequence", Malformed, func(r *Report) { r.Sequence = math.MaxUint64 }},
+		{"destination of another report", Malformed, func(r *Report) { r.Scopes[0].Destination = 9 }},
+		{"unsorted scopes", Malformed, func(r *Report) { r.Scopes[0], r.Scopes[1] = r.Scopes[1], r.Scopes[0] }},
+		{"too many scopes", Malformed, func(r *Report) { r.Scopes = make([]ScopeLoad, MaxScopes+1) }},
 	} {
-		p := good()
-		c.spoil(&p)
-		_, before := l.Stats(0)
-		out, err := l.Merge(0, p)
-		var told *RejectedError
-		if _, after := l.Stats(0); out != Rejected || !errors.As(err, &told) || told.RejectReason != c.reason ||
-			after[c.reason] != before[c.reason]+1 {
-			t.Errorf("%v: %v, %v", p, out, err)
-		}
-	}
-	if members, _ := l.Stats(0); len(members) > 0 {
-		t.Error("something was kept:", members)
+		t.Run(test.name, func(t *testing.T) {
+			r := Report{
+				Name:        "a",
+				Incarnation: Incarnation{1, 1},
+				Number:      1,
+				Sequence:    1,
+				Scopes:      []ScopeLoad{newScopeLoad(4, 1), newScopeLoad(5, 1)},
+			}
+			test.spoil(&r)
+			_, before := table.Stats(0)
+			result, err := table.Merge(0, r)
+			members, after := table.Stats(0)
+			var rejected *RejectedError
+			if result != Rejected || !errors.As(err, &rejected) || rejected.Reason != test.reason {
+				t.Errorf("%v: %v, %v", r, result, err)
+			}
+			if after[test.reason] != before[test.reason]+1 {
+				t.Errorf("%d rejected as %s, %d before", after[test.reason], test.reason, before[test.reason])
+			}
+			if len(members) > 0 {
+				t.Error("something is held:", members)
+			}
+		})
 	}
-	for n := range MaxReports + 5 {
-		l.Merge(0, Report{Name: "b", Incarnation: Incarnation{1, 1}, Number: n, Sequence: uint64(n + 1)})
+}
+
+func TestReportsOfAMemberAreBounded(t *testing.T) {
+	table := newTestTable()
+	for number := range MaxReports + 5 {
+		r := Report{Name: "b", Incarnation: Incarnation{1, 1}, Number: number, Sequence: uint64(number + 1)}
+		mustMerge(t, table, 0, r)
 	}
-	if members, refused := l.Stats(0); members[0].Reports != MaxReports || refused[TooManyReports] != 5 {
-		t.Error(members, refused)
+	if members, rejected := table.Stats(0); members[0].Reports != MaxReports || rejected[TooManyReports] != 5 {
+		t.Error(members, rejected)
 	}
 }
 
-// A life goes before all that came before it, and one under the own name is told apart from earlier ones.
-func TestIncarnations(t *testing.T) {
-	l := New("me", Incarnation{3, 7}, append(testMembers, "me"))
-	l.Merge(
-		0,
-		Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 0, Sequence: 50, Scopes: []ScopeLoad{newScopeLoad(1, 5)}},
-	)
-	l.Merge(
-		0,
-		Report{Name: "a", Incarnation: Incarnation{2, 1}, Number: 1, Sequence: 1, Scopes: []ScopeLoad{newScopeLoad(4, 1)}},
-	)
-	if got := allReports(l, 0); len(got) != 1 || got[0].Number != 1 {
-		t.Error("the life before was not forgotten:", got)
+// An incarnation replaces all earlier ones.
+func TestIncarnationReplacesEarlierOnes(t *testing.T) {
+	table := newTestTable()
+	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
+	mustMerge(t, table, 0, Report{
+		Name: "a", Incarnation: earlier, Number: 0, Sequence: 50, Scopes: []ScopeLoad{newScopeLoad(1, 5)},
+	})
+	mustMerge(t, table, 0, Report{
+		Name: "a", Incarnation: later, Number: 1, Sequence: 1, Scopes: []ScopeLoad{newScopeLoad(4, 1)},
+	})
+	if got := allReports(table, 0); len(got) != 1 || got[0].Number != 1 {
+		t.Error("the earlier incarnation was not dropped:", got)
 	}
-	if out, _ := l.Merge(0, Report{Name: "a", Incarnation: Incarnation{1, 9}, Number: 2, Sequence: 99}); out != Stale {
-		t.Error(out)
+	late := Report{Name: "a", Incarnation: earlier, Number: 2, Sequence: 99}
+	if result := mustMerge(t, table, 0, late); result != Stale {
+		t.Error(result)
 	}
-	for life, want := range map[Incarnation]MergeResult{{3, 7}: Own, {2, 9}: Own, {3, 6}: Own, {3, 8}: Rival, {4, 1}: Rival} {
-		if out, _ := l.Merge(0, Report{Name: "me", Incarnation: life, Sequence: 1}); out != want {
-			t.Errorf("%v: %v, want %v", life, out, want)
+}
+
+// An incarnation under the own name is told apart from earlier ones.
+func TestIncarnations(t *testing.T) {
+	table := New("me", Incarnation{3, 7}, append(testMembers, "me"))
+	for incarnation, want := range map[Incarnation]MergeResult{
+		{3, 7}: Own,
+		{2, 9}: Own,
+		{3, 6}: Own,
+		{3, 8}: Rival,
+		{4, 1}: Rival,
+	} {
+		r := Report{Name: "me", Incarnation: incarnation, Sequence: 1}
+		if result := mustMerge(t, table, 0, r); result != want {
+			t.Errorf("%v: %v, want %v", incarnation, result, want)
 		}
 	}
-	if l.Rival() != (Incarnation{4, 1}) {
-		t.Error(l.Rival())
+	if table.Rival() != (Incarnation{4, 1}) {
+		t.Error(table.Rival())
 	}
-	if _, err := l.Publish(0, 0, 1, []ScopeLoad{newScopeLoad(1, 1)}); err != nil {
+	if _, err := table.Publish(0, 0, 1, []ScopeLoad{newScopeLoad(1, 1)}); err != nil {
 		t.Error(err)
 	}
-	l.SetIncarnation(Incarnation{5, 7})
-	if _, ok := l.Get(0, "me", 0); ok || l.Incarnation() != (Incarnation{5, 7}) {
-		t.Error("what the life before told is still there")
+	table.SetIncarnation(Incarnation{5, 7})
+	if _, ok := table.Get(0, "me", 0); ok || table.Incarnation() != (Incarnation{5, 7}) {
+		t.Error("a report of the earlier incarnation is still there")
 	}
 }
 
-// 300 members that each tell of 30 destinations fit 4 MB.
+func heapSize() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// 300 members that each report of 30 destinations fit 4 MB.
 func TestTableMemory(t *testing.T) {
+	const destinations = 30
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("relay-%03d", i))
 	}
-	heap := func() uint64 {
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	before := heap()
-	l := New("me", Incarnation{1, 1}, names)
-	for _, n := range names {
-		for page := range ReportNumber(29) + 1 {
-			p := Report{Name: n, Incarnation: Incarnation{1, 1}, Number: page, Sequence: uint64(page + 1)}
-			for d := page << reportShift; d < min(30, (page+1)<<reportShift); d++ {
-				p.Scopes = append(p.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
-			}
-			if _, err := l.Merge(0, p); err != nil {
-				t.Fatal(err)
+	before := heapSize()
+	table := New("me", Incarnation{1, 1}, names)
+	for _, name := range names {
+		for number := range ReportNumber(destinations-1) + 1 {
+			r := Report{Name: name, Incarnation: Incarnation{1, 1}, Number: number, Sequence: uint64(number + 1)}
+			for d := number << reportShift; d < min(destinations, (number+1)<<reportShift); d++ {
+				r.Scopes = append(r.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
 			}
+			mustMerge(t, table, 0, r)
 		}
 	}
-	used := heap() - before
+	used := heapSize() - before
 	t.Logf("%.2f MB", float64(used)/1e6)
-	if members, _ := l.Stats(0); len(members) != 300 || used > 4e6 {
+	if members, _ := table.Stats(0); len(members) != 300 || used > 4e6 {
 		t.Errorf("%d members, %d bytes", len(members), used)
 	}
-	runtime.KeepAlive(l)
-}
-
-// However long a message, a question or an answer was held up, and whichever clock runs faster, a message's time under
-// way is never taken to be less than it was, and hardly to be more.
-func TestTransitEstimate(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		drift := rapid.Float64Range(-MaxClockDrift, MaxClockDrift).Draw(t, "drift")
-		offset := time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "offset"))
-		other := func(now time.Duration) time.Duration { return offset + now + time.Duration(drift*float64(now)) }
-		some := func(name string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
-		}
-		var x TransitEstimator
-		if _, known, stale := x.Estimate("a", 1, 0, 0); known || !stale {
-			t.Fatal("known before it was asked")
-		}
-		now, worst := time.Duration(0), time.Duration(0)
-		asked := time.Duration(0)
-		for range rapid.IntRange(1, 4).Draw(t, "questions") {
-			asked = now
-			there := now + some("there", 3*time.Second)
-			now = there + some("back", 3*time.Second)
-			x.Calibrate("a", 1, other(there), asked, now)
-			worst = now - asked
-			now += some("pause", 30*time.Second)
-		}
-		sent := now
-		held := some("held", 20*time.Second)
-		now += held
-		d, known, _ := x.Estimate("a", 1, other(sent), now)
-		if most := held + worst + time.Duration(2*MaxClockDrift*float64(now-asked)); !known ||
-			d < held-time.Microsecond ||
-			d > most+time.Microsecond {
-			t.Fatalf("%v, was %v, %v at most", d, held, most)
-		}
-		if _, known, _ := x.Estimate("a", 2, other(sent), now); known {
-			t.Fatal("a new life goes by the clock of the one before")
-		}
-	})
-	var x TransitEstimator
-	for i := range 2 * maxSenders {
-		x.Calibrate(fmt.Sprint(i), 1, 0, 0, 0)
-	}
-	if len(x.senders) > maxSenders {
-		t.Error(len(x.senders), "senders are kept")
-	}
+	runtime.KeepAlive(table)
 }
--- a/internal/fleet/loadreport/transit.go
+++ b/internal/fleet/loadreport/transit.go
@@ -3,115 +3,72 @@
 import "time"
 
 const (
-	// Drift bounds how far two relays' monotonic clocks run apart, as a share of the time that passes.
+	// MaxClockDrift bounds how far two relays' monotonic clocks run apart, as a fraction of the time that passes.
 	MaxClockDrift = 0.01
-	// CalibrationInterval is the age at which what is known of a sender's clock should be had anew: by then it makes
-	// ages too great by 0.2 s.
+	// CalibrationInterval is the age at which a calibration should be renewed: by then it makes transit times too great
+	// by 0.2 s.
 	CalibrationInterval = 10 * time.Second
-	maxSenders          = 4096
+	// maxSenders bounds the calibrations kept. Each restart of a member adds one.
+	maxSenders = 4096
 )
 
-// TransitEstimator tells how long a message was under way at most. Senders stamp their messages with their own
-// monotonic time. How that stands to the hearer's is found by asking: the hearer sends its time, the other answers with
-// that and its own. The other's time was read between the two, so that no message that it stamps later can have been
-// under way for longer than the bound that follows from it. That finds whatever held a message up: the network, queues,
-// sockets, and either side's being stopped. It is never too small while clocks run apart by no more than Drift, and too
-// great by the round trip that was asked with and by Drift of the time since.
+// TransitEstimator computes an upper bound of the time that a message was in transit.
+//
+// Senders stamp their messages with their own monotonic time. The receiver learns how that relates to its own by
+// asking: it sends its time, and the other answers with that and its own. The other's clock was read between the two,
+// so that no message that it stamps later can have been in transit for longer than the bound that follows from it. The
+// bound covers whatever delays a message: the network, queues, sockets, and either process being stopped. It is never
+// too small while clocks run apart by no more than MaxClockDrift. It is too great by the round trip of the question and
+// by MaxClockDrift of the time since.
 type TransitEstimator struct {
-	senders map[senderKey]calibration
+	calibrations map[senderKey]calibration
 }
 
+// senderKey identifies a clock: a new process has a new one.
 type senderKey struct {
 	name string
 	boot uint32
 }
 
-// calibration: at the hearer's time at or later, the difference of the two clocks was least or more. No later is known
-// for it.
+// calibration says that from the receiver's time at on, its clock was ahead of the sender's by minOffset or more.
 type calibration struct {
-	minOffset, at time.Duration
+	minOffset time.Duration
+	at        time.Duration
 }
 
+// bound is the least offset at a later time.
 func (c calibration) bound(now time.Duration) time.Duration {
 	return c.minOffset - time.Duration(MaxClockDrift*float64(now-c.at))
 }
 
-// Calibrate takes an answer: the other's time was clock, and it was asked at the hearer's time asked and heard now.
-func (t *TransitEstimator) Calibrate(name string, boot uint32, clock, asked, now time.Duration) {
+// Calibrate takes an answer: the sender's time was clock, it was asked at the receiver's time asked, and the answer was
+// received now.
+func (e *TransitEstimator) Calibrate(name string, boot uint32, clock, asked, now time.Duration) {
 	if asked > now {
-		return // no answer to what this process has asked
+		return // not an answer to a question of this process
 	}
-	if t.senders == nil || len(t.senders) >= maxSenders { // restarts without end; whoever still tells is asked again
-		t.senders = map[senderKey]calibration{}
+	if e.calibrations == nil || len(e.calibrations) >= maxSenders { // members that still send are asked again
+		e.calibrations = map[senderKey]calibration{}
 	}
-	key, c := senderKey{name, boot}, calibration{asked - clock, asked}
-	if was, ok := t.senders[key]; ok && was.bound(asked) > c.minOffset {
-		c.minOffset = was.bound(asked) // an answer that was long in coming tells less than an earlier one
+	key := senderKey{name, boot}
+	minOffset := asked - clock
+	if earlier, ok := e.calibrations[key]; ok {
+		// An answer that took long says less than an earlier one.
+		minOffset = max(minOffset, earlier.bound(asked))
 	}
-	t.senders[key] = c
+	e.calibrations[key] = calibration{minOffset, asked}
 }
 
-// Estimate returns how long a message that was stamped sent has been under way now, at most; known is false if its
-// sender was not asked yet. stale tells that it should be asked again.
-func (t *TransitEstimator) Estimate(
+// Estimate returns for how long a message that was stamped sent has been in transit by now, at most. Known is false if
+// its sender was not calibrated yet; stale says that it should be asked again.
+func (e *TransitEstimator) Estimate(
 	name string,
 	boot uint32,
 	sent, now time.Duration,
-) (d time.Duration, known, stale bool) {
-	c, ok := t.senders[senderKey{name, boot}]
+) (transitTime time.Duration, known, stale bool) {
+	c, ok := e.calibrations[senderKey{name, boot}]
 	if !ok {
 		return 0, false, true
 	}
 	return max(0, now-sent-c.bound(now)), true, now-c.at > CalibrationInterval
 }
-
-// Inbox is Transit for whoever can ask: it tells when to ask a sender for its clock, and puts aside what comes of one
-// whose clock is not known yet. M is a message as the caller has it. Names must be of listed members: they bound it.
-type Inbox[M any] struct {
-	TransitEstimator
-	ClockRequestInterval time.Duration // an unanswered sender is asked again
-	MaxDeferred          int           // messages of one sender that are kept, the newest
-
-	requestedAt map[string]time.Duration
-	deferred    map[string][]M
-}
-
-// Receive takes a message that was stamped sent. known is false if it was put aside; else it has been under way for
-// held at most. ask tells that its sender is to be asked now.
-func (in *Inbox[M]) Receive(
-	m M,
-	name string,
-	boot uint32,
-	sent, now time.Duration,
-) (held time.Duration, known, ask bool) {
-	held, known, stale := in.Estimate(name, boot, sent, now)
-	ask = stale && in.RequestDue(name, now)
-	if !known {
-		if in.deferred == nil {
-			in.deferred = map[string][]M{}
-		}
-		aside := append(in.deferred[name], m)
-		in.deferred[name] = aside[max(0, len(aside)-in.MaxDeferred):]
-	}
-	return held, known, ask
-}
-
-// RequestDue tells whether a sender that should be asked is to be asked now, and notes that it is.
-func (in *Inbox[M]) RequestDue(name string, now time.Duration) bool {
-	if at, before := in.requestedAt[name]; before && now-at < in.ClockRequestInterval {
-		return false
-	}
-	if in.requestedAt == nil {
-		in.requestedAt = map[string]time.Duration{}
-	}
-	in.requestedAt[name] = now
-	return true
-}
-
-// ClockReceived takes a sender's answer as Calibrate does, and returns what was put aside of it.
-func (in *Inbox[M]) ClockReceived(name string, boot uint32, clock, asked, now time.Duration) (aside []M) {
-	in.Calibrate(name, boot, clock, asked, now)
-	aside = in.deferred[name]
-	delete(in.deferred, name)
-	return aside
-}
