--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -27,12 +27,16 @@
 		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "relay.maxPartEntries", "relay.maxEvictions", "relay.evictInterval", "policy.maxQueueScan",
 		"policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
+		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a share of what the settings tell": {
 		"relay.idleShare", "backoff.graceShare", "policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio", "policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
+		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.unknownRunAge", "relay.defaultWarmUp", "policy.minLatencyBound", "policy.defaultRetryAfter", "policy.MinRetryAfter", "policy.minScopeCapacity", "backoff.pauseMost",
+		"relay.unknownRunAge", "relay.defaultWarmUp", "policy.minLatencyBound", "policy.MinRetryAfter", "policy.minScopeCapacity", "backoff.pauseMost",
+		"policy.defaultWarmUpInitialCapacity", "policy.defaultWarmUpDuration",
+		"policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
 		"policy.initialEjectionTime", "policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter", "policy.outageRetryAfter", "policy.outageRejections", "policy.sparseOutageRejections",
@@ -40,7 +44,8 @@
 		"policy.pacingRestartRate", "policy.minPacingRate", "policy.minPacingShareRatio", "policy.pacingGrowth", "policy.cautiousPacingGrowth", "policy.maxGrowthSeconds", "policy.nearLimitRatio",
 		"policy.maxUnusedPacingRatio", "policy.pacingBurstWindow", "policy.fleetBurstTokens", "policy.rejectionFreeWindow", "policy.fleetExcessPacingGrowth", "policy.maxFleetPacingRatio", "policy.minFleetPacingRatio",
 		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio", "policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions", "policy.connectExhaustionPause",
-		"policy.connectShortageWindow", "policy.recentlyHealthyWindow", "policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread", "backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
+		"policy.connectShortageWindow", "policy.recentlyHealthyWindow", "policy.smallFleetSize", "policy.MaxInitialSpread", "backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
+		"policy.pacingDecreaseFactor",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor", "policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
--- a/policy/action.go
+++ b/policy/action.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// MinRetryAfter is the least time that a client turned away is told to stay away.
-const MinRetryAfter = defaultRetryAfter
+// MinRetryAfter is the shortest Retry-After of a rejection, so that rejected clients do not come back at once.
+const MinRetryAfter = 500 * time.Millisecond
 
-// ActionKind names what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of action.
 const (
 	Send           ActionKind = iota // start an attempt
-	Reject                           // end the message; the client may safely come again
-	Fail                             // end the message; nothing is promised
-	SetTimer                         // ask for a Woken event after Delay
-	CloseIdle                        // close the idle connections to a route
-	WatchEndpoints                   // subscribe to list changes
-	RequestQuota                     // for Calls to the scope of Route that others may spare
+	Reject                           // end the message; the client may safely retry
+	Fail                             // end the message; whether it ran is unknown
+	SetTimer                         // deliver a TimerFired event after Delay
+	CloseIdle                        // close the idle connections to an endpoint
+	WatchEndpoints                   // subscribe to changes of the endpoint list
+	RequestQuota                     // ask other relays for Calls to the limit scope of Endpoint
 )
 
-// Action is one thing that a Sender decides.
+// Action is one decision of an Engine.
 type Action struct {
 	Kind      ActionKind
 	MessageID uint32
 	Endpoint  string
-	TimeoutAt time.Duration // Send: time to drop the attempt
-	Delay     time.Duration // Refuse: advice to the client; Wake: time from now
-	Calls     int           // Ask: as many as messages wait for
+	TimeoutAt time.Duration // Send: the time at which to abandon the attempt
+	Delay     time.Duration // Reject: Retry-After for the client; SetTimer: time from now
+	Calls     int           // RequestQuota: the number of calls that messages wait for
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,21 +7,13 @@
 	"time"
 )
 
-const (
-	maxPendingRatio     = 0.9 // share of the room beyond which held messages are refused
-	overQuotaDelayRatio = 0.5 // of its time left: how much later traffic over its share queues
-)
+// maxPendingRatio is the fraction of Settings.MaxPendingMessages above which messages are shed: the rest takes those
+// that may not be rejected.
+const maxPendingRatio = 0.9
 
+// acceptMessage takes a message that a client has submitted.
 func (e *Engine) acceptMessage(event *Event) {
-	// the strictest
-	class := &Class{Effect: NonIdempotent, Ordered: true, LatencyObjective: event.TimeLeft / 2, Deadline: event.TimeLeft, Weight: 1}
-	if event.Class >= 0 && event.Class < len(e.settings.Classes) {
-		class = &e.settings.Classes[event.Class]
-	}
-	msg := &message{id: event.MessageID, class: class, maxAttempts: e.settings.MaxAttempts, destination: e.ensureDestination(event.Destination)}
-	msg.deadline = e.now + event.TimeLeft - deadlineMargin
-	msg.objectiveAt = e.now + class.LatencyObjective - max(0, class.Deadline-event.TimeLeft)
-	msg.queueRank = e.now + time.Duration(float64(msg.objectiveAt-e.now)/math.Max(class.Weight, 0.01))
+	msg := e.newMessage(event)
 	if e.exceedsQuota(event.Tenant) {
 		msg.queueRank += time.Duration(overQuotaDelayRatio * float64(event.TimeLeft))
 	}
@@ -29,23 +21,56 @@
 	e.countAccepted()
 	e.pendingMessages++
 	msg.destination.messageCount++
-	if class.Ordered && event.Key != "" {
+	if msg.class.Ordered && event.Key != "" {
 		e.joinKeyQueue(msg, event.Key)
 	}
 	e.recoverMessage(msg, event.Recovered)
-	e.deadlines.push(deadlineEntry{msg.deadline, msg})
-	e.deadlines.push(deadlineEntry{msg.objectiveAt, msg})
+	e.addDeadline(msg.deadline, msg)
+	e.addDeadline(msg.objectiveAt, msg)
 	e.enqueue(msg)
 	e.shedLoad()
 }
 
-// exceedsQuota counts a message against its customer's share and tells whether it lies beyond.
-func (e *Engine) exceedsQuota(c int) bool {
-	if c < 0 || c >= len(e.tenantTraffic) || e.settings.Tenants[c].Quota <= 0 {
+// newMessage returns the message of a MessageAccepted event. The lower its weight, the later it is queued.
+func (e *Engine) newMessage(event *Event) *message {
+	class := e.classOf(event)
+	msg := &message{
+		id:          event.MessageID,
+		class:       class,
+		maxAttempts: e.settings.MaxAttempts,
+		destination: e.ensureDestination(event.Destination),
+	}
+	msg.deadline = e.now + event.TimeLeft - deadlineMargin
+	msg.objectiveAt = e.now + class.LatencyObjective - max(0, class.Deadline-event.TimeLeft)
+	delay := float64(msg.objectiveAt-e.now) / math.Max(class.Weight, minClassWeight)
+	msg.queueRank = e.now + time.Duration(delay)
+	return msg
+}
+
+// classOf returns the class of a message; for one that is not configured, the strictest there is.
+func (e *Engine) classOf(event *Event) *Class {
+	if event.Class >= 0 && event.Class < len(e.settings.Classes) {
+		return &e.settings.Classes[event.Class]
+	}
+	return &Class{
+		Effect:           NonIdempotent,
+		Ordered:          true,
+		LatencyObjective: event.TimeLeft / 2,
+		Deadline:         event.TimeLeft,
+		Weight:           1,
+	}
+}
+
+// exceedsQuota counts a message against its tenant's quota, of which this relay has an even part, and reports whether
+// it is beyond. A burst of two seconds' traffic is within the quota.
+func (e *Engine) exceedsQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(e.tenantTraffic) || e.settings.Tenants[tenant].Quota <= 0 {
 		return false
 	}
-	meter, rate := &e.tenantTraffic[c], e.settings.Tenants[c].Quota/float64(e.settings.FleetSize)
-	meter.level, meter.updatedAt = math.Max(0, meter.level-rate*(e.now-meter.updatedAt).Seconds())+1, e.now
+	meter := &e.tenantTraffic[tenant]
+	rate := e.settings.Tenants[tenant].Quota / float64(e.settings.FleetSize)
+	meter.level = math.Max(0, meter.level-rate*(e.now-meter.updatedAt).Seconds()) + 1
+	meter.updatedAt = e.now
 	if meter.level > 1+2*rate {
 		meter.level--
 		return true
@@ -53,9 +78,10 @@
 	return false
 }
 
-// shedLoad refuses the last message of the longest queue while little room is left.
+// shedLoad rejects the last message of the longest queue that may be rejected, while too many messages are pending.
 func (e *Engine) shedLoad() {
-	if e.settings.MaxPendingMessages <= 0 || e.pendingMessages <= int(maxPendingRatio*float64(e.settings.MaxPendingMessages)) {
+	limit := e.settings.MaxPendingMessages
+	if limit <= 0 || e.pendingMessages <= int(maxPendingRatio*float64(limit)) {
 		return
 	}
 	longest := slices.MaxFunc(e.active, func(a, b *destination) int {
@@ -69,9 +95,19 @@
 	}
 }
 
-// mayShed tells whether m may be refused for want of room or pace: not where a restart found it untried.
+// mayShed reports whether a message may be rejected for lack of capacity. A message that a restart found without an
+// attempt may not: it was accepted, and nothing was tried for it yet. It may if a Retry-After blocks all of its scopes
+// beyond its deadline.
 func (e *Engine) mayShed(msg *message) bool {
-	open := func(scope *limitScope) bool { return scope.retryAfterUntil < msg.deadline }
-	owed := len(msg.destination.scopes) == 0 || slices.ContainsFunc(msg.destination.scopes, open)
-	return e.mayReject(msg) && !(owed && msg.recovered && msg.attempts == 0)
+	if !e.mayReject(msg) {
+		return false
+	}
+	if !msg.recovered || msg.attempts > 0 {
+		return true
+	}
+	scopes := msg.destination.scopes
+	deliverable := len(scopes) == 0 || slices.ContainsFunc(scopes, func(scope *limitScope) bool {
+		return scope.retryAfterUntil < msg.deadline
+	})
+	return !deliverable
 }
--- a/policy/call.go
+++ b/policy/call.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// call is one call out; messages of one destination may share it.
+// call is one call in flight. Messages of one destination may share it.
 type call struct {
 	endpoint  *endpoint
-	pending   int           // messages whose outcome is missing
-	delivered bool          // one was delivered
-	sentAt    time.Duration // when
-	overdueAt time.Duration // overdue after this
+	pending   int  // messages whose outcome is missing
+	delivered bool // at least one message was delivered
+	sentAt    time.Duration
+	overdueAt time.Duration // an answer is overdue after this
 	timeoutAt time.Duration // the first of its messages times out then
 }
 
-// attempt is one message's part in a call.
+// attempt is the part of one message in a call.
 type attempt struct {
 	number int
 	call   *call
 }
 
-// recordCallStart books a call that goes out, and what it takes of its gate's slots, pace and recovery budget.
+// recordCallStart accounts for a call that is sent: the in-flight counts, and what it takes of its scope's pacing and
+// recovery tokens.
 func (e *Engine) recordCallStart(c *call) {
 	scope := c.endpoint.scope
 	e.callsInFlight++
 	scope.inFlight++
 	c.endpoint.calls = append(c.endpoint.calls, c)
-	e.sendRate(scope)
+	e.sendRate(scope) // drops sends older than a second
 	scope.recentSends = append(scope.recentSends, e.now)
 	if scope.pacingRate > 0 && scope.hasGrant(e.now) {
 		scope.grantedCalls--
@@ -39,20 +40,20 @@
 	}
 }
 
-// recordCallEnd books a call whose last outcome is in.
+// recordCallEnd accounts for a call whose last outcome is in.
 func (e *Engine) recordCallEnd(c *call) {
 	e.callsInFlight--
 	c.endpoint.scope.inFlight--
-	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(call1 *call) bool { return call1 == c })
+	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(other *call) bool { return other == c })
 }
 
-// takeCall takes the attempt of an outcome off its message; nil if it is not known.
-func (e *Engine) takeCall(msg *message, n int) *call {
+// takeCall removes an attempt from its message and returns its call; nil if the attempt is not known.
+func (e *Engine) takeCall(msg *message, attemptNumber int) *call {
 	if msg == nil {
 		return nil
 	}
 	for i, a := range msg.inFlight {
-		if a.number == n {
+		if a.number == attemptNumber {
 			msg.inFlight = slices.Delete(msg.inFlight, i, i+1)
 			return a.call
 		}
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// maxBatch is how many messages a call to a kind of destination may carry.
+// maxBatch returns the number of messages that a call to a kind of destination may carry.
 func (e *Engine) maxBatch(kind int) int {
 	if kind >= 0 && kind < len(e.settings.DestinationKinds) {
 		return max(1, e.settings.DestinationKinds[kind].MaxBatch)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -6,68 +6,99 @@
 	"time"
 )
 
+// Estimates of what a scope takes and of this relay's share.
 const (
-	minScopeCapacity        = 1.0              // calls a second that any destination takes
-	ownDeliveryRatio        = 0.2              // own deliveries in the part; the rest is even
-	approximateWeightFactor = 1.5              // a rough weight may exceed the truth by this factor
-	deliveryRateWindow      = 10 * time.Second // span of the mean rate of own deliveries
+	minScopeCapacity        = 1.0 // calls a second that any scope takes
+	ownDeliveryRatio        = 0.2 // weight of the relay's own deliveries in its fair share; the rest is even
+	approximateWeightFactor = 1.5 // factor by which an approximate weight may exceed the real capacity
+	deliveryRateWindow      = decayWindow(10 * time.Second)
 )
 
-// knownLimit is what a gate takes from all senders, on the low side, in calls a second; 0 if nothing tells. One
-// that is told in answers and has not been yet is taken for the least told of its kind.
+// decayWindow is the time in which an exponentially decaying count falls to 1/e.
+type decayWindow time.Duration
+
+// remaining returns the fraction of a count that is left after some time.
+func (w decayWindow) remaining(since time.Duration) float64 {
+	return math.Exp(-float64(since) / float64(w))
+}
+
+// seconds returns the window in seconds.
+func (w decayWindow) seconds() float64 { return time.Duration(w).Seconds() }
+
+// recordLimit records the rate limit that an endpoint reports.
+func (e *Engine) recordLimit(ep *endpoint, report LimitReport) {
+	if !report.Present || report.Limit <= 0 {
+		return
+	}
+	ep.scope.reportedLimit = report.Limit
+	if lowest := e.lowestReportedLimit[ep.Kind]; lowest == 0 || report.Limit < lowest {
+		e.lowestReportedLimit[ep.Kind] = report.Limit
+	}
+}
+
+// knownLimit returns what a scope takes from all relays, on the low side, in calls a second; 0 if nothing is known. A
+// scope that has reported no limit yet is taken for the lowest reported one of its kind.
 func (e *Engine) knownLimit(scope *limitScope) float64 {
-	if l := cmp.Or(scope.reportedLimit, e.lowestReportedLimit[scope.kind]); l > 0 || e.settings.IgnoreWeights || len(scope.endpoints) == 0 {
-		return l
+	limit := cmp.Or(scope.reportedLimit, e.lowestReportedLimit[scope.kind])
+	if limit > 0 || e.settings.IgnoreWeights || len(scope.endpoints) == 0 {
+		return limit
 	}
+	weight := scope.endpoints[0].Weight
 	if e.settings.ApproximateWeights {
-		return scope.endpoints[0].Weight / approximateWeightFactor
+		return weight / approximateWeightFactor
 	}
-	return scope.endpoints[0].Weight
+	return weight
 }
 
-// scopeCapacity is what a gate takes from all, on the low side; where nothing tells, as often what it took from this sender as
-// there are such.
+// scopeCapacity returns what a scope takes from all relays, on the low side, in calls a second. Where nothing is known,
+// it assumes that the scope takes as much from each other relay as it took from this one.
 func (e *Engine) scopeCapacity(scope *limitScope) float64 {
-	return max(minScopeCapacity, cmp.Or(e.knownLimit(scope), e.deliveryRate(scope)*float64(e.settings.FleetSize)))
+	limit := e.knownLimit(scope)
+	if limit == 0 {
+		limit = e.deliveryRate(scope) * float64(e.settings.FleetSize)
+	}
+	return max(minScopeCapacity, limit)
 }
 
-// fairShare is this sender's part of the calls a second that a gate takes from all: a fixed mix of an even part
-// and own deliveries, since traffic is uneven. Each adds up to what the gate takes, and so does the mix.
+// fairShare returns this relay's share of the calls a second that a scope takes from all relays. Traffic is uneven, so
+// it is a fixed mix of an even share and the relay's own deliveries. Each of these adds up to the capacity over all
+// relays, and so does the mix.
 func (e *Engine) fairShare(scope *limitScope) float64 {
-	return (1-ownDeliveryRatio)*e.scopeCapacity(scope)/float64(e.settings.FleetSize) + ownDeliveryRatio*e.deliveryRate(scope)
+	even := (1 - ownDeliveryRatio) * e.scopeCapacity(scope) / float64(e.settings.FleetSize)
+	return even + ownDeliveryRatio*e.deliveryRate(scope)
 }
 
-// hasSparseShare tells whether this sender's part of a gate is less than a call in the span of a fall.
+// hasSparseShare reports whether this relay's share of a scope is less than one call in an overload window.
 func (e *Engine) hasSparseShare(scope *limitScope) bool {
 	return e.fairShare(scope)*e.settings.OverloadWindow.Seconds() < 1
 }
 
-// decay is what is left after a while of a count that fades over a span.
-func decay(since, span time.Duration) float64 { return math.Exp(-float64(since) / float64(span)) }
-
-// deliveryRate is the mean rate of own deliveries of a gate; while a route of it is in doubt, as of the doubt.
+// deliveryRate returns the mean rate of this relay's deliveries to a scope. While an endpoint of the scope is suspect,
+// it is the rate before that.
 func (e *Engine) deliveryRate(scope *limitScope) float64 {
 	if scope.hasSuspect() {
 		return scope.deliveryRate
 	}
-	return scope.deliveryRate * decay(e.now-scope.deliveryRateAt, deliveryRateWindow)
+	return scope.deliveryRate * deliveryRateWindow.remaining(e.now-scope.deliveryRateAt)
 }
 
-// recordDelivery adds a delivery to that rate, which does not fall while a route of the gate is in doubt.
+// recordDelivery adds a delivery to the delivery rate, which does not fall while an endpoint of the scope is suspect.
 func (e *Engine) recordDelivery(scope *limitScope) {
 	since := (e.now - scope.deliveryRateAt).Seconds()
 	if scope.hasSuspect() && scope.deliveryRate > 0 {
 		since = min(since, 1/scope.deliveryRate)
 	}
-	scope.deliveryRate, scope.deliveryRateAt = scope.deliveryRate*math.Exp(-since/deliveryRateWindow.Seconds())+1/deliveryRateWindow.Seconds(), e.now
+	window := deliveryRateWindow.seconds()
+	scope.deliveryRate = scope.deliveryRate*math.Exp(-since/window) + 1/window
+	scope.deliveryRateAt = e.now
 }
 
-// sendRate is the rate of calls in the last second.
+// sendRate returns the number of calls to a scope in the last second, and forgets older ones.
 func (e *Engine) sendRate(scope *limitScope) float64 {
-	i := 0
-	for i < len(scope.recentSends) && scope.recentSends[i] <= e.now-time.Second {
-		i++
+	expired := 0
+	for expired < len(scope.recentSends) && scope.recentSends[expired] <= e.now-time.Second {
+		expired++
 	}
-	scope.recentSends = append(scope.recentSends[:0], scope.recentSends[i:]...)
+	scope.recentSends = append(scope.recentSends[:0], scope.recentSends[expired:]...)
 	return float64(len(scope.recentSends))
 }
--- a/policy/deadline.go
+++ b/policy/deadline.go
@@ -5,64 +5,85 @@
 	"time"
 )
 
+// deadlineMargin is the time by which final answers and timeouts come before a message's deadline, so that they reach
+// the client in time.
+const deadlineMargin = 12 * time.Millisecond
+
+// Delays of messages in the queue, as fractions of their time left.
 const (
-	deadlineMargin            = 12 * time.Millisecond // final answers and time-outs come this long before the deadline
-	missedObjectiveDelayRatio = 0.5                   // of its time left: how much later a message past its aim queues
+	missedObjectiveDelayRatio = 0.5 // of one that has missed its latency objective
+	overQuotaDelayRatio       = 0.5 // of one beyond its tenant's quota
 )
 
+// minClassWeight is the lowest weight that counts: weights divide delays, and may be zero.
+const minClassWeight = 0.01
+
+// deadlineEntry is a time at which a message has to be looked at.
 type deadlineEntry struct {
 	at      time.Duration
 	message *message
 }
 
+// precedes reports whether an entry is due before another one.
 func (entry *deadlineEntry) precedes(other *deadlineEntry) bool {
 	return entry.at < other.at || entry.at == other.at && entry.message.id < other.message.id
 }
 
-// deadlineHeap is a binary heap, the soonest first. It is written out since container/heap makes a copy of each entry on the
-// heap of the program, twice for each message.
+// deadlineHeap is a binary heap, the soonest entry first. It is written out since container/heap allocates a copy of
+// each entry, twice for each message.
 type deadlineHeap []deadlineEntry
 
+// push adds an entry.
 func (h *deadlineHeap) push(entry deadlineEntry) {
 	*h = append(*h, entry)
-	a := *h
-	i := len(a) - 1
+	entries := *h
+	i := len(entries) - 1
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !entry.precedes(&a[parent]) {
+		if !entry.precedes(&entries[parent]) {
 			break
 		}
-		a[i], i = a[parent], parent
+		entries[i] = entries[parent]
+		i = parent
 	}
-	a[i] = entry
+	entries[i] = entry
 }
 
+// pop removes and returns the soonest entry of a heap that is not empty.
 func (h *deadlineHeap) pop() deadlineEntry {
-	a := *h
-	n := len(a) - 1
-	first, entry := a[0], a[n]
-	a[n] = deadlineEntry{}
-	*h = a[:n]
+	entries := *h
+	n := len(entries) - 1
+	first := entries[0]
+	last := entries[n]
+	entries[n] = deadlineEntry{} // lets its message go
+	*h = entries[:n]
 	for i := 0; n > 0; {
-		c := 2*i + 1
-		if c+1 < n && a[c+1].precedes(&a[c]) {
-			c++
+		child := 2*i + 1
+		if child+1 < n && entries[child+1].precedes(&entries[child]) {
+			child++
 		}
-		if c >= n || !a[c].precedes(&entry) {
-			a[i] = entry
+		if child >= n || !entries[child].precedes(&last) {
+			entries[i] = last
 			break
 		}
-		a[i], i = a[c], c
+		entries[i] = entries[child]
+		i = child
 	}
 	return first
 }
 
-// handleDeadlines gives every message whose time is up its final answer.
+// addDeadline has a message looked at when the time comes.
+func (e *Engine) addDeadline(at time.Duration, msg *message) {
+	e.deadlines.push(deadlineEntry{at: at, message: msg})
+}
+
+// handleDeadlines gives messages their final answers whose time is up, and moves those back in the queue that have
+// missed their latency objectives.
 func (e *Engine) handleDeadlines() {
 	for len(e.deadlines) > 0 && (e.deadlines[0].at <= e.now || e.deadlines[0].message.ended) {
 		msg := e.deadlines.pop().message
 		switch {
-		case msg.ended:
+		case msg.ended: // has its answer
 		case e.attemptsExhausted(msg) || e.now >= msg.deadline:
 			e.rejectOrFail(msg)
 		case e.now >= msg.objectiveAt:
@@ -71,12 +92,13 @@
 	}
 }
 
-// deprioritize moves a message back that has missed its aim: what is still in time goes first, with more to lose.
+// deprioritize moves a message back that has missed its latency objective: those that may still meet theirs have more
+// to lose and go first.
 func (e *Engine) deprioritize(msg *message) {
 	queued := msg.queued
 	e.dequeue(msg)
-	after := missedObjectiveDelayRatio * float64(msg.deadline-e.now) / math.Max(msg.class.Weight, 0.01)
-	msg.queueRank = max(msg.queueRank, e.now+time.Duration(after))
+	delay := missedObjectiveDelayRatio * float64(msg.deadline-e.now) / math.Max(msg.class.Weight, minClassWeight)
+	msg.queueRank = max(msg.queueRank, e.now+time.Duration(delay))
 	if queued {
 		e.enqueue(msg)
 	}
--- a/policy/emptylist.go
+++ b/policy/emptylist.go
@@ -1,15 +1,18 @@
 package policy
 
-// emptyDestinationList is the destinations without routes, the one whose last route went first in front: a list through them, as
-// they come and go one by one.
+// emptyDestinationList is a linked list of the destinations without endpoints, in the order in which they lost their
+// last one. Destinations leave it one by one and from any place, so it is linked through them.
 type emptyDestinationList struct{ first, last *destination }
 
+// has reports whether a destination is in the list.
 func (l *emptyDestinationList) has(dest *destination) bool {
 	return l.first == dest || dest.previousEmpty != nil
 }
 
+// add appends a destination that is not in the list.
 func (l *emptyDestinationList) add(dest *destination) {
-	if dest.previousEmpty = l.last; l.last == nil {
+	dest.previousEmpty = l.last
+	if l.last == nil {
 		l.first = dest
 	} else {
 		l.last.nextEmpty = dest
@@ -17,6 +20,7 @@
 	l.last = dest
 }
 
+// remove takes a destination out of the list.
 func (l *emptyDestinationList) remove(dest *destination) {
 	if dest.previousEmpty == nil {
 		l.first = dest.nextEmpty
@@ -28,5 +32,6 @@
 	} else {
 		dest.nextEmpty.previousEmpty = dest.previousEmpty
 	}
-	dest.previousEmpty, dest.nextEmpty = nil, nil
+	dest.previousEmpty = nil
+	dest.nextEmpty = nil
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,75 +1,53 @@
 package policy
 
 import (
+	"cmp"
 	"math"
 	"slices"
-	"sort"
 	"time"
 )
 
-// destination is a destination with its queue.
+// destination is a destination with its scopes and its queue.
 type destination struct {
-	id                int
-	scopes            []*limitScope
-	queue             []*message // waiting, first to go first
-	candidate         *message   // next to go in this dispatch, with its route
+	id           int
+	scopes       []*limitScope // in the order of selection
+	queue        []*message    // waiting, in the order of precedes
+	messageCount int           // messages that are not released yet
+	activeIndex  int           // index in Engine.active, from 1; 0: not active
+	// blockedUntil is the time before which nothing may be sent unless an event calls for a recheck.
+	blockedUntil time.Duration
+
+	// The next message to send in this dispatch, with its endpoint.
+	candidate         *message
 	candidateEndpoint *endpoint
-	blockedUntil      time.Duration // nothing may go before this unless something touches the destination
-	messageCount      int           // messages not forgotten
-	activeIndex       int           // place among the active, from 1; 0: not active
-	emptySince        time.Duration // when its last route went
 
-	previousEmpty, nextEmpty *destination // among those without routes
+	// Links of emptyDestinationList.
+	emptySince    time.Duration // when the last endpoint was removed
+	previousEmpty *destination
+	nextEmpty     *destination
 }
 
-// hasEndpoints tells whether the destination has a route.
+// hasEndpoints reports whether the destination has an endpoint.
 func (dest *destination) hasEndpoints() bool {
 	return slices.ContainsFunc(dest.scopes, func(scope *limitScope) bool { return len(scope.endpoints) > 0 })
 }
 
-// recheck has a destination looked at again by the next dispatch.
+// recheck makes the next dispatch look at a destination again.
 func (e *Engine) recheck(dest *destination) { dest.blockedUntil = 0 }
 
-// updateEndpoints takes on the list of routes. A route that drains or is gone takes nothing new from here on.
+// updateEndpoints applies a complete endpoint list or changes of it. An endpoint that is draining or removed takes no
+// new call from here on.
 func (e *Engine) updateEndpoints(entries []Endpoint, complete bool) {
 	if e.settings.WatchRequired && complete && len(e.sortedDestinations) == 0 {
 		e.emit(Action{Kind: WatchEndpoints})
 	}
 	if complete {
-		keep := make(map[string]bool, len(entries))
-		for i := range entries {
-			keep[entries[i].ID] = true
-		}
-		for _, dest := range e.sortedDestinations {
-			for _, scope := range slices.Clone(dest.scopes) {
-				for _, ep := range slices.Clone(scope.endpoints) {
-					if !keep[ep.ID] {
-						e.removeEndpoint(ep)
-					}
-				}
-			}
-		}
+		e.removeUnlisted(entries)
 	}
 	var changed []*destination
 	for _, listed := range entries {
-		if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) {
-			listed.Weight = 0 // not told
-		}
-		ep := e.endpoints[listed.ID]
-		switch {
-		case listed.Removed:
-			if ep != nil {
-				e.removeEndpoint(ep)
-			}
-		case ep == nil:
-			e.addEndpoint(listed)
-			changed = append(changed, e.destinations[listed.Destination])
-		default:
-			if listed.InService && !ep.InService {
-				ep.lastSuccessAt = 0 // as new: what it answered before it drained tells nothing
-			}
-			ep.Endpoint = listed
-			changed = append(changed, ep.scope.destination)
+		if dest := e.updateEndpoint(listed); dest != nil {
+			changed = append(changed, dest)
 		}
 	}
 	for i, dest := range changed {
@@ -87,67 +65,133 @@
 	e.removeEmptyDestinations()
 }
 
-func (e *Engine) addEndpoint(listed Endpoint) {
+// removeUnlisted removes all endpoints that a complete list does not name.
+func (e *Engine) removeUnlisted(entries []Endpoint) {
+	listed := make(map[string]bool, len(entries))
+	for i := range entries {
+		listed[entries[i].ID] = true
+	}
+	for _, dest := range e.sortedDestinations {
+		for _, scope := range slices.Clone(dest.scopes) {
+			for _, ep := range slices.Clone(scope.endpoints) {
+				if !listed[ep.ID] {
+					e.removeEndpoint(ep)
+				}
+			}
+		}
+	}
+}
+
+// updateEndpoint applies one entry of a list and returns the destination whose endpoints it adds to or changes; nil if
+// none.
+func (e *Engine) updateEndpoint(listed Endpoint) *destination {
+	if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) { // also where it is not a number
+		listed.Weight = 0
+	}
+	ep := e.endpoints[listed.ID]
+	switch {
+	case listed.Removed:
+		if ep != nil {
+			e.removeEndpoint(ep)
+		}
+		return nil
+	case ep == nil:
+		return e.addEndpoint(listed)
+	}
+	if listed.InService && !ep.InService {
+		ep.lastSuccessAt = 0 // like a new one: what it answered before it drained says nothing about it now
+	}
+	ep.Endpoint = listed
+	return ep.scope.destination
+}
+
+// addEndpoint adds an endpoint that is not known and returns its destination.
+func (e *Engine) addEndpoint(listed Endpoint) *destination {
 	dest := e.ensureDestination(listed.Destination)
 	ep := &endpoint{Endpoint: listed, tieBreaker: e.rng.Uint64()}
 	e.endpoints[listed.ID] = ep
-	perEndpoint := listed.Kind >= 0 && listed.Kind < len(e.settings.DestinationKinds) && e.settings.DestinationKinds[listed.Kind].LimitPerEndpoint
+	perEndpoint := e.limitPerEndpoint(listed.Kind)
 	if perEndpoint || len(dest.scopes) == 0 {
-		dest.scopes = append(dest.scopes, &limitScope{
-			destination: dest, perEndpoint: perEndpoint, kind: listed.Kind, tokens: 1, tokensUpdatedAt: e.now,
+		scope := &limitScope{
+			destination:      dest,
+			perEndpoint:      perEndpoint,
+			kind:             listed.Kind,
+			tokens:           1,
+			tokensUpdatedAt:  e.now,
 			suspectRemovedAt: math.MinInt64 / 2,
-		})
+		}
 		if listed.Relisted {
-			// As if it had stood here since. Guards against a first message that waits as at a start each time that it
-			// is told of again.
-			dest.scopes[len(dest.scopes)-1].tokensUpdatedAt = e.startedAt
+			// As if it had been listed all the while. Guards against a first message that waits as after a start, each
+			// time that the endpoint is listed again.
+			scope.tokensUpdatedAt = e.startedAt
 		}
+		dest.scopes = append(dest.scopes, scope)
 	}
 	ep.Relisted = false
 	ep.scope = dest.scopes[len(dest.scopes)-1]
 	ep.scope.endpoints = append(ep.scope.endpoints, ep)
+	return dest
+}
+
+// limitPerEndpoint reports whether each endpoint of a kind has its own limit scope.
+func (e *Engine) limitPerEndpoint(kind int) bool {
+	if kind < 0 || kind >= len(e.settings.DestinationKinds) {
+		return false
+	}
+	return e.settings.DestinationKinds[kind].LimitPerEndpoint
 }
 
-// removeEndpoint forgets a route. Calls still out keep it alive until their outcomes.
+// removeEndpoint removes an endpoint from the tables. Calls in flight keep it alive until their outcomes.
 func (e *Engine) removeEndpoint(ep *endpoint) {
 	ep.Removed = true
 	delete(e.endpoints, ep.ID)
 	scope := ep.scope
+	dest := scope.destination
 	if ep.warmingUp {
 		scope.suspectRemovedAt = e.now
 	}
 	scope.endpoints = slices.DeleteFunc(scope.endpoints, func(other *endpoint) bool { return other == ep })
 	if scope.perEndpoint {
-		scope.destination.scopes = slices.DeleteFunc(scope.destination.scopes, func(other *limitScope) bool { return other == scope })
+		dest.scopes = slices.DeleteFunc(dest.scopes, func(other *limitScope) bool { return other == scope })
 	}
-	if dest := scope.destination; !e.emptyDestinations.has(dest) && !dest.hasEndpoints() {
+	if !e.emptyDestinations.has(dest) && !dest.hasEndpoints() {
 		dest.emptySince = e.now
 		e.emptyDestinations.add(dest)
 	}
 }
 
+// ensureDestination returns the destination with an id, which it creates if there is none.
 func (e *Engine) ensureDestination(id int) *destination {
-	dest := e.destinations[id]
-	if dest == nil {
-		dest = &destination{id: id}
-		e.destinations[id] = dest
-		i := sort.Search(len(e.sortedDestinations), func(i int) bool { return e.sortedDestinations[i].id > id })
-		e.sortedDestinations = slices.Insert(e.sortedDestinations, i, dest)
+	if dest := e.destinations[id]; dest != nil {
+		return dest
 	}
+	dest := &destination{id: id}
+	e.destinations[id] = dest
+	i, _ := slices.BinarySearchFunc(e.sortedDestinations, id, compareID)
+	e.sortedDestinations = slices.Insert(e.sortedDestinations, i, dest)
 	return dest
 }
 
-// removeEmptyDestinations forgets destinations that have had no route for a warm-up and hold no message. It looks at those alone that are
-// due.
+// removeEmptyDestinations removes destinations that have had no endpoint for a warm-up and hold no message. It only
+// looks at those that are due.
 func (e *Engine) removeEmptyDestinations() {
-	for dest := e.emptyDestinations.first; dest != nil && e.now >= dest.emptySince+e.settings.WarmUpDuration; {
+	dest := e.emptyDestinations.first
+	for dest != nil && e.now >= dest.emptySince+e.settings.WarmUpDuration {
 		next := dest.nextEmpty
 		if dest.messageCount == 0 {
 			e.emptyDestinations.remove(dest)
-			delete(e.destinations, dest.id)
-			i := sort.Search(len(e.sortedDestinations), func(i int) bool { return e.sortedDestinations[i].id >= dest.id })
-			e.sortedDestinations = slices.Delete(e.sortedDestinations, i, i+1)
+			e.removeDestination(dest)
 		}
 		dest = next
 	}
 }
+
+// removeDestination removes a destination from the tables.
+func (e *Engine) removeDestination(dest *destination) {
+	delete(e.destinations, dest.id)
+	i, _ := slices.BinarySearchFunc(e.sortedDestinations, dest.id, compareID)
+	e.sortedDestinations = slices.Delete(e.sortedDestinations, i, i+1)
+}
+
+// compareID compares a destination's id with another one.
+func compareID(dest *destination, id int) int { return cmp.Compare(dest.id, id) }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,70 +7,93 @@
 	"time"
 )
 
-// Engine decides for one relay. It is a pure state machine: equal events give equal actions.
+// randomStream is the second half of the generator's seed. It never changes: recordings replay its draws.
+const randomStream = 0x6f6e7978
+
+// timerSlack is the resolution of timers: a clock coarser than the caller's may fire one that much early.
+const timerSlack = time.Millisecond
+
+// Engine decides for one relay. It is a pure state machine: equal events give equal actions. It is not safe for
+// concurrent use.
 type Engine struct {
-	settings             Settings
-	pcg                  *rand.PCG // of rng
-	rng                  *rand.Rand
-	now                  time.Duration
-	endpoints            map[string]*endpoint // looked up, never iterated
-	destinations         map[int]*destination // looked up, never iterated
-	sortedDestinations   []*destination       // by number
-	active               []*destination       // with messages waiting
-	ready                []*destination       // scratch of dispatch
-	emptyDestinations    emptyDestinationList // destinations without routes, until they are forgotten
-	expiringKeyQueues    []*keyQueue          // in the order of their rests
-	messages             map[uint32]*message
-	keyQueues            map[string]*keyQueue
-	lowestReportedLimit  map[int]float64       // by kind: the least limit told
-	connectShortageUntil map[int]time.Duration // by kind: a failed connection may be a full table's until then
-	closeIdleUntil       map[int]time.Duration // by kind: tables were full: connections are closed after use until then
-	pendingMessages      int
-	callsInFlight        int // used
-	tenantTraffic        []trafficMeter
-	acceptedTraffic      trafficMeter  // messages handed in, fading over trafficWindow
-	startedAt            time.Duration // of the first step
-	deadlines            deadlineHeap
-	timerAt              time.Duration // earliest wake asked for; 0: none
-	requestedTimerAt     time.Duration
-	actions              []Action
+	settings Settings
+	pcg      *rand.PCG // source of rng, kept apart since snapshots hold its state
+	rng      *rand.Rand
+	now      time.Duration // of the current step
+	// startedAt is the time of the first step.
+	startedAt time.Duration
+
+	endpoints          map[string]*endpoint // looked up, never iterated: the order of a map is random
+	destinations       map[int]*destination // looked up, never iterated
+	sortedDestinations []*destination       // by id
+	active             []*destination       // with queued messages
+	ready              []*destination       // scratch space of dispatch
+	emptyDestinations  emptyDestinationList // without endpoints, until they are removed
+
+	messages          map[uint32]*message
+	pendingMessages   int // messages without a final answer
+	deadlines         deadlineHeap
+	keyQueues         map[string]*keyQueue
+	expiringKeyQueues []*keyQueue // empty ones, in the order in which their pauses end
+	callsInFlight     int
+
+	// lowestReportedLimit is the lowest limit reported by any endpoint of a kind.
+	lowestReportedLimit map[int]float64
+	// connectShortageUntil is the time until which a connection that fails at once, to an endpoint of a kind, counts as
+	// an exhausted connection table.
+	connectShortageUntil map[int]time.Duration
+	// closeIdleUntil is the time until which connections to a kind are closed after use, since its tables were full.
+	closeIdleUntil map[int]time.Duration
+
+	tenantTraffic   []trafficMeter
+	acceptedTraffic trafficMeter // accepted messages, decaying over trafficWindow
+
+	timerAt          time.Duration // earliest timer that was set; 0: none
+	requestedTimerAt time.Duration // earliest timer that this step needs; 0: none
+	actions          []Action      // of the current step
 }
 
-// New returns a Sender that knows nothing but its settings.
+// New returns an Engine that knows nothing but its settings. The seed determines all its random choices.
 func New(settings Settings, seed uint64) (*Engine, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	settings.FleetSize = max(1, settings.FleetSize)
-	settings.WarmUpInitialCapacity = cmp.Or(max(0, settings.WarmUpInitialCapacity), 0.1)
-	settings.WarmUpDuration = cmp.Or(max(0, settings.WarmUpDuration), 30*time.Second)
-	settings.OverloadWindow = cmp.Or(settings.OverloadWindow, 3*time.Second)
-	settings.OverloadFactor = cmp.Or(max(0, settings.OverloadFactor), 1)
-	pcg := rand.NewPCG(seed, 0x6f6e7978)
+	settings.setDefaults()
+	pcg := rand.NewPCG(seed, randomStream)
 	return &Engine{
-		settings: settings, pcg: pcg, rng: rand.New(pcg),
-		endpoints: map[string]*endpoint{}, lowestReportedLimit: map[int]float64{}, destinations: map[int]*destination{},
-		connectShortageUntil: map[int]time.Duration{}, closeIdleUntil: map[int]time.Duration{},
-		messages: map[uint32]*message{}, keyQueues: map[string]*keyQueue{},
-		tenantTraffic: make([]trafficMeter, len(settings.Tenants)),
+		settings:             settings,
+		pcg:                  pcg,
+		rng:                  rand.New(pcg),
+		endpoints:            map[string]*endpoint{},
+		destinations:         map[int]*destination{},
+		messages:             map[uint32]*message{},
+		keyQueues:            map[string]*keyQueue{},
+		lowestReportedLimit:  map[int]float64{},
+		connectShortageUntil: map[int]time.Duration{},
+		closeIdleUntil:       map[int]time.Duration{},
+		tenantTraffic:        make([]trafficMeter, len(settings.Tenants)),
 	}, nil
 }
 
-// Reconfigure has other settings hold from here on. Open messages keep their class and number of attempts.
+// Reconfigure applies other settings from here on. Pending messages keep their class and their number of attempts.
 func (e *Engine) Reconfigure(settings Settings) error {
 	validated, err := New(settings, 0)
-	if err == nil {
-		e.settings, e.tenantTraffic = validated.settings, validated.tenantTraffic
+	if err != nil {
+		return err
 	}
-	return err
+	e.settings = validated.settings
+	e.tenantTraffic = validated.tenantTraffic
+	return nil
 }
 
-// Step takes what has come in at now and returns what to do, in order.
+// Step takes the events that were observed up to now and returns the actions to take, in order. The slice is valid
+// until the next step.
 func (e *Engine) Step(now time.Duration, events []Event) []Action {
-	e.now, e.actions = now, e.actions[:0]
+	e.now = now
+	e.actions = e.actions[:0]
 	e.startedAt = cmp.Or(e.startedAt, now)
-	// A wake may come a little early, for a clock coarser than ours: one so near does not count as asked for.
-	if e.timerAt <= now+time.Millisecond {
+	// A timer may fire a little early: one this close counts as fired.
+	if e.timerAt <= now+timerSlack {
 		e.timerAt = 0
 	}
 	for i := range events {
@@ -79,17 +102,11 @@
 	e.expireKeyQueues()
 	e.handleDeadlines()
 	e.dispatch()
-	if n := len(e.deadlines); n > 0 {
-		e.requestTimer(e.deadlines[0].at)
-	}
-	if e.requestedTimerAt > 0 && (e.timerAt == 0 || e.requestedTimerAt < e.timerAt) {
-		e.timerAt = max(e.requestedTimerAt, now+time.Millisecond)
-		e.emit(Action{Kind: SetTimer, Delay: e.timerAt - now})
-	}
-	e.requestedTimerAt = 0
+	e.setTimer()
 	return e.actions
 }
 
+// observe applies one event to the state.
 func (e *Engine) observe(event *Event) {
 	switch event.Kind {
 	case MessageAccepted:
@@ -97,12 +114,7 @@
 	case AttemptFinished:
 		e.attemptFinished(event)
 	case HealthChecked:
-		if ep := e.endpoints[event.Endpoint]; ep != nil {
-			e.recordLimit(ep, event.LimitReport)
-			ep.scope.retryAfterUntil = max(ep.scope.retryAfterUntil, e.now+event.RetryAfter)
-			e.observeOutcome(ep, observation{outcome: event.Outcome, retryAfter: event.RetryAfter, sentAt: e.now - event.Latency}, event.Latency)
-			e.recheck(ep.scope.destination)
-		}
+		e.healthChecked(event)
 	case MessageCancelled:
 		if msg := e.messages[event.MessageID]; msg != nil {
 			e.finishMessage(msg)
@@ -115,14 +127,28 @@
 		if e.settings.WatchRequired {
 			e.emit(Action{Kind: WatchEndpoints})
 		}
+	case TimerFired: // the step alone is what was asked for
 	}
 }
 
+// emit adds an action to those of the current step.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// requestTimer asks to be woken at t, if nothing earlier is asked for.
+// requestTimer asks for a step at t, unless an earlier one is asked for.
 func (e *Engine) requestTimer(t time.Duration) {
 	if t < math.MaxInt64 && (e.requestedTimerAt == 0 || t < e.requestedTimerAt) {
 		e.requestedTimerAt = t
 	}
 }
+
+// setTimer sets a timer for the earliest time that needs a step, unless one is set that fires no later.
+func (e *Engine) setTimer() {
+	if len(e.deadlines) > 0 {
+		e.requestTimer(e.deadlines[0].at)
+	}
+	if e.requestedTimerAt > 0 && (e.timerAt == 0 || e.requestedTimerAt < e.timerAt) {
+		e.timerAt = max(e.requestedTimerAt, e.now+timerSlack)
+		e.emit(Action{Kind: SetTimer, Delay: e.timerAt - e.now})
+	}
+	e.requestedTimerAt = 0
+}
--- a/policy/event.go
+++ b/policy/event.go
@@ -2,91 +2,97 @@
 
 import "time"
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is how an attempt or a health check ended.
 type Outcome int
 
-// The outcomes of an attempt. Full, ConnectFailed and Moot prove that it never ran.
+// The outcomes of an attempt. Overloaded, ConnectFailed and NotSent prove that the message never ran.
 const (
-	OK Outcome = iota
-	Error
-	Overloaded
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent
+	OK            Outcome = iota // delivered
+	Error                        // the endpoint answered with an error
+	Overloaded                   // rejected by a rate limit or an overload
+	Timeout                      // no answer in time
+	ConnectFailed                // no connection could be made
+	Reset                        // the connection broke before the answer
+	Cancelled                    // the relay abandoned the attempt
+	NotSent                      // the call never left the relay
 )
 
-// Endpoint is one entry of the list of routes.
+// Endpoint is one entry of the endpoint list. Recordings keep it under the tags, as all types of this file.
 type Endpoint struct {
-	ID          string  `json:"Route"`
-	Destination int     `json:"Destination"`
-	Kind        int     `json:"Kind"`
-	Zone        int     `json:"Zone"`
-	Weight      float64 `json:"Weight"`    // calls a second from all senders together; 0: not told
-	InService   bool    `json:"InService"` // false: draining
-	Removed     bool    `json:"Gone"`      // removed
-	Relisted    bool    `json:"Again"`     // as it was listed before, and forgotten since (Resting); of a route that is known it says nothing
+	ID          string `json:"Route"`
+	Destination int    `json:"Destination"`
+	Kind        int    `json:"Kind"` // index into Settings.DestinationKinds
+	Zone        int    `json:"Zone"`
+	// Weight is the capacity in calls a second from all relays together; 0: not known.
+	Weight float64 `json:"Weight"`
+	// InService is false while the endpoint is draining.
+	InService bool `json:"InService"`
+	// Removed entries leave the list.
+	Removed bool `json:"Gone"`
+	// Relisted: the endpoint was listed before and was evicted since (see Evictable). It says nothing of an endpoint
+	// that is known.
+	Relisted bool `json:"Again"`
 }
 
-// EventKind names what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of event.
 const (
-	MessageAccepted  EventKind = iota // a message was handed in
+	MessageAccepted  EventKind = iota // a client has submitted a message
 	AttemptFinished                   // an attempt has its outcome
-	MessageCancelled                  // the client has gone
-	EndpointSnapshot                  // the whole list of routes
-	EndpointDelta                     // changes to the list
-	WatchFailed                       // a call for the list failed
-	TimerFired                        // a wake came due
-	HealthChecked                     // a probe has its outcome
-	QuotaGranted                      // what others leave a sender of a limit, or leave it no more
+	MessageCancelled                  // the client of a message is gone
+	EndpointSnapshot                  // the complete endpoint list
+	EndpointDelta                     // changes of the endpoint list
+	WatchFailed                       // a request for the endpoint list has failed
+	TimerFired                        // the timer of a SetTimer action has fired
+	HealthChecked                     // a health check has its outcome
+	QuotaGranted                      // the quota that other relays grant this one has changed
 )
 
-// LimitReport is what a destination tells of its limit. It is late and noisy.
+// LimitReport is what an endpoint reports of its rate limit. It is late and noisy.
 type LimitReport struct {
 	Present   bool    `json:"Told"`
-	Remaining float64 `json:"Left"`  // share of the limit that is left
+	Remaining float64 `json:"Left"`  // fraction of the limit that is left
 	Limit     float64 `json:"Limit"` // calls a second; 0: no limit
 }
 
-// RecoveredMessage is what became of a message before the process that had taken it on ended. A call that was out then
-// may have run.
+// RecoveredMessage is what became of a message in the earlier process that had accepted it. A call that was in flight
+// when that process ended may have run.
 type RecoveredMessage struct {
-	Attempts      int           `json:"Attempts"` // sends used
-	MayHaveRun    bool          `json:"Ran"`      // one may have run
-	SinceFirstRun time.Duration `json:"RanAgo"`   // how long ago the first of them was sent
-	FirstRunZone  int           `json:"RanZone"`  // and to which zone
+	Attempts      int           `json:"Attempts"` // attempts used
+	MayHaveRun    bool          `json:"Ran"`      // one of them may have run
+	SinceFirstRun time.Duration `json:"RanAgo"`   // time since the first of those was sent
+	FirstRunZone  int           `json:"RanZone"`  // and the zone that it was sent to
 }
 
-// Event is one thing that a Sender observes.
+// Event is one observation for an Engine. Which fields hold a value depends on its kind.
 type Event struct {
 	Kind      EventKind `json:"Kind"`
-	MessageID uint32    `json:"ID"` // message
+	MessageID uint32    `json:"ID"`
 
-	// Taken
-	Key         string            `json:"Key"`
-	Class       int               `json:"Class"`
-	Tenant      int               `json:"Customer"`
+	// MessageAccepted.
+	Key         string            `json:"Key"`      // ordering key; empty: none
+	Class       int               `json:"Class"`    // index into Settings.Classes
+	Tenant      int               `json:"Customer"` // index into Settings.Tenants
 	Destination int               `json:"Destination"`
-	TimeLeft    time.Duration     `json:"Left"`    // time left to the deadline
-	Recovered   *RecoveredMessage `json:"Resumed"` // taken on by an earlier process; nil if new
+	TimeLeft    time.Duration     `json:"Left"`    // time to the deadline
+	Recovered   *RecoveredMessage `json:"Resumed"` // set if an earlier process accepted the message
 
-	// Finished, Probed; Rights of a separate route
+	// AttemptFinished and HealthChecked; Endpoint also for QuotaGranted of a scope of one endpoint.
 	Attempt      int           `json:"Attempt"`
 	Endpoint     string        `json:"Route"`
 	Outcome      Outcome       `json:"Outcome"`
 	Latency      time.Duration `json:"Took"`
-	MessageEnded bool          `json:"Ended"` // the message is over
-	RetryAfter   time.Duration `json:"Wait"`  // the wait told with the outcome; 0: none
+	MessageEnded bool          `json:"Ended"` // the message has its final answer
+	RetryAfter   time.Duration `json:"Wait"`  // Retry-After of the answer; 0: none
 	LimitReport  LimitReport   `json:"Report"`
 
-	// EndpointSnapshot, EndpointDelta
+	// EndpointSnapshot and EndpointDelta.
 	Endpoints []Endpoint `json:"List"`
 
-	// Rights of a destination, or of a separate route there. What is heard of others comes as these alone.
-	ReservedFraction float64 `json:"Share"` // of its even part that the sender may use of itself: the rest is lent
-	GrantedCalls     int     `json:"Calls"` // that it may make beyond that, within Left
+	// QuotaGranted, for a destination or for an endpoint with a scope of its own. An Engine learns of other relays'
+	// load through these two figures alone.
+	ReservedFraction float64 `json:"Share"` // fraction of its even share that the relay may use: the rest is lent
+	GrantedCalls     int     `json:"Calls"` // calls that it may make beyond that, within TimeLeft
 }
--- a/policy/eviction.go
+++ b/policy/eviction.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// Evictable tells whether forgetting a destination, as of the last step, drops nothing that binds: no message is held
-// and no call out, no told wait and no skip is in force, no route is cold, in doubt or warming up, what it was refused
-// no longer matters, and others share none of its limit. Told of again it stands as at a start, which is bolder in
-// nothing of that. The caller leaves a destination alone for WarmUpDuration first: what one failure or one refusal
-// tells is not looked at here.
+// Evictable reports whether a caller with very many destinations may remove one, by an EndpointDelta with Removed, and
+// list it again when it is needed. As of the last step, removing it must drop nothing that binds: no message is pending
+// and no call in flight, no Retry-After and no ejection is in force, no endpoint is suspect or warming up, the last
+// rejection no longer matters, and other relays share none of its limit. Listed again, the destination is as after a
+// start, which then allows nothing that its old state would not.
+//
+// It looks neither at a single failure nor at a single rejection: the caller waits for WarmUpDuration without use of
+// the destination first. Evictable changes nothing.
 func (e *Engine) Evictable(destinationID int) bool {
 	dest := e.destinations[destinationID]
 	return dest == nil || dest.messageCount == 0 && !slices.ContainsFunc(dest.scopes, e.hasBindingState)
 }
 
-// hasBindingState tells whether a gate holds anything that must outlast it.
+// hasBindingState reports whether a scope holds state that must not be lost.
 func (e *Engine) hasBindingState(scope *limitScope) bool {
 	switch {
 	case scope.inFlight > 0, e.now < scope.retryAfterUntil:
 		return true
-	case scope.quotaShared: // the fleet tells changes alone: a fresh gate would use the part that is lent
+	case scope.quotaShared: // only changes of grants are reported: a new scope would use the part that is lent
 		return true
-	case e.now < scope.suspectRemovedAt+e.settings.WarmUpDuration: // what takes the place of a route in doubt inherits it
-		return true
-	case scope.consecutiveFailures >= suspectAfterFailures || scope.connectExhaustions >= maxConnectExhaustions: // of whatever routes: the next failure is an outage's
+	case e.now < scope.suspectRemovedAt+e.settings.WarmUpDuration: // what replaces a suspect endpoint inherits it
 		return true
+	case scope.consecutiveFailures >= suspectAfterFailures, scope.connectExhaustions >= maxConnectExhaustions:
+		return true // the next failure, of any endpoint, shows an outage
 	}
 	return e.hasReducedPacing(scope) || slices.ContainsFunc(scope.endpoints, e.isImpaired)
 }
 
-// isImpaired tells whether a route is skipped, in doubt, or coming back.
+// isImpaired reports whether an endpoint has calls in flight, is ejected, suspect or warming up.
 func (e *Engine) isImpaired(ep *endpoint) bool {
 	switch {
 	case len(ep.calls) > 0, ep.ejected, e.now < ep.ejectedUntil:
 		return true
-	case ep.warmingUp && (ep.recoveredAt == 0 || e.now < ep.recoveredAt+e.settings.WarmUpDuration):
+	case ep.warmingUp && !e.isWarm(ep):
 		return true
 	}
-	return ep.lastSuccessAt == 0 && ep.scope.hasSuspect() // it stands as its siblings do, when it is looked at
+	return ep.lastSuccessAt == 0 && ep.scope.hasSuspect() // it inherits suspicion with its next call
 }
 
-// hasReducedPacing tells whether a gate's pace is one that a start must not do away with: a call's worth is not yet earned back,
-// or a refusal lowered it and it would not have grown back by now, even at its slowest growth. After rejectionFreeWindow a refusal
-// is of no account, as in growth itself.
+// hasReducedPacing reports whether a scope is paced such that a start must not undo it: the tokens of a call are not
+// earned yet, or a rejection has decreased the rate and it could not have grown back by now, at its slowest growth. A
+// rejection longer ago than rejectionFreeWindow does not matter, as in growth itself.
 func (e *Engine) hasReducedPacing(scope *limitScope) bool {
 	switch {
 	case scope.pacingRate == 0:
@@ -54,10 +57,10 @@
 	case scope.decreasedAt == 0:
 		return false
 	}
-	most := scope.lastRejectedRate // of a few, who start free: the rate that was refused
+	startRate := scope.lastRejectedRate // a small fleet starts without pacing
 	if e.isLargeFleet(scope) {
-		most = e.fairPacingRate(scope)
+		startRate = e.fairPacingRate(scope)
 	}
-	back := math.Log(most/scope.pacingRate) / math.Log1p(cautiousPacingGrowth)
-	return e.now < scope.decreasedAt+max(rejectionFreeWindow, time.Duration(back*float64(time.Second)))
+	steps := math.Log(startRate/scope.pacingRate) / math.Log1p(cautiousPacingGrowth) // one a second
+	return e.now < scope.decreasedAt+max(rejectionFreeWindow, time.Duration(steps*float64(time.Second)))
 }
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -192,7 +192,7 @@
 	return f, step
 }
 
-const never = 1000 * time.Hour
+const forever = 1000 * time.Hour
 
 // A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A
 // front that forgets outages pours its backlog out.
@@ -209,7 +209,7 @@
 		}
 		return calls, rests
 	}
-	told, _ := play(nil, never)
+	told, _ := play(nil, forever)
 	fronted, _ := play(nil, 0)
 	forgot, rests := play(&forgetful{gate: func(scope *limitScope) {
 		forgetsPaces(scope)
@@ -239,7 +239,7 @@
 	const seeds = 60
 	fresh := 0 // calls of so many senders that have just started
 	for seed := range uint64(seeds * later) {
-		_, step := twoRoutes(t, seeds+seed, 3000, nil, never)
+		_, step := twoRoutes(t, seeds+seed, 3000, nil, forever)
 		now, id := time.Minute, uint32(0)
 		fresh += burst(step, &now, &id, 1, OK, 3*time.Second)
 	}
@@ -259,7 +259,7 @@
 	}
 	warm := settings().WarmUpDuration
 	for _, pause := range []time.Duration{warm + 2*time.Second, 90 * time.Second, 600 * time.Second} {
-		told, _ := play(nil, never, pause)
+		told, _ := play(nil, forever, pause)
 		fronted, rests := play(nil, warm, pause)
 		forgot, _ := play(&forgetful{gate: forgetsPaces}, warm, pause)
 		t.Logf(
@@ -294,7 +294,7 @@
 	for _, c := range []struct {
 		name string
 		set  func(d *destination, scope *limitScope, ep *endpoint)
-		span time.Duration // it binds so long; never: until an event ends it
+		span time.Duration // it binds so long; forever: until an event ends it
 	}{
 		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
 		{"one failure, and a reset", func(_ *destination, scope *limitScope, ep *endpoint) {
@@ -306,25 +306,25 @@
 		{"a warm-up that is over", func(_ *destination, _ *limitScope, ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warm, now
 		}, 0},
-		{"a message", func(d *destination, _ *limitScope, _ *endpoint) { d.messageCount = 1 }, never},
-		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, never},
-		{"a call of a route that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, never},
+		{"a message", func(d *destination, _ *limitScope, _ *endpoint) { d.messageCount = 1 }, forever},
+		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, forever},
+		{"a call of a route that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, forever},
 		{"a told wait", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
 		{"a skip", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejectedUntil = now + 300*ms }, 300 * ms},
-		{"an outage", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }, never},
-		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, never},
+		{"an outage", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }, forever},
+		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, forever},
 		{"a warm-up", func(_ *destination, _ *limitScope, ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now, now
 		}, warm},
 		{"a sibling's doubt, taken on at the next look", func(_ *destination, scope *limitScope, ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warm, now, 0
-		}, never},
+		}, forever},
 		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warm},
-		{"failures over routes", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, never},
-		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, never},
+		{"failures over routes", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, forever},
+		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, forever},
 		{"a lent limit", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.quotaShared, scope.reservedFraction = true, 0.2
-		}, never},
+		}, forever},
 		{"a call not yet earned back", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 0.5, 0, now
 		}, 2 * time.Second},
@@ -362,7 +362,7 @@
 
 // What others may use of a limit is told once: such a destination stays awake.
 func TestRightsKeepADestinationAwake(t *testing.T) {
-	f, step := twoRoutes(t, 1, 300, nil, never)
+	f, step := twoRoutes(t, 1, 300, nil, forever)
 	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !f.s.Evictable(
 		1,
 	) {
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -1,52 +1,50 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-// BlockCause is what keeps a message from a route.
+// BlockCause is the reason why a message is not sent to an endpoint.
 type BlockCause int
 
-// The causes, as they are looked at: the first that holds is told, of those with a time the one that holds longest.
+// The causes, in the order in which they are looked at. The first that holds is reported; of those that end at a known
+// time, the one that ends last.
 const (
-	NotBlocked        BlockCause = iota // nothing: it goes in its turn
-	AttemptsExhausted                   // it has no attempt left, or its time is up
-	EndpointDraining                    // the route drains
-	WaitingForKey                       // an earlier message of its key is not finished
-	WrongDedupZone                      // it may have run, and its repeat is dropped elsewhere only
-	InsufficientTime                    // less time is left than an answer of the route takes
-	TrialInFlight                       // the route is skipped, and the one trial call is out
-	EndpointSaturated                   // too many slots are at the route, or its oldest calls are overdue
-	OrderingPause
-	RetryAfterPending
-	EndpointEjected
-	WarmUpBudget // the budget of a route that may be cold
-	Paced
-	ConcurrencyLimit
-	NoEndpoint
+	NotBlocked        BlockCause = iota // it is sent when its turn comes
+	AttemptsExhausted                   // no attempt or no time is left
+	EndpointDraining                    // the endpoint is draining
+	WaitingForKey                       // an earlier message of its ordering key is pending
+	WrongDedupZone                      // it may have run, and its repeat is only dropped elsewhere
+	InsufficientTime                    // less time is left than an answer of the endpoint takes
+	TrialInFlight                       // the endpoint is ejected, and the one trial call is in flight
+	EndpointSaturated                   // too many calls are in flight, or the oldest of them are overdue
+	OrderingPause                       // its ordering key pauses
+	RetryAfterPending                   // a Retry-After is in force
+	EndpointEjected                     // the endpoint is ejected
+	WarmUpBudget                        // the recovery budget of a suspect endpoint is used up
+	Paced                               // the scope is paced
+	ConcurrencyLimit                    // no further call may be in flight
+	NoEndpoint                          // its destination has no endpoint
 )
 
-// Blocker is what keeps a waiting message from a route. Until: math.MaxInt64 where only an outcome or the list ends it.
+// Blocker says what keeps a waiting message from an endpoint.
 type Blocker struct {
 	MessageID uint32
-	Endpoint  string
+	Endpoint  string // empty with NoEndpoint
 	Cause     BlockCause
-	Until     time.Duration
+	Until     time.Duration // math.MaxInt64 if only an outcome or a change of the endpoint list ends it
 }
 
-// Blockers tells what keeps the messages that wait, by destination and in order. It must be asked of a copy (Restore of
-// a Snapshot): looking may cast doubt on a route, as dispatch itself does.
+// Blockers returns what blocks the waiting messages, by destination and in the order of its queue. Call it on a copy
+// (Restore of a Snapshot): looking may make an endpoint suspect, as a dispatch does.
 func (e *Engine) Blockers() (blockers []Blocker) {
 	for _, dest := range e.sortedDestinations {
 		for _, msg := range dest.queue {
 			if !dest.hasEndpoints() {
-				blockers = append(blockers, Blocker{msg.id, "", NoEndpoint, math.MaxInt64})
+				blockers = append(blockers, Blocker{MessageID: msg.id, Cause: NoEndpoint, Until: never})
 			}
 			for _, scope := range dest.scopes {
 				for _, ep := range scope.endpoints {
-					c, at := e.findBlocker(msg, ep)
-					blockers = append(blockers, Blocker{msg.id, ep.ID, c, at})
+					cause, until := e.findBlocker(msg, ep)
+					blockers = append(blockers, Blocker{MessageID: msg.id, Endpoint: ep.ID, Cause: cause, Until: until})
 				}
 			}
 		}
@@ -54,66 +52,110 @@
 	return blockers
 }
 
+// findBlocker returns what blocks a message at an endpoint, and until when.
 func (e *Engine) findBlocker(msg *message, ep *endpoint) (BlockCause, time.Duration) {
-	const never = time.Duration(math.MaxInt64)
+	if cause := e.openEndedBlocker(msg, ep); cause != NotBlocked {
+		return cause, never
+	}
+	cause, until := e.timedBlocker(msg, ep)
+	limit := e.settings.MaxInFlightCalls
+	if cause == NotBlocked && limit > 0 && e.callsInFlight >= limit {
+		return ConcurrencyLimit, never
+	}
+	return cause, until
+}
+
+// openEndedBlocker returns the first cause that does not end at a known time; NotBlocked if none holds.
+func (e *Engine) openEndedBlocker(msg *message, ep *endpoint) BlockCause {
 	switch {
 	case e.attemptsExhausted(msg) || e.now >= msg.deadline:
-		return AttemptsExhausted, never
+		return AttemptsExhausted
 	case !ep.InService || ep.Removed:
-		return EndpointDraining, never
+		return EndpointDraining
 	case msg.keyQueue != nil && msg.keyQueue.messages[0] != msg:
-		return WaitingForKey, never
+		return WaitingForKey
 	case e.attemptAllowedAt(msg, ep) == never:
-		return WrongDedupZone, never
+		return WrongDedupZone
 	case msg.deadline-e.now < ep.latencyMean:
-		return InsufficientTime, never
+		return InsufficientTime
 	case ep.ejected && len(ep.calls) > 0:
-		return TrialInFlight, never
+		return TrialInFlight
 	case e.saturated(ep):
-		return EndpointSaturated, never
+		return EndpointSaturated
 	}
-	cause, until := NotBlocked, e.now
-	longer := func(c BlockCause, at time.Duration) {
+	return NotBlocked
+}
+
+// timedBlocker returns the cause that ends last, of those that end at a known time, and its end; NotBlocked if none
+// holds.
+func (e *Engine) timedBlocker(msg *message, ep *endpoint) (cause BlockCause, until time.Duration) {
+	until = e.now
+	consider := func(candidate BlockCause, at time.Duration) {
 		if at > until {
-			cause, until = c, at
+			cause = candidate
+			until = at
 		}
 	}
 	if msg.keyQueue != nil && msg.attempts == 0 {
-		longer(OrderingPause, msg.keyQueue.pausedUntil)
-	}
-	longer(RetryAfterPending, ep.scope.retryAfterUntil)
-	longer(EndpointEjected, ep.ejectedUntil)
-	longer(WarmUpBudget, e.recoveryBudgetAt(ep))
-	longer(Paced, e.acceptsCallAt(ep))
-	if cause == NotBlocked && e.settings.MaxInFlightCalls > 0 && e.callsInFlight >= e.settings.MaxInFlightCalls {
-		return ConcurrencyLimit, never
+		consider(OrderingPause, msg.keyQueue.pausedUntil)
 	}
+	consider(RetryAfterPending, ep.scope.retryAfterUntil)
+	consider(EndpointEjected, ep.ejectedUntil)
+	consider(WarmUpBudget, e.recoveryBudgetAt(ep))
+	consider(Paced, e.acceptsCallAt(ep))
 	return cause, until
 }
 
-// EndpointView is what a Sender holds of a route and of its gate, the scope that shares a limit. Rates are in calls a
-// second.
+// EndpointView is the state of an endpoint and of its limit scope. Rates are in calls a second.
 type EndpointView struct {
 	Endpoint
-	PacingRate, LastRejectedRate, Limit, FairShare          float64 // 0: free, none, not told
-	RetryAfterUntil, DecreasedAt, EjectedUntil, RecoveredAt time.Duration
-	LatencyMean                                             time.Duration // of its answers
-	Ejected, WarmingUp, RecentlyHealthy                     bool          // Alive: it has answered of late
-	// calls of the route, of its gate; messages waiting at the destination
-	Calls, InFlight, Queued int
+	PacingRate       float64 // of the scope; 0: not paced
+	LastRejectedRate float64 // of the scope; 0: none
+	Limit            float64 // of the scope, from all relays; 0: not known
+	FairShare        float64 // of the scope, of this relay
+	RetryAfterUntil  time.Duration
+	DecreasedAt      time.Duration // last decrease of the pacing rate; 0: none
+	EjectedUntil     time.Duration
+	RecoveredAt      time.Duration // first delivery since the endpoint became suspect; 0: none
+	LatencyMean      time.Duration
+	Ejected          bool
+	WarmingUp        bool
+	RecentlyHealthy  bool // it has delivered of late
+	Calls            int  // in flight at the endpoint
+	InFlight         int  // in flight in the scope
+	Queued           int  // messages waiting at the destination
 }
 
-// Views tells of all routes, by destination, and how many slots are taken.
-func (e *Engine) Views() (views []EndpointView, slots int) {
+// Views returns the state of all endpoints, by destination, and the number of calls in flight.
+func (e *Engine) Views() (views []EndpointView, callsInFlight int) {
 	for _, dest := range e.sortedDestinations {
 		for _, scope := range dest.scopes {
 			for _, ep := range scope.endpoints {
-				views = append(views, EndpointView{
-					ep.Endpoint, scope.pacingRate, scope.lastRejectedRate, e.knownLimit(scope), e.fairShare(scope), scope.retryAfterUntil, scope.decreasedAt, ep.ejectedUntil,
-					ep.recoveredAt, ep.latencyMean, ep.ejected, ep.warmingUp, e.recentlyHealthy(ep), len(ep.calls), scope.inFlight, len(dest.queue),
-				})
+				views = append(views, e.view(dest, scope, ep))
 			}
 		}
 	}
 	return views, e.callsInFlight
 }
+
+// view returns the state of one endpoint.
+func (e *Engine) view(dest *destination, scope *limitScope, ep *endpoint) EndpointView {
+	return EndpointView{
+		Endpoint:         ep.Endpoint,
+		PacingRate:       scope.pacingRate,
+		LastRejectedRate: scope.lastRejectedRate,
+		Limit:            e.knownLimit(scope),
+		FairShare:        e.fairShare(scope),
+		RetryAfterUntil:  scope.retryAfterUntil,
+		DecreasedAt:      scope.decreasedAt,
+		EjectedUntil:     ep.ejectedUntil,
+		RecoveredAt:      ep.recoveredAt,
+		LatencyMean:      ep.latencyMean,
+		Ejected:          ep.ejected,
+		WarmingUp:        ep.warmingUp,
+		RecentlyHealthy:  e.recentlyHealthy(ep),
+		Calls:            len(ep.calls),
+		InFlight:         scope.inFlight,
+		Queued:           len(dest.queue),
+	}
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,23 +2,26 @@
 
 import "time"
 
+// Expected latencies.
 const (
-	timeoutDeviations = 6                      // mean deviations over the mean answer time that a time-out allows
-	overdueDeviations = 4                      // the same after which an answer is overdue
+	timeoutDeviations = 6                      // mean deviations above the mean that a timeout allows
+	overdueDeviations = 4                      // mean deviations above the mean after which an answer is overdue
 	minLatencyBound   = 800 * time.Millisecond // no answer is overdue before this
 )
 
-// recordLatency learns how long answers of a route take. A time-out tells that its answer takes longer.
+// recordLatency updates the mean and the mean deviation of an endpoint's latency, as TCP does for round trips.
 func (e *Engine) recordLatency(ep *endpoint, latency time.Duration) {
 	if ep.latencyMean == 0 {
-		ep.latencyMean, ep.latencyDeviation = latency, latency/2
+		ep.latencyMean = latency
+		ep.latencyDeviation = latency / 2
 		return
 	}
-	d := latency - ep.latencyMean
-	ep.latencyMean, ep.latencyDeviation = ep.latencyMean+d/8, ep.latencyDeviation+(max(d, -d)-ep.latencyDeviation)/4
+	difference := latency - ep.latencyMean
+	ep.latencyMean += difference / 8
+	ep.latencyDeviation += (max(difference, -difference) - ep.latencyDeviation) / 4
 }
 
-// latencyBound is how long an answer of a route may take: its mean and so many mean deviations.
+// latencyBound returns how long an answer of an endpoint may take: its mean latency and some mean deviations.
 func (e *Engine) latencyBound(ep *endpoint, deviations int) time.Duration {
 	if ep.latencyMean == 0 {
 		return 2 * minLatencyBound
@@ -26,26 +29,28 @@
 	return max(minLatencyBound, ep.latencyMean+time.Duration(deviations)*ep.latencyDeviation)
 }
 
-// attemptTimeoutAt is when an attempt times out: as long as the route's answers have taken, at most half the time left.
-// An unsafe message has no second try and waits twice as long; a trial of a skipped route waits least.
+// attemptTimeoutAt returns the time at which an attempt times out. It has as long as answers of the endpoint take, and
+// half of the time left at most. A non-idempotent message has no second attempt and waits twice as long; a trial of an
+// ejected endpoint waits least.
 func (e *Engine) attemptTimeoutAt(msg *message, ep *endpoint) time.Duration {
-	left := msg.deadline - e.now
-	usualLatency := max(e.latencyBound(ep, timeoutDeviations), msg.class.LatencyObjective/2)
+	objective := msg.class.LatencyObjective
+	timeout := max(e.latencyBound(ep, timeoutDeviations), objective/2)
 	if msg.class.Effect == IdempotentByKey && !msg.class.DedupAllZones {
-		usualLatency = max(usualLatency, msg.class.LatencyObjective) // a repeat is bound to few routes
+		timeout = max(timeout, objective) // few endpoints may take the retry
 	}
 	if e.settings.MaxInFlightCalls > 0 && 2*e.callsInFlight > e.settings.MaxInFlightCalls {
-		usualLatency = min(usualLatency, msg.class.LatencyObjective)
+		timeout = min(timeout, objective) // calls in flight run short
 	}
 	if ep.ejected {
-		usualLatency = msg.class.LatencyObjective / 2
+		timeout = objective / 2
 	}
+	timeLeft := msg.deadline - e.now
 	if msg.class.Effect == NonIdempotent {
-		return e.now + min(left, 2*usualLatency)
+		return e.now + min(timeLeft, 2*timeout)
 	}
-	// Where half of the time is less than an answer may take, one try has all of it.
-	if left/2 >= e.latencyBound(ep, overdueDeviations) {
-		left /= 2
+	// Where half of the time left is less than an answer may take, one attempt has all of it.
+	if timeLeft/2 >= e.latencyBound(ep, overdueDeviations) {
+		timeLeft /= 2
 	}
-	return e.now + min(left, usualLatency)
+	return e.now + min(timeLeft, timeout)
 }
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// keyQueue is the order of one key.
+// keyQueue orders the messages of one ordering key: each waits until the one before it is released.
 type keyQueue struct {
 	key         string
-	messages    []*message // in the order taken; the first has the turn
-	pausedUntil time.Duration
-	expiring    bool // kept for its rest alone
+	messages    []*message    // as accepted; only the first may be sent
+	pausedUntil time.Duration // no first attempt before this: an earlier one may still run
+	expiring    bool          // in Engine.expiringKeyQueues
 }
 
-// joinKeyQueue puts a message at the end of its key's line.
+// joinKeyQueue appends a message to the queue of its ordering key.
 func (e *Engine) joinKeyQueue(msg *message, key string) {
 	queue := e.keyQueues[key]
 	if queue == nil {
@@ -21,12 +21,26 @@
 	msg.keyQueue = queue
 }
 
-// expireKeyQueues forgets turns whose line is empty and whose rest is over.
+// pause blocks the first attempts of a key until the given time, unless they are blocked for longer.
+func (queue *keyQueue) pause(until time.Duration) {
+	queue.pausedUntil = max(queue.pausedUntil, until)
+}
+
+// startExpiry keeps an empty queue for its pause alone.
+func (e *Engine) startExpiry(queue *keyQueue) {
+	if !queue.expiring {
+		queue.expiring = true
+		e.expiringKeyQueues = append(e.expiringKeyQueues, queue)
+	}
+}
+
+// expireKeyQueues removes key queues that are empty and whose pause is over.
 func (e *Engine) expireKeyQueues() {
 	for len(e.expiringKeyQueues) > 0 && e.expiringKeyQueues[0].pausedUntil <= e.now {
 		queue := e.expiringKeyQueues[0]
 		e.expiringKeyQueues = e.expiringKeyQueues[1:]
-		if queue.expiring = false; len(queue.messages) == 0 {
+		queue.expiring = false
+		if len(queue.messages) == 0 {
 			delete(e.keyQueues, queue.key)
 		}
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -6,20 +6,32 @@
 	"time"
 )
 
-const (
-	recentlyHealthyWindow = 3 * time.Second // a route that answered within this is alive
-)
-
-// observation is one outcome at a route, as the failure rules see it.
+// observation is one outcome at an endpoint, as the failure rules see it.
 type observation struct {
 	outcome          Outcome
 	retryAfter       time.Duration
 	sentAt           time.Duration
-	truncated        bool // cut off before an answer could be expected
-	connectExhausted bool // no connection, as when a table is full
+	truncated        bool // ended before an answer could be expected
+	connectExhausted bool // no connection, as at a full connection table
 }
 
-// observeOutcome takes an outcome as an observation of its route.
+// healthChecked applies the outcome of a health check.
+func (e *Engine) healthChecked(event *Event) {
+	ep := e.endpoints[event.Endpoint]
+	if ep == nil {
+		return
+	}
+	e.recordLimit(ep, event.LimitReport)
+	ep.scope.retryAfter(e.now + event.RetryAfter)
+	e.observeOutcome(ep, observation{
+		outcome:    event.Outcome,
+		retryAfter: event.RetryAfter,
+		sentAt:     e.now - event.Latency,
+	}, event.Latency)
+	e.recheck(ep.scope.destination)
+}
+
+// observeOutcome learns about an endpoint from an outcome.
 func (e *Engine) observeOutcome(ep *endpoint, obs observation, latency time.Duration) {
 	if e.now < e.closeIdleUntil[ep.Kind] {
 		e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
@@ -27,94 +39,126 @@
 	switch obs.outcome {
 	case OK:
 		e.recordSuccess(ep, obs.sentAt, latency)
-		return
-	case NotSent, Cancelled:
-		return
+	case NotSent, Cancelled: // tell nothing about the endpoint
 	case Overloaded:
-		if ep.consecutiveRejections == 0 {
-			ep.firstRejectedAt = e.now
-		}
-		ep.consecutiveRejections++
-		ep.scope.lastFailureSentAt = max(ep.scope.lastFailureSentAt, obs.sentAt)
-		e.suspectOnWeakSignal(ep)
+		e.recordRejection(ep, obs)
+		e.applyFailureRules(ep, obs)
 	default:
-		ep.answerLost = ep.answerLost || obs.outcome == Reset
-		if obs.outcome == Timeout || obs.outcome == Reset {
-			// Calls may be lost with the connection that carries them: the next one takes a fresh one.
-			e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
-			// A later call was answered, or the route lives: this one says nothing of its standing.
-			// Nor does a call with less time than an answer takes. Guards against a backlog whose late calls
-			// keep a route in doubt for good.
-			if ep.lastAnsweredSendAt >= obs.sentAt || (obs.outcome == Reset || obs.truncated) && e.recentlyHealthy(ep) {
-				return
-			}
-		}
-		if obs.outcome == Timeout {
-			e.recordLatency(ep, latency+latency/2)
-		}
-		obs.connectExhausted = e.looksConnectExhausted(ep, obs)
-		if obs.outcome == ConnectFailed && e.now-obs.sentAt < minLatencyBound {
-			e.connectShortageUntil[ep.Kind] = e.now + connectShortageWindow
-		}
-		if obs.connectExhausted {
-			ep.scope.connectExhaustions++
-			e.suspectOnWeakSignal(ep)
-			break
-		}
-		ep.consecutiveFailures, ep.consecutiveRejections = ep.consecutiveFailures+1, 0
-		// An outage answers no call or fails most at once: time-outs between answers are losses, not that.
-		if obs.outcome == Error || obs.outcome == ConnectFailed {
-			ep.recentFailures = ep.recentFailures<<1 | 1
-			ep.scope.lastFailureSentAt = max(ep.scope.lastFailureSentAt, obs.sentAt)
-		}
-		if ep.consecutiveFailures >= suspectAfterFailures || bits.OnesCount8(ep.recentFailures) >= suspectAfterRecentFailures {
-			e.suspect(ep)
-		} else {
-			e.suspectWeakly(ep)
-		}
-		// Failures in a row over all routes of a gate tell of an outage of them all.
-		if ep.scope.consecutiveFailures++; ep.scope.consecutiveFailures >= ejectAfterFailures {
-			e.suspectScope(ep, obs)
-		}
-	}
-	// A call cut off early, for lack of time left, may cast doubt on its route but skips none.
-	if obs.truncated {
-		return
-	}
-	for _, rule := range failureRules {
-		if rule.matches(e, ep, obs) {
-			if rule.respond != nil {
-				rule.respond(e, ep, obs)
-			}
-			if rule.ejects {
-				e.eject(ep, obs.sentAt)
-			}
-			return
-		}
+		e.observeFailure(ep, obs, latency)
 	}
 }
 
-func (e *Engine) recordSuccess(ep *endpoint, sent, latency time.Duration) {
+// recordSuccess records a delivery.
+func (e *Engine) recordSuccess(ep *endpoint, sentAt, latency time.Duration) {
 	scope := ep.scope
-	// A table that was full and takes a call again was not away. Guards against connections closed after
-	// every use for an outage of others: each call of a fleet then cost a handshake.
+	// A connection table that was full and takes a call again was no outage. Guards against connections that are closed
+	// after every use during an outage of other endpoints: each call of a fleet then costs a handshake.
 	if scope.connectExhaustions > 0 && scope.consecutiveFailures == 0 && e.settings.FleetSize > smallFleetSize {
 		e.closeIdleUntil[ep.Kind] = e.now + connectShortageWindow
 	}
-	ep.lastSuccessAt, ep.lastAnsweredSendAt, ep.consecutiveFailures, ep.consecutiveRejections, ep.answerLost = e.now, max(ep.lastAnsweredSendAt, sent), 0, 0, false
-	ep.recentFailures, scope.consecutiveFailures, scope.connectExhaustions = ep.recentFailures<<1, 0, 0
+	ep.lastSuccessAt = e.now
+	ep.lastAnsweredSendAt = max(ep.lastAnsweredSendAt, sentAt)
+	ep.consecutiveFailures = 0
+	ep.consecutiveRejections = 0
+	ep.recentFailures <<= 1
+	ep.answerLost = false
+	scope.consecutiveFailures = 0
+	scope.connectExhaustions = 0
 	e.recordLatency(ep, latency)
 	if ep.ejected {
-		ep.ejected, ep.ejectedUntil, ep.ejectionTime = false, 0, 0
-		// Where a sibling answered all the while, the destination was not away: its pace stands.
-		if !slices.ContainsFunc(scope.endpoints, func(other *endpoint) bool { return other != ep && e.recentlyHealthy(other) }) {
-			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = pacingRestartRate, 0, e.now
-		}
+		e.endEjection(ep)
 	}
 	e.recordDelivery(scope)
-	// What was sent before a call that failed at once tells of no return.
-	if ep.consecutiveSuccesses++; ep.warmingUp && ep.recoveredAt == 0 && sent > ep.lastFailureSentAt {
-		ep.recoveredAt, ep.warmingUp = e.now, !ep.weaklySuspected || e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() > 1
+	ep.consecutiveSuccesses++
+	// The delivery of a call that was sent before one that failed at once does not show a recovery.
+	if ep.warmingUp && ep.recoveredAt == 0 && sentAt > ep.lastFailureSentAt {
+		e.startWarmUp(ep)
 	}
 	e.increasePacing(scope)
 }
+
+// endEjection returns an ejected endpoint that has delivered to service.
+func (e *Engine) endEjection(ep *endpoint) {
+	ep.ejected = false
+	ep.ejectedUntil = 0
+	ep.ejectionTime = 0
+	scope := ep.scope
+	siblingHealthy := slices.ContainsFunc(scope.endpoints, func(other *endpoint) bool {
+		return other != ep && e.recentlyHealthy(other)
+	})
+	if siblingHealthy {
+		return // the scope was never out, and its pacing rate stays
+	}
+	scope.pacingRate = pacingRestartRate
+	scope.tokens = 0
+	scope.tokensUpdatedAt = e.now
+}
+
+// recordRejection records a call that was rejected by a limit or an overload.
+func (e *Engine) recordRejection(ep *endpoint, obs observation) {
+	if ep.consecutiveRejections == 0 {
+		ep.firstRejectedAt = e.now
+	}
+	ep.consecutiveRejections++
+	ep.scope.lastFailureSentAt = max(ep.scope.lastFailureSentAt, obs.sentAt)
+	e.suspectOnWeakSignal(ep)
+}
+
+// observeFailure learns about an endpoint from a call that was neither delivered nor rejected.
+func (e *Engine) observeFailure(ep *endpoint, obs observation, latency time.Duration) {
+	ep.answerLost = ep.answerLost || obs.outcome == Reset
+	if obs.outcome == Timeout || obs.outcome == Reset {
+		// Calls may be lost with the connection that carries them: the next one takes a fresh connection.
+		e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
+		if e.isNoEvidence(ep, obs) {
+			return
+		}
+	}
+	if obs.outcome == Timeout {
+		e.recordLatency(ep, latency+latency/2) // its answer takes longer than the timeout
+	}
+	obs.connectExhausted = e.looksConnectExhausted(ep, obs)
+	if e.failedToConnectAtOnce(obs) {
+		e.connectShortageUntil[ep.Kind] = e.now + connectShortageWindow
+	}
+	if obs.connectExhausted {
+		ep.scope.connectExhaustions++
+		e.suspectOnWeakSignal(ep)
+	} else {
+		e.recordFailure(ep, obs)
+	}
+	e.applyFailureRules(ep, obs)
+}
+
+// isNoEvidence reports whether a lost call says nothing about the health of its endpoint: a later call was answered, or
+// the endpoint is healthy and either the connection broke or the attempt had less time than an answer takes. Guards
+// against a backlog whose late attempts keep an endpoint suspect for good.
+func (e *Engine) isNoEvidence(ep *endpoint, obs observation) bool {
+	if ep.lastAnsweredSendAt >= obs.sentAt {
+		return true
+	}
+	return (obs.outcome == Reset || obs.truncated) && e.recentlyHealthy(ep)
+}
+
+// recordFailure counts a failure of an endpoint and of its scope, and makes them suspect.
+func (e *Engine) recordFailure(ep *endpoint, obs observation) {
+	scope := ep.scope
+	ep.consecutiveFailures++
+	ep.consecutiveRejections = 0
+	// In an outage all calls, or most of them, fail at once. Timeouts between answers are lost calls instead.
+	if obs.outcome == Error || obs.outcome == ConnectFailed {
+		ep.recentFailures = ep.recentFailures<<1 | 1
+		scope.lastFailureSentAt = max(scope.lastFailureSentAt, obs.sentAt)
+	}
+	mostlyFailing := bits.OnesCount8(ep.recentFailures) >= suspectAfterRecentFailures
+	if ep.consecutiveFailures >= suspectAfterFailures || mostlyFailing {
+		e.suspect(ep)
+	} else {
+		e.suspectWeakly(ep)
+	}
+	// Consecutive failures over all endpoints of a scope show an outage of them all.
+	scope.consecutiveFailures++
+	if scope.consecutiveFailures >= ejectAfterFailures {
+		e.suspectScope(ep, obs)
+	}
+}
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -6,20 +6,29 @@
 	"time"
 )
 
+// Pacing rates. A scope has a token bucket whose rate falls by half with a rejection and grows with successes.
 const (
-	pacingRestartRate    = 1.0                    // calls a second after a skip
-	minPacingRate        = 0.03                   // calls a second under which a pace does not fall
-	minPacingShareRatio  = 0.5                    // of its even part of the limit: a pace does not fall below
-	pacingGrowth         = 0.25                   // growth of the pace with each success
-	cautiousPacingGrowth = 0.03                   // the same near the rate that was refused last
-	maxGrowthSeconds     = 8                      // most seconds that one success counts for
-	nearLimitRatio       = 0.85                   // "near": above this share of that rate
-	maxUnusedPacingRatio = 3.0                    // above this multiple of the rate in use a pace does not grow
-	pacingBurstWindow    = 300 * time.Millisecond // span of pace that may be sent at once after idling
-	sparseSpreadCalls    = 1.0                    // calls at the pace over which refused sparse senders spread
+	pacingRestartRate    = 1.0  // calls a second after an ejection
+	minPacingRate        = 0.03 // calls a second: a rate does not fall below this
+	minPacingShareRatio  = 0.5  // nor below this fraction of its even share of the limit
+	pacingDecreaseFactor = 0.5  // of the rate in use, at a rejection
+	pacingBurstWindow    = 300 * time.Millisecond
 )
 
-// decreasePacing sets the pace to half the last second's rate, once for all calls that were out together.
+// Growth of a pacing rate with successes.
+const (
+	pacingGrowth         = 0.25 // with each success
+	cautiousPacingGrowth = 0.03 // the same near the rate that was rejected last
+	nearLimitRatio       = 0.85 // "near" is above this fraction of that rate
+	maxGrowthSeconds     = 8    // seconds that one success may stand for
+	maxUnusedPacingRatio = 3.0  // a rate above this multiple of the one in use does not grow
+)
+
+// sparseSpreadCalls is the number of calls, at the pacing rate, over which relays with sparse shares spread after a
+// rejection that reached them together.
+const sparseSpreadCalls = 1.0
+
+// decreasePacing sets the pacing rate to half the last second's rate, once for all calls that were in flight together.
 func (e *Engine) decreasePacing(ep *endpoint, obs observation) {
 	scope := ep.scope
 	if obs.sentAt < scope.decreasedAt {
@@ -30,20 +39,25 @@
 		rate = math.Min(rate, scope.pacingRate)
 	}
 	if e.isLargeFleet(scope) {
-		scope.lastRejectedRate, scope.pacingRate = 0, e.fleetRateAfterRejection(ep, cmp.Or(rate, scope.pacingRate)) // one in seconds: none in the last
+		// With one call in several seconds there may be none in the last one.
+		scope.pacingRate = e.fleetRateAfterRejection(ep, cmp.Or(rate, scope.pacingRate))
+		scope.lastRejectedRate = 0
 	} else {
-		// Counts of few calls a second are rough: halvings must not starve a gate whose limit is known.
-		least := math.Max(minPacingRate, minPacingShareRatio*e.knownLimit(scope)/float64(e.settings.FleetSize))
-		scope.lastRejectedRate, scope.pacingRate = math.Max(rate, least), math.Max(rate/2, least)
+		// A count of few calls a second is rough: decreases must not starve a scope whose limit is known.
+		lowest := math.Max(minPacingRate, minPacingShareRatio*e.knownLimit(scope)/float64(e.settings.FleetSize))
+		scope.lastRejectedRate = math.Max(rate, lowest)
+		scope.pacingRate = math.Max(rate*pacingDecreaseFactor, lowest)
 	}
-	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 0, e.now, e.now
-	// A clump refused at hundreds of senders comes again spread over a call's time.
+	scope.tokens = 0
+	scope.tokensUpdatedAt = e.now
+	scope.decreasedAt = e.now
+	// Calls that were rejected together at hundreds of relays come again spread over the time of a call.
 	if e.hasSparseShare(scope) {
 		scope.tokens = 0.5 - sparseSpreadCalls*e.rng.Float64()
 	}
 }
 
-// increasePacing lets the pace grow with a success, slowly near the rate that was refused last.
+// increasePacing lets the pacing rate grow with a success, slowly near the rate that was rejected last.
 func (e *Engine) increasePacing(scope *limitScope) {
 	if scope.pacingRate == 0 {
 		return
@@ -52,51 +66,64 @@
 	if scope.pacingRate > maxUnusedPacingRatio*math.Max(1, e.sendRate(scope)) {
 		return
 	}
-	growth := pacingGrowth
-	if e.isLargeFleet(scope) {
-		growth = e.fleetPacingGrowth(scope)
-	} else if scope.lastRejectedRate > 0 && scope.pacingRate > nearLimitRatio*scope.lastRejectedRate {
-		growth = cautiousPacingGrowth
-	}
+	growth := e.pacingGrowth(scope)
 	if growth == 0 {
 		return
 	}
-	// Where successes are seconds apart, each counts for the seconds that it stands for.
-	steps := min(max(1, (e.now-max(scope.increasedAt, scope.decreasedAt)).Seconds()), maxGrowthSeconds)
-	was := scope.pacingRate
-	scope.pacingRate, scope.increasedAt = scope.pacingRate*math.Pow(1+growth, steps), e.now
+	// Where successes are seconds apart, each stands for the seconds since the last one.
+	sinceChange := e.now - max(scope.increasedAt, scope.decreasedAt)
+	steps := min(max(1, sinceChange.Seconds()), maxGrowthSeconds)
+	previous := scope.pacingRate
+	scope.pacingRate *= math.Pow(1+growth, steps)
+	scope.increasedAt = e.now
 	if e.isLargeFleet(scope) {
-		e.boundPacing(scope, was)
+		e.boundPacing(scope, previous)
 	}
-	// While one call carries all that waits, more than this part only takes the room of others' backlogs.
-	if n := e.maxBatch(scope.kind); n > 1 && len(scope.destination.queue) < n && e.knownLimit(scope) > 0 {
+	// While one call carries all waiting messages, more than the fair share only takes capacity from other relays'
+	// backlogs.
+	batch := e.maxBatch(scope.kind)
+	if batch > 1 && len(scope.destination.queue) < batch && e.knownLimit(scope) > 0 {
 		scope.pacingRate = math.Min(scope.pacingRate, e.fairShare(scope))
 	}
 }
 
-// burstTokens is how many calls beyond one a gate's sender may send at once after idling.
+// pacingGrowth returns the growth of a pacing rate with one success.
+func (e *Engine) pacingGrowth(scope *limitScope) float64 {
+	switch {
+	case e.isLargeFleet(scope):
+		return e.fleetPacingGrowth(scope)
+	case scope.lastRejectedRate > 0 && scope.pacingRate > nearLimitRatio*scope.lastRejectedRate:
+		return cautiousPacingGrowth
+	}
+	return pacingGrowth
+}
+
+// burstTokens returns how many calls beyond one may be sent at once after a time without calls.
 func (e *Engine) burstTokens(scope *limitScope) float64 {
+	burst := scope.pacingRate * pacingBurstWindow.Seconds()
 	if e.isLargeFleet(scope) {
-		return math.Max(fleetBurstTokens, scope.pacingRate*pacingBurstWindow.Seconds())
+		return math.Max(fleetBurstTokens, burst)
 	}
-	return scope.pacingRate * pacingBurstWindow.Seconds()
+	return burst
 }
 
-// tokenRate is the pace that a gate's tokens grow with: of a part that is lent, what is left.
+// tokenRate returns the rate at which a scope's tokens grow: the pacing rate, without the part that is lent.
 func (e *Engine) tokenRate(scope *limitScope) float64 {
 	if scope.quotaShared && scope.reservedFraction < 1 {
-		return math.Min(scope.pacingRate, e.knownLimit(scope)/float64(e.settings.FleetSize)) * scope.reservedFraction
+		evenShare := e.knownLimit(scope) / float64(e.settings.FleetSize)
+		return math.Min(scope.pacingRate, evenShare) * scope.reservedFraction
 	}
 	return scope.pacingRate
 }
 
-// refillTokens adds to a gate's tokens what its pace has earned, up to one and a burst.
+// refillTokens adds the tokens of the time since the last refill, up to one and a burst.
 func (e *Engine) refillTokens(scope *limitScope) {
-	scope.tokens = math.Min(1+e.burstTokens(scope), scope.tokens+e.tokenRate(scope)*(e.now-scope.tokensUpdatedAt).Seconds())
+	earned := e.tokenRate(scope) * (e.now - scope.tokensUpdatedAt).Seconds()
+	scope.tokens = math.Min(1+e.burstTokens(scope), scope.tokens+earned)
 	scope.tokensUpdatedAt = e.now
 }
 
-// callInterval is the time between calls at a rate.
+// callInterval returns the time between calls at a rate, an hour at most.
 func callInterval(rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Hour
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -152,13 +152,13 @@
 		o    observation
 		skip bool
 	}{
-		{"shut", endpoint{}, observation{outcome: Overloaded, retryAfter: 5 * time.Second}, true},
-		{"shut", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime}, observation{outcome: Overloaded}, true},
-		{"full", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime + 1}, observation{outcome: Overloaded, retryAfter: time.Second}, false},
+		{"outage", endpoint{}, observation{outcome: Overloaded, retryAfter: 5 * time.Second}, true},
+		{"outage", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime}, observation{outcome: Overloaded}, true},
+		{"rejected", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime + 1}, observation{outcome: Overloaded, retryAfter: time.Second}, false},
 		{"trial failed", endpoint{ejected: true}, observation{outcome: Error}, true},
-		{"crowded", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed, connectExhausted: true}, false},
+		{"connect exhausted", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed, connectExhausted: true}, false},
 		{"failed", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed}, false},
-		{"in a row", endpoint{consecutiveFailures: 3, lastSuccessAt: now - time.Second}, observation{outcome: ConnectFailed}, true},
+		{"consecutive failures", endpoint{consecutiveFailures: 3, lastSuccessAt: now - time.Second}, observation{outcome: ConnectFailed}, true},
 		{"mostly failing", endpoint{consecutiveFailures: 1, recentFailures: 0b10111010}, observation{outcome: Error}, true},
 		{"failed", endpoint{consecutiveFailures: 1, recentFailures: 0b1011010}, observation{outcome: Error}, false},
 		{"failed", endpoint{consecutiveFailures: 2}, observation{outcome: Timeout}, false},
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,11 +5,12 @@
 	"sort"
 )
 
-// precedes tells which of two messages goes first.
+// precedes reports whether message a is sent before message b.
 func precedes(a, b *message) bool {
 	return a.queueRank < b.queueRank || a.queueRank == b.queueRank && a.id < b.id
 }
 
+// enqueue puts a message in the queue of its destination.
 func (e *Engine) enqueue(msg *message) {
 	dest := msg.destination
 	i := sort.Search(len(dest.queue), func(i int) bool { return precedes(msg, dest.queue[i]) })
@@ -22,6 +23,7 @@
 	}
 }
 
+// dequeue takes a message out of the queue of its destination, if it is there.
 func (e *Engine) dequeue(msg *message) {
 	if !msg.queued {
 		return
@@ -30,8 +32,8 @@
 	dest := msg.destination
 	i := sort.Search(len(dest.queue), func(i int) bool { return !precedes(dest.queue[i], msg) })
 	if len(dest.queue) > maxQueueScan && i < len(dest.queue)/2 {
-		// Most leave at the front. Guards against a long queue that is moved for each of its messages, as when all miss
-		// their aims.
+		// Most messages leave at the front. Guards against a long queue that is moved for each of its messages, as when
+		// all of them miss their latency objectives.
 		copy(dest.queue[1:i+1], dest.queue[:i])
 		dest.queue[0] = nil
 		dest.queue = dest.queue[1:]
@@ -39,8 +41,15 @@
 		dest.queue = slices.Delete(dest.queue, i, i+1)
 	}
 	if len(dest.queue) == 0 {
-		last := e.active[len(e.active)-1]
-		e.active[dest.activeIndex-1], last.activeIndex = last, dest.activeIndex
-		e.active, dest.activeIndex = e.active[:len(e.active)-1], 0
+		e.deactivate(dest)
 	}
 }
+
+// deactivate takes a destination out of the active ones; the last of them takes its place.
+func (e *Engine) deactivate(dest *destination) {
+	last := e.active[len(e.active)-1]
+	e.active[dest.activeIndex-1] = last
+	last.activeIndex = dest.activeIndex
+	e.active = e.active[:len(e.active)-1]
+	dest.activeIndex = 0
+}
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -195,7 +195,7 @@
 
 // wrong judges what became of the messages.
 func (f *find) wrong(calls map[int]int) (faults []string) {
-	const spread = initialSpreadTime + 200*time.Millisecond // first calls of many come within this
+	const spread = MaxInitialSpread + 200*time.Millisecond // first calls of many come within this
 	for _, m := range f.msgs {
 		listed := time.Duration(0)
 		if f.waiting[m.dest] {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,37 +2,32 @@
 
 import (
 	"cmp"
-	"math"
 	"time"
 )
 
+// attemptFinished applies the outcome of an attempt: to the call that it was part of, to the endpoint and to its
+// message, which is retried if it may be.
 func (e *Engine) attemptFinished(event *Event) {
 	msg := e.messages[event.MessageID]
-	ep, c := e.endpoints[event.Endpoint], e.takeCall(msg, event.Attempt)
+	ep := e.endpoints[event.Endpoint]
+	c := e.takeCall(msg, event.Attempt)
 	if c != nil {
-		ep = c.endpoint
+		ep = c.endpoint // which may have been removed
 	}
-	// A told wait keeps every message from the gate until it is over, whoever was told.
 	if ep != nil && event.RetryAfter > 0 {
-		ep.scope.retryAfterUntil = max(ep.scope.retryAfterUntil, e.now+event.RetryAfter)
+		ep.scope.retryAfter(e.now + event.RetryAfter)
 	}
 	if c == nil {
 		return
 	}
 	e.recordLimit(ep, event.LimitReport)
-	c.pending, c.delivered = c.pending-1, c.delivered || event.Outcome == OK
+	c.pending--
+	c.delivered = c.delivered || event.Outcome == OK
 	if c.pending == 0 {
-		e.recordCallEnd(c)
-		outcome := event.Outcome
-		if c.delivered {
-			outcome = OK
-		}
-		due := c.sentAt + min(minLatencyBound, cmp.Or(msg.class.LatencyObjective, minLatencyBound))
-		truncated := (outcome == Timeout || outcome == ConnectFailed) && c.timeoutAt < due
-		e.observeOutcome(ep, observation{outcome: outcome, retryAfter: event.RetryAfter, sentAt: c.sentAt, truncated: truncated}, event.Latency)
+		e.callFinished(c, msg, event)
 	}
 	e.recheck(msg.destination)
-	e.recordPossibleEffect(msg, event, c)
+	e.recordPossibleRun(msg, event, c)
 	switch {
 	case event.MessageEnded:
 		e.finishMessage(msg)
@@ -45,8 +40,25 @@
 	}
 }
 
-// recordPossibleEffect notes for a message what its attempt may have done.
-func (e *Engine) recordPossibleEffect(msg *message, event *Event, c *call) {
+// callFinished learns from a call whose last outcome is in. It counts as delivered if any of its messages was.
+func (e *Engine) callFinished(c *call, msg *message, event *Event) {
+	e.recordCallEnd(c)
+	outcome := event.Outcome
+	if c.delivered {
+		outcome = OK
+	}
+	answerExpectedAt := c.sentAt + min(minLatencyBound, cmp.Or(msg.class.LatencyObjective, minLatencyBound))
+	e.observeOutcome(c.endpoint, observation{
+		outcome:    outcome,
+		retryAfter: event.RetryAfter,
+		sentAt:     c.sentAt,
+		truncated:  (outcome == Timeout || outcome == ConnectFailed) && c.timeoutAt < answerExpectedAt,
+	}, event.Latency)
+}
+
+// recordPossibleRun records what an attempt may have done: its message may have run unless the outcome proves that it
+// has not.
+func (e *Engine) recordPossibleRun(msg *message, event *Event, c *call) {
 	switch event.Outcome {
 	case ConnectFailed:
 		msg.lastFailedEndpoint = c.endpoint
@@ -56,8 +68,9 @@
 	case Timeout, Reset, Cancelled:
 		msg.timeouts++
 		if msg.keyQueue != nil {
-			msg.keyQueue.pausedUntil = max(msg.keyQueue.pausedUntil, e.now+e.settings.OrderingPause)
+			msg.keyQueue.pause(e.now + e.settings.OrderingPause)
 		}
+	case OK, Error: // it has run, or an answer came
 	}
 	msg.lastFailedEndpoint = c.endpoint
 	if !msg.mayHaveRun || c.sentAt < msg.firstRunAt {
@@ -65,86 +78,116 @@
 	}
 }
 
-// recordFirstRun notes that an attempt of m, sent at so, may have run, and has m looked at when repeats stop being dropped.
-func (e *Engine) recordFirstRun(msg *message, at time.Duration, zone int) {
-	msg.mayHaveRun, msg.firstRunAt, msg.firstRunZone = true, at, zone
+// recordFirstRun records the first attempt that may have run. A message with an idempotency key is looked at when
+// repeats are no longer dropped.
+func (e *Engine) recordFirstRun(msg *message, sentAt time.Duration, zone int) {
+	msg.mayHaveRun = true
+	msg.firstRunAt = sentAt
+	msg.firstRunZone = zone
 	if msg.class.Effect == IdempotentByKey {
-		e.deadlines.push(deadlineEntry{msg.dedupWindowEnd(), msg})
+		e.addDeadline(msg.dedupWindowEnd(), msg)
 	}
 }
 
-// dedupWindowEnd is when the last repeat of a keyed message that may have run must be sent.
+// dedupWindowEnd returns the time until which a message with an idempotency key may be retried that may have run.
 func (msg *message) dedupWindowEnd() time.Duration {
 	return msg.firstRunAt + msg.class.DedupWindow - deadlineMargin
 }
 
-// attemptsExhausted tells whether attemptAllowedAt can never again allow a send of m, whatever becomes of the routes.
+// usedAllAttempts reports whether the number of attempts of a message is used up.
+func (msg *message) usedAllAttempts() bool {
+	return msg.maxAttempts > 0 && msg.attempts >= msg.maxAttempts
+}
+
+// attemptsExhausted reports whether attemptAllowedAt can never again allow an attempt, whatever becomes of the
+// endpoints.
 func (e *Engine) attemptsExhausted(msg *message) bool {
 	switch {
 	case msg.ended || len(msg.inFlight) > 0:
 		return false
-	case msg.maxAttempts > 0 && msg.attempts >= msg.maxAttempts:
+	case msg.usedAllAttempts():
 		return true
+	case !msg.mayHaveRun:
+		return false
 	}
-	return msg.mayHaveRun && (msg.class.Effect == NonIdempotent || msg.class.Effect == IdempotentByKey && e.now >= msg.dedupWindowEnd())
+	switch msg.class.Effect {
+	case NonIdempotent:
+		return true
+	case IdempotentByKey:
+		return e.now >= msg.dedupWindowEnd()
+	case Idempotent:
+	}
+	return false
 }
 
-// mayReject tells whether a refusal keeps the rule of effects: the client may come again.
+// mayReject reports whether the client of a message may safely retry it: a repeat does no harm anywhere, or the message
+// has not run.
 func (e *Engine) mayReject(msg *message) bool {
-	free := msg.class.Effect == Idempotent || msg.class.Effect == IdempotentByKey && msg.class.DedupAllZones
-	return !msg.ended && (free || !msg.mayHaveRun && len(msg.inFlight) == 0)
+	if msg.ended {
+		return false
+	}
+	if msg.class.Effect == Idempotent || msg.class.Effect == IdempotentByKey && msg.class.DedupAllZones {
+		return true
+	}
+	return !msg.mayHaveRun && len(msg.inFlight) == 0
 }
 
-// attemptAllowedAt is the one guard of all sends. It tells when a send of m to r keeps the rules;
-// math.MaxInt64 if never as things stand.
+// attemptAllowedAt returns the time at which an attempt of a message at an endpoint keeps the six rules; never as
+// things stand. It is the one guard of all attempts.
 func (e *Engine) attemptAllowedAt(msg *message, ep *endpoint) time.Duration {
-	const never = time.Duration(math.MaxInt64)
-	// Rule 1: nothing after the end, nothing past the time or the attempts.
-	if msg.ended || e.now >= msg.deadline || msg.maxAttempts > 0 && msg.attempts >= msg.maxAttempts {
+	// Rule 1: nothing after the final answer, the deadline or the last attempt.
+	if msg.ended || e.now >= msg.deadline || msg.usedAllAttempts() {
 		return never
 	}
-	// Rule 2: one attempt at a time; repeats only where they are dropped.
-	if len(msg.inFlight) > 0 {
+	// Rule 2: one attempt at a time, and repeats only where they are dropped.
+	if len(msg.inFlight) > 0 || msg.mayHaveRun && !e.mayRepeat(msg, ep) {
 		return never
 	}
-	if msg.mayHaveRun {
-		switch msg.class.Effect {
-		case NonIdempotent:
-			return never
-		case IdempotentByKey:
-			if !msg.class.DedupAllZones && ep.Zone != msg.firstRunZone || e.now >= msg.dedupWindowEnd() {
-				return never
-			}
-		}
-	}
-	// Rule 3: routes in service only.
+	// Rule 3: endpoints in service only.
 	if !ep.InService || ep.Removed || ep.Destination != msg.destination.id {
 		return never
 	}
-	// Rule 6: the key's turn and its rest.
-	at := time.Duration(0)
+	// Rule 6: one message of an ordering key after another, with pauses.
+	orderedAt := time.Duration(0)
 	if queue := msg.keyQueue; queue != nil {
 		if queue.messages[0] != msg {
 			return never
 		}
 		if msg.attempts == 0 {
-			at = queue.pausedUntil
+			orderedAt = queue.pausedUntil
 		}
 	}
-	// Rule 4: the recovery budget. Rule 5: told waits.
-	return max(at, ep.scope.retryAfterUntil, e.recoveryBudgetAt(ep))
+	// Rule 4: the recovery budget. Rule 5: Retry-After.
+	return max(orderedAt, ep.scope.retryAfterUntil, e.recoveryBudgetAt(ep))
+}
+
+// mayRepeat reports whether an endpoint drops a repeat of a message that may have run, or the repeat does no harm.
+func (e *Engine) mayRepeat(msg *message, ep *endpoint) bool {
+	switch msg.class.Effect {
+	case NonIdempotent:
+		return false
+	case IdempotentByKey:
+		sameGroup := msg.class.DedupAllZones || ep.Zone == msg.firstRunZone
+		return sameGroup && e.now < msg.dedupWindowEnd()
+	case Idempotent:
+	}
+	return true
 }
 
-// StillAllowed tells whether a call to a route that was decided earlier, with these messages, may leave at now. Guards
-// against one that was held up, by a slow connection say, while a drain or a wait was told, or until a message that
-// may have run is past the time in which its repeat is dropped.
+// StillAllowed reports whether a call that was decided earlier may still be sent to an endpoint with these messages.
+// Guards against a call that was held up, by a slow connection say, while the endpoint began to drain or sent a
+// Retry-After, or until repeats of a message that may have run are no longer dropped.
 func (e *Engine) StillAllowed(endpointID string, messageIDs []uint32, now time.Duration) bool {
 	ep := e.endpoints[endpointID]
 	if ep == nil || !ep.InService || now < ep.scope.retryAfterUntil {
 		return false
 	}
 	for _, id := range messageIDs {
-		if msg := e.messages[id]; msg != nil && msg.mayHaveRun && msg.class.Effect == IdempotentByKey && now >= msg.dedupWindowEnd() {
+		msg := e.messages[id]
+		if msg == nil || !msg.mayHaveRun || msg.class.Effect != IdempotentByKey {
+			continue
+		}
+		if now >= msg.dedupWindowEnd() {
 			return false
 		}
 	}
--- a/policy/scope.go
+++ b/policy/scope.go
@@ -5,79 +5,94 @@
 	"time"
 )
 
-// limitScope is the scope that shares a limit, a pace, told waits and outages: a destination, or one route
-// where its kind has separate routes.
+// limitScope is the set of endpoints that share a rate limit, a Retry-After time and their outages: all endpoints of a
+// destination, or a single one where its kind has a limit per endpoint.
 type limitScope struct {
-	destination         *destination
-	endpoints           []*endpoint // sorted by rank
-	perEndpoint         bool
-	kind                int
-	retryAfterUntil     time.Duration // no send before this: a told wait
-	pacingRate          float64       // calls a second; 0: free
-	lastRejectedRate    float64       // rate that was refused last
-	decreasedAt         time.Duration
-	increasedAt         time.Duration
-	tokens              float64
-	tokensUpdatedAt     time.Duration
-	recentSends         []time.Duration // sends of the last second
-	recoveryTokens      float64         // calls that routes in doubt may take now, as of recoveryUpdatedAt; one at most
+	destination *destination
+	endpoints   []*endpoint // in the order of selection
+	perEndpoint bool        // holds a single endpoint
+	kind        int
+
+	retryAfterUntil time.Duration // no call before this: a Retry-After is in force
+	inFlight        int           // calls
+
+	// Pacing, see pacing.go.
+	pacingRate       float64 // calls a second; 0: not paced
+	lastRejectedRate float64 // rate at the last rejection; 0: none
+	decreasedAt      time.Duration
+	increasedAt      time.Duration
+	tokens           float64
+	tokensUpdatedAt  time.Duration
+	recentSends      []time.Duration // calls of the last second
+
+	// Capacity, see capacity.go.
+	reportedLimit  float64 // calls a second; 0: not reported
+	deliveryRate   float64 // mean of this relay's deliveries a second, as of deliveryRateAt
+	deliveryRateAt time.Duration
+
+	// Health, see outcome.go and slowstart.go.
+	recoveryTokens      float64 // calls that suspect endpoints may take, as of recoveryUpdatedAt; one at most
 	recoveryUpdatedAt   time.Duration
 	lastFailureSentAt   time.Duration // latest send of a call that failed at once
-	suspectRemovedAt    time.Duration // when a route in doubt last left the list; long ago if none
-	reportedLimit       float64       // reported, calls a second
-	deliveryRate        float64       // own deliveries a second, in the mean, as of deliveryRateAt
-	deliveryRateAt      time.Duration
-	inFlight            int // calls out
-	consecutiveFailures int // failures in a row
-	connectExhaustions  int // failed connections that looked like a full table, since the last delivery
-
-	quotaShared      bool          // others may use a part of this sender's, and it of theirs
-	reservedFraction float64       // of its even part that is its own
-	grantedCalls     int           // calls beyond it
-	grantExpiresAt   time.Duration // until then
+	suspectRemovedAt    time.Duration // last removal of a suspect endpoint; in the distant past if none
+	consecutiveFailures int           // over all endpoints
+	connectExhaustions  int           // connections that failed as at a full table, since the last delivery
+
+	// Quota lent and borrowed, see quota.go.
+	quotaShared      bool          // other relays may use a part of this one's share, and it of theirs
+	reservedFraction float64       // of the even share that is not lent
+	grantedCalls     int           // calls that may be made beyond it
+	grantExpiresAt   time.Duration // and until when
 	quotaRequestedAt time.Duration
 }
 
-// endpoint is one way to a destination, with its entry in the skip table.
+// endpoint is an entry of the endpoint list with its state.
 type endpoint struct {
 	Endpoint
-	scope                         *limitScope
-	tieBreaker                    uint64        // decides between equal routes
-	calls                         []*call       // out, in order of sending
-	ejectedUntil                  time.Duration // skipped by messages before this
-	ejectionTime                  time.Duration // length of the last skip; 0 in good standing
-	ejected                       bool          // skipped, and nothing delivered since
-	warmingUp                     bool          // may be in an outage or coming back from one
-	answerLost                    bool          // an answer was, and none came since
-	weaklySuspected               bool          // on one failure alone: one delivery clears it
-	lastFailureSentAt             time.Duration // gate's, as of the last doubt
-	recoveredAt                   time.Duration // first delivery of a call sent since then, while cold; 0: none yet
-	consecutiveSuccesses          int           // deliveries in a row since the last doubt
-	consecutiveFailures           int           // failures in a row
-	recentFailures                uint8         // last 8 deliveries, errors and failed connections, a bit set for a failure
-	consecutiveRejections         int           // refusals since the last other answer
-	firstRejectedAt               time.Duration // the first of them
-	lastSuccessAt                 time.Duration // last delivery
-	lastAnsweredSendAt            time.Duration // latest send that was answered
-	latencyMean, latencyDeviation time.Duration // answer times
-}
+	scope      *limitScope
+	tieBreaker uint64  // orders equal endpoints
+	calls      []*call // in flight, in the order in which they were sent
 
-// hasSuspect tells whether a route of the gate is in doubt.
-func (scope *limitScope) hasSuspect() bool {
-	return slices.ContainsFunc(scope.endpoints, func(other *endpoint) bool { return other.warmingUp })
+	// Ejection, see ejection.go.
+	ejected      bool          // was ejected, and has delivered nothing since
+	ejectedUntil time.Duration // messages pass it by before this
+	ejectionTime time.Duration // length of the last ejection; 0 if it has delivered since
+
+	// Suspicion and recovery, see suspicion.go and slowstart.go.
+	warmingUp            bool          // suspect: may be in an outage, or is coming back from one
+	weaklySuspected      bool          // on the evidence of one failure: one delivery clears it
+	lastFailureSentAt    time.Duration // the scope's, when the endpoint became suspect
+	recoveredAt          time.Duration // first delivery of a call sent after that, while warming up; 0: none yet
+	consecutiveSuccesses int           // since the endpoint became suspect
+
+	// Outcomes, see outcome.go.
+	consecutiveFailures   int
+	recentFailures        uint8         // last 8 deliveries, errors and failed connections; failures have their bit set
+	consecutiveRejections int           // since the last answer of another kind
+	firstRejectedAt       time.Duration // the first of them
+	answerLost            bool          // an answer was lost, and none came since
+	lastSuccessAt         time.Duration
+	lastAnsweredSendAt    time.Duration // latest send that was answered
+
+	latencyMean      time.Duration
+	latencyDeviation time.Duration // mean deviation
 }
 
-// recentlyHealthy tells whether a route has answered of late.
+// recentlyHealthyWindow is the time for which one delivery shows that an endpoint is up.
+const recentlyHealthyWindow = 3 * time.Second
+
+// recentlyHealthy reports whether an endpoint has delivered of late.
 func (e *Engine) recentlyHealthy(ep *endpoint) bool {
 	return ep.lastSuccessAt > 0 && e.now-ep.lastSuccessAt < recentlyHealthyWindow
 }
 
-// recordLimit notes what a route's destination told of its limit.
-func (e *Engine) recordLimit(ep *endpoint, report LimitReport) {
-	if report.Present && report.Limit > 0 {
-		ep.scope.reportedLimit = report.Limit
-		if least := e.lowestReportedLimit[ep.Kind]; least == 0 || report.Limit < least {
-			e.lowestReportedLimit[ep.Kind] = report.Limit
-		}
-	}
+// hasSuspect reports whether an endpoint of the scope is suspect.
+func (scope *limitScope) hasSuspect() bool {
+	return slices.ContainsFunc(scope.endpoints, func(ep *endpoint) bool { return ep.warmingUp })
+}
+
+// retryAfter blocks the scope until the given time, unless it is blocked for longer. It holds for all messages, not
+// only for the one whose answer carried the Retry-After.
+func (scope *limitScope) retryAfter(until time.Duration) {
+	scope.retryAfterUntil = max(scope.retryAfterUntil, until)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,90 +1,129 @@
 package policy
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
 	"time"
 )
 
-// Effect says what repeating a message of a class may do.
+// Effect says what a repeated delivery of a message of a class does.
 type Effect int
 
-// The three kinds of effect.
+// The effects of a repeated delivery.
 const (
-	Idempotent      Effect = iota // may be repeated and refused at will
-	IdempotentByKey               // repeats are dropped inside a group of routes and a window
-	NonIdempotent                 // must never take effect twice
+	// Idempotent messages may be repeated and rejected at will.
+	Idempotent Effect = iota
+	// IdempotentByKey messages carry an idempotency key: a group of endpoints drops repeats within a time window.
+	IdempotentByKey
+	// NonIdempotent messages must never take effect twice.
+	NonIdempotent
 )
 
-// Class is one class of message.
+// Class is one class of message. Recordings keep it under the tags, so they stay as they are.
 type Class struct {
-	Effect           Effect        `json:"Effect"`
-	DedupAllZones    bool          `json:"GroupAll"` // Keyed: every route of the destination drops repeats; else those of one zone
-	DedupWindow      time.Duration `json:"Window"`   // Keyed: how long repeats are dropped, from the first send that may have run
-	Ordered          bool          `json:"Ordered"`  // messages of one key take turns
-	LatencyObjective time.Duration `json:"Aim"`      // delivered within this, a message earns its full worth
-	Deadline         time.Duration `json:"GiveUp"`   // how long a message may be delivered
-	Weight           float64       `json:"Value"`    // worth of a message; default 1
+	Effect Effect `json:"Effect"`
+	// DedupAllZones, with IdempotentByKey: all endpoints of the destination drop repeats, else those of one zone.
+	DedupAllZones bool `json:"GroupAll"`
+	// DedupWindow, with IdempotentByKey: repeats are dropped for so long from the first attempt that may have run.
+	DedupWindow time.Duration `json:"Window"`
+	// Ordered messages with the same ordering key are delivered one after another.
+	Ordered bool `json:"Ordered"`
+	// LatencyObjective is the time within which a delivery earns the full weight.
+	LatencyObjective time.Duration `json:"Aim"`
+	// Deadline is the time within which a message may be delivered at all.
+	Deadline time.Duration `json:"GiveUp"`
+	// Weight is the priority weight of a message; default 1.
+	Weight float64 `json:"Value"`
 }
 
 // DestinationKind is one kind of destination.
 type DestinationKind struct {
-	LimitPerEndpoint bool `json:"Separate"` // its routes are separate: each has its own limit, pace and outages
-	MaxBatch         int  `json:"PerCall"`  // messages in one call at most; default 1
+	// LimitPerEndpoint gives each endpoint its own limit scope; else a destination has one for all its endpoints.
+	LimitPerEndpoint bool `json:"Separate"`
+	// MaxBatch is the number of messages that one call may carry; default 1.
+	MaxBatch int `json:"PerCall"`
 }
 
 // Tenant is one customer of the service.
 type Tenant struct {
-	Quota float64 `json:"Quota"` // messages a second within its share, over all senders; 0: no share is set
+	// Quota is the traffic in messages a second, over all relays, that the tenant may send; 0: no quota is set.
+	Quota float64 `json:"Quota"`
 }
 
-// Settings are what a Sender is told when it starts. Zero values of optional fields mean their default.
+// Settings configure an Engine. Zero values of optional fields mean their default. Recordings keep them under the tags.
 type Settings struct {
-	Classes               []Class           `json:"Classes"`
-	DestinationKinds      []DestinationKind `json:"Kinds"`
-	Tenants               []Tenant          `json:"Customers"`
-	FleetSize             int               `json:"Senders"`        // senders of the fleet; default 1
-	MaxInFlightCalls      int               `json:"Slots"`          // calls out at once; 0: no limit
-	MaxPendingMessages    int               `json:"MaxHeld"`        // messages held at once; 0: no limit
-	MaxAttempts           int               `json:"MaxAttempts"`    // attempts for a message; 0: no limit
-	MaxRetryAfter         time.Duration     `json:"MaxRetryAfter"`  // longest advice that a client heeds; 0: none is given
-	ApproximateWeights    bool              `json:"RoughWeights"`   // listed weights may be up to half too high or too low
-	IgnoreWeights         bool              `json:"NoWeights"`      // listed weights tell nothing
-	WatchRequired         bool              `json:"AskList"`        // list changes come only after Watch
-	ZoneCosts             []float64         `json:"Carriage"`       // fee for each zone of a separate route
-	WarmUpInitialCapacity float64           `json:"ColdShare"`      // share of its capacity that a destination has after an outage; default 0.1
-	WarmUpDuration        time.Duration     `json:"WarmWithin"`     // and all of it after this; default 30 s
-	OverloadFactor        float64           `json:"OverloadFactor"` // sent more than this multiple of its capacity; default 1
-	OverloadWindow        time.Duration     `json:"OverloadWindow"` // for this long, it falls over
-	OrderingPause         time.Duration     `json:"OrderPause"`     // rest of a key after an attempt that may still run
+	Classes          []Class           `json:"Classes"`
+	DestinationKinds []DestinationKind `json:"Kinds"`
+	Tenants          []Tenant          `json:"Customers"`
+	// FleetSize is the number of relays in the fleet; default 1.
+	FleetSize int `json:"Senders"`
+	// MaxInFlightCalls is the number of concurrent calls; 0: no limit.
+	MaxInFlightCalls int `json:"Slots"`
+	// MaxPendingMessages is the number of messages that may be pending at once; 0: no limit.
+	MaxPendingMessages int `json:"MaxHeld"`
+	// MaxAttempts is the number of attempts for one message; 0: no limit.
+	MaxAttempts int `json:"MaxAttempts"`
+	// MaxRetryAfter is the longest Retry-After that a client heeds; 0: none is given.
+	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
+	// ApproximateWeights: the listed weights may be too high or too low by up to half.
+	ApproximateWeights bool `json:"RoughWeights"`
+	// IgnoreWeights: the listed weights mean nothing.
+	IgnoreWeights bool `json:"NoWeights"`
+	// WatchRequired: changes of the endpoint list only come after a WatchEndpoints action.
+	WatchRequired bool `json:"AskList"`
+	// ZoneCosts is the fee of a call by the endpoint's zone, for kinds with LimitPerEndpoint.
+	ZoneCosts []float64 `json:"Carriage"`
+	// WarmUpInitialCapacity is the fraction of its capacity that a destination has right after an outage; default 0.1.
+	WarmUpInitialCapacity float64 `json:"ColdShare"`
+	// WarmUpDuration is the time after an outage at which a destination has all of its capacity again; default 30 s.
+	WarmUpDuration time.Duration `json:"WarmWithin"`
+	// OverloadFactor is the multiple of its capacity that overloads a destination, sustained for OverloadWindow;
+	// default 1.
+	OverloadFactor float64 `json:"OverloadFactor"`
+	// OverloadWindow is the time over which calls count towards an overload; default 3 s.
+	OverloadWindow time.Duration `json:"OverloadWindow"`
+	// OrderingPause is the pause of an ordering key after an attempt that may still run.
+	OrderingPause time.Duration `json:"OrderPause"`
 }
 
-// maxFleetSize bounds the told number of senders. Guards against one that was mistyped: no sender's part would let a
-// call through within a message's time.
+// Defaults of optional settings.
+const (
+	defaultWarmUpInitialCapacity = 0.1              // fraction of the capacity
+	defaultWarmUpDuration        = 30 * time.Second // time to the full capacity
+	defaultOverloadWindow        = 3 * time.Second  // span over which calls count towards an overload
+	defaultOverloadFactor        = 1                // multiple of the capacity
+)
+
+// maxFleetSize bounds the configured number of relays. Guards against a mistyped one: with a fair share that small, no
+// relay would let a call through within a message's time.
 const maxFleetSize = 1_000_000
 
-// validate tells what makes no sense in settings.
-func (set *Settings) validate() error {
-	if len(set.Classes) == 0 {
+// validate returns an error for settings that make no sense.
+func (settings *Settings) validate() error {
+	if len(settings.Classes) == 0 {
 		return errors.New("policy: settings name no class")
 	}
-	if min(set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts) < 0 {
+	lowestCount := min(
+		settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.MaxAttempts,
+	)
+	if lowestCount < 0 {
 		return errors.New("policy: settings hold a negative count")
 	}
-	if set.FleetSize > maxFleetSize {
-		return fmt.Errorf("policy: settings name %d senders, %d at most", set.FleetSize, maxFleetSize)
+	if settings.FleetSize > maxFleetSize {
+		return fmt.Errorf("policy: settings name %d senders, %d at most", settings.FleetSize, maxFleetSize)
 	}
-	least := min(set.MaxRetryAfter, set.WarmUpDuration, set.OverloadWindow, set.OrderingPause)
-	sum := set.WarmUpInitialCapacity + set.OverloadFactor
-	for _, class := range set.Classes {
-		least = min(least, class.DedupWindow, class.LatencyObjective, class.Deadline)
+	shortest := min(settings.MaxRetryAfter, settings.WarmUpDuration, settings.OverloadWindow, settings.OrderingPause)
+	sum := settings.WarmUpInitialCapacity + settings.OverloadFactor // not a number if one of the figures is none
+	for _, class := range settings.Classes {
+		shortest = min(shortest, class.DedupWindow, class.LatencyObjective, class.Deadline)
 		sum += class.Weight
 	}
-	for _, tenant := range set.Tenants {
+	for _, tenant := range settings.Tenants {
 		sum += tenant.Quota
 	}
-	if least < 0 {
+	if shortest < 0 {
 		return errors.New("policy: settings hold a negative time")
 	}
 	if math.IsNaN(sum) || math.IsInf(sum, 0) {
@@ -92,3 +131,12 @@
 	}
 	return nil
 }
+
+// setDefaults fills optional settings that are not set.
+func (settings *Settings) setDefaults() {
+	settings.FleetSize = max(1, settings.FleetSize)
+	settings.WarmUpInitialCapacity = cmp.Or(max(0, settings.WarmUpInitialCapacity), defaultWarmUpInitialCapacity)
+	settings.WarmUpDuration = cmp.Or(max(0, settings.WarmUpDuration), defaultWarmUpDuration)
+	settings.OverloadWindow = cmp.Or(settings.OverloadWindow, defaultOverloadWindow)
+	settings.OverloadFactor = cmp.Or(max(0, settings.OverloadFactor), defaultOverloadFactor)
+}
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -1,47 +1,59 @@
 package policy
 
+// Evidence that makes an endpoint suspect.
 const (
-	sparseOutageRejections     = 2   // refusals in a row after which a sparse sender doubts
-	weakSignalProbability      = 0.6 // chance that one does, and that a connection failed at once does
-	suspectAfterFailures       = 2   // failures in a row after which a route may be in an outage
-	suspectAfterRecentFailures = 3   // errors or failed connections of the last 8 outcomes that say so
+	suspectAfterFailures       = 2   // consecutive failures after which an endpoint may be in an outage
+	suspectAfterRecentFailures = 3   // failures among the last 8 outcomes after which it may be in one
+	sparseOutageRejections     = 2   // consecutive rejections that do so at a relay with a sparse share
+	weakSignalProbability      = 0.6 // with which one rejection, or a connection that failed at once, does so
 )
 
-// suspect puts a route under the recovery budget.
+// suspect makes an endpoint take calls from the recovery budget only, until it has recovered and warmed up.
 func (e *Engine) suspect(ep *endpoint) {
-	if scope := ep.scope; !scope.hasSuspect() {
-		scope.recoveryTokens, scope.recoveryUpdatedAt = e.rng.Float64(), e.now
-		scope.deliveryRate, scope.deliveryRateAt = e.deliveryRate(scope), e.now
+	scope := ep.scope
+	if !scope.hasSuspect() {
+		scope.recoveryTokens = e.rng.Float64()
+		scope.recoveryUpdatedAt = e.now
+		scope.deliveryRate = e.deliveryRate(scope)
+		scope.deliveryRateAt = e.now
 	}
-	ep.warmingUp, ep.weaklySuspected, ep.recoveredAt, ep.consecutiveSuccesses, ep.lastFailureSentAt = true, false, 0, 0, ep.scope.lastFailureSentAt
+	ep.warmingUp = true
+	ep.weaklySuspected = false
+	ep.recoveredAt = 0
+	ep.consecutiveSuccesses = 0
+	ep.lastFailureSentAt = scope.lastFailureSentAt
 }
 
-// suspectScope does so with all routes that share the limit of one.
+// suspectScope makes all endpoints suspect that share the scope of one.
 func (e *Engine) suspectScope(ep *endpoint, _ observation) {
 	for _, other := range ep.scope.endpoints {
 		e.suspect(other)
 	}
 }
 
-// suspectWeakly puts a route in slight doubt, which one delivery clears, where this sender's part is under a call
-// in the span of a fall. Guards against hundreds of senders, told of one failure each, that push as one.
+// suspectWeakly makes an endpoint suspect until its next delivery, where this relay's share is less than a call in an
+// overload window. Guards against hundreds of relays that saw one failure each, and overload the endpoint together.
 func (e *Engine) suspectWeakly(ep *endpoint) {
-	if !ep.warmingUp && e.hasSparseShare(ep.scope) {
-		e.suspect(ep)
-		ep.weaklySuspected = true
+	if ep.warmingUp || !e.hasSparseShare(ep.scope) {
+		return
 	}
+	e.suspect(ep)
+	ep.weaklySuspected = true
 }
 
-// suspectOnWeakSignal takes two refusals some time apart for a sign of an outage and, where this sender's part is under a call in a
-// warm-up, by chance one refusal or connection failed as at a full table. Guards against many senders told once that
-// all come again. Most refusals being a limit's, some must: those left are under two thirds while they come less than
-// five times as often as others.
+// suspectOnWeakSignal takes two rejections some time apart for a sign of an outage. Where this relay's share is less
+// than a call in a warm-up, it takes one rejection, or a connection that failed as at a full table, for one by chance.
+// Guards against many relays that have seen one failure each and all come back together. Most rejections are those of a
+// limit, so some relays must come back: those that do are under two thirds, while they come less than five times as
+// often as others.
 func (e *Engine) suspectOnWeakSignal(ep *endpoint) {
 	repeated := ep.consecutiveRejections >= sparseOutageRejections && e.now-ep.firstRejectedAt >= minOutageRejectionTime
-	seldom := !e.recentlyHealthy(ep) && e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() < 1
 	if repeated && e.settings.FleetSize > smallFleetSize && !e.hasSparseShare(ep.scope) {
 		e.suspect(ep)
-	} else if repeated || seldom && e.rng.Float64() < weakSignalProbability {
+		return
+	}
+	seldomCalled := !e.recentlyHealthy(ep) && e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() < 1
+	if repeated || seldomCalled && e.rng.Float64() < weakSignalProbability {
 		e.suspectWeakly(ep)
 	}
 }
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -5,25 +5,28 @@
 	"time"
 )
 
-// trafficMeter measures a customer's traffic against its share.
+// The relay's own traffic, by which a large fleet shares out a limit.
+const (
+	trafficWindow        = decayWindow(10 * time.Second) // of the count of accepted messages
+	trafficPriorMessages = 5                             // messages that count as seen at the mean rate, before any
+	ownTrafficRatio      = 0.6                           // part of a fair pacing rate that goes by own traffic
+)
+
+// trafficMeter measures a rate of messages: a level that rises with each message and falls with time. A tenant's falls
+// at the rate of its quota, that of all accepted messages decays.
 type trafficMeter struct {
 	level     float64
 	updatedAt time.Duration
 }
 
-const (
-	trafficWindow        = 10 * time.Second // span over which a sender's own traffic is counted
-	trafficPriorMessages = 5                // messages that count as seen at the usual rate before any
-	ownTrafficRatio      = 0.6              // of a fair pace that goes by own traffic
-)
-
-// countAccepted counts a message that was handed in.
+// countAccepted counts an accepted message.
 func (e *Engine) countAccepted() {
 	meter := &e.acceptedTraffic
-	meter.level, meter.updatedAt = meter.level*decay(e.now-meter.updatedAt, trafficWindow)+1, e.now
+	meter.level = meter.level*trafficWindow.remaining(e.now-meter.updatedAt) + 1
+	meter.updatedAt = e.now
 }
 
-// totalQuota is the customers' told traffic, messages a second over all senders; 0: not told.
+// totalQuota returns the sum of the tenants' quotas, messages a second over all relays; 0: none is set.
 func (e *Engine) totalQuota() (quota float64) {
 	for _, tenant := range e.settings.Tenants {
 		quota += tenant.Quota
@@ -31,14 +34,16 @@
 	return quota
 }
 
-// fairPacingRate is the pace that one of many keeps to until it learns better: its part, by the share of all traffic that its own
-// count and the customers' told rates tell. Guards against senders with much traffic that wait at paces which others do
-// not use.
+// fairPacingRate returns the rate that a relay of a large fleet keeps to until it learns better: its share of the
+// scope, corrected by its share of the traffic as its own count and the tenants' quotas show it. Guards against relays
+// with much traffic that wait at rates which others do not use.
 func (e *Engine) fairPacingRate(scope *limitScope) float64 {
-	share := 1.0
+	trafficShare := 1.0 // of the mean over the relays
 	if quota := e.totalQuota(); quota > 0 {
-		mean := quota / float64(e.settings.FleetSize) * trafficWindow.Seconds() * (1 - decay(e.now-e.startedAt, trafficWindow))
-		share = (trafficPriorMessages + e.acceptedTraffic.level*decay(e.now-e.acceptedTraffic.updatedAt, trafficWindow)) / (trafficPriorMessages + mean)
+		observed := 1 - trafficWindow.remaining(e.now-e.startedAt)
+		mean := quota / float64(e.settings.FleetSize) * trafficWindow.seconds() * observed
+		own := e.acceptedTraffic.level * trafficWindow.remaining(e.now-e.acceptedTraffic.updatedAt)
+		trafficShare = (trafficPriorMessages + own) / (trafficPriorMessages + mean)
 	}
-	return math.Min(e.knownLimit(scope), e.fairShare(scope)*(1-ownTrafficRatio+ownTrafficRatio*share))
+	return math.Min(e.knownLimit(scope), e.fairShare(scope)*(1-ownTrafficRatio+ownTrafficRatio*trafficShare))
 }
