--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
@@ -50,18 +51,18 @@
 	}))
 	ctx, stop := context.WithCancel(context.Background())
 	told := make(chan List, 8)
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 50 * time.Millisecond, version: 4, known: true,
-		told: func(l List) { told <- l }, herd: backoff.Backoff{Clients: 1}, rng: rand.New(rand.NewPCG(1, 2)),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
+		OnUpdate: func(l List) { told <- l }, Backoff: backoff.Backoff{Clients: 1}, Rand: rand.New(rand.NewPCG(1, 2)),
 	}
 	ended := make(chan struct{})
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	select {
 	case l := <-told:
 		if l.Version != 9 || !l.Full {
 			t.Errorf("told %+v", l)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Errorf("never told after %d calls", calls.Load())
 	}
 	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
@@ -95,11 +96,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(old)), silence: patience, told: func(l List) { told <- l },
-		herd: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, rng: rand.New(most{}),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(old)), IdleTimeout: nettest.Patience, OnUpdate: func(l List) { told <- l },
+		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(most{}),
 	}
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	hear := func(version int64) {
 		t.Helper()
 		select {
@@ -107,12 +108,12 @@
 			if l.Version != version {
 				t.Errorf("told version %d, want %d", l.Version, version)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("version %d never told", version)
 		}
 	}
 	hear(5) // and the watch has ended, or ends soon: the next call is half a day away
-	w.agent.move(addrOf(fresh))
+	w.Client.Move(addrOf(fresh))
 	hear(9)
 }
 
@@ -137,13 +138,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := Config{DrainGrace: c.grace}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			caller, rng := listCaller(cfg), rand.New(most{})
+			caller, rng := NewBackoff(cfg), rand.New(most{})
 			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
 			caller.Succeeded()
 			// A watch falls silent right after a line; the next ones are never answered.
-			clock, unasked := watchSilence, time.Duration(0)
+			clock, unasked := WatchIdleTimeout, time.Duration(0)
 			if again := caller.Failed(rng, 0); clock+again > 6*time.Second {
 				t.Errorf("asked again %v after the watch fell silent, when what it missed binds already", clock+again)
 			}
@@ -181,15 +182,15 @@
 	defer func() { stop(); <-ended }()
 	cfg := Config{DrainGrace: 400 * time.Millisecond}
 	cfg.Settings.FleetSize = 300
-	w := watcher{
-		log: quiet(), agent: newAgent(addrOf(s)), silence: 30 * time.Millisecond, known: true,
-		told: func(l List) { told <- l }, herd: listCaller(cfg), rng: rand.New(most{}),
+	w := Watcher{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
+		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
 	}
 	began := time.Now()
-	go func() { w.run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	select {
 	case <-told:
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Fatal("never told")
 	}
 	// Four silent calls and the pauses between; as one of a fleet that asks, the pauses alone are over twenty seconds.
@@ -211,7 +212,7 @@
 		"refused":       0,
 		"turned away":   2 * time.Second,
 		"not connected": time.Second,
-		"silent":        watchSilence,
+		"silent":        WatchIdleTimeout,
 	}
 	for _, ask := range []bool{false, true} {
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
@@ -229,11 +230,11 @@
 					if seed == 0 {
 						rng = rand.New(most{})
 					}
-					caller := listCaller(cfg)
+					caller := NewBackoff(cfg)
 					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
 						caller.Succeeded() // a watch, which falls silent
-						note(watchSilence+caller.Failed(rng, watchSilence), "after a watch")
+						note(WatchIdleTimeout+caller.Failed(rng, WatchIdleTimeout), "after a watch")
 						for i := range 12 {
 							for way, took := range ways {
 								note(took+caller.Failed(rng, took), fmt.Sprintf("after call %d, %s", i, way))
@@ -289,15 +290,15 @@
 			t.Cleanup(func() { stop(); <-ended; s.Close() })
 			cfg := Config{DrainGrace: time.Second}
 			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			w := watcher{
-				log: quiet(), agent: newAgent(addrOf(s)), silence: watchSilence, known: true, version: 4,
-				told: func(List) { told <- time.Now() }, herd: listCaller(cfg), rng: rand.New(most{}),
+			w := Watcher{
+				Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
+				OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
 			}
-			go func() { w.run(ctx); close(ended) }()
+			go func() { w.Run(ctx); close(ended) }()
 			var since time.Time
 			select {
 			case since = <-had:
-			case <-time.After(patience):
+			case <-time.After(nettest.Patience):
 				t.Fatal("no second call")
 			}
 			select {
@@ -307,7 +308,7 @@
 				} else {
 					t.Logf("told after %v", took)
 				}
-			case <-time.After(patience):
+			case <-time.After(nettest.Patience):
 				t.Error("never told")
 			}
 		})
