--- /dev/null
+++ b/internal/relay/step.go
@@ -0,0 +1,123 @@
+package relay
+
+import (
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// stepState is what a step collects from its events, and carries out in the order that step gives.
+type stepState struct {
+	policyEvents    []policy.Event
+	submissions     []*submitEvent
+	sendChecks      []sendCheck
+	metricsRequests []metricsRequest
+	handOff         *handOff // nil: nobody asks to take over
+}
+
+// reset empties the state for the next step. It keeps the slices that only a step refers to, and their room.
+func (s *stepState) reset() {
+	clear(s.submissions)
+	clear(s.sendChecks)
+	clear(s.metricsRequests)
+	*s = stepState{
+		submissions:     s.submissions[:0],
+		sendChecks:      s.sendChecks[:0],
+		metricsRequests: s.metricsRequests[:0],
+	}
+}
+
+// step applies a batch of events, has the policy decide, and carries out what it decides. The order is fixed: state
+// first, then new messages, decisions and calls, and at last the answers to those who asked about the outcome.
+func (r *Relay) step(batch []event) {
+	if r.handed {
+		r.forwardEvents(batch)
+		return
+	}
+	now := r.now()
+	if !r.timerAt.IsZero() && !time.Now().Before(r.timerAt) {
+		r.timerAt = time.Time{}
+	}
+	s := &r.current
+	s.policyEvents = append([]policy.Event(nil), r.deferredEvents...)
+	r.deferredEvents = r.deferredEvents[:0]
+	for _, e := range batch {
+		e.apply(r, s)
+	}
+	r.expire()
+	r.decideAndExecute(now, s)
+	r.saveEndpointHealth()
+	r.answerRequests(s)
+	s.reset()
+	r.closeWhenDrained()
+}
+
+// decideAndExecute accepts the step's messages, has the policy decide, and executes its actions.
+func (r *Relay) decideAndExecute(now time.Duration, s *stepState) {
+	waiting := r.accept(s.submissions)
+	if r.sendingStopped {
+		r.execute(nil, waiting)
+		return
+	}
+	events := s.policyEvents
+	for _, submitted := range waiting {
+		switch m := submitted.acceptedAs; {
+		case m.Message != submitted.message: // a duplicate of one before it
+		case m.Attempts > 0:
+			events = append(events, r.recoveredEvent(m))
+		default:
+			events = append(events, r.acceptedEvent(m))
+		}
+	}
+	r.execute(r.decide(now, events), waiting)
+}
+
+// answerRequests answers those who asked about the state after this step.
+func (r *Relay) answerRequests(s *stepState) {
+	for _, check := range s.sendChecks {
+		check.reply <- r.sendableAttempts(check.call)
+	}
+	for _, request := range s.metricsRequests {
+		r.updateGauges()
+		close(request.done)
+	}
+	if s.handOff != nil {
+		s.handOff.done <- r.handOff()
+	}
+}
+
+// closeWhenDrained tells shutdown once nothing is left to wait for.
+func (r *Relay) closeWhenDrained() {
+	if !r.stopping || r.drainedClosed {
+		return
+	}
+	if r.allFinished() || r.sendingStopped && r.callsInFlight == 0 {
+		r.drainedClosed = true
+		close(r.drained)
+	}
+}
+
+// decide has the policy take a step, and records it.
+func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
+	if r.largeList.Load() {
+		events = r.wakeDestinations(now, events)
+	}
+	actions := r.engine.Step(now, events)
+	if r.fleet == nil {
+		r.recorder.Step(now, events, actions)
+		return actions
+	}
+	views := func() []policy.EndpointView {
+		views, _ := r.engine.Views()
+		return views
+	}
+	fleetStep, received := r.fleet.Step(now, events, actions, views)
+	if r.recorder.Recorder != nil {
+		r.recorder.StepWithFleet(now, events, actions, fleetStep.Append(nil))
+	}
+	if len(received) > 0 {
+		r.deferredEvents = append(r.deferredEvents, received...)
+		r.requestStep() // the policy learns of it in a step of its own, soon
+	}
+	return actions
+}
--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,113 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// maxPendingRatio is the fraction of Settings.MaxPendingMessages above which messages are shed: the rest takes those
+// that may not be rejected.
+const maxPendingRatio = 0.9
+
+// acceptMessage takes a message that a client has submitted.
+func (e *Engine) acceptMessage(event *Event) {
+	msg := e.newMessage(event)
+	if e.exceedsQuota(event.Tenant) {
+		msg.queueRank += time.Duration(overQuotaDelayRatio * float64(event.TimeLeft))
+	}
+	e.messages[msg.id] = msg
+	e.countAccepted()
+	e.pendingMessages++
+	msg.destination.messageCount++
+	if msg.class.Ordered && event.Key != "" {
+		e.joinKeyQueue(msg, event.Key)
+	}
+	e.recoverMessage(msg, event.Recovered)
+	e.addDeadline(msg.deadline, msg)
+	e.addDeadline(msg.objectiveAt, msg)
+	e.enqueue(msg)
+	e.shedLoad()
+}
+
+// newMessage returns the message of a MessageAccepted event. The lower its weight, the later it is queued.
+func (e *Engine) newMessage(event *Event) *message {
+	class := e.classOf(event)
+	msg := &message{
+		id:          event.MessageID,
+		class:       class,
+		maxAttempts: e.settings.MaxAttempts,
+		destination: e.ensureDestination(event.Destination),
+	}
+	msg.deadline = e.now + event.TimeLeft - deadlineMargin
+	msg.objectiveAt = e.now + class.LatencyObjective - max(0, class.Deadline-event.TimeLeft)
+	delay := float64(msg.objectiveAt-e.now) / math.Max(class.Weight, minClassWeight)
+	msg.queueRank = e.now + time.Duration(delay)
+	return msg
+}
+
+// classOf returns the class of a message; for one that is not configured, the strictest there is.
+func (e *Engine) classOf(event *Event) *Class {
+	if event.Class >= 0 && event.Class < len(e.settings.Classes) {
+		return &e.settings.Classes[event.Class]
+	}
+	return &Class{
+		Effect:           NonIdempotent,
+		Ordered:          true,
+		LatencyObjective: event.TimeLeft / 2,
+		Deadline:         event.TimeLeft,
+		Weight:           1,
+	}
+}
+
+// exceedsQuota counts a message against its tenant's quota, of which this relay has an even part, and reports whether
+// it is beyond. A burst of two seconds' traffic is within the quota.
+func (e *Engine) exceedsQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(e.tenantTraffic) || e.settings.Tenants[tenant].Quota <= 0 {
+		return false
+	}
+	meter := &e.tenantTraffic[tenant]
+	rate := e.settings.Tenants[tenant].Quota / float64(e.settings.FleetSize)
+	meter.level = math.Max(0, meter.level-rate*(e.now-meter.updatedAt).Seconds()) + 1
+	meter.updatedAt = e.now
+	if meter.level > 1+2*rate {
+		meter.level--
+		return true
+	}
+	return false
+}
+
+// shedLoad rejects the last message of the longest queue that may be rejected, while too many messages are pending.
+func (e *Engine) shedLoad() {
+	limit := e.settings.MaxPendingMessages
+	if limit <= 0 || e.pendingMessages <= int(maxPendingRatio*float64(limit)) {
+		return
+	}
+	longest := slices.MaxFunc(e.active, func(a, b *destination) int {
+		return cmp.Or(len(a.queue)-len(b.queue), b.id-a.id)
+	})
+	for i := len(longest.queue) - 1; i >= max(0, len(longest.queue)-maxQueueScan); i-- {
+		if msg := longest.queue[i]; e.mayShed(msg) {
+			e.reject(msg)
+			return
+		}
+	}
+}
+
+// mayShed reports whether a message may be rejected for lack of capacity. A message that a restart found without an
+// attempt may not: it was accepted, and nothing was tried for it yet. It may if a Retry-After blocks all of its scopes
+// beyond its deadline.
+func (e *Engine) mayShed(msg *message) bool {
+	if !e.mayReject(msg) {
+		return false
+	}
+	if !msg.recovered || msg.attempts > 0 {
+		return true
+	}
+	scopes := msg.destination.scopes
+	deliverable := len(scopes) == 0 || slices.ContainsFunc(scopes, func(scope *limitScope) bool {
+		return scope.retryAfterUntil < msg.deadline
+	})
+	return !deliverable
+}
--- /dev/null
+++ b/policy/restart.go
@@ -0,0 +1,47 @@
+package policy
+
+import "time"
+
+// recoverMessage gives a message what an earlier process knew of it, so that the rules hold across a restart. A backlog
+// is not poured out at once: pacing rates start at this relay's fair share, in a large fleet with the spread of first
+// calls.
+func (e *Engine) recoverMessage(msg *message, recovered *RecoveredMessage) {
+	if recovered == nil {
+		return
+	}
+	msg.attempts = recovered.Attempts
+	msg.recovered = true
+	if recovered.MayHaveRun {
+		e.recordFirstRun(msg, e.now-recovered.SinceFirstRun, recovered.FirstRunZone)
+	}
+	if e.attemptsExhausted(msg) {
+		e.addDeadline(e.now, msg) // ends in this step
+	}
+	if msg.keyQueue != nil && recovered.MayHaveRun {
+		// A call that was in flight when the process ended may still run.
+		msg.keyQueue.pause(e.now + e.settings.OrderingPause)
+	}
+	for _, scope := range msg.destination.scopes {
+		e.paceBacklog(scope, msg)
+	}
+}
+
+// paceBacklog gives a scope that is not paced yet the pacing rate for a recovered backlog. Where no limit is known, the
+// rate is such that all messages go out in half of the time left.
+func (e *Engine) paceBacklog(scope *limitScope, msg *message) {
+	if scope.pacingRate == 0 && e.isLargeFleet(scope) {
+		e.initializePacing(scope)
+	} else if scope.pacingRate == 0 {
+		scope.pacingRate = e.fairShare(scope)
+		scope.tokens = 1
+		scope.tokensUpdatedAt = e.now
+		if e.settings.FleetSize > smallFleetSize {
+			scope.tokens = e.rng.Float64()
+		}
+	}
+	if e.knownLimit(scope) == 0 {
+		calls := (msg.destination.messageCount-1)/e.maxBatch(scope.kind) + 1
+		timeLeft := max(time.Second, msg.deadline-e.now)
+		scope.pacingRate = max(scope.pacingRate, 2*float64(calls)/timeLeft.Seconds())
+	}
+}
