--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -8,20 +8,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/admin"
 )
 
-// serveAdmin begins to answer on the second address, until the process ends.
+// serveAdmin begins to answer on the admin address, until ctx ends.
 func (r *Relay) serveAdmin(ctx context.Context) error {
-	l, err := net.Listen("tcp", r.cfg.AdminListen)
+	listener, err := net.Listen("tcp", r.cfg.AdminListen)
 	if err != nil {
-		return fmt.Errorf("relay: second address: %w", err)
+		return fmt.Errorf("relay: admin address: %w", err)
 	}
-	s := admin.Server{
-		Ready:   func() bool { return (r.endpointsKnown.Load() || r.awaitingHandover.Load()) && !r.terminating.Load() },
+	server := admin.Server{
+		Ready:   r.ready,
 		Metrics: r.writeMetrics,
 		Log:     r.log,
 	}
 	if r.fleet != nil {
-		s.Fleet = r.fleet.WriteJSON
+		server.Fleet = r.fleet.WriteJSON
 	}
-	go s.Serve(ctx, l)
+	go func() { _ = server.Serve(ctx, listener) }() // returns as ctx ends
 	return nil
 }
+
+// ready tells whether the platform may count on this process.
+func (r *Relay) ready() bool {
+	serving := r.endpointsKnown.Load() || r.awaitingHandover.Load()
+	return serving && !r.terminating.Load()
+}
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -59,7 +59,9 @@
 		"policy.smallFleetSize", "policy.MaxInitialSpread",
 		"policy.pacingDecreaseFactor",
 	},
-	"an identifier, no quantity": {"relay.watcherStream"},
+	"an identifier or a unit: nothing that could be set": {
+		"relay.watcherStream", "relay.firstInheritedFD", "relay.bytesPerMiB",
+	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
 		"policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -7,39 +7,40 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 )
 
-// maxFinishedMessages bounds how many ended messages are remembered: of a thousand a second, those of four seconds.
+// maxFinishedMessages bounds how many finished messages are remembered: at a thousand a second, those of four seconds.
 const maxFinishedMessages = 4096
 
-// finishedMessages are the messages of this process, and of one that handed over to it, that have ended and of which
-// nothing is owed any more, for as long as they had time. A client whose answer was lost with its connection hands its
-// message in once more under the same id, and that may be after its delivery.
+// finishedMessages remembers, until their deadlines, the messages that are finished and out of the journal, also those
+// of a process that handed over to this one. A client whose answer was lost with its connection submits its message
+// once more under the same id, perhaps after the delivery.
 type finishedMessages struct {
-	replies map[string]finishedReply
-	order   []string // their ids, as they ended
+	replies map[string]finishedReply // by the client's id
+	order   []string                 // the ids, as the messages finished
 }
 
-// finishedReply is what a message's client is told if it comes again, and until when.
+// finishedReply is the answer to a client that submits a finished message once more, and until when it holds.
 type finishedReply struct {
 	answer answer
 	until  time.Time
 }
 
-// add remembers a message, if handing it in again could make it run once more.
+// add remembers a message, unless it could do no harm as a new one.
 func (r *finishedMessages) add(m *message) {
 	e := finishedReply{until: m.Deadline}
 	switch {
-	case len(m.UncertainAttempts) == 0: // it surely never ran: it may come as a new one
+	case len(m.UncertainAttempts) == 0: // it never ran: it may come as a new one
 		return
 	case m.Final == nil:
-		e.answer.status = http.StatusAccepted // delivered; also one that its client had taken back meanwhile
+		e.answer.status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
 	case m.Final.Retryable:
-		return // its client was told to come again
+		return // its client was asked to submit it again
 	default:
 		e.answer = finalAnswer(*m.Final)
 	}
 	r.put(m.TraceID, e)
 }
 
+// put remembers a reply.
 func (r *finishedMessages) put(trace string, e finishedReply) {
 	if r.replies == nil {
 		r.replies = map[string]finishedReply{}
@@ -50,35 +51,41 @@
 	r.replies[trace] = e
 }
 
-// export is what the next process should know of them, and hear takes it there.
-func (r *finishedMessages) export() (ended []hotrestart.FinishedMessage) {
+// export returns what the next process needs to give the same answers.
+func (r *finishedMessages) export() (messages []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
 		e := r.replies[trace]
-		ended = append(ended, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
+		messages = append(messages, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
 	}
-	return ended
+	return messages
 }
 
-func (r *finishedMessages) restore(ended []hotrestart.FinishedMessage) {
-	for _, e := range ended {
+// restore adds what the process before this one exported.
+func (r *finishedMessages) restore(messages []hotrestart.FinishedMessage) {
+	for _, e := range messages {
 		r.put(e.TraceID, finishedReply{answer{status: e.Status}, e.Until})
 	}
 }
 
-// reply is the answer to a hand-in under the id of a message that has ended; false if none is remembered.
-func (r *finishedMessages) reply(trace string, now time.Time) (answer, bool) {
-	e, ok := r.replies[trace]
-	return e.answer, ok && now.Before(e.until)
+// reply is the answer to a submission under the id of a finished message; false if none is remembered.
+func (r *finishedMessages) reply(trace string, now time.Time) (reply answer, known bool) {
+	e, found := r.replies[trace]
+	return e.answer, found && now.Before(e.until)
 }
 
-// expire drops what nobody can hand in any more, and the oldest beyond the bound.
+// expire forgets messages past their deadlines, and the oldest beyond maxFinishedMessages.
 func (r *finishedMessages) expire(now time.Time) {
-	n := 0
-	for n < len(r.order) && (len(r.order)-n > maxFinishedMessages || !now.Before(r.replies[r.order[n]].until)) {
-		delete(r.replies, r.order[n])
-		n++
+	expired := 0
+	for _, trace := range r.order {
+		over := len(r.order)-expired > maxFinishedMessages
+		if !over && now.Before(r.replies[trace].until) {
+			break
+		}
+		delete(r.replies, trace)
+		expired++
 	}
-	if r.order = r.order[n:]; len(r.order) == 0 {
+	r.order = r.order[expired:]
+	if len(r.order) == 0 {
 		r.order = nil
 	}
 }
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -7,37 +7,45 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// joinFleet makes this relay a member of its fleet, where the operator's file says so.
+// joinFleet makes this relay a member of its fleet, if the operator's file says so.
 func (r *Relay) joinFleet() {
-	set := r.cfg.Operator.Fleet
-	if !set.Enabled {
+	settings := r.cfg.Operator.Fleet
+	if !settings.Enabled {
 		return
 	}
 	r.fleet = fleet.New(fleet.Config{
-		Name: cmp.Or(
-			set.Name,
-			r.cfg.Name,
-		), Label: set.Label, Listen: set.Listen, Peers: set.Peers, Folder: r.cfg.StateDir,
-		DestinationKinds: r.cfg.Settings.DestinationKinds, ShareQuota: set.ShareQuota, FleetSize: r.cfg.Settings.FleetSize, Clock: r.now, Log: r.log, RequestStep: r.requestStep,
+		Name:             cmp.Or(settings.Name, r.cfg.Name),
+		Label:            settings.Label,
+		Listen:           settings.Listen,
+		Peers:            settings.Peers,
+		Folder:           r.cfg.StateDir,
+		DestinationKinds: r.cfg.Settings.DestinationKinds,
+		ShareQuota:       settings.ShareQuota,
+		FleetSize:        r.cfg.Settings.FleetSize,
+		Clock:            r.now,
+		Log:              r.log,
+		RequestStep:      r.requestStep,
 	})
 	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
-// restoreFleet tells a member that goes on for another process what that knew: the list, and what waits.
-func (r *Relay) restoreFleet(whole policy.Event) {
+// restoreFleet gives the member of a process that has taken over what the one before knew: the endpoint list and the
+// pending messages.
+func (r *Relay) restoreFleet(snapshot policy.Event) {
 	if r.fleet == nil {
 		return
 	}
-	evs, acts := []policy.Event{whole}, []policy.Action(nil)
+	events := []policy.Event{snapshot}
+	var actions []policy.Action
 	for _, m := range r.inOrder() {
 		if m.completed {
 			continue
 		}
-		evs = append(evs, r.recoveredEvent(m))
+		events = append(events, r.recoveredEvent(m))
 		if m.inFlight > 0 {
-			acts = append(acts, policy.Action{Kind: policy.Send, MessageID: m.ID})
+			actions = append(actions, policy.Action{Kind: policy.Send, MessageID: m.ID})
 		}
 	}
-	r.fleet.Step(r.now(), evs, acts, nil)
+	r.fleet.Step(r.now(), events, actions, nil)
 	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	healthSaveInterval  = 250 * time.Millisecond
-	healthSaveCostRatio = 50 // a look at all routes may take one part in so many of the loop's time
+	// healthSaveInterval is how often the health of endpoints is saved at most.
+	healthSaveInterval = 250 * time.Millisecond
+	// healthSaveCostRatio bounds the cost of looking at all endpoints: one part in so many of the loop's time.
+	healthSaveCostRatio = 50
 )
 
-// healthState is what the journal holds of the hosts' standing.
+// healthState is what the journal holds of the endpoints' health.
 type healthState struct {
 	saved         []endpointhealth.Record
-	nextSave      time.Time // looked at again then
-	saveScheduled bool      // a step then is asked for
+	nextSave      time.Time // not before this
+	saveScheduled bool      // a step at nextSave is asked for
 }
 
-// saveEndpointHealth notes in the journal what a restarted relay must know of hosts that are in trouble.
+// saveEndpointHealth saves in the journal what a restarted relay must know of endpoints with faults.
 func (r *Relay) saveEndpointHealth() {
 	now := time.Now()
 	if now.Before(r.health.nextSave) {
-		// What this step has learned must not wait for another one, which may be long in coming.
+		// What this step has learned must not wait for the next one, which may be long in coming.
 		if !r.health.saveScheduled {
 			r.health.saveScheduled = true
 			time.AfterFunc(r.health.nextSave.Sub(now), func() { r.post(tick{}) })
@@ -31,12 +33,13 @@
 	}
 	r.health.saveScheduled = false
 	views, _ := r.engine.Views()
-	recs := endpointhealth.FromViews(views, r.now(), r.journal.Stamp(now))
-	if endpointhealth.Changed(r.health.saved, recs) {
-		if err := r.journal.SaveEndpointHealth(endpointhealth.Encode(recs)); err != nil {
-			r.log.Debug("standing of hosts not kept", "err", err) // a restart knows less; the messages have the room
+	records := endpointhealth.FromViews(views, r.now(), r.journal.Stamp(now))
+	if endpointhealth.Changed(r.health.saved, records) {
+		if err := r.journal.SaveEndpointHealth(endpointhealth.Encode(records)); err != nil {
+			// A restart knows less. The room goes to the messages first.
+			r.log.Debug("endpoint health not saved", "err", err)
 		} else {
-			r.health.saved = recs
+			r.health.saved = records
 		}
 	}
 	r.health.nextSave = now.Add(max(healthSaveInterval, healthSaveCostRatio*time.Since(now)))
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -7,24 +7,28 @@
 	"strconv"
 )
 
-// listen listens for clients, on the socket that the platform holds where there is one. That one goes on when this
-// process closes its own descriptor of it: connections that are not taken then wait for another process.
-func listen(addr, inherited string) (net.Listener, error) {
-	if inherited == "" {
+// firstInheritedFD is the first descriptor behind those of standard input, output and error.
+const firstInheritedFD = 3
+
+// listen listens for clients at addr, or on the platform's socket, if inheritedFD names its descriptor. That socket
+// stays open when this process closes its own descriptor: connections that are not accepted by then wait for another
+// process.
+func listen(addr, inheritedFD string) (net.Listener, error) {
+	if inheritedFD == "" {
 		return net.Listen("tcp", addr)
 	}
-	fd, err := strconv.Atoi(inherited)
-	if err != nil || fd < 3 {
-		return nil, fmt.Errorf("listen: %q is no descriptor", inherited)
+	fd, err := strconv.Atoi(inheritedFD)
+	if err != nil || fd < firstInheritedFD {
+		return nil, fmt.Errorf("listen: %q is not a descriptor", inheritedFD)
 	}
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
 		return nil, fmt.Errorf("listen: no descriptor %d", fd)
 	}
-	defer f.Close() // the listener has its own
-	l, err := net.FileListener(f)
+	defer func() { _ = f.Close() }() // the listener has a descriptor of its own
+	listener, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("listen: descriptor %d: %w", fd, err)
 	}
-	return l, nil
+	return listener, nil
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -9,15 +9,22 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// countResult counts the end of a message.
-func (r *Relay) countResult(m *journal.Message, e metrics.Result) {
+// metricsTimeout is how long a reader of the metrics waits for the loop: later values are of no use to it.
+const metricsTimeout = 300 * time.Millisecond
+
+// metricsRequest asks the loop to bring its gauges up to date.
+type metricsRequest struct{ done chan struct{} }
+
+// countResult counts the final result of a message.
+func (r *Relay) countResult(m *journal.Message, result metrics.Result) {
 	class := m.ClassName
 	if class == "" && m.Class >= 0 && m.Class < len(r.activeConfig.ClassNames) {
 		class = r.activeConfig.ClassNames[m.Class]
 	}
-	r.metrics.CountResult(class, e)
+	r.metrics.CountResult(class, result)
 }
 
+// finalResult is the result that a final answer is counted as.
 func finalResult(f journal.FinalAnswer) metrics.Result {
 	if f.Retryable {
 		return metrics.Rejected
@@ -25,39 +32,47 @@
 	return metrics.Failed
 }
 
-// updateGauges brings the loop's own figures up to date. A host is avoided while it drains, is skipped, or told to
-// wait.
+// updateGauges brings the gauges of the loop's state up to date. An endpoint is unavailable while it drains, is ejected,
+// or has a Retry-After that has not passed.
 func (r *Relay) updateGauges() {
 	r.metrics.Pending.Store(int64(r.pending))
 	r.metrics.Members.Store(int64(r.catalog.EndpointCount()))
 	views, _ := r.engine.Views()
-	avoided, now := int64(r.drainingEndpoints), r.now()
+	now := r.now()
+	count := int64(r.drainingEndpoints)
 	for _, v := range views {
 		if v.InService && unavailable(v, now) {
-			avoided++
+			count++
 		}
 	}
-	r.metrics.UnavailableMembers.Store(avoided)
+	r.metrics.UnavailableMembers.Store(count)
 }
 
 func unavailable(v policy.EndpointView, now time.Duration) bool {
 	return !v.InService || v.Ejected || now < v.EjectedUntil || now < v.RetryAfterUntil
 }
 
-// writeMetrics asks the loop for its own figures, but does not wait for long: late ones are of no use.
+// writeMetrics writes the metrics' page, with gauges that are up to date if the loop answers in time.
 func (r *Relay) writeMetrics(w io.Writer) {
-	late := time.NewTimer(metricsTimeout)
-	defer late.Stop()
-	g := metricsRequest{make(chan struct{})}
+	r.refreshGauges()
+	_, _ = r.metrics.WriteTo(w) // the reader has left: nobody to tell
+}
+
+// refreshGauges asks the loop to update its gauges, and waits for that at most metricsTimeout.
+func (r *Relay) refreshGauges() {
+	timeout := time.NewTimer(metricsTimeout)
+	defer timeout.Stop()
+	request := metricsRequest{make(chan struct{})}
 	select {
-	case r.events <- g:
-		select {
-		case <-g.done:
-		case <-r.loopDone:
-		case <-late.C:
-		}
+	case r.events <- request:
+	case <-r.loopDone:
+		return
+	case <-timeout.C:
+		return
+	}
+	select {
+	case <-request.done:
 	case <-r.loopDone:
-	case <-late.C:
+	case <-timeout.C:
 	}
-	r.metrics.WriteTo(w)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -83,7 +83,7 @@
 	r.applyConfig(cfg.Config)
 	r.loadKnownEndpoints()
 	if cfg.KnownErr != nil {
-		log.Warn("starting without a list of hosts", "err", cfg.KnownErr)
+		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
@@ -96,7 +96,7 @@
 		if err == nil {
 			return r, nil // the log is the other process's, until it hands over
 		}
-		log.Info("starting with the log", "why", err)
+		log.Info("starting from the journal", "err", err)
 	}
 	if err := r.openLog(); err != nil {
 		return nil, err
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -8,20 +8,18 @@
 )
 
 const (
-	// Clients go by other settings from 1.2 s after SIGHUP on. Until configOverlap both bind.
+	// configOverlap is how long the old and the new settings both apply. Clients change over from 1.2 s after SIGHUP on.
 	configOverlap = 1500 * time.Millisecond
-	// A class that is no longer named is taken for so long: what was refused under it comes again.
+	// removedClassGrace is how much longer messages of a removed class are accepted: those that were rejected under it
+	// come again.
 	removedClassGrace = 10 * time.Second
-	metricsTimeout    = 300 * time.Millisecond // longest wait for the loop's own figures
 )
 
-type (
-	configChange struct {
-		config     reload.Config
-		generation int
-	}
-	metricsRequest struct{ done chan struct{} } // asks for figures that are up to date
-)
+// configChange has the loop apply a configuration, unless one of a later generation came before.
+type configChange struct {
+	config     reload.Config
+	generation int
+}
 
 // reloadState is owned by the goroutine that calls Reload.
 type reloadState struct {
@@ -29,8 +27,8 @@
 	latestGeneration int           // of latestConfig: changes of an earlier generation are void
 }
 
-// Reload takes on what may change while the relay runs: the settings and discovery's address, or neither. err tells
-// that the file could not even be read. It must not be called by two goroutines at once.
+// Reload applies what may change while the relay runs: the settings and discovery's address, or neither. err tells that
+// the file could not be read at all. Only one goroutine may call it at a time.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
 		err = reload.Validate(r.latestConfig, cfg.Config)
@@ -40,45 +38,45 @@
 		return fmt.Errorf("relay: the configuration stays as it was: %w", err)
 	}
 	r.metrics.Reloads.Add(1)
-	r.log.Info("configuration taken", "discovery", cfg.DiscoveryAddr, "classes", cfg.ClassNames)
+	r.log.Info("configuration applied", "discovery", cfg.DiscoveryAddr, "classes", cfg.ClassNames)
 	r.agent.Move(cfg.DiscoveryAddr)
 	if reload.Equal(r.latestConfig, cfg.Config) {
 		return nil
 	}
 	r.latestGeneration++
-	turn, old, fresh := r.latestGeneration, *r.clientConfig.Load(), cfg.Config
-	r.latestConfig = fresh
-	r.scheduleConfig(old, fresh, turn)
+	r.latestConfig = cfg.Config
+	r.scheduleConfig(*r.clientConfig.Load(), cfg.Config, r.latestGeneration)
 	return nil
 }
 
-// scheduleConfig has fresh terms take the place of old ones, by way of what binds while clients may go by either.
-func (r *Relay) scheduleConfig(old, fresh reload.Config, turn int) {
-	r.post(configChange{reload.Transitional(old, fresh), turn})
-	leaving := reload.KeepRemovedClasses(old, fresh)
-	time.AfterFunc(configOverlap, func() { r.post(configChange{leaving, turn}) })
-	time.AfterFunc(configOverlap+removedClassGrace, func() { r.post(configChange{fresh, turn}) })
+// scheduleConfig replaces one configuration by another in three steps: one that serves clients of either, the new one
+// with the old one's classes, and the new one.
+func (r *Relay) scheduleConfig(from, to reload.Config, generation int) {
+	r.post(configChange{reload.Transitional(from, to), generation})
+	withRemoved := reload.KeepRemovedClasses(from, to)
+	time.AfterFunc(configOverlap, func() { r.post(configChange{withRemoved, generation}) })
+	time.AfterFunc(configOverlap+removedClassGrace, func() { r.post(configChange{to, generation}) })
 }
 
-// changeConfig has other terms hold, unless later ones came meanwhile.
+// changeConfig has the policy and the relay go by another configuration.
 func (r *Relay) changeConfig(e configChange) {
 	if e.generation < r.activeGeneration {
 		return
 	}
 	r.activeGeneration = e.generation
 	if err := r.engine.Reconfigure(e.config.Settings); err != nil {
-		r.log.Error("settings not taken", "err", err) // terms.Check has asked the module
+		r.log.Error("settings rejected", "err", err) // a bug: reload.Validate has asked the policy
 		return
 	}
 	r.recorder.Reconfigured(e.config.Settings)
 	r.applyConfig(e.config)
 }
 
-// applyConfig has the loop and the door go by terms.
-func (r *Relay) applyConfig(t reload.Config) {
-	for _, class := range t.ClassNames {
+// applyConfig has the loop and the reading of clients' requests go by a configuration.
+func (r *Relay) applyConfig(config reload.Config) {
+	for _, class := range config.ClassNames {
 		r.metrics.RegisterClass(class)
 	}
-	r.activeConfig = t
-	r.clientConfig.Store(&t)
+	r.activeConfig = config
+	r.clientConfig.Store(&config)
 }
