--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -10,17 +10,17 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// message is a message that the relay has not done with.
+// message is a message that is not finished: it is pending, an attempt is in flight, or the journal still holds it.
 type message struct {
 	*journal.Message
-	attemptsStarted int  // as the module counts them
+	attemptsStarted int  // as the policy counts them
 	inFlight        int  // attempts without an outcome
-	completed       bool // the module has done with it
+	completed       bool // it has its result: the policy takes no more decision on it
 
-	accepting      bool     // taken on in this step, which may yet refuse it
-	hasDuplicates  bool     // others were told that it is taken on, too: it cannot be withdrawn
-	resubmittedAs  *message // withdrawn and handed in once more: what it goes on as
-	awaitingRemote bool     // the module does not know of it: its outcome at another process comes first
+	accepting      bool     // registered in this step, which may still reject it
+	hasDuplicates  bool     // another client has the answer that it is accepted: it cannot be cancelled
+	resubmittedAs  *message // the message that a cancelled one goes on as, after its client submitted it again
+	awaitingRemote bool     // unknown to the policy until its attempts at another process have their outcomes
 }
 
 // messageState is the state of all messages.
@@ -38,23 +38,23 @@
 	return messageState{
 		messages:        map[uint32]*message{},
 		messagesByTrace: map[string]*message{},
-		journalFull:     ratelog.Warning{Message: "refusing new messages"},
+		journalFull:     ratelog.Warning{Message: "journal not written, rejecting new messages"},
 	}
 }
 
-// cancel ends a message whose client has left before its answer.
-func (r *Relay) cancel(evs []policy.Event, id uint32) []policy.Event {
+// cancel ends a message whose client has left before the answer: it will submit the message as a new one.
+func (r *Relay) cancel(events []policy.Event, id uint32) []policy.Event {
 	m := r.messages[id]
 	if m == nil || m.hasDuplicates || m.completed {
-		return evs
+		return events
 	}
 	r.markCompleted(m)
 	r.release(m)
-	return append(evs, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
+	return append(events, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 }
 
-// release ends a message that is no more owed. One that may have run is remembered as long as its client may hand it in
-// once more under its id: that must not make it a new one.
+// release drops a message whose client has no promise of delivery. One that may have run is kept as cancelled as long as
+// its client may submit it once more under its id: that must not make it a new message.
 func (r *Relay) release(m *message) {
 	if len(m.UncertainAttempts) == 0 {
 		r.journal.Remove(m.Message)
@@ -65,22 +65,22 @@
 	r.cancelled = append(r.cancelled, m)
 }
 
-// markDelivered ends a message that was delivered after all, and what it goes on as.
-func (r *Relay) markDelivered(evs []policy.Event, m *message) []policy.Event {
+// markDelivered ends a message that was delivered after all, and the messages that it goes on as. m may be nil.
+func (r *Relay) markDelivered(events []policy.Event, m *message) []policy.Event {
 	for ; m != nil; m = m.resubmittedAs {
 		if !m.completed {
-			evs = append(evs, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID})
+			events = append(events, policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID})
 			r.countResult(m.Message, metrics.Completed)
 		}
 		r.markCompleted(m)
 		r.journal.Remove(m.Message)
 		r.remove(m)
 	}
-	return evs
+	return events
 }
 
-// expire drops messages that were withdrawn once their time is up, once it is certain that they never ran, or once
-// they go on as others, which know all that these did.
+// expire drops cancelled messages: past their deadline, once it is certain that they never ran, or once they go on as
+// other messages, which have all their attempts.
 func (r *Relay) expire() {
 	now := time.Now()
 	r.finished.expire(now)
@@ -94,7 +94,7 @@
 	})
 }
 
-// markCompleted books that the module has done with a message.
+// markCompleted notes that a message has its result.
 func (r *Relay) markCompleted(m *message) {
 	if !m.completed {
 		m.completed = true
@@ -102,18 +102,19 @@
 	}
 }
 
-// remove forgets a message for which nothing is owed and nothing is out.
+// remove forgets a message, unless an attempt is in flight or the journal still holds it.
 func (r *Relay) remove(m *message) {
-	if m.inFlight == 0 && m.completed && !r.journal.Tracks(m.Message) {
-		delete(r.messages, m.ID)
-		if r.messagesByTrace[m.TraceID] == m {
-			delete(r.messagesByTrace, m.TraceID)
-			r.finished.add(m)
-		}
+	if m.inFlight > 0 || !m.completed || r.journal.Tracks(m.Message) {
+		return
+	}
+	delete(r.messages, m.ID)
+	if r.messagesByTrace[m.TraceID] == m {
+		delete(r.messagesByTrace, m.TraceID)
+		r.finished.add(m)
 	}
 }
 
-// allFinished tells whether all is ended, and all outcomes are in.
+// allFinished tells whether no message is left but cancelled ones without an attempt in flight.
 func (r *Relay) allFinished() bool {
 	for _, m := range r.messages {
 		if m.inFlight > 0 || !m.Cancelled {
@@ -123,32 +124,34 @@
 	return true
 }
 
-// queueNotification queues the notice that ends a message.
+// queueNotification queues the final notification of a message that was accepted and is not delivered.
 func (r *Relay) queueNotification(m *message) {
 	n := Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
-		n.Status, n.RetryAfterMS = "deferred", m.Final.RetryAfter.Milliseconds()
+		n.Status = "deferred"
+		n.RetryAfterMS = m.Final.RetryAfter.Milliseconds()
 	}
 	r.finals.Add(n)
 }
 
-// classOf is a message's class, if the settings still name it.
+// classOf returns a message's class, if the settings still have it.
 func (r *Relay) classOf(m *journal.Message) (class policy.Class, known bool) {
-	if known = m.Class >= 0 && m.Class < len(r.activeConfig.Settings.Classes); known {
-		class = r.activeConfig.Settings.Classes[m.Class]
+	classes := r.activeConfig.Settings.Classes
+	if m.Class < 0 || m.Class >= len(classes) {
+		return policy.Class{}, false
 	}
-	return class, known
+	return classes[m.Class], true
 }
 
-// isIdempotent tells whether a message may run any number of times.
+// isIdempotent tells whether a message may run any number of times without harm.
 func (r *Relay) isIdempotent(m *journal.Message) bool {
 	class, known := r.classOf(m)
 	return known && class.Effect == policy.Idempotent
 }
 
-// failUnreadable ends a message whose body the disk no longer gives.
+// failUnreadable fails a message whose body can no longer be read from the disk.
 func (r *Relay) failUnreadable(m *message, err error) {
-	r.log.Error("a message's body cannot be read: it is given up", "trace", m.TraceID, "err", err)
+	r.log.Error("message body unreadable, message failed", "message_id", m.TraceID, "err", err)
 	if m.completed {
 		return
 	}
@@ -157,7 +160,7 @@
 	r.countResult(m.Message, finalResult(final))
 	r.journal.RecordFinal(m.Message, final)
 	r.queueNotification(m)
-	// The module has booked an attempt that never leaves.
+	// The policy has counted an attempt that is never sent.
 	r.deferredEvents = append(
 		r.deferredEvents,
 		policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -17,90 +17,104 @@
 	unknownRunAge = 24 * time.Hour
 )
 
-// recoverState hands the module the known list and what an earlier process left, in one step.
+// recoverState gives the policy the known endpoint list and what an earlier process left in the journal, in one step.
 func (r *Relay) recoverState() {
 	found := r.recovery
 	r.recovery = nil
-	var evs []policy.Event
+	var events []policy.Event
 	if len(r.cfg.Known.Entries) > 0 {
 		known := r.cfg.Known
 		known.Full = true
-		evs = append(evs, r.applyList(known)...)
+		events = append(events, r.applyList(known)...)
 	}
-	evs = append(
-		evs,
-		endpointhealth.Events(
-			endpointhealth.Decode(found.EndpointHealth),
-			r.journal.Stamp(time.Now()),
-			r.activeConfig.Settings.WarmUpDuration,
-		)...)
-	for _, w := range found.Messages {
-		if w.ClassName != "" {
-			// the module takes one that is not named for the strictest
-			w.Class = slices.Index(r.activeConfig.ClassNames, w.ClassName)
-		}
-		m := &message{Message: w, attemptsStarted: w.Attempts}
-		if w.Uncertain && r.isIdempotent(w) {
-			w.Uncertain = false // whatever it has done may be done once more
-		}
-		r.messages[m.ID], r.messagesByTrace[m.TraceID] = m, m
-		r.lastMessageID = max(r.lastMessageID, m.ID)
-		switch {
-		case w.Cancelled:
-			m.completed = true
-			r.cancelled = append(r.cancelled, m)
-		case w.Final != nil:
-			m.completed = true
-			r.queueNotification(m)
-		case w.Uncertain:
-			// What it has sent may be missing from the journal: nothing can be promised.
-			m.completed = true
-			r.journal.RecordFinal(w, journal.FinalAnswer{})
-			r.countResult(w, metrics.Failed)
-			r.queueNotification(m)
-		default:
-			r.pending++
-			r.recorder.Label(m.ID, m.TraceID)
-			evs = append(evs, r.recoveredEvent(m))
+	health := endpointhealth.Decode(found.EndpointHealth)
+	now := r.journal.Stamp(time.Now())
+	events = append(events, endpointhealth.Events(health, now, r.activeConfig.Settings.WarmUpDuration)...)
+	for _, record := range found.Messages {
+		if m := r.recoverMessage(record); !m.completed {
+			events = append(events, r.recoveredEvent(m))
 		}
 	}
 	if len(found.Messages) > 0 || !found.Intact() {
-		r.log.Info("recovered", "messages", len(found.Messages), "sound", found.Intact())
+		r.log.Info("recovered", "messages", len(found.Messages), "intact", found.Intact())
 	}
 	if found.ClockStep != 0 {
-		r.log.Warn(
-			"the wall clock was set since the journal was last open; times of messages go by the boot's clock",
-			"by",
-			found.ClockStep,
-		)
+		const text = "the wall clock was set since the journal was last open; times of messages go by the boot clock"
+		r.log.Warn(text, "by", found.ClockStep)
 	}
-	r.execute(r.decide(r.now(), evs), nil)
+	r.execute(r.decide(r.now(), events), nil)
 }
 
-// recoveredEvent tells the module of a message of an earlier process, in the module's own time.
+// recoverMessage restores the state of a message of an earlier process. One that is not completed goes on.
+func (r *Relay) recoverMessage(record *journal.Message) *message {
+	if record.ClassName != "" {
+		// The policy takes a class that the settings lack for the strictest.
+		record.Class = slices.Index(r.activeConfig.ClassNames, record.ClassName)
+	}
+	if record.Uncertain && r.isIdempotent(record) {
+		record.Uncertain = false // whatever it has done may be done once more
+	}
+	m := &message{Message: record, attemptsStarted: record.Attempts}
+	r.messages[m.ID] = m
+	r.messagesByTrace[m.TraceID] = m
+	r.lastMessageID = max(r.lastMessageID, m.ID)
+	switch {
+	case record.Cancelled:
+		m.completed = true
+		r.cancelled = append(r.cancelled, m)
+	case record.Final != nil:
+		m.completed = true
+		r.queueNotification(m)
+	case record.Uncertain:
+		// Attempts may be missing from the journal: another one could run it twice.
+		m.completed = true
+		r.journal.RecordFinal(record, journal.FinalAnswer{})
+		r.countResult(record, metrics.Failed)
+		r.queueNotification(m)
+	default:
+		r.pending++
+		r.recorder.Label(m.ID, m.TraceID)
+	}
+	return m
+}
+
+// recoveredEvent is the event of a message that had attempts before, in an earlier process or before it was cancelled.
 func (r *Relay) recoveredEvent(m *message) policy.Event {
 	e := r.acceptedEvent(m)
 	e.Recovered = &policy.RecoveredMessage{Attempts: m.Attempts}
 	if len(m.UncertainAttempts) > 0 {
 		first := m.UncertainAttempts[0]
-		e.Recovered.MayHaveRun, e.Recovered.FirstRunZone = true, first.Zone
-		if e.Recovered.SinceFirstRun = time.Since(first.SentAt); first.Undated ||
-			e.Recovered.SinceFirstRun < -clockTolerance {
-			// The clock was set, or may have been: nobody can tell how long its host still drops a repeat.
-			class, _ := r.classOf(m.Message)
-			e.Recovered.SinceFirstRun = max(unknownRunAge, class.DedupWindow)
-		}
-		e.Recovered.SinceFirstRun = max(0, e.Recovered.SinceFirstRun)
+		e.Recovered.MayHaveRun = true
+		e.Recovered.FirstRunZone = first.Zone
+		e.Recovered.SinceFirstRun = r.timeSinceRun(m, first)
 	}
 	return e
 }
 
+// timeSinceRun is how long ago an attempt of a message was sent, as the deduplication windows count it.
+func (r *Relay) timeSinceRun(m *message, a journal.Attempt) time.Duration {
+	since := time.Since(a.SentAt)
+	if a.Undated || since < -clockTolerance {
+		// The clock was set, or may have been: nobody can tell how long the endpoint still recognizes a duplicate.
+		class, _ := r.classOf(m.Message)
+		return max(unknownRunAge, class.DedupWindow)
+	}
+	return max(0, since)
+}
+
+// acceptedEvent is the event of a new message.
 func (r *Relay) acceptedEvent(m *message) policy.Event {
-	left := time.Until(m.Deadline)
+	timeLeft := time.Until(m.Deadline)
 	if class, known := r.classOf(m.Message); known {
-		left = min(left, maxTimeLeft(class)) // a clock that was set back gives no more time
+		timeLeft = min(timeLeft, maxTimeLeft(class)) // a clock that was set back gives no more time
 	}
 	return policy.Event{
-		Kind: policy.MessageAccepted, MessageID: m.ID, Key: m.OrderingKey, Class: m.Class, Tenant: m.Tenant, Destination: m.Destination, TimeLeft: left,
+		Kind:        policy.MessageAccepted,
+		MessageID:   m.ID,
+		Key:         m.OrderingKey,
+		Class:       m.Class,
+		Tenant:      m.Tenant,
+		Destination: m.Destination,
+		TimeLeft:    timeLeft,
 	}
 }
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -48,7 +48,7 @@
 				t.Errorf("%v", res[0].outcome)
 			}
 		}},
-		{"a full disk", "refusing new messages", func(t *testing.T, r *Relay, i int) {
+		{"a full disk", "rejecting new messages", func(t *testing.T, r *Relay, i int) {
 			if i == 0 {
 				r.journal.Close()
 			}
@@ -72,7 +72,7 @@
 			if n != 1 {
 				t.Errorf("logged %d times", n)
 			}
-			if c.logged == "refusing new messages" {
+			if c.logged == "rejecting new messages" {
 				return // nothing is taken on
 			}
 			if res := post(t, r, door(t, r), "good"); res.StatusCode != http.StatusAccepted {
