--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// oneOf300 is a relay of the full fleet, with 31 hosts listed.
-func oneOf300(b *testing.B) (*relayProcess, *platform) {
+// startInLargeFleet is a relay of the full fleet, with 31 hosts listed.
+func startInLargeFleet(b *testing.B) (*relayProcess, *platform) {
 	b.Helper()
 	p, h := newPlatform(
 		b,
-	), newHost(
+	), newEndpoint(
 		b,
 		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) },
 	)
-	var known []member
+	var known []listEntry
 	for i := range 31 {
-		m := listed("s-"+string(rune('a'+i)), h.addr(), "a", "gateway", "ready")
+		m := newEntry("s-"+string(rune('a'+i)), h.addr(), "a", "gateway", "ready")
 		m["weight"] = 9000.0
 		known = append(known, m)
 	}
@@ -32,8 +32,8 @@
 	return r, p
 }
 
-// spent kills the process and returns the processor time that it used.
-func (r *relayProcess) spent() time.Duration {
+// pollCPUTime kills the process and returns the processor time that it used.
+func (r *relayProcess) pollCPUTime() time.Duration {
 	cmd := r.cmd
 	r.kill()
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -44,22 +44,22 @@
 // clock tick or less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
-	r, p := oneOf300(b)
-	r.spent()
+	r, p := startInLargeFleet(b)
+	r.pollCPUTime()
 	var start time.Duration
 	for range starts {
 		r.start(p)
-		start += r.spent() / starts
+		start += r.pollCPUTime() / starts
 	}
 	b.ReportMetric(float64(start.Microseconds())/1000, "ms/start")
 	r.start(p)
 	time.Sleep(idle * time.Second)
-	b.ReportMetric(float64((r.spent()-start).Microseconds())/1000/idle, "ms/idle-s")
+	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
 	r.start(p)
 	for i := range messages {
-		r.take(traceID(i), 9*time.Second)
+		r.mustAccept(traceID(i), 9*time.Second)
 	}
-	b.ReportMetric(float64((r.spent()-start).Microseconds())/messages, "us/message")
+	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/messages, "us/message")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -76,16 +76,16 @@
 // alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
-	h := newHost(b, nil)
-	alone, rigs := newRig(b, 1, h), []*rig{newRig(b, 3, h), newRig(b, 3, h)}
+	h := newEndpoint(b, nil)
+	alone, rigs := newTestFleet(b, 1, h), []*testFleet{newTestFleet(b, 3, h), newTestFleet(b, 3, h)}
 	must(b, os.Remove(filepath.Join(alone.relays[0].dir, "operator.toml")))
 	alone.relays[0].env = nil
 	alone.start(0)
 	for _, g := range rigs {
-		g.start(g.all()...)
+		g.start(g.allRelays()...)
 	}
 	g := rigs[1]
-	eventually(b, "the fleet is one", func() bool { state, _ := g.sees(0, 2); return state == "alive" })
+	eventually(b, "the fleet is one", func() bool { state, _ := g.memberState(0, 2); return state == "alive" })
 	must(b, g.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
 	defer g.relays[2].cmd.Process.Signal(syscall.SIGCONT)
 	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], g.relays[0]}
@@ -94,7 +94,7 @@
 		for k, r := range subjects {
 			id := traceID(3*i + k)
 			began := time.Now()
-			r.take(id, 9*time.Second)
+			r.mustAccept(id, 9*time.Second)
 			accepts[k] = append(accepts[k], time.Since(began))
 			for h.count(id) == 0 {
 				time.Sleep(50 * time.Microsecond)
@@ -129,17 +129,17 @@
 		{"small on 12 MB, room for half", 12, 0, 40_000},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, h := newPlatform(b), newHost(b, nil)
+			p, h := newPlatform(b), newEndpoint(b, nil)
 			r := prepareRelay(
 				b,
-				[]member{listed("s-1", h.addr(), "a", "gateway", "draining")},
+				[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")},
 				func(settings map[string]any) {
 					settings["bounds"].(map[string]any)["open_cap"] = c.room
 				},
 			)
 			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": c.diskMB}
 			r.writeConfig()
-			n := fill(b, r, c.diskMB, c.body)
+			n := fillDisk(b, r, c.diskMB, c.body)
 			var ready time.Duration
 			for range b.N {
 				began := time.Now()
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -20,15 +20,15 @@
 	})
 }
 
-// as makes a hand-in one of a class.
-func as(class string) func(*http.Request) {
+// withClass makes a hand-in one of a class.
+func withClass(class string) func(*http.Request) {
 	return func(req *http.Request) {
 		req.URL.Path = "/" + class
 		req.Header.Set("X-Qos", class)
 	}
 }
 
-func faulty(t testing.TB, h *host, rules ...string) *faultproxy.Proxy {
+func faultyEndpoint(t testing.TB, h *endpoint, rules ...string) *faultproxy.Proxy {
 	t.Helper()
 	p, err := faultproxy.Start("127.0.0.1:0", h.addr(), 1)
 	must(t, err)
@@ -46,7 +46,7 @@
 func (p *platform) statuses(id string) (all []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range p.finals {
+	for _, f := range p.notifications {
 		if s := fmt.Sprint(f["status"]); f["id"] == id && !slices.Contains(all, s) {
 			all = append(all, s)
 		}
@@ -106,7 +106,7 @@
 				least, most = 1, -c.keyed
 			}
 			p := newPlatform(t)
-			h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+			h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 				if c.first == "chunked" {
 					w.(http.Flusher).Flush()
 				}
@@ -114,18 +114,18 @@
 			})
 			// Each class has a wire of its own, whose first connection is struck.
 			for _, class := range []string{"pay", "order"} {
-				wire := faulty(t, h, "conn=1 "+c.rule)
-				r := newRelay(t, p, []member{listed("s-"+class, wire.Addr(), "a", "gateway", "ready")}, withPayments)
+				wire := faultyEndpoint(t, h, "conn=1 "+c.rule)
+				r := newRelay(t, p, []listEntry{newEntry("s-"+class, wire.Addr(), "a", "gateway", "ready")}, withPayments)
 				id := "m-" + class
-				if status, _ := r.handIn(id, 5*time.Second, as(class)); status != http.StatusAccepted {
+				if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
 					t.Fatalf("%s: status %d", class, status)
 				}
 				// What comes after on sound connections is served.
 				eventually(t, "the fault", func() bool { return wire.Stats().Struck > 0 })
 				eventually(t, "another one delivered", func() bool {
 					next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
-					r.take(next, 10*time.Second)
-					eventually(t, next, func() bool { return h.count(next) > 0 || p.final(next) != nil })
+					r.mustAccept(next, 10*time.Second)
+					eventually(t, next, func() bool { return h.count(next) > 0 || p.notification(next) != nil })
 					return h.count(next) > 0
 				})
 				eventually(t, "nothing owed", func() bool {
@@ -168,25 +168,25 @@
 	for _, class := range []string{"pay", "order"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p, h, other := newPlatform(t), newHost(t, nil), newHost(t, nil)
-			wire := faulty(t, h)
+			p, h, other := newPlatform(t), newEndpoint(t, nil), newEndpoint(t, nil)
+			wire := faultyEndpoint(t, h)
 			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
 			must(t, err)
 			id, err := wire.Add(rule)
 			must(t, err)
-			elsewhere := listed("s-2", other.addr(), "b", "gateway", "ready")
+			elsewhere := newEntry("s-2", other.addr(), "b", "gateway", "ready")
 			elsewhere["weight"] = 1.0
-			r := newRelay(t, p, []member{listed("s-1", wire.Addr(), "a", "gateway", "ready"), elsewhere}, withPayments)
-			if status, _ := r.handIn("m", 8*time.Second, as(class)); status != http.StatusAccepted {
+			r := newRelay(t, p, []listEntry{newEntry("s-1", wire.Addr(), "a", "gateway", "ready"), elsewhere}, withPayments)
+			if status, _ := r.submit("m", 8*time.Second, withClass(class)); status != http.StatusAccepted {
 				t.Fatalf("status %d", status)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 			defer cancel()
 			must(t, wire.Wait(ctx, id))
 			r.kill()
 			r.start(p)
 			if class == "pay" {
-				eventually(t, "a notice", func() bool { return p.final("m") != nil })
+				eventually(t, "a notice", func() bool { return p.notification("m") != nil })
 			} else {
 				eventually(t, "repeated", func() bool { return h.count("m") == 2 })
 			}
@@ -207,8 +207,8 @@
 // relay's to deliver twice under its id.
 func TestFaultsOnTheClientsSide(t *testing.T) {
 	t.Parallel()
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	for i, c := range []struct {
 		rule  string
 		calls int // at most
@@ -241,7 +241,7 @@
 		}
 		p.Close()
 		next := fmt.Sprint("next", i)
-		r.take(next, 10*time.Second)
+		r.mustAccept(next, 10*time.Second)
 		eventually(t, next, func() bool { return h.count(next) == 1 })
 		if n := h.count(id); n > c.calls {
 			t.Errorf("%s: %d calls", c.rule, n)
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -21,8 +21,8 @@
 }
 
 const (
-	statusFor  = 2 * time.Second // for each relay's answer
-	statusMost = 4 << 20         // bytes of it
+	statusTimeout = 2 * time.Second // for each relay's answer
+	maxStatusSize = 4 << 20         // bytes of it
 )
 
 type statusCommand struct {
@@ -32,10 +32,10 @@
 // Run prints, for each relay that is asked, the members as it sees them, and what it refused and why. It fails if one
 // does not answer.
 func (c *statusCommand) Run(ctx context.Context, s *cli.Streams) error {
-	client := http.Client{Timeout: statusFor}
+	client := http.Client{Timeout: statusTimeout}
 	var errs []error
 	for _, addr := range c.Addrs {
-		st, err := askStatus(ctx, &client, addr)
+		st, err := fetchStatus(ctx, &client, addr)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("fleet: %s: %w", addr, err))
 			continue
@@ -47,7 +47,7 @@
 	return errors.Join(errs...)
 }
 
-func askStatus(ctx context.Context, client *http.Client, addr string) (st fleet.Status, err error) {
+func fetchStatus(ctx context.Context, client *http.Client, addr string) (st fleet.Status, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/fleet", nil)
 	if err != nil {
 		return st, err
@@ -62,7 +62,7 @@
 	} else if res.StatusCode != http.StatusOK {
 		return st, errors.New(res.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(res.Body, statusMost)).Decode(&st)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxStatusSize)).Decode(&st)
 	return st, err
 }
 
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -21,14 +21,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// rig is several relays as processes, each pair of them with a link of its own in each direction.
-type rig struct {
-	t         testing.TB
-	platforms []*platform
-	relays    []*relayProcess
-	seconds   []string // second addresses
-	listens   []string
-	links     map[[2]int]*faultproxy.Link // from, to
+// testFleet is several relays as processes, each pair of them with a link of its own in each direction.
+type testFleet struct {
+	t               testing.TB
+	platforms       []*platform
+	relays          []*relayProcess
+	managementAddrs []string // second addresses
+	listens         []string
+	links           map[[2]int]*faultproxy.Link // from, to
 }
 
 func freeAddr(t testing.TB) string {
@@ -47,9 +47,9 @@
 
 func relayName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// newRig prepares n relays that all deliver to one host.
-func newRig(t testing.TB, n int, h *host) *rig {
-	g := &rig{t: t, links: map[[2]int]*faultproxy.Link{}}
+// newTestFleet prepares n relays that all deliver to one host.
+func newTestFleet(t testing.TB, n int, h *endpoint) *testFleet {
+	g := &testFleet{t: t, links: map[[2]int]*faultproxy.Link{}}
 	for range n {
 		g.listens = append(g.listens, freeAddr(t))
 	}
@@ -67,19 +67,19 @@
 	for i := range n {
 		r := prepareRelay(
 			t,
-			[]member{listed("s-1", h.addr(), "a", "platform", "ready")},
+			[]listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")},
 			func(s map[string]any) { s["fleet_size"] = n },
 		)
 		r.config["name"] = relayName(i)
-		g.seconds = append(g.seconds, withSecond(t, r))
+		g.managementAddrs = append(g.managementAddrs, withManagement(t, r))
 		g.relays, g.platforms = append(g.relays, r), append(g.platforms, newPlatform(t))
-		g.operator(i, "", nil)
+		g.writeOperatorFile(i, "", nil)
 	}
 	return g
 }
 
-// operator writes a relay's operator's file. more is put before its addresses of the others; join goes before these.
-func (g *rig) operator(i int, more string, join map[string]string) {
+// writeOperatorFile writes a relay's operator's file. more is put before its addresses of the others; join goes before these.
+func (g *testFleet) writeOperatorFile(i int, more string, join map[string]string) {
 	var b strings.Builder
 	fmt.Fprintf(
 		&b,
@@ -102,13 +102,13 @@
 	g.relays[i].env = []string{"CHERRYTRESTLE_OPERATOR=" + path}
 }
 
-func (g *rig) start(which ...int) {
+func (g *testFleet) start(which ...int) {
 	for _, i := range which {
 		g.relays[i].start(g.platforms[i])
 	}
 }
 
-func (g *rig) all() (which []int) {
+func (g *testFleet) allRelays() (which []int) {
 	for i := range g.relays {
 		which = append(which, i)
 	}
@@ -116,7 +116,7 @@
 }
 
 // links has faults strike from each of some to each of others.
-func (g *rig) set(from, to []int, f faultproxy.LinkFaults) {
+func (g *testFleet) setFaults(from, to []int, f faultproxy.LinkFaults) {
 	for _, i := range from {
 		for _, j := range to {
 			if l := g.links[[2]int{i, j}]; l != nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-func (g *rig) status(i int) (s fleet.Status) {
-	res, err := http.Get("http://" + g.seconds[i] + "/v1/fleet")
+func (g *testFleet) status(i int) (s fleet.Status) {
+	res, err := http.Get("http://" + g.managementAddrs[i] + "/v1/fleet")
 	if err != nil {
 		return s
 	}
@@ -136,8 +136,8 @@
 	return s
 }
 
-// sees is the state in which one relay sees another, and how old the youngest is that it heard of it.
-func (g *rig) sees(i, j int) (state string, age time.Duration) {
+// memberState is the state in which one relay sees another, and how old the youngest is that it heard of it.
+func (g *testFleet) memberState(i, j int) (state string, age time.Duration) {
 	if s := g.status(i); s.Status != nil {
 		for _, m := range s.Members {
 			if m.Name == relayName(j) {
@@ -148,25 +148,25 @@
 	return "", -1
 }
 
-const freshly = 6 * time.Second // what a relay tells again without need it tells every 2.5 s, and gossip takes its time
+const maxFreshAge = 6 * time.Second // what a relay tells again without need it tells every 2.5 s, and gossip takes its time
 
-// hears waits until each of some holds fresh news of each of the others.
-func (g *rig) hears(by, of []int) {
+// waitReceived waits until each of some holds fresh news of each of the others.
+func (g *testFleet) waitReceived(by, of []int) {
 	g.t.Helper()
 	for _, i := range by {
 		for _, j := range of {
 			if i != j {
 				eventually(g.t, fmt.Sprintf("%d hears %d", i, j), func() bool {
-					state, age := g.sees(i, j)
-					return state == "alive" && age >= 0 && age < freshly
+					state, age := g.memberState(i, j)
+					return state == "alive" && age >= 0 && age < maxFreshAge
 				})
 			}
 		}
 	}
 }
 
-// traffic hands messages in at each relay until the test ends, so that there is something to tell.
-func (g *rig) traffic() {
+// sendTraffic hands messages in at each relay until the test ends, so that there is something to tell.
+func (g *testFleet) sendTraffic() {
 	done, ended := make(chan struct{}), make(chan struct{})
 	g.t.Cleanup(func() { close(done); <-ended })
 	go func() {
@@ -189,36 +189,36 @@
 // Three relays hear each other; two halves that are cut apart each go on with what they have, and hear each other again
 // when the links heal, also when that takes longer than gossip goes on to those taken for dead. One that hears but is
 // not heard is seen to be gone.
-func TestRelaysHearOfEachOther(t *testing.T) {
-	h := newHost(t, nil)
-	g := newRig(t, 3, h)
-	g.start(g.all()...)
-	g.traffic()
-	g.hears(g.all(), g.all())
+func TestRelaysReceiveFromEachOther(t *testing.T) {
+	h := newEndpoint(t, nil)
+	g := newTestFleet(t, 3, h)
+	g.start(g.allRelays()...)
+	g.sendTraffic()
+	g.waitReceived(g.allRelays(), g.allRelays())
 
-	g.set([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
-	g.set([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
+	g.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
+	g.setFaults([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
 	for _, i := range []int{1, 2} {
 		eventually(
 			t,
 			"the one that is cut off fades",
-			func() bool { state, age := g.sees(i, 0); return state != "alive" && age > freshly },
+			func() bool { state, age := g.memberState(i, 0); return state != "alive" && age > maxFreshAge },
 		)
 	}
-	g.hears([]int{1, 2}, []int{1, 2})
-	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
-	g.hears(g.all(), g.all())
+	g.waitReceived([]int{1, 2}, []int{1, 2})
+	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
+	g.waitReceived(g.allRelays(), g.allRelays())
 
 	// Relay 0 hears and is not heard.
-	g.set([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
-	eventually(t, "what is not heard fades", func() bool { _, age := g.sees(1, 0); return age > freshly })
-	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
-	g.hears(g.all(), g.all())
+	g.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
+	eventually(t, "what is not heard fades", func() bool { _, age := g.memberState(1, 0); return age > maxFreshAge })
+	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
+	g.waitReceived(g.allRelays(), g.allRelays())
 
 	// Nearly a third of all datagrams lost, some doubled, mixed and late.
-	g.set(
-		g.all(),
-		g.all(),
+	g.setFaults(
+		g.allRelays(),
+		g.allRelays(),
 		faultproxy.LinkFaults{
 			DatagramFaults: faultproxy.DatagramFaults{
 				Drop:    0.3,
@@ -229,9 +229,9 @@
 		},
 	)
 	time.Sleep(3 * time.Second)
-	g.hears(g.all(), g.all())
+	g.waitReceived(g.allRelays(), g.allRelays())
 
-	for _, i := range g.all() {
+	for _, i := range g.allRelays() {
 		s := g.status(i)
 		if len(s.Rejected) > 0 || s.Unreadable > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s)
@@ -254,30 +254,30 @@
 // A relay that is stopped in the middle of telling is neither taken for fresh by the others, nor takes for fresh what
 // waited for it.
 func TestAStalledRelay(t *testing.T) {
-	g := newRig(t, 3, newHost(t, nil))
-	g.start(g.all()...)
-	g.traffic()
-	g.hears(g.all(), g.all())
+	g := newTestFleet(t, 3, newEndpoint(t, nil))
+	g.start(g.allRelays()...)
+	g.sendTraffic()
+	g.waitReceived(g.allRelays(), g.allRelays())
 	must(t, g.relays[0].cmd.Process.Signal(syscall.SIGSTOP))
-	eventually(t, "a stopped relay fades", func() bool { _, age := g.sees(1, 0); return age > 8*time.Second })
+	eventually(t, "a stopped relay fades", func() bool { _, age := g.memberState(1, 0); return age > 8*time.Second })
 	must(t, g.relays[0].cmd.Process.Signal(syscall.SIGCONT))
-	g.hears(g.all(), g.all())
+	g.waitReceived(g.allRelays(), g.allRelays())
 }
 
 // All relays restarted at once hear each other again; one that hangs holds none of them up; one that tells absurd
 // figures is not believed, and one that needs a newer program is counted.
-func TestAllRestartedAndOneThatLies(t *testing.T) {
-	h := newHost(t, nil)
-	g := newRig(t, 4, h)
+func TestAllRestartedAndOneOutOfRange(t *testing.T) {
+	h := newEndpoint(t, nil)
+	g := newTestFleet(t, 4, h)
 	three := []int{0, 1, 2}
 	g.start(three...)
-	g.traffic()
-	g.hears(three, three)
+	g.sendTraffic()
+	g.waitReceived(three, three)
 	for _, i := range three {
 		g.relays[i].kill()
 	}
 	g.start(three...)
-	g.hears(three, three)
+	g.waitReceived(three, three)
 
 	// Relay 3 is no process of the program, but a link of this test's that tells what it likes.
 	join := map[string]string{}
@@ -304,7 +304,7 @@
 		}
 	}
 	liar.Publish(page(1, 3))
-	eventually(t, "an honest page is taken", func() bool { _, age := g.sees(0, 3); return age >= 0 })
+	eventually(t, "an honest page is taken", func() bool { _, age := g.memberState(0, 3); return age >= 0 })
 	for seq := uint64(2); ; seq++ {
 		liar.Publish(page(seq, 90_000)) // of a destination that takes 500
 		time.Sleep(50 * time.Millisecond)
@@ -315,19 +315,19 @@
 			t.Fatal("absurd figures are not refused")
 		}
 	}
-	g.relays[0].take("after-lies", 5*time.Second)
+	g.relays[0].mustAccept("after-lies", 5*time.Second)
 	eventually(t, "delivered all the same", func() bool { return h.count("after-lies") > 0 })
 }
 
 // A relay whose port is taken serves, says so, and joins when the port is free. What a stranger or another fleet tells
 // is not heard.
-func TestWhoIsNotHeard(t *testing.T) {
-	h := newHost(t, nil)
-	g := newRig(t, 4, h)
+func TestIgnoredMembers(t *testing.T) {
+	h := newEndpoint(t, nil)
+	g := newTestFleet(t, 4, h)
 	taken, err := net.Listen("tcp", g.listens[0])
 	must(t, err)
 	defer taken.Close()
-	g.operator(2, "label = \"another\"\n", nil)
+	g.writeOperatorFile(2, "label = \"another\"\n", nil)
 	// Relay 3 is listed by nobody, and knows all.
 	for _, i := range []int{0, 1, 2} {
 		path := filepath.Join(g.relays[i].dir, "operator.toml")
@@ -336,14 +336,14 @@
 		data = data[:strings.LastIndex(string(data), "r3 =")]
 		must(t, os.WriteFile(path, data, 0o600))
 	}
-	g.start(g.all()...)
-	g.traffic()
+	g.start(g.allRelays()...)
+	g.sendTraffic()
 	eventually(
 		t,
 		"a taken port is told",
 		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.DownReason, "in use") },
 	)
-	g.relays[0].take("while-alone", 5*time.Second)
+	g.relays[0].mustAccept("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
 	eventually(
 		t,
@@ -351,10 +351,10 @@
 		func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 },
 	)
 	taken.Close()
-	g.hears([]int{0, 1}, []int{0, 1})
+	g.waitReceived([]int{0, 1}, []int{0, 1})
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
-			if state, age := g.sees(i, j); age >= 0 || state == "alive" {
+			if state, age := g.memberState(i, j); age >= 0 || state == "alive" {
 				t.Errorf("%d hears %d: %s, %v", i, j, state, age)
 			}
 		}
@@ -363,11 +363,11 @@
 
 // A relay that is restarted over and over is heard each time with its newest life. One that comes back with an older
 // folder, or without one, or finds a name taken by another process is told apart.
-func TestLivesOfARelay(t *testing.T) {
-	g := newRig(t, 3, newHost(t, nil))
-	g.start(g.all()...)
-	g.traffic()
-	g.hears(g.all(), g.all())
+func TestIncarnationsOfARelay(t *testing.T) {
+	g := newTestFleet(t, 3, newEndpoint(t, nil))
+	g.start(g.allRelays()...)
+	g.sendTraffic()
+	g.waitReceived(g.allRelays(), g.allRelays())
 	life := func(i, j int) loadreport.Incarnation {
 		s := g.status(i)
 		if s.Status == nil {
@@ -413,12 +413,12 @@
 	known("and without one too", last)
 
 	// Another process under the name of relay 0, with a folder and an address of its own.
-	twin := newRig(t, 1, newHost(t, nil))
+	twin := newTestFleet(t, 1, newEndpoint(t, nil))
 	twin.listens = append(twin.listens, g.listens[1:]...)
-	twin.operator(0, "", map[string]string{"r1": g.listens[1], "r2": g.listens[2]})
+	twin.writeOperatorFile(0, "", map[string]string{"r1": g.listens[1], "r2": g.listens[2]})
 	twin.start(0)
-	twin.traffic()
+	twin.sendTraffic()
 	// A relay whose link is not up yet has no status to tell.
-	silent := func(g *rig) bool { s := g.status(0); return s.Status != nil && s.NameConflict }
+	silent := func(g *testFleet) bool { s := g.status(0); return s.Status != nil && s.NameConflict }
 	eventually(t, "one of two under a name falls silent", func() bool { return silent(g) || silent(twin) })
 }
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -35,7 +35,7 @@
 
 // Many connections at once that say nothing, stop half way, send much and go, or read nothing of their answers: whoever
 // hands a whole message in is answered and delivered, and descriptors and memory stay inside their limits.
-func TestFloodsHoldNobodyUp(t *testing.T) {
+func TestFloodsBlockNobody(t *testing.T) {
 	const flood, sockets, memoryMB = 400, 192, 64
 	whole := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: flood\r\nContent-Length: 60000\r\n\r\n"
 	for _, c := range []struct {
@@ -58,8 +58,8 @@
 		{"bad requests that go on", func(conn net.Conn) { io.WriteString(conn, strings.Repeat("NONSENSE\r\n\r\n", 2000)) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, h := newPlatform(t), newHost(t, nil)
-			r := prepareRelay(t, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+			p, h := newPlatform(t), newEndpoint(t, nil)
+			r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": 3}
 			r.writeConfig()
 			r.start(p)
@@ -110,8 +110,8 @@
 	}
 }
 
-// fill writes messages into a relay's journal until it takes no more, and returns how many.
-func fill(t testing.TB, r *relayProcess, diskMB float64, body int) (taken int) {
+// fillDisk writes messages into a relay's journal until it takes no more, and returns how many.
+func fillDisk(t testing.TB, r *relayProcess, diskMB float64, body int) (taken int) {
 	t.Helper()
 	j, _, err := journal.OpenFolder(filepath.Join(r.dir, "state"), journal.Options{Limit: int64(diskMB * 1e6)})
 	must(t, err)
@@ -134,13 +134,13 @@
 }
 
 // Told to end at any moment of its start, recovery included, a relay forgets nothing.
-func TestToldToEndInRecovery(t *testing.T) {
+func TestTerminatedInRecovery(t *testing.T) {
 	for _, after := range []time.Duration{0, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			p, h := newPlatform(t), newHost(t, nil)
-			r := prepareRelay(t, []member{listed("s-1", h.addr(), "a", "platform", "draining")}, nil)
-			n := fill(t, r, 3, 2000)
+			p, h := newPlatform(t), newEndpoint(t, nil)
+			r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "draining")}, nil)
+			n := fillDisk(t, r, 3, 2000)
 			for range 2 {
 				r.launch(p)
 				time.Sleep(after) // before its first instruction, or in or behind its recovery
--- a/cmd/cherrytrestle/golden_test.go
+++ b/cmd/cherrytrestle/golden_test.go
@@ -26,7 +26,7 @@
 			t.Context(),
 			"cherrytrestle",
 			"A relay for outbound messages.",
-			&app{},
+			&commands{},
 			strings.Fields(line),
 			cli.Streams{Out: &stdout, Err: &stderr},
 			cli.Failed,
--- a/cmd/cherrytrestle/crowd_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -16,8 +16,8 @@
 	"unsafe"
 )
 
-// bound has the system give the process so many descriptors at most.
-func (r *relayProcess) bound(descriptors uint64) {
+// limitDescriptors has the system give the process so many descriptors at most.
+func (r *relayProcess) limitDescriptors(descriptors uint64) {
 	r.t.Helper()
 	limit := syscall.Rlimit{Cur: descriptors, Max: descriptors}
 	_, _, err := syscall.RawSyscall6(
@@ -34,9 +34,9 @@
 	}
 }
 
-// crowd has n clients connect, do what first does, and stay until the relay closes, each anew after a moment, until ctx
+// dialMany has n clients connect, do what first does, and stay until the relay closes, each anew after a moment, until ctx
 // ends.
-func crowd(ctx context.Context, addr string, n int, first func(net.Conn)) (wait func()) {
+func dialMany(ctx context.Context, addr string, n int, first func(net.Conn)) (wait func()) {
 	var all sync.WaitGroup
 	for range n {
 		all.Go(func() {
@@ -74,7 +74,7 @@
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.sockets), func(t *testing.T) {
 			t.Parallel()
-			one, two := newHost(t, nil), newHost(t, nil)
+			one, two := newEndpoint(t, nil), newEndpoint(t, nil)
 			var down atomic.Bool
 			down.Store(true)
 			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,7 +87,7 @@
 				list := map[string]any{
 					"version": 9,
 					"full":    true,
-					"servers": []member{listed("s-2", two.addr(), "a", "gateway", "ready")},
+					"servers": []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")},
 				}
 				must(t, json.NewEncoder(w).Encode(list))
 				w.(http.Flusher).Flush()
@@ -95,13 +95,13 @@
 			}))
 			t.Cleanup(func() { agent.CloseClientConnections(); agent.Close() })
 			p := &platform{Server: agent}
-			r := prepareRelay(t, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+			r := prepareRelay(t, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
 			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": c.sockets, "disk_mb": 3}
 			r.writeConfig()
 			r.start(p)
-			r.bound(uint64(c.sockets))
+			r.limitDescriptors(uint64(c.sockets))
 			ctx, leave := context.WithCancel(context.Background())
-			wait := crowd(ctx, r.addr, 3*c.sockets, c.first)
+			wait := dialMany(ctx, r.addr, 3*c.sockets, c.first)
 			defer wait()
 			defer leave()
 			time.Sleep(500 * time.Millisecond) // the crowd comes
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -21,8 +21,8 @@
 	LimitMB float64 `help:"The disk limit, as the platform tells it to the relay." default:"3"`
 }
 
-// exitUnsound is the status of a journal that is damaged.
-const exitUnsound = 3
+// exitDamaged is the status of a journal that is damaged.
+const exitDamaged = 3
 
 func (c *journalFolder) read() (*journal.Journal, *journal.Recovery, error) {
 	return journal.Read(c.State, int64(c.LimitMB*1e6))
@@ -72,12 +72,12 @@
 		st.AvailableForValues,
 		st.AvailableBytes,
 	)
-	tellRecovery(s, rec)
+	printRecovery(s, rec)
 	return nil
 }
 
-// tellRecovery tells what was odd.
-func tellRecovery(s *cli.Streams, rec *journal.Recovery) {
+// printRecovery tells what was odd.
+func printRecovery(s *cli.Streams, rec *journal.Recovery) {
 	f := rec.Store
 	for _, x := range f.Torn {
 		fmt.Fprintf(
@@ -127,9 +127,9 @@
 			fmt.Fprintf(s.Out, "message %d (%s): %v\n", m.ID, m.TraceID, err)
 		}
 	}
-	tellRecovery(s, rec)
+	printRecovery(s, rec)
 	if !rec.Intact() || unread > 0 {
-		return cli.Exit(exitUnsound)
+		return cli.Exit(exitDamaged)
 	}
 	fmt.Fprintf(s.Out, "sound: %d messages, %d bytes read\n", len(rec.Messages), rec.Store.Bytes())
 	return nil
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -21,8 +21,8 @@
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := newPlatform(t)
-	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(5 * time.Millisecond) })
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(5 * time.Millisecond) })
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
 		withPayments(set)
 		set["bounds"].(map[string]any)["open_cap"] = 200
 		set["extra"].(map[string]any)["call_slots"] = 40
@@ -44,7 +44,7 @@
 					}
 					class := []string{"order", "pay"}[i%2]
 					id := fmt.Sprintf("%s-%d-%d-%d", class, round, c, i)
-					req := r.request(id, 8*time.Second, as(class))
+					req := r.request(id, 8*time.Second, withClass(class))
 					req.Body, req.ContentLength, req.GetBody = io.NopCloser(
 						strings.NewReader(body),
 					), int64(
@@ -71,7 +71,7 @@
 		r.start(p)
 	}
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.final(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
 	}
 	calls := noPaymentTwice(t, h)
 	t.Logf("%d messages taken, %d calls, %d kills", len(taken), calls, *relayKills)
@@ -81,7 +81,7 @@
 }
 
 // noPaymentTwice tells of payments that a host saw more than once, and returns how many messages it saw.
-func noPaymentTwice(t *testing.T, h *host) (calls int) {
+func noPaymentTwice(t *testing.T, h *endpoint) (calls int) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,13 +103,13 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	p := newPlatform(t)
 	answers := make(chan struct{})
-	h := newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	h := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-answers:
 		case <-r.Context().Done():
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
 		withPayments(set)
 		set["bounds"].(map[string]any)["open_cap"] = 400
 		set["extra"].(map[string]any)["call_slots"] = 40
@@ -119,7 +119,7 @@
 		for i := range 40 {
 			class := []string{"order", "pay"}[i%2]
 			id := fmt.Sprintf("%s-%d-%d", class, round, i)
-			if status, _ := r.handIn(id, 12*time.Second, as(class)); status == http.StatusAccepted {
+			if status, _ := r.submit(id, 12*time.Second, withClass(class)); status == http.StatusAccepted {
 				taken = append(taken, id)
 			}
 		}
@@ -133,7 +133,7 @@
 	}
 	close(answers)
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.final(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
 	}
 	noPaymentTwice(t, h)
 	if len(taken) < 15**relayKills {
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -30,8 +30,8 @@
 	if err := json.Unmarshal([]byte(step), &k); err != nil {
 		panic(err)
 	}
-	relay := serve{
-		through: func(fs store.FS) store.FS {
+	relay := serveCommand{
+		wrapJournalFS: func(fs store.FS) store.FS {
 			return &faultfs.Killer{FS: fs, KillAt: k.At, TornWrite: k.Torn, DelayWrites: k.Late}
 		},
 	}
@@ -41,22 +41,22 @@
 	}
 }
 
-func (r *relayProcess) goWith(k killStep) {
+func (r *relayProcess) setKillStep(k killStep) {
 	step, err := json.Marshal(k)
 	must(r.t, err)
 	r.env = []string{killVariable + "=" + string(step)}
 }
 
-// gatedHost holds its answers back until its gate is closed.
-type gatedHost struct {
-	*host
+// gatedEndpoint holds its answers back until its gate is closed.
+type gatedEndpoint struct {
+	*endpoint
 	gate     chan struct{}
 	answered sync.Map // ids
 }
 
-func newGatedHost(t *testing.T) *gatedHost {
-	g := &gatedHost{gate: make(chan struct{})}
-	g.host = newHost(t, func(_ http.ResponseWriter, r *http.Request, ids []string) {
+func newGatedEndpoint(t *testing.T) *gatedEndpoint {
+	g := &gatedEndpoint{gate: make(chan struct{})}
+	g.endpoint = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, ids []string) {
 		select {
 		case <-g.gate:
 			for _, id := range ids {
@@ -68,22 +68,22 @@
 	return g
 }
 
-// killedAt has a relay take messages that its host does not answer, killed, and killed twice at one step of the
+// runKilledAt has a relay take messages that its host does not answer, killed, and killed twice at one step of the
 // recovery, and then recover. It tells what was wrong, and whether the recovery had such a step.
-func killedAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
-	p, h := newPlatform(t), newGatedHost(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+func runKilledAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
+	p, h := newPlatform(t), newGatedEndpoint(t)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
 		withPayments(set)
 		set["extra"].(map[string]any)["call_slots"] = 40
 	})
 	r.kill()
 	var taken []string
-	r.goWith(first)
+	r.setKillStep(first)
 	r.start(p)
 	for i := range 8 {
 		class := []string{"order", "pay"}[i%2]
 		id := fmt.Sprintf("%s-%d-%v-%d", class, then.At, then.Torn, i)
-		if status, _ := r.handIn(id, 12*time.Second, as(class)); status == http.StatusAccepted {
+		if status, _ := r.submit(id, 12*time.Second, withClass(class)); status == http.StatusAccepted {
 			taken = append(taken, id)
 		}
 	}
@@ -94,8 +94,8 @@
 		for _, id := range taken {
 			calls[id] = h.count(id)
 		}
-		resumed := func(id string) bool { return h.count(id) > calls[id] || p.final(id) != nil }
-		r.goWith(then)
+		resumed := func(id string) bool { return h.count(id) > calls[id] || p.notification(id) != nil }
+		r.setKillStep(then)
 		r.launch(p)
 		over := make(chan struct{})
 		go func() { r.cmd.Wait(); close(over) }()
@@ -120,17 +120,17 @@
 	r.env = nil
 	close(h.gate)
 	r.start(p)
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); ; time.Sleep(2 * time.Millisecond) {
 		wrong = nil
 		for _, id := range taken {
-			if _, ok := h.answered.Load(id); !ok && p.final(id) == nil {
+			if _, ok := h.answered.Load(id); !ok && p.notification(id) == nil {
 				wrong = append(wrong, id+" was forgotten")
 			}
 			if n := h.count(id); n > 1 && strings.HasPrefix(id, "pay") {
 				wrong = append(wrong, id+" ran twice")
 			}
 		}
-		if len(wrong) == 0 || time.Now().After(end) || first.Late && time.Now().After(end.Add(2*time.Second-patience)) {
+		if len(wrong) == 0 || time.Now().After(end) || first.Late && time.Now().After(end.Add(2*time.Second-conditionTimeout)) {
 			break
 		}
 	}
@@ -145,7 +145,7 @@
 	for _, torn := range []bool{false, true} {
 		for at := 1; ; at++ {
 			step := killStep{At: at, Torn: torn}
-			wrong, reached := killedAt(t, killStep{}, step)
+			wrong, reached := runKilledAt(t, killStep{}, step)
 			if len(wrong) > 0 {
 				t.Errorf("killed at %+v: %v", step, wrong)
 			}
@@ -161,9 +161,9 @@
 }
 
 // A relay whose journal is written behind what it is for is convicted: the last write is lost with the process.
-func TestJournalWrittenLateIsConvicted(t *testing.T) {
+func TestLateJournalWriteIsDetected(t *testing.T) {
 	for at := 1; at <= 10; at++ {
-		if wrong, _ := killedAt(t, killStep{Late: true}, killStep{At: at}); len(wrong) > 0 {
+		if wrong, _ := runKilledAt(t, killStep{Late: true}, killStep{At: at}); len(wrong) > 0 {
 			t.Logf("%v", wrong)
 			return
 		}
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// restingMembers are hosts at which nobody answers, two of each destination from a number on.
-func restingMembers(n, from int) []member {
-	members := make([]member, 0, 2*n)
+// idleEntries are hosts at which nobody answers, two of each destination from a number on.
+func idleEntries(n, from int) []listEntry {
+	members := make([]listEntry, 0, 2*n)
 	for i := range 2 * n {
-		m := listed(
+		m := newEntry(
 			fmt.Sprint("rest-", from, "-", i),
 			fmt.Sprintf("127.9.%d.%d:1", i>>8&255, i&255),
 			"a",
@@ -29,20 +29,20 @@
 // A relay ends, in order or not, in the middle of a whole list that would take away the host which holds a message up
 // and the host of another destination. What the list has said by then does not matter to the next process, which goes
 // on from what it knows itself: each message that was taken on is delivered, once.
-func TestAnEndInTheMiddleOfALongList(t *testing.T) {
+func TestTerminatedDuringALongList(t *testing.T) {
 	const dests = 3000
 	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t)
-			h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) })
-			live := func(state string) []member {
-				return append(restingMembers(dests, 1000), listed("s-1", h.addr(), "a", "gateway", state))
+			h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) })
+			live := func(state string) []listEntry {
+				return append(idleEntries(dests, 1000), newEntry("s-1", h.addr(), "a", "gateway", state))
 			}
 			r := newRelay(t, p, live("draining"), nil)
-			r.take("waits", 12*time.Second)
+			r.mustAccept("waits", 12*time.Second)
 			whole := fmt.Appendf(nil, `{"version":50,"full":true,"servers":[`)
-			for i, m := range restingMembers(dests, 100_000) {
+			for i, m := range idleEntries(dests, 100_000) {
 				if i > 0 {
 					whole = append(whole, ',')
 				}
@@ -68,7 +68,7 @@
 				}
 				return err == nil && res.StatusCode != http.StatusBadRequest
 			})
-			r.take("after", 12*time.Second)
+			r.mustAccept("after", 12*time.Second)
 			must(t, r.cmd.Process.Signal(signal))
 			r.cmd.Wait()
 			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": live("ready")}
@@ -79,8 +79,8 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 			for _, id := range []string{"waits", "after"} {
-				if n := h.count(id); n != 1 || p.final(id) != nil {
-					t.Errorf("%s: %d times, notice %v", id, n, p.final(id))
+				if n := h.count(id); n != 1 || p.notification(id) != nil {
+					t.Errorf("%s: %d times, notice %v", id, n, p.notification(id))
 				}
 			}
 		})
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -28,13 +28,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// heapShare is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
+// heapFraction is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
 // itself and the files of the log.
-const heapShare = 0.7
+const heapFraction = 0.7
 
-type app struct {
+type commands struct {
 	Version   kong.VersionFlag `help:"Print the version and end."`
-	Serve     serve            `cmd:"" default:"withargs" help:"Run the relay (the default)."`
+	Serve     serveCommand     `cmd:"" default:"withargs" help:"Run the relay (the default)."`
 	Replay    replayCommand    `cmd:"" help:"Play recordings to the decision module as built here, and tell whether it decides the same."`
 	Explain   explainCommand   `cmd:"" help:"Tell from recordings what held messages up."`
 	Fleet     fleetCommand     `cmd:"" help:"Tell of a fleet: from recordings of many relays, or as running ones see it."`
@@ -45,19 +45,19 @@
 func main() {
 	// Caught to the last: one more, in the moment before the exit, would end the process by the signal.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	status := cli.Run(ctx, "cherrytrestle", "A relay for outbound messages.", &app{}, os.Args[1:],
+	status := cli.Run(ctx, "cherrytrestle", "A relay for outbound messages.", &commands{}, os.Args[1:],
 		cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}, cli.Failed)
 	os.Exit(status)
 }
 
-type serve struct {
+type serveCommand struct {
 	Operator string `help:"The operator's file (TOML): what this installation turns on. None: nothing." env:"CHERRYTRESTLE_OPERATOR" placeholder:"FILE"`
 
-	through func(store.FS) store.FS // between the journal and its files; nil: nothing
+	wrapJournalFS func(store.FS) store.FS // between the journal and its files; nil: nothing
 }
 
 // Run serves until SIGTERM or SIGINT. SIGHUP has the configuration read again, SIGUSR1 the recording kept.
-func (c *serve) Run(ctx context.Context) error {
+func (c *serveCommand) Run(ctx context.Context) error {
 	// Caught from the start: unhandled, either ends the process.
 	reload, keep := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -72,8 +72,8 @@
 	if err != nil {
 		return err
 	}
-	cfg.Operator, cfg.Version, cfg.WrapJournalFS = file, cli.Version(), c.through
-	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapShare * (1 << 20)))
+	cfg.Operator, cfg.Version, cfg.WrapJournalFS = file, cli.Version(), c.wrapJournalFS
+	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapFraction * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	r, err := relay.New(cfg, log, os.Stderr)
 	if err != nil {
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -37,11 +37,11 @@
 	os.Exit(m.Run())
 }
 
-const patience = 15 * time.Second // longer than any condition takes
+const conditionTimeout = 15 * time.Second // longer than any condition takes
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -55,29 +55,29 @@
 	}
 }
 
-// member is an entry of the list.
-type member map[string]any
+// listEntry is an entry of the list.
+type listEntry map[string]any
 
-func listed(id, addr, zone, kind string, state string) member {
-	return member{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
+func newEntry(id, addr, zone, kind string, state string) listEntry {
+	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
 // platform is discovery's agent.
 type platform struct {
 	*httptest.Server
-	mu      sync.Mutex
-	version int
-	lines   chan string // to the watch
-	indexes []string    // that watches came with
-	finals  []map[string]any
-	refuse  int // so many requests with notices fail first
-	whole   []member
-	watches atomic.Int32 // that are answered
+	mu                sync.Mutex
+	version           int
+	lines             chan string // to the watch
+	indexes           []string    // that watches came with
+	notifications     []map[string]any
+	failNotifications int // so many requests with notices fail first
+	fullList          []listEntry
+	watches           atomic.Int32 // that are answered
 }
 
-// cut ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the
+// disconnect ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the
 // next line with it.
-func (p *platform) cut(t testing.TB) {
+func (p *platform) disconnect(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
 	eventually(t, "no watch", func() bool { return p.watches.Load() == 0 })
@@ -90,7 +90,7 @@
 		p.mu.Lock()
 		if r.URL.Query().Get("stream") == "" {
 			defer p.mu.Unlock()
-			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.whole})
+			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList})
 			return
 		}
 		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
@@ -112,8 +112,8 @@
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.refuse > 0 {
-			p.refuse--
+		if p.failNotifications > 0 {
+			p.failNotifications--
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -125,7 +125,7 @@
 				t.Errorf("notice: %v", err)
 				break
 			}
-			p.finals = append(p.finals, f)
+			p.notifications = append(p.notifications, f)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
@@ -134,8 +134,8 @@
 	return p
 }
 
-// tell writes a change of the list to the watch.
-func (p *platform) tell(full bool, members ...member) {
+// publish writes a change of the list to the watch.
+func (p *platform) publish(full bool, members ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
@@ -143,11 +143,11 @@
 	p.lines <- string(line)
 }
 
-// final returns the notice for a message, or nil.
-func (p *platform) final(id string) map[string]any {
+// notification returns the notice for a message, or nil.
+func (p *platform) notification(id string) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range p.finals {
+	for _, f := range p.notifications {
 		if f["id"] == id {
 			return f
 		}
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// host is one endpoint.
-type host struct {
+// endpoint is one endpoint.
+type endpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
 	seen   []string    // ids, in the order of their calls
@@ -165,8 +165,8 @@
 	answer func(w http.ResponseWriter, r *http.Request, ids []string)
 }
 
-func newHost(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *host {
-	h := &host{answer: answer}
+func newEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *endpoint {
+	h := &endpoint{answer: answer}
 	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -197,9 +197,9 @@
 	return h
 }
 
-func (h *host) addr() string { return h.Listener.Addr().String() }
+func (h *endpoint) addr() string { return h.Listener.Addr().String() }
 
-func (h *host) count(id string) int {
+func (h *endpoint) count(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -225,14 +225,14 @@
 }
 
 // newRelay starts a relay; change may alter the settings.
-func newRelay(t testing.TB, p *platform, known []member, change func(settings map[string]any)) *relayProcess {
+func newRelay(t testing.TB, p *platform, known []listEntry, change func(settings map[string]any)) *relayProcess {
 	r := prepareRelay(t, known, change)
 	r.start(p)
 	return r
 }
 
 // prepareRelay writes a relay's configuration.
-func prepareRelay(t testing.TB, known []member, change func(settings map[string]any)) *relayProcess {
+func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
 	settings := map[string]any{
 		"bounds": map[string]any{
 			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
@@ -343,8 +343,8 @@
 	return req
 }
 
-// handIn hands a message in and returns the answer's status and advice.
-func (r *relayProcess) handIn(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
+// submit hands a message in and returns the answer's status and advice.
+func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
 	must(r.t, err)
@@ -353,24 +353,24 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-func (r *relayProcess) take(id string, expires time.Duration) {
+func (r *relayProcess) mustAccept(id string, expires time.Duration) {
 	r.t.Helper()
-	if status, _ := r.handIn(id, expires, nil); status != http.StatusAccepted {
+	if status, _ := r.submit(id, expires, nil); status != http.StatusAccepted {
 		r.t.Fatalf("%s: status %d", id, status)
 	}
 }
 
-func TestTakesAndDelivers(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 10*time.Second)
-	r.take("m2", 10*time.Second)
+func TestAcceptsAndDelivers(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "both delivered", func() bool { return h.count("m1") == 1 && h.count("m2") == 1 })
 }
 
-func TestMalformedRequestsEndAtTheDoor(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
 	for i, c := range []struct {
 		edit func(*http.Request)
@@ -400,7 +400,7 @@
 		{func(q *http.Request) { q.Method = http.MethodPut }, 405},
 	} {
 		id := fmt.Sprint("bad", i)
-		if status, _ := r.handIn(id, 10*time.Second, c.edit); status != c.want {
+		if status, _ := r.submit(id, 10*time.Second, c.edit); status != c.want {
 			t.Errorf("request %d: status %d, want %d", i, status, c.want)
 		}
 	}
@@ -408,7 +408,7 @@
 		q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10)))
 		q.ContentLength = 64 << 10
 	}
-	if status, _ := r.handIn("big", 10*time.Second, big); status != http.StatusAccepted {
+	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
 		t.Errorf("64 KiB: status %d", status)
 	}
 	eventually(t, "the good one delivered", func() bool { return h.count("big") == 1 })
@@ -417,23 +417,23 @@
 	}
 }
 
-func TestNoMoreIsHeldThanTheCap(t *testing.T) {
+func TestPendingMessagesAreBounded(t *testing.T) {
 	const held = 5
 	wait := make(chan struct{})
-	p, h := newPlatform(t), newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	p, h := newPlatform(t), newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-wait:
 		case <-r.Context().Done():
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
 		s["bounds"].(map[string]any)["open_cap"] = held
 		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all go out, and none can be refused for another
 	})
 	defer close(wait)
 	taken := 0
 	for i := range 3 * held {
-		status, again := r.handIn(fmt.Sprint("m", i), 10*time.Second, nil)
+		status, again := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
 		switch {
 		case status == http.StatusAccepted:
 			taken++
@@ -447,28 +447,28 @@
 }
 
 // What the module gives up on gets its answer by a notice, and the notice goes on until it is taken.
-func TestNoticesGoUntilTheyAreTaken(t *testing.T) {
+func TestNotificationsAreRetried(t *testing.T) {
 	p := newPlatform(t)
-	p.refuse = 3
-	h := newHost(
+	p.failNotifications = 3
+	h := newEndpoint(
 		t,
 		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
 	)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 700*time.Millisecond)
-	eventually(t, "a notice", func() bool { return p.final("m1") != nil })
-	if f := p.final("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 700*time.Millisecond)
+	eventually(t, "a notice", func() bool { return p.notification("m1") != nil })
+	if f := p.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
 		t.Errorf("notice %v", f)
 	}
 }
 
 // A call that was out when the process was killed may have run. The message is made good by the next process, and
 // only where repeats are dropped: in the same zone.
-func TestKilledWithACallOut(t *testing.T) {
+func TestKilledWithACallInFlight(t *testing.T) {
 	p := newPlatform(t)
 	first := true
-	var one *host
-	one = newHost(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	var one *endpoint
+	one = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		one.mu.Lock()
 		hang := first
 		first = false
@@ -477,33 +477,33 @@
 			<-r.Context().Done()
 		}
 	})
-	other := newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
-	r.take("late", 600*time.Millisecond)
+	other := newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
 	r.kill()
 	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
 
 	// Back it comes with a list whose first host, by its weight, stands in the other zone.
-	better := listed("s-0", other.addr(), "b", "gateway", "ready")
+	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
 	better["weight"] = 900.0
 	r.start(p)
-	p.tell(false, better)
+	p.publish(false, better)
 	eventually(t, "delivered again", func() bool { return one.count("m1") == 2 })
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "a new message goes to the better host", func() bool { return other.count("m2") == 1 })
 	if other.count("m1") != 0 {
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notice for the overdue one", func() bool { return p.final("late") != nil })
+		eventually(t, "a notice for the overdue one", func() bool { return p.notification("late") != nil })
 	}
 
 	// Delivered and ended messages stay ended.
 	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
 	r.start(p)
-	r.take("m3", 10*time.Second)
+	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
 	if one.count("m1") != 2 {
 		t.Errorf("m1 went %d times", one.count("m1"))
@@ -524,15 +524,15 @@
 	return err
 }
 
-func TestAPlannedEnd(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	p := newPlatform(t)
 	began := make(chan struct{}, 10)
-	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) {
+	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) {
 		began <- struct{}{}
 		time.Sleep(time.Second) // a call that takes its time
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-	r.take("running", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("running", 10*time.Second)
 	<-began
 	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	start := time.Now()
@@ -544,7 +544,7 @@
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
 	if time.Since(start) < 200*time.Millisecond { // else the machine is too slow to tell
-		r.take("after", 10*time.Second) // new work is still taken
+		r.mustAccept("after", 10*time.Second) // new work is still taken
 	}
 	err := r.terminate()
 	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
@@ -554,7 +554,7 @@
 		t.Errorf("the running call: %d", h.count("running"))
 	}
 	r.start(p)
-	r.take("next", 10*time.Second)
+	r.mustAccept("next", 10*time.Second)
 	eventually(t, "the next message", func() bool { return h.count("next") == 1 })
 	if h.count("running") != 1 {
 		t.Error("a delivered message went again")
@@ -564,8 +564,8 @@
 // Clients that go on through a planned end, and through a kill, lose nothing that they were told is taken on.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
 	p := newPlatform(t)
-	h := newHost(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	var mu sync.Mutex
 	var taken []string
 	var unanswered int
@@ -628,7 +628,7 @@
 	r.cmd.Wait()
 	r.start(p)
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.final(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
 	}
 	if len(taken) < 20 {
 		t.Errorf("only %d taken on: the test shows little", len(taken))
@@ -640,22 +640,22 @@
 	}
 }
 
-func TestDrainsAreHeededAndTheWatchResumes(t *testing.T) {
-	p, one, two := newPlatform(t), newHost(t, nil), newHost(t, nil)
-	better := listed("s-1", one.addr(), "a", "gateway", "ready")
+func TestDrainingAndWatchResume(t *testing.T) {
+	p, one, two := newPlatform(t), newEndpoint(t, nil), newEndpoint(t, nil)
+	better := newEntry("s-1", one.addr(), "a", "gateway", "ready")
 	better["weight"] = 900.0
-	r := newRelay(t, p, []member{better, listed("s-2", two.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, p, []listEntry{better, newEntry("s-2", two.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
-	p.tell(false, better, member{"id": 17}, member{"id": "s-9", "state": "asleep"}) // the others cannot be read
+	p.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the others cannot be read
 	eventually(t, "a message to the other host", func() bool {
 		id := fmt.Sprint("m", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return two.count(id) == 1
 	})
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "m2", func() bool { return two.count("m2") == 1 })
 
 	p.CloseClientConnections()
@@ -664,21 +664,21 @@
 		t.Errorf("watches from %v", p.indexes)
 	}
 	better["state"] = "ready"
-	p.tell(true, better) // the other is missing: it is gone
+	p.publish(true, better) // the other is missing: it is gone
 	eventually(t, "back at the first host", func() bool {
 		id := fmt.Sprint("n", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return one.count(id) == 1
 	})
 }
 
-func TestToldWaitsAreHeeded(t *testing.T) {
+func TestRetryAfterIsObserved(t *testing.T) {
 	const wait = 600 * time.Millisecond
 	p := newPlatform(t)
 	var mu sync.Mutex
 	var told time.Time
-	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if told.IsZero() {
@@ -687,11 +687,11 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the wait", func() bool { return h.count("m1") == 1 })
 	for i := range 5 {
-		r.take(fmt.Sprint("w", i), 10*time.Second)
+		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
 	}
 	eventually(t, "all delivered", func() bool { return h.count("m1") == 2 && h.count("w4") == 1 })
 	h.mu.Lock()
@@ -704,11 +704,11 @@
 }
 
 // What waits for one route when it opens goes as one call.
-func TestMessagesTravelTogether(t *testing.T) {
+func TestMessagesShareACall(t *testing.T) {
 	p := newPlatform(t)
 	var mu sync.Mutex
 	var most, calls int
-	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if calls++; calls == 1 {
@@ -724,11 +724,11 @@
 			fmt.Fprintf(w, "[%s]", strings.Join(states, ","))
 		}
 	})
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m0", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m0", 10*time.Second)
 	eventually(t, "the wait", func() bool { return h.count("m0") == 1 })
 	for i := range 8 {
-		r.take(fmt.Sprint("b", i), 10*time.Second)
+		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
 	eventually(t, "a bundle", func() bool { mu.Lock(); defer mu.Unlock(); return most > 1 })
 	if most > 10 {
@@ -737,9 +737,9 @@
 }
 
 // Requests that stop half-way and connections that say nothing hold nobody up.
-func TestHalfARequestHoldsNobodyUp(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
+func TestIncompleteRequestsBlockNobody(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
@@ -753,7 +753,7 @@
 	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
 		t.Errorf("%q, %v", line, err)
 	}
-	r.take("m1", 10*time.Second)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
 	if err := r.terminate(); err != nil {
 		t.Errorf("with half a request open: %v", err)
@@ -763,29 +763,29 @@
 // SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, the notices
 // follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
-	one, two := newHost(t, nil), newHost(t, nil)
-	shut := newHost(
+	one, two := newEndpoint(t, nil), newEndpoint(t, nil)
+	shut := newEndpoint(
 		t,
 		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
 	)
 	first, second := newPlatform(t), newPlatform(t)
 	first.version = 40
-	r := newRelay(t, first, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the first host", func() bool { return one.count("m1") == 1 })
 	const many = 1 << 30
-	first.refuse = many // its notices are stuck there
-	first.tell(true, listed("s-3", shut.addr(), "a", "gateway", "ready"))
+	first.failNotifications = many // its notices are stuck there
+	first.publish(true, newEntry("s-3", shut.addr(), "a", "gateway", "ready"))
 	eventually(t, "a message turned away", func() bool {
 		id := fmt.Sprint("full", time.Now().UnixNano())
-		r.take(id, 500*time.Millisecond)
+		r.mustAccept(id, 500*time.Millisecond)
 		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
 		return shut.count(id) > 0
 	})
 	eventually(
 		t,
 		"a notice under way",
-		func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.refuse < many },
+		func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.failNotifications < many },
 	)
 
 	hup := func(p *platform) {
@@ -794,31 +794,31 @@
 		r.writeConfig()
 		must(t, r.cmd.Process.Signal(syscall.SIGHUP))
 	}
-	second.whole = []member{listed("s-2", two.addr(), "a", "gateway", "ready")}
+	second.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(second)
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
 	eventually(
 		t,
 		"the notice that was under way",
-		func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.finals) > 0 },
+		func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notifications) > 0 },
 	)
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
 	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	second.tell(
+	second.publish(
 		false,
-		listed("s-2", two.addr(), "a", "gateway", "draining"),
-		listed("s-1", one.addr(), "a", "gateway", "ready"),
+		newEntry("s-2", two.addr(), "a", "gateway", "draining"),
+		newEntry("s-1", one.addr(), "a", "gateway", "ready"),
 	)
-	r.take("m3", 10*time.Second)
+	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
-	first.whole = []member{listed("s-2", two.addr(), "a", "gateway", "ready")}
+	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(first)
 	eventually(t, "back at the first", func() bool {
 		id := fmt.Sprint("back", time.Now().UnixNano())
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
 		return two.count(id) == 1
 	})
--- a/cmd/cherrytrestle/rights_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -14,33 +14,33 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// sharers is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as
+// newQuotaFleet is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as
 // they are told.
-func sharers(t *testing.T, n int, h *host, takes float64) *rig {
-	g := newRig(t, n, h)
+func newQuotaFleet(t *testing.T, n int, h *endpoint, takes float64) *testFleet {
+	g := newTestFleet(t, n, h)
 	for i, r := range g.relays {
-		entry := listed("s-1", h.addr(), "a", "gateway", "ready")
+		entry := newEntry("s-1", h.addr(), "a", "gateway", "ready")
 		entry["weight"] = takes
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": []member{entry}}
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": []listEntry{entry}}
 		r.config["settings"].(map[string]any)["realms"] = []map[string]any{
 			{"name": "acme", "share": 1, "quota_per_s": 50 * takes},
 		}
 		r.writeConfig()
-		g.operator(i, "rights = true\n", nil)
+		g.writeOperatorFile(i, "rights = true\n", nil)
 	}
 	return g
 }
 
-// standing is what a relay says of its only limit.
-func (g *rig) standing(i int) quota.ScopeStatus {
+// quotaStatus is what a relay says of its only limit.
+func (g *testFleet) quotaStatus(i int) quota.ScopeStatus {
 	if s := g.status(i); len(s.Quota) == 1 {
 		return s.Quota[0]
 	}
 	return quota.ScopeStatus{}
 }
 
-// most is the greatest number of calls that came in any span.
-func (h *host) most(span time.Duration) (most int) {
+// maxCallsWithin is the greatest number of calls that came in any span.
+func (h *endpoint) maxCallsWithin(span time.Duration) (most int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at := slices.SortedFunc(slices.Values(h.at), time.Time.Compare)
@@ -53,16 +53,16 @@
 	return most
 }
 
-func (h *host) total() int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
+func (h *endpoint) totalCalls() int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
 
 // Eight relays share a host of 16 calls a second, and one of them has all the backlog: it uses nearly all of that, also
 // when the keeper is stopped and when it is killed; cut off from all it goes on by its own part, and is back when the
 // links are. All restarted while rights are lent, the host never gets more than it takes beyond what may be saved up.
-func TestRightsAreSharedByProcesses(t *testing.T) {
+func TestQuotaIsSharedByProcesses(t *testing.T) {
 	const n, takes = 8, 16.0
-	h := newHost(t, nil)
-	g := sharers(t, n, h, takes)
-	g.start(g.all()...)
+	h := newEndpoint(t, nil)
+	g := newQuotaFleet(t, n, h, takes)
+	g.start(g.allRelays()...)
 	fed := make(chan struct{})
 	defer func() { <-fed }()
 	done := make(chan struct{})
@@ -81,18 +81,18 @@
 		}
 	}()
 	rate := func(span time.Duration) float64 {
-		before := h.total()
+		before := h.totalCalls()
 		time.Sleep(span) // a rate is counted over time
-		return float64(h.total()-before) / span.Seconds()
+		return float64(h.totalCalls()-before) / span.Seconds()
 	}
 	shared := func(what string) {
 		t.Helper()
 		eventually(t, what, func() bool { return rate(2*time.Second) > 0.65*takes })
 	}
 	agree := func() string {
-		keeper := g.standing(1).LeaseHolder
-		for _, i := range g.all() {
-			if g.standing(i).LeaseHolder != keeper {
+		keeper := g.quotaStatus(1).LeaseHolder
+		for _, i := range g.allRelays() {
+			if g.quotaStatus(i).LeaseHolder != keeper {
 				return ""
 			}
 		}
@@ -103,7 +103,7 @@
 	shared("the one with the backlog uses what others lend")
 
 	index := func(name string) int {
-		return slices.IndexFunc(g.all(), func(i int) bool { return relayName(i) == name })
+		return slices.IndexFunc(g.allRelays(), func(i int) bool { return relayName(i) == name })
 	}
 	if k := index(agree()); k > 0 { // stopped for more than three leases
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
@@ -113,15 +113,15 @@
 		shared("the first one is back")
 	}
 
-	others := g.all()[1:]
-	g.set([]int{0}, others, faultproxy.LinkFaults{Cut: true})
-	g.set(others, []int{0}, faultproxy.LinkFaults{Cut: true})
+	others := g.allRelays()[1:]
+	g.setFaults([]int{0}, others, faultproxy.LinkFaults{Cut: true})
+	g.setFaults(others, []int{0}, faultproxy.LinkFaults{Cut: true})
 	eventually(
 		t,
 		"cut off it goes by its own part",
 		func() bool { r := rate(2 * time.Second); return r > 0 && r < 0.5*takes },
 	)
-	g.set(g.all(), g.all(), faultproxy.LinkFaults{})
+	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
 	shared("the links are sound again")
 
 	for _, i := range others {
@@ -134,7 +134,7 @@
 	// right is valid.
 	const span = 10 * time.Second
 	saved := 1.5*n + 0.3*takes + takes*quota.GrantTTL.Seconds()
-	if most := h.most(span); float64(most) > takes*span.Seconds()+saved {
+	if most := h.maxCallsWithin(span); float64(most) > takes*span.Seconds()+saved {
 		t.Errorf("%d calls in %v, of a host that takes %g a second", most, span, takes)
 	}
 	for _, i := range []int{0, 1} {
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -18,19 +18,19 @@
 
 func command(args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
-	status = cli.Run(context.Background(), "cherrytrestle", "", &app{}, args, cli.Streams{Out: &o, Err: &e}, cli.Failed)
+	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, cli.Streams{Out: &o, Err: &e}, cli.Failed)
 	return status, o.String(), e.String()
 }
 
-// recorded has a real relay record while hosts refuse, answer and die, and returns where the recordings are.
-func recorded(t *testing.T, operator string) (r *relayProcess) {
+// runRecorded has a real relay record while hosts refuse, answer and die, and returns where the recordings are.
+func runRecorded(t *testing.T, operator string) (r *relayProcess) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, os.WriteFile(path, []byte(operator), 0o600))
 	t.Setenv("CHERRYTRESTLE_OPERATOR", path)
 	p := newPlatform(t)
 	refusals := 3
-	var h *host
-	h = newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	var h *endpoint
+	h = newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if refusals--; refusals >= 0 {
@@ -38,9 +38,9 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
-	r = newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r = newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 	}
 	eventually(t, "all delivered, after the refusals", func() bool {
 		h.mu.Lock()
@@ -54,7 +54,7 @@
 // tells why a message waited.
 func TestARecordingOfARealRelay(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
-	r := recorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
+	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
 	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
 	var paths []string
 	eventually(t, "a recording", func() bool {
@@ -94,7 +94,7 @@
 
 // Where a platform keeps nothing but the log, recordings go there, and what a killed process wrote is taken out of it.
 func TestARecordingInTheLog(t *testing.T) {
-	r := recorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
+	r := runRecorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
 	log := filepath.Join(r.dir, "log")
 	eventually(t, "the recording in the log", func() bool {
 		status, out, _ := command("explain", "--message", "m4", log)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestWhatIsWrongWithACommandIsSaid(t *testing.T) {
+func TestCommandErrors(t *testing.T) {
 	junk := filepath.Join(t.TempDir(), "junk")
 	must(t, os.WriteFile(junk, []byte("[recorder]\nenabeld = true\n"), 0o600))
 	for _, c := range []struct {
--- a/cmd/cherrytrestle/standing_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -12,25 +12,25 @@
 )
 
 // A wait that the killed process was told binds the next one.
-func TestAToldWaitOutlastsTheProcess(t *testing.T) {
+func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var refuse atomic.Bool
 	refuse.Store(true)
-	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.4")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
 	p := newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	r.take("m1", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a wait told", func() bool { return h.count("m1") == 1 })
 	told := time.Now()
 	time.Sleep(400 * time.Millisecond) // what is told is written down within 250 ms
 	refuse.Store(false)
 	r.kill()
 	r.start(p)
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "both are delivered", func() bool { return h.count("m1") == 2 && h.count("m2") == 1 })
 	if d := time.Since(told); d < 2200*time.Millisecond {
 		t.Errorf("sent %v after a wait of 2.4 s was told", d)
@@ -38,9 +38,9 @@
 }
 
 // What a program of the form before left in its log is delivered by this one, and the log goes.
-func TestAnOlderLogIsCarriedOver(t *testing.T) {
-	h, p := newHost(t, nil), newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+func TestLegacyLogIsMigrated(t *testing.T) {
+	h, p := newEndpoint(t, nil), newPlatform(t)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.kill()
 	state := filepath.Join(r.dir, "state")
 	must(t, os.RemoveAll(state))
--- a/cmd/cherrytrestle/daily_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// withSecond gives a relay a second address; the next process reads it from the file.
-func withSecond(t testing.TB, r *relayProcess) (addr string) {
+// withManagement gives a relay a second address; the next process reads it from the file.
+func withManagement(t testing.TB, r *relayProcess) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	l.Close()
@@ -25,8 +25,8 @@
 	return l.Addr().String()
 }
 
-// figure fetches the figures and returns the value of one; "" if there is none.
-func figure(t testing.TB, addr, name string) string {
+// metric fetches the figures and returns the value of one; "" if there is none.
+func metric(t testing.TB, addr, name string) string {
 	t.Helper()
 	res, err := http.Get("http://" + addr + "/v1/metrics")
 	must(t, err)
@@ -42,7 +42,7 @@
 	return ""
 }
 
-func counts(t testing.TB, addr, name, want string) {
+func waitMetric(t testing.TB, addr, name, want string) {
 	t.Helper()
 	var got string
 	defer func() {
@@ -50,7 +50,7 @@
 			t.Logf("%s is %q", name, got)
 		}
 	}()
-	eventually(t, name+" "+want, func() bool { got = figure(t, addr, name); return got == want })
+	eventually(t, name+" "+want, func() bool { got = metric(t, addr, name); return got == want })
 }
 
 // deepCopy of a configuration, to be spoilt.
@@ -61,7 +61,7 @@
 	return y
 }
 
-func service(config map[string]any, i int) map[string]any {
+func serviceSettings(config map[string]any, i int) map[string]any {
 	return config["settings"].(map[string]any)["services"].([]any)[i].(map[string]any)
 }
 
@@ -73,13 +73,13 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
-	h, p, lost := newHost(t, fail), newPlatform(t), newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	h, p, lost := newEndpoint(t, fail), newPlatform(t), newPlatform(t)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.kill()
-	second := withSecond(t, r)
+	second := withManagement(t, r)
 	r.start(p)
-	r.take("m1", 10*time.Second)
-	counts(t, second, "completed.order", "1")
+	r.mustAccept("m1", 10*time.Second)
+	waitMetric(t, second, "completed.order", "1")
 	r.config["discovery"] = p.Listener.Addr().String()
 	hup := func(data []byte) {
 		t.Helper()
@@ -91,17 +91,17 @@
 	// A class more, whose messages must never run twice.
 	next := deepCopy(t, r.config)
 	set := next["settings"].(map[string]any)
-	payment := deepCopy(t, service(next, 0))
+	payment := deepCopy(t, serviceSettings(next, 0))
 	payment["name"], payment["semantics"] = "payment", "unsafe"
 	set["services"] = append(set["services"].([]any), payment)
 	hup(text(next))
-	counts(t, second, "config_reloads", "1")
-	counts(t, second, "failed.payment", "0")
+	waitMetric(t, second, "config_reloads", "1")
+	waitMetric(t, second, "failed.payment", "0")
 	eventually(t, "the new class is taken", func() bool {
-		status, _ := r.handIn("bad1", 10*time.Second, as("payment"))
+		status, _ := r.submit("bad1", 10*time.Second, withClass("payment"))
 		return status == http.StatusAccepted
 	})
-	counts(t, second, "failed.payment", "1")
+	waitMetric(t, second, "failed.payment", "1")
 	if n := h.count("bad1"); n != 1 {
 		t.Errorf("a message that may not run twice was sent %d times", n)
 	}
@@ -111,28 +111,28 @@
 		"empty":   func(map[string]any) []byte { return nil },
 		"cut off": func(c map[string]any) []byte { data := text(c); return data[:len(data)*2/3] },
 		"no deadline": func(c map[string]any) []byte {
-			delete(service(c, 1), "give_up_ms")
+			delete(serviceSettings(c, 1), "give_up_ms")
 			return text(c)
 		},
-		"deadline 0":   func(c map[string]any) []byte { service(c, 0)["give_up_ms"] = 0; return text(c) },
+		"deadline 0":   func(c map[string]any) []byte { serviceSettings(c, 0)["give_up_ms"] = 0; return text(c) },
 		"no discovery": func(c map[string]any) []byte { delete(c, "discovery"); return text(c) },
 		"attempts below 0": func(c map[string]any) []byte {
 			c["settings"].(map[string]any)["bounds"].(map[string]any)["send_cap"] = -1
 			return text(c)
 		},
-		"text for a number": func(c map[string]any) []byte { service(c, 0)["give_up_ms"] = "soon"; return text(c) },
+		"text for a number": func(c map[string]any) []byte { serviceSettings(c, 0)["give_up_ms"] = "soon"; return text(c) },
 	} {
 		broken := deepCopy(t, next)
 		broken["discovery"] = lost.Listener.Addr().String()
-		service(broken, 0)["name"] = "other"
+		serviceSettings(broken, 0)["name"] = "other"
 		hup(spoil(broken))
 		errors++
-		counts(t, second, "config_reload_errors", fmt.Sprint(errors))
-		if figure(t, second, "completed.other") != "" {
+		waitMetric(t, second, "config_reload_errors", fmt.Sprint(errors))
+		if metric(t, second, "completed.other") != "" {
 			t.Errorf("%s: half taken", name)
 		}
 		id := fmt.Sprint("still", errors)
-		r.take(id, 10*time.Second)
+		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return h.count(id) == 1 })
 	}
 	lost.mu.Lock()
@@ -144,20 +144,20 @@
 	// A class goes. What is open under it ends by its rules, also over a restart.
 	set["services"] = set["services"].([]any)[1:]
 	hup(text(next))
-	counts(t, second, "config_reloads", "2")
+	waitMetric(t, second, "config_reloads", "2")
 	eventually(t, "the old class is turned away", func() bool {
-		status, _ := r.handIn("late", 10*time.Second, nil)
+		status, _ := r.submit("late", 10*time.Second, nil)
 		return status == http.StatusBadRequest
 	})
-	counts(t, second, "members", "1")
-	counts(t, second, "pending", "0")
+	waitMetric(t, second, "members", "1")
+	waitMetric(t, second, "pending", "0")
 }
 
 // The second address answers while clients crowd the first, and tells of the end.
 func TestReadinessAndFigures(t *testing.T) {
-	var h *host
+	var h *endpoint
 	hold := make(chan struct{})
-	h = newHost(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+	h = newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
 			<-hold
 		}
@@ -166,11 +166,11 @@
 	r := newRelay(
 		t,
 		p,
-		[]member{listed("s-1", h.addr(), "a", "gateway", "ready"), listed("s-2", h.addr(), "a", "gateway", "draining")},
+		[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), newEntry("s-2", h.addr(), "a", "gateway", "draining")},
 		nil,
 	)
 	r.kill()
-	second := withSecond(t, r)
+	second := withManagement(t, r)
 	r.start(p)
 	ready := func() int {
 		res, err := http.Get("http://" + second + "/v1/readyz")
@@ -186,11 +186,11 @@
 		must(t, err)
 		defer c.Close()
 	}
-	r.take("slow", 10*time.Second)
+	r.mustAccept("slow", 10*time.Second)
 	eventually(t, "the call is out", func() bool { return h.count("slow") == 1 })
-	counts(t, second, "pending", "1")
-	counts(t, second, "upstream_requests", "1")
-	counts(t, second, "members_unavailable", "1")
+	waitMetric(t, second, "pending", "1")
+	waitMetric(t, second, "upstream_requests", "1")
+	waitMetric(t, second, "members_unavailable", "1")
 	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	eventually(t, "not ready", func() bool { return ready() == http.StatusServiceUnavailable })
 	close(hold)
@@ -222,17 +222,17 @@
 			}))}
 			defer old.Close()
 			defer old.CloseClientConnections()
-			one, two := newHost(t, nil), newHost(t, nil)
+			one, two := newEndpoint(t, nil), newEndpoint(t, nil)
 			second := newPlatform(t)
 			second.version = 7 // it counts by itself
-			second.whole = []member{
-				listed("s-1", one.addr(), "a", "gateway", "draining"),
-				listed("s-2", two.addr(), "a", "gateway", "ready"),
+			second.fullList = []listEntry{
+				newEntry("s-1", one.addr(), "a", "gateway", "draining"),
+				newEntry("s-2", two.addr(), "a", "gateway", "ready"),
 			}
 			r := newRelay(
 				t,
 				old,
-				[]member{listed("s-1", one.addr(), "a", "gateway", "ready")},
+				[]listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")},
 				func(set map[string]any) { set["fleet_size"] = 300 },
 			)
 			<-called
@@ -249,7 +249,7 @@
 				t.Errorf("a watch from %s, want it from the whole list's 7", second.indexes[0])
 			}
 			second.mu.Unlock()
-			r.take("m1", 10*time.Second)
+			r.mustAccept("m1", 10*time.Second)
 			eventually(t, "the host of the new list", func() bool { return two.count("m1") == 1 })
 			if n := one.count("m1"); n > 0 {
 				t.Errorf("%d calls to a host that drains", n)
@@ -267,20 +267,20 @@
 // A known list that cannot be read or is empty is none: the relay starts, keeps what it had taken, and is ready once
 // discovery has told one.
 func TestAKnownListThatCannotBeRead(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "draining")}, nil)
-	r.take("m1", 12*time.Second) // no host takes it
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}, nil)
+	r.mustAccept("m1", 12*time.Second) // no host takes it
 	r.kill()
 	for _, known := range []any{"none", 17, []any{}, map[string]any{"version": "new"}, map[string]any{}, nil} {
 		r.config["known"] = known
 		r.writeConfig()
-		p.cut(t)
-		p.tell(true, listed("s-1", h.addr(), "a", "gateway", "draining"))
+		p.disconnect(t)
+		p.publish(true, newEntry("s-1", h.addr(), "a", "gateway", "draining"))
 		r.start(p)
 		r.kill()
 	}
-	p.cut(t)
-	p.tell(true, listed("s-1", h.addr(), "a", "gateway", "ready"))
+	p.disconnect(t)
+	p.publish(true, newEntry("s-1", h.addr(), "a", "gateway", "ready"))
 	r.start(p)
 	eventually(t, "delivered once the list is told", func() bool { return h.count("m1") == 1 })
 }
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -29,8 +29,8 @@
 	readings = flag.String("readings", "", "file that readings of the scale tests are added to, one JSON object a line")
 )
 
-// scale returns the sizes to measure: the short ones, or with -full the long ones.
-func scale(t *testing.T, short []int, long ...int) []int {
+// testSizes returns the sizes to measure: the short ones, or with -full the long ones.
+func testSizes(t *testing.T, short []int, long ...int) []int {
 	if !*full {
 		return short
 	}
@@ -42,8 +42,8 @@
 	return long
 }
 
-// tell logs a reading, and keeps it where one asked for that.
-func tell(t *testing.T, what string, n int, values map[string]float64) {
+// recordReading logs a reading, and keeps it where one asked for that.
+func recordReading(t *testing.T, what string, n int, values map[string]float64) {
 	t.Helper()
 	text := fmt.Sprintf("%s, %d:", what, n)
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -62,38 +62,38 @@
 	must(t, err)
 }
 
-// catalogAgent is discovery's agent with a list that is written once, however large it is.
-type catalogAgent struct {
+// discoveryServer is discovery's agent with a list that is written once, however large it is.
+type discoveryServer struct {
 	*httptest.Server
-	whole   []byte // is sent to who has an older version
-	version int    // of it
+	fullList []byte // is sent to who has an older version
+	version  int    // of it
 
 	mu      sync.Mutex
 	changes [][]byte          // by version, from the next on
-	told    chan struct{}     // closed, and made anew, with each
+	changed chan struct{}     // closed, and made anew, with each
 	finals  map[string]string // status by id
 }
 
-func newCatalogAgent(t *testing.T, version int, list []member) *catalogAgent {
+func newDiscoveryServer(t *testing.T, version int, list []listEntry) *discoveryServer {
 	t.Helper()
 	whole, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
 	must(t, err)
-	a := &catalogAgent{
-		whole:   append(whole, '\n'),
-		version: version,
-		told:    make(chan struct{}),
-		finals:  map[string]string{},
+	a := &discoveryServer{
+		fullList: append(whole, '\n'),
+		version:  version,
+		changed:  make(chan struct{}),
+		finals:   map[string]string{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
 		has, err := strconv.Atoi(r.URL.Query().Get("index"))
 		if err != nil || has < version {
 			has = version
-			w.Write(a.whole)
+			w.Write(a.fullList)
 		}
 		for beat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
 			a.mu.Lock()
-			lines, more := a.changes[has-version:], a.told
+			lines, more := a.changes[has-version:], a.changed
 			a.mu.Unlock()
 			for _, line := range lines {
 				w.Write(line)
@@ -127,13 +127,13 @@
 	return a
 }
 
-// catalog lists destinations of two endpoints each, each at an address of its own where none is given.
-func catalog(from, to int, addr string) (list []member) {
+// destinationEntries lists destinations of two endpoints each, each at an address of its own where none is given.
+func destinationEntries(from, to int, addr string) (list []listEntry) {
 	for d := from; d < to; d++ {
 		for k := range 2 {
 			// nobody is there, nor called
 			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
-			list = append(list, member{
+			list = append(list, listEntry{
 				"id": fmt.Sprintf(
 					"s-%06d-%d",
 					d,
@@ -145,8 +145,8 @@
 	return list
 }
 
-// spentSoFar is the processor time that the process has used.
-func (r *relayProcess) spentSoFar() time.Duration {
+// cpuTime is the processor time that the process has used.
+func (r *relayProcess) cpuTime() time.Duration {
 	r.t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	must(r.t, err)
@@ -195,9 +195,9 @@
 	return mb
 }
 
-// health asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
+// healthMonitor asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
 // an answer took or that lay between two, once there was one.
-type health struct {
+type healthMonitor struct {
 	began   time.Time
 	stop    chan struct{}
 	done    sync.WaitGroup
@@ -205,8 +205,8 @@
 	longest atomic.Int64
 }
 
-func (r *relayProcess) followHealth() *health {
-	h := &health{began: time.Now(), stop: make(chan struct{})}
+func (r *relayProcess) monitorHealth() *healthMonitor {
+	h := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
 	client := &http.Client{Timeout: 30 * time.Second}
 	h.done.Go(func() {
 		defer client.CloseIdleConnections()
@@ -236,7 +236,7 @@
 	return h
 }
 
-func (h *health) end() {
+func (h *healthMonitor) end() {
 	select {
 	case <-h.stop:
 	default:
@@ -246,7 +246,7 @@
 }
 
 // untilReady waits for it for so long at most.
-func (h *health) untilReady(most time.Duration) bool {
+func (h *healthMonitor) untilReady(most time.Duration) bool {
 	for h.ready.Load() == 0 && time.Since(h.began) < most {
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -254,46 +254,46 @@
 }
 
 const (
-	catalogMemoryMost = 128 // MB, at the highest, at any size of the list
-	readyWithin       = 30 * time.Second
+	maxCatalogMemoryMB = 128 // MB, at the highest, at any size of the list
+	readyTimeout       = 30 * time.Second
 )
 
 // A relay starts with a list of many destinations, by discovery or as it last had it, serves health meanwhile, and
 // obeys a change of one entry.
 func TestLargeCatalog(t *testing.T) {
 	for _, how := range []string{"listed", "known"} {
-		for _, n := range scale(t, []int{20000}, 1000, 10000, 50000, 140000) {
+		for _, n := range testSizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
 			t.Run(fmt.Sprintf("%s, %d", how, n), func(t *testing.T) {
 				values := map[string]float64{}
-				defer func() { tell(t, "catalog "+how, n, values) }()
-				h := newHost(t, nil)
-				list := catalog(0, n, "")
-				version, known := 2, []member(nil) // a relay's own file has version 1
+				defer func() { recordReading(t, "catalog "+how, n, values) }()
+				h := newEndpoint(t, nil)
+				list := destinationEntries(0, n, "")
+				version, known := 2, []listEntry(nil) // a relay's own file has version 1
 				if how == "known" {
 					version, known = 1, list
 				}
-				a := newCatalogAgent(t, version, list)
+				a := newDiscoveryServer(t, version, list)
 				r := prepareRelay(t, known, nil)
 				list = nil
 				r.config = nil // as large as the list
 				r.launch(&platform{Server: a.Server})
-				follow := r.followHealth()
-				ready := follow.untilReady(readyWithin)
+				follow := r.monitorHealth()
+				ready := follow.untilReady(readyTimeout)
 				values["ready"], values["memory_most_mb"], values["memory_mb"] = 0, r.memory("VmHWM"), r.memory("VmRSS")
-				values["processor_s"] = r.spentSoFar().Seconds()
+				values["processor_s"] = r.cpuTime().Seconds()
 				values["health_longest_ms"] = float64(follow.longest.Load()) / 1e6
 				if !ready {
-					t.Fatalf("not ready after %v", readyWithin)
+					t.Fatalf("not ready after %v", readyTimeout)
 				}
 				values["ready"], values["ready_s"] = 1, time.Duration(follow.ready.Load()).Seconds()
 				// A destination more: from when it is told until a message to it is taken.
-				a.tell(t, catalog(n, n+1, h.addr())...)
+				a.publish(t, destinationEntries(n, n+1, h.addr())...)
 				told := time.Now()
 				to := func(q *http.Request) { q.Header.Set("Envelope", fmt.Sprintf("dest=%d", n)) }
 				for i := 0; ; i++ {
-					if status, _ := r.handIn(fmt.Sprint("m", i), 10*time.Second, to); status == http.StatusAccepted {
+					if status, _ := r.submit(fmt.Sprint("m", i), 10*time.Second, to); status == http.StatusAccepted {
 						break
-					} else if time.Since(told) > patience {
+					} else if time.Since(told) > conditionTimeout {
 						t.Fatal("the change is not obeyed")
 					}
 				}
@@ -305,16 +305,16 @@
 				), float64(
 					follow.longest.Load(),
 				)/1e6
-				if most := values["memory_most_mb"]; most > catalogMemoryMost {
-					t.Errorf("%.0f MB at the most, %d wanted", most, catalogMemoryMost)
+				if most := values["memory_most_mb"]; most > maxCatalogMemoryMB {
+					t.Errorf("%.0f MB at the most, %d wanted", most, maxCatalogMemoryMB)
 				}
 			})
 		}
 	}
 }
 
-// tell has all that watch told of a change.
-func (a *catalogAgent) tell(t *testing.T, changes ...member) {
+// publish has all that watch told of a change.
+func (a *discoveryServer) publish(t *testing.T, changes ...listEntry) {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -323,13 +323,13 @@
 	)
 	must(t, err)
 	a.changes = append(a.changes, append(line, '\n'))
-	close(a.told)
-	a.told = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// hold hands in messages from first to last over so many connections, to destinations in turn, and returns how many
+// submitMany hands in messages from first to last over so many connections, to destinations in turn, and returns how many
 // were not taken.
-func (r *relayProcess) hold(first, last, destinations, connections int) (refused int64) {
+func (r *relayProcess) submitMany(first, last, destinations, connections int) (refused int64) {
 	var next, not atomic.Int64
 	next.Store(int64(first))
 	var clients sync.WaitGroup
@@ -363,24 +363,24 @@
 // message costs as more are held is told, and held to nothing here: the machine has other work.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
-		for _, n := range scale(t, []int{2000}, 10000, 50000, 100000) {
+		for _, n := range testSizes(t, []int{2000}, 10000, 50000, 100000) {
 			t.Run(
 				fmt.Sprintf("%d destinations, %d", destinations, n),
-				func(t *testing.T) { backlog(t, n, destinations) },
+				func(t *testing.T) { testBacklog(t, n, destinations) },
 			)
 		}
 	}
 }
 
-func backlog(t *testing.T, n, destinations int) {
+func testBacklog(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
-	defer func() { tell(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
+	defer func() { recordReading(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
 	down, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	addr := down.Addr().String()
 	must(t, down.Close())
-	list := catalog(0, destinations, addr)
-	a := newCatalogAgent(t, 1, list)
+	list := destinationEntries(0, destinations, addr)
+	a := newDiscoveryServer(t, 1, list)
 	r := prepareRelay(t, list, func(set map[string]any) {
 		set["bounds"].(map[string]any)["open_cap"] = n + n/2
 		set["bounds"].(map[string]any)["send_cap"] = 0 // none ends for its attempts
@@ -388,16 +388,16 @@
 	})
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192 + n/50, "sockets": 256, "disk_mb": 3 + n/500}
 	r.client.Timeout = 30 * time.Second
-	second := withSecond(t, r)
+	second := withManagement(t, r)
 	p := &platform{Server: a.Server}
 	r.start(p)
 	const parts = 10
-	refused, last := int64(0), r.spentSoFar()
+	refused, last := int64(0), r.cpuTime()
 	for k := range parts {
 		began := time.Now()
 		first, end := k*n/parts, (k+1)*n/parts
-		refused += r.hold(first, end, destinations, 32)
-		now := r.spentSoFar()
+		refused += r.submitMany(first, end, destinations, 32)
+		now := r.cpuTime()
 		if k == 0 || k == parts/2 || k == parts-1 {
 			values[fmt.Sprintf("processor_us_per_message_part_%02d", k+1)] = float64(
 				(now - last).Microseconds(),
@@ -416,10 +416,10 @@
 		"VmHWM",
 	), r.disk()
 	time.Sleep(2 * time.Second) // what it spends while they wait
-	values["processor_ms_per_s_waiting"] = float64((r.spentSoFar() - last).Milliseconds()) / 2
+	values["processor_ms_per_s_waiting"] = float64((r.cpuTime() - last).Milliseconds()) / 2
 	r.kill()
 	r.launch(p)
-	follow := r.followHealth()
+	follow := r.monitorHealth()
 	if !follow.untilReady(2 * time.Minute) {
 		t.Fatal("not ready again after 2 minutes")
 	}
@@ -428,7 +428,7 @@
 		r.memory(
 			"VmHWM",
 		)
-	values["restart_processor_s"] = r.spentSoFar().Seconds()
+	values["restart_processor_s"] = r.cpuTime().Seconds()
 	follow.end()
 	if refused > 0 {
 		t.Errorf("%d of %d were not taken", refused, n)
@@ -436,7 +436,7 @@
 	held, ended, byStatus := 0, 0, map[string]int{}
 	defer func() { t.Logf("%d held, %d ended: %v", held, ended, byStatus) }()
 	eventually(t, "each message is held or has ended with a notice", func() bool {
-		held, err = strconv.Atoi(figure(t, second, "pending"))
+		held, err = strconv.Atoi(metric(t, second, "pending"))
 		must(t, err)
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -459,31 +459,31 @@
 	if *full {
 		destinations = 50000
 	}
-	for _, n := range scale(t, []int{3}, 30) {
+	for _, n := range testSizes(t, []int{3}, 30) {
 		t.Run(
 			fmt.Sprintf("%d relays, %d destinations", n, destinations),
-			func(t *testing.T) { manyRelays(t, n, destinations) },
+			func(t *testing.T) { testManyRelays(t, n, destinations) },
 		)
 	}
 }
 
-func manyRelays(t *testing.T, n, destinations int) {
+func testManyRelays(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
-	defer func() { tell(t, fmt.Sprintf("relays of %d destinations", destinations), n, values) }()
-	leaves, stays := newHost(t, nil), newHost(t, nil)
-	list := catalog(0, destinations, "")
+	defer func() { recordReading(t, fmt.Sprintf("relays of %d destinations", destinations), n, values) }()
+	leaves, stays := newEndpoint(t, nil), newEndpoint(t, nil)
+	list := destinationEntries(0, destinations, "")
 	list[0]["addr"], list[1]["addr"], list[0]["weight"], list[1]["weight"] = leaves.addr(), stays.addr(), 9000.0, 5000.0
-	a := newCatalogAgent(t, 2, list)
+	a := newDiscoveryServer(t, 2, list)
 	p := &platform{Server: a.Server}
-	relays, follow := make([]*relayProcess, n), make([]*health, n)
+	relays, follow := make([]*relayProcess, n), make([]*healthMonitor, n)
 	for i := range relays {
 		relays[i] = prepareRelay(t, nil, func(set map[string]any) { set["fleet_size"] = n })
 		relays[i].launch(p)
-		follow[i] = relays[i].followHealth()
+		follow[i] = relays[i].monitorHealth()
 	}
 	for i, h := range follow {
-		if !h.untilReady(readyWithin) {
-			t.Fatalf("relay %d is not ready after %v", i, readyWithin)
+		if !h.untilReady(readyTimeout) {
+			t.Fatalf("relay %d is not ready after %v", i, readyTimeout)
 		}
 		values["ready_s"] = max(values["ready_s"], time.Duration(h.ready.Load()).Seconds())
 	}
@@ -517,22 +517,22 @@
 			}
 		})
 	}
-	calls := func(h *host) int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
+	calls := func(h *endpoint) int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
 	eventually(t, "the endpoint that will leave is called", func() bool { return calls(leaves) >= 5*n })
 	half := list[2 : 2+destinations]
 	for _, m := range half {
 		m["weight"] = 9.1
 	}
 	list[0]["state"] = "draining"
-	a.tell(t, half...)
-	a.tell(t, list[0])
+	a.publish(t, half...)
+	a.publish(t, list[0])
 	told := time.Now()
 	time.Sleep(3 * time.Second)
 	close(stop)
 	load.Wait()
 	ids := map[string]bool{}
 	eventually(t, "all that was taken is delivered", func() bool {
-		for _, h := range []*host{leaves, stays} {
+		for _, h := range []*endpoint{leaves, stays} {
 			h.mu.Lock()
 			for _, id := range h.seen {
 				ids[id] = true
@@ -561,9 +561,9 @@
 		follow[i].end()
 		values["memory_most_mb"] = max(values["memory_most_mb"], r.memory("VmHWM"))
 		values["health_longest_ms"] = max(values["health_longest_ms"], float64(follow[i].longest.Load())/1e6)
-		values["processor_s"] += r.spentSoFar().Seconds() / float64(n)
+		values["processor_s"] += r.cpuTime().Seconds() / float64(n)
 	}
-	if most := values["memory_most_mb"]; most > catalogMemoryMost {
-		t.Errorf("%.0f MB at the most, %d wanted", most, catalogMemoryMost)
+	if most := values["memory_most_mb"]; most > maxCatalogMemoryMB {
+		t.Errorf("%.0f MB at the most, %d wanted", most, maxCatalogMemoryMB)
 	}
 }
--- a/cmd/cherrytrestle/endings_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -11,7 +11,7 @@
 
 // Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and what it had taken on
 // and not tried is tried by the next process.
-func TestAPlannedEndAtAnOddMoment(t *testing.T) {
+func TestShutdownAtAnyMoment(t *testing.T) {
 	const killAfter = 3700 * time.Millisecond
 	term := func(r *relayProcess) { must(r.t, r.cmd.Process.Signal(syscall.SIGTERM)) }
 	for _, c := range []struct {
@@ -46,9 +46,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t)
-			h := newHost(t, nil)
-			host := func(state string) []member { return []member{listed("s-1", h.addr(), "a", "gateway", state)} }
-			var known []member
+			h := newEndpoint(t, nil)
+			host := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", "gateway", state)} }
+			var known []listEntry
 			if c.listed {
 				known = host("draining")
 			}
@@ -61,7 +61,7 @@
 				}
 				return err == nil
 			})
-			r.take("m", 12*time.Second)
+			r.mustAccept("m", 12*time.Second)
 			c.at(t, r)
 			began := time.Now()
 			err := r.wait()
@@ -97,10 +97,10 @@
 }
 
 // Clients that rest are ended without a reset at SIGTERM.
-func TestRestingClientsAreEndedInOrder(t *testing.T) {
+func TestIdleClientsAreClosedCleanly(t *testing.T) {
 	p := newPlatform(t)
-	h := newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	h := newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	var conns []net.Conn
 	for range 20 {
 		conn, err := net.Dial("tcp", r.addr)
@@ -126,9 +126,9 @@
 }
 
 // SIGTERM again and again, up to the last moment of a process: it ends in order each time, and by none of the signals.
-func TestToldToEndUpToTheLastMoment(t *testing.T) {
+func TestSignalsDuringExit(t *testing.T) {
 	p := newPlatform(t)
-	r := prepareRelay(t, []member{listed("s-1", "127.0.0.1:1", "a", "gateway", "ready")}, nil)
+	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", "gateway", "ready")}, nil)
 	for range 12 {
 		r.start(p)
 		cmd, over := r.cmd, make(chan struct{})
--- a/cmd/cherrytrestle/refused_test.go
+++ b/cmd/cherrytrestle/systemcalls_test.go
@@ -16,7 +16,7 @@
 // Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library takes the last two by
 // itself where it copies from a socket or a file to a socket; the daemon copies to nothing but io.Discard, and starts
 // no program.
-func TestTheDaemonAsksForNothingThatIsRefused(t *testing.T) {
+func TestDaemonMakesNoForbiddenSystemCalls(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 			}
 			files++
 			source, err := os.ReadFile(path)
-			for _, what := range asksFor(t, path, source) {
+			for _, what := range forbiddenUses(t, path, source) {
 				t.Error(what)
 			}
 			return err
@@ -47,13 +47,13 @@
 		t.Errorf("only %d files of the daemon were read", files)
 	}
 	bad := "package x\nimport (\"io\"; \"os/exec\"; \"net/http\")\nfunc f() { io.Copy(w, r); io.CopyN(io.Discard, r, 1); http.ServeFile(w, q, n); exec.Command(n) }"
-	if got := asksFor(t, "bad.go", []byte(bad)); len(got) != 3 {
+	if got := forbiddenUses(t, "bad.go", []byte(bad)); len(got) != 3 {
 		t.Errorf("the check finds %q", got)
 	}
 }
 
-// asksFor lists what in a source may end in a refused system call.
-func asksFor(t *testing.T, path string, source []byte) (found []string) {
+// forbiddenUses lists what in a source may end in a refused system call.
+func forbiddenUses(t *testing.T, path string, source []byte) (found []string) {
 	t.Helper()
 	set := token.NewFileSet()
 	file, err := parser.ParseFile(set, path, source, 0)
--- a/cmd/cherrytrestle/untried_test.go
+++ b/cmd/cherrytrestle/untried_test.go
@@ -9,7 +9,7 @@
 )
 
 // What a restart finds taken on and untried is still tried, whatever is told of limits and whenever its host is listed.
-func TestWhatARestartFindsUntriedIsTried(t *testing.T) {
+func TestUntriedMessagesSurviveARestart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		senders int
@@ -37,8 +37,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t)
-			h := newHost(t, nil)
-			host := func(state string) []member { return []member{listed("s-1", h.addr(), "a", c.kind, state)} }
+			h := newEndpoint(t, nil)
+			host := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", c.kind, state)} }
 			r := newRelay(t, p, host("draining"), func(settings map[string]any) {
 				settings["fleet_size"], settings["weight_kind"] = c.senders, c.weights
 				settings["rules"].(map[string]any)["overload_factor"] = 2.5
@@ -47,7 +47,7 @@
 			})
 			messages := cmp.Or(c.messages, 8)
 			for i := range messages {
-				if status, _ := r.handIn(fmt.Sprint("m", i), 12*time.Second, as(cmp.Or(c.class, "order"))); status != http.StatusAccepted {
+				if status, _ := r.submit(fmt.Sprint("m", i), 12*time.Second, withClass(cmp.Or(c.class, "order"))); status != http.StatusAccepted {
 					t.Fatalf("m%d: status %d", i, status)
 				}
 			}
@@ -65,12 +65,12 @@
 			r.writeConfig()
 			r.start(p)
 			if !c.known {
-				p.tell(false, host("ready")...)
+				p.publish(false, host("ready")...)
 			}
 			for i := range messages {
 				id := fmt.Sprint("m", i)
-				eventually(t, id+" tried or ended", func() bool { return h.count(id) > 0 || p.final(id) != nil })
-				if final := p.final(id); h.count(id) == 0 {
+				eventually(t, id+" tried or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+				if final := p.notification(id); h.count(id) == 0 {
 					t.Errorf("%s was never called for: %v", id, final)
 				}
 			}
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// held has the platform hold the socket that clients connect to, and the relay started anew on it.
-func held(t *testing.T, r *relayProcess, p *platform) {
+// holdListeningSocket has the platform hold the socket that clients connect to, and the relay started anew on it.
+func holdListeningSocket(t *testing.T, r *relayProcess, p *platform) {
 	r.kill()
 	l, err := net.Listen("tcp", r.addr)
 	must(t, err)
@@ -25,12 +25,12 @@
 	r.socket, err = l.(*net.TCPListener).File()
 	must(t, err)
 	t.Cleanup(func() { r.socket.Close() })
-	second := withSecond(t, r)
+	second := withManagement(t, r)
 	r.start(p)
-	isReady(t, second)
+	waitReady(t, second)
 }
 
-func isReady(t testing.TB, second string) {
+func waitReady(t testing.TB, second string) {
 	t.Helper()
 	eventually(t, "ready on the second address", func() bool {
 		res, err := http.Get("http://" + second + "/v1/readyz")
@@ -46,31 +46,31 @@
 func (r *relayProcess) upgrade(p *platform) (ended <-chan error, old *exec.Cmd) {
 	r.t.Helper()
 	old = r.cmd
-	second := withSecond(r.t, r)
+	second := withManagement(r.t, r)
 	r.start(p)
-	isReady(r.t, second)
+	waitReady(r.t, second)
 	must(r.t, old.Process.Signal(syscall.SIGTERM))
 	done := make(chan error, 1)
 	go func() { done <- old.Wait() }()
 	return done, old
 }
 
-// loyal is a client that keeps its connection until it is told that it ends. It counts what clients must not meet.
-type loyal struct {
-	r    *relayProcess
-	conn net.Conn
-	in   *bufio.Reader
-	met  *atomic.Int64
+// keepAliveClient is a client that keeps its connection until it is told that it ends. It counts what clients must not meet.
+type keepAliveClient struct {
+	r        *relayProcess
+	conn     net.Conn
+	in       *bufio.Reader
+	failures *atomic.Int64
 }
 
-func (c *loyal) handIn(id string, expires time.Duration) int {
+func (c *keepAliveClient) submit(id string, expires time.Duration) int {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.r.addr)
 		if err != nil {
-			c.met.Add(1)
+			c.failures.Add(1)
 			return 0
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(conditionTimeout))
 		c.conn, c.in = conn, bufio.NewReader(conn)
 	}
 	req := c.r.request(id, expires, nil)
@@ -80,7 +80,7 @@
 		res, err = http.ReadResponse(c.in, req)
 	}
 	if err != nil {
-		c.met.Add(1)
+		c.failures.Add(1)
 		c.r.t.Logf("%s: %v", id, err)
 		c.conn.Close()
 		c.conn = nil
@@ -110,28 +110,28 @@
 		}
 		time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
 	}
-	one, two := newHost(t, answer), newHost(t, answer)
+	one, two := newEndpoint(t, answer), newEndpoint(t, answer)
 	p := newPlatform(t)
 	r := newRelay(
 		t,
 		p,
-		[]member{
-			listed("s-1", one.addr(), "a", "gateway", "ready"),
-			listed("s-2", two.addr(), "a", "gateway", "ready"),
+		[]listEntry{
+			newEntry("s-1", one.addr(), "a", "gateway", "ready"),
+			newEntry("s-2", two.addr(), "a", "gateway", "ready"),
 		},
 		func(set map[string]any) {
 			set["bounds"].(map[string]any)["open_cap"] = 500
 			set["extra"].(map[string]any)["call_slots"] = 40
 		},
 	)
-	held(t, r, p)
+	holdListeningSocket(t, r, p)
 	var met, taken, refused atomic.Int64
 	var accepted sync.Map
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for i := range 10 {
 		wg.Go(func() {
-			c := &loyal{r: r, met: &met}
+			c := &keepAliveClient{r: r, failures: &met}
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -139,7 +139,7 @@
 				case <-time.After(time.Duration(20+rand.IntN(60)) * time.Millisecond):
 				}
 				id := fmt.Sprintf("c%d-%d", i, n)
-				switch c.handIn(id, 12*time.Second) {
+				switch c.submit(id, 12*time.Second) {
 				case http.StatusAccepted:
 					taken.Add(1)
 					accepted.Store(id, true)
@@ -187,10 +187,10 @@
 }
 
 // What the first process was told binds the second: a wait, and a call that is out.
-func TestAnUpgradeForgetsNothing(t *testing.T) {
+func TestUpgradeKeepsPendingState(t *testing.T) {
 	hold := make(chan struct{})
 	var refuse atomic.Bool
-	h := newHost(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
 			<-hold
 		}
@@ -200,18 +200,18 @@
 		}
 	})
 	p := newPlatform(t)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	held(t, r, p)
-	r.take("slow", 10*time.Second)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	holdListeningSocket(t, r, p)
+	r.mustAccept("slow", 10*time.Second)
 	eventually(t, "a call out", func() bool { return h.count("slow") == 1 })
 	refuse.Store(true)
-	r.take("m1", 10*time.Second)
+	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a wait told", func() bool { return h.count("m1") == 1 })
 	told := time.Now()
 	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
 	refuse.Store(false)
 	ended, _ := r.upgrade(p)
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	if time.Since(told) < 2*time.Second && h.count("m2")+h.count("m1") != 1 {
 		t.Error("sent into a told wait")
 	}
@@ -223,7 +223,7 @@
 	if err := <-ended; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	if h.count("slow") != 1 || p.final("slow") != nil {
+	if h.count("slow") != 1 || p.notification("slow") != nil {
 		t.Error("the call that was out has not ended its message")
 	}
 	r.client.CloseIdleConnections()
@@ -234,13 +234,13 @@
 
 // A message that the first process has delivered and forgotten is handed in once more at the second: it does not run
 // again.
-func TestAnUpgradeRemembersWhatHasEnded(t *testing.T) {
-	p, h := newPlatform(t), newHost(t, nil)
-	r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
-	held(t, r, p)
+func TestUpgradeKeepsFinishedMessages(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
+	holdListeningSocket(t, r, p)
 	take := func() {
 		t.Helper()
-		if status, _ := r.handIn("m1", 10*time.Second, as("pay")); status != http.StatusAccepted {
+		if status, _ := r.submit("m1", 10*time.Second, withClass("pay")); status != http.StatusAccepted {
 			t.Fatalf("status %d", status)
 		}
 	}
@@ -253,7 +253,7 @@
 	}
 	r.client.CloseIdleConnections()
 	take()
-	r.take("m2", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "the one behind it", func() bool { return h.count("m2") == 1 })
 	if n := h.count("m1"); n != 1 {
 		t.Errorf("ran %d times", n)
@@ -262,12 +262,12 @@
 
 // The first process dies in the middle of it, or the second before it has taken over: what was out may have run,
 // nothing is lost, and the one that remains serves on.
-func TestUpgradesThatDie(t *testing.T) {
+func TestUpgradeSurvivesEitherProcess(t *testing.T) {
 	for _, who := range []string{"first, with a call out", "second, before"} {
 		t.Run(who, func(t *testing.T) {
 			hold := make(chan struct{})
 			var once sync.Once
-			h := newHost(t, func(_ http.ResponseWriter, req *http.Request, ids []string) {
+			h := newEndpoint(t, func(_ http.ResponseWriter, req *http.Request, ids []string) {
 				if ids[0] == "slow" {
 					first := false
 					once.Do(func() { first = true })
@@ -278,27 +278,27 @@
 			})
 			defer close(hold)
 			p := newPlatform(t)
-			r := newRelay(t, p, []member{listed("s-1", h.addr(), "a", "platform", "ready")}, nil)
-			held(t, r, p)
-			r.take("slow", 10*time.Second)
+			r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+			holdListeningSocket(t, r, p)
+			r.mustAccept("slow", 10*time.Second)
 			eventually(t, "a call out", func() bool { return h.count("slow") == 1 })
 			if who == "second, before" {
 				old := r.cmd
-				second := withSecond(t, r)
+				second := withManagement(t, r)
 				r.start(p)
-				isReady(t, second)
+				waitReady(t, second)
 				r.kill()
 				r.cmd = old
-				r.take("m1", 10*time.Second)
+				r.mustAccept("m1", 10*time.Second)
 				eventually(t, "served on", func() bool { return h.count("m1") == 1 })
 				return
 			}
 			_, old := r.upgrade(p)
 			r.client.CloseIdleConnections()
-			r.take("m1", 10*time.Second) // the second process serves
+			r.mustAccept("m1", 10*time.Second) // the second process serves
 			must(t, old.Process.Kill())
 			eventually(t, "repeated, within its zone and window", func() bool { return h.count("slow") == 2 })
-			r.take("m2", 10*time.Second)
+			r.mustAccept("m2", 10*time.Second)
 			eventually(t, "served on", func() bool { return h.count("m2") == 1 })
 		})
 	}
@@ -306,36 +306,36 @@
 
 // SIGTERM at any moment of a hand-over, to the second process or to both: each ends in order, and what was taken on,
 // tried or not, goes on with the next process and runs no more often than its class allows.
-func TestToldToEndInAHandOver(t *testing.T) {
+func TestTerminatedDuringHotRestart(t *testing.T) {
 	for _, who := range []string{"second, before", "second", "both"} {
 		for _, after := range []time.Duration{0, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond} {
 			t.Run(fmt.Sprint(who, " ", after), func(t *testing.T) {
 				t.Parallel()
 				const messages = 6
 				p := newPlatform(t)
-				h := newHost(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+				h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 					if ids[0][0] == 'o' {
 						time.Sleep(300 * time.Millisecond) // out in the hand-over
 					}
 				})
-				later := listed("s-2", h.addr(), "a", "gateway", "draining")
+				later := newEntry("s-2", h.addr(), "a", "gateway", "draining")
 				later["cell"] = 8
 				r := newRelay(
 					t,
 					p,
-					[]member{listed("s-1", h.addr(), "a", "gateway", "ready"), later},
+					[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), later},
 					func(set map[string]any) {
 						withPayments(set)
 						set["extra"].(map[string]any)["call_slots"] = 40
 					},
 				)
-				held(t, r, p)
+				holdListeningSocket(t, r, p)
 				var taken []string
 				for i := range messages {
 					for _, dest := range []int{7, 8} { // out, and untried
 						id := fmt.Sprint(map[int]string{7: "o", 8: "u"}[dest], i)
-						pay := as([]string{"order", "pay"}[i%2])
-						status, _ := r.handIn(
+						pay := withClass([]string{"order", "pay"}[i%2])
+						status, _ := r.submit(
 							id,
 							12*time.Second,
 							func(req *http.Request) { pay(req); req.Header.Set("Envelope", fmt.Sprint("dest=", dest)) },
@@ -348,10 +348,10 @@
 				}
 				eventually(t, "a call out", func() bool { return h.count("o5") == 1 })
 				old := r.cmd
-				second := withSecond(t, r)
+				second := withManagement(t, r)
 				r.start(p)
 				if who != "second, before" {
-					isReady(t, second)
+					waitReady(t, second)
 					must(t, old.Process.Signal(syscall.SIGTERM))
 				}
 				time.Sleep(after)
@@ -384,20 +384,20 @@
 					r.config["known"] = map[string]any{
 						"version": 2,
 						"full":    true,
-						"servers": []member{listed("s-1", h.addr(), "a", "gateway", "ready"), later},
+						"servers": []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), later},
 					}
 					r.writeConfig()
 					r.start(p)
 				} else {
-					p.tell(false, later)
+					p.publish(false, later)
 				}
 				for _, id := range taken {
-					eventually(t, id+" tried", func() bool { return h.count(id) > 0 || p.final(id) != nil })
+					eventually(t, id+" tried", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
 					if h.count(id) == 0 {
-						t.Errorf("%s was never called for: %v", id, p.final(id))
+						t.Errorf("%s was never called for: %v", id, p.notification(id))
 					}
 				}
-				r.take("m1", 10*time.Second)
+				r.mustAccept("m1", 10*time.Second)
 				eventually(t, "served on", func() bool { return h.count("m1") == 1 })
 				for i, id := range taken {
 					if n := h.count(id); n > 1 && i/2%2 == 1 {
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// formBefore is a commit whose program tells by its own rests, sends each page on more often and knows no page's
+// olderFormatCommit is a commit whose program tells by its own rests, sends each page on more often and knows no page's
 // theoretical time of telling.
-const formBefore = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
+const olderFormatCommit = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
 
 // olderProgram builds the program of an earlier commit.
 func olderProgram(t *testing.T, commit string) string {
@@ -38,27 +38,27 @@
 // A fleet of which half run the version before hears as one, also while its relays go over to the new version and back
 // with their folders.
 func TestFleetOfTwoVersions(t *testing.T) {
-	older := olderProgram(t, formBefore)
-	g := newRig(t, 4, newHost(t, nil))
+	older := olderProgram(t, olderFormatCommit)
+	g := newTestFleet(t, 4, newEndpoint(t, nil))
 	for _, i := range []int{0, 1} {
 		g.relays[i].program = older
 	}
-	g.start(g.all()...)
-	g.traffic()
-	g.hears(g.all(), g.all())
+	g.start(g.allRelays()...)
+	g.sendTraffic()
+	g.waitReceived(g.allRelays(), g.allRelays())
 	swap := func(i int, program string) {
 		before := g.status(i).Incarnation.Generation
 		g.relays[i].terminate()
 		g.relays[i].program = program
 		g.start(i)
-		g.hears(g.all(), g.all())
+		g.waitReceived(g.allRelays(), g.allRelays())
 		if now := g.status(i).Incarnation.Generation; now != before+1 {
 			t.Errorf("relay %d begins life %d after %d", i, now, before)
 		}
 	}
 	swap(1, "")    // over
 	swap(2, older) // and back
-	for _, i := range g.all() {
+	for _, i := range g.allRelays() {
 		if s := g.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
--- a/cmd/cherrytrestle/window_test.go
+++ b/cmd/cherrytrestle/window_test.go
@@ -9,7 +9,7 @@
 )
 
 // arrivals are when a host saw an id.
-func (h *host) arrivals(id string) (at []time.Time) {
+func (h *endpoint) arrivals(id string) (at []time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, x := range h.seen {
@@ -52,13 +52,13 @@
 					<-r.Context().Done()
 				}
 			}
-			one, other := newHost(t, hang), newHost(t, nil)
-			r := newRelay(t, p, []member{listed("s-1", one.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+			one, other := newEndpoint(t, hang), newEndpoint(t, nil)
+			r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
 				set["services"].([]map[string]any)[0]["repeat_window_ms"] = window.Milliseconds()
 				set["extra"].(map[string]any)["call_slots"] = 40 // all go out
 			})
 			for i := range messages {
-				r.take(fmt.Sprint("m", i), 8*time.Second)
+				r.mustAccept(fmt.Sprint("m", i), 8*time.Second)
 			}
 			for i := range messages {
 				eventually(t, "a call", func() bool { return one.count(fmt.Sprint("m", i)) > 0 })
@@ -75,8 +75,8 @@
 			if c.late > 0 {
 				state = "draining"
 			}
-			now := listed("s-2", next.addr(), c.zone, "gateway", state)
-			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []member{now}}
+			now := newEntry("s-2", next.addr(), c.zone, "gateway", state)
+			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{now}}
 			r.writeConfig()
 			time.Sleep(c.down)
 			r.start(p)
@@ -84,7 +84,7 @@
 			if c.late > 0 {
 				time.Sleep(time.Until(end.Add(c.late)))
 				now["state"] = "ready"
-				p.tell(false, now)
+				p.publish(false, now)
 			}
 			repeated := 0
 			for i := range messages {
@@ -92,7 +92,7 @@
 				eventually(
 					t,
 					id+" repeated or ended",
-					func() bool { return one.count(id) > 1 || p.final(id) != nil || other.count(id) > 0 },
+					func() bool { return one.count(id) > 1 || p.notification(id) != nil || other.count(id) > 0 },
 				)
 				at := one.arrivals(id)
 				for _, again := range at[1:] {
@@ -103,7 +103,7 @@
 				if other.count(id) > 0 {
 					t.Errorf("%s repeated in the other zone", id)
 				}
-				if status := p.final(id); status != nil && status["status"] != "undeliverable" {
+				if status := p.notification(id); status != nil && status["status"] != "undeliverable" {
 					t.Errorf("%s, which may have run, ended with %v", id, status)
 				}
 			}
