--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -1,10 +1,12 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
 	"strconv"
+	"strings"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
@@ -12,6 +14,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
+// errNotRecorded says that no recording matches the command's options.
+var errNotRecorded = errors.New("nothing of that is recorded")
+
+//nolint:lll // A struct tag is one line.
 type explainCommand struct {
 	Files       []string      `arg:"" name:"file" help:"Recordings: files of a recorder's folder, or logs that hold them." type:"existingfile"`
 	Message     string        `help:"Tell the story of this message: its trace id, or its number." xor:"what"`
@@ -25,66 +31,73 @@
 }
 
 // Run explains each recording in turn.
-func (c *explainCommand) Run(s *cli.Streams) (err error) {
+func (c *explainCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
 		return err
 	}
-	var out io.Writer = s.Out
-	if c.Out != "" {
-		f, err := os.Create(c.Out)
-		if err != nil {
-			return err
-		}
-		defer func() {
-			if e := f.Close(); err == nil {
-				err = e
-			}
-		}()
-		out = f
+	if c.Out == "" {
+		return c.explainAll(s.Out, found)
 	}
-	told := false
-	for _, rec := range found {
-		if id := fmt.Sprintf("%016x", rec.ID); len(id) < len(c.Recording) || id[:len(c.Recording)] != c.Recording {
+	file, err := os.Create(c.Out)
+	if err != nil {
+		return err
+	}
+	return errors.Join(c.explainAll(file, found), file.Close())
+}
+
+func (c *explainCommand) explainAll(out io.Writer, found []flightrecorder.Recording) error {
+	anyWritten := false
+	for _, recording := range found {
+		if !strings.HasPrefix(fmt.Sprintf("%016x", recording.ID), c.Recording) {
 			continue
 		}
-		rep, err := explain.Explain(
-			rec.Data,
-			explain.Options{From: c.From, To: c.To, Every: c.Every, Messages: c.Message != "" || c.Format == "jsonl"},
-		)
+		written, err := c.explain(out, recording)
 		if err != nil {
-			return fmt.Errorf("recording %016x: %w", rec.ID, err)
-		}
-		if c.Message != "" {
-			for _, m := range rep.Messages {
-				if m.Trace == c.Message || strconv.FormatUint(uint64(m.ID), 10) == c.Message {
-					told = true
-					if err := explain.WriteMessage(out, m); err != nil {
-						return err
-					}
-				}
-			}
-			continue
-		}
-		told = true
-		if err := c.write(out, rep); err != nil {
 			return err
 		}
+		anyWritten = anyWritten || written
 	}
-	if !told {
-		return fmt.Errorf("nothing of that is recorded")
+	if !anyWritten {
+		return errNotRecorded
 	}
 	return nil
 }
 
-func (c *explainCommand) write(out io.Writer, rep *explain.Report) error {
+// explain writes one recording's report, or its report of one message, and reports whether there was any.
+func (c *explainCommand) explain(out io.Writer, recording flightrecorder.Recording) (written bool, err error) {
+	report, err := explain.Explain(recording.Data, explain.Options{
+		From:     c.From,
+		To:       c.To,
+		Every:    c.Every,
+		Messages: c.Message != "" || c.Format == "jsonl",
+	})
+	if err != nil {
+		return false, fmt.Errorf("recording %016x: %w", recording.ID, err)
+	}
+	if c.Message == "" {
+		return true, c.writeReport(out, report)
+	}
+	for _, message := range report.Messages {
+		if message.Trace != c.Message && strconv.FormatUint(uint64(message.ID), 10) != c.Message {
+			continue
+		}
+		written = true
+		if err := explain.WriteMessage(out, message); err != nil {
+			return written, err
+		}
+	}
+	return written, nil
+}
+
+func (c *explainCommand) writeReport(out io.Writer, report *explain.Report) error {
 	switch {
 	case c.Format == "jsonl":
-		return explain.WriteJSON(out, rep)
+		return explain.WriteJSON(out, report)
 	case c.Format == "html":
-		return explain.WriteHTML(out, rep)
+		return explain.WriteHTML(out, report)
 	case c.Destination != nil:
-		return explain.WriteTransitions(out, rep, *c.Destination)
+		return explain.WriteTransitions(out, report, *c.Destination)
 	}
-	return explain.WriteText(out, rep)
+	return explain.WriteText(out, report)
 }
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -15,6 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
+//nolint:lll // A struct tag is one line.
 type fleetCommand struct {
 	Count  countCommand  `cmd:"" default:"withargs" help:"Count across the recordings of many relays what all of them together did (the default)."`
 	Status statusCommand `cmd:"" help:"Tell of a running fleet as its relays see it."`
@@ -22,50 +23,57 @@
 
 const (
 	statusTimeout = 2 * time.Second // for each relay's answer
-	maxStatusSize = 4 << 20         // bytes of it
+	maxStatusSize = 4 << 20         // bytes of an answer
+	minBinWidth   = time.Millisecond
 )
 
+// errNoFleet is the answer of a relay whose fleet is off.
+var errNoFleet = errors.New("the relay belongs to no fleet")
+
 type statusCommand struct {
 	Addrs []string `arg:"" name:"address" help:"Second addresses of relays (ROUTER_MANAGEMENT)."`
 }
 
-// Run prints, for each relay that is asked, the members as it sees them, and what it refused and why. It fails if one
-// does not answer.
+// Run prints the fleet as each of the relays sees it. It fails if one does not answer.
 func (c *statusCommand) Run(ctx context.Context, s *cli.Streams) error {
 	client := http.Client{Timeout: statusTimeout}
 	var errs []error
 	for _, addr := range c.Addrs {
-		st, err := fetchStatus(ctx, &client, addr)
+		status, err := fetchStatus(ctx, &client, addr)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("fleet: %s: %w", addr, err))
 			continue
 		}
-		if err := st.Print(s.Out); err != nil {
+		if err := status.Print(s.Out); err != nil {
 			return err
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func fetchStatus(ctx context.Context, client *http.Client, addr string) (st fleet.Status, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/fleet", nil)
+func fetchStatus(ctx context.Context, client *http.Client, addr string) (fleet.Status, error) {
+	var status fleet.Status
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/fleet", http.NoBody)
 	if err != nil {
-		return st, err
+		return status, err
 	}
-	res, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
-		return st, err
+		return status, err
 	}
-	defer res.Body.Close()
-	if res.StatusCode == http.StatusNotFound {
-		return st, errors.New("the relay belongs to no fleet")
-	} else if res.StatusCode != http.StatusOK {
-		return st, errors.New(res.Status)
+	defer func() { _ = response.Body.Close() }() // It was only read: there is nothing to lose.
+	switch response.StatusCode {
+	case http.StatusOK:
+	case http.StatusNotFound:
+		return status, errNoFleet
+	default:
+		return status, errors.New(response.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(res.Body, maxStatusSize)).Decode(&st)
-	return st, err
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusSize)).Decode(&status)
+	return status, err
 }
 
+//nolint:lll // A struct tag is one line.
 type countCommand struct {
 	Files []string      `arg:"" name:"file" help:"Recordings of many relays: files of a recorder's folder, or logs that hold them." type:"existingfile"`
 	From  time.Duration `help:"Count from here on, since the first process began."`
@@ -80,9 +88,9 @@
 	if err != nil {
 		return err
 	}
-	fleet, err := fleetstats.Read(found, max(time.Millisecond, c.Bin))
+	stats, err := fleetstats.Read(found, max(minBinWidth, c.Bin))
 	if err != nil {
 		return err
 	}
-	return fleet.Write(s.Out, c.From, c.To, c.Place)
+	return stats.Write(s.Out, c.From, c.To, c.Place)
 }
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
@@ -21,93 +20,84 @@
 	LimitMB float64 `help:"The disk limit, as the platform tells it to the relay." default:"3"`
 }
 
-// exitDamaged is the status of a journal that is damaged.
+// exitDamaged is the exit status for a journal that is damaged.
 const exitDamaged = 3
 
-func (c *journalFolder) read() (*journal.Journal, *journal.Recovery, error) {
-	return journal.Read(c.State, int64(c.LimitMB*1e6))
+// withJournal opens the journal for reading, calls use and closes it.
+func (c *journalFolder) withJournal(use func(*journal.Journal, *journal.Recovery) error) error {
+	j, recovery, err := journal.Read(c.State, int64(c.LimitMB*1e6))
+	if err != nil {
+		return err
+	}
+	defer func() { _ = j.Close() }() // It was only read: there is nothing to lose.
+	return use(j, recovery)
 }
 
 type inspectCommand struct{ journalFolder }
 
-// Run tells what is there.
+// Run prints counts of the journal's messages and its use of the disk.
 func (c *inspectCommand) Run(s *cli.Streams) error {
-	j, rec, err := c.read()
-	if err != nil {
-		return err
-	}
-	defer j.Close()
-	st := j.Stats()
-	withdrawn, decided, mayRun, doubtful := 0, 0, 0, 0
-	for _, m := range rec.Messages {
+	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
+		out := &printer{out: s.Out}
+		printMessageCounts(out, recovery)
+		stats := j.Stats()
+		out.printf("store: %d segments, %d bytes on disk of %d, %d of them live; ", stats.SegmentCount,
+			stats.DiskBytes, stats.Limit, stats.LiveBytes)
+		out.printf("room for %d bytes of new messages, %d of ends and outcomes\n", stats.AvailableForValues,
+			stats.AvailableBytes)
+		printRecovery(out, recovery)
+		return out.err
+	})
+}
+
+func printMessageCounts(out *printer, recovery *journal.Recovery) {
+	var cancelled, final, mayHaveRun, uncertain int
+	for _, message := range recovery.Messages {
 		switch {
-		case m.Cancelled:
-			withdrawn++
-		case m.Final != nil:
-			decided++
+		case message.Cancelled:
+			cancelled++
+		case message.Final != nil:
+			final++
 		}
-		if len(m.UncertainAttempts) > 0 {
-			mayRun++
+		if len(message.UncertainAttempts) > 0 {
+			mayHaveRun++
 		}
-		if m.Uncertain {
-			doubtful++
+		if message.Uncertain {
+			uncertain++
 		}
 	}
-	fmt.Fprintf(
-		s.Out,
-		"messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, %d may have run, %d are doubtful\n",
-		len(rec.Messages),
-		withdrawn,
-		decided,
-		mayRun,
-		doubtful,
-	)
-	fmt.Fprintf(
-		s.Out,
-		"store: %d segments, %d bytes on disk of %d, %d of them live; room for %d bytes of new messages, %d of ends and outcomes\n",
-		st.SegmentCount,
-		st.DiskBytes,
-		st.Limit,
-		st.LiveBytes,
-		st.AvailableForValues,
-		st.AvailableBytes,
-	)
-	printRecovery(s, rec)
-	return nil
+	out.printf("messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, ",
+		len(recovery.Messages), cancelled, final)
+	out.printf("%d may have run, %d are doubtful\n", mayHaveRun, uncertain)
 }
 
-// printRecovery tells what was odd.
-func printRecovery(s *cli.Streams, rec *journal.Recovery) {
-	f := rec.Store
-	for _, x := range f.Torn {
-		fmt.Fprintf(
-			s.Out,
-			"segment %d: torn behind byte %d, never acknowledged (%d bytes)\n",
-			x.Segment,
-			x.From,
-			x.To-x.From,
-		)
+// printRecovery prints what of the journal was damaged, lost or not expected.
+func printRecovery(out *printer, recovery *journal.Recovery) {
+	store := recovery.Store
+	for _, torn := range store.Torn {
+		out.printf("segment %d: torn behind byte %d, never acknowledged (%d bytes)\n", torn.Segment, torn.From,
+			torn.To-torn.From)
 	}
-	for _, x := range f.Damaged {
-		fmt.Fprintf(s.Out, "segment %d: DAMAGED from byte %d to %d\n", x.Segment, x.From, x.To)
+	for _, damaged := range store.Damaged {
+		out.printf("segment %d: DAMAGED from byte %d to %d\n", damaged.Segment, damaged.From, damaged.To)
 	}
-	for _, n := range f.Missing {
-		fmt.Fprintf(s.Out, "segment %d: MISSING\n", n)
+	for _, segment := range store.Missing {
+		out.printf("segment %d: MISSING\n", segment)
 	}
-	for _, n := range f.Lost {
-		fmt.Fprintf(s.Out, "records %d to %d: LOST; messages taken on before them may have run\n", n.From, n.To-1)
+	for _, lost := range store.Lost {
+		out.printf("records %d to %d: LOST; messages taken on before them may have run\n", lost.From, lost.To-1)
 	}
-	for _, key := range f.LostKeys {
-		fmt.Fprintf(s.Out, "message with key %d: LOST\n", key)
+	for _, key := range store.LostKeys {
+		out.printf("message with key %d: LOST\n", key)
 	}
-	for _, name := range f.Foreign {
-		fmt.Fprintf(s.Out, "%s: not a file of this store\n", name)
+	for _, name := range store.Foreign {
+		out.printf("%s: not a file of this store\n", name)
 	}
-	for _, n := range f.Stale {
-		fmt.Fprintf(s.Out, "segment %d: done with, and removed at the next start\n", n)
+	for _, segment := range store.Stale {
+		out.printf("segment %d: done with, and removed at the next start\n", segment)
 	}
-	if rec.Unreadable > 0 {
-		fmt.Fprintf(s.Out, "%d values hold NO MESSAGE of this form\n", rec.Unreadable)
+	if recovery.Unreadable > 0 {
+		out.printf("%d values hold NO MESSAGE of this form\n", recovery.Unreadable)
 	}
 }
 
@@ -115,53 +105,76 @@
 
 // Run exits with 0 if all could be read, and with 3 if not.
 func (c *verifyCommand) Run(s *cli.Streams) error {
-	j, rec, err := c.read()
-	if err != nil {
-		return err
-	}
-	defer j.Close()
-	unread := 0
-	for _, m := range rec.Messages {
-		if _, err := j.Body(m); err != nil {
-			unread++
-			fmt.Fprintf(s.Out, "message %d (%s): %v\n", m.ID, m.TraceID, err)
+	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
+		out := &printer{out: s.Out}
+		intact := recovery.Intact()
+		for _, message := range recovery.Messages {
+			if _, err := j.Body(message); err != nil {
+				intact = false
+				out.printf("message %d (%s): %v\n", message.ID, message.TraceID, err)
+			}
 		}
-	}
-	printRecovery(s, rec)
-	if !rec.Intact() || unread > 0 {
-		return cli.Exit(exitDamaged)
-	}
-	fmt.Fprintf(s.Out, "sound: %d messages, %d bytes read\n", len(rec.Messages), rec.Store.Bytes())
-	return nil
+		printRecovery(out, recovery)
+		if intact {
+			out.printf("sound: %d messages, %d bytes read\n", len(recovery.Messages), recovery.Store.Bytes())
+		}
+		if out.err == nil && !intact {
+			return cli.Exit(exitDamaged)
+		}
+		return out.err
+	})
 }
 
 type dumpCommand struct{ journalFolder }
 
+// messageLine is a message of the journal as dump writes it. The fields are in the order of their keys.
+type messageLine struct {
+	Attempts    int                  `json:"attempts"`
+	BodyBytes   int                  `json:"body_bytes"`
+	Class       int                  `json:"class"`
+	Tenant      int                  `json:"customer"`
+	Deadline    string               `json:"deadline"`
+	Destination int                  `json:"destination"`
+	Uncertain   bool                 `json:"doubtful"`
+	Final       *journal.FinalAnswer `json:"final,omitempty"`
+	ID          uint32               `json:"id"`
+	MayHaveRun  []journal.Attempt    `json:"may_have_run"`
+	ClassName   string               `json:"service"`
+	TraceID     string               `json:"trace"`
+	Cancelled   bool                 `json:"withdrawn"`
+}
+
 // Run writes a line for each message.
 func (c *dumpCommand) Run(s *cli.Streams) error {
-	j, rec, err := c.read()
-	if err != nil {
-		return err
-	}
-	defer j.Close()
-	out := json.NewEncoder(s.Out)
-	for _, m := range rec.Messages {
-		body, err := j.Body(m)
-		if err != nil {
-			return err
-		}
-		line := map[string]any{
-			"id": m.ID, "trace": m.TraceID, "class": m.Class, "service": m.ClassName, "customer": m.Tenant, "destination": m.Destination, "deadline": m.Deadline.UTC().Format(time.RFC3339Nano),
-			"body_bytes": len(
-				body,
-			), "attempts": m.Attempts, "may_have_run": m.UncertainAttempts, "withdrawn": m.Cancelled, "doubtful": m.Uncertain,
-		}
-		if m.Final != nil {
-			line["final"] = m.Final
-		}
-		if err := out.Encode(line); err != nil {
-			return err
+	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
+		encoder := json.NewEncoder(s.Out)
+		for _, message := range recovery.Messages {
+			body, err := j.Body(message)
+			if err != nil {
+				return err
+			}
+			if err := encoder.Encode(newMessageLine(message, len(body))); err != nil {
+				return err
+			}
 		}
+		return nil
+	})
+}
+
+func newMessageLine(message *journal.Message, bodyBytes int) messageLine {
+	return messageLine{
+		Attempts:    message.Attempts,
+		BodyBytes:   bodyBytes,
+		Class:       message.Class,
+		Tenant:      message.Tenant,
+		Deadline:    message.Deadline.UTC().Format(time.RFC3339Nano),
+		Destination: message.Destination,
+		Uncertain:   message.Uncertain,
+		Final:       message.Final,
+		ID:          message.ID,
+		MayHaveRun:  message.UncertainAttempts,
+		ClassName:   message.ClassName,
+		TraceID:     message.TraceID,
+		Cancelled:   message.Cancelled,
 	}
-	return nil
 }
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -1,13 +1,13 @@
-// Command cherrytrestle is the relay, and what looks into its recordings.
+// Command cherrytrestle is the relay, with commands that read its recordings and its journal.
 //
-//	cherrytrestle [serve]         takes messages from clients and delivers each by a call to a host of its destination
-//	cherrytrestle replay FILE     plays a recording to the decision module as built here
-//	cherrytrestle explain FILE    tells what held messages up
-//	cherrytrestle recording ...   lists recordings, or takes them out of a log
-//	cherrytrestle fleet ...       counts over recordings of many relays, or asks running ones of their fleet
-//	cherrytrestle journal ...     looks into a relay's journal
+//	cherrytrestle [serve]         accepts messages from clients and delivers each by a call to an endpoint
+//	cherrytrestle replay FILE     replays a recording with the decision engine as built here
+//	cherrytrestle explain FILE    explains what delayed messages
+//	cherrytrestle recording ...   lists recordings, or extracts them from a log
+//	cherrytrestle fleet ...       counts over recordings of many relays, or queries running ones for their fleet
+//	cherrytrestle journal ...     inspects a relay's journal
 //
-// For serve the environment tells what the platform has to say, see package relay, and the operator's file the rest.
+// The configuration of serve comes from the platform by the environment (package relay), and from the operator's file.
 package main
 
 import (
@@ -28,10 +28,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// heapFraction is the part of the memory limit that the heap may grow to; the rest is for stacks, the program
-// itself and the files of the log.
+// heapFraction is the part of the memory limit that the heap may grow to. The rest is for stacks, the program itself
+// and the journal's files.
 const heapFraction = 0.7
 
+// commands are the command line's commands.
+//
+//nolint:lll // A struct tag is one line.
 type commands struct {
 	Version   kong.VersionFlag `help:"Print the version and end."`
 	Serve     serveCommand     `cmd:"" default:"withargs" help:"Run the relay (the default)."`
@@ -43,25 +46,26 @@
 }
 
 func main() {
-	// Caught to the last: one more, in the moment before the exit, would end the process by the signal.
+	// The signals stay caught until the process has exited: one more, in the moment before that, would end it by the
+	// signal.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	status := cli.Run(ctx, "cherrytrestle", "A relay for outbound messages.", &commands{}, os.Args[1:],
 		cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}, cli.Failed)
 	os.Exit(status)
 }
 
+//nolint:lll // A struct tag is one line.
 type serveCommand struct {
 	Operator string `help:"The operator's file (TOML): what this installation turns on. None: nothing." env:"CHERRYTRESTLE_OPERATOR" placeholder:"FILE"`
 
-	wrapJournalFS func(store.FS) store.FS // between the journal and its files; nil: nothing
+	wrapJournalFS func(store.FS) store.FS // set by tests, between the journal and its files
 }
 
-// Run serves until SIGTERM or SIGINT. SIGHUP has the configuration read again, SIGUSR1 the recording kept.
+// Run serves until SIGTERM or SIGINT. SIGHUP reloads the configuration, SIGUSR1 dumps the recording.
 func (c *serveCommand) Run(ctx context.Context) error {
-	// Caught from the start: unhandled, either ends the process.
-	reload, keep := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(keep, syscall.SIGUSR1)
+	// Caught from the start: unhandled, either signal ends the process.
+	reload := notifySignal(syscall.SIGHUP)
+	dump := notifySignal(syscall.SIGUSR1)
 	file, err := operatorfile.Load(c.Operator)
 	if err != nil {
 		return err
@@ -72,24 +76,36 @@
 	if err != nil {
 		return err
 	}
-	cfg.Operator, cfg.Version, cfg.WrapJournalFS = file, cli.Version(), c.wrapJournalFS
+	cfg.Operator = file
+	cfg.Version = cli.Version()
+	cfg.WrapJournalFS = c.wrapJournalFS
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * heapFraction * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	r, err := relay.New(cfg, log, os.Stderr)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	go func() {
-		for {
-			select {
-			case <-keep:
-				r.DumpRecording("SIGUSR1")
-			case <-reload:
-				if err := r.Reload(relay.ReloadConfig(os.Getenv)); err != nil {
-					log.Warn("keeping the configuration", "err", err)
-				}
+	go handleSignals(r, log, reload, dump)
+	return r.Run(ctx)
+}
+
+func notifySignal(sig os.Signal) <-chan os.Signal {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, sig)
+	return signals
+}
+
+// handleSignals reloads the configuration and dumps the recording on request. It ends with the process, because both
+// are possible until then.
+func handleSignals(r *relay.Relay, log *slog.Logger, reload, dump <-chan os.Signal) {
+	for {
+		select {
+		case <-dump:
+			r.DumpRecording("SIGUSR1")
+		case <-reload:
+			if err := r.Reload(relay.ReloadConfig(os.Getenv)); err != nil {
+				log.Warn("configuration not reloaded", "err", err)
 			}
 		}
-	}()
-	return r.Run(ctx)
+	}
 }
--- /dev/null
+++ b/cmd/cherrytrestle/replay.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
+)
+
+// exitDiffers is the exit status of a replay that differs from its recording.
+const exitDiffers = 3
+
+//nolint:lll // A struct tag is one line.
+type replayCommand struct {
+	Files []string `arg:"" name:"file" help:"Recordings: files of a recorder's folder, or logs that hold them." type:"existingfile"`
+	Quiet bool     `short:"q" help:"Print only differences and what could not be read."`
+}
+
+// Run exits with 0 if all recordings replay without a difference, with 3 if one does not, and with 1 if one cannot be
+// replayed.
+func (c *replayCommand) Run(s *cli.Streams) error {
+	found, err := flightrecorder.Load(c.Files...)
+	if err != nil {
+		return err
+	}
+	out := &printer{out: s.Out}
+	differs := false
+	for _, recording := range found {
+		began := time.Now()
+		result, err := replay.Play(recording.Data, replay.Visitor{})
+		if err != nil {
+			return fmt.Errorf("recording %016x: %w", recording.ID, err)
+		}
+		c.print(out, recording, result, time.Since(began))
+		differs = differs || result.Difference != nil
+	}
+	if out.err != nil {
+		return out.err
+	}
+	if differs {
+		return cli.Exit(exitDiffers)
+	}
+	return nil
+}
+
+func (c *replayCommand) print(out *printer, rec flightrecorder.Recording, result replay.Result, took time.Duration) {
+	for _, lost := range result.Lost {
+		out.printf("%016x: not read: %s\n", rec.ID, lost)
+	}
+	if !c.Quiet {
+		out.printf("%016x: %s, %s of %v, %d bytes in %d chunks: ", rec.ID, result.Meta.Name, revisions(result),
+			(result.To - result.From).Round(time.Millisecond), len(rec.Data), result.Chunks)
+		out.printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n", result.Steps,
+			result.Events, result.Actions, result.SendChecks, result.States, float64(result.Events)/took.Seconds())
+	}
+	if result.Difference != nil {
+		out.printf("%016x: DIFFERS: %v\n", rec.ID, result.Difference)
+	} else if !c.Quiet {
+		out.printf("%016x: no difference\n", rec.ID)
+	}
+}
+
+func revisions(result replay.Result) string {
+	if result.SameRevision() {
+		return "revision " + result.Revision
+	}
+	return fmt.Sprintf("recorded by revision %s, played by %s", result.Meta.Revision, result.Revision)
+}
