--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -11,7 +11,7 @@
 )
 
 // unavailableReply asks the client to try again soon.
-var unavailableReply = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
+var unavailableReply = Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // accept puts new messages into the journal and returns the submissions that are answered once this step is decided.
 // All others have their answers.
@@ -20,7 +20,7 @@
 	now := time.Now()
 	for _, s := range submissions {
 		if !r.resolveClass(s.message) {
-			s.reply <- bad("unknown class %q", s.message.ClassName)
+			s.reply <- BadRequest("unknown class %q", s.message.ClassName)
 			continue
 		}
 		known := r.messagesByTrace[s.message.TraceID]
@@ -70,28 +70,28 @@
 
 // replyToDuplicate is the answer to a message whose id is in use, by known, or was until recently. A cancelled message
 // may be submitted once more, unless its call is still in flight and no second one may be.
-func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply answer, duplicate bool) {
+func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply Response, duplicate bool) {
 	if known == nil {
 		return r.finished.reply(m.TraceID, now)
 	}
 	if known.Cancelled && (known.inFlight == 0 || r.cfg.AllowHedging) {
-		return answer{}, false
+		return Response{}, false
 	}
 	return r.duplicateReply(known), true
 }
 
 // admit tells whether there is a destination and capacity for a new message; if not, reply rejects it.
-func (r *Relay) admit(m *journal.Message) (reply answer, admitted bool) {
+func (r *Relay) admit(m *journal.Message) (reply Response, admitted bool) {
 	if r.listReceived && !r.catalog.HasDestination(m.Destination) {
 		r.countResult(m, metrics.Failed)
-		return bad("no such destination: %d", m.Destination), false
+		return BadRequest("no such destination: %d", m.Destination), false
 	}
 	limit := r.activeConfig.Settings.MaxPendingMessages
 	if limit > 0 && r.pending >= limit {
 		r.countResult(m, metrics.Rejected)
 		return unavailableReply, false
 	}
-	return answer{}, true
+	return Response{}, true
 }
 
 // register adds a new message to the relay's state. One that was cancelled before, and may have run then, goes on from
@@ -134,21 +134,21 @@
 
 // duplicateReply is the answer to a message under the id of one that is known: the final answer that this one has, if
 // any.
-func (r *Relay) duplicateReply(m *message) answer {
+func (r *Relay) duplicateReply(m *message) Response {
 	switch {
 	case m.Cancelled: // its call is still in flight, and no second one may be
-		return answer{status: http.StatusInternalServerError}
+		return Response{Status: http.StatusInternalServerError}
 	case m.Final == nil: // pending, or delivered
 		m.hasDuplicates = true
-		return answer{status: http.StatusAccepted}
+		return Response{Status: http.StatusAccepted}
 	}
 	return finalAnswer(*m.Final)
 }
 
 // finalAnswer is the answer to the client of a message that is not delivered.
-func finalAnswer(f journal.FinalAnswer) answer {
+func finalAnswer(f journal.FinalAnswer) Response {
 	if f.Retryable {
-		return answer{status: http.StatusServiceUnavailable, again: f.RetryAfter}
+		return Response{Status: http.StatusServiceUnavailable, RetryAfter: f.RetryAfter}
 	}
-	return answer{status: http.StatusInternalServerError}
+	return Response{Status: http.StatusInternalServerError}
 }
--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -33,7 +33,7 @@
 			var mu sync.Mutex
 			var first []string
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
-				var items []item
+				var items []batchItem
 				if err := json.NewDecoder(req.Body).Decode(&items); err != nil || len(items) != 3 {
 					t.Errorf("%d messages, %v", len(items), err)
 					return false
@@ -86,15 +86,15 @@
 		return true
 	})
 	c := newCall(addr, "long", "short", "shorter")
-	c.attempts[1].until = time.Now().Add(400 * time.Millisecond)
-	c.attempts[2].until = time.Now().Add(200 * time.Millisecond)
-	results := testHosts(t, testConfig()).do(t.Context(), c, func(c *call) []*attempt { return c.attempts[1:] })
+	c.attempts[1].Deadline = time.Now().Add(400 * time.Millisecond)
+	c.attempts[2].Deadline = time.Now().Add(200 * time.Millisecond)
+	results := testHosts(t, testConfig()).Do(t.Context(), c, func(c *call) []*attempt { return c.attempts[1:] })
 	if ms, err := strconv.Atoi(<-expires); err != nil || ms > 400 {
 		t.Errorf("the call tells that it waits %d ms, %v", ms, err)
 	}
 	for i, want := range []policy.Outcome{policy.NotSent, policy.Timeout, policy.Timeout} {
-		if results[i].outcome != want {
-			t.Errorf("%s: %v, want %v", c.attempts[i].m.TraceID, results[i].outcome, want)
+		if results[i].Outcome != want {
+			t.Errorf("%s: %v, want %v", c.attempts[i].m.TraceID, results[i].Outcome, want)
 		}
 	}
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -12,9 +12,9 @@
 
 // execute does what the module has decided: first in the log, in one write, then on the sockets.
 func (r *Relay) execute(acts []policy.Action, waiting []*submitEvent) {
-	answers := make(map[uint32]answer, len(waiting))
+	answers := make(map[uint32]Response, len(waiting))
 	for _, in := range waiting {
-		answers[in.acceptedAs.ID] = answer{status: http.StatusAccepted}
+		answers[in.acceptedAs.ID] = Response{Status: http.StatusAccepted}
 	}
 	var calls []*call
 	var ended []*message
@@ -45,7 +45,7 @@
 		case policy.SetTimer:
 			r.timerAt = time.Now().Add(a.Delay) // the module keeps one wake in mind, the last that it asked for
 		case policy.CloseIdle:
-			r.hosts.closeIdle(a.Endpoint)
+			r.egress.CloseIdle(a.Endpoint)
 		}
 	}
 	if err := r.recordSends(calls); err != nil {
@@ -78,24 +78,24 @@
 		most = max(1, r.activeConfig.Settings.DestinationKinds[t.Kind].MaxBatch)
 	}
 	var c *call
-	size := itemSize(m)
+	size := BatchItemSize(m)
 	for _, x := range calls {
 		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
-		if x.route == a.Endpoint && len(x.attempts) < most && x.size+size <= bodyMost {
+		if x.EndpointID == a.Endpoint && len(x.attempts) < most && x.size+size <= MaxBodySize {
 			c = x
 		}
 	}
 	if c == nil {
-		c = &call{route: a.Endpoint, addr: t.Addr, zone: t.Zone, sent: time.Now()}
+		c = &call{EndpointID: a.Endpoint, Addr: t.Addr, zone: t.Zone, SentAt: time.Now()}
 		calls = append(calls, c)
 	}
 	until := r.started.Add(a.TimeoutAt)
 	c.size += size
-	c.insertByDeadline(&attempt{call: c, m: m, n: m.attemptsStarted, body: body, until: until})
+	c.insertByDeadline(&attempt{call: c, m: m, Number: m.attemptsStarted, Body: body, Deadline: until})
 	m.attemptsStarted++
 	m.inFlight++
-	if len(c.attempts) == 1 || until.After(c.until) == r.cfg.AllowHedging {
-		c.until = until // where a second copy may be out, the rest of a call outlasts one message's time-out
+	if len(c.attempts) == 1 || until.After(c.Deadline) == r.cfg.AllowHedging {
+		c.Deadline = until // where a second copy may be out, the rest of a call outlasts one message's time-out
 	}
 	return calls
 }
@@ -117,7 +117,7 @@
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			sends = append(sends, journal.Send{
-				Message: a.m.Message, Attempt: journal.Attempt{Number: a.n, Endpoint: c.route, Zone: c.zone, SentAt: c.sent},
+				Message: a.m.Message, Attempt: journal.Attempt{Number: a.Number, Endpoint: c.EndpointID, Zone: c.zone, SentAt: c.SentAt},
 			})
 		}
 	}
@@ -131,7 +131,7 @@
 func (r *Relay) returnCalls(calls []*call) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
-			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, result{outcome: policy.ConnectFailed})
+			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, Result{Outcome: policy.ConnectFailed})
 		}
 	}
 	// The module is told in a step of its own, soon, and not by its own wake, which must not be lost.
@@ -143,14 +143,14 @@
 	r.callsInFlight++
 	r.activeCalls[c] = struct{}{}
 	for _, a := range c.attempts {
-		if a.until.Before(c.until) {
-			a.timer = time.AfterFunc(time.Until(a.until), func() { r.post(attemptTimeout{a}) })
+		if a.Deadline.Before(c.Deadline) {
+			a.timer = time.AfterFunc(time.Until(a.Deadline), func() { r.post(attemptTimeout{a}) })
 		}
 	}
 	r.calls.Add(1)
 	go func() {
 		defer r.calls.Done()
-		results := r.hosts.do(r.callCtx, c, r.checkSend)
+		results := r.egress.Do(r.callCtx, c, r.checkSend)
 		r.post(&callFinished{c, results})
 	}()
 }
@@ -161,7 +161,7 @@
 func (r *Relay) sendableAttempts(c *call) (left []*attempt) {
 	var ids []uint32
 	for _, a := range c.attempts {
-		if !a.over && !a.m.completed && time.Now().Before(a.until) {
+		if !a.finished && !a.m.completed && time.Now().Before(a.Deadline) {
 			left, ids = append(left, a), append(ids, a.m.ID)
 		}
 	}
@@ -169,8 +169,8 @@
 		return nil
 	}
 	at := r.now()
-	may := r.engine.StillAllowed(c.route, ids, at)
-	if r.recorder.SendChecked(at, c.route, ids, may); !may {
+	may := r.engine.StillAllowed(c.EndpointID, ids, at)
+	if r.recorder.SendChecked(at, c.EndpointID, ids, may); !may {
 		return nil
 	}
 	return left
@@ -201,26 +201,26 @@
 }
 
 // attemptEnded takes the outcome of an attempt: in the log, and for the module.
-func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res result) []policy.Event {
+func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res Result) []policy.Event {
 	m := a.m
-	ok := res.outcome == policy.OK
-	if a.over {
+	ok := res.Outcome == policy.OK
+	if a.finished {
 		// It was cut off, and its call went on for others. A delivery still ends the message.
 		if ok {
 			evs = r.markDelivered(evs, m)
 		}
 		return evs
 	}
-	a.over = true
+	a.finished = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
 	m.inFlight--
-	switch res.outcome {
+	switch res.Outcome {
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
-		r.journal.RecordNotRun(m.Message, a.n)
+		r.journal.RecordNotRun(m.Message, a.Number)
 	}
-	if ok || res.gone {
+	if ok || res.MessageEnded {
 		if ok && !m.completed {
 			r.countResult(m.Message, metrics.Completed)
 		}
@@ -233,7 +233,7 @@
 		return r.unpark(evs, a, res)
 	}
 	return append(evs, policy.Event{
-		Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: a.n, Endpoint: a.route, Outcome: res.outcome, Latency: res.took,
-		MessageEnded: ok || res.gone, RetryAfter: res.wait, LimitReport: res.report,
+		Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: a.Number, Endpoint: a.EndpointID, Outcome: res.Outcome, Latency: res.Latency,
+		MessageEnded: ok || res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
 	})
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -139,9 +139,9 @@
 func TestSilentAndIdleConnectionsMakeWay(t *testing.T) {
 	const most = 4
 	r := newTestRelay(t)
-	r.clients.most = most
+	r.ingress.maxConns = most
 	addr := door(t, r)
-	held := func() int { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) }
+	held := func() int { r.ingress.mu.Lock(); defer r.ingress.mu.Unlock(); return len(r.ingress.conns) }
 	kept := bufio.NewReader(dial(t, addr, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
 	read(t, kept)
 	for range 3 * most {
@@ -162,7 +162,7 @@
 // all that they all may have.
 func TestACrowdIsNotKept(t *testing.T) {
 	r := newTestRelay(t)
-	r.clients.roomy = 1
+	r.ingress.maxKeptConns = 1
 	addr := door(t, r)
 	const health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 	conn := dial(t, addr, health)
@@ -178,7 +178,7 @@
 	nettest.Eventually(
 		t,
 		"room again",
-		func() bool { r.clients.mu.Lock(); defer r.clients.mu.Unlock(); return len(r.clients.conns) == 1 },
+		func() bool { r.ingress.mu.Lock(); defer r.ingress.mu.Unlock(); return len(r.ingress.conns) == 1 },
 	)
 	io.WriteString(conn, health)
 	if res := read(t, alone); res.Close {
@@ -189,7 +189,7 @@
 // Where all connections are being answered, a newcomer waits for the first that is done.
 func TestNoAnswerIsCutOffToMakeRoom(t *testing.T) {
 	r := newTestRelay(t)
-	r.clients.most = 1
+	r.ingress.maxConns = 1
 	addr := door(t, r)
 	first := bufio.NewReader(dial(t, addr, handInText("m1")))
 	e := <-r.events
@@ -214,7 +214,7 @@
 }
 
 // decide has the loop take all of these hand-ins in one step.
-func decide(r *Relay, ins ...*submitEvent) (answers []answer) {
+func decide(r *Relay, ins ...*submitEvent) (answers []Response) {
 	batch := make([]event, len(ins))
 	for i, in := range ins {
 		batch[i] = in
@@ -228,20 +228,20 @@
 
 func newHandIn(id string, dest int, left time.Duration) *submitEvent {
 	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
-	return &submitEvent{message: m, reply: make(chan answer, 1)}
+	return &submitEvent{message: m, reply: make(chan Response, 1)}
 }
 
 // A second copy of what is refused in the same step is not told that it is taken on.
 func TestATwinSharesItsAnswer(t *testing.T) {
 	r := newTestRelay(t)
 	for i, a := range decide(r, newHandIn("m1", 7, -time.Second), newHandIn("m1", 7, time.Second)) {
-		if a.status != http.StatusServiceUnavailable {
+		if a.Status != http.StatusServiceUnavailable {
 			t.Errorf("copy %d: %+v", i, a)
 		}
 	}
 	r.journal.Close()
 	for i, a := range decide(r, newHandIn("m2", 7, time.Second), newHandIn("m2", 7, time.Second)) {
-		if a.status != http.StatusServiceUnavailable {
+		if a.Status != http.StatusServiceUnavailable {
 			t.Errorf("copy %d, no log: %+v", i, a)
 		}
 	}
@@ -266,8 +266,8 @@
 	decide(r, in)
 	m := r.messages[in.message.ID]
 	r.execute([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
-	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.status != http.StatusServiceUnavailable ||
-		a.again != 700*time.Millisecond {
+	if a := decide(r, newHandIn("m1", 7, 5*time.Second))[0]; a.Status != http.StatusServiceUnavailable ||
+		a.RetryAfter != 700*time.Millisecond {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -291,7 +291,7 @@
 			r = restarted(t, r)
 			r.catalog.RememberDestination(dest)
 		}
-		if a := decide(r, newHandIn("m1", dest, 5*time.Second))[0]; a.status != http.StatusAccepted {
+		if a := decide(r, newHandIn("m1", dest, 5*time.Second))[0]; a.Status != http.StatusAccepted {
 			t.Fatalf("answer %+v", a)
 		}
 		if restart == 2 {
@@ -346,7 +346,7 @@
 			bytes.Contains(bytes.ToLower(c.Captured()), []byte("\ncontent-length:")) {
 			// The head alone counts, so what stands behind it may still hold that text.
 			head, _, _ := bytes.Cut(c.Captured(), []byte("\r\n\r\n"))
-			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !twoLengths(req, c.Captured()) {
+			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !hasConflictingLengths(req, c.Captured()) {
 				t.Errorf("%q passes", data)
 			}
 		}
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -14,23 +14,23 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
-		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
+		"relay.MaxBodySize", "relay.requestTimeout", "relay.lateRequestTimeout", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
 		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
 		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
-		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
+		"relay.MaxWireSize", "relay.maxIDSize", "relay.idleTimeout", "relay.writeTimeout", "relay.lingerTimeout", "relay.maxLingerSize", "netconn.MaxHeaderSize",
+		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.responseTimeout", "relay.maxReportedValue", "relay.maxInformational", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
+		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.recheckAfter", "relay.clockTolerance", "relay.initialClock", "relay.capacityRetryInterval",
 		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
+		"relay.besideJournal", "relay.reservedDescriptors", "relay.lockFor", "relay.lockPause", "relay.silentGrace", "relay.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 	},
 	"a share of what the settings tell": {
-		"relay.idleShare", "backoff.graceShare",
+		"relay.idleRatio", "backoff.graceShare",
 		"policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio",
 		"policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 	},
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -357,7 +357,7 @@
 		return err
 	}
 	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, bodyMost)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, MaxBodySize)); err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -137,7 +137,7 @@
 		r.workingSet.EndpointAdded(c.New.Destination, r.now())
 	}
 	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Old.Addr != c.New.Addr {
-		r.hosts.closeIdle(c.Old.ID)
+		r.egress.CloseIdle(c.Old.ID)
 	}
 	if (c.Kind == catalog.Updated || c.Kind == catalog.Moved || c.Kind == catalog.Removed) && !c.Old.InService {
 		r.drainingEndpoints--
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -16,8 +16,8 @@
 // submitEvent is a message that a client submits.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message    // set by the loop: the message that it became, or that it duplicates
-	reply      chan answer // buffered: the loop never waits for the client
+	acceptedAs *message      // set by the loop: the message that it became, or that it duplicates
+	reply      chan Response // buffered: the loop never waits for the client
 }
 
 // cancelEvent tells that the client left before it had the answer to its message.
@@ -26,7 +26,7 @@
 // callFinished carries the results of a call, one for each of its attempts.
 type callFinished struct {
 	call    *call
-	results []result
+	results []Result
 }
 
 // attemptTimeout tells that the time of one attempt is up while its call goes on for others.
@@ -67,7 +67,7 @@
 }
 
 func (e attemptTimeout) apply(r *Relay, s *stepState) {
-	timeout := result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)}
+	timeout := Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.SentAt)}
 	s.policyEvents = r.attemptEnded(s.policyEvents, e.attempt, timeout)
 }
 
--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -20,7 +20,7 @@
 
 // finishedReply is what a message's client is told if it comes again, and until when.
 type finishedReply struct {
-	answer answer
+	answer Response
 	until  time.Time
 }
 
@@ -31,7 +31,7 @@
 	case len(m.UncertainAttempts) == 0: // it surely never ran: it may come as a new one
 		return
 	case m.Final == nil:
-		e.answer.status = http.StatusAccepted // delivered; also one that its client had taken back meanwhile
+		e.answer.Status = http.StatusAccepted // delivered; also one that its client had taken back meanwhile
 	case m.Final.Retryable:
 		return // its client was told to come again
 	default:
@@ -54,19 +54,19 @@
 func (r *finishedMessages) export() (ended []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
 		e := r.replies[trace]
-		ended = append(ended, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
+		ended = append(ended, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.Status, Until: e.until})
 	}
 	return ended
 }
 
 func (r *finishedMessages) restore(ended []hotrestart.FinishedMessage) {
 	for _, e := range ended {
-		r.put(e.TraceID, finishedReply{answer{status: e.Status}, e.Until})
+		r.put(e.TraceID, finishedReply{Response{Status: e.Status}, e.Until})
 	}
 }
 
 // reply is the answer to a hand-in under the id of a message that has ended; false if none is remembered.
-func (r *finishedMessages) reply(trace string, now time.Time) (answer, bool) {
+func (r *finishedMessages) reply(trace string, now time.Time) (Response, bool) {
 	e, ok := r.replies[trace]
 	return e.answer, ok && now.Before(e.until)
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -22,116 +22,116 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// idleShare is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
+// idleRatio is the share of the hosts' keep-alive limit after which the relay closes an idle connection itself.
 // Guards against a request that crosses the host's own close: it ends as a reset, which may have run.
-const idleShare = 0.8
+const idleRatio = 0.8
 
 const (
-	// wholeFor bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
+	// responseTimeout bounds how long an answer may take from its first byte to its last. Guards against heads and bodies
 	// that do not end.
-	wholeFor = 500 * time.Millisecond
-	// reportMost bounds what a host may tell of its limit.
-	reportMost = 1e9
-	informMost = 16 // 1xx answers before one
-	// heldUpAfter is how long after its decision a call may leave unasked: within what the module's times leave before
+	responseTimeout = 500 * time.Millisecond
+	// maxReportedValue bounds what a host may tell of its limit.
+	maxReportedValue = 1e9
+	maxInformational = 16 // 1xx answers before one
+	// recheckAfter is how long after its decision a call may leave unasked: within what the module's times leave before
 	// they bind.
-	heldUpAfter = 10 * time.Millisecond
+	recheckAfter = 10 * time.Millisecond
 )
 
 var (
-	errSpoilt = errors.New("spoilt answer")
-	errLast   = errors.New("the answer is whole, its connection at its end")
+	errMalformed = errors.New("spoilt answer")
+	errConnEnds  = errors.New("the answer is whole, its connection at its end")
 )
 
-// hosts makes the outbound calls.
-type hosts struct {
+// EgressClient makes the outbound calls.
+type EgressClient struct {
 	*pool
-	reports []string
-	written func(messages int) // whole, to a host
+	reportFields []string
+	onWritten    func(messages int) // whole, to a host
 
-	log    *slog.Logger
-	spoilt ratelog.Warning
+	log                *slog.Logger
+	malformedResponses ratelog.Warning
 }
 
 // call is one request to a host, with one message or several.
 type call struct {
-	route    string
-	addr     string
-	zone     int
-	sent     time.Time
-	until    time.Time // given up then
-	attempts []*attempt
-	size     int // of the body, at most, if it carries several
+	EndpointID string
+	Addr       string
+	zone       int
+	SentAt     time.Time
+	Deadline   time.Time // given up then
+	attempts   []*attempt
+	size       int // of the body, at most, if it carries several
 }
 
-// lastUntil is when the last of a call's attempts is given up.
-func (c *call) lastUntil() time.Time {
-	return slices.MaxFunc(c.attempts, func(a, b *attempt) int { return a.until.Compare(b.until) }).until
+// lastDeadline is when the last of a call's attempts is given up.
+func (c *call) lastDeadline() time.Time {
+	return slices.MaxFunc(c.attempts, func(a, b *attempt) int { return a.Deadline.Compare(b.Deadline) }).Deadline
 }
 
 // attempt is one message's part in a call.
 type attempt struct {
 	*call
-	m     *message
-	n     int
-	body  []byte // the message's
-	until time.Time
-	timer *time.Timer // ends it before the rest of its call; nil if it ends with it
-	over  bool        // its outcome is told
+	m        *message
+	Number   int
+	Body     []byte // the message's
+	Deadline time.Time
+	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
+	finished bool        // its outcome is told
 }
 
-// result is how an attempt ended.
-type result struct {
-	outcome policy.Outcome
-	gone    bool // the message is over: nothing more is owed
-	wait    time.Duration
-	report  policy.LimitReport
-	took    time.Duration // from when the request was written
+// Result is how an attempt ended.
+type Result struct {
+	Outcome      policy.Outcome
+	MessageEnded bool // the message is over: nothing more is owed
+	RetryAfter   time.Duration
+	LimitReport  policy.LimitReport
+	Latency      time.Duration // from when the request was written
 }
 
-func newHosts(cfg Config, log *slog.Logger, written func(int)) *hosts {
-	return &hosts{
-		pool:    newPool(cfg),
-		reports: cfg.LoadReportFields,
-		written: written,
-		log:     log,
-		spoilt:  ratelog.Warning{Message: "spoilt answer"},
+func NewEgressClient(cfg Config, log *slog.Logger, written func(int)) *EgressClient {
+	return &EgressClient{
+		pool:               newPool(cfg),
+		reportFields:       cfg.LoadReportFields,
+		onWritten:          written,
+		log:                log,
+		malformedResponses: ratelog.Warning{Message: "spoilt answer"},
 	}
 }
 
-// do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is
+// Do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is
 // written where that was held up, as by a new connection that had to come up first: for the attempts that may leave
 // even then.
-func (h *hosts) do(ctx context.Context, c *call, clear func(*call) []*attempt) []result {
-	ctx, cancel := context.WithDeadline(ctx, c.until)
+func (h *EgressClient) Do(ctx context.Context, c *call, clear func(*call) []*attempt) []Result {
+	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
-	conn, fresh, err := h.get(ctx, peer{c.route, c.addr})
+	conn, fresh, err := h.getConn(ctx, endpointAddr{c.EndpointID, c.Addr})
 	switch {
-	case err != nil && scarce(err):
-		return alike(c, result{outcome: policy.NotSent})
+	case err != nil && isLocalShortage(err):
+		return sameResults(c, Result{Outcome: policy.NotSent})
 	case err != nil:
-		return alike(c, result{outcome: policy.ConnectFailed})
+		return sameResults(c, Result{Outcome: policy.ConnectFailed})
 	}
 	// While the connection came up, or the journal was slow to write, a drain or a wait may have been told, and
 	// messages may have ended.
 	leaving := *c
-	if fresh || time.Since(c.sent) > heldUpAfter {
+	if fresh || time.Since(c.SentAt) > recheckAfter {
 		leaving.attempts = clear(c)
 	}
-	results := alike(c, result{outcome: policy.NotSent})
+	results := sameResults(c, Result{Outcome: policy.NotSent})
 	if len(leaving.attempts) == 0 {
-		conn.keep()
+		conn.release()
 		return results
 	}
-	if last := leaving.lastUntil(); last.Before(leaving.until) {
-		leaving.until = last // that of a message which leaves no more
+	if last := leaving.lastDeadline(); last.Before(leaving.Deadline) {
+		leaving.Deadline = last // that of a message which leaves no more
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, last)
 		defer cancel()
 	}
 	req, err := newRequest(&leaving)
 	if err != nil {
-		conn.keep()
+		conn.release()
 		return results
 	}
 	for i, res := range h.exchange(ctx, req, &leaving, conn) {
@@ -141,54 +141,54 @@
 }
 
 // exchange writes the request, reads its answer, and keeps or drops the connection.
-func (h *hosts) exchange(ctx context.Context, req *http.Request, c *call, conn *hostConn) []result {
+func (h *EgressClient) exchange(ctx context.Context, req *http.Request, c *call, conn *pooledConn) []Result {
 	// A call is given up by closing its connection: no answer to it is read any more.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(netconn.Past) })
 	began := time.Now()
 	err := writeRequest(conn, req)
 	written := err == nil
 	if written {
-		h.written(len(c.attempts))
+		h.onWritten(len(c.attempts))
 	}
 	several := len(c.attempts) > 1
-	a := readAnswer(conn, req, several) // there may be an answer though not all could be written
+	a := readResponse(conn, req, several) // there may be an answer though not all could be written
 	if stop() && a.err == nil && written {
 		conn.SetDeadline(time.Time{})
-		conn.keep()
+		conn.release()
 	} else {
-		conn.drop()
+		conn.discard()
 	}
-	if a.came.IsZero() {
-		a.came = time.Now()
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = time.Now()
 	}
-	r := h.told(a.head)
-	r.took = a.came.Sub(began)
-	spoilt := a.err != nil && !errors.Is(a.err, errLast)
-	if spoilt && !gone(a.err) {
-		h.spoilt.Log(h.log, "route", c.route, "err", a.err)
+	r := h.readFeedback(a.head)
+	r.Latency = a.firstByteAt.Sub(began)
+	spoilt := a.err != nil && !errors.Is(a.err, errConnEnds)
+	if spoilt && !endedByPeer(a.err) {
+		h.malformedResponses.Log(h.log, "route", c.EndpointID, "err", a.err)
 	}
 	switch {
 	case a.head != nil && a.head.StatusCode == http.StatusOK && !several:
-		r.outcome = policy.OK // with the first line: what follows means nothing
+		r.Outcome = policy.OK // with the first line: what follows means nothing
 	case spoilt:
 		// The last byte tells: without it no host has begun. Whatever is doubtful may have run.
-		r.outcome = broken(ctx, written)
+		r.Outcome = failureOutcome(ctx, written)
 	case a.head.StatusCode == http.StatusOK:
-		return bundleResults(c, r, a.body)
+		return batchResults(c, r, a.body)
 	default:
-		r.outcome, r.gone = outcome(a.head)
+		r.Outcome, r.MessageEnded = statusOutcome(a.head)
 	}
-	return alike(c, r)
+	return sameResults(c, r)
 }
 
-// gone tells whether an answer did not come for the peer's silence or end, and not for what the peer sent.
-func gone(err error) bool {
+// endedByPeer tells whether an answer did not come for the peer's silence or end, and not for what the peer sent.
+func endedByPeer(err error) bool {
 	var network net.Error
 	return errors.As(err, &network) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
 // writeRequest writes a request in one go.
-func writeRequest(conn *hostConn, req *http.Request) error {
+func writeRequest(conn *pooledConn, req *http.Request) error {
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
 		return err
@@ -197,39 +197,39 @@
 	return err
 }
 
-// hostAnswer is what came in answer to a call.
-type hostAnswer struct {
-	head *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
-	body []byte         // of an answer to several messages
-	err  error          // why it is not whole, or more than whole: its connection is of no further use
-	came time.Time      // its first byte
+// callResponse is what came in answer to a call.
+type callResponse struct {
+	head        *http.Response // of a spoilt one perhaps its first line alone; nil if that cannot be read either
+	body        []byte         // of an answer to several messages
+	err         error          // why it is not whole, or more than whole: its connection is of no further use
+	firstByteAt time.Time      // its first byte
 }
 
-// readAnswer reads an answer, to several messages or to one.
-func readAnswer(conn *hostConn, req *http.Request, several bool) (a hostAnswer) {
+// readResponse reads an answer, to several messages or to one.
+func readResponse(conn *pooledConn, req *http.Request, several bool) (a callResponse) {
 	conn.AllowBytes(netconn.MaxHeaderSize)
 	if _, a.err = conn.Reader.Peek(1); a.err != nil {
 		return a
 	}
 	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
-	a.came = time.Now()
-	conn.SetReadDeadline(a.came.Add(wholeFor))
-	for range informMost {
+	a.firstByteAt = time.Now()
+	conn.SetReadDeadline(a.firstByteAt.Add(responseTimeout))
+	for range maxInformational {
 		var line []byte
 		if line, a.err = peekLine(conn.Reader); a.err != nil {
 			return a
 		}
 		if a.head, a.err = http.ReadResponse(conn.Reader, req); a.err != nil {
-			a.head = firstLine(line, req)
+			a.head = parseStatusLine(line, req)
 			return a
 		}
 		if a.head.StatusCode >= 200 {
-			a.body, a.err = readRest(conn, a.head, several)
+			a.body, a.err = discardOrReadBody(conn, a.head, several)
 			return a
 		}
 		a.head = nil
 	}
-	a.err = errSpoilt
+	a.err = errMalformed
 	return a
 }
 
@@ -246,8 +246,8 @@
 	}
 }
 
-// firstLine reads a first line by itself; nil if it cannot be read.
-func firstLine(line []byte, req *http.Request) *http.Response {
+// parseStatusLine reads a first line by itself; nil if it cannot be read.
+func parseStatusLine(line []byte, req *http.Request) *http.Response {
 	head, err := http.ReadResponse(
 		bufio.NewReader(io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))),
 		req,
@@ -258,31 +258,31 @@
 	return head
 }
 
-// readRest reads an answer's body. It returns an error also if the connection can carry no further call.
-func readRest(conn *hostConn, head *http.Response, several bool) (body []byte, err error) {
-	if head.ContentLength > bodyMost {
-		return nil, errSpoilt
+// discardOrReadBody reads an answer's body. It returns an error also if the connection can carry no further call.
+func discardOrReadBody(conn *pooledConn, head *http.Response, several bool) (body []byte, err error) {
+	if head.ContentLength > MaxBodySize {
+		return nil, errMalformed
 	}
-	conn.AllowBytes(wireMost)
-	rest := io.LimitReader(head.Body, bodyMost+1)
+	conn.AllowBytes(MaxWireSize)
+	rest := io.LimitReader(head.Body, MaxBodySize+1)
 	if several && head.StatusCode == http.StatusOK {
-		if body, err = io.ReadAll(rest); err == nil && len(body) > bodyMost {
-			err = errSpoilt
+		if body, err = io.ReadAll(rest); err == nil && len(body) > MaxBodySize {
+			err = errMalformed
 		}
-	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > bodyMost {
-		err = cmp.Or(copyErr, errSpoilt)
+	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > MaxBodySize {
+		err = cmp.Or(copyErr, errMalformed)
 	}
 	switch {
 	case err != nil:
 		return nil, err
 	case conn.Reader.Buffered() > 0, head.Close, head.ContentLength < 0 && len(head.TransferEncoding) == 0:
-		return body, errLast
+		return body, errConnEnds
 	}
 	return body, nil
 }
 
-// broken is the outcome of a call whose answer did not come.
-func broken(ctx context.Context, written bool) policy.Outcome {
+// failureOutcome is the outcome of a call whose answer did not come.
+func failureOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
 		return policy.ConnectFailed
@@ -296,10 +296,10 @@
 
 // newRequest makes the request of a call.
 func newRequest(c *call) (*http.Request, error) {
-	path, body := "/events", c.attempts[0].body
-	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, time.Until(c.until).Milliseconds()), 10)}}
+	path, body := "/events", c.attempts[0].Body
+	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, time.Until(c.Deadline).Milliseconds()), 10)}}
 	if len(c.attempts) > 1 {
-		path, body = "/events/bundle", bundle(c)
+		path, body = "/events/bundle", encodeBatch(c)
 		header.Set("Content-Type", "application/json")
 	} else {
 		m := c.attempts[0].m
@@ -308,7 +308,7 @@
 			header.Set("Idempotency-Key", m.IdempotencyKey)
 		}
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.addr+path, nil)
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.Addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -319,15 +319,15 @@
 	return req, nil
 }
 
-// item is a message in a bundle.
-type item struct {
+// batchItem is a message in a bundle.
+type batchItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// itemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
-func itemSize(m *message) int {
+// BatchItemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
+func BatchItemSize(m *message) int {
 	return base64.StdEncoding.EncodedLen(
 		m.Size(),
 	) + 6*(len(m.TraceID)+len(m.IdempotencyKey)) + len(
@@ -335,10 +335,10 @@
 	)
 }
 
-func bundle(c *call) []byte {
-	items := make([]item, 0, len(c.attempts))
+func encodeBatch(c *call) []byte {
+	items := make([]batchItem, 0, len(c.attempts))
 	for _, a := range c.attempts {
-		items = append(items, item{a.m.TraceID, a.m.IdempotencyKey, append([]byte{}, a.body...)}) // null is no body
+		items = append(items, batchItem{a.m.TraceID, a.m.IdempotencyKey, append([]byte{}, a.Body...)}) // null is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
@@ -347,17 +347,17 @@
 	return data
 }
 
-// told is what a head tells besides its message's end.
-func (h *hosts) told(head *http.Response) (r result) {
+// readFeedback is what a head tells besides its message's end.
+func (h *EgressClient) readFeedback(head *http.Response) (r Result) {
 	if head != nil {
-		r.wait = seconds(head.Header.Get("Retry-After"))
-		r.report = h.report(head.Header.Get("Endpoint-Load-Metrics"))
+		r.RetryAfter = parseRetryAfter(head.Header.Get("Retry-After"))
+		r.LimitReport = h.parseLimitReport(head.Header.Get("Endpoint-Load-Metrics"))
 	}
 	return r
 }
 
-// outcome is what a status other than 200 says.
-func outcome(head *http.Response) (o policy.Outcome, gone bool) {
+// statusOutcome is what a status other than 200 says.
+func statusOutcome(head *http.Response) (o policy.Outcome, gone bool) {
 	switch head.StatusCode {
 	case http.StatusTooManyRequests:
 		return policy.Overloaded, false
@@ -374,10 +374,10 @@
 	return policy.Error, false // 500, and what is not known: it may have run
 }
 
-// bundleResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
-func bundleResults(c *call, r result, body []byte) []result {
+// batchResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
+func batchResults(c *call, r Result, body []byte) []Result {
 	unread := r
-	unread.outcome = policy.Error
+	unread.Outcome = policy.Error
 	var raw []json.RawMessage
 	if json.Unmarshal(body, &raw) != nil {
 		raw = nil
@@ -392,26 +392,26 @@
 			states[item.ID] = item.State
 		}
 	}
-	results := alike(c, unread)
+	results := sameResults(c, unread)
 	for i, a := range c.attempts {
 		switch states[a.m.TraceID] {
 		case "ok":
-			results[i].outcome = policy.OK
+			results[i].Outcome = policy.OK
 		case "error":
-			results[i].outcome = policy.Error
+			results[i].Outcome = policy.Error
 		case "later":
-			results[i].outcome = policy.Overloaded
+			results[i].Outcome = policy.Overloaded
 		case "gone":
-			results[i].outcome, results[i].gone = policy.NotSent, true
+			results[i].Outcome, results[i].MessageEnded = policy.NotSent, true
 		case "exhausted":
-			results[i].outcome = policy.NotSent
+			results[i].Outcome = policy.NotSent
 		}
 	}
 	return results
 }
 
-// report reads what a host tells of its limit.
-func (h *hosts) report(text string) policy.LimitReport {
+// parseLimitReport reads what a host tells of its limit.
+func (h *EgressClient) parseLimitReport(text string) policy.LimitReport {
 	var rep policy.LimitReport
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
@@ -421,7 +421,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
 		// NaN compares as false.
-		if err != nil || !(x >= 0 && x <= reportMost) || !slices.Contains(h.reports, name) {
+		if err != nil || !(x >= 0 && x <= maxReportedValue) || !slices.Contains(h.reportFields, name) {
 			continue
 		}
 		switch name {
@@ -434,8 +434,8 @@
 	return rep
 }
 
-// seconds reads a Retry-After, whole or decimal; 0 if there is none that can be read.
-func seconds(text string) time.Duration {
+// parseRetryAfter reads a Retry-After, whole or decimal; 0 if there is none that can be read.
+func parseRetryAfter(text string) time.Duration {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0) || x > 1e6 {
 		return 0
@@ -443,9 +443,9 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-// alike gives every attempt of a call the same end.
-func alike(c *call, r result) []result {
-	results := make([]result, len(c.attempts))
+// sameResults gives every attempt of a call the same end.
+func sameResults(c *call, r Result) []Result {
+	results := make([]Result, len(c.attempts))
 	for i := range results {
 		results[i] = r
 	}
--- a/internal/relay/hosts_test.go
+++ b/internal/relay/hosts_test.go
@@ -28,20 +28,20 @@
 	return c
 }
 
-func testHosts(t *testing.T, cfg Config) *hosts {
-	h := newHosts(cfg, quiet(), func(int) {})
-	t.Cleanup(h.close)
+func testHosts(t *testing.T, cfg Config) *EgressClient {
+	h := NewEgressClient(cfg, quiet(), func(int) {})
+	t.Cleanup(h.Close)
 	return h
 }
 
 // newCall is a call to addr with messages of these ids.
 func newCall(addr string, ids ...string) *call {
-	c := &call{route: "s-1", addr: addr, sent: time.Now(), until: time.Now().Add(nettest.Patience)}
+	c := &call{EndpointID: "s-1", Addr: addr, SentAt: time.Now(), Deadline: time.Now().Add(nettest.Patience)}
 	for _, id := range ids {
 		m := &message{
 			Message: &journal.Message{TraceID: id, IdempotencyKey: "key-" + id, Body: []byte("body of " + id)},
 		}
-		c.attempts = append(c.attempts, &attempt{call: c, m: m, body: m.Body, until: c.until})
+		c.attempts = append(c.attempts, &attempt{call: c, m: m, Body: m.Body, Deadline: c.Deadline})
 	}
 	return c
 }
@@ -65,8 +65,8 @@
 	}))
 	defer s.Close()
 	c := newCall(addrOf(s), "a")
-	if r := testHosts(t, testConfig()).do(t.Context(), c, yes); r[0].outcome != policy.OK {
-		t.Fatalf("outcome %v", r[0].outcome)
+	if r := testHosts(t, testConfig()).Do(t.Context(), c, yes); r[0].Outcome != policy.OK {
+		t.Fatalf("outcome %v", r[0].Outcome)
 	}
 	g := <-got
 	if g.path != "/events" || g.id != "a" || g.key != "key-a" || g.body != "body of a" || g.length != 9 ||
@@ -88,11 +88,11 @@
 		h := testHosts(t, testConfig())
 		first, second := newCall(addr, "a"), newCall(addr, "b")
 		second.attempts[0].m.Body = []byte(body)
-		if r := h.do(t.Context(), first, yes); r[0].outcome != policy.OK {
-			t.Fatalf("first call: %v", r[0].outcome)
+		if r := h.Do(t.Context(), first, yes); r[0].Outcome != policy.OK {
+			t.Fatalf("first call: %v", r[0].Outcome)
 		}
-		if r := h.do(t.Context(), second, yes); r[0].outcome != policy.Reset {
-			t.Errorf("body %q: outcome %v, want a reset", body, r[0].outcome)
+		if r := h.Do(t.Context(), second, yes); r[0].Outcome != policy.Reset {
+			t.Errorf("body %q: outcome %v, want a reset", body, r[0].Outcome)
 		}
 		if n := requests.Load(); n != 2 {
 			t.Errorf("body %q: the host saw %d requests", body, n)
@@ -106,9 +106,9 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	r := testHosts(t, testConfig()).do(t.Context(), newCall(l.Addr().String(), "a"), yes)
-	if r[0].outcome != policy.ConnectFailed {
-		t.Errorf("outcome %v", r[0].outcome)
+	r := testHosts(t, testConfig()).Do(t.Context(), newCall(l.Addr().String(), "a"), yes)
+	if r[0].Outcome != policy.ConnectFailed {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 }
 
@@ -121,8 +121,8 @@
 		return nil, ctx.Err()
 	}
 	began := time.Now()
-	if r := h.do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].outcome != policy.ConnectFailed {
-		t.Errorf("outcome %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall("127.0.0.1:1", "a"), yes); r[0].Outcome != policy.ConnectFailed {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	if took := time.Since(began); took > nettest.Patience/2 {
 		t.Errorf("took %v", took)
@@ -156,9 +156,9 @@
 		return &stuckConn{conn, 10_000}, err
 	}
 	c := newCall(addr, "a")
-	c.attempts[0].body = make([]byte, 60_000)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.ConnectFailed {
-		t.Errorf("outcome %v", r[0].outcome)
+	c.attempts[0].Body = make([]byte, 60_000)
+	if r := h.Do(t.Context(), c, yes); r[0].Outcome != policy.ConnectFailed {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	if n := requests.Load(); n != 0 {
 		t.Errorf("the host saw %d whole requests", n)
@@ -175,9 +175,9 @@
 	defer s.Close()
 	h := testHosts(t, testConfig())
 	c := newCall(addrOf(s), "a")
-	c.until = time.Now().Add(100 * time.Millisecond)
-	if r := h.do(t.Context(), c, yes); r[0].outcome != policy.Timeout {
-		t.Errorf("outcome %v", r[0].outcome)
+	c.Deadline = time.Now().Add(100 * time.Millisecond)
+	if r := h.Do(t.Context(), c, yes); r[0].Outcome != policy.Timeout {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	select {
 	case <-left:
@@ -192,16 +192,16 @@
 		return true
 	})
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].outcome != policy.NotSent {
-		t.Errorf("outcome %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall(addr, "a"), func(*call) []*attempt { return nil }); r[0].Outcome != policy.NotSent {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	if n := requests.Load(); n != 0 {
 		t.Errorf("the host saw %d requests", n)
 	}
 	// The connection is kept, and needs no second look.
-	r := h.do(t.Context(), newCall(addr, "b"), func(*call) []*attempt { t.Error("asked again"); return nil })
-	if r[0].outcome != policy.OK {
-		t.Errorf("outcome on the kept connection %v", r[0].outcome)
+	r := h.Do(t.Context(), newCall(addr, "b"), func(*call) []*attempt { t.Error("asked again"); return nil })
+	if r[0].Outcome != policy.OK {
+		t.Errorf("outcome on the kept connection %v", r[0].Outcome)
 	}
 }
 
@@ -227,8 +227,8 @@
 		var done sync.WaitGroup
 		for i := range calls {
 			done.Go(func() {
-				if r := h.do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), yes); r[0].outcome != policy.OK {
-					t.Errorf("outcome %v", r[0].outcome)
+				if r := h.Do(t.Context(), newCall(addrOf(s), fmt.Sprint(i)), yes); r[0].Outcome != policy.OK {
+					t.Errorf("outcome %v", r[0].Outcome)
 				}
 			})
 		}
@@ -252,8 +252,8 @@
 	cfg := testConfig()
 	cfg.KeepAlive = 50 * time.Millisecond
 	h := testHosts(t, cfg)
-	if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK {
-		t.Fatalf("outcome %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].Outcome != policy.OK {
+		t.Fatalf("outcome %v", r[0].Outcome)
 	}
 	select {
 	case <-closed: // the server sets no limit of its own: the relay closed it
@@ -268,44 +268,44 @@
 	defer one.Close()
 	defer two.Close()
 	h := testHosts(t, testConfig())
-	h.most, h.connectTimeout = 1, 100*time.Millisecond
+	h.maxConns, h.connectTimeout = 1, 100*time.Millisecond
 	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
-		if r := h.do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
-			t.Errorf("call %d: outcome %v, %d open", i, r[0].outcome, h.open)
+		if r := h.Do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].Outcome != policy.OK || h.open != 1 {
+			t.Errorf("call %d: outcome %v, %d open", i, r[0].Outcome, h.open)
 		}
 	}
-	busy, _, err := h.get(t.Context(), peer{"s-1", addrOf(one)})
+	busy, _, err := h.getConn(t.Context(), endpointAddr{"s-1", addrOf(one)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// That the relay itself has no room is no failure of the host.
-	if r := h.do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].outcome != policy.NotSent {
-		t.Errorf("beyond the bound: outcome %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall(addrOf(two), "a"), yes); r[0].Outcome != policy.NotSent {
+		t.Errorf("beyond the bound: outcome %v", r[0].Outcome)
 	}
-	busy.drop()
+	busy.discard()
 }
 
 func TestAnswerCodes(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		header http.Header
-		want   result
+		want   Result
 	}{
-		{200, nil, result{outcome: policy.OK}},
-		{500, nil, result{outcome: policy.Error}},
-		{429, http.Header{"Retry-After": {"0.75"}}, result{outcome: policy.Overloaded, wait: 750 * time.Millisecond}},
-		{429, http.Header{"Retry-After": {"soon"}}, result{outcome: policy.Overloaded}},
-		{503, nil, result{outcome: policy.Overloaded}},
-		{503, http.Header{"Retry-After": {"2"}}, result{outcome: policy.Overloaded, wait: 2 * time.Second}},
-		{503, http.Header{"Slots-Taken": {"1"}}, result{outcome: policy.NotSent}},
-		{504, nil, result{outcome: policy.NotSent}},
-		{410, nil, result{outcome: policy.NotSent, gone: true}},
-		{302, http.Header{"Location": {"/elsewhere"}}, result{outcome: policy.Error}},
-		{418, nil, result{outcome: policy.Error}},
+		{200, nil, Result{Outcome: policy.OK}},
+		{500, nil, Result{Outcome: policy.Error}},
+		{429, http.Header{"Retry-After": {"0.75"}}, Result{Outcome: policy.Overloaded, RetryAfter: 750 * time.Millisecond}},
+		{429, http.Header{"Retry-After": {"soon"}}, Result{Outcome: policy.Overloaded}},
+		{503, nil, Result{Outcome: policy.Overloaded}},
+		{503, http.Header{"Retry-After": {"2"}}, Result{Outcome: policy.Overloaded, RetryAfter: 2 * time.Second}},
+		{503, http.Header{"Slots-Taken": {"1"}}, Result{Outcome: policy.NotSent}},
+		{504, nil, Result{Outcome: policy.NotSent}},
+		{410, nil, Result{Outcome: policy.NotSent, MessageEnded: true}},
+		{302, http.Header{"Location": {"/elsewhere"}}, Result{Outcome: policy.Error}},
+		{418, nil, Result{Outcome: policy.Error}},
 		{
 			200,
 			http.Header{"Endpoint-Load-Metrics": {"TEXT x0=0.4, x1=25, y=7"}},
-			result{outcome: policy.OK, report: policy.LimitReport{Present: true, Remaining: 0.4, Limit: 25}},
+			Result{Outcome: policy.OK, LimitReport: policy.LimitReport{Present: true, Remaining: 0.4, Limit: 25}},
 		},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -317,9 +317,9 @@
 			}
 			w.WriteHeader(c.status)
 		}))
-		if r := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].took <= 0 {
-			t.Errorf("%d: took %v", c.status, r[0].took)
-		} else if r[0].took = 0; r[0] != c.want {
+		if r := testHosts(t, testConfig()).Do(t.Context(), newCall(addrOf(s), "a"), yes); r[0].Latency <= 0 {
+			t.Errorf("%d: took %v", c.status, r[0].Latency)
+		} else if r[0].Latency = 0; r[0] != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.header, r[0], c.want)
 		}
 		s.Close()
@@ -373,13 +373,13 @@
 				io.WriteString(w, c.answer)
 			}))
 			defer s.Close()
-			results := testHosts(t, testConfig()).do(t.Context(), newCall(addrOf(s), ids...), yes)
+			results := testHosts(t, testConfig()).Do(t.Context(), newCall(addrOf(s), ids...), yes)
 			for i, r := range results {
-				if r.outcome != c.want[i] || r.gone != (c.name == "every state" && i == 3) {
+				if r.Outcome != c.want[i] || r.MessageEnded != (c.name == "every state" && i == 3) {
 					t.Errorf("%s: %+v, want %v", ids[i], r, c.want[i])
 				}
-				if (r.wait > 0) != (c.wait != "") {
-					t.Errorf("%s: wait %v", ids[i], r.wait)
+				if (r.RetryAfter > 0) != (c.wait != "") {
+					t.Errorf("%s: wait %v", ids[i], r.RetryAfter)
 				}
 			}
 		})
@@ -391,13 +391,13 @@
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
-	for i, r := range testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a", "b"), yes) {
-		if r.outcome != policy.Reset {
-			t.Errorf("attempt %d: %v", i, r.outcome)
+	for i, r := range testHosts(t, testConfig()).Do(t.Context(), newCall(addr, "a", "b"), yes) {
+		if r.Outcome != policy.Reset {
+			t.Errorf("attempt %d: %v", i, r.Outcome)
 		}
 	}
-	if r := testHosts(t, testConfig()).do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-		t.Errorf("a single message is delivered with the first line: %v", r[0].outcome)
+	if r := testHosts(t, testConfig()).Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK {
+		t.Errorf("a single message is delivered with the first line: %v", r[0].Outcome)
 	}
 }
 
@@ -420,16 +420,16 @@
 				return true
 			})
 			h := testHosts(t, testConfig())
-			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-				t.Fatalf("%q: outcome %v", behind, r[0].outcome)
+			if r := h.Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK {
+				t.Fatalf("%q: outcome %v", behind, r[0].Outcome)
 			}
 			nettest.Eventually(
 				t,
 				"the connection dropped",
 				func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 },
 			)
-			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Error {
-				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].outcome)
+			if r := h.Do(t.Context(), newCall(addr, "b"), yes); r[0].Outcome != policy.Error {
+				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].Outcome)
 			}
 		}
 	}
@@ -475,12 +475,12 @@
 					want = c.bundle
 				}
 				call := newCall(addr, ids...)
-				for _, r := range h.do(t.Context(), call, yes) {
-					if r.outcome != want {
-						t.Errorf("%d messages: outcome %v, want %v", len(ids), r.outcome, want)
+				for _, r := range h.Do(t.Context(), call, yes) {
+					if r.Outcome != want {
+						t.Errorf("%d messages: outcome %v, want %v", len(ids), r.Outcome, want)
 					}
 				}
-				if time.Now().After(call.until) {
+				if time.Now().After(call.Deadline) {
 					t.Error("told with the call's time-out alone")
 				}
 				h.mu.Lock()
@@ -501,8 +501,8 @@
 	})
 	h := testHosts(t, testConfig())
 	for range 2 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK || h.open != 1 {
-			t.Errorf("outcome %v, %d connections", r[0].outcome, h.open)
+		if r := h.Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK || h.open != 1 {
+			t.Errorf("outcome %v, %d connections", r[0].Outcome, h.open)
 		}
 	}
 }
@@ -525,8 +525,8 @@
 		conn.Close()
 	}()
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].outcome != policy.Overloaded {
-		t.Errorf("outcome %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall(l.Addr().String(), "a"), yes); r[0].Outcome != policy.Overloaded {
+		t.Errorf("outcome %v", r[0].Outcome)
 	}
 }
 
@@ -537,15 +537,15 @@
 		return true
 	})
 	h := testHosts(t, testConfig())
-	h.do(t.Context(), newCall(addr, "a"), yes)
+	h.Do(t.Context(), newCall(addr, "a"), yes)
 	other := newCall(addr, "b")
-	other.route = "s-2"
+	other.EndpointID = "s-2"
 	asked := false
-	h.do(t.Context(), other, func(c *call) []*attempt { asked = true; return c.attempts })
+	h.Do(t.Context(), other, func(c *call) []*attempt { asked = true; return c.attempts })
 	if !asked || h.open != 2 {
 		t.Errorf("another host got the connection: %d open", h.open)
 	}
-	h.closeIdle("s-1")
+	h.CloseIdle("s-1")
 	if h.open != 1 {
 		t.Errorf("%d open", h.open)
 	}
@@ -559,8 +559,8 @@
 	})
 	h := testHosts(t, testConfig())
 	for range 3 {
-		if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-			t.Errorf("outcome %v", r[0].outcome)
+		if r := h.Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK {
+			t.Errorf("outcome %v", r[0].Outcome)
 		}
 		nettest.Eventually(t, "noticed", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.open == 0 })
 	}
@@ -573,7 +573,7 @@
 		"", "TEXT", "x1=25", "TEXT x1", "TEXT x1=", "TEXT x1=NaN", "TEXT x1=Inf", "TEXT x1=-Inf", "TEXT x1=-3", "TEXT x1=1e300",
 		"TEXT x1=0x", "TEXT y=3", "TEXT x0=nan",
 	} {
-		if r := h.report(text); r != (policy.LimitReport{}) {
+		if r := h.parseLimitReport(text); r != (policy.LimitReport{}) {
 			t.Errorf("%q: %+v", text, r)
 		}
 	}
@@ -588,12 +588,12 @@
 	h := testHosts(t, testConfig())
 	c := newCall(addr, "a")
 	var up time.Time
-	r := h.do(t.Context(), c, func(c *call) []*attempt {
+	r := h.Do(t.Context(), c, func(c *call) []*attempt {
 		time.Sleep(50 * time.Millisecond) // as a slow dial would take
 		up = time.Now()
 		return c.attempts
 	})
-	if took := r[0].took; took <= 0 || took > time.Since(up) {
+	if took := r[0].Latency; took <= 0 || took > time.Since(up) {
 		t.Errorf("took %v", took)
 	}
 }
@@ -603,22 +603,22 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"+nettest.OKResponse+nettest.OKResponse), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n[{\"id\":\"a\"}]"), true)
 	f.Fuzz(func(t *testing.T, data []byte, several bool) {
-		conn := &hostConn{Conn: netconn.New(readConn{r: bytes.NewReader(data)})}
+		conn := &pooledConn{Conn: netconn.New(readConn{r: bytes.NewReader(data)})}
 		c := newCall("x:1", "a")
 		req, err := newRequest(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := readAnswer(conn, req, several)
+		a := readResponse(conn, req, several)
 		if a.err == nil && (a.head == nil || conn.Reader.Buffered() > 0) {
 			t.Errorf("%q can carry another call", data)
 		}
-		if len(a.body) > bodyMost {
+		if len(a.body) > MaxBodySize {
 			t.Errorf("%d bytes kept", len(a.body))
 		}
 		if a.head != nil {
-			h := &hosts{reports: []string{"x0", "x1"}}
-			if r := h.told(a.head); !(r.report.Limit >= 0 && r.report.Limit <= reportMost) || r.wait < 0 {
+			h := &EgressClient{reportFields: []string{"x0", "x1"}}
+			if r := h.readFeedback(a.head); !(r.LimitReport.Limit >= 0 && r.LimitReport.Limit <= maxReportedValue) || r.RetryAfter < 0 {
 				t.Errorf("%q: %+v", data, r)
 			}
 		}
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.hosts.close(); r.closeLog() })
+	t.Cleanup(func() { r.egress.Close(); r.closeLog() })
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
@@ -154,10 +154,10 @@
 					liveText("s-drains", addr, 61, "draining"),
 				),
 			)
-			if a := decide(old, newHandIn("m", 61, 9*time.Second))[0]; a.status != 202 {
+			if a := decide(old, newHandIn("m", 61, 9*time.Second))[0]; a.Status != 202 {
 				t.Fatalf("%+v", a)
 			}
-			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.status != 202 || len(old.activeCalls) != 1 {
+			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.Status != 202 || len(old.activeCalls) != 1 {
 				t.Fatalf("%+v", a)
 			}
 			cfg, err := parseConfig(fmt.Appendf(
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -161,7 +161,7 @@
 		liveText("s-c", "127.0.0.1:1", 51, "ready"),
 	)
 	tellLong(r, true, 2, entries)
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != 202 || !r.workingSet.Contains(50) ||
+	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.Status != 202 || !r.workingSet.Contains(50) ||
 		r.workingSet.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -151,7 +151,7 @@
 	t.Helper()
 	was := int(requests.Load())
 	for i, dest := range dests {
-		if a := decide(r, newHandIn(fmt.Sprint(ids, i), dest, 9*time.Second))[0]; a.status != http.StatusAccepted {
+		if a := decide(r, newHandIn(fmt.Sprint(ids, i), dest, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 			t.Fatalf("destination %d: %+v", dest, a)
 		}
 	}
@@ -215,13 +215,13 @@
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
 	// A message for a host that drains waits for another one.
-	if a := decide(r, newHandIn("waits", 99, 9*time.Second))[0]; a.status != http.StatusAccepted {
+	if a := decide(r, newHandIn("waits", 99, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
-	a.tell(t, r, []byte(`{"version":6,"servers":[`+liveText("s-next", addr, 99, "ready")+"]}\n"))
 	was := requests.Load()
+	a.tell(t, r, []byte(`{"version":6,"servers":[`+liveText("s-next", addr, 99, "ready")+"]}\n"))
 	drive(t, r, "it is delivered", func() bool { return requests.Load() == was+1 })
-	if a := decide(r, newHandIn("unknown", 1_000_000, 9*time.Second))[0]; a.status != http.StatusBadRequest {
+	if a := decide(r, newHandIn("unknown", 1_000_000, 9*time.Second))[0]; a.Status != http.StatusBadRequest {
 		t.Errorf("a destination that no list has named: %+v", a)
 	}
 }
@@ -235,7 +235,7 @@
 	follow(t, r, a)
 	a.tell(t, r, listText(2, 3000, liveText("s-old", old, 50, "draining")))
 	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != http.StatusAccepted {
+	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
 	a.tell(t, r, []byte(`{"version":3,"servers":[`+liveText("s-next", next, 50, "ready")+"]}\n"))
@@ -287,7 +287,7 @@
 				taken.Add(1)
 				in := newHandIn(fmt.Sprint("m", i), 10_000+i, 9*time.Second)
 				r.post(in)
-				if a := <-in.reply; a.status != http.StatusAccepted {
+				if a := <-in.reply; a.Status != http.StatusAccepted {
 					t.Errorf("%d: %+v", i, a)
 				}
 			}
@@ -569,7 +569,7 @@
 		t.Fatal(err)
 	}
 	r.callCtx = t.Context()
-	t.Cleanup(func() { r.hosts.close(); r.calls.Wait() })
+	t.Cleanup(func() { r.egress.Close(); r.calls.Wait() })
 	if !r.endpointsKnown.Load() || r.listVersion != 4 {
 		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -68,19 +68,19 @@
 				}
 				return dialed, nil
 			}
-			if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-				t.Fatalf("the first call: %v", r[0].outcome)
+			if r := h.Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK {
+				t.Fatalf("the first call: %v", r[0].Outcome)
 			}
-			kept := h.takeIdle(peer{"s-1", addr})
+			kept := h.takeIdle(endpointAddr{"s-1", addr})
 			kept.Unwatch()
 			failedBefore := observed.FailedReads()
 			kept.SetReadDeadline(netconn.Past) // its watch will see nothing
-			kept.keep()
+			kept.release()
 			nettest.Eventually(t, "the watch has ended", func() bool { return observed.FailedReads() > failedBefore || requests.Load() > 1 })
 			c.act(<-served)
 			nettest.Eventually(t, "the system has it", func() bool { return kept.Pending() != netconn.PendingNone })
-			if r := h.do(t.Context(), newCall(addr, "b"), yes); r[0].outcome != policy.Overloaded {
-				t.Errorf("the second call: %v, want the host's own answer to it", r[0].outcome)
+			if r := h.Do(t.Context(), newCall(addr, "b"), yes); r[0].Outcome != policy.Overloaded {
+				t.Errorf("the second call: %v, want the host's own answer to it", r[0].Outcome)
 			}
 		})
 	}
@@ -93,8 +93,8 @@
 		return true
 	})
 	h := testHosts(t, testConfig())
-	if r := h.do(t.Context(), newCall(addr, "a"), yes); r[0].outcome != policy.OK {
-		t.Fatalf("the first call: %v", r[0].outcome)
+	if r := h.Do(t.Context(), newCall(addr, "a"), yes); r[0].Outcome != policy.OK {
+		t.Fatalf("the first call: %v", r[0].Outcome)
 	}
 	for _, c := range []struct {
 		held  time.Duration
@@ -102,13 +102,13 @@
 	}{{-time.Hour, false}, {time.Second, true}} {
 		asked := false
 		again := newCall(addr, "b")
-		again.sent = time.Now().Add(-c.held)
-		r := h.do(t.Context(), again, func(*call) []*attempt { asked = true; return nil })
+		again.SentAt = time.Now().Add(-c.held)
+		r := h.Do(t.Context(), again, func(*call) []*attempt { asked = true; return nil })
 		if asked != c.asked {
 			t.Errorf("held up for %v: asked %v", c.held, asked)
 		}
-		if want := map[bool]policy.Outcome{true: policy.NotSent, false: policy.OK}[c.asked]; r[0].outcome != want {
-			t.Errorf("held up for %v: %v, want %v", c.held, r[0].outcome, want)
+		if want := map[bool]policy.Outcome{true: policy.NotSent, false: policy.OK}[c.asked]; r[0].Outcome != want {
+			t.Errorf("held up for %v: %v, want %v", c.held, r[0].Outcome, want)
 		}
 	}
 	if n := requests.Load(); n != 2 {
@@ -121,30 +121,30 @@
 	const text = "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody"
 	for _, c := range []struct {
 		name  string
-		phase phase
-		close func(t *testing.T, s *clients)
+		phase connPhase
+		close func(t *testing.T, s *IngressServer)
 		last  bool
 	}{
-		{"idle, at the signal", idle, func(_ *testing.T, s *clients) { s.drain() }, true},
-		{"idle, at the end", idle, closing, true},
-		{"silent, at the end", silent, closing, true},
-		{"idle, no room", idle, func(_ *testing.T, s *clients) { s.makeRoom(true) }, false},
-		{"silent, no room", silent, func(_ *testing.T, s *clients) { s.makeRoom(true) }, false},
-		{"idle, little room", idle, func(_ *testing.T, s *clients) { s.roomy = 0; s.makeRoom(false) }, true},
+		{"idle, at the signal", phaseIdle, func(_ *testing.T, s *IngressServer) { s.Drain() }, true},
+		{"idle, at the end", phaseIdle, closing, true},
+		{"silent, at the end", phaseNew, closing, true},
+		{"idle, no room", phaseIdle, func(_ *testing.T, s *IngressServer) { s.makeRoom(true) }, false},
+		{"silent, no room", phaseNew, func(_ *testing.T, s *IngressServer) { s.makeRoom(true) }, false},
+		{"idle, little room", phaseIdle, func(_ *testing.T, s *IngressServer) { s.maxKeptConns = 0; s.makeRoom(false) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var answered atomic.Int32
-			s := newClients(quiet(), 100, func(c *client, req *http.Request) answer {
+			s := NewIngressServer(quiet(), 100, func(c *IngressConn, req *http.Request) Response {
 				answered.Add(1)
 				io.Copy(io.Discard, req.Body)
-				return answer{status: http.StatusAccepted}
+				return Response{Status: http.StatusAccepted}
 			})
 			ours, peer := nettest.Pair(t)
-			x := &client{Conn: netconn.New(ours), phase: c.phase, since: time.Now().Add(-time.Minute)}
+			x := &IngressConn{Conn: netconn.New(ours), phase: c.phase, phaseSince: time.Now().Add(-time.Minute)}
 			s.conns[x] = struct{}{}
 			// Beside it one that may go: it is the newer, and the last choice.
 			other, _ := nettest.Pair(t)
-			y := &client{Conn: netconn.New(other), phase: idle, since: time.Now().Add(-spareFor / 2)}
+			y := &IngressConn{Conn: netconn.New(other), phase: phaseIdle, phaseSince: time.Now().Add(-surplusIdleTime / 2)}
 			s.conns[y] = struct{}{}
 			if _, err := io.WriteString(peer, text); err != nil {
 				t.Fatal(err)
@@ -152,7 +152,7 @@
 			nettest.Eventually(t, "the request is there", func() bool { return x.Pending() == netconn.PendingBytes })
 			c.close(t, s)
 			served := make(chan struct{})
-			go func() { s.serve(x); close(served) }()
+			go func() { s.serveConn(x); close(served) }()
 			res, err := http.ReadResponse(bufio.NewReader(peer), nil)
 			if err != nil {
 				t.Fatalf("no answer: %v", err)
@@ -167,10 +167,10 @@
 }
 
 // closing begins the end of clients and returns when the first look at them is over.
-func closing(t *testing.T, s *clients) {
+func closing(t *testing.T, s *IngressServer) {
 	ended := make(chan struct{})
-	s.finish()
-	go func() { s.close(time.Now().Add(nettest.Patience)); close(ended) }()
+	s.DisableKeepAlive()
+	go func() { s.Close(time.Now().Add(nettest.Patience)); close(ended) }()
 	t.Cleanup(func() { <-ended })
 	nettest.Eventually(t, "the end has begun", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.closed })
 }
@@ -178,21 +178,21 @@
 // A request that comes in the last moment of a connection's time is read, one that never comes is not waited for; and
 // what begins so late has a little longer to come whole.
 func TestARequestInTheLastMomentOfAConnection(t *testing.T) {
-	s := newClients(quiet(), 100, nil)
+	s := NewIngressServer(quiet(), 100, nil)
 	for _, c := range peerActs {
 		ours, peer := nettest.Pair(t)
-		x := &client{Conn: netconn.New(ours)}
+		x := &IngressConn{Conn: netconn.New(ours)}
 		c.act(peer)
 		nettest.Eventually(t, c.name, func() bool { return x.Pending() == c.ahead })
-		if comes := s.comes(x, netconn.Past); comes != (c.ahead == netconn.PendingBytes) {
+		if comes := s.awaitRequest(x, netconn.Past); comes != (c.ahead == netconn.PendingBytes) {
 			t.Errorf("%s: comes %v", c.name, comes)
 		}
 	}
 	now := time.Unix(1000, 0)
 	for _, c := range []struct{ left, whole time.Duration }{
-		{keptFor, requestFor}, {requestFor, requestFor}, {time.Second, time.Second}, {time.Millisecond, lastFor}, {-time.Minute, lastFor},
+		{idleTimeout, requestTimeout}, {requestTimeout, requestTimeout}, {time.Second, time.Second}, {time.Millisecond, lateRequestTimeout}, {-time.Minute, lateRequestTimeout},
 	} {
-		if got := wholeBy(now, now.Add(c.left)).Sub(now); got != c.whole {
+		if got := requestDeadline(now, now.Add(c.left)).Sub(now); got != c.whole {
 			t.Errorf("with %v left a request has %v, want %v", c.left, got, c.whole)
 		}
 	}
@@ -206,16 +206,16 @@
 	go r.loop(ctx)
 	defer func() { stop(); <-r.loopDone }()
 	ours, peer := nettest.Pair(t)
-	x := &client{Conn: netconn.New(ours), phase: idle, since: time.Now()}
-	r.clients.mu.Lock()
-	r.clients.conns[x] = struct{}{}
-	r.clients.mu.Unlock()
+	x := &IngressConn{Conn: netconn.New(ours), phase: phaseIdle, phaseSince: time.Now()}
+	r.ingress.mu.Lock()
+	r.ingress.conns[x] = struct{}{}
+	r.ingress.mu.Unlock()
 	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
 		t.Fatal(err)
 	}
 	nettest.Eventually(t, "the request is there", func() bool { return x.Pending() == netconn.PendingBytes })
-	r.clients.drain()
-	go r.clients.serve(x)
+	r.ingress.Drain()
+	go r.ingress.serveConn(x)
 	if res := read(t, bufio.NewReader(peer)); res.StatusCode != http.StatusAccepted || !res.Close {
 		t.Errorf("status %d, the last %v", res.StatusCode, res.Close)
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -13,16 +13,16 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 )
 
-// besidePool are descriptors of the hosts' share that the journal's files and the second address may need.
-const besidePool = 16
+// reservedDescriptors are descriptors of the hosts' share that the journal's files and the second address may need.
+const reservedDescriptors = 16
 
-// roomPause is how long a call waits before it looks for a free connection or descriptor again.
-const roomPause = 20 * time.Millisecond
+// capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
+const capacityRetryInterval = 20 * time.Millisecond
 
 var errTooManyConns = errors.New("all connections that the relay may hold are in use")
 
-// peer is a host at an address. Another host may come up at an address that was in use: it has other connections.
-type peer struct{ route, addr string }
+// endpointAddr is a host at an address. Another host may come up at an address that was in use: it has other connections.
+type endpointAddr struct{ endpointID, addr string }
 
 // pool keeps the connections to hosts, idle ones for the next call. It is the relay's own: a Transport's sends some
 // requests again by itself, which a message that must not run twice can't bear, dials where nobody can look again
@@ -30,49 +30,49 @@
 type pool struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	connectTimeout time.Duration
-	idleFor        time.Duration
-	most           int // connections
-
-	mu     sync.Mutex
-	idle   map[peer][]*hostConn // the last used last
-	hosts  map[string]int       // that have idle connections: at so many addresses
-	open   int                  // connections, idle or not
-	closed bool
+	idleTimeout    time.Duration
+	maxConns       int // connections
+
+	mu        sync.Mutex
+	idle      map[endpointAddr][]*pooledConn // the last used last
+	idleAddrs map[string]int                 // that have idle connections: at so many addresses
+	open      int                            // connections, idle or not
+	closed    bool
 }
 
-// hostConn is a connection to a host.
-type hostConn struct {
+// pooledConn is a connection to a host.
+type pooledConn struct {
 	*netconn.Conn
-	pool  *pool
-	peer  peer
-	since time.Time // idle since then
-	timer *time.Timer
+	pool      *pool
+	target    endpointAddr
+	idleSince time.Time // idle since then
+	idleTimer *time.Timer
 }
 
 func newPool(cfg Config) *pool {
 	return &pool{
 		dial:           (&net.Dialer{KeepAlive: -1}).DialContext,
 		connectTimeout: cfg.ConnectTimeout,
-		idleFor:        time.Duration(idleShare * float64(cfg.KeepAlive)),
-		most:           max(8, cfg.Limits.Sockets*3/8-besidePool),
-		idle:           map[peer][]*hostConn{},
-		hosts:          map[string]int{},
+		idleTimeout:    time.Duration(idleRatio * float64(cfg.KeepAlive)),
+		maxConns:       max(8, cfg.Limits.Sockets*3/8-reservedDescriptors),
+		idle:           map[endpointAddr][]*pooledConn{},
+		idleAddrs:      map[string]int{},
 	}
 }
 
-// get returns an idle connection to a host, else a new one; fresh tells which.
-func (p *pool) get(ctx context.Context, to peer) (c *hostConn, fresh bool, err error) {
+// getConn returns an idle connection to a host, else a new one; fresh tells which.
+func (p *pool) getConn(ctx context.Context, to endpointAddr) (c *pooledConn, fresh bool, err error) {
 	for c := p.takeIdle(to); c != nil; c = p.takeIdle(to) {
-		if _, quiet := c.Unwatch(); quiet && time.Since(c.since) < p.idleFor {
+		if _, quiet := c.Unwatch(); quiet && time.Since(c.idleSince) < p.idleTimeout {
 			return c, false, nil
 		}
-		c.drop() // closed by the host, or something came that no call had asked for
+		c.discard() // closed by the host, or something came that no call had asked for
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	for {
 		c, err = p.connect(ctx, to)
-		if err == nil || !scarce(err) {
+		if err == nil || !isLocalShortage(err) {
 			return c, true, err
 		}
 		p.mu.Lock()
@@ -81,24 +81,24 @@
 		select {
 		case <-ctx.Done():
 			return nil, false, err
-		case <-time.After(roomPause):
+		case <-time.After(capacityRetryInterval):
 		}
 	}
 }
 
-// scarce tells whether a connection did not come up for want of what this relay may hold: that says nothing of the
+// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of the
 // host.
-func scarce(err error) bool {
+func isLocalShortage(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-func (p *pool) connect(ctx context.Context, to peer) (*hostConn, error) {
+func (p *pool) connect(ctx context.Context, to endpointAddr) (*pooledConn, error) {
 	p.mu.Lock()
-	if p.open >= p.most {
+	if p.open >= p.maxConns {
 		p.evict()
 	}
-	if p.open >= p.most || p.closed {
+	if p.open >= p.maxConns || p.closed {
 		p.mu.Unlock()
 		return nil, errTooManyConns
 	}
@@ -111,11 +111,11 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	return &hostConn{Conn: netconn.New(nc), pool: p, peer: to}, nil
+	return &pooledConn{Conn: netconn.New(nc), pool: p, target: to}, nil
 }
 
 // takeIdle takes the connection that was used last out of the pool; nil if there is none.
-func (p *pool) takeIdle(to peer) *hostConn {
+func (p *pool) takeIdle(to endpointAddr) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[to]
@@ -127,8 +127,8 @@
 	return c
 }
 
-// keep puts a connection into the pool for the next call.
-func (c *hostConn) keep() {
+// release puts a connection into the pool for the next call.
+func (c *pooledConn) release() {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +136,7 @@
 		p.drop(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	dropIdle := func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -144,38 +144,38 @@
 			p.drop(c)
 		}
 	}
-	c.timer = time.AfterFunc(p.idleFor, dropIdle)
-	if len(p.idle[c.peer]) == 0 {
-		p.hosts[c.peer.route]++
+	c.idleTimer = time.AfterFunc(p.idleTimeout, dropIdle)
+	if len(p.idle[c.target]) == 0 {
+		p.idleAddrs[c.target.endpointID]++
 	}
-	p.idle[c.peer] = append(p.idle[c.peer], c)
+	p.idle[c.target] = append(p.idle[c.target], c)
 	c.Watch(dropIdle)
 }
 
-func (c *hostConn) drop() {
+func (c *pooledConn) discard() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.drop(c)
 }
 
 // drop, remove and evict are called with mu held.
-func (p *pool) drop(c *hostConn) {
+func (p *pool) drop(c *pooledConn) {
 	p.open--
 	c.Close()
 }
 
 // remove takes a connection out of the pool; false if it was not in it.
-func (p *pool) remove(c *hostConn) bool {
-	list := p.idle[c.peer]
+func (p *pool) remove(c *pooledConn) bool {
+	list := p.idle[c.target]
 	i := slices.Index(list, c)
 	if i < 0 {
 		return false
 	}
-	c.timer.Stop()
-	if p.idle[c.peer] = slices.Delete(list, i, i+1); len(list) == 1 {
-		delete(p.idle, c.peer)
-		if p.hosts[c.peer.route]--; p.hosts[c.peer.route] == 0 {
-			delete(p.hosts, c.peer.route)
+	c.idleTimer.Stop()
+	if p.idle[c.target] = slices.Delete(list, i, i+1); len(list) == 1 {
+		delete(p.idle, c.target)
+		if p.idleAddrs[c.target.endpointID]--; p.idleAddrs[c.target.endpointID] == 0 {
+			delete(p.idleAddrs, c.target.endpointID)
 		}
 	}
 	return true
@@ -183,9 +183,9 @@
 
 // evict closes the connection that has been idle longest.
 func (p *pool) evict() {
-	var oldest *hostConn
+	var oldest *pooledConn
 	for _, list := range p.idle {
-		if c := list[0]; oldest == nil || c.since.Before(oldest.since) {
+		if c := list[0]; oldest == nil || c.idleSince.Before(oldest.idleSince) {
 			oldest = c
 		}
 	}
@@ -195,33 +195,33 @@
 	}
 }
 
-// closeIdle closes the idle connections to a host, at whatever address.
-func (p *pool) closeIdle(route string) {
+// CloseIdle closes the idle connections to a host, at whatever address.
+func (p *pool) CloseIdle(route string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.hosts[route] == 0 {
+	if p.idleAddrs[route] == 0 {
 		return // a list may name a hundred thousand hosts that go
 	}
 	for to := range p.idle {
-		if to.route == route {
-			p.dropAll(to)
+		if to.endpointID == route {
+			p.dropIdleAt(to)
 		}
 	}
 }
 
-func (p *pool) dropAll(to peer) {
+func (p *pool) dropIdleAt(to endpointAddr) {
 	for _, c := range slices.Clone(p.idle[to]) {
 		p.remove(c)
 		p.drop(c)
 	}
 }
 
-// close closes all idle connections and keeps none from here on.
-func (p *pool) close() {
+// Close closes all idle connections and keeps none from here on.
+func (p *pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for to := range p.idle {
-		p.dropAll(to)
+		p.dropIdleAt(to)
 	}
 }
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -16,17 +16,17 @@
 	const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
 	for _, c := range []struct {
 		name   string
-		result *result        // of its one attempt; nil: none was made
+		result *Result        // of its one attempt; nil: none was made
 		final  *policy.Action // after that; nil: none
 		status int
 		taken  bool // as a new one
 		left   bool // its client left with the call out
 	}{
-		{"delivered", &result{outcome: policy.OK}, nil, http.StatusAccepted, false, false},
-		{"delivered when its client had left", &result{outcome: policy.OK}, nil, http.StatusAccepted, false, true},
-		{"refused when its client had left", &result{outcome: policy.Overloaded}, nil, http.StatusAccepted, true, true},
-		{"failed, may have run", &result{outcome: policy.Reset}, &policy.Action{Kind: policy.Fail}, http.StatusInternalServerError, false, false},
-		{"put off", &result{outcome: policy.Overloaded}, &policy.Action{Kind: policy.Reject, Delay: time.Second}, http.StatusAccepted, true, false},
+		{"delivered", &Result{Outcome: policy.OK}, nil, http.StatusAccepted, false, false},
+		{"delivered when its client had left", &Result{Outcome: policy.OK}, nil, http.StatusAccepted, false, true},
+		{"refused when its client had left", &Result{Outcome: policy.Overloaded}, nil, http.StatusAccepted, true, true},
+		{"failed, may have run", &Result{Outcome: policy.Reset}, &policy.Action{Kind: policy.Fail}, http.StatusInternalServerError, false, false},
+		{"put off", &Result{Outcome: policy.Overloaded}, &policy.Action{Kind: policy.Reject, Delay: time.Second}, http.StatusAccepted, true, false},
 		{"failed, never tried", nil, &policy.Action{Kind: policy.Fail}, http.StatusAccepted, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,13 +41,13 @@
 					t.Fatal(err)
 				}
 				m.attemptsStarted, m.inFlight = 1, 1
-				a := &attempt{call: &call{route: "s-8", sent: at.SentAt}, m: m}
+				a := &attempt{call: &call{EndpointID: "s-8", SentAt: at.SentAt}, m: m}
 				r.callsInFlight++
 				a.call.attempts = []*attempt{a}
 				if c.left {
 					r.step([]event{cancelEvent{m.ID}})
 				}
-				r.step([]event{&callFinished{a.call, []result{*c.result}}})
+				r.step([]event{&callFinished{a.call, []Result{*c.result}}})
 			}
 			if c.final != nil {
 				act := *c.final
@@ -59,7 +59,7 @@
 				t.Fatal("it is not forgotten")
 			}
 			again := newHandIn("m1", dest, 5*time.Second)
-			if a := decide(r, again)[0]; a.status != c.status {
+			if a := decide(r, again)[0]; a.Status != c.status {
 				t.Errorf("answer %+v, want %d", a, c.status)
 			}
 			if _, old := r.finished.reply("m1", m.Deadline); old {
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.hosts.close(); r.journal.Close() })
+	t.Cleanup(func() { r.egress.Close(); r.journal.Close() })
 	return r, &out
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -48,8 +48,8 @@
 	cfg              Config
 	log              *slog.Logger
 	logOut           io.Writer // where recordings go
-	hosts            *hosts
-	clients          *clients
+	egress           *EgressClient
+	ingress          *IngressServer
 	finals           *Sender
 	agent            *Client
 	recorder         *recording
@@ -125,8 +125,8 @@
 		log.Warn("starting without a list of hosts", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
-	r.hosts = newHosts(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
+	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.egress = NewEgressClient(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
@@ -183,7 +183,7 @@
 	go r.newWatcher().Run(lead)
 
 	accepting := make(chan struct{})
-	go func() { defer close(accepting); r.clients.run(listener) }()
+	go func() { defer close(accepting); r.ingress.Serve(listener) }()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
 	if r.handOver() {
@@ -198,7 +198,7 @@
 	stop()
 	<-r.loopDone
 	linked.Wait()
-	r.hosts.close()
+	r.egress.Close()
 	if r.successor != nil {
 		r.successor.Close()
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.hosts.close() })
+	t.Cleanup(func() { r.egress.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); r.calls.Wait() })
 	r.callCtx = ctx
@@ -134,8 +134,8 @@
 // doorAt lets clients in at a listener.
 func doorAt(t *testing.T, r *Relay, l net.Listener) {
 	t.Helper()
-	t.Cleanup(func() { l.Close(); r.clients.close(time.Now()) })
-	go r.clients.run(l)
+	t.Cleanup(func() { l.Close(); r.ingress.Close(time.Now()) })
+	go r.ingress.Serve(l)
 }
 
 // handInText is a hand-in as it stands on the wire; edit may spoil it.
@@ -404,7 +404,7 @@
 	sent := 0
 	for _, c := range calls {
 		sent += len(c.attempts)
-		if body := bundle(c); len(c.attempts) > 1 && (len(body) > bodyMost || len(body) > c.size) {
+		if body := encodeBatch(c); len(c.attempts) > 1 && (len(body) > MaxBodySize || len(body) > c.size) {
 			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
 		}
 	}
@@ -644,7 +644,7 @@
 		fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
-	r.hosts.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
+	r.egress.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
 		asked <- struct{}{}
 		select {
 		case <-up:
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -115,7 +115,7 @@
 			r.callCtx = t.Context()
 			r.recoverState()
 			runtime.ReadMemStats(&after)
-			t.Cleanup(func() { r.hosts.close(); r.calls.Wait(); r.journal.Close() })
+			t.Cleanup(func() { r.egress.Close(); r.calls.Wait(); r.journal.Close() })
 			did := map[string][2]int{ // and may do at most
 				"messages lost":         {n - len(r.messages), 0},
 				"reads":                 {fs.reads, 2*n + 100},
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -11,10 +11,10 @@
 	began := time.Now()
 	by := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
 	r.terminating.Store(true)
-	r.clients.drain()
+	r.ingress.Drain()
 	<-by(shutdownAcceptTime)
 	listener.Close()
-	r.clients.close(began.Add(shutdownAnswerTime))
+	r.ingress.Close(began.Add(shutdownAnswerTime))
 	r.post(stopAccepting{})
 	select {
 	case <-r.drained:
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -23,7 +23,7 @@
 	}
 	r.callCtx = t.Context()
 	r.recoverState()
-	t.Cleanup(func() { r.hosts.close(); r.calls.Wait() })
+	t.Cleanup(func() { r.egress.Close(); r.calls.Wait() })
 	in := newHandIn("m1", 7, 5*time.Second)
 	in.message.Body = []byte("a body on disk")
 	decide(r, in)
@@ -32,8 +32,8 @@
 		t.Fatalf("body %q of %d, %d calls", m.Body, m.Size(), len(r.activeCalls))
 	}
 	for c := range r.activeCalls {
-		if string(c.attempts[0].body) != "a body on disk" {
-			t.Errorf("sent %q", c.attempts[0].body)
+		if string(c.attempts[0].Body) != "a body on disk" {
+			t.Errorf("sent %q", c.attempts[0].Body)
 		}
 	}
 	paths, _ := filepath.Glob(filepath.Join(journal.Folder(cfg.StateDir), "*.seg"))
@@ -53,7 +53,7 @@
 	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
 		t.Errorf("notices %+v, held %d", r.finals.queue, r.pending)
 	}
-	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.status != 202 {
+	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.Status != 202 {
 		t.Errorf("afterwards: %+v", a)
 	}
 }
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -44,22 +44,22 @@
 				fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
 				return false
 			})
-			if res := r.hosts.do(t.Context(), newCall(addr, "a"), yes); res[0].outcome != policy.Reset {
-				t.Errorf("%v", res[0].outcome)
+			if res := r.egress.Do(t.Context(), newCall(addr, "a"), yes); res[0].Outcome != policy.Reset {
+				t.Errorf("%v", res[0].Outcome)
 			}
 		}},
 		{"a full disk", "refusing new messages", func(t *testing.T, r *Relay, i int) {
 			if i == 0 {
 				r.journal.Close()
 			}
-			if a := decide(r, newHandIn(fmt.Sprint("m", i), 7, time.Second)); a[0].status != http.StatusServiceUnavailable {
+			if a := decide(r, newHandIn(fmt.Sprint("m", i), 7, time.Second)); a[0].Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", a)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.log, r.clients.log, r.hosts.log = log, log, log
+			r.log, r.ingress.log, r.egress.log = log, log, log
 			mu.Lock()
 			text.Reset()
 			mu.Unlock()
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -297,7 +297,7 @@
 			continue // all is over for it
 		}
 		r.remote[attemptKey{x.ID, x.Number}] = &attempt{
-			call: &call{route: x.Endpoint, zone: x.Zone, sent: x.Sent}, m: m, n: x.Number, over: x.Finished,
+			call: &call{EndpointID: x.Endpoint, zone: x.Zone, SentAt: x.Sent}, m: m, Number: x.Number, finished: x.Finished,
 		}
 		if !x.Finished {
 			m.inFlight++
@@ -332,7 +332,7 @@
 			r.post(cancelEvent{f.Cancel})
 		case f.Submission != nil && f.Submission.Message != nil:
 			m := f.Submission.Message
-			in := &submitEvent{message: m, reply: make(chan answer, 1)}
+			in := &submitEvent{message: m, reply: make(chan Response, 1)}
 			if !r.post(in) {
 				return
 			}
@@ -344,9 +344,9 @@
 							Answer: &hotrestart.Answer{
 								Seq:        f.Submission.Seq,
 								ID:         m.ID,
-								Status:     a.status,
-								RetryAfter: a.again,
-								Text:       a.text,
+								Status:     a.Status,
+								RetryAfter: a.RetryAfter,
+								Text:       a.Text,
 							},
 						},
 					)
@@ -367,7 +367,7 @@
 	evs = r.attemptEnded(
 		evs,
 		a,
-		result{outcome: o.Outcome, gone: o.MessageEnded, wait: o.RetryAfter, report: o.LimitReport, took: o.Latency},
+		Result{Outcome: o.Outcome, MessageEnded: o.MessageEnded, RetryAfter: o.RetryAfter, LimitReport: o.LimitReport, Latency: o.Latency},
 	)
 	if o.CallFinished {
 		delete(r.remote, key)
@@ -381,16 +381,16 @@
 		return int(int64(a.id)-int64(b.id))*1000 + a.n - b.n
 	}) {
 		a := r.remote[key]
-		evs = r.attemptEnded(evs, a, result{outcome: policy.Cancelled, took: time.Since(a.sent)})
+		evs = r.attemptEnded(evs, a, Result{Outcome: policy.Cancelled, Latency: time.Since(a.SentAt)})
 	}
 	clear(r.remote)
 	return evs
 }
 
 // unpark tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
-func (r *Relay) unpark(evs []policy.Event, a *attempt, res result) []policy.Event {
+func (r *Relay) unpark(evs []policy.Event, a *attempt, res Result) []policy.Event {
 	evs = append(evs, policy.Event{
-		Kind: policy.HealthChecked, Endpoint: a.route, Outcome: res.outcome, Latency: res.took, RetryAfter: res.wait, LimitReport: res.report,
+		Kind: policy.HealthChecked, Endpoint: a.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
 	})
 	if m := a.m; !m.completed && m.inFlight == 0 {
 		m.awaitingRemote = false
@@ -473,7 +473,7 @@
 	}
 	r.handed = true
 	r.stopLeading()
-	r.hosts.close()
+	r.egress.Close()
 	r.terminating.Store(true)
 	if err := r.successor.Send(hotrestart.Frame{State: state}); err != nil {
 		r.log.Error("handing over", "err", err)
@@ -521,11 +521,11 @@
 			s.Attempts,
 			hotrestart.Attempt{
 				ID:       a.m.ID,
-				Number:   a.n,
-				Endpoint: a.route,
+				Number:   a.Number,
+				Endpoint: a.EndpointID,
 				Zone:     a.zone,
-				Sent:     a.sent,
-				Finished: a.over,
+				Sent:     a.SentAt,
+				Finished: a.finished,
 			},
 		)
 	}
@@ -557,9 +557,9 @@
 				r.passOutcome(a, e.results[i], true)
 			}
 		case attemptTimeout:
-			if !e.attempt.over {
-				e.attempt.over = true
-				r.passOutcome(e.attempt, result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)}, false)
+			if !e.attempt.finished {
+				e.attempt.finished = true
+				r.passOutcome(e.attempt, Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.SentAt)}, false)
 			}
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
@@ -586,9 +586,9 @@
 	}
 }
 
-func (r *Relay) passOutcome(a *attempt, res result, last bool) {
+func (r *Relay) passOutcome(a *attempt, res Result, last bool) {
 	r.send(hotrestart.Frame{Outcome: &hotrestart.Outcome{
-		ID: a.m.ID, Number: a.n, Outcome: res.outcome, MessageEnded: res.gone, RetryAfter: res.wait, LimitReport: res.report, Latency: res.took, CallFinished: last,
+		ID: a.m.ID, Number: a.Number, Outcome: res.Outcome, MessageEnded: res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport, Latency: res.Latency, CallFinished: last,
 	}})
 }
 
@@ -605,12 +605,12 @@
 func (r *Relay) leave() {
 	began := time.Now()
 	by := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
-	r.clients.finish()
+	r.ingress.DisableKeepAlive()
 	select {
-	case <-r.clients.empty(leaveFor):
+	case <-r.ingress.Emptied(leaveFor):
 	case <-by(leaveFor):
 	}
-	r.clients.close(began.Add(shutdownSendTime + shutdownAnswerTime/2))
+	r.ingress.Close(began.Add(shutdownSendTime + shutdownAnswerTime/2))
 	r.post(stopAccepting{})
 	select {
 	case <-r.drained:
@@ -627,7 +627,7 @@
 
 // unserved is what a client hears where the other process does not answer: it has been told nothing, and may come
 // again.
-var unserved = answer{status: http.StatusServiceUnavailable, again: policy.MinRetryAfter}
+var unserved = Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // submitEvent passes a message on. There are no more of them than connections of clients.
 func (f *forwards) handIn(to *hotrestart.Conn, in *submitEvent) {
@@ -644,7 +644,7 @@
 	f.open[seq] = in
 	f.mu.Unlock()
 	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.message}}); err != nil {
-		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.status, RetryAfter: unserved.again})
+		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.Status, RetryAfter: unserved.RetryAfter})
 	}
 }
 
@@ -656,7 +656,7 @@
 	f.mu.Unlock()
 	if in != nil {
 		in.message.ID = a.ID
-		in.reply <- answer{status: a.Status, again: a.RetryAfter, text: a.Text}
+		in.reply <- Response{Status: a.Status, RetryAfter: a.RetryAfter, Text: a.Text}
 	}
 }
 
@@ -666,7 +666,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, in := range f.open {
-		in.reply <- answer{status: http.StatusInternalServerError}
+		in.reply <- Response{Status: http.StatusInternalServerError}
 	}
 	clear(f.open)
 }
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r.callCtx = old.callCtx
-	t.Cleanup(func() { r.hosts.close() })
+	t.Cleanup(func() { r.egress.Close() })
 	r.takeUp(s)
 	return r
 }
@@ -88,7 +88,7 @@
 				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
-			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.pending != 2 {
+			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.Status != http.StatusAccepted || r.pending != 2 {
 				t.Errorf("handed in again: %+v, held %d", a, r.pending)
 			}
 		})
@@ -151,14 +151,14 @@
 	var f forwards
 	none := newHandIn("m1", 7, time.Second)
 	f.handIn(nil, none)
-	if a := <-none.reply; a.status != http.StatusServiceUnavailable || a.again == 0 {
+	if a := <-none.reply; a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("%+v", a)
 	}
 	open := newHandIn("m2", 7, time.Second)
 	f.open = map[uint64]*submitEvent{3: open}
 	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
 	f.end()
-	if a := <-open.reply; a.status != http.StatusInternalServerError || !f.none() {
+	if a := <-open.reply; a.Status != http.StatusInternalServerError || !f.none() {
 		t.Errorf("%+v", a)
 	}
 }
