--- a/internal/state/bootclock/bootclock.go
+++ b/internal/state/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock reads the machine's clocks side by side: the wall clock, which may be set, and the time since the
-// machine's start, which may not. What is kept over a restart of a process on the same boot can be timed by the latter.
+// Package bootclock reads the machine's clocks together: the wall clock, which may be set, and the time since the
+// machine was booted, which may not. The latter can measure the time between two processes of one boot.
 package bootclock
 
 import (
@@ -10,24 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading is both clocks at one moment.
+// Reading is what the clocks show at one moment.
 type Reading struct {
 	Wall   time.Time     // with its monotonic reading
-	BootID string        // names the boot; "": not known, and then Up means nothing
-	Uptime time.Duration // since the boot, time asleep included; it is never set
+	BootID string        // identifies the boot; if it is "", it is unknown and Uptime has no meaning
+	Uptime time.Duration // since the boot, including time asleep; it is never set
 }
 
+// bootIDPath is where Linux shows an ID that it draws at each boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Now reads the clocks. Where the machine tells no boot the wall time stands alone.
+// Now reads the clocks. On a machine without boot IDs, or without a boot clock, it reads the wall clock alone.
 func Now() Reading {
 	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
 		return Reading{Wall: time.Now()}
 	}
-	var up unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
+	var uptime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime); err != nil {
 		return Reading{Wall: time.Now()}
 	}
-	return Reading{Wall: time.Now(), BootID: strings.TrimSpace(string(id)), Uptime: time.Duration(up.Nano())}
+	return Reading{
+		Wall:   time.Now(),
+		BootID: strings.TrimSpace(string(id)),
+		Uptime: time.Duration(uptime.Nano()),
+	}
 }
--- a/internal/state/bootclock/bootclock_test.go
+++ b/internal/state/bootclock/bootclock_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Both clocks go on together; the boot stays the same.
+// Both clocks advance together, and the boot ID stays the same.
 func TestNow(t *testing.T) {
-	a := Now()
-	if a.BootID == "" {
-		t.Skip("this machine tells no boot")
+	first := Now()
+	if first.BootID == "" {
+		t.Skip("this machine has no boot ID")
 	}
-	for a.Uptime == Now().Uptime {
+	second := Now()
+	for second.Uptime == first.Uptime {
+		second = Now()
 	}
-	b := Now()
-	if b.BootID != a.BootID || b.Uptime <= a.Uptime {
-		t.Errorf("%+v, then %+v", a, b)
+	if second.BootID != first.BootID || second.Uptime <= first.Uptime {
+		t.Errorf("%+v, then %+v", first, second)
 	}
-	if d := b.Wall.Sub(a.Wall) - (b.Uptime - a.Uptime); d.Abs() > time.Second {
-		t.Errorf("the clocks part by %v", d)
+	if d := second.Wall.Sub(first.Wall) - (second.Uptime - first.Uptime); d.Abs() > time.Second {
+		t.Errorf("the clocks differ by %v", d)
 	}
 }
--- a/internal/state/clock/timeline.go
+++ b/internal/state/clock/timeline.go
@@ -1,6 +1,6 @@
-// Package axis is the time of a journal that outlasts processes: an axis that goes on evenly, whatever is done to the
-// wall clock. By the monotonic clock while a process runs, by the boot's clock between two processes of a boot, by the
-// wall clock from one boot to the next. It began as the wall time. It is pure: what the clocks say is the caller's.
+// Package clock provides a timeline that continues over processes and is not affected when the wall clock is set. It
+// follows the monotonic clock within a process, the boot clock between two processes of one boot, and the wall clock
+// between two boots. It began as the wall time. The package reads no clock itself: callers pass the readings.
 package clock
 
 import (
@@ -9,59 +9,60 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
-// Anchor is what the next process needs to go on with the axis.
+// Anchor is what a process stores so that the next one can continue the timeline.
 type Anchor struct {
 	BootID     string
-	Uptime     time.Duration // of the boot
-	Stamp      int64         // on the axis, then
-	WallOffset time.Duration // wall time less axis, when last looked at
-	// Epoch counts the boots, from 1: between two of them the axis goes by the wall clock. 0: this machine tells no
-	// boot.
+	Uptime     time.Duration // of the machine, when the anchor was made
+	Stamp      int64         // on the timeline, at that time
+	WallOffset time.Duration // wall time minus timeline, when the anchor was made
+	// Epoch counts the boots from 1. Between two epochs the timeline follows the wall clock. It is 0 if the machine has
+	// no boot ID.
 	Epoch int64
 }
 
-// MinStep is by how much the clocks must part to count as set. Guards against taking the time between the reading of
-// the two, or their drift, for a step.
+// MinStep is the least difference between the clocks that counts as setting the wall clock. It guards against taking
+// their drift, or the time between reading one and the other, for a step.
 const MinStep = 10 * time.Millisecond
 
-// Timeline is the time in one process, in nanoseconds.
+// Timeline maps times of one process to nanoseconds on the timeline.
 type Timeline struct {
-	Base      time.Time // of this process, with its monotonic reading
-	BaseStamp int64     // on the axis, then
-	Epoch     int64     // as Anchor's; 0 where the machine tells no boot
+	Base      time.Time // when the process began, with its monotonic reading
+	BaseStamp int64     // on the timeline, at that time
+	Epoch     int64     // as in Anchor; 0 if the machine has no boot ID
 }
 
-// Stamp is a time of this process on the axis.
-func (x Timeline) Stamp(t time.Time) int64 { return x.BaseStamp + int64(t.Sub(x.Base)) }
+// Stamp returns a time of this process on the timeline.
+func (t Timeline) Stamp(at time.Time) int64 { return t.BaseStamp + int64(at.Sub(t.Base)) }
 
-// Time is what stands on the axis as a time of this process, with its monotonic reading, so that time.Since and
-// time.Until tell what has truly passed.
-func (x Timeline) Time(ns int64) time.Time { return x.Base.Add(time.Duration(ns - x.BaseStamp)) }
+// Time returns a stamp as a time of this process. It has a monotonic reading, so that time.Since and time.Until measure
+// what has truly passed.
+func (t Timeline) Time(stamp int64) time.Time { return t.Base.Add(time.Duration(stamp - t.BaseStamp)) }
 
-// Resume is the axis of a process that begins at now, and the anchor from then on. Without an anchor the axis begins.
-func Resume(a *Anchor, now bootclock.Reading) (Timeline, Anchor) {
-	if a == nil {
-		a = &Anchor{}
+// Resume returns the timeline of a process that begins now, and the anchor to store for the next one. The timeline
+// begins if last is nil.
+func Resume(last *Anchor, now bootclock.Reading) (Timeline, Anchor) {
+	if last == nil {
+		last = &Anchor{}
 	}
 	wall := now.Wall.UnixNano()
-	x := Timeline{Base: now.Wall, BaseStamp: wall - int64(a.WallOffset), Epoch: a.Epoch}
+	timeline := Timeline{Base: now.Wall, BaseStamp: wall - int64(last.WallOffset), Epoch: last.Epoch}
 	switch {
 	case now.BootID == "":
-		x.Epoch = 0
-	case a.BootID != now.BootID:
-		x.Epoch++
+		timeline.Epoch = 0
+	case last.BootID != now.BootID:
+		timeline.Epoch++
 	default:
-		at := a.Stamp + int64(now.Uptime-a.Uptime)
-		if time.Duration(at-x.BaseStamp).Abs() < MinStep {
-			return x, *a
+		stamp := last.Stamp + int64(now.Uptime-last.Uptime)
+		if time.Duration(stamp-timeline.BaseStamp).Abs() < MinStep {
+			return timeline, *last
 		}
-		x.BaseStamp = at // the wall clock was set
+		timeline.BaseStamp = stamp // the wall clock was set
 	}
-	return x, Anchor{
+	return timeline, Anchor{
 		BootID:     now.BootID,
 		Uptime:     now.Uptime,
-		Stamp:      x.BaseStamp,
-		WallOffset: time.Duration(wall - x.BaseStamp),
-		Epoch:      max(x.Epoch, a.Epoch),
+		Stamp:      timeline.BaseStamp,
+		WallOffset: time.Duration(wall - timeline.BaseStamp),
+		Epoch:      max(timeline.Epoch, last.Epoch),
 	}
 }
--- a/internal/state/clock/timeline_test.go
+++ b/internal/state/clock/timeline_test.go
@@ -7,40 +7,70 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
-// What a process reads of a time that an earlier one wrote is as long ago as it truly is, on one boot; over a new boot,
-// and where the machine tells none, as the wall clock has it.
+// resumeCase is two processes, one after the other.
+type resumeCase struct {
+	bootIDs    [2]string     // of the two processes
+	wallStep   time.Duration // by which the wall clock is set between the two
+	elapsed    time.Duration // true time between the two
+	wantAge    time.Duration // of a time that the first process stored, in the second
+	wantEpochs [2]int64
+}
+
+// A time that an earlier process stored is as long ago as it truly is, within one boot; after a reboot, and on a
+// machine without boot IDs, as long ago as the wall clock says.
 func TestResumeKeepsElapsedTime(t *testing.T) {
-	wall := time.Unix(1e9, 0)
-	for name, c := range map[string]struct {
-		boots  [2]string
-		set    time.Duration // the wall clock, between the two
-		passed time.Duration // truly, between the two
-		ago    time.Duration // as the second takes it
-		epochs [2]int64
-	}{
-		"nothing is set":                  {[2]string{"a", "a"}, 0, 5 * time.Second, 5 * time.Second, [2]int64{1, 1}},
-		"set back by an hour":             {[2]string{"a", "a"}, -time.Hour, 5 * time.Second, 5 * time.Second, [2]int64{1, 1}},
-		"set forth by an hour":            {[2]string{"a", "a"}, time.Hour, 5 * time.Second, 5 * time.Second, [2]int64{1, 1}},
-		"a drift is no step":              {[2]string{"a", "a"}, 3 * time.Millisecond, 5 * time.Second, 5*time.Second + 3*time.Millisecond, [2]int64{1, 1}},
-		"a new boot, set back by 2 s":     {[2]string{"a", "b"}, -2 * time.Second, 5 * time.Second, 3 * time.Second, [2]int64{1, 2}},
-		"no boot is told, set back by 2s": {[2]string{"", ""}, -2 * time.Second, 5 * time.Second, 3 * time.Second, [2]int64{0, 0}},
+	const elapsed = 5 * time.Second
+	for name, c := range map[string]resumeCase{
+		"the clock is not set": {
+			bootIDs: [2]string{"a", "a"}, elapsed: elapsed, wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+		},
+		"set back by an hour": {
+			bootIDs: [2]string{"a", "a"}, wallStep: -time.Hour, elapsed: elapsed,
+			wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+		},
+		"set forward by an hour": {
+			bootIDs: [2]string{"a", "a"}, wallStep: time.Hour, elapsed: elapsed,
+			wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+		},
+		"a drift is no step": {
+			bootIDs: [2]string{"a", "a"}, wallStep: 3 * time.Millisecond, elapsed: elapsed,
+			wantAge: elapsed + 3*time.Millisecond, wantEpochs: [2]int64{1, 1},
+		},
+		"rebooted, set back by 2 s": {
+			bootIDs: [2]string{"a", "b"}, wallStep: -2 * time.Second, elapsed: elapsed,
+			wantAge: elapsed - 2*time.Second, wantEpochs: [2]int64{1, 2},
+		},
+		"no boot ID, set back by 2 s": {
+			bootIDs: [2]string{"", ""}, wallStep: -2 * time.Second, elapsed: elapsed,
+			wantAge: elapsed - 2*time.Second, wantEpochs: [2]int64{0, 0},
+		},
 	} {
-		up := time.Minute
-		one, anchor := Resume(nil, bootclock.Reading{Wall: wall, BootID: c.boots[0], Uptime: up})
-		stamp := one.Stamp(wall)
-		later := wall.Add(c.passed + c.set)
-		two, next := Resume(&anchor, bootclock.Reading{Wall: later, BootID: c.boots[1], Uptime: up + c.passed})
-		if ago := later.Sub(two.Time(stamp)); ago != c.ago {
-			t.Errorf("%s: taken for %v ago, want %v", name, ago, c.ago)
-		}
-		if got := [2]int64{one.Epoch, two.Epoch}; got != c.epochs {
-			t.Errorf("%s: epochs %v, want %v", name, got, c.epochs)
-		}
-		// A third process goes on evenly from the second, whatever was set before it.
-		if three, _ := Resume(&next, bootclock.Reading{Wall: later.Add(time.Second), BootID: c.boots[1], Uptime: up + c.passed + time.Second}); three.BaseStamp-two.BaseStamp != int64(
-			time.Second,
-		) {
-			t.Errorf("%s: a second later the axis is %v on", name, time.Duration(three.BaseStamp-two.BaseStamp))
-		}
+		t.Run(name, func(t *testing.T) { checkResume(t, c) })
+	}
+}
+
+func checkResume(t *testing.T, c resumeCase) {
+	t.Helper()
+	wall := time.Unix(1e9, 0)
+	uptime := time.Minute
+	first, anchor := Resume(nil, bootclock.Reading{Wall: wall, BootID: c.bootIDs[0], Uptime: uptime})
+	stamp := first.Stamp(wall)
+
+	wall = wall.Add(c.elapsed + c.wallStep)
+	uptime += c.elapsed
+	second, anchor := Resume(&anchor, bootclock.Reading{Wall: wall, BootID: c.bootIDs[1], Uptime: uptime})
+	if age := wall.Sub(second.Time(stamp)); age != c.wantAge {
+		t.Errorf("%v ago, want %v", age, c.wantAge)
+	}
+	if got := [2]int64{first.Epoch, second.Epoch}; got != c.wantEpochs {
+		t.Errorf("epochs %v, want %v", got, c.wantEpochs)
+	}
+
+	// A third process continues evenly from the second one, whatever was set before.
+	wall = wall.Add(time.Second)
+	uptime += time.Second
+	third, _ := Resume(&anchor, bootclock.Reading{Wall: wall, BootID: c.bootIDs[1], Uptime: uptime})
+	if passed := third.BaseStamp - second.BaseStamp; passed != int64(time.Second) {
+		t.Errorf("after a second the timeline has advanced by %v", time.Duration(passed))
 	}
 }
