--- a/internal/state/endpointhealth/golden_test.go
+++ b/internal/state/endpointhealth/golden_test.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // A process of another build reads and writes the same records.
 func TestGoldenRecords(t *testing.T) {
