--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -28,15 +28,19 @@
 		"relay.besideJournal", "relay.reservedDescriptors", "relay.lockFor", "relay.lockPause", "relay.silentGrace", "relay.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
+		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a share of what the settings tell": {
 		"relay.idleRatio", "backoff.graceShare",
 		"policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio",
 		"policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
+		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
 	"at most, or at least: the settings go before it": {
 		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost",
-		"policy.minLatencyBound", "policy.defaultRetryAfter", "policy.MinRetryAfter", "policy.minScopeCapacity",
+		"policy.minLatencyBound", "policy.MinRetryAfter", "policy.minScopeCapacity",
+		"policy.defaultWarmUpInitialCapacity", "policy.defaultWarmUpDuration",
+		"policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
 		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
@@ -52,7 +56,8 @@
 		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio",
 		"policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions",
 		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
-		"policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread",
+		"policy.smallFleetSize", "policy.MaxInitialSpread",
+		"policy.pacingDecreaseFactor",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
