--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -14,29 +14,33 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
-		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
+		"relay.MaxBodySize", "relay.requestTimeout", "relay.lateRequestTimeout", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
 		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
 		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
-		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
+		"relay.MaxWireSize", "relay.maxIDSize", "relay.idleTimeout", "relay.writeTimeout", "relay.lingerTimeout", "relay.maxLingerSize", "netconn.MaxHeaderSize",
+		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.responseTimeout", "relay.maxReportedValue", "relay.maxInformational", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
+		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.recheckAfter", "relay.clockTolerance", "relay.initialClock", "relay.capacityRetryInterval",
 		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
-		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
+		"relay.besideJournal", "relay.reservedDescriptors", "relay.lockFor", "relay.lockPause", "relay.silentGrace", "relay.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
+		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a share of what the settings tell": {
-		"relay.idleShare", "backoff.graceShare",
+		"relay.idleRatio", "backoff.graceShare",
 		"policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio",
 		"policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
+		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
 	"at most, or at least: the settings go before it": {
 		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost",
-		"policy.minLatencyBound", "policy.defaultRetryAfter", "policy.MinRetryAfter", "policy.minScopeCapacity",
+		"policy.minLatencyBound", "policy.MinRetryAfter", "policy.minScopeCapacity",
+		"policy.defaultWarmUpInitialCapacity", "policy.defaultWarmUpDuration",
+		"policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
 		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
@@ -52,7 +56,8 @@
 		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio",
 		"policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions",
 		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
-		"policy.smallFleetSize", "policy.initialSpreadTime", "policy.MaxInitialSpread",
+		"policy.smallFleetSize", "policy.MaxInitialSpread",
+		"policy.pacingDecreaseFactor",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
