--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -20,7 +20,7 @@
 
 // finishedReply is the answer to a client that submits a finished message once more, and until when it holds.
 type finishedReply struct {
-	answer answer
+	answer Response
 	until  time.Time
 }
 
@@ -31,7 +31,7 @@
 	case len(m.UncertainAttempts) == 0: // it never ran: it may come as a new one
 		return
 	case m.Final == nil:
-		e.answer.status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
+		e.answer.Status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
 	case m.Final.Retryable:
 		return // its client was asked to submit it again
 	default:
@@ -55,7 +55,7 @@
 func (r *finishedMessages) export() (messages []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
 		e := r.replies[trace]
-		messages = append(messages, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.status, Until: e.until})
+		messages = append(messages, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.Status, Until: e.until})
 	}
 	return messages
 }
@@ -63,12 +63,12 @@
 // restore adds what the process before this one exported.
 func (r *finishedMessages) restore(messages []hotrestart.FinishedMessage) {
 	for _, e := range messages {
-		r.put(e.TraceID, finishedReply{answer{status: e.Status}, e.Until})
+		r.put(e.TraceID, finishedReply{Response{Status: e.Status}, e.Until})
 	}
 }
 
 // reply is the answer to a submission under the id of a finished message; false if none is remembered.
-func (r *finishedMessages) reply(trace string, now time.Time) (reply answer, known bool) {
+func (r *finishedMessages) reply(trace string, now time.Time) (reply Response, known bool) {
 	e, found := r.replies[trace]
 	return e.answer, found && now.Before(e.until)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,11 +32,11 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	clients *clients
-	hosts   *hosts
-	agent   *Client       // service discovery's
-	finals  *Sender       // final notifications
-	fleet   *fleet.Member // nil: this relay shares nothing with others
+	ingress *IngressServer // serves clients
+	egress  *EgressClient  // calls endpoints
+	agent   *Client        // service discovery's
+	finals  *Sender        // final notifications
+	fleet   *fleet.Member  // nil: this relay shares nothing with others
 	metrics metrics.Registry
 
 	events   chan event
@@ -86,8 +86,8 @@
 		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
-	r.hosts = newHosts(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
+	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.egress = NewEgressClient(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
@@ -143,7 +143,7 @@
 	stop()
 	<-r.loopDone
 	background.Wait()
-	r.hosts.close()
+	r.egress.Close()
 	if r.successor != nil {
 		_ = r.successor.Close() // everything for it is sent
 	}
@@ -189,7 +189,7 @@
 	accepting := make(chan struct{})
 	go func() {
 		defer close(accepting)
-		_ = r.clients.run(listener) // returns only once the listener is closed
+		_ = r.ingress.Serve(listener) // returns only once the listener is closed
 	}()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -24,10 +24,10 @@
 	began := time.Now()
 	after := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
 	r.terminating.Store(true)
-	r.clients.drain()
+	r.ingress.Drain()
 	<-after(shutdownAcceptTime)
 	_ = listener.Close() // nothing depends on it: the process ends
-	r.clients.close(began.Add(shutdownAnswerTime))
+	r.ingress.Close(began.Add(shutdownAnswerTime))
 	r.post(stopAccepting{})
 	select {
 	case <-r.drained:
