--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -9,101 +9,69 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// How the loop takes discovery's list. All of it stands in the catalog. One of up to catalog.WholeMost hosts is told to
-// the module as it comes. Of a longer one the module hears only what it needs: the destinations in use. Such a list
-// comes in parts, each applied between two steps.
-
-const (
-	// MaxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
-	MaxPartEntries = 512
-	// maxEvictions bounds how many destinations a step looks at that may be put to rest.
-	maxEvictions = 128
-	// evictInterval is how often that is looked at while nothing else happens.
-	evictInterval = time.Second
-	// defaultWarmUp is what the module goes by where the settings tell no time to warm up.
-	defaultWarmUp = 30 * time.Second
-)
-
-// PartKind is what a part of a long list is.
-type PartKind int
-
-const (
-	PartBegin   PartKind = iota // of a list
-	PartEntries                 // some of its entries
-	PartSweep                   // of those that a whole list did not name
-	PartEnd                     // all has been told: its version holds
-)
-
-// SnapshotPart is a part of a long list. The next one comes once done has its answer.
-type SnapshotPart struct {
-	Kind    PartKind
-	Entries []Entry
-	Version int64
-	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
-	// it all.
-	Reply chan bool
-}
-
-// endpointState is what the loop knows of hosts.
+// endpointState is what the loop knows of endpoints. All of the list is in the catalog. The policy holds all of it, too,
+// up to catalog.MaxEagerEndpoints; of a longer one it holds the destinations of the working set: see largelist.go.
 type endpointState struct {
 	catalog           *catalog.Catalog
 	listVersion       int64
 	listReceived      bool // a list was read: a destination that none has named is unknown
-	drainingEndpoints int  // hosts that are not in service
-	receivingSnapshot bool // a long list is coming, or broke off
-	snapshotNeeded    bool // what the configuration knows may lack some
-	snapshotTruncated bool // entries of the list that comes now found no room
+	drainingEndpoints int  // endpoints that are not in service
+	receivingSnapshot bool // a long list is being received, or broke off
+	snapshotNeeded    bool // the list that the configuration has may lack endpoints
+	snapshotTruncated bool // the list that is being received has more entries than the catalog may hold
 
-	catalogFull       ratelog.Warning // hosts for which there is no room
+	catalogFull       ratelog.Warning // endpoints beyond what the catalog may hold
 	unreadableEntries ratelog.Warning
 
-	// Of a long list:
-	workingSet *catalog.WorkingSet // what the module was told of
-	evictAt    time.Time           // looked at again then; zero: nobody has asked for that
-	scratch    []catalog.Endpoint  // scratch
+	workingSet *catalog.WorkingSet // of a long list, the destinations that the policy holds; else nil
+	evictAt    time.Time           // when the next step for evictions is due; zero: none is asked for
+	scratch    []catalog.Endpoint  // reused by the functions that list a destination's endpoints
 }
 
 func newEndpointState() endpointState {
 	return endpointState{
-		catalogFull:       ratelog.Warning{Message: "no room for all hosts"},
-		unreadableEntries: ratelog.Warning{Message: "unreadable entry of the list"},
+		catalogFull:       ratelog.Warning{Message: "endpoint catalog full"},
+		unreadableEntries: ratelog.Warning{Message: "unreadable entry of the endpoint list"},
 	}
 }
 
-// applyList takes a list of hosts, or changes to it, and returns what the module is told. An entry that cannot be read
-// is passed over; if it names a host that is known, that host stays as it was.
-func (r *Relay) applyList(l List) []policy.Event {
-	r.listVersion = l.Version
-	if l.Full {
+// applyList applies an endpoint list, or changes of it, and returns the policy's event. An unreadable entry is skipped;
+// if it names a known endpoint, that stays as it was.
+func (r *Relay) applyList(list List) []policy.Event {
+	large := r.largeList.Load()
+	r.listVersion = list.Version
+	if list.Full {
 		r.catalog.BeginSnapshot()
 	}
-	e := policy.Event{Kind: policy.EndpointDelta}
-	if r.largeList.Load() {
-		e.Endpoints = r.applyEntries(l.Entries)
+	event := policy.Event{Kind: policy.EndpointDelta}
+	if large {
+		event.Endpoints = r.applyEntries(list.Entries)
 	} else {
-		for i := range l.Entries {
-			e.Endpoints = r.applyEntry(e.Endpoints, &l.Entries[i])
+		for i := range list.Entries {
+			event.Endpoints = r.applyEntry(event.Endpoints, &list.Entries[i])
 		}
 	}
-	if l.Full {
+	if list.Full {
 		removed, _ := r.catalog.Sweep(math.MaxInt)
-		e.Endpoints = r.endpointsRemoved(e.Endpoints, removed)
+		event.Endpoints = r.endpointsRemoved(event.Endpoints, removed)
 	}
 	r.markEndpointsKnown()
-	if !r.largeList.Load() {
-		if l.Full {
-			e.Kind = policy.EndpointSnapshot
-		}
-		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
-			r.switchToLargeList()
+	if large {
+		if len(event.Endpoints) == 0 {
+			return nil
 		}
-	} else if len(e.Endpoints) == 0 {
-		return nil
+		return []policy.Event{event}
+	}
+	if list.Full {
+		event.Kind = policy.EndpointSnapshot
 	}
-	return []policy.Event{e}
+	if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
+		r.switchToLargeList()
+	}
+	return []policy.Event{event}
 }
 
-// markEndpointsKnown notes that a list is known to its end.
+// markEndpointsKnown notes that a whole list was applied.
 func (r *Relay) markEndpointsKnown() {
 	if r.catalog.EndpointCount() > 0 {
 		r.listReceived = true
@@ -111,63 +79,82 @@
 	}
 }
 
-// applyEntry takes an entry of a list, and adds what the module is told of it.
-func (r *Relay) applyEntry(told []policy.Endpoint, e *Entry) []policy.Endpoint {
+// applyEntry applies an entry of a list, and appends to updates what the policy has to know of it.
+func (r *Relay) applyEntry(updates []policy.Endpoint, e *Entry) []policy.Endpoint {
 	if e.Err != nil {
 		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
-		if known, ok := r.catalog.MarkSeen(e.ID); ok && !r.largeList.Load() {
-			return append(told, known.Endpoint)
+		known, ok := r.catalog.MarkSeen(e.ID)
+		if ok && !r.largeList.Load() {
+			return append(updates, known.Endpoint)
 		}
-		return told
+		return updates
 	}
-	c := r.catalog.Upsert(e.Endpoint)
-	r.recordChange(&c)
-	if c.Kind == catalog.Moved && c.Old.Destination != e.Destination && r.isActive(c.Old.Destination) {
-		// a route's gate is its destination's for good: it begins anew at the other one
-		told = append(told, removedEndpoint(c.Old))
+	change := r.catalog.Upsert(e.Endpoint)
+	r.recordChange(&change)
+	if change.Kind == catalog.Moved && change.Old.Destination != e.Destination && r.isActive(change.Old.Destination) {
+		// An endpoint's limit scope belongs to its destination: it begins anew at the other one.
+		updates = append(updates, removedEndpoint(change.Old))
 	}
 	switch {
 	case !r.largeList.Load():
-		return append(told, e.Endpoint.Endpoint)
-	case c.Kind == catalog.Unchanged:
-		return told
-	case c.Kind == catalog.Removed && r.isActive(c.Old.Destination):
-		return append(told, removedEndpoint(c.Old))
-	case c.Kind != catalog.Removed && r.isActive(e.Destination):
-		return append(told, e.Endpoint.Endpoint)
-	}
-	return told
+		return append(updates, e.Endpoint.Endpoint)
+	case change.Kind == catalog.Unchanged:
+		return updates
+	case change.Kind == catalog.Removed && r.isActive(change.Old.Destination):
+		return append(updates, removedEndpoint(change.Old))
+	case change.Kind != catalog.Removed && r.isActive(e.Destination):
+		return append(updates, e.Endpoint.Endpoint)
+	}
+	return updates
 }
 
-// recordChange books a change of the catalog: calls go to no address that a host has left.
+// recordChange carries a change of the catalog on to what depends on it. Idle connections to an address that an
+// endpoint has left are closed, so that no call goes there.
 func (r *Relay) recordChange(c *catalog.Change) {
-	if r.workingSet != nil &&
-		(c.Kind == catalog.Added || c.Kind == catalog.Moved && c.Old.Destination != c.New.Destination) {
+	var hadOld, hasNew, changedDestination, changedAddr bool
+	switch c.Kind {
+	case catalog.Added:
+		hasNew = true
+		changedDestination = true
+	case catalog.Updated:
+		hadOld = true
+		hasNew = true
+	case catalog.Moved:
+		hadOld = true
+		hasNew = true
+		changedDestination = c.Old.Destination != c.New.Destination
+		changedAddr = c.Old.Addr != c.New.Addr
+	case catalog.Removed:
+		hadOld = true
+		changedAddr = true
+	}
+	if changedDestination && r.workingSet != nil {
 		r.workingSet.EndpointAdded(c.New.Destination, r.now())
 	}
-	if c.Kind == catalog.Removed || c.Kind == catalog.Moved && c.Old.Addr != c.New.Addr {
+	if changedAddr {
 		r.egress.CloseIdle(c.Old.ID)
 	}
-	if (c.Kind == catalog.Updated || c.Kind == catalog.Moved || c.Kind == catalog.Removed) && !c.Old.InService {
+	if hadOld && !c.Old.InService {
 		r.drainingEndpoints--
 	}
-	if (c.Kind == catalog.Updated || c.Kind == catalog.Moved || c.Kind == catalog.Added) && !c.New.InService {
+	if hasNew && !c.New.InService {
 		r.drainingEndpoints++
 	}
 }
 
-// endpointsRemoved takes hosts that a whole list did not name, and adds what the module is told of them. It needs not
-// be where it is told the whole.
-func (r *Relay) endpointsRemoved(told []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
-	for _, was := range removed {
-		r.recordChange(&catalog.Change{Old: was, Kind: catalog.Removed})
-		if r.largeList.Load() && r.isActive(was.Destination) {
-			told = append(told, removedEndpoint(was))
+// endpointsRemoved handles endpoints that a complete list did not name, and appends to updates what the policy has to
+// know of them. A policy that gets the complete list needs nothing.
+func (r *Relay) endpointsRemoved(updates []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
+	for _, old := range removed {
+		r.recordChange(&catalog.Change{Old: old, Kind: catalog.Removed})
+		if r.largeList.Load() && r.isActive(old.Destination) {
+			updates = append(updates, removedEndpoint(old))
 		}
 	}
-	return told
+	return updates
 }
 
+// removedEndpoint is the policy's update for an endpoint that is gone.
 func removedEndpoint(e catalog.Endpoint) policy.Endpoint {
 	return policy.Endpoint{ID: e.ID, Destination: e.Destination, Kind: e.Kind, Zone: e.Zone, Removed: true}
 }
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -8,27 +8,59 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// isActive tells whether the module knows of a destination.
-func (r *Relay) isActive(dest int) bool { return !r.largeList.Load() || r.workingSet.Contains(dest) }
+const (
+	// MaxPartEntries is how many entries the loop applies at once: well under a millisecond's work.
+	MaxPartEntries = 512
+	// maxEvictions bounds how many destinations a step examines for eviction.
+	maxEvictions = 128
+	// evictInterval is how often destinations are examined for eviction while nothing else happens.
+	evictInterval = time.Second
+	// defaultWarmUp is the warm-up time if the settings give none.
+	defaultWarmUp = 30 * time.Second
+)
+
+// PartKind is what a part of a long list carries.
+type PartKind int
+
+const (
+	// PartBegin begins a list.
+	PartBegin PartKind = iota
+	// PartEntries carries some of its entries.
+	PartEntries
+	// PartSweep removes some of the endpoints that a complete list did not name.
+	PartSweep
+	// PartEnd ends the list: its version is reached.
+	PartEnd
+)
+
+// SnapshotPart is a part of a long list. The next one comes once Reply has its answer.
+type SnapshotPart struct {
+	Kind    PartKind
+	Entries []Entry
+	Version int64
+	// Reply is buffered and receives one answer. For a sweep: whether it was the last. For the end: whether the catalog
+	// holds all entries.
+	Reply chan bool
+}
 
-// loadKnownEndpoints has the relay hold the list that its configuration knows, if that is long. A short one is told to
-// the module by resume.
+// isActive tells whether the policy holds a destination.
+func (r *Relay) isActive(destination int) bool {
+	return !r.largeList.Load() || r.workingSet.Contains(destination)
+}
+
+// loadKnownEndpoints loads the endpoint list of the configuration, if that is long. A short one goes to the policy with
+// recoverState.
 func (r *Relay) loadKnownEndpoints() {
-	if r.catalog = r.cfg.KnownCatalog; r.catalog == nil {
+	if r.cfg.KnownCatalog == nil {
 		r.catalog = catalog.New()
 		return
 	}
+	r.catalog = r.cfg.KnownCatalog
 	r.cfg.KnownCatalog = nil
 	if r.cfg.unreadable > 0 {
-		r.log.Warn(
-			"unreadable entries of the known list",
-			"count",
-			r.cfg.unreadable,
-			"entry",
-			r.cfg.firstUnreadable.Text,
-			"err",
-			r.cfg.firstUnreadable.Err,
-		)
+		first := r.cfg.firstUnreadable
+		r.log.Warn("unreadable entries of the known endpoint list",
+			"count", r.cfg.unreadable, "entry", first.Text, "err", first.Err)
 	}
 	for e := range r.catalog.All() {
 		if !e.InService {
@@ -40,11 +72,12 @@
 	r.markEndpointsKnown()
 }
 
+// newWorkingSet returns an empty working set.
 func (r *Relay) newWorkingSet() *catalog.WorkingSet {
 	return catalog.NewWorkingSet(cmp.Or(r.activeConfig.Settings.WarmUpDuration, defaultWarmUp))
 }
 
-// switchToLargeList has the relay go by a long list from here on. The module knows all that stands in the catalog.
+// switchToLargeList has the policy hold a working set from here on. So far it holds all of the catalog.
 func (r *Relay) switchToLargeList() {
 	if r.largeList.Load() {
 		return
@@ -60,137 +93,178 @@
 	}
 }
 
-// applyPart takes a part of a long list. What the module hears of it, it hears in the next step.
+// applyPart applies a part of a long list. The policy has its updates in the next step.
 func (r *Relay) applyPart(p *SnapshotPart) {
 	ok := true
-	var told []policy.Endpoint
+	var updates []policy.Endpoint
 	switch p.Kind {
 	case PartBegin:
 		r.switchToLargeList()
 		r.catalog.BeginSnapshot()
-		r.receivingSnapshot, r.snapshotTruncated = true, false
+		r.receivingSnapshot = true
+		r.snapshotTruncated = false
 	case PartEntries:
-		told = r.applyEntries(p.Entries)
+		updates = r.applyEntries(p.Entries)
 	case PartSweep:
 		var removed []catalog.Endpoint
 		removed, ok = r.catalog.Sweep(MaxPartEntries)
-		told = r.endpointsRemoved(nil, removed)
+		updates = r.endpointsRemoved(nil, removed)
 	case PartEnd:
-		if ok = !r.snapshotTruncated; ok {
+		ok = !r.snapshotTruncated
+		if ok {
 			r.listVersion = p.Version
 		}
 		r.markEndpointsKnown()
 		r.receivingSnapshot = false
 	}
-	if len(told) > 0 {
-		r.deferredEvents = append(r.deferredEvents, policy.Event{Kind: policy.EndpointDelta, Endpoints: told})
+	if len(updates) > 0 {
+		r.deferredEvents = append(r.deferredEvents, policy.Event{Kind: policy.EndpointDelta, Endpoints: updates})
 	}
 	p.Reply <- ok
 }
 
-// applyEntries takes some entries of a list: those that end something first.
-func (r *Relay) applyEntries(entries []Entry) (told []policy.Endpoint) {
-	var ended map[string]int // the last entry that ends so
+// applyEntries applies some entries of a list: drains and removals first, so that nothing more is sent there and the
+// catalog has room for what is added.
+func (r *Relay) applyEntries(entries []Entry) (updates []policy.Endpoint) {
+	var lastEnd map[string]int // by endpoint, its last entry that drains or removes it
 	for i := range entries {
-		if e := &entries[i]; e.Err == nil && !e.InService {
-			if ended == nil {
-				ended = map[string]int{}
-			}
-			ended[e.ID] = i
-			told = r.applyEntry(told, e)
+		e := &entries[i]
+		if !endsService(e) {
+			continue
 		}
+		if lastEnd == nil {
+			lastEnd = map[string]int{}
+		}
+		lastEnd[e.ID] = i
+		updates = r.applyEntry(updates, e)
 	}
 	for i := range entries {
 		e := &entries[i]
-		if e.Err == nil && !e.InService {
+		if endsService(e) {
 			continue
 		}
-		if last, ok := ended[e.ID]; ok && i < last {
-			continue // what came behind it holds
+		if last, ok := lastEnd[e.ID]; ok && i < last {
+			continue // the later entry holds
 		}
-		if r.catalog.EndpointCount() >= MaxEntries && e.Err == nil {
-			if _, known := r.catalog.Endpoint(e.ID); !known {
-				r.snapshotTruncated = true
-				r.catalogFull.Log(r.log, "most", MaxEntries)
-				continue
-			}
+		if r.exceedsCatalog(e) {
+			r.snapshotTruncated = true
+			r.catalogFull.Log(r.log, "limit", MaxEntries)
+			continue
 		}
-		told = r.applyEntry(told, e)
+		updates = r.applyEntry(updates, e)
+	}
+	return updates
+}
+
+// endsService tells whether an entry drains or removes its endpoint.
+func endsService(e *Entry) bool { return e.Err == nil && !e.InService }
+
+// exceedsCatalog tells whether an entry names a new endpoint that the catalog may not hold.
+func (r *Relay) exceedsCatalog(e *Entry) bool {
+	if r.catalog.EndpointCount() < MaxEntries || e.Err != nil {
+		return false
 	}
-	return told
+	_, known := r.catalog.Endpoint(e.ID)
+	return !known
 }
 
-// wakeDestinations has the module told of destinations at rest before what concerns them, and of changes of the list
-// before all else. Then it puts some to rest that have nothing to remember.
-func (r *Relay) wakeDestinations(now time.Duration, events []policy.Event) []policy.Event {
+// updateWorkingSet adds to a step's events what a policy that holds a working set needs with them. First come the
+// changes of the list, then the endpoints of destinations that become active, then all other events, and last the
+// removal of destinations that have been idle.
+func (r *Relay) updateWorkingSet(now time.Duration, events []policy.Event) []policy.Event {
 	out := make([]policy.Event, 0, len(events)+2)
 	for _, e := range events {
-		if e.Kind == policy.EndpointDelta || e.Kind == policy.EndpointSnapshot {
+		if isListEvent(e.Kind) {
 			out = append(out, e)
 		}
 	}
-	var woken []policy.Endpoint
-	wake := func(dest int) {
-		if !r.workingSet.Activate(dest, now) {
-			return
-		}
-		settled := r.workingSet.Settled(dest, now)
-		r.scratch = r.catalog.AppendEndpoints(dest, r.scratch[:0])
-		for _, e := range r.scratch {
-			e.Relisted = settled
-			woken = append(woken, e.Endpoint)
+	if activated := r.activateDestinations(now, events); len(activated) > 0 {
+		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: activated})
+	}
+	for _, e := range events {
+		if !isListEvent(e.Kind) {
+			out = append(out, e)
 		}
 	}
+	evicted := r.evictDestinations(now)
+	if len(evicted) > 0 {
+		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: evicted})
+	}
+	r.scheduleEviction(len(evicted) > 0)
+	return out
+}
+
+// isListEvent tells whether events of this kind carry changes of the endpoint list.
+func isListEvent(kind policy.EventKind) bool {
+	return kind == policy.EndpointDelta || kind == policy.EndpointSnapshot
+}
+
+// activateDestinations adds the destinations that events concern to the working set, and returns the endpoints of those
+// that are new in it.
+func (r *Relay) activateDestinations(now time.Duration, events []policy.Event) (activated []policy.Endpoint) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case policy.MessageAccepted:
-			wake(e.Destination)
+			activated = r.activate(activated, e.Destination, now)
 		case policy.AttemptFinished:
 			if m := r.messages[e.MessageID]; m != nil {
 				r.workingSet.Touch(m.Destination, now)
 			}
-			if e.RetryAfter == 0 {
-				break
+			if e.RetryAfter != 0 {
+				activated = r.activateEndpoint(activated, e.Endpoint, now)
 			}
-			fallthrough
 		case policy.HealthChecked:
-			if at, ok := r.catalog.Endpoint(e.Endpoint); ok {
-				wake(at.Destination)
-			}
+			activated = r.activateEndpoint(activated, e.Endpoint, now)
 		}
 	}
-	if len(woken) > 0 {
-		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: woken})
+	return activated
+}
+
+// activateEndpoint activates the destination of an endpoint, if the endpoint is known.
+func (r *Relay) activateEndpoint(activated []policy.Endpoint, id string, now time.Duration) []policy.Endpoint {
+	endpoint, ok := r.catalog.Endpoint(id)
+	if !ok {
+		return activated
 	}
-	for _, e := range events {
-		if e.Kind != policy.EndpointDelta && e.Kind != policy.EndpointSnapshot {
-			out = append(out, e)
-		}
+	return r.activate(activated, endpoint.Destination, now)
+}
+
+// activate adds a destination to the working set, and its endpoints to activated if it was not in it.
+func (r *Relay) activate(activated []policy.Endpoint, destination int, now time.Duration) []policy.Endpoint {
+	if !r.workingSet.Activate(destination, now) {
+		return activated
 	}
-	var resting []policy.Endpoint
-	for _, dest := range r.workingSet.EvictIdle(now, maxEvictions, r.engine.Evictable) {
-		r.scratch = r.catalog.AppendEndpoints(dest, r.scratch[:0])
+	settled := r.workingSet.Settled(destination, now)
+	r.scratch = r.catalog.AppendEndpoints(destination, r.scratch[:0])
+	for _, e := range r.scratch {
+		e.Relisted = settled
+		activated = append(activated, e.Endpoint)
+	}
+	return activated
+}
+
+// evictDestinations removes destinations from the working set that are idle and of which the policy has nothing to
+// remember. It returns the removal of their endpoints.
+func (r *Relay) evictDestinations(now time.Duration) (evicted []policy.Endpoint) {
+	for _, destination := range r.workingSet.EvictIdle(now, maxEvictions, r.engine.Evictable) {
+		r.scratch = r.catalog.AppendEndpoints(destination, r.scratch[:0])
 		for _, e := range r.scratch {
-			resting = append(resting, removedEndpoint(e))
+			evicted = append(evicted, removedEndpoint(e))
 		}
 	}
-	if len(resting) > 0 {
-		out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: resting})
-	}
-	r.scheduleEviction(len(resting) > 0)
-	return out
+	return evicted
 }
 
-// scheduleEviction asks for a step in which more destinations are put to rest.
+// scheduleEviction asks for a step in which more destinations may be evicted: soon if there were some just now.
 func (r *Relay) scheduleEviction(more bool) {
 	now := time.Now()
 	if r.workingSet.Len() == 0 || now.Before(r.evictAt) {
 		return
 	}
-	after := evictInterval
+	delay := evictInterval
 	if more {
-		after = r.cfg.Tick
+		delay = r.cfg.Tick
 	}
-	r.evictAt = now.Add(after)
-	time.AfterFunc(after, func() { r.post(tick{}) })
+	r.evictAt = now.Add(delay)
+	time.AfterFunc(delay, func() { r.post(tick{}) })
 }
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -100,7 +100,7 @@
 // decide has the policy take a step, and records it.
 func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
 	if r.largeList.Load() {
-		events = r.wakeDestinations(now, events)
+		events = r.updateWorkingSet(now, events)
 	}
 	actions := r.engine.Step(now, events)
 	if r.fleet == nil {
