--- /dev/null
+++ b/internal/state/store/crash_test.go
@@ -0,0 +1,230 @@
+package store_test
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"slices"
+	"syscall"
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
+)
+
+// A store whose process stops at any call of append, roll, compaction and removal holds what was committed, and of the
+// last commit a part from its begin.
+func TestProcessStopsAtEveryCall(t *testing.T) {
+	const (
+		steps   = 260
+		maxSize = 3000
+	)
+	for _, partial := range []int{0, 1, 100, 4000, 1 << 20} {
+		stride := 1 // every call; with a part written every third
+		if partial > 0 {
+			stride = 3
+		}
+		for n := 1; ; n += stride {
+			fs := faultfs.New()
+			s, _ := openStore(t, fs)
+			d := newDriver(s, model{}, uint64(partial))
+			fs.StopAt(n, partial)
+			var err error
+			for i := 0; i < steps && err == nil; i++ {
+				err = d.step(maxSize)
+			}
+			if err == nil { // the whole run was without a stop
+				if n < 200 {
+					t.Fatalf("only %d calls: the test shows little", n)
+				}
+				break
+			}
+			checkAfterStop(t, fmt.Sprintf("stopped at call %d with %d bytes written", n, partial), fs, d, n%5 == 0)
+		}
+	}
+}
+
+// checkAfterStop checks what the next process finds in the folder of one that stopped. With goOn it also works on from
+// there, through more compactions, and checks what that leaves.
+func checkAfterStop(t *testing.T, label string, fs *faultfs.FS, d *driver, goOn bool) {
+	t.Helper()
+	s, rec := openStore(t, fs.Reboot())
+	diff := d.committed.difference(s, rec)
+	for _, m := range d.possible {
+		if diff != "" && m.difference(s, rec) == "" {
+			diff = ""
+		}
+	}
+	if diff != "" || !rec.Intact() {
+		t.Fatalf("%s: %s: %+v", label, diff, rec)
+	}
+	m := modelOf(t, s, rec)
+	if !goOn {
+		return
+	}
+	folder := fs.Reboot()
+	s, _ = openStore(t, folder)
+	next := newDriver(s, m, 1)
+	next.mustStep(t, 60, 3000)
+	s, rec = openStore(t, folder.Reboot())
+	if diff := next.committed.difference(s, rec); diff != "" {
+		t.Fatalf("%s, after another process: %s", label, diff)
+	}
+}
+
+// Errors of the file system at every call: nothing that was committed is lost, nothing is held that was not, and once
+// they are over work goes on.
+func TestErrorsAtEveryCall(t *testing.T) {
+	for _, fault := range []error{syscall.EIO, syscall.ENOSPC} {
+		for _, partial := range []int{0, 50, 5000} {
+			for n := 1; n < 300; n += 1 + n/15 {
+				t.Run(fmt.Sprintf("%v/partial=%d/call=%d", fault, partial, n), func(t *testing.T) {
+					checkErrorAtCall(t, fault, partial, n)
+				})
+			}
+		}
+	}
+}
+
+// checkErrorAtCall has three calls from the n-th on fail, of which writes write a part.
+func checkErrorAtCall(t *testing.T, fault error, partial, n int) {
+	t.Helper()
+	fs := faultfs.New()
+	s, _ := openStore(t, fs)
+	d := newDriver(s, model{}, 9)
+	calls := 0
+	fs.Fail(func(faultfs.Call) error {
+		calls++
+		if calls >= n && calls < n+3 {
+			return fault
+		}
+		return nil
+	}, func(faultfs.Call) int { return partial })
+	for range 200 {
+		d.stepWithFault(t, 3000, fault)
+	}
+	fs.Fail(nil, nil)
+	for range 20 {
+		if err := d.step(3000); err != nil {
+			t.Fatalf("after the fault: %v", err)
+		}
+	}
+	s, rec := openStore(t, fs.Reboot())
+	if diff := d.committed.difference(s, rec); diff != "" || !rec.Intact() {
+		t.Fatalf("%s: %+v", diff, rec)
+	}
+}
+
+// A disk that is full, at whatever size, also in the middle of a compaction: new values are rejected, deletes find
+// space in the end, and once there is space all goes on.
+func TestFullDisk(t *testing.T) {
+	for capacity := int64(20 << 10); capacity < limit; capacity += 60 << 10 {
+		fs := faultfs.New()
+		s, _ := openStore(t, fs)
+		d := newDriver(s, model{}, uint64(capacity))
+		fs.SetCapacity(capacity)
+		for range 200 {
+			d.stepWithFault(t, 3000, syscall.ENOSPC)
+		}
+		fs.SetCapacity(0)
+		for range 50 {
+			if err := d.step(3000); err != nil {
+				t.Fatalf("with space again: %v", err)
+			}
+		}
+		s, rec := openStore(t, fs.Reboot())
+		if diff := d.committed.difference(s, rec); diff != "" || !rec.Intact() {
+			t.Fatalf("a disk of %d bytes: %s", capacity, diff)
+		}
+	}
+}
+
+// With nothing to compact new values are rejected while there is still space for deltas and deletes.
+func TestFullWithoutGarbage(t *testing.T) {
+	fs := faultfs.New()
+	s, _ := openStore(t, fs)
+	keys := putUntilFull(t, s)
+	if st := s.Stats(); st.LiveBytes < limit/2 || st.AvailableForValues > 2000 || st.AvailableBytes < limit/8 {
+		t.Errorf("%+v", st)
+	}
+	for range 2 {
+		for _, key := range keys {
+			b := s.Begin()
+			b.Append(key, bytes.Repeat([]byte{1}, 40))
+			if err := s.Commit(b); err != nil {
+				t.Fatal(err)
+			}
+			if s.CompactionDue() {
+				if _, err := s.Compact(4 << 10); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}
+	}
+	for _, key := range keys {
+		b := s.Begin()
+		b.Delete(key)
+		if err := s.Commit(b); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if used := fs.Size(512); used > limit {
+		t.Errorf("%d bytes of %d", used, limit)
+	}
+}
+
+// putUntilFull puts values of 900 bytes until the store rejects one, and returns their keys.
+func putUntilFull(t *testing.T, s *store.Store) (keys []uint64) {
+	t.Helper()
+	for {
+		b := s.Begin()
+		key := b.Put(bytes.Repeat([]byte{7}, 900))
+		err := s.Commit(b)
+		if errors.Is(err, store.ErrFull) {
+			return keys
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		keys = append(keys, key)
+	}
+}
+
+// A value that holds whole segments, records and headers of this very store is read as none of them, also where the
+// record that holds it is torn at any byte.
+func TestValuesAreNeverReadAsRecords(t *testing.T) {
+	fs := faultfs.New()
+	s, _ := openStore(t, fs)
+	b := s.Begin()
+	live := b.Put([]byte("the one to be deleted by another's body"))
+	if err := s.Commit(b); err != nil {
+		t.Fatal(err)
+	}
+	b = s.Begin()
+	deleted := b.Put([]byte("deleted"))
+	if err := s.Commit(b); err != nil {
+		t.Fatal(err)
+	}
+	b = s.Begin()
+	b.Delete(deleted)
+	if err := s.Commit(b); err != nil {
+		t.Fatal(err)
+	}
+	name := fs.Files()[0]
+	hidden := bytes.Clone(fs.Data(name))
+	body := append(make([]byte, store.BlockSize-len(hidden)%store.BlockSize), hidden...)
+	before := len(hidden)
+	b = s.Begin()
+	b.Put(bytes.Repeat(body, 3))
+	if err := s.Commit(b); err != nil {
+		t.Fatal(err)
+	}
+	data := fs.Data(name)
+	for cut := before; cut < len(data); cut++ {
+		folder := fs.Reboot()
+		folder.Put(name, bytes.Clone(data[:cut]))
+		if _, rec := openStore(t, folder); !slices.Equal(rec.Keys, []uint64{live}) {
+			t.Fatalf("cut at %d: values %v", cut, rec.Keys)
+		}
+	}
+}
--- a/internal/state/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -1,5 +1,6 @@
-// Package faultfs is a file system in memory that fails as it is told to: it stops at a call, as a process that is
-// killed there, writes a part, answers with an error, or is full. It is for tests of what must survive that.
+// Package faultfs provides file systems that fail on demand, for tests of what must survive that. FS is one in memory:
+// it stops at a call, as a process that is killed there, writes a part, returns an error, or is full. Killer passes
+// calls on to another file system and kills its own process at one of them.
 package faultfs
 
 import (
@@ -16,10 +17,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// ErrStopped answers all calls after the one at which the process stopped.
+// ErrStopped is the error of the call at which the process stopped, and of all calls after it.
 var ErrStopped = errors.New("faultfs: stopped")
 
-// FS is a folder. Its faults may be set at any time.
+// FS is a folder in memory. Its faults may be set at any time.
 type FS struct {
 	mu           sync.Mutex
 	files        map[string][]byte
@@ -27,10 +28,9 @@
 	calls        int
 	stopAt       int              // 0: never
 	partial      int              // bytes that the call at which it stops still writes
-	capacity     int64            // bytes in all files; 0: no bound
+	capacity     int64            // bytes in all files; 0: unbounded
 	failCall     func(Call) error // nil: none
-	partialWrite func(Call) int   // bytes of a write that are written before fail's error; nil: none
-	log          []Call
+	partialWrite func(Call) int   // bytes of a write that are written in spite of failCall's error; nil: none
 }
 
 // Call is one call that changes something or reads.
@@ -44,49 +44,59 @@
 // New returns an empty folder.
 func New() *FS { return &FS{files: map[string][]byte{}} }
 
-// StopAt has the process stop at its n-th call from now on, of which a write still writes so many bytes.
-func (f *FS) StopAt(n, partial int) { f.set(func() { f.calls, f.stopAt, f.partial = 0, n, partial }) }
+// StopAt has the process stop at its n-th call from now on. If that is a write, partial bytes of it are still written.
+func (f *FS) StopAt(n, partial int) {
+	f.withLock(func() {
+		f.calls = 0
+		f.stopAt = n
+		f.partial = partial
+	})
+}
 
-// Fail has calls fail for which fail returns an error; short says how much of such a write is written.
-func (f *FS) Fail(fail func(Call) error, short func(Call) int) {
-	f.set(func() { f.failCall, f.partialWrite = fail, short })
+// Fail has those calls fail for which failCall returns an error. partialWrite returns how many bytes of a write that
+// fails are written; nil: none.
+func (f *FS) Fail(failCall func(Call) error, partialWrite func(Call) int) {
+	f.withLock(func() {
+		f.failCall = failCall
+		f.partialWrite = partialWrite
+	})
 }
 
-// SetCapacity bounds the bytes of all files.
-func (f *FS) SetCapacity(n int64) { f.set(func() { f.capacity = n }) }
+// SetCapacity bounds the bytes of all files; 0: unbounded.
+func (f *FS) SetCapacity(n int64) { f.withLock(func() { f.capacity = n }) }
 
-func (f *FS) set(do func()) {
+func (f *FS) withLock(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-// Calls is how many calls came since StopAt.
+// Calls returns the number of calls since StopAt.
 func (f *FS) Calls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Reboot is the folder as a new process finds it: what was written, no lock, no faults.
+// Reboot returns the folder as a new process finds it: what was written, no lock, no faults.
 func (f *FS) Reboot() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := New()
+	rebooted := New()
 	for name, data := range f.files {
-		g.files[name] = bytes.Clone(data)
+		rebooted.files[name] = bytes.Clone(data)
 	}
-	return g
+	return rebooted
 }
 
-// Files are the names of the files, sorted.
+// Files returns the names of the files, sorted.
 func (f *FS) Files() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.files))
 }
 
-// Data is a file's, to be read or replaced by Put.
+// Data returns a file's data. To change it, Put a copy.
 func (f *FS) Data(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,14 +105,16 @@
 
 // Put writes a file, or removes it if data is nil.
 func (f *FS) Put(name string, data []byte) {
-	f.set(func() {
-		if f.files[name] = data; data == nil {
+	f.withLock(func() {
+		if data == nil {
 			delete(f.files, name)
+			return
 		}
+		f.files[name] = data
 	})
 }
 
-// Size is the size of all files, in whole units.
+// Size returns the size of all files, each rounded up to whole units.
 func (f *FS) Size(unit int64) (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,10 +124,9 @@
 	return sum
 }
 
-// beginCall counts a call and returns its error, and how much of a write is done all the same.
+// beginCall counts a call and returns its error, and how many bytes of a write are done all the same.
 func (f *FS) beginCall(op, name string, size int) (written int, err error) {
 	f.calls++
-	c := Call{f.calls, op, name, size}
 	switch {
 	case f.stopAt > 0 && f.calls > f.stopAt:
 		return 0, ErrStopped
@@ -124,13 +135,15 @@
 	case f.failCall == nil:
 		return size, nil
 	}
-	if err := f.failCall(c); err != nil {
-		if f.partialWrite != nil {
-			written = min(size, f.partialWrite(c))
-		}
-		return written, fmt.Errorf("%s %s: %w", op, name, err)
+	call := Call{Number: f.calls, Op: op, Name: name, Size: size}
+	err = f.failCall(call)
+	if err == nil {
+		return size, nil
+	}
+	if f.partialWrite != nil {
+		written = min(size, f.partialWrite(call))
 	}
-	return size, nil
+	return written, fmt.Errorf("%s %s: %w", op, name, err)
 }
 
 // List implements store.FS.
@@ -150,16 +163,16 @@
 	if _, err := f.beginCall("open", name, 0); err != nil {
 		return nil, err
 	}
-	_, there := f.files[name]
+	_, exists := f.files[name]
 	switch {
-	case create && there:
+	case create && exists:
 		return nil, os.ErrExist
-	case !create && !there:
+	case !create && !exists:
 		return nil, os.ErrNotExist
 	case create:
 		f.files[name] = []byte{}
 	}
-	return &file{f, name}, nil
+	return &file{fs: f, name: name}, nil
 }
 
 // Remove implements store.FS.
@@ -169,7 +182,7 @@
 	if _, err := f.beginCall("remove", name, 0); err != nil {
 		return err
 	}
-	if _, there := f.files[name]; !there {
+	if _, exists := f.files[name]; !exists {
 		return os.ErrNotExist
 	}
 	delete(f.files, name)
@@ -195,66 +208,83 @@
 		return nil, err
 	}
 	f.locked = true
-	return unlock{f}, nil
+	return unlock{fs: f}, nil
 }
 
-type unlock struct{ f *FS }
+// unlock releases the folder's lock.
+type unlock struct{ fs *FS }
 
-func (u unlock) Close() error { u.f.set(func() { u.f.locked = false }); return nil }
+// Close implements io.Closer.
+func (u unlock) Close() error {
+	u.fs.withLock(func() { u.fs.locked = false })
+	return nil
+}
 
+// file is an open file of an FS.
 type file struct {
 	fs   *FS
 	name string
 }
 
-func (x *file) ReadAt(p []byte, at int64) (int, error) {
+// ReadAt implements io.ReaderAt.
+func (x *file) ReadAt(p []byte, offset int64) (int, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
 	if _, err := x.fs.beginCall("read", x.name, len(p)); err != nil {
 		return 0, err
 	}
 	data := x.fs.files[x.name]
-	if at >= int64(len(data)) {
+	if offset >= int64(len(data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, data[at:])
+	n := copy(p, data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (x *file) WriteAt(p []byte, at int64) (int, error) {
+// WriteAt implements io.WriterAt.
+func (x *file) WriteAt(p []byte, offset int64) (int, error) {
 	f := x.fs
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, err := f.beginCall("write", x.name, len(p))
-	data := f.files[x.name]
-	if end := at + int64(n); f.capacity > 0 && n > 0 {
-		sum := int64(0)
-		for _, d := range f.files {
-			sum += int64(len(d))
-		}
-		if over := sum + max(0, end-int64(len(data))) - f.capacity; over > 0 {
-			n, err = max(0, n-int(over)), syscall.ENOSPC
-		}
+	if excess := f.excess(x.name, offset+int64(n)); n > 0 && excess > 0 {
+		n = max(0, n-int(excess))
+		err = syscall.ENOSPC
 	}
 	if n > 0 {
-		if grow := at + int64(n) - int64(len(data)); grow > 0 {
-			data = append(data, make([]byte, grow)...)
+		data := f.files[x.name]
+		if growth := offset + int64(n) - int64(len(data)); growth > 0 {
+			data = append(data, make([]byte, growth)...)
 		}
-		copy(data[at:], p[:n])
+		copy(data[offset:], p[:n])
 		f.files[x.name] = data
 	}
 	return n, err
 }
 
+// excess returns by how many bytes all files exceed the capacity if one becomes as long as end.
+func (f *FS) excess(name string, end int64) int64 {
+	if f.capacity == 0 {
+		return 0
+	}
+	used := int64(0)
+	for _, data := range f.files {
+		used += int64(len(data))
+	}
+	return used + max(0, end-int64(len(f.files[name]))) - f.capacity
+}
+
+// Size implements store.File.
 func (x *file) Size() (int64, error) {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
 	return int64(len(x.fs.files[x.name])), nil
 }
 
+// Truncate implements store.File.
 func (x *file) Truncate(size int64) error {
 	f := x.fs
 	f.mu.Lock()
@@ -268,6 +298,7 @@
 	return nil
 }
 
+// Sync implements store.File.
 func (x *file) Sync() error {
 	x.fs.mu.Lock()
 	defer x.fs.mu.Unlock()
@@ -275,4 +306,5 @@
 	return err
 }
 
+// Close implements io.Closer.
 func (x *file) Close() error { return nil }
--- a/internal/state/store/frame_test.go
+++ b/internal/state/store/frame_test.go
@@ -5,142 +5,149 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-var header = Header{Format: Format, Epoch: 0x1234567890abcdef, Segment: 7, FirstRecord: 100}
+// testHeader is that of the segments under test.
+var testHeader = Header{Format: Format, Epoch: 0x1234567890abcdef, Segment: 7, FirstRecord: 100}
 
-// wholeSegment is one with records, and where each ends.
-func wholeSegment(records [][]byte) (data []byte, ends []int64) {
-	data = header.Append(nil)
+// segmentOf returns a segment with records, and where each ends.
+func segmentOf(records [][]byte) (data []byte, ends []int64) {
+	data = testHeader.Append(nil)
 	for i, r := range records {
-		data = AppendRecord(data, header.Epoch, int64(len(data)), header.FirstRecord+uint64(i), r)
+		data = AppendRecord(data, testHeader.Epoch, int64(len(data)), testHeader.FirstRecord+uint64(i), r)
 		ends = append(ends, int64(len(data)))
 	}
 	return data, ends
 }
 
-func scan(data []byte) (got map[uint32][]byte, order []uint32, end int64, damaged []Range) {
-	got = map[uint32][]byte{}
-	end, damaged = Scan(header, data, func(n uint32, _ int64, r []byte) {
-		got[n] = bytes.Clone(r)
-		order = append(order, n)
+// scanned is what Scan found in a segment.
+type scanned struct {
+	records map[uint32][]byte
+	order   []uint32
+	end     int64
+	damaged []Range
+}
+
+func scan(data []byte) scanned {
+	found := scanned{records: map[uint32][]byte{}}
+	found.end, found.damaged = Scan(testHeader, data, func(number uint32, _ int64, record []byte) {
+		found.records[number] = bytes.Clone(record)
+		found.order = append(found.order, number)
 	})
-	return got, order, end, damaged
+	return found
 }
 
-// sizes reach over a block's end in every way.
-func sizes() (records [][]byte) {
-	draw := rand.New(rand.NewPCG(1, 2))
-	for _, n := range []int{0, 1, 100, BlockSize - 300, 5, BlockSize, 3 * BlockSize, 0, BlockSize - 2*frameHeaderSize, 700} {
-		r := make([]byte, n)
-		for i := range r {
-			r[i] = byte(draw.Uint32())
+// recordsOverBlockEnds returns records whose frames reach over a block's end in every way.
+func recordsOverBlockEnds() (records [][]byte) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	sizes := []int{
+		0, 1, 100, BlockSize - 300, 5, BlockSize, 3 * BlockSize, 0, BlockSize - 2*frameHeaderSize, 700,
+	}
+	for _, size := range sizes {
+		record := make([]byte, size)
+		for i := range record {
+			record[i] = byte(rng.Uint32())
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	return records
 }
 
-func TestReadsBackWhatWasWritten(t *testing.T) {
+func TestScanReadsWrittenRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 9000), 0, 8).Draw(t, "records")
-		data, _ := wholeSegment(records)
-		got, order, end, damaged := scan(data)
-		if len(order) != len(records) || end != int64(len(data)) || len(damaged) > 0 {
-			t.Fatalf("%d of %d records, end %d of %d, damaged %v", len(order), len(records), end, len(data), damaged)
+		data, _ := segmentOf(records)
+		found := scan(data)
+		if len(found.order) != len(records) || found.end != int64(len(data)) || len(found.damaged) > 0 {
+			t.Fatalf("%d of %d records, end %d of %d, damaged %v",
+				len(found.order), len(records), found.end, len(data), found.damaged)
 		}
-		for i, r := range records {
-			if n := uint32(header.FirstRecord) + uint32(i); order[i] != n || !bytes.Equal(got[n], r) {
+		for i, record := range records {
+			number := uint32(testHeader.FirstRecord) + uint32(i)
+			if found.order[i] != number || !bytes.Equal(found.records[number], record) {
 				t.Fatalf("record %d differs", i)
 			}
 		}
 	})
 }
 
-// Cut at every byte: all that was written whole before the cut is there, nothing else, and nothing is told as damaged.
-func TestCutAtEveryByte(t *testing.T) {
-	records := sizes()
-	data, ends := wholeSegment(records)
+// Cut at every byte: all records that were complete before the cut are found, nothing else, and nothing is reported as
+// damaged.
+func TestScanTruncatedAtEveryByte(t *testing.T) {
+	data, ends := segmentOf(recordsOverBlockEnds())
 	for n := HeaderSize; n <= len(data); n++ {
-		for _, tail := range [][]byte{nil, make([]byte, 5000)} { // and zeros at the end, as file systems leave
-			cut := append(bytes.Clone(data[:n]), tail...)
-			whole := 0 // zeros may be just what is missing
-			for whole < len(ends) && bytes.HasPrefix(cut, data[:ends[whole]]) {
-				whole++
+		for _, zeros := range []int{0, 5000} { // file systems may leave zeros at the end
+			cut := append(bytes.Clone(data[:n]), make([]byte, zeros)...)
+			complete := 0 // zeros may be just what is missing
+			for complete < len(ends) && bytes.HasPrefix(cut, data[:ends[complete]]) {
+				complete++
 			}
-			_, order, end, damaged := scan(cut)
-			if len(order) != whole || len(damaged) > 0 || whole > 0 && end != ends[whole-1] {
-				t.Fatalf(
-					"cut at %d, %d zeros: %d records, want %d; end %d, damaged %v",
-					n,
-					len(tail),
-					len(order),
-					whole,
-					end,
-					damaged,
-				)
+			found := scan(cut)
+			wrongEnd := complete > 0 && found.end != ends[complete-1]
+			if len(found.order) != complete || len(found.damaged) > 0 || wrongEnd {
+				t.Fatalf("cut at %d, %d zeros: %d records, want %d; end %d, damaged %v",
+					n, zeros, len(found.order), complete, found.end, found.damaged)
 			}
 		}
 	}
 }
 
-// Each byte flipped: no record comes back other than it was written, all but those that touch the byte's block are
-// there, and the byte lies in what is told as damaged, or behind the end.
-func TestEveryByteFlipped(t *testing.T) {
-	records := sizes()
-	data, ends := wholeSegment(records)
+// Each byte flipped: every record that is found is as it was written, all are found but those that share a block with
+// the byte, and the byte lies in what is reported as damaged, or behind the end.
+func TestScanWithEveryByteFlipped(t *testing.T) {
+	records := recordsOverBlockEnds()
+	data, ends := segmentOf(records)
 	for at := HeaderSize; at < len(data); at++ {
-		spoilt := bytes.Clone(data)
-		spoilt[at] ^= 0x5a
-		got, order, end, damaged := scan(spoilt)
+		flipped := bytes.Clone(data)
+		flipped[at] ^= 0x5a
+		found := scan(flipped)
 		block := int64(at) / BlockSize
 		start := int64(HeaderSize)
 		missing := 0
-		for i, r := range records {
-			n := uint32(header.FirstRecord) + uint32(i)
-			x, ok := got[n]
-			touches := start/BlockSize <= block && (ends[i]-1)/BlockSize >= block
-			if ok && !bytes.Equal(x, r) || !ok && !touches {
-				t.Fatalf("byte %d: record %d is there: %v, touches the block: %v", at, i, ok, touches)
+		for i, record := range records {
+			got, ok := found.records[uint32(testHeader.FirstRecord)+uint32(i)]
+			sharesBlock := start/BlockSize <= block && (ends[i]-1)/BlockSize >= block
+			if ok && !bytes.Equal(got, record) || !ok && !sharesBlock {
+				t.Fatalf("byte %d: record %d is found: %v, shares the block: %v", at, i, ok, sharesBlock)
 			}
 			if !ok {
 				missing++
 			}
 			start = ends[i]
 		}
-		told := int64(at) >= end
-		for _, d := range damaged {
-			told = told || int64(at) >= d.From && int64(at) < d.To
-		}
-		if len(order) != len(got) || missing > 0 && !told {
-			t.Fatalf("byte %d: %d missing, end %d, damaged %v", at, missing, end, damaged)
+		reported := int64(at) >= found.end || slices.ContainsFunc(found.damaged, func(d Range) bool {
+			return int64(at) >= d.From && int64(at) < d.To
+		})
+		if len(found.order) != len(found.records) || missing > 0 && !reported {
+			t.Fatalf("byte %d: %d missing, end %d, damaged %v", at, missing, found.end, found.damaged)
 		}
 	}
 }
 
-// A payload that holds a whole segment, at whatever offset, and is laid bare by damage in front of it, yields no
+// A payload that holds a whole segment, at whatever offset, and is uncovered by damage in front of it, yields no
 // record.
-func TestAPayloadNeverPassesForARecord(t *testing.T) {
-	evil, _ := wholeSegment([][]byte{[]byte("end of another's message")})
+func TestPayloadIsNeverReadAsRecord(t *testing.T) {
+	hostile, _ := segmentOf([][]byte{[]byte("end of another's message")})
 	for shift := range BlockSize {
-		payload := append(make([]byte, shift), evil...)
-		payload = append(payload, evil[HeaderSize:]...)
+		payload := append(make([]byte, shift), hostile...)
+		payload = append(payload, hostile[HeaderSize:]...)
 		payload = append(payload, make([]byte, BlockSize)...)
-		data, _ := wholeSegment([][]byte{[]byte("one"), payload})
+		data, _ := segmentOf([][]byte{[]byte("one"), payload})
 		for _, cut := range []int{len(data) - 1, len(data) - BlockSize} {
-			if _, order, _, _ := scan(data[:cut]); len(order) != 1 {
-				t.Fatalf("shift %d: records %v", shift, order)
+			if found := scan(data[:cut]); len(found.order) != 1 {
+				t.Fatalf("shift %d: records %v", shift, found.order)
 			}
 		}
 	}
 }
 
-func TestHeaders(t *testing.T) {
-	good := header.Append(nil)
-	if h, err := ParseHeader(good); err != nil || h != header || len(good) != HeaderSize {
+func TestParseHeader(t *testing.T) {
+	good := testHeader.Append(nil)
+	if h, err := ParseHeader(good); err != nil || h != testHeader || len(good) != HeaderSize {
 		t.Errorf("%+v, %v", h, err)
 	}
 	for bit := range 8 * HeaderSize {
@@ -155,7 +162,7 @@
 			t.Errorf("%d bytes: %v", n, err)
 		}
 	}
-	newer := header
+	newer := testHeader
 	newer.Format++
 	if _, err := ParseHeader(newer.Append(nil)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("newer: %v", err)
@@ -163,13 +170,13 @@
 }
 
 func FuzzScan(f *testing.F) {
-	data, _ := wholeSegment([][]byte{[]byte("one"), nil, []byte("three")})
+	data, _ := segmentOf([][]byte{[]byte("one"), nil, []byte("three")})
 	f.Add(data[HeaderSize:])
 	f.Add(data[HeaderSize+5:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		data := append(header.Append(nil), body...)
+		data := append(testHeader.Append(nil), body...)
 		last := int64(0)
-		end, damaged := Scan(header, data, func(_ uint32, at int64, _ []byte) {
+		end, damaged := Scan(testHeader, data, func(_ uint32, at int64, _ []byte) {
 			if at <= last {
 				t.Errorf("a record at %d after one at %d", at, last)
 			}
@@ -193,7 +200,7 @@
 			b.SetBytes(int64(n))
 			b.ReportAllocs()
 			for b.Loop() {
-				buf = AppendRecord(buf[:0], header.Epoch, HeaderSize, 1, record)
+				buf = AppendRecord(buf[:0], testHeader.Epoch, HeaderSize, 1, record)
 			}
 		})
 	}
