--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -48,13 +48,13 @@
 	cfg              Config
 	log              *slog.Logger
 	logOut           io.Writer // where recordings go
-	hosts            *hosts
-	clients          *clients
+	egress           *EgressClient
+	ingress          *IngressServer
 	finals           *Sender
 	agent            *Client
 	recorder         *recording
 	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
-	events           chan any
+	events           chan event
 	sharedRecorder   atomic.Pointer[recording]     // rec, for other goroutines
 	awaitingHandover atomic.Bool                   // for the process before this one to hand over
 	loopDone         chan struct{}                 // closed when the loop has ended
@@ -94,6 +94,7 @@
 	lastMessageID     uint32
 	timerAt           time.Time       // zero: none asked for
 	deferredEvents    []policy.Event  // for the next step
+	current           stepState       // of the step that runs
 	journalFull       ratelog.Warning // the log takes no new work
 	sendsUnrecorded   ratelog.Warning // nor the sends of calls
 	unreadableEntries ratelog.Warning // entries of the list cannot be read
@@ -111,7 +112,7 @@
 	started := time.Now().Add(-initialClock)
 	r := &Relay{
 		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: NewClient(cfg.DiscoveryAddr),
-		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
+		events: make(chan event, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
 		journalFull: ratelog.Warning{
 			Message: "refusing new messages",
@@ -124,8 +125,8 @@
 		log.Warn("starting without a list of hosts", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
-	r.hosts = newHosts(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
+	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.egress = NewEgressClient(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
@@ -182,7 +183,7 @@
 	go r.newWatcher().Run(lead)
 
 	accepting := make(chan struct{})
-	go func() { defer close(accepting); r.clients.run(listener) }()
+	go func() { defer close(accepting); r.ingress.Serve(listener) }()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
 	if r.handOver() {
@@ -197,7 +198,7 @@
 	stop()
 	<-r.loopDone
 	linked.Wait()
-	r.hosts.close()
+	r.egress.Close()
 	if r.successor != nil {
 		r.successor.Close()
 	}
@@ -208,8 +209,8 @@
 func (r *Relay) newWatcher() *Watcher {
 	return &Watcher{
 		Log: r.log, Client: r.agent, IdleTimeout: WatchIdleTimeout, ListTimeout: ListTimeout, Version: r.listVersion, NeedsSnapshot: r.snapshotNeeded, HasList: r.endpointsKnown.Load(),
-		OnUpdate: func(l List) { r.post(l) }, Parse: r.cfg.parseEndpoint,
-		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(p) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
+		OnUpdate: func(l List) { r.post(listEvent{l}) }, Parse: r.cfg.parseEndpoint,
+		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(partEvent{p}) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
 		Backoff: NewBackoff(r.cfg), Rand: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
 		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, oversizeLists: ratelog.Warning{Message: "list not taken"},
 	}
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r.callCtx = old.callCtx
-	t.Cleanup(func() { r.hosts.close() })
+	t.Cleanup(func() { r.egress.Close() })
 	r.takeUp(s)
 	return r
 }
@@ -69,26 +69,26 @@
 			if len(r.remote) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
 				t.Fatalf("remote %d, held %d, calls %d", len(r.remote), r.pending, len(r.activeCalls))
 			}
-			r.step([]any{tick{}})
+			r.step([]event{tick{}})
 			if len(r.activeCalls) != 0 {
 				t.Fatal("sent again with the outcome still to come")
 			}
-			r.step([]any{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
+			r.step([]event{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
 			if r.messages[in[0].message.ID] != nil || r.pending != 2 {
 				t.Errorf("delivered there, not ended here: held %d", r.pending)
 			}
-			r.step([]any{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
+			r.step([]event{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
 			views, _ := r.engine.Views()
 			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
 				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.activeCalls), views)
 			}
-			r.step([]any{beforeGone{}})
+			r.step([]event{beforeGone{}})
 			m := r.messages[in[2].message.ID]
 			if len(r.remote) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
 				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
-			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.status != http.StatusAccepted || r.pending != 2 {
+			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.Status != http.StatusAccepted || r.pending != 2 {
 				t.Errorf("handed in again: %+v, held %d", a, r.pending)
 			}
 		})
@@ -151,14 +151,14 @@
 	var f forwards
 	none := newHandIn("m1", 7, time.Second)
 	f.handIn(nil, none)
-	if a := <-none.reply; a.status != http.StatusServiceUnavailable || a.again == 0 {
+	if a := <-none.reply; a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("%+v", a)
 	}
 	open := newHandIn("m2", 7, time.Second)
 	f.open = map[uint64]*submitEvent{3: open}
 	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
 	f.end()
-	if a := <-open.reply; a.status != http.StatusInternalServerError || !f.none() {
+	if a := <-open.reply; a.Status != http.StatusInternalServerError || !f.none() {
 		t.Errorf("%+v", a)
 	}
 }
