--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -32,8 +32,8 @@
 	return r, p
 }
 
-// pollCPUTime kills the process and returns the processor time that it used.
-func (r *relayProcess) pollCPUTime() time.Duration {
+// killForCPUTime kills the process and returns the processor time that it used.
+func (r *relayProcess) killForCPUTime() time.Duration {
 	cmd := r.cmd
 	r.kill()
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -45,21 +45,21 @@
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, p := startInLargeFleet(b)
-	r.pollCPUTime()
+	r.killForCPUTime()
 	var start time.Duration
 	for range starts {
 		r.start(p)
-		start += r.pollCPUTime() / starts
+		start += r.killForCPUTime() / starts
 	}
 	b.ReportMetric(float64(start.Microseconds())/1000, "ms/start")
 	r.start(p)
 	time.Sleep(idle * time.Second)
-	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
+	b.ReportMetric(float64((r.killForCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
 	r.start(p)
 	for i := range messages {
 		r.mustAccept(traceID(i), 9*time.Second)
 	}
-	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/messages, "us/message")
+	b.ReportMetric(float64((r.killForCPUTime()-start).Microseconds())/messages, "us/message")
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -253,7 +253,7 @@
 
 // A relay that is stopped in the middle of telling is neither taken for fresh by the others, nor takes for fresh what
 // waited for it.
-func TestAStalledRelay(t *testing.T) {
+func TestStalledRelay(t *testing.T) {
 	g := newTestFleet(t, 3, newEndpoint(t, nil))
 	g.start(g.allRelays()...)
 	g.sendTraffic()
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -52,7 +52,7 @@
 
 // A relay of its own process, asked for its recording by a signal: it replays without a difference in this process, and
 // tells why a message waited.
-func TestARecordingOfARealRelay(t *testing.T) {
+func TestRecordingOfAProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
 	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
@@ -93,7 +93,7 @@
 }
 
 // Where a platform keeps nothing but the log, recordings go there, and what a killed process wrote is taken out of it.
-func TestARecordingInTheLog(t *testing.T) {
+func TestRecordingInTheLog(t *testing.T) {
 	r := runRecorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
 	log := filepath.Join(r.dir, "log")
 	eventually(t, "the recording in the log", func() bool {
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -154,7 +154,7 @@
 }
 
 // The second address answers while clients crowd the first, and tells of the end.
-func TestReadinessAndFigures(t *testing.T) {
+func TestReadinessAndMetrics(t *testing.T) {
 	var h *endpoint
 	hold := make(chan struct{})
 	h = newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
@@ -201,7 +201,7 @@
 // SIGHUP moves discovery while the old address is silent, breaks off or turns callers away: the relay, one of 300,
 // hears the new one at once, and goes by its list alone; SIGTERM in the middle of a move ends it in order, with its
 // message kept or delivered.
-func TestDiscoveryMovesAwayFromOneInTrouble(t *testing.T) {
+func TestReloadMovesAwayFromFaultyDiscovery(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"breaks off": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -266,7 +266,7 @@
 
 // A known list that cannot be read or is empty is none: the relay starts, keeps what it had taken, and is ready once
 // discovery has told one.
-func TestAKnownListThatCannotBeRead(t *testing.T) {
+func TestUnreadableKnownList(t *testing.T) {
 	p, h := newPlatform(t), newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}, nil)
 	r.mustAccept("m1", 12*time.Second) // no host takes it
--- a/cmd/cherrytrestle/window_test.go
+++ b/cmd/cherrytrestle/window_test.go
@@ -23,7 +23,7 @@
 // Calls with a key are out when the process is killed, and repeats are dropped for a second only, and in one zone. The
 // next process repeats them where it comes in time, and never past the window or in the other zone; what it may not
 // repeat gets a notice.
-func TestNoRepeatPastAWindowOfASecond(t *testing.T) {
+func TestNoRepeatPastTheDedupWindow(t *testing.T) {
 	const window, messages = time.Second, 6
 	for _, c := range []struct {
 		name    string
