--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net/http"
 	"slices"
 	"strings"
@@ -32,7 +31,7 @@
 	t.Helper()
 	p, err := faultproxy.Start("127.0.0.1:0", h.addr(), 1)
 	must(t, err)
-	t.Cleanup(func() { p.Close() })
+	t.Cleanup(func() { closeQuietly(p) })
 	for _, text := range rules {
 		rule, err := faultproxy.ParseRule(text)
 		must(t, err)
@@ -110,7 +109,7 @@
 				if c.first == "chunked" {
 					w.(http.Flusher).Flush()
 				}
-				io.WriteString(w, "ok")
+				writeQuietly(w, "ok")
 			})
 			// Each class has a wire of its own, whose first connection is struck.
 			for _, class := range []string{"pay", "order"} {
@@ -233,13 +232,13 @@
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 		status := 0
 		if res, err := client.Do(req); err == nil {
-			res.Body.Close()
+			closeQuietly(res.Body)
 			status = res.StatusCode
 		}
 		if status == http.StatusAccepted {
 			eventually(t, id, func() bool { return h.count(id) == 1 })
 		}
-		p.Close()
+		closeQuietly(p)
 		next := fmt.Sprint("next", i)
 		r.mustAccept(next, 10*time.Second)
 		eventually(t, next, func() bool { return h.count(next) == 1 })
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -37,9 +37,9 @@
 		l, err := net.Listen("tcp", ip+":0")
 		must(t, err)
 		u, err := net.ListenPacket("udp", l.Addr().String())
-		l.Close()
+		closeQuietly(l)
 		if err == nil {
-			u.Close()
+			closeQuietly(u)
 			return l.Addr().String()
 		}
 	}
@@ -60,7 +60,7 @@
 			}
 			l, err := faultproxy.StartLink("127.0.0.1", g.listens[j], uint64(i*n+j))
 			must(t, err)
-			t.Cleanup(func() { l.Close() })
+			t.Cleanup(func() { closeQuietly(l) })
 			g.links[[2]int{i, j}] = l
 		}
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return s
 	}
-	defer res.Body.Close()
+	defer closeQuietly(res.Body)
 	json.NewDecoder(res.Body).Decode(&s)
 	return s
 }
@@ -179,7 +179,7 @@
 				case <-time.After(20 * time.Millisecond):
 				}
 				if res, err := r.client.Do(r.request(fmt.Sprintf("m-%d-%d", i, n), 10*time.Second, nil)); err == nil {
-					res.Body.Close()
+					closeQuietly(res.Body)
 				}
 			}
 		}
@@ -291,7 +291,7 @@
 		), Listen: g.listens[3], Peers: join, Incarnation: life, Log: slog.New(slog.DiscardHandler), SaveIncarnation: func(uint64) error { return nil },
 	})
 	must(t, err)
-	defer liar.Close()
+	defer closeQuietly(liar)
 	page := func(seq uint64, calls float64) []loadreport.Report {
 		return []loadreport.Report{
 			{
@@ -326,7 +326,7 @@
 	g := newTestFleet(t, 4, h)
 	taken, err := net.Listen("tcp", g.listens[0])
 	must(t, err)
-	defer taken.Close()
+	defer closeQuietly(taken)
 	g.writeOperatorFile(2, "label = \"another\"\n", nil)
 	// Relay 3 is listed by nobody, and knows all.
 	for _, i := range []int{0, 1, 2} {
@@ -350,7 +350,7 @@
 		"a stranger is kept out",
 		func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 },
 	)
-	taken.Close()
+	closeQuietly(taken)
 	g.waitReceived([]int{0, 1}, []int{0, 1})
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -43,10 +43,10 @@
 		act  func(conn net.Conn)
 	}{
 		{"say nothing", func(net.Conn) {}},
-		{"stop half way", func(conn net.Conn) { io.WriteString(conn, whole+"half") }},
+		{"stop half way", func(conn net.Conn) { writeQuietly(conn, whole+"half") }},
 		{"send much and go", func(conn net.Conn) {
 			conn.Write(make([]byte, 1<<20))
-			conn.Close()
+			closeQuietly(conn)
 		}},
 		{"read nothing of their answers", func(conn net.Conn) {
 			for range 200 {
@@ -55,7 +55,7 @@
 				}
 			}
 		}},
-		{"bad requests that go on", func(conn net.Conn) { io.WriteString(conn, strings.Repeat("NONSENSE\r\n\r\n", 2000)) }},
+		{"bad requests that go on", func(conn net.Conn) { writeQuietly(conn, strings.Repeat("NONSENSE\r\n\r\n", 2000)) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, h := newPlatform(t), newEndpoint(t, nil)
@@ -91,8 +91,8 @@
 					if err != nil {
 						return false
 					}
-					io.Copy(io.Discard, res.Body)
-					res.Body.Close()
+					drain(res.Body)
+					closeQuietly(res.Body)
 					return res.StatusCode == http.StatusAccepted
 				})
 				most, memory = max(most, r.descriptors()), max(memory, r.resident())
@@ -103,7 +103,7 @@
 			}
 			close(conns)
 			for conn := range conns {
-				conn.Close()
+				closeQuietly(conn)
 			}
 			t.Logf("%d descriptors, %d MB", most, memory>>20)
 		})
@@ -157,7 +157,7 @@
 			}
 			j, found, err := journal.OpenFolder(filepath.Join(r.dir, "state"), journal.Options{Limit: 3e6})
 			must(t, err)
-			defer j.Close()
+			defer closeQuietly(j)
 			if len(found.Messages) != n || !found.Intact() {
 				t.Errorf("%d messages of %d, sound %v", len(found.Messages), n, found.Intact())
 			}
--- /dev/null
+++ b/cmd/cherrytrestle/helpers_test.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"io"
+	"testing"
+	"time"
+)
+
+// conditionTimeout is longer than any awaited condition takes.
+const conditionTimeout = 15 * time.Second
+
+func eventually(t testing.TB, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(conditionTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+func must(t testing.TB, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// closeQuietly closes what a test no longer needs: an error of that says nothing about the relay.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// drain reads until the end, or until the relay closes the connection.
+func drain(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
+
+// writeQuietly writes to a connection that the relay may have closed already.
+func writeQuietly(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
--- a/cmd/cherrytrestle/idleclients_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -43,11 +42,11 @@
 			for ctx.Err() == nil {
 				conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 				if err == nil {
-					stop := context.AfterFunc(ctx, func() { conn.Close() })
+					stop := context.AfterFunc(ctx, func() { closeQuietly(conn) })
 					first(conn)
-					io.Copy(io.Discard, conn)
+					drain(conn)
 					stop()
-					conn.Close()
+					closeQuietly(conn)
 				}
 				select {
 				case <-ctx.Done():
@@ -69,8 +68,8 @@
 	}{
 		{40, "silent", func(net.Conn) {}},
 		{96, "silent", func(net.Conn) {}},
-		{96, "resting after a request", func(conn net.Conn) { io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n") }},
-		{96, "half a request", func(conn net.Conn) { io.WriteString(conn, "POST /order HTTP/1.1\r\nHost: x\r\nContent-Le") }},
+		{96, "resting after a request", func(conn net.Conn) { writeQuietly(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n") }},
+		{96, "half a request", func(conn net.Conn) { writeQuietly(conn, "POST /order HTTP/1.1\r\nHost: x\r\nContent-Le") }},
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.sockets), func(t *testing.T) {
 			t.Parallel()
@@ -81,7 +80,7 @@
 				if down.Load() {
 					conn, _, err := w.(http.Hijacker).Hijack()
 					must(t, err)
-					conn.Close()
+					closeQuietly(conn)
 					return
 				}
 				list := map[string]any{
@@ -114,7 +113,7 @@
 					if err != nil {
 						return false
 					}
-					res.Body.Close()
+					closeQuietly(res.Body)
 					return res.StatusCode == want
 				}
 			}
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -54,7 +54,7 @@
 					if err != nil {
 						continue
 					}
-					res.Body.Close()
+					closeQuietly(res.Body)
 					if res.StatusCode == http.StatusAccepted {
 						mu.Lock()
 						taken = append(taken, id)
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -64,7 +64,7 @@
 					),
 				)
 				if err == nil {
-					res.Body.Close()
+					closeQuietly(res.Body)
 				}
 				return err == nil && res.StatusCode != http.StatusBadRequest
 			})
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -37,24 +37,6 @@
 	os.Exit(m.Run())
 }
 
-const conditionTimeout = 15 * time.Second // longer than any condition takes
-
-func eventually(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(conditionTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
-		}
-	}
-}
-
-func must(t testing.TB, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
-
 // listEntry is an entry of the list.
 type listEntry map[string]any
 
@@ -256,7 +238,7 @@
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	must(t, err)
 	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
-	l.Close()
+	closeQuietly(l)
 	must(t, os.Mkdir(filepath.Join(r.dir, "state"), 0o700))
 	r.config = map[string]any{
 		"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings,
@@ -293,7 +275,7 @@
 	eventually(r.t, "ready", func() bool {
 		res, err := r.client.Get("http://" + r.addr + "/_health")
 		if err == nil {
-			res.Body.Close()
+			closeQuietly(res.Body)
 		}
 		return err == nil && res.StatusCode == http.StatusOK
 	})
@@ -304,7 +286,7 @@
 	r.t.Helper()
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must(r.t, err)
-	defer log.Close()
+	defer closeQuietly(log)
 	r.cmd = exec.Command(cmp.Or(r.program, os.Args[0]))
 	if r.socket != nil {
 		r.cmd.ExtraFiles = []*os.File{r.socket}
@@ -348,8 +330,8 @@
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
 	must(r.t, err)
-	io.Copy(io.Discard, res.Body)
-	res.Body.Close()
+	drain(res.Body)
+	closeQuietly(res.Body)
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
@@ -539,7 +521,7 @@
 	eventually(t, "not ready", func() bool {
 		res, err := r.client.Get("http://" + r.addr + "/_health")
 		if err == nil {
-			res.Body.Close()
+			closeQuietly(res.Body)
 		}
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
@@ -592,8 +574,8 @@
 					}
 					mu.Unlock()
 					if err == nil {
-						io.Copy(io.Discard, res.Body)
-						res.Body.Close()
+						drain(res.Body)
+						closeQuietly(res.Body)
 					}
 				}
 			})
@@ -743,12 +725,12 @@
 	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
-		defer conn.Close()
+		defer closeQuietly(conn)
 		fmt.Fprint(conn, part)
 	}
 	bad, err := net.Dial("tcp", r.addr)
 	must(t, err)
-	defer bad.Close()
+	defer closeQuietly(bad)
 	fmt.Fprint(bad, "NONSENSE\r\n\r\n")
 	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
 		t.Errorf("%q, %v", line, err)
--- a/cmd/cherrytrestle/quota_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -76,7 +76,7 @@
 			case <-time.After(25 * time.Millisecond):
 			}
 			if res, err := g.relays[0].client.Do(g.relays[0].request(fmt.Sprint("b-", k), 10*time.Second, func(r *http.Request) {})); err == nil {
-				res.Body.Close()
+				closeQuietly(res.Body)
 			}
 		}
 	}()
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -19,7 +19,7 @@
 func withManagement(t testing.TB, r *relayProcess) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	l.Close()
+	closeQuietly(l)
 	r.config["management"] = l.Addr().String()
 	r.writeConfig()
 	return l.Addr().String()
@@ -30,7 +30,7 @@
 	t.Helper()
 	res, err := http.Get("http://" + addr + "/v1/metrics")
 	must(t, err)
-	defer res.Body.Close()
+	defer closeQuietly(res.Body)
 	data, err := io.ReadAll(res.Body)
 	must(t, err)
 	for line := range strings.Lines(string(data)) {
@@ -175,7 +175,7 @@
 	ready := func() int {
 		res, err := http.Get("http://" + second + "/v1/readyz")
 		must(t, err)
-		res.Body.Close()
+		closeQuietly(res.Body)
 		return res.StatusCode
 	}
 	if status := ready(); status != http.StatusOK {
@@ -184,7 +184,7 @@
 	for range 100 { // they connect and say nothing
 		c, err := net.Dial("tcp", r.addr)
 		must(t, err)
-		defer c.Close()
+		defer closeQuietly(c)
 	}
 	r.mustAccept("slow", 10*time.Second)
 	eventually(t, "the call is out", func() bool { return h.count("slow") == 1 })
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -57,7 +57,7 @@
 	must(t, err)
 	f, err := os.OpenFile(*readings, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	must(t, err)
-	defer f.Close()
+	defer closeQuietly(f)
 	_, err = f.Write(append(line, '\n'))
 	must(t, err)
 }
@@ -221,7 +221,7 @@
 			if err != nil {
 				continue // it does not listen yet
 			}
-			res.Body.Close()
+			closeQuietly(res.Body)
 			now := time.Now()
 			if !last.IsZero() {
 				h.longest.Store(max(h.longest.Load(), int64(now.Sub(last))))
@@ -349,7 +349,8 @@
 					not.Add(1)
 					continue
 				}
-				if res.Body.Close(); res.StatusCode != http.StatusAccepted {
+				closeQuietly(res.Body)
+				if res.StatusCode != http.StatusAccepted {
 					not.Add(1)
 				}
 			}
@@ -509,7 +510,8 @@
 					turnedAway.Add(1)
 					continue
 				}
-				if res.Body.Close(); res.StatusCode == http.StatusAccepted {
+				closeQuietly(res.Body)
+				if res.StatusCode == http.StatusAccepted {
 					taken.Add(1)
 				} else {
 					turnedAway.Add(1)
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -39,7 +39,7 @@
 			conn, err := net.Dial("tcp", r.addr)
 			must(t, err)
 			must(t, r.request("gone", 10*time.Second, nil).Write(conn))
-			conn.Close()
+			closeQuietly(conn)
 			term(r)
 		}},
 	} {
@@ -57,7 +57,7 @@
 			eventually(t, "it listens", func() bool {
 				conn, err := net.Dial("tcp", r.addr)
 				if err == nil {
-					conn.Close()
+					closeQuietly(conn)
 				}
 				return err == nil
 			})
@@ -91,9 +91,9 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		io.Copy(io.Discard, conn)
+		drain(conn)
 	})
-	t.Cleanup(func() { conn.Close(); sending.Wait() })
+	t.Cleanup(func() { closeQuietly(conn); sending.Wait() })
 }
 
 // Clients that rest are ended without a reset at SIGTERM.
@@ -105,7 +105,7 @@
 	for range 20 {
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
-		t.Cleanup(func() { conn.Close() })
+		t.Cleanup(func() { closeQuietly(conn) })
 		_, err = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		must(t, err)
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -21,10 +20,10 @@
 	r.kill()
 	l, err := net.Listen("tcp", r.addr)
 	must(t, err)
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeQuietly(l) })
 	r.socket, err = l.(*net.TCPListener).File()
 	must(t, err)
-	t.Cleanup(func() { r.socket.Close() })
+	t.Cleanup(func() { closeQuietly(r.socket) })
 	second := withManagement(t, r)
 	r.start(p)
 	waitReady(t, second)
@@ -37,7 +36,7 @@
 		if err != nil {
 			return false
 		}
-		res.Body.Close()
+		closeQuietly(res.Body)
 		return res.StatusCode == http.StatusOK
 	})
 }
@@ -82,13 +81,13 @@
 	if err != nil {
 		c.failures.Add(1)
 		c.r.t.Logf("%s: %v", id, err)
-		c.conn.Close()
+		closeQuietly(c.conn)
 		c.conn = nil
 		return 0
 	}
-	io.Copy(io.Discard, res.Body)
+	drain(res.Body)
 	if res.Close {
-		c.conn.Close()
+		closeQuietly(c.conn)
 		c.conn = nil
 	}
 	return res.StatusCode
