--- /dev/null
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -0,0 +1,203 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+func TestAcceptsAndDelivers(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("m2", 10*time.Second)
+	eventually(t, "both delivered", func() bool { return h.count("m1") == 1 && h.count("m2") == 1 })
+}
+
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
+	for i, c := range []struct {
+		edit func(*http.Request)
+		want int
+	}{
+		{set("X-Trace-Id", ""), 400},
+		{set("X-Trace-Id", strings.Repeat("x", 300)), 400},
+		{set("X-Qos", "other"), 400},
+		{set("X-Customer", "nobody"), 400},
+		{set("Idempotency-Key", ""), 400},
+		{set("Envelope", ""), 400},
+		{set("Envelope", "dest=x"), 400},
+		{set("Envelope", "dest=-1"), 400},
+		{set("X-Expires-In-Ms", ""), 400},
+		{set("X-Expires-In-Ms", "-5"), 400},
+		{set("X-Expires-In-Ms", "1e3"), 400},
+		{set("X-Expires-In-Ms", "99999999999999999999"), 400},
+		{func(q *http.Request) { q.URL.Path = "/unknown"; q.Header.Set("X-Qos", "unknown") }, 400},
+		{func(q *http.Request) {
+			q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10+1)))
+			q.ContentLength = 64<<10 + 1
+		}, 413},
+		{func(q *http.Request) {
+			q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10+1)))
+			q.ContentLength = -1
+		}, 413},
+		{func(q *http.Request) { q.Method = http.MethodPut }, 405},
+	} {
+		id := fmt.Sprint("bad", i)
+		if status, _ := r.submit(id, 10*time.Second, c.edit); status != c.want {
+			t.Errorf("request %d: status %d, want %d", i, status, c.want)
+		}
+	}
+	big := func(q *http.Request) {
+		q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10)))
+		q.ContentLength = 64 << 10
+	}
+	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
+		t.Errorf("64 KiB: status %d", status)
+	}
+	eventually(t, "the good one delivered", func() bool { return h.count("big") == 1 })
+	if h.calls != 1 {
+		t.Errorf("%d calls", h.calls)
+	}
+}
+
+func TestPendingMessagesAreBounded(t *testing.T) {
+	const held = 5
+	wait := make(chan struct{})
+	p, h := newPlatform(t), newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+		select {
+		case <-wait:
+		case <-r.Context().Done():
+		}
+	})
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
+		s["bounds"].(map[string]any)["open_cap"] = held
+		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all go out, and none can be refused for another
+	})
+	defer close(wait)
+	taken := 0
+	for i := range 3 * held {
+		status, again := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
+		switch {
+		case status == http.StatusAccepted:
+			taken++
+		case status != http.StatusServiceUnavailable || again == "":
+			t.Errorf("status %d, advice %q", status, again)
+		}
+	}
+	if taken < held-1 || taken > held { // the module turns away a little before the cap
+		t.Errorf("%d taken on, the cap is %d", taken, held)
+	}
+}
+
+// What the module gives up on gets its answer by a notice, and the notice goes on until it is taken.
+func TestNotificationsAreRetried(t *testing.T) {
+	p := newPlatform(t)
+	p.failNotifications = 3
+	h := newEndpoint(
+		t,
+		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
+	)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 700*time.Millisecond)
+	eventually(t, "a notice", func() bool { return p.notification("m1") != nil })
+	if f := p.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
+		t.Errorf("notice %v", f)
+	}
+}
+
+func TestRetryAfterIsObserved(t *testing.T) {
+	const wait = 600 * time.Millisecond
+	p := newPlatform(t)
+	var mu sync.Mutex
+	var told time.Time
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+		mu.Lock()
+		defer mu.Unlock()
+		if told.IsZero() {
+			told = time.Now()
+			w.Header().Set("Retry-After", "0.600")
+			w.WriteHeader(http.StatusTooManyRequests)
+		}
+	})
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "the wait", func() bool { return h.count("m1") == 1 })
+	for i := range 5 {
+		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
+	}
+	eventually(t, "all delivered", func() bool { return h.count("m1") == 2 && h.count("w4") == 1 })
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, id := range h.seen {
+		if since := h.at[i].Sub(told); i > 0 && since < wait && since > 100*time.Millisecond {
+			t.Errorf("%s came %v after the wait was told", id, since)
+		}
+	}
+}
+
+// What waits for one route when it opens goes as one call.
+func TestMessagesShareACall(t *testing.T) {
+	p := newPlatform(t)
+	var mu sync.Mutex
+	var most, calls int
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+		mu.Lock()
+		defer mu.Unlock()
+		if calls++; calls == 1 {
+			w.Header().Set("Retry-After", "0.4")
+			w.WriteHeader(http.StatusTooManyRequests)
+			return
+		}
+		if most = max(most, len(ids)); len(ids) > 1 {
+			var states []string
+			for i, id := range ids {
+				states = append(states, fmt.Sprintf(`{"id":%q,"state":%q}`, id, []string{"ok", "later"}[i%2]))
+			}
+			fmt.Fprintf(w, "[%s]", strings.Join(states, ","))
+		}
+	})
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r.mustAccept("m0", 10*time.Second)
+	eventually(t, "the wait", func() bool { return h.count("m0") == 1 })
+	for i := range 8 {
+		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
+	}
+	eventually(t, "a bundle", func() bool { mu.Lock(); defer mu.Unlock(); return most > 1 })
+	if most > 10 {
+		t.Errorf("%d in a call", most)
+	}
+}
+
+// Requests that stop half-way and connections that say nothing hold nobody up.
+func TestIncompleteRequestsBlockNobody(t *testing.T) {
+	p, h := newPlatform(t), newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
+		conn, err := net.Dial("tcp", r.addr)
+		must(t, err)
+		defer closeQuietly(conn)
+		fmt.Fprint(conn, part)
+	}
+	bad, err := net.Dial("tcp", r.addr)
+	must(t, err)
+	defer closeQuietly(bad)
+	fmt.Fprint(bad, "NONSENSE\r\n\r\n")
+	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
+		t.Errorf("%q, %v", line, err)
+	}
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
+	if err := r.terminate(); err != nil {
+		t.Errorf("with half a request open: %v", err)
+	}
+}
--- /dev/null
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+)
+
+func TestDrainingAndWatchResume(t *testing.T) {
+	p, one, two := newPlatform(t), newEndpoint(t, nil), newEndpoint(t, nil)
+	better := newEntry("s-1", one.addr(), "a", "gateway", "ready")
+	better["weight"] = 900.0
+	r := newRelay(t, p, []listEntry{better, newEntry("s-2", two.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
+	better["state"] = "draining"
+	p.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the others cannot be read
+	eventually(t, "a message to the other host", func() bool {
+		id := fmt.Sprint("m", time.Now().UnixNano())
+		r.mustAccept(id, 10*time.Second)
+		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
+		return two.count(id) == 1
+	})
+	r.mustAccept("m2", 10*time.Second)
+	eventually(t, "m2", func() bool { return two.count("m2") == 1 })
+
+	p.CloseClientConnections()
+	eventually(t, "a second watch", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.indexes) > 1 })
+	if p.indexes[0] != "1" || p.indexes[1] != "2" {
+		t.Errorf("watches from %v", p.indexes)
+	}
+	better["state"] = "ready"
+	p.publish(true, better) // the other is missing: it is gone
+	eventually(t, "back at the first host", func() bool {
+		id := fmt.Sprint("n", time.Now().UnixNano())
+		r.mustAccept(id, 10*time.Second)
+		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
+		return one.count(id) == 1
+	})
+}
+
+// SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, the notices
+// follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
+func TestSIGHUPMovesDiscovery(t *testing.T) {
+	one, two := newEndpoint(t, nil), newEndpoint(t, nil)
+	shut := newEndpoint(
+		t,
+		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
+	)
+	first, second := newPlatform(t), newPlatform(t)
+	first.version = 40
+	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "the first host", func() bool { return one.count("m1") == 1 })
+	const many = 1 << 30
+	first.failNotifications = many // its notices are stuck there
+	first.publish(true, newEntry("s-3", shut.addr(), "a", "gateway", "ready"))
+	eventually(t, "a message turned away", func() bool {
+		id := fmt.Sprint("full", time.Now().UnixNano())
+		r.mustAccept(id, 500*time.Millisecond)
+		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
+		return shut.count(id) > 0
+	})
+	eventually(
+		t,
+		"a notice under way",
+		func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.failNotifications < many },
+	)
+
+	hup := func(p *platform) {
+		t.Helper()
+		r.config["discovery"] = p.Listener.Addr().String()
+		r.writeConfig()
+		must(t, r.cmd.Process.Signal(syscall.SIGHUP))
+	}
+	second.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
+	hup(second)
+	r.mustAccept("m2", 10*time.Second)
+	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
+	eventually(
+		t,
+		"the notice that was under way",
+		func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notifications) > 0 },
+	)
+
+	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
+	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
+	second.publish(
+		false,
+		newEntry("s-2", two.addr(), "a", "gateway", "draining"),
+		newEntry("s-1", one.addr(), "a", "gateway", "ready"),
+	)
+	r.mustAccept("m3", 10*time.Second)
+	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
+
+	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
+	hup(first)
+	eventually(t, "back at the first", func() bool {
+		id := fmt.Sprint("back", time.Now().UnixNano())
+		r.mustAccept(id, 10*time.Second)
+		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
+		return two.count(id) == 1
+	})
+	if err := r.terminate(); err != nil {
+		t.Errorf("ended: %v", err)
+	}
+}
--- /dev/null
+++ b/cmd/cherrytrestle/endpoint_test.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// endpoint is one endpoint.
+type endpoint struct {
+	*httptest.Server
+	mu     sync.Mutex
+	seen   []string    // ids, in the order of their calls
+	at     []time.Time // of each
+	calls  int
+	answer func(w http.ResponseWriter, r *http.Request, ids []string)
+}
+
+func newEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *endpoint {
+	h := &endpoint{answer: answer}
+	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		ids := []string{r.Header.Get("X-Trace-Id")}
+		if strings.HasSuffix(r.URL.Path, "/bundle") {
+			var items []struct{ ID string }
+			if json.Unmarshal(body, &items) != nil {
+				t.Errorf("bundle: %s", body)
+			}
+			ids = ids[:0]
+			for _, x := range items {
+				ids = append(ids, x.ID)
+			}
+		}
+		h.mu.Lock()
+		h.calls++
+		for _, id := range ids {
+			h.seen, h.at = append(h.seen, id), append(h.at, time.Now())
+		}
+		h.mu.Unlock()
+		if h.answer != nil {
+			h.answer(w, r, ids)
+		}
+	}))
+	t.Cleanup(func() { h.CloseClientConnections(); h.Close() })
+	return h
+}
+
+func (h *endpoint) addr() string { return h.Listener.Addr().String() }
+
+func (h *endpoint) count(id string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	n := 0
+	for _, x := range h.seen {
+		if x == id {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/cmd/cherrytrestle/measure_test.go
@@ -0,0 +1,124 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// cpuTime is the processor time that the process has used.
+func (r *relayProcess) cpuTime() time.Duration {
+	r.t.Helper()
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
+	must(r.t, err)
+	_, rest, _ := bytes.Cut(data, []byte(") "))
+	fields := strings.Fields(string(rest)) // from the third on
+	sum := 0
+	for _, f := range fields[11:13] {
+		n, err := strconv.Atoi(f)
+		must(r.t, err)
+		sum += n
+	}
+	return time.Duration(sum) * 10 * time.Millisecond // the system's clock tick
+}
+
+// memory is what the process holds or held at the most, in MB: VmRSS or VmHWM.
+func (r *relayProcess) memory(which string) float64 {
+	r.t.Helper()
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	must(r.t, err)
+	for line := range strings.Lines(string(data)) {
+		if value, ok := strings.CutPrefix(line, which+":"); ok {
+			kb, err := strconv.Atoi(strings.Fields(value)[0])
+			must(r.t, err)
+			return float64(kb) * 1024 / 1e6
+		}
+	}
+	r.t.Fatalf("no %s", which)
+	return 0
+}
+
+// disk is what the files of the relay's folder hold, in MB.
+func (r *relayProcess) disk() (mb float64) {
+	err := filepath.WalkDir(filepath.Join(r.dir, "state"), func(_ string, e fs.DirEntry, err error) error {
+		if err != nil || e.IsDir() {
+			return err
+		}
+		info, err := e.Info()
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil
+		} else if err == nil {
+			mb += float64(info.Size()) / 1e6
+		}
+		return err
+	})
+	must(r.t, err)
+	return mb
+}
+
+// healthMonitor asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
+// an answer took or that lay between two, once there was one.
+type healthMonitor struct {
+	began   time.Time
+	stop    chan struct{}
+	done    sync.WaitGroup
+	ready   atomic.Int64 // nanoseconds since began; 0: not yet
+	longest atomic.Int64
+}
+
+func (r *relayProcess) monitorHealth() *healthMonitor {
+	h := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
+	client := &http.Client{Timeout: 30 * time.Second}
+	h.done.Go(func() {
+		defer client.CloseIdleConnections()
+		var last time.Time
+		for {
+			select {
+			case <-h.stop:
+				return
+			case <-time.After(2 * time.Millisecond):
+			}
+			res, err := client.Get("http://" + r.addr + "/_health")
+			if err != nil {
+				continue // it does not listen yet
+			}
+			closeQuietly(res.Body)
+			now := time.Now()
+			if !last.IsZero() {
+				h.longest.Store(max(h.longest.Load(), int64(now.Sub(last))))
+			}
+			last = now
+			if res.StatusCode == http.StatusOK {
+				h.ready.CompareAndSwap(0, int64(now.Sub(h.began)))
+			}
+		}
+	})
+	r.t.Cleanup(h.end)
+	return h
+}
+
+func (h *healthMonitor) end() {
+	select {
+	case <-h.stop:
+	default:
+		close(h.stop)
+	}
+	h.done.Wait()
+}
+
+// untilReady waits for it for so long at most.
+func (h *healthMonitor) untilReady(most time.Duration) bool {
+	for h.ready.Load() == 0 && time.Since(h.began) < most {
+		time.Sleep(2 * time.Millisecond)
+	}
+	return h.ready.Load() != 0
+}
--- /dev/null
+++ b/cmd/cherrytrestle/platform_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// listEntry is an entry of the list.
+type listEntry map[string]any
+
+func newEntry(id, addr, zone, kind string, state string) listEntry {
+	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
+}
+
+// platform is discovery's agent.
+type platform struct {
+	*httptest.Server
+	mu                sync.Mutex
+	version           int
+	lines             chan string // to the watch
+	indexes           []string    // that watches came with
+	notifications     []map[string]any
+	failNotifications int // so many requests with notices fail first
+	fullList          []listEntry
+	watches           atomic.Int32 // that are answered
+}
+
+// disconnect ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the
+// next line with it.
+func (p *platform) disconnect(t testing.TB) {
+	t.Helper()
+	p.CloseClientConnections()
+	eventually(t, "no watch", func() bool { return p.watches.Load() == 0 })
+}
+
+func newPlatform(t testing.TB) *platform {
+	p := &platform{version: 1, lines: make(chan string, 16)}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
+		p.mu.Lock()
+		if r.URL.Query().Get("stream") == "" {
+			defer p.mu.Unlock()
+			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList})
+			return
+		}
+		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
+		p.mu.Unlock()
+		p.watches.Add(1)
+		defer p.watches.Add(-1)
+		for {
+			select {
+			case line := <-p.lines:
+				fmt.Fprintln(w, line)
+			case <-time.After(500 * time.Millisecond):
+				fmt.Fprintln(w)
+			case <-r.Context().Done():
+				return
+			}
+			w.(http.Flusher).Flush()
+		}
+	})
+	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if p.failNotifications > 0 {
+			p.failNotifications--
+			w.WriteHeader(http.StatusInternalServerError)
+			return
+		}
+		for lines := json.NewDecoder(r.Body); ; {
+			var f map[string]any
+			if err := lines.Decode(&f); err == io.EOF {
+				break
+			} else if err != nil {
+				t.Errorf("notice: %v", err)
+				break
+			}
+			p.notifications = append(p.notifications, f)
+		}
+		w.WriteHeader(http.StatusNoContent)
+	})
+	p.Server = httptest.NewServer(mux)
+	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
+	return p
+}
+
+// publish writes a change of the list to the watch.
+func (p *platform) publish(full bool, members ...listEntry) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.version++
+	line, _ := json.Marshal(map[string]any{"version": p.version, "full": full, "servers": members})
+	p.lines <- string(line)
+}
+
+// notification returns the notice for a message, or nil.
+func (p *platform) notification(id string) map[string]any {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, f := range p.notifications {
+		if f["id"] == id {
+			return f
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/cherrytrestle/process_test.go
@@ -0,0 +1,181 @@
+package main
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// relayProcess is a relay under its name and address, over its restarts.
+type relayProcess struct {
+	program string // "": this one
+	t       testing.TB
+	dir     string
+	addr    string
+	cmd     *exec.Cmd
+	client  *http.Client
+	config  map[string]any
+	socket  *os.File // that clients connect to, if the platform holds it
+	env     []string // beside what the platform sets
+}
+
+// newRelay starts a relay; change may alter the settings.
+func newRelay(t testing.TB, p *platform, known []listEntry, change func(settings map[string]any)) *relayProcess {
+	r := prepareRelay(t, known, change)
+	r.start(p)
+	return r
+}
+
+// prepareRelay writes a relay's configuration.
+func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
+	settings := map[string]any{
+		"bounds": map[string]any{
+			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
+			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8,
+		},
+		"extra":      map[string]any{"call_slots": 8, "per_call": []int{10, 1}, "separate_routes": []bool{false, true}},
+		"fleet_size": 1, "kinds": []string{"platform", "gateway"}, "tick_ms": 5, "zones": []string{"a", "b"},
+		"rules": map[string]any{"cold_from": 0.2, "fall_ms": 3000, "overload_factor": 2, "warm_within_ms": 14000},
+		"services": []map[string]any{{
+			"name": "order", "semantics": "idempotency_key", "group": "zone",
+			"goal_time_ms": 3000, "give_up_ms": 16000, "repeat_window_ms": 10000, "value": 1,
+		}},
+		"realms": []map[string]any{{"name": "acme", "share": 1}},
+		"stats":  map[string]any{"how": "none"},
+	}
+	if change != nil {
+		change(settings)
+	}
+	// An address of its own: while the relay is down nobody else of this machine takes its port, as all that connect
+	// from 127.0.0.1 might.
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
+	must(t, err)
+	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
+	closeQuietly(l)
+	must(t, os.Mkdir(filepath.Join(r.dir, "state"), 0o700))
+	r.config = map[string]any{
+		"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings,
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
+		"known":  map[string]any{"version": 1, "full": true, "servers": known},
+	}
+	r.writeConfig()
+	t.Cleanup(func() {
+		if r.cmd != nil {
+			r.kill()
+		}
+		if t.Failed() {
+			log, _ := os.ReadFile(filepath.Join(r.dir, "log"))
+			t.Logf("the relay's log:\n%s", log)
+		}
+	})
+	return r
+}
+
+func (r *relayProcess) writeConfig() {
+	r.t.Helper()
+	config, err := json.Marshal(r.config)
+	must(r.t, err)
+	must(r.t, os.WriteFile(filepath.Join(r.dir, "config.json"), config, 0o600))
+}
+
+// start starts a process and waits until it is ready.
+func (r *relayProcess) start(p *platform) {
+	r.t.Helper()
+	r.launch(p)
+	if r.socket != nil {
+		return // clients find out
+	}
+	eventually(r.t, "ready", func() bool {
+		res, err := r.client.Get("http://" + r.addr + "/_health")
+		if err == nil {
+			closeQuietly(res.Body)
+		}
+		return err == nil && res.StatusCode == http.StatusOK
+	})
+}
+
+// launch starts a process.
+func (r *relayProcess) launch(p *platform) {
+	r.t.Helper()
+	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	must(r.t, err)
+	defer closeQuietly(log)
+	r.cmd = exec.Command(cmp.Or(r.program, os.Args[0]))
+	if r.socket != nil {
+		r.cmd.ExtraFiles = []*os.File{r.socket}
+	}
+	r.cmd.Stderr = log
+	r.cmd.Env = append(os.Environ(), "CHERRYTRESTLE_TEST_RELAY=1", "ROUTER_LISTEN="+r.addr,
+		"ROUTER_DISCOVERY="+p.Listener.Addr().String(), "ROUTER_STATE="+filepath.Join(r.dir, "state"),
+		"ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"))
+	if r.socket != nil {
+		r.cmd.Env = append(r.cmd.Env, "ROUTER_INHERITED_FD=3")
+	}
+	r.cmd.Env = append(r.cmd.Env, r.env...)
+	must(r.t, r.cmd.Start())
+}
+
+func (r *relayProcess) kill() {
+	r.cmd.Process.Kill()
+	r.cmd.Wait()
+	r.cmd = nil
+	r.client.CloseIdleConnections()
+}
+
+// request makes a hand-in; edit may spoil it.
+func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
+	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
+	must(r.t, err)
+	for k, v := range map[string]string{
+		"X-Trace-Id": id, "X-Qos": "order", "X-Customer": "acme", "Idempotency-Key": "key-" + id, "Envelope": "dest=7",
+		"X-Expires-In-Ms": strconv.FormatInt(expires.Milliseconds(), 10),
+	} {
+		req.Header.Set(k, v)
+	}
+	if edit != nil {
+		edit(req)
+	}
+	return req
+}
+
+// submit hands a message in and returns the answer's status and advice.
+func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
+	r.t.Helper()
+	res, err := r.client.Do(r.request(id, expires, edit))
+	must(r.t, err)
+	drain(res.Body)
+	closeQuietly(res.Body)
+	return res.StatusCode, res.Header.Get("Retry-After")
+}
+
+func (r *relayProcess) mustAccept(id string, expires time.Duration) {
+	r.t.Helper()
+	if status, _ := r.submit(id, expires, nil); status != http.StatusAccepted {
+		r.t.Fatalf("%s: status %d", id, status)
+	}
+}
+
+// terminate sends SIGTERM and returns how the process ended.
+func (r *relayProcess) terminate() error {
+	r.cmd.Process.Signal(syscall.SIGTERM)
+	return r.wait()
+}
+
+// wait returns how the process ended.
+func (r *relayProcess) wait() error {
+	err := r.cmd.Wait()
+	r.cmd = nil
+	r.client.CloseIdleConnections()
+	return err
+}
--- /dev/null
+++ b/cmd/cherrytrestle/restart_test.go
@@ -0,0 +1,175 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A call that was out when the process was killed may have run. The message is made good by the next process, and
+// only where repeats are dropped: in the same zone.
+func TestKilledWithACallInFlight(t *testing.T) {
+	p := newPlatform(t)
+	first := true
+	var one *endpoint
+	one = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+		one.mu.Lock()
+		hang := first
+		first = false
+		one.mu.Unlock()
+		if hang {
+			<-r.Context().Done()
+		}
+	})
+	other := newEndpoint(t, nil)
+	r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("m1", 10*time.Second)
+	r.mustAccept("late", 600*time.Millisecond)
+	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
+	r.kill()
+	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
+
+	// Back it comes with a list whose first host, by its weight, stands in the other zone.
+	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
+	better["weight"] = 900.0
+	r.start(p)
+	p.publish(false, better)
+	eventually(t, "delivered again", func() bool { return one.count("m1") == 2 })
+	r.mustAccept("m2", 10*time.Second)
+	eventually(t, "a new message goes to the better host", func() bool { return other.count("m2") == 1 })
+	if other.count("m1") != 0 {
+		t.Error("repeated in another zone")
+	}
+	if one.count("late") == 0 { // it may have been delivered before the kill
+		eventually(t, "a notice for the overdue one", func() bool { return p.notification("late") != nil })
+	}
+
+	// Delivered and ended messages stay ended.
+	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
+	r.start(p)
+	r.mustAccept("m3", 10*time.Second)
+	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
+	if one.count("m1") != 2 {
+		t.Errorf("m1 went %d times", one.count("m1"))
+	}
+}
+
+func TestGracefulShutdown(t *testing.T) {
+	p := newPlatform(t)
+	began := make(chan struct{}, 10)
+	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) {
+		began <- struct{}{}
+		time.Sleep(time.Second) // a call that takes its time
+	})
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.mustAccept("running", 10*time.Second)
+	<-began
+	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	start := time.Now()
+	eventually(t, "not ready", func() bool {
+		res, err := r.client.Get("http://" + r.addr + "/_health")
+		if err == nil {
+			closeQuietly(res.Body)
+		}
+		return err == nil && res.StatusCode == http.StatusServiceUnavailable
+	})
+	if time.Since(start) < 200*time.Millisecond { // else the machine is too slow to tell
+		r.mustAccept("after", 10*time.Second) // new work is still taken
+	}
+	err := r.terminate()
+	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
+		t.Errorf("ended after %v: %v", took, err)
+	}
+	if h.count("running") != 1 {
+		t.Errorf("the running call: %d", h.count("running"))
+	}
+	r.start(p)
+	r.mustAccept("next", 10*time.Second)
+	eventually(t, "the next message", func() bool { return h.count("next") == 1 })
+	if h.count("running") != 1 {
+		t.Error("a delivered message went again")
+	}
+}
+
+// Clients that go on through a planned end, and through a kill, lose nothing that they were told is taken on.
+func TestRestartsUnderLoadLoseNothing(t *testing.T) {
+	p := newPlatform(t)
+	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
+	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	var mu sync.Mutex
+	var taken []string
+	var unanswered int
+	load := func(round string, stop <-chan struct{}) {
+		var clients sync.WaitGroup
+		for c := range 3 {
+			clients.Go(func() {
+				client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
+				defer client.CloseIdleConnections()
+				for i := 0; ; i++ {
+					select {
+					case <-stop:
+						return
+					case <-time.After(20 * time.Millisecond):
+					}
+					id := fmt.Sprintf("%s-%d-%d", round, c, i)
+					// comes once more if its connection closed crosswise
+					res, err := client.Do(r.request(id, 16*time.Second, nil))
+					mu.Lock()
+					if err != nil {
+						unanswered++
+					} else if res.StatusCode == http.StatusAccepted {
+						taken = append(taken, id)
+					}
+					mu.Unlock()
+					if err == nil {
+						drain(res.Body)
+						closeQuietly(res.Body)
+					}
+				}
+			})
+		}
+		clients.Wait()
+	}
+
+	// The front sends nothing more to a relay some tenths of a second after SIGTERM.
+	stop := make(chan struct{})
+	go func() {
+		time.Sleep(200 * time.Millisecond)
+		r.cmd.Process.Signal(syscall.SIGTERM)
+		time.Sleep(100 * time.Millisecond)
+		close(stop)
+	}()
+	load("term", stop)
+	if unanswered > 0 {
+		t.Errorf("%d requests had no answer through a planned end", unanswered)
+	}
+	if err := r.cmd.Wait(); err != nil {
+		t.Errorf("ended: %v", err)
+	}
+	r.start(p)
+
+	stop = make(chan struct{})
+	go func() {
+		time.Sleep(200 * time.Millisecond)
+		r.cmd.Process.Kill()
+		close(stop)
+	}()
+	load("kill", stop)
+	r.cmd.Wait()
+	r.start(p)
+	for _, id := range taken {
+		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+	}
+	if len(taken) < 20 {
+		t.Errorf("only %d taken on: the test shows little", len(taken))
+	}
+	for _, id := range taken {
+		if n := h.count(id); strings.HasPrefix(id, "term") && n > 1 {
+			t.Errorf("%s went %d times though its calls could finish", id, n)
+		}
+	}
+}
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -1,22 +1,15 @@
 package main
 
 import (
-	"bytes"
-	"cmp"
 	"encoding/json"
-	"errors"
 	"flag"
 	"fmt"
-	"io/fs"
 	"maps"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -62,197 +55,6 @@
 	must(t, err)
 }
 
-// discoveryServer is discovery's agent with a list that is written once, however large it is.
-type discoveryServer struct {
-	*httptest.Server
-	fullList []byte // is sent to who has an older version
-	version  int    // of it
-
-	mu      sync.Mutex
-	changes [][]byte          // by version, from the next on
-	changed chan struct{}     // closed, and made anew, with each
-	finals  map[string]string // status by id
-}
-
-func newDiscoveryServer(t *testing.T, version int, list []listEntry) *discoveryServer {
-	t.Helper()
-	whole, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
-	must(t, err)
-	a := &discoveryServer{
-		fullList: append(whole, '\n'),
-		version:  version,
-		changed:  make(chan struct{}),
-		finals:   map[string]string{},
-	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
-		has, err := strconv.Atoi(r.URL.Query().Get("index"))
-		if err != nil || has < version {
-			has = version
-			w.Write(a.fullList)
-		}
-		for beat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
-			a.mu.Lock()
-			lines, more := a.changes[has-version:], a.changed
-			a.mu.Unlock()
-			for _, line := range lines {
-				w.Write(line)
-			}
-			has += len(lines)
-			w.(http.Flusher).Flush()
-			select {
-			case <-more:
-			case <-beat.C:
-				fmt.Fprintln(w)
-			case <-r.Context().Done():
-				beat.Stop()
-				return
-			}
-		}
-	})
-	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		for lines := json.NewDecoder(r.Body); ; {
-			var f struct{ ID, Status string }
-			if err := lines.Decode(&f); err != nil {
-				break // the end, or a notice that comes once more
-			}
-			a.finals[f.ID] = f.Status
-		}
-		w.WriteHeader(http.StatusNoContent)
-	})
-	a.Server = httptest.NewServer(mux)
-	t.Cleanup(func() { a.CloseClientConnections(); a.Close() })
-	return a
-}
-
-// destinationEntries lists destinations of two endpoints each, each at an address of its own where none is given.
-func destinationEntries(from, to int, addr string) (list []listEntry) {
-	for d := from; d < to; d++ {
-		for k := range 2 {
-			// nobody is there, nor called
-			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
-			list = append(list, listEntry{
-				"id": fmt.Sprintf(
-					"s-%06d-%d",
-					d,
-					k,
-				), "addr": own, "zone": "ab"[k : k+1], "kind": "platform", "cell": d, "state": "ready", "weight": 8.6,
-			})
-		}
-	}
-	return list
-}
-
-// cpuTime is the processor time that the process has used.
-func (r *relayProcess) cpuTime() time.Duration {
-	r.t.Helper()
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
-	must(r.t, err)
-	_, rest, _ := bytes.Cut(data, []byte(") "))
-	fields := strings.Fields(string(rest)) // from the third on
-	sum := 0
-	for _, f := range fields[11:13] {
-		n, err := strconv.Atoi(f)
-		must(r.t, err)
-		sum += n
-	}
-	return time.Duration(sum) * 10 * time.Millisecond // the system's clock tick
-}
-
-// memory is what the process holds or held at the most, in MB: VmRSS or VmHWM.
-func (r *relayProcess) memory(which string) float64 {
-	r.t.Helper()
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
-	must(r.t, err)
-	for line := range strings.Lines(string(data)) {
-		if value, ok := strings.CutPrefix(line, which+":"); ok {
-			kb, err := strconv.Atoi(strings.Fields(value)[0])
-			must(r.t, err)
-			return float64(kb) * 1024 / 1e6
-		}
-	}
-	r.t.Fatalf("no %s", which)
-	return 0
-}
-
-// disk is what the files of the relay's folder hold, in MB.
-func (r *relayProcess) disk() (mb float64) {
-	err := filepath.WalkDir(filepath.Join(r.dir, "state"), func(_ string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() {
-			return err
-		}
-		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) {
-			return nil
-		} else if err == nil {
-			mb += float64(info.Size()) / 1e6
-		}
-		return err
-	})
-	must(r.t, err)
-	return mb
-}
-
-// healthMonitor asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
-// an answer took or that lay between two, once there was one.
-type healthMonitor struct {
-	began   time.Time
-	stop    chan struct{}
-	done    sync.WaitGroup
-	ready   atomic.Int64 // nanoseconds since began; 0: not yet
-	longest atomic.Int64
-}
-
-func (r *relayProcess) monitorHealth() *healthMonitor {
-	h := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
-	client := &http.Client{Timeout: 30 * time.Second}
-	h.done.Go(func() {
-		defer client.CloseIdleConnections()
-		var last time.Time
-		for {
-			select {
-			case <-h.stop:
-				return
-			case <-time.After(2 * time.Millisecond):
-			}
-			res, err := client.Get("http://" + r.addr + "/_health")
-			if err != nil {
-				continue // it does not listen yet
-			}
-			closeQuietly(res.Body)
-			now := time.Now()
-			if !last.IsZero() {
-				h.longest.Store(max(h.longest.Load(), int64(now.Sub(last))))
-			}
-			last = now
-			if res.StatusCode == http.StatusOK {
-				h.ready.CompareAndSwap(0, int64(now.Sub(h.began)))
-			}
-		}
-	})
-	r.t.Cleanup(h.end)
-	return h
-}
-
-func (h *healthMonitor) end() {
-	select {
-	case <-h.stop:
-	default:
-		close(h.stop)
-	}
-	h.done.Wait()
-}
-
-// untilReady waits for it for so long at most.
-func (h *healthMonitor) untilReady(most time.Duration) bool {
-	for h.ready.Load() == 0 && time.Since(h.began) < most {
-		time.Sleep(2 * time.Millisecond)
-	}
-	return h.ready.Load() != 0
-}
-
 const (
 	maxCatalogMemoryMB = 128 // MB, at the highest, at any size of the list
 	readyTimeout       = 30 * time.Second
@@ -313,20 +115,6 @@
 	}
 }
 
-// publish has all that watch told of a change.
-func (a *discoveryServer) publish(t *testing.T, changes ...listEntry) {
-	t.Helper()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	line, err := json.Marshal(
-		map[string]any{"version": a.version + len(a.changes) + 1, "full": false, "servers": changes},
-	)
-	must(t, err)
-	a.changes = append(a.changes, append(line, '\n'))
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
 // submitMany hands in messages from first to last over so many connections, to destinations in turn, and returns how many
 // were not taken.
 func (r *relayProcess) submitMany(first, last, destinations, connections int) (refused int64) {
