--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -87,7 +87,7 @@
 	g := rigs[1]
 	eventually(b, "the fleet is one", func() bool { state, _ := g.memberState(0, 2); return state == "alive" })
 	must(b, g.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
-	defer g.relays[2].cmd.Process.Signal(syscall.SIGCONT)
+	defer signalQuietly(g.relays[2].cmd, syscall.SIGCONT)
 	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], g.relays[0]}
 	accepts, finals := make([][]time.Duration, 3), make([][]time.Duration, 3)
 	for i := range messages {
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -163,7 +163,7 @@
 			for i, id := range ids {
 				states = append(states, fmt.Sprintf(`{"id":%q,"state":%q}`, id, []string{"ok", "later"}[i%2]))
 			}
-			fmt.Fprintf(w, "[%s]", strings.Join(states, ","))
+			writeQuietly(w, "["+strings.Join(states, ",")+"]")
 		}
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
@@ -186,12 +186,12 @@
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
 		defer closeQuietly(conn)
-		fmt.Fprint(conn, part)
+		writeQuietly(conn, part)
 	}
 	bad, err := net.Dial("tcp", r.addr)
 	must(t, err)
 	defer closeQuietly(bad)
-	fmt.Fprint(bad, "NONSENSE\r\n\r\n")
+	writeQuietly(bad, "NONSENSE\r\n\r\n")
 	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
 		t.Errorf("%q, %v", line, err)
 	}
--- a/cmd/cherrytrestle/discoveryserver_test.go
+++ b/cmd/cherrytrestle/discoveryserver_test.go
@@ -39,21 +39,21 @@
 		has, err := strconv.Atoi(r.URL.Query().Get("index"))
 		if err != nil || has < version {
 			has = version
-			w.Write(a.fullList)
+			_, _ = w.Write(a.fullList) // the relay may have gone
 		}
 		for beat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
 			a.mu.Lock()
 			lines, more := a.changes[has-version:], a.changed
 			a.mu.Unlock()
 			for _, line := range lines {
-				w.Write(line)
+				_, _ = w.Write(line) // the relay may have gone
 			}
 			has += len(lines)
 			w.(http.Flusher).Flush()
 			select {
 			case <-more:
 			case <-beat.C:
-				fmt.Fprintln(w)
+				writeQuietly(w, "\n")
 			case <-r.Context().Done():
 				beat.Stop()
 				return
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -132,7 +132,9 @@
 		return s
 	}
 	defer closeQuietly(res.Body)
-	json.NewDecoder(res.Body).Decode(&s)
+	if err := json.NewDecoder(res.Body).Decode(&s); err != nil {
+		return fleet.Status{}
+	}
 	return s
 }
 
@@ -236,7 +238,7 @@
 		if len(s.Rejected) > 0 || s.Unreadable > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s)
 		}
-		g.relays[i].terminate()
+		_ = g.relays[i].terminate() // how it ends is checked elsewhere
 		must(t, replayed(g.relays[i].dir))
 	}
 }
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -45,7 +45,7 @@
 		{"say nothing", func(net.Conn) {}},
 		{"stop half way", func(conn net.Conn) { writeQuietly(conn, whole+"half") }},
 		{"send much and go", func(conn net.Conn) {
-			conn.Write(make([]byte, 1<<20))
+			writeQuietly(conn, strings.Repeat("\x00", 1<<20))
 			closeQuietly(conn)
 		}},
 		{"read nothing of their answers", func(conn net.Conn) {
@@ -72,7 +72,7 @@
 					if err != nil {
 						continue
 					}
-					conn.SetDeadline(time.Now().Add(2 * time.Second))
+					must(t, conn.SetDeadline(time.Now().Add(2*time.Second)))
 					conns <- conn
 					go c.act(conn)
 				}
--- a/cmd/cherrytrestle/helpers_test.go
+++ b/cmd/cherrytrestle/helpers_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"io"
+	"os"
+	"os/exec"
 	"testing"
 	"time"
 )
@@ -33,3 +35,12 @@
 
 // writeQuietly writes to a connection that the relay may have closed already.
 func writeQuietly(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// killProcess kills a process and waits for it. The errors are those of a process that has ended, or by the signal.
+func killProcess(cmd *exec.Cmd) {
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
+}
+
+// signalQuietly signals a process that may have ended.
+func signalQuietly(cmd *exec.Cmd, sig os.Signal) { _ = cmd.Process.Signal(sig) }
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -64,8 +64,7 @@
 			})
 		}
 		time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond) // the point of the kill is what is drawn
-		r.cmd.Process.Kill()
-		r.cmd.Wait()
+		killProcess(r.cmd)
 		close(stop)
 		clients.Wait()
 		r.start(p)
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -98,7 +98,10 @@
 		r.setKillStep(then)
 		r.launch(p)
 		over := make(chan struct{})
-		go func() { r.cmd.Wait(); close(over) }()
+		go func() {
+			_ = r.cmd.Wait() // the signal is its error
+			close(over)
+		}()
 		reached = false
 		eventually(r.t, "the step, or the end of the recovery", func() bool {
 			select {
@@ -113,7 +116,7 @@
 			}
 			return true
 		})
-		r.cmd.Process.Kill()
+		_ = r.cmd.Process.Kill() // it may have ended
 		<-over
 		r.client.CloseIdleConnections()
 	}
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -70,7 +70,7 @@
 			})
 			r.mustAccept("after", 12*time.Second)
 			must(t, r.cmd.Process.Signal(signal))
-			r.cmd.Wait()
+			_ = r.cmd.Wait() // the signal is its error
 			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": live("ready")}
 			r.writeConfig()
 			r.start(p)
--- a/cmd/cherrytrestle/platform_test.go
+++ b/cmd/cherrytrestle/platform_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -47,7 +46,7 @@
 		p.mu.Lock()
 		if r.URL.Query().Get("stream") == "" {
 			defer p.mu.Unlock()
-			json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList})
+			_ = json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList}) // the relay may have gone
 			return
 		}
 		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
@@ -57,9 +56,9 @@
 		for {
 			select {
 			case line := <-p.lines:
-				fmt.Fprintln(w, line)
+				writeQuietly(w, line+"\n")
 			case <-time.After(500 * time.Millisecond):
-				fmt.Fprintln(w)
+				writeQuietly(w, "\n")
 			case <-r.Context().Done():
 				return
 			}
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/process_test.go
@@ -127,8 +127,7 @@
 }
 
 func (r *relayProcess) kill() {
-	r.cmd.Process.Kill()
-	r.cmd.Wait()
+	killProcess(r.cmd)
 	r.cmd = nil
 	r.client.CloseIdleConnections()
 }
@@ -168,7 +167,7 @@
 
 // terminate sends SIGTERM and returns how the process ended.
 func (r *relayProcess) terminate() error {
-	r.cmd.Process.Signal(syscall.SIGTERM)
+	signalQuietly(r.cmd, syscall.SIGTERM)
 	return r.wait()
 }
 
--- a/cmd/cherrytrestle/quota_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -138,7 +138,7 @@
 		t.Errorf("%d calls in %v, of a host that takes %g a second", most, span, takes)
 	}
 	for _, i := range []int{0, 1} {
-		g.relays[i].terminate()
+		_ = g.relays[i].terminate() // how it ends is checked elsewhere
 		if err := replayed(g.relays[i].dir); err != nil && !strings.Contains(err.Error(), "no recordings") {
 			t.Errorf("%s: %v", filepath.Base(g.relays[i].dir), err)
 		}
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -139,7 +139,7 @@
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
-		r.cmd.Process.Signal(syscall.SIGTERM)
+		signalQuietly(r.cmd, syscall.SIGTERM)
 		time.Sleep(100 * time.Millisecond)
 		close(stop)
 	}()
@@ -155,11 +155,11 @@
 	stop = make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
-		r.cmd.Process.Kill()
+		_ = r.cmd.Process.Kill() // it may have ended
 		close(stop)
 	}()
 	load("kill", stop)
-	r.cmd.Wait()
+	_ = r.cmd.Wait() // the signal is its error
 	r.start(p)
 	for _, id := range taken {
 		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -22,7 +22,7 @@
 		{"twice", true, func(_ *testing.T, r *relayProcess) {
 			term(r)
 			time.Sleep(100 * time.Millisecond)
-			r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+			signalQuietly(r.cmd, syscall.SIGTERM) // it may have ended
 		}},
 		{"before the first list", false, func(_ *testing.T, r *relayProcess) { term(r) }},
 		{"with a SIGHUP", true, func(_ *testing.T, r *relayProcess) {
@@ -108,7 +108,7 @@
 		t.Cleanup(func() { closeQuietly(conn) })
 		_, err = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		must(t, err)
-		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		must(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 		answer := make([]byte, 1)
 		_, err = conn.Read(answer) // the rest comes with it, or stands before the end
 		must(t, err)
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -69,7 +69,7 @@
 			c.failures.Add(1)
 			return 0
 		}
-		conn.SetDeadline(time.Now().Add(conditionTimeout))
+		must(c.r.t, conn.SetDeadline(time.Now().Add(conditionTimeout)))
 		c.conn, c.in = conn, bufio.NewReader(conn)
 	}
 	req := c.r.request(id, expires, nil)
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -48,7 +48,7 @@
 	g.waitReceived(g.allRelays(), g.allRelays())
 	swap := func(i int, program string) {
 		before := g.status(i).Incarnation.Generation
-		g.relays[i].terminate()
+		_ = g.relays[i].terminate() // how it ends is checked elsewhere
 		g.relays[i].program = program
 		g.start(i)
 		g.waitReceived(g.allRelays(), g.allRelays())
@@ -63,7 +63,7 @@
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
 	}
-	g.relays[3].terminate()
+	_ = g.relays[3].terminate() // how it ends is checked elsewhere
 	if err := replayed(g.relays[3].dir); err != nil {
 		t.Error(err)
 	}
