--- a/cmd/cherrytrestle/discovery_test.go
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -18,7 +18,8 @@
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
-	p.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"}) // the others cannot be read
+	// All entries but the first are malformed.
+	p.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"})
 	eventually(t, "a message to the other host", func() bool {
 		id := fmt.Sprint("m", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
@@ -29,7 +30,7 @@
 	eventually(t, "m2", func() bool { return two.count("m2") == 1 })
 
 	p.CloseClientConnections()
-	eventually(t, "a second watch", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.indexes) > 1 })
+	eventually(t, "a second watch", func() bool { return len(p.watchIndexes()) > 1 })
 	if p.indexes[0] != "1" || p.indexes[1] != "2" {
 		t.Errorf("watches from %v", p.indexes)
 	}
@@ -47,10 +48,10 @@
 // follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	one, two := newEndpoint(t, nil), newEndpoint(t, nil)
-	shut := newEndpoint(
-		t,
-		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
-	)
+	unavailable := func(w http.ResponseWriter, _ *http.Request, _ []string) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+	shut := newEndpoint(t, unavailable)
 	first, second := newPlatform(t), newPlatform(t)
 	first.version = 40
 	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
@@ -65,11 +66,7 @@
 		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
 		return shut.count(id) > 0
 	})
-	eventually(
-		t,
-		"a notice under way",
-		func() bool { first.mu.Lock(); defer first.mu.Unlock(); return first.failNotifications < many },
-	)
+	eventually(t, "a notification under way", func() bool { return first.notificationsToFail() < many })
 
 	hup := func(p *platform) {
 		t.Helper()
@@ -81,19 +78,12 @@
 	hup(second)
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
-	eventually(
-		t,
-		"the notice that was under way",
-		func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.notifications) > 0 },
-	)
+	eventually(t, "the notification that was under way", func() bool { return second.notificationCount() > 0 })
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
 	must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	second.publish(
-		false,
-		newEntry("s-2", two.addr(), "a", "gateway", "draining"),
-		newEntry("s-1", one.addr(), "a", "gateway", "ready"),
-	)
+	drained := newEntry("s-2", two.addr(), "a", "gateway", "draining")
+	second.publish(false, drained, newEntry("s-1", one.addr(), "a", "gateway", "ready"))
 	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
--- a/cmd/cherrytrestle/endpoint_test.go
+++ b/cmd/cherrytrestle/endpoint_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -66,3 +67,32 @@
 	}
 	return n
 }
+
+func (h *endpoint) totalCalls() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.calls
+}
+
+// lastCall is the time of the last message's arrival.
+func (h *endpoint) lastCall() time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.MaxFunc(h.at, time.Time.Compare)
+}
+
+// maxCallsWithin is the greatest number of messages that arrived in any window of time.
+func (h *endpoint) maxCallsWithin(window time.Duration) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	at := slices.SortedFunc(slices.Values(h.at), time.Time.Compare)
+	most := 0
+	first := 0
+	for last := range at {
+		for at[last].Sub(at[first]) > window {
+			first++
+		}
+		most = max(most, last-first+1)
+	}
+	return most
+}
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -53,40 +53,42 @@
 	return all
 }
 
-// Whatever happens to the bytes between the relay and a host, each message has one final answer, and none that may
-// have run is repeated beyond its class's allowance. The first connection is struck, the others are sound.
-func TestEachFaultOnTheWireEndsInOneFinalAnswer(t *testing.T) {
-	t.Parallel()
-	const (
-		delivered = "delivered"
-		failed    = "undeliverable"
-		either    = ""
-		doubtful  = "delivered, or undeliverable though it may have run"
-	)
-	for _, c := range []struct {
-		name, rule string
-		unsafe     string // the end of a message that must never run twice
-		calls      int    // the host gets for that, at most
-		keyed      int    // calls for a keyed one, which is always delivered; below 0: so many at most
-		first      string // what the host answers at first; "": a plain 200
-	}{
-		// The host has all of the request, and the relay learns nothing: it may have run.
+// Ends of a message that must never run twice.
+const (
+	delivered        = "delivered"
+	failed           = "undeliverable"
+	eitherEnd        = "" // delivered, or failed without having run
+	deliveredOrMayBe = "delivered, or undeliverable though it may have run"
+)
+
+// wireFault is a fault that strikes the first connection to an endpoint.
+type wireFault struct {
+	name, rule string
+	nonRepeat  string // the end of a message that must never run twice
+	calls      int    // the endpoint's calls for that, at most
+	keyed      int    // calls for one with a key, which is always delivered; below 0: so many at most
+	first      string // the endpoint's first answer; "": a plain 200
+}
+
+func wireFaults() []wireFault {
+	return []wireFault{
+		// The endpoint has all of the request, and the relay learns nothing: it may have run.
 		{"half-closed behind the body", `dir=down do=halfclose`, failed, 1, 2, ""},
 		{"reset instead of an answer", `dir=down do=reset`, failed, 1, 2, ""},
 		{"closed instead of an answer", `dir=down do=close`, failed, 1, 2, ""},
-		// A reset may overtake the body in front of it: the host drops what it has not read yet. And the answer of a
-		// host that is quick may come through before either.
-		{"reset behind the body", `dir=up match="\r\n\r\nbody" do=reset`, doubtful, 1, -2, ""},
-		{"closed behind the body", `dir=up match="\r\n\r\nbody" do=close`, doubtful, 1, -2, ""},
+		// A reset may overtake the body in front of it: the endpoint drops what it has not read yet. And the answer of
+		// an endpoint that is quick may come through before either.
+		{"reset behind the body", `dir=up match="\r\n\r\nbody" do=reset`, deliveredOrMayBe, 1, -2, ""},
+		{"closed behind the body", `dir=up match="\r\n\r\nbody" do=close`, deliveredOrMayBe, 1, -2, ""},
 		{"silent behind the body", `dir=down do=stall`, failed, 1, 2, ""},
 		{"the answer left out", `dir=down do=truncate`, failed, 1, 2, ""},
 		{"cut in the status line", `dir=down match="HTTP/1.1 2" do=close`, failed, 1, 2, ""},
 		{"garbled status", `dir=down match="HTTP/1.1 " with="x9" do=garble`, failed, 1, 2, ""},
 		// Half-closed by the relay's side of the wire only: the answer still comes.
 		{"half-closed upwards", `dir=up match="\r\n\r\nbody" do=halfclose`, delivered, 1, 1, ""},
-		// The host never has the last byte. Whether the relay wrote it before it heard of the break is open.
-		{"cut before the last byte", `dir=up match="\r\n\r\nbod" do=reset`, either, 1, 1, ""},
-		{"refused", `do=refuse`, either, 1, 1, ""},
+		// The endpoint never has the last byte. Whether the relay wrote it before it noticed the break is open.
+		{"cut before the last byte", `dir=up match="\r\n\r\nbod" do=reset`, eitherEnd, 1, 1, ""},
+		{"refused", `do=refuse`, eitherEnd, 1, 1, ""},
 		{"a byte of the body left out", `dir=up match="\r\n\r\nbod" do=drop`, failed, 0, 1, ""},
 		// A first line of 200 came: it is delivered, whatever follows.
 		{"garbled chunk header", `dir=down match="\r\n\r\n" with="Z!" do=garble`, delivered, 1, 1, "chunked"},
@@ -97,71 +99,102 @@
 		{"late", `dir=down for=300ms do=delay`, delivered, 1, 1, ""},
 		{"a trickle", `dir=down rate=400 do=trickle`, delivered, 1, 1, ""},
 		{"late requests", `dir=up for=200ms do=delay`, delivered, 1, 1, ""},
-	} {
-		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
+	}
+}
+
+// keyedCalls is the range of calls for a message with a key.
+func (f wireFault) keyedCalls() (least, most int) {
+	if f.keyed < 0 {
+		return 1, -f.keyed
+	}
+	return f.keyed, f.keyed
+}
+
+// Whatever happens to the bytes between the relay and an endpoint, each message has one final answer, and none that may
+// have run is repeated beyond its class's allowance. The first connection is struck, the others are sound.
+func TestEachFaultOnTheWireEndsInOneFinalAnswer(t *testing.T) {
+	t.Parallel()
+	for _, fault := range wireFaults() {
+		t.Run(strings.ReplaceAll(fault.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			least, most := c.keyed, c.keyed
-			if most < 0 {
-				least, most = 1, -c.keyed
-			}
 			p := newPlatform(t)
 			h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
-				if c.first == "chunked" {
+				if fault.first == "chunked" {
 					w.(http.Flusher).Flush()
 				}
 				writeQuietly(w, "ok")
 			})
 			// Each class has a wire of its own, whose first connection is struck.
 			for _, class := range []string{"pay", "order"} {
-				wire := faultyEndpoint(t, h, "conn=1 "+c.rule)
-				r := newRelay(t, p, []listEntry{newEntry("s-"+class, wire.Addr(), "a", "gateway", "ready")}, withPayments)
-				id := "m-" + class
-				if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
-					t.Fatalf("%s: status %d", class, status)
-				}
-				// What comes after on sound connections is served.
-				eventually(t, "the fault", func() bool { return wire.Stats().Struck > 0 })
-				eventually(t, "another one delivered", func() bool {
-					next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
-					r.mustAccept(next, 10*time.Second)
-					eventually(t, next, func() bool { return h.count(next) > 0 || p.notification(next) != nil })
-					return h.count(next) > 0
-				})
-				eventually(t, "nothing owed", func() bool {
-					return len(p.statuses(id)) > 0 ||
-						h.count(id) > 0 && (class == "order" && h.count(id) >= least || c.unsafe != failed)
-				})
-				if err := r.terminate(); err != nil {
-					t.Fatalf("ended: %v", err)
-				}
-				ends := p.statuses(id)
-				if len(ends) > 1 {
-					t.Errorf("%s: ends %v", class, ends)
-				}
-				least, most, want := least, most, delivered
-				if class == "pay" {
-					least, most, want = 0, c.calls, c.unsafe
-				}
-				if n := h.count(id); n > most || n < least {
-					t.Errorf("%s: %d calls, want %d to %d", class, n, least, most)
-				}
-				switch {
-				case want == delivered && len(ends) > 0:
-					t.Errorf("%s: delivered, and then %v", class, ends)
-				case want == failed && !slices.Equal(ends, []string{failed}):
-					t.Errorf("%s: ended as %v, want %s", class, ends, failed)
-				case want == either && (h.count(id) == 1) == (len(ends) == 1):
-					t.Errorf("%s: %d calls and ends %v", class, h.count(id), ends)
-				case want == doubtful && h.count(id)+len(ends) == 0:
-					t.Errorf("%s: neither delivered nor ended", class)
-				}
+				sendOverFault(t, p, h, fault, class)
+				checkFaultEnd(t, p, h, fault, class)
 			}
 		})
 	}
 }
 
-// A host has answered 200, and the relay is killed before it could read, or note, that. What must not run twice is not
-// sent again, and ends as failed; what may is repeated where its repeat is dropped.
+// sendOverFault sends a message of the class over a faulty wire, waits until it has ended and terminates the relay.
+func sendOverFault(t *testing.T, p *platform, h *endpoint, fault wireFault, class string) {
+	t.Helper()
+	wire := faultyEndpoint(t, h, "conn=1 "+fault.rule)
+	r := newRelay(t, p, []listEntry{newEntry("s-"+class, wire.Addr(), "a", "gateway", "ready")}, withPayments)
+	id := "m-" + class
+	if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
+		t.Fatalf("%s: status %d", class, status)
+	}
+	// Later messages on sound connections are delivered.
+	eventually(t, "the fault", func() bool { return wire.Stats().Struck > 0 })
+	eventually(t, "another one delivered", func() bool {
+		next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
+		r.mustAccept(next, 10*time.Second)
+		eventually(t, next, func() bool { return h.count(next) > 0 || p.notification(next) != nil })
+		return h.count(next) > 0
+	})
+	least, _ := fault.keyedCalls()
+	eventually(t, "the message has ended", func() bool {
+		if len(p.statuses(id)) > 0 {
+			return true
+		}
+		ran := h.count(id)
+		return ran > 0 && (class == "order" && ran >= least || fault.nonRepeat != failed)
+	})
+	if err := r.terminate(); err != nil {
+		t.Fatalf("ended: %v", err)
+	}
+}
+
+// checkFaultEnd checks the calls and the final answer of a message that was sent over a faulty wire.
+func checkFaultEnd(t *testing.T, p *platform, h *endpoint, fault wireFault, class string) {
+	t.Helper()
+	id := "m-" + class
+	ends := p.statuses(id)
+	if len(ends) > 1 {
+		t.Errorf("%s: ends %v", class, ends)
+	}
+	want := delivered
+	least, most := fault.keyedCalls()
+	if class == "pay" {
+		want = fault.nonRepeat
+		least, most = 0, fault.calls
+	}
+	calls := h.count(id)
+	if calls > most || calls < least {
+		t.Errorf("%s: %d calls, want %d to %d", class, calls, least, most)
+	}
+	switch {
+	case want == delivered && len(ends) > 0:
+		t.Errorf("%s: delivered, and then %v", class, ends)
+	case want == failed && !slices.Equal(ends, []string{failed}):
+		t.Errorf("%s: ended as %v, want %s", class, ends, failed)
+	case want == eitherEnd && (calls == 1) == (len(ends) == 1):
+		t.Errorf("%s: %d calls and ends %v", class, calls, ends)
+	case want == deliveredOrMayBe && calls+len(ends) == 0:
+		t.Errorf("%s: neither delivered nor ended", class)
+	}
+}
+
+// An endpoint has answered 200, and the relay is killed before it could read, or record, that. What must not run twice
+// is not sent again, and ends as failed; what may is repeated where its repeat is dropped.
 func TestKilledBetweenTheAnswerAndItsRecord(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"pay", "order"} {
@@ -175,7 +208,8 @@
 			must(t, err)
 			elsewhere := newEntry("s-2", other.addr(), "b", "gateway", "ready")
 			elsewhere["weight"] = 1.0
-			r := newRelay(t, p, []listEntry{newEntry("s-1", wire.Addr(), "a", "gateway", "ready"), elsewhere}, withPayments)
+			here := newEntry("s-1", wire.Addr(), "a", "gateway", "ready")
+			r := newRelay(t, p, []listEntry{here, elsewhere}, withPayments)
 			if status, _ := r.submit("m", 8*time.Second, withClass(class)); status != http.StatusAccepted {
 				t.Fatalf("status %d", status)
 			}
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -78,7 +78,8 @@
 	return g
 }
 
-// writeOperatorFile writes a relay's operator's file. more is put before its addresses of the others; join goes before these.
+// writeOperatorFile writes a relay's operator file. more is put before its addresses of the others; join replaces some
+// of these.
 func (g *testFleet) writeOperatorFile(i int, more string, join map[string]string) {
 	var b strings.Builder
 	fmt.Fprintf(
@@ -150,7 +151,8 @@
 	return "", -1
 }
 
-const maxFreshAge = 6 * time.Second // what a relay tells again without need it tells every 2.5 s, and gossip takes its time
+// maxFreshAge allows for gossip: an unchanged report is published every 2.5 s.
+const maxFreshAge = 6 * time.Second
 
 // waitReceived waits until each of some holds fresh news of each of the others.
 func (g *testFleet) waitReceived(by, of []int) {
@@ -288,9 +290,12 @@
 	}
 	life := loadreport.Incarnation{Generation: 1, Boot: 1}
 	liar, err := membership.Start(membership.Config{
-		Name: relayName(
-			3,
-		), Listen: g.listens[3], Peers: join, Incarnation: life, Log: slog.New(slog.DiscardHandler), SaveIncarnation: func(uint64) error { return nil },
+		Name:            relayName(3),
+		Listen:          g.listens[3],
+		Peers:           join,
+		Incarnation:     life,
+		Log:             slog.New(slog.DiscardHandler),
+		SaveIncarnation: func(uint64) error { return nil },
 	})
 	must(t, err)
 	defer closeQuietly(liar)
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -33,81 +33,107 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// Many connections at once that say nothing, stop half way, send much and go, or read nothing of their answers: whoever
-// hands a whole message in is answered and delivered, and descriptors and memory stay inside their limits.
+// Many connections at once that say nothing, stop half way, send much and go, or read nothing of their answers: who
+// submits a whole message is answered and it is delivered, and descriptors and memory stay inside their limits.
 func TestFloodsBlockNobody(t *testing.T) {
-	const flood, sockets, memoryMB = 400, 192, 64
-	whole := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: flood\r\nContent-Length: 60000\r\n\r\n"
+	const headers = "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: flood\r\nContent-Length: 60000\r\n\r\n"
 	for _, c := range []struct {
 		name string
 		act  func(conn net.Conn)
 	}{
 		{"say nothing", func(net.Conn) {}},
-		{"stop half way", func(conn net.Conn) { writeQuietly(conn, whole+"half") }},
+		{"stop half way", func(conn net.Conn) { writeQuietly(conn, headers+"half") }},
 		{"send much and go", func(conn net.Conn) {
 			writeQuietly(conn, strings.Repeat("\x00", 1<<20))
 			closeQuietly(conn)
 		}},
-		{"read nothing of their answers", func(conn net.Conn) {
-			for range 200 {
-				if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
-					return
-				}
-			}
+		{"read nothing of their answers", sendRequestsOnly},
+		{"bad requests that go on", func(conn net.Conn) {
+			writeQuietly(conn, strings.Repeat("NONSENSE\r\n\r\n", 2000))
 		}},
-		{"bad requests that go on", func(conn net.Conn) { writeQuietly(conn, strings.Repeat("NONSENSE\r\n\r\n", 2000)) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			p, h := newPlatform(t), newEndpoint(t, nil)
-			r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": 3}
-			r.writeConfig()
-			r.start(p)
-			conns := make(chan net.Conn, flood)
-			over := make(chan struct{})
-			go func() {
-				defer close(over)
-				for range flood {
-					conn, err := net.DialTimeout("tcp", r.addr, time.Second)
-					if err != nil {
-						continue
-					}
-					must(t, conn.SetDeadline(time.Now().Add(2*time.Second)))
-					conns <- conn
-					go c.act(conn)
-				}
-			}()
-			most, memory := 0, int64(0)
-			for i, flooding := 0, true; flooding || i < 40; i++ {
-				select {
-				case <-over:
-					flooding = false
-				default:
-				}
-				id := fmt.Sprint("m", i)
-				// One that is turned away with its connection comes again, as clients do.
-				eventually(t, id+" taken on", func() bool {
-					res, err := r.client.Do(r.request(id, 12*time.Second, nil))
-					if err != nil {
-						return false
-					}
-					drain(res.Body)
-					closeQuietly(res.Body)
-					return res.StatusCode == http.StatusAccepted
-				})
-				most, memory = max(most, r.descriptors()), max(memory, r.resident())
-			}
-			eventually(t, "the last is delivered", func() bool { return h.count("m39") > 0 })
-			if most > sockets || memory > memoryTimes*memoryMB<<20 {
-				t.Errorf("%d descriptors of %d, %d MB of %d", most, sockets, memory>>20, memoryMB)
+		t.Run(c.name, func(t *testing.T) { testFlood(t, c.act) })
+	}
+}
+
+// sendRequestsOnly sends requests and reads no answers.
+func sendRequestsOnly(conn net.Conn) {
+	for range 200 {
+		if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+			return
+		}
+	}
+}
+
+func testFlood(t *testing.T, act func(conn net.Conn)) {
+	const (
+		sockets  = 192
+		memoryMB = 64
+	)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
+	r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": 3}
+	r.writeConfig()
+	r.start(p)
+	conns, over := startFlood(t, r.addr, act)
+	peakDescriptors := 0
+	peakMemory := int64(0)
+	flooding := true
+	for i := 0; flooding || i < 40; i++ {
+		select {
+		case <-over:
+			flooding = false
+		default:
+		}
+		id := fmt.Sprint("m", i)
+		// A client that is rejected with its connection closed tries again.
+		eventually(t, id+" accepted", func() bool { return r.accepts(id) })
+		peakDescriptors = max(peakDescriptors, r.descriptors())
+		peakMemory = max(peakMemory, r.resident())
+	}
+	eventually(t, "the last is delivered", func() bool { return h.count("m39") > 0 })
+	if peakDescriptors > sockets || peakMemory > memoryTimes*memoryMB<<20 {
+		t.Errorf("%d descriptors of %d, %d MB of %d", peakDescriptors, sockets, peakMemory>>20, memoryMB)
+	}
+	close(conns)
+	for conn := range conns {
+		closeQuietly(conn)
+	}
+	t.Logf("%d descriptors, %d MB", peakDescriptors, peakMemory>>20)
+}
+
+// startFlood opens many connections that act. over is closed when the last one is open.
+func startFlood(t *testing.T, addr string, act func(conn net.Conn)) (conns chan net.Conn, over chan struct{}) {
+	const flood = 400
+	conns = make(chan net.Conn, flood)
+	over = make(chan struct{})
+	go func() {
+		defer close(over)
+		for range flood {
+			conn, err := net.DialTimeout("tcp", addr, time.Second)
+			if err != nil {
+				continue
 			}
-			close(conns)
-			for conn := range conns {
-				closeQuietly(conn)
+			if err := conn.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
+				t.Error(err)
 			}
-			t.Logf("%d descriptors, %d MB", most, memory>>20)
-		})
+			conns <- conn
+			go act(conn)
+		}
+	}()
+	return conns, over
+}
+
+// accepts submits a message, and reports whether it was accepted.
+func (r *relayProcess) accepts(id string) bool {
+	response, err := r.client.Do(r.request(id, 12*time.Second, nil))
+	if err != nil {
+		return false
 	}
+	drain(response.Body)
+	closeQuietly(response.Body)
+	return response.StatusCode == http.StatusAccepted
 }
 
 // fillDisk writes messages into a relay's journal until it takes no more, and returns how many.
@@ -117,10 +143,13 @@
 	must(t, err)
 	for {
 		m := &journal.Message{
-			ID: uint32(
-				taken + 1,
-			), TraceID: fmt.Sprint("m", taken), IdempotencyKey: "k", ClassName: "order", Destination: 7, Body: make([]byte, body),
-			Deadline: time.Now().Add(14 * time.Second),
+			ID:             uint32(taken + 1),
+			TraceID:        fmt.Sprint("m", taken),
+			IdempotencyKey: "k",
+			ClassName:      "order",
+			Destination:    7,
+			Body:           make([]byte, body),
+			Deadline:       time.Now().Add(14 * time.Second),
 		}
 		if err := j.Accept(m); errors.Is(err, journal.ErrFull) {
 			break
@@ -135,7 +164,8 @@
 
 // Told to end at any moment of its start, recovery included, a relay forgets nothing.
 func TestTerminatedInRecovery(t *testing.T) {
-	for _, after := range []time.Duration{0, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
+	for _, delayMS := range []int{0, 2, 5, 10, 20, 60} {
+		after := time.Duration(delayMS) * time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
 			p, h := newPlatform(t), newEndpoint(t, nil)
--- a/cmd/cherrytrestle/golden_test.go
+++ b/cmd/cherrytrestle/golden_test.go
@@ -18,7 +18,8 @@
 	var all strings.Builder
 	for _, args := range []string{
 		"", "serve", "replay", "explain", "fleet", "fleet count", "fleet status",
-		"recording", "recording info", "recording extract", "journal", "journal inspect", "journal verify", "journal dump",
+		"recording", "recording info", "recording extract",
+		"journal", "journal inspect", "journal verify", "journal dump",
 	} {
 		var stdout, stderr bytes.Buffer
 		line := strings.TrimSpace(args + " --help")
--- a/cmd/cherrytrestle/idleclients_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// dialMany has n clients connect, do what first does, and stay until the relay closes, each anew after a moment, until ctx
-// ends.
+// dialMany has n clients connect, call first and stay until the relay closes the connection. Each connects again after
+// a moment, until ctx ends.
 func dialMany(ctx context.Context, addr string, n int, first func(net.Conn)) (wait func()) {
 	var all sync.WaitGroup
 	for range n {
@@ -59,95 +59,103 @@
 }
 
 // Idle clients fill the descriptors that the machine gives while discovery is down. The health answer, a new connection
-// to a host, and the call to discovery that finds it back still get theirs.
+// to an endpoint, and the call to discovery that finds it back still get theirs.
 func TestIdleClientsLeaveDescriptorsForTheOthers(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
 		name    string
-		first   func(net.Conn)
+		request string
 	}{
-		{40, "silent", func(net.Conn) {}},
-		{96, "silent", func(net.Conn) {}},
-		{96, "resting after a request", func(conn net.Conn) { writeQuietly(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n") }},
-		{96, "half a request", func(conn net.Conn) { writeQuietly(conn, "POST /order HTTP/1.1\r\nHost: x\r\nContent-Le") }},
+		{40, "silent", ""},
+		{96, "silent", ""},
+		{96, "idle after a request", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{96, "half a request", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Le"},
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.sockets), func(t *testing.T) {
 			t.Parallel()
-			one, two := newEndpoint(t, nil), newEndpoint(t, nil)
-			var down atomic.Bool
-			down.Store(true)
-			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if down.Load() {
-					conn, _, err := w.(http.Hijacker).Hijack()
-					must(t, err)
-					closeQuietly(conn)
-					return
-				}
-				list := map[string]any{
-					"version": 9,
-					"full":    true,
-					"servers": []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")},
-				}
-				must(t, json.NewEncoder(w).Encode(list))
-				w.(http.Flusher).Flush()
-				<-r.Context().Done()
-			}))
-			t.Cleanup(func() { agent.CloseClientConnections(); agent.Close() })
-			p := &platform{Server: agent}
-			r := prepareRelay(t, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
-			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": c.sockets, "disk_mb": 3}
-			r.writeConfig()
-			r.start(p)
-			r.limitDescriptors(uint64(c.sockets))
-			ctx, leave := context.WithCancel(context.Background())
-			wait := dialMany(ctx, r.addr, 3*c.sockets, c.first)
-			defer wait()
-			defer leave()
-			time.Sleep(500 * time.Millisecond) // the crowd comes
+			testIdleClients(t, c.sockets, c.request)
+		})
+	}
+}
 
-			// What is shut unread comes again, as clients do.
-			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
-			answered := func(req func() *http.Request, want int) func() bool {
-				return func() bool {
-					res, err := client.Do(req())
-					if err != nil {
-						return false
-					}
-					closeQuietly(res.Body)
-					return res.StatusCode == want
-				}
-			}
-			health := func() *http.Request {
-				req, err := http.NewRequest(http.MethodGet, "http://"+r.addr+"/_health", nil)
-				must(t, err)
-				return req
-			}
-			for i := range 5 {
-				eventually(t, "a health answer", answered(health, http.StatusOK))
-				id := fmt.Sprint("m", i)
-				eventually(
-					t,
-					id+" taken on",
-					answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted),
-				)
-				eventually(t, id+" at the host", func() bool { return one.count(id) > 0 })
-				one.CloseClientConnections() // the next call needs a connection of its own
-			}
-			most := r.descriptors()
-			down.Store(false)
-			eventually(t, "a message at the host that discovery names", func() bool {
-				id := fmt.Sprint("n", time.Now().UnixNano())
-				eventually(
-					t,
-					id+" taken on",
-					answered(func() *http.Request { return r.request(id, 12*time.Second, nil) }, http.StatusAccepted),
-				)
-				eventually(t, id+" delivered", func() bool { return one.count(id)+two.count(id) > 0 })
-				return two.count(id) > 0
-			})
-			if t.Logf("%d descriptors of %d", most, c.sockets); most < c.sockets/5 {
-				t.Errorf("%d descriptors: the crowd is none", most)
-			}
+func testIdleClients(t *testing.T, sockets int, request string) {
+	one := newEndpoint(t, nil)
+	two := newEndpoint(t, nil)
+	p, down := newFailingDiscovery(t, newEntry("s-2", two.addr(), "a", "gateway", "ready"))
+	r := prepareRelay(t, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets, "disk_mb": 3}
+	r.writeConfig()
+	r.start(p)
+	r.limitDescriptors(uint64(sockets))
+	ctx, leave := context.WithCancel(context.Background())
+	wait := dialMany(ctx, r.addr, 3*sockets, func(conn net.Conn) { writeQuietly(conn, request) })
+	defer wait()
+	defer leave()
+	time.Sleep(500 * time.Millisecond) // until the clients have connected
+
+	// Requests whose connection is closed unread are sent again, as clients do.
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
+	accepted := func(id string) {
+		t.Helper()
+		eventually(t, id+" accepted", func() bool {
+			return answersWith(client, r.request(id, 12*time.Second, nil), http.StatusAccepted)
 		})
 	}
+	for i := range 5 {
+		eventually(t, "a health answer", func() bool {
+			health, err := http.NewRequest(http.MethodGet, "http://"+r.addr+"/_health", http.NoBody)
+			must(t, err)
+			return answersWith(client, health, http.StatusOK)
+		})
+		id := fmt.Sprint("m", i)
+		accepted(id)
+		eventually(t, id+" at the endpoint", func() bool { return one.count(id) > 0 })
+		one.CloseClientConnections() // the next call needs a connection of its own
+	}
+	descriptors := r.descriptors()
+	down.Store(false)
+	eventually(t, "a message at the endpoint that discovery lists", func() bool {
+		id := fmt.Sprint("n", time.Now().UnixNano())
+		accepted(id)
+		eventually(t, id+" delivered", func() bool { return one.count(id)+two.count(id) > 0 })
+		return two.count(id) > 0
+	})
+	t.Logf("%d descriptors of %d", descriptors, sockets)
+	if descriptors < sockets/5 {
+		t.Errorf("%d descriptors: the clients fill none", descriptors)
+	}
+}
+
+// newFailingDiscovery closes all connections while it is down, and lists one endpoint then.
+func newFailingDiscovery(t *testing.T, entry listEntry) (p *platform, down *atomic.Bool) {
+	t.Helper()
+	down = &atomic.Bool{}
+	down.Store(true)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if down.Load() {
+			conn, _, err := w.(http.Hijacker).Hijack()
+			must(t, err)
+			closeQuietly(conn)
+			return
+		}
+		list := map[string]any{"version": 9, "full": true, "servers": []listEntry{entry}}
+		must(t, json.NewEncoder(w).Encode(list))
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+	}))
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return &platform{Server: server}, down
+}
+
+// answersWith sends a request, and reports whether it is answered with this status.
+func answersWith(client *http.Client, request *http.Request, status int) bool {
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	closeQuietly(response.Body)
+	return response.StatusCode == status
 }
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -68,81 +69,105 @@
 	return g
 }
 
-// runKilledAt has a relay take messages that its host does not answer, killed, and killed twice at one step of the
-// recovery, and then recover. It tells what was wrong, and whether the recovery had such a step.
+// runKilledAt has a relay accept messages that its endpoint does not answer, killed, killed twice at one step of the
+// recovery, and then recover. It returns what was wrong, and whether the recovery had such a step.
 func runKilledAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
-	p, h := newPlatform(t), newGatedEndpoint(t)
+	p := newPlatform(t)
+	h := newGatedEndpoint(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
 		withPayments(set)
 		set["extra"].(map[string]any)["call_slots"] = 40
 	})
 	r.kill()
-	var taken []string
 	r.setKillStep(first)
 	r.start(p)
+	accepted := submitBoth(r, fmt.Sprintf("%d-%v", then.At, then.Torn))
+	eventually(r.t, "calls in flight", func() bool { return h.count(accepted[len(accepted)-1]) > 0 })
+	r.kill()
+	r.setKillStep(then)
+	for range 2 {
+		reached = killDuringRecovery(r, p, h, accepted)
+	}
+	r.env = nil
+	close(h.gate)
+	r.start(p)
+	timeout := conditionTimeout
+	if first.Late {
+		timeout = 2 * time.Second // messages are expected to be forgotten
+	}
+	wrong = violationsAfter(p, h, accepted, timeout)
+	r.kill()
+	return wrong, reached
+}
+
+// submitBoth submits messages of both classes, and returns the accepted ones.
+func submitBoth(r *relayProcess, name string) []string {
+	var accepted []string
 	for i := range 8 {
 		class := []string{"order", "pay"}[i%2]
-		id := fmt.Sprintf("%s-%d-%v-%d", class, then.At, then.Torn, i)
+		id := fmt.Sprintf("%s-%s-%d", class, name, i)
 		if status, _ := r.submit(id, 12*time.Second, withClass(class)); status == http.StatusAccepted {
-			taken = append(taken, id)
+			accepted = append(accepted, id)
 		}
 	}
-	eventually(r.t, "calls that are out", func() bool { return h.count(taken[len(taken)-1]) > 0 })
-	r.kill()
-	for range 2 {
-		calls := map[string]int{}
-		for _, id := range taken {
-			calls[id] = h.count(id)
+	return accepted
+}
+
+// killDuringRecovery starts the relay, which kills itself at its step. It returns whether it did before all messages
+// went on.
+func killDuringRecovery(r *relayProcess, p *platform, h *gatedEndpoint, accepted []string) bool {
+	calls := map[string]int{}
+	for _, id := range accepted {
+		calls[id] = h.count(id)
+	}
+	waits := func(id string) bool { return h.count(id) <= calls[id] && p.notification(id) == nil }
+	r.launch(p)
+	over := make(chan struct{})
+	go func() {
+		_ = r.cmd.Wait() // the signal is its error
+		close(over)
+	}()
+	reached := false
+	eventually(r.t, "the step, or the end of the recovery", func() bool {
+		select {
+		case <-over:
+			reached = true
+		default:
+		}
+		return reached || !slices.ContainsFunc(accepted, waits)
+	})
+	_ = r.cmd.Process.Kill() // it may have ended
+	<-over
+	r.client.CloseIdleConnections()
+	return reached
+}
+
+// violationsAfter returns what is still wrong when the timeout is over, or nil as soon as nothing is.
+func violationsAfter(p *platform, h *gatedEndpoint, accepted []string, timeout time.Duration) []string {
+	for end := time.Now().Add(timeout); ; time.Sleep(2 * time.Millisecond) {
+		wrong := violations(p, h, accepted)
+		if len(wrong) == 0 || time.Now().After(end) {
+			return wrong
 		}
-		resumed := func(id string) bool { return h.count(id) > calls[id] || p.notification(id) != nil }
-		r.setKillStep(then)
-		r.launch(p)
-		over := make(chan struct{})
-		go func() {
-			_ = r.cmd.Wait() // the signal is its error
-			close(over)
-		}()
-		reached = false
-		eventually(r.t, "the step, or the end of the recovery", func() bool {
-			select {
-			case <-over:
-				reached = true
-			default:
-			}
-			for _, id := range taken {
-				if !reached && !resumed(id) {
-					return false
-				}
-			}
-			return true
-		})
-		_ = r.cmd.Process.Kill() // it may have ended
-		<-over
-		r.client.CloseIdleConnections()
 	}
-	r.env = nil
-	close(h.gate)
-	r.start(p)
-	for end := time.Now().Add(conditionTimeout); ; time.Sleep(2 * time.Millisecond) {
-		wrong = nil
-		for _, id := range taken {
-			if _, ok := h.answered.Load(id); !ok && p.notification(id) == nil {
-				wrong = append(wrong, id+" was forgotten")
-			}
-			if n := h.count(id); n > 1 && strings.HasPrefix(id, "pay") {
-				wrong = append(wrong, id+" ran twice")
-			}
+}
+
+// violations are the messages that were forgotten, or ran twice though they must not.
+func violations(p *platform, h *gatedEndpoint, accepted []string) []string {
+	var wrong []string
+	for _, id := range accepted {
+		if _, ok := h.answered.Load(id); !ok && p.notification(id) == nil {
+			wrong = append(wrong, id+" was forgotten")
 		}
-		if len(wrong) == 0 || time.Now().After(end) || first.Late && time.Now().After(end.Add(2*time.Second-conditionTimeout)) {
-			break
+		if h.count(id) > 1 && strings.HasPrefix(id, "pay") {
+			wrong = append(wrong, id+" ran twice")
 		}
 	}
-	r.kill()
-	return wrong, reached
+	return wrong
 }
 
-// Killed at every step of a recovery, before each call to the journal's files and in the midst of each write, twice in
-// a row: what was taken on ends, and nothing runs twice that must not.
+// Killed at every step of a recovery, before each call to the journal's files and in the middle of each write, twice in
+// a row: each accepted message ends, and none runs twice that must not.
 func TestKilledAtEachStepOfRecovery(t *testing.T) {
 	last := 0
 	for _, torn := range []bool{false, true} {
@@ -158,12 +183,14 @@
 			last = max(last, at)
 		}
 	}
-	if t.Logf("%d steps", last); last < 20 {
+	t.Logf("%d steps", last)
+	if last < 20 {
 		t.Errorf("a recovery of %d steps: the test shows little", last)
 	}
 }
 
-// A relay whose journal is written behind what it is for is convicted: the last write is lost with the process.
+// A relay that writes its journal after the action that the record is for is detected: the last write is lost with the
+// process.
 func TestLateJournalWriteIsDetected(t *testing.T) {
 	for at := 1; at <= 10; at++ {
 		if wrong, _ := runKilledAt(t, killStep{Late: true}, killStep{At: at}); len(wrong) > 0 {
--- /dev/null
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -0,0 +1,156 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries:
+// no relay sends it anything from 1 s after that was published, and all accepted messages are delivered.
+func TestManyRelaysOfOneCatalog(t *testing.T) {
+	destinations := 2000
+	if *full {
+		destinations = 50000
+	}
+	for _, n := range testSizes(t, []int{3}, 30) {
+		t.Run(fmt.Sprintf("%d relays, %d destinations", n, destinations), func(t *testing.T) {
+			testManyRelays(t, n, destinations)
+		})
+	}
+}
+
+func testManyRelays(t *testing.T, n, destinations int) {
+	values := map[string]float64{}
+	defer func() { recordReading(t, fmt.Sprintf("relays of %d destinations", destinations), n, values) }()
+	drained := newEndpoint(t, nil)
+	stays := newEndpoint(t, nil)
+	list := destinationEntries(0, destinations, "")
+	list[0]["addr"] = drained.addr()
+	list[0]["weight"] = 9000.0
+	list[1]["addr"] = stays.addr()
+	list[1]["weight"] = 5000.0
+	discovery := newDiscoveryServer(t, 2, list)
+	relays, monitors := launchMany(t, n, &platform{Server: discovery.Server}, values)
+	load := startLoad(relays)
+	eventually(t, "the endpoint that will be drained is called", func() bool { return drained.totalCalls() >= 5*n })
+	changed := list[2 : 2+destinations]
+	for _, entry := range changed {
+		entry["weight"] = 9.1
+	}
+	list[0]["state"] = "draining"
+	discovery.publish(t, changed...)
+	discovery.publish(t, list[0])
+	published := time.Now()
+	time.Sleep(3 * time.Second)
+	load.end()
+	eventually(t, "all accepted messages are delivered", func() bool {
+		return distinctIDs(drained, stays) >= int(load.accepted.Load())
+	})
+	if stays.totalCalls() == 0 {
+		t.Error("nothing goes to the endpoint that stays")
+	}
+	last := drained.lastCall().Sub(published)
+	if last > time.Second {
+		t.Errorf("called %v after its drain was published", last)
+	}
+	values["last_call_to_the_drained_ms"] = float64(last.Milliseconds())
+	values["taken"] = float64(load.accepted.Load())
+	values["turned_away"] = float64(load.rejected.Load())
+	measureMany(t, relays, monitors, values)
+}
+
+// launchMany launches n relays and waits until each is ready.
+func launchMany(
+	t *testing.T,
+	n int,
+	p *platform,
+	values map[string]float64,
+) (relays []*relayProcess, monitors []*healthMonitor) {
+	t.Helper()
+	for range n {
+		r := prepareRelay(t, nil, func(set map[string]any) { set["fleet_size"] = n })
+		r.launch(p)
+		relays = append(relays, r)
+		monitors = append(monitors, r.monitorHealth())
+	}
+	for i, monitor := range monitors {
+		if !monitor.untilReady(readyTimeout) {
+			t.Fatalf("relay %d is not ready after %v", i, readyTimeout)
+		}
+		values["ready_s"] = max(values["ready_s"], time.Duration(monitor.ready.Load()).Seconds())
+	}
+	return relays, monitors
+}
+
+func measureMany(t *testing.T, relays []*relayProcess, monitors []*healthMonitor, values map[string]float64) {
+	t.Helper()
+	for i, r := range relays {
+		monitors[i].end()
+		values["memory_most_mb"] = max(values["memory_most_mb"], r.memory("VmHWM"))
+		values["health_longest_ms"] = max(values["health_longest_ms"], monitors[i].longestMS())
+		values["processor_s"] += r.cpuTime().Seconds() / float64(len(relays))
+	}
+	if peak := values["memory_most_mb"]; peak > maxCatalogMemoryMB {
+		t.Errorf("%.0f MB at the most, %d wanted", peak, maxCatalogMemoryMB)
+	}
+}
+
+// relayLoad is messages that are submitted to each of some relays until end is called.
+type relayLoad struct {
+	accepted atomic.Int64
+	rejected atomic.Int64
+	stop     chan struct{}
+	clients  sync.WaitGroup
+}
+
+func startLoad(relays []*relayProcess) *relayLoad {
+	load := &relayLoad{stop: make(chan struct{})}
+	for i, r := range relays {
+		load.clients.Go(func() { load.submit(i, r) })
+	}
+	return load
+}
+
+func (l *relayLoad) submit(client int, r *relayProcess) {
+	for k := 0; ; k++ {
+		select {
+		case <-l.stop:
+			return
+		case <-time.After(50 * time.Millisecond):
+		}
+		id := fmt.Sprintf("m-%d-%d", client, k)
+		response, err := r.client.Do(r.request(id, 15*time.Second, toDestination(0)))
+		if err != nil {
+			l.rejected.Add(1)
+			continue
+		}
+		closeQuietly(response.Body)
+		if response.StatusCode == http.StatusAccepted {
+			l.accepted.Add(1)
+		} else {
+			l.rejected.Add(1)
+		}
+	}
+}
+
+func (l *relayLoad) end() {
+	close(l.stop)
+	l.clients.Wait()
+}
+
+// distinctIDs counts the messages that reached any of the endpoints.
+func distinctIDs(endpoints ...*endpoint) int {
+	ids := map[string]bool{}
+	for _, e := range endpoints {
+		e.mu.Lock()
+		for _, id := range e.seen {
+			ids[id] = true
+		}
+		e.mu.Unlock()
+	}
+	return len(ids)
+}
--- a/cmd/cherrytrestle/measure_test.go
+++ b/cmd/cherrytrestle/measure_test.go
@@ -65,8 +65,8 @@
 	return mb
 }
 
-// healthMonitor asks for the relay's health without pause until stop is closed: when it was ready first, and the longest that
-// an answer took or that lay between two, once there was one.
+// healthMonitor checks the relay's health all the time, until it ends: when the relay was first ready, and the longest
+// time between two answers.
 type healthMonitor struct {
 	began   time.Time
 	stop    chan struct{}
@@ -106,6 +106,8 @@
 	return h
 }
 
+func (h *healthMonitor) longestMS() float64 { return float64(h.longest.Load()) / 1e6 }
+
 func (h *healthMonitor) end() {
 	select {
 	case <-h.stop:
@@ -115,9 +117,9 @@
 	h.done.Wait()
 }
 
-// untilReady waits for it for so long at most.
-func (h *healthMonitor) untilReady(most time.Duration) bool {
-	for h.ready.Load() == 0 && time.Since(h.began) < most {
+// untilReady waits until the relay is ready, and reports whether it was in time.
+func (h *healthMonitor) untilReady(timeout time.Duration) bool {
+	for h.ready.Load() == 0 && time.Since(h.began) < timeout {
 		time.Sleep(2 * time.Millisecond)
 	}
 	return h.ready.Load() != 0
--- a/cmd/cherrytrestle/platform_test.go
+++ b/cmd/cherrytrestle/platform_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -31,8 +32,8 @@
 	watches           atomic.Int32 // that are answered
 }
 
-// disconnect ends all connections, and waits until no watch is answered any more: one that is as good as gone would take the
-// next line with it.
+// disconnect ends all connections, and waits until no watch is answered any more: one that is about to end would take
+// the next line with it.
 func (p *platform) disconnect(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
@@ -46,7 +47,8 @@
 		p.mu.Lock()
 		if r.URL.Query().Get("stream") == "" {
 			defer p.mu.Unlock()
-			_ = json.NewEncoder(w).Encode(map[string]any{"version": p.version, "full": true, "servers": p.fullList}) // the relay may have gone
+			list := map[string]any{"version": p.version, "full": true, "servers": p.fullList}
+			_ = json.NewEncoder(w).Encode(list) // the relay may have gone
 			return
 		}
 		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
@@ -110,3 +112,23 @@
 	}
 	return nil
 }
+
+// watchIndexes are the versions that watches began from.
+func (p *platform) watchIndexes() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.indexes)
+}
+
+// notificationsToFail is how many more notifications the platform will fail.
+func (p *platform) notificationsToFail() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.failNotifications
+}
+
+func (p *platform) notificationCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.notifications)
+}
--- a/cmd/cherrytrestle/quota_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"net/http"
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// newQuotaFleet is a rig of relays that share what one host takes, calls a second, each with a small part of the traffic as
-// they are told.
+// newQuotaFleet prepares relays that share an endpoint's limit in calls a second. By their settings each may send a
+// small part of the traffic.
 func newQuotaFleet(t *testing.T, n int, h *endpoint, takes float64) *testFleet {
 	g := newTestFleet(t, n, h)
 	for i, r := range g.relays {
@@ -31,7 +31,7 @@
 	return g
 }
 
-// quotaStatus is what a relay says of its only limit.
+// quotaStatus is the status of a relay's only limit.
 func (g *testFleet) quotaStatus(i int) quota.ScopeStatus {
 	if s := g.status(i); len(s.Quota) == 1 {
 		return s.Quota[0]
@@ -39,75 +39,36 @@
 	return quota.ScopeStatus{}
 }
 
-// maxCallsWithin is the greatest number of calls that came in any span.
-func (h *endpoint) maxCallsWithin(span time.Duration) (most int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	at := slices.SortedFunc(slices.Values(h.at), time.Time.Compare)
-	for i, j := 0, 0; j < len(at); j++ {
-		for at[j].Sub(at[i]) > span {
-			i++
-		}
-		most = max(most, j-i+1)
-	}
-	return most
-}
-
-func (h *endpoint) totalCalls() int { h.mu.Lock(); defer h.mu.Unlock(); return h.calls }
-
-// Eight relays share a host of 16 calls a second, and one of them has all the backlog: it uses nearly all of that, also
-// when the keeper is stopped and when it is killed; cut off from all it goes on by its own part, and is back when the
-// links are. All restarted while rights are lent, the host never gets more than it takes beyond what may be saved up.
+// Eight relays share an endpoint of 16 calls a second, and one of them has all the backlog: it uses nearly all of the
+// limit, also when the lease holder is stopped and when it is killed. Cut off from all it goes on with its own part,
+// and shares again when the links are back. With all others restarted while they lend, the endpoint never gets more
+// calls than its limit beyond what may be saved up.
 func TestQuotaIsSharedByProcesses(t *testing.T) {
-	const n, takes = 8, 16.0
+	const (
+		n     = 8
+		limit = 16.0
+	)
 	h := newEndpoint(t, nil)
-	g := newQuotaFleet(t, n, h, takes)
+	g := newQuotaFleet(t, n, h, limit)
 	g.start(g.allRelays()...)
-	fed := make(chan struct{})
-	defer func() { <-fed }()
-	done := make(chan struct{})
-	defer close(done)
-	go func() { // a backlog at relay 0 that does not end
-		defer close(fed)
-		for k := 0; ; k++ {
-			select {
-			case <-done:
-				return
-			case <-time.After(25 * time.Millisecond):
-			}
-			if res, err := g.relays[0].client.Do(g.relays[0].request(fmt.Sprint("b-", k), 10*time.Second, func(r *http.Request) {})); err == nil {
-				closeQuietly(res.Body)
-			}
-		}
-	}()
-	rate := func(span time.Duration) float64 {
+	t.Cleanup(g.startBacklog(0))
+	callRate := func() float64 {
+		const window = 2 * time.Second
 		before := h.totalCalls()
-		time.Sleep(span) // a rate is counted over time
-		return float64(h.totalCalls()-before) / span.Seconds()
+		time.Sleep(window) // a rate is counted over time
+		return float64(h.totalCalls()-before) / window.Seconds()
 	}
 	shared := func(what string) {
 		t.Helper()
-		eventually(t, what, func() bool { return rate(2*time.Second) > 0.65*takes })
-	}
-	agree := func() string {
-		keeper := g.quotaStatus(1).LeaseHolder
-		for _, i := range g.allRelays() {
-			if g.quotaStatus(i).LeaseHolder != keeper {
-				return ""
-			}
-		}
-		return keeper
+		eventually(t, what, func() bool { return callRate() > 0.65*limit })
 	}
 
-	eventually(t, "one keeper", func() bool { return agree() != "" })
+	eventually(t, "one lease holder", func() bool { return g.agreedLeaseHolder() != "" })
 	shared("the one with the backlog uses what others lend")
 
-	index := func(name string) int {
-		return slices.IndexFunc(g.allRelays(), func(i int) bool { return relayName(i) == name })
-	}
-	if k := index(agree()); k > 0 { // stopped for more than three leases
+	if k := g.relayIndex(g.agreedLeaseHolder()); k > 0 { // stopped for more than three leases
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
-		shared("another keeper, the first being stopped")
+		shared("another lease holder, the first being stopped")
 		time.Sleep(3 * quota.LeaseDuration)
 		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGCONT))
 		shared("the first one is back")
@@ -116,11 +77,10 @@
 	others := g.allRelays()[1:]
 	g.setFaults([]int{0}, others, faultproxy.LinkFaults{Cut: true})
 	g.setFaults(others, []int{0}, faultproxy.LinkFaults{Cut: true})
-	eventually(
-		t,
-		"cut off it goes by its own part",
-		func() bool { r := rate(2 * time.Second); return r > 0 && r < 0.5*takes },
-	)
+	eventually(t, "cut off it uses its own part", func() bool {
+		rate := callRate()
+		return rate > 0 && rate < 0.5*limit
+	})
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
 	shared("the links are sound again")
 
@@ -129,14 +89,7 @@
 	}
 	g.start(others...)
 	shared("all others were killed while they lent")
-
-	// What may be saved up: a call and a half by each, what the keeper saves, and what was given within the time that a
-	// right is valid.
-	const span = 10 * time.Second
-	saved := 1.5*n + 0.3*takes + takes*quota.GrantTTL.Seconds()
-	if most := h.maxCallsWithin(span); float64(most) > takes*span.Seconds()+saved {
-		t.Errorf("%d calls in %v, of a host that takes %g a second", most, span, takes)
-	}
+	checkCallsWithinLimit(t, h, n, limit)
 	for _, i := range []int{0, 1} {
 		_ = g.relays[i].terminate() // how it ends is checked elsewhere
 		if err := replayed(g.relays[i].dir); err != nil && !strings.Contains(err.Error(), "no recordings") {
@@ -144,3 +97,53 @@
 		}
 	}
 }
+
+// checkCallsWithinLimit checks the calls in any ten seconds. Beyond the limit there may be what was saved up: a call
+// and a half by each relay, what the lease holder saves, and what was granted within the time that a grant is valid.
+func checkCallsWithinLimit(t *testing.T, h *endpoint, relays int, limit float64) {
+	t.Helper()
+	const window = 10 * time.Second
+	saved := 1.5*float64(relays) + 0.3*limit + limit*quota.GrantTTL.Seconds()
+	if calls := h.maxCallsWithin(window); float64(calls) > limit*window.Seconds()+saved {
+		t.Errorf("%d calls in %v, at a limit of %g a second", calls, window, limit)
+	}
+}
+
+// startBacklog submits messages at a relay without end, until the returned function is called.
+func (g *testFleet) startBacklog(i int) (stop func()) {
+	done := make(chan struct{})
+	var client sync.WaitGroup
+	client.Go(func() {
+		r := g.relays[i]
+		for k := 0; ; k++ {
+			select {
+			case <-done:
+				return
+			case <-time.After(25 * time.Millisecond):
+			}
+			response, err := r.client.Do(r.request(fmt.Sprint("b-", k), 10*time.Second, nil))
+			if err == nil {
+				closeQuietly(response.Body)
+			}
+		}
+	})
+	return func() {
+		close(done)
+		client.Wait()
+	}
+}
+
+// agreedLeaseHolder is the lease holder that all relays name, or "".
+func (g *testFleet) agreedLeaseHolder() string {
+	holder := g.quotaStatus(1).LeaseHolder
+	for _, i := range g.allRelays() {
+		if g.quotaStatus(i).LeaseHolder != holder {
+			return ""
+		}
+	}
+	return holder
+}
+
+func (g *testFleet) relayIndex(name string) int {
+	return slices.IndexFunc(g.allRelays(), func(i int) bool { return relayName(i) == name })
+}
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -17,9 +17,10 @@
 )
 
 func command(args ...string) (status int, out, errs string) {
-	var o, e bytes.Buffer
-	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, cli.Streams{Out: &o, Err: &e}, cli.Failed)
-	return status, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	streams := cli.Streams{Out: &stdout, Err: &stderr}
+	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, streams, cli.Failed)
+	return status, stdout.String(), stderr.String()
 }
 
 // runRecorded has a real relay record while hosts refuse, answer and die, and returns where the recordings are.
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -65,95 +65,130 @@
 	return config["settings"].(map[string]any)["services"].([]any)[i].(map[string]any)
 }
 
-// Settings change under SIGHUP: a class comes, its rules bind, another goes; a file that is not whole or makes no sense
-// changes nothing, not even the address of discovery that it names. The figures tell of all of it.
+// Settings change under SIGHUP: a class is added and its rules apply, another is removed. A file that is incomplete or
+// invalid changes nothing, not even the address of discovery that it names. The metrics count all of it.
 func TestSettingsChangeUnderSIGHUP(t *testing.T) {
-	fail := func(w http.ResponseWriter, _ *http.Request, ids []string) {
-		if strings.HasPrefix(ids[0], "bad") {
-			w.WriteHeader(http.StatusInternalServerError)
-		}
-	}
-	h, p, lost := newEndpoint(t, fail), newPlatform(t), newPlatform(t)
+	h := newEndpoint(t, failBadMessages)
+	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.kill()
-	second := withManagement(t, r)
+	management := withManagement(t, r)
 	r.start(p)
 	r.mustAccept("m1", 10*time.Second)
-	waitMetric(t, second, "completed.order", "1")
+	waitMetric(t, management, "completed.order", "1")
 	r.config["discovery"] = p.Listener.Addr().String()
-	hup := func(data []byte) {
-		t.Helper()
-		must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), data, 0o600))
-		must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	}
-	text := func(config map[string]any) []byte { data, err := json.Marshal(config); must(t, err); return data }
 
-	// A class more, whose messages must never run twice.
+	// One more class, whose messages must never run twice.
 	next := deepCopy(t, r.config)
-	set := next["settings"].(map[string]any)
+	settings := next["settings"].(map[string]any)
 	payment := deepCopy(t, serviceSettings(next, 0))
-	payment["name"], payment["semantics"] = "payment", "unsafe"
-	set["services"] = append(set["services"].([]any), payment)
-	hup(text(next))
-	waitMetric(t, second, "config_reloads", "1")
-	waitMetric(t, second, "failed.payment", "0")
-	eventually(t, "the new class is taken", func() bool {
+	payment["name"] = "payment"
+	payment["semantics"] = "unsafe"
+	settings["services"] = append(settings["services"].([]any), payment)
+	r.reload(encodeConfig(t, next))
+	waitMetric(t, management, "config_reloads", "1")
+	waitMetric(t, management, "failed.payment", "0")
+	eventually(t, "a message of the new class is accepted", func() bool {
 		status, _ := r.submit("bad1", 10*time.Second, withClass("payment"))
 		return status == http.StatusAccepted
 	})
-	waitMetric(t, second, "failed.payment", "1")
+	waitMetric(t, management, "failed.payment", "1")
 	if n := h.count("bad1"); n != 1 {
 		t.Errorf("a message that may not run twice was sent %d times", n)
 	}
 
-	errors := 0
-	for name, spoil := range map[string]func(config map[string]any) []byte{
-		"empty":   func(map[string]any) []byte { return nil },
-		"cut off": func(c map[string]any) []byte { data := text(c); return data[:len(data)*2/3] },
-		"no deadline": func(c map[string]any) []byte {
-			delete(serviceSettings(c, 1), "give_up_ms")
-			return text(c)
-		},
-		"deadline 0":   func(c map[string]any) []byte { serviceSettings(c, 0)["give_up_ms"] = 0; return text(c) },
-		"no discovery": func(c map[string]any) []byte { delete(c, "discovery"); return text(c) },
-		"attempts below 0": func(c map[string]any) []byte {
-			c["settings"].(map[string]any)["bounds"].(map[string]any)["send_cap"] = -1
-			return text(c)
-		},
-		"text for a number": func(c map[string]any) []byte { serviceSettings(c, 0)["give_up_ms"] = "soon"; return text(c) },
-	} {
-		broken := deepCopy(t, next)
-		broken["discovery"] = lost.Listener.Addr().String()
-		serviceSettings(broken, 0)["name"] = "other"
-		hup(spoil(broken))
-		errors++
-		waitMetric(t, second, "config_reload_errors", fmt.Sprint(errors))
-		if metric(t, second, "completed.other") != "" {
-			t.Errorf("%s: half taken", name)
+	reloadInvalidConfigs(t, r, h, management, next)
+
+	// A class is removed. Its open messages end by its rules, also over a restart.
+	settings["services"] = settings["services"].([]any)[1:]
+	r.reload(encodeConfig(t, next))
+	waitMetric(t, management, "config_reloads", "2")
+	eventually(t, "the old class is rejected", func() bool {
+		status, _ := r.submit("late", 10*time.Second, nil)
+		return status == http.StatusBadRequest
+	})
+	waitMetric(t, management, "members", "1")
+	waitMetric(t, management, "pending", "0")
+}
+
+func failBadMessages(w http.ResponseWriter, _ *http.Request, ids []string) {
+	if strings.HasPrefix(ids[0], "bad") {
+		w.WriteHeader(http.StatusInternalServerError)
+	}
+}
+
+func encodeConfig(t testing.TB, config map[string]any) []byte {
+	t.Helper()
+	data, err := json.Marshal(config)
+	must(t, err)
+	return data
+}
+
+// reload writes a configuration file and sends SIGHUP.
+func (r *relayProcess) reload(data []byte) {
+	r.t.Helper()
+	must(r.t, os.WriteFile(filepath.Join(r.dir, "config.json"), data, 0o600))
+	must(r.t, r.cmd.Process.Signal(syscall.SIGHUP))
+}
+
+// reloadInvalidConfigs reloads configurations that are each spoilt in another way, and name another discovery. The
+// relay counts an error each time, and serves as before.
+func reloadInvalidConfigs(t *testing.T, r *relayProcess, h *endpoint, management string, valid map[string]any) {
+	t.Helper()
+	other := newPlatform(t)
+	failures := 0
+	for name, spoil := range invalidConfigs(t) {
+		config := deepCopy(t, valid)
+		config["discovery"] = other.Listener.Addr().String()
+		serviceSettings(config, 0)["name"] = "other"
+		r.reload(spoil(config))
+		failures++
+		waitMetric(t, management, "config_reload_errors", fmt.Sprint(failures))
+		if metric(t, management, "completed.other") != "" {
+			t.Errorf("%s: applied in part", name)
 		}
-		id := fmt.Sprint("still", errors)
+		id := fmt.Sprint("still", failures)
 		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return h.count(id) == 1 })
 	}
-	lost.mu.Lock()
-	if len(lost.indexes) > 0 {
-		t.Error("the discovery of a broken file was asked")
+	if len(other.watchIndexes()) > 0 {
+		t.Error("the discovery of an invalid file was polled")
 	}
-	lost.mu.Unlock()
+}
 
-	// A class goes. What is open under it ends by its rules, also over a restart.
-	set["services"] = set["services"].([]any)[1:]
-	hup(text(next))
-	waitMetric(t, second, "config_reloads", "2")
-	eventually(t, "the old class is turned away", func() bool {
-		status, _ := r.submit("late", 10*time.Second, nil)
-		return status == http.StatusBadRequest
-	})
-	waitMetric(t, second, "members", "1")
-	waitMetric(t, second, "pending", "0")
+// invalidConfigs are ways to spoil a configuration, by name.
+func invalidConfigs(t *testing.T) map[string]func(config map[string]any) []byte {
+	t.Helper()
+	return map[string]func(config map[string]any) []byte{
+		"empty": func(map[string]any) []byte { return nil },
+		"cut off": func(config map[string]any) []byte {
+			data := encodeConfig(t, config)
+			return data[:len(data)*2/3]
+		},
+		"no deadline": func(config map[string]any) []byte {
+			delete(serviceSettings(config, 1), "give_up_ms")
+			return encodeConfig(t, config)
+		},
+		"deadline 0": func(config map[string]any) []byte {
+			serviceSettings(config, 0)["give_up_ms"] = 0
+			return encodeConfig(t, config)
+		},
+		"no discovery": func(config map[string]any) []byte {
+			delete(config, "discovery")
+			return encodeConfig(t, config)
+		},
+		"attempts below 0": func(config map[string]any) []byte {
+			config["settings"].(map[string]any)["bounds"].(map[string]any)["send_cap"] = -1
+			return encodeConfig(t, config)
+		},
+		"text for a number": func(config map[string]any) []byte {
+			serviceSettings(config, 0)["give_up_ms"] = "soon"
+			return encodeConfig(t, config)
+		},
+	}
 }
 
-// The second address answers while clients crowd the first, and tells of the end.
+// The second address answers while clients take many connections of the first, and is not ready during shutdown.
 func TestReadinessAndMetrics(t *testing.T) {
 	var h *endpoint
 	hold := make(chan struct{})
@@ -163,12 +198,10 @@
 		}
 	})
 	p := newPlatform(t)
-	r := newRelay(
-		t,
-		p,
-		[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), newEntry("s-2", h.addr(), "a", "gateway", "draining")},
-		nil,
-	)
+	r := newRelay(t, p, []listEntry{
+		newEntry("s-1", h.addr(), "a", "gateway", "ready"),
+		newEntry("s-2", h.addr(), "a", "gateway", "draining"),
+	}, nil)
 	r.kill()
 	second := withManagement(t, r)
 	r.start(p)
@@ -198,9 +231,9 @@
 	r.cmd = nil
 }
 
-// SIGHUP moves discovery while the old address is silent, breaks off or turns callers away: the relay, one of 300,
-// hears the new one at once, and goes by its list alone; SIGTERM in the middle of a move ends it in order, with its
-// message kept or delivered.
+// SIGHUP moves discovery while the old address is silent, breaks off or rejects callers: the relay, one of 300, follows
+// the new one at once, and its list alone. SIGTERM in the middle of a move ends it in order, with its message stored or
+// delivered.
 func TestReloadMovesAwayFromFaultyDiscovery(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -239,16 +272,10 @@
 			r.config["discovery"] = second.Listener.Addr().String()
 			r.writeConfig()
 			must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-			eventually(
-				t,
-				"a watch at the new address",
-				func() bool { second.mu.Lock(); defer second.mu.Unlock(); return len(second.indexes) > 0 },
-			)
-			second.mu.Lock()
-			if second.indexes[0] != "7" {
-				t.Errorf("a watch from %s, want it from the whole list's 7", second.indexes[0])
+			eventually(t, "a watch at the new address", func() bool { return len(second.watchIndexes()) > 0 })
+			if index := second.watchIndexes()[0]; index != "7" {
+				t.Errorf("a watch from %s, want it from the full list's 7", index)
 			}
-			second.mu.Unlock()
 			r.mustAccept("m1", 10*time.Second)
 			eventually(t, "the host of the new list", func() bool { return two.count("m1") == 1 })
 			if n := one.count("m1"); n > 0 {
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -95,47 +95,62 @@
 	}
 }
 
-// Clients that go on through a planned end, and through a kill, lose nothing that they were told is taken on.
+// restartLoad is clients that submit messages until they are stopped, whatever happens to the relay meanwhile.
+type restartLoad struct {
+	r *relayProcess
+
+	mu         sync.Mutex
+	accepted   []string
+	unanswered int
+}
+
+// run submits messages until stop is closed.
+func (l *restartLoad) run(round string, stop <-chan struct{}) {
+	var clients sync.WaitGroup
+	for client := range 3 {
+		clients.Go(func() { l.submit(fmt.Sprintf("%s-%d", round, client), stop) })
+	}
+	clients.Wait()
+}
+
+func (l *restartLoad) submit(name string, stop <-chan struct{}) {
+	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
+	defer client.CloseIdleConnections()
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return
+		case <-time.After(20 * time.Millisecond):
+		}
+		id := fmt.Sprintf("%s-%d", name, i)
+		// The client sends it again if the relay closes the connection at the same moment.
+		response, err := client.Do(l.r.request(id, 16*time.Second, nil))
+		l.record(id, response, err)
+		if err == nil {
+			drain(response.Body)
+			closeQuietly(response.Body)
+		}
+	}
+}
+
+func (l *restartLoad) record(id string, response *http.Response, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if err != nil {
+		l.unanswered++
+	} else if response.StatusCode == http.StatusAccepted {
+		l.accepted = append(l.accepted, id)
+	}
+}
+
+// Clients that go on through a graceful shutdown, and through a kill, lose no message that was accepted.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
 	p := newPlatform(t)
 	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
-	var mu sync.Mutex
-	var taken []string
-	var unanswered int
-	load := func(round string, stop <-chan struct{}) {
-		var clients sync.WaitGroup
-		for c := range 3 {
-			clients.Go(func() {
-				client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
-				defer client.CloseIdleConnections()
-				for i := 0; ; i++ {
-					select {
-					case <-stop:
-						return
-					case <-time.After(20 * time.Millisecond):
-					}
-					id := fmt.Sprintf("%s-%d-%d", round, c, i)
-					// comes once more if its connection closed crosswise
-					res, err := client.Do(r.request(id, 16*time.Second, nil))
-					mu.Lock()
-					if err != nil {
-						unanswered++
-					} else if res.StatusCode == http.StatusAccepted {
-						taken = append(taken, id)
-					}
-					mu.Unlock()
-					if err == nil {
-						drain(res.Body)
-						closeQuietly(res.Body)
-					}
-				}
-			})
-		}
-		clients.Wait()
-	}
+	load := &restartLoad{r: r}
 
-	// The front sends nothing more to a relay some tenths of a second after SIGTERM.
+	// The load balancer sends nothing more to a relay some tenths of a second after SIGTERM.
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
@@ -143,9 +158,9 @@
 		time.Sleep(100 * time.Millisecond)
 		close(stop)
 	}()
-	load("term", stop)
-	if unanswered > 0 {
-		t.Errorf("%d requests had no answer through a planned end", unanswered)
+	load.run("term", stop)
+	if load.unanswered > 0 {
+		t.Errorf("%d requests had no answer through a graceful shutdown", load.unanswered)
 	}
 	if err := r.cmd.Wait(); err != nil {
 		t.Errorf("ended: %v", err)
@@ -158,18 +173,18 @@
 		_ = r.cmd.Process.Kill() // it may have ended
 		close(stop)
 	}()
-	load("kill", stop)
+	load.run("kill", stop)
 	_ = r.cmd.Wait() // the signal is its error
 	r.start(p)
-	for _, id := range taken {
+	for _, id := range load.accepted {
 		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
 	}
-	if len(taken) < 20 {
-		t.Errorf("only %d taken on: the test shows little", len(taken))
+	if len(load.accepted) < 20 {
+		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
 	}
-	for _, id := range taken {
+	for _, id := range load.accepted {
 		if n := h.count(id); strings.HasPrefix(id, "term") && n > 1 {
-			t.Errorf("%s went %d times though its calls could finish", id, n)
+			t.Errorf("%s was sent %d times though its calls could finish", id, n)
 		}
 	}
 }
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -9,83 +9,95 @@
 	"time"
 )
 
-// Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and what it had taken on
-// and not tried is tried by the next process.
-func TestShutdownAtAnyMoment(t *testing.T) {
-	const killAfter = 3700 * time.Millisecond
-	term := func(r *relayProcess) { must(r.t, r.cmd.Process.Signal(syscall.SIGTERM)) }
-	for _, c := range []struct {
-		name   string
-		listed bool // the first process knows the message's host, which drains
-		at     func(t *testing.T, r *relayProcess)
-	}{
+// shutdownCase is what happens at the moment of SIGTERM.
+type shutdownCase struct {
+	name   string
+	listed bool // the first process lists the message's endpoint, which is draining
+	at     func(t *testing.T, r *relayProcess)
+}
+
+func shutdownCases() []shutdownCase {
+	terminate := func(r *relayProcess) { must(r.t, r.cmd.Process.Signal(syscall.SIGTERM)) }
+	return []shutdownCase{
 		{"twice", true, func(_ *testing.T, r *relayProcess) {
-			term(r)
+			terminate(r)
 			time.Sleep(100 * time.Millisecond)
-			signalQuietly(r.cmd, syscall.SIGTERM) // it may have ended
+			signalQuietly(r.cmd, syscall.SIGTERM)
 		}},
-		{"before the first list", false, func(_ *testing.T, r *relayProcess) { term(r) }},
+		{"before the first list", false, func(_ *testing.T, r *relayProcess) { terminate(r) }},
 		{"with a SIGHUP", true, func(_ *testing.T, r *relayProcess) {
 			must(r.t, r.cmd.Process.Signal(syscall.SIGHUP))
-			term(r)
+			terminate(r)
 		}},
-		{"while clients hold on to half requests", true, func(t *testing.T, r *relayProcess) {
+		{"while clients send half requests", true, func(t *testing.T, r *relayProcess) {
 			for range 20 {
 				trickle(t, r.addr)
 			}
-			term(r)
+			terminate(r)
 		}},
 		{"while a message's client has gone", true, func(t *testing.T, r *relayProcess) {
 			conn, err := net.Dial("tcp", r.addr)
 			must(t, err)
 			must(t, r.request("gone", 10*time.Second, nil).Write(conn))
 			closeQuietly(conn)
-			term(r)
+			terminate(r)
 		}},
-	} {
+	}
+}
+
+// Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and the next process sends
+// the messages that were accepted and not sent.
+func TestShutdownAtAnyMoment(t *testing.T) {
+	for _, c := range shutdownCases() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p := newPlatform(t)
-			h := newEndpoint(t, nil)
-			host := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", "gateway", state)} }
-			var known []listEntry
-			if c.listed {
-				known = host("draining")
-			}
-			r := prepareRelay(t, known, nil)
-			r.launch(p)
-			eventually(t, "it listens", func() bool {
-				conn, err := net.Dial("tcp", r.addr)
-				if err == nil {
-					closeQuietly(conn)
-				}
-				return err == nil
-			})
-			r.mustAccept("m", 12*time.Second)
-			c.at(t, r)
-			began := time.Now()
-			err := r.wait()
-			if took := time.Since(began); err != nil || took > killAfter {
-				t.Errorf("ended after %v: %v", took, err)
-			}
-			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": host("ready")}
-			r.writeConfig()
-			r.start(p)
-			eventually(t, "the message is tried", func() bool { return h.count("m") == 1 })
-			if h.count("gone") > 1 {
-				t.Errorf("the message whose client has gone: tried %d times", h.count("gone"))
-			}
+			testShutdown(t, c)
 		})
 	}
 }
 
+func testShutdown(t *testing.T, c shutdownCase) {
+	const killAfter = 3700 * time.Millisecond
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
+	list := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", "gateway", state)} }
+	var known []listEntry
+	if c.listed {
+		known = list("draining")
+	}
+	r := prepareRelay(t, known, nil)
+	r.launch(p)
+	eventually(t, "it listens", func() bool {
+		conn, err := net.Dial("tcp", r.addr)
+		if err == nil {
+			closeQuietly(conn)
+		}
+		return err == nil
+	})
+	r.mustAccept("m", 12*time.Second)
+	c.at(t, r)
+	began := time.Now()
+	err := r.wait()
+	if took := time.Since(began); err != nil || took > killAfter {
+		t.Errorf("ended after %v: %v", took, err)
+	}
+	r.config["known"] = map[string]any{"version": 2, "full": true, "servers": list("ready")}
+	r.writeConfig()
+	r.start(p)
+	eventually(t, "the message is sent", func() bool { return h.count("m") == 1 })
+	if h.count("gone") > 1 {
+		t.Errorf("the message whose client has gone: sent %d times", h.count("gone"))
+	}
+}
+
 // trickle sends a request by a byte at a time, and never the last one.
 func trickle(t *testing.T, addr string) {
 	conn, err := net.Dial("tcp", addr)
 	must(t, err)
 	var sending sync.WaitGroup
 	sending.Go(func() {
-		for _, b := range []byte("POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: half\r\nContent-Length: 400\r\n\r\nbody") {
+		const request = "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: half\r\nContent-Length: 400\r\n\r\nbody"
+		for _, b := range []byte(request) {
 			if _, err := conn.Write([]byte{b}); err != nil {
 				return
 			}
@@ -93,10 +105,13 @@
 		}
 		drain(conn)
 	})
-	t.Cleanup(func() { closeQuietly(conn); sending.Wait() })
+	t.Cleanup(func() {
+		closeQuietly(conn)
+		sending.Wait()
+	})
 }
 
-// Clients that rest are ended without a reset at SIGTERM.
+// The connections of idle clients are closed without a reset at SIGTERM.
 func TestIdleClientsAreClosedCleanly(t *testing.T) {
 	p := newPlatform(t)
 	h := newEndpoint(t, nil)
--- a/cmd/cherrytrestle/systemcalls_test.go
+++ b/cmd/cherrytrestle/systemcalls_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library takes the last two by
+// Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library uses the last two by
 // itself where it copies from a socket or a file to a socket; the daemon copies to nothing but io.Discard, and starts
 // no program.
 func TestDaemonMakesNoForbiddenSystemCalls(t *testing.T) {
@@ -46,7 +46,8 @@
 	if files < 30 {
 		t.Errorf("only %d files of the daemon were read", files)
 	}
-	bad := "package x\nimport (\"io\"; \"os/exec\"; \"net/http\")\nfunc f() { io.Copy(w, r); io.CopyN(io.Discard, r, 1); http.ServeFile(w, q, n); exec.Command(n) }"
+	bad := "package x\nimport (\"io\"; \"os/exec\"; \"net/http\")\n" +
+		"func f() { io.Copy(w, r); io.CopyN(io.Discard, r, 1); http.ServeFile(w, q, n); exec.Command(n) }"
 	if got := forbiddenUses(t, "bad.go", []byte(bad)); len(got) != 3 {
 		t.Errorf("the check finds %q", got)
 	}
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -54,7 +54,7 @@
 	return done, old
 }
 
-// keepAliveClient is a client that keeps its connection until it is told that it ends. It counts what clients must not meet.
+// keepAliveClient keeps its connection until an answer says that it is closed. It counts failures of it.
 type keepAliveClient struct {
 	r        *relayProcess
 	conn     net.Conn
@@ -93,61 +93,72 @@
 	return res.StatusCode
 }
 
-// Upgrades under load, one after the other, while hosts answer late, err and refuse: no client meets a connection that
-// is refused, reset or unread, each message is delivered, and none is by more calls than its class allows.
-func TestUpgradesUnderLoad(t *testing.T) {
-	var mu sync.Mutex
-	ran := map[string]int{}
-	answer := func(w http.ResponseWriter, _ *http.Request, ids []string) {
-		mu.Lock()
-		for _, id := range ids {
-			ran[id]++
+// upgradeLoad is clients that submit messages on connections that they keep.
+type upgradeLoad struct {
+	failures atomic.Int64 // connections that were refused, reset or closed unread
+	rejected atomic.Int64
+	accepted atomic.Int64
+	ids      sync.Map // of the accepted messages
+	stop     chan struct{}
+	clients  sync.WaitGroup
+}
+
+func startUpgradeLoad(r *relayProcess) *upgradeLoad {
+	load := &upgradeLoad{stop: make(chan struct{})}
+	for i := range 10 {
+		load.clients.Go(func() { load.submit(r, i) })
+	}
+	return load
+}
+
+func (l *upgradeLoad) submit(r *relayProcess, client int) {
+	c := &keepAliveClient{r: r, failures: &l.failures}
+	for n := 0; ; n++ {
+		select {
+		case <-l.stop:
+			return
+		case <-time.After(time.Duration(20+rand.IntN(60)) * time.Millisecond):
 		}
-		mu.Unlock()
-		if rand.IntN(50) == 0 {
-			time.Sleep(600 * time.Millisecond) // some are out over an upgrade
+		id := fmt.Sprintf("c%d-%d", client, n)
+		switch c.submit(id, 12*time.Second) {
+		case http.StatusAccepted:
+			l.accepted.Add(1)
+			l.ids.Store(id, true)
+		case http.StatusServiceUnavailable:
+			l.rejected.Add(1)
 		}
-		time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
 	}
-	one, two := newEndpoint(t, answer), newEndpoint(t, answer)
+}
+
+func (l *upgradeLoad) end() {
+	close(l.stop)
+	l.clients.Wait()
+}
+
+// slowly answers after some tenths of a second at most, and now and then so late that the call is in flight during an
+// upgrade.
+func slowly(http.ResponseWriter, *http.Request, []string) {
+	if rand.IntN(50) == 0 {
+		time.Sleep(600 * time.Millisecond)
+	}
+	time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
+}
+
+// Upgrades under load, one after the other, while endpoints answer late: no client meets a connection that is refused,
+// reset or unread, each message is delivered, and none by more calls than its class allows.
+func TestUpgradesUnderLoad(t *testing.T) {
+	one := newEndpoint(t, slowly)
+	two := newEndpoint(t, slowly)
 	p := newPlatform(t)
-	r := newRelay(
-		t,
-		p,
-		[]listEntry{
-			newEntry("s-1", one.addr(), "a", "gateway", "ready"),
-			newEntry("s-2", two.addr(), "a", "gateway", "ready"),
-		},
-		func(set map[string]any) {
-			set["bounds"].(map[string]any)["open_cap"] = 500
-			set["extra"].(map[string]any)["call_slots"] = 40
-		},
-	)
+	r := newRelay(t, p, []listEntry{
+		newEntry("s-1", one.addr(), "a", "gateway", "ready"),
+		newEntry("s-2", two.addr(), "a", "gateway", "ready"),
+	}, func(set map[string]any) {
+		set["bounds"].(map[string]any)["open_cap"] = 500
+		set["extra"].(map[string]any)["call_slots"] = 40
+	})
 	holdListeningSocket(t, r, p)
-	var met, taken, refused atomic.Int64
-	var accepted sync.Map
-	stop := make(chan struct{})
-	var wg sync.WaitGroup
-	for i := range 10 {
-		wg.Go(func() {
-			c := &keepAliveClient{r: r, failures: &met}
-			for n := 0; ; n++ {
-				select {
-				case <-stop:
-					return
-				case <-time.After(time.Duration(20+rand.IntN(60)) * time.Millisecond):
-				}
-				id := fmt.Sprintf("c%d-%d", i, n)
-				switch c.submit(id, 12*time.Second) {
-				case http.StatusAccepted:
-					taken.Add(1)
-					accepted.Store(id, true)
-				case http.StatusServiceUnavailable:
-					refused.Add(1)
-				}
-			}
-		})
-	}
+	load := startUpgradeLoad(r)
 	for range 3 {
 		time.Sleep(300 * time.Millisecond) // load between two upgrades
 		ended, _ := r.upgrade(p)
@@ -155,34 +166,42 @@
 			t.Errorf("the old process: %v", err)
 		}
 	}
-	close(stop)
-	wg.Wait()
-	if n := met.Load(); n > 0 {
+	load.end()
+	if n := load.failures.Load(); n > 0 {
 		t.Errorf("%d messages met a refused, reset or unread connection", n)
 	}
-	if taken.Load() < 200 {
-		t.Errorf("only %d taken, %d refused", taken.Load(), refused.Load())
+	if load.accepted.Load() < 200 {
+		t.Errorf("only %d accepted, %d rejected", load.accepted.Load(), load.rejected.Load())
 	}
-	accepted.Range(func(id, _ any) bool {
-		eventually(t, fmt.Sprint(id, " delivered"), func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return ran[id.(string)] > 0
-		})
+	calls := func(id string) int { return one.count(id) + two.count(id) }
+	load.ids.Range(func(id, _ any) bool {
+		eventually(t, fmt.Sprint(id, " delivered"), func() bool { return calls(id.(string)) > 0 })
 		return true
 	})
-	mu.Lock()
-	defer mu.Unlock()
-	twice := 0
-	for _, n := range ran {
-		if n > 1 {
-			twice++
+	// These endpoints answer everything: no repeat is due. A call that was cancelled while its connection was opened
+	// never ran.
+	if twice := repeatedIDs(one, two); twice > 0 {
+		t.Errorf("%d messages ran twice", twice)
+	}
+}
+
+// repeatedIDs counts the messages that reached the endpoints more than once.
+func repeatedIDs(endpoints ...*endpoint) int {
+	calls := map[string]int{}
+	for _, e := range endpoints {
+		e.mu.Lock()
+		for _, id := range e.seen {
+			calls[id]++
 		}
+		e.mu.Unlock()
 	}
-	// The hosts here answer all: no repeat is due. A call taken back while its connection came up never ran.
-	if twice > 0 {
-		t.Errorf("%d messages ran twice, of %d", twice, len(ran))
+	repeated := 0
+	for _, n := range calls {
+		if n > 1 {
+			repeated++
+		}
 	}
+	return repeated
 }
 
 // What the first process was told binds the second: a wait, and a call that is out.
@@ -266,7 +285,7 @@
 		t.Run(who, func(t *testing.T) {
 			hold := make(chan struct{})
 			var once sync.Once
-			h := newEndpoint(t, func(_ http.ResponseWriter, req *http.Request, ids []string) {
+			h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 				if ids[0] == "slow" {
 					first := false
 					once.Do(func() { first = true })
@@ -303,107 +322,127 @@
 	}
 }
 
-// SIGTERM at any moment of a hand-over, to the second process or to both: each ends in order, and what was taken on,
-// tried or not, goes on with the next process and runs no more often than its class allows.
+// Which processes of a hot restart get SIGTERM, and when.
+const (
+	secondBefore = "second, before" // before it has taken over
+	secondAfter  = "second"
+	bothAfter    = "both"
+)
+
+// SIGTERM at any moment of a hot restart, to the second process or to both: each ends in order, and accepted messages,
+// sent or not, go on with the next process and run no more often than their class allows.
 func TestTerminatedDuringHotRestart(t *testing.T) {
-	for _, who := range []string{"second, before", "second", "both"} {
-		for _, after := range []time.Duration{0, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond} {
-			t.Run(fmt.Sprint(who, " ", after), func(t *testing.T) {
+	for _, who := range []string{secondBefore, secondAfter, bothAfter} {
+		for _, delayMS := range []int{0, 3, 10, 30, 150} {
+			delay := time.Duration(delayMS) * time.Millisecond
+			t.Run(fmt.Sprint(who, " ", delay), func(t *testing.T) {
 				t.Parallel()
-				const messages = 6
-				p := newPlatform(t)
-				h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
-					if ids[0][0] == 'o' {
-						time.Sleep(300 * time.Millisecond) // out in the hand-over
-					}
-				})
-				later := newEntry("s-2", h.addr(), "a", "gateway", "draining")
-				later["cell"] = 8
-				r := newRelay(
-					t,
-					p,
-					[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), later},
-					func(set map[string]any) {
-						withPayments(set)
-						set["extra"].(map[string]any)["call_slots"] = 40
-					},
-				)
-				holdListeningSocket(t, r, p)
-				var taken []string
-				for i := range messages {
-					for _, dest := range []int{7, 8} { // out, and untried
-						id := fmt.Sprint(map[int]string{7: "o", 8: "u"}[dest], i)
-						pay := withClass([]string{"order", "pay"}[i%2])
-						status, _ := r.submit(
-							id,
-							12*time.Second,
-							func(req *http.Request) { pay(req); req.Header.Set("Envelope", fmt.Sprint("dest=", dest)) },
-						)
-						if status != http.StatusAccepted {
-							t.Fatalf("%s: status %d", id, status)
-						}
-						taken = append(taken, id)
-					}
-				}
-				eventually(t, "a call out", func() bool { return h.count("o5") == 1 })
-				old := r.cmd
-				second := withManagement(t, r)
-				r.start(p)
-				if who != "second, before" {
-					waitReady(t, second)
-					must(t, old.Process.Signal(syscall.SIGTERM))
-				}
-				time.Sleep(after)
-				began := time.Now()
-				ended := func(cmd *exec.Cmd) {
-					t.Helper()
-					err := cmd.Wait()
-					var exit *exec.ExitError
-					// it had not come to catch the signal
-					uncaught := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
-					if err != nil && !(uncaught && who == "second, before") {
-						t.Errorf("ended: %v", err)
-					}
-					if took := time.Since(began); took > 3700*time.Millisecond {
-						t.Errorf("ended after %v", took)
-					}
-				}
-				must(t, r.cmd.Process.Signal(syscall.SIGTERM))
-				if who == "both" {
-					must(t, old.Process.Signal(syscall.SIGTERM)) // once more
-				}
-				ended(r.cmd)
-				if r.cmd = old; who != "second, before" {
-					ended(old)
-					r.cmd = nil
-				}
-				r.client.CloseIdleConnections()
-				later["state"] = "ready"
-				if r.cmd == nil {
-					r.config["known"] = map[string]any{
-						"version": 2,
-						"full":    true,
-						"servers": []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready"), later},
-					}
-					r.writeConfig()
-					r.start(p)
-				} else {
-					p.publish(false, later)
-				}
-				for _, id := range taken {
-					eventually(t, id+" tried", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
-					if h.count(id) == 0 {
-						t.Errorf("%s was never called for: %v", id, p.notification(id))
-					}
-				}
-				r.mustAccept("m1", 10*time.Second)
-				eventually(t, "served on", func() bool { return h.count("m1") == 1 })
-				for i, id := range taken {
-					if n := h.count(id); n > 1 && i/2%2 == 1 {
-						t.Errorf("%s ran %d times", id, n)
-					}
-				}
+				testTerminatedDuringHotRestart(t, who, delay)
+			})
+		}
+	}
+}
+
+func testTerminatedDuringHotRestart(t *testing.T, who string, delay time.Duration) {
+	p := newPlatform(t)
+	h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+		if ids[0][0] == 'o' {
+			time.Sleep(300 * time.Millisecond) // in flight during the hot restart
+		}
+	})
+	ready := newEntry("s-1", h.addr(), "a", "gateway", "ready")
+	later := newEntry("s-2", h.addr(), "a", "gateway", "draining")
+	later["cell"] = 8
+	r := newRelay(t, p, []listEntry{ready, later}, func(set map[string]any) {
+		withPayments(set)
+		set["extra"].(map[string]any)["call_slots"] = 40
+	})
+	holdListeningSocket(t, r, p)
+	accepted := submitSentAndUnsent(t, r)
+	eventually(t, "a call in flight", func() bool { return h.count("o5") == 1 })
+	terminateHotRestart(t, r, p, who, delay)
+	r.client.CloseIdleConnections()
+	later["state"] = "ready"
+	if r.cmd == nil {
+		r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{ready, later}}
+		r.writeConfig()
+		r.start(p)
+	} else {
+		p.publish(false, later)
+	}
+	for _, id := range accepted {
+		eventually(t, id+" sent", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+		if h.count(id) == 0 {
+			t.Errorf("%s was never sent: %v", id, p.notification(id))
+		}
+	}
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "served on", func() bool { return h.count("m1") == 1 })
+	for i, id := range accepted {
+		if n := h.count(id); n > 1 && i/2%2 == 1 {
+			t.Errorf("%s ran %d times", id, n)
+		}
+	}
+}
+
+// submitSentAndUnsent submits messages to a destination that is sent to, and to one whose endpoint is draining, in
+// pairs of a class that may be repeated and pairs of one that may not.
+func submitSentAndUnsent(t *testing.T, r *relayProcess) []string {
+	t.Helper()
+	var accepted []string
+	for i := range 6 {
+		for _, destination := range []int{7, 8} {
+			prefix := map[int]string{7: "o", 8: "u"}[destination]
+			id := fmt.Sprint(prefix, i)
+			setClass := withClass([]string{"order", "pay"}[i%2])
+			status, _ := r.submit(id, 12*time.Second, func(request *http.Request) {
+				setClass(request)
+				toDestination(destination)(request)
 			})
+			if status != http.StatusAccepted {
+				t.Fatalf("%s: status %d", id, status)
+			}
+			accepted = append(accepted, id)
 		}
 	}
+	return accepted
+}
+
+// terminateHotRestart starts a second process, and terminates it or both after the delay. r.cmd is the process that
+// remains, or nil.
+func terminateHotRestart(t *testing.T, r *relayProcess, p *platform, who string, delay time.Duration) {
+	t.Helper()
+	old := r.cmd
+	management := withManagement(t, r)
+	r.start(p)
+	if who != secondBefore {
+		waitReady(t, management)
+		must(t, old.Process.Signal(syscall.SIGTERM))
+	}
+	time.Sleep(delay)
+	began := time.Now()
+	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	if who == bothAfter {
+		must(t, old.Process.Signal(syscall.SIGTERM)) // once more
+	}
+	checkEnd(t, r.cmd, began, who == secondBefore)
+	r.cmd = old
+	if who != secondBefore {
+		checkEnd(t, old, began, false)
+		r.cmd = nil
+	}
+}
+
+// checkEnd waits for a process to end in order, or by the signal if that may come before the process catches it.
+func checkEnd(t *testing.T, cmd *exec.Cmd, began time.Time, maybeUncaught bool) {
+	t.Helper()
+	err := cmd.Wait()
+	var exit *exec.ExitError
+	uncaught := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
+	if err != nil && (!uncaught || !maybeUncaught) {
+		t.Errorf("ended: %v", err)
+	}
+	if took := time.Since(began); took > 3700*time.Millisecond {
+		t.Errorf("ended after %v", took)
+	}
 }
