--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startInLargeFleet is a relay of the full fleet, with 31 hosts listed.
+// startInLargeFleet is a relay of the full fleet, with 31 endpoints listed.
 func startInLargeFleet(b *testing.B) (*relayProcess, *platform) {
 	b.Helper()
 	p, h := newPlatform(
@@ -39,9 +39,8 @@
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime tells what a relay of the full fleet uses: for a start, for a second in which nothing comes,
-// and for a message taken, delivered and journaled. It goes by the kernel's count of the process, whose grain is a
-// clock tick or less.
+// BenchmarkProcessorTime measures what a relay of the full fleet uses: for a start, for an idle second, and for a message
+// accepted, delivered and journaled. It uses the kernel's count of the process, whose grain is a clock tick or less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, p := startInLargeFleet(b)
@@ -72,7 +71,7 @@
 	return string(id)
 }
 
-// BenchmarkAccept tells how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
+// BenchmarkAccept measures how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
 // alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
@@ -113,7 +112,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReady tells how long a process takes from its start to its first health answer, with the largest journal
+// BenchmarkReady measures how long a process takes from its start to its first health answer, with the largest journal
 // that its disk allows.
 func BenchmarkReady(b *testing.B) {
 	for _, c := range []struct {
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -81,7 +81,7 @@
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
 		s["bounds"].(map[string]any)["open_cap"] = held
-		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all go out, and none can be refused for another
+		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all are sent, and none can be rejected for another
 	})
 	defer close(wait)
 	taken := 0
@@ -94,12 +94,12 @@
 			t.Errorf("status %d, advice %q", status, again)
 		}
 	}
-	if taken < held-1 || taken > held { // the module turns away a little before the cap
-		t.Errorf("%d taken on, the cap is %d", taken, held)
+	if taken < held-1 || taken > held { // the engine rejects a little before the bound
+		t.Errorf("%d accepted, the bound is %d", taken, held)
 	}
 }
 
-// What the module gives up on gets its answer by a notice, and the notice goes on until it is taken.
+// A message that the engine gives up on gets its answer by a notification, which is retried until it is acknowledged.
 func TestNotificationsAreRetried(t *testing.T) {
 	p := newPlatform(t)
 	p.failNotifications = 3
@@ -109,9 +109,9 @@
 	)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 700*time.Millisecond)
-	eventually(t, "a notice", func() bool { return p.notification("m1") != nil })
+	eventually(t, "a notification", func() bool { return p.notification("m1") != nil })
 	if f := p.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
-		t.Errorf("notice %v", f)
+		t.Errorf("notification %v", f)
 	}
 }
 
@@ -119,19 +119,19 @@
 	const wait = 600 * time.Millisecond
 	p := newPlatform(t)
 	var mu sync.Mutex
-	var told time.Time
+	var rejectedAt time.Time
 	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
-			told = time.Now()
+		if rejectedAt.IsZero() {
+			rejectedAt = time.Now()
 			w.Header().Set("Retry-After", "0.600")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the wait", func() bool { return h.count("m1") == 1 })
+	eventually(t, "the Retry-After", func() bool { return h.count("m1") == 1 })
 	for i := range 5 {
 		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
 	}
@@ -139,13 +139,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, id := range h.seen {
-		if since := h.at[i].Sub(told); i > 0 && since < wait && since > 100*time.Millisecond {
-			t.Errorf("%s came %v after the wait was told", id, since)
+		if since := h.at[i].Sub(rejectedAt); i > 0 && since < wait && since > 100*time.Millisecond {
+			t.Errorf("%s came %v after the Retry-After", id, since)
 		}
 	}
 }
 
-// What waits for one route when it opens goes as one call.
+// Messages that wait for one endpoint when its Retry-After is over are sent as one call.
 func TestMessagesShareACall(t *testing.T) {
 	p := newPlatform(t)
 	var mu sync.Mutex
@@ -168,7 +168,7 @@
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m0", 10*time.Second)
-	eventually(t, "the wait", func() bool { return h.count("m0") == 1 })
+	eventually(t, "the Retry-After", func() bool { return h.count("m0") == 1 })
 	for i := range 8 {
 		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-// Requests that stop half-way and connections that say nothing hold nobody up.
+// Requests that stop half-way and silent connections block nobody.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
 	p, h := newPlatform(t), newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
--- a/cmd/cherrytrestle/discovery_test.go
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -16,11 +16,11 @@
 	better["weight"] = 900.0
 	r := newRelay(t, p, []listEntry{better, newEntry("s-2", two.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the better host", func() bool { return one.count("m1") == 1 })
+	eventually(t, "the better endpoint", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
 	// All entries but the first are malformed.
 	p.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"})
-	eventually(t, "a message to the other host", func() bool {
+	eventually(t, "a message to the other endpoint", func() bool {
 		id := fmt.Sprint("m", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
@@ -35,8 +35,8 @@
 		t.Errorf("watches from %v", p.indexes)
 	}
 	better["state"] = "ready"
-	p.publish(true, better) // the other is missing: it is gone
-	eventually(t, "back at the first host", func() bool {
+	p.publish(true, better) // the other is missing: it is removed
+	eventually(t, "back at the first endpoint", func() bool {
 		id := fmt.Sprint("n", time.Now().UnixNano())
 		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return one.count(id)+two.count(id) == 1 })
@@ -44,8 +44,8 @@
 	})
 }
 
-// SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, the notices
-// follow, the old list serves until the new discovery speaks, and an unreadable file changes nothing.
+// SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, notifications
+// follow, the old list is used until the new discovery answers, and an unreadable file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	one, two := newEndpoint(t, nil), newEndpoint(t, nil)
 	unavailable := func(w http.ResponseWriter, _ *http.Request, _ []string) {
@@ -56,11 +56,11 @@
 	first.version = 40
 	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the first host", func() bool { return one.count("m1") == 1 })
+	eventually(t, "the first endpoint", func() bool { return one.count("m1") == 1 })
 	const many = 1 << 30
-	first.failNotifications = many // its notices are stuck there
+	first.failNotifications = many // its notifications are not acknowledged
 	first.publish(true, newEntry("s-3", shut.addr(), "a", "gateway", "ready"))
-	eventually(t, "a message turned away", func() bool {
+	eventually(t, "a message at the unavailable endpoint", func() bool {
 		id := fmt.Sprint("full", time.Now().UnixNano())
 		r.mustAccept(id, 500*time.Millisecond)
 		eventually(t, id, func() bool { return one.count(id)+shut.count(id) > 0 })
@@ -77,7 +77,7 @@
 	second.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(second)
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "the host of the new list", func() bool { return two.count("m2") == 1 })
+	eventually(t, "the endpoint of the new list", func() bool { return two.count("m2") == 1 })
 	eventually(t, "the notification that was under way", func() bool { return second.notificationCount() > 0 })
 
 	must(t, os.WriteFile(filepath.Join(r.dir, "config.json"), []byte("{"), 0o600))
@@ -85,7 +85,7 @@
 	drained := newEntry("s-2", two.addr(), "a", "gateway", "draining")
 	second.publish(false, drained, newEntry("s-1", one.addr(), "a", "gateway", "ready"))
 	r.mustAccept("m3", 10*time.Second)
-	eventually(t, "still heard after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
+	eventually(t, "the watch goes on after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
 
 	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(first)
--- a/cmd/cherrytrestle/discoveryserver_test.go
+++ b/cmd/cherrytrestle/discoveryserver_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// discoveryServer is discovery's agent with a list that is written once, however large it is.
+// discoveryServer stands in for discovery with a list that is encoded once, however large it is.
 type discoveryServer struct {
 	*httptest.Server
-	fullList []byte // is sent to who has an older version
+	fullList []byte // for watches from an older version
 	version  int    // of it
 
 	mu      sync.Mutex
@@ -66,7 +66,7 @@
 		for lines := json.NewDecoder(r.Body); ; {
 			var f struct{ ID, Status string }
 			if err := lines.Decode(&f); err != nil {
-				break // the end, or a notice that comes once more
+				break // the end, or a notification that is retried
 			}
 			a.finals[f.ID] = f.Status
 		}
@@ -95,7 +95,7 @@
 	return list
 }
 
-// publish has all that watch told of a change.
+// publish sends a change to all watches.
 func (a *discoveryServer) publish(t *testing.T, changes ...listEntry) {
 	t.Helper()
 	a.mu.Lock()
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-// withClass makes a hand-in one of a class.
+// withClass submits a message under a class.
 func withClass(class string) func(*http.Request) {
 	return func(req *http.Request) {
 		req.URL.Path = "/" + class
@@ -41,7 +41,7 @@
 	return p
 }
 
-// statuses are those of the notices for a message, each told once.
+// statuses are the statuses of a message's notifications, each once.
 func (p *platform) statuses(id string) (all []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,7 +219,7 @@
 			r.kill()
 			r.start(p)
 			if class == "pay" {
-				eventually(t, "a notice", func() bool { return p.notification("m") != nil })
+				eventually(t, "a notification", func() bool { return p.notification("m") != nil })
 			} else {
 				eventually(t, "repeated", func() bool { return h.count("m") == 2 })
 			}
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -21,7 +21,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// testFleet is several relays as processes, each pair of them with a link of its own in each direction.
+// testFleet is several relay processes, each pair of them with a link of its own in each direction.
 type testFleet struct {
 	t               testing.TB
 	platforms       []*platform
@@ -47,7 +47,7 @@
 
 func relayName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// newTestFleet prepares n relays that all deliver to one host.
+// newTestFleet prepares n relays that all deliver to one endpoint.
 func newTestFleet(t testing.TB, n int, h *endpoint) *testFleet {
 	g := &testFleet{t: t, links: map[[2]int]*faultproxy.Link{}}
 	for range n {
@@ -139,7 +139,7 @@
 	return s
 }
 
-// memberState is the state in which one relay sees another, and how old the youngest is that it heard of it.
+// memberState is the state of relay j as relay i sees it, and the age of its youngest report.
 func (g *testFleet) memberState(i, j int) (state string, age time.Duration) {
 	if s := g.status(i); s.Status != nil {
 		for _, m := range s.Members {
@@ -154,13 +154,13 @@
 // maxFreshAge allows for gossip: an unchanged report is published every 2.5 s.
 const maxFreshAge = 6 * time.Second
 
-// waitReceived waits until each of some holds fresh news of each of the others.
+// waitReceived waits until each relay has a fresh report of each of the others.
 func (g *testFleet) waitReceived(by, of []int) {
 	g.t.Helper()
 	for _, i := range by {
 		for _, j := range of {
 			if i != j {
-				eventually(g.t, fmt.Sprintf("%d hears %d", i, j), func() bool {
+				eventually(g.t, fmt.Sprintf("%d receives from %d", i, j), func() bool {
 					state, age := g.memberState(i, j)
 					return state == "alive" && age >= 0 && age < maxFreshAge
 				})
@@ -169,7 +169,7 @@
 	}
 }
 
-// sendTraffic hands messages in at each relay until the test ends, so that there is something to tell.
+// sendTraffic submits messages at each relay until the test ends, so that there is something to report.
 func (g *testFleet) sendTraffic() {
 	done, ended := make(chan struct{}), make(chan struct{})
 	g.t.Cleanup(func() { close(done); <-ended })
@@ -190,9 +190,9 @@
 	}()
 }
 
-// Three relays hear each other; two halves that are cut apart each go on with what they have, and hear each other again
-// when the links heal, also when that takes longer than gossip goes on to those taken for dead. One that hears but is
-// not heard is seen to be gone.
+// Three relays receive each other's reports. Two halves that are cut apart each go on with what they have, and receive
+// from each other again when the links heal, also when that takes longer than gossip goes on to members taken for dead. A
+// relay that receives and whose reports are lost is seen to be gone.
 func TestRelaysReceiveFromEachOther(t *testing.T) {
 	h := newEndpoint(t, nil)
 	g := newTestFleet(t, 3, h)
@@ -205,7 +205,7 @@
 	for _, i := range []int{1, 2} {
 		eventually(
 			t,
-			"the one that is cut off fades",
+			"the relay that is cut off fades",
 			func() bool { state, age := g.memberState(i, 0); return state != "alive" && age > maxFreshAge },
 		)
 	}
@@ -213,13 +213,13 @@
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
 	g.waitReceived(g.allRelays(), g.allRelays())
 
-	// Relay 0 hears and is not heard.
+	// Relay 0 receives, and its reports are lost.
 	g.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
-	eventually(t, "what is not heard fades", func() bool { _, age := g.memberState(1, 0); return age > maxFreshAge })
+	eventually(t, "a relay whose reports are lost fades", func() bool { _, age := g.memberState(1, 0); return age > maxFreshAge })
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
 	g.waitReceived(g.allRelays(), g.allRelays())
 
-	// Nearly a third of all datagrams lost, some doubled, mixed and late.
+	// Nearly a third of all datagrams lost, some doubled, reordered and late.
 	g.setFaults(
 		g.allRelays(),
 		g.allRelays(),
@@ -245,7 +245,7 @@
 	}
 }
 
-// replayed plays what a relay recorded, and fails where the module or the seam decide something else.
+// replayed replays a relay's recordings, and fails if the engine or the fleet agent decide something else.
 func replayed(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "recordings", "*"))
 	if err != nil || len(files) == 0 {
@@ -255,8 +255,7 @@
 	return playAll(files)
 }
 
-// A relay that is stopped in the middle of telling is neither taken for fresh by the others, nor takes for fresh what
-// waited for it.
+// The others do not take the reports of a stopped relay for fresh, nor does it the messages that waited for it.
 func TestStalledRelay(t *testing.T) {
 	g := newTestFleet(t, 3, newEndpoint(t, nil))
 	g.start(g.allRelays()...)
@@ -268,8 +267,8 @@
 	g.waitReceived(g.allRelays(), g.allRelays())
 }
 
-// All relays restarted at once hear each other again; one that hangs holds none of them up; one that tells absurd
-// figures is not believed, and one that needs a newer program is counted.
+// Relays that are all restarted receive from each other again. A member that reports values out of range is rejected, and
+// messages are delivered all the same.
 func TestAllRestartedAndOneOutOfRange(t *testing.T) {
 	h := newEndpoint(t, nil)
 	g := newTestFleet(t, 4, h)
@@ -283,51 +282,51 @@
 	g.start(three...)
 	g.waitReceived(three, three)
 
-	// Relay 3 is no process of the program, but a link of this test's that tells what it likes.
+	// Relay 3 is no process, but a node of this test's that publishes what it likes.
 	join := map[string]string{}
 	for i, addr := range g.listens {
 		join[relayName(i)] = addr
 	}
-	life := loadreport.Incarnation{Generation: 1, Boot: 1}
-	liar, err := membership.Start(membership.Config{
+	incarnation := loadreport.Incarnation{Generation: 1, Boot: 1}
+	badMember, err := membership.Start(membership.Config{
 		Name:            relayName(3),
 		Listen:          g.listens[3],
 		Peers:           join,
-		Incarnation:     life,
+		Incarnation:     incarnation,
 		Log:             slog.New(slog.DiscardHandler),
 		SaveIncarnation: func(uint64) error { return nil },
 	})
 	must(t, err)
-	defer closeQuietly(liar)
-	page := func(seq uint64, calls float64) []loadreport.Report {
+	defer closeQuietly(badMember)
+	report := func(seq uint64, calls float64) []loadreport.Report {
 		return []loadreport.Report{
 			{
 				Name:        relayName(3),
-				Incarnation: life,
+				Incarnation: incarnation,
 				Number:      loadreport.ReportNumber(7),
 				Sequence:    seq,
 				Scopes:      []loadreport.ScopeLoad{{Destination: 7, Calls: calls}},
 			},
 		}
 	}
-	liar.Publish(page(1, 3))
-	eventually(t, "an honest page is taken", func() bool { _, age := g.memberState(0, 3); return age >= 0 })
+	badMember.Publish(report(1, 3))
+	eventually(t, "a sound report is received", func() bool { _, age := g.memberState(0, 3); return age >= 0 })
 	for seq := uint64(2); ; seq++ {
-		liar.Publish(page(seq, 90_000)) // of a destination that takes 500
+		badMember.Publish(report(seq, 90_000)) // for a destination with a limit of 500
 		time.Sleep(50 * time.Millisecond)
 		if s := g.status(0); s.Status != nil && s.Rejected[loadreport.OutOfRange] > 0 {
 			break
 		}
 		if seq > 200 {
-			t.Fatal("absurd figures are not refused")
+			t.Fatal("values out of range are not rejected")
 		}
 	}
-	g.relays[0].mustAccept("after-lies", 5*time.Second)
-	eventually(t, "delivered all the same", func() bool { return h.count("after-lies") > 0 })
+	g.relays[0].mustAccept("after-rejection", 5*time.Second)
+	eventually(t, "delivered all the same", func() bool { return h.count("after-rejection") > 0 })
 }
 
-// A relay whose port is taken serves, says so, and joins when the port is free. What a stranger or another fleet tells
-// is not heard.
+// A relay whose port is taken serves, reports that, and joins when the port is free. Members that are not listed, or of
+// another fleet, are ignored.
 func TestIgnoredMembers(t *testing.T) {
 	h := newEndpoint(t, nil)
 	g := newTestFleet(t, 4, h)
@@ -335,7 +334,7 @@
 	must(t, err)
 	defer closeQuietly(taken)
 	g.writeOperatorFile(2, "label = \"another\"\n", nil)
-	// Relay 3 is listed by nobody, and knows all.
+	// Relay 3 is listed by nobody, and lists all.
 	for _, i := range []int{0, 1, 2} {
 		path := filepath.Join(g.relays[i].dir, "operator.toml")
 		data, err := os.ReadFile(path)
@@ -347,14 +346,14 @@
 	g.sendTraffic()
 	eventually(
 		t,
-		"a taken port is told",
+		"a taken port is reported",
 		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.DownReason, "in use") },
 	)
 	g.relays[0].mustAccept("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
 	eventually(
 		t,
-		"a stranger is kept out",
+		"an unlisted member is kept out",
 		func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 },
 	)
 	closeQuietly(taken)
@@ -362,20 +361,20 @@
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
 			if state, age := g.memberState(i, j); age >= 0 || state == "alive" {
-				t.Errorf("%d hears %d: %s, %v", i, j, state, age)
+				t.Errorf("%d receives from %d: %s, %v", i, j, state, age)
 			}
 		}
 	}
 }
 
-// A relay that is restarted over and over is heard each time with its newest life. One that comes back with an older
-// folder, or without one, or finds a name taken by another process is told apart.
+// A relay that is restarted over and over is known by its newest incarnation each time, also if it comes back with an
+// older folder or without one. A name that another process uses is detected.
 func TestIncarnationsOfARelay(t *testing.T) {
 	g := newTestFleet(t, 3, newEndpoint(t, nil))
 	g.start(g.allRelays()...)
 	g.sendTraffic()
 	g.waitReceived(g.allRelays(), g.allRelays())
-	life := func(i, j int) loadreport.Incarnation {
+	incarnation := func(i, j int) loadreport.Incarnation {
 		s := g.status(i)
 		if s.Status == nil {
 			return loadreport.Incarnation{}
@@ -390,12 +389,12 @@
 		}
 		return loadreport.Incarnation{}
 	}
-	// known waits until the others hold the life that relay 0 has, and returns it.
+	// known waits until the others have relay 0's incarnation, and returns it.
 	known := func(what string, after loadreport.Incarnation) (now loadreport.Incarnation) {
 		t.Helper()
 		eventually(t, what, func() bool {
-			now = life(0, 0)
-			return now.Compare(after) > 0 && life(1, 0) == now && life(2, 0) == now
+			now = incarnation(0, 0)
+			return now.Compare(after) > 0 && incarnation(1, 0) == now && incarnation(2, 0) == now
 		})
 		return now
 	}
@@ -406,26 +405,26 @@
 		g.relays[0].kill()
 		g.start(0)
 	}
-	last := known("the newest life is heard", loadreport.Incarnation{})
+	last := known("the newest incarnation is known", loadreport.Incarnation{})
 	if last.Generation != 51 {
-		t.Errorf("after fifty restarts the life is %v", last)
+		t.Errorf("after fifty restarts the incarnation is %v", last)
 	}
 	g.relays[0].kill()
 	must(t, os.WriteFile(file, older, 0o600))
 	g.start(0)
-	last = known("with an older folder a relay goes past its later lives", last)
+	last = known("with an older folder a relay begins a later incarnation", last)
 	g.relays[0].kill()
 	must(t, os.Remove(file))
 	g.start(0)
 	known("and without one too", last)
 
 	// Another process under the name of relay 0, with a folder and an address of its own.
-	twin := newTestFleet(t, 1, newEndpoint(t, nil))
-	twin.listens = append(twin.listens, g.listens[1:]...)
-	twin.writeOperatorFile(0, "", map[string]string{"r1": g.listens[1], "r2": g.listens[2]})
-	twin.start(0)
-	twin.sendTraffic()
-	// A relay whose link is not up yet has no status to tell.
+	rival := newTestFleet(t, 1, newEndpoint(t, nil))
+	rival.listens = append(rival.listens, g.listens[1:]...)
+	rival.writeOperatorFile(0, "", map[string]string{"r1": g.listens[1], "r2": g.listens[2]})
+	rival.start(0)
+	rival.sendTraffic()
+	// A relay whose node is not up yet has no status.
 	silent := func(g *testFleet) bool { s := g.status(0); return s.Status != nil && s.NameConflict }
-	eventually(t, "one of two under a name falls silent", func() bool { return silent(g) || silent(twin) })
+	eventually(t, "one of two under a name is suspended", func() bool { return silent(g) || silent(rival) })
 }
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -14,8 +14,8 @@
 
 var relayKills = flag.Int("relaykills", 8, "how often TestKilledUnderLoad kills the relay")
 
-// Killed again and again under load, at any point, with compactions on the way since its disk is small: no message that
-// it took on is forgotten, and none that must not run twice does.
+// Killed again and again under load, at any point, with compactions on the way since its disk is small: no accepted
+// message is forgotten, and none that must not run twice does.
 func TestKilledUnderLoad(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -75,11 +75,11 @@
 	calls := noPaymentTwice(t, h)
 	t.Logf("%d messages taken, %d calls, %d kills", len(taken), calls, *relayKills)
 	if len(taken) < 10**relayKills {
-		t.Errorf("only %d taken on: the test shows little", len(taken))
+		t.Errorf("only %d accepted: the test shows little", len(taken))
 	}
 }
 
-// noPaymentTwice tells of payments that a host saw more than once, and returns how many messages it saw.
+// noPaymentTwice checks that no payment reached an endpoint more than once, and returns how many calls there were.
 func noPaymentTwice(t *testing.T, h *endpoint) (calls int) {
 	t.Helper()
 	h.mu.Lock()
@@ -93,9 +93,9 @@
 	return len(h.seen)
 }
 
-// Killed, and killed again twice before the start that follows is done, at points that are drawn: what was taken on
-// still ends, and nothing runs twice that must not. The first kill leaves a journal full of messages whose host did not
-// answer, so that there is much to recover.
+// Killed, and killed again twice before the start that follows is done, at random points: accepted messages still end,
+// and none runs twice that must not. The first kill leaves a journal full of messages whose endpoint did not answer, so
+// that there is much to recover.
 func TestKilledAgainDuringRecovery(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -136,6 +136,6 @@
 	}
 	noPaymentTwice(t, h)
 	if len(taken) < 15**relayKills {
-		t.Errorf("only %d taken on: the test shows little", len(taken))
+		t.Errorf("only %d accepted: the test shows little", len(taken))
 	}
 }
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// idleEntries are hosts at which nobody answers, two of each destination from a number on.
+// idleEntries are endpoints at which nobody answers, two of each destination from a number on.
 func idleEntries(n, from int) []listEntry {
 	members := make([]listEntry, 0, 2*n)
 	for i := range 2 * n {
@@ -26,9 +26,9 @@
 	return members
 }
 
-// A relay ends, in order or not, in the middle of a whole list that would take away the host which holds a message up
-// and the host of another destination. What the list has said by then does not matter to the next process, which goes
-// on from what it knows itself: each message that was taken on is delivered, once.
+// A relay ends, in order or not, in the middle of a full list without the endpoint that a message waits for and that of
+// another destination. The part of the list that was applied does not matter to the next process, which starts from its
+// stored list: each accepted message is delivered, once.
 func TestTerminatedDuringALongList(t *testing.T) {
 	const dests = 3000
 	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
@@ -82,7 +82,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, id := range []string{"waits", "after"} {
 				if n := h.count(id); n != 1 || p.notification(id) != nil {
-					t.Errorf("%s: %d times, notice %v", id, n, p.notification(id))
+					t.Errorf("%s: %d times, notification %v", id, n, p.notification(id))
 				}
 			}
 		})
--- a/cmd/cherrytrestle/platform_test.go
+++ b/cmd/cherrytrestle/platform_test.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// listEntry is an entry of the list.
+// listEntry is an entry of the endpoint list.
 type listEntry map[string]any
 
 func newEntry(id, addr, zone, kind string, state string) listEntry {
 	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
-// platform is discovery's agent.
+// platform stands in for discovery, and for the receiver of notifications.
 type platform struct {
 	*httptest.Server
 	mu                sync.Mutex
 	version           int
 	lines             chan string // to the watch
-	indexes           []string    // that watches came with
+	indexes           []string    // that watches began from
 	notifications     []map[string]any
-	failNotifications int // so many requests with notices fail first
+	failNotifications int // so many requests with notifications fail first
 	fullList          []listEntry
 	watches           atomic.Int32 // that are answered
 }
@@ -80,7 +80,7 @@
 			if err := lines.Decode(&f); err == io.EOF {
 				break
 			} else if err != nil {
-				t.Errorf("notice: %v", err)
+				t.Errorf("notification: %v", err)
 				break
 			}
 			p.notifications = append(p.notifications, f)
@@ -92,7 +92,7 @@
 	return p
 }
 
-// publish writes a change of the list to the watch.
+// publish sends a change of the list to the watch.
 func (p *platform) publish(full bool, members ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,7 @@
 	p.lines <- string(line)
 }
 
-// notification returns the notice for a message, or nil.
+// notification returns the notification for a message, or nil.
 func (p *platform) notification(id string) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/process_test.go
@@ -132,7 +132,7 @@
 	r.client.CloseIdleConnections()
 }
 
-// request makes a hand-in; edit may spoil it.
+// request makes a request that submits a message; edit may change it.
 func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
 	must(r.t, err)
@@ -148,7 +148,7 @@
 	return req
 }
 
-// submit hands a message in and returns the answer's status and advice.
+// submit submits a message and returns the answer's status and advice.
 func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -23,7 +23,7 @@
 	return status, stdout.String(), stderr.String()
 }
 
-// runRecorded has a real relay record while hosts refuse, answer and die, and returns where the recordings are.
+// runRecorded has a relay process record while its endpoint rejects and then answers.
 func runRecorded(t *testing.T, operator string) (r *relayProcess) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, os.WriteFile(path, []byte(operator), 0o600))
@@ -51,8 +51,8 @@
 	return r
 }
 
-// A relay of its own process, asked for its recording by a signal: it replays without a difference in this process, and
-// tells why a message waited.
+// A relay process dumps its recording on a signal: it replays without a difference in this process, and explains why a
+// message waited.
 func TestRecordingOfAProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
@@ -81,7 +81,7 @@
 		!strings.Contains(out, "kept: SIGUSR1") {
 		t.Errorf("%d, %s", status, out)
 	}
-	// A recording that says otherwise is told to.
+	// A damaged recording is reported.
 	data, err := os.ReadFile(paths[0])
 	must(t, err)
 	found, err := flightrecorder.Split(data)
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
 )
 
-// A wait that the killed process was told binds the next one.
+// A Retry-After that the killed process received binds the next one.
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var refuse atomic.Bool
 	refuse.Store(true)
@@ -24,20 +24,20 @@
 	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "a wait told", func() bool { return h.count("m1") == 1 })
-	told := time.Now()
-	time.Sleep(400 * time.Millisecond) // what is told is written down within 250 ms
+	eventually(t, "a Retry-After", func() bool { return h.count("m1") == 1 })
+	rejectedAt := time.Now()
+	time.Sleep(400 * time.Millisecond) // it is stored within 250 ms
 	refuse.Store(false)
 	r.kill()
 	r.start(p)
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "both are delivered", func() bool { return h.count("m1") == 2 && h.count("m2") == 1 })
-	if d := time.Since(told); d < 2200*time.Millisecond {
-		t.Errorf("sent %v after a wait of 2.4 s was told", d)
+	if d := time.Since(rejectedAt); d < 2200*time.Millisecond {
+		t.Errorf("sent %v after a Retry-After of 2.4 s", d)
 	}
 }
 
-// What a program of the form before left in its log is delivered by this one, and the log goes.
+// Messages in the legacy log of an earlier program are delivered by this one, and the log is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
 	h, p := newEndpoint(t, nil), newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-// metric fetches the figures and returns the value of one; "" if there is none.
+// metric fetches the metrics and returns the value of one; "" if there is none.
 func metric(t testing.TB, addr, name string) string {
 	t.Helper()
 	res, err := http.Get("http://" + addr + "/v1/metrics")
@@ -277,9 +277,9 @@
 				t.Errorf("a watch from %s, want it from the full list's 7", index)
 			}
 			r.mustAccept("m1", 10*time.Second)
-			eventually(t, "the host of the new list", func() bool { return two.count("m1") == 1 })
+			eventually(t, "the endpoint of the new list", func() bool { return two.count("m1") == 1 })
 			if n := one.count("m1"); n > 0 {
-				t.Errorf("%d calls to a host that drains", n)
+				t.Errorf("%d calls to a draining endpoint", n)
 			}
 			r.config["discovery"] = old.Listener.Addr().String()
 			r.writeConfig()
@@ -291,12 +291,12 @@
 	}
 }
 
-// A known list that cannot be read or is empty is none: the relay starts, keeps what it had taken, and is ready once
-// discovery has told one.
+// A known list that cannot be read or is empty counts as none: the relay starts, keeps its accepted messages, and is
+// ready once it has a list from discovery.
 func TestUnreadableKnownList(t *testing.T) {
 	p, h := newPlatform(t), newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}, nil)
-	r.mustAccept("m1", 12*time.Second) // no host takes it
+	r.mustAccept("m1", 12*time.Second) // no endpoint accepts it
 	r.kill()
 	for _, known := range []any{"none", 17, []any{}, map[string]any{"version": "new"}, map[string]any{}, nil} {
 		r.config["known"] = known
@@ -309,5 +309,5 @@
 	p.disconnect(t)
 	p.publish(true, newEntry("s-1", h.addr(), "a", "gateway", "ready"))
 	r.start(p)
-	eventually(t, "delivered once the list is told", func() bool { return h.count("m1") == 1 })
+	eventually(t, "delivered once the list is known", func() bool { return h.count("m1") == 1 })
 }
--- a/cmd/cherrytrestle/replay_test.go
+++ b/cmd/cherrytrestle/replay_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
-// playAll plays recordings, and fails where anything differs or none holds a step of the seam's.
+// playAll replays recordings, and fails if anything differs or none has a step of the fleet agent.
 func playAll(files []string) error {
 	found, err := flightrecorder.Load(files...)
 	if err != nil {
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A call that was out when the process was killed may have run. The message is made good by the next process, and
-// only where repeats are dropped: in the same zone.
+// A call that was in flight when the process was killed may have run. The next process repeats the message, and only
+// where repeats are dropped: in the same zone.
 func TestKilledWithACallInFlight(t *testing.T) {
 	p := newPlatform(t)
 	first := true
@@ -33,19 +33,19 @@
 	r.kill()
 	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
 
-	// Back it comes with a list whose first host, by its weight, stands in the other zone.
+	// It starts with a list whose first endpoint, by its weight, is in the other zone.
 	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
 	better["weight"] = 900.0
 	r.start(p)
 	p.publish(false, better)
 	eventually(t, "delivered again", func() bool { return one.count("m1") == 2 })
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "a new message goes to the better host", func() bool { return other.count("m2") == 1 })
+	eventually(t, "a new message goes to the better endpoint", func() bool { return other.count("m2") == 1 })
 	if other.count("m1") != 0 {
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notice for the overdue one", func() bool { return p.notification("late") != nil })
+		eventually(t, "a notification for the overdue one", func() bool { return p.notification("late") != nil })
 	}
 
 	// Delivered and ended messages stay ended.
@@ -77,8 +77,8 @@
 		}
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
-	if time.Since(start) < 200*time.Millisecond { // else the machine is too slow to tell
-		r.mustAccept("after", 10*time.Second) // new work is still taken
+	if time.Since(start) < 200*time.Millisecond { // otherwise the machine is too slow for this
+		r.mustAccept("after", 10*time.Second) // new messages are still accepted
 	}
 	err := r.terminate()
 	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -125,7 +125,7 @@
 		must(t, err)
 		must(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 		answer := make([]byte, 1)
-		_, err = conn.Read(answer) // the rest comes with it, or stands before the end
+		_, err = conn.Read(answer) // the remainder comes with it, or before the end
 		must(t, err)
 		conns = append(conns, conn)
 	}
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// holdListeningSocket has the platform hold the socket that clients connect to, and the relay started anew on it.
+// holdListeningSocket has the platform hold the socket that clients connect to, and restarts the relay on it.
 func holdListeningSocket(t *testing.T, r *relayProcess, p *platform) {
 	r.kill()
 	l, err := net.Listen("tcp", r.addr)
@@ -204,7 +204,7 @@
 	return repeated
 }
 
-// What the first process was told binds the second: a wait, and a call that is out.
+// The state of the first process binds the second: a Retry-After, and a call in flight.
 func TestUpgradeKeepsPendingState(t *testing.T) {
 	hold := make(chan struct{})
 	var refuse atomic.Bool
@@ -221,21 +221,21 @@
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	holdListeningSocket(t, r, p)
 	r.mustAccept("slow", 10*time.Second)
-	eventually(t, "a call out", func() bool { return h.count("slow") == 1 })
+	eventually(t, "a call in flight", func() bool { return h.count("slow") == 1 })
 	refuse.Store(true)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "a wait told", func() bool { return h.count("m1") == 1 })
-	told := time.Now()
+	eventually(t, "a Retry-After", func() bool { return h.count("m1") == 1 })
+	rejectedAt := time.Now()
 	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
 	refuse.Store(false)
 	ended, _ := r.upgrade(p)
 	r.mustAccept("m2", 10*time.Second)
-	if time.Since(told) < 2*time.Second && h.count("m2")+h.count("m1") != 1 {
-		t.Error("sent into a told wait")
+	if time.Since(rejectedAt) < 2*time.Second && h.count("m2")+h.count("m1") != 1 {
+		t.Error("sent during a Retry-After")
 	}
-	close(hold) // the first process hears that, the second learns it
+	close(hold) // the first process receives the answer and hands it to the second
 	eventually(t, "both are delivered", func() bool { return h.count("m2") == 1 && h.count("m1") == 2 })
-	if d := time.Since(told); d < 2300*time.Millisecond {
+	if d := time.Since(rejectedAt); d < 2300*time.Millisecond {
 		t.Errorf("the wait of 2.5 s was over after %v", d)
 	}
 	if err := <-ended; err != nil {
@@ -250,7 +250,7 @@
 	}
 }
 
-// A message that the first process has delivered and forgotten is handed in once more at the second: it does not run
+// A message that the first process has delivered and forgotten is submitted once more at the second: it does not run
 // again.
 func TestUpgradeKeepsFinishedMessages(t *testing.T) {
 	p, h := newPlatform(t), newEndpoint(t, nil)
@@ -278,8 +278,8 @@
 	}
 }
 
-// The first process dies in the middle of it, or the second before it has taken over: what was out may have run,
-// nothing is lost, and the one that remains serves on.
+// The first process dies in the middle of an upgrade, or the second before it has taken over: calls in flight may have
+// run, nothing is lost, and the one that remains serves on.
 func TestUpgradeSurvivesEitherProcess(t *testing.T) {
 	for _, who := range []string{"first, with a call out", "second, before"} {
 		t.Run(who, func(t *testing.T) {
@@ -299,7 +299,7 @@
 			r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 			holdListeningSocket(t, r, p)
 			r.mustAccept("slow", 10*time.Second)
-			eventually(t, "a call out", func() bool { return h.count("slow") == 1 })
+			eventually(t, "a call in flight", func() bool { return h.count("slow") == 1 })
 			if who == "second, before" {
 				old := r.cmd
 				second := withManagement(t, r)
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// olderFormatCommit is a commit whose program tells by its own rests, sends each page on more often and knows no page's
-// theoretical time of telling.
+// olderFormatCommit is a commit whose program has other publish intervals, forwards each report more often and knows no
+// theoretical arrival times.
 const olderFormatCommit = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
 
 // olderProgram builds the program of an earlier commit.
@@ -35,8 +35,8 @@
 	return program
 }
 
-// A fleet of which half run the version before hears as one, also while its relays go over to the new version and back
-// with their folders.
+// A fleet of which half run an earlier version exchanges reports as one, also while its relays go over to the new version
+// and back with their folders.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, olderFormatCommit)
 	g := newTestFleet(t, 4, newEndpoint(t, nil))
@@ -53,7 +53,7 @@
 		g.start(i)
 		g.waitReceived(g.allRelays(), g.allRelays())
 		if now := g.status(i).Incarnation.Generation; now != before+1 {
-			t.Errorf("relay %d begins life %d after %d", i, now, before)
+			t.Errorf("relay %d begins incarnation %d after %d", i, now, before)
 		}
 	}
 	swap(1, "")    // over
