--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -39,8 +39,9 @@
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime measures what a relay of the full fleet uses: for a start, for an idle second, and for a message
-// accepted, delivered and journaled. It uses the kernel's count of the process, whose grain is a clock tick or less.
+// BenchmarkProcessorTime measures what a relay of the full fleet uses: for a start, for an idle second, and for a
+// message accepted, delivered and journaled. It uses the kernel's count of the process, whose grain is a clock tick or
+// less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, p := startInLargeFleet(b)
--- a/cmd/cherrytrestle/discovery_test.go
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -85,7 +85,9 @@
 	drained := newEntry("s-2", two.addr(), "a", "gateway", "draining")
 	second.publish(false, drained, newEntry("s-1", one.addr(), "a", "gateway", "ready"))
 	r.mustAccept("m3", 10*time.Second)
-	eventually(t, "the watch goes on after an unreadable file", func() bool { return one.count("m3")+two.count("m3") == 1 })
+	eventually(t, "the watch goes on after an unreadable file", func() bool {
+		return one.count("m3")+two.count("m3") == 1
+	})
 
 	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", "gateway", "ready")}
 	hup(first)
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -191,8 +191,8 @@
 }
 
 // Three relays receive each other's reports. Two halves that are cut apart each go on with what they have, and receive
-// from each other again when the links heal, also when that takes longer than gossip goes on to members taken for dead. A
-// relay that receives and whose reports are lost is seen to be gone.
+// from each other again when the links heal, also when that takes longer than gossip goes on to members taken for dead.
+// A relay that receives and whose reports are lost is seen to be gone.
 func TestRelaysReceiveFromEachOther(t *testing.T) {
 	h := newEndpoint(t, nil)
 	g := newTestFleet(t, 3, h)
@@ -215,7 +215,10 @@
 
 	// Relay 0 receives, and its reports are lost.
 	g.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
-	eventually(t, "a relay whose reports are lost fades", func() bool { _, age := g.memberState(1, 0); return age > maxFreshAge })
+	eventually(t, "a relay whose reports are lost fades", func() bool {
+		_, age := g.memberState(1, 0)
+		return age > maxFreshAge
+	})
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
 	g.waitReceived(g.allRelays(), g.allRelays())
 
@@ -267,8 +270,8 @@
 	g.waitReceived(g.allRelays(), g.allRelays())
 }
 
-// Relays that are all restarted receive from each other again. A member that reports values out of range is rejected, and
-// messages are delivered all the same.
+// Relays that are all restarted receive from each other again. A member that reports values out of range is rejected,
+// and messages are delivered all the same.
 func TestAllRestartedAndOneOutOfRange(t *testing.T) {
 	h := newEndpoint(t, nil)
 	g := newTestFleet(t, 4, h)
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/versions_test.go
@@ -35,8 +35,8 @@
 	return program
 }
 
-// A fleet of which half run an earlier version exchanges reports as one, also while its relays go over to the new version
-// and back with their folders.
+// A fleet of which half run an earlier version exchanges reports as one, also while its relays go over to the new
+// version and back with their folders.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, olderFormatCommit)
 	g := newTestFleet(t, 4, newEndpoint(t, nil))
