--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -19,6 +19,8 @@
 	"sync/atomic"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+
 	"cherrytrestle.example/cherrytrestle/internal/capacity"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
@@ -63,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state := filepath.Join(folder, "state")
+	state := relayprocess.StateFolder(folder)
 	if err := os.Mkdir(state, 0o700); err != nil {
 		return nil, err
 	}
@@ -92,7 +94,7 @@
 	}
 	data, err := json.Marshal(config)
 	if err == nil {
-		err = os.WriteFile(filepath.Join(folder, "config.json"), data, 0o600)
+		err = os.WriteFile(relayprocess.ConfigFile(folder), data, 0o600)
 	}
 	if err != nil {
 		return nil, errors.Join(err, p.end())
@@ -102,15 +104,14 @@
 		return nil, errors.Join(err, p.end())
 	}
 	defer log.Close()
-	p.cmd = exec.CommandContext(ctx, b.relay)
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.Env = append(
-		os.Environ(),
-		"ROUTER_LISTEN="+p.addr,
-		"ROUTER_DISCOVERY="+agent.Addr(),
-		"ROUTER_STATE="+state,
-		"ROUTER_CONFIG="+filepath.Join(folder, "config.json"),
-	)
+	p.cmd = relayprocess.Command(ctx, relayprocess.Settings{
+		Program:   b.relay,
+		Folder:    folder,
+		Addr:      p.addr,
+		Discovery: agent.Addr(),
+	})
+	p.cmd.Stdout = log
+	p.cmd.Stderr = log
 	began := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Join(err, p.end())
@@ -118,12 +119,9 @@
 	agent.Running(true)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
-		if res, err := client.Get("http://" + p.addr + "/_health"); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				p.took = time.Since(began)
-				return p, nil
-			}
+		if relayprocess.Ready(client, p.addr) {
+			p.took = time.Since(began)
+			return p, nil
 		}
 		if time.Since(began) > readyMost || ctx.Err() != nil {
 			return nil, errors.Join(errNeverReady, ctx.Err(), p.end())
@@ -168,17 +166,7 @@
 
 // highest is the most memory that the relay has had, bytes resident.
 func (p *process) highest() (float64, error) {
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	if err != nil {
-		return 0, err
-	}
-	for line := range strings.Lines(string(data)) {
-		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmHWM:" {
-			kb, err := strconv.ParseFloat(f[1], 64)
-			return kb * 1024, err
-		}
-	}
-	return 0, errors.New("the system does not tell VmHWM")
+	return relayprocess.Memory(p.cmd.Process.Pid, relayprocess.PeakMemory)
 }
 
 // spent is the processor time that the relay's threads have used.
--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 // TestBacklog has a relay hold many messages for endpoints that are down, kills it and starts it again: it holds them
@@ -84,8 +86,8 @@
 // measureWaiting measures what the relay takes while messages wait.
 func measureWaiting(r *relayProcess, values map[string]float64) {
 	const seconds = 2
-	values["memory_mb"] = r.memory("VmRSS")
-	values["memory_most_mb"] = r.memory("VmHWM")
+	values["memory_mb"] = r.memory(relayprocess.ResidentMemory)
+	values["memory_most_mb"] = r.memory(relayprocess.PeakMemory)
 	values["disk_mb"] = r.disk()
 	usedBefore := r.cpuTime()
 	time.Sleep(seconds * time.Second)
@@ -100,7 +102,7 @@
 		t.Fatal("not ready again after 2 minutes")
 	}
 	values["restart_ready_s"] = time.Duration(monitor.ready.Load()).Seconds()
-	values["restart_memory_most_mb"] = r.memory("VmHWM")
+	values["restart_memory_most_mb"] = r.memory(relayprocess.PeakMemory)
 	values["restart_processor_s"] = r.cpuTime().Seconds()
 	monitor.end()
 }
--- a/cmd/cherrytrestle/manyrelays_test.go
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -7,6 +7,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 // Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries:
@@ -90,7 +92,7 @@
 	t.Helper()
 	for i, r := range relays {
 		monitors[i].end()
-		values["memory_most_mb"] = max(values["memory_most_mb"], r.memory("VmHWM"))
+		values["memory_most_mb"] = max(values["memory_most_mb"], r.memory(relayprocess.PeakMemory))
 		values["health_longest_ms"] = max(values["health_longest_ms"], monitors[i].longestMS())
 		values["processor_s"] += r.cpuTime().Seconds() / float64(len(relays))
 	}
--- a/cmd/cherrytrestle/measure_test.go
+++ b/cmd/cherrytrestle/measure_test.go
@@ -13,6 +13,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 // cpuTime is the processor time that the process has used.
@@ -31,25 +33,17 @@
 	return time.Duration(sum) * 10 * time.Millisecond // the system's clock tick
 }
 
-// memory is what the process holds or held at the most, in MB: VmRSS or VmHWM.
-func (r *relayProcess) memory(which string) float64 {
+// memory is a memory field of the process, in MB.
+func (r *relayProcess) memory(field string) float64 {
 	r.t.Helper()
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	bytes, err := relayprocess.Memory(r.cmd.Process.Pid, field)
 	must(r.t, err)
-	for line := range strings.Lines(string(data)) {
-		if value, ok := strings.CutPrefix(line, which+":"); ok {
-			kb, err := strconv.Atoi(strings.Fields(value)[0])
-			must(r.t, err)
-			return float64(kb) * 1024 / 1e6
-		}
-	}
-	r.t.Fatalf("no %s", which)
-	return 0
+	return bytes / 1e6
 }
 
 // disk is what the files of the relay's folder hold, in MB.
 func (r *relayProcess) disk() (mb float64) {
-	err := filepath.WalkDir(filepath.Join(r.dir, "state"), func(_ string, e fs.DirEntry, err error) error {
+	err := filepath.WalkDir(relayprocess.StateFolder(r.dir), func(_ string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
 		}
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
@@ -15,6 +16,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 // relayProcess is a relay under its name and address, over its restarts.
@@ -63,7 +66,7 @@
 	must(t, err)
 	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
 	closeQuietly(l)
-	must(t, os.Mkdir(filepath.Join(r.dir, "state"), 0o700))
+	must(t, os.Mkdir(relayprocess.StateFolder(r.dir), 0o700))
 	r.config = map[string]any{
 		"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings,
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
@@ -86,7 +89,7 @@
 	r.t.Helper()
 	config, err := json.Marshal(r.config)
 	must(r.t, err)
-	must(r.t, os.WriteFile(filepath.Join(r.dir, "config.json"), config, 0o600))
+	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), config, 0o600))
 }
 
 // start starts a process and waits until it is ready.
@@ -96,13 +99,7 @@
 	if r.socket != nil {
 		return // clients find out
 	}
-	eventually(r.t, "ready", func() bool {
-		res, err := r.client.Get("http://" + r.addr + "/_health")
-		if err == nil {
-			closeQuietly(res.Body)
-		}
-		return err == nil && res.StatusCode == http.StatusOK
-	})
+	eventually(r.t, "ready", func() bool { return relayprocess.Ready(r.client, r.addr) })
 }
 
 // launch starts a process.
@@ -111,15 +108,16 @@
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must(r.t, err)
 	defer closeQuietly(log)
-	r.cmd = exec.Command(cmp.Or(r.program, os.Args[0]))
-	if r.socket != nil {
-		r.cmd.ExtraFiles = []*os.File{r.socket}
-	}
+	r.cmd = relayprocess.Command(context.Background(), relayprocess.Settings{
+		Program:   cmp.Or(r.program, os.Args[0]),
+		Folder:    r.dir,
+		Addr:      r.addr,
+		Discovery: p.Listener.Addr().String(),
+	})
 	r.cmd.Stderr = log
-	r.cmd.Env = append(os.Environ(), "CHERRYTRESTLE_TEST_RELAY=1", "ROUTER_LISTEN="+r.addr,
-		"ROUTER_DISCOVERY="+p.Listener.Addr().String(), "ROUTER_STATE="+filepath.Join(r.dir, "state"),
-		"ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"))
+	r.cmd.Env = append(r.cmd.Env, "CHERRYTRESTLE_TEST_RELAY=1")
 	if r.socket != nil {
+		r.cmd.ExtraFiles = []*os.File{r.socket}
 		r.cmd.Env = append(r.cmd.Env, "ROUTER_INHERITED_FD=3")
 	}
 	r.cmd.Env = append(r.cmd.Env, r.env...)
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -10,6 +10,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 var (
@@ -75,8 +77,8 @@
 	monitor := r.monitorHealth()
 	ready := monitor.untilReady(readyTimeout)
 	values["ready"] = 0
-	values["memory_most_mb"] = r.memory("VmHWM")
-	values["memory_mb"] = r.memory("VmRSS")
+	values["memory_most_mb"] = r.memory(relayprocess.PeakMemory)
+	values["memory_mb"] = r.memory(relayprocess.ResidentMemory)
 	values["processor_s"] = r.cpuTime().Seconds()
 	values["health_longest_ms"] = monitor.longestMS()
 	if !ready {
@@ -87,7 +89,7 @@
 	values["change_obeyed_ms"] = milliseconds(addDestination(t, discovery, r, n, h.addr()))
 	eventually(t, "delivered", func() bool { return h.totalCalls() > 0 })
 	monitor.end()
-	values["memory_most_mb"] = r.memory("VmHWM")
+	values["memory_most_mb"] = r.memory(relayprocess.PeakMemory)
 	values["health_longest_all_ms"] = monitor.longestMS()
 	if peak := values["memory_most_mb"]; peak > maxCatalogMemoryMB {
 		t.Errorf("%.0f MB at the most, %d wanted", peak, maxCatalogMemoryMB)
