--- a/internal/state/legacylog/golden_keys_test.go
+++ b/internal/state/legacylog/golden_keys_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-// TestGoldenKeys pins the keys under which records are kept: other builds of the program read them.
+// TestGoldenKeys pins the JSON keys of records, which other builds of the program read.
 func TestGoldenKeys(t *testing.T) {
 	var x record
 	golden.Fill(&x)
--- a/internal/state/legacylog/golden_test.go
+++ b/internal/state/legacylog/golden_test.go
@@ -11,15 +11,23 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenLimit = 3e6
 
-// goldenMessage is a message of which all is set that its client told.
+// goldenMessage returns a message with a value in each field that its client sets.
 func goldenMessage(id uint32) *Message {
 	return &Message{
-		ID: id, TraceID: "trace", IdempotencyKey: "key", OrderingKey: "order", Class: 2, ClassName: "orders", Tenant: 3, Destination: 7,
-		Deadline: time.Unix(1e9, int64(id)).UTC(), Body: []byte("body"),
+		ID:             id,
+		TraceID:        "trace",
+		IdempotencyKey: "key",
+		OrderingKey:    "order",
+		Class:          2,
+		ClassName:      "orders",
+		Tenant:         3,
+		Destination:    7,
+		Deadline:       time.Unix(1e9, int64(id)).UTC(),
+		Body:           []byte("body"),
 	}
 }
 
@@ -27,83 +35,67 @@
 	return Attempt{Number: n, Endpoint: "s-1", Zone: 1, SentAt: time.Unix(1e9, 0).UTC()}
 }
 
-// writeGoldenLog writes a log with every kind of record, and returns the messages that are unfinished in it.
+// writeGoldenLog writes a log with every kind of record, and returns the messages in it that are not removed.
 func writeGoldenLog(t *testing.T, folder string) []*Message {
 	t.Helper()
 	log, _, err := Open(folder, goldenLimit)
-	check(t, err)
-	untried, sent, deferred, failed, withdrawn, ended := goldenMessage(
-		1,
-	), goldenMessage(
-		2,
-	), goldenMessage(
-		3,
-	), goldenMessage(
-		4,
-	), goldenMessage(
-		5,
-	), goldenMessage(
-		6,
-	)
-	rewritten := goldenMessage(7) // as a compaction writes it
-	rewritten.Attempts, rewritten.UncertainAttempts, rewritten.Final, rewritten.Cancelled = 3, []Attempt{
-		goldenAttempt(2),
-	}, &FinalAnswer{
-		Retryable:  true,
-		RetryAfter: time.Second,
-	}, true
-	plain := &Message{ID: 8, Deadline: time.Unix(1e9, 0).UTC()}
-	check(t, log.Accept(untried, sent, deferred, failed, withdrawn, ended, rewritten, plain))
-	check(
-		t,
-		log.RecordSends(
-			Send{sent, goldenAttempt(0)},
-			Send{sent, goldenAttempt(1)},
-			Send{failed, goldenAttempt(0)},
-			Send{withdrawn, goldenAttempt(0)},
-		),
-	)
+	must(t, err)
+	untried, sent, deferred := goldenMessage(1), goldenMessage(2), goldenMessage(3)
+	failed, cancelled, removed := goldenMessage(4), goldenMessage(5), goldenMessage(6)
+	compacted := goldenMessage(7) // as a compaction writes it
+	compacted.Attempts = 3
+	compacted.UncertainAttempts = []Attempt{goldenAttempt(2)}
+	compacted.Final = &FinalAnswer{Retryable: true, RetryAfter: time.Second}
+	compacted.Cancelled = true
+	empty := &Message{ID: 8, Deadline: time.Unix(1e9, 0).UTC()}
+	must(t, log.Accept(untried, sent, deferred, failed, cancelled, removed, compacted, empty))
+	must(t, log.RecordSends(
+		Send{sent, goldenAttempt(0)},
+		Send{sent, goldenAttempt(1)},
+		Send{failed, goldenAttempt(0)},
+		Send{cancelled, goldenAttempt(0)},
+	))
 	log.RecordNotRun(sent, 1)
 	log.RecordFinal(deferred, FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond})
 	log.RecordFinal(failed, FinalAnswer{})
-	log.RecordCancelled(withdrawn)
-	log.Remove(ended)
-	check(t, log.Close())
-	return []*Message{untried, sent, deferred, failed, withdrawn, rewritten, plain}
+	log.RecordCancelled(cancelled)
+	log.Remove(removed)
+	must(t, log.Close())
+	return []*Message{untried, sent, deferred, failed, cancelled, compacted, empty}
 }
 
-func check(t *testing.T, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
+// withoutEmptySlices returns a copy of a message in which empty slices are nil.
+func withoutEmptySlices(m *Message) Message {
+	result := *m
+	if len(m.UncertainAttempts) == 0 {
+		result.UncertainAttempts = nil
+	}
+	if len(m.Body) == 0 {
+		result.Body = nil
 	}
+	return result
 }
 
-// Another build reads and writes the same log.
+// This build writes the same log as another one, and reads what the other one wrote.
 func TestGoldenLog(t *testing.T) {
 	written := t.TempDir()
 	want := writeGoldenLog(t, written)
 	data, err := os.ReadFile(filepath.Join(written, fileName))
-	check(t, err)
+	must(t, err)
 	golden.Check(t, *update, fileName, data)
 
 	folder := t.TempDir()
-	check(t, os.WriteFile(filepath.Join(folder, fileName), golden.Read(t, fileName), 0o600))
-	log, found, err := Open(folder, goldenLimit)
-	check(t, err)
-	defer log.Close()
-	if found.Damaged || len(found.Messages) != len(want) {
-		t.Fatalf("%d messages, damaged: %v", len(found.Messages), found.Damaged)
+	must(t, os.WriteFile(filepath.Join(folder, fileName), golden.Read(t, fileName), 0o600))
+	log, recovery, err := Open(folder, goldenLimit)
+	must(t, err)
+	defer func() { must(t, log.Close()) }()
+	if recovery.Damaged || len(recovery.Messages) != len(want) {
+		t.Fatalf("%d messages, damaged: %v", len(recovery.Messages), recovery.Damaged)
 	}
-	for i, m := range found.Messages {
-		if len(m.UncertainAttempts) == 0 && len(want[i].UncertainAttempts) == 0 {
-			m.UncertainAttempts, want[i].UncertainAttempts = nil, nil
-		}
-		if len(m.Body) == 0 && len(want[i].Body) == 0 {
-			m.Body, want[i].Body = nil, nil
-		}
-		if !reflect.DeepEqual(m, want[i]) {
-			t.Errorf("read as %+v, want %+v", m, want[i])
+	for i := range want {
+		got, want := withoutEmptySlices(recovery.Messages[i]), withoutEmptySlices(want[i])
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("read as %+v, want %+v", got, want)
 		}
 	}
 }
