--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -78,20 +80,25 @@
 		most = max(1, r.activeConfig.Settings.DestinationKinds[t.Kind].MaxBatch)
 	}
 	var c *call
-	size := BatchItemSize(m)
+	size := egress.BatchItemSize(m.TraceID, m.IdempotencyKey, m.Size())
 	for _, x := range calls {
 		// Bodies hold so much at most, and many small messages are no reason to have one large one turned away.
-		if x.EndpointID == a.Endpoint && len(x.attempts) < most && x.size+size <= MaxBodySize {
+		if x.EndpointID == a.Endpoint && len(x.attempts) < most && x.size+size <= netconn.MaxBodySize {
 			c = x
 		}
 	}
 	if c == nil {
-		c = &call{EndpointID: a.Endpoint, Addr: t.Addr, zone: t.Zone, SentAt: time.Now()}
+		c = newCall(egress.Call{EndpointID: a.Endpoint, Addr: t.Addr, SentAt: time.Now()}, t.Zone)
 		calls = append(calls, c)
 	}
 	until := r.started.Add(a.TimeoutAt)
 	c.size += size
-	c.insertByDeadline(&attempt{call: c, m: m, Number: m.attemptsStarted, Body: body, Deadline: until})
+	c.insertByDeadline(&attempt{
+		Attempt: egress.Attempt{TraceID: m.TraceID, IdempotencyKey: m.IdempotencyKey, Body: body, Deadline: until},
+		call:    c,
+		message: m,
+		number:  m.attemptsStarted,
+	})
 	m.attemptsStarted++
 	m.inFlight++
 	if len(c.attempts) == 1 || until.After(c.Deadline) == r.cfg.AllowHedging {
@@ -100,11 +107,48 @@
 	return calls
 }
 
+// call is a call to an endpoint, with what the loop knows of it.
+type call struct {
+	egress.Call
+	zone     int
+	size     int        // of its body at most, if it carries several messages
+	attempts []*attempt // those whose outcome is awaited, in the order of Call.Attempts
+
+	// single holds the attempts of a call with one message, as most calls are.
+	single [1]*attempt
+}
+
+// attempt is an attempt of a message, with what the loop knows of it.
+type attempt struct {
+	egress.Attempt
+	call     *call
+	message  *message
+	number   int         // among the message's attempts, from 0
+	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
+	finished bool        // its outcome is known to the engine
+}
+
+// newCall returns a call without attempts.
+func newCall(outgoing egress.Call, zone int) *call {
+	c := &call{Call: outgoing, zone: zone}
+	c.attempts = c.single[:0]
+	return c
+}
+
+// outgoing returns the attempts as package egress knows them.
+func (c *call) outgoing() []*egress.Attempt {
+	attempts := make([]*egress.Attempt, len(c.attempts))
+	for i, a := range c.attempts {
+		attempts[i] = &a.Attempt
+	}
+	return attempts
+}
+
 // insertByDeadline adds an attempt before those whose messages have less time left. A call goes by its first message:
 // an answer that comes after this one's time tells nothing certain of the others, however whole it is. So no call may
 // outlast its first message.
 func (c *call) insertByDeadline(a *attempt) {
-	i := slices.IndexFunc(c.attempts, func(b *attempt) bool { return b.m.Deadline.Before(a.m.Deadline) })
+	i := slices.IndexFunc(c.attempts, func(b *attempt) bool { return b.message.Deadline.Before(a.message.Deadline) })
 	if i < 0 {
 		i = len(c.attempts)
 	}
@@ -117,7 +161,7 @@
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			sends = append(sends, journal.Send{
-				Message: a.m.Message, Attempt: journal.Attempt{Number: a.Number, Endpoint: c.EndpointID, Zone: c.zone, SentAt: c.SentAt},
+				Message: a.message.Message, Attempt: journal.Attempt{Number: a.number, Endpoint: c.EndpointID, Zone: c.zone, SentAt: c.SentAt},
 			})
 		}
 	}
@@ -131,7 +175,7 @@
 func (r *Relay) returnCalls(calls []*call) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
-			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, Result{Outcome: policy.ConnectFailed})
+			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, egress.Result{Outcome: policy.ConnectFailed})
 		}
 	}
 	// The module is told in a step of its own, soon, and not by its own wake, which must not be lost.
@@ -147,10 +191,11 @@
 			a.timer = time.AfterFunc(time.Until(a.Deadline), func() { r.post(attemptTimeout{a}) })
 		}
 	}
+	c.Attempts = c.outgoing()
 	r.calls.Add(1)
 	go func() {
 		defer r.calls.Done()
-		results := r.egress.Do(r.callCtx, c, r.checkSend)
+		results := r.egress.Do(r.callCtx, &c.Call, func() []*egress.Attempt { return r.checkSend(c) })
 		r.post(&callFinished{c, results})
 	}()
 }
@@ -158,11 +203,11 @@
 // sendableAttempts tells which attempts of a call that was held up may still leave, if the module lets it leave at all.
 // A message that has had its final answer meanwhile, or whose time in this call is up, has no part in it any more: the
 // others' connection may come up long after that.
-func (r *Relay) sendableAttempts(c *call) (left []*attempt) {
+func (r *Relay) sendableAttempts(c *call) (left []*egress.Attempt) {
 	var ids []uint32
 	for _, a := range c.attempts {
-		if !a.finished && !a.m.completed && time.Now().Before(a.Deadline) {
-			left, ids = append(left, a), append(ids, a.m.ID)
+		if !a.finished && !a.message.completed && time.Now().Before(a.Deadline) {
+			left, ids = append(left, &a.Attempt), append(ids, a.message.ID)
 		}
 	}
 	if len(left) == 0 || r.sendingStopped {
@@ -177,8 +222,8 @@
 }
 
 // checkSend asks the loop which attempts of a call that was held up may still leave.
-func (r *Relay) checkSend(c *call) []*attempt {
-	reply := make(chan []*attempt, 1)
+func (r *Relay) checkSend(c *call) []*egress.Attempt {
+	reply := make(chan []*egress.Attempt, 1)
 	if !r.post(sendCheck{c, reply}) {
 		return nil
 	}
@@ -201,8 +246,8 @@
 }
 
 // attemptEnded takes the outcome of an attempt: in the log, and for the module.
-func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res Result) []policy.Event {
-	m := a.m
+func (r *Relay) attemptEnded(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
+	m := a.message
 	ok := res.Outcome == policy.OK
 	if a.finished {
 		// It was cut off, and its call went on for others. A delivery still ends the message.
@@ -218,7 +263,7 @@
 	m.inFlight--
 	switch res.Outcome {
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
-		r.journal.RecordNotRun(m.Message, a.Number)
+		r.journal.RecordNotRun(m.Message, a.number)
 	}
 	if ok || res.MessageEnded {
 		if ok && !m.completed {
@@ -233,7 +278,7 @@
 		return r.unpark(evs, a, res)
 	}
 	return append(evs, policy.Event{
-		Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: a.Number, Endpoint: a.EndpointID, Outcome: res.Outcome, Latency: res.Latency,
+		Kind: policy.AttemptFinished, MessageID: m.ID, Attempt: a.number, Endpoint: a.call.EndpointID, Outcome: res.Outcome, Latency: res.Latency,
 		MessageEnded: ok || res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
 	})
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -24,9 +24,7 @@
 )
 
 const (
-	MaxBodySize = 64 << 10
-	MaxWireSize = 8 * MaxBodySize // a body in chunks, however small
-	maxIDSize   = 256             // bytes of an id or a key
+	maxIDSize = 256 // bytes of an id or a key
 
 	// A client that sends nothing, or nothing that can be read, is owed an error or a close within 3 s of its
 	// connecting.
@@ -318,10 +316,10 @@
 	case hasConflictingLengths(req, head):
 		// One of the two hides what the other does not count: a request in a body, or the other way round.
 		return s.reject(c, BadRequest("both Content-Length and Transfer-Encoding"))
-	case req.ContentLength > MaxBodySize:
+	case req.ContentLength > netconn.MaxBodySize:
 		return s.reject(c, Response{Status: http.StatusRequestEntityTooLarge, Text: "body over 64 KiB"})
 	}
-	c.AllowBytes(MaxWireSize)
+	c.AllowBytes(netconn.MaxWireSize)
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
 		io.WriteString(c.Conn.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
@@ -467,8 +465,8 @@
 		_, err := io.ReadFull(req.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, MaxBodySize+1))
-	if err == nil && len(body) > MaxBodySize {
+	body, err := io.ReadAll(io.LimitReader(req.Body, netconn.MaxBodySize+1))
+	if err == nil && len(body) > netconn.MaxBodySize {
 		err = netconn.ErrReadBudget
 	}
 	return body, err
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -357,7 +358,7 @@
 		return err
 	}
 	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, MaxBodySize)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, netconn.MaxBodySize)); err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
--- a/internal/relay/hosts.go
+++ b/internal/relay/egress/client.go
@@ -1,4 +1,4 @@
-package relay
+package egress
 
 import (
 	"bufio"
@@ -43,8 +43,8 @@
 	errConnEnds  = errors.New("the answer is whole, its connection at its end")
 )
 
-// EgressClient makes the outbound calls.
-type EgressClient struct {
+// Client makes the outbound calls.
+type Client struct {
 	*pool
 	reportFields []string
 	onWritten    func(messages int) // whole, to a host
@@ -53,31 +53,26 @@
 	malformedResponses ratelog.Warning
 }
 
-// call is one request to a host, with one message or several.
-type call struct {
+// Call is one request to an endpoint, with one message or several.
+type Call struct {
 	EndpointID string
 	Addr       string
-	zone       int
-	SentAt     time.Time
-	Deadline   time.Time // given up then
-	attempts   []*attempt
-	size       int // of the body, at most, if it carries several
+	SentAt     time.Time  // decided and recorded then
+	Deadline   time.Time  // given up then
+	Attempts   []*Attempt // those of several messages travel as one batch
 }
 
 // lastDeadline is when the last of a call's attempts is given up.
-func (c *call) lastDeadline() time.Time {
-	return slices.MaxFunc(c.attempts, func(a, b *attempt) int { return a.Deadline.Compare(b.Deadline) }).Deadline
+func (c *Call) lastDeadline() time.Time {
+	return slices.MaxFunc(c.Attempts, func(a, b *Attempt) int { return a.Deadline.Compare(b.Deadline) }).Deadline
 }
 
-// attempt is one message's part in a call.
-type attempt struct {
-	*call
-	m        *message
-	Number   int
-	Body     []byte // the message's
-	Deadline time.Time
-	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
-	finished bool        // its outcome is told
+// Attempt is one message's part in a call.
+type Attempt struct {
+	TraceID        string
+	IdempotencyKey string // "": none
+	Body           []byte
+	Deadline       time.Time
 }
 
 // Result is how an attempt ended.
@@ -89,20 +84,35 @@
 	Latency      time.Duration // from when the request was written
 }
 
-func NewEgressClient(cfg Config, log *slog.Logger, written func(int)) *EgressClient {
-	return &EgressClient{
-		pool:               newPool(cfg),
-		reportFields:       cfg.LoadReportFields,
-		onWritten:          written,
-		log:                log,
+// Config is what a client goes by.
+type Config struct {
+	ConnectTimeout time.Duration
+	KeepAlive      time.Duration // endpoints close a connection that stood idle for so long
+	MaxConns       int
+	ReportFields   []string           // fields of the endpoints' load reports; empty: none are sent
+	OnWritten      func(messages int) // called when a request was written to its end
+	Dial           DialFunc           // nil: TCP without keep-alive probes
+	Log            *slog.Logger
+}
+
+// DialFunc opens a connection to an address.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// New returns a client without connections.
+func New(config Config) *Client {
+	return &Client{
+		pool:               newPool(config),
+		reportFields:       config.ReportFields,
+		onWritten:          config.OnWritten,
+		log:                config.Log,
 		malformedResponses: ratelog.Warning{Message: "spoilt answer"},
 	}
 }
 
-// Do makes a call and tells the end of each of its attempts, in their order. clear is asked before the request is
+// Do makes a call and tells the end of each of its attempts, in their order. check is asked before the request is
 // written where that was held up, as by a new connection that had to come up first: for the attempts that may leave
 // even then.
-func (h *EgressClient) Do(ctx context.Context, c *call, clear func(*call) []*attempt) []Result {
+func (h *Client) Do(ctx context.Context, c *Call, check func() []*Attempt) []Result {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
 	conn, fresh, err := h.getConn(ctx, endpointAddr{c.EndpointID, c.Addr})
@@ -116,10 +126,10 @@
 	// messages may have ended.
 	leaving := *c
 	if fresh || time.Since(c.SentAt) > recheckAfter {
-		leaving.attempts = clear(c)
+		leaving.Attempts = check()
 	}
 	results := sameResults(c, Result{Outcome: policy.NotSent})
-	if len(leaving.attempts) == 0 {
+	if len(leaving.Attempts) == 0 {
 		conn.release()
 		return results
 	}
@@ -135,22 +145,22 @@
 		return results
 	}
 	for i, res := range h.exchange(ctx, req, &leaving, conn) {
-		results[slices.Index(c.attempts, leaving.attempts[i])] = res
+		results[slices.Index(c.Attempts, leaving.Attempts[i])] = res
 	}
 	return results
 }
 
 // exchange writes the request, reads its answer, and keeps or drops the connection.
-func (h *EgressClient) exchange(ctx context.Context, req *http.Request, c *call, conn *pooledConn) []Result {
+func (h *Client) exchange(ctx context.Context, req *http.Request, c *Call, conn *pooledConn) []Result {
 	// A call is given up by closing its connection: no answer to it is read any more.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(netconn.Past) })
 	began := time.Now()
 	err := writeRequest(conn, req)
 	written := err == nil
 	if written {
-		h.onWritten(len(c.attempts))
+		h.onWritten(len(c.Attempts))
 	}
-	several := len(c.attempts) > 1
+	several := len(c.Attempts) > 1
 	a := readResponse(conn, req, several) // there may be an answer though not all could be written
 	if stop() && a.err == nil && written {
 		conn.SetDeadline(time.Time{})
@@ -260,16 +270,16 @@
 
 // discardOrReadBody reads an answer's body. It returns an error also if the connection can carry no further call.
 func discardOrReadBody(conn *pooledConn, head *http.Response, several bool) (body []byte, err error) {
-	if head.ContentLength > MaxBodySize {
+	if head.ContentLength > netconn.MaxBodySize {
 		return nil, errMalformed
 	}
-	conn.AllowBytes(MaxWireSize)
-	rest := io.LimitReader(head.Body, MaxBodySize+1)
+	conn.AllowBytes(netconn.MaxWireSize)
+	rest := io.LimitReader(head.Body, netconn.MaxBodySize+1)
 	if several && head.StatusCode == http.StatusOK {
-		if body, err = io.ReadAll(rest); err == nil && len(body) > MaxBodySize {
+		if body, err = io.ReadAll(rest); err == nil && len(body) > netconn.MaxBodySize {
 			err = errMalformed
 		}
-	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > MaxBodySize {
+	} else if n, copyErr := io.Copy(io.Discard, rest); copyErr != nil || n > netconn.MaxBodySize {
 		err = cmp.Or(copyErr, errMalformed)
 	}
 	switch {
@@ -295,17 +305,17 @@
 }
 
 // newRequest makes the request of a call.
-func newRequest(c *call) (*http.Request, error) {
-	path, body := "/events", c.attempts[0].Body
+func newRequest(c *Call) (*http.Request, error) {
+	path, body := "/events", c.Body()
 	header := http.Header{"X-Expires-In-Ms": {strconv.FormatInt(max(1, time.Until(c.Deadline).Milliseconds()), 10)}}
-	if len(c.attempts) > 1 {
-		path, body = "/events/bundle", encodeBatch(c)
+	if len(c.Attempts) > 1 {
+		path = "/events/bundle"
 		header.Set("Content-Type", "application/json")
 	} else {
-		m := c.attempts[0].m
-		header.Set("X-Trace-Id", m.TraceID)
-		if m.IdempotencyKey != "" {
-			header.Set("Idempotency-Key", m.IdempotencyKey)
+		a := c.Attempts[0]
+		header.Set("X-Trace-Id", a.TraceID)
+		if a.IdempotencyKey != "" {
+			header.Set("Idempotency-Key", a.IdempotencyKey)
 		}
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.Addr+path, nil)
@@ -319,6 +329,14 @@
 	return req, nil
 }
 
+// Body returns the body of the call's request: a single message's own, else the batch of all.
+func (c *Call) Body() []byte {
+	if len(c.Attempts) == 1 {
+		return c.Attempts[0].Body
+	}
+	return encodeBatch(c)
+}
+
 // batchItem is a message in a bundle.
 type batchItem struct {
 	ID   string `json:"id"`
@@ -327,18 +345,17 @@
 }
 
 // BatchItemSize is the most that a message takes in a bundle: any byte of an id may be escaped.
-func BatchItemSize(m *message) int {
-	return base64.StdEncoding.EncodedLen(
-		m.Size(),
-	) + 6*(len(m.TraceID)+len(m.IdempotencyKey)) + len(
-		`{"id":"","key":"","body":""},[]`,
-	)
+func BatchItemSize(traceID, idempotencyKey string, bodySize int) int {
+	const escaped = len(`\u0000`)
+	return base64.StdEncoding.EncodedLen(bodySize) +
+		escaped*(len(traceID)+len(idempotencyKey)) +
+		len(`{"id":"","key":"","body":""},[]`)
 }
 
-func encodeBatch(c *call) []byte {
-	items := make([]batchItem, 0, len(c.attempts))
-	for _, a := range c.attempts {
-		items = append(items, batchItem{a.m.TraceID, a.m.IdempotencyKey, append([]byte{}, a.Body...)}) // null is no body
+func encodeBatch(c *Call) []byte {
+	items := make([]batchItem, 0, len(c.Attempts))
+	for _, a := range c.Attempts {
+		items = append(items, batchItem{a.TraceID, a.IdempotencyKey, append([]byte{}, a.Body...)}) // null is no body
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
@@ -348,7 +365,7 @@
 }
 
 // readFeedback is what a head tells besides its message's end.
-func (h *EgressClient) readFeedback(head *http.Response) (r Result) {
+func (h *Client) readFeedback(head *http.Response) (r Result) {
 	if head != nil {
 		r.RetryAfter = parseRetryAfter(head.Header.Get("Retry-After"))
 		r.LimitReport = h.parseLimitReport(head.Header.Get("Endpoint-Load-Metrics"))
@@ -375,7 +392,7 @@
 }
 
 // batchResults reads the end of each message of a bundle. One that is missing or unreadable may have run.
-func batchResults(c *call, r Result, body []byte) []Result {
+func batchResults(c *Call, r Result, body []byte) []Result {
 	unread := r
 	unread.Outcome = policy.Error
 	var raw []json.RawMessage
@@ -393,8 +410,8 @@
 		}
 	}
 	results := sameResults(c, unread)
-	for i, a := range c.attempts {
-		switch states[a.m.TraceID] {
+	for i, a := range c.Attempts {
+		switch states[a.TraceID] {
 		case "ok":
 			results[i].Outcome = policy.OK
 		case "error":
@@ -411,7 +428,7 @@
 }
 
 // parseLimitReport reads what a host tells of its limit.
-func (h *EgressClient) parseLimitReport(text string) policy.LimitReport {
+func (h *Client) parseLimitReport(text string) policy.LimitReport {
 	var rep policy.LimitReport
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
@@ -444,8 +461,8 @@
 }
 
 // sameResults gives every attempt of a call the same end.
-func sameResults(c *call, r Result) []Result {
-	results := make([]Result, len(c.attempts))
+func sameResults(c *Call, r Result) []Result {
+	results := make([]Result, len(c.Attempts))
 	for i := range results {
 		results[i] = r
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/egress/pool.go
@@ -1,4 +1,4 @@
-package relay
+package egress
 
 import (
 	"context"
@@ -13,9 +13,6 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 )
 
-// reservedDescriptors are descriptors of the hosts' share that the journal's files and the second address may need.
-const reservedDescriptors = 16
-
 // capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
 const capacityRetryInterval = 20 * time.Millisecond
 
@@ -28,7 +25,7 @@
 // requests again by itself, which a message that must not run twice can't bear, dials where nobody can look again
 // before the request is written, and does not show what came behind an answer.
 type pool struct {
-	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
+	dial           DialFunc
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
 	maxConns       int // connections
@@ -49,12 +46,16 @@
 	idleTimer *time.Timer
 }
 
-func newPool(cfg Config) *pool {
+func newPool(config Config) *pool {
+	dial := config.Dial
+	if dial == nil {
+		dial = (&net.Dialer{KeepAlive: -1}).DialContext
+	}
 	return &pool{
-		dial:           (&net.Dialer{KeepAlive: -1}).DialContext,
-		connectTimeout: cfg.ConnectTimeout,
-		idleTimeout:    time.Duration(idleRatio * float64(cfg.KeepAlive)),
-		maxConns:       max(8, cfg.Limits.Sockets*3/8-reservedDescriptors),
+		dial:           dial,
+		connectTimeout: config.ConnectTimeout,
+		idleTimeout:    time.Duration(idleRatio * float64(config.KeepAlive)),
+		maxConns:       config.MaxConns,
 		idle:           map[endpointAddr][]*pooledConn{},
 		idleAddrs:      map[string]int{},
 	}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -26,7 +27,7 @@
 // callFinished carries the results of a call, one for each of its attempts.
 type callFinished struct {
 	call    *call
-	results []Result
+	results []egress.Result
 }
 
 // attemptTimeout tells that the time of one attempt is up while its call goes on for others.
@@ -35,7 +36,7 @@
 // sendCheck asks which attempts of a delayed call may still be sent.
 type sendCheck struct {
 	call  *call
-	reply chan []*attempt // buffered; receives the attempts that may still be sent
+	reply chan []*egress.Attempt // buffered; receives the attempts that may still be sent
 }
 
 // notificationsAcked tells that the platform has taken the final notifications of these messages.
@@ -67,7 +68,7 @@
 }
 
 func (e attemptTimeout) apply(r *Relay, s *stepState) {
-	timeout := Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.SentAt)}
+	timeout := egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}
 	s.policyEvents = r.attemptEnded(s.policyEvents, e.attempt, timeout)
 }
 
--- a/internal/relay/netconn/netconn.go
+++ b/internal/relay/netconn/netconn.go
@@ -10,6 +10,11 @@
 )
 
 const (
+	// MaxBodySize bounds a message's body, a batch's and a response's.
+	MaxBodySize = 64 << 10
+	// MaxWireSize bounds a body on the wire: one in chunks, however small they are.
+	MaxWireSize = 8 * MaxBodySize
+
 	MaxHeaderSize  = 16 << 10 // bytes of a request's or an answer's head
 	readBufferSize = 4 << 10  // bytes read ahead
 )
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,6 +19,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
@@ -48,7 +49,7 @@
 	cfg              Config
 	log              *slog.Logger
 	logOut           io.Writer // where recordings go
-	egress           *EgressClient
+	egress           *egress.Client
 	ingress          *IngressServer
 	finals           *Sender
 	agent            *Client
@@ -126,7 +127,7 @@
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
-	r.egress = NewEgressClient(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
+	r.egress = egress.New(r.egressConfig())
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
@@ -297,7 +298,10 @@
 			continue // all is over for it
 		}
 		r.remote[attemptKey{x.ID, x.Number}] = &attempt{
-			call: &call{EndpointID: x.Endpoint, zone: x.Zone, SentAt: x.Sent}, m: m, Number: x.Number, finished: x.Finished,
+			call:     newCall(egress.Call{EndpointID: x.Endpoint, SentAt: x.Sent}, x.Zone),
+			message:  m,
+			number:   x.Number,
+			finished: x.Finished,
 		}
 		if !x.Finished {
 			m.inFlight++
@@ -367,7 +371,7 @@
 	evs = r.attemptEnded(
 		evs,
 		a,
-		Result{Outcome: o.Outcome, MessageEnded: o.MessageEnded, RetryAfter: o.RetryAfter, LimitReport: o.LimitReport, Latency: o.Latency},
+		egress.Result{Outcome: o.Outcome, MessageEnded: o.MessageEnded, RetryAfter: o.RetryAfter, LimitReport: o.LimitReport, Latency: o.Latency},
 	)
 	if o.CallFinished {
 		delete(r.remote, key)
@@ -381,18 +385,18 @@
 		return int(int64(a.id)-int64(b.id))*1000 + a.n - b.n
 	}) {
 		a := r.remote[key]
-		evs = r.attemptEnded(evs, a, Result{Outcome: policy.Cancelled, Latency: time.Since(a.SentAt)})
+		evs = r.attemptEnded(evs, a, egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)})
 	}
 	clear(r.remote)
 	return evs
 }
 
 // unpark tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
-func (r *Relay) unpark(evs []policy.Event, a *attempt, res Result) []policy.Event {
+func (r *Relay) unpark(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	evs = append(evs, policy.Event{
-		Kind: policy.HealthChecked, Endpoint: a.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
+		Kind: policy.HealthChecked, Endpoint: a.call.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
 	})
-	if m := a.m; !m.completed && m.inFlight == 0 {
+	if m := a.message; !m.completed && m.inFlight == 0 {
 		m.awaitingRemote = false
 		evs = append(evs, r.recoveredEvent(m))
 	}
@@ -520,11 +524,11 @@
 		s.Attempts = append(
 			s.Attempts,
 			hotrestart.Attempt{
-				ID:       a.m.ID,
-				Number:   a.Number,
-				Endpoint: a.EndpointID,
-				Zone:     a.zone,
-				Sent:     a.SentAt,
+				ID:       a.message.ID,
+				Number:   a.number,
+				Endpoint: a.call.EndpointID,
+				Zone:     a.call.zone,
+				Sent:     a.call.SentAt,
 				Finished: a.finished,
 			},
 		)
@@ -559,7 +563,7 @@
 		case attemptTimeout:
 			if !e.attempt.finished {
 				e.attempt.finished = true
-				r.passOutcome(e.attempt, Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.SentAt)}, false)
+				r.passOutcome(e.attempt, egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}, false)
 			}
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
@@ -586,9 +590,9 @@
 	}
 }
 
-func (r *Relay) passOutcome(a *attempt, res Result, last bool) {
+func (r *Relay) passOutcome(a *attempt, res egress.Result, last bool) {
 	r.send(hotrestart.Frame{Outcome: &hotrestart.Outcome{
-		ID: a.m.ID, Number: a.Number, Outcome: res.Outcome, MessageEnded: res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport, Latency: res.Latency, CallFinished: last,
+		ID: a.message.ID, Number: a.number, Outcome: res.Outcome, MessageEnded: res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport, Latency: res.Latency, CallFinished: last,
 	}})
 }
 
