--- /dev/null
+++ b/internal/state/catalog/destinations.go
@@ -0,0 +1,125 @@
+package catalog
+
+import "hash/maphash"
+
+// destinationSlot is one destination that a list has named. Its id is in two halves, so that the slot has no padding.
+type destinationSlot struct {
+	idLow, idHigh uint32
+	bucketNext    uint32 // the next slot of its bucket, or the next free one
+	// first and last are those of its endpoints. Of a destination without endpoints first is the destination that lost
+	// its last endpoint before it, with emptyMark set, and last the one that did after it.
+	first, last uint32
+}
+
+// emptyMark in destinationSlot.first marks a destination without endpoints. No index of a slot has this bit.
+const emptyMark = 1 << 31
+
+func (d *destinationSlot) id() int { return int(uint64(d.idHigh)<<32 | uint64(d.idLow)) }
+
+// empty reports whether the destination is in the list of those without endpoints.
+func (d *destinationSlot) empty() bool { return d.first&emptyMark != 0 }
+
+// olderEmpty returns the destination that lost its last endpoint before this one.
+func (d *destinationSlot) olderEmpty() uint32 { return d.first &^ emptyMark }
+
+// newerEmpty returns the destination that lost its last endpoint after this one.
+func (d *destinationSlot) newerEmpty() uint32 { return d.last }
+
+// findDestination returns a destination's slot, or none.
+func (c *Catalog) findDestination(dest int) uint32 {
+	i := c.destinationIndex.first(maphash.Comparable(c.seed, dest))
+	for i != none && c.destinations.at(i).id() != dest {
+		i = c.destinations.at(i).bucketNext
+	}
+	return i
+}
+
+// newDestination adds a destination, which is neither empty nor has endpoints yet.
+func (c *Catalog) newDestination(dest int) uint32 {
+	i := c.freeDestination
+	if i == none {
+		i = c.destinations.add()
+	} else {
+		c.freeDestination = c.destinations.at(i).bucketNext
+	}
+	*c.destinations.at(i) = destinationSlot{idLow: uint32(dest), idHigh: uint32(uint64(dest) >> 32)}
+	c.destinationIndex.add(i)
+	return i
+}
+
+// attach puts an endpoint at the end of a destination.
+func (c *Catalog) attach(endpoint uint32, dest int) {
+	i := c.findDestination(dest)
+	if i == none {
+		i = c.newDestination(dest)
+	}
+	d := c.destinations.at(i)
+	if d.empty() {
+		c.removeEmpty(d)
+	}
+	if d.first == none {
+		c.nonEmpty++
+	}
+	if !c.inSnapshot {
+		c.peakNonEmpty = max(c.peakNonEmpty, c.nonEmpty)
+	}
+	slot := c.endpoints.at(endpoint)
+	slot.destination = i
+	c.linkLastInDestination(d, slot, endpoint)
+}
+
+// detach takes an endpoint out of its destination.
+func (c *Catalog) detach(endpoint uint32) {
+	slot := c.endpoints.at(endpoint)
+	d := c.destinations.at(slot.destination)
+	c.unlinkInDestination(d, slot)
+	if d.first == none {
+		c.nonEmpty--
+		c.addEmpty(slot.destination)
+	}
+}
+
+// addEmpty remembers a destination without endpoints, and forgets the oldest if they are too many.
+func (c *Catalog) addEmpty(i uint32) {
+	d := c.destinations.at(i)
+	d.first = c.newestEmpty | emptyMark
+	d.last = none
+	if c.newestEmpty == none {
+		c.oldestEmpty = i
+	} else {
+		c.destinations.at(c.newestEmpty).last = i
+	}
+	c.newestEmpty = i
+	c.emptyCount++
+	if c.emptyCount > max(MaxEagerEndpoints, c.peakNonEmpty) {
+		c.forgetDestination(c.oldestEmpty)
+	}
+}
+
+// forgetDestination frees the slot of a destination without endpoints.
+func (c *Catalog) forgetDestination(i uint32) {
+	d := c.destinations.at(i)
+	c.removeEmpty(d)
+	c.destinationIndex.remove(i)
+	d.bucketNext = c.freeDestination
+	c.freeDestination = i
+}
+
+// removeEmpty takes a destination out of those without endpoints.
+func (c *Catalog) removeEmpty(d *destinationSlot) {
+	older := d.olderEmpty()
+	newer := d.newerEmpty()
+	if older == none {
+		c.oldestEmpty = newer
+	} else {
+		c.destinations.at(older).last = newer
+	}
+	if newer == none {
+		c.newestEmpty = older
+	} else {
+		c.destinations.at(newer).first = older | emptyMark
+	}
+	d.first = none
+	d.last = none
+	c.emptyCount--
+}
--- a/internal/state/catalog/lists_test.go
+++ b/internal/state/catalog/lists_test.go
@@ -133,7 +133,7 @@
 		r := c.room()
 		live := 0
 		for i := range c.endpoints.count - 1 {
-			_, n := measureText(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text))
+			n := parseText(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text)).length
 			live += n
 		}
 		if r.live != live || r.texts > 2*r.live+4*textChunkSize || r.destinations > early.destinations ||
--- a/internal/state/catalog/workingset.go
+++ b/internal/state/catalog/workingset.go
@@ -8,55 +8,59 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// WorkingSet is which destinations a module has been told of: those that were used of late, or that it must not forget.
+// WorkingSet holds the destinations that are active, which are those that a decision module knows: they were used
+// lately, or the module must not forget them.
 type WorkingSet struct {
 	idleTimeout   time.Duration
-	recentlyAdded map[int]time.Duration // destinations of which an endpoint was added of late, and when
-	allAddedAt    time.Duration         // all that were listed by then count as added then
 	byDestination map[int]*list.Element
-	byLastUse     list.List // of *used, the one that was not used for longest first
+	byLastUse     list.List // of *usage, the least recently used first
+
+	recentlyAdded map[int]time.Duration // destinations of which an endpoint was added lately, and when
+	allAddedAt    time.Duration         // every destination counts as added then, at least
 }
 
+// usage is when a destination was used last.
 type usage struct {
 	destination int
 	lastUsed    time.Duration
 }
 
-// NewWorkingSet returns an empty one, whose destinations may be put to rest when they were not used for rest.
-func NewWorkingSet(rest time.Duration) *WorkingSet {
+// NewWorkingSet returns an empty set, whose destinations may be evicted once they were not used for idleTimeout.
+func NewWorkingSet(idleTimeout time.Duration) *WorkingSet {
 	return &WorkingSet{
-		idleTimeout:   rest,
+		idleTimeout:   idleTimeout,
 		byDestination: map[int]*list.Element{},
 		recentlyAdded: map[int]time.Duration{},
-		allAddedAt:    math.MinInt64 / 2,
+		allAddedAt:    math.MinInt64 / 2, // long ago, and far enough from overflow
 	}
 }
 
-// Contains tells whether a destination is awake.
+// Contains reports whether a destination is active.
 func (w *WorkingSet) Contains(dest int) bool { return w.byDestination[dest] != nil }
 
-// Len is how many are awake.
+// Len returns the number of active destinations.
 func (w *WorkingSet) Len() int { return len(w.byDestination) }
 
-// Activate uses a destination at now. It tells whether it was at rest: then the module must be told of its endpoints
+// Activate uses a destination at now. It reports whether it was not active: then the module must get its endpoints
 // first.
 func (w *WorkingSet) Activate(dest int, now time.Duration) bool {
 	if w.Contains(dest) {
 		w.Touch(dest, now)
 		return false
 	}
-	w.byDestination[dest] = w.byLastUse.PushBack(&usage{dest, now})
+	w.byDestination[dest] = w.byLastUse.PushBack(&usage{destination: dest, lastUsed: now})
 	return true
 }
 
-// EndpointAdded notes that an endpoint of a destination was added to the list at now. Beyond MaxEagerEndpoints of late
-// all destinations count as added.
+// EndpointAdded notes that an endpoint of a destination was added to the list at now. If there are more than
+// MaxEagerEndpoints such destinations lately, every destination counts as added.
 func (w *WorkingSet) EndpointAdded(dest int, now time.Duration) {
-	if w.recentlyAdded[dest] = now; len(w.recentlyAdded) <= MaxEagerEndpoints {
+	w.recentlyAdded[dest] = now
+	if len(w.recentlyAdded) <= MaxEagerEndpoints {
 		return
 	}
-	for d, at := range w.recentlyAdded {
-		if now >= at+policy.MaxInitialSpread {
+	for d, addedAt := range w.recentlyAdded {
+		if now >= addedAt+policy.MaxInitialSpread {
 			delete(w.recentlyAdded, d)
 		}
 	}
@@ -66,38 +70,44 @@
 	}
 }
 
-// Settled tells whether a destination has been listed for as long as first calls to what is new spread: one that wakes
-// then stands as if its module had always known it.
+// Settled reports whether a destination has been listed for at least policy.MaxInitialSpread, over which first calls to
+// new endpoints are spread. Activated then, it is as if its module had always known it.
 func (w *WorkingSet) Settled(dest int, now time.Duration) bool {
-	at, young := w.recentlyAdded[dest]
-	return now >= w.allAddedAt+policy.MaxInitialSpread && (!young || now >= at+policy.MaxInitialSpread)
+	if now < w.allAddedAt+policy.MaxInitialSpread {
+		return false
+	}
+	addedAt, recent := w.recentlyAdded[dest]
+	return !recent || now >= addedAt+policy.MaxInitialSpread
 }
 
-// Touch has a destination count as used at now, which must not go back. One at rest stays so.
+// Touch has an active destination count as used at now, which must not go back. Another one stays inactive.
 func (w *WorkingSet) Touch(dest int, now time.Duration) {
-	if e := w.byDestination[dest]; e != nil {
-		e.Value.(*usage).lastUsed = now
-		w.byLastUse.MoveToBack(e)
+	if element := w.byDestination[dest]; element != nil {
+		usageOf(element).lastUsed = now
+		w.byLastUse.MoveToBack(element)
 	}
 }
 
-// EvictIdle puts to rest, of the destinations that were not used for long enough, those of which resting says that it
-// may be: they are returned, the one that was not used for longest first. So many are looked at; one that stays awake
-// is looked at again as if it had been used now.
-func (w *WorkingSet) EvictIdle(now time.Duration, most int, resting func(dest int) bool) (rested []int) {
-	for ; most > 0 && w.byLastUse.Len() > 0; most-- {
-		e := w.byLastUse.Front()
-		u := e.Value.(*usage)
+// EvictIdle evicts destinations that were idle for the timeout and that evictable allows, and returns them, the least
+// recently used first. It looks at most at maxChecked of them. One that stays is looked at again as if it had been used
+// now.
+func (w *WorkingSet) EvictIdle(now time.Duration, maxChecked int, evictable func(dest int) bool) (evicted []int) {
+	for ; maxChecked > 0 && w.byLastUse.Len() > 0; maxChecked-- {
+		element := w.byLastUse.Front()
+		u := usageOf(element)
 		if now < u.lastUsed+w.idleTimeout {
 			break
 		}
-		if !resting(u.destination) {
+		if !evictable(u.destination) {
 			w.Touch(u.destination, now)
 			continue
 		}
-		w.byLastUse.Remove(e)
+		w.byLastUse.Remove(element)
 		delete(w.byDestination, u.destination)
-		rested = append(rested, u.destination)
+		evicted = append(evicted, u.destination)
 	}
-	return rested
+	return evicted
 }
+
+// usageOf returns what an element of WorkingSet.byLastUse holds.
+func usageOf(element *list.Element) *usage { return element.Value.(*usage) }
