--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -6,12 +6,13 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // unavailableReply asks the client to try again soon.
-var unavailableReply = Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
+var unavailableReply = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // accept puts new messages into the journal and returns the submissions that are answered once this step is decided.
 // All others have their answers.
@@ -20,7 +21,7 @@
 	now := time.Now()
 	for _, s := range submissions {
 		if !r.resolveClass(s.message) {
-			s.reply <- BadRequest("unknown class %q", s.message.ClassName)
+			s.reply <- ingress.BadRequest("unknown class %q", s.message.ClassName)
 			continue
 		}
 		known := r.messagesByTrace[s.message.TraceID]
@@ -70,28 +71,28 @@
 
 // replyToDuplicate is the answer to a message whose id is in use, by known, or was until recently. A cancelled message
 // may be submitted once more, unless its call is still in flight and no second one may be.
-func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply Response, duplicate bool) {
+func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply ingress.Response, duplicate bool) {
 	if known == nil {
 		return r.finished.reply(m.TraceID, now)
 	}
 	if known.Cancelled && (known.inFlight == 0 || r.cfg.AllowHedging) {
-		return Response{}, false
+		return ingress.Response{}, false
 	}
 	return r.duplicateReply(known), true
 }
 
 // admit tells whether there is a destination and capacity for a new message; if not, reply rejects it.
-func (r *Relay) admit(m *journal.Message) (reply Response, admitted bool) {
+func (r *Relay) admit(m *journal.Message) (reply ingress.Response, admitted bool) {
 	if r.listReceived && !r.catalog.HasDestination(m.Destination) {
 		r.countResult(m, metrics.Failed)
-		return BadRequest("no such destination: %d", m.Destination), false
+		return ingress.BadRequest("no such destination: %d", m.Destination), false
 	}
 	limit := r.activeConfig.Settings.MaxPendingMessages
 	if limit > 0 && r.pending >= limit {
 		r.countResult(m, metrics.Rejected)
 		return unavailableReply, false
 	}
-	return Response{}, true
+	return ingress.Response{}, true
 }
 
 // register adds a new message to the relay's state. One that was cancelled before, and may have run then, goes on from
@@ -134,21 +135,21 @@
 
 // duplicateReply is the answer to a message under the id of one that is known: the final answer that this one has, if
 // any.
-func (r *Relay) duplicateReply(m *message) Response {
+func (r *Relay) duplicateReply(m *message) ingress.Response {
 	switch {
 	case m.Cancelled: // its call is still in flight, and no second one may be
-		return Response{Status: http.StatusInternalServerError}
+		return ingress.Response{Status: http.StatusInternalServerError}
 	case m.Final == nil: // pending, or delivered
 		m.hasDuplicates = true
-		return Response{Status: http.StatusAccepted}
+		return ingress.Response{Status: http.StatusAccepted}
 	}
 	return finalAnswer(*m.Final)
 }
 
 // finalAnswer is the answer to the client of a message that is not delivered.
-func finalAnswer(f journal.FinalAnswer) Response {
+func finalAnswer(f journal.FinalAnswer) ingress.Response {
 	if f.Retryable {
-		return Response{Status: http.StatusServiceUnavailable, RetryAfter: f.RetryAfter}
+		return ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: f.RetryAfter}
 	}
-	return Response{Status: http.StatusInternalServerError}
+	return ingress.Response{Status: http.StatusInternalServerError}
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -8,6 +8,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
@@ -31,9 +32,9 @@
 
 // execute does what the module has decided: first in the log, in one write, then on the sockets.
 func (r *Relay) execute(acts []policy.Action, waiting []*submitEvent) {
-	answers := make(map[uint32]Response, len(waiting))
+	answers := make(map[uint32]ingress.Response, len(waiting))
 	for _, in := range waiting {
-		answers[in.acceptedAs.ID] = Response{Status: http.StatusAccepted}
+		answers[in.acceptedAs.ID] = ingress.Response{Status: http.StatusAccepted}
 	}
 	var calls []*call
 	var ended []*message
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"io"
 	"net"
@@ -11,9 +10,8 @@
 	"testing"
 	"time"
 
-	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
-	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -135,75 +133,6 @@
 	}
 }
 
-// Silent connections, and those that are kept for nothing, make way for clients that have something to say.
-func TestSilentAndIdleConnectionsMakeWay(t *testing.T) {
-	const most = 4
-	r := newTestRelay(t)
-	r.ingress.maxConns = most
-	addr := door(t, r)
-	held := func() int { r.ingress.mu.Lock(); defer r.ingress.mu.Unlock(); return len(r.ingress.conns) }
-	kept := bufio.NewReader(dial(t, addr, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
-	read(t, kept)
-	for range 3 * most {
-		dial(t, addr, "")
-	}
-	for i := range 2 * most {
-		if res := post(t, r, addr, fmt.Sprint("m", i)); res.StatusCode != http.StatusAccepted {
-			t.Errorf("%d: status %d", i, res.StatusCode)
-		}
-	}
-	closed(t, "the one that was idle longest", kept)
-	if n := held(); n > most {
-		t.Errorf("%d connections held", n)
-	}
-}
-
-// Where many connections are held, an answer ends its own, and says so: clients that ask once and stay would else hold
-// all that they all may have.
-func TestACrowdIsNotKept(t *testing.T) {
-	r := newTestRelay(t)
-	r.ingress.maxKeptConns = 1
-	addr := door(t, r)
-	const health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
-	conn := dial(t, addr, health)
-	alone := bufio.NewReader(conn)
-	if res := read(t, alone); res.Close {
-		t.Error("not kept, though it is alone")
-	}
-	second := bufio.NewReader(dial(t, addr, health))
-	if res := read(t, second); !res.Close {
-		t.Error("kept in a crowd")
-	}
-	closed(t, "the second", second)
-	nettest.Eventually(
-		t,
-		"room again",
-		func() bool { r.ingress.mu.Lock(); defer r.ingress.mu.Unlock(); return len(r.ingress.conns) == 1 },
-	)
-	io.WriteString(conn, health)
-	if res := read(t, alone); res.Close {
-		t.Error("not kept, though it is alone again")
-	}
-}
-
-// Where all connections are being answered, a newcomer waits for the first that is done.
-func TestNoAnswerIsCutOffToMakeRoom(t *testing.T) {
-	r := newTestRelay(t)
-	r.ingress.maxConns = 1
-	addr := door(t, r)
-	first := bufio.NewReader(dial(t, addr, handInText("m1")))
-	e := <-r.events
-	second := bufio.NewReader(dial(t, addr, handInText("m2")))
-	r.step([]event{e})
-	if res := read(t, first); res.StatusCode != http.StatusAccepted {
-		t.Errorf("status %d", res.StatusCode)
-	}
-	settle(t, r, "the second is taken on", func() bool { return r.messagesByTrace["m2"] != nil })
-	if res := read(t, second); res.StatusCode != http.StatusAccepted {
-		t.Errorf("status %d", res.StatusCode)
-	}
-}
-
 // A connection on which nothing comes is closed within the 3 s that such a client is owed.
 func TestASilentConnectionIsClosedInTime(t *testing.T) {
 	began := time.Now()
@@ -214,7 +143,7 @@
 }
 
 // decide has the loop take all of these hand-ins in one step.
-func decide(r *Relay, ins ...*submitEvent) (answers []Response) {
+func decide(r *Relay, ins ...*submitEvent) (answers []ingress.Response) {
 	batch := make([]event, len(ins))
 	for i, in := range ins {
 		batch[i] = in
@@ -228,7 +157,7 @@
 
 func newHandIn(id string, dest int, left time.Duration) *submitEvent {
 	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
-	return &submitEvent{message: m, reply: make(chan Response, 1)}
+	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 }
 
 // A second copy of what is refused in the same step is not told that it is taken on.
@@ -332,32 +261,3 @@
 		t.Errorf("%d calls", r.callsInFlight)
 	}
 }
-
-func FuzzHeads(f *testing.F) {
-	f.Add([]byte(handInText("a")))
-	f.Add([]byte("POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, data []byte) {
-		c := netconn.New(struct{ net.Conn }{})
-		c.Conn = readConn{r: bytes.NewReader(data)}
-		c.AllowBytes(netconn.MaxHeaderSize)
-		c.StartCapture()
-		req, err := http.ReadRequest(c.Reader)
-		if err == nil && len(req.TransferEncoding) > 0 &&
-			bytes.Contains(bytes.ToLower(c.Captured()), []byte("\ncontent-length:")) {
-			// The head alone counts, so what stands behind it may still hold that text.
-			head, _, _ := bytes.Cut(c.Captured(), []byte("\r\n\r\n"))
-			if bytes.Contains(bytes.ToLower(head), []byte("\r\ncontent-length:")) && !hasConflictingLengths(req, c.Captured()) {
-				t.Errorf("%q passes", data)
-			}
-		}
-	})
-}
-
-type readConn struct {
-	net.Conn
-	r io.Reader
-}
-
-func (readConn) SetReadDeadline(time.Time) error { return nil }
-
-func (c readConn) Read(b []byte) (int, error) { return c.r.Read(b) }
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -14,18 +14,18 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
-		"netconn.MaxBodySize", "relay.requestTimeout", "relay.lateRequestTimeout", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
+		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
 		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
 		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"netconn.MaxWireSize", "relay.maxIDSize", "relay.idleTimeout", "relay.writeTimeout", "relay.lingerTimeout", "relay.maxLingerSize", "netconn.MaxHeaderSize",
+		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout", "ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize",
 		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter", "relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval",
 		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
-		"relay.besideJournal", "relay.reservedDescriptors", "relay.minEndpointConns", "relay.lockFor", "relay.lockPause", "relay.silentGrace", "relay.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
+		"relay.besideJournal", "relay.reservedDescriptors", "relay.minEndpointConns", "relay.lockFor", "relay.lockPause", "ingress.newConnGrace", "ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
@@ -80,7 +80,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "egress", "netconn", "ratelog", "../../policy"} {
+	for _, dir := range []string{".", "discovery/backoff", "egress", "ingress", "netconn", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/edges.go
+++ b/internal/relay/edges.go
@@ -1,6 +1,9 @@
 package relay
 
-import "cherrytrestle.example/cherrytrestle/internal/relay/egress"
+import (
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+)
 
 const (
 	// reservedDescriptors are those of the share for endpoints that the journal's files and the second address may need.
@@ -20,3 +23,13 @@
 		Log:            r.log,
 	}
 }
+
+// ingressConfig returns the configuration of the clients' side. Clients hold a third of the descriptors with their
+// requests; what it may use beyond that is for those that are slow to leave.
+func (r *Relay) ingressConfig() ingress.Config {
+	return ingress.Config{
+		MaxConns: r.cfg.Limits.Sockets * 9 / 20,
+		Handler:  r.handleRequest,
+		Log:      r.log,
+	}
+}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -17,8 +18,8 @@
 // submitEvent is a message that a client submits.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message      // set by the loop: the message that it became, or that it duplicates
-	reply      chan Response // buffered: the loop never waits for the client
+	acceptedAs *message              // set by the loop: the message that it became, or that it duplicates
+	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
 // cancelEvent tells that the client left before it had the answer to its message.
--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 )
 
 // maxFinishedMessages bounds how many finished messages are remembered: at a thousand a second, those of four seconds.
@@ -20,7 +21,7 @@
 
 // finishedReply is the answer to a client that submits a finished message once more, and until when it holds.
 type finishedReply struct {
-	answer Response
+	answer ingress.Response
 	until  time.Time
 }
 
@@ -63,12 +64,12 @@
 // restore adds what the process before this one exported.
 func (r *finishedMessages) restore(messages []hotrestart.FinishedMessage) {
 	for _, e := range messages {
-		r.put(e.TraceID, finishedReply{Response{Status: e.Status}, e.Until})
+		r.put(e.TraceID, finishedReply{ingress.Response{Status: e.Status}, e.Until})
 	}
 }
 
 // reply is the answer to a submission under the id of a finished message; false if none is remembered.
-func (r *finishedMessages) reply(trace string, now time.Time) (reply Response, known bool) {
+func (r *finishedMessages) reply(trace string, now time.Time) (reply ingress.Response, known bool) {
 	e, found := r.replies[trace]
 	return e.answer, found && now.Before(e.until)
 }
--- a/internal/relay/netconn/netconn.go
+++ b/internal/relay/netconn/netconn.go
@@ -1,3 +1,6 @@
+// Package netconn has the connection that both sides of the relay read HTTP messages from, the one to clients and the
+// one to endpoints. It bounds what a peer can have read of it, shows what came beyond a message, and notices a peer that
+// speaks or leaves out of turn.
 package netconn
 
 import (
@@ -14,37 +17,40 @@
 	MaxBodySize = 64 << 10
 	// MaxWireSize bounds a body on the wire: one in chunks, however small they are.
 	MaxWireSize = 8 * MaxBodySize
-
-	MaxHeaderSize  = 16 << 10 // bytes of a request's or an answer's head
-	readBufferSize = 4 << 10  // bytes read ahead
+	// MaxHeaderSize bounds the header of a request or a response.
+	MaxHeaderSize = 16 << 10
+	// readBufferSize is how many bytes are read ahead.
+	readBufferSize = 4 << 10
 )
 
-var (
-	ErrReadBudget = errors.New("more bytes than are allowed here")
-	Past          = time.Unix(1, 0)
-)
+// ErrReadBudget reports that the peer sent more than AllowBytes let it.
+var ErrReadBudget = errors.New("more bytes than are allowed here")
 
-// Conn is a connection that messages of HTTP are read from. It bounds what a peer can have read of it, shows what
-// came beyond a message, and notices a peer that speaks or leaves out of turn.
+// Past is a deadline that has passed: with it, what reads or writes a connection ends at once.
+var Past = time.Unix(1, 0)
+
+// Conn is a connection from which messages are read by Reader. One goroutine uses it at a time, apart from Pending and
+// the deadlines.
 type Conn struct {
 	net.Conn
-	Reader     *bufio.Reader
-	readBudget int // bytes that may still come
+	Reader     *bufio.Reader // reads through Read, and so within the budget
+	readBudget int           // bytes that may still come
 	capturing  bool
-	captured   []byte     // what came since keepFrom
-	watchDone  chan error // buffered, so that a watch ends also if nobody asks
+	captured   []byte     // what came since StartCapture
+	watchDone  chan error // how the watch's read ended; buffered, so that a watch ends also if nobody asks
 }
 
-func New(c net.Conn) *Conn {
-	x := &Conn{Conn: c}
-	x.Reader = bufio.NewReaderSize(x, readBufferSize)
-	return x
+// New returns a Conn on a connection. AllowBytes must be called before the first read.
+func New(conn net.Conn) *Conn {
+	c := &Conn{Conn: conn}
+	c.Reader = bufio.NewReaderSize(c, readBufferSize)
+	return c
 }
 
-// AllowBytes lets n more bytes come. Guards against heads and bodies without end.
+// AllowBytes lets n more bytes come. It guards against headers and bodies without end.
 func (c *Conn) AllowBytes(n int) { c.readBudget = n }
 
-// Read is for the buffered reader.
+// Read reads within the budget. It is there for Reader; others read from that one.
 func (c *Conn) Read(b []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, ErrReadBudget
@@ -57,85 +63,105 @@
 	return n, err
 }
 
-// StartCapture has all that comes from here on kept as it is on the wire, in kept, until StopCapture.
+// ExpireReadsAt sets the deadline of reads. It can fail only on a closed connection, which the next read reports.
+func (c *Conn) ExpireReadsAt(deadline time.Time) { _ = c.SetReadDeadline(deadline) }
+
+// ExpireWritesAt sets the deadline of writes. It can fail only on a closed connection, which the next write reports.
+func (c *Conn) ExpireWritesAt(deadline time.Time) { _ = c.SetWriteDeadline(deadline) }
+
+// ExpireAt sets the deadline of reads and writes. It can fail only on a closed connection, which the next one reports.
+func (c *Conn) ExpireAt(deadline time.Time) { _ = c.SetDeadline(deadline) }
+
+// Discard closes a connection that is of no further use, so that an error changes nothing.
+func (c *Conn) Discard() { _ = c.Close() }
+
+// StartCapture has all that is read ahead or comes from here on kept as it is on the wire, until StopCapture.
 func (c *Conn) StartCapture() {
-	ahead, _ := c.Reader.Peek(c.Reader.Buffered()) // cannot fail: it is there
-	c.capturing, c.captured = true, append(c.captured[:0], ahead...)
+	buffered, _ := c.Reader.Peek(c.Reader.Buffered()) // cannot fail: it is there
+	c.capturing = true
+	c.captured = append(c.captured[:0], buffered...)
 }
 
-// Captured is what came since StartCapture. It is overwritten by the next one.
+// Captured returns what was kept since StartCapture. The next StartCapture overwrites it.
 func (c *Conn) Captured() []byte { return c.captured }
 
-// StopCapture ends what StartCapture began.
+// StopCapture ends what StartCapture began. A large buffer is not kept for the next capture.
 func (c *Conn) StopCapture() {
-	if c.capturing = false; cap(c.captured) > readBufferSize {
+	c.capturing = false
+	if cap(c.captured) > readBufferSize {
 		c.captured = nil
 	}
 }
 
-// Watch looks out for a peer that speaks or leaves while nothing is due from it, and tells noticed, if not nil.
-func (c *Conn) Watch(noticed func()) {
+// Watch looks out for a peer that speaks or leaves while nothing is due from it. It calls onEvent, if that is not nil,
+// when the peer does. Unwatch must follow before the next read.
+func (c *Conn) Watch(onEvent func()) {
 	c.AllowBytes(readBufferSize)
-	watched := make(chan error, 1)
-	c.watchDone = watched
+	done := make(chan error, 1)
+	c.watchDone = done
 	go func() {
 		_, err := c.Reader.Peek(1)
-		watched <- err
-		if noticed != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			noticed()
+		done <- err
+		if onEvent != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			onEvent()
 		}
 	}()
 }
 
 // Unwatch ends a watch. open is false if the peer has left, quiet is false if it left or spoke.
 func (c *Conn) Unwatch() (open, quiet bool) {
-	c.SetReadDeadline(Past)
+	c.ExpireReadsAt(Past)
 	err := <-c.watchDone
-	c.SetReadDeadline(time.Time{})
+	c.ExpireReadsAt(time.Time{})
 	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || c.Reader.Buffered() > 0 {
 		return err == nil, false
 	}
 	// A deadline that has passed hides what came just before it.
-	found := c.Pending()
-	return found != PendingEnd, found == PendingNone
+	pending := c.Pending()
+	return pending != PendingEnd, pending == PendingNone
 }
 
 // PendingInput is what the system holds of a connection that nobody has read.
 type PendingInput int
 
+// What the system may hold.
 const (
-	PendingNone  PendingInput = iota
-	PendingBytes              // the peer spoke
-	PendingEnd                // it has left, or nothing more can be read
+	PendingNone  PendingInput = iota // nothing came
+	PendingBytes                     // the peer spoke
+	PendingEnd                       // the peer has left, or nothing more can be read
 )
 
-// Pending looks at what has come and was not read, without waiting for more.
+// Pending returns what has come and was not read, without waiting for more. A read may be under way meanwhile.
 func (c *Conn) Pending() PendingInput {
-	sc, ok := c.Conn.(syscall.Conn)
+	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return PendingNone // no socket: nothing stands between the peer and a read
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return PendingEnd
 	}
-	found := PendingEnd
-	// Not by its Read, which waits for a reader that is at it.
-	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, err := 0, error(syscall.EINTR)
-		for err == syscall.EINTR {
-			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		}
-		switch {
-		case err == syscall.EAGAIN:
-			found = PendingNone
-		case err == nil && n > 0:
-			found = PendingBytes
-		}
-	})
+	pending := PendingEnd
+	// Not by RawConn.Read, which waits for a reader that is at it.
+	err = raw.Control(func(fd uintptr) { pending = peekSocket(int(fd)) })
 	if err != nil {
 		return PendingEnd
 	}
-	return found
+	return pending
+}
+
+// peekSocket looks at a socket's first unread byte.
+func peekSocket(fd int) PendingInput {
+	var buffer [1]byte
+	n, err := 0, error(syscall.EINTR)
+	for errors.Is(err, syscall.EINTR) {
+		n, _, err = syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	}
+	switch {
+	case errors.Is(err, syscall.EAGAIN):
+		return PendingNone
+	case err == nil && n > 0:
+		return PendingBytes
+	}
+	return PendingEnd
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,6 +22,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -33,11 +34,11 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *IngressServer // serves clients
-	egress  *egress.Client // calls endpoints
-	agent   *Client        // service discovery's
-	finals  *Sender        // final notifications
-	fleet   *fleet.Member  // nil: this relay shares nothing with others
+	ingress *ingress.Server // serves clients
+	egress  *egress.Client  // calls endpoints
+	agent   *Client         // service discovery's
+	finals  *Sender         // final notifications
+	fleet   *fleet.Member   // nil: this relay shares nothing with others
 	metrics metrics.Registry
 
 	events   chan event
@@ -87,7 +88,7 @@
 		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
@@ -190,7 +191,7 @@
 	accepting := make(chan struct{})
 	go func() {
 		defer close(accepting)
-		_ = r.ingress.Serve(listener) // returns only once the listener is closed
+		r.ingress.Serve(listener)
 	}()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -65,7 +66,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.log, r.ingress.log = log, log
+			r.log = log
+			r.ingress = ingress.New(r.ingressConfig())
 			r.egress = egress.New(r.egressConfig())
 			mu.Lock()
 			text.Reset()
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -15,6 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
@@ -336,7 +337,7 @@
 			r.post(cancelEvent{f.Cancel})
 		case f.Submission != nil && f.Submission.Message != nil:
 			m := f.Submission.Message
-			in := &submitEvent{message: m, reply: make(chan Response, 1)}
+			in := &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 			if !r.post(in) {
 				return
 			}
@@ -631,7 +632,7 @@
 
 // unserved is what a client hears where the other process does not answer: it has been told nothing, and may come
 // again.
-var unserved = Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
+var unserved = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // submitEvent passes a message on. There are no more of them than connections of clients.
 func (f *forwards) handIn(to *hotrestart.Conn, in *submitEvent) {
@@ -660,7 +661,7 @@
 	f.mu.Unlock()
 	if in != nil {
 		in.message.ID = a.ID
-		in.reply <- Response{Status: a.Status, RetryAfter: a.RetryAfter, Text: a.Text}
+		in.reply <- ingress.Response{Status: a.Status, RetryAfter: a.RetryAfter, Text: a.Text}
 	}
 }
 
@@ -670,7 +671,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, in := range f.open {
-		in.reply <- Response{Status: http.StatusInternalServerError}
+		in.reply <- ingress.Response{Status: http.StatusInternalServerError}
 	}
 	clear(f.open)
 }
--- a/internal/testkit/nettest/nettest.go
+++ b/internal/testkit/nettest/nettest.go
@@ -100,15 +100,64 @@
 	}
 }
 
+// Dial opens a connection that closes with the test, and writes text on it.
+func Dial(t *testing.T, addr, text string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(Patience)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// ReadResponse reads a response with its body, which it throws away.
+func ReadResponse(t *testing.T, reader *bufio.Reader) *http.Response {
+	t.Helper()
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		t.Fatalf("no response: %v", err)
+	}
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		t.Fatalf("response: %v", err)
+	}
+	return response
+}
+
+// ExpectEnd reads a connection to its end, and fails the test if anything came before that, or the connection was reset.
+func ExpectEnd(t *testing.T, what string, reader *bufio.Reader) {
+	t.Helper()
+	if rest, err := io.ReadAll(reader); err != nil || len(rest) > 0 {
+		t.Errorf("%s: %d more bytes, then %v", what, len(rest), err)
+	}
+}
+
 // ObservedConn is a TCP connection that counts the reads that ended with an error. Tests wrap the connections of the
 // code under test in it, to see when that code has noticed the peer's end or a deadline.
 type ObservedConn struct {
 	*net.TCPConn
 	failedReads atomic.Int32
+
+	// Of a connection whose reads are held after the first one:
+	reads    atomic.Int32
+	held     chan struct{} // closed when a read waits
+	released chan struct{} // closed when reads may go on
 }
 
 // Read reads from the connection.
 func (c *ObservedConn) Read(b []byte) (int, error) {
+	if c.held != nil && c.reads.Add(1) > 1 {
+		if c.reads.Load() == 2 {
+			close(c.held)
+		}
+		<-c.released
+	}
 	n, err := c.TCPConn.Read(b)
 	if err != nil {
 		c.failedReads.Add(1)
@@ -119,10 +168,24 @@
 // FailedReads returns how many reads ended with an error so far.
 func (c *ObservedConn) FailedReads() int { return int(c.failedReads.Load()) }
 
+// AwaitHeld waits until the connection's second read is held: see ListenHolding.
+func (c *ObservedConn) AwaitHeld(t *testing.T) {
+	t.Helper()
+	select {
+	case <-c.held:
+	case <-time.After(Patience):
+		t.Fatal("no second read began")
+	}
+}
+
+// ReleaseReads lets held reads go on. It may be called once.
+func (c *ObservedConn) ReleaseReads() { close(c.released) }
+
 // Listener accepts TCP connections as ObservedConn.
 type Listener struct {
 	net.Listener
 	accepted chan *ObservedConn
+	holding  bool
 }
 
 // maxAccepted is how many connections a Listener accepts at most.
@@ -139,6 +202,15 @@
 	return &Listener{Listener: listener, accepted: make(chan *ObservedConn, maxAccepted)}
 }
 
+// ListenHolding is like Listen. Of each connection all reads but the first are held until ReleaseReads, so that what the
+// peer sends meanwhile is in the system's hands and not read.
+func ListenHolding(t *testing.T) *Listener {
+	t.Helper()
+	listener := Listen(t)
+	listener.holding = true
+	return listener
+}
+
 // Accept waits for the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
@@ -146,6 +218,10 @@
 		return nil, err
 	}
 	observed := &ObservedConn{TCPConn: conn.(*net.TCPConn)}
+	if l.holding {
+		observed.held = make(chan struct{})
+		observed.released = make(chan struct{})
+	}
 	l.accepted <- observed
 	return observed, nil
 }
