--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -71,7 +71,11 @@
 
 // replyToDuplicate is the answer to a message whose id is in use, by known, or was until recently. A cancelled message
 // may be submitted once more, unless its call is still in flight and no second one may be.
-func (r *Relay) replyToDuplicate(m *journal.Message, known *message, now time.Time) (reply ingress.Response, duplicate bool) {
+func (r *Relay) replyToDuplicate(
+	m *journal.Message,
+	known *message,
+	now time.Time,
+) (reply ingress.Response, duplicate bool) {
 	if known == nil {
 		return r.finished.reply(m.TraceID, now)
 	}
--- /dev/null
+++ b/internal/relay/execute.go
@@ -0,0 +1,114 @@
+package relay
+
+import (
+	"net/http"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// execution is what the actions of one step amount to.
+type execution struct {
+	responses map[uint32]ingress.Response // to those who submitted messages in this step, by message
+	calls     []*call
+	failed    []*message // messages of earlier steps that have a final answer now
+}
+
+// execute carries out the policy's actions: first in the journal, in one write, then on the sockets.
+func (r *Relay) execute(actions []policy.Action, waiting []*submitEvent) {
+	x := execution{responses: make(map[uint32]ingress.Response, len(waiting))}
+	for _, s := range waiting {
+		x.responses[s.acceptedAs.ID] = ingress.Response{Status: http.StatusAccepted}
+	}
+	for i := range actions {
+		r.prepare(&x, &actions[i])
+	}
+	if err := r.recordSends(x.calls); err != nil {
+		r.sendsUnrecorded.Log(r.log, "calls", len(x.calls), "err", err)
+		// A send that is not in the journal must not leave: after a restart it would be made again.
+		r.returnCalls(x.calls)
+		x.calls = nil
+	}
+	for _, s := range waiting {
+		s.reply <- x.responses[s.acceptedAs.ID]
+	}
+	for _, m := range x.failed {
+		r.queueNotification(m)
+	}
+	for _, c := range x.calls {
+		r.startCall(c)
+	}
+}
+
+// prepare notes an action in the state and the journal, and adds to x what is left to do once the journal is written.
+func (r *Relay) prepare(x *execution, a *policy.Action) {
+	switch a.Kind {
+	case policy.Send:
+		r.prepareSend(x, a)
+	case policy.Reject, policy.Fail:
+		r.prepareFinalAnswer(x, a)
+	case policy.SetTimer:
+		r.timerAt = time.Now().Add(a.Delay) // the policy counts on one timer, the last that it set
+	case policy.CloseIdle:
+		r.egress.CloseIdle(a.Endpoint)
+	}
+}
+
+// prepareSend adds an attempt to the calls.
+func (r *Relay) prepareSend(x *execution, a *policy.Action) {
+	m := r.messages[a.MessageID]
+	if m == nil {
+		// A bug, but one call slot less is better than no relay.
+		r.log.Error("send of an unknown message", "message_id", a.MessageID)
+		return
+	}
+	x.calls = r.addToCalls(x.calls, m, a)
+}
+
+// prepareFinalAnswer ends a message that is rejected or has failed. The client of a message of this step has that as
+// its answer; one of an earlier step gets a notification.
+func (r *Relay) prepareFinalAnswer(x *execution, a *policy.Action) {
+	m := r.messages[a.MessageID]
+	if m == nil || m.completed {
+		return
+	}
+	r.markCompleted(m)
+	final := journal.FinalAnswer{Retryable: a.Kind == policy.Reject, RetryAfter: a.Delay}
+	r.countResult(m.Message, finalResult(final))
+	if _, waiting := x.responses[a.MessageID]; waiting {
+		x.responses[a.MessageID] = finalAnswer(final)
+		r.release(m)
+		return
+	}
+	r.journal.RecordFinal(m.Message, final)
+	x.failed = append(x.failed, m)
+}
+
+// recordSends writes the sends of calls, and all else that was recorded in this step, to the journal.
+func (r *Relay) recordSends(calls []*call) error {
+	var sends []journal.Send
+	for _, c := range calls {
+		for _, a := range c.attempts {
+			sent := journal.Attempt{Number: a.number, Endpoint: c.EndpointID, Zone: c.zone, SentAt: c.SentAt}
+			sends = append(sends, journal.Send{Message: a.message.Message, Attempt: sent})
+		}
+	}
+	if len(sends) == 0 {
+		return r.journal.Flush()
+	}
+	return r.journal.RecordSends(sends...)
+}
+
+// returnCalls ends calls whose sends could not be recorded, as if they had never connected.
+func (r *Relay) returnCalls(calls []*call) {
+	for _, c := range calls {
+		for _, a := range c.attempts {
+			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, egress.Result{Outcome: policy.ConnectFailed})
+		}
+	}
+	// The policy learns of it in a step of its own, soon. That is not the step of its timer, which must not be lost.
+	time.AfterFunc(r.cfg.Tick, func() { r.post(tick{}) })
+}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -401,7 +401,7 @@
 				Body:           make([]byte, size),
 			},
 		}
-		calls = r.addToCalls(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
+		calls = r.addToCalls(calls, m, &policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -45,7 +45,7 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if calls := r.addToCalls(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
+	if calls := r.addToCalls(nil, m, &policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
 		calls,
 	) != 0 {
 		t.Error("sent without its body")
