--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -57,9 +58,7 @@
 			}
 			decide(r, ins...)
 			settle(t, r, "the short one is given up on", func() bool {
-				r.finals.mu.Lock()
-				defer r.finals.mu.Unlock()
-				return slices.ContainsFunc(r.finals.queue, func(n Notice) bool { return n.TraceID == "short" })
+				return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
 			})
 			close(given)
 			settle(
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -8,13 +8,14 @@
 	"fmt"
 	"io"
 	"os"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
+	"cherrytrestle.example/cherrytrestle/internal/relay/jsonstream"
 	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
@@ -27,6 +28,9 @@
 // readBufferSize is how much of a file is read at once, in bytes.
 const readBufferSize = 64 << 10
 
+// errTrailing is the error for a file with more than one object in it.
+var errTrailing = errors.New("more behind the end")
+
 // Config is all that a relay is told at its start.
 type Config struct {
 	Name          string
@@ -37,7 +41,7 @@
 	StateDir      string // the folder that outlasts the process
 	Seed          uint64
 	Limits        Limits
-	Known         List             // hosts as this relay last had them; may be old or empty
+	Known         discovery.List   // hosts as this relay last had them; may be old or empty
 	KnownCatalog  *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
 	KnownErr      error            // why Known could not be read; it is empty then, and discovery is asked
 	// what stands in the settings and may change while the relay runs; Customers empty: the site has none
@@ -54,9 +58,9 @@
 	LoadReportFields []string      // fields of the hosts' load reports; empty: none are sent
 
 	Operator        operatorfile.File
-	Version         string // of the program
-	unreadable      int    // entries of Long
-	firstUnreadable Entry  // the first of them
+	Version         string          // of the program
+	unreadable      int             // entries of Long
+	firstUnreadable discovery.Entry // the first of them
 
 	// WrapJournalFS is what stands between the journal and the files of its folder; nil: nothing.
 	WrapJournalFS func(store.FS) store.FS
@@ -153,7 +157,7 @@
 	for dec.More() {
 		t, err := dec.Token()
 		if err != nil {
-			return nil, 0, unexpectedEOF(err)
+			return nil, 0, jsonstream.NoEOF(err)
 		}
 		key, _ := t.(string)
 		var value json.RawMessage
@@ -161,7 +165,7 @@
 			err = dec.Decode(&value)
 		} else {
 			at, first := dec.InputOffset(), json.Token(nil)
-			if first, err = SkipValue(dec, func() {}); err == nil && first == nil {
+			if first, err = jsonstream.SkipValue(dec, func() {}); err == nil && first == nil {
 				known = -1
 				delete(values, key)
 				continue
@@ -169,12 +173,12 @@
 			known, value = at, json.RawMessage("true")
 		}
 		if err != nil {
-			return nil, 0, unexpectedEOF(err)
+			return nil, 0, jsonstream.NoEOF(err)
 		}
 		values[key] = value
 	}
 	if _, err := dec.Token(); err != nil {
-		return nil, 0, unexpectedEOF(err)
+		return nil, 0, jsonstream.NoEOF(err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return nil, 0, errTrailing
@@ -189,14 +193,14 @@
 	if _, err := from.ReadSlice(':'); err != nil { // blanks at most stand before it
 		return fmt.Errorf("known: %w", err)
 	}
-	var listing func(*EndpointRecord) (policy.Endpoint, string, error)
+	var parser *discovery.Parser
 	if keep {
-		listing = c.parseEndpoint
+		parser = c.parser()
 	}
-	var head ListHead
-	var short []Entry
+	var head discovery.ListHead
+	var short []discovery.Entry
 	var long *catalog.Catalog
-	err := NewListReader(&boundedSource{src: from}, listing).Next(&head, func(e Entry) error {
+	err := discovery.NewListReader(from, parser).Next(&head, func(e discovery.Entry) error {
 		if long == nil {
 			if short = append(short, e); len(short) <= catalog.MaxEagerEndpoints {
 				return nil
@@ -215,12 +219,15 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.Known, c.KnownCatalog = List{Version: head.Version, Full: head.Full, Entries: short}, long
+	c.Known, c.KnownCatalog = discovery.List{Version: head.Version, Full: head.Full, Entries: short}, long
 	return nil
 }
 
+// parser reads the entries of discovery's list.
+func (c *Config) parser() *discovery.Parser { return &discovery.Parser{Zones: c.Zones, Kinds: c.Kinds} }
+
 // addKnownEntry adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
-func (c *Config) addKnownEntry(long *catalog.Catalog, e Entry) {
+func (c *Config) addKnownEntry(long *catalog.Catalog, e discovery.Entry) {
 	if e.Err == nil {
 		long.Upsert(e.Endpoint)
 		return
@@ -372,52 +379,3 @@
 }
 
 func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-
-// List is discovery's list of hosts, whole or changes to it.
-type List struct {
-	Version int64
-	Full    bool
-	Entries []Entry // each is read by itself: one that cannot be read spoils no other
-}
-
-// EndpointRecord is one entry of the list.
-type EndpointRecord struct {
-	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
-	Zone   string  `json:"zone"`
-	Kind   string  `json:"kind"`
-	Cell   *int    `json:"cell"`
-	State  string  `json:"state"`
-	Weight float64 `json:"weight"`
-}
-
-// parseEndpoint is what an entry says. Its id is returned also where the rest cannot be used.
-func (c *Config) parseEndpoint(m *EndpointRecord) (l policy.Endpoint, addr string, err error) {
-	l = policy.Endpoint{
-		ID:     m.ID,
-		Zone:   slices.Index(c.Zones, m.Zone),
-		Kind:   slices.Index(c.Kinds, m.Kind),
-		Weight: m.Weight,
-	}
-	switch m.State {
-	case "ready":
-		l.InService = true
-	case "draining":
-	case "gone":
-		l.Removed = true
-	default:
-		return l, "", fmt.Errorf("unknown state %q", m.State)
-	}
-	switch {
-	case m.ID == "":
-		return l, "", errors.New("no id")
-	case l.Removed:
-		return l, "", nil
-	case m.Addr == "" || m.Cell == nil:
-		return l, "", errors.New("no address or no cell")
-	case l.Zone < 0 || l.Kind < 0:
-		return l, "", fmt.Errorf("unknown zone %q or kind %q", m.Zone, m.Kind)
-	}
-	l.Destination = *m.Cell
-	return l, m.Addr, nil
-}
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -15,18 +15,18 @@
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
 		"relay.bodyMost", "relay.requestFor", "relay.lastFor", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
-		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
+		"discovery.WatchIdleTimeout", "relay.leaveFor", "notify.postTimeout", "backoff.period",
 		"policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"relay.wireMost", "relay.idMost", "relay.keptFor", "relay.writeFor", "relay.lingerFor", "relay.lingerMost", "netconn.MaxHeaderSize",
-		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "relay.wholeFor", "relay.reportMost", "relay.informMost", "relay.fetchIdleTimeout",
+		"netconn.readBufferSize", "discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNoticesPerPost", "notify.maxResponseSize", "relay.wholeFor", "relay.reportMost", "relay.informMost", "discovery.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "relay.heldUpAfter", "relay.clockTolerance", "relay.initialClock", "relay.roomPause",
-		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
+		"notify.minRetryDelay", "notify.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
 		"relay.besideJournal", "relay.besidePool", "relay.lockFor", "relay.lockPause", "relay.silentFor", "relay.spareFor", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
+		"relay.readBufferSize", "discovery.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 	},
 	"a share of what the settings tell": {
@@ -72,7 +72,7 @@
 		}
 	}
 	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "netconn", "ratelog", "../../policy"} {
+	for _, dir := range []string{".", "discovery", "discovery/backoff", "jsonstream", "netconn", "notify", "ratelog", "../../policy"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/parts.go
+++ b/internal/relay/discovery/parts.go
@@ -1,4 +1,4 @@
-package relay
+package discovery
 
 import (
 	"context"
@@ -9,11 +9,34 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// PartSender is the way of a long list to the loop: one part at a time, while the next one is read.
-type PartSender struct {
-	Post      func(*SnapshotPart) bool // false: nobody takes parts any more
-	Stopped   <-chan struct{}          // closed then
-	LargeList func() bool              // all lists go this way that are not short changes; nil: none do
+// MaxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
+const MaxPartEntries = 512
+
+// PartKind is what a part of a long list is.
+type PartKind int
+
+const (
+	PartBegin   PartKind = iota // of a list
+	PartEntries                 // some of its entries
+	PartSweep                   // of those that a whole list did not name
+	PartEnd                     // all has been told: its version holds
+)
+
+// SnapshotPart is a part of a long list. The next one comes once done has its answer.
+type SnapshotPart struct {
+	Kind    PartKind
+	Entries []Entry
+	Version int64
+	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
+	// it all.
+	Reply chan bool
+}
+
+// partSender is the way of a long list to the loop: one part at a time, while the next one is read.
+type partSender struct {
+	post      func(*SnapshotPart) bool // false: nobody takes parts any more
+	stopped   <-chan struct{}          // closed then
+	largeList func() bool              // all lists go this way that are not short changes; nil: none do
 
 	pending chan bool // answers the part that was handed over last
 }
@@ -21,11 +44,11 @@
 var errStopped = errors.New("the relay ends")
 
 // send waits for the answer to the part before and hands over the next one.
-func (x *PartSender) send(p *SnapshotPart) error {
+func (x *partSender) send(p *SnapshotPart) error {
 	if _, err := x.wait(); err != nil {
 		return err
 	}
-	if p.Reply = make(chan bool, 1); x.Post == nil || !x.Post(p) {
+	if p.Reply = make(chan bool, 1); x.post == nil || !x.post(p) {
 		return errStopped
 	}
 	x.pending = p.Reply
@@ -33,13 +56,13 @@
 }
 
 // wait waits for the answer to the last part.
-func (x *PartSender) wait() (ok bool, err error) {
+func (x *partSender) wait() (ok bool, err error) {
 	if x.pending == nil {
 		return true, nil
 	}
 	select {
 	case ok = <-x.pending:
-	case <-x.Stopped:
+	case <-x.stopped:
 		err = errStopped
 	}
 	x.pending = nil
@@ -47,7 +70,7 @@
 }
 
 // sendAndWait hands over a part and waits for its answer.
-func (x *PartSender) sendAndWait(p *SnapshotPart) (ok bool, err error) {
+func (x *partSender) sendAndWait(p *SnapshotPart) (ok bool, err error) {
 	if err := x.send(p); err != nil {
 		return false, err
 	}
@@ -55,8 +78,8 @@
 }
 
 // maxWholeEntries is how many entries a list may have that is told as a whole.
-func (x *PartSender) maxWholeEntries() int {
-	if x.LargeList != nil && x.LargeList() {
+func (x *partSender) maxWholeEntries() int {
+	if x.largeList != nil && x.largeList() {
 		return MaxPartEntries
 	}
 	return catalog.MaxEagerEndpoints
@@ -84,7 +107,7 @@
 		if read++; read%MaxPartEntries == 0 {
 			how.onProgress()
 		}
-		if entries = append(entries, e); !long && len(entries) <= w.Parts.maxWholeEntries() || long && len(entries) < MaxPartEntries {
+		if entries = append(entries, e); !long && len(entries) <= w.parts.maxWholeEntries() || long && len(entries) < MaxPartEntries {
 			return nil
 		}
 		if !long {
@@ -92,7 +115,7 @@
 			passed = !how.snapshot && !head.Full && how.knownVersion != math.MinInt64 &&
 				(!head.hasVersion || head.Version <= how.knownVersion)
 			if !passed {
-				if _, err := w.Parts.sendAndWait(&SnapshotPart{Kind: PartBegin}); err != nil {
+				if _, err := w.parts.sendAndWait(&SnapshotPart{Kind: PartBegin}); err != nil {
 					return err
 				}
 			}
@@ -102,7 +125,7 @@
 			return nil
 		}
 		for len(entries) >= MaxPartEntries {
-			if err := w.Parts.send(&SnapshotPart{Kind: PartEntries, Entries: entries[:MaxPartEntries:MaxPartEntries]}); err != nil {
+			if err := w.parts.send(&SnapshotPart{Kind: PartEntries, Entries: entries[:MaxPartEntries:MaxPartEntries]}); err != nil {
 				return err
 			}
 			// The part before this one has been taken: what it stood in is free.
@@ -123,13 +146,13 @@
 	case passed:
 		w.NeedsSnapshot = w.NeedsSnapshot || full || head.Version > how.knownVersion // it was not known yet that it must be told
 		return nil
-	case !long && !(full && w.Parts.LargeList != nil && w.Parts.LargeList()):
+	case !long && !(full && w.parts.largeList != nil && w.parts.largeList()):
 		if full || head.Version > how.knownVersion {
 			w.deliver(List{Version: head.Version, Full: full, Entries: entries})
 		}
 		return nil
 	case !long:
-		if _, err := w.Parts.sendAndWait(&SnapshotPart{Kind: PartBegin}); err != nil {
+		if _, err := w.parts.sendAndWait(&SnapshotPart{Kind: PartBegin}); err != nil {
 			return err
 		}
 	}
@@ -138,16 +161,16 @@
 
 // finish tells the rest of a long list, and that it is at its end.
 func (w *Watcher) finish(entries []Entry, version int64, full bool, moves func()) error {
-	if _, err := w.Parts.sendAndWait(&SnapshotPart{Kind: PartEntries, Entries: entries}); err != nil {
+	if _, err := w.parts.sendAndWait(&SnapshotPart{Kind: PartEntries, Entries: entries}); err != nil {
 		return err
 	}
 	for done := !full; !done; moves() {
 		var err error
-		if done, err = w.Parts.sendAndWait(&SnapshotPart{Kind: PartSweep}); err != nil {
+		if done, err = w.parts.sendAndWait(&SnapshotPart{Kind: PartSweep}); err != nil {
 			return err
 		}
 	}
-	held, err := w.Parts.sendAndWait(&SnapshotPart{Kind: PartEnd, Version: version})
+	held, err := w.parts.sendAndWait(&SnapshotPart{Kind: PartEnd, Version: version})
 	if err != nil {
 		return err
 	}
--- a/internal/relay/listing.go
+++ b/internal/relay/discovery/reader.go
@@ -1,4 +1,4 @@
-package relay
+package discovery
 
 import (
 	"bufio"
@@ -10,24 +10,23 @@
 	"io"
 	"strings"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/jsonstream"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
-	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
 	// MaxEntries bounds a list, and all that is kept of lists: some hundred bytes each. Several times what the largest
 	// sites have.
 	MaxEntries = 1 << 20
-	// maxEntrySize bounds one entry, in bytes, and any one value beside the entries: some 150 are usual.
-	maxEntrySize = 16 << 10
+	// MaxEntrySize bounds one entry, in bytes, and any one value beside the entries: some 150 are usual.
+	MaxEntrySize = 16 << 10
 )
 
 var (
 	ErrTooLong        = errors.New("list too long")
-	errEntryTooLong   = fmt.Errorf("%w: one entry is over %d bytes", ErrTooLong, maxEntrySize)
+	errEntryTooLong   = fmt.Errorf("%w: one entry is over %d bytes", ErrTooLong, MaxEntrySize)
 	errTooManyEntries = fmt.Errorf("%w: over %d entries", ErrTooLong, MaxEntries)
 	errNotAList       = errors.New("not a list")
-	errTrailing       = errors.New("more behind the end")
 )
 
 // Entry is one entry of discovery's list as it was read.
@@ -49,7 +48,7 @@
 }
 
 // allow lets one more value come.
-func (s *boundedSource) allow() { s.remaining = maxEntrySize }
+func (s *boundedSource) allow() { s.remaining = MaxEntrySize }
 
 func (s *boundedSource) Read(b []byte) (int, error) {
 	if s.remaining <= 0 {
@@ -82,13 +81,17 @@
 	src *boundedSource
 	dec *json.Decoder
 	// listing reads an entry; nil: entries are not looked into.
-	parse   func(*EndpointRecord) (policy.Endpoint, string, error)
+	parser  *Parser
 	onBegin func() (stop func() bool) // called when a list has begun; stop when it is over; nil: nobody asks
 	resumed bool
 }
 
-func NewListReader(src *boundedSource, listing func(*EndpointRecord) (policy.Endpoint, string, error)) *ListReader {
-	return &ListReader{src: src, dec: json.NewDecoder(src), parse: listing}
+func NewListReader(src io.Reader, parser *Parser) *ListReader {
+	return newListReader(&boundedSource{src: src}, parser)
+}
+
+func newListReader(src *boundedSource, parser *Parser) *ListReader {
+	return &ListReader{src: src, dec: json.NewDecoder(src), parser: parser}
 }
 
 // Next reads one list. Its keys may come in any order: head is filled in as they do. Each entry is handed to take,
@@ -114,7 +117,7 @@
 	for r.src.allow(); r.dec.More(); r.src.allow() {
 		key, err := r.dec.Token()
 		if err != nil {
-			return unexpectedEOF(err)
+			return jsonstream.NoEOF(err)
 		}
 		switch name, _ := key.(string); {
 		case strings.EqualFold(name, "version"):
@@ -124,14 +127,14 @@
 		case strings.EqualFold(name, "servers"):
 			err = r.entries(take)
 		default:
-			_, err = SkipValue(r.dec, r.src.allow)
+			_, err = jsonstream.SkipValue(r.dec, r.src.allow)
 		}
 		if err != nil {
-			return unexpectedEOF(err)
+			return jsonstream.NoEOF(err)
 		}
 	}
 	_, err = r.dec.Token()
-	return unexpectedEOF(err)
+	return jsonstream.NoEOF(err)
 }
 
 // entries reads the array of them.
@@ -151,8 +154,8 @@
 		if n++; n > MaxEntries {
 			return errTooManyEntries
 		}
-		if r.parse == nil {
-			err = r.dec.Decode(&Ignored{})
+		if r.parser == nil {
+			err = r.dec.Decode(&jsonstream.Ignored{})
 		} else {
 			m = EndpointRecord{}
 			if err = r.dec.Decode(&m); err == nil || isTypeError(err) {
@@ -169,7 +172,7 @@
 
 // parseEntry is an entry as it was decoded, with what kept it from being.
 func (r *ListReader) parseEntry(m *EndpointRecord, err error) Entry {
-	l, addr, unusable := r.parse(m)
+	l, addr, unusable := r.parser.Parse(m)
 	e := Entry{Endpoint: catalog.Endpoint{Endpoint: l, Addr: addr}, Err: cmp.Or(err, unusable)}
 	if e.Err != nil {
 		e.Text = fmt.Sprintf("%+v", *m)
@@ -209,47 +212,3 @@
 	var kind *json.UnmarshalTypeError
 	return errors.As(err, &kind)
 }
-
-// unexpectedEOF is the error for a list that ends in its middle.
-func unexpectedEOF(err error) error {
-	if err == io.EOF {
-		return io.ErrUnexpectedEOF
-	}
-	return err
-}
-
-// Ignored is a value of which nothing is kept.
-type Ignored struct{}
-
-// UnmarshalJSON takes anything.
-func (*Ignored) UnmarshalJSON([]byte) error { return nil }
-
-// SkipValue reads over a value, and is never further ahead than an entry of an array. before is called before each
-// read. It returns the value's first token: nil for null.
-func SkipValue(dec *json.Decoder, before func()) (first json.Token, err error) {
-	before()
-	if first, err = dec.Token(); err != nil {
-		return nil, err
-	}
-	switch first {
-	case json.Delim('{'):
-		for before(); dec.More(); before() {
-			if _, err := dec.Token(); err != nil {
-				return nil, err
-			}
-			if _, err := SkipValue(dec, before); err != nil {
-				return nil, err
-			}
-		}
-	case json.Delim('['):
-		for before(); dec.More(); before() {
-			if err := dec.Decode(&Ignored{}); err != nil {
-				return nil, err
-			}
-		}
-	default:
-		return first, nil
-	}
-	_, err = dec.Token()
-	return first, err
-}
--- /dev/null
+++ b/internal/relay/discovery/reader_bench_test.go
@@ -0,0 +1,44 @@
+package discovery
+
+import (
+	"bytes"
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
+)
+
+// BenchmarkListEntry tells what an entry of a long list costs: to read, and to apply.
+func BenchmarkListEntry(b *testing.B) {
+	const destinations = 10_000
+	text := discoverytest.ListJSON(1, destinations)
+	for _, bench := range []struct {
+		name string
+		take func() func(Entry) error
+	}{
+		{"read", func() func(Entry) error { return func(Entry) error { return nil } }},
+		{"read-and-put", func() func(Entry) error {
+			known := catalog.New()
+			known.BeginSnapshot()
+			return func(e Entry) error { known.Upsert(e.Endpoint); return nil }
+		}},
+	} {
+		b.Run(bench.name, func(b *testing.B) {
+			b.ReportAllocs()
+			for range b.N {
+				if err := NewListReader(bytes.NewReader(text), testParser()).Next(&ListHead{}, bench.take()); err != nil {
+					b.Fatal(err)
+				}
+			}
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(2*destinations), "ns/entry")
+		})
+	}
+	b.Run("skip", func(b *testing.B) {
+		for range b.N {
+			if err := NewListReader(bytes.NewReader(text), nil).Next(&ListHead{}, nil); err != nil {
+				b.Fatal(err)
+			}
+		}
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(2*destinations), "ns/entry")
+	})
+}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package relay
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
-	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
@@ -51,10 +51,10 @@
 	}))
 	ctx, stop := context.WithCancel(context.Background())
 	told := make(chan List, 8)
-	w := Watcher{
+	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
 		OnUpdate: func(l List) { told <- l }, Backoff: backoff.Backoff{Clients: 1}, Rand: rand.New(rand.NewPCG(1, 2)),
-	}
+	})
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
 	select {
@@ -62,7 +62,7 @@
 		if l.Version != 9 || !l.Full {
 			t.Errorf("told %+v", l)
 		}
-	case <-time.After(nettest.Patience):
+	case <-time.After(patience):
 		t.Errorf("never told after %d calls", calls.Load())
 	}
 	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
@@ -96,10 +96,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	w := Watcher{
-		Log: quiet(), Client: NewClient(addrOf(old)), IdleTimeout: nettest.Patience, OnUpdate: func(l List) { told <- l },
+	w := NewWatcher(Config{
+		Log: quiet(), Client: NewClient(addrOf(old)), IdleTimeout: patience, OnUpdate: func(l List) { told <- l },
 		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(most{}),
-	}
+	})
 	go func() { w.Run(ctx); close(ended) }()
 	hear := func(version int64) {
 		t.Helper()
@@ -108,7 +108,7 @@
 			if l.Version != version {
 				t.Errorf("told version %d, want %d", l.Version, version)
 			}
-		case <-time.After(nettest.Patience):
+		case <-time.After(patience):
 			t.Fatalf("version %d never told", version)
 		}
 	}
@@ -136,9 +136,10 @@
 		{"asked for, 300 relays", true, 300, time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := Config{DrainGrace: c.grace}
-			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			caller, rng := NewBackoff(cfg), rand.New(most{})
+			grace := c.grace
+			var settings policy.Settings
+			settings.FleetSize, settings.WatchRequired = c.senders, c.ask
+			caller, rng := NewBackoff(settings, grace), rand.New(most{})
 			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
@@ -180,17 +181,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	told, ended := make(chan List, 8), make(chan struct{})
 	defer func() { stop(); <-ended }()
-	cfg := Config{DrainGrace: 400 * time.Millisecond}
-	cfg.Settings.FleetSize = 300
-	w := Watcher{
+	grace := 400 * time.Millisecond
+	var settings policy.Settings
+	settings.FleetSize = 300
+	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
-		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
-	}
+		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(most{}),
+	})
 	began := time.Now()
 	go func() { w.Run(ctx); close(ended) }()
 	select {
 	case <-told:
-	case <-time.After(nettest.Patience):
+	case <-time.After(patience):
 		t.Fatal("never told")
 	}
 	// Four silent calls and the pauses between; as one of a fleet that asks, the pauses alone are over twenty seconds.
@@ -217,8 +219,9 @@
 	for _, ask := range []bool{false, true} {
 		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
 			for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second} {
-				cfg := Config{DrainGrace: grace}
-				cfg.Settings.FleetSize, cfg.Settings.WatchRequired = senders, ask
+				grace := grace
+				var settings policy.Settings
+				settings.FleetSize, settings.WatchRequired = senders, ask
 				worst, at := time.Duration(0), ""
 				note := func(d time.Duration, how string) {
 					if d > worst {
@@ -230,7 +233,7 @@
 					if seed == 0 {
 						rng = rand.New(most{})
 					}
-					caller := NewBackoff(cfg)
+					caller := NewBackoff(settings, grace)
 					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
 						caller.Succeeded() // a watch, which falls silent
@@ -288,17 +291,18 @@
 			ctx, stop := context.WithCancel(context.Background())
 			told, ended := make(chan time.Time, 8), make(chan struct{})
 			t.Cleanup(func() { stop(); <-ended; s.Close() })
-			cfg := Config{DrainGrace: time.Second}
-			cfg.Settings.FleetSize, cfg.Settings.WatchRequired = c.senders, c.ask
-			w := Watcher{
+			grace := time.Second
+			var settings policy.Settings
+			settings.FleetSize, settings.WatchRequired = c.senders, c.ask
+			w := NewWatcher(Config{
 				Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
-				OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(cfg), Rand: rand.New(most{}),
-			}
+				OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(settings, grace), Rand: rand.New(most{}),
+			})
 			go func() { w.Run(ctx); close(ended) }()
 			var since time.Time
 			select {
 			case since = <-had:
-			case <-time.After(nettest.Patience):
+			case <-time.After(patience):
 				t.Fatal("no second call")
 			}
 			select {
@@ -308,9 +312,83 @@
 				} else {
 					t.Logf("told after %v", took)
 				}
-			case <-time.After(nettest.Patience):
+			case <-time.After(patience):
 				t.Error("never told")
 			}
 		})
 	}
 }
+
+// A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
+func TestASilentWatchIsBegunAnew(t *testing.T) {
+	indexes := make(chan string, 10)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		indexes <- req.URL.Query().Get("index")
+		fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
+		w.(http.Flusher).Flush()
+		<-req.Context().Done()
+	}))
+	defer s.Close()
+	told := make(chan List, 10)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	w := NewWatcher(Config{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
+		OnUpdate: func(l List) { told <- l },
+	})
+	go w.Run(ctx)
+	for _, want := range []string{"4", "9"} {
+		select {
+		case got := <-indexes:
+			if l := <-told; got != want || l.Version != 9 || !l.Full {
+				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
+			}
+		case <-time.After(patience):
+			t.Fatalf("no watch from %s", want)
+		}
+	}
+}
+
+// A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
+// for it, and changes that it holds already are not undone by older lines.
+func TestAnUnreadableLineIsMadeUpForByTheWholeList(t *testing.T) {
+	var watches atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		if req.URL.Query().Get("stream") == "" {
+			fmt.Fprintln(w, `{"version":7,"full":true,"servers":[]}`)
+			return
+		}
+		watches.Add(1)
+		fmt.Fprintln(w, `{"version":5,"servers":[{"id`)
+		fmt.Fprintln(w, `{"version":6,"full":false,"servers":[]}`)
+		fmt.Fprintln(w, `{"version":8,"full":false,"servers":[]}`)
+		w.(http.Flusher).Flush()
+		<-req.Context().Done()
+	}))
+	defer s.Close()
+	told := make(chan List, 10)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	defer func() { cancel(); <-ended }()
+	w := NewWatcher(Config{
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: patience,
+		Version:     4,
+		OnUpdate:    func(l List) { told <- l },
+	})
+	go func() { w.Run(ctx); close(ended) }()
+	for _, want := range []int64{7, 8} {
+		select {
+		case l := <-told:
+			if l.Version != want || l.Full != (want == 7) {
+				t.Errorf("told %+v, want version %d", l, want)
+			}
+		case <-time.After(patience):
+			t.Fatalf("never told version %d", want)
+		}
+	}
+	if n := watches.Load(); n != 1 {
+		t.Errorf("%d watches", n)
+	}
+}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -14,8 +15,6 @@
 // comes in parts, each applied between two steps.
 
 const (
-	// MaxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
-	MaxPartEntries = 512
 	// maxEvictions bounds how many destinations a step looks at that may be put to rest.
 	maxEvictions = 128
 	// evictInterval is how often that is looked at while nothing else happens.
@@ -24,26 +23,6 @@
 	defaultWarmUp = 30 * time.Second
 )
 
-// PartKind is what a part of a long list is.
-type PartKind int
-
-const (
-	PartBegin   PartKind = iota // of a list
-	PartEntries                 // some of its entries
-	PartSweep                   // of those that a whole list did not name
-	PartEnd                     // all has been told: its version holds
-)
-
-// SnapshotPart is a part of a long list. The next one comes once done has its answer.
-type SnapshotPart struct {
-	Kind    PartKind
-	Entries []Entry
-	Version int64
-	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
-	// it all.
-	Reply chan bool
-}
-
 // endpointState is what the loop knows of hosts.
 type endpointState struct {
 	catalog           *catalog.Catalog
@@ -63,7 +42,7 @@
 
 // applyList takes a list of hosts, or changes to it, and returns what the module is told. An entry that cannot be read
 // is passed over; if it names a host that is known, that host stays as it was.
-func (r *Relay) applyList(l List) []policy.Event {
+func (r *Relay) applyList(l discovery.List) []policy.Event {
 	r.listVersion = l.Version
 	if l.Full {
 		r.catalog.BeginSnapshot()
@@ -103,7 +82,7 @@
 }
 
 // applyEntry takes an entry of a list, and adds what the module is told of it.
-func (r *Relay) applyEntry(told []policy.Endpoint, e *Entry) []policy.Endpoint {
+func (r *Relay) applyEntry(told []policy.Endpoint, e *discovery.Entry) []policy.Endpoint {
 	if e.Err != nil {
 		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
 		if known, ok := r.catalog.MarkSeen(e.ID); ok && !r.largeList.Load() {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -1,6 +1,8 @@
 package relay
 
-import "cherrytrestle.example/cherrytrestle/internal/state/journal"
+import (
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+)
 
 // The events of the loop, besides policy's own.
 type (
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -13,7 +13,9 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
@@ -50,9 +52,9 @@
 		{"a number", `"known":7`, -1, 0},
 		{"servers that are none", `"known":{"version":4,"servers":{}}`, -1, 0},
 		{"a version that is none", `"known":{"version":"x","servers":[` + one + `]}`, -1, 0},
-		{"an entry without end", `"known":{"version":4,"servers":["` + strings.Repeat("x", 3*maxEntrySize) + `"]}`, -1, 0},
-		{"a long list", `"known":` + strings.TrimSpace(string(listText(9, 3000, one))), 6001, 9},
-		{"a long list with entries that cannot be read", `"known":` + strings.TrimSpace(string(listText(9, 3000, `7`, `{"id":"x"}`, one))), 6001, 9},
+		{"an entry without end", `"known":{"version":4,"servers":["` + strings.Repeat("x", 3*discovery.MaxEntrySize) + `"]}`, -1, 0},
+		{"a long list", `"known":` + strings.TrimSpace(string(discoverytest.ListJSON(9, 3000, one))), 6001, 9},
+		{"a long list with entries that cannot be read", `"known":` + strings.TrimSpace(string(discoverytest.ListJSON(9, 3000, `7`, `{"id":"x"}`, one))), 6001, 9},
 	} {
 		for _, order := range [][]string{{head, settings, c.known}, {c.known, head, settings}, {settings, c.known, head}} {
 			text := []byte("{" + strings.Trim(strings.ReplaceAll(strings.Join(order, ","), ",,", ","), ",") + "}\n")
@@ -101,7 +103,7 @@
 	text := fmt.Appendf(
 		nil,
 		`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-		listText(4, 20_000),
+		discoverytest.ListJSON(4, 20_000),
 		settingsJSON,
 	)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -163,7 +165,7 @@
 			cfg, err := parseConfig(fmt.Appendf(
 				nil,
 				`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-				listText(
+				discoverytest.ListJSON(
 					4,
 					3000,
 					liveText("s-moved", addr, 77, "ready"),
@@ -177,7 +179,7 @@
 			cfg.StateDir = old.cfg.StateDir
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
-			w := r.newWatcher()
+			w := r.discoveryConfig()
 			if !w.NeedsSnapshot || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
 				t.Errorf("asks for the whole %v, %d hosts, %d held", w.NeedsSnapshot, r.catalog.EndpointCount(), r.pending)
 			}
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -9,31 +9,32 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // tellLong has the loop's part take a list as a long one comes, with a step after every few slices.
-func tellLong(r *Relay, full bool, version int64, entries []Entry) {
-	give := func(p *SnapshotPart) bool {
+func tellLong(r *Relay, full bool, version int64, entries []discovery.Entry) {
+	give := func(p *discovery.SnapshotPart) bool {
 		p.Reply = make(chan bool, 1)
-		if p.Kind == PartBegin {
+		if p.Kind == discovery.PartBegin {
 			r.step([]any{p})
 		} else {
 			r.collect(nil, p)
 		}
 		return <-p.Reply
 	}
-	give(&SnapshotPart{Kind: PartBegin})
+	give(&discovery.SnapshotPart{Kind: discovery.PartBegin})
 	for some := range slices.Chunk(entries, 7) {
-		give(&SnapshotPart{Kind: PartEntries, Entries: some})
+		give(&discovery.SnapshotPart{Kind: discovery.PartEntries, Entries: some})
 		if len(some)%2 == 0 {
 			r.step(nil)
 		}
 	}
-	for full && !give(&SnapshotPart{Kind: PartSweep}) {
+	for full && !give(&discovery.SnapshotPart{Kind: discovery.PartSweep}) {
 	}
-	give(&SnapshotPart{Kind: PartEnd, Version: version})
+	give(&discovery.SnapshotPart{Kind: discovery.PartEnd, Version: version})
 	r.step(nil)
 }
 
@@ -80,19 +81,19 @@
 		r.switchToLargeList()
 		r.workingSet = catalog.NewWorkingSet(restFor)
 		r.workingSet.Activate(7, r.now())
-		model := map[string]Entry{}
+		model := map[string]discovery.Entry{}
 		for e := range r.catalog.All() {
-			model[e.ID] = Entry{Endpoint: e}
+			model[e.ID] = discovery.Entry{Endpoint: e}
 		}
 		for step := range 60 {
 			switch rng.IntN(4) {
 			case 0, 1:
 				full := rng.IntN(3) == 0
-				var entries []Entry
+				var entries []discovery.Entry
 				named := map[string]bool{}
 				for range rng.IntN(hosts) {
 					k := rng.IntN(hosts)
-					e := Entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
+					e := discovery.Entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(2))}}
 					e.Endpoint.Endpoint = policy.Endpoint{
 						ID:          fmt.Sprint("h-", k),
 						Destination: 100 + rng.IntN(dests),
@@ -112,7 +113,7 @@
 					}
 				}
 				if full {
-					maps.DeleteFunc(model, func(id string, _ Entry) bool { return !named[id] })
+					maps.DeleteFunc(model, func(id string, _ discovery.Entry) bool { return !named[id] })
 				}
 				tellLong(r, full, int64(step), entries)
 			case 2:
@@ -165,9 +166,9 @@
 		r.workingSet.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
-	news := func(entries []Entry) (told []policy.Endpoint) {
+	news := func(entries []discovery.Entry) (told []policy.Endpoint) {
 		r.catalog.BeginSnapshot()
-		for _, p := range []*SnapshotPart{{Kind: PartEntries, Entries: entries}, {Kind: PartSweep}, {Kind: PartEnd, Version: 3}} {
+		for _, p := range []*discovery.SnapshotPart{{Kind: discovery.PartEntries, Entries: entries}, {Kind: discovery.PartSweep}, {Kind: discovery.PartEnd, Version: 3}} {
 			p.Reply = make(chan bool, 1)
 			r.collect(nil, p)
 			<-p.Reply
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -61,21 +62,21 @@
 }
 
 // applyPart takes a part of a long list. What the module hears of it, it hears in the next step.
-func (r *Relay) applyPart(p *SnapshotPart) {
+func (r *Relay) applyPart(p *discovery.SnapshotPart) {
 	ok := true
 	var told []policy.Endpoint
 	switch p.Kind {
-	case PartBegin:
+	case discovery.PartBegin:
 		r.switchToLargeList()
 		r.catalog.BeginSnapshot()
 		r.receivingSnapshot, r.snapshotTruncated = true, false
-	case PartEntries:
+	case discovery.PartEntries:
 		told = r.applyEntries(p.Entries)
-	case PartSweep:
+	case discovery.PartSweep:
 		var removed []catalog.Endpoint
-		removed, ok = r.catalog.Sweep(MaxPartEntries)
+		removed, ok = r.catalog.Sweep(discovery.MaxPartEntries)
 		told = r.endpointsRemoved(nil, removed)
-	case PartEnd:
+	case discovery.PartEnd:
 		if ok = !r.snapshotTruncated; ok {
 			r.listVersion = p.Version
 		}
@@ -89,7 +90,7 @@
 }
 
 // applyEntries takes some entries of a list: those that end something first.
-func (r *Relay) applyEntries(entries []Entry) (told []policy.Endpoint) {
+func (r *Relay) applyEntries(entries []discovery.Entry) (told []policy.Endpoint) {
 	var ended map[string]int // the last entry that ends so
 	for i := range entries {
 		if e := &entries[i]; e.Err == nil && !e.InService {
@@ -108,10 +109,10 @@
 		if last, ok := ended[e.ID]; ok && i < last {
 			continue // what came behind it holds
 		}
-		if r.catalog.EndpointCount() >= MaxEntries && e.Err == nil {
+		if r.catalog.EndpointCount() >= discovery.MaxEntries && e.Err == nil {
 			if _, known := r.catalog.Endpoint(e.ID); !known {
 				r.snapshotTruncated = true
-				r.catalogFull.Log(r.log, "most", MaxEntries)
+				r.catalogFull.Log(r.log, "most", discovery.MaxEntries)
 				continue
 			}
 		}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -17,8 +16,10 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -78,13 +79,14 @@
 
 // follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was
 // begun.
-func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*Watcher)) {
+func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*discovery.Config)) {
 	t.Helper()
 	r.agent.Move(addrOf(a.Server))
-	w := r.newWatcher()
+	cfg := r.discoveryConfig()
 	for _, f := range change {
-		f(w)
+		f(&cfg)
 	}
+	w := discovery.NewWatcher(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
@@ -93,7 +95,7 @@
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*SnapshotPart); ok {
+				if p, ok := e.(*discovery.SnapshotPart); ok {
 					p.Reply <- true
 				}
 			case <-ended:
@@ -176,7 +178,7 @@
 	addr, requests := nettest.RawServer(t, answers)
 	first, last := liveText("s-1", addr, 7, "ready"), liveText("s-last", addr, 99, "ready")
 	follow(t, r, a)
-	a.tell(t, r, listText(2, dests, first, last))
+	a.tell(t, r, discoverytest.ListJSON(2, dests, first, last))
 	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
 		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
@@ -185,9 +187,9 @@
 	if n := len(ofModule(r)); n != 2 {
 		t.Errorf("the module knows %d destinations", n)
 	}
-	a.tell(t, r, listText(3, dests, first, last))
+	a.tell(t, r, discoverytest.ListJSON(3, dests, first, last))
 	drive(t, r, "the list once more", func() bool { return r.listVersion == 3 })
-	a.tell(t, r, []byte(`{"version":4,"servers":[`+hostText(8, 4, "draining")+`,`+hostText(10, 5, "gone")+"]}\n"))
+	a.tell(t, r, []byte(`{"version":4,"servers":[`+discoverytest.EndpointJSON(8, 4, "draining")+`,`+discoverytest.EndpointJSON(10, 5, "gone")+"]}\n"))
 	drive(t, r, "changes", func() bool { return r.listVersion == 4 })
 	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
 		t.Errorf("%d hosts drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
@@ -233,7 +235,7 @@
 	old, oldRequests := nettest.RawServer(t, answers)
 	next, nextRequests := nettest.RawServer(t, answers)
 	follow(t, r, a)
-	a.tell(t, r, listText(2, 3000, liveText("s-old", old, 50, "draining")))
+	a.tell(t, r, discoverytest.ListJSON(2, 3000, liveText("s-old", old, 50, "draining")))
 	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
@@ -253,7 +255,7 @@
 			addr, requests := nettest.RawServer(t, answers)
 			follow(t, r, a)
 			for i, dest := range []int{50, 51, 50, 51} {
-				a.tell(t, r, listText(2+i, rest, liveText("s-moves", addr, dest, "ready")))
+				a.tell(t, r, discoverytest.ListJSON(2+i, rest, liveText("s-moves", addr, dest, "ready")))
 				drive(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
 				r.deliver(t, requests, fmt.Sprint("m", i, "-"), dest)
 			}
@@ -271,7 +273,7 @@
 		hosts = append(hosts, liveText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
 	}
 	follow(t, r, a)
-	a.tell(t, r, listText(2, 1000, hosts...))
+	a.tell(t, r, discoverytest.ListJSON(2, 1000, hosts...))
 	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	run(t, r)
 	began := time.Now()
@@ -333,7 +335,7 @@
 	nettest.Eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
 	var more []byte
 	for i := range longList {
-		more = append(append(more, hostText(i, i/2, "ready")...), ',')
+		more = append(append(more, discoverytest.EndpointJSON(i, i/2, "ready")...), ',')
 	}
 	text := servers(3, false, liveText("s-old", old, 7, "draining"), liveText("t-next", next, 7, "ready"), more)
 	a.texts <- text
@@ -356,8 +358,8 @@
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, answers)
 	live := liveText("s-new", addr, 50, "ready")
-	follow(t, r, a, func(w *Watcher) { w.IdleTimeout, w.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
-	whole := listText(9, dests, live)
+	follow(t, r, a, func(c *discovery.Config) { c.IdleTimeout, c.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
+	whole := discoverytest.ListJSON(9, dests, live)
 	half := whole[:len(whole)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
 		half = half[:len(half)-1]
@@ -407,7 +409,7 @@
 	r, a := newTestRelay(t), newListAgent(t)
 	follow(t, r, a)
 	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
-		a.tell(t, r, listText(l.version, l.dests))
+		a.tell(t, r, discoverytest.ListJSON(l.version, l.dests))
 		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
 		if r.catalog.EndpointCount() != 2*l.dests {
 			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
@@ -425,14 +427,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			a.give(func(w http.ResponseWriter, _ *http.Request) { w.Write(listText(7, dests)) })
+			a.give(func(w http.ResponseWriter, _ *http.Request) { w.Write(discoverytest.ListJSON(7, dests)) })
 			follow(t, r, a)
 			var entries []byte
 			for i := range 2 * dests {
-				entries = append(append(entries, hostText(i, i/2, "draining")...), ',')
+				entries = append(append(entries, discoverytest.EndpointJSON(i, i/2, "draining")...), ',')
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
-			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+hostText(0, 0, "draining")+"]}\n"...))
+			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+discoverytest.EndpointJSON(0, 0, "draining")+"]}\n"...))
 			drive(t, r, "the list", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
 				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
@@ -453,9 +455,9 @@
 		),
 	)
 	a.give(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*maxEntrySize))
+		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
 	})
-	follow(t, r, a, func(w *Watcher) { w.NeedsSnapshot = true })
+	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
 	drive(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
 	mu.Lock()
 	text := log.String()
@@ -468,36 +470,6 @@
 	}
 }
 
-// A list has a bound, and an entry has: what lies within is read, whatever else stands beside it.
-func TestBoundsOfLists(t *testing.T) {
-	entries := func(n int) io.Reader {
-		return io.MultiReader(
-			strings.NewReader(`{"version":9,"servers":[7`),
-			strings.NewReader(strings.Repeat(",7", n-1)),
-			strings.NewReader("]}"),
-		)
-	}
-	long := func(n int) io.Reader {
-		return strings.NewReader(`{"servers":[{},"` + strings.Repeat("x", n) + `",{}]}`)
-	}
-	for _, c := range []struct {
-		name string
-		from io.Reader
-		want error
-	}{
-		{"as many entries as may be", entries(MaxEntries), nil},
-		{"one more", entries(MaxEntries + 1), errTooManyEntries},
-		{"an entry as long as may be", long(maxEntrySize - 2), nil},
-		{"a longer one", long(3 * maxEntrySize), errEntryTooLong},
-		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*maxEntrySize) + `"}`), errEntryTooLong},
-		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*maxEntrySize) + `7],"servers":null}`), nil},
-	} {
-		if err := NewListReader(&boundedSource{src: c.from}, nil).Next(&ListHead{}, nil); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
-		}
-	}
-}
-
 // Fifty whole lists, each of hosts that nobody has seen before, take no more room than a few.
 func TestRoomAfterFiftyListsOfNewHosts(t *testing.T) {
 	const hosts = 2000
@@ -510,7 +482,7 @@
 	}
 	var few uint64
 	for v := range 50 {
-		entries := make([]Entry, hosts)
+		entries := make([]discovery.Entry, hosts)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
 				Endpoint: policy.Endpoint{
@@ -555,7 +527,7 @@
 		fmt.Appendf(
 			nil,
 			`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-			listText(4, 3000, liveText("s-50", addr, 50, "ready")),
+			discoverytest.ListJSON(4, 3000, liveText("s-50", addr, 50, "ready")),
 			settingsJSON,
 		),
 	)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 )
 
 // post hands an event to the loop; false if that has ended.
@@ -81,7 +83,7 @@
 // collect takes an event into a step's batch. Of a long list all parts but the first are taken at once: nothing that
 // came before it waits in the batch.
 func (r *Relay) collect(batch []any, e any) []any {
-	if p, ok := e.(*SnapshotPart); ok && p.Kind != PartBegin && !r.handed {
+	if p, ok := e.(*discovery.SnapshotPart); ok && p.Kind != discovery.PartBegin && !r.handed {
 		r.applyPart(p)
 		return batch
 	}
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -105,7 +106,7 @@
 
 // queueNotification queues the notice that ends a message.
 func (r *Relay) queueNotification(m *message) {
-	n := Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
+	n := notify.Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
 		n.Status, n.RetryAfterMS = "deferred", m.Final.RetryAfter.Milliseconds()
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,7 +19,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -50,8 +52,8 @@
 	logOut           io.Writer // where recordings go
 	hosts            *hosts
 	clients          *clients
-	finals           *Sender
-	agent            *Client
+	finals           *notify.Sender
+	agent            *discovery.Client
 	recorder         *recording
 	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
 	events           chan any
@@ -110,7 +112,7 @@
 	}
 	started := time.Now().Add(-initialClock)
 	r := &Relay{
-		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: NewClient(cfg.DiscoveryAddr),
+		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: discovery.NewClient(cfg.DiscoveryAddr),
 		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
 		journalFull: ratelog.Warning{
@@ -126,7 +128,7 @@
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.clients = newClients(log, cfg.Limits.Sockets*9/20, r.request)
 	r.hosts = newHosts(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
-	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
+	r.finals = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
@@ -179,7 +181,7 @@
 	defer func() { stopRecording(); <-recorded }()
 	go r.loop(work)
 	go r.finals.Run(lead)
-	go r.newWatcher().Run(lead)
+	go discovery.NewWatcher(r.discoveryConfig()).Run(lead)
 
 	accepting := make(chan struct{})
 	go func() { defer close(accepting); r.clients.run(listener) }()
@@ -204,13 +206,22 @@
 	return r.closeLog()
 }
 
-// newWatcher is what follows discovery's list for the loop.
-func (r *Relay) newWatcher() *Watcher {
-	return &Watcher{
-		Log: r.log, Client: r.agent, IdleTimeout: WatchIdleTimeout, ListTimeout: ListTimeout, Version: r.listVersion, NeedsSnapshot: r.snapshotNeeded, HasList: r.endpointsKnown.Load(),
-		OnUpdate: func(l List) { r.post(l) }, Parse: r.cfg.parseEndpoint,
-		Parts:   PartSender{Post: func(p *SnapshotPart) bool { return r.post(p) }, Stopped: r.loopDone, LargeList: r.largeList.Load},
-		Backoff: NewBackoff(r.cfg), Rand: rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
-		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"}, oversizeLists: ratelog.Warning{Message: "list not taken"},
+// discoveryConfig is how the loop follows discovery's list.
+func (r *Relay) discoveryConfig() discovery.Config {
+	return discovery.Config{
+		Log:           r.log,
+		Client:        r.agent,
+		Parser:        r.cfg.parser(),
+		Backoff:       discovery.NewBackoff(r.cfg.Settings, r.cfg.DrainGrace),
+		Rand:          rand.New(rand.NewPCG(r.cfg.Seed, 0x68657264)),
+		IdleTimeout:   discovery.WatchIdleTimeout,
+		ListTimeout:   discovery.ListTimeout,
+		HasList:       r.endpointsKnown.Load(),
+		Version:       r.listVersion,
+		NeedsSnapshot: r.snapshotNeeded,
+		OnUpdate:      func(l discovery.List) { r.post(l) },
+		OnPart:        func(p *discovery.SnapshotPart) bool { return r.post(p) },
+		Stopped:       r.loopDone,
+		LargeList:     r.largeList.Load,
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -4,22 +4,19 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
@@ -74,9 +71,9 @@
 func parseConfig(data []byte) (Config, error) { return scanConfig(bytes.NewReader(data), true) }
 
 // parseList reads a list that is all there.
-func parseList(c *Config, data []byte) (l List, err error) {
-	var head ListHead
-	err = NewListReader(&boundedSource{src: bytes.NewReader(data)}, c.parseEndpoint).Next(&head, func(e Entry) error {
+func parseList(c *Config, data []byte) (l discovery.List, err error) {
+	var head discovery.ListHead
+	err = discovery.NewListReader(bytes.NewReader(data), c.parser()).Next(&head, func(e discovery.Entry) error {
 		l.Entries = append(l.Entries, e)
 		return nil
 	})
@@ -85,13 +82,12 @@
 }
 
 // entriesOf are entries as a relay reads them.
-func entriesOf(r *Relay, texts ...string) (entries []Entry) {
-	for _, text := range texts {
-		var m EndpointRecord
-		err := json.Unmarshal([]byte(text), &m)
-		entries = append(entries, (&ListReader{parse: r.cfg.parseEndpoint}).parseEntry(&m, err))
+func entriesOf(r *Relay, texts ...string) []discovery.Entry {
+	l, err := parseList(&r.cfg, []byte(`{"servers":[`+strings.Join(texts, ",")+`]}`))
+	if err != nil {
+		panic(err)
 	}
-	return entries
+	return l.Entries
 }
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -273,117 +269,6 @@
 	}
 }
 
-// A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
-func TestASilentWatchIsBegunAnew(t *testing.T) {
-	indexes := make(chan string, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		indexes <- req.URL.Query().Get("index")
-		fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
-		w.(http.Flusher).Flush()
-		<-req.Context().Done()
-	}))
-	defer s.Close()
-	told := make(chan List, 10)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	w := Watcher{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
-		OnUpdate: func(l List) { told <- l },
-	}
-	go w.Run(ctx)
-	for _, want := range []string{"4", "9"} {
-		select {
-		case got := <-indexes:
-			if l := <-told; got != want || l.Version != 9 || !l.Full {
-				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
-			}
-		case <-time.After(nettest.Patience):
-			t.Fatalf("no watch from %s", want)
-		}
-	}
-}
-
-// A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
-// for it, and changes that it holds already are not undone by older lines.
-func TestAnUnreadableLineIsMadeUpForByTheWholeList(t *testing.T) {
-	var watches atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if req.URL.Query().Get("stream") == "" {
-			fmt.Fprintln(w, `{"version":7,"full":true,"servers":[]}`)
-			return
-		}
-		watches.Add(1)
-		fmt.Fprintln(w, `{"version":5,"servers":[{"id`)
-		fmt.Fprintln(w, `{"version":6,"full":false,"servers":[]}`)
-		fmt.Fprintln(w, `{"version":8,"full":false,"servers":[]}`)
-		w.(http.Flusher).Flush()
-		<-req.Context().Done()
-	}))
-	defer s.Close()
-	told := make(chan List, 10)
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	defer func() { cancel(); <-ended }()
-	w := Watcher{
-		Log:         quiet(),
-		Client:      NewClient(addrOf(s)),
-		IdleTimeout: nettest.Patience,
-		Version:     4,
-		OnUpdate:    func(l List) { told <- l },
-	}
-	go func() { w.Run(ctx); close(ended) }()
-	for _, want := range []int64{7, 8} {
-		select {
-		case l := <-told:
-			if l.Version != want || l.Full != (want == 7) {
-				t.Errorf("told %+v, want version %d", l, want)
-			}
-		case <-time.After(nettest.Patience):
-			t.Fatalf("never told version %d", want)
-		}
-	}
-	if n := watches.Load(); n != 1 {
-		t.Errorf("%d watches", n)
-	}
-}
-
-func TestNoticesAreRepeatedUntilTaken(t *testing.T) {
-	var mu sync.Mutex
-	var posts, lines int
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		body, _ := io.ReadAll(req.Body)
-		mu.Lock()
-		defer mu.Unlock()
-		if posts++; posts < 3 {
-			w.WriteHeader([]int{500, 200}[posts-1]) // neither is 204
-			return
-		}
-		for line := range strings.Lines(string(body)) {
-			var n map[string]any
-			if json.Unmarshal([]byte(line), &n) != nil || n["id"] == nil {
-				t.Errorf("line %q", line)
-			}
-			lines++
-		}
-		w.WriteHeader(http.StatusNoContent)
-	}))
-	defer s.Close()
-	taken := make(chan []uint32, 10)
-	f := NewSender(quiet(), NewClient(addrOf(s)), func(ids []uint32) { taken <- ids })
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	f.Add(Notice{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notice{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
-	go f.Run(ctx)
-	select {
-	case ids := <-taken:
-		if len(ids) != 2 || lines != 2 || posts != 3 {
-			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
-		}
-	case <-time.After(nettest.Patience):
-		t.Fatal("never taken")
-	}
-}
-
 // Together the messages of a bundle may be larger than any body may.
 func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
@@ -445,41 +330,17 @@
 	again.recoverState()
 	t.Cleanup(func() { again.calls.Wait() })
 	doubtful := map[string]bool{}
-	for _, n := range again.finals.queue {
+	for _, n := range again.finals.Pending() {
 		doubtful[n.TraceID] = n.Status == "undeliverable"
 	}
 	if !doubtful["m100"] || !doubtful["m109"] || doubtful["m299"] {
-		t.Errorf("notices %+v", again.finals.queue)
+		t.Errorf("notices %+v", again.finals.Pending())
 	}
 	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
 		t.Errorf("%d held: what stands behind the damage is to go on", again.pending)
 	}
 }
 
-// Whatever discovery says, an entry that passes can be used, and none ends the relay.
-func FuzzLists(f *testing.F) {
-	f.Add(
-		[]byte(`{"version":2,"full":true,"servers":[{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,
-		"state":"ready","weight":5}]}`),
-	)
-	f.Add([]byte(`{"version":-1,"servers":[7,null,{"id":"s-1","state":"gone"},{"id":"","state":"ready","cell":-1}]}`))
-	c, err := parseConfig([]byte(`{"settings":` + settingsJSON + `}`))
-	if err != nil {
-		f.Fatal(err)
-	}
-	f.Fuzz(func(t *testing.T, data []byte) {
-		l, err := parseList(&c, data)
-		if err != nil {
-			return
-		}
-		for _, e := range l.Entries {
-			if e.Err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
-				t.Errorf("of %s %+v passes", data, e)
-			}
-		}
-	})
-}
-
 func FuzzConfig(f *testing.F) {
 	f.Add([]byte(`{"name":"n3","limits":{"sockets":-1},"settings":` + settingsJSON + `}`))
 	f.Add([]byte(`{"settings":null}`))
@@ -524,10 +385,10 @@
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.recoverState()
-		if given := len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "ran"; given != (back > 0) ||
+		if given := len(r.finals.Pending()) == 1 && r.finals.Pending()[0].TraceID == "ran"; given != (back > 0) ||
 			r.messages[2] == nil ||
 			r.messages[2].completed {
-			t.Errorf("back by %v: notices %+v", back, r.finals.queue)
+			t.Errorf("back by %v: notices %+v", back, r.finals.Pending())
 		}
 		r.calls.Wait()
 	}
@@ -590,8 +451,8 @@
 			}
 		}
 		r.recoverState()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("step %v: notices %+v", step, r.finals.queue)
+		if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
+			t.Errorf("step %v: notices %+v", step, r.finals.Pending())
 		}
 		r.calls.Wait()
 	}
@@ -626,8 +487,8 @@
 			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
 		r.recoverState()
-		if len(r.finals.queue) != 1 || r.finals.queue[0].TraceID != "m1" {
-			t.Errorf("step %v: notices %+v", step, r.finals.queue)
+		if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].TraceID != "m1" {
+			t.Errorf("step %v: notices %+v", step, r.finals.Pending())
 		}
 		r.calls.Wait()
 	}
@@ -692,9 +553,8 @@
 	run(t, r)
 	<-dialled
 	nettest.Eventually(t, "the one whose time is up has its final answer", func() bool {
-		r.finals.mu.Lock()
-		defer r.finals.mu.Unlock()
-		return len(r.finals.queue) == 1 && r.finals.queue[0].TraceID == "m1"
+		notices := r.finals.Pending()
+		return len(notices) == 1 && notices[0].TraceID == "m1"
 	})
 	close(up)
 	select {
@@ -729,10 +589,8 @@
 	run(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		r.finals.mu.Lock()
-		n := len(r.finals.queue)
-		r.finals.mu.Unlock()
-		if n == 1 && r.finals.queue[0].Status == "undeliverable" {
+		notices := r.finals.Pending()
+		if len(notices) == 1 && notices[0].Status == "undeliverable" {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -30,9 +31,9 @@
 	}
 	routes := map[string]oldTarget{}
 	for _, raw := range entries {
-		var m EndpointRecord
+		var m discovery.EndpointRecord
 		decoded := json.Unmarshal([]byte(raw), &m)
-		entry, addr, err := r.cfg.parseEndpoint(&m)
+		entry, addr, err := r.cfg.parser().Parse(&m)
 		if decoded != nil || err != nil {
 			if known, ok := r.routes[entry.ID]; ok {
 				routes[entry.ID] = known
@@ -61,9 +62,9 @@
 // randomLists are lists of a small site: whole ones and changes, with hosts that drain, go, come back, move to other
 // addresses, are named twice or cannot be read. None moves to another destination: there the old relay never sent to it
 // again.
-func randomLists(rng *rand.Rand) (lists []List, texts [][]string) {
+func randomLists(rng *rand.Rand) (lists []discovery.List, texts [][]string) {
 	for range 1 + rng.IntN(20) {
-		l := List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
+		l := discovery.List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
 		var entries []string
 		for range rng.IntN(30) {
 			k := rng.IntN(25)
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -50,8 +50,8 @@
 	) != 0 {
 		t.Error("sent without its body")
 	}
-	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
-		t.Errorf("notices %+v, held %d", r.finals.queue, r.pending)
+	if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
+		t.Errorf("notices %+v, held %d", r.finals.Pending(), r.pending)
 	}
 	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.status != 202 {
 		t.Errorf("afterwards: %+v", a)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -32,9 +33,9 @@
 			evs = r.callEnded(evs, e)
 		case attemptTimeout:
 			evs = r.attemptEnded(evs, e.attempt, result{outcome: policy.Timeout, took: time.Since(e.attempt.sent)})
-		case List:
+		case discovery.List:
 			evs = append(evs, r.applyList(e)...)
-		case *SnapshotPart:
+		case *discovery.SnapshotPart:
 			r.applyPart(e)
 			evs = append(evs, r.deferredEvents...)
 			r.deferredEvents = r.deferredEvents[:0]
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -37,7 +38,7 @@
 			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
-			r.step([]any{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}})
+			r.step([]any{discovery.List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}})
 		}},
 		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
@@ -552,7 +553,7 @@
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
 			r.send(hotrestart.Frame{Outcome: &o})
-		case *SnapshotPart:
+		case *discovery.SnapshotPart:
 			e.Reply <- true // nobody here goes by it any more
 		case sendCheck:
 			e.reply <- nil // nobody here can tell any more
