--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -95,8 +95,8 @@
 		for {
 			select {
 			case e := <-r.events:
-				if p, ok := e.(*discovery.SnapshotPart); ok {
-					p.Reply <- true
+				if p, ok := e.(partEvent); ok {
+					p.part.Reply <- true
 				}
 			case <-ended:
 				return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,7 +56,7 @@
 	agent            *discovery.Client
 	recorder         *recording
 	fleet            *fleet.Member // nil: this relay tells others nothing and hears nothing
-	events           chan any
+	events           chan event
 	sharedRecorder   atomic.Pointer[recording]     // rec, for other goroutines
 	awaitingHandover atomic.Bool                   // for the process before this one to hand over
 	loopDone         chan struct{}                 // closed when the loop has ended
@@ -96,6 +96,7 @@
 	lastMessageID     uint32
 	timerAt           time.Time       // zero: none asked for
 	deferredEvents    []policy.Event  // for the next step
+	current           stepState       // of the step that runs
 	journalFull       ratelog.Warning // the log takes no new work
 	sendsUnrecorded   ratelog.Warning // nor the sends of calls
 	unreadableEntries ratelog.Warning // entries of the list cannot be read
@@ -113,7 +114,7 @@
 	started := time.Now().Add(-initialClock)
 	r := &Relay{
 		cfg: cfg, log: log, logOut: out, recorder: newRecording(cfg, log, out, started, sender, 0), agent: discovery.NewClient(cfg.DiscoveryAddr),
-		events: make(chan any, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
+		events: make(chan event, eventQueueSize), loopDone: make(chan struct{}), drained: make(chan struct{}),
 		started: started, engine: sender, activeCalls: map[*call]struct{}{}, endpointState: endpointState{catalogFull: ratelog.Warning{Message: "no room for all hosts"}},
 		journalFull: ratelog.Warning{
 			Message: "refusing new messages",
@@ -219,8 +220,8 @@
 		HasList:       r.endpointsKnown.Load(),
 		Version:       r.listVersion,
 		NeedsSnapshot: r.snapshotNeeded,
-		OnUpdate:      func(l discovery.List) { r.post(l) },
-		OnPart:        func(p *discovery.SnapshotPart) bool { return r.post(p) },
+		OnUpdate:      func(l discovery.List) { r.post(listEvent{l}) },
+		OnPart:        func(p *discovery.SnapshotPart) bool { return r.post(partEvent{p}) },
 		Stopped:       r.loopDone,
 		LargeList:     r.largeList.Load,
 	}
