--- a/internal/relay/discovery/parts.go
+++ b/internal/relay/discovery/parts.go
@@ -9,26 +9,30 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// MaxPartEntries is how many entries the loop takes at once: well under a millisecond's work.
+// MaxPartEntries is how many entries the loop applies at once: well under a millisecond's work.
 const MaxPartEntries = 512
 
-// PartKind is what a part of a long list is.
+// PartKind is what a part of a long list carries.
 type PartKind int
 
 const (
-	PartBegin   PartKind = iota // of a list
-	PartEntries                 // some of its entries
-	PartSweep                   // of those that a whole list did not name
-	PartEnd                     // all has been told: its version holds
+	// PartBegin begins a list.
+	PartBegin PartKind = iota
+	// PartEntries carries some of its entries.
+	PartEntries
+	// PartSweep removes some of the endpoints that a complete list did not name.
+	PartSweep
+	// PartEnd ends the list: its version is reached.
+	PartEnd
 )
 
-// SnapshotPart is a part of a long list. The next one comes once done has its answer.
+// SnapshotPart is a part of a long list. The next one comes once Reply has its answer.
 type SnapshotPart struct {
 	Kind    PartKind
 	Entries []Entry
 	Version int64
-	// done takes one answer without waiting. For a sweep: whether that was all. For the end: whether there was room for
-	// it all.
+	// Reply is buffered and receives one answer. For a sweep: whether it was the last. For the end: whether the catalog
+	// holds all entries.
 	Reply chan bool
 }
 
