--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -67,10 +67,10 @@
 // explain writes one recording's report, or its report of one message, and reports whether there was any.
 func (c *explainCommand) explain(out io.Writer, recording flightrecorder.Recording) (written bool, err error) {
 	report, err := explain.Explain(recording.Data, explain.Options{
-		From:     c.From,
-		To:       c.To,
-		Every:    c.Every,
-		Messages: c.Message != "" || c.Format == "jsonl",
+		From:           c.From,
+		To:             c.To,
+		SampleInterval: c.Every,
+		Messages:       c.Message != "" || c.Format == "jsonl",
 	})
 	if err != nil {
 		return false, fmt.Errorf("recording %016x: %w", recording.ID, err)
--- a/internal/recording/chart/plot.go
+++ b/internal/recording/chart/timeline.go
@@ -16,7 +16,7 @@
 	plotRight  = 10.0
 	plotTop    = 16.0
 	plotBottom = 18.0
-	binsMost   = 240 // along the time axis, by default
+	maxBins    = 240 // along the time axis, by default
 )
 
 // Series is one line, or one layer of a stack, with a value for each bin; NaN leaves a gap.
@@ -29,7 +29,7 @@
 type Plot struct {
 	Title, Unit string
 	Height      float64
-	Most        float64 // of the value axis; 0: what the values need
+	Max         float64 // of the value axis; 0: what the values need
 	Stacked     bool
 	Series      []Series
 }
@@ -58,7 +58,7 @@
 // NewTimeline returns a time axis of a length, in bins of a second or, where it is long, of more.
 func NewTimeline(length time.Duration) *Timeline {
 	t := &Timeline{Length: max(length, time.Second), Bin: time.Second}
-	for t.Length/t.Bin > binsMost {
+	for t.Length/t.Bin > maxBins {
 		t.Bin *= 2
 	}
 	t.Bins = int((t.Length + t.Bin - 1) / t.Bin)
@@ -77,9 +77,9 @@
 
 // Draw is a plot as SVG.
 func (t *Timeline) Draw(p Plot) template.HTML {
-	most := p.Most
+	most := p.Max
 	if most == 0 {
-		most = niceAbove(p.highest())
+		most = roundUp(p.highest())
 	}
 	inner := p.Height - plotTop - plotBottom
 	y := func(v float64) float64 { return plotTop + inner*(1-min(1, max(0, v/most))) }
@@ -113,10 +113,10 @@
 			plotWidth-plotRight,
 			plotLeft-4,
 			y(v)+3,
-			number(v),
+			formatNumber(v),
 		)
 	}
-	for s, step := time.Duration(0), timeStep(t.Length); s <= t.Length; s += step {
+	for s, step := time.Duration(0), tickInterval(t.Length); s <= t.Length; s += step {
 		fmt.Fprintf(
 			&b,
 			`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`,
@@ -217,8 +217,8 @@
 	}
 }
 
-// niceAbove is a round number that is not below x.
-func niceAbove(x float64) float64 {
+// roundUp is a round number that is not below x.
+func roundUp(x float64) float64 {
 	if x <= 0 {
 		return 1
 	}
@@ -231,7 +231,7 @@
 	return 10 * scale
 }
 
-func timeStep(length time.Duration) time.Duration {
+func tickInterval(length time.Duration) time.Duration {
 	for _, s := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute, 5 * time.Minute} {
 		if length/s <= 20 {
 			return s
@@ -240,7 +240,7 @@
 	return 10 * time.Minute
 }
 
-func number(v float64) string {
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) {
 		return fmt.Sprintf("%.0f", v)
 	}
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -16,13 +16,13 @@
 
 // Bounds of what an explanation keeps.
 const (
-	binsMost        = 600
-	transitionsMost = 100_000
-	spansMost       = 1000 // of one message
+	maxBins        = 600
+	maxTransitions = 100_000
+	maxSpans       = 1000 // of one message
 )
 
-// causes are the words for what holds a message.
-var causes = [...]string{
+// causeNames are the words for what holds a message.
+var causeNames = [...]string{
 	policy.NotBlocked: "its turn in the queue", policy.AttemptsExhausted: "no attempt or time left", policy.EndpointDraining: "no route in service",
 	policy.WaitingForKey: "an earlier message of its key", policy.WrongDedupZone: "a repeat is bound to another zone", policy.InsufficientTime: "no time left for an answer",
 	policy.TrialInFlight: "a trial call is out", policy.EndpointSaturated: "too many calls out or overdue", policy.OrderingPause: "its key rests",
@@ -32,24 +32,24 @@
 
 // CauseName is a cause in words.
 func CauseName(c policy.BlockCause) string {
-	if c < 0 || int(c) >= len(causes) {
+	if c < 0 || int(c) >= len(causeNames) {
 		return fmt.Sprintf("cause %d", int(c))
 	}
-	return causes[c]
+	return causeNames[c]
 }
 
-// outcomes are the words for how a call ended.
-var outcomes = [...]string{
+// outcomeNames are the words for how a call ended.
+var outcomeNames = [...]string{
 	policy.OK: "delivered", policy.Error: "error", policy.Overloaded: "refused", policy.Timeout: "timed out",
 	policy.ConnectFailed: "not connected", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
 }
 
 // OutcomeName is an outcome in words.
 func OutcomeName(o policy.Outcome) string {
-	if o < 0 || int(o) >= len(outcomes) {
+	if o < 0 || int(o) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome %d", int(o))
 	}
-	return outcomes[o]
+	return outcomeNames[o]
 }
 
 // Options say what is looked at.
@@ -57,7 +57,7 @@
 	From, To time.Duration // of the module's time; To 0: to the end
 	// Every is how often, in recorded time, the messages are looked at; 0: after each step. What holds a message at one
 	// look counts until the next.
-	Every time.Duration
+	SampleInterval time.Duration
 	// Messages keeps the story of every message, by number; it takes memory in proportion to them.
 	Messages bool
 }
@@ -89,113 +89,113 @@
 
 // Destination is what happened at one destination.
 type Destination struct {
-	ID        int
-	Taken     int
-	Calls     map[policy.Outcome]int // ended, by outcome, counted for each message
-	Sent      int
-	Refused   int
-	Failed    int
-	Waits     Waits
-	WorstWait time.Duration // longest that one message waited in one go
-	MostQueue int
-	Routes    []*Route
-}
-
-// Route is a route's history on the report's axis.
-type Route struct {
-	Name                         string
-	Destination, Zone            int
-	Shared                       string // the first route of its gate, whose pace and limit it shares
-	Listed, Limit                float64
-	Pace, Ceiling, Believed      []float64 // calls a second, at the end of each bin; 0: free, none
-	Queue                        []float64 // messages waiting at the destination, the most in each bin
-	OK, Full, Bad                []float64 // outcomes in each bin
-	Sent                         []float64
-	Skipped, Doubted, ToldToWait []bool
-	last                         policy.EndpointView
-	at                           time.Duration // of last
-	seen                         bool
+	ID          int
+	Accepted    int
+	Calls       map[policy.Outcome]int // ended, by outcome, counted for each message
+	Sent        int
+	Rejected    int
+	Failed      int
+	Waits       Waits
+	LongestWait time.Duration // longest that one message waited in one go
+	MaxQueued   int
+	Endpoints   []*Endpoint
+}
+
+// Endpoint is a route's history on the report's axis.
+type Endpoint struct {
+	Name                                         string
+	Destination, Zone                            int
+	LimitScope                                   string // the first route of its gate, whose pace and limit it shares
+	Listed, Limit                                float64
+	PacingRate, LastRejectedRate, EstimatedLimit []float64 // calls a second, at the end of each bin; 0: free, none
+	Queued                                       []float64 // messages waiting at the destination, the most in each bin
+	Delivered, Rejected, Failed                  []float64 // outcomes in each bin
+	Sent                                         []float64
+	Ejected, WarmingUp, RetryAfter               []bool
+	last                                         policy.EndpointView
+	lastAt                                       time.Duration // of last
+	seen                                         bool
 }
 
 // Transition is a change in what the module holds of a route.
 type Transition struct {
 	At          time.Duration
 	Destination int
-	Route       string
-	What        string
-	By          string // the outcome that brought it, where one did
+	Endpoint    string
+	Text        string
+	Outcome     string // the outcome that brought it, where one did
 }
 
 // Span is a time in which one cause held a message.
 type Span struct {
 	From, To time.Duration
 	Cause    policy.BlockCause
-	Route    string
+	Endpoint string
 	Until    time.Duration // as the module saw it; math.MaxInt64: open
 }
 
 // Attempt is a send of a message, and what became of it.
 type Attempt struct {
-	N       int
-	Route   string
-	At      time.Duration
-	CutAt   time.Duration
-	EndedAt time.Duration // 0: not by the end
-	Outcome policy.Outcome
-	Took    time.Duration
-	Wait    time.Duration // told
+	Number     int
+	Endpoint   string
+	SentAt     time.Duration
+	TimeoutAt  time.Duration
+	EndedAt    time.Duration // 0: not by the end
+	Outcome    policy.Outcome
+	Latency    time.Duration
+	RetryAfter time.Duration // told
 }
 
 // Message is the story of one message.
 type Message struct {
-	ID          uint32
-	Trace       string
-	Destination int
-	Class       int
-	TakenAt     time.Duration
-	Left        time.Duration // to its deadline, when it was taken
-	Resumed     bool
-	Earlier     int // attempts of an earlier process
-	Spans       []Span
-	Attempts    []Attempt
-	EndedAt     time.Duration // 0: not by the end
-	End         string
-	Advice      time.Duration // with a refusal
+	ID              uint32
+	Trace           string
+	Destination     int
+	Class           int
+	AcceptedAt      time.Duration
+	TimeLeft        time.Duration // to its deadline, when it was taken
+	Recovered       bool
+	EarlierAttempts int // attempts of an earlier process
+	Spans           []Span
+	Attempts        []Attempt
+	EndedAt         time.Duration // 0: not by the end
+	End             string
+	RetryAfter      time.Duration // with a refusal
 }
 
 // Report is an explanation of one recording.
 type Report struct {
-	Meta         flightrecorder.Meta
-	Replay       replay.Result
-	From, To     time.Duration
-	Bin          time.Duration
-	Bins         int
-	Destinations []*Destination // by number
-	Transitions  []Transition
-	Slots        []float64 // taken, the most in each bin
-	SlotsMost    int       // the settings'
-	Queue        []float64 // messages waiting, the most in each bin
-	Messages     map[uint32]*Message
-	Notes        []string
-	Truncated    bool // more transitions or spans than are kept
+	Meta             flightrecorder.Meta
+	Replay           replay.Result
+	From, To         time.Duration
+	Bin              time.Duration
+	Bins             int
+	Destinations     []*Destination // by number
+	Transitions      []Transition
+	InFlightCalls    []float64 // taken, the most in each bin
+	MaxInFlightCalls int       // the settings'
+	Queued           []float64 // messages waiting, the most in each bin
+	Messages         map[uint32]*Message
+	Notes            []string
+	Truncated        bool // more transitions or spans than are kept
 }
 
 // builder is an explanation at work.
 type builder struct {
-	opts    Options
-	rep     *Report
-	dests   map[int]*Destination
-	routes  map[string]*Route
-	dest    map[uint32]int // of messages
-	traces  map[uint32]string
-	held    []policy.Blocker // what held each message that waited at the last look
-	since   map[uint32]time.Duration
-	looked  time.Duration
-	stepped time.Duration // the last step
-	set     policy.Settings
-	some    bool              // a look was taken
-	outcome map[string]string // by route, in the step at hand
-	err     error
+	opts          Options
+	report        *Report
+	destinations  map[int]*Destination
+	endpoints     map[string]*Endpoint
+	destinationOf map[uint32]int // of messages
+	traces        map[uint32]string
+	blockers      []policy.Blocker // what held each message that waited at the last look
+	since         map[uint32]time.Duration
+	sampledAt     time.Duration
+	steppedAt     time.Duration // the last step
+	settings      policy.Settings
+	sampled       bool              // a look was taken
+	outcomes      map[string]string // by route, in the step at hand
+	err           error
 }
 
 // Explain plays a recording and explains it.
@@ -212,24 +212,24 @@
 		return nil, fmt.Errorf("explain: the recording holds nothing from %v to %v", from, to)
 	}
 	rep := &Report{
-		Meta:      meta,
-		From:      from,
-		To:        to,
-		Bin:       250 * time.Millisecond,
-		SlotsMost: meta.Settings.MaxInFlightCalls,
-		Messages:  map[uint32]*Message{},
-	}
-	for (to-from)/rep.Bin >= binsMost {
+		Meta:             meta,
+		From:             from,
+		To:               to,
+		Bin:              250 * time.Millisecond,
+		MaxInFlightCalls: meta.Settings.MaxInFlightCalls,
+		Messages:         map[uint32]*Message{},
+	}
+	for (to-from)/rep.Bin >= maxBins {
 		rep.Bin *= 2
 	}
 	rep.Bins = int((to-from)/rep.Bin) + 1
-	rep.Slots, rep.Queue = make([]float64, rep.Bins), make([]float64, rep.Bins)
+	rep.InFlightCalls, rep.Queued = make([]float64, rep.Bins), make([]float64, rep.Bins)
 	b := &builder{
-		opts: opts, rep: rep, dests: map[int]*Destination{}, routes: map[string]*Route{}, dest: map[uint32]int{}, traces: map[uint32]string{},
-		since: map[uint32]time.Duration{}, outcome: map[string]string{},
+		opts: opts, report: rep, destinations: map[int]*Destination{}, endpoints: map[string]*Endpoint{}, destinationOf: map[uint32]int{}, traces: map[uint32]string{},
+		since: map[uint32]time.Duration{}, outcomes: map[string]string{},
 	}
 	rep.Replay, err = replay.Play(data, replay.Visitor{
-		Settings: func(set policy.Settings) { b.set = set }, Begin: b.begin, Before: b.before, Step: b.step, Other: b.other,
+		Settings: func(set policy.Settings) { b.settings = set }, Begin: b.begin, Before: b.before, Step: b.step, Other: b.other,
 	})
 	if err != nil {
 		return nil, err
@@ -237,10 +237,10 @@
 	if b.err != nil {
 		return nil, b.err
 	}
-	b.attribute(to)
-	for _, d := range b.dests {
+	b.attributeWaits(to)
+	for _, d := range b.destinations {
 		rep.Destinations = append(rep.Destinations, d)
-		slices.SortFunc(d.Routes, func(a, b *Route) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(d.Endpoints, func(a, b *Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	slices.SortFunc(rep.Destinations, func(a, b *Destination) int { return cmp.Compare(a.ID, b.ID) })
 	return rep, nil
@@ -272,39 +272,39 @@
 }
 
 func (b *builder) bin(at time.Duration) int {
-	return min(b.rep.Bins-1, max(0, int((at-b.rep.From)/b.rep.Bin)))
+	return min(b.report.Bins-1, max(0, int((at-b.report.From)/b.report.Bin)))
 }
 
-func (b *builder) in(at time.Duration) bool { return at >= b.rep.From && at <= b.rep.To }
+func (b *builder) inRange(at time.Duration) bool { return at >= b.report.From && at <= b.report.To }
 
 func (b *builder) destination(id int) *Destination {
-	d := b.dests[id]
+	d := b.destinations[id]
 	if d == nil {
 		d = &Destination{ID: id, Calls: map[policy.Outcome]int{}, Waits: Waits{}}
-		b.dests[id] = d
+		b.destinations[id] = d
 	}
 	return d
 }
 
-func (b *builder) route(v policy.EndpointView) *Route {
-	r := b.routes[v.ID]
+func (b *builder) endpoint(v policy.EndpointView) *Endpoint {
+	r := b.endpoints[v.ID]
 	if r == nil {
-		bins := func() []float64 { return make([]float64, b.rep.Bins) }
-		flags := func() []bool { return make([]bool, b.rep.Bins) }
-		r = &Route{
-			Name: v.ID, Destination: v.Destination, Zone: v.Zone, Pace: bins(), Ceiling: bins(), Believed: bins(), Queue: bins(), OK: bins(),
-			Full: bins(), Bad: bins(), Sent: bins(), Skipped: flags(), Doubted: flags(), ToldToWait: flags(),
+		bins := func() []float64 { return make([]float64, b.report.Bins) }
+		flags := func() []bool { return make([]bool, b.report.Bins) }
+		r = &Endpoint{
+			Name: v.ID, Destination: v.Destination, Zone: v.Zone, PacingRate: bins(), LastRejectedRate: bins(), EstimatedLimit: bins(), Queued: bins(), Delivered: bins(),
+			Rejected: bins(), Failed: bins(), Sent: bins(), Ejected: flags(), WarmingUp: flags(), RetryAfter: flags(),
 		}
-		b.routes[v.ID] = r
+		b.endpoints[v.ID] = r
 		d := b.destination(v.Destination)
-		d.Routes = append(d.Routes, r)
+		d.Endpoints = append(d.Endpoints, r)
 	}
 	return r
 }
 
 // begin starts with what a Sender holds that was restored in mid-life.
 func (b *builder) begin(s *policy.Engine, e *flightrecorder.Entry) {
-	b.look(s, e.Now)
+	b.sample(s, e.Now)
 }
 
 func (b *builder) other(e *flightrecorder.Entry) {
@@ -312,24 +312,24 @@
 	case flightrecorder.Label:
 		b.traces[e.MessageID] = e.Text
 	case flightrecorder.Note:
-		b.rep.Notes = append(b.rep.Notes, e.Text)
+		b.report.Notes = append(b.report.Notes, e.Text)
 	case flightrecorder.Lost:
-		b.held, b.some = nil, false
+		b.blockers, b.sampled = nil, false
 	}
 }
 
 // before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what
 // held before it: when the last step fell close behind a look, what it left behind holds all the while.
 func (b *builder) before(s *policy.Engine, e *flightrecorder.Entry) {
-	if b.some && b.stepped > b.looked && e.Now-b.stepped >= b.opts.Every {
-		b.look(s, b.stepped)
+	if b.sampled && b.steppedAt > b.sampledAt && e.Now-b.steppedAt >= b.opts.SampleInterval {
+		b.sample(s, b.steppedAt)
 	}
 }
 
 func (b *builder) step(s *policy.Engine, e *flightrecorder.Entry) {
 	now := e.Now
-	b.stepped = now
-	clear(b.outcome)
+	b.steppedAt = now
+	clear(b.outcomes)
 	for i := range e.Events {
 		b.event(now, &e.Events[i])
 	}
@@ -337,29 +337,29 @@
 		b.action(now, &e.Actions[i])
 	}
 	switch {
-	case !b.some || now < b.looked || now-b.looked >= b.opts.Every:
-		b.look(s, now)
-	case len(b.outcome) > 0: // what changed at the routes is told with the outcomes that brought it
+	case !b.sampled || now < b.sampledAt || now-b.sampledAt >= b.opts.SampleInterval:
+		b.sample(s, now)
+	case len(b.outcomes) > 0: // what changed at the routes is told with the outcomes that brought it
 		views, _ := s.Views()
-		b.compare(now, views)
+		b.updateEndpoints(now, views)
 	}
 }
 
 func (b *builder) event(now time.Duration, x *policy.Event) {
 	switch x.Kind {
 	case policy.MessageAccepted:
-		b.dest[x.MessageID] = x.Destination
-		if b.in(now) {
-			b.destination(x.Destination).Taken++
+		b.destinationOf[x.MessageID] = x.Destination
+		if b.inRange(now) {
+			b.destination(x.Destination).Accepted++
 		}
 		if b.opts.Messages {
 			m := &Message{
-				ID: x.MessageID, Trace: b.traces[x.MessageID], Destination: x.Destination, Class: x.Class, TakenAt: now, Left: x.TimeLeft, Resumed: x.Recovered != nil,
+				ID: x.MessageID, Trace: b.traces[x.MessageID], Destination: x.Destination, Class: x.Class, AcceptedAt: now, TimeLeft: x.TimeLeft, Recovered: x.Recovered != nil,
 			}
-			if m.Resumed {
-				m.Earlier = x.Recovered.Attempts
+			if m.Recovered {
+				m.EarlierAttempts = x.Recovered.Attempts
 			}
-			b.rep.Messages[x.MessageID] = m
+			b.report.Messages[x.MessageID] = m
 		}
 		delete(b.traces, x.MessageID)
 	case policy.AttemptFinished:
@@ -367,30 +367,30 @@
 		if x.RetryAfter > 0 {
 			word += fmt.Sprintf(", wait %v", x.RetryAfter)
 		}
-		if known := b.outcome[x.Endpoint]; known != "" && known != word {
+		if known := b.outcomes[x.Endpoint]; known != "" && known != word {
 			word = known + "; " + word
 		}
-		b.outcome[x.Endpoint] = word
-		if d, known := b.dest[x.MessageID]; known && b.in(now) {
+		b.outcomes[x.Endpoint] = word
+		if d, known := b.destinationOf[x.MessageID]; known && b.inRange(now) {
 			b.destination(d).Calls[x.Outcome]++
 		}
-		if r := b.routes[x.Endpoint]; r != nil && b.in(now) {
-			series := r.Bad
+		if r := b.endpoints[x.Endpoint]; r != nil && b.inRange(now) {
+			series := r.Failed
 			switch x.Outcome {
 			case policy.OK:
-				series = r.OK
+				series = r.Delivered
 			case policy.Overloaded:
-				series = r.Full
+				series = r.Rejected
 			}
 			series[b.bin(now)]++
 		}
-		m := b.rep.Messages[x.MessageID]
+		m := b.report.Messages[x.MessageID]
 		if m == nil {
 			break
 		}
 		for i := range m.Attempts {
-			if a := &m.Attempts[i]; a.N == x.Attempt && a.EndedAt == 0 {
-				a.EndedAt, a.Outcome, a.Took, a.Wait = now, x.Outcome, x.Latency, x.RetryAfter
+			if a := &m.Attempts[i]; a.Number == x.Attempt && a.EndedAt == 0 {
+				a.EndedAt, a.Outcome, a.Latency, a.RetryAfter = now, x.Outcome, x.Latency, x.RetryAfter
 			}
 		}
 		if x.MessageEnded && m.EndedAt == 0 {
@@ -400,38 +400,38 @@
 			}
 		}
 	case policy.MessageCancelled:
-		if m := b.rep.Messages[x.MessageID]; m != nil && m.EndedAt == 0 {
+		if m := b.report.Messages[x.MessageID]; m != nil && m.EndedAt == 0 {
 			m.EndedAt, m.End = now, "withdrawn"
 		}
 	}
 }
 
 func (b *builder) action(now time.Duration, a *policy.Action) {
-	m := b.rep.Messages[a.MessageID]
-	d, known := b.dest[a.MessageID]
-	counts := known && b.in(now)
+	m := b.report.Messages[a.MessageID]
+	d, known := b.destinationOf[a.MessageID]
+	counts := known && b.inRange(now)
 	switch a.Kind {
 	case policy.Send:
 		if counts {
 			b.destination(d).Sent++
 		}
-		if r := b.routes[a.Endpoint]; r != nil && b.in(now) {
+		if r := b.endpoints[a.Endpoint]; r != nil && b.inRange(now) {
 			r.Sent[b.bin(now)]++
 		}
 		if m != nil {
 			m.Attempts = append(
 				m.Attempts,
-				Attempt{N: m.Earlier + len(m.Attempts), Route: a.Endpoint, At: now, CutAt: a.TimeoutAt},
+				Attempt{Number: m.EarlierAttempts + len(m.Attempts), Endpoint: a.Endpoint, SentAt: now, TimeoutAt: a.TimeoutAt},
 			)
 		}
 	case policy.Reject, policy.Fail:
 		if counts && a.Kind == policy.Reject {
-			b.destination(d).Refused++
+			b.destination(d).Rejected++
 		} else if counts {
 			b.destination(d).Failed++
 		}
 		if m != nil && m.EndedAt == 0 {
-			m.EndedAt, m.End, m.Advice = now, "failed", a.Delay
+			m.EndedAt, m.End, m.RetryAfter = now, "failed", a.Delay
 			if a.Kind == policy.Reject {
 				m.End = "refused"
 			}
@@ -439,13 +439,13 @@
 	}
 }
 
-// look sees what the module holds after a step.
-func (b *builder) look(s *policy.Engine, now time.Duration) {
-	b.attribute(now)
+// sample sees what the module holds after a step.
+func (b *builder) sample(s *policy.Engine, now time.Duration) {
+	b.attributeWaits(now)
 	views, slots := s.Views()
-	if b.in(now) {
+	if b.inRange(now) {
 		i := b.bin(now)
-		b.rep.Slots[i] = max(b.rep.Slots[i], float64(slots))
+		b.report.InFlightCalls[i] = max(b.report.InFlightCalls[i], float64(slots))
 		queue, counted := 0, map[int]bool{}
 		for k := range views {
 			if v := &views[k]; !counted[v.Destination] {
@@ -453,25 +453,25 @@
 				queue += v.Queued
 			}
 		}
-		b.rep.Queue[i] = max(b.rep.Queue[i], float64(queue))
+		b.report.Queued[i] = max(b.report.Queued[i], float64(queue))
 	}
-	b.compare(now, views)
-	b.looked, b.some = now, true
+	b.updateEndpoints(now, views)
+	b.sampledAt, b.sampled = now, true
 	waiting := slices.ContainsFunc(views, func(v policy.EndpointView) bool { return v.Queued > 0 })
-	if b.held = nil; !waiting && len(b.dests) > 0 && len(views) > 0 {
+	if b.blockers = nil; !waiting && len(b.destinations) > 0 && len(views) > 0 {
 		return
 	}
 	// Holds may cast doubt on routes, as dispatch does: a copy is asked.
-	copied, err := policy.Restore(b.set, s.Snapshot(nil))
+	copied, err := policy.Restore(b.settings, s.Snapshot(nil))
 	if err != nil {
 		b.err = cmp.Or(b.err, fmt.Errorf("explain: %w", err))
 		return
 	}
-	b.held = binding(copied.Blockers())
+	b.blockers = bindingBlockers(copied.Blockers())
 }
 
-// binding keeps for each message the hold that ends first: that of the route it will take.
-func binding(holds []policy.Blocker) []policy.Blocker {
+// bindingBlockers keeps for each message the hold that ends first: that of the route it will take.
+func bindingBlockers(holds []policy.Blocker) []policy.Blocker {
 	kept := holds[:0]
 	for _, h := range holds {
 		if n := len(kept); n > 0 && kept[n-1].MessageID == h.MessageID {
@@ -485,88 +485,88 @@
 	return kept
 }
 
-// attribute counts the time since the last look for the causes that were seen then.
-func (b *builder) attribute(now time.Duration) {
-	from, to := max(b.looked, b.rep.From), min(now, b.rep.To)
-	if !b.some || to <= from {
+// attributeWaits counts the time since the last look for the causes that were seen then.
+func (b *builder) attributeWaits(now time.Duration) {
+	from, to := max(b.sampledAt, b.report.From), min(now, b.report.To)
+	if !b.sampled || to <= from {
 		return
 	}
-	for _, h := range b.held {
-		id, known := b.dest[h.MessageID]
+	for _, h := range b.blockers {
+		id, known := b.destinationOf[h.MessageID]
 		if !known { // taken before the recording began
-			if r := b.routes[h.Endpoint]; r != nil {
+			if r := b.endpoints[h.Endpoint]; r != nil {
 				id = r.Destination
 			}
 		}
 		d := b.destination(id)
 		d.Waits[h.Cause] += (to - from).Seconds()
-		m := b.rep.Messages[h.MessageID]
+		m := b.report.Messages[h.MessageID]
 		if m == nil {
 			continue
 		}
 		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause &&
-			m.Spans[n-1].Route == h.Endpoint {
+			m.Spans[n-1].Endpoint == h.Endpoint {
 			m.Spans[n-1].To, m.Spans[n-1].Until = to, h.Until
-		} else if n < spansMost {
+		} else if n < maxSpans {
 			m.Spans = append(m.Spans, Span{from, to, h.Cause, h.Endpoint, h.Until})
 		} else {
-			b.rep.Truncated = true
+			b.report.Truncated = true
 		}
 	}
 }
 
-// compare notes what changed at the routes since the last look.
-func (b *builder) compare(now time.Duration, views []policy.EndpointView) {
+// updateEndpoints notes what changed at the routes since the last look.
+func (b *builder) updateEndpoints(now time.Duration, views []policy.EndpointView) {
 	i := b.bin(now)
 	gates := map[int]string{} // the first route of each shared gate
 	for k := range views {
 		v := &views[k]
-		r := b.route(*v)
-		shared := v.Kind < 0 || v.Kind >= len(b.set.DestinationKinds) ||
-			!b.set.DestinationKinds[v.Kind].LimitPerEndpoint
-		if r.Shared = v.ID; shared {
+		r := b.endpoint(*v)
+		shared := v.Kind < 0 || v.Kind >= len(b.settings.DestinationKinds) ||
+			!b.settings.DestinationKinds[v.Kind].LimitPerEndpoint
+		if r.LimitScope = v.ID; shared {
 			if gates[v.Destination] == "" {
 				gates[v.Destination] = v.ID
 			}
-			r.Shared = gates[v.Destination]
+			r.LimitScope = gates[v.Destination]
 		}
 		r.Listed, r.Limit = v.Weight, v.Limit
-		if b.in(now) {
+		if b.inRange(now) {
 			from := 0
 			if r.seen {
-				from = b.bin(r.at)
+				from = b.bin(r.lastAt)
 			}
 			for j := max(from, 0); j <= i; j++ { // what held goes on holding until now
 				was := r.last
 				if j == i || !r.seen {
 					was = *v
 				}
-				r.Pace[j], r.Ceiling[j], r.Believed[j] = was.PacingRate, was.LastRejectedRate, was.Limit
-				r.Queue[j] = max(r.Queue[j], float64(was.Queued))
-				at := b.rep.From + time.Duration(j)*b.rep.Bin
-				r.Skipped[j] = r.Skipped[j] || was.Ejected && was.EjectedUntil > at
-				r.Doubted[j] = r.Doubted[j] || was.WarmingUp
-				r.ToldToWait[j] = r.ToldToWait[j] || was.RetryAfterUntil > at
+				r.PacingRate[j], r.LastRejectedRate[j], r.EstimatedLimit[j] = was.PacingRate, was.LastRejectedRate, was.Limit
+				r.Queued[j] = max(r.Queued[j], float64(was.Queued))
+				at := b.report.From + time.Duration(j)*b.report.Bin
+				r.Ejected[j] = r.Ejected[j] || was.Ejected && was.EjectedUntil > at
+				r.WarmingUp[j] = r.WarmingUp[j] || was.WarmingUp
+				r.RetryAfter[j] = r.RetryAfter[j] || was.RetryAfterUntil > at
 			}
 			d := b.destination(v.Destination)
-			d.MostQueue = max(d.MostQueue, v.Queued)
+			d.MaxQueued = max(d.MaxQueued, v.Queued)
 		}
-		if r.seen && b.in(now) {
-			b.transitions(now, r, v)
+		if r.seen && b.inRange(now) {
+			b.recordTransitions(now, r, v)
 		}
-		r.last, r.at, r.seen = *v, now, true
+		r.last, r.lastAt, r.seen = *v, now, true
 	}
 }
 
-func (b *builder) transitions(now time.Duration, r *Route, v *policy.EndpointView) {
+func (b *builder) recordTransitions(now time.Duration, r *Endpoint, v *policy.EndpointView) {
 	add := func(format string, args ...any) {
-		if len(b.rep.Transitions) >= transitionsMost {
-			b.rep.Truncated = true
+		if len(b.report.Transitions) >= maxTransitions {
+			b.report.Truncated = true
 			return
 		}
-		b.rep.Transitions = append(
-			b.rep.Transitions,
-			Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcome[v.ID]},
+		b.report.Transitions = append(
+			b.report.Transitions,
+			Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcomes[v.ID]},
 		)
 	}
 	was := &r.last
@@ -576,7 +576,7 @@
 	case v.InService != was.InService:
 		add("drains")
 	}
-	if r.Shared == v.ID {
+	if r.LimitScope == v.ID {
 		if v.DecreasedAt != was.DecreasedAt {
 			add(
 				"pace halved from %s to %.2f a second (limit believed %.2f)",
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -13,24 +13,24 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// script records a Sender that is told things on given times, and woken as it asks.
-type script struct {
-	s    *policy.Engine
-	rec  *flightrecorder.Recorder
-	now  time.Duration
-	wake time.Duration
-	out  map[uint32]int // sends
+// recordedEngine records a Sender that is told things on given times, and woken as it asks.
+type recordedEngine struct {
+	engine   *policy.Engine
+	recorder *flightrecorder.Recorder
+	now      time.Duration
+	timerAt  time.Duration
+	sends    map[uint32]int // sends
 }
 
-func newScript(t *testing.T, set policy.Settings) *script {
+func newRecordedEngine(t *testing.T, set policy.Settings) *recordedEngine {
 	t.Helper()
 	s, err := policy.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{
-		s: s, now: time.Second, out: map[uint32]int{},
-		rec: flightrecorder.NewRecorder(
+	return &recordedEngine{
+		engine: s, now: time.Second, sends: map[uint32]int{},
+		recorder: flightrecorder.NewRecorder(
 			flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set},
 			0,
 			s.Snapshot,
@@ -38,32 +38,32 @@
 	}
 }
 
-func (x *script) step(evs ...policy.Event) {
-	acts := x.s.Step(x.now, evs)
-	x.rec.Step(x.now, evs, acts)
+func (x *recordedEngine) step(evs ...policy.Event) {
+	acts := x.engine.Step(x.now, evs)
+	x.recorder.Step(x.now, evs, acts)
 	for _, a := range acts {
 		switch a.Kind {
 		case policy.SetTimer:
-			x.wake = x.now + a.Delay
+			x.timerAt = x.now + a.Delay
 		case policy.Send:
-			x.out[a.MessageID]++
+			x.sends[a.MessageID]++
 		}
 	}
 }
 
 // until lets time pass, with the wakes that were asked for.
-func (x *script) until(at time.Duration) {
-	for x.wake > x.now && x.wake <= at {
-		x.now, x.wake = x.wake, 0
+func (x *recordedEngine) until(at time.Duration) {
+	for x.timerAt > x.now && x.timerAt <= at {
+		x.now, x.timerAt = x.timerAt, 0
 		x.step(policy.Event{Kind: policy.TimerFired})
 	}
 	x.now = at
 }
 
-func (x *script) explain(t *testing.T, opts Options) *Report {
+func (x *recordedEngine) explain(t *testing.T, opts Options) *Report {
 	t.Helper()
 	var b bytes.Buffer
-	if _, err := x.rec.WriteTo(&b); err != nil {
+	if _, err := x.recorder.WriteTo(&b); err != nil {
 		t.Fatal(err)
 	}
 	rep, err := Explain(b.Bytes(), opts)
@@ -84,20 +84,20 @@
 	}
 }
 
-func take(id uint32) policy.Event {
+func accepted(id uint32) policy.Event {
 	return policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: 7, TimeLeft: 16 * time.Second}
 }
 
 // A message that is refused with a wait is held by it for just that long, and its story tells so.
-func TestTheStoryOfAMessage(t *testing.T) {
-	x := newScript(t, settings())
-	x.rec.Label(1, "trace-one")
+func TestMessageIsExplained(t *testing.T) {
+	x := newRecordedEngine(t, settings())
+	x.recorder.Label(1, "trace-one")
 	x.step(
 		policy.Event{
 			Kind:      policy.EndpointSnapshot,
 			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
 		},
-		take(1),
+		accepted(1),
 	)
 	x.until(1100 * time.Millisecond)
 	x.step(
@@ -124,7 +124,7 @@
 	)
 	rep := x.explain(t, Options{Messages: true})
 	d := rep.Destinations[0]
-	if d.ID != 7 || d.Taken != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
+	if d.ID != 7 || d.Accepted != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
 		t.Errorf("%+v", d)
 	}
 	if w := d.Waits[policy.RetryAfterPending]; math.Abs(w-2) > 0.01 || math.Abs(d.Waits.Sum()-w) > 0.01 {
@@ -133,7 +133,7 @@
 	m := rep.Messages[1]
 	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending || len(m.Attempts) != 2 ||
 		m.End != "delivered" ||
-		m.Attempts[0].Wait != 2*time.Second {
+		m.Attempts[0].RetryAfter != 2*time.Second {
 		t.Errorf("%+v", m)
 	}
 	var text, jsonl, html, changes strings.Builder
@@ -172,15 +172,15 @@
 
 // Shares of the time by cause come out as they were made: a skip after failures in a row, and the pace after it.
 func TestSharesByCause(t *testing.T) {
-	x := newScript(t, settings())
+	x := newRecordedEngine(t, settings())
 	x.step(
 		policy.Event{
 			Kind:      policy.EndpointSnapshot,
 			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
 		},
-		take(1),
-		take(2),
-		take(3),
+		accepted(1),
+		accepted(2),
+		accepted(3),
 	)
 	for id := range uint32(3) {
 		x.until(x.now + 10*time.Millisecond)
@@ -190,7 +190,7 @@
 	}
 	x.until(x.now + 10*time.Millisecond)
 	var failed []policy.Event
-	for id, n := range x.out {
+	for id, n := range x.sends {
 		if n == 2 {
 			failed = append(
 				failed,
@@ -211,7 +211,7 @@
 	rep := x.explain(t, Options{From: from})
 	d := rep.Destinations[0]
 	if share := d.Waits[policy.EndpointEjected] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 ||
-		d.MostQueue != 3 {
+		d.MaxQueued != 3 {
 		t.Errorf("%v, %+v", share, d)
 	}
 	var text strings.Builder
@@ -222,7 +222,7 @@
 
 // An explanation of a history with everything in it adds up: what waits is accounted for, and none waits longer than it
 // was there.
-func TestExplanationsAddUp(t *testing.T) {
+func TestWaitsAddUp(t *testing.T) {
 	for seed := range uint64(3) {
 		_, rec := recordertest.Drive(seed, 30*time.Second, 64<<20, nil)
 		var b bytes.Buffer
@@ -250,8 +250,8 @@
 			if end == 0 {
 				end = rep.To
 			}
-			if spans += waited; waited > (end-m.TakenAt).Seconds()+0.011 {
-				t.Errorf("seed %d: message %d waited %.3fs within %v", seed, m.ID, waited, end-m.TakenAt)
+			if spans += waited; waited > (end-m.AcceptedAt).Seconds()+0.011 {
+				t.Errorf("seed %d: message %d waited %.3fs within %v", seed, m.ID, waited, end-m.AcceptedAt)
 			}
 		}
 		if math.Abs(sum-spans) > 0.001*sum || sum == 0 || len(causes.Sorted()) < 5 {
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestNamesForAll(t *testing.T) {
+func TestAllCausesAndOutcomesHaveNames(t *testing.T) {
 	for c := policy.NotBlocked; c <= policy.NoEndpoint; c++ {
 		if CauseName(c) == "" {
 			t.Errorf("cause %d has no name", c)
--- a/internal/recording/explain/write.go
+++ b/internal/recording/explain/write.go
@@ -32,7 +32,7 @@
 		"queue",
 		"what held its messages",
 	)
-	for _, d := range ByWait(rep) {
+	for _, d := range DestinationsByWait(rep) {
 		bad := 0
 		for o, n := range d.Calls {
 			if o != policy.OK && o != policy.Overloaded {
@@ -42,16 +42,16 @@
 		p.line(
 			"%-6d %6d %6d %6d %6d %6d %6d %6d %7.1fs %6d  %s",
 			d.ID,
-			d.Taken,
+			d.Accepted,
 			d.Sent,
 			d.Calls[policy.OK],
 			d.Calls[policy.Overloaded],
 			bad,
-			d.Refused,
+			d.Rejected,
 			d.Failed,
 			d.Waits.Sum(),
-			d.MostQueue,
-			Shares(d.Waits),
+			d.MaxQueued,
+			FormatShares(d.Waits),
 		)
 	}
 	return p.err
@@ -65,10 +65,10 @@
 			continue
 		}
 		by := ""
-		if t.By != "" {
-			by = "  (" + t.By + ")"
+		if t.Outcome != "" {
+			by = "  (" + t.Outcome + ")"
 		}
-		p.line("%9.3fs  dest %-4d %-12s %s%s", t.At.Seconds(), t.Destination, t.Route, t.What, by)
+		p.line("%9.3fs  dest %-4d %-12s %s%s", t.At.Seconds(), t.Destination, t.Endpoint, t.Text, by)
 	}
 	return p.err
 }
@@ -82,9 +82,9 @@
 		m.Trace,
 		m.Destination,
 		m.Class,
-		m.TakenAt.Seconds(),
-		m.Left.Seconds(),
-		map[bool]string{true: ", from an earlier process"}[m.Resumed],
+		m.AcceptedAt.Seconds(),
+		m.TimeLeft.Seconds(),
+		map[bool]string{true: ", from an earlier process"}[m.Recovered],
 	)
 	type line struct {
 		at   time.Duration
@@ -100,7 +100,7 @@
 			lines,
 			line{
 				s.From,
-				fmt.Sprintf("waits %6.3fs: %s %s%s", (s.To - s.From).Seconds(), CauseName(s.Cause), s.Route, until),
+				fmt.Sprintf("waits %6.3fs: %s %s%s", (s.To - s.From).Seconds(), CauseName(s.Cause), s.Endpoint, until),
 			},
 		)
 	}
@@ -108,34 +108,34 @@
 		lines = append(
 			lines,
 			line{
-				a.At,
-				fmt.Sprintf("attempt %d leaves for %s, to be cut off at %.3fs", a.N, a.Route, a.CutAt.Seconds()),
+				a.SentAt,
+				fmt.Sprintf("attempt %d leaves for %s, to be cut off at %.3fs", a.Number, a.Endpoint, a.TimeoutAt.Seconds()),
 			},
 		)
 		if a.EndedAt > 0 {
 			told := ""
-			if a.Wait > 0 {
-				told = fmt.Sprintf(", told to wait %v", a.Wait)
+			if a.RetryAfter > 0 {
+				told = fmt.Sprintf(", told to wait %v", a.RetryAfter)
 			}
 			lines = append(
 				lines,
 				line{
 					a.EndedAt,
-					fmt.Sprintf("attempt %d: %s after %.3fs%s", a.N, OutcomeName(a.Outcome), a.Took.Seconds(), told),
+					fmt.Sprintf("attempt %d: %s after %.3fs%s", a.Number, OutcomeName(a.Outcome), a.Latency.Seconds(), told),
 				},
 			)
 		}
 	}
 	if m.EndedAt > 0 {
 		advice := ""
-		if m.Advice > 0 {
-			advice = fmt.Sprintf(", to come again after %v", m.Advice)
+		if m.RetryAfter > 0 {
+			advice = fmt.Sprintf(", to come again after %v", m.RetryAfter)
 		}
 		lines = append(
 			lines,
 			line{
 				m.EndedAt,
-				fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, (m.EndedAt - m.TakenAt).Seconds(), advice),
+				fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, (m.EndedAt - m.AcceptedAt).Seconds(), advice),
 			},
 		)
 	}
@@ -146,8 +146,8 @@
 	return p.err
 }
 
-// ByWait are the destinations, those that held messages longest first.
-func ByWait(rep *Report) []*Destination {
+// DestinationsByWait are the destinations, those that held messages longest first.
+func DestinationsByWait(rep *Report) []*Destination {
 	sorted := slices.Clone(rep.Destinations)
 	slices.SortStableFunc(sorted, func(a, b *Destination) int {
 		switch x, y := a.Waits.Sum(), b.Waits.Sum(); {
@@ -161,8 +161,8 @@
 	return sorted
 }
 
-// Shares are the causes with their shares of the time, the largest first.
-func Shares(w Waits) string {
+// FormatShares are the causes with their shares of the time, the largest first.
+func FormatShares(w Waits) string {
 	sum := w.Sum()
 	if sum == 0 {
 		return "nothing"
@@ -237,8 +237,8 @@
 			calls[OutcomeName(o)] = n
 		}
 		line("destination", map[string]any{
-			"destination": d.ID, "taken": d.Taken, "sent": d.Sent, "calls": calls, "refused": d.Refused, "failed": d.Failed,
-			"waited": waits(d.Waits), "queue_most": d.MostQueue,
+			"destination": d.ID, "taken": d.Accepted, "sent": d.Sent, "calls": calls, "refused": d.Rejected, "failed": d.Failed,
+			"waited": waits(d.Waits), "queue_most": d.MaxQueued,
 		})
 	}
 	for _, t := range rep.Transitions {
@@ -247,9 +247,9 @@
 			map[string]any{
 				"at":          t.At.Seconds(),
 				"destination": t.Destination,
-				"route":       t.Route,
-				"what":        t.What,
-				"by":          t.By,
+				"route":       t.Endpoint,
+				"what":        t.Text,
+				"by":          t.Outcome,
 			},
 		)
 	}
@@ -263,21 +263,21 @@
 					"from":  s.From.Seconds(),
 					"to":    s.To.Seconds(),
 					"cause": CauseName(s.Cause),
-					"route": s.Route,
+					"route": s.Endpoint,
 				},
 			)
 		}
 		for _, a := range m.Attempts {
-			attempt := map[string]any{"n": a.N, "route": a.Route, "at": a.At.Seconds()}
+			attempt := map[string]any{"n": a.Number, "route": a.Endpoint, "at": a.SentAt.Seconds()}
 			if a.EndedAt > 0 {
 				attempt["ended"], attempt["outcome"], attempt["told_wait"] = a.EndedAt.Seconds(), OutcomeName(
 					a.Outcome,
-				), a.Wait.Seconds()
+				), a.RetryAfter.Seconds()
 			}
 			attempts = append(attempts, attempt)
 		}
 		line("message", map[string]any{
-			"id": m.ID, "trace": m.Trace, "destination": m.Destination, "class": m.Class, "taken": m.TakenAt.Seconds(), "left": m.Left.Seconds(),
+			"id": m.ID, "trace": m.Trace, "destination": m.Destination, "class": m.Class, "taken": m.AcceptedAt.Seconds(), "left": m.TimeLeft.Seconds(),
 			"ended": m.EndedAt.Seconds(), "end": m.End, "spans": spans, "attempts": attempts,
 		})
 	}
@@ -293,8 +293,8 @@
 	return ids
 }
 
-// plottedMost bounds the destinations that a page plots.
-const plottedMost = 40
+// maxPlottedDestinations bounds the destinations that a page plots.
+const maxPlottedDestinations = 40
 
 // WriteHTML writes one page with plots, all on one time axis, without a script. Skips are shaded.
 func WriteHTML(w io.Writer, rep *Report) error {
@@ -308,7 +308,7 @@
 				Title:  "messages waiting",
 				Unit:   "the most in a bin",
 				Height: 110,
-				Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: rep.Queue}},
+				Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: rep.Queued}},
 			},
 		),
 		t.Draw(
@@ -316,33 +316,33 @@
 				Title:  "slots",
 				Unit:   "taken, the most in a bin",
 				Height: 90,
-				Most:   float64(rep.SlotsMost),
-				Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: rep.Slots}},
+				Max:    float64(rep.MaxInFlightCalls),
+				Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: rep.InFlightCalls}},
 			},
 		),
 	)
-	sorted := ByWait(rep)
-	for _, d := range sorted[:min(plottedMost, len(sorted))] {
-		for i, r := range d.Routes {
+	sorted := DestinationsByWait(rep)
+	for _, d := range sorted[:min(maxPlottedDestinations, len(sorted))] {
+		for i, r := range d.Endpoints {
 			axis := *t
-			axis.Shades = shades(r, rep)
-			if r.Shared == r.Name {
+			axis.Shades = shadedSpans(r, rep)
+			if r.LimitScope == r.Name {
 				plots = append(plots, axis.Draw(chart.Plot{
 					Title: fmt.Sprintf(
 						"destination %d, %s",
 						d.ID,
 						r.Name,
 					), Unit: "calls a second", Height: 120, Series: []chart.Series{
-						{Name: "limit believed", Colour: chart.Grey, Values: gaps(r.Believed)},
-						{Name: "refused last", Colour: chart.Red, Values: gaps(r.Ceiling)},
-						{Name: "pace", Colour: chart.Blue, Values: gaps(r.Pace)},
+						{Name: "limit believed", Colour: chart.Grey, Values: withGaps(r.EstimatedLimit)},
+						{Name: "refused last", Colour: chart.Red, Values: withGaps(r.LastRejectedRate)},
+						{Name: "pace", Colour: chart.Blue, Values: withGaps(r.PacingRate)},
 					},
 				}))
 			}
 			series := []chart.Series{
-				{Name: "delivered", Colour: chart.Green, Values: scaled(r.OK, per)},
-				{Name: "refused", Colour: chart.Orange, Values: scaled(r.Full, per)},
-				{Name: "failed", Colour: chart.Red, Values: scaled(r.Bad, per)},
+				{Name: "delivered", Colour: chart.Green, Values: scaled(r.Delivered, per)},
+				{Name: "refused", Colour: chart.Orange, Values: scaled(r.Rejected, per)},
+				{Name: "failed", Colour: chart.Red, Values: scaled(r.Failed, per)},
 			}
 			plots = append(
 				plots,
@@ -359,7 +359,7 @@
 			if i == 0 {
 				plots = append(plots, axis.Draw(chart.Plot{
 					Title: fmt.Sprintf("waiting for destination %d", d.ID), Unit: "messages", Height: 80,
-					Series: []chart.Series{{Name: "waiting", Colour: chart.Blue, Values: r.Queue}},
+					Series: []chart.Series{{Name: "waiting", Colour: chart.Blue, Values: r.Queued}},
 				}))
 			}
 		}
@@ -377,8 +377,8 @@
 	)
 }
 
-// gaps leaves out what is free or not told.
-func gaps(values []float64) []float64 {
+// withGaps leaves out what is free or not told.
+func withGaps(values []float64) []float64 {
 	out := slices.Clone(values)
 	for i, v := range out {
 		if v == 0 {
@@ -396,11 +396,11 @@
 	return out
 }
 
-func shades(r *Route, rep *Report) (all []chart.Shade) {
+func shadedSpans(r *Endpoint, rep *Report) (all []chart.Shade) {
 	for _, x := range []struct {
 		name  string
 		flags []bool
-	}{{"skipped", r.Skipped}, {"in doubt", r.Doubted}, {"told to wait", r.ToldToWait}} {
+	}{{"skipped", r.Ejected}, {"in doubt", r.WarmingUp}, {"told to wait", r.RetryAfter}} {
 		for i := 0; i < len(x.flags); i++ {
 			if !x.flags[i] {
 				continue
--- a/internal/recording/fleetstats/tally.go
+++ b/internal/recording/fleetstats/fleetstats.go
@@ -18,25 +18,25 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Count is what a fleet did with a destination in a stretch of time.
-type Count struct {
-	Taken    int // messages handed in, those of dead processes too
-	Resumed  int // of them, those that an earlier process had
-	Calls    int
-	Sent     int // messages in these calls
-	Refused  int // calls turned away as full
-	Waits    int // of them, with a wait told
-	Bad      int // calls that ended otherwise, but delivered nothing
-	OK       int // messages delivered
-	Late     int // of them, after their aim
-	Deferred int // final answers: come again
-	Failed   int // final answers: given up
+// Counts is what a fleet did with a destination in a stretch of time.
+type Counts struct {
+	Accepted         int // messages handed in, those of dead processes too
+	Recovered        int // of them, those that an earlier process had
+	Calls            int
+	Sent             int // messages in these calls
+	Rejected         int // calls turned away as full
+	WithRetryAfter   int // of them, with a wait told
+	FailedCalls      int // calls that ended otherwise, but delivered nothing
+	Delivered        int // messages delivered
+	Late             int // of them, after their aim
+	RejectedMessages int // final answers: come again
+	FailedMessages   int // final answers: given up
 }
 
-func (c *Count) add(o *Count) {
-	c.Taken, c.Resumed, c.Calls, c.Sent = c.Taken+o.Taken, c.Resumed+o.Resumed, c.Calls+o.Calls, c.Sent+o.Sent
-	c.Refused, c.Waits, c.Bad, c.OK, c.Late = c.Refused+o.Refused, c.Waits+o.Waits, c.Bad+o.Bad, c.OK+o.OK, c.Late+o.Late
-	c.Deferred, c.Failed = c.Deferred+o.Deferred, c.Failed+o.Failed
+func (c *Counts) add(o *Counts) {
+	c.Accepted, c.Recovered, c.Calls, c.Sent = c.Accepted+o.Accepted, c.Recovered+o.Recovered, c.Calls+o.Calls, c.Sent+o.Sent
+	c.Rejected, c.WithRetryAfter, c.FailedCalls, c.Delivered, c.Late = c.Rejected+o.Rejected, c.WithRetryAfter+o.WithRetryAfter, c.FailedCalls+o.FailedCalls, c.Delivered+o.Delivered, c.Late+o.Late
+	c.RejectedMessages, c.FailedMessages = c.RejectedMessages+o.RejectedMessages, c.FailedMessages+o.FailedMessages
 }
 
 // Fleet is what all recordings together tell.
@@ -44,39 +44,39 @@
 	Relays int
 	Start  time.Time // of the process that began first
 	// by time since Start in bins, and by place: a destination, or a route that stands apart
-	Bins map[int]map[string]Count
-	Told map[string]float64 // the rate that the list tells of a place, in calls a second, last
-	Bin  time.Duration
+	Bins   map[int]map[string]Counts
+	Limits map[string]float64 // the rate that the list tells of a place, in calls a second, last
+	Bin    time.Duration
 }
 
 // message is what is known of a message while it is held.
 type message struct {
-	place string
-	due   time.Duration
+	scope       string
+	objectiveAt time.Duration
 }
 
 // call gathers the attempts of one call: they leave in one step, for one route, and end in one.
 type call struct {
-	place string
-	left  int
-	full  bool
-	wait  bool
-	ok    bool
+	scope      string
+	unfinished int
+	rejected   bool
+	retryAfter bool
+	delivered  bool
 }
 
-// route is an entry of the list, as far as a place goes by it.
-type route struct {
-	dest  string
-	place string
-	most  int // messages in a call to it
+// endpoint is an entry of the list, as far as a place goes by it.
+type endpoint struct {
+	destination string
+	scope       string
+	maxBatch    int // messages in a call to it
 }
 
-// unknown is the place of a message that was handed in before its recording begins.
-const unknown = "?"
+// unknownScope is the place of a message that was handed in before its recording begins.
+const unknownScope = "?"
 
 // Read counts recordings in bins of so long. What is damaged in them is passed over.
 func Read(recordings []flightrecorder.Recording, bin time.Duration) (*Fleet, error) {
-	f := &Fleet{Bins: map[int]map[string]Count{}, Told: map[string]float64{}, Bin: bin}
+	f := &Fleet{Bins: map[int]map[string]Counts{}, Limits: map[string]float64{}, Bin: bin}
 	names := map[string]bool{}
 	for i, rec := range recordings {
 		names[rec.Meta.Name] = true
@@ -93,13 +93,13 @@
 	return f, nil
 }
 
-// reading is one recording being counted.
-type reading struct {
+// recordingReader is one recording being counted.
+type recordingReader struct {
 	*Fleet
-	meta   flightrecorder.Meta
-	routes map[string]route
-	msgs   map[uint32]message
-	calls  map[uint32]*call // of the attempt that is out, by message
+	meta      flightrecorder.Meta
+	endpoints map[string]endpoint
+	messages  map[uint32]message
+	calls     map[uint32]*call // of the attempt that is out, by message
 }
 
 func (f *Fleet) read(rec flightrecorder.Recording) error {
@@ -107,12 +107,12 @@
 	if err != nil {
 		return err
 	}
-	x := &reading{
-		Fleet:  f,
-		meta:   rec.Meta,
-		routes: map[string]route{},
-		msgs:   map[uint32]message{},
-		calls:  map[uint32]*call{},
+	x := &recordingReader{
+		Fleet:     f,
+		meta:      rec.Meta,
+		endpoints: map[string]endpoint{},
+		messages:  map[uint32]message{},
+		calls:     map[uint32]*call{},
 	}
 	for {
 		e, ok, err := r.Next()
@@ -130,9 +130,9 @@
 
 // begin takes the settings of a chunk on. A recording that begins in mid-life has told no list yet: the module's state
 // holds it. Where this build cannot read that, calls count as of no known place until a list comes.
-func (x *reading) begin(e *flightrecorder.Entry) {
+func (x *recordingReader) begin(e *flightrecorder.Entry) {
 	x.meta.Settings = e.Meta.Settings
-	if e.Fresh || len(x.routes) > 0 {
+	if e.Fresh || len(x.endpoints) > 0 {
 		return
 	}
 	s, err := replay.Restore(e)
@@ -141,49 +141,49 @@
 	}
 	views, _ := s.Views()
 	for _, v := range views {
-		x.list(v.Endpoint)
+		x.updateEndpoint(v.Endpoint)
 	}
 }
 
-func (x *reading) list(l policy.Endpoint) {
-	r := route{dest: strconv.Itoa(l.Destination), most: 1}
-	r.place = r.dest
+func (x *recordingReader) updateEndpoint(l policy.Endpoint) {
+	r := endpoint{destination: strconv.Itoa(l.Destination), maxBatch: 1}
+	r.scope = r.destination
 	if kinds := x.meta.Settings.DestinationKinds; l.Kind >= 0 && l.Kind < len(kinds) {
-		r.most = max(1, kinds[l.Kind].MaxBatch)
+		r.maxBatch = max(1, kinds[l.Kind].MaxBatch)
 		if kinds[l.Kind].LimitPerEndpoint {
-			r.place += "/" + l.ID
+			r.scope += "/" + l.ID
 		}
 	}
-	x.routes[l.ID], x.Told[r.place] = r, l.Weight
+	x.endpoints[l.ID], x.Limits[r.scope] = r, l.Weight
 }
 
-// to is where a route leads.
-func (x *reading) to(name string) route {
-	if r, ok := x.routes[name]; ok {
+// endpoint is where a route leads.
+func (x *recordingReader) endpoint(name string) endpoint {
+	if r, ok := x.endpoints[name]; ok {
 		return r
 	}
-	return route{unknown, unknown, 1}
+	return endpoint{unknownScope, unknownScope, 1}
 }
 
 // message is a message that is held, or one of which nothing is known.
-func (x *reading) message(id uint32) message {
-	if m, ok := x.msgs[id]; ok {
+func (x *recordingReader) message(id uint32) message {
+	if m, ok := x.messages[id]; ok {
 		return m
 	}
-	return message{place: unknown, due: math.MaxInt64}
+	return message{scope: unknownScope, objectiveAt: math.MaxInt64}
 }
 
-func (x *reading) at(now time.Duration, place string, count func(*Count)) {
+func (x *recordingReader) count(now time.Duration, place string, count func(*Counts)) {
 	bin := int(x.meta.Started.Add(now).Sub(x.Start) / x.Bin)
 	if x.Bins[bin] == nil {
-		x.Bins[bin] = map[string]Count{}
+		x.Bins[bin] = map[string]Counts{}
 	}
 	c := x.Bins[bin][place]
 	count(&c)
 	x.Bins[bin][place] = c
 }
 
-func (x *reading) step(e *flightrecorder.Entry) {
+func (x *recordingReader) step(e *flightrecorder.Entry) {
 	for i := range e.Events {
 		x.event(e.Now, &e.Events[i])
 	}
@@ -193,49 +193,49 @@
 		m := x.message(a.MessageID)
 		switch a.Kind {
 		case policy.Send:
-			to := x.to(a.Endpoint)
-			place, c := to.place, open[a.Endpoint]
-			if c == nil || c.left >= to.most {
-				c = &call{place: place}
+			to := x.endpoint(a.Endpoint)
+			place, c := to.scope, open[a.Endpoint]
+			if c == nil || c.unfinished >= to.maxBatch {
+				c = &call{scope: place}
 				open[a.Endpoint] = c
-				x.at(e.Now, place, func(n *Count) { n.Calls++ })
+				x.count(e.Now, place, func(n *Counts) { n.Calls++ })
 			}
-			c.left++
+			c.unfinished++
 			x.calls[a.MessageID] = c
-			x.at(e.Now, place, func(n *Count) { n.Sent++ })
+			x.count(e.Now, place, func(n *Counts) { n.Sent++ })
 		case policy.Reject:
-			x.at(e.Now, m.place, func(n *Count) { n.Deferred++ })
+			x.count(e.Now, m.scope, func(n *Counts) { n.RejectedMessages++ })
 		case policy.Fail:
-			x.at(e.Now, m.place, func(n *Count) { n.Failed++ })
+			x.count(e.Now, m.scope, func(n *Counts) { n.FailedMessages++ })
 		}
 	}
 }
 
-func (x *reading) event(now time.Duration, e *policy.Event) {
+func (x *recordingReader) event(now time.Duration, e *policy.Event) {
 	switch e.Kind {
 	case policy.EndpointSnapshot, policy.EndpointDelta:
 		for _, l := range e.Endpoints {
-			x.list(l)
+			x.updateEndpoint(l)
 		}
 	case policy.MessageAccepted:
-		m := message{place: strconv.Itoa(e.Destination), due: now + e.TimeLeft}
+		m := message{scope: strconv.Itoa(e.Destination), objectiveAt: now + e.TimeLeft}
 		if e.Class >= 0 && e.Class < len(x.meta.Settings.Classes) {
 			c := x.meta.Settings.Classes[e.Class]
-			m.due = now + e.TimeLeft - c.Deadline + c.LatencyObjective
+			m.objectiveAt = now + e.TimeLeft - c.Deadline + c.LatencyObjective
 		}
-		x.msgs[e.MessageID] = m
-		x.at(now, m.place, func(n *Count) {
-			n.Taken++
+		x.messages[e.MessageID] = m
+		x.count(now, m.scope, func(n *Counts) {
+			n.Accepted++
 			if e.Recovered != nil {
-				n.Resumed++
+				n.Recovered++
 			}
 		})
 	case policy.AttemptFinished:
 		m, c := x.message(e.MessageID), x.calls[e.MessageID]
 		if e.Outcome == policy.OK {
-			x.at(now, x.to(e.Endpoint).dest, func(n *Count) {
-				n.OK++
-				if now > m.due {
+			x.count(now, x.endpoint(e.Endpoint).destination, func(n *Counts) {
+				n.Delivered++
+				if now > m.objectiveAt {
 					n.Late++
 				}
 			})
@@ -244,23 +244,23 @@
 			return
 		}
 		delete(x.calls, e.MessageID)
-		c.full, c.wait, c.ok = c.full ||
-			e.Outcome == policy.Overloaded, c.wait ||
-			e.RetryAfter > 0, c.ok ||
+		c.rejected, c.retryAfter, c.delivered = c.rejected ||
+			e.Outcome == policy.Overloaded, c.retryAfter ||
+			e.RetryAfter > 0, c.delivered ||
 			e.Outcome == policy.OK
-		if c.left--; c.left > 0 {
+		if c.unfinished--; c.unfinished > 0 {
 			return
 		}
-		x.at(now, c.place, func(n *Count) {
+		x.count(now, c.scope, func(n *Counts) {
 			switch {
-			case c.ok:
-			case c.full:
-				n.Refused++
-				if c.wait {
-					n.Waits++
+			case c.delivered:
+			case c.rejected:
+				n.Rejected++
+				if c.retryAfter {
+					n.WithRetryAfter++
 				}
 			default:
-				n.Bad++
+				n.FailedCalls++
 			}
 		})
 	}
@@ -268,7 +268,7 @@
 
 // Write prints the counts between two times: by place, or for one place by bin.
 func (f *Fleet) Write(w io.Writer, from, to time.Duration, place string) error {
-	rows := map[string]*Count{}
+	rows := map[string]*Counts{}
 	for bin, places := range f.Bins {
 		at := time.Duration(bin) * f.Bin
 		if at < from || to > 0 && at >= to {
@@ -283,7 +283,7 @@
 				key = fmt.Sprintf("%6.1fs", at.Seconds())
 			}
 			if rows[key] == nil {
-				rows[key] = &Count{}
+				rows[key] = &Counts{}
 			}
 			rows[key].add(&c)
 		}
@@ -301,18 +301,18 @@
 			tw,
 			"%s\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n",
 			k,
-			f.Told[k],
-			c.Taken,
-			c.Resumed,
+			f.Limits[k],
+			c.Accepted,
+			c.Recovered,
 			c.Calls,
 			c.Sent,
-			c.Refused,
-			c.Waits,
-			c.Bad,
-			c.OK,
+			c.Rejected,
+			c.WithRetryAfter,
+			c.FailedCalls,
+			c.Delivered,
 			c.Late,
-			c.Deferred,
-			c.Failed,
+			c.RejectedMessages,
+			c.FailedMessages,
 		)
 	}
 	return tw.Flush()
--- a/internal/recording/fleetstats/tally_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// relay records a life of one relay: a bundle of two is refused with a wait and later delivered, late by one message.
-func relay(t *testing.T, name string, started time.Time) flightrecorder.Recording {
+// recordRelay records a life of one relay: a bundle of two is refused with a wait and later delivered, late by one message.
+func recordRelay(t *testing.T, name string, started time.Time) flightrecorder.Recording {
 	t.Helper()
 	set := policy.Settings{
 		Classes: []policy.Class{
@@ -83,16 +83,16 @@
 func TestCountsAcrossRelays(t *testing.T) {
 	start := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 	f, err := Read(
-		[]flightrecorder.Recording{relay(t, "n0", start), relay(t, "n1", start.Add(time.Second))},
+		[]flightrecorder.Recording{recordRelay(t, "n0", start), recordRelay(t, "n1", start.Add(time.Second))},
 		time.Second,
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Relays != 2 || f.Told["1"] != 7 || f.Told["2/b"] != 3 {
-		t.Errorf("relays %d, told %v", f.Relays, f.Told)
+	if f.Relays != 2 || f.Limits["1"] != 7 || f.Limits["2/b"] != 3 {
+		t.Errorf("relays %d, told %v", f.Relays, f.Limits)
 	}
-	all := map[string]Count{}
+	all := map[string]Counts{}
 	for _, places := range f.Bins {
 		for place, c := range places {
 			sum := all[place]
@@ -100,17 +100,17 @@
 			all[place] = sum
 		}
 	}
-	for place, want := range map[string]Count{
-		"1":   {Taken: 4, Resumed: 2, Calls: 4, Sent: 6, Refused: 2, Waits: 2, OK: 2, Late: 2, Deferred: 2},
-		"2":   {Taken: 2, Failed: 2},
-		"2/b": {Calls: 2, Sent: 2, Bad: 2},
+	for place, want := range map[string]Counts{
+		"1":   {Accepted: 4, Recovered: 2, Calls: 4, Sent: 6, Rejected: 2, WithRetryAfter: 2, Delivered: 2, Late: 2, RejectedMessages: 2},
+		"2":   {Accepted: 2, FailedMessages: 2},
+		"2/b": {Calls: 2, Sent: 2, FailedCalls: 2},
 	} {
 		if all[place] != want {
 			t.Errorf("place %s: %+v, want %+v", place, all[place], want)
 		}
 	}
 	// The second relay began a second later: its first step falls into the next bin.
-	if a, b := f.Bins[1]["1"].Taken, f.Bins[2]["1"].Taken; a != 2 || b != 2 {
+	if a, b := f.Bins[1]["1"].Accepted, f.Bins[2]["1"].Accepted; a != 2 || b != 2 {
 		t.Errorf("taken in the first bins: %d, %d", a, b)
 	}
 	var out bytes.Buffer
@@ -121,7 +121,7 @@
 
 // A recording that begins in mid-life, a ring that was written out say, tells its places from the module's state; what
 // it says of messages that came before is told apart.
-func TestARecordingThatBeginsInMidLife(t *testing.T) {
+func TestRecordingThatStartsWithASnapshot(t *testing.T) {
 	set := policy.Settings{
 		Classes:          []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}},
 		DestinationKinds: []policy.DestinationKind{{}, {LimitPerEndpoint: true}},
@@ -154,10 +154,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Told["2/b"] != 3 || f.Bins[0]["2"] != (Count{Taken: 1, OK: 1}) {
-		t.Errorf("told %v, counted %+v", f.Told, f.Bins)
+	if f.Limits["2/b"] != 3 || f.Bins[0]["2"] != (Counts{Accepted: 1, Delivered: 1}) {
+		t.Errorf("told %v, counted %+v", f.Limits, f.Bins)
 	}
-	if c := f.Bins[0]["2/b"]; c.Calls == 0 || c.Bad != 1 {
+	if c := f.Bins[0]["2/b"]; c.Calls == 0 || c.FailedCalls != 1 {
 		t.Errorf("calls of the route that stands apart: %+v", c)
 	}
 }
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -72,7 +72,7 @@
 				Title:  "service",
 				Unit:   "by when it was asked for",
 				Height: 150,
-				Most:   1,
+				Max:    1,
 				Series: []chart.Series{
 					{Name: "worth delivered over worth asked for", Colour: chart.Green, Values: service},
 				},
