--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -9,16 +9,19 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// entry is an endpoint as a platform names them: two to a destination.
+// entry returns an endpoint as a platform names them: two to a destination. Each generation has other ids.
 func entry(i, generation int) Endpoint {
-	return Endpoint{policy.Endpoint{
-		ID: fmt.Sprintf(
-			"ep-%06d-%02d",
-			i,
-			generation,
-		), Destination: i / 2, Kind: i / 2 % 3, Zone: i % 3, Weight: float64(5 + i%40),
-		InService: true,
-	}, fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}
+	return Endpoint{
+		Endpoint: policy.Endpoint{
+			ID:          fmt.Sprintf("ep-%06d-%02d", i, generation),
+			Destination: i / 2,
+			Kind:        i / 2 % 3,
+			Zone:        i % 3,
+			Weight:      float64(5 + i%40),
+			InService:   true,
+		},
+		Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+	}
 }
 
 func entries(destinations, generation int) []Endpoint {
@@ -29,8 +32,8 @@
 	return list
 }
 
-// tell tells a whole list, and sweeps it in slices.
-func tell(c *Catalog, list []Endpoint) {
+// applySnapshot passes a snapshot to the catalog, and sweeps in slices.
+func applySnapshot(c *Catalog, list []Endpoint) {
 	c.BeginSnapshot()
 	for i := range list {
 		c.Upsert(list[i])
@@ -40,33 +43,35 @@
 	}
 }
 
-func heap() float64 {
+// heapSize returns the bytes of live objects.
+func heapSize() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
 
+// sizes are the numbers of destinations that the benchmarks run with.
 var sizes = []int{1000, 10000, 50000, 140000}
 
 func eachSize(b *testing.B, run func(b *testing.B, c *Catalog, list []Endpoint)) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("destinations=%d", n), func(b *testing.B) {
 			list := entries(n, 0)
-			before := heap()
+			before := heapSize()
 			c := New()
-			tell(c, list)
-			held := heap() - before
+			applySnapshot(c, list)
+			size := heapSize() - before
 			b.ReportAllocs()
 			run(b, c, list)
-			b.ReportMetric(held/float64(len(list)), "B/endpoint")
+			b.ReportMetric(size/float64(len(list)), "B/endpoint")
 			runtime.KeepAlive(c)
 		})
 	}
 }
 
-// BenchmarkPut is one entry that changes an endpoint's weight: of the whole list in turn, so that no memory is warm.
-func BenchmarkPut(b *testing.B) {
+// BenchmarkUpsert is one entry that changes an endpoint's weight, spread over the list so that no memory is cached.
+func BenchmarkUpsert(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 0; b.Loop(); i++ {
 			e := &list[i*7919%len(list)]
@@ -78,7 +83,7 @@
 	})
 }
 
-// BenchmarkReplace is an endpoint that goes and one that takes its place.
+// BenchmarkReplace is an endpoint that is removed and one that takes its place.
 func BenchmarkReplace(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 0; b.Loop(); i++ {
@@ -95,18 +100,18 @@
 	})
 }
 
-// BenchmarkIdentical is a whole list that changes nothing.
-func BenchmarkIdentical(b *testing.B) {
+// BenchmarkIdenticalSnapshot is a snapshot that changes nothing.
+func BenchmarkIdenticalSnapshot(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for b.Loop() {
-			tell(c, list)
+			applySnapshot(c, list)
 		}
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(list)), "ns/endpoint")
 	})
 }
 
-// BenchmarkEverNew is a whole list of other ids, with the sweep of the old.
-func BenchmarkEverNew(b *testing.B) {
+// BenchmarkNewSnapshot is a snapshot of other ids, with the sweep of the old ones.
+func BenchmarkNewSnapshot(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 1; b.Loop(); i++ {
 			b.StopTimer()
@@ -114,28 +119,29 @@
 				list[k] = entry(k, i)
 			}
 			b.StartTimer()
-			tell(c, list)
+			applySnapshot(c, list)
 		}
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(list)), "ns/endpoint")
 	})
 }
 
-// BenchmarkOf is what a destination that wakes costs here.
-func BenchmarkOf(b *testing.B) {
+// BenchmarkAppendEndpoints is what the activation of a destination costs here.
+func BenchmarkAppendEndpoints(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
-		var of []Endpoint
+		var endpoints []Endpoint
 		for i := 0; b.Loop(); i++ {
-			if of = c.AppendEndpoints(i*7919%(len(list)/2), of[:0]); len(of) != 2 {
+			endpoints = c.AppendEndpoints(i*7919%(len(list)/2), endpoints[:0])
+			if len(endpoints) != 2 {
 				b.Fatal("not two endpoints")
 			}
 		}
 	})
 }
 
-// BenchmarkWorkingSet is one destination woken and another put to rest, with so many awake.
+// BenchmarkWorkingSet is one destination activated and another evicted, with so many active.
 func BenchmarkWorkingSet(b *testing.B) {
 	for _, n := range sizes {
-		b.Run(fmt.Sprintf("awake=%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("active=%d", n), func(b *testing.B) {
 			w := NewWorkingSet(time.Duration(n))
 			now := time.Duration(0)
 			for ; now < time.Duration(n); now++ {
@@ -148,7 +154,7 @@
 				w.EvictIdle(now, 16, func(int) bool { return true })
 			}
 			if w.Len() < n-1 || w.Len() > n+1 {
-				b.Fatalf("%d awake", w.Len())
+				b.Fatalf("%d active", w.Len())
 			}
 		})
 	}
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -12,193 +12,232 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// model is a catalog as one would write it that has room and time.
+// model is a catalog in its simplest form.
 type model struct {
-	all    []Endpoint
-	fresh  map[string]bool // named by the whole list that is being read; nil: none is
-	listed map[int]bool
+	all    []Endpoint      // in the order listed
+	seen   map[string]bool // ids that the snapshot being read has named; nil: none is read
+	listed map[int]bool    // destinations that a list has named
 }
 
+func newModel() *model { return &model{listed: map[int]bool{}} }
+
 func (m *model) find(id string) int {
 	return slices.IndexFunc(m.all, func(e Endpoint) bool { return e.ID == id })
 }
 
-func (m *model) name(i int) {
-	if m.fresh != nil {
+func (m *model) beginSnapshot() { m.seen = map[string]bool{} }
+
+func (m *model) markSeen(i int) {
+	if m.seen != nil {
 		e := m.all[i]
 		m.all = append(slices.Delete(m.all, i, i+1), e)
-		m.fresh[e.ID] = true
+		m.seen[e.ID] = true
 	}
 }
 
-func (m *model) put(e Endpoint) Change {
+func (m *model) upsert(e Endpoint) Change {
 	i := m.find(e.ID)
 	switch {
 	case e.Removed && i < 0:
-		return Change{e, e, Unchanged}
+		return Change{Old: e, New: e, Kind: Unchanged}
 	case e.Removed:
-		was := m.all[i]
+		old := m.all[i]
 		m.all = slices.Delete(m.all, i, i+1)
-		return Change{was, e, Removed}
+		return Change{Old: old, New: e, Kind: Removed}
 	}
 	m.listed[e.Destination] = true
 	if i < 0 {
 		m.all = append(m.all, e)
-		m.name(len(m.all) - 1)
+		m.markSeen(len(m.all) - 1)
 		return Change{New: e, Kind: Added}
 	}
-	was := m.all[i]
+	old := m.all[i]
 	m.all[i] = e
 	kind := Updated
 	switch {
-	case was == e:
+	case old == e:
 		kind = Unchanged
-	case was.Destination != e.Destination:
+	case old.Destination != e.Destination:
 		m.all = append(slices.Delete(m.all, i, i+1), e)
 		i = len(m.all) - 1
 		kind = Moved
-	case was.Addr != e.Addr:
+	case old.Addr != e.Addr:
 		kind = Moved
 	}
-	m.name(i)
-	return Change{was, e, kind}
+	m.markSeen(i)
+	return Change{Old: old, New: e, Kind: kind}
 }
 
 func (m *model) sweep() (removed []Endpoint) {
 	m.all = slices.DeleteFunc(m.all, func(e Endpoint) bool {
-		if !m.fresh[e.ID] {
+		if !m.seen[e.ID] {
 			removed = append(removed, e)
 		}
-		return !m.fresh[e.ID]
+		return !m.seen[e.ID]
 	})
-	m.fresh = nil
+	m.seen = nil
 	return removed
 }
 
-func (m *model) of(dest int) (es []Endpoint) {
+func (m *model) endpointsOf(dest int) (endpoints []Endpoint) {
 	for _, e := range m.all {
 		if e.Destination == dest {
-			es = append(es, e)
+			endpoints = append(endpoints, e)
 		}
 	}
-	return es
+	return endpoints
+}
+
+// drawEndpoint draws an entry, whose id is one of three names and a number up to maxID.
+func drawEndpoint(t *rapid.T, maxID int) Endpoint {
+	name := rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).Draw(t, "name")
+	id := rapid.IntRange(0, maxID).Draw(t, "id")
+	return Endpoint{
+		Endpoint: policy.Endpoint{
+			ID:          name + fmt.Sprint(id),
+			Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
+			Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
+			Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
+			Weight:      rapid.SampledFrom([]float64{0, 1, 27, 0.1, math.MaxFloat64, -2}).Draw(t, "weight"),
+			InService:   rapid.Bool().Draw(t, "in service"),
+			Removed:     rapid.IntRange(0, 5).Draw(t, "removed") == 0,
+		},
+		Addr: rapid.SampledFrom([]string{
+			"127.0.0.1:80", "10.255.0.1:65535", "host-1:80", "[::1]:80", "", "1.2.3.4:080", "999.1.1.1:1", "1.2.3.4",
+		}).Draw(t, "address"),
+	}
 }
 
-func drawEndpoint(t *rapid.T, ids int) Endpoint {
-	return Endpoint{policy.Endpoint{
-		ID: rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).
-			Draw(t, "name") +
-			fmt.Sprint(
-				rapid.IntRange(0, ids).Draw(t, "id"),
-			),
-		Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
-		Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
-		Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
-		Weight:      rapid.SampledFrom([]float64{0, 1, 27, 0.1, math.MaxFloat64, -2}).Draw(t, "weight"),
-		InService:   rapid.Bool().Draw(t, "in service"),
-		Removed:     rapid.IntRange(0, 5).Draw(t, "gone") == 0,
-	}, rapid.SampledFrom([]string{"127.0.0.1:80", "10.255.0.1:65535", "host-1:80", "[::1]:80", "", "1.2.3.4:080", "999.1.1.1:1", "1.2.3.4"}).Draw(t, "address")}
+// comparison is a catalog and a model that get the same lists.
+type comparison struct {
+	catalog *Catalog
+	model   *model
+	maxID   int // of the endpoints
 }
 
-// A catalog does what the model does, over changes, whole lists, such as break off, and sweeps in pieces with changes
+// The catalog does what the model does, over entries, snapshots, unfinished ones, and sweeps in parts with entries
 // between.
-func TestCatalogIsTheModel(t *testing.T) {
+func TestCatalogMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, m := New(), &model{listed: map[int]bool{}}
-		ids := rapid.SampledFrom([]int{4, 30, 1000}).Draw(t, "ids")
-		put := func(t *rapid.T) {
-			e := drawEndpoint(t, ids)
-			if got, want := c.Upsert(e), m.put(e); got != want {
-				t.Fatalf("Put(%+v) = %+v, the model %+v", e, got, want)
-			}
+		c := &comparison{
+			catalog: New(),
+			model:   newModel(),
+			maxID:   rapid.SampledFrom([]int{4, 30, 1000}).Draw(t, "ids"),
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"put": put,
-			"put several": func(t *rapid.T) {
+			"upsert": c.upsert,
+			"upsert several": func(t *rapid.T) {
 				for range rapid.IntRange(1, 100).Draw(t, "n") {
-					put(t)
+					c.upsert(t)
 				}
 			},
-			"again": func(t *rapid.T) { // what is known, word for word
-				if len(m.all) > 0 {
-					e := rapid.SampledFrom(m.all).Draw(t, "known")
-					if got, want := c.Upsert(e), m.put(e); got != want || got.Kind != Unchanged {
-						t.Fatalf("Put(%+v) = %+v, the model %+v", e, got, want)
-					}
-				}
+			"upsert known": c.upsertKnown,
+			"begin snapshot": func(*rapid.T) {
+				c.catalog.BeginSnapshot()
+				c.model.beginSnapshot()
 			},
-			"begin": func(*rapid.T) {
-				c.BeginSnapshot()
-				m.fresh = map[string]bool{}
-			},
-			"keep": func(t *rapid.T) {
-				id := drawEndpoint(t, ids).ID
-				e, ok := c.MarkSeen(id)
-				i := m.find(id)
-				if ok != (i >= 0) || ok && e != m.all[i] {
-					t.Fatalf("Keep(%q) = %+v, %t", id, e, ok)
-				}
-				if ok {
-					m.name(i)
-				}
-			},
-			"sweep": func(t *rapid.T) {
-				if m.fresh == nil {
-					return
-				}
-				removed, done := c.Sweep(rapid.IntRange(0, 20).Draw(t, "most"))
-				for !done {
-					var more []Endpoint
-					more, done = c.Sweep(7)
-					if removed = append(removed, more...); len(more) > 7 || len(more) == 0 && !done {
-						t.Fatalf("a sweep of 7 removed %d", len(more))
-					}
-				}
-				if want := m.sweep(); !slices.Equal(removed, want) {
-					t.Fatalf("swept %v, the model %v", removed, want)
-				}
-			},
-			"": func(t *rapid.T) { compare(t, c, m) },
+			"mark seen": c.markSeen,
+			"sweep":     c.sweep,
+			"":          c.check,
 		})
 	})
 }
 
-func compare(t *rapid.T, c *Catalog, m *model) {
-	if all := slices.Collect(c.All()); !slices.Equal(all, m.all) {
-		t.Fatalf("all are %v, the model's %v", all, m.all)
+func (c *comparison) upsert(t *rapid.T) {
+	e := drawEndpoint(t, c.maxID)
+	if got, want := c.catalog.Upsert(e), c.model.upsert(e); got != want {
+		t.Fatalf("Upsert(%+v) = %+v, want %+v", e, got, want)
+	}
+}
+
+// upsertKnown upserts what is known, unchanged.
+func (c *comparison) upsertKnown(t *rapid.T) {
+	if len(c.model.all) == 0 {
+		return
+	}
+	e := rapid.SampledFrom(c.model.all).Draw(t, "known")
+	if got, want := c.catalog.Upsert(e), c.model.upsert(e); got != want || got.Kind != Unchanged {
+		t.Fatalf("Upsert(%+v) = %+v, want %+v", e, got, want)
+	}
+}
+
+func (c *comparison) markSeen(t *rapid.T) {
+	id := drawEndpoint(t, c.maxID).ID
+	e, ok := c.catalog.MarkSeen(id)
+	i := c.model.find(id)
+	if ok != (i >= 0) || ok && e != c.model.all[i] {
+		t.Fatalf("MarkSeen(%q) = %+v, %t", id, e, ok)
 	}
-	if c.EndpointCount() != len(m.all) {
-		t.Fatalf("%d endpoints, the model has %d", c.EndpointCount(), len(m.all))
+	if ok {
+		c.model.markSeen(i)
 	}
-	filled, without := 0, 0
-	for dest := range m.listed {
-		want := m.of(dest)
-		if got := c.AppendEndpoints(dest, nil); !slices.Equal(got, want) {
-			t.Fatalf("destination %d has %v, the model %v", dest, got, want)
+}
+
+func (c *comparison) sweep(t *rapid.T) {
+	if c.model.seen == nil {
+		return
+	}
+	const maxRemoved = 7
+	removed, done := c.catalog.Sweep(rapid.IntRange(0, 20).Draw(t, "max removed"))
+	for !done {
+		var more []Endpoint
+		more, done = c.catalog.Sweep(maxRemoved)
+		if len(more) > maxRemoved || len(more) == 0 && !done {
+			t.Fatalf("a sweep of %d removed %d", maxRemoved, len(more))
 		}
-		if !c.HasDestination(dest) {
+		removed = append(removed, more...)
+	}
+	if want := c.model.sweep(); !slices.Equal(removed, want) {
+		t.Fatalf("swept %v, want %v", removed, want)
+	}
+}
+
+// check compares all that the catalog knows with the model.
+func (c *comparison) check(t *rapid.T) {
+	if all := slices.Collect(c.catalog.All()); !slices.Equal(all, c.model.all) {
+		t.Fatalf("all are %v, want %v", all, c.model.all)
+	}
+	if got := c.catalog.EndpointCount(); got != len(c.model.all) {
+		t.Fatalf("%d endpoints, want %d", got, len(c.model.all))
+	}
+	for _, e := range c.model.all {
+		if got, ok := c.catalog.Endpoint(e.ID); !ok || got != e {
+			t.Fatalf("Endpoint(%q) = %+v, %t; want %+v", e.ID, got, ok, e)
+		}
+	}
+	if _, ok := c.catalog.Endpoint("never listed"); ok {
+		t.Fatal("an endpoint that no list named")
+	}
+	c.checkDestinations(t)
+}
+
+func (c *comparison) checkDestinations(t *rapid.T) {
+	nonEmpty := 0
+	for dest := range c.model.listed {
+		want := c.model.endpointsOf(dest)
+		if got := c.catalog.AppendEndpoints(dest, nil); !slices.Equal(got, want) {
+			t.Fatalf("destination %d has %v, want %v", dest, got, want)
+		}
+		if !c.catalog.HasDestination(dest) {
 			t.Fatalf("destination %d is not named", dest)
 		}
 		if len(want) > 0 {
-			filled++
-		} else {
-			without++
+			nonEmpty++
 		}
 	}
-	if c.DestinationCount() != filled || c.HasDestination(-100) && !m.listed[-100] {
-		t.Fatalf("%d destinations, the model has %d", c.DestinationCount(), filled)
+	if got := c.catalog.DestinationCount(); got != nonEmpty {
+		t.Fatalf("%d destinations, want %d", got, nonEmpty)
 	}
-	remembered := slices.Collect(c.RememberedDestinations())
-	if len(remembered) != without ||
-		slices.ContainsFunc(remembered, func(d int) bool { return !m.listed[d] || len(m.of(d)) > 0 }) {
-		t.Fatalf("remembers %v, the model has named %v", remembered, slices.Collect(maps.Keys(m.listed)))
+	const unlisted = -100
+	if c.catalog.HasDestination(unlisted) && !c.model.listed[unlisted] {
+		t.Fatalf("destination %d is named", unlisted)
 	}
-	for _, e := range m.all {
-		if got, ok := c.Endpoint(e.ID); !ok || got != e {
-			t.Fatalf("Endpoint(%q) = %+v, %t; the model has %+v", e.ID, got, ok, e)
-		}
-	}
-	if _, ok := c.Endpoint("never listed"); ok {
-		t.Fatal("an endpoint that no list named")
+	remembered := slices.Collect(c.catalog.RememberedDestinations())
+	wrong := slices.ContainsFunc(remembered, func(dest int) bool {
+		return !c.model.listed[dest] || len(c.model.endpointsOf(dest)) > 0
+	})
+	if wrong || len(remembered) != len(c.model.listed)-nonEmpty {
+		t.Fatalf("remembers %v, want those without endpoints of %v",
+			remembered, slices.Collect(maps.Keys(c.model.listed)))
 	}
 }
--- a/internal/state/catalog/workingset_test.go
+++ b/internal/state/catalog/workingset_test.go
@@ -1,46 +1,88 @@
 package catalog
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A destination that was added of late does not wake as if it had always been known; of very many that were, none does.
-func TestWhatWasAddedOfLateIsNotSettled(t *testing.T) {
+// A destination that was added lately is not settled; with very many that were, none is.
+func TestSettled(t *testing.T) {
 	for _, added := range []int{1, 100, MaxEagerEndpoints, MaxEagerEndpoints + 1, 3 * MaxEagerEndpoints} {
-		w := NewWorkingSet(time.Second)
-		if !w.Settled(7, 0) {
-			t.Error("a destination of a start's list is not settled")
-		}
-		at := time.Minute
-		for d := range added {
-			w.EndpointAdded(d, at)
-		}
-		soon := at + policy.MaxInitialSpread - 1
-		for _, d := range []int{0, added - 1} {
-			if w.Settled(d, soon) || !w.Settled(d, soon+1) {
-				t.Errorf(
-					"%d added: destination %d settled %v, a moment later %v",
-					added,
-					d,
-					w.Settled(d, soon),
-					w.Settled(d, soon+1),
-				)
+		t.Run(fmt.Sprintf("added=%d", added), func(t *testing.T) {
+			w := NewWorkingSet(time.Second)
+			if !w.Settled(7, 0) {
+				t.Error("a destination of the first list is not settled")
 			}
+			addedAt := time.Minute
+			for d := range added {
+				w.EndpointAdded(d, addedAt)
+			}
+			settledAt := addedAt + policy.MaxInitialSpread
+			for _, d := range []int{0, added - 1} {
+				before := w.Settled(d, settledAt-1)
+				after := w.Settled(d, settledAt)
+				if before || !after {
+					t.Errorf("destination %d settled %v, a moment later %v", d, before, after)
+				}
+			}
+			if other := w.Settled(added+7, settledAt-1); other != (added <= MaxEagerEndpoints) {
+				t.Errorf("another settled %v", other)
+			}
+			if len(w.recentlyAdded) > MaxEagerEndpoints {
+				t.Errorf("%d are remembered", len(w.recentlyAdded))
+			}
+			later := addedAt + time.Hour
+			for d := range MaxEagerEndpoints { // later ones replace the first
+				w.EndpointAdded(d+2*added, later)
+			}
+			settled := w.Settled(0, later)
+			if len(w.recentlyAdded) > MaxEagerEndpoints || !settled && added < MaxEagerEndpoints {
+				t.Errorf("an hour later: %d are remembered, settled %v", len(w.recentlyAdded), settled)
+			}
+		})
+	}
+}
+
+func TestWorkingSet(t *testing.T) {
+	w := NewWorkingSet(30 * time.Second)
+	pinned := map[int]bool{}
+	evictable := func(d int) bool { return !pinned[d] }
+	evict := func(now time.Duration, maxChecked int, want ...int) {
+		t.Helper()
+		if got := w.EvictIdle(now, maxChecked, evictable); !slices.Equal(got, want) {
+			t.Errorf("at %v: evicted %v, want %v", now, got, want)
 		}
-		if other := w.Settled(added+7, soon); other != (added <= MaxEagerEndpoints) {
-			t.Errorf("%d added: another settled %v", added, other)
-		}
-		if len(w.recentlyAdded) > MaxEagerEndpoints {
-			t.Errorf("%d are kept", len(w.recentlyAdded))
-		}
-		for d := range MaxEagerEndpoints { // later ones take the room of those
-			w.EndpointAdded(d+2*added, at+time.Hour)
-		}
-		if len(w.recentlyAdded) > MaxEagerEndpoints || !w.Settled(0, at+time.Hour) && added < MaxEagerEndpoints {
-			t.Errorf("%d added, an hour ago: %d are kept, settled %v", added, len(w.recentlyAdded), w.Settled(0, at+time.Hour))
+	}
+	for i, d := range []int{7, -1, 3, 9} {
+		now := time.Duration(i) * time.Second
+		if !w.Activate(d, now) || w.Activate(d, now) || !w.Contains(d) {
+			t.Fatalf("destination %d is not activated once", d)
 		}
 	}
+	pinned[-1] = true
+	evict(29*time.Second, 9)
+	evict(30*time.Second, 9, 7)
+	w.Touch(3, 31*time.Second)
+	w.Touch(7, 31*time.Second) // not active: stays so
+	evict(33*time.Second, 1)   // -1 is checked, and stays
+	evict(33*time.Second, 9, 9)
+	delete(pinned, -1)
+	evict(60*time.Second, 9)
+	evict(63*time.Second, 9, 3, -1)
+	if w.Len() != 0 || w.Contains(7) || !w.Activate(7, 64*time.Second) || w.Len() != 1 {
+		t.Error("not all are evicted")
+	}
+}
+
+// Where nothing is evictable and the timeout is 0, one call still ends.
+func TestEvictIdleEnds(t *testing.T) {
+	w := NewWorkingSet(0)
+	w.Activate(1, 0)
+	if got := w.EvictIdle(0, 100, func(int) bool { return false }); got != nil || !w.Contains(1) {
+		t.Errorf("evicted %v", got)
+	}
 }
