--- a/internal/admin/manage.go
+++ b/internal/admin/admin.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// callFor bounds how long a call may take to come, and its answer to leave. An answer is owed within 1 s of the
+	// callTimeout bounds how long a call may take to come, and its answer to leave. An answer is owed within 1 s of the
 	// call.
-	callFor  = 700 * time.Millisecond
-	headMost = 4 << 10 // bytes
-	// connsMost bounds the connections: the oldest makes way. Guards against callers that stay and say nothing, of
-	// which each costs a descriptor for callFor.
-	connsMost = 16
+	callTimeout    = 700 * time.Millisecond
+	maxHeaderBytes = 4 << 10 // bytes
+	// maxConnections bounds the connections: the oldest makes way. Guards against callers that stay and say nothing, of
+	// which each costs a descriptor for callTimeout.
+	maxConnections = 16
 )
 
 // Server answers on the second address.
@@ -66,7 +66,7 @@
 // Serve answers on l until ctx ends; then l and all connections are closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{
-		Handler: s.Handler(), ReadTimeout: callFor, WriteTimeout: callFor, MaxHeaderBytes: headMost,
+		Handler: s.Handler(), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug), // callers that leave early are no news
 	}
 	server.SetKeepAlivesEnabled(false)
@@ -77,16 +77,16 @@
 	return nil
 }
 
-// listener keeps no more than connsMost connections open.
+// listener keeps no more than maxConnections connections open.
 type listener struct {
 	net.Listener
-	mu    sync.Mutex
-	conns []*conn // oldest first
+	mu          sync.Mutex
+	connections []*connection // oldest first
 }
 
-type conn struct {
+type connection struct {
 	net.Conn
-	of *listener
+	listener *listener
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -94,12 +94,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{nc, l}
+	c := &connection{nc, l}
 	l.mu.Lock()
-	l.conns = append(l.conns, c)
-	var oldest *conn
-	if len(l.conns) > connsMost {
-		oldest = l.conns[0]
+	l.connections = append(l.connections, c)
+	var oldest *connection
+	if len(l.connections) > maxConnections {
+		oldest = l.connections[0]
 	}
 	l.mu.Unlock()
 	if oldest != nil {
@@ -108,14 +108,14 @@
 	return c, nil
 }
 
-func (c *conn) Close() error {
-	c.of.mu.Lock()
-	for i, x := range c.of.conns {
+func (c *connection) Close() error {
+	c.listener.mu.Lock()
+	for i, x := range c.listener.connections {
 		if x == c {
-			c.of.conns = append(c.of.conns[:i], c.of.conns[i+1:]...)
+			c.listener.connections = append(c.listener.connections[:i], c.listener.connections[i+1:]...)
 			break
 		}
 	}
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/admin/manage_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func serve(t *testing.T, ready *atomic.Bool) (addr string) {
+func startServer(t *testing.T, ready *atomic.Bool) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +39,8 @@
 	return l.Addr().String()
 }
 
-// ask makes a call on a connection of its own.
-func ask(t *testing.T, addr, text string) (status int, body string) {
+// sendRequest makes a call on a connection of its own.
+func sendRequest(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -61,38 +61,38 @@
 	return res.StatusCode, string(data)
 }
 
-func call(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
+func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-func TestCalls(t *testing.T) {
+func TestAnswers(t *testing.T) {
 	var ready atomic.Bool
-	addr := serve(t, &ready)
+	addr := startServer(t, &ready)
 	for _, x := range []struct {
 		text   string
 		status int
 		body   string
 	}{
-		{call("/v1/readyz"), 503, "not ready\n"},
-		{call("/v1/metrics"), 200, "router.pending:3|g\n"},
-		{call("/v1/other"), 404, "404 page not found\n"},
+		{getRequest("/v1/readyz"), 503, "not ready\n"},
+		{getRequest("/v1/metrics"), 200, "router.pending:3|g\n"},
+		{getRequest("/v1/other"), 404, "404 page not found\n"},
 		{"POST /v1/readyz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405, "Method Not Allowed\n"},
 		{"noise\r\n\r\n", 400, "400 Bad Request"},
 	} {
-		if status, body := ask(t, addr, x.text); status != x.status || body != x.body {
+		if status, body := sendRequest(t, addr, x.text); status != x.status || body != x.body {
 			t.Errorf("%q: %d %q", x.text, status, body)
 		}
 	}
 	ready.Store(true)
-	if status, _ := ask(t, addr, call("/v1/readyz")); status != 200 {
+	if status, _ := sendRequest(t, addr, getRequest("/v1/readyz")); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
 }
 
 // Hundreds that say nothing, or half of a call, and stay: others have their answers, and none of the silent is held for
 // good. Without the bound on connections or the deadline the last loop waits for ever.
-func TestSilentCallersHoldNobodyUp(t *testing.T) {
+func TestSilentClientsBlockNobody(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	addr := serve(t, &ready)
+	addr := startServer(t, &ready)
 	var silent []net.Conn
 	for i := range 300 {
 		c, err := net.Dial("tcp", addr)
@@ -105,7 +105,7 @@
 		}
 		silent = append(silent, c)
 	}
-	if status, _ := ask(t, addr, call("/v1/metrics")); status != 200 {
+	if status, _ := sendRequest(t, addr, getRequest("/v1/metrics")); status != 200 {
 		t.Errorf("%d", status)
 	}
 	for i, c := range silent {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -49,15 +49,15 @@
 	return version + " " + info.GoVersion
 }
 
-// ended is how kong's own end, after --help say, comes back.
-type ended int
+// kongExit is how kong's own end, after --help say, comes back.
+type kongExit int
 
 // Run parses a command line into app, a pointer to a struct in kong's form, and runs the command that it names: its
 // Run method may take a context.Context and a *Streams. failed is the status after an error of the command.
 func Run(ctx context.Context, name, about string, app any, args []string, s Streams, failed int) (status int) {
 	defer func() {
 		if x := recover(); x != nil {
-			code, ok := x.(ended)
+			code, ok := x.(kongExit)
 			if !ok {
 				panic(x)
 			}
@@ -74,7 +74,7 @@
 		kong.BindTo(ctx, (*context.Context)(nil)),
 		kong.Bind(&s),
 		kong.Exit(
-			func(code int) { panic(ended(code)) },
+			func(code int) { panic(kongExit(code)) },
 		),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 	)
--- a/internal/config/operatorfile/operator.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -39,8 +39,8 @@
 	ShareQuota bool              `toml:"rights"` // what destinations take from all is shared by who needs it
 }
 
-// fleetMost bounds the relays of a fleet that tell each other of themselves.
-const fleetMost = 1024
+// maxPeers bounds the relays of a fleet that tell each other of themselves.
+const maxPeers = 1024
 
 // Journal says what outlasts more than the process, and what is kept in memory.
 type Journal struct {
@@ -108,7 +108,7 @@
 	setDefault(&f.Recorder.FolderMB, 64)
 	setDefault(&f.Journal.Sync, "never")
 	setDefault(&f.Journal.IntervalMS, 1000)
-	if err := f.check(stricttoml.Lines(data)); err != nil {
+	if err := f.validate(stricttoml.Lines(data)); err != nil {
 		return File{}, fmt.Errorf("operator's file: %s: %w", name, err)
 	}
 	return f, nil
@@ -121,8 +121,8 @@
 	}
 }
 
-func (f *File) check(lines map[string]int) error {
-	errs := f.Fleet.check(lines)
+func (f *File) validate(lines map[string]int) error {
+	errs := f.Fleet.validate(lines)
 	bad := func(ok bool, format string, args ...any) {
 		if !ok {
 			errs = append(errs, fmt.Errorf(format, args...))
@@ -160,7 +160,7 @@
 	return errors.Join(errs...)
 }
 
-func (f Fleet) check(lines map[string]int) (errs []error) {
+func (f Fleet) validate(lines map[string]int) (errs []error) {
 	bad := func(ok bool, key, format string, args ...any) {
 		if ok {
 			return
@@ -185,7 +185,7 @@
 	}
 	bad(!f.Enabled || len(f.Peers) > 0, "join", "names nobody: a table of all relays' names and addresses is needed")
 	bad(f.Enabled || !f.ShareQuota, "rights", "needs fleet.enabled = true")
-	bad(len(f.Peers) <= fleetMost, "join", "names %d relays, %d at most", len(f.Peers), fleetMost)
+	bad(len(f.Peers) <= maxPeers, "join", "names %d relays, %d at most", len(f.Peers), maxPeers)
 	for _, n := range slices.Sorted(maps.Keys(f.Peers)) {
 		bad(n != "" && named(n), "join."+n, "names %q: 64 bytes at most, without blanks, slashes and quotes", n)
 		host, port, err := net.SplitHostPort(f.Peers[n])
--- a/internal/config/operatorfile/operator_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -55,7 +55,7 @@
 }
 
 // Every error of a file is told, with its line or its key.
-func TestBadFiles(t *testing.T) {
+func TestParseReportsEveryError(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"[recorder]\nenabeld = true\n[lgo]\nx = 1\n": {"f.toml:2: unknown key recorder.enabeld", "f.toml:3: unknown key lgo"},
 		"[recorder]\nenabled = \"yes\"\n":            {"f.toml:2:"},
@@ -85,7 +85,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[recorder]\nenabled = true\nring_mb = 1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if file, err := Parse("f", data); err == nil && file.check(nil) != nil {
+		if file, err := Parse("f", data); err == nil && file.validate(nil) != nil {
 			t.Errorf("taken, and wrong: %+v", file)
 		}
 	})
--- a/internal/config/reload/terms_test.go
+++ b/internal/config/reload/reload_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func some() Config {
+func testConfig() Config {
 	return Config{
 		ClassNames: []string{"order", "payment"},
 		Settings: policy.Settings{MaxAttempts: 8, Classes: []policy.Class{
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWhatIsWrongWithFreshTermsIsTold(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(*Config)
 		want   string // "": taken
@@ -51,16 +51,16 @@
 		"a name twice":          {func(f *Config) { f.ClassNames[1] = "order" }, "class 1 has no name of its own"},
 		"a negative aim":        {func(f *Config) { f.Settings.Classes[0].LatencyObjective = -1 }, "negative time"},
 	} {
-		fresh := some()
+		fresh := testConfig()
 		x.change(&fresh)
-		err := Validate(some(), fresh)
+		err := Validate(testConfig(), fresh)
 		if x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)) {
 			t.Errorf("%s: %v, not %q", name, err, x.want)
 		}
 	}
 }
 
-func drawTerms(t *rapid.T, label string) Config {
+func drawConfig(t *rapid.T, label string) Config {
 	tt := Config{Settings: policy.Settings{MaxAttempts: rapid.IntRange(1, 9).Draw(t, label+" attempts")}}
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID).Draw(t, label) {
 		tt.ClassNames = append(tt.ClassNames, name)
@@ -88,9 +88,9 @@
 }
 
 // While both terms may bind, nothing is done that one of them forbids, and all that either names is taken.
-func TestOverlapBindsBoth(t *testing.T) {
+func TestTransitionalKeepsBothConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, fresh := drawTerms(t, "old"), drawTerms(t, "fresh")
+		old, fresh := drawConfig(t, "old"), drawConfig(t, "fresh")
 		both := Transitional(old, fresh)
 		for _, x := range []Config{old, fresh} {
 			if both.Settings.MaxAttempts > x.Settings.MaxAttempts {
--- a/internal/metrics/figures.go
+++ b/internal/metrics/metrics.go
@@ -23,10 +23,10 @@
 	Completed Result = iota // delivered
 	Rejected                // refused, or handed back: its client may come again
 	Failed
-	ends
+	resultCount
 )
 
-var endNames = [ends]string{"completed", "rejected", "failed"}
+var resultNames = [resultCount]string{"completed", "rejected", "failed"}
 
 // Registry are a process's. The zero value counts.
 type Registry struct {
@@ -38,23 +38,23 @@
 	UnavailableMembers atomic.Int64 // those of them that are avoided now
 
 	mu      sync.Mutex
-	classes map[string]*[ends]int64 // never more than the configurations have named
+	classes map[string]*[resultCount]int64 // never more than the configurations have named
 }
 
 // RegisterClass has a class counted from here on, and shown though nothing of it has ended yet.
 func (f *Registry) RegisterClass(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.class(name)
+	f.resultsOf(name)
 }
 
-func (f *Registry) class(name string) *[ends]int64 {
+func (f *Registry) resultsOf(name string) *[resultCount]int64 {
 	c := f.classes[name]
 	if c == nil {
 		if f.classes == nil {
-			f.classes = map[string]*[ends]int64{}
+			f.classes = map[string]*[resultCount]int64{}
 		}
-		c = new([ends]int64)
+		c = new([resultCount]int64)
 		f.classes[name] = c
 	}
 	return c
@@ -64,7 +64,7 @@
 func (f *Registry) CountResult(class string, e Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.class(class)[e]++
+	f.resultsOf(class)[e]++
 }
 
 // WriteTo writes all figures, in a fixed order.
@@ -76,7 +76,7 @@
 	f.mu.Lock()
 	for _, class := range slices.Sorted(maps.Keys(f.classes)) {
 		for e, n := range f.classes[class] {
-			line(endNames[e]+"."+class, n, "c")
+			line(resultNames[e]+"."+class, n, "c")
 		}
 	}
 	f.mu.Unlock()
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFiguresAreWrittenOneALine(t *testing.T) {
+func TestWriteTo(t *testing.T) {
 	var f Registry
 	f.RegisterClass("b")
 	var wg sync.WaitGroup
