--- /dev/null
+++ b/internal/config/reload/validate.go
@@ -0,0 +1,45 @@
+package reload
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// Validate returns why a fresh configuration cannot replace the old one: all reasons at once, or nil.
+func Validate(old, fresh Config) error {
+	var errs []error
+	if paths := fresh.Shape.missing(old.Shape); len(paths) > 0 {
+		errs = append(errs, fmt.Errorf("keys are missing: %s", strings.Join(paths, ", ")))
+	}
+	settings := &fresh.Settings
+	if len(settings.Classes) == 0 || len(settings.Classes) != len(fresh.ClassNames) {
+		errs = append(errs, errors.New("no class is named"))
+		return errors.Join(errs...)
+	}
+	errs = append(errs, validateClasses(fresh)...)
+	if settings.MaxAttempts < 0 || settings.MaxAttempts == 0 && old.Settings.MaxAttempts > 0 {
+		errs = append(errs, errors.New("the number of attempts is not over 0"))
+	}
+	if _, err := policy.New(*settings, 0); err != nil {
+		errs = append(errs, err)
+	}
+	return errors.Join(errs...)
+}
+
+// validateClasses checks the name and the deadline of each class.
+func validateClasses(config Config) []error {
+	var errs []error
+	for i, name := range config.ClassNames {
+		if name == "" || slices.Index(config.ClassNames, name) != i {
+			errs = append(errs, fmt.Errorf("class %d has no name of its own", i))
+		}
+		if config.Settings.Classes[i].Deadline <= 0 {
+			errs = append(errs, fmt.Errorf("class %q: its deadline is not over 0", name))
+		}
+	}
+	return errs
+}
--- a/internal/config/stricttoml/lines.go
+++ b/internal/config/stricttoml/lines.go
@@ -7,36 +7,41 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines tells where the keys of a file stand, by their paths: "a.b", or "a[2].b" in the second of several tables of one
-// name. Of a table it is the line of its header, of a key that stands in a value of its own nothing. A file that cannot
-// be read has those before the error.
+// Lines returns the line of each key in a file by its path: "a.b", or "a[2].b" in the second of several tables of one
+// name. The line of a table is that of its header. Keys within inline values are left out. Of a file that cannot be
+// read it returns the keys before the error.
 func Lines(data []byte) map[string]int {
-	lines, tables := map[string]int{}, map[string]int{}
-	var p unstable.Parser
-	p.Reset(data)
-	table := ""
-	for p.NextExpression() {
-		e := p.Expression()
-		var parts []string
-		line := 0
-		for it := e.Key(); it.Next(); {
-			parts = append(parts, string(it.Node().Data))
-			if line == 0 {
-				line = p.Shape(it.Node().Raw).Start.Line
-			}
-		}
-		path := strings.Join(parts, ".")
-		switch e.Kind {
+	lines := map[string]int{}
+	tableCounts := map[string]int{} // of tables in an array, by path
+	var parser unstable.Parser
+	parser.Reset(data)
+	tablePrefix := "" // of the table that the parser is in
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		path, line := keyOf(&parser, expression)
+		switch expression.Kind {
 		case unstable.Table:
-			table = path + "."
+			tablePrefix = path + "."
 		case unstable.ArrayTable:
-			tables[path]++
-			path = fmt.Sprintf("%s[%d]", path, tables[path])
-			table = path + "."
+			tableCounts[path]++
+			path = fmt.Sprintf("%s[%d]", path, tableCounts[path])
+			tablePrefix = path + "."
 		default:
-			path = table + path
+			path = tablePrefix + path
 		}
 		lines[path] = line
 	}
 	return lines
 }
+
+// keyOf returns the key of an expression, with dots between its parts, and the line of its first part.
+func keyOf(parser *unstable.Parser, expression *unstable.Node) (path string, line int) {
+	var parts []string
+	for key := expression.Key(); key.Next(); {
+		parts = append(parts, string(key.Node().Data))
+		if line == 0 {
+			line = parser.Shape(key.Node().Raw).Start.Line
+		}
+	}
+	return strings.Join(parts, "."), line
+}
--- a/internal/config/stricttoml/lines_test.go
+++ b/internal/config/stricttoml/lines_test.go
@@ -5,14 +5,32 @@
 	"testing"
 )
 
+const linesText = `name = "x"
+
+[set]
+"settings.slots" = 5 # of all
+a.b = 1
+[[factor]]
+path = "p"
+values = [
+  1,
+]
+[[factor]]
+path = "q"
+broken =`
+
 func TestLines(t *testing.T) {
-	got := Lines(
-		[]byte(
-			"name = \"x\"\n\n[set]\n\"settings.slots\" = 5 # of all\na.b = 1\n[[factor]]\npath = \"p\"\nvalues = [\n  1,\n]\n[[factor]]\npath = \"q\"\nbroken =",
-		),
-	)
+	got := Lines([]byte(linesText))
 	want := map[string]int{
-		"name": 1, "set": 3, "set.settings.slots": 4, "set.a.b": 5, "factor[1]": 6, "factor[1].path": 7, "factor[1].values": 8, "factor[2]": 11, "factor[2].path": 12,
+		"name":               1,
+		"set":                3,
+		"set.settings.slots": 4,
+		"set.a.b":            5,
+		"factor[1]":          6,
+		"factor[1].path":     7,
+		"factor[1].values":   8,
+		"factor[2]":          11,
+		"factor[2].path":     12,
 	}
 	if !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
@@ -24,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for path, line := range Lines(data) {
 			if line < 1 {
-				t.Errorf("%q stands in line %d", path, line)
+				t.Errorf("%q is on line %d", path, line)
 			}
 		}
 	})
--- a/internal/config/stricttoml/stricttoml.go
+++ b/internal/config/stricttoml/stricttoml.go
@@ -1,4 +1,4 @@
-// Package stricttoml reads TOML files in which every key must be known, and says where each error stands.
+// Package stricttoml reads TOML files in which every key must be known, and reports where each error is.
 package stricttoml
 
 import (
@@ -10,26 +10,33 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads data into v. All unknown keys are told at once, each as "name:line: unknown key a.b".
+// Decode reads data into v. It reports all unknown keys at once, each as "name:line: unknown key a.b".
 func Decode(name string, data []byte, v any) error {
-	d := toml.NewDecoder(bytes.NewReader(data))
-	d.DisallowUnknownFields()
-	err := d.Decode(v)
-	var unknown *toml.StrictMissingError
-	var bad *toml.DecodeError
-	switch {
-	case err == nil:
+	decoder := toml.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(v)
+	if err == nil {
 		return nil
-	case errors.As(err, &unknown):
-		var all []error
-		for _, e := range unknown.Errors {
-			line, _ := e.Position()
-			all = append(all, fmt.Errorf("%s:%d: unknown key %s", name, line, strings.Join(e.Key(), ".")))
-		}
-		return errors.Join(all...)
-	case errors.As(err, &bad):
-		line, column := bad.Position()
-		return fmt.Errorf("%s:%d:%d: %s", name, line, column, strings.TrimPrefix(bad.Error(), "toml: "))
+	}
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) {
+		return unknownKeys(name, unknown)
+	}
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, column := malformed.Position()
+		return fmt.Errorf("%s:%d:%d: %s", name, line, column, strings.TrimPrefix(malformed.Error(), "toml: "))
 	}
 	return fmt.Errorf("%s: %w", name, err)
 }
+
+// unknownKeys returns an error for each unknown key, joined.
+func unknownKeys(name string, unknown *toml.StrictMissingError) error {
+	var errs []error
+	for i := range unknown.Errors {
+		key := &unknown.Errors[i]
+		line, _ := key.Position()
+		errs = append(errs, fmt.Errorf("%s:%d: unknown key %s", name, line, strings.Join(key.Key(), ".")))
+	}
+	return errors.Join(errs...)
+}
