--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,6 +20,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -33,7 +34,7 @@
 	logOut io.Writer // receives recordings, where no folder is set for them
 
 	ingress *IngressServer // serves clients
-	egress  *EgressClient  // calls endpoints
+	egress  *egress.Client // calls endpoints
 	agent   *Client        // service discovery's
 	finals  *Sender        // final notifications
 	fleet   *fleet.Member  // nil: this relay shares nothing with others
@@ -87,7 +88,7 @@
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
-	r.egress = NewEgressClient(cfg, log, func(n int) { r.metrics.UpstreamRequests.Add(int64(n)) })
+	r.egress = egress.New(r.egressConfig())
 	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
