--- /dev/null
+++ b/internal/config/reload/reload_test.go
@@ -0,0 +1,89 @@
+package reload
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+func drawConfig(t *rapid.T, label string) Config {
+	config := Config{Settings: policy.Settings{MaxAttempts: rapid.IntRange(1, 9).Draw(t, label+" attempts")}}
+	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
+	for _, name := range rapid.SliceOfNDistinct(names, 1, 4, rapid.ID).Draw(t, label) {
+		config.ClassNames = append(config.ClassNames, name)
+		config.Settings.Classes = append(config.Settings.Classes, drawClass(t))
+	}
+	return config
+}
+
+func drawClass(t *rapid.T) policy.Class {
+	effects := []policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}
+	return policy.Class{
+		Effect:        rapid.SampledFrom(effects).Draw(t, "effect"),
+		DedupAllZones: rapid.Bool().Draw(t, "all zones"),
+		Ordered:       rapid.Bool().Draw(t, "ordered"),
+		DedupWindow:   time.Duration(rapid.IntRange(0, 9).Draw(t, "window")),
+		Deadline:      time.Duration(rapid.IntRange(1, 9).Draw(t, "deadline")),
+	}
+}
+
+// allowsRetry reports whether a message of a class that may have run may be sent again, within its zone or to another
+// one, so long after.
+func allowsRetry(class policy.Class, otherZone bool, after time.Duration) bool {
+	switch class.Effect {
+	case policy.Idempotent:
+		return true
+	case policy.NonIdempotent:
+		return false
+	default:
+		return (class.DedupAllZones || !otherZone) && after < class.DedupWindow
+	}
+}
+
+// The transitional configuration allows nothing that one of the two forbids, and has every class of either.
+func TestTransitionalKeepsBothConfigurations(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		old := drawConfig(t, "old")
+		fresh := drawConfig(t, "fresh")
+		transitional := Transitional(old, fresh)
+		checkStricter(t, transitional, old)
+		checkStricter(t, transitional, fresh)
+		if len(transitional.Settings.Classes) != len(transitional.ClassNames) {
+			t.Fatal("classes without names")
+		}
+	})
+}
+
+// checkStricter fails if a transitional configuration allows something that config forbids, or lacks a class of it.
+func checkStricter(t *rapid.T, transitional, config Config) {
+	if transitional.Settings.MaxAttempts > config.Settings.MaxAttempts {
+		t.Fatal("more attempts than one configuration allows")
+	}
+	for i, name := range config.ClassNames {
+		if !slices.Contains(transitional.ClassNames, name) {
+			t.Fatalf("class %s is missing", name)
+		}
+		for j, other := range transitional.ClassNames {
+			if other == name {
+				checkStricterClass(t, transitional.Settings.Classes[j], config.Settings.Classes[i])
+			}
+		}
+	}
+}
+
+func checkStricterClass(t *rapid.T, transitional, class policy.Class) {
+	if class.Ordered && !transitional.Ordered || transitional.Deadline < class.Deadline {
+		t.Fatalf("%+v of %+v", transitional, class)
+	}
+	for after := range time.Duration(10) {
+		for _, otherZone := range []bool{false, true} {
+			if allowsRetry(transitional, otherZone, after) && !allowsRetry(class, otherZone, after) {
+				t.Fatalf("%+v allows a retry that %+v forbids", transitional, class)
+			}
+		}
+	}
+}
