--- /dev/null
+++ b/internal/config/reload/reload.go
@@ -0,0 +1,87 @@
+// Package reload decides what happens when a relay reads its configuration again while it runs: whether the new one is
+// accepted, and which settings hold while clients may still use the old one. The package is pure: it reads no clock and
+// does no I/O.
+package reload
+
+import (
+	"maps"
+	"slices"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// Config is what a relay and its clients use of a configuration file.
+type Config struct {
+	ClassNames  []string        `json:"Classes"` // in the order of Settings.Classes
+	TenantNames []string        `json:"Customers"`
+	Settings    policy.Settings `json:"Settings"`
+	Shape       Shape           `json:"Shape"` // of the file
+}
+
+// Equal reports whether two configurations have the same effect.
+func Equal(a, b Config) bool {
+	return slices.Equal(a.ClassNames, b.ClassNames) &&
+		slices.Equal(a.TenantNames, b.TenantNames) &&
+		equalSettings(&a.Settings, &b.Settings) &&
+		maps.Equal(a.Shape, b.Shape)
+}
+
+// equalSettings compares the settings that a configuration file sets.
+func equalSettings(a, b *policy.Settings) bool {
+	return slices.Equal(a.Classes, b.Classes) &&
+		slices.Equal(a.DestinationKinds, b.DestinationKinds) &&
+		slices.Equal(a.Tenants, b.Tenants) &&
+		slices.Equal(a.ZoneCosts, b.ZoneCosts) &&
+		a.MaxAttempts == b.MaxAttempts &&
+		a.MaxInFlightCalls == b.MaxInFlightCalls &&
+		a.MaxPendingMessages == b.MaxPendingMessages &&
+		a.FleetSize == b.FleetSize
+}
+
+// Transitional returns the configuration for the time in which clients may use either of two: every class of both,
+// those of the same name with the stricter settings, and the fewer attempts.
+func Transitional(old, fresh Config) Config {
+	config := KeepRemovedClasses(old, fresh)
+	for i, name := range old.ClassNames {
+		class := &config.Settings.Classes[slices.Index(config.ClassNames, name)]
+		*class = stricter(old.Settings.Classes[i], *class)
+	}
+	oldAttempts, freshAttempts := old.Settings.MaxAttempts, fresh.Settings.MaxAttempts
+	if oldAttempts > 0 && freshAttempts > 0 {
+		config.Settings.MaxAttempts = min(oldAttempts, freshAttempts)
+	}
+	return config
+}
+
+// KeepRemovedClasses returns the fresh configuration with the classes that only the old one has behind its own.
+func KeepRemovedClasses(old, fresh Config) Config {
+	config := fresh
+	config.ClassNames = slices.Clone(fresh.ClassNames)
+	config.Settings.Classes = slices.Clone(fresh.Settings.Classes)
+	for i, name := range old.ClassNames {
+		if !slices.Contains(config.ClassNames, name) {
+			config.ClassNames = append(config.ClassNames, name)
+			config.Settings.Classes = append(config.Settings.Classes, old.Settings.Classes[i])
+		}
+	}
+	return config
+}
+
+// stricter returns a class that allows nothing which either of two forbids. Its other settings are those of fresh.
+func stricter(old, fresh policy.Class) policy.Class {
+	class := fresh
+	class.Effect = max(old.Effect, fresh.Effect) // in the order Idempotent, IdempotentByKey, NonIdempotent
+	class.Ordered = old.Ordered || fresh.Ordered
+	// The longer deadline forbids nothing: it bounds what clients may ask for, and each message has one of its own.
+	class.Deadline = max(old.Deadline, fresh.Deadline)
+	if old.Effect != policy.IdempotentByKey {
+		return class
+	}
+	class.DedupAllZones = old.DedupAllZones
+	class.DedupWindow = old.DedupWindow
+	if fresh.Effect == policy.IdempotentByKey {
+		class.DedupAllZones = old.DedupAllZones && fresh.DedupAllZones
+		class.DedupWindow = min(old.DedupWindow, fresh.DedupWindow)
+	}
+	return class
+}
