--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -4,6 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -14,53 +15,60 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
-		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
-		"relay.WatchIdleTimeout", "relay.leaveFor", "relay.postTimeout", "backoff.period",
-		"policy.recoveryPushRatio",
+		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime",
+		"relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout", "discovery.WatchIdleTimeout",
+		"relay.leaveFor", "notify.postTimeout", "backoff.period", "policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
-		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout", "ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize",
-		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational", "relay.fetchIdleTimeout",
+		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout",
+		"ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize", "netconn.readBufferSize",
+		"discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNoticesPerPost",
+		"notify.maxResponseSize", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational",
+		"discovery.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter", "relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval",
-		"relay.minRetryDelay", "relay.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval", "relay.healthSaveCostRatio",
-		"relay.besideJournal", "relay.reservedDescriptors", "relay.minEndpointConns", "relay.lockFor", "relay.lockPause", "ingress.newConnGrace", "ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "relay.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
+		"hotrestart.dialFor", "hotrestart.sendFor", "hotrestart.frameMost", "hotrestart.pathMost",
+		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter",
+		"relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval", "notify.minRetryDelay",
+		"notify.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout",
+		"relay.healthSaveInterval", "relay.healthSaveCostRatio", "relay.besideJournal", "relay.reservedDescriptors",
+		"relay.minEndpointConns", "relay.lockFor", "relay.lockPause", "ingress.newConnGrace",
+		"ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
+		"relay.readBufferSize", "discovery.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a share of what the settings tell": {
-		"egress.idleRatio", "backoff.graceShare",
-		"policy.recoveryLapseRatio", "policy.maxPendingRatio", "policy.maxScopeInFlightRatio",
-		"policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
+		"egress.idleRatio", "backoff.graceShare", "policy.recoveryLapseRatio", "policy.maxPendingRatio",
+		"policy.maxScopeInFlightRatio", "policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
 	"at most, or at least: the settings go before it": {
-		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost",
-		"policy.minLatencyBound", "policy.MinRetryAfter", "policy.minScopeCapacity",
-		"policy.defaultWarmUpInitialCapacity", "policy.defaultWarmUpDuration",
-		"policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
+		"relay.defaultConnectTimeout", "relay.defaultKeepAlive", "relay.defaultDrainGrace", "relay.defaultMemoryMB",
+		"relay.defaultSockets", "relay.defaultDiskMB", "relay.defaultDeadline",
+		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost", "policy.minLatencyBound",
+		"policy.MinRetryAfter", "policy.minScopeCapacity", "policy.defaultWarmUpInitialCapacity",
+		"policy.defaultWarmUpDuration", "policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
-		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter",
-		"policy.initialEjectionTime", "policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter",
-		"policy.outageRetryAfter", "policy.outageRejections", "policy.sparseOutageRejections",
-		"policy.weakSignalProbability", "policy.sparseSpreadCalls", "policy.minOutageRejectionTime",
-		"policy.ejectAfterFailures", "policy.suspectAfterFailures", "policy.suspectAfterRecentFailures",
-		"policy.ejectAfterRecentFailures", "policy.pacingRestartRate", "policy.minPacingRate",
-		"policy.minPacingShareRatio", "policy.pacingGrowth", "policy.cautiousPacingGrowth",
-		"policy.maxGrowthSeconds", "policy.nearLimitRatio", "policy.maxUnusedPacingRatio",
-		"policy.pacingBurstWindow", "policy.fleetBurstTokens", "policy.rejectionFreeWindow",
-		"policy.fleetExcessPacingGrowth", "policy.maxFleetPacingRatio", "policy.minFleetPacingRatio",
-		"policy.trafficWindow", "policy.trafficPriorMessages", "policy.ownTrafficRatio",
-		"policy.quotaRequestInterval", "policy.quotaRequestLead", "policy.maxConnectExhaustions",
-		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
-		"policy.smallFleetSize", "policy.MaxInitialSpread",
+		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter", "policy.initialEjectionTime",
+		"policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter", "policy.outageRetryAfter",
+		"policy.outageRejections", "policy.sparseOutageRejections", "policy.weakSignalProbability",
+		"policy.sparseSpreadCalls", "policy.minOutageRejectionTime", "policy.ejectAfterFailures",
+		"policy.suspectAfterFailures", "policy.suspectAfterRecentFailures", "policy.ejectAfterRecentFailures",
+		"policy.pacingRestartRate", "policy.minPacingRate", "policy.minPacingShareRatio", "policy.pacingGrowth",
+		"policy.cautiousPacingGrowth", "policy.maxGrowthSeconds", "policy.nearLimitRatio",
+		"policy.maxUnusedPacingRatio", "policy.pacingBurstWindow", "policy.fleetBurstTokens",
+		"policy.rejectionFreeWindow", "policy.fleetExcessPacingGrowth", "policy.maxFleetPacingRatio",
+		"policy.minFleetPacingRatio", "policy.trafficWindow", "policy.trafficPriorMessages",
+		"policy.ownTrafficRatio", "policy.quotaRequestInterval", "policy.quotaRequestLead",
+		"policy.maxConnectExhaustions", "policy.connectExhaustionPause", "policy.connectShortageWindow",
+		"policy.recentlyHealthyWindow", "policy.smallFleetSize", "policy.MaxInitialSpread",
 		"policy.pacingDecreaseFactor",
 	},
 	"an identifier or a unit: nothing that could be set": {
-		"relay.watcherStream", "relay.firstInheritedFD", "relay.bytesPerMiB",
+		"relay.watcherStream", "relay.firstInheritedFD", "relay.bytesPerMiB", "relay.knownKey",
+		"relay.statsInAnswers",
 	},
 	"statistics: deviations, mixes, spans of a mean": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
@@ -79,18 +87,7 @@
 			listed[name] = true
 		}
 	}
-	var found []string
-	for _, dir := range []string{".", "discovery/backoff", "egress", "ingress", "netconn", "ratelog", "../../policy"} {
-		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, name := range files {
-			if !strings.HasSuffix(name, "_test.go") {
-				found = append(found, constantsOf(t, name)...)
-			}
-		}
-	}
+	found := append(constantsBelow(t, "."), constantsBelow(t, "../../policy")...)
 	slices.Sort(found)
 	for _, name := range found {
 		if !listed[name] {
@@ -106,8 +103,25 @@
 	}
 }
 
-// constantsOf are the constants of a file that have a value of their own and no type, or a Duration's.
+// constantsBelow returns the constants of all packages of a folder.
+func constantsBelow(t *testing.T, folder string) (names []string) {
+	t.Helper()
+	err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		names = append(names, constantsOf(t, path)...)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+// constantsOf returns the constants of a file that have a value of their own and no type, or a Duration's.
 func constantsOf(t *testing.T, name string) (names []string) {
+	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -37,7 +38,7 @@
 
 // applyList applies an endpoint list, or changes of it, and returns the policy's event. An unreadable entry is skipped;
 // if it names a known endpoint, that stays as it was.
-func (r *Relay) applyList(list List) []policy.Event {
+func (r *Relay) applyList(list discovery.List) []policy.Event {
 	large := r.largeList.Load()
 	r.listVersion = list.Version
 	if list.Full {
@@ -80,7 +81,7 @@
 }
 
 // applyEntry applies an entry of a list, and appends to updates what the policy has to know of it.
-func (r *Relay) applyEntry(updates []policy.Endpoint, e *Entry) []policy.Endpoint {
+func (r *Relay) applyEntry(updates []policy.Endpoint, e *discovery.Entry) []policy.Endpoint {
 	if e.Err != nil {
 		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
 		known, ok := r.catalog.MarkSeen(e.ID)
