--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -70,7 +70,9 @@
 }
 
 // parseConfig reads a configuration that is all there.
-func parseConfig(data []byte) (Config, error) { return parseConfigFile(bytes.NewReader(data), keepKnown) }
+func parseConfig(data []byte) (Config, error) {
+	return parseConfigFile(bytes.NewReader(data), keepKnown)
+}
 
 // parseList reads a list that is all there.
 func parseList(c *Config, data []byte) (l discovery.List, err error) {
