--- a/policy/again_test.go
+++ b/policy/again_test.go
@@ -7,9 +7,9 @@
 
 // Of many senders' first calls to what is listed anew spread; what is told again stands as if it had been known all
 // along, and is free for the same calls as that: no more.
-func TestWhatIsToldAgainStandsAsIfKnown(t *testing.T) {
+func TestRelistedEndpointIsAsIfKnown(t *testing.T) {
 	calls := func(seed uint64, repeated, complete bool, after time.Duration) (n int) {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = 300
 		engine, err := New(set, seed)
 		if err != nil {
--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// plainBook is what a Sender knows of destinations, by the plain rule: at every list event all without routes are
+// referenceModel is what a Sender knows of destinations, by the plain rule: at every list event all without routes are
 // looked at.
-type plainBook struct {
-	warm   time.Duration
-	routes map[string]int // destinations
+type referenceModel struct {
+	warmUp   time.Duration
+	endpoints map[string]int // destinations
 	known  map[int]bool
-	bareAt map[int]time.Duration
-	bare   []int
+	emptySince map[int]time.Duration
+	empty   []int
 }
 
-func (b *plainBook) routed(dest int) bool {
-	for _, d := range b.routes {
+func (b *referenceModel) hasEndpoints(dest int) bool {
+	for _, d := range b.endpoints {
 		if d == dest {
 			return true
 		}
@@ -29,51 +29,51 @@
 	return false
 }
 
-func (b *plainBook) drop(now time.Duration, route string) {
-	d, is := b.routes[route]
-	delete(b.routes, route)
-	if is && b.bareAt[d] == 0 && !b.routed(d) {
-		b.bareAt[d] = now
-		b.bare = append(b.bare, d)
+func (b *referenceModel) remove(now time.Duration, route string) {
+	d, is := b.endpoints[route]
+	delete(b.endpoints, route)
+	if is && b.emptySince[d] == 0 && !b.hasEndpoints(d) {
+		b.emptySince[d] = now
+		b.empty = append(b.empty, d)
 	}
 }
 
-func (b *plainBook) list(now time.Duration, event Event, held map[int]int) {
+func (b *referenceModel) update(now time.Duration, event Event, held map[int]int) {
 	if event.Kind == EndpointSnapshot {
-		byDestination := func(x, y string) int { return b.routes[x] - b.routes[y] }
-		for _, id := range slices.SortedFunc(maps.Keys(b.routes), byDestination) {
+		byDestination := func(x, y string) int { return b.endpoints[x] - b.endpoints[y] }
+		for _, id := range slices.SortedFunc(maps.Keys(b.endpoints), byDestination) {
 			if !slices.ContainsFunc(event.Endpoints, func(l Endpoint) bool { return l.ID == id }) {
-				b.drop(now, id)
+				b.remove(now, id)
 			}
 		}
 	}
 	for _, l := range event.Endpoints {
 		if l.Removed {
-			b.drop(now, l.ID)
-		} else if _, is := b.routes[l.ID]; !is {
-			b.routes[l.ID] = l.Destination
+			b.remove(now, l.ID)
+		} else if _, is := b.endpoints[l.ID]; !is {
+			b.endpoints[l.ID] = l.Destination
 			b.known[l.Destination] = true
 		}
 	}
-	b.bare = slices.DeleteFunc(b.bare, func(d int) bool {
-		if b.routed(d) {
-			delete(b.bareAt, d)
+	b.empty = slices.DeleteFunc(b.empty, func(d int) bool {
+		if b.hasEndpoints(d) {
+			delete(b.emptySince, d)
 			return true
 		}
-		if held[d] > 0 || now < b.bareAt[d]+b.warm {
+		if held[d] > 0 || now < b.emptySince[d]+b.warmUp {
 			return false
 		}
 		delete(b.known, d)
-		delete(b.bareAt, d)
+		delete(b.emptySince, d)
 		return true
 	})
 }
 
-// playBare plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
+// simulateChurn plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
 // was one. It returns a sum of all actions, to compare with another Sender's.
-func playBare(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
+func simulateChurn(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	set := settings()
+	set := testSettings()
 	set.FleetSize = []int{1, 300}[rng.IntN(2)]
 	engine, err := New(set, seed)
 	if err != nil {
@@ -166,22 +166,22 @@
 }
 
 // What a Sender still knows after every step is what the plain rule says.
-func TestSweepForgetsAsThePlainRule(t *testing.T) {
+func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
 	forgotten := 0
 	for seed := range uint64(30) {
-		b := plainBook{
-			warm:   settings().WarmUpDuration,
-			routes: map[string]int{},
+		b := referenceModel{
+			warmUp:   testSettings().WarmUpDuration,
+			endpoints: map[string]int{},
 			known:  map[int]bool{},
-			bareAt: map[int]time.Duration{},
+			emptySince: map[int]time.Duration{},
 		}
-		sum := playBare(t, seed, func(engine *Engine, now time.Duration, event *Event, held map[int]int) {
+		sum := simulateChurn(t, seed, func(engine *Engine, now time.Duration, event *Event, held map[int]int) {
 			if t.Failed() {
 				return
 			}
 			if event != nil {
 				was := len(b.known)
-				b.list(now, *event, held)
+				b.update(now, *event, held)
 				forgotten += max(0, was-len(b.known))
 			}
 			for d := range engine.destinations {
@@ -194,11 +194,11 @@
 				t.Errorf("seed %d, at %v: knows %v, by the plain rule %v", seed, now, got, want)
 			}
 			var bare []int
-			for _, d := range bares(engine) {
+			for _, d := range emptyDestinationsOf(engine) {
 				bare = append(bare, d.id)
 			}
-			if !slices.Equal(bare, b.bare) {
-				t.Errorf("seed %d, at %v: without routes %v, by the plain rule %v", seed, now, bare, b.bare)
+			if !slices.Equal(bare, b.empty) {
+				t.Errorf("seed %d, at %v: without routes %v, by the plain rule %v", seed, now, bare, b.empty)
 			}
 		})
 		t.Logf("seed %d: the actions' sum is %x", seed, sum)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -15,7 +15,7 @@
 }
 
 func benchmarkStep(b *testing.B, backlog int) {
-	set := settings()
+	set := testSettings()
 	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 400, 8, 1000
 	engine, err := New(set, 1)
 	if err != nil {
@@ -69,9 +69,9 @@
 	}
 }
 
-// BenchmarkFull is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes
+// BenchmarkListsAndTimers is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes
 // nothing, with a change of one route, and with a wake for which nothing is due while ten messages wait.
-func BenchmarkFull(b *testing.B) {
+func BenchmarkListsAndTimers(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
 		list = append(
@@ -88,7 +88,7 @@
 		{"wake", []Event{{Kind: TimerFired}}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			set := settings()
+			set := testSettings()
 			set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 300, 5, 60
 			engine, err := New(set, 1)
 			if err != nil {
@@ -112,12 +112,12 @@
 	}
 }
 
-// BenchmarkWakeAndRest is one destination of two routes that is told of and another that is put to rest, of so many
+// BenchmarkListAndEvict is one destination of two routes that is told of and another that is put to rest, of so many
 // told of; as many were put to rest within the last warm-up.
-func BenchmarkWakeAndRest(b *testing.B) {
+func BenchmarkListAndEvict(b *testing.B) {
 	for _, awake := range []int{1000, 10000, 50000, 140000} {
 		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
-			set := settings()
+			set := testSettings()
 			set.FleetSize = 400
 			engine, err := New(set, 1)
 			if err != nil {
--- a/policy/ends_test.go
+++ b/policy/ends_test.go
@@ -10,7 +10,7 @@
 
 // The heap of ends gives them in order, whatever comes in between, and takes no memory of its own for an entry once it
 // has grown.
-func TestEndsComeInOrder(t *testing.T) {
+func TestDeadlineHeapOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h deadlineHeap
 		var model []deadlineEntry
--- a/policy/flat_test.go
+++ b/policy/flat_test.go
@@ -12,7 +12,7 @@
 // A long run of one of 300 senders, with destinations that come and go, every outcome, withdrawals and messages that
 // are given up on: its heap after collection does not grow with the messages. One that keeps a word for each message
 // fails the same check.
-func TestTheHeapStaysFlatOverALongRun(t *testing.T) {
+func TestMemoryStaysFlatOverALongRun(t *testing.T) {
 	// The heap is that of all the process: what tests before this one left moves it, by a few hundred bytes a round.
 	// Only growth that shows each time is the module's.
 	for try := 1; ; try++ {
@@ -39,7 +39,7 @@
 	t.Helper()
 	const rounds, warmUp, each = 40, 10, 1500
 	rng := rand.New(rand.NewPCG(11, 12))
-	set := settings()
+	set := testSettings()
 	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts = 300, 8, 90, 8
 	set.Classes = []Class{
 		{
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -14,24 +14,24 @@
 
 // fleetCase is one such day.
 type fleetCase struct {
-	senders int
+	relays int
 	limit   float64 // calls a second
 	demand  float64 // messages, as a multiple of the limit
-	fails   float64 // share of the calls that fail in the outage
-	listed  bool    // the limit is listed; else no sender ever knows it
-	told    bool    // the limit is told in answers
+	failRatio   float64 // share of the calls that fail in the outage
+	limitListed  bool    // the limit is listed; else no sender ever knows it
+	limitReported    bool    // the limit is told in answers
 }
 
 func (c fleetCase) String() string {
 	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v",
-		c.senders, c.limit, c.demand, c.fails, c.listed, c.told)
+		c.relays, c.limit, c.demand, c.failRatio, c.limitListed, c.limitReported)
 }
 
 const (
 	fleetTick    = 10 * time.Millisecond
-	fleetReturn  = time.Minute + 35*time.Second
-	fleetFailing = time.Minute + 20*time.Second
-	fleetEnd     = fleetReturn + 8*time.Second
+	fleetRecoversAt  = time.Minute + 35*time.Second
+	fleetFailsAt = time.Minute + 20*time.Second
+	fleetEndsAt     = fleetRecoversAt + 8*time.Second
 )
 
 func fleetSettings(c fleetCase) Settings {
@@ -41,132 +41,132 @@
 		},
 		DestinationKinds: []DestinationKind{
 			{LimitPerEndpoint: true, MaxBatch: 1},
-		}, FleetSize: c.senders, MaxInFlightCalls: 8, IgnoreWeights: !c.listed,
+		}, FleetSize: c.relays, MaxInFlightCalls: 8, IgnoreWeights: !c.limitListed,
 		WarmUpInitialCapacity: 0.25, WarmUpDuration: 14 * time.Second, OverloadFactor: 1.5, OverloadWindow: 3 * time.Second,
 	}
 }
 
-// fleetWorld is the route, the senders' messages and the books of the judge.
-type fleetWorld struct {
-	c      fleetCase
+// fleetSimulation is the route, the senders' messages and the books of the judge.
+type fleetSimulation struct {
+	config      fleetCase
 	rng    *rand.Rand
 	now    time.Duration
-	fleet  []*Engine
+	engines  []*Engine
 	inbox  [][]Event
-	due    map[time.Duration][]fleetEvent
-	room   float64        // calls that the limit leaves
-	told   []bool         // by sender: of a failure or refusal in the outage
-	pushes []fleetPush    // since the return
-	tries  map[uint32]int // of each message
-	served int            // in the whole day
+	scheduled    map[time.Duration][]fleetEvent
+	tokens   float64        // calls that the limit leaves
+	sawFailure   []bool         // by sender: of a failure or refusal in the outage
+	recoveryCalls []recoveryCall    // since the return
+	attempts  map[uint32]int // of each message
+	delivered int            // in the whole day
 }
 
 type fleetEvent struct {
-	sender int
-	ev     Event
+	relay int
+	event     Event
 }
 
-type fleetPush struct {
+type recoveryCall struct {
 	at   time.Duration
-	told bool
+	sawFailure bool
 }
 
-func (w *fleetWorld) start(i int, seed uint64) error {
-	engine, err := New(fleetSettings(w.c), seed)
+func (w *fleetSimulation) start(i int, seed uint64) error {
+	engine, err := New(fleetSettings(w.config), seed)
 	if err != nil {
 		return err
 	}
-	w.fleet[i] = engine
-	w.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: w.c.limit, InService: true}}}}
+	w.engines[i] = engine
+	w.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: w.config.limit, InService: true}}}}
 	return nil
 }
 
 // call plays one call at the route: its outcome comes a tick or two later.
-func (w *fleetWorld) call(i int, a Action) {
-	failing := w.now >= fleetFailing && w.now < fleetReturn
-	if w.now >= fleetReturn {
-		w.pushes = append(w.pushes, fleetPush{w.now, w.told[i]})
+func (w *fleetSimulation) call(i int, a Action) {
+	failing := w.now >= fleetFailsAt && w.now < fleetRecoversAt
+	if w.now >= fleetRecoversAt {
+		w.recoveryCalls = append(w.recoveryCalls, recoveryCall{w.now, w.sawFailure[i]})
 	}
 	event := Event{
 		Kind:      AttemptFinished,
 		MessageID: a.MessageID,
-		Attempt:   w.tries[a.MessageID],
+		Attempt:   w.attempts[a.MessageID],
 		Endpoint:  "a",
 		Latency:   2 * fleetTick,
 	}
-	w.tries[a.MessageID]++
+	w.attempts[a.MessageID]++
 	switch {
-	case w.room < 1:
+	case w.tokens < 1:
 		event.Outcome = Overloaded
 	default:
-		w.room--
-		if failing && w.rng.Float64() < w.c.fails {
+		w.tokens--
+		if failing && w.rng.Float64() < w.config.failRatio {
 			event.Outcome = Error
 		}
 	}
-	if w.c.told {
-		event.LimitReport = LimitReport{Present: true, Limit: w.c.limit}
+	if w.config.limitReported {
+		event.LimitReport = LimitReport{Present: true, Limit: w.config.limit}
 	}
 	if event.MessageEnded = event.Outcome == OK; event.MessageEnded {
-		w.served++
+		w.delivered++
 	} else if failing {
-		w.told[i] = true
+		w.sawFailure[i] = true
 	}
-	w.later(i, 2*fleetTick, event)
+	w.schedule(i, 2*fleetTick, event)
 }
 
-func (w *fleetWorld) later(i int, after time.Duration, event Event) {
+func (w *fleetSimulation) schedule(i int, after time.Duration, event Event) {
 	at := (w.now + after + fleetTick - 1) / fleetTick * fleetTick
-	w.due[at] = append(w.due[at], fleetEvent{i, event})
+	w.scheduled[at] = append(w.scheduled[at], fleetEvent{i, event})
 }
 
-// playFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
-func playFleet(t *testing.T, c fleetCase, seed uint64) *fleetWorld {
+// simulateFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
+func simulateFleet(t *testing.T, c fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
-	w := &fleetWorld{
-		c: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, fleet: make([]*Engine, c.senders),
-		inbox: make([][]Event, c.senders), due: map[time.Duration][]fleetEvent{}, told: make([]bool, c.senders),
-		tries: map[uint32]int{},
+	w := &fleetSimulation{
+		config: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, engines: make([]*Engine, c.relays),
+		inbox: make([][]Event, c.relays), scheduled: map[time.Duration][]fleetEvent{}, sawFailure: make([]bool, c.relays),
+		attempts: map[uint32]int{},
 	}
-	restarts := fleetFailing + 7*time.Second
-	for i := range w.fleet {
+	restarts := fleetFailsAt + 7*time.Second
+	for i := range w.engines {
 		if err := w.start(i, w.rng.Uint64()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	id := uint32(0)
-	for ; w.now < fleetEnd; w.now += fleetTick {
-		w.room = math.Min(1+0.5*c.limit, w.room+c.limit*fleetTick.Seconds())
+	for ; w.now < fleetEndsAt; w.now += fleetTick {
+		w.tokens = math.Min(1+0.5*c.limit, w.tokens+c.limit*fleetTick.Seconds())
 		if w.now == restarts {
-			for i := 0; i < c.senders; i += 3 {
+			for i := 0; i < c.relays; i += 3 {
 				if err := w.start(i, w.rng.Uint64()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		for n := c.limit * c.demand * fleetTick.Seconds(); n > w.rng.Float64(); n-- {
-			i := w.rng.IntN(c.senders)
+			i := w.rng.IntN(c.relays)
 			if w.rng.IntN(2) == 0 {
-				i = w.rng.IntN((c.senders + 1) / 2)
+				i = w.rng.IntN((c.relays + 1) / 2)
 			}
 			id++
-			w.later(i, 0, Event{Kind: MessageAccepted, MessageID: id, TimeLeft: 28 * time.Second})
+			w.schedule(i, 0, Event{Kind: MessageAccepted, MessageID: id, TimeLeft: 28 * time.Second})
 		}
-		for _, e := range w.due[w.now] {
-			w.inbox[e.sender] = append(w.inbox[e.sender], e.ev)
+		for _, e := range w.scheduled[w.now] {
+			w.inbox[e.relay] = append(w.inbox[e.relay], e.event)
 		}
-		delete(w.due, w.now)
+		delete(w.scheduled, w.now)
 		for i, evs := range w.inbox {
 			if len(evs) == 0 {
 				continue
 			}
 			w.inbox[i] = nil
-			for _, a := range w.fleet[i].Step(w.now, evs) {
+			for _, a := range w.engines[i].Step(w.now, evs) {
 				switch a.Kind {
 				case Send:
 					w.call(i, a)
 				case SetTimer:
-					w.later(i, max(a.Delay, fleetTick), Event{Kind: TimerFired})
+					w.schedule(i, max(a.Delay, fleetTick), Event{Kind: TimerFired})
 				}
 			}
 		}
@@ -174,23 +174,23 @@
 	return w
 }
 
-// fell tells whether a window since the return broke failback: more calls than the budget of its length, two
+// overloaded tells whether a window since the return broke failback: more calls than the budget of its length, two
 // standard deviations of it allowed for chance, two thirds of them from senders told. Beside it stands the
 // greatest share of the part of senders told that a window used.
-func (w *fleetWorld) fell() (broken bool, used float64) {
-	set := fleetSettings(w.c)
-	for i, last := range w.pushes {
+func (w *fleetSimulation) overloaded() (broken bool, used float64) {
+	set := fleetSettings(w.config)
+	for i, last := range w.recoveryCalls {
 		share := set.WarmUpInitialCapacity + (1-set.WarmUpInitialCapacity)*float64(
-			last.at-fleetReturn,
+			last.at-fleetRecoversAt,
 		)/float64(
 			set.WarmUpDuration,
 		)
-		budget := set.OverloadFactor * share * w.c.limit * set.OverloadWindow.Seconds()
+		budget := set.OverloadFactor * share * w.config.limit * set.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
-		for _, p := range w.pushes[:i+1] {
+		for _, p := range w.recoveryCalls[:i+1] {
 			if p.at > last.at-set.OverloadWindow {
 				all++
-				if p.told {
+				if p.sawFailure {
 					told++
 				}
 			}
@@ -201,7 +201,7 @@
 	return broken, used
 }
 
-func TestFleetKeepsTheRecoveryBudget(t *testing.T) {
+func TestFleetKeepsRecoveryBudget(t *testing.T) {
 	for _, senders := range []int{3, 80, 400, 700} {
 		for _, c := range []fleetCase{
 			{senders, 30, 0.9, 1, true, false},
@@ -216,12 +216,12 @@
 			{senders, 3, 2, 1, false, false},
 		} {
 			for seed := range uint64(3) {
-				w := playFleet(t, c, seed)
-				broken, used := w.fell()
+				w := simulateFleet(t, c, seed)
+				broken, used := w.overloaded()
 				if broken {
 					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", c, seed, used)
 				}
-				if w.served == 0 {
+				if w.delivered == 0 {
 					t.Errorf("%v, seed %d: nothing served", c, seed)
 				}
 			}
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -6,76 +6,76 @@
 	"time"
 )
 
-// front stands before a Sender as a relay with a long list does: it keeps the list, tells of a destination when it is
+// evictor stands before a Sender as a relay with a long list does: it keeps the list, tells of a destination when it is
 // first needed, and has it forgotten once it may rest. It does so without waiting for a destination to be idle, which
 // is harder on what is forgotten.
-type front struct {
+type evictor struct {
 	t       *testing.T
-	forgets *forgetful
-	idle    time.Duration // least time without an event
-	s       *Engine
-	list    []Endpoint
-	awake   map[int]time.Duration
-	rests   int
+	policy *forgetfulEviction
+	idleTime    time.Duration // least time without an event
+	engine       *Engine
+	endpoints    []Endpoint
+	lastUsed   map[int]time.Duration
+	evictions   int
 }
 
-func (f *front) step(engine *Engine, now time.Duration, evs []Event) []Action {
-	if f.s != engine {
-		f.s, f.list, f.awake = engine, nil, map[int]time.Duration{}
+func (f *evictor) step(engine *Engine, now time.Duration, evs []Event) []Action {
+	if f.engine != engine {
+		f.engine, f.endpoints, f.lastUsed = engine, nil, map[int]time.Duration{}
 	}
 	var told []Event
 	for _, event := range evs {
 		switch event.Kind {
 		case EndpointSnapshot:
-			f.list = slices.Clone(event.Endpoints)
+			f.endpoints = slices.Clone(event.Endpoints)
 			continue
 		case EndpointDelta:
-			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), f.change)
+			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), f.update)
 		case MessageAccepted:
-			if _, is := f.awake[event.Destination]; !is {
-				told = append(told, f.all(event.Destination, false))
+			if _, is := f.lastUsed[event.Destination]; !is {
+				told = append(told, f.listing(event.Destination, false))
 			}
-			f.awake[event.Destination] = now
+			f.lastUsed[event.Destination] = now
 		case AttemptFinished:
-			if i := f.find(event.Endpoint); i >= 0 {
-				f.awake[f.list[i].Destination] = now
+			if i := f.index(event.Endpoint); i >= 0 {
+				f.lastUsed[f.endpoints[i].Destination] = now
 			}
 		}
 		told = append(told, event)
 	}
 	acts := slices.Clone(engine.Step(now, told))
 	for d := range 5 {
-		if at, is := f.awake[d]; is && now >= at+f.idle && f.forgets.resting(f.t, engine, d) {
-			acts = append(acts, engine.Step(now, []Event{f.all(d, true)})...)
-			delete(f.awake, d)
-			f.rests++
+		if at, is := f.lastUsed[d]; is && now >= at+f.idleTime && f.policy.evictable(f.t, engine, d) {
+			acts = append(acts, engine.Step(now, []Event{f.listing(d, true)})...)
+			delete(f.lastUsed, d)
+			f.evictions++
 		}
 	}
 	return acts
 }
 
-func (f *front) find(route string) int {
-	return slices.IndexFunc(f.list, func(l Endpoint) bool { return l.ID == route })
+func (f *evictor) index(route string) int {
+	return slices.IndexFunc(f.endpoints, func(l Endpoint) bool { return l.ID == route })
 }
 
-// change takes on an entry, and tells whether it is of a destination at rest.
-func (f *front) change(l Endpoint) bool {
-	i := f.find(l.ID)
+// update takes on an entry, and tells whether it is of a destination at rest.
+func (f *evictor) update(l Endpoint) bool {
+	i := f.index(l.ID)
 	switch {
 	case l.Removed && i >= 0:
-		f.list = slices.Delete(f.list, i, i+1)
+		f.endpoints = slices.Delete(f.endpoints, i, i+1)
 	case i >= 0:
-		f.list[i] = l
+		f.endpoints[i] = l
 	case !l.Removed:
-		f.list = append(f.list, l)
+		f.endpoints = append(f.endpoints, l)
 	}
-	_, is := f.awake[l.Destination]
+	_, is := f.lastUsed[l.Destination]
 	return !is
 }
 
-func (f *front) all(dest int, gone bool) Event {
+func (f *evictor) listing(dest int, gone bool) Event {
 	event := Event{Kind: EndpointDelta}
-	for _, l := range f.list {
+	for _, l := range f.endpoints {
 		if l.Destination == dest {
 			l.Removed = gone
 			event.Endpoints = append(event.Endpoints, l)
@@ -84,22 +84,22 @@
 	return event
 }
 
-// playFront plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
+// simulateWithEvictor plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
 // whatever answer.
-func playFront(t *testing.T, seed uint64, every int, forgets *forgetful) (*world, *front) {
-	f := &front{t: t, forgets: forgets}
-	return play(t, seed, blind{every: every, step: f.step}), f
+func simulateWithEvictor(t *testing.T, seed uint64, every int, forgets *forgetfulEviction) (*simulation, *evictor) {
+	f := &evictor{t: t, policy: forgets}
+	return simulate(t, seed, disabledGuard{acceptInterval: every, step: f.step}), f
 }
 
 // A Sender behind a front keeps the six rules by the books of the property test.
-func TestSixRulesBehindAFront(t *testing.T) {
+func TestSixRulesWithEviction(t *testing.T) {
 	rests := 0
 	for seed := range uint64(40) {
-		w, f := playFront(t, seed, 20+int(seed%4)*20, nil)
-		rests += f.rests
+		w, f := simulateWithEvictor(t, seed, 20+int(seed%4)*20, nil)
+		rests += f.evictions
 		for rule := 1; rule <= 6; rule++ {
-			if w.broken[rule] != "" {
-				t.Errorf("seed %d, rule %d: %s", seed, rule, w.broken[rule])
+			if w.violations[rule] != "" {
+				t.Errorf("seed %d, rule %d: %s", seed, rule, w.violations[rule])
 			}
 		}
 	}
@@ -108,27 +108,27 @@
 	}
 }
 
-// forgetsPaces overlooks what a refusal, calls and failures left behind.
-func forgetsPaces(scope *limitScope) {
+// forgetPacing overlooks what a refusal, calls and failures left behind.
+func forgetPacing(scope *limitScope) {
 	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt, scope.pacingRate, scope.consecutiveFailures, scope.connectExhaustions = 1, 0, 0, 0, 0, 0
 }
 
-func TestAFrontThatForgetsWaitsBreaksTheirRule(t *testing.T) {
-	forgets := &forgetful{gate: func(scope *limitScope) {
-		forgetsPaces(scope)
+func TestForgettingRetryAfterBreaksItsRule(t *testing.T) {
+	forgets := &forgetfulEviction{forgetScope: func(scope *limitScope) {
+		forgetPacing(scope)
 		scope.retryAfterUntil = 0
 	}}
 	for seed := range uint64(60) {
-		if w, _ := playFront(t, seed, 80, forgets); w.broken[5] != "" {
-			t.Logf("seed %d: %s", seed, w.broken[5])
+		if w, _ := simulateWithEvictor(t, seed, 80, forgets); w.violations[5] != "" {
+			t.Logf("seed %d: %s", seed, w.violations[5])
 			return
 		}
 	}
 	t.Error("no play of 60 broke it")
 }
 
-// burst hands n messages to destination 1 and counts the calls of the next span, each answered after 20 ms.
-func burst(
+// sendBurst hands n messages to destination 1 and counts the calls of the next span, each answered after 20 ms.
+func sendBurst(
 	step func(time.Duration, []Event) []Action,
 	now *time.Duration,
 	id *uint32,
@@ -168,21 +168,21 @@
 	return calls
 }
 
-// twoRoutes is a front before a fresh sender, with destination 1 of two routes.
-func twoRoutes(
+// newTwoEndpointEvictor is a front before a fresh sender, with destination 1 of two routes.
+func newTwoEndpointEvictor(
 	t *testing.T,
 	seed uint64,
 	senders int,
-	forgets *forgetful,
+	forgets *forgetfulEviction,
 	idle time.Duration,
-) (f *front, step func(time.Duration, []Event) []Action) {
-	set := settings()
+) (f *evictor, step func(time.Duration, []Event) []Action) {
+	set := testSettings()
 	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = senders, 20, 1000
 	engine, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = &front{t: t, forgets: forgets, idle: idle}
+	f = &evictor{t: t, policy: forgets, idleTime: idle}
 	step = func(now time.Duration, evs []Event) []Action { return f.step(engine, now, evs) }
 	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
 	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
@@ -196,25 +196,25 @@
 
 // A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A
 // front that forgets outages pours its backlog out.
-func TestRestsPushNoReturningDestinationOver(t *testing.T) {
-	play := func(forgets *forgetful, idle time.Duration) (calls, rests int) {
+func TestEvictionOverloadsNoRecoveringDestination(t *testing.T) {
+	play := func(forgets *forgetfulEviction, idle time.Duration) (calls, rests int) {
 		for seed := range uint64(20) {
-			f, step := twoRoutes(t, seed, 1, forgets, idle)
+			f, step := newTwoEndpointEvictor(t, seed, 1, forgets, idle)
 			now, id := time.Minute, uint32(0)
-			burst(step, &now, &id, 5, Error, 4*time.Second)
-			burst(step, &now, &id, 1, OK, 8*time.Second)
-			was := f.rests
-			calls += burst(step, &now, &id, 30, OK, settings().OverloadWindow)
+			sendBurst(step, &now, &id, 5, Error, 4*time.Second)
+			sendBurst(step, &now, &id, 1, OK, 8*time.Second)
+			was := f.evictions
+			calls += sendBurst(step, &now, &id, 30, OK, testSettings().OverloadWindow)
 			rests += was
 		}
 		return calls, rests
 	}
 	told, _ := play(nil, forever)
 	fronted, _ := play(nil, 0)
-	forgot, rests := play(&forgetful{gate: func(scope *limitScope) {
-		forgetsPaces(scope)
+	forgot, rests := play(&forgetfulEviction{forgetScope: func(scope *limitScope) {
+		forgetPacing(scope)
 		scope.suspectRemovedAt = -time.Hour
-		eachRoute(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
+		forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
 	}}, 0)
 	t.Logf(
 		"%d calls where all is told, %d behind a front, %d behind one that forgets outages, after %d rests",
@@ -234,34 +234,34 @@
 // Messages with rests between take no more calls of one of 3,000 senders than where nothing is ever put to rest, and
 // those after a rest no more than the first at a sender that has just started; where a call's worth is not waited for
 // they do.
-func TestRestsAreNoWayAroundAPace(t *testing.T) {
+func TestEvictionDoesNotCircumventPacing(t *testing.T) {
 	const later = 20
 	const seeds = 60
 	fresh := 0 // calls of so many senders that have just started
 	for seed := range uint64(seeds * later) {
-		_, step := twoRoutes(t, seeds+seed, 3000, nil, forever)
+		_, step := newTwoEndpointEvictor(t, seeds+seed, 3000, nil, forever)
 		now, id := time.Minute, uint32(0)
-		fresh += burst(step, &now, &id, 1, OK, 3*time.Second)
+		fresh += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 	}
-	play := func(forgets *forgetful, idle, pause time.Duration) (after, rests int) {
+	play := func(forgets *forgetfulEviction, idle, pause time.Duration) (after, rests int) {
 		for seed := range uint64(seeds) {
-			f, step := twoRoutes(t, seed, 3000, forgets, idle)
+			f, step := newTwoEndpointEvictor(t, seed, 3000, forgets, idle)
 			now, id := time.Minute, uint32(0)
-			burst(step, &now, &id, 1, OK, 3*time.Second)
+			sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 			for range later {
 				now += pause
 				step(now, []Event{{Kind: TimerFired}})
-				after += burst(step, &now, &id, 1, OK, 3*time.Second)
+				after += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 			}
-			rests += f.rests
+			rests += f.evictions
 		}
 		return after, rests
 	}
-	warm := settings().WarmUpDuration
+	warm := testSettings().WarmUpDuration
 	for _, pause := range []time.Duration{warm + 2*time.Second, 90 * time.Second, 600 * time.Second} {
 		told, _ := play(nil, forever, pause)
 		fronted, rests := play(nil, warm, pause)
-		forgot, _ := play(&forgetful{gate: forgetsPaces}, warm, pause)
+		forgot, _ := play(&forgetfulEviction{forgetScope: forgetPacing}, warm, pause)
 		t.Logf(
 			"a message each %v: %d calls where all is told, %d with %d rests, %d where paces are forgotten; %d at fresh senders",
 			pause,
@@ -288,9 +288,9 @@
 }
 
 // Each thing that binds keeps a destination awake by itself, for as long as it binds.
-func TestWhatKeepsADestinationAwake(t *testing.T) {
+func TestBindingStatePreventsEviction(t *testing.T) {
 	const now = time.Minute
-	warm := settings().WarmUpDuration
+	warm := testSettings().WarmUpDuration
 	for _, c := range []struct {
 		name string
 		set  func(d *destination, scope *limitScope, ep *endpoint)
@@ -337,13 +337,13 @@
 		}, 46900 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			desk := newDesk(
+			desk := newHarness(
 				t,
-				settings(),
+				testSettings(),
 				Endpoint{ID: "a", Destination: 1, Weight: 6},
 				Endpoint{ID: "b", Destination: 1, Weight: 6},
 			)
-			engine, d := desk.s, desk.s.destinations[1]
+			engine, d := desk.engine, desk.engine.destinations[1]
 			scope := d.scopes[0]
 			scope.endpoints[1].lastSuccessAt = 1
 			c.set(d, scope, scope.endpoints[0])
@@ -361,14 +361,14 @@
 }
 
 // What others may use of a limit is told once: such a destination stays awake.
-func TestRightsKeepADestinationAwake(t *testing.T) {
-	f, step := twoRoutes(t, 1, 300, nil, forever)
-	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !f.s.Evictable(
+func TestSharedQuotaPreventsEviction(t *testing.T) {
+	f, step := newTwoEndpointEvictor(t, 1, 300, nil, forever)
+	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !f.engine.Evictable(
 		1,
 	) {
 		t.Fatal("an unused destination may not rest")
 	}
-	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); f.s.Evictable(
+	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); f.engine.Evictable(
 		1,
 	) {
 		t.Error("a destination whose limit is lent may rest")
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// goldenSender is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left
+// goldenEngine is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left
 // alone.
-func goldenSender(t *testing.T) *Engine {
+func goldenEngine(t *testing.T) *Engine {
 	t.Helper()
 	engine, err := New(goldenSettings(), 1)
 	if err != nil {
@@ -134,7 +134,7 @@
 // decisions may change where the form of the state does not.
 func TestGoldenSnapshot(t *testing.T) {
 	if *update {
-		golden.Write(t, goldenSnapshot, goldenSender(t).Snapshot(nil))
+		golden.Write(t, goldenSnapshot, goldenEngine(t).Snapshot(nil))
 	}
 	engine, err := Restore(goldenSettings(), golden.Read(t, goldenSnapshot))
 	if err != nil {
--- a/policy/hurry_test.go
+++ b/policy/hurry_test.go
@@ -8,7 +8,7 @@
 // A class with less time than an answer of most hosts may take has all its calls cut before that. A host that hangs is
 // skipped all the same; a call of a class with more time that was cut as early, for want of time left, still skips
 // none.
-func TestHostsThatHangAreSkippedForShortTimes(t *testing.T) {
+func TestHangingEndpointIsEjectedWithShortDeadlines(t *testing.T) {
 	hasty := Class{
 		Effect:           Idempotent,
 		LatencyObjective: 350 * time.Millisecond,
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// settle clears what a Sender keeps only as scratch, or to have room.
-func settle(engine *Engine) {
+// clearScratch clears what a Sender keeps only as scratch, or to have room.
+func clearScratch(engine *Engine) {
 	engine.actions, engine.ready = nil, nil
 	for _, d := range engine.sortedDestinations {
 		d.candidate, d.candidateEndpoint = nil, nil
@@ -27,7 +27,7 @@
 
 // A restored Sender equals the one that was found, field by field: whoever adds a field and leaves it out of the
 // snapshot is told here.
-func TestSnapshotHoldsEverything(t *testing.T) {
+func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(4) {
 		n, compared := 0, 0
 		swap := func(engine *Engine) *Engine {
@@ -43,8 +43,8 @@
 				t.Fatalf("seed %d, step %d: the copy's snapshot differs", seed, n)
 			}
 			if n%49 == 0 {
-				settle(engine)
-				settle(copied)
+				clearScratch(engine)
+				clearScratch(copied)
 				if diff := difference("s", reflect.ValueOf(engine), reflect.ValueOf(copied), map[[2]uintptr]bool{}); diff != "" {
 					t.Fatalf("seed %d, step %d: %s", seed, n, diff)
 				}
@@ -52,15 +52,15 @@
 			}
 			return copied // and goes on as the other would have
 		}
-		with, without := play(t, seed, blind{swap: swap}), play(t, seed, blind{})
-		if with.ends != without.ends || with.answered != without.answered {
+		with, without := simulate(t, seed, disabledGuard{replace: swap}), simulate(t, seed, disabledGuard{})
+		if with.actionCounts != without.actionCounts || with.delivered != without.delivered {
 			t.Errorf(
 				"seed %d: goes on otherwise after a restore: %v %d, %v %d",
 				seed,
-				with.ends,
-				with.answered,
-				without.ends,
-				without.answered,
+				with.actionCounts,
+				with.delivered,
+				without.actionCounts,
+				without.delivered,
 			)
 		}
 		if compared < 20 {
@@ -123,8 +123,8 @@
 	return ""
 }
 
-func TestRestoreRefusesWhatNoSnapshotHolds(t *testing.T) {
-	engine, err := New(randomSettings(newWorld(1).rng), 1)
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
+	engine, err := New(randomSettings(newSimulation(1).rng), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 }
 
 // What holds a message is told for each cause that a test can bring about on given times.
-func TestHoldsTellTheCause(t *testing.T) {
+func TestBlockersReportTheCause(t *testing.T) {
 	set := Settings{
 		Classes: []Class{
 			{
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -8,7 +8,7 @@
 
 // A whole fleet that begins with messages for one destination does not together pour out far more than the told limit.
 // Senders free at first would send all at once: the check can fail.
-func TestFirstCallsOfManyStayNearTheLimit(t *testing.T) {
+func TestLargeFleetStartsNearTheLimit(t *testing.T) {
 	const limit, messages = 20.0, 5
 	for _, c := range []struct {
 		senders int
@@ -16,7 +16,7 @@
 	}{{20, 2}, {80, 2}, {300, 6}} {
 		sent := 0
 		for i := range c.senders {
-			set := settings()
+			set := testSettings()
 			set.FleetSize, set.MaxInFlightCalls = c.senders, 100
 			engine, err := New(set, uint64(i))
 			if err != nil {
@@ -48,17 +48,17 @@
 }
 
 // Few senders, and those of a destination that tells no limit, are free at first as ever.
-func TestFewAreFreeAtFirst(t *testing.T) {
+func TestSmallFleetStartsWithoutPacing(t *testing.T) {
 	for _, c := range []struct {
 		senders int
 		weight  float64
 	}{{1, 4}, {smallFleetSize, 4}, {80, 0}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			set := settings()
+			set := testSettings()
 			set.FleetSize = c.senders
-			d := newDesk(t, set, Endpoint{ID: "a", Weight: c.weight})
+			d := newHarness(t, set, Endpoint{ID: "a", Weight: c.weight})
 			for id := range uint32(5) {
-				if acts := d.take(id+1, 0); !has(acts, Send) {
+				if acts := d.accept(id+1, 0); !hasAction(acts, Send) {
 					t.Errorf("message %d: %+v, want it sent", id+1, acts)
 				}
 			}
@@ -68,9 +68,9 @@
 
 // A sender with twice the usual traffic takes more of a limit than one with half of it, and a whole fleet of both no
 // more than the limit.
-func TestFairPacesGoByTraffic(t *testing.T) {
+func TestFairPacingRateFollowsTraffic(t *testing.T) {
 	const senders, limit, usual = 40, 60.0, 5.0 // messages a second of a sender
-	set := settings()
+	set := testSettings()
 	set.FleetSize, set.Tenants = senders, []Tenant{{Quota: senders * usual}}
 	pace := func(rate float64) float64 {
 		engine, err := New(set, 1)
@@ -103,16 +103,16 @@
 }
 
 // Pace after refusal: a sender above its fair pace falls back to it at once, and never under half its part.
-func TestRefusedPaceOfMany(t *testing.T) {
-	set := settings()
+func TestFleetRateAfterRejection(t *testing.T) {
+	set := testSettings()
 	set.FleetSize = 80
-	d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-	scope := d.s.endpoints["a"].scope
-	for _, c := range []struct{ pace, want float64 }{{5, d.s.fairPacingRate(scope)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
+	d := newHarness(t, set, Endpoint{ID: "a", Weight: 80})
+	scope := d.engine.endpoints["a"].scope
+	for _, c := range []struct{ pace, want float64 }{{5, d.engine.fairPacingRate(scope)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
 		d.now += 10 * time.Second
-		d.s.now = d.now
+		d.engine.now = d.now
 		scope.pacingRate, scope.recentSends = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
-		d.s.decreasePacing(d.s.endpoints["a"], observation{outcome: Overloaded, sentAt: d.now})
+		d.engine.decreasePacing(d.engine.endpoints["a"], observation{outcome: Overloaded, sentAt: d.now})
 		if scope.pacingRate < c.want*0.99 || scope.pacingRate > c.want*1.01 {
 			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, scope.pacingRate, c.want)
 		}
@@ -120,48 +120,48 @@
 }
 
 // A number of senders that makes no sense is told, and where settings change the ones before stay; none at all is one.
-func TestNumberOfSenders(t *testing.T) {
-	set := settings()
+func TestFleetSizeIsValidated(t *testing.T) {
+	set := testSettings()
 	set.FleetSize = 80
-	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
-	d.take(1, 0)
+	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8})
+	d.accept(1, 0)
 	for _, senders := range []int{-1, maxFleetSize + 1} {
 		wrong := set
 		wrong.FleetSize = senders
 		if _, err := New(wrong, 1); err == nil {
 			t.Errorf("%d senders are taken", senders)
 		}
-		if err := d.s.Reconfigure(wrong); err == nil || d.s.settings.FleetSize != 80 {
-			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.s.settings.FleetSize)
+		if err := d.engine.Reconfigure(wrong); err == nil || d.engine.settings.FleetSize != 80 {
+			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.engine.settings.FleetSize)
 		}
 	}
 	set.FleetSize = 0
-	if err := d.s.Reconfigure(set); err != nil || d.s.settings.FleetSize != 1 || d.s.messages[1] == nil {
-		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.s.settings.FleetSize, d.s.messages[1] != nil)
+	if err := d.engine.Reconfigure(set); err != nil || d.engine.settings.FleetSize != 1 || d.engine.messages[1] == nil {
+		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.engine.settings.FleetSize, d.engine.messages[1] != nil)
 	}
 	set.FleetSize = 8
-	if err := d.s.Reconfigure(set); err != nil || !d.s.isLargeFleet(d.s.endpoints["a"].scope) {
+	if err := d.engine.Reconfigure(set); err != nil || !d.engine.isLargeFleet(d.engine.endpoints["a"].scope) {
 		t.Errorf("8 senders: error %v", err)
 	}
 }
 
 // A message that is handed back is not counted as own traffic: its client comes again.
-func TestTrafficHandedBackDoesNotCount(t *testing.T) {
-	set := settings()
+func TestRejectedTrafficDoesNotCount(t *testing.T) {
+	set := testSettings()
 	set.FleetSize, set.Tenants = 80, []Tenant{{Quota: 80}}
-	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8})
-	scope := d.s.endpoints["a"].scope
-	before := d.s.fairPacingRate(scope)
+	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8})
+	scope := d.engine.endpoints["a"].scope
+	before := d.engine.fairPacingRate(scope)
 	for id := range uint32(20) {
-		d.s.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
+		d.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
-	if kept := d.s.fairPacingRate(scope); kept <= before {
+	if kept := d.engine.fairPacingRate(scope); kept <= before {
 		t.Errorf("a fair pace of %v with 20 messages more, %v before", kept, before)
 	}
 	for id := range uint32(20) {
-		d.s.reject(d.s.messages[id])
+		d.engine.reject(d.engine.messages[id])
 	}
-	if after := d.s.fairPacingRate(scope); after != before {
+	if after := d.engine.fairPacingRate(scope); after != before {
 		t.Errorf("a fair pace of %v once they were handed back, %v before", after, before)
 	}
 }
@@ -169,7 +169,7 @@
 // Where rates are told a pace comes back to the fair one, not past it by one success that stands for seconds, and stays
 // there without a backlog or after a refusal; with a backlog and no refusal for long it grows, to twice the fair one.
 // Where none are told it grows.
-func TestGrowthOfAPaceOfMany(t *testing.T) {
+func TestFleetPacingGrowth(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		told, backlog, refused bool
@@ -181,19 +181,19 @@
 		{"not told, a backlog", false, true, false, 3.1, 100},
 		{"not told", false, false, false, 0.99, 3},
 	} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = 80
 		if c.told {
 			set.Tenants = []Tenant{{Quota: 80}}
 		}
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: 80})
-		scope := d.s.endpoints["a"].scope
-		d.take(0, 0)
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: 80})
+		scope := d.engine.endpoints["a"].scope
+		d.accept(0, 0)
 		scope.pacingRate /= 2
 		got := 0.0
 		for id := range uint32(60) { // at the usual rate
 			d.now += time.Second
-			d.take(id+1, 0)
+			d.accept(id+1, 0)
 			queue := scope.destination.queue
 			if scope.destination.queue = nil; c.backlog {
 				scope.destination.queue = []*message{{}}
@@ -201,13 +201,13 @@
 			if c.refused {
 				scope.decreasedAt = d.now - 5*time.Second
 			}
-			below := scope.pacingRate < d.s.fairPacingRate(scope)
+			below := scope.pacingRate < d.engine.fairPacingRate(scope)
 			scope.increasedAt = d.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
-			if d.s.increasePacing(scope); c.told && below && scope.pacingRate > d.s.fairPacingRate(scope) {
-				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, scope.pacingRate/d.s.fairPacingRate(scope))
+			if d.engine.increasePacing(scope); c.told && below && scope.pacingRate > d.engine.fairPacingRate(scope) {
+				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, scope.pacingRate/d.engine.fairPacingRate(scope))
 			}
-			d.s.boundPacing(scope, scope.pacingRate)
-			got, scope.destination.queue = scope.pacingRate/d.s.fairPacingRate(scope), queue
+			d.engine.boundPacing(scope, scope.pacingRate)
+			got, scope.destination.queue = scope.pacingRate/d.engine.fairPacingRate(scope), queue
 		}
 		if got < c.least || got > c.most+1e-9 {
 			t.Errorf("%s: %v of the fair pace after a minute of successes, want %v to %v", c.name, got, c.least, c.most)
@@ -216,23 +216,23 @@
 }
 
 // A pace of many that was refused again and again still leaves a call in the time that a message has, or half its part.
-func TestAPaceOfManyKeepsATrialWithinAMessagesTime(t *testing.T) {
+func TestFleetPacingKeepsATrialWithinTheDeadline(t *testing.T) {
 	for _, c := range []struct{ limit, least, most float64 }{
 		{4, 0.019, 0.021}, // a part of a call in 25 s: half of it
 		{40, 0.08, 0.09},  // of four in 10 s: one in the twelve seconds of a message
 		{400, 0.19, 0.21}, // of four a second: a twentieth of it
 	} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize, set.Classes = 80, []Class{
 			{Effect: IdempotentByKey, Deadline: 12 * time.Second, LatencyObjective: 3 * time.Second, Weight: 1},
 		}
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		ep := d.s.endpoints["a"]
-		d.s.initializePacing(ep.scope)
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: c.limit})
+		ep := d.engine.endpoints["a"]
+		d.engine.initializePacing(ep.scope)
 		for range 30 {
 			d.now += time.Second
-			d.s.now, ep.consecutiveRejections = d.now, ep.consecutiveRejections+1
-			d.s.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
+			d.engine.now, ep.consecutiveRejections = d.now, ep.consecutiveRejections+1
+			d.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
 		}
 		if p := ep.scope.pacingRate; p < c.least || p > c.most {
 			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", c.limit, p, c.least, c.most)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,15 +10,15 @@
 
 const ms = time.Millisecond
 
-// desk drives one Sender with an explicit clock.
-type desk struct {
+// harness drives one Sender with an explicit clock.
+type harness struct {
 	t     *testing.T
-	s     *Engine
+	engine     *Engine
 	now   time.Duration
-	tries map[uint32]int
+	attempts map[uint32]int
 }
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
 			{Effect: Idempotent, LatencyObjective: 2 * time.Second, Deadline: 60 * time.Second, Weight: 1},
@@ -43,13 +43,13 @@
 	}
 }
 
-func newDesk(t *testing.T, set Settings, list ...Endpoint) *desk {
+func newHarness(t *testing.T, set Settings, list ...Endpoint) *harness {
 	t.Helper()
 	engine, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{t: t, s: engine, now: time.Minute, tries: map[uint32]int{}}
+	d := &harness{t: t, engine: engine, now: time.Minute, attempts: map[uint32]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
@@ -58,9 +58,9 @@
 }
 
 // step gives events at the present time and keeps the actions other than wakes.
-func (d *desk) step(evs ...Event) []Action {
+func (d *harness) step(evs ...Event) []Action {
 	var acts []Action
-	for _, a := range d.s.Step(d.now, evs) {
+	for _, a := range d.engine.Step(d.now, evs) {
 		if a.Kind != SetTimer {
 			acts = append(acts, a)
 		}
@@ -68,28 +68,28 @@
 	return acts
 }
 
-func (d *desk) take(id uint32, classIndex int) []Action {
+func (d *harness) accept(id uint32, classIndex int) []Action {
 	return d.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
-func (d *desk) end(id uint32, route string, outcome Outcome, after, wait time.Duration) []Action {
+func (d *harness) finish(id uint32, route string, outcome Outcome, after, wait time.Duration) []Action {
 	d.now += after
-	n := d.tries[id]
-	d.tries[id]++
+	n := d.attempts[id]
+	d.attempts[id]++
 	return d.step(Event{
 		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: outcome, Latency: after, RetryAfter: wait,
 		MessageEnded: outcome == OK,
 	})
 }
 
-// wake lets time pass and wakes the Sender.
-func (d *desk) wake(after time.Duration) []Action {
+// advance lets time pass and wakes the Sender.
+func (d *harness) advance(after time.Duration) []Action {
 	d.now += after
 	return d.step(Event{Kind: TimerFired})
 }
 
-// goesTo tells where the first Send of the actions goes; "" if none.
-func goesTo(acts []Action) string {
+// firstSend tells where the first Send of the actions goes; "" if none.
+func firstSend(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == Send {
 			return a.Endpoint
@@ -98,19 +98,19 @@
 	return ""
 }
 
-func has(acts []Action, k ActionKind) bool {
+func hasAction(acts []Action, k ActionKind) bool {
 	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == k })
 }
 
-func TestRoutesGoByWeightFeeAndLot(t *testing.T) {
-	set := settings()
+func TestEndpointsAreOrderedByWeightCostAndTieBreaker(t *testing.T) {
+	set := testSettings()
 	set.ZoneCosts = []float64{0, 0.03}
-	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Zone: 1, Weight: 5}, Endpoint{ID: "c", Kind: 1, Weight: 5},
+	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1, Zone: 1, Weight: 5}, Endpoint{ID: "c", Kind: 1, Weight: 5},
 		Endpoint{ID: "b", Kind: 1, Weight: 5}, Endpoint{ID: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
-	got = append(got, goesTo(d.take(1, 0)))
+	got = append(got, firstSend(d.accept(1, 0)))
 	for range 3 {
-		got = append(got, goesTo(d.end(1, got[len(got)-1], Overloaded, 10*ms, 0)))
+		got = append(got, firstSend(d.finish(1, got[len(got)-1], Overloaded, 10*ms, 0)))
 	}
 	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
 	slices.Sort(got[1:3]) // equal routes go by lot
@@ -120,10 +120,10 @@
 }
 
 // Hundreds of senders once loaded the first of several equal routes while the others idled.
-func TestSendersSpreadOverEqualRoutes(t *testing.T) {
+func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = 60
 		engine, err := New(set, seed)
 		if err != nil {
@@ -137,7 +137,7 @@
 			}},
 			{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second},
 		})
-		first[goesTo(acts)]++
+		first[firstSend(acts)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
 		t.Errorf("first choices of 60 senders: %v", first)
@@ -172,73 +172,73 @@
 	}
 }
 
-func TestSkipExpires(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
+func TestEjectionExpires(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
 		d.now += time.Second // the recovery budget of a route in doubt
-		if got := goesTo(d.take(id, 0)); got != "a" {
+		if got := firstSend(d.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
-		d.end(id, "a", Error, 10*ms, 0)
+		d.finish(id, "a", Error, 10*ms, 0)
 		d.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
-	if got := goesTo(d.take(10, 0)); got != "b" {
+	if got := firstSend(d.accept(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
 	}
 	d.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
-	if got := goesTo(d.take(11, 0)); got != "a" {
+	if got := firstSend(d.accept(11, 0)); got != "a" {
 		t.Errorf("message to %q after the skip", got)
 	}
-	if got := goesTo(d.take(12, 0)); got != "b" {
+	if got := firstSend(d.accept(12, 0)); got != "b" {
 		t.Errorf("second message to %q during the trial", got)
 	}
-	if got := goesTo(d.take(13, 2)); got != "b" {
+	if got := firstSend(d.accept(13, 2)); got != "b" {
 		t.Errorf("unsafe message to %q during the trial", got)
 	}
 }
 
-func TestPaceHalvesCreepsAndRestarts(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
+func TestPacingDecreasesIncreasesAndRestarts(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
 	for id := range uint32(8) {
-		d.take(id, 0)
+		d.accept(id, 0)
 	}
-	scope := d.s.endpoints["a"].scope
+	scope := d.engine.endpoints["a"].scope
 	if scope.pacingRate != 0 {
 		t.Fatalf("the pace starts at %v, want free", scope.pacingRate)
 	}
-	d.end(0, "a", Overloaded, 100*ms, 0)
+	d.finish(0, "a", Overloaded, 100*ms, 0)
 	if scope.pacingRate != 4 {
 		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", scope.pacingRate)
 	}
-	d.end(1, "a", Overloaded, ms, 0)
+	d.finish(1, "a", Overloaded, ms, 0)
 	if scope.pacingRate != 4 {
 		t.Errorf("pace %v after a refusal of the same burst, want 4", scope.pacingRate)
 	}
-	d.end(2, "a", OK, ms, 0)
+	d.finish(2, "a", OK, ms, 0)
 	if want := 4 * (1 + pacingGrowth); scope.pacingRate != want {
 		t.Errorf("pace %v after a delivery, want %v", scope.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
-		d.end(id, "a", Error, ms, 0)
+		d.finish(id, "a", Error, ms, 0)
 	}
-	ep := d.s.endpoints["a"]
+	ep := d.engine.endpoints["a"]
 	if !ep.ejected {
 		t.Fatal("three failures in a row did not skip the route")
 	}
-	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
 	if want := pacingRestartRate * (1 + pacingGrowth); ep.ejected || scope.pacingRate != want {
 		t.Errorf("pace %v at the end of a skip, want %v", scope.pacingRate, want)
 	}
 }
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
-func TestPaceKeepsItsEvenPart(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
-	ep := d.s.endpoints["a"]
+func TestPacingKeepsHalfTheEvenShare(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
+	ep := d.engine.endpoints["a"]
 	for range 5 {
 		d.now += time.Second
-		d.s.now = d.now
-		d.s.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
+		d.engine.now = d.now
+		d.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
 	}
 	if want := 20 * minPacingShareRatio; ep.scope.pacingRate != want {
 		t.Errorf("pace %v after five refusals, want %v", ep.scope.pacingRate, want)
@@ -257,85 +257,85 @@
 		{1, Timeout, Fail, true},       // keyed, may have run: no repeat is dropped after 10 s
 		{2, ConnectFailed, Reject, false},
 	} {
-		d := newDesk(t, settings(), Endpoint{ID: "a"})
-		d.take(1, c.class)
+		d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+		d.accept(1, c.class)
 		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}}})
-		d.end(1, "a", c.outcome, time.Second, 0)
-		if acts := d.wake(58900 * ms); has(acts, c.want) != c.early || !c.early && len(acts) != 0 {
+		d.finish(1, "a", c.outcome, time.Second, 0)
+		if acts := d.advance(58900 * ms); hasAction(acts, c.want) != c.early || !c.early && len(acts) != 0 {
 			t.Errorf("%+v: %+v before the deadline", c, acts)
 		}
 		if c.early {
 			continue
 		}
-		if acts := d.wake(90 * ms); len(acts) != 1 || acts[0].Kind != c.want {
+		if acts := d.advance(90 * ms); len(acts) != 1 || acts[0].Kind != c.want {
 			t.Errorf("%+v: %+v at the deadline", c, acts)
 		}
 	}
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	d.take(1, 2)
-	if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	d.accept(1, 2)
+	if acts := d.finish(1, "a", Timeout, time.Second, 0); !hasAction(acts, Fail) || hasAction(acts, Send) {
 		t.Errorf("an unsafe message that may have run: %+v", acts)
 	}
 }
 
-func TestDrainedRouteTakesNothing(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
+func TestDrainingEndpointTakesNothing(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a"}}},
 		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second})
-	if has(acts, Send) {
+	if hasAction(acts, Send) {
 		t.Errorf("sent to a draining route: %+v", acts)
 	}
 }
 
-func TestToldWaitHoldsTheGate(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-	d.take(1, 0)
-	d.end(1, "a", Overloaded, 10*ms, 700*ms)
-	if acts := d.take(2, 0); has(acts, Send) {
+func TestRetryAfterBlocksTheScope(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d.accept(1, 0)
+	d.finish(1, "a", Overloaded, 10*ms, 700*ms)
+	if acts := d.accept(2, 0); hasAction(acts, Send) {
 		t.Errorf("sent during a wait: %+v", acts)
 	}
-	if acts := d.wake(699 * ms); has(acts, Send) {
+	if acts := d.advance(699 * ms); hasAction(acts, Send) {
 		t.Errorf("sent during a wait: %+v", acts)
 	}
-	if acts := d.wake(2 * time.Second); !has(acts, Send) {
+	if acts := d.advance(2 * time.Second); !hasAction(acts, Send) {
 		t.Error("nothing sent after the wait")
 	}
 }
 
 // A wait told to one message of a call whose others were delivered was once lost.
-func TestWaitOfAMixedCall(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 2})
+func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
 	d.step(
 		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second},
 		Event{Kind: MessageAccepted, MessageID: 2, TimeLeft: 9 * time.Second},
 	)
 	d.step(Event{Kind: AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: OK, MessageEnded: true},
 		Event{Kind: AttemptFinished, MessageID: 2, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second})
-	if got := d.s.endpoints["a"].scope.retryAfterUntil; got != d.now+time.Second {
+	if got := d.engine.endpoints["a"].scope.retryAfterUntil; got != d.now+time.Second {
 		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
 	}
 }
 
-func TestRecoverySpacesCalls(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.suspect(ep)
+func TestRecoveryBudgetSpacesCalls(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
 	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
 	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
-	if got, want := d.s.recoveryBudgetAt(ep), d.now+callInterval(rate); got != want {
+	if got, want := d.engine.recoveryBudgetAt(ep), d.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	ep.recoveredAt, d.s.now = d.now, d.now+10*time.Second
-	if got := d.s.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
+	ep.recoveredAt, d.engine.now = d.now, d.now+10*time.Second
+	if got := d.engine.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
 
 // Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
-func TestWaitSavesNoBudgetUp(t *testing.T) {
-	set := settings()
+func TestRetryAfterSavesNoRecoveryTokens(t *testing.T) {
+	set := testSettings()
 	set.FleetSize = 400
 	open := 0
 	for seed := range uint64(400) {
@@ -361,21 +361,21 @@
 }
 
 // A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
-func TestSparseSenderDoubtsOnOneFailure(t *testing.T) {
+func TestSparseShareSuspectsOnOneFailure(t *testing.T) {
 	for _, c := range []struct {
 		senders int
 		cold    bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = c.senders
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		ep := d.s.endpoints["a"]
-		d.s.now = d.now
-		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now}, time.Second)
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
+		ep := d.engine.endpoints["a"]
+		d.engine.now = d.now
+		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now}, time.Second)
 		if ep.warmingUp != c.cold {
 			t.Errorf("%d senders: in doubt %v after one failure", c.senders, ep.warmingUp)
 		}
-		d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+		d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
 		if ep.warmingUp {
 			t.Errorf("%d senders: in doubt after a delivery", c.senders)
 		}
@@ -383,7 +383,7 @@
 }
 
 // A shut destination was pushed over by hundreds of senders that it had refused twice each.
-func TestSparseSenderDoubtsOnTwoRefusals(t *testing.T) {
+func TestSparseShareSuspectsOnTwoRejections(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
 		gap, wait time.Duration
@@ -395,14 +395,14 @@
 		{10, minOutageRejectionTime, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
 		{1, minOutageRejectionTime, 0, false},
 	} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = c.senders
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-		ep := d.s.endpoints["a"]
-		d.s.now = d.now
-		d.s.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
-		d.s.now += c.gap
-		d.s.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.s.now, retryAfter: c.wait}, ms)
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
+		ep := d.engine.endpoints["a"]
+		d.engine.now = d.now
+		d.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
+		d.engine.now += c.gap
+		d.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.engine.now, retryAfter: c.wait}, ms)
 		if ep.warmingUp != c.cold {
 			t.Errorf("%+v: in doubt %v", c, ep.warmingUp)
 		}
@@ -411,7 +411,7 @@
 
 // Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
 // pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
-func TestHintsCastDoubtByChance(t *testing.T) {
+func TestWeakSignalsSuspectByChance(t *testing.T) {
 	for _, c := range []struct {
 		senders     int
 		outcome     Outcome
@@ -424,7 +424,7 @@
 		{3, Overloaded, false, 0, 0},
 		{20, Overloaded, false, 0, 0}, // its part is more than a call in a warm-up
 	} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = c.senders
 		n := 0
 		for seed := range uint64(200) {
@@ -453,8 +453,8 @@
 }
 
 // Short-lived messages once had two tries of half their time each, both cut off before the answer.
-func TestShortTimeGoesToOneTry(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
+func TestShortTimeLeftGoesToOneAttempt(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for _, c := range []struct{ left, want time.Duration }{
 		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
@@ -467,41 +467,41 @@
 }
 
 // Messages once waited to their deadlines at destinations that would open after them.
-func TestWhatWaitsForNothingIsRefused(t *testing.T) {
-	set := settings()
+func TestUnservableMessagesAreRejected(t *testing.T) {
+	set := testSettings()
 	set.FleetSize = 400
-	d := newDesk(t, set, Endpoint{ID: "a", Weight: 4})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.suspect(ep)
+	d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	if acts := d.take(1, 0); !has(acts, Reject) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.s.recoveryBudgetAt(ep)-d.now, acts)
+	if acts := d.accept(1, 0); !hasAction(acts, Reject) {
+		t.Errorf("opens in %v: %+v, want a refusal", d.engine.recoveryBudgetAt(ep)-d.now, acts)
 	}
-	if acts := d.take(2, 2); has(acts, Reject) != d.s.mayReject(&message{class: &set.Classes[2]}) {
+	if acts := d.accept(2, 2); hasAction(acts, Reject) != d.engine.mayReject(&message{class: &set.Classes[2]}) {
 		t.Errorf("unsafe, nothing sent: %+v", acts)
 	}
-	ep.scope.recoveryTokens = 1 - d.s.recoveryRate(ep) // opens in a second
-	d.s.recheck(ep.scope.destination)
-	if acts := d.take(3, 0); has(acts, Reject) {
+	ep.scope.recoveryTokens = 1 - d.engine.recoveryRate(ep) // opens in a second
+	d.engine.recheck(ep.scope.destination)
+	if acts := d.accept(3, 0); hasAction(acts, Reject) {
 		t.Errorf("opens in a second: %+v, want it held", acts)
 	}
 }
 
 // Calls saved up by hundreds of senders through a long outage once went out together at its end.
-func TestDueCallsLapse(t *testing.T) {
-	set := settings()
-	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.suspect(ep)
+func TestDueRecoveryCallsLapse(t *testing.T) {
+	set := testSettings()
+	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	rate := d.s.recoveryRate(ep)
+	rate := d.engine.recoveryRate(ep)
 	open := 0
 	const steps = 10000
 	for range steps {
-		d.s.now += 10 * ms
-		if d.s.recoveryBudgetAt(ep) <= d.s.now {
+		d.engine.now += 10 * ms
+		if d.engine.recoveryBudgetAt(ep) <= d.engine.now {
 			open++
 		}
 	}
@@ -512,15 +512,15 @@
 }
 
 // A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
-func TestEarlyWakeIsAskedForAgain(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	d := newHarness(t, testSettings())
+	d.accept(1, 0)
 	d.now += 1500 * ms
 	at := d.now
-	d.s.requestTimer(at + 500*time.Nanosecond)
-	d.s.timerAt, d.s.requestedTimerAt = d.s.requestedTimerAt, 0
-	acts := d.s.Step(at, []Event{{Kind: TimerFired}})
-	if !has(acts, SetTimer) {
+	d.engine.requestTimer(at + 500*time.Nanosecond)
+	d.engine.timerAt, d.engine.requestedTimerAt = d.engine.requestedTimerAt, 0
+	acts := d.engine.Step(at, []Event{{Kind: TimerFired}})
+	if !hasAction(acts, SetTimer) {
 		t.Errorf("no wake asked for: %+v", acts)
 	}
 }
@@ -531,22 +531,22 @@
 		senders int
 		want    bool
 	}{{smallFleetSize, false}, {100, true}} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = c.senders
-		d := newDesk(t, set, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+		d := newHarness(t, set, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 		other := func(id uint32) bool {
 			d.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
-			return has(d.end(id, "b", OK, 10*ms, 0), CloseIdle)
+			return hasAction(d.finish(id, "b", OK, 10*ms, 0), CloseIdle)
 		}
-		d.take(1, 0)
-		d.end(1, "a", OK, 10*ms, 0)
-		d.take(2, 0)
-		d.end(2, "a", ConnectFailed, 10*ms, 0)
+		d.accept(1, 0)
+		d.finish(1, "a", OK, 10*ms, 0)
+		d.accept(2, 0)
+		d.finish(2, "a", ConnectFailed, 10*ms, 0)
 		if other(3) {
 			t.Errorf("%d senders: closed after a connection of the kind that failed: it may be an outage's", c.senders)
 		}
-		d.wake(time.Second)
-		d.end(2, "a", OK, 10*ms, 0)
+		d.advance(time.Second)
+		d.finish(2, "a", OK, 10*ms, 0)
 		if got := other(4); got != c.want {
 			t.Errorf("%d senders: closed %v after a failed connection and an answer of the kind", c.senders, got)
 		}
@@ -554,7 +554,7 @@
 }
 
 // Two failed connections at a full table once put a destination in doubt for its whole warm-up.
-func TestFullTableIsNoOutage(t *testing.T) {
+func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		senders, fails int
 		took           time.Duration
@@ -565,69 +565,69 @@
 		{100, 3, time.Second, true},                     // not at once: silence
 		{3, 3, 10 * ms, true},                           // few senders fill no table
 	} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize = c.senders
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
-		d.s.now = d.now
-		d.s.connectShortageUntil[0] = d.now + time.Minute
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
+		d.engine.now = d.now
+		d.engine.connectShortageUntil[0] = d.now + time.Minute
 		for range c.fails {
-			d.s.observeOutcome(d.s.endpoints["a"], observation{outcome: ConnectFailed, sentAt: d.now - c.took}, c.took)
+			d.engine.observeOutcome(d.engine.endpoints["a"], observation{outcome: ConnectFailed, sentAt: d.now - c.took}, c.took)
 		}
-		if got := d.s.endpoints["a"].warmingUp; got != c.cold {
+		if got := d.engine.endpoints["a"].warmingUp; got != c.cold {
 			t.Errorf("%+v: in doubt %v", c, got)
 		}
 	}
 }
 
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
-func TestPaceRecoversWithTime(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 1})
-	scope := d.s.endpoints["a"].scope
+func TestPacingGrowsWithTimeBetweenSuccesses(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1})
+	scope := d.engine.endpoints["a"].scope
 	scope.pacingRate, scope.decreasedAt, scope.tokensUpdatedAt = 0.1, d.now, d.now
-	d.s.now = d.now + 4*time.Second
-	d.s.increasePacing(scope)
+	d.engine.now = d.now + 4*time.Second
+	d.engine.increasePacing(scope)
 	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(scope.pacingRate-want) > 1e-9 {
 		t.Errorf("pace %v after a success in 4 s, want %v", scope.pacingRate, want)
 	}
 }
 
 // A replacement listed during an outage was once sent to at full pace.
-func TestReplacementInheritsDoubt(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
+func TestReplacementInheritsSuspicion(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for id := range uint32(3) {
-		d.take(id, 0)
-		d.end(id, "a", ConnectFailed, time.Second, 0)
+		d.accept(id, 0)
+		d.finish(id, "a", ConnectFailed, time.Second, 0)
 		d.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
 	d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
-	if d.s.recoveryBudgetAt(d.s.endpoints["n"]) == 0 {
+	if d.engine.recoveryBudgetAt(d.engine.endpoints["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
 
-func TestKeyTakesTurnsAndRests(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
+func TestOrderingKeySerializesAndPauses(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	d.step(Event{Kind: MessageAccepted, MessageID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
 		Event{Kind: MessageAccepted, MessageID: 2, Key: "k", Class: 2, TimeLeft: 9 * time.Second})
-	if acts := d.end(1, "a", Timeout, time.Second, 0); has(acts, Send) {
+	if acts := d.finish(1, "a", Timeout, time.Second, 0); hasAction(acts, Send) {
 		t.Errorf("sent while the key rests: %+v", acts)
 	}
-	if acts := d.wake(99 * ms); has(acts, Send) {
+	if acts := d.advance(99 * ms); hasAction(acts, Send) {
 		t.Errorf("sent while the key rests: %+v", acts)
 	}
-	if acts := d.wake(ms); !has(acts, Send) {
+	if acts := d.advance(ms); !hasAction(acts, Send) {
 		t.Error("the next message of the key was not sent after the rest")
 	}
 }
 
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
 	for range 5 {
-		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
+		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
 	}
 	if ep.ejected || ep.warmingUp || ep.consecutiveFailures != 0 {
 		t.Errorf("down %v, cold %v, streak %d after lost calls", ep.ejected, ep.warmingUp, ep.consecutiveFailures)
@@ -635,19 +635,19 @@
 }
 
 // Scattered resets once put living routes under the recovery budget.
-func TestResetAtALivingRouteIsNoEvidence(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
-	d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
-	d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+func TestResetAtAHealthyEndpointIsNoEvidence(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
 	if ep.warmingUp {
 		t.Error("in doubt after two resets within 3 s of an answer")
 	}
-	d.s.now += recentlyHealthyWindow
+	d.engine.now += recentlyHealthyWindow
 	for range 3 {
-		d.s.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+		d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
 	}
 	if !ep.ejected {
 		t.Error("not skipped after three resets in a row and no answer for 3 s")
@@ -655,24 +655,24 @@
 }
 
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
-func TestTimeOutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
-	d.s.suspect(ep)
-	d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+func TestTimeoutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
+	d.engine.suspect(ep)
+	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
 	back := ep.recoveredAt
 	for range 6 {
-		d.s.now += time.Second
-		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.s.now - ms}, time.Second)
-		d.s.observeOutcome(ep, observation{outcome: OK, sentAt: d.s.now}, ms)
+		d.engine.now += time.Second
+		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.engine.now - ms}, time.Second)
+		d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.engine.now}, ms)
 	}
 	if back == 0 || ep.recoveredAt != back || ep.ejected {
 		t.Errorf("back at %v, then %v, down %v", back, ep.recoveredAt, ep.ejected)
 	}
-	d.s.now += time.Second
+	d.engine.now += time.Second
 	for range 2 {
-		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.s.now}, time.Second)
+		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.engine.now}, time.Second)
 	}
 	if ep.recoveredAt != 0 {
 		t.Error("two time-outs in a row did not restart the warm-up")
@@ -680,12 +680,12 @@
 }
 
 // Calls cut off after milliseconds once kept recovered routes skipped.
-func TestShortCallSkipsNothing(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"})
-	ep := d.s.endpoints["a"]
-	d.s.now = d.now
+func TestTruncatedAttemptEjectsNothing(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := d.engine.endpoints["a"]
+	d.engine.now = d.now
 	for range 5 {
-		d.s.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
+		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
 	}
 	if ep.ejected || !ep.warmingUp {
 		t.Errorf("down %v, cold %v after short calls", ep.ejected, ep.warmingUp)
@@ -694,43 +694,43 @@
 
 // Calls of a route whose last call failed carry one message: ten once shared each failed trial.
 func TestBatches(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a", Kind: 2})
+	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
 	three := func(first uint32) int {
 		var evs []Event
 		for i := range uint32(3) {
 			evs = append(evs, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
 		}
-		before := len(d.s.endpoints["a"].calls)
+		before := len(d.engine.endpoints["a"].calls)
 		d.step(evs...)
-		return len(d.s.endpoints["a"].calls) - before
+		return len(d.engine.endpoints["a"].calls) - before
 	}
 	if n := three(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
-	d.s.endpoints["a"].consecutiveFailures = 1
+	d.engine.endpoints["a"].consecutiveFailures = 1
 	if n := three(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
 }
 
-func TestOverdueCallsKeepSlotsFree(t *testing.T) {
-	set := settings()
+func TestOverdueCallsSaturateAnEndpoint(t *testing.T) {
+	set := testSettings()
 	set.MaxInFlightCalls = 8
-	d := newDesk(t, set, Endpoint{ID: "a", Kind: 1})
-	d.take(1, 0)
-	d.take(2, 0)
+	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1})
+	d.accept(1, 0)
+	d.accept(2, 0)
 	d.now += 5 * time.Second
-	if acts := d.take(3, 0); has(acts, Send) {
+	if acts := d.accept(3, 0); hasAction(acts, Send) {
 		t.Errorf("a third call to a silent route: %+v", acts)
 	}
 }
 
-func TestRoomIsMadeFromTheLongestQueue(t *testing.T) {
-	set := settings()
+func TestLoadIsShedFromTheLongestQueue(t *testing.T) {
+	set := testSettings()
 	set.MaxPendingMessages = 10
-	d := newDesk(t, set)
+	d := newHarness(t, set)
 	for id := range uint32(9) {
-		d.take(id, 0)
+		d.accept(id, 0)
 	}
 	acts := d.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
 	if len(acts) != 1 || acts[0].Kind != Reject || acts[0].MessageID == 20 {
@@ -738,18 +738,18 @@
 	}
 }
 
-func TestLateMessagesGoAfterThoseInTime(t *testing.T) {
-	d := newDesk(t, settings())
-	d.take(1, 0)
-	d.wake(3 * time.Second)
-	d.take(2, 0)
+func TestLateMessagesAreDeprioritized(t *testing.T) {
+	d := newHarness(t, testSettings())
+	d.accept(1, 0)
+	d.advance(3 * time.Second)
+	d.accept(2, 0)
 	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
 	if len(acts) != 2 || acts[0].MessageID != 2 || acts[1].MessageID != 1 {
 		t.Errorf("order of sends: %+v", acts)
 	}
 }
 
-func TestNewRefusesSettingsWithoutSense(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no class":       func(s *Settings) { s.Classes = nil },
 		"negative slots": func(s *Settings) { s.MaxInFlightCalls = -1 },
@@ -758,7 +758,7 @@
 		"no number":      func(s *Settings) { s.WarmUpInitialCapacity = math.NaN() },
 		"endless value":  func(s *Settings) { s.Classes[0].Weight = math.Inf(1) },
 	} {
-		set := settings()
+		set := testSettings()
 		spoil(&set)
 		if _, err := New(set, 1); err == nil {
 			t.Errorf("%s: taken", name)
@@ -769,24 +769,24 @@
 // A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, classIndex := range []int{-1, 99} {
-		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
-		if got := goesTo(d.take(1, classIndex)); got == "" {
+		d := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
+		if got := firstSend(d.accept(1, classIndex)); got == "" {
 			t.Fatalf("class %d: not sent", classIndex)
 		}
-		if acts := d.end(1, "a", Timeout, time.Second, 0); !has(acts, Fail) || has(acts, Send) {
+		if acts := d.finish(1, "a", Timeout, time.Second, 0); !hasAction(acts, Fail) || hasAction(acts, Send) {
 			t.Errorf("class %d: %+v after a time-out", classIndex, acts)
 		}
 	}
 }
 
-func TestSpanIsBounded(t *testing.T) {
+func TestCallIntervalIsBounded(t *testing.T) {
 	if callInterval(0) != time.Hour || callInterval(1e-9) != time.Hour || callInterval(math.Inf(1)) != 0 || callInterval(4) != 250*ms {
 		t.Errorf("spans %v %v %v", callInterval(0), callInterval(1e-9), callInterval(4))
 	}
 }
 
-// bares are the destinations without routes that a Sender still knows, in their order.
-func bares(engine *Engine) (all []*destination) {
+// emptyDestinationsOf are the destinations without routes that a Sender still knows, in their order.
+func emptyDestinationsOf(engine *Engine) (all []*destination) {
 	for d := engine.emptyDestinations.first; d != nil; d = d.nextEmpty {
 		all = append(all, d)
 	}
@@ -794,51 +794,51 @@
 }
 
 // Turns were once kept for good when their rest outlasted their last message, and destinations always.
-func TestNothingIsHeldForWhatHasGone(t *testing.T) {
-	set := settings()
+func TestNothingIsRetainedAfterRemoval(t *testing.T) {
+	set := testSettings()
 	set.MaxInFlightCalls, set.MaxPendingMessages = 50, 100
-	d := newDesk(t, set)
+	d := newHarness(t, set)
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
 		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
 		d.step(
 			Event{Kind: MessageAccepted, MessageID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second},
 		)
-		d.end(id, name, Timeout, time.Second, 0)
+		d.finish(id, name, Timeout, time.Second, 0)
 		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, Removed: true}}})
 	}
 	d.now += time.Minute
 	d.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
-	engine := d.s
-	if n := len(engine.keyQueues) + len(engine.destinations) + len(engine.sortedDestinations) + len(engine.endpoints) + len(engine.messages) + len(engine.active) + len(bares(engine)); n != 0 {
+	engine := d.engine
+	if n := len(engine.keyQueues) + len(engine.destinations) + len(engine.sortedDestinations) + len(engine.endpoints) + len(engine.messages) + len(engine.active) + len(emptyDestinationsOf(engine)); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(engine.keyQueues), len(engine.destinations), len(engine.sortedDestinations), len(engine.endpoints), len(engine.messages), len(engine.active), len(bares(engine)))
+			len(engine.keyQueues), len(engine.destinations), len(engine.sortedDestinations), len(engine.endpoints), len(engine.messages), len(engine.active), len(emptyDestinationsOf(engine)))
 	}
 }
 
 // Destinations with nothing to do are not looked at: the next dispatch once walked them all.
-func TestOnlyTouchedDestinationsAreLookedAt(t *testing.T) {
-	d := newDesk(t, settings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.take(1, 0)
-	d.end(1, "a", Overloaded, ms, 5*time.Second)
-	if len(d.s.active) != 1 || d.s.active[0].blockedUntil <= d.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(d.s.active))
-	}
-	opens := d.s.active[0].blockedUntil
+func TestBlockedDestinationsAreNotRechecked(t *testing.T) {
+	d := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d.accept(1, 0)
+	d.finish(1, "a", Overloaded, ms, 5*time.Second)
+	if len(d.engine.active) != 1 || d.engine.active[0].blockedUntil <= d.now {
+		t.Fatalf("active %d, want the one destination that waits, closed", len(d.engine.active))
+	}
+	opens := d.engine.active[0].blockedUntil
 	d.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
-	if len(d.s.active) != 1 || d.s.active[0].blockedUntil != opens {
+	if len(d.engine.active) != 1 || d.engine.active[0].blockedUntil != opens {
 		t.Error("a message for another destination had the closed one looked at again")
 	}
 }
 
 // A told wait that means shut, at one route, puts all routes of its limit in doubt: at its end none of them is free.
-func TestAShutDestinationIsDoubtedWhole(t *testing.T) {
-	set := settings()
+func TestOutageSuspectsTheWholeScope(t *testing.T) {
+	set := testSettings()
 	set.WarmUpDuration = 20 * time.Second
-	d := newDesk(t, set, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
-	d.s.observeOutcome(d.s.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: d.s.now}, 0)
+	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
+	d.engine.observeOutcome(d.engine.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: d.engine.now}, 0)
 	for _, name := range []string{"a", "b"} {
-		if !d.s.endpoints[name].warmingUp {
+		if !d.engine.endpoints[name].warmingUp {
 			t.Errorf("route %s is not in doubt", name)
 		}
 	}
@@ -846,23 +846,23 @@
 
 // The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and
 // to any after a loss.
-func TestAnswersToEarlierCallsBeginNoWarmUp(t *testing.T) {
+func TestAnswersToEarlierCallsStartNoWarmUp(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
 		sent    time.Duration // of the answered call, after the failed ones
 		begins  bool
 	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
-		d := newDesk(t, settings(), Endpoint{ID: "a", Weight: 8})
-		ep, failed := d.s.endpoints["a"], d.s.now+time.Minute
-		d.s.now = failed
+		d := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: 8})
+		ep, failed := d.engine.endpoints["a"], d.engine.now+time.Minute
+		d.engine.now = failed
 		for range suspectAfterFailures {
-			d.s.observeOutcome(ep, observation{outcome: c.outcome, sentAt: failed}, 0)
+			d.engine.observeOutcome(ep, observation{outcome: c.outcome, sentAt: failed}, 0)
 		}
-		if d.s.now += 2 * time.Second; !ep.warmingUp {
+		if d.engine.now += 2 * time.Second; !ep.warmingUp {
 			t.Fatalf("%s: not in doubt", c.name)
 		}
-		if d.s.recordSuccess(ep, failed+c.sent, time.Second); (ep.recoveredAt > 0) != c.begins {
+		if d.engine.recordSuccess(ep, failed+c.sent, time.Second); (ep.recoveredAt > 0) != c.begins {
 			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, ep.recoveredAt > 0)
 		}
 	}
@@ -870,19 +870,19 @@
 
 // One delivery clears the slight doubt of a sender whose part is under a call in a warm-up; of others it begins the
 // warm-up.
-func TestSlightDoubtOfThinPartsAlone(t *testing.T) {
+func TestOneDeliveryClearsWeakSuspicion(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
 		cold  bool
 	}{{2, false}, {40, true}} {
-		set := settings()
+		set := testSettings()
 		set.FleetSize, set.WarmUpDuration, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
-		d := newDesk(t, set, Endpoint{ID: "a", Weight: c.limit})
-		ep := d.s.endpoints["a"]
-		d.s.now += time.Minute
-		d.s.observeOutcome(ep, observation{outcome: Error, sentAt: d.s.now}, 0)
-		d.s.now += time.Second
-		if d.s.recordSuccess(ep, d.s.now, time.Second); ep.warmingUp != c.cold {
+		d := newHarness(t, set, Endpoint{ID: "a", Weight: c.limit})
+		ep := d.engine.endpoints["a"]
+		d.engine.now += time.Minute
+		d.engine.observeOutcome(ep, observation{outcome: Error, sentAt: d.engine.now}, 0)
+		d.engine.now += time.Second
+		if d.engine.recordSuccess(ep, d.engine.now, time.Second); ep.warmingUp != c.cold {
 			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, ep.warmingUp)
 		}
 	}
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-// left is a message that a restart finds, and what became of it.
-type left struct {
+// restartMessage is a message that a restart finds, and what became of it.
+type restartMessage struct {
 	id        uint32
-	dest      int
+	destination      int
 	untried   bool
-	time      time.Duration // that it has
-	sent, end time.Duration // since the restart; -1: never
-	refused   bool
+	timeLeft      time.Duration // that it has
+	sentAfter, endedAfter time.Duration // since the restart; -1: never
+	rejected   bool
 }
 
-// find is a restart drawn by a seed: settings, list, standing of hosts and messages.
-type find struct {
-	set     Settings
-	first   []Event
-	late    []Endpoint // listed at lateAt only
-	lateAt  time.Duration
-	msgs    []*left
-	usable  map[int]bool             // destinations with a host in service, in time
-	waits   map[string]time.Duration // told, by route
-	ill     map[int]bool             // something was told of a host of this destination
-	routes  []Endpoint
-	waiting map[int]bool // by destination: a host is listed late
+// restartCase is a restart drawn by a seed: settings, list, standing of hosts and messages.
+type restartCase struct {
+	settings     Settings
+	initialEvents   []Event
+	lateEndpoints    []Endpoint // listed at lateAfter only
+	lateAfter  time.Duration
+	messages    []*restartMessage
+	inService  map[int]bool             // destinations with a host in service, in time
+	retryAfter   map[string]time.Duration // told, by route
+	impaired     map[int]bool             // something was told of a host of this destination
+	endpoints  []Endpoint
+	listedLate map[int]bool // by destination: a host is listed late
 }
 
-func drawFind(seed uint64, resumed bool) *find {
+func randomRestart(seed uint64, resumed bool) *restartCase {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	set := randomSettings(rng)
 	set.Classes = slices.Clone(set.Classes[:3]) // order has rows of its own
 	set.FleetSize = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
 	set.IgnoreWeights, set.ApproximateWeights = rng.IntN(3) == 0, rng.IntN(3) == 0
 	set.MaxInFlightCalls, set.MaxPendingMessages = 20+rng.IntN(100), 0
-	f := &find{
-		set:     set,
-		usable:  map[int]bool{},
-		waits:   map[string]time.Duration{},
-		ill:     map[int]bool{},
-		waiting: map[int]bool{},
+	f := &restartCase{
+		settings:     set,
+		inService:  map[int]bool{},
+		retryAfter:   map[string]time.Duration{},
+		impaired:     map[int]bool{},
+		listedLate: map[int]bool{},
 	}
-	f.lateAt = time.Duration(rng.IntN(2000)) * time.Millisecond
+	f.lateAfter = time.Duration(rng.IntN(2000)) * time.Millisecond
 	whole := Event{Kind: EndpointSnapshot}
 	var told []Event
 	for d := range 1 + rng.IntN(5) {
 		late := rng.IntN(5) == 0
-		f.waiting[d] = late
+		f.listedLate[d] = late
 		for i := range 1 + rng.IntN(3) {
 			l := Endpoint{
 				ID: fmt.Sprintf(
@@ -60,38 +60,38 @@
 					i,
 				), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 1 + float64(rng.IntN(60)), InService: rng.IntN(6) > 0,
 			}
-			f.routes = append(f.routes, l)
-			f.usable[d] = f.usable[d] || l.InService
+			f.endpoints = append(f.endpoints, l)
+			f.inService[d] = f.inService[d] || l.InService
 			if late {
-				f.late = append(f.late, l)
+				f.lateEndpoints = append(f.lateEndpoints, l)
 				continue
 			}
 			whole.Endpoints = append(whole.Endpoints, l)
 			switch rng.IntN(8) {
 			case 0:
-				told, f.ill[d] = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Overloaded}), true
+				told, f.impaired[d] = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Overloaded}), true
 			case 1:
 				for range 1 + rng.IntN(3) {
 					told = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Error})
 				}
-				f.ill[d] = true
+				f.impaired[d] = true
 			case 2:
 				wait := time.Duration(100+rng.IntN(15_000)) * time.Millisecond
-				told, f.ill[d] = append(
+				told, f.impaired[d] = append(
 					told,
 					Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: NotSent, RetryAfter: wait},
 				), true
-				f.waits[l.ID] = wait
+				f.retryAfter[l.ID] = wait
 			}
 		}
 	}
-	f.first = append([]Event{whole}, told...)
+	f.initialEvents = append([]Event{whole}, told...)
 	for id := range uint32(1 + rng.IntN(60)) {
 		classIndex := rng.IntN(len(set.Classes))
-		m := &left{id: id + 1, dest: rng.IntN(len(f.waiting)), sent: -1, end: -1, untried: true}
-		m.time = set.Classes[classIndex].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
-		f.msgs = append(f.msgs, m)
-		event := Event{Kind: MessageAccepted, MessageID: m.id, Class: classIndex, Destination: m.dest, TimeLeft: m.time}
+		m := &restartMessage{id: id + 1, destination: rng.IntN(len(f.listedLate)), sentAfter: -1, endedAfter: -1, untried: true}
+		m.timeLeft = set.Classes[classIndex].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
+		f.messages = append(f.messages, m)
+		event := Event{Kind: MessageAccepted, MessageID: m.id, Class: classIndex, Destination: m.destination, TimeLeft: m.timeLeft}
 		if resumed {
 			event.Recovered = &RecoveredMessage{}
 			if rng.IntN(6) == 0 {
@@ -100,24 +100,24 @@
 				) == 0, time.Second
 			}
 		}
-		f.first = append(f.first, event)
+		f.initialEvents = append(f.initialEvents, event)
 	}
-	if len(f.msgs) > 10 && rng.IntN(3) == 0 {
-		f.set.MaxPendingMessages = len(f.msgs) // no room
+	if len(f.messages) > 10 && rng.IntN(3) == 0 {
+		f.settings.MaxPendingMessages = len(f.messages) // no room
 	}
 	return f
 }
 
-// play has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts
+// run has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts
 // the calls of each destination.
-func (f *find) play(t *testing.T, seed uint64) (calls map[int]int) {
+func (f *restartCase) run(t *testing.T, seed uint64) (calls map[int]int) {
 	t.Helper()
-	engine, err := New(f.set, seed)
+	engine, err := New(f.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	byID := map[uint32]*left{}
-	for _, m := range f.msgs {
+	byID := map[uint32]*restartMessage{}
+	for _, m := range f.messages {
 		byID[m.id] = m
 	}
 	const began, answer = time.Second, 40 * time.Millisecond
@@ -127,7 +127,7 @@
 		ev Event
 	}
 	var ends []end
-	now, evs, lateTold := began, f.first, false
+	now, evs, lateTold := began, f.initialEvents, false
 	for now < began+12*time.Second {
 		wake := now + 500*time.Millisecond
 		routes := map[string]bool{}
@@ -135,12 +135,12 @@
 			m := byID[a.MessageID]
 			switch a.Kind {
 			case Send:
-				if m.sent < 0 {
-					m.sent = now - began
+				if m.sentAfter < 0 {
+					m.sentAfter = now - began
 				}
 				if !routes[a.Endpoint] {
 					routes[a.Endpoint] = true
-					calls[m.dest]++
+					calls[m.destination]++
 				}
 				ends = append(
 					ends,
@@ -158,14 +158,14 @@
 					},
 				)
 			case Reject, Fail:
-				m.end, m.refused = now-began, a.Kind == Reject
+				m.endedAfter, m.rejected = now-began, a.Kind == Reject
 			case SetTimer:
 				wake = min(wake, now+a.Delay)
 			}
 		}
 		evs = nil
-		if !lateTold && len(f.late) > 0 {
-			wake = min(wake, max(now, began+f.lateAt))
+		if !lateTold && len(f.lateEndpoints) > 0 {
+			wake = min(wake, max(now, began+f.lateAfter))
 		}
 		if len(ends) > 0 {
 			wake = min(wake, ends[0].at)
@@ -174,47 +174,47 @@
 		for len(ends) > 0 && ends[0].at <= now {
 			evs, ends = append(evs, ends[0].ev), ends[1:]
 		}
-		if !lateTold && len(f.late) > 0 && now >= began+f.lateAt {
-			evs, lateTold = append(evs, Event{Kind: EndpointDelta, Endpoints: f.late}), true
+		if !lateTold && len(f.lateEndpoints) > 0 && now >= began+f.lateAfter {
+			evs, lateTold = append(evs, Event{Kind: EndpointDelta, Endpoints: f.lateEndpoints}), true
 		}
 	}
 	return calls
 }
 
-// toldBeyond tells whether every host of a destination was told to wait for d or more.
-func (f *find) toldBeyond(dest int, d time.Duration) bool {
+// blockedBeyond tells whether every host of a destination was told to wait for d or more.
+func (f *restartCase) blockedBeyond(dest int, d time.Duration) bool {
 	shared, all := time.Duration(0), true
-	for _, l := range f.routes {
+	for _, l := range f.endpoints {
 		if l.Destination == dest {
-			shared = max(shared, f.waits[l.ID])
-			all = all && f.waits[l.ID] >= d-deadlineMargin
+			shared = max(shared, f.retryAfter[l.ID])
+			all = all && f.retryAfter[l.ID] >= d-deadlineMargin
 		}
 	}
-	return all || !f.set.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-deadlineMargin
+	return all || !f.settings.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-deadlineMargin
 }
 
-// wrong judges what became of the messages.
-func (f *find) wrong(calls map[int]int) (faults []string) {
+// faults judges what became of the messages.
+func (f *restartCase) faults(calls map[int]int) (faults []string) {
 	const spread = MaxInitialSpread + 200*time.Millisecond // first calls of many come within this
-	for _, m := range f.msgs {
+	for _, m := range f.messages {
 		listed := time.Duration(0)
-		if f.waiting[m.dest] {
-			listed = f.lateAt
+		if f.listedLate[m.destination] {
+			listed = f.lateAfter
 		}
 		switch {
-		case !m.untried || m.sent >= 0:
-		case m.end >= 0 && !m.refused:
+		case !m.untried || m.sentAfter >= 0:
+		case m.endedAfter >= 0 && !m.rejected:
 			faults = append(faults, fmt.Sprintf("message %d failed, though it never ran", m.id))
-		case m.end >= 0 && m.end < m.time-50*time.Millisecond && !f.toldBeyond(m.dest, m.time):
-			faults = append(faults, fmt.Sprintf("message %d refused untried after %v of %v", m.id, m.end, m.time))
-		case m.end < 0:
+		case m.endedAfter >= 0 && m.endedAfter < m.timeLeft-50*time.Millisecond && !f.blockedBeyond(m.destination, m.timeLeft):
+			faults = append(faults, fmt.Sprintf("message %d refused untried after %v of %v", m.id, m.endedAfter, m.timeLeft))
+		case m.endedAfter < 0:
 			faults = append(faults, fmt.Sprintf("message %d has no end", m.id))
-		case !f.usable[m.dest] || f.ill[m.dest] || m.time-listed < spread:
+		case !f.inService[m.destination] || f.impaired[m.destination] || m.timeLeft-listed < spread:
 			// No host, or one of which something was told, or no time: its destination may have had no call.
-		case calls[m.dest] == 0:
-			faults = append(faults, fmt.Sprintf("message %d: a host that stands well had no call in %v", m.id, m.time))
-		case f.set.IgnoreWeights && listed == 0:
-			faults = append(faults, fmt.Sprintf("message %d not tried in %v, where nothing bars it", m.id, m.time))
+		case calls[m.destination] == 0:
+			faults = append(faults, fmt.Sprintf("message %d: a host that stands well had no call in %v", m.id, m.timeLeft))
+		case f.settings.IgnoreWeights && listed == 0:
+			faults = append(faults, fmt.Sprintf("message %d not tried in %v, where nothing bars it", m.id, m.timeLeft))
 		}
 	}
 	return faults
@@ -222,23 +222,23 @@
 
 // Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all hosts
 // are told to wait past it, or capacity bars it, which the calls made show; and it never ends early without one.
-func TestWhatAnyRestartFindsIsTriedOrKept(t *testing.T) {
+func TestRecoveredMessagesAreTriedOrKept(t *testing.T) {
 	sent, all := 0, 0
 	for seed := range uint64(1500) {
-		f := drawFind(seed, true)
-		if wrong := f.wrong(f.play(t, seed)); len(wrong) > 0 {
+		f := randomRestart(seed, true)
+		if wrong := f.faults(f.run(t, seed)); len(wrong) > 0 {
 			t.Errorf(
 				"seed %d, %d senders, no weights %v: %d of %d: %s",
 				seed,
-				f.set.FleetSize,
-				f.set.IgnoreWeights,
+				f.settings.FleetSize,
+				f.settings.IgnoreWeights,
 				len(wrong),
-				len(f.msgs),
+				len(f.messages),
 				wrong[0],
 			)
 		}
-		for _, m := range f.msgs {
-			if all++; m.sent >= 0 {
+		for _, m := range f.messages {
+			if all++; m.sentAfter >= 0 {
 				sent++
 			}
 		}
@@ -250,8 +250,8 @@
 	// fail.
 	found := 0
 	for seed := range uint64(200) {
-		f := drawFind(seed, false)
-		found += len(f.wrong(f.play(t, seed)))
+		f := randomRestart(seed, false)
+		found += len(f.faults(f.run(t, seed)))
 	}
 	if found == 0 {
 		t.Error("nothing is ever found wrong")
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// resumeSettings have one keyed class whose repeats are dropped in a zone for 10 s.
-func resumeSettings() Settings {
+// restartSettings have one keyed class whose repeats are dropped in a zone for 10 s.
+func restartSettings() Settings {
 	return Settings{
 		Classes: []Class{{
 			Effect: IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1,
@@ -17,26 +17,26 @@
 	}
 }
 
-// twoZones is a list of a better route in zone 1 and another in zone 0.
-func twoZones() Event {
+// twoZoneList is a list of a better route in zone 1 and another in zone 0.
+func twoZoneList() Event {
 	return Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
 		{ID: "other", Destination: 5, Zone: 0, Weight: 20, InService: true},
 	}}
 }
 
-func resumeStep(t *testing.T, r *RecoveredMessage) []Action {
+func stepRecovered(t *testing.T, r *RecoveredMessage) []Action {
 	t.Helper()
-	engine, err := New(resumeSettings(), 1)
+	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return engine.Step(time.Second, []Event{
-		twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: r},
+		twoZoneList(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: r},
 	})
 }
 
-func TestResumedMessagesKeepTheirZoneAndWindow(t *testing.T) {
+func TestRecoveredMessagesKeepZoneAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		resumed RecoveredMessage
@@ -48,7 +48,7 @@
 		{"no attempts left", RecoveredMessage{Attempts: 8}, ""},
 	} {
 		route := ""
-		for _, a := range resumeStep(t, &c.resumed) {
+		for _, a := range stepRecovered(t, &c.resumed) {
 			if a.Kind == Send {
 				route = a.Endpoint
 			}
@@ -59,19 +59,19 @@
 	}
 }
 
-func TestOverdueMessagesEndAtOnce(t *testing.T) {
+func TestOverdueRecoveredMessagesEndAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		resumed RecoveredMessage
 		want    ActionKind
 	}{{RecoveredMessage{}, Reject}, {RecoveredMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
-		engine, err := New(resumeSettings(), 1)
+		engine, err := New(restartSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		acts := engine.Step(
 			time.Second,
 			[]Event{
-				twoZones(),
+				twoZoneList(),
 				{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: -time.Second, Recovered: &c.resumed},
 			},
 		)
@@ -81,12 +81,12 @@
 	}
 }
 
-func TestABacklogIsNotPouredOut(t *testing.T) {
-	engine, err := New(resumeSettings(), 1)
+func TestRecoveredBacklogIsPaced(t *testing.T) {
+	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs := []Event{twoZones()}
+	evs := []Event{twoZoneList()}
 	for i := range uint32(40) {
 		evs = append(
 			evs,
@@ -110,14 +110,14 @@
 	}
 }
 
-func TestACallMayNoLongerLeave(t *testing.T) {
-	engine, err := New(resumeSettings(), 1)
+func TestStillAllowed(t *testing.T) {
+	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	engine.Step(
 		time.Second,
-		[]Event{twoZones(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}},
+		[]Event{twoZoneList(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}},
 	)
 	if !engine.StillAllowed("best", nil, time.Second) || !engine.StillAllowed("other", nil, time.Second) ||
 		engine.StillAllowed("none", nil, time.Second) {
@@ -150,8 +150,8 @@
 
 // A connection that was long in coming must not carry a repeat that is dropped no more. What never ran may go at any
 // time, and so may what may be repeated for ever.
-func TestACallHeldUpPastTheWindowMayNotLeave(t *testing.T) {
-	set := resumeSettings()
+func TestStillAllowedWithinDedupWindow(t *testing.T) {
+	set := restartSettings()
 	safe := set.Classes[0]
 	safe.Effect = Idempotent
 	set.Classes = append(set.Classes, safe)
@@ -161,7 +161,7 @@
 	}
 	ran := &RecoveredMessage{Attempts: 1, MayHaveRun: true, FirstRunZone: 1, SinceFirstRun: 9 * time.Second}
 	engine.Step(time.Second, []Event{
-		twoZones(),
+		twoZoneList(),
 		{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 		{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second},
 		{Kind: MessageAccepted, MessageID: 3, Class: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
@@ -186,8 +186,8 @@
 }
 
 // A message that no route may ever take again gets its answer then, not at its deadline.
-func TestSpentMessagesEndAtOnce(t *testing.T) {
-	engine, err := New(resumeSettings(), 1)
+func TestExhaustedMessagesEndAtOnce(t *testing.T) {
+	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 		}
 		return kinds
 	}
-	if got := ends(time.Second, twoZones(),
+	if got := ends(time.Second, twoZoneList(),
 		Event{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: &RecoveredMessage{Attempts: 8, MayHaveRun: true, FirstRunZone: 2}},
 		Event{Kind: MessageAccepted, MessageID: 2, Destination: 5, TimeLeft: 14 * time.Second, Recovered: &RecoveredMessage{Attempts: 2, MayHaveRun: true, FirstRunZone: 2}},
 	); len(got) != 1 || got[0] != Fail {
@@ -214,19 +214,19 @@
 	}
 }
 
-// untried plays a sender of many that resumes messages nobody has tried, for as long as they have; what becomes of
+// recoveredOutcome plays a sender of many that resumes messages nobody has tried, for as long as they have; what becomes of
 // each.
-type untried struct {
-	sent, refused map[uint32]time.Duration // when
+type recoveredOutcome struct {
+	sent, rejected map[uint32]time.Duration // when
 }
 
-func playUntried(t *testing.T, set Settings, first []Event, n int, left time.Duration) untried {
+func runRecovered(t *testing.T, set Settings, first []Event, n int, left time.Duration) recoveredOutcome {
 	t.Helper()
 	engine, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := untried{map[uint32]time.Duration{}, map[uint32]time.Duration{}}
+	u := recoveredOutcome{map[uint32]time.Duration{}, map[uint32]time.Duration{}}
 	began := time.Second
 	now, evs := began, first
 	for id := range uint32(n) {
@@ -260,7 +260,7 @@
 					},
 				)
 			case Reject:
-				u.refused[a.MessageID] = now - began
+				u.rejected[a.MessageID] = now - began
 			case Fail:
 				t.Errorf("message %d failed", a.MessageID)
 			case SetTimer:
@@ -278,9 +278,9 @@
 // Where nothing tells of limits a part of them tells nothing either: what waits is tried in half of its time. Where a
 // limit bars some of it, or no room is left, it is kept until its time is up; it ends early only where a wait is told
 // beyond that.
-func TestWhatNobodyTriedIsTriedOrKept(t *testing.T) {
+func TestUntriedMessagesAreTriedOrKept(t *testing.T) {
 	const left = 10 * time.Second
-	plain := resumeSettings()
+	plain := restartSettings()
 	plain.DestinationKinds, plain.FleetSize, plain.WarmUpDuration, plain.OverloadWindow = []DestinationKind{
 		{MaxBatch: 1},
 	}, 300, 14*time.Second, 3*time.Second
@@ -316,16 +316,16 @@
 		{"a wait beyond their time", plain, told, 20, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			u := playUntried(t, c.set, c.first, c.n, left)
-			if len(u.sent) < c.sent || len(u.sent)+len(u.refused) != c.n {
-				t.Errorf("%d sent, %d refused of %d", len(u.sent), len(u.refused), c.n)
+			u := runRecovered(t, c.set, c.first, c.n, left)
+			if len(u.sent) < c.sent || len(u.sent)+len(u.rejected) != c.n {
+				t.Errorf("%d sent, %d refused of %d", len(u.sent), len(u.rejected), c.n)
 			}
 			for id, at := range u.sent {
 				if at > c.sentBy {
 					t.Errorf("message %d sent after %v", id, at)
 				}
 			}
-			for id, at := range u.refused {
+			for id, at := range u.rejected {
 				if at < c.refusedFrom {
 					t.Errorf("message %d refused after %v", id, at)
 				}
@@ -340,7 +340,7 @@
 // Where nothing tells what a destination takes, a sender goes by what it took from it: the budget of a route in doubt
 // is then this sender's part of a destination of that size, not of one call a second; it is no less than that, and a
 // told limit goes before it.
-func TestWhatNobodyTellsIsTakenFromOwnDeliveries(t *testing.T) {
+func TestUnknownCapacityFollowsOwnDeliveries(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		weights    bool
@@ -352,7 +352,7 @@
 		{"some delivered", false, 40, 300 * 1.5, 300 * 5},
 		{"told", true, 40, 50, 50},
 	} {
-		set := resumeSettings()
+		set := restartSettings()
 		set.DestinationKinds, set.FleetSize, set.IgnoreWeights = []DestinationKind{{MaxBatch: 1}}, 300, !c.weights
 		engine, err := New(set, 3)
 		if err != nil {
--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// sharer is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
+// sharingRelay is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
 // second, more or less. Its calls are answered with the next step.
-type sharer struct {
+type sharingRelay struct {
 	*Engine
-	evs []Event
+	events []Event
 }
 
-func newSharer(t *testing.T) *sharer {
+func newSharingRelay(t *testing.T) *sharingRelay {
 	t.Helper()
 	engine, err := New(Settings{
 		Classes: []Class{
@@ -23,15 +23,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &sharer{
+	x := &sharingRelay{
 		engine,
 		[]Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}},
 		},
 	}
 	for id := range uint32(200) {
-		x.evs = append(
-			x.evs,
+		x.events = append(
+			x.events,
 			Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second},
 		)
 	}
@@ -40,17 +40,17 @@
 }
 
 // runFor steps it over a span, with what it is told at its beginning, and counts calls and asks.
-func (s *sharer) runFor(from, length time.Duration, evs ...Event) (calls, asks, wanted int) {
-	s.evs = append(s.evs, evs...)
+func (s *sharingRelay) runFor(from, length time.Duration, evs ...Event) (calls, asks, wanted int) {
+	s.events = append(s.events, evs...)
 	for now := from; now < from+length; now += 10 * time.Millisecond {
-		acts := s.Step(now, s.evs)
-		s.evs = s.evs[:0]
+		acts := s.Step(now, s.events)
+		s.events = s.events[:0]
 		for _, a := range acts {
 			switch a.Kind {
 			case Send:
 				calls++
-				s.evs = append(
-					s.evs,
+				s.events = append(
+					s.events,
 					Event{
 						Kind:         AttemptFinished,
 						MessageID:    a.MessageID,
@@ -70,7 +70,7 @@
 
 // What others leave a sender lets it make so many calls beyond its own pace, for so long; what it lends slows that; and
 // it asks for calls only where limits are shared, shortly before they may leave.
-func TestRights(t *testing.T) {
+func TestQuotaGrants(t *testing.T) {
 	right := func(share float64, calls int, left time.Duration) Event {
 		return Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: share, GrantedCalls: calls, TimeLeft: left}
 	}
@@ -90,7 +90,7 @@
 		"while the route drains":               {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
 		"two at a time end with the first one": {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
 	} {
-		s := newSharer(t)
+		s := newSharingRelay(t)
 		calls, asks, wanted := s.runFor(span, span, c.evs...)
 		if calls < c.callsLeast || calls > c.callsMost || asks < c.asksLeast || asks > c.asksMost ||
 			asks > 0 && wanted < 100 {
@@ -98,15 +98,15 @@
 		}
 	}
 	// A call that comes too late for its right is not made by it.
-	s := newSharer(t)
+	s := newSharingRelay(t)
 	if calls, _, _ := s.runFor(span, 2*time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
 		t.Errorf("%d calls by rights that were void", calls)
 	}
 }
 
 // A sender that lends and borrows goes on from its snapshot as it was.
-func TestRightsOutlastSnapshots(t *testing.T) {
-	a := newSharer(t)
+func TestQuotaGrantsSurviveSnapshots(t *testing.T) {
+	a := newSharingRelay(t)
 	a.runFor(
 		10*time.Second,
 		time.Second,
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &sharer{again, nil}
+	b := &sharingRelay{again, nil}
 	callsA, asksA, _ := a.runFor(11*time.Second, 3*time.Second)
 	callsB, asksB, _ := b.runFor(11*time.Second, 3*time.Second)
 	if callsA != callsB || asksA != asksB || callsA < 4 {
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -9,7 +9,7 @@
 
 // Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of
 // which none may be refused, and would look through all of it for each message that it takes up, and for each new one.
-func TestRoomIsLookedForOnlySoFar(t *testing.T) {
+func TestLoadSheddingScansABoundedQueue(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		behind  int // messages that may not be refused, behind one that may
@@ -56,7 +56,7 @@
 
 // A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss
 // their aims, it takes the square of its length. Whichever leave, the order stays.
-func TestALongQueueIsNotMovedForItsFirst(t *testing.T) {
+func TestDequeueAtTheFrontMovesNothing(t *testing.T) {
 	engine, err := New(
 		Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}},
 		1,
