--- a/policy/bare_test.go
+++ b/policy/bare_test.go
@@ -13,58 +13,58 @@
 // referenceModel is what a Sender knows of destinations, by the plain rule: at every list event all without routes are
 // looked at.
 type referenceModel struct {
-	warmUp   time.Duration
-	endpoints map[string]int // destinations
-	known  map[int]bool
+	warmUp     time.Duration
+	endpoints  map[string]int // destinations
+	known      map[int]bool
 	emptySince map[int]time.Duration
-	empty   []int
+	empty      []int
 }
 
-func (b *referenceModel) hasEndpoints(dest int) bool {
-	for _, d := range b.endpoints {
-		if d == dest {
+func (model *referenceModel) hasEndpoints(destinationID int) bool {
+	for _, d := range model.endpoints {
+		if d == destinationID {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *referenceModel) remove(now time.Duration, route string) {
-	d, is := b.endpoints[route]
-	delete(b.endpoints, route)
-	if is && b.emptySince[d] == 0 && !b.hasEndpoints(d) {
-		b.emptySince[d] = now
-		b.empty = append(b.empty, d)
+func (model *referenceModel) remove(now time.Duration, endpointID string) {
+	d, is := model.endpoints[endpointID]
+	delete(model.endpoints, endpointID)
+	if is && model.emptySince[d] == 0 && !model.hasEndpoints(d) {
+		model.emptySince[d] = now
+		model.empty = append(model.empty, d)
 	}
 }
 
-func (b *referenceModel) update(now time.Duration, event Event, held map[int]int) {
+func (model *referenceModel) update(now time.Duration, event Event, held map[int]int) {
 	if event.Kind == EndpointSnapshot {
-		byDestination := func(x, y string) int { return b.endpoints[x] - b.endpoints[y] }
-		for _, id := range slices.SortedFunc(maps.Keys(b.endpoints), byDestination) {
-			if !slices.ContainsFunc(event.Endpoints, func(l Endpoint) bool { return l.ID == id }) {
-				b.remove(now, id)
+		byDestination := func(x, y string) int { return model.endpoints[x] - model.endpoints[y] }
+		for _, id := range slices.SortedFunc(maps.Keys(model.endpoints), byDestination) {
+			if !slices.ContainsFunc(event.Endpoints, func(entry Endpoint) bool { return entry.ID == id }) {
+				model.remove(now, id)
 			}
 		}
 	}
-	for _, l := range event.Endpoints {
-		if l.Removed {
-			b.remove(now, l.ID)
-		} else if _, is := b.endpoints[l.ID]; !is {
-			b.endpoints[l.ID] = l.Destination
-			b.known[l.Destination] = true
+	for _, entry := range event.Endpoints {
+		if entry.Removed {
+			model.remove(now, entry.ID)
+		} else if _, is := model.endpoints[entry.ID]; !is {
+			model.endpoints[entry.ID] = entry.Destination
+			model.known[entry.Destination] = true
 		}
 	}
-	b.empty = slices.DeleteFunc(b.empty, func(d int) bool {
-		if b.hasEndpoints(d) {
-			delete(b.emptySince, d)
+	model.empty = slices.DeleteFunc(model.empty, func(d int) bool {
+		if model.hasEndpoints(d) {
+			delete(model.emptySince, d)
 			return true
 		}
-		if held[d] > 0 || now < b.emptySince[d]+b.warmUp {
+		if held[d] > 0 || now < model.emptySince[d]+model.warmUp {
 			return false
 		}
-		delete(b.known, d)
-		delete(b.emptySince, d)
+		delete(model.known, d)
+		delete(model.emptySince, d)
 		return true
 	})
 }
@@ -73,9 +73,9 @@
 // was one. It returns a sum of all actions, to compare with another Sender's.
 func simulateChurn(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	set := testSettings()
-	set.FleetSize = []int{1, 300}[rng.IntN(2)]
-	engine, err := New(set, seed)
+	settings := testSettings()
+	settings.FleetSize = []int{1, 300}[rng.IntN(2)]
+	engine, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	sum := fnv.New64a()
 	var out []Event
 	listed := map[int]bool{}
-	entry := func(i int) Endpoint {
+	newEntry := func(i int) Endpoint {
 		return Endpoint{
 			ID:          fmt.Sprint("r", i),
 			Destination: i / 2,
@@ -95,7 +95,7 @@
 	}
 	for range 1200 {
 		now += time.Duration(rng.IntN(4)*rng.IntN(4)*rng.IntN(400)) * ms
-		var evs []Event
+		var events []Event
 		var list *Event
 		switch n := rng.IntN(10); {
 		case n == 0: // some of a few destinations go and come, most wholly
@@ -103,10 +103,10 @@
 			for range 1 + rng.IntN(4) {
 				d := rng.IntN(12)
 				for i := 2 * d; i < 2*d+2; i++ {
-					l := entry(i)
-					l.Removed = listed[i] && rng.IntN(8) > 0
-					listed[i] = !l.Removed
-					event.Endpoints = append(event.Endpoints, l)
+					entry := newEntry(i)
+					entry.Removed = listed[i] && rng.IntN(8) > 0
+					listed[i] = !entry.Removed
+					event.Endpoints = append(event.Endpoints, entry)
 				}
 			}
 			list = &event
@@ -115,14 +115,14 @@
 			clear(listed)
 			for i := range 24 {
 				if listed[i] = rng.IntN(3) > 0; listed[i] {
-					event.Endpoints = append(event.Endpoints, entry(i))
+					event.Endpoints = append(event.Endpoints, newEntry(i))
 				}
 			}
 			list = &event
 		case n < 5:
 			id++
-			evs = append(
-				evs,
+			events = append(
+				events,
 				Event{
 					Kind:        MessageAccepted,
 					MessageID:   id,
@@ -136,18 +136,18 @@
 			out = slices.Delete(out, i, i+1)
 			event.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[rng.IntN(6)]
 			event.MessageEnded, event.Latency = event.Outcome == OK, 50*ms
-			evs = append(evs, event)
+			events = append(events, event)
 		default:
-			evs = append(evs, Event{Kind: TimerFired})
+			events = append(events, Event{Kind: TimerFired})
 		}
 		held := map[int]int{}
-		for _, d := range engine.sortedDestinations {
-			held[d.id] = d.messageCount
+		for _, dest := range engine.sortedDestinations {
+			held[dest.id] = dest.messageCount
 		}
 		if list != nil {
-			evs = append([]Event{*list}, evs...)
+			events = append([]Event{*list}, events...)
 		}
-		for _, a := range engine.Step(now, evs) {
+		for _, a := range engine.Step(now, events) {
 			fmt.Fprintln(sum, now, a)
 			if a.Kind == Send {
 				n := 0
@@ -167,12 +167,12 @@
 
 // What a Sender still knows after every step is what the plain rule says.
 func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
-	forgotten := 0
+	removed := 0
 	for seed := range uint64(30) {
-		b := referenceModel{
-			warmUp:   testSettings().WarmUpDuration,
-			endpoints: map[string]int{},
-			known:  map[int]bool{},
+		model := referenceModel{
+			warmUp:     testSettings().WarmUpDuration,
+			endpoints:  map[string]int{},
+			known:      map[int]bool{},
 			emptySince: map[int]time.Duration{},
 		}
 		sum := simulateChurn(t, seed, func(engine *Engine, now time.Duration, event *Event, held map[int]int) {
@@ -180,30 +180,30 @@
 				return
 			}
 			if event != nil {
-				was := len(b.known)
-				b.update(now, *event, held)
-				forgotten += max(0, was-len(b.known))
+				was := len(model.known)
+				model.update(now, *event, held)
+				removed += max(0, was-len(model.known))
 			}
 			for d := range engine.destinations {
-				if !b.known[d] && engine.destinations[d].messageCount > 0 {
-					b.known[d] = true // taken for a destination that no list named
+				if !model.known[d] && engine.destinations[d].messageCount > 0 {
+					model.known[d] = true // taken for a destination that no list named
 				}
 			}
-			got, want := slices.Sorted(maps.Keys(engine.destinations)), slices.Sorted(maps.Keys(b.known))
+			got, want := slices.Sorted(maps.Keys(engine.destinations)), slices.Sorted(maps.Keys(model.known))
 			if !slices.Equal(got, want) {
 				t.Errorf("seed %d, at %v: knows %v, by the plain rule %v", seed, now, got, want)
 			}
 			var bare []int
-			for _, d := range emptyDestinationsOf(engine) {
-				bare = append(bare, d.id)
+			for _, dest := range emptyDestinationsOf(engine) {
+				bare = append(bare, dest.id)
 			}
-			if !slices.Equal(bare, b.empty) {
-				t.Errorf("seed %d, at %v: without routes %v, by the plain rule %v", seed, now, bare, b.empty)
+			if !slices.Equal(bare, model.empty) {
+				t.Errorf("seed %d, at %v: without routes %v, by the plain rule %v", seed, now, bare, model.empty)
 			}
 		})
 		t.Logf("seed %d: the actions' sum is %x", seed, sum)
 	}
-	if forgotten < 100 {
-		t.Errorf("%d destinations forgotten: the plays show too little", forgotten)
+	if removed < 100 {
+		t.Errorf("%d destinations forgotten: the plays show too little", removed)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -15,9 +15,9 @@
 }
 
 func benchmarkStep(b *testing.B, backlog int) {
-	set := testSettings()
-	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 400, 8, 1000
-	engine, err := New(set, 1)
+	settings := testSettings()
+	settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages = 400, 8, 1000
+	engine, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -30,26 +30,26 @@
 		})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
+	events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 	for i := range backlog {
-		evs = append(
-			evs,
+		events = append(
+			events,
 			Event{Kind: MessageAccepted, MessageID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour},
 		)
 	}
-	engine.Step(now, evs)
+	engine.Step(now, events)
 	now += time.Second // first calls of many spread over a while after the list
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		id := uint32(i)
-		route := ""
+		endpointID := ""
 		for _, a := range engine.Step(now, []Event{{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
 			if a.Kind == Send {
-				route = a.Endpoint
+				endpointID = a.Endpoint
 			}
 		}
-		if route == "" {
+		if endpointID == "" {
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
@@ -59,7 +59,7 @@
 				{
 					Kind:         AttemptFinished,
 					MessageID:    id,
-					Endpoint:     route,
+					Endpoint:     endpointID,
 					Outcome:      OK,
 					Latency:      10 * ms,
 					MessageEnded: true,
@@ -79,7 +79,7 @@
 			Endpoint{ID: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true},
 		)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		evs  []Event
 	}{
@@ -87,26 +87,26 @@
 		{"change", []Event{{Kind: EndpointDelta, Endpoints: list[3:4]}}},
 		{"wake", []Event{{Kind: TimerFired}}},
 	} {
-		b.Run(c.name, func(b *testing.B) {
-			set := testSettings()
-			set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 300, 5, 60
-			engine, err := New(set, 1)
+		b.Run(test.name, func(b *testing.B) {
+			settings := testSettings()
+			settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages = 300, 5, 60
+			engine, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Minute
-			evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
+			events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 			for i := range 10 {
-				evs = append(
-					evs,
+				events = append(
+					events,
 					Event{Kind: MessageAccepted, MessageID: uint32(i), Destination: i, TimeLeft: 1000 * time.Hour},
 				)
 			}
-			engine.Step(now, evs)
+			engine.Step(now, events)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += time.Microsecond
-				engine.Step(now, c.evs)
+				engine.Step(now, test.evs)
 			}
 		})
 	}
@@ -117,30 +117,30 @@
 func BenchmarkListAndEvict(b *testing.B) {
 	for _, awake := range []int{1000, 10000, 50000, 140000} {
 		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
-			set := testSettings()
-			set.FleetSize = 400
-			engine, err := New(set, 1)
+			settings := testSettings()
+			settings.FleetSize = 400
+			engine, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			entries := func(dest int, gone bool) Event {
-				dest = dest * 7919 % (4 * awake) // not in the order of their numbers
+			entries := func(destinationID int, removed bool) Event {
+				destinationID = destinationID * 7919 % (4 * awake) // not in the order of their numbers
 				event := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
 				for i := range event.Endpoints {
 					event.Endpoints[i] = Endpoint{
-						ID:          fmt.Sprint("ep-", dest, "-", i),
-						Destination: dest,
-						Kind:        dest % 3,
+						ID:          fmt.Sprint("ep-", destinationID, "-", i),
+						Destination: destinationID,
+						Kind:        destinationID % 3,
 						Weight:      20,
 						InService:   true,
-						Removed:     gone,
+						Removed:     removed,
 					}
 				}
 				return event
 			}
 			now := time.Minute
 			turn := func(i int) {
-				now += set.WarmUpDuration / time.Duration(awake)
+				now += settings.WarmUpDuration / time.Duration(awake)
 				if id := i - awake; id >= 0 && engine.Evictable(id*7919%(4*awake)) {
 					engine.Step(now, []Event{entries(id, true)})
 				}
--- a/policy/flat_test.go
+++ b/policy/flat_test.go
@@ -39,9 +39,9 @@
 	t.Helper()
 	const rounds, warmUp, each = 40, 10, 1500
 	rng := rand.New(rand.NewPCG(11, 12))
-	set := testSettings()
-	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages, set.MaxAttempts = 300, 8, 90, 8
-	set.Classes = []Class{
+	settings := testSettings()
+	settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.MaxAttempts = 300, 8, 90, 8
+	settings.Classes = []Class{
 		{
 			Effect:           IdempotentByKey,
 			DedupWindow:      8 * time.Second,
@@ -51,7 +51,7 @@
 		},
 		{Effect: Idempotent, Ordered: true, LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 1},
 	}
-	engine, err := New(set, 1)
+	engine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,8 +65,8 @@
 	var kept []uint64
 	tries := map[uint32]int{}
 	now, id, ended := time.Minute, uint32(0), 0
-	act := func(acts []Action) {
-		for _, a := range acts {
+	act := func(actions []Action) {
+		for _, a := range actions {
 			switch a.Kind {
 			case Send:
 				calls = append(
@@ -104,7 +104,7 @@
 		for range each {
 			now += 20 * time.Millisecond
 			id++
-			evs := []Event{
+			events := []Event{
 				{
 					Kind:        MessageAccepted,
 					MessageID:   id,
@@ -118,7 +118,7 @@
 				kept = append(kept, uint64(id))
 			}
 			if rng.IntN(20) == 0 {
-				evs = append(evs, Event{Kind: MessageCancelled, MessageID: id - uint32(rng.IntN(10))})
+				events = append(events, Event{Kind: MessageCancelled, MessageID: id - uint32(rng.IntN(10))})
 			}
 			rest := calls[:0]
 			for _, c := range calls {
@@ -130,8 +130,8 @@
 				if rng.IntN(4) == 0 {
 					outcome = Outcome(rng.IntN(int(NotSent) + 1))
 				}
-				evs = append(
-					evs,
+				events = append(
+					events,
 					Event{
 						Kind:         AttemptFinished,
 						MessageID:    c.id,
@@ -144,14 +144,14 @@
 				)
 			}
 			calls = rest
-			act(engine.Step(now, evs))
+			act(engine.Step(now, events))
 		}
 		for range 2 { // all time is up
 			now += 16 * time.Second
-			var evs []Event
+			var events []Event
 			for _, c := range calls {
-				evs = append(
-					evs,
+				events = append(
+					events,
 					Event{
 						Kind:      AttemptFinished,
 						MessageID: c.id,
@@ -163,7 +163,7 @@
 				)
 			}
 			calls = calls[:0]
-			act(engine.Step(now, append(evs, Event{Kind: TimerFired})))
+			act(engine.Step(now, append(events, Event{Kind: TimerFired})))
 		}
 		clear(tries)
 		if round < warmUp {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -14,181 +14,181 @@
 
 // fleetCase is one such day.
 type fleetCase struct {
-	relays int
-	limit   float64 // calls a second
-	demand  float64 // messages, as a multiple of the limit
-	failRatio   float64 // share of the calls that fail in the outage
-	limitListed  bool    // the limit is listed; else no sender ever knows it
-	limitReported    bool    // the limit is told in answers
+	relays        int
+	limit         float64 // calls a second
+	demand        float64 // messages, as a multiple of the limit
+	failRatio     float64 // share of the calls that fail in the outage
+	limitListed   bool    // the limit is listed; else no sender ever knows it
+	limitReported bool    // the limit is told in answers
 }
 
-func (c fleetCase) String() string {
+func (config fleetCase) String() string {
 	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v",
-		c.relays, c.limit, c.demand, c.failRatio, c.limitListed, c.limitReported)
+		config.relays, config.limit, config.demand, config.failRatio, config.limitListed, config.limitReported)
 }
 
 const (
-	fleetTick    = 10 * time.Millisecond
-	fleetRecoversAt  = time.Minute + 35*time.Second
-	fleetFailsAt = time.Minute + 20*time.Second
+	fleetTick       = 10 * time.Millisecond
+	fleetRecoversAt = time.Minute + 35*time.Second
+	fleetFailsAt    = time.Minute + 20*time.Second
 	fleetEndsAt     = fleetRecoversAt + 8*time.Second
 )
 
-func fleetSettings(c fleetCase) Settings {
+func fleetSettings(config fleetCase) Settings {
 	return Settings{
 		Classes: []Class{
 			{Effect: Idempotent, LatencyObjective: 4 * time.Second, Deadline: 28 * time.Second, Weight: 1},
 		},
 		DestinationKinds: []DestinationKind{
 			{LimitPerEndpoint: true, MaxBatch: 1},
-		}, FleetSize: c.relays, MaxInFlightCalls: 8, IgnoreWeights: !c.limitListed,
+		}, FleetSize: config.relays, MaxInFlightCalls: 8, IgnoreWeights: !config.limitListed,
 		WarmUpInitialCapacity: 0.25, WarmUpDuration: 14 * time.Second, OverloadFactor: 1.5, OverloadWindow: 3 * time.Second,
 	}
 }
 
 // fleetSimulation is the route, the senders' messages and the books of the judge.
 type fleetSimulation struct {
-	config      fleetCase
-	rng    *rand.Rand
-	now    time.Duration
-	engines  []*Engine
-	inbox  [][]Event
-	scheduled    map[time.Duration][]fleetEvent
-	tokens   float64        // calls that the limit leaves
-	sawFailure   []bool         // by sender: of a failure or refusal in the outage
-	recoveryCalls []recoveryCall    // since the return
-	attempts  map[uint32]int // of each message
-	delivered int            // in the whole day
+	config        fleetCase
+	rng           *rand.Rand
+	now           time.Duration
+	engines       []*Engine
+	inbox         [][]Event
+	scheduled     map[time.Duration][]fleetEvent
+	tokens        float64        // calls that the limit leaves
+	sawFailure    []bool         // by sender: of a failure or refusal in the outage
+	recoveryCalls []recoveryCall // since the return
+	attempts      map[uint32]int // of each message
+	delivered     int            // in the whole day
 }
 
 type fleetEvent struct {
 	relay int
-	event     Event
+	event Event
 }
 
 type recoveryCall struct {
-	at   time.Duration
+	at         time.Duration
 	sawFailure bool
 }
 
-func (w *fleetSimulation) start(i int, seed uint64) error {
-	engine, err := New(fleetSettings(w.config), seed)
+func (sim *fleetSimulation) start(i int, seed uint64) error {
+	engine, err := New(fleetSettings(sim.config), seed)
 	if err != nil {
 		return err
 	}
-	w.engines[i] = engine
-	w.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: w.config.limit, InService: true}}}}
+	sim.engines[i] = engine
+	sim.inbox[i] = []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: sim.config.limit, InService: true}}}}
 	return nil
 }
 
 // call plays one call at the route: its outcome comes a tick or two later.
-func (w *fleetSimulation) call(i int, a Action) {
-	failing := w.now >= fleetFailsAt && w.now < fleetRecoversAt
-	if w.now >= fleetRecoversAt {
-		w.recoveryCalls = append(w.recoveryCalls, recoveryCall{w.now, w.sawFailure[i]})
+func (sim *fleetSimulation) call(i int, a Action) {
+	failing := sim.now >= fleetFailsAt && sim.now < fleetRecoversAt
+	if sim.now >= fleetRecoversAt {
+		sim.recoveryCalls = append(sim.recoveryCalls, recoveryCall{sim.now, sim.sawFailure[i]})
 	}
 	event := Event{
 		Kind:      AttemptFinished,
 		MessageID: a.MessageID,
-		Attempt:   w.attempts[a.MessageID],
+		Attempt:   sim.attempts[a.MessageID],
 		Endpoint:  "a",
 		Latency:   2 * fleetTick,
 	}
-	w.attempts[a.MessageID]++
+	sim.attempts[a.MessageID]++
 	switch {
-	case w.tokens < 1:
+	case sim.tokens < 1:
 		event.Outcome = Overloaded
 	default:
-		w.tokens--
-		if failing && w.rng.Float64() < w.config.failRatio {
+		sim.tokens--
+		if failing && sim.rng.Float64() < sim.config.failRatio {
 			event.Outcome = Error
 		}
 	}
-	if w.config.limitReported {
-		event.LimitReport = LimitReport{Present: true, Limit: w.config.limit}
+	if sim.config.limitReported {
+		event.LimitReport = LimitReport{Present: true, Limit: sim.config.limit}
 	}
 	if event.MessageEnded = event.Outcome == OK; event.MessageEnded {
-		w.delivered++
+		sim.delivered++
 	} else if failing {
-		w.sawFailure[i] = true
+		sim.sawFailure[i] = true
 	}
-	w.schedule(i, 2*fleetTick, event)
+	sim.schedule(i, 2*fleetTick, event)
 }
 
-func (w *fleetSimulation) schedule(i int, after time.Duration, event Event) {
-	at := (w.now + after + fleetTick - 1) / fleetTick * fleetTick
-	w.scheduled[at] = append(w.scheduled[at], fleetEvent{i, event})
+func (sim *fleetSimulation) schedule(i int, after time.Duration, event Event) {
+	at := (sim.now + after + fleetTick - 1) / fleetTick * fleetTick
+	sim.scheduled[at] = append(sim.scheduled[at], fleetEvent{i, event})
 }
 
 // simulateFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
-func simulateFleet(t *testing.T, c fleetCase, seed uint64) *fleetSimulation {
+func simulateFleet(t *testing.T, config fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
-	w := &fleetSimulation{
-		config: c, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, engines: make([]*Engine, c.relays),
-		inbox: make([][]Event, c.relays), scheduled: map[time.Duration][]fleetEvent{}, sawFailure: make([]bool, c.relays),
+	sim := &fleetSimulation{
+		config: config, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Minute, engines: make([]*Engine, config.relays),
+		inbox: make([][]Event, config.relays), scheduled: map[time.Duration][]fleetEvent{}, sawFailure: make([]bool, config.relays),
 		attempts: map[uint32]int{},
 	}
 	restarts := fleetFailsAt + 7*time.Second
-	for i := range w.engines {
-		if err := w.start(i, w.rng.Uint64()); err != nil {
+	for i := range sim.engines {
+		if err := sim.start(i, sim.rng.Uint64()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	id := uint32(0)
-	for ; w.now < fleetEndsAt; w.now += fleetTick {
-		w.tokens = math.Min(1+0.5*c.limit, w.tokens+c.limit*fleetTick.Seconds())
-		if w.now == restarts {
-			for i := 0; i < c.relays; i += 3 {
-				if err := w.start(i, w.rng.Uint64()); err != nil {
+	for ; sim.now < fleetEndsAt; sim.now += fleetTick {
+		sim.tokens = math.Min(1+0.5*config.limit, sim.tokens+config.limit*fleetTick.Seconds())
+		if sim.now == restarts {
+			for i := 0; i < config.relays; i += 3 {
+				if err := sim.start(i, sim.rng.Uint64()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		for n := c.limit * c.demand * fleetTick.Seconds(); n > w.rng.Float64(); n-- {
-			i := w.rng.IntN(c.relays)
-			if w.rng.IntN(2) == 0 {
-				i = w.rng.IntN((c.relays + 1) / 2)
+		for n := config.limit * config.demand * fleetTick.Seconds(); n > sim.rng.Float64(); n-- {
+			i := sim.rng.IntN(config.relays)
+			if sim.rng.IntN(2) == 0 {
+				i = sim.rng.IntN((config.relays + 1) / 2)
 			}
 			id++
-			w.schedule(i, 0, Event{Kind: MessageAccepted, MessageID: id, TimeLeft: 28 * time.Second})
+			sim.schedule(i, 0, Event{Kind: MessageAccepted, MessageID: id, TimeLeft: 28 * time.Second})
 		}
-		for _, e := range w.scheduled[w.now] {
-			w.inbox[e.relay] = append(w.inbox[e.relay], e.event)
+		for _, e := range sim.scheduled[sim.now] {
+			sim.inbox[e.relay] = append(sim.inbox[e.relay], e.event)
 		}
-		delete(w.scheduled, w.now)
-		for i, evs := range w.inbox {
-			if len(evs) == 0 {
+		delete(sim.scheduled, sim.now)
+		for i, events := range sim.inbox {
+			if len(events) == 0 {
 				continue
 			}
-			w.inbox[i] = nil
-			for _, a := range w.engines[i].Step(w.now, evs) {
+			sim.inbox[i] = nil
+			for _, a := range sim.engines[i].Step(sim.now, events) {
 				switch a.Kind {
 				case Send:
-					w.call(i, a)
+					sim.call(i, a)
 				case SetTimer:
-					w.schedule(i, max(a.Delay, fleetTick), Event{Kind: TimerFired})
+					sim.schedule(i, max(a.Delay, fleetTick), Event{Kind: TimerFired})
 				}
 			}
 		}
 	}
-	return w
+	return sim
 }
 
 // overloaded tells whether a window since the return broke failback: more calls than the budget of its length, two
 // standard deviations of it allowed for chance, two thirds of them from senders told. Beside it stands the
 // greatest share of the part of senders told that a window used.
-func (w *fleetSimulation) overloaded() (broken bool, used float64) {
-	set := fleetSettings(w.config)
-	for i, last := range w.recoveryCalls {
-		share := set.WarmUpInitialCapacity + (1-set.WarmUpInitialCapacity)*float64(
+func (sim *fleetSimulation) overloaded() (broken bool, used float64) {
+	settings := fleetSettings(sim.config)
+	for i, last := range sim.recoveryCalls {
+		share := settings.WarmUpInitialCapacity + (1-settings.WarmUpInitialCapacity)*float64(
 			last.at-fleetRecoversAt,
 		)/float64(
-			set.WarmUpDuration,
+			settings.WarmUpDuration,
 		)
-		budget := set.OverloadFactor * share * w.config.limit * set.OverloadWindow.Seconds()
+		budget := settings.OverloadFactor * share * sim.config.limit * settings.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
-		for _, p := range w.recoveryCalls[:i+1] {
-			if p.at > last.at-set.OverloadWindow {
+		for _, p := range sim.recoveryCalls[:i+1] {
+			if p.at > last.at-settings.OverloadWindow {
 				all++
 				if p.sawFailure {
 					told++
@@ -202,27 +202,27 @@
 }
 
 func TestFleetKeepsRecoveryBudget(t *testing.T) {
-	for _, senders := range []int{3, 80, 400, 700} {
-		for _, c := range []fleetCase{
-			{senders, 30, 0.9, 1, true, false},
-			{senders, 30, 0.9, 1, false, true},
-			{senders, 30, 0.9, 1, false, false},
-			{senders, 30, 2, 1, true, false},
-			{senders, 30, 2, 1, false, true},
-			{senders, 30, 0.9, 0.8, false, true},
-			{senders, 30, 2, 0.8, false, true},
-			{senders, 3, 0.9, 1, false, true},
-			{senders, 3, 2, 0.8, true, false},
-			{senders, 3, 2, 1, false, false},
+	for _, relays := range []int{3, 80, 400, 700} {
+		for _, config := range []fleetCase{
+			{relays, 30, 0.9, 1, true, false},
+			{relays, 30, 0.9, 1, false, true},
+			{relays, 30, 0.9, 1, false, false},
+			{relays, 30, 2, 1, true, false},
+			{relays, 30, 2, 1, false, true},
+			{relays, 30, 0.9, 0.8, false, true},
+			{relays, 30, 2, 0.8, false, true},
+			{relays, 3, 0.9, 1, false, true},
+			{relays, 3, 2, 0.8, true, false},
+			{relays, 3, 2, 1, false, false},
 		} {
 			for seed := range uint64(3) {
-				w := simulateFleet(t, c, seed)
-				broken, used := w.overloaded()
+				sim := simulateFleet(t, config, seed)
+				broken, used := sim.overloaded()
 				if broken {
-					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", c, seed, used)
+					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", config, seed, used)
 				}
-				if w.delivered == 0 {
-					t.Errorf("%v, seed %d: nothing served", c, seed)
+				if sim.delivered == 0 {
+					t.Errorf("%v, seed %d: nothing served", config, seed)
 				}
 			}
 		}
--- a/policy/front_test.go
+++ b/policy/front_test.go
@@ -10,75 +10,75 @@
 // first needed, and has it forgotten once it may rest. It does so without waiting for a destination to be idle, which
 // is harder on what is forgotten.
 type evictor struct {
-	t       *testing.T
-	policy *forgetfulEviction
-	idleTime    time.Duration // least time without an event
-	engine       *Engine
-	endpoints    []Endpoint
-	lastUsed   map[int]time.Duration
-	evictions   int
+	t         *testing.T
+	forgetful *forgetfulEviction
+	idleTime  time.Duration // least time without an event
+	engine    *Engine
+	endpoints []Endpoint
+	lastUsed  map[int]time.Duration
+	evictions int
 }
 
-func (f *evictor) step(engine *Engine, now time.Duration, evs []Event) []Action {
-	if f.engine != engine {
-		f.engine, f.endpoints, f.lastUsed = engine, nil, map[int]time.Duration{}
+func (ev *evictor) step(engine *Engine, now time.Duration, events []Event) []Action {
+	if ev.engine != engine {
+		ev.engine, ev.endpoints, ev.lastUsed = engine, nil, map[int]time.Duration{}
 	}
 	var told []Event
-	for _, event := range evs {
+	for _, event := range events {
 		switch event.Kind {
 		case EndpointSnapshot:
-			f.endpoints = slices.Clone(event.Endpoints)
+			ev.endpoints = slices.Clone(event.Endpoints)
 			continue
 		case EndpointDelta:
-			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), f.update)
+			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), ev.update)
 		case MessageAccepted:
-			if _, is := f.lastUsed[event.Destination]; !is {
-				told = append(told, f.listing(event.Destination, false))
+			if _, is := ev.lastUsed[event.Destination]; !is {
+				told = append(told, ev.listing(event.Destination, false))
 			}
-			f.lastUsed[event.Destination] = now
+			ev.lastUsed[event.Destination] = now
 		case AttemptFinished:
-			if i := f.index(event.Endpoint); i >= 0 {
-				f.lastUsed[f.endpoints[i].Destination] = now
+			if i := ev.index(event.Endpoint); i >= 0 {
+				ev.lastUsed[ev.endpoints[i].Destination] = now
 			}
 		}
 		told = append(told, event)
 	}
-	acts := slices.Clone(engine.Step(now, told))
+	actions := slices.Clone(engine.Step(now, told))
 	for d := range 5 {
-		if at, is := f.lastUsed[d]; is && now >= at+f.idleTime && f.policy.evictable(f.t, engine, d) {
-			acts = append(acts, engine.Step(now, []Event{f.listing(d, true)})...)
-			delete(f.lastUsed, d)
-			f.evictions++
+		if at, is := ev.lastUsed[d]; is && now >= at+ev.idleTime && ev.forgetful.evictable(ev.t, engine, d) {
+			actions = append(actions, engine.Step(now, []Event{ev.listing(d, true)})...)
+			delete(ev.lastUsed, d)
+			ev.evictions++
 		}
 	}
-	return acts
+	return actions
 }
 
-func (f *evictor) index(route string) int {
-	return slices.IndexFunc(f.endpoints, func(l Endpoint) bool { return l.ID == route })
+func (ev *evictor) index(endpointID string) int {
+	return slices.IndexFunc(ev.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
 }
 
 // update takes on an entry, and tells whether it is of a destination at rest.
-func (f *evictor) update(l Endpoint) bool {
-	i := f.index(l.ID)
+func (ev *evictor) update(entry Endpoint) bool {
+	i := ev.index(entry.ID)
 	switch {
-	case l.Removed && i >= 0:
-		f.endpoints = slices.Delete(f.endpoints, i, i+1)
+	case entry.Removed && i >= 0:
+		ev.endpoints = slices.Delete(ev.endpoints, i, i+1)
 	case i >= 0:
-		f.endpoints[i] = l
-	case !l.Removed:
-		f.endpoints = append(f.endpoints, l)
+		ev.endpoints[i] = entry
+	case !entry.Removed:
+		ev.endpoints = append(ev.endpoints, entry)
 	}
-	_, is := f.lastUsed[l.Destination]
+	_, is := ev.lastUsed[entry.Destination]
 	return !is
 }
 
-func (f *evictor) listing(dest int, gone bool) Event {
+func (ev *evictor) listing(destinationID int, removed bool) Event {
 	event := Event{Kind: EndpointDelta}
-	for _, l := range f.endpoints {
-		if l.Destination == dest {
-			l.Removed = gone
-			event.Endpoints = append(event.Endpoints, l)
+	for _, entry := range ev.endpoints {
+		if entry.Destination == destinationID {
+			entry.Removed = removed
+			event.Endpoints = append(event.Endpoints, entry)
 		}
 	}
 	return event
@@ -86,25 +86,25 @@
 
 // simulateWithEvictor plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
 // whatever answer.
-func simulateWithEvictor(t *testing.T, seed uint64, every int, forgets *forgetfulEviction) (*simulation, *evictor) {
-	f := &evictor{t: t, policy: forgets}
-	return simulate(t, seed, disabledGuard{acceptInterval: every, step: f.step}), f
+func simulateWithEvictor(t *testing.T, seed uint64, every int, forgetful *forgetfulEviction) (*simulation, *evictor) {
+	ev := &evictor{t: t, forgetful: forgetful}
+	return simulate(t, seed, disabledGuard{acceptInterval: every, step: ev.step}), ev
 }
 
 // A Sender behind a front keeps the six rules by the books of the property test.
 func TestSixRulesWithEviction(t *testing.T) {
-	rests := 0
+	evictions := 0
 	for seed := range uint64(40) {
-		w, f := simulateWithEvictor(t, seed, 20+int(seed%4)*20, nil)
-		rests += f.evictions
+		sim, ev := simulateWithEvictor(t, seed, 20+int(seed%4)*20, nil)
+		evictions += ev.evictions
 		for rule := 1; rule <= 6; rule++ {
-			if w.violations[rule] != "" {
-				t.Errorf("seed %d, rule %d: %s", seed, rule, w.violations[rule])
+			if sim.violations[rule] != "" {
+				t.Errorf("seed %d, rule %d: %s", seed, rule, sim.violations[rule])
 			}
 		}
 	}
-	if rests < 40*10 {
-		t.Errorf("%d rests in 40 plays: they show too little", rests)
+	if evictions < 40*10 {
+		t.Errorf("%d rests in 40 plays: they show too little", evictions)
 	}
 }
 
@@ -114,13 +114,13 @@
 }
 
 func TestForgettingRetryAfterBreaksItsRule(t *testing.T) {
-	forgets := &forgetfulEviction{forgetScope: func(scope *limitScope) {
+	forgetful := &forgetfulEviction{forgetScope: func(scope *limitScope) {
 		forgetPacing(scope)
 		scope.retryAfterUntil = 0
 	}}
 	for seed := range uint64(60) {
-		if w, _ := simulateWithEvictor(t, seed, 80, forgets); w.violations[5] != "" {
-			t.Logf("seed %d: %s", seed, w.violations[5])
+		if sim, _ := simulateWithEvictor(t, seed, 80, forgetful); sim.violations[5] != "" {
+			t.Logf("seed %d: %s", seed, sim.violations[5])
 			return
 		}
 	}
@@ -136,20 +136,20 @@
 	outcome Outcome,
 	span time.Duration,
 ) (calls int) {
-	var evs []Event
+	var events []Event
 	for range n {
 		*id++
-		evs = append(evs, Event{Kind: MessageAccepted, MessageID: *id, Destination: 1, TimeLeft: span - 500*ms})
+		events = append(events, Event{Kind: MessageAccepted, MessageID: *id, Destination: 1, TimeLeft: span - 500*ms})
 	}
 	attempts := map[uint32]int{}
 	for expiresAt := *now + span; *now < expiresAt; *now += 20 * ms {
-		acts := slices.Clone(step(*now, evs))
-		evs = nil
-		for _, a := range acts {
+		actions := slices.Clone(step(*now, events))
+		events = nil
+		for _, a := range actions {
 			if a.Kind == Send {
 				calls++
-				evs = append(
-					evs,
+				events = append(
+					events,
 					Event{
 						Kind:         AttemptFinished,
 						MessageID:    a.MessageID,
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	step(*now, evs)
+	step(*now, events)
 	return calls
 }
 
@@ -172,24 +172,24 @@
 func newTwoEndpointEvictor(
 	t *testing.T,
 	seed uint64,
-	senders int,
-	forgets *forgetfulEviction,
+	relays int,
+	forgetful *forgetfulEviction,
 	idle time.Duration,
-) (f *evictor, step func(time.Duration, []Event) []Action) {
-	set := testSettings()
-	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = senders, 20, 1000
-	engine, err := New(set, seed)
+) (ev *evictor, step func(time.Duration, []Event) []Action) {
+	settings := testSettings()
+	settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages = relays, 20, 1000
+	engine, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = &evictor{t: t, policy: forgets, idleTime: idle}
-	step = func(now time.Duration, evs []Event) []Action { return f.step(engine, now, evs) }
+	ev = &evictor{t: t, forgetful: forgetful, idleTime: idle}
+	step = func(now time.Duration, events []Event) []Action { return ev.step(engine, now, events) }
 	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
 	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
 		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true},
 	}}})
-	return f, step
+	return ev, step
 }
 
 const forever = 1000 * time.Hour
@@ -197,21 +197,21 @@
 // A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A
 // front that forgets outages pours its backlog out.
 func TestEvictionOverloadsNoRecoveringDestination(t *testing.T) {
-	play := func(forgets *forgetfulEviction, idle time.Duration) (calls, rests int) {
+	play := func(forgetful *forgetfulEviction, idle time.Duration) (calls, evictions int) {
 		for seed := range uint64(20) {
-			f, step := newTwoEndpointEvictor(t, seed, 1, forgets, idle)
+			ev, step := newTwoEndpointEvictor(t, seed, 1, forgetful, idle)
 			now, id := time.Minute, uint32(0)
 			sendBurst(step, &now, &id, 5, Error, 4*time.Second)
 			sendBurst(step, &now, &id, 1, OK, 8*time.Second)
-			was := f.evictions
+			was := ev.evictions
 			calls += sendBurst(step, &now, &id, 30, OK, testSettings().OverloadWindow)
-			rests += was
+			evictions += was
 		}
-		return calls, rests
+		return calls, evictions
 	}
 	told, _ := play(nil, forever)
 	fronted, _ := play(nil, 0)
-	forgot, rests := play(&forgetfulEviction{forgetScope: func(scope *limitScope) {
+	forgot, evictions := play(&forgetfulEviction{forgetScope: func(scope *limitScope) {
 		forgetPacing(scope)
 		scope.suspectRemovedAt = -time.Hour
 		forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
@@ -221,12 +221,12 @@
 		told,
 		fronted,
 		forgot,
-		rests,
+		evictions,
 	)
 	if fronted > told+told/20 {
 		t.Errorf("%d calls behind a front, %d where all is told", fronted, told)
 	}
-	if forgot < 2*told || rests == 0 {
+	if forgot < 2*told || evictions == 0 {
 		t.Error("a front that forgets outages is not seen")
 	}
 }
@@ -237,15 +237,15 @@
 func TestEvictionDoesNotCircumventPacing(t *testing.T) {
 	const later = 20
 	const seeds = 60
-	fresh := 0 // calls of so many senders that have just started
+	freshCalls := 0 // calls of so many senders that have just started
 	for seed := range uint64(seeds * later) {
 		_, step := newTwoEndpointEvictor(t, seeds+seed, 3000, nil, forever)
 		now, id := time.Minute, uint32(0)
-		fresh += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
+		freshCalls += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 	}
-	play := func(forgets *forgetfulEviction, idle, pause time.Duration) (after, rests int) {
+	play := func(forgetful *forgetfulEviction, idle, pause time.Duration) (after, evictions int) {
 		for seed := range uint64(seeds) {
-			f, step := newTwoEndpointEvictor(t, seed, 3000, forgets, idle)
+			ev, step := newTwoEndpointEvictor(t, seed, 3000, forgetful, idle)
 			now, id := time.Minute, uint32(0)
 			sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 			for range later {
@@ -253,32 +253,32 @@
 				step(now, []Event{{Kind: TimerFired}})
 				after += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
 			}
-			rests += f.evictions
+			evictions += ev.evictions
 		}
-		return after, rests
+		return after, evictions
 	}
-	warm := testSettings().WarmUpDuration
-	for _, pause := range []time.Duration{warm + 2*time.Second, 90 * time.Second, 600 * time.Second} {
+	warmUp := testSettings().WarmUpDuration
+	for _, pause := range []time.Duration{warmUp + 2*time.Second, 90 * time.Second, 600 * time.Second} {
 		told, _ := play(nil, forever, pause)
-		fronted, rests := play(nil, warm, pause)
-		forgot, _ := play(&forgetfulEviction{forgetScope: forgetPacing}, warm, pause)
+		fronted, evictions := play(nil, warmUp, pause)
+		forgot, _ := play(&forgetfulEviction{forgetScope: forgetPacing}, warmUp, pause)
 		t.Logf(
 			"a message each %v: %d calls where all is told, %d with %d rests, %d where paces are forgotten; %d at fresh senders",
 			pause,
 			told,
 			fronted,
-			rests,
+			evictions,
 			forgot,
-			fresh,
+			freshCalls,
 		)
-		if fronted > told+told/20 || fronted > fresh+fresh/20 || rests == 0 {
+		if fronted > told+told/20 || fronted > freshCalls+freshCalls/20 || evictions == 0 {
 			t.Errorf(
 				"a message each %v: %d calls behind a front, %d where all is told, %d at fresh senders, %d rests",
 				pause,
 				fronted,
 				told,
-				fresh,
-				rests,
+				freshCalls,
+				evictions,
 			)
 		}
 		if pause < time.Minute && forgot < told+told/3 {
@@ -290,10 +290,10 @@
 // Each thing that binds keeps a destination awake by itself, for as long as it binds.
 func TestBindingStatePreventsEviction(t *testing.T) {
 	const now = time.Minute
-	warm := testSettings().WarmUpDuration
-	for _, c := range []struct {
+	warmUp := testSettings().WarmUpDuration
+	for _, test := range []struct {
 		name string
-		set  func(d *destination, scope *limitScope, ep *endpoint)
+		set  func(dest *destination, scope *limitScope, ep *endpoint)
 		span time.Duration // it binds so long; forever: until an event ends it
 	}{
 		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
@@ -304,9 +304,9 @@
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 1, 1, now
 		}, 0},
 		{"a warm-up that is over", func(_ *destination, _ *limitScope, ep *endpoint) {
-			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warm, now
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warmUp, now
 		}, 0},
-		{"a message", func(d *destination, _ *limitScope, _ *endpoint) { d.messageCount = 1 }, forever},
+		{"a message", func(dest *destination, _ *limitScope, _ *endpoint) { dest.messageCount = 1 }, forever},
 		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, forever},
 		{"a call of a route that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, forever},
 		{"a told wait", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
@@ -315,11 +315,11 @@
 		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, forever},
 		{"a warm-up", func(_ *destination, _ *limitScope, ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now, now
-		}, warm},
+		}, warmUp},
 		{"a sibling's doubt, taken on at the next look", func(_ *destination, scope *limitScope, ep *endpoint) {
-			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warm, now, 0
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warmUp, now, 0
 		}, forever},
-		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warm},
+		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warmUp},
 		{"failures over routes", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, forever},
 		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, forever},
 		{"a lent limit", func(_ *destination, scope *limitScope, _ *endpoint) {
@@ -336,20 +336,20 @@
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 2.5, 10, now, 1
 		}, 46900 * ms},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			desk := newHarness(
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(
 				t,
 				testSettings(),
 				Endpoint{ID: "a", Destination: 1, Weight: 6},
 				Endpoint{ID: "b", Destination: 1, Weight: 6},
 			)
-			engine, d := desk.engine, desk.engine.destinations[1]
-			scope := d.scopes[0]
+			engine, dest := h.engine, h.engine.destinations[1]
+			scope := dest.scopes[0]
 			scope.endpoints[1].lastSuccessAt = 1
-			c.set(d, scope, scope.endpoints[0])
-			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warm - 1, rejectionFreeWindow - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
+			test.set(dest, scope, scope.endpoints[0])
+			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warmUp - 1, rejectionFreeWindow - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
 				engine.now = now + after
-				if got, want := engine.Evictable(1), after >= c.span; got != want {
+				if got, want := engine.Evictable(1), after >= test.span; got != want {
 					t.Errorf("after %v it may rest: %t", after, got)
 				}
 			}
@@ -362,13 +362,13 @@
 
 // What others may use of a limit is told once: such a destination stays awake.
 func TestSharedQuotaPreventsEviction(t *testing.T) {
-	f, step := newTwoEndpointEvictor(t, 1, 300, nil, forever)
-	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !f.engine.Evictable(
+	ev, step := newTwoEndpointEvictor(t, 1, 300, nil, forever)
+	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !ev.engine.Evictable(
 		1,
 	) {
 		t.Fatal("an unused destination may not rest")
 	}
-	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); f.engine.Evictable(
+	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); ev.engine.Evictable(
 		1,
 	) {
 		t.Error("a destination whose limit is lent may rest")
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -62,10 +62,10 @@
 	}
 	at := time.Second
 	engine.Step(at, []Event{list})
-	probe := func(route string, outcome Outcome, wait time.Duration) Event {
+	probe := func(endpointID string, outcome Outcome, wait time.Duration) Event {
 		return Event{
 			Kind:        HealthChecked,
-			Endpoint:    route,
+			Endpoint:    endpointID,
 			Outcome:     outcome,
 			RetryAfter:  wait,
 			Latency:     20 * time.Millisecond,
--- a/policy/hurry_test.go
+++ b/policy/hurry_test.go
@@ -15,7 +15,7 @@
 		Deadline:         900 * time.Millisecond,
 		Weight:           1,
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		class Class
 		left  time.Duration
@@ -26,7 +26,7 @@
 		{"short times, hardly any left", hasty, 300 * time.Millisecond, false},
 	} {
 		engine, err := New(
-			Settings{Classes: []Class{c.class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2},
+			Settings{Classes: []Class{test.class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2},
 			1,
 		)
 		if err != nil {
@@ -37,27 +37,27 @@
 			ev Event
 		}
 		var outs []out
-		evs := []Event{
+		events := []Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "hangs", Destination: 5, Weight: 30, InService: true}}},
 		}
 		now, id, cut := time.Second, uint32(0), 0
 		for now < 9*time.Second && (engine.endpoints["hangs"] == nil || !engine.endpoints["hangs"].ejected) {
 			id++
-			evs = append(evs, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: c.left})
-			for _, a := range engine.Step(now, evs) {
+			events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: test.left})
+			for _, a := range engine.Step(now, events) {
 				if a.Kind == Send {
 					outs = append(outs, out{a.TimeoutAt, Event{
 						Kind: AttemptFinished, MessageID: a.MessageID, Attempt: engine.messages[a.MessageID].attempts - 1, Endpoint: a.Endpoint, Outcome: Timeout, Latency: a.TimeoutAt - now,
 					}})
 				}
 			}
-			now, evs = now+50*time.Millisecond, nil
+			now, events = now+50*time.Millisecond, nil
 			for len(outs) > 0 && outs[0].at <= now {
-				evs, outs, cut = append(evs, outs[0].ev), outs[1:], cut+1
+				events, outs, cut = append(events, outs[0].ev), outs[1:], cut+1
 			}
 		}
-		if down := engine.endpoints["hangs"].ejected; down != c.skips || cut < ejectAfterFailures {
-			t.Errorf("%s: skipped %v after %d calls, want %v", c.name, down, cut, c.skips)
+		if down := engine.endpoints["hangs"].ejected; down != test.skips || cut < ejectAfterFailures {
+			t.Errorf("%s: skipped %v after %d calls, want %v", test.name, down, cut, test.skips)
 		}
 	}
 }
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -12,9 +12,9 @@
 // clearScratch clears what a Sender keeps only as scratch, or to have room.
 func clearScratch(engine *Engine) {
 	engine.actions, engine.ready = nil, nil
-	for _, d := range engine.sortedDestinations {
-		d.candidate, d.candidateEndpoint = nil, nil
-		for _, scope := range d.scopes {
+	for _, dest := range engine.sortedDestinations {
+		dest.candidate, dest.candidateEndpoint = nil, nil
+		for _, scope := range dest.scopes {
 			scope.recentSends = append([]time.Duration(nil), scope.recentSends...)
 		}
 	}
@@ -153,7 +153,7 @@
 
 // What holds a message is told for each cause that a test can bring about on given times.
 func TestBlockersReportTheCause(t *testing.T) {
-	set := Settings{
+	settings := Settings{
 		Classes: []Class{
 			{
 				Effect:           IdempotentByKey,
@@ -182,7 +182,7 @@
 	}
 	listed := Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 50}}}
 	drained := Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "r", Weight: 50}}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		steps [][]Event // a tenth of a second apart
 		id    uint32
@@ -203,31 +203,31 @@
 			{take(9, 0, "")},
 		}, 9, EndpointEjected},
 	} {
-		engine, err := New(set, 5)
+		engine, err := New(settings, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Second
-		for _, evs := range c.steps {
-			engine.Step(now, evs)
+		for _, events := range test.steps {
+			engine.Step(now, events)
 			now += 100 * time.Millisecond
 		}
 		before := engine.Snapshot(nil)
-		copied, err := Restore(set, before)
+		copied, err := Restore(settings, before)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []Blocker
 		for _, h := range copied.Blockers() {
-			if h.MessageID == c.id {
+			if h.MessageID == test.id {
 				got = append(got, h)
 			}
 		}
-		if len(got) != 1 || got[0].Cause != c.want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
-			t.Errorf("%s: %+v, want cause %d", c.name, got, c.want)
+		if len(got) != 1 || got[0].Cause != test.want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
+			t.Errorf("%s: %+v, want cause %d", test.name, got, test.want)
 		}
 		if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
-			t.Errorf("%s: looking changed the Sender: %v", c.name, views)
+			t.Errorf("%s: looking changed the Sender: %v", test.name, views)
 		}
 	}
 }
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -10,35 +10,35 @@
 // Senders free at first would send all at once: the check can fail.
 func TestLargeFleetStartsNearTheLimit(t *testing.T) {
 	const limit, messages = 20.0, 5
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders int
 		within  float64 // of the limit, over three seconds
 	}{{20, 2}, {80, 2}, {300, 6}} {
 		sent := 0
-		for i := range c.senders {
-			set := testSettings()
-			set.FleetSize, set.MaxInFlightCalls = c.senders, 100
-			engine, err := New(set, uint64(i))
+		for i := range test.senders {
+			settings := testSettings()
+			settings.FleetSize, settings.MaxInFlightCalls = test.senders, 100
+			engine, err := New(settings, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			evs := []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: limit, InService: true}}}}
+			events := []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: limit, InService: true}}}}
 			for id := range uint32(messages) {
-				evs = append(evs, Event{Kind: MessageAccepted, MessageID: id + 1, TimeLeft: 20 * time.Second})
+				events = append(events, Event{Kind: MessageAccepted, MessageID: id + 1, TimeLeft: 20 * time.Second})
 			}
 			for now := time.Second; now <= 4*time.Second; now += 50 * time.Millisecond {
-				for _, a := range engine.Step(now, evs) {
+				for _, a := range engine.Step(now, events) {
 					if a.Kind == Send {
 						sent++
 					}
 				}
-				evs = nil
+				events = nil
 			}
 		}
-		if bound := int(c.within * limit * 3); sent > bound || sent < int(limit) {
+		if bound := int(test.within * limit * 3); sent > bound || sent < int(limit) {
 			t.Errorf(
 				"%d senders: %d calls in three seconds of a limit of %v, want up to %d",
-				c.senders,
+				test.senders,
 				sent,
 				limit,
 				bound,
@@ -49,17 +49,17 @@
 
 // Few senders, and those of a destination that tells no limit, are free at first as ever.
 func TestSmallFleetStartsWithoutPacing(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders int
 		weight  float64
 	}{{1, 4}, {smallFleetSize, 4}, {80, 0}} {
-		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			set := testSettings()
-			set.FleetSize = c.senders
-			d := newHarness(t, set, Endpoint{ID: "a", Weight: c.weight})
+		t.Run(fmt.Sprint(test), func(t *testing.T) {
+			settings := testSettings()
+			settings.FleetSize = test.senders
+			h := newHarness(t, settings, Endpoint{ID: "a", Weight: test.weight})
 			for id := range uint32(5) {
-				if acts := d.accept(id+1, 0); !hasAction(acts, Send) {
-					t.Errorf("message %d: %+v, want it sent", id+1, acts)
+				if actions := h.accept(id+1, 0); !hasAction(actions, Send) {
+					t.Errorf("message %d: %+v, want it sent", id+1, actions)
 				}
 			}
 		})
@@ -70,10 +70,10 @@
 // more than the limit.
 func TestFairPacingRateFollowsTraffic(t *testing.T) {
 	const senders, limit, usual = 40, 60.0, 5.0 // messages a second of a sender
-	set := testSettings()
-	set.FleetSize, set.Tenants = senders, []Tenant{{Quota: senders * usual}}
+	settings := testSettings()
+	settings.FleetSize, settings.Tenants = senders, []Tenant{{Quota: senders * usual}}
 	pace := func(rate float64) float64 {
-		engine, err := New(set, 1)
+		engine, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,64 +104,64 @@
 
 // Pace after refusal: a sender above its fair pace falls back to it at once, and never under half its part.
 func TestFleetRateAfterRejection(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 80
-	d := newHarness(t, set, Endpoint{ID: "a", Weight: 80})
-	scope := d.engine.endpoints["a"].scope
-	for _, c := range []struct{ pace, want float64 }{{5, d.engine.fairPacingRate(scope)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
-		d.now += 10 * time.Second
-		d.engine.now = d.now
-		scope.pacingRate, scope.recentSends = c.pace, []time.Duration{d.now, d.now, d.now, d.now, d.now}
-		d.engine.decreasePacing(d.engine.endpoints["a"], observation{outcome: Overloaded, sentAt: d.now})
-		if scope.pacingRate < c.want*0.99 || scope.pacingRate > c.want*1.01 {
-			t.Errorf("a pace of %v becomes %v after a refusal, want %v", c.pace, scope.pacingRate, c.want)
+	settings := testSettings()
+	settings.FleetSize = 80
+	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 80})
+	scope := h.engine.endpoints["a"].scope
+	for _, test := range []struct{ pace, want float64 }{{5, h.engine.fairPacingRate(scope)}, {0.9, 0.45}, {0.5, 0.4}, {0.2, 0.2}} {
+		h.now += 10 * time.Second
+		h.engine.now = h.now
+		scope.pacingRate, scope.recentSends = test.pace, []time.Duration{h.now, h.now, h.now, h.now, h.now}
+		h.engine.decreasePacing(h.engine.endpoints["a"], observation{outcome: Overloaded, sentAt: h.now})
+		if scope.pacingRate < test.want*0.99 || scope.pacingRate > test.want*1.01 {
+			t.Errorf("a pace of %v becomes %v after a refusal, want %v", test.pace, scope.pacingRate, test.want)
 		}
 	}
 }
 
 // A number of senders that makes no sense is told, and where settings change the ones before stay; none at all is one.
 func TestFleetSizeIsValidated(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 80
-	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8})
-	d.accept(1, 0)
-	for _, senders := range []int{-1, maxFleetSize + 1} {
-		wrong := set
-		wrong.FleetSize = senders
+	settings := testSettings()
+	settings.FleetSize = 80
+	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 8})
+	h.accept(1, 0)
+	for _, relays := range []int{-1, maxFleetSize + 1} {
+		wrong := settings
+		wrong.FleetSize = relays
 		if _, err := New(wrong, 1); err == nil {
-			t.Errorf("%d senders are taken", senders)
+			t.Errorf("%d senders are taken", relays)
 		}
-		if err := d.engine.Reconfigure(wrong); err == nil || d.engine.settings.FleetSize != 80 {
-			t.Errorf("%d senders: error %v, and %d hold", senders, err, d.engine.settings.FleetSize)
+		if err := h.engine.Reconfigure(wrong); err == nil || h.engine.settings.FleetSize != 80 {
+			t.Errorf("%d senders: error %v, and %d hold", relays, err, h.engine.settings.FleetSize)
 		}
 	}
-	set.FleetSize = 0
-	if err := d.engine.Reconfigure(set); err != nil || d.engine.settings.FleetSize != 1 || d.engine.messages[1] == nil {
-		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, d.engine.settings.FleetSize, d.engine.messages[1] != nil)
+	settings.FleetSize = 0
+	if err := h.engine.Reconfigure(settings); err != nil || h.engine.settings.FleetSize != 1 || h.engine.messages[1] == nil {
+		t.Errorf("none told: error %v, %d hold, message 1 held: %v", err, h.engine.settings.FleetSize, h.engine.messages[1] != nil)
 	}
-	set.FleetSize = 8
-	if err := d.engine.Reconfigure(set); err != nil || !d.engine.isLargeFleet(d.engine.endpoints["a"].scope) {
+	settings.FleetSize = 8
+	if err := h.engine.Reconfigure(settings); err != nil || !h.engine.isLargeFleet(h.engine.endpoints["a"].scope) {
 		t.Errorf("8 senders: error %v", err)
 	}
 }
 
 // A message that is handed back is not counted as own traffic: its client comes again.
 func TestRejectedTrafficDoesNotCount(t *testing.T) {
-	set := testSettings()
-	set.FleetSize, set.Tenants = 80, []Tenant{{Quota: 80}}
-	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8})
-	scope := d.engine.endpoints["a"].scope
-	before := d.engine.fairPacingRate(scope)
+	settings := testSettings()
+	settings.FleetSize, settings.Tenants = 80, []Tenant{{Quota: 80}}
+	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 8})
+	scope := h.engine.endpoints["a"].scope
+	before := h.engine.fairPacingRate(scope)
 	for id := range uint32(20) {
-		d.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
+		h.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
-	if kept := d.engine.fairPacingRate(scope); kept <= before {
+	if kept := h.engine.fairPacingRate(scope); kept <= before {
 		t.Errorf("a fair pace of %v with 20 messages more, %v before", kept, before)
 	}
 	for id := range uint32(20) {
-		d.engine.reject(d.engine.messages[id])
+		h.engine.reject(h.engine.messages[id])
 	}
-	if after := d.engine.fairPacingRate(scope); after != before {
+	if after := h.engine.fairPacingRate(scope); after != before {
 		t.Errorf("a fair pace of %v once they were handed back, %v before", after, before)
 	}
 }
@@ -170,7 +170,7 @@
 // there without a backlog or after a refusal; with a backlog and no refusal for long it grows, to twice the fair one.
 // Where none are told it grows.
 func TestFleetPacingGrowth(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                   string
 		told, backlog, refused bool
 		least, most            float64 // of the fair pace, in the end
@@ -181,61 +181,61 @@
 		{"not told, a backlog", false, true, false, 3.1, 100},
 		{"not told", false, false, false, 0.99, 3},
 	} {
-		set := testSettings()
-		set.FleetSize = 80
-		if c.told {
-			set.Tenants = []Tenant{{Quota: 80}}
+		settings := testSettings()
+		settings.FleetSize = 80
+		if test.told {
+			settings.Tenants = []Tenant{{Quota: 80}}
 		}
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: 80})
-		scope := d.engine.endpoints["a"].scope
-		d.accept(0, 0)
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 80})
+		scope := h.engine.endpoints["a"].scope
+		h.accept(0, 0)
 		scope.pacingRate /= 2
 		got := 0.0
 		for id := range uint32(60) { // at the usual rate
-			d.now += time.Second
-			d.accept(id+1, 0)
+			h.now += time.Second
+			h.accept(id+1, 0)
 			queue := scope.destination.queue
-			if scope.destination.queue = nil; c.backlog {
+			if scope.destination.queue = nil; test.backlog {
 				scope.destination.queue = []*message{{}}
 			}
-			if c.refused {
-				scope.decreasedAt = d.now - 5*time.Second
+			if test.refused {
+				scope.decreasedAt = h.now - 5*time.Second
 			}
-			below := scope.pacingRate < d.engine.fairPacingRate(scope)
-			scope.increasedAt = d.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
-			if d.engine.increasePacing(scope); c.told && below && scope.pacingRate > d.engine.fairPacingRate(scope) {
-				t.Errorf("%s: one success led from under the fair pace to %v of it", c.name, scope.pacingRate/d.engine.fairPacingRate(scope))
+			below := scope.pacingRate < h.engine.fairPacingRate(scope)
+			scope.increasedAt = h.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
+			if h.engine.increasePacing(scope); test.told && below && scope.pacingRate > h.engine.fairPacingRate(scope) {
+				t.Errorf("%s: one success led from under the fair pace to %v of it", test.name, scope.pacingRate/h.engine.fairPacingRate(scope))
 			}
-			d.engine.boundPacing(scope, scope.pacingRate)
-			got, scope.destination.queue = scope.pacingRate/d.engine.fairPacingRate(scope), queue
+			h.engine.boundPacing(scope, scope.pacingRate)
+			got, scope.destination.queue = scope.pacingRate/h.engine.fairPacingRate(scope), queue
 		}
-		if got < c.least || got > c.most+1e-9 {
-			t.Errorf("%s: %v of the fair pace after a minute of successes, want %v to %v", c.name, got, c.least, c.most)
+		if got < test.least || got > test.most+1e-9 {
+			t.Errorf("%s: %v of the fair pace after a minute of successes, want %v to %v", test.name, got, test.least, test.most)
 		}
 	}
 }
 
 // A pace of many that was refused again and again still leaves a call in the time that a message has, or half its part.
 func TestFleetPacingKeepsATrialWithinTheDeadline(t *testing.T) {
-	for _, c := range []struct{ limit, least, most float64 }{
+	for _, test := range []struct{ limit, least, most float64 }{
 		{4, 0.019, 0.021}, // a part of a call in 25 s: half of it
 		{40, 0.08, 0.09},  // of four in 10 s: one in the twelve seconds of a message
 		{400, 0.19, 0.21}, // of four a second: a twentieth of it
 	} {
-		set := testSettings()
-		set.FleetSize, set.Classes = 80, []Class{
+		settings := testSettings()
+		settings.FleetSize, settings.Classes = 80, []Class{
 			{Effect: IdempotentByKey, Deadline: 12 * time.Second, LatencyObjective: 3 * time.Second, Weight: 1},
 		}
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: c.limit})
-		ep := d.engine.endpoints["a"]
-		d.engine.initializePacing(ep.scope)
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: test.limit})
+		ep := h.engine.endpoints["a"]
+		h.engine.initializePacing(ep.scope)
 		for range 30 {
-			d.now += time.Second
-			d.engine.now, ep.consecutiveRejections = d.now, ep.consecutiveRejections+1
-			d.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
+			h.now += time.Second
+			h.engine.now, ep.consecutiveRejections = h.now, ep.consecutiveRejections+1
+			h.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: h.now})
 		}
-		if p := ep.scope.pacingRate; p < c.least || p > c.most {
-			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", c.limit, p, c.least, c.most)
+		if p := ep.scope.pacingRate; p < test.least || p > test.most {
+			t.Errorf("limit %v: a pace of %v after 30 refusals, want %v to %v", test.limit, p, test.least, test.most)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,9 +12,9 @@
 
 // harness drives one Sender with an explicit clock.
 type harness struct {
-	t     *testing.T
-	engine     *Engine
-	now   time.Duration
+	t        *testing.T
+	engine   *Engine
+	now      time.Duration
 	attempts map[uint32]int
 }
 
@@ -43,54 +43,54 @@
 	}
 }
 
-func newHarness(t *testing.T, set Settings, list ...Endpoint) *harness {
+func newHarness(t *testing.T, settings Settings, list ...Endpoint) *harness {
 	t.Helper()
-	engine, err := New(set, 1)
+	engine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &harness{t: t, engine: engine, now: time.Minute, attempts: map[uint32]int{}}
+	h := &harness{t: t, engine: engine, now: time.Minute, attempts: map[uint32]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
-	d.step(Event{Kind: EndpointSnapshot, Endpoints: list})
-	return d
+	h.step(Event{Kind: EndpointSnapshot, Endpoints: list})
+	return h
 }
 
 // step gives events at the present time and keeps the actions other than wakes.
-func (d *harness) step(evs ...Event) []Action {
-	var acts []Action
-	for _, a := range d.engine.Step(d.now, evs) {
+func (h *harness) step(events ...Event) []Action {
+	var actions []Action
+	for _, a := range h.engine.Step(h.now, events) {
 		if a.Kind != SetTimer {
-			acts = append(acts, a)
+			actions = append(actions, a)
 		}
 	}
-	return acts
+	return actions
 }
 
-func (d *harness) accept(id uint32, classIndex int) []Action {
-	return d.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
+func (h *harness) accept(id uint32, classIndex int) []Action {
+	return h.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
-func (d *harness) finish(id uint32, route string, outcome Outcome, after, wait time.Duration) []Action {
-	d.now += after
-	n := d.attempts[id]
-	d.attempts[id]++
-	return d.step(Event{
-		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: route, Outcome: outcome, Latency: after, RetryAfter: wait,
+func (h *harness) finish(id uint32, endpointID string, outcome Outcome, after, wait time.Duration) []Action {
+	h.now += after
+	n := h.attempts[id]
+	h.attempts[id]++
+	return h.step(Event{
+		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: endpointID, Outcome: outcome, Latency: after, RetryAfter: wait,
 		MessageEnded: outcome == OK,
 	})
 }
 
 // advance lets time pass and wakes the Sender.
-func (d *harness) advance(after time.Duration) []Action {
-	d.now += after
-	return d.step(Event{Kind: TimerFired})
+func (h *harness) advance(after time.Duration) []Action {
+	h.now += after
+	return h.step(Event{Kind: TimerFired})
 }
 
 // firstSend tells where the first Send of the actions goes; "" if none.
-func firstSend(acts []Action) string {
-	for _, a := range acts {
+func firstSend(actions []Action) string {
+	for _, a := range actions {
 		if a.Kind == Send {
 			return a.Endpoint
 		}
@@ -98,19 +98,19 @@
 	return ""
 }
 
-func hasAction(acts []Action, k ActionKind) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == k })
+func hasAction(actions []Action, k ActionKind) bool {
+	return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == k })
 }
 
 func TestEndpointsAreOrderedByWeightCostAndTieBreaker(t *testing.T) {
-	set := testSettings()
-	set.ZoneCosts = []float64{0, 0.03}
-	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1, Zone: 1, Weight: 5}, Endpoint{ID: "c", Kind: 1, Weight: 5},
+	settings := testSettings()
+	settings.ZoneCosts = []float64{0, 0.03}
+	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1, Zone: 1, Weight: 5}, Endpoint{ID: "c", Kind: 1, Weight: 5},
 		Endpoint{ID: "b", Kind: 1, Weight: 5}, Endpoint{ID: "z", Kind: 1, Zone: 1, Weight: 9})
 	var got []string
-	got = append(got, firstSend(d.accept(1, 0)))
+	got = append(got, firstSend(h.accept(1, 0)))
 	for range 3 {
-		got = append(got, firstSend(d.finish(1, got[len(got)-1], Overloaded, 10*ms, 0)))
+		got = append(got, firstSend(h.finish(1, got[len(got)-1], Overloaded, 10*ms, 0)))
 	}
 	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
 	slices.Sort(got[1:3]) // equal routes go by lot
@@ -123,13 +123,13 @@
 func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
-		set := testSettings()
-		set.FleetSize = 60
-		engine, err := New(set, seed)
+		settings := testSettings()
+		settings.FleetSize = 60
+		engine, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := engine.Step(time.Minute, []Event{
+		actions := engine.Step(time.Minute, []Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 				{ID: "a", InService: true},
 				{ID: "b", InService: true},
@@ -137,7 +137,7 @@
 			}},
 			{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second},
 		})
-		first[firstSend(acts)]++
+		first[firstSend(actions)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
 		t.Errorf("first choices of 60 senders: %v", first)
@@ -146,7 +146,7 @@
 
 func TestFailureRules(t *testing.T) {
 	now := time.Minute
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rule string
 		r    endpoint
 		o    observation
@@ -164,68 +164,68 @@
 		{"failed", endpoint{consecutiveFailures: 2}, observation{outcome: Timeout}, false},
 	} {
 		engine := &Engine{now: now}
-		ep := &c.r
-		i := slices.IndexFunc(failureRules, func(rule failureRule) bool { return rule.matches(engine, ep, c.o) })
-		if i < 0 || failureRules[i].name != c.rule || failureRules[i].ejects != c.skip {
-			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", c.r, c.o, i, c.rule, c.skip)
+		ep := &test.r
+		i := slices.IndexFunc(failureRules, func(rule failureRule) bool { return rule.matches(engine, ep, test.o) })
+		if i < 0 || failureRules[i].name != test.rule || failureRules[i].ejects != test.skip {
+			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", test.r, test.o, i, test.rule, test.skip)
 		}
 	}
 }
 
 func TestEjectionExpires(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
-		d.now += time.Second // the recovery budget of a route in doubt
-		if got := firstSend(d.accept(id, 0)); got != "a" {
+		h.now += time.Second // the recovery budget of a route in doubt
+		if got := firstSend(h.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the skip", id, got)
 		}
-		d.finish(id, "a", Error, 10*ms, 0)
-		d.step(Event{Kind: MessageCancelled, MessageID: id})
+		h.finish(id, "a", Error, 10*ms, 0)
+		h.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
-	if got := firstSend(d.accept(10, 0)); got != "b" {
+	if got := firstSend(h.accept(10, 0)); got != "b" {
 		t.Errorf("message to %q while a is skipped", got)
 	}
-	d.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
-	if got := firstSend(d.accept(11, 0)); got != "a" {
+	h.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
+	if got := firstSend(h.accept(11, 0)); got != "a" {
 		t.Errorf("message to %q after the skip", got)
 	}
-	if got := firstSend(d.accept(12, 0)); got != "b" {
+	if got := firstSend(h.accept(12, 0)); got != "b" {
 		t.Errorf("second message to %q during the trial", got)
 	}
-	if got := firstSend(d.accept(13, 2)); got != "b" {
+	if got := firstSend(h.accept(13, 2)); got != "b" {
 		t.Errorf("unsafe message to %q during the trial", got)
 	}
 }
 
 func TestPacingDecreasesIncreasesAndRestarts(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
 	for id := range uint32(8) {
-		d.accept(id, 0)
+		h.accept(id, 0)
 	}
-	scope := d.engine.endpoints["a"].scope
+	scope := h.engine.endpoints["a"].scope
 	if scope.pacingRate != 0 {
 		t.Fatalf("the pace starts at %v, want free", scope.pacingRate)
 	}
-	d.finish(0, "a", Overloaded, 100*ms, 0)
+	h.finish(0, "a", Overloaded, 100*ms, 0)
 	if scope.pacingRate != 4 {
 		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", scope.pacingRate)
 	}
-	d.finish(1, "a", Overloaded, ms, 0)
+	h.finish(1, "a", Overloaded, ms, 0)
 	if scope.pacingRate != 4 {
 		t.Errorf("pace %v after a refusal of the same burst, want 4", scope.pacingRate)
 	}
-	d.finish(2, "a", OK, ms, 0)
+	h.finish(2, "a", OK, ms, 0)
 	if want := 4 * (1 + pacingGrowth); scope.pacingRate != want {
 		t.Errorf("pace %v after a delivery, want %v", scope.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
-		d.finish(id, "a", Error, ms, 0)
+		h.finish(id, "a", Error, ms, 0)
 	}
-	ep := d.engine.endpoints["a"]
+	ep := h.engine.endpoints["a"]
 	if !ep.ejected {
 		t.Fatal("three failures in a row did not skip the route")
 	}
-	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 	if want := pacingRestartRate * (1 + pacingGrowth); ep.ejected || scope.pacingRate != want {
 		t.Errorf("pace %v at the end of a skip, want %v", scope.pacingRate, want)
 	}
@@ -233,12 +233,12 @@
 
 // Halving counts of few calls a second again and again starved gates whose limit was known.
 func TestPacingKeepsHalfTheEvenShare(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
-	ep := d.engine.endpoints["a"]
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
+	ep := h.engine.endpoints["a"]
 	for range 5 {
-		d.now += time.Second
-		d.engine.now = d.now
-		d.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: d.now})
+		h.now += time.Second
+		h.engine.now = h.now
+		h.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: h.now})
 	}
 	if want := 20 * minPacingShareRatio; ep.scope.pacingRate != want {
 		t.Errorf("pace %v after five refusals, want %v", ep.scope.pacingRate, want)
@@ -246,7 +246,7 @@
 }
 
 func TestFinalAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class   int
 		outcome Outcome
 		want    ActionKind
@@ -257,89 +257,89 @@
 		{1, Timeout, Fail, true},       // keyed, may have run: no repeat is dropped after 10 s
 		{2, ConnectFailed, Reject, false},
 	} {
-		d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-		d.accept(1, c.class)
-		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}}})
-		d.finish(1, "a", c.outcome, time.Second, 0)
-		if acts := d.advance(58900 * ms); hasAction(acts, c.want) != c.early || !c.early && len(acts) != 0 {
-			t.Errorf("%+v: %+v before the deadline", c, acts)
+		h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+		h.accept(1, test.class)
+		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}}})
+		h.finish(1, "a", test.outcome, time.Second, 0)
+		if actions := h.advance(58900 * ms); hasAction(actions, test.want) != test.early || !test.early && len(actions) != 0 {
+			t.Errorf("%+v: %+v before the deadline", test, actions)
 		}
-		if c.early {
+		if test.early {
 			continue
 		}
-		if acts := d.advance(90 * ms); len(acts) != 1 || acts[0].Kind != c.want {
-			t.Errorf("%+v: %+v at the deadline", c, acts)
+		if actions := h.advance(90 * ms); len(actions) != 1 || actions[0].Kind != test.want {
+			t.Errorf("%+v: %+v at the deadline", test, actions)
 		}
 	}
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	d.accept(1, 2)
-	if acts := d.finish(1, "a", Timeout, time.Second, 0); !hasAction(acts, Fail) || hasAction(acts, Send) {
-		t.Errorf("an unsafe message that may have run: %+v", acts)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	h.accept(1, 2)
+	if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
+		t.Errorf("an unsafe message that may have run: %+v", actions)
 	}
 }
 
 func TestDrainingEndpointTakesNothing(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a"}}},
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a"}}},
 		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second})
-	if hasAction(acts, Send) {
-		t.Errorf("sent to a draining route: %+v", acts)
+	if hasAction(actions, Send) {
+		t.Errorf("sent to a draining route: %+v", actions)
 	}
 }
 
 func TestRetryAfterBlocksTheScope(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-	d.accept(1, 0)
-	d.finish(1, "a", Overloaded, 10*ms, 700*ms)
-	if acts := d.accept(2, 0); hasAction(acts, Send) {
-		t.Errorf("sent during a wait: %+v", acts)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	h.accept(1, 0)
+	h.finish(1, "a", Overloaded, 10*ms, 700*ms)
+	if actions := h.accept(2, 0); hasAction(actions, Send) {
+		t.Errorf("sent during a wait: %+v", actions)
 	}
-	if acts := d.advance(699 * ms); hasAction(acts, Send) {
-		t.Errorf("sent during a wait: %+v", acts)
+	if actions := h.advance(699 * ms); hasAction(actions, Send) {
+		t.Errorf("sent during a wait: %+v", actions)
 	}
-	if acts := d.advance(2 * time.Second); !hasAction(acts, Send) {
+	if actions := h.advance(2 * time.Second); !hasAction(actions, Send) {
 		t.Error("nothing sent after the wait")
 	}
 }
 
 // A wait told to one message of a call whose others were delivered was once lost.
 func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
-	d.step(
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
+	h.step(
 		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second},
 		Event{Kind: MessageAccepted, MessageID: 2, TimeLeft: 9 * time.Second},
 	)
-	d.step(Event{Kind: AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: OK, MessageEnded: true},
+	h.step(Event{Kind: AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: OK, MessageEnded: true},
 		Event{Kind: AttemptFinished, MessageID: 2, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second})
-	if got := d.engine.endpoints["a"].scope.retryAfterUntil; got != d.now+time.Second {
-		t.Errorf("wait until %v, want %v", got, d.now+time.Second)
+	if got := h.engine.endpoints["a"].scope.retryAfterUntil; got != h.now+time.Second {
+		t.Errorf("wait until %v, want %v", got, h.now+time.Second)
 	}
 }
 
 func TestRecoveryBudgetSpacesCalls(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.suspect(ep)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
 	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
 	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
-	if got, want := d.engine.recoveryBudgetAt(ep), d.now+callInterval(rate); got != want {
+	if got, want := h.engine.recoveryBudgetAt(ep), h.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
 	}
-	ep.recoveredAt, d.engine.now = d.now, d.now+10*time.Second
-	if got := d.engine.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
+	ep.recoveredAt, h.engine.now = h.now, h.now+10*time.Second
+	if got := h.engine.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
 		t.Errorf("after the warm-up: next call at %v", got)
 	}
 }
 
 // Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
 func TestRetryAfterSavesNoRecoveryTokens(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 400
+	settings := testSettings()
+	settings.FleetSize = 400
 	open := 0
 	for seed := range uint64(400) {
-		engine, err := New(set, seed)
+		engine, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -362,29 +362,29 @@
 
 // A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
 func TestSparseShareSuspectsOnOneFailure(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders int
 		cold    bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
-		set := testSettings()
-		set.FleetSize = c.senders
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
-		ep := d.engine.endpoints["a"]
-		d.engine.now = d.now
-		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now}, time.Second)
-		if ep.warmingUp != c.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", c.senders, ep.warmingUp)
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4})
+		ep := h.engine.endpoints["a"]
+		h.engine.now = h.now
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now}, time.Second)
+		if ep.warmingUp != test.cold {
+			t.Errorf("%d senders: in doubt %v after one failure", test.senders, ep.warmingUp)
 		}
-		d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+		h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 		if ep.warmingUp {
-			t.Errorf("%d senders: in doubt after a delivery", c.senders)
+			t.Errorf("%d senders: in doubt after a delivery", test.senders)
 		}
 	}
 }
 
 // A shut destination was pushed over by hundreds of senders that it had refused twice each.
 func TestSparseShareSuspectsOnTwoRejections(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders   int
 		gap, wait time.Duration
 		cold      bool
@@ -395,16 +395,16 @@
 		{10, minOutageRejectionTime, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
 		{1, minOutageRejectionTime, 0, false},
 	} {
-		set := testSettings()
-		set.FleetSize = c.senders
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
-		ep := d.engine.endpoints["a"]
-		d.engine.now = d.now
-		d.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.now, retryAfter: c.wait}, ms)
-		d.engine.now += c.gap
-		d.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: d.engine.now, retryAfter: c.wait}, ms)
-		if ep.warmingUp != c.cold {
-			t.Errorf("%+v: in doubt %v", c, ep.warmingUp)
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4})
+		ep := h.engine.endpoints["a"]
+		h.engine.now = h.now
+		h.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: h.now, retryAfter: test.wait}, ms)
+		h.engine.now += test.gap
+		h.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: h.engine.now, retryAfter: test.wait}, ms)
+		if ep.warmingUp != test.cold {
+			t.Errorf("%+v: in doubt %v", test, ep.warmingUp)
 		}
 	}
 }
@@ -412,7 +412,7 @@
 // Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
 // pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
 func TestWeakSignalsSuspectByChance(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders     int
 		outcome     Outcome
 		alive       bool
@@ -424,11 +424,11 @@
 		{3, Overloaded, false, 0, 0},
 		{20, Overloaded, false, 0, 0}, // its part is more than a call in a warm-up
 	} {
-		set := testSettings()
-		set.FleetSize = c.senders
+		settings := testSettings()
+		settings.FleetSize = test.senders
 		n := 0
 		for seed := range uint64(200) {
-			engine, err := New(set, seed)
+			engine, err := New(settings, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -438,74 +438,74 @@
 			)
 			ep := engine.endpoints["a"]
 			engine.connectShortageUntil[0] = engine.now + time.Minute
-			if c.alive {
+			if test.alive {
 				engine.recordSuccess(ep, engine.now, ms)
 			}
-			engine.observeOutcome(ep, observation{outcome: c.outcome, sentAt: engine.now}, ms)
+			engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: engine.now}, ms)
 			if ep.warmingUp {
 				n++
 			}
 		}
-		if n < c.least || n > c.most {
-			t.Errorf("%+v: %d of 200 in doubt", c, n)
+		if n < test.least || n > test.most {
+			t.Errorf("%+v: %d of 200 in doubt", test, n)
 		}
 	}
 }
 
 // Short-lived messages once had two tries of half their time each, both cut off before the answer.
 func TestShortTimeLeftGoesToOneAttempt(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	for _, c := range []struct{ left, want time.Duration }{
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	for _, test := range []struct{ left, want time.Duration }{
 		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
 	} {
-		acts := d.step(Event{Kind: MessageAccepted, MessageID: uint32(c.left), TimeLeft: c.left})
-		if len(acts) != 1 || acts[0].Kind != Send || acts[0].TimeoutAt-d.now != c.want {
-			t.Errorf("%v left: %+v, want one try cut after %v", c.left, acts, c.want)
+		actions := h.step(Event{Kind: MessageAccepted, MessageID: uint32(test.left), TimeLeft: test.left})
+		if len(actions) != 1 || actions[0].Kind != Send || actions[0].TimeoutAt-h.now != test.want {
+			t.Errorf("%v left: %+v, want one try cut after %v", test.left, actions, test.want)
 		}
 	}
 }
 
 // Messages once waited to their deadlines at destinations that would open after them.
 func TestUnservableMessagesAreRejected(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 400
-	d := newHarness(t, set, Endpoint{ID: "a", Weight: 4})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.suspect(ep)
+	settings := testSettings()
+	settings.FleetSize = 400
+	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	if acts := d.accept(1, 0); !hasAction(acts, Reject) {
-		t.Errorf("opens in %v: %+v, want a refusal", d.engine.recoveryBudgetAt(ep)-d.now, acts)
+	if actions := h.accept(1, 0); !hasAction(actions, Reject) {
+		t.Errorf("opens in %v: %+v, want a refusal", h.engine.recoveryBudgetAt(ep)-h.now, actions)
 	}
-	if acts := d.accept(2, 2); hasAction(acts, Reject) != d.engine.mayReject(&message{class: &set.Classes[2]}) {
-		t.Errorf("unsafe, nothing sent: %+v", acts)
+	if actions := h.accept(2, 2); hasAction(actions, Reject) != h.engine.mayReject(&message{class: &settings.Classes[2]}) {
+		t.Errorf("unsafe, nothing sent: %+v", actions)
 	}
-	ep.scope.recoveryTokens = 1 - d.engine.recoveryRate(ep) // opens in a second
-	d.engine.recheck(ep.scope.destination)
-	if acts := d.accept(3, 0); hasAction(acts, Reject) {
-		t.Errorf("opens in a second: %+v, want it held", acts)
+	ep.scope.recoveryTokens = 1 - h.engine.recoveryRate(ep) // opens in a second
+	h.engine.recheck(ep.scope.destination)
+	if actions := h.accept(3, 0); hasAction(actions, Reject) {
+		t.Errorf("opens in a second: %+v, want it held", actions)
 	}
 }
 
 // Calls saved up by hundreds of senders through a long outage once went out together at its end.
 func TestDueRecoveryCallsLapse(t *testing.T) {
-	set := testSettings()
-	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1, Weight: 4})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.suspect(ep)
+	settings := testSettings()
+	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1, Weight: 4})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	rate := d.engine.recoveryRate(ep)
+	rate := h.engine.recoveryRate(ep)
 	open := 0
 	const steps = 10000
 	for range steps {
-		d.engine.now += 10 * ms
-		if d.engine.recoveryBudgetAt(ep) <= d.engine.now {
+		h.engine.now += 10 * ms
+		if h.engine.recoveryBudgetAt(ep) <= h.engine.now {
 			open++
 		}
 	}
-	want := rate * recoveryLapseRatio * set.OverloadWindow.Seconds()
+	want := rate * recoveryLapseRatio * settings.OverloadWindow.Seconds()
 	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
 		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
 	}
@@ -513,49 +513,49 @@
 
 // A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
-	d := newHarness(t, testSettings())
-	d.accept(1, 0)
-	d.now += 1500 * ms
-	at := d.now
-	d.engine.requestTimer(at + 500*time.Nanosecond)
-	d.engine.timerAt, d.engine.requestedTimerAt = d.engine.requestedTimerAt, 0
-	acts := d.engine.Step(at, []Event{{Kind: TimerFired}})
-	if !hasAction(acts, SetTimer) {
-		t.Errorf("no wake asked for: %+v", acts)
+	h := newHarness(t, testSettings())
+	h.accept(1, 0)
+	h.now += 1500 * ms
+	at := h.now
+	h.engine.requestTimer(at + 500*time.Nanosecond)
+	h.engine.timerAt, h.engine.requestedTimerAt = h.engine.requestedTimerAt, 0
+	actions := h.engine.Step(at, []Event{{Kind: TimerFired}})
+	if !hasAction(actions, SetTimer) {
+		t.Errorf("no wake asked for: %+v", actions)
 	}
 }
 
 // Idle connections of hundreds of senders once filled the tables of destinations.
 func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders int
 		want    bool
 	}{{smallFleetSize, false}, {100, true}} {
-		set := testSettings()
-		set.FleetSize = c.senders
-		d := newHarness(t, set, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 		other := func(id uint32) bool {
-			d.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
-			return hasAction(d.finish(id, "b", OK, 10*ms, 0), CloseIdle)
+			h.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
+			return hasAction(h.finish(id, "b", OK, 10*ms, 0), CloseIdle)
 		}
-		d.accept(1, 0)
-		d.finish(1, "a", OK, 10*ms, 0)
-		d.accept(2, 0)
-		d.finish(2, "a", ConnectFailed, 10*ms, 0)
+		h.accept(1, 0)
+		h.finish(1, "a", OK, 10*ms, 0)
+		h.accept(2, 0)
+		h.finish(2, "a", ConnectFailed, 10*ms, 0)
 		if other(3) {
-			t.Errorf("%d senders: closed after a connection of the kind that failed: it may be an outage's", c.senders)
+			t.Errorf("%d senders: closed after a connection of the kind that failed: it may be an outage's", test.senders)
 		}
-		d.advance(time.Second)
-		d.finish(2, "a", OK, 10*ms, 0)
-		if got := other(4); got != c.want {
-			t.Errorf("%d senders: closed %v after a failed connection and an answer of the kind", c.senders, got)
+		h.advance(time.Second)
+		h.finish(2, "a", OK, 10*ms, 0)
+		if got := other(4); got != test.want {
+			t.Errorf("%d senders: closed %v after a failed connection and an answer of the kind", test.senders, got)
 		}
 	}
 }
 
 // Two failed connections at a full table once put a destination in doubt for its whole warm-up.
 func TestFullConnectionTableIsNoOutage(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		senders, fails int
 		took           time.Duration
 		cold           bool
@@ -565,27 +565,27 @@
 		{100, 3, time.Second, true},                     // not at once: silence
 		{3, 3, 10 * ms, true},                           // few senders fill no table
 	} {
-		set := testSettings()
-		set.FleetSize = c.senders
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
-		d.engine.now = d.now
-		d.engine.connectShortageUntil[0] = d.now + time.Minute
-		for range c.fails {
-			d.engine.observeOutcome(d.engine.endpoints["a"], observation{outcome: ConnectFailed, sentAt: d.now - c.took}, c.took)
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
+		h.engine.now = h.now
+		h.engine.connectShortageUntil[0] = h.now + time.Minute
+		for range test.fails {
+			h.engine.observeOutcome(h.engine.endpoints["a"], observation{outcome: ConnectFailed, sentAt: h.now - test.took}, test.took)
 		}
-		if got := d.engine.endpoints["a"].warmingUp; got != c.cold {
-			t.Errorf("%+v: in doubt %v", c, got)
+		if got := h.engine.endpoints["a"].warmingUp; got != test.cold {
+			t.Errorf("%+v: in doubt %v", test, got)
 		}
 	}
 }
 
 // At a call in some seconds a pace once recovered thirty times slower than at ten a second.
 func TestPacingGrowsWithTimeBetweenSuccesses(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1})
-	scope := d.engine.endpoints["a"].scope
-	scope.pacingRate, scope.decreasedAt, scope.tokensUpdatedAt = 0.1, d.now, d.now
-	d.engine.now = d.now + 4*time.Second
-	d.engine.increasePacing(scope)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1})
+	scope := h.engine.endpoints["a"].scope
+	scope.pacingRate, scope.decreasedAt, scope.tokensUpdatedAt = 0.1, h.now, h.now
+	h.engine.now = h.now + 4*time.Second
+	h.engine.increasePacing(scope)
 	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(scope.pacingRate-want) > 1e-9 {
 		t.Errorf("pace %v after a success in 4 s, want %v", scope.pacingRate, want)
 	}
@@ -593,41 +593,41 @@
 
 // A replacement listed during an outage was once sent to at full pace.
 func TestReplacementInheritsSuspicion(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for id := range uint32(3) {
-		d.accept(id, 0)
-		d.finish(id, "a", ConnectFailed, time.Second, 0)
-		d.step(Event{Kind: MessageCancelled, MessageID: id})
+		h.accept(id, 0)
+		h.finish(id, "a", ConnectFailed, time.Second, 0)
+		h.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
-	d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
-	if d.engine.recoveryBudgetAt(d.engine.endpoints["n"]) == 0 {
+	h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
+	if h.engine.recoveryBudgetAt(h.engine.endpoints["n"]) == 0 {
 		t.Error("the replacement of a failing route is not under the recovery budget")
 	}
 }
 
 func TestOrderingKeySerializesAndPauses(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	d.step(Event{Kind: MessageAccepted, MessageID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	h.step(Event{Kind: MessageAccepted, MessageID: 1, Key: "k", Class: 2, TimeLeft: 9 * time.Second},
 		Event{Kind: MessageAccepted, MessageID: 2, Key: "k", Class: 2, TimeLeft: 9 * time.Second})
-	if acts := d.finish(1, "a", Timeout, time.Second, 0); hasAction(acts, Send) {
-		t.Errorf("sent while the key rests: %+v", acts)
+	if actions := h.finish(1, "a", Timeout, time.Second, 0); hasAction(actions, Send) {
+		t.Errorf("sent while the key rests: %+v", actions)
 	}
-	if acts := d.advance(99 * ms); hasAction(acts, Send) {
-		t.Errorf("sent while the key rests: %+v", acts)
+	if actions := h.advance(99 * ms); hasAction(actions, Send) {
+		t.Errorf("sent while the key rests: %+v", actions)
 	}
-	if acts := d.advance(ms); !hasAction(acts, Send) {
+	if actions := h.advance(ms); !hasAction(actions, Send) {
 		t.Error("the next message of the key was not sent after the rest")
 	}
 }
 
 // Time-outs of calls that later ones overtook once skipped routes that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 	for range 5 {
-		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now - time.Second}, time.Second)
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now - time.Second}, time.Second)
 	}
 	if ep.ejected || ep.warmingUp || ep.consecutiveFailures != 0 {
 		t.Errorf("down %v, cold %v, streak %d after lost calls", ep.ejected, ep.warmingUp, ep.consecutiveFailures)
@@ -636,18 +636,18 @@
 
 // Scattered resets once put living routes under the recovery budget.
 func TestResetAtAHealthyEndpointIsNoEvidence(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
-	d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
-	d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
+	h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
+	h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
 	if ep.warmingUp {
 		t.Error("in doubt after two resets within 3 s of an answer")
 	}
-	d.engine.now += recentlyHealthyWindow
+	h.engine.now += recentlyHealthyWindow
 	for range 3 {
-		d.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: d.now + 1}, ms)
+		h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
 	}
 	if !ep.ejected {
 		t.Error("not skipped after three resets in a row and no answer for 3 s")
@@ -656,23 +656,23 @@
 
 // Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
 func TestTimeoutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
-	d.engine.suspect(ep)
-	d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.now}, ms)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
+	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 	back := ep.recoveredAt
 	for range 6 {
-		d.engine.now += time.Second
-		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.engine.now - ms}, time.Second)
-		d.engine.observeOutcome(ep, observation{outcome: OK, sentAt: d.engine.now}, ms)
+		h.engine.now += time.Second
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now - ms}, time.Second)
+		h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.engine.now}, ms)
 	}
 	if back == 0 || ep.recoveredAt != back || ep.ejected {
 		t.Errorf("back at %v, then %v, down %v", back, ep.recoveredAt, ep.ejected)
 	}
-	d.engine.now += time.Second
+	h.engine.now += time.Second
 	for range 2 {
-		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.engine.now}, time.Second)
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now}, time.Second)
 	}
 	if ep.recoveredAt != 0 {
 		t.Error("two time-outs in a row did not restart the warm-up")
@@ -681,11 +681,11 @@
 
 // Calls cut off after milliseconds once kept recovered routes skipped.
 func TestTruncatedAttemptEjectsNothing(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	ep := d.engine.endpoints["a"]
-	d.engine.now = d.now
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
 	for range 5 {
-		d.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: d.now, truncated: true}, ms)
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now, truncated: true}, ms)
 	}
 	if ep.ejected || !ep.warmingUp {
 		t.Errorf("down %v, cold %v after short calls", ep.ejected, ep.warmingUp)
@@ -694,58 +694,58 @@
 
 // Calls of a route whose last call failed carry one message: ten once shared each failed trial.
 func TestBatches(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
 	three := func(first uint32) int {
-		var evs []Event
+		var events []Event
 		for i := range uint32(3) {
-			evs = append(evs, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
+			events = append(events, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
 		}
-		before := len(d.engine.endpoints["a"].calls)
-		d.step(evs...)
-		return len(d.engine.endpoints["a"].calls) - before
+		before := len(h.engine.endpoints["a"].calls)
+		h.step(events...)
+		return len(h.engine.endpoints["a"].calls) - before
 	}
 	if n := three(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
-	d.engine.endpoints["a"].consecutiveFailures = 1
+	h.engine.endpoints["a"].consecutiveFailures = 1
 	if n := three(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
 }
 
 func TestOverdueCallsSaturateAnEndpoint(t *testing.T) {
-	set := testSettings()
-	set.MaxInFlightCalls = 8
-	d := newHarness(t, set, Endpoint{ID: "a", Kind: 1})
-	d.accept(1, 0)
-	d.accept(2, 0)
-	d.now += 5 * time.Second
-	if acts := d.accept(3, 0); hasAction(acts, Send) {
-		t.Errorf("a third call to a silent route: %+v", acts)
+	settings := testSettings()
+	settings.MaxInFlightCalls = 8
+	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1})
+	h.accept(1, 0)
+	h.accept(2, 0)
+	h.now += 5 * time.Second
+	if actions := h.accept(3, 0); hasAction(actions, Send) {
+		t.Errorf("a third call to a silent route: %+v", actions)
 	}
 }
 
 func TestLoadIsShedFromTheLongestQueue(t *testing.T) {
-	set := testSettings()
-	set.MaxPendingMessages = 10
-	d := newHarness(t, set)
+	settings := testSettings()
+	settings.MaxPendingMessages = 10
+	h := newHarness(t, settings)
 	for id := range uint32(9) {
-		d.accept(id, 0)
+		h.accept(id, 0)
 	}
-	acts := d.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
-	if len(acts) != 1 || acts[0].Kind != Reject || acts[0].MessageID == 20 {
-		t.Errorf("with little room left: %+v", acts)
+	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
+	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].MessageID == 20 {
+		t.Errorf("with little room left: %+v", actions)
 	}
 }
 
 func TestLateMessagesAreDeprioritized(t *testing.T) {
-	d := newHarness(t, testSettings())
-	d.accept(1, 0)
-	d.advance(3 * time.Second)
-	d.accept(2, 0)
-	acts := d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
-	if len(acts) != 2 || acts[0].MessageID != 2 || acts[1].MessageID != 1 {
-		t.Errorf("order of sends: %+v", acts)
+	h := newHarness(t, testSettings())
+	h.accept(1, 0)
+	h.advance(3 * time.Second)
+	h.accept(2, 0)
+	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
+	if len(actions) != 2 || actions[0].MessageID != 2 || actions[1].MessageID != 1 {
+		t.Errorf("order of sends: %+v", actions)
 	}
 }
 
@@ -758,9 +758,9 @@
 		"no number":      func(s *Settings) { s.WarmUpInitialCapacity = math.NaN() },
 		"endless value":  func(s *Settings) { s.Classes[0].Weight = math.Inf(1) },
 	} {
-		set := testSettings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
+		settings := testSettings()
+		spoil(&settings)
+		if _, err := New(settings, 1); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -769,12 +769,12 @@
 // A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, classIndex := range []int{-1, 99} {
-		d := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
-		if got := firstSend(d.accept(1, classIndex)); got == "" {
+		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
+		if got := firstSend(h.accept(1, classIndex)); got == "" {
 			t.Fatalf("class %d: not sent", classIndex)
 		}
-		if acts := d.finish(1, "a", Timeout, time.Second, 0); !hasAction(acts, Fail) || hasAction(acts, Send) {
-			t.Errorf("class %d: %+v after a time-out", classIndex, acts)
+		if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
+			t.Errorf("class %d: %+v after a time-out", classIndex, actions)
 		}
 	}
 }
@@ -787,29 +787,29 @@
 
 // emptyDestinationsOf are the destinations without routes that a Sender still knows, in their order.
 func emptyDestinationsOf(engine *Engine) (all []*destination) {
-	for d := engine.emptyDestinations.first; d != nil; d = d.nextEmpty {
-		all = append(all, d)
+	for dest := engine.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
+		all = append(all, dest)
 	}
 	return all
 }
 
 // Turns were once kept for good when their rest outlasted their last message, and destinations always.
 func TestNothingIsRetainedAfterRemoval(t *testing.T) {
-	set := testSettings()
-	set.MaxInFlightCalls, set.MaxPendingMessages = 50, 100
-	d := newHarness(t, set)
+	settings := testSettings()
+	settings.MaxInFlightCalls, settings.MaxPendingMessages = 50, 100
+	h := newHarness(t, settings)
 	for i := range 300 {
 		id, name := uint32(i), fmt.Sprint("r", i)
-		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
-		d.step(
+		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
+		h.step(
 			Event{Kind: MessageAccepted, MessageID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second},
 		)
-		d.finish(id, name, Timeout, time.Second, 0)
-		d.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, Removed: true}}})
+		h.finish(id, name, Timeout, time.Second, 0)
+		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, Removed: true}}})
 	}
-	d.now += time.Minute
-	d.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
-	engine := d.engine
+	h.now += time.Minute
+	h.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
+	engine := h.engine
 	if n := len(engine.keyQueues) + len(engine.destinations) + len(engine.sortedDestinations) + len(engine.endpoints) + len(engine.messages) + len(engine.active) + len(emptyDestinationsOf(engine)); n != 0 {
 		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
 			len(engine.keyQueues), len(engine.destinations), len(engine.sortedDestinations), len(engine.endpoints), len(engine.messages), len(engine.active), len(emptyDestinationsOf(engine)))
@@ -818,27 +818,27 @@
 
 // Destinations with nothing to do are not looked at: the next dispatch once walked them all.
 func TestBlockedDestinationsAreNotRechecked(t *testing.T) {
-	d := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.accept(1, 0)
-	d.finish(1, "a", Overloaded, ms, 5*time.Second)
-	if len(d.engine.active) != 1 || d.engine.active[0].blockedUntil <= d.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(d.engine.active))
-	}
-	opens := d.engine.active[0].blockedUntil
-	d.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
-	if len(d.engine.active) != 1 || d.engine.active[0].blockedUntil != opens {
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	h.accept(1, 0)
+	h.finish(1, "a", Overloaded, ms, 5*time.Second)
+	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil <= h.now {
+		t.Fatalf("active %d, want the one destination that waits, closed", len(h.engine.active))
+	}
+	opens := h.engine.active[0].blockedUntil
+	h.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
+	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil != opens {
 		t.Error("a message for another destination had the closed one looked at again")
 	}
 }
 
 // A told wait that means shut, at one route, puts all routes of its limit in doubt: at its end none of them is free.
 func TestOutageSuspectsTheWholeScope(t *testing.T) {
-	set := testSettings()
-	set.WarmUpDuration = 20 * time.Second
-	d := newHarness(t, set, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
-	d.engine.observeOutcome(d.engine.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: d.engine.now}, 0)
+	settings := testSettings()
+	settings.WarmUpDuration = 20 * time.Second
+	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
+	h.engine.observeOutcome(h.engine.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: h.engine.now}, 0)
 	for _, name := range []string{"a", "b"} {
-		if !d.engine.endpoints[name].warmingUp {
+		if !h.engine.endpoints[name].warmingUp {
 			t.Errorf("route %s is not in doubt", name)
 		}
 	}
@@ -847,23 +847,23 @@
 // The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and
 // to any after a loss.
 func TestAnswersToEarlierCallsStartNoWarmUp(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		outcome Outcome
 		sent    time.Duration // of the answered call, after the failed ones
 		begins  bool
 	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
-		d := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: 8})
-		ep, failed := d.engine.endpoints["a"], d.engine.now+time.Minute
-		d.engine.now = failed
+		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: 8})
+		ep, failed := h.engine.endpoints["a"], h.engine.now+time.Minute
+		h.engine.now = failed
 		for range suspectAfterFailures {
-			d.engine.observeOutcome(ep, observation{outcome: c.outcome, sentAt: failed}, 0)
+			h.engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: failed}, 0)
 		}
-		if d.engine.now += 2 * time.Second; !ep.warmingUp {
-			t.Fatalf("%s: not in doubt", c.name)
+		if h.engine.now += 2 * time.Second; !ep.warmingUp {
+			t.Fatalf("%s: not in doubt", test.name)
 		}
-		if d.engine.recordSuccess(ep, failed+c.sent, time.Second); (ep.recoveredAt > 0) != c.begins {
-			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", c.name, c.sent, ep.recoveredAt > 0)
+		if h.engine.recordSuccess(ep, failed+test.sent, time.Second); (ep.recoveredAt > 0) != test.begins {
+			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", test.name, test.sent, ep.recoveredAt > 0)
 		}
 	}
 }
@@ -871,19 +871,19 @@
 // One delivery clears the slight doubt of a sender whose part is under a call in a warm-up; of others it begins the
 // warm-up.
 func TestOneDeliveryClearsWeakSuspicion(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		limit float64
 		cold  bool
 	}{{2, false}, {40, true}} {
-		set := testSettings()
-		set.FleetSize, set.WarmUpDuration, set.OverloadWindow = 300, 20*time.Second, 3*time.Second
-		d := newHarness(t, set, Endpoint{ID: "a", Weight: c.limit})
-		ep := d.engine.endpoints["a"]
-		d.engine.now += time.Minute
-		d.engine.observeOutcome(ep, observation{outcome: Error, sentAt: d.engine.now}, 0)
-		d.engine.now += time.Second
-		if d.engine.recordSuccess(ep, d.engine.now, time.Second); ep.warmingUp != c.cold {
-			t.Errorf("limit %v: in doubt after a delivery %v", c.limit, ep.warmingUp)
+		settings := testSettings()
+		settings.FleetSize, settings.WarmUpDuration, settings.OverloadWindow = 300, 20*time.Second, 3*time.Second
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: test.limit})
+		ep := h.engine.endpoints["a"]
+		h.engine.now += time.Minute
+		h.engine.observeOutcome(ep, observation{outcome: Error, sentAt: h.engine.now}, 0)
+		h.engine.now += time.Second
+		if h.engine.recordSuccess(ep, h.engine.now, time.Second); ep.warmingUp != test.cold {
+			t.Errorf("limit %v: in doubt after a delivery %v", test.limit, ep.warmingUp)
 		}
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -19,31 +19,31 @@
 	rule     int
 	settings func(*Settings)
 	event    func(*Event)
-	replace     func(*Engine) *Engine                                         // after each step
-	step     func(engine *Engine, now time.Duration, evs []Event) []Action // in place of the Sender's
+	replace  func(*Engine) *Engine                                            // after each step
+	step     func(engine *Engine, now time.Duration, events []Event) []Action // in place of the Sender's
 	// clients send as often; 0: every fourth time, and waits are told with refusals alone
 	acceptInterval int
 }
 
 type sentAttempt struct {
-	endpoint string
-	sentAt  time.Duration
+	endpoint   string
+	sentAt     time.Duration
 	inFlight   bool // no outcome yet
-	mayHaveRun   bool // may have run
+	mayHaveRun bool // may have run
 }
 
 type clientMessage struct {
-	id       uint32
-	class    Class
-	key      string
-	destination     int
-	deadline time.Duration
+	id          uint32
+	class       Class
+	key         string
+	destination int
+	deadline    time.Duration
 	attempts    []sentAttempt
-	ended    bool
+	ended       bool
 }
 
 type pendingEvent struct {
-	at time.Duration
+	at    time.Duration
 	event Event
 	call  *simulatedCall
 }
@@ -53,39 +53,39 @@
 
 // simulation is the clients, the routes and the checker.
 type simulation struct {
-	rng      *rand.Rand
-	settings      Settings
-	now      time.Duration
-	endpoints   []Endpoint
-	listed   map[string]Endpoint // as told
-	messages     map[uint32]*clientMessage
-	byKey     map[string][]*clientMessage
-	pausedUntil     map[string]time.Duration
-	retryAfterUntil    map[string]time.Duration   // by scope
-	outages   map[int][2]time.Duration   // by destination: from, to
-	consecutiveFailures     map[string]int             // failures told in a row, by scope
-	callsSinceRecovery    map[string][]time.Duration // by scope, since the return
-	pending  []pendingEvent
-	nextID   uint32
-	callsInFlight    int
-	violations   map[int]string
-	delivered int
-	actionCounts     [3]int // sends, refusals, failures
-	acceptInterval    int
-	retryAfterOnAny bool // with other answers than refusals
+	rng                 *rand.Rand
+	settings            Settings
+	now                 time.Duration
+	endpoints           []Endpoint
+	listed              map[string]Endpoint // as told
+	messages            map[uint32]*clientMessage
+	byKey               map[string][]*clientMessage
+	pausedUntil         map[string]time.Duration
+	retryAfterUntil     map[string]time.Duration   // by scope
+	outages             map[int][2]time.Duration   // by destination: from, to
+	consecutiveFailures map[string]int             // failures told in a row, by scope
+	callsSinceRecovery  map[string][]time.Duration // by scope, since the return
+	pending             []pendingEvent
+	nextID              uint32
+	callsInFlight       int
+	violations          map[int]string
+	delivered           int
+	actionCounts        [3]int // sends, refusals, failures
+	acceptInterval      int
+	retryAfterOnAny     bool // with other answers than refusals
 }
 
-func (w *simulation) violate(rule int, format string, args ...any) {
-	if w.violations[rule] == "" {
-		w.violations[rule] = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
+func (sim *simulation) violate(rule int, format string, args ...any) {
+	if sim.violations[rule] == "" {
+		sim.violations[rule] = fmt.Sprintf("at %v: ", sim.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *simulation) scopeKey(l Endpoint) string {
-	if w.settings.DestinationKinds[l.Kind].LimitPerEndpoint {
-		return l.ID
+func (sim *simulation) scopeKey(entry Endpoint) string {
+	if sim.settings.DestinationKinds[entry.Kind].LimitPerEndpoint {
+		return entry.ID
 	}
-	return fmt.Sprint(l.Destination)
+	return fmt.Sprint(entry.Destination)
 }
 
 func randomSettings(rng *rand.Rand) Settings {
@@ -129,354 +129,354 @@
 
 func newSimulation(seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &simulation{rng: rng, settings: randomSettings(rng), now: time.Minute, violations: map[int]string{}, nextID: 1}
-	w.outages = map[int][2]time.Duration{}
+	sim := &simulation{rng: rng, settings: randomSettings(rng), now: time.Minute, violations: map[int]string{}, nextID: 1}
+	sim.outages = map[int][2]time.Duration{}
 	for d := range 4 {
 		for i := range 1 + rng.IntN(3) {
-			w.endpoints = append(w.endpoints, Endpoint{
+			sim.endpoints = append(sim.endpoints, Endpoint{
 				ID: fmt.Sprintf("r%d-%d", d, i), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 6, InService: true,
 			})
 		}
-		from := w.now + time.Duration(5+rng.IntN(20))*time.Second
-		w.outages[d] = [2]time.Duration{from, from + time.Duration(6+rng.IntN(8))*time.Second}
+		from := sim.now + time.Duration(5+rng.IntN(20))*time.Second
+		sim.outages[d] = [2]time.Duration{from, from + time.Duration(6+rng.IntN(8))*time.Second}
 	}
-	w.reset()
-	return w
+	sim.reset()
+	return sim
 }
 
 // reset starts the books anew, as for a fresh Sender.
-func (w *simulation) reset() {
-	w.listed, w.messages, w.byKey = map[string]Endpoint{}, map[uint32]*clientMessage{}, map[string][]*clientMessage{}
-	w.pausedUntil, w.retryAfterUntil, w.consecutiveFailures = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
-	w.callsSinceRecovery, w.pending, w.callsInFlight = map[string][]time.Duration{}, nil, 0
+func (sim *simulation) reset() {
+	sim.listed, sim.messages, sim.byKey = map[string]Endpoint{}, map[uint32]*clientMessage{}, map[string][]*clientMessage{}
+	sim.pausedUntil, sim.retryAfterUntil, sim.consecutiveFailures = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
+	sim.callsSinceRecovery, sim.pending, sim.callsInFlight = map[string][]time.Duration{}, nil, 0
 }
 
 // due events up to now, and new ones by chance.
-func (w *simulation) nextEvents(quiet bool) []Event {
-	var evs []Event
-	slices.SortStableFunc(w.pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
-	for len(w.pending) > 0 && w.pending[0].at <= w.now {
-		p := w.pending[0]
-		w.pending = w.pending[1:]
+func (sim *simulation) nextEvents(quiet bool) []Event {
+	var events []Event
+	slices.SortStableFunc(sim.pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
+	for len(sim.pending) > 0 && sim.pending[0].at <= sim.now {
+		p := sim.pending[0]
+		sim.pending = sim.pending[1:]
 		if p.call != nil {
 			if p.call.pending--; p.call.pending == 0 {
-				w.callsInFlight--
+				sim.callsInFlight--
 			}
 		}
 		if p.event.Kind == AttemptFinished {
-			w.recordOutcome(&p.event)
+			sim.recordOutcome(&p.event)
 		}
-		evs = append(evs, p.event)
+		events = append(events, p.event)
 	}
 	if quiet {
-		return evs
+		return events
 	}
-	for w.rng.IntN(w.acceptInterval) == 0 {
-		c := w.rng.IntN(len(w.settings.Classes))
+	for sim.rng.IntN(sim.acceptInterval) == 0 {
+		c := sim.rng.IntN(len(sim.settings.Classes))
 		key := ""
-		if w.settings.Classes[c].Ordered {
-			key = fmt.Sprint("k", w.rng.IntN(5))
+		if sim.settings.Classes[c].Ordered {
+			key = fmt.Sprint("k", sim.rng.IntN(5))
 		}
-		m := &clientMessage{id: w.nextID, class: w.settings.Classes[c], key: key, destination: w.rng.IntN(5)}
-		left := m.class.Deadline - time.Duration(w.rng.IntN(2000))*time.Millisecond
-		m.deadline = w.now + left
-		w.nextID++
-		w.messages[m.id] = m
+		msg := &clientMessage{id: sim.nextID, class: sim.settings.Classes[c], key: key, destination: sim.rng.IntN(5)}
+		left := msg.class.Deadline - time.Duration(sim.rng.IntN(2000))*time.Millisecond
+		msg.deadline = sim.now + left
+		sim.nextID++
+		sim.messages[msg.id] = msg
 		if key != "" {
-			w.byKey[key] = append(w.byKey[key], m)
+			sim.byKey[key] = append(sim.byKey[key], msg)
 		}
-		evs = append(evs, Event{
-			Kind: MessageAccepted, MessageID: m.id, Key: key, Class: c, Tenant: w.rng.IntN(2),
-			Destination: m.destination, TimeLeft: left,
+		events = append(events, Event{
+			Kind: MessageAccepted, MessageID: msg.id, Key: key, Class: c, Tenant: sim.rng.IntN(2),
+			Destination: msg.destination, TimeLeft: left,
 		})
 	}
-	switch w.rng.IntN(400) {
+	switch sim.rng.IntN(400) {
 	case 0: // a route drains, or comes back
-		l := &w.endpoints[w.rng.IntN(len(w.endpoints))]
-		l.InService = !l.InService
-		w.listed[l.ID] = *l
-		evs = append(evs, Event{Kind: EndpointDelta, Endpoints: []Endpoint{*l}})
+		entry := &sim.endpoints[sim.rng.IntN(len(sim.endpoints))]
+		entry.InService = !entry.InService
+		sim.listed[entry.ID] = *entry
+		events = append(events, Event{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}})
 	case 1: // a route goes for good and another takes its place
-		i := w.rng.IntN(len(w.endpoints))
-		old := w.endpoints[i]
+		i := sim.rng.IntN(len(sim.endpoints))
+		old := sim.endpoints[i]
 		old.Removed, old.InService = true, false
-		w.listed[old.ID] = old
-		w.endpoints[i].ID += "n"
-		w.endpoints[i].InService = true
-		w.listed[w.endpoints[i].ID] = w.endpoints[i]
-		evs = append(evs, Event{Kind: EndpointDelta, Endpoints: []Endpoint{old, w.endpoints[i]}})
+		sim.listed[old.ID] = old
+		sim.endpoints[i].ID += "n"
+		sim.endpoints[i].InService = true
+		sim.listed[sim.endpoints[i].ID] = sim.endpoints[i]
+		events = append(events, Event{Kind: EndpointDelta, Endpoints: []Endpoint{old, sim.endpoints[i]}})
 	case 2: // a client goes
-		for id := uint32(1); id < w.nextID; id++ {
-			if m := w.messages[id]; m != nil && !m.ended {
-				m.ended = true
-				evs = append(evs, Event{Kind: MessageCancelled, MessageID: id})
+		for id := uint32(1); id < sim.nextID; id++ {
+			if msg := sim.messages[id]; msg != nil && !msg.ended {
+				msg.ended = true
+				events = append(events, Event{Kind: MessageCancelled, MessageID: id})
 				break
 			}
 		}
 	case 3: // events of messages never held
-		evs = append(evs, Event{Kind: AttemptFinished, MessageID: 4e9, Endpoint: "nowhere", Outcome: Timeout},
+		events = append(events, Event{Kind: AttemptFinished, MessageID: 4e9, Endpoint: "nowhere", Outcome: Timeout},
 			Event{Kind: MessageCancelled, MessageID: 4e9 + 1}, Event{Kind: TimerFired})
 	}
-	return evs
+	return events
 }
 
 // recordOutcome books an outcome before the Sender hears of it.
-func (w *simulation) recordOutcome(event *Event) {
-	m := w.messages[event.MessageID]
-	if m == nil {
+func (sim *simulation) recordOutcome(event *Event) {
+	msg := sim.messages[event.MessageID]
+	if msg == nil {
 		return
 	}
-	t := &m.attempts[event.Attempt]
+	t := &msg.attempts[event.Attempt]
 	t.inFlight = false
 	t.mayHaveRun = event.Outcome != Overloaded && event.Outcome != ConnectFailed && event.Outcome != NotSent
 	if event.Outcome == OK {
-		m.ended = true
-		w.delivered++
+		msg.ended = true
+		sim.delivered++
 	}
-	event.MessageEnded = m.ended
+	event.MessageEnded = msg.ended
 	if event.Outcome == Timeout || event.Outcome == Reset || event.Outcome == Cancelled {
-		w.pausedUntil[m.key] = max(w.pausedUntil[m.key], w.now+w.settings.OrderingPause)
+		sim.pausedUntil[msg.key] = max(sim.pausedUntil[msg.key], sim.now+sim.settings.OrderingPause)
 	}
-	l := w.listed[event.Endpoint]
+	entry := sim.listed[event.Endpoint]
 	if event.RetryAfter > 0 {
-		w.retryAfterUntil[w.scopeKey(l)] = max(w.retryAfterUntil[w.scopeKey(l)], w.now+event.RetryAfter)
+		sim.retryAfterUntil[sim.scopeKey(entry)] = max(sim.retryAfterUntil[sim.scopeKey(entry)], sim.now+event.RetryAfter)
 	}
 	switch event.Outcome {
 	case OK:
-		w.consecutiveFailures[w.scopeKey(l)] = 0
+		sim.consecutiveFailures[sim.scopeKey(entry)] = 0
 	case Timeout, ConnectFailed, Error, Reset:
-		if span := w.outages[m.destination]; w.now-event.Latency >= span[0] && w.now < span[1] {
-			w.consecutiveFailures[w.scopeKey(l)]++
+		if span := sim.outages[msg.destination]; sim.now-event.Latency >= span[0] && sim.now < span[1] {
+			sim.consecutiveFailures[sim.scopeKey(entry)]++
 		}
 	}
 }
 
-func (w *simulation) apply(acts []Action) {
+func (sim *simulation) apply(actions []Action) {
 	calls := map[string]*simulatedCall{}
-	for _, a := range acts {
-		m := w.messages[a.MessageID]
-		if (a.Kind == Send || a.Kind == Reject || a.Kind == Fail) && m == nil {
-			w.violate(1, "an action for unknown message %d", a.MessageID)
+	for _, a := range actions {
+		msg := sim.messages[a.MessageID]
+		if (a.Kind == Send || a.Kind == Reject || a.Kind == Fail) && msg == nil {
+			sim.violate(1, "an action for unknown message %d", a.MessageID)
 			continue
 		}
 		switch a.Kind {
 		case Send:
-			w.actionCounts[0]++
-			w.checkSend(m, a)
-			w.simulateCall(m, a, calls)
+			sim.actionCounts[0]++
+			sim.checkSend(msg, a)
+			sim.simulateCall(msg, a, calls)
 		case Reject:
-			w.actionCounts[1]++
-			free := m.class.Effect == Idempotent || m.class.Effect == IdempotentByKey && m.class.DedupAllZones
-			for _, t := range m.attempts {
+			sim.actionCounts[1]++
+			free := msg.class.Effect == Idempotent || msg.class.Effect == IdempotentByKey && msg.class.DedupAllZones
+			for _, t := range msg.attempts {
 				if (t.mayHaveRun || t.inFlight) && !free {
-					w.violate(2, "message %d refused though it may have run", m.id)
+					sim.violate(2, "message %d refused though it may have run", msg.id)
 				}
 			}
-			m.ended = true
+			msg.ended = true
 		case Fail:
-			w.actionCounts[2]++
-			m.ended = true
+			sim.actionCounts[2]++
+			msg.ended = true
 		case SetTimer:
-			w.pending = append(w.pending, pendingEvent{at: w.now + a.Delay, event: Event{Kind: TimerFired}})
+			sim.pending = append(sim.pending, pendingEvent{at: sim.now + a.Delay, event: Event{Kind: TimerFired}})
 		}
 	}
 }
 
-func (w *simulation) checkSend(m *clientMessage, a Action) {
-	l, known := w.listed[a.Endpoint]
-	if m.ended || w.now >= m.deadline || len(m.attempts) >= w.settings.MaxAttempts {
-		w.violate(1, "message %d sent after its end", m.id)
+func (sim *simulation) checkSend(msg *clientMessage, a Action) {
+	entry, known := sim.listed[a.Endpoint]
+	if msg.ended || sim.now >= msg.deadline || len(msg.attempts) >= sim.settings.MaxAttempts {
+		sim.violate(1, "message %d sent after its end", msg.id)
 	}
-	for _, t := range m.attempts {
+	for _, t := range msg.attempts {
 		if t.inFlight {
-			w.violate(2, "message %d sent twice at once", m.id)
+			sim.violate(2, "message %d sent twice at once", msg.id)
 		}
 	}
-	if i := slices.IndexFunc(m.attempts, func(t sentAttempt) bool { return t.mayHaveRun }); i >= 0 {
-		first := m.attempts[i]
+	if i := slices.IndexFunc(msg.attempts, func(t sentAttempt) bool { return t.mayHaveRun }); i >= 0 {
+		first := msg.attempts[i]
 		switch {
-		case m.class.Effect == NonIdempotent:
-			w.violate(2, "unsafe message %d sent again", m.id)
-		case m.class.Effect == IdempotentByKey && w.now >= first.sentAt+m.class.DedupWindow:
-			w.violate(2, "keyed message %d sent after its window", m.id)
-		case m.class.Effect == IdempotentByKey && !m.class.DedupAllZones && w.listed[first.endpoint].Zone != l.Zone:
-			w.violate(2, "keyed message %d sent outside its group", m.id)
+		case msg.class.Effect == NonIdempotent:
+			sim.violate(2, "unsafe message %d sent again", msg.id)
+		case msg.class.Effect == IdempotentByKey && sim.now >= first.sentAt+msg.class.DedupWindow:
+			sim.violate(2, "keyed message %d sent after its window", msg.id)
+		case msg.class.Effect == IdempotentByKey && !msg.class.DedupAllZones && sim.listed[first.endpoint].Zone != entry.Zone:
+			sim.violate(2, "keyed message %d sent outside its group", msg.id)
 		}
 	}
-	if !known || !l.InService || l.Removed || l.Destination != m.destination {
-		w.violate(3, "message %d sent to %s, which is not in service", m.id, a.Endpoint)
+	if !known || !entry.InService || entry.Removed || entry.Destination != msg.destination {
+		sim.violate(3, "message %d sent to %s, which is not in service", msg.id, a.Endpoint)
 	}
-	if w.retryAfterUntil[w.scopeKey(l)] > w.now {
-		w.violate(5, "message %d sent to %s during a wait", m.id, a.Endpoint)
+	if sim.retryAfterUntil[sim.scopeKey(entry)] > sim.now {
+		sim.violate(5, "message %d sent to %s during a wait", msg.id, a.Endpoint)
 	}
-	if m.key != "" {
-		for _, o := range w.byKey[m.key] {
-			if o == m {
+	if msg.key != "" {
+		for _, earlier := range sim.byKey[msg.key] {
+			if earlier == msg {
 				break
 			}
-			if !o.ended || slices.ContainsFunc(o.attempts, func(t sentAttempt) bool { return t.inFlight }) {
-				w.violate(6, "message %d sent before %d", m.id, o.id)
+			if !earlier.ended || slices.ContainsFunc(earlier.attempts, func(t sentAttempt) bool { return t.inFlight }) {
+				sim.violate(6, "message %d sent before %d", msg.id, earlier.id)
 			}
 		}
-		if len(m.attempts) == 0 && w.pausedUntil[m.key] > w.now {
-			w.violate(6, "message %d sent while its key rests", m.id)
+		if len(msg.attempts) == 0 && sim.pausedUntil[msg.key] > sim.now {
+			sim.violate(6, "message %d sent while its key rests", msg.id)
 		}
 	}
 }
 
 // checkRecovery checks the budget of a destination that came back cold: calls of any window since the
 // return, for a Sender told of its failures.
-func (w *simulation) checkRecovery(d string, back time.Duration) {
-	w.callsSinceRecovery[d] = append(w.callsSinceRecovery[d], w.now)
+func (sim *simulation) checkRecovery(d string, back time.Duration) {
+	sim.callsSinceRecovery[d] = append(sim.callsSinceRecovery[d], sim.now)
 	n := 0
-	for _, at := range w.callsSinceRecovery[d] {
-		if at > w.now-w.settings.OverloadWindow {
+	for _, at := range sim.callsSinceRecovery[d] {
+		if at > sim.now-sim.settings.OverloadWindow {
 			n++
 		}
 	}
-	share := w.settings.WarmUpInitialCapacity + (1-w.settings.WarmUpInitialCapacity)*float64(
-		w.now-back,
+	share := sim.settings.WarmUpInitialCapacity + (1-sim.settings.WarmUpInitialCapacity)*float64(
+		sim.now-back,
 	)/float64(
-		w.settings.WarmUpDuration,
+		sim.settings.WarmUpDuration,
 	)
 	if share >= 1 {
 		return
 	}
-	most := w.settings.OverloadFactor*share*6*w.settings.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
+	most := sim.settings.OverloadFactor*share*6*sim.settings.OverloadWindow.Seconds() + 1.5 // 6: the listed weight
 	if float64(n) > most {
-		w.violate(4, "%d calls to %s in %v, %.1f at most", n, d, w.settings.OverloadWindow, most)
+		sim.violate(4, "%d calls to %s in %v, %.1f at most", n, d, sim.settings.OverloadWindow, most)
 	}
 }
 
 // simulateCall plays an attempt: its outcome comes later, at its cut at the latest.
-func (w *simulation) simulateCall(m *clientMessage, a Action, calls map[string]*simulatedCall) {
-	l := w.listed[a.Endpoint]
-	event := Event{Kind: AttemptFinished, MessageID: m.id, Attempt: len(m.attempts), Endpoint: a.Endpoint}
-	m.attempts = append(m.attempts, sentAttempt{endpoint: a.Endpoint, sentAt: w.now, inFlight: true})
+func (sim *simulation) simulateCall(msg *clientMessage, a Action, calls map[string]*simulatedCall) {
+	entry := sim.listed[a.Endpoint]
+	event := Event{Kind: AttemptFinished, MessageID: msg.id, Attempt: len(msg.attempts), Endpoint: a.Endpoint}
+	msg.attempts = append(msg.attempts, sentAttempt{endpoint: a.Endpoint, sentAt: sim.now, inFlight: true})
 	c := calls[a.Endpoint]
-	if c == nil || c.pending >= w.settings.DestinationKinds[l.Kind].MaxBatch {
+	if c == nil || c.pending >= sim.settings.DestinationKinds[entry.Kind].MaxBatch {
 		c = &simulatedCall{}
 		calls[a.Endpoint] = c
-		if w.callsInFlight++; w.callsInFlight > w.settings.MaxInFlightCalls {
-			w.violate(1, "%d calls out, %d at most", w.callsInFlight, w.settings.MaxInFlightCalls)
+		if sim.callsInFlight++; sim.callsInFlight > sim.settings.MaxInFlightCalls {
+			sim.violate(1, "%d calls out, %d at most", sim.callsInFlight, sim.settings.MaxInFlightCalls)
 		}
-		span := w.outages[m.destination]
-		sc := w.scopeKey(l)
-		if w.now >= span[1] && w.now < span[1]+w.settings.WarmUpDuration && (w.consecutiveFailures[sc] >= 3 || w.callsSinceRecovery[sc] != nil) {
-			w.checkRecovery(sc, span[1])
+		span := sim.outages[msg.destination]
+		sc := sim.scopeKey(entry)
+		if sim.now >= span[1] && sim.now < span[1]+sim.settings.WarmUpDuration && (sim.consecutiveFailures[sc] >= 3 || sim.callsSinceRecovery[sc] != nil) {
+			sim.checkRecovery(sc, span[1])
 		}
 	}
 	c.pending++
-	latency := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
-	down := w.now >= w.outages[m.destination][0] && w.now < w.outages[m.destination][1]
-	switch n := w.rng.IntN(40); {
-	case down && m.destination%3 == 0:
+	latency := time.Duration(20+sim.rng.IntN(400)) * time.Millisecond
+	down := sim.now >= sim.outages[msg.destination][0] && sim.now < sim.outages[msg.destination][1]
+	switch n := sim.rng.IntN(40); {
+	case down && msg.destination%3 == 0:
 		latency = time.Hour // silent
-	case down && m.destination%3 == 1:
+	case down && msg.destination%3 == 1:
 		event.Outcome = ConnectFailed
 	case down:
 		event.Outcome = Error
 	case n < 4:
 		event.Outcome = Overloaded
 		if n < 2 {
-			event.RetryAfter = time.Duration(200+w.rng.IntN(900)) * time.Millisecond
+			event.RetryAfter = time.Duration(200+sim.rng.IntN(900)) * time.Millisecond
 		}
 	case n == 4:
-		event.Outcome = []Outcome{Error, Reset, Cancelled, NotSent}[w.rng.IntN(4)]
+		event.Outcome = []Outcome{Error, Reset, Cancelled, NotSent}[sim.rng.IntN(4)]
 	case n == 5:
 		latency = time.Hour
-	case n < 12 && w.retryAfterOnAny:
-		event.RetryAfter = time.Duration(200+w.rng.IntN(3000)) * time.Millisecond
+	case n < 12 && sim.retryAfterOnAny:
+		event.RetryAfter = time.Duration(200+sim.rng.IntN(3000)) * time.Millisecond
 	}
-	if m.destination%3 == 2 && w.now >= w.outages[m.destination][0]-time.Second {
+	if msg.destination%3 == 2 && sim.now >= sim.outages[msg.destination][0]-time.Second {
 		latency = min(latency, 300*time.Millisecond)
 	}
-	at := w.now + latency
-	if timeoutAt := min(a.TimeoutAt, m.deadline); at > timeoutAt {
-		at, event.Outcome, event.RetryAfter = max(timeoutAt, w.now+time.Millisecond), Timeout, 0
+	at := sim.now + latency
+	if timeoutAt := min(a.TimeoutAt, msg.deadline); at > timeoutAt {
+		at, event.Outcome, event.RetryAfter = max(timeoutAt, sim.now+time.Millisecond), Timeout, 0
 	}
-	event.Latency = at - w.now
-	w.pending = append(w.pending, pendingEvent{at: at, event: event, call: c})
+	event.Latency = at - sim.now
+	sim.pending = append(sim.pending, pendingEvent{at: at, event: event, call: c})
 }
 
 // simulate runs one world and returns the rules broken.
-func simulate(t *testing.T, seed uint64, b disabledGuard) *simulation {
+func simulate(t *testing.T, seed uint64, guard disabledGuard) *simulation {
 	t.Helper()
-	w := newSimulation(seed)
-	w.acceptInterval, w.retryAfterOnAny = cmp.Or(b.acceptInterval, 4), b.acceptInterval > 0
+	sim := newSimulation(seed)
+	sim.acceptInterval, sim.retryAfterOnAny = cmp.Or(guard.acceptInterval, 4), guard.acceptInterval > 0
 	step := (*Engine).Step
-	if b.step != nil {
-		step = b.step
+	if guard.step != nil {
+		step = guard.step
 	}
 	start := func() (*Engine, []Event) {
-		set := w.settings
-		set.Classes = slices.Clone(set.Classes)
-		if b.settings != nil {
-			b.settings(&set)
+		settings := sim.settings
+		settings.Classes = slices.Clone(settings.Classes)
+		if guard.settings != nil {
+			guard.settings(&settings)
 		}
-		engine, err := New(set, seed)
+		engine, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.reset()
-		for _, l := range w.endpoints {
-			w.listed[l.ID] = l
+		sim.reset()
+		for _, entry := range sim.endpoints {
+			sim.listed[entry.ID] = entry
 		}
-		return engine, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.endpoints)}}
+		return engine, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(sim.endpoints)}}
 	}
 	engine, first := start()
-	restart := w.now + time.Duration(30+w.rng.IntN(10))*time.Second
-	expiresAt := w.now + time.Minute
-	for w.now < expiresAt {
-		w.now += 5 * time.Millisecond
-		if restart > 0 && w.now >= restart {
+	restartAt := sim.now + time.Duration(30+sim.rng.IntN(10))*time.Second
+	expiresAt := sim.now + time.Minute
+	for sim.now < expiresAt {
+		sim.now += 5 * time.Millisecond
+		if restartAt > 0 && sim.now >= restartAt {
 			engine, first = start()
-			restart = 0
+			restartAt = 0
 		}
-		evs := append(first, w.nextEvents(w.now > expiresAt-15*time.Second)...)
+		events := append(first, sim.nextEvents(sim.now > expiresAt-15*time.Second)...)
 		first = nil
-		if b.event != nil {
-			for i := range evs {
-				b.event(&evs[i])
+		if guard.event != nil {
+			for i := range events {
+				guard.event(&events[i])
 			}
 		}
-		if len(evs) > 0 {
-			w.apply(step(engine, w.now, evs))
-			if b.replace != nil {
-				engine = b.replace(engine)
+		if len(events) > 0 {
+			sim.apply(step(engine, sim.now, events))
+			if guard.replace != nil {
+				engine = guard.replace(engine)
 			}
 		}
-		for id, m := range w.messages {
-			over := m.ended && !slices.ContainsFunc(m.attempts, func(t sentAttempt) bool { return t.inFlight })
-			if !m.ended && w.now > m.deadline+20*time.Millisecond {
-				w.violate(1, "message %d has no answer at its deadline", id)
-				m.ended = true
+		for id, msg := range sim.messages {
+			over := msg.ended && !slices.ContainsFunc(msg.attempts, func(t sentAttempt) bool { return t.inFlight })
+			if !msg.ended && sim.now > msg.deadline+20*time.Millisecond {
+				sim.violate(1, "message %d has no answer at its deadline", id)
+				msg.ended = true
 			}
-			if over && m.key == "" {
-				delete(w.messages, id)
+			if over && msg.key == "" {
+				delete(sim.messages, id)
 			}
 		}
 	}
-	return w
+	return sim
 }
 
 func TestSixRules(t *testing.T) {
 	for seed := range uint64(60) {
-		w := simulate(t, seed, disabledGuard{})
+		sim := simulate(t, seed, disabledGuard{})
 		for rule := 1; rule <= 6; rule++ {
-			if w.violations[rule] != "" {
-				t.Errorf("seed %d, rule %d: %s", seed, rule, w.violations[rule])
+			if sim.violations[rule] != "" {
+				t.Errorf("seed %d, rule %d: %s", seed, rule, sim.violations[rule])
 			}
 		}
-		if w.delivered < 150 || w.actionCounts[1] == 0 || w.actionCounts[2] == 0 {
+		if sim.delivered < 150 || sim.actionCounts[1] == 0 || sim.actionCounts[2] == 0 {
 			t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run shows too little",
-				seed, w.delivered, w.actionCounts)
+				seed, sim.delivered, sim.actionCounts)
 		}
 	}
 }
 
 func TestCheckerDetectsDisabledGuards(t *testing.T) {
-	for _, b := range []disabledGuard{
+	for _, guard := range []disabledGuard{
 		{name: "deadline", rule: 1, event: func(event *Event) { event.TimeLeft += time.Second }},
 		{name: "unsafe", rule: 2, settings: func(s *Settings) { s.Classes[3].Effect = Idempotent }},
 		{name: "group", rule: 2, settings: func(s *Settings) { s.Classes[1].DedupAllZones = true }},
@@ -491,13 +491,13 @@
 		{name: "turn", rule: 6, settings: func(s *Settings) { s.Classes[3].Ordered, s.Classes[4].Ordered = false, false }},
 		{name: "rest", rule: 6, settings: func(s *Settings) { s.OrderingPause = 0 }},
 	} {
-		t.Run(b.name, func(t *testing.T) {
+		t.Run(guard.name, func(t *testing.T) {
 			for seed := range uint64(12) {
-				if simulate(t, seed, b).violations[b.rule] != "" {
+				if simulate(t, seed, guard).violations[guard.rule] != "" {
 					return
 				}
 			}
-			t.Errorf("rule %d was broken by no run without its guard", b.rule)
+			t.Errorf("rule %d was broken by no run without its guard", guard.rule)
 		})
 	}
 }
--- a/policy/rest_test.go
+++ b/policy/rest_test.go
@@ -13,31 +13,31 @@
 
 // forgetfulEviction is a Resting that overlooks something: it is asked of a copy in which that was never so.
 type forgetfulEviction struct {
-	name string
-	forgetScope func(*limitScope)
+	name              string
+	forgetScope       func(*limitScope)
 	forgetDestination func(*destination)
 }
 
 // evictable asks Resting, or what a forgetful one would say; nil overlooks nothing.
-func (f *forgetfulEviction) evictable(t fataler, engine *Engine, dest int) bool {
-	if f == nil {
-		return engine.Evictable(dest)
+func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID int) bool {
+	if eviction == nil {
+		return engine.Evictable(destinationID)
 	}
 	copied, err := Restore(engine.settings, engine.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := copied.destinations[dest]; d != nil {
-		if f.forgetDestination != nil {
-			f.forgetDestination(d)
+	if dest := copied.destinations[destinationID]; dest != nil {
+		if eviction.forgetDestination != nil {
+			eviction.forgetDestination(dest)
 		}
-		for _, scope := range d.scopes {
-			if f.forgetScope != nil {
-				f.forgetScope(scope)
+		for _, scope := range dest.scopes {
+			if eviction.forgetScope != nil {
+				eviction.forgetScope(scope)
 			}
 		}
 	}
-	return copied.Evictable(dest)
+	return copied.Evictable(destinationID)
 }
 
 type fataler interface{ Fatal(args ...any) }
@@ -52,7 +52,7 @@
 
 // forgetfulEvictions are those that must be convicted by the random streams. TestSharedQuotaPreventsEviction has one more.
 var forgetfulEvictions = []forgetfulEviction{
-	{name: "messages", forgetDestination: func(d *destination) { d.messageCount = 0 }},
+	{name: "messages", forgetDestination: func(dest *destination) { dest.messageCount = 0 }},
 	{name: "told waits", forgetScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
 	{name: "skips", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })},
 	{name: "cold routes", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
@@ -69,43 +69,43 @@
 // eventStream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by
 // destination.
 type eventStream struct {
-	t      *rapid.T
-	engine      *Engine
-	now    time.Duration
-	endpoints   []Endpoint
-	calls    []streamCall
-	retryAfterUntil  map[string]time.Duration
+	t                 *rapid.T
+	engine            *Engine
+	now               time.Duration
+	endpoints         []Endpoint
+	calls             []streamCall
+	retryAfterUntil   map[string]time.Duration
 	consecutiveErrors map[string]int           // in a row, by scope
-	recoveredAt   map[string]time.Duration // first delivery after three of them
-	pending   map[uint32]int           // destination of what is held
-	attempts  map[uint32]int
-	nextID uint32
-	timerAt   time.Duration
+	recoveredAt       map[string]time.Duration // first delivery after three of them
+	pending           map[uint32]int           // destination of what is held
+	attempts          map[uint32]int
+	nextID            uint32
+	timerAt           time.Duration
 }
 
 type streamCall struct {
-	id    uint32
-	attempt     int
-	endpoint string
-	sentAt  time.Duration
-	timeoutAt   time.Duration
+	id        uint32
+	attempt   int
+	endpoint  string
+	sentAt    time.Duration
+	timeoutAt time.Duration
 }
 
 func newEventStream(t *rapid.T) *eventStream {
-	set := testSettings()
-	set.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
-	set.MaxInFlightCalls, set.MaxPendingMessages, set.WarmUpDuration = 20, 100, 20*time.Second
-	engine, err := New(set, rapid.Uint64().Draw(t, "seed"))
+	settings := testSettings()
+	settings.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
+	settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.WarmUpDuration = 20, 100, 20*time.Second
+	engine, err := New(settings, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &eventStream{
+	stream := &eventStream{
 		t: t, engine: engine, now: time.Minute, retryAfterUntil: map[string]time.Duration{}, consecutiveErrors: map[string]int{}, recoveredAt: map[string]time.Duration{},
 		pending: map[uint32]int{}, attempts: map[uint32]int{}, nextID: 1,
 	}
 	for i := range 8 {
-		w.endpoints = append(
-			w.endpoints,
+		stream.endpoints = append(
+			stream.endpoints,
 			Endpoint{
 				ID:          fmt.Sprint("r", i),
 				Destination: i % 3,
@@ -116,51 +116,51 @@
 			},
 		)
 	}
-	w.step(Event{Kind: EndpointSnapshot, Endpoints: slices.Clone(w.endpoints)})
-	return w
+	stream.step(Event{Kind: EndpointSnapshot, Endpoints: slices.Clone(stream.endpoints)})
+	return stream
 }
 
 // scopeKey names what shares a told wait.
-func (w *eventStream) scopeKey(route string) string {
-	i := slices.IndexFunc(w.endpoints, func(l Endpoint) bool { return l.ID == route })
-	if i < 0 || w.engine.settings.DestinationKinds[w.endpoints[i].Kind].LimitPerEndpoint {
-		return route
+func (stream *eventStream) scopeKey(endpointID string) string {
+	i := slices.IndexFunc(stream.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
+	if i < 0 || stream.engine.settings.DestinationKinds[stream.endpoints[i].Kind].LimitPerEndpoint {
+		return endpointID
 	}
-	return fmt.Sprint(w.endpoints[i].Destination)
+	return fmt.Sprint(stream.endpoints[i].Destination)
 }
 
-func (w *eventStream) step(evs ...Event) {
-	for _, a := range w.engine.Step(w.now, evs) {
+func (stream *eventStream) step(events ...Event) {
+	for _, a := range stream.engine.Step(stream.now, events) {
 		switch a.Kind {
 		case Send:
-			w.calls = append(w.calls, streamCall{a.MessageID, w.attempts[a.MessageID], a.Endpoint, w.now, a.TimeoutAt})
-			w.attempts[a.MessageID]++
+			stream.calls = append(stream.calls, streamCall{a.MessageID, stream.attempts[a.MessageID], a.Endpoint, stream.now, a.TimeoutAt})
+			stream.attempts[a.MessageID]++
 		case Reject, Fail:
-			delete(w.pending, a.MessageID)
+			delete(stream.pending, a.MessageID)
 		case SetTimer:
-			w.timerAt = w.now + a.Delay
+			stream.timerAt = stream.now + a.Delay
 		}
 	}
 }
 
 // advance lets time go by, with the wakes and time-outs that fall due.
-func (w *eventStream) advance(by time.Duration) {
-	for expiresAt := w.now + by; w.now < expiresAt; {
+func (stream *eventStream) advance(by time.Duration) {
+	for expiresAt := stream.now + by; stream.now < expiresAt; {
 		next := expiresAt
-		if w.timerAt > w.now {
-			next = min(next, w.timerAt)
+		if stream.timerAt > stream.now {
+			next = min(next, stream.timerAt)
 		}
-		for _, c := range w.calls {
-			next = min(next, max(c.timeoutAt, w.now))
+		for _, c := range stream.calls {
+			next = min(next, max(c.timeoutAt, stream.now))
 		}
-		w.now = next
-		if w.timerAt > 0 && w.timerAt <= w.now {
-			w.timerAt = 0
-			w.step(Event{Kind: TimerFired})
+		stream.now = next
+		if stream.timerAt > 0 && stream.timerAt <= stream.now {
+			stream.timerAt = 0
+			stream.step(Event{Kind: TimerFired})
 		}
-		for i := 0; i < len(w.calls); {
-			if w.calls[i].timeoutAt <= w.now {
-				w.finish(i, Timeout, 0)
+		for i := 0; i < len(stream.calls); {
+			if stream.calls[i].timeoutAt <= stream.now {
+				stream.finish(i, Timeout, 0)
 			} else {
 				i++
 			}
@@ -168,31 +168,31 @@
 	}
 }
 
-func (w *eventStream) finish(i int, outcome Outcome, wait time.Duration) {
-	c := w.calls[i]
-	w.calls = slices.Delete(w.calls, i, i+1)
+func (stream *eventStream) finish(i int, outcome Outcome, wait time.Duration) {
+	c := stream.calls[i]
+	stream.calls = slices.Delete(stream.calls, i, i+1)
 	if wait > 0 {
-		k := w.scopeKey(c.endpoint)
-		w.retryAfterUntil[k] = max(w.retryAfterUntil[k], w.now+wait)
+		k := stream.scopeKey(c.endpoint)
+		stream.retryAfterUntil[k] = max(stream.retryAfterUntil[k], stream.now+wait)
 	}
-	switch k := w.scopeKey(c.endpoint); outcome {
+	switch k := stream.scopeKey(c.endpoint); outcome {
 	case OK:
-		delete(w.pending, c.id)
-		if w.consecutiveErrors[k] >= 3 {
-			w.recoveredAt[k] = w.now
+		delete(stream.pending, c.id)
+		if stream.consecutiveErrors[k] >= 3 {
+			stream.recoveredAt[k] = stream.now
 		}
-		w.consecutiveErrors[k] = 0
+		stream.consecutiveErrors[k] = 0
 	case Error:
-		w.consecutiveErrors[k]++
+		stream.consecutiveErrors[k]++
 	}
-	w.step(
+	stream.step(
 		Event{
 			Kind:         AttemptFinished,
 			MessageID:    c.id,
 			Attempt:      c.attempt,
 			Endpoint:     c.endpoint,
 			Outcome:      outcome,
-			Latency:      w.now - c.sentAt,
+			Latency:      stream.now - c.sentAt,
 			MessageEnded: outcome == OK,
 			RetryAfter:   wait,
 		},
@@ -201,49 +201,49 @@
 
 // bindingState says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of
 // the sender what would keep a message from each of its routes.
-func (w *eventStream) bindingState(dest int) string {
-	for id, d := range w.pending {
-		if d == dest {
+func (stream *eventStream) bindingState(destinationID int) string {
+	for id, d := range stream.pending {
+		if d == destinationID {
 			return fmt.Sprintf("message %d", id)
 		}
 	}
-	for _, c := range w.calls {
-		if slices.ContainsFunc(w.endpoints, func(l Endpoint) bool { return l.ID == c.endpoint && l.Destination == dest }) {
+	for _, c := range stream.calls {
+		if slices.ContainsFunc(stream.endpoints, func(entry Endpoint) bool { return entry.ID == c.endpoint && entry.Destination == destinationID }) {
 			return "a call to " + c.endpoint
 		}
 	}
-	for _, l := range w.endpoints {
-		switch k := w.scopeKey(l.ID); {
-		case l.Destination != dest:
-		case w.retryAfterUntil[k] > w.now:
-			return "a told wait of " + l.ID
-		case w.consecutiveErrors[k] >= 3:
-			return "an outage of " + l.ID
-		case w.recoveredAt[k] > 0 && w.now < w.recoveredAt[k]+w.engine.settings.WarmUpDuration:
-			return "a warm-up of " + l.ID
+	for _, entry := range stream.endpoints {
+		switch k := stream.scopeKey(entry.ID); {
+		case entry.Destination != destinationID:
+		case stream.retryAfterUntil[k] > stream.now:
+			return "a told wait of " + entry.ID
+		case stream.consecutiveErrors[k] >= 3:
+			return "an outage of " + entry.ID
+		case stream.recoveredAt[k] > 0 && stream.now < stream.recoveredAt[k]+stream.engine.settings.WarmUpDuration:
+			return "a warm-up of " + entry.ID
 		}
 	}
-	engine, err := Restore(w.engine.settings, w.engine.Snapshot(nil))
+	engine, err := Restore(stream.engine.settings, stream.engine.Snapshot(nil))
 	if err != nil {
-		w.t.Fatal(err)
+		stream.t.Fatal(err)
 	}
 	engine.callsInFlight = engine.settings.MaxInFlightCalls // so that the probe waits, whatever would let it go
 	fresh := map[string]bool{}
-	if d := engine.destinations[dest]; d != nil {
-		for _, scope := range d.scopes {
+	if dest := engine.destinations[destinationID]; dest != nil {
+		for _, scope := range dest.scopes {
 			for _, ep := range scope.endpoints {
 				fresh[ep.ID] = scope.pacingRate == 0
 			}
 		}
 	}
-	engine.Step(w.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: dest, TimeLeft: time.Minute}})
+	engine.Step(stream.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: destinationID, TimeLeft: time.Minute}})
 	for _, h := range engine.Blockers() {
 		if h.MessageID != math.MaxUint32 {
 			continue
 		}
 		switch h.Cause {
 		case RetryAfterPending, EndpointEjected, WarmUpBudget, TrialInFlight, EndpointSaturated:
-			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-w.now, h.Endpoint)
+			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-stream.now, h.Endpoint)
 		case Paced:
 			if !fresh[h.Endpoint] {
 				return "a pace at " + h.Endpoint
@@ -254,72 +254,72 @@
 }
 
 // run runs a random stream, and says what a Resting would have had forgotten; how often something could be is counted.
-func (w *eventStream) run(f *forgetfulEviction, rested *int) (wrong string) {
+func (stream *eventStream) run(eviction *forgetfulEviction, evictable *int) (wrong string) {
 	look := func() {
-		was := w.engine.Snapshot(nil)
+		was := stream.engine.Snapshot(nil)
 		for d := range 3 {
-			if wrong == "" && f.evictable(w.t, w.engine, d) {
-				*rested++
-				if binds := w.bindingState(d); binds != "" {
-					wrong = fmt.Sprintf("at %v destination %d may rest, with %s", w.now, d, binds)
+			if wrong == "" && eviction.evictable(stream.t, stream.engine, d) {
+				*evictable++
+				if binds := stream.bindingState(d); binds != "" {
+					wrong = fmt.Sprintf("at %v destination %d may rest, with %s", stream.now, d, binds)
 				}
 			}
 		}
-		if !bytes.Equal(w.engine.Snapshot(nil), was) {
-			w.t.Fatal("asking changed the sender")
+		if !bytes.Equal(stream.engine.Snapshot(nil), was) {
+			stream.t.Fatal("asking changed the sender")
 		}
 	}
-	w.t.Repeat(map[string]func(*rapid.T){
+	stream.t.Repeat(map[string]func(*rapid.T){
 		"take": func(t *rapid.T) {
 			for range rapid.IntRange(1, 3).Draw(t, "n") {
 				d := rapid.IntRange(0, 2).Draw(t, "destination")
-				w.pending[w.nextID] = d
-				w.nextID++
-				w.step(Event{Kind: MessageAccepted, MessageID: w.nextID - 1, Destination: d, TimeLeft: 9 * time.Second})
+				stream.pending[stream.nextID] = d
+				stream.nextID++
+				stream.step(Event{Kind: MessageAccepted, MessageID: stream.nextID - 1, Destination: d, TimeLeft: 9 * time.Second})
 			}
 		},
 		"answer": func(t *rapid.T) {
-			if len(w.calls) > 0 {
+			if len(stream.calls) > 0 {
 				outcome := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}).
 					Draw(t, "outcome")
 				wait := rapid.SampledFrom([]time.Duration{0, 0, 0, 300 * ms, 50 * time.Second}).Draw(t, "wait")
-				w.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
-				if len(w.calls) > 0 {
-					w.finish(rapid.IntRange(0, len(w.calls)-1).Draw(t, "call"), outcome, wait)
+				stream.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
+				if len(stream.calls) > 0 {
+					stream.finish(rapid.IntRange(0, len(stream.calls)-1).Draw(t, "call"), outcome, wait)
 				}
 			}
 		},
 		"fail in a row": func(t *rapid.T) {
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
-				if w.advance(20 * ms); len(w.calls) > 0 {
-					w.finish(0, Error, 0)
+				if stream.advance(20 * ms); len(stream.calls) > 0 {
+					stream.finish(0, Error, 0)
 				}
 			}
 		},
 		"all is well": func(t *rapid.T) {
 			for range rapid.IntRange(1, 40).Draw(t, "n") {
-				for len(w.calls) > 0 {
-					w.finish(0, OK, 0)
+				for len(stream.calls) > 0 {
+					stream.finish(0, OK, 0)
 				}
-				w.advance(200 * ms)
+				stream.advance(200 * ms)
 			}
 		},
 		"list": func(t *rapid.T) {
-			l := &w.endpoints[rapid.IntRange(0, len(w.endpoints)-1).Draw(t, "route")]
+			entry := &stream.endpoints[rapid.IntRange(0, len(stream.endpoints)-1).Draw(t, "route")]
 			if rapid.Bool().Draw(t, "replace") {
-				gone := *l
+				gone := *entry
 				gone.Removed, gone.InService = true, false
-				delete(w.consecutiveErrors, w.scopeKey(l.ID)) // what became of those is asked of the copy alone
-				delete(w.recoveredAt, w.scopeKey(l.ID))
-				l.ID += "'"
-				w.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{gone, *l}})
+				delete(stream.consecutiveErrors, stream.scopeKey(entry.ID)) // what became of those is asked of the copy alone
+				delete(stream.recoveredAt, stream.scopeKey(entry.ID))
+				entry.ID += "'"
+				stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{gone, *entry}})
 				return
 			}
-			l.InService = !l.InService
-			w.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{*l}})
+			entry.InService = !entry.InService
+			stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}})
 		},
-		"a while":      func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms) },
-		"a long while": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second) },
+		"a while":      func(t *rapid.T) { stream.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms) },
+		"a long while": func(t *rapid.T) { stream.advance(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second) },
 		"":             func(*rapid.T) { look() },
 	})
 	return wrong
@@ -327,24 +327,24 @@
 
 // Whatever happened, what may rest has nothing in force: no message, call, told wait, skip, doubt, warm-up or pace.
 func TestEvictableDestinationsHoldNoBindingState(t *testing.T) {
-	rested, looks := 0, 0
+	evictable, looks := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		looks++
-		if wrong := newEventStream(t).run(nil, &rested); wrong != "" {
+		if wrong := newEventStream(t).run(nil, &evictable); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
-	if rested < looks {
-		t.Errorf("%d times something could rest in %d streams: they show too little", rested, looks)
+	if evictable < looks {
+		t.Errorf("%d times something could rest in %d streams: they show too little", evictable, looks)
 	}
 }
 
 func TestForgetfulEvictionsAreDetected(t *testing.T) {
-	for _, f := range forgetfulEvictions {
-		t.Run(f.name, func(t *testing.T) {
+	for _, eviction := range forgetfulEvictions {
+		t.Run(eviction.name, func(t *testing.T) {
 			gen := rapid.Custom(func(t *rapid.T) string {
-				rested := 0
-				return newEventStream(t).run(&f, &rested)
+				evictable := 0
+				return newEventStream(t).run(&eviction, &evictable)
 			})
 			for seed := range 600 {
 				if wrong := gen.Example(seed); wrong != "" {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -25,19 +25,19 @@
 	}}
 }
 
-func stepRecovered(t *testing.T, r *RecoveredMessage) []Action {
+func stepRecovered(t *testing.T, recovered *RecoveredMessage) []Action {
 	t.Helper()
 	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return engine.Step(time.Second, []Event{
-		twoZoneList(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: r},
+		twoZoneList(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: recovered},
 	})
 }
 
 func TestRecoveredMessagesKeepZoneAndWindow(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		resumed RecoveredMessage
 		route   string // "" if none may be tried
@@ -47,20 +47,20 @@
 		{"too long ago", RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 11 * time.Second}, ""},
 		{"no attempts left", RecoveredMessage{Attempts: 8}, ""},
 	} {
-		route := ""
-		for _, a := range stepRecovered(t, &c.resumed) {
+		endpointID := ""
+		for _, a := range stepRecovered(t, &test.resumed) {
 			if a.Kind == Send {
-				route = a.Endpoint
+				endpointID = a.Endpoint
 			}
 		}
-		if route != c.route {
-			t.Errorf("%s: sent to %q, want %q", c.name, route, c.route)
+		if endpointID != test.route {
+			t.Errorf("%s: sent to %q, want %q", test.name, endpointID, test.route)
 		}
 	}
 }
 
 func TestOverdueRecoveredMessagesEndAtOnce(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		resumed RecoveredMessage
 		want    ActionKind
 	}{{RecoveredMessage{}, Reject}, {RecoveredMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
@@ -68,15 +68,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := engine.Step(
+		actions := engine.Step(
 			time.Second,
 			[]Event{
 				twoZoneList(),
-				{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: -time.Second, Recovered: &c.resumed},
+				{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: -time.Second, Recovered: &test.resumed},
 			},
 		)
-		if len(acts) == 0 || acts[0].Kind != c.want {
-			t.Errorf("%+v: %+v", c.resumed, acts)
+		if len(actions) == 0 || actions[0].Kind != test.want {
+			t.Errorf("%+v: %+v", test.resumed, actions)
 		}
 	}
 }
@@ -86,10 +86,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evs := []Event{twoZoneList()}
+	events := []Event{twoZoneList()}
 	for i := range uint32(40) {
-		evs = append(
-			evs,
+		events = append(
+			events,
 			Event{
 				Kind:        MessageAccepted,
 				MessageID:   i,
@@ -100,7 +100,7 @@
 		)
 	}
 	sends := 0
-	for _, a := range engine.Step(time.Second, evs) {
+	for _, a := range engine.Step(time.Second, events) {
 		if a.Kind == Send {
 			sends++
 		}
@@ -151,11 +151,11 @@
 // A connection that was long in coming must not carry a repeat that is dropped no more. What never ran may go at any
 // time, and so may what may be repeated for ever.
 func TestStillAllowedWithinDedupWindow(t *testing.T) {
-	set := restartSettings()
-	safe := set.Classes[0]
+	settings := restartSettings()
+	safe := settings.Classes[0]
 	safe.Effect = Idempotent
-	set.Classes = append(set.Classes, safe)
-	engine, err := New(set, 1)
+	settings.Classes = append(settings.Classes, safe)
+	engine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 		{Kind: MessageAccepted, MessageID: 3, Class: 1, Destination: 5, TimeLeft: 14 * time.Second, Recovered: ran},
 	})
 	expiresAt := 2*time.Second - deadlineMargin
-	for _, c := range []struct {
+	for _, test := range []struct {
 		ids  []uint32
 		at   time.Duration
 		want bool
@@ -179,8 +179,8 @@
 		{[]uint32{3}, 9 * time.Second, true},
 		{[]uint32{77}, 9 * time.Second, true},
 	} {
-		if got := engine.StillAllowed("best", c.ids, c.at); got != c.want {
-			t.Errorf("messages %v at %v: %v", c.ids, c.at, got)
+		if got := engine.StillAllowed("best", test.ids, test.at); got != test.want {
+			t.Errorf("messages %v at %v: %v", test.ids, test.at, got)
 		}
 	}
 }
@@ -191,8 +191,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends := func(at time.Duration, evs ...Event) (kinds []ActionKind) {
-		for _, a := range engine.Step(at, evs) {
+	ends := func(at time.Duration, events ...Event) (kinds []ActionKind) {
+		for _, a := range engine.Step(at, events) {
 			if a.Kind == Reject || a.Kind == Fail {
 				kinds = append(kinds, a.Kind)
 			}
@@ -220,18 +220,18 @@
 	sent, rejected map[uint32]time.Duration // when
 }
 
-func runRecovered(t *testing.T, set Settings, first []Event, n int, left time.Duration) recoveredOutcome {
+func runRecovered(t *testing.T, settings Settings, first []Event, n int, left time.Duration) recoveredOutcome {
 	t.Helper()
-	engine, err := New(set, 7)
+	engine, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u := recoveredOutcome{map[uint32]time.Duration{}, map[uint32]time.Duration{}}
 	began := time.Second
-	now, evs := began, first
+	now, events := began, first
 	for id := range uint32(n) {
-		evs = append(
-			evs,
+		events = append(
+			events,
 			Event{
 				Kind:        MessageAccepted,
 				MessageID:   id + 1,
@@ -244,7 +244,7 @@
 	for now < began+left+time.Second {
 		wake := now + time.Second
 		var next []Event
-		for _, a := range engine.Step(now, evs) {
+		for _, a := range engine.Step(now, events) {
 			switch a.Kind {
 			case Send:
 				u.sent[a.MessageID] = now - began
@@ -267,7 +267,7 @@
 				wake = min(wake, now+a.Delay)
 			}
 		}
-		if evs = next; len(evs) > 0 {
+		if events = next; len(events) > 0 {
 			wake = min(wake, now+50*time.Millisecond)
 		}
 		now = wake
@@ -299,7 +299,7 @@
 		}
 	}
 	told := append(list(500), Event{Kind: HealthChecked, Endpoint: "only", Outcome: NotSent, RetryAfter: time.Minute})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		set         Settings
 		first       []Event
@@ -315,21 +315,21 @@
 		{"no room", full, list(3), 20, 1, left, left - 50*time.Millisecond},
 		{"a wait beyond their time", plain, told, 20, 0, 0, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			u := runRecovered(t, c.set, c.first, c.n, left)
-			if len(u.sent) < c.sent || len(u.sent)+len(u.rejected) != c.n {
-				t.Errorf("%d sent, %d refused of %d", len(u.sent), len(u.rejected), c.n)
+		t.Run(test.name, func(t *testing.T) {
+			u := runRecovered(t, test.set, test.first, test.n, left)
+			if len(u.sent) < test.sent || len(u.sent)+len(u.rejected) != test.n {
+				t.Errorf("%d sent, %d refused of %d", len(u.sent), len(u.rejected), test.n)
 			}
 			for id, at := range u.sent {
-				if at > c.sentBy {
+				if at > test.sentBy {
 					t.Errorf("message %d sent after %v", id, at)
 				}
 			}
 			for id, at := range u.rejected {
-				if at < c.refusedFrom {
+				if at < test.refusedFrom {
 					t.Errorf("message %d refused after %v", id, at)
 				}
-				if c.refusedFrom == 0 && at > 0 {
+				if test.refusedFrom == 0 && at > 0 {
 					t.Errorf("message %d, told to wait beyond its time, refused after %v only", id, at)
 				}
 			}
@@ -341,7 +341,7 @@
 // is then this sender's part of a destination of that size, not of one call a second; it is no less than that, and a
 // told limit goes before it.
 func TestUnknownCapacityFollowsOwnDeliveries(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		weights    bool
 		deliveries int // one in 100 ms
@@ -352,9 +352,9 @@
 		{"some delivered", false, 40, 300 * 1.5, 300 * 5},
 		{"told", true, 40, 50, 50},
 	} {
-		set := restartSettings()
-		set.DestinationKinds, set.FleetSize, set.IgnoreWeights = []DestinationKind{{MaxBatch: 1}}, 300, !c.weights
-		engine, err := New(set, 3)
+		settings := restartSettings()
+		settings.DestinationKinds, settings.FleetSize, settings.IgnoreWeights = []DestinationKind{{MaxBatch: 1}}, 300, !test.weights
+		engine, err := New(settings, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -368,13 +368,13 @@
 				},
 			},
 		)
-		for range c.deliveries {
+		for range test.deliveries {
 			now += 100 * time.Millisecond
 			engine.Step(now, []Event{{Kind: HealthChecked, Endpoint: "only", Outcome: OK}})
 		}
 		ep := engine.endpoints["only"]
-		if capacity := engine.scopeCapacity(ep.scope); capacity < c.least || capacity > c.most {
-			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", c.name, capacity, c.least, c.most)
+		if capacity := engine.scopeCapacity(ep.scope); capacity < test.least || capacity > test.most {
+			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", test.name, capacity, test.least, test.most)
 		}
 		engine.Step(
 			now,
@@ -383,9 +383,9 @@
 				{Kind: HealthChecked, Endpoint: "only", Outcome: Error},
 			},
 		)
-		if all := engine.recoveryRate(ep) * float64(set.FleetSize); !ep.warmingUp || c.deliveries > 0 && all < 2 ||
+		if all := engine.recoveryRate(ep) * float64(settings.FleetSize); !ep.warmingUp || test.deliveries > 0 && all < 2 ||
 			all > engine.scopeCapacity(ep.scope) {
-			t.Errorf("%s: in doubt all senders may make %.2f calls a second", c.name, all)
+			t.Errorf("%s: in doubt all senders may make %.2f calls a second", test.name, all)
 		}
 	}
 }
--- a/policy/rights_test.go
+++ b/policy/rights_test.go
@@ -23,34 +23,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &sharingRelay{
+	relay := &sharingRelay{
 		engine,
 		[]Event{
 			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}},
 		},
 	}
 	for id := range uint32(200) {
-		x.events = append(
-			x.events,
+		relay.events = append(
+			relay.events,
 			Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second},
 		)
 	}
-	x.runFor(time.Second, 9*time.Second)
-	return x
+	relay.runFor(time.Second, 9*time.Second)
+	return relay
 }
 
 // runFor steps it over a span, with what it is told at its beginning, and counts calls and asks.
-func (s *sharingRelay) runFor(from, length time.Duration, evs ...Event) (calls, asks, wanted int) {
-	s.events = append(s.events, evs...)
+func (relay *sharingRelay) runFor(from, length time.Duration, events ...Event) (calls, asks, wanted int) {
+	relay.events = append(relay.events, events...)
 	for now := from; now < from+length; now += 10 * time.Millisecond {
-		acts := s.Step(now, s.events)
-		s.events = s.events[:0]
-		for _, a := range acts {
+		actions := relay.Step(now, relay.events)
+		relay.events = relay.events[:0]
+		for _, a := range actions {
 			switch a.Kind {
 			case Send:
 				calls++
-				s.events = append(
-					s.events,
+				relay.events = append(
+					relay.events,
 					Event{
 						Kind:         AttemptFinished,
 						MessageID:    a.MessageID,
@@ -75,7 +75,7 @@
 		return Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: share, GrantedCalls: calls, TimeLeft: left}
 	}
 	const span = 10 * time.Second
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		evs                   []Event
 		callsLeast, callsMost int
 		asksLeast, asksMost   int
@@ -90,36 +90,36 @@
 		"while the route drains":               {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
 		"two at a time end with the first one": {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
 	} {
-		s := newSharingRelay(t)
-		calls, asks, wanted := s.runFor(span, span, c.evs...)
-		if calls < c.callsLeast || calls > c.callsMost || asks < c.asksLeast || asks > c.asksMost ||
+		relay := newSharingRelay(t)
+		calls, asks, wanted := relay.runFor(span, span, test.evs...)
+		if calls < test.callsLeast || calls > test.callsMost || asks < test.asksLeast || asks > test.asksMost ||
 			asks > 0 && wanted < 100 {
 			t.Errorf("%s: %d calls, %d asks for %d", name, calls, asks, wanted)
 		}
 	}
 	// A call that comes too late for its right is not made by it.
-	s := newSharingRelay(t)
-	if calls, _, _ := s.runFor(span, 2*time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
+	relay := newSharingRelay(t)
+	if calls, _, _ := relay.runFor(span, 2*time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
 		t.Errorf("%d calls by rights that were void", calls)
 	}
 }
 
 // A sender that lends and borrows goes on from its snapshot as it was.
 func TestQuotaGrantsSurviveSnapshots(t *testing.T) {
-	a := newSharingRelay(t)
-	a.runFor(
+	original := newSharingRelay(t)
+	original.runFor(
 		10*time.Second,
 		time.Second,
 		Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second},
 		Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: 0.2, GrantedCalls: 4, TimeLeft: 5 * time.Second},
 	)
-	again, err := Restore(a.settings, a.Snapshot(nil))
+	restoredEngine, err := Restore(original.settings, original.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &sharingRelay{again, nil}
-	callsA, asksA, _ := a.runFor(11*time.Second, 3*time.Second)
-	callsB, asksB, _ := b.runFor(11*time.Second, 3*time.Second)
+	restored := &sharingRelay{restoredEngine, nil}
+	callsA, asksA, _ := original.runFor(11*time.Second, 3*time.Second)
+	callsB, asksB, _ := restored.runFor(11*time.Second, 3*time.Second)
 	if callsA != callsB || asksA != asksB || callsA < 4 {
 		t.Errorf("%d calls and %d asks, restored %d and %d", callsA, asksA, callsB, asksB)
 	}
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -10,7 +10,7 @@
 // Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of
 // which none may be refused, and would look through all of it for each message that it takes up, and for each new one.
 func TestLoadSheddingScansABoundedQueue(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		behind  int // messages that may not be refused, behind one that may
 		refused bool
@@ -24,17 +24,17 @@
 				Classes: []Class{
 					{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
 				},
-				MaxPendingMessages: (c.behind*10 + 8) / 9,
+				MaxPendingMessages: (test.behind*10 + 8) / 9,
 			},
 			1,
 		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		evs := []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}}
-		for i := range c.behind {
-			evs = append(
-				evs,
+		events := []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}}
+		for i := range test.behind {
+			events = append(
+				events,
 				Event{
 					Kind:        MessageAccepted,
 					MessageID:   uint32(i + 2),
@@ -45,11 +45,11 @@
 			)
 		}
 		refused := false
-		for _, a := range engine.Step(time.Second, evs) {
+		for _, a := range engine.Step(time.Second, events) {
 			refused = refused || a.Kind == Reject && a.MessageID == 1
 		}
-		if refused != c.refused {
-			t.Errorf("%s: refused %v, want %v", c.name, refused, c.refused)
+		if refused != test.refused {
+			t.Errorf("%s: refused %v, want %v", test.name, refused, test.refused)
 		}
 	}
 }
@@ -64,27 +64,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var evs []Event
+	var events []Event
 	for i := range uint32(3 * maxQueueScan) {
-		evs = append(evs, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
+		events = append(events, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
 	}
-	engine.Step(time.Second, evs)
-	d := engine.destinations[5]
+	engine.Step(time.Second, events)
+	dest := engine.destinations[5]
 	for range maxQueueScan {
-		second := &d.queue[1]
-		if engine.dequeue(d.queue[0]); &d.queue[0] != second {
+		second := &dest.queue[1]
+		if engine.dequeue(dest.queue[0]); &dest.queue[0] != second {
 			t.Fatal("the queue was moved")
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	left := slices.Clone(d.queue)
+	left := slices.Clone(dest.queue)
 	for len(left) > 0 {
 		i := rng.IntN(len(left))
 		if i%3 == 0 {
 			i = 0
 		}
 		engine.dequeue(left[i])
-		if left = slices.Delete(left, i, i+1); !slices.Equal(d.queue, left) {
+		if left = slices.Delete(left, i, i+1); !slices.Equal(dest.queue, left) {
 			t.Fatalf("with %d left another order", len(left))
 		}
 	}
