--- a/policy/room_test.go
+++ b/policy/admission_test.go
@@ -1,12 +1,24 @@
 package policy
 
 import (
-	"math/rand/v2"
-	"slices"
+	"math"
 	"testing"
 	"time"
 )
 
+func TestLoadIsShedFromTheLongestQueue(t *testing.T) {
+	settings := testSettings()
+	settings.MaxPendingMessages = 10
+	h := newHarness(t, settings)
+	for id := range uint32(9) {
+		h.accept(id, 0)
+	}
+	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
+	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].MessageID == 20 {
+		t.Errorf("with little room left: %+v", actions)
+	}
+}
+
 // Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of
 // which none may be refused, and would look through all of it for each message that it takes up, and for each new one.
 func TestLoadSheddingScansABoundedQueue(t *testing.T) {
@@ -54,38 +66,15 @@
 	}
 }
 
-// A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss
-// their aims, it takes the square of its length. Whichever leave, the order stays.
-func TestDequeueAtTheFrontMovesNothing(t *testing.T) {
-	engine, err := New(
-		Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}},
-		1,
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var events []Event
-	for i := range uint32(3 * maxQueueScan) {
-		events = append(events, Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second})
-	}
-	engine.Step(time.Second, events)
-	dest := engine.destinations[5]
-	for range maxQueueScan {
-		second := &dest.queue[1]
-		if engine.dequeue(dest.queue[0]); &dest.queue[0] != second {
-			t.Fatal("the queue was moved")
-		}
-	}
-	rng := rand.New(rand.NewPCG(1, 2))
-	left := slices.Clone(dest.queue)
-	for len(left) > 0 {
-		i := rng.IntN(len(left))
-		if i%3 == 0 {
-			i = 0
+// A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
+func TestUnknownClassAndWeight(t *testing.T) {
+	for _, classIndex := range []int{-1, 99} {
+		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
+		if got := firstSend(h.accept(1, classIndex)); got == "" {
+			t.Fatalf("class %d: not sent", classIndex)
 		}
-		engine.dequeue(left[i])
-		if left = slices.Delete(left, i, i+1); !slices.Equal(dest.queue, left) {
-			t.Fatalf("with %d left another order", len(left))
+		if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
+			t.Errorf("class %d: %+v after a time-out", classIndex, actions)
 		}
 	}
 }
--- /dev/null
+++ b/policy/connect_test.go
@@ -0,0 +1,60 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// Idle connections of hundreds of senders once filled the tables of destinations.
+func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
+	for _, test := range []struct {
+		senders int
+		want    bool
+	}{{smallFleetSize, false}, {100, true}} {
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+		other := func(id uint32) bool {
+			h.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
+			return hasAction(h.finish(id, "b", OK, 10*ms, 0), CloseIdle)
+		}
+		h.accept(1, 0)
+		h.finish(1, "a", OK, 10*ms, 0)
+		h.accept(2, 0)
+		h.finish(2, "a", ConnectFailed, 10*ms, 0)
+		if other(3) {
+			t.Errorf("%d senders: closed after a connection of the kind that failed: it may be an outage's", test.senders)
+		}
+		h.advance(time.Second)
+		h.finish(2, "a", OK, 10*ms, 0)
+		if got := other(4); got != test.want {
+			t.Errorf("%d senders: closed %v after a failed connection and an answer of the kind", test.senders, got)
+		}
+	}
+}
+
+// Two failed connections at a full table once put a destination in doubt for its whole warm-up.
+func TestFullConnectionTableIsNoOutage(t *testing.T) {
+	for _, test := range []struct {
+		senders, fails int
+		took           time.Duration
+		cold           bool
+	}{
+		{20, 2, 10 * ms, false},                         // a full table
+		{100, maxConnectExhaustions + 3, 10 * ms, true}, // an outage after all
+		{100, 3, time.Second, true},                     // not at once: silence
+		{3, 3, 10 * ms, true},                           // few senders fill no table
+	} {
+		settings := testSettings()
+		settings.FleetSize = test.senders
+		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
+		h.engine.now = h.now
+		h.engine.connectShortageUntil[0] = h.now + time.Minute
+		for range test.fails {
+			h.engine.observeOutcome(h.engine.endpoints["a"], observation{outcome: ConnectFailed, sentAt: h.now - test.took}, test.took)
+		}
+		if got := h.engine.endpoints["a"].warmingUp; got != test.cold {
+			t.Errorf("%+v: in doubt %v", test, got)
+		}
+	}
+}
--- a/policy/ends_test.go
+++ b/policy/deadline_test.go
@@ -45,3 +45,14 @@
 		t.Errorf("%.0f allocations for an entry", n)
 	}
 }
+
+func TestLateMessagesAreDeprioritized(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.accept(1, 0)
+	h.advance(3 * time.Second)
+	h.accept(2, 0)
+	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
+	if len(actions) != 2 || actions[0].MessageID != 2 || actions[1].MessageID != 1 {
+		t.Errorf("order of sends: %+v", actions)
+	}
+}
--- a/policy/bare_test.go
+++ b/policy/emptylist_test.go
@@ -165,6 +165,14 @@
 	return sum.Sum64()
 }
 
+// emptyDestinationsOf are the destinations without routes that a Sender still knows, in their order.
+func emptyDestinationsOf(engine *Engine) (all []*destination) {
+	for dest := engine.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
+		all = append(all, dest)
+	}
+	return all
+}
+
 // What a Sender still knows after every step is what the plain rule says.
 func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
 	removed := 0
--- a/policy/rest_test.go
+++ b/policy/eviction_property_test.go
@@ -11,45 +11,6 @@
 	"pgregory.net/rapid"
 )
 
-// forgetfulEviction is a Resting that overlooks something: it is asked of a copy in which that was never so.
-type forgetfulEviction struct {
-	name              string
-	forgetScope       func(*limitScope)
-	forgetDestination func(*destination)
-}
-
-// evictable asks Resting, or what a forgetful one would say; nil overlooks nothing.
-func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID int) bool {
-	if eviction == nil {
-		return engine.Evictable(destinationID)
-	}
-	copied, err := Restore(engine.settings, engine.Snapshot(nil))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if dest := copied.destinations[destinationID]; dest != nil {
-		if eviction.forgetDestination != nil {
-			eviction.forgetDestination(dest)
-		}
-		for _, scope := range dest.scopes {
-			if eviction.forgetScope != nil {
-				eviction.forgetScope(scope)
-			}
-		}
-	}
-	return copied.Evictable(destinationID)
-}
-
-type fataler interface{ Fatal(args ...any) }
-
-func forEachEndpoint(set func(*endpoint)) func(*limitScope) {
-	return func(scope *limitScope) {
-		for _, ep := range scope.endpoints {
-			set(ep)
-		}
-	}
-}
-
 // forgetfulEvictions are those that must be convicted by the random streams. TestSharedQuotaPreventsEviction has one more.
 var forgetfulEvictions = []forgetfulEviction{
 	{name: "messages", forgetDestination: func(dest *destination) { dest.messageCount = 0 }},
--- a/policy/fleet_test.go
+++ b/policy/fleetrecovery_test.go
@@ -8,10 +8,6 @@
 	"time"
 )
 
-// A fleet of senders plays in front of one route that fails calls, or refuses them, and comes back cold. The
-// judge counts what reaches it from senders told of a failure or a refusal there during the outage, and holds
-// each window since the return against the budget. The senders share nothing but the route.
-
 // fleetCase is one such day.
 type fleetCase struct {
 	relays        int
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,123 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestRecoveryBudgetSpacesCalls(t *testing.T) {
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 5})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
+	ep.scope.recoveryTokens = 0
+	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
+	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
+	if got, want := h.engine.recoveryBudgetAt(ep), h.now+callInterval(rate); got != want {
+		t.Errorf("next call at %v, want %v", got, want)
+	}
+	ep.recoveredAt, h.engine.now = h.now, h.now+10*time.Second
+	if got := h.engine.recoveryBudgetAt(ep); got != 0 || ep.warmingUp {
+		t.Errorf("after the warm-up: next call at %v", got)
+	}
+}
+
+// Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
+func TestRetryAfterSavesNoRecoveryTokens(t *testing.T) {
+	settings := testSettings()
+	settings.FleetSize = 400
+	open := 0
+	for seed := range uint64(400) {
+		engine, err := New(settings, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		engine.Step(
+			time.Minute,
+			[]Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Weight: 400, InService: true}}}},
+		)
+		ep := engine.endpoints["a"]
+		ep.scope.retryAfterUntil = engine.now + 10*time.Second
+		engine.observeOutcome(ep, observation{outcome: Overloaded, retryAfter: 10 * time.Second, sentAt: engine.now}, ms)
+		engine.recoveryBudgetAt(ep)
+		if engine.now = ep.scope.retryAfterUntil; engine.recoveryBudgetAt(ep) <= engine.now {
+			open++
+		}
+	}
+	if open > 4 {
+		t.Errorf("%d of 400 senders call at the end of the wait", open)
+	}
+}
+
+// Calls saved up by hundreds of senders through a long outage once went out together at its end.
+func TestDueRecoveryCallsLapse(t *testing.T) {
+	settings := testSettings()
+	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1, Weight: 4})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
+	ep.scope.recoveryTokens = 0
+	rate := h.engine.recoveryRate(ep)
+	open := 0
+	const steps = 10000
+	for range steps {
+		h.engine.now += 10 * ms
+		if h.engine.recoveryBudgetAt(ep) <= h.engine.now {
+			open++
+		}
+	}
+	want := rate * recoveryLapseRatio * settings.OverloadWindow.Seconds()
+	if got := float64(open) / steps; math.Abs(got-want) > 0.1*want {
+		t.Errorf("a call is due %.3f of the time, want %.3f", got, want)
+	}
+}
+
+// Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
+func TestTimeoutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
+	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
+	ep := h.engine.endpoints["a"]
+	h.engine.now = h.now
+	h.engine.suspect(ep)
+	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
+	back := ep.recoveredAt
+	for range 6 {
+		h.engine.now += time.Second
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now - ms}, time.Second)
+		h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.engine.now}, ms)
+	}
+	if back == 0 || ep.recoveredAt != back || ep.ejected {
+		t.Errorf("back at %v, then %v, down %v", back, ep.recoveredAt, ep.ejected)
+	}
+	h.engine.now += time.Second
+	for range 2 {
+		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now}, time.Second)
+	}
+	if ep.recoveredAt != 0 {
+		t.Error("two time-outs in a row did not restart the warm-up")
+	}
+}
+
+// The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and
+// to any after a loss.
+func TestAnswersToEarlierCallsStartNoWarmUp(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		outcome Outcome
+		sent    time.Duration // of the answered call, after the failed ones
+		begins  bool
+	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
+		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: 8})
+		ep, failed := h.engine.endpoints["a"], h.engine.now+time.Minute
+		h.engine.now = failed
+		for range suspectAfterFailures {
+			h.engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: failed}, 0)
+		}
+		if h.engine.now += 2 * time.Second; !ep.warmingUp {
+			t.Fatalf("%s: not in doubt", test.name)
+		}
+		if h.engine.recordSuccess(ep, failed+test.sent, time.Second); (ep.recoveredAt > 0) != test.begins {
+			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", test.name, test.sent, ep.recoveredAt > 0)
+		}
+	}
+}
