--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,58 +15,51 @@
 	}
 	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
 	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].MessageID == 20 {
-		t.Errorf("with little room left: %+v", actions)
+		t.Errorf("with little capacity left: %+v", actions)
 	}
 }
 
-// Where room is short so many messages are looked at for one to refuse, and no more: a restart finds a full house of
-// which none may be refused, and would look through all of it for each message that it takes up, and for each new one.
+// Load shedding looks at a bounded number of messages for one to reject. A restart may find the maximum of pending
+// messages, none of which may be rejected, and would else look at all of them for each recovered and each new message.
 func TestLoadSheddingScansABoundedQueue(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		behind  int // messages that may not be refused, behind one that may
-		refused bool
+		name     string
+		behind   int // messages that may not be rejected, behind one that may
+		rejected bool
 	}{
 		{"near the end", maxQueueScan - 1, true},
-		{"beyond the depth", maxQueueScan, false},
+		{"beyond the bound", maxQueueScan, false},
 	} {
-		// short with the last
-		engine, err := New(
-			Settings{
-				Classes: []Class{
-					{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
-				},
-				MaxPendingMessages: (test.behind*10 + 8) / 9,
+		engine, err := New(Settings{
+			Classes: []Class{
+				{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
 			},
-			1,
-		)
+			MaxPendingMessages: (test.behind*10 + 8) / 9, // the last message is the first above maxPendingRatio of it
+		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		events := []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}}
 		for i := range test.behind {
-			events = append(
-				events,
-				Event{
-					Kind:        MessageAccepted,
-					MessageID:   uint32(i + 2),
-					Destination: 5,
-					TimeLeft:    9 * time.Second,
-					Recovered:   &RecoveredMessage{},
-				},
-			)
+			events = append(events, Event{
+				Kind:        MessageAccepted,
+				MessageID:   uint32(i + 2),
+				Destination: 5,
+				TimeLeft:    9 * time.Second,
+				Recovered:   &RecoveredMessage{},
+			})
 		}
-		refused := false
+		rejected := false
 		for _, a := range engine.Step(time.Second, events) {
-			refused = refused || a.Kind == Reject && a.MessageID == 1
+			rejected = rejected || a.Kind == Reject && a.MessageID == 1
 		}
-		if refused != test.refused {
-			t.Errorf("%s: refused %v, want %v", test.name, refused, test.refused)
+		if rejected != test.rejected {
+			t.Errorf("%s: rejected %v, want %v", test.name, rejected, test.rejected)
 		}
 	}
 }
 
-// A message of no known class ends once, under the strictest rules; a weight that is no number tells nothing.
+// A message of an unknown class ends once, under the strictest rules. A weight that is not a number means nothing.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, classIndex := range []int{-1, 99} {
 		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
@@ -74,7 +67,7 @@
 			t.Fatalf("class %d: not sent", classIndex)
 		}
 		if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
-			t.Errorf("class %d: %+v after a time-out", classIndex, actions)
+			t.Errorf("class %d: %+v after a timeout", classIndex, actions)
 		}
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep is one message taken and delivered by a sender of 400 destinations and 1,000 routes; with
-// backlog, 200 more wait at destinations that none of their routes takes.
+// BenchmarkStep is one message taken and delivered by a relay of 400 destinations and 1,000 endpoints; with
+// backlog, 200 more wait at destinations that none of their endpoints takes.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -23,7 +23,7 @@
 	}
 	var list []Endpoint
 	for i := range 1000 {
-		// no pace holds up what is measured
+		// no pacing rate holds up what is measured
 		list = append(list, Endpoint{
 			ID: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5,
 			InService: i%400 < 200,
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkListsAndTimers is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes
-// nothing, with a change of one route, and with a wake for which nothing is due while ten messages wait.
+// BenchmarkListsAndTimers is what one of 300 relays does at 31 endpoints of 15 destinations: with a whole list that changes
+// nothing, with a change of one endpoint, and with a timer for which nothing is due while ten messages wait.
 func BenchmarkListsAndTimers(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkListAndEvict is one destination of two routes that is told of and another that is put to rest, of so many
+// BenchmarkListAndEvict is one destination of two endpoints that is told of and another that is put to rest, of so many
 // told of; as many were put to rest within the last warm-up.
 func BenchmarkListAndEvict(b *testing.B) {
 	for _, awake := range []int{1000, 10000, 50000, 140000} {
@@ -156,7 +156,7 @@
 				i++
 			}
 			if n := len(engine.endpoints); n < 2*awake || n > 2*awake+4 {
-				b.Fatalf("%d routes", n)
+				b.Fatalf("%d endpoints", n)
 			}
 		})
 	}
--- a/policy/connect_test.go
+++ b/policy/connect_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Idle connections of hundreds of senders once filled the tables of destinations.
+// Idle connections of hundreds of relays once filled the connection tables of destinations.
 func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
 	for _, test := range []struct {
-		senders int
-		want    bool
+		relays int
+		want   bool
 	}{{smallFleetSize, false}, {100, true}} {
 		settings := testSettings()
-		settings.FleetSize = test.senders
+		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 		other := func(id uint32) bool {
 			h.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
@@ -23,38 +23,39 @@
 		h.accept(2, 0)
 		h.finish(2, "a", ConnectFailed, 10*ms, 0)
 		if other(3) {
-			t.Errorf("%d senders: closed after a connection of the kind that failed: it may be an outage's", test.senders)
+			t.Errorf("%d relays: closed after a connection of the kind that failed: it may be an outage's", test.relays)
 		}
 		h.advance(time.Second)
 		h.finish(2, "a", OK, 10*ms, 0)
 		if got := other(4); got != test.want {
-			t.Errorf("%d senders: closed %v after a failed connection and an answer of the kind", test.senders, got)
+			t.Errorf("%d relays: closed %v after a failed connection and an answer of the kind", test.relays, got)
 		}
 	}
 }
 
-// Two failed connections at a full table once put a destination in doubt for its whole warm-up.
+// Two failed connections at a full table once made a destination suspect for its whole warm-up.
 func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	for _, test := range []struct {
-		senders, fails int
-		took           time.Duration
-		cold           bool
+		relays, fails int
+		took          time.Duration
+		suspect       bool
 	}{
 		{20, 2, 10 * ms, false},                         // a full table
 		{100, maxConnectExhaustions + 3, 10 * ms, true}, // an outage after all
-		{100, 3, time.Second, true},                     // not at once: silence
-		{3, 3, 10 * ms, true},                           // few senders fill no table
+		{100, 3, time.Second, true},                     // not at once: no answer at all
+		{3, 3, 10 * ms, true},                           // few relays fill no table
 	} {
 		settings := testSettings()
-		settings.FleetSize = test.senders
+		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4}, Endpoint{ID: "b", Weight: 4})
 		h.engine.now = h.now
 		h.engine.connectShortageUntil[0] = h.now + time.Minute
 		for range test.fails {
-			h.engine.observeOutcome(h.engine.endpoints["a"], observation{outcome: ConnectFailed, sentAt: h.now - test.took}, test.took)
+			obs := observation{outcome: ConnectFailed, sentAt: h.now - test.took}
+			h.engine.observeOutcome(h.engine.endpoints["a"], obs, test.took)
 		}
-		if got := h.engine.endpoints["a"].warmingUp; got != test.cold {
-			t.Errorf("%+v: in doubt %v", test, got)
+		if got := h.engine.endpoints["a"].warmingUp; got != test.suspect {
+			t.Errorf("%+v: suspect %v", test, got)
 		}
 	}
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Messages once waited to their deadlines at destinations that would open after them.
+// Messages once waited until their deadlines for destinations that were blocked beyond them.
 func TestUnservableMessagesAreRejected(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 400
@@ -15,22 +15,23 @@
 	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
 	if actions := h.accept(1, 0); !hasAction(actions, Reject) {
-		t.Errorf("opens in %v: %+v, want a refusal", h.engine.recoveryBudgetAt(ep)-h.now, actions)
+		t.Errorf("blocked for %v: %+v, want a rejection", h.engine.recoveryBudgetAt(ep)-h.now, actions)
 	}
-	if actions := h.accept(2, 2); hasAction(actions, Reject) != h.engine.mayReject(&message{class: &settings.Classes[2]}) {
-		t.Errorf("unsafe, nothing sent: %+v", actions)
+	mayReject := h.engine.mayReject(&message{class: &settings.Classes[2]})
+	if actions := h.accept(2, 2); hasAction(actions, Reject) != mayReject {
+		t.Errorf("non-idempotent, nothing sent: %+v", actions)
 	}
-	ep.scope.recoveryTokens = 1 - h.engine.recoveryRate(ep) // opens in a second
+	ep.scope.recoveryTokens = 1 - h.engine.recoveryRate(ep) // blocked for a second
 	h.engine.recheck(ep.scope.destination)
 	if actions := h.accept(3, 0); hasAction(actions, Reject) {
-		t.Errorf("opens in a second: %+v, want it held", actions)
+		t.Errorf("blocked for a second: %+v, want it queued", actions)
 	}
 }
 
-// Calls of a route whose last call failed carry one message: ten once shared each failed trial.
+// Calls to an endpoint whose last call failed carry one message: ten messages once shared each failed trial.
 func TestBatches(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
-	three := func(first uint32) int {
+	acceptThree := func(first uint32) (calls int) {
 		var events []Event
 		for i := range uint32(3) {
 			events = append(events, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
@@ -39,26 +40,26 @@
 		h.step(events...)
 		return len(h.engine.endpoints["a"].calls) - before
 	}
-	if n := three(1); n != 1 {
+	if n := acceptThree(1); n != 1 {
 		t.Errorf("three messages in %d calls, want 1", n)
 	}
 	h.engine.endpoints["a"].consecutiveFailures = 1
-	if n := three(4); n != 3 {
+	if n := acceptThree(4); n != 3 {
 		t.Errorf("three messages in %d calls after a failure, want 3", n)
 	}
 }
 
-// Destinations with nothing to do are not looked at: the next dispatch once walked them all.
+// A dispatch does not look at blocked destinations: it once walked them all.
 func TestBlockedDestinationsAreNotRechecked(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	h.accept(1, 0)
 	h.finish(1, "a", Overloaded, ms, 5*time.Second)
 	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil <= h.now {
-		t.Fatalf("active %d, want the one destination that waits, closed", len(h.engine.active))
+		t.Fatalf("%d destinations are active, want one that is blocked", len(h.engine.active))
 	}
-	opens := h.engine.active[0].blockedUntil
+	blockedUntil := h.engine.active[0].blockedUntil
 	h.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
-	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil != opens {
-		t.Error("a message for another destination had the closed one looked at again")
+	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil != blockedUntil {
+		t.Error("a message for another destination had the blocked one checked again")
 	}
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -9,27 +9,52 @@
 func TestFailureRules(t *testing.T) {
 	now := time.Minute
 	for _, test := range []struct {
-		rule string
-		r    endpoint
-		o    observation
-		skip bool
+		rule   string
+		ep     endpoint
+		obs    observation
+		ejects bool
 	}{
 		{"outage", endpoint{}, observation{outcome: Overloaded, retryAfter: 5 * time.Second}, true},
-		{"outage", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime}, observation{outcome: Overloaded}, true},
-		{"rejected", endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime + 1}, observation{outcome: Overloaded, retryAfter: time.Second}, false},
+		{
+			"outage",
+			endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime},
+			observation{outcome: Overloaded},
+			true,
+		},
+		{
+			"rejected",
+			endpoint{consecutiveRejections: outageRejections, firstRejectedAt: now - minOutageRejectionTime + 1},
+			observation{outcome: Overloaded, retryAfter: time.Second},
+			false,
+		},
 		{"trial failed", endpoint{ejected: true}, observation{outcome: Error}, true},
-		{"connect exhausted", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed, connectExhausted: true}, false},
+		{
+			"connect exhausted",
+			endpoint{consecutiveFailures: 1},
+			observation{outcome: ConnectFailed, connectExhausted: true},
+			false,
+		},
 		{"failed", endpoint{consecutiveFailures: 1}, observation{outcome: ConnectFailed}, false},
-		{"consecutive failures", endpoint{consecutiveFailures: 3, lastSuccessAt: now - time.Second}, observation{outcome: ConnectFailed}, true},
-		{"mostly failing", endpoint{consecutiveFailures: 1, recentFailures: 0b10111010}, observation{outcome: Error}, true},
+		{
+			"consecutive failures",
+			endpoint{consecutiveFailures: 3, lastSuccessAt: now - time.Second},
+			observation{outcome: ConnectFailed},
+			true,
+		},
+		{
+			"mostly failing",
+			endpoint{consecutiveFailures: 1, recentFailures: 0b10111010},
+			observation{outcome: Error},
+			true,
+		},
 		{"failed", endpoint{consecutiveFailures: 1, recentFailures: 0b1011010}, observation{outcome: Error}, false},
 		{"failed", endpoint{consecutiveFailures: 2}, observation{outcome: Timeout}, false},
 	} {
 		engine := &Engine{now: now}
-		ep := &test.r
-		i := slices.IndexFunc(failureRules, func(rule failureRule) bool { return rule.matches(engine, ep, test.o) })
-		if i < 0 || failureRules[i].name != test.rule || failureRules[i].ejects != test.skip {
-			t.Errorf("%+v, %+v: rule %d, want %q with skip %v", test.r, test.o, i, test.rule, test.skip)
+		ep := &test.ep
+		i := slices.IndexFunc(failureRules, func(rule failureRule) bool { return rule.matches(engine, ep, test.obs) })
+		if i < 0 || failureRules[i].name != test.rule || failureRules[i].ejects != test.ejects {
+			t.Errorf("%+v, %+v: rule %d, want %q that ejects: %v", test.ep, test.obs, i, test.rule, test.ejects)
 		}
 	}
 }
@@ -37,29 +62,29 @@
 func TestEjectionExpires(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
 	for id := range uint32(3) {
-		h.now += time.Second // the recovery budget of a route in doubt
+		h.now += time.Second // the recovery budget of a suspect endpoint
 		if got := firstSend(h.accept(id, 0)); got != "a" {
-			t.Fatalf("message %d to %q before the skip", id, got)
+			t.Fatalf("message %d to %q before the ejection", id, got)
 		}
 		h.finish(id, "a", Error, 10*ms, 0)
 		h.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
 	if got := firstSend(h.accept(10, 0)); got != "b" {
-		t.Errorf("message to %q while a is skipped", got)
+		t.Errorf("message to %q while a is ejected", got)
 	}
 	h.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
 	if got := firstSend(h.accept(11, 0)); got != "a" {
-		t.Errorf("message to %q after the skip", got)
+		t.Errorf("message to %q after the ejection", got)
 	}
 	if got := firstSend(h.accept(12, 0)); got != "b" {
 		t.Errorf("second message to %q during the trial", got)
 	}
 	if got := firstSend(h.accept(13, 2)); got != "b" {
-		t.Errorf("unsafe message to %q during the trial", got)
+		t.Errorf("non-idempotent message to %q during the trial", got)
 	}
 }
 
-// Calls cut off after milliseconds once kept recovered routes skipped.
+// Attempts that timed out after milliseconds once kept recovered endpoints ejected.
 func TestTruncatedAttemptEjectsNothing(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -68,63 +93,73 @@
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now, truncated: true}, ms)
 	}
 	if ep.ejected || !ep.warmingUp {
-		t.Errorf("down %v, cold %v after short calls", ep.ejected, ep.warmingUp)
+		t.Errorf("ejected %v, suspect %v after short attempts", ep.ejected, ep.warmingUp)
 	}
 }
 
-// A class with less time than an answer of most hosts may take has all its calls cut before that. A host that hangs is
-// skipped all the same; a call of a class with more time that was cut as early, for want of time left, still skips
-// none.
+// In a class with less time than answers of most endpoints may take, all attempts time out before that. An endpoint that
+// hangs is ejected all the same. An attempt of a class with more time that times out as early, since little of it was
+// left, still ejects none.
 func TestHangingEndpointIsEjectedWithShortDeadlines(t *testing.T) {
-	hasty := Class{
-		Effect:           Idempotent,
-		LatencyObjective: 350 * time.Millisecond,
-		Deadline:         900 * time.Millisecond,
-		Weight:           1,
-	}
+	short := Class{Effect: Idempotent, LatencyObjective: 350 * ms, Deadline: 900 * ms, Weight: 1}
+	long := Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}
 	for _, test := range []struct {
-		name  string
-		class Class
-		left  time.Duration
-		skips bool
+		name   string
+		class  Class
+		left   time.Duration
+		ejects bool
 	}{
-		{"short times", hasty, 600 * time.Millisecond, true},
-		{"long times, little left", Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}, 600 * time.Millisecond, false},
-		{"short times, hardly any left", hasty, 300 * time.Millisecond, false},
+		{"short deadline", short, 600 * ms, true},
+		{"long deadline, little time left", long, 600 * ms, false},
+		{"short deadline, hardly any time left", short, 300 * ms, false},
 	} {
-		engine, err := New(
-			Settings{Classes: []Class{test.class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2},
-			1,
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		type out struct {
-			at time.Duration
-			ev Event
-		}
-		var outs []out
-		events := []Event{
-			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "hangs", Destination: 5, Weight: 30, InService: true}}},
-		}
-		now, id, cut := time.Second, uint32(0), 0
-		for now < 9*time.Second && (engine.endpoints["hangs"] == nil || !engine.endpoints["hangs"].ejected) {
-			id++
-			events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: test.left})
-			for _, a := range engine.Step(now, events) {
-				if a.Kind == Send {
-					outs = append(outs, out{a.TimeoutAt, Event{
-						Kind: AttemptFinished, MessageID: a.MessageID, Attempt: engine.messages[a.MessageID].attempts - 1, Endpoint: a.Endpoint, Outcome: Timeout, Latency: a.TimeoutAt - now,
-					}})
-				}
+		t.Run(test.name, func(t *testing.T) {
+			ejected, timeouts := callHangingEndpoint(t, test.class, test.left)
+			if ejected != test.ejects || timeouts < ejectAfterFailures {
+				t.Errorf("ejected %v after %d calls, want %v", ejected, timeouts, test.ejects)
 			}
-			now, events = now+50*time.Millisecond, nil
-			for len(outs) > 0 && outs[0].at <= now {
-				events, outs, cut = append(events, outs[0].ev), outs[1:], cut+1
+		})
+	}
+}
+
+// callHangingEndpoint sends messages with little time left to an endpoint that never answers, until it is ejected or
+// eight seconds are over, and counts the attempts that time out.
+func callHangingEndpoint(t *testing.T, class Class, left time.Duration) (ejected bool, timeouts int) {
+	t.Helper()
+	settings := Settings{Classes: []Class{class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2}
+	engine, err := New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := time.Second
+	engine.Step(now, []Event{
+		{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "hangs", Destination: 5, Weight: 30, InService: true}}},
+	})
+	ep := engine.endpoints["hangs"]
+	var pending []pendingEvent
+	var events []Event
+	for id := uint32(1); now < 9*time.Second && !ep.ejected; id++ {
+		events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: left})
+		for _, a := range engine.Step(now, events) {
+			if a.Kind != Send {
+				continue
 			}
+			pending = append(pending, pendingEvent{at: a.TimeoutAt, event: Event{
+				Kind:      AttemptFinished,
+				MessageID: a.MessageID,
+				Attempt:   engine.messages[a.MessageID].attempts - 1,
+				Endpoint:  a.Endpoint,
+				Outcome:   Timeout,
+				Latency:   a.TimeoutAt - now,
+			}})
 		}
-		if down := engine.endpoints["hangs"].ejected; down != test.skips || cut < ejectAfterFailures {
-			t.Errorf("%s: skipped %v after %d calls, want %v", test.name, down, cut, test.skips)
+		now += 50 * ms
+		events = nil
+		for len(pending) > 0 && pending[0].at <= now {
+			events = append(events, pending[0].event)
+			pending = pending[1:]
+			timeouts++
 		}
 	}
+	return ep.ejected, timeouts
 }
--- a/policy/emptylist_test.go
+++ b/policy/emptylist_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// referenceModel is what a Sender knows of destinations, by the plain rule: at every list event all without routes are
+// referenceModel is what an Engine knows of destinations, by the plain rule: at every list event all without endpoints are
 // looked at.
 type referenceModel struct {
 	warmUp     time.Duration
@@ -70,7 +70,7 @@
 }
 
 // simulateChurn plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
-// was one. It returns a sum of all actions, to compare with another Sender's.
+// was one. It returns a sum of all actions, to compare with another Engine's.
 func simulateChurn(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	settings := testSettings()
@@ -165,7 +165,7 @@
 	return sum.Sum64()
 }
 
-// emptyDestinationsOf are the destinations without routes that a Sender still knows, in their order.
+// emptyDestinationsOf are the destinations without endpoints that an Engine still knows, in their order.
 func emptyDestinationsOf(engine *Engine) (all []*destination) {
 	for dest := engine.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
 		all = append(all, dest)
@@ -173,7 +173,7 @@
 	return all
 }
 
-// What a Sender still knows after every step is what the plain rule says.
+// What an Engine still knows after every step is what the plain rule says.
 func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
 	removed := 0
 	for seed := range uint64(30) {
@@ -206,7 +206,7 @@
 				bare = append(bare, dest.id)
 			}
 			if !slices.Equal(bare, model.empty) {
-				t.Errorf("seed %d, at %v: without routes %v, by the plain rule %v", seed, now, bare, model.empty)
+				t.Errorf("seed %d, at %v: without endpoints %v, by the plain rule %v", seed, now, bare, model.empty)
 			}
 		})
 		t.Logf("seed %d: the actions' sum is %x", seed, sum)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Of many senders' first calls to what is listed anew spread; what is told again stands as if it had been known all
+// Of many relays' first calls to what is listed anew spread; what is told again stands as if it had been known all
 // along, and is free for the same calls as that: no more.
 func TestRelistedEndpointIsAsIfKnown(t *testing.T) {
 	countCalls := func(seed uint64, repeated, complete bool, after time.Duration) (n int) {
@@ -43,7 +43,7 @@
 			known += countCalls(seed, false, true, after)
 		}
 		t.Logf(
-			"%v after a start, 50 senders: %d calls to what is new, %d to what is told again, %d where it was known",
+			"%v after a start, 50 relays: %d calls to what is new, %d to what is told again, %d where it was known",
 			after,
 			freshCalls,
 			again,
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A wake that came a fraction early was taken as still to come, and the message it was for had no answer.
+// A timer that fired a fraction early once counted as still set, and the message that it was for got no answer.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.accept(1, 0)
@@ -16,11 +16,11 @@
 	h.engine.timerAt, h.engine.requestedTimerAt = h.engine.requestedTimerAt, 0
 	actions := h.engine.Step(at, []Event{{Kind: TimerFired}})
 	if !hasAction(actions, SetTimer) {
-		t.Errorf("no wake asked for: %+v", actions)
+		t.Errorf("no timer set: %+v", actions)
 	}
 }
 
-// Turns were once kept for good when their rest outlasted their last message, and destinations always.
+// Key queues once stayed for good when their pause outlasted their last message, and destinations always did.
 func TestNothingIsRetainedAfterRemoval(t *testing.T) {
 	settings := testSettings()
 	settings.MaxInFlightCalls, settings.MaxPendingMessages = 50, 100
@@ -37,8 +37,17 @@
 	h.now += time.Minute
 	h.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
 	engine := h.engine
-	if n := len(engine.keyQueues) + len(engine.destinations) + len(engine.sortedDestinations) + len(engine.endpoints) + len(engine.messages) + len(engine.active) + len(emptyDestinationsOf(engine)); n != 0 {
-		t.Errorf("held: %d turns, %d destinations (%d in order), %d routes, %d messages, %d active, %d bare",
-			len(engine.keyQueues), len(engine.destinations), len(engine.sortedDestinations), len(engine.endpoints), len(engine.messages), len(engine.active), len(emptyDestinationsOf(engine)))
+	for name, n := range map[string]int{
+		"key queues":          len(engine.keyQueues),
+		"destinations":        len(engine.destinations),
+		"sorted destinations": len(engine.sortedDestinations),
+		"endpoints":           len(engine.endpoints),
+		"messages":            len(engine.messages),
+		"active destinations": len(engine.active),
+		"empty destinations":  len(emptyDestinationsOf(engine)),
+	} {
+		if n != 0 {
+			t.Errorf("%d %s are retained", n, name)
+		}
 	}
 }
--- a/policy/eviction_property_test.go
+++ b/policy/eviction_property_test.go
@@ -14,20 +14,20 @@
 // forgetfulEvictions are those that must be convicted by the random streams. TestSharedQuotaPreventsEviction has one more.
 var forgetfulEvictions = []forgetfulEviction{
 	{name: "messages", forgetDestination: func(dest *destination) { dest.messageCount = 0 }},
-	{name: "told waits", forgetScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
+	{name: "Retry-Afters", forgetScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
 	{name: "skips", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })},
-	{name: "cold routes", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
+	{name: "suspect endpoints", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
 	{name: "warm-ups", forgetScope: forEachEndpoint(func(ep *endpoint) {
 		if ep.recoveredAt > 0 {
 			ep.warmingUp = false
 		}
 	})},
-	{name: "routes replaced in doubt", forgetScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
-	{name: "failures over routes", forgetScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
+	{name: "endpoints replaced suspect", forgetScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
+	{name: "failures over endpoints", forgetScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
 	{name: "paces", forgetScope: func(scope *limitScope) { scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 1, 0, 0 }},
 }
 
-// eventStream is a Sender under random events, and a book of what it was told: waits and outages by scope, messages by
+// eventStream is an Engine under random events, and a book of what it was told: waits and outages by scope, messages by
 // destination.
 type eventStream struct {
 	t                 *rapid.T
@@ -54,7 +54,7 @@
 
 func newEventStream(t *rapid.T) *eventStream {
 	settings := testSettings()
-	settings.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "senders")
+	settings.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "relays")
 	settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.WarmUpDuration = 20, 100, 20*time.Second
 	engine, err := New(settings, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
@@ -81,7 +81,7 @@
 	return stream
 }
 
-// scopeKey names what shares a told wait.
+// scopeKey names what shares a Retry-After.
 func (stream *eventStream) scopeKey(endpointID string) string {
 	i := slices.IndexFunc(stream.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
 	if i < 0 || stream.engine.settings.DestinationKinds[stream.endpoints[i].Kind].LimitPerEndpoint {
@@ -104,7 +104,7 @@
 	}
 }
 
-// advance lets time go by, with the wakes and time-outs that fall due.
+// advance lets time go by, with the timers and timeouts that fall due.
 func (stream *eventStream) advance(by time.Duration) {
 	for expiresAt := stream.now + by; stream.now < expiresAt; {
 		next := expiresAt
@@ -161,7 +161,7 @@
 }
 
 // bindingState says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of
-// the sender what would keep a message from each of its routes.
+// the relay what would keep a message from each of its endpoints.
 func (stream *eventStream) bindingState(destinationID int) string {
 	for id, d := range stream.pending {
 		if d == destinationID {
@@ -177,7 +177,7 @@
 		switch k := stream.scopeKey(entry.ID); {
 		case entry.Destination != destinationID:
 		case stream.retryAfterUntil[k] > stream.now:
-			return "a told wait of " + entry.ID
+			return "a Retry-After of " + entry.ID
 		case stream.consecutiveErrors[k] >= 3:
 			return "an outage of " + entry.ID
 		case stream.recoveredAt[k] > 0 && stream.now < stream.recoveredAt[k]+stream.engine.settings.WarmUpDuration:
@@ -207,7 +207,7 @@
 			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-stream.now, h.Endpoint)
 		case Paced:
 			if !fresh[h.Endpoint] {
-				return "a pace at " + h.Endpoint
+				return "a pacing rate at " + h.Endpoint
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 			}
 		}
 		if !bytes.Equal(stream.engine.Snapshot(nil), was) {
-			stream.t.Fatal("asking changed the sender")
+			stream.t.Fatal("asking changed the relay")
 		}
 	}
 	stream.t.Repeat(map[string]func(*rapid.T){
@@ -286,7 +286,7 @@
 	return wrong
 }
 
-// Whatever happened, what may rest has nothing in force: no message, call, told wait, skip, doubt, warm-up or pace.
+// Whatever happened, what may rest has nothing in force: no message, call, Retry-After, ejection, doubt, warm-up or pacing rate.
 func TestEvictableDestinationsHoldNoBindingState(t *testing.T) {
 	evictable, looks := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/policy/eviction_test.go
+++ b/policy/eviction_test.go
@@ -57,7 +57,7 @@
 		{"one failure, and a reset", func(_ *destination, scope *limitScope, ep *endpoint) {
 			scope.consecutiveFailures, ep.consecutiveFailures, ep.recentFailures, ep.answerLost, scope.connectExhaustions = 1, 1, 1, true, 1
 		}, 0},
-		{"a pace of its start", func(_ *destination, scope *limitScope, _ *endpoint) {
+		{"a pacing rate of its start", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 1, 1, now
 		}, 0},
 		{"a warm-up that is over", func(_ *destination, _ *limitScope, ep *endpoint) {
@@ -65,9 +65,9 @@
 		}, 0},
 		{"a message", func(dest *destination, _ *limitScope, _ *endpoint) { dest.messageCount = 1 }, forever},
 		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, forever},
-		{"a call of a route that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, forever},
-		{"a told wait", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
-		{"a skip", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejectedUntil = now + 300*ms }, 300 * ms},
+		{"a call of an endpoint that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, forever},
+		{"a Retry-After", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
+		{"an ejection", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejectedUntil = now + 300*ms }, 300 * ms},
 		{"an outage", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }, forever},
 		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, forever},
 		{"a warm-up", func(_ *destination, _ *limitScope, ep *endpoint) {
@@ -77,7 +77,7 @@
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warmUp, now, 0
 		}, forever},
 		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warmUp},
-		{"failures over routes", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, forever},
+		{"failures over endpoints", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, forever},
 		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, forever},
 		{"a lent limit", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.quotaShared, scope.reservedFraction = true, 0.2
@@ -85,11 +85,11 @@
 		{"a call not yet earned back", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 0.5, 0, now
 		}, 2 * time.Second},
-		{"a refusal of late", func(_ *destination, scope *limitScope, _ *endpoint) {
+		{"a rejection of late", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 9, 10, now, 1
 		}, rejectionFreeWindow},
 		// ln 4 / ln 1.03 s
-		{"a pace cut to a quarter", func(_ *destination, scope *limitScope, _ *endpoint) {
+		{"a pacing rate cut to a quarter", func(_ *destination, scope *limitScope, _ *endpoint) {
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 2.5, 10, now, 1
 		}, 46900 * ms},
 	} {
--- a/policy/evictor_test.go
+++ b/policy/evictor_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// evictor stands before a Sender as a relay with a long list does: it keeps the list, tells of a destination when it is
+// evictor stands before an Engine as a relay with a long list does: it keeps the list, tells of a destination when it is
 // first needed, and has it forgotten once it may rest. It does so without waiting for a destination to be idle, which
 // is harder on what is forgotten.
 type evictor struct {
@@ -84,14 +84,14 @@
 	return event
 }
 
-// simulateWithEvictor plays a world whose clients send less, so that destinations come to rest, and whose routes tell waits with
+// simulateWithEvictor plays a world whose clients send less, so that destinations come to rest, and whose endpoints tell waits with
 // whatever answer.
 func simulateWithEvictor(t *testing.T, seed uint64, every int, forgetful *forgetfulEviction) (*simulation, *evictor) {
 	ev := &evictor{t: t, forgetful: forgetful}
 	return simulate(t, seed, disabledGuard{acceptInterval: every, step: ev.step}), ev
 }
 
-// A Sender behind a front keeps the six rules by the books of the property test.
+// An Engine behind a front keeps the six rules by the books of the property test.
 func TestSixRulesWithEviction(t *testing.T) {
 	evictions := 0
 	for seed := range uint64(40) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// forgetPacing overlooks what a refusal, calls and failures left behind.
+// forgetPacing overlooks what a rejection, calls and failures left behind.
 func forgetPacing(scope *limitScope) {
 	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt, scope.pacingRate, scope.consecutiveFailures, scope.connectExhaustions = 1, 0, 0, 0, 0, 0
 }
@@ -168,7 +168,7 @@
 	return calls
 }
 
-// newTwoEndpointEvictor is a front before a fresh sender, with destination 1 of two routes.
+// newTwoEndpointEvictor is a front before a fresh relay, with destination 1 of two endpoints.
 func newTwoEndpointEvictor(
 	t *testing.T,
 	seed uint64,
@@ -184,7 +184,7 @@
 	}
 	ev = &evictor{t: t, forgetful: forgetful, idleTime: idle}
 	step = func(now time.Duration, events []Event) []Action { return ev.step(engine, now, events) }
-	// Separate routes: of others the gate outlasts its routes for a warm-up, whatever is put to rest.
+	// Separate endpoints: of others the scope outlasts its endpoints for a warm-up, whatever is put to rest.
 	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
 		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true},
@@ -231,13 +231,13 @@
 	}
 }
 
-// Messages with rests between take no more calls of one of 3,000 senders than where nothing is ever put to rest, and
-// those after a rest no more than the first at a sender that has just started; where a call's worth is not waited for
+// Messages with rests between take no more calls of one of 3,000 relays than where nothing is ever put to rest, and
+// those after a rest no more than the first at a relay that has just started; where a call's worth is not waited for
 // they do.
 func TestEvictionDoesNotCircumventPacing(t *testing.T) {
 	const later = 20
 	const seeds = 60
-	freshCalls := 0 // calls of so many senders that have just started
+	freshCalls := 0 // calls of so many relays that have just started
 	for seed := range uint64(seeds * later) {
 		_, step := newTwoEndpointEvictor(t, seeds+seed, 3000, nil, forever)
 		now, id := time.Minute, uint32(0)
@@ -263,7 +263,7 @@
 		fronted, evictions := play(nil, warmUp, pause)
 		forgot, _ := play(&forgetfulEviction{forgetScope: forgetPacing}, warmUp, pause)
 		t.Logf(
-			"a message each %v: %d calls where all is told, %d with %d rests, %d where paces are forgotten; %d at fresh senders",
+			"a message each %v: %d calls where all is told, %d with %d rests, %d where pacing rates are forgotten; %d at fresh relays",
 			pause,
 			told,
 			fronted,
@@ -273,7 +273,7 @@
 		)
 		if fronted > told+told/20 || fronted > freshCalls+freshCalls/20 || evictions == 0 {
 			t.Errorf(
-				"a message each %v: %d calls behind a front, %d where all is told, %d at fresh senders, %d rests",
+				"a message each %v: %d calls behind a front, %d where all is told, %d at fresh relays, %d rests",
 				pause,
 				fronted,
 				told,
@@ -282,7 +282,7 @@
 			)
 		}
 		if pause < time.Minute && forgot < told+told/3 {
-			t.Error("rests that forget paces are not seen")
+			t.Error("rests that forget pacing rates are not seen")
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A relay takes one message for destination 7, whose first route answers that it is full.
+// A relay takes one message for destination 7, whose first endpoint answers that it is full.
 func Example() {
 	sender, err := policy.New(policy.Settings{
 		Classes: []policy.Class{
--- a/policy/fleetrecovery_test.go
+++ b/policy/fleetrecovery_test.go
@@ -14,12 +14,12 @@
 	limit         float64 // calls a second
 	demand        float64 // messages, as a multiple of the limit
 	failRatio     float64 // share of the calls that fail in the outage
-	limitListed   bool    // the limit is listed; else no sender ever knows it
+	limitListed   bool    // the limit is listed; else no relay ever knows it
 	limitReported bool    // the limit is told in answers
 }
 
 func (config fleetCase) String() string {
-	return fmt.Sprintf("%d senders, limit %v, demand %v, fails %v, listed %v, told %v",
+	return fmt.Sprintf("%d relays, limit %v, demand %v, fails %v, listed %v, told %v",
 		config.relays, config.limit, config.demand, config.failRatio, config.limitListed, config.limitReported)
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// fleetSimulation is the route, the senders' messages and the books of the judge.
+// fleetSimulation is the endpoint, the relays' messages and the books of the judge.
 type fleetSimulation struct {
 	config        fleetCase
 	rng           *rand.Rand
@@ -51,7 +51,7 @@
 	inbox         [][]Event
 	scheduled     map[time.Duration][]fleetEvent
 	tokens        float64        // calls that the limit leaves
-	sawFailure    []bool         // by sender: of a failure or refusal in the outage
+	sawFailure    []bool         // by relay: of a failure or rejection in the outage
 	recoveryCalls []recoveryCall // since the return
 	attempts      map[uint32]int // of each message
 	delivered     int            // in the whole day
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// call plays one call at the route: its outcome comes a tick or two later.
+// call plays one call at the endpoint: its outcome comes a tick or two later.
 func (sim *fleetSimulation) call(i int, a Action) {
 	failing := sim.now >= fleetFailsAt && sim.now < fleetRecoversAt
 	if sim.now >= fleetRecoversAt {
@@ -116,7 +116,7 @@
 	sim.scheduled[at] = append(sim.scheduled[at], fleetEvent{i, event})
 }
 
-// simulateFleet runs a day. Half of the senders carry most of the traffic, a third restart inside the outage.
+// simulateFleet runs a day. Half of the relays carry most of the traffic, a third restart inside the outage.
 func simulateFleet(t *testing.T, config fleetCase, seed uint64) *fleetSimulation {
 	t.Helper()
 	sim := &fleetSimulation{
@@ -171,8 +171,8 @@
 }
 
 // overloaded tells whether a window since the return broke failback: more calls than the budget of its length, two
-// standard deviations of it allowed for chance, two thirds of them from senders told. Beside it stands the
-// greatest share of the part of senders told that a window used.
+// standard deviations of it allowed for chance, two thirds of them from relays told. Beside it stands the
+// greatest share of the part of relays told that a window used.
 func (sim *fleetSimulation) overloaded() (broken bool, used float64) {
 	settings := fleetSettings(sim.config)
 	for i, last := range sim.recoveryCalls {
@@ -215,7 +215,7 @@
 				sim := simulateFleet(t, config, seed)
 				broken, used := sim.overloaded()
 				if broken {
-					t.Errorf("%v, seed %d: pushed over, %.2f of the part of senders told used", config, seed, used)
+					t.Errorf("%v, seed %d: pushed over, %.2f of the part of relays told used", config, seed, used)
 				}
 				if sim.delivered == 0 {
 					t.Errorf("%v, seed %d: nothing served", config, seed)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// goldenEngine is a Sender in mid-life: calls are out, messages wait, and hosts are paced, skipped, or to be left
+// goldenEngine is an Engine in mid-life: calls are out, messages wait, and endpoints are paced, ejected, or to be left
 // alone.
 func goldenEngine(t *testing.T) *Engine {
 	t.Helper()
@@ -130,7 +130,7 @@
 	return engine
 }
 
-// A Sender that another build wrote is restored, and written again byte by byte. How it came about is not checked here:
+// An Engine that another build wrote is restored, and written again byte by byte. How it came about is not checked here:
 // decisions may change where the form of the state does not.
 func TestGoldenSnapshot(t *testing.T) {
 	if *update {
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, false, goldenSnapshot, engine.Snapshot(nil))
-	type content struct{ messages, out, waiting, paced, down, cold, turns int }
+	type content struct{ messages, out, waiting, paced, down, suspect, turns int }
 	got := content{messages: len(engine.messages), out: engine.callsInFlight, turns: len(engine.keyQueues)}
 	views, _ := engine.Views()
 	for _, v := range views {
@@ -155,10 +155,10 @@
 			got.down++
 		}
 		if v.WarmingUp {
-			got.cold++
+			got.suspect++
 		}
 	}
-	if want := (content{messages: 11, out: 6, waiting: 1, paced: 4, down: 1, cold: 2, turns: 2}); !reflect.DeepEqual(
+	if want := (content{messages: 11, out: 6, waiting: 1, paced: 4, down: 1, suspect: 2, turns: 2}); !reflect.DeepEqual(
 		got,
 		want,
 	) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// harness drives one Sender with an explicit clock.
+// harness drives one Engine with an explicit clock.
 type harness struct {
 	t        *testing.T
 	engine   *Engine
@@ -16,6 +16,7 @@
 	attempts map[uint32]int
 }
 
+// testSettings are settings of a single relay with a class of each effect and three kinds of destination.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -41,6 +42,7 @@
 	}
 }
 
+// newHarness returns a harness whose Engine knows the endpoints of a list, all in service.
 func newHarness(t *testing.T, settings Settings, list ...Endpoint) *harness {
 	t.Helper()
 	engine, err := New(settings, 1)
@@ -55,7 +57,7 @@
 	return h
 }
 
-// step gives events at the present time and keeps the actions other than wakes.
+// step applies events at the present time and returns the actions other than SetTimer.
 func (h *harness) step(events ...Event) []Action {
 	var actions []Action
 	for _, a := range h.engine.Step(h.now, events) {
@@ -66,27 +68,35 @@
 	return actions
 }
 
+// accept submits a message for destination 0.
 func (h *harness) accept(id uint32, classIndex int) []Action {
 	return h.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
-func (h *harness) finish(id uint32, endpointID string, outcome Outcome, after, wait time.Duration) []Action {
+// finish ends the oldest attempt of a message some time later.
+func (h *harness) finish(id uint32, endpointID string, outcome Outcome, after, retryAfter time.Duration) []Action {
 	h.now += after
 	n := h.attempts[id]
 	h.attempts[id]++
 	return h.step(Event{
-		Kind: AttemptFinished, MessageID: id, Attempt: n, Endpoint: endpointID, Outcome: outcome, Latency: after, RetryAfter: wait,
+		Kind:         AttemptFinished,
+		MessageID:    id,
+		Attempt:      n,
+		Endpoint:     endpointID,
+		Outcome:      outcome,
+		Latency:      after,
+		RetryAfter:   retryAfter,
 		MessageEnded: outcome == OK,
 	})
 }
 
-// advance lets time pass and wakes the Sender.
+// advance lets time pass and fires a timer.
 func (h *harness) advance(after time.Duration) []Action {
 	h.now += after
 	return h.step(Event{Kind: TimerFired})
 }
 
-// firstSend tells where the first Send of the actions goes; "" if none.
+// firstSend returns the endpoint of the first Send action; "" if there is none.
 func firstSend(actions []Action) string {
 	for _, a := range actions {
 		if a.Kind == Send {
@@ -96,6 +106,7 @@
 	return ""
 }
 
-func hasAction(actions []Action, k ActionKind) bool {
-	return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == k })
+// hasAction reports whether there is an action of a kind.
+func hasAction(actions []Action, kind ActionKind) bool {
+	return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == kind })
 }
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -44,9 +44,9 @@
 		id    uint32
 		want  BlockCause
 	}{
-		{"no route", [][]Event{{take(1, 0, "")}}, 1, NoEndpoint},
+		{"no endpoint", [][]Event{{take(1, 0, "")}}, 1, NoEndpoint},
 		{"draining", [][]Event{{listed}, {drained, take(1, 0, "")}}, 1, EndpointDraining},
-		{"told wait", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 2*time.Second)}}, 1, RetryAfterPending},
+		{"Retry-After", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 2*time.Second)}}, 1, RetryAfterPending},
 		{"crammed", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, OK, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, ""), take(5, 0, ""), take(6, 0, "")}}, 6, EndpointSaturated},
 		{"turn", [][]Event{{listed, take(1, 1, "k"), take(2, 1, "k")}}, 2, WaitingForKey},
 		{"pace", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, "")}}, 4, Paced},
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %+v, want cause %d", test.name, got, test.want)
 		}
 		if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
-			t.Errorf("%s: looking changed the Sender: %v", test.name, views)
+			t.Errorf("%s: looking changed the Engine: %v", test.name, views)
 		}
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Short-lived messages once had two tries of half their time each, both cut off before the answer.
+// Messages with a short deadline once had two attempts of half their time each, both timed out before the answer.
 func TestShortTimeLeftGoesToOneAttempt(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for _, test := range []struct{ left, want time.Duration }{
@@ -14,7 +14,7 @@
 	} {
 		actions := h.step(Event{Kind: MessageAccepted, MessageID: uint32(test.left), TimeLeft: test.left})
 		if len(actions) != 1 || actions[0].Kind != Send || actions[0].TimeoutAt-h.now != test.want {
-			t.Errorf("%v left: %+v, want one try cut after %v", test.left, actions, test.want)
+			t.Errorf("%v left: %+v, want one attempt with a timeout of %v", test.left, actions, test.want)
 		}
 	}
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A long run of one of 300 senders, with destinations that come and go, every outcome, withdrawals and messages that
+// A long run of one of 300 relays, with destinations that come and go, every outcome, withdrawals and messages that
 // are given up on: its heap after collection does not grow with the messages. One that keeps a word for each message
 // fails the same check.
 func TestMemoryStaysFlatOverALongRun(t *testing.T) {
@@ -28,7 +28,7 @@
 	}
 	if least, _ := heapSlope(t, true); least < 4 {
 		t.Errorf(
-			"a sender that keeps a word for each message grows by %.2f bytes a message at least: the check sees nothing",
+			"a relay that keeps a word for each message grows by %.2f bytes a message at least: the check sees nothing",
 			least,
 		)
 	}
@@ -87,7 +87,7 @@
 	var xs, ys []float64
 	for round := range rounds {
 		var list []Endpoint
-		for i := range 15 { // the same places, with new routes and numbers each round
+		for i := range 15 { // the same places, with new endpoints and numbers each round
 			list = append(
 				list,
 				Endpoint{
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Time-outs of calls that later ones overtook once skipped routes that lost single calls.
+// Timeouts of calls that later ones overtook once ejected endpoints that lost single calls.
 func TestLostCallIsNoEvidence(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -15,11 +15,12 @@
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now - time.Second}, time.Second)
 	}
 	if ep.ejected || ep.warmingUp || ep.consecutiveFailures != 0 {
-		t.Errorf("down %v, cold %v, streak %d after lost calls", ep.ejected, ep.warmingUp, ep.consecutiveFailures)
+		t.Errorf("ejected %v, suspect %v, %d consecutive failures after lost calls",
+			ep.ejected, ep.warmingUp, ep.consecutiveFailures)
 	}
 }
 
-// Scattered resets once put living routes under the recovery budget.
+// Scattered resets once put healthy endpoints under the recovery budget.
 func TestResetAtAHealthyEndpointIsNoEvidence(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -28,13 +29,13 @@
 	h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
 	h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
 	if ep.warmingUp {
-		t.Error("in doubt after two resets within 3 s of an answer")
+		t.Error("suspect after two resets within 3 s of an answer")
 	}
 	h.engine.now += recentlyHealthyWindow
 	for range 3 {
 		h.engine.observeOutcome(ep, observation{outcome: Reset, sentAt: h.now + 1}, ms)
 	}
 	if !ep.ejected {
-		t.Error("not skipped after three resets in a row and no answer for 3 s")
+		t.Error("not ejected after three consecutive resets and no answer for 3 s")
 	}
 }
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -13,34 +13,34 @@
 	}
 	scope := h.engine.endpoints["a"].scope
 	if scope.pacingRate != 0 {
-		t.Fatalf("the pace starts at %v, want free", scope.pacingRate)
+		t.Fatalf("the pacing rate starts at %v, want none", scope.pacingRate)
 	}
 	h.finish(0, "a", Overloaded, 100*ms, 0)
 	if scope.pacingRate != 4 {
-		t.Errorf("pace %v after a refusal at 8 in the last second, want 4", scope.pacingRate)
+		t.Errorf("pacing rate %v after a rejection at 8 in the last second, want 4", scope.pacingRate)
 	}
 	h.finish(1, "a", Overloaded, ms, 0)
 	if scope.pacingRate != 4 {
-		t.Errorf("pace %v after a refusal of the same burst, want 4", scope.pacingRate)
+		t.Errorf("pacing rate %v after a rejection of the same burst, want 4", scope.pacingRate)
 	}
 	h.finish(2, "a", OK, ms, 0)
 	if want := 4 * (1 + pacingGrowth); scope.pacingRate != want {
-		t.Errorf("pace %v after a delivery, want %v", scope.pacingRate, want)
+		t.Errorf("pacing rate %v after a delivery, want %v", scope.pacingRate, want)
 	}
 	for id := uint32(3); id < 6; id++ {
 		h.finish(id, "a", Error, ms, 0)
 	}
 	ep := h.engine.endpoints["a"]
 	if !ep.ejected {
-		t.Fatal("three failures in a row did not skip the route")
+		t.Fatal("three consecutive failures did not eject the endpoint")
 	}
 	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 	if want := pacingRestartRate * (1 + pacingGrowth); ep.ejected || scope.pacingRate != want {
-		t.Errorf("pace %v at the end of a skip, want %v", scope.pacingRate, want)
+		t.Errorf("pacing rate %v at the end of an ejection, want %v", scope.pacingRate, want)
 	}
 }
 
-// Halving counts of few calls a second again and again starved gates whose limit was known.
+// Repeated decreases, by counts of few calls a second, once starved scopes whose limit was known.
 func TestPacingKeepsHalfTheEvenShare(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
 	ep := h.engine.endpoints["a"]
@@ -50,11 +50,11 @@
 		h.engine.decreasePacing(ep, observation{outcome: Overloaded, sentAt: h.now})
 	}
 	if want := 20 * minPacingShareRatio; ep.scope.pacingRate != want {
-		t.Errorf("pace %v after five refusals, want %v", ep.scope.pacingRate, want)
+		t.Errorf("pacing rate %v after five rejections, want %v", ep.scope.pacingRate, want)
 	}
 }
 
-// At a call in some seconds a pace once recovered thirty times slower than at ten a second.
+// With one call in several seconds a pacing rate once grew thirty times slower than with ten a second.
 func TestPacingGrowsWithTimeBetweenSuccesses(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1})
 	scope := h.engine.endpoints["a"].scope
@@ -62,12 +62,17 @@
 	h.engine.now = h.now + 4*time.Second
 	h.engine.increasePacing(scope)
 	if want := 0.1 * math.Pow(1+pacingGrowth, 4); math.Abs(scope.pacingRate-want) > 1e-9 {
-		t.Errorf("pace %v after a success in 4 s, want %v", scope.pacingRate, want)
+		t.Errorf("pacing rate %v after a success in 4 s, want %v", scope.pacingRate, want)
 	}
 }
 
 func TestCallIntervalIsBounded(t *testing.T) {
-	if callInterval(0) != time.Hour || callInterval(1e-9) != time.Hour || callInterval(math.Inf(1)) != 0 || callInterval(4) != 250*ms {
-		t.Errorf("spans %v %v %v", callInterval(0), callInterval(1e-9), callInterval(4))
+	for _, test := range []struct {
+		rate float64
+		want time.Duration
+	}{{0, time.Hour}, {1e-9, time.Hour}, {math.Inf(1), 0}, {4, 250 * ms}} {
+		if got := callInterval(test.rate); got != test.want {
+			t.Errorf("%v calls a second: interval %v, want %v", test.rate, got, test.want)
+		}
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sharingRelay is one of 40 senders that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
+// sharingRelay is one of 40 relays that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
 // second, more or less. Its calls are answered with the next step.
 type sharingRelay struct {
 	*Engine
@@ -68,7 +68,7 @@
 	return calls, asks, wanted
 }
 
-// What others leave a sender lets it make so many calls beyond its own pace, for so long; what it lends slows that; and
+// What others leave a relay lets it make so many calls beyond its own pacing rate, for so long; what it lends slows that; and
 // it asks for calls only where limits are shared, shortly before they may leave.
 func TestQuotaGrants(t *testing.T) {
 	right := func(share float64, calls int, left time.Duration) Event {
@@ -87,7 +87,7 @@
 		"and void at once":                     {[]Event{right(0.2, 9, 0)}, 0, 2, 50, 100},
 		"of another destination":               {[]Event{{Kind: QuotaGranted, Destination: 6, ReservedFraction: 0.2, GrantedCalls: 9, TimeLeft: span}}, 3, 9, 0, 0},
 		"while it waits as it was told":        {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: span}, right(0.2, 9, span)}, 0, 0, 0, 10},
-		"while the route drains":               {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
+		"while the endpoint drains":            {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
 		"two at a time end with the first one": {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
 	} {
 		relay := newSharingRelay(t)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A sender that lends and borrows goes on from its snapshot as it was.
+// A relay that lends and borrows goes on from its snapshot as it was.
 func TestQuotaGrantsSurviveSnapshots(t *testing.T) {
 	original := newSharingRelay(t)
 	original.runFor(
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -18,18 +18,18 @@
 	rejected              bool
 }
 
-// restartCase is a restart drawn by a seed: settings, list, standing of hosts and messages.
+// restartCase is a restart drawn by a seed: settings, list, standing of endpoints and messages.
 type restartCase struct {
 	settings      Settings
 	initialEvents []Event
 	lateEndpoints []Endpoint // listed at lateAfter only
 	lateAfter     time.Duration
 	messages      []*restartMessage
-	inService     map[int]bool             // destinations with a host in service, in time
-	retryAfter    map[string]time.Duration // told, by route
-	impaired      map[int]bool             // something was told of a host of this destination
+	inService     map[int]bool             // destinations with an endpoint in service, in time
+	retryAfter    map[string]time.Duration // told, by endpoint
+	impaired      map[int]bool             // something was told of an endpoint of this destination
 	endpoints     []Endpoint
-	listedLate    map[int]bool // by destination: a host is listed late
+	listedLate    map[int]bool // by destination: an endpoint is listed late
 }
 
 func randomRestart(seed uint64, resumed bool) *restartCase {
@@ -108,7 +108,7 @@
 	return restart
 }
 
-// run has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts
+// run has a relay go on from what a restart finds, at endpoints that deliver all, until nobody's time is left. It counts
 // the calls of each destination.
 func (restart *restartCase) run(t *testing.T, seed uint64) (calls map[int]int) {
 	t.Helper()
@@ -181,7 +181,7 @@
 	return calls
 }
 
-// blockedBeyond tells whether every host of a destination was told to wait for d or more.
+// blockedBeyond tells whether every endpoint of a destination was told to wait for d or more.
 func (restart *restartCase) blockedBeyond(destinationID int, d time.Duration) bool {
 	shared, all := time.Duration(0), true
 	for _, entry := range restart.endpoints {
@@ -206,13 +206,13 @@
 		case msg.endedAfter >= 0 && !msg.rejected:
 			faults = append(faults, fmt.Sprintf("message %d failed, though it never ran", msg.id))
 		case msg.endedAfter >= 0 && msg.endedAfter < msg.timeLeft-50*time.Millisecond && !restart.blockedBeyond(msg.destination, msg.timeLeft):
-			faults = append(faults, fmt.Sprintf("message %d refused untried after %v of %v", msg.id, msg.endedAfter, msg.timeLeft))
+			faults = append(faults, fmt.Sprintf("message %d rejected untried after %v of %v", msg.id, msg.endedAfter, msg.timeLeft))
 		case msg.endedAfter < 0:
 			faults = append(faults, fmt.Sprintf("message %d has no end", msg.id))
 		case !restart.inService[msg.destination] || restart.impaired[msg.destination] || msg.timeLeft-listed < spread:
-			// No host, or one of which something was told, or no time: its destination may have had no call.
+			// No endpoint, or one of which something was told, or no time: its destination may have had no call.
 		case calls[msg.destination] == 0:
-			faults = append(faults, fmt.Sprintf("message %d: a host that stands well had no call in %v", msg.id, msg.timeLeft))
+			faults = append(faults, fmt.Sprintf("message %d: an endpoint that stands well had no call in %v", msg.id, msg.timeLeft))
 		case restart.settings.IgnoreWeights && listed == 0:
 			faults = append(faults, fmt.Sprintf("message %d not tried in %v, where nothing bars it", msg.id, msg.timeLeft))
 		}
@@ -220,7 +220,7 @@
 	return faults
 }
 
-// Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all hosts
+// Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all endpoints
 // are told to wait past it, or capacity bars it, which the calls made show; and it never ends early without one.
 func TestRecoveredMessagesAreTriedOrKept(t *testing.T) {
 	sent, all := 0, 0
@@ -228,7 +228,7 @@
 		restart := randomRestart(seed, true)
 		if wrong := restart.faults(restart.run(t, seed)); len(wrong) > 0 {
 			t.Errorf(
-				"seed %d, %d senders, no weights %v: %d of %d: %s",
+				"seed %d, %d relays, no weights %v: %d of %d: %s",
 				seed,
 				restart.settings.FleetSize,
 				restart.settings.IgnoreWeights,
@@ -246,7 +246,7 @@
 	if t.Logf("%d of %d sent", sent, all); sent < all/4 {
 		t.Error("the test shows little")
 	}
-	// The same with messages that no earlier process took on: refused early, as they may be. It shows that the test can
+	// The same with messages that no earlier process took on: rejected early, as they may be. It shows that the test can
 	// fail.
 	found := 0
 	for seed := range uint64(200) {
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// restartSettings have one keyed class whose repeats are dropped in a zone for 10 s.
+// restartSettings have one idempotent-by-key class whose repeats are dropped in a zone for 10 s.
 func restartSettings() Settings {
 	return Settings{
 		Classes: []Class{{
@@ -17,7 +17,7 @@
 	}
 }
 
-// twoZoneList is a list of a better route in zone 1 and another in zone 0.
+// twoZoneList is a list of a better endpoint in zone 1 and another in zone 0.
 func twoZoneList() Event {
 	return Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
@@ -105,12 +105,12 @@
 			sends++
 		}
 	}
-	if sends == 0 || sends > 4 { // one for each route, and what rounding adds
+	if sends == 0 || sends > 4 { // one for each endpoint, and what rounding adds
 		t.Errorf("%d sends at once", sends)
 	}
 }
 
-// recoveredOutcome plays a sender of many that resumes messages nobody has tried, for as long as they have; what becomes of
+// recoveredOutcome plays a relay of many that resumes messages nobody has tried, for as long as they have; what becomes of
 // each.
 type recoveredOutcome struct {
 	sent, rejected map[uint32]time.Duration // when
@@ -196,17 +196,17 @@
 	}
 	told := append(list(500), Event{Kind: HealthChecked, Endpoint: "only", Outcome: NotSent, RetryAfter: time.Minute})
 	for _, test := range []struct {
-		name        string
-		set         Settings
-		first       []Event
-		n           int
-		sent        int           // at least
-		sentBy      time.Duration // all of these
-		refusedFrom time.Duration // none before; the rest
+		name         string
+		set          Settings
+		first        []Event
+		n            int
+		sent         int           // at least
+		sentBy       time.Duration // all of these
+		rejectedFrom time.Duration // none before; the rest
 	}{
 		{"limits not told", untold, list(0), 20, 20, left/2 + time.Second, left},
 		{"limits not told, one message", untold, list(0), 1, 1, left / 2, left},
-		{"limits not told, few senders", few, list(0), 20, 20, left/2 + time.Second, left},
+		{"limits not told, few relays", few, list(0), 20, 20, left/2 + time.Second, left},
 		{"a limit that bars most", plain, list(3), 20, 1, left, left - 50*time.Millisecond},
 		{"no room", full, list(3), 20, 1, left, left - 50*time.Millisecond},
 		{"a wait beyond their time", plain, told, 20, 0, 0, 0},
@@ -214,7 +214,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			u := runRecovered(t, test.set, test.first, test.n, left)
 			if len(u.sent) < test.sent || len(u.sent)+len(u.rejected) != test.n {
-				t.Errorf("%d sent, %d refused of %d", len(u.sent), len(u.rejected), test.n)
+				t.Errorf("%d sent, %d rejected of %d", len(u.sent), len(u.rejected), test.n)
 			}
 			for id, at := range u.sent {
 				if at > test.sentBy {
@@ -222,11 +222,11 @@
 				}
 			}
 			for id, at := range u.rejected {
-				if at < test.refusedFrom {
-					t.Errorf("message %d refused after %v", id, at)
+				if at < test.rejectedFrom {
+					t.Errorf("message %d rejected after %v", id, at)
 				}
-				if test.refusedFrom == 0 && at > 0 {
-					t.Errorf("message %d, told to wait beyond its time, refused after %v only", id, at)
+				if test.rejectedFrom == 0 && at > 0 {
+					t.Errorf("message %d, told to wait beyond its time, rejected after %v only", id, at)
 				}
 			}
 		})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -20,11 +20,11 @@
 		first := msg.attempts[i]
 		switch {
 		case msg.class.Effect == NonIdempotent:
-			sim.violate(2, "unsafe message %d sent again", msg.id)
+			sim.violate(2, "non-idempotent message %d sent again", msg.id)
 		case msg.class.Effect == IdempotentByKey && sim.now >= first.sentAt+msg.class.DedupWindow:
-			sim.violate(2, "keyed message %d sent after its window", msg.id)
+			sim.violate(2, "idempotent-by-key message %d sent after its window", msg.id)
 		case msg.class.Effect == IdempotentByKey && !msg.class.DedupAllZones && sim.listed[first.endpoint].Zone != entry.Zone:
-			sim.violate(2, "keyed message %d sent outside its group", msg.id)
+			sim.violate(2, "idempotent-by-key message %d sent outside its group", msg.id)
 		}
 	}
 	if !known || !entry.InService || entry.Removed || entry.Destination != msg.destination {
@@ -48,8 +48,8 @@
 	}
 }
 
-// checkRecovery checks the budget of a destination that came back cold: calls of any window since the
-// return, for a Sender told of its failures.
+// checkRecovery checks the budget of a destination that came back suspect: calls of any window since the
+// return, for an Engine told of its failures.
 func (sim *simulation) checkRecovery(d string, back time.Duration) {
 	sim.callsSinceRecovery[d] = append(sim.callsSinceRecovery[d], sim.now)
 	n := 0
@@ -81,7 +81,7 @@
 			}
 		}
 		if sim.delivered < 150 || sim.actionCounts[1] == 0 || sim.actionCounts[2] == 0 {
-			t.Errorf("seed %d: %d answered, %v sends, refusals, failures: the run shows too little",
+			t.Errorf("seed %d: %d answered, %v sends, rejections, failures: the run shows too little",
 				seed, sim.delivered, sim.actionCounts)
 		}
 	}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -16,14 +16,14 @@
 	for range 3 {
 		got = append(got, firstSend(h.finish(1, got[len(got)-1], Overloaded, 10*ms, 0)))
 	}
-	// Each refusal leaves its gate a pace with nothing saved, so the message moves on.
-	slices.Sort(got[1:3]) // equal routes go by lot
+	// Each rejection leaves its scope paced and without tokens, so the message moves on.
+	slices.Sort(got[1:3]) // equal endpoints are in the order of their tie-breakers
 	if want := []string{"z", "b", "c", "a"}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
 }
 
-// Hundreds of senders once loaded the first of several equal routes while the others idled.
+// Hundreds of relays once loaded the first of several equal endpoints while the others idled.
 func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
@@ -44,7 +44,7 @@
 		first[firstSend(actions)]++
 	}
 	if first["a"] < 10 || first["b"] < 10 || first["c"] < 10 {
-		t.Errorf("first choices of 60 senders: %v", first)
+		t.Errorf("first choices of 60 relays: %v", first)
 	}
 }
 
@@ -53,7 +53,7 @@
 	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a"}}},
 		Event{Kind: MessageAccepted, MessageID: 1, TimeLeft: 9 * time.Second})
 	if hasAction(actions, Send) {
-		t.Errorf("sent to a draining route: %+v", actions)
+		t.Errorf("sent to a draining endpoint: %+v", actions)
 	}
 }
 
@@ -65,6 +65,6 @@
 	h.accept(2, 0)
 	h.now += 5 * time.Second
 	if actions := h.accept(3, 0); hasAction(actions, Send) {
-		t.Errorf("a third call to a silent route: %+v", actions)
+		t.Errorf("a third call to a silent endpoint: %+v", actions)
 	}
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// disabledGuard changes what the Sender is told, as if one of its guards were taken out.
+// disabledGuard changes what the Engine is told, as if one of its guards were taken out.
 type disabledGuard struct {
 	name     string
 	rule     int
 	settings func(*Settings)
 	event    func(*Event)
 	replace  func(*Engine) *Engine                                            // after each step
-	step     func(engine *Engine, now time.Duration, events []Event) []Action // in place of the Sender's
-	// clients send as often; 0: every fourth time, and waits are told with refusals alone
+	step     func(engine *Engine, now time.Duration, events []Event) []Action // in place of the Engine's
+	// clients send as often; 0: every fourth time, and waits are told with rejections alone
 	acceptInterval int
 }
 
@@ -44,10 +44,10 @@
 	call  *simulatedCall
 }
 
-// simulatedCall is one call of the world: messages to one route in one reply.
+// simulatedCall is one call of the world: messages to one endpoint in one reply.
 type simulatedCall struct{ pending int }
 
-// simulation is the clients, the routes and the checker.
+// simulation is the clients, the endpoints and the checker.
 type simulation struct {
 	rng                 *rand.Rand
 	settings            Settings
@@ -66,9 +66,9 @@
 	callsInFlight       int
 	violations          map[int]string
 	delivered           int
-	actionCounts        [3]int // sends, refusals, failures
+	actionCounts        [3]int // sends, rejections, failures
 	acceptInterval      int
-	retryAfterOnAny     bool // with other answers than refusals
+	retryAfterOnAny     bool // with other answers than rejections
 }
 
 func (sim *simulation) violate(rule int, format string, args ...any) {
@@ -140,7 +140,7 @@
 	return sim
 }
 
-// reset starts the books anew, as for a fresh Sender.
+// reset starts the books anew, as for a fresh Engine.
 func (sim *simulation) reset() {
 	sim.listed, sim.messages, sim.byKey = map[string]Endpoint{}, map[uint32]*clientMessage{}, map[string][]*clientMessage{}
 	sim.pausedUntil, sim.retryAfterUntil, sim.consecutiveFailures = map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
@@ -187,12 +187,12 @@
 		})
 	}
 	switch sim.rng.IntN(400) {
-	case 0: // a route drains, or comes back
+	case 0: // an endpoint drains, or comes back
 		entry := &sim.endpoints[sim.rng.IntN(len(sim.endpoints))]
 		entry.InService = !entry.InService
 		sim.listed[entry.ID] = *entry
 		events = append(events, Event{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}})
-	case 1: // a route goes for good and another takes its place
+	case 1: // an endpoint goes for good and another takes its place
 		i := sim.rng.IntN(len(sim.endpoints))
 		old := sim.endpoints[i]
 		old.Removed, old.InService = true, false
@@ -216,7 +216,7 @@
 	return events
 }
 
-// recordOutcome books an outcome before the Sender hears of it.
+// recordOutcome books an outcome before the Engine hears of it.
 func (sim *simulation) recordOutcome(event *Event) {
 	msg := sim.messages[event.MessageID]
 	if msg == nil {
@@ -265,7 +265,7 @@
 			free := msg.class.Effect == Idempotent || msg.class.Effect == IdempotentByKey && msg.class.DedupAllZones
 			for _, t := range msg.attempts {
 				if (t.mayHaveRun || t.inFlight) && !free {
-					sim.violate(2, "message %d refused though it may have run", msg.id)
+					sim.violate(2, "message %d rejected though it may have run", msg.id)
 				}
 			}
 			msg.ended = true
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,7 @@
 	h.engine.now = h.now
 	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	// 2/3 of what topples at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
+	// Two thirds of an overload at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
 	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
 	if got, want := h.engine.recoveryBudgetAt(ep), h.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
@@ -23,7 +23,7 @@
 	}
 }
 
-// Senders told to wait until a destination opens once all called as it did: their budget had filled meanwhile.
+// Relays that got a Retry-After once all called at its end: their recovery budgets had filled meanwhile.
 func TestRetryAfterSavesNoRecoveryTokens(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 400
@@ -46,11 +46,11 @@
 		}
 	}
 	if open > 4 {
-		t.Errorf("%d of 400 senders call at the end of the wait", open)
+		t.Errorf("%d of 400 relays call at the end of the Retry-After", open)
 	}
 }
 
-// Calls saved up by hundreds of senders through a long outage once went out together at its end.
+// Calls saved up by hundreds of relays through a long outage once went out together at its end.
 func TestDueRecoveryCallsLapse(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1, Weight: 4})
@@ -73,51 +73,59 @@
 	}
 }
 
-// Under loss without resets, each time-out once restarted the warm-up of a route that went on answering.
+// Under loss without resets, each timeout once restarted the warm-up of an endpoint that went on answering.
 func TestTimeoutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
 	h.engine.now = h.now
 	h.engine.suspect(ep)
 	h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
-	back := ep.recoveredAt
+	recoveredAt := ep.recoveredAt
 	for range 6 {
 		h.engine.now += time.Second
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now - ms}, time.Second)
 		h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.engine.now}, ms)
 	}
-	if back == 0 || ep.recoveredAt != back || ep.ejected {
-		t.Errorf("back at %v, then %v, down %v", back, ep.recoveredAt, ep.ejected)
+	if recoveredAt == 0 || ep.recoveredAt != recoveredAt || ep.ejected {
+		t.Errorf("recovered at %v, then %v, ejected %v", recoveredAt, ep.recoveredAt, ep.ejected)
 	}
 	h.engine.now += time.Second
 	for range 2 {
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.engine.now}, time.Second)
 	}
 	if ep.recoveredAt != 0 {
-		t.Error("two time-outs in a row did not restart the warm-up")
+		t.Error("two consecutive timeouts did not restart the warm-up")
 	}
 }
 
-// The answer to a call that was sent before one that failed at once begins no warm-up; that to a later call does, and
-// to any after a loss.
+// The answer to a call that was sent before one that failed at once starts no warm-up; that to a later call does, and
+// that to any call after a lost one.
 func TestAnswersToEarlierCallsStartNoWarmUp(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome Outcome
 		sent    time.Duration // of the answered call, after the failed ones
-		begins  bool
-	}{{"error", Error, -time.Second, false}, {"error", Error, time.Second, true}, {"refused connection", ConnectFailed, -time.Second, false}, {"lost", Reset, -time.Second, true}} {
+		starts  bool
+	}{
+		{"error", Error, -time.Second, false},
+		{"error", Error, time.Second, true},
+		{"failed connection", ConnectFailed, -time.Second, false},
+		{"lost", Reset, -time.Second, true},
+	} {
 		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: 8})
-		ep, failed := h.engine.endpoints["a"], h.engine.now+time.Minute
-		h.engine.now = failed
+		ep := h.engine.endpoints["a"]
+		failedAt := h.engine.now + time.Minute
+		h.engine.now = failedAt
 		for range suspectAfterFailures {
-			h.engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: failed}, 0)
+			h.engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: failedAt}, 0)
 		}
-		if h.engine.now += 2 * time.Second; !ep.warmingUp {
-			t.Fatalf("%s: not in doubt", test.name)
+		h.engine.now += 2 * time.Second
+		if !ep.warmingUp {
+			t.Fatalf("%s: not suspect", test.name)
 		}
-		if h.engine.recordSuccess(ep, failed+test.sent, time.Second); (ep.recoveredAt > 0) != test.begins {
-			t.Errorf("%s, an answer to a call sent %v after it: warm-up began %v", test.name, test.sent, ep.recoveredAt > 0)
+		h.engine.recordSuccess(ep, failedAt+test.sent, time.Second)
+		if started := ep.recoveredAt > 0; started != test.starts {
+			t.Errorf("%s, an answer to a call sent %v after it: warm-up started %v", test.name, test.sent, started)
 		}
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// clearScratch clears what a Sender keeps only as scratch, or to have room.
+// clearScratch clears what an Engine keeps only as scratch, or to have room.
 func clearScratch(engine *Engine) {
 	engine.actions, engine.ready = nil, nil
 	for _, dest := range engine.sortedDestinations {
@@ -24,7 +24,7 @@
 	}
 }
 
-// A restored Sender equals the one that was found, field by field: whoever adds a field and leaves it out of the
+// A restored Engine equals the one that was found, field by field: whoever adds a field and leaves it out of the
 // snapshot is told here.
 func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(4) {
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// A sender of hundreds may see one failure of an outage: that is enough to doubt, and one delivery to clear.
+// One relay of hundreds may see a single failure of an outage: that is enough to suspect it, and one delivery clears it.
 func TestSparseShareSuspectsOnOneFailure(t *testing.T) {
 	for _, test := range []struct {
-		senders int
-		cold    bool
+		relays  int
+		suspect bool
 	}{{1, false}, {3, false}, {100, true}, {400, true}} {
 		settings := testSettings()
-		settings.FleetSize = test.senders
+		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4})
 		ep := h.engine.endpoints["a"]
 		h.engine.now = h.now
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now}, time.Second)
-		if ep.warmingUp != test.cold {
-			t.Errorf("%d senders: in doubt %v after one failure", test.senders, ep.warmingUp)
+		if ep.warmingUp != test.suspect {
+			t.Errorf("%d relays: suspect %v after one failure", test.relays, ep.warmingUp)
 		}
 		h.engine.observeOutcome(ep, observation{outcome: OK, sentAt: h.now}, ms)
 		if ep.warmingUp {
-			t.Errorf("%d senders: in doubt after a delivery", test.senders)
+			t.Errorf("%d relays: suspect after a delivery", test.relays)
 		}
 	}
 }
 
-// A shut destination was pushed over by hundreds of senders that it had refused twice each.
+// Hundreds of relays that a destination had rejected twice each, in an outage, once overloaded it together.
 func TestSparseShareSuspectsOnTwoRejections(t *testing.T) {
 	for _, test := range []struct {
-		senders   int
+		relays    int
 		gap, wait time.Duration
-		cold      bool
+		suspect   bool
 	}{
 		{20, minOutageRejectionTime, 0, true},
-		{20, minOutageRejectionTime - ms, 0, false},  // a clump: over by then
-		{20, minOutageRejectionTime, 500 * ms, true}, // waits are told by shut destinations too
-		{10, minOutageRejectionTime, 0, true},        // its part is more than a call in the span of a fall: a warm-up follows
+		{20, minOutageRejectionTime - ms, 0, false},  // a burst of calls: over by then
+		{20, minOutageRejectionTime, 500 * ms, true}, // outages send a Retry-After too
+		{10, minOutageRejectionTime, 0, true},        // its share is more than a call in an overload window: a warm-up follows
 		{1, minOutageRejectionTime, 0, false},
 	} {
 		settings := testSettings()
-		settings.FleetSize = test.senders
+		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a", Weight: 4})
 		ep := h.engine.endpoints["a"]
 		h.engine.now = h.now
 		h.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: h.now, retryAfter: test.wait}, ms)
 		h.engine.now += test.gap
 		h.engine.observeOutcome(ep, observation{outcome: Overloaded, sentAt: h.engine.now, retryAfter: test.wait}, ms)
-		if ep.warmingUp != test.cold {
-			t.Errorf("%+v: in doubt %v", test, ep.warmingUp)
+		if ep.warmingUp != test.suspect {
+			t.Errorf("%+v: suspect %v", test, ep.warmingUp)
 		}
 	}
 }
 
-// Hundreds of senders refused once by a shut destination, or told by one failed connection of a crashed one,
-// pushed it over together as it came back. Most of them doubt now; where each sees more of a route, none does yet.
+// Hundreds of relays that were rejected once in an outage, or had one connection fail in a crash, once overloaded the
+// destination together as it came back. Most of them suspect it now; where each sees more calls of an endpoint, none
+// does yet.
 func TestWeakSignalsSuspectByChance(t *testing.T) {
 	for _, test := range []struct {
-		senders     int
+		relays      int
 		outcome     Outcome
-		alive       bool
-		least, most int // in doubt, of 200
+		healthy     bool
+		least, most int // suspect, of 200
 	}{
 		{400, Overloaded, false, 100, 140},
 		{400, ConnectFailed, false, 100, 140},
-		{400, Overloaded, true, 0, 0}, // it answered within the last seconds
+		{400, Overloaded, true, 0, 0}, // it has answered of late
 		{3, Overloaded, false, 0, 0},
-		{20, Overloaded, false, 0, 0}, // its part is more than a call in a warm-up
+		{20, Overloaded, false, 0, 0}, // its share is more than a call in a warm-up
 	} {
 		settings := testSettings()
-		settings.FleetSize = test.senders
+		settings.FleetSize = test.relays
 		n := 0
 		for seed := range uint64(200) {
 			engine, err := New(settings, seed)
@@ -83,7 +84,7 @@
 			)
 			ep := engine.endpoints["a"]
 			engine.connectShortageUntil[0] = engine.now + time.Minute
-			if test.alive {
+			if test.healthy {
 				engine.recordSuccess(ep, engine.now, ms)
 			}
 			engine.observeOutcome(ep, observation{outcome: test.outcome, sentAt: engine.now}, ms)
@@ -92,12 +93,12 @@
 			}
 		}
 		if n < test.least || n > test.most {
-			t.Errorf("%+v: %d of 200 in doubt", test, n)
+			t.Errorf("%+v: %d of 200 suspect", test, n)
 		}
 	}
 }
 
-// A replacement listed during an outage was once sent to at full pace.
+// A replacement that was listed during an outage once got calls at the full rate.
 func TestReplacementInheritsSuspicion(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for id := range uint32(3) {
@@ -107,29 +108,31 @@
 	}
 	h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Removed: true}, {ID: "n", InService: true}}})
 	if h.engine.recoveryBudgetAt(h.engine.endpoints["n"]) == 0 {
-		t.Error("the replacement of a failing route is not under the recovery budget")
+		t.Error("the replacement of a failing endpoint is not under the recovery budget")
 	}
 }
 
-// A told wait that means shut, at one route, puts all routes of its limit in doubt: at its end none of them is free.
+// A Retry-After that shows an outage, at one endpoint, makes all endpoints of its scope suspect: at its end all of them
+// take calls from the recovery budget.
 func TestOutageSuspectsTheWholeScope(t *testing.T) {
 	settings := testSettings()
 	settings.WarmUpDuration = 20 * time.Second
 	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 8}, Endpoint{ID: "b", Weight: 8})
-	h.engine.observeOutcome(h.engine.endpoints["a"], observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: h.engine.now}, 0)
+	obs := observation{outcome: Overloaded, retryAfter: 2 * outageRetryAfter, sentAt: h.engine.now}
+	h.engine.observeOutcome(h.engine.endpoints["a"], obs, 0)
 	for _, name := range []string{"a", "b"} {
 		if !h.engine.endpoints[name].warmingUp {
-			t.Errorf("route %s is not in doubt", name)
+			t.Errorf("endpoint %s is not suspect", name)
 		}
 	}
 }
 
-// One delivery clears the slight doubt of a sender whose part is under a call in a warm-up; of others it begins the
-// warm-up.
+// One delivery clears the weak suspicion of a relay whose share is less than a call in a warm-up; at others it starts
+// the warm-up.
 func TestOneDeliveryClearsWeakSuspicion(t *testing.T) {
 	for _, test := range []struct {
-		limit float64
-		cold  bool
+		limit   float64
+		suspect bool
 	}{{2, false}, {40, true}} {
 		settings := testSettings()
 		settings.FleetSize, settings.WarmUpDuration, settings.OverloadWindow = 300, 20*time.Second, 3*time.Second
@@ -138,8 +141,8 @@
 		h.engine.now += time.Minute
 		h.engine.observeOutcome(ep, observation{outcome: Error, sentAt: h.engine.now}, 0)
 		h.engine.now += time.Second
-		if h.engine.recordSuccess(ep, h.engine.now, time.Second); ep.warmingUp != test.cold {
-			t.Errorf("limit %v: in doubt after a delivery %v", test.limit, ep.warmingUp)
+		if h.engine.recordSuccess(ep, h.engine.now, time.Second); ep.warmingUp != test.suspect {
+			t.Errorf("limit %v: suspect after a delivery %v", test.limit, ep.warmingUp)
 		}
 	}
 }
