--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The heap of ends gives them in order, whatever comes in between, and takes no memory of its own for an entry once it
-// has grown.
+// The heap returns entries in order, whatever is pushed in between, and allocates nothing for an entry once it has grown.
 func TestDeadlineHeapOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h deadlineHeap
@@ -27,12 +26,12 @@
 			got := h.pop()
 			for i := range model {
 				if model[i].precedes(&got) {
-					t.Fatalf("%v, %d came before %v, %d", got.at, got.message.id, model[i].at, model[i].message.id)
+					t.Fatalf("%v, %d popped before %v, %d", got.at, got.message.id, model[i].at, model[i].message.id)
 				}
 			}
 			i := slices.Index(model, got)
 			if i < 0 {
-				t.Fatal("one that is not there")
+				t.Fatal("popped an entry that was not pushed")
 			}
 			model = slices.Delete(model, i, i+1)
 		}
@@ -40,9 +39,14 @@
 			t.Fatalf("%d left of %d", len(h), len(model))
 		}
 	})
-	h, msg := make(deadlineHeap, 0, 8), &message{id: 1}
-	if n := testing.AllocsPerRun(100, func() { h.push(deadlineEntry{1, msg}); h.pop() }); n > 0 {
-		t.Errorf("%.0f allocations for an entry", n)
+	h := make(deadlineHeap, 0, 8)
+	msg := &message{id: 1}
+	allocations := testing.AllocsPerRun(100, func() {
+		h.push(deadlineEntry{1, msg})
+		h.pop()
+	})
+	if allocations > 0 {
+		t.Errorf("%.0f allocations for an entry", allocations)
 	}
 }
 
--- a/policy/emptylist_test.go
+++ b/policy/emptylist_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// referenceModel is what an Engine knows of destinations, by the plain rule: at every list event all without endpoints are
-// looked at.
+// referenceModel is what an Engine knows of destinations by the plain rule: each list event looks at all destinations
+// without endpoints.
 type referenceModel struct {
 	warmUp     time.Duration
-	endpoints  map[string]int // destinations
-	known      map[int]bool
+	endpoints  map[string]int // destinations by endpoint
+	known      map[int]bool   // destinations
 	emptySince map[int]time.Duration
-	empty      []int
+	empty      []int // destinations without endpoints, in the order in which they lost their last one
 }
 
 func (model *referenceModel) hasEndpoints(destinationID int) bool {
-	for _, d := range model.endpoints {
-		if d == destinationID {
+	for _, id := range model.endpoints {
+		if id == destinationID {
 			return true
 		}
 	}
@@ -30,17 +30,17 @@
 }
 
 func (model *referenceModel) remove(now time.Duration, endpointID string) {
-	d, is := model.endpoints[endpointID]
+	id, listed := model.endpoints[endpointID]
 	delete(model.endpoints, endpointID)
-	if is && model.emptySince[d] == 0 && !model.hasEndpoints(d) {
-		model.emptySince[d] = now
-		model.empty = append(model.empty, d)
+	if listed && model.emptySince[id] == 0 && !model.hasEndpoints(id) {
+		model.emptySince[id] = now
+		model.empty = append(model.empty, id)
 	}
 }
 
-func (model *referenceModel) update(now time.Duration, event Event, held map[int]int) {
+func (model *referenceModel) update(now time.Duration, event Event, messageCounts map[int]int) {
 	if event.Kind == EndpointSnapshot {
-		byDestination := func(x, y string) int { return model.endpoints[x] - model.endpoints[y] }
+		byDestination := func(a, b string) int { return model.endpoints[a] - model.endpoints[b] }
 		for _, id := range slices.SortedFunc(maps.Keys(model.endpoints), byDestination) {
 			if !slices.ContainsFunc(event.Endpoints, func(entry Endpoint) bool { return entry.ID == id }) {
 				model.remove(now, id)
@@ -50,28 +50,37 @@
 	for _, entry := range event.Endpoints {
 		if entry.Removed {
 			model.remove(now, entry.ID)
-		} else if _, is := model.endpoints[entry.ID]; !is {
+		} else if _, listed := model.endpoints[entry.ID]; !listed {
 			model.endpoints[entry.ID] = entry.Destination
 			model.known[entry.Destination] = true
 		}
 	}
-	model.empty = slices.DeleteFunc(model.empty, func(d int) bool {
-		if model.hasEndpoints(d) {
-			delete(model.emptySince, d)
+	model.empty = slices.DeleteFunc(model.empty, func(id int) bool {
+		if model.hasEndpoints(id) {
+			delete(model.emptySince, id)
 			return true
 		}
-		if held[d] > 0 || now < model.emptySince[d]+model.warmUp {
+		if messageCounts[id] > 0 || now < model.emptySince[id]+model.warmUp {
 			return false
 		}
-		delete(model.known, d)
-		delete(model.emptySince, d)
+		delete(model.known, id)
+		delete(model.emptySince, id)
 		return true
 	})
 }
 
-// simulateChurn plays random lists, changes, messages and pauses. After each step check is told of the list event, if there
-// was one. It returns a sum of all actions, to compare with another Engine's.
-func simulateChurn(t *testing.T, seed uint64, check func(engine *Engine, now time.Duration, event *Event, held map[int]int)) uint64 {
+// churn drives an Engine with random lists, changes of them, messages and pauses.
+type churn struct {
+	rng      *rand.Rand
+	engine   *Engine
+	now      time.Duration
+	nextID   uint32
+	listed   map[int]bool
+	inFlight []Event // outcomes to come
+}
+
+func newChurn(t *testing.T, seed uint64) *churn {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
 	settings := testSettings()
 	settings.FleetSize = []int{1, 300}[rng.IntN(2)]
@@ -79,93 +88,116 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, id := time.Minute, uint32(0)
-	sum := fnv.New64a()
-	var out []Event
-	listed := map[int]bool{}
-	newEntry := func(i int) Endpoint {
-		return Endpoint{
-			ID:          fmt.Sprint("r", i),
-			Destination: i / 2,
-			Kind:        i / 2 % 3,
-			Zone:        i % 2,
-			Weight:      20,
-			InService:   rng.IntN(9) > 0,
+	return &churn{rng: rng, engine: engine, now: time.Minute, nextID: 1, listed: map[int]bool{}}
+}
+
+func (c *churn) entry(i int) Endpoint {
+	return Endpoint{
+		ID:          fmt.Sprint("r", i),
+		Destination: i / 2,
+		Kind:        i / 2 % 3,
+		Zone:        i % 2,
+		Weight:      20,
+		InService:   c.rng.IntN(9) > 0,
+	}
+}
+
+// delta removes and adds some of a few destinations, most of them with all their endpoints.
+func (c *churn) delta() *Event {
+	event := &Event{Kind: EndpointDelta}
+	for range 1 + c.rng.IntN(4) {
+		destinationID := c.rng.IntN(12)
+		for i := 2 * destinationID; i < 2*destinationID+2; i++ {
+			entry := c.entry(i)
+			entry.Removed = c.listed[i] && c.rng.IntN(8) > 0
+			c.listed[i] = !entry.Removed
+			event.Endpoints = append(event.Endpoints, entry)
 		}
 	}
-	for range 1200 {
-		now += time.Duration(rng.IntN(4)*rng.IntN(4)*rng.IntN(400)) * ms
-		var events []Event
-		var list *Event
-		switch n := rng.IntN(10); {
-		case n == 0: // some of a few destinations go and come, most wholly
-			event := Event{Kind: EndpointDelta}
-			for range 1 + rng.IntN(4) {
-				d := rng.IntN(12)
-				for i := 2 * d; i < 2*d+2; i++ {
-					entry := newEntry(i)
-					entry.Removed = listed[i] && rng.IntN(8) > 0
-					listed[i] = !entry.Removed
-					event.Endpoints = append(event.Endpoints, entry)
-				}
-			}
-			list = &event
-		case n == 1 && rng.IntN(4) == 0:
-			event := Event{Kind: EndpointSnapshot}
-			clear(listed)
-			for i := range 24 {
-				if listed[i] = rng.IntN(3) > 0; listed[i] {
-					event.Endpoints = append(event.Endpoints, newEntry(i))
-				}
-			}
-			list = &event
-		case n < 5:
-			id++
-			events = append(
-				events,
-				Event{
-					Kind:        MessageAccepted,
-					MessageID:   id,
-					Destination: rng.IntN(12),
-					TimeLeft:    time.Duration(1+rng.IntN(20)) * time.Second,
-				},
-			)
-		case n < 8 && len(out) > 0:
-			i := rng.IntN(len(out))
-			event := out[i]
-			out = slices.Delete(out, i, i+1)
-			event.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[rng.IntN(6)]
-			event.MessageEnded, event.Latency = event.Outcome == OK, 50*ms
-			events = append(events, event)
-		default:
-			events = append(events, Event{Kind: TimerFired})
+	return event
+}
+
+func (c *churn) snapshot() *Event {
+	event := &Event{Kind: EndpointSnapshot}
+	clear(c.listed)
+	for i := range 24 {
+		c.listed[i] = c.rng.IntN(3) > 0
+		if c.listed[i] {
+			event.Endpoints = append(event.Endpoints, c.entry(i))
 		}
-		held := map[int]int{}
-		for _, dest := range engine.sortedDestinations {
-			held[dest.id] = dest.messageCount
+	}
+	return event
+}
+
+// events returns a list event or nil, and other events.
+func (c *churn) events() (list *Event, others []Event) {
+	switch n := c.rng.IntN(10); {
+	case n == 0:
+		return c.delta(), nil
+	case n == 1 && c.rng.IntN(4) == 0:
+		return c.snapshot(), nil
+	case n < 5:
+		accepted := Event{
+			Kind:        MessageAccepted,
+			MessageID:   c.nextID,
+			Destination: c.rng.IntN(12),
+			TimeLeft:    time.Duration(1+c.rng.IntN(20)) * time.Second,
 		}
+		c.nextID++
+		return nil, []Event{accepted}
+	case n < 8 && len(c.inFlight) > 0:
+		i := c.rng.IntN(len(c.inFlight))
+		finished := c.inFlight[i]
+		c.inFlight = slices.Delete(c.inFlight, i, i+1)
+		finished.Outcome = []Outcome{OK, OK, Error, Overloaded, Timeout, Reset}[c.rng.IntN(6)]
+		finished.MessageEnded = finished.Outcome == OK
+		finished.Latency = 50 * ms
+		return nil, []Event{finished}
+	}
+	return nil, []Event{{Kind: TimerFired}}
+}
+
+// simulateChurn runs a churn. After each step, check is called with the list event, if there was one, and the numbers of
+// messages by destination before the step. It returns a hash of all actions, to compare with those of another build.
+func simulateChurn(
+	t *testing.T,
+	seed uint64,
+	check func(engine *Engine, now time.Duration, list *Event, messageCounts map[int]int),
+) uint64 {
+	t.Helper()
+	c := newChurn(t, seed)
+	hash := fnv.New64a()
+	for range 1200 {
+		c.now += time.Duration(c.rng.IntN(4)*c.rng.IntN(4)*c.rng.IntN(400)) * ms
+		list, events := c.events()
 		if list != nil {
 			events = append([]Event{*list}, events...)
 		}
-		for _, a := range engine.Step(now, events) {
-			fmt.Fprintln(sum, now, a)
+		messageCounts := map[int]int{}
+		for _, dest := range c.engine.sortedDestinations {
+			messageCounts[dest.id] = dest.messageCount
+		}
+		for _, a := range c.engine.Step(c.now, events) {
+			_, _ = fmt.Fprintln(hash, c.now, a) // a hash takes whatever is written
 			if a.Kind == Send {
-				n := 0
-				for _, x := range engine.messages[a.MessageID].inFlight {
-					n = max(n, x.number)
-				}
-				out = append(
-					out,
-					Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: n, Endpoint: a.Endpoint},
-				)
+				c.inFlight = append(c.inFlight, c.outcomeOf(a))
 			}
 		}
-		check(engine, now, list, held)
+		check(c.engine, c.now, list, messageCounts)
+	}
+	return hash.Sum64()
+}
+
+// outcomeOf returns the event that ends the attempt of a Send action, without its outcome.
+func (c *churn) outcomeOf(a Action) Event {
+	number := 0
+	for _, inFlight := range c.engine.messages[a.MessageID].inFlight {
+		number = max(number, inFlight.number)
 	}
-	return sum.Sum64()
+	return Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: number, Endpoint: a.Endpoint}
 }
 
-// emptyDestinationsOf are the destinations without endpoints that an Engine still knows, in their order.
+// emptyDestinationsOf returns the destinations without endpoints that an Engine still knows, in their order.
 func emptyDestinationsOf(engine *Engine) (all []*destination) {
 	for dest := engine.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
 		all = append(all, dest)
@@ -173,7 +205,7 @@
 	return all
 }
 
-// What an Engine still knows after every step is what the plain rule says.
+// What an Engine knows after every step is what the reference model knows.
 func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
 	removed := 0
 	for seed := range uint64(30) {
@@ -183,35 +215,36 @@
 			known:      map[int]bool{},
 			emptySince: map[int]time.Duration{},
 		}
-		sum := simulateChurn(t, seed, func(engine *Engine, now time.Duration, event *Event, held map[int]int) {
+		check := func(engine *Engine, now time.Duration, list *Event, messageCounts map[int]int) {
 			if t.Failed() {
 				return
 			}
-			if event != nil {
-				was := len(model.known)
-				model.update(now, *event, held)
-				removed += max(0, was-len(model.known))
+			if list != nil {
+				before := len(model.known)
+				model.update(now, *list, messageCounts)
+				removed += max(0, before-len(model.known))
 			}
-			for d := range engine.destinations {
-				if !model.known[d] && engine.destinations[d].messageCount > 0 {
-					model.known[d] = true // taken for a destination that no list named
+			for id := range engine.destinations {
+				if !model.known[id] && engine.destinations[id].messageCount > 0 {
+					model.known[id] = true // created for a message, without a list that named it
 				}
 			}
-			got, want := slices.Sorted(maps.Keys(engine.destinations)), slices.Sorted(maps.Keys(model.known))
+			got := slices.Sorted(maps.Keys(engine.destinations))
+			want := slices.Sorted(maps.Keys(model.known))
 			if !slices.Equal(got, want) {
-				t.Errorf("seed %d, at %v: knows %v, by the plain rule %v", seed, now, got, want)
+				t.Errorf("seed %d, at %v: knows %v, the model %v", seed, now, got, want)
 			}
-			var bare []int
+			var empty []int
 			for _, dest := range emptyDestinationsOf(engine) {
-				bare = append(bare, dest.id)
+				empty = append(empty, dest.id)
 			}
-			if !slices.Equal(bare, model.empty) {
-				t.Errorf("seed %d, at %v: without endpoints %v, by the plain rule %v", seed, now, bare, model.empty)
+			if !slices.Equal(empty, model.empty) {
+				t.Errorf("seed %d, at %v: without endpoints %v, in the model %v", seed, now, empty, model.empty)
 			}
-		})
-		t.Logf("seed %d: the actions' sum is %x", seed, sum)
+		}
+		t.Logf("seed %d: the hash of the actions is %x", seed, simulateChurn(t, seed, check))
 	}
 	if removed < 100 {
-		t.Errorf("%d destinations forgotten: the plays show too little", removed)
+		t.Errorf("%d destinations removed: the runs show too little", removed)
 	}
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -7,13 +7,11 @@
 	"time"
 )
 
-// A long queue stays where it is when its first message leaves: moved for each, as where all that a restart finds miss
-// their aims, it takes the square of its length. Whichever leave, the order stays.
+// A long queue stays in place when its first message leaves. Moved for each of its messages, as when all that a restart
+// finds miss their latency objectives, it takes time by the square of its length. The order stays in any case.
 func TestDequeueAtTheFrontMovesNothing(t *testing.T) {
-	engine, err := New(
-		Settings{Classes: []Class{{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}}},
-		1,
-	)
+	class := Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}
+	engine, err := New(Settings{Classes: []Class{class}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +23,8 @@
 	dest := engine.destinations[5]
 	for range maxQueueScan {
 		second := &dest.queue[1]
-		if engine.dequeue(dest.queue[0]); &dest.queue[0] != second {
+		engine.dequeue(dest.queue[0])
+		if &dest.queue[0] != second {
 			t.Fatal("the queue was moved")
 		}
 	}
@@ -37,8 +36,9 @@
 			i = 0
 		}
 		engine.dequeue(left[i])
-		if left = slices.Delete(left, i, i+1); !slices.Equal(dest.queue, left) {
-			t.Fatalf("with %d left another order", len(left))
+		left = slices.Delete(left, i, i+1)
+		if !slices.Equal(dest.queue, left) {
+			t.Fatalf("another order with %d left", len(left))
 		}
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -5,15 +5,19 @@
 	"time"
 )
 
-// restartSettings have one idempotent-by-key class whose repeats are dropped in a zone for 10 s.
+// restartSettings have one class with an idempotency key, whose repeats a zone drops for 10 s.
 func restartSettings() Settings {
 	return Settings{
 		Classes: []Class{{
-			Effect: IdempotentByKey, DedupWindow: 10 * time.Second, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1,
+			Effect:           IdempotentByKey,
+			DedupWindow:      10 * time.Second,
+			LatencyObjective: 3 * time.Second,
+			Deadline:         16 * time.Second,
+			Weight:           1,
 		}},
-		DestinationKinds: []DestinationKind{
-			{LimitPerEndpoint: true, MaxBatch: 1},
-		}, MaxAttempts: 8, MaxRetryAfter: 3 * time.Second,
+		DestinationKinds: []DestinationKind{{LimitPerEndpoint: true, MaxBatch: 1}},
+		MaxAttempts:      8,
+		MaxRetryAfter:    3 * time.Second,
 	}
 }
 
@@ -25,58 +29,51 @@
 	}}
 }
 
-func stepRecovered(t *testing.T, recovered *RecoveredMessage) []Action {
+// acceptRecovered returns the actions of a new Engine that accepts one recovered message.
+func acceptRecovered(t *testing.T, recovered RecoveredMessage, left time.Duration) []Action {
 	t.Helper()
 	engine, err := New(restartSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return engine.Step(time.Second, []Event{
-		twoZoneList(), {Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second, Recovered: recovered},
+		twoZoneList(),
+		{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: left, Recovered: &recovered},
 	})
 }
 
 func TestRecoveredMessagesKeepZoneAndWindow(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		resumed RecoveredMessage
-		route   string // "" if none may be tried
+		name      string
+		recovered RecoveredMessage
+		endpoint  string // "" if none may be tried
 	}{
-		{"nothing ran", RecoveredMessage{Attempts: 1}, "best"},
-		{"one may have run in zone 0", RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 5 * time.Second}, "other"},
+		{"has not run", RecoveredMessage{Attempts: 1}, "best"},
+		{
+			"may have run in zone 0",
+			RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 5 * time.Second},
+			"other",
+		},
 		{"too long ago", RecoveredMessage{Attempts: 1, MayHaveRun: true, SinceFirstRun: 11 * time.Second}, ""},
 		{"no attempts left", RecoveredMessage{Attempts: 8}, ""},
 	} {
-		endpointID := ""
-		for _, a := range stepRecovered(t, &test.resumed) {
-			if a.Kind == Send {
-				endpointID = a.Endpoint
+		t.Run(test.name, func(t *testing.T) {
+			got := firstSend(acceptRecovered(t, test.recovered, 8*time.Second))
+			if got != test.endpoint {
+				t.Errorf("sent to %q, want %q", got, test.endpoint)
 			}
-		}
-		if endpointID != test.route {
-			t.Errorf("%s: sent to %q, want %q", test.name, endpointID, test.route)
-		}
+		})
 	}
 }
 
 func TestOverdueRecoveredMessagesEndAtOnce(t *testing.T) {
 	for _, test := range []struct {
-		resumed RecoveredMessage
-		want    ActionKind
+		recovered RecoveredMessage
+		want      ActionKind
 	}{{RecoveredMessage{}, Reject}, {RecoveredMessage{Attempts: 1, MayHaveRun: true}, Fail}} {
-		engine, err := New(restartSettings(), 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		actions := engine.Step(
-			time.Second,
-			[]Event{
-				twoZoneList(),
-				{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: -time.Second, Recovered: &test.resumed},
-			},
-		)
+		actions := acceptRecovered(t, test.recovered, -time.Second)
 		if len(actions) == 0 || actions[0].Kind != test.want {
-			t.Errorf("%+v: %+v", test.resumed, actions)
+			t.Errorf("%+v: %+v", test.recovered, actions)
 		}
 	}
 }
@@ -86,20 +83,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{twoZoneList()}
-	for i := range uint32(40) {
-		events = append(
-			events,
-			Event{
-				Kind:        MessageAccepted,
-				MessageID:   i,
-				Destination: 5,
-				TimeLeft:    8 * time.Second,
-				Recovered:   &RecoveredMessage{},
-			},
-		)
-	}
 	sends := 0
+	events := append([]Event{twoZoneList()}, untriedMessages(40, 8*time.Second)...)
 	for _, a := range engine.Step(time.Second, events) {
 		if a.Kind == Send {
 			sends++
@@ -110,123 +95,122 @@
 	}
 }
 
-// recoveredOutcome plays a relay of many that resumes messages nobody has tried, for as long as they have; what becomes of
-// each.
+// untriedMessages are recovered messages without an attempt, all for destination 5.
+func untriedMessages(n int, left time.Duration) (events []Event) {
+	for id := range uint32(n) {
+		events = append(events, Event{
+			Kind:        MessageAccepted,
+			MessageID:   id + 1,
+			Destination: 5,
+			TimeLeft:    left,
+			Recovered:   &RecoveredMessage{},
+		})
+	}
+	return events
+}
+
+// recoveredOutcome is what became of recovered messages, with the times since the restart.
 type recoveredOutcome struct {
-	sent, rejected map[uint32]time.Duration // when
+	sent, rejected map[uint32]time.Duration
 }
 
-func runRecovered(t *testing.T, settings Settings, first []Event, n int, left time.Duration) recoveredOutcome {
+// runRecovered runs a relay that recovers untried messages until their time is up.
+func runRecovered(t *testing.T, settings Settings, initial []Event, n int, left time.Duration) recoveredOutcome {
 	t.Helper()
 	engine, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := recoveredOutcome{map[uint32]time.Duration{}, map[uint32]time.Duration{}}
-	began := time.Second
-	now, events := began, first
-	for id := range uint32(n) {
-		events = append(
-			events,
-			Event{
-				Kind:        MessageAccepted,
-				MessageID:   id + 1,
-				Destination: 5,
-				TimeLeft:    left,
-				Recovered:   &RecoveredMessage{},
-			},
-		)
-	}
-	for now < began+left+time.Second {
-		wake := now + time.Second
-		var next []Event
+	const startedAt = time.Second
+	const latency = 50 * ms
+	outcome := recoveredOutcome{sent: map[uint32]time.Duration{}, rejected: map[uint32]time.Duration{}}
+	now := startedAt
+	events := append(initial, untriedMessages(n, left)...)
+	for now < startedAt+left+time.Second {
+		next := now + time.Second
+		var answers []Event
 		for _, a := range engine.Step(now, events) {
 			switch a.Kind {
 			case Send:
-				u.sent[a.MessageID] = now - began
-				next = append(
-					next,
-					Event{
-						Kind:         AttemptFinished,
-						MessageID:    a.MessageID,
-						Endpoint:     a.Endpoint,
-						Outcome:      OK,
-						Latency:      50 * time.Millisecond,
-						MessageEnded: true,
-					},
-				)
+				outcome.sent[a.MessageID] = now - startedAt
+				answers = append(answers, Event{
+					Kind:         AttemptFinished,
+					MessageID:    a.MessageID,
+					Endpoint:     a.Endpoint,
+					Outcome:      OK,
+					Latency:      latency,
+					MessageEnded: true,
+				})
 			case Reject:
-				u.rejected[a.MessageID] = now - began
+				outcome.rejected[a.MessageID] = now - startedAt
 			case Fail:
 				t.Errorf("message %d failed", a.MessageID)
 			case SetTimer:
-				wake = min(wake, now+a.Delay)
+				next = min(next, now+a.Delay)
 			}
 		}
-		if events = next; len(events) > 0 {
-			wake = min(wake, now+50*time.Millisecond)
+		events = answers
+		if len(events) > 0 {
+			next = min(next, now+latency)
 		}
-		now = wake
+		now = next
 	}
-	return u
+	return outcome
 }
 
-// Where nothing tells of limits a part of them tells nothing either: what waits is tried in half of its time. Where a
-// limit bars some of it, or no room is left, it is kept until its time is up; it ends early only where a wait is told
-// beyond that.
+// Where no limit is known, a share of it is not known either: waiting messages are tried in half of their time. Where a
+// limit blocks some of them, or the relay is at its maximum of pending messages, they wait until their time is up. They
+// end early only if a Retry-After blocks all endpoints beyond that.
 func TestUntriedMessagesAreTriedOrKept(t *testing.T) {
 	const left = 10 * time.Second
-	plain := restartSettings()
-	plain.DestinationKinds, plain.FleetSize, plain.WarmUpDuration, plain.OverloadWindow = []DestinationKind{
-		{MaxBatch: 1},
-	}, 300, 14*time.Second, 3*time.Second
-	untold := plain
-	untold.IgnoreWeights = true
-	few := untold
-	few.FleetSize = 2
-	full := plain
+	limited := restartSettings()
+	limited.DestinationKinds = []DestinationKind{{MaxBatch: 1}}
+	limited.FleetSize = 300
+	limited.WarmUpDuration = 14 * time.Second
+	limited.OverloadWindow = 3 * time.Second
+	unlimited := limited
+	unlimited.IgnoreWeights = true
+	smallFleet := unlimited
+	smallFleet.FleetSize = 2
+	full := limited
 	full.MaxPendingMessages = 20
 	list := func(weight float64) []Event {
-		return []Event{
-			{
-				Kind:      EndpointSnapshot,
-				Endpoints: []Endpoint{{ID: "only", Destination: 5, Weight: weight, InService: true}},
-			},
-		}
+		endpoints := []Endpoint{{ID: "only", Destination: 5, Weight: weight, InService: true}}
+		return []Event{{Kind: EndpointSnapshot, Endpoints: endpoints}}
 	}
-	told := append(list(500), Event{Kind: HealthChecked, Endpoint: "only", Outcome: NotSent, RetryAfter: time.Minute})
+	blocked := append(list(500), Event{Kind: HealthChecked, Endpoint: "only", Outcome: NotSent, RetryAfter: time.Minute})
 	for _, test := range []struct {
 		name         string
-		set          Settings
-		first        []Event
+		settings     Settings
+		initial      []Event
 		n            int
 		sent         int           // at least
 		sentBy       time.Duration // all of these
 		rejectedFrom time.Duration // none before; the rest
 	}{
-		{"limits not told", untold, list(0), 20, 20, left/2 + time.Second, left},
-		{"limits not told, one message", untold, list(0), 1, 1, left / 2, left},
-		{"limits not told, few relays", few, list(0), 20, 20, left/2 + time.Second, left},
-		{"a limit that bars most", plain, list(3), 20, 1, left, left - 50*time.Millisecond},
-		{"no room", full, list(3), 20, 1, left, left - 50*time.Millisecond},
-		{"a wait beyond their time", plain, told, 20, 0, 0, 0},
+		{"no limit known", unlimited, list(0), 20, 20, left/2 + time.Second, left},
+		{"no limit known, one message", unlimited, list(0), 1, 1, left / 2, left},
+		{"no limit known, small fleet", smallFleet, list(0), 20, 20, left/2 + time.Second, left},
+		{"a limit that blocks most", limited, list(3), 20, 1, left, left - 50*ms},
+		{"at the maximum of pending messages", full, list(3), 20, 1, left, left - 50*ms},
+		{"a Retry-After beyond their time", limited, blocked, 20, 0, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			u := runRecovered(t, test.set, test.first, test.n, left)
-			if len(u.sent) < test.sent || len(u.sent)+len(u.rejected) != test.n {
-				t.Errorf("%d sent, %d rejected of %d", len(u.sent), len(u.rejected), test.n)
+			outcome := runRecovered(t, test.settings, test.initial, test.n, left)
+			if len(outcome.sent) < test.sent || len(outcome.sent)+len(outcome.rejected) != test.n {
+				t.Errorf("%d sent, %d rejected of %d", len(outcome.sent), len(outcome.rejected), test.n)
 			}
-			for id, at := range u.sent {
+			for id, at := range outcome.sent {
 				if at > test.sentBy {
 					t.Errorf("message %d sent after %v", id, at)
 				}
 			}
-			for id, at := range u.rejected {
+			for id, at := range outcome.rejected {
 				if at < test.rejectedFrom {
 					t.Errorf("message %d rejected after %v", id, at)
 				}
 				if test.rejectedFrom == 0 && at > 0 {
-					t.Errorf("message %d, told to wait beyond its time, rejected after %v only", id, at)
+					t.Errorf("message %d, blocked beyond its time, rejected after %v only", id, at)
 				}
 			}
 		})
