--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -8,11 +8,13 @@
 	"time"
 )
 
-// clearScratch clears what an Engine keeps only as scratch, or to have room.
+// clearScratch clears what an Engine keeps only for the time of a step, or to reuse memory.
 func clearScratch(engine *Engine) {
-	engine.actions, engine.ready = nil, nil
+	engine.actions = nil
+	engine.ready = nil
 	for _, dest := range engine.sortedDestinations {
-		dest.candidate, dest.candidateEndpoint = nil, nil
+		dest.candidate = nil
+		dest.candidateEndpoint = nil
 		for _, scope := range dest.scopes {
 			scope.recentSends = append([]time.Duration(nil), scope.recentSends...)
 		}
@@ -24,43 +26,39 @@
 	}
 }
 
-// A restored Engine equals the one that was found, field by field: whoever adds a field and leaves it out of the
-// snapshot is told here.
+// A restored Engine equals the original, field by field: a new field that the snapshot leaves out is found here. It
+// also goes on as the original would have.
 func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(4) {
-		n, compared := 0, 0
-		swap := func(engine *Engine) *Engine {
-			if n++; n%7 != 0 {
+		steps, compared := 0, 0
+		replace := func(engine *Engine) *Engine {
+			steps++
+			if steps%7 != 0 {
 				return engine
 			}
 			data := engine.Snapshot(nil)
-			copied, err := Restore(engine.settings, data)
+			restored, err := Restore(engine.settings, data)
 			if err != nil {
-				t.Fatalf("seed %d, step %d: %v", seed, n, err)
+				t.Fatalf("seed %d, step %d: %v", seed, steps, err)
 			}
-			if again := copied.Snapshot(nil); !bytes.Equal(again, data) {
-				t.Fatalf("seed %d, step %d: the copy's snapshot differs", seed, n)
+			if !bytes.Equal(restored.Snapshot(nil), data) {
+				t.Fatalf("seed %d, step %d: the snapshot of the restored Engine differs", seed, steps)
 			}
-			if n%49 == 0 {
+			if steps%49 == 0 {
 				clearScratch(engine)
-				clearScratch(copied)
-				if diff := difference("s", reflect.ValueOf(engine), reflect.ValueOf(copied), map[[2]uintptr]bool{}); diff != "" {
-					t.Fatalf("seed %d, step %d: %s", seed, n, diff)
+				clearScratch(restored)
+				if diff := difference(engine, restored); diff != "" {
+					t.Fatalf("seed %d, step %d: %s", seed, steps, diff)
 				}
 				compared++
 			}
-			return copied // and goes on as the other would have
+			return restored
 		}
-		with, without := simulate(t, seed, disabledGuard{replace: swap}), simulate(t, seed, disabledGuard{})
+		with := simulate(t, seed, disabledGuard{replace: replace})
+		without := simulate(t, seed, disabledGuard{})
 		if with.counts != without.counts || with.delivered != without.delivered {
-			t.Errorf(
-				"seed %d: goes on otherwise after a restore: %v %d, %v %d",
-				seed,
-				with.counts,
-				with.delivered,
-				without.counts,
-				without.delivered,
-			)
+			t.Errorf("seed %d: goes on differently after a restore: %+v %d, %+v %d",
+				seed, with.counts, with.delivered, without.counts, without.delivered)
 		}
 		if compared < 20 {
 			t.Errorf("seed %d: compared %d times only", seed, compared)
@@ -68,84 +66,109 @@
 	}
 }
 
-// difference names the first field that differs; reflect.DeepEqual does not, and takes nil and empty for different.
-func difference(at string, a, b reflect.Value, seen map[[2]uintptr]bool) string {
+// difference names the first field in which two Engines differ; "" if they are equal. reflect.DeepEqual names none, and
+// takes nil and empty for different.
+func difference(a, b *Engine) string {
+	c := comparison{seen: map[[2]uintptr]bool{}}
+	return c.values("engine", reflect.ValueOf(a), reflect.ValueOf(b))
+}
+
+// comparison compares values that point at each other.
+type comparison struct{ seen map[[2]uintptr]bool }
+
+func (c comparison) values(path string, a, b reflect.Value) string {
 	switch a.Kind() {
 	case reflect.Pointer:
-		if a.IsNil() || b.IsNil() {
-			if a.IsNil() != b.IsNil() {
-				return at + ": one is nil"
-			}
-			return ""
-		}
-		pair := [2]uintptr{a.Pointer(), b.Pointer()}
-		if seen[pair] {
-			return ""
-		}
-		seen[pair] = true
-		return difference(at, a.Elem(), b.Elem(), seen)
+		return c.pointers(path, a, b)
 	case reflect.Struct:
-		for i := range a.NumField() {
-			if d := difference(at+"."+a.Type().Field(i).Name, a.Field(i), b.Field(i), seen); d != "" {
-				return d
-			}
-		}
+		return c.structs(path, a, b)
 	case reflect.Slice:
-		if a.Len() != b.Len() {
-			return at + ": lengths differ"
-		}
-		for i := range a.Len() {
-			if d := difference(at+"[]", a.Index(i), b.Index(i), seen); d != "" {
-				return d
-			}
-		}
+		return c.slices(path, a, b)
 	case reflect.Map:
-		if a.Len() != b.Len() {
-			return at + ": lengths differ"
-		}
-		for _, k := range a.MapKeys() {
-			v := b.MapIndex(k)
-			if !v.IsValid() {
-				return at + ": a key is missing"
-			}
-			if d := difference(at+"{}", a.MapIndex(k), v, seen); d != "" {
-				return d
-			}
-		}
+		return c.maps(path, a, b)
 	case reflect.Interface:
-		return difference(at, a.Elem(), b.Elem(), seen)
+		return c.values(path, a.Elem(), b.Elem())
 	default:
 		if !a.Equal(b) {
-			return at + ": values differ"
+			return path + ": values differ"
+		}
+	}
+	return ""
+}
+
+func (c comparison) pointers(path string, a, b reflect.Value) string {
+	if a.IsNil() || b.IsNil() {
+		if a.IsNil() != b.IsNil() {
+			return path + ": one is nil"
+		}
+		return ""
+	}
+	pair := [2]uintptr{a.Pointer(), b.Pointer()}
+	if c.seen[pair] {
+		return ""
+	}
+	c.seen[pair] = true
+	return c.values(path, a.Elem(), b.Elem())
+}
+
+func (c comparison) structs(path string, a, b reflect.Value) string {
+	for i := range a.NumField() {
+		if diff := c.values(path+"."+a.Type().Field(i).Name, a.Field(i), b.Field(i)); diff != "" {
+			return diff
+		}
+	}
+	return ""
+}
+
+func (c comparison) slices(path string, a, b reflect.Value) string {
+	if a.Len() != b.Len() {
+		return path + ": lengths differ"
+	}
+	for i := range a.Len() {
+		if diff := c.values(path+"[]", a.Index(i), b.Index(i)); diff != "" {
+			return diff
+		}
+	}
+	return ""
+}
+
+func (c comparison) maps(path string, a, b reflect.Value) string {
+	if a.Len() != b.Len() {
+		return path + ": lengths differ"
+	}
+	for _, key := range a.MapKeys() {
+		value := b.MapIndex(key)
+		if !value.IsValid() {
+			return path + ": a key is missing"
+		}
+		if diff := c.values(path+"{}", a.MapIndex(key), value); diff != "" {
+			return diff
 		}
 	}
 	return ""
 }
 
 func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
-	engine, err := New(randomSettings(newSimulation(1).rng), 1)
+	engine, err := New(newSimulation(1).settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine.Step(
-		time.Second,
-		[]Event{
-			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 3}}},
-			{Kind: MessageAccepted, MessageID: 1, TimeLeft: time.Second},
-		},
-	)
+	engine.Step(time.Second, []Event{
+		{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 3}}},
+		{Kind: MessageAccepted, MessageID: 1, TimeLeft: time.Second},
+	})
 	data := engine.Snapshot(nil)
-	for cut := range data {
-		if _, err := Restore(engine.settings, data[:cut]); err == nil {
-			t.Errorf("a snapshot cut at byte %d of %d is taken", cut, len(data))
+	for size := range data {
+		if _, err := Restore(engine.settings, data[:size]); err == nil {
+			t.Errorf("the first %d bytes of a snapshot of %d are accepted", size, len(data))
 		}
 	}
 	if _, err := Restore(engine.settings, append(slices.Clone(data), 0)); err == nil {
-		t.Error("a snapshot with a byte more is taken")
+		t.Error("a snapshot with an extra byte is accepted")
 	}
 	other := engine.settings
 	other.Tenants = nil
 	if _, err := Restore(other, data); err == nil {
-		t.Error("a snapshot is taken under settings with fewer customers")
+		t.Error("a snapshot is accepted with settings of fewer tenants")
 	}
 }
