--- a/policy/eviction_property_test.go
+++ b/policy/eviction_property_test.go
@@ -11,23 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// forgetfulEvictions are those that must be convicted by the random streams. TestSharedQuotaPreventsEviction has one more.
+// forgetfulEvictions must all be detected by random event streams, each for the state that it forgets. Shared quota is
+// tested by TestSharedQuotaPreventsEviction.
 var forgetfulEvictions = []forgetfulEviction{
 	{name: "messages", forgetDestination: func(dest *destination) { dest.messageCount = 0 }},
 	{name: "Retry-Afters", forgetScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
-	{name: "skips", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })},
+	{name: "ejections", forgetScope: forEachEndpoint(func(ep *endpoint) {
+		ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false
+	})},
 	{name: "suspect endpoints", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
 	{name: "warm-ups", forgetScope: forEachEndpoint(func(ep *endpoint) {
 		if ep.recoveredAt > 0 {
 			ep.warmingUp = false
 		}
 	})},
-	{name: "endpoints replaced suspect", forgetScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
-	{name: "failures over endpoints", forgetScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
-	{name: "paces", forgetScope: func(scope *limitScope) { scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 1, 0, 0 }},
+	{name: "removed suspects", forgetScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
+	{name: "failures of several endpoints", forgetScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
+	{name: "pacing", forgetScope: func(scope *limitScope) {
+		scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 1, 0, 0
+	}},
 }
 
-// eventStream is an Engine under random events, and a book of what it was told: waits and outages by scope, messages by
+// eventStream is an Engine under random events, with records of its own: Retry-Afters and outages by scope, messages by
 // destination.
 type eventStream struct {
 	t                 *rapid.T
@@ -36,14 +41,15 @@
 	endpoints         []Endpoint
 	calls             []streamCall
 	retryAfterUntil   map[string]time.Duration
-	consecutiveErrors map[string]int           // in a row, by scope
-	recoveredAt       map[string]time.Duration // first delivery after three of them
-	pending           map[uint32]int           // destination of what is held
+	consecutiveErrors map[string]int           // by scope
+	recoveredAt       map[string]time.Duration // first delivery after three of them, by scope
+	pending           map[uint32]int           // destinations of pending messages
 	attempts          map[uint32]int
 	nextID            uint32
 	timerAt           time.Duration
 }
 
+// streamCall is a call in flight.
 type streamCall struct {
 	id        uint32
 	attempt   int
@@ -55,33 +61,39 @@
 func newEventStream(t *rapid.T) *eventStream {
 	settings := testSettings()
 	settings.FleetSize = rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "relays")
-	settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.WarmUpDuration = 20, 100, 20*time.Second
+	settings.MaxInFlightCalls = 20
+	settings.MaxPendingMessages = 100
+	settings.WarmUpDuration = 20 * time.Second
 	engine, err := New(settings, rapid.Uint64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	stream := &eventStream{
-		t: t, engine: engine, now: time.Minute, retryAfterUntil: map[string]time.Duration{}, consecutiveErrors: map[string]int{}, recoveredAt: map[string]time.Duration{},
-		pending: map[uint32]int{}, attempts: map[uint32]int{}, nextID: 1,
+		t:                 t,
+		engine:            engine,
+		now:               time.Minute,
+		retryAfterUntil:   map[string]time.Duration{},
+		consecutiveErrors: map[string]int{},
+		recoveredAt:       map[string]time.Duration{},
+		pending:           map[uint32]int{},
+		attempts:          map[uint32]int{},
+		nextID:            1,
 	}
 	for i := range 8 {
-		stream.endpoints = append(
-			stream.endpoints,
-			Endpoint{
-				ID:          fmt.Sprint("r", i),
-				Destination: i % 3,
-				Kind:        i % 3 % 2,
-				Zone:        i % 2,
-				Weight:      50,
-				InService:   true,
-			},
-		)
+		stream.endpoints = append(stream.endpoints, Endpoint{
+			ID:          fmt.Sprint("r", i),
+			Destination: i % 3,
+			Kind:        i % 3 % 2,
+			Zone:        i % 2,
+			Weight:      50,
+			InService:   true,
+		})
 	}
 	stream.step(Event{Kind: EndpointSnapshot, Endpoints: slices.Clone(stream.endpoints)})
 	return stream
 }
 
-// scopeKey names what shares a Retry-After.
+// scopeKey identifies the limit scope of an endpoint.
 func (stream *eventStream) scopeKey(endpointID string) string {
 	i := slices.IndexFunc(stream.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
 	if i < 0 || stream.engine.settings.DestinationKinds[stream.endpoints[i].Kind].LimitPerEndpoint {
@@ -90,11 +102,18 @@
 	return fmt.Sprint(stream.endpoints[i].Destination)
 }
 
+// step applies events and carries out the actions.
 func (stream *eventStream) step(events ...Event) {
 	for _, a := range stream.engine.Step(stream.now, events) {
 		switch a.Kind {
 		case Send:
-			stream.calls = append(stream.calls, streamCall{a.MessageID, stream.attempts[a.MessageID], a.Endpoint, stream.now, a.TimeoutAt})
+			stream.calls = append(stream.calls, streamCall{
+				id:        a.MessageID,
+				attempt:   stream.attempts[a.MessageID],
+				endpoint:  a.Endpoint,
+				sentAt:    stream.now,
+				timeoutAt: a.TimeoutAt,
+			})
 			stream.attempts[a.MessageID]++
 		case Reject, Fail:
 			delete(stream.pending, a.MessageID)
@@ -104,10 +123,10 @@
 	}
 }
 
-// advance lets time go by, with the timers and timeouts that fall due.
+// advance lets time pass, with the timers and timeouts that are due.
 func (stream *eventStream) advance(by time.Duration) {
-	for expiresAt := stream.now + by; stream.now < expiresAt; {
-		next := expiresAt
+	for end := stream.now + by; stream.now < end; {
+		next := end
 		if stream.timerAt > stream.now {
 			next = min(next, stream.timerAt)
 		}
@@ -129,135 +148,123 @@
 	}
 }
 
-func (stream *eventStream) finish(i int, outcome Outcome, wait time.Duration) {
+// finish ends a call in flight.
+func (stream *eventStream) finish(i int, outcome Outcome, retryAfter time.Duration) {
 	c := stream.calls[i]
 	stream.calls = slices.Delete(stream.calls, i, i+1)
-	if wait > 0 {
-		k := stream.scopeKey(c.endpoint)
-		stream.retryAfterUntil[k] = max(stream.retryAfterUntil[k], stream.now+wait)
+	scope := stream.scopeKey(c.endpoint)
+	if retryAfter > 0 {
+		stream.retryAfterUntil[scope] = max(stream.retryAfterUntil[scope], stream.now+retryAfter)
 	}
-	switch k := stream.scopeKey(c.endpoint); outcome {
+	switch outcome {
 	case OK:
 		delete(stream.pending, c.id)
-		if stream.consecutiveErrors[k] >= 3 {
-			stream.recoveredAt[k] = stream.now
+		if stream.consecutiveErrors[scope] >= 3 {
+			stream.recoveredAt[scope] = stream.now
 		}
-		stream.consecutiveErrors[k] = 0
+		stream.consecutiveErrors[scope] = 0
 	case Error:
-		stream.consecutiveErrors[k]++
+		stream.consecutiveErrors[scope]++
 	}
-	stream.step(
-		Event{
-			Kind:         AttemptFinished,
-			MessageID:    c.id,
-			Attempt:      c.attempt,
-			Endpoint:     c.endpoint,
-			Outcome:      outcome,
-			Latency:      stream.now - c.sentAt,
-			MessageEnded: outcome == OK,
-			RetryAfter:   wait,
-		},
-	)
+	stream.step(Event{
+		Kind:         AttemptFinished,
+		MessageID:    c.id,
+		Attempt:      c.attempt,
+		Endpoint:     c.endpoint,
+		Outcome:      outcome,
+		Latency:      stream.now - c.sentAt,
+		MessageEnded: outcome == OK,
+		RetryAfter:   retryAfter,
+	})
 }
 
-// bindingState says what a destination has in force that would be forgotten; "" if nothing. It asks the books, and a copy of
-// the relay what would keep a message from each of its endpoints.
+// bindingState describes state of a destination that an eviction would lose; "" if there is none. It looks at the
+// records and at what would block a message in a copy of the Engine.
 func (stream *eventStream) bindingState(destinationID int) string {
-	for id, d := range stream.pending {
-		if d == destinationID {
+	for id, pendingAt := range stream.pending {
+		if pendingAt == destinationID {
 			return fmt.Sprintf("message %d", id)
 		}
 	}
-	for _, c := range stream.calls {
-		if slices.ContainsFunc(stream.endpoints, func(entry Endpoint) bool { return entry.ID == c.endpoint && entry.Destination == destinationID }) {
-			return "a call to " + c.endpoint
-		}
-	}
 	for _, entry := range stream.endpoints {
-		switch k := stream.scopeKey(entry.ID); {
-		case entry.Destination != destinationID:
-		case stream.retryAfterUntil[k] > stream.now:
-			return "a Retry-After of " + entry.ID
-		case stream.consecutiveErrors[k] >= 3:
-			return "an outage of " + entry.ID
-		case stream.recoveredAt[k] > 0 && stream.now < stream.recoveredAt[k]+stream.engine.settings.WarmUpDuration:
-			return "a warm-up of " + entry.ID
+		if entry.Destination != destinationID {
+			continue
+		}
+		if state := stream.endpointState(entry); state != "" {
+			return state
 		}
 	}
+	return stream.blockerOf(destinationID)
+}
+
+// endpointState describes binding state of an endpoint in the records; "" if there is none.
+func (stream *eventStream) endpointState(entry Endpoint) string {
+	scope := stream.scopeKey(entry.ID)
+	switch {
+	case slices.ContainsFunc(stream.calls, func(c streamCall) bool { return c.endpoint == entry.ID }):
+		return "a call to " + entry.ID
+	case stream.retryAfterUntil[scope] > stream.now:
+		return "a Retry-After of " + entry.ID
+	case stream.consecutiveErrors[scope] >= 3:
+		return "an outage of " + entry.ID
+	case stream.recoveredAt[scope] == 0:
+		return ""
+	case stream.now < stream.recoveredAt[scope]+stream.engine.settings.WarmUpDuration:
+		return "a warm-up of " + entry.ID
+	}
+	return ""
+}
+
+// blockerOf describes what would block a message for a destination in a copy of the Engine; "" if nothing would that
+// its eviction loses.
+func (stream *eventStream) blockerOf(destinationID int) string {
+	const probeID = math.MaxUint32
 	engine, err := Restore(stream.engine.settings, stream.engine.Snapshot(nil))
 	if err != nil {
 		stream.t.Fatal(err)
 	}
-	engine.callsInFlight = engine.settings.MaxInFlightCalls // so that the probe waits, whatever would let it go
-	fresh := map[string]bool{}
+	engine.callsInFlight = engine.settings.MaxInFlightCalls // so that the probe waits even if nothing else blocks it
+	paced := map[string]bool{}
 	if dest := engine.destinations[destinationID]; dest != nil {
 		for _, scope := range dest.scopes {
 			for _, ep := range scope.endpoints {
-				fresh[ep.ID] = scope.pacingRate == 0
+				paced[ep.ID] = scope.pacingRate != 0
 			}
 		}
 	}
-	engine.Step(stream.now, []Event{{Kind: MessageAccepted, MessageID: math.MaxUint32, Destination: destinationID, TimeLeft: time.Minute}})
-	for _, h := range engine.Blockers() {
-		if h.MessageID != math.MaxUint32 {
+	probe := Event{Kind: MessageAccepted, MessageID: probeID, Destination: destinationID, TimeLeft: time.Minute}
+	engine.Step(stream.now, []Event{probe})
+	for _, blocker := range engine.Blockers() {
+		if blocker.MessageID != probeID {
 			continue
 		}
-		switch h.Cause {
+		switch blocker.Cause {
 		case RetryAfterPending, EndpointEjected, WarmUpBudget, TrialInFlight, EndpointSaturated:
-			return fmt.Sprintf("cause %d until %v at %s", h.Cause, h.Until-stream.now, h.Endpoint)
+			return fmt.Sprintf("%v until %v at %s", blocker.Cause, blocker.Until-stream.now, blocker.Endpoint)
 		case Paced:
-			if !fresh[h.Endpoint] {
-				return "a pacing rate at " + h.Endpoint
+			if paced[blocker.Endpoint] {
+				return "a pacing rate at " + blocker.Endpoint
 			}
 		}
 	}
 	return ""
 }
 
-// run runs a random stream, and says what a Resting would have had forgotten; how often something could be is counted.
+// run runs a random stream. It counts how often a destination is evictable, and describes the first eviction that would
+// lose binding state; "" if none would.
 func (stream *eventStream) run(eviction *forgetfulEviction, evictable *int) (wrong string) {
-	look := func() {
-		was := stream.engine.Snapshot(nil)
-		for d := range 3 {
-			if wrong == "" && eviction.evictable(stream.t, stream.engine, d) {
-				*evictable++
-				if binds := stream.bindingState(d); binds != "" {
-					wrong = fmt.Sprintf("at %v destination %d may rest, with %s", stream.now, d, binds)
-				}
-			}
-		}
-		if !bytes.Equal(stream.engine.Snapshot(nil), was) {
-			stream.t.Fatal("asking changed the relay")
-		}
-	}
 	stream.t.Repeat(map[string]func(*rapid.T){
-		"take": func(t *rapid.T) {
-			for range rapid.IntRange(1, 3).Draw(t, "n") {
-				d := rapid.IntRange(0, 2).Draw(t, "destination")
-				stream.pending[stream.nextID] = d
-				stream.nextID++
-				stream.step(Event{Kind: MessageAccepted, MessageID: stream.nextID - 1, Destination: d, TimeLeft: 9 * time.Second})
-			}
-		},
-		"answer": func(t *rapid.T) {
-			if len(stream.calls) > 0 {
-				outcome := rapid.SampledFrom([]Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}).
-					Draw(t, "outcome")
-				wait := rapid.SampledFrom([]time.Duration{0, 0, 0, 300 * ms, 50 * time.Second}).Draw(t, "wait")
-				stream.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
-				if len(stream.calls) > 0 {
-					stream.finish(rapid.IntRange(0, len(stream.calls)-1).Draw(t, "call"), outcome, wait)
-				}
-			}
-		},
-		"fail in a row": func(t *rapid.T) {
+		"accept": stream.acceptRandom,
+		"answer": stream.answerRandom,
+		"consecutive failures": func(t *rapid.T) {
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
-				if stream.advance(20 * ms); len(stream.calls) > 0 {
+				stream.advance(20 * ms)
+				if len(stream.calls) > 0 {
 					stream.finish(0, Error, 0)
 				}
 			}
 		},
-		"all is well": func(t *rapid.T) {
+		"deliveries": func(t *rapid.T) {
 			for range rapid.IntRange(1, 40).Draw(t, "n") {
 				for len(stream.calls) > 0 {
 					stream.finish(0, OK, 0)
@@ -265,41 +272,98 @@
 				stream.advance(200 * ms)
 			}
 		},
-		"list": func(t *rapid.T) {
-			entry := &stream.endpoints[rapid.IntRange(0, len(stream.endpoints)-1).Draw(t, "route")]
-			if rapid.Bool().Draw(t, "replace") {
-				gone := *entry
-				gone.Removed, gone.InService = true, false
-				delete(stream.consecutiveErrors, stream.scopeKey(entry.ID)) // what became of those is asked of the copy alone
-				delete(stream.recoveredAt, stream.scopeKey(entry.ID))
-				entry.ID += "'"
-				stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{gone, *entry}})
-				return
+		"list": stream.listRandom,
+		"pause": func(t *rapid.T) {
+			stream.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms)
+		},
+		"long pause": func(t *rapid.T) {
+			stream.advance(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second)
+		},
+		"": func(*rapid.T) {
+			if wrong == "" {
+				wrong = stream.checkEvictions(eviction, evictable)
 			}
-			entry.InService = !entry.InService
-			stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}})
 		},
-		"a while":      func(t *rapid.T) { stream.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms) },
-		"a long while": func(t *rapid.T) { stream.advance(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second) },
-		"":             func(*rapid.T) { look() },
 	})
 	return wrong
 }
 
-// Whatever happened, what may rest has nothing in force: no message, call, Retry-After, ejection, doubt, warm-up or pacing rate.
+// checkEvictions describes the first destination that is evictable with binding state; "" if there is none.
+func (stream *eventStream) checkEvictions(eviction *forgetfulEviction, evictable *int) (wrong string) {
+	before := stream.engine.Snapshot(nil)
+	for destinationID := range 3 {
+		if wrong != "" || !eviction.evictable(stream.t, stream.engine, destinationID) {
+			continue
+		}
+		*evictable++
+		if state := stream.bindingState(destinationID); state != "" {
+			wrong = fmt.Sprintf("at %v destination %d is evictable, with %s", stream.now, destinationID, state)
+		}
+	}
+	if !bytes.Equal(stream.engine.Snapshot(nil), before) {
+		stream.t.Fatal("asking changed the Engine")
+	}
+	return wrong
+}
+
+func (stream *eventStream) acceptRandom(t *rapid.T) {
+	for range rapid.IntRange(1, 3).Draw(t, "n") {
+		id := stream.nextID
+		destinationID := rapid.IntRange(0, 2).Draw(t, "destination")
+		stream.pending[id] = destinationID
+		stream.nextID++
+		accepted := Event{Kind: MessageAccepted, MessageID: id, Destination: destinationID, TimeLeft: 9 * time.Second}
+		stream.step(accepted)
+	}
+}
+
+func (stream *eventStream) answerRandom(t *rapid.T) {
+	if len(stream.calls) == 0 {
+		return
+	}
+	outcomes := []Outcome{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, NotSent}
+	outcome := rapid.SampledFrom(outcomes).Draw(t, "outcome")
+	retryAfter := rapid.SampledFrom([]time.Duration{0, 0, 0, 300 * ms, 50 * time.Second}).Draw(t, "retry-after")
+	stream.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms)
+	if len(stream.calls) > 0 {
+		stream.finish(rapid.IntRange(0, len(stream.calls)-1).Draw(t, "call"), outcome, retryAfter)
+	}
+}
+
+// listRandom drains an endpoint, returns it to service, or replaces it.
+func (stream *eventStream) listRandom(t *rapid.T) {
+	entry := &stream.endpoints[rapid.IntRange(0, len(stream.endpoints)-1).Draw(t, "endpoint")]
+	if !rapid.Bool().Draw(t, "replace") {
+		entry.InService = !entry.InService
+		stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}})
+		return
+	}
+	old := *entry
+	old.Removed = true
+	old.InService = false
+	// What the new endpoint inherits is only asked of the copy.
+	delete(stream.consecutiveErrors, stream.scopeKey(entry.ID))
+	delete(stream.recoveredAt, stream.scopeKey(entry.ID))
+	entry.ID += "'"
+	stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{old, *entry}})
+}
+
+// Whatever has happened, an evictable destination holds no binding state: no message, call, Retry-After, ejection,
+// suspicion, warm-up or pacing rate.
 func TestEvictableDestinationsHoldNoBindingState(t *testing.T) {
-	evictable, looks := 0, 0
+	evictable, streams := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		looks++
+		streams++
 		if wrong := newEventStream(t).run(nil, &evictable); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
-	if evictable < looks {
-		t.Errorf("%d times something could rest in %d streams: they show too little", evictable, looks)
+	if evictable < streams {
+		t.Errorf("%d times evictable in %d streams: they show too little", evictable, streams)
 	}
 }
 
+// The streams can fail: each forgetful eviction is detected.
 func TestForgetfulEvictionsAreDetected(t *testing.T) {
 	for _, eviction := range forgetfulEvictions {
 		t.Run(eviction.name, func(t *testing.T) {
@@ -313,7 +377,7 @@
 					return
 				}
 			}
-			t.Error("none of 600 streams convicts it")
+			t.Error("none of 600 streams detects it")
 		})
 	}
 }
--- a/policy/eviction_test.go
+++ b/policy/eviction_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// forgetfulEviction is a Resting that overlooks something: it is asked of a copy in which that was never so.
+// forgetfulEviction is an Evictable that overlooks something: it asks a copy of the Engine without that state.
 type forgetfulEviction struct {
 	name              string
 	forgetScope       func(*limitScope)
 	forgetDestination func(*destination)
 }
 
-// evictable asks Resting, or what a forgetful one would say; nil overlooks nothing.
+// evictable reports what Evictable would; a nil eviction overlooks nothing.
 func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID int) bool {
 	if eviction == nil {
 		return engine.Evictable(destinationID)
@@ -34,8 +34,10 @@
 	return copied.Evictable(destinationID)
 }
 
+// fataler is a *testing.T or a *rapid.T.
 type fataler interface{ Fatal(args ...any) }
 
+// forEachEndpoint returns a function that changes all endpoints of a scope.
 func forEachEndpoint(set func(*endpoint)) func(*limitScope) {
 	return func(scope *limitScope) {
 		for _, ep := range scope.endpoints {
@@ -44,90 +46,109 @@
 	}
 }
 
-// Each thing that binds keeps a destination awake by itself, for as long as it binds.
+// change sets a part of the state of a destination with one scope and two endpoints, of which ep is the first.
+type change func(dest *destination, scope *limitScope, ep *endpoint)
+
+// Each part of the binding state prevents an eviction by itself, for as long as it binds.
 func TestBindingStatePreventsEviction(t *testing.T) {
 	const now = time.Minute
 	warmUp := testSettings().WarmUpDuration
+	ofEndpoint := func(set func(ep *endpoint)) change {
+		return func(_ *destination, _ *limitScope, ep *endpoint) { set(ep) }
+	}
+	ofScope := func(set func(scope *limitScope)) change {
+		return func(_ *destination, scope *limitScope, _ *endpoint) { set(scope) }
+	}
 	for _, test := range []struct {
-		name string
-		set  func(dest *destination, scope *limitScope, ep *endpoint)
-		span time.Duration // it binds so long; forever: until an event ends it
+		name   string
+		change change
+		binds  time.Duration // for so long; forever: until an event ends it
 	}{
 		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
 		{"one failure, and a reset", func(_ *destination, scope *limitScope, ep *endpoint) {
-			scope.consecutiveFailures, ep.consecutiveFailures, ep.recentFailures, ep.answerLost, scope.connectExhaustions = 1, 1, 1, true, 1
+			scope.consecutiveFailures, scope.connectExhaustions = 1, 1
+			ep.consecutiveFailures, ep.recentFailures, ep.answerLost = 1, 1, true
 		}, 0},
-		{"a pacing rate of its start", func(_ *destination, scope *limitScope, _ *endpoint) {
+		{"the initial pacing rate", ofScope(func(scope *limitScope) {
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 1, 1, now
-		}, 0},
-		{"a warm-up that is over", func(_ *destination, _ *limitScope, ep *endpoint) {
+		}), 0},
+		{"a warm-up that is over", ofEndpoint(func(ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warmUp, now
-		}, 0},
+		}), 0},
 		{"a message", func(dest *destination, _ *limitScope, _ *endpoint) { dest.messageCount = 1 }, forever},
-		{"a call", func(_ *destination, _ *limitScope, ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }, forever},
-		{"a call of an endpoint that has gone", func(_ *destination, scope *limitScope, _ *endpoint) { scope.inFlight = 1 }, forever},
-		{"a Retry-After", func(_ *destination, scope *limitScope, _ *endpoint) { scope.retryAfterUntil = now + 5*time.Second }, 5 * time.Second},
-		{"an ejection", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejectedUntil = now + 300*ms }, 300 * ms},
-		{"an outage", func(_ *destination, _ *limitScope, ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }, forever},
-		{"a doubt", func(_ *destination, _ *limitScope, ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }, forever},
-		{"a warm-up", func(_ *destination, _ *limitScope, ep *endpoint) {
+		{"a call", ofEndpoint(func(ep *endpoint) { ep.calls = []*call{{endpoint: ep}} }), forever},
+		{"a call to a removed endpoint", ofScope(func(scope *limitScope) { scope.inFlight = 1 }), forever},
+		{"a Retry-After", ofScope(func(scope *limitScope) { scope.retryAfter(now + 5*time.Second) }), 5 * time.Second},
+		{"an ejection", ofEndpoint(func(ep *endpoint) { ep.ejectedUntil = now + 300*ms }), 300 * ms},
+		{"an outage", ofEndpoint(func(ep *endpoint) { ep.ejected, ep.lastSuccessAt = true, 1 }), forever},
+		{"suspicion", ofEndpoint(func(ep *endpoint) { ep.warmingUp, ep.lastSuccessAt = true, 1 }), forever},
+		{"a warm-up", ofEndpoint(func(ep *endpoint) {
 			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now, now
-		}, warmUp},
-		{"a sibling's doubt, taken on at the next look", func(_ *destination, scope *limitScope, ep *endpoint) {
-			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt, scope.endpoints[1].lastSuccessAt = true, now-warmUp, now, 0
+		}), warmUp},
+		{"a sibling's suspicion, inherited with the next call", func(_ *destination, scope *limitScope, ep *endpoint) {
+			ep.warmingUp, ep.recoveredAt, ep.lastSuccessAt = true, now-warmUp, now
+			scope.endpoints[1].lastSuccessAt = 0
 		}, forever},
-		{"a doubt that left the list", func(_ *destination, scope *limitScope, _ *endpoint) { scope.suspectRemovedAt = now }, warmUp},
-		{"failures over endpoints", func(_ *destination, scope *limitScope, _ *endpoint) { scope.consecutiveFailures = suspectAfterFailures }, forever},
-		{"connections that failed", func(_ *destination, scope *limitScope, _ *endpoint) { scope.connectExhaustions = maxConnectExhaustions }, forever},
-		{"a lent limit", func(_ *destination, scope *limitScope, _ *endpoint) {
+		{"a removed suspect", ofScope(func(scope *limitScope) { scope.suspectRemovedAt = now }), warmUp},
+		{"failures of several endpoints", ofScope(func(scope *limitScope) {
+			scope.consecutiveFailures = suspectAfterFailures
+		}), forever},
+		{"exhausted connection tables", ofScope(func(scope *limitScope) {
+			scope.connectExhaustions = maxConnectExhaustions
+		}), forever},
+		{"a lent limit", ofScope(func(scope *limitScope) {
 			scope.quotaShared, scope.reservedFraction = true, 0.2
-		}, forever},
-		{"a call not yet earned back", func(_ *destination, scope *limitScope, _ *endpoint) {
+		}), forever},
+		{"a call whose tokens are not yet earned", ofScope(func(scope *limitScope) {
 			scope.pacingRate, scope.tokens, scope.tokensUpdatedAt = 0.5, 0, now
-		}, 2 * time.Second},
-		{"a rejection of late", func(_ *destination, scope *limitScope, _ *endpoint) {
+		}), 2 * time.Second},
+		{"a recent rejection", ofScope(func(scope *limitScope) {
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 9, 10, now, 1
-		}, rejectionFreeWindow},
-		// ln 4 / ln 1.03 s
-		{"a pacing rate cut to a quarter", func(_ *destination, scope *limitScope, _ *endpoint) {
+		}), rejectionFreeWindow},
+		{"a pacing rate at a quarter", ofScope(func(scope *limitScope) { // ln 4 / ln 1.03 s
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 2.5, 10, now, 1
-		}, 46900 * ms},
+		}), 46900 * ms},
 	} {
-		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(
-				t,
-				testSettings(),
-				Endpoint{ID: "a", Destination: 1, Weight: 6},
-				Endpoint{ID: "b", Destination: 1, Weight: 6},
-			)
-			engine, dest := h.engine, h.engine.destinations[1]
-			scope := dest.scopes[0]
-			scope.endpoints[1].lastSuccessAt = 1
-			test.set(dest, scope, scope.endpoints[0])
-			for _, after := range []time.Duration{0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, warmUp - 1, rejectionFreeWindow - 1, 46890 * ms, 46900 * ms, 24 * time.Hour} {
-				engine.now = now + after
-				if got, want := engine.Evictable(1), after >= test.span; got != want {
-					t.Errorf("after %v it may rest: %t", after, got)
-				}
-			}
-			if !engine.Evictable(2) {
-				t.Error("one that is not known binds")
-			}
-		})
+		t.Run(test.name, func(t *testing.T) { checkEvictable(t, now, test.change, test.binds) })
+	}
+}
+
+// checkEvictable checks that a destination with a change of its state is not evictable for as long as that binds.
+func checkEvictable(t *testing.T, now time.Duration, apply change, binds time.Duration) {
+	t.Helper()
+	a := Endpoint{ID: "a", Destination: 1, Weight: 6}
+	b := Endpoint{ID: "b", Destination: 1, Weight: 6}
+	engine := newHarness(t, testSettings(), a, b).engine
+	dest := engine.destinations[1]
+	scope := dest.scopes[0]
+	scope.endpoints[1].lastSuccessAt = 1
+	apply(dest, scope, scope.endpoints[0])
+	for _, after := range []time.Duration{
+		0, 300*ms - 1, 2*time.Second - 1, 5*time.Second - 1, testSettings().WarmUpDuration - 1, rejectionFreeWindow - 1,
+		46890 * ms, 46900 * ms, 24 * time.Hour,
+	} {
+		engine.now = now + after
+		if got, want := engine.Evictable(1), after >= binds; got != want {
+			t.Errorf("evictable after %v: %t", after, got)
+		}
+	}
+	if !engine.Evictable(2) {
+		t.Error("an unknown destination is not evictable")
 	}
 }
 
-// What others may use of a limit is told once: such a destination stays awake.
+// What other relays may use of a limit is reported once: a new scope would not know it.
 func TestSharedQuotaPreventsEviction(t *testing.T) {
 	ev, step := newTwoEndpointEvictor(t, 1, 300, nil, forever)
-	if step(time.Minute, []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second}, {Kind: MessageCancelled, MessageID: 1}}); !ev.engine.Evictable(
-		1,
-	) {
-		t.Fatal("an unused destination may not rest")
+	step(time.Minute, []Event{
+		{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second},
+		{Kind: MessageCancelled, MessageID: 1},
+	})
+	if !ev.engine.Evictable(1) {
+		t.Fatal("an unused destination is not evictable")
 	}
-	if step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}}); ev.engine.Evictable(
-		1,
-	) {
-		t.Error("a destination whose limit is lent may rest")
+	step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}})
+	if ev.engine.Evictable(1) {
+		t.Error("a destination whose limit is lent is evictable")
 	}
 }
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// What holds a message is told for each cause that a test can bring about on given times.
-func TestBlockersReportTheCause(t *testing.T) {
-	settings := Settings{
+func blockerSettings() Settings {
+	return Settings{
 		Classes: []Class{
 			{
 				Effect:           IdempotentByKey,
@@ -19,73 +18,100 @@
 			},
 			{Effect: Idempotent, Ordered: true, Deadline: 16 * time.Second},
 		},
-		DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 1, MaxInFlightCalls: 10, OverloadFactor: 2,
+		DestinationKinds: []DestinationKind{{MaxBatch: 1}},
+		FleetSize:        1,
+		MaxInFlightCalls: 10,
+		OverloadFactor:   2,
 	}
-	take := func(id uint32, classIndex int, key string) Event {
-		return Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, Key: key, TimeLeft: 16 * time.Second}
+}
+
+// accepted submits messages of a class with an ordering key, which may be empty.
+func accepted(classIndex int, key string, ids ...uint32) (events []Event) {
+	for _, id := range ids {
+		event := Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, Key: key, TimeLeft: 16 * time.Second}
+		events = append(events, event)
 	}
-	done := func(id uint32, n int, outcome Outcome, wait time.Duration) Event {
-		return Event{
-			Kind:         AttemptFinished,
-			MessageID:    id,
-			Attempt:      n,
-			Endpoint:     "r",
-			Outcome:      outcome,
-			RetryAfter:   wait,
-			MessageEnded: outcome == OK,
-			Latency:      100 * time.Millisecond,
-		}
+	return events
+}
+
+// finished ends an attempt at endpoint r.
+func finished(id uint32, attemptNumber int, outcome Outcome, retryAfter time.Duration) Event {
+	return Event{
+		Kind:         AttemptFinished,
+		MessageID:    id,
+		Attempt:      attemptNumber,
+		Endpoint:     "r",
+		Outcome:      outcome,
+		RetryAfter:   retryAfter,
+		MessageEnded: outcome == OK,
+		Latency:      100 * ms,
 	}
+}
+
+// The cause is reported that blocks a message, for each cause that a test can bring about by steps at given times.
+func TestBlockersReportTheCause(t *testing.T) {
 	listed := Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 50}}}
 	drained := Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "r", Weight: 50}}}
+	first := append([]Event{listed}, accepted(0, "", 1)...)
 	for _, test := range []struct {
 		name  string
 		steps [][]Event // a tenth of a second apart
 		id    uint32
 		want  BlockCause
 	}{
-		{"no endpoint", [][]Event{{take(1, 0, "")}}, 1, NoEndpoint},
-		{"draining", [][]Event{{listed}, {drained, take(1, 0, "")}}, 1, EndpointDraining},
-		{"Retry-After", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 2*time.Second)}}, 1, RetryAfterPending},
-		{"crammed", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, OK, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, ""), take(5, 0, ""), take(6, 0, "")}}, 6, EndpointSaturated},
-		{"turn", [][]Event{{listed, take(1, 1, "k"), take(2, 1, "k")}}, 2, WaitingForKey},
-		{"pace", [][]Event{{listed, take(1, 0, "")}, {done(1, 0, Overloaded, 0)}, {take(2, 0, ""), take(3, 0, ""), take(4, 0, "")}}, 4, Paced},
-		{"skip", [][]Event{
-			{listed, take(1, 0, ""), take(2, 0, ""), take(3, 0, "")},
-			{done(1, 0, ConnectFailed, 0)},
-			{done(2, 0, ConnectFailed, 0)},
-			{done(3, 0, ConnectFailed, 0)},
-			{done(1, 1, ConnectFailed, 0), done(2, 1, ConnectFailed, 0)},
-			{take(9, 0, "")},
+		{"no endpoint", [][]Event{accepted(0, "", 1)}, 1, NoEndpoint},
+		{"draining", [][]Event{{listed}, append([]Event{drained}, accepted(0, "", 1)...)}, 1, EndpointDraining},
+		{"Retry-After", [][]Event{first, {finished(1, 0, Overloaded, 2*time.Second)}}, 1, RetryAfterPending},
+		{
+			"saturated",
+			[][]Event{first, {finished(1, 0, OK, 0)}, accepted(0, "", 2, 3, 4, 5, 6)},
+			6,
+			EndpointSaturated,
+		},
+		{"ordering", [][]Event{append([]Event{listed}, accepted(1, "k", 1, 2)...)}, 2, WaitingForKey},
+		{"paced", [][]Event{first, {finished(1, 0, Overloaded, 0)}, accepted(0, "", 2, 3, 4)}, 4, Paced},
+		{"ejected", [][]Event{
+			append([]Event{listed}, accepted(0, "", 1, 2, 3)...),
+			{finished(1, 0, ConnectFailed, 0)},
+			{finished(2, 0, ConnectFailed, 0)},
+			{finished(3, 0, ConnectFailed, 0)},
+			{finished(1, 1, ConnectFailed, 0), finished(2, 1, ConnectFailed, 0)},
+			accepted(0, "", 9),
 		}, 9, EndpointEjected},
 	} {
-		engine, err := New(settings, 5)
-		if err != nil {
-			t.Fatal(err)
-		}
-		now := time.Second
-		for _, events := range test.steps {
-			engine.Step(now, events)
-			now += 100 * time.Millisecond
-		}
-		before := engine.Snapshot(nil)
-		copied, err := Restore(settings, before)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var got []Blocker
-		for _, h := range copied.Blockers() {
-			if h.MessageID == test.id {
-				got = append(got, h)
-			}
-		}
-		if len(got) != 1 || got[0].Cause != test.want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
-			t.Errorf("%s: %+v, want cause %d", test.name, got, test.want)
-		}
-		if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
-			t.Errorf("%s: looking changed the Engine: %v", test.name, views)
+		t.Run(test.name, func(t *testing.T) { checkBlocker(t, test.steps, test.id, test.want) })
+	}
+}
+
+// checkBlocker checks the one cause that blocks a message after some steps. Looking must change nothing.
+func checkBlocker(t *testing.T, steps [][]Event, id uint32, want BlockCause) {
+	t.Helper()
+	engine, err := New(blockerSettings(), 5)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := time.Second
+	for _, events := range steps {
+		engine.Step(now, events)
+		now += 100 * ms
+	}
+	before := engine.Snapshot(nil)
+	restored, err := Restore(blockerSettings(), before)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Blocker
+	for _, blocker := range restored.Blockers() {
+		if blocker.MessageID == id {
+			got = append(got, blocker)
 		}
 	}
+	if len(got) != 1 || got[0].Cause != want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
+		t.Errorf("%+v, want %v", got, want)
+	}
+	if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
+		t.Errorf("looking changed the Engine: %v", views)
+	}
 }
 
 func TestBlockCausesHaveNames(t *testing.T) {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sharingRelay is one of 40 relays that share a limit of 40 calls a second, with a backlog: of itself it makes a call a
-// second, more or less. Its calls are answered with the next step.
+// sharingRelay is one of 40 relays that share a limit of 40 calls a second, with a backlog: by itself it makes about a
+// call a second. Its calls are answered with the next step.
 type sharingRelay struct {
 	*Engine
 	events []Event
@@ -17,30 +17,27 @@
 	engine, err := New(Settings{
 		Classes: []Class{
 			{Effect: Idempotent, LatencyObjective: 5 * time.Second, Deadline: 100 * time.Second, Weight: 1},
-		}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 40,
-		Tenants: []Tenant{{Quota: 4000}}, // of which little comes here
+		},
+		DestinationKinds: []DestinationKind{{MaxBatch: 1}},
+		FleetSize:        40,
+		Tenants:          []Tenant{{Quota: 4000}}, // of which little comes to this relay
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay := &sharingRelay{
-		engine,
-		[]Event{
-			{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}},
-		},
-	}
+	endpoints := []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}
+	relay := &sharingRelay{engine, []Event{{Kind: EndpointSnapshot, Endpoints: endpoints}}}
 	for id := range uint32(200) {
-		relay.events = append(
-			relay.events,
-			Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second},
-		)
+		accepted := Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second}
+		relay.events = append(relay.events, accepted)
 	}
 	relay.runFor(time.Second, 9*time.Second)
 	return relay
 }
 
-// runFor steps it over a span, with what it is told at its beginning, and counts calls and asks.
-func (relay *sharingRelay) runFor(from, length time.Duration, events ...Event) (calls, asks, wanted int) {
+// runFor steps the relay for some time, with events at its beginning. It counts calls and requests for quota, and
+// returns the calls that the last request asked for.
+func (relay *sharingRelay) runFor(from, length time.Duration, events ...Event) (calls, requests, requested int) {
 	relay.events = append(relay.events, events...)
 	for now := from; now < from+length; now += 10 * time.Millisecond {
 		actions := relay.Step(now, relay.events)
@@ -49,78 +46,89 @@
 			switch a.Kind {
 			case Send:
 				calls++
-				relay.events = append(
-					relay.events,
-					Event{
-						Kind:         AttemptFinished,
-						MessageID:    a.MessageID,
-						Endpoint:     a.Endpoint,
-						Outcome:      OK,
-						Latency:      time.Millisecond,
-						MessageEnded: true,
-					},
-				)
+				relay.events = append(relay.events, Event{
+					Kind:         AttemptFinished,
+					MessageID:    a.MessageID,
+					Endpoint:     a.Endpoint,
+					Outcome:      OK,
+					Latency:      time.Millisecond,
+					MessageEnded: true,
+				})
 			case RequestQuota:
-				asks, wanted = asks+1, a.Calls
+				requests++
+				requested = a.Calls
 			}
 		}
 	}
-	return calls, asks, wanted
+	return calls, requests, requested
+}
+
+// granted returns a grant for destination 5.
+func granted(reservedFraction float64, calls int, left time.Duration) Event {
+	return Event{
+		Kind:             QuotaGranted,
+		Destination:      5,
+		ReservedFraction: reservedFraction,
+		GrantedCalls:     calls,
+		TimeLeft:         left,
+	}
 }
 
-// What others leave a relay lets it make so many calls beyond its own pacing rate, for so long; what it lends slows that; and
-// it asks for calls only where limits are shared, shortly before they may leave.
+// A grant lets a relay make some calls beyond its own pacing rate, for some time; lending slows that rate. A relay asks
+// for quota only where limits are shared, shortly before its calls may be sent.
 func TestQuotaGrants(t *testing.T) {
-	right := func(share float64, calls int, left time.Duration) Event {
-		return Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: share, GrantedCalls: calls, TimeLeft: left}
+	const length = 10 * time.Second
+	rejected := func(retryAfter time.Duration) Event {
+		return Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: retryAfter}
 	}
-	const span = 10 * time.Second
+	elsewhere := granted(0.2, 9, length)
+	elsewhere.Destination = 6
+	draining := Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}
 	for name, test := range map[string]struct {
-		evs                   []Event
-		callsLeast, callsMost int
-		asksLeast, asksMost   int
+		events                   []Event
+		minCalls, maxCalls       int
+		minRequests, maxRequests int
 	}{
-		"nothing is shared":                    {nil, 3, 9, 0, 0},
-		"nothing is lent":                      {[]Event{right(1, 0, 0)}, 3, 9, 50, 100},
-		"a fifth is kept":                      {[]Event{right(0.2, 0, 0)}, 0, 2, 50, 100},
-		"nine calls are given":                 {[]Event{right(0.2, 9, span)}, 9, 11, 50, 100},
-		"and void at once":                     {[]Event{right(0.2, 9, 0)}, 0, 2, 50, 100},
-		"of another destination":               {[]Event{{Kind: QuotaGranted, Destination: 6, ReservedFraction: 0.2, GrantedCalls: 9, TimeLeft: span}}, 3, 9, 0, 0},
-		"while it waits as it was told":        {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: span}, right(0.2, 9, span)}, 0, 0, 0, 10},
-		"while the endpoint drains":            {[]Event{{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", Destination: 5, Weight: 40}}}, right(0.2, 9, span)}, 0, 0, 0, 0},
-		"two at a time end with the first one": {[]Event{{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0.2, 5, span/20), right(0.2, 5, span)}, 0, 2, 0, 100},
+		"nothing is shared":                 {nil, 3, 9, 0, 0},
+		"nothing is lent":                   {[]Event{granted(1, 0, 0)}, 3, 9, 50, 100},
+		"a fifth is reserved":               {[]Event{granted(0.2, 0, 0)}, 0, 2, 50, 100},
+		"nine calls are granted":            {[]Event{granted(0.2, 9, length)}, 9, 11, 50, 100},
+		"the grant expires at once":         {[]Event{granted(0.2, 9, 0)}, 0, 2, 50, 100},
+		"for another destination":           {[]Event{elsewhere}, 3, 9, 0, 0},
+		"during a Retry-After":              {[]Event{rejected(length), granted(0.2, 9, length)}, 0, 0, 0, 10},
+		"while the endpoint drains":         {[]Event{draining, granted(0.2, 9, length)}, 0, 0, 0, 0},
+		"two grants expire with the first":  {[]Event{rejected(time.Second), granted(0.2, 5, length/20), granted(0.2, 5, length)}, 0, 2, 0, 100},
+		"the grant ends with a Retry-After": {[]Event{rejected(time.Second), granted(0, 9, 500*ms)}, 0, 1, 0, 100},
 	} {
-		relay := newSharingRelay(t)
-		calls, asks, wanted := relay.runFor(span, span, test.evs...)
-		if calls < test.callsLeast || calls > test.callsMost || asks < test.asksLeast || asks > test.asksMost ||
-			asks > 0 && wanted < 100 {
-			t.Errorf("%s: %d calls, %d asks for %d", name, calls, asks, wanted)
-		}
-	}
-	// A call that comes too late for its right is not made by it.
-	relay := newSharingRelay(t)
-	if calls, _, _ := relay.runFor(span, 2*time.Second, Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second}, right(0, 9, 500*time.Millisecond)); calls > 1 {
-		t.Errorf("%d calls by rights that were void", calls)
+		t.Run(name, func(t *testing.T) {
+			calls, requests, requested := newSharingRelay(t).runFor(length, length, test.events...)
+			if calls < test.minCalls || calls > test.maxCalls {
+				t.Errorf("%d calls, want %d to %d", calls, test.minCalls, test.maxCalls)
+			}
+			if requests < test.minRequests || requests > test.maxRequests {
+				t.Errorf("%d requests, want %d to %d", requests, test.minRequests, test.maxRequests)
+			}
+			if requests > 0 && requested < 100 {
+				t.Errorf("a request for %d calls, want all that wait", requested)
+			}
+		})
 	}
 }
 
 // A relay that lends and borrows goes on from its snapshot as it was.
 func TestQuotaGrantsSurviveSnapshots(t *testing.T) {
 	original := newSharingRelay(t)
-	original.runFor(
-		10*time.Second,
-		time.Second,
+	original.runFor(10*time.Second, time.Second,
 		Event{Kind: HealthChecked, Endpoint: "a", Outcome: Overloaded, RetryAfter: time.Second},
-		Event{Kind: QuotaGranted, Destination: 5, ReservedFraction: 0.2, GrantedCalls: 4, TimeLeft: 5 * time.Second},
-	)
+		granted(0.2, 4, 5*time.Second))
 	restoredEngine, err := Restore(original.settings, original.Snapshot(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	restored := &sharingRelay{restoredEngine, nil}
-	callsA, asksA, _ := original.runFor(11*time.Second, 3*time.Second)
-	callsB, asksB, _ := restored.runFor(11*time.Second, 3*time.Second)
-	if callsA != callsB || asksA != asksB || callsA < 4 {
-		t.Errorf("%d calls and %d asks, restored %d and %d", callsA, asksA, callsB, asksB)
+	calls, requests, _ := original.runFor(11*time.Second, 3*time.Second)
+	restoredCalls, restoredRequests, _ := restored.runFor(11*time.Second, 3*time.Second)
+	if calls != restoredCalls || requests != restoredRequests || calls < 4 {
+		t.Errorf("%d calls and %d requests, restored %d and %d", calls, requests, restoredCalls, restoredRequests)
 	}
 }
