--- a/policy/eviction_test.go
+++ b/policy/eviction_test.go
@@ -139,16 +139,16 @@
 
 // What other relays may use of a limit is reported once: a new scope would not know it.
 func TestSharedQuotaPreventsEviction(t *testing.T) {
-	ev, step := newTwoEndpointEvictor(t, 1, 300, nil, forever)
-	step(time.Minute, []Event{
-		{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second},
-		{Kind: MessageCancelled, MessageID: 1},
-	})
-	if !ev.engine.Evictable(1) {
+	r := newEvictingRelay(t, 1, 300, nil, forever)
+	r.events(
+		Event{Kind: MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: time.Second},
+		Event{Kind: MessageCancelled, MessageID: 1},
+	)
+	if !r.relay.Evictable(1) {
 		t.Fatal("an unused destination is not evictable")
 	}
-	step(time.Minute, []Event{{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2}})
-	if ev.engine.Evictable(1) {
+	r.events(Event{Kind: QuotaGranted, Destination: 1, Endpoint: "a", ReservedFraction: 0.2})
+	if r.relay.Evictable(1) {
 		t.Error("a destination whose limit is lent is evictable")
 	}
 }
--- a/policy/evictor_test.go
+++ b/policy/evictor_test.go
@@ -6,24 +6,27 @@
 	"time"
 )
 
-// evictor stands before an Engine as a relay with a long list does: it keeps the list, tells of a destination when it is
-// first needed, and has it forgotten once it may rest. It does so without waiting for a destination to be idle, which
-// is harder on what is forgotten.
+// evictor stands between the events and an Engine, as a relay with a long endpoint list does: it keeps the list, adds a
+// destination when it is first needed, and evicts it once that is allowed. It need not wait until a destination has been
+// idle, which makes it a harder test of what an eviction loses.
 type evictor struct {
 	t         *testing.T
 	forgetful *forgetfulEviction
-	idleTime  time.Duration // least time without an event
+	idleTime  time.Duration // without an event of the destination, before an eviction
 	engine    *Engine
 	endpoints []Endpoint
 	lastUsed  map[int]time.Duration
 	evictions int
 }
 
+// step is in place of Engine.Step.
 func (ev *evictor) step(engine *Engine, now time.Duration, events []Event) []Action {
 	if ev.engine != engine {
-		ev.engine, ev.endpoints, ev.lastUsed = engine, nil, map[int]time.Duration{}
+		ev.engine = engine
+		ev.endpoints = nil
+		ev.lastUsed = map[int]time.Duration{}
 	}
-	var told []Event
+	var forwarded []Event
 	for _, event := range events {
 		switch event.Kind {
 		case EndpointSnapshot:
@@ -32,8 +35,8 @@
 		case EndpointDelta:
 			event.Endpoints = slices.DeleteFunc(slices.Clone(event.Endpoints), ev.update)
 		case MessageAccepted:
-			if _, is := ev.lastUsed[event.Destination]; !is {
-				told = append(told, ev.listing(event.Destination, false))
+			if _, listed := ev.lastUsed[event.Destination]; !listed {
+				forwarded = append(forwarded, ev.listing(event.Destination, false))
 			}
 			ev.lastUsed[event.Destination] = now
 		case AttemptFinished:
@@ -41,24 +44,26 @@
 				ev.lastUsed[ev.endpoints[i].Destination] = now
 			}
 		}
-		told = append(told, event)
+		forwarded = append(forwarded, event)
 	}
-	actions := slices.Clone(engine.Step(now, told))
-	for d := range 5 {
-		if at, is := ev.lastUsed[d]; is && now >= at+ev.idleTime && ev.forgetful.evictable(ev.t, engine, d) {
-			actions = append(actions, engine.Step(now, []Event{ev.listing(d, true)})...)
-			delete(ev.lastUsed, d)
+	actions := slices.Clone(engine.Step(now, forwarded))
+	for destinationID := range 5 {
+		usedAt, listed := ev.lastUsed[destinationID]
+		if listed && now >= usedAt+ev.idleTime && ev.forgetful.evictable(ev.t, engine, destinationID) {
+			actions = append(actions, engine.Step(now, []Event{ev.listing(destinationID, true)})...)
+			delete(ev.lastUsed, destinationID)
 			ev.evictions++
 		}
 	}
 	return actions
 }
 
+// index returns the index of an endpoint in the list; -1 if it is not there.
 func (ev *evictor) index(endpointID string) int {
 	return slices.IndexFunc(ev.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
 }
 
-// update takes on an entry, and tells whether it is of a destination at rest.
+// update applies an entry to the list, and reports whether it is for a destination that the Engine does not know.
 func (ev *evictor) update(entry Endpoint) bool {
 	i := ev.index(entry.ID)
 	switch {
@@ -69,10 +74,11 @@
 	case !entry.Removed:
 		ev.endpoints = append(ev.endpoints, entry)
 	}
-	_, is := ev.lastUsed[entry.Destination]
-	return !is
+	_, listed := ev.lastUsed[entry.Destination]
+	return !listed
 }
 
+// listing returns the event that adds all endpoints of a destination, or removes them.
 func (ev *evictor) listing(destinationID int, removed bool) Event {
 	event := Event{Kind: EndpointDelta}
 	for _, entry := range ev.endpoints {
@@ -84,14 +90,20 @@
 	return event
 }
 
-// simulateWithEvictor plays a world whose clients send less, so that destinations come to rest, and whose endpoints tell waits with
-// whatever answer.
-func simulateWithEvictor(t *testing.T, seed uint64, every int, forgetful *forgetfulEviction) (*simulation, *evictor) {
+// simulateWithEvictor runs a simulation with fewer messages, so that destinations become evictable, and with Retry-Afters
+// on any answer.
+func simulateWithEvictor(
+	t *testing.T,
+	seed uint64,
+	acceptInterval int,
+	forgetful *forgetfulEviction,
+) (*simulation, *evictor) {
+	t.Helper()
 	ev := &evictor{t: t, forgetful: forgetful}
-	return simulate(t, seed, disabledGuard{acceptInterval: every, step: ev.step}), ev
+	return simulate(t, seed, disabledGuard{acceptInterval: acceptInterval, step: ev.step}), ev
 }
 
-// An Engine behind a front keeps the six rules by the books of the property test.
+// An Engine whose destinations are evicted keeps the six rules, by the records of the simulation's checker.
 func TestSixRulesWithEviction(t *testing.T) {
 	evictions := 0
 	for seed := range uint64(40) {
@@ -104,13 +116,18 @@
 		}
 	}
 	if evictions < 40*10 {
-		t.Errorf("%d rests in 40 plays: they show too little", evictions)
+		t.Errorf("%d evictions in 40 runs: they show too little", evictions)
 	}
 }
 
-// forgetPacing overlooks what a rejection, calls and failures left behind.
+// forgetPacing forgets what rejections, calls and failures left behind.
 func forgetPacing(scope *limitScope) {
-	scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt, scope.pacingRate, scope.consecutiveFailures, scope.connectExhaustions = 1, 0, 0, 0, 0, 0
+	scope.pacingRate = 0
+	scope.tokens = 1
+	scope.tokensUpdatedAt = 0
+	scope.decreasedAt = 0
+	scope.consecutiveFailures = 0
+	scope.connectExhaustions = 0
 }
 
 func TestForgettingRetryAfterBreaksItsRule(t *testing.T) {
@@ -124,165 +141,155 @@
 			return
 		}
 	}
-	t.Error("no play of 60 broke it")
+	t.Error("none of 60 runs violated it")
 }
 
-// sendBurst hands n messages to destination 1 and counts the calls of the next span, each answered after 20 ms.
-func sendBurst(
-	step func(time.Duration, []Event) []Action,
-	now *time.Duration,
-	id *uint32,
-	n int,
-	outcome Outcome,
-	span time.Duration,
-) (calls int) {
-	var events []Event
-	for range n {
-		*id++
-		events = append(events, Event{Kind: MessageAccepted, MessageID: *id, Destination: 1, TimeLeft: span - 500*ms})
-	}
-	attempts := map[uint32]int{}
-	for expiresAt := *now + span; *now < expiresAt; *now += 20 * ms {
-		actions := slices.Clone(step(*now, events))
-		events = nil
-		for _, a := range actions {
-			if a.Kind == Send {
-				calls++
-				events = append(
-					events,
-					Event{
-						Kind:         AttemptFinished,
-						MessageID:    a.MessageID,
-						Attempt:      attempts[a.MessageID],
-						Endpoint:     a.Endpoint,
-						Outcome:      outcome,
-						Latency:      20 * ms,
-						MessageEnded: outcome == OK,
-					},
-				)
-				attempts[a.MessageID]++
-			}
-		}
-	}
-	step(*now, events)
-	return calls
+// evictingRelay is a relay with an evictor and destination 1 of two endpoints.
+type evictingRelay struct {
+	*evictor
+	relay  *Engine
+	now    time.Duration
+	nextID uint32
 }
 
-// newTwoEndpointEvictor is a front before a fresh relay, with destination 1 of two endpoints.
-func newTwoEndpointEvictor(
+func newEvictingRelay(
 	t *testing.T,
 	seed uint64,
-	relays int,
+	fleetSize int,
 	forgetful *forgetfulEviction,
-	idle time.Duration,
-) (ev *evictor, step func(time.Duration, []Event) []Action) {
+	idleTime time.Duration,
+) *evictingRelay {
+	t.Helper()
 	settings := testSettings()
-	settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages = relays, 20, 1000
+	settings.FleetSize = fleetSize
+	settings.MaxInFlightCalls = 20
+	settings.MaxPendingMessages = 1000
 	engine, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev = &evictor{t: t, forgetful: forgetful, idleTime: idle}
-	step = func(now time.Duration, events []Event) []Action { return ev.step(engine, now, events) }
-	// Separate endpoints: of others the scope outlasts its endpoints for a warm-up, whatever is put to rest.
-	step(time.Minute, []Event{{Kind: EndpointSnapshot, Endpoints: []Endpoint{
+	r := &evictingRelay{
+		evictor: &evictor{t: t, forgetful: forgetful, idleTime: idleTime},
+		relay:   engine,
+		now:     time.Minute,
+		nextID:  1,
+	}
+	// Each has a scope of its own: a shared one outlasts its endpoints for a warm-up, even if they are evicted.
+	r.events(Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
 		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true},
-	}}})
-	return ev, step
+	}})
+	return r
+}
+
+// events applies events at the present time.
+func (r *evictingRelay) events(events ...Event) []Action {
+	return slices.Clone(r.step(r.relay, r.now, events))
+}
+
+// burst submits n messages and counts the calls of the next time, each answered after 20 ms.
+func (r *evictingRelay) burst(n int, outcome Outcome, length time.Duration) (calls int) {
+	const latency = 20 * ms
+	var events []Event
+	for range n {
+		accepted := Event{Kind: MessageAccepted, MessageID: r.nextID, Destination: 1, TimeLeft: length - 500*ms}
+		events = append(events, accepted)
+		r.nextID++
+	}
+	attempts := map[uint32]int{}
+	for end := r.now + length; r.now < end; r.now += latency {
+		actions := r.events(events...)
+		events = nil
+		for _, a := range actions {
+			if a.Kind != Send {
+				continue
+			}
+			calls++
+			events = append(events, Event{
+				Kind:         AttemptFinished,
+				MessageID:    a.MessageID,
+				Attempt:      attempts[a.MessageID],
+				Endpoint:     a.Endpoint,
+				Outcome:      outcome,
+				Latency:      latency,
+				MessageEnded: outcome == OK,
+			})
+			attempts[a.MessageID]++
+		}
+	}
+	r.events(events...)
+	return calls
 }
 
 const forever = 1000 * time.Hour
 
-// A destination that comes back from an outage takes no more calls, whether it may be put to rest meanwhile or not. A
-// front that forgets outages pours its backlog out.
+// A destination that comes back from an outage takes no more calls, whether it may be evicted meanwhile or not. Evictions
+// that forget outages overload it with the backlog.
 func TestEvictionOverloadsNoRecoveringDestination(t *testing.T) {
-	play := func(forgetful *forgetfulEviction, idle time.Duration) (calls, evictions int) {
+	run := func(forgetful *forgetfulEviction, idleTime time.Duration) (calls, evictions int) {
 		for seed := range uint64(20) {
-			ev, step := newTwoEndpointEvictor(t, seed, 1, forgetful, idle)
-			now, id := time.Minute, uint32(0)
-			sendBurst(step, &now, &id, 5, Error, 4*time.Second)
-			sendBurst(step, &now, &id, 1, OK, 8*time.Second)
-			was := ev.evictions
-			calls += sendBurst(step, &now, &id, 30, OK, testSettings().OverloadWindow)
-			evictions += was
+			r := newEvictingRelay(t, seed, 1, forgetful, idleTime)
+			r.burst(5, Error, 4*time.Second)
+			r.burst(1, OK, 8*time.Second)
+			evictions += r.evictions
+			calls += r.burst(30, OK, testSettings().OverloadWindow)
 		}
 		return calls, evictions
 	}
-	told, _ := play(nil, forever)
-	fronted, _ := play(nil, 0)
-	forgot, evictions := play(&forgetfulEviction{forgetScope: func(scope *limitScope) {
+	without, _ := run(nil, forever)
+	with, _ := run(nil, 0)
+	forgetting, evictions := run(&forgetfulEviction{forgetScope: func(scope *limitScope) {
 		forgetPacing(scope)
 		scope.suspectRemovedAt = -time.Hour
 		forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
 	}}, 0)
-	t.Logf(
-		"%d calls where all is told, %d behind a front, %d behind one that forgets outages, after %d rests",
-		told,
-		fronted,
-		forgot,
-		evictions,
-	)
-	if fronted > told+told/20 {
-		t.Errorf("%d calls behind a front, %d where all is told", fronted, told)
+	t.Logf("%d calls without evictions, %d with them, %d with %d evictions that forget outages",
+		without, with, forgetting, evictions)
+	if with > without+without/20 {
+		t.Errorf("%d calls with evictions, %d without", with, without)
 	}
-	if forgot < 2*told || evictions == 0 {
-		t.Error("a front that forgets outages is not seen")
+	if forgetting < 2*without || evictions == 0 {
+		t.Error("evictions that forget outages are not detected")
 	}
 }
 
-// Messages with rests between take no more calls of one of 3,000 relays than where nothing is ever put to rest, and
-// those after a rest no more than the first at a relay that has just started; where a call's worth is not waited for
-// they do.
+// With evictions between its messages, one of 3,000 relays makes no more calls than without. After an eviction it makes
+// no more calls than a relay that has just started. Evictions that do not wait for the tokens of a call allow more.
 func TestEvictionDoesNotCircumventPacing(t *testing.T) {
-	const later = 20
+	const fleetSize = 3000
+	const messages = 20 // after the first
 	const seeds = 60
-	freshCalls := 0 // calls of so many relays that have just started
-	for seed := range uint64(seeds * later) {
-		_, step := newTwoEndpointEvictor(t, seeds+seed, 3000, nil, forever)
-		now, id := time.Minute, uint32(0)
-		freshCalls += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
+	const length = 3 * time.Second
+	started := 0 // calls of so many relays that have just started
+	for seed := range uint64(seeds * messages) {
+		started += newEvictingRelay(t, seeds+seed, fleetSize, nil, forever).burst(1, OK, length)
 	}
-	play := func(forgetful *forgetfulEviction, idle, pause time.Duration) (after, evictions int) {
+	run := func(forgetful *forgetfulEviction, idleTime, pause time.Duration) (calls, evictions int) {
 		for seed := range uint64(seeds) {
-			ev, step := newTwoEndpointEvictor(t, seed, 3000, forgetful, idle)
-			now, id := time.Minute, uint32(0)
-			sendBurst(step, &now, &id, 1, OK, 3*time.Second)
-			for range later {
-				now += pause
-				step(now, []Event{{Kind: TimerFired}})
-				after += sendBurst(step, &now, &id, 1, OK, 3*time.Second)
+			r := newEvictingRelay(t, seed, fleetSize, forgetful, idleTime)
+			r.burst(1, OK, length)
+			for range messages {
+				r.now += pause
+				r.events(Event{Kind: TimerFired})
+				calls += r.burst(1, OK, length)
 			}
-			evictions += ev.evictions
+			evictions += r.evictions
 		}
-		return after, evictions
+		return calls, evictions
 	}
 	warmUp := testSettings().WarmUpDuration
 	for _, pause := range []time.Duration{warmUp + 2*time.Second, 90 * time.Second, 600 * time.Second} {
-		told, _ := play(nil, forever, pause)
-		fronted, evictions := play(nil, warmUp, pause)
-		forgot, _ := play(&forgetfulEviction{forgetScope: forgetPacing}, warmUp, pause)
-		t.Logf(
-			"a message each %v: %d calls where all is told, %d with %d rests, %d where pacing rates are forgotten; %d at fresh relays",
-			pause,
-			told,
-			fronted,
-			evictions,
-			forgot,
-			freshCalls,
-		)
-		if fronted > told+told/20 || fronted > freshCalls+freshCalls/20 || evictions == 0 {
-			t.Errorf(
-				"a message each %v: %d calls behind a front, %d where all is told, %d at fresh relays, %d rests",
-				pause,
-				fronted,
-				told,
-				freshCalls,
-				evictions,
-			)
+		without, _ := run(nil, forever, pause)
+		with, evictions := run(nil, warmUp, pause)
+		forgetting, _ := run(&forgetfulEviction{forgetScope: forgetPacing}, warmUp, pause)
+		t.Logf("a message each %v: %d calls without evictions, %d with %d of them, %d with those that forget pacing; "+
+			"%d of relays that have just started", pause, without, with, evictions, forgetting, started)
+		if with > without+without/20 || with > started+started/20 || evictions == 0 {
+			t.Errorf("a message each %v: %d calls with %d evictions, %d without, %d of relays that have just started",
+				pause, with, evictions, without, started)
 		}
-		if pause < time.Minute && forgot < told+told/3 {
-			t.Error("rests that forget pacing rates are not seen")
+		if pause < time.Minute && forgetting < without+without/3 {
+			t.Error("evictions that forget pacing are not detected")
 		}
 	}
 }
