--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,7 +9,7 @@
 
 // A relay takes one message for destination 7, whose first endpoint answers that it is full.
 func Example() {
-	sender, err := policy.New(policy.Settings{
+	engine, err := policy.New(policy.Settings{
 		Classes: []policy.Class{
 			{Effect: policy.Idempotent, LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second},
 		},
@@ -25,14 +25,14 @@
 			}
 		}
 	}
-	show(sender.Step(time.Second, []policy.Event{
+	show(engine.Step(time.Second, []policy.Event{
 		{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
 			{ID: "b", Destination: 7, InService: true},
 			{ID: "a", Destination: 7, InService: true},
 		}},
 		{Kind: policy.MessageAccepted, MessageID: 1, Destination: 7, TimeLeft: 20 * time.Second},
 	}))
-	show(sender.Step(2*time.Second, []policy.Event{
+	show(engine.Step(2*time.Second, []policy.Event{
 		{Kind: policy.AttemptFinished, MessageID: 1, Endpoint: "a", Outcome: policy.Overloaded, Latency: time.Second},
 	}))
 	// Output:
--- a/policy/fleetpacing_test.go
+++ b/policy/fleetpacing_test.go
@@ -136,8 +136,8 @@
 	for id := range uint32(20) {
 		h.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
-	if kept := h.engine.fairPacingRate(scope); kept <= before {
-		t.Errorf("a fair pacing rate of %v with 20 messages more, %v before", kept, before)
+	if got := h.engine.fairPacingRate(scope); got <= before {
+		t.Errorf("a fair pacing rate of %v with 20 messages more, %v before", got, before)
 	}
 	for id := range uint32(20) {
 		h.engine.reject(h.engine.messages[id])
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -11,7 +11,7 @@
 // The causes, in the order in which they are looked at. The first that holds is reported; of those that end at a known
 // time, the one that ends last.
 const (
-	NotBlocked        BlockCause = iota // it is sent when its turn comes
+	NotBlocked        BlockCause = iota // it is sent when its place in the queue comes up
 	AttemptsExhausted                   // no attempt or no time is left
 	EndpointDraining                    // the endpoint is draining
 	WaitingForKey                       // an earlier message of its ordering key is pending
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -31,15 +31,15 @@
 // outage fails most calls, and k successes in a row have a probability of 2^-k in it.
 func (e *Engine) recoveryRate(ep *endpoint) float64 {
 	fraction := e.settings.WarmUpInitialCapacity
-	rest := 1 - e.settings.WarmUpInitialCapacity
+	remaining := 1 - e.settings.WarmUpInitialCapacity
 	window := e.settings.OverloadWindow.Seconds()
 	warmUp := e.settings.WarmUpDuration.Seconds()
 	if ep.recoveredAt > 0 {
 		borneOut := 1 - math.Pow(0.5, float64(ep.consecutiveSuccesses))
-		fraction += rest * min((e.now-ep.recoveredAt).Seconds()/warmUp, borneOut)
+		fraction += remaining * min((e.now-ep.recoveredAt).Seconds()/warmUp, borneOut)
 	}
 	capacity := max(e.scopeCapacity(ep.scope), e.deliveryRate(ep.scope))
-	fractionAtEnd := min(1, fraction+rest*window/warmUp)
+	fractionAtEnd := min(1, fraction+remaining*window/warmUp)
 	safeCalls := recoveryPushRatio * e.settings.OverloadFactor * fractionAtEnd * capacity * window
 	root := (math.Sqrt(recoveryDeviations*recoveryDeviations+4*safeCalls) - recoveryDeviations) / 2
 	expectedCalls := max(root*root, safeCalls-recoveryDeviations*math.Sqrt(float64(e.settings.FleetSize))/2)
