--- a/policy/settings.go
+++ b/policy/settings.go
@@ -112,7 +112,7 @@
 		return errors.New("policy: settings hold a negative count")
 	}
 	if settings.FleetSize > maxFleetSize {
-		return fmt.Errorf("policy: settings name %d senders, %d at most", settings.FleetSize, maxFleetSize)
+		return fmt.Errorf("policy: settings name %d relays, %d at most", settings.FleetSize, maxFleetSize)
 	}
 	shortest := min(settings.MaxRetryAfter, settings.WarmUpDuration, settings.OverloadWindow, settings.OrderingPause)
 	sum := settings.WarmUpInitialCapacity + settings.OverloadFactor // not a number if one of the figures is none
