--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startInLargeFleet is a relay of the full fleet, with 31 hosts listed.
+// startInLargeFleet is a relay of the full fleet, with 31 endpoints listed.
 func startInLargeFleet(b *testing.B) (*relayProcess, *platform) {
 	b.Helper()
 	p, h := newPlatform(
@@ -32,34 +32,34 @@
 	return r, p
 }
 
-// pollCPUTime kills the process and returns the processor time that it used.
-func (r *relayProcess) pollCPUTime() time.Duration {
+// killForCPUTime kills the process and returns the processor time that it used.
+func (r *relayProcess) killForCPUTime() time.Duration {
 	cmd := r.cmd
 	r.kill()
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime tells what a relay of the full fleet uses: for a start, for a second in which nothing comes,
-// and for a message taken, delivered and journaled. It goes by the kernel's count of the process, whose grain is a
-// clock tick or less.
+// BenchmarkProcessorTime measures what a relay of the full fleet uses: for a start, for an idle second, and for a
+// message accepted, delivered and journaled. It uses the kernel's count of the process, whose grain is a clock tick or
+// less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, p := startInLargeFleet(b)
-	r.pollCPUTime()
+	r.killForCPUTime()
 	var start time.Duration
 	for range starts {
 		r.start(p)
-		start += r.pollCPUTime() / starts
+		start += r.killForCPUTime() / starts
 	}
 	b.ReportMetric(float64(start.Microseconds())/1000, "ms/start")
 	r.start(p)
 	time.Sleep(idle * time.Second)
-	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
+	b.ReportMetric(float64((r.killForCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
 	r.start(p)
 	for i := range messages {
 		r.mustAccept(traceID(i), 9*time.Second)
 	}
-	b.ReportMetric(float64((r.pollCPUTime()-start).Microseconds())/messages, "us/message")
+	b.ReportMetric(float64((r.killForCPUTime()-start).Microseconds())/messages, "us/message")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -72,7 +72,7 @@
 	return string(id)
 }
 
-// BenchmarkAccept tells how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
+// BenchmarkAccept measures how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
 // alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
@@ -87,7 +87,7 @@
 	g := rigs[1]
 	eventually(b, "the fleet is one", func() bool { state, _ := g.memberState(0, 2); return state == "alive" })
 	must(b, g.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
-	defer g.relays[2].cmd.Process.Signal(syscall.SIGCONT)
+	defer signalQuietly(g.relays[2].cmd, syscall.SIGCONT)
 	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], g.relays[0]}
 	accepts, finals := make([][]time.Duration, 3), make([][]time.Duration, 3)
 	for i := range messages {
@@ -113,7 +113,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReady tells how long a process takes from its start to its first health answer, with the largest journal
+// BenchmarkReady measures how long a process takes from its start to its first health answer, with the largest journal
 // that its disk allows.
 func BenchmarkReady(b *testing.B) {
 	for _, c := range []struct {
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -17,12 +17,13 @@
 )
 
 func command(args ...string) (status int, out, errs string) {
-	var o, e bytes.Buffer
-	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, cli.Streams{Out: &o, Err: &e}, cli.Failed)
-	return status, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	streams := cli.Streams{Out: &stdout, Err: &stderr}
+	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, streams, cli.Failed)
+	return status, stdout.String(), stderr.String()
 }
 
-// runRecorded has a real relay record while hosts refuse, answer and die, and returns where the recordings are.
+// runRecorded has a relay process record while its endpoint rejects and then answers.
 func runRecorded(t *testing.T, operator string) (r *relayProcess) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, os.WriteFile(path, []byte(operator), 0o600))
@@ -50,9 +51,9 @@
 	return r
 }
 
-// A relay of its own process, asked for its recording by a signal: it replays without a difference in this process, and
-// tells why a message waited.
-func TestARecordingOfARealRelay(t *testing.T) {
+// A relay process dumps its recording on a signal: it replays without a difference in this process, and explains why a
+// message waited.
+func TestRecordingOfAProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
 	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
@@ -80,7 +81,7 @@
 		!strings.Contains(out, "kept: SIGUSR1") {
 		t.Errorf("%d, %s", status, out)
 	}
-	// A recording that says otherwise is told to.
+	// A damaged recording is reported.
 	data, err := os.ReadFile(paths[0])
 	must(t, err)
 	found, err := flightrecorder.Split(data)
@@ -93,7 +94,7 @@
 }
 
 // Where a platform keeps nothing but the log, recordings go there, and what a killed process wrote is taken out of it.
-func TestARecordingInTheLog(t *testing.T) {
+func TestRecordingInTheLog(t *testing.T) {
 	r := runRecorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
 	log := filepath.Join(r.dir, "log")
 	eventually(t, "the recording in the log", func() bool {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -4,13 +4,14 @@
 	"math"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// endpointState is what the loop knows of endpoints. All of the list is in the catalog. The policy holds all of it, too,
-// up to catalog.MaxEagerEndpoints; of a longer one it holds the destinations of the working set: see largelist.go.
+// endpointState is what the loop knows of endpoints. All of the list is in the catalog. The policy holds all of it,
+// too, up to catalog.MaxEagerEndpoints; of a longer one it holds the destinations of the working set: see largelist.go.
 type endpointState struct {
 	catalog           *catalog.Catalog
 	listVersion       int64
@@ -37,7 +38,7 @@
 
 // applyList applies an endpoint list, or changes of it, and returns the policy's event. An unreadable entry is skipped;
 // if it names a known endpoint, that stays as it was.
-func (r *Relay) applyList(list List) []policy.Event {
+func (r *Relay) applyList(list discovery.List) []policy.Event {
 	large := r.largeList.Load()
 	r.listVersion = list.Version
 	if list.Full {
@@ -80,7 +81,7 @@
 }
 
 // applyEntry applies an entry of a list, and appends to updates what the policy has to know of it.
-func (r *Relay) applyEntry(updates []policy.Endpoint, e *Entry) []policy.Endpoint {
+func (r *Relay) applyEntry(updates []policy.Endpoint, e *discovery.Entry) []policy.Endpoint {
 	if e.Err != nil {
 		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
 		known, ok := r.catalog.MarkSeen(e.ID)
