--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -223,7 +223,7 @@
 	}
 	r.remove(m)
 	if m.awaitingRemote {
-		return r.unpark(events, a, result)
+		return r.resumeAfterRemoteAttempt(events, a, result)
 	}
 	return append(events, policy.Event{
 		Kind:         policy.AttemptFinished,
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -17,7 +17,7 @@
 	"the protocol's pages, the same for every customer": {
 		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime",
 		"relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout", "discovery.WatchIdleTimeout",
-		"relay.leaveFor", "notify.postTimeout", "backoff.period", "policy.recoveryPushRatio",
+		"relay.drainConnectionsTimeout", "notify.postTimeout", "backoff.period", "policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout",
@@ -31,8 +31,8 @@
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter",
 		"relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval", "notify.minRetryDelay",
 		"notify.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout",
-		"relay.healthSaveInterval", "relay.healthSaveCostRatio", "relay.besideJournal", "relay.reservedDescriptors",
-		"relay.minEndpointConns", "relay.lockFor", "relay.lockPause", "ingress.newConnGrace",
+		"relay.healthSaveInterval", "relay.healthSaveCostRatio", "relay.reservedDiskBytes", "relay.reservedDescriptors",
+		"relay.minEndpointConns", "relay.journalLockTimeout", "relay.journalLockRetryInterval", "ingress.newConnGrace",
 		"ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
 		"relay.readBufferSize", "discovery.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -37,7 +37,7 @@
 	}
 	events := []policy.Event{snapshot}
 	var actions []policy.Action
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		if m.completed {
 			continue
 		}
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.egress.Close(); r.closeLog() })
+	t.Cleanup(func() { r.egress.Close(); r.closeJournal() })
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -63,7 +63,7 @@
 	for e := range r.catalog.All() {
 		r.workingSet.Activate(e.Destination, now)
 	}
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		r.workingSet.Activate(m.Destination, now)
 	}
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -135,7 +135,7 @@
 // collect adds an event to a step's batch. All parts of a long list but the first are applied at once: their sender
 // waits for the reply to each part, so that no earlier one can be in the batch.
 func (r *Relay) collect(batch []event, e event) []event {
-	if p, ok := e.(partEvent); ok && p.part.Kind != discovery.PartBegin && !r.handed {
+	if p, ok := e.(partEvent); ok && p.part.Kind != discovery.PartBegin && !r.handedOver {
 		r.applyPart(p.part)
 		return batch
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -49,7 +49,7 @@
 
 	sharedState
 	reloadState
-	upgrade
+	hotRestartState
 	loopState
 }
 
@@ -95,13 +95,13 @@
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
-		r.before, err = hotrestart.Dial(r.handoverPath())
+		r.predecessor, err = hotrestart.Dial(r.handoverPath())
 		if err == nil {
 			return r, nil // the log is the other process's, until it hands over
 		}
 		log.Info("starting from the journal", "err", err)
 	}
-	if err := r.openLog(); err != nil {
+	if err := r.openJournal(); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -111,26 +111,26 @@
 func (r *Relay) Run(ctx context.Context) error {
 	listener, err := listen(r.cfg.Listen, r.cfg.InheritedFD)
 	if err != nil {
-		return errors.Join(fmt.Errorf("relay: %w", err), r.closeLog())
+		return errors.Join(fmt.Errorf("relay: %w", err), r.closeJournal())
 	}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	if r.cfg.AdminListen != "" {
 		if err := r.serveAdmin(work); err != nil {
-			return errors.Join(err, listener.Close(), r.closeLog())
+			return errors.Join(err, listener.Close(), r.closeJournal())
 		}
 	}
 	callCtx, stopCalls := context.WithCancel(context.Background())
 	defer stopCalls()
 	r.callCtx = callCtx
 	err = r.restore(ctx) // before clients learn that the relay is ready
-	if errors.Is(err, errEnded) {
+	if errors.Is(err, errTerminated) {
 		return listener.Close()
 	}
 	if err != nil {
-		return errors.Join(err, listener.Close(), r.closeLog())
+		return errors.Join(err, listener.Close(), r.closeJournal())
 	}
-	r.offer(work)
+	r.listenForSuccessor(work)
 	leading, stopLeading := context.WithCancel(work)
 	defer stopLeading()
 	r.stopLeading = stopLeading
@@ -150,12 +150,12 @@
 	if r.successor != nil {
 		_ = r.successor.Close() // everything for it is sent
 	}
-	return r.closeLog()
+	return r.closeJournal()
 }
 
 // restore takes over from the process before this one, or goes on from the journal.
 func (r *Relay) restore(ctx context.Context) error {
-	if r.before == nil {
+	if r.predecessor == nil {
 		r.recoverState()
 		return nil
 	}
@@ -196,13 +196,13 @@
 	}()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
-	if !r.handOver() {
+	if !r.handOverToSuccessor() {
 		r.shutdown(listener)
 		return
 	}
 	_ = listener.Close() // connections wait for the other process from here on
 	<-accepting          // one that was accepted just before is served like the others
-	r.leave()
+	r.finishAfterHandOver()
 }
 
 // discoveryConfig returns how a watcher follows the endpoint list for the loop.
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -48,7 +48,7 @@
 // what it holds: messages that were never sent, or every second one with an attempt in flight.
 func fillJournal(t testing.TB, cfg Config, bodySize int, sent bool) (messages int, bytes int64) {
 	t.Helper()
-	options := cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6) - besideJournal)
+	options := cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
 	j, _, err := journal.OpenFolder(cfg.StateDir, options)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -12,7 +12,7 @@
 	submissions     []*submitEvent
 	sendChecks      []sendCheck
 	metricsRequests []metricsRequest
-	handOff         *handOff // nil: nobody asks to take over
+	handOff         *handOverRequest // nil: nobody asks to take over
 }
 
 // reset empties the state for the next step. It keeps the slices that only a step refers to, and their room.
@@ -30,7 +30,7 @@
 // step applies a batch of events, has the policy decide, and carries out what it decides. The order is fixed: state
 // first, then new messages, decisions and calls, and at last the answers to those who asked about the outcome.
 func (r *Relay) step(batch []event) {
-	if r.handed {
+	if r.handedOver {
 		r.forwardEvents(batch)
 		return
 	}
@@ -82,7 +82,7 @@
 		close(request.done)
 	}
 	if s.handOff != nil {
-		s.handOff.done <- r.handOff()
+		s.handOff.reply <- r.transferState()
 	}
 }
 
--- a/internal/relay/upgrade.go
+++ b/internal/relay/upgrade.go
@@ -22,68 +22,70 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// leaveFor is how long a process that has handed over serves the connections that its clients have: each answer ends
+// drainConnectionsTimeout is how long a process that has handed over serves the connections that its clients have: each answer ends
 // one.
-const leaveFor = 2 * time.Second
+const drainConnectionsTimeout = 2 * time.Second
 
 const (
-	besideJournal = 4 << 10 // bytes of the disk limit for what else stands in the folder
-	lockFor       = 10 * time.Second
-	lockPause     = 20 * time.Millisecond
+	reservedDiskBytes        = 4 << 10 // bytes of the disk limit for what else stands in the folder
+	journalLockTimeout       = 10 * time.Second
+	journalLockRetryInterval = 20 * time.Millisecond
 )
 
-// upgrade is what a relay knows of the process before it and of the one behind it.
-type upgrade struct {
-	before *hotrestart.Conn // to take over from; nil: none
-	offers context.CancelFunc
+// hotRestartState is what a relay knows of the process before it and of the one behind it.
+type hotRestartState struct {
+	predecessor *hotrestart.Conn // to take over from; nil: none
+	offers      context.CancelFunc
 	// stopLeading ends what only the process that holds the log does: it follows the list and sends notices.
 	stopLeading context.CancelFunc
 
 	// Owned by the loop.
-	remote    map[attemptKey]*attempt // out at the process before
-	successor *hotrestart.Conn        // that is ready to take over; nil: none
-	handed    bool                    // it has: this process decides nothing more
+	remoteAttempts map[attemptKey]*attempt // out at the process before
+	successor      *hotrestart.Conn        // that is ready to take over; nil: none
+	handedOver     bool                    // it has: this process decides nothing more
 
-	forward forwards
+	forwarded forwardedSubmissions
 }
 
-// errEnded tells that a process was to end before it took over.
-var errEnded = errors.New("relay: ended before it took over")
+// errTerminated tells that a process was to end before it took over.
+var errTerminated = errors.New("relay: ended before it took over")
 
 type attemptKey struct {
-	id uint32
-	n  int
+	messageID uint32
+	number    int
 }
 
 // The events of the loop in an upgrade.
 type (
-	remoteOutcome hotrestart.Outcome
-	beforeGone    struct{}
-	successorCame struct{ conn *hotrestart.Conn }
-	successorGone struct{ conn *hotrestart.Conn }
-	handOff       struct{ done chan bool }
+	remoteOutcome   hotrestart.Outcome
+	predecessorGone struct{}
+	successorReady  struct{ conn *hotrestart.Conn }
+	successorGone   struct{ conn *hotrestart.Conn }
+	handOverRequest struct{ reply chan bool }
 )
 
 func (e remoteOutcome) apply(r *Relay, s *stepState) {
-	s.policyEvents = r.remoteEnded(s.policyEvents, e)
+	s.policyEvents = r.remoteAttemptFinished(s.policyEvents, e)
 }
 
-func (beforeGone) apply(r *Relay, s *stepState) { s.policyEvents = r.remoteGone(s.policyEvents) }
+func (predecessorGone) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.abandonRemoteAttempts(s.policyEvents)
+}
 
-func (e successorCame) apply(r *Relay, _ *stepState) { r.follow(e.conn) }
+func (e successorReady) apply(r *Relay, _ *stepState) { r.setSuccessor(e.conn) }
 
-func (e successorGone) apply(r *Relay, _ *stepState) { r.unfollow(e.conn) }
+func (e successorGone) apply(r *Relay, _ *stepState) { r.clearSuccessor(e.conn) }
 
-func (e handOff) apply(_ *Relay, s *stepState) { s.handOff = &e }
+func (e handOverRequest) apply(_ *Relay, s *stepState) { s.handOff = &e }
 
 func (r *Relay) handoverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
 
-func (r *Relay) openLog() error {
-	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - besideJournal)
+func (r *Relay) openJournal() error {
+	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
 	opt.WrapFS = r.cfg.WrapJournalFS
-	for end := time.Now().Add(lockFor); ; time.Sleep(lockPause) {
+	for end := time.Now().Add(journalLockTimeout); ; time.Sleep(journalLockRetryInterval) {
 		j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
-		if errors.Is(err, store.ErrLocked) && r.before != nil && time.Now().Before(end) {
+		if errors.Is(err, store.ErrLocked) && r.predecessor != nil && time.Now().Before(end) {
 			continue // the process before has broken off, and is not at its end yet
 		}
 		if err != nil {
@@ -94,9 +96,9 @@
 	}
 }
 
-// closeLog closes the log, unless it is another process's.
-func (r *Relay) closeLog() error {
-	if r.journal == nil || r.handed {
+// closeJournal closes the log, unless it is another process's.
+func (r *Relay) closeJournal() error {
+	if r.journal == nil || r.handedOver {
 		return nil
 	}
 	return r.journal.Close()
@@ -106,38 +108,38 @@
 
 // takeOver waits until the process before this one hands over, or ends without.
 func (r *Relay) takeOver(ctx context.Context) error {
-	defer context.AfterFunc(ctx, func() { r.before.Close() })()
-	err := r.before.Send(hotrestart.Frame{Hello: &hotrestart.Hello{Revision: policy.Revision()}})
+	defer context.AfterFunc(ctx, func() { r.predecessor.Close() })()
+	err := r.predecessor.Send(hotrestart.Frame{Hello: &hotrestart.Hello{Revision: policy.Revision()}})
 	var f hotrestart.Frame
 	if err == nil {
-		f, err = r.before.Receive()
+		f, err = r.predecessor.Receive()
 	}
 	if err == nil && f.Welcome {
 		// Not before: told to end between a yes here and the hello there, the first process would end without handing
 		// over.
 		r.awaitingHandover.Store(true)
-		f, err = r.before.Receive()
+		f, err = r.predecessor.Receive()
 		r.awaitingHandover.Store(false)
 	}
 	if ctx.Err() != nil {
-		return errEnded
+		return errTerminated
 	}
 	r.log.Info("taking over", "state", f.State != nil, "err", err)
-	if openErr := r.openLog(); openErr != nil {
+	if openErr := r.openJournal(); openErr != nil {
 		return openErr
 	}
 	if err != nil || f.State == nil {
-		r.before.Close()
+		r.predecessor.Close()
 		r.recoverState()
 		return nil
 	}
-	r.takeUp(f.State)
-	go r.hear()
+	r.restoreState(f.State)
+	go r.receiveFromPredecessor()
 	return nil
 }
 
-// takeUp goes on where the process before this one has stopped.
-func (r *Relay) takeUp(s *hotrestart.State) {
+// restoreState goes on where the process before this one has stopped.
+func (r *Relay) restoreState(s *hotrestart.State) {
 	now := s.Now + max(0, time.Since(s.At))
 	r.started = time.Now().Add(-now)
 	sender, err := policy.Restore(s.Config.Settings, s.Snapshot)
@@ -155,16 +157,16 @@
 	cfg.Settings = r.activeConfig.Settings
 	r.recorder = newRecording(cfg, r.log, r.logOut, r.started, r.engine, now)
 	r.sharedRecorder.Store(r.recorder)
-	whole := r.takeUpList(s)
+	whole := r.restoreEndpoints(s)
 	evs := s.PendingEvents
 	if !known {
 		evs = []policy.Event{whole}
 	}
-	r.takeMessages(s)
-	r.takeAttempts(s)
-	r.takeUpAwake(s)
+	r.restoreMessages(s)
+	r.restoreAttempts(s)
+	r.restoreWorkingSet(s)
 	if !known {
-		for _, m := range r.inOrder() {
+		for _, m := range r.messagesInOrder() {
 			if m.completed {
 				continue
 			}
@@ -174,14 +176,14 @@
 		}
 	}
 	r.restoreFleet(whole)
-	r.log.Info("taken over", "messages", len(r.messages), "held", r.pending, "out", len(r.remote), "state", known)
+	r.log.Info("taken over", "messages", len(r.messages), "held", r.pending, "out", len(r.remoteAttempts), "state", known)
 	r.execute(r.decide(r.now(), evs), nil)
 }
 
-// takeUpList takes up the list of the process before this one, and returns what the module there knew of it. Of a long
+// restoreEndpoints takes up the list of the process before this one, and returns what the module there knew of it. Of a long
 // list that is all that goes over: for the rest this process begins from the list that it knows itself, as after a
 // restart, and asks for the whole at once.
-func (r *Relay) takeUpList(s *hotrestart.State) policy.Event {
+func (r *Relay) restoreEndpoints(s *hotrestart.State) policy.Event {
 	known := r.cfg.Known.Entries
 	if s.LargeList {
 		for i := range known {
@@ -206,9 +208,9 @@
 	return whole
 }
 
-// takeUpAwake has awake what the module knows of. Where the list is long, the process before knew better than this
+// restoreWorkingSet has awake what the module knows of. Where the list is long, the process before knew better than this
 // one's list what a destination in use has.
-func (r *Relay) takeUpAwake(s *hotrestart.State) {
+func (r *Relay) restoreWorkingSet(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
 			r.switchToLargeList() // its module was told of all
@@ -236,13 +238,13 @@
 	for _, x := range s.Endpoints {
 		wake(x.Destination)
 	}
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		wake(m.Destination)
 	}
 }
 
-// takeMessages takes up the messages of the log, with what the state says of them.
-func (r *Relay) takeMessages(s *hotrestart.State) {
+// restoreMessages takes up the messages of the log, with what the state says of them.
+func (r *Relay) restoreMessages(s *hotrestart.State) {
 	found := r.recovery
 	r.recovery = nil
 	r.lastMessageID = s.LastID
@@ -290,15 +292,15 @@
 	}
 }
 
-// takeAttempts takes up what is out at the process before this one.
-func (r *Relay) takeAttempts(s *hotrestart.State) {
-	r.remote = make(map[attemptKey]*attempt, len(s.Attempts))
+// restoreAttempts takes up what is out at the process before this one.
+func (r *Relay) restoreAttempts(s *hotrestart.State) {
+	r.remoteAttempts = make(map[attemptKey]*attempt, len(s.Attempts))
 	for _, x := range s.Attempts {
 		m := r.messages[x.ID]
 		if m == nil {
 			continue // all is over for it
 		}
-		r.remote[attemptKey{x.ID, x.Number}] = &attempt{
+		r.remoteAttempts[attemptKey{x.ID, x.Number}] = &attempt{
 			call:     newCall(egress.Call{EndpointID: x.Endpoint, SentAt: x.Sent}, x.Zone),
 			message:  m,
 			number:   x.Number,
@@ -308,24 +310,24 @@
 			m.inFlight++
 		}
 	}
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		r.remove(m)
 	}
 }
 
-// inOrder are the messages in the order in which they were taken.
-func (r *Relay) inOrder() []*message {
+// messagesInOrder are the messages in the order in which they were taken.
+func (r *Relay) messagesInOrder() []*message {
 	ms := slices.Collect(maps.Values(r.messages))
 	slices.SortFunc(ms, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
 	return ms
 }
 
-// hear takes what the process before this one still has to tell.
-func (r *Relay) hear() {
-	defer r.post(beforeGone{})
-	defer r.before.Close()
+// receiveFromPredecessor takes what the process before this one still has to tell.
+func (r *Relay) receiveFromPredecessor() {
+	defer r.post(predecessorGone{})
+	defer r.predecessor.Close()
 	for {
-		f, err := r.before.Receive()
+		f, err := r.predecessor.Receive()
 		if err != nil {
 			r.log.Info("the process before has ended", "err", err)
 			return
@@ -344,7 +346,7 @@
 			go func() {
 				select {
 				case a := <-in.reply:
-					r.before.Send(
+					r.predecessor.Send(
 						hotrestart.Frame{
 							Answer: &hotrestart.Answer{
 								Seq:        f.Submission.Seq,
@@ -362,10 +364,10 @@
 	}
 }
 
-// remoteEnded takes the outcome of an attempt of the process before this one.
-func (r *Relay) remoteEnded(evs []policy.Event, o remoteOutcome) []policy.Event {
+// remoteAttemptFinished takes the outcome of an attempt of the process before this one.
+func (r *Relay) remoteAttemptFinished(evs []policy.Event, o remoteOutcome) []policy.Event {
 	key := attemptKey{o.ID, o.Number}
-	a := r.remote[key]
+	a := r.remoteAttempts[key]
 	if a == nil {
 		return evs
 	}
@@ -375,25 +377,25 @@
 		egress.Result{Outcome: o.Outcome, MessageEnded: o.MessageEnded, RetryAfter: o.RetryAfter, LimitReport: o.LimitReport, Latency: o.Latency},
 	)
 	if o.CallFinished {
-		delete(r.remote, key)
+		delete(r.remoteAttempts, key)
 	}
 	return evs
 }
 
-// remoteGone ends the attempts of which the process before this one told nothing: they may have run.
-func (r *Relay) remoteGone(evs []policy.Event) []policy.Event {
-	for _, key := range slices.SortedFunc(maps.Keys(r.remote), func(a, b attemptKey) int {
-		return int(int64(a.id)-int64(b.id))*1000 + a.n - b.n
+// abandonRemoteAttempts ends the attempts of which the process before this one told nothing: they may have run.
+func (r *Relay) abandonRemoteAttempts(evs []policy.Event) []policy.Event {
+	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), func(a, b attemptKey) int {
+		return int(int64(a.messageID)-int64(b.messageID))*1000 + a.number - b.number
 	}) {
-		a := r.remote[key]
+		a := r.remoteAttempts[key]
 		evs = r.attemptEnded(evs, a, egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)})
 	}
-	clear(r.remote)
+	clear(r.remoteAttempts)
 	return evs
 }
 
-// unpark tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
-func (r *Relay) unpark(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
+// resumeAfterRemoteAttempt tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
+func (r *Relay) resumeAfterRemoteAttempt(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	evs = append(evs, policy.Event{
 		Kind: policy.HealthChecked, Endpoint: a.call.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
 	})
@@ -406,8 +408,8 @@
 
 // The process that hands over.
 
-// offer lets another process take over from this one, where the platform holds the clients' socket.
-func (r *Relay) offer(ctx context.Context) {
+// listenForSuccessor lets another process take over from this one, where the platform holds the clients' socket.
+func (r *Relay) listenForSuccessor(ctx context.Context) {
 	if r.cfg.InheritedFD == "" {
 		return
 	}
@@ -436,47 +438,47 @@
 		return
 	}
 	r.log.Info("another process is ready to take over", "module", f.Hello.Revision, "own", policy.Revision())
-	if !r.post(successorCame{c}) {
+	if !r.post(successorReady{c}) {
 		return
 	}
 	for err == nil {
 		if f, err = c.Receive(); f.Answer != nil {
-			r.forward.answer(f.Answer)
+			r.forwarded.reply(f.Answer)
 		}
 	}
 	r.post(successorGone{c})
 }
 
-func (r *Relay) follow(c *hotrestart.Conn) {
+func (r *Relay) setSuccessor(c *hotrestart.Conn) {
 	if r.successor != nil {
 		r.successor.Close() // the later one it is
 	}
 	r.successor = c
-	r.send(hotrestart.Frame{Welcome: true})
+	r.sendToSuccessor(hotrestart.Frame{Welcome: true})
 }
 
-func (r *Relay) unfollow(c *hotrestart.Conn) {
+func (r *Relay) clearSuccessor(c *hotrestart.Conn) {
 	if r.successor == c {
 		r.successor = nil
 	}
 }
 
-// handOver has the loop hand over, if there is a process to take over.
-func (r *Relay) handOver() bool {
-	e := handOff{make(chan bool, 1)}
-	return r.post(e) && <-e.done
+// handOverToSuccessor has the loop hand over, if there is a process to take over.
+func (r *Relay) handOverToSuccessor() bool {
+	e := handOverRequest{make(chan bool, 1)}
+	return r.post(e) && <-e.reply
 }
 
-// handOff hands over, between two steps. From here on this process decides nothing.
-func (r *Relay) handOff() bool {
+// transferState hands over, between two steps. From here on this process decides nothing.
+func (r *Relay) transferState() bool {
 	if r.successor == nil {
 		return false
 	}
-	state := r.state()
+	state := r.exportState()
 	if err := r.journal.Close(); err != nil {
 		r.log.Warn("handing over: log not written", "err", err) // the state says what has ended
 	}
-	r.handed = true
+	r.handedOver = true
 	r.stopLeading()
 	r.egress.Close()
 	r.terminating.Store(true)
@@ -488,8 +490,8 @@
 	return true
 }
 
-// state is all that the other process must know beside the log.
-func (r *Relay) state() *hotrestart.State {
+// exportState is all that the other process must know beside the log.
+func (r *Relay) exportState() *hotrestart.State {
 	s := &hotrestart.State{
 		Now: r.now(), At: time.Now(), WakeAt: r.timerAt, Snapshot: r.engine.Snapshot(nil), Config: r.activeConfig, Version: r.listVersion,
 		LargeList: r.largeList.Load(), LastID: r.lastMessageID, PendingEvents: r.deferredEvents,
@@ -513,7 +515,7 @@
 		s.Destinations = slices.Sorted(maps.Keys(cells))
 	}
 	slices.SortFunc(s.Endpoints, func(a, b hotrestart.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		x := hotrestart.Message{ID: m.ID, TraceID: m.TraceID, Sends: m.attemptsStarted, Ended: m.completed, Shared: m.hasDuplicates}
 		if m.resubmittedAs != nil {
 			x.Next = m.resubmittedAs.ID
@@ -539,7 +541,7 @@
 			out(a)
 		}
 	}
-	for _, a := range r.remote {
+	for _, a := range r.remoteAttempts {
 		out(a)
 	}
 	return s
@@ -550,25 +552,25 @@
 	for _, e := range batch {
 		switch e := e.(type) {
 		case *submitEvent:
-			r.forward.handIn(r.successor, e)
+			r.forwarded.forward(r.successor, e)
 		case cancelEvent:
-			r.send(hotrestart.Frame{Cancel: e.messageID})
+			r.sendToSuccessor(hotrestart.Frame{Cancel: e.messageID})
 		case *callFinished:
 			r.callsInFlight--
 			for i, a := range e.call.attempts {
 				if a.timer != nil {
 					a.timer.Stop()
 				}
-				r.passOutcome(a, e.results[i], true)
+				r.forwardOutcome(a, e.results[i], true)
 			}
 		case attemptTimeout:
 			if !e.attempt.finished {
 				e.attempt.finished = true
-				r.passOutcome(e.attempt, egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}, false)
+				r.forwardOutcome(e.attempt, egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}, false)
 			}
 		case remoteOutcome:
 			o := hotrestart.Outcome(e)
-			r.send(hotrestart.Frame{Outcome: &o})
+			r.sendToSuccessor(hotrestart.Frame{Outcome: &o})
 		case partEvent:
 			e.part.Reply <- true // nobody here goes by it any more
 		case sendCheck:
@@ -580,24 +582,24 @@
 			r.stopping = true
 		case successorGone:
 			if r.successor == e.conn {
-				r.forward.end()
+				r.forwarded.abort()
 			}
-			r.unfollow(e.conn)
+			r.clearSuccessor(e.conn)
 		}
 	}
-	if r.stopping && !r.drainedClosed && r.callsInFlight == 0 && r.forward.none() {
+	if r.stopping && !r.drainedClosed && r.callsInFlight == 0 && r.forwarded.empty() {
 		r.drainedClosed = true
 		close(r.drained)
 	}
 }
 
-func (r *Relay) passOutcome(a *attempt, res egress.Result, last bool) {
-	r.send(hotrestart.Frame{Outcome: &hotrestart.Outcome{
+func (r *Relay) forwardOutcome(a *attempt, res egress.Result, last bool) {
+	r.sendToSuccessor(hotrestart.Frame{Outcome: &hotrestart.Outcome{
 		ID: a.message.ID, Number: a.number, Outcome: res.Outcome, MessageEnded: res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport, Latency: res.Latency, CallFinished: last,
 	}})
 }
 
-func (r *Relay) send(f hotrestart.Frame) {
+func (r *Relay) sendToSuccessor(f hotrestart.Frame) {
 	if r.successor == nil {
 		return // it has died with all that it took: the log tells the next one
 	}
@@ -606,14 +608,14 @@
 	}
 }
 
-// leave ends a process that has handed over, within shutdownTimeout.
-func (r *Relay) leave() {
+// finishAfterHandOver ends a process that has handed over, within shutdownTimeout.
+func (r *Relay) finishAfterHandOver() {
 	began := time.Now()
 	by := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
 	r.ingress.DisableKeepAlive()
 	select {
-	case <-r.ingress.Emptied(leaveFor):
-	case <-by(leaveFor):
+	case <-r.ingress.Emptied(drainConnectionsTimeout):
+	case <-by(drainConnectionsTimeout):
 	}
 	r.ingress.Close(began.Add(shutdownSendTime + shutdownAnswerTime/2))
 	r.post(stopAccepting{})
@@ -623,41 +625,41 @@
 	}
 }
 
-// forwards are hand-ins whose answers another process gives.
-type forwards struct {
-	mu   sync.Mutex
-	seq  uint64
-	open map[uint64]*submitEvent
+// forwardedSubmissions are hand-ins whose answers another process gives.
+type forwardedSubmissions struct {
+	mu      sync.Mutex
+	lastSeq uint64
+	pending map[uint64]*submitEvent
 }
 
-// unserved is what a client hears where the other process does not answer: it has been told nothing, and may come
+// unavailableResponse is what a client hears where the other process does not answer: it has been told nothing, and may come
 // again.
-var unserved = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
+var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // submitEvent passes a message on. There are no more of them than connections of clients.
-func (f *forwards) handIn(to *hotrestart.Conn, in *submitEvent) {
+func (f *forwardedSubmissions) forward(to *hotrestart.Conn, in *submitEvent) {
 	if to == nil {
-		in.reply <- unserved
+		in.reply <- unavailableResponse
 		return
 	}
 	f.mu.Lock()
-	if f.open == nil {
-		f.open = map[uint64]*submitEvent{}
+	if f.pending == nil {
+		f.pending = map[uint64]*submitEvent{}
 	}
-	f.seq++
-	seq := f.seq
-	f.open[seq] = in
+	f.lastSeq++
+	seq := f.lastSeq
+	f.pending[seq] = in
 	f.mu.Unlock()
 	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.message}}); err != nil {
-		f.answer(&hotrestart.Answer{Seq: seq, Status: unserved.Status, RetryAfter: unserved.RetryAfter})
+		f.reply(&hotrestart.Answer{Seq: seq, Status: unavailableResponse.Status, RetryAfter: unavailableResponse.RetryAfter})
 	}
 }
 
-// answer gives a client its answer.
-func (f *forwards) answer(a *hotrestart.Answer) {
+// reply gives a client its answer.
+func (f *forwardedSubmissions) reply(a *hotrestart.Answer) {
 	f.mu.Lock()
-	in := f.open[a.Seq]
-	delete(f.open, a.Seq)
+	in := f.pending[a.Seq]
+	delete(f.pending, a.Seq)
 	f.mu.Unlock()
 	if in != nil {
 		in.message.ID = a.ID
@@ -665,19 +667,19 @@
 	}
 }
 
-// end tells that no answer comes any more. What was passed on may have been taken on: its client must not hear that it
+// abort tells that no answer comes any more. What was passed on may have been taken on: its client must not hear that it
 // may come again, and hears that it failed.
-func (f *forwards) end() {
+func (f *forwardedSubmissions) abort() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, in := range f.open {
+	for _, in := range f.pending {
 		in.reply <- ingress.Response{Status: http.StatusInternalServerError}
 	}
-	clear(f.open)
+	clear(f.pending)
 }
 
-func (f *forwards) none() bool {
+func (f *forwardedSubmissions) empty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) == 0
+	return len(f.pending) == 0
 }
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -17,7 +17,7 @@
 // successorOf is a relay that has taken up what another one hands over; edit may spoil the state.
 func successorOf(t *testing.T, old *Relay, edit func(*hotrestart.State)) *Relay {
 	t.Helper()
-	s := old.state()
+	s := old.exportState()
 	edit(s)
 	if err := old.journal.Close(); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 	r.callCtx = old.callCtx
 	t.Cleanup(func() { r.egress.Close() })
-	r.takeUp(s)
+	r.restoreState(s)
 	return r
 }
 
@@ -45,7 +45,7 @@
 
 // Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome,
 // and that binds: a delivery ends the message, a told wait holds the next one, what was not told may have run.
-func TestTakingOverWithCallsOut(t *testing.T) {
+func TestTakeOverWithAttemptsInFlight(t *testing.T) {
 	forms := map[string]func(*hotrestart.State){
 		"the same form": func(*hotrestart.State) {},
 		"another form":  func(s *hotrestart.State) { s.Snapshot = []byte{9} },
@@ -66,8 +66,8 @@
 				t.Fatalf("%d calls out", len(old.activeCalls))
 			}
 			r := successorOf(t, old, edit)
-			if len(r.remote) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
-				t.Fatalf("remote %d, held %d, calls %d", len(r.remote), r.pending, len(r.activeCalls))
+			if len(r.remoteAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
+				t.Fatalf("remote %d, held %d, calls %d", len(r.remoteAttempts), r.pending, len(r.activeCalls))
 			}
 			r.step([]event{tick{}})
 			if len(r.activeCalls) != 0 {
@@ -82,9 +82,9 @@
 			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
 				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.activeCalls), views)
 			}
-			r.step([]event{beforeGone{}})
+			r.step([]event{predecessorGone{}})
 			m := r.messages[in[2].message.ID]
-			if len(r.remote) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
+			if len(r.remoteAttempts) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
 				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
@@ -97,7 +97,7 @@
 
 // A process that takes over says that it is ready only once the one before it knows of it: told to end before that,
 // this one would end without handing over, and its clients' connections with it.
-func TestReadyToTakeOverOnlyWhenWelcome(t *testing.T) {
+func TestReadyOnlyAfterWelcome(t *testing.T) {
 	dir := t.TempDir()
 	l, err := hotrestart.Listen(filepath.Join(dir, "s"))
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	defer l.Close()
 	r := &Relay{log: quiet()}
-	if r.before, err = hotrestart.Dial(filepath.Join(dir, "s")); err != nil {
+	if r.predecessor, err = hotrestart.Dial(filepath.Join(dir, "s")); err != nil {
 		t.Fatal(err)
 	}
 	nc, err := l.Accept()
@@ -129,13 +129,13 @@
 		runtime.Gosched()
 	}
 	cancel()
-	if err := <-ended; !errors.Is(err, errEnded) {
+	if err := <-ended; !errors.Is(err, errTerminated) {
 		t.Errorf("told to end: %v", err)
 	}
 }
 
 // A message that ended while its end could not be written does not come back with the log.
-func TestTakingOverAnEndThatIsNotInTheLog(t *testing.T) {
+func TestTakeOverOfAnEndThatIsNotInTheJournal(t *testing.T) {
 	old := newTestRelay(t)
 	in := newHandIn("m1", 7, 9*time.Second)
 	decide(old, in)
@@ -147,18 +147,18 @@
 
 // A process to which nothing can be handed answers its clients all the same; one that may have taken a message on is
 // not said to have refused it.
-func TestForwardsEnd(t *testing.T) {
-	var f forwards
+func TestForwardedSubmissionsAreAnswered(t *testing.T) {
+	var f forwardedSubmissions
 	none := newHandIn("m1", 7, time.Second)
-	f.handIn(nil, none)
+	f.forward(nil, none)
 	if a := <-none.reply; a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("%+v", a)
 	}
 	open := newHandIn("m2", 7, time.Second)
-	f.open = map[uint64]*submitEvent{3: open}
-	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
-	f.end()
-	if a := <-open.reply; a.Status != http.StatusInternalServerError || !f.none() {
+	f.pending = map[uint64]*submitEvent{3: open}
+	f.reply(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
+	f.abort()
+	if a := <-open.reply; a.Status != http.StatusInternalServerError || !f.empty() {
 		t.Errorf("%+v", a)
 	}
 }
