--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -192,11 +192,6 @@
 		c.addEndpoint(e.Destination)
 		return Change{New: e, Kind: Added}
 	}
-	return c.update(i, e)
-}
-
-// update changes an endpoint to e, whose text is in scratch.
-func (c *Catalog) update(i uint32, e Endpoint) Change {
 	slot := c.endpoints.at(i)
 	sameDestination := c.destinations.at(slot.destination).id() == e.Destination
 	// A text states its own length: one that begins with another is equal to it.
--- a/internal/state/catalog/endpoints.go
+++ b/internal/state/catalog/endpoints.go
@@ -25,7 +25,8 @@
 // readEndpoint returns the endpoint of a slot. id is its own if the caller has it, which saves an allocation; else "".
 func (c *Catalog) readEndpoint(i uint32, id string) Endpoint {
 	slot := c.endpoints.at(i)
-	t := parseText(c.texts.bytesAt(slot.text))
+	var t endpointText
+	t.parse(c.texts.bytesAt(slot.text))
 	if id == "" {
 		id = string(t.id)
 	}
--- a/internal/state/catalog/memory_test.go
+++ b/internal/state/catalog/memory_test.go
@@ -31,8 +31,10 @@
 // liveTexts adds up the texts of all endpoints.
 func (c *Catalog) liveTexts() int {
 	size := 0
+	var t endpointText
 	for i := range c.endpoints.count - 1 {
-		size += parseText(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text)).length
+		t.parse(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text))
+		size += t.length
 	}
 	return size
 }
--- a/internal/state/catalog/text.go
+++ b/internal/state/catalog/text.go
@@ -34,17 +34,22 @@
 	return true
 }
 
-// parseIPv4 returns an address as an IPv4 address and port, if its text is the one that they are written as.
-func parseIPv4(addr string) (netip.AddrPort, bool) {
+// appendIPv4 appends an address as an IPv4 address and port, if its text is the one that they are written as.
+func appendIPv4(b []byte, addr string) (_ []byte, ok bool) {
 	if !mayBeIPv4(addr) {
-		return netip.AddrPort{}, false
+		return b, false
 	}
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil || !parsed.Addr().Is4() {
-		return netip.AddrPort{}, false
+		return b, false
 	}
 	var buf [maxIPv4Text]byte
-	return parsed, string(parsed.AppendTo(buf[:0])) == addr
+	if string(parsed.AppendTo(buf[:0])) != addr {
+		return b, false
+	}
+	ip := parsed.Addr().As4()
+	b = append(b, ip[:]...)
+	return binary.BigEndian.AppendUint16(b, parsed.Port()), true
 }
 
 // appendText appends an endpoint's text.
@@ -59,11 +64,10 @@
 	b = binary.AppendVarint(b, int64(e.Kind))
 	b = binary.AppendVarint(b, int64(e.Zone))
 	b = binary.AppendUvarint(b, bits.ReverseBytes64(math.Float64bits(e.Weight))) // short for round numbers
-	if addr, ok := parseIPv4(e.Addr); ok {
+	b, isIPv4 := appendIPv4(b, e.Addr)
+	if isIPv4 {
 		b[flags] |= flagIPv4
-		ip := addr.Addr().As4()
-		b = append(b, ip[:]...)
-		return binary.BigEndian.AppendUint16(b, addr.Port())
+		return b
 	}
 	b = binary.AppendUvarint(b, uint64(len(e.Addr)))
 	return append(b, e.Addr...)
@@ -80,8 +84,8 @@
 	length     int // of the whole text
 }
 
-// parseText takes apart the text that b begins with.
-func parseText(b []byte) (t endpointText) {
+// parse takes apart the text that b begins with.
+func (t *endpointText) parse(b []byte) {
 	r := textReader(b)
 	t.id = r.bytes()
 	flags := r.take(1)[0]
@@ -96,7 +100,6 @@
 		t.rawAddr = r.bytes()
 	}
 	t.length = len(b) - len(r)
-	return t
 }
 
 // addr returns the address as it was given.
@@ -150,7 +153,8 @@
 
 // releaseText frees a text that no slot has any more.
 func (c *Catalog) releaseText(position uint32) {
-	t := parseText(c.texts.bytesAt(position))
+	var t endpointText
+	t.parse(c.texts.bytesAt(position))
 	c.compactTexts(c.texts.markDead(position, t.length))
 }
 
@@ -160,8 +164,9 @@
 	for chunk != noChunk && c.texts.sparse(chunk) {
 		next := noChunk
 		data := c.texts.chunks[chunk].data
+		var t endpointText
 		for offset := 0; offset < len(data); {
-			t := parseText(data[offset:])
+			t.parse(data[offset:])
 			if i := c.findEndpointByText(t.id, textPosition(chunk, offset)); i != none {
 				position, full := c.texts.add(data[offset : offset+t.length])
 				c.endpoints.at(i).text = position
