--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -126,7 +127,7 @@
 
 // queueNotification queues the final notification of a message that was accepted and is not delivered.
 func (r *Relay) queueNotification(m *message) {
-	n := Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
+	n := notify.Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
 		n.Status = "deferred"
 		n.RetryAfterMS = m.Final.RetryAfter.Milliseconds()
