--- a/internal/recording/statecodec/archive.go
+++ b/internal/recording/statecodec/coder.go
@@ -21,19 +21,19 @@
 	reading bool
 	buf     []byte // written so far, or left to read
 	err     error
-	numbers map[any]uint64 // of pointers written
-	seen    []any          // pointers read, by number
+	writtenPointers map[any]uint64 // of pointers written
+	readPointers    []any          // pointers read, by number
 	depth   int
 }
 
-// depthMost bounds how deep references nest in what is read.
-const depthMost = 1000
+// maxDepth bounds how deep references nest in what is read.
+const maxDepth = 1000
 
-// Writer returns a Coder that appends to buf.
-func Writer(buf []byte) *Coder { return &Coder{buf: buf, numbers: map[any]uint64{}} }
+// NewWriter returns a Coder that appends to buf.
+func NewWriter(buf []byte) *Coder { return &Coder{buf: buf, writtenPointers: map[any]uint64{}} }
 
-// Reader returns a Coder that reads data. No length in data makes it use more memory than a small multiple of data's.
-func Reader(data []byte) *Coder { return &Coder{reading: true, buf: data} }
+// NewReader returns a Coder that reads data. No length in data makes it use more memory than a small multiple of data's.
+func NewReader(data []byte) *Coder { return &Coder{reading: true, buf: data} }
 
 // Reading tells the direction.
 func (c *Coder) Reading() bool { return c.reading }
@@ -87,8 +87,8 @@
 	*x = T(v)
 }
 
-// Times carries durations.
-func (c *Coder) Times(xs ...*time.Duration) {
+// Durations carries durations.
+func (c *Coder) Durations(xs ...*time.Duration) {
 	for _, x := range xs {
 		Int(c, x)
 	}
@@ -182,14 +182,14 @@
 	})
 }
 
-// Ref carries a pointer. Where it points is gone through the first time that it comes.
-func Ref[T any](c *Coder, p **T, body func(*T)) {
+// Pointer carries a pointer. Where it points is gone through the first time that it comes.
+func Pointer[T any](c *Coder, p **T, body func(*T)) {
 	if !c.reading {
 		n, known := uint64(0), *p == nil
 		if !known {
-			if n, known = c.numbers[*p]; !known {
-				n = uint64(len(c.numbers) + 1)
-				c.numbers[*p] = n
+			if n, known = c.writtenPointers[*p]; !known {
+				n = uint64(len(c.writtenPointers) + 1)
+				c.writtenPointers[*p] = n
 			}
 		}
 		c.uint(&n)
@@ -203,15 +203,15 @@
 	switch {
 	case n == 0:
 		*p = nil
-	case n <= uint64(len(c.seen)):
-		x, ok := c.seen[n-1].(*T)
+	case n <= uint64(len(c.readPointers)):
+		x, ok := c.readPointers[n-1].(*T)
 		if *p = x; !ok {
 			c.Fail()
 		}
-	case n == uint64(len(c.seen)+1):
+	case n == uint64(len(c.readPointers)+1):
 		*p = new(T)
-		c.seen = append(c.seen, *p)
-		if c.depth++; c.depth > depthMost {
+		c.readPointers = append(c.readPointers, *p)
+		if c.depth++; c.depth > maxDepth {
 			c.Fail()
 			return
 		}
@@ -223,9 +223,9 @@
 	}
 }
 
-// Must is Ref for a pointer that is never nil.
-func Must[T any](c *Coder, p **T, body func(*T)) {
-	if Ref(c, p, body); *p == nil {
+// NonNil is Ref for a pointer that is never nil.
+func NonNil[T any](c *Coder, p **T, body func(*T)) {
+	if Pointer(c, p, body); *p == nil {
 		c.Fail()
 		*p = new(T)
 	}
--- a/internal/recording/statecodec/archive_test.go
+++ b/internal/recording/statecodec/coder_test.go
@@ -25,14 +25,14 @@
 }
 
 func code(c *Coder, p **node) {
-	Ref(c, p, func(x *node) {
+	Pointer(c, p, func(x *node) {
 		c.Text(&x.name)
 		c.Ints(&x.n)
 		Uint(c, &x.small)
 		Uint(c, &x.big)
 		c.Bools(&x.on)
 		c.Floats(&x.x)
-		c.Times(&x.at)
+		c.Durations(&x.at)
 		List(c, &x.list, func(i *int) { c.Ints(i) })
 		List(c, &x.peers, func(p **node) { code(c, p) })
 		code(c, &x.parent)
@@ -68,19 +68,19 @@
 func TestReadsWhatItWrote(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		want := draw(rt)
-		w := Writer([]byte("before"))
+		w := NewWriter([]byte("before"))
 		code(w, &want)
 		if err := w.Close(); err != nil {
 			rt.Fatal(err)
 		}
 		data := w.Bytes()[len("before"):]
 		var got *node
-		r := Reader(data)
+		r := NewReader(data)
 		if code(r, &got); r.Close() != nil || !reflect.DeepEqual(got, want) {
 			rt.Fatalf("%v: %+v, want %+v", r.Close(), got, want)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(rt, "cut")
-		r = Reader(data[:cut])
+		r = NewReader(data[:cut])
 		if code(r, &got); !errors.Is(r.Close(), ErrMalformed) {
 			rt.Fatalf("cut at %d of %d: %v", cut, len(data), r.Close())
 		}
@@ -102,23 +102,23 @@
 		"references without end":    deep,
 	} {
 		var x *node
-		r := Reader(data)
+		r := NewReader(data)
 		code(r, &x)
 		if !errors.Is(r.Close(), ErrMalformed) {
 			t.Errorf("%s is taken: %+v", name, x)
 		}
 	}
 	var missing *node
-	r := Reader([]byte{0})
-	if Must(r, &missing, func(*node) {}); !errors.Is(r.Close(), ErrMalformed) || missing == nil {
+	r := NewReader([]byte{0})
+	if NonNil(r, &missing, func(*node) {}); !errors.Is(r.Close(), ErrMalformed) || missing == nil {
 		t.Error("a pointer that is never nil is taken as nil")
 	}
 	// A pointer of one type where one of another was written.
-	r = Reader([]byte{1, 1})
+	r = NewReader([]byte{1, 1})
 	var a *int
 	var b *string
-	Ref(r, &a, func(*int) {})
-	if Ref(r, &b, func(*string) {}); !errors.Is(r.Close(), ErrMalformed) {
+	Pointer(r, &a, func(*int) {})
+	if Pointer(r, &b, func(*string) {}); !errors.Is(r.Close(), ErrMalformed) {
 		t.Error("a pointer to another type is taken")
 	}
 }
@@ -126,19 +126,19 @@
 func FuzzReader(f *testing.F) {
 	x := &node{name: "a", list: []int{1, 2}, named: map[string]int{"k": 1}}
 	x.parent, x.peers = x, []*node{x, nil}
-	w := Writer(nil)
+	w := NewWriter(nil)
 	code(w, &x)
 	f.Add(w.Bytes())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var got *node
-		r := Reader(data)
+		r := NewReader(data)
 		if code(r, &got); r.Close() != nil || got == nil {
 			return
 		}
-		w := Writer(nil)
+		w := NewWriter(nil)
 		code(w, &got)
 		var again *node
-		r = Reader(w.Bytes())
+		r = NewReader(w.Bytes())
 		if code(r, &again); r.Close() != nil {
 			t.Fatalf("what was read and written again is malformed: %x", w.Bytes())
 		}
--- a/internal/recording/statecodec/golden_test.go
+++ b/internal/recording/statecodec/golden_test.go
@@ -27,11 +27,11 @@
 func TestGoldenArchive(t *testing.T) {
 	const name = "node.archive"
 	want := goldenNode()
-	w := Writer(nil)
+	w := NewWriter(nil)
 	code(w, &want)
 	golden.Check(t, *update, name, w.Bytes())
 	var got *node
-	r := Reader(golden.Read(t, name))
+	r := NewReader(golden.Read(t, name))
 	code(r, &got)
 	if err := r.Close(); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v; want %+v", got, err, want)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -16,7 +16,7 @@
 // Snapshot appends the state of an Engine between two steps to buf. Equal states give equal bytes. Recordings that
 // begin in the middle of a run start with one.
 func (e *Engine) Snapshot(buf []byte) []byte {
-	coder := statecodec.Writer(buf)
+	coder := statecodec.NewWriter(buf)
 	e.codeState(coder)
 	return coder.Bytes()
 }
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	coder := statecodec.Reader(data)
+	coder := statecodec.NewReader(data)
 	e.codeState(coder)
 	if err := coder.Close(); err != nil {
 		return nil, fmt.Errorf("policy: snapshot: %w", err)
@@ -53,14 +53,14 @@
 		return
 	}
 	e.codeGenerator(coder)
-	coder.Times(&e.now, &e.timerAt, &e.startedAt, &e.acceptedTraffic.updatedAt)
+	coder.Durations(&e.now, &e.timerAt, &e.startedAt, &e.acceptedTraffic.updatedAt)
 	coder.Floats(&e.acceptedTraffic.level)
 	coder.Ints(&e.pendingMessages, &e.callsInFlight)
 	e.codeDestinations(coder)
 	e.codeMessages(coder)
 	e.codeTables(coder)
 	statecodec.List(coder, (*[]deadlineEntry)(&e.deadlines), func(entry *deadlineEntry) {
-		coder.Times(&entry.at)
+		coder.Durations(&entry.at)
 		e.codeMessage(coder, &entry.message)
 	})
 }
@@ -126,12 +126,12 @@
 	for _, table := range []map[int]time.Duration{e.connectShortageUntil, e.closeIdleUntil} {
 		statecodec.Map(coder, table, func(kind *int, until *time.Duration) {
 			coder.Ints(kind)
-			coder.Times(until)
+			coder.Durations(until)
 		})
 	}
 	statecodec.List(coder, &e.tenantTraffic, func(meter *trafficMeter) {
 		coder.Floats(&meter.level)
-		coder.Times(&meter.updatedAt)
+		coder.Durations(&meter.updatedAt)
 	})
 	if len(e.tenantTraffic) != len(e.settings.Tenants) {
 		coder.Fail()
@@ -140,19 +140,19 @@
 
 // codeDestination codes a destination without its queue.
 func (e *Engine) codeDestination(coder *statecodec.Coder, p **destination) {
-	statecodec.Must(coder, p, func(dest *destination) {
+	statecodec.NonNil(coder, p, func(dest *destination) {
 		coder.Ints(&dest.id, &dest.messageCount, &dest.activeIndex)
-		coder.Times(&dest.blockedUntil, &dest.emptySince)
+		coder.Durations(&dest.blockedUntil, &dest.emptySince)
 		statecodec.List(coder, &dest.scopes, func(scope **limitScope) { e.codeScope(coder, scope) })
 	})
 }
 
 // codeScope codes a limit scope with its endpoints.
 func (e *Engine) codeScope(coder *statecodec.Coder, p **limitScope) {
-	statecodec.Must(coder, p, func(scope *limitScope) {
+	statecodec.NonNil(coder, p, func(scope *limitScope) {
 		e.codeDestination(coder, &scope.destination)
 		statecodec.List(coder, &scope.endpoints, func(p **endpoint) {
-			statecodec.Must(coder, p, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+			statecodec.NonNil(coder, p, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
 		})
 		coder.Bools(&scope.perEndpoint, &scope.quotaShared)
 		coder.Ints(
@@ -162,12 +162,12 @@
 			&scope.pacingRate, &scope.lastRejectedRate, &scope.tokens, &scope.recoveryTokens, &scope.reportedLimit,
 			&scope.deliveryRate, &scope.reservedFraction,
 		)
-		coder.Times(
+		coder.Durations(
 			&scope.retryAfterUntil, &scope.decreasedAt, &scope.increasedAt, &scope.tokensUpdatedAt,
 			&scope.recoveryUpdatedAt, &scope.suspectRemovedAt, &scope.lastFailureSentAt, &scope.deliveryRateAt,
 			&scope.grantExpiresAt, &scope.quotaRequestedAt,
 		)
-		statecodec.List(coder, &scope.recentSends, func(at *time.Duration) { coder.Times(at) })
+		statecodec.List(coder, &scope.recentSends, func(at *time.Duration) { coder.Durations(at) })
 	})
 }
 
@@ -180,7 +180,7 @@
 	)
 	coder.Floats(&ep.Weight)
 	coder.Bools(&ep.InService, &ep.Removed, &ep.ejected, &ep.warmingUp, &ep.weaklySuspected, &ep.answerLost)
-	coder.Times(
+	coder.Durations(
 		&ep.ejectedUntil, &ep.ejectionTime, &ep.lastFailureSentAt, &ep.recoveredAt, &ep.firstRejectedAt,
 		&ep.lastSuccessAt, &ep.lastAnsweredSendAt, &ep.latencyMean, &ep.latencyDeviation,
 	)
@@ -192,25 +192,25 @@
 
 // codeCall codes a call in flight.
 func (e *Engine) codeCall(coder *statecodec.Coder, p **call) {
-	statecodec.Must(coder, p, func(c *call) {
-		statecodec.Must(coder, &c.endpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+	statecodec.NonNil(coder, p, func(c *call) {
+		statecodec.NonNil(coder, &c.endpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
 		coder.Ints(&c.pending)
 		coder.Bools(&c.delivered)
-		coder.Times(&c.sentAt, &c.overdueAt, &c.timeoutAt)
+		coder.Durations(&c.sentAt, &c.overdueAt, &c.timeoutAt)
 	})
 }
 
 // codeMessage codes a message with its attempts in flight.
 func (e *Engine) codeMessage(coder *statecodec.Coder, p **message) {
-	statecodec.Must(coder, p, func(msg *message) {
+	statecodec.NonNil(coder, p, func(msg *message) {
 		statecodec.Uint(coder, &msg.id)
 		e.codeClass(coder, msg)
 		e.codeDestination(coder, &msg.destination)
 		e.codeKeyQueue(coder, &msg.keyQueue)
-		coder.Times(&msg.objectiveAt, &msg.deadline, &msg.queueRank, &msg.firstRunAt)
+		coder.Durations(&msg.objectiveAt, &msg.deadline, &msg.queueRank, &msg.firstRunAt)
 		coder.Ints(&msg.attempts, &msg.maxAttempts, &msg.firstRunZone, &msg.timeouts)
 		coder.Bools(&msg.mayHaveRun, &msg.ended, &msg.queued, &msg.recovered)
-		statecodec.Ref(coder, &msg.lastFailedEndpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
+		statecodec.Pointer(coder, &msg.lastFailedEndpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
 		statecodec.List(coder, &msg.inFlight, func(a *attempt) {
 			coder.Ints(&a.number)
 			e.codeCall(coder, &a.call)
@@ -231,16 +231,16 @@
 	}
 	statecodec.Int(coder, &msg.class.Effect)
 	coder.Bools(&msg.class.DedupAllZones, &msg.class.Ordered)
-	coder.Times(&msg.class.DedupWindow, &msg.class.LatencyObjective, &msg.class.Deadline)
+	coder.Durations(&msg.class.DedupWindow, &msg.class.LatencyObjective, &msg.class.Deadline)
 	coder.Floats(&msg.class.Weight)
 }
 
 // codeKeyQueue codes the queue of an ordering key.
 func (e *Engine) codeKeyQueue(coder *statecodec.Coder, p **keyQueue) {
-	statecodec.Ref(coder, p, func(queue *keyQueue) {
+	statecodec.Pointer(coder, p, func(queue *keyQueue) {
 		coder.Text(&queue.key)
 		coder.Bools(&queue.expiring)
-		coder.Times(&queue.pausedUntil)
+		coder.Durations(&queue.pausedUntil)
 		statecodec.List(coder, &queue.messages, func(msg **message) { e.codeMessage(coder, msg) })
 	})
 }
