--- a/internal/recording/statecodec/coder_test.go
+++ b/internal/recording/statecodec/coder_test.go
@@ -39,22 +39,25 @@
 		if x.named == nil {
 			x.named = map[string]int{}
 		}
-		Map(c, x.named, func(k *string, v *int) { c.Text(k); c.Ints(v) })
+		Map(c, x.named, func(key *string, value *int) {
+			c.Text(key)
+			c.Ints(value)
+		})
 	})
 }
 
-func draw(t *rapid.T) *node {
+func drawNode(t *rapid.T) *node {
 	nodes := make([]*node, rapid.IntRange(1, 6).Draw(t, "nodes"))
 	for i := range nodes {
 		nodes[i] = &node{
-			name: rapid.String().
-				Draw(t, "name"),
-			n: rapid.Int().Draw(t, "n"), small: rapid.Uint8().Draw(t, "small"), big: rapid.Uint64().Draw(t, "big"),
-			on: rapid.Bool().
-				Draw(t, "on"),
-			x: rapid.Float64().Draw(t, "x"), at: time.Duration(rapid.Int64().Draw(t, "at")),
-			list: rapid.SliceOfN(rapid.Int(), 1, 3).
-				Draw(t, "list"),
+			name:  rapid.String().Draw(t, "name"),
+			n:     rapid.Int().Draw(t, "n"),
+			small: rapid.Uint8().Draw(t, "small"),
+			big:   rapid.Uint64().Draw(t, "big"),
+			on:    rapid.Bool().Draw(t, "on"),
+			x:     rapid.Float64().Draw(t, "x"),
+			at:    time.Duration(rapid.Int64().Draw(t, "at")),
+			list:  rapid.SliceOfN(rapid.Int(), 1, 3).Draw(t, "list"),
 			named: rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "named"),
 		}
 	}
@@ -65,9 +68,9 @@
 	return nodes[0]
 }
 
-func TestReadsWhatItWrote(t *testing.T) {
+func TestReaderReadsWhatWriterWrote(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		want := draw(rt)
+		want := drawNode(rt)
 		w := NewWriter([]byte("before"))
 		code(w, &want)
 		if err := w.Close(); err != nil {
@@ -76,71 +79,89 @@
 		data := w.Bytes()[len("before"):]
 		var got *node
 		r := NewReader(data)
-		if code(r, &got); r.Close() != nil || !reflect.DeepEqual(got, want) {
-			rt.Fatalf("%v: %+v, want %+v", r.Close(), got, want)
+		code(r, &got)
+		if err := r.Close(); err != nil || !reflect.DeepEqual(got, want) {
+			rt.Fatalf("%v: %+v, want %+v", err, got, want)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(rt, "cut")
 		r = NewReader(data[:cut])
-		if code(r, &got); !errors.Is(r.Close(), ErrMalformed) {
-			rt.Fatalf("cut at %d of %d: %v", cut, len(data), r.Close())
+		code(r, &got)
+		if err := r.Close(); !errors.Is(err, ErrMalformed) {
+			rt.Fatalf("cut at %d of %d: %v", cut, len(data), err)
 		}
 	})
 }
 
-func TestRefusesWhatItNeverWrites(t *testing.T) {
+func TestReaderRejectsMalformed(t *testing.T) {
 	deep := []byte{}
 	for i := range 3000 { // each one the parent of the one before
 		deep = append(deep, byte(i+1)&0x7f|0x80, byte((i+1)>>7))
 	}
 	for name, data := range map[string][]byte{
-		"a number that is not next": {5},
-		"a list longer than all":    {1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f},
-		"a small number too large":  {1, 0, 0, 0xff, 0x7f},
-		"a truth of two":            {1, 0, 0, 0, 0, 2},
-		"a varint without an end":   {0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"something left":            {0, 0},
-		"references without end":    deep,
+		"pointer number that skips one": {5},
+		"list longer than the data": {
+			1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f,
+		},
+		"uint8 too large":          {1, 0, 0, 0xff, 0x7f},
+		"boolean of two":           {1, 0, 0, 0, 0, 2},
+		"varint without an end":    {0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+		"bytes left":               {0, 0},
+		"pointers nested too deep": deep,
 	} {
-		var x *node
-		r := NewReader(data)
-		code(r, &x)
-		if !errors.Is(r.Close(), ErrMalformed) {
-			t.Errorf("%s is taken: %+v", name, x)
-		}
+		t.Run(name, func(t *testing.T) {
+			var x *node
+			r := NewReader(data)
+			code(r, &x)
+			if err := r.Close(); !errors.Is(err, ErrMalformed) {
+				t.Errorf("accepted as %+v: %v", x, err)
+			}
+		})
 	}
-	var missing *node
+}
+
+func TestNonNilRejectsNil(t *testing.T) {
+	var p *node
 	r := NewReader([]byte{0})
-	if NonNil(r, &missing, func(*node) {}); !errors.Is(r.Close(), ErrMalformed) || missing == nil {
-		t.Error("a pointer that is never nil is taken as nil")
+	NonNil(r, &p, func(*node) {})
+	if err := r.Close(); !errors.Is(err, ErrMalformed) || p == nil {
+		t.Errorf("a pointer that is never nil is read as %v: %v", p, err)
 	}
-	// A pointer of one type where one of another was written.
-	r = NewReader([]byte{1, 1})
+}
+
+// A pointer of one type where one of another type was written is rejected.
+func TestPointerRejectsOtherType(t *testing.T) {
+	r := NewReader([]byte{1, 1})
 	var a *int
 	var b *string
 	Pointer(r, &a, func(*int) {})
-	if Pointer(r, &b, func(*string) {}); !errors.Is(r.Close(), ErrMalformed) {
-		t.Error("a pointer to another type is taken")
+	Pointer(r, &b, func(*string) {})
+	if err := r.Close(); !errors.Is(err, ErrMalformed) {
+		t.Errorf("a pointer to another type is accepted: %v", err)
 	}
 }
 
+// What a reader accepts is written again as something that it accepts.
 func FuzzReader(f *testing.F) {
 	x := &node{name: "a", list: []int{1, 2}, named: map[string]int{"k": 1}}
-	x.parent, x.peers = x, []*node{x, nil}
+	x.parent = x
+	x.peers = []*node{x, nil}
 	w := NewWriter(nil)
 	code(w, &x)
 	f.Add(w.Bytes())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var got *node
 		r := NewReader(data)
-		if code(r, &got); r.Close() != nil || got == nil {
+		code(r, &got)
+		if r.Close() != nil || got == nil {
 			return
 		}
 		w := NewWriter(nil)
 		code(w, &got)
 		var again *node
 		r = NewReader(w.Bytes())
-		if code(r, &again); r.Close() != nil {
-			t.Fatalf("what was read and written again is malformed: %x", w.Bytes())
+		code(r, &again)
+		if err := r.Close(); err != nil {
+			t.Fatalf("what was read and written again is malformed: %x: %v", w.Bytes(), err)
 		}
 	})
 }
