--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,69 +1,56 @@
 package relay
 
 import (
-	"bufio"
 	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
-	"strconv"
-	"strings"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/operatorfile"
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
-	"cherrytrestle.example/cherrytrestle/internal/relay/jsonstream"
-	"cherrytrestle.example/cherrytrestle/internal/simwire"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// maxTick bounds the tick, so that no setting makes clients wait for their answers.
-const maxTick = 20 * time.Millisecond
-
-// readBufferSize is how much of a file is read at once, in bytes.
-const readBufferSize = 64 << 10
-
-// errTrailing is the error for a file with more than one object in it.
-var errTrailing = errors.New("more behind the end")
-
-// Config is all that a relay is told at its start.
+// Config is all that a relay is given at its start.
 type Config struct {
 	Name          string
-	Listen        string // where clients connect
-	InheritedFD   string // the descriptor of a socket that listens there already, which the platform holds; "": none
-	AdminListen   string // the second address, for on-call staff and the platform; "": none
-	DiscoveryAddr string // address of discovery's agent
+	Listen        string // the address for clients
+	InheritedFD   string // descriptor of the platform's socket that listens there already; "": none
+	AdminListen   string // the address for on-call staff and the platform; "": none
+	DiscoveryAddr string // the address of service discovery's agent
 	StateDir      string // the folder that outlasts the process
 	Seed          uint64
 	Limits        Limits
-	Known         discovery.List   // hosts as this relay last had them; may be old or empty
-	KnownCatalog  *catalog.Catalog // what Known names, if that is too long to be told as a whole; else nil
-	KnownErr      error            // why Known could not be read; it is empty then, and discovery is asked
-	// what stands in the settings and may change while the relay runs; Customers empty: the site has none
+
+	Known        discovery.List   // the endpoint list as this relay last had it; may be old or empty
+	KnownCatalog *catalog.Catalog // the list, in place of Known, if it is too long for the policy to hold it; else nil
+	KnownErr     error            // why the list is unreadable; it is empty then, and comes from discovery
+
+	// Config holds what a reload may change. Without TenantNames the site has no tenants.
 	reload.Config
 
 	Zones []string
 	Kinds []string
 
 	ConnectTimeout   time.Duration
-	KeepAlive        time.Duration // hosts close a connection that stood idle for so long
-	DrainGrace       time.Duration // after a drain or removal was told, sends to its host must have ended; default 1 s
-	Tick             time.Duration // the module is asked no more often than this
-	AllowHedging     bool          // two attempts of a message may be out at once
-	LoadReportFields []string      // fields of the hosts' load reports; empty: none are sent
+	KeepAlive        time.Duration // endpoints close a connection that was idle for so long
+	DrainGrace       time.Duration // so long after the news of a drain or removal, sends there must have ended
+	Tick             time.Duration // the least time between two steps
+	AllowHedging     bool          // two attempts of a message may be in flight at once
+	LoadReportFields []string      // fields of the endpoints' load reports; empty: there are none
 
-	Operator        operatorfile.File
-	Version         string          // of the program
-	unreadable      int             // entries of Long
-	firstUnreadable discovery.Entry // the first of them
+	Operator operatorfile.File
+	Version  string // of the program
 
-	// WrapJournalFS is what stands between the journal and the files of its folder; nil: nothing.
+	// WrapJournalFS wraps the file system of the journal; nil: it is used as it is.
 	WrapJournalFS func(store.FS) store.FS
+
+	unreadable      int             // how many entries of the list are unreadable, if it is long
+	firstUnreadable discovery.Entry // the first of them
 }
 
 // Limits are those of the relay's machine.
@@ -74,46 +61,35 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// ReloadConfig reads the file that ROUTER_CONFIG names. What stands in it goes before the other ROUTER_ variables:
-// these are as old as the process. The list of hosts in it is looked at and not kept: discovery has a newer one.
-func ReloadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv, false)
-	if err != nil {
-		return Config{}, err
-	}
-	if c.KnownErr != nil {
-		return Config{}, fmt.Errorf("config: %w", c.KnownErr)
-	}
-	c.DiscoveryAddr = cmp.Or(c.DiscoveryAddr, getenv("ROUTER_DISCOVERY"))
-	return c, nil
-}
-
-func readConfig(getenv func(string) string, known bool) (Config, error) {
-	f, err := os.Open(getenv("ROUTER_CONFIG"))
-	if err != nil {
-		return Config{}, fmt.Errorf("config: %w", err)
-	}
-	defer f.Close()
-	c, err := scanConfig(f, known)
-	if err != nil {
-		return Config{}, fmt.Errorf("config: %w", err)
-	}
-	return c, nil
-}
+// What holds if a configuration does not say otherwise.
+const (
+	defaultConnectTimeout = time.Second
+	defaultKeepAlive      = 15 * time.Second
+	defaultDrainGrace     = time.Second
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultDiskMB         = 3
+	// defaultDeadline is the most time that a message may have if its class sets no deadline.
+	defaultDeadline = 24 * time.Hour
+)
 
-// LoadConfig reads the configuration of a start: the file that ROUTER_CONFIG names; the other ROUTER_ variables go
-// before it.
+// LoadConfig reads the configuration at a start: the file that ROUTER_CONFIG names. The other ROUTER_ variables
+// override it.
 func LoadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv, true)
+	c, err := readConfig(getenv, keepKnown)
 	if err != nil {
 		return Config{}, err
 	}
 	for name, field := range map[string]*string{
-		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.DiscoveryAddr, "ROUTER_STATE": &c.StateDir,
-		"ROUTER_MANAGEMENT": &c.AdminListen, "ROUTER_INHERITED_FD": &c.InheritedFD,
+		"ROUTER_NAME":         &c.Name,
+		"ROUTER_LISTEN":       &c.Listen,
+		"ROUTER_DISCOVERY":    &c.DiscoveryAddr,
+		"ROUTER_STATE":        &c.StateDir,
+		"ROUTER_MANAGEMENT":   &c.AdminListen,
+		"ROUTER_INHERITED_FD": &c.InheritedFD,
 	} {
-		if v := getenv(name); v != "" {
-			*field = v
+		if value := getenv(name); value != "" {
+			*field = value
 		}
 	}
 	if c.Listen == "" || c.DiscoveryAddr == "" || c.StateDir == "" {
@@ -122,260 +98,54 @@
 	return c, nil
 }
 
-// scanConfig reads a configuration as it comes: its list of hosts may be longer than all that is kept of it. known
-// tells whether that is kept, or only looked at.
-func scanConfig(src io.ReadSeeker, known bool) (Config, error) {
-	rest, at, err := splitKnownEndpoints(src)
+// ReloadConfig reads the file that ROUTER_CONFIG names once more. It overrides the other ROUTER_ variables, which are
+// as old as the process. The endpoint list in it is checked and not kept: discovery has a newer one.
+func ReloadConfig(getenv func(string) string) (Config, error) {
+	c, err := readConfig(getenv, checkKnown)
 	if err != nil {
 		return Config{}, err
 	}
-	c, err := parseSettings(rest)
-	if err == nil && at >= 0 {
-		// Read last, wherever it stands: its zones and kinds are named by the settings.
-		if _, err = src.Seek(at, io.SeekStart); err == nil {
-			c.KnownErr = c.readKnownEndpoints(src, known)
-		}
-	}
-	if err != nil {
-		return Config{}, err
+	if c.KnownErr != nil {
+		return Config{}, fmt.Errorf("config: %w", c.KnownErr)
 	}
-	c.setDefaults()
+	c.DiscoveryAddr = cmp.Or(c.DiscoveryAddr, getenv("ROUTER_DISCOVERY"))
 	return c, nil
 }
 
-// splitKnownEndpoints returns a configuration without its list of hosts, for which true stands, and where that begins,
-// just behind its key; -1: there is none.
-func splitKnownEndpoints(src io.Reader) (rest []byte, known int64, err error) {
-	dec := json.NewDecoder(bufio.NewReaderSize(src, readBufferSize))
-	if t, err := dec.Token(); err != nil {
-		return nil, 0, err
-	} else if t != json.Delim('{') {
-		return nil, 0, errors.New("not an object")
-	}
-	known = -1
-	values := map[string]json.RawMessage{}
-	for dec.More() {
-		t, err := dec.Token()
-		if err != nil {
-			return nil, 0, jsonstream.NoEOF(err)
-		}
-		key, _ := t.(string)
-		var value json.RawMessage
-		if !strings.EqualFold(key, "known") {
-			err = dec.Decode(&value)
-		} else {
-			at, first := dec.InputOffset(), json.Token(nil)
-			if first, err = jsonstream.SkipValue(dec, func() {}); err == nil && first == nil {
-				known = -1
-				delete(values, key)
-				continue
-			}
-			known, value = at, json.RawMessage("true")
-		}
-		if err != nil {
-			return nil, 0, jsonstream.NoEOF(err)
-		}
-		values[key] = value
-	}
-	if _, err := dec.Token(); err != nil {
-		return nil, 0, jsonstream.NoEOF(err)
-	}
-	if _, err := dec.Token(); err != io.EOF {
-		return nil, 0, errTrailing
-	}
-	rest, err = json.Marshal(values)
-	return rest, known, err
-}
-
-// readKnownEndpoints reads the list of hosts of a configuration, from just behind its key.
-func (c *Config) readKnownEndpoints(src io.Reader, keep bool) error {
-	from := bufio.NewReaderSize(src, readBufferSize)
-	if _, err := from.ReadSlice(':'); err != nil { // blanks at most stand before it
-		return fmt.Errorf("known: %w", err)
-	}
-	var parser *discovery.Parser
-	if keep {
-		parser = c.parser()
-	}
-	var head discovery.ListHead
-	var short []discovery.Entry
-	var long *catalog.Catalog
-	err := discovery.NewListReader(from, parser).Next(&head, func(e discovery.Entry) error {
-		if long == nil {
-			if short = append(short, e); len(short) <= catalog.MaxEagerEndpoints {
-				return nil
-			}
-			long = catalog.New()
-			long.BeginSnapshot()
-			for _, e := range short {
-				c.addKnownEntry(long, e)
-			}
-			short = nil
-			return nil
-		}
-		c.addKnownEntry(long, e)
-		return nil
-	})
+// readConfig reads the file that ROUTER_CONFIG names.
+func readConfig(getenv func(string) string, known knownMode) (Config, error) {
+	f, err := os.Open(getenv("ROUTER_CONFIG"))
 	if err != nil {
-		return fmt.Errorf("known: %w", err)
-	}
-	c.Known, c.KnownCatalog = discovery.List{Version: head.Version, Full: head.Full, Entries: short}, long
-	return nil
-}
-
-// parser reads the entries of discovery's list.
-func (c *Config) parser() *discovery.Parser { return &discovery.Parser{Zones: c.Zones, Kinds: c.Kinds} }
-
-// addKnownEntry adds an entry to a long list. One that cannot be read is noted, the first of them with its text.
-func (c *Config) addKnownEntry(long *catalog.Catalog, e discovery.Entry) {
-	if e.Err == nil {
-		long.Upsert(e.Endpoint)
-		return
-	}
-	if c.unreadable++; c.unreadable == 1 {
-		c.firstUnreadable = e
-	}
-}
-
-// namedEntry is an entry of the settings of which the relay goes by the name alone.
-type namedEntry struct {
-	Name string `json:"name"`
-}
-
-// parseSettings reads a configuration but for its list of hosts.
-func parseSettings(data []byte) (Config, error) {
-	var file struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Second    string          `json:"management"`
-		Settings  json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(data, &file); err != nil {
-		return Config{}, err
-	}
-	// What the relay itself goes by; all decisions' settings are mapped by package wire.
-	var own struct {
-		Services []namedEntry `json:"services"`
-		Realms   []namedEntry `json:"realms"`
-		Zones    []string     `json:"zones"`
-		Kinds    []string     `json:"kinds"`
-		TickMS   float64      `json:"tick_ms"`
-		Stats    struct {
-			Fields []string `json:"fields"`
-			How    string   `json:"how"`
-		} `json:"stats"`
-		Bounds struct {
-			ConnectTimeoutMS float64 `json:"connect_timeout_ms"`
-			KeepAliveMS      float64 `json:"keepalive_ms"`
-			MayDuplicate     bool    `json:"may_duplicate"`
-		} `json:"bounds"`
-		Rules struct {
-			StopSendingMS float64 `json:"stop_sending_within_ms"`
-		} `json:"rules"`
-	}
-	if err := json.Unmarshal(file.Settings, &own); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	var tree any
-	if err := json.Unmarshal(file.Settings, &tree); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
+		return Config{}, fmt.Errorf("config: %w", err)
 	}
-	values := map[string]string{}
-	flatten(values, "", tree)
-	set, err := simwire.Settings(values)
+	defer func() { _ = f.Close() }() // it was only read
+	c, err := parseConfigFile(f, known)
 	if err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	c := Config{
-		Name: file.Name, Listen: file.Listen, AdminListen: file.Second, DiscoveryAddr: file.Discovery, Limits: file.Limits,
-		Config: reload.Config{Settings: set, Shape: shape(data)},
-		Zones:  own.Zones, Kinds: own.Kinds, AllowHedging: own.Bounds.MayDuplicate,
-		ConnectTimeout: millis(own.Bounds.ConnectTimeoutMS), KeepAlive: millis(own.Bounds.KeepAliveMS),
-		DrainGrace: millis(own.Rules.StopSendingMS), Tick: min(millis(own.TickMS), maxTick),
-	}
-	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
-	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
-	for _, s := range own.Services {
-		c.ClassNames = append(c.ClassNames, s.Name)
-	}
-	for _, r := range own.Realms {
-		c.TenantNames = append(c.TenantNames, r.Name)
-	}
-	if own.Stats.How == "answers" {
-		c.LoadReportFields = own.Stats.Fields
+		return Config{}, fmt.Errorf("config: %w", err)
 	}
 	return c, nil
 }
 
-// shape is that of a whole file, in which true stands for the list of hosts.
-func shape(data []byte) reload.Shape {
-	var file map[string]any
-	if json.Unmarshal(data, &file) != nil {
-		return nil // parseSettings has read it
-	}
-	values := map[string]string{}
-	flatten(values, "", file)
-	return reload.ShapeOf(values)
-}
-
-// maxTimeLeft is the most time that a message of a class may have.
-func maxTimeLeft(class policy.Class) time.Duration {
-	if class.Deadline > 0 {
-		return class.Deadline
-	}
-	return 24 * time.Hour
-}
-
 // setDefaults fills in what a configuration may leave out.
 func (c *Config) setDefaults() {
-	setDefault(&c.ConnectTimeout, time.Second)
-	setDefault(&c.KeepAlive, 15*time.Second)
-	setDefault(&c.DrainGrace, time.Second)
-	setDefault(&c.Limits.MemoryMB, 192)
-	setDefault(&c.Limits.Sockets, 1024)
-	setDefault(&c.Limits.DiskMB, 3)
+	setDefault(&c.ConnectTimeout, defaultConnectTimeout)
+	setDefault(&c.KeepAlive, defaultKeepAlive)
+	setDefault(&c.DrainGrace, defaultDrainGrace)
+	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
+	setDefault(&c.Limits.Sockets, defaultSockets)
+	setDefault(&c.Limits.DiskMB, defaultDiskMB)
 }
 
-func setDefault[T float64 | int | time.Duration](p *T, v T) {
-	if *p <= 0 {
-		*p = v
+func setDefault[T float64 | int | time.Duration](field *T, value T) {
+	if *field <= 0 {
+		*field = value
 	}
 }
 
-// flatten writes nested JSON as the paths and values of the simulator's wire.
-func flatten(values map[string]string, path string, x any) {
-	switch x := x.(type) {
-	case map[string]any:
-		for k, v := range x {
-			flatten(values, strings.TrimPrefix(path+"."+k, "."), v)
-		}
-	case []any:
-		plain := make([]string, 0, len(x))
-		for i, v := range x {
-			if _, nested := v.(map[string]any); nested {
-				flatten(values, fmt.Sprintf("%s.%d", path, i), v)
-				values[path+".count"] = strconv.Itoa(len(x))
-			} else {
-				plain = append(plain, scalar(v))
-			}
-		}
-		if len(plain) > 0 {
-			values[path] = strings.Join(plain, ",")
-		}
-	case nil:
-	default:
-		values[path] = scalar(x)
-	}
-}
-
-func scalar(x any) string {
-	if f, ok := x.(float64); ok {
-		return strconv.FormatFloat(f, 'f', -1, 64)
+// maxTimeLeft is the most time that a message of a class may have.
+func maxTimeLeft(class policy.Class) time.Duration {
+	if class.Deadline > 0 {
+		return class.Deadline
 	}
-	return fmt.Sprint(x)
+	return defaultDeadline
 }
-
-func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,6 +23,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -34,7 +35,7 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *IngressServer    // serves clients
+	ingress *ingress.Server   // serves clients
 	egress  *egress.Client    // calls endpoints
 	agent   *discovery.Client // service discovery's
 	finals  *notify.Sender    // final notifications
@@ -88,7 +89,7 @@
 		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
 	r.finals = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
@@ -191,7 +192,7 @@
 	accepting := make(chan struct{})
 	go func() {
 		defer close(accepting)
-		_ = r.ingress.Serve(listener) // returns only once the listener is closed
+		r.ingress.Serve(listener)
 	}()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
