--- a/internal/relay/hotrestart/handover.go
+++ b/internal/relay/hotrestart/handover.go
@@ -216,3 +216,24 @@
 
 // Close ends the connection.
 func (c *Conn) Close() error { return c.conn.Close() }
+
+// RequestState asks the process at the other end to hand over, and waits until it does. awaiting is told when that
+// process knows of this one, and when the wait is over: a process that was told to end between the two hands over. The
+// state is nil if the other end ends without handing over.
+func (c *Conn) RequestState(revision string, awaiting func(bool)) (*State, error) {
+	if err := c.Send(Frame{Hello: &Hello{Revision: revision}}); err != nil {
+		return nil, err
+	}
+	f, err := c.Receive()
+	if err == nil && f.Welcome {
+		// Not before: told to end between a yes here and the hello there, the other process would end without handing
+		// over.
+		awaiting(true)
+		f, err = c.Receive()
+		awaiting(false)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return f.State, nil
+}
--- /dev/null
+++ b/internal/relay/journal.go
@@ -0,0 +1,44 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
+)
+
+const (
+	// reservedDiskBytes is the part of the disk limit for the other files of the state folder.
+	reservedDiskBytes = 4 << 10
+	// journalLockTimeout is how long to wait for a predecessor that broke off to release the journal.
+	journalLockTimeout = 10 * time.Second
+	// journalLockRetryInterval is the time between two attempts to lock the journal meanwhile.
+	journalLockRetryInterval = 20 * time.Millisecond
+)
+
+// openJournal opens the journal, and leaves what it holds in r.recovery.
+func (r *Relay) openJournal() error {
+	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
+	opt.WrapFS = r.cfg.WrapJournalFS
+	for end := time.Now().Add(journalLockTimeout); ; time.Sleep(journalLockRetryInterval) {
+		j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
+		if errors.Is(err, store.ErrLocked) && r.predecessor != nil && time.Now().Before(end) {
+			continue // the process before has broken off, and is not at its end yet
+		}
+		if err != nil {
+			return fmt.Errorf("relay: %w", err)
+		}
+		r.journal, r.recovery = j, found
+		return nil
+	}
+}
+
+// closeJournal closes the log, unless it is another process's.
+func (r *Relay) closeJournal() error {
+	if r.journal == nil || r.handedOver {
+		return nil
+	}
+	return r.journal.Close()
+}
--- /dev/null
+++ b/internal/relay/takeover.go
@@ -0,0 +1,158 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// errTerminated tells that this process was told to end before it took over.
+var errTerminated = errors.New("relay: terminated before it took over")
+
+// attemptKey names an attempt across processes.
+type attemptKey struct {
+	messageID uint32
+	number    int
+}
+
+// remoteOutcome tells the outcome of an attempt that the predecessor made.
+type remoteOutcome hotrestart.Outcome
+
+// predecessorGone tells that nothing more comes from the predecessor.
+type predecessorGone struct{}
+
+func (e remoteOutcome) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.remoteAttemptFinished(s.policyEvents, e)
+}
+
+func (predecessorGone) apply(r *Relay, s *stepState) {
+	s.policyEvents = r.abandonRemoteAttempts(s.policyEvents)
+}
+
+// takeOver waits until the predecessor hands over, or ends without. In the latter case this process goes on from the
+// journal.
+func (r *Relay) takeOver(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, r.closePredecessor)
+	defer stop()
+	state, err := r.predecessor.RequestState(policy.Revision(), r.awaitingHandover.Store)
+	if ctx.Err() != nil {
+		return errTerminated
+	}
+	r.log.Info("taking over", "state", state != nil, "err", err)
+	if err := r.openJournal(); err != nil {
+		return err
+	}
+	if state == nil {
+		r.closePredecessor()
+		r.recoverState()
+		return nil
+	}
+	r.restoreState(state)
+	go r.receiveFromPredecessor()
+	return nil
+}
+
+// closePredecessor ends the connection to the predecessor. Its error tells nothing: all that is left to do with the
+// connection is to be rid of it.
+func (r *Relay) closePredecessor() { _ = r.predecessor.Close() }
+
+// receiveFromPredecessor posts to the loop what the predecessor sends after its state: outcomes of its attempts, and
+// what its clients still submit and cancel.
+func (r *Relay) receiveFromPredecessor() {
+	defer r.post(predecessorGone{})
+	defer r.closePredecessor()
+	for {
+		f, err := r.predecessor.Receive()
+		if err != nil {
+			r.log.Info("predecessor ended", "err", err)
+			return
+		}
+		switch {
+		case f.Outcome != nil:
+			r.post(remoteOutcome(*f.Outcome))
+		case f.Cancel != 0:
+			r.post(cancelEvent{f.Cancel})
+		case f.Submission != nil && f.Submission.Message != nil:
+			if !r.acceptForPredecessor(f.Submission) {
+				return
+			}
+		}
+	}
+}
+
+// acceptForPredecessor posts a submission of the predecessor's client, and sends back the answer once there is one.
+// It returns false if the loop has ended.
+func (r *Relay) acceptForPredecessor(submission *hotrestart.Submission) bool {
+	m := submission.Message
+	submitted := &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
+	if !r.post(submitted) {
+		return false
+	}
+	go func() {
+		select {
+		case response := <-submitted.reply:
+			answer := &hotrestart.Answer{
+				Seq:        submission.Seq,
+				ID:         m.ID,
+				Status:     response.Status,
+				RetryAfter: response.RetryAfter,
+				Text:       response.Text,
+			}
+			// Where the predecessor is gone, so is the client.
+			_ = r.predecessor.Send(hotrestart.Frame{Answer: answer})
+		case <-r.loopDone:
+		}
+	}()
+	return true
+}
+
+// remoteAttemptFinished takes the outcome of an attempt of the predecessor.
+func (r *Relay) remoteAttemptFinished(events []policy.Event, o remoteOutcome) []policy.Event {
+	key := attemptKey{o.ID, o.Number}
+	a := r.remoteAttempts[key]
+	if a == nil {
+		return events
+	}
+	events = r.attemptEnded(events, a, egress.Result{
+		Outcome:      o.Outcome,
+		MessageEnded: o.MessageEnded,
+		RetryAfter:   o.RetryAfter,
+		LimitReport:  o.LimitReport,
+		Latency:      o.Latency,
+	})
+	if o.CallFinished {
+		delete(r.remoteAttempts, key)
+	}
+	return events
+}
+
+// abandonRemoteAttempts ends the attempts of which the process before this one told nothing: they may have run.
+func (r *Relay) abandonRemoteAttempts(evs []policy.Event) []policy.Event {
+	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), func(a, b attemptKey) int {
+		return int(int64(a.messageID)-int64(b.messageID))*1000 + a.number - b.number
+	}) {
+		a := r.remoteAttempts[key]
+		evs = r.attemptEnded(evs, a, egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)})
+	}
+	clear(r.remoteAttempts)
+	return evs
+}
+
+// resumeAfterRemoteAttempt tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
+func (r *Relay) resumeAfterRemoteAttempt(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
+	evs = append(evs, policy.Event{
+		Kind: policy.HealthChecked, Endpoint: a.call.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
+	})
+	if m := a.message; !m.completed && m.inFlight == 0 {
+		m.awaitingRemote = false
+		evs = append(evs, r.recoveredEvent(m))
+	}
+	return evs
+}
