--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -15,44 +15,16 @@
 // answer ends one.
 const drainConnectionsTimeout = 2 * time.Second
 
+// forwardedEvent is an event that matters to a process that has handed over. All others are ignored there.
+type forwardedEvent interface {
+	forward(r *Relay)
+}
+
 // forwardEvents is the loop's step once another process decides.
 func (r *Relay) forwardEvents(batch []event) {
 	for _, e := range batch {
-		switch e := e.(type) {
-		case *submitEvent:
-			r.forwarded.forward(r.successor, e)
-		case cancelEvent:
-			r.sendToSuccessor(hotrestart.Frame{Cancel: e.messageID})
-		case *callFinished:
-			r.callsInFlight--
-			for i, a := range e.call.attempts {
-				if a.timer != nil {
-					a.timer.Stop()
-				}
-				r.forwardOutcome(a, e.results[i], true)
-			}
-		case attemptTimeout:
-			if !e.attempt.finished {
-				e.attempt.finished = true
-				r.forwardOutcome(e.attempt, egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}, false)
-			}
-		case remoteOutcome:
-			o := hotrestart.Outcome(e)
-			r.sendToSuccessor(hotrestart.Frame{Outcome: &o})
-		case partEvent:
-			e.part.Reply <- true // nobody here goes by it any more
-		case sendCheck:
-			e.reply <- nil // nobody here can tell any more
-		case metricsRequest:
-			r.metrics.Pending.Store(0)
-			close(e.done)
-		case stopAccepting:
-			r.stopping = true
-		case successorGone:
-			if r.successor == e.conn {
-				r.forwarded.abort()
-			}
-			r.clearSuccessor(e.conn)
+		if f, ok := e.(forwardedEvent); ok {
+			f.forward(r)
 		}
 	}
 	if r.stopping && !r.drainedClosed && r.callsInFlight == 0 && r.forwarded.empty() {
@@ -61,18 +33,76 @@
 	}
 }
 
-func (r *Relay) forwardOutcome(a *attempt, res egress.Result, last bool) {
+func (e *submitEvent) forward(r *Relay) { r.forwarded.forward(r.successor, e) }
+
+func (e cancelEvent) forward(r *Relay) { r.sendToSuccessor(hotrestart.Frame{Cancel: e.messageID}) }
+
+func (e *callFinished) forward(r *Relay) {
+	r.callsInFlight--
+	for i, a := range e.call.attempts {
+		if a.timer != nil {
+			a.timer.Stop()
+		}
+		r.forwardOutcome(a, e.results[i], true)
+	}
+}
+
+func (e attemptTimeout) forward(r *Relay) {
+	if e.attempt.finished {
+		return
+	}
+	e.attempt.finished = true
+	timeout := egress.Result{Outcome: policy.Timeout, Latency: time.Since(e.attempt.call.SentAt)}
+	r.forwardOutcome(e.attempt, timeout, false)
+}
+
+func (e remoteOutcome) forward(r *Relay) {
+	outcome := hotrestart.Outcome(e)
+	r.sendToSuccessor(hotrestart.Frame{Outcome: &outcome})
+}
+
+// forward answers the watcher: nobody here uses the list any more.
+func (e partEvent) forward(*Relay) { e.part.Reply <- true }
+
+// forward answers that nothing may be sent: nobody here can tell any more.
+func (e sendCheck) forward(*Relay) { e.reply <- nil }
+
+func (e metricsRequest) forward(r *Relay) {
+	r.metrics.Pending.Store(0)
+	close(e.done)
+}
+
+func (stopAccepting) forward(r *Relay) { r.stopping = true }
+
+func (e successorGone) forward(r *Relay) {
+	if r.successor == e.conn {
+		r.forwarded.abort()
+	}
+	r.clearSuccessor(e.conn)
+}
+
+// forwardOutcome sends the outcome of an attempt to the successor. callFinished tells that no other one follows.
+func (r *Relay) forwardOutcome(a *attempt, res egress.Result, callFinished bool) {
 	r.sendToSuccessor(hotrestart.Frame{Outcome: &hotrestart.Outcome{
-		ID: a.message.ID, Number: a.number, Outcome: res.Outcome, MessageEnded: res.MessageEnded, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport, Latency: res.Latency, CallFinished: last,
+		ID:           a.message.ID,
+		Number:       a.number,
+		Outcome:      res.Outcome,
+		MessageEnded: res.MessageEnded,
+		RetryAfter:   res.RetryAfter,
+		LimitReport:  res.LimitReport,
+		Latency:      res.Latency,
+		CallFinished: callFinished,
 	}})
 }
 
+// sendToSuccessor sends a frame to the successor. One that has died took the state along: the next process recovers
+// from the journal.
 func (r *Relay) sendToSuccessor(f hotrestart.Frame) {
 	if r.successor == nil {
-		return // it has died with all that it took: the log tells the next one
+		return
 	}
 	if err := r.successor.Send(f); err != nil {
-		r.log.Warn("handing over", "err", err)
+		r.log.Warn("frame not sent to successor", "err", err)
 	}
 }
 
@@ -93,59 +123,69 @@
 	}
 }
 
+// unavailableResponse is the response to a client whose submission did not reach the successor: it may submit again.
+var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
+
 // forwardedSubmissions are submissions that the successor answers.
 type forwardedSubmissions struct {
 	mu      sync.Mutex
 	lastSeq uint64
-	pending map[uint64]*submitEvent
+	pending map[uint64]*submitEvent // by sequence number
 }
 
-// unavailableResponse is what a client hears where the other process does not answer: it has been told nothing, and may come
-// again.
-var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
-
-// submitEvent passes a message on. There are no more of them than connections of clients.
-func (f *forwardedSubmissions) forward(to *hotrestart.Conn, in *submitEvent) {
-	if to == nil {
-		in.reply <- unavailableResponse
+// forward sends a submission to the successor. There are no more of them than connections of clients.
+func (f *forwardedSubmissions) forward(successor *hotrestart.Conn, submitted *submitEvent) {
+	if successor == nil {
+		submitted.reply <- unavailableResponse
 		return
 	}
+	seq := f.add(submitted)
+	submission := &hotrestart.Submission{Seq: seq, Message: submitted.message}
+	if err := successor.Send(hotrestart.Frame{Submission: submission}); err != nil {
+		f.reply(&hotrestart.Answer{
+			Seq:        seq,
+			Status:     unavailableResponse.Status,
+			RetryAfter: unavailableResponse.RetryAfter,
+		})
+	}
+}
+
+// add notes a submission whose answer is to come, and returns its sequence number.
+func (f *forwardedSubmissions) add(submitted *submitEvent) uint64 {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	if f.pending == nil {
 		f.pending = map[uint64]*submitEvent{}
 	}
 	f.lastSeq++
-	seq := f.lastSeq
-	f.pending[seq] = in
-	f.mu.Unlock()
-	if err := to.Send(hotrestart.Frame{Submission: &hotrestart.Submission{Seq: seq, Message: in.message}}); err != nil {
-		f.reply(&hotrestart.Answer{Seq: seq, Status: unavailableResponse.Status, RetryAfter: unavailableResponse.RetryAfter})
-	}
+	f.pending[f.lastSeq] = submitted
+	return f.lastSeq
 }
 
-// reply gives a client its answer.
+// reply gives a client the successor's answer.
 func (f *forwardedSubmissions) reply(a *hotrestart.Answer) {
 	f.mu.Lock()
-	in := f.pending[a.Seq]
+	submitted := f.pending[a.Seq]
 	delete(f.pending, a.Seq)
 	f.mu.Unlock()
-	if in != nil {
-		in.message.ID = a.ID
-		in.reply <- ingress.Response{Status: a.Status, RetryAfter: a.RetryAfter, Text: a.Text}
+	if submitted != nil {
+		submitted.message.ID = a.ID
+		submitted.reply <- ingress.Response{Status: a.Status, RetryAfter: a.RetryAfter, Text: a.Text}
 	}
 }
 
-// abort tells that no answer comes any more. What was passed on may have been taken on: its client must not hear that it
-// may come again, and hears that it failed.
+// abort tells that no answer comes any more. The successor may have accepted what was forwarded: its client must not be
+// told to submit again, and is told that the message failed.
 func (f *forwardedSubmissions) abort() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, in := range f.pending {
-		in.reply <- ingress.Response{Status: http.StatusInternalServerError}
+	for _, submitted := range f.pending {
+		submitted.reply <- ingress.Response{Status: http.StatusInternalServerError}
 	}
 	clear(f.pending)
 }
 
+// empty tells whether all submissions are answered.
 func (f *forwardedSubmissions) empty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -44,7 +44,8 @@
 
 func (r *Relay) handoverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
 
-// listenForSuccessor lets another process take over from this one, where the platform holds the clients' socket.
+// listenForSuccessor lets another process take over from this one until ctx ends, if the platform holds the clients'
+// socket.
 func (r *Relay) listenForSuccessor(ctx context.Context) {
 	if r.cfg.InheritedFD == "" {
 		return
@@ -54,21 +55,21 @@
 		r.log.Warn("no process can take over from this one", "err", err)
 		return
 	}
-	context.AfterFunc(ctx, func() { l.Close() })
+	context.AfterFunc(ctx, func() { _ = l.Close() }) // nothing is lost with a listener
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
-				return // closed, or out of descriptors: then an upgrade is a restart
+				return // closed, or out of descriptors: then a hot restart is a plain one
 			}
 			go r.serveSuccessor(hotrestart.NewConn(c))
 		}
 	}()
 }
 
-// serveSuccessor hears a process that wants to take over, to its end.
+// serveSuccessor serves a process that wants to take over, until it closes its connection.
 func (r *Relay) serveSuccessor(c *hotrestart.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }() // the other end is gone by then, or not wanted
 	f, err := c.Receive()
 	if err != nil || f.Hello == nil {
 		return
@@ -77,61 +78,92 @@
 	if !r.post(successorReady{c}) {
 		return
 	}
-	for err == nil {
-		if f, err = c.Receive(); f.Answer != nil {
+	for {
+		f, err := c.Receive()
+		if err != nil {
+			break
+		}
+		if f.Answer != nil {
 			r.forwarded.reply(f.Answer)
 		}
 	}
 	r.post(successorGone{c})
 }
 
+// setSuccessor takes a process as the one to hand over to, in place of an earlier one.
 func (r *Relay) setSuccessor(c *hotrestart.Conn) {
 	if r.successor != nil {
-		r.successor.Close() // the later one it is
+		_ = r.successor.Close() // nothing was handed over to it
 	}
 	r.successor = c
 	r.sendToSuccessor(hotrestart.Frame{Welcome: true})
 }
 
+// clearSuccessor forgets a process that has closed its connection.
 func (r *Relay) clearSuccessor(c *hotrestart.Conn) {
 	if r.successor == c {
 		r.successor = nil
 	}
 }
 
-// handOverToSuccessor has the loop hand over, if there is a process to take over.
+// handOverToSuccessor has the loop hand over, if a process is ready to take over.
 func (r *Relay) handOverToSuccessor() bool {
-	e := handOverRequest{make(chan bool, 1)}
-	return r.post(e) && <-e.reply
+	request := handOverRequest{make(chan bool, 1)}
+	return r.post(request) && <-request.reply
 }
 
-// transferState hands over, between two steps. From here on this process decides nothing.
+// transferState hands over to the successor, between two steps. From here on this process decides nothing.
 func (r *Relay) transferState() bool {
 	if r.successor == nil {
 		return false
 	}
 	state := r.exportState()
 	if err := r.journal.Close(); err != nil {
-		r.log.Warn("handing over: log not written", "err", err) // the state says what has ended
+		r.log.Warn("journal not written at hand-over", "err", err) // the state says which messages have ended
 	}
 	r.handedOver = true
 	r.stopLeading()
 	r.egress.Close()
 	r.terminating.Store(true)
 	if err := r.successor.Send(hotrestart.Frame{State: state}); err != nil {
-		r.log.Error("handing over", "err", err)
+		r.log.Error("hand-over failed", "err", err)
 	}
 	r.log.Info("handed over", "messages", len(state.Messages), "out", len(state.Attempts))
 	r.pending = 0
 	return true
 }
 
-// exportState is all that the other process must know beside the log.
+// exportState returns all that the successor must know beside the journal.
 func (r *Relay) exportState() *hotrestart.State {
 	s := &hotrestart.State{
-		Now: r.now(), At: time.Now(), WakeAt: r.timerAt, Snapshot: r.engine.Snapshot(nil), Config: r.activeConfig, Version: r.listVersion,
-		LargeList: r.largeList.Load(), LastID: r.lastMessageID, PendingEvents: r.deferredEvents,
+		Now:              r.now(),
+		At:               time.Now(),
+		WakeAt:           r.timerAt,
+		Snapshot:         r.engine.Snapshot(nil),
+		Config:           r.activeConfig,
+		Version:          r.listVersion,
+		LargeList:        r.largeList.Load(),
+		LastID:           r.lastMessageID,
+		PendingEvents:    r.deferredEvents,
+		FinishedMessages: r.finished.export(),
+	}
+	r.exportEndpoints(s)
+	for _, m := range r.messagesInOrder() {
+		s.Messages = append(s.Messages, exportMessage(m))
+	}
+	for c := range r.activeCalls {
+		for _, a := range c.attempts {
+			s.Attempts = append(s.Attempts, exportAttempt(a))
+		}
 	}
+	for _, a := range r.remoteAttempts {
+		s.Attempts = append(s.Attempts, exportAttempt(a))
+	}
+	return s
+}
+
+// exportEndpoints adds the endpoint list to a state. Of a long list it is the part that the policy knows.
+func (r *Relay) exportEndpoints(s *hotrestart.State) {
 	if s.LargeList {
 		views, _ := r.engine.Views()
 		for _, v := range views {
@@ -140,45 +172,42 @@
 			}
 		}
 	} else {
-		cells := map[int]bool{}
+		destinations := map[int]bool{}
 		for e := range r.catalog.All() {
 			s.Endpoints = append(s.Endpoints, hotrestart.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
-			cells[e.Destination] = true
+			destinations[e.Destination] = true
 		}
-		for cell := range r.catalog.RememberedDestinations() {
-			cells[cell] = true
+		for destination := range r.catalog.RememberedDestinations() {
+			destinations[destination] = true
 		}
-		s.Destinations = slices.Sorted(maps.Keys(cells))
+		s.Destinations = slices.Sorted(maps.Keys(destinations))
 	}
 	slices.SortFunc(s.Endpoints, func(a, b hotrestart.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	for _, m := range r.messagesInOrder() {
-		x := hotrestart.Message{ID: m.ID, TraceID: m.TraceID, Sends: m.attemptsStarted, Ended: m.completed, Shared: m.hasDuplicates}
-		if m.resubmittedAs != nil {
-			x.Next = m.resubmittedAs.ID
-		}
-		s.Messages = append(s.Messages, x)
-	}
-	s.FinishedMessages = r.finished.export()
-	out := func(a *attempt) {
-		s.Attempts = append(
-			s.Attempts,
-			hotrestart.Attempt{
-				ID:       a.message.ID,
-				Number:   a.number,
-				Endpoint: a.call.EndpointID,
-				Zone:     a.call.zone,
-				Sent:     a.call.SentAt,
-				Finished: a.finished,
-			},
-		)
+}
+
+// exportMessage returns what the successor must know of a message beside the journal.
+func exportMessage(m *message) hotrestart.Message {
+	exported := hotrestart.Message{
+		ID:      m.ID,
+		TraceID: m.TraceID,
+		Sends:   m.attemptsStarted,
+		Ended:   m.completed,
+		Shared:  m.hasDuplicates,
 	}
-	for c := range r.activeCalls {
-		for _, a := range c.attempts {
-			out(a)
-		}
+	if m.resubmittedAs != nil {
+		exported.Next = m.resubmittedAs.ID
 	}
-	for _, a := range r.remoteAttempts {
-		out(a)
+	return exported
+}
+
+// exportAttempt returns what the successor must know of an attempt whose call is in flight.
+func exportAttempt(a *attempt) hotrestart.Attempt {
+	return hotrestart.Attempt{
+		ID:       a.message.ID,
+		Number:   a.number,
+		Endpoint: a.call.EndpointID,
+		Zone:     a.call.zone,
+		Sent:     a.call.SentAt,
+		Finished: a.finished,
 	}
-	return s
 }
--- a/internal/relay/journal.go
+++ b/internal/relay/journal.go
@@ -20,22 +20,24 @@
 
 // openJournal opens the journal, and leaves what it holds in r.recovery.
 func (r *Relay) openJournal() error {
-	opt := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
-	opt.WrapFS = r.cfg.WrapJournalFS
-	for end := time.Now().Add(journalLockTimeout); ; time.Sleep(journalLockRetryInterval) {
-		j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
-		if errors.Is(err, store.ErrLocked) && r.predecessor != nil && time.Now().Before(end) {
-			continue // the process before has broken off, and is not at its end yet
+	options := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
+	options.WrapFS = r.cfg.WrapJournalFS
+	deadline := time.Now().Add(journalLockTimeout)
+	for ; ; time.Sleep(journalLockRetryInterval) {
+		opened, recovery, err := journal.OpenFolder(r.cfg.StateDir, options)
+		if errors.Is(err, store.ErrLocked) && r.predecessor != nil && time.Now().Before(deadline) {
+			continue // the predecessor broke off without handing over, and has not ended yet
 		}
 		if err != nil {
 			return fmt.Errorf("relay: %w", err)
 		}
-		r.journal, r.recovery = j, found
+		r.journal = opened
+		r.recovery = recovery
 		return nil
 	}
 }
 
-// closeJournal closes the log, unless it is another process's.
+// closeJournal closes the journal, unless the successor owns it.
 func (r *Relay) closeJournal() error {
 	if r.journal == nil || r.handedOver {
 		return nil
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -13,175 +13,206 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// restoreState goes on where the process before this one has stopped.
+// restoreState goes on where the predecessor has stopped.
 func (r *Relay) restoreState(s *hotrestart.State) {
 	now := s.Now + max(0, time.Since(s.At))
 	r.started = time.Now().Add(-now)
-	sender, err := policy.Restore(s.Config.Settings, s.Snapshot)
-	known := err == nil
-	if known {
-		r.engine, r.timerAt = sender, s.WakeAt
-		r.applyConfig(s.Config)
-		if !reload.Equal(s.Config, r.cfg.Config) {
-			r.scheduleConfig(s.Config, r.cfg.Config, 0)
-		}
-	} else {
-		r.log.Warn("the module's state is of another form: going on from the log", "err", err)
-	}
+	restored := r.restorePolicy(s)
 	cfg := r.cfg
 	cfg.Settings = r.activeConfig.Settings
 	r.recorder = newRecording(cfg, r.log, r.logOut, r.started, r.engine, now)
 	r.sharedRecorder.Store(r.recorder)
-	whole := r.restoreEndpoints(s)
-	evs := s.PendingEvents
-	if !known {
-		evs = []policy.Event{whole}
-	}
+	snapshot := r.restoreEndpoints(s)
 	r.restoreMessages(s)
 	r.restoreAttempts(s)
 	r.restoreWorkingSet(s)
-	if !known {
-		for _, m := range r.messagesInOrder() {
-			if m.completed {
-				continue
-			}
-			if m.awaitingRemote = m.inFlight > 0; !m.awaitingRemote {
-				evs = append(evs, r.recoveredEvent(m))
-			}
+	events := s.PendingEvents
+	if !restored {
+		events = r.recoverMessages([]policy.Event{snapshot})
+	}
+	r.restoreFleet(snapshot)
+	r.log.Info("taken over",
+		"messages", len(r.messages), "held", r.pending, "out", len(r.remoteAttempts), "state", restored)
+	r.execute(r.decide(r.now(), events), nil)
+}
+
+// restorePolicy restores the policy's state. It returns false if that has a form that this program does not read: then
+// the policy begins anew, as after a restart.
+func (r *Relay) restorePolicy(s *hotrestart.State) bool {
+	engine, err := policy.Restore(s.Config.Settings, s.Snapshot)
+	if err != nil {
+		r.log.Warn("policy state has another form: continuing from the journal", "err", err)
+		return false
+	}
+	r.engine = engine
+	r.timerAt = s.WakeAt
+	r.applyConfig(s.Config)
+	if !reload.Equal(s.Config, r.cfg.Config) {
+		r.scheduleConfig(s.Config, r.cfg.Config, 0)
+	}
+	return true
+}
+
+// recoverMessages appends the events for the messages of a policy that begins anew. Messages with attempts in flight at
+// the predecessor wait for the outcomes of these.
+func (r *Relay) recoverMessages(events []policy.Event) []policy.Event {
+	for _, m := range r.messagesInOrder() {
+		if m.completed {
+			continue
+		}
+		m.awaitingRemote = m.inFlight > 0
+		if !m.awaitingRemote {
+			events = append(events, r.recoveredEvent(m))
 		}
 	}
-	r.restoreFleet(whole)
-	r.log.Info("taken over", "messages", len(r.messages), "held", r.pending, "out", len(r.remoteAttempts), "state", known)
-	r.execute(r.decide(r.now(), evs), nil)
+	return events
 }
 
-// restoreEndpoints takes up the list of the process before this one, and returns what the module there knew of it. Of a long
-// list that is all that goes over: for the rest this process begins from the list that it knows itself, as after a
-// restart, and asks for the whole at once.
+// restoreEndpoints restores the predecessor's endpoint list, and returns the event by which its policy knew of it. Of a
+// long list the policy's part is all that is handed over: for the rest this process begins with the list in its own
+// configuration, as after a restart, and fetches a snapshot at once.
 func (r *Relay) restoreEndpoints(s *hotrestart.State) policy.Event {
-	known := r.cfg.Known.Entries
 	if s.LargeList {
+		known := r.cfg.Known.Entries
 		for i := range known {
 			r.applyEntry(nil, &known[i])
 		}
 		r.markEndpointsKnown()
 		r.snapshotNeeded = true
 	} else {
-		r.catalog, r.drainingEndpoints, r.listReceived, r.listVersion = catalog.New(), 0, len(s.Destinations) > 0, s.Version
+		r.catalog = catalog.New()
+		r.drainingEndpoints = 0
+		r.listReceived = len(s.Destinations) > 0
+		r.listVersion = s.Version
 		r.largeList.Store(false)
 	}
-	whole := policy.Event{Kind: policy.EndpointSnapshot}
-	for _, x := range s.Endpoints {
-		c := r.catalog.Upsert(catalog.Endpoint{Endpoint: x.Endpoint, Addr: x.Addr})
-		r.recordChange(&c)
-		whole.Endpoints = append(whole.Endpoints, x.Endpoint)
+	snapshot := policy.Event{Kind: policy.EndpointSnapshot}
+	for _, e := range s.Endpoints {
+		change := r.catalog.Upsert(catalog.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
+		r.recordChange(&change)
+		snapshot.Endpoints = append(snapshot.Endpoints, e.Endpoint)
 	}
-	for _, cell := range s.Destinations {
-		r.catalog.RememberDestination(cell)
+	for _, destination := range s.Destinations {
+		r.catalog.RememberDestination(destination)
 	}
 	r.endpointsKnown.Store(r.catalog.EndpointCount() > 0)
-	return whole
+	return snapshot
 }
 
-// restoreWorkingSet has awake what the module knows of. Where the list is long, the process before knew better than this
-// one's list what a destination in use has.
+// restoreWorkingSet activates the destinations that the policy knows of. Where the list is long, the predecessor knew
+// better than this process's list which endpoints an active destination has.
 func (r *Relay) restoreWorkingSet(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
-			r.switchToLargeList() // its module was told of all
+			r.switchToLargeList() // the predecessor's policy knew all of it
 		}
 		return
 	}
 	r.largeList.Store(true)
 	r.workingSet = r.newWorkingSet()
-	routes := make(map[string]bool, len(s.Endpoints))
-	for _, x := range s.Endpoints {
-		routes[x.ID] = true
-	}
-	wake := func(dest int) {
-		if !r.workingSet.Activate(dest, r.now()) {
-			return
-		}
-		r.scratch = r.catalog.AppendEndpoints(dest, r.scratch[:0])
-		for _, e := range r.scratch {
-			if !routes[e.ID] {
-				c := r.catalog.Upsert(catalog.Endpoint{Endpoint: removedEndpoint(e)})
-				r.recordChange(&c)
-			}
-		}
+	known := make(map[string]bool, len(s.Endpoints))
+	for _, e := range s.Endpoints {
+		known[e.ID] = true
 	}
-	for _, x := range s.Endpoints {
-		wake(x.Destination)
+	for _, e := range s.Endpoints {
+		r.restoreDestination(e.Destination, known)
 	}
 	for _, m := range r.messagesInOrder() {
-		wake(m.Destination)
+		r.restoreDestination(m.Destination, known)
 	}
 }
 
-// restoreMessages takes up the messages of the log, with what the state says of them.
+// restoreDestination activates a destination, and removes its endpoints that the predecessor did not know.
+func (r *Relay) restoreDestination(destination int, known map[string]bool) {
+	if !r.workingSet.Activate(destination, r.now()) {
+		return
+	}
+	r.scratch = r.catalog.AppendEndpoints(destination, r.scratch[:0])
+	for _, e := range r.scratch {
+		if known[e.ID] {
+			continue
+		}
+		change := r.catalog.Upsert(catalog.Endpoint{Endpoint: removedEndpoint(e)})
+		r.recordChange(&change)
+	}
+}
+
+// restoreMessages restores the messages of the journal, with what the predecessor's state says of them.
 func (r *Relay) restoreMessages(s *hotrestart.State) {
-	found := r.recovery
+	recovery := r.recovery
 	r.recovery = nil
 	r.lastMessageID = s.LastID
 	r.finished.restore(s.FinishedMessages)
-	told := make(map[uint32]*hotrestart.Message, len(s.Messages))
+	states := make(map[uint32]*hotrestart.Message, len(s.Messages))
 	for i := range s.Messages {
-		told[s.Messages[i].ID] = &s.Messages[i]
+		states[s.Messages[i].ID] = &s.Messages[i]
 	}
-	for _, w := range found.Messages {
-		r.lastMessageID = max(r.lastMessageID, w.ID)
-		x := told[w.ID]
-		if x == nil { // its end could not be written
-			r.journal.Remove(w)
+	for _, m := range recovery.Messages {
+		r.lastMessageID = max(r.lastMessageID, m.ID)
+		state := states[m.ID]
+		if state == nil { // its end could not be written to the journal
+			r.journal.Remove(m)
 			continue
 		}
-		if w.ClassName != "" {
-			w.Class = slices.Index(r.activeConfig.ClassNames, w.ClassName)
-		}
-		m := &message{Message: w, attemptsStarted: x.Sends, completed: x.Ended, hasDuplicates: x.Shared}
-		r.messages[m.ID], r.messagesByTrace[m.TraceID] = m, m // in the order in which they were taken: the last of a trace stays
-		r.recorder.Label(m.ID, m.TraceID)
-		switch {
-		case w.Cancelled:
-			r.cancelled = append(r.cancelled, m)
-		case w.Final != nil:
-			r.queueNotification(m)
-		}
-		if !m.completed {
-			r.pending++
-		}
+		r.restoreMessage(m, state)
 	}
-	for id, x := range told {
-		if r.messages[id] == nil { // nothing is owed, but an attempt is out
+	for id, state := range states {
+		if r.messages[id] == nil { // it has ended, but an attempt is in flight
 			r.messages[id] = &message{
-				Message:         &journal.Message{ID: id, TraceID: x.TraceID, Cancelled: true},
-				attemptsStarted: x.Sends,
+				Message:         &journal.Message{ID: id, TraceID: state.TraceID, Cancelled: true},
+				attemptsStarted: state.Sends,
 				completed:       true,
 			}
 		}
 	}
-	for id, x := range told {
-		if x.Next != 0 {
-			r.messages[id].resubmittedAs = r.messages[x.Next]
+	for id, state := range states {
+		if state.Next != 0 {
+			r.messages[id].resubmittedAs = r.messages[state.Next]
 		}
 	}
 }
 
-// restoreAttempts takes up what is out at the process before this one.
+// restoreMessage restores a message of the journal. Messages come in the order in which they were accepted, so that the
+// last one of a trace is the one that is found by it.
+func (r *Relay) restoreMessage(recovered *journal.Message, state *hotrestart.Message) {
+	if recovered.ClassName != "" {
+		recovered.Class = slices.Index(r.activeConfig.ClassNames, recovered.ClassName)
+	}
+	m := &message{
+		Message:         recovered,
+		attemptsStarted: state.Sends,
+		completed:       state.Ended,
+		hasDuplicates:   state.Shared,
+	}
+	r.messages[m.ID] = m
+	r.messagesByTrace[m.TraceID] = m
+	r.recorder.Label(m.ID, m.TraceID)
+	switch {
+	case recovered.Cancelled:
+		r.cancelled = append(r.cancelled, m)
+	case recovered.Final != nil:
+		r.queueNotification(m)
+	}
+	if !m.completed {
+		r.pending++
+	}
+}
+
+// restoreAttempts restores the attempts that are in flight at the predecessor.
 func (r *Relay) restoreAttempts(s *hotrestart.State) {
 	r.remoteAttempts = make(map[attemptKey]*attempt, len(s.Attempts))
-	for _, x := range s.Attempts {
-		m := r.messages[x.ID]
+	for _, remote := range s.Attempts {
+		m := r.messages[remote.ID]
 		if m == nil {
-			continue // all is over for it
+			continue // nothing is left to do for it
 		}
-		r.remoteAttempts[attemptKey{x.ID, x.Number}] = &attempt{
-			call:     newCall(egress.Call{EndpointID: x.Endpoint, SentAt: x.Sent}, x.Zone),
+		r.remoteAttempts[attemptKey{remote.ID, remote.Number}] = &attempt{
+			call:     newCall(egress.Call{EndpointID: remote.Endpoint, SentAt: remote.Sent}, remote.Zone),
 			message:  m,
-			number:   x.Number,
-			finished: x.Finished,
+			number:   remote.Number,
+			finished: remote.Finished,
 		}
-		if !x.Finished {
+		if !remote.Finished {
 			m.inFlight++
 		}
 	}
@@ -190,9 +221,9 @@
 	}
 }
 
-// messagesInOrder are the messages in the order in which they were taken.
+// messagesInOrder returns the messages in the order in which they were accepted.
 func (r *Relay) messagesInOrder() []*message {
-	ms := slices.Collect(maps.Values(r.messages))
-	slices.SortFunc(ms, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
-	return ms
+	messages := slices.Collect(maps.Values(r.messages))
+	slices.SortFunc(messages, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
+	return messages
 }
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -133,26 +133,37 @@
 	return events
 }
 
-// abandonRemoteAttempts ends the attempts of which the process before this one told nothing: they may have run.
-func (r *Relay) abandonRemoteAttempts(evs []policy.Event) []policy.Event {
-	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), func(a, b attemptKey) int {
-		return int(int64(a.messageID)-int64(b.messageID))*1000 + a.number - b.number
-	}) {
+// abandonRemoteAttempts ends the attempts whose outcomes the predecessor has not told: they may have run.
+func (r *Relay) abandonRemoteAttempts(events []policy.Event) []policy.Event {
+	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), compareAttempts) {
 		a := r.remoteAttempts[key]
-		evs = r.attemptEnded(evs, a, egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)})
+		cancelled := egress.Result{Outcome: policy.Cancelled, Latency: time.Since(a.call.SentAt)}
+		events = r.attemptEnded(events, a, cancelled)
 	}
 	clear(r.remoteAttempts)
-	return evs
+	return events
+}
+
+// compareAttempts orders attempts by message and number.
+func compareAttempts(a, b attemptKey) int {
+	return int(int64(a.messageID)-int64(b.messageID))*1000 + a.number - b.number
 }
 
-// resumeAfterRemoteAttempt tells the module of a message whose attempt ended that it knew nothing of, and of the outcome.
-func (r *Relay) resumeAfterRemoteAttempt(evs []policy.Event, a *attempt, res egress.Result) []policy.Event {
-	evs = append(evs, policy.Event{
-		Kind: policy.HealthChecked, Endpoint: a.call.EndpointID, Outcome: res.Outcome, Latency: res.Latency, RetryAfter: res.RetryAfter, LimitReport: res.LimitReport,
+// resumeAfterRemoteAttempt tells the policy the outcome of an attempt of a message that it does not know yet, and of
+// the message once that has no other attempt in flight.
+func (r *Relay) resumeAfterRemoteAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
+	events = append(events, policy.Event{
+		Kind:        policy.HealthChecked,
+		Endpoint:    a.call.EndpointID,
+		Outcome:     res.Outcome,
+		Latency:     res.Latency,
+		RetryAfter:  res.RetryAfter,
+		LimitReport: res.LimitReport,
 	})
-	if m := a.message; !m.completed && m.inFlight == 0 {
-		m.awaitingRemote = false
-		evs = append(evs, r.recoveredEvent(m))
+	m := a.message
+	if m.completed || m.inFlight > 0 {
+		return events
 	}
-	return evs
+	m.awaitingRemote = false
+	return append(events, r.recoveredEvent(m))
 }
