--- /dev/null
+++ b/internal/recording/explain/report.go
@@ -0,0 +1,208 @@
+package explain
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// Report explains one recording. Series have a value for each bin of the time axis.
+type Report struct {
+	Meta             flightrecorder.Meta
+	Replay           replay.Result
+	From             time.Duration
+	To               time.Duration
+	Bin              time.Duration
+	Bins             int
+	Destinations     []*Destination // by number
+	Transitions      []Transition
+	InFlightCalls    []float64 // the most in each bin
+	MaxInFlightCalls int       // as configured
+	Queued           []float64 // messages waiting, the most in each bin
+	Messages         map[uint32]*Message
+	Notes            []string
+	Truncated        bool // there were more transitions or spans than are kept
+}
+
+// bin returns the bin of a time; times off the axis count at its ends.
+func (r *Report) bin(at time.Duration) int {
+	return min(r.Bins-1, max(0, int((at-r.From)/r.Bin)))
+}
+
+func (r *Report) inRange(at time.Duration) bool { return at >= r.From && at <= r.To }
+
+// Destination is what happened at one destination.
+type Destination struct {
+	ID        int
+	Accepted  int
+	Calls     map[policy.Outcome]int // that ended, by outcome, counted for each message
+	Sent      int
+	Rejected  int
+	Failed    int
+	Waits     Waits
+	MaxQueued int
+	Endpoints []*Endpoint
+}
+
+// Endpoint is the history of an endpoint.
+type Endpoint struct {
+	Name        string
+	Destination int
+	LimitScope  string // the name of the first endpoint of its limit scope
+
+	// The state of its limit scope at the end of each bin, in calls a second; 0: there is none.
+	PacingRate       []float64
+	LastRejectedRate []float64
+	EstimatedLimit   []float64
+
+	Queued    []float64 // messages waiting at the destination, the most in each bin
+	Delivered []float64 // outcomes in each bin
+	Rejected  []float64
+	Failed    []float64
+	Sent      []float64
+
+	// Whether it was so at some time of the bin.
+	Ejected    []bool
+	WarmingUp  []bool
+	RetryAfter []bool
+
+	last   policy.EndpointView
+	lastAt time.Duration
+	seen   bool // last is set
+}
+
+func newEndpoint(view policy.EndpointView, bins int) *Endpoint {
+	return &Endpoint{
+		Name:             view.ID,
+		Destination:      view.Destination,
+		PacingRate:       make([]float64, bins),
+		LastRejectedRate: make([]float64, bins),
+		EstimatedLimit:   make([]float64, bins),
+		Queued:           make([]float64, bins),
+		Delivered:        make([]float64, bins),
+		Rejected:         make([]float64, bins),
+		Failed:           make([]float64, bins),
+		Sent:             make([]float64, bins),
+		Ejected:          make([]bool, bins),
+		WarmingUp:        make([]bool, bins),
+		RetryAfter:       make([]bool, bins),
+	}
+}
+
+// outcomeSeries is the series that counts an outcome.
+func (e *Endpoint) outcomeSeries(outcome policy.Outcome) []float64 {
+	switch outcome {
+	case policy.OK:
+		return e.Delivered
+	case policy.Overloaded:
+		return e.Rejected
+	default:
+		return e.Failed
+	}
+}
+
+// Transition is a change of an endpoint's state in the engine.
+type Transition struct {
+	At          time.Duration
+	Destination int
+	Endpoint    string
+	Text        string
+	Outcome     string // that caused it, where one did
+}
+
+// Span is a time in which one cause blocked a message.
+type Span struct {
+	From, To time.Duration
+	Cause    policy.BlockCause
+	Endpoint string
+	Until    time.Duration // its end, as the engine expected it; math.MaxInt64: unknown
+}
+
+// Attempt is an attempt to send a message, and its outcome.
+type Attempt struct {
+	Number     int
+	Endpoint   string
+	SentAt     time.Duration
+	TimeoutAt  time.Duration
+	EndedAt    time.Duration // 0: not by the end of the recording
+	Outcome    policy.Outcome
+	Latency    time.Duration
+	RetryAfter time.Duration
+}
+
+// Message is what happened to one message.
+type Message struct {
+	ID              uint32
+	Trace           string
+	Destination     int
+	Class           int
+	AcceptedAt      time.Duration
+	TimeLeft        time.Duration // to its deadline, when it was accepted
+	Recovered       bool          // from an earlier process
+	EarlierAttempts int           // of the earlier process
+	Spans           []Span
+	Attempts        []Attempt
+	EndedAt         time.Duration // 0: not by the end of the recording
+	End             string
+	RetryAfter      time.Duration // that a rejection advises
+}
+
+// ended reports whether the message has ended.
+func (m *Message) ended() bool { return m.EndedAt != 0 }
+
+// Waits is how long messages waited for each cause, in message-seconds.
+type Waits map[policy.BlockCause]float64
+
+// Sum is the time for all causes.
+func (w Waits) Sum() (sum float64) {
+	for _, x := range w {
+		sum += x
+	}
+	return sum
+}
+
+// Sorted returns the causes that took time, the longest first.
+func (w Waits) Sorted() (causes []policy.BlockCause) {
+	for c, x := range w {
+		if x > 0 {
+			causes = append(causes, c)
+		}
+	}
+	slices.SortFunc(
+		causes,
+		func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) },
+	)
+	return causes
+}
+
+// minShownRatio is the part of the time below which FormatShares leaves a cause out.
+const minShownRatio = 0.005
+
+// FormatShares lists the causes with their shares of the time, the largest first.
+func FormatShares(w Waits) string {
+	sum := w.Sum()
+	if sum == 0 {
+		return "nothing"
+	}
+	var parts []string
+	for _, c := range w.Sorted() {
+		if ratio := w[c] / sum; ratio >= minShownRatio {
+			parts = append(parts, percentage(c, ratio))
+		}
+	}
+	return strings.Join(parts, ", ")
+}
+
+// DestinationsByWait returns the destinations, those whose messages waited longest first.
+func DestinationsByWait(report *Report) []*Destination {
+	sorted := slices.Clone(report.Destinations)
+	slices.SortStableFunc(sorted, func(a, b *Destination) int {
+		return cmp.Compare(b.Waits.Sum(), a.Waits.Sum())
+	})
+	return sorted
+}
