--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"math"
 	"strings"
 	"testing"
@@ -13,74 +14,81 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// recordedEngine records a Sender that is told things on given times, and woken as it asks.
+// recordedEngine is an engine whose steps are recorded, with a clock and a timer.
 type recordedEngine struct {
 	engine   *policy.Engine
 	recorder *flightrecorder.Recorder
 	now      time.Duration
 	timerAt  time.Duration
-	sends    map[uint32]int // sends
+	sends    map[uint32]int // by message
 }
 
-func newRecordedEngine(t *testing.T, set policy.Settings) *recordedEngine {
+func newRecordedEngine(t *testing.T) *recordedEngine {
 	t.Helper()
-	s, err := policy.New(set, 1)
+	settings := policy.Settings{
+		Classes: []policy.Class{
+			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
+		},
+		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}},
+		FleetSize:        1,
+		MaxInFlightCalls: 10,
+		MaxAttempts:      8,
+		OverloadFactor:   2,
+	}
+	engine, err := policy.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
+	meta := flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: settings}
 	return &recordedEngine{
-		engine: s, now: time.Second, sends: map[uint32]int{},
-		recorder: flightrecorder.NewRecorder(
-			flightrecorder.Meta{Name: "n1", Revision: policy.Revision(), Seed: 1, Settings: set},
-			0,
-			s.Snapshot,
-		),
+		engine:   engine,
+		recorder: flightrecorder.NewRecorder(meta, 0, engine.Snapshot),
+		now:      time.Second,
+		sends:    map[uint32]int{},
 	}
 }
 
-func (x *recordedEngine) step(evs ...policy.Event) {
-	acts := x.engine.Step(x.now, evs)
-	x.recorder.Step(x.now, evs, acts)
-	for _, a := range acts {
-		switch a.Kind {
+func (x *recordedEngine) step(events ...policy.Event) {
+	actions := x.engine.Step(x.now, events)
+	x.recorder.Step(x.now, events, actions)
+	for _, action := range actions {
+		switch action.Kind {
 		case policy.SetTimer:
-			x.timerAt = x.now + a.Delay
+			x.timerAt = x.now + action.Delay
 		case policy.Send:
-			x.sends[a.MessageID]++
+			x.sends[action.MessageID]++
 		}
 	}
 }
 
-// until lets time pass, with the wakes that were asked for.
+// until lets time pass, and fires the timer when it is due.
 func (x *recordedEngine) until(at time.Duration) {
 	for x.timerAt > x.now && x.timerAt <= at {
-		x.now, x.timerAt = x.timerAt, 0
+		x.now = x.timerAt
+		x.timerAt = 0
 		x.step(policy.Event{Kind: policy.TimerFired})
 	}
 	x.now = at
 }
 
-func (x *recordedEngine) explain(t *testing.T, opts Options) *Report {
+func (x *recordedEngine) explain(t *testing.T, options Options) *Report {
 	t.Helper()
 	var b bytes.Buffer
 	if _, err := x.recorder.WriteTo(&b); err != nil {
 		t.Fatal(err)
 	}
-	rep, err := Explain(b.Bytes(), opts)
-	if err != nil || rep.Replay.Difference != nil {
-		t.Fatalf("%v, %+v", err, rep)
+	report, err := Explain(b.Bytes(), options)
+	if err != nil || report.Replay.Difference != nil {
+		t.Fatalf("%v, %+v", err, report)
 	}
-	return rep
+	return report
 }
 
-func settings() policy.Settings {
-	return policy.Settings{
-		Classes: []policy.Class{
-			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
-		},
-		DestinationKinds: []policy.DestinationKind{
-			{MaxBatch: 1},
-		}, FleetSize: 1, MaxInFlightCalls: 10, MaxAttempts: 8, OverloadFactor: 2,
+// endpointSnapshot has the one endpoint of destination 7.
+func endpointSnapshot() policy.Event {
+	return policy.Event{
+		Kind:      policy.EndpointSnapshot,
+		Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
 	}
 }
 
@@ -88,176 +96,207 @@
 	return policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: 7, TimeLeft: 16 * time.Second}
 }
 
-// A message that is refused with a wait is held by it for just that long, and its story tells so.
-func TestMessageIsExplained(t *testing.T) {
-	x := newRecordedEngine(t, settings())
+func connectFailed(id uint32, attempt int) policy.Event {
+	return policy.Event{
+		Kind: policy.AttemptFinished, MessageID: id, Attempt: attempt, Endpoint: "r", Outcome: policy.ConnectFailed,
+	}
+}
+
+// recordRetryAfter records a message that is rejected with a Retry-After of two seconds, and then delivered.
+func recordRetryAfter(t *testing.T) *recordedEngine {
+	t.Helper()
+	x := newRecordedEngine(t)
 	x.recorder.Label(1, "trace-one")
-	x.step(
-		policy.Event{
-			Kind:      policy.EndpointSnapshot,
-			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
-		},
-		accepted(1),
-	)
+	x.step(endpointSnapshot(), accepted(1))
 	x.until(1100 * time.Millisecond)
-	x.step(
-		policy.Event{
-			Kind:       policy.AttemptFinished,
-			MessageID:  1,
-			Endpoint:   "r",
-			Outcome:    policy.Overloaded,
-			RetryAfter: 2 * time.Second,
-			Latency:    100 * time.Millisecond,
-		},
-	)
+	x.step(policy.Event{
+		Kind:       policy.AttemptFinished,
+		MessageID:  1,
+		Endpoint:   "r",
+		Outcome:    policy.Overloaded,
+		RetryAfter: 2 * time.Second,
+		Latency:    100 * time.Millisecond,
+	})
 	x.until(4 * time.Second)
-	x.step(
-		policy.Event{
-			Kind:         policy.AttemptFinished,
-			MessageID:    1,
-			Attempt:      1,
-			Endpoint:     "r",
-			Outcome:      policy.OK,
-			Latency:      500 * time.Millisecond,
-			MessageEnded: true,
-		},
-	)
-	rep := x.explain(t, Options{Messages: true})
-	d := rep.Destinations[0]
-	if d.ID != 7 || d.Accepted != 1 || d.Sent != 2 || d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
+	x.step(policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    1,
+		Attempt:      1,
+		Endpoint:     "r",
+		Outcome:      policy.OK,
+		Latency:      500 * time.Millisecond,
+		MessageEnded: true,
+	})
+	return x
+}
+
+// A message that is rejected with a Retry-After waits for just that long.
+func TestMessageIsExplained(t *testing.T) {
+	report := recordRetryAfter(t).explain(t, Options{Messages: true})
+	d := report.Destinations[0]
+	if d.ID != 7 || d.Accepted != 1 || d.Sent != 2 {
 		t.Errorf("%+v", d)
 	}
+	if d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
+		t.Errorf("calls %v", d.Calls)
+	}
 	if w := d.Waits[policy.RetryAfterPending]; math.Abs(w-2) > 0.01 || math.Abs(d.Waits.Sum()-w) > 0.01 {
 		t.Errorf("waits %v", d.Waits)
 	}
-	m := rep.Messages[1]
-	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending || len(m.Attempts) != 2 ||
-		m.End != "delivered" ||
-		m.Attempts[0].RetryAfter != 2*time.Second {
+	m := report.Messages[1]
+	if len(m.Spans) != 1 || m.Spans[0].Cause != policy.RetryAfterPending {
+		t.Errorf("spans %+v", m.Spans)
+	}
+	if len(m.Attempts) != 2 || m.Attempts[0].RetryAfter != 2*time.Second || m.End != "delivered" {
 		t.Errorf("%+v", m)
 	}
-	var text, jsonl, html, changes strings.Builder
-	if err := WriteMessage(&text, m); err != nil {
+}
+
+func TestWriteMessage(t *testing.T) {
+	report := recordRetryAfter(t).explain(t, Options{Messages: true})
+	var text strings.Builder
+	if err := WriteMessage(&text, report.Messages[1]); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"trace-one", "waits  2.000s: told to wait r", "refused after 0.100s, told to wait 2s", "delivered, 3.000s after it was taken"} {
+	for _, want := range []string{
+		"trace-one",
+		"waits  2.000s: told to wait r",
+		"refused after 0.100s, told to wait 2s",
+		"delivered, 3.000s after it was taken",
+	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is not told:\n%s", want, text.String())
+			t.Errorf("%q is missing:\n%s", want, text.String())
 		}
 	}
-	if err := WriteJSON(&jsonl, rep); err != nil {
+}
+
+func TestWriteJSON(t *testing.T) {
+	report := recordRetryAfter(t).explain(t, Options{Messages: true})
+	var out strings.Builder
+	if err := WriteJSON(&out, report); err != nil {
 		t.Fatal(err)
 	}
 	kinds := map[string]int{}
-	for line := range strings.Lines(jsonl.String()) {
-		var x struct{ Kind string }
-		if err := json.Unmarshal([]byte(line), &x); err != nil {
+	for line := range strings.Lines(out.String()) {
+		var record struct{ Kind string }
+		if err := json.Unmarshal([]byte(line), &record); err != nil {
 			t.Errorf("%s: %v", line, err)
 		}
-		kinds[x.Kind]++
+		kinds[record.Kind]++
 	}
 	if kinds["report"] != 1 || kinds["destination"] != 1 || kinds["message"] != 1 || kinds["transition"] < 2 {
 		t.Errorf("%v", kinds)
 	}
-	if err := WriteHTML(&html, rep); err != nil || strings.Contains(html.String(), "<script") ||
-		strings.Count(html.String(), "<svg") < 4 {
-		t.Errorf("%v: %d bytes", err, html.Len())
+}
+
+func TestWriteHTML(t *testing.T) {
+	report := recordRetryAfter(t).explain(t, Options{Messages: true})
+	var html strings.Builder
+	if err := WriteHTML(&html, report); err != nil {
+		t.Fatal(err)
 	}
-	if err := WriteTransitions(&changes, rep, 7); err != nil ||
-		!strings.Contains(changes.String(), "pace halved from free to") ||
-		!strings.Contains(changes.String(), "(refused, wait 2s)") {
-		t.Errorf("%v\n%s", err, changes.String())
+	if strings.Contains(html.String(), "<script") || strings.Count(html.String(), "<svg") < 4 {
+		t.Errorf("%d bytes", html.Len())
 	}
 }
 
-// Shares of the time by cause come out as they were made: a skip after failures in a row, and the pace after it.
+func TestWriteTransitions(t *testing.T) {
+	report := recordRetryAfter(t).explain(t, Options{Messages: true})
+	var out strings.Builder
+	if err := WriteTransitions(&out, report, 7); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"pace halved from free to", "(refused, wait 2s)"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("%q is missing:\n%s", want, out.String())
+		}
+	}
+}
+
+// The time is attributed to the cause that is there: an ejection after failures in a row.
 func TestSharesByCause(t *testing.T) {
-	x := newRecordedEngine(t, settings())
-	x.step(
-		policy.Event{
-			Kind:      policy.EndpointSnapshot,
-			Endpoints: []policy.Endpoint{{ID: "r", Destination: 7, Weight: 50, InService: true}},
-		},
-		accepted(1),
-		accepted(2),
-		accepted(3),
-	)
+	x := newRecordedEngine(t)
+	x.step(endpointSnapshot(), accepted(1), accepted(2), accepted(3))
 	for id := range uint32(3) {
 		x.until(x.now + 10*time.Millisecond)
-		x.step(
-			policy.Event{Kind: policy.AttemptFinished, MessageID: id + 1, Endpoint: "r", Outcome: policy.ConnectFailed},
-		)
+		x.step(connectFailed(id+1, 0))
 	}
 	x.until(x.now + 10*time.Millisecond)
 	var failed []policy.Event
 	for id, n := range x.sends {
 		if n == 2 {
-			failed = append(
-				failed,
-				policy.Event{
-					Kind:      policy.AttemptFinished,
-					MessageID: id,
-					Attempt:   1,
-					Endpoint:  "r",
-					Outcome:   policy.ConnectFailed,
-				},
-			)
+			failed = append(failed, connectFailed(id, 1))
 		}
 	}
 	x.step(failed...)
 	from := x.now
 	x.until(from + time.Second)
 	x.step(policy.Event{Kind: policy.TimerFired})
-	rep := x.explain(t, Options{From: from})
-	d := rep.Destinations[0]
-	if share := d.Waits[policy.EndpointEjected] / d.Waits.Sum(); share < 0.99 || d.Waits.Sum() < 2.5 ||
-		d.MaxQueued != 3 {
-		t.Errorf("%v, %+v", share, d)
+
+	report := x.explain(t, Options{From: from})
+	d := report.Destinations[0]
+	ratio := d.Waits[policy.EndpointEjected] / d.Waits.Sum()
+	if ratio < 0.99 || d.Waits.Sum() < 2.5 || d.MaxQueued != 3 {
+		t.Errorf("%v, %+v", ratio, d)
 	}
 	var text strings.Builder
-	if err := WriteText(&text, rep); err != nil || !strings.Contains(text.String(), "skipped 100 %") {
+	if err := WriteText(&text, report); err != nil || !strings.Contains(text.String(), "skipped 100 %") {
 		t.Errorf("%v\n%s", err, text.String())
 	}
 }
 
-// An explanation of a history with everything in it adds up: what waits is accounted for, and none waits longer than it
-// was there.
+// The waits of a history with everything in it add up: those of destinations and those of messages are the same, and no
+// message waits longer than it was there.
 func TestWaitsAddUp(t *testing.T) {
 	for seed := range uint64(3) {
-		_, rec := recordertest.Drive(seed, 30*time.Second, 64<<20, nil)
-		var b bytes.Buffer
-		if _, err := rec.WriteTo(&b); err != nil {
-			t.Fatal(err)
-		}
-		rep, err := Explain(b.Bytes(), Options{Messages: true})
-		if err != nil || rep.Replay.Difference != nil || len(rep.Destinations) != 5 {
-			t.Fatalf("%v, %+v", err, rep.Replay)
-		}
-		sum, spans := 0.0, 0.0
-		causes := Waits{}
-		for _, d := range rep.Destinations {
-			sum += d.Waits.Sum()
-			for c, x := range d.Waits {
-				causes[c] += x
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			_, recorder := recordertest.Drive(seed, 30*time.Second, 64<<20, nil)
+			var b bytes.Buffer
+			if _, err := recorder.WriteTo(&b); err != nil {
+				t.Fatal(err)
 			}
-		}
-		for _, m := range rep.Messages {
-			waited := 0.0
-			for _, s := range m.Spans {
-				waited += (s.To - s.From).Seconds()
+			report, err := Explain(b.Bytes(), Options{Messages: true})
+			if err != nil || report.Replay.Difference != nil || len(report.Destinations) != 5 {
+				t.Fatalf("%v, %+v", err, report.Replay)
 			}
-			end := m.EndedAt
-			if end == 0 {
-				end = rep.To
+			byDestination, causes := 0.0, Waits{}
+			for _, d := range report.Destinations {
+				byDestination += d.Waits.Sum()
+				for c, x := range d.Waits {
+					causes[c] += x
+				}
 			}
-			if spans += waited; waited > (end-m.AcceptedAt).Seconds()+0.011 {
-				t.Errorf("seed %d: message %d waited %.3fs within %v", seed, m.ID, waited, end-m.AcceptedAt)
+			byMessage := 0.0
+			for _, m := range report.Messages {
+				byMessage += checkedWait(t, report, m)
 			}
-		}
-		if math.Abs(sum-spans) > 0.001*sum || sum == 0 || len(causes.Sorted()) < 5 {
-			t.Errorf("seed %d: %v message-seconds by destination, %v by message; %v", seed, sum, spans, causes)
-		}
+			if math.Abs(byDestination-byMessage) > 0.001*byDestination || byDestination == 0 {
+				t.Errorf("%v message-seconds by destination, %v by message", byDestination, byMessage)
+			}
+			if len(causes.Sorted()) < 5 {
+				t.Errorf("few causes: %v", causes)
+			}
+		})
+	}
+}
+
+// checkedWait is how long a message waited, which is not longer than it was there.
+func checkedWait(t *testing.T, report *Report, m *Message) (waited float64) {
+	t.Helper()
+	for _, s := range m.Spans {
+		waited += (s.To - s.From).Seconds()
+	}
+	end := m.EndedAt
+	if end == 0 {
+		end = report.To
 	}
+	if waited > (end-m.AcceptedAt).Seconds()+0.011 {
+		t.Errorf("message %d waited %.3fs within %v", m.ID, waited, end-m.AcceptedAt)
+	}
+	return waited
+}
+
+func TestNothingToExplain(t *testing.T) {
 	if _, err := Explain(nil, Options{}); err == nil {
 		t.Error("nothing was explained")
 	}
