--- /dev/null
+++ b/internal/recording/fleetstats/reader.go
@@ -0,0 +1,222 @@
+package fleetstats
+
+import (
+	"math"
+	"strconv"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// unknownScope is that of a message that was accepted before its recording begins.
+const unknownScope = "?"
+
+// message is a message that was accepted.
+type message struct {
+	scope       string
+	objectiveAt time.Duration // when its latency objective is missed
+}
+
+// call collects the attempts of one call. They are sent in one step, to one endpoint, and end in one.
+type call struct {
+	scope      string
+	unfinished int // attempts
+	rejected   bool
+	retryAfter bool
+	delivered  bool
+}
+
+// endpoint is what an entry of the endpoint list says of limit scopes.
+type endpoint struct {
+	destination string
+	scope       string
+	maxBatch    int // messages in a call
+}
+
+// recordingReader counts one recording.
+type recordingReader struct {
+	*Fleet
+	meta      flightrecorder.Meta
+	endpoints map[string]endpoint
+	messages  map[uint32]message
+	calls     map[uint32]*call // of the attempt in flight, by message
+}
+
+func (f *Fleet) read(recording flightrecorder.Recording) error {
+	entries, err := flightrecorder.NewReader(recording.Data)
+	if err != nil {
+		return err
+	}
+	r := &recordingReader{
+		Fleet:     f,
+		meta:      recording.Meta,
+		endpoints: map[string]endpoint{},
+		messages:  map[uint32]message{},
+		calls:     map[uint32]*call{},
+	}
+	for {
+		entry, ok, err := entries.Next()
+		if err != nil || !ok {
+			return err
+		}
+		switch entry.Kind {
+		case flightrecorder.Begin:
+			r.begin(&entry)
+		case flightrecorder.Step:
+			r.step(&entry)
+		}
+	}
+}
+
+// begin takes the settings of a chunk. A recording that begins with a snapshot has no endpoint list yet: the engine's
+// state has it. Where this build cannot read that, calls count for an unknown scope until a list comes.
+func (r *recordingReader) begin(entry *flightrecorder.Entry) {
+	r.meta.Settings = entry.Meta.Settings
+	if entry.Fresh || len(r.endpoints) > 0 {
+		return
+	}
+	engine, err := replay.Restore(entry)
+	if err != nil {
+		return
+	}
+	views, _ := engine.Views()
+	for _, view := range views {
+		r.updateEndpoint(view.Endpoint)
+	}
+}
+
+func (r *recordingReader) updateEndpoint(listed policy.Endpoint) {
+	destination := strconv.Itoa(listed.Destination)
+	e := endpoint{destination: destination, scope: destination, maxBatch: 1}
+	if kinds := r.meta.Settings.DestinationKinds; listed.Kind >= 0 && listed.Kind < len(kinds) {
+		e.maxBatch = max(1, kinds[listed.Kind].MaxBatch)
+		if kinds[listed.Kind].LimitPerEndpoint {
+			e.scope += "/" + listed.ID
+		}
+	}
+	r.endpoints[listed.ID] = e
+	r.Limits[e.scope] = listed.Weight
+}
+
+// endpoint returns that of a name.
+func (r *recordingReader) endpoint(name string) endpoint {
+	if e, ok := r.endpoints[name]; ok {
+		return e
+	}
+	return endpoint{unknownScope, unknownScope, 1}
+}
+
+// message returns an accepted message, or one of which nothing is known.
+func (r *recordingReader) message(id uint32) message {
+	if m, ok := r.messages[id]; ok {
+		return m
+	}
+	return message{scope: unknownScope, objectiveAt: math.MaxInt64}
+}
+
+// count changes a scope's counts at a time.
+func (r *recordingReader) count(now time.Duration, scope string, change func(*Counts)) {
+	bin, counts := r.counts(r.meta.Started.Add(now), scope)
+	change(&counts)
+	bin[scope] = counts
+}
+
+func (r *recordingReader) step(entry *flightrecorder.Entry) {
+	for i := range entry.Events {
+		r.event(entry.Now, &entry.Events[i])
+	}
+	openCalls := map[string]*call{} // that may still take a message, by endpoint
+	for i := range entry.Actions {
+		action := &entry.Actions[i]
+		switch action.Kind {
+		case policy.Send:
+			r.messageSent(entry.Now, action, openCalls)
+		case policy.Reject:
+			r.count(entry.Now, r.message(action.MessageID).scope, func(c *Counts) { c.RejectedMessages++ })
+		case policy.Fail:
+			r.count(entry.Now, r.message(action.MessageID).scope, func(c *Counts) { c.FailedMessages++ })
+		}
+	}
+}
+
+// messageSent counts a message as part of the open call to its endpoint, or of a new one where that is full.
+func (r *recordingReader) messageSent(now time.Duration, action *policy.Action, openCalls map[string]*call) {
+	to := r.endpoint(action.Endpoint)
+	open := openCalls[action.Endpoint]
+	if open == nil || open.unfinished >= to.maxBatch {
+		open = &call{scope: to.scope}
+		openCalls[action.Endpoint] = open
+		r.count(now, to.scope, func(c *Counts) { c.Calls++ })
+	}
+	open.unfinished++
+	r.calls[action.MessageID] = open
+	r.count(now, to.scope, func(c *Counts) { c.Sent++ })
+}
+
+func (r *recordingReader) event(now time.Duration, event *policy.Event) {
+	switch event.Kind {
+	case policy.EndpointSnapshot, policy.EndpointDelta:
+		for _, listed := range event.Endpoints {
+			r.updateEndpoint(listed)
+		}
+	case policy.MessageAccepted:
+		r.messageAccepted(now, event)
+	case policy.AttemptFinished:
+		r.attemptFinished(now, event)
+	}
+}
+
+func (r *recordingReader) messageAccepted(now time.Duration, event *policy.Event) {
+	m := message{scope: strconv.Itoa(event.Destination), objectiveAt: now + event.TimeLeft}
+	if classes := r.meta.Settings.Classes; event.Class >= 0 && event.Class < len(classes) {
+		class := classes[event.Class]
+		m.objectiveAt = now + event.TimeLeft - class.Deadline + class.LatencyObjective
+	}
+	r.messages[event.MessageID] = m
+	r.count(now, m.scope, func(c *Counts) {
+		c.Accepted++
+		if event.Recovered != nil {
+			c.Recovered++
+		}
+	})
+}
+
+func (r *recordingReader) attemptFinished(now time.Duration, event *policy.Event) {
+	if event.Outcome == policy.OK {
+		m := r.message(event.MessageID)
+		r.count(now, r.endpoint(event.Endpoint).destination, func(c *Counts) {
+			c.Delivered++
+			if now > m.objectiveAt {
+				c.Late++
+			}
+		})
+	}
+	finished := r.calls[event.MessageID]
+	if finished == nil {
+		return
+	}
+	delete(r.calls, event.MessageID)
+	finished.rejected = finished.rejected || event.Outcome == policy.Overloaded
+	finished.retryAfter = finished.retryAfter || event.RetryAfter > 0
+	finished.delivered = finished.delivered || event.Outcome == policy.OK
+	finished.unfinished--
+	if finished.unfinished == 0 {
+		r.count(now, finished.scope, finished.countFailure)
+	}
+}
+
+// countFailure counts a call that has ended, if it delivered nothing.
+func (c *call) countFailure(counts *Counts) {
+	switch {
+	case c.delivered:
+	case c.rejected:
+		counts.Rejected++
+		if c.retryAfter {
+			counts.WithRetryAfter++
+		}
+	default:
+		counts.FailedCalls++
+	}
+}
