--- a/internal/recording/chart/timeline.go
+++ b/internal/recording/chart/timeline.go
@@ -1,23 +1,17 @@
-// Package plot draws charts on a time axis as SVG, without scripts: lines as steps, and stacks.
+// Package chart draws charts as SVG, without scripts: steps and stacks on a time axis, and lines over a number.
 package chart
 
 import (
-	"fmt"
 	"html/template"
 	"math"
-	"strings"
 	"time"
 )
 
-// The sizes of a plot, in SVG's units.
-const (
-	plotWidth  = 960.0
-	plotLeft   = 46.0
-	plotRight  = 10.0
-	plotTop    = 16.0
-	plotBottom = 18.0
-	maxBins    = 240 // along the time axis, by default
-)
+// maxBins bounds the bins along a time axis that NewTimeline chooses.
+const maxBins = 240
+
+// minLabelledHeight is the height from which on a plot has its shades' names written in it.
+const minLabelledHeight = 100
 
 // Series is one line, or one layer of a stack, with a value for each bin; NaN leaves a gap.
 type Series struct {
@@ -68,156 +62,142 @@
 // At is the bin of a time; times off the axis count at its ends.
 func (t *Timeline) At(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
 
-// Zeros is room for a value in each bin.
+// Zeros returns a value for each bin.
 func (t *Timeline) Zeros() []float64 { return make([]float64, t.Bins) }
 
 func (t *Timeline) x(d time.Duration) float64 {
 	return plotLeft + (plotWidth-plotLeft-plotRight)*float64(d)/float64(t.Length)
 }
 
-// Draw is a plot as SVG.
+// binEnds returns where a bin begins and ends.
+func (t *Timeline) binEnds(bin int) (from, to float64) {
+	return t.x(time.Duration(bin) * t.Bin), t.x(min(t.Length, time.Duration(bin+1)*t.Bin))
+}
+
+// Draw returns a plot as SVG.
 func (t *Timeline) Draw(p Plot) template.HTML {
-	most := p.Max
-	if most == 0 {
-		most = roundUp(p.highest())
+	maxValue := p.Max
+	if maxValue == 0 {
+		maxValue = roundUp(p.highest())
 	}
-	inner := p.Height - plotTop - plotBottom
-	y := func(v float64) float64 { return plotTop + inner*(1-min(1, max(0, v/most))) }
-	var b strings.Builder
-	fmt.Fprintf(
-		&b,
-		`<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`,
-		plotWidth,
-		p.Height,
-		template.HTMLEscapeString(p.Title),
-	)
-	for i, s := range t.Shades {
-		fmt.Fprintf(&b, `<rect class="shade" x="%.1f" y="%g" width="%.1f" height="%.1f"><title>%s</title></rect>`,
-			t.x(s.From), plotTop, max(1, t.x(s.To)-t.x(s.From)), inner, template.HTMLEscapeString(s.Name))
-		if p.Height > 100 {
-			fmt.Fprintf(
-				&b,
-				`<text class="note" x="%.1f" y="%.1f">%s</text>`,
-				t.x(s.From)+2,
-				plotTop+9+float64(i%3)*9,
-				template.HTMLEscapeString(s.Name),
-			)
+	c := newCanvas(p.Title, p.Height)
+	y := func(v float64) float64 { return c.y(v / maxValue) }
+	t.drawShades(c)
+	for _, v := range []float64{0, maxValue / 2, maxValue} {
+		c.gridLine(y(v), formatNumber(v))
+	}
+	t.drawTicks(c)
+	if p.Stacked {
+		t.drawStack(c, p.Series, y)
+	} else {
+		for _, s := range p.Series {
+			t.drawSteps(c, s, y)
 		}
 	}
-	for _, v := range []float64{0, most / 2, most} {
-		fmt.Fprintf(
-			&b,
-			`<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%s</text>`,
-			plotLeft,
-			y(v),
-			plotWidth-plotRight,
-			plotLeft-4,
-			y(v)+3,
-			formatNumber(v),
+	t.drawMarks(c)
+	t.drawLegend(c, p)
+	return c.close()
+}
+
+func (t *Timeline) drawShades(c *canvas) {
+	for i, s := range t.Shades {
+		from, to := t.x(s.From), t.x(s.To)
+		c.printf(
+			`<rect class="shade" x="%.1f" y="%g" width="%.1f" height="%.1f"><title>%s</title></rect>`,
+			from, plotTop, max(1, to-from), c.inner, escape(s.Name),
 		)
+		if c.height > minLabelledHeight {
+			c.printf(
+				`<text class="note" x="%.1f" y="%.1f">%s</text>`, from+2, plotTop+9+float64(i%3)*9, escape(s.Name),
+			)
+		}
 	}
+}
+
+func (t *Timeline) drawTicks(c *canvas) {
 	for s, step := time.Duration(0), tickInterval(t.Length); s <= t.Length; s += step {
-		fmt.Fprintf(
-			&b,
-			`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`,
-			t.x(s),
-			p.Height-5,
-			s.Seconds(),
+		c.printf(
+			`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`, t.x(s), c.height-5, s.Seconds(),
 		)
 	}
-	if p.Stacked {
-		t.stack(&b, p, y)
-	} else {
-		for _, s := range p.Series {
-			t.line(&b, s, y)
-		}
-	}
+}
+
+func (t *Timeline) drawMarks(c *canvas) {
 	for _, m := range t.Marks {
-		fmt.Fprintf(
-			&b,
+		c.printf(
 			`<path class="mark" d="M%.1f %gV%.1f"><title>%s</title></path>`,
-			t.x(m.At),
-			plotTop,
-			plotTop+inner,
-			template.HTMLEscapeString(m.Text),
+			t.x(m.At), plotTop, plotTop+c.inner, escape(m.Text),
 		)
 	}
+}
+
+// drawLegend writes the title and, after it, the series' names.
+func (t *Timeline) drawLegend(c *canvas, p Plot) {
+	c.printf(`<text class="title" x="%g" y="11">%s</text>`, plotLeft, escape(p.Title+", "+p.Unit))
 	x := plotLeft
-	fmt.Fprintf(&b, `<text class="title" x="%g" y="11">%s</text>`, x, template.HTMLEscapeString(p.Title+", "+p.Unit))
-	x += 7*float64(len(p.Title)+len(p.Unit)) + 30
+	x += titleWidth(p.Title, p.Unit)
 	for _, s := range p.Series {
-		fmt.Fprintf(
-			&b,
-			`<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`,
-			x,
-			s.Colour,
-			x+11,
-			template.HTMLEscapeString(s.Name),
-		)
+		c.legendEntry(x, s.Colour, s.Name)
 		x += 24 + 6*float64(len(s.Name))
 	}
-	b.WriteString("</svg>")
-	return template.HTML(b.String()) // numbers, and text that is escaped above
 }
 
-func (p Plot) highest() (most float64) {
+// highest is the greatest value that the plot needs space for.
+func (p Plot) highest() (highest float64) {
 	for i := range p.Series[0].Values {
-		sum := 0.0
+		value := 0.0
 		for _, s := range p.Series {
-			if v := s.Values[i]; p.Stacked {
-				sum += v
-			} else if v > sum {
-				sum = v
+			switch v := s.Values[i]; {
+			case p.Stacked:
+				value += v
+			case v > value:
+				value = v
 			}
 		}
-		most = max(most, sum)
+		highest = max(highest, value)
 	}
-	return most
+	return highest
 }
 
-// line draws a series as steps, with gaps where there is no value.
-func (t *Timeline) line(b *strings.Builder, s Series, y func(float64) float64) {
-	fmt.Fprintf(b, `<path fill="none" stroke="%s" stroke-width="1.5" d="`, s.Colour)
-	pen := false
+// drawSteps draws a series as steps, with gaps where there is no value.
+func (t *Timeline) drawSteps(c *canvas, s Series, y func(float64) float64) {
+	c.printf(`<path fill="none" stroke="%s" stroke-width="1.5" d="`, s.Colour)
+	penDown := false
 	for i, v := range s.Values {
 		if math.IsNaN(v) {
-			pen = false
+			penDown = false
 			continue
 		}
-		from, to := t.x(time.Duration(i)*t.Bin), t.x(min(t.Length, time.Duration(i+1)*t.Bin))
-		if pen {
-			fmt.Fprintf(b, "V%.1fH%.1f", y(v), to)
+		from, to := t.binEnds(i)
+		if penDown {
+			c.printf("V%.1fH%.1f", y(v), to)
 		} else {
-			fmt.Fprintf(b, "M%.1f %.1fH%.1f", from, y(v), to)
+			c.printf("M%.1f %.1fH%.1f", from, y(v), to)
 		}
-		pen = true
+		penDown = true
 	}
-	b.WriteString(`"/>`)
+	c.printf(`"/>`)
 }
 
-func (t *Timeline) stack(b *strings.Builder, p Plot, y func(float64) float64) {
+// drawStack draws each series on top of the ones before it.
+func (t *Timeline) drawStack(c *canvas, series []Series, y func(float64) float64) {
 	below := t.Zeros()
-	for _, s := range p.Series {
+	for _, s := range series {
 		for i, v := range s.Values {
 			if v <= 0 {
 				continue
 			}
-			x, to := t.x(time.Duration(i)*t.Bin), t.x(min(t.Length, time.Duration(i+1)*t.Bin))
-			fmt.Fprintf(
-				b,
+			from, to := t.binEnds(i)
+			c.printf(
 				`<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="%s"/>`,
-				x,
-				y(below[i]+v),
-				max(0.5, to-x-0.5),
-				y(below[i])-y(below[i]+v),
-				s.Colour,
+				from, y(below[i]+v), max(0.5, to-from-0.5), y(below[i])-y(below[i]+v), s.Colour,
 			)
 			below[i] += v
 		}
 	}
 }
 
-// roundUp is a round number that is not below x.
+// roundUp returns a round number that is not below x.
 func roundUp(x float64) float64 {
 	if x <= 0 {
 		return 1
@@ -231,27 +211,22 @@
 	return 10 * scale
 }
 
+// maxTicks bounds the ticks of a time axis.
+const maxTicks = 20
+
 func tickInterval(length time.Duration) time.Duration {
-	for _, s := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute, 5 * time.Minute} {
-		if length/s <= 20 {
-			return s
+	for _, interval := range []time.Duration{
+		time.Second,
+		2 * time.Second,
+		5 * time.Second,
+		10 * time.Second,
+		30 * time.Second,
+		time.Minute,
+		5 * time.Minute,
+	} {
+		if length/interval <= maxTicks {
+			return interval
 		}
 	}
 	return 10 * time.Minute
 }
-
-func formatNumber(v float64) string {
-	if v == math.Trunc(v) {
-		return fmt.Sprintf("%.0f", v)
-	}
-	return fmt.Sprintf("%.2g", v)
-}
-
-// The colours of the charts.
-const (
-	Green, Blue, Orange, Red, Grey = "#2e8b57", "#2a6fbb", "#e08a1e", "#c0392b", "#8a8f98"
-)
-
-// Style is what a page's style sheet needs for the charts.
-const Style = `svg { display: block; width: 100%; margin: .5em 0 } .grid { stroke: #e4e4e4 } .mark { stroke: #6b4ba1; stroke-dasharray: 3 2 }
-.shade { fill: #e08a1e; opacity: .13 } .tick, .note { font-size: 9px; fill: #666 } .title { font-size: 11px; fill: #222 }`
--- a/internal/recording/chart/xy.go
+++ b/internal/recording/chart/xy.go
@@ -27,134 +27,138 @@
 // Colours are for lines side by side.
 var Colours = []string{Blue, Orange, Green, Red, Grey, "#6b4ba1", "#00838f", "#8d6e63"}
 
-// Draw is the chart as SVG.
-func (p XY) Draw() template.HTML {
-	lowX, highX, lowY, highY := math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)
-	for _, l := range p.Lines {
-		for _, q := range l.Points {
-			lowX, highX = min(lowX, q.X), max(highX, q.X)
-			for _, v := range []float64{q.Y, q.Low, q.High} {
+const (
+	maxXTicks    = 20  // along the number's axis
+	xMargin      = 20  // between the plot area's edges and the first and last point
+	legendOffset = 110 // between the lines' names
+	// minAxisRatio is the ratio of the lowest value to the highest below which the value axis begins at 0.
+	minAxisRatio = 0.6
+)
+
+// valueRange is what the axes span.
+type valueRange struct{ lowX, highX, lowY, highY float64 }
+
+// valueRange returns that of all points; ok is false if there are none.
+func (p XY) valueRange() (r valueRange, ok bool) {
+	r = valueRange{math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)}
+	for _, line := range p.Lines {
+		for _, point := range line.Points {
+			r.lowX = min(r.lowX, point.X)
+			r.highX = max(r.highX, point.X)
+			for _, v := range []float64{point.Y, point.Low, point.High} {
 				if !math.IsInf(v, 0) && !math.IsNaN(v) {
-					lowY, highY = min(lowY, v), max(highY, v)
+					r.lowY = min(r.lowY, v)
+					r.highY = max(r.highY, v)
 				}
 			}
 		}
 	}
-	if lowX > highX || lowY > highY {
-		return template.HTML(`<p>` + template.HTMLEscapeString(p.Title) + `: nothing to draw</p>`)
+	if r.lowX > r.highX || r.lowY > r.highY {
+		return r, false
 	}
-	if lowY > 0 && lowY < 0.6*highY {
-		lowY = 0
+	if r.lowY > 0 && r.lowY < minAxisRatio*r.highY {
+		r.lowY = 0
 	}
-	if highY == lowY {
-		highY, lowY = highY+0.5*math.Abs(highY)+1e-9, lowY-0.5*math.Abs(lowY)-1e-9
+	if r.highY == r.lowY { // an axis needs a length
+		r.highY += 0.5*math.Abs(r.highY) + 1e-9
+		r.lowY -= 0.5*math.Abs(r.lowY) + 1e-9
 	}
-	log := p.Log && lowX > 0
-	at := func(x float64) float64 {
-		if log {
-			x = math.Log(x)
-		}
-		return x
+	return r, true
+}
+
+// xyDrawing is an XY being drawn.
+type xyDrawing struct {
+	*canvas
+	valueRange
+	log    bool
+	ticked map[float64]bool // numbers that have a tick
+}
+
+// Draw returns the chart as SVG.
+func (p XY) Draw() template.HTML {
+	values, ok := p.valueRange()
+	if !ok {
+		return template.HTML(`<p>` + escape(p.Title) + `: nothing to draw</p>`)
 	}
-	span := max(1e-9, at(highX)-at(lowX))
-	inner := p.Height - plotTop - plotBottom
-	px := func(x float64) float64 {
-		return plotLeft + (plotWidth-plotLeft-plotRight-40)*(at(x)-at(lowX))/span + 20
+	d := &xyDrawing{
+		canvas:     newCanvas(p.Title, p.Height),
+		valueRange: values,
+		log:        p.Log && values.lowX > 0,
+		ticked:     map[float64]bool{},
 	}
-	py := func(v float64) float64 { return plotTop + inner*(1-min(1, max(0, (v-lowY)/(highY-lowY)))) }
-	var b strings.Builder
-	fmt.Fprintf(
-		&b,
-		`<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`,
-		plotWidth,
-		p.Height,
-		template.HTMLEscapeString(p.Title),
+	for _, v := range []float64{values.lowY, (values.lowY + values.highY) / 2, values.highY} {
+		d.gridLine(d.py(v), fmt.Sprintf("%.3g", v))
+	}
+	for i, line := range p.Lines {
+		if line.Colour == "" {
+			line.Colour = Colours[i%len(Colours)]
+		}
+		d.drawLine(line)
+		x := plotLeft + titleWidth(p.Title, p.Unit) + float64(i)*legendOffset
+		d.legendEntry(x, line.Colour, line.Name)
+	}
+	d.printf(
+		`<text class="title" x="%g" y="11">%s</text><text class="note" text-anchor="end" x="%g" y="%g">%s</text>`,
+		plotLeft, escape(p.Title+", "+p.Unit), plotWidth-plotRight, p.Height-18, escape(p.Axis),
 	)
-	for _, v := range []float64{lowY, (lowY + highY) / 2, highY} {
-		fmt.Fprintf(
-			&b,
-			`<path class="grid" d="M%g %.1fH%g"/><text class="tick" text-anchor="end" x="%g" y="%.1f">%.3g</text>`,
-			plotLeft,
-			py(v),
-			plotWidth-plotRight,
-			plotLeft-4,
-			py(v)+3,
-			v,
-		)
+	return d.close()
+}
+
+// px is where a number stands.
+func (d *xyDrawing) px(x float64) float64 {
+	length := max(1e-9, d.scale(d.highX)-d.scale(d.lowX))
+	return plotLeft + (plotWidth-plotLeft-plotRight-2*xMargin)*(d.scale(x)-d.scale(d.lowX))/length + xMargin
+}
+
+// py is where a value stands.
+func (d *xyDrawing) py(v float64) float64 { return d.y((v - d.lowY) / (d.highY - d.lowY)) }
+
+func (d *xyDrawing) scale(x float64) float64 {
+	if d.log {
+		return math.Log(x)
 	}
-	ticks := map[float64]bool{}
-	for i, l := range p.Lines {
-		colour := l.Colour
-		if colour == "" {
-			colour = Colours[i%len(Colours)]
+	return x
+}
+
+// drawLine draws a line's points, the line between them and the band of their intervals: along the upper ends, and back
+// along the lower ones.
+func (d *xyDrawing) drawLine(line Line) {
+	var upper, values strings.Builder
+	lower := ""
+	for i, point := range line.Points {
+		command := "L"
+		if i == 0 {
+			command = "M"
 		}
-		var up, down, line strings.Builder
-		for k, q := range l.Points {
-			c := "L"
-			if k == 0 {
-				c = "M"
-			}
-			fmt.Fprintf(&line, "%s%.1f %.1f", c, px(q.X), py(q.Y))
-			low, high := q.Low, q.High
-			if math.IsInf(low, 0) || math.IsInf(high, 0) || math.IsNaN(low) {
-				low, high = q.Y, q.Y
-			}
-			fmt.Fprintf(&up, "%s%.1f %.1f", c, px(q.X), py(high))
-			back := down.String()
-			down.Reset()
-			fmt.Fprintf(&down, "L%.1f %.1f%s", px(q.X), py(low), back)
-			fmt.Fprintf(
-				&b,
-				`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`,
-				px(q.X),
-				py(q.Y),
-				colour,
-				template.HTMLEscapeString(l.Name),
-				q.X,
-				q.Y,
-				q.Low,
-				q.High,
-			)
-			if !ticks[q.X] && len(ticks) < 20 {
-				ticks[q.X] = true
-				fmt.Fprintf(
-					&b,
-					`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%.4g</text>`,
-					px(q.X),
-					p.Height-5,
-					q.X,
-				)
-			}
+		low, high := point.Low, point.High
+		if math.IsInf(low, 0) || math.IsInf(high, 0) || math.IsNaN(low) { // no interval is known
+			low, high = point.Y, point.Y
 		}
-		fmt.Fprintf(
-			&b,
-			`<path fill="%s" opacity=".15" d="%s%sZ"/><path fill="none" stroke="%s" stroke-width="1.5" d="%s"/>`,
-			colour,
-			up.String(),
-			down.String(),
-			colour,
-			line.String(),
-		)
-		x := plotLeft + 7*float64(len(p.Title)+len(p.Unit)) + 30 + float64(i)*110
-		fmt.Fprintf(
-			&b,
-			`<rect x="%.1f" y="4" width="8" height="8" fill="%s"/><text class="note" x="%.1f" y="11">%s</text>`,
-			x,
-			colour,
-			x+11,
-			template.HTMLEscapeString(l.Name),
-		)
+		x := d.px(point.X)
+		values.WriteString(pathStep(command, x, d.py(point.Y)))
+		upper.WriteString(pathStep(command, x, d.py(high)))
+		lower = pathStep("L", x, d.py(low)) + lower
+		d.drawPoint(line, point)
+	}
+	d.printf(
+		`<path fill="%s" opacity=".15" d="%s%sZ"/><path fill="none" stroke="%s" stroke-width="1.5" d="%s"/>`,
+		line.Colour, upper.String(), lower, line.Colour, values.String(),
+	)
+}
+
+func pathStep(command string, x, y float64) string { return fmt.Sprintf("%s%.1f %.1f", command, x, y) }
+
+// drawPoint draws a point, and the tick of its number if that has none yet.
+func (d *xyDrawing) drawPoint(line Line, point Point) {
+	d.printf(
+		`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`,
+		d.px(point.X), d.py(point.Y), line.Colour, escape(line.Name), point.X, point.Y, point.Low, point.High,
+	)
+	if d.ticked[point.X] || len(d.ticked) >= maxXTicks {
+		return
 	}
-	fmt.Fprintf(
-		&b,
-		`<text class="title" x="%g" y="11">%s</text><text class="note" text-anchor="end" x="%g" y="%g">%s</text></svg>`,
-		plotLeft,
-		template.HTMLEscapeString(
-			p.Title+", "+p.Unit,
-		),
-		plotWidth-plotRight,
-		p.Height-18,
-		template.HTMLEscapeString(p.Axis),
+	d.ticked[point.X] = true
+	d.printf(
+		`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%.4g</text>`, d.px(point.X), d.height-5, point.X,
 	)
-	return template.HTML(b.String()) // numbers, and text that is escaped above
 }
