--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -3,7 +3,9 @@
 import (
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -17,8 +19,8 @@
 // submitEvent is a message that a client submits.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message      // set by the loop: the message that it became, or that it duplicates
-	reply      chan Response // buffered: the loop never waits for the client
+	acceptedAs *message              // set by the loop: the message that it became, or that it duplicates
+	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
 // cancelEvent tells that the client left before it had the answer to its message.
@@ -52,10 +54,10 @@
 type tick struct{}
 
 // listEvent is a short endpoint list, or a change of it.
-type listEvent struct{ list List }
+type listEvent struct{ list discovery.List }
 
 // partEvent is one part of a long endpoint list.
-type partEvent struct{ part *SnapshotPart }
+type partEvent struct{ part *discovery.SnapshotPart }
 
 func (e *submitEvent) apply(_ *Relay, s *stepState) { s.submissions = append(s.submissions, e) }
 
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -4,13 +4,12 @@
 	"cmp"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
-	// MaxPartEntries is how many entries the loop applies at once: well under a millisecond's work.
-	MaxPartEntries = 512
 	// maxEvictions bounds how many destinations a step examines for eviction.
 	maxEvictions = 128
 	// evictInterval is how often destinations are examined for eviction while nothing else happens.
@@ -19,30 +18,6 @@
 	defaultWarmUp = 30 * time.Second
 )
 
-// PartKind is what a part of a long list carries.
-type PartKind int
-
-const (
-	// PartBegin begins a list.
-	PartBegin PartKind = iota
-	// PartEntries carries some of its entries.
-	PartEntries
-	// PartSweep removes some of the endpoints that a complete list did not name.
-	PartSweep
-	// PartEnd ends the list: its version is reached.
-	PartEnd
-)
-
-// SnapshotPart is a part of a long list. The next one comes once Reply has its answer.
-type SnapshotPart struct {
-	Kind    PartKind
-	Entries []Entry
-	Version int64
-	// Reply is buffered and receives one answer. For a sweep: whether it was the last. For the end: whether the catalog
-	// holds all entries.
-	Reply chan bool
-}
-
 // isActive tells whether the policy holds a destination.
 func (r *Relay) isActive(destination int) bool {
 	return !r.largeList.Load() || r.workingSet.Contains(destination)
@@ -88,28 +63,28 @@
 	for e := range r.catalog.All() {
 		r.workingSet.Activate(e.Destination, now)
 	}
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		r.workingSet.Activate(m.Destination, now)
 	}
 }
 
 // applyPart applies a part of a long list. The policy has its updates in the next step.
-func (r *Relay) applyPart(p *SnapshotPart) {
+func (r *Relay) applyPart(p *discovery.SnapshotPart) {
 	ok := true
 	var updates []policy.Endpoint
 	switch p.Kind {
-	case PartBegin:
+	case discovery.PartBegin:
 		r.switchToLargeList()
 		r.catalog.BeginSnapshot()
 		r.receivingSnapshot = true
 		r.snapshotTruncated = false
-	case PartEntries:
+	case discovery.PartEntries:
 		updates = r.applyEntries(p.Entries)
-	case PartSweep:
+	case discovery.PartSweep:
 		var removed []catalog.Endpoint
-		removed, ok = r.catalog.Sweep(MaxPartEntries)
+		removed, ok = r.catalog.Sweep(discovery.MaxPartEntries)
 		updates = r.endpointsRemoved(nil, removed)
-	case PartEnd:
+	case discovery.PartEnd:
 		ok = !r.snapshotTruncated
 		if ok {
 			r.listVersion = p.Version
@@ -125,7 +100,7 @@
 
 // applyEntries applies some entries of a list: drains and removals first, so that nothing more is sent there and the
 // catalog has room for what is added.
-func (r *Relay) applyEntries(entries []Entry) (updates []policy.Endpoint) {
+func (r *Relay) applyEntries(entries []discovery.Entry) (updates []policy.Endpoint) {
 	var lastEnd map[string]int // by endpoint, its last entry that drains or removes it
 	for i := range entries {
 		e := &entries[i]
@@ -148,7 +123,7 @@
 		}
 		if r.exceedsCatalog(e) {
 			r.snapshotTruncated = true
-			r.catalogFull.Log(r.log, "limit", MaxEntries)
+			r.catalogFull.Log(r.log, "limit", discovery.MaxEntries)
 			continue
 		}
 		updates = r.applyEntry(updates, e)
@@ -157,11 +132,11 @@
 }
 
 // endsService tells whether an entry drains or removes its endpoint.
-func endsService(e *Entry) bool { return e.Err == nil && !e.InService }
+func endsService(e *discovery.Entry) bool { return e.Err == nil && !e.InService }
 
 // exceedsCatalog tells whether an entry names a new endpoint that the catalog may not hold.
-func (r *Relay) exceedsCatalog(e *Entry) bool {
-	if r.catalog.EndpointCount() < MaxEntries || e.Err != nil {
+func (r *Relay) exceedsCatalog(e *discovery.Entry) bool {
+	if r.catalog.EndpointCount() < discovery.MaxEntries || e.Err != nil {
 		return false
 	}
 	_, known := r.catalog.Endpoint(e.ID)
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -45,13 +45,13 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if calls := r.addToCalls(nil, m, policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
+	if calls := r.addToCalls(nil, m, &policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
 		calls,
 	) != 0 {
 		t.Error("sent without its body")
 	}
-	if len(r.finals.queue) != 1 || r.finals.queue[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
-		t.Errorf("notices %+v, held %d", r.finals.queue, r.pending)
+	if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
+		t.Errorf("notices %+v, held %d", r.finals.Pending(), r.pending)
 	}
 	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.Status != 202 {
 		t.Errorf("afterwards: %+v", a)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep is one message taken and delivered by a sender of 400 destinations and 1,000 routes; with
-// backlog, 200 more wait at destinations that none of their routes takes.
+// BenchmarkStep accepts and delivers one message at a relay with 400 destinations and 1,000 endpoints. With a backlog,
+// 200 more messages wait for destinations without an endpoint in service.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -15,148 +15,150 @@
 }
 
 func benchmarkStep(b *testing.B, backlog int) {
-	set := settings()
-	set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 400, 8, 1000
-	engine, err := New(set, 1)
+	settings := testSettings()
+	settings.FleetSize = 400
+	settings.MaxInFlightCalls = 8
+	settings.MaxPendingMessages = 1000
+	engine, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	var list []Endpoint
 	for i := range 1000 {
-		// no pace holds up what is measured
 		list = append(list, Endpoint{
-			ID: fmt.Sprint("r", i), Destination: i % 400, Kind: i % 2, Weight: 5e5,
-			InService: i%400 < 200,
+			ID:          fmt.Sprint("r", i),
+			Destination: i % 400,
+			Kind:        i % 2,
+			Weight:      5e5, // so that pacing delays nothing that is measured
+			InService:   i%400 < 200,
 		})
 	}
 	now := time.Minute
-	evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
+	events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 	for i := range backlog {
-		evs = append(
-			evs,
-			Event{Kind: MessageAccepted, MessageID: uint32(1e9) + uint32(i), Destination: 200 + i, TimeLeft: time.Hour},
-		)
+		id := uint32(1e9) + uint32(i)
+		events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 200 + i, TimeLeft: time.Hour})
 	}
-	engine.Step(now, evs)
-	now += time.Second // first calls of many spread over a while after the list
+	engine.Step(now, events)
+	now += time.Second // the first calls of a large fleet spread over a while after the list
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
 		id := uint32(i)
-		route := ""
-		for _, a := range engine.Step(now, []Event{{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}}) {
+		endpointID := ""
+		accepted := Event{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}
+		for _, a := range engine.Step(now, []Event{accepted}) {
 			if a.Kind == Send {
-				route = a.Endpoint
+				endpointID = a.Endpoint
 			}
 		}
-		if route == "" {
+		if endpointID == "" {
 			b.Fatalf("message %d was not sent", i)
 		}
 		now += 10 * ms
-		engine.Step(
-			now,
-			[]Event{
-				{
-					Kind:         AttemptFinished,
-					MessageID:    id,
-					Endpoint:     route,
-					Outcome:      OK,
-					Latency:      10 * ms,
-					MessageEnded: true,
-				},
-			},
-		)
+		engine.Step(now, []Event{{
+			Kind:         AttemptFinished,
+			MessageID:    id,
+			Endpoint:     endpointID,
+			Outcome:      OK,
+			Latency:      10 * ms,
+			MessageEnded: true,
+		}})
 	}
 }
 
-// BenchmarkFull is what one of 300 senders does at 31 routes of 15 destinations: with a whole list that changes
-// nothing, with a change of one route, and with a wake for which nothing is due while ten messages wait.
-func BenchmarkFull(b *testing.B) {
+// BenchmarkListsAndTimers is one step of one of 300 relays with 31 endpoints of 15 destinations, while ten messages
+// wait: with a complete list that changes nothing, with a change of one endpoint, and with a timer for which nothing is
+// due.
+func BenchmarkListsAndTimers(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
-		list = append(
-			list,
-			Endpoint{ID: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true},
-		)
+		entry := Endpoint{ID: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true}
+		list = append(list, entry)
 	}
-	for _, c := range []struct {
-		name string
-		evs  []Event
+	for _, test := range []struct {
+		name   string
+		events []Event
 	}{
 		{"list", []Event{{Kind: EndpointSnapshot, Endpoints: list}}},
 		{"change", []Event{{Kind: EndpointDelta, Endpoints: list[3:4]}}},
-		{"wake", []Event{{Kind: TimerFired}}},
+		{"timer", []Event{{Kind: TimerFired}}},
 	} {
-		b.Run(c.name, func(b *testing.B) {
-			set := settings()
-			set.FleetSize, set.MaxInFlightCalls, set.MaxPendingMessages = 300, 5, 60
-			engine, err := New(set, 1)
+		b.Run(test.name, func(b *testing.B) {
+			settings := testSettings()
+			settings.FleetSize = 300
+			settings.MaxInFlightCalls = 5
+			settings.MaxPendingMessages = 60
+			engine, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Minute
-			evs := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
+			events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 			for i := range 10 {
-				evs = append(
-					evs,
-					Event{Kind: MessageAccepted, MessageID: uint32(i), Destination: i, TimeLeft: 1000 * time.Hour},
-				)
+				events = append(events, Event{
+					Kind:        MessageAccepted,
+					MessageID:   uint32(i),
+					Destination: i,
+					TimeLeft:    1000 * time.Hour,
+				})
 			}
-			engine.Step(now, evs)
+			engine.Step(now, events)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += time.Microsecond
-				engine.Step(now, c.evs)
+				engine.Step(now, test.events)
 			}
 		})
 	}
 }
 
-// BenchmarkWakeAndRest is one destination of two routes that is told of and another that is put to rest, of so many
-// told of; as many were put to rest within the last warm-up.
-func BenchmarkWakeAndRest(b *testing.B) {
-	for _, awake := range []int{1000, 10000, 50000, 140000} {
-		b.Run(fmt.Sprintf("awake=%d", awake), func(b *testing.B) {
-			set := settings()
-			set.FleetSize = 400
-			engine, err := New(set, 1)
+// BenchmarkListAndEvict adds one destination of two endpoints and evicts another, with so many destinations listed; as
+// many were evicted within the last warm-up.
+func BenchmarkListAndEvict(b *testing.B) {
+	for _, listed := range []int{1000, 10000, 50000, 140000} {
+		b.Run(fmt.Sprintf("listed=%d", listed), func(b *testing.B) {
+			settings := testSettings()
+			settings.FleetSize = 400
+			engine, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			entries := func(dest int, gone bool) Event {
-				dest = dest * 7919 % (4 * awake) // not in the order of their numbers
+			destinationID := func(i int) int { return i * 7919 % (4 * listed) } // not in the order of i
+			delta := func(i int, removed bool) Event {
+				id := destinationID(i)
 				event := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
-				for i := range event.Endpoints {
-					event.Endpoints[i] = Endpoint{
-						ID:          fmt.Sprint("ep-", dest, "-", i),
-						Destination: dest,
-						Kind:        dest % 3,
+				for j := range event.Endpoints {
+					event.Endpoints[j] = Endpoint{
+						ID:          fmt.Sprint("ep-", id, "-", j),
+						Destination: id,
+						Kind:        id % 3,
 						Weight:      20,
 						InService:   true,
-						Removed:     gone,
+						Removed:     removed,
 					}
 				}
 				return event
 			}
 			now := time.Minute
-			turn := func(i int) {
-				now += set.WarmUpDuration / time.Duration(awake)
-				if id := i - awake; id >= 0 && engine.Evictable(id*7919%(4*awake)) {
-					engine.Step(now, []Event{entries(id, true)})
+			replaceOne := func(i int) {
+				now += settings.WarmUpDuration / time.Duration(listed)
+				if oldest := i - listed; oldest >= 0 && engine.Evictable(destinationID(oldest)) {
+					engine.Step(now, []Event{delta(oldest, true)})
 				}
-				engine.Step(now, []Event{entries(i, false)})
+				engine.Step(now, []Event{delta(i, false)})
 			}
 			i := 0
-			for ; i < 3*awake; i++ {
-				turn(i)
+			for ; i < 3*listed; i++ {
+				replaceOne(i)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				turn(i)
+				replaceOne(i)
 				i++
 			}
-			if n := len(engine.endpoints); n < 2*awake || n > 2*awake+4 {
-				b.Fatalf("%d routes", n)
+			if n := len(engine.endpoints); n < 2*listed || n > 2*listed+4 {
+				b.Fatalf("%d endpoints", n)
 			}
 		})
 	}
