--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -20,7 +20,7 @@
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout", "ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize",
-		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational", "relay.fetchIdleTimeout",
+		"netconn.readBufferSize", "relay.MaxEntries", "relay.maxEntrySize", "relay.ListTimeout", "relay.maxNoticesPerPost", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxRetryAfterSeconds", "egress.maxInformational", "relay.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter", "relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval",
--- a/internal/relay/egress/client_test.go
+++ b/internal/relay/egress/client_test.go
@@ -97,7 +97,7 @@
 	for _, body := range []string{"some", ""} {
 		addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 			if n == 1 {
-				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				nettest.Send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 			return n == 1
 		})
@@ -204,7 +204,7 @@
 
 func TestACallIsLookedAtAgainOnceItsConnectionIsUp(t *testing.T) {
 	addr, requests := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		nettest.Send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	h := newTestClient(t, testConfig())
@@ -298,7 +298,7 @@
 	if r := doCall(t, h, newCall(addrOf(two), "a")); r[0].Outcome != policy.NotSent {
 		t.Errorf("beyond the bound: outcome %v", r[0].Outcome)
 	}
-	busy.discard()
+	busy.close()
 }
 
 func TestAnswerCodes(t *testing.T) {
@@ -404,7 +404,7 @@
 
 func TestABundlesAnswerMustBeWhole(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
+		nettest.Send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n[{\"id\":\"a\",\"state\":\"ok\"}")
 		return false
 	})
 	for i, r := range doCall(t, newTestClient(t, testConfig()), newCall(addr, "a", "b")) {
@@ -426,12 +426,12 @@
 				conns.Store(conn, true)
 				switch {
 				case n > 1:
-					fmt.Fprint(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
+					nettest.Send(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 				case late:
-					fmt.Fprint(conn, nettest.OKResponse)
-					fmt.Fprint(conn, behind)
+					nettest.Send(conn, nettest.OKResponse)
+					nettest.Send(conn, behind)
 				default:
-					fmt.Fprint(conn, nettest.OKResponse+behind)
+					nettest.Send(conn, nettest.OKResponse+behind)
 				}
 				return true
 			})
@@ -481,7 +481,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.answer) // and the connection stays open
+				nettest.Send(conn, c.answer) // and the connection stays open
 				return true
 			})
 			h := newTestClient(t, testConfig())
@@ -512,7 +512,7 @@
 // 1xx answers come ahead of the one that counts, and a connection that carried them can carry more.
 func TestInformationAheadOfAnAnswer(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+nettest.OKResponse)
+		nettest.Send(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+nettest.OKResponse)
 		return true
 	})
 	h := newTestClient(t, testConfig())
@@ -535,7 +535,7 @@
 		if err != nil {
 			return
 		}
-		fmt.Fprint(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+		nettest.Send(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		conn.(*net.TCPConn).CloseWrite()
 		io.Copy(io.Discard, conn)
 		conn.Close()
@@ -549,7 +549,7 @@
 // A host's connections go with it: another one may come up at its address.
 func TestAHostThatGoesLosesItsConnections(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, nettest.OKResponse)
+		nettest.Send(conn, nettest.OKResponse)
 		return true
 	})
 	h := newTestClient(t, testConfig())
@@ -570,7 +570,7 @@
 // A host that closes an idle connection is noticed before a request is written to it.
 func TestAnIdleCloseIsNoticed(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, nettest.OKResponse)
+		nettest.Send(conn, nettest.OKResponse)
 		return false
 	})
 	h := newTestClient(t, testConfig())
@@ -598,7 +598,7 @@
 // Took is from the request's writing: a connection that is slow to come up says nothing of how long answers take.
 func TestACallIsTimedFromItsWriting(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, nettest.OKResponse)
+		nettest.Send(conn, nettest.OKResponse)
 		return true
 	})
 	h := newTestClient(t, testConfig())
@@ -636,15 +636,15 @@
 			t.Fatal(err)
 		}
 		a := readResponse(conn, req, several)
-		if a.err == nil && (a.head == nil || conn.Reader.Buffered() > 0) {
+		if a.err == nil && (a.header == nil || conn.Reader.Buffered() > 0) {
 			t.Errorf("%q can carry another call", data)
 		}
 		if len(a.body) > netconn.MaxBodySize {
 			t.Errorf("%d bytes kept", len(a.body))
 		}
-		if a.head != nil {
+		if a.header != nil {
 			h := &Client{reportFields: []string{"x0", "x1"}}
-			if r := h.readFeedback(a.head); !(r.LimitReport.Limit >= 0 && r.LimitReport.Limit <= maxReportedValue) || r.RetryAfter < 0 {
+			if r := h.readFeedback(a.header); !(r.LimitReport.Limit >= 0 && r.LimitReport.Limit <= maxReportedValue) || r.RetryAfter < 0 {
 				t.Errorf("%q: %+v", data, r)
 			}
 		}
--- a/internal/relay/egress/pool.go
+++ b/internal/relay/egress/pool.go
@@ -13,36 +13,40 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 )
 
-// capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
-const capacityRetryInterval = 20 * time.Millisecond
+const (
+	// idleRatio is the part of the endpoints' keep-alive time after which an idle connection is closed from this side. It
+	// guards against a request that crosses the endpoint's own close: it ends as a reset, which may have run.
+	idleRatio = 0.8
+	// capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
+	capacityRetryInterval = 20 * time.Millisecond
+)
 
 var errTooManyConns = errors.New("all connections that the relay may hold are in use")
 
-// endpointAddr is a host at an address. Another host may come up at an address that was in use: it has other connections.
+// endpointAddr is an endpoint at an address. Another endpoint may come up at an address that was in use: it has other
+// connections.
 type endpointAddr struct{ endpointID, addr string }
 
-// pool keeps the connections to hosts, idle ones for the next call. It is the relay's own: a Transport's sends some
-// requests again by itself, which a message that must not run twice can't bear, dials where nobody can look again
-// before the request is written, and does not show what came behind an answer.
+// pool holds the connections to endpoints, idle ones for the next call.
 type pool struct {
 	dial           DialFunc
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
-	maxConns       int // connections
+	maxConns       int
 
 	mu        sync.Mutex
 	idle      map[endpointAddr][]*pooledConn // the last used last
-	idleAddrs map[string]int                 // that have idle connections: at so many addresses
+	idleAddrs map[string]int                 // by endpoint: at how many addresses it has idle connections
 	open      int                            // connections, idle or not
 	closed    bool
 }
 
-// pooledConn is a connection to a host.
+// pooledConn is a connection to an endpoint.
 type pooledConn struct {
 	*netconn.Conn
 	pool      *pool
 	target    endpointAddr
-	idleSince time.Time // idle since then
+	idleSince time.Time
 	idleTimer *time.Timer
 }
 
@@ -61,24 +65,22 @@
 	}
 }
 
-// getConn returns an idle connection to a host, else a new one; fresh tells which.
-func (p *pool) getConn(ctx context.Context, to endpointAddr) (c *pooledConn, fresh bool, err error) {
-	for c := p.takeIdle(to); c != nil; c = p.takeIdle(to) {
+// getConn returns an idle connection to an endpoint, else a new one; dialed tells which.
+func (p *pool) getConn(ctx context.Context, target endpointAddr) (conn *pooledConn, dialed bool, err error) {
+	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		if _, quiet := c.Unwatch(); quiet && time.Since(c.idleSince) < p.idleTimeout {
 			return c, false, nil
 		}
-		c.discard() // closed by the host, or something came that no call had asked for
+		c.close() // closed by the endpoint, or something came that no call had asked for
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	for {
-		c, err = p.connect(ctx, to)
+		conn, err = p.connect(ctx, target)
 		if err == nil || !isLocalShortage(err) {
-			return c, true, err
+			return conn, true, err
 		}
-		p.mu.Lock()
-		p.evict()
-		p.mu.Unlock()
+		p.evictOne()
 		select {
 		case <-ctx.Done():
 			return nil, false, err
@@ -87,43 +89,51 @@
 	}
 }
 
-// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of the
-// host.
+// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of
+// the endpoint.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-func (p *pool) connect(ctx context.Context, to endpointAddr) (*pooledConn, error) {
-	p.mu.Lock()
-	if p.open >= p.maxConns {
-		p.evict()
-	}
-	if p.open >= p.maxConns || p.closed {
-		p.mu.Unlock()
+// connect opens a connection, if need be in the place of an idle one.
+func (p *pool) connect(ctx context.Context, target endpointAddr) (*pooledConn, error) {
+	if !p.reserve() {
 		return nil, errTooManyConns
 	}
-	p.open++
-	p.mu.Unlock()
-	nc, err := p.dial(ctx, "tcp", to.addr)
+	conn, err := p.dial(ctx, "tcp", target.addr)
 	if err != nil {
 		p.mu.Lock()
+		defer p.mu.Unlock()
 		p.open--
-		p.mu.Unlock()
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	return &pooledConn{Conn: netconn.New(nc), pool: p, target: to}, nil
+	return &pooledConn{Conn: netconn.New(conn), pool: p, target: target}, nil
+}
+
+// reserve counts a connection that is about to be opened; false if there may be no more.
+func (p *pool) reserve() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open >= p.maxConns {
+		p.evict()
+	}
+	if p.open >= p.maxConns || p.closed {
+		return false
+	}
+	p.open++
+	return true
 }
 
 // takeIdle takes the connection that was used last out of the pool; nil if there is none.
-func (p *pool) takeIdle(to endpointAddr) *pooledConn {
+func (p *pool) takeIdle(target endpointAddr) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[to]
-	if len(list) == 0 {
+	conns := p.idle[target]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
+	c := conns[len(conns)-1]
 	p.remove(c)
 	return c
 }
@@ -137,45 +147,84 @@
 		p.drop(c)
 		return
 	}
+	closeIfIdle := c.closeIfIdle
 	c.idleSince = time.Now()
-	dropIdle := func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.remove(c) {
-			p.drop(c)
-		}
-	}
-	c.idleTimer = time.AfterFunc(p.idleTimeout, dropIdle)
+	c.idleTimer = time.AfterFunc(p.idleTimeout, closeIfIdle)
 	if len(p.idle[c.target]) == 0 {
 		p.idleAddrs[c.target.endpointID]++
 	}
 	p.idle[c.target] = append(p.idle[c.target], c)
-	c.Watch(dropIdle)
+	c.Watch(closeIfIdle)
+}
+
+// closeIfIdle closes a connection unless a call has taken it out of the pool.
+func (c *pooledConn) closeIfIdle() {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	if c.pool.remove(c) {
+		c.pool.drop(c)
+	}
 }
 
-func (c *pooledConn) discard() {
+// close closes a connection that is not in the pool.
+func (c *pooledConn) close() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.drop(c)
 }
 
-// drop, remove and evict are called with mu held.
+// CloseIdle closes the idle connections to an endpoint, at whatever address.
+func (p *pool) CloseIdle(endpointID string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.idleAddrs[endpointID] == 0 {
+		return // a list may name a hundred thousand endpoints that go
+	}
+	for target := range p.idle {
+		if target.endpointID == endpointID {
+			p.dropIdleAt(target)
+		}
+	}
+}
+
+// Close closes all idle connections and keeps none from here on.
+func (p *pool) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for target := range p.idle {
+		p.dropIdleAt(target)
+	}
+}
+
+// evictOne is evict for those that do not hold the mutex.
+func (p *pool) evictOne() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.evict()
+}
+
+// The mutex is held where the following are called.
+
+// drop closes a connection.
 func (p *pool) drop(c *pooledConn) {
 	p.open--
-	c.Close()
+	c.Discard()
 }
 
 // remove takes a connection out of the pool; false if it was not in it.
 func (p *pool) remove(c *pooledConn) bool {
-	list := p.idle[c.target]
-	i := slices.Index(list, c)
+	conns := p.idle[c.target]
+	i := slices.Index(conns, c)
 	if i < 0 {
 		return false
 	}
 	c.idleTimer.Stop()
-	if p.idle[c.target] = slices.Delete(list, i, i+1); len(list) == 1 {
+	p.idle[c.target] = slices.Delete(conns, i, i+1)
+	if len(conns) == 1 {
 		delete(p.idle, c.target)
-		if p.idleAddrs[c.target.endpointID]--; p.idleAddrs[c.target.endpointID] == 0 {
+		p.idleAddrs[c.target.endpointID]--
+		if p.idleAddrs[c.target.endpointID] == 0 {
 			delete(p.idleAddrs, c.target.endpointID)
 		}
 	}
@@ -185,8 +234,8 @@
 // evict closes the connection that has been idle longest.
 func (p *pool) evict() {
 	var oldest *pooledConn
-	for _, list := range p.idle {
-		if c := list[0]; oldest == nil || c.idleSince.Before(oldest.idleSince) {
+	for _, conns := range p.idle {
+		if c := conns[0]; oldest == nil || c.idleSince.Before(oldest.idleSince) {
 			oldest = c
 		}
 	}
@@ -196,33 +245,10 @@
 	}
 }
 
-// CloseIdle closes the idle connections to a host, at whatever address.
-func (p *pool) CloseIdle(route string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.idleAddrs[route] == 0 {
-		return // a list may name a hundred thousand hosts that go
-	}
-	for to := range p.idle {
-		if to.endpointID == route {
-			p.dropIdleAt(to)
-		}
-	}
-}
-
-func (p *pool) dropIdleAt(to endpointAddr) {
-	for _, c := range slices.Clone(p.idle[to]) {
+// dropIdleAt closes the idle connections to an endpoint at an address.
+func (p *pool) dropIdleAt(target endpointAddr) {
+	for _, c := range slices.Clone(p.idle[target]) {
 		p.remove(c)
 		p.drop(c)
 	}
 }
-
-// Close closes all idle connections and keeps none from here on.
-func (p *pool) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	for to := range p.idle {
-		p.dropIdleAt(to)
-	}
-}
--- a/internal/relay/egress/recheck_test.go
+++ b/internal/relay/egress/recheck_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -22,17 +20,17 @@
 		name string
 		act  func(conn net.Conn)
 	}{
-		{"an answer that nobody asked for", func(conn net.Conn) { io.WriteString(conn, nettest.OKResponse) }},
-		{"a close", func(conn net.Conn) { conn.Close() }},
+		{"an answer that nobody asked for", func(conn net.Conn) { nettest.Send(conn, nettest.OKResponse) }},
+		{"a close", func(conn net.Conn) { nettest.Close(conn) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			served := make(chan net.Conn, 2)
 			addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 				served <- conn
 				if n > 1 {
-					fmt.Fprint(conn, "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n")
+					nettest.Send(conn, "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n")
 				} else {
-					fmt.Fprint(conn, nettest.OKResponse)
+					nettest.Send(conn, nettest.OKResponse)
 				}
 				return true
 			})
@@ -70,7 +68,7 @@
 // A call that was held up on its way to a kept connection, as by a slow journal, is looked at again before it leaves.
 func TestACallThatWasHeldUpIsLookedAtAgain(t *testing.T) {
 	addr, requests := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprint(conn, nettest.OKResponse)
+		nettest.Send(conn, nettest.OKResponse)
 		return true
 	})
 	h := newTestClient(t, testConfig())
--- a/internal/relay/ingress/server_test.go
+++ b/internal/relay/ingress/server_test.go
@@ -22,11 +22,11 @@
 	pending netconn.PendingInput
 }{
 	{"nothing", func(net.Conn) {}, netconn.PendingNone},
-	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, netconn.PendingBytes},
-	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, netconn.PendingEnd},
-	{"a close", func(p net.Conn) { p.Close() }, netconn.PendingEnd},
-	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, netconn.PendingEnd},
-	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, netconn.PendingBytes},
+	{"half a line", func(p net.Conn) { nettest.Send(p, "HTT") }, netconn.PendingBytes},
+	{"its end", nettest.CloseWrite, netconn.PendingEnd},
+	{"a close", func(p net.Conn) { nettest.Close(p) }, netconn.PendingEnd},
+	{"a reset", nettest.Reset, netconn.PendingEnd},
+	{"bytes and its end", func(p net.Conn) { nettest.Send(p, "x"); nettest.Close(p) }, netconn.PendingBytes},
 }
 
 const (
--- a/internal/relay/netconn/netconn_test.go
+++ b/internal/relay/netconn/netconn_test.go
@@ -1,7 +1,6 @@
 package netconn
 
 import (
-	"io"
 	"net"
 	"testing"
 
@@ -16,11 +15,11 @@
 	open, quiet bool
 }{
 	{"nothing", func(net.Conn) {}, PendingNone, true, true},
-	{"half a line", func(p net.Conn) { io.WriteString(p, "HTT") }, PendingBytes, true, false},
-	{"its end", func(p net.Conn) { p.(*net.TCPConn).CloseWrite() }, PendingEnd, false, false},
-	{"a close", func(p net.Conn) { p.Close() }, PendingEnd, false, false},
-	{"a reset", func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() }, PendingEnd, false, false},
-	{"bytes and its end", func(p net.Conn) { io.WriteString(p, "x"); p.Close() }, PendingBytes, true, false},
+	{"half a line", func(p net.Conn) { nettest.Send(p, "HTT") }, PendingBytes, true, false},
+	{"its end", nettest.CloseWrite, PendingEnd, false, false},
+	{"a close", func(p net.Conn) { nettest.Close(p) }, PendingEnd, false, false},
+	{"a reset", nettest.Reset, PendingEnd, false, false},
+	{"bytes and its end", func(p net.Conn) { nettest.Send(p, "x"); nettest.Close(p) }, PendingBytes, true, false},
 }
 
 // A deadline that has passed hides what the system holds already. Here it has passed before the watch begins.
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -41,7 +41,7 @@
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
 			r.step([]event{listEvent{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
 		}},
-		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
+		{"answers of hosts", "malformed response", func(t *testing.T, r *Relay, i int) {
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
 				return false
--- a/internal/testkit/nettest/nettest.go
+++ b/internal/testkit/nettest/nettest.go
@@ -29,6 +29,27 @@
 	}
 }
 
+// Close closes what a test is done with: an error would change nothing.
+func Close(closer io.Closer) { _ = closer.Close() }
+
+// CloseAtEnd closes it when the test ends.
+func CloseAtEnd(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { Close(closer) })
+}
+
+// Send writes text as far as the reader takes it. One that closes first does so for the test to see.
+func Send(writer io.Writer, text string) { _, _ = io.WriteString(writer, text) }
+
+// CloseWrite ends a TCP connection's sending side.
+func CloseWrite(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() }
+
+// Reset closes a TCP connection in such a way that its peer sees a reset.
+func Reset(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	Close(conn)
+}
+
 // Pair returns the two ends of a TCP connection: the tested side and its peer. Both close with the test.
 func Pair(t *testing.T) (tested, peer net.Conn) {
 	t.Helper()
@@ -36,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer Close(listener)
 	peer, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -45,10 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() {
-		tested.Close()
-		peer.Close()
-	})
+	CloseAtEnd(t, tested)
+	CloseAtEnd(t, peer)
 	if err := peer.SetDeadline(time.Now().Add(Patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	CloseAtEnd(t, listener)
 	requests = new(atomic.Int32)
 	go func() {
 		for {
@@ -82,7 +101,7 @@
 
 // serveRaw serves one connection of a RawServer.
 func serveRaw(conn net.Conn, requests *atomic.Int32, serve func(int, net.Conn, *http.Request) bool) {
-	defer conn.Close()
+	defer Close(conn)
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -107,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	CloseAtEnd(t, conn)
 	if err := conn.SetDeadline(time.Now().Add(Patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +149,7 @@
 	return response
 }
 
-// ExpectEnd reads a connection to its end, and fails the test if anything came before that, or the connection was reset.
+// ExpectEnd reads a connection to its end. It fails the test if anything came before that, or the connection was reset.
 func ExpectEnd(t *testing.T, what string, reader *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(reader); err != nil || len(rest) > 0 {
@@ -198,12 +217,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	CloseAtEnd(t, listener)
 	return &Listener{Listener: listener, accepted: make(chan *ObservedConn, maxAccepted)}
 }
 
-// ListenHolding is like Listen. Of each connection all reads but the first are held until ReleaseReads, so that what the
-// peer sends meanwhile is in the system's hands and not read.
+// ListenHolding is like Listen. Of each connection all reads but the first are held until ReleaseReads, so that what
+// the peer sends meanwhile is in the system's hands and not read.
 func ListenHolding(t *testing.T) *Listener {
 	t.Helper()
 	listener := Listen(t)
