--- a/internal/relay/egress/client.go
+++ b/internal/relay/egress/client.go
@@ -1,5 +1,6 @@
-// Package egress makes the relay's calls to endpoints: it keeps connections for them, writes one request with one message
-// or several, reads the response, and says of each message whether it was delivered, surely not, or may have run.
+// Package egress makes the relay's calls to endpoints: it keeps connections for them, writes one request with one
+// message or several, reads the response, and says of each message whether it was delivered, surely not, or may have
+// run.
 //
 // It has a connection pool of its own. The Transport of net/http sends some requests again by itself, which a message
 // that must not run twice can't bear; it dials where nobody can look again before the request is written; and it does
@@ -73,8 +74,8 @@
 	case err != nil:
 		return sameResults(call, Result{Outcome: policy.ConnectFailed})
 	}
-	// While the connection came up, or the journal was slow to write, the endpoint may have begun to drain or have sent a
-	// Retry-After, and messages may have ended.
+	// While the connection came up, or the journal was slow to write, the endpoint may have begun to drain or have sent
+	// a Retry-After, and messages may have ended.
 	leaving := *call
 	if dialed || time.Since(call.SentAt) > recheckAfter {
 		leaving.Attempts = check()
--- a/internal/relay/egress/pool.go
+++ b/internal/relay/egress/pool.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// idleRatio is the part of the endpoints' keep-alive time after which an idle connection is closed from this side. It
-	// guards against a request that crosses the endpoint's own close: it ends as a reset, which may have run.
+	// idleRatio is the part of the endpoints' keep-alive time after which an idle connection is closed from this side.
+	// It guards against a request that crosses the endpoint's own close: it ends as a reset, which may have run.
 	idleRatio = 0.8
 	// capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
 	capacityRetryInterval = 20 * time.Millisecond
--- /dev/null
+++ b/internal/relay/egress/pool_test.go
@@ -0,0 +1,195 @@
+package egress
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+func TestConnsAreReused(t *testing.T) {
+	const calls = 6
+	var opened atomic.Int32
+	var together sync.WaitGroup // every round waits until all of its calls are there
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		together.Done()
+		together.Wait()
+		nettest.Send(w, strings.Repeat("x", 9000))
+	}))
+	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
+		if st == http.StateNew {
+			opened.Add(1)
+		}
+	}
+	s.Start()
+	defer s.Close()
+	client := newTestClient(t, testConfig())
+	for range 3 {
+		together.Add(calls)
+		var done sync.WaitGroup
+		for i := range calls {
+			done.Go(func() {
+				if r := doCall(t, client, newCall(addrOf(s), fmt.Sprint(i))); r[0].Outcome != policy.OK {
+					t.Errorf("outcome %v", r[0].Outcome)
+				}
+			})
+		}
+		done.Wait()
+	}
+	if n := opened.Load(); n != calls {
+		t.Errorf("%d connections for %d calls at once", n, calls)
+	}
+}
+
+func TestIdleConnsCloseBeforeKeepAliveEnds(t *testing.T) {
+	closed := make(chan struct{}, 1)
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
+		if st == http.StateClosed {
+			closed <- struct{}{}
+		}
+	}
+	s.Start()
+	defer s.Close()
+	config := testConfig()
+	config.KeepAlive = 50 * time.Millisecond
+	client := newTestClient(t, config)
+	if r := doCall(t, client, newCall(addrOf(s), "a")); r[0].Outcome != policy.OK {
+		t.Fatalf("outcome %v", r[0].Outcome)
+	}
+	select {
+	case <-closed: // the server sets no limit of its own: the client closed it
+	case <-time.After(nettest.Patience):
+		t.Error("still open")
+	}
+}
+
+func TestConnsAreBounded(t *testing.T) {
+	ok := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	one, two := httptest.NewServer(ok), httptest.NewServer(ok)
+	defer one.Close()
+	defer two.Close()
+	config := testConfig()
+	config.MaxConns = 1
+	config.ConnectTimeout = 100 * time.Millisecond
+	client := newTestClient(t, config)
+	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
+		r := doCall(t, client, newCall(addrOf(s), "a"))
+		if n := openConns(client); r[0].Outcome != policy.OK || n != 1 {
+			t.Errorf("call %d: outcome %v, %d open", i, r[0].Outcome, n)
+		}
+	}
+	busy, _, err := client.getConn(t.Context(), endpointAddr{"s-1", addrOf(one)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	// That the relay itself may hold no more is no failure of the endpoint.
+	if r := doCall(t, client, newCall(addrOf(two), "a")); r[0].Outcome != policy.NotSent {
+		t.Errorf("beyond the bound: outcome %v", r[0].Outcome)
+	}
+	busy.close()
+}
+
+// The connections of an endpoint go with it: another one may come up at its address.
+func TestRemovedEndpointLosesConns(t *testing.T) {
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		nettest.Send(conn, nettest.OKResponse)
+		return true
+	})
+	client := newTestClient(t, testConfig())
+	doCall(t, client, newCall(addr, "a"))
+	other := newCall(addr, "b")
+	other.EndpointID = "s-2"
+	checked := false
+	client.Do(t.Context(), other, func() []*Attempt {
+		checked = true
+		return other.Attempts
+	})
+	if n := openConns(client); !checked || n != 2 {
+		t.Errorf("another endpoint got the connection: %d open", n)
+	}
+	client.CloseIdle("s-1")
+	if n := openConns(client); n != 1 {
+		t.Errorf("%d open", n)
+	}
+}
+
+// An endpoint that closes an idle connection is noticed before a request is written to it.
+func TestIdleCloseIsNoticed(t *testing.T) {
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		nettest.Send(conn, nettest.OKResponse)
+		return false
+	})
+	client := newTestClient(t, testConfig())
+	for range 3 {
+		if r := doCall(t, client, newCall(addr, "a")); r[0].Outcome != policy.OK {
+			t.Errorf("outcome %v", r[0].Outcome)
+		}
+		nettest.Eventually(t, "noticed", func() bool { return openConns(client) == 0 })
+	}
+}
+
+// An idle connection on which the endpoint spoke or left in the moment of its next use carries no call: what stands
+// there would be taken for the response, and a message be lost as delivered.
+func TestIdleConnIsCheckedBeforeUse(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		act  func(conn net.Conn)
+	}{
+		{"a response that nobody asked for", func(conn net.Conn) { nettest.Send(conn, nettest.OKResponse) }},
+		{"a close", func(conn net.Conn) { nettest.Close(conn) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			served := make(chan net.Conn, 2)
+			addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
+				served <- conn
+				if n > 1 {
+					nettest.Send(conn, "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n")
+				} else {
+					nettest.Send(conn, nettest.OKResponse)
+				}
+				return true
+			})
+			var observed *nettest.ObservedConn
+			config := testConfig()
+			config.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+				if err != nil {
+					return nil, err
+				}
+				dialed := &nettest.ObservedConn{TCPConn: conn.(*net.TCPConn)}
+				if observed == nil {
+					observed = dialed
+				}
+				return dialed, nil
+			}
+			client := newTestClient(t, config)
+			if r := doCall(t, client, newCall(addr, "a")); r[0].Outcome != policy.OK {
+				t.Fatalf("the first call: %v", r[0].Outcome)
+			}
+			kept := client.takeIdle(endpointAddr{"s-1", addr})
+			kept.Unwatch()
+			failedBefore := observed.FailedReads()
+			kept.ExpireReadsAt(netconn.Past) // its watch will see nothing
+			kept.release()
+			nettest.Eventually(t, "the watch has ended", func() bool {
+				return observed.FailedReads() > failedBefore || requests.Load() > 1
+			})
+			c.act(<-served)
+			nettest.Eventually(t, "the system has it", func() bool { return kept.Pending() != netconn.PendingNone })
+			if r := doCall(t, client, newCall(addr, "b")); r[0].Outcome != policy.Overloaded {
+				t.Errorf("the second call: %v, want the endpoint's own response to it", r[0].Outcome)
+			}
+		})
+	}
+}
--- a/internal/relay/egress/response.go
+++ b/internal/relay/egress/response.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// responseTimeout bounds how long a response may take from its first byte to its last. It guards against headers and
-	// bodies that do not end.
+	// responseTimeout bounds how long a response may take from its first byte to its last. It guards against headers
+	// and bodies that do not end.
 	responseTimeout = 500 * time.Millisecond
 	// maxInformational bounds how many 1xx responses may come ahead of the one that counts.
 	maxInformational = 16
--- a/internal/relay/ingress/exchange.go
+++ b/internal/relay/ingress/exchange.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// requestTimeout bounds a request from its first byte to its last, and the wait for it on a new connection. A client
-	// that sends nothing, or nothing that can be read, has an error or a close within 3 s of its connecting.
+	// requestTimeout bounds a request from its first byte to its last, and the wait for it on a new connection. A
+	// client that sends nothing, or nothing that can be read, has an error or a close within 3 s of its connecting.
 	requestTimeout = 2 * time.Second
 	// lateRequestTimeout is what a request has that begins in the last moment of its connection's time.
 	lateRequestTimeout = 500 * time.Millisecond
--- a/internal/relay/netconn/netconn.go
+++ b/internal/relay/netconn/netconn.go
@@ -1,6 +1,6 @@
 // Package netconn has the connection that both sides of the relay read HTTP messages from, the one to clients and the
-// one to endpoints. It bounds what a peer can have read of it, shows what came beyond a message, and notices a peer that
-// speaks or leaves out of turn.
+// one to endpoints. It bounds what a peer can have read of it, shows what came beyond a message, and notices a peer
+// that speaks or leaves out of turn.
 package netconn
 
 import (
--- a/internal/relay/netconn/netconn_test.go
+++ b/internal/relay/netconn/netconn_test.go
@@ -11,7 +11,7 @@
 var peerActs = []struct {
 	name        string
 	act         func(peer net.Conn)
-	ahead       PendingInput
+	pending     PendingInput
 	open, quiet bool
 }{
 	{"nothing", func(net.Conn) {}, PendingNone, true, true},
@@ -23,17 +23,17 @@
 }
 
 // A deadline that has passed hides what the system holds already. Here it has passed before the watch begins.
-func TestAWatchSeesWhatCameBeforeItsEnd(t *testing.T) {
+func TestWatchSeesBytesBeforeItsEnd(t *testing.T) {
 	for _, c := range peerActs {
 		t.Run(c.name, func(t *testing.T) {
-			ours, peer := nettest.Pair(t)
-			x := New(ours)
-			x.SetReadDeadline(Past)
-			x.Watch(nil)
-			nettest.Eventually(t, "the watch has ended", func() bool { return len(x.watchDone) == 1 })
+			tested, peer := nettest.Pair(t)
+			conn := New(tested)
+			conn.ExpireReadsAt(Past)
+			conn.Watch(nil)
+			nettest.Eventually(t, "the watch has ended", func() bool { return len(conn.watchDone) == 1 })
 			c.act(peer)
-			nettest.Eventually(t, "the system has it", func() bool { return x.Pending() == c.ahead })
-			if open, quiet := x.Unwatch(); open != c.open || quiet != c.quiet {
+			nettest.Eventually(t, "the system has it", func() bool { return conn.Pending() == c.pending })
+			if open, quiet := conn.Unwatch(); open != c.open || quiet != c.quiet {
 				t.Errorf("open %v, quiet %v; want %v, %v", open, quiet, c.open, c.quiet)
 			}
 		})
