--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
@@ -53,10 +54,10 @@
 type tick struct{}
 
 // listEvent is a short endpoint list, or a change of it.
-type listEvent struct{ list List }
+type listEvent struct{ list discovery.List }
 
 // partEvent is one part of a long endpoint list.
-type partEvent struct{ part *SnapshotPart }
+type partEvent struct{ part *discovery.SnapshotPart }
 
 func (e *submitEvent) apply(_ *Relay, s *stepState) { s.submissions = append(s.submissions, e) }
 
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
@@ -53,8 +54,8 @@
 	return append(events, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 }
 
-// release drops a message whose client has no promise of delivery. One that may have run is kept as cancelled as long as
-// its client may submit it once more under its id: that must not make it a new message.
+// release drops a message whose client has no promise of delivery. One that may have run is kept as cancelled as long
+// as its client may submit it once more under its id: that must not make it a new message.
 func (r *Relay) release(m *message) {
 	if len(m.UncertainAttempts) == 0 {
 		r.journal.Remove(m.Message)
@@ -126,7 +127,7 @@
 
 // queueNotification queues the final notification of a message that was accepted and is not delivered.
 func (r *Relay) queueNotification(m *message) {
-	n := Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
+	n := notify.Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
 		n.Status = "deferred"
 		n.RetryAfterMS = m.Final.RetryAfter.Milliseconds()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,10 +20,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
-	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -34,11 +35,11 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *ingress.Server // serves clients
-	egress  *egress.Client  // calls endpoints
-	agent   *Client         // service discovery's
-	finals  *Sender         // final notifications
-	fleet   *fleet.Member   // nil: this relay shares nothing with others
+	ingress *ingress.Server    // serves clients
+	egress  *egress.Client    // calls endpoints
+	agent   *discovery.Client // service discovery's
+	finals  *notify.Sender    // final notifications
+	fleet   *fleet.Member     // nil: this relay shares nothing with others
 	metrics metrics.Registry
 
 	events   chan event
@@ -73,7 +74,7 @@
 		cfg:         cfg,
 		log:         log,
 		logOut:      out,
-		agent:       NewClient(cfg.DiscoveryAddr),
+		agent:       discovery.NewClient(cfg.DiscoveryAddr),
 		events:      make(chan event, eventQueueSize),
 		loopDone:    make(chan struct{}),
 		drained:     make(chan struct{}),
@@ -90,7 +91,7 @@
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
-	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
+	r.finals = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
@@ -166,7 +167,7 @@
 	if r.fleet != nil {
 		background.Go(func() { r.fleet.Run(ctx) })
 	}
-	watcher := r.newWatcher()
+	watcher := discovery.NewWatcher(r.discoveryConfig())
 	background.Go(func() { r.finals.Run(ctx) })
 	background.Go(func() { watcher.Run(ctx) })
 }
@@ -204,27 +205,23 @@
 	r.leave()
 }
 
-// newWatcher returns a watcher that follows the endpoint list for the loop.
-func (r *Relay) newWatcher() *Watcher {
-	return &Watcher{
+// discoveryConfig returns how a watcher follows the endpoint list for the loop.
+func (r *Relay) discoveryConfig() discovery.Config {
+	return discovery.Config{
 		Log:           r.log,
 		Client:        r.agent,
-		IdleTimeout:   WatchIdleTimeout,
-		ListTimeout:   ListTimeout,
+		Parser:        r.cfg.parser(),
+		Backoff:       discovery.NewBackoff(r.cfg.Settings, r.cfg.DrainGrace),
+		Rand:          rand.New(rand.NewPCG(r.cfg.Seed, watcherStream)),
+		IdleTimeout:   discovery.WatchIdleTimeout,
+		ListTimeout:   discovery.ListTimeout,
+		HasList:       r.endpointsKnown.Load(),
 		Version:       r.listVersion,
 		NeedsSnapshot: r.snapshotNeeded,
-		HasList:       r.endpointsKnown.Load(),
-		OnUpdate:      func(l List) { r.post(listEvent{l}) },
-		Parse:         r.cfg.parseEndpoint,
-		Parts: PartSender{
-			Post:      func(p *SnapshotPart) bool { return r.post(partEvent{p}) },
-			Stopped:   r.loopDone,
-			LargeList: r.largeList.Load,
-		},
-		Backoff:         NewBackoff(r.cfg),
-		Rand:            rand.New(rand.NewPCG(r.cfg.Seed, watcherStream)),
-		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"},
-		oversizeLists:   ratelog.Warning{Message: "list not taken"},
+		OnUpdate:      func(l discovery.List) { r.post(listEvent{l}) },
+		OnPart:        func(p *discovery.SnapshotPart) bool { return r.post(partEvent{p}) },
+		Stopped:       r.loopDone,
+		LargeList:     r.largeList.Load,
 	}
 }
 
