--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,7 +35,7 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *ingress.Server    // serves clients
+	ingress *ingress.Server   // serves clients
 	egress  *egress.Client    // calls endpoints
 	agent   *discovery.Client // service discovery's
 	finals  *notify.Sender    // final notifications
