--- a/internal/relay/edges.go
+++ b/internal/relay/edges.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// reservedDescriptors are those of the share for endpoints that the journal's files and the second address may need.
+	// reservedDescriptors are those, of the share for endpoints, that the journal's files and the second address may
+	// need.
 	reservedDescriptors = 16
 	// minEndpointConns are left to calls on the smallest machine.
 	minEndpointConns = 8
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -63,51 +63,87 @@
 }
 
 // parseMessage reads all of a request but its body.
-func (r *Relay) parseMessage(req *http.Request) (m *journal.Message, left time.Duration, err error) {
-	class, t := strings.TrimPrefix(req.URL.Path, "/"), r.clientConfig.Load()
+func (r *Relay) parseMessage(request *http.Request) (m *journal.Message, timeLeft time.Duration, err error) {
+	config := r.clientConfig.Load()
+	className := strings.TrimPrefix(request.URL.Path, "/")
 	m = &journal.Message{
-		TraceID:        req.Header.Get("X-Trace-Id"),
-		IdempotencyKey: req.Header.Get("Idempotency-Key"),
-		OrderingKey:    req.URL.Query().Get("key"), // what the message is about, where its class keeps order
-		Class:          slices.Index(t.ClassNames, class), ClassName: class,
+		TraceID:        request.Header.Get("X-Trace-Id"),
+		IdempotencyKey: request.Header.Get("Idempotency-Key"),
+		OrderingKey:    request.URL.Query().Get("key"), // what the message is about, where its class keeps order
+		Class:          slices.Index(config.ClassNames, className),
+		ClassName:      className,
 	}
-	switch {
-	case m.Class < 0:
-		return nil, 0, fmt.Errorf("unknown class %q", class)
-	case req.Header.Get("X-Qos") != class:
-		return nil, 0, errors.New("X-Qos and the path differ")
-	case m.TraceID == "" || max(len(m.TraceID), len(m.IdempotencyKey), len(m.OrderingKey)) > maxIDSize:
-		return nil, 0, errors.New("no X-Trace-Id, or an id or key too long")
-	case len(req.Header["X-Trace-Id"]) > 1 || len(req.Header["Idempotency-Key"]) > 1:
-		return nil, 0, errors.New("more than one id or key")
-	case m.IdempotencyKey == "" && t.Settings.Classes[m.Class].Effect == policy.IdempotentByKey:
-		return nil, 0, errors.New("no Idempotency-Key")
-	}
-	if len(t.TenantNames) > 0 {
-		if m.Tenant = slices.Index(t.TenantNames, req.Header.Get("X-Customer")); m.Tenant < 0 {
-			return nil, 0, fmt.Errorf("unknown customer %q", req.Header.Get("X-Customer"))
-		}
+	if m.Class < 0 {
+		return nil, 0, fmt.Errorf("unknown class %q", className)
+	}
+	class := config.Settings.Classes[m.Class]
+	if err := checkIDs(m, request, class); err != nil {
+		return nil, 0, err
+	}
+	if m.Tenant, err = parseTenant(request, config.TenantNames); err != nil {
+		return nil, 0, err
 	}
-	ms, err := strconv.ParseInt(req.Header.Get("X-Expires-In-Ms"), 10, 64)
-	if most := maxTimeLeft(t.Settings.Classes[m.Class]); err != nil || ms < 0 || ms > most.Milliseconds() {
-		return nil, 0, errors.New("bad X-Expires-In-Ms")
+	if timeLeft, err = parseTimeLeft(request, class); err != nil {
+		return nil, 0, err
 	}
-	if m.Destination, err = parseDestination(req.Header.Get("Envelope")); err != nil {
+	if m.Destination, err = parseDestination(request.Header.Get("Envelope")); err != nil {
 		return nil, 0, err
 	}
-	return m, time.Duration(ms) * time.Millisecond, nil
+	return m, timeLeft, nil
+}
+
+// checkIDs checks what names a message and its class.
+func checkIDs(m *journal.Message, request *http.Request, class policy.Class) error {
+	longest := max(len(m.TraceID), len(m.IdempotencyKey), len(m.OrderingKey))
+	switch {
+	case request.Header.Get("X-Qos") != m.ClassName:
+		return errors.New("X-Qos and the path differ")
+	case m.TraceID == "" || longest > maxIDSize:
+		return errors.New("no X-Trace-Id, or an id or key too long")
+	case len(request.Header["X-Trace-Id"]) > 1 || len(request.Header["Idempotency-Key"]) > 1:
+		return errors.New("more than one id or key")
+	case m.IdempotencyKey == "" && class.Effect == policy.IdempotentByKey:
+		return errors.New("no Idempotency-Key")
+	}
+	return nil
+}
+
+// parseTenant returns the index of a request's tenant; 0 where the site names none.
+func parseTenant(request *http.Request, names []string) (int, error) {
+	if len(names) == 0 {
+		return 0, nil
+	}
+	name := request.Header.Get("X-Customer")
+	tenant := slices.Index(names, name)
+	if tenant < 0 {
+		return 0, fmt.Errorf("unknown customer %q", name)
+	}
+	return tenant, nil
+}
+
+// parseTimeLeft returns how long the client waits for its message.
+func parseTimeLeft(request *http.Request, class policy.Class) (time.Duration, error) {
+	ms, err := strconv.ParseInt(request.Header.Get("X-Expires-In-Ms"), 10, 64)
+	if err != nil || ms < 0 || ms > maxTimeLeft(class).Milliseconds() {
+		return 0, errors.New("bad X-Expires-In-Ms")
+	}
+	return time.Duration(ms) * time.Millisecond, nil
 }
 
 // parseDestination finds dest among the name=value pairs of an envelope.
 func parseDestination(envelope string) (int, error) {
-	for _, pair := range strings.FieldsFunc(envelope, func(c rune) bool { return strings.ContainsRune(",;& ", c) }) {
-		if value, ok := strings.CutPrefix(pair, "dest="); ok {
-			n, err := strconv.Atoi(value)
-			if err != nil || n < 0 {
-				return 0, fmt.Errorf("bad dest %q", value)
-			}
-			return n, nil
+	isSeparator := func(c rune) bool { return strings.ContainsRune(",;& ", c) }
+	for _, pair := range strings.FieldsFunc(envelope, isSeparator) {
+		value, found := strings.CutPrefix(pair, "dest=")
+		if !found {
+			continue
+		}
+		destination, err := strconv.Atoi(value)
+		if err != nil || destination < 0 {
+			return 0, fmt.Errorf("bad dest %q", value)
 		}
+		return destination, nil
 	}
+	//nolint:staticcheck // ST1005: clients are answered this text, which begins with a header's name
 	return 0, errors.New("Envelope names no dest")
 }
