--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -70,7 +70,9 @@
 }
 
 // parseConfig reads a configuration that is all there.
-func parseConfig(data []byte) (Config, error) { return scanConfig(bytes.NewReader(data), true) }
+func parseConfig(data []byte) (Config, error) {
+	return parseConfigFile(bytes.NewReader(data), keepKnown)
+}
 
 // parseList reads a list that is all there.
 func parseList(c *Config, data []byte) (l discovery.List, err error) {
@@ -286,7 +288,7 @@
 				Body:           make([]byte, size),
 			},
 		}
-		calls = r.addToCalls(calls, m, policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
+		calls = r.addToCalls(calls, m, &policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
 	}
 	sent := 0
 	for _, c := range calls {
--- /dev/null
+++ b/policy/deadline_test.go
@@ -0,0 +1,63 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// The heap returns entries in order, whatever is pushed in between, and allocates nothing for an entry once it has
+// grown.
+func TestDeadlineHeapOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var h deadlineHeap
+		var model []deadlineEntry
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			if len(model) == 0 || rapid.IntRange(0, 2).Draw(t, "push") > 0 {
+				entry := deadlineEntry{
+					time.Duration(rapid.IntRange(0, 20).Draw(t, "at")),
+					&message{id: rapid.Uint32Range(0, 5).Draw(t, "id")},
+				}
+				h.push(entry)
+				model = append(model, entry)
+				continue
+			}
+			got := h.pop()
+			for i := range model {
+				if model[i].precedes(&got) {
+					t.Fatalf("%v, %d popped before %v, %d", got.at, got.message.id, model[i].at, model[i].message.id)
+				}
+			}
+			i := slices.Index(model, got)
+			if i < 0 {
+				t.Fatal("popped an entry that was not pushed")
+			}
+			model = slices.Delete(model, i, i+1)
+		}
+		if len(h) != len(model) {
+			t.Fatalf("%d left of %d", len(h), len(model))
+		}
+	})
+	h := make(deadlineHeap, 0, 8)
+	msg := &message{id: 1}
+	allocations := testing.AllocsPerRun(100, func() {
+		h.push(deadlineEntry{1, msg})
+		h.pop()
+	})
+	if allocations > 0 {
+		t.Errorf("%.0f allocations for an entry", allocations)
+	}
+}
+
+func TestLateMessagesAreDeprioritized(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.accept(1, 0)
+	h.advance(3 * time.Second)
+	h.accept(2, 0)
+	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
+	if len(actions) != 2 || actions[0].MessageID != 2 || actions[1].MessageID != 1 {
+		t.Errorf("order of sends: %+v", actions)
+	}
+}
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -8,250 +8,321 @@
 	"time"
 )
 
-// left is a message that a restart finds, and what became of it.
-type left struct {
-	id        uint32
-	dest      int
-	untried   bool
-	time      time.Duration // that it has
-	sent, end time.Duration // since the restart; -1: never
-	refused   bool
+// restartMessage is a message that a restart finds, and what became of it.
+type restartMessage struct {
+	id          uint32
+	destination int
+	untried     bool
+	timeLeft    time.Duration
+	sentAfter   time.Duration // since the restart; -1: never
+	endedAfter  time.Duration // since the restart, by a rejection or failure; -1: never
+	rejected    bool
 }
 
-// find is a restart drawn by a seed: settings, list, standing of hosts and messages.
-type find struct {
-	set     Settings
-	first   []Event
-	late    []Endpoint // listed at lateAt only
-	lateAt  time.Duration
-	msgs    []*left
-	usable  map[int]bool             // destinations with a host in service, in time
-	waits   map[string]time.Duration // told, by route
-	ill     map[int]bool             // something was told of a host of this destination
-	routes  []Endpoint
-	waiting map[int]bool // by destination: a host is listed late
+// restartCase is a random restart: settings, endpoint list, endpoint health and messages.
+type restartCase struct {
+	settings      Settings
+	initialEvents []Event
+	endpoints     []Endpoint
+	lateEndpoints []Endpoint // those listed after lateAfter only
+	lateAfter     time.Duration
+	messages      []*restartMessage
+	inService     map[int]bool             // destinations with an endpoint in service
+	listedLate    map[int]bool             // destinations whose endpoints are listed late
+	impaired      map[int]bool             // destinations with a known failure, rejection or Retry-After
+	retryAfter    map[string]time.Duration // by endpoint
 }
 
-func drawFind(seed uint64, resumed bool) *find {
+func randomRestart(seed uint64, recovered bool) *restartCase {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	set := randomSettings(rng)
-	set.Classes = slices.Clone(set.Classes[:3]) // order has rows of its own
-	set.FleetSize = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
-	set.IgnoreWeights, set.ApproximateWeights = rng.IntN(3) == 0, rng.IntN(3) == 0
-	set.MaxInFlightCalls, set.MaxPendingMessages = 20+rng.IntN(100), 0
-	f := &find{
-		set:     set,
-		usable:  map[int]bool{},
-		waits:   map[string]time.Duration{},
-		ill:     map[int]bool{},
-		waiting: map[int]bool{},
+	settings := randomSettings(rng)
+	settings.Classes = slices.Clone(settings.Classes[:3]) // ordering has tests of its own
+	settings.FleetSize = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
+	settings.IgnoreWeights = rng.IntN(3) == 0
+	settings.ApproximateWeights = rng.IntN(3) == 0
+	settings.MaxInFlightCalls = 20 + rng.IntN(100)
+	settings.MaxPendingMessages = 0
+	restart := &restartCase{
+		settings:   settings,
+		inService:  map[int]bool{},
+		listedLate: map[int]bool{},
+		impaired:   map[int]bool{},
+		retryAfter: map[string]time.Duration{},
 	}
-	f.lateAt = time.Duration(rng.IntN(2000)) * time.Millisecond
-	whole := Event{Kind: EndpointSnapshot}
-	var told []Event
-	for d := range 1 + rng.IntN(5) {
+	restart.lateAfter = time.Duration(rng.IntN(2000)) * ms
+	restart.addEndpoints(rng)
+	restart.addMessages(rng, recovered)
+	if len(restart.messages) > 10 && rng.IntN(3) == 0 {
+		restart.settings.MaxPendingMessages = len(restart.messages) // the relay starts at the maximum
+	}
+	return restart
+}
+
+// addEndpoints draws the endpoint list and the health of the endpoints.
+func (restart *restartCase) addEndpoints(rng *rand.Rand) {
+	snapshot := Event{Kind: EndpointSnapshot}
+	var health []Event
+	for destinationID := range 1 + rng.IntN(5) {
 		late := rng.IntN(5) == 0
-		f.waiting[d] = late
+		restart.listedLate[destinationID] = late
 		for i := range 1 + rng.IntN(3) {
-			l := Endpoint{
-				ID: fmt.Sprintf(
-					"r%d-%d",
-					d,
-					i,
-				), Destination: d, Kind: d % 2, Zone: i % 2, Weight: 1 + float64(rng.IntN(60)), InService: rng.IntN(6) > 0,
+			entry := Endpoint{
+				ID:          fmt.Sprintf("r%d-%d", destinationID, i),
+				Destination: destinationID,
+				Kind:        destinationID % 2,
+				Zone:        i % 2,
+				Weight:      1 + float64(rng.IntN(60)),
+				InService:   rng.IntN(6) > 0,
 			}
-			f.routes = append(f.routes, l)
-			f.usable[d] = f.usable[d] || l.InService
+			restart.endpoints = append(restart.endpoints, entry)
+			restart.inService[destinationID] = restart.inService[destinationID] || entry.InService
 			if late {
-				f.late = append(f.late, l)
+				restart.lateEndpoints = append(restart.lateEndpoints, entry)
 				continue
 			}
-			whole.Endpoints = append(whole.Endpoints, l)
-			switch rng.IntN(8) {
-			case 0:
-				told, f.ill[d] = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Overloaded}), true
-			case 1:
-				for range 1 + rng.IntN(3) {
-					told = append(told, Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: Error})
-				}
-				f.ill[d] = true
-			case 2:
-				wait := time.Duration(100+rng.IntN(15_000)) * time.Millisecond
-				told, f.ill[d] = append(
-					told,
-					Event{Kind: HealthChecked, Endpoint: l.ID, Outcome: NotSent, RetryAfter: wait},
-				), true
-				f.waits[l.ID] = wait
-			}
+			snapshot.Endpoints = append(snapshot.Endpoints, entry)
+			health = append(health, restart.randomHealth(rng, entry)...)
 		}
 	}
-	f.first = append([]Event{whole}, told...)
+	restart.initialEvents = append([]Event{snapshot}, health...)
+}
+
+// randomHealth draws what is known of an endpoint: mostly nothing.
+func (restart *restartCase) randomHealth(rng *rand.Rand, entry Endpoint) (events []Event) {
+	checked := Event{Kind: HealthChecked, Endpoint: entry.ID}
+	switch rng.IntN(8) {
+	case 0:
+		checked.Outcome = Overloaded
+		events = append(events, checked)
+	case 1:
+		checked.Outcome = Error
+		for range 1 + rng.IntN(3) {
+			events = append(events, checked)
+		}
+	case 2:
+		checked.Outcome = NotSent
+		checked.RetryAfter = time.Duration(100+rng.IntN(15_000)) * ms
+		restart.retryAfter[entry.ID] = checked.RetryAfter
+		events = append(events, checked)
+	}
+	if len(events) > 0 {
+		restart.impaired[entry.Destination] = true
+	}
+	return events
+}
+
+// addMessages draws the messages that the restart finds.
+func (restart *restartCase) addMessages(rng *rand.Rand, recovered bool) {
 	for id := range uint32(1 + rng.IntN(60)) {
-		classIndex := rng.IntN(len(set.Classes))
-		m := &left{id: id + 1, dest: rng.IntN(len(f.waiting)), sent: -1, end: -1, untried: true}
-		m.time = set.Classes[classIndex].Deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
-		f.msgs = append(f.msgs, m)
-		event := Event{Kind: MessageAccepted, MessageID: m.id, Class: classIndex, Destination: m.dest, TimeLeft: m.time}
-		if resumed {
+		classIndex := rng.IntN(len(restart.settings.Classes))
+		msg := &restartMessage{
+			id:          id + 1,
+			destination: rng.IntN(len(restart.listedLate)),
+			sentAfter:   -1,
+			endedAfter:  -1,
+			untried:     true,
+		}
+		deadline := restart.settings.Classes[classIndex].Deadline
+		msg.timeLeft = deadline * time.Duration([]int{1, 3, 5, 10}[rng.IntN(4)]) / 10
+		restart.messages = append(restart.messages, msg)
+		event := Event{
+			Kind:        MessageAccepted,
+			MessageID:   msg.id,
+			Class:       classIndex,
+			Destination: msg.destination,
+			TimeLeft:    msg.timeLeft,
+		}
+		if recovered {
 			event.Recovered = &RecoveredMessage{}
 			if rng.IntN(6) == 0 {
-				m.untried, event.Recovered.Attempts, event.Recovered.MayHaveRun, event.Recovered.SinceFirstRun = false, 1, rng.IntN(
-					2,
-				) == 0, time.Second
+				msg.untried = false
+				event.Recovered.Attempts = 1
+				event.Recovered.MayHaveRun = rng.IntN(2) == 0
+				event.Recovered.SinceFirstRun = time.Second
 			}
 		}
-		f.first = append(f.first, event)
+		restart.initialEvents = append(restart.initialEvents, event)
 	}
-	if len(f.msgs) > 10 && rng.IntN(3) == 0 {
-		f.set.MaxPendingMessages = len(f.msgs) // no room
-	}
-	return f
 }
 
-// play has a sender go on from what a restart finds, at hosts that deliver all, until nobody's time is left. It counts
-// the calls of each destination.
-func (f *find) play(t *testing.T, seed uint64) (calls map[int]int) {
+// restartRun is a relay that goes on from what a restart finds, at endpoints that deliver everything.
+type restartRun struct {
+	restart  *restartCase
+	engine   *Engine
+	now      time.Duration
+	messages map[uint32]*restartMessage
+	answers  []pendingEvent
+	calls    map[int]int // by destination
+	listed   bool        // the late endpoints
+}
+
+const (
+	restartedAt    = time.Second
+	restartLatency = 40 * ms
+)
+
+// run runs a relay until the time of all messages is up. It counts the calls to each destination.
+func (restart *restartCase) run(t *testing.T, seed uint64) (calls map[int]int) {
 	t.Helper()
-	engine, err := New(f.set, seed)
+	engine, err := New(restart.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	byID := map[uint32]*left{}
-	for _, m := range f.msgs {
-		byID[m.id] = m
+	run := &restartRun{
+		restart:  restart,
+		engine:   engine,
+		now:      restartedAt,
+		messages: map[uint32]*restartMessage{},
+		calls:    map[int]int{},
+		listed:   len(restart.lateEndpoints) == 0,
 	}
-	const began, answer = time.Second, 40 * time.Millisecond
-	calls = map[int]int{}
-	type end struct {
-		at time.Duration
-		ev Event
+	for _, msg := range restart.messages {
+		run.messages[msg.id] = msg
 	}
-	var ends []end
-	now, evs, lateTold := began, f.first, false
-	for now < began+12*time.Second {
-		wake := now + 500*time.Millisecond
-		routes := map[string]bool{}
-		for _, a := range engine.Step(now, evs) {
-			m := byID[a.MessageID]
-			switch a.Kind {
-			case Send:
-				if m.sent < 0 {
-					m.sent = now - began
-				}
-				if !routes[a.Endpoint] {
-					routes[a.Endpoint] = true
-					calls[m.dest]++
-				}
-				ends = append(
-					ends,
-					end{
-						now + answer,
-						Event{
-							Kind:         AttemptFinished,
-							MessageID:    a.MessageID,
-							Attempt:      engine.messages[a.MessageID].attempts - 1,
-							Endpoint:     a.Endpoint,
-							Outcome:      OK,
-							Latency:      answer,
-							MessageEnded: true,
-						},
-					},
-				)
-			case Reject, Fail:
-				m.end, m.refused = now-began, a.Kind == Reject
-			case SetTimer:
-				wake = min(wake, now+a.Delay)
-			}
-		}
-		evs = nil
-		if !lateTold && len(f.late) > 0 {
-			wake = min(wake, max(now, began+f.lateAt))
+	events := restart.initialEvents
+	for run.now < restartedAt+12*time.Second {
+		next := run.step(events)
+		if !run.listed {
+			next = min(next, max(run.now, restartedAt+restart.lateAfter))
 		}
-		if len(ends) > 0 {
-			wake = min(wake, ends[0].at)
+		if len(run.answers) > 0 {
+			next = min(next, run.answers[0].at)
 		}
-		now = max(wake, now+time.Millisecond)
-		for len(ends) > 0 && ends[0].at <= now {
-			evs, ends = append(evs, ends[0].ev), ends[1:]
-		}
-		if !lateTold && len(f.late) > 0 && now >= began+f.lateAt {
-			evs, lateTold = append(evs, Event{Kind: EndpointDelta, Endpoints: f.late}), true
+		run.now = max(next, run.now+time.Millisecond)
+		events = run.dueEvents()
+	}
+	return run.calls
+}
+
+// step applies events and returns the time of the next step that the relay needs, half a second from now at most.
+func (run *restartRun) step(events []Event) (next time.Duration) {
+	next = run.now + 500*ms
+	called := map[string]bool{} // by endpoint
+	for _, a := range run.engine.Step(run.now, events) {
+		msg := run.messages[a.MessageID]
+		switch a.Kind {
+		case Send:
+			if msg.sentAfter < 0 {
+				msg.sentAfter = run.now - restartedAt
+			}
+			if !called[a.Endpoint] {
+				called[a.Endpoint] = true
+				run.calls[msg.destination]++
+			}
+			run.answers = append(run.answers, pendingEvent{at: run.now + restartLatency, event: Event{
+				Kind:         AttemptFinished,
+				MessageID:    a.MessageID,
+				Attempt:      run.engine.messages[a.MessageID].attempts - 1,
+				Endpoint:     a.Endpoint,
+				Outcome:      OK,
+				Latency:      restartLatency,
+				MessageEnded: true,
+			}})
+		case Reject, Fail:
+			msg.endedAfter = run.now - restartedAt
+			msg.rejected = a.Kind == Reject
+		case SetTimer:
+			next = min(next, run.now+a.Delay)
 		}
 	}
-	return calls
+	return next
 }
 
-// toldBeyond tells whether every host of a destination was told to wait for d or more.
-func (f *find) toldBeyond(dest int, d time.Duration) bool {
-	shared, all := time.Duration(0), true
-	for _, l := range f.routes {
-		if l.Destination == dest {
-			shared = max(shared, f.waits[l.ID])
-			all = all && f.waits[l.ID] >= d-deadlineMargin
+// dueEvents returns the answers that are due, and the late endpoints when they are listed.
+func (run *restartRun) dueEvents() (events []Event) {
+	for len(run.answers) > 0 && run.answers[0].at <= run.now {
+		events = append(events, run.answers[0].event)
+		run.answers = run.answers[1:]
+	}
+	if !run.listed && run.now >= restartedAt+run.restart.lateAfter {
+		events = append(events, Event{Kind: EndpointDelta, Endpoints: run.restart.lateEndpoints})
+		run.listed = true
+	}
+	return events
+}
+
+// blockedBeyond reports whether a Retry-After of at least d blocks every endpoint of a destination.
+func (restart *restartCase) blockedBeyond(destinationID int, d time.Duration) bool {
+	longest, all := time.Duration(0), true
+	for _, entry := range restart.endpoints {
+		if entry.Destination == destinationID {
+			longest = max(longest, restart.retryAfter[entry.ID])
+			all = all && restart.retryAfter[entry.ID] >= d-deadlineMargin
 		}
 	}
-	return all || !f.set.DestinationKinds[dest%2].LimitPerEndpoint && shared >= d-deadlineMargin
+	sharedScope := !restart.settings.DestinationKinds[destinationID%2].LimitPerEndpoint
+	return all || sharedScope && longest >= d-deadlineMargin
 }
 
-// wrong judges what became of the messages.
-func (f *find) wrong(calls map[int]int) (faults []string) {
-	const spread = MaxInitialSpread + 200*time.Millisecond // first calls of many come within this
-	for _, m := range f.msgs {
-		listed := time.Duration(0)
-		if f.waiting[m.dest] {
-			listed = f.lateAt
+// faults judges what became of the messages, by the numbers of calls to each destination.
+func (restart *restartCase) faults(calls map[int]int) (faults []string) {
+	for _, msg := range restart.messages {
+		if !msg.untried || msg.sentAfter >= 0 {
+			continue
 		}
-		switch {
-		case !m.untried || m.sent >= 0:
-		case m.end >= 0 && !m.refused:
-			faults = append(faults, fmt.Sprintf("message %d failed, though it never ran", m.id))
-		case m.end >= 0 && m.end < m.time-50*time.Millisecond && !f.toldBeyond(m.dest, m.time):
-			faults = append(faults, fmt.Sprintf("message %d refused untried after %v of %v", m.id, m.end, m.time))
-		case m.end < 0:
-			faults = append(faults, fmt.Sprintf("message %d has no end", m.id))
-		case !f.usable[m.dest] || f.ill[m.dest] || m.time-listed < spread:
-			// No host, or one of which something was told, or no time: its destination may have had no call.
-		case calls[m.dest] == 0:
-			faults = append(faults, fmt.Sprintf("message %d: a host that stands well had no call in %v", m.id, m.time))
-		case f.set.IgnoreWeights && listed == 0:
-			faults = append(faults, fmt.Sprintf("message %d not tried in %v, where nothing bars it", m.id, m.time))
+		if fault := restart.faultOf(msg, calls); fault != "" {
+			faults = append(faults, fault)
 		}
 	}
 	return faults
 }
 
-// Over any settings, lists and standings: what a restart finds untried gets a call before its time, unless all hosts
-// are told to wait past it, or capacity bars it, which the calls made show; and it never ends early without one.
-func TestWhatAnyRestartFindsIsTriedOrKept(t *testing.T) {
+// faultOf judges what became of a message that was found untried and never sent; "" if nothing is wrong.
+func (restart *restartCase) faultOf(msg *restartMessage, calls map[int]int) string {
+	const spread = MaxInitialSpread + 200*ms // the first calls of a large fleet come within this
+	listedAfter := time.Duration(0)
+	if restart.listedLate[msg.destination] {
+		listedAfter = restart.lateAfter
+	}
+	early := msg.endedAfter < msg.timeLeft-50*ms
+	switch {
+	case msg.endedAfter < 0:
+		return fmt.Sprintf("message %d has no final answer", msg.id)
+	case !msg.rejected:
+		return fmt.Sprintf("message %d failed, though it has not run", msg.id)
+	case early && !restart.blockedBeyond(msg.destination, msg.timeLeft):
+		return fmt.Sprintf("message %d rejected untried after %v of %v", msg.id, msg.endedAfter, msg.timeLeft)
+	case !restart.inService[msg.destination] || restart.impaired[msg.destination]:
+		return "" // no endpoint, or none that is known to be healthy: there may have been no call
+	case msg.timeLeft-listedAfter < spread:
+		return "" // too little time
+	case calls[msg.destination] == 0:
+		return fmt.Sprintf("message %d: no call to a healthy endpoint in %v", msg.id, msg.timeLeft)
+	case restart.settings.IgnoreWeights && listedAfter == 0:
+		return fmt.Sprintf("message %d not tried in %v, though nothing blocks it", msg.id, msg.timeLeft)
+	}
+	return ""
+}
+
+// With any settings, endpoint lists and health, a message that a restart finds untried gets an attempt before its
+// deadline, unless a Retry-After blocks all endpoints beyond it, or capacity does, which the calls made show. It never
+// ends early without one.
+func TestRecoveredMessagesAreTriedOrKept(t *testing.T) {
 	sent, all := 0, 0
 	for seed := range uint64(1500) {
-		f := drawFind(seed, true)
-		if wrong := f.wrong(f.play(t, seed)); len(wrong) > 0 {
-			t.Errorf(
-				"seed %d, %d senders, no weights %v: %d of %d: %s",
-				seed,
-				f.set.FleetSize,
-				f.set.IgnoreWeights,
-				len(wrong),
-				len(f.msgs),
-				wrong[0],
-			)
+		restart := randomRestart(seed, true)
+		faults := restart.faults(restart.run(t, seed))
+		if len(faults) > 0 {
+			t.Errorf("seed %d, %d relays, weights ignored %v: %d of %d: %s", seed, restart.settings.FleetSize,
+				restart.settings.IgnoreWeights, len(faults), len(restart.messages), faults[0])
 		}
-		for _, m := range f.msgs {
-			if all++; m.sent >= 0 {
+		for _, msg := range restart.messages {
+			all++
+			if msg.sentAfter >= 0 {
 				sent++
 			}
 		}
 	}
-	if t.Logf("%d of %d sent", sent, all); sent < all/4 {
+	t.Logf("%d of %d sent", sent, all)
+	if sent < all/4 {
 		t.Error("the test shows little")
 	}
-	// The same with messages that no earlier process took on: refused early, as they may be. It shows that the test can
+	// The same with messages that no earlier process accepted: they may be rejected early. It shows that the test can
 	// fail.
 	found := 0
 	for seed := range uint64(200) {
-		f := drawFind(seed, false)
-		found += len(f.wrong(f.play(t, seed)))
+		restart := randomRestart(seed, false)
+		found += len(restart.faults(restart.run(t, seed)))
 	}
 	if found == 0 {
 		t.Error("nothing is ever found wrong")
