--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -24,6 +24,7 @@
 		"ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize", "netconn.readBufferSize",
 		"discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNoticesPerPost",
 		"notify.maxResponseSize", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational",
+		"egress.maxRetryAfterSeconds",
 		"discovery.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
