--- a/policy/scope.go
+++ b/policy/scope.go
@@ -46,7 +46,7 @@
 	quotaRequestedAt time.Duration
 }
 
-// endpoint is an entry of the endpoint list with its state.
+// endpoint is an entry of the endpoint list with its state. There may be very many: small fields stand side by side.
 type endpoint struct {
 	Endpoint
 	scope      *limitScope
@@ -54,9 +54,9 @@
 	calls      []*call // in flight, in the order in which they were sent
 
 	// Ejection, see ejection.go.
-	ejected      bool          // was ejected, and has delivered nothing since
 	ejectedUntil time.Duration // messages pass it by before this
 	ejectionTime time.Duration // length of the last ejection; 0 if it has delivered since
+	ejected      bool          // was ejected, and has delivered nothing since
 
 	// Suspicion and recovery, see suspicion.go and slowstart.go.
 	warmingUp            bool          // suspect: may be in an outage, or is coming back from one
@@ -67,10 +67,10 @@
 
 	// Outcomes, see outcome.go.
 	consecutiveFailures   int
+	answerLost            bool          // an answer was lost, and none came since
 	recentFailures        uint8         // last 8 deliveries, errors and failed connections; failures have their bit set
 	consecutiveRejections int           // since the last answer of another kind
 	firstRejectedAt       time.Duration // the first of them
-	answerLost            bool          // an answer was lost, and none came since
 	lastSuccessAt         time.Duration
 	lastAnsweredSendAt    time.Duration // latest send that was answered
 
