--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -59,7 +59,7 @@
 		for _, order := range [][]string{{head, settings, c.known}, {c.known, head, settings}, {settings, c.known, head}} {
 			text := []byte("{" + strings.Trim(strings.ReplaceAll(strings.Join(order, ","), ",,", ","), ",") + "}\n")
 			for _, keep := range []bool{true, false} {
-				cfg, err := scanConfig(bytes.NewReader(text), keep)
+				cfg, err := parseConfigFile(bytes.NewReader(text), knownMode(keep))
 				if err != nil {
 					t.Fatalf("%s: %v", c.name, err)
 				}
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, text := range []string{``, `7`, `null`, `{"settings":` + settingsJSON, `{"settings":` + settingsJSON + `} x`, `{"settings":` + settingsJSON + `,"known":{"servers":[}}`} {
-		if cfg, err := scanConfig(strings.NewReader(text), true); err == nil {
+		if cfg, err := parseConfigFile(strings.NewReader(text), keepKnown); err == nil {
 			t.Errorf("%q passes as %+v", text, cfg)
 		}
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.egress.Close(); r.closeLog() })
+	t.Cleanup(func() { r.egress.Close(); r.closeJournal() })
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -14,6 +14,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -66,7 +67,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.log, r.ingress.log = log, log
+			r.log = log
+			r.ingress = ingress.New(r.ingressConfig())
 			r.egress = egress.New(r.egressConfig())
 			mu.Lock()
 			text.Reset()
