--- a/internal/recording/flightrecorder/form.go
+++ b/internal/recording/flightrecorder/format.go
@@ -21,48 +21,48 @@
 // Format is the newest version of the form that this package reads. It writes the first one, which has no frames of
 // what stands beside the module, unless such are asked for.
 const (
-	Format      = 2
-	formatPlain = 1
+	Format             = 2
+	formatWithoutFleet = 1
 )
 
 // Sizes of the form, in bytes.
 const (
-	magic       = "CTFLIGHT"
-	idSize      = 8
-	preamble    = len(magic) + idSize + 4 // and the chunk's number
-	frameHeader = 8
+	magic           = "CTFLIGHT"
+	idSize          = 8
+	preambleSize    = len(magic) + idSize + 4 // and the chunk's number
+	frameHeaderSize = 8
 	// MaxFrameSize bounds a frame's payload. A step that does not fit is told as lost, and a new chunk begins.
 	MaxFrameSize = 64 << 20
-	// entriesMost bounds the events, and the actions, of a step.
-	entriesMost = 1 << 20
+	// maxEntries bounds the events, and the actions, of a step.
+	maxEntries = 1 << 20
 )
 
 // The kinds of frame, the first byte of a payload.
 const (
-	frameHead  byte = 'H'
-	frameState byte = 'K'
-	frameStep  byte = 'S'
-	frameClear byte = 'C'
-	frameLabel byte = 'L'
-	frameNote  byte = 'N'
+	frameChunkHeader byte = 'H'
+	frameState       byte = 'K'
+	frameStep        byte = 'S'
+	frameSendChecked byte = 'C'
+	frameLabel       byte = 'L'
+	frameNote        byte = 'N'
 	// What stands beside the module: its state, behind the module's own in each chunk, and what it was told and told in
 	// a step.
-	frameBesideState byte = 'G'
-	frameBeside      byte = 'F'
+	frameFleetState byte = 'G'
+	frameFleetStep  byte = 'F'
 )
 
 // The errors of reading.
 var (
 	ErrNoRecording = errors.New("flight: not a recording")
-	ErrNewer       = errors.New("flight: written by a newer version")
+	ErrNewerFormat = errors.New("flight: written by a newer version")
 	errFrame       = errors.New("flight: malformed frame")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameSum is a frame's checksum: its length, payload and place within a chunk of one recording. place is scratch: a
+// frameChecksum is a frame's checksum: its length, payload and place within a chunk of one recording. place is scratch: a
 // variable of its own would go to the heap with each frame.
-func frameSum(place *[20]byte, id uint64, chunk uint32, at int, payload []byte) uint32 {
+func frameChecksum(place *[20]byte, id uint64, chunk uint32, at int, payload []byte) uint32 {
 	binary.LittleEndian.PutUint64(place[:], id)
 	binary.LittleEndian.PutUint32(place[8:], chunk)
 	binary.LittleEndian.PutUint32(place[12:], uint32(at))
@@ -73,14 +73,14 @@
 // encoder appends one chunk's frames to a buffer. Strings that come again and again are written once in a chunk and
 // named by number from then on.
 type encoder struct {
-	buf     []byte
-	id      uint64
-	chunk   uint32
-	open    int // where the open frame begins
-	names   map[string]uint32
-	lastNow time.Duration
-	lastID  uint32
-	place   [20]byte
+	buf         []byte
+	id          uint64
+	chunk       uint32
+	frameStart  int // where the open frame begins
+	names       map[string]uint32
+	lastNow     time.Duration
+	lastID      uint32
+	checksumBuf [20]byte
 }
 
 func (e *encoder) begin(id uint64, chunk uint32, buf []byte) {
@@ -91,15 +91,15 @@
 	clear(e.names)
 }
 
-func (e *encoder) frame(kind byte) {
-	e.open = len(e.buf)
+func (e *encoder) openFrame(kind byte) {
+	e.frameStart = len(e.buf)
 	e.buf = append(e.buf, 0, 0, 0, 0, 0, 0, 0, 0, kind)
 }
 
-func (e *encoder) close() {
-	payload := e.buf[e.open+frameHeader:]
-	binary.LittleEndian.PutUint32(e.buf[e.open:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(e.buf[e.open+4:], frameSum(&e.place, e.id, e.chunk, e.open, payload))
+func (e *encoder) closeFrame() {
+	payload := e.buf[e.frameStart+frameHeaderSize:]
+	binary.LittleEndian.PutUint32(e.buf[e.frameStart:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(e.buf[e.frameStart+4:], frameChecksum(&e.checksumBuf, e.id, e.chunk, e.frameStart, payload))
 }
 
 func (e *encoder) uint(x uint64) { e.buf = binary.AppendUvarint(e.buf, x) }
@@ -126,19 +126,19 @@
 	e.names[s] = uint32(len(e.names) + 1)
 }
 
-// message writes a message's number against the last one: mostly a byte or two.
-func (e *encoder) message(id uint32) {
+// messageID writes a message's number against the last one: mostly a byte or two.
+func (e *encoder) messageID(id uint32) {
 	e.int(int64(id) - int64(e.lastID))
 	e.lastID = id
 }
 
 // The bits of an event that say which of its fields follow.
 const (
-	hasEnded byte = 1 << iota
-	hasWait
-	hasReport
-	hasRan
-	hasResumed
+	hasMessageEnded byte = 1 << iota
+	hasRetryAfter
+	hasLimitReport
+	hasMayHaveRun
+	hasRecovered
 	hasKey
 )
 
@@ -148,16 +148,16 @@
 	case policy.MessageAccepted:
 		var has byte
 		if x.Recovered != nil {
-			has |= hasResumed
+			has |= hasRecovered
 			if x.Recovered.MayHaveRun {
-				has |= hasRan
+				has |= hasMayHaveRun
 			}
 		}
 		if x.Key != "" {
 			has |= hasKey
 		}
 		e.byte(has)
-		e.message(x.MessageID)
+		e.messageID(x.MessageID)
 		e.int(int64(x.Class))
 		e.int(int64(x.Tenant))
 		e.int(int64(x.Destination))
@@ -165,40 +165,40 @@
 		if has&hasKey != 0 {
 			e.text(x.Key)
 		}
-		if has&hasResumed != 0 {
+		if has&hasRecovered != 0 {
 			e.int(int64(x.Recovered.Attempts))
 		}
-		if has&hasRan != 0 {
+		if has&hasMayHaveRun != 0 {
 			e.int(int64(x.Recovered.SinceFirstRun))
 			e.int(int64(x.Recovered.FirstRunZone))
 		}
 	case policy.AttemptFinished, policy.HealthChecked:
 		var has byte
 		if x.MessageEnded {
-			has |= hasEnded
+			has |= hasMessageEnded
 		}
 		if x.RetryAfter != 0 {
-			has |= hasWait
+			has |= hasRetryAfter
 		}
 		if x.LimitReport != (policy.LimitReport{}) {
-			has |= hasReport
+			has |= hasLimitReport
 		}
 		e.byte(has)
-		e.message(x.MessageID)
+		e.messageID(x.MessageID)
 		e.int(int64(x.Attempt))
 		e.name(x.Endpoint)
 		e.byte(byte(x.Outcome))
 		e.int(int64(x.Latency))
-		if has&hasWait != 0 {
+		if has&hasRetryAfter != 0 {
 			e.int(int64(x.RetryAfter))
 		}
-		if has&hasReport != 0 {
+		if has&hasLimitReport != 0 {
 			e.bool(x.LimitReport.Present)
 			e.float(x.LimitReport.Remaining)
 			e.float(x.LimitReport.Limit)
 		}
 	case policy.MessageCancelled:
-		e.message(x.MessageID)
+		e.messageID(x.MessageID)
 	case policy.QuotaGranted:
 		e.int(int64(x.Destination))
 		e.name(x.Endpoint)
@@ -208,7 +208,7 @@
 	case policy.EndpointSnapshot, policy.EndpointDelta:
 		e.uint(uint64(len(x.Endpoints)))
 		for i := range x.Endpoints {
-			e.listing(&x.Endpoints[i])
+			e.endpoint(&x.Endpoints[i])
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	}
 }
 
-func (e *encoder) listing(l *policy.Endpoint) {
+func (e *encoder) endpoint(l *policy.Endpoint) {
 	var has byte
 	if l.InService {
 		has |= 1
@@ -244,11 +244,11 @@
 	e.byte(byte(a.Kind))
 	switch a.Kind {
 	case policy.Send:
-		e.message(a.MessageID)
+		e.messageID(a.MessageID)
 		e.name(a.Endpoint)
 		e.int(int64(a.TimeoutAt))
 	case policy.Reject, policy.Fail:
-		e.message(a.MessageID)
+		e.messageID(a.MessageID)
 		e.int(int64(a.Delay))
 	case policy.SetTimer:
 		e.int(int64(a.Delay))
@@ -345,7 +345,7 @@
 	return d.names[n-1]
 }
 
-func (d *decoder) message() uint32 {
+func (d *decoder) messageID() uint32 {
 	d.lastID = uint32(int64(d.lastID) + d.int())
 	return d.lastID
 }
@@ -354,7 +354,7 @@
 // could fill.
 func (d *decoder) count() int {
 	n := d.uint()
-	if n > uint64(len(d.data)) || n > entriesMost {
+	if n > uint64(len(d.data)) || n > maxEntries {
 		d.fail()
 		return 0
 	}
@@ -366,32 +366,32 @@
 	switch x.Kind {
 	case policy.MessageAccepted:
 		has := d.byte()
-		x.MessageID = d.message()
+		x.MessageID = d.messageID()
 		x.Class, x.Tenant, x.Destination = int(d.int()), int(d.int()), int(d.int())
 		x.TimeLeft = time.Duration(d.int())
 		if has&hasKey != 0 {
 			x.Key = string(d.bytes())
 		}
-		if has&hasResumed != 0 {
+		if has&hasRecovered != 0 {
 			x.Recovered = &policy.RecoveredMessage{Attempts: int(d.int())}
-			if has&hasRan != 0 {
+			if has&hasMayHaveRun != 0 {
 				x.Recovered.MayHaveRun = true
 				x.Recovered.SinceFirstRun, x.Recovered.FirstRunZone = time.Duration(d.int()), int(d.int())
 			}
 		}
 	case policy.AttemptFinished, policy.HealthChecked:
 		has := d.byte()
-		x.MessageID, x.Attempt, x.Endpoint = d.message(), int(d.int()), d.name()
+		x.MessageID, x.Attempt, x.Endpoint = d.messageID(), int(d.int()), d.name()
 		x.Outcome, x.Latency = policy.Outcome(d.byte()), time.Duration(d.int())
-		x.MessageEnded = has&hasEnded != 0
-		if has&hasWait != 0 {
+		x.MessageEnded = has&hasMessageEnded != 0
+		if has&hasRetryAfter != 0 {
 			x.RetryAfter = time.Duration(d.int())
 		}
-		if has&hasReport != 0 {
+		if has&hasLimitReport != 0 {
 			x.LimitReport = policy.LimitReport{Present: d.bool(), Remaining: d.float(), Limit: d.float()}
 		}
 	case policy.MessageCancelled:
-		x.MessageID = d.message()
+		x.MessageID = d.messageID()
 	case policy.QuotaGranted:
 		x.Destination, x.Endpoint = int(d.int()), d.name()
 		x.ReservedFraction, x.GrantedCalls, x.TimeLeft = d.float(), int(d.int()), time.Duration(d.int())
@@ -399,7 +399,7 @@
 		n := d.count()
 		x.Endpoints = make([]policy.Endpoint, 0, min(n, 1<<16))
 		for range n {
-			x.Endpoints = append(x.Endpoints, d.listing())
+			x.Endpoints = append(x.Endpoints, d.endpoint())
 			if d.err != nil {
 				return
 			}
@@ -410,7 +410,7 @@
 	}
 }
 
-func (d *decoder) listing() policy.Endpoint {
+func (d *decoder) endpoint() policy.Endpoint {
 	has := d.byte()
 	l := policy.Endpoint{InService: has&1 != 0, Removed: has&2 != 0, Relisted: has&4 != 0, ID: d.name()}
 	l.Destination, l.Kind, l.Zone, l.Weight = int(d.int()), int(d.int()), int(d.int()), d.float()
@@ -421,9 +421,9 @@
 	*a = policy.Action{Kind: policy.ActionKind(d.byte())}
 	switch a.Kind {
 	case policy.Send:
-		a.MessageID, a.Endpoint, a.TimeoutAt = d.message(), d.name(), time.Duration(d.int())
+		a.MessageID, a.Endpoint, a.TimeoutAt = d.messageID(), d.name(), time.Duration(d.int())
 	case policy.Reject, policy.Fail:
-		a.MessageID, a.Delay = d.message(), time.Duration(d.int())
+		a.MessageID, a.Delay = d.messageID(), time.Duration(d.int())
 	case policy.SetTimer:
 		a.Delay = time.Duration(d.int())
 	case policy.CloseIdle:
@@ -439,19 +439,19 @@
 // readFrame reads the frame that begins at an offset of a chunk's bytes.
 func readFrame(id uint64, chunk uint32, data []byte, at int) (payload []byte, next int, err error) {
 	rest := data[at:]
-	if len(rest) < frameHeader {
+	if len(rest) < frameHeaderSize {
 		return nil, at, fmt.Errorf("cut in a frame's header")
 	}
 	n := binary.LittleEndian.Uint32(rest)
 	switch {
 	case n == 0 || n > MaxFrameSize:
 		return nil, at, fmt.Errorf("a frame of %d bytes", n)
-	case int(n) > len(rest)-frameHeader:
-		return nil, at, fmt.Errorf("cut in a frame: %d of %d bytes", len(rest)-frameHeader, n)
+	case int(n) > len(rest)-frameHeaderSize:
+		return nil, at, fmt.Errorf("cut in a frame: %d of %d bytes", len(rest)-frameHeaderSize, n)
 	}
-	payload = rest[frameHeader : frameHeader+int(n)]
-	if frameSum(new([20]byte), id, chunk, at, payload) != binary.LittleEndian.Uint32(rest[4:]) {
+	payload = rest[frameHeaderSize : frameHeaderSize+int(n)]
+	if frameChecksum(new([20]byte), id, chunk, at, payload) != binary.LittleEndian.Uint32(rest[4:]) {
 		return nil, at, fmt.Errorf("checksum of a frame of %d bytes does not match", n)
 	}
-	return payload, at + frameHeader + int(n), nil
+	return payload, at + frameHeaderSize + int(n), nil
 }
--- a/internal/recording/flightrecorder/load.go
+++ b/internal/recording/flightrecorder/load.go
@@ -11,11 +11,11 @@
 	"strings"
 )
 
-// logWord begins a line of a log that holds a part of a recording.
-const logWord = "flight "
+// logPrefix begins a line of a log that holds a part of a recording.
+const logPrefix = "flight "
 
-// lineMost bounds such a line, in bytes.
-const lineMost = 64 << 10
+// maxLineSize bounds such a line, in bytes.
+const maxLineSize = 64 << 10
 
 // Recording is the bytes of one recording, put together from wherever its chunks were found.
 type Recording struct {
@@ -53,10 +53,10 @@
 // passed over: what it held is told as lost by the Reader.
 func FromLog(log []byte) (data []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(log))
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineSize)
 	for lines.Scan() {
 		// Whoever collected the log may have put something before the line.
-		_, text, ok := bytes.Cut(lines.Bytes(), []byte(logWord))
+		_, text, ok := bytes.Cut(lines.Bytes(), []byte(logPrefix))
 		if !ok {
 			continue
 		}
@@ -81,7 +81,7 @@
 		if err != nil {
 			continue
 		}
-		r.any = true
+		r.allRecordings = true
 		var open key
 		from := -1
 		end := func(to int) {
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -50,80 +50,80 @@
 // goes on with the next chunk of the same recording. Its bytes may have been written by anyone: no length in them makes
 // it use more memory than a small multiple of the recording's own size.
 type Reader struct {
-	data  []byte
-	at    int // of the next frame, or of the next chunk's preamble
-	id    uint64
-	known bool // id is
-	start int  // of the open chunk; -1: none is open
-	chunk uint32
-	last  uint32 // number of the last chunk that was read
-	some  bool   // one was
-	dec   decoder
-	told  bool // the place at hand was told as lost
-	any   bool // chunks of any recording are read
-	scan  bool // damage was met: what comes next may lie inside a payload
+	data          []byte
+	offset        int // of the next frame, or of the next chunk's preamble
+	id            uint64
+	idKnown       bool // id is
+	chunkStart    int  // of the open chunk; -1: none is open
+	chunk         uint32
+	lastChunk     uint32 // number of the last chunk that was read
+	chunkRead     bool   // one was
+	decoder       decoder
+	lossReported  bool // the place at hand was told as lost
+	allRecordings bool // chunks of any recording are read
+	afterDamage   bool // damage was met: what comes next may lie inside a payload
 }
 
 // NewReader returns a Reader of a recording, or ErrNoRecording if no chunk begins anywhere in it.
 func NewReader(data []byte) (*Reader, error) {
-	if i := bytes.Index(data, []byte(magic)); i < 0 || len(data)-i < preamble {
+	if i := bytes.Index(data, []byte(magic)); i < 0 || len(data)-i < preambleSize {
 		return nil, ErrNoRecording
 	}
-	return &Reader{data: data, start: -1}, nil
+	return &Reader{data: data, chunkStart: -1}, nil
 }
 
-// Next returns the next entry; ok is false at the end of the recording. The error is ErrNewer for a chunk of a newer
+// Next returns the next entry; ok is false at the end of the recording. The error is ErrNewerFormat for a chunk of a newer
 // form, of which nothing can be told.
 func (r *Reader) Next() (e Entry, ok bool, err error) {
 	for {
-		if r.start < 0 {
-			e, ok, err := r.begin()
-			if ok || err != nil || r.start < 0 {
+		if r.chunkStart < 0 {
+			e, ok, err := r.beginChunk()
+			if ok || err != nil || r.chunkStart < 0 {
 				return e, ok, err
 			}
 			continue
 		}
-		if r.at == len(r.data) {
+		if r.offset == len(r.data) {
 			return Entry{}, false, nil
 		}
-		if r.preambleAt(r.at) {
-			r.start = -1
+		if r.isPreamble(r.offset) {
+			r.chunkStart = -1
 			continue
 		}
-		at := r.at
-		payload, next, err := readFrame(r.id, r.chunk, r.data[r.start:], r.at-r.start)
+		at := r.offset
+		payload, next, err := readFrame(r.id, r.chunk, r.data[r.chunkStart:], r.offset-r.chunkStart)
 		if err == nil {
-			e, err = r.entry(payload)
+			e, err = r.readEntry(payload)
 		}
 		if err != nil {
 			// Frames behind it depend on what it held: the chunk ends here.
-			r.start, r.at, r.scan = -1, at+1, true
+			r.chunkStart, r.offset, r.afterDamage = -1, at+1, true
 			return Entry{Kind: Lost, At: int64(at), Text: err.Error()}, true, nil
 		}
-		r.at = r.start + next
+		r.offset = r.chunkStart + next
 		e.At = int64(at)
 		return e, true, nil
 	}
 }
 
-// preambleAt tells whether a chunk of this recording begins at an offset. Frames begin with their lengths: the magic
+// isPreamble tells whether a chunk of this recording begins at an offset. Frames begin with their lengths: the magic
 // as one would be longer than any frame.
-func (r *Reader) preambleAt(at int) bool {
+func (r *Reader) isPreamble(at int) bool {
 	rest := r.data[at:]
-	return len(rest) >= preamble && string(rest[:len(magic)]) == magic &&
-		(!r.known || r.any || binary.LittleEndian.Uint64(rest[len(magic):]) == r.id)
+	return len(rest) >= preambleSize && string(rest[:len(magic)]) == magic &&
+		(!r.idKnown || r.allRecordings || binary.LittleEndian.Uint64(rest[len(magic):]) == r.id)
 }
 
-// begin finds the next chunk from r.at on. Bytes that a client sent may look like one, also like one of an older
+// beginChunk finds the next chunk from r.at on. Bytes that a client sent may look like one, also like one of an older
 // recording: it must carry this recording's id, and its header's checksum must match.
-func (r *Reader) begin() (Entry, bool, error) {
-	from := r.at
+func (r *Reader) beginChunk() (Entry, bool, error) {
+	from := r.offset
 	for {
-		i := bytes.Index(r.data[r.at:], []byte(magic))
-		if i < 0 || len(r.data)-r.at-i < preamble {
-			r.at = len(r.data)
-			if lost := r.at - from; lost > 1 && !r.told {
-				r.told = true
+		i := bytes.Index(r.data[r.offset:], []byte(magic))
+		if i < 0 || len(r.data)-r.offset-i < preambleSize {
+			r.offset = len(r.data)
+			if lost := r.offset - from; lost > 1 && !r.lossReported {
+				r.lossReported = true
 				return Entry{
 					Kind: Lost,
 					At:   int64(from),
@@ -132,47 +132,47 @@
 			}
 			return Entry{}, false, nil
 		}
-		r.at += i
-		if !r.preambleAt(r.at) {
-			r.at++
+		r.offset += i
+		if !r.isPreamble(r.offset) {
+			r.offset++
 			continue
 		}
-		id := binary.LittleEndian.Uint64(r.data[r.at+len(magic):])
-		number := binary.LittleEndian.Uint32(r.data[r.at+len(magic)+idSize:])
-		e, next, err := r.header(r.at, id, number)
-		if err == ErrNewer {
+		id := binary.LittleEndian.Uint64(r.data[r.offset+len(magic):])
+		number := binary.LittleEndian.Uint32(r.data[r.offset+len(magic)+idSize:])
+		e, next, err := r.readHeader(r.offset, id, number)
+		if err == ErrNewerFormat {
 			return Entry{}, false, fmt.Errorf("%w: format %d, this one reads %d", err, e.Meta.Format, Format)
 		}
 		// A payload may hold an earlier chunk of this recording, if someone could read that: chunks only go forward.
-		if err != nil || r.scan && r.some && id == r.id && number <= r.last {
-			r.at++
+		if err != nil || r.afterDamage && r.chunkRead && id == r.id && number <= r.lastChunk {
+			r.offset++
 			continue
 		}
-		if r.some && !r.any && number != r.last+1 && !r.told {
-			r.told = true
+		if r.chunkRead && !r.allRecordings && number != r.lastChunk+1 && !r.lossReported {
+			r.lossReported = true
 			return Entry{
 				Kind: Lost,
-				At:   int64(r.at),
-				Text: fmt.Sprintf("chunks between %d and %d are missing", r.last, number),
+				At:   int64(r.offset),
+				Text: fmt.Sprintf("chunks between %d and %d are missing", r.lastChunk, number),
 			}, true, nil
 		}
-		r.told, r.scan = false, false
-		r.id, r.known, r.chunk, r.last, r.some = id, true, number, number, true
-		r.start, r.at = r.at, next
-		r.dec = decoder{}
+		r.lossReported, r.afterDamage = false, false
+		r.id, r.idKnown, r.chunk, r.lastChunk, r.chunkRead = id, true, number, number, true
+		r.chunkStart, r.offset = r.offset, next
+		r.decoder = decoder{}
 		return e, true, nil
 	}
 }
 
-// header reads a chunk's header, and its state.
-func (r *Reader) header(start int, id uint64, number uint32) (Entry, int, error) {
+// readHeader reads a chunk's header, and its state.
+func (r *Reader) readHeader(start int, id uint64, number uint32) (Entry, int, error) {
 	data := r.data[start:]
-	payload, at, err := readFrame(id, number, data, preamble)
+	payload, at, err := readFrame(id, number, data, preambleSize)
 	if err != nil {
 		return Entry{}, 0, err
 	}
-	var h head
-	if payload[0] != frameHead {
+	var h chunkHeader
+	if payload[0] != frameChunkHeader {
 		return Entry{}, 0, errFrame
 	}
 	if err := json.Unmarshal(payload[1:], &h); err != nil {
@@ -180,7 +180,7 @@
 	}
 	e := Entry{Kind: Begin, At: int64(start), ID: id, Chunk: number, Meta: h.Meta, Fresh: h.Fresh, Now: h.At}
 	if h.Format > Format {
-		return e, 0, ErrNewer
+		return e, 0, ErrNewerFormat
 	}
 	if !h.Fresh {
 		payload, next, err := readFrame(id, number, data, at)
@@ -195,9 +195,9 @@
 	return e, start + at, nil
 }
 
-// entry reads a frame's payload.
-func (r *Reader) entry(payload []byte) (Entry, error) {
-	d := &r.dec
+// readEntry reads a frame's payload.
+func (r *Reader) readEntry(payload []byte) (Entry, error) {
+	d := &r.decoder
 	d.data, d.err = payload[1:], nil
 	var e Entry
 	switch payload[0] {
@@ -221,19 +221,19 @@
 				return e, d.err
 			}
 		}
-	case frameClear:
+	case frameSendChecked:
 		e.Kind = SendChecked
 		d.lastNow += time.Duration(d.int())
 		e.Now, e.Allowed, e.Endpoint = d.lastNow, d.bool(), d.name()
 		for range d.count() {
-			e.MessageIDs = append(e.MessageIDs, d.message())
+			e.MessageIDs = append(e.MessageIDs, d.messageID())
 		}
 	case frameLabel:
-		e.Kind, e.MessageID = Label, d.message()
+		e.Kind, e.MessageID = Label, d.messageID()
 		e.Text = string(d.bytes())
-	case frameBesideState, frameBeside:
+	case frameFleetState, frameFleetStep:
 		e.Kind = FleetState
-		if payload[0] == frameBeside {
+		if payload[0] == frameFleetStep {
 			e.Kind = FleetStep
 		}
 		e.State, d.data = d.data, nil
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -16,11 +16,11 @@
 const (
 	DefaultRingSize = 4 << 20
 	// MinRingSize holds a few chunks of the least size.
-	MinRingSize = 256 << 10
-	chunkShare  = 8 // a ring holds about so many chunks
-	// stateShare bounds what states add: a chunk is at least so many times as long as the state that it begins with.
-	stateShare = 4
-	namesMost  = 1 << 16 // a chunk that names more strings ends
+	MinRingSize   = 256 << 10
+	chunksPerRing = 8 // a ring holds about so many chunks
+	// minChunkToStateRatio bounds what states add: a chunk is at least so many times as long as the state that it begins with.
+	minChunkToStateRatio = 4
+	maxNames             = 1 << 16 // a chunk that names more strings ends
 )
 
 // Meta is what a recording's chunks say of the process that made it.
@@ -34,8 +34,8 @@
 	Started  time.Time       `json:"started"` // wall time at the module's time 0
 }
 
-// head is the payload of a chunk's first frame.
-type head struct {
+// chunkHeader is the payload of a chunk's first frame.
+type chunkHeader struct {
 	Meta
 	Chunk uint32        `json:"chunk"`
 	At    time.Duration `json:"at"`    // the module's time at the chunk's begin, in ns
@@ -45,21 +45,21 @@
 // Recorder keeps a recording's last chunks. Its methods may be called from any goroutine, on a nil Recorder too, which
 // records nothing.
 type Recorder struct {
-	mu     sync.Mutex
-	meta   Meta
-	state  func([]byte) []byte
-	beside func([]byte) []byte // state of what stands beside the module; nil: nothing does
-	ring   int                 // bytes
-	least  int                 // bytes of a chunk
-	id     uint64
-	enc    encoder
-	chunks []chunk // full ones, oldest first; the open one is enc's
-	spare  []byte  // room of a chunk that was dropped
-	size   int     // bytes of chunks
-	full   int     // the open chunk ends beyond this
-	now    time.Duration
-	taken  bool          // a sink follows the recording
-	more   chan struct{} // tells the sink that there is something
+	mu           sync.Mutex
+	meta         Meta
+	state        func([]byte) []byte
+	fleetState   func([]byte) []byte // state of what stands beside the module; nil: nothing does
+	ringSize     int                 // bytes
+	minChunkSize int                 // bytes of a chunk
+	id           uint64
+	enc          encoder
+	closedChunks []chunk // full ones, oldest first; the open one is enc's
+	spare        []byte  // room of a chunk that was dropped
+	closedSize   int     // bytes of chunks
+	chunkLimit   int     // the open chunk ends beyond this
+	now          time.Duration
+	followed     bool          // a sink follows the recording
+	appended     chan struct{} // tells the sink that there is something
 }
 
 type chunk struct {
@@ -72,7 +72,7 @@
 // from Step, after the module has taken it.
 func NewRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ring, state)
-	r.begin(true)
+	r.beginChunk(true)
 	return r
 }
 
@@ -81,7 +81,7 @@
 func ResumeRecorder(meta Meta, ring int, state func([]byte) []byte, now time.Duration) *Recorder {
 	r := newRecorder(meta, ring, state)
 	r.now = now
-	r.begin(false)
+	r.beginChunk(false)
 	return r
 }
 
@@ -90,10 +90,10 @@
 		ring = DefaultRingSize
 	}
 	ring = max(ring, MinRingSize)
-	meta.Format = formatPlain
+	meta.Format = formatWithoutFleet
 	return &Recorder{
-		meta: meta, state: state, ring: ring, least: ring / chunkShare, id: rand.Uint64(),
-		enc: encoder{names: map[string]uint32{}}, more: make(chan struct{}, 1),
+		meta: meta, state: state, ringSize: ring, minChunkSize: ring / chunksPerRing, id: rand.Uint64(),
+		enc: encoder{names: map[string]uint32{}}, appended: make(chan struct{}, 1),
 	}
 }
 
@@ -105,53 +105,53 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.beside, r.meta.Format = state, Format
-	r.begin(len(r.chunks) == 0 && r.now == 0)
+	r.fleetState, r.meta.Format = state, Format
+	r.beginChunk(len(r.closedChunks) == 0 && r.now == 0)
 }
 
-// begin opens a chunk.
-func (r *Recorder) begin(fresh bool) {
+// beginChunk opens a chunk.
+func (r *Recorder) beginChunk(fresh bool) {
 	number := r.enc.chunk
 	if !fresh {
 		number++
 	}
 	room := r.spare
 	if r.spare = nil; room == nil {
-		room = make([]byte, 0, r.least+r.least/4)
+		room = make([]byte, 0, r.minChunkSize+r.minChunkSize/4)
 	}
 	r.enc.begin(r.id, number, room)
-	data, err := json.Marshal(head{Meta: r.meta, Chunk: number, At: r.now, Fresh: fresh})
+	data, err := json.Marshal(chunkHeader{Meta: r.meta, Chunk: number, At: r.now, Fresh: fresh})
 	if err != nil { // a figure of the settings that is not a number: the module refuses those
 		data = []byte("{}")
 	}
-	r.enc.frame(frameHead)
+	r.enc.openFrame(frameChunkHeader)
 	r.enc.buf = append(r.enc.buf, data...)
-	r.enc.close()
+	r.enc.closeFrame()
 	if !fresh {
-		r.enc.frame(frameState)
+		r.enc.openFrame(frameState)
 		r.enc.buf = r.state(r.enc.buf)
-		r.enc.close()
+		r.enc.closeFrame()
 	}
-	if r.beside != nil {
-		r.enc.frame(frameBesideState)
-		r.enc.buf = r.beside(r.enc.buf)
-		r.enc.close()
+	if r.fleetState != nil {
+		r.enc.openFrame(frameFleetState)
+		r.enc.buf = r.fleetState(r.enc.buf)
+		r.enc.closeFrame()
 	}
-	r.full = max(r.least, stateShare*len(r.enc.buf))
+	r.chunkLimit = max(r.minChunkSize, minChunkToStateRatio*len(r.enc.buf))
 }
 
-// end closes the open chunk and drops the oldest ones that no longer fit.
-func (r *Recorder) end() {
-	r.chunks = append(r.chunks, chunk{r.enc.chunk, r.enc.buf})
-	r.size += len(r.enc.buf)
+// endChunk closes the open chunk and drops the oldest ones that no longer fit.
+func (r *Recorder) endChunk() {
+	r.closedChunks = append(r.closedChunks, chunk{r.enc.chunk, r.enc.buf})
+	r.closedSize += len(r.enc.buf)
 	drop := 0
-	for drop < len(r.chunks) && r.size > r.ring-r.full {
-		r.size -= len(r.chunks[drop].data)
-		r.spare = r.chunks[drop].data
+	for drop < len(r.closedChunks) && r.closedSize > r.ringSize-r.chunkLimit {
+		r.closedSize -= len(r.closedChunks[drop].data)
+		r.spare = r.closedChunks[drop].data
 		drop++
 	}
 	if drop > 0 {
-		r.chunks = append(r.chunks[:0], r.chunks[drop:]...)
+		r.closedChunks = append(r.closedChunks[:0], r.closedChunks[drop:]...)
 	}
 }
 
@@ -168,7 +168,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &r.enc
-	e.frame(frameStep)
+	e.openFrame(frameStep)
 	e.int(int64(now - e.lastNow))
 	e.lastNow, r.now = now, now
 	e.uint(uint64(len(events)))
@@ -179,36 +179,36 @@
 	for i := range actions {
 		e.action(&actions[i])
 	}
-	if len(e.buf)-e.open-frameHeader > MaxFrameSize || max(len(events), len(actions)) > entriesMost {
-		e.buf = e.buf[:e.open] // the chunk that begins here holds the state behind it
-		r.next()
-		r.note("a step was too large for a frame, and is missing before this")
+	if len(e.buf)-e.frameStart-frameHeaderSize > MaxFrameSize || max(len(events), len(actions)) > maxEntries {
+		e.buf = e.buf[:e.frameStart] // the chunk that begins here holds the state behind it
+		r.nextChunk()
+		r.appendNote("a step was too large for a frame, and is missing before this")
 		return
 	}
-	e.close()
-	if r.beside != nil {
-		e.frame(frameBeside)
+	e.closeFrame()
+	if r.fleetState != nil {
+		e.openFrame(frameFleetStep)
 		e.buf = append(e.buf, beside...)
-		e.close()
+		e.closeFrame()
 	}
-	r.roll()
+	r.rollIfFull()
 }
 
-func (r *Recorder) roll() {
-	if len(r.enc.buf) >= r.full || len(r.enc.names) > namesMost {
-		r.next()
+func (r *Recorder) rollIfFull() {
+	if len(r.enc.buf) >= r.chunkLimit || len(r.enc.names) > maxNames {
+		r.nextChunk()
 	}
-	if r.taken {
+	if r.followed {
 		select {
-		case r.more <- struct{}{}:
+		case r.appended <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (r *Recorder) next() {
-	r.end()
-	r.begin(false)
+func (r *Recorder) nextChunk() {
+	r.endChunk()
+	r.beginChunk(false)
 }
 
 // Reconfigured records that other settings hold: a chunk with them begins. It is called after the module has taken
@@ -220,7 +220,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.meta.Settings = set
-	r.next()
+	r.nextChunk()
 }
 
 // SendChecked records an answer of policy.Engine.StillAllowed.
@@ -231,16 +231,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &r.enc
-	e.frame(frameClear)
+	e.openFrame(frameSendChecked)
 	e.int(int64(now - e.lastNow))
 	e.lastNow = now
 	e.bool(may)
 	e.name(route)
 	e.uint(uint64(len(ids)))
 	for _, id := range ids {
-		e.message(id)
+		e.messageID(id)
 	}
-	e.close()
+	e.closeFrame()
 }
 
 // Label records the trace id under which clients and hosts know a message. It is called before the step that takes it.
@@ -251,10 +251,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &r.enc
-	e.frame(frameLabel)
-	e.message(id)
+	e.openFrame(frameLabel)
+	e.messageID(id)
 	e.text(trace)
-	e.close()
+	e.closeFrame()
 }
 
 // Note records a remark: a signal, a crash, a reason why the recording was kept.
@@ -264,14 +264,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(text)
+	r.appendNote(text)
 }
 
-func (r *Recorder) note(text string) {
-	r.enc.frame(frameNote)
+func (r *Recorder) appendNote(text string) {
+	r.enc.openFrame(frameNote)
 	r.enc.text(text)
-	r.enc.close()
-	r.roll()
+	r.enc.closeFrame()
+	r.rollIfFull()
 }
 
 // WriteTo writes what the ring holds: whole chunks, oldest first, and the open one. The ring goes on meanwhile.
@@ -280,8 +280,8 @@
 		return 0, nil
 	}
 	r.mu.Lock()
-	data := make([]byte, 0, r.size+len(r.enc.buf))
-	for _, c := range r.chunks {
+	data := make([]byte, 0, r.closedSize+len(r.enc.buf))
+	for _, c := range r.closedChunks {
 		data = append(data, c.data...)
 	}
 	data = append(data, r.enc.buf...)
@@ -293,8 +293,8 @@
 	return int64(n), err
 }
 
-// place is how far a sink has followed a recording.
-type place struct {
+// position is how far a sink has followed a recording.
+type position struct {
 	chunk  uint32
 	offset int
 }
@@ -306,9 +306,9 @@
 	data   []byte
 }
 
-// after copies what came after a place, and returns the place behind it. lost counts the chunks that left the ring
+// readFrom copies what came after a place, and returns the place behind it. lost counts the chunks that left the ring
 // before they were followed to their ends; at most one of them had been followed all the way.
-func (r *Recorder) after(p place) (pieces []piece, to place, lost int) {
+func (r *Recorder) readFrom(p position) (pieces []piece, to position, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	follow := func(c chunk) {
@@ -317,33 +317,33 @@
 		}
 		if c.number > p.chunk {
 			lost += int(c.number - p.chunk)
-			p = place{chunk: c.number}
+			p = position{chunk: c.number}
 		}
 		if p.offset < len(c.data) {
 			pieces = append(pieces, piece{c.number, p.offset, bytes.Clone(c.data[p.offset:])})
 		}
 		p.offset = len(c.data)
 	}
-	for _, c := range r.chunks {
+	for _, c := range r.closedChunks {
 		if follow(c); c.number == p.chunk {
-			p = place{chunk: c.number + 1}
+			p = position{chunk: c.number + 1}
 		}
 	}
 	follow(chunk{r.enc.chunk, r.enc.buf})
 	return pieces, p, lost
 }
 
-// follow has the recording told on the channel that it returns.
-func (r *Recorder) follow() <-chan struct{} {
+// startFollowing has the recording told on the channel that it returns.
+func (r *Recorder) startFollowing() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken = true
-	return r.more
+	r.followed = true
+	return r.appended
 }
 
 // Size is how many bytes the ring holds.
 func (r *Recorder) Size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.size + len(r.enc.buf)
+	return r.closedSize + len(r.enc.buf)
 }
--- a/internal/recording/flightrecorder/flight_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -279,7 +279,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := r.Next(); !errors.Is(err, flightrecorder.ErrNewer) || !strings.Contains(err.Error(), "format 9") {
+	if _, _, err := r.Next(); !errors.Is(err, flightrecorder.ErrNewerFormat) || !strings.Contains(err.Error(), "format 9") {
 		t.Error(err)
 	}
 }
--- a/internal/recording/flightrecorder/sink.go
+++ b/internal/recording/flightrecorder/sink.go
@@ -20,10 +20,10 @@
 	// Ext ends the name of a file that holds a recording or a part of one.
 	FileExtension = ".flight"
 	// MinFolderSize is the least room for files, in bytes.
-	MinFolderSize = 1 << 20
-	filesParts    = 8                      // a folder's room is used up by about so many files
-	followGap     = 100 * time.Millisecond // a sink looks no more often
-	linePart      = lineMost / 8 * 5       // bytes of a recording in a line of the log
+	MinFolderSize  = 1 << 20
+	filesPerFolder = 8                      // a folder's room is used up by about so many files
+	followInterval = 100 * time.Millisecond // a sink looks no more often
+	lineDataSize   = maxLineSize / 8 * 5    // bytes of a recording in a line of the log
 )
 
 // Folder is a folder for recordings with a limit of its own on the bytes of the files in it that end in Ext. The oldest
@@ -44,29 +44,29 @@
 	if int64(ring.Len()) > f.Limit {
 		return "", fmt.Errorf("flight: the ring holds %d bytes, the folder may hold %d", ring.Len(), f.Limit)
 	}
-	if err := f.makeRoom(int64(ring.Len())); err != nil {
+	if err := f.freeSpace(int64(ring.Len())); err != nil {
 		return "", err
 	}
-	path := filepath.Join(f.Path, f.file(word(reason)))
+	path := filepath.Join(f.Path, f.fileName(fileNameWord(reason)))
 	temp := path + ".tmp" // under its name only when whole
 	if err := os.WriteFile(temp, ring.Bytes(), 0o600); err != nil {
-		return "", errors.Join(fmt.Errorf("flight: keep the ring: %w", err), remove(temp))
+		return "", errors.Join(fmt.Errorf("flight: keep the ring: %w", err), removeFile(temp))
 	}
 	if err := os.Rename(temp, path); err != nil {
-		return "", errors.Join(fmt.Errorf("flight: keep the ring: %w", err), remove(temp))
+		return "", errors.Join(fmt.Errorf("flight: keep the ring: %w", err), removeFile(temp))
 	}
 	return path, nil
 }
 
-func remove(path string) error {
+func removeFile(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("flight: %w", err)
 	}
 	return nil
 }
 
-// word makes a reason fit for a file's name.
-func word(s string) string {
+// fileNameWord makes a reason fit for a file's name.
+func fileNameWord(s string) string {
 	s = strings.Map(func(r rune) rune {
 		switch {
 		case r >= 'a' && r <= 'z', r >= '0' && r <= '9', r == '-':
@@ -79,19 +79,19 @@
 	return strings.Trim(s[:min(len(s), 40)], "-")
 }
 
-// file is a name that sorts by time.
-func (f Folder) file(what string) string {
+// fileName is a name that sorts by time.
+func (f Folder) fileName(what string) string {
 	return fmt.Sprintf(
 		"%s-%s-%s%s",
-		cmp.Or(word(f.Name), "relay"),
+		cmp.Or(fileNameWord(f.Name), "relay"),
 		time.Now().UTC().Format("20060102T150405.000000000"),
 		what,
 		FileExtension,
 	)
 }
 
-// makeRoom removes the oldest files until so many more bytes fit, and those that a process that died left half-written.
-func (f Folder) makeRoom(more int64) error {
+// freeSpace removes the oldest files until so many more bytes fit, and those that a process that died left half-written.
+func (f Folder) freeSpace(more int64) error {
 	if err := os.MkdirAll(f.Path, 0o700); err != nil {
 		return fmt.Errorf("flight: %w", err)
 	}
@@ -113,7 +113,7 @@
 		}
 		switch name := e.Name(); {
 		case strings.HasSuffix(name, FileExtension+".tmp") && time.Since(info.ModTime()) > time.Minute:
-			if err := remove(filepath.Join(f.Path, name)); err != nil {
+			if err := removeFile(filepath.Join(f.Path, name)); err != nil {
 				return err
 			}
 		case strings.HasSuffix(name, FileExtension):
@@ -126,7 +126,7 @@
 		if sum+more <= f.Limit {
 			break
 		}
-		if err := remove(filepath.Join(f.Path, x.name)); err != nil {
+		if err := removeFile(filepath.Join(f.Path, x.name)); err != nil {
 			return err
 		}
 		sum -= x.size
@@ -139,8 +139,8 @@
 func (f Folder) Follow(ctx context.Context, r *Recorder) error {
 	var file *os.File
 	var size int64
-	part := max(f.Limit, MinFolderSize) / filesParts
-	err := follow(ctx, r, func(p piece) error {
+	part := max(f.Limit, MinFolderSize) / filesPerFolder
+	err := followChunks(ctx, r, func(p piece) error {
 		if file == nil || p.offset == 0 && size+int64(len(p.data)) > part {
 			if file != nil {
 				if err := file.Close(); err != nil {
@@ -148,11 +148,11 @@
 				}
 				file = nil
 			}
-			if err := f.makeRoom(part); err != nil {
+			if err := f.freeSpace(part); err != nil {
 				return err
 			}
 			var err error
-			if file, err = os.OpenFile(filepath.Join(f.Path, f.file("run")), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
+			if file, err = os.OpenFile(filepath.Join(f.Path, f.fileName("run")), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 				return fmt.Errorf("flight: %w", err)
 			}
 			size = 0
@@ -172,7 +172,7 @@
 // FollowLog writes a recording into a log, as lines of text, as Folder.Follow does into files. It is for platforms that
 // keep nothing of a process but its log.
 func FollowLog(ctx context.Context, r *Recorder, log io.Writer) error {
-	return follow(ctx, r, func(p piece) error { return writeLines(log, p.data) })
+	return followChunks(ctx, r, func(p piece) error { return writeLines(log, p.data) })
 }
 
 // DumpToLog writes what a Recorder's ring holds into a log.
@@ -187,9 +187,9 @@
 
 func writeLines(log io.Writer, data []byte) error {
 	for len(data) > 0 {
-		n := min(len(data), linePart)
-		line := make([]byte, 0, len(logWord)+base64.StdEncoding.EncodedLen(n)+1)
-		line = append(line, logWord...)
+		n := min(len(data), lineDataSize)
+		line := make([]byte, 0, len(logPrefix)+base64.StdEncoding.EncodedLen(n)+1)
+		line = append(line, logPrefix...)
 		line = base64.StdEncoding.AppendEncode(line, data[:n])
 		if _, err := log.Write(append(line, '\n')); err != nil { // whole, so that no other line gets between
 			return fmt.Errorf("flight: log: %w", err)
@@ -199,12 +199,12 @@
 	return nil
 }
 
-// follow hands a recording's pieces to write until ctx ends.
-func follow(ctx context.Context, r *Recorder, write func(piece) error) error {
-	more := r.follow()
-	var at place
+// followChunks hands a recording's pieces to write until ctx ends.
+func followChunks(ctx context.Context, r *Recorder, write func(piece) error) error {
+	more := r.startFollowing()
+	var at position
 	for ending := false; ; {
-		pieces, to, lost := r.after(at)
+		pieces, to, lost := r.readFrom(at)
 		at = to
 		if lost > 0 {
 			slog.Warn("recorder: the ring was overwritten before it was written out", "chunks", lost)
@@ -221,7 +221,7 @@
 		case <-ctx.Done():
 			ending = true
 			continue
-		case <-time.After(followGap):
+		case <-time.After(followInterval):
 		}
 		select {
 		case <-ctx.Done():
