--- a/internal/relay/discovery/client.go
+++ b/internal/relay/discovery/client.go
@@ -1,3 +1,8 @@
+// Package discovery watches the list of endpoints that service discovery has, and reads lists.
+//
+// A Watcher delivers lists to its owner. Short ones go as a whole; a long one goes in parts while it is read, so that
+// no more of it than a few parts is in memory. A Client is the connection to discovery's agent, which a change of the
+// configuration may move to another address.
 package discovery
 
 import (
@@ -9,9 +14,10 @@
 	"time"
 )
 
-var ErrMoved = errors.New("discovery has another address now")
+// ErrMoved is the cause for which calls end that are in flight when a Client moves to another address.
+var ErrMoved = errors.New("discovery has moved to another address")
 
-// Client is discovery's agent, which another configuration may put at another address.
+// Client calls discovery's agent. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 
@@ -21,38 +27,43 @@
 	cancelTarget context.CancelFunc
 }
 
+// NewClient returns a client of the agent at addr.
 func NewClient(addr string) *Client {
-	a := &Client{addr: addr, http: &http.Client{Transport: &http.Transport{
+	c := &Client{addr: addr, http: &http.Client{Transport: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
 		DisableCompression: true,
 		MaxConnsPerHost:    4,
 		IdleConnTimeout:    30 * time.Second,
 	}}}
-	a.targetCtx, a.cancelTarget = context.WithCancel(context.Background())
-	return a
+	c.targetCtx, c.cancelTarget = context.WithCancel(context.Background())
+	return c
 }
 
-// Move has all go to addr from here on: what is under way at the old address ends with ErrMoved.
-func (a *Client) Move(addr string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.addr == addr {
+// Move has all calls go to addr from here on. Those in flight to the old address end with ErrMoved.
+func (c *Client) Move(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.addr == addr {
 		return
 	}
-	a.addr = addr
-	a.cancelTarget()
-	a.targetCtx, a.cancelTarget = context.WithCancel(context.Background())
-	a.http.CloseIdleConnections()
+	c.addr = addr
+	c.cancelTarget()
+	c.targetCtx, c.cancelTarget = context.WithCancel(context.Background())
+	c.http.CloseIdleConnections()
 }
 
-// Target returns the address and a context for work there, which ends with ctx, when the agent moves, or by done.
-func (a *Client) Target(ctx context.Context) (addr string, work context.Context, done func()) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	work, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(a.targetCtx, func() { cancel(ErrMoved) })
-	return a.addr, work, func() { stop(); cancel(nil) }
+// Target returns the agent's address and a context for calls there, which ends with ctx, when the client moves, or by
+// release.
+func (c *Client) Target(ctx context.Context) (addr string, targetCtx context.Context, release func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	targetCtx, cancel := context.WithCancelCause(ctx)
+	stop := context.AfterFunc(c.targetCtx, func() { cancel(ErrMoved) })
+	return c.addr, targetCtx, func() {
+		stop()
+		cancel(nil)
+	}
 }
 
-// Do sends a request to the agent.
-func (a *Client) Do(req *http.Request) (*http.Response, error) { return a.http.Do(req) }
+// Do sends a request.
+func (c *Client) Do(req *http.Request) (*http.Response, error) { return c.http.Do(req) }
--- a/internal/relay/discovery/list.go
+++ b/internal/relay/discovery/list.go
@@ -5,17 +5,31 @@
 	"fmt"
 	"slices"
 
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// List is discovery's list of hosts, whole or changes to it.
+// Why an entry is unusable.
+var (
+	errNoID      = errors.New("no id")
+	errNoAddress = errors.New("no address or no cell")
+)
+
+// List is an endpoint list, or changes of it.
 type List struct {
 	Version int64
-	Full    bool
-	Entries []Entry // each is read by itself: one that cannot be read spoils no other
+	Full    bool    // it names all endpoints
+	Entries []Entry // each is read by itself: an unreadable one spoils no other
+}
+
+// Entry is one entry of a list as it was read.
+type Entry struct {
+	catalog.Endpoint
+	Err  error  // why the entry is unreadable; then nothing else of it counts, except its id where there is one
+	Text string // what was read of an unreadable entry
 }
 
-// EndpointRecord is one entry of the list.
+// EndpointRecord is an entry of a list as it stands on the wire.
 type EndpointRecord struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
@@ -26,39 +40,39 @@
 	Weight float64 `json:"weight"`
 }
 
-// Parser reads the entries of a list.
+// Parser interprets the entries of lists.
 type Parser struct {
-	Zones []string // names, by number
-	Kinds []string
+	Zones []string // names of zones, in the order of their numbers
+	Kinds []string // names of destination kinds, likewise
 }
 
-// Parse is what an entry says. Its id is returned also where the rest cannot be used.
-func (p *Parser) Parse(m *EndpointRecord) (l policy.Endpoint, addr string, err error) {
-	l = policy.Endpoint{
-		ID:     m.ID,
-		Zone:   slices.Index(p.Zones, m.Zone),
-		Kind:   slices.Index(p.Kinds, m.Kind),
-		Weight: m.Weight,
+// Parse returns the endpoint of an entry and its address. The endpoint has its id also if there is an error.
+func (p *Parser) Parse(record *EndpointRecord) (endpoint policy.Endpoint, addr string, err error) {
+	endpoint = policy.Endpoint{
+		ID:     record.ID,
+		Zone:   slices.Index(p.Zones, record.Zone),
+		Kind:   slices.Index(p.Kinds, record.Kind),
+		Weight: record.Weight,
 	}
-	switch m.State {
+	switch record.State {
 	case "ready":
-		l.InService = true
+		endpoint.InService = true
 	case "draining":
 	case "gone":
-		l.Removed = true
+		endpoint.Removed = true
 	default:
-		return l, "", fmt.Errorf("unknown state %q", m.State)
+		return endpoint, "", fmt.Errorf("unknown state %q", record.State)
 	}
 	switch {
-	case m.ID == "":
-		return l, "", errors.New("no id")
-	case l.Removed:
-		return l, "", nil
-	case m.Addr == "" || m.Cell == nil:
-		return l, "", errors.New("no address or no cell")
-	case l.Zone < 0 || l.Kind < 0:
-		return l, "", fmt.Errorf("unknown zone %q or kind %q", m.Zone, m.Kind)
+	case record.ID == "":
+		return endpoint, "", errNoID
+	case endpoint.Removed:
+		return endpoint, "", nil
+	case record.Addr == "" || record.Cell == nil:
+		return endpoint, "", errNoAddress
+	case endpoint.Zone < 0 || endpoint.Kind < 0:
+		return endpoint, "", fmt.Errorf("unknown zone %q or kind %q", record.Zone, record.Kind)
 	}
-	l.Destination = *m.Cell
-	return l, m.Addr, nil
+	endpoint.Destination = *record.Cell
+	return endpoint, record.Addr, nil
 }
--- a/internal/relay/discovery/main_test.go
+++ b/internal/relay/discovery/main_test.go
@@ -1,13 +1,20 @@
 package discovery
 
 import (
+	"context"
+	"io"
 	"log/slog"
+	"net/http"
 	"net/http/httptest"
-	"time"
+	"testing"
+
+	"go.uber.org/goleak"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 10 * time.Second
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// emptyList is a full list without entries.
+const emptyList = `{"version":9,"full":true,"servers":[]}`
 
 // testParser knows the zones and kinds of the lists of these tests.
 func testParser() *Parser {
@@ -17,3 +24,32 @@
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
+
+// newServer serves until the test ends.
+func newServer(t *testing.T, handler http.HandlerFunc) *httptest.Server {
+	t.Helper()
+	s := httptest.NewServer(handler)
+	t.Cleanup(s.Close)
+	return s
+}
+
+// send writes a text to a client at once. A client that has left makes it fail, which ends the request anyway.
+func send(w http.ResponseWriter, text string) {
+	_, _ = io.WriteString(w, text)
+	w.(http.Flusher).Flush()
+}
+
+// start runs a watcher until the test ends.
+func start(t *testing.T, w *Watcher) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		w.Run(ctx)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-ended
+	})
+}
--- a/internal/relay/discovery/reader_bench_test.go
+++ b/internal/relay/discovery/reader_bench_test.go
@@ -26,7 +26,8 @@
 		b.Run(bench.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if err := NewListReader(bytes.NewReader(text), testParser()).Next(&ListHead{}, bench.take()); err != nil {
+				lists := NewListReader(bytes.NewReader(text), testParser())
+				if err := lists.Next(&ListHead{}, bench.take()); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/relay/discovery/reader_test.go
+++ b/internal/relay/discovery/reader_test.go
@@ -20,7 +20,7 @@
 }
 
 // A list has a bound, and an entry has: what lies within is read, whatever else stands beside it.
-func TestBoundsOfLists(t *testing.T) {
+func TestListBounds(t *testing.T) {
 	entries := func(n int) io.Reader {
 		return io.MultiReader(
 			strings.NewReader(`{"version":9,"servers":[7`),
@@ -40,8 +40,16 @@
 		{"one more", entries(MaxEntries + 1), errTooManyEntries},
 		{"an entry as long as may be", long(MaxEntrySize - 2), nil},
 		{"a longer one", long(3 * MaxEntrySize), errEntryTooLong},
-		{"a long value beside the entries", strings.NewReader(`{"x":"` + strings.Repeat("x", 3*MaxEntrySize) + `"}`), errEntryTooLong},
-		{"a long list beside the entries", strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*MaxEntrySize) + `7],"servers":null}`), nil},
+		{
+			"a long value beside the entries",
+			strings.NewReader(`{"x":"` + strings.Repeat("x", 3*MaxEntrySize) + `"}`),
+			errEntryTooLong,
+		},
+		{
+			"a long list beside the entries",
+			strings.NewReader(`{"x":[` + strings.Repeat("7,", 3*MaxEntrySize) + `7],"servers":null}`),
+			nil,
+		},
 	} {
 		if err := NewListReader(c.from, nil).Next(&ListHead{}, nil); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math"
 	"math/rand/v2"
 	"net/http"
 	"time"
@@ -18,88 +17,99 @@
 )
 
 const (
-	WatchIdleTimeout = 4500 * time.Millisecond // see Watcher.IdleTimeout
-	ListTimeout      = 30 * time.Second        // a list comes whole within this, however long it is
-	fetchIdleTimeout = time.Second             // a list that was asked for and does not go on for so long is not coming
+	// WatchIdleTimeout is the usual Config.IdleTimeout. Discovery sends a line every 2 s, if only a blank one.
+	WatchIdleTimeout = 4500 * time.Millisecond
+	// ListTimeout is the usual Config.ListTimeout: a list comes in full within this, however long it is.
+	ListTimeout = 30 * time.Second
+	// fetchIdleTimeout bounds the time between the parts of a list that was fetched: one that stalls is not coming.
+	fetchIdleTimeout = time.Second
 )
 
 var (
-	errWatchIdle   = errors.New("the watch has fallen silent")
-	errFetchIdle   = errors.New("the list does not go on")
-	errListTimeout = errors.New("the list does not end")
+	errWatchIdle   = errors.New("watch is idle: no line in time")
+	errFetchIdle   = errors.New("list stalled")
+	errListTimeout = errors.New("list does not end in time")
 )
 
-// Config is what a Watcher goes by.
+// Config is what a Watcher needs from its owner.
 type Config struct {
 	Log    *slog.Logger
 	Client *Client
 	Parser *Parser
 
 	Backoff backoff.Backoff // paces the calls of all relays that watch the list
-	Rand    *rand.Rand
+	Rand    *rand.Rand      // for Backoff
 
-	IdleTimeout time.Duration // a watch with no line for so long is dead: one comes every 2 s
-	ListTimeout time.Duration // a list comes whole within this; 0: whenever
+	IdleTimeout time.Duration // a watch without a line for so long is dead
+	ListTimeout time.Duration // a list ends within this time; 0: it may take any time
 
-	HasList       bool  // a list is known that serves meanwhile
+	HasList       bool  // the owner has a list, which serves meanwhile
 	Version       int64 // of that list
-	NeedsSnapshot bool  // changes alone won't do: the list is to be had whole
+	NeedsSnapshot bool  // that list may lack endpoints: the full list is fetched first
 
-	OnUpdate func(List)               // takes lists that are told as a whole
-	OnPart   func(*SnapshotPart) bool // takes the parts of other lists; false: nobody takes parts any more
-	Stopped  <-chan struct{}          // closed when nobody takes parts any more
-	// LargeList tells whether all lists go in parts that are not short changes; nil: none do.
+	OnUpdate func(List)               // receives lists that are delivered as a whole
+	OnPart   func(*SnapshotPart) bool // receives the parts of other lists; false: the owner has stopped
+	Stopped  <-chan struct{}          // closed when the owner has stopped and answers no more parts
+	// LargeList tells whether all full lists, and changes over MaxPartEntries, go in parts. nil: they do not.
 	LargeList func() bool
 }
 
-// Watcher follows discovery's list.
+// Watcher watches the endpoint list: it fetches full lists and follows the stream of changes, and delivers both to its
+// owner.
 type Watcher struct {
-	Config
-	parts partSender
+	cfg           Config
+	backoff       backoff.Backoff
+	version       int64 // of the list as it was delivered
+	needsSnapshot bool  // changes alone are not enough: the full list is to be fetched
+	parts         partSender
 
 	unreadableLines ratelog.Warning
 	oversizeLists   ratelog.Warning
 }
 
-// NewWatcher returns a watcher that begins with Run.
+// NewWatcher returns a watcher, which begins with Run.
 func NewWatcher(cfg Config) *Watcher {
 	return &Watcher{
-		Config:          cfg,
-		parts:           partSender{post: cfg.OnPart, stopped: cfg.Stopped, largeList: cfg.LargeList},
+		cfg:             cfg,
+		backoff:         cfg.Backoff,
+		version:         cfg.Version,
+		needsSnapshot:   cfg.NeedsSnapshot,
+		parts:           partSender{post: cfg.OnPart, stopped: cfg.Stopped},
 		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"},
-		oversizeLists:   ratelog.Warning{Message: "list not taken"},
+		oversizeLists:   ratelog.Warning{Message: "endpoint list too long"},
 	}
 }
 
-// NewBackoff tells how a relay shares discovery with the others. Where lists are asked for, all call one service. Where
-// they are pushed, the address is an agent of the relay's own, which costs nobody anything; and what it has binds at
-// once, also after it was silent.
+// NewBackoff returns the backoff of a relay with these settings. Where relays poll for lists, all of them call one
+// service. Where lists are pushed, the address is an agent of the relay's own: calls to it burden nobody else, and what
+// it has binds at once, also after it was silent.
 func NewBackoff(settings policy.Settings, grace time.Duration) backoff.Backoff {
-	c := backoff.Backoff{Clients: 1, Grace: grace}
+	b := backoff.Backoff{Clients: 1, Grace: grace}
 	if settings.WatchRequired {
-		c.Clients = settings.FleetSize
+		b.Clients = settings.FleetSize
 	}
-	return c
+	return b
 }
 
-// Run follows the list until ctx ends.
+// Run watches the list until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	first := w.HasList
+	delayed := w.cfg.HasList
 	for ctx.Err() == nil {
-		addr, work, done := w.Client.Target(ctx)
-		if first {
-			sleep(work, w.Backoff.InitialDelay(w.Rand))
+		addr, targetCtx, release := w.cfg.Client.Target(ctx)
+		if delayed {
+			sleep(targetCtx, w.backoff.InitialDelay(w.cfg.Rand))
 		}
-		first = false
-		if work.Err() == nil {
-			w.watchOnce(work, addr)
+		delayed = false
+		if targetCtx.Err() == nil {
+			w.watchOnce(targetCtx, addr)
 		}
-		// A move ends the pause too: what the new address has binds, and the pause was meant for the old one.
-		moved := errors.Is(context.Cause(work), ErrMoved)
-		if done(); moved {
-			// Another agent need not number its versions alike. The old list serves until this one speaks.
-			w.NeedsSnapshot = true
-			w.Backoff.Succeeded()
+		// A move ends the pause, too: the list at the new address binds, and the pause was meant for the old one.
+		moved := errors.Is(context.Cause(targetCtx), ErrMoved)
+		release()
+		if moved {
+			// Another agent may number its versions otherwise. The old list serves until this one answers.
+			w.needsSnapshot = true
+			w.backoff.Succeeded()
 		}
 	}
 }
@@ -112,109 +122,122 @@
 	}
 }
 
-// watchOnce is one watch, until its connection ends or falls silent, and the pause before the next. A connection that is
-// cut off says nothing: only the missing lines tell. version is kept up, so that the next watch resumes where this one
+// watchOnce runs one watch until its connection ends or is idle, and the pause before the next. A connection that is
+// cut off gives no sign: only missing lines tell. The version is kept up, so that the next watch resumes where this one
 // ended.
 func (w *Watcher) watchOnce(ctx context.Context, addr string) {
-	was, began := w.Version, time.Now()
+	before := w.version
+	began := time.Now()
 	err := w.stream(ctx, addr)
-	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, ErrMoved) {
-		return
-	} else if cause != nil {
-		err = cause
+	cause := context.Cause(ctx)
+	if cause != nil && !errors.Is(cause, ErrMoved) {
+		return // the watcher is to end
 	}
-	w.Log.Warn("watch ended", "version", w.Version, "err", err)
-	if w.Version != was {
-		w.Backoff.Succeeded()
+	w.cfg.Log.Warn("watch ended", "version", w.version, "err", cmp.Or(cause, err))
+	if w.version != before {
+		w.backoff.Succeeded()
 	}
-	sleep(ctx, w.Backoff.Failed(w.Rand, time.Since(began)))
+	sleep(ctx, w.backoff.Failed(w.cfg.Rand, time.Since(began)))
 }
 
+// stream reads lists from a watch until that ends, and returns why it did.
 func (w *Watcher) stream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if w.NeedsSnapshot && w.fetch(ctx, addr) != nil {
-		w.Version = 0 // the watch itself may give the whole list
+	if w.needsSnapshot && w.fetch(ctx, addr) != nil {
+		w.version = 0 // the watch itself may send the full list
 	}
-	silence := time.AfterFunc(w.IdleTimeout, func() { cancel(errWatchIdle) })
-	defer silence.Stop()
-	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", addr, w.Version))
+	idle := time.AfterFunc(w.cfg.IdleTimeout, func() { cancel(errWatchIdle) })
+	defer idle.Stop()
+	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", addr, w.version))
 	if err != nil {
 		return contextCause(ctx, err)
 	}
-	defer res.Body.Close()
-	w.Backoff.Succeeded()
-	lives := func() { silence.Reset(w.IdleTimeout) }
-	lists := newListReader(&boundedSource{src: res.Body, onLine: lives}, w.Parser)
-	fetched := int64(math.MinInt64) // changes up to this version are in the whole list that was fetched meanwhile
+	defer closeBody(res)
+	w.backoff.Succeeded()
+	alive := func() { idle.Reset(w.cfg.IdleTimeout) }
+	lists := newListReader(&boundedSource{src: res.Body, onLine: alive}, w.cfg.Parser)
+	options := receiveOptions{knownVersion: noVersion, onProgress: alive, cancel: cancel}
 	for {
-		err := w.receive(lists, receiveOptions{knownVersion: fetched, onProgress: lives, cancel: cancel})
-		spoilt := isUnreadable(err)
-		switch {
-		case err == nil:
-		case spoilt:
-			// Asked for once more it would be as unreadable, for ever: the whole list makes up for it.
-			w.unreadableLines.Log(w.Log, "err", err)
-			w.NeedsSnapshot = true
-		default:
-			w.NeedsSnapshot = w.NeedsSnapshot || errors.Is(err, ErrTooLong)
+		unreadable, err := w.receiveUpdate(lists, options)
+		if err != nil {
 			return contextCause(ctx, jsonstream.NoEOF(err))
 		}
-		if w.NeedsSnapshot {
-			silence.Stop() // nobody listens meanwhile
+		if w.needsSnapshot {
+			idle.Stop() // the watch is not read meanwhile
 			if w.fetch(ctx, addr) == nil {
-				fetched = w.Version
+				options.knownVersion = w.version
 			}
-			lives()
+			alive()
 		}
-		if spoilt {
-			if err := lists.resume(); err != nil {
-				return contextCause(ctx, jsonstream.NoEOF(err))
-			}
+		if !unreadable {
+			continue
+		}
+		if err := lists.resume(); err != nil {
+			return contextCause(ctx, jsonstream.NoEOF(err))
 		}
 	}
 }
 
-// contextCause is why a call ended: what ended its context, if that did.
-func contextCause(ctx context.Context, err error) error { return cmp.Or(context.Cause(ctx), err) }
-
-func (w *Watcher) deliver(l List) {
-	w.Version, w.NeedsSnapshot = l.Version, w.NeedsSnapshot && !l.Full
-	w.OnUpdate(l)
+// receiveUpdate receives one list of a watch. An unreadable one is no error: it would be as unreadable if the watch
+// began again from the version before it, forever. The full list makes up for it.
+func (w *Watcher) receiveUpdate(lists *ListReader, options receiveOptions) (unreadable bool, err error) {
+	err = w.receive(lists, options)
+	if err == nil {
+		return false, nil
+	}
+	if isUnreadable(err) {
+		w.unreadableLines.Log(w.cfg.Log, "err", err)
+		w.needsSnapshot = true
+		return true, nil
+	}
+	w.needsSnapshot = w.needsSnapshot || errors.Is(err, ErrTooLong)
+	return false, err
 }
 
-// fetch asks for the whole list.
+// fetch requests and receives the full list.
 func (w *Watcher) fetch(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stalled := time.AfterFunc(fetchIdleTimeout, func() { cancel(errFetchIdle) })
-	defer stalled.Stop()
+	idle := time.AfterFunc(fetchIdleTimeout, func() { cancel(errFetchIdle) })
+	defer idle.Stop()
 	res, err := w.get(ctx, fmt.Sprintf("http://%s/catalog/members", addr))
 	if err != nil {
 		return contextCause(ctx, err)
 	}
-	defer res.Body.Close()
-	moves := func() { stalled.Reset(fetchIdleTimeout) }
-	lists := newListReader(&boundedSource{src: res.Body}, w.Parser)
-	err = w.receive(lists, receiveOptions{snapshot: true, knownVersion: math.MinInt64, onProgress: moves, cancel: cancel})
+	defer closeBody(res)
+	lists := newListReader(&boundedSource{src: res.Body}, w.cfg.Parser)
+	err = w.receive(lists, receiveOptions{
+		fullSnapshot: true,
+		knownVersion: noVersion,
+		onProgress:   func() { idle.Reset(fetchIdleTimeout) },
+		cancel:       cancel,
+	})
 	if err != nil {
 		return contextCause(ctx, jsonstream.NoEOF(err))
 	}
 	return nil
 }
 
+// get requests url and returns the response, whose body the caller closes.
 func (w *Watcher) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	res, err := w.Client.Do(req)
+	res, err := w.cfg.Client.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
-		res.Body.Close()
+		closeBody(res)
 		return nil, fmt.Errorf("discovery answers %s", res.Status)
 	}
 	return res, nil
 }
+
+// closeBody ends a response. What is left of it is of no use, and neither is the error of closing it.
+func closeBody(res *http.Response) { _ = res.Body.Close() }
+
+// contextCause returns why a call ended: the cause for which its context ended, if that has, or else its error.
+func contextCause(ctx context.Context, err error) error { return cmp.Or(context.Cause(ctx), err) }
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -12,12 +11,13 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery/backoff"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
 // again until it answers, from the version that is known, and never by calls side by side.
-func TestDiscoveryThatTurnsCallersAwayIsCalledAgain(t *testing.T) {
+func TestWatchIsRetriedAfterEveryKindOfFailure(t *testing.T) {
 	var calls, open, most atomic.Int64
 	ways := []func(w http.ResponseWriter, r *http.Request){
 		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
@@ -32,7 +32,7 @@
 			w.(http.Flusher).Flush()
 		},
 	}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if now := open.Add(1); now > most.Load() {
 			most.Store(now)
 		}
@@ -45,83 +45,74 @@
 			ways[n-1](w, r)
 			return
 		}
-		fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
-		w.(http.Flusher).Flush()
+		send(w, emptyList+"\n")
 		<-r.Context().Done()
-	}))
-	ctx, stop := context.WithCancel(context.Background())
+	})
 	told := make(chan List, 8)
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
 		OnUpdate: func(l List) { told <- l }, Backoff: backoff.Backoff{Clients: 1}, Rand: rand.New(rand.NewPCG(1, 2)),
 	})
-	ended := make(chan struct{})
-	go func() { w.Run(ctx); close(ended) }()
+	start(t, w)
 	select {
 	case l := <-told:
 		if l.Version != 9 || !l.Full {
 			t.Errorf("told %+v", l)
 		}
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Errorf("never told after %d calls", calls.Load())
 	}
 	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
 		t.Errorf("%d calls side by side", n)
 	}
-	stop()
-	<-ended
-	s.Close()
 }
 
-// most is a source of random numbers that are as great as they may be.
-type most struct{}
+// maxSource is a source of random numbers that are as great as they may be.
+type maxSource struct{}
 
-func (most) Uint64() uint64 { return math.MaxUint64 }
+func (maxSource) Uint64() uint64 { return math.MaxUint64 }
 
 // A relay that waits before it calls discovery again calls at once where discovery has moved: what the new address has
 // binds.
-func TestAMoveEndsThePauseBetweenCalls(t *testing.T) {
+func TestMoveEndsBackoff(t *testing.T) {
 	serve := func(version int, stay bool) *httptest.Server {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			fmt.Fprintf(w, "{\"version\":%d,\"full\":true,\"servers\":[]}\n", version)
-			w.(http.Flusher).Flush()
+		s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+			send(w, fmt.Sprintf("{\"version\":%d,\"full\":true,\"servers\":[]}\n", version))
 			if stay && r.URL.Query().Get("stream") != "" {
 				<-r.Context().Done()
 			}
-		}))
-		t.Cleanup(s.Close)
+		})
 		return s
 	}
 	old, fresh := serve(5, false), serve(9, true)
-	ctx, stop := context.WithCancel(context.Background())
-	told, ended := make(chan List, 8), make(chan struct{})
-	defer func() { stop(); <-ended }()
+	client := NewClient(addrOf(old))
+	told := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(old)), IdleTimeout: patience, OnUpdate: func(l List) { told <- l },
-		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(most{}),
+		Log: quiet(), Client: client, IdleTimeout: nettest.Patience, OnUpdate: func(l List) { told <- l },
+		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(maxSource{}),
 	})
-	go func() { w.Run(ctx); close(ended) }()
-	hear := func(version int64) {
+	start(t, w)
+	receive := func(version int64) {
 		t.Helper()
 		select {
 		case l := <-told:
 			if l.Version != version {
 				t.Errorf("told version %d, want %d", l.Version, version)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("version %d never told", version)
 		}
 	}
-	hear(5) // and the watch has ended, or ends soon: the next call is half a day away
-	w.Client.Move(addrOf(fresh))
-	hear(9)
+	receive(5) // and the watch has ended, or ends soon: the next call is half a day away
+	client.Move(addrOf(fresh))
+	receive(9)
 }
 
 // Where lists are pushed, what the agent has binds within the grace. It is silent while discovery is down, and answers
 // what it was asked meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times,
 // however many failed before. The times here are those of a clock that stands still while nothing waits: each call's
 // silence, and the pauses as they are drawn.
-func TestAnAgentThatWasSilentIsAskedWithinTheGrace(t *testing.T) {
+func TestIdleAgentIsCalledWithinTheGrace(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		ask     bool
@@ -139,7 +130,7 @@
 			grace := c.grace
 			var settings policy.Settings
 			settings.FleetSize, settings.WatchRequired = c.senders, c.ask
-			caller, rng := NewBackoff(settings, grace), rand.New(most{})
+			caller, rng := NewBackoff(settings, grace), rand.New(maxSource{})
 			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
@@ -160,10 +151,10 @@
 }
 
 // The same on real connections: an agent that takes calls and says nothing, until it is back.
-func TestCallsOpenWhileAnAgentIsSilentAreAnswered(t *testing.T) {
+func TestCallsToIdleAgentAreAnswered(t *testing.T) {
 	back := make(chan struct{})
 	var calls atomic.Int64
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		n := calls.Add(1)
 		select {
 		case <-back:
@@ -173,26 +164,22 @@
 			}
 			return
 		}
-		fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
-		w.(http.Flusher).Flush()
+		send(w, emptyList+"\n")
 		<-r.Context().Done()
-	}))
-	defer s.Close()
-	ctx, stop := context.WithCancel(context.Background())
-	told, ended := make(chan List, 8), make(chan struct{})
-	defer func() { stop(); <-ended }()
+	})
+	told := make(chan List, 8)
 	grace := 400 * time.Millisecond
 	var settings policy.Settings
 	settings.FleetSize = 300
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
-		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(most{}),
+		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(maxSource{}),
 	})
 	began := time.Now()
-	go func() { w.Run(ctx); close(ended) }()
+	start(t, w)
 	select {
 	case <-told:
-	case <-time.After(patience):
+	case <-time.After(nettest.Patience):
 		t.Fatal("never told")
 	}
 	// Four silent calls and the pauses between; as one of a fleet that asks, the pauses alone are over twenty seconds.
@@ -209,7 +196,7 @@
 // However many relays share discovery and however their calls fail, the next call begins in time. The clock is that of
 // the calls and pauses alone; the worst moment for discovery to be back is right after a call began that comes to
 // nothing.
-func TestWhatDiscoveryHasIsAskedForInTime(t *testing.T) {
+func TestNextCallComesInTime(t *testing.T) {
 	ways := map[string]time.Duration{
 		"refused":       0,
 		"turned away":   2 * time.Second,
@@ -231,7 +218,7 @@
 				for seed := range uint64(50) {
 					rng := rand.New(rand.NewPCG(seed, 9))
 					if seed == 0 {
-						rng = rand.New(most{})
+						rng = rand.New(maxSource{})
 					}
 					caller := NewBackoff(settings, grace)
 					note(caller.InitialDelay(rng), "the first call")
@@ -253,9 +240,9 @@
 	}
 }
 
-// The same on real connections: discovery fails two calls, and has news from the moment on at which the second has
-// begun.
-func TestNewsOfDiscoveryThatIsBackIsToldInTime(t *testing.T) {
+// The same on real connections: discovery fails two calls, and has a new list from the moment on at which the second
+// has begun.
+func TestListIsDeliveredSoonAfterOutage(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	broken := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -274,76 +261,77 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var calls atomic.Int64
-			had := make(chan time.Time, 1)
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if n := calls.Add(1); n <= 2 {
-					if n == 2 {
-						had <- time.Now()
-					}
-					c.fail(w, r)
-					return
-				}
-				fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
-				w.(http.Flusher).Flush()
-				<-r.Context().Done()
-			}))
-			ctx, stop := context.WithCancel(context.Background())
-			told, ended := make(chan time.Time, 8), make(chan struct{})
-			t.Cleanup(func() { stop(); <-ended; s.Close() })
-			grace := time.Second
 			var settings policy.Settings
-			settings.FleetSize, settings.WatchRequired = c.senders, c.ask
-			w := NewWatcher(Config{
-				Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
-				OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(settings, grace), Rand: rand.New(most{}),
-			})
-			go func() { w.Run(ctx); close(ended) }()
-			var since time.Time
-			select {
-			case since = <-had:
-			case <-time.After(patience):
-				t.Fatal("no second call")
-			}
-			select {
-			case at := <-told:
-				if took := at.Sub(since); took > toldWithin {
-					t.Errorf("told after %v", took)
-				} else {
-					t.Logf("told after %v", took)
-				}
-			case <-time.After(patience):
-				t.Error("never told")
+			settings.FleetSize = c.senders
+			settings.WatchRequired = c.ask
+			if took := outage(t, settings, c.fail); took > toldWithin {
+				t.Errorf("told after %v", took)
+			} else {
+				t.Logf("told after %v", took)
 			}
 		})
 	}
 }
 
+// outage has two calls of a watcher fail, and returns how long after the beginning of the second it has the list.
+func outage(t *testing.T, settings policy.Settings, fail http.HandlerFunc) time.Duration {
+	t.Helper()
+	var calls atomic.Int64
+	available := make(chan time.Time, 1)
+	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+		n := calls.Add(1)
+		if n == 2 {
+			available <- time.Now()
+		}
+		if n <= 2 {
+			fail(w, r)
+			return
+		}
+		send(w, emptyList+"\n")
+		<-r.Context().Done()
+	})
+	told := make(chan time.Time, 8)
+	start(t, NewWatcher(Config{
+		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
+		OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(settings, time.Second),
+		Rand: rand.New(maxSource{}),
+	}))
+	var since time.Time
+	select {
+	case since = <-available:
+	case <-time.After(nettest.Patience):
+		t.Fatal("no second call")
+	}
+	select {
+	case at := <-told:
+		return at.Sub(since)
+	case <-time.After(nettest.Patience):
+		t.Fatal("never told")
+	}
+	return 0
+}
+
 // A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
-func TestASilentWatchIsBegunAnew(t *testing.T) {
+func TestIdleWatchIsResumed(t *testing.T) {
 	indexes := make(chan string, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	s := newServer(t, func(w http.ResponseWriter, req *http.Request) {
 		indexes <- req.URL.Query().Get("index")
-		fmt.Fprintln(w, `{"version":9,"full":true,"servers":[]}`)
-		w.(http.Flusher).Flush()
+		send(w, emptyList+"\n")
 		<-req.Context().Done()
-	}))
-	defer s.Close()
+	})
 	told := make(chan List, 10)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
 		OnUpdate: func(l List) { told <- l },
 	})
-	go w.Run(ctx)
+	start(t, w)
 	for _, want := range []string{"4", "9"} {
 		select {
 		case got := <-indexes:
 			if l := <-told; got != want || l.Version != 9 || !l.Full {
 				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("no watch from %s", want)
 		}
 	}
@@ -351,40 +339,35 @@
 
 // A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
 // for it, and changes that it holds already are not undone by older lines.
-func TestAnUnreadableLineIsMadeUpForByTheWholeList(t *testing.T) {
+func TestUnreadableLineCausesFetch(t *testing.T) {
 	var watches atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	s := newServer(t, func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("stream") == "" {
-			fmt.Fprintln(w, `{"version":7,"full":true,"servers":[]}`)
+			send(w, `{"version":7,"full":true,"servers":[]}`+"\n")
 			return
 		}
 		watches.Add(1)
-		fmt.Fprintln(w, `{"version":5,"servers":[{"id`)
-		fmt.Fprintln(w, `{"version":6,"full":false,"servers":[]}`)
-		fmt.Fprintln(w, `{"version":8,"full":false,"servers":[]}`)
-		w.(http.Flusher).Flush()
+		send(w, `{"version":5,"servers":[{"id`+"\n")
+		send(w, `{"version":6,"full":false,"servers":[]}`+"\n")
+		send(w, `{"version":8,"full":false,"servers":[]}`+"\n")
 		<-req.Context().Done()
-	}))
-	defer s.Close()
+	})
 	told := make(chan List, 10)
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	defer func() { cancel(); <-ended }()
 	w := NewWatcher(Config{
 		Log:         quiet(),
 		Client:      NewClient(addrOf(s)),
-		IdleTimeout: patience,
+		IdleTimeout: nettest.Patience,
 		Version:     4,
 		OnUpdate:    func(l List) { told <- l },
 	})
-	go func() { w.Run(ctx); close(ended) }()
+	start(t, w)
 	for _, want := range []int64{7, 8} {
 		select {
 		case l := <-told:
 			if l.Version != want || l.Full != (want == 7) {
 				t.Errorf("told %+v, want version %d", l, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(nettest.Patience):
 			t.Fatalf("never told version %d", want)
 		}
 	}
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -462,7 +462,7 @@
 	mu.Lock()
 	text := log.String()
 	mu.Unlock()
-	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
+	if n := strings.Count(text, "endpoint list too long"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
 		t.Errorf("logged %d times: %s", n, text)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
