--- /dev/null
+++ b/internal/recording/flightrecorder/encoder.go
@@ -0,0 +1,214 @@
+package flightrecorder
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// encoder appends one chunk's frames to a buffer. Strings that are likely to be repeated are written once in a chunk
+// and by number from then on.
+type encoder struct {
+	buf         []byte
+	id          uint64 // of the recording
+	chunk       uint32
+	frameStart  int // of the open frame
+	names       map[string]uint32
+	lastNow     time.Duration
+	lastID      uint32
+	checksumBuf [positionSize]byte
+}
+
+// begin begins a chunk in buf, whose bytes are overwritten.
+func (e *encoder) begin(id uint64, chunk uint32, buf []byte) {
+	buf = append(buf[:0], magic...)
+	buf = binary.LittleEndian.AppendUint64(buf, id)
+	e.buf = binary.LittleEndian.AppendUint32(buf, chunk)
+	e.id = id
+	e.chunk = chunk
+	e.lastNow = 0
+	e.lastID = 0
+	clear(e.names)
+}
+
+// openFrame begins a frame, whose length and checksum closeFrame fills in.
+func (e *encoder) openFrame(kind byte) {
+	e.frameStart = len(e.buf)
+	e.buf = append(e.buf, 0, 0, 0, 0, 0, 0, 0, 0, kind)
+}
+
+// frameSize returns the size of the open frame's payload.
+func (e *encoder) frameSize() int { return len(e.buf) - e.frameStart - frameHeaderSize }
+
+// dropFrame gives up the open frame.
+func (e *encoder) dropFrame() { e.buf = e.buf[:e.frameStart] }
+
+func (e *encoder) closeFrame() {
+	payload := e.buf[e.frameStart+frameHeaderSize:]
+	binary.LittleEndian.PutUint32(e.buf[e.frameStart:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(e.buf[e.frameStart+4:], frameChecksum(&e.checksumBuf, e.id, e.chunk, e.frameStart, payload))
+}
+
+func (e *encoder) uint(x uint64) { e.buf = binary.AppendUvarint(e.buf, x) }
+func (e *encoder) int(x int64)   { e.buf = binary.AppendVarint(e.buf, x) }
+func (e *encoder) byte(x byte)   { e.buf = append(e.buf, x) }
+
+func (e *encoder) bool(x bool) {
+	if x {
+		e.byte(1)
+	} else {
+		e.byte(0)
+	}
+}
+
+func (e *encoder) float(x float64) {
+	e.buf = binary.LittleEndian.AppendUint64(e.buf, math.Float64bits(x))
+}
+
+func (e *encoder) text(s string) {
+	e.uint(uint64(len(s)))
+	e.buf = append(e.buf, s...)
+}
+
+// now writes a time as its difference to the last one.
+func (e *encoder) now(now time.Duration) {
+	e.int(int64(now - e.lastNow))
+	e.lastNow = now
+}
+
+// name writes a string that is likely to be repeated: 0 and its text the first time, then its number.
+func (e *encoder) name(s string) {
+	if n, ok := e.names[s]; ok {
+		e.uint(uint64(n))
+		return
+	}
+	e.byte(0)
+	e.text(s)
+	e.names[s] = uint32(len(e.names) + 1)
+}
+
+// messageID writes a message's number as its difference to the last one: mostly a byte or two.
+func (e *encoder) messageID(id uint32) {
+	e.int(int64(id) - int64(e.lastID))
+	e.lastID = id
+}
+
+func (e *encoder) event(x *policy.Event) {
+	e.byte(byte(x.Kind))
+	switch x.Kind {
+	case policy.MessageAccepted:
+		e.messageAccepted(x)
+	case policy.AttemptFinished, policy.HealthChecked:
+		e.attemptFinished(x)
+	case policy.MessageCancelled:
+		e.messageID(x.MessageID)
+	case policy.QuotaGranted:
+		e.int(int64(x.Destination))
+		e.name(x.Endpoint)
+		e.float(x.ReservedFraction)
+		e.int(int64(x.GrantedCalls))
+		e.int(int64(x.TimeLeft))
+	case policy.EndpointSnapshot, policy.EndpointDelta:
+		e.uint(uint64(len(x.Endpoints)))
+		for i := range x.Endpoints {
+			e.endpoint(&x.Endpoints[i])
+		}
+	}
+}
+
+func (e *encoder) messageAccepted(x *policy.Event) {
+	var flags byte
+	if x.Recovered != nil {
+		flags |= hasRecovered
+		if x.Recovered.MayHaveRun {
+			flags |= hasMayHaveRun
+		}
+	}
+	if x.Key != "" {
+		flags |= hasKey
+	}
+	e.byte(flags)
+	e.messageID(x.MessageID)
+	e.int(int64(x.Class))
+	e.int(int64(x.Tenant))
+	e.int(int64(x.Destination))
+	e.int(int64(x.TimeLeft))
+	if flags&hasKey != 0 {
+		e.text(x.Key)
+	}
+	if flags&hasRecovered != 0 {
+		e.int(int64(x.Recovered.Attempts))
+	}
+	if flags&hasMayHaveRun != 0 {
+		e.int(int64(x.Recovered.SinceFirstRun))
+		e.int(int64(x.Recovered.FirstRunZone))
+	}
+}
+
+func (e *encoder) attemptFinished(x *policy.Event) {
+	var flags byte
+	if x.MessageEnded {
+		flags |= hasMessageEnded
+	}
+	if x.RetryAfter != 0 {
+		flags |= hasRetryAfter
+	}
+	if x.LimitReport != (policy.LimitReport{}) {
+		flags |= hasLimitReport
+	}
+	e.byte(flags)
+	e.messageID(x.MessageID)
+	e.int(int64(x.Attempt))
+	e.name(x.Endpoint)
+	e.byte(byte(x.Outcome))
+	e.int(int64(x.Latency))
+	if flags&hasRetryAfter != 0 {
+		e.int(int64(x.RetryAfter))
+	}
+	if flags&hasLimitReport != 0 {
+		e.bool(x.LimitReport.Present)
+		e.float(x.LimitReport.Remaining)
+		e.float(x.LimitReport.Limit)
+	}
+}
+
+func (e *encoder) endpoint(ep *policy.Endpoint) {
+	var flags byte
+	if ep.InService {
+		flags |= endpointInService
+	}
+	if ep.Removed {
+		flags |= endpointRemoved
+	}
+	if ep.Relisted {
+		flags |= endpointRelisted
+	}
+	e.byte(flags)
+	e.name(ep.ID)
+	e.int(int64(ep.Destination))
+	e.int(int64(ep.Kind))
+	e.int(int64(ep.Zone))
+	e.float(ep.Weight)
+}
+
+func (e *encoder) action(a *policy.Action) {
+	e.byte(byte(a.Kind))
+	switch a.Kind {
+	case policy.Send:
+		e.messageID(a.MessageID)
+		e.name(a.Endpoint)
+		e.int(int64(a.TimeoutAt))
+	case policy.Reject, policy.Fail:
+		e.messageID(a.MessageID)
+		e.int(int64(a.Delay))
+	case policy.SetTimer:
+		e.int(int64(a.Delay))
+	case policy.CloseIdle:
+		e.name(a.Endpoint)
+	case policy.RequestQuota:
+		e.name(a.Endpoint)
+		e.int(int64(a.Calls))
+	}
+}
--- a/internal/recording/flightrecorder/load.go
+++ b/internal/recording/flightrecorder/load.go
@@ -1,22 +1,14 @@
 package flightrecorder
 
 import (
-	"bufio"
 	"bytes"
 	"cmp"
-	"encoding/base64"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
 )
 
-// logPrefix begins a line of a log that holds a part of a recording.
-const logPrefix = "flight "
-
-// maxLineSize bounds such a line, in bytes.
-const maxLineSize = 64 << 10
-
 // Recording is the bytes of one recording, put together from wherever its chunks were found.
 type Recording struct {
 	ID     uint64
@@ -25,15 +17,15 @@
 	Meta   Meta // of its first chunk
 }
 
-// Load finds the recordings in files: what a sink wrote, a kept ring, or the log of a relay that records into it. Parts
-// of one recording that stand in several files are put together; where two hold the same chunk the longer one counts.
-// Recordings come in the order of their processes' starts.
+// Load finds the recordings in files: what a sink wrote, a dump of a ring, or the log of a relay that records into it.
+// Parts of one recording in several files are joined; where two hold the same chunk the longer one counts. Recordings
+// are in the order of their processes' starts.
 func Load(paths ...string) ([]Recording, error) {
 	var all [][]byte
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("flight: %w", err)
+			return nil, fmt.Errorf("flightrecorder: %w", err)
 		}
 		if !bytes.HasPrefix(data, []byte(magic)) {
 			if inLog := FromLog(data); len(inLog) > 0 {
@@ -49,87 +41,107 @@
 	return found, nil
 }
 
-// FromLog decodes the lines of a log that hold parts of recordings, in their order. A line that cannot be decoded is
-// passed over: what it held is told as lost by the Reader.
-func FromLog(log []byte) (data []byte) {
-	lines := bufio.NewScanner(bytes.NewReader(log))
-	lines.Buffer(nil, maxLineSize)
-	for lines.Scan() {
-		// Whoever collected the log may have put something before the line.
-		_, text, ok := bytes.Cut(lines.Bytes(), []byte(logPrefix))
-		if !ok {
-			continue
-		}
-		if part, err := base64.StdEncoding.DecodeString(string(bytes.TrimSpace(text))); err == nil {
-			data = append(data, part...)
+// Split finds the recordings in the bytes of several files.
+func Split(files ...[]byte) ([]Recording, error) {
+	c := collector{chunks: map[chunkKey]foundChunk{}}
+	for _, data := range files {
+		if err := c.addFile(data); err != nil {
+			return nil, err
 		}
 	}
-	return data
+	if len(c.order) == 0 {
+		return nil, ErrNoRecording
+	}
+	return c.recordings(), nil
 }
 
-// Split finds the recordings in the bytes of several files.
-func Split(all ...[]byte) ([]Recording, error) {
-	type key struct {
-		id    uint64
-		chunk uint32
+// chunkKey names a chunk of a recording.
+type chunkKey struct {
+	recording uint64
+	chunk     uint32
+}
+
+// foundChunk is a chunk as files hold it.
+type foundChunk struct {
+	meta Meta
+	data []byte // the longest found
+}
+
+// collector collects the chunks of several files.
+type collector struct {
+	chunks map[chunkKey]foundChunk
+	order  []chunkKey // in which they were found
+}
+
+// addFile adds the chunks of a file, if there are any.
+func (c *collector) addFile(data []byte) error {
+	r, err := NewReader(data)
+	if err != nil {
+		return nil // a file without a recording: Split fails if none has one
 	}
-	chunks := map[key][]byte{}
-	metas := map[key]Meta{}
-	var order []key
-	for _, data := range all {
-		r, err := NewReader(data)
+	r.allRecordings = true
+	var open chunkKey
+	from := -1
+	for {
+		e, ok, err := r.Next()
 		if err != nil {
-			continue
+			return err
 		}
-		r.allRecordings = true
-		var open key
-		from := -1
-		end := func(to int) {
-			if from >= 0 && to-from > len(chunks[open]) {
-				chunks[open] = data[from:to]
-			}
+		if !ok {
+			break
 		}
-		for {
-			e, ok, err := r.Next()
-			if err != nil {
-				return nil, err
-			}
-			if !ok {
-				break
-			}
-			if e.Kind != Begin {
-				continue
-			}
-			end(int(e.At))
-			open, from = key{e.ID, e.Chunk}, int(e.At)
-			if _, known := chunks[open]; !known {
-				chunks[open], metas[open] = nil, e.Meta
-				order = append(order, open)
-			}
+		if e.Kind != Begin {
+			continue
+		}
+		if from >= 0 {
+			c.addData(open, data[from:e.At])
 		}
-		end(len(data))
+		open = chunkKey{recording: e.ID, chunk: e.Chunk}
+		from = int(e.At)
+		c.addChunk(open, e.Meta)
 	}
-	if len(order) == 0 {
-		return nil, ErrNoRecording
+	if from >= 0 {
+		c.addData(open, data[from:])
 	}
-	slices.SortStableFunc(order, func(a, b key) int {
-		if a.id != b.id {
+	return nil
+}
+
+// addChunk adds a chunk, unless another file had it already.
+func (c *collector) addChunk(key chunkKey, meta Meta) {
+	if _, known := c.chunks[key]; !known {
+		c.chunks[key] = foundChunk{meta: meta}
+		c.order = append(c.order, key)
+	}
+}
+
+// addData takes a chunk's data if no file had more of it.
+func (c *collector) addData(key chunkKey, data []byte) {
+	if chunk := c.chunks[key]; len(data) > len(chunk.data) {
+		chunk.data = data
+		c.chunks[key] = chunk
+	}
+}
+
+// recordings joins the chunks of each recording, in the order of their numbers.
+func (c *collector) recordings() []Recording {
+	slices.SortStableFunc(c.order, func(a, b chunkKey) int {
+		if a.recording != b.recording {
 			return 0
 		}
 		return cmp.Compare(a.chunk, b.chunk)
 	})
 	var found []Recording
-	at := map[uint64]int{}
-	for _, k := range order {
-		i, known := at[k.id]
+	indexes := map[uint64]int{} // of found, by id
+	for _, key := range c.order {
+		i, known := indexes[key.recording]
 		if !known {
 			i = len(found)
-			at[k.id] = i
-			found = append(found, Recording{ID: k.id, Meta: metas[k]})
+			indexes[key.recording] = i
+			found = append(found, Recording{ID: key.recording, Meta: c.chunks[key].meta})
 		}
 		found[i].Chunks++
-		found[i].Data = append(found[i].Data, chunks[k]...)
+		found[i].Data = append(found[i].Data, c.chunks[key].data...)
 	}
 	slices.SortStableFunc(found, func(a, b Recording) int { return a.Meta.Started.Compare(b.Meta.Started) })
-	return found, nil
+	return found
 }
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -12,18 +12,22 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bounds of a Recorder, in bytes.
 const (
+	// DefaultRingSize is the size of a ring, in bytes, where none is set.
 	DefaultRingSize = 4 << 20
-	// MinRingSize holds a few chunks of the least size.
-	MinRingSize   = 256 << 10
-	chunksPerRing = 8 // a ring holds about so many chunks
-	// minChunkToStateRatio bounds what states add: a chunk is at least so many times as long as the state that it begins with.
+	// MinRingSize holds a few chunks of the smallest size.
+	MinRingSize = 256 << 10
+
+	// chunksPerRing is about how many chunks a ring holds: it drops the oldest as a whole.
+	chunksPerRing = 8
+	// minChunkToStateRatio bounds what states add to a recording: a chunk is at least so many times as long as the
+	// state that it begins with.
 	minChunkToStateRatio = 4
-	maxNames             = 1 << 16 // a chunk that names more strings ends
+	// maxNames is how many strings a chunk names. The table is memory: a chunk with more of them ends.
+	maxNames = 1 << 16
 )
 
-// Meta is what a recording's chunks say of the process that made it.
+// Meta is what a recording's chunks say of the process that made it. Its JSON is stored.
 type Meta struct {
 	Format   int             `json:"format"`
 	Name     string          `json:"name"`     // the relay's
@@ -34,32 +38,35 @@
 	Started  time.Time       `json:"started"` // wall time at the module's time 0
 }
 
-// chunkHeader is the payload of a chunk's first frame.
+// chunkHeader is the payload of a chunk's first frame, as JSON.
 type chunkHeader struct {
 	Meta
 	Chunk uint32        `json:"chunk"`
 	At    time.Duration `json:"at"`    // the module's time at the chunk's begin, in ns
-	Fresh bool          `json:"fresh"` // the module had been told nothing: no state follows
+	Fresh bool          `json:"fresh"` // the module had got no event yet: no state follows
 }
 
-// Recorder keeps a recording's last chunks. Its methods may be called from any goroutine, on a nil Recorder too, which
+// Recorder holds a recording's last chunks. Its methods may be called from any goroutine, also on a nil Recorder, which
 // records nothing.
 type Recorder struct {
-	mu           sync.Mutex
-	meta         Meta
-	state        func([]byte) []byte
-	fleetState   func([]byte) []byte // state of what stands beside the module; nil: nothing does
-	ringSize     int                 // bytes
-	minChunkSize int                 // bytes of a chunk
+	mu         sync.Mutex
+	meta       Meta
+	state      func([]byte) []byte
+	fleetState func([]byte) []byte // appends the state of the fleet's agent; nil: there is none
+	now        time.Duration
+
 	id           uint64
 	enc          encoder
-	closedChunks []chunk // full ones, oldest first; the open one is enc's
-	spare        []byte  // room of a chunk that was dropped
-	closedSize   int     // bytes of chunks
-	chunkLimit   int     // the open chunk ends beyond this
-	now          time.Duration
-	followed     bool          // a sink follows the recording
-	appended     chan struct{} // tells the sink that there is something
+	chunkLimit   int // the open chunk, which is enc's, ends beyond so many bytes
+	minChunkSize int
+
+	ringSize     int
+	closedChunks []chunk // oldest first
+	closedSize   int     // bytes of closedChunks
+	spare        []byte  // buffer of a chunk that was dropped
+
+	followed bool          // a sink follows the recording
+	appended chan struct{} // tells the sink that there is something new
 }
 
 type chunk struct {
@@ -67,61 +74,67 @@
 	data   []byte
 }
 
-// NewRecorder returns a Recorder of a module that has been told nothing yet, with a ring of so many bytes (0:
-// DefaultRingSize, MinRingSize at least). state appends the module's state as policy.Engine.Snapshot does; it is called
-// from Step, after the module has taken it.
-func NewRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
-	r := newRecorder(meta, ring, state)
+// NewRecorder returns a Recorder of a module that has got no event yet, with a ring of ringSize bytes (0:
+// DefaultRingSize, at least MinRingSize). state appends the module's state as policy.Engine.Snapshot does; it is called
+// from Step, after the module has done its step.
+func NewRecorder(meta Meta, ringSize int, state func([]byte) []byte) *Recorder {
+	r := newRecorder(meta, ringSize, state)
 	r.beginChunk(true)
 	return r
 }
 
-// ResumeRecorder is NewRecorder for a module that was restored in mid-life, at now: the recording begins with its
-// state.
-func ResumeRecorder(meta Meta, ring int, state func([]byte) []byte, now time.Duration) *Recorder {
-	r := newRecorder(meta, ring, state)
+// ResumeRecorder is NewRecorder for a module that was restored, at now: the recording begins with its state.
+func ResumeRecorder(meta Meta, ringSize int, state func([]byte) []byte, now time.Duration) *Recorder {
+	r := newRecorder(meta, ringSize, state)
 	r.now = now
 	r.beginChunk(false)
 	return r
 }
 
-func newRecorder(meta Meta, ring int, state func([]byte) []byte) *Recorder {
-	if ring == 0 {
-		ring = DefaultRingSize
+func newRecorder(meta Meta, ringSize int, state func([]byte) []byte) *Recorder {
+	if ringSize == 0 {
+		ringSize = DefaultRingSize
 	}
-	ring = max(ring, MinRingSize)
+	ringSize = max(ringSize, MinRingSize)
 	meta.Format = formatWithoutFleet
 	return &Recorder{
-		meta: meta, state: state, ringSize: ring, minChunkSize: ring / chunksPerRing, id: rand.Uint64(),
-		enc: encoder{names: map[string]uint32{}}, appended: make(chan struct{}, 1),
+		meta:         meta,
+		state:        state,
+		id:           rand.Uint64(),
+		enc:          encoder{names: map[string]uint32{}},
+		minChunkSize: ringSize / chunksPerRing,
+		ringSize:     ringSize,
+		appended:     make(chan struct{}, 1),
 	}
 }
 
-// RecordFleet has something that stands beside the module recorded with it: state appends its state as Snapshot does.
-// It is called before the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
+// RecordFleet has the fleet's agent recorded beside the module: state appends the agent's state as Snapshot does. It is
+// called before the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
 func (r *Recorder) RecordFleet(state func([]byte) []byte) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleetState, r.meta.Format = state, Format
+	r.fleetState = state
+	r.meta.Format = Format
 	r.beginChunk(len(r.closedChunks) == 0 && r.now == 0)
 }
 
-// beginChunk opens a chunk.
+// beginChunk opens a chunk. A fresh one has no state: the module has got no event yet.
 func (r *Recorder) beginChunk(fresh bool) {
 	number := r.enc.chunk
 	if !fresh {
 		number++
 	}
-	room := r.spare
-	if r.spare = nil; room == nil {
-		room = make([]byte, 0, r.minChunkSize+r.minChunkSize/4)
+	buf := r.spare
+	r.spare = nil
+	if buf == nil {
+		buf = make([]byte, 0, r.minChunkSize+r.minChunkSize/4)
 	}
-	r.enc.begin(r.id, number, room)
+	r.enc.begin(r.id, number, buf)
 	data, err := json.Marshal(chunkHeader{Meta: r.meta, Chunk: number, At: r.now, Fresh: fresh})
-	if err != nil { // a figure of the settings that is not a number: the module refuses those
+	if err != nil { // a setting that is not a number, which the module rejects
 		data = []byte("{}")
 	}
 	r.enc.openFrame(frameChunkHeader)
@@ -155,13 +168,14 @@
 	}
 }
 
-// Step records a step: what the module was told at now, and what it decided. It is called after the module's own Step.
+// Step records a step: the events that the module got at now, and its actions. It is called after the module's own
+// Step.
 func (r *Recorder) Step(now time.Duration, events []policy.Event, actions []policy.Action) {
 	r.StepWithFleet(now, events, actions, nil)
 }
 
-// StepWithFleet is Step, with what stands beside the module was told and told in the same step; empty: nothing.
-func (r *Recorder) StepWithFleet(now time.Duration, events []policy.Event, actions []policy.Action, beside []byte) {
+// StepWithFleet is Step, with what the fleet's agent got and returned in the same step; empty: nothing.
+func (r *Recorder) StepWithFleet(now time.Duration, events []policy.Event, actions []policy.Action, fleet []byte) {
 	if r == nil {
 		return
 	}
@@ -169,8 +183,8 @@
 	defer r.mu.Unlock()
 	e := &r.enc
 	e.openFrame(frameStep)
-	e.int(int64(now - e.lastNow))
-	e.lastNow, r.now = now, now
+	e.now(now)
+	r.now = now
 	e.uint(uint64(len(events)))
 	for i := range events {
 		e.event(&events[i])
@@ -179,8 +193,8 @@
 	for i := range actions {
 		e.action(&actions[i])
 	}
-	if len(e.buf)-e.frameStart-frameHeaderSize > MaxFrameSize || max(len(events), len(actions)) > maxEntries {
-		e.buf = e.buf[:e.frameStart] // the chunk that begins here holds the state behind it
+	if e.frameSize() > MaxFrameSize || max(len(events), len(actions)) > maxEntries {
+		e.dropFrame() // the chunk that begins here holds the state after the step
 		r.nextChunk()
 		r.appendNote("a step was too large for a frame, and is missing before this")
 		return
@@ -188,12 +202,13 @@
 	e.closeFrame()
 	if r.fleetState != nil {
 		e.openFrame(frameFleetStep)
-		e.buf = append(e.buf, beside...)
+		e.buf = append(e.buf, fleet...)
 		e.closeFrame()
 	}
 	r.rollIfFull()
 }
 
+// rollIfFull begins a new chunk if the open one is full, and notifies the sink.
 func (r *Recorder) rollIfFull() {
 	if len(r.enc.buf) >= r.chunkLimit || len(r.enc.names) > maxNames {
 		r.nextChunk()
@@ -211,20 +226,20 @@
 	r.beginChunk(false)
 }
 
-// Reconfigured records that other settings hold: a chunk with them begins. It is called after the module has taken
-// them.
-func (r *Recorder) Reconfigured(set policy.Settings) {
+// Reconfigured records that other settings are in force: a chunk with them begins. It is called after the module has
+// applied them.
+func (r *Recorder) Reconfigured(settings policy.Settings) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.meta.Settings = set
+	r.meta.Settings = settings
 	r.nextChunk()
 }
 
 // SendChecked records an answer of policy.Engine.StillAllowed.
-func (r *Recorder) SendChecked(now time.Duration, route string, ids []uint32, may bool) {
+func (r *Recorder) SendChecked(now time.Duration, endpoint string, messageIDs []uint32, allowed bool) {
 	if r == nil {
 		return
 	}
@@ -232,18 +247,18 @@
 	defer r.mu.Unlock()
 	e := &r.enc
 	e.openFrame(frameSendChecked)
-	e.int(int64(now - e.lastNow))
-	e.lastNow = now
-	e.bool(may)
-	e.name(route)
-	e.uint(uint64(len(ids)))
-	for _, id := range ids {
+	e.now(now)
+	e.bool(allowed)
+	e.name(endpoint)
+	e.uint(uint64(len(messageIDs)))
+	for _, id := range messageIDs {
 		e.messageID(id)
 	}
 	e.closeFrame()
 }
 
-// Label records the trace id under which clients and hosts know a message. It is called before the step that takes it.
+// Label records the trace id by which clients and endpoints know a message. It is called before the step that accepts
+// the message.
 func (r *Recorder) Label(id uint32, trace string) {
 	if r == nil {
 		return
@@ -257,7 +272,7 @@
 	e.closeFrame()
 }
 
-// Note records a remark: a signal, a crash, a reason why the recording was kept.
+// Note records a remark: a signal, a crash, the reason for a dump.
 func (r *Recorder) Note(text string) {
 	if r == nil {
 		return
@@ -274,7 +289,7 @@
 	r.rollIfFull()
 }
 
-// WriteTo writes what the ring holds: whole chunks, oldest first, and the open one. The ring goes on meanwhile.
+// WriteTo writes what the ring holds: closed chunks, oldest first, and the open one. Recording goes on meanwhile.
 func (r *Recorder) WriteTo(w io.Writer) (int64, error) {
 	if r == nil {
 		return 0, nil
@@ -288,7 +303,7 @@
 	r.mu.Unlock()
 	n, err := w.Write(data)
 	if err != nil {
-		err = fmt.Errorf("flight: keep the ring: %w", err)
+		err = fmt.Errorf("flightrecorder: write the ring: %w", err)
 	}
 	return int64(n), err
 }
@@ -299,41 +314,43 @@
 	offset int
 }
 
-// piece is a part of a chunk that a sink has not had yet.
+// piece is a part of a chunk that a sink has not got yet.
 type piece struct {
 	chunk  uint32
 	offset int // 0: the chunk begins here
 	data   []byte
 }
 
-// readFrom copies what came after a place, and returns the place behind it. lost counts the chunks that left the ring
-// before they were followed to their ends; at most one of them had been followed all the way.
-func (r *Recorder) readFrom(p position) (pieces []piece, to position, lost int) {
+// readFrom copies what came after a position, and returns the position behind it. lost counts the chunks that left the
+// ring before they were followed to their ends; at most one of them had been followed to its end.
+func (r *Recorder) readFrom(from position) (pieces []piece, to position, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	to = from
 	follow := func(c chunk) {
-		if c.number < p.chunk {
+		if c.number < to.chunk {
 			return
 		}
-		if c.number > p.chunk {
-			lost += int(c.number - p.chunk)
-			p = position{chunk: c.number}
+		if c.number > to.chunk {
+			lost += int(c.number - to.chunk)
+			to = position{chunk: c.number}
 		}
-		if p.offset < len(c.data) {
-			pieces = append(pieces, piece{c.number, p.offset, bytes.Clone(c.data[p.offset:])})
+		if to.offset < len(c.data) {
+			pieces = append(pieces, piece{chunk: c.number, offset: to.offset, data: bytes.Clone(c.data[to.offset:])})
 		}
-		p.offset = len(c.data)
+		to.offset = len(c.data)
 	}
 	for _, c := range r.closedChunks {
-		if follow(c); c.number == p.chunk {
-			p = position{chunk: c.number + 1}
+		follow(c)
+		if c.number == to.chunk {
+			to = position{chunk: c.number + 1}
 		}
 	}
-	follow(chunk{r.enc.chunk, r.enc.buf})
-	return pieces, p, lost
+	follow(chunk{number: r.enc.chunk, data: r.enc.buf})
+	return pieces, to, lost
 }
 
-// startFollowing has the recording told on the channel that it returns.
+// startFollowing returns a channel that tells when there is something new.
 func (r *Recorder) startFollowing() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -341,7 +358,7 @@
 	return r.appended
 }
 
-// Size is how many bytes the ring holds.
+// Size returns how many bytes the ring holds.
 func (r *Recorder) Size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
