--- a/internal/relay/ingress/server_test.go
+++ b/internal/relay/ingress/server_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -262,6 +263,49 @@
 	}
 }
 
+// The response is not lost with a connection that is reset under it, however much is still on its way.
+func TestRejectionIsReadBeforeClose(t *testing.T) {
+	const size = 60 << 20
+	addr := serve(t, newTestServer(100, answerAll))
+	for _, length := range []string{fmt.Sprint(size), "x"} {
+		t.Run("length "+length, func(t *testing.T) {
+			conn := nettest.Dial(t, addr, "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: "+length+"\r\n\r\nbody")
+			for range len(length) {
+				if n, err := conn.Write(make([]byte, 1<<20)); err != nil {
+					t.Fatalf("after %d bytes: %v", n, err)
+				}
+			}
+			if _, err := io.CopyN(conn, zeros{}, size); err != nil {
+				t.Fatalf("not read to its end: %v", err)
+			}
+			nettest.CloseWrite(conn)
+			responses := bufio.NewReader(conn)
+			response := nettest.ReadResponse(t, responses)
+			if response.StatusCode != http.StatusRequestEntityTooLarge && response.StatusCode != http.StatusBadRequest {
+				t.Errorf("status %d", response.StatusCode)
+			}
+			nettest.ExpectEnd(t, "the rest", responses)
+		})
+	}
+}
+
+type zeros struct{}
+
+func (zeros) Read(b []byte) (int, error) {
+	clear(b)
+	return len(b), nil
+}
+
+// A connection on which nothing comes is closed within the 3 s that such a client is promised.
+func TestSilentConnIsClosedInTime(t *testing.T) {
+	began := time.Now()
+	addr := serve(t, newTestServer(100, answerAll))
+	nettest.ExpectEnd(t, "silent", bufio.NewReader(nettest.Dial(t, addr, "")))
+	if took := time.Since(began); took > 3*time.Second {
+		t.Errorf("closed after %v", took)
+	}
+}
+
 // No header that gives its body's length in both ways passes.
 func FuzzHeads(f *testing.F) {
 	f.Add([]byte("POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -145,44 +145,16 @@
 	return strings.NewReplacer(edit...).Replace(text)
 }
 
-// dial opens a connection and writes text on it.
-func dial(t *testing.T, addr, text string) net.Conn {
-	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(nettest.Patience))
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-	return c
-}
-
-// read reads an answer.
-func read(t *testing.T, r *bufio.Reader) *http.Response {
-	t.Helper()
-	res, err := http.ReadResponse(r, nil)
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		t.Fatalf("answer: %v", err)
-	}
-	return res
-}
-
 // post hands a message in and has the loop decide on it.
 func post(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
-	c := dial(t, addr, handInText(id))
+	c := nettest.Dial(t, addr, handInText(id))
 	for {
 		if _, ok := r.next().(*submitEvent); ok {
 			break
 		}
 	}
-	return read(t, bufio.NewReader(c))
+	return nettest.ReadResponse(t, bufio.NewReader(c))
 }
 
 // next takes the loop's next event and decides on it.
@@ -211,7 +183,7 @@
 	r := newTestRelay(t)
 	listener := nettest.Listen(t)
 	doorAt(t, r, listener)
-	c := dial(t, listener.Addr().String(), handInText("m1"))
+	c := nettest.Dial(t, listener.Addr().String(), handInText("m1"))
 	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
--- a/internal/relay/moments_test.go
+++ b/internal/relay/shutdown_test.go
@@ -12,21 +12,21 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// Bytes and ends that arrive in the very moment in which the relay uses or closes a connection. The order is made by
-// hand: what reads a connection is held back until the system has what the peer sent.
-
-// What comes and goes on a whole relay at the moment of SIGTERM: clients that rest with a request on its way are
-// answered.
-func TestAPlannedEndAnswersWhatHadCome(t *testing.T) {
+// A request that is on its way over an idle connection at the moment of SIGTERM has a response. The order is made by
+// hand: the relay's read is held back until the system has the request.
+func TestShutdownAnswersReceivedRequest(t *testing.T) {
 	r := newTestRelay(t)
 	ctx, stop := context.WithCancel(context.Background())
 	go r.loop(ctx)
-	defer func() { stop(); <-r.loopDone }()
+	defer func() {
+		stop()
+		<-r.loopDone
+	}()
 	listener := nettest.ListenHolding(t)
 	doorAt(t, r, listener)
-	peer := dial(t, listener.Addr().String(), "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	peer := nettest.Dial(t, listener.Addr().String(), "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	responses := bufio.NewReader(peer)
-	read(t, responses)
+	nettest.ReadResponse(t, responses)
 	served := listener.Accepted(t)
 	served.AwaitHeld(t) // the connection is idle, and the next read does not begin
 	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
@@ -37,8 +37,9 @@
 	})
 	r.ingress.Drain()
 	served.ReleaseReads()
-	if res := read(t, responses); res.StatusCode != http.StatusAccepted || !res.Close {
-		t.Errorf("status %d, the last %v", res.StatusCode, res.Close)
+	response := nettest.ReadResponse(t, responses)
+	if response.StatusCode != http.StatusAccepted || !response.Close {
+		t.Errorf("status %d, closing %v", response.StatusCode, response.Close)
 	}
 }
 
--- /dev/null
+++ b/internal/relay/submission_test.go
@@ -0,0 +1,93 @@
+package relay
+
+import (
+	"bufio"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+)
+
+// What cannot be read, or makes no sense, is answered and goes no further.
+func TestBadRequestsGoNoFurther(t *testing.T) {
+	hidden := handInText("hidden")
+	chunked := func(proto string) string {
+		body := "0\r\n\r\n" + hidden
+		return fmt.Sprintf("POST /order %s\r\nHost: x\r\nConnection: keep-alive\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"+
+			"X-Customer: bolt\r\nIdempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\n"+
+			"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", proto, len(body), body)
+	}
+	good := handInText("a")
+	for name, c := range map[string]struct {
+		text string
+		want int
+	}{
+		"both lengths":      {chunked("HTTP/1.1"), 400},
+		"both lengths, old": {chunked("HTTP/1.0"), 400},
+		"a length in two ways": {
+			handInText("a", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400,
+		},
+		"noise":         {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
+		"half a header": {good[:60], 400},
+		"half a body":   {good[:len(good)-2], 400},
+		"a header without end": {
+			"POST /order HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("X-More: and more\r\n", 4000), 431,
+		},
+		"a line without end":      {"POST /" + strings.Repeat("o", 100_000), 431},
+		"negative length":         {handInText("a", "Length: 4", "Length: -4"), 400},
+		"huge length":             {handInText("a", "Length: 4", "Length: 99999999999999999999"), 400},
+		"large length":            {handInText("a", "Length: 4", "Length: 3000000000"), 413},
+		"short length":            {handInText("a", "Length: 4", "Length: 3"), 400},
+		"no such class":           {handInText("a", "/order", "/other", "Qos: order", "Qos: other"), 400},
+		"no id":                   {handInText(""), 400},
+		"two ids":                 {handInText("a", "X-Qos", "X-Trace-Id: b\r\nX-Qos"), 400},
+		"a deadline in words":     {handInText("a", "5000", "soon"), 400},
+		"more time than there is": {handInText("a", "5000", "5000000"), 400},
+		"no length":               {handInText("a", "Content-Length: 4\r\n", ""), 400},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			r := newTestRelay(t)
+			conn := nettest.Dial(t, door(t, r), "")
+			go func() { // the relay may reject it before all is written
+				nettest.Send(conn, c.text)
+				nettest.CloseWrite(conn)
+			}()
+			responses := bufio.NewReader(conn)
+			if response := nettest.ReadResponse(t, responses); response.StatusCode != c.want {
+				t.Errorf("status %d, want %d", response.StatusCode, c.want)
+			}
+			nettest.ExpectEnd(t, name, responses)
+			if n := len(r.events); n > 0 {
+				t.Errorf("%d events reached the loop", n)
+			}
+		})
+	}
+}
+
+// A destination that no list has named never reaches the policy, which would keep it.
+func TestUnknownDestinationsAreRejected(t *testing.T) {
+	r := newTestRelay(t)
+	answers := bufio.NewReader(nettest.Dial(t, door(t, r), handInText("a", "dest=7", "dest=8")))
+	r.next()
+	if res := nettest.ReadResponse(t, answers); res.StatusCode != http.StatusBadRequest || len(r.messages) > 0 {
+		t.Errorf("status %d, %d messages", res.StatusCode, len(r.messages))
+	}
+}
+
+// A bad request that has come to its end costs a client no connection.
+func TestConnOutlastsBadRequest(t *testing.T) {
+	r := newTestRelay(t)
+	conn := nettest.Dial(t, door(t, r), handInText("a", "X-Qos: order", "X-Qos: what"))
+	responses := bufio.NewReader(conn)
+	if response := nettest.ReadResponse(t, responses); response.StatusCode != http.StatusBadRequest {
+		t.Errorf("status %d", response.StatusCode)
+	}
+	nettest.Send(conn, handInText("b"))
+	settle(t, r, "accepted", func() bool { return r.messagesByTrace["b"] != nil })
+	if response := nettest.ReadResponse(t, responses); response.StatusCode != http.StatusAccepted {
+		t.Errorf("status %d", response.StatusCode)
+	}
+}
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -37,7 +37,7 @@
 		{"requests", "bad request", func(t *testing.T, r *Relay, i int) {
 			addr := door(t, r)
 			bad := []string{"NONSENSE\r\n\r\n", handInText("x", "X-Qos: order", "X-Qos: what"), handInText("x", "Length: 4", "Length: 99999999")}[i%3]
-			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
+			io.Copy(io.Discard, nettest.Dial(t, addr, bad+"\r\n"))
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
 			r.step([]event{listEvent{discovery.List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
