--- a/internal/relay/bundle_test.go
+++ b/internal/relay/bundle_test.go
@@ -51,16 +51,16 @@
 			)
 			var ins []*submitEvent
 			for i, id := range order {
-				in := newHandIn(id, 7, left[id])
+				in := newSubmission(id, 7, left[id])
 				in.message.OrderingKey = fmt.Sprint(i)
 				ins = append(ins, in)
 			}
-			decide(r, ins...)
-			settle(t, r, "the short one is given up on", func() bool {
+			submitAll(r, ins...)
+			stepUntil(t, r, "the short one is given up on", func() bool {
 				return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
 			})
 			close(given)
-			settle(
+			stepUntil(
 				t,
 				r,
 				"the others are over",
--- a/internal/relay/known_test.go
+++ b/internal/relay/known_test.go
@@ -19,8 +19,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// oldShape is how the shape of a file was taken when it was read as a tree.
-func oldShape(t *testing.T, data []byte) reload.Shape {
+// referenceShape is how the shape of a file was taken when it was read as a tree.
+func referenceShape(t *testing.T, data []byte) reload.Shape {
 	t.Helper()
 	var file map[string]any
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -36,7 +36,7 @@
 
 // A configuration is the same wherever its list of hosts stands and however its keys are ordered, and its shape is what
 // it was.
-func TestAConfigurationIsReadAsItComes(t *testing.T) {
+func TestConfigIsParsedAsAStream(t *testing.T) {
 	const one = `{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	settings, head := `"settings":`+settingsJSON, `"name":"n3","limits":{"cores":2}`
 	for _, c := range []struct {
@@ -79,7 +79,7 @@
 						cfg.KnownErr,
 					)
 				}
-				if want := oldShape(t, text); !reload.Equal(
+				if want := referenceShape(t, text); !reload.Equal(
 					reload.Config{Shape: cfg.Shape},
 					reload.Config{Shape: want},
 				) ||
@@ -98,7 +98,7 @@
 }
 
 // The same file read again by SIGHUP changes nothing, and takes no room for the list in it.
-func TestAReloadKeepsNoList(t *testing.T) {
+func TestReloadKeepsNoEndpointList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Appendf(
 		nil,
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(cfg, quiet(), io.Discard)
+	r, err := New(cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,28 +138,28 @@
 
 // A process of a long list hands over what its module knows. The other one begins from the list that it knows itself,
 // knows better of what is in use, and asks for the whole.
-func TestTakingOverALongList(t *testing.T) {
-	addr, requests := nettest.RawServer(t, answers)
+func TestTakeoverWithLongList(t *testing.T) {
+	addr, requests := nettest.RawServer(t, respondOK)
 	for name, edit := range map[string]func(*hotrestart.State){
 		"the same form": func(*hotrestart.State) {}, "another form": func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
-			tellLong(
+			applyLongList(
 				old,
 				true,
 				8,
 				entriesOf(
 					old,
-					liveText("s-moved", "127.0.0.1:1", 50, "ready"),
-					liveText("s-rest", addr, 60, "ready"),
-					liveText("s-drains", addr, 61, "draining"),
+					endpointText("s-moved", "127.0.0.1:1", 50, "ready"),
+					endpointText("s-rest", addr, 60, "ready"),
+					endpointText("s-drains", addr, 61, "draining"),
 				),
 			)
-			if a := decide(old, newHandIn("m", 61, 9*time.Second))[0]; a.Status != 202 {
+			if a := submitAll(old, newSubmission("m", 61, 9*time.Second))[0]; a.Status != 202 {
 				t.Fatalf("%+v", a)
 			}
-			if a := decide(old, newHandIn("out", 50, 9*time.Second))[0]; a.Status != 202 || len(old.activeCalls) != 1 {
+			if a := submitAll(old, newSubmission("out", 50, 9*time.Second))[0]; a.Status != 202 || len(old.activeCalls) != 1 {
 				t.Fatalf("%+v", a)
 			}
 			cfg, err := parseConfig(fmt.Appendf(
@@ -168,8 +168,8 @@
 				discoverytest.ListJSON(
 					4,
 					3000,
-					liveText("s-moved", addr, 77, "ready"),
-					liveText("s-gone", "127.0.0.1:1", 61, "ready"),
+					endpointText("s-moved", addr, 77, "ready"),
+					endpointText("s-gone", "127.0.0.1:1", 61, "ready"),
 				),
 				settingsJSON,
 			))
@@ -183,19 +183,19 @@
 			if !w.NeedsSnapshot || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
 				t.Errorf("asks for the whole %v, %d hosts, %d held", w.NeedsSnapshot, r.catalog.EndpointCount(), r.pending)
 			}
-			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) || len(got) != 2 || len(got[61]) != 1 ||
+			if got, want := policyEndpoints(r), workingSetEndpoints(r); !sameEndpoints(got, want) || len(got) != 2 || len(got[61]) != 1 ||
 				got[61][0].InService {
 				t.Errorf("the module knows %v, awake are %v", got, want)
 			}
 			was := requests.Load()
 			r.step([]event{outcomeOf(0, 2, 0, 0)})
-			tellLong(
+			applyLongList(
 				r,
 				false,
 				9,
-				entriesOf(r, liveText("s-next", addr, 61, "ready"), liveText("s-rest", addr, 60, "ready")),
+				entriesOf(r, endpointText("s-next", addr, 61, "ready"), endpointText("s-rest", addr, 60, "ready")),
 			)
-			drive(
+			stepLoopUntil(
 				t,
 				r,
 				"the one that waited is delivered",
--- a/internal/relay/large_test.go
+++ b/internal/relay/large_test.go
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// tellLong has the loop's part take a list as a long one comes, with a step after every few slices.
-func tellLong(r *Relay, full bool, version int64, entries []discovery.Entry) {
+// applyLongList has the loop's part take a list as a long one comes, with a step after every few slices.
+func applyLongList(r *Relay, full bool, version int64, entries []discovery.Entry) {
 	give := func(p *discovery.SnapshotPart) bool {
 		p.Reply = make(chan bool, 1)
 		if p.Kind == discovery.PartBegin {
@@ -38,42 +38,42 @@
 	r.step(nil)
 }
 
-// ofModule is what a module knows of the list, by destination and route.
-func ofModule(r *Relay) map[int][]policy.Endpoint {
+// policyEndpoints is what a module knows of the list, by destination and route.
+func policyEndpoints(r *Relay) map[int][]policy.Endpoint {
 	known := map[int][]policy.Endpoint{}
 	views, _ := r.engine.Views()
 	for _, v := range views {
 		known[v.Destination] = append(known[v.Destination], v.Endpoint)
 	}
-	return byRoute(known)
+	return sortedByID(known)
 }
 
-// ofAwake is what it must know: all that the catalog has of the destinations that are awake.
-func ofAwake(r *Relay) map[int][]policy.Endpoint {
+// workingSetEndpoints is what it must know: all that the catalog has of the destinations that are awake.
+func workingSetEndpoints(r *Relay) map[int][]policy.Endpoint {
 	known := map[int][]policy.Endpoint{}
 	for e := range r.catalog.All() {
 		if r.workingSet.Contains(e.Destination) {
 			known[e.Destination] = append(known[e.Destination], e.Endpoint)
 		}
 	}
-	return byRoute(known)
+	return sortedByID(known)
 }
 
-func byRoute(known map[int][]policy.Endpoint) map[int][]policy.Endpoint {
+func sortedByID(known map[int][]policy.Endpoint) map[int][]policy.Endpoint {
 	for _, ls := range known {
 		slices.SortFunc(ls, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return known
 }
 
-func sameListings(a, b map[int][]policy.Endpoint) bool {
+func sameEndpoints(a, b map[int][]policy.Endpoint) bool {
 	return maps.EqualFunc(a, b, func(x, y []policy.Endpoint) bool { return slices.Equal(x, y) })
 }
 
 // Whatever lists, changes and messages come, and whichever destinations are put to rest: the module knows of those that
 // are awake all that the list says, and of the others nothing. The list itself is that of a relay which keeps all in a
 // map.
-func TestTheModuleKnowsWhatIsAwake(t *testing.T) {
+func TestPolicyHoldsTheWorkingSet(t *testing.T) {
 	const dests, hosts, restFor = 12, 40, 40 * time.Millisecond
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 11))
@@ -115,10 +115,10 @@
 				if full {
 					maps.DeleteFunc(model, func(id string, _ discovery.Entry) bool { return !named[id] })
 				}
-				tellLong(r, full, int64(step), entries)
+				applyLongList(r, full, int64(step), entries)
 			case 2:
 				for range rng.IntN(4) {
-					in := newHandIn(
+					in := newSubmission(
 						fmt.Sprint(seed, "-", step, "-", rng.Uint64()),
 						100+rng.IntN(dests),
 						time.Duration(1+rng.IntN(30))*time.Millisecond,
@@ -136,7 +136,7 @@
 					}
 				}
 			}
-			if got, want := ofModule(r), ofAwake(r); !sameListings(got, want) {
+			if got, want := policyEndpoints(r), workingSetEndpoints(r); !sameEndpoints(got, want) {
 				t.Fatalf("seed %d, step %d: the module knows\n%v\nawake\n%v", seed, step, got, want)
 			}
 			if r.catalog.EndpointCount() != len(model) {
@@ -153,16 +153,16 @@
 
 // A whole list once more is no news to the module, and of a list with one change it hears that one alone: neither asks
 // for a step.
-func TestTheSameListOnceMoreIsNoNews(t *testing.T) {
+func TestUnchangedListGivesNoUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	entries := entriesOf(
 		r,
-		liveText("s-a", "127.0.0.1:1", 50, "ready"),
-		liveText("s-b", "127.0.0.1:1", 50, "ready"),
-		liveText("s-c", "127.0.0.1:1", 51, "ready"),
+		endpointText("s-a", "127.0.0.1:1", 50, "ready"),
+		endpointText("s-b", "127.0.0.1:1", 50, "ready"),
+		endpointText("s-c", "127.0.0.1:1", 51, "ready"),
 	)
-	tellLong(r, true, 2, entries)
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.Status != 202 || !r.workingSet.Contains(50) ||
+	applyLongList(r, true, 2, entries)
+	if a := submitAll(r, newSubmission("m", 50, 9*time.Second))[0]; a.Status != 202 || !r.workingSet.Contains(50) ||
 		r.workingSet.Contains(51) {
 		t.Fatalf("%+v", a)
 	}
--- a/internal/relay/list_test.go
+++ b/internal/relay/list_test.go
@@ -8,7 +8,7 @@
 
 // A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its
 // module.
-func TestAHostThatGoesAndComesBackInOneList(t *testing.T) {
+func TestEndpointRemovedAndAddedInOneList(t *testing.T) {
 	const gone, back = `{"id":"s-1","state":"gone"}`, `{"id":"s-1","addr":"127.0.0.1:7","zone":"b","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	for _, c := range []struct {
 		full    bool
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -71,7 +71,7 @@
 	return a
 }
 
-func (a *listAgent) give(whole func(w http.ResponseWriter, r *http.Request)) {
+func (a *listAgent) serveSnapshot(whole func(w http.ResponseWriter, r *http.Request)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.whole = whole
@@ -105,8 +105,8 @@
 	})
 }
 
-// drive takes the loop's part until ok holds.
-func drive(t *testing.T, r *Relay, what string, ok func() bool) {
+// stepLoopUntil takes the loop's part until ok holds.
+func stepLoopUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(nettest.Patience); !ok(); {
 		select {
@@ -123,11 +123,11 @@
 	}
 }
 
-// tell has the agent write a text to its watch, and the loop take what comes meanwhile.
-func (a *listAgent) tell(t *testing.T, r *Relay, text []byte) {
+// sendLine has the agent write a text to its watch, and the loop take what comes meanwhile.
+func (a *listAgent) sendLine(t *testing.T, r *Relay, text []byte) {
 	t.Helper()
 	a.texts <- text
-	drive(t, r, "the agent has written", func() bool {
+	stepLoopUntil(t, r, "the agent has written", func() bool {
 		select {
 		case <-a.written:
 			return true
@@ -137,8 +137,8 @@
 	})
 }
 
-// liveText is the entry of a host that answers.
-func liveText(id, addr string, dest int, state string) string {
+// endpointText is the entry of a host that answers.
+func endpointText(id, addr string, dest int, state string) string {
 	return fmt.Sprintf(
 		`{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`,
 		id,
@@ -153,11 +153,11 @@
 	t.Helper()
 	was := int(requests.Load())
 	for i, dest := range dests {
-		if a := decide(r, newHandIn(fmt.Sprint(ids, i), dest, 9*time.Second))[0]; a.Status != http.StatusAccepted {
+		if a := submitAll(r, newSubmission(fmt.Sprint(ids, i), dest, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 			t.Fatalf("destination %d: %+v", dest, a)
 		}
 	}
-	drive(
+	stepLoopUntil(
 		t,
 		r,
 		fmt.Sprintf("%d messages of %q are delivered", len(dests), ids),
@@ -165,45 +165,45 @@
 	)
 }
 
-func answers(_ int, conn net.Conn, _ *http.Request) bool {
+func respondOK(_ int, conn net.Conn, _ *http.Request) bool {
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
 // A list that is far too long for a module comes by the watch: its module hears of what is in use, the rest is
 // delivered to as well, and changes reach the one and the other.
-func TestALongListIsToldAsFarAsItIsUsed(t *testing.T) {
+func TestPolicyHoldsOnlyUsedDestinations(t *testing.T) {
 	const dests = 6000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := nettest.RawServer(t, answers)
-	first, last := liveText("s-1", addr, 7, "ready"), liveText("s-last", addr, 99, "ready")
+	addr, requests := nettest.RawServer(t, respondOK)
+	first, last := endpointText("s-1", addr, 7, "ready"), endpointText("s-last", addr, 99, "ready")
 	follow(t, r, a)
-	a.tell(t, r, discoverytest.ListJSON(2, dests, first, last))
-	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
-	if n := len(ofModule(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
+	a.sendLine(t, r, discoverytest.ListJSON(2, dests, first, last))
+	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
+	if n := len(policyEndpoints(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
 		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
-	if n := len(ofModule(r)); n != 2 {
+	if n := len(policyEndpoints(r)); n != 2 {
 		t.Errorf("the module knows %d destinations", n)
 	}
-	a.tell(t, r, discoverytest.ListJSON(3, dests, first, last))
-	drive(t, r, "the list once more", func() bool { return r.listVersion == 3 })
-	a.tell(t, r, []byte(`{"version":4,"servers":[`+discoverytest.EndpointJSON(8, 4, "draining")+`,`+discoverytest.EndpointJSON(10, 5, "gone")+"]}\n"))
-	drive(t, r, "changes", func() bool { return r.listVersion == 4 })
+	a.sendLine(t, r, discoverytest.ListJSON(3, dests, first, last))
+	stepLoopUntil(t, r, "the list once more", func() bool { return r.listVersion == 3 })
+	a.sendLine(t, r, []byte(`{"version":4,"servers":[`+discoverytest.EndpointJSON(8, 4, "draining")+`,`+discoverytest.EndpointJSON(10, 5, "gone")+"]}\n"))
+	stepLoopUntil(t, r, "changes", func() bool { return r.listVersion == 4 })
 	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
 		t.Errorf("%d hosts drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
-	a.tell(
+	a.sendLine(
 		t,
 		r,
 		[]byte(
-			`{"version":5,"servers":[`+liveText(
+			`{"version":5,"servers":[`+endpointText(
 				"s-last",
 				addr,
 				99,
 				"draining",
-			)+`,`+liveText(
+			)+`,`+endpointText(
 				"s-1",
 				addr,
 				7,
@@ -211,52 +211,52 @@
 			)+"]}\n",
 		),
 	)
-	drive(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
-	drive(t, r, "the module hears of them", func() bool {
-		known := ofModule(r)
+	stepLoopUntil(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
+	stepLoopUntil(t, r, "the module hears of them", func() bool {
+		known := policyEndpoints(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
 	// A message for a host that drains waits for another one.
-	if a := decide(r, newHandIn("waits", 99, 9*time.Second))[0]; a.Status != http.StatusAccepted {
+	if a := submitAll(r, newSubmission("waits", 99, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
 	was := requests.Load()
-	a.tell(t, r, []byte(`{"version":6,"servers":[`+liveText("s-next", addr, 99, "ready")+"]}\n"))
-	drive(t, r, "it is delivered", func() bool { return requests.Load() == was+1 })
-	if a := decide(r, newHandIn("unknown", 1_000_000, 9*time.Second))[0]; a.Status != http.StatusBadRequest {
+	a.sendLine(t, r, []byte(`{"version":6,"servers":[`+endpointText("s-next", addr, 99, "ready")+"]}\n"))
+	stepLoopUntil(t, r, "it is delivered", func() bool { return requests.Load() == was+1 })
+	if a := submitAll(r, newSubmission("unknown", 1_000_000, 9*time.Second))[0]; a.Status != http.StatusBadRequest {
 		t.Errorf("a destination that no list has named: %+v", a)
 	}
 }
 
 // A destination at rest whose only host drains is woken by a message: that waits, and goes to the host that is listed
 // next.
-func TestWakingWhileTheOnlyHostDrains(t *testing.T) {
+func TestActivationWhileTheOnlyEndpointDrains(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
-	old, oldRequests := nettest.RawServer(t, answers)
-	next, nextRequests := nettest.RawServer(t, answers)
+	old, oldRequests := nettest.RawServer(t, respondOK)
+	next, nextRequests := nettest.RawServer(t, respondOK)
 	follow(t, r, a)
-	a.tell(t, r, discoverytest.ListJSON(2, 3000, liveText("s-old", old, 50, "draining")))
-	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
-	if a := decide(r, newHandIn("m", 50, 9*time.Second))[0]; a.Status != http.StatusAccepted {
+	a.sendLine(t, r, discoverytest.ListJSON(2, 3000, endpointText("s-old", old, 50, "draining")))
+	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
+	if a := submitAll(r, newSubmission("m", 50, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
-	a.tell(t, r, []byte(`{"version":3,"servers":[`+liveText("s-next", next, 50, "ready")+"]}\n"))
-	drive(t, r, "it is delivered", func() bool { return nextRequests.Load() == 1 })
+	a.sendLine(t, r, []byte(`{"version":3,"servers":[`+endpointText("s-next", next, 50, "ready")+"]}\n"))
+	stepLoopUntil(t, r, "it is delivered", func() bool { return nextRequests.Load() == 1 })
 	if n := oldRequests.Load(); n != 0 {
 		t.Errorf("%d requests at the one that drains", n)
 	}
 }
 
 // A host moves from one destination to another, and back in the next list: messages of either find it where it is.
-func TestAHostThatMovesBetweenDestinations(t *testing.T) {
+func TestEndpointMovesBetweenDestinations(t *testing.T) {
 	for name, rest := range map[string]int{"a small site": 1, "a long list": 3000} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			addr, requests := nettest.RawServer(t, answers)
+			addr, requests := nettest.RawServer(t, respondOK)
 			follow(t, r, a)
 			for i, dest := range []int{50, 51, 50, 51} {
-				a.tell(t, r, discoverytest.ListJSON(2+i, rest, liveText("s-moves", addr, dest, "ready")))
-				drive(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
+				a.sendLine(t, r, discoverytest.ListJSON(2+i, rest, endpointText("s-moves", addr, dest, "ready")))
+				stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
 				r.deliver(t, requests, fmt.Sprint("m", i, "-"), dest)
 			}
 		})
@@ -264,18 +264,18 @@
 }
 
 // Thousands of destinations are woken within moments, and each message arrives.
-func TestThousandsWakeAtOnce(t *testing.T) {
+func TestThousandsOfDestinationsActivateAtOnce(t *testing.T) {
 	const dests, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := nettest.RawServer(t, answers)
+	addr, requests := nettest.RawServer(t, respondOK)
 	var hosts []string
 	for i := range dests {
-		hosts = append(hosts, liveText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
+		hosts = append(hosts, endpointText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
 	}
 	follow(t, r, a)
-	a.tell(t, r, discoverytest.ListJSON(2, 1000, hosts...))
-	drive(t, r, "the list is known", func() bool { return r.listVersion == 2 })
-	run(t, r)
+	a.sendLine(t, r, discoverytest.ListJSON(2, 1000, hosts...))
+	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
+	runLoop(t, r)
 	began := time.Now()
 	var clients sync.WaitGroup
 	var taken atomic.Int32
@@ -287,7 +287,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				taken.Add(1)
-				in := newHandIn(fmt.Sprint("m", i), 10_000+i, 9*time.Second)
+				in := newSubmission(fmt.Sprint("m", i), 10_000+i, 9*time.Second)
 				r.post(in)
 				if a := <-in.reply; a.Status != http.StatusAccepted {
 					t.Errorf("%d: %+v", i, a)
@@ -302,27 +302,27 @@
 
 // A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new leaves for the host
 // once the grace is over.
-func TestADrainBehindALongList(t *testing.T) {
+func TestDrainAfterLongListTakesEffectInTime(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
 	old, oldRequests := nettest.RawServer(t, func(n int, conn net.Conn, req *http.Request) bool {
 		last.Store(time.Now().UnixNano())
-		return answers(n, conn, req)
+		return respondOK(n, conn, req)
 	})
-	next, nextRequests := nettest.RawServer(t, answers)
-	run(t, r)
+	next, nextRequests := nettest.RawServer(t, respondOK)
+	runLoop(t, r)
 	follow(t, r, a)
 	servers := func(version int, full bool, old, next string, more []byte) []byte {
 		return fmt.Appendf(nil, `{"version":%d,"full":%v,"servers":[%s%s,%s]}`+"\n", version, full, more, old, next)
 	}
-	a.texts <- servers(2, true, liveText("s-old", old, 7, "ready"), liveText("t-next", next, 7, "ready"), nil)
+	a.texts <- servers(2, true, endpointText("s-old", old, 7, "ready"), endpointText("t-next", next, 7, "ready"), nil)
 	<-a.written
 	stop, ended := make(chan struct{}), make(chan struct{})
 	defer func() { close(stop); <-ended }()
 	go func() {
 		defer close(ended)
 		for i := 0; ; i++ {
-			in := newHandIn(fmt.Sprint("m", i), 7, 5*time.Second)
+			in := newSubmission(fmt.Sprint("m", i), 7, 5*time.Second)
 			r.post(in)
 			<-in.reply
 			select {
@@ -337,7 +337,7 @@
 	for i := range longList {
 		more = append(append(more, discoverytest.EndpointJSON(i, i/2, "ready")...), ',')
 	}
-	text := servers(3, false, liveText("s-old", old, 7, "draining"), liveText("t-next", next, 7, "ready"), more)
+	text := servers(3, false, endpointText("s-old", old, 7, "draining"), endpointText("t-next", next, 7, "ready"), more)
 	a.texts <- text
 	told := <-a.written
 	was := nextRequests.Load()
@@ -353,11 +353,11 @@
 
 // A long list that breaks off in the middle of an entry: what it has said holds, nothing goes for not being named yet,
 // its version is not taken on, and it is asked for again. One that stalls or never ends is cut off.
-func TestALongListThatBreaksOff(t *testing.T) {
+func TestLongListThatBreaksOff(t *testing.T) {
 	const dests = 4000
 	r, a := newTestRelay(t), newListAgent(t)
-	addr, requests := nettest.RawServer(t, answers)
-	live := liveText("s-new", addr, 50, "ready")
+	addr, requests := nettest.RawServer(t, respondOK)
+	live := endpointText("s-new", addr, 50, "ready")
 	follow(t, r, a, func(c *discovery.Config) { c.IdleTimeout, c.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
 	whole := discoverytest.ListJSON(9, dests, live)
 	half := whole[:len(whole)*3/4]
@@ -367,7 +367,7 @@
 	held := func() int { return r.catalog.EndpointCount() }
 	asked := func(what, want string) {
 		t.Helper()
-		drive(t, r, "a watch after "+what, func() bool {
+		stepLoopUntil(t, r, "a watch after "+what, func() bool {
 			select {
 			case got := <-a.indexes:
 				if got != want {
@@ -380,7 +380,7 @@
 		})
 	}
 	asked("the start", "1")
-	a.tell(t, r, append(bytes.Clone(half), "CUT"...))
+	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
 	asked("an end in an entry", "1")
 	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
 		t.Errorf("%d hosts, version %d", n, r.listVersion)
@@ -389,13 +389,13 @@
 		t.Error("a host is gone that the list had not come to yet")
 	}
 	r.deliver(t, requests, "a", 50)
-	a.tell(t, r, half) // and blank lines: they are a sign of life, but not for ever
+	a.sendLine(t, r, half) // and blank lines: they are a sign of life, but not for ever
 	asked("a list without end", "1")
 	if r.listVersion != 1 {
 		t.Errorf("version %d", r.listVersion)
 	}
-	a.tell(t, r, whole)
-	drive(t, r, "the whole list", func() bool { return r.listVersion == 9 })
+	a.sendLine(t, r, whole)
+	stepLoopUntil(t, r, "the whole list", func() bool { return r.listVersion == 9 })
 	if n := held(); n != 2*dests+1 {
 		t.Errorf("%d hosts", n)
 	}
@@ -409,8 +409,8 @@
 	r, a := newTestRelay(t), newListAgent(t)
 	follow(t, r, a)
 	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
-		a.tell(t, r, discoverytest.ListJSON(l.version, l.dests))
-		drive(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
+		a.sendLine(t, r, discoverytest.ListJSON(l.version, l.dests))
+		stepLoopUntil(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
 		if r.catalog.EndpointCount() != 2*l.dests {
 			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
 		}
@@ -419,7 +419,7 @@
 
 // A line that cannot be read is made up for by the whole list, also where that is long; changes that it holds already
 // are not told again, whether their version comes before them or behind.
-func TestALongListMakesUpForAnUnreadableLine(t *testing.T) {
+func TestLongListReplacesUnreadableLine(t *testing.T) {
 	const dests = 3000
 	for name, older := range map[string]func([]byte) []byte{
 		"version first": func(entries []byte) []byte { return fmt.Appendf(nil, `{"version":6,"servers":[%s]}`, entries) },
@@ -427,15 +427,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			a.give(func(w http.ResponseWriter, _ *http.Request) { w.Write(discoverytest.ListJSON(7, dests)) })
+			a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) { w.Write(discoverytest.ListJSON(7, dests)) })
 			follow(t, r, a)
 			var entries []byte
 			for i := range 2 * dests {
 				entries = append(append(entries, discoverytest.EndpointJSON(i, i/2, "draining")...), ',')
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
-			a.tell(t, r, append(text, "\n"+`{"version":8,"servers":[`+discoverytest.EndpointJSON(0, 0, "draining")+"]}\n"...))
-			drive(t, r, "the list", func() bool { return r.listVersion == 8 })
+			a.sendLine(t, r, append(text, "\n"+`{"version":8,"servers":[`+discoverytest.EndpointJSON(0, 0, "draining")+"]}\n"...))
+			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
 				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
@@ -444,7 +444,7 @@
 }
 
 // One entry of a list is too long: one line of the log tells of it with its size, and the list in force stays.
-func TestAnEntryBeyondItsBound(t *testing.T) {
+func TestOversizedEntry(t *testing.T) {
 	var mu sync.Mutex
 	var log bytes.Buffer
 	r, a := newTestRelay(t), newListAgent(t)
@@ -454,11 +454,11 @@
 			nil,
 		),
 	)
-	a.give(func(w http.ResponseWriter, _ *http.Request) {
+	a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
-	drive(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
+	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
 	mu.Lock()
 	text := log.String()
 	mu.Unlock()
@@ -471,7 +471,7 @@
 }
 
 // Fifty whole lists, each of hosts that nobody has seen before, take no more room than a few.
-func TestRoomAfterFiftyListsOfNewHosts(t *testing.T) {
+func TestMemoryAfterFiftyListsOfNewEndpoints(t *testing.T) {
 	const hosts = 2000
 	r := newTestRelay(t)
 	heap := func() uint64 {
@@ -493,7 +493,7 @@
 				}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
 			}
 		}
-		tellLong(r, true, int64(v), entries)
+		applyLongList(r, true, int64(v), entries)
 		if v == 4 {
 			few = heap()
 		}
@@ -505,8 +505,8 @@
 
 // What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the
 // standing of a host.
-func TestARestartWakesWhatItNeeds(t *testing.T) {
-	addr, requests := nettest.RawServer(t, answers)
+func TestRestartActivatesDestinationsOfMessages(t *testing.T) {
+	addr, requests := nettest.RawServer(t, respondOK)
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
 		m := &journal.Message{
@@ -527,7 +527,7 @@
 		fmt.Appendf(
 			nil,
 			`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-			discoverytest.ListJSON(4, 3000, liveText("s-50", addr, 50, "ready")),
+			discoverytest.ListJSON(4, 3000, endpointText("s-50", addr, 50, "ready")),
 			settingsJSON,
 		),
 	)
@@ -536,7 +536,7 @@
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
 	cfg.StateDir = old.cfg.StateDir
-	r, err := New(cfg, quiet(), io.Discard)
+	r, err := New(cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -546,15 +546,15 @@
 		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
 	r.recoverState()
-	drive(
+	stepLoopUntil(
 		t,
 		r,
 		"the one whose destination is known is delivered",
 		func() bool { return requests.Load() == 1 && len(r.activeCalls) == 0 },
 	)
-	if n := len(ofModule(r)); n != 1 || r.pending != 1 {
+	if n := len(policyEndpoints(r)); n != 1 || r.pending != 1 {
 		t.Errorf("the module knows %d destinations, %d messages are held", n, r.pending)
 	}
-	tellLong(r, false, 5, entriesOf(r, liveText("s-60000", addr, 60_000, "ready")))
-	drive(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
+	applyLongList(r, false, 5, entriesOf(r, endpointText("s-60000", addr, 60_000, "ready")))
+	stepLoopUntil(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
 }
--- a/internal/relay/moments_test.go
+++ b/internal/relay/moments_test.go
@@ -17,19 +17,19 @@
 
 // What comes and goes on a whole relay at the moment of SIGTERM: clients that rest with a request on its way are
 // answered.
-func TestAPlannedEndAnswersWhatHadCome(t *testing.T) {
+func TestShutdownAnswersRequestsThatHaveCome(t *testing.T) {
 	r := newTestRelay(t)
 	ctx, stop := context.WithCancel(context.Background())
 	go r.loop(ctx)
 	defer func() { stop(); <-r.loopDone }()
 	listener := nettest.ListenHolding(t)
-	doorAt(t, r, listener)
+	serveClientsAt(t, r, listener)
 	peer := dial(t, listener.Addr().String(), "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	responses := bufio.NewReader(peer)
-	read(t, responses)
+	readResponse(t, responses)
 	served := listener.Accepted(t)
 	served.AwaitHeld(t) // the connection is idle, and the next read does not begin
-	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
+	if _, err := io.WriteString(peer, requestText("m1")); err != nil {
 		t.Fatal(err)
 	}
 	nettest.Eventually(t, "the request is there", func() bool {
@@ -37,7 +37,7 @@
 	})
 	r.ingress.Drain()
 	served.ReleaseReads()
-	if res := read(t, responses); res.StatusCode != http.StatusAccepted || !res.Close {
+	if res := readResponse(t, responses); res.StatusCode != http.StatusAccepted || !res.Close {
 		t.Errorf("status %d, the last %v", res.StatusCode, res.Close)
 	}
 }
--- a/internal/relay/recent_test.go
+++ b/internal/relay/recent_test.go
@@ -13,7 +13,7 @@
 
 // A message is handed in once more under its id when it was just forgotten, as after an answer that was lost with its
 // connection: what has run, or may have, does not run again; what surely never ran, or was put off, is a new one.
-func TestAnIDThatWasJustForgotten(t *testing.T) {
+func TestDuplicateOfFinishedMessage(t *testing.T) {
 	const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
 	for _, c := range []struct {
 		name   string
@@ -33,8 +33,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
 			r.catalog.RememberDestination(dest)
-			in := newHandIn("m1", dest, 5*time.Second)
-			decide(r, in)
+			in := newSubmission("m1", dest, 5*time.Second)
+			submitAll(r, in)
 			m := r.messages[in.message.ID]
 			if c.result != nil {
 				at := journal.Attempt{Number: 0, Endpoint: "s-8", SentAt: time.Now()}
@@ -59,8 +59,8 @@
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
 				t.Fatal("it is not forgotten")
 			}
-			again := newHandIn("m1", dest, 5*time.Second)
-			if a := decide(r, again)[0]; a.Status != c.status {
+			again := newSubmission("m1", dest, 5*time.Second)
+			if a := submitAll(r, again)[0]; a.Status != c.status {
 				t.Errorf("answer %+v, want %d", a, c.status)
 			}
 			if _, old := r.finished.reply("m1", m.Deadline); old {
@@ -74,7 +74,7 @@
 }
 
 // What is remembered is bounded, in number and time.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+func TestFinishedMessagesAreBounded(t *testing.T) {
 	var r finishedMessages
 	now := time.Now()
 	for i := range 3 * maxFinishedMessages {
@@ -100,7 +100,7 @@
 
 // A restart that cannot tell how long ago a message ran takes it for longer than any window, also one of more than a
 // day.
-func TestWhatCannotBeDatedRanBeforeAnyWindow(t *testing.T) {
+func TestUndatedAttemptIsOutsideAnyWindow(t *testing.T) {
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
 		r.activeConfig.Settings.Classes[0].DedupWindow = window
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("%s", out)
 	}
 	plain := newTestRelay(t)
-	if res := post(t, plain, door(t, plain), "m1"); res.StatusCode != http.StatusAccepted {
+	if res := submit(t, plain, serveClients(t, plain), "m1"); res.StatusCode != http.StatusAccepted {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -48,7 +48,7 @@
 	"services.0.by_arrival=true weight_kind=nominal"
 
 // The relay's configuration and the simulator's wire give the module the same settings.
-func TestConfigMapsAsTheWireDoes(t *testing.T) {
+func TestConfigMatchesSimulatorSettings(t *testing.T) {
 	c, err := parseConfig(
 		[]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`),
 	)
@@ -94,7 +94,7 @@
 	return l.Entries
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // newTestRelay is a relay whose loop is not running: the test takes its part.
 func newTestRelay(t *testing.T) *Relay {
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	c.StateDir = t.TempDir()
-	r, err := New(c, quiet(), io.Discard)
+	r, err := New(c, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,26 +120,26 @@
 	return r
 }
 
-// door lets clients in.
-func door(t *testing.T, r *Relay) (addr string) {
+// serveClients lets clients in.
+func serveClients(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	doorAt(t, r, l)
+	serveClientsAt(t, r, l)
 	return l.Addr().String()
 }
 
-// doorAt lets clients in at a listener.
-func doorAt(t *testing.T, r *Relay, l net.Listener) {
+// serveClientsAt lets clients in at a listener.
+func serveClientsAt(t *testing.T, r *Relay, l net.Listener) {
 	t.Helper()
 	t.Cleanup(func() { l.Close(); r.ingress.Close(time.Now()) })
 	go r.ingress.Serve(l)
 }
 
-// handInText is a hand-in as it stands on the wire; edit may spoil it.
-func handInText(id string, edit ...string) string {
+// requestText is a hand-in as it stands on the wire; edit may spoil it.
+func requestText(id string, edit ...string) string {
 	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
 	return strings.NewReplacer(edit...).Replace(text)
@@ -160,8 +160,8 @@
 	return c
 }
 
-// read reads an answer.
-func read(t *testing.T, r *bufio.Reader) *http.Response {
+// readResponse reads an answer.
+func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -173,16 +173,16 @@
 	return res
 }
 
-// post hands a message in and has the loop decide on it.
-func post(t *testing.T, r *Relay, addr, id string) *http.Response {
+// submit hands a message in and has the loop decide on it.
+func submit(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
-	c := dial(t, addr, handInText(id))
+	c := dial(t, addr, requestText(id))
 	for {
 		if _, ok := r.next().(*submitEvent); ok {
 			break
 		}
 	}
-	return read(t, bufio.NewReader(c))
+	return readResponse(t, bufio.NewReader(c))
 }
 
 // next takes the loop's next event and decides on it.
@@ -192,8 +192,8 @@
 	return e
 }
 
-// settle has the loop decide until ok holds.
-func settle(t *testing.T, r *Relay, what string, ok func() bool) {
+// stepUntil has the loop decide until ok holds.
+func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	nettest.Eventually(t, what, func() bool {
 		select {
@@ -207,11 +207,11 @@
 }
 
 // A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
-func TestAClientThatLeftWithoutAnAnswerTakesItsMessageAlong(t *testing.T) {
+func TestMessageIsCancelledWhenItsClientLeaves(t *testing.T) {
 	r := newTestRelay(t)
 	listener := nettest.Listen(t)
-	doorAt(t, r, listener)
-	c := dial(t, listener.Addr().String(), handInText("m1"))
+	serveClientsAt(t, r, listener)
+	c := dial(t, listener.Addr().String(), requestText("m1"))
 	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
@@ -222,15 +222,15 @@
 			break
 		}
 	}
-	settle(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
+	stepUntil(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
 }
 
 // A message that comes once more because its connection closed crosswise is the same message.
-func TestAMessageHandedInTwiceUnderOneIDIsTakenOnce(t *testing.T) {
+func TestMessageSubmittedTwiceIsAcceptedOnce(t *testing.T) {
 	r := newTestRelay(t)
-	addr := door(t, r)
+	addr := serveClients(t, r)
 	for range 2 {
-		if res := post(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
+		if res := submit(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
@@ -240,12 +240,12 @@
 }
 
 // With the log's folder gone, as with a full disk, new work is refused and nothing is sent unrecorded.
-func TestAFullDiskRefusesNewWork(t *testing.T) {
+func TestFullDiskRejectsNewMessages(t *testing.T) {
 	r := newTestRelay(t)
 	if err := r.journal.Close(); err != nil { // every write fails from here on
 		t.Fatal(err)
 	}
-	res := post(t, r, door(t, r), "m1")
+	res := submit(t, r, serveClients(t, r), "m1")
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
 	}
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestUnreadableEntriesSpoilNoOther(t *testing.T) {
+func TestUnreadableEntriesAreSkipped(t *testing.T) {
 	r := newTestRelay(t)
 	l, err := parseList(
 		&r.cfg,
@@ -274,7 +274,7 @@
 }
 
 // Together the messages of a bundle may be larger than any body may.
-func TestABundleIsNoLargerThanABodyMayBe(t *testing.T) {
+func TestBatchIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
 	r.catalog.Upsert(
 		catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"},
@@ -304,11 +304,11 @@
 
 // A damaged journal may lack sends. What they may be about is ended, not repeated, and it alone: what was taken on
 // behind the damage goes on.
-func TestADamagedJournalRepeatsNothing(t *testing.T) {
+func TestDamagedJournalRepeatsNothing(t *testing.T) {
 	r := newTestRelay(t)
-	addr := door(t, r)
+	addr := serveClients(t, r)
 	for i := range 200 { // over several blocks of the store: damage in the last one looks like a torn write
-		post(t, r, addr, fmt.Sprint("m", 100+i))
+		submit(t, r, addr, fmt.Sprint("m", 100+i))
 	}
 	if err := r.journal.Close(); err != nil {
 		t.Fatal(err)
@@ -326,7 +326,7 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again, err := New(r.cfg, quiet(), io.Discard)
+	again, err := New(r.cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -358,7 +358,7 @@
 
 // With the clock set back between two processes a message that may have run is not repeated: how long its host drops
 // repeats cannot be told. One that never ran goes on, with no more time than its class gives.
-func TestAClockThatWasSetBack(t *testing.T) {
+func TestWallClockSetBack(t *testing.T) {
 	for _, back := range []time.Duration{0, time.Minute} {
 		r := newTestRelay(t)
 		at := time.Now().Add(back)
@@ -417,7 +417,7 @@
 // The wall clock is set while no process runs. A message that was sent before the window in which its host drops
 // repeats is not repeated, one sent within it is, and each keeps the time that it truly has left: the boot's clock
 // tells.
-func TestTheWindowGoesByTheBootsClock(t *testing.T) {
+func TestDedupWindowGoesByTheBootClock(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
@@ -465,7 +465,7 @@
 // The machine was started anew while a call was out, and its clock set: whatever the wall clock says, what may have run
 // is not repeated, since nobody can tell how long its host drops repeats. So over the next process of the new boot,
 // too.
-func TestAfterANewBootNothingThatMayHaveRunIsRepeated(t *testing.T) {
+func TestNewBootRepeatsNothingThatMayHaveRun(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
@@ -498,9 +498,9 @@
 	}
 }
 
-// heldUp has connections to hosts come up only once up is closed. dialled tells of each that is asked for, came of each
+// delayConnections has connections to hosts come up only once up is closed. dialled tells of each that is asked for, came of each
 // request.
-func heldUp(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
+func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
 	t.Helper()
 	asked, requests := make(chan struct{}, 16), make(chan string, 16)
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
@@ -524,8 +524,8 @@
 	return asked, requests
 }
 
-// run has the relay's loop run until the test ends.
-func run(t *testing.T, r *Relay) {
+// runLoop has the relay's loop run until the test ends.
+func runLoop(t *testing.T, r *Relay) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); <-r.loopDone })
 	go r.loop(ctx)
@@ -533,10 +533,10 @@
 
 // The connection of a call with several messages comes up late: one of them has had its final answer meanwhile, since
 // its time was up. It must not leave with the others.
-func TestAMessageThatEndedMeanwhileDoesNotLeaveWithOthers(t *testing.T) {
+func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
-	dialled, came := heldUp(t, r, up)
+	dialled, came := delayConnections(t, r, up)
 	r.cfg.Known.Entries = entriesOf(
 		r,
 		`{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`,
@@ -556,7 +556,7 @@
 		r.recovery.Messages = append(r.recovery.Messages, m)
 	}
 	r.recoverState()
-	run(t, r)
+	runLoop(t, r)
 	<-dialled
 	nettest.Eventually(t, "the one whose time is up has its final answer", func() bool {
 		notices := r.finals.Pending()
@@ -575,13 +575,13 @@
 
 // A repeat that was decided inside its window waits for a connection that comes up only after it, as from a machine
 // that is back. It must not leave then: no host drops it any more.
-func TestARepeatHeldUpPastItsWindowDoesNotLeave(t *testing.T) {
+func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
 	r := newTestRelay(t)
 	window := r.cfg.Settings.Classes[0].DedupWindow
 	ends := time.Now().Add(300 * time.Millisecond)
 	up := make(chan struct{})
 	time.AfterFunc(time.Until(ends), func() { close(up) })
-	dialled, came := heldUp(t, r, up)
+	dialled, came := delayConnections(t, r, up)
 	m := &journal.Message{
 		ID: 1, TraceID: "m", IdempotencyKey: "k", Destination: 7, Deadline: time.Now().Add(10 * time.Second), Attempts: 1,
 		UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: ends.Add(-window)}},
@@ -592,7 +592,7 @@
 	// as an earlier process left it
 	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
 	r.recoverState()
-	run(t, r)
+	runLoop(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		notices := r.finals.Pending()
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -117,7 +117,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			r, err := New(cfg, quiet(), io.Discard)
+			r, err := New(cfg, discardLog(), io.Discard)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/relay/small_test.go
+++ b/internal/relay/small_test.go
@@ -12,19 +12,19 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// oldTarget and oldHosts are how the relay kept its list and told the module of it before it had a catalog: the model
+// oldTarget and referenceList are how the relay kept its list and told the module of it before it had a catalog: the model
 // that small sites are held to.
 type oldTarget struct {
 	policy.Endpoint
 	addr string
 }
 
-type oldHosts struct {
+type referenceList struct {
 	cfg    Config
 	routes map[string]oldTarget
 }
 
-func (r *oldHosts) list(full bool, entries []string) policy.Event {
+func (r *referenceList) list(full bool, entries []string) policy.Event {
 	e := policy.Event{Kind: policy.EndpointDelta}
 	if full {
 		e.Kind = policy.EndpointSnapshot
@@ -90,13 +90,13 @@
 
 // On a small site the module hears the same events as before there was a catalog, and the relay knows the same
 // addresses.
-func TestSmallListsAreToldAsBefore(t *testing.T) {
+func TestShortListsGiveTheSameEventsAsBefore(t *testing.T) {
 	r := newTestRelay(t)
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		r.endpointState = endpointState{}
 		r.loadKnownEndpoints()
-		old := oldHosts{cfg: r.cfg, routes: map[string]oldTarget{}}
+		old := referenceList{cfg: r.cfg, routes: map[string]oldTarget{}}
 		lists, texts := randomLists(rng)
 		for i, l := range lists {
 			l.Entries = entriesOf(r, texts[i]...)
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -14,19 +14,19 @@
 
 // With no room for bodies in memory they are read from the journal as they are sent; a message whose body the disk no
 // longer gives ends with a notice, and the loop goes on.
-func TestBodiesLeftOnDisk(t *testing.T) {
+func TestBodiesAreReadFromDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.StateDir, cfg.Operator.Journal.MaxBodiesMB = t.TempDir(), 1.0/(1<<20) // a byte
-	r, err := New(cfg, quiet(), io.Discard)
+	r, err := New(cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.callCtx = t.Context()
 	r.recoverState()
 	t.Cleanup(func() { r.egress.Close(); r.calls.Wait() })
-	in := newHandIn("m1", 7, 5*time.Second)
+	in := newSubmission("m1", 7, 5*time.Second)
 	in.message.Body = []byte("a body on disk")
-	decide(r, in)
+	submitAll(r, in)
 	m := r.messages[in.message.ID]
 	if m.Body != nil || m.Size() != 14 || len(r.activeCalls) != 1 {
 		t.Fatalf("body %q of %d, %d calls", m.Body, m.Size(), len(r.activeCalls))
@@ -53,7 +53,7 @@
 	if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
 		t.Errorf("notices %+v, held %d", r.finals.Pending(), r.pending)
 	}
-	if a := decide(r, newHandIn("m2", 7, 5*time.Second))[0]; a.Status != 202 {
+	if a := submitAll(r, newSubmission("m2", 7, 5*time.Second))[0]; a.Status != 202 {
 		t.Errorf("afterwards: %+v", a)
 	}
 }
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -35,8 +35,8 @@
 		bad          func(t *testing.T, r *Relay, i int)
 	}{
 		{"requests", "bad request", func(t *testing.T, r *Relay, i int) {
-			addr := door(t, r)
-			bad := []string{"NONSENSE\r\n\r\n", handInText("x", "X-Qos: order", "X-Qos: what"), handInText("x", "Length: 4", "Length: 99999999")}[i%3]
+			addr := serveClients(t, r)
+			bad := []string{"NONSENSE\r\n\r\n", requestText("x", "X-Qos: order", "X-Qos: what"), requestText("x", "Length: 4", "Length: 99999999")}[i%3]
 			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
@@ -60,7 +60,7 @@
 			if i == 0 {
 				r.journal.Close()
 			}
-			if a := decide(r, newHandIn(fmt.Sprint("m", i), 7, time.Second)); a[0].Status != http.StatusServiceUnavailable {
+			if a := submitAll(r, newSubmission(fmt.Sprint("m", i), 7, time.Second)); a[0].Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", a)
 			}
 		}},
@@ -85,7 +85,7 @@
 			if c.logged == "rejecting new messages" {
 				return // nothing is taken on
 			}
-			if res := post(t, r, door(t, r), "good"); res.StatusCode != http.StatusAccepted {
+			if res := submit(t, r, serveClients(t, r), "good"); res.StatusCode != http.StatusAccepted {
 				t.Errorf("a good message: %d", res.StatusCode)
 			}
 		})
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -22,7 +22,7 @@
 	if err := old.journal.Close(); err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(old.cfg, quiet(), io.Discard)
+	r, err := New(old.cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,14 +54,14 @@
 		t.Run(name, func(t *testing.T) {
 			old := newTestRelay(t)
 			in := []*submitEvent{
-				newHandIn("m1", 7, 9*time.Second),
-				newHandIn("m2", 7, 9*time.Second),
-				newHandIn("m3", 7, 9*time.Second),
+				newSubmission("m1", 7, 9*time.Second),
+				newSubmission("m2", 7, 9*time.Second),
+				newSubmission("m3", 7, 9*time.Second),
 			}
 			for i, x := range in {
 				x.message.ClassName, x.message.OrderingKey = "order", string(rune('a'+i))
 			}
-			decide(old, in...)
+			submitAll(old, in...)
 			if len(old.activeCalls) != 3 {
 				t.Fatalf("%d calls out", len(old.activeCalls))
 			}
@@ -88,7 +88,7 @@
 				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
 				t.Errorf("what was not told: %+v", m)
 			}
-			if a := decide(r, newHandIn("m3", 7, 9*time.Second))[0]; a.Status != http.StatusAccepted || r.pending != 2 {
+			if a := submitAll(r, newSubmission("m3", 7, 9*time.Second))[0]; a.Status != http.StatusAccepted || r.pending != 2 {
 				t.Errorf("handed in again: %+v, held %d", a, r.pending)
 			}
 		})
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	r := &Relay{log: quiet()}
+	r := &Relay{log: discardLog()}
 	if r.before, err = hotrestart.Dial(filepath.Join(dir, "s")); err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +137,8 @@
 // A message that ended while its end could not be written does not come back with the log.
 func TestTakingOverAnEndThatIsNotInTheLog(t *testing.T) {
 	old := newTestRelay(t)
-	in := newHandIn("m1", 7, 9*time.Second)
-	decide(old, in)
+	in := newSubmission("m1", 7, 9*time.Second)
+	submitAll(old, in)
 	r := successorOf(t, old, func(s *hotrestart.State) { s.Messages, s.Attempts = nil, nil })
 	if len(r.messages) != 0 || r.pending != 0 || r.journal.Tracks(in.message) {
 		t.Errorf("held %d, %v", r.pending, r.messages)
@@ -149,12 +149,12 @@
 // not said to have refused it.
 func TestForwardsEnd(t *testing.T) {
 	var f forwards
-	none := newHandIn("m1", 7, time.Second)
+	none := newSubmission("m1", 7, time.Second)
 	f.handIn(nil, none)
 	if a := <-none.reply; a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("%+v", a)
 	}
-	open := newHandIn("m2", 7, time.Second)
+	open := newSubmission("m2", 7, time.Second)
 	f.open = map[uint64]*submitEvent{3: open}
 	f.answer(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
 	f.end()
