--- /dev/null
+++ b/internal/relay/admission_test.go
@@ -0,0 +1,172 @@
+package relay
+
+import (
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
+func TestMessageIsCancelledWhenItsClientLeaves(t *testing.T) {
+	r := newTestRelay(t)
+	listener := nettest.Listen(t)
+	serveClientsAt(t, r, listener)
+	c := dial(t, listener.Addr().String(), requestText("m1"))
+	served := listener.Accepted(t)
+	e := <-r.events
+	c.Close()
+	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
+	r.step([]event{e})
+	for {
+		if _, ok := r.next().(cancelEvent); ok {
+			break
+		}
+	}
+	stepUntil(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
+}
+
+// A message that comes once more because its connection closed crosswise is the same message.
+func TestMessageSubmittedTwiceIsAcceptedOnce(t *testing.T) {
+	r := newTestRelay(t)
+	addr := serveClients(t, r)
+	for range 2 {
+		if res := submit(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
+			t.Errorf("status %d", res.StatusCode)
+		}
+	}
+	if len(r.messages) != 1 {
+		t.Errorf("%d messages held", len(r.messages))
+	}
+}
+
+// With the log's folder gone, as with a full disk, new work is refused and nothing is sent unrecorded.
+func TestFullDiskRejectsNewMessages(t *testing.T) {
+	r := newTestRelay(t)
+	if err := r.journal.Close(); err != nil { // every write fails from here on
+		t.Fatal(err)
+	}
+	res := submit(t, r, serveClients(t, r), "m1")
+	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
+		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
+	}
+	if len(r.messages) != 0 || r.pending != 0 || r.callsInFlight != 0 {
+		t.Errorf("%d held, %d out", r.pending, r.callsInFlight)
+	}
+}
+
+// submitAll has the loop take all of these hand-ins in one step.
+func submitAll(r *Relay, ins ...*submitEvent) (answers []ingress.Response) {
+	batch := make([]event, len(ins))
+	for i, in := range ins {
+		batch[i] = in
+	}
+	r.step(batch)
+	for _, in := range ins {
+		answers = append(answers, <-in.reply)
+	}
+	return answers
+}
+
+func newSubmission(id string, dest int, left time.Duration) *submitEvent {
+	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
+	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
+}
+
+// A second copy of what is refused in the same step is not told that it is taken on.
+func TestDuplicatesInOneStepShareTheResponse(t *testing.T) {
+	r := newTestRelay(t)
+	for i, a := range submitAll(r, newSubmission("m1", 7, -time.Second), newSubmission("m1", 7, time.Second)) {
+		if a.Status != http.StatusServiceUnavailable {
+			t.Errorf("copy %d: %+v", i, a)
+		}
+	}
+	r.journal.Close()
+	for i, a := range submitAll(r, newSubmission("m2", 7, time.Second), newSubmission("m2", 7, time.Second)) {
+		if a.Status != http.StatusServiceUnavailable {
+			t.Errorf("copy %d, no log: %+v", i, a)
+		}
+	}
+}
+
+// The client that handed a message in first may leave: the one that was told the same of the same id is still owed it.
+func TestMessageWithDuplicatesIsNotCancelled(t *testing.T) {
+	r := newTestRelay(t)
+	first := newSubmission("m1", 7, 5*time.Second)
+	submitAll(r, first)
+	submitAll(r, newSubmission("m1", 7, 5*time.Second))
+	r.step([]event{cancelEvent{first.message.ID}})
+	if m := r.messages[first.message.ID]; m == nil || m.completed {
+		t.Errorf("withdrawn: %+v", m)
+	}
+}
+
+// What was given up on, and only waits for its notice, is owed no more than that.
+func TestDuplicateOfFailedMessageHasItsResponse(t *testing.T) {
+	r := newTestRelay(t)
+	in := newSubmission("m1", 7, 5*time.Second)
+	submitAll(r, in)
+	m := r.messages[in.message.ID]
+	r.execute([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
+	if a := submitAll(r, newSubmission("m1", 7, 5*time.Second))[0]; a.Status != http.StatusServiceUnavailable ||
+		a.RetryAfter != 700*time.Millisecond {
+		t.Errorf("answer %+v", a)
+	}
+}
+
+// A withdrawn message that may have run keeps its attempts, its window and its zone when it comes once more under its
+// id, also when the process ends in between, before or after.
+func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
+	for restart := range 3 {
+		const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
+		r := newTestRelay(t)
+		r.catalog.RememberDestination(dest)
+		in := newSubmission("m1", dest, 5*time.Second)
+		submitAll(r, in)
+		m := r.messages[in.message.ID]
+		sent := journal.Attempt{Number: 0, Endpoint: "s-8", Zone: 1, SentAt: time.Now().Add(-time.Second).Round(0)}
+		if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: sent}); err != nil {
+			t.Fatal(err)
+		}
+		r.step([]event{cancelEvent{m.ID}})
+		if restart == 1 {
+			r = restartRelay(t, r)
+			r.catalog.RememberDestination(dest)
+		}
+		if a := submitAll(r, newSubmission("m1", dest, 5*time.Second))[0]; a.Status != http.StatusAccepted {
+			t.Fatalf("answer %+v", a)
+		}
+		if restart == 2 {
+			r = restartRelay(t, r)
+		}
+		again := r.messagesByTrace["m1"]
+		if again == nil || again.completed || again.ID == m.ID {
+			t.Fatalf("restart %d: %+v", restart, again)
+		}
+		e := r.recoveredEvent(again).Recovered
+		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second ||
+			!again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
+			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.UncertainAttempts)
+		}
+	}
+}
+
+// restartRelay is a relay on what another left behind.
+func restartRelay(t *testing.T, old *Relay) *Relay {
+	t.Helper()
+	if err := old.journal.Close(); err != nil {
+		t.Fatal(err)
+	}
+	r, err := New(old.cfg, discardLog(), io.Discard)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.callCtx = old.callCtx
+	r.recoverState()
+	return r
+}
--- a/internal/relay/list_test.go
+++ b/internal/relay/endpoints_test.go
@@ -27,3 +27,22 @@
 		}
 	}
 }
+
+func TestUnreadableEntriesAreSkipped(t *testing.T) {
+	r := newTestRelay(t)
+	l, err := parseList(
+		&r.cfg,
+		[]byte(`{"version":2,"full":true,"servers":[7,{"id":"s-1","state":"asleep"},{"id":"s-8","zone":"x"},
+		{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,"state":"ready","weight":5}]}`),
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	e := r.applyList(l)
+	one, _ := r.catalog.Endpoint("s-1")
+	two, _ := r.catalog.Endpoint("s-2")
+	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 ||
+		len(e[0].Endpoints) != 2 {
+		t.Errorf("hosts %+v, %+v, told %+v", one, two, e)
+	}
+}
--- /dev/null
+++ b/internal/relay/helpers_test.go
@@ -0,0 +1,169 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+)
+
+// settingsJSON are settings as a configuration has them.
+const settingsJSON = `{"bounds":{"cancel":true,"connect_timeout_ms":1500.0,"keepalive_ms":15000.0,"max_retry_after_ms":3000.0,
+	"may_duplicate":true,"open_cap":438,"retry_after":true,"send_cap":8},
+	"extra":{"call_slots":38,"carriage":[0.0,0.03],"per_call":[10,1,1],"separate_routes":[false,true,false]},
+	"fleet_size":2,"kinds":["platform","gateway","store"],"membership_mode":"push",
+	"realms":[{"name":"acme","quota_per_s":52.5,"share":0.66},{"name":"bolt","quota_per_s":15.0,"share":0.34}],
+	"rules":{"cold_from":0.18,"fall_ms":3000.0,"overload_factor":2.0,"warm_within_ms":14000.0},
+	"services":[{"name":"order","semantics":"idempotency_key","group":"zone","goal_time_ms":3000.0,"give_up_ms":16000.0,
+	"repeat_window_ms":10000.0,"value":1.0,"by_arrival":true}],
+	"stats":{"fields":[],"how":"none"},"tick_ms":5.0,"weight_kind":"nominal","zones":["a","b"],"zone":0,"novel":[[1,2],null]}`
+
+// parseConfig reads a configuration that is all there.
+func parseConfig(data []byte) (Config, error) {
+	return parseConfigFile(bytes.NewReader(data), keepKnown)
+}
+
+// parseList reads a list that is all there.
+func parseList(c *Config, data []byte) (l discovery.List, err error) {
+	var head discovery.ListHead
+	err = discovery.NewListReader(bytes.NewReader(data), c.parser()).Next(&head, func(e discovery.Entry) error {
+		l.Entries = append(l.Entries, e)
+		return nil
+	})
+	l.Version, l.Full = head.Version, head.Full
+	return l, err
+}
+
+// entriesOf are entries as a relay reads them.
+func entriesOf(r *Relay, texts ...string) []discovery.Entry {
+	l, err := parseList(&r.cfg, []byte(`{"servers":[`+strings.Join(texts, ",")+`]}`))
+	if err != nil {
+		panic(err)
+	}
+	return l.Entries
+}
+
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+// newTestRelay is a relay whose loop is not running: the test takes its part.
+func newTestRelay(t *testing.T) *Relay {
+	t.Helper()
+	c, err := parseConfig(
+		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
+			`,"known":{"version":1,"full":true,"servers":[
+		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.StateDir = t.TempDir()
+	r, err := New(c, discardLog(), io.Discard)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.egress.Close() })
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(func() { cancel(); r.calls.Wait() })
+	r.callCtx = ctx
+	r.recoverState()
+	return r
+}
+
+// serveClients lets clients in.
+func serveClients(t *testing.T, r *Relay) (addr string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	serveClientsAt(t, r, l)
+	return l.Addr().String()
+}
+
+// serveClientsAt lets clients in at a listener.
+func serveClientsAt(t *testing.T, r *Relay, l net.Listener) {
+	t.Helper()
+	t.Cleanup(func() { l.Close(); r.ingress.Close(time.Now()) })
+	go r.ingress.Serve(l)
+}
+
+// requestText is a hand-in as it stands on the wire; edit may spoil it.
+func requestText(id string, edit ...string) string {
+	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
+		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
+	return strings.NewReplacer(edit...).Replace(text)
+}
+
+// dial opens a connection and writes text on it.
+func dial(t *testing.T, addr, text string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(nettest.Patience))
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// readResponse reads an answer.
+func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
+	t.Helper()
+	res, err := http.ReadResponse(r, nil)
+	if err != nil {
+		t.Fatalf("no answer: %v", err)
+	}
+	if _, err := io.Copy(io.Discard, res.Body); err != nil {
+		t.Fatalf("answer: %v", err)
+	}
+	return res
+}
+
+// submit hands a message in and has the loop decide on it.
+func submit(t *testing.T, r *Relay, addr, id string) *http.Response {
+	t.Helper()
+	c := dial(t, addr, requestText(id))
+	for {
+		if _, ok := r.next().(*submitEvent); ok {
+			break
+		}
+	}
+	return readResponse(t, bufio.NewReader(c))
+}
+
+// next takes the loop's next event and decides on it.
+func (r *Relay) next() event {
+	e := <-r.events
+	r.step([]event{e})
+	return e
+}
+
+// stepUntil has the loop decide until ok holds.
+func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
+	t.Helper()
+	nettest.Eventually(t, what, func() bool {
+		select {
+		case e := <-r.events:
+			r.step([]event{e})
+		default:
+			r.step(nil)
+		}
+		return ok()
+	})
+}
+
+// addrOf is the address of a test's server.
+func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
--- /dev/null
+++ b/internal/relay/longlist_faults_test.go
@@ -0,0 +1,171 @@
+package relay
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// A long list that breaks off in the middle of an entry: what it has said holds, nothing goes for not being named yet,
+// its version is not taken on, and it is asked for again. One that stalls or never ends is cut off.
+func TestLongListThatBreaksOff(t *testing.T) {
+	const dests = 4000
+	r, a := newTestRelay(t), newListAgent(t)
+	addr, requests := nettest.RawServer(t, respondOK)
+	live := endpointText("s-new", addr, 50, "ready")
+	follow(t, r, a, func(c *discovery.Config) { c.IdleTimeout, c.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
+	whole := discoverytest.ListJSON(9, dests, live)
+	half := whole[:len(whole)*3/4]
+	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
+		half = half[:len(half)-1]
+	}
+	held := func() int { return r.catalog.EndpointCount() }
+	asked := func(what, want string) {
+		t.Helper()
+		stepLoopUntil(t, r, "a watch after "+what, func() bool {
+			select {
+			case got := <-a.indexes:
+				if got != want {
+					t.Errorf("after %s: a watch from %s, want %s", what, got, want)
+				}
+				return true
+			default:
+				return false
+			}
+		})
+	}
+	asked("the start", "1")
+	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
+	asked("an end in an entry", "1")
+	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", n, r.listVersion)
+	}
+	if _, ok := r.catalog.Endpoint("s-1"); !ok {
+		t.Error("a host is gone that the list had not come to yet")
+	}
+	r.deliver(t, requests, "a", 50)
+	a.sendLine(t, r, half) // and blank lines: they are a sign of life, but not for ever
+	asked("a list without end", "1")
+	if r.listVersion != 1 {
+		t.Errorf("version %d", r.listVersion)
+	}
+	a.sendLine(t, r, whole)
+	stepLoopUntil(t, r, "the whole list", func() bool { return r.listVersion == 9 })
+	if n := held(); n != 2*dests+1 {
+		t.Errorf("%d hosts", n)
+	}
+	if _, ok := r.catalog.Endpoint("s-1"); ok {
+		t.Error("a host is left that the list does not name")
+	}
+}
+
+// Versions that begin again, and a whole list that is older than the one in force: what the agent says last holds.
+func TestLongListsOfOlderVersions(t *testing.T) {
+	r, a := newTestRelay(t), newListAgent(t)
+	follow(t, r, a)
+	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
+		a.sendLine(t, r, discoverytest.ListJSON(l.version, l.dests))
+		stepLoopUntil(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
+		if r.catalog.EndpointCount() != 2*l.dests {
+			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
+		}
+	}
+}
+
+// A line that cannot be read is made up for by the whole list, also where that is long; changes that it holds already
+// are not told again, whether their version comes before them or behind.
+func TestLongListReplacesUnreadableLine(t *testing.T) {
+	const dests = 3000
+	for name, older := range map[string]func([]byte) []byte{
+		"version first": func(entries []byte) []byte { return fmt.Appendf(nil, `{"version":6,"servers":[%s]}`, entries) },
+		"version last":  func(entries []byte) []byte { return fmt.Appendf(nil, `{"servers":[%s],"version":6}`, entries) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			r, a := newTestRelay(t), newListAgent(t)
+			a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) { w.Write(discoverytest.ListJSON(7, dests)) })
+			follow(t, r, a)
+			var entries []byte
+			for i := range 2 * dests {
+				entries = append(append(entries, discoverytest.EndpointJSON(i, i/2, "draining")...), ',')
+			}
+			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
+			a.sendLine(t, r, append(text, "\n"+`{"version":8,"servers":[`+discoverytest.EndpointJSON(0, 0, "draining")+"]}\n"...))
+			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
+			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
+				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
+			}
+		})
+	}
+}
+
+// One entry of a list is too long: one line of the log tells of it with its size, and the list in force stays.
+func TestOversizedEntry(t *testing.T) {
+	var mu sync.Mutex
+	var log bytes.Buffer
+	r, a := newTestRelay(t), newListAgent(t)
+	r.log = slog.New(
+		slog.NewTextHandler(
+			writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return log.Write(b) }),
+			nil,
+		),
+	)
+	a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
+	})
+	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
+	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
+	mu.Lock()
+	text := log.String()
+	mu.Unlock()
+	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
+		t.Errorf("logged %d times: %s", n, text)
+	}
+	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
+		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.listVersion)
+	}
+}
+
+// Fifty whole lists, each of hosts that nobody has seen before, take no more room than a few.
+func TestMemoryAfterFiftyListsOfNewEndpoints(t *testing.T) {
+	const hosts = 2000
+	r := newTestRelay(t)
+	heap := func() uint64 {
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc
+	}
+	var few uint64
+	for v := range 50 {
+		entries := make([]discovery.Entry, hosts)
+		for i := range entries {
+			entries[i].Endpoint = catalog.Endpoint{
+				Endpoint: policy.Endpoint{
+					ID:          fmt.Sprintf("h-%d-%d", v, i),
+					Destination: v*hosts + i,
+					Kind:        1,
+					InService:   true,
+				}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
+			}
+		}
+		applyLongList(r, true, int64(v), entries)
+		if v == 4 {
+			few = heap()
+		}
+	}
+	if many := heap(); r.catalog.EndpointCount() != hosts || many > few+few/2 {
+		t.Errorf("%d hosts; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), few, many)
+	}
+}
--- a/internal/relay/moments_test.go
+++ b/internal/relay/shutdown_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"io"
 	"net/http"
-	"net/http/httptest"
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
@@ -41,6 +40,3 @@
 		t.Errorf("status %d, the last %v", res.StatusCode, res.Close)
 	}
 }
-
-// addrOf is the address of a test's server.
-func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
