--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,99 @@
+package policy
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestLoadIsShedFromTheLongestQueue(t *testing.T) {
+	settings := testSettings()
+	settings.MaxPendingMessages = 10
+	h := newHarness(t, settings)
+	for id := range uint32(9) {
+		h.accept(id, 0)
+	}
+	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
+	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].MessageID == 20 {
+		t.Errorf("with little capacity left: %+v", actions)
+	}
+}
+
+// Load shedding looks at a bounded number of messages for one to reject. A restart may find the maximum of pending
+// messages, none of which may be rejected, and would else look at all of them for each recovered and each new message.
+func TestLoadSheddingScansABoundedQueue(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		behind   int // messages that may not be rejected, behind one that may
+		rejected bool
+	}{
+		{"near the end", maxQueueScan - 1, true},
+		{"beyond the bound", maxQueueScan, false},
+	} {
+		engine, err := New(Settings{
+			Classes: []Class{
+				{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
+			},
+			MaxPendingMessages: (test.behind*10 + 8) / 9, // the last message is the first above maxPendingRatio of it
+		}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		events := []Event{{Kind: MessageAccepted, MessageID: 1, Destination: 5, TimeLeft: 8 * time.Second}}
+		for i := range test.behind {
+			events = append(events, Event{
+				Kind:        MessageAccepted,
+				MessageID:   uint32(i + 2),
+				Destination: 5,
+				TimeLeft:    9 * time.Second,
+				Recovered:   &RecoveredMessage{},
+			})
+		}
+		rejected := false
+		for _, a := range engine.Step(time.Second, events) {
+			rejected = rejected || a.Kind == Reject && a.MessageID == 1
+		}
+		if rejected != test.rejected {
+			t.Errorf("%s: rejected %v, want %v", test.name, rejected, test.rejected)
+		}
+	}
+}
+
+// A message of an unknown class ends once, under the strictest rules. A weight that is not a number means nothing.
+func TestUnknownClassAndWeight(t *testing.T) {
+	for _, classIndex := range []int{-1, 99} {
+		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
+		if got := firstSend(h.accept(1, classIndex)); got == "" {
+			t.Fatalf("class %d: not sent", classIndex)
+		}
+		if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
+			t.Errorf("class %d: %+v after a timeout", classIndex, actions)
+		}
+	}
+}
+
+// Messages beyond a tenant's quota go after those within it, and a tenant without one has no bound. A burst of two
+// seconds' traffic is within the quota.
+func TestMessagesBeyondTheQuotaGoLater(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants = []Tenant{{Quota: 1}, {}}
+	h := newHarness(t, settings)
+	accept := func(tenant int, ids ...uint32) {
+		for _, id := range ids {
+			h.step(Event{Kind: MessageAccepted, MessageID: id, Tenant: tenant, TimeLeft: 60 * time.Second})
+		}
+	}
+	accept(0, 1, 2, 3, 4, 5)
+	accept(1, 6, 7, 8, 9, 10)
+	var got []uint32
+	for _, a := range h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}}) {
+		if a.Kind != Send {
+			t.Errorf("%+v, want sends only", a)
+		}
+		got = append(got, a.MessageID)
+	}
+	if want := []uint32{1, 2, 3, 6, 7, 8, 9, 10, 4, 5}; !slices.Equal(got, want) {
+		t.Errorf("messages are sent in the order %v, want %v", got, want)
+	}
+}
