--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -12,18 +12,22 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// With no room for bodies in memory they are read from the journal as they are sent; a message whose body the disk no
-// longer gives ends with a notice, and the loop goes on.
+// Bodies that do not fit into memory are read from the journal as they are sent. A message whose body is unreadable fails
+// with a notification, and the loop goes on.
 func TestBodiesAreReadFromDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
-	cfg.StateDir, cfg.Operator.Journal.MaxBodiesMB = t.TempDir(), 1.0/(1<<20) // a byte
+	cfg.StateDir = t.TempDir()
+	cfg.Operator.Journal.MaxBodiesMB = 1.0 / (1 << 20) // one byte
 	r, err := New(cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.callCtx = t.Context()
 	r.recoverState()
-	t.Cleanup(func() { r.egress.Close(); r.calls.Wait() })
+	t.Cleanup(func() {
+		r.egress.Close()
+		r.calls.Wait()
+	})
 	in := newSubmission("m1", 7, 5*time.Second)
 	in.message.Body = []byte("a body on disk")
 	submitAll(r, in)
@@ -45,13 +49,13 @@
 	if err := os.WriteFile(paths[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if calls := r.addToCalls(nil, m, &policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}); len(
-		calls,
-	) != 0 {
+	send := policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}
+	if calls := r.addToCalls(nil, m, &send); len(calls) != 0 {
 		t.Error("sent without its body")
 	}
-	if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
-		t.Errorf("notices %+v, held %d", r.finals.Pending(), r.pending)
+	notices := r.finals.Pending()
+	if len(notices) != 1 || notices[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
+		t.Errorf("notices %+v, %d pending", notices, r.pending)
 	}
 	if a := submitAll(r, newSubmission("m2", 7, 5*time.Second))[0]; a.Status != 202 {
 		t.Errorf("afterwards: %+v", a)
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -23,11 +23,15 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A host may go by the first message of a call, and answer once that one's time is over: what it then tells of the
-// others is not certain, however whole it is. Here the answer comes as soon as the message with the least time has had
-// its final answer.
+// An endpoint may go by the first message of a call and respond once that one's time is over: what it then tells of the
+// others is not certain, even if the response is complete. Here the response comes as soon as the message with the least
+// time has failed.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
-	for _, order := range [][]string{{"short", "long", "middle"}, {"long", "short", "middle"}, {"middle", "short", "long"}} {
+	for _, order := range [][]string{
+		{"short", "long", "middle"},
+		{"long", "short", "middle"},
+		{"middle", "short", "long"},
+	} {
 		t.Run(strings.Join(order, " "), func(t *testing.T) {
 			left := map[string]time.Duration{
 				"short":  400 * time.Millisecond,
@@ -35,7 +39,7 @@
 				"long":   10 * time.Second,
 			}
 			r := newTestRelay(t)
-			given := make(chan struct{}) // the short one is given up on
+			failed := make(chan struct{}) // closed once the short one has failed
 			var mu sync.Mutex
 			var first []string
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
@@ -47,14 +51,13 @@
 				mu.Lock()
 				first = append(first, items[0].ID)
 				mu.Unlock()
-				<-given
+				<-failed
 				text := `[{"id":"long","state":"ok"},{"id":"middle","state":"ok"},{"id":"short","state":"ok"}]`
-				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				return true
 			})
-			r.catalog.Upsert(
-				catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr},
-			)
+			endpoint := policy.Endpoint{ID: "s-1", Kind: 0, InService: true}
+			r.catalog.Upsert(catalog.Endpoint{Endpoint: endpoint, Addr: addr})
 			var ins []*submitEvent
 			for i, id := range order {
 				in := newSubmission(id, 7, left[id])
@@ -62,31 +65,28 @@
 				ins = append(ins, in)
 			}
 			submitAll(r, ins...)
-			stepUntil(t, r, "the short one is given up on", func() bool {
-				return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
+			isShort := func(n notify.Notice) bool { return n.TraceID == "short" }
+			stepUntil(t, r, "the short one has failed", func() bool {
+				return slices.ContainsFunc(r.finals.Pending(), isShort)
+			})
+			close(failed)
+			stepUntil(t, r, "the others are finished", func() bool {
+				return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil
 			})
-			close(given)
-			stepUntil(
-				t,
-				r,
-				"the others are over",
-				func() bool { return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil },
-			)
 			mu.Lock()
 			defer mu.Unlock()
 			if !slices.Equal(first, []string{"long"}) {
-				t.Errorf("calls led by %v: their answer came after that one's time", first)
+				t.Errorf("calls led by %v: their response came after that one's time", first)
 			}
 		})
 	}
 }
 
-// Together the messages of a bundle may be larger than any body may.
+// Together the messages of a step may be larger than any body may.
 func TestBatchIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
-	r.catalog.Upsert(
-		catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: "127.0.0.1:1"},
-	)
+	endpoint := policy.Endpoint{ID: "s-1", Kind: 0, InService: true}
+	r.catalog.Upsert(catalog.Endpoint{Endpoint: endpoint, Addr: "127.0.0.1:1"})
 	var calls []*call
 	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
 		m := &message{
@@ -101,7 +101,8 @@
 	sent := 0
 	for _, c := range calls {
 		sent += len(c.attempts)
-		if body := (&egress.Call{Attempts: c.outgoing()}).Body(); len(c.attempts) > 1 && (len(body) > netconn.MaxBodySize || len(body) > c.size) {
+		body := (&egress.Call{Attempts: c.outgoing()}).Body()
+		if len(c.attempts) > 1 && (len(body) > netconn.MaxBodySize || len(body) > c.size) {
 			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
 		}
 	}
@@ -110,15 +111,16 @@
 	}
 }
 
-// delayConnections has connections to hosts come up only once up is closed. dialled tells of each that is asked for, came of each
-// request.
+// delayConnections has connections to endpoints come up only once up is closed. dialled tells of each attempt to
+// connect, came of each request.
 func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
 	t.Helper()
-	asked, requests := make(chan struct{}, 16), make(chan string, 16)
+	asked := make(chan struct{}, 16)
+	requests := make(chan string, 16)
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
 		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
-		fmt.Fprint(conn, nettest.OKResponse)
+		_, _ = fmt.Fprint(conn, nettest.OKResponse)
 		return true
 	})
 	config := r.egressConfig()
@@ -138,21 +140,23 @@
 
 // runLoop has the relay's loop run until the test ends.
 func runLoop(t *testing.T, r *Relay) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); <-r.loopDone })
+	t.Cleanup(func() {
+		cancel()
+		<-r.loopDone
+	})
 	go r.loop(ctx)
 }
 
-// The connection of a call with several messages comes up late: one of them has had its final answer meanwhile, since
-// its time was up. It must not leave with the others.
+// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was up.
+// It must not be sent with the others.
 func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
 	dialled, came := delayConnections(t, r, up)
-	r.cfg.Known.Entries = entriesOf(
-		r,
-		`{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`,
-	)
+	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`
+	r.cfg.Known.Entries = entriesOf(r, endpoint)
 	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
 		m := &journal.Message{
@@ -170,7 +174,7 @@
 	r.recoverState()
 	runLoop(t, r)
 	<-dialled
-	nettest.Eventually(t, "the one whose time is up has its final answer", func() bool {
+	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
 		notices := r.finals.Pending()
 		return len(notices) == 1 && notices[0].TraceID == "m1"
 	})
@@ -178,15 +182,15 @@
 	select {
 	case got := <-came:
 		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
-			t.Error("the host was sent", got)
+			t.Error("the endpoint was sent", got)
 		}
 	case <-time.After(nettest.Patience):
-		t.Error("the others do not leave")
+		t.Error("the others are not sent")
 	}
 }
 
-// A repeat that was decided inside its window waits for a connection that comes up only after it, as from a machine
-// that is back. It must not leave then: no host drops it any more.
+// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from a
+// machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
 func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
 	r := newTestRelay(t)
 	window := r.cfg.Settings.Classes[0].DedupWindow
@@ -195,7 +199,12 @@
 	time.AfterFunc(time.Until(ends), func() { close(up) })
 	dialled, came := delayConnections(t, r, up)
 	m := &journal.Message{
-		ID: 1, TraceID: "m", IdempotencyKey: "k", Destination: 7, Deadline: time.Now().Add(10 * time.Second), Attempts: 1,
+		ID:                1,
+		TraceID:           "m",
+		IdempotencyKey:    "k",
+		Destination:       7,
+		Deadline:          time.Now().Add(10 * time.Second),
+		Attempts:          1,
 		UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: ends.Add(-window)}},
 	}
 	if err := r.journal.Accept(m); err != nil {
@@ -217,12 +226,12 @@
 	}
 	select {
 	case <-came:
-		t.Error("it left")
+		t.Error("it was sent")
 	default:
 	}
 }
 
-// A Send of a message that is not held must not end the loop.
+// A Send of an unknown message must not end the loop.
 func TestSendOfUnknownMessageIsIgnored(t *testing.T) {
 	r := newTestRelay(t)
 	r.execute([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -19,7 +19,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 )
 
-// referenceShape is how the shape of a file was taken when it was read as a tree.
+// referenceShape takes the shape of a file that is read as a tree.
 func referenceShape(t *testing.T, data []byte) reload.Shape {
 	t.Helper()
 	var file map[string]any
@@ -34,84 +34,98 @@
 	return reload.ShapeOf(values)
 }
 
-// A configuration is the same wherever its list of hosts stands and however its keys are ordered, and its shape is what
-// it was.
+// knownCase is an endpoint list in a configuration, and what is read of it.
+type knownCase struct {
+	name, known string
+	endpoints   int // -1: the list is unreadable
+	version     int64
+}
+
+// A configuration is the same wherever its endpoint list stands and however its keys are ordered, and its shape is that
+// of the tree.
 func TestConfigIsParsedAsAStream(t *testing.T) {
 	const one = `{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}`
-	settings, head := `"settings":`+settingsJSON, `"name":"n3","limits":{"cores":2}`
-	for _, c := range []struct {
-		name, known string
-		hosts       int // -1: the list is not read
-		version     int64
-	}{
+	const settings = `"settings":` + settingsJSON
+	const head = `"name":"n3","limits":{"cores":2}`
+	long := string(bytes.TrimSpace(discoverytest.ListJSON(9, 3000, one)))
+	withUnreadable := string(bytes.TrimSpace(discoverytest.ListJSON(9, 3000, `7`, `{"id":"x"}`, one)))
+	endless := strings.Repeat("x", 3*discovery.MaxEntrySize)
+	for _, c := range []knownCase{
 		{"none", ``, 0, 0},
 		{"null", `"known":null`, 0, 0},
 		{"a short list", `"known":{"version":4,"full":true,"servers":[` + one + `]}`, 1, 4},
-		{"its keys in another order", `"known" : {"servers":[` + one + `],"other":{"servers":[1]},"full":true,"version":4}`, 1, 4},
+		{
+			"its keys in another order",
+			`"known" : {"servers":[` + one + `],"other":{"servers":[1]},"full":true,"version":4}`, 1, 4,
+		},
 		{"no servers", `"known":{"version":4,"servers":null}`, 0, 4},
 		{"a number", `"known":7`, -1, 0},
 		{"servers that are none", `"known":{"version":4,"servers":{}}`, -1, 0},
 		{"a version that is none", `"known":{"version":"x","servers":[` + one + `]}`, -1, 0},
-		{"an entry without end", `"known":{"version":4,"servers":["` + strings.Repeat("x", 3*discovery.MaxEntrySize) + `"]}`, -1, 0},
-		{"a long list", `"known":` + strings.TrimSpace(string(discoverytest.ListJSON(9, 3000, one))), 6001, 9},
-		{"a long list with entries that cannot be read", `"known":` + strings.TrimSpace(string(discoverytest.ListJSON(9, 3000, `7`, `{"id":"x"}`, one))), 6001, 9},
+		{"an entry without end", `"known":{"version":4,"servers":["` + endless + `"]}`, -1, 0},
+		{"a long list", `"known":` + long, 6001, 9},
+		{"a long list with unreadable entries", `"known":` + withUnreadable, 6001, 9},
 	} {
-		for _, order := range [][]string{{head, settings, c.known}, {c.known, head, settings}, {settings, c.known, head}} {
-			text := []byte("{" + strings.Trim(strings.ReplaceAll(strings.Join(order, ","), ",,", ","), ",") + "}\n")
-			for _, keep := range []bool{true, false} {
-				cfg, err := parseConfigFile(bytes.NewReader(text), knownMode(keep))
-				if err != nil {
-					t.Fatalf("%s: %v", c.name, err)
-				}
-				hosts := len(cfg.Known.Entries)
-				if cfg.KnownCatalog != nil {
-					hosts = cfg.KnownCatalog.EndpointCount()
-				}
-				if (cfg.KnownErr != nil) != (c.hosts < 0) ||
-					keep && c.hosts >= 0 && (hosts != c.hosts || cfg.Known.Version != c.version) ||
-					!keep && hosts != 0 {
-					t.Errorf(
-						"%s, kept %v: %d hosts of version %d, %v",
-						c.name,
-						keep,
-						hosts,
-						cfg.Known.Version,
-						cfg.KnownErr,
-					)
-				}
-				if want := referenceShape(t, text); !reload.Equal(
-					reload.Config{Shape: cfg.Shape},
-					reload.Config{Shape: want},
-				) ||
-					cfg.Name != "n3" ||
-					cfg.Limits.Cores != 2 {
-					t.Errorf("%s: shape %v, want %v", c.name, cfg.Shape, want)
-				}
+		t.Run(c.name, func(t *testing.T) {
+			orders := [][]string{{head, settings, c.known}, {c.known, head, settings}, {settings, c.known, head}}
+			for _, order := range orders {
+				members := strings.ReplaceAll(strings.Join(order, ","), ",,", ",")
+				text := []byte("{" + strings.Trim(members, ",") + "}\n")
+				checkConfig(t, c, text, keepKnown)
+				checkConfig(t, c, text, checkKnown)
 			}
-		}
+		})
+	}
+}
+
+// checkConfig reads a configuration and checks what is read.
+func checkConfig(t *testing.T, c knownCase, text []byte, mode knownMode) {
+	t.Helper()
+	cfg, err := parseConfigFile(bytes.NewReader(text), mode)
+	if err != nil {
+		t.Fatal(err)
+	}
+	endpoints := len(cfg.Known.Entries)
+	if cfg.KnownCatalog != nil {
+		endpoints = cfg.KnownCatalog.EndpointCount()
 	}
-	for _, text := range []string{``, `7`, `null`, `{"settings":` + settingsJSON, `{"settings":` + settingsJSON + `} x`, `{"settings":` + settingsJSON + `,"known":{"servers":[}}`} {
+	if (cfg.KnownErr != nil) != (c.endpoints < 0) {
+		t.Errorf("mode %v: error %v", mode, cfg.KnownErr)
+	}
+	if mode == checkKnown && endpoints != 0 {
+		t.Errorf("%d endpoints are kept", endpoints)
+	}
+	if mode == keepKnown && c.endpoints >= 0 && (endpoints != c.endpoints || cfg.Known.Version != c.version) {
+		t.Errorf("%d endpoints of version %d", endpoints, cfg.Known.Version)
+	}
+	want := referenceShape(t, text)
+	if !reload.Equal(reload.Config{Shape: cfg.Shape}, reload.Config{Shape: want}) {
+		t.Errorf("shape %v, want %v", cfg.Shape, want)
+	}
+	if cfg.Name != "n3" || cfg.Limits.Cores != 2 {
+		t.Errorf("name %q, %v cores", cfg.Name, cfg.Limits.Cores)
+	}
+}
+
+func TestMalformedConfigIsRejected(t *testing.T) {
+	const settings = `{"settings":` + settingsJSON
+	for _, text := range []string{``, `7`, `null`, settings, settings + `} x`, settings + `,"known":{"servers":[}}`} {
 		if cfg, err := parseConfigFile(strings.NewReader(text), keepKnown); err == nil {
 			t.Errorf("%q passes as %+v", text, cfg)
 		}
 	}
 }
 
-// The same file read again by SIGHUP changes nothing, and takes no room for the list in it.
+// The same file read again by SIGHUP changes nothing, and its endpoint list takes no memory.
 func TestReloadKeepsNoEndpointList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Appendf(
-		nil,
-		`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-		discoverytest.ListJSON(4, 20_000),
-		settingsJSON,
-	)
+	const form = `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`
+	text := fmt.Appendf(nil, form, discoverytest.ListJSON(4, 20_000), settingsJSON)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	getenv := func(name string) string {
-		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_LISTEN": "127.0.0.1:0", "ROUTER_STATE": t.TempDir()}[name]
-	}
+	env := map[string]string{"ROUTER_CONFIG": path, "ROUTER_LISTEN": "127.0.0.1:0", "ROUTER_STATE": t.TempDir()}
+	getenv := func(name string) string { return env[name] }
 	cfg, err := LoadConfig(getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -120,15 +134,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.egress.Close(); r.closeLog() })
+	t.Cleanup(func() {
+		r.egress.Close()
+		_ = r.closeLog()
+	})
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
-	if err != nil || again.KnownCatalog != nil || len(again.Known.Entries) > 0 || !reload.Equal(cfg.Config, again.Config) {
-		t.Fatalf("%v, %d hosts", err, len(again.Known.Entries))
+	if err != nil || again.KnownCatalog != nil || len(again.Known.Entries) > 0 {
+		t.Fatalf("%v, %d endpoints", err, len(again.Known.Entries))
+	}
+	if !reload.Equal(cfg.Config, again.Config) {
+		t.Fatalf("%+v, want %+v", again.Config, cfg.Config)
 	}
 	if err := r.Reload(again, nil); err != nil || r.catalog.EndpointCount() != 40_000 {
-		t.Errorf("%v, %d hosts", err, r.catalog.EndpointCount())
+		t.Errorf("%v, %d endpoints", err, r.catalog.EndpointCount())
 	}
 	runtime.ReadMemStats(&after)
 	if took := after.TotalAlloc - before.TotalAlloc; took > uint64(len(text))/2 {
@@ -136,11 +156,10 @@
 	}
 }
 
-// The relay's configuration and the simulator's wire give the module the same settings.
+// The relay's configuration and the simulator's wire give the policy the same settings.
 func TestConfigMatchesSimulatorSettings(t *testing.T) {
-	c, err := parseConfig(
-		[]byte(`{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`),
-	)
+	const text = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`
+	c, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,11 +189,12 @@
 }
 
 // configure are the same settings as the simulator writes them.
-const configure = "bounds.cancel=true bounds.connect_timeout_ms=1500.0 bounds.max_retry_after_ms=3000.0 bounds.open_cap=438 " +
-	"bounds.retry_after=true bounds.send_cap=8 extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1,1 " +
-	"extra.separate_routes=false,true,false fleet_size=2 kinds=platform,gateway,store membership_mode=push realms.count=2 " +
-	"realms.0.name=acme realms.0.quota_per_s=52.5 realms.0.share=0.66 realms.1.name=bolt realms.1.quota_per_s=15.0 " +
-	"realms.1.share=0.34 rules.cold_from=0.18 rules.fall_ms=3000.0 rules.overload_factor=2.0 rules.warm_within_ms=14000.0 " +
-	"services.count=1 services.0.name=order services.0.semantics=idempotency_key services.0.group=zone " +
-	"services.0.goal_time_ms=3000.0 services.0.give_up_ms=16000.0 services.0.repeat_window_ms=10000.0 services.0.value=1.0 " +
+const configure = "bounds.cancel=true bounds.connect_timeout_ms=1500.0 bounds.max_retry_after_ms=3000.0 " +
+	"bounds.open_cap=438 bounds.retry_after=true bounds.send_cap=8 extra.call_slots=38 extra.carriage=0.0,0.03 " +
+	"extra.per_call=10,1,1 extra.separate_routes=false,true,false fleet_size=2 kinds=platform,gateway,store " +
+	"membership_mode=push realms.count=2 realms.0.name=acme realms.0.quota_per_s=52.5 realms.0.share=0.66 " +
+	"realms.1.name=bolt realms.1.quota_per_s=15.0 realms.1.share=0.34 rules.cold_from=0.18 rules.fall_ms=3000.0 " +
+	"rules.overload_factor=2.0 rules.warm_within_ms=14000.0 services.count=1 services.0.name=order " +
+	"services.0.semantics=idempotency_key services.0.group=zone services.0.goal_time_ms=3000.0 " +
+	"services.0.give_up_ms=16000.0 services.0.repeat_window_ms=10000.0 services.0.value=1.0 " +
 	"services.0.by_arrival=true weight_kind=nominal"
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -6,16 +6,20 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 )
 
-// A host goes and comes back in one list, or the other way round: the last entry holds, for the relay and for its
-// module.
+// An endpoint is removed and added in one list, or the other way round: the last entry holds, for the relay and for the
+// policy.
 func TestEndpointRemovedAndAddedInOneList(t *testing.T) {
-	const gone, back = `{"id":"s-1","state":"gone"}`, `{"id":"s-1","addr":"127.0.0.1:7","zone":"b","kind":"gateway","cell":7,"state":"ready","weight":50}`
+	const gone = `{"id":"s-1","state":"gone"}`
+	const back = `{"id":"s-1","addr":"127.0.0.1:7","zone":"b","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	for _, c := range []struct {
 		full    bool
 		entries []string
 		listed  bool
 	}{
-		{false, []string{gone, back}, true}, {false, []string{back, gone}, false}, {true, []string{gone, back}, true}, {true, []string{back, gone}, false},
+		{false, []string{gone, back}, true},
+		{false, []string{back, gone}, false},
+		{true, []string{gone, back}, true},
+		{true, []string{back, gone}, false},
 	} {
 		r := newTestRelay(t)
 		r.step([]event{listEvent{discovery.List{Version: 5, Full: c.full, Entries: entriesOf(r, c.entries...)}}})
@@ -23,7 +27,7 @@
 		views, _ := r.engine.Views()
 		if ok != c.listed || len(views) != r.catalog.EndpointCount() ||
 			c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
-			t.Errorf("%v, whole %v: listed %v %+v, in the module %+v", c.entries, c.full, ok, known, views)
+			t.Errorf("%v, complete %v: listed %v %+v, in the policy %+v", c.entries, c.full, ok, known, views)
 		}
 	}
 }
@@ -38,11 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := r.applyList(l)
+	events := r.applyList(l)
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
-	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 || len(e) != 1 ||
-		len(e[0].Endpoints) != 2 {
-		t.Errorf("hosts %+v, %+v, told %+v", one, two, e)
+	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 {
+		t.Errorf("endpoints %+v, %+v", one, two)
+	}
+	if len(events) != 1 || len(events[0].Endpoints) != 2 {
+		t.Errorf("the policy has %+v", events)
 	}
 }
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -11,24 +11,29 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A message is handed in once more under its id when it was just forgotten, as after an answer that was lost with its
-// connection: what has run, or may have, does not run again; what surely never ran, or was put off, is a new one.
+// A message is submitted once more under its id when it was just finished, as after an answer that was lost with its
+// connection: what has run, or may have, does not run again. What never ran, or was rejected, is a new message.
 func TestDuplicateOfFinishedMessage(t *testing.T) {
-	const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
+	const dest = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
+	delivered := &egress.Result{Outcome: policy.OK}
+	rejected := &egress.Result{Outcome: policy.Overloaded}
+	uncertain := &egress.Result{Outcome: policy.Reset}
+	fail := &policy.Action{Kind: policy.Fail}
+	reject := &policy.Action{Kind: policy.Reject, Delay: time.Second}
 	for _, c := range []struct {
-		name   string
-		result *egress.Result // of its one attempt; nil: none was made
-		final  *policy.Action // after that; nil: none
-		status int
-		taken  bool // as a new one
-		left   bool // its client left with the call out
+		name       string
+		result     *egress.Result // of its one attempt; nil: none was made
+		final      *policy.Action // after that; nil: none
+		status     int
+		isNew      bool
+		clientLeft bool // with the call in flight
 	}{
-		{"delivered", &egress.Result{Outcome: policy.OK}, nil, http.StatusAccepted, false, false},
-		{"delivered when its client had left", &egress.Result{Outcome: policy.OK}, nil, http.StatusAccepted, false, true},
-		{"refused when its client had left", &egress.Result{Outcome: policy.Overloaded}, nil, http.StatusAccepted, true, true},
-		{"failed, may have run", &egress.Result{Outcome: policy.Reset}, &policy.Action{Kind: policy.Fail}, http.StatusInternalServerError, false, false},
-		{"put off", &egress.Result{Outcome: policy.Overloaded}, &policy.Action{Kind: policy.Reject, Delay: time.Second}, http.StatusAccepted, true, false},
-		{"failed, never tried", nil, &policy.Action{Kind: policy.Fail}, http.StatusAccepted, true, false},
+		{"delivered", delivered, nil, http.StatusAccepted, false, false},
+		{"delivered after its client left", delivered, nil, http.StatusAccepted, false, true},
+		{"rejected after its client left", rejected, nil, http.StatusAccepted, true, true},
+		{"failed, may have run", uncertain, fail, http.StatusInternalServerError, false, false},
+		{"rejected", rejected, reject, http.StatusAccepted, true, false},
+		{"failed, never sent", nil, fail, http.StatusAccepted, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
@@ -41,23 +46,24 @@
 				if err := r.journal.RecordSends(journal.Send{Message: m.Message, Attempt: at}); err != nil {
 					t.Fatal(err)
 				}
-				m.attemptsStarted, m.inFlight = 1, 1
+				m.attemptsStarted = 1
+				m.inFlight = 1
 				a := &attempt{call: newCall(egress.Call{EndpointID: "s-8", SentAt: at.SentAt}, 0), message: m}
 				r.callsInFlight++
 				a.call.attempts = []*attempt{a}
-				if c.left {
+				if c.clientLeft {
 					r.step([]event{cancelEvent{m.ID}})
 				}
 				r.step([]event{&callFinished{a.call, []egress.Result{*c.result}}})
 			}
 			if c.final != nil {
-				act := *c.final
-				act.MessageID = m.ID
-				r.execute([]policy.Action{act}, nil)
+				action := *c.final
+				action.MessageID = m.ID
+				r.execute([]policy.Action{action}, nil)
 				r.step([]event{notificationsAcked{[]uint32{m.ID}}})
 			}
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
-				t.Fatal("it is not forgotten")
+				t.Fatal("it is not removed")
 			}
 			again := newSubmission("m1", dest, 5*time.Second)
 			if a := submitAll(r, again)[0]; a.Status != c.status {
@@ -66,34 +72,30 @@
 			if _, old := r.finished.reply("m1", m.Deadline); old {
 				t.Error("remembered past its time")
 			}
-			if taken := r.messagesByTrace["m1"] != nil; taken != c.taken {
-				t.Errorf("taken as a new one: %v", taken)
+			if isNew := r.messagesByTrace["m1"] != nil; isNew != c.isNew {
+				t.Errorf("accepted as a new message: %v", isNew)
 			}
 		})
 	}
 }
 
-// What is remembered is bounded, in number and time.
+// Finished messages are remembered up to a number and a time.
 func TestFinishedMessagesAreBounded(t *testing.T) {
 	var r finishedMessages
 	now := time.Now()
 	for i := range 3 * maxFinishedMessages {
-		r.add(
-			&message{
-				Message: &journal.Message{
-					TraceID:           fmt.Sprint(i),
-					Deadline:          now.Add(time.Hour),
-					UncertainAttempts: []journal.Attempt{{}},
-				},
-			},
-		)
+		r.add(&message{Message: &journal.Message{
+			TraceID:           fmt.Sprint(i),
+			Deadline:          now.Add(time.Hour),
+			UncertainAttempts: []journal.Attempt{{}},
+		}})
 		r.expire(now)
 	}
-	if _, last := r.replies[fmt.Sprint(3*maxFinishedMessages-1)]; len(r.replies) != maxFinishedMessages || len(r.order) != maxFinishedMessages ||
-		!last {
-		t.Errorf("%d ended, %d in order, the last among them: %v", len(r.replies), len(r.order), last)
+	_, last := r.replies[fmt.Sprint(3*maxFinishedMessages-1)]
+	if len(r.replies) != maxFinishedMessages || len(r.order) != maxFinishedMessages || !last {
+		t.Errorf("%d remembered, %d in order, the last among them: %v", len(r.replies), len(r.order), last)
 	}
 	if r.expire(now.Add(2 * time.Hour)); len(r.replies) != 0 || r.order != nil {
-		t.Errorf("%d ended after their time", len(r.replies))
+		t.Errorf("%d remembered after their time", len(r.replies))
 	}
 }
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -18,15 +18,16 @@
 )
 
 // settingsJSON are settings as a configuration has them.
-const settingsJSON = `{"bounds":{"cancel":true,"connect_timeout_ms":1500.0,"keepalive_ms":15000.0,"max_retry_after_ms":3000.0,
-	"may_duplicate":true,"open_cap":438,"retry_after":true,"send_cap":8},
+const settingsJSON = `{"bounds":{"cancel":true,"connect_timeout_ms":1500.0,"keepalive_ms":15000.0,
+	"max_retry_after_ms":3000.0,"may_duplicate":true,"open_cap":438,"retry_after":true,"send_cap":8},
 	"extra":{"call_slots":38,"carriage":[0.0,0.03],"per_call":[10,1,1],"separate_routes":[false,true,false]},
 	"fleet_size":2,"kinds":["platform","gateway","store"],"membership_mode":"push",
 	"realms":[{"name":"acme","quota_per_s":52.5,"share":0.66},{"name":"bolt","quota_per_s":15.0,"share":0.34}],
 	"rules":{"cold_from":0.18,"fall_ms":3000.0,"overload_factor":2.0,"warm_within_ms":14000.0},
 	"services":[{"name":"order","semantics":"idempotency_key","group":"zone","goal_time_ms":3000.0,"give_up_ms":16000.0,
 	"repeat_window_ms":10000.0,"value":1.0,"by_arrival":true}],
-	"stats":{"fields":[],"how":"none"},"tick_ms":5.0,"weight_kind":"nominal","zones":["a","b"],"zone":0,"novel":[[1,2],null]}`
+	"stats":{"fields":[],"how":"none"},"tick_ms":5.0,"weight_kind":"nominal","zones":["a","b"],"zone":0,
+	"novel":[[1,2],null]}`
 
 // parseConfig reads a configuration that is all there.
 func parseConfig(data []byte) (Config, error) {
@@ -55,7 +56,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newTestRelay is a relay whose loop is not running: the test takes its part.
+// newTestRelay returns a relay whose loop is not running: the test takes the steps.
 func newTestRelay(t *testing.T) *Relay {
 	t.Helper()
 	c, err := parseConfig(
@@ -73,13 +74,16 @@
 	}
 	t.Cleanup(func() { r.egress.Close() })
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); r.calls.Wait() })
+	t.Cleanup(func() {
+		cancel()
+		r.calls.Wait()
+	})
 	r.callCtx = ctx
 	r.recoverState()
 	return r
 }
 
-// serveClients lets clients in.
+// serveClients serves clients at an address.
 func serveClients(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,14 +94,17 @@
 	return l.Addr().String()
 }
 
-// serveClientsAt lets clients in at a listener.
+// serveClientsAt serves clients at a listener.
 func serveClientsAt(t *testing.T, r *Relay, l net.Listener) {
 	t.Helper()
-	t.Cleanup(func() { l.Close(); r.ingress.Close(time.Now()) })
+	t.Cleanup(func() {
+		_ = l.Close()
+		r.ingress.Close(time.Now())
+	})
 	go r.ingress.Serve(l)
 }
 
-// requestText is a hand-in as it stands on the wire; edit may spoil it.
+// requestText is a client's request on the wire; edit may spoil it.
 func requestText(id string, edit ...string) string {
 	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
@@ -111,15 +118,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(nettest.Patience))
+	t.Cleanup(func() { _ = c.Close() })
+	if err := c.SetDeadline(time.Now().Add(nettest.Patience)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// readResponse reads an answer.
+// readResponse reads a response.
 func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(r, nil)
@@ -132,7 +141,7 @@
 	return res
 }
 
-// submit hands a message in and has the loop decide on it.
+// submit submits a message and takes steps until it is decided.
 func submit(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
 	c := dial(t, addr, requestText(id))
@@ -144,14 +153,14 @@
 	return readResponse(t, bufio.NewReader(c))
 }
 
-// next takes the loop's next event and decides on it.
+// next takes a step with the loop's next event.
 func (r *Relay) next() event {
 	e := <-r.events
 	r.step([]event{e})
 	return e
 }
 
-// stepUntil has the loop decide until ok holds.
+// stepUntil takes steps until ok holds.
 func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	nettest.Eventually(t, what, func() bool {
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"runtime"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -50,7 +49,7 @@
 	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
 	asked("an end in an entry", "1")
 	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
-		t.Errorf("%d hosts, version %d", n, r.listVersion)
+		t.Errorf("%d endpoints, version %d", n, r.listVersion)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok {
 		t.Error("a host is gone that the list had not come to yet")
@@ -101,10 +100,11 @@
 				entries = append(append(entries, discoverytest.EndpointJSON(i, i/2, "draining")...), ',')
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
-			a.sendLine(t, r, append(text, "\n"+`{"version":8,"servers":[`+discoverytest.EndpointJSON(0, 0, "draining")+"]}\n"...))
+			newer := "\n" + `{"version":8,"servers":[` + discoverytest.EndpointJSON(0, 0, "draining") + "]}\n"
+			a.sendLine(t, r, append(text, newer...))
 			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
-				t.Errorf("%d of %d hosts drain", r.drainingEndpoints, r.catalog.EndpointCount())
+				t.Errorf("%d of %d endpoints drain", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
 		})
 	}
@@ -112,28 +112,20 @@
 
 // One entry of a list is too long: one line of the log tells of it with its size, and the list in force stays.
 func TestOversizedEntry(t *testing.T) {
-	var mu sync.Mutex
-	var log bytes.Buffer
-	r, a := newTestRelay(t), newListAgent(t)
-	r.log = slog.New(
-		slog.NewTextHandler(
-			writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return log.Write(b) }),
-			nil,
-		),
-	)
+	var log lockedBuffer
+	r := newTestRelay(t)
+	a := newListAgent(t)
+	r.log = slog.New(slog.NewTextHandler(&log, nil))
 	a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
+		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
 	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
-	mu.Lock()
-	text := log.String()
-	mu.Unlock()
-	if n := strings.Count(text, "list not taken"); n != 1 || !strings.Contains(text, "one entry is over 16384 bytes") {
-		t.Errorf("logged %d times: %s", n, text)
+	if n := log.count("list not taken"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
+		t.Errorf("logged %d times: %s", n, log.String())
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
-		t.Errorf("%d hosts, version %d", r.catalog.EndpointCount(), r.listVersion)
+		t.Errorf("%d endpoints, version %d", r.catalog.EndpointCount(), r.listVersion)
 	}
 }
 
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -19,19 +19,20 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// listAgent is discovery's agent: it writes to its watch what a test says, and gives the whole list as it is asked for.
+// listAgent is discovery's agent: it writes to its watch what a test says, and serves snapshots on request.
 type listAgent struct {
 	*httptest.Server
 	indexes chan string // of the watches
 	texts   chan []byte
-	written chan time.Time // when each was
-	asked   atomic.Int32   // for the whole list
+	written chan time.Time // when each text was
+	asked   atomic.Int32   // snapshots
 
 	mu    sync.Mutex
 	whole func(w http.ResponseWriter, r *http.Request)
 }
 
 func newListAgent(t *testing.T) *listAgent {
+	t.Helper()
 	a := &listAgent{indexes: make(chan string, 1000), texts: make(chan []byte, 8), written: make(chan time.Time, 8)}
 	a.whole = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,21 +49,24 @@
 			select {
 			case text := <-a.texts:
 				text, cut := bytes.CutSuffix(text, []byte("CUT"))
-				w.Write(text)
+				_, _ = w.Write(text) // the watch may have ended
 				w.(http.Flusher).Flush()
 				a.written <- time.Now()
 				if cut {
 					panic(http.ErrAbortHandler)
 				}
 			case <-time.After(20 * time.Millisecond):
-				io.WriteString(w, "\n")
+				_, _ = io.WriteString(w, "\n")
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
 				return
 			}
 		}
 	}))
-	t.Cleanup(func() { a.CloseClientConnections(); a.Close() })
+	t.Cleanup(func() {
+		a.CloseClientConnections()
+		a.Close()
+	})
 	return a
 }
 
@@ -72,8 +76,8 @@
 	a.whole = whole
 }
 
-// follow has a relay watch an agent until the test ends. The loop is the test's part, see drive, or runs if it was
-// begun.
+// follow has a relay watch an agent until the test ends. The test takes the steps, see stepLoopUntil, unless the loop
+// runs.
 func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*discovery.Config)) {
 	t.Helper()
 	r.agent.Move(addrOf(a.Server))
@@ -84,7 +88,10 @@
 	w := discovery.NewWatcher(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); w.Run(ctx) }()
+	go func() {
+		defer close(ended)
+		w.Run(ctx)
+	}()
 	t.Cleanup(func() {
 		cancel()
 		for {
@@ -100,7 +107,7 @@
 	})
 }
 
-// stepLoopUntil takes the loop's part until ok holds.
+// stepLoopUntil takes steps as the loop does until ok holds.
 func stepLoopUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(nettest.Patience); !ok(); {
@@ -118,7 +125,7 @@
 	}
 }
 
-// sendLine has the agent write a text to its watch, and the loop take what comes meanwhile.
+// sendLine has the agent write a text to its watch, and takes the steps of what comes meanwhile.
 func (a *listAgent) sendLine(t *testing.T, r *Relay, text []byte) {
 	t.Helper()
 	a.texts <- text
@@ -132,36 +139,31 @@
 	})
 }
 
-// endpointText is the entry of a host that answers.
+// endpointText is the entry of an endpoint in a list.
 func endpointText(id, addr string, dest int, state string) string {
-	return fmt.Sprintf(
-		`{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`,
-		id,
-		addr,
-		dest,
-		state,
-	)
+	const form = `{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`
+	return fmt.Sprintf(form, id, addr, dest, state)
 }
 
-// delivered hands messages in and has the loop go on until each has been delivered.
+// deliver submits messages and takes steps until each has been delivered.
 func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, dests ...int) {
 	t.Helper()
 	was := int(requests.Load())
 	for i, dest := range dests {
-		if a := submitAll(r, newSubmission(fmt.Sprint(ids, i), dest, 9*time.Second))[0]; a.Status != http.StatusAccepted {
+		a := submitAll(r, newSubmission(fmt.Sprint(ids, i), dest, 9*time.Second))[0]
+		if a.Status != http.StatusAccepted {
 			t.Fatalf("destination %d: %+v", dest, a)
 		}
 	}
-	stepLoopUntil(
-		t,
-		r,
-		fmt.Sprintf("%d messages of %q are delivered", len(dests), ids),
-		func() bool { return int(requests.Load()) == was+len(dests) && len(r.activeCalls) == 0 },
-	)
+	what := fmt.Sprintf("%d messages of %q are delivered", len(dests), ids)
+	stepLoopUntil(t, r, what, func() bool {
+		return int(requests.Load()) == was+len(dests) && len(r.activeCalls) == 0
+	})
 }
 
+// respondOK is an endpoint that delivers everything.
 func respondOK(_ int, conn net.Conn, _ *http.Request) bool {
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// A damaged journal may lack sends. What they may be about is ended, not repeated, and it alone: what was taken on
-// behind the damage goes on.
+// A damaged journal may lack sends. The messages that they may belong to fail and are not repeated, and no others: what
+// was accepted behind the damage goes on.
 func TestDamagedJournalRepeatsNothing(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveClients(t, r)
@@ -45,20 +45,20 @@
 	again.callCtx = t.Context()
 	again.recoverState()
 	t.Cleanup(func() { again.calls.Wait() })
-	doubtful := map[string]bool{}
+	failed := map[string]bool{}
 	for _, n := range again.finals.Pending() {
-		doubtful[n.TraceID] = n.Status == "undeliverable"
+		failed[n.TraceID] = n.Status == "undeliverable"
 	}
-	if !doubtful["m100"] || !doubtful["m109"] || doubtful["m299"] {
+	if !failed["m100"] || !failed["m109"] || failed["m299"] {
 		t.Errorf("notices %+v", again.finals.Pending())
 	}
 	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
-		t.Errorf("%d held: what stands behind the damage is to go on", again.pending)
+		t.Errorf("%d pending: what stands behind the damage is to go on", again.pending)
 	}
 }
 
-// With the clock set back between two processes a message that may have run is not repeated: how long its host drops
-// repeats cannot be told. One that never ran goes on, with no more time than its class gives.
+// With the clock set back between two processes a message that may have run is not repeated: how long its endpoint
+// recognizes duplicates is unknown. One that never ran goes on, with no more time than its class gives.
 func TestWallClockSetBack(t *testing.T) {
 	for _, back := range []time.Duration{0, time.Minute} {
 		r := newTestRelay(t)
@@ -74,26 +74,26 @@
 			Attempts:          1,
 			UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: at}},
 		}
-		new := &journal.Message{
+		untried := &journal.Message{
 			ID:             2,
-			TraceID:        "new",
+			TraceID:        "untried",
 			IdempotencyKey: "k",
 			OrderingKey:    "b",
 			Destination:    7,
 			Deadline:       at.Add(class.Deadline),
 		}
-		if err := r.journal.Accept(ran, new); err != nil {
+		if err := r.journal.Accept(ran, untried); err != nil {
 			t.Fatal(err)
 		}
-		r.recovery = &journal.Recovery{Messages: []*journal.Message{ran, new}, Store: &store.Recovery{}}
-		if left := r.acceptedEvent(&message{Message: new}).TimeLeft; left > class.Deadline {
+		r.recovery = &journal.Recovery{Messages: []*journal.Message{ran, untried}, Store: &store.Recovery{}}
+		if left := r.acceptedEvent(&message{Message: untried}).TimeLeft; left > class.Deadline {
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.recoverState()
-		if given := len(r.finals.Pending()) == 1 && r.finals.Pending()[0].TraceID == "ran"; given != (back > 0) ||
-			r.messages[2] == nil ||
-			r.messages[2].completed {
-			t.Errorf("back by %v: notices %+v", back, r.finals.Pending())
+		notices := r.finals.Pending()
+		failed := len(notices) == 1 && notices[0].TraceID == "ran"
+		if failed != (back > 0) || r.messages[2] == nil || r.messages[2].completed {
+			t.Errorf("back by %v: notices %+v", back, notices)
 		}
 		r.calls.Wait()
 	}
@@ -105,9 +105,9 @@
 	if err := r.journal.Close(); err != nil {
 		t.Fatal(err)
 	}
-	opt := r.cfg.Operator.Journal.Options(3e6)
-	opt.Clock = func() bootclock.Reading { return now }
-	j, found, err := journal.OpenFolder(r.cfg.StateDir, opt)
+	options := r.cfg.Operator.Journal.Options(3e6)
+	options.Clock = func() bootclock.Reading { return now }
+	j, found, err := journal.OpenFolder(r.cfg.StateDir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,9 +115,8 @@
 	return found
 }
 
-// The wall clock is set while no process runs. A message that was sent before the window in which its host drops
-// repeats is not repeated, one sent within it is, and each keeps the time that it truly has left: the boot's clock
-// tells.
+// The wall clock is set while no process runs. A message that was sent before its deduplication window is not repeated,
+// one sent within it is, and each keeps the time that it really has left: the boot clock tells.
 func TestDedupWindowGoesByTheBootClock(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
@@ -142,7 +141,8 @@
 			if err := r.journal.Accept(m); err != nil {
 				t.Fatal(err)
 			}
-			if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(-sent)}}); err != nil {
+			attempt := journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(-sent)}
+			if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: attempt}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -156,16 +156,17 @@
 			}
 		}
 		r.recoverState()
-		if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("step %v: notices %+v", step, r.finals.Pending())
+		notices := r.finals.Pending()
+		if len(notices) != 1 || notices[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
+			t.Errorf("step %v: notices %+v", step, notices)
 		}
 		r.calls.Wait()
 	}
 }
 
-// The machine was started anew while a call was out, and its clock set: whatever the wall clock says, what may have run
-// is not repeated, since nobody can tell how long its host drops repeats. So over the next process of the new boot,
-// too.
+// The machine was rebooted while a call was in flight, and its clock set: whatever the wall clock says, what may have run
+// is not repeated, since nobody can tell how long its endpoint recognizes duplicates. The same holds for the second
+// process of the new boot.
 func TestNewBootRepeatsNothingThatMayHaveRun(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
 		r := newTestRelay(t)
@@ -184,11 +185,13 @@
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(time.Second)}}); err != nil {
+		attempt := journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(time.Second)}
+		if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: attempt}); err != nil {
 			t.Fatal(err)
 		}
 		reopen(t, r, bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 5 * time.Second})
-		if r.recovery = reopen(t, r, later); len(r.recovery.Messages) != 1 {
+		r.recovery = reopen(t, r, later)
+		if len(r.recovery.Messages) != 1 {
 			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
 		r.recoverState()
--- a/internal/relay/warnings_test.go
+++ b/internal/relay/warnings_test.go
@@ -19,16 +19,32 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bad input of every kind, over and over: it is logged, and not each time, and what is good beside it goes on.
+// lockedBuffer is a log's text, written by several goroutines.
+type lockedBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
+}
+
+// String returns the text.
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// count returns how often the text has s.
+func (b *lockedBuffer) count(s string) int {
+	return strings.Count(b.String(), s)
+}
+
+// Bad input of every kind, over and over: it is logged, and not each time, and good input beside it is served.
 func TestBadInputIsLoggedOnce(t *testing.T) {
-	var mu sync.Mutex
-	var text bytes.Buffer
-	log := slog.New(
-		slog.NewTextHandler(
-			writerFunc(func(b []byte) (int, error) { mu.Lock(); defer mu.Unlock(); return text.Write(b) }),
-			nil,
-		),
-	)
 	const times = 20
 	for _, c := range []struct {
 		name, logged string
@@ -36,54 +52,42 @@
 	}{
 		{"requests", "bad request", func(t *testing.T, r *Relay, i int) {
 			addr := serveClients(t, r)
-			bad := []string{"NONSENSE\r\n\r\n", requestText("x", "X-Qos: order", "X-Qos: what"), requestText("x", "Length: 4", "Length: 99999999")}[i%3]
-			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
+			bad := []string{
+				"NONSENSE\r\n\r\n",
+				requestText("x", "X-Qos: order", "X-Qos: what"),
+				requestText("x", "Length: 4", "Length: 99999999"),
+			}
+			_, _ = io.Copy(io.Discard, dial(t, addr, bad[i%len(bad)]+"\r\n")) // until it is closed
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
-			r.step([]event{listEvent{discovery.List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
-		}},
-		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
-			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
-				return false
-			})
-			call := egress.Call{
-				EndpointID: "s-1", Addr: addr, SentAt: time.Now(), Deadline: time.Now().Add(nettest.Patience),
-				Attempts: []*egress.Attempt{{TraceID: "a", Deadline: time.Now().Add(nettest.Patience)}},
-			}
-			res := r.egress.Do(t.Context(), &call, func() []*egress.Attempt { return call.Attempts })
-			if res[0].Outcome != policy.Reset {
-				t.Errorf("%v", res[0].Outcome)
-			}
+			entries := entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)
+			r.step([]event{listEvent{discovery.List{Version: 5, Entries: entries}}})
 		}},
+		{"endpoints' responses", "spoilt answer", func(t *testing.T, r *Relay, _ int) { callMalformedEndpoint(t, r) }},
 		{"a full disk", "rejecting new messages", func(t *testing.T, r *Relay, i int) {
 			if i == 0 {
-				r.journal.Close()
+				_ = r.journal.Close()
 			}
-			if a := submitAll(r, newSubmission(fmt.Sprint("m", i), 7, time.Second)); a[0].Status != http.StatusServiceUnavailable {
+			a := submitAll(r, newSubmission(fmt.Sprint("m", i), 7, time.Second))[0]
+			if a.Status != http.StatusServiceUnavailable {
 				t.Errorf("%+v", a)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
+			var log lockedBuffer
 			r := newTestRelay(t)
-			r.log = log
+			r.log = slog.New(slog.NewTextHandler(&log, nil))
 			r.ingress = ingress.New(r.ingressConfig())
 			r.egress = egress.New(r.egressConfig())
-			mu.Lock()
-			text.Reset()
-			mu.Unlock()
 			for i := range times {
 				c.bad(t, r, i)
 			}
-			mu.Lock()
-			n := strings.Count(text.String(), c.logged)
-			mu.Unlock()
-			if n != 1 {
+			if n := log.count(c.logged); n != 1 {
 				t.Errorf("logged %d times", n)
 			}
 			if c.logged == "rejecting new messages" {
-				return // nothing is taken on
+				return // nothing is accepted
 			}
 			if res := submit(t, r, serveClients(t, r), "good"); res.StatusCode != http.StatusAccepted {
 				t.Errorf("a good message: %d", res.StatusCode)
@@ -92,6 +96,23 @@
 	}
 }
 
-type writerFunc func([]byte) (int, error)
-
-func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
+// callMalformedEndpoint makes a call to an endpoint whose responses are malformed.
+func callMalformedEndpoint(t *testing.T, r *Relay) {
+	t.Helper()
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		_, _ = fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
+		return false
+	})
+	deadline := time.Now().Add(nettest.Patience)
+	call := egress.Call{
+		EndpointID: "s-1",
+		Addr:       addr,
+		SentAt:     time.Now(),
+		Deadline:   deadline,
+		Attempts:   []*egress.Attempt{{TraceID: "a", Deadline: deadline}},
+	}
+	results := r.egress.Do(t.Context(), &call, func() []*egress.Attempt { return call.Attempts })
+	if results[0].Outcome != policy.Reset {
+		t.Errorf("%v", results[0].Outcome)
+	}
+}
