--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -136,7 +136,7 @@
 	}
 	t.Cleanup(func() {
 		r.egress.Close()
-		_ = r.closeLog()
+		_ = r.closeJournal()
 	})
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
