--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -12,7 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A client that gave up waiting hands the message in anew, under another id: the first must not be sent again.
+// A client that gave up waiting submits the message anew, under another id: the first must not be sent again.
 func TestMessageIsCancelledWhenItsClientLeaves(t *testing.T) {
 	r := newTestRelay(t)
 	listener := nettest.Listen(t)
@@ -28,10 +28,11 @@
 			break
 		}
 	}
-	stepUntil(t, r, "forgotten", func() bool { return len(r.messages) == 0 && r.pending == 0 }) // its call may still be out
+	// Its call may still be in flight.
+	stepUntil(t, r, "the message is removed", func() bool { return len(r.messages) == 0 && r.pending == 0 })
 }
 
-// A message that comes once more because its connection closed crosswise is the same message.
+// A message that comes once more because its connection was closed meanwhile is the same message.
 func TestMessageSubmittedTwiceIsAcceptedOnce(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveClients(t, r)
@@ -41,11 +42,11 @@
 		}
 	}
 	if len(r.messages) != 1 {
-		t.Errorf("%d messages held", len(r.messages))
+		t.Errorf("%d messages", len(r.messages))
 	}
 }
 
-// With the log's folder gone, as with a full disk, new work is refused and nothing is sent unrecorded.
+// With the journal's folder gone, as with a full disk, new messages are rejected and nothing is sent unrecorded.
 func TestFullDiskRejectsNewMessages(t *testing.T) {
 	r := newTestRelay(t)
 	if err := r.journal.Close(); err != nil { // every write fails from here on
@@ -53,10 +54,10 @@
 	}
 	res := submit(t, r, serveClients(t, r), "m1")
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, advice %q", res.StatusCode, res.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q", res.StatusCode, res.Header.Get("Retry-After"))
 	}
 	if len(r.messages) != 0 || r.pending != 0 || r.callsInFlight != 0 {
-		t.Errorf("%d held, %d out", r.pending, r.callsInFlight)
+		t.Errorf("%d pending, %d in flight", r.pending, r.callsInFlight)
 	}
 }
 
@@ -78,7 +79,7 @@
 	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 }
 
-// A second copy of what is refused in the same step is not told that it is taken on.
+// A duplicate of a message that is rejected in the same step is rejected, too.
 func TestDuplicatesInOneStepShareTheResponse(t *testing.T) {
 	r := newTestRelay(t)
 	for i, a := range submitAll(r, newSubmission("m1", 7, -time.Second), newSubmission("m1", 7, time.Second)) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// The client that handed a message in first may leave: the one that was told the same of the same id is still owed it.
+// The client that submitted a message first may leave: the message stays accepted for the one with its duplicate.
 func TestMessageWithDuplicatesIsNotCancelled(t *testing.T) {
 	r := newTestRelay(t)
 	first := newSubmission("m1", 7, 5*time.Second)
@@ -102,11 +103,11 @@
 	submitAll(r, newSubmission("m1", 7, 5*time.Second))
 	r.step([]event{cancelEvent{first.message.ID}})
 	if m := r.messages[first.message.ID]; m == nil || m.completed {
-		t.Errorf("withdrawn: %+v", m)
+		t.Errorf("cancelled: %+v", m)
 	}
 }
 
-// What was given up on, and only waits for its notice, is owed no more than that.
+// A message that has failed, and only waits for its notification, gives its duplicates the same response.
 func TestDuplicateOfFailedMessageHasItsResponse(t *testing.T) {
 	r := newTestRelay(t)
 	in := newSubmission("m1", 7, 5*time.Second)
@@ -119,11 +120,11 @@
 	}
 }
 
-// A withdrawn message that may have run keeps its attempts, its window and its zone when it comes once more under its
-// id, also when the process ends in between, before or after.
+// A cancelled message that may have run keeps its attempts, its window and its zone when it is submitted once more under
+// its id, also when the process restarts in between, before or after.
 func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
 	for restart := range 3 {
-		const dest = 8 // listed once, and without a host now: nothing is sent but what the test says
+		const dest = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
 		r := newTestRelay(t)
 		r.catalog.RememberDestination(dest)
 		in := newSubmission("m1", dest, 5*time.Second)
@@ -151,12 +152,12 @@
 		e := r.recoveredEvent(again).Recovered
 		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second ||
 			!again.UncertainAttempts[0].SentAt.Equal(sent.SentAt) {
-			t.Errorf("restart %d: resumed as %+v, may have run %+v", restart, e, again.UncertainAttempts)
+			t.Errorf("restart %d: recovered as %+v, may have run %+v", restart, e, again.UncertainAttempts)
 		}
 	}
 }
 
-// restartRelay is a relay on what another left behind.
+// restartRelay returns a relay on the journal that another left behind.
 func restartRelay(t *testing.T, old *Relay) *Relay {
 	t.Helper()
 	if err := old.journal.Close(); err != nil {
--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bodies that do not fit into memory are read from the journal as they are sent. A message whose body is unreadable fails
-// with a notification, and the loop goes on.
+// Bodies that do not fit into memory are read from the journal as they are sent. A message whose body is unreadable
+// fails with a notification, and the loop goes on.
 func TestBodiesAreReadFromDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.StateDir = t.TempDir()
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -24,8 +24,8 @@
 )
 
 // An endpoint may go by the first message of a call and respond once that one's time is over: what it then tells of the
-// others is not certain, even if the response is complete. Here the response comes as soon as the message with the least
-// time has failed.
+// others is not certain, even if the response is complete. Here the response comes as soon as the message with the
+// least time has failed.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{
 		{"short", "long", "middle"},
@@ -149,8 +149,8 @@
 	go r.loop(ctx)
 }
 
-// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was up.
-// It must not be sent with the others.
+// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was
+// up. It must not be sent with the others.
 func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
@@ -189,8 +189,8 @@
 	}
 }
 
-// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from a
-// machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
+// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from
+// a machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
 func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
 	r := newTestRelay(t)
 	window := r.cfg.Settings.Classes[0].DedupWindow
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -17,14 +17,17 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A long list that breaks off in the middle of an entry: what it has said holds, nothing goes for not being named yet,
-// its version is not taken on, and it is asked for again. One that stalls or never ends is cut off.
+// A long list breaks off in the middle of an entry: the entries so far hold, no endpoint is removed for not being named
+// yet, its version is not adopted, and it is requested again. One that stalls or never ends is cut off.
 func TestLongListThatBreaksOff(t *testing.T) {
 	const dests = 4000
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
 	live := endpointText("s-new", addr, 50, "ready")
-	follow(t, r, a, func(c *discovery.Config) { c.IdleTimeout, c.ListTimeout = 300*time.Millisecond, 600*time.Millisecond })
+	follow(t, r, a, func(c *discovery.Config) {
+		c.IdleTimeout = 300 * time.Millisecond
+		c.ListTimeout = 600 * time.Millisecond
+	})
 	whole := discoverytest.ListJSON(9, dests, live)
 	half := whole[:len(whole)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
@@ -78,22 +81,28 @@
 		a.sendLine(t, r, discoverytest.ListJSON(l.version, l.dests))
 		stepLoopUntil(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
 		if r.catalog.EndpointCount() != 2*l.dests {
-			t.Errorf("version %d: %d hosts, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
+			t.Errorf("version %d: %d endpoints, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
 		}
 	}
 }
 
-// A line that cannot be read is made up for by the whole list, also where that is long; changes that it holds already
-// are not told again, whether their version comes before them or behind.
+// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied again,
+// whether their version comes before them or behind.
 func TestLongListReplacesUnreadableLine(t *testing.T) {
 	const dests = 3000
 	for name, older := range map[string]func([]byte) []byte{
-		"version first": func(entries []byte) []byte { return fmt.Appendf(nil, `{"version":6,"servers":[%s]}`, entries) },
-		"version last":  func(entries []byte) []byte { return fmt.Appendf(nil, `{"servers":[%s],"version":6}`, entries) },
+		"version first": func(entries []byte) []byte {
+			return fmt.Appendf(nil, `{"version":6,"servers":[%s]}`, entries)
+		},
+		"version last": func(entries []byte) []byte {
+			return fmt.Appendf(nil, `{"servers":[%s],"version":6}`, entries)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
-			a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) { w.Write(discoverytest.ListJSON(7, dests)) })
+			a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
+				_, _ = w.Write(discoverytest.ListJSON(7, dests))
+			})
 			follow(t, r, a)
 			var entries []byte
 			for i := range 2 * dests {
@@ -117,7 +126,8 @@
 	a := newListAgent(t)
 	r.log = slog.New(slog.NewTextHandler(&log, nil))
 	a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, strings.Repeat("x", 3*discovery.MaxEntrySize))
+		id := strings.Repeat("x", 3*discovery.MaxEntrySize)
+		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, id)
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
 	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -145,6 +146,11 @@
 	return fmt.Sprintf(form, id, addr, dest, state)
 }
 
+// changeText is a line of the watch with changes.
+func changeText(version int, entries ...string) []byte {
+	return fmt.Appendf(nil, `{"version":%d,"servers":[%s]}`+"\n", version, strings.Join(entries, ","))
+}
+
 // deliver submits messages and takes steps until each has been delivered.
 func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, dests ...int) {
 	t.Helper()
@@ -167,66 +173,55 @@
 	return true
 }
 
-// A list that is far too long for a module comes by the watch: its module hears of what is in use, the rest is
-// delivered to as well, and changes reach the one and the other.
+// A list that is too long for the policy comes by the watch: the policy holds what is in use, messages for the rest are
+// delivered as well, and changes reach both.
 func TestPolicyHoldsOnlyUsedDestinations(t *testing.T) {
 	const dests = 6000
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
-	first, last := endpointText("s-1", addr, 7, "ready"), endpointText("s-last", addr, 99, "ready")
+	first := endpointText("s-1", addr, 7, "ready")
+	last := endpointText("s-last", addr, 99, "ready")
 	follow(t, r, a)
 	a.sendLine(t, r, discoverytest.ListJSON(2, dests, first, last))
 	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if n := len(policyEndpoints(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
-		t.Fatalf("%d hosts, the module knows %d destinations", r.catalog.EndpointCount(), n)
+		t.Fatalf("%d endpoints, the policy holds %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
 	if n := len(policyEndpoints(r)); n != 2 {
-		t.Errorf("the module knows %d destinations", n)
+		t.Errorf("the policy holds %d destinations", n)
 	}
 	a.sendLine(t, r, discoverytest.ListJSON(3, dests, first, last))
 	stepLoopUntil(t, r, "the list once more", func() bool { return r.listVersion == 3 })
-	a.sendLine(t, r, []byte(`{"version":4,"servers":[`+discoverytest.EndpointJSON(8, 4, "draining")+`,`+discoverytest.EndpointJSON(10, 5, "gone")+"]}\n"))
+	draining := discoverytest.EndpointJSON(8, 4, "draining")
+	gone := discoverytest.EndpointJSON(10, 5, "gone")
+	a.sendLine(t, r, changeText(4, draining, gone))
 	stepLoopUntil(t, r, "changes", func() bool { return r.listVersion == 4 })
 	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
-		t.Errorf("%d hosts drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
+		t.Errorf("%d endpoints drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
-	a.sendLine(
-		t,
-		r,
-		[]byte(
-			`{"version":5,"servers":[`+endpointText(
-				"s-last",
-				addr,
-				99,
-				"draining",
-			)+`,`+endpointText(
-				"s-1",
-				addr,
-				7,
-				"gone",
-			)+"]}\n",
-		),
-	)
+	draining = endpointText("s-last", addr, 99, "draining")
+	gone = endpointText("s-1", addr, 7, "gone")
+	a.sendLine(t, r, changeText(5, draining, gone))
 	stepLoopUntil(t, r, "changes of what is in use", func() bool { return r.listVersion == 5 })
-	stepLoopUntil(t, r, "the module hears of them", func() bool {
+	stepLoopUntil(t, r, "the policy has them", func() bool {
 		known := policyEndpoints(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
-	// A message for a host that drains waits for another one.
+	// A message for an endpoint that drains waits for another one.
 	if a := submitAll(r, newSubmission("waits", 99, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
 	was := requests.Load()
-	a.sendLine(t, r, []byte(`{"version":6,"servers":[`+endpointText("s-next", addr, 99, "ready")+"]}\n"))
+	a.sendLine(t, r, changeText(6, endpointText("s-next", addr, 99, "ready")))
 	stepLoopUntil(t, r, "it is delivered", func() bool { return requests.Load() == was+1 })
 	if a := submitAll(r, newSubmission("unknown", 1_000_000, 9*time.Second))[0]; a.Status != http.StatusBadRequest {
 		t.Errorf("a destination that no list has named: %+v", a)
 	}
 }
 
-// A destination at rest whose only host drains is woken by a message: that waits, and goes to the host that is listed
-// next.
+// A message activates a destination whose only endpoint drains: the message waits, and goes to the endpoint that is
+// listed next.
 func TestActivationWhileTheOnlyEndpointDrains(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	old, oldRequests := nettest.RawServer(t, respondOK)
@@ -237,16 +232,16 @@
 	if a := submitAll(r, newSubmission("m", 50, 9*time.Second))[0]; a.Status != http.StatusAccepted {
 		t.Fatalf("%+v", a)
 	}
-	a.sendLine(t, r, []byte(`{"version":3,"servers":[`+endpointText("s-next", next, 50, "ready")+"]}\n"))
+	a.sendLine(t, r, changeText(3, endpointText("s-next", next, 50, "ready")))
 	stepLoopUntil(t, r, "it is delivered", func() bool { return nextRequests.Load() == 1 })
 	if n := oldRequests.Load(); n != 0 {
 		t.Errorf("%d requests at the one that drains", n)
 	}
 }
 
-// A host moves from one destination to another, and back in the next list: messages of either find it where it is.
+// An endpoint moves from one destination to another, and back in the next list: messages of either find it where it is.
 func TestEndpointMovesBetweenDestinations(t *testing.T) {
-	for name, rest := range map[string]int{"a small site": 1, "a long list": 3000} {
+	for name, rest := range map[string]int{"a short list": 1, "a long list": 3000} {
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
 			addr, requests := nettest.RawServer(t, respondOK)
@@ -260,7 +255,7 @@
 	}
 }
 
-// Thousands of destinations are woken within moments, and each message arrives.
+// Thousands of destinations are activated within moments, and each message is delivered.
 func TestThousandsOfDestinationsActivateAtOnce(t *testing.T) {
 	const dests, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
@@ -275,15 +270,15 @@
 	runLoop(t, r)
 	began := time.Now()
 	var clients sync.WaitGroup
-	var taken atomic.Int32
+	var submitted atomic.Int32
 	for w := range workers {
 		clients.Go(func() {
 			for i := w; i < dests; i += workers {
-				// with more of its room taken a relay turns messages away
-				for int(taken.Load())-int(requests.Load()) > 250 {
+				// With more messages pending a relay rejects new ones.
+				for int(submitted.Load())-int(requests.Load()) > 250 {
 					time.Sleep(time.Millisecond)
 				}
-				taken.Add(1)
+				submitted.Add(1)
 				in := newSubmission(fmt.Sprint("m", i), 10_000+i, 9*time.Second)
 				r.post(in)
 				if a := <-in.reply; a.Status != http.StatusAccepted {
@@ -294,11 +289,11 @@
 	}
 	clients.Wait()
 	nettest.Eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
-	t.Logf("%d woken and delivered in %v", dests, time.Since(began))
+	t.Logf("%d activated and delivered in %v", dests, time.Since(began))
 }
 
-// A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new leaves for the host
-// once the grace is over.
+// A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new is sent to the
+// endpoint once the grace period is over.
 func TestDrainAfterLongListTakesEffectInTime(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
@@ -314,8 +309,12 @@
 	}
 	a.texts <- servers(2, true, endpointText("s-old", old, 7, "ready"), endpointText("t-next", next, 7, "ready"), nil)
 	<-a.written
-	stop, ended := make(chan struct{}), make(chan struct{})
-	defer func() { close(stop); <-ended }()
+	stop := make(chan struct{})
+	ended := make(chan struct{})
+	defer func() {
+		close(stop)
+		<-ended
+	}()
 	go func() {
 		defer close(ended)
 		for i := 0; ; i++ {
@@ -329,27 +328,26 @@
 			}
 		}
 	}()
-	nettest.Eventually(t, "the host is used", func() bool { return oldRequests.Load() > 20 })
+	nettest.Eventually(t, "the endpoint is used", func() bool { return oldRequests.Load() > 20 })
 	var more []byte
 	for i := range longList {
 		more = append(append(more, discoverytest.EndpointJSON(i, i/2, "ready")...), ',')
 	}
 	text := servers(3, false, endpointText("s-old", old, 7, "draining"), endpointText("t-next", next, 7, "ready"), more)
 	a.texts <- text
-	told := <-a.written
+	written := <-a.written
 	was := nextRequests.Load()
 	nettest.Eventually(t, "the other one is used", func() bool {
-		return nextRequests.Load() > was+100 && time.Since(told) > r.cfg.DrainGrace+300*time.Millisecond
+		return nextRequests.Load() > was+100 && time.Since(written) > r.cfg.DrainGrace+300*time.Millisecond
 	})
-	lag := time.Unix(0, last.Load()).Sub(told)
+	lag := time.Unix(0, last.Load()).Sub(written)
 	t.Logf("%d entries of %d MB: the last request %v after the drain was written", longList, len(text)>>20, lag)
 	if lag > r.cfg.DrainGrace {
-		t.Errorf("used %v after its drain was told", lag)
+		t.Errorf("used %v after its drain was announced", lag)
 	}
 }
 
-// What an earlier process left wakes its destinations: messages that were tried, messages that were not, and the
-// standing of a host.
+// The messages of an earlier process activate their destinations, as far as the list has them.
 func TestRestartActivatesDestinationsOfMessages(t *testing.T) {
 	addr, requests := nettest.RawServer(t, respondOK)
 	old := newTestRelay(t)
@@ -368,37 +366,34 @@
 	if err := old.journal.Close(); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := parseConfig(
-		fmt.Appendf(
-			nil,
-			`{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`,
-			discoverytest.ListJSON(4, 3000, endpointText("s-50", addr, 50, "ready")),
-			settingsJSON,
-		),
-	)
-	if err != nil || cfg.KnownCatalog == nil || cfg.KnownCatalog.EndpointCount() != 6001 || len(cfg.Known.Entries) != 0 ||
-		cfg.Known.Version != 4 {
+	const form = `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`
+	known := discoverytest.ListJSON(4, 3000, endpointText("s-50", addr, 50, "ready"))
+	cfg, err := parseConfig(fmt.Appendf(nil, form, known, settingsJSON))
+	if err != nil || cfg.KnownCatalog == nil || len(cfg.Known.Entries) != 0 || cfg.Known.Version != 4 {
 		t.Fatalf("%v, %+v", err, cfg.Known)
 	}
+	if n := cfg.KnownCatalog.EndpointCount(); n != 6001 {
+		t.Fatalf("%d endpoints are known", n)
+	}
 	cfg.StateDir = old.cfg.StateDir
 	r, err := New(cfg, discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.callCtx = t.Context()
-	t.Cleanup(func() { r.egress.Close(); r.calls.Wait() })
+	t.Cleanup(func() {
+		r.egress.Close()
+		r.calls.Wait()
+	})
 	if !r.endpointsKnown.Load() || r.listVersion != 4 {
 		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
 	r.recoverState()
-	stepLoopUntil(
-		t,
-		r,
-		"the one whose destination is known is delivered",
-		func() bool { return requests.Load() == 1 && len(r.activeCalls) == 0 },
-	)
+	stepLoopUntil(t, r, "the one whose destination is known is delivered", func() bool {
+		return requests.Load() == 1 && len(r.activeCalls) == 0
+	})
 	if n := len(policyEndpoints(r)); n != 1 || r.pending != 1 {
-		t.Errorf("the module knows %d destinations, %d messages are held", n, r.pending)
+		t.Errorf("the policy holds %d destinations, %d messages are pending", n, r.pending)
 	}
 	applyLongList(r, false, 5, entriesOf(r, endpointText("s-60000", addr, 60_000, "ready")))
 	stepLoopUntil(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// The machine was rebooted while a call was in flight, and its clock set: whatever the wall clock says, what may have run
-// is not repeated, since nobody can tell how long its endpoint recognizes duplicates. The same holds for the second
+// The machine was rebooted while a call was in flight, and its clock set: whatever the wall clock says, what may have
+// run is not repeated, since nobody can tell how long its endpoint recognizes duplicates. The same holds for the second
 // process of the new boot.
 func TestNewBootRepeatsNothingThatMayHaveRun(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -12,56 +12,57 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// oldTarget and referenceList are how the relay kept its list and told the module of it before it had a catalog: the model
-// that small sites are held to.
-type oldTarget struct {
+// referenceEndpoint is an endpoint of a referenceList.
+type referenceEndpoint struct {
 	policy.Endpoint
 	addr string
 }
 
+// referenceList applies lists as the relay did before it had a catalog: the model that short lists are held to.
 type referenceList struct {
-	cfg    Config
-	routes map[string]oldTarget
+	cfg       Config
+	endpoints map[string]referenceEndpoint
 }
 
-func (r *referenceList) list(full bool, entries []string) policy.Event {
+// apply applies a list and returns the policy's event.
+func (r *referenceList) apply(full bool, entries []string) policy.Event {
 	e := policy.Event{Kind: policy.EndpointDelta}
 	if full {
 		e.Kind = policy.EndpointSnapshot
 	}
-	routes := map[string]oldTarget{}
+	endpoints := map[string]referenceEndpoint{}
 	for _, raw := range entries {
 		var m discovery.EndpointRecord
 		decoded := json.Unmarshal([]byte(raw), &m)
 		entry, addr, err := r.cfg.parser().Parse(&m)
 		if decoded != nil || err != nil {
-			if known, ok := r.routes[entry.ID]; ok {
-				routes[entry.ID] = known
+			if known, ok := r.endpoints[entry.ID]; ok {
+				endpoints[entry.ID] = known
 				e.Endpoints = append(e.Endpoints, known.Endpoint)
 			}
 			continue
 		}
 		e.Endpoints = append(e.Endpoints, entry)
 		if entry.Removed {
-			delete(r.routes, entry.ID)
-			delete(routes, entry.ID)
+			delete(r.endpoints, entry.ID)
+			delete(endpoints, entry.ID)
 		} else {
-			routes[entry.ID] = oldTarget{entry, addr}
+			endpoints[entry.ID] = referenceEndpoint{entry, addr}
 		}
 	}
 	if full {
-		r.routes = routes
+		r.endpoints = endpoints
 	} else {
-		for id, t := range routes {
-			r.routes[id] = t
+		for id, t := range endpoints {
+			r.endpoints[id] = t
 		}
 	}
 	return e
 }
 
-// randomLists are lists of a small site: whole ones and changes, with hosts that drain, go, come back, move to other
-// addresses, are named twice or cannot be read. None moves to another destination: there the old relay never sent to it
-// again.
+// randomLists returns short lists: complete ones and changes, with endpoints that drain, are removed, come back, move to
+// other addresses, are named twice or are unreadable. None moves to another destination: there the old relay never sent
+// to it again.
 func randomLists(rng *rand.Rand) (lists []discovery.List, texts [][]string) {
 	for range 1 + rng.IntN(20) {
 		l := discovery.List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
@@ -83,32 +84,32 @@
 			}
 			entries = append(entries, text)
 		}
-		lists, texts = append(lists, l), append(texts, entries)
+		lists = append(lists, l)
+		texts = append(texts, entries)
 	}
 	return lists, texts
 }
 
-// On a small site the module hears the same events as before there was a catalog, and the relay knows the same
-// addresses.
+// With short lists the policy has the same events as before there was a catalog, and the relay the same addresses.
 func TestShortListsGiveTheSameEventsAsBefore(t *testing.T) {
 	r := newTestRelay(t)
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		r.endpointState = endpointState{}
 		r.loadKnownEndpoints()
-		old := referenceList{cfg: r.cfg, routes: map[string]oldTarget{}}
+		old := referenceList{cfg: r.cfg, endpoints: map[string]referenceEndpoint{}}
 		lists, texts := randomLists(rng)
 		for i, l := range lists {
 			l.Entries = entriesOf(r, texts[i]...)
-			want := old.list(l.Full, texts[i])
+			want := old.apply(l.Full, texts[i])
 			if got := r.applyList(l); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-				t.Fatalf("seed %d, list %d of %v: told\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
+				t.Fatalf("seed %d, list %d of %v: events\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
 			}
-			if r.catalog.EndpointCount() != len(old.routes) {
-				t.Fatalf("seed %d, list %d: %d hosts, before %d", seed, i, r.catalog.EndpointCount(), len(old.routes))
+			if r.catalog.EndpointCount() != len(old.endpoints) {
+				t.Fatalf("seed %d, list %d: %d endpoints, before %d", seed, i, r.catalog.EndpointCount(), len(old.endpoints))
 			}
 			draining := 0
-			for id, want := range old.routes {
+			for id, want := range old.endpoints {
 				if got, ok := r.catalog.Endpoint(id); !ok || got.Endpoint != want.Endpoint || got.Addr != want.addr {
 					t.Fatalf("seed %d, list %d: %s is %+v, before %+v", seed, i, id, got, want)
 				}
