--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -17,7 +17,7 @@
 	r := newTestRelay(t)
 	listener := nettest.Listen(t)
 	serveClientsAt(t, r, listener)
-	c := dial(t, listener.Addr().String(), requestText("m1"))
+	c := nettest.Dial(t, listener.Addr().String(), requestText("m1"))
 	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
