--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -23,62 +23,63 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// An endpoint may go by the first message of a call and respond once that one's time is over: what it then tells of the
-// others is not certain, even if the response is complete. Here the response comes as soon as the message with the least
-// time has failed.
+// An endpoint may go by the first message of a call, and respond once that one's time is over: what it then says of the
+// others is not certain, however complete it is. Here the response comes as soon as the message with the least time has
+// had its final answer.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{
 		{"short", "long", "middle"},
 		{"long", "short", "middle"},
 		{"middle", "short", "long"},
 	} {
-		t.Run(strings.Join(order, " "), func(t *testing.T) {
-			left := map[string]time.Duration{
-				"short":  400 * time.Millisecond,
-				"middle": 8 * time.Second,
-				"long":   10 * time.Second,
-			}
-			r := newTestRelay(t)
-			failed := make(chan struct{}) // closed once the short one has failed
-			var mu sync.Mutex
-			var first []string
-			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
-				var items []struct{ ID string }
-				if err := json.NewDecoder(req.Body).Decode(&items); err != nil || len(items) != 3 {
-					t.Errorf("%d messages, %v", len(items), err)
-					return false
-				}
-				mu.Lock()
-				first = append(first, items[0].ID)
-				mu.Unlock()
-				<-failed
-				text := `[{"id":"long","state":"ok"},{"id":"middle","state":"ok"},{"id":"short","state":"ok"}]`
-				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-				return true
-			})
-			endpoint := policy.Endpoint{ID: "s-1", Kind: 0, InService: true}
-			r.catalog.Upsert(catalog.Endpoint{Endpoint: endpoint, Addr: addr})
-			var ins []*submitEvent
-			for i, id := range order {
-				in := newSubmission(id, 7, left[id])
-				in.message.OrderingKey = fmt.Sprint(i)
-				ins = append(ins, in)
-			}
-			submitAll(r, ins...)
-			isShort := func(n notify.Notice) bool { return n.TraceID == "short" }
-			stepUntil(t, r, "the short one has failed", func() bool {
-				return slices.ContainsFunc(r.finals.Pending(), isShort)
-			})
-			close(failed)
-			stepUntil(t, r, "the others are finished", func() bool {
-				return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil
-			})
-			mu.Lock()
-			defer mu.Unlock()
-			if !slices.Equal(first, []string{"long"}) {
-				t.Errorf("calls led by %v: their response came after that one's time", first)
-			}
-		})
+		t.Run(strings.Join(order, " "), func(t *testing.T) { testFirstMessageOfCall(t, order) })
+	}
+}
+
+// testFirstMessageOfCall submits messages in an order, and checks which one leads their call.
+func testFirstMessageOfCall(t *testing.T, order []string) {
+	timeLeft := map[string]time.Duration{
+		"short":  400 * time.Millisecond,
+		"middle": 8 * time.Second,
+		"long":   10 * time.Second,
+	}
+	r := newTestRelay(t)
+	shortEnded := make(chan struct{})
+	var mu sync.Mutex
+	var first []string
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, request *http.Request) bool {
+		var items []struct{ ID string }
+		if err := json.NewDecoder(request.Body).Decode(&items); err != nil || len(items) != 3 {
+			t.Errorf("%d messages, %v", len(items), err)
+			return false
+		}
+		mu.Lock()
+		first = append(first, items[0].ID)
+		mu.Unlock()
+		<-shortEnded
+		text := `[{"id":"long","state":"ok"},{"id":"middle","state":"ok"},{"id":"short","state":"ok"}]`
+		nettest.Send(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text))
+		return true
+	})
+	r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
+	var submissions []*submitEvent
+	for i, id := range order {
+		submission := newSubmission(id, 7, timeLeft[id])
+		submission.message.OrderingKey = fmt.Sprint(i)
+		submissions = append(submissions, submission)
+	}
+	submitAll(r, submissions...)
+	stepUntil(t, r, "the short one has its final answer", func() bool {
+		return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
+	})
+	close(shortEnded)
+	stepUntil(t, r, "the others are over", func() bool {
+		return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil
+	})
+	mu.Lock()
+	defer mu.Unlock()
+	if !slices.Equal(first, []string{"long"}) {
+		t.Errorf("calls led by %v: their response came after that one's time", first)
 	}
 }
 
@@ -120,7 +121,7 @@
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
 		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
-		_, _ = fmt.Fprint(conn, nettest.OKResponse)
+		nettest.Send(conn, nettest.OKResponse)
 		return true
 	})
 	config := r.egressConfig()
@@ -149,8 +150,8 @@
 	go r.loop(ctx)
 }
 
-// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was up.
-// It must not be sent with the others.
+// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was
+// up. It must not be sent with the others.
 func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
@@ -189,8 +190,8 @@
 	}
 }
 
-// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from a
-// machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
+// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from
+// a machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
 func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
 	r := newTestRelay(t)
 	window := r.cfg.Settings.Classes[0].DedupWindow
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -111,46 +110,16 @@
 	return strings.NewReplacer(edit...).Replace(text)
 }
 
-// dial opens a connection and writes text on it.
-func dial(t *testing.T, addr, text string) net.Conn {
-	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = c.Close() })
-	if err := c.SetDeadline(time.Now().Add(nettest.Patience)); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-	return c
-}
-
-// readResponse reads a response.
-func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
-	t.Helper()
-	res, err := http.ReadResponse(r, nil)
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		t.Fatalf("answer: %v", err)
-	}
-	return res
-}
-
 // submit submits a message and takes steps until it is decided.
 func submit(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
-	c := dial(t, addr, requestText(id))
+	c := nettest.Dial(t, addr, requestText(id))
 	for {
 		if _, ok := r.next().(*submitEvent); ok {
 			break
 		}
 	}
-	return readResponse(t, bufio.NewReader(c))
+	return nettest.ReadResponse(t, bufio.NewReader(c))
 }
 
 // next takes a step with the loop's next event.
@@ -173,6 +142,3 @@
 		return ok()
 	})
 }
-
-// addrOf is the address of a test's server.
-func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
--- a/internal/relay/warnings_test.go
+++ b/internal/relay/warnings_test.go
@@ -57,7 +57,7 @@
 				requestText("x", "X-Qos: order", "X-Qos: what"),
 				requestText("x", "Length: 4", "Length: 99999999"),
 			}
-			_, _ = io.Copy(io.Discard, dial(t, addr, bad[i%len(bad)]+"\r\n")) // until it is closed
+			_, _ = io.Copy(io.Discard, nettest.Dial(t, addr, bad[i%len(bad)]+"\r\n")) // until it is closed
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
 			entries := entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)
