--- a/internal/relay/egress/client.go
+++ b/internal/relay/egress/client.go
@@ -141,8 +141,8 @@
 	return sameResults(call, result)
 }
 
-// isPeerFailure tells whether a response did not come because of the peer's silence or end, and not because of what the
-// peer sent.
+// isPeerFailure reports whether a response did not come because of the peer's silence or end, and not because of what
+// the peer sent.
 func isPeerFailure(err error) bool {
 	var network net.Error
 	return errors.As(err, &network) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/internal/relay/egress/pool.go
+++ b/internal/relay/egress/pool.go
@@ -27,7 +27,7 @@
 // connections.
 type endpointAddr struct{ endpointID, addr string }
 
-// pool holds the connections to endpoints, idle ones for the next call.
+// pool opens connections to endpoints, bounds their number, and keeps idle ones for the next call.
 type pool struct {
 	dial           DialFunc
 	connectTimeout time.Duration
@@ -89,8 +89,8 @@
 	}
 }
 
-// isLocalShortage tells whether a connection did not come up for want of what this relay may hold: that says nothing of
-// the endpoint.
+// isLocalShortage reports whether a connection did not come up for want of what this relay may hold: that says nothing
+// of the endpoint.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
@@ -204,7 +204,7 @@
 	p.evict()
 }
 
-// The mutex is held where the following are called.
+// Callers of the functions below hold the mutex.
 
 // drop closes a connection.
 func (p *pool) drop(c *pooledConn) {
--- a/internal/relay/egress/response.go
+++ b/internal/relay/egress/response.go
@@ -97,7 +97,7 @@
 	return header
 }
 
-// readBody reads a response's body, and returns it if it tells the results of a batch. It returns an error also if the
+// readBody reads a response's body, and returns it if it has the results of a batch. It returns an error also if the
 // connection can carry no further call.
 func readBody(conn *pooledConn, header *http.Response, batch bool) ([]byte, error) {
 	if header.ContentLength > netconn.MaxBodySize {
--- a/internal/relay/ingress/conn.go
+++ b/internal/relay/ingress/conn.go
@@ -74,10 +74,10 @@
 	return connected
 }
 
-// awaitsRequest tells whether nothing of a request was read that is not answered.
+// awaitsRequest reports whether nothing of a request was read that is not answered.
 func (c *Conn) awaitsRequest() bool { return c.phase == phaseNew || c.phase == phaseIdle }
 
-// nothingPending tells whether nothing came from the client that was not read. Closed over such bytes, the connection
+// nothingPending reports whether nothing came from the client that was not read. Closed over such bytes, the connection
 // would be reset, and a request that has come to its end would have no response. A connection on which something came
 // is about to be served.
 func (c *Conn) nothingPending() bool { return c.stream.Pending() != netconn.PendingBytes }
--- a/internal/relay/ingress/exchange.go
+++ b/internal/relay/ingress/exchange.go
@@ -119,8 +119,8 @@
 	return err == nil && !closing
 }
 
-// hasConflictingLengths tells whether a header gives its body's length in both ways. Package http takes one of them and
-// no longer shows the other, so the header is read once more, by the reader that package http uses.
+// hasConflictingLengths reports whether a header gives its body's length in both ways. Package http takes one of them
+// and no longer shows the other, so the header is read once more, by the reader that package http uses.
 func hasConflictingLengths(request *http.Request, header []byte) bool {
 	if len(request.TransferEncoding) == 0 && request.ProtoAtLeast(1, 1) {
 		return false // there was no Transfer-Encoding
@@ -133,14 +133,14 @@
 	return err != nil || fields["Content-Length"] != nil && fields["Transfer-Encoding"] != nil
 }
 
-// reject answers a request whose end has not come or cannot be told. The connection ends, but not before the rest has
+// reject answers a request whose end has not come or cannot be found. The connection ends, but not before the rest has
 // come. It returns false, as the connection is of no further use.
 func (s *Server) reject(c *Conn, response Response) bool {
 	if _, err := s.writeResponse(c, response, true); err != nil || !s.setPhase(c, phaseLingering) {
 		return false
 	}
 	if half, ok := c.stream.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // the whole connection closes soon, also where this fails
+		_ = half.CloseWrite() // both directions close soon, also where this fails
 	}
 	c.stream.ExpireReadsAt(time.Now().Add(lingerTimeout))
 	// However this ends, nothing is done with it.
--- a/internal/relay/ingress/response.go
+++ b/internal/relay/ingress/response.go
@@ -46,7 +46,7 @@
 	return BadRequest("unreadable request")
 }
 
-// isClientError tells whether the response says that the request was wrong.
+// isClientError reports whether the response says that the request was wrong.
 func (r Response) isClientError() bool {
 	return r.Status >= http.StatusBadRequest && r.Status < http.StatusInternalServerError
 }
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// newConnGrace is how long a connection on which nothing came yet is not the first to make way.
+	// newConnGrace is how long a connection on which nothing came yet is not the first to be closed for another one.
 	newConnGrace = 100 * time.Millisecond
 	// surplusIdleTime is how long a connection may stand idle where more than maxKeptConns are open.
 	surplusIdleTime = 2 * time.Second
@@ -38,12 +38,13 @@
 	Log      *slog.Logger
 }
 
-// Server serves the connections of clients. Where it may hold no more of them, those that wait for nothing make way.
+// Server serves the connections of clients. Where it may hold no more of them, it closes those that
+// are not in use.
 type Server struct {
 	log          *slog.Logger
 	handler      Handler
 	maxConns     int
-	maxKeptConns int // with more than so many, none is kept for long
+	maxKeptConns int // with more connections than that, none stays idle for long
 
 	mu           sync.Mutex
 	changed      sync.Cond // signalled when a connection ends or falls idle
@@ -108,7 +109,7 @@
 	return true
 }
 
-// makeRoom waits until another connection may be held, if need be by closing one. Forced, it closes one in any case.
+// makeRoom waits until another connection may be added, if need be by closing one. Forced, it closes one in any case.
 func (s *Server) makeRoom(forced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +127,8 @@
 		}
 		forced = false
 	}
-	// Clients that send one request and keep their connections must not fill the table for good. The usual ones seldom
-	// pay for that: their connections are in use.
+	// Clients that send one request and keep their connections must not fill the table for good. Those that send many
+	// seldom pay for that: their connections are in use.
 	if len(s.conns) > s.maxKeptConns {
 		for c := range s.conns {
 			if c.phase == phaseIdle && now.Sub(c.phaseSince) > surplusIdleTime && c.nothingPending() {
@@ -201,7 +202,7 @@
 	return !c.dropped
 }
 
-// endsAfterResponse tells whether connections are closed with their next response. Clients can hold only so many
+// endsAfterResponse reports whether connections are closed with their next response. Clients can hold only so many
 // connections, too: where many are held, those that send one request and stay would keep the others from connecting,
 // long before the table here is full.
 func (s *Server) endsAfterResponse() bool {
