--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -3,11 +3,13 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,103 +19,121 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func startServer(t *testing.T, ready *atomic.Bool) (addr string) {
+// startServer serves until the end of the test, and returns the server's address.
+func startServer(t *testing.T, ready *atomic.Bool) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
+	served := make(chan error, 1)
 	s := Server{
-		Ready:   ready.Load,
-		Metrics: func(w io.Writer) { fmt.Fprintln(w, "router.pending:3|g") },
-		Log:     slog.New(slog.DiscardHandler),
+		Ready: ready.Load,
+		Metrics: func(w io.Writer) {
+			_, _ = fmt.Fprintln(w, "router.pending:3|g") // an error: the client has left
+		},
+		Log: slog.New(slog.DiscardHandler),
 	}
-	go func() { ended <- s.Serve(ctx, l) }()
+	go func() { served <- s.Serve(ctx, l) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
-			t.Errorf("ended: %v", err)
+		if err := <-served; err != nil {
+			t.Errorf("served: %v", err)
 		}
 	})
 	return l.Addr().String()
 }
 
-// sendRequest makes a call on a connection of its own.
-func sendRequest(t *testing.T, addr, text string) (status int, body string) {
+// connect opens a connection and closes it at the end of the test.
+func connect(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	io.WriteString(c, text)
-	r := bufio.NewReader(c)
-	res, err := http.ReadResponse(r, nil)
+	t.Cleanup(func() { _ = c.Close() }) // an error loses nothing: the test is over
+	return c
+}
+
+func must(t *testing.T, err error) {
+	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, _ := io.ReadAll(res.Body)
-	if _, err := r.ReadByte(); err != io.EOF {
+}
+
+// sendRequest sends a request on a connection of its own, which the server must close behind its answer.
+func sendRequest(t *testing.T, address, text string) (status int, body string) {
+	t.Helper()
+	c := connect(t, address)
+	must(t, c.SetDeadline(time.Now().Add(10*time.Second)))
+	_, err := io.WriteString(c, text)
+	must(t, err)
+	reader := bufio.NewReader(c)
+	response, err := http.ReadResponse(reader, nil)
+	must(t, err)
+	data, err := io.ReadAll(response.Body)
+	must(t, err)
+	if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection stays open: %v", err)
 	}
-	return res.StatusCode, string(data)
+	return response.StatusCode, string(data)
 }
 
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
 func TestAnswers(t *testing.T) {
 	var ready atomic.Bool
-	addr := startServer(t, &ready)
-	for _, x := range []struct {
-		text   string
-		status int
-		body   string
+	address := startServer(t, &ready)
+	for name, c := range map[string]struct {
+		request string
+		status  int
+		body    string
 	}{
-		{getRequest("/v1/readyz"), 503, "not ready\n"},
-		{getRequest("/v1/metrics"), 200, "router.pending:3|g\n"},
-		{getRequest("/v1/other"), 404, "404 page not found\n"},
-		{"POST /v1/readyz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405, "Method Not Allowed\n"},
-		{"noise\r\n\r\n", 400, "400 Bad Request"},
+		"not ready": {getRequest("/v1/readyz"), http.StatusServiceUnavailable, "not ready\n"},
+		"metrics":   {getRequest("/v1/metrics"), http.StatusOK, "router.pending:3|g\n"},
+		"no path":   {getRequest("/v1/other"), http.StatusNotFound, "404 page not found\n"},
+		"no method": {
+			"POST /v1/readyz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
+			http.StatusMethodNotAllowed, "Method Not Allowed\n",
+		},
+		"no request": {"noise\r\n\r\n", http.StatusBadRequest, "400 Bad Request"},
 	} {
-		if status, body := sendRequest(t, addr, x.text); status != x.status || body != x.body {
-			t.Errorf("%q: %d %q", x.text, status, body)
-		}
+		t.Run(name, func(t *testing.T) {
+			if status, body := sendRequest(t, address, c.request); status != c.status || body != c.body {
+				t.Errorf("%q: %d %q", c.request, status, body)
+			}
+		})
 	}
 	ready.Store(true)
-	if status, _ := sendRequest(t, addr, getRequest("/v1/readyz")); status != 200 {
+	if status, _ := sendRequest(t, address, getRequest("/v1/readyz")); status != http.StatusOK {
 		t.Errorf("ready: %d", status)
 	}
 }
 
-// Hundreds that say nothing, or half of a call, and stay: others have their answers, and none of the silent is held for
-// good. Without the bound on connections or the deadline the last loop waits for ever.
+// Hundreds of clients send nothing, or a part of a request, and stay: others are answered, and none of the silent ones
+// is kept for good. Without the bound on connections or the timeout the last loop waits until its deadline.
 func TestSilentClientsBlockNobody(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	addr := startServer(t, &ready)
+	address := startServer(t, &ready)
 	var silent []net.Conn
 	for i := range 300 {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		c := connect(t, address)
 		if i%2 == 0 {
-			io.WriteString(c, "GET /v1/re")
+			_, _ = io.WriteString(c, "GET /v1/re") // an error: the server has closed it, for newer ones
 		}
 		silent = append(silent, c)
 	}
-	if status, _ := sendRequest(t, addr, getRequest("/v1/metrics")); status != 200 {
+	if status, _ := sendRequest(t, address, getRequest("/v1/metrics")); status != http.StatusOK {
 		t.Errorf("%d", status)
 	}
 	for i, c := range silent {
-		c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.Copy(io.Discard, c); err != nil {
-			if ne, ok := err.(net.Error); ok && ne.Timeout() {
-				t.Fatalf("connection %d is still open", i)
-			}
+		must(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
+		_, err := io.Copy(io.Discard, c) // any error but the deadline's: the server has closed the connection
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatalf("connection %d is still open", i)
 		}
 	}
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -14,41 +15,52 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Every answer of the second address: status, type and body, with every figure that there is.
-func TestGoldenAnswers(t *testing.T) {
-	var counted metrics.Registry
-	for i, end := range []metrics.Result{metrics.Completed, metrics.Rejected, metrics.Failed} {
+// goldenMetrics returns metrics of which each has a value of its own.
+func goldenMetrics() *metrics.Registry {
+	registry := &metrics.Registry{}
+	for i, result := range []metrics.Result{metrics.Completed, metrics.Rejected, metrics.Failed} {
 		for range i + 1 {
-			counted.CountResult("order", end)
+			registry.CountResult("order", result)
 		}
 	}
-	counted.UpstreamRequests.Store(11)
-	counted.Reloads.Store(12)
-	counted.ReloadErrors.Store(13)
-	counted.Pending.Store(14)
-	counted.Members.Store(15)
-	counted.UnavailableMembers.Store(16)
+	registry.UpstreamRequests.Store(11)
+	registry.Reloads.Store(12)
+	registry.ReloadErrors.Store(13)
+	registry.Pending.Store(14)
+	registry.Members.Store(15)
+	registry.UnavailableMembers.Store(16)
+	return registry
+}
+
+// Pins every answer of the second address: status, type and body, with every metric.
+func TestGoldenAnswers(t *testing.T) {
+	registry := goldenMetrics()
 	ready := true
 	var member fleet.Member
 	server := Server{
-		Ready:   func() bool { return ready },
-		Metrics: func(w io.Writer) { counted.WriteTo(w) },
-		Fleet:   member.WriteJSON, Log: slog.New(slog.DiscardHandler),
+		Ready: func() bool { return ready },
+		Metrics: func(w io.Writer) {
+			if _, err := registry.WriteTo(w); err != nil {
+				t.Error(err)
+			}
+		},
+		Fleet: member.WriteJSON,
+		Log:   slog.New(slog.DiscardHandler),
 	}
 	var text strings.Builder
-	ask := func(path string) {
+	get := func(path string) {
 		answer := httptest.NewRecorder()
-		server.Handler().ServeHTTP(answer, httptest.NewRequest("GET", path, nil))
+		server.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
 		fmt.Fprintf(&text, "GET %s\n%d %s\n%s\n", path, answer.Code, answer.Header().Get("Content-Type"), answer.Body)
 	}
 	for _, path := range []string{"/v1/readyz", "/v1/metrics", "/v1/fleet", "/v1/other"} {
-		ask(path)
+		get(path)
 	}
 	ready = false
-	ask("/v1/readyz")
+	get("/v1/readyz")
 	server.Fleet = nil
-	ask("/v1/fleet")
+	get("/v1/fleet")
 	golden.Check(t, *update, "answers.txt", []byte(text.String()))
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line that all programs share: subcommands, --help and --version, errors on standard error
-// and exit statuses.
+// Package cli is the command line of all programs: subcommands, --help and --version, errors on standard error and exit
+// statuses.
 package cli
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit statuses that all programs share.
+// The exit statuses that all programs have in common.
 const (
 	OK     = 0
-	Failed = 1 // unless a program says otherwise
+	Failed = 1 // unless a program uses another one
 	Usage  = 2
 )
 
@@ -26,12 +26,12 @@
 	Err io.Writer
 }
 
-// Exit is an error that ends a program with this status and says nothing: all has been said.
+// Exit is an error that ends a program with this status and without a message: the command has written it.
 type Exit int
 
 func (e Exit) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
 
-// Version is the program's, as the tool chain noted it when it was built.
+// Version returns the version of the program, as the tool chain recorded it in the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -41,60 +41,70 @@
 	if version == "" {
 		version = "(devel)"
 	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			version += " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			version += " " + setting.Value
 		}
 	}
 	return version + " " + info.GoVersion
 }
 
-// kongExit is how kong's own end, after --help say, comes back.
+// kongExit is the panic by which kong ends a program, for example after --help. Its value is the exit status.
 type kongExit int
 
 // Run parses a command line into app, a pointer to a struct in kong's form, and runs the command that it names: its
 // Run method may take a context.Context and a *Streams. failed is the status after an error of the command.
 func Run(ctx context.Context, name, about string, app any, args []string, s Streams, failed int) (status int) {
 	defer func() {
-		if x := recover(); x != nil {
-			code, ok := x.(kongExit)
-			if !ok {
-				panic(x)
-			}
-			status = int(code)
+		recovered := recover()
+		if recovered == nil {
+			return
 		}
+		exit, ok := recovered.(kongExit)
+		if !ok {
+			panic(recovered)
+		}
+		status = int(exit)
 	}()
-	parser, err := kong.New(
-		app,
-		kong.Name(name),
-		kong.Description(about),
-		kong.Writers(s.Out, s.Err),
-		kong.UsageOnError(),
-		kong.Vars{"version": name + " " + Version()},
-		kong.BindTo(ctx, (*context.Context)(nil)),
-		kong.Bind(&s),
-		kong.Exit(
-			func(code int) { panic(kongExit(code)) },
-		),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
-	)
+	parser, err := newParser(ctx, name, about, app, &s)
 	if err != nil {
-		fmt.Fprintf(s.Err, "%s: %v\n", name, err)
+		printError(s.Err, name, err)
 		return Usage
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(s.Err, "%s: %v\nsee %s --help\n", name, err, name)
+		printError(s.Err, name, err)
+		_, _ = fmt.Fprintf(s.Err, "see %s --help\n", name) // as in printError
 		return Usage
 	}
 	err = command.Run()
-	var exit Exit
-	switch {
-	case err == nil:
+	if err == nil {
 		return OK
-	case errors.As(err, &exit):
+	}
+	var exit Exit
+	if errors.As(err, &exit) {
 		return int(exit)
 	}
-	fmt.Fprintf(s.Err, "%s: %v\n", name, err)
+	printError(s.Err, name, err)
 	return failed
 }
+
+func newParser(ctx context.Context, name, about string, app any, s *Streams) (*kong.Kong, error) {
+	return kong.New(
+		app,
+		kong.Name(name),
+		kong.Description(about),
+		kong.Writers(s.Out, s.Err),
+		kong.UsageOnError(),
+		kong.Vars{"version": name + " " + Version()},
+		kong.BindTo(ctx, (*context.Context)(nil)),
+		kong.Bind(s),
+		kong.Exit(func(code int) { panic(kongExit(code)) }),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
+	)
+}
+
+// printError writes an error of a program. If that fails there is nowhere else to report it: the exit status remains.
+func printError(w io.Writer, name string, err error) {
+	_, _ = fmt.Fprintf(w, "%s: %v\n", name, err)
+}
--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -12,7 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // TestGoldenEveryKey reads a file that sets every key, and pins the values by the keys of the file.
 func TestGoldenEveryKey(t *testing.T) {
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -12,73 +12,153 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
+func mustParse(t *testing.T, text string) File {
+	t.Helper()
+	file, err := Parse("f.toml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
 func TestDefaults(t *testing.T) {
-	f, err := Load("")
-	if err != nil || f.Recorder.Enabled || f.Recorder.Write != WriteKept || f.Recorder.Ring() != 4<<20 ||
-		f.Log.Format != "text" {
-		t.Errorf("%+v, %v", f, err)
+	file, err := Load("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := file.Recorder
+	if r.Enabled || r.Write != WriteKept || r.Ring() != 4<<20 || file.Log.Format != FormatText {
+		t.Errorf("%+v", file)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	shipped, err := Load("../../../deploy/cherrytrestle.toml")
-	if err != nil || !reflect.DeepEqual(shipped, f) {
+	if err != nil || !reflect.DeepEqual(shipped, file) {
 		t.Errorf("the shipped file turns something on: %+v, %v", shipped, err)
 	}
 }
 
 func TestFleet(t *testing.T) {
-	f, err := Parse(
-		"f.toml",
-		[]byte(
-			"[fleet]\nenabled = true\nname = \"r1\"\nlisten = \"127.0.0.1:7946\"\n[fleet.join]\nr1 = \"127.0.0.1:7946\"\nr2 = \"relay-2:7946\"\n",
-		),
-	)
-	if err != nil || !f.Fleet.Enabled || f.Fleet.Peers["r2"] != "relay-2:7946" || f.Fleet.Listen != "127.0.0.1:7946" {
-		t.Errorf("%+v, %v", f.Fleet, err)
+	got := mustParse(t, `
+[fleet]
+enabled = true
+name = "r1"
+listen = "127.0.0.1:7946"
+[fleet.join]
+r1 = "127.0.0.1:7946"
+r2 = "relay-2:7946"
+`).Fleet
+	want := Fleet{
+		Enabled: true,
+		Name:    "r1",
+		Listen:  "127.0.0.1:7946",
+		Peers:   map[string]string{"r1": "127.0.0.1:7946", "r2": "relay-2:7946"},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
 func TestJournalOptions(t *testing.T) {
-	f, err := Parse("f.toml", []byte("[journal]\nsync = \"interval\"\nsync_interval_ms = 250\nbodies_mb = 0.5\n"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if o := f.Journal.Options(3e6); o.Limit != 3e6 || o.Sync != store.SyncInterval ||
-		o.Interval != 250*time.Millisecond ||
-		o.MaxBodyBytes != 512<<10 {
-		t.Errorf("%+v", o)
+	file := mustParse(t, "[journal]\nsync = \"interval\"\nsync_interval_ms = 250\nbodies_mb = 0.5\n")
+	options := file.Journal.Options(3e6)
+	if options.Limit != 3e6 || options.Sync != store.SyncInterval ||
+		options.Interval != 250*time.Millisecond || options.MaxBodyBytes != 512<<10 {
+		t.Errorf("%+v", options)
 	}
-	if o := (Journal{}).Options(1); o.Sync != store.SyncNever || o.MaxBodyBytes != 0 {
-		t.Errorf("off: %+v", o)
+	if options := (Journal{}).Options(1); options.Sync != store.SyncNever || options.MaxBodyBytes != 0 {
+		t.Errorf("without a file: %+v", options)
 	}
 }
 
-// Every error of a file is told, with its line or its key.
-func TestParseReportsEveryError(t *testing.T) {
-	for text, wants := range map[string][]string{
-		"[recorder]\nenabeld = true\n[lgo]\nx = 1\n": {"f.toml:2: unknown key recorder.enabeld", "f.toml:3: unknown key lgo"},
-		"[recorder]\nenabled = \"yes\"\n":            {"f.toml:2:"},
-		"[recorder\n":                                {"f.toml:1:"},
-		"[recorder]\nring_mb = 0.1\nwrite = \"some\"\nfolder_mb = -1\n[log]\nformat = \"xml\"\nlevel = \"loud\"\n": {
-			"recorder.ring_mb is 0.1", `recorder.write is "some"`, "recorder.folder_mb is -1", `log.format is "xml"`, `log.level is "loud"`,
+// invalidFile is a file and what its errors must contain.
+type invalidFile struct {
+	text  string
+	wants []string
+}
+
+var invalidFiles = map[string]invalidFile{
+	"unknown keys": {
+		text:  "[recorder]\nenabeld = true\n[lgo]\nx = 1\n",
+		wants: []string{"f.toml:2: unknown key recorder.enabeld", "f.toml:3: unknown key lgo"},
+	},
+	"wrong type": {
+		text:  "[recorder]\nenabled = \"yes\"\n",
+		wants: []string{"f.toml:2:"},
+	},
+	"no TOML": {
+		text:  "[recorder\n",
+		wants: []string{"f.toml:1:"},
+	},
+	"recorder and log out of range": {
+		text: `[recorder]
+ring_mb = 0.1
+write = "some"
+folder_mb = -1
+[log]
+format = "xml"
+level = "loud"
+`,
+		wants: []string{
+			"recorder.ring_mb is 0.1",
+			`recorder.write is "some"`,
+			"recorder.folder_mb is -1",
+			`log.format is "xml"`,
+			`log.level is "loud"`,
 		},
-		"[recorder]\nring_mb = 100\nfolder = \"/x\"\nfolder_mb = 50\n": {"does not fit into folder_mb = 50"},
-		"[journal]\nsync = \"often\"\nsync_interval_ms = 1\nbodies_mb = -1\n": {
-			`journal.sync is "often"`, "journal.sync_interval_ms is 1", "journal.bodies_mb is -1",
+	},
+	"ring larger than the folder": {
+		text:  "[recorder]\nring_mb = 100\nfolder = \"/x\"\nfolder_mb = 50\n",
+		wants: []string{"does not fit into folder_mb = 50"},
+	},
+	"journal out of range": {
+		text: "[journal]\nsync = \"often\"\nsync_interval_ms = 1\nbodies_mb = -1\n",
+		wants: []string{
+			`journal.sync is "often"`,
+			"journal.sync_interval_ms is 1",
+			"journal.bodies_mb is -1",
 		},
-		"[recorder]\nring_mb = nan\n": {"recorder.ring_mb is NaN"},
-		"[fleet]\nenabled = true\n":   {`fleet.listen is ""`, "fleet.join names nobody"},
-		"[fleet]\nenabled = true\nname = \"a b\"\nlabel = \"x/y\"\nlisten = \"0.0.0.0:1\"\n[fleet.join]\nb = \"10.0.0.1\"\nc = \"10.0.0.1:0\"\n": {
-			`line 3: fleet.name is "a b"`, `line 4: fleet.label is "x/y"`, `line 5: fleet.listen is "0.0.0.0:1"`, `line 7: fleet.join.b is`, `line 8: fleet.join.c is`,
+	},
+	"not a number": {
+		text:  "[recorder]\nring_mb = nan\n",
+		wants: []string{"recorder.ring_mb is NaN"},
+	},
+	"fleet without addresses": {
+		text:  "[fleet]\nenabled = true\n",
+		wants: []string{`fleet.listen is ""`, "fleet.join names nobody"},
+	},
+	"fleet with invalid names and addresses": {
+		text: `[fleet]
+enabled = true
+name = "a b"
+label = "x/y"
+listen = "0.0.0.0:1"
+[fleet.join]
+b = "10.0.0.1"
+c = "10.0.0.1:0"
+`,
+		wants: []string{
+			`line 3: fleet.name is "a b"`,
+			`line 4: fleet.label is "x/y"`,
+			`line 5: fleet.listen is "0.0.0.0:1"`,
+			`line 7: fleet.join.b is`,
+			`line 8: fleet.join.c is`,
 		},
-	} {
-		_, err := Parse("f.toml", []byte(text))
-		for _, want := range wants {
-			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %v, want %q", text, err, want)
+	},
+}
+
+// Every error of a file is reported, with its line or its key.
+func TestParseReportsEveryError(t *testing.T) {
+	for name, c := range invalidFiles {
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse("f.toml", []byte(c.text))
+			for _, want := range c.wants {
+				if err == nil || !strings.Contains(err.Error(), want) {
+					t.Errorf("%v, want %q", err, want)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -86,7 +166,7 @@
 	f.Add([]byte("[recorder]\nenabled = true\nring_mb = 1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if file, err := Parse("f", data); err == nil && file.validate(nil) != nil {
-			t.Errorf("taken, and wrong: %+v", file)
+			t.Errorf("accepted, and invalid: %+v", file)
 		}
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package figures counts what a relay does, and writes it in the form of statsd: one name:value|type a line. Every
-// process counts from 0. All of it may be used from many goroutines at once; a count costs an atomic addition.
+// Package metrics counts what a relay does, and writes the counts in the format of statsd: one name:value|type a line.
+// Every process counts from 0. All of it is safe for concurrent use; most counts cost an atomic addition.
 package metrics
 
 import (
@@ -12,80 +12,99 @@
 	"sync/atomic"
 )
 
-// prefix stands before every name.
+// prefix begins every name.
 const prefix = "router."
 
+// The types of a metric.
+const (
+	counter = "c"
+	gauge   = "g"
+)
+
 // Result is how a message ended.
 type Result int
 
-// The ends.
+// The results.
 const (
 	Completed Result = iota // delivered
-	Rejected                // refused, or handed back: its client may come again
+	Rejected                // or returned: its client may submit it again
 	Failed
 	resultCount
 )
 
 var resultNames = [resultCount]string{"completed", "rejected", "failed"}
 
-// Registry are a process's. The zero value counts.
+// String returns the name of a result, as it stands in the names of metrics.
+func (r Result) String() string { return resultNames[r] }
+
+// Registry holds the metrics of a process. The zero value is ready to use.
 type Registry struct {
-	UpstreamRequests   atomic.Int64 // messages written whole to hosts
-	Reloads            atomic.Int64 // configurations taken at SIGHUP
-	ReloadErrors       atomic.Int64 // and turned down
-	Pending            atomic.Int64 // messages taken and not ended
-	Members            atomic.Int64 // hosts in the list
-	UnavailableMembers atomic.Int64 // those of them that are avoided now
+	UpstreamRequests   atomic.Int64 // messages written in full to endpoints, each attempt by itself
+	Reloads            atomic.Int64 // configurations accepted at SIGHUP
+	ReloadErrors       atomic.Int64 // configurations rejected at SIGHUP
+	Pending            atomic.Int64 // messages accepted and not ended
+	Members            atomic.Int64 // endpoints in the list
+	UnavailableMembers atomic.Int64 // those of them that get no messages now
 
 	mu      sync.Mutex
-	classes map[string]*[resultCount]int64 // never more than the configurations have named
+	classes map[string]*classResults // bounded by the classes that configurations have named
 }
 
-// RegisterClass has a class counted from here on, and shown though nothing of it has ended yet.
-func (f *Registry) RegisterClass(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.resultsOf(name)
+// classResults counts the messages of a class by their result.
+type classResults [resultCount]int64
+
+// RegisterClass has the metrics of a class written from now on, though none of its messages has ended yet.
+func (r *Registry) RegisterClass(name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.resultsOf(name)
 }
 
-func (f *Registry) resultsOf(name string) *[resultCount]int64 {
-	c := f.classes[name]
-	if c == nil {
-		if f.classes == nil {
-			f.classes = map[string]*[resultCount]int64{}
+// resultsOf returns the counts of a class. The caller holds the lock.
+func (r *Registry) resultsOf(class string) *classResults {
+	results := r.classes[class]
+	if results == nil {
+		if r.classes == nil {
+			r.classes = map[string]*classResults{}
 		}
-		c = new([resultCount]int64)
-		f.classes[name] = c
+		results = new(classResults)
+		r.classes[class] = results
 	}
-	return c
+	return results
 }
 
 // CountResult counts the end of a message.
-func (f *Registry) CountResult(class string, e Result) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.resultsOf(class)[e]++
+func (r *Registry) CountResult(class string, result Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.resultsOf(class)[result]++
 }
 
-// WriteTo writes all figures, in a fixed order.
-func (f *Registry) WriteTo(w io.Writer) (int64, error) {
+// WriteTo writes all metrics in a fixed order.
+func (r *Registry) WriteTo(w io.Writer) (int64, error) {
 	var text strings.Builder
-	line := func(name string, value int64, kind string) {
-		fmt.Fprintf(&text, "%s%s:%d|%s\n", prefix, name, value, kind)
-	}
-	f.mu.Lock()
-	for _, class := range slices.Sorted(maps.Keys(f.classes)) {
-		for e, n := range f.classes[class] {
-			line(resultNames[e]+"."+class, n, "c")
-		}
-	}
-	f.mu.Unlock()
-	line("upstream_requests", f.UpstreamRequests.Load(), "c")
-	line("pending", f.Pending.Load(), "g")
-	line("members", f.Members.Load(), "g")
-	line("members_unavailable", f.UnavailableMembers.Load(), "g")
-	line("config_reloads", f.Reloads.Load(), "c")
-	line("config_reload_errors", f.ReloadErrors.Load(), "c")
+	r.writeResults(&text)
+	writeMetric(&text, "upstream_requests", r.UpstreamRequests.Load(), counter)
+	writeMetric(&text, "pending", r.Pending.Load(), gauge)
+	writeMetric(&text, "members", r.Members.Load(), gauge)
+	writeMetric(&text, "members_unavailable", r.UnavailableMembers.Load(), gauge)
+	writeMetric(&text, "config_reloads", r.Reloads.Load(), counter)
+	writeMetric(&text, "config_reload_errors", r.ReloadErrors.Load(), counter)
 	n, err := io.WriteString(w, text.String())
 	return int64(n), err
 }
+
+// writeResults writes the results by class.
+func (r *Registry) writeResults(text *strings.Builder) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, class := range slices.Sorted(maps.Keys(r.classes)) {
+		for result, count := range r.classes[class] {
+			writeMetric(text, Result(result).String()+"."+class, count, counter)
+		}
+	}
+}
+
+func writeMetric(text *strings.Builder, name string, value int64, kind string) {
+	fmt.Fprintf(text, "%s%s:%d|%s\n", prefix, name, value, kind)
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,27 +6,7 @@
 	"testing"
 )
 
-func TestWriteTo(t *testing.T) {
-	var f Registry
-	f.RegisterClass("b")
-	var wg sync.WaitGroup
-	for range 100 {
-		wg.Go(func() {
-			f.CountResult("a", Completed)
-			f.CountResult("b", Failed)
-			f.UpstreamRequests.Add(2)
-			f.WriteTo(&strings.Builder{})
-		})
-	}
-	wg.Wait()
-	f.CountResult("a", Rejected)
-	f.Pending.Store(14)
-	f.ReloadErrors.Add(1)
-	var text strings.Builder
-	if _, err := f.WriteTo(&text); err != nil {
-		t.Fatal(err)
-	}
-	want := `router.completed.a:100|c
+const wantText = `router.completed.a:100|c
 router.rejected.a:1|c
 router.failed.a:0|c
 router.completed.b:0|c
@@ -39,7 +19,30 @@
 router.config_reloads:0|c
 router.config_reload_errors:1|c
 `
-	if text.String() != want {
-		t.Errorf("%s", text.String())
+
+func TestWriteTo(t *testing.T) {
+	var registry Registry
+	registry.RegisterClass("b")
+	var wg sync.WaitGroup
+	for range 100 {
+		wg.Go(func() {
+			registry.CountResult("a", Completed)
+			registry.CountResult("b", Failed)
+			registry.UpstreamRequests.Add(2)
+			if _, err := registry.WriteTo(&strings.Builder{}); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	wg.Wait()
+	registry.CountResult("a", Rejected)
+	registry.Pending.Store(14)
+	registry.ReloadErrors.Add(1)
+	var text strings.Builder
+	if _, err := registry.WriteTo(&text); err != nil {
+		t.Fatal(err)
+	}
+	if text.String() != wantText {
+		t.Errorf("got\n%s\nwant\n%s", text.String(), wantText)
 	}
 }
