--- /dev/null
+++ b/internal/recording/chart/timeline.go
@@ -0,0 +1,232 @@
+// Package chart draws charts as SVG, without scripts: steps and stacks on a time axis, and lines over a number.
+package chart
+
+import (
+	"html/template"
+	"math"
+	"time"
+)
+
+// maxBins bounds the bins along a time axis that NewTimeline chooses.
+const maxBins = 240
+
+// minLabelledHeight is the height from which on a plot has its shades' names written in it.
+const minLabelledHeight = 100
+
+// Series is one line, or one layer of a stack, with a value for each bin; NaN leaves a gap.
+type Series struct {
+	Name, Colour string
+	Values       []float64
+}
+
+// Plot is one chart on the time axis.
+type Plot struct {
+	Title, Unit string
+	Height      float64
+	Max         float64 // of the value axis; 0: what the values need
+	Stacked     bool
+	Series      []Series
+}
+
+// Timeline is what all plots of a page share.
+type Timeline struct {
+	Length time.Duration
+	Bin    time.Duration
+	Bins   int
+	Shades []Shade
+	Marks  []Mark
+}
+
+// Shade marks a span.
+type Shade struct {
+	Name     string
+	From, To time.Duration
+}
+
+// Mark marks a moment.
+type Mark struct {
+	At   time.Duration
+	Text string
+}
+
+// NewTimeline returns a time axis of a length, in bins of a second or, where it is long, of more.
+func NewTimeline(length time.Duration) *Timeline {
+	t := &Timeline{Length: max(length, time.Second), Bin: time.Second}
+	for t.Length/t.Bin > maxBins {
+		t.Bin *= 2
+	}
+	t.Bins = int((t.Length + t.Bin - 1) / t.Bin)
+	return t
+}
+
+// At is the bin of a time; times off the axis count at its ends.
+func (t *Timeline) At(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
+
+// Zeros returns a value for each bin.
+func (t *Timeline) Zeros() []float64 { return make([]float64, t.Bins) }
+
+func (t *Timeline) x(d time.Duration) float64 {
+	return plotLeft + (plotWidth-plotLeft-plotRight)*float64(d)/float64(t.Length)
+}
+
+// binEnds returns where a bin begins and ends.
+func (t *Timeline) binEnds(bin int) (from, to float64) {
+	return t.x(time.Duration(bin) * t.Bin), t.x(min(t.Length, time.Duration(bin+1)*t.Bin))
+}
+
+// Draw returns a plot as SVG.
+func (t *Timeline) Draw(p Plot) template.HTML {
+	maxValue := p.Max
+	if maxValue == 0 {
+		maxValue = roundUp(p.highest())
+	}
+	c := newCanvas(p.Title, p.Height)
+	y := func(v float64) float64 { return c.y(v / maxValue) }
+	t.drawShades(c)
+	for _, v := range []float64{0, maxValue / 2, maxValue} {
+		c.gridLine(y(v), formatNumber(v))
+	}
+	t.drawTicks(c)
+	if p.Stacked {
+		t.drawStack(c, p.Series, y)
+	} else {
+		for _, s := range p.Series {
+			t.drawSteps(c, s, y)
+		}
+	}
+	t.drawMarks(c)
+	t.drawLegend(c, p)
+	return c.close()
+}
+
+func (t *Timeline) drawShades(c *canvas) {
+	for i, s := range t.Shades {
+		from, to := t.x(s.From), t.x(s.To)
+		c.printf(
+			`<rect class="shade" x="%.1f" y="%g" width="%.1f" height="%.1f"><title>%s</title></rect>`,
+			from, plotTop, max(1, to-from), c.inner, escape(s.Name),
+		)
+		if c.height > minLabelledHeight {
+			c.printf(
+				`<text class="note" x="%.1f" y="%.1f">%s</text>`, from+2, plotTop+9+float64(i%3)*9, escape(s.Name),
+			)
+		}
+	}
+}
+
+func (t *Timeline) drawTicks(c *canvas) {
+	for s, step := time.Duration(0), tickInterval(t.Length); s <= t.Length; s += step {
+		c.printf(
+			`<text class="tick" text-anchor="middle" x="%.1f" y="%g">%gs</text>`, t.x(s), c.height-5, s.Seconds(),
+		)
+	}
+}
+
+func (t *Timeline) drawMarks(c *canvas) {
+	for _, m := range t.Marks {
+		c.printf(
+			`<path class="mark" d="M%.1f %gV%.1f"><title>%s</title></path>`,
+			t.x(m.At), plotTop, plotTop+c.inner, escape(m.Text),
+		)
+	}
+}
+
+// drawLegend writes the title and, after it, the series' names.
+func (t *Timeline) drawLegend(c *canvas, p Plot) {
+	c.printf(`<text class="title" x="%g" y="11">%s</text>`, plotLeft, escape(p.Title+", "+p.Unit))
+	x := plotLeft
+	x += titleWidth(p.Title, p.Unit)
+	for _, s := range p.Series {
+		c.legendEntry(x, s.Colour, s.Name)
+		x += 24 + 6*float64(len(s.Name))
+	}
+}
+
+// highest is the greatest value that the plot needs space for.
+func (p Plot) highest() (highest float64) {
+	for i := range p.Series[0].Values {
+		value := 0.0
+		for _, s := range p.Series {
+			switch v := s.Values[i]; {
+			case p.Stacked:
+				value += v
+			case v > value:
+				value = v
+			}
+		}
+		highest = max(highest, value)
+	}
+	return highest
+}
+
+// drawSteps draws a series as steps, with gaps where there is no value.
+func (t *Timeline) drawSteps(c *canvas, s Series, y func(float64) float64) {
+	c.printf(`<path fill="none" stroke="%s" stroke-width="1.5" d="`, s.Colour)
+	penDown := false
+	for i, v := range s.Values {
+		if math.IsNaN(v) {
+			penDown = false
+			continue
+		}
+		from, to := t.binEnds(i)
+		if penDown {
+			c.printf("V%.1fH%.1f", y(v), to)
+		} else {
+			c.printf("M%.1f %.1fH%.1f", from, y(v), to)
+		}
+		penDown = true
+	}
+	c.printf(`"/>`)
+}
+
+// drawStack draws each series on top of the ones before it.
+func (t *Timeline) drawStack(c *canvas, series []Series, y func(float64) float64) {
+	below := t.Zeros()
+	for _, s := range series {
+		for i, v := range s.Values {
+			if v <= 0 {
+				continue
+			}
+			from, to := t.binEnds(i)
+			c.printf(
+				`<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="%s"/>`,
+				from, y(below[i]+v), max(0.5, to-from-0.5), y(below[i])-y(below[i]+v), s.Colour,
+			)
+			below[i] += v
+		}
+	}
+}
+
+// roundUp returns a round number that is not below x.
+func roundUp(x float64) float64 {
+	if x <= 0 {
+		return 1
+	}
+	scale := math.Pow(10, math.Floor(math.Log10(x)))
+	for _, m := range []float64{1, 2, 4, 5, 10} {
+		if m*scale >= x {
+			return m * scale
+		}
+	}
+	return 10 * scale
+}
+
+// maxTicks bounds the ticks of a time axis.
+const maxTicks = 20
+
+func tickInterval(length time.Duration) time.Duration {
+	for _, interval := range []time.Duration{
+		time.Second,
+		2 * time.Second,
+		5 * time.Second,
+		10 * time.Second,
+		30 * time.Second,
+		time.Minute,
+		5 * time.Minute,
+	} {
+		if length/interval <= maxTicks {
+			return interval
+		}
+	}
+	return 10 * time.Minute
+}
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain tells from a recording what held messages up: for one message, a destination or a stretch of time. It
-// plays the recording and looks, after each step, at a copy of the decision module; it decides nothing and does no I/O.
+// Package explain says from a recording what messages waited for: for one message, a destination or a stretch of time.
+// It replays the recording and inspects, after each step, a copy of the decision engine. It decides nothing and does no
+// I/O.
 package explain
 
 import (
@@ -14,236 +15,105 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bounds of what an explanation keeps.
 const (
-	binsMost        = 600
-	transitionsMost = 100_000
-	spansMost       = 1000 // of one message
+	// minBin is the length of a bin of the time axis where it is short.
+	minBin = 250 * time.Millisecond
+	// maxBins bounds the bins of the time axis: they are longer where it is long.
+	maxBins = 600
+	// maxTransitions and maxSpans bound the memory of a report; maxSpans those of one message.
+	maxTransitions = 100_000
+	maxSpans       = 1000
 )
 
-// causes are the words for what holds a message.
-var causes = [...]string{
-	policy.NotBlocked: "its turn in the queue", policy.AttemptsExhausted: "no attempt or time left", policy.EndpointDraining: "no route in service",
-	policy.WaitingForKey: "an earlier message of its key", policy.WrongDedupZone: "a repeat is bound to another zone", policy.InsufficientTime: "no time left for an answer",
-	policy.TrialInFlight: "a trial call is out", policy.EndpointSaturated: "too many calls out or overdue", policy.OrderingPause: "its key rests",
-	policy.RetryAfterPending: "told to wait", policy.EndpointEjected: "skipped", policy.WarmUpBudget: "recovery budget", policy.Paced: "pace",
-	policy.ConcurrencyLimit: "no slot free", policy.NoEndpoint: "no route listed",
-}
-
-// CauseName is a cause in words.
-func CauseName(c policy.BlockCause) string {
-	if c < 0 || int(c) >= len(causes) {
-		return fmt.Sprintf("cause %d", int(c))
-	}
-	return causes[c]
-}
-
-// outcomes are the words for how a call ended.
-var outcomes = [...]string{
-	policy.OK: "delivered", policy.Error: "error", policy.Overloaded: "refused", policy.Timeout: "timed out",
-	policy.ConnectFailed: "not connected", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "not sent",
-}
-
-// OutcomeName is an outcome in words.
-func OutcomeName(o policy.Outcome) string {
-	if o < 0 || int(o) >= len(outcomes) {
-		return fmt.Sprintf("outcome %d", int(o))
-	}
-	return outcomes[o]
-}
-
-// Options say what is looked at.
+// Options say what is explained.
 type Options struct {
-	From, To time.Duration // of the module's time; To 0: to the end
-	// Every is how often, in recorded time, the messages are looked at; 0: after each step. What holds a message at one
-	// look counts until the next.
-	Every time.Duration
-	// Messages keeps the story of every message, by number; it takes memory in proportion to them.
+	From time.Duration // of the engine's time
+	To   time.Duration // 0: to the end
+	// SampleInterval is how often, in recorded time, the messages are inspected; 0: after each step. What blocks a
+	// message at one sample counts until the next.
+	SampleInterval time.Duration
+	// Messages keeps a Message of each message, by number; it takes memory in proportion to them.
 	Messages bool
 }
 
-// Waits is how long messages waited for each cause, in message-seconds.
-type Waits map[policy.BlockCause]float64
-
-// Sum is the time for all causes.
-func (w Waits) Sum() (sum float64) {
-	for _, x := range w {
-		sum += x
+// builder makes a report of a replay.
+type builder struct {
+	options       Options
+	report        *Report
+	settings      policy.Settings
+	destinations  map[int]*Destination
+	endpoints     map[string]*Endpoint
+	destinationOf map[uint32]int    // by message
+	traces        map[uint32]string // of messages that are not accepted yet
+	outcomes      map[string]string // of the current step, by endpoint
+
+	steppedAt time.Duration    // the last step
+	sampledAt time.Duration    // the last sample
+	sampled   bool             // there is a last sample
+	blockers  []policy.Blocker // what blocked each waiting message at the last sample
+
+	err error
+}
+
+// Explain replays a recording and explains it.
+func Explain(data []byte, options Options) (*Report, error) {
+	report, err := newReport(data, options)
+	if err != nil {
+		return nil, err
 	}
-	return sum
-}
-
-// Sorted are the causes with time, the longest first.
-func (w Waits) Sorted() (causes []policy.BlockCause) {
-	for c, x := range w {
-		if x > 0 {
-			causes = append(causes, c)
-		}
+	b := &builder{
+		options:       options,
+		report:        report,
+		destinations:  map[int]*Destination{},
+		endpoints:     map[string]*Endpoint{},
+		destinationOf: map[uint32]int{},
+		traces:        map[uint32]string{},
+		outcomes:      map[string]string{},
+	}
+	report.Replay, err = replay.Play(data, replay.Visitor{
+		Settings: func(settings policy.Settings) { b.settings = settings },
+		Begin:    b.begin,
+		Before:   b.beforeStep,
+		Step:     b.step,
+		Other:    b.other,
+	})
+	if err := cmp.Or(err, b.err); err != nil {
+		return nil, err
 	}
-	slices.SortFunc(
-		causes,
-		func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) },
-	)
-	return causes
-}
-
-// Destination is what happened at one destination.
-type Destination struct {
-	ID        int
-	Taken     int
-	Calls     map[policy.Outcome]int // ended, by outcome, counted for each message
-	Sent      int
-	Refused   int
-	Failed    int
-	Waits     Waits
-	WorstWait time.Duration // longest that one message waited in one go
-	MostQueue int
-	Routes    []*Route
-}
-
-// Route is a route's history on the report's axis.
-type Route struct {
-	Name                         string
-	Destination, Zone            int
-	Shared                       string // the first route of its gate, whose pace and limit it shares
-	Listed, Limit                float64
-	Pace, Ceiling, Believed      []float64 // calls a second, at the end of each bin; 0: free, none
-	Queue                        []float64 // messages waiting at the destination, the most in each bin
-	OK, Full, Bad                []float64 // outcomes in each bin
-	Sent                         []float64
-	Skipped, Doubted, ToldToWait []bool
-	last                         policy.EndpointView
-	at                           time.Duration // of last
-	seen                         bool
-}
-
-// Transition is a change in what the module holds of a route.
-type Transition struct {
-	At          time.Duration
-	Destination int
-	Route       string
-	What        string
-	By          string // the outcome that brought it, where one did
-}
-
-// Span is a time in which one cause held a message.
-type Span struct {
-	From, To time.Duration
-	Cause    policy.BlockCause
-	Route    string
-	Until    time.Duration // as the module saw it; math.MaxInt64: open
-}
-
-// Attempt is a send of a message, and what became of it.
-type Attempt struct {
-	N       int
-	Route   string
-	At      time.Duration
-	CutAt   time.Duration
-	EndedAt time.Duration // 0: not by the end
-	Outcome policy.Outcome
-	Took    time.Duration
-	Wait    time.Duration // told
-}
-
-// Message is the story of one message.
-type Message struct {
-	ID          uint32
-	Trace       string
-	Destination int
-	Class       int
-	TakenAt     time.Duration
-	Left        time.Duration // to its deadline, when it was taken
-	Resumed     bool
-	Earlier     int // attempts of an earlier process
-	Spans       []Span
-	Attempts    []Attempt
-	EndedAt     time.Duration // 0: not by the end
-	End         string
-	Advice      time.Duration // with a refusal
-}
-
-// Report is an explanation of one recording.
-type Report struct {
-	Meta         flightrecorder.Meta
-	Replay       replay.Result
-	From, To     time.Duration
-	Bin          time.Duration
-	Bins         int
-	Destinations []*Destination // by number
-	Transitions  []Transition
-	Slots        []float64 // taken, the most in each bin
-	SlotsMost    int       // the settings'
-	Queue        []float64 // messages waiting, the most in each bin
-	Messages     map[uint32]*Message
-	Notes        []string
-	Truncated    bool // more transitions or spans than are kept
-}
-
-// builder is an explanation at work.
-type builder struct {
-	opts    Options
-	rep     *Report
-	dests   map[int]*Destination
-	routes  map[string]*Route
-	dest    map[uint32]int // of messages
-	traces  map[uint32]string
-	held    []policy.Blocker // what held each message that waited at the last look
-	since   map[uint32]time.Duration
-	looked  time.Duration
-	stepped time.Duration // the last step
-	set     policy.Settings
-	some    bool              // a look was taken
-	outcome map[string]string // by route, in the step at hand
-	err     error
+	b.attributeWaits(report.To)
+	b.addDestinations()
+	return report, nil
 }
 
-// Explain plays a recording and explains it.
-func Explain(data []byte, opts Options) (*Report, error) {
+// newReport returns the empty report of a recording, with its time axis.
+func newReport(data []byte, options Options) (*Report, error) {
 	from, to, meta, err := extent(data)
 	if err != nil {
 		return nil, err
 	}
-	from = max(from, opts.From)
-	if opts.To > 0 {
-		to = min(to, opts.To)
+	from = max(from, options.From)
+	if options.To > 0 {
+		to = min(to, options.To)
 	}
 	if to < from {
 		return nil, fmt.Errorf("explain: the recording holds nothing from %v to %v", from, to)
 	}
-	rep := &Report{
-		Meta:      meta,
-		From:      from,
-		To:        to,
-		Bin:       250 * time.Millisecond,
-		SlotsMost: meta.Settings.MaxInFlightCalls,
-		Messages:  map[uint32]*Message{},
-	}
-	for (to-from)/rep.Bin >= binsMost {
-		rep.Bin *= 2
-	}
-	rep.Bins = int((to-from)/rep.Bin) + 1
-	rep.Slots, rep.Queue = make([]float64, rep.Bins), make([]float64, rep.Bins)
-	b := &builder{
-		opts: opts, rep: rep, dests: map[int]*Destination{}, routes: map[string]*Route{}, dest: map[uint32]int{}, traces: map[uint32]string{},
-		since: map[uint32]time.Duration{}, outcome: map[string]string{},
-	}
-	rep.Replay, err = replay.Play(data, replay.Visitor{
-		Settings: func(set policy.Settings) { b.set = set }, Begin: b.begin, Before: b.before, Step: b.step, Other: b.other,
-	})
-	if err != nil {
-		return nil, err
+	bin := minBin
+	for (to-from)/bin >= maxBins {
+		bin *= 2
 	}
-	if b.err != nil {
-		return nil, b.err
-	}
-	b.attribute(to)
-	for _, d := range b.dests {
-		rep.Destinations = append(rep.Destinations, d)
-		slices.SortFunc(d.Routes, func(a, b *Route) int { return cmp.Compare(a.Name, b.Name) })
-	}
-	slices.SortFunc(rep.Destinations, func(a, b *Destination) int { return cmp.Compare(a.ID, b.ID) })
-	return rep, nil
+	bins := int((to-from)/bin) + 1
+	return &Report{
+		Meta:             meta,
+		From:             from,
+		To:               to,
+		Bin:              bin,
+		Bins:             bins,
+		MaxInFlightCalls: meta.Settings.MaxInFlightCalls,
+		InFlightCalls:    make([]float64, bins),
+		Queued:           make([]float64, bins),
+		Messages:         map[uint32]*Message{},
+	}, nil
 }
 
 // extent is the time that a recording spans.
@@ -254,361 +124,93 @@
 	}
 	from = math.MaxInt64
 	for {
-		e, ok, err := r.Next()
+		entry, ok, err := r.Next()
 		if err != nil {
 			return 0, 0, meta, err
 		}
 		if !ok {
 			break
 		}
-		switch e.Kind {
+		switch entry.Kind {
 		case flightrecorder.Begin:
-			meta = e.Meta
-		case flightrecorder.Step:
-			from, to = min(from, e.Now), max(to, e.Now) // a clock may step back
+			meta = entry.Meta
+		case flightrecorder.Step: // a clock may step back
+			from = min(from, entry.Now)
+			to = max(to, entry.Now)
 		}
 	}
 	return min(from, to), to, meta, nil
 }
 
-func (b *builder) bin(at time.Duration) int {
-	return min(b.rep.Bins-1, max(0, int((at-b.rep.From)/b.rep.Bin)))
-}
-
-func (b *builder) in(at time.Duration) bool { return at >= b.rep.From && at <= b.rep.To }
-
-func (b *builder) destination(id int) *Destination {
-	d := b.dests[id]
-	if d == nil {
-		d = &Destination{ID: id, Calls: map[policy.Outcome]int{}, Waits: Waits{}}
-		b.dests[id] = d
-	}
-	return d
-}
-
-func (b *builder) route(v policy.EndpointView) *Route {
-	r := b.routes[v.ID]
-	if r == nil {
-		bins := func() []float64 { return make([]float64, b.rep.Bins) }
-		flags := func() []bool { return make([]bool, b.rep.Bins) }
-		r = &Route{
-			Name: v.ID, Destination: v.Destination, Zone: v.Zone, Pace: bins(), Ceiling: bins(), Believed: bins(), Queue: bins(), OK: bins(),
-			Full: bins(), Bad: bins(), Sent: bins(), Skipped: flags(), Doubted: flags(), ToldToWait: flags(),
-		}
-		b.routes[v.ID] = r
-		d := b.destination(v.Destination)
-		d.Routes = append(d.Routes, r)
-	}
-	return r
-}
-
-// begin starts with what a Sender holds that was restored in mid-life.
-func (b *builder) begin(s *policy.Engine, e *flightrecorder.Entry) {
-	b.look(s, e.Now)
-}
-
-func (b *builder) other(e *flightrecorder.Entry) {
-	switch e.Kind {
-	case flightrecorder.Label:
-		b.traces[e.MessageID] = e.Text
-	case flightrecorder.Note:
-		b.rep.Notes = append(b.rep.Notes, e.Text)
-	case flightrecorder.Lost:
-		b.held, b.some = nil, false
-	}
-}
-
-// before makes up for a look that came too soon after the last one. Guards against a stillness that is told by what
-// held before it: when the last step fell close behind a look, what it left behind holds all the while.
-func (b *builder) before(s *policy.Engine, e *flightrecorder.Entry) {
-	if b.some && b.stepped > b.looked && e.Now-b.stepped >= b.opts.Every {
-		b.look(s, b.stepped)
+// addDestinations puts the destinations and their endpoints into the report, sorted.
+func (b *builder) addDestinations() {
+	for _, destination := range b.destinations {
+		b.report.Destinations = append(b.report.Destinations, destination)
+		slices.SortFunc(destination.Endpoints, func(x, y *Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	}
+	slices.SortFunc(b.report.Destinations, func(x, y *Destination) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-func (b *builder) step(s *policy.Engine, e *flightrecorder.Entry) {
-	now := e.Now
-	b.stepped = now
-	clear(b.outcome)
-	for i := range e.Events {
-		b.event(now, &e.Events[i])
-	}
-	for i := range e.Actions {
-		b.action(now, &e.Actions[i])
-	}
-	switch {
-	case !b.some || now < b.looked || now-b.looked >= b.opts.Every:
-		b.look(s, now)
-	case len(b.outcome) > 0: // what changed at the routes is told with the outcomes that brought it
-		views, _ := s.Views()
-		b.compare(now, views)
-	}
-}
-
-func (b *builder) event(now time.Duration, x *policy.Event) {
-	switch x.Kind {
-	case policy.MessageAccepted:
-		b.dest[x.MessageID] = x.Destination
-		if b.in(now) {
-			b.destination(x.Destination).Taken++
-		}
-		if b.opts.Messages {
-			m := &Message{
-				ID: x.MessageID, Trace: b.traces[x.MessageID], Destination: x.Destination, Class: x.Class, TakenAt: now, Left: x.TimeLeft, Resumed: x.Recovered != nil,
-			}
-			if m.Resumed {
-				m.Earlier = x.Recovered.Attempts
-			}
-			b.rep.Messages[x.MessageID] = m
-		}
-		delete(b.traces, x.MessageID)
-	case policy.AttemptFinished:
-		word := OutcomeName(x.Outcome)
-		if x.RetryAfter > 0 {
-			word += fmt.Sprintf(", wait %v", x.RetryAfter)
-		}
-		if known := b.outcome[x.Endpoint]; known != "" && known != word {
-			word = known + "; " + word
-		}
-		b.outcome[x.Endpoint] = word
-		if d, known := b.dest[x.MessageID]; known && b.in(now) {
-			b.destination(d).Calls[x.Outcome]++
-		}
-		if r := b.routes[x.Endpoint]; r != nil && b.in(now) {
-			series := r.Bad
-			switch x.Outcome {
-			case policy.OK:
-				series = r.OK
-			case policy.Overloaded:
-				series = r.Full
-			}
-			series[b.bin(now)]++
-		}
-		m := b.rep.Messages[x.MessageID]
-		if m == nil {
-			break
-		}
-		for i := range m.Attempts {
-			if a := &m.Attempts[i]; a.N == x.Attempt && a.EndedAt == 0 {
-				a.EndedAt, a.Outcome, a.Took, a.Wait = now, x.Outcome, x.Latency, x.RetryAfter
-			}
-		}
-		if x.MessageEnded && m.EndedAt == 0 {
-			m.EndedAt, m.End = now, "delivered"
-			if x.Outcome != policy.OK {
-				m.End = "over: " + OutcomeName(x.Outcome)
-			}
-		}
-	case policy.MessageCancelled:
-		if m := b.rep.Messages[x.MessageID]; m != nil && m.EndedAt == 0 {
-			m.EndedAt, m.End = now, "withdrawn"
-		}
-	}
-}
-
-func (b *builder) action(now time.Duration, a *policy.Action) {
-	m := b.rep.Messages[a.MessageID]
-	d, known := b.dest[a.MessageID]
-	counts := known && b.in(now)
-	switch a.Kind {
-	case policy.Send:
-		if counts {
-			b.destination(d).Sent++
-		}
-		if r := b.routes[a.Endpoint]; r != nil && b.in(now) {
-			r.Sent[b.bin(now)]++
-		}
-		if m != nil {
-			m.Attempts = append(
-				m.Attempts,
-				Attempt{N: m.Earlier + len(m.Attempts), Route: a.Endpoint, At: now, CutAt: a.TimeoutAt},
-			)
-		}
-	case policy.Reject, policy.Fail:
-		if counts && a.Kind == policy.Reject {
-			b.destination(d).Refused++
-		} else if counts {
-			b.destination(d).Failed++
-		}
-		if m != nil && m.EndedAt == 0 {
-			m.EndedAt, m.End, m.Advice = now, "failed", a.Delay
-			if a.Kind == policy.Reject {
-				m.End = "refused"
-			}
-		}
+func (b *builder) destination(id int) *Destination {
+	destination := b.destinations[id]
+	if destination == nil {
+		destination = &Destination{ID: id, Calls: map[policy.Outcome]int{}, Waits: Waits{}}
+		b.destinations[id] = destination
 	}
+	return destination
 }
 
-// look sees what the module holds after a step.
-func (b *builder) look(s *policy.Engine, now time.Duration) {
-	b.attribute(now)
-	views, slots := s.Views()
-	if b.in(now) {
-		i := b.bin(now)
-		b.rep.Slots[i] = max(b.rep.Slots[i], float64(slots))
-		queue, counted := 0, map[int]bool{}
-		for k := range views {
-			if v := &views[k]; !counted[v.Destination] {
-				counted[v.Destination] = true
-				queue += v.Queued
-			}
-		}
-		b.rep.Queue[i] = max(b.rep.Queue[i], float64(queue))
-	}
-	b.compare(now, views)
-	b.looked, b.some = now, true
-	waiting := slices.ContainsFunc(views, func(v policy.EndpointView) bool { return v.Queued > 0 })
-	if b.held = nil; !waiting && len(b.dests) > 0 && len(views) > 0 {
-		return
-	}
-	// Holds may cast doubt on routes, as dispatch does: a copy is asked.
-	copied, err := policy.Restore(b.set, s.Snapshot(nil))
-	if err != nil {
-		b.err = cmp.Or(b.err, fmt.Errorf("explain: %w", err))
-		return
+func (b *builder) endpoint(view policy.EndpointView) *Endpoint {
+	endpoint := b.endpoints[view.ID]
+	if endpoint == nil {
+		endpoint = newEndpoint(view, b.report.Bins)
+		b.endpoints[view.ID] = endpoint
+		destination := b.destination(view.Destination)
+		destination.Endpoints = append(destination.Endpoints, endpoint)
 	}
-	b.held = binding(copied.Blockers())
+	return endpoint
 }
 
-// binding keeps for each message the hold that ends first: that of the route it will take.
-func binding(holds []policy.Blocker) []policy.Blocker {
-	kept := holds[:0]
-	for _, h := range holds {
-		if n := len(kept); n > 0 && kept[n-1].MessageID == h.MessageID {
-			if h.Until < kept[n-1].Until || h.Until == kept[n-1].Until && h.Cause == policy.NotBlocked {
-				kept[n-1] = h
-			}
-			continue
-		}
-		kept = append(kept, h)
-	}
-	return kept
+// begin samples the state of an engine that was restored from a snapshot.
+func (b *builder) begin(engine *policy.Engine, entry *flightrecorder.Entry) {
+	b.sample(engine, entry.Now)
 }
 
-// attribute counts the time since the last look for the causes that were seen then.
-func (b *builder) attribute(now time.Duration) {
-	from, to := max(b.looked, b.rep.From), min(now, b.rep.To)
-	if !b.some || to <= from {
-		return
-	}
-	for _, h := range b.held {
-		id, known := b.dest[h.MessageID]
-		if !known { // taken before the recording began
-			if r := b.routes[h.Endpoint]; r != nil {
-				id = r.Destination
-			}
-		}
-		d := b.destination(id)
-		d.Waits[h.Cause] += (to - from).Seconds()
-		m := b.rep.Messages[h.MessageID]
-		if m == nil {
-			continue
-		}
-		if n := len(m.Spans); n > 0 && m.Spans[n-1].To == from && m.Spans[n-1].Cause == h.Cause &&
-			m.Spans[n-1].Route == h.Endpoint {
-			m.Spans[n-1].To, m.Spans[n-1].Until = to, h.Until
-		} else if n < spansMost {
-			m.Spans = append(m.Spans, Span{from, to, h.Cause, h.Endpoint, h.Until})
-		} else {
-			b.rep.Truncated = true
-		}
+// beforeStep makes up for a step that came too soon after a sample to be sampled itself: what it left behind holds all
+// the while until the next step. Without this, a pause would be explained by what blocked messages before it.
+func (b *builder) beforeStep(engine *policy.Engine, entry *flightrecorder.Entry) {
+	if b.sampled && b.steppedAt > b.sampledAt && entry.Now-b.steppedAt >= b.options.SampleInterval {
+		b.sample(engine, b.steppedAt)
 	}
 }
 
-// compare notes what changed at the routes since the last look.
-func (b *builder) compare(now time.Duration, views []policy.EndpointView) {
-	i := b.bin(now)
-	gates := map[int]string{} // the first route of each shared gate
-	for k := range views {
-		v := &views[k]
-		r := b.route(*v)
-		shared := v.Kind < 0 || v.Kind >= len(b.set.DestinationKinds) ||
-			!b.set.DestinationKinds[v.Kind].LimitPerEndpoint
-		if r.Shared = v.ID; shared {
-			if gates[v.Destination] == "" {
-				gates[v.Destination] = v.ID
-			}
-			r.Shared = gates[v.Destination]
-		}
-		r.Listed, r.Limit = v.Weight, v.Limit
-		if b.in(now) {
-			from := 0
-			if r.seen {
-				from = b.bin(r.at)
-			}
-			for j := max(from, 0); j <= i; j++ { // what held goes on holding until now
-				was := r.last
-				if j == i || !r.seen {
-					was = *v
-				}
-				r.Pace[j], r.Ceiling[j], r.Believed[j] = was.PacingRate, was.LastRejectedRate, was.Limit
-				r.Queue[j] = max(r.Queue[j], float64(was.Queued))
-				at := b.rep.From + time.Duration(j)*b.rep.Bin
-				r.Skipped[j] = r.Skipped[j] || was.Ejected && was.EjectedUntil > at
-				r.Doubted[j] = r.Doubted[j] || was.WarmingUp
-				r.ToldToWait[j] = r.ToldToWait[j] || was.RetryAfterUntil > at
-			}
-			d := b.destination(v.Destination)
-			d.MostQueue = max(d.MostQueue, v.Queued)
-		}
-		if r.seen && b.in(now) {
-			b.transitions(now, r, v)
-		}
-		r.last, r.at, r.seen = *v, now, true
+func (b *builder) step(engine *policy.Engine, entry *flightrecorder.Entry) {
+	now := entry.Now
+	b.steppedAt = now
+	clear(b.outcomes)
+	for i := range entry.Events {
+		b.event(now, &entry.Events[i])
 	}
-}
-
-func (b *builder) transitions(now time.Duration, r *Route, v *policy.EndpointView) {
-	add := func(format string, args ...any) {
-		if len(b.rep.Transitions) >= transitionsMost {
-			b.rep.Truncated = true
-			return
-		}
-		b.rep.Transitions = append(
-			b.rep.Transitions,
-			Transition{now, v.Destination, v.ID, fmt.Sprintf(format, args...), b.outcome[v.ID]},
-		)
+	for i := range entry.Actions {
+		b.action(now, &entry.Actions[i])
 	}
-	was := &r.last
 	switch {
-	case v.InService != was.InService && v.InService:
-		add("in service")
-	case v.InService != was.InService:
-		add("drains")
-	}
-	if r.Shared == v.ID {
-		if v.DecreasedAt != was.DecreasedAt {
-			add(
-				"pace halved from %s to %.2f a second (limit believed %.2f)",
-				rate(was.PacingRate),
-				v.PacingRate,
-				v.Limit,
-			)
-		}
-		if v.RetryAfterUntil > was.RetryAfterUntil && v.RetryAfterUntil > now {
-			add("told to wait until %v", v.RetryAfterUntil)
-		}
-		if v.Limit != was.Limit {
-			add("limit believed %.2f, was %.2f", v.Limit, was.Limit)
-		}
-	}
-	if v.EjectedUntil > was.EjectedUntil && v.Ejected {
-		add("skipped until %v", v.EjectedUntil)
-	} else if was.Ejected && !v.Ejected {
-		add("answers again: pace restarts at %.2f", v.PacingRate)
-	}
-	if v.WarmingUp && !was.WarmingUp {
-		add("in doubt: under the recovery budget")
-	} else if was.WarmingUp && !v.WarmingUp {
-		add("no longer in doubt")
-	} else if v.WarmingUp && v.RecoveredAt == 0 && was.RecoveredAt != 0 {
-		add("in doubt anew")
+	case !b.sampled || now < b.sampledAt || now-b.sampledAt >= b.options.SampleInterval:
+		b.sample(engine, now)
+	case len(b.outcomes) > 0: // so that transitions are reported with the outcomes that caused them
+		views, _ := engine.Views()
+		b.updateEndpoints(now, views)
 	}
 }
 
-func rate(x float64) string {
-	if x == 0 {
-		return "free"
+func (b *builder) other(entry *flightrecorder.Entry) {
+	switch entry.Kind {
+	case flightrecorder.Label:
+		b.traces[entry.MessageID] = entry.Text
+	case flightrecorder.Note:
+		b.report.Notes = append(b.report.Notes, entry.Text)
+	case flightrecorder.Lost:
+		b.blockers = nil
+		b.sampled = false
 	}
-	return fmt.Sprintf("%.2f", x)
 }
--- /dev/null
+++ b/internal/relay/knownlist.go
@@ -0,0 +1,79 @@
+package relay
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
+	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+)
+
+// knownMode tells what becomes of the endpoint list of a configuration.
+type knownMode bool
+
+const (
+	keepKnown  knownMode = true  // it is read and kept
+	checkKnown knownMode = false // it is only checked for its form
+)
+
+// readKnownEndpoints reads the endpoint list of a configuration, from just behind its key. A long one goes to a catalog
+// as it is read.
+func (c *Config) readKnownEndpoints(src io.Reader, mode knownMode) error {
+	from := bufio.NewReaderSize(src, readBufferSize)
+	if _, err := from.ReadSlice(':'); err != nil { // only blanks stand before it
+		return fmt.Errorf("known: %w", err)
+	}
+	var parser *discovery.Parser
+	if mode == keepKnown {
+		parser = c.parser()
+	}
+	var head discovery.ListHead
+	var short []discovery.Entry
+	var long *catalog.Catalog
+	err := discovery.NewListReader(from, parser).Next(&head, func(e discovery.Entry) error {
+		if long != nil {
+			c.addKnownEntry(long, e)
+			return nil
+		}
+		short = append(short, e)
+		if len(short) > catalog.MaxEagerEndpoints {
+			long = c.newKnownCatalog(short)
+			short = nil
+		}
+		return nil
+	})
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	c.Known = discovery.List{Version: head.Version, Full: head.Full, Entries: short}
+	c.KnownCatalog = long
+	return nil
+}
+
+// newKnownCatalog returns a catalog with the first entries of a long list.
+func (c *Config) newKnownCatalog(entries []discovery.Entry) *catalog.Catalog {
+	long := catalog.New()
+	long.BeginSnapshot()
+	for _, e := range entries {
+		c.addKnownEntry(long, e)
+	}
+	return long
+}
+
+// addKnownEntry adds an entry to a long list. Unreadable ones are counted, and the first of them is kept for the log.
+func (c *Config) addKnownEntry(long *catalog.Catalog, e discovery.Entry) {
+	if e.Err == nil {
+		long.Upsert(e.Endpoint)
+		return
+	}
+	c.unreadable++
+	if c.unreadable == 1 {
+		c.firstUnreadable = e
+	}
+}
+
+// parser returns the parser of the entries of an endpoint list.
+func (c *Config) parser() *discovery.Parser {
+	return &discovery.Parser{Zones: c.Zones, Kinds: c.Kinds}
+}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,9 +20,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/config/reload"
 	"cherrytrestle.example/cherrytrestle/internal/fleet"
 	"cherrytrestle.example/cherrytrestle/internal/metrics"
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
 	"cherrytrestle.example/cherrytrestle/internal/relay/hotrestart"
-	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -33,11 +35,11 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *IngressServer // serves clients
-	egress  *egress.Client // calls endpoints
-	agent   *Client        // service discovery's
-	finals  *Sender        // final notifications
-	fleet   *fleet.Member  // nil: this relay shares nothing with others
+	ingress *ingress.Server   // serves clients
+	egress  *egress.Client    // calls endpoints
+	agent   *discovery.Client // service discovery's
+	finals  *notify.Sender    // final notifications
+	fleet   *fleet.Member     // nil: this relay shares nothing with others
 	metrics metrics.Registry
 
 	events   chan event
@@ -47,7 +49,7 @@
 
 	sharedState
 	reloadState
-	upgrade
+	hotRestartState
 	loopState
 }
 
@@ -72,7 +74,7 @@
 		cfg:         cfg,
 		log:         log,
 		logOut:      out,
-		agent:       NewClient(cfg.DiscoveryAddr),
+		agent:       discovery.NewClient(cfg.DiscoveryAddr),
 		events:      make(chan event, eventQueueSize),
 		loopDone:    make(chan struct{}),
 		drained:     make(chan struct{}),
@@ -87,19 +89,19 @@
 		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
-	r.ingress = NewIngressServer(log, cfg.Limits.Sockets*9/20, r.handleRequest)
+	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
-	r.finals = NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
+	r.finals = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
-		r.before, err = hotrestart.Dial(r.handoverPath())
+		r.predecessor, err = hotrestart.Dial(r.handoverPath())
 		if err == nil {
 			return r, nil // the log is the other process's, until it hands over
 		}
 		log.Info("starting from the journal", "err", err)
 	}
-	if err := r.openLog(); err != nil {
+	if err := r.openJournal(); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -109,26 +111,26 @@
 func (r *Relay) Run(ctx context.Context) error {
 	listener, err := listen(r.cfg.Listen, r.cfg.InheritedFD)
 	if err != nil {
-		return errors.Join(fmt.Errorf("relay: %w", err), r.closeLog())
+		return errors.Join(fmt.Errorf("relay: %w", err), r.closeJournal())
 	}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	if r.cfg.AdminListen != "" {
 		if err := r.serveAdmin(work); err != nil {
-			return errors.Join(err, listener.Close(), r.closeLog())
+			return errors.Join(err, listener.Close(), r.closeJournal())
 		}
 	}
 	callCtx, stopCalls := context.WithCancel(context.Background())
 	defer stopCalls()
 	r.callCtx = callCtx
 	err = r.restore(ctx) // before clients learn that the relay is ready
-	if errors.Is(err, errEnded) {
+	if errors.Is(err, errTerminated) {
 		return listener.Close()
 	}
 	if err != nil {
-		return errors.Join(err, listener.Close(), r.closeLog())
+		return errors.Join(err, listener.Close(), r.closeJournal())
 	}
-	r.offer(work)
+	r.listenForSuccessor(work)
 	leading, stopLeading := context.WithCancel(work)
 	defer stopLeading()
 	r.stopLeading = stopLeading
@@ -148,12 +150,12 @@
 	if r.successor != nil {
 		_ = r.successor.Close() // everything for it is sent
 	}
-	return r.closeLog()
+	return r.closeJournal()
 }
 
 // restore takes over from the process before this one, or goes on from the journal.
 func (r *Relay) restore(ctx context.Context) error {
-	if r.before == nil {
+	if r.predecessor == nil {
 		r.recoverState()
 		return nil
 	}
@@ -165,7 +167,7 @@
 	if r.fleet != nil {
 		background.Go(func() { r.fleet.Run(ctx) })
 	}
-	watcher := r.newWatcher()
+	watcher := discovery.NewWatcher(r.discoveryConfig())
 	background.Go(func() { r.finals.Run(ctx) })
 	background.Go(func() { watcher.Run(ctx) })
 }
@@ -190,40 +192,36 @@
 	accepting := make(chan struct{})
 	go func() {
 		defer close(accepting)
-		_ = r.ingress.Serve(listener) // returns only once the listener is closed
+		r.ingress.Serve(listener)
 	}()
 	r.log.Info("serving", "name", r.cfg.Name, "listen", listener.Addr().String())
 	<-ctx.Done()
-	if !r.handOver() {
+	if !r.handOverToSuccessor() {
 		r.shutdown(listener)
 		return
 	}
 	_ = listener.Close() // connections wait for the other process from here on
 	<-accepting          // one that was accepted just before is served like the others
-	r.leave()
+	r.finishAfterHandOver()
 }
 
-// newWatcher returns a watcher that follows the endpoint list for the loop.
-func (r *Relay) newWatcher() *Watcher {
-	return &Watcher{
+// discoveryConfig returns how a watcher follows the endpoint list for the loop.
+func (r *Relay) discoveryConfig() discovery.Config {
+	return discovery.Config{
 		Log:           r.log,
 		Client:        r.agent,
-		IdleTimeout:   WatchIdleTimeout,
-		ListTimeout:   ListTimeout,
+		Parser:        r.cfg.parser(),
+		Backoff:       discovery.NewBackoff(r.cfg.Settings, r.cfg.DrainGrace),
+		Rand:          rand.New(rand.NewPCG(r.cfg.Seed, watcherStream)),
+		IdleTimeout:   discovery.WatchIdleTimeout,
+		ListTimeout:   discovery.ListTimeout,
+		HasList:       r.endpointsKnown.Load(),
 		Version:       r.listVersion,
 		NeedsSnapshot: r.snapshotNeeded,
-		HasList:       r.endpointsKnown.Load(),
-		OnUpdate:      func(l List) { r.post(listEvent{l}) },
-		Parse:         r.cfg.parseEndpoint,
-		Parts: PartSender{
-			Post:      func(p *SnapshotPart) bool { return r.post(partEvent{p}) },
-			Stopped:   r.loopDone,
-			LargeList: r.largeList.Load,
-		},
-		Backoff:         NewBackoff(r.cfg),
-		Rand:            rand.New(rand.NewPCG(r.cfg.Seed, watcherStream)),
-		unreadableLines: ratelog.Warning{Message: "unreadable line of the watch"},
-		oversizeLists:   ratelog.Warning{Message: "list not taken"},
+		OnUpdate:      func(l discovery.List) { r.post(listEvent{l}) },
+		OnPart:        func(p *discovery.SnapshotPart) bool { return r.post(partEvent{p}) },
+		Stopped:       r.loopDone,
+		LargeList:     r.largeList.Load,
 	}
 }
 
--- a/internal/relay/trouble_test.go
+++ b/internal/relay/trouble_test.go
@@ -12,7 +12,9 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -35,12 +37,12 @@
 		{"requests", "bad request", func(t *testing.T, r *Relay, i int) {
 			addr := door(t, r)
 			bad := []string{"NONSENSE\r\n\r\n", handInText("x", "X-Qos: order", "X-Qos: what"), handInText("x", "Length: 4", "Length: 99999999")}[i%3]
-			io.Copy(io.Discard, dial(t, addr, bad+"\r\n"))
+			io.Copy(io.Discard, nettest.Dial(t, addr, bad+"\r\n"))
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
-			r.step([]event{listEvent{List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
+			r.step([]event{listEvent{discovery.List{Version: 5, Entries: entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)}}})
 		}},
-		{"answers of hosts", "spoilt answer", func(t *testing.T, r *Relay, i int) {
+		{"answers of hosts", "malformed response", func(t *testing.T, r *Relay, i int) {
 			addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				fmt.Fprint(conn, "HTTP/1.1 what\r\n\r\n")
 				return false
@@ -65,7 +67,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.log, r.ingress.log = log, log
+			r.log = log
+			r.ingress = ingress.New(r.ingressConfig())
 			r.egress = egress.New(r.egressConfig())
 			mu.Lock()
 			text.Reset()
