--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -133,7 +133,7 @@
 	if err := report.Text(s.Out, h, events, v); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Out, "played in %v: %d events, %d steps of modules\n", took.Round(time.Millisecond), w.Ran(), w.Steps)
+	fmt.Fprintf(s.Out, "played in %v: %d events, %d steps of modules\n", took.Round(time.Millisecond), w.EventCount(), w.Steps)
 	if c.Out != "" {
 		if err := os.MkdirAll(c.Out, 0o700); err != nil {
 			return err
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -64,7 +64,7 @@
 
 // in plans something at the relay, unless the call is over there.
 func (c *call) in(d time.Duration, do func()) {
-	c.r.w.After(d, func() {
+	c.r.w.ScheduleAfter(d, func() {
 		if !c.over {
 			do()
 		}
@@ -184,7 +184,7 @@
 	}
 	h.calls[c] = struct{}{}
 	life := h.life
-	w.After(c.latency(), func() {
+	w.ScheduleAfter(c.latency(), func() {
 		if h.life == life && !c.done {
 			w.Calls++
 			c.arrive()
@@ -206,7 +206,7 @@
 // leaves tells the host, a latency later, that the relay has closed the connection.
 func (c *call) leaves() {
 	if c.written && !c.done {
-		c.r.w.After(c.latency(), func() { c.endsAtHost(eventlog.CauseRelay) })
+		c.r.w.ScheduleAfter(c.latency(), func() { c.endsAtHost(eventlog.CauseRelay) })
 	}
 }
 
@@ -291,14 +291,14 @@
 		w.able(h.place, 0, 0)
 	}
 	if fate.Result != upstream.Mute && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
-		w.After(0, c.broken)
+		w.ScheduleAfter(0, c.broken)
 		return
 	}
 	switch fate.Result {
 	case upstream.Mute:
 	case upstream.Served:
 		if fate.Lost {
-			w.After(fate.After, func() {
+			w.ScheduleAfter(fate.After, func() {
 				if !c.done && !h.isCut { // a machine that is cut off breaks nothing before it is back
 					c.broken()
 				}
@@ -316,7 +316,7 @@
 // reply answers a call after a time: as a whole, or where the outcome is OK each of its messages.
 func (c *call) reply(after time.Duration, results []result, outcome policy.Outcome, wait time.Duration) {
 	w, h := c.r.w, c.host
-	w.After(after, func() {
+	w.ScheduleAfter(after, func() {
 		if c.done || h.isCut {
 			return
 		}
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -80,7 +80,7 @@
 		return
 	}
 	life := r.life
-	w.After(w.opts.Latency, func() {
+	w.ScheduleAfter(w.opts.Latency, func() {
 		if r.life != life || !r.up {
 			t.broken(r)
 			return
@@ -102,14 +102,14 @@
 	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.NonIdempotent {
 		return
 	}
-	w.After(anewAfter, t.next)
+	w.ScheduleAfter(anewAfter, t.next)
 }
 
 // answer is what the relay tells the client.
 func (t *try) answer(r *relay, status int, advice time.Duration) {
 	t.over = true
 	w := t.w
-	w.After(w.opts.Latency, func() {
+	w.ScheduleAfter(w.opts.Latency, func() {
 		w.see(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: r.name, Status: status, Wait: advice})
 		switch status {
 		case statusFailed:
@@ -119,7 +119,7 @@
 			if t.refusals++; t.refusals > refusalsMost || t.Again == 0 {
 				return
 			}
-			w.After(max(t.Again, min(advice, w.plan.File.Settings.MaxRetryAfter.D())), t.next)
+			w.ScheduleAfter(max(t.Again, min(advice, w.plan.File.Settings.MaxRetryAfter.D())), t.next)
 		}
 	})
 }
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		for i := range f.Relays {
-			w.At(14*time.Second, func() { w.Kill(i, true) })
+			w.Schedule(14*time.Second, func() { w.Kill(i, true) })
 		}
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -220,13 +220,13 @@
 		w.Offer(scenario.Arrival{Relay: relay, Dest: 1})
 	})
 	returns := append([]*Place(nil), w.order...)
-	w.At(coldBegins, func() {
+	w.Schedule(coldBegins, func() {
 		for _, p := range returns {
 			w.Outage(p.Name, o.op, o.share, d.lasts)
 		}
 	})
 	if d.replaced {
-		w.At(coldBegins+d.lasts/2, func() {
+		w.Schedule(coldBegins+d.lasts/2, func() {
 			for i, e := range w.plan.Endpoints {
 				if i%2 == 1 {
 					continue
@@ -247,11 +247,11 @@
 	if d.restarted {
 		for i := range d.relays {
 			if rng.IntN(3) == 0 {
-				w.At(back+time.Duration(rng.Float64()*float64(d.warm)/2), func() { w.Kill(i, false) })
+				w.Schedule(back+time.Duration(rng.Float64()*float64(d.warm)/2), func() { w.Kill(i, false) })
 			}
 		}
 	}
-	w.At(back, func() {
+	w.Schedule(back, func() {
 		for _, p := range returns {
 			w.Back(p.Name)
 		}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		for at := 5500 * time.Millisecond; at < 30*time.Second; at += 3700 * time.Millisecond {
-			w.At(at, func() { w.Kill(0, true) })
+			w.Schedule(at, func() { w.Kill(0, true) })
 		}
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
@@ -261,7 +261,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.Play(); !errors.Is(err, engine.ErrEndless) {
+	if err := x.Play(); !errors.Is(err, engine.ErrTooManyEvents) {
 		t.Errorf("unbounded: %v", err)
 	}
 }
@@ -291,7 +291,7 @@
 	} {
 		var means []float64
 		for run := range 30 {
-			rng := engine.Stream(7, c.name, run)
+			rng := engine.NewRandom(7, c.name, run)
 			p := upstream.New(upstream.Spec{
 				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: upstream.NoLimit, ColdShare: 1,
 			}, rng.Uint64())
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -171,14 +171,14 @@
 		return nil
 	}
 	n := &fleetNet{
-		w: w, draw: engine.Stream(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.Absurd - 1,
+		w: w, draw: engine.NewRandom(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.Absurd - 1,
 		fleets: max(1, w.opts.Fleets), twin: w.opts.Twin - 1,
 		wrongs: map[string]bool{},
 	}
 	for range w.plan.File.Relays {
 		n.drift = append(n.drift, (n.draw.Float64()-0.5)*clocksApart)
 	}
-	w.After(beliefsEvery, n.look)
+	w.ScheduleAfter(beliefsEvery, n.look)
 	return n
 }
 
@@ -223,9 +223,9 @@
 		if !m.r.frozen {
 			do()
 		}
-		m.net.w.After(d, again)
+		m.net.w.ScheduleAfter(d, again)
 	}
-	m.net.w.After(time.Duration(m.net.draw.Int64N(int64(d))), again)
+	m.net.w.ScheduleAfter(time.Duration(m.net.draw.Int64N(int64(d))), again)
 }
 
 // clock is the process's own monotonic time.
@@ -423,8 +423,8 @@
 			o.inbox = append(o.inbox, p)
 		}
 	}
-	if n.w.After(late, come); again >= 0 {
-		n.w.After(again, come)
+	if n.w.ScheduleAfter(late, come); again >= 0 {
+		n.w.ScheduleAfter(again, come)
 	}
 }
 
@@ -513,7 +513,7 @@
 func (n *fleetNet) look() {
 	now := n.w.Now()
 	if now < n.w.length {
-		n.w.After(beliefsEvery, n.look)
+		n.w.ScheduleAfter(beliefsEvery, n.look)
 	}
 	for _, r := range n.w.relays[:min(beliefsOf, len(n.w.relays))] {
 		if !r.up || r.frozen || r.fleet == nil {
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -185,8 +185,8 @@
 		}
 	}
 	before := 0
-	w.At(from, func() { before = w.fleet.Bytes })
-	w.At(length-time.Millisecond, func() { bytes = (w.fleet.Bytes - before) / n / int((length-from)/time.Second) })
+	w.Schedule(from, func() { before = w.fleet.Bytes })
+	w.Schedule(length-time.Millisecond, func() { bytes = (w.fleet.Bytes - before) / n / int((length-from)/time.Second) })
 	if err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -99,7 +99,7 @@
 			late = w.opts.ListDelay(r.n)
 		}
 		r.due = max(r.due, w.Now()+late)
-		w.At(r.due, func() { r.news(c) })
+		w.Schedule(r.due, func() { r.news(c) })
 	}
 }
 
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -45,8 +45,8 @@
 		{"near", 0.8, 0.75, 1.1, nil},
 		{"over", 1.3, 0.5, 1.2, nil},
 		{"lowered to a third for nine seconds", 0.8, 0.5, 1.1, func(w *world) {
-			w.At(20*time.Second, func() { w.order[0].Rate /= 3 })
-			w.At(29*time.Second, func() { w.order[0].Rate *= 3 })
+			w.Schedule(20*time.Second, func() { w.order[0].Rate /= 3 })
+			w.Schedule(29*time.Second, func() { w.order[0].Rate *= 3 })
 		}},
 		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
 			both(w, 20*time.Second, func(p *Place) { w.Outage(p.Name, scenario.OpDown, 0, 0) })
@@ -171,7 +171,7 @@
 		for seed := range uint64(5) {
 			w, takes := crowd(t, relays, seed, Options{})
 			load(w, time.Second, 90*time.Second, 0.7*takes)
-			w.At(20*time.Second, func() { w.order[0].Rate /= 4 })
+			w.Schedule(20*time.Second, func() { w.order[0].Rate /= 4 })
 			w.run(t, 90*time.Second)
 			share += w.rate(40*time.Second, 90*time.Second) / (takes / 4) / 5
 		}
@@ -250,7 +250,7 @@
 		w, takes := crowd(t, 80, seed, Options{Record: true})
 		load(w, time.Second, 40*time.Second, 0.7*takes)
 		// The relays of even number are handed four messages each, at once.
-		w.At(19500*time.Millisecond, func() {
+		w.Schedule(19500*time.Millisecond, func() {
 			for i := 0; i < len(w.relays); i += 2 {
 				for range 4 {
 					w.Offer(scenario.Arrival{Relay: i, Dest: 1})
@@ -258,7 +258,7 @@
 			}
 		})
 		for i := range w.relays {
-			w.At(20*time.Second+time.Duration(i)*5*time.Millisecond, func() { w.Kill(i, false) })
+			w.Schedule(20*time.Second+time.Duration(i)*5*time.Millisecond, func() { w.Kill(i, false) })
 		}
 		w.run(t, 20*time.Second)
 		full := w.CallsFull
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -131,13 +131,13 @@
 		both(w, to, func(p *Place) { p.Rate *= 4 })
 	},
 	"resets of one": func(w *world, from, to time.Duration) {
-		w.At(from, func() { w.order[0].Resets = func(int) float64 { return 1 } })
-		w.At(to, func() { w.order[0].Resets = nil })
+		w.Schedule(from, func() { w.order[0].Resets = func(int) float64 { return 1 } })
+		w.Schedule(to, func() { w.order[0].Resets = nil })
 	},
 }
 
 func both(w *world, at time.Duration, do func(*Place)) {
-	w.At(at, func() {
+	w.Schedule(at, func() {
 		for _, p := range w.order {
 			do(p)
 		}
@@ -186,8 +186,8 @@
 		},
 	)
 	load(w, time.Second, 60*time.Second, 80)
-	w.At(12*time.Second, func() { w.order[0].Resets = resets })
-	w.At(20*time.Second, func() { w.order[0].Resets = nil })
+	w.Schedule(12*time.Second, func() { w.order[0].Resets = resets })
+	w.Schedule(20*time.Second, func() { w.order[0].Resets = nil })
 	w.run(t, 75*time.Second)
 	w.trace = calls
 	return w
@@ -283,7 +283,7 @@
 	for _, relays := range []int{1, 2, 20} {
 		w, takes := site(t, "rate", relays, 3)
 		load(w, time.Second, 90*time.Second, takes)
-		w.At(30*time.Second, func() { w.order[0].Rate /= 2 })
+		w.Schedule(30*time.Second, func() { w.order[0].Rate /= 2 })
 		w.run(t, 40*time.Second)
 		full, ok := -w.CallsFull, -w.CallsOK
 		w.run(t, 90*time.Second)
@@ -327,7 +327,7 @@
 		w.opts.ListDelay = func(relay int) time.Duration { return time.Duration(relay) * 4 * time.Second }
 		load(w, time.Second, 60*time.Second, 0.5*takes)
 		both(w, 20*time.Second, func(p *Place) { p.Mute(true) })
-		w.At(26*time.Second, func() {
+		w.Schedule(26*time.Second, func() {
 			for _, e := range w.plan.Endpoints {
 				fresh := e
 				fresh.ID += "-2"
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -160,7 +160,7 @@
 // in plans something for the process that runs.
 func (r *relay) in(d time.Duration, do func()) {
 	life := r.life
-	r.w.After(d, func() {
+	r.w.ScheduleAfter(d, func() {
 		if r.life == life && r.up {
 			do()
 		}
@@ -194,7 +194,7 @@
 		waiting := r.waiting
 		r.waiting = nil
 		for _, t := range waiting {
-			w.After(againAfter, t.next)
+			w.ScheduleAfter(againAfter, t.next)
 		}
 	}
 	r.resume()
@@ -268,7 +268,7 @@
 func (r *relay) plan() {
 	if !r.planned {
 		r.planned = true
-		r.w.At(r.last+r.w.plan.File.Settings.Tick.D(), r.tick)
+		r.w.Schedule(r.last+r.w.plan.File.Settings.Tick.D(), r.tick)
 	}
 }
 
@@ -475,7 +475,7 @@
 		return
 	}
 	m.gone = true
-	r.w.At(r.w.Now()+max(0, r.left(m)), func() { delete(r.msgs, m.id) })
+	r.w.Schedule(r.w.Now()+max(0, r.left(m)), func() { delete(r.msgs, m.id) })
 }
 
 // end notes that nothing more is owed for a message.
@@ -592,7 +592,7 @@
 	for _, c := range r.sortedCalls() {
 		c.closed()
 	}
-	w.After(w.opts.StartAfter, r.start)
+	w.ScheduleAfter(w.opts.StartAfter, r.start)
 }
 
 func (r *relay) sortedCalls() []*call {
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -44,11 +44,11 @@
 		}
 	}
 	stop := func(w *world) {
-		w.At(15*time.Second, func() {
+		w.Schedule(15*time.Second, func() {
 			a := w.relays[0].fleet.seam.Quota().Accounts[quota.Scope{Destination: 1}]
 			keeper := w.relay(a.LeaseHolder)
 			keeper.freeze(true)
-			w.After(3*quota.LeaseDuration, func() { keeper.freeze(false) })
+			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.freeze(false) })
 		})
 	}
 	for _, c := range []struct {
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -218,8 +218,8 @@
 			w.opts.Machines, w.opts.Sync = true, Sync(rng.IntN(3))
 			relay := rng.IntN(f.Relays)
 			w.then = func(w *World) {
-				w.At(7*time.Second, func() { w.Kill(relay, true) })
-				w.At(9*time.Second, func() {
+				w.Schedule(7*time.Second, func() { w.Kill(relay, true) })
+				w.Schedule(9*time.Second, func() {
 					e := w.plan.Endpoints[0]
 					e.ID = "s-new"
 					w.List(e)
@@ -259,7 +259,7 @@
 		if err := json.NewEncoder(h).Encode(events); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(h, "%d %d %d %d %v", w.Ran(), w.Steps, w.Events, w.Opened, w.Whole())
+		fmt.Fprintf(h, "%d %d %d %d %v", w.EventCount(), w.Steps, w.Events, w.Opened, w.Whole())
 		return hex.EncodeToString(h.Sum(nil)[:12])
 	}
 	is := map[string]string{}
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -126,10 +126,10 @@
 			opts,
 		)
 		shut := w.Places(1)[0].Name
-		w.At(10*time.Second, func() { w.Outage(shut, scenario.OpShut, 0, 60*time.Second) })
-		w.At(70*time.Second, func() { w.Back(shut) })
+		w.Schedule(10*time.Second, func() { w.Outage(shut, scenario.OpShut, 0, 60*time.Second) })
+		w.Schedule(70*time.Second, func() { w.Back(shut) })
 		for _, at := range []time.Duration{12, 66, 72} {
-			w.At(at*time.Second, func() { w.Offer(scenario.Arrival{Dest: 1}) })
+			w.Schedule(at*time.Second, func() { w.Offer(scenario.Arrival{Dest: 1}) })
 		}
 		n := 0
 		w.Every(0, 80*time.Second, 1, func() { n++; w.Offer(scenario.Arrival{Dest: 2 + n%39}) })
@@ -170,9 +170,9 @@
 		},
 	)
 	hosts := w.Places(1)[0].hosts
-	w.At(3*time.Second, func() { w.Tell(hosts[0].ID, eventlog.StateDraining) })
-	w.At(3*time.Second, func() { w.Tell(hosts[1].ID, eventlog.StateGone) })
-	w.At(4*time.Second, func() {
+	w.Schedule(3*time.Second, func() { w.Tell(hosts[0].ID, eventlog.StateDraining) })
+	w.Schedule(3*time.Second, func() { w.Tell(hosts[1].ID, eventlog.StateGone) })
+	w.Schedule(4*time.Second, func() {
 		e := hosts[2].Endpoint
 		e.ID = "s-new"
 		w.List(e)
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -177,7 +177,7 @@
 	w := &World{
 		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
 		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
-		net: engine.Stream(
+		net: engine.NewRandom(
 			plan.Seed,
 			"network",
 			0,
@@ -195,7 +195,7 @@
 			2000*(rate+float64(len(plan.Arrivals))+w.length.Seconds()*float64(plan.File.Relays)),
 		)
 	}
-	w.Bound(opts.EventsMost)
+	w.SetMaxEvents(opts.EventsMost)
 	w.header = plan.File.Header(plan.Seed)
 	w.header.Format, w.header.Plan = eventlog.Format, plan.Digest()
 	w.header.Began = time.Unix(0, 0).UTC()
@@ -296,7 +296,7 @@
 // Play plays the plan to its end, and until all that was handed in must have its end.
 func (w *World) Play() error {
 	for _, s := range w.plan.Steps {
-		w.At(s.At, func() { w.do(s) })
+		w.Schedule(s.At, func() { w.do(s) })
 	}
 	if len(w.plan.Arrivals) > 0 {
 		w.arrive(0)
@@ -321,7 +321,7 @@
 
 // arrive hands the plan's arrivals in, one after the other, so that the engine holds one of them.
 func (w *World) arrive(n int) {
-	w.At(w.plan.Arrivals[n].At, func() {
+	w.Schedule(w.plan.Arrivals[n].At, func() {
 		w.Offer(w.plan.Arrivals[n])
 		if n+1 < len(w.plan.Arrivals) {
 			w.arrive(n + 1)
@@ -335,9 +335,9 @@
 	if !ok {
 		return
 	}
-	w.At(group[0].At, func() {
+	w.Schedule(group[0].At, func() {
 		for _, a := range group[1:] {
-			w.At(a.At, func() { w.Offer(a) })
+			w.Schedule(a.At, func() { w.Offer(a) })
 		}
 		w.Offer(group[0])
 		w.stream(f)
@@ -353,7 +353,7 @@
 	if next >= to {
 		return
 	}
-	w.At(next, func() { do(); w.Every(next, to, rate, do) })
+	w.Schedule(next, func() { do(); w.Every(next, to, rate, do) })
 }
 
 // Result is what was seen, for package judge.
--- a/internal/simulation/engine/des_test.go
+++ b/internal/simulation/engine/engine_test.go
@@ -24,7 +24,7 @@
 		plan = func(depth int) {
 			m := mark{e.Now() + time.Duration(rapid.IntRange(0, 5).Draw(t, "in")), len(planned)}
 			planned = append(planned, m)
-			e.At(m.at, func() {
+			e.Schedule(m.at, func() {
 				if e.Now() != m.at {
 					t.Fatalf("planned for %d, ran at %d", m.at, e.Now())
 				}
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		slices.SortFunc(planned, func(a, b mark) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
-		if !slices.Equal(planned, ran) || e.Planned() != 0 || e.Now() != time.Hour {
+		if !slices.Equal(planned, ran) || e.PendingCount() != 0 || e.Now() != time.Hour {
 			t.Fatalf("planned %v, ran %v", planned, ran)
 		}
 	})
@@ -49,19 +49,19 @@
 
 func TestAPlanThatNeverEnds(t *testing.T) {
 	var e Engine
-	e.Bound(1000)
+	e.SetMaxEvents(1000)
 	var again func()
-	again = func() { e.After(0, again) }
+	again = func() { e.ScheduleAfter(0, again) }
 	again()
-	if err := e.Run(time.Second); !errors.Is(err, ErrEndless) || e.Ran() != 1001 {
-		t.Errorf("%v after %d events", err, e.Ran())
+	if err := e.Run(time.Second); !errors.Is(err, ErrTooManyEvents) || e.EventCount() != 1001 {
+		t.Errorf("%v after %d events", err, e.EventCount())
 	}
 }
 
 func TestStreams(t *testing.T) {
-	if Stream(1, "a", 0).Uint64() != Stream(1, "a", 0).Uint64() ||
-		Stream(1, "a", 0).Uint64() == Stream(1, "a", 1).Uint64() ||
-		Stream(1, "a", 0).Uint64() == Stream(2, "a", 0).Uint64() {
+	if NewRandom(1, "a", 0).Uint64() != NewRandom(1, "a", 0).Uint64() ||
+		NewRandom(1, "a", 0).Uint64() == NewRandom(1, "a", 1).Uint64() ||
+		NewRandom(1, "a", 0).Uint64() == NewRandom(2, "a", 0).Uint64() {
 		t.Error("a stream is not its component's")
 	}
 }
@@ -70,15 +70,15 @@
 	for _, held := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
 			var e Engine
-			rng := Stream(1, "bench", held)
+			rng := NewRandom(1, "bench", held)
 			for range held {
-				e.At(time.Duration(rng.Int64N(int64(time.Second))), func() {})
+				e.Schedule(time.Duration(rng.Int64N(int64(time.Second))), func() {})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				x := e.pop()
 				e.now = x.at
-				e.After(time.Duration(rng.Int64N(int64(time.Second))), x.do)
+				e.ScheduleAfter(time.Duration(rng.Int64N(int64(time.Second))), x.run)
 			}
 		})
 	}
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/hunt.go
@@ -58,7 +58,7 @@
 	for range workers {
 		wg.Go(func() {
 			for i := range next {
-				p, err := h.play(vary(h.Base, engine.Stream(h.Seed, "hunt", i)), h.Seed+uint64(i))
+				p, err := h.play(vary(h.Base, engine.NewRandom(h.Seed, "hunt", i)), h.Seed+uint64(i))
 				mu.Lock()
 				if err != nil && first == nil {
 					first = fmt.Errorf("hunt: plan %d: %w", i, err)
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -266,7 +266,7 @@
 				if i >= x.w.Walks || ctx.Err() != nil {
 					return
 				}
-				rng := engine.Stream(1, x.w.Name, i)
+				rng := engine.NewRandom(1, x.w.Name, i)
 				n, path := root, []Move(nil)
 				for range x.w.WalkDepth {
 					moves := x.moves(n)
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -153,7 +153,7 @@
 
 func (f File) draw(seed uint64, arrivals bool) Plan {
 	p := planner{Plan: &Plan{File: f, Seed: cmp.Or(seed, f.Seed)}, busy: map[string]bool{}, ids: map[string]bool{}}
-	p.Delays = engine.Stream(p.Seed, "delays", 0).Uint64()
+	p.Delays = engine.NewRandom(p.Seed, "delays", 0).Uint64()
 	p.world()
 	for i := range f.Traffic {
 		for flow := f.Flow(p.Seed, i); arrivals; {
@@ -165,7 +165,7 @@
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	ids := engine.Stream(p.Seed, "ids", 0)
+	ids := engine.NewRandom(p.Seed, "ids", 0)
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
 		a.ID = fmt.Sprintf("%016x", ids.Uint64())
@@ -181,7 +181,7 @@
 // world lists the places and endpoints that are there from the start.
 func (p *planner) world() {
 	dest := 0
-	seeds := engine.Stream(p.Seed, "places", 0)
+	seeds := engine.NewRandom(p.Seed, "places", 0)
 	for _, d := range p.File.Destinations {
 		kind := p.File.Kinds[slices.IndexFunc(p.File.Kinds, func(k Kind) bool { return k.Name == d.Kind })]
 		spec := p.File.Spec(kind, d.Rate)
@@ -246,7 +246,7 @@
 
 // Flow is the n-th traffic, counted from 0, with a plan's seed.
 func (f File) Flow(seed uint64, n int) *Flow {
-	x := &Flow{file: f, t: f.Traffic[n], draw: engine.Stream(seed, "traffic", n), at: f.Traffic[n].From.D()}
+	x := &Flow{file: f, t: f.Traffic[n], draw: engine.NewRandom(seed, "traffic", n), at: f.Traffic[n].From.D()}
 	for _, d := range f.Destinations {
 		x.n += d.Weight * float64(d.Count)
 	}
@@ -260,7 +260,7 @@
 	if f.Clients.Uneven == 0 {
 		return nil
 	}
-	draw, total := engine.Stream(seed, "relays", 0), 0.0
+	draw, total := engine.NewRandom(seed, "relays", 0), 0.0
 	sigma := math.Sqrt(math.Log(1 + f.Clients.Uneven*f.Clients.Uneven))
 	for range f.Relays {
 		total += math.Exp(sigma * draw.NormFloat64())
@@ -369,7 +369,7 @@
 }
 
 func (p *planner) trouble(n int, t Trouble) {
-	draw := engine.Stream(p.Seed, "trouble", n)
+	draw := engine.NewRandom(p.Seed, "trouble", n)
 	name := fmt.Sprintf("%s-%d", t.Kind, n+1)
 	begin, end := t.At.D(), (t.At + t.For).D()
 	begins := len(p.Steps)
