--- a/internal/simulation/engine/engine.go
+++ b/internal/simulation/engine/engine.go
@@ -1,114 +1,60 @@
-// Package des is a discrete-event engine: a virtual clock and what is planned on it. Events run in a total order: by
-// their times, and those of one time in the order in which they were planned. The same events therefore run in the same
-// order whatever machine or goroutine the engine is on. An Engine is for one goroutine.
+// Package engine is a discrete-event scheduler: a virtual clock and the events that are scheduled on it. Events run in
+// a total order: by time, and events of the same time in the order in which they were scheduled. A run is therefore
+// reproducible on any machine. An Engine is not safe for concurrent use.
 package engine
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"time"
 )
 
-// ErrTooManyEvents tells that a run had as many events as it may have, and time had not passed.
-var ErrTooManyEvents = errors.New("des: more events than the run may have")
+// ErrTooManyEvents means that a run reached its bound on events before it reached its end time.
+var ErrTooManyEvents = errors.New("simulation engine: more events than the run may have")
 
-type event struct {
-	at       time.Duration
-	sequence uint64
-	run      func()
-}
-
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.sequence < o.sequence }
-
-// Engine is a virtual clock with its events. The zero value is at time 0.
+// Engine is a virtual clock with its events. The zero value is ready for use, at time 0.
 type Engine struct {
 	now          time.Duration
 	lastSequence uint64
 	eventCount   uint64
-	maxEvents    uint64
-	pending      []event // four children to a node: fewer cache lines than two
+	maxEvents    uint64 // 0: unbounded
+	pending      eventHeap
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (e *Engine) Now() time.Duration { return e.now }
 
-// EventCount is how many events have run.
+// EventCount returns how many events have run. The event that exceeds the bound counts too, though it does not run.
 func (e *Engine) EventCount() uint64 { return e.eventCount }
 
-// PendingCount is how many events are still to run.
+// PendingCount returns how many events have not run yet.
 func (e *Engine) PendingCount() int { return len(e.pending) }
 
-// SetMaxEvents has Run end with ErrTooManyEvents after so many events in all; 0: none. Guards against a plan that never
-// ends.
+// SetMaxEvents bounds the events of the engine: Run returns ErrTooManyEvents instead of running one more. 0 removes
+// the bound. It guards against events that schedule each other for ever without virtual time passing.
 func (e *Engine) SetMaxEvents(maxEvents uint64) { e.maxEvents = maxEvents }
 
-// Schedule plans an event. One in the past runs now, behind all that is planned for now.
+// Schedule schedules an event at a virtual time. An event in the past runs at the present time, after all events that
+// are already scheduled for it.
 func (e *Engine) Schedule(at time.Duration, run func()) {
 	e.lastSequence++
-	e.pending = append(e.pending, event{max(at, e.now), e.lastSequence, run})
-	i := len(e.pending) - 1
-	x := e.pending[i]
-	for i > 0 {
-		up := (i - 1) / 4
-		if !x.before(&e.pending[up]) {
-			break
-		}
-		e.pending[i] = e.pending[up]
-		i = up
-	}
-	e.pending[i] = x
+	e.pending.push(event{at: max(at, e.now), sequence: e.lastSequence, run: run})
 }
 
-// ScheduleAfter plans an event so long from now.
-func (e *Engine) ScheduleAfter(d time.Duration, run func()) { e.Schedule(e.now+d, run) }
+// ScheduleAfter schedules an event after a delay from the present virtual time.
+func (e *Engine) ScheduleAfter(delay time.Duration, run func()) { e.Schedule(e.now+delay, run) }
 
-// Run runs all that is planned up to a time, that time included, and lets it be that time.
+// Run runs all events up to and including a virtual time, and advances the clock to that time.
 func (e *Engine) Run(until time.Duration) error {
 	for len(e.pending) > 0 && e.pending[0].at <= until {
-		if e.eventCount++; e.maxEvents > 0 && e.eventCount > e.maxEvents {
+		e.eventCount++
+		if e.maxEvents > 0 && e.eventCount > e.maxEvents {
 			return fmt.Errorf("%w: %d, at %v", ErrTooManyEvents, e.maxEvents, e.now)
 		}
-		x := e.pop()
-		e.now = x.at
-		x.run()
+		next := e.pending.pop()
+		e.now = next.at
+		next.run()
 	}
 	e.now = max(e.now, until)
 	return nil
 }
-
-func (e *Engine) pop() event {
-	first := e.pending[0]
-	n := len(e.pending) - 1
-	x := e.pending[n]
-	e.pending[n] = event{}
-	e.pending = e.pending[:n]
-	i := 0
-	for {
-		least := 4*i + 1
-		if least >= n {
-			break
-		}
-		for c := least + 1; c < min(4*i+5, n); c++ {
-			if e.pending[c].before(&e.pending[least]) {
-				least = c
-			}
-		}
-		if !e.pending[least].before(&x) {
-			break
-		}
-		e.pending[i] = e.pending[least]
-		i = least
-	}
-	if n > 0 {
-		e.pending[i] = x
-	}
-	return first
-}
-
-// NewRandom is the random stream of a component. Each name and number has one of its own, so that a component more or a
-// draw more in one leaves all others as they were.
-func NewRandom(seed uint64, component string, n int) *rand.Rand {
-	return rand.New(rand.NewChaCha8(sha256.Sum256(fmt.Appendf(nil, "%d/%s/%d", seed, component, n))))
-}
--- a/internal/simulation/engine/engine_test.go
+++ b/internal/simulation/engine/engine_test.go
@@ -11,74 +11,86 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is planned, also from within events: they run by time, and those of one time as they were planned.
-func TestTheOrderIsTotal(t *testing.T) {
+// scheduledEvent is an event as the property test scheduled it.
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+}
+
+// Events run by time, and events of the same time in the order of scheduling, also if events schedule others.
+func TestEventsRunInATotalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type mark struct {
-			at time.Duration
-			n  int
-		}
 		var e Engine
-		var planned, ran []mark
-		var plan func(depth int)
-		plan = func(depth int) {
-			m := mark{e.Now() + time.Duration(rapid.IntRange(0, 5).Draw(t, "in")), len(planned)}
-			planned = append(planned, m)
-			e.Schedule(m.at, func() {
-				if e.Now() != m.at {
-					t.Fatalf("planned for %d, ran at %d", m.at, e.Now())
+		var scheduled, ran []scheduledEvent
+		var schedule func(depth int)
+		schedule = func(depth int) {
+			added := scheduledEvent{
+				at:       e.Now() + time.Duration(rapid.IntRange(0, 5).Draw(t, "delay")),
+				sequence: len(scheduled),
+			}
+			scheduled = append(scheduled, added)
+			e.Schedule(added.at, func() {
+				if e.Now() != added.at {
+					t.Fatalf("scheduled for %d, ran at %d", added.at, e.Now())
 				}
-				ran = append(ran, m)
-				if depth < 3 && rapid.Bool().Draw(t, "more") {
-					plan(depth + 1)
+				ran = append(ran, added)
+				if depth < 3 && rapid.Bool().Draw(t, "schedules another") {
+					schedule(depth + 1)
 				}
 			})
 		}
-		for range rapid.IntRange(1, 60).Draw(t, "first") {
-			plan(0)
+		for range rapid.IntRange(1, 60).Draw(t, "initial events") {
+			schedule(0)
 		}
 		if err := e.Run(time.Hour); err != nil {
 			t.Fatal(err)
 		}
-		slices.SortFunc(planned, func(a, b mark) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
-		if !slices.Equal(planned, ran) || e.PendingCount() != 0 || e.Now() != time.Hour {
-			t.Fatalf("planned %v, ran %v", planned, ran)
+		slices.SortFunc(scheduled, func(a, b scheduledEvent) int {
+			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
+		})
+		if !slices.Equal(scheduled, ran) || e.PendingCount() != 0 || e.Now() != time.Hour {
+			t.Fatalf("scheduled %v, ran %v", scheduled, ran)
 		}
 	})
 }
 
-func TestAPlanThatNeverEnds(t *testing.T) {
+func TestRunStopsAtMaxEvents(t *testing.T) {
 	var e Engine
 	e.SetMaxEvents(1000)
-	var again func()
-	again = func() { e.ScheduleAfter(0, again) }
-	again()
+	var reschedule func()
+	reschedule = func() { e.ScheduleAfter(0, reschedule) }
+	reschedule()
 	if err := e.Run(time.Second); !errors.Is(err, ErrTooManyEvents) || e.EventCount() != 1001 {
 		t.Errorf("%v after %d events", err, e.EventCount())
 	}
 }
 
-func TestStreams(t *testing.T) {
-	if NewRandom(1, "a", 0).Uint64() != NewRandom(1, "a", 0).Uint64() ||
-		NewRandom(1, "a", 0).Uint64() == NewRandom(1, "a", 1).Uint64() ||
-		NewRandom(1, "a", 0).Uint64() == NewRandom(2, "a", 0).Uint64() {
-		t.Error("a stream is not its component's")
+func TestRandomGeneratorsAreIndependent(t *testing.T) {
+	firstDraw := NewRandom(1, "a", 0).Uint64()
+	if again := NewRandom(1, "a", 0).Uint64(); again != firstDraw {
+		t.Errorf("the same seed and component draw %d, then %d", firstDraw, again)
+	}
+	if NewRandom(1, "a", 1).Uint64() == firstDraw {
+		t.Error("two components draw the same number")
+	}
+	if NewRandom(2, "a", 0).Uint64() == firstDraw {
+		t.Error("two seeds draw the same number")
 	}
 }
 
 func BenchmarkEvent(b *testing.B) {
-	for _, held := range []int{100, 10_000, 1_000_000} {
-		b.Run(fmt.Sprint(held), func(b *testing.B) {
+	for _, pending := range []int{100, 10_000, 1_000_000} {
+		b.Run(fmt.Sprint(pending), func(b *testing.B) {
 			var e Engine
-			rng := NewRandom(1, "bench", held)
-			for range held {
-				e.Schedule(time.Duration(rng.Int64N(int64(time.Second))), func() {})
+			random := NewRandom(1, "bench", pending)
+			for range pending {
+				e.Schedule(time.Duration(random.Int64N(int64(time.Second))), func() {})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				x := e.pop()
-				e.now = x.at
-				e.ScheduleAfter(time.Duration(rng.Int64N(int64(time.Second))), x.run)
+				next := e.pending.pop()
+				e.now = next.at
+				e.ScheduleAfter(time.Duration(random.Int64N(int64(time.Second))), next.run)
 			}
 		})
 	}
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what the program writes with files that an earlier build wrote, and fills values for such
-// comparisons. It is for tests only.
+// Package golden compares what the program writes with golden files that an earlier build wrote, and fills values for
+// such comparisons. It is for tests only.
 package golden
 
 import (
