--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -17,7 +17,7 @@
 	"the protocol's pages, the same for every customer": {
 		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime",
 		"relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout", "discovery.WatchIdleTimeout",
-		"relay.drainConnectionsTimeout", "notify.postTimeout", "backoff.period", "policy.recoveryPushRatio",
+		"relay.drainConnectionsTimeout", "notify.postTimeout", "backoff.maxInterval", "policy.recoveryPushRatio",
 	},
 	"a bound of the relay's own, on what a peer may have of it": {
 		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout",
@@ -35,24 +35,24 @@
 		"relay.healthSaveInterval", "relay.healthSaveCostRatio", "relay.reservedDiskBytes", "relay.reservedDescriptors",
 		"relay.minEndpointConns", "relay.journalLockTimeout", "relay.journalLockRetryInterval", "ingress.newConnGrace",
 		"ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "discovery.MaxPartEntries", "discovery.noVersion", "relay.maxEvictions", "relay.evictInterval",
+		"relay.readBufferSize", "discovery.MaxPartEntries", "discovery.noVersion", "backoff.maxDoublings", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
 	"a share of what the settings tell": {
-		"egress.idleRatio", "backoff.graceShare", "policy.recoveryLapseRatio", "policy.maxPendingRatio",
+		"egress.idleRatio", "backoff.graceRatio", "policy.recoveryLapseRatio", "policy.maxPendingRatio",
 		"policy.maxScopeInFlightRatio", "policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
 	"at most, or at least: the settings go before it": {
 		"relay.defaultConnectTimeout", "relay.defaultKeepAlive", "relay.defaultDrainGrace", "relay.defaultMemoryMB",
 		"relay.defaultSockets", "relay.defaultDiskMB", "relay.defaultDeadline",
-		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.pauseMost", "policy.minLatencyBound",
+		"relay.unknownRunAge", "relay.defaultWarmUp", "backoff.maxDelay", "policy.minLatencyBound",
 		"policy.MinRetryAfter", "policy.minScopeCapacity", "policy.defaultWarmUpInitialCapacity",
 		"policy.defaultWarmUpDuration", "policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
 	"the design's, open by its page: lengths of skips, rules, factors of paces": {
-		"backoff.few", "backoff.share", "backoff.pauseFirst", "backoff.jitter", "policy.initialEjectionTime",
+		"backoff.smallGroupSize", "backoff.spreadPerClient", "backoff.minDelay", "backoff.maxJitter", "policy.initialEjectionTime",
 		"policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter", "policy.outageRetryAfter",
 		"policy.outageRejections", "policy.sparseOutageRejections", "policy.weakSignalProbability",
 		"policy.sparseSpreadCalls", "policy.minOutageRejectionTime", "policy.ejectAfterFailures",
