--- a/internal/config/operatorfile/operatorfile.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -95,14 +95,14 @@
 type Recorder struct {
 	Enabled  bool    `toml:"enabled"`
 	RingMB   float64 `toml:"ring_mb"`   // in memory; default 4, at least 0.25
-	Write    string  `toml:"write"`     // WriteKept, the default, or WriteAll
+	Write    string  `toml:"write"`     // WriteRing, the default, or WriteAll
 	Folder   string  `toml:"folder"`    // for the files; if empty, recordings go to the log as lines of text
 	FolderMB float64 `toml:"folder_mb"` // of the files in the folder; default 64, at least 1
 }
 
 // Values of Recorder.Write.
 const (
-	WriteKept = "kept" // the ring in memory, at SIGUSR1 or a crash
+	WriteRing = "kept" // the ring in memory, at SIGUSR1 or a crash
 	WriteAll  = "all"  // every decision as it is made
 )
 
@@ -138,7 +138,7 @@
 	setDefault(&f.Log.Format, FormatText)
 	setDefault(&f.Log.Level, "info")
 	setDefault(&f.Recorder.RingMB, flightrecorder.DefaultRingSize/bytesPerMB)
-	setDefault(&f.Recorder.Write, WriteKept)
+	setDefault(&f.Recorder.Write, WriteRing)
 	setDefault(&f.Recorder.FolderMB, 64)
 	setDefault(&f.Journal.Sync, SyncNever)
 	setDefault(&f.Journal.IntervalMS, 1000)
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r := file.Recorder
-	if r.Enabled || r.Write != WriteKept || r.Ring() != 4<<20 || file.Log.Format != FormatText {
+	if r.Enabled || r.Write != WriteRing || r.Ring() != 4<<20 || file.Log.Format != FormatText {
 		t.Errorf("%+v", file)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
--- a/internal/config/operatorfile/validate.go
+++ b/internal/config/operatorfile/validate.go
@@ -58,14 +58,14 @@
 
 func (r Recorder) validate(v *validation) {
 	v.check(r.RingMB >= 0.25 && r.RingMB <= 4096, "recorder.ring_mb", "is %g, not from 0.25 to 4096", r.RingMB)
-	v.check(r.Write == WriteKept || r.Write == WriteAll, "recorder.write", `is %q, not "kept" or "all"`, r.Write)
+	v.check(r.Write == WriteRing || r.Write == WriteAll, "recorder.write", `is %q, not "kept" or "all"`, r.Write)
 	v.check(
 		r.FolderMB >= 1 && r.FolderMB <= maxMB,
 		"recorder.folder_mb", "is %g, not from 1 to %d", r.FolderMB, maxMB,
 	)
 	v.check(
 		r.Folder == "" || r.RingMB <= r.FolderMB,
-		"recorder.ring_mb", "is %g: a kept ring does not fit into folder_mb = %g", r.RingMB, r.FolderMB,
+		"recorder.ring_mb", "is %g: the ring does not fit into folder_mb = %g", r.RingMB, r.FolderMB,
 	)
 }
 
