--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -23,13 +23,13 @@
 		<-r.loopDone
 	}()
 	listener := nettest.ListenHolding(t)
-	doorAt(t, r, listener)
+	serveClientsAt(t, r, listener)
 	peer := nettest.Dial(t, listener.Addr().String(), "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	responses := bufio.NewReader(peer)
 	nettest.ReadResponse(t, responses)
 	served := listener.Accepted(t)
 	served.AwaitHeld(t) // the connection is idle, and the next read does not begin
-	if _, err := io.WriteString(peer, handInText("m1")); err != nil {
+	if _, err := io.WriteString(peer, requestText("m1")); err != nil {
 		t.Fatal(err)
 	}
 	nettest.Eventually(t, "the request is there", func() bool {
