--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -15,6 +15,7 @@
 // for something that they tell comes from them, and has no place here.
 var behindConstants = map[string][]string{
 	"the protocol's pages, the same for every customer": {
+		"relay.envelopeHeader",
 		"netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout", "relay.shutdownAcceptTime",
 		"relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout", "discovery.WatchIdleTimeout",
 		"relay.drainConnectionsTimeout", "notify.postTimeout", "backoff.period", "policy.recoveryPushRatio",
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -17,6 +17,9 @@
 // maxIDSize bounds an id or a key of a message, in bytes.
 const maxIDSize = 256
 
+// envelopeHeader names the header that says where a message goes.
+const envelopeHeader = "Envelope"
+
 // handleRequest answers a client's request.
 func (r *Relay) handleRequest(conn *ingress.Conn, request *http.Request) ingress.Response {
 	switch {
@@ -86,7 +89,7 @@
 	if timeLeft, err = parseTimeLeft(request, class); err != nil {
 		return nil, 0, err
 	}
-	if m.Destination, err = parseDestination(request.Header.Get("Envelope")); err != nil {
+	if m.Destination, err = parseDestination(request.Header.Get(envelopeHeader)); err != nil {
 		return nil, 0, err
 	}
 	return m, timeLeft, nil
@@ -144,6 +147,5 @@
 		}
 		return destination, nil
 	}
-	//nolint:staticcheck // ST1005: clients are answered this text, which begins with a header's name
-	return 0, errors.New("Envelope names no dest")
+	return 0, fmt.Errorf("%s names no dest", envelopeHeader)
 }
