--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -1,8 +1,10 @@
 package relay
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"slices"
@@ -11,8 +13,12 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 	"cherrytrestle.example/cherrytrestle/internal/relay/notify"
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -58,16 +64,16 @@
 	r.catalog.Upsert(catalog.Endpoint{Endpoint: policy.Endpoint{ID: "s-1", Kind: 0, InService: true}, Addr: addr})
 	var submissions []*submitEvent
 	for i, id := range order {
-		submission := newHandIn(id, 7, timeLeft[id])
+		submission := newSubmission(id, 7, timeLeft[id])
 		submission.message.OrderingKey = fmt.Sprint(i)
 		submissions = append(submissions, submission)
 	}
-	decide(r, submissions...)
-	settle(t, r, "the short one has its final answer", func() bool {
+	submitAll(r, submissions...)
+	stepUntil(t, r, "the short one has its final answer", func() bool {
 		return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
 	})
 	close(shortEnded)
-	settle(t, r, "the others are over", func() bool {
+	stepUntil(t, r, "the others are over", func() bool {
 		return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil
 	})
 	mu.Lock()
@@ -76,3 +82,161 @@
 		t.Errorf("calls led by %v: their response came after that one's time", first)
 	}
 }
+
+// Together the messages of a step may be larger than any body may.
+func TestBatchIsNoLargerThanABodyMayBe(t *testing.T) {
+	r := newTestRelay(t)
+	endpoint := policy.Endpoint{ID: "s-1", Kind: 0, InService: true}
+	r.catalog.Upsert(catalog.Endpoint{Endpoint: endpoint, Addr: "127.0.0.1:1"})
+	var calls []*call
+	for i, size := range []int{20_000, 20_000, 20_000, 0, 64 << 10, 5} {
+		m := &message{
+			Message: &journal.Message{
+				TraceID:        fmt.Sprint("<", i, ">"),
+				IdempotencyKey: "&&&&",
+				Body:           make([]byte, size),
+			},
+		}
+		calls = r.addToCalls(calls, m, &policy.Action{Kind: policy.Send, Endpoint: "s-1", TimeoutAt: time.Minute})
+	}
+	sent := 0
+	for _, c := range calls {
+		sent += len(c.attempts)
+		body := (&egress.Call{Attempts: c.outgoing()}).Body()
+		if len(c.attempts) > 1 && (len(body) > netconn.MaxBodySize || len(body) > c.size) {
+			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
+		}
+	}
+	if sent != 6 || len(calls) != 3 {
+		t.Errorf("%d messages in %d calls", sent, len(calls))
+	}
+}
+
+// delayConnections has connections to endpoints come up only once up is closed. dialled tells of each attempt to
+// connect, came of each request.
+func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
+	t.Helper()
+	asked := make(chan struct{}, 16)
+	requests := make(chan string, 16)
+	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
+		body, _ := io.ReadAll(req.Body)
+		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
+		nettest.Send(conn, nettest.OKResponse)
+		return true
+	})
+	config := r.egressConfig()
+	config.Dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
+		asked <- struct{}{}
+		select {
+		case <-up:
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+		var d net.Dialer
+		return d.DialContext(ctx, network, addr)
+	}
+	r.egress = egress.New(config)
+	return asked, requests
+}
+
+// runLoop has the relay's loop run until the test ends.
+func runLoop(t *testing.T, r *Relay) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(func() {
+		cancel()
+		<-r.loopDone
+	})
+	go r.loop(ctx)
+}
+
+// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was
+// up. It must not be sent with the others.
+func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
+	r := newTestRelay(t)
+	up := make(chan struct{})
+	dialled, came := delayConnections(t, r, up)
+	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`
+	r.cfg.Known.Entries = entriesOf(r, endpoint)
+	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
+	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
+		m := &journal.Message{
+			ID:             uint32(i + 1),
+			TraceID:        fmt.Sprint("m", i),
+			IdempotencyKey: "k",
+			Destination:    9,
+			Deadline:       time.Now().Add(left),
+		}
+		if err := r.journal.Accept(m); err != nil {
+			t.Fatal(err)
+		}
+		r.recovery.Messages = append(r.recovery.Messages, m)
+	}
+	r.recoverState()
+	runLoop(t, r)
+	<-dialled
+	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
+		notices := r.finals.Pending()
+		return len(notices) == 1 && notices[0].TraceID == "m1"
+	})
+	close(up)
+	select {
+	case got := <-came:
+		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
+			t.Error("the endpoint was sent", got)
+		}
+	case <-time.After(nettest.Patience):
+		t.Error("the others are not sent")
+	}
+}
+
+// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from
+// a machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
+func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
+	r := newTestRelay(t)
+	window := r.cfg.Settings.Classes[0].DedupWindow
+	ends := time.Now().Add(300 * time.Millisecond)
+	up := make(chan struct{})
+	time.AfterFunc(time.Until(ends), func() { close(up) })
+	dialled, came := delayConnections(t, r, up)
+	m := &journal.Message{
+		ID:                1,
+		TraceID:           "m",
+		IdempotencyKey:    "k",
+		Destination:       7,
+		Deadline:          time.Now().Add(10 * time.Second),
+		Attempts:          1,
+		UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: ends.Add(-window)}},
+	}
+	if err := r.journal.Accept(m); err != nil {
+		t.Fatal(err)
+	}
+	// as an earlier process left it
+	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
+	r.recoverState()
+	runLoop(t, r)
+	<-dialled
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		notices := r.finals.Pending()
+		if len(notices) == 1 && notices[0].Status == "undeliverable" {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal("never ended")
+		}
+	}
+	select {
+	case <-came:
+		t.Error("it was sent")
+	default:
+	}
+}
+
+// A Send of an unknown message must not end the loop.
+func TestSendOfUnknownMessageIsIgnored(t *testing.T) {
+	r := newTestRelay(t)
+	r.execute([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
+	if r.callsInFlight != 0 {
+		t.Errorf("%d calls", r.callsInFlight)
+	}
+}
