--- a/internal/recording/flightrecorder/encoder.go
+++ b/internal/recording/flightrecorder/encoder.go
@@ -48,7 +48,8 @@
 func (e *encoder) closeFrame() {
 	payload := e.buf[e.frameStart+frameHeaderSize:]
 	binary.LittleEndian.PutUint32(e.buf[e.frameStart:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(e.buf[e.frameStart+4:], frameChecksum(&e.checksumBuf, e.id, e.chunk, e.frameStart, payload))
+	checksum := frameChecksum(&e.checksumBuf, e.id, e.chunk, e.frameStart, payload)
+	binary.LittleEndian.PutUint32(e.buf[e.frameStart+4:], checksum)
 }
 
 func (e *encoder) uint(x uint64) { e.buf = binary.AppendUvarint(e.buf, x) }
--- a/internal/recording/flightrecorder/export_test.go
+++ b/internal/recording/flightrecorder/export_test.go
@@ -5,44 +5,47 @@
 	"encoding/binary"
 )
 
-// Reseal sets the checksums of the frames in data right, so that tests reach what stands behind them.
+// Reseal corrects the checksums of the frames in data, so that tests reach the code behind them.
 func Reseal(data []byte) {
-	for start := bytes.Index(data, []byte(magic)); start >= 0 && len(data)-start >= preambleSize; {
-		id, number := binary.LittleEndian.Uint64(
-			data[start+len(magic):],
-		), binary.LittleEndian.Uint32(
-			data[start+len(magic)+idSize:],
-		)
-		at := preambleSize
-		for rest := data[start:]; len(rest)-at >= frameHeaderSize && !bytes.HasPrefix(rest[at:], []byte(magic)); {
-			n := int(binary.LittleEndian.Uint32(rest[at:]))
-			if n <= 0 || n > len(rest)-at-frameHeaderSize {
-				break
-			}
-			binary.LittleEndian.PutUint32(
-				rest[at+4:],
-				frameChecksum(new([20]byte), id, number, at, rest[at+frameHeaderSize:at+frameHeaderSize+n]),
-			)
-			at += frameHeaderSize + n
-		}
-		next := bytes.Index(data[start+at:], []byte(magic))
+	start := bytes.Index(data, []byte(magic))
+	for start >= 0 && len(data)-start >= preambleSize {
+		end := start + resealChunk(data[start:])
+		next := bytes.Index(data[end:], []byte(magic))
 		if next < 0 {
 			return
 		}
-		start += at + next
+		start = end + next
+	}
+}
+
+// resealChunk corrects the checksums of the chunk that data begin with, and returns how many bytes of it are frames.
+func resealChunk(data []byte) int {
+	id := binary.LittleEndian.Uint64(data[len(magic):])
+	number := binary.LittleEndian.Uint32(data[len(magic)+idSize:])
+	offset := preambleSize
+	for len(data)-offset >= frameHeaderSize && !bytes.HasPrefix(data[offset:], []byte(magic)) {
+		n := int(binary.LittleEndian.Uint32(data[offset:]))
+		if n <= 0 || n > len(data)-offset-frameHeaderSize {
+			break
+		}
+		payload := data[offset+frameHeaderSize : offset+frameHeaderSize+n]
+		checksum := frameChecksum(new([positionSize]byte), id, number, offset, payload)
+		binary.LittleEndian.PutUint32(data[offset+4:], checksum)
+		offset += frameHeaderSize + n
 	}
+	return offset
 }
 
-// Written is how many bytes the open chunk holds.
+// Written returns how many bytes the open chunk holds.
 func (r *Recorder) Written() int { return len(r.enc.buf) }
 
 // NewRecorderWithID is NewRecorder for a recording with a known id, so that its bytes are known.
-func NewRecorderWithID(id uint64, meta Meta, ring int, state func([]byte) []byte) *Recorder {
-	r := newRecorder(meta, ring, state)
+func NewRecorderWithID(id uint64, meta Meta, ringSize int, state func([]byte) []byte) *Recorder {
+	r := newRecorder(meta, ringSize, state)
 	r.id = id
 	r.beginChunk(true)
 	return r
 }
 
-// Head is what a chunk begins with.
+// Head is a chunk's header.
 type Head = chunkHeader
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -29,10 +29,10 @@
 	goldenEvery = 100 * time.Millisecond
 )
 
-// goldenRun is a short life of a module, with its fleet's seam beside it or without.
+// goldenRun is a short run of a module, with the agent of its fleet or without.
 type goldenRun struct {
-	sender   *policy.Engine
-	seam     *agent.Agent // nil: the fleet is off
+	engine   *policy.Engine
+	agent    *agent.Agent // nil: the fleet is off
 	recorder *flightrecorder.Recorder
 	events   []policy.Event // of the next step
 }
@@ -40,7 +40,7 @@
 func newGoldenRun(t *testing.T, fleet bool) *goldenRun {
 	t.Helper()
 	set := recordertest.Settings()
-	sender, err := policy.New(set, goldenSeed)
+	engine, err := policy.New(set, goldenSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,17 +52,22 @@
 		Settings: set,
 		Started:  time.Unix(1e9, 0).UTC(),
 	}
-	run := &goldenRun{sender: sender, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, sender.Snapshot)}
+	run := &goldenRun{engine: engine, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, engine.Snapshot)}
 	if fleet {
-		run.seam = agent.New(agent.Settings{
-			Self: "n1", Incarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Members: []string{"n1", "n2"}, DestinationKinds: set.DestinationKinds, ShareQuota: true, FleetSize: 2,
+		run.agent = agent.New(agent.Settings{
+			Self:             "n1",
+			Incarnation:      loadreport.Incarnation{Generation: 1, Boot: 2},
+			Members:          []string{"n1", "n2"},
+			DestinationKinds: set.DestinationKinds,
+			ShareQuota:       true,
+			FleetSize:        2,
 		})
-		run.recorder.RecordFleet(run.seam.Snapshot)
+		run.recorder.RecordFleet(run.agent.Snapshot)
 	}
 	return run
 }
 
-func goldenListing() []policy.Endpoint {
+func goldenEndpoints() []policy.Endpoint {
 	return []policy.Endpoint{
 		{ID: "s-1", Destination: 1, Weight: 5, InService: true},
 		{ID: "s-2", Destination: 1, Zone: 1, Weight: 5, InService: true},
@@ -70,39 +75,52 @@
 	}
 }
 
-// goldenHeard is what another member tells in a step.
-func goldenHeard(step int) agent.Input {
-	life, scope := loadreport.Incarnation{Generation: 4, Boot: 5}, quota.Scope{Destination: 1}
+// goldenInput is what another member sends in a step.
+func goldenInput(step int) agent.Input {
+	incarnation := loadreport.Incarnation{Generation: 4, Boot: 5}
+	scope := quota.Scope{Destination: 1}
 	number := uint64(step + 1)
 	switch step % 5 {
 	case 2:
 		return agent.Input{Received: []loadreport.Report{{
-			Name: "n2", Incarnation: life, Sequence: number, Age: time.Millisecond, Scopes: []loadreport.ScopeLoad{{Destination: 1, Demand: 2, Calls: 1, Backlog: 3, RetryAfter: time.Second}},
+			Name:        "n2",
+			Incarnation: incarnation,
+			Sequence:    number,
+			Age:         time.Millisecond,
+			Scopes: []loadreport.ScopeLoad{
+				{Destination: 1, Demand: 2, Calls: 1, Backlog: 3, RetryAfter: time.Second},
+			},
 		}}}
 	case 3:
 		return agent.Input{Quota: []quota.Message{{
-			Member: "n2", Incarnation: life, Seq: number, TransitTime: time.Millisecond, AckedSeq: 1, AckedIncarnation: loadreport.Incarnation{Generation: 1, Boot: 2}, Ping: true,
-			Leases:   []quota.Lease{{Scope: scope, Rate: 1, Delivered: uint32(step)}},
-			Requests: []quota.Request{{Scope: scope, ID: uint32(step), Calls: 2, Delivered: uint32(step)}},
-			Grants:   []quota.Grant{{Scope: scope, ID: 1, Calls: 1}},
+			Member:           "n2",
+			Incarnation:      incarnation,
+			Seq:              number,
+			TransitTime:      time.Millisecond,
+			AckedSeq:         1,
+			AckedIncarnation: loadreport.Incarnation{Generation: 1, Boot: 2},
+			Ping:             true,
+			Leases:           []quota.Lease{{Scope: scope, Rate: 1, Delivered: uint32(step)}},
+			Requests:         []quota.Request{{Scope: scope, ID: uint32(step), Calls: 2, Delivered: uint32(step)}},
+			Grants:           []quota.Grant{{Scope: scope, ID: 1, Calls: 1}},
 		}}}
 	}
 	return agent.Input{}
 }
 
-// step has the module and the seam take a step, and records it as the relay's loop does.
+// step does a step of the module and the agent, and records it as the relay does.
 func (r *goldenRun) step(number int, now time.Duration) {
 	events := r.events
 	r.events = nil
-	actions := r.sender.Step(now, events)
-	if r.seam == nil {
+	actions := r.engine.Step(now, events)
+	if r.agent == nil {
 		r.recorder.Step(now, events, actions)
 	} else {
-		in := goldenHeard(number)
+		in := goldenInput(number)
 		rec := agent.Record{Received: in.Received, QuotaReceived: in.Quota}
 		in.Events, in.Actions = events, actions
-		in.Views = func() []policy.EndpointView { views, _ := r.sender.Views(); return views }
-		out := r.seam.Step(now, in)
+		in.Views = func() []policy.EndpointView { views, _ := r.engine.Views(); return views }
+		out := r.agent.Step(now, in)
 		rec.Published, rec.QuotaSent = out.Published, out.Quota
 		r.recorder.StepWithFleet(now, events, actions, rec.Append(nil))
 		r.events = out.Events
@@ -165,14 +183,14 @@
 	case 11:
 		r.events = append(r.events, policy.Event{Kind: policy.WatchFailed})
 	case 13:
-		gone := goldenListing()[1]
+		gone := goldenEndpoints()[1]
 		gone.InService, gone.Removed = false, true
 		r.events = append(r.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{gone}})
 	}
 }
 
 func (r *goldenRun) live() []byte {
-	r.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: goldenListing()}}
+	r.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: goldenEndpoints()}}
 	for number := range goldenSteps {
 		now := time.Second + time.Duration(number)*goldenEvery
 		r.take(number)
@@ -180,7 +198,7 @@
 		switch number {
 		case 15:
 			ids := []uint32{160, 161}
-			r.recorder.SendChecked(now, "s-1", ids, r.sender.StillAllowed("s-1", ids, now))
+			r.recorder.SendChecked(now, "s-1", ids, r.engine.StillAllowed("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
 			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
@@ -264,14 +282,14 @@
 // rewrite records entries anew.
 func rewrite(entries []flightrecorder.Entry) []byte {
 	var recorder *flightrecorder.Recorder
-	var state, beside []byte
+	var state, fleetState []byte
 	for i, e := range entries {
 		switch e.Kind {
 		case flightrecorder.Begin:
 			state = e.State
-			hasBeside := entries[i+1].Kind == flightrecorder.FleetState
-			if hasBeside {
-				beside = entries[i+1].State
+			hasFleet := entries[i+1].Kind == flightrecorder.FleetState
+			if hasFleet {
+				fleetState = entries[i+1].State
 			}
 			if recorder != nil {
 				recorder.Reconfigured(e.Meta.Settings)
@@ -283,15 +301,15 @@
 				0,
 				func(b []byte) []byte { return append(b, state...) },
 			)
-			if hasBeside {
-				recorder.RecordFleet(func(b []byte) []byte { return append(b, beside...) })
+			if hasFleet {
+				recorder.RecordFleet(func(b []byte) []byte { return append(b, fleetState...) })
 			}
 		case flightrecorder.Step:
-			var told []byte
+			var fleetStep []byte
 			if i+1 < len(entries) && entries[i+1].Kind == flightrecorder.FleetStep {
-				told = entries[i+1].State
+				fleetStep = entries[i+1].State
 			}
-			recorder.StepWithFleet(e.Now, e.Events, e.Actions, told)
+			recorder.StepWithFleet(e.Now, e.Events, e.Actions, fleetStep)
 		case flightrecorder.SendChecked:
 			recorder.SendChecked(e.Now, e.Endpoint, e.MessageIDs, e.Allowed)
 		case flightrecorder.Label:
