--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// unavailableReply asks the client to try again soon.
-var unavailableReply = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
+// unavailableResponse asks a client whose message was not accepted to submit it again soon.
+var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
 // accept puts new messages into the journal and returns the submissions that are answered once this step is decided.
 // All others have their answers.
@@ -94,7 +94,7 @@
 	limit := r.activeConfig.Settings.MaxPendingMessages
 	if limit > 0 && r.pending >= limit {
 		r.countResult(m, metrics.Rejected)
-		return unavailableReply, false
+		return unavailableResponse, false
 	}
 	return ingress.Response{}, true
 }
@@ -127,7 +127,7 @@
 			delete(r.messagesByTrace, m.TraceID)
 			r.countResult(s.message, metrics.Rejected)
 		}
-		s.reply <- unavailableReply
+		s.reply <- unavailableResponse
 	}
 	for _, m := range r.cancelled {
 		if m.resubmittedAs != nil && r.messages[m.resubmittedAs.ID] == nil {
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A cancelled message that may have run keeps its attempts, its window and its zone when it is submitted once more under
-// its id, also when the process restarts in between, before or after.
+// A cancelled message that may have run keeps its attempts, its window and its zone when it is submitted once more
+// under its id, also when the process restarts in between, before or after.
 func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
 	for restart := range 3 {
 		const dest = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -156,7 +156,8 @@
 	r := newTestRelay(t)
 	up := make(chan struct{})
 	dialled, came := delayConnections(t, r, up)
-	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`
+	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,` +
+		`"state":"ready","weight":50}`
 	r.cfg.Known.Entries = entriesOf(r, endpoint)
 	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -110,5 +110,5 @@
 		}
 	}
 	// The policy learns of it in a step of its own, soon. That is not the step of its timer, which must not be lost.
-	time.AfterFunc(r.cfg.Tick, func() { r.post(tick{}) })
+	r.requestStepAfter(r.cfg.Tick)
 }
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -123,9 +123,6 @@
 	}
 }
 
-// unavailableResponse is the response to a client whose submission did not reach the successor: it may submit again.
-var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
-
 // forwardedSubmissions are submissions that the successor answers.
 type forwardedSubmissions struct {
 	mu      sync.Mutex
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -27,7 +27,7 @@
 		// What this step has learned must not wait for the next one, which may be long in coming.
 		if !r.health.saveScheduled {
 			r.health.saveScheduled = true
-			time.AfterFunc(r.health.nextSave.Sub(now), func() { r.post(tick{}) })
+			r.requestStepAfter(r.health.nextSave.Sub(now))
 		}
 		return
 	}
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -241,5 +241,5 @@
 		delay = r.cfg.Tick
 	}
 	r.evictAt = now.Add(delay)
-	time.AfterFunc(delay, func() { r.post(tick{}) })
+	r.requestStepAfter(delay)
 }
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied again,
-// whether their version comes before them or behind.
+// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied
+// again, whether their version comes before them or behind.
 func TestLongListReplacesUnreadableLine(t *testing.T) {
 	const dests = 3000
 	for name, older := range map[string]func([]byte) []byte{
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -132,6 +132,11 @@
 	}
 }
 
+// requestStepAfter asks the loop for a step after a delay.
+func (r *Relay) requestStepAfter(delay time.Duration) {
+	time.AfterFunc(delay, func() { r.post(tick{}) })
+}
+
 // collect adds an event to a step's batch. All parts of a long list but the first are applied at once: their sender
 // waits for the reply to each part, so that no earlier one can be in the batch.
 func (r *Relay) collect(batch []event, e event) []event {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -173,5 +173,5 @@
 			MessageEnded: true,
 		},
 	)
-	time.AfterFunc(r.cfg.Tick, func() { r.post(tick{}) })
+	r.requestStepAfter(r.cfg.Tick)
 }
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -60,9 +60,9 @@
 	return e
 }
 
-// randomLists returns short lists: complete ones and changes, with endpoints that drain, are removed, come back, move to
-// other addresses, are named twice or are unreadable. None moves to another destination: there the old relay never sent
-// to it again.
+// randomLists returns short lists: complete ones and changes, with endpoints that drain, are removed, come back, move
+// to other addresses, are named twice or are unreadable. None moves to another destination: there the old relay never
+// sent to it again.
 func randomLists(rng *rand.Rand) (lists []discovery.List, texts [][]string) {
 	for range 1 + rng.IntN(20) {
 		l := discovery.List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
@@ -106,7 +106,8 @@
 				t.Fatalf("seed %d, list %d of %v: events\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
 			}
 			if r.catalog.EndpointCount() != len(old.endpoints) {
-				t.Fatalf("seed %d, list %d: %d endpoints, before %d", seed, i, r.catalog.EndpointCount(), len(old.endpoints))
+				n := r.catalog.EndpointCount()
+				t.Fatalf("seed %d, list %d: %d endpoints, before %d", seed, i, n, len(old.endpoints))
 			}
 			draining := 0
 			for id, want := range old.endpoints {
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -49,7 +49,7 @@
 	submitted := &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 	if !r.post(submitted) {
 		conn.EndHandling()
-		return unavailableReply
+		return unavailableResponse
 	}
 	response := <-submitted.reply
 	if conn.EndHandling() {
--- a/internal/relay/takeover_longlist_test.go
+++ b/internal/relay/takeover_longlist_test.go
@@ -34,8 +34,8 @@
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
 			needsSnapshot := r.discoveryConfig().NeedsSnapshot
-			if !needsSnapshot || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
-				t.Errorf("needs a snapshot: %v, %d endpoints, %d pending", needsSnapshot, r.catalog.EndpointCount(), r.pending)
+			if n := r.catalog.EndpointCount(); !needsSnapshot || n != 6002 || !r.largeList.Load() || r.pending != 2 {
+				t.Errorf("needs a snapshot: %v, %d endpoints, %d pending", needsSnapshot, n, r.pending)
 			}
 			got := policyEndpoints(r)
 			want := workingSetEndpoints(r)
--- a/internal/relay/warnings_test.go
+++ b/internal/relay/warnings_test.go
@@ -63,7 +63,9 @@
 			entries := entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)
 			r.step([]event{listEvent{discovery.List{Version: 5, Entries: entries}}})
 		}},
-		{"endpoints' responses", "malformed response", func(t *testing.T, r *Relay, _ int) { callMalformedEndpoint(t, r) }},
+		{"endpoints' responses", "malformed response", func(t *testing.T, r *Relay, _ int) {
+			callMalformedEndpoint(t, r)
+		}},
 		{"a full disk", "rejecting new messages", func(t *testing.T, r *Relay, i int) {
 			if i == 0 {
 				_ = r.journal.Close()
