--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -35,7 +35,7 @@
 		"relay.healthSaveInterval", "relay.healthSaveCostRatio", "relay.reservedDiskBytes", "relay.reservedDescriptors",
 		"relay.minEndpointConns", "relay.journalLockTimeout", "relay.journalLockRetryInterval", "ingress.newConnGrace",
 		"ingress.acceptRetryDelay", "ingress.surplusIdleTime", "relay.maxFinishedMessages", "ratelog.minInterval",
-		"relay.readBufferSize", "discovery.MaxPartEntries", "relay.maxEvictions", "relay.evictInterval",
+		"relay.readBufferSize", "discovery.MaxPartEntries", "discovery.noVersion", "relay.maxEvictions", "relay.evictInterval",
 		"policy.maxQueueScan", "policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin",
 		"policy.randomStream", "policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -131,7 +131,7 @@
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
 	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
-	if n := log.count("list not taken"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
+	if n := log.count("endpoint list too long"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
 		t.Errorf("logged %d times: %s", n, log.String())
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
