--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied again,
-// whether their version comes before them or behind.
+// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied
+// again, whether their version comes before them or behind.
 func TestLongListReplacesUnreadableLine(t *testing.T) {
 	const dests = 3000
 	for name, older := range map[string]func([]byte) []byte{
@@ -131,7 +131,7 @@
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
 	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
-	if n := log.count("list not taken"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
+	if n := log.count("endpoint list too long"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
 		t.Errorf("logged %d times: %s", n, log.String())
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
