--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -53,7 +53,7 @@
 	if calls := r.addToCalls(nil, m, &send); len(calls) != 0 {
 		t.Error("sent without its body")
 	}
-	notices := r.finals.Pending()
+	notices := r.notifier.Pending()
 	if len(notices) != 1 || notices[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
 		t.Errorf("notices %+v, %d pending", notices, r.pending)
 	}
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -70,7 +70,7 @@
 	}
 	submitAll(r, submissions...)
 	stepUntil(t, r, "the short one has its final answer", func() bool {
-		return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
+		return slices.ContainsFunc(r.notifier.Pending(), func(n notify.Notification) bool { return n.TraceID == "short" })
 	})
 	close(shortEnded)
 	stepUntil(t, r, "the others are over", func() bool {
@@ -177,7 +177,7 @@
 	runLoop(t, r)
 	<-dialled
 	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		return len(notices) == 1 && notices[0].TraceID == "m1"
 	})
 	close(up)
@@ -218,7 +218,7 @@
 	runLoop(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		if len(notices) == 1 && notices[0].Status == "undeliverable" {
 			break
 		}
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -23,7 +23,7 @@
 	"a bound of the relay's own, on what a peer may have of it": {
 		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout",
 		"ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize", "netconn.readBufferSize",
-		"discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNoticesPerPost",
+		"discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNotificationsPerPost",
 		"notify.maxResponseSize", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational",
 		"egress.maxRetryAfterSeconds",
 		"discovery.fetchIdleTimeout",
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -127,12 +127,12 @@
 
 // queueNotification queues the final notification of a message that was accepted and is not delivered.
 func (r *Relay) queueNotification(m *message) {
-	n := notify.Notice{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
+	n := notify.Notification{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
 	if m.Final.Retryable {
 		n.Status = "deferred"
 		n.RetryAfterMS = m.Final.RetryAfter.Milliseconds()
 	}
-	r.finals.Add(n)
+	r.notifier.Add(n)
 }
 
 // classOf returns a message's class, if the settings still have it.
--- a/internal/relay/notify/sender.go
+++ b/internal/relay/notify/sender.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	minRetryDelay     = 50 * time.Millisecond
-	maxRetryDelay     = time.Second
-	postTimeout       = time.Second
-	maxNoticesPerPost = 256 // lines in a request
-	maxResponseSize   = 64 << 10
+	minRetryDelay           = 50 * time.Millisecond
+	maxRetryDelay           = time.Second
+	postTimeout             = time.Second
+	maxNotificationsPerPost = 256 // lines in a request
+	maxResponseSize         = 64 << 10
 )
 
 // Sender delivers the final notices to the platform, each until it is taken.
@@ -32,12 +32,12 @@
 	onDelivered func(ids []uint32)
 
 	mu     sync.Mutex
-	queue  []Notice
+	queue  []Notification
 	signal chan struct{}
 }
 
-// Notice tells the platform how a message ended.
-type Notice struct {
+// Notification tells the platform how a message ended.
+type Notification struct {
 	MessageID    uint32 `json:"-"`
 	TraceID      string `json:"id"`
 	Status       string `json:"status"`
@@ -49,7 +49,7 @@
 }
 
 // Add queues notices. It never waits, so that the loop does not.
-func (f *Sender) Add(ns ...Notice) {
+func (f *Sender) Add(ns ...Notification) {
 	f.mu.Lock()
 	f.queue = append(f.queue, ns...)
 	f.mu.Unlock()
@@ -60,7 +60,7 @@
 }
 
 // Pending returns the notices that the platform has not confirmed, oldest first.
-func (f *Sender) Pending() []Notice {
+func (f *Sender) Pending() []Notification {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.queue)
@@ -73,7 +73,7 @@
 	untaken := ratelog.Warning{Message: "notices not taken"}
 	for {
 		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), maxNoticesPerPost)]
+		batch := f.queue[:min(len(f.queue), maxNotificationsPerPost)]
 		f.mu.Unlock()
 		if len(batch) == 0 {
 			select {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *Sender) post(ctx context.Context, batch []Notice) error {
+func (f *Sender) post(ctx context.Context, batch []Notification) error {
 	addr, ctx, done := f.agent.Target(ctx)
 	defer done()
 	err := f.postTo(ctx, addr, batch)
@@ -121,7 +121,7 @@
 	return err
 }
 
-func (f *Sender) postTo(ctx context.Context, addr string, batch []Notice) error {
+func (f *Sender) postTo(ctx context.Context, addr string, batch []Notification) error {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
 	var lines bytes.Buffer
--- a/internal/relay/notify/sender_test.go
+++ b/internal/relay/notify/sender_test.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 )
 
-func TestNoticesAreRepeatedUntilTaken(t *testing.T) {
+func TestNotificationsAreRetriedUntilConfirmed(t *testing.T) {
 	var mu sync.Mutex
 	var posts, lines int
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -40,7 +40,7 @@
 	f := NewSender(slog.New(slog.DiscardHandler), discovery.NewClient(s.Listener.Addr().String()), func(ids []uint32) { taken <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f.Add(Notice{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notice{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
+	f.Add(Notification{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notification{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
 	go f.Run(ctx)
 	select {
 	case ids := <-taken:
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -46,11 +46,11 @@
 	again.recoverState()
 	t.Cleanup(func() { again.calls.Wait() })
 	failed := map[string]bool{}
-	for _, n := range again.finals.Pending() {
+	for _, n := range again.notifier.Pending() {
 		failed[n.TraceID] = n.Status == "undeliverable"
 	}
 	if !failed["m100"] || !failed["m109"] || failed["m299"] {
-		t.Errorf("notices %+v", again.finals.Pending())
+		t.Errorf("notices %+v", again.notifier.Pending())
 	}
 	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
 		t.Errorf("%d pending: what stands behind the damage is to go on", again.pending)
@@ -90,7 +90,7 @@
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.recoverState()
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		failed := len(notices) == 1 && notices[0].TraceID == "ran"
 		if failed != (back > 0) || r.messages[2] == nil || r.messages[2].completed {
 			t.Errorf("back by %v: notices %+v", back, notices)
@@ -156,7 +156,7 @@
 			}
 		}
 		r.recoverState()
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		if len(notices) != 1 || notices[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
 			t.Errorf("step %v: notices %+v", step, notices)
 		}
@@ -195,8 +195,8 @@
 			t.Fatalf("%d messages", len(r.recovery.Messages))
 		}
 		r.recoverState()
-		if len(r.finals.Pending()) != 1 || r.finals.Pending()[0].TraceID != "m1" {
-			t.Errorf("step %v: notices %+v", step, r.finals.Pending())
+		if len(r.notifier.Pending()) != 1 || r.notifier.Pending()[0].TraceID != "m1" {
+			t.Errorf("step %v: notices %+v", step, r.notifier.Pending())
 		}
 		r.calls.Wait()
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,12 +35,12 @@
 	log    *slog.Logger
 	logOut io.Writer // receives recordings, where no folder is set for them
 
-	ingress *ingress.Server   // serves clients
-	egress  *egress.Client    // calls endpoints
-	agent   *discovery.Client // service discovery's
-	finals  *notify.Sender    // final notifications
-	fleet   *fleet.Member     // nil: this relay shares nothing with others
-	metrics metrics.Registry
+	ingress  *ingress.Server   // serves clients
+	egress   *egress.Client    // calls endpoints
+	agent    *discovery.Client // service discovery's
+	notifier *notify.Sender    // final notifications
+	fleet    *fleet.Member     // nil: this relay shares nothing with others
+	metrics  metrics.Registry
 
 	events   chan event
 	loopDone chan struct{}  // closed when the loop has ended
@@ -91,7 +91,7 @@
 	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
-	r.finals = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
+	r.notifier = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
 	r.joinFleet()
 	r.sharedRecorder.Store(r.recorder)
 	if cfg.InheritedFD != "" {
@@ -168,7 +168,7 @@
 		background.Go(func() { r.fleet.Run(ctx) })
 	}
 	watcher := discovery.NewWatcher(r.discoveryConfig())
-	background.Go(func() { r.finals.Run(ctx) })
+	background.Go(func() { r.notifier.Run(ctx) })
 	background.Go(func() { watcher.Run(ctx) })
 }
 
