--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -127,9 +127,9 @@
 
 // queueNotification queues the final notification of a message that was accepted and is not delivered.
 func (r *Relay) queueNotification(m *message) {
-	n := notify.Notification{MessageID: m.ID, TraceID: m.TraceID, Status: "undeliverable"}
+	n := notify.Notification{MessageID: m.ID, TraceID: m.TraceID, Status: notify.Undeliverable}
 	if m.Final.Retryable {
-		n.Status = "deferred"
+		n.Status = notify.Deferred
 		n.RetryAfterMS = m.Final.RetryAfter.Milliseconds()
 	}
 	r.notifier.Add(n)
--- a/internal/relay/notify/sender.go
+++ b/internal/relay/notify/sender.go
@@ -1,3 +1,4 @@
+// Package notify sends final notifications to the platform: how messages ended that it was told were accepted.
 package notify
 
 import (
@@ -18,116 +19,153 @@
 )
 
 const (
-	minRetryDelay           = 50 * time.Millisecond
-	maxRetryDelay           = time.Second
-	postTimeout             = time.Second
-	maxNotificationsPerPost = 256 // lines in a request
-	maxResponseSize         = 64 << 10
+	// postTimeout bounds one request to the platform.
+	postTimeout = time.Second
+	// maxNotificationsPerPost bounds the lines of a request.
+	maxNotificationsPerPost = 256
+	// maxResponseSize bounds what is read of a response, which is empty as a rule.
+	maxResponseSize = 64 << 10
+
+	// Bounds of the delay before a request that failed is made again. It doubles with each failure.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// Sender delivers the final notices to the platform, each until it is taken.
+// Status is how a message ended, as the platform names it.
+type Status string
+
+const (
+	// Undeliverable is the status of a message that failed for good.
+	Undeliverable Status = "undeliverable"
+	// Deferred is the status of a message that its client may submit again after a while.
+	Deferred Status = "deferred"
+)
+
+// Notification tells the platform how a message ended.
+type Notification struct {
+	MessageID    uint32 `json:"-"` // the relay's own
+	TraceID      string `json:"id"`
+	Status       Status `json:"status"`
+	RetryAfterMS int64  `json:"again_ms,omitempty"` // of a deferred message
+}
+
+// Sender sends notifications, each until the platform has confirmed it. It is safe for concurrent use.
 type Sender struct {
 	log         *slog.Logger
 	agent       *discovery.Client
-	onDelivered func(ids []uint32)
+	onConfirmed func(ids []uint32)
+	unconfirmed ratelog.Warning
 
 	mu     sync.Mutex
 	queue  []Notification
-	signal chan struct{}
-}
-
-// Notification tells the platform how a message ended.
-type Notification struct {
-	MessageID    uint32 `json:"-"`
-	TraceID      string `json:"id"`
-	Status       string `json:"status"`
-	RetryAfterMS int64  `json:"again_ms,omitempty"`
+	signal chan struct{} // has one element if there may be something in the queue
 }
 
-func NewSender(log *slog.Logger, agent *discovery.Client, taken func([]uint32)) *Sender {
-	return &Sender{log: log, agent: agent, onDelivered: taken, signal: make(chan struct{}, 1)}
+// NewSender returns a sender that posts to agent, which passes notifications on to the platform. onConfirmed receives
+// the ids of messages whose notifications the platform has confirmed.
+func NewSender(log *slog.Logger, agent *discovery.Client, onConfirmed func(ids []uint32)) *Sender {
+	return &Sender{
+		log:         log,
+		agent:       agent,
+		onConfirmed: onConfirmed,
+		unconfirmed: ratelog.Warning{Message: "notifications not confirmed"},
+		signal:      make(chan struct{}, 1),
+	}
 }
 
-// Add queues notices. It never waits, so that the loop does not.
-func (f *Sender) Add(ns ...Notification) {
-	f.mu.Lock()
-	f.queue = append(f.queue, ns...)
-	f.mu.Unlock()
+// Add queues notifications. It never waits, so that the relay's loop does not.
+func (s *Sender) Add(notifications ...Notification) {
+	s.mu.Lock()
+	s.queue = append(s.queue, notifications...)
+	s.mu.Unlock()
 	select {
-	case f.signal <- struct{}{}:
+	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
-// Pending returns the notices that the platform has not confirmed, oldest first.
-func (f *Sender) Pending() []Notification {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.queue)
+// Pending returns the notifications that the platform has not confirmed, oldest first.
+func (s *Sender) Pending() []Notification {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.queue)
 }
 
-// Run sends what is queued until ctx ends. A notice that the platform did not confirm goes again: one for a
-// message that is over does no harm, one that is missing loses a message.
-func (f *Sender) Run(ctx context.Context) {
-	pause := minRetryDelay
-	untaken := ratelog.Warning{Message: "notices not taken"}
+// Run sends what is queued until ctx ends. A notification that the platform did not confirm is sent again: a duplicate
+// does no harm, a missing one loses a message.
+func (s *Sender) Run(ctx context.Context) {
+	delay := minRetryDelay
 	for {
-		f.mu.Lock()
-		batch := f.queue[:min(len(f.queue), maxNotificationsPerPost)]
-		f.mu.Unlock()
+		batch := s.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-f.signal:
+			case <-s.signal:
 			}
 			continue
 		}
-		if err := f.post(ctx, batch); err != nil {
-			untaken.Log(f.log, "count", len(batch), "err", err)
-			if errors.Is(err, discovery.ErrMoved) {
-				pause = minRetryDelay
-				continue // at once, to the new address
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(pause):
-			}
-			pause = min(maxRetryDelay, 2*pause)
+		err := s.post(ctx, batch)
+		if err == nil {
+			delay = minRetryDelay
+			s.confirm(batch)
 			continue
 		}
-		pause = minRetryDelay
-		ids := make([]uint32, 0, len(batch))
-		for _, n := range batch {
-			ids = append(ids, n.MessageID)
+		s.unconfirmed.Log(s.log, "count", len(batch), "err", err)
+		if errors.Is(err, discovery.ErrMoved) {
+			delay = minRetryDelay
+			continue // at once, to the new address
 		}
-		f.mu.Lock()
-		if f.queue = f.queue[len(batch):]; len(f.queue) == 0 {
-			f.queue = nil
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
 		}
-		f.mu.Unlock()
-		f.onDelivered(ids)
+		delay = min(maxRetryDelay, 2*delay)
+	}
+}
+
+// nextBatch returns the oldest notifications, which stay in the queue until they are confirmed.
+func (s *Sender) nextBatch() []Notification {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.queue[:min(len(s.queue), maxNotificationsPerPost)]
+}
+
+// confirm removes a batch from the queue and reports it.
+func (s *Sender) confirm(batch []Notification) {
+	ids := make([]uint32, 0, len(batch))
+	for _, n := range batch {
+		ids = append(ids, n.MessageID)
+	}
+	s.mu.Lock()
+	s.queue = s.queue[len(batch):]
+	if len(s.queue) == 0 {
+		s.queue = nil // its array can be freed
 	}
+	s.mu.Unlock()
+	s.onConfirmed(ids)
 }
 
-func (f *Sender) post(ctx context.Context, batch []Notification) error {
-	addr, ctx, done := f.agent.Target(ctx)
-	defer done()
-	err := f.postTo(ctx, addr, batch)
-	if cause := context.Cause(ctx); err != nil && cause != nil {
+// post sends a batch to the agent's address. The error is discovery.ErrMoved if that changed meanwhile.
+func (s *Sender) post(ctx context.Context, batch []Notification) error {
+	addr, targetCtx, release := s.agent.Target(ctx)
+	defer release()
+	err := s.postTo(targetCtx, addr, batch)
+	if cause := context.Cause(targetCtx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (f *Sender) postTo(ctx context.Context, addr string, batch []Notification) error {
+// postTo sends a batch to an address, one line a notification.
+func (s *Sender) postTo(ctx context.Context, addr string, batch []Notification) error {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
 	var lines bytes.Buffer
-	enc := json.NewEncoder(&lines)
+	encoder := json.NewEncoder(&lines)
 	for _, n := range batch {
-		if err := enc.Encode(n); err != nil {
+		if err := encoder.Encode(n); err != nil {
 			return err
 		}
 	}
@@ -135,11 +173,11 @@
 	if err != nil {
 		return err
 	}
-	res, err := f.agent.Do(req)
+	res, err := s.agent.Do(req)
 	if err != nil {
 		return err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }() // the response was read, or is of no use
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxResponseSize)); err != nil {
 		return err
 	}
--- a/internal/relay/notify/sender_test.go
+++ b/internal/relay/notify/sender_test.go
@@ -1,53 +1,89 @@
 package notify
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"io"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-func TestNotificationsAreRetriedUntilConfirmed(t *testing.T) {
-	var mu sync.Mutex
-	var posts, lines int
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		body, _ := io.ReadAll(req.Body)
-		mu.Lock()
-		defer mu.Unlock()
-		if posts++; posts < 3 {
-			w.WriteHeader([]int{500, 200}[posts-1]) // neither is 204
-			return
-		}
-		for line := range strings.Lines(string(body)) {
-			var n map[string]any
-			if json.Unmarshal([]byte(line), &n) != nil || n["id"] == nil {
-				t.Errorf("line %q", line)
-			}
-			lines++
+// platform confirms the third request and all behind it.
+type platform struct {
+	t *testing.T
+
+	mu    sync.Mutex
+	posts int
+	lines int // of requests that were confirmed
+}
+
+func (p *platform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	body, err := io.ReadAll(req.Body)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.posts++
+	if p.posts < 3 {
+		w.WriteHeader([]int{http.StatusInternalServerError, http.StatusOK}[p.posts-1]) // neither is 204
+		return
+	}
+	if err != nil {
+		p.t.Error(err)
+	}
+	for line := range bytes.Lines(body) {
+		var n map[string]any
+		if json.Unmarshal(line, &n) != nil || n["id"] == nil {
+			p.t.Errorf("line %q", line)
 		}
-		w.WriteHeader(http.StatusNoContent)
-	}))
-	defer s.Close()
-	taken := make(chan []uint32, 10)
-	f := NewSender(slog.New(slog.DiscardHandler), discovery.NewClient(s.Listener.Addr().String()), func(ids []uint32) { taken <- ids })
+		p.lines++
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// Only status 204 confirms notifications: they are sent until it comes, and then no more.
+func TestNotificationsAreRetriedUntilConfirmed(t *testing.T) {
+	p := &platform{t: t}
+	server := httptest.NewServer(p)
+	defer server.Close()
+	confirmed := make(chan []uint32, 10)
+	agent := discovery.NewClient(server.Listener.Addr().String())
+	s := NewSender(slog.New(slog.DiscardHandler), agent, func(ids []uint32) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f.Add(Notification{MessageID: 1, TraceID: "a", Status: "undeliverable"}, Notification{MessageID: 2, TraceID: "b", Status: "deferred", RetryAfterMS: 500})
-	go f.Run(ctx)
+	s.Add(
+		Notification{MessageID: 1, TraceID: "a", Status: Undeliverable},
+		Notification{MessageID: 2, TraceID: "b", Status: Deferred, RetryAfterMS: 500},
+	)
+	go s.Run(ctx)
 	select {
-	case ids := <-taken:
-		if len(ids) != 2 || lines != 2 || posts != 3 {
-			t.Errorf("taken %v after %d requests, %d lines", ids, posts, lines)
+	case ids := <-confirmed:
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if len(ids) != 2 || p.lines != 2 || p.posts != 3 || len(s.Pending()) != 0 {
+			t.Errorf("confirmed %v after %d requests, %d lines; pending %v", ids, p.posts, p.lines, s.Pending())
+		}
+	case <-time.After(nettest.Patience):
+		t.Fatal("never confirmed")
+	}
+}
+
+// A notification has the form that the platform reads: the relay's own id of the message stays out of it.
+func TestNotificationsOnTheWire(t *testing.T) {
+	for want, n := range map[string]Notification{
+		`{"id":"a","status":"undeliverable"}`:           {MessageID: 1, TraceID: "a", Status: Undeliverable},
+		`{"id":"b","status":"deferred","again_ms":500}`: {MessageID: 2, TraceID: "b", Status: Deferred, RetryAfterMS: 500},
+		`{"id":"","status":"","again_ms":-1}`:           {RetryAfterMS: -1},
+	} {
+		got, err := json.Marshal(n)
+		if err != nil || string(got) != want {
+			t.Errorf("%s, %v; want %s", got, err, want)
 		}
-	case <-time.After(20 * time.Second):
-		t.Fatal("never taken")
 	}
 }
