--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -188,14 +188,14 @@
 // exportMessage returns what the successor must know of a message beside the journal.
 func exportMessage(m *message) hotrestart.Message {
 	exported := hotrestart.Message{
-		ID:      m.ID,
-		TraceID: m.TraceID,
-		Sends:   m.attemptsStarted,
-		Ended:   m.completed,
-		Shared:  m.hasDuplicates,
+		ID:              m.ID,
+		TraceID:         m.TraceID,
+		AttemptsStarted: m.attemptsStarted,
+		Completed:       m.completed,
+		HasDuplicates:   m.hasDuplicates,
 	}
 	if m.resubmittedAs != nil {
-		exported.Next = m.resubmittedAs.ID
+		exported.ResubmittedAs = m.resubmittedAs.ID
 	}
 	return exported
 }
@@ -207,7 +207,7 @@
 		Number:   a.number,
 		Endpoint: a.call.EndpointID,
 		Zone:     a.call.zone,
-		Sent:     a.call.SentAt,
+		SentAt:   a.call.SentAt,
 		Finished: a.finished,
 	}
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -160,14 +160,14 @@
 		if r.messages[id] == nil { // it has ended, but an attempt is in flight
 			r.messages[id] = &message{
 				Message:         &journal.Message{ID: id, TraceID: state.TraceID, Cancelled: true},
-				attemptsStarted: state.Sends,
+				attemptsStarted: state.AttemptsStarted,
 				completed:       true,
 			}
 		}
 	}
 	for id, state := range states {
-		if state.Next != 0 {
-			r.messages[id].resubmittedAs = r.messages[state.Next]
+		if state.ResubmittedAs != 0 {
+			r.messages[id].resubmittedAs = r.messages[state.ResubmittedAs]
 		}
 	}
 }
@@ -180,9 +180,9 @@
 	}
 	m := &message{
 		Message:         recovered,
-		attemptsStarted: state.Sends,
-		completed:       state.Ended,
-		hasDuplicates:   state.Shared,
+		attemptsStarted: state.AttemptsStarted,
+		completed:       state.Completed,
+		hasDuplicates:   state.HasDuplicates,
 	}
 	r.messages[m.ID] = m
 	r.messagesByTrace[m.TraceID] = m
@@ -207,7 +207,7 @@
 			continue // nothing is left to do for it
 		}
 		r.remoteAttempts[attemptKey{remote.ID, remote.Number}] = &attempt{
-			call:     newCall(egress.Call{EndpointID: remote.Endpoint, SentAt: remote.Sent}, remote.Zone),
+			call:     newCall(egress.Call{EndpointID: remote.Endpoint, SentAt: remote.SentAt}, remote.Zone),
 			message:  m,
 			number:   remote.Number,
 			finished: remote.Finished,
