--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -29,7 +29,7 @@
 		"discovery.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"hotrestart.dialTimeout", "hotrestart.sendTimeout", "hotrestart.maxFrameSize", "hotrestart.maxPathLength",
+		"hotrestart.dialTimeout", "hotrestart.sendTimeout", "hotrestart.maxFrameSize", "hotrestart.headerSize", "hotrestart.maxPathLength",
 		"relay.maxTick", "relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter",
 		"relay.clockTolerance", "relay.initialClock", "egress.capacityRetryInterval", "notify.minRetryDelay",
 		"notify.maxRetryDelay", "relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout",
--- a/internal/relay/hotrestart/handover_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -28,7 +28,8 @@
 		{Hello: &Hello{Revision: "0123"}},
 		{Welcome: true},
 		{State: &State{
-			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255}, Version: 41, Destinations: []int{7}, LastID: 9,
+			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255},
+			Version: 41, Destinations: []int{7}, LastID: 9,
 			Config: reload.Config{
 				ClassNames: []string{"order"},
 				Settings:   policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}},
@@ -37,9 +38,11 @@
 			Endpoints: []Endpoint{
 				{Endpoint: policy.Endpoint{ID: "s-1", InService: true, Weight: 1.5}, Addr: "127.0.0.1:1"},
 			},
-			Messages:      []Message{{ID: 3, TraceID: "t", AttemptsStarted: 2, ResubmittedAs: 5}},
-			Attempts:      []Attempt{{ID: 3, Number: 1, Endpoint: "s-1", SentAt: at, Finished: true}},
-			PendingEvents: []policy.Event{{Kind: policy.AttemptFinished, MessageID: 3, Outcome: policy.ConnectFailed}},
+			Messages: []Message{{ID: 3, TraceID: "t", AttemptsStarted: 2, ResubmittedAs: 5}},
+			Attempts: []Attempt{{ID: 3, Number: 1, Endpoint: "s-1", SentAt: at, Finished: true}},
+			PendingEvents: []policy.Event{
+				{Kind: policy.AttemptFinished, MessageID: 3, Outcome: policy.ConnectFailed},
+			},
 		}},
 		{
 			Outcome: &Outcome{
@@ -63,6 +66,7 @@
 }
 
 func connect(t *testing.T) (a, b *Conn) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Dial(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Fatalf("nobody there: %v", err)
@@ -81,7 +85,10 @@
 		t.Fatal(err)
 	}
 	b = NewConn(c)
-	t.Cleanup(func() { a.Close(); b.Close() })
+	t.Cleanup(func() {
+		_ = a.Close() // a test may have closed it
+		_ = b.Close()
+	})
 	return a, b
 }
 
@@ -116,7 +123,7 @@
 		}
 	}
 	a.Close()
-	if _, err := b.Receive(); err != io.EOF {
+	if _, err := b.Receive(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last: %v", err)
 	}
 	if err := b.Send(sampleFrames()[0]); err == nil {
@@ -126,7 +133,7 @@
 	}
 }
 
-// A process that took over from another must not lose its own place when that one's listener closes.
+// A process that took over from another keeps its place when the other one's listener closes.
 func TestPathBelongsToLatestListener(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	one, err := Listen(path)
@@ -158,14 +165,17 @@
 	var whole []byte
 	go func() {
 		defer client.Close()
-		NewConn(client).Send(sampleFrames()[2])
+		if err := NewConn(client).Send(sampleFrames()[2]); err != nil {
+			t.Error(err)
+		}
 	}()
 	whole, err := io.ReadAll(server)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range whole {
-		if f, err := receive(whole[:n]); err == nil || n > 0 && err == io.EOF || !reflect.DeepEqual(f, Frame{}) {
+		f, err := receive(whole[:n])
+		if err == nil || n > 0 && errors.Is(err, io.EOF) || !reflect.DeepEqual(f, Frame{}) {
 			t.Fatalf("cut at %d: %+v, %v", n, f, err)
 		}
 	}
--- a/internal/testkit/discoverytest/lists.go
+++ b/internal/testkit/discoverytest/lists.go
@@ -4,38 +4,28 @@
 import (
 	"bytes"
 	"fmt"
+	"strings"
 )
 
-// ListJSON is a whole list of so many destinations, each with two hosts, that begins with some.
+// ListJSON returns a full list of so many destinations with two endpoints each, that begins with some other entries.
 func ListJSON(version, destinations int, first ...string) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"version":%d,"full":true,"servers":[`, version)
-	for i, e := range first {
-		if i > 0 {
-			b.WriteByte(',')
-		}
-		b.WriteString(e)
-	}
+	entries := make([]string, 0, len(first)+2*destinations)
+	entries = append(entries, first...)
 	for i := range 2 * destinations {
-		if i > 0 || len(first) > 0 {
-			b.WriteByte(',')
-		}
-		b.WriteString(EndpointJSON(i, i/2, "ready"))
+		entries = append(entries, EndpointJSON(i, i/2, "ready"))
 	}
-	b.WriteString("]}\n")
+	var b bytes.Buffer
+	fmt.Fprintf(&b, `{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
+	b.WriteByte('\n')
 	return b.Bytes()
 }
 
-// EndpointJSON is the entry of a host that nobody answers at.
-func EndpointJSON(i, dest int, state string) string {
-	return fmt.Sprintf(
-		`{"id":"h-%08x","addr":"127.%d.%d.%d:1","zone":"%c","kind":"gateway","cell":%d,"state":%q,"weight":500.0,"started_ms":0}`,
-		uint32(i)*2654435761,
-		1+i>>16,
-		i>>8&255,
-		i&255,
-		'a'+i%2,
-		100+dest,
-		state,
-	)
+// hashStep spreads endpoint numbers over all 32 bits, so that ids come in no order.
+const hashStep = 2654435761
+
+// EndpointJSON returns the entry of an endpoint at which nobody answers.
+func EndpointJSON(i, destination int, state string) string {
+	const format = `{"id":"h-%08x","addr":"127.%d.%d.%d:1","zone":"%c","kind":"gateway","cell":%d,"state":%q,` +
+		`"weight":500.0,"started_ms":0}`
+	return fmt.Sprintf(format, uint32(i)*hashStep, 1+i>>16, i>>8&255, i&255, 'a'+i%2, 100+destination, state)
 }
