--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -10,21 +10,25 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// execution is what the actions of one step amount to.
+// execution is what is left to do once the journal has what a step changes.
 type execution struct {
-	responses map[uint32]ingress.Response // to those who submitted messages in this step, by message
-	calls     []*call
-	failed    []*message // messages of earlier steps that have a final answer now
+	calls  []*call
+	failed []*message // messages of earlier steps that have a final answer now
 }
 
+// responses are those to the submissions of a step, by message. They are no part of execution, so that they need no
+// allocation.
+type responses map[uint32]ingress.Response
+
 // execute carries out the policy's actions: first in the journal, in one write, then on the sockets.
 func (r *Relay) execute(actions []policy.Action, waiting []*submitEvent) {
-	x := execution{responses: make(map[uint32]ingress.Response, len(waiting))}
+	replies := make(responses, len(waiting))
 	for _, s := range waiting {
-		x.responses[s.acceptedAs.ID] = ingress.Response{Status: http.StatusAccepted}
+		replies[s.acceptedAs.ID] = ingress.Response{Status: http.StatusAccepted}
 	}
+	var x execution
 	for i := range actions {
-		r.prepare(&x, &actions[i])
+		r.prepare(&x, replies, &actions[i])
 	}
 	if err := r.recordSends(x.calls); err != nil {
 		r.sendsUnrecorded.Log(r.log, "calls", len(x.calls), "err", err)
@@ -33,7 +37,7 @@
 		x.calls = nil
 	}
 	for _, s := range waiting {
-		s.reply <- x.responses[s.acceptedAs.ID]
+		s.reply <- replies[s.acceptedAs.ID]
 	}
 	for _, m := range x.failed {
 		r.queueNotification(m)
@@ -44,12 +48,12 @@
 }
 
 // prepare notes an action in the state and the journal, and adds to x what is left to do once the journal is written.
-func (r *Relay) prepare(x *execution, a *policy.Action) {
+func (r *Relay) prepare(x *execution, replies responses, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
 		r.prepareSend(x, a)
 	case policy.Reject, policy.Fail:
-		r.prepareFinalAnswer(x, a)
+		r.prepareFinalAnswer(x, replies, a)
 	case policy.SetTimer:
 		r.timerAt = time.Now().Add(a.Delay) // the policy counts on one timer, the last that it set
 	case policy.CloseIdle:
@@ -70,7 +74,7 @@
 
 // prepareFinalAnswer ends a message that is rejected or has failed. The client of a message of this step has that as
 // its answer; one of an earlier step gets a notification.
-func (r *Relay) prepareFinalAnswer(x *execution, a *policy.Action) {
+func (r *Relay) prepareFinalAnswer(x *execution, replies responses, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil || m.completed {
 		return
@@ -78,8 +82,8 @@
 	r.markCompleted(m)
 	final := journal.FinalAnswer{Retryable: a.Kind == policy.Reject, RetryAfter: a.Delay}
 	r.countResult(m.Message, finalResult(final))
-	if _, waiting := x.responses[a.MessageID]; waiting {
-		x.responses[a.MessageID] = finalAnswer(final)
+	if _, waiting := replies[a.MessageID]; waiting {
+		replies[a.MessageID] = finalAnswer(final)
 		r.release(m)
 		return
 	}
