--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -257,7 +257,7 @@
 			Host:   h.ID,
 			First:  w.Now(),
 			Dest:   h.Dest,
-			Weight: h.place.Weight(len(c.atts)),
+			Weight: h.place.CallWeight(len(c.atts)),
 		}
 		for i := range c.atts {
 			e.IDs = append(e.IDs, c.atts[i].m.name)
@@ -284,32 +284,32 @@
 		return
 	}
 	h.place.Slots++
-	fate := h.place.Arrive(w.Now(), h.ID, live)
-	if fate.Fell {
+	fate := h.place.HandleCall(w.Now(), h.ID, live)
+	if fate.CausedOverload {
 		w.Fell++
 		w.see(eventlog.Event{Kind: eventlog.Fell, Place: h.place.Name, Dest: h.Dest, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
-	if fate.Result != upstream.Mute && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
+	if fate.Result != upstream.Unanswered && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
 		w.ScheduleAfter(0, c.broken)
 		return
 	}
 	switch fate.Result {
-	case upstream.Mute:
+	case upstream.Unanswered:
 	case upstream.Served:
-		if fate.Lost {
-			w.ScheduleAfter(fate.After, func() {
+		if fate.ResponseLost {
+			w.ScheduleAfter(fate.Latency, func() {
 				if !c.done && !h.isCut { // a machine that is cut off breaks nothing before it is back
 					c.broken()
 				}
 			})
 			return
 		}
-		c.reply(fate.After, results, policy.OK, 0)
-	case upstream.Refused:
-		c.reply(fate.After, results, policy.Overloaded, fate.Wait.Round(time.Millisecond))
+		c.reply(fate.Latency, results, policy.OK, 0)
+	case upstream.Rejected:
+		c.reply(fate.Latency, results, policy.Overloaded, fate.RetryAfter.Round(time.Millisecond))
 	case upstream.Failed:
-		c.reply(fate.After, results, policy.Error, 0)
+		c.reply(fate.Latency, results, policy.Error, 0)
 	}
 }
 
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -209,7 +209,7 @@
 	}
 	for _, p := range w.order {
 		told[p] = make([]time.Duration, d.relays)
-		p.FallMultiple = 0 // it stands, so that all of the ramp is counted
+		p.OverloadFactor = 0 // it stands, so that all of the ramp is counted
 	}
 	most := rng.IntN(d.relays)
 	w.Every(time.Second, end, asked, func() {
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -293,15 +293,15 @@
 		for run := range 30 {
 			rng := engine.NewRandom(7, c.name, run)
 			p := upstream.New(upstream.Spec{
-				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: upstream.NoLimit, ColdShare: 1,
+				ServiceTime: 100 * time.Millisecond, ExponentialServiceTime: c.exponential, MaxConcurrentCalls: c.servers, MaxQueueTime: time.Hour, Limit: upstream.NoLimit, WarmUpInitialCapacity: 1,
 			}, rng.Uint64())
-			p.Add("e")
+			p.AddEndpoint("e")
 			at, sum, n := 0.0, 0.0, 0
 			for i := range 30000 {
 				at += rng.ExpFloat64() / (lambda * float64(c.servers))
-				f := p.Arrive(time.Duration(at*1e9), "e", 1)
+				f := p.HandleCall(time.Duration(at*1e9), "e", 1)
 				if i >= 5000 { // warmed up
-					sum, n = sum+f.After.Seconds()-1/mu, n+1
+					sum, n = sum+f.Latency.Seconds()-1/mu, n+1
 				}
 			}
 			means = append(means, sum/float64(n))
@@ -319,19 +319,19 @@
 	}
 	p := upstream.New(
 		upstream.Spec{
-			Pace:      time.Millisecond,
-			Slots:     100,
-			Queue:     time.Hour,
-			Limit:     upstream.Plain,
-			Rate:      20,
-			ColdShare: 1,
+			ServiceTime:           time.Millisecond,
+			MaxConcurrentCalls:    100,
+			MaxQueueTime:          time.Hour,
+			Limit:                 upstream.TokenBucket,
+			LimitRate:             20,
+			WarmUpInitialCapacity: 1,
 		},
 		1,
 	)
-	p.Add("e")
+	p.AddEndpoint("e")
 	ok := 0
 	for i := range 60_000 { // 60 a second for 1,000 s
-		if p.Arrive(time.Duration(i)*time.Second/60, "e", 1).Result == upstream.Served {
+		if p.HandleCall(time.Duration(i)*time.Second/60, "e", 1).Result == upstream.Served {
 			ok++
 		}
 	}
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -45,8 +45,8 @@
 		{"near", 0.8, 0.75, 1.1, nil},
 		{"over", 1.3, 0.5, 1.2, nil},
 		{"lowered to a third for nine seconds", 0.8, 0.5, 1.1, func(w *world) {
-			w.Schedule(20*time.Second, func() { w.order[0].Rate /= 3 })
-			w.Schedule(29*time.Second, func() { w.order[0].Rate *= 3 })
+			w.Schedule(20*time.Second, func() { w.order[0].LimitRate /= 3 })
+			w.Schedule(29*time.Second, func() { w.order[0].LimitRate *= 3 })
 		}},
 		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
 			both(w, 20*time.Second, func(p *Place) { w.Outage(p.Name, scenario.OpDown, 0, 0) })
@@ -67,7 +67,7 @@
 				worst, began = max(worst, float64(all-began)/(10*takes)), all
 			}
 			share += w.rate(10*time.Second, 60*time.Second) / (takes * min(1, c.asked)) / seeds
-			if w.order[0].Fallen() {
+			if w.order[0].Overloaded() {
 				t.Errorf("%s, seed %d: pushed over", c.name, seed)
 			}
 		}
@@ -171,7 +171,7 @@
 		for seed := range uint64(5) {
 			w, takes := crowd(t, relays, seed, Options{})
 			load(w, time.Second, 90*time.Second, 0.7*takes)
-			w.Schedule(20*time.Second, func() { w.order[0].Rate /= 4 })
+			w.Schedule(20*time.Second, func() { w.order[0].LimitRate /= 4 })
 			w.run(t, 90*time.Second)
 			share += w.rate(40*time.Second, 90*time.Second) / (takes / 4) / 5
 		}
@@ -194,7 +194,7 @@
 			both(w, 25*time.Second, func(p *Place) { w.Back(p.Name) })
 			w.run(t, 75*time.Second)
 			worst = max(worst, back(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
-			if w.order[0].Fallen() {
+			if w.order[0].Overloaded() {
 				t.Errorf("%d relays, seed %d: pushed over", relays, seed)
 			}
 		}
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -115,20 +115,20 @@
 var troubles = map[string]func(w *world, from, to time.Duration){
 	"overload": func(w *world, from, to time.Duration) { load(w, from, to, 30) },
 	"errors": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.Fail(0.8) })
-		both(w, to, func(p *Place) { p.Fail(0); p.Return(w.Now()) })
+		both(w, from, func(p *Place) { p.SetFailureRatio(0.8) })
+		both(w, to, func(p *Place) { p.SetFailureRatio(0); p.Recover(w.Now()) })
 	},
 	"silence": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.Mute(true) })
-		both(w, to, func(p *Place) { p.Mute(false); p.Return(w.Now()) })
+		both(w, from, func(p *Place) { p.SetSilent(true) })
+		both(w, to, func(p *Place) { p.SetSilent(false); p.Recover(w.Now()) })
 	},
 	"shut": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.Shut(to) })
-		both(w, to, func(p *Place) { p.Open(); p.Return(w.Now()) })
+		both(w, from, func(p *Place) { p.Suspend(to) })
+		both(w, to, func(p *Place) { p.Resume(); p.Recover(w.Now()) })
 	},
 	"throttle": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.Rate /= 4 })
-		both(w, to, func(p *Place) { p.Rate *= 4 })
+		both(w, from, func(p *Place) { p.LimitRate /= 4 })
+		both(w, to, func(p *Place) { p.LimitRate *= 4 })
 	},
 	"resets of one": func(w *world, from, to time.Duration) {
 		w.Schedule(from, func() { w.order[0].Resets = func(int) float64 { return 1 } })
@@ -268,7 +268,7 @@
 						)
 					}
 					for _, p := range w.order {
-						if p.Fallen() {
+						if p.Overloaded() {
 							t.Errorf("%s, %s, %d relays, seed %d: pushed over", name, kind, relays, seed)
 						}
 					}
@@ -283,7 +283,7 @@
 	for _, relays := range []int{1, 2, 20} {
 		w, takes := site(t, "rate", relays, 3)
 		load(w, time.Second, 90*time.Second, takes)
-		w.Schedule(30*time.Second, func() { w.order[0].Rate /= 2 })
+		w.Schedule(30*time.Second, func() { w.order[0].LimitRate /= 2 })
 		w.run(t, 40*time.Second)
 		full, ok := -w.CallsFull, -w.CallsOK
 		w.run(t, 90*time.Second)
@@ -326,7 +326,7 @@
 		w, takes := site(t, "separate", 2, seed)
 		w.opts.ListDelay = func(relay int) time.Duration { return time.Duration(relay) * 4 * time.Second }
 		load(w, time.Second, 60*time.Second, 0.5*takes)
-		both(w, 20*time.Second, func(p *Place) { p.Mute(true) })
+		both(w, 20*time.Second, func(p *Place) { p.SetSilent(true) })
 		w.Schedule(26*time.Second, func() {
 			for _, e := range w.plan.Endpoints {
 				fresh := e
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -103,7 +103,7 @@
 
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
 type Place struct {
-	*upstream.Place
+	*upstream.Service
 	Name string
 	Dest int
 	// share of a relay's calls whose connections break under them, and which run; nil: none
@@ -268,7 +268,7 @@
 }
 
 func (w *World) addPlace(p scenario.Place) {
-	x := &Place{Place: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
+	x := &Place{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
 	w.places[p.Name] = x
 	w.order = append(w.order, x)
 	w.dests[p.Dest] = append(w.dests[p.Dest], x)
@@ -377,9 +377,9 @@
 	case scenario.OpSlow:
 		w.Slow(s.Target, s.X)
 	case scenario.OpLower:
-		w.places[s.Target].Lower(s.X)
+		w.places[s.Target].SetLimitDivisor(s.X)
 	case scenario.OpLose:
-		w.places[s.Target].Lose(s.X)
+		w.places[s.Target].SetResponseLossRatio(s.X)
 	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
 		w.Outage(s.Target, s.Op, s.X, s.For)
 	case scenario.OpBack:
@@ -431,7 +431,7 @@
 	h := &host{Endpoint: e, n: len(w.hosts), zone: slices.Index(w.plan.File.Zones, e.Zone), kind: w.kind(e), place: p}
 	w.hosts[e.ID] = h
 	p.hosts = append(p.hosts, h)
-	p.Add(e.ID)
+	p.AddEndpoint(e.ID)
 	w.able(p, 1, 0)
 	return h, nil
 }
@@ -489,8 +489,8 @@
 	if !w.opts.Record {
 		return
 	}
-	rate := p.PerEndpoint() / p.slow
-	if p.outage != "" || p.Fallen() {
+	rate := p.EndpointCapacity() / p.slow
+	if p.outage != "" || p.Overloaded() {
 		rate = 0
 	}
 	for _, h := range p.standing() {
@@ -504,7 +504,7 @@
 		return
 	}
 	h.stopped = true
-	h.place.Remove(h.ID)
+	h.place.RemoveEndpoint(h.ID)
 	w.reset(h)
 	w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
 }
@@ -526,7 +526,7 @@
 func (w *World) Slow(name string, factor float64) {
 	p := w.places[name]
 	p.slow = factor
-	p.Slow(factor)
+	p.SetSlowdown(factor)
 	w.able(p, 1, 0)
 }
 
@@ -541,11 +541,11 @@
 	w.able(p, 1, 0)
 	switch op {
 	case scenario.OpFail:
-		p.Fail(share)
+		p.SetFailureRatio(share)
 	case scenario.OpShut:
-		p.Shut(w.Now() + lasts)
+		p.Suspend(w.Now() + lasts)
 	case scenario.OpMute:
-		p.Mute(true)
+		p.SetSilent(true)
 	case scenario.OpDown:
 		for _, h := range p.standing() {
 			h.isDown = true
@@ -562,29 +562,29 @@
 func (w *World) Back(name string) {
 	p := w.places[name]
 	cause := p.outage
-	if p.outage = ""; p.Fallen() {
+	if p.outage = ""; p.Overloaded() {
 		return
 	}
-	p.Fail(0)
-	p.Open()
-	p.Mute(false)
+	p.SetFailureRatio(0)
+	p.Resume()
+	p.SetSilent(false)
 	hosts := p.standing()
 	if len(hosts) == 0 {
 		return // all were replaced meanwhile
 	}
-	cold := p.Return(w.Now())
+	cold := p.Recover(w.Now())
 	w.see(
 		eventlog.Event{
 			Kind:  eventlog.Back,
 			Place: name,
 			Dest:  p.Dest,
 			Hosts: ids(hosts),
-			Rate:  cold.Rate,
-			Share: cold.Share,
-			For:   cold.Warm,
+			Rate:  cold.FullCapacity,
+			Share: cold.InitialCapacity,
+			For:   cold.Duration,
 		},
 	)
-	w.able(p, cold.Share, cold.Warm)
+	w.able(p, cold.InitialCapacity, cold.Duration)
 	if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 		for _, h := range hosts { // its processes have started anew
 			h.isDown, h.isCut = false, false
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -1053,12 +1053,12 @@
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
-	able := upstream.Cold{
-		At:    n.backAt,
-		Rate:  l.Weight,
-		Share: set.WarmUpInitialCapacity,
-		Warm:  set.WarmUpDuration,
-	}.Able(
+	able := upstream.WarmUp{
+		StartedAt:       n.backAt,
+		FullCapacity:    l.Weight,
+		InitialCapacity: set.WarmUpInitialCapacity,
+		Duration:        set.WarmUpDuration,
+	}.CapacityAt(
 		n.now,
 	)
 	knew := 0
@@ -1068,7 +1068,7 @@
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) &&
+	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.OverloadBudget(set.OverloadFactor, able, set.OverloadWindow) &&
 		float64(knew) >= checker.SeenShare*sum {
 		n.breaks(
 			checker.Return,
--- a/internal/testkit/checker/judge.go
+++ b/internal/testkit/checker/judge.go
@@ -642,7 +642,7 @@
 			until = min(until, j.events[i+1+n].At)
 		}
 		seen := j.seen(b, out)
-		cold := upstream.Cold{At: b.At, Rate: b.Rate, Share: b.Share, Warm: b.For}
+		cold := upstream.WarmUp{StartedAt: b.At, FullCapacity: b.Rate, InitialCapacity: b.Share, Duration: b.For}
 		var window []*call
 		sum := 0.0
 		for _, c := range j.arrived {
@@ -655,7 +655,7 @@
 				sum -= cmp.Or(window[0].Weight, 1)
 				window = window[1:]
 			}
-			if sum <= upstream.Budget(j.Rules.FallMultiple, cold.Able(c.At), j.Rules.FallWindow) {
+			if sum <= upstream.OverloadBudget(j.Rules.FallMultiple, cold.CapacityAt(c.At), j.Rules.FallWindow) {
 				continue
 			}
 			knew, proof := 0.0, []int{began, i}
@@ -677,7 +677,7 @@
 					"%s, back since %v and able to do %.1f calls a second, was sent %.1f in %v, %.0f%% by relays that had seen it fail",
 					b.Place,
 					(c.At - b.At).Round(time.Millisecond),
-					cold.Able(c.At),
+					cold.CapacityAt(c.At),
 					sum,
 					j.Rules.FallWindow,
 					100*knew/sum,
--- a/internal/testkit/fake/host.go
+++ b/internal/testkit/fake/host.go
@@ -65,7 +65,7 @@
 		h.ports[relay] = port
 	}
 	w.hosts[e.ID] = h
-	p.Add(e.ID)
+	p.AddEndpoint(e.ID)
 	for relay, port := range h.ports {
 		w.served.Go(func() { port.serve(func(c net.Conn) { h.accepted(c, relay) }) })
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	h.stopped = true
-	h.place.Remove(h.ID)
+	h.place.RemoveEndpoint(h.ID)
 	h.reset()
 	for _, p := range h.ports {
 		p.hold()
@@ -270,7 +270,7 @@
 		}
 		r := request{call: n}
 		r.parse(req, body)
-		e.Kind, e.IDs, e.Weight = eventlog.Call, r.ids, c.host.place.Weight(len(r.ids))
+		e.Kind, e.IDs, e.Weight = eventlog.Call, r.ids, c.host.place.CallWeight(len(r.ids))
 		r.at = w.rec.Add(e)
 		select {
 		case reqs <- r:
@@ -447,19 +447,19 @@
 	if live == 0 {
 		return reply{status: http.StatusOK, states: states, slot: true}
 	}
-	fate := c.host.place.Arrive(w.rec.Now(), c.host.ID, live)
-	if fate.Fell {
+	fate := c.host.place.HandleCall(w.rec.Now(), c.host.ID, live)
+	if fate.CausedOverload {
 		hosts := w.placeHosts(c.host.Place)
 		w.rec.Add(eventlog.Event{Kind: eventlog.Fell, Place: c.host.Place, Dest: c.host.Dest, Hosts: hostIDs(hosts)})
 		w.able(c.host.place, 0, 0)
 	}
-	a := reply{after: fate.After, wait: fate.Wait.Round(time.Millisecond), lost: fate.Lost, slot: true}
+	a := reply{after: fate.Latency, wait: fate.RetryAfter.Round(time.Millisecond), lost: fate.ResponseLost, slot: true}
 	switch fate.Result {
-	case upstream.Mute:
+	case upstream.Unanswered:
 		a.mute = true
 	case upstream.Failed:
 		a.status = http.StatusInternalServerError
-	case upstream.Refused:
+	case upstream.Rejected:
 		a.status = http.StatusServiceUnavailable
 		if a.wait > 0 {
 			a.status = http.StatusTooManyRequests
--- a/internal/testkit/fake/world.go
+++ b/internal/testkit/fake/world.go
@@ -37,7 +37,7 @@
 }
 
 type place struct {
-	*upstream.Place
+	*upstream.Service
 	name   string
 	dest   int
 	outage string // its cause; "": in service
@@ -63,7 +63,7 @@
 		w.relays = append(w.relays, scenario.RelayName(i+1))
 	}
 	for _, p := range plan.Places {
-		w.places[p.Name] = &place{Place: upstream.New(p.Spec, p.Seed), name: p.Name, dest: p.Dest, slow: 1}
+		w.places[p.Name] = &place{Service: upstream.New(p.Spec, p.Seed), name: p.Name, dest: p.Dest, slow: 1}
 	}
 	return w
 }
@@ -104,8 +104,8 @@
 
 // able records what each host of a place can do from now on. mu is held.
 func (w *World) able(p *place, share float64, warm time.Duration) {
-	rate := p.PerEndpoint() / p.slow
-	if p.outage != "" || p.Fallen() {
+	rate := p.EndpointCapacity() / p.slow
+	if p.outage != "" || p.Overloaded() {
 		rate = 0
 	}
 	for _, h := range w.placeHosts(p.name) {
@@ -117,19 +117,19 @@
 func (w *World) Slow(name string, factor float64) error {
 	return w.change(name, func(p *place) {
 		p.slow = factor
-		p.Slow(factor)
+		p.SetSlowdown(factor)
 		w.able(p, 1, 0)
 	})
 }
 
 // Lower has a place take so many times less than its limit; 1 ends it.
 func (w *World) Lower(name string, factor float64) error {
-	return w.change(name, func(p *place) { p.Lower(factor) })
+	return w.change(name, func(p *place) { p.SetLimitDivisor(factor) })
 }
 
 // Lose has a share of a place's answers be lost; 0 ends it.
 func (w *World) Lose(name string, share float64) error {
-	return w.change(name, func(p *place) { p.Lose(share) })
+	return w.change(name, func(p *place) { p.SetResponseLossRatio(share) })
 }
 
 // Outage begins one of a place.
@@ -147,11 +147,11 @@
 		w.able(p, 1, 0)
 		switch op {
 		case scenario.OpFail:
-			p.Fail(share)
+			p.SetFailureRatio(share)
 		case scenario.OpShut:
-			p.Shut(w.rec.Now() + lasts)
+			p.Suspend(w.rec.Now() + lasts)
 		case scenario.OpMute:
-			p.Mute(true)
+			p.SetSilent(true)
 		}
 	})
 	for _, h := range hosts {
@@ -172,21 +172,21 @@
 	if err := w.change(name, func(p *place) {
 		hosts, cause = w.placeHosts(name), p.outage
 		p.outage = ""
-		if p.Fallen() {
+		if p.Overloaded() {
 			hosts = nil
 			return
 		}
-		p.Fail(0)
-		p.Open()
-		p.Mute(false)
+		p.SetFailureRatio(0)
+		p.Resume()
+		p.SetSilent(false)
 		if len(hosts) == 0 {
 			return // all were replaced meanwhile
 		}
-		cold := p.Return(w.rec.Now())
+		cold := p.Recover(w.rec.Now())
 		w.rec.Add(eventlog.Event{
-			Kind: eventlog.Back, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Rate: cold.Rate, Share: cold.Share, For: cold.Warm,
+			Kind: eventlog.Back, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Rate: cold.FullCapacity, Share: cold.InitialCapacity, For: cold.Duration,
 		})
-		w.able(p, cold.Share, cold.Warm)
+		w.able(p, cold.InitialCapacity, cold.Duration)
 	}); err != nil {
 		return err
 	}
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -151,14 +151,14 @@
 		dest int
 		got  []float64
 		able []float64
-		now  upstream.Cold
+		now  upstream.WarmUp
 		upTo int
 	}
 	hosts := map[string]*host{}
 	var order []*host
 	fill := func(h *host, to int) {
 		for ; h.upTo < to; h.upTo++ {
-			h.able[h.upTo] = h.now.Able(time.Duration(h.upTo)*t.Bin + t.Bin/2)
+			h.able[h.upTo] = h.now.CapacityAt(time.Duration(h.upTo)*t.Bin + t.Bin/2)
 		}
 	}
 	for _, e := range events {
@@ -171,7 +171,7 @@
 				order = append(order, h)
 			}
 			fill(h, t.At(e.At))
-			h.now = upstream.Cold{At: e.At, Rate: e.Rate, Share: e.Share, Warm: e.For}
+			h.now = upstream.WarmUp{StartedAt: e.At, FullCapacity: e.Rate, InitialCapacity: e.Share, Duration: e.For}
 		case eventlog.Call:
 			if h := hosts[e.Host]; h != nil {
 				h.got[t.At(e.At)] += 1 / t.Bin.Seconds()
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -193,7 +193,7 @@
 			}
 			weight := d.Rate
 			if kind.Limit == "none" {
-				weight = spec.PerEndpoint()
+				weight = spec.EndpointCapacity()
 				if !kind.Separate {
 					weight *= float64(d.Endpoints)
 				}
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -610,11 +610,11 @@
 // Spec is what the places of a kind are like, at a rate.
 func (f *File) Spec(k Kind, rate float64) upstream.Spec {
 	return upstream.Spec{
-		Pace: k.Pace.D(), Spread: k.Spread, Exponential: k.Law == "exponential", Slots: k.Slots, Queue: k.Queue.D(), ItemCost: k.ItemCost,
-		Limit: upstream.Limit(
+		ServiceTime: k.Pace.D(), ServiceTimeVariation: k.Spread, ExponentialServiceTime: k.Law == "exponential", MaxConcurrentCalls: k.Slots, MaxQueueTime: k.Queue.D(), ExtraMessageCost: k.ItemCost,
+		Limit: upstream.LimitKind(
 			k.Limit,
-		), Rate: rate, Window: k.Window.D(), TellsWait: k.TellsWait, LeastWait: k.Wait.D(), Counts: k.Counts, Debt: k.Debt.D(),
-		ColdShare: k.ColdFrom, Warm: k.Warm.D(), FallMultiple: f.Settings.FallMultiple, FallWindow: f.Settings.FallWindow.D(),
+		), LimitRate: rate, LimitWindow: k.Window.D(), RetryAfterRatio: k.TellsWait, MinRetryAfter: k.Wait.D(), CountsRejected: k.Counts, MaxDebt: k.Debt.D(),
+		WarmUpInitialCapacity: k.ColdFrom, WarmUpDuration: k.Warm.D(), OverloadFactor: f.Settings.FallMultiple, OverloadWindow: f.Settings.FallWindow.D(),
 	}
 }
 
--- a/internal/testkit/upstream/spec_text.go
+++ b/internal/testkit/upstream/spec_text.go
@@ -10,14 +10,14 @@
 // out, as in the plans that were drawn before there was one.
 func (s Spec) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "{Pace:%v Spread:%v Exponential:%v", s.Pace, s.Spread, s.Exponential)
-	fmt.Fprintf(&text, " Slots:%v Queue:%v ItemCost:%v", s.Slots, s.Queue, s.ItemCost)
-	fmt.Fprintf(&text, " Limit:%v Rate:%v Window:%v", s.Limit, s.Rate, s.Window)
-	fmt.Fprintf(&text, " TellsWait:%v LeastWait:%v Counts:%v", s.TellsWait, s.LeastWait, s.Counts)
-	if s.Debt != 0 {
-		fmt.Fprintf(&text, " Debt:%v", s.Debt)
+	fmt.Fprintf(&text, "{Pace:%v Spread:%v Exponential:%v", s.ServiceTime, s.ServiceTimeVariation, s.ExponentialServiceTime)
+	fmt.Fprintf(&text, " Slots:%v Queue:%v ItemCost:%v", s.MaxConcurrentCalls, s.MaxQueueTime, s.ExtraMessageCost)
+	fmt.Fprintf(&text, " Limit:%v Rate:%v Window:%v", s.Limit, s.LimitRate, s.LimitWindow)
+	fmt.Fprintf(&text, " TellsWait:%v LeastWait:%v Counts:%v", s.RetryAfterRatio, s.MinRetryAfter, s.CountsRejected)
+	if s.MaxDebt != 0 {
+		fmt.Fprintf(&text, " Debt:%v", s.MaxDebt)
 	}
-	fmt.Fprintf(&text, " ColdShare:%v Warm:%v", s.ColdShare, s.Warm)
-	fmt.Fprintf(&text, " FallMultiple:%v FallWindow:%v}", s.FallMultiple, s.FallWindow)
+	fmt.Fprintf(&text, " ColdShare:%v Warm:%v", s.WarmUpInitialCapacity, s.WarmUpDuration)
+	fmt.Fprintf(&text, " FallMultiple:%v FallWindow:%v}", s.OverloadFactor, s.OverloadWindow)
 	return text.String()
 }
