--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -293,7 +293,12 @@
 		for run := range 30 {
 			rng := engine.NewRandom(7, c.name, run)
 			p := upstream.New(upstream.Spec{
-				ServiceTime: 100 * time.Millisecond, ExponentialServiceTime: c.exponential, MaxConcurrentCalls: c.servers, MaxQueueTime: time.Hour, Limit: upstream.NoLimit, WarmUpInitialCapacity: 1,
+				ServiceTime:            100 * time.Millisecond,
+				ExponentialServiceTime: c.exponential,
+				MaxConcurrentCalls:     c.servers,
+				MaxQueueTime:           time.Hour,
+				Limit:                  upstream.NoLimit,
+				WarmUpInitialCapacity:  1,
 			}, rng.Uint64())
 			p.AddEndpoint("e")
 			at, sum, n := 0.0, 0.0, 0
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -607,14 +607,26 @@
 	}
 }
 
-// Spec is what the places of a kind are like, at a rate.
+// Spec returns the specification of the upstream services of a kind, at a limit's rate.
 func (f *File) Spec(k Kind, rate float64) upstream.Spec {
 	return upstream.Spec{
-		ServiceTime: k.Pace.D(), ServiceTimeVariation: k.Spread, ExponentialServiceTime: k.Law == "exponential", MaxConcurrentCalls: k.Slots, MaxQueueTime: k.Queue.D(), ExtraMessageCost: k.ItemCost,
-		Limit: upstream.LimitKind(
-			k.Limit,
-		), LimitRate: rate, LimitWindow: k.Window.D(), RetryAfterRatio: k.TellsWait, MinRetryAfter: k.Wait.D(), CountsRejected: k.Counts, MaxDebt: k.Debt.D(),
-		WarmUpInitialCapacity: k.ColdFrom, WarmUpDuration: k.Warm.D(), OverloadFactor: f.Settings.FallMultiple, OverloadWindow: f.Settings.FallWindow.D(),
+		ServiceTime:            k.Pace.D(),
+		ServiceTimeVariation:   k.Spread,
+		ExponentialServiceTime: k.Law == "exponential",
+		MaxConcurrentCalls:     k.Slots,
+		MaxQueueTime:           k.Queue.D(),
+		ExtraMessageCost:       k.ItemCost,
+		Limit:                  upstream.LimitKind(k.Limit),
+		LimitRate:              rate,
+		LimitWindow:            k.Window.D(),
+		RetryAfterRatio:        k.TellsWait,
+		MinRetryAfter:          k.Wait.D(),
+		CountsRejected:         k.Counts,
+		MaxDebt:                k.Debt.D(),
+		WarmUpInitialCapacity:  k.ColdFrom,
+		WarmUpDuration:         k.Warm.D(),
+		OverloadFactor:         f.Settings.FallMultiple,
+		OverloadWindow:         f.Settings.FallWindow.D(),
 	}
 }
 
--- /dev/null
+++ b/internal/testkit/upstream/limit.go
@@ -0,0 +1,90 @@
+package upstream
+
+import (
+	"math"
+	"time"
+)
+
+// LimitKind is how a service limits the rate of calls. The values are those of scenario files.
+type LimitKind string
+
+// The kinds of limit.
+const (
+	NoLimit     LimitKind = "none"
+	TokenBucket LimitKind = "rate"   // calls a second, with bursts up to burstRatio of a second's calls
+	FixedWindow LimitKind = "window" // calls in each window of a fixed length
+)
+
+// burstRatio is the size of a token bucket relative to the calls of one second.
+const burstRatio = 0.25
+
+// limiter is the state of a service's rate limit.
+type limiter struct {
+	tokens      float64       // TokenBucket; below 0 while rejected calls are in debt
+	refilledAt  time.Duration // TokenBucket
+	windowIndex int64         // FixedWindow
+	windowCalls int           // FixedWindow: calls served in the window
+}
+
+// effectiveLimitRate returns the limit under the present divisor, in calls a second.
+func (s *Service) effectiveLimitRate() float64 { return s.LimitRate / s.limitDivisor }
+
+// burstSize returns the size of the token bucket.
+func (s *Service) burstSize() float64 { return max(1, s.effectiveLimitRate()*burstRatio) }
+
+// maxDebtCalls returns how many tokens below zero rejected calls may take the bucket.
+func (s *Service) maxDebtCalls() float64 {
+	if s.MaxDebt > 0 {
+		return s.effectiveLimitRate() * s.MaxDebt.Seconds()
+	}
+	return s.burstSize()
+}
+
+// checkLimit reports whether the limit rejects a call at a time, and how long until it admits one.
+func (s *Service) checkLimit(at time.Duration) (wait time.Duration, limited bool) {
+	switch s.Limit {
+	case TokenBucket:
+		return s.checkTokenBucket(at)
+	case FixedWindow:
+		return s.checkFixedWindow(at)
+	case NoLimit:
+	}
+	return 0, false
+}
+
+func (s *Service) checkTokenBucket(at time.Duration) (wait time.Duration, limited bool) {
+	rate := s.effectiveLimitRate()
+	s.limiter.tokens = min(s.burstSize(), s.limiter.tokens+rate*(at-s.limiter.refilledAt).Seconds())
+	s.limiter.refilledAt = at
+	if s.limiter.tokens >= 1 {
+		return 0, false
+	}
+	if s.CountsRejected {
+		s.limiter.tokens = max(s.limiter.tokens-1, -s.maxDebtCalls())
+	}
+	return time.Duration((1 - s.limiter.tokens) / rate * float64(time.Second)), true
+}
+
+func (s *Service) checkFixedWindow(at time.Duration) (wait time.Duration, limited bool) {
+	index := int64(at / s.LimitWindow)
+	if index != s.limiter.windowIndex {
+		s.limiter.windowIndex = index
+		s.limiter.windowCalls = 0
+	}
+	maxCalls := math.Floor(s.effectiveLimitRate() * s.LimitWindow.Seconds())
+	if float64(s.limiter.windowCalls) < maxCalls {
+		return 0, false
+	}
+	return time.Duration(index+1)*s.LimitWindow - at, true
+}
+
+// consumeLimit counts a served call against the limit.
+func (s *Service) consumeLimit() {
+	switch s.Limit {
+	case TokenBucket:
+		s.limiter.tokens--
+	case FixedWindow:
+		s.limiter.windowCalls++
+	case NoLimit:
+	}
+}
