--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -224,7 +224,7 @@
 	c.done = true
 	delete(c.host.calls, c)
 	if c.came {
-		c.r.w.see(eventlog.Event{Kind: eventlog.Ended, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
+		c.r.w.see(eventlog.Event{Kind: eventlog.CallAborted, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
 	}
 }
 
@@ -251,13 +251,13 @@
 	c.came = true
 	if w.opts.Record {
 		e := eventlog.Event{
-			Kind:   eventlog.Call,
-			Call:   c.num,
-			Relay:  c.r.name,
-			Host:   h.ID,
-			First:  w.Now(),
-			Dest:   h.Dest,
-			Weight: h.place.CallWeight(len(c.atts)),
+			Kind:        eventlog.CallReceived,
+			Call:        c.num,
+			Relay:       c.r.name,
+			Host:        h.ID,
+			FirstByteAt: w.Now(),
+			Destination: h.Dest,
+			Weight:      h.place.CallWeight(len(c.atts)),
 		}
 		for i := range c.atts {
 			e.IDs = append(e.IDs, c.atts[i].m.name)
@@ -287,7 +287,7 @@
 	fate := h.place.HandleCall(w.Now(), h.ID, live)
 	if fate.CausedOverload {
 		w.Fell++
-		w.see(eventlog.Event{Kind: eventlog.Fell, Place: h.place.Name, Dest: h.Dest, Hosts: ids(h.place.standing())})
+		w.see(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.place.Name, Destination: h.Dest, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
 	if fate.Result != upstream.Unanswered && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
@@ -322,7 +322,7 @@
 		}
 		c.done = true
 		delete(h.calls, c)
-		e := eventlog.Event{Kind: eventlog.Reply, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, Wait: wait}
+		e := eventlog.Event{Kind: eventlog.CallAnswered, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, RetryAfter: wait}
 		switch outcome {
 		case policy.Overloaded:
 			w.CallsFull++
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -70,12 +70,12 @@
 	w := t.w
 	r := w.relays[t.Relay]
 	w.see(eventlog.Event{
-		Kind: eventlog.Offer, ID: t.ID, Origin: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
 		For: t.deadline - w.Now(),
 	})
 	if !r.takes {
 		w.Unanswered++
-		w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseUnsent})
+		w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseNotSent})
 		r.waiting = append(r.waiting, t)
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 	t.over = true
 	w.Unanswered++
-	w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
+	w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
 	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.NonIdempotent {
 		return
 	}
@@ -110,7 +110,7 @@
 	t.over = true
 	w := t.w
 	w.ScheduleAfter(w.opts.Latency, func() {
-		w.see(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: r.name, Status: status, Wait: advice})
+		w.see(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: r.name, Status: status, RetryAfter: advice})
 		switch status {
 		case statusFailed:
 			w.Failed++
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -281,7 +281,7 @@
 	var all []come
 	first := 0
 	for _, e := range w.events {
-		if e.Kind != eventlog.Call || w.hosts[e.Host].place != p || e.At < back || e.At >= back+d.warm {
+		if e.Kind != eventlog.CallReceived || w.hosts[e.Host].place != p || e.At < back || e.At >= back+d.warm {
 			continue
 		}
 		at := told[w.relay(e.Relay).n]
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -233,7 +233,7 @@
 	}
 	lost := 0
 	for _, e := range w.events {
-		if e.Kind == eventlog.Ended && e.Cause == eventlog.CauseHost {
+		if e.Kind == eventlog.CallAborted && e.Cause == eventlog.CauseHost {
 			lost++
 		}
 	}
@@ -360,7 +360,7 @@
 	)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
-	w.see(eventlog.Event{Kind: eventlog.End})
+	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
 	if f := v.Finding(checker.Wait); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -541,7 +541,7 @@
 			}
 			n.w.see(
 				eventlog.Event{
-					Kind:   eventlog.Belief,
+					Kind:   eventlog.PeerView,
 					Relay:  r.name,
 					Name:   o.name,
 					State:  "listed",
@@ -641,7 +641,7 @@
 	text := fmt.Sprintf(format, args...)
 	if n.Wrong = append(n.Wrong, kind); !n.wrongs[kind] {
 		n.wrongs[kind] = true
-		n.w.see(eventlog.Event{Kind: eventlog.Fault, Cause: text})
+		n.w.see(eventlog.Event{Kind: eventlog.RunInvalid, Cause: text})
 	}
 }
 
@@ -655,10 +655,10 @@
 	case scenario.OpLinkCut:
 		state = eventlog.LinkCut
 	case scenario.OpLinkSound:
-		state = eventlog.LinkSound
+		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(s.Target)
-	n.w.see(eventlog.Event{Kind: eventlog.Link, Relay: from, Name: to, State: state, Cause: string(s.Op)})
+	n.w.see(eventlog.Event{Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state, Cause: string(s.Op)})
 	n.links[s.Target] = s
 }
 
@@ -671,7 +671,7 @@
 	if on {
 		state = eventlog.StateStop
 	}
-	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
+	r.w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
 	if r.frozen = on; on {
 		return
 	}
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -130,7 +130,7 @@
 	if !r.up {
 		return // the next process begins with it
 	}
-	w.see(eventlog.Event{Kind: eventlog.Told, Relay: r.name, Host: h.ID, State: c.state, Dest: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Dest})
 	if r.large() && c.more > 0 {
 		r.working.EndpointAdded(h.Dest, r.now())
 	}
--- a/internal/simulation/emulate/measures.go
+++ b/internal/simulation/emulate/measures.go
@@ -49,9 +49,9 @@
 }
 
 func (w *World) worthOf(x *ask) float64 {
-	worth := w.classes[x.class].Worth
+	worth := w.classes[x.class].Weight
 	if x.over {
-		worth *= w.header.Rules.OverShareWorth
+		worth *= w.header.Rules.OverShareWeightRatio
 	}
 	return worth
 }
@@ -75,7 +75,7 @@
 	}
 	c := w.classes[x.class]
 	took := w.Now() - x.at
-	if took <= c.Aim {
+	if took <= c.LatencyObjective {
 		w.InFull++
 	} else {
 		w.InPart++
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -170,7 +170,7 @@
 // start starts a process on what the one before it left in the journal.
 func (r *relay) start() {
 	w := r.w
-	w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateStart})
+	w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateStart})
 	r.life++
 	r.up, r.ending, r.noSends, r.planned = true, false, false, false
 	r.epoch, r.last, r.wakeAt, r.standsAt = w.Now()-moduleStart, 0, 0, 0
@@ -190,7 +190,7 @@
 	}
 	begin := func() {
 		r.takes = true
-		w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateUp})
+		w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateUp})
 		waiting := r.waiting
 		r.waiting = nil
 		for _, t := range waiting {
@@ -500,11 +500,11 @@
 		if r.wrong.mute(r, m) {
 			return
 		}
-		state := eventlog.Undeliverable
+		state := eventlog.StateUndeliverable
 		if m.final.deferred {
-			state = eventlog.Deferred
+			state = eventlog.StateDeferred
 		}
-		w.see(eventlog.Event{Kind: eventlog.Notice, Relay: r.name, ID: m.name, State: state, Wait: m.final.again})
+		w.see(eventlog.Event{Kind: eventlog.MessageNotice, Relay: r.name, ID: m.name, State: state, RetryAfter: m.final.again})
 		r.in(w.opts.Latency, func() { r.end(m) }) // confirmed
 	})
 }
@@ -538,7 +538,7 @@
 	if !r.up || r.ending {
 		return
 	}
-	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateTerm})
+	r.w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateTerm})
 	r.ending = true
 	r.in(frontNotices, func() { r.takes = false })
 	r.in(acceptFor, r.idle)
@@ -566,7 +566,7 @@
 	if !r.up {
 		return
 	}
-	r.w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateKill})
+	r.w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateKill})
 	if !r.dies {
 		r.noteStanding()
 	}
@@ -585,7 +585,7 @@
 	w := r.w
 	r.up, r.takes, r.frozen = false, false, false
 	r.life++
-	w.see(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateExit})
+	w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateExit})
 	for _, in := range r.ins {
 		in.t.broken(r)
 	}
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -134,7 +134,7 @@
 		n := 0
 		w.Every(0, 80*time.Second, 1, func() { n++; w.Offer(scenario.Arrival{Dest: 2 + n%39}) })
 		w.run(t, 100*time.Second)
-		w.see(eventlog.Event{Kind: eventlog.End})
+		w.see(eventlog.Event{Kind: eventlog.RunEnded})
 		if f := judged(t, w.World).Finding(checker.Wait); (f.State == checker.Broken) != forgets || f.Exercised == 0 {
 			t.Errorf("forgets %v: %+v", forgets, f)
 		}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -197,8 +197,8 @@
 	}
 	w.SetMaxEvents(opts.EventsMost)
 	w.header = plan.File.Header(plan.Seed)
-	w.header.Format, w.header.Plan = eventlog.Format, plan.Digest()
-	w.header.Began = time.Unix(0, 0).UTC()
+	w.header.Format, w.header.PlanDigest = eventlog.FormatVersion, plan.Digest()
+	w.header.StartedAt = time.Unix(0, 0).UTC()
 	w.Measures.init(w.header.Classes, w.length)
 	w.shares = checker.NewShares(w.header)
 	for _, p := range plan.Places {
@@ -276,7 +276,7 @@
 
 // see adds an event to the record, at this moment.
 func (w *World) see(e eventlog.Event) {
-	if w.opts.Record && len(w.events) < eventlog.EventsMost {
+	if w.opts.Record && len(w.events) < eventlog.MaxEvents {
 		e.At = w.Now()
 		w.events = append(w.events, e)
 	}
@@ -312,10 +312,10 @@
 	if err := w.Run(w.length + longest + checker.FinalWithin + checker.Slack + time.Second); err != nil {
 		return err
 	}
-	if w.opts.Record && len(w.events) >= eventlog.EventsMost {
+	if w.opts.Record && len(w.events) >= eventlog.MaxEvents {
 		return ErrRecord
 	}
-	w.see(eventlog.Event{Kind: eventlog.End})
+	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	return nil
 }
 
@@ -363,9 +363,9 @@
 func (w *World) do(s scenario.Step) {
 	switch s.Op {
 	case scenario.OpBegins:
-		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
 	case scenario.OpEnds:
-		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
 	case scenario.OpList:
 		w.List(w.later[s.Target])
 	case scenario.OpDrain:
@@ -411,7 +411,7 @@
 		scenario.OpLinkSound:
 		w.fleet.setLink(s)
 	case scenario.OpHUP:
-		w.see(eventlog.Event{Kind: eventlog.Process, Relay: s.Target, State: eventlog.StateHUP})
+		w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: s.Target, State: eventlog.StateHUP})
 	}
 }
 
@@ -463,7 +463,7 @@
 	if e.Place == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.see(eventlog.Event{Kind: eventlog.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
+	w.see(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Dest, Zone: e.Zone, Place: place, State: state})
 }
 
 // standing are a place's hosts that run.
@@ -494,7 +494,7 @@
 		rate = 0
 	}
 	for _, h := range p.standing() {
-		w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: p.Dest, Rate: rate, Share: share, For: warm})
+		w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Dest, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -506,7 +506,7 @@
 	h.stopped = true
 	h.place.RemoveEndpoint(h.ID)
 	w.reset(h)
-	w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Dest})
 }
 
 // reset breaks all connections of a host.
@@ -537,7 +537,7 @@
 		return // it is out already: the first outage's end ends both
 	}
 	p.outage = op.Cause()
-	w.see(eventlog.Event{Kind: eventlog.Outage, Place: name, Dest: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
+	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
 	w.able(p, 1, 0)
 	switch op {
 	case scenario.OpFail:
@@ -575,13 +575,13 @@
 	cold := p.Recover(w.Now())
 	w.see(
 		eventlog.Event{
-			Kind:  eventlog.Back,
-			Place: name,
-			Dest:  p.Dest,
-			Hosts: ids(hosts),
-			Rate:  cold.FullCapacity,
-			Share: cold.InitialCapacity,
-			For:   cold.Duration,
+			Kind:        eventlog.OutageEnded,
+			Place:       name,
+			Destination: p.Dest,
+			Hosts:       ids(hosts),
+			Rate:        cold.FullCapacity,
+			Share:       cold.InitialCapacity,
+			For:         cold.Duration,
 		},
 	)
 	w.able(p, cold.InitialCapacity, cold.Duration)
--- a/internal/testkit/checker/fleet.go
+++ b/internal/testkit/checker/fleet.go
@@ -123,7 +123,7 @@
 
 // beliefs judges what relays said that they hold of each other; nil if none was asked.
 func (j *judge) beliefs() *Beliefs {
-	if !slices.ContainsFunc(j.events, func(e eventlog.Event) bool { return e.Kind == eventlog.Belief }) {
+	if !slices.ContainsFunc(j.events, func(e eventlog.Event) bool { return e.Kind == eventlog.PeerView }) {
 		return nil
 	}
 	b := &Beliefs{
@@ -142,22 +142,22 @@
 		r := index(e.Relay)
 		switch {
 		case r < 0:
-		case e.Kind == eventlog.Offer:
+		case e.Kind == eventlog.MessageSubmitted:
 			offered[r] = e.At
-		case e.Kind == eventlog.Process:
+		case e.Kind == eventlog.ProcessChanged:
 			switch e.State {
 			case eventlog.StateStart, eventlog.StateCont:
 				change(e.At, func() { t.runs[r] = true })
 			case eventlog.StateExit, eventlog.StateStop, eventlog.StateKill:
 				change(e.At, func() { t.runs[r] = false })
 			}
-		case e.Kind == eventlog.Link && index(e.Name) >= 0:
+		case e.Kind == eventlog.LinkChanged && index(e.Name) >= 0:
 			o := index(e.Name)
 			change(
 				e.At,
 				func() { t.cut[r][o], t.bad[r][o] = e.State == eventlog.LinkCut, e.State == eventlog.LinkFaulty },
 			)
-		case e.Kind == eventlog.Belief && index(e.Name) >= 0:
+		case e.Kind == eventlog.PeerView && index(e.Name) >= 0:
 			o := index(e.Name)
 			t.until(e.At)
 			b.Asked++
@@ -166,7 +166,7 @@
 				b.Apart++
 			}
 			b.Young.Exercised++
-			if e.For >= 0 && e.At-e.Late-e.For > t.known[r][o]+beliefSlack {
+			if e.For >= 0 && e.At-e.Delay-e.For > t.known[r][o]+beliefSlack {
 				b.Young.broken(
 					e.At,
 					[]int{i},
--- a/internal/testkit/checker/fleet_test.go
+++ b/internal/testkit/checker/fleet_test.go
@@ -10,21 +10,21 @@
 // What relays believe is judged by what they can know at best: directly, or over others, and nothing over a cut.
 func TestBeliefs(t *testing.T) {
 	const s = time.Second
-	h := eventlog.Header{Format: eventlog.Format, Length: 100 * s, Relays: []string{"a", "b", "c"}}
+	h := eventlog.Header{Format: eventlog.FormatVersion, Duration: 100 * s, Relays: []string{"a", "b", "c"}}
 	start := func(at time.Duration, r string) eventlog.Event {
-		return eventlog.Event{At: at, Kind: eventlog.Process, Relay: r, State: eventlog.StateStart}
+		return eventlog.Event{At: at, Kind: eventlog.ProcessChanged, Relay: r, State: eventlog.StateStart}
 	}
 	process := func(at time.Duration, r, state string) eventlog.Event {
-		return eventlog.Event{At: at, Kind: eventlog.Process, Relay: r, State: state}
+		return eventlog.Event{At: at, Kind: eventlog.ProcessChanged, Relay: r, State: state}
 	}
 	link := func(at time.Duration, from, to, state string) eventlog.Event {
-		return eventlog.Event{At: at, Kind: eventlog.Link, Relay: from, Name: to, State: state}
+		return eventlog.Event{At: at, Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state}
 	}
 	belief := func(at time.Duration, r, of string, age time.Duration) eventlog.Event {
-		return eventlog.Event{At: at, Kind: eventlog.Belief, Relay: r, Name: of, For: age}
+		return eventlog.Event{At: at, Kind: eventlog.PeerView, Relay: r, Name: of, For: age}
 	}
 	offer := func(at time.Duration, r string) eventlog.Event {
-		return eventlog.Event{At: at, Kind: eventlog.Offer, Relay: r, ID: "x"}
+		return eventlog.Event{At: at, Kind: eventlog.MessageSubmitted, Relay: r, ID: "x"}
 	}
 	up := []eventlog.Event{start(0, "a"), start(0, "b"), start(0, "c")}
 	for name, c := range map[string]struct {
@@ -50,14 +50,14 @@
 		"heard long ago":               {[]eventlog.Event{offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 1},
 		"with nothing to be told":      {[]eventlog.Event{belief(40*s, "a", "b", 20*s)}, 0, 0},
 		"over a link that loses much":  {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkFaulty), offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 0},
-		"soon after the links healed":  {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(30*s, "b", "a", eventlog.LinkSound), offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 0},
-		"what waited came when it did": {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), link(30*s, "b", "c", eventlog.LinkSound), belief(31*s, "a", "b", s/2)}, 0, 0},
+		"soon after the links healed":  {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(30*s, "b", "a", eventlog.LinkHealthy), offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 0},
+		"what waited came when it did": {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), link(30*s, "b", "c", eventlog.LinkHealthy), belief(31*s, "a", "b", s/2)}, 0, 0},
 	} {
 		v := Judge(
 			h,
 			append(
 				append(append([]eventlog.Event(nil), up...), c.events...),
-				eventlog.Event{At: 90 * s, Kind: eventlog.End},
+				eventlog.Event{At: 90 * s, Kind: eventlog.RunEnded},
 			),
 		)
 		if v.Beliefs == nil || v.Beliefs.Young.Count != c.young || v.Beliefs.Deaf.Count != c.deaf {
--- a/internal/testkit/checker/judge.go
+++ b/internal/testkit/checker/judge.go
@@ -223,54 +223,54 @@
 	for i, e := range j.events {
 		j.end = e.At
 		switch e.Kind {
-		case eventlog.Offer:
+		case eventlog.MessageSubmitted:
 			m := &message{Event: e, index: i, heard: -1, unheard: -1}
 			if e.Class >= 0 && e.Class < len(j.Classes) {
 				m.class = j.Classes[e.Class]
 			}
 			j.messages[e.ID] = m
 			j.order = append(j.order, m)
-			late = append(late, e.Late)
-		case eventlog.Heard:
+			late = append(late, e.Delay)
+		case eventlog.SubmissionAnswered:
 			if m := j.messages[e.ID]; m != nil {
 				m.heard = i
 			}
-		case eventlog.Unheard:
+		case eventlog.SubmissionUnanswered:
 			if m := j.messages[e.ID]; m != nil {
 				m.unheard = i
 			}
-		case eventlog.Call, eventlog.Broken:
+		case eventlog.CallReceived, eventlog.CallTruncated:
 			j.readCall(i, e)
-		case eventlog.Reply:
+		case eventlog.CallAnswered:
 			if c := j.calls[e.Call]; c != nil && c.reply < 0 {
 				c.reply = i
 			}
-		case eventlog.Ended:
+		case eventlog.CallAborted:
 			if c := j.calls[e.Call]; c != nil && c.ended < 0 {
 				c.ended = i
 			}
-		case eventlog.Notice:
+		case eventlog.MessageNotice:
 			if m := j.messages[e.ID]; m != nil {
 				m.notices = append(m.notices, i)
 			} else {
 				j.fault(e.At, []int{i}, "%s sent a notice for message %s, which nobody handed in", e.Relay, e.ID)
 			}
-		case eventlog.Change:
-			j.hosts[e.Host] = host{e.Zone, cmp.Or(e.Place, fmt.Sprint(e.Dest)), e.Dest}
-		case eventlog.Process:
+		case eventlog.EndpointChanged:
+			j.hosts[e.Host] = host{e.Zone, cmp.Or(e.Place, fmt.Sprint(e.Destination)), e.Destination}
+		case eventlog.ProcessChanged:
 			j.readProcess(e)
-		case eventlog.Clock:
+		case eventlog.ClockStepped:
 			j.verdict.Steps++
-		case eventlog.Fault:
+		case eventlog.RunInvalid:
 			j.fault(e.At, []int{i}, "%s", e.Cause)
-		case eventlog.End:
+		case eventlog.RunEnded:
 			whole = e.Cause == ""
 			if !whole {
 				j.verdict.Doubts = append(j.verdict.Doubts, "the run was cut short: "+e.Cause)
 			}
 		}
 	}
-	slices.SortStableFunc(j.all, func(a, b *call) int { return cmp.Compare(a.First, b.First) })
+	slices.SortStableFunc(j.all, func(a, b *call) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
 	if !whole && len(j.verdict.Doubts) == 0 {
 		j.verdict.Doubts = append(j.verdict.Doubts, "the record has no end: its writer was killed")
 	}
@@ -284,7 +284,7 @@
 }
 
 func (j *judge) readCall(i int, e eventlog.Event) {
-	c := &call{Event: e, index: i, whole: e.Kind == eventlog.Call, reply: -1, ended: -1}
+	c := &call{Event: e, index: i, whole: e.Kind == eventlog.CallReceived, reply: -1, ended: -1}
 	j.calls[e.Call] = c
 	j.all = append(j.all, c)
 	if !c.whole {
@@ -299,13 +299,13 @@
 			continue
 		case m.Relay != e.Relay:
 			j.fault(e.At, []int{m.index, i}, "%s sent message %s, which was handed in to %s", e.Relay, id, m.Relay)
-		case m.Dest != j.hosts[e.Host].dest:
+		case m.Destination != j.hosts[e.Host].dest:
 			j.fault(
 				e.At,
 				[]int{m.index, i},
 				"message %s for destination %d went to %s of destination %d",
 				id,
-				m.Dest,
+				m.Destination,
 				e.Host,
 				j.hosts[e.Host].dest,
 			)
@@ -393,8 +393,8 @@
 
 // refused tells whether the client was told to come again.
 func refused(e eventlog.Event) bool {
-	return e.Kind == eventlog.Heard && (e.Status == 429 || e.Status == 503) ||
-		e.Kind == eventlog.Notice && e.State == eventlog.Deferred
+	return e.Kind == eventlog.SubmissionAnswered && (e.Status == 429 || e.Status == 503) ||
+		e.Kind == eventlog.MessageNotice && e.State == eventlog.StateDeferred
 }
 
 // delivered is when a message was delivered first.
@@ -445,14 +445,14 @@
 			}
 		}
 		for _, a := range m.attempts {
-			if over != never && a.First > over+Slack {
+			if over != never && a.FirstByteAt > over+Slack {
 				f.broken(
-					a.First,
+					a.FirstByteAt,
 					[]int{m.index, overBy, a.index},
 					"message %s was sent to %s %v after its end",
 					m.ID,
 					a.Host,
-					a.First-over,
+					a.FirstByteAt-over,
 				)
 				break
 			}
@@ -509,7 +509,7 @@
 				}
 			}
 		}
-		mayRefuse := m.class.Effect == eventlog.Safe || m.class.Effect == eventlog.Keyed && m.class.GroupAll
+		mayRefuse := m.class.Effect == eventlog.Idempotent || m.class.Effect == eventlog.IdempotentByKey && m.class.DedupAcrossZones
 		for _, n := range append(slices.Clone(m.notices), m.heard) {
 			if n < 0 || mayRefuse || !refused(j.events[n]) {
 				continue
@@ -537,27 +537,27 @@
 
 // repeat judges attempt b of a message beside an earlier one.
 func (j *judge) repeat(f *Finding, m *message, a, b attempt) {
-	o, _ := j.outcome(a, b.First)
+	o, _ := j.outcome(a, b.FirstByteAt)
 	proof := []int{m.index, a.index, b.index}
-	if o == open && !j.Rules.MayDuplicate {
-		f.broken(b.First, proof, "message %s was sent to %s while a call to %s was out", m.ID, b.Host, a.Host)
+	if o == open && !j.Rules.DuplicatesAllowed {
+		f.broken(b.FirstByteAt, proof, "message %s was sent to %s while a call to %s was out", m.ID, b.Host, a.Host)
 		return
 	}
 	if o == neverRan {
 		return
 	}
 	switch m.class.Effect {
-	case eventlog.Safe:
-	case eventlog.Keyed:
+	case eventlog.Idempotent:
+	case eventlog.IdempotentByKey:
 		za, zb := j.hosts[a.Host].zone, j.hosts[b.Host].zone
-		if late := b.First - a.First - m.class.Window; late > Slack {
-			f.broken(b.First, proof, "message %s was repeated %v after its window of %v", m.ID, late, m.class.Window)
-		} else if za != zb && !m.class.GroupAll {
-			f.broken(b.First, proof, "message %s may have run in zone %s and was repeated in zone %s", m.ID, za, zb)
+		if late := b.FirstByteAt - a.FirstByteAt - m.class.DedupWindow; late > Slack {
+			f.broken(b.FirstByteAt, proof, "message %s was repeated %v after its window of %v", m.ID, late, m.class.DedupWindow)
+		} else if za != zb && !m.class.DedupAcrossZones {
+			f.broken(b.FirstByteAt, proof, "message %s may have run in zone %s and was repeated in zone %s", m.ID, za, zb)
 		}
 	default:
 		f.broken(
-			b.First,
+			b.FirstByteAt,
 			proof,
 			"message %s must not be repeated, may have run at %s, and was sent to %s",
 			m.ID,
@@ -576,7 +576,7 @@
 	}
 	closed := map[key][]told{} // from when the relay was told until it was told otherwise
 	for i, e := range j.events {
-		if e.Kind != eventlog.Told {
+		if e.Kind != eventlog.RelayNotified {
 			continue
 		}
 		k := key{e.Relay, e.Host}
@@ -591,14 +591,14 @@
 	}
 	for _, c := range j.all {
 		for _, t := range closed[key{c.Relay, c.Host}] {
-			if by := t.from + j.Rules.DrainGrace + Slack; c.First > by && c.First < t.to {
+			if by := t.from + j.Rules.DrainGrace + Slack; c.FirstByteAt > by && c.FirstByteAt < t.to {
 				f.broken(
-					c.First,
+					c.FirstByteAt,
 					[]int{t.index, c.index},
 					"%s was sent to by %s %v after this was told that it is no longer in service",
 					c.Host,
 					c.Relay,
-					(c.First - t.from).Round(time.Millisecond),
+					(c.FirstByteAt - t.from).Round(time.Millisecond),
 				)
 			}
 		}
@@ -606,12 +606,12 @@
 	// Only a relay that had something to send there was put to the test.
 	last := map[key]time.Duration{}
 	for _, m := range j.order {
-		k := key{m.Relay, fmt.Sprint(m.Dest)}
+		k := key{m.Relay, fmt.Sprint(m.Destination)}
 		last[k] = max(last[k], m.At)
 	}
 	for _, c := range j.all {
 		k := key{c.Relay, fmt.Sprint(j.hosts[c.Host].dest)}
-		last[k] = max(last[k], c.First)
+		last[k] = max(last[k], c.FirstByteAt)
 	}
 	for k, list := range closed {
 		for _, t := range list {
@@ -624,11 +624,11 @@
 
 // back checks that no place that came back cold was pushed over by relays that knew.
 func (j *judge) back(f *Finding) {
-	if j.Rules.FallMultiple <= 0 {
+	if j.Rules.OverloadFactor <= 0 {
 		return
 	}
 	for i, b := range j.events {
-		if b.Kind != eventlog.Back {
+		if b.Kind != eventlog.OutageEnded {
 			continue
 		}
 		began, out := j.outage(i, b)
@@ -637,7 +637,7 @@
 		}
 		until := b.At + b.For
 		if n := slices.IndexFunc(j.events[i+1:], func(e eventlog.Event) bool {
-			return e.Kind == eventlog.Outage && e.Place == b.Place
+			return e.Kind == eventlog.OutageStarted && e.Place == b.Place
 		}); n >= 0 {
 			until = min(until, j.events[i+1+n].At)
 		}
@@ -651,11 +651,11 @@
 			}
 			window = append(window, c)
 			sum += cmp.Or(c.Weight, 1)
-			for window[0].At <= c.At-j.Rules.FallWindow {
+			for window[0].At <= c.At-j.Rules.OverloadWindow {
 				sum -= cmp.Or(window[0].Weight, 1)
 				window = window[1:]
 			}
-			if sum <= upstream.OverloadBudget(j.Rules.FallMultiple, cold.CapacityAt(c.At), j.Rules.FallWindow) {
+			if sum <= upstream.OverloadBudget(j.Rules.OverloadFactor, cold.CapacityAt(c.At), j.Rules.OverloadWindow) {
 				continue
 			}
 			knew, proof := 0.0, []int{began, i}
@@ -679,7 +679,7 @@
 					(c.At - b.At).Round(time.Millisecond),
 					cold.CapacityAt(c.At),
 					sum,
-					j.Rules.FallWindow,
+					j.Rules.OverloadWindow,
 					100*knew/sum,
 				)
 			}
@@ -696,7 +696,7 @@
 // outage is what a place came back from.
 func (j *judge) outage(back int, b eventlog.Event) (int, eventlog.Event) {
 	for i := back - 1; i >= 0; i-- {
-		if e := j.events[i]; e.Kind == eventlog.Outage && e.Place == b.Place {
+		if e := j.events[i]; e.Kind == eventlog.OutageStarted && e.Place == b.Place {
 			return i, e
 		}
 	}
@@ -735,7 +735,7 @@
 	}
 	if out.Cause == eventlog.OutageDown {
 		for _, m := range j.order {
-			if during(m.At) && m.Dest == b.Dest && j.taken(m) {
+			if during(m.At) && m.Destination == b.Destination && j.taken(m) {
 				note(m.Relay, m.index)
 			}
 		}
@@ -748,8 +748,8 @@
 	type key struct{ relay, order string }
 	turns := map[key][]*message{}
 	for _, m := range j.order {
-		if m.class.Ordered && m.Order != "" && m.unheard < 0 {
-			turns[key{m.Relay, m.Order}] = append(turns[key{m.Relay, m.Order}], m)
+		if m.class.Ordered && m.OrderingKey != "" && m.unheard < 0 {
+			turns[key{m.Relay, m.OrderingKey}] = append(turns[key{m.Relay, m.OrderingKey}], m)
 		}
 	}
 	for k, ms := range turns {
@@ -758,13 +758,13 @@
 				// Which of two came first is certain only where the one was taken on before the other was offered. A
 				// restart frees the order: what came before it is no more counted.
 				if !j.taken(earlier) || j.events[earlier.heard].At > later.At || len(later.attempts) == 0 ||
-					j.startedBetween(k.relay, earlier.At, later.attempts[0].First) {
+					j.startedBetween(k.relay, earlier.At, later.attempts[0].FirstByteAt) {
 					continue
 				}
 				f.Exercised++
 				if event, text := j.outOfTurn(earlier, later); text != "" {
 					f.broken(
-						later.attempts[0].First,
+						later.attempts[0].FirstByteAt,
 						[]int{earlier.index, later.index, event},
 						"key %s: message %s was sent while %s %s",
 						k.order,
@@ -785,14 +785,14 @@
 		over = min(over, j.events[n].At-Slack) // it was decided before it was told
 	}
 	for _, b := range later.attempts {
-		if b.First < over {
+		if b.FirstByteAt < over {
 			return b.index, "was unfinished"
 		}
 		for _, a := range earlier.attempts {
-			if a.First > b.First {
+			if a.FirstByteAt > b.FirstByteAt {
 				continue
 			}
-			o, at := j.outcome(a, b.First)
+			o, at := j.outcome(a, b.FirstByteAt)
 			if len(a.IDs) > 1 && (o == open || o == mayRun && a.reply < 0) {
 				// One message of several may be cut off while its call goes on for the others, at any time since it was
 				// sent, and its key rests from then. No host can see when that was.
@@ -801,7 +801,7 @@
 			switch {
 			case o == open:
 				return b.index, "had a call out"
-			case o == mayRun && a.reply < 0 && b.First < at+j.Rules.OrderPause:
+			case o == mayRun && a.reply < 0 && b.FirstByteAt < at+j.Rules.OrderingPause:
 				return b.index, "had a call that may still run"
 			}
 		}
@@ -820,16 +820,16 @@
 	for i, e := range j.events {
 		k := key{e.Relay, j.hosts[e.Host].place}
 		switch {
-		case e.Kind == eventlog.Reply && e.Wait > WaitLetsBy:
+		case e.Kind == eventlog.CallAnswered && e.RetryAfter > WaitLetsBy:
 			f.Exercised++
-			waits[k] = append(waits[k], told{span{e.At + WaitLetsBy, e.At + e.Wait - waitRounding}, i})
-		case e.Kind == eventlog.Process && e.State == eventlog.StateStart:
+			waits[k] = append(waits[k], told{span{e.At + WaitLetsBy, e.At + e.RetryAfter - waitRounding}, i})
+		case e.Kind == eventlog.ProcessChanged && e.State == eventlog.StateStart:
 			for k := range waits {
 				if k.relay == e.Relay {
 					delete(waits, k)
 				}
 			}
-		case e.Kind == eventlog.Call:
+		case e.Kind == eventlog.CallReceived:
 			waits[k] = slices.DeleteFunc(waits[k], func(t told) bool { return t.to <= e.At })
 			for _, t := range waits[k] {
 				if e.At > t.from {
--- a/internal/testkit/checker/judge_test.go
+++ b/internal/testkit/checker/judge_test.go
@@ -30,26 +30,26 @@
 
 func header() eventlog.Header {
 	class := func(name string, e eventlog.Effect) eventlog.Class {
-		return eventlog.Class{Name: name, Effect: e, Aim: 3 * second, GiveUp: 16 * second, Worth: 1, LateWorth: 0.4}
+		return eventlog.Class{Name: name, Effect: e, LatencyObjective: 3 * second, Deadline: 16 * second, Weight: 1, LateWeightRatio: 0.4}
 	}
 	h := eventlog.Header{
-		Format: eventlog.Format, Scenario: "scripted", Length: 60 * second, Relays: []string{"r1", "r2"},
+		Format: eventlog.FormatVersion, Scenario: "scripted", Duration: 60 * second, Relays: []string{"r1", "r2"},
 		Rules: eventlog.Rules{
-			DrainGrace:     second,
-			FallMultiple:   2,
-			FallWindow:     3 * second,
-			OrderPause:     second,
-			MayDuplicate:   true,
-			OverShareWorth: 0.2,
+			DrainGrace:           second,
+			OverloadFactor:       2,
+			OverloadWindow:       3 * second,
+			OrderingPause:        second,
+			DuplicatesAllowed:    true,
+			OverShareWeightRatio: 0.2,
 		},
 		Classes: []eventlog.Class{
-			class("keyed", eventlog.Keyed), class("unsafe", eventlog.Unsafe), class("safe", eventlog.Safe),
-			class("ordered", eventlog.Safe), class("keyedAll", eventlog.Keyed),
+			class("keyed", eventlog.IdempotentByKey), class("unsafe", eventlog.NonIdempotent), class("safe", eventlog.Idempotent),
+			class("ordered", eventlog.Idempotent), class("keyedAll", eventlog.IdempotentByKey),
 		},
 		Customers: []eventlog.Customer{{Name: "acme"}, {Name: "bolt"}},
 	}
-	h.Classes[keyed].Window, h.Classes[keyedAll].Window = 10*second, 10*second
-	h.Classes[keyedAll].GroupAll, h.Classes[ordered].Ordered = true, true
+	h.Classes[keyed].DedupWindow, h.Classes[keyedAll].DedupWindow = 10*second, 10*second
+	h.Classes[keyedAll].DedupAcrossZones, h.Classes[ordered].Ordered = true, true
 	return h
 }
 
@@ -68,7 +68,7 @@
 		dest       int
 	}{{"a1", "a", 7}, {"a2", "b", 7}, {"b1", "a", 8}} {
 		s.add(
-			eventlog.Event{Kind: eventlog.Change, Host: x.host, Zone: x.zone, Dest: x.dest, State: eventlog.StateReady},
+			eventlog.Event{Kind: eventlog.EndpointChanged, Host: x.host, Zone: x.zone, Destination: x.dest, State: eventlog.StateReady},
 		)
 	}
 	s.process("r1", 0, eventlog.StateStart)
@@ -79,26 +79,26 @@
 func (s *script) add(e eventlog.Event) { s.events = append(s.events, e) }
 
 func (s *script) process(relay string, at time.Duration, state string) {
-	s.add(eventlog.Event{At: at, Kind: eventlog.Process, Relay: relay, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.ProcessChanged, Relay: relay, State: state})
 }
 
 // offer hands a message in that is heard 1 ms later; status 0: nothing is heard.
 func (s *script) offer(id string, class int, at, left time.Duration, status int) {
 	s.add(
 		eventlog.Event{
-			At:     at,
-			Kind:   eventlog.Offer,
-			ID:     id,
-			Origin: id,
-			Relay:  "r1",
-			Class:  class,
-			Dest:   7,
-			For:    left,
-			Order:  "k",
+			At:          at,
+			Kind:        eventlog.MessageSubmitted,
+			ID:          id,
+			FirstID:     id,
+			Relay:       "r1",
+			Class:       class,
+			Destination: 7,
+			For:         left,
+			OrderingKey: "k",
 		},
 	)
 	if status != 0 {
-		s.add(eventlog.Event{At: at + ms, Kind: eventlog.Heard, ID: id, Relay: "r1", Status: status})
+		s.add(eventlog.Event{At: at + ms, Kind: eventlog.SubmissionAnswered, ID: id, Relay: "r1", Status: status})
 	}
 }
 
@@ -107,26 +107,26 @@
 	s.calls++
 	s.add(
 		eventlog.Event{
-			At:     first + ms,
-			First:  first,
-			Kind:   eventlog.Call,
-			Call:   s.calls,
-			Relay:  relay,
-			Host:   host,
-			IDs:    []string{id},
-			Weight: 1,
+			At:          first + ms,
+			FirstByteAt: first,
+			Kind:        eventlog.CallReceived,
+			Call:        s.calls,
+			Relay:       relay,
+			Host:        host,
+			IDs:         []string{id},
+			Weight:      1,
 		},
 	)
 	if status != 0 {
 		s.add(
 			eventlog.Event{
-				At:     replied,
-				Kind:   eventlog.Reply,
-				Call:   s.calls,
-				Relay:  relay,
-				Host:   host,
-				Status: status,
-				Wait:   wait,
+				At:         replied,
+				Kind:       eventlog.CallAnswered,
+				Call:       s.calls,
+				Relay:      relay,
+				Host:       host,
+				Status:     status,
+				RetryAfter: wait,
 			},
 		)
 	}
@@ -134,22 +134,22 @@
 }
 
 func (s *script) ended(call uint64, at time.Duration) {
-	s.add(eventlog.Event{At: at, Kind: eventlog.Ended, Call: call, Relay: "r1", Cause: eventlog.CauseRelay})
+	s.add(eventlog.Event{At: at, Kind: eventlog.CallAborted, Call: call, Relay: "r1", Cause: eventlog.CauseRelay})
 }
 
 func (s *script) notice(id, state string, at time.Duration) {
-	s.add(eventlog.Event{At: at, Kind: eventlog.Notice, Relay: "r1", ID: id, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.MessageNotice, Relay: "r1", ID: id, State: state})
 }
 
 func (s *script) told(host, state string, at time.Duration) {
-	s.add(eventlog.Event{At: at, Kind: eventlog.Told, Relay: "r1", Host: host, State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.RelayNotified, Relay: "r1", Host: host, State: state})
 }
 
 // judge ends the run at 60 s.
 func (s *script) judge() Verdict {
 	events := slices.Clone(s.events)
 	slices.SortStableFunc(events, func(a, b eventlog.Event) int { return int(a.At - b.At) })
-	return Judge(s.h, append(events, eventlog.Event{At: 60 * second, Kind: eventlog.End}))
+	return Judge(s.h, append(events, eventlog.Event{At: 60 * second, Kind: eventlog.RunEnded}))
 }
 
 // want checks that a run breaks one rule and no other; "" : none.
@@ -182,7 +182,7 @@
 	}{
 		{"a message without an end", Lost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
-			s.notice("m", eventlog.Undeliverable, 6*second+350*ms+by)
+			s.notice("m", eventlog.StateUndeliverable, 6*second+350*ms+by)
 		}},
 		{"a delivery too late", Lost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
@@ -194,7 +194,7 @@
 			s.process("r1", 6*second+ms, eventlog.StateExit)
 			s.process("r1", 7*second, eventlog.StateStart)
 			s.process("r1", 8*second, eventlog.StateUp)
-			s.notice("m", eventlog.Undeliverable, 9500*ms+by)
+			s.notice("m", eventlog.StateUndeliverable, 9500*ms+by)
 		}},
 		{"sent after it was refused", Lost, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 5*second, 503)
@@ -202,7 +202,7 @@
 		}},
 		{"sent after its notice", Lost, func(s *script, by time.Duration) {
 			s.offer("m", safe, second, 5*second, 202)
-			s.notice("m", eventlog.Deferred, 2*second)
+			s.notice("m", eventlog.StateDeferred, 2*second)
 			s.call("r1", "a1", "m", 2*second+50*ms+by, 3*second, 200, 0)
 		}},
 		{"a keyed repeat past its window", Twice, func(s *script, by time.Duration) {
@@ -223,7 +223,7 @@
 		{"an unsafe message refused while it may run", Twice, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 0)
-			s.notice("m", eventlog.Deferred, 3*second-by)
+			s.notice("m", eventlog.StateDeferred, 3*second-by)
 		}},
 		{"sent to a host that drains", Drain, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
@@ -281,14 +281,14 @@
 	run := func(calls int, knowing int) *script {
 		s := newScript()
 		s.add(
-			eventlog.Event{At: second, Kind: eventlog.Outage, Place: "7", Hosts: []string{"a1", "a2"}, Cause: "silent"},
+			eventlog.Event{At: second, Kind: eventlog.OutageStarted, Place: "7", Hosts: []string{"a1", "a2"}, Cause: "silent"},
 		)
 		s.offer("seen", safe, second, 15*second, 202)
 		s.ended(s.call("r1", "a1", "seen", 1500*ms, 0, 0, 0), 4*second)
 		s.add(
 			eventlog.Event{
 				At:    10 * second,
-				Kind:  eventlog.Back,
+				Kind:  eventlog.OutageEnded,
 				Place: "7",
 				Hosts: []string{"a1", "a2"},
 				Rate:  20,
@@ -304,17 +304,17 @@
 			}
 			s.add(
 				eventlog.Event{
-					At:     10 * second,
-					Kind:   eventlog.Offer,
-					ID:     id,
-					Origin: id,
-					Relay:  relay,
-					Class:  safe,
-					Dest:   7,
-					For:    15 * second,
+					At:          10 * second,
+					Kind:        eventlog.MessageSubmitted,
+					ID:          id,
+					FirstID:     id,
+					Relay:       relay,
+					Class:       safe,
+					Destination: 7,
+					For:         15 * second,
 				},
 			)
-			s.add(eventlog.Event{At: 10*second + ms, Kind: eventlog.Heard, ID: id, Relay: relay, Status: 202})
+			s.add(eventlog.Event{At: 10*second + ms, Kind: eventlog.SubmissionAnswered, ID: id, Relay: relay, Status: 202})
 			s.call(relay, "a1", id, 10*second+2*ms, 11*second, 200, 0)
 		}
 		s.call("r1", "a1", "seen", 11*second+500*ms, 12*second, 200, 0)
@@ -339,19 +339,19 @@
 	for cause, state := range map[string]State{eventlog.OutageDown: Broken, "silent": NotExercised} {
 		s := newScript()
 		s.add(
-			eventlog.Event{At: second, Kind: eventlog.Outage, Place: "7", Dest: 7, Hosts: []string{"a1"}, Cause: cause},
+			eventlog.Event{At: second, Kind: eventlog.OutageStarted, Place: "7", Destination: 7, Hosts: []string{"a1"}, Cause: cause},
 		)
 		s.offer("m", safe, 2*second, 15*second, 202)
 		s.add(
 			eventlog.Event{
-				At:    10 * second,
-				Kind:  eventlog.Back,
-				Place: "7",
-				Dest:  7,
-				Hosts: []string{"a1"},
-				Rate:  2,
-				Share: 0.2,
-				For:   14 * second,
+				At:          10 * second,
+				Kind:        eventlog.OutageEnded,
+				Place:       "7",
+				Destination: 7,
+				Hosts:       []string{"a1"},
+				Rate:        2,
+				Share:       0.2,
+				For:         14 * second,
 			},
 		)
 		for range 10 {
@@ -372,19 +372,19 @@
 	}
 	s.add(
 		eventlog.Event{
-			At:    2 * second,
-			First: 2 * second,
-			Kind:  eventlog.Call,
-			Call:  1,
-			Relay: "r1",
-			Host:  "a1",
-			IDs:   []string{"m1", "m2", "m3"},
+			At:          2 * second,
+			FirstByteAt: 2 * second,
+			Kind:        eventlog.CallReceived,
+			Call:        1,
+			Relay:       "r1",
+			Host:        "a1",
+			IDs:         []string{"m1", "m2", "m3"},
 		},
 	)
 	s.add(
 		eventlog.Event{
 			At:     3 * second,
-			Kind:   eventlog.Reply,
+			Kind:   eventlog.CallAnswered,
 			Call:   1,
 			Relay:  "r1",
 			Host:   "a1",
@@ -394,7 +394,7 @@
 	)
 	s.calls = 1
 	s.call("r1", "a1", "m2", 4*second, 5*second, 200, 0)
-	s.notice("m3", eventlog.Undeliverable, 4*second)
+	s.notice("m3", eventlog.StateUndeliverable, 4*second)
 	want(t, s, "")
 	s.call("r1", "a1", "m3", 3500*ms, 3600*ms, 200, 0)
 	want(t, s, Twice)
@@ -410,18 +410,18 @@
 		s.offer("m2", ordered, second+10*ms, 15*second, 202)
 		s.add(
 			eventlog.Event{
-				At:    2 * second,
-				First: 2 * second,
-				Kind:  eventlog.Call,
-				Call:  1,
-				Relay: "r1",
-				Host:  "a1",
-				IDs:   ids,
+				At:          2 * second,
+				FirstByteAt: 2 * second,
+				Kind:        eventlog.CallReceived,
+				Call:        1,
+				Relay:       "r1",
+				Host:        "a1",
+				IDs:         ids,
 			},
 		)
 		s.calls = 1
 		s.ended(1, 4*second)
-		s.notice("m1", eventlog.Deferred, 4*second)
+		s.notice("m1", eventlog.StateDeferred, 4*second)
 		s.call("r1", "a1", "m2", 4*second+after, 6*second, 200, 0)
 		s.call("r1", "a1", "other", 8*second, 9*second, 200, 0)
 		return s
@@ -435,7 +435,7 @@
 	// Cut before its last byte, it never ran, and may be sent anywhere; cut after it, it may have.
 	s := newScript()
 	s.offer("m", unsafe, second, 15*second, 202)
-	s.add(eventlog.Event{At: 2 * second, First: 2 * second, Kind: eventlog.Broken, Call: 9, Relay: "r1", Host: "a1"})
+	s.add(eventlog.Event{At: 2 * second, FirstByteAt: 2 * second, Kind: eventlog.CallTruncated, Call: 9, Relay: "r1", Host: "a1"})
 	s.call("r1", "a2", "m", 3*second, 4*second, 200, 0)
 	want(t, s, "")
 	s = newScript()
@@ -447,8 +447,8 @@
 	s = newScript()
 	s.offer("m", unsafe, second, 15*second, 202)
 	s.told("a1", eventlog.StateGone, 2*second)
-	s.add(eventlog.Event{At: 4 * second, First: 4 * second, Kind: eventlog.Broken, Call: 9, Relay: "r1", Host: "a1"})
-	s.notice("m", eventlog.Deferred, 5*second)
+	s.add(eventlog.Event{At: 4 * second, FirstByteAt: 4 * second, Kind: eventlog.CallTruncated, Call: 9, Relay: "r1", Host: "a1"})
+	s.notice("m", eventlog.StateDeferred, 5*second)
 	want(t, s, Drain)
 }
 
@@ -460,22 +460,22 @@
 			s.process("r1", second+100*ms, eventlog.StateKill)
 			s.process("r1", second+101*ms, eventlog.StateExit)
 		}
-		s.add(eventlog.Event{At: second + 200*ms, Kind: eventlog.Unheard, ID: "m", Relay: "r1", Cause: cause})
+		s.add(eventlog.Event{At: second + 200*ms, Kind: eventlog.SubmissionUnanswered, ID: "m", Relay: "r1", Cause: cause})
 		return s
 	}
 	want(t, unheard(eventlog.CauseClosed, false), Lost)
 	want(t, unheard(eventlog.CauseClosed, true), "")
 	want(t, unheard(eventlog.CauseTimeout, false), "")
-	want(t, unheard(eventlog.CauseUnsent, false), "")
+	want(t, unheard(eventlog.CauseNotSent, false), "")
 }
 
 func TestTwoEndsThatDiffer(t *testing.T) {
 	s := newScript()
 	s.offer("m", safe, second, 5*second, 202)
-	s.notice("m", eventlog.Deferred, 2*second)
-	s.notice("m", eventlog.Deferred, 3*second) // told again: no harm
+	s.notice("m", eventlog.StateDeferred, 2*second)
+	s.notice("m", eventlog.StateDeferred, 3*second) // told again: no harm
 	want(t, s, "")
-	s.notice("m", eventlog.Undeliverable, 4*second)
+	s.notice("m", eventlog.StateUndeliverable, 4*second)
 	want(t, s, Lost)
 }
 
@@ -486,10 +486,10 @@
 		s.offer(id, class, second, 15*second, 202)
 		s.call("r1", "a1", id, 2*second, 3*second, 500, 0)
 		s.call("r1", "a2", id, 4*second, 5*second, 500, 0)
-		s.notice(id, eventlog.Deferred, 6*second)
+		s.notice(id, eventlog.StateDeferred, 6*second)
 	}
 	want(t, s, "")
-	s.h.Rules.MayDuplicate = false
+	s.h.Rules.DuplicatesAllowed = false
 	want(t, s, "") // they were not out together
 	s.call("r1", "a2", "m2", 4*second+10*ms, 5*second, 500, 0)
 	want(t, s, Twice)
@@ -512,8 +512,8 @@
 func TestRoutesApartWaitAndDestinationsWaitWhole(t *testing.T) {
 	run := func(place1, place2 string) *script {
 		s := newScript()
-		s.add(eventlog.Event{Kind: eventlog.Change, Host: "a1", Zone: "a", Dest: 7, Place: place1})
-		s.add(eventlog.Event{Kind: eventlog.Change, Host: "a2", Zone: "b", Dest: 7, Place: place2})
+		s.add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: "a1", Zone: "a", Destination: 7, Place: place1})
+		s.add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: "a2", Zone: "b", Destination: 7, Place: place2})
 		s.offer("m", safe, second, 15*second, 202)
 		s.call("r1", "a1", "m", 2*second, 3*second, 503, 5*second)
 		s.call("r1", "a2", "m", 4*second, 5*second, 200, 0)
@@ -553,7 +553,7 @@
 	}
 	v = Judge(
 		cut.h,
-		append(slices.Clone(cut.events), eventlog.Event{At: 2 * second, Kind: eventlog.End, Cause: "interrupted"}),
+		append(slices.Clone(cut.events), eventlog.Event{At: 2 * second, Kind: eventlog.RunEnded, Cause: "interrupted"}),
 	)
 	if v.OK() || v.Finding(Lost).State != NotJudged || !strings.Contains(v.Doubts[0], "interrupted") {
 		t.Errorf("cut short: %+v", v)
@@ -562,17 +562,17 @@
 		s := newScript()
 		s.add(
 			eventlog.Event{
-				At:     second,
-				Kind:   eventlog.Offer,
-				ID:     "m",
-				Origin: "m",
-				Relay:  "r1",
-				Dest:   7,
-				For:    second,
-				Late:   by,
+				At:          second,
+				Kind:        eventlog.MessageSubmitted,
+				ID:          "m",
+				FirstID:     "m",
+				Relay:       "r1",
+				Destination: 7,
+				For:         second,
+				Delay:       by,
 			},
 		)
-		s.add(eventlog.Event{At: second, Kind: eventlog.Heard, ID: "m", Relay: "r1", Status: 503})
+		s.add(eventlog.Event{At: second, Kind: eventlog.SubmissionAnswered, ID: "m", Relay: "r1", Status: 503})
 		return s.judge()
 	}
 	if v := late(LatenessMost + 1); v.OK() || v.Finding(Lost).State != NotJudged {
@@ -582,7 +582,7 @@
 		t.Errorf("load in time: %+v", v)
 	}
 	// What was seen broken stays broken.
-	cut.notice("m", eventlog.Deferred, 2*second)
+	cut.notice("m", eventlog.StateDeferred, 2*second)
 	cut.call("r1", "a1", "m", 3*second, 4*second, 200, 0)
 	if v := Judge(cut.h, cut.events); v.Finding(Lost).State != Broken {
 		t.Errorf("broken in a run that was cut short: %+v", v.Finding(Lost))
@@ -592,11 +592,11 @@
 func TestWhatVoidsARun(t *testing.T) {
 	for name, spoil := range map[string]func(*script){
 		"nobody handed in":  func(s *script) { s.call("r1", "a1", "ghost", 2*second, 3*second, 200, 0) },
-		"notice for ghost":  func(s *script) { s.notice("ghost", eventlog.Deferred, 2*second) },
+		"notice for ghost":  func(s *script) { s.notice("ghost", eventlog.StateDeferred, 2*second) },
 		"wrong destination": func(s *script) { s.call("r1", "b1", "m", 2*second, 3*second, 200, 0) },
 		"wrong relay":       func(s *script) { s.call("r2", "a1", "m", 2*second, 3*second, 200, 0) },
 		"crashed":           func(s *script) { s.process("r1", 2*second, eventlog.StateExit) },
-		"seen by a host":    func(s *script) { s.add(eventlog.Event{At: second, Kind: eventlog.Fault, Cause: "unreadable"}) },
+		"seen by a host":    func(s *script) { s.add(eventlog.Event{At: second, Kind: eventlog.RunInvalid, Cause: "unreadable"}) },
 	} {
 		s := newScript()
 		s.offer("m", safe, second, 5*second, 202)
@@ -614,8 +614,8 @@
 	s.offer("m", keyed, second, 5*second, 202)
 	s.call("r1", "a1", "m", 2*second, 3*second, 200, 0)
 	before := s.judge()
-	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.Clock, For: -time.Hour})
-	s.h.Began = s.h.Began.Add(time.Hour)
+	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.ClockStepped, For: -time.Hour})
+	s.h.StartedAt = s.h.StartedAt.Add(time.Hour)
 	after := s.judge()
 	if after.Steps != 1 {
 		t.Errorf("%d steps", after.Steps)
@@ -628,49 +628,49 @@
 
 func TestService(t *testing.T) {
 	s := newScript()
-	s.h.Length = 30 * second
-	s.h.Customers[1].Quota = 1
+	s.h.Duration = 30 * second
+	s.h.Customers[1].RateShare = 1
 	s.offer("full", keyed, second, 16*second, 202)
 	s.call("r1", "a1", "full", 2*second, 4*second, 200, 0)
 	s.offer("part", keyed, 2*second, 16*second, 202)
 	s.call("r1", "a1", "part", 3*second, 2*second+9500*ms, 200, 0) // half-way from the aim to the end: 0.7
 	s.offer("none", keyed, 25*second, 5*second, 202)
-	s.notice("none", eventlog.Undeliverable, 27*second)
+	s.notice("none", eventlog.StateUndeliverable, 27*second)
 	// A refusal that comes again belongs to its first try.
 	s.offer("first", keyed, 3*second, 16*second, 503)
 	s.add(
 		eventlog.Event{
-			At:     4 * second,
-			Kind:   eventlog.Offer,
-			ID:     "again",
-			Origin: "first",
-			Relay:  "r1",
-			Dest:   7,
-			For:    15 * second,
+			At:          4 * second,
+			Kind:        eventlog.MessageSubmitted,
+			ID:          "again",
+			FirstID:     "first",
+			Relay:       "r1",
+			Destination: 7,
+			For:         15 * second,
 		},
 	)
-	s.add(eventlog.Event{At: 4 * second, Kind: eventlog.Heard, ID: "again", Relay: "r1", Status: 202})
+	s.add(eventlog.Event{At: 4 * second, Kind: eventlog.SubmissionAnswered, ID: "again", Relay: "r1", Status: 202})
 	s.call("r1", "a1", "again", 5*second, 6*second-ms, 200, 0)
 	// The second customer asks for more than its share of one a second.
 	for i := range 3 {
 		id := fmt.Sprint("b", i)
 		s.add(
 			eventlog.Event{
-				At:       5 * second,
-				Kind:     eventlog.Offer,
-				ID:       id,
-				Origin:   id,
-				Relay:    "r1",
-				Dest:     7,
-				For:      5 * second,
-				Customer: 1,
+				At:          5 * second,
+				Kind:        eventlog.MessageSubmitted,
+				ID:          id,
+				FirstID:     id,
+				Relay:       "r1",
+				Destination: 7,
+				For:         5 * second,
+				Customer:    1,
 			},
 		)
-		s.add(eventlog.Event{At: 5 * second, Kind: eventlog.Heard, ID: id, Relay: "r1", Status: 202})
+		s.add(eventlog.Event{At: 5 * second, Kind: eventlog.SubmissionAnswered, ID: id, Relay: "r1", Status: 202})
 		if i == 0 {
 			s.call("r1", "a1", id, 6*second, 6*second+ms, 200, 0)
 		} else {
-			s.notice(id, eventlog.Deferred, 6*second)
+			s.notice(id, eventlog.StateDeferred, 6*second)
 		}
 	}
 	v := s.judge().Service
@@ -738,9 +738,9 @@
 			switch {
 			case done:
 			case firstMay == never || class == safe || class == keyedAll:
-				s.notice(id, eventlog.Deferred, now)
+				s.notice(id, eventlog.StateDeferred, now)
 			default:
-				s.notice(id, eventlog.Undeliverable, now)
+				s.notice(id, eventlog.StateUndeliverable, now)
 			}
 		}
 		for _, f := range s.judge().Findings {
--- a/internal/testkit/checker/service.go
+++ b/internal/testkit/checker/service.go
@@ -70,10 +70,10 @@
 	var firsts []*first
 	of := map[string]*first{}
 	for _, m := range j.order {
-		x := of[m.Origin]
+		x := of[m.FirstID]
 		if x == nil {
 			x = &first{m, never}
-			of[m.Origin] = x
+			of[m.FirstID] = x
 			firsts = append(firsts, x)
 		}
 		if at, _, ok := j.delivered(m); ok && j.taken(m) {
@@ -83,9 +83,9 @@
 	shares := NewShares(j.Header)
 	var all []Asked
 	for _, x := range firsts {
-		a := Asked{At: x.At - x.Late, Customer: x.Customer, Class: x.Class, Dest: x.Dest, Worth: x.class.Worth}
+		a := Asked{At: x.At - x.Delay, Customer: x.Customer, Class: x.Class, Dest: x.Destination, Worth: x.class.Weight}
 		if a.Over = shares.Over(a.Customer, a.At); a.Over {
-			a.Worth *= j.Rules.OverShareWorth
+			a.Worth *= j.Rules.OverShareWeightRatio
 		}
 		if x.at != never {
 			a.Delivered = x.at
@@ -110,17 +110,17 @@
 	s := Shares{customers: h.Customers}
 	s.buckets = slices.Grow(s.buckets, len(h.Customers))[:len(h.Customers)]
 	for i, c := range h.Customers {
-		s.buckets[i].tokens = max(1, c.Quota)
+		s.buckets[i].tokens = max(1, c.RateShare)
 	}
 	return s
 }
 
 // Over tells whether a first try of a customer at a time is beyond its share. Times should not go back.
 func (s *Shares) Over(customer int, at time.Duration) bool {
-	if customer < 0 || customer >= len(s.customers) || s.customers[customer].Quota <= 0 {
+	if customer < 0 || customer >= len(s.customers) || s.customers[customer].RateShare <= 0 {
 		return false
 	}
-	b, quota := &s.buckets[customer], s.customers[customer].Quota
+	b, quota := &s.buckets[customer], s.customers[customer].RateShare
 	b.tokens = min(max(1, quota), b.tokens+quota*max(0, at-b.at).Seconds())
 	b.at = max(b.at, at)
 	if b.tokens < 1 {
@@ -133,12 +133,12 @@
 // WorthAfter is the share of its worth that a message has when it is delivered after a time.
 func WorthAfter(c eventlog.Class, after time.Duration) float64 {
 	switch {
-	case after <= c.Aim:
+	case after <= c.LatencyObjective:
 		return 1
-	case after > c.GiveUp:
+	case after > c.Deadline:
 		return 0
 	}
-	return 1 - (1-c.LateWorth)*float64(after-c.Aim)/float64(c.GiveUp-c.Aim)
+	return 1 - (1-c.LateWeightRatio)*float64(after-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
 func (j *judge) service() Service {
@@ -154,7 +154,7 @@
 		switch {
 		case a.Delivered == 0:
 			s.Undelivered++
-		case a.Delivered-a.At <= j.Classes[a.Class].Aim:
+		case a.Delivered-a.At <= j.Classes[a.Class].LatencyObjective:
 			s.InFull++
 		default:
 			s.InPart++
@@ -184,9 +184,9 @@
 			s.WorstCustomer, s.Worst = s.Customers[i].Name, s.Customers[i].Service
 		}
 	}
-	s.Worst10s, s.Worst10sAt = worstWindow(tries, j.Length)
+	s.Worst10s, s.Worst10sAt = worstWindow(tries, j.Duration)
 	for _, m := range j.order {
-		lags = append(lags, m.Late)
+		lags = append(lags, m.Delay)
 		switch {
 		case m.unheard >= 0:
 			s.Unanswered++
@@ -194,7 +194,7 @@
 			s.Refused++
 		case m.heard >= 0 && !j.taken(m):
 			s.Failed++
-		case len(m.notices) > 0 && j.events[m.notices[0]].State == eventlog.Deferred:
+		case len(m.notices) > 0 && j.events[m.notices[0]].State == eventlog.StateDeferred:
 			s.Deferred++
 		case len(m.notices) > 0:
 			s.Failed++
--- a/internal/testkit/eventlog/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -14,13 +14,13 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 var allKinds = []Kind{
-	Offer, Heard, Unheard, Call, Broken, Reply, Ended, Change, Told, Notice, Process, Outage, Back, Fell, Able, Trouble, Clock, Link, Belief, Fault,
+	MessageSubmitted, SubmissionAnswered, SubmissionUnanswered, CallReceived, CallTruncated, CallAnswered, CallAborted, EndpointChanged, RelayNotified, MessageNotice, ProcessChanged, OutageStarted, OutageEnded, ServiceOverloaded, CapacityChanged, FaultChanged, ClockStepped, LinkChanged, PeerView, RunInvalid,
 }
 
 var allWords = []string{
-	CauseTimeout, CauseClosed, CauseUnsent, CauseRelay, CauseHost, OutageFailing, OutageShut, OutageSilent, OutageDown, StateReady,
-	StateDraining, StateGone, StateStart, StateUp, StateTerm, StateKill, StateExit, StateHUP, StateStop, StateCont, LinkSound, LinkCut,
-	LinkFaulty, StateBegin, StateEnd, Undeliverable, Deferred, string(Safe), string(Keyed), string(Unsafe),
+	CauseTimeout, CauseClosed, CauseNotSent, CauseRelay, CauseHost, OutageFailing, OutageSuspended, OutageSilent, OutageDown, StateReady,
+	StateDraining, StateGone, StateStart, StateUp, StateTerm, StateKill, StateExit, StateHUP, StateStop, StateCont, LinkHealthy, LinkCut,
+	LinkFaulty, StateBegin, StateEnd, StateUndeliverable, StateDeferred, string(Idempotent), string(IdempotentByKey), string(NonIdempotent),
 }
 
 // A record with every field set and every kind of event has the bytes that earlier builds wrote, and is read as the
@@ -41,13 +41,13 @@
 		}
 		var filled Event
 		golden.Fill(&filled)
-		filled.Kind, filled.States = Reply, allWords
+		filled.Kind, filled.States = CallAnswered, allWords
 		w.Add(filled)
 		events, err := w.Close("cut")
 		if err != nil {
 			t.Fatal(err)
 		}
-		header.Format, header.Began = Format, began.Round(0)
+		header.Format, header.StartedAt = FormatVersion, began.Round(0)
 		golden := golden.Check(t, *update, "record.jsonl", file.Bytes())
 		gotHeader, gotEvents, err := Read(bytes.NewReader(golden))
 		if err != nil || !reflect.DeepEqual(gotHeader, header) || !reflect.DeepEqual(gotEvents, events) {
--- a/internal/testkit/eventlog/record.go
+++ b/internal/testkit/eventlog/record.go
@@ -13,63 +13,63 @@
 	"time"
 )
 
-// Format is the version of the file's form. A reader takes no other.
-const Format = 1
+// FormatVersion is the version of the file's form. A reader takes no other.
+const FormatVersion = 1
 
-// lineMost bounds a line of the file: a call carries few ids, and a header some thousand names.
-const lineMost = 16 << 20
+// maxLineBytes bounds a line of the file: a call carries few ids, and a header some thousand names.
+const maxLineBytes = 16 << 20
 
 // Effect says what a repeat of a message of a class may do, in the words of the operators' brief.
 type Effect string
 
 // The three effects.
 const (
-	Safe   Effect = "safe"
-	Keyed  Effect = "keyed"
-	Unsafe Effect = "unsafe"
+	Idempotent      Effect = "safe"
+	IdempotentByKey Effect = "keyed"
+	NonIdempotent   Effect = "unsafe"
 )
 
 // Class is a class of messages.
 type Class struct {
-	Name      string        `json:"name"`
-	Effect    Effect        `json:"effect"`
-	GroupAll  bool          `json:"group_all,omitempty"` // keyed: every host of the destination drops repeats, else those of a zone
-	Window    time.Duration `json:"window,omitempty"`    // keyed: for so long
-	Ordered   bool          `json:"ordered,omitempty"`
-	Aim       time.Duration `json:"aim"`
-	GiveUp    time.Duration `json:"give_up"`
-	Worth     float64       `json:"worth"`
-	LateWorth float64       `json:"late_worth"` // share of the worth that is left at GiveUp
+	Name             string        `json:"name"`
+	Effect           Effect        `json:"effect"`
+	DedupAcrossZones bool          `json:"group_all,omitempty"` // keyed: every host of the destination drops repeats, else those of a zone
+	DedupWindow      time.Duration `json:"window,omitempty"`    // keyed: for so long
+	Ordered          bool          `json:"ordered,omitempty"`
+	LatencyObjective time.Duration `json:"aim"`
+	Deadline         time.Duration `json:"give_up"`
+	Weight           float64       `json:"worth"`
+	LateWeightRatio  float64       `json:"late_worth"` // share of the worth that is left at Deadline
 }
 
 // Customer is a customer and the rate of messages, a second, that it has a share for; 0: no bound.
 type Customer struct {
-	Name  string  `json:"name"`
-	Quota float64 `json:"quota,omitempty"`
+	Name      string  `json:"name"`
+	RateShare float64 `json:"quota,omitempty"`
 }
 
 // Rules are the figures that the rules are judged by.
 type Rules struct {
-	DrainGrace     time.Duration `json:"drain_grace"`
-	FallMultiple   float64       `json:"fall_multiple"`
-	FallWindow     time.Duration `json:"fall_window"`
-	OrderPause     time.Duration `json:"order_pause,omitempty"`
-	MayDuplicate   bool          `json:"may_duplicate"`
-	OverShareWorth float64       `json:"over_share_worth"`
+	DrainGrace           time.Duration `json:"drain_grace"`
+	OverloadFactor       float64       `json:"fall_multiple"`
+	OverloadWindow       time.Duration `json:"fall_window"`
+	OrderingPause        time.Duration `json:"order_pause,omitempty"`
+	DuplicatesAllowed    bool          `json:"may_duplicate"`
+	OverShareWeightRatio float64       `json:"over_share_worth"`
 }
 
 // Header says what a rehearsal was.
 type Header struct {
-	Format    int           `json:"format"`
-	Scenario  string        `json:"scenario"`
-	Seed      uint64        `json:"seed"`
-	Plan      string        `json:"plan"`  // digest of the plan of events
-	Began     time.Time     `json:"began"` // wall time of event time 0; nothing is judged by it
-	Length    time.Duration `json:"length"`
-	Relays    []string      `json:"relays"`
-	Rules     Rules         `json:"rules"`
-	Classes   []Class       `json:"classes"`
-	Customers []Customer    `json:"customers"`
+	Format     int           `json:"format"`
+	Scenario   string        `json:"scenario"`
+	Seed       uint64        `json:"seed"`
+	PlanDigest string        `json:"plan"`  // digest of the plan of events
+	StartedAt  time.Time     `json:"began"` // wall time of event time 0; nothing is judged by it
+	Duration   time.Duration `json:"length"`
+	Relays     []string      `json:"relays"`
+	Rules      Rules         `json:"rules"`
+	Classes    []Class       `json:"classes"`
+	Customers  []Customer    `json:"customers"`
 }
 
 // Kind names what an event tells.
@@ -79,68 +79,68 @@
 const (
 	// Offer: a client is about to write a request. ID, Origin, Relay, Class, Customer, Dest, Order, For (time left),
 	// Late (against the plan).
-	Offer Kind = "offer"
+	MessageSubmitted Kind = "offer"
 	// Heard: the client has an answer. ID, Relay, Status, Wait (advice).
-	Heard Kind = "heard"
+	SubmissionAnswered Kind = "heard"
 	// Unheard: the client has none. ID, Relay, Cause: see the Cause constants.
-	Unheard Kind = "unheard"
+	SubmissionUnanswered Kind = "unheard"
 	// Call: the last byte of a call has come to a host. Call, Relay, Host, IDs, First, Dest, Weight.
-	Call Kind = "call"
+	CallReceived Kind = "call"
 	// Broken: a call ended before its last byte had come. Call, Relay, Host, First.
-	Broken Kind = "broken"
+	CallTruncated Kind = "broken"
 	// Reply: a host is about to write an answer. Call, Relay, Host, Status, Wait, States (of a bundle, with status
 	// 200; in the order of the call's IDs).
-	Reply Kind = "reply"
+	CallAnswered Kind = "reply"
 	// Ended: a call's connection ended before an answer. Call, Relay, Host, Cause (CauseRelay or CauseHost).
-	Ended Kind = "ended"
+	CallAborted Kind = "ended"
 	// Change: the platform changed an entry of its list. Host, Dest, Zone, State.
-	Change Kind = "change"
+	EndpointChanged Kind = "change"
 	// Told: a relay was told of it. Relay, Host, State, Dest.
-	Told Kind = "told"
+	RelayNotified Kind = "told"
 	// Notice: a relay told the platform how a message ended. Relay, ID, State (undeliverable or deferred), Wait.
-	Notice Kind = "notice"
+	MessageNotice Kind = "notice"
 	// Process: something happened to a relay's process. Relay, State (see the State constants), Status, Cause.
-	Process Kind = "process"
+	ProcessChanged Kind = "process"
 	// Outage: a place is out of service for its callers. Place, Hosts, Cause.
-	Outage Kind = "outage"
+	OutageStarted Kind = "outage"
 	// Back: a place is back after an outage, cold. Place, Hosts, Rate (calls a second that it can do warm), Share
 	// (of it, at first), For (until it is warm).
-	Back Kind = "back"
+	OutageEnded Kind = "back"
 	// Fell: a place was pushed over. Place, Hosts.
-	Fell Kind = "fell"
+	ServiceOverloaded Kind = "fell"
 	// Able: what a host can do from here on. Host, Dest, Rate (calls a second), Share at first, For until whole.
-	Able Kind = "able"
+	CapacityChanged Kind = "able"
 	// Trouble: a trouble of the scenario begins or ends. Name, State (begin or end), Cause (what it does).
-	Trouble Kind = "trouble"
+	FaultChanged Kind = "trouble"
 	// Clock: the machine's wall clock was stepped. For: by how much.
-	Clock Kind = "clock"
+	ClockStepped Kind = "clock"
 	// Link: what becomes of what one relay tells another. Relay, Name (the other), State (sound, cut, or faulty),
 	// Cause.
-	Link Kind = "link"
+	LinkChanged Kind = "link"
 	// Belief: what a relay says that it holds of another. Relay, Name (the other), State (as it sees it), For (how old
 	// the youngest is that it heard, below 0: nothing), Status (the other's incarnation).
-	Belief Kind = "belief"
+	PeerView Kind = "belief"
 	// Fault: something that voids the run, such as a call with a message that nobody handed in. Relay, Host, ID, Cause.
-	Fault Kind = "fault"
+	RunInvalid Kind = "fault"
 	// End: the last event of a whole record. Cause, if it was cut short.
-	End Kind = "end"
+	RunEnded Kind = "end"
 )
 
 // Why a client has no answer, and which side ended a connection.
 const (
 	CauseTimeout = "timeout" // it waited as long as clients do, and left
 	CauseClosed  = "closed"  // the relay ended the connection though the request was written whole
-	CauseUnsent  = "unsent"  // no connection came up, or it broke before the request's last byte
+	CauseNotSent = "unsent"  // no connection came up, or it broke before the request's last byte
 	CauseRelay   = "relay"
 	CauseHost    = "host"
 )
 
 // Why a place is out of service.
 const (
-	OutageFailing = "failing"
-	OutageShut    = "shut"
-	OutageSilent  = "silent"
-	OutageDown    = "down" // connections do not come up, which leaves no event at its hosts
+	OutageFailing   = "failing"
+	OutageSuspended = "shut"
+	OutageSilent    = "silent"
+	OutageDown      = "down" // connections do not come up, which leaves no event at its hosts
 )
 
 // States of entries of the list, of processes and of troubles.
@@ -158,15 +158,15 @@
 	StateStop  = "stop" // SIGSTOP was sent
 	StateCont  = "cont" // SIGCONT was sent
 
-	LinkSound  = "sound"
-	LinkCut    = "cut"
-	LinkFaulty = "faulty" // something passes
+	LinkHealthy = "sound"
+	LinkCut     = "cut"
+	LinkFaulty  = "faulty" // something passes
 
 	StateBegin = "begin"
 	StateEnd   = "end"
 
-	Undeliverable = "undeliverable"
-	Deferred      = "deferred"
+	StateUndeliverable = "undeliverable"
+	StateDeferred      = "deferred"
 )
 
 // Event is one thing that was seen. Which fields are filled is said at each Kind.
@@ -174,65 +174,65 @@
 	At   time.Duration `json:"at"` // since the run began; nanoseconds in the file, as are all durations
 	Kind Kind          `json:"k"`
 
-	ID       string        `json:"id,omitempty"`
-	Origin   string        `json:"of,omitempty"` // id under which the message was first handed in
-	Relay    string        `json:"relay,omitempty"`
-	Host     string        `json:"host,omitempty"`
-	Hosts    []string      `json:"hosts,omitempty"`
-	Place    string        `json:"place,omitempty"` // what is out or cold as one: a destination, or a route that stands apart
-	Dest     int           `json:"dest,omitempty"`
-	Zone     string        `json:"zone,omitempty"`
-	Class    int           `json:"class,omitempty"`
-	Customer int           `json:"cust,omitempty"`
-	Order    string        `json:"order,omitempty"`
-	Call     uint64        `json:"call,omitempty"`
-	IDs      []string      `json:"ids,omitempty"`
-	First    time.Duration `json:"first,omitempty"` // when a call's first byte came
-	Weight   float64       `json:"weight,omitempty"`
-	Status   int           `json:"status,omitempty"`
-	States   []string      `json:"states,omitempty"`
-	State    string        `json:"state,omitempty"`
-	Wait     time.Duration `json:"wait,omitempty"`
-	For      time.Duration `json:"for,omitempty"`
-	Late     time.Duration `json:"late,omitempty"`
-	Rate     float64       `json:"rate,omitempty"`
-	Share    float64       `json:"share,omitempty"`
-	Name     string        `json:"name,omitempty"`
-	Cause    string        `json:"cause,omitempty"`
+	ID          string        `json:"id,omitempty"`
+	FirstID     string        `json:"of,omitempty"` // id under which the message was first handed in
+	Relay       string        `json:"relay,omitempty"`
+	Host        string        `json:"host,omitempty"`
+	Hosts       []string      `json:"hosts,omitempty"`
+	Place       string        `json:"place,omitempty"` // what is out or cold as one: a destination, or a route that stands apart
+	Destination int           `json:"dest,omitempty"`
+	Zone        string        `json:"zone,omitempty"`
+	Class       int           `json:"class,omitempty"`
+	Customer    int           `json:"cust,omitempty"`
+	OrderingKey string        `json:"order,omitempty"`
+	Call        uint64        `json:"call,omitempty"`
+	IDs         []string      `json:"ids,omitempty"`
+	FirstByteAt time.Duration `json:"first,omitempty"` // when a call's first byte came
+	Weight      float64       `json:"weight,omitempty"`
+	Status      int           `json:"status,omitempty"`
+	States      []string      `json:"states,omitempty"`
+	State       string        `json:"state,omitempty"`
+	RetryAfter  time.Duration `json:"wait,omitempty"`
+	For         time.Duration `json:"for,omitempty"`
+	Delay       time.Duration `json:"late,omitempty"`
+	Rate        float64       `json:"rate,omitempty"`
+	Share       float64       `json:"share,omitempty"`
+	Name        string        `json:"name,omitempty"`
+	Cause       string        `json:"cause,omitempty"`
 }
 
 // Writer records events as they happen. It is safe for concurrent use, and its events are in order.
 type Writer struct {
-	began time.Time
-
-	mu     sync.Mutex
-	buf    *bufio.Writer
-	enc    *json.Encoder
-	events []Event
-	most   int
-	err    error
-	closed bool
+	startedAt time.Time
+
+	mu        sync.Mutex
+	buf       *bufio.Writer
+	encoder   *json.Encoder
+	events    []Event
+	maxEvents int
+	err       error
+	closed    bool
 }
 
-// EventsMost bounds the events of a run, so that a runaway relay ends a rehearsal and not the machine.
-const EventsMost = 8 << 20
+// MaxEvents bounds the events of a run, so that a runaway relay ends a rehearsal and not the machine.
+const MaxEvents = 8 << 20
 
-// ErrTooMany tells that a run had more than EventsMost events.
-var ErrTooMany = errors.New("record: too many events")
+// ErrTooManyEvents tells that a run had more than MaxEvents events.
+var ErrTooManyEvents = errors.New("record: too many events")
 
 // NewWriter begins a record in w. began is event time 0, and must carry a monotonic reading.
 func NewWriter(w io.Writer, began time.Time, h Header) (*Writer, error) {
-	h.Format, h.Began = Format, began.Round(0)
+	h.Format, h.StartedAt = FormatVersion, began.Round(0)
 	buf := bufio.NewWriterSize(w, 256<<10)
-	r := &Writer{began: began, buf: buf, enc: json.NewEncoder(buf), most: EventsMost}
-	if err := r.enc.Encode(h); err != nil {
+	r := &Writer{startedAt: began, buf: buf, encoder: json.NewEncoder(buf), maxEvents: MaxEvents}
+	if err := r.encoder.Encode(h); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	return r, nil
 }
 
 // Now is the time since the run began.
-func (w *Writer) Now() time.Duration { return time.Since(w.began) }
+func (w *Writer) Now() time.Duration { return time.Since(w.startedAt) }
 
 // Add records an event that happens now, and returns its time. After Close it does nothing: what stand-ins see while
 // they are taken down is no part of the run.
@@ -242,13 +242,13 @@
 	if w.closed {
 		return w.Now()
 	}
-	e.At = time.Since(w.began) // under the lock: the file is in order
-	if len(w.events) >= w.most {
-		w.err = ErrTooMany
+	e.At = time.Since(w.startedAt) // under the lock: the file is in order
+	if len(w.events) >= w.maxEvents {
+		w.err = ErrTooManyEvents
 		return e.At
 	}
 	w.events = append(w.events, e)
-	if err := w.enc.Encode(e); err != nil && w.err == nil {
+	if err := w.encoder.Encode(e); err != nil && w.err == nil {
 		w.err = fmt.Errorf("record: %w", err)
 	}
 	return e.At
@@ -277,7 +277,7 @@
 
 // Close ends the record with an End event and returns all events. cause says what cut it short, "" if nothing did.
 func (w *Writer) Close(cause string) ([]Event, error) {
-	w.Add(Event{Kind: End, Cause: cause})
+	w.Add(Event{Kind: RunEnded, Cause: cause})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
@@ -304,8 +304,8 @@
 			if err := json.Unmarshal(line, &h); err != nil {
 				return h, nil, fmt.Errorf("record: header: %w", err)
 			}
-			if h.Format != Format {
-				return h, nil, fmt.Errorf("record: format %d, this program reads %d", h.Format, Format)
+			if h.Format != FormatVersion {
+				return h, nil, fmt.Errorf("record: format %d, this program reads %d", h.Format, FormatVersion)
 			}
 			continue
 		}
@@ -316,8 +316,8 @@
 		if len(events) > 0 && e.At < events[len(events)-1].At {
 			return h, nil, fmt.Errorf("record: line %d: event at %v after one at %v", n, e.At, events[len(events)-1].At)
 		}
-		if len(events) >= EventsMost {
-			return h, nil, ErrTooMany
+		if len(events) >= MaxEvents {
+			return h, nil, ErrTooManyEvents
 		}
 		events = append(events, e)
 	}
@@ -334,7 +334,7 @@
 			return line, nil
 		case err != bufio.ErrBufferFull:
 			return nil, err
-		case len(line) > lineMost:
+		case len(line) > maxLineBytes:
 			return nil, bufio.ErrTooLong
 		}
 	}
--- a/internal/testkit/eventlog/record_test.go
+++ b/internal/testkit/eventlog/record_test.go
@@ -15,7 +15,7 @@
 	w, err := NewWriter(
 		&file,
 		time.Now(),
-		Header{Scenario: "s", Seed: 7, Classes: []Class{{Name: "order", Effect: Keyed}}},
+		Header{Scenario: "s", Seed: 7, Classes: []Class{{Name: "order", Effect: IdempotentByKey}}},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -30,14 +30,14 @@
 
 func TestReadsBackWhatWasWritten(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
-		w.Add(Event{Kind: Offer, ID: "a", For: time.Second})
-		w.Add(Event{Kind: Call, Call: 3, IDs: []string{"a", "b"}, First: 5})
+		w.Add(Event{Kind: MessageSubmitted, ID: "a", For: time.Second})
+		w.Add(Event{Kind: CallReceived, Call: 3, IDs: []string{"a", "b"}, FirstByteAt: 5})
 	})
 	h, got, err := Read(file)
-	if err != nil || h.Scenario != "s" || h.Format != Format || !reflect.DeepEqual(got, events) {
+	if err != nil || h.Scenario != "s" || h.Format != FormatVersion || !reflect.DeepEqual(got, events) {
 		t.Errorf("%+v %+v, %v; want %+v", h, got, err, events)
 	}
-	if last := got[len(got)-1]; last.Kind != End {
+	if last := got[len(got)-1]; last.Kind != RunEnded {
 		t.Errorf("ends with %v", last)
 	}
 }
@@ -49,7 +49,7 @@
 		for range 8 {
 			all.Go(func() {
 				for range 200 {
-					w.Add(Event{Kind: Told})
+					w.Add(Event{Kind: RelayNotified})
 				}
 			})
 		}
@@ -64,7 +64,7 @@
 func TestAFileCutAnywhereReadsUpToThere(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
 		for range 3 {
-			w.Add(Event{Kind: Notice, ID: "x"})
+			w.Add(Event{Kind: MessageNotice, ID: "x"})
 		}
 	})
 	data := file.Bytes()
@@ -85,7 +85,7 @@
 }
 
 func TestBadFilesAreNamed(t *testing.T) {
-	file, _ := write(t, func(w *Writer) { w.Add(Event{Kind: Told}) })
+	file, _ := write(t, func(w *Writer) { w.Add(Event{Kind: RelayNotified}) })
 	good := file.String()
 	header, rest, _ := strings.Cut(good, "\n")
 	for _, c := range []struct{ text, want string }{
@@ -107,11 +107,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.most = 3
+	w.maxEvents = 3
 	for range 5 {
-		w.Add(Event{Kind: Told})
+		w.Add(Event{Kind: RelayNotified})
 	}
-	if events, err := w.Close(""); err != ErrTooMany || len(events) != 3 {
+	if events, err := w.Close(""); err != ErrTooManyEvents || len(events) != 3 {
 		t.Errorf("%d events, %v", len(events), err)
 	}
 }
@@ -121,7 +121,7 @@
 	f.Add([]byte("{\"format\":1}\n{\"at\":1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		h, events, err := Read(bytes.NewReader(data))
-		if err == nil && h.Format != Format {
+		if err == nil && h.Format != FormatVersion {
 			t.Error("a header of another format")
 		}
 		for i := 1; i < len(events); i++ {
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -106,7 +106,7 @@
 }
 
 func (a *Agent) record(m Member) {
-	a.rec.Add(eventlog.Event{Kind: eventlog.Told, Relay: a.relay, Host: m.ID, State: m.State, Dest: m.Cell})
+	a.rec.Add(eventlog.Event{Kind: eventlog.RelayNotified, Relay: a.relay, Host: m.ID, State: m.State, Destination: m.Cell})
 }
 
 // wake is called with mu held.
@@ -322,11 +322,11 @@
 		case errors.Is(err, io.EOF):
 			w.WriteHeader(http.StatusNoContent)
 			return
-		case err != nil || n.Status != eventlog.Undeliverable && n.Status != eventlog.Deferred:
+		case err != nil || n.Status != eventlog.StateUndeliverable && n.Status != eventlog.StateDeferred:
 			if r.Context().Err() == nil {
 				a.rec.Add(
 					eventlog.Event{
-						Kind:  eventlog.Fault,
+						Kind:  eventlog.RunInvalid,
 						Relay: a.relay,
 						ID:    n.ID,
 						Cause: fmt.Sprintf("unreadable notice %q: %v", n.Status, err),
@@ -338,7 +338,7 @@
 		}
 		a.world.Settle(n.ID)
 		a.rec.Add(eventlog.Event{
-			Kind: eventlog.Notice, Relay: a.relay, ID: n.ID, State: n.Status, Wait: time.Duration(n.AgainMS) * time.Millisecond,
+			Kind: eventlog.MessageNotice, Relay: a.relay, ID: n.ID, State: n.Status, RetryAfter: time.Duration(n.AgainMS) * time.Millisecond,
 		})
 	}
 }
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -167,14 +167,14 @@
 func (c *Clients) try(ctx context.Context, t try, late time.Duration) (heard int, advice time.Duration) {
 	c.world.HandIn(t.ID, t.Dest, t.deadline)
 	c.rec.Add(eventlog.Event{
-		Kind: eventlog.Offer, ID: t.ID, Origin: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
-		For: time.Until(t.deadline), Late: late,
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
+		For: time.Until(t.deadline), Delay: late,
 	})
 	leave := time.Now().Add(c.file.Clients.AnswerWithin.D())
 	unheard := func(cause string) (int, time.Duration) {
 		c.world.Withdraw(t.ID)
-		c.rec.Add(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: c.relay, Cause: cause})
-		if cause == eventlog.CauseUnsent {
+		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: c.relay, Cause: cause})
+		if cause == eventlog.CauseNotSent {
 			return unsent, 0
 		}
 		return noAnswer, 0
@@ -183,7 +183,7 @@
 	for {
 		conn, err := c.get(ctx, leave, fresh)
 		if err != nil {
-			return unheard(eventlog.CauseUnsent)
+			return unheard(eventlog.CauseNotSent)
 		}
 		conn.SetDeadline(leave)
 		if _, err := conn.Write(c.text(t)); err != nil {
@@ -192,7 +192,7 @@
 				fresh = true // the relay closed it between two requests
 				continue
 			}
-			return unheard(eventlog.CauseUnsent)
+			return unheard(eventlog.CauseNotSent)
 		}
 		res, err := http.ReadResponse(conn.r, nil)
 		if err == nil {
@@ -214,7 +214,7 @@
 		if x, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && x > 0 && x < 1e6 {
 			advice = time.Duration(x * float64(time.Second))
 		}
-		c.rec.Add(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: c.relay, Status: res.StatusCode, Wait: advice})
+		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: c.relay, Status: res.StatusCode, RetryAfter: advice})
 		if res.StatusCode >= 300 {
 			c.world.Settle(t.ID)
 		}
--- a/internal/testkit/fake/host.go
+++ b/internal/testkit/fake/host.go
@@ -89,7 +89,7 @@
 	for _, p := range h.ports {
 		p.hold()
 	}
-	h.world.rec.Add(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
+	h.world.rec.Add(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Dest})
 }
 
 // down has the host's process die: connections are reset, and new ones refused.
@@ -252,25 +252,25 @@
 		if err == nil {
 			body, err = io.ReadAll(io.LimitReader(req.Body, 16*bodyMost))
 		}
-		e := eventlog.Event{Call: n, Relay: c.relay, Host: c.host.ID, Dest: c.host.Dest, First: first}
+		e := eventlog.Event{Call: n, Relay: c.relay, Host: c.host.ID, Destination: c.host.Dest, FirstByteAt: first}
 		if err != nil {
 			if !c.ended { // what is cut short is no fault of its form
 				w.rec.Add(
 					eventlog.Event{
-						Kind:  eventlog.Fault,
+						Kind:  eventlog.RunInvalid,
 						Relay: c.relay,
 						Host:  c.host.ID,
 						Cause: fmt.Sprintf("unreadable call: %v", err),
 					},
 				)
 			}
-			e.Kind = eventlog.Broken
+			e.Kind = eventlog.CallTruncated
 			w.rec.Add(e)
 			return
 		}
 		r := request{call: n}
 		r.parse(req, body)
-		e.Kind, e.IDs, e.Weight = eventlog.Call, r.ids, c.host.place.CallWeight(len(r.ids))
+		e.Kind, e.IDs, e.Weight = eventlog.CallReceived, r.ids, c.host.place.CallWeight(len(r.ids))
 		r.at = w.rec.Add(e)
 		select {
 		case reqs <- r:
@@ -337,7 +337,7 @@
 		}()
 	}
 	ended := func(by string) bool {
-		w.rec.Add(eventlog.Event{Kind: eventlog.Ended, Call: r.call, Relay: c.relay, Host: c.host.ID, Cause: by})
+		w.rec.Add(eventlog.Event{Kind: eventlog.CallAborted, Call: r.call, Relay: c.relay, Host: c.host.ID, Cause: by})
 		return false
 	}
 	var due <-chan time.Time
@@ -371,7 +371,7 @@
 		return ended(eventlog.CauseHost)
 	}
 	w.rec.Add(eventlog.Event{
-		Kind: eventlog.Reply, Call: r.call, Relay: c.relay, Host: c.host.ID, Status: a.status, Wait: a.wait, States: a.states,
+		Kind: eventlog.CallAnswered, Call: r.call, Relay: c.relay, Host: c.host.ID, Status: a.status, RetryAfter: a.wait, States: a.states,
 	})
 	_, err := io.WriteString(c, a.text(r))
 	return err == nil
@@ -408,7 +408,7 @@
 	w := c.host.world
 	fault := func(status int, format string, args ...any) reply {
 		w.rec.Add(
-			eventlog.Event{Kind: eventlog.Fault, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf(format, args...)},
+			eventlog.Event{Kind: eventlog.RunInvalid, Relay: c.relay, Host: c.host.ID, Cause: fmt.Sprintf(format, args...)},
 		)
 		return reply{status: status}
 	}
@@ -450,7 +450,7 @@
 	fate := c.host.place.HandleCall(w.rec.Now(), c.host.ID, live)
 	if fate.CausedOverload {
 		hosts := w.placeHosts(c.host.Place)
-		w.rec.Add(eventlog.Event{Kind: eventlog.Fell, Place: c.host.Place, Dest: c.host.Dest, Hosts: hostIDs(hosts)})
+		w.rec.Add(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: c.host.Place, Destination: c.host.Dest, Hosts: hostIDs(hosts)})
 		w.able(c.host.place, 0, 0)
 	}
 	a := reply{after: fate.Latency, wait: fate.RetryAfter.Round(time.Millisecond), lost: fate.ResponseLost, slot: true}
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -148,9 +148,9 @@
 	if res := r.ask(c, callText("m2")); res.StatusCode != 200 { // on the same connection
 		t.Errorf("status %d", res.StatusCode)
 	}
-	call := r.seen(eventlog.Call, func(e eventlog.Event) bool { return slices.Equal(e.IDs, []string{"m2"}) })
-	reply := r.seen(eventlog.Reply, func(e eventlog.Event) bool { return e.Call == call.Call })
-	if call.Relay != "r1" || call.Host != r.first().ID || call.First > call.At ||
+	call := r.seen(eventlog.CallReceived, func(e eventlog.Event) bool { return slices.Equal(e.IDs, []string{"m2"}) })
+	reply := r.seen(eventlog.CallAnswered, func(e eventlog.Event) bool { return e.Call == call.Call })
+	if call.Relay != "r1" || call.Host != r.first().ID || call.FirstByteAt > call.At ||
 		reply.At-call.At < 9*time.Millisecond ||
 		reply.Status != 200 {
 		t.Errorf("%+v %+v", call, reply)
@@ -230,8 +230,8 @@
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	call := r.seen(eventlog.Call, nil)
-	if e := r.seen(eventlog.Ended, nil); e.Call != call.Call || e.Cause != eventlog.CauseHost {
+	call := r.seen(eventlog.CallReceived, nil)
+	if e := r.seen(eventlog.CallAborted, nil); e.Call != call.Call || e.Cause != eventlog.CauseHost {
 		t.Errorf("%+v", e)
 	}
 	must(r.Lose(r.first().Place, 0))
@@ -283,7 +283,7 @@
 		c := r.dial(r.first().Addr("r1"))
 		io.WriteString(c, callText(id))
 		conns = append(conns, c)
-		r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.IDs[0] == id })
+		r.seen(eventlog.CallReceived, func(e eventlog.Event) bool { return e.IDs[0] == id })
 	}
 	r.handIn("more")
 	if res := r.ask(r.dial(r.first().Addr("r1")), callText("more")); res.StatusCode != 503 ||
@@ -291,10 +291,10 @@
 		t.Errorf("beyond the slots: %d %v", res.StatusCode, res.Header)
 	}
 	conns[0].Close()
-	r.seen(eventlog.Ended, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseRelay })
+	r.seen(eventlog.CallAborted, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseRelay })
 	c := r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("more"))
-	r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.IDs[0] == "more" && e.Call == 6 })
+	r.seen(eventlog.CallReceived, func(e eventlog.Event) bool { return e.IDs[0] == "more" && e.Call == 6 })
 	c.SetDeadline(time.Now().Add(60 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a silent host: %v", err)
@@ -308,17 +308,17 @@
 	c := r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("m1")[:50])
 	c.Close()
-	if e := r.seen(eventlog.Broken, nil); len(e.IDs) > 0 {
+	if e := r.seen(eventlog.CallTruncated, nil); len(e.IDs) > 0 {
 		t.Errorf("%+v", e)
 	}
 	c = r.dial(r.first().Addr("r1"))
 	io.WriteString(c, callText("m2"))
 	c.(*net.TCPConn).CloseWrite()
-	if e := r.seen(eventlog.Ended, nil); e.Cause != eventlog.CauseRelay {
+	if e := r.seen(eventlog.CallAborted, nil); e.Cause != eventlog.CauseRelay {
 		t.Errorf("%+v", e)
 	}
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == eventlog.Call && e.IDs[0] == "m1" || e.Kind == eventlog.Fault {
+		if e.Kind == eventlog.CallReceived && e.IDs[0] == "m1" || e.Kind == eventlog.RunInvalid {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -329,7 +329,7 @@
 	addr := r.first().Addr("r1")
 	open := r.dial(addr)
 	io.WriteString(open, "P") // it is accepted by now, or will be
-	r.seen(eventlog.Able, nil)
+	r.seen(eventlog.CapacityChanged, nil)
 	if err := r.Outage("d1", scenario.OpDown, 0, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -346,7 +346,7 @@
 	if res := r.ask(r.dial(addr), callText("m")); res.StatusCode != 200 {
 		t.Errorf("back: %d", res.StatusCode)
 	}
-	out, back := r.seen(eventlog.Outage, nil), r.seen(eventlog.Back, nil)
+	out, back := r.seen(eventlog.OutageStarted, nil), r.seen(eventlog.OutageEnded, nil)
 	if out.Place != "d1" || out.Cause != "down" || len(out.Hosts) != 2 || back.Rate != 400 || back.Share != 0.2 ||
 		back.For != 12*time.Second {
 		t.Errorf("%+v %+v", out, back)
@@ -386,7 +386,7 @@
 		t.Errorf("after: %d", res.StatusCode)
 	}
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == eventlog.Call && e.IDs[0] == "meanwhile" {
+		if e.Kind == eventlog.CallReceived && e.IDs[0] == "meanwhile" {
 			t.Error("a call reached a machine that is cut off")
 		}
 	}
@@ -413,7 +413,7 @@
 	if res := r.ask(r.dial(addr), callText("m")); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	r.seen(eventlog.Call, func(e eventlog.Event) bool { return e.Host == "s-new" })
+	r.seen(eventlog.CallReceived, func(e eventlog.Event) bool { return e.Host == "s-new" })
 }
 
 // A reserved address refuses connections, is found by nobody who asks for any, and serves who asks for it.
@@ -502,13 +502,13 @@
 		t.Errorf("%+v", m)
 	}
 	// A line counts as told once the agent has written it, which may be after a client has read it.
-	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.Host == "s-2" })
+	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Host == "s-2" })
 	a.Hush(true)
 	a.Tell(Member{ID: "s-1", State: eventlog.StateDraining})
 	told := func(state string) bool {
 		return slices.ContainsFunc(
 			r.rec.Snapshot(),
-			func(e eventlog.Event) bool { return e.Kind == eventlog.Told && e.State == state },
+			func(e eventlog.Event) bool { return e.Kind == eventlog.RelayNotified && e.State == state },
 		)
 	}
 	if told(eventlog.StateDraining) || a.Known().Version != 2 {
@@ -522,13 +522,13 @@
 	if m := late(); m.Full || m.Version != 3 || len(m.Servers) != 2 {
 		t.Errorf("a watch from version 1: %+v", m)
 	}
-	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.State == eventlog.StateDraining })
+	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.State == eventlog.StateDraining })
 	if m := watch(t, a, 99)(); !m.Full || m.Version != 3 {
 		t.Errorf("a watch from a version that is not: %+v", m)
 	}
 	a.Tell(Member{ID: "s-1", State: eventlog.StateGone})
 	next()
-	r.seen(eventlog.Told, func(e eventlog.Event) bool { return e.State == eventlog.StateGone })
+	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.State == eventlog.StateGone })
 	if k := a.Known(); k.Version != 4 || len(k.Servers) != 1 || k.Servers[0].ID != "s-2" {
 		t.Errorf("known: %+v", k)
 	}
@@ -551,8 +551,8 @@
 	if s := post("{\"id\":\"m1\",\"status\":\"undeliverable\"}\n{\"id\":\"m2\",\"status\":\"deferred\",\"again_ms\":500}\n"); s != 204 {
 		t.Errorf("status %d", s)
 	}
-	if e := r.seen(eventlog.Notice, func(e eventlog.Event) bool { return e.ID == "m2" }); e.State != eventlog.Deferred ||
-		e.Wait != 500*time.Millisecond {
+	if e := r.seen(eventlog.MessageNotice, func(e eventlog.Event) bool { return e.ID == "m2" }); e.State != eventlog.StateDeferred ||
+		e.RetryAfter != 500*time.Millisecond {
 		t.Errorf("%+v", e)
 	}
 	if r.Owed() != 0 {
@@ -561,7 +561,7 @@
 	if s := post("{\"id\":\"m1\",\"status\":\"lost\"}"); s != 400 {
 		t.Errorf("status %d", s)
 	}
-	r.seen(eventlog.Fault, nil)
+	r.seen(eventlog.RunInvalid, nil)
 }
 
 // relayStub answers what clients hand in.
@@ -607,7 +607,7 @@
 	c.HandIn(context.Background(), a, 0)
 	c.Wait()
 	for _, e := range r.rec.Snapshot() {
-		if e.Kind == eventlog.Offer || e.Kind == eventlog.Heard || e.Kind == eventlog.Unheard {
+		if e.Kind == eventlog.MessageSubmitted || e.Kind == eventlog.SubmissionAnswered || e.Kind == eventlog.SubmissionUnanswered {
 			events = append(events, e)
 		}
 	}
@@ -632,7 +632,7 @@
 	if got := kinds(events); got != "offer 0 ,heard 503 ,offer 0 ,heard 503 ," {
 		t.Errorf("%s", got)
 	}
-	if events[2].Origin != "m" || events[2].ID == "m" || events[2].At-events[1].At < 50*time.Millisecond ||
+	if events[2].FirstID != "m" || events[2].ID == "m" || events[2].At-events[1].At < 50*time.Millisecond ||
 		marks[1] != "1" {
 		t.Errorf("%+v %v", events[2], marks)
 	}
@@ -685,9 +685,9 @@
 	c := newClients(r, addr)
 	c.Takes(false)
 	c.HandIn(context.Background(), scenario.Arrival{ID: "m", Dest: 1, Body: 10}, 0)
-	r.seen(eventlog.Unheard, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseUnsent })
+	r.seen(eventlog.SubmissionUnanswered, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseNotSent })
 	c.Takes(true)
-	r.seen(eventlog.Heard, nil)
+	r.seen(eventlog.SubmissionAnswered, nil)
 	c.Wait()
 }
 
--- a/internal/testkit/fake/world.go
+++ b/internal/testkit/fake/world.go
@@ -109,7 +109,7 @@
 		rate = 0
 	}
 	for _, h := range w.placeHosts(p.name) {
-		w.rec.Add(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: p.dest, Rate: rate, Share: share, For: warm})
+		w.rec.Add(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.dest, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -142,7 +142,7 @@
 		p.outage = op.Cause()
 		hosts = w.placeHosts(name)
 		w.rec.Add(
-			eventlog.Event{Kind: eventlog.Outage, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Cause: p.outage},
+			eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.dest, Hosts: hostIDs(hosts), Cause: p.outage},
 		)
 		w.able(p, 1, 0)
 		switch op {
@@ -184,7 +184,7 @@
 		}
 		cold := p.Recover(w.rec.Now())
 		w.rec.Add(eventlog.Event{
-			Kind: eventlog.Back, Place: name, Dest: p.dest, Hosts: hostIDs(hosts), Rate: cold.FullCapacity, Share: cold.InitialCapacity, For: cold.Duration,
+			Kind: eventlog.OutageEnded, Place: name, Destination: p.dest, Hosts: hostIDs(hosts), Rate: cold.FullCapacity, Share: cold.InitialCapacity, For: cold.Duration,
 		})
 		w.able(p, cold.InitialCapacity, cold.Duration)
 	}); err != nil {
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -124,10 +124,10 @@
 	case scenario.OpLinkRate:
 		f.Rate = int(step.X)
 	case scenario.OpLinkSound:
-		state = eventlog.LinkSound
+		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(step.Target)
-	s.rec.Add(eventlog.Event{Kind: eventlog.Link, Relay: from, Name: to, State: state, Cause: string(step.Op)})
+	s.rec.Add(eventlog.Event{Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state, Cause: string(step.Op)})
 	return l.Set(f)
 }
 
@@ -139,7 +139,7 @@
 	if !on {
 		sig, state = syscall.SIGCONT, eventlog.StateCont
 	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
+	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
 	if err := r.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("rehearsal: %v to %s: %w", sig, r.name, err)
 	}
@@ -196,7 +196,7 @@
 		}
 		for _, m := range st.Members {
 			s.rec.Add(eventlog.Event{
-				Kind: eventlog.Belief, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Late: took, Status: int(m.Incarnation.Generation),
+				Kind: eventlog.PeerView, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Delay: took, Status: int(m.Incarnation.Generation),
 			})
 		}
 	}
--- a/internal/testkit/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -54,7 +54,7 @@
 	}
 	lives := map[string]int{}
 	for _, e := range r.Events {
-		if e.Kind == eventlog.Belief {
+		if e.Kind == eventlog.PeerView {
 			lives[e.Name] = max(lives[e.Name], e.Status)
 		}
 	}
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -100,13 +100,13 @@
 	}
 	defer out.Close()
 	header := file.Header(plan.Seed)
-	header.Plan = plan.Digest()
+	header.PlanDigest = plan.Digest()
 	began := time.Now()
 	rec, err := eventlog.NewWriter(out, began, header)
 	if err != nil {
 		return Result{}, err
 	}
-	header.Format, header.Began = eventlog.Format, began.Round(0)
+	header.Format, header.StartedAt = eventlog.FormatVersion, began.Round(0)
 	s := &stage{
 		plan: plan, opts: opts, rec: rec, world: fake.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]fake.Member{},
 		delays: rand.New(
@@ -312,7 +312,7 @@
 	if e.Place == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	s.rec.Add(eventlog.Event{Kind: eventlog.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
+	s.rec.Add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Dest, Zone: e.Zone, Place: place, State: state})
 }
 
 // takeDown ends the relays, in order if the rehearsal went well, and the stand-ins.
@@ -405,7 +405,7 @@
 		now := time.Now()
 		monotonic, wall := now.Sub(was), now.Round(0).Sub(was.Round(0))
 		if step := wall - monotonic; step.Abs() > clockStep {
-			s.rec.Add(eventlog.Event{Kind: eventlog.Clock, For: step})
+			s.rec.Add(eventlog.Event{Kind: eventlog.ClockStepped, For: step})
 		}
 	}
 }
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -254,7 +254,7 @@
 	}
 	calls := map[string]int{}
 	for _, e := range r.Events {
-		if e.Kind == eventlog.Call {
+		if e.Kind == eventlog.CallReceived {
 			calls[e.Host]++
 		}
 	}
@@ -301,7 +301,7 @@
 	// While discovery is down nothing is told; what it had meanwhile is told when it is back.
 	told := 0
 	for _, e := range r.Events {
-		if e.Kind == eventlog.Told && e.At > time.Second+500*time.Millisecond {
+		if e.Kind == eventlog.RelayNotified && e.At > time.Second+500*time.Millisecond {
 			if told++; e.At < 3900*time.Millisecond {
 				t.Errorf("told at %v: %+v", e.At, e)
 			}
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -175,7 +175,7 @@
 	}
 	cmd.SysProcAttr = childAttr()
 	r.agent.Running(true)
-	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateStart})
+	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateStart})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: start %s: %w", r.name, err)
 	}
@@ -191,7 +191,7 @@
 		r.agent.Running(false)
 		r.rec.Add(
 			eventlog.Event{
-				Kind:   eventlog.Process,
+				Kind:   eventlog.ProcessChanged,
 				Relay:  r.name,
 				State:  eventlog.StateExit,
 				Status: cmd.ProcessState.ExitCode(),
@@ -204,7 +204,7 @@
 		r.kill()
 		return err
 	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateUp})
+	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateUp})
 	r.clients.Takes(true)
 	return nil
 }
@@ -257,7 +257,7 @@
 	if r.cmd == nil {
 		return
 	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: state})
+	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
 	r.cmd.Process.Signal(s) // it may have ended already
 }
 
@@ -321,7 +321,7 @@
 	if err := r.writeConfig(); err != nil {
 		return err
 	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.Process, Relay: r.name, State: eventlog.StateHUP})
+	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateHUP})
 	if err := r.cmd.Process.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("rehearsal: SIGHUP to %s: %w", r.name, err)
 	}
--- a/internal/testkit/rehearsal/steps.go
+++ b/internal/testkit/rehearsal/steps.go
@@ -74,7 +74,7 @@
 		s.on = slices.DeleteFunc(s.on, func(name string) bool { return name == step.Target })
 	}
 	s.mu.Unlock()
-	s.rec.Add(eventlog.Event{Kind: eventlog.Trouble, Name: step.Target, State: state, Cause: step.Note})
+	s.rec.Add(eventlog.Event{Kind: eventlog.FaultChanged, Name: step.Target, State: state, Cause: step.Note})
 }
 
 func (s *stage) endpoint(id string) scenario.Endpoint {
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -18,24 +18,24 @@
 const hostsMost = 60 // that have a plot of their own
 
 func newTimeline(h eventlog.Header, events []eventlog.Event) *chart.Timeline {
-	length := h.Length
+	length := h.Duration
 	if n := len(events); n > 0 {
 		length = max(length, events[n-1].At)
 	}
 	t := chart.NewTimeline(length)
 	for _, e := range events {
 		switch {
-		case e.Kind == eventlog.Trouble && e.State == eventlog.StateBegin:
+		case e.Kind == eventlog.FaultChanged && e.State == eventlog.StateBegin:
 			t.Shades = append(t.Shades, chart.Shade{Name: e.Name, From: e.At, To: t.Length})
-		case e.Kind == eventlog.Trouble:
+		case e.Kind == eventlog.FaultChanged:
 			for i := range t.Shades {
 				if t.Shades[i].Name == e.Name {
 					t.Shades[i].To = e.At
 				}
 			}
-		case e.Kind == eventlog.Process && (e.State == eventlog.StateTerm || e.State == eventlog.StateKill || e.State == eventlog.StateUp) && e.At < h.Length:
+		case e.Kind == eventlog.ProcessChanged && (e.State == eventlog.StateTerm || e.State == eventlog.StateKill || e.State == eventlog.StateUp) && e.At < h.Duration:
 			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
-		case e.Kind == eventlog.Fell:
+		case e.Kind == eventlog.ServiceOverloaded:
 			t.Marks = append(t.Marks, chart.Mark{At: e.At, Text: e.Place + " fell over"})
 		}
 	}
@@ -122,10 +122,10 @@
 	for _, e := range events {
 		per := 1 / t.Bin.Seconds()
 		switch e.Kind {
-		case eventlog.Call:
+		case eventlog.CallReceived:
 			at[e.Call] = t.At(e.At)
 			s[3].Values[at[e.Call]] += per // until it has one
-		case eventlog.Reply:
+		case eventlog.CallAnswered:
 			i, ok := at[e.Call]
 			if !ok {
 				continue
@@ -163,16 +163,16 @@
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case eventlog.Able:
+		case eventlog.CapacityChanged:
 			h := hosts[e.Host]
 			if h == nil {
-				h = &host{id: e.Host, dest: e.Dest, got: t.Zeros(), able: t.Zeros()}
+				h = &host{id: e.Host, dest: e.Destination, got: t.Zeros(), able: t.Zeros()}
 				hosts[e.Host] = h
 				order = append(order, h)
 			}
 			fill(h, t.At(e.At))
 			h.now = upstream.WarmUp{StartedAt: e.At, FullCapacity: e.Rate, InitialCapacity: e.Share, Duration: e.For}
-		case eventlog.Call:
+		case eventlog.CallReceived:
 			if h := hosts[e.Host]; h != nil {
 				h.got[t.At(e.At)] += 1 / t.Bin.Seconds()
 			}
@@ -259,7 +259,7 @@
 ` + chart.Style + `
 </style>
 <h1>{{.Run.Scenario}}</h1>
-<p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.Plan}}, {{.Run.Length}}, relays {{range .Run.Relays}}{{.}} {{end}}.</p>
+<p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.PlanDigest}}, {{.Run.Duration}}, relays {{range .Run.Relays}}{{.}} {{end}}.</p>
 <table><tr><th>rule<th><th>occasions<th>breaks</tr>
 {{range .Findings}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.Count}}</tr>
 {{end}}</table>
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -21,26 +21,26 @@
 // run is a small run in which a relay sends to a host that drains, during a trouble with a name that needs escaping.
 func run() (eventlog.Header, []eventlog.Event, checker.Verdict) {
 	h := eventlog.Header{
-		Format: eventlog.Format, Scenario: "small <b>", Seed: 3, Plan: "abc", Length: 10 * second, Relays: []string{"r1"},
-		Rules: eventlog.Rules{DrainGrace: second, FallMultiple: 2, FallWindow: 3 * second, MayDuplicate: true},
+		Format: eventlog.FormatVersion, Scenario: "small <b>", Seed: 3, PlanDigest: "abc", Duration: 10 * second, Relays: []string{"r1"},
+		Rules: eventlog.Rules{DrainGrace: second, OverloadFactor: 2, OverloadWindow: 3 * second, DuplicatesAllowed: true},
 		Classes: []eventlog.Class{
-			{Name: "order", Effect: eventlog.Safe, Aim: 3 * second, GiveUp: 8 * second, Worth: 1},
+			{Name: "order", Effect: eventlog.Idempotent, LatencyObjective: 3 * second, Deadline: 8 * second, Weight: 1},
 		}, Customers: []eventlog.Customer{{Name: "acme"}},
 	}
 	events := []eventlog.Event{
-		{Kind: eventlog.Change, Host: "s-1", Dest: 1, Zone: "a", State: eventlog.StateReady},
-		{Kind: eventlog.Able, Host: "s-1", Dest: 1, Rate: 10, Share: 1},
-		{Kind: eventlog.Process, Relay: "r1", State: eventlog.StateStart},
-		{Kind: eventlog.Process, Relay: "r1", State: eventlog.StateUp},
-		{At: second, Kind: eventlog.Trouble, Name: "drain<&>", State: eventlog.StateBegin},
-		{At: second, Kind: eventlog.Told, Relay: "r1", Host: "s-1", State: eventlog.StateDraining, Dest: 1},
-		{At: 2 * second, Kind: eventlog.Offer, ID: "m", Origin: "m", Relay: "r1", Dest: 1, For: 8 * second},
-		{At: 2 * second, Kind: eventlog.Heard, ID: "m", Relay: "r1", Status: 202},
-		{At: 3 * second, First: 3 * second, Kind: eventlog.Call, Call: 1, Relay: "r1", Host: "s-1", IDs: []string{"m"}},
-		{At: 4 * second, Kind: eventlog.Reply, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
-		{At: 5 * second, Kind: eventlog.Trouble, Name: "drain<&>", State: eventlog.StateEnd},
-		{At: 6 * second, Kind: eventlog.Process, Relay: "r1", State: eventlog.StateKill},
-		{At: 12 * second, Kind: eventlog.End},
+		{Kind: eventlog.EndpointChanged, Host: "s-1", Destination: 1, Zone: "a", State: eventlog.StateReady},
+		{Kind: eventlog.CapacityChanged, Host: "s-1", Destination: 1, Rate: 10, Share: 1},
+		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateStart},
+		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateUp},
+		{At: second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateBegin},
+		{At: second, Kind: eventlog.RelayNotified, Relay: "r1", Host: "s-1", State: eventlog.StateDraining, Destination: 1},
+		{At: 2 * second, Kind: eventlog.MessageSubmitted, ID: "m", FirstID: "m", Relay: "r1", Destination: 1, For: 8 * second},
+		{At: 2 * second, Kind: eventlog.SubmissionAnswered, ID: "m", Relay: "r1", Status: 202},
+		{At: 3 * second, FirstByteAt: 3 * second, Kind: eventlog.CallReceived, Call: 1, Relay: "r1", Host: "s-1", IDs: []string{"m"}},
+		{At: 4 * second, Kind: eventlog.CallAnswered, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
+		{At: 5 * second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateEnd},
+		{At: 6 * second, Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateKill},
+		{At: 12 * second, Kind: eventlog.RunEnded},
 	}
 	return h, events, checker.Judge(h, events)
 }
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -27,8 +27,8 @@
 		"scenario %s, seed %d, plan %s, %v, %d relays\n\n",
 		h.Scenario,
 		h.Seed,
-		h.Plan,
-		h.Length,
+		h.PlanDigest,
+		h.Duration,
 		len(h.Relays),
 	)
 	for _, f := range v.Findings {
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -107,7 +107,7 @@
 	case OpFail:
 		return eventlog.OutageFailing
 	case OpShut:
-		return eventlog.OutageShut
+		return eventlog.OutageSuspended
 	case OpMute:
 		return eventlog.OutageSilent
 	case OpDown, OpCut:
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -780,10 +780,10 @@
 func (f *File) Header(seed uint64) eventlog.Header {
 	s := f.Settings
 	h := eventlog.Header{
-		Scenario: f.Name, Seed: seed, Length: f.Length.D(),
+		Scenario: f.Name, Seed: seed, Duration: f.Length.D(),
 		Rules: eventlog.Rules{
-			DrainGrace: s.DrainGrace.D(), FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OrderPause: s.OrderPause.D(),
-			MayDuplicate: *s.MayDuplicate, OverShareWorth: *s.OverShareWorth,
+			DrainGrace: s.DrainGrace.D(), OverloadFactor: s.FallMultiple, OverloadWindow: s.FallWindow.D(), OrderingPause: s.OrderPause.D(),
+			DuplicatesAllowed: *s.MayDuplicate, OverShareWeightRatio: *s.OverShareWorth,
 		},
 	}
 	for i := range f.Relays {
@@ -791,12 +791,12 @@
 	}
 	for _, c := range f.Classes {
 		h.Classes = append(h.Classes, eventlog.Class{
-			Name: c.Name, Effect: eventlog.Effect(c.Effect), GroupAll: c.Group == "all", Window: c.Window.D(), Ordered: c.Order,
-			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Worth: c.Worth, LateWorth: c.LateWorth,
+			Name: c.Name, Effect: eventlog.Effect(c.Effect), DedupAcrossZones: c.Group == "all", DedupWindow: c.Window.D(), Ordered: c.Order,
+			LatencyObjective: c.Aim.D(), Deadline: c.GiveUp.D(), Weight: c.Worth, LateWeightRatio: c.LateWorth,
 		})
 	}
 	for _, c := range f.Customers {
-		h.Customers = append(h.Customers, eventlog.Customer{Name: c.Name, Quota: c.Quota})
+		h.Customers = append(h.Customers, eventlog.Customer{Name: c.Name, RateShare: c.Quota})
 	}
 	return h
 }
