--- a/internal/testkit/eventlog/record_test.go
+++ b/internal/testkit/eventlog/eventlog_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"reflect"
 	"strings"
 	"sync"
@@ -9,14 +10,12 @@
 	"time"
 )
 
+// write returns the file and the events of a record with the events that add adds.
 func write(t *testing.T, add func(*Writer)) (*bytes.Buffer, []Event) {
 	t.Helper()
 	var file bytes.Buffer
-	w, err := NewWriter(
-		&file,
-		time.Now(),
-		Header{Scenario: "s", Seed: 7, Classes: []Class{{Name: "order", Effect: IdempotentByKey}}},
-	)
+	header := Header{Scenario: "s", Seed: 7, Classes: []Class{{Name: "order", Effect: IdempotentByKey}}}
+	w, err := NewWriter(&file, time.Now(), header)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,40 +27,40 @@
 	return &file, events
 }
 
-func TestReadsBackWhatWasWritten(t *testing.T) {
+func TestReadReturnsWhatWasWritten(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
 		w.Add(Event{Kind: MessageSubmitted, ID: "a", For: time.Second})
 		w.Add(Event{Kind: CallReceived, Call: 3, IDs: []string{"a", "b"}, FirstByteAt: 5})
 	})
-	h, got, err := Read(file)
-	if err != nil || h.Scenario != "s" || h.Format != FormatVersion || !reflect.DeepEqual(got, events) {
-		t.Errorf("%+v %+v, %v; want %+v", h, got, err, events)
+	header, got, err := Read(file)
+	if err != nil || header.Scenario != "s" || header.Format != FormatVersion || !reflect.DeepEqual(got, events) {
+		t.Errorf("%+v %+v, %v; want %+v", header, got, err, events)
 	}
 	if last := got[len(got)-1]; last.Kind != RunEnded {
 		t.Errorf("ends with %v", last)
 	}
 }
 
-// Whoever adds an event, the file is in the order of its times: the judge counts on it.
-func TestConcurrentWritersKeepTheOrder(t *testing.T) {
+// The file is in the order of the events' times also with concurrent writers: the checker relies on it.
+func TestConcurrentWritersKeepOrder(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
-		var all sync.WaitGroup
+		var writers sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			writers.Go(func() {
 				for range 200 {
 					w.Add(Event{Kind: RelayNotified})
 				}
 			})
 		}
-		all.Wait()
+		writers.Wait()
 	})
 	if _, got, err := Read(file); err != nil || len(got) != 1601 || len(events) != 1601 {
 		t.Errorf("%d events, %v", len(got), err)
 	}
 }
 
-// A run that was killed leaves a file that ends anywhere. All of its whole lines count.
-func TestAFileCutAnywhereReadsUpToThere(t *testing.T) {
+// A run that was killed leaves a file that ends anywhere. All of its complete lines are read.
+func TestReadOfATruncatedFile(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
 		for range 3 {
 			w.Add(Event{Kind: MessageNotice, ID: "x"})
@@ -73,7 +72,7 @@
 		_, got, err := Read(bytes.NewReader(data[:n]))
 		if n < header {
 			if err == nil {
-				t.Fatalf("no error for %d bytes, not a whole header", n)
+				t.Fatalf("no error for %d bytes, not a complete header", n)
 			}
 			continue
 		}
@@ -84,24 +83,28 @@
 	}
 }
 
-func TestBadFilesAreNamed(t *testing.T) {
+func TestReadNamesInvalidLines(t *testing.T) {
 	file, _ := write(t, func(w *Writer) { w.Add(Event{Kind: RelayNotified}) })
 	good := file.String()
 	header, rest, _ := strings.Cut(good, "\n")
-	for _, c := range []struct{ text, want string }{
-		{"", "no header"},
-		{"{}\n", "format 0"},
-		{"nonsense\n", "header"},
-		{header + "\n{\"at\":1}\n{\"at\":\n" + rest, "line 3"},
-		{header + "\n{\"at\":9}\n{\"at\":8}\n", "line 3: event at 8ns after one at 9ns"},
-	} {
-		if _, _, err := Read(strings.NewReader(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.40q: %v, want %q", c.text, err, c.want)
-		}
+	cases := []struct{ name, text, want string }{
+		{"empty file", "", "no header"},
+		{"header without a format", "{}\n", "format 0"},
+		{"header that is not JSON", "nonsense\n", "header"},
+		{"event that is not JSON", header + "\n{\"at\":1}\n{\"at\":\n" + rest, "line 3"},
+		{"events out of order", header + "\n{\"at\":9}\n{\"at\":8}\n", "line 3: event at 8ns after one at 9ns"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			_, _, err := Read(strings.NewReader(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%.40q: %v, want %q", c.text, err, c.want)
+			}
+		})
 	}
 }
 
-func TestARunawayRunIsBounded(t *testing.T) {
+func TestEventsOfARunAreBounded(t *testing.T) {
 	var file bytes.Buffer
 	w, err := NewWriter(&file, time.Now(), Header{})
 	if err != nil {
@@ -111,7 +114,7 @@
 	for range 5 {
 		w.Add(Event{Kind: RelayNotified})
 	}
-	if events, err := w.Close(""); err != ErrTooManyEvents || len(events) != 3 {
+	if events, err := w.Close(""); !errors.Is(err, ErrTooManyEvents) || len(events) != 3 {
 		t.Errorf("%d events, %v", len(events), err)
 	}
 }
--- a/internal/testkit/eventlog/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -14,17 +14,62 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 var allKinds = []Kind{
-	MessageSubmitted, SubmissionAnswered, SubmissionUnanswered, CallReceived, CallTruncated, CallAnswered, CallAborted, EndpointChanged, RelayNotified, MessageNotice, ProcessChanged, OutageStarted, OutageEnded, ServiceOverloaded, CapacityChanged, FaultChanged, ClockStepped, LinkChanged, PeerView, RunInvalid,
+	MessageSubmitted,
+	SubmissionAnswered,
+	SubmissionUnanswered,
+	CallReceived,
+	CallTruncated,
+	CallAnswered,
+	CallAborted,
+	EndpointChanged,
+	RelayNotified,
+	MessageNotice,
+	ProcessChanged,
+	OutageStarted,
+	OutageEnded,
+	ServiceOverloaded,
+	CapacityChanged,
+	FaultChanged,
+	ClockStepped,
+	LinkChanged,
+	PeerView,
+	RunInvalid,
 }
 
 var allWords = []string{
-	CauseTimeout, CauseClosed, CauseNotSent, CauseRelay, CauseHost, OutageFailing, OutageSuspended, OutageSilent, OutageDown, StateReady,
-	StateDraining, StateGone, StateStart, StateUp, StateTerm, StateKill, StateExit, StateHUP, StateStop, StateCont, LinkHealthy, LinkCut,
-	LinkFaulty, StateBegin, StateEnd, StateUndeliverable, StateDeferred, string(Idempotent), string(IdempotentByKey), string(NonIdempotent),
+	CauseTimeout,
+	CauseClosed,
+	CauseNotSent,
+	CauseRelay,
+	CauseHost,
+	OutageFailing,
+	OutageSuspended,
+	OutageSilent,
+	OutageDown,
+	StateReady,
+	StateDraining,
+	StateGone,
+	StateStart,
+	StateUp,
+	StateTerm,
+	StateKill,
+	StateExit,
+	StateHUP,
+	StateStop,
+	StateCont,
+	LinkHealthy,
+	LinkCut,
+	LinkFaulty,
+	StateBegin,
+	StateEnd,
+	StateUndeliverable,
+	StateDeferred,
+	string(Idempotent),
+	string(IdempotentByKey),
+	string(NonIdempotent),
 }
 
-// A record with every field set and every kind of event has the bytes that earlier builds wrote, and is read as the
-// same.
+// A record with every field set and every kind of event has the bytes that earlier builds wrote, and reads back equal.
 func TestGoldenRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // its clock begins at the same time always
 		var header Header
@@ -48,8 +93,8 @@
 			t.Fatal(err)
 		}
 		header.Format, header.StartedAt = FormatVersion, began.Round(0)
-		golden := golden.Check(t, *update, "record.jsonl", file.Bytes())
-		gotHeader, gotEvents, err := Read(bytes.NewReader(golden))
+		stored := golden.Check(t, *update, "record.jsonl", file.Bytes())
+		gotHeader, gotEvents, err := Read(bytes.NewReader(stored))
 		if err != nil || !reflect.DeepEqual(gotHeader, header) || !reflect.DeepEqual(gotEvents, events) {
 			t.Errorf("%+v %+v, %v\nwant %+v %+v", gotHeader, gotEvents, err, header, events)
 		}
