--- a/internal/testkit/report/page.go
+++ b/internal/testkit/report/page.go
@@ -1,36 +1,124 @@
 package report
 
 import (
-	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
+	"html/template"
+	"io"
 
+	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// The files that Write leaves.
-const (
-	PageName = "report.html"
-	JSONName = "verdict.json"
-	TextName = "report.txt"
-)
+// pageData is what the page's template shows.
+type pageData struct {
+	Run      eventlog.Header
+	Summary  string
+	Findings []checker.Finding
+	Proofs   []string
+	Service  []serviceRow
+	Plots    []template.HTML
+}
 
-// Write writes the report of a run into its folder, in all three forms.
-func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
-	for name, write := range map[string]func(*os.File) error{
-		JSONName: func(f *os.File) error { return JSON(f, h, v) },
-		TextName: func(f *os.File) error { return Text(f, h, events, v) },
-		PageName: func(f *os.File) error { return HTML(f, h, events, v) },
-	} {
-		f, err := os.Create(filepath.Join(dir, name))
-		if err != nil {
-			return fmt.Errorf("report: %w", err)
-		}
-		if err := errors.Join(write(f), f.Close()); err != nil {
-			return fmt.Errorf("report: %s: %w", name, err)
+// serviceRow is a row of the table of the service's figures.
+type serviceRow struct{ Name, Value, Note string }
+
+// HTML writes the report of a run as one page, without scripts or references to other files.
+func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
+	return pageTemplate.Execute(w, pageData{
+		Run:      h,
+		Summary:  Summary(v),
+		Findings: v.Findings,
+		Proofs:   proofs(events, v),
+		Service:  serviceRows(v.Service),
+		Plots:    plots(newTimeline(h, events), h, events),
+	})
+}
+
+// proofs returns a text for each violation, each fault that makes the run invalid, and each rule that was not checked.
+func proofs(events []eventlog.Event, v checker.Verdict) []string {
+	var all []string
+	for _, f := range v.Findings {
+		for _, violation := range f.Breaks {
+			text := fmt.Sprintf("%v: %s", round(violation.At), violation.Text)
+			for _, i := range violation.Events[:min(maxEvidence, len(violation.Events))] {
+				text += fmt.Sprintf("\n  event %d: %s", i, eventLine(events[i]))
+			}
+			all = append(all, text)
 		}
 	}
-	return nil
+	for _, b := range v.Faults {
+		all = append(all, fmt.Sprintf("%v: VOID: %s", round(b.At), b.Text))
+	}
+	for _, doubt := range v.Doubts {
+		all = append(all, "not judged: "+doubt)
+	}
+	return all
+}
+
+func serviceRows(s checker.Service) []serviceRow {
+	return []serviceRow{
+		{
+			Name:  "whole run",
+			Value: fmt.Sprintf("%.3f", s.Whole),
+			Note: fmt.Sprintf("%d asked for: %d in full, %d in part, %d not delivered",
+				s.Offered, s.InFull, s.InPart, s.Undelivered),
+		},
+		{
+			Name:  "worst 10 s",
+			Value: fmt.Sprintf("%.3f", s.Worst10s),
+			Note:  fmt.Sprintf("from %v", s.Worst10sAt),
+		},
+		{
+			Name:  "worst-served customer",
+			Value: fmt.Sprintf("%.3f", s.Worst),
+			Note:  s.WorstCustomer + ", within its share",
+		},
+		{
+			Name:  "delivered after",
+			Value: fmt.Sprint(round(s.Median)),
+			Note:  fmt.Sprintf("in the median; %v at 95 %%, %v at 99 %%", round(s.P95), round(s.P99)),
+		},
+		{
+			Name:  "hand-ins not taken on",
+			Value: fmt.Sprint(s.Refused),
+			Note:  fmt.Sprintf("refused at the door; %d without an answer", s.Unanswered),
+		},
+		{
+			Name:  "notices",
+			Value: fmt.Sprint(s.Deferred),
+			Note:  fmt.Sprintf("deferred; %d failed", s.Failed),
+		},
+		{
+			Name:  "calls",
+			Value: fmt.Sprint(s.Calls),
+			Note: fmt.Sprintf("%d refused, %d failed, %d without an answer",
+				s.CallsFull, s.CallsFailed, s.CallsMute),
+		},
+	}
 }
+
+// pageTemplate has no script and refers to no other file, so that the page can be kept and sent by itself.
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+<html lang="en"><meta charset="utf-8"><title>{{.Run.Scenario}}: {{.Summary}}</title>
+<style>
+body { font: 14px/1.4 system-ui, sans-serif; color: #222; max-width: 980px; margin: 1.5em auto; padding: 0 1em }
+table { border-collapse: collapse; margin: .6em 0 1.2em } ` +
+	`td, th { padding: .2em .9em .2em 0; text-align: left; vertical-align: top }
+.held { color: #2e8b57 } .BROKEN { color: #c0392b; font-weight: bold } .not { color: #8a8f98 }
+pre { background: #f6f4f0; padding: .6em; white-space: pre-wrap; overflow-wrap: anywhere; font-size: 12px }
+` + chart.Style + `
+</style>
+<h1>{{.Run.Scenario}}</h1>
+<p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.PlanDigest}}, {{.Run.Duration}}, ` +
+	`relays {{range .Run.Relays}}{{.}} {{end}}.</p>
+<table><tr><th>rule<th><th>occasions<th>breaks</tr>
+{{range .Findings}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.Count}}</tr>
+{{end}}</table>
+{{range .Proofs}}<pre>{{.}}</pre>{{end}}
+<table>{{range .Service}}<tr><td>{{.Name}}<td>{{.Value}}<td>{{.Note}}</tr>
+{{end}}</table>
+<p>Troubles are shaded, restarts marked: point at either for its name.</p>
+{{range .Plots}}{{.}}
+{{end}}</html>
+`))
--- /dev/null
+++ b/internal/testkit/report/plots.go
@@ -0,0 +1,185 @@
+package report
+
+import (
+	"html/template"
+	"math"
+	"net/http"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+// newTimeline returns the time axis of a run, with its faults as shades, and restarts and overloads as marks.
+func newTimeline(h eventlog.Header, events []eventlog.Event) *chart.Timeline {
+	length := h.Duration
+	if n := len(events); n > 0 {
+		length = max(length, events[n-1].At)
+	}
+	timeline := chart.NewTimeline(length)
+	for _, e := range events {
+		switch e.Kind {
+		case eventlog.FaultChanged:
+			shadeFault(timeline, e)
+		case eventlog.ProcessChanged:
+			if isRestart(e.State) && e.At < h.Duration {
+				timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
+			}
+		case eventlog.ServiceOverloaded:
+			timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Place + " fell over"})
+		}
+	}
+	return timeline
+}
+
+// shadeFault begins the shade of a fault, or ends it.
+func shadeFault(timeline *chart.Timeline, e eventlog.Event) {
+	if e.State == eventlog.StateBegin {
+		timeline.Shades = append(timeline.Shades, chart.Shade{Name: e.Name, From: e.At, To: timeline.Length})
+		return
+	}
+	for i := range timeline.Shades {
+		if timeline.Shades[i].Name == e.Name {
+			timeline.Shades[i].To = e.At
+		}
+	}
+}
+
+// isRestart reports whether a state of a process is a part of a restart.
+func isRestart(state string) bool {
+	return state == eventlog.StateTerm || state == eventlog.StateKill || state == eventlog.StateUp
+}
+
+// plots returns the charts of a run.
+func plots(timeline *chart.Timeline, h eventlog.Header, events []eventlog.Event) []template.HTML {
+	messages := newMessageSeries(timeline, checker.Tries(h, events))
+	all := []template.HTML{
+		timeline.Draw(chart.Plot{
+			Title:  "service",
+			Unit:   "by when it was asked for",
+			Height: 150,
+			Max:    1,
+			Series: []chart.Series{
+				{Name: "worth delivered over worth asked for", Colour: chart.Green, Values: messages.service},
+			},
+		}),
+		timeline.Draw(chart.Plot{
+			Title:  "delivered after",
+			Unit:   "seconds, by when it was asked for",
+			Height: 130,
+			Series: []chart.Series{
+				{Name: "95 %", Colour: chart.Orange, Values: messages.p95},
+				{Name: "median", Colour: chart.Blue, Values: messages.median},
+			},
+		}),
+		timeline.Draw(chart.Plot{
+			Title:  "asked for",
+			Unit:   "messages a second",
+			Height: 110,
+			Series: []chart.Series{{Name: "first tries", Colour: chart.Blue, Values: messages.submitted}},
+		}),
+		timeline.Draw(chart.Plot{
+			Title:   "calls",
+			Unit:    "a second, by outcome",
+			Height:  130,
+			Stacked: true,
+			Series:  callSeries(timeline, events),
+		}),
+	}
+	return append(all, endpointPlots(timeline, events)...)
+}
+
+// messageSeries are the figures of the messages that were submitted in each bin of the timeline.
+type messageSeries struct {
+	submitted []float64 // a second
+	service   []float64 // weight delivered over weight submitted; NaN: none was submitted
+	median    []float64 // latency in seconds; NaN: no message was delivered
+	p95       []float64
+}
+
+func newMessageSeries(timeline *chart.Timeline, messages []checker.Asked) messageSeries {
+	weight := timeline.Zeros()
+	delivered := timeline.Zeros()
+	latencies := make([][]time.Duration, timeline.Bins)
+	series := messageSeries{
+		submitted: timeline.Zeros(),
+		service:   timeline.Zeros(),
+		median:    timeline.Zeros(),
+		p95:       timeline.Zeros(),
+	}
+	for _, m := range messages {
+		bin := timeline.At(m.At)
+		weight[bin] += m.Worth
+		delivered[bin] += m.Value
+		series.submitted[bin] += 1 / timeline.Bin.Seconds()
+		if m.Delivered > 0 {
+			latencies[bin] = append(latencies[bin], m.Delivered-m.At)
+		}
+	}
+	for bin := range series.service {
+		series.service[bin] = math.NaN()
+		if weight[bin] > 0 {
+			series.service[bin] = delivered[bin] / weight[bin]
+		}
+		series.median[bin], series.p95[bin] = latencyQuantiles(latencies[bin])
+	}
+	return series
+}
+
+// latencyQuantiles sorts latencies and returns their median and 95th percentile in seconds; NaN if there are none.
+func latencyQuantiles(latencies []time.Duration) (median, p95 float64) {
+	n := len(latencies)
+	if n == 0 {
+		return math.NaN(), math.NaN()
+	}
+	slices.Sort(latencies)
+	return latencies[n/2].Seconds(), latencies[min(n-1, n*95/100)].Seconds()
+}
+
+// The series of callSeries, in their order.
+const (
+	deliveredCalls = iota
+	rejectedCalls
+	failedCalls
+	unansweredCalls
+)
+
+// callSeries counts calls by outcome, at the time at which they were received.
+func callSeries(timeline *chart.Timeline, events []eventlog.Event) []chart.Series {
+	series := []chart.Series{
+		deliveredCalls:  {Name: "delivered", Colour: chart.Green, Values: timeline.Zeros()},
+		rejectedCalls:   {Name: "refused", Colour: chart.Orange, Values: timeline.Zeros()},
+		failedCalls:     {Name: "failed", Colour: chart.Red, Values: timeline.Zeros()},
+		unansweredCalls: {Name: "no answer", Colour: chart.Grey, Values: timeline.Zeros()},
+	}
+	perSecond := 1 / timeline.Bin.Seconds()
+	receivedIn := map[uint64]int{} // bins, by call
+	for _, e := range events {
+		switch e.Kind {
+		case eventlog.CallReceived:
+			bin := timeline.At(e.At)
+			receivedIn[e.Call] = bin
+			series[unansweredCalls].Values[bin] += perSecond // until it is answered
+		case eventlog.CallAnswered:
+			if bin, ok := receivedIn[e.Call]; ok {
+				series[unansweredCalls].Values[bin] -= perSecond
+				series[outcomeOf(e.Status)].Values[bin] += perSecond
+			}
+		}
+	}
+	return series
+}
+
+// outcomeOf returns the series of a call that was answered with a status.
+func outcomeOf(status int) int {
+	switch status {
+	case http.StatusOK:
+		return deliveredCalls
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return rejectedCalls
+	default:
+		return failedCalls
+	}
+}
--- /dev/null
+++ b/internal/testkit/report/report.go
@@ -0,0 +1,67 @@
+// Package report presents the verdict on a rehearsal: as text, as JSON, and as an HTML page with plots that needs no
+// other file.
+package report
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+// The files that Write creates.
+const (
+	PageName = "report.html"
+	JSONName = "verdict.json"
+	TextName = "report.txt"
+)
+
+// maxEvidence bounds how many of the events that show a violation a report quotes.
+const maxEvidence = 6
+
+// Write writes the report of a run into a folder, in all three forms.
+func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
+	for name, write := range map[string]func(*os.File) error{
+		JSONName: func(f *os.File) error { return JSON(f, h, v) },
+		TextName: func(f *os.File) error { return Text(f, h, events, v) },
+		PageName: func(f *os.File) error { return HTML(f, h, events, v) },
+	} {
+		f, err := os.Create(filepath.Join(dir, name))
+		if err != nil {
+			return fmt.Errorf("report: %w", err)
+		}
+		if err := errors.Join(write(f), f.Close()); err != nil {
+			return fmt.Errorf("report: %s: %w", name, err)
+		}
+	}
+	return nil
+}
+
+// JSON writes a verdict as JSON.
+func JSON(w io.Writer, h eventlog.Header, v checker.Verdict) error {
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(struct {
+		Header  eventlog.Header `json:"run"`
+		Verdict checker.Verdict `json:"verdict"`
+		OK      bool            `json:"ok"`
+	}{h, v, v.OK()})
+}
+
+// round shortens a duration for readers.
+func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+
+// eventLine returns an event as it stands in the record, without its empty fields.
+func eventLine(e eventlog.Event) string {
+	data, err := json.Marshal(e)
+	if err != nil {
+		return err.Error()
+	}
+	return string(data)
+}
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -18,14 +18,29 @@
 
 const second = time.Second
 
-// run is a small run in which a relay sends to a host that drains, during a trouble with a name that needs escaping.
-func run() (eventlog.Header, []eventlog.Event, checker.Verdict) {
+// smallRun is a run in which a relay sends to an endpoint that is draining, during a fault whose name needs escaping.
+func smallRun() (eventlog.Header, []eventlog.Event, checker.Verdict) {
 	h := eventlog.Header{
-		Format: eventlog.FormatVersion, Scenario: "small <b>", Seed: 3, PlanDigest: "abc", Duration: 10 * second, Relays: []string{"r1"},
-		Rules: eventlog.Rules{DrainGrace: second, OverloadFactor: 2, OverloadWindow: 3 * second, DuplicatesAllowed: true},
-		Classes: []eventlog.Class{
-			{Name: "order", Effect: eventlog.Idempotent, LatencyObjective: 3 * second, Deadline: 8 * second, Weight: 1},
-		}, Customers: []eventlog.Customer{{Name: "acme"}},
+		Format:     eventlog.FormatVersion,
+		Scenario:   "small <b>",
+		Seed:       3,
+		PlanDigest: "abc",
+		Duration:   10 * second,
+		Relays:     []string{"r1"},
+		Rules: eventlog.Rules{
+			DrainGrace:        second,
+			OverloadFactor:    2,
+			OverloadWindow:    3 * second,
+			DuplicatesAllowed: true,
+		},
+		Classes: []eventlog.Class{{
+			Name:             "order",
+			Effect:           eventlog.Idempotent,
+			LatencyObjective: 3 * second,
+			Deadline:         8 * second,
+			Weight:           1,
+		}},
+		Customers: []eventlog.Customer{{Name: "acme"}},
 	}
 	events := []eventlog.Event{
 		{Kind: eventlog.EndpointChanged, Host: "s-1", Destination: 1, Zone: "a", State: eventlog.StateReady},
@@ -33,10 +48,19 @@
 		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateStart},
 		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateUp},
 		{At: second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateBegin},
-		{At: second, Kind: eventlog.RelayNotified, Relay: "r1", Host: "s-1", State: eventlog.StateDraining, Destination: 1},
-		{At: 2 * second, Kind: eventlog.MessageSubmitted, ID: "m", FirstID: "m", Relay: "r1", Destination: 1, For: 8 * second},
+		{
+			At: second, Kind: eventlog.RelayNotified, Relay: "r1", Host: "s-1", State: eventlog.StateDraining,
+			Destination: 1,
+		},
+		{
+			At: 2 * second, Kind: eventlog.MessageSubmitted, ID: "m", FirstID: "m", Relay: "r1", Destination: 1,
+			For: 8 * second,
+		},
 		{At: 2 * second, Kind: eventlog.SubmissionAnswered, ID: "m", Relay: "r1", Status: 202},
-		{At: 3 * second, FirstByteAt: 3 * second, Kind: eventlog.CallReceived, Call: 1, Relay: "r1", Host: "s-1", IDs: []string{"m"}},
+		{
+			At: 3 * second, FirstByteAt: 3 * second, Kind: eventlog.CallReceived, Call: 1, Relay: "r1", Host: "s-1",
+			IDs: []string{"m"},
+		},
 		{At: 4 * second, Kind: eventlog.CallAnswered, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
 		{At: 5 * second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateEnd},
 		{At: 6 * second, Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateKill},
@@ -45,14 +69,18 @@
 	return h, events, checker.Judge(h, events)
 }
 
-func TestTextTellsTheBreakAndItsProof(t *testing.T) {
-	h, events, v := run()
+func TestTextShowsAViolationWithItsEvidence(t *testing.T) {
+	h, events, v := smallRun()
 	var b bytes.Buffer
 	if err := Text(&b, h, events, v); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"small <b>, seed 3", "drains are kept", "BROKEN at 3s", `event 8: {"at":3000000000,"k":"call"`, "1 asked for: 1 in full",
+		"small <b>, seed 3",
+		"drains are kept",
+		"BROKEN at 3s",
+		`event 8: {"at":3000000000,"k":"call"`,
+		"1 asked for: 1 in full",
 		"rules: 1 held, 1 BROKEN, 4 not exercised, service 1.000",
 	} {
 		if !strings.Contains(b.String(), want) {
@@ -62,7 +90,7 @@
 }
 
 func TestJSONReadsBack(t *testing.T) {
-	h, _, v := run()
+	h, _, v := smallRun()
 	var b bytes.Buffer
 	if err := JSON(&b, h, v); err != nil {
 		t.Fatal(err)
@@ -78,15 +106,17 @@
 	}
 }
 
-// The page stands by itself: it holds no script, asks for nothing, and what names hold is escaped.
-func TestThePageStandsByItself(t *testing.T) {
-	h, events, v := run()
+// The page has no script and refers to no other file, and names are escaped.
+func TestPageIsSelfContained(t *testing.T) {
+	h, events, v := smallRun()
 	var b bytes.Buffer
 	if err := HTML(&b, h, events, v); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
-	for _, bad := range []string{"<script", "http:", "https:", "src=", "href=", "url(", "@import", "small <b>", "drain<&>", "NaN", "Inf"} {
+	for _, bad := range []string{
+		"<script", "http:", "https:", "src=", "href=", "url(", "@import", "small <b>", "drain<&>", "NaN", "Inf",
+	} {
 		if strings.Contains(page, bad) {
 			t.Errorf("the page holds %q", bad)
 		}
@@ -96,29 +126,41 @@
 			t.Errorf("no %q", want)
 		}
 	}
+	if plots := countPlots(t, page); plots != 5 {
+		t.Errorf("%d plots", plots)
+	}
+}
+
+// countPlots returns how many plots a page has, and checks that each is well-formed XML.
+func countPlots(t *testing.T, page string) int {
+	t.Helper()
 	plots := 0
 	for rest := page; ; plots++ {
-		i := strings.Index(rest, "<svg")
-		if i < 0 {
-			break
-		}
-		j := strings.Index(rest, "</svg>") + len("</svg>")
-		d := xml.NewDecoder(strings.NewReader(rest[i:j]))
-		for {
-			if _, err := d.Token(); errors.Is(err, io.EOF) {
-				break
-			} else if err != nil {
-				t.Fatalf("plot %d: %v", plots, err)
-			}
+		begin := strings.Index(rest, "<svg")
+		if begin < 0 {
+			return plots
 		}
-		rest = rest[j:]
+		end := strings.Index(rest, "</svg>") + len("</svg>")
+		checkWellFormed(t, plots, rest[begin:end])
+		rest = rest[end:]
 	}
-	if plots != 5 {
-		t.Errorf("%d plots", plots)
+}
+
+func checkWellFormed(t *testing.T, plot int, text string) {
+	t.Helper()
+	decoder := xml.NewDecoder(strings.NewReader(text))
+	for {
+		_, err := decoder.Token()
+		if errors.Is(err, io.EOF) {
+			return
+		}
+		if err != nil {
+			t.Fatalf("plot %d: %v", plot, err)
+		}
 	}
 }
 
-func TestARunWithNothingInItHasAReport(t *testing.T) {
+func TestAnEmptyRunHasAReport(t *testing.T) {
 	dir := t.TempDir()
 	h := eventlog.Header{Scenario: "empty"}
 	v := checker.Judge(h, nil)
@@ -131,6 +173,6 @@
 		}
 	}
 	if err := Write(filepath.Join(dir, "none"), h, nil, v); err == nil {
-		t.Error("written into a folder that is not there")
+		t.Error("no error for a folder that does not exist")
 	}
 }
