--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -13,12 +13,8 @@
 // startInLargeFleet is a relay of the full fleet, with 31 endpoints listed.
 func startInLargeFleet(b *testing.B) (*relayProcess, *platform) {
 	b.Helper()
-	p, h := newPlatform(
-		b,
-	), newEndpoint(
-		b,
-		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusOK) },
-	)
+	p := newPlatform(b)
+	h := newEndpoint(b, answerStatus(http.StatusOK))
 	var known []listEntry
 	for i := range 31 {
 		m := newEntry("s-"+string(rune('a'+i)), h.addr(), "a", "gateway", "ready")
@@ -67,7 +63,8 @@
 	const digits = "0123456789abcdef"
 	id := []byte("00000000000bench")
 	for k := 10; k >= 0; k-- {
-		id[k], i = digits[i%16], i/16
+		id[k] = digits[i%16]
+		i /= 16
 	}
 	return string(id)
 }
@@ -77,7 +74,8 @@
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
 	h := newEndpoint(b, nil)
-	alone, rigs := newTestFleet(b, 1, h), []*testFleet{newTestFleet(b, 3, h), newTestFleet(b, 3, h)}
+	alone := newTestFleet(b, 1, h)
+	rigs := []*testFleet{newTestFleet(b, 3, h), newTestFleet(b, 3, h)}
 	must(b, os.Remove(filepath.Join(alone.relays[0].dir, "operator.toml")))
 	alone.relays[0].env = nil
 	alone.start(0)
@@ -85,11 +83,15 @@
 		g.start(g.allRelays()...)
 	}
 	g := rigs[1]
-	eventually(b, "the fleet is one", func() bool { state, _ := g.memberState(0, 2); return state == "alive" })
+	eventually(b, "the fleet is one", func() bool {
+		state, _ := g.memberState(0, 2)
+		return state == "alive"
+	})
 	must(b, g.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
 	defer signalQuietly(g.relays[2].cmd, syscall.SIGCONT)
 	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], g.relays[0]}
-	accepts, finals := make([][]time.Duration, 3), make([][]time.Duration, 3)
+	accepts := make([][]time.Duration, 3)
+	finals := make([][]time.Duration, 3)
 	for i := range messages {
 		for k, r := range subjects {
 			id := traceID(3*i + k)
@@ -129,14 +131,12 @@
 		{"small on 12 MB, room for half", 12, 0, 40_000},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p, h := newPlatform(b), newEndpoint(b, nil)
-			r := prepareRelay(
-				b,
-				[]listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")},
-				func(settings map[string]any) {
-					settings["bounds"].(map[string]any)["open_cap"] = c.room
-				},
-			)
+			p := newPlatform(b)
+			h := newEndpoint(b, nil)
+			list := []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}
+			r := prepareRelay(b, list, func(settings map[string]any) {
+				settings["bounds"].(map[string]any)["open_cap"] = c.room
+			})
 			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": c.diskMB}
 			r.writeConfig()
 			n := fillDisk(b, r, c.diskMB, c.body)
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -14,7 +14,8 @@
 )
 
 func TestAcceptsAndDelivers(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
 	r.mustAccept("m2", 10*time.Second)
@@ -22,7 +23,8 @@
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
 	for i, c := range []struct {
@@ -103,10 +105,7 @@
 func TestNotificationsAreRetried(t *testing.T) {
 	p := newPlatform(t)
 	p.failNotifications = 3
-	h := newEndpoint(
-		t,
-		func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(http.StatusServiceUnavailable) },
-	)
+	h := newEndpoint(t, answerStatus(http.StatusServiceUnavailable))
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 700*time.Millisecond)
 	eventually(t, "a notification", func() bool { return p.notification("m1") != nil })
@@ -172,7 +171,11 @@
 	for i := range 8 {
 		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
-	eventually(t, "a bundle", func() bool { mu.Lock(); defer mu.Unlock(); return most > 1 })
+	eventually(t, "a bundle", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return most > 1
+	})
 	if most > 10 {
 		t.Errorf("%d in a call", most)
 	}
@@ -180,7 +183,8 @@
 
 // Requests that stop half-way and silent connections block nobody.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
 		conn, err := net.Dial("tcp", r.addr)
--- a/cmd/cherrytrestle/discovery_test.go
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -11,7 +11,9 @@
 )
 
 func TestDrainingAndWatchResume(t *testing.T) {
-	p, one, two := newPlatform(t), newEndpoint(t, nil), newEndpoint(t, nil)
+	p := newPlatform(t)
+	one := newEndpoint(t, nil)
+	two := newEndpoint(t, nil)
 	better := newEntry("s-1", one.addr(), "a", "gateway", "ready")
 	better["weight"] = 900.0
 	r := newRelay(t, p, []listEntry{better, newEntry("s-2", two.addr(), "a", "gateway", "ready")}, nil)
@@ -47,12 +49,11 @@
 // SIGHUP moves the relay to the discovery that the file names, again and again. Versions may go back, notifications
 // follow, the old list is used until the new discovery answers, and an unreadable file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
-	one, two := newEndpoint(t, nil), newEndpoint(t, nil)
-	unavailable := func(w http.ResponseWriter, _ *http.Request, _ []string) {
-		w.WriteHeader(http.StatusServiceUnavailable)
-	}
-	shut := newEndpoint(t, unavailable)
-	first, second := newPlatform(t), newPlatform(t)
+	one := newEndpoint(t, nil)
+	two := newEndpoint(t, nil)
+	shut := newEndpoint(t, answerStatus(http.StatusServiceUnavailable))
+	first := newPlatform(t)
+	second := newPlatform(t)
 	first.version = 40
 	r := newRelay(t, first, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
--- a/cmd/cherrytrestle/discoveryserver_test.go
+++ b/cmd/cherrytrestle/discoveryserver_test.go
@@ -43,7 +43,8 @@
 		}
 		for beat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
 			a.mu.Lock()
-			lines, more := a.changes[has-version:], a.changed
+			lines := a.changes[has-version:]
+			more := a.changed
 			a.mu.Unlock()
 			for _, line := range lines {
 				_, _ = w.Write(line) // the relay may have gone
@@ -84,11 +85,13 @@
 			// nobody is there, nor called
 			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
 			list = append(list, listEntry{
-				"id": fmt.Sprintf(
-					"s-%06d-%d",
-					d,
-					k,
-				), "addr": own, "zone": "ab"[k : k+1], "kind": "platform", "cell": d, "state": "ready", "weight": 8.6,
+				"id":     fmt.Sprintf("s-%06d-%d", d, k),
+				"addr":   own,
+				"zone":   "ab"[k : k+1],
+				"kind":   "platform",
+				"cell":   d,
+				"state":  "ready",
+				"weight": 8.6,
 			})
 		}
 	}
--- a/cmd/cherrytrestle/endpoint_test.go
+++ b/cmd/cherrytrestle/endpoint_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// endpoint is one endpoint.
+// endpoint is one endpoint that messages are sent to.
 type endpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -43,7 +43,8 @@
 		h.mu.Lock()
 		h.calls++
 		for _, id := range ids {
-			h.seen, h.at = append(h.seen, id), append(h.at, time.Now())
+			h.seen = append(h.seen, id)
+			h.at = append(h.at, time.Now())
 		}
 		h.mu.Unlock()
 		if h.answer != nil {
@@ -96,3 +97,8 @@
 	}
 	return most
 }
+
+// answerStatus answers each call with the status.
+func answerStatus(status int) func(http.ResponseWriter, *http.Request, []string) {
+	return func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(status) }
+}
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -175,7 +175,8 @@
 	least, most := fault.keyedCalls()
 	if class == "pay" {
 		want = fault.nonRepeat
-		least, most = 0, fault.calls
+		least = 0
+		most = fault.calls
 	}
 	calls := h.count(id)
 	if calls > most || calls < least {
@@ -200,7 +201,9 @@
 	for _, class := range []string{"pay", "order"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p, h, other := newPlatform(t), newEndpoint(t, nil), newEndpoint(t, nil)
+			p := newPlatform(t)
+			h := newEndpoint(t, nil)
+			other := newEndpoint(t, nil)
 			wire := faultyEndpoint(t, h)
 			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
 			must(t, err)
@@ -240,7 +243,8 @@
 // relay's to deliver twice under its id.
 func TestFaultsOnTheClientsSide(t *testing.T) {
 	t.Parallel()
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	for i, c := range []struct {
 		rule  string
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -65,14 +65,12 @@
 		}
 	}
 	for i := range n {
-		r := prepareRelay(
-			t,
-			[]listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")},
-			func(s map[string]any) { s["fleet_size"] = n },
-		)
+		list := []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}
+		r := prepareRelay(t, list, func(settings map[string]any) { settings["fleet_size"] = n })
 		r.config["name"] = relayName(i)
 		g.managementAddrs = append(g.managementAddrs, withManagement(t, r))
-		g.relays, g.platforms = append(g.relays, r), append(g.platforms, newPlatform(t))
+		g.relays = append(g.relays, r)
+		g.platforms = append(g.platforms, newPlatform(t))
 		g.writeOperatorFile(i, "", nil)
 	}
 	return g
@@ -171,7 +169,8 @@
 
 // sendTraffic submits messages at each relay until the test ends, so that there is something to report.
 func (g *testFleet) sendTraffic() {
-	done, ended := make(chan struct{}), make(chan struct{})
+	done := make(chan struct{})
+	ended := make(chan struct{})
 	g.t.Cleanup(func() { close(done); <-ended })
 	go func() {
 		defer close(ended)
@@ -203,11 +202,10 @@
 	g.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
 	g.setFaults([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
 	for _, i := range []int{1, 2} {
-		eventually(
-			t,
-			"the relay that is cut off fades",
-			func() bool { state, age := g.memberState(i, 0); return state != "alive" && age > maxFreshAge },
-		)
+		eventually(t, "the relay that is cut off fades", func() bool {
+			state, age := g.memberState(i, 0)
+			return state != "alive" && age > maxFreshAge
+		})
 	}
 	g.waitReceived([]int{1, 2}, []int{1, 2})
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
@@ -223,18 +221,14 @@
 	g.waitReceived(g.allRelays(), g.allRelays())
 
 	// Nearly a third of all datagrams lost, some doubled, reordered and late.
-	g.setFaults(
-		g.allRelays(),
-		g.allRelays(),
-		faultproxy.LinkFaults{
-			DatagramFaults: faultproxy.DatagramFaults{
-				Drop:    0.3,
-				Double:  0.1,
-				Reorder: 0.1,
-				Jitter:  20 * time.Millisecond,
-			},
+	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{
+		DatagramFaults: faultproxy.DatagramFaults{
+			Drop:    0.3,
+			Double:  0.1,
+			Reorder: 0.1,
+			Jitter:  20 * time.Millisecond,
 		},
-	)
+	})
 	time.Sleep(3 * time.Second)
 	g.waitReceived(g.allRelays(), g.allRelays())
 
@@ -265,7 +259,10 @@
 	g.sendTraffic()
 	g.waitReceived(g.allRelays(), g.allRelays())
 	must(t, g.relays[0].cmd.Process.Signal(syscall.SIGSTOP))
-	eventually(t, "a stopped relay fades", func() bool { _, age := g.memberState(1, 0); return age > 8*time.Second })
+	eventually(t, "a stopped relay fades", func() bool {
+		_, age := g.memberState(1, 0)
+		return age > 8*time.Second
+	})
 	must(t, g.relays[0].cmd.Process.Signal(syscall.SIGCONT))
 	g.waitReceived(g.allRelays(), g.allRelays())
 }
@@ -313,7 +310,10 @@
 		}
 	}
 	badMember.Publish(report(1, 3))
-	eventually(t, "a sound report is received", func() bool { _, age := g.memberState(0, 3); return age >= 0 })
+	eventually(t, "a sound report is received", func() bool {
+		_, age := g.memberState(0, 3)
+		return age >= 0
+	})
 	for seq := uint64(2); ; seq++ {
 		badMember.Publish(report(seq, 90_000)) // for a destination with a limit of 500
 		time.Sleep(50 * time.Millisecond)
@@ -347,18 +347,16 @@
 	}
 	g.start(g.allRelays()...)
 	g.sendTraffic()
-	eventually(
-		t,
-		"a taken port is reported",
-		func() bool { s := g.status(0); return !s.Up && strings.Contains(s.DownReason, "in use") },
-	)
+	eventually(t, "a taken port is reported", func() bool {
+		status := g.status(0)
+		return !status.Up && strings.Contains(status.DownReason, "in use")
+	})
 	g.relays[0].mustAccept("while-alone", 5*time.Second)
 	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
-	eventually(
-		t,
-		"an unlisted member is kept out",
-		func() bool { return g.status(1).Status != nil && g.status(1).UnknownMembers > 0 },
-	)
+	eventually(t, "an unlisted member is kept out", func() bool {
+		status := g.status(1)
+		return status.Status != nil && status.UnknownMembers > 0
+	})
 	closeQuietly(taken)
 	g.waitReceived([]int{0, 1}, []int{0, 1})
 	for _, i := range []int{0, 1} {
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -168,7 +168,8 @@
 		after := time.Duration(delayMS) * time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			p, h := newPlatform(t), newEndpoint(t, nil)
+			p := newPlatform(t)
+			h := newEndpoint(t, nil)
 			r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "draining")}, nil)
 			n := fillDisk(t, r, 3, 2000)
 			for range 2 {
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -45,11 +45,9 @@
 					class := []string{"order", "pay"}[i%2]
 					id := fmt.Sprintf("%s-%d-%d-%d", class, round, c, i)
 					req := r.request(id, 8*time.Second, withClass(class))
-					req.Body, req.ContentLength, req.GetBody = io.NopCloser(
-						strings.NewReader(body),
-					), int64(
-						len(body),
-					), nil
+					req.Body = io.NopCloser(strings.NewReader(body))
+					req.ContentLength = int64(len(body))
+					req.GetBody = nil
 					res, err := client.Do(req)
 					if err != nil {
 						continue
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -35,9 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t)
-			h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
-				w.WriteHeader(http.StatusOK)
-			})
+			h := newEndpoint(t, answerStatus(http.StatusOK))
 			live := func(state string) []listEntry {
 				return append(idleEntries(dests, 1000), newEntry("s-1", h.addr(), "a", "gateway", state))
 			}
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -39,7 +39,8 @@
 
 // Messages in the legacy log of an earlier program are delivered by this one, and the log is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
-	h, p := newEndpoint(t, nil), newPlatform(t)
+	h := newEndpoint(t, nil)
+	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.kill()
 	state := filepath.Join(r.dir, "state")
@@ -47,19 +48,14 @@
 	must(t, os.Mkdir(state, 0o700))
 	log, _, err := legacylog.Open(state, 3e6)
 	must(t, err)
-	must(
-		t,
-		log.Accept(
-			&legacylog.Message{
-				ID:             7,
-				TraceID:        "old",
-				IdempotencyKey: "k",
-				Destination:    7,
-				Deadline:       time.Now().Add(10 * time.Second),
-				Body:           []byte("body"),
-			},
-		),
-	)
+	must(t, log.Accept(&legacylog.Message{
+		ID:             7,
+		TraceID:        "old",
+		IdempotencyKey: "k",
+		Destination:    7,
+		Deadline:       time.Now().Add(10 * time.Second),
+		Body:           []byte("body"),
+	}))
 	must(t, log.Close())
 	r.start(p)
 	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -50,7 +50,10 @@
 			t.Logf("%s is %q", name, got)
 		}
 	}()
-	eventually(t, name+" "+want, func() bool { got = metric(t, addr, name); return got == want })
+	eventually(t, name+" "+want, func() bool {
+		got = metric(t, addr, name)
+		return got == want
+	})
 }
 
 // deepCopy of a configuration, to be spoilt.
@@ -255,19 +258,16 @@
 			}))}
 			defer old.Close()
 			defer old.CloseClientConnections()
-			one, two := newEndpoint(t, nil), newEndpoint(t, nil)
+			one := newEndpoint(t, nil)
+			two := newEndpoint(t, nil)
 			second := newPlatform(t)
 			second.version = 7 // it counts by itself
 			second.fullList = []listEntry{
 				newEntry("s-1", one.addr(), "a", "gateway", "draining"),
 				newEntry("s-2", two.addr(), "a", "gateway", "ready"),
 			}
-			r := newRelay(
-				t,
-				old,
-				[]listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")},
-				func(set map[string]any) { set["fleet_size"] = 300 },
-			)
+			list := []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}
+			r := newRelay(t, old, list, func(settings map[string]any) { settings["fleet_size"] = 300 })
 			<-called
 			r.config["discovery"] = second.Listener.Addr().String()
 			r.writeConfig()
@@ -294,7 +294,8 @@
 // A known list that cannot be read or is empty counts as none: the relay starts, keeps its accepted messages, and is
 // ready once it has a list from discovery.
 func TestUnreadableKnownList(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}, nil)
 	r.mustAccept("m1", 12*time.Second) // no endpoint accepts it
 	r.kill()
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -146,7 +146,8 @@
 	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", "gateway", "ready")}, nil)
 	for range 12 {
 		r.start(p)
-		cmd, over := r.cmd, make(chan struct{})
+		cmd := r.cmd
+		over := make(chan struct{})
 		go func() {
 			defer close(over)
 			for cmd.Process.Signal(syscall.SIGTERM) == nil {
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -70,7 +70,8 @@
 			return 0
 		}
 		must(c.r.t, conn.SetDeadline(time.Now().Add(conditionTimeout)))
-		c.conn, c.in = conn, bufio.NewReader(conn)
+		c.conn = conn
+		c.in = bufio.NewReader(conn)
 	}
 	req := c.r.request(id, expires, nil)
 	err := req.Write(c.conn)
@@ -253,7 +254,8 @@
 // A message that the first process has delivered and forgotten is submitted once more at the second: it does not run
 // again.
 func TestUpgradeKeepsFinishedMessages(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
 	holdListeningSocket(t, r, p)
 	take := func() {
