--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -119,14 +119,16 @@
 	p := newPlatform(t)
 	var mu sync.Mutex
 	var rejectedAt time.Time
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if rejectedAt.IsZero() {
 			rejectedAt = time.Now()
 			w.Header().Set("Retry-After", "0.600")
 			w.WriteHeader(http.StatusTooManyRequests)
+			return
 		}
+		writeStates(w, ids, "ok")
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
@@ -157,13 +159,8 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		if most = max(most, len(ids)); len(ids) > 1 {
-			var states []string
-			for i, id := range ids {
-				states = append(states, fmt.Sprintf(`{"id":%q,"state":%q}`, id, []string{"ok", "later"}[i%2]))
-			}
-			writeQuietly(w, "["+strings.Join(states, ",")+"]")
-		}
+		most = max(most, len(ids))
+		writeStates(w, ids, "ok", "later")
 	})
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
 	r.mustAccept("m0", 10*time.Second)
--- a/cmd/cherrytrestle/endpoint_test.go
+++ b/cmd/cherrytrestle/endpoint_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -102,3 +103,15 @@
 func answerStatus(status int) func(http.ResponseWriter, *http.Request, []string) {
 	return func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(status) }
 }
+
+// writeStates answers a call that carries several messages with a state for each, the given ones in turn.
+func writeStates(w io.Writer, ids []string, states ...string) {
+	if len(ids) == 1 {
+		return
+	}
+	var answers []string
+	for i, id := range ids {
+		answers = append(answers, fmt.Sprintf(`{"id":%q,"state":%q}`, id, states[i%len(states)]))
+	}
+	writeQuietly(w, "["+strings.Join(answers, ",")+"]")
+}
