--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -5,6 +5,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/egress"
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
@@ -18,8 +19,8 @@
 // submitEvent is a message that a client submits.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message      // set by the loop: the message that it became, or that it duplicates
-	reply      chan Response // buffered: the loop never waits for the client
+	acceptedAs *message              // set by the loop: the message that it became, or that it duplicates
+	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
 // cancelEvent tells that the client left before it had the answer to its message.
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -63,7 +63,7 @@
 	for e := range r.catalog.All() {
 		r.workingSet.Activate(e.Destination, now)
 	}
-	for _, m := range r.inOrder() {
+	for _, m := range r.messagesInOrder() {
 		r.workingSet.Activate(m.Destination, now)
 	}
 }
@@ -241,5 +241,5 @@
 		delay = r.cfg.Tick
 	}
 	r.evictAt = now.Add(delay)
-	time.AfterFunc(delay, func() { r.post(tick{}) })
+	r.requestStepAfter(delay)
 }
--- /dev/null
+++ b/internal/relay/submission.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// maxIDSize bounds an id or a key of a message, in bytes.
+const maxIDSize = 256
+
+// envelopeHeader names the header that says where a message goes.
+const envelopeHeader = "Envelope"
+
+// handleRequest answers a client's request.
+func (r *Relay) handleRequest(conn *ingress.Conn, request *http.Request) ingress.Response {
+	switch {
+	case request.URL.Path == "/_health" && request.Method == http.MethodGet:
+		if !r.endpointsKnown.Load() || r.terminating.Load() {
+			return ingress.Response{Status: http.StatusServiceUnavailable}
+		}
+		return ingress.Response{Status: http.StatusOK}
+	case request.Method != http.MethodPost:
+		return ingress.Response{Status: http.StatusMethodNotAllowed, Text: "messages are handed in by POST"}
+	}
+	return r.receiveMessage(conn, request)
+}
+
+// receiveMessage takes one message. Whatever is malformed ends here and never reaches the policy.
+func (r *Relay) receiveMessage(conn *ingress.Conn, request *http.Request) ingress.Response {
+	receivedAt := time.Now()
+	m, timeLeft, err := r.parseMessage(request)
+	if err != nil {
+		return ingress.BadRequest("%v", err)
+	}
+	m.Deadline = receivedAt.Add(timeLeft)
+	m.Body, err = conn.ReadBody(request)
+	if err != nil {
+		return ingress.ErrorResponse(err)
+	}
+	if !conn.BeginHandling() {
+		return ingress.Response{}
+	}
+	submitted := &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
+	if !r.post(submitted) {
+		conn.EndHandling()
+		return unavailableResponse
+	}
+	response := <-submitted.reply
+	if conn.EndHandling() {
+		return response
+	}
+	// A client that has left without the response submits the message anew: this one must not be sent as well.
+	if m.ID != 0 {
+		r.post(cancelEvent{m.ID})
+	}
+	return ingress.Response{}
+}
+
+// parseMessage reads all of a request but its body.
+func (r *Relay) parseMessage(request *http.Request) (m *journal.Message, timeLeft time.Duration, err error) {
+	config := r.clientConfig.Load()
+	className := strings.TrimPrefix(request.URL.Path, "/")
+	m = &journal.Message{
+		TraceID:        request.Header.Get("X-Trace-Id"),
+		IdempotencyKey: request.Header.Get("Idempotency-Key"),
+		OrderingKey:    request.URL.Query().Get("key"), // what the message is about, where its class keeps order
+		Class:          slices.Index(config.ClassNames, className),
+		ClassName:      className,
+	}
+	if m.Class < 0 {
+		return nil, 0, fmt.Errorf("unknown class %q", className)
+	}
+	class := config.Settings.Classes[m.Class]
+	if err := checkIDs(m, request, class); err != nil {
+		return nil, 0, err
+	}
+	if m.Tenant, err = parseTenant(request, config.TenantNames); err != nil {
+		return nil, 0, err
+	}
+	if timeLeft, err = parseTimeLeft(request, class); err != nil {
+		return nil, 0, err
+	}
+	if m.Destination, err = parseDestination(request.Header.Get(envelopeHeader)); err != nil {
+		return nil, 0, err
+	}
+	return m, timeLeft, nil
+}
+
+// checkIDs checks what names a message and its class.
+func checkIDs(m *journal.Message, request *http.Request, class policy.Class) error {
+	longest := max(len(m.TraceID), len(m.IdempotencyKey), len(m.OrderingKey))
+	switch {
+	case request.Header.Get("X-Qos") != m.ClassName:
+		return errors.New("X-Qos and the path differ")
+	case m.TraceID == "" || longest > maxIDSize:
+		return errors.New("no X-Trace-Id, or an id or key too long")
+	case len(request.Header["X-Trace-Id"]) > 1 || len(request.Header["Idempotency-Key"]) > 1:
+		return errors.New("more than one id or key")
+	case m.IdempotencyKey == "" && class.Effect == policy.IdempotentByKey:
+		return errors.New("no Idempotency-Key")
+	}
+	return nil
+}
+
+// parseTenant returns the index of a request's tenant; 0 where the site names none.
+func parseTenant(request *http.Request, names []string) (int, error) {
+	if len(names) == 0 {
+		return 0, nil
+	}
+	name := request.Header.Get("X-Customer")
+	tenant := slices.Index(names, name)
+	if tenant < 0 {
+		return 0, fmt.Errorf("unknown customer %q", name)
+	}
+	return tenant, nil
+}
+
+// parseTimeLeft returns how long the client waits for its message.
+func parseTimeLeft(request *http.Request, class policy.Class) (time.Duration, error) {
+	ms, err := strconv.ParseInt(request.Header.Get("X-Expires-In-Ms"), 10, 64)
+	if err != nil || ms < 0 || ms > maxTimeLeft(class).Milliseconds() {
+		return 0, errors.New("bad X-Expires-In-Ms")
+	}
+	return time.Duration(ms) * time.Millisecond, nil
+}
+
+// parseDestination finds dest among the name=value pairs of an envelope.
+func parseDestination(envelope string) (int, error) {
+	isSeparator := func(c rune) bool { return strings.ContainsRune(",;& ", c) }
+	for _, pair := range strings.FieldsFunc(envelope, isSeparator) {
+		value, found := strings.CutPrefix(pair, "dest=")
+		if !found {
+			continue
+		}
+		destination, err := strconv.Atoi(value)
+		if err != nil || destination < 0 {
+			return 0, fmt.Errorf("bad dest %q", value)
+		}
+		return destination, nil
+	}
+	return 0, fmt.Errorf("%s names no dest", envelopeHeader)
+}
