--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -15,11 +15,13 @@
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var refuse atomic.Bool
 	refuse.Store(true)
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.4")
 			w.WriteHeader(http.StatusTooManyRequests)
+			return
 		}
+		writeStates(w, ids, "ok")
 	})
 	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -216,7 +216,9 @@
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.5")
 			w.WriteHeader(http.StatusTooManyRequests)
+			return
 		}
+		writeStates(w, ids, "ok")
 	})
 	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
