--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -69,8 +69,9 @@
 		submissions = append(submissions, submission)
 	}
 	submitAll(r, submissions...)
+	isShort := func(n notify.Notification) bool { return n.TraceID == "short" }
 	stepUntil(t, r, "the short one has its final answer", func() bool {
-		return slices.ContainsFunc(r.notifier.Pending(), func(n notify.Notification) bool { return n.TraceID == "short" })
+		return slices.ContainsFunc(r.notifier.Pending(), isShort)
 	})
 	close(shortEnded)
 	stepUntil(t, r, "the others are over", func() bool {
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -55,19 +55,24 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newTestRelay returns a relay whose loop is not running: the test takes the steps.
-func newTestRelay(t *testing.T) *Relay {
+// newTestConfig returns a configuration with one endpoint, which does not listen.
+func newTestConfig(t *testing.T) Config {
 	t.Helper()
-	c, err := parseConfig(
-		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
-			`,"known":{"version":1,"full":true,"servers":[
-		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
-	)
+	const text = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
+		`,"known":{"version":1,"full":true,"servers":[
+		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`
+	c, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.StateDir = t.TempDir()
-	r, err := New(c, discardLog(), io.Discard)
+	return c
+}
+
+// newTestRelay returns a relay whose loop is not running: the test takes the steps.
+func newTestRelay(t *testing.T) *Relay {
+	t.Helper()
+	r, err := New(newTestConfig(t), discardLog(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -15,15 +15,7 @@
 // newRecordedRelay returns a relay with a recorder, whose state is not recovered yet, and its log.
 func newRecordedRelay(t *testing.T, settings operatorfile.Recorder) (*Relay, *bytes.Buffer) {
 	t.Helper()
-	c, err := parseConfig(
-		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
-			`,"known":{"version":1,"full":true,"servers":[
-		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.StateDir = t.TempDir()
+	c := newTestConfig(t)
 	c.Operator.Recorder = settings
 	var out bytes.Buffer
 	r, err := New(c, slog.New(slog.NewTextHandler(&out, nil)), &out)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -88,7 +88,6 @@
 	if cfg.KnownErr != nil {
 		log.Warn("starting without an endpoint list", "err", cfg.KnownErr)
 	}
-	// Clients hold a third of the descriptors with their requests; more is for those that are slow to leave.
 	r.ingress = ingress.New(r.ingressConfig())
 	r.egress = egress.New(r.egressConfig())
 	r.notifier = notify.NewSender(log, r.agent, func(ids []uint32) { r.post(notificationsAcked{ids}) })
@@ -97,7 +96,7 @@
 	if cfg.InheritedFD != "" {
 		r.predecessor, err = hotrestart.Dial(r.handoverPath())
 		if err == nil {
-			return r, nil // the log is the other process's, until it hands over
+			return r, nil // the journal is the other process's, until it hands over
 		}
 		log.Info("starting from the journal", "err", err)
 	}
