--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -28,7 +28,8 @@
 		"egress.maxRetryAfterSeconds", "discovery.fetchIdleTimeout",
 	},
 	"a bound of the relay's own, on its own work": {
-		"hotrestart.dialFor", "hotrestart.sendFor", "hotrestart.frameMost", "hotrestart.pathMost", "relay.maxTick",
+		"hotrestart.dialTimeout", "hotrestart.sendTimeout", "hotrestart.maxFrameSize", "hotrestart.headerSize",
+		"hotrestart.maxPathLength", "relay.maxTick",
 		"relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter", "relay.clockTolerance",
 		"relay.initialClock", "egress.capacityRetryInterval", "notify.minRetryDelay", "notify.maxRetryDelay",
 		"relay.configOverlap", "relay.removedClassGrace", "relay.metricsTimeout", "relay.healthSaveInterval",
