--- a/internal/relay/takeover_longlist_test.go
+++ b/internal/relay/takeover_longlist_test.go
@@ -43,7 +43,7 @@
 				t.Errorf("the policy holds %v, the working set is %v", got, want)
 			}
 			before := requests.Load()
-			r.step([]event{outcomeOf(0, 2, 0, 0)})
+			r.step([]event{outcomeOf(0, 2, 0)})
 			next := endpointText("s-next", addr, 61, "ready")
 			rest := endpointText("s-rest", addr, 60, "ready")
 			applyLongList(r, false, 9, entriesOf(r, next, rest))
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"path/filepath"
@@ -14,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// successorOf is a relay that has taken up what another one hands over; edit may spoil the state.
+// successorOf returns a relay that has restored the state of another one; edit may change that.
 func successorOf(t *testing.T, old *Relay, edit func(*hotrestart.State)) *Relay {
 	t.Helper()
 	s := old.exportState()
@@ -32,19 +33,20 @@
 	return r
 }
 
-func outcomeOf(o policy.Outcome, id uint32, n int, wait time.Duration) remoteOutcome {
+// outcomeOf is the outcome of a message's first attempt, whose call has ended.
+func outcomeOf(outcome policy.Outcome, messageID uint32, retryAfter time.Duration) remoteOutcome {
 	return remoteOutcome{
-		ID:           id,
-		Number:       n,
-		Outcome:      o,
-		RetryAfter:   wait,
+		ID:           messageID,
+		Outcome:      outcome,
+		RetryAfter:   retryAfter,
 		Latency:      10 * time.Millisecond,
 		CallFinished: true,
 	}
 }
 
-// Whether the module's state can be read or not: what is out at the other process is not sent again before its outcome,
-// and that binds: a delivery ends the message, a told wait holds the next one, what was not told may have run.
+// Whether the policy's state can be read or not: what is in flight at the predecessor is not sent again before its
+// outcome, and that binds: a delivery ends the message, a Retry-After delays the next attempt, and an attempt without
+// an outcome may have run.
 func TestTakeOverWithAttemptsInFlight(t *testing.T) {
 	forms := map[string]func(*hotrestart.State){
 		"the same form": func(*hotrestart.State) {},
@@ -52,51 +54,72 @@
 	}
 	for name, edit := range forms {
 		t.Run(name, func(t *testing.T) {
-			old := newTestRelay(t)
-			in := []*submitEvent{
-				newSubmission("m1", 7, 9*time.Second),
-				newSubmission("m2", 7, 9*time.Second),
-				newSubmission("m3", 7, 9*time.Second),
-			}
-			for i, x := range in {
-				x.message.ClassName, x.message.OrderingKey = "order", string(rune('a'+i))
-			}
-			submitAll(old, in...)
-			if len(old.activeCalls) != 3 {
-				t.Fatalf("%d calls out", len(old.activeCalls))
-			}
-			r := successorOf(t, old, edit)
-			if len(r.remoteAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
-				t.Fatalf("remote %d, held %d, calls %d", len(r.remoteAttempts), r.pending, len(r.activeCalls))
-			}
+			r, ids := takeOverThreeAttempts(t, edit)
 			r.step([]event{tick{}})
 			if len(r.activeCalls) != 0 {
 				t.Fatal("sent again with the outcome still to come")
 			}
-			r.step([]event{outcomeOf(policy.OK, in[0].message.ID, 0, 0)})
-			if r.messages[in[0].message.ID] != nil || r.pending != 2 {
-				t.Errorf("delivered there, not ended here: held %d", r.pending)
+			r.step([]event{outcomeOf(policy.OK, ids[0], 0)})
+			if r.messages[ids[0]] != nil || r.pending != 2 {
+				t.Errorf("delivered there, not completed here: pending %d", r.pending)
 			}
-			r.step([]event{outcomeOf(policy.Overloaded, in[1].message.ID, 0, 5*time.Second)})
+			r.step([]event{outcomeOf(policy.Overloaded, ids[1], 5*time.Second)})
 			views, _ := r.engine.Views()
 			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
-				t.Errorf("a told wait does not bind: %d calls, %+v", len(r.activeCalls), views)
+				t.Errorf("Retry-After does not bind: %d calls, %+v", len(r.activeCalls), views)
 			}
 			r.step([]event{predecessorGone{}})
-			m := r.messages[in[2].message.ID]
-			if len(r.remoteAttempts) != 0 || m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 ||
-				len(r.messages[in[1].message.ID].UncertainAttempts) != 0 {
-				t.Errorf("what was not told: %+v", m)
-			}
-			if a := submitAll(r, newSubmission("m3", 7, 9*time.Second))[0]; a.Status != http.StatusAccepted || r.pending != 2 {
-				t.Errorf("handed in again: %+v, held %d", a, r.pending)
+			checkAbandoned(t, r, ids[1], ids[2])
+			response := submitAll(r, newSubmission("m3", 7, 9*time.Second))[0]
+			if response.Status != http.StatusAccepted || r.pending != 2 {
+				t.Errorf("submitted again: %+v, pending %d", response, r.pending)
 			}
 		})
 	}
 }
 
-// A process that takes over says that it is ready only once the one before it knows of it: told to end before that,
-// this one would end without handing over, and its clients' connections with it.
+// takeOverThreeAttempts returns the successor of a relay with three messages, an attempt of each in flight, and the
+// ids of these.
+func takeOverThreeAttempts(t *testing.T, edit func(*hotrestart.State)) (*Relay, []uint32) {
+	t.Helper()
+	old := newTestRelay(t)
+	var submissions []*submitEvent
+	for _, key := range []string{"a", "b", "c"} {
+		submission := newSubmission(fmt.Sprint("m", len(submissions)+1), 7, 9*time.Second)
+		submission.message.ClassName = "order"
+		submission.message.OrderingKey = key
+		submissions = append(submissions, submission)
+	}
+	submitAll(old, submissions...)
+	if len(old.activeCalls) != 3 {
+		t.Fatalf("%d calls in flight", len(old.activeCalls))
+	}
+	var ids []uint32
+	for _, submission := range submissions {
+		ids = append(ids, submission.message.ID)
+	}
+	r := successorOf(t, old, edit)
+	if len(r.remoteAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
+		t.Fatalf("remote %d, pending %d, calls %d", len(r.remoteAttempts), r.pending, len(r.activeCalls))
+	}
+	return r, ids
+}
+
+// checkAbandoned checks that the attempt of one message counts as one that may have run, and that of another, which was
+// rejected, does not.
+func checkAbandoned(t *testing.T, r *Relay, rejected, abandoned uint32) {
+	t.Helper()
+	if len(r.remoteAttempts) != 0 || len(r.messages[rejected].UncertainAttempts) != 0 {
+		t.Errorf("%d remote attempts; rejected: %+v", len(r.remoteAttempts), r.messages[rejected])
+	}
+	m := r.messages[abandoned]
+	if m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 {
+		t.Errorf("without an outcome: %+v", m)
+	}
+}
+
+// A process that takes over is ready only once its predecessor knows of it: told to end before that, the predecessor
+// would end without handing over, and its clients' connections with it.
 func TestReadyOnlyAfterWelcome(t *testing.T) {
 	dir := t.TempDir()
 	l, err := hotrestart.Listen(filepath.Join(dir, "s"))
@@ -108,11 +131,11 @@
 	if r.predecessor, err = hotrestart.Dial(filepath.Join(dir, "s")); err != nil {
 		t.Fatal(err)
 	}
-	nc, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := hotrestart.NewConn(nc)
+	first := hotrestart.NewConn(accepted)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- r.takeOver(ctx) }()
@@ -134,31 +157,16 @@
 	}
 }
 
-// A message that ended while its end could not be written does not come back with the log.
+// A message whose end could not be written to the journal does not come back with it.
 func TestTakeOverOfAnEndThatIsNotInTheJournal(t *testing.T) {
 	old := newTestRelay(t)
-	in := newSubmission("m1", 7, 9*time.Second)
-	submitAll(old, in)
-	r := successorOf(t, old, func(s *hotrestart.State) { s.Messages, s.Attempts = nil, nil })
-	if len(r.messages) != 0 || r.pending != 0 || r.journal.Tracks(in.message) {
-		t.Errorf("held %d, %v", r.pending, r.messages)
-	}
-}
-
-// A process to which nothing can be handed answers its clients all the same; one that may have taken a message on is
-// not said to have refused it.
-func TestForwardedSubmissionsAreAnswered(t *testing.T) {
-	var f forwardedSubmissions
-	none := newSubmission("m1", 7, time.Second)
-	f.forward(nil, none)
-	if a := <-none.reply; a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
-		t.Errorf("%+v", a)
-	}
-	open := newSubmission("m2", 7, time.Second)
-	f.pending = map[uint64]*submitEvent{3: open}
-	f.reply(&hotrestart.Answer{Seq: 4, Status: 202}) // of nobody
-	f.abort()
-	if a := <-open.reply; a.Status != http.StatusInternalServerError || !f.empty() {
-		t.Errorf("%+v", a)
+	submission := newSubmission("m1", 7, 9*time.Second)
+	submitAll(old, submission)
+	r := successorOf(t, old, func(s *hotrestart.State) {
+		s.Messages = nil
+		s.Attempts = nil
+	})
+	if len(r.messages) != 0 || r.pending != 0 || r.journal.Tracks(submission.message) {
+		t.Errorf("pending %d, %v", r.pending, r.messages)
 	}
 }
