--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -343,7 +343,7 @@
 	check := func(name string, part []byte, visit replay.Visitor) {
 		t.Helper()
 		res, err := replay.Play(part, visit)
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Stretches != 1 ||
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Segments != 1 ||
 			(res.FleetSteps > 0) != fleet {
 			t.Errorf("%s: %v, %+v", name, err, res)
 		}
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -60,7 +60,7 @@
 	Meta       flightrecorder.Meta
 	Revision   string // of the module that played
 	Chunks     int
-	Stretches  int // played without a gap
+	Segments   int // played without a gap
 	Steps      int
 	Events     int
 	Actions    int
@@ -77,15 +77,15 @@
 
 // player is a replay at work.
 type player struct {
-	visit  Visitor
-	res    Result
-	sender *policy.Engine // nil: waits for a chunk to begin with
-	set    policy.Settings
-	skip   bool // within a chunk that cannot be played
+	visit    Visitor
+	result   Result
+	engine   *policy.Engine // nil: waits for a chunk to begin with
+	settings policy.Settings
+	skip     bool // within a chunk that cannot be played
 
-	seam    *agent.Agent          // nil: the recording holds none, or waits for one
-	last    *flightrecorder.Entry // step of the module, which the seam's is beside
-	decided []policy.Action       // in it
+	agent       *agent.Agent          // nil: the recording holds none, or waits for one
+	lastStep    *flightrecorder.Entry // step of the module, which the seam's is beside
+	lastActions []policy.Action       // in it
 }
 
 // Play plays a recording, up to the first action that differs. The error tells that nothing could be played.
@@ -95,47 +95,47 @@
 		return Result{}, err
 	}
 	p := &player{visit: visit}
-	p.res.Revision = policy.Revision()
-	for p.res.Difference == nil {
+	p.result.Revision = policy.Revision()
+	for p.result.Difference == nil {
 		e, ok, err := r.Next()
 		if err != nil {
-			return p.res, err
+			return p.result, err
 		}
 		if !ok {
 			break
 		}
-		p.take(&e)
+		p.playEntry(&e)
 	}
-	if p.res.Stretches == 0 {
-		return p.res, fmt.Errorf("%w: %v", ErrNoStart, p.res.Lost)
+	if p.result.Segments == 0 {
+		return p.result, fmt.Errorf("%w: %v", ErrNoStart, p.result.Lost)
 	}
-	return p.res, nil
+	return p.result, nil
 }
 
-func (p *player) take(e *flightrecorder.Entry) {
+func (p *player) playEntry(e *flightrecorder.Entry) {
 	switch e.Kind {
 	case flightrecorder.Begin:
-		p.begin(e)
+		p.beginChunk(e)
 	case flightrecorder.Step:
-		if p.sender != nil {
-			p.step(e)
+		if p.engine != nil {
+			p.playStep(e)
 		}
 	case flightrecorder.FleetState:
-		p.besideState(e)
+		p.playFleetState(e)
 	case flightrecorder.FleetStep:
-		if p.sender != nil && p.seam != nil && p.last != nil {
-			p.besideStep(e)
+		if p.engine != nil && p.agent != nil && p.lastStep != nil {
+			p.playFleetStep(e)
 		}
 	case flightrecorder.SendChecked:
-		if p.sender != nil {
-			p.res.SendChecks++
-			if may := p.sender.StillAllowed(e.Endpoint, e.MessageIDs, e.Now); may != e.Allowed {
-				p.differ(e, "whether a call to "+e.Endpoint+" may still leave", fmt.Sprint(e.Allowed), fmt.Sprint(may))
+		if p.engine != nil {
+			p.result.SendChecks++
+			if may := p.engine.StillAllowed(e.Endpoint, e.MessageIDs, e.Now); may != e.Allowed {
+				p.setDifference(e, "whether a call to "+e.Endpoint+" may still leave", fmt.Sprint(e.Allowed), fmt.Sprint(may))
 			}
 		}
 	case flightrecorder.Lost:
-		p.lose(fmt.Sprintf("offset %d: %s", e.At, e.Text))
-		p.sender, p.seam, p.last = nil, nil, nil
+		p.addLost(fmt.Sprintf("offset %d: %s", e.At, e.Text))
+		p.engine, p.agent, p.lastStep = nil, nil, nil
 	}
 	if (e.Kind == flightrecorder.Label || e.Kind == flightrecorder.Note || e.Kind == flightrecorder.Lost) &&
 		p.visit.Other != nil {
@@ -143,37 +143,37 @@
 	}
 }
 
-// lostMost bounds what is told of a recording that is damaged all over.
-const lostMost = 100
+// maxLost bounds what is told of a recording that is damaged all over.
+const maxLost = 100
 
-func (p *player) lose(what string) {
-	if len(p.res.Lost) < lostMost {
-		p.res.Lost = append(p.res.Lost, what)
+func (p *player) addLost(what string) {
+	if len(p.result.Lost) < maxLost {
+		p.result.Lost = append(p.result.Lost, what)
 	}
 }
 
-// begin goes on in a new chunk, or starts there. The state that a chunk begins with is compared with the one that was
+// beginChunk goes on in a new chunk, or starts there. The state that a chunk begins with is compared with the one that was
 // reached, so that a Sender that went astray without showing it is found at the next chunk.
-func (p *player) begin(e *flightrecorder.Entry) {
-	if p.res.Chunks++; p.res.Chunks == 1 {
-		p.res.Meta, p.res.From = e.Meta, e.Now
+func (p *player) beginChunk(e *flightrecorder.Entry) {
+	if p.result.Chunks++; p.result.Chunks == 1 {
+		p.result.Meta, p.result.From = e.Meta, e.Now
 	}
-	if p.sender != nil {
-		if !reflect.DeepEqual(e.Meta.Settings, p.set) {
-			if err := p.sender.Reconfigure(e.Meta.Settings); err != nil {
-				p.differ(e, "settings", "taken", err.Error())
+	if p.engine != nil {
+		if !reflect.DeepEqual(e.Meta.Settings, p.settings) {
+			if err := p.engine.Reconfigure(e.Meta.Settings); err != nil {
+				p.setDifference(e, "settings", "taken", err.Error())
 				return
 			}
-			p.hold(e.Meta.Settings)
+			p.applySettings(e.Meta.Settings)
 		}
-		if p.res.SameRevision() {
-			p.res.States++
-			if reached := p.sender.Snapshot(nil); !bytes.Equal(reached, e.State) {
-				p.differ(
+		if p.result.SameRevision() {
+			p.result.States++
+			if reached := p.engine.Snapshot(nil); !bytes.Equal(reached, e.State) {
+				p.setDifference(
 					e,
 					"state",
 					fmt.Sprintf("%d bytes", len(e.State)),
-					fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
+					fmt.Sprintf("%d bytes, from byte %d on", len(reached), firstDifferentByte(reached, e.State)),
 				)
 			}
 		}
@@ -181,24 +181,24 @@
 	}
 	var err error
 	if e.Fresh {
-		p.sender, err = policy.New(e.Meta.Settings, e.Meta.Seed)
+		p.engine, err = policy.New(e.Meta.Settings, e.Meta.Seed)
 	} else {
-		p.sender, err = Restore(e)
+		p.engine, err = Restore(e)
 	}
 	if err != nil {
-		p.sender = nil
-		p.lose(fmt.Sprintf("chunk %d cannot be played from: %v", e.Chunk, err))
+		p.engine = nil
+		p.addLost(fmt.Sprintf("chunk %d cannot be played from: %v", e.Chunk, err))
 		return
 	}
-	p.hold(e.Meta.Settings)
-	p.res.Stretches++
+	p.applySettings(e.Meta.Settings)
+	p.result.Segments++
 	if p.visit.Begin != nil {
-		p.visit.Begin(p.sender, e)
+		p.visit.Begin(p.engine, e)
 	}
 }
 
-func (p *player) hold(set policy.Settings) {
-	if p.set = set; p.visit.Settings != nil {
+func (p *player) applySettings(set policy.Settings) {
+	if p.settings = set; p.visit.Settings != nil {
 		p.visit.Settings(set)
 	}
 }
@@ -214,7 +214,7 @@
 	return policy.Restore(e.Meta.Settings, e.State)
 }
 
-func parting(a, b []byte) int {
+func firstDifferentByte(a, b []byte) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -224,86 +224,86 @@
 	return n
 }
 
-func (p *player) step(e *flightrecorder.Entry) {
-	p.res.Steps++
-	p.res.Events += len(e.Events)
-	p.res.Actions += len(e.Actions)
-	p.res.To = e.Now
+func (p *player) playStep(e *flightrecorder.Entry) {
+	p.result.Steps++
+	p.result.Events += len(e.Events)
+	p.result.Actions += len(e.Actions)
+	p.result.To = e.Now
 	if p.visit.Before != nil {
-		p.visit.Before(p.sender, e)
+		p.visit.Before(p.engine, e)
 	}
-	acts, err := step(p.sender, e)
-	p.last, p.decided = e, acts
+	acts, err := stepEngine(p.engine, e)
+	p.lastStep, p.lastActions = e, acts
 	if err != nil {
-		p.differ(e, "the module gave up", "", err.Error())
+		p.setDifference(e, "the module gave up", "", err.Error())
 		return
 	}
 	if i := firstDifference(e.Actions, acts); i >= 0 {
-		p.differ(
+		p.setDifference(
 			e,
 			fmt.Sprintf("action %d of %d", i+1, max(len(e.Actions), len(acts))),
-			text(e.Actions, i),
-			text(acts, i),
+			describeAt(e.Actions, i),
+			describeAt(acts, i),
 		)
 		return
 	}
 	if p.visit.Step != nil {
-		p.visit.Step(p.sender, e)
+		p.visit.Step(p.engine, e)
 	}
 }
 
-// besideState goes on with the seam's state that a chunk begins with, or compares it with the one that was reached.
-func (p *player) besideState(e *flightrecorder.Entry) {
-	if p.seam != nil {
-		if reached := p.seam.Snapshot(nil); !bytes.Equal(reached, e.State) {
-			p.differ(
+// playFleetState goes on with the seam's state that a chunk begins with, or compares it with the one that was reached.
+func (p *player) playFleetState(e *flightrecorder.Entry) {
+	if p.agent != nil {
+		if reached := p.agent.Snapshot(nil); !bytes.Equal(reached, e.State) {
+			p.setDifference(
 				e,
 				"the seam's state",
 				fmt.Sprintf("%d bytes", len(e.State)),
-				fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
+				fmt.Sprintf("%d bytes, from byte %d on", len(reached), firstDifferentByte(reached, e.State)),
 			)
 		}
 		return
 	}
 	s, err := agent.Restore(e.State)
 	if err != nil {
-		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
+		p.addLost(fmt.Sprintf("offset %d: %v", e.At, err))
 		return
 	}
-	p.seam = s
+	p.agent = s
 }
 
-// besideStep plays the seam's step beside the module's last one.
-func (p *player) besideStep(e *flightrecorder.Entry) {
+// playFleetStep plays the seam's step beside the module's last one.
+func (p *player) playFleetStep(e *flightrecorder.Entry) {
 	rec, err := agent.ReadRecord(e.State)
 	if err != nil {
-		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
-		p.seam = nil
+		p.addLost(fmt.Sprintf("offset %d: %v", e.At, err))
+		p.agent = nil
 		return
 	}
-	p.res.FleetSteps++
-	out := p.seam.Step(p.last.Now, agent.Input{
-		Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
+	p.result.FleetSteps++
+	out := p.agent.Step(p.lastStep.Now, agent.Input{
+		Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: p.lastStep.Events, Actions: p.lastActions, Views: func() []policy.EndpointView { views, _ := p.engine.Views(); return views },
 	})
-	p.last = nil
+	p.lastStep = nil
 	if !slices.EqualFunc(
 		out.Published,
 		rec.Published,
 		func(a, b loadreport.Report) bool { return reflect.DeepEqual(a, b) },
 	) {
-		p.differ(e, "what the seam tells", fmt.Sprint(rec.Published), fmt.Sprint(out.Published))
+		p.setDifference(e, "what the seam tells", fmt.Sprint(rec.Published), fmt.Sprint(out.Published))
 	}
 	if !slices.EqualFunc(
 		out.Quota,
 		rec.QuotaSent,
 		func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) },
 	) {
-		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.QuotaSent), fmt.Sprint(out.Quota))
+		p.setDifference(e, "what the seam tells of rights", fmt.Sprint(rec.QuotaSent), fmt.Sprint(out.Quota))
 	}
 }
 
-// step guards against a module that panics, on what another one was told.
-func step(s *policy.Engine, e *flightrecorder.Entry) (acts []policy.Action, err error) {
+// stepEngine guards against a module that panics, on what another one was told.
+func stepEngine(s *policy.Engine, e *flightrecorder.Entry) (acts []policy.Action, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("panic: %v", x)
@@ -324,7 +324,7 @@
 	return min(len(a), len(b))
 }
 
-func text(acts []policy.Action, i int) string {
+func describeAt(acts []policy.Action, i int) string {
 	if i >= len(acts) {
 		return ""
 	}
@@ -350,8 +350,8 @@
 	return fmt.Sprintf("action %d", a.Kind)
 }
 
-func (p *player) differ(e *flightrecorder.Entry, what, recorded, replayed string) {
-	p.res.Difference = &Difference{
-		Step: p.res.Steps, Offset: e.At, Now: e.Now, What: what, Recorded: recorded, Replayed: replayed,
+func (p *player) setDifference(e *flightrecorder.Entry, what, recorded, replayed string) {
+	p.result.Difference = &Difference{
+		Step: p.result.Steps, Offset: e.At, Now: e.Now, What: what, Recorded: recorded, Replayed: replayed,
 	}
 }
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -31,7 +31,7 @@
 		ring := rapid.SampledFrom([]int{flightrecorder.MinRingSize, 64 << 20}).Draw(rt, "ring")
 		_, rec := recordertest.Drive(seed, span, ring, nil)
 		res, err := Play(written(t, rec), Visitor{})
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Stretches != 1 {
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Segments != 1 {
 			rt.Fatalf("%v, %+v", err, res)
 		}
 	})
@@ -288,7 +288,7 @@
 	bad := bytes.Clone(data)
 	bad[len(bad)/2] ^= 4
 	res, err := Play(bad, Visitor{})
-	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Stretches != 2 || res.Steps < whole.Steps/2 ||
+	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Segments != 2 || res.Steps < whole.Steps/2 ||
 		res.Steps >= whole.Steps {
 		t.Errorf("%v, %d steps of %d: %+v", err, res.Steps, whole.Steps, res)
 	}
