--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -24,7 +24,7 @@
 }
 
 // Whatever is recorded replays without a difference, from its begin and from any chunk that the ring still holds.
-func TestWhatIsRecordedReplays(t *testing.T) {
+func TestRecordingReplays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		span := time.Duration(rapid.IntRange(2, 25).Draw(rt, "seconds")) * time.Second
@@ -38,7 +38,7 @@
 }
 
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
-func TestTheRingIsBoundedAndPlays(t *testing.T) {
+func TestRingIsBoundedAndReplays(t *testing.T) {
 	most := 0
 	_, rec := recordertest.Drive(
 		3,
@@ -88,8 +88,29 @@
 	}
 }
 
-// The first action that differs is shown, whatever it is: a replay that cannot fail shows nothing.
-func TestTheFirstDifferenceIsShown(t *testing.T) {
+// changeFirst changes the first action behind the recording's begin for which change returns true. It returns the
+// recording and the time of that step.
+func changeFirst(t *testing.T, data []byte, change func(a *policy.Action) bool) (changed []byte, at time.Duration) {
+	t.Helper()
+	done := false
+	changed = edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
+		for i := range e.Actions {
+			action := e.Actions[i]
+			if !done && n > 20 && change(&action) {
+				e.Actions[i] = action
+				done = true
+				at = e.Now
+			}
+		}
+	})
+	if !done {
+		t.Error("nothing was changed")
+	}
+	return changed, at
+}
+
+// The first action that differs is reported, whatever it is: a replay that cannot fail shows nothing.
+func TestFirstDifferenceIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	data := written(t, rec)
 	for _, c := range []struct {
@@ -97,41 +118,47 @@
 		change func(a *policy.Action) bool
 		want   string
 	}{
-		{"another route", func(a *policy.Action) bool { a.Endpoint += "x"; return a.Kind == policy.Send }, "send"},
-		{"another time-out", func(a *policy.Action) bool { a.TimeoutAt++; return a.Kind == policy.Send }, "send"},
-		{"another wake", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.SetTimer }, "timer"},
-		{"another advice", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Reject }, "reject"},
+		{"endpoint", func(a *policy.Action) bool { a.Endpoint += "x"; return a.Kind == policy.Send }, "send"},
+		{"timeout", func(a *policy.Action) bool { a.TimeoutAt++; return a.Kind == policy.Send }, "send"},
+		{"timer", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.SetTimer }, "timer"},
+		{"Retry-After", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Reject }, "reject"},
 	} {
-		done, at := false, time.Duration(0)
-		bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
-			for i := range e.Actions {
-				if x := e.Actions[i]; !done && n > 20 && c.change(&x) {
-					e.Actions[i], done, at = x, true, e.Now
-				}
+		t.Run(c.name, func(t *testing.T) {
+			changed, at := changeFirst(t, data, c.change)
+			res, err := Play(changed, Visitor{})
+			if err != nil || res.Difference == nil {
+				t.Fatalf("%v, %+v", err, res)
+			}
+			if d := res.Difference; d.Now != at || !strings.Contains(d.Replayed, c.want) || d.Recorded == d.Replayed {
+				t.Errorf("changed at %v: %v", at, d)
 			}
 		})
-		res, err := Play(bad, Visitor{})
-		if err != nil || res.Difference == nil || !done {
-			t.Errorf("%s: %v, %+v", c.name, err, res)
-			continue
-		}
-		if d := res.Difference; d.Now != at || !strings.Contains(d.Replayed, c.want) || d.Recorded == d.Replayed {
-			t.Errorf("%s at %v: %v", c.name, at, d)
-		}
 	}
+}
+
+func TestMissingActionIsReported(t *testing.T) {
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	dropped := false
-	bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
+	changed := edit(t, written(t, rec), policy.Revision(), func(n int, e *flightrecorder.Entry) {
 		if n > 20 && !dropped && len(e.Actions) > 0 {
-			e.Actions, dropped = slices.Clone(e.Actions[:len(e.Actions)-1]), true
+			e.Actions = slices.Clone(e.Actions[:len(e.Actions)-1])
+			dropped = true
 		}
 	})
-	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || res.Difference.Recorded != "" {
-		t.Errorf("an action that was dropped: %v, %+v", err, res)
+	res, err := Play(changed, Visitor{})
+	if err != nil || res.Difference == nil || res.Difference.Recorded != "" {
+		t.Errorf("%v, %+v", err, res)
 	}
-	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.Allowed = !e.Allowed })
-	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil ||
-		!strings.Contains(res.Difference.What, "still leave") {
-		t.Errorf("another clearance: %v, %+v", err, res)
+}
+
+func TestOtherSendCheckIsReported(t *testing.T) {
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
+	changed := edit(t, written(t, rec), policy.Revision(), func(_ int, e *flightrecorder.Entry) {
+		e.Allowed = !e.Allowed
+	})
+	res, err := Play(changed, Visitor{})
+	if err != nil || res.Difference == nil || !strings.Contains(res.Difference.What, "still leave") {
+		t.Errorf("%v, %+v", err, res)
 	}
 }
 
@@ -164,7 +191,7 @@
 
 // Settings that change in mid-life are part of what was told, and a module that is restored in mid-life begins a
 // recording with its state: both play without a difference, and not so if what was told is left out.
-func TestSettingsThatChangeAndRestoredModules(t *testing.T) {
+func TestChangedSettingsAndRestoredModules(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		steps := 0
 		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Engine, rec *flightrecorder.Recorder) {
@@ -227,7 +254,10 @@
 		Kind:      policy.EndpointSnapshot,
 		Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}},
 	}
-	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
+	times := []time.Duration{
+		time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute,
+	}
+	for i, now := range times {
 		evs := []policy.Event{
 			list,
 			{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second},
@@ -246,7 +276,7 @@
 
 // A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
 // what cannot be read is told.
-func TestCutAndDamagedRecordings(t *testing.T) {
+func TestTruncatedAndDamagedRecordings(t *testing.T) {
 	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
@@ -278,7 +308,7 @@
 }
 
 // After a damaged chunk the next one is played from.
-func TestADamagedMiddleIsPassedOver(t *testing.T) {
+func TestDamagedChunkIsSkipped(t *testing.T) {
 	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
@@ -299,14 +329,14 @@
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
-	f.Fuzz(func(t *testing.T, data []byte) {
+	f.Fuzz(func(_ *testing.T, data []byte) {
 		if len(data) > 1<<20 {
 			return
 		}
-		Play(data, Visitor{}) // must end, and not panic
+		_, _ = Play(data, Visitor{}) // may fail, must end, and must not panic
 		if found, err := flightrecorder.Split(data); err == nil {
 			for _, x := range found {
-				Play(x.Data, Visitor{})
+				_, _ = Play(x.Data, Visitor{})
 			}
 		}
 	})
