--- a/internal/fleet/loadreport/aggregate.go
+++ b/internal/fleet/loadreport/aggregate.go
@@ -35,11 +35,13 @@
 		if name == t.self || !ok || stored.expired(now) {
 			continue
 		}
-		i, ok := slices.BinarySearchFunc(stored.scopes, key, ScopeLoad.compareScope)
+		i, ok := slices.BinarySearchFunc(stored.scopes, key, func(load ScopeLoad, key scopeKey) int {
+			return load.key().compare(key)
+		})
 		if !ok {
 			continue
 		}
-		load, age := stored.scopes[i], now-stored.publishedAt
+		load, age := &stored.scopes[i], now-stored.publishedAt
 		weight := DecayWeight(age)
 		sum.add(load, age, weight)
 		backlog += weight * float64(load.Backlog)
@@ -49,7 +51,7 @@
 }
 
 // add adds all figures but the backlog, which is summed up as a float by the caller.
-func (a *Aggregate) add(load ScopeLoad, age time.Duration, weight float64) {
+func (a *Aggregate) add(load *ScopeLoad, age time.Duration, weight float64) {
 	a.Members += weight
 	a.Demand += weight * load.Demand
 	a.Calls += weight * load.Calls
--- a/internal/fleet/loadreport/report.go
+++ b/internal/fleet/loadreport/report.go
@@ -41,6 +41,8 @@
 	WarmingUp   bool          `cbor:"Cold"`     // the relay takes it to be warming up or in an outage
 }
 
+func (s ScopeLoad) key() scopeKey { return scopeKey{s.Destination, s.Endpoint} }
+
 func (s ScopeLoad) rates() [5]float64 {
 	return [...]float64{s.Demand, s.Calls, s.Rejections, s.Deliveries, s.Failures}
 }
@@ -54,7 +56,7 @@
 func (s ScopeLoad) compare(other ScopeLoad) int {
 	rates, otherRates := s.rates(), other.rates()
 	return cmp.Or(
-		s.compareScope(scopeKey{other.Destination, other.Endpoint}),
+		s.key().compare(other.key()),
 		slices.Compare(rates[:], otherRates[:]),
 		cmp.Compare(s.Backlog, other.Backlog),
 		cmp.Compare(s.RetryAfter, other.RetryAfter),
@@ -62,10 +64,6 @@
 	)
 }
 
-func (s ScopeLoad) compareScope(key scopeKey) int {
-	return cmp.Or(cmp.Compare(s.Destination, key.destination), cmp.Compare(s.Endpoint, key.endpoint))
-}
-
 // compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
--- a/internal/fleet/loadreport/table.go
+++ b/internal/fleet/loadreport/table.go
@@ -60,6 +60,13 @@
 	endpoint    string
 }
 
+func (k scopeKey) compare(other scopeKey) int {
+	if order := cmp.Compare(k.destination, other.destination); order != 0 {
+		return order
+	}
+	return cmp.Compare(k.endpoint, other.endpoint)
+}
+
 // Table holds the reports that one relay has received, and its own.
 type Table struct {
 	self        string
@@ -115,7 +122,7 @@
 
 // Merge takes a report that was received.
 func (t *Table) Merge(now time.Duration, r Report) (MergeResult, error) {
-	if err := t.validate(r); err != nil {
+	if err := t.validate(&r); err != nil {
 		t.rejected[err.Reason]++
 		return Rejected, err
 	}
@@ -187,7 +194,7 @@
 // grow with each report.
 func (t *Table) Publish(now time.Duration, number int, sequence uint64, scopes []ScopeLoad) (Report, error) {
 	r := Report{Name: t.self, Incarnation: t.incarnation, Number: number, Sequence: sequence, Scopes: scopes}
-	if err := t.validate(r); err != nil {
+	if err := t.validate(&r); err != nil {
 		t.rejected[err.Reason]++
 		return Report{}, err
 	}
@@ -199,7 +206,7 @@
 
 // Restore takes a report of the own member that was published already.
 func (t *Table) Restore(now time.Duration, r Report) MergeResult {
-	if r.Name != t.self || r.Incarnation != t.incarnation || t.validate(r) != nil {
+	if r.Name != t.self || r.Incarnation != t.incarnation || t.validate(&r) != nil {
 		return Rejected
 	}
 	return t.mergeReport(now, r)
--- a/internal/fleet/loadreport/validate.go
+++ b/internal/fleet/loadreport/validate.go
@@ -50,16 +50,17 @@
 }
 
 // validate returns why a report cannot be right; nil: it may be.
-func (t *Table) validate(r Report) *RejectedError {
+func (t *Table) validate(r *Report) *RejectedError {
 	if err := t.validateHeader(r); err != nil {
 		return err
 	}
-	for i, scope := range r.Scopes {
+	for i := range r.Scopes {
+		scope := &r.Scopes[i]
 		misplaced := scope.Destination < 0 || ReportNumber(scope.Destination) != r.Number
 		if misplaced || len(scope.Endpoint) > maxEndpointLength {
 			return rejectf(Malformed, "%s: destination %d in report %d", r.Name, scope.Destination, r.Number)
 		}
-		if i > 0 && scope.compareScope(scopeKey{r.Scopes[i-1].Destination, r.Scopes[i-1].Endpoint}) <= 0 {
+		if i > 0 && scope.key().compare(r.Scopes[i-1].key()) <= 0 {
 			return rejectf(Malformed, "%s: scopes of report %d are not sorted", r.Name, r.Number)
 		}
 		if err := t.validateLoad(r.Name, scope); err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-func (t *Table) validateHeader(r Report) *RejectedError {
+func (t *Table) validateHeader(r *Report) *RejectedError {
 	if len(r.Name) > maxNameLength || !t.listed[r.Name] {
 		return rejectf(UnlistedMember, "%.64q", r.Name)
 	}
@@ -90,9 +91,9 @@
 }
 
 // validateLoad checks the figures of one scope.
-func (t *Table) validateLoad(name string, load ScopeLoad) *RejectedError {
+func (t *Table) validateLoad(name string, load *ScopeLoad) *RejectedError {
 	maxRate := MaxRate
-	if limit, ok := t.limits[scopeKey{load.Destination, load.Endpoint}]; ok {
+	if limit, ok := t.limits[load.key()]; ok {
 		maxRate = MaxRateMultiple * max(minLimit, limit)
 	}
 	for _, rate := range load.rates() {
