--- a/cmd/cherrytrestle/endpoint_test.go
+++ b/cmd/cherrytrestle/endpoint_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// endpoint is one endpoint.
+// endpoint is one endpoint that messages are sent to.
 type endpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -43,7 +44,8 @@
 		h.mu.Lock()
 		h.calls++
 		for _, id := range ids {
-			h.seen, h.at = append(h.seen, id), append(h.at, time.Now())
+			h.seen = append(h.seen, id)
+			h.at = append(h.at, time.Now())
 		}
 		h.mu.Unlock()
 		if h.answer != nil {
@@ -96,3 +98,20 @@
 	}
 	return most
 }
+
+// answerStatus answers each call with the status.
+func answerStatus(status int) func(http.ResponseWriter, *http.Request, []string) {
+	return func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(status) }
+}
+
+// writeStates answers a call that carries several messages with a state for each, the given ones in turn.
+func writeStates(w io.Writer, ids []string, states ...string) {
+	if len(ids) == 1 {
+		return
+	}
+	var answers []string
+	for i, id := range ids {
+		answers = append(answers, fmt.Sprintf(`{"id":%q,"state":%q}`, id, states[i%len(states)]))
+	}
+	writeQuietly(w, "["+strings.Join(answers, ",")+"]")
+}
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/upgrade_test.go
@@ -70,7 +70,8 @@
 			return 0
 		}
 		must(c.r.t, conn.SetDeadline(time.Now().Add(conditionTimeout)))
-		c.conn, c.in = conn, bufio.NewReader(conn)
+		c.conn = conn
+		c.in = bufio.NewReader(conn)
 	}
 	req := c.r.request(id, expires, nil)
 	err := req.Write(c.conn)
@@ -215,7 +216,9 @@
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.5")
 			w.WriteHeader(http.StatusTooManyRequests)
+			return
 		}
+		writeStates(w, ids, "ok")
 	})
 	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
@@ -253,7 +256,8 @@
 // A message that the first process has delivered and forgotten is submitted once more at the second: it does not run
 // again.
 func TestUpgradeKeepsFinishedMessages(t *testing.T) {
-	p, h := newPlatform(t), newEndpoint(t, nil)
+	p := newPlatform(t)
+	h := newEndpoint(t, nil)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
 	holdListeningSocket(t, r, p)
 	take := func() {
