--- a/internal/relay/discovery/list_test.go
+++ b/internal/relay/discovery/list_test.go
@@ -43,7 +43,7 @@
 }
 
 // watch watches an agent until ok holds of all lists that were delivered.
-func watch(t *testing.T, addr string, log *slog.Logger, version int64, ok func([]List) bool) (told []List) {
+func watch(t *testing.T, addr string, log *slog.Logger, version int64, ok func([]List) bool) (delivered []List) {
 	t.Helper()
 	lists := make(chan List, 64)
 	w := NewWatcher(Config{
@@ -51,15 +51,15 @@
 		OnUpdate: func(l List) { lists <- l }, Backoff: backoff.Backoff{Clients: 1},
 	})
 	start(t, w)
-	for !ok(told) {
+	for !ok(delivered) {
 		select {
 		case l := <-lists:
-			told = append(told, l)
+			delivered = append(delivered, l)
 		case <-time.After(nettest.Patience):
-			t.Fatalf("told %d lists only: %+v", len(told), told)
+			t.Fatalf("delivered %d lists only: %+v", len(delivered), delivered)
 		}
 	}
-	return told
+	return delivered
 }
 
 // An agent's versions begin again, as those of another machine would: what it tells is taken, and the next watch goes
@@ -72,10 +72,10 @@
 		`{"version":2,"full":true,"servers":[]}`+"\n",
 		`{"version":3,"full":false,"servers":[]}`+"\n",
 	)
-	told := watch(t, addr, quiet(), 40, func(told []List) bool { return len(told) == 3 })
+	delivered := watch(t, addr, quiet(), 40, func(delivered []List) bool { return len(delivered) == 3 })
 	for i, want := range []int64{41, 2, 3} {
-		if told[i].Version != want || told[i].Full != (want == 2) {
-			t.Errorf("list %d: version %d, whole %v", i, told[i].Version, told[i].Full)
+		if delivered[i].Version != want || delivered[i].Full != (want == 2) {
+			t.Errorf("list %d: version %d, whole %v", i, delivered[i].Version, delivered[i].Full)
 		}
 	}
 	for _, want := range []string{"40", "41", "2"} {
@@ -102,10 +102,14 @@
 		t.Run(name, func(t *testing.T) {
 			var log bytes.Buffer
 			addr, _ := newAgent(t, indented.String(), text)
-			told := watch(t, addr, slog.New(slog.NewTextHandler(&log, nil)), 4, func(told []List) bool {
-				return len(told) > 0 && told[len(told)-1].Version == 6 && len(told[len(told)-1].Entries) == 1
+			delivered := watch(t, addr, slog.New(slog.NewTextHandler(&log, nil)), 4, func(delivered []List) bool {
+				if len(delivered) == 0 {
+					return false
+				}
+				last := delivered[len(delivered)-1]
+				return last.Version == 6 && len(last.Entries) == 1
 			})
-			if e := told[len(told)-1].Entries[0]; e.Err != nil || e.ID != "s-7" {
+			if e := delivered[len(delivered)-1].Entries[0]; e.Err != nil || e.ID != "s-7" {
 				t.Errorf("%+v", e)
 			}
 			if n := strings.Count(log.String(), "unreadable line"); n > 1 {
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -48,19 +48,20 @@
 		send(w, emptyList+"\n")
 		<-r.Context().Done()
 	})
-	told := make(chan List, 8)
+	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
-		OnUpdate: func(l List) { told <- l }, Backoff: backoff.Backoff{Clients: 1}, Rand: rand.New(rand.NewPCG(1, 2)),
+		OnUpdate: func(l List) { delivered <- l }, Backoff: backoff.Backoff{Clients: 1},
+		Rand: rand.New(rand.NewPCG(1, 2)),
 	})
 	start(t, w)
 	select {
-	case l := <-told:
+	case l := <-delivered:
 		if l.Version != 9 || !l.Full {
-			t.Errorf("told %+v", l)
+			t.Errorf("delivered %+v", l)
 		}
 	case <-time.After(nettest.Patience):
-		t.Errorf("never told after %d calls", calls.Load())
+		t.Errorf("never delivered after %d calls", calls.Load())
 	}
 	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
 		t.Errorf("%d calls side by side", n)
@@ -86,21 +87,21 @@
 	}
 	old, fresh := serve(5, false), serve(9, true)
 	client := NewClient(addrOf(old))
-	told := make(chan List, 8)
+	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: client, IdleTimeout: nettest.Patience, OnUpdate: func(l List) { told <- l },
+		Log: quiet(), Client: client, IdleTimeout: nettest.Patience, OnUpdate: func(l List) { delivered <- l },
 		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(maxSource{}),
 	})
 	start(t, w)
 	receive := func(version int64) {
 		t.Helper()
 		select {
-		case l := <-told:
+		case l := <-delivered:
 			if l.Version != version {
-				t.Errorf("told version %d, want %d", l.Version, version)
+				t.Errorf("delivered version %d, want %d", l.Version, version)
 			}
 		case <-time.After(nettest.Patience):
-			t.Fatalf("version %d never told", version)
+			t.Fatalf("version %d never delivered", version)
 		}
 	}
 	receive(5) // and the watch has ended, or ends soon: the next call is half a day away
@@ -109,42 +110,42 @@
 }
 
 // Where lists are pushed, what the agent has binds within the grace. It is silent while discovery is down, and answers
-// what it was asked meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times,
+// the calls made meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times,
 // however many failed before. The times here are those of a clock that stands still while nothing waits: each call's
 // silence, and the pauses as they are drawn.
 func TestIdleAgentIsCalledWithinTheGrace(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		ask     bool
-		senders int
-		grace   time.Duration
-		within  bool
+		name   string
+		poll   bool
+		relays int
+		grace  time.Duration
+		within bool
 	}{
 		{"pushed, 300 relays", false, 300, time.Second, true},
 		{"pushed, 300 relays, short grace", false, 300, 400 * time.Millisecond, true},
 		{"pushed, 2 relays", false, 2, time.Second, true},
 		// One service answers all of these in turn: calls this soon would jam it. This shows that the test can fail.
-		{"asked for, 300 relays", true, 300, time.Second, false},
+		{"polled, 300 relays", true, 300, time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			grace := c.grace
 			var settings policy.Settings
-			settings.FleetSize, settings.WatchRequired = c.senders, c.ask
+			settings.FleetSize, settings.WatchRequired = c.relays, c.poll
 			caller, rng := NewBackoff(settings, grace), rand.New(maxSource{})
 			if first := caller.InitialDelay(rng); first > c.grace {
 				t.Errorf("the first call comes after %v", first)
 			}
 			caller.Succeeded()
-			// A watch falls silent right after a line; the next ones are never answered.
-			clock, unasked := WatchIdleTimeout, time.Duration(0)
+			// A watch becomes idle right after a line; the next ones are never answered.
+			clock, uncalled := WatchIdleTimeout, time.Duration(0)
 			if again := caller.Failed(rng, 0); clock+again > 6*time.Second {
-				t.Errorf("asked again %v after the watch fell silent, when what it missed binds already", clock+again)
+				t.Errorf("called again %v after the watch became idle, when what it missed binds already", clock+again)
 			}
 			for range 6 { // as if they had failed at once, which gives the longest pauses
-				unasked = max(unasked, caller.Failed(rng, 0))
+				uncalled = max(uncalled, caller.Failed(rng, 0))
 			}
-			if ok := unasked <= c.grace; ok != c.within {
-				t.Errorf("not asked for %v at a time, of a grace of %v", unasked, c.grace)
+			if ok := uncalled <= c.grace; ok != c.within {
+				t.Errorf("not called for %v at a time, of a grace of %v", uncalled, c.grace)
 			}
 		})
 	}
@@ -167,30 +168,30 @@
 		send(w, emptyList+"\n")
 		<-r.Context().Done()
 	})
-	told := make(chan List, 8)
+	delivered := make(chan List, 8)
 	grace := 400 * time.Millisecond
 	var settings policy.Settings
 	settings.FleetSize = 300
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
-		OnUpdate: func(l List) { told <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(maxSource{}),
+		OnUpdate: func(l List) { delivered <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(maxSource{}),
 	})
 	began := time.Now()
 	start(t, w)
 	select {
-	case <-told:
+	case <-delivered:
 	case <-time.After(nettest.Patience):
-		t.Fatal("never told")
+		t.Fatal("never delivered")
 	}
-	// Four silent calls and the pauses between; as one of a fleet that asks, the pauses alone are over twenty seconds.
-	t.Logf("told after %v and %d calls", time.Since(began), calls.Load())
+	// Four silent calls and the pauses between; as one of a fleet that polls, the pauses alone are over twenty seconds.
+	t.Logf("delivered after %v and %d calls", time.Since(began), calls.Load())
 }
 
-// toldWithin is when a change counts as told: so long after discovery had it and could be reached, however the calls
-// before went. callTakes is left of it for the call that finds it.
+// deliveredWithin is when a change counts as delivered: so long after discovery had it and could be reached, however
+// the calls before went. callTakes is left of it for the call that finds it.
 const (
-	toldWithin = 6 * time.Second
-	callTakes  = 400 * time.Millisecond
+	deliveredWithin = 6 * time.Second
+	callTakes       = 400 * time.Millisecond
 )
 
 // However many relays share discovery and however their calls fail, the next call begins in time. The clock is that of
@@ -203,12 +204,12 @@
 		"not connected": time.Second,
 		"silent":        WatchIdleTimeout,
 	}
-	for _, ask := range []bool{false, true} {
-		for _, senders := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
+	for _, poll := range []bool{false, true} {
+		for _, relays := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
 			for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second} {
 				grace := grace
 				var settings policy.Settings
-				settings.FleetSize, settings.WatchRequired = senders, ask
+				settings.FleetSize, settings.WatchRequired = relays, poll
 				worst, at := time.Duration(0), ""
 				note := func(d time.Duration, how string) {
 					if d > worst {
@@ -223,7 +224,7 @@
 					caller := NewBackoff(settings, grace)
 					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
-						caller.Succeeded() // a watch, which falls silent
+						caller.Succeeded() // a watch, which becomes idle
 						note(WatchIdleTimeout+caller.Failed(rng, WatchIdleTimeout), "after a watch")
 						for i := range 12 {
 							for way, took := range ways {
@@ -232,8 +233,8 @@
 						}
 					}
 				}
-				if worst+callTakes > toldWithin {
-					t.Errorf("%d relays, asked for %v, grace %v: no call for %v, %s", senders, ask, grace, worst, at)
+				if worst+callTakes > deliveredWithin {
+					t.Errorf("%d relays, polled %v, grace %v: no call for %v, %s", relays, poll, grace, worst, at)
 				}
 			}
 		}
@@ -247,27 +248,27 @@
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	broken := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
-		name    string
-		ask     bool
-		senders int
-		fail    http.HandlerFunc
+		name   string
+		poll   bool
+		relays int
+		fail   http.HandlerFunc
 	}{
-		{"refused, 300 ask", true, 300, refuse},
-		{"refused, 2600 ask", true, 2600, refuse},
-		{"given up, 2600 ask", true, 2600, silent},
-		{"broken off, 80 ask", true, 80, broken},
+		{"refused, 300 poll", true, 300, refuse},
+		{"refused, 2600 poll", true, 2600, refuse},
+		{"given up, 2600 poll", true, 2600, silent},
+		{"broken off, 80 poll", true, 80, broken},
 		{"given up, pushed to 300", false, 300, silent},
-		{"refused, 3 ask", true, 3, refuse},
+		{"refused, 3 poll", true, 3, refuse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var settings policy.Settings
-			settings.FleetSize = c.senders
-			settings.WatchRequired = c.ask
-			if took := outage(t, settings, c.fail); took > toldWithin {
-				t.Errorf("told after %v", took)
+			settings.FleetSize = c.relays
+			settings.WatchRequired = c.poll
+			if took := outage(t, settings, c.fail); took > deliveredWithin {
+				t.Errorf("delivered after %v", took)
 			} else {
-				t.Logf("told after %v", took)
+				t.Logf("delivered after %v", took)
 			}
 		})
 	}
@@ -290,10 +291,10 @@
 		send(w, emptyList+"\n")
 		<-r.Context().Done()
 	})
-	told := make(chan time.Time, 8)
+	delivered := make(chan time.Time, 8)
 	start(t, NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
-		OnUpdate: func(List) { told <- time.Now() }, Backoff: NewBackoff(settings, time.Second),
+		OnUpdate: func(List) { delivered <- time.Now() }, Backoff: NewBackoff(settings, time.Second),
 		Rand: rand.New(maxSource{}),
 	}))
 	var since time.Time
@@ -303,10 +304,10 @@
 		t.Fatal("no second call")
 	}
 	select {
-	case at := <-told:
+	case at := <-delivered:
 		return at.Sub(since)
 	case <-time.After(nettest.Patience):
-		t.Fatal("never told")
+		t.Fatal("never delivered")
 	}
 	return 0
 }
@@ -319,17 +320,17 @@
 		send(w, emptyList+"\n")
 		<-req.Context().Done()
 	})
-	told := make(chan List, 10)
+	delivered := make(chan List, 10)
 	w := NewWatcher(Config{
 		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
-		OnUpdate: func(l List) { told <- l },
+		OnUpdate: func(l List) { delivered <- l },
 	})
 	start(t, w)
 	for _, want := range []string{"4", "9"} {
 		select {
 		case got := <-indexes:
-			if l := <-told; got != want || l.Version != 9 || !l.Full {
-				t.Errorf("watch from %s, want %s; told %+v", got, want, l)
+			if l := <-delivered; got != want || l.Version != 9 || !l.Full {
+				t.Errorf("watch from %s, want %s; delivered %+v", got, want, l)
 			}
 		case <-time.After(nettest.Patience):
 			t.Fatalf("no watch from %s", want)
@@ -337,7 +338,7 @@
 	}
 }
 
-// A line that cannot be read would come again and again if it were asked for by its version: the whole list makes up
+// A line that cannot be read would come again and again if the watch began from its version: the whole list makes up
 // for it, and changes that it holds already are not undone by older lines.
 func TestUnreadableLineCausesFetch(t *testing.T) {
 	var watches atomic.Int32
@@ -352,23 +353,23 @@
 		send(w, `{"version":8,"full":false,"servers":[]}`+"\n")
 		<-req.Context().Done()
 	})
-	told := make(chan List, 10)
+	delivered := make(chan List, 10)
 	w := NewWatcher(Config{
 		Log:         quiet(),
 		Client:      NewClient(addrOf(s)),
 		IdleTimeout: nettest.Patience,
 		Version:     4,
-		OnUpdate:    func(l List) { told <- l },
+		OnUpdate:    func(l List) { delivered <- l },
 	})
 	start(t, w)
 	for _, want := range []int64{7, 8} {
 		select {
-		case l := <-told:
+		case l := <-delivered:
 			if l.Version != want || l.Full != (want == 7) {
-				t.Errorf("told %+v, want version %d", l, want)
+				t.Errorf("delivered %+v, want version %d", l, want)
 			}
 		case <-time.After(nettest.Patience):
-			t.Fatalf("never told version %d", want)
+			t.Fatalf("never delivered version %d", want)
 		}
 	}
 	if n := watches.Load(); n != 1 {
