--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -39,16 +40,16 @@
 
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
 func TestRingIsBoundedAndReplays(t *testing.T) {
-	most := 0
+	maxSize := 0
 	_, rec := recordertest.Drive(
 		3,
 		4*time.Minute,
 		flightrecorder.MinRingSize,
-		func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) },
+		func(_ *policy.Engine, rec *flightrecorder.Recorder) { maxSize = max(maxSize, rec.Size()) },
 	)
 	data := written(t, rec)
-	if most > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
-		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.MinRingSize)
+	if maxSize > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
+		t.Errorf("held %d bytes at most, %d at the end, of %d", maxSize, len(data), flightrecorder.MinRingSize)
 	}
 	res, err := Play(data, Visitor{})
 	if err != nil || res.Difference != nil || res.From == 0 || res.Chunks < 2 || res.States != res.Chunks-1 {
@@ -162,7 +163,7 @@
 	}
 }
 
-// A recording of another revision is told and played; from its middle only where the form of states allows it.
+// A recording of another revision is reported and replayed; from its middle only where this build can read the state.
 func TestAnotherRevision(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	res, err := Play(edit(t, written(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
@@ -189,57 +190,78 @@
 	}
 }
 
-// Settings that change in mid-life are part of what was told, and a module that is restored in mid-life begins a
-// recording with its state: both play without a difference, and not so if what was told is left out.
-func TestChangedSettingsAndRestoredModules(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		steps := 0
-		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Engine, rec *flightrecorder.Recorder) {
-			if steps++; steps != 60 {
-				return
-			}
-			set := recordertest.Settings()
-			set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
-			if err := s.Reconfigure(set); err != nil {
-				t.Fatal(err)
-			}
-			if told {
-				rec.Reconfigured(set)
-			}
-		})
-		res, err := Play(written(t, rec), Visitor{})
-		if err != nil || (res.Difference == nil) != told {
-			t.Errorf("told %v: %v, %+v", told, err, res.Difference)
-		}
-		if !told {
-			continue
+// changedSettings are other settings than those of a recordertest run.
+func changedSettings() policy.Settings {
+	settings := recordertest.Settings()
+	settings.MaxAttempts = 2
+	settings.MaxInFlightCalls = 3
+	settings.Classes[0].Effect = policy.NonIdempotent
+	return settings
+}
+
+// driveWithChangedSettings has the settings change during a run; the recorder is notified only if recorded is set.
+func driveWithChangedSettings(t *testing.T, recorded bool) (*policy.Engine, *flightrecorder.Recorder) {
+	t.Helper()
+	steps := 0
+	return recordertest.Drive(5, 6*time.Second, 64<<20, func(engine *policy.Engine, rec *flightrecorder.Recorder) {
+		steps++
+		if steps != 60 {
+			return
 		}
-		set := recordertest.Settings()
-		set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
-		again, err := policy.Restore(set, s.Snapshot(nil))
-		if err != nil {
+		if err := engine.Reconfigure(changedSettings()); err != nil {
 			t.Fatal(err)
 		}
-		resumed := flightrecorder.ResumeRecorder(
-			flightrecorder.Meta{Revision: policy.Revision(), Settings: set},
-			0,
-			again.Snapshot,
-			res.To,
-		)
-		for i := range 20 {
-			now := res.To + time.Duration(i+1)*50*time.Millisecond
-			evs := []policy.Event{
-				{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
-			}
-			resumed.Step(now, evs, again.Step(now, evs))
+		if recorded {
+			rec.Reconfigured(changedSettings())
 		}
-		if res, err := Play(written(t, resumed), Visitor{}); err != nil || res.Difference != nil || res.Steps != 20 {
-			t.Errorf("resumed: %v, %+v", err, res)
+	})
+}
+
+// Settings that change during a run are recorded, and it replays without a difference; if they are not recorded it does
+// not.
+func TestChangedSettings(t *testing.T) {
+	for _, recorded := range []bool{true, false} {
+		t.Run(fmt.Sprintf("recorded=%t", recorded), func(t *testing.T) {
+			_, rec := driveWithChangedSettings(t, recorded)
+			res, err := Play(written(t, rec), Visitor{})
+			if err != nil || (res.Difference == nil) != recorded {
+				t.Errorf("%v, %+v", err, res.Difference)
+			}
+		})
+	}
+}
+
+// A module that is restored begins a recording with its state, which replays without a difference.
+func TestRestoredModule(t *testing.T) {
+	engine, rec := driveWithChangedSettings(t, true)
+	first, err := Play(written(t, rec), Visitor{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored, err := policy.Restore(changedSettings(), engine.Snapshot(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resumed := flightrecorder.ResumeRecorder(
+		flightrecorder.Meta{Revision: policy.Revision(), Settings: changedSettings()},
+		0,
+		restored.Snapshot,
+		first.To,
+	)
+	for i := range 20 {
+		now := first.To + time.Duration(i+1)*50*time.Millisecond
+		events := []policy.Event{
+			{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
 		}
+		resumed.Step(now, events, restored.Step(now, events))
+	}
+	res, err := Play(written(t, resumed), Visitor{})
+	if err != nil || res.Difference != nil || res.Steps != 20 {
+		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A clock that steps is part of what was told: the module is played with it as it was.
+// A clock that steps is part of the recording: the module is replayed with it as it was.
 func TestClockSteps(t *testing.T) {
 	s, err := policy.New(recordertest.Settings(), 9)
 	if err != nil {
@@ -275,7 +297,7 @@
 }
 
 // A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
-// what cannot be read is told.
+// what cannot be read is reported.
 func TestTruncatedAndDamagedRecordings(t *testing.T) {
 	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
--- a/internal/state/store/open.go
+++ b/internal/state/store/open.go
@@ -116,7 +116,7 @@
 }
 
 // readSegmentHeader reads a segment's header; nil if the file is not to be used. A segment whose header is damaged is
-// kept with a size of -1: nothing in it can be read.
+// kept with unreadableSize.
 func (r *recoverer) readSegmentHeader(file File, number uint32, last bool) (*segment, error) {
 	size, err := file.Size()
 	if err != nil {
@@ -139,7 +139,7 @@
 	case err != nil:
 		r.addDamaged(number, 0, size)
 		seg.header.Segment = uint64(number)
-		seg.size = -1
+		seg.size = unreadableSize
 	case seg.header.Segment != uint64(number):
 		r.result.Foreign = append(r.result.Foreign, segmentName(number))
 		return nil, nil
@@ -154,7 +154,7 @@
 func (r *recoverer) readDirectories() (directory map[uint32]directoryEntry, newest uint32, err error) {
 	directory = map[uint32]directoryEntry{}
 	for _, seg := range r.store.segments {
-		if seg.size < 0 {
+		if seg.size == unreadableSize {
 			continue
 		}
 		data := make([]byte, min(seg.fileSize, directoryReadSize))
@@ -203,7 +203,7 @@
 
 // scanSegment reads a segment's records. What stands behind the end that a directory states was never acknowledged.
 func (r *recoverer) scanSegment(seg *segment, entry directoryEntry) error {
-	if seg.size < 0 {
+	if seg.size == unreadableSize {
 		seg.size = 0
 		seg.nextNumber = entry.nextNumber
 		r.addLost(entry.firstRecord, entry.nextNumber)
--- a/internal/state/store/segment.go
+++ b/internal/state/store/segment.go
@@ -27,12 +27,15 @@
 	segmentNameDigits = 8
 )
 
+// unreadableSize is the size of a segment whose header is damaged: nothing in it can be read.
+const unreadableSize = -1
+
 // segment is one file.
 type segment struct {
 	number     uint32
 	header     Header
 	file       File
-	size       int64  // bytes that hold records or the header; -1 while opening: unreadable
+	size       int64  // bytes that hold records or the header; unreadableSize while opening one that is damaged
 	fileSize   int64  // bytes of the file, at the most
 	nextNumber uint64 // number behind its last record
 	liveBytes  int64  // bytes of records that are live
