--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -15,11 +15,13 @@
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var refuse atomic.Bool
 	refuse.Store(true)
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.4")
 			w.WriteHeader(http.StatusTooManyRequests)
+			return
 		}
+		writeStates(w, ids, "ok")
 	})
 	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
@@ -39,7 +41,8 @@
 
 // Messages in the legacy log of an earlier program are delivered by this one, and the log is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
-	h, p := newEndpoint(t, nil), newPlatform(t)
+	h := newEndpoint(t, nil)
+	p := newPlatform(t)
 	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
 	r.kill()
 	state := filepath.Join(r.dir, "state")
@@ -47,19 +50,14 @@
 	must(t, os.Mkdir(state, 0o700))
 	log, _, err := legacylog.Open(state, 3e6)
 	must(t, err)
-	must(
-		t,
-		log.Accept(
-			&legacylog.Message{
-				ID:             7,
-				TraceID:        "old",
-				IdempotencyKey: "k",
-				Destination:    7,
-				Deadline:       time.Now().Add(10 * time.Second),
-				Body:           []byte("body"),
-			},
-		),
-	)
+	must(t, log.Accept(&legacylog.Message{
+		ID:             7,
+		TraceID:        "old",
+		IdempotencyKey: "k",
+		Destination:    7,
+		Deadline:       time.Now().Add(10 * time.Second),
+		Body:           []byte("body"),
+	}))
 	must(t, log.Close())
 	r.start(p)
 	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
