--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -1,5 +1,5 @@
 // Package replay feeds a recording of a relay's decisions to the decision module as it is built into this program, in
-// the recording's own time, and tells whether it decides the same. It does no I/O.
+// the recording's own time, and reports whether it decides the same. It does no I/O.
 package replay
 
 import (
@@ -8,7 +8,6 @@
 	"fmt"
 	"reflect"
 	"slices"
-	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
@@ -17,204 +16,179 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// ErrNoStart tells that a recording holds no place from which it can be played.
+// ErrNoStart reports that a recording has no chunk from which it can be replayed.
 var ErrNoStart = errors.New("replay: no chunk of the recording can be played from")
 
-// Visitor sees a replay as it goes. Any of its functions may be nil.
+// maxLost bounds what is reported of a recording that is damaged all over.
+const maxLost = 100
+
+// Visitor sees a replay as it goes. Any of its functions may be nil. Engines must not be stepped by it.
 type Visitor struct {
-	// Begin is called with each Sender that a stretch is played on, before its first step.
+	// Begin is called with each engine that a segment is replayed on, before its first step.
 	Begin func(s *policy.Engine, e *flightrecorder.Entry)
-	// Settings is called with the settings that hold from here on.
+	// Settings is called with the settings that are in force from here on.
 	Settings func(set policy.Settings)
-	// Before is called with the Sender as the step before left it.
+	// Before is called before a step, with the engine as the step before left it.
 	Before func(s *policy.Engine, e *flightrecorder.Entry)
-	// Step is called after a step was played. The Sender must only be asked, not stepped.
-	Step  func(s *policy.Engine, e *flightrecorder.Entry)
-	Other func(e *flightrecorder.Entry) // labels, notes, and what is lost
-}
-
-// Difference is where a recording and the module part.
-type Difference struct {
-	Step     int           // number of the step, from 1
-	Offset   int64         // in the recording
-	Now      time.Duration // the module's time
-	What     string
-	Recorded string // the first action that differs; empty: none
-	Replayed string
-}
-
-func (d *Difference) String() string {
-	return fmt.Sprintf("step %d at %v (offset %d): %s: recorded %s, replayed %s", d.Step, d.Now, d.Offset, d.What,
-		orNone(d.Recorded), orNone(d.Replayed))
-}
-
-func orNone(s string) string {
-	if s == "" {
-		return "none"
-	}
-	return s
+	// Step is called after a step was replayed.
+	Step func(s *policy.Engine, e *flightrecorder.Entry)
+	// Other is called with labels, notes, and what is lost.
+	Other func(e *flightrecorder.Entry)
 }
 
-// Result is what a replay told.
-type Result struct {
-	Meta       flightrecorder.Meta
-	Revision   string // of the module that played
-	Chunks     int
-	Stretches  int // played without a gap
-	Steps      int
-	Events     int
-	Actions    int
-	SendChecks int
-	States     int // compared byte by byte at the begins of chunks
-	FleetSteps int // steps of the fleet's seam that were played, too
-	From, To   time.Duration
-	Lost       []string // what could not be read, or not be played
-	Difference *Difference
-}
-
-// SameRevision tells whether the recording was made by the module as built here.
-func (r *Result) SameRevision() bool { return r.Meta.Revision == r.Revision }
-
-// player is a replay at work.
+// player is a replay that is going on.
 type player struct {
-	visit  Visitor
-	res    Result
-	sender *policy.Engine // nil: waits for a chunk to begin with
-	set    policy.Settings
-	skip   bool // within a chunk that cannot be played
+	visit    Visitor
+	result   Result
+	engine   *policy.Engine // nil: waits for a chunk to begin with
+	settings policy.Settings
 
-	seam    *agent.Agent          // nil: the recording holds none, or waits for one
-	last    *flightrecorder.Entry // step of the module, which the seam's is beside
-	decided []policy.Action       // in it
+	agent       *agent.Agent          // nil: the recording has none, or it waits for its state
+	lastStep    *flightrecorder.Entry // of the module, that the agent's next step belongs to; nil: none
+	lastActions []policy.Action       // in it
 }
 
-// Play plays a recording, up to the first action that differs. The error tells that nothing could be played.
+// Play replays a recording, up to the first action that differs. It fails if nothing could be replayed.
 func Play(data []byte, visit Visitor) (Result, error) {
 	r, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return Result{}, err
 	}
 	p := &player{visit: visit}
-	p.res.Revision = policy.Revision()
-	for p.res.Difference == nil {
+	p.result.Revision = policy.Revision()
+	for p.result.Difference == nil {
 		e, ok, err := r.Next()
 		if err != nil {
-			return p.res, err
+			return p.result, err
 		}
 		if !ok {
 			break
 		}
-		p.take(&e)
+		p.playEntry(&e)
 	}
-	if p.res.Stretches == 0 {
-		return p.res, fmt.Errorf("%w: %v", ErrNoStart, p.res.Lost)
+	if p.result.Segments == 0 {
+		return p.result, fmt.Errorf("%w: %v", ErrNoStart, p.result.Lost)
 	}
-	return p.res, nil
+	return p.result, nil
 }
 
-func (p *player) take(e *flightrecorder.Entry) {
+func (p *player) playEntry(e *flightrecorder.Entry) {
 	switch e.Kind {
 	case flightrecorder.Begin:
-		p.begin(e)
+		p.beginChunk(e)
 	case flightrecorder.Step:
-		if p.sender != nil {
-			p.step(e)
-		}
+		p.playStep(e)
 	case flightrecorder.FleetState:
-		p.besideState(e)
+		p.playFleetState(e)
 	case flightrecorder.FleetStep:
-		if p.sender != nil && p.seam != nil && p.last != nil {
-			p.besideStep(e)
-		}
+		p.playFleetStep(e)
 	case flightrecorder.SendChecked:
-		if p.sender != nil {
-			p.res.SendChecks++
-			if may := p.sender.StillAllowed(e.Endpoint, e.MessageIDs, e.Now); may != e.Allowed {
-				p.differ(e, "whether a call to "+e.Endpoint+" may still leave", fmt.Sprint(e.Allowed), fmt.Sprint(may))
-			}
-		}
+		p.playSendCheck(e)
 	case flightrecorder.Lost:
-		p.lose(fmt.Sprintf("offset %d: %s", e.At, e.Text))
-		p.sender, p.seam, p.last = nil, nil, nil
+		p.addLost(fmt.Sprintf("offset %d: %s", e.At, e.Text))
+		p.engine = nil
+		p.agent = nil
+		p.lastStep = nil
+		p.visitOther(e)
+	case flightrecorder.Label, flightrecorder.Note:
+		p.visitOther(e)
 	}
-	if (e.Kind == flightrecorder.Label || e.Kind == flightrecorder.Note || e.Kind == flightrecorder.Lost) &&
-		p.visit.Other != nil {
+}
+
+func (p *player) visitOther(e *flightrecorder.Entry) {
+	if p.visit.Other != nil {
 		p.visit.Other(e)
 	}
 }
 
-// lostMost bounds what is told of a recording that is damaged all over.
-const lostMost = 100
-
-func (p *player) lose(what string) {
-	if len(p.res.Lost) < lostMost {
-		p.res.Lost = append(p.res.Lost, what)
+func (p *player) addLost(what string) {
+	if len(p.result.Lost) < maxLost {
+		p.result.Lost = append(p.result.Lost, what)
 	}
 }
 
-// begin goes on in a new chunk, or starts there. The state that a chunk begins with is compared with the one that was
-// reached, so that a Sender that went astray without showing it is found at the next chunk.
-func (p *player) begin(e *flightrecorder.Entry) {
-	if p.res.Chunks++; p.res.Chunks == 1 {
-		p.res.Meta, p.res.From = e.Meta, e.Now
+// beginChunk goes on in a new chunk, or starts there.
+func (p *player) beginChunk(e *flightrecorder.Entry) {
+	p.result.Chunks++
+	if p.result.Chunks == 1 {
+		p.result.Meta = e.Meta
+		p.result.From = e.Now
 	}
-	if p.sender != nil {
-		if !reflect.DeepEqual(e.Meta.Settings, p.set) {
-			if err := p.sender.Reconfigure(e.Meta.Settings); err != nil {
-				p.differ(e, "settings", "taken", err.Error())
-				return
-			}
-			p.hold(e.Meta.Settings)
-		}
-		if p.res.SameRevision() {
-			p.res.States++
-			if reached := p.sender.Snapshot(nil); !bytes.Equal(reached, e.State) {
-				p.differ(
-					e,
-					"state",
-					fmt.Sprintf("%d bytes", len(e.State)),
-					fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
-				)
-			}
+	if p.engine != nil {
+		p.continueChunk(e)
+	} else {
+		p.startSegment(e)
+	}
+}
+
+// continueChunk applies a chunk's settings, and compares the state that it begins with to the one that was reached, so
+// that an engine that differs without showing it is found at the next chunk.
+func (p *player) continueChunk(e *flightrecorder.Entry) {
+	if !reflect.DeepEqual(e.Meta.Settings, p.settings) {
+		if err := p.engine.Reconfigure(e.Meta.Settings); err != nil {
+			p.setDifference(e, "settings", "taken", err.Error())
+			return
 		}
+		p.applySettings(e.Meta.Settings)
+	}
+	if p.result.SameRevision() {
+		p.result.States++
+		p.compareState(e, "state", p.engine.Snapshot(nil))
+	}
+}
+
+// compareState compares a state that was reached to the recorded one.
+func (p *player) compareState(e *flightrecorder.Entry, what string, reached []byte) {
+	if bytes.Equal(reached, e.State) {
 		return
 	}
+	recorded := fmt.Sprintf("%d bytes", len(e.State))
+	at := firstDifferentByte(reached, e.State)
+	p.setDifference(e, what, recorded, fmt.Sprintf("%d bytes, from byte %d on", len(reached), at))
+}
+
+// startSegment starts with a chunk.
+func (p *player) startSegment(e *flightrecorder.Entry) {
+	var engine *policy.Engine
 	var err error
 	if e.Fresh {
-		p.sender, err = policy.New(e.Meta.Settings, e.Meta.Seed)
+		engine, err = policy.New(e.Meta.Settings, e.Meta.Seed)
 	} else {
-		p.sender, err = Restore(e)
+		engine, err = Restore(e)
 	}
 	if err != nil {
-		p.sender = nil
-		p.lose(fmt.Sprintf("chunk %d cannot be played from: %v", e.Chunk, err))
+		p.addLost(fmt.Sprintf("chunk %d cannot be played from: %v", e.Chunk, err))
 		return
 	}
-	p.hold(e.Meta.Settings)
-	p.res.Stretches++
+	p.engine = engine
+	p.applySettings(e.Meta.Settings)
+	p.result.Segments++
 	if p.visit.Begin != nil {
-		p.visit.Begin(p.sender, e)
+		p.visit.Begin(p.engine, e)
 	}
 }
 
-func (p *player) hold(set policy.Settings) {
-	if p.set = set; p.visit.Settings != nil {
-		p.visit.Settings(set)
+func (p *player) applySettings(settings policy.Settings) {
+	p.settings = settings
+	if p.visit.Settings != nil {
+		p.visit.Settings(settings)
 	}
 }
 
-// Restore reads the state that a chunk begins with in mid-life. One that some other build wrote may be such as the
-// module never reaches; that is an error.
+// Restore restores the module from the state that a chunk begins with. A state that another build wrote may be one that
+// the module never reaches; that is an error.
 func Restore(e *flightrecorder.Entry) (s *policy.Engine, err error) {
 	defer func() {
 		if x := recover(); x != nil {
-			s, err = nil, fmt.Errorf("replay: a state that the module does not know: %v", x)
+			s = nil
+			err = fmt.Errorf("replay: a state that the module does not know: %v", x)
 		}
 	}()
 	return policy.Restore(e.Meta.Settings, e.State)
 }
 
-func parting(a, b []byte) int {
+// firstDifferentByte returns the index of the first byte that differs.
+func firstDifferentByte(a, b []byte) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -224,134 +198,116 @@
 	return n
 }
 
-func (p *player) step(e *flightrecorder.Entry) {
-	p.res.Steps++
-	p.res.Events += len(e.Events)
-	p.res.Actions += len(e.Actions)
-	p.res.To = e.Now
-	if p.visit.Before != nil {
-		p.visit.Before(p.sender, e)
-	}
-	acts, err := step(p.sender, e)
-	p.last, p.decided = e, acts
-	if err != nil {
-		p.differ(e, "the module gave up", "", err.Error())
+// playStep replays a step of the module.
+func (p *player) playStep(e *flightrecorder.Entry) {
+	if p.engine == nil {
 		return
 	}
-	if i := firstDifference(e.Actions, acts); i >= 0 {
-		p.differ(
-			e,
-			fmt.Sprintf("action %d of %d", i+1, max(len(e.Actions), len(acts))),
-			text(e.Actions, i),
-			text(acts, i),
-		)
-		return
-	}
-	if p.visit.Step != nil {
-		p.visit.Step(p.sender, e)
-	}
-}
-
-// besideState goes on with the seam's state that a chunk begins with, or compares it with the one that was reached.
-func (p *player) besideState(e *flightrecorder.Entry) {
-	if p.seam != nil {
-		if reached := p.seam.Snapshot(nil); !bytes.Equal(reached, e.State) {
-			p.differ(
-				e,
-				"the seam's state",
-				fmt.Sprintf("%d bytes", len(e.State)),
-				fmt.Sprintf("%d bytes, from byte %d on", len(reached), parting(reached, e.State)),
-			)
-		}
-		return
+	p.result.Steps++
+	p.result.Events += len(e.Events)
+	p.result.Actions += len(e.Actions)
+	p.result.To = e.Now
+	if p.visit.Before != nil {
+		p.visit.Before(p.engine, e)
 	}
-	s, err := agent.Restore(e.State)
+	actions, err := stepEngine(p.engine, e)
+	p.lastStep = e
+	p.lastActions = actions
 	if err != nil {
-		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
+		p.setDifference(e, "the module panicked", "", err.Error())
 		return
 	}
-	p.seam = s
-}
-
-// besideStep plays the seam's step beside the module's last one.
-func (p *player) besideStep(e *flightrecorder.Entry) {
-	rec, err := agent.ReadRecord(e.State)
-	if err != nil {
-		p.lose(fmt.Sprintf("offset %d: %v", e.At, err))
-		p.seam = nil
+	if i := firstDifference(e.Actions, actions); i >= 0 {
+		what := fmt.Sprintf("action %d of %d", i+1, max(len(e.Actions), len(actions)))
+		p.setDifference(e, what, describeAt(e.Actions, i), describeAt(actions, i))
 		return
 	}
-	p.res.FleetSteps++
-	out := p.seam.Step(p.last.Now, agent.Input{
-		Received: rec.Received, Incarnation: rec.Incarnation, Quota: rec.QuotaReceived, Events: p.last.Events, Actions: p.decided, Views: func() []policy.EndpointView { views, _ := p.sender.Views(); return views },
-	})
-	p.last = nil
-	if !slices.EqualFunc(
-		out.Published,
-		rec.Published,
-		func(a, b loadreport.Report) bool { return reflect.DeepEqual(a, b) },
-	) {
-		p.differ(e, "what the seam tells", fmt.Sprint(rec.Published), fmt.Sprint(out.Published))
-	}
-	if !slices.EqualFunc(
-		out.Quota,
-		rec.QuotaSent,
-		func(a, b quota.Message) bool { return fmt.Sprint(a) == fmt.Sprint(b) },
-	) {
-		p.differ(e, "what the seam tells of rights", fmt.Sprint(rec.QuotaSent), fmt.Sprint(out.Quota))
+	if p.visit.Step != nil {
+		p.visit.Step(p.engine, e)
 	}
 }
 
-// step guards against a module that panics, on what another one was told.
-func step(s *policy.Engine, e *flightrecorder.Entry) (acts []policy.Action, err error) {
+// stepEngine does a step. It guards against a panic of the module on what another build recorded.
+func stepEngine(engine *policy.Engine, e *flightrecorder.Entry) (actions []policy.Action, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("panic: %v", x)
 		}
 	}()
-	return s.Step(e.Now, e.Events), nil
+	return engine.Step(e.Now, e.Events), nil
 }
 
-func firstDifference(a, b []policy.Action) int {
-	if slices.Equal(a, b) {
-		return -1
+// playSendCheck replays a check whether a call may still be sent.
+func (p *player) playSendCheck(e *flightrecorder.Entry) {
+	if p.engine == nil {
+		return
 	}
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
-			return i
-		}
+	p.result.SendChecks++
+	if allowed := p.engine.StillAllowed(e.Endpoint, e.MessageIDs, e.Now); allowed != e.Allowed {
+		what := "whether a call to " + e.Endpoint + " may still leave"
+		p.setDifference(e, what, fmt.Sprint(e.Allowed), fmt.Sprint(allowed))
 	}
-	return min(len(a), len(b))
 }
 
-func text(acts []policy.Action, i int) string {
-	if i >= len(acts) {
-		return ""
+// playFleetState starts with the agent's state that a chunk begins with, or compares it to the one that was reached.
+func (p *player) playFleetState(e *flightrecorder.Entry) {
+	if p.agent != nil {
+		p.compareState(e, "the fleet agent's state", p.agent.Snapshot(nil))
+		return
+	}
+	restored, err := agent.Restore(e.State)
+	if err != nil {
+		p.addLost(fmt.Sprintf("offset %d: %v", e.At, err))
+		return
 	}
-	return Describe(acts[i])
+	p.agent = restored
 }
 
-// Describe is an action as text.
-func Describe(a policy.Action) string {
-	switch a.Kind {
-	case policy.Send:
-		return fmt.Sprintf("send %d to %s until %v", a.MessageID, a.Endpoint, a.TimeoutAt)
-	case policy.Reject:
-		return fmt.Sprintf("refuse %d, again after %v", a.MessageID, a.Delay)
-	case policy.Fail:
-		return fmt.Sprintf("fail %d", a.MessageID)
-	case policy.SetTimer:
-		return fmt.Sprintf("wake after %v", a.Delay)
-	case policy.CloseIdle:
-		return "close idle " + a.Endpoint
-	case policy.WatchEndpoints:
-		return "watch"
+// playFleetStep replays the step of the fleet's agent that belongs to the module's last one.
+func (p *player) playFleetStep(e *flightrecorder.Entry) {
+	if p.engine == nil || p.agent == nil || p.lastStep == nil {
+		return
+	}
+	record, err := agent.ReadRecord(e.State)
+	if err != nil {
+		p.addLost(fmt.Sprintf("offset %d: %v", e.At, err))
+		p.agent = nil
+		return
+	}
+	p.result.FleetSteps++
+	out := p.agent.Step(p.lastStep.Now, agent.Input{
+		Received:    record.Received,
+		Incarnation: record.Incarnation,
+		Quota:       record.QuotaReceived,
+		Events:      p.lastStep.Events,
+		Actions:     p.lastActions,
+		Views: func() []policy.EndpointView {
+			views, _ := p.engine.Views()
+			return views
+		},
+	})
+	p.lastStep = nil
+	sameReports := slices.EqualFunc(out.Published, record.Published, func(a, b loadreport.Report) bool {
+		return reflect.DeepEqual(a, b)
+	})
+	if !sameReports {
+		p.setDifference(e, "published load reports", fmt.Sprint(record.Published), fmt.Sprint(out.Published))
+	}
+	sameQuota := slices.EqualFunc(out.Quota, record.QuotaSent, func(a, b quota.Message) bool {
+		return fmt.Sprint(a) == fmt.Sprint(b)
+	})
+	if !sameQuota {
+		p.setDifference(e, "sent quota messages", fmt.Sprint(record.QuotaSent), fmt.Sprint(out.Quota))
 	}
-	return fmt.Sprintf("action %d", a.Kind)
 }
 
-func (p *player) differ(e *flightrecorder.Entry, what, recorded, replayed string) {
-	p.res.Difference = &Difference{
-		Step: p.res.Steps, Offset: e.At, Now: e.Now, What: what, Recorded: recorded, Replayed: replayed,
+func (p *player) setDifference(e *flightrecorder.Entry, what, recorded, replayed string) {
+	p.result.Difference = &Difference{
+		Step:     p.result.Steps,
+		Offset:   e.At,
+		Now:      e.Now,
+		What:     what,
+		Recorded: recorded,
+		Replayed: replayed,
 	}
 }
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -24,31 +25,31 @@
 }
 
 // Whatever is recorded replays without a difference, from its begin and from any chunk that the ring still holds.
-func TestWhatIsRecordedReplays(t *testing.T) {
+func TestRecordingReplays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		span := time.Duration(rapid.IntRange(2, 25).Draw(rt, "seconds")) * time.Second
 		ring := rapid.SampledFrom([]int{flightrecorder.MinRingSize, 64 << 20}).Draw(rt, "ring")
 		_, rec := recordertest.Drive(seed, span, ring, nil)
 		res, err := Play(written(t, rec), Visitor{})
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Stretches != 1 {
+		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Segments != 1 {
 			rt.Fatalf("%v, %+v", err, res)
 		}
 	})
 }
 
 // A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
-func TestTheRingIsBoundedAndPlays(t *testing.T) {
-	most := 0
+func TestRingIsBoundedAndReplays(t *testing.T) {
+	maxSize := 0
 	_, rec := recordertest.Drive(
 		3,
 		4*time.Minute,
 		flightrecorder.MinRingSize,
-		func(_ *policy.Engine, rec *flightrecorder.Recorder) { most = max(most, rec.Size()) },
+		func(_ *policy.Engine, rec *flightrecorder.Recorder) { maxSize = max(maxSize, rec.Size()) },
 	)
 	data := written(t, rec)
-	if most > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
-		t.Errorf("held %d bytes at most, %d at the end, of %d", most, len(data), flightrecorder.MinRingSize)
+	if maxSize > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
+		t.Errorf("held %d bytes at most, %d at the end, of %d", maxSize, len(data), flightrecorder.MinRingSize)
 	}
 	res, err := Play(data, Visitor{})
 	if err != nil || res.Difference != nil || res.From == 0 || res.Chunks < 2 || res.States != res.Chunks-1 {
@@ -88,8 +89,29 @@
 	}
 }
 
-// The first action that differs is shown, whatever it is: a replay that cannot fail shows nothing.
-func TestTheFirstDifferenceIsShown(t *testing.T) {
+// changeFirst changes the first action behind the recording's begin for which change returns true. It returns the
+// recording and the time of that step.
+func changeFirst(t *testing.T, data []byte, change func(a *policy.Action) bool) (changed []byte, at time.Duration) {
+	t.Helper()
+	done := false
+	changed = edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
+		for i := range e.Actions {
+			action := e.Actions[i]
+			if !done && n > 20 && change(&action) {
+				e.Actions[i] = action
+				done = true
+				at = e.Now
+			}
+		}
+	})
+	if !done {
+		t.Error("nothing was changed")
+	}
+	return changed, at
+}
+
+// The first action that differs is reported, whatever it is: a replay that cannot fail shows nothing.
+func TestFirstDifferenceIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	data := written(t, rec)
 	for _, c := range []struct {
@@ -97,45 +119,51 @@
 		change func(a *policy.Action) bool
 		want   string
 	}{
-		{"another route", func(a *policy.Action) bool { a.Endpoint += "x"; return a.Kind == policy.Send }, "send"},
-		{"another time-out", func(a *policy.Action) bool { a.TimeoutAt++; return a.Kind == policy.Send }, "send"},
-		{"another wake", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.SetTimer }, "wake"},
-		{"another advice", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Reject }, "refuse"},
+		{"endpoint", func(a *policy.Action) bool { a.Endpoint += "x"; return a.Kind == policy.Send }, "send"},
+		{"timeout", func(a *policy.Action) bool { a.TimeoutAt++; return a.Kind == policy.Send }, "send"},
+		{"timer", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.SetTimer }, "timer"},
+		{"Retry-After", func(a *policy.Action) bool { a.Delay++; return a.Kind == policy.Reject }, "reject"},
 	} {
-		done, at := false, time.Duration(0)
-		bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
-			for i := range e.Actions {
-				if x := e.Actions[i]; !done && n > 20 && c.change(&x) {
-					e.Actions[i], done, at = x, true, e.Now
-				}
+		t.Run(c.name, func(t *testing.T) {
+			changed, at := changeFirst(t, data, c.change)
+			res, err := Play(changed, Visitor{})
+			if err != nil || res.Difference == nil {
+				t.Fatalf("%v, %+v", err, res)
+			}
+			if d := res.Difference; d.Now != at || !strings.Contains(d.Replayed, c.want) || d.Recorded == d.Replayed {
+				t.Errorf("changed at %v: %v", at, d)
 			}
 		})
-		res, err := Play(bad, Visitor{})
-		if err != nil || res.Difference == nil || !done {
-			t.Errorf("%s: %v, %+v", c.name, err, res)
-			continue
-		}
-		if d := res.Difference; d.Now != at || !strings.Contains(d.Replayed, c.want) || d.Recorded == d.Replayed {
-			t.Errorf("%s at %v: %v", c.name, at, d)
-		}
 	}
+}
+
+func TestMissingActionIsReported(t *testing.T) {
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	dropped := false
-	bad := edit(t, data, policy.Revision(), func(n int, e *flightrecorder.Entry) {
+	changed := edit(t, written(t, rec), policy.Revision(), func(n int, e *flightrecorder.Entry) {
 		if n > 20 && !dropped && len(e.Actions) > 0 {
-			e.Actions, dropped = slices.Clone(e.Actions[:len(e.Actions)-1]), true
+			e.Actions = slices.Clone(e.Actions[:len(e.Actions)-1])
+			dropped = true
 		}
 	})
-	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil || res.Difference.Recorded != "" {
-		t.Errorf("an action that was dropped: %v, %+v", err, res)
+	res, err := Play(changed, Visitor{})
+	if err != nil || res.Difference == nil || res.Difference.Recorded != "" {
+		t.Errorf("%v, %+v", err, res)
 	}
-	bad = edit(t, data, policy.Revision(), func(_ int, e *flightrecorder.Entry) { e.Allowed = !e.Allowed })
-	if res, err := Play(bad, Visitor{}); err != nil || res.Difference == nil ||
-		!strings.Contains(res.Difference.What, "still leave") {
-		t.Errorf("another clearance: %v, %+v", err, res)
+}
+
+func TestOtherSendCheckIsReported(t *testing.T) {
+	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
+	changed := edit(t, written(t, rec), policy.Revision(), func(_ int, e *flightrecorder.Entry) {
+		e.Allowed = !e.Allowed
+	})
+	res, err := Play(changed, Visitor{})
+	if err != nil || res.Difference == nil || !strings.Contains(res.Difference.What, "still leave") {
+		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A recording of another revision is told and played; from its middle only where the form of states allows it.
+// A recording of another revision is reported and replayed; from its middle only where this build can read the state.
 func TestAnotherRevision(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	res, err := Play(edit(t, written(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
@@ -162,57 +190,78 @@
 	}
 }
 
-// Settings that change in mid-life are part of what was told, and a module that is restored in mid-life begins a
-// recording with its state: both play without a difference, and not so if what was told is left out.
-func TestSettingsThatChangeAndRestoredModules(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		steps := 0
-		s, rec := recordertest.Drive(5, 6*time.Second, 64<<20, func(s *policy.Engine, rec *flightrecorder.Recorder) {
-			if steps++; steps != 60 {
-				return
-			}
-			set := recordertest.Settings()
-			set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
-			if err := s.Reconfigure(set); err != nil {
-				t.Fatal(err)
-			}
-			if told {
-				rec.Reconfigured(set)
-			}
-		})
-		res, err := Play(written(t, rec), Visitor{})
-		if err != nil || (res.Difference == nil) != told {
-			t.Errorf("told %v: %v, %+v", told, err, res.Difference)
-		}
-		if !told {
-			continue
+// changedSettings are other settings than those of a recordertest run.
+func changedSettings() policy.Settings {
+	settings := recordertest.Settings()
+	settings.MaxAttempts = 2
+	settings.MaxInFlightCalls = 3
+	settings.Classes[0].Effect = policy.NonIdempotent
+	return settings
+}
+
+// driveWithChangedSettings has the settings change during a run; the recorder is notified only if recorded is set.
+func driveWithChangedSettings(t *testing.T, recorded bool) (*policy.Engine, *flightrecorder.Recorder) {
+	t.Helper()
+	steps := 0
+	return recordertest.Drive(5, 6*time.Second, 64<<20, func(engine *policy.Engine, rec *flightrecorder.Recorder) {
+		steps++
+		if steps != 60 {
+			return
 		}
-		set := recordertest.Settings()
-		set.MaxAttempts, set.MaxInFlightCalls, set.Classes[0].Effect = 2, 3, policy.NonIdempotent
-		again, err := policy.Restore(set, s.Snapshot(nil))
-		if err != nil {
+		if err := engine.Reconfigure(changedSettings()); err != nil {
 			t.Fatal(err)
 		}
-		resumed := flightrecorder.ResumeRecorder(
-			flightrecorder.Meta{Revision: policy.Revision(), Settings: set},
-			0,
-			again.Snapshot,
-			res.To,
-		)
-		for i := range 20 {
-			now := res.To + time.Duration(i+1)*50*time.Millisecond
-			evs := []policy.Event{
-				{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
-			}
-			resumed.Step(now, evs, again.Step(now, evs))
+		if recorded {
+			rec.Reconfigured(changedSettings())
 		}
-		if res, err := Play(written(t, resumed), Visitor{}); err != nil || res.Difference != nil || res.Steps != 20 {
-			t.Errorf("resumed: %v, %+v", err, res)
+	})
+}
+
+// Settings that change during a run are recorded, and it replays without a difference; if they are not recorded it does
+// not.
+func TestChangedSettings(t *testing.T) {
+	for _, recorded := range []bool{true, false} {
+		t.Run(fmt.Sprintf("recorded=%t", recorded), func(t *testing.T) {
+			_, rec := driveWithChangedSettings(t, recorded)
+			res, err := Play(written(t, rec), Visitor{})
+			if err != nil || (res.Difference == nil) != recorded {
+				t.Errorf("%v, %+v", err, res.Difference)
+			}
+		})
+	}
+}
+
+// A module that is restored begins a recording with its state, which replays without a difference.
+func TestRestoredModule(t *testing.T) {
+	engine, rec := driveWithChangedSettings(t, true)
+	first, err := Play(written(t, rec), Visitor{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored, err := policy.Restore(changedSettings(), engine.Snapshot(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resumed := flightrecorder.ResumeRecorder(
+		flightrecorder.Meta{Revision: policy.Revision(), Settings: changedSettings()},
+		0,
+		restored.Snapshot,
+		first.To,
+	)
+	for i := range 20 {
+		now := first.To + time.Duration(i+1)*50*time.Millisecond
+		events := []policy.Event{
+			{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
 		}
+		resumed.Step(now, events, restored.Step(now, events))
+	}
+	res, err := Play(written(t, resumed), Visitor{})
+	if err != nil || res.Difference != nil || res.Steps != 20 {
+		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A clock that steps is part of what was told: the module is played with it as it was.
+// A clock that steps is part of the recording: the module is replayed with it as it was.
 func TestClockSteps(t *testing.T) {
 	s, err := policy.New(recordertest.Settings(), 9)
 	if err != nil {
@@ -227,7 +276,10 @@
 		Kind:      policy.EndpointSnapshot,
 		Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}},
 	}
-	for i, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute} {
+	times := []time.Duration{
+		time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute,
+	}
+	for i, now := range times {
 		evs := []policy.Event{
 			list,
 			{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second},
@@ -245,8 +297,8 @@
 }
 
 // A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
-// what cannot be read is told.
-func TestCutAndDamagedRecordings(t *testing.T) {
+// what cannot be read is reported.
+func TestTruncatedAndDamagedRecordings(t *testing.T) {
 	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
@@ -278,7 +330,7 @@
 }
 
 // After a damaged chunk the next one is played from.
-func TestADamagedMiddleIsPassedOver(t *testing.T) {
+func TestDamagedChunkIsSkipped(t *testing.T) {
 	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.MinRingSize, nil)
 	data := written(t, rec)
 	whole, err := Play(data, Visitor{})
@@ -288,7 +340,7 @@
 	bad := bytes.Clone(data)
 	bad[len(bad)/2] ^= 4
 	res, err := Play(bad, Visitor{})
-	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Stretches != 2 || res.Steps < whole.Steps/2 ||
+	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Segments != 2 || res.Steps < whole.Steps/2 ||
 		res.Steps >= whole.Steps {
 		t.Errorf("%v, %d steps of %d: %+v", err, res.Steps, whole.Steps, res)
 	}
@@ -299,14 +351,14 @@
 	data := written(f, rec)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
-	f.Fuzz(func(t *testing.T, data []byte) {
+	f.Fuzz(func(_ *testing.T, data []byte) {
 		if len(data) > 1<<20 {
 			return
 		}
-		Play(data, Visitor{}) // must end, and not panic
+		_, _ = Play(data, Visitor{}) // may fail, must end, and must not panic
 		if found, err := flightrecorder.Split(data); err == nil {
 			for _, x := range found {
-				Play(x.Data, Visitor{})
+				_, _ = Play(x.Data, Visitor{})
 			}
 		}
 	})
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -69,8 +69,9 @@
 		submissions = append(submissions, submission)
 	}
 	submitAll(r, submissions...)
+	isShort := func(n notify.Notification) bool { return n.TraceID == "short" }
 	stepUntil(t, r, "the short one has its final answer", func() bool {
-		return slices.ContainsFunc(r.finals.Pending(), func(n notify.Notice) bool { return n.TraceID == "short" })
+		return slices.ContainsFunc(r.notifier.Pending(), isShort)
 	})
 	close(shortEnded)
 	stepUntil(t, r, "the others are over", func() bool {
@@ -156,7 +157,8 @@
 	r := newTestRelay(t)
 	up := make(chan struct{})
 	dialled, came := delayConnections(t, r, up)
-	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,"state":"ready","weight":50}`
+	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,` +
+		`"state":"ready","weight":50}`
 	r.cfg.Known.Entries = entriesOf(r, endpoint)
 	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
@@ -176,7 +178,7 @@
 	runLoop(t, r)
 	<-dialled
 	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		return len(notices) == 1 && notices[0].TraceID == "m1"
 	})
 	close(up)
@@ -217,7 +219,7 @@
 	runLoop(t, r)
 	<-dialled
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		notices := r.finals.Pending()
+		notices := r.notifier.Pending()
 		if len(notices) == 1 && notices[0].Status == "undeliverable" {
 			break
 		}
--- a/internal/relay/hotrestart/handover_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -22,13 +22,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func frames() []Frame {
+func sampleFrames() []Frame {
 	at := time.Unix(1e9, 5).UTC()
 	return []Frame{
 		{Hello: &Hello{Revision: "0123"}},
 		{Welcome: true},
 		{State: &State{
-			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255}, Version: 41, Destinations: []int{7}, LastID: 9,
+			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255},
+			Version: 41, Destinations: []int{7}, LastID: 9,
 			Config: reload.Config{
 				ClassNames: []string{"order"},
 				Settings:   policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}},
@@ -37,9 +38,11 @@
 			Endpoints: []Endpoint{
 				{Endpoint: policy.Endpoint{ID: "s-1", InService: true, Weight: 1.5}, Addr: "127.0.0.1:1"},
 			},
-			Messages:      []Message{{ID: 3, TraceID: "t", Sends: 2, Next: 5}},
-			Attempts:      []Attempt{{ID: 3, Number: 1, Endpoint: "s-1", Sent: at, Finished: true}},
-			PendingEvents: []policy.Event{{Kind: policy.AttemptFinished, MessageID: 3, Outcome: policy.ConnectFailed}},
+			Messages: []Message{{ID: 3, TraceID: "t", AttemptsStarted: 2, ResubmittedAs: 5}},
+			Attempts: []Attempt{{ID: 3, Number: 1, Endpoint: "s-1", SentAt: at, Finished: true}},
+			PendingEvents: []policy.Event{
+				{Kind: policy.AttemptFinished, MessageID: 3, Outcome: policy.ConnectFailed},
+			},
 		}},
 		{
 			Outcome: &Outcome{
@@ -62,9 +65,10 @@
 	}
 }
 
-func pair(t *testing.T) (a, b *Conn) {
+func connect(t *testing.T) (a, b *Conn) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
-	if _, err := Dial(path); !errors.Is(err, ErrNobody) {
+	if _, err := Dial(path); !errors.Is(err, ErrNoPredecessor) {
 		t.Fatalf("nobody there: %v", err)
 	}
 	l, err := Listen(path)
@@ -81,16 +85,19 @@
 		t.Fatal(err)
 	}
 	b = NewConn(c)
-	t.Cleanup(func() { a.Close(); b.Close() })
+	t.Cleanup(func() {
+		_ = a.Close() // a test may have closed it
+		_ = b.Close()
+	})
 	return a, b
 }
 
-func TestFramesComeAsTheyWent(t *testing.T) {
-	a, b := pair(t)
+func TestFramesArriveAsSent(t *testing.T) {
+	a, b := connect(t)
 	var wg sync.WaitGroup
 	for range 4 { // whole, also from many at once
 		wg.Go(func() {
-			for _, f := range frames() {
+			for _, f := range sampleFrames() {
 				if err := a.Send(f); err != nil {
 					t.Error(err)
 				}
@@ -98,36 +105,36 @@
 		})
 	}
 	got := map[int]int{}
-	for range 4 * len(frames()) {
+	for range 4 * len(sampleFrames()) {
 		f, err := b.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, want := range frames() {
+		for i, want := range sampleFrames() {
 			if reflect.DeepEqual(f, want) {
 				got[i]++
 			}
 		}
 	}
 	wg.Wait()
-	for i := range frames() {
+	for i := range sampleFrames() {
 		if got[i] != 4 {
 			t.Errorf("frame %d came %d times as it went", i, got[i])
 		}
 	}
 	a.Close()
-	if _, err := b.Receive(); err != io.EOF {
+	if _, err := b.Receive(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last: %v", err)
 	}
-	if err := b.Send(frames()[0]); err == nil {
-		if err = b.Send(frames()[0]); err == nil {
+	if err := b.Send(sampleFrames()[0]); err == nil {
+		if err = b.Send(sampleFrames()[0]); err == nil {
 			t.Error("sent to nobody")
 		}
 	}
 }
 
-// A process that took over from another must not lose its own place when that one's listener closes.
-func TestThePathIsTheLatestProcesss(t *testing.T) {
+// A process that took over from another keeps its place when the other one's listener closes.
+func TestPathBelongsToLatestListener(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	one, err := Listen(path)
 	if err != nil {
@@ -153,19 +160,22 @@
 }
 
 // Cut at any byte a frame is an error, and never another frame.
-func TestACutFrameIsNone(t *testing.T) {
+func TestCutFrameIsAnError(t *testing.T) {
 	client, server := net.Pipe()
 	var whole []byte
 	go func() {
 		defer client.Close()
-		NewConn(client).Send(frames()[2])
+		if err := NewConn(client).Send(sampleFrames()[2]); err != nil {
+			t.Error(err)
+		}
 	}()
 	whole, err := io.ReadAll(server)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range whole {
-		if f, err := receive(whole[:n]); err == nil || n > 0 && err == io.EOF || !reflect.DeepEqual(f, Frame{}) {
+		f, err := receive(whole[:n])
+		if err == nil || n > 0 && errors.Is(err, io.EOF) || !reflect.DeepEqual(f, Frame{}) {
 			t.Fatalf("cut at %d: %+v, %v", n, f, err)
 		}
 	}
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -15,15 +15,7 @@
 // newRecordedRelay returns a relay with a recorder, whose state is not recovered yet, and its log.
 func newRecordedRelay(t *testing.T, settings operatorfile.Recorder) (*Relay, *bytes.Buffer) {
 	t.Helper()
-	c, err := parseConfig(
-		[]byte(`{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
-			`,"known":{"version":1,"full":true,"servers":[
-		{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}]}}`),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.StateDir = t.TempDir()
+	c := newTestConfig(t)
 	c.Operator.Recorder = settings
 	var out bytes.Buffer
 	r, err := New(c, slog.New(slog.NewTextHandler(&out, nil)), &out)
@@ -42,7 +34,7 @@
 	for name, folder := range map[string]string{"log": "", "folder": filepath.Join(t.TempDir(), "kept")} {
 		t.Run(name, func(t *testing.T) {
 			settings := operatorfile.Recorder{
-				Enabled: true, RingMB: 1, Write: operatorfile.WriteKept, Folder: folder, FolderMB: 2,
+				Enabled: true, RingMB: 1, Write: operatorfile.WriteRing, Folder: folder, FolderMB: 2,
 			}
 			r, out := newRecordedRelay(t, settings)
 			r.recoverState()
--- a/internal/relay/takeover_longlist_test.go
+++ b/internal/relay/takeover_longlist_test.go
@@ -34,8 +34,8 @@
 			old.cfg = cfg
 			r := successorOf(t, old, edit)
 			needsSnapshot := r.discoveryConfig().NeedsSnapshot
-			if !needsSnapshot || r.catalog.EndpointCount() != 6002 || !r.largeList.Load() || r.pending != 2 {
-				t.Errorf("needs a snapshot: %v, %d endpoints, %d pending", needsSnapshot, r.catalog.EndpointCount(), r.pending)
+			if n := r.catalog.EndpointCount(); !needsSnapshot || n != 6002 || !r.largeList.Load() || r.pending != 2 {
+				t.Errorf("needs a snapshot: %v, %d endpoints, %d pending", needsSnapshot, n, r.pending)
 			}
 			got := policyEndpoints(r)
 			want := workingSetEndpoints(r)
@@ -43,7 +43,7 @@
 				t.Errorf("the policy holds %v, the working set is %v", got, want)
 			}
 			before := requests.Load()
-			r.step([]event{outcomeOf(0, 2, 0, 0)})
+			r.step([]event{outcomeOf(0, 2, 0)})
 			next := endpointText("s-next", addr, 61, "ready")
 			rest := endpointText("s-rest", addr, 60, "ready")
 			applyLongList(r, false, 9, entriesOf(r, next, rest))
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -64,7 +64,7 @@
 
 // in plans something at the relay, unless the call is over there.
 func (c *call) in(d time.Duration, do func()) {
-	c.r.w.After(d, func() {
+	c.r.w.ScheduleAfter(d, func() {
 		if !c.over {
 			do()
 		}
@@ -184,7 +184,7 @@
 	}
 	h.calls[c] = struct{}{}
 	life := h.life
-	w.After(c.latency(), func() {
+	w.ScheduleAfter(c.latency(), func() {
 		if h.life == life && !c.done {
 			w.Calls++
 			c.arrive()
@@ -206,7 +206,7 @@
 // leaves tells the host, a latency later, that the relay has closed the connection.
 func (c *call) leaves() {
 	if c.written && !c.done {
-		c.r.w.After(c.latency(), func() { c.endsAtHost(eventlog.CauseRelay) })
+		c.r.w.ScheduleAfter(c.latency(), func() { c.endsAtHost(eventlog.CauseRelay) })
 	}
 }
 
@@ -224,7 +224,7 @@
 	c.done = true
 	delete(c.host.calls, c)
 	if c.came {
-		c.r.w.see(eventlog.Event{Kind: eventlog.Ended, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
+		c.r.w.see(eventlog.Event{Kind: eventlog.CallAborted, Call: c.num, Relay: c.r.name, Host: c.host.ID, Cause: cause})
 	}
 }
 
@@ -251,13 +251,13 @@
 	c.came = true
 	if w.opts.Record {
 		e := eventlog.Event{
-			Kind:   eventlog.Call,
-			Call:   c.num,
-			Relay:  c.r.name,
-			Host:   h.ID,
-			First:  w.Now(),
-			Dest:   h.Dest,
-			Weight: h.place.Weight(len(c.atts)),
+			Kind:        eventlog.CallReceived,
+			Call:        c.num,
+			Relay:       c.r.name,
+			Host:        h.ID,
+			FirstByteAt: w.Now(),
+			Destination: h.Dest,
+			Weight:      h.place.CallWeight(len(c.atts)),
 		}
 		for i := range c.atts {
 			e.IDs = append(e.IDs, c.atts[i].m.name)
@@ -284,45 +284,45 @@
 		return
 	}
 	h.place.Slots++
-	fate := h.place.Arrive(w.Now(), h.ID, live)
-	if fate.Fell {
+	fate := h.place.HandleCall(w.Now(), h.ID, live)
+	if fate.CausedOverload {
 		w.Fell++
-		w.see(eventlog.Event{Kind: eventlog.Fell, Place: h.place.Name, Dest: h.Dest, Hosts: ids(h.place.standing())})
+		w.see(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.place.Name, Destination: h.Dest, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
-	if fate.Result != upstream.Mute && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
-		w.After(0, c.broken)
+	if fate.Result != upstream.Unanswered && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
+		w.ScheduleAfter(0, c.broken)
 		return
 	}
 	switch fate.Result {
-	case upstream.Mute:
+	case upstream.Unanswered:
 	case upstream.Served:
-		if fate.Lost {
-			w.After(fate.After, func() {
+		if fate.ResponseLost {
+			w.ScheduleAfter(fate.Latency, func() {
 				if !c.done && !h.isCut { // a machine that is cut off breaks nothing before it is back
 					c.broken()
 				}
 			})
 			return
 		}
-		c.reply(fate.After, results, policy.OK, 0)
-	case upstream.Refused:
-		c.reply(fate.After, results, policy.Overloaded, fate.Wait.Round(time.Millisecond))
+		c.reply(fate.Latency, results, policy.OK, 0)
+	case upstream.Rejected:
+		c.reply(fate.Latency, results, policy.Overloaded, fate.RetryAfter.Round(time.Millisecond))
 	case upstream.Failed:
-		c.reply(fate.After, results, policy.Error, 0)
+		c.reply(fate.Latency, results, policy.Error, 0)
 	}
 }
 
 // reply answers a call after a time: as a whole, or where the outcome is OK each of its messages.
 func (c *call) reply(after time.Duration, results []result, outcome policy.Outcome, wait time.Duration) {
 	w, h := c.r.w, c.host
-	w.After(after, func() {
+	w.ScheduleAfter(after, func() {
 		if c.done || h.isCut {
 			return
 		}
 		c.done = true
 		delete(h.calls, c)
-		e := eventlog.Event{Kind: eventlog.Reply, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, Wait: wait}
+		e := eventlog.Event{Kind: eventlog.CallAnswered, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, RetryAfter: wait}
 		switch outcome {
 		case policy.Overloaded:
 			w.CallsFull++
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -70,17 +70,17 @@
 	w := t.w
 	r := w.relays[t.Relay]
 	w.see(eventlog.Event{
-		Kind: eventlog.Offer, ID: t.ID, Origin: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Dest: t.Dest, Order: t.Order,
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
 		For: t.deadline - w.Now(),
 	})
 	if !r.takes {
 		w.Unanswered++
-		w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseUnsent})
+		w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseNotSent})
 		r.waiting = append(r.waiting, t)
 		return
 	}
 	life := r.life
-	w.After(w.opts.Latency, func() {
+	w.ScheduleAfter(w.opts.Latency, func() {
 		if r.life != life || !r.up {
 			t.broken(r)
 			return
@@ -98,19 +98,19 @@
 	}
 	t.over = true
 	w.Unanswered++
-	w.see(eventlog.Event{Kind: eventlog.Unheard, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
+	w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
 	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.NonIdempotent {
 		return
 	}
-	w.After(anewAfter, t.next)
+	w.ScheduleAfter(anewAfter, t.next)
 }
 
 // answer is what the relay tells the client.
 func (t *try) answer(r *relay, status int, advice time.Duration) {
 	t.over = true
 	w := t.w
-	w.After(w.opts.Latency, func() {
-		w.see(eventlog.Event{Kind: eventlog.Heard, ID: t.ID, Relay: r.name, Status: status, Wait: advice})
+	w.ScheduleAfter(w.opts.Latency, func() {
+		w.see(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: r.name, Status: status, RetryAfter: advice})
 		switch status {
 		case statusFailed:
 			w.Failed++
@@ -119,7 +119,7 @@
 			if t.refusals++; t.refusals > refusalsMost || t.Again == 0 {
 				return
 			}
-			w.After(max(t.Again, min(advice, w.plan.File.Settings.MaxRetryAfter.D())), t.next)
+			w.ScheduleAfter(max(t.Again, min(advice, w.plan.File.Settings.MaxRetryAfter.D())), t.next)
 		}
 	})
 }
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		for at := 5500 * time.Millisecond; at < 30*time.Second; at += 3700 * time.Millisecond {
-			w.At(at, func() { w.Kill(0, true) })
+			w.Schedule(at, func() { w.Kill(0, true) })
 		}
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
@@ -233,7 +233,7 @@
 	}
 	lost := 0
 	for _, e := range w.events {
-		if e.Kind == eventlog.Ended && e.Cause == eventlog.CauseHost {
+		if e.Kind == eventlog.CallAborted && e.Cause == eventlog.CauseHost {
 			lost++
 		}
 	}
@@ -261,7 +261,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.Play(); !errors.Is(err, engine.ErrEndless) {
+	if err := x.Play(); !errors.Is(err, engine.ErrTooManyEvents) {
 		t.Errorf("unbounded: %v", err)
 	}
 }
@@ -291,17 +291,22 @@
 	} {
 		var means []float64
 		for run := range 30 {
-			rng := engine.Stream(7, c.name, run)
+			rng := engine.NewRandom(7, c.name, run)
 			p := upstream.New(upstream.Spec{
-				Pace: 100 * time.Millisecond, Exponential: c.exponential, Slots: c.servers, Queue: time.Hour, Limit: upstream.NoLimit, ColdShare: 1,
+				ServiceTime:            100 * time.Millisecond,
+				ExponentialServiceTime: c.exponential,
+				MaxConcurrentCalls:     c.servers,
+				MaxQueueTime:           time.Hour,
+				Limit:                  upstream.NoLimit,
+				WarmUpInitialCapacity:  1,
 			}, rng.Uint64())
-			p.Add("e")
+			p.AddEndpoint("e")
 			at, sum, n := 0.0, 0.0, 0
 			for i := range 30000 {
 				at += rng.ExpFloat64() / (lambda * float64(c.servers))
-				f := p.Arrive(time.Duration(at*1e9), "e", 1)
+				f := p.HandleCall(time.Duration(at*1e9), "e", 1)
 				if i >= 5000 { // warmed up
-					sum, n = sum+f.After.Seconds()-1/mu, n+1
+					sum, n = sum+f.Latency.Seconds()-1/mu, n+1
 				}
 			}
 			means = append(means, sum/float64(n))
@@ -319,19 +324,19 @@
 	}
 	p := upstream.New(
 		upstream.Spec{
-			Pace:      time.Millisecond,
-			Slots:     100,
-			Queue:     time.Hour,
-			Limit:     upstream.Plain,
-			Rate:      20,
-			ColdShare: 1,
+			ServiceTime:           time.Millisecond,
+			MaxConcurrentCalls:    100,
+			MaxQueueTime:          time.Hour,
+			Limit:                 upstream.TokenBucket,
+			LimitRate:             20,
+			WarmUpInitialCapacity: 1,
 		},
 		1,
 	)
-	p.Add("e")
+	p.AddEndpoint("e")
 	ok := 0
 	for i := range 60_000 { // 60 a second for 1,000 s
-		if p.Arrive(time.Duration(i)*time.Second/60, "e", 1).Result == upstream.Served {
+		if p.HandleCall(time.Duration(i)*time.Second/60, "e", 1).Result == upstream.Served {
 			ok++
 		}
 	}
@@ -355,7 +360,7 @@
 	)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
-	w.see(eventlog.Event{Kind: eventlog.End})
+	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
 	if f := v.Finding(checker.Wait); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -103,7 +103,7 @@
 
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
 type Place struct {
-	*upstream.Place
+	*upstream.Service
 	Name string
 	Dest int
 	// share of a relay's calls whose connections break under them, and which run; nil: none
@@ -177,7 +177,7 @@
 	w := &World{
 		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
 		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
-		net: engine.Stream(
+		net: engine.NewRandom(
 			plan.Seed,
 			"network",
 			0,
@@ -195,10 +195,10 @@
 			2000*(rate+float64(len(plan.Arrivals))+w.length.Seconds()*float64(plan.File.Relays)),
 		)
 	}
-	w.Bound(opts.EventsMost)
+	w.SetMaxEvents(opts.EventsMost)
 	w.header = plan.File.Header(plan.Seed)
-	w.header.Format, w.header.Plan = eventlog.Format, plan.Digest()
-	w.header.Began = time.Unix(0, 0).UTC()
+	w.header.Format, w.header.PlanDigest = eventlog.FormatVersion, plan.Digest()
+	w.header.StartedAt = time.Unix(0, 0).UTC()
 	w.Measures.init(w.header.Classes, w.length)
 	w.shares = checker.NewShares(w.header)
 	for _, p := range plan.Places {
@@ -268,7 +268,7 @@
 }
 
 func (w *World) addPlace(p scenario.Place) {
-	x := &Place{Place: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
+	x := &Place{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
 	w.places[p.Name] = x
 	w.order = append(w.order, x)
 	w.dests[p.Dest] = append(w.dests[p.Dest], x)
@@ -276,7 +276,7 @@
 
 // see adds an event to the record, at this moment.
 func (w *World) see(e eventlog.Event) {
-	if w.opts.Record && len(w.events) < eventlog.EventsMost {
+	if w.opts.Record && len(w.events) < eventlog.MaxEvents {
 		e.At = w.Now()
 		w.events = append(w.events, e)
 	}
@@ -296,7 +296,7 @@
 // Play plays the plan to its end, and until all that was handed in must have its end.
 func (w *World) Play() error {
 	for _, s := range w.plan.Steps {
-		w.At(s.At, func() { w.do(s) })
+		w.Schedule(s.At, func() { w.do(s) })
 	}
 	if len(w.plan.Arrivals) > 0 {
 		w.arrive(0)
@@ -312,16 +312,16 @@
 	if err := w.Run(w.length + longest + checker.FinalWithin + checker.Slack + time.Second); err != nil {
 		return err
 	}
-	if w.opts.Record && len(w.events) >= eventlog.EventsMost {
+	if w.opts.Record && len(w.events) >= eventlog.MaxEvents {
 		return ErrRecord
 	}
-	w.see(eventlog.Event{Kind: eventlog.End})
+	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	return nil
 }
 
 // arrive hands the plan's arrivals in, one after the other, so that the engine holds one of them.
 func (w *World) arrive(n int) {
-	w.At(w.plan.Arrivals[n].At, func() {
+	w.Schedule(w.plan.Arrivals[n].At, func() {
 		w.Offer(w.plan.Arrivals[n])
 		if n+1 < len(w.plan.Arrivals) {
 			w.arrive(n + 1)
@@ -335,9 +335,9 @@
 	if !ok {
 		return
 	}
-	w.At(group[0].At, func() {
+	w.Schedule(group[0].At, func() {
 		for _, a := range group[1:] {
-			w.At(a.At, func() { w.Offer(a) })
+			w.Schedule(a.At, func() { w.Offer(a) })
 		}
 		w.Offer(group[0])
 		w.stream(f)
@@ -353,7 +353,7 @@
 	if next >= to {
 		return
 	}
-	w.At(next, func() { do(); w.Every(next, to, rate, do) })
+	w.Schedule(next, func() { do(); w.Every(next, to, rate, do) })
 }
 
 // Result is what was seen, for package judge.
@@ -363,9 +363,9 @@
 func (w *World) do(s scenario.Step) {
 	switch s.Op {
 	case scenario.OpBegins:
-		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
 	case scenario.OpEnds:
-		w.see(eventlog.Event{Kind: eventlog.Trouble, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
+		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
 	case scenario.OpList:
 		w.List(w.later[s.Target])
 	case scenario.OpDrain:
@@ -377,9 +377,9 @@
 	case scenario.OpSlow:
 		w.Slow(s.Target, s.X)
 	case scenario.OpLower:
-		w.places[s.Target].Lower(s.X)
+		w.places[s.Target].SetLimitDivisor(s.X)
 	case scenario.OpLose:
-		w.places[s.Target].Lose(s.X)
+		w.places[s.Target].SetResponseLossRatio(s.X)
 	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
 		w.Outage(s.Target, s.Op, s.X, s.For)
 	case scenario.OpBack:
@@ -411,7 +411,7 @@
 		scenario.OpLinkSound:
 		w.fleet.setLink(s)
 	case scenario.OpHUP:
-		w.see(eventlog.Event{Kind: eventlog.Process, Relay: s.Target, State: eventlog.StateHUP})
+		w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: s.Target, State: eventlog.StateHUP})
 	}
 }
 
@@ -431,7 +431,7 @@
 	h := &host{Endpoint: e, n: len(w.hosts), zone: slices.Index(w.plan.File.Zones, e.Zone), kind: w.kind(e), place: p}
 	w.hosts[e.ID] = h
 	p.hosts = append(p.hosts, h)
-	p.Add(e.ID)
+	p.AddEndpoint(e.ID)
 	w.able(p, 1, 0)
 	return h, nil
 }
@@ -463,7 +463,7 @@
 	if e.Place == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.see(eventlog.Event{Kind: eventlog.Change, Host: e.ID, Dest: e.Dest, Zone: e.Zone, Place: place, State: state})
+	w.see(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Dest, Zone: e.Zone, Place: place, State: state})
 }
 
 // standing are a place's hosts that run.
@@ -489,12 +489,12 @@
 	if !w.opts.Record {
 		return
 	}
-	rate := p.PerEndpoint() / p.slow
-	if p.outage != "" || p.Fallen() {
+	rate := p.EndpointCapacity() / p.slow
+	if p.outage != "" || p.Overloaded() {
 		rate = 0
 	}
 	for _, h := range p.standing() {
-		w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: p.Dest, Rate: rate, Share: share, For: warm})
+		w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Dest, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -504,9 +504,9 @@
 		return
 	}
 	h.stopped = true
-	h.place.Remove(h.ID)
+	h.place.RemoveEndpoint(h.ID)
 	w.reset(h)
-	w.see(eventlog.Event{Kind: eventlog.Able, Host: h.ID, Dest: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Dest})
 }
 
 // reset breaks all connections of a host.
@@ -526,7 +526,7 @@
 func (w *World) Slow(name string, factor float64) {
 	p := w.places[name]
 	p.slow = factor
-	p.Slow(factor)
+	p.SetSlowdown(factor)
 	w.able(p, 1, 0)
 }
 
@@ -537,15 +537,15 @@
 		return // it is out already: the first outage's end ends both
 	}
 	p.outage = op.Cause()
-	w.see(eventlog.Event{Kind: eventlog.Outage, Place: name, Dest: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
+	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
 	w.able(p, 1, 0)
 	switch op {
 	case scenario.OpFail:
-		p.Fail(share)
+		p.SetFailureRatio(share)
 	case scenario.OpShut:
-		p.Shut(w.Now() + lasts)
+		p.Suspend(w.Now() + lasts)
 	case scenario.OpMute:
-		p.Mute(true)
+		p.SetSilent(true)
 	case scenario.OpDown:
 		for _, h := range p.standing() {
 			h.isDown = true
@@ -562,29 +562,29 @@
 func (w *World) Back(name string) {
 	p := w.places[name]
 	cause := p.outage
-	if p.outage = ""; p.Fallen() {
+	if p.outage = ""; p.Overloaded() {
 		return
 	}
-	p.Fail(0)
-	p.Open()
-	p.Mute(false)
+	p.SetFailureRatio(0)
+	p.Resume()
+	p.SetSilent(false)
 	hosts := p.standing()
 	if len(hosts) == 0 {
 		return // all were replaced meanwhile
 	}
-	cold := p.Return(w.Now())
+	cold := p.Recover(w.Now())
 	w.see(
 		eventlog.Event{
-			Kind:  eventlog.Back,
-			Place: name,
-			Dest:  p.Dest,
-			Hosts: ids(hosts),
-			Rate:  cold.Rate,
-			Share: cold.Share,
-			For:   cold.Warm,
+			Kind:        eventlog.OutageEnded,
+			Place:       name,
+			Destination: p.Dest,
+			Hosts:       ids(hosts),
+			Rate:        cold.FullCapacity,
+			Share:       cold.InitialCapacity,
+			For:         cold.Duration,
 		},
 	)
-	w.able(p, cold.Share, cold.Warm)
+	w.able(p, cold.InitialCapacity, cold.Duration)
 	if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 		for _, h := range hosts { // its processes have started anew
 			h.isDown, h.isCut = false, false
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -266,7 +266,7 @@
 				if i >= x.w.Walks || ctx.Err() != nil {
 					return
 				}
-				rng := engine.Stream(1, x.w.Name, i)
+				rng := engine.NewRandom(1, x.w.Name, i)
 				n, path := root, []Move(nil)
 				for range x.w.WalkDepth {
 					moves := x.moves(n)
@@ -1053,12 +1053,12 @@
 	set := x.w.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
-	able := upstream.Cold{
-		At:    n.backAt,
-		Rate:  l.Weight,
-		Share: set.WarmUpInitialCapacity,
-		Warm:  set.WarmUpDuration,
-	}.Able(
+	able := upstream.WarmUp{
+		StartedAt:       n.backAt,
+		FullCapacity:    l.Weight,
+		InitialCapacity: set.WarmUpInitialCapacity,
+		Duration:        set.WarmUpDuration,
+	}.CapacityAt(
 		n.now,
 	)
 	knew := 0
@@ -1068,7 +1068,7 @@
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.Budget(set.OverloadFactor, able, set.OverloadWindow) &&
+	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.OverloadBudget(set.OverloadFactor, able, set.OverloadWindow) &&
 		float64(knew) >= checker.SeenShare*sum {
 		n.breaks(
 			checker.Return,
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -107,7 +107,7 @@
 	case OpFail:
 		return eventlog.OutageFailing
 	case OpShut:
-		return eventlog.OutageShut
+		return eventlog.OutageSuspended
 	case OpMute:
 		return eventlog.OutageSilent
 	case OpDown, OpCut:
@@ -153,7 +153,7 @@
 
 func (f File) draw(seed uint64, arrivals bool) Plan {
 	p := planner{Plan: &Plan{File: f, Seed: cmp.Or(seed, f.Seed)}, busy: map[string]bool{}, ids: map[string]bool{}}
-	p.Delays = engine.Stream(p.Seed, "delays", 0).Uint64()
+	p.Delays = engine.NewRandom(p.Seed, "delays", 0).Uint64()
 	p.world()
 	for i := range f.Traffic {
 		for flow := f.Flow(p.Seed, i); arrivals; {
@@ -165,7 +165,7 @@
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	ids := engine.Stream(p.Seed, "ids", 0)
+	ids := engine.NewRandom(p.Seed, "ids", 0)
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
 		a.ID = fmt.Sprintf("%016x", ids.Uint64())
@@ -181,7 +181,7 @@
 // world lists the places and endpoints that are there from the start.
 func (p *planner) world() {
 	dest := 0
-	seeds := engine.Stream(p.Seed, "places", 0)
+	seeds := engine.NewRandom(p.Seed, "places", 0)
 	for _, d := range p.File.Destinations {
 		kind := p.File.Kinds[slices.IndexFunc(p.File.Kinds, func(k Kind) bool { return k.Name == d.Kind })]
 		spec := p.File.Spec(kind, d.Rate)
@@ -193,7 +193,7 @@
 			}
 			weight := d.Rate
 			if kind.Limit == "none" {
-				weight = spec.PerEndpoint()
+				weight = spec.EndpointCapacity()
 				if !kind.Separate {
 					weight *= float64(d.Endpoints)
 				}
@@ -246,7 +246,7 @@
 
 // Flow is the n-th traffic, counted from 0, with a plan's seed.
 func (f File) Flow(seed uint64, n int) *Flow {
-	x := &Flow{file: f, t: f.Traffic[n], draw: engine.Stream(seed, "traffic", n), at: f.Traffic[n].From.D()}
+	x := &Flow{file: f, t: f.Traffic[n], draw: engine.NewRandom(seed, "traffic", n), at: f.Traffic[n].From.D()}
 	for _, d := range f.Destinations {
 		x.n += d.Weight * float64(d.Count)
 	}
@@ -260,7 +260,7 @@
 	if f.Clients.Uneven == 0 {
 		return nil
 	}
-	draw, total := engine.Stream(seed, "relays", 0), 0.0
+	draw, total := engine.NewRandom(seed, "relays", 0), 0.0
 	sigma := math.Sqrt(math.Log(1 + f.Clients.Uneven*f.Clients.Uneven))
 	for range f.Relays {
 		total += math.Exp(sigma * draw.NormFloat64())
@@ -369,7 +369,7 @@
 }
 
 func (p *planner) trouble(n int, t Trouble) {
-	draw := engine.Stream(p.Seed, "trouble", n)
+	draw := engine.NewRandom(p.Seed, "trouble", n)
 	name := fmt.Sprintf("%s-%d", t.Kind, n+1)
 	begin, end := t.At.D(), (t.At + t.For).D()
 	begins := len(p.Steps)
@@ -623,9 +623,7 @@
 	}
 	line("scenario %s seed %d delays %d", p.File.Name, p.Seed, p.Delays)
 	for _, x := range p.Places {
-		// A debt that is not set is not written: plans drawn before there was one keep their names.
-		spec := strings.Replace(fmt.Sprintf("%+v", x.Spec), " Debt:0s", "", 1)
-		line("place %s dest %d seed %d %s", x.Name, x.Dest, x.Seed, spec)
+		line("place %s dest %d seed %d %v", x.Name, x.Dest, x.Seed, x.Spec)
 	}
 	for _, e := range p.Endpoints {
 		line("endpoint %+v", e)
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -607,14 +607,26 @@
 	}
 }
 
-// Spec is what the places of a kind are like, at a rate.
+// Spec returns the specification of the upstream services of a kind, at a limit's rate.
 func (f *File) Spec(k Kind, rate float64) upstream.Spec {
 	return upstream.Spec{
-		Pace: k.Pace.D(), Spread: k.Spread, Exponential: k.Law == "exponential", Slots: k.Slots, Queue: k.Queue.D(), ItemCost: k.ItemCost,
-		Limit: upstream.Limit(
-			k.Limit,
-		), Rate: rate, Window: k.Window.D(), TellsWait: k.TellsWait, LeastWait: k.Wait.D(), Counts: k.Counts, Debt: k.Debt.D(),
-		ColdShare: k.ColdFrom, Warm: k.Warm.D(), FallMultiple: f.Settings.FallMultiple, FallWindow: f.Settings.FallWindow.D(),
+		ServiceTime:            k.Pace.D(),
+		ServiceTimeVariation:   k.Spread,
+		ExponentialServiceTime: k.Law == "exponential",
+		MaxConcurrentCalls:     k.Slots,
+		MaxQueueTime:           k.Queue.D(),
+		ExtraMessageCost:       k.ItemCost,
+		Limit:                  upstream.LimitKind(k.Limit),
+		LimitRate:              rate,
+		LimitWindow:            k.Window.D(),
+		RetryAfterRatio:        k.TellsWait,
+		MinRetryAfter:          k.Wait.D(),
+		CountsRejected:         k.Counts,
+		MaxDebt:                k.Debt.D(),
+		WarmUpInitialCapacity:  k.ColdFrom,
+		WarmUpDuration:         k.Warm.D(),
+		OverloadFactor:         f.Settings.FallMultiple,
+		OverloadWindow:         f.Settings.FallWindow.D(),
 	}
 }
 
@@ -768,10 +780,10 @@
 func (f *File) Header(seed uint64) eventlog.Header {
 	s := f.Settings
 	h := eventlog.Header{
-		Scenario: f.Name, Seed: seed, Length: f.Length.D(),
+		Scenario: f.Name, Seed: seed, Duration: f.Length.D(),
 		Rules: eventlog.Rules{
-			DrainGrace: s.DrainGrace.D(), FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OrderPause: s.OrderPause.D(),
-			MayDuplicate: *s.MayDuplicate, OverShareWorth: *s.OverShareWorth,
+			DrainGrace: s.DrainGrace.D(), OverloadFactor: s.FallMultiple, OverloadWindow: s.FallWindow.D(), OrderingPause: s.OrderPause.D(),
+			DuplicatesAllowed: *s.MayDuplicate, OverShareWeightRatio: *s.OverShareWorth,
 		},
 	}
 	for i := range f.Relays {
@@ -779,12 +791,12 @@
 	}
 	for _, c := range f.Classes {
 		h.Classes = append(h.Classes, eventlog.Class{
-			Name: c.Name, Effect: eventlog.Effect(c.Effect), GroupAll: c.Group == "all", Window: c.Window.D(), Ordered: c.Order,
-			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Worth: c.Worth, LateWorth: c.LateWorth,
+			Name: c.Name, Effect: eventlog.Effect(c.Effect), DedupAcrossZones: c.Group == "all", DedupWindow: c.Window.D(), Ordered: c.Order,
+			LatencyObjective: c.Aim.D(), Deadline: c.GiveUp.D(), Weight: c.Worth, LateWeightRatio: c.LateWorth,
 		})
 	}
 	for _, c := range f.Customers {
-		h.Customers = append(h.Customers, eventlog.Customer{Name: c.Name, Quota: c.Quota})
+		h.Customers = append(h.Customers, eventlog.Customer{Name: c.Name, RateShare: c.Quota})
 	}
 	return h
 }
