--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"flag"
 	"fmt"
 	"os"
@@ -18,18 +17,8 @@
 
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
-	t.Setenv("COLUMNS", "100") // the width that the help is written for
-	var all strings.Builder
-	for _, args := range []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"} {
-		var stdout, stderr bytes.Buffer
-		line := strings.TrimSpace(args + " --help")
-		status := command(t.Context(), strings.Fields(line), &stdout, &stderr)
-		all.WriteString("$ emulate " + line + "\n" + stdout.String() + stderr.String())
-		if status != 0 {
-			t.Errorf("emulate %s: status %d", line, status)
-		}
-	}
-	golden.Compare(t, *update, "help.txt", all.String())
+	commands := []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"}
+	golden.CheckHelp(t, *update, "emulate", commands, command)
 }
 
 // wallTime is how long a run took on this machine.
--- a/cmd/sockfault/golden_test.go
+++ b/cmd/sockfault/golden_test.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"bytes"
 	"flag"
-	"strings"
 	"testing"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
@@ -13,16 +11,5 @@
 
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
-	t.Setenv("COLUMNS", "100") // the width that the help is written for
-	var all strings.Builder
-	for _, args := range []string{""} {
-		var stdout, stderr bytes.Buffer
-		line := strings.TrimSpace(args + " --help")
-		status := run(t.Context(), strings.Fields(line), &stdout, &stderr)
-		all.WriteString("$ sockfault " + line + "\n" + stdout.String() + stderr.String())
-		if status != 0 {
-			t.Errorf("sockfault %s: status %d", line, status)
-		}
-	}
-	golden.Compare(t, *update, "help.txt", all.String())
+	golden.CheckHelp(t, *update, "sockfault", []string{""}, run)
 }
