--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -37,9 +37,9 @@
 		l, err := net.Listen("tcp", ip+":0")
 		must(t, err)
 		u, err := net.ListenPacket("udp", l.Addr().String())
-		closeQuietly(l)
+		must(t, closeForChild(l))
 		if err == nil {
-			closeQuietly(u)
+			must(t, closeForChild(u))
 			return l.Addr().String()
 		}
 	}
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -158,7 +158,7 @@
 		}
 		taken++
 	}
-	must(t, j.Close())
+	must(t, closeForChild(j))
 	return taken
 }
 
--- a/cmd/cherrytrestle/helpers_test.go
+++ b/cmd/cherrytrestle/helpers_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"os"
 	"os/exec"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -30,6 +31,15 @@
 // closeQuietly closes what a test no longer needs: an error of that says nothing about the relay.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
+// closeForChild closes what a child process is to lock or bind next. A process that is being forked holds copies of all
+// descriptors of this one until its own program begins, so the lock or the address would still be taken: forks in
+// progress are waited for, and none begins meanwhile.
+func closeForChild(c io.Closer) error {
+	syscall.ForkLock.Lock()
+	defer syscall.ForkLock.Unlock()
+	return c.Close()
+}
+
 // drain reads until the end, or until the relay closes the connection.
 func drain(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/process_test.go
@@ -65,7 +65,7 @@
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	must(t, err)
 	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
-	closeQuietly(l)
+	must(t, closeForChild(l))
 	must(t, os.Mkdir(relayprocess.StateFolder(r.dir), 0o700))
 	r.config = map[string]any{
 		"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings,
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -58,7 +58,7 @@
 		Deadline:       time.Now().Add(10 * time.Second),
 		Body:           []byte("body"),
 	}))
-	must(t, log.Close())
+	must(t, closeForChild(log))
 	r.start(p)
 	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
 	if _, err := os.Stat(filepath.Join(state, "wal.log")); !os.IsNotExist(err) {
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -19,7 +19,7 @@
 func withManagement(t testing.TB, r *relayProcess) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	closeQuietly(l)
+	must(t, closeForChild(l))
 	r.config["management"] = l.Addr().String()
 	r.writeConfig()
 	return l.Addr().String()
