--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -35,7 +35,7 @@
 			least = 0.65 // a zone is away for a fifth of it
 		}
 		for _, r := range p.Runs() {
-			if r.Cell[0].Is != "20" || r.Seed > 1 {
+			if r.Cell[0].Value != "20" || r.Seed > 1 {
 				continue
 			}
 			if res := p.Play(r); res.Error != "" || res.Measures["broken"] > 0 || res.Measures["fell"] > 0 ||
@@ -46,13 +46,13 @@
 					r.Key(),
 					res.Error,
 					res.Measures["service"],
-					res.Broken,
+					res.BrokenRules,
 				)
 			}
 			if p.Name != "many-herd" {
 				continue
 			}
-			if p.Set["emulator.mutant"] = "drains-ignored"; !brokenDrains(t, p, r.Key()) {
+			if p.Overrides["emulator.mutant"] = "drains-ignored"; !brokenDrains(t, p, r.Key()) {
 				t.Error("a relay that ignores drains keeps all rules")
 			}
 		}
@@ -66,7 +66,7 @@
 	t.Helper()
 	for _, r := range p.Runs() {
 		if r.Key() == key {
-			return p.Play(r).Broken[string(checker.Drain)] > 0
+			return p.Play(r).BrokenRules[string(checker.Drain)] > 0
 		}
 	}
 	return false
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -32,16 +32,16 @@
 	if c.Plans < 1 {
 		return fmt.Errorf("--plans must be above 0")
 	}
-	h := experiment.Hunt{Base: base, Plans: c.Plans, Seed: c.Seed, Wrong: wrong}
+	h := experiment.Search{Base: base, Candidates: c.Plans, Seed: c.Seed, Mutant: wrong}
 	if !c.Quiet {
-		h.Progress = func(done int, worst experiment.Prey) {
+		h.Progress = func(done int, worst experiment.Candidate) {
 			fmt.Fprintf(
 				s.Err,
 				"\r\x1b[K%d of %d  worst: service %.3f  %d rules broken",
 				done,
 				c.Plans,
 				worst.Service,
-				len(worst.Rules),
+				len(worst.BrokenRules),
 			)
 		}
 	}
@@ -49,11 +49,11 @@
 	if !c.Quiet {
 		fmt.Fprintln(s.Err)
 	}
-	if err != nil && (!errors.Is(err, context.Canceled) || p.File.Name == "") {
+	if err != nil && (!errors.Is(err, context.Canceled) || p.Scenario.Name == "") {
 		return err
 	}
-	p.File.Seed = p.Seed
-	data, err := p.File.Encode()
+	p.Scenario.Seed = p.Seed
+	data, err := p.Scenario.Encode()
 	if err != nil {
 		return err
 	}
@@ -65,12 +65,12 @@
 		"worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
 		c.Plans,
 		p.Service,
-		len(p.File.Troubles),
+		len(p.Scenario.Troubles),
 		p.Seed,
 		c.Out,
 		c.Out,
 	)
-	for _, t := range p.File.Troubles {
+	for _, t := range p.Scenario.Troubles {
 		fmt.Fprintf(
 			s.Out,
 			"  %v  %s for %v  destinations %v share %.2f relays %v\n",
@@ -82,10 +82,10 @@
 			t.Relays,
 		)
 	}
-	for _, r := range p.Rules {
+	for _, r := range p.BrokenRules {
 		fmt.Fprintf(s.Out, "BROKEN: %s\n", r)
 	}
-	if len(p.Rules) > 0 {
+	if len(p.BrokenRules) > 0 {
 		return cli.Exit(exitBroken)
 	}
 	return nil
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -187,7 +187,7 @@
 		return err
 	}
 	defer out.Close()
-	had, err := experiment.Read(out)
+	had, err := experiment.ReadResults(out)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Out, err)
 	}
@@ -207,7 +207,7 @@
 			)
 		}
 	}
-	n, err := p.Do(ctx, out, revision(), had, c.Workers, progress)
+	n, err := p.PlayAll(ctx, out, revision(), had, c.Workers, progress)
 	if !c.Quiet {
 		fmt.Fprintln(s.Err)
 	}
@@ -221,7 +221,7 @@
 	if _, err := out.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	all, err := experiment.Read(out)
+	all, err := experiment.ReadResults(out)
 	if err != nil {
 		return err
 	}
@@ -312,7 +312,7 @@
 			return nil, err
 		}
 		defer f.Close()
-		return experiment.Read(f)
+		return experiment.ReadResults(f)
 	}
 	var a, b []experiment.Result
 	key := func(r experiment.Result) string { return experiment.Run{Cell: r.Cell, Seed: r.Seed}.Key() }
@@ -332,15 +332,15 @@
 		if err != nil {
 			return err
 		}
-		a, b, key = experiment.Split(
+		a, b, key = experiment.WithLevel(
 			all,
 			c.Factor,
 			c.A,
-		), experiment.Split(
+		), experiment.WithLevel(
 			all,
 			c.Factor,
 			c.B,
-		), experiment.KeyWithout(
+		), experiment.KeyWithoutFactor(
 			c.Factor,
 		)
 	default:
@@ -369,7 +369,7 @@
 		return err
 	}
 	defer f.Close()
-	all, err := experiment.Read(f)
+	all, err := experiment.ReadResults(f)
 	if err != nil {
 		return err
 	}
@@ -377,7 +377,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(experiment.Page(out, filepath.Base(c.File), all), out.Close()); err != nil {
+	if err := errors.Join(experiment.WritePage(out, filepath.Base(c.File), all), out.Close()); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.Out, "page: %s\n", c.Out)
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -122,7 +122,7 @@
 	took += time.Since(began)
 	stop()
 	end := heap() - before
-	m := experiment.Measure(&w.Measures)
+	m := experiment.Measurements(&w.Measures)
 	perRelay := float64(atRest-ofOne) / float64(max(1, x.relays-1))
 	fmt.Fprintf(
 		s.Out,
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -20,16 +20,16 @@
 	Mean       float64 // of B less A
 	Low, High  float64 // within which it is, with Confidence
 	Confidence float64
-	Up, Down   int // pairs in which it rose and fell
+	Increased, Decreased   int // pairs in which it rose and fell
 }
 
-// Seen tells whether there is a difference: the interval does not hold 0.
-func (d Difference) Seen() bool { return d.Low > 0 || d.High < 0 }
+// Significant tells whether there is a difference: the interval does not hold 0.
+func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
 // String says it in a line.
 func (d Difference) String() string {
 	verdict := "no difference seen"
-	if d.Seen() {
+	if d.Significant() {
 		verdict = fmt.Sprintf("%+.4f", d.Mean)
 	}
 	return fmt.Sprintf(
@@ -41,8 +41,8 @@
 		d.Low,
 		d.High,
 		d.Pairs,
-		d.Up,
-		d.Down,
+		d.Increased,
+		d.Decreased,
 		verdict,
 	)
 }
@@ -92,9 +92,9 @@
 			diffs = append(diffs, vb-va)
 			switch {
 			case vb > va:
-				d.Up++
+				d.Increased++
 			case vb < va:
-				d.Down++
+				d.Decreased++
 			}
 		}
 		if d.Pairs = len(diffs); d.Pairs == 0 {
@@ -107,24 +107,24 @@
 	return all
 }
 
-// Split are the results with a factor at a value, and a key that leaves that factor out: those of two values can be
+// WithLevel are the results with a factor at a value, and a key that leaves that factor out: those of two values can be
 // paired.
-func Split(all []Result, path, value string) (some []Result) {
+func WithLevel(all []Result, path, value string) (some []Result) {
 	for _, r := range all {
-		if slices.Contains(r.Cell, Value{path, value}) {
+		if slices.Contains(r.Cell, Level{path, value}) {
 			some = append(some, r)
 		}
 	}
 	return some
 }
 
-// KeyWithout names a run by all but one factor.
-func KeyWithout(path string) func(Result) string {
+// KeyWithoutFactor names a run by all but one factor.
+func KeyWithoutFactor(path string) func(Result) string {
 	return func(r Result) string {
 		var parts []string
 		for _, v := range r.Cell {
 			if v.Path != path {
-				parts = append(parts, v.Path+"="+v.Is)
+				parts = append(parts, v.Path+"="+v.Value)
 			}
 		}
 		return fmt.Sprint(strings.Join(parts, " "), " seed=", r.Seed)
@@ -133,12 +133,12 @@
 
 // Cell is the results of one cell, over its seeds.
 type Cell struct {
-	Cell    []Value
+	Cell    []Level
 	Results []Result
 }
 
 // Name names the cell.
-func (c Cell) Name() string { return cellText(c.Cell) }
+func (c Cell) Name() string { return formatLevels(c.Cell) }
 
 // Values are those of a measure.
 func (c Cell) Values(measure string) (all []float64) {
@@ -155,7 +155,7 @@
 func Cells(all []Result) (cells []Cell) {
 	at := map[string]int{}
 	for _, r := range all {
-		name := cellText(r.Cell)
+		name := formatLevels(r.Cell)
 		i, ok := at[name]
 		if !ok {
 			i = len(cells)
@@ -172,20 +172,20 @@
 }
 
 // compareCells orders by the factors' values, numbers as numbers.
-func compareCells(a, b []Value) int {
+func compareCells(a, b []Level) int {
 	for i := range min(len(a), len(b)) {
-		if a[i].Is == b[i].Is {
+		if a[i].Value == b[i].Value {
 			continue
 		}
-		x, errA := parseNumber(a[i].Is)
-		y, errB := parseNumber(b[i].Is)
+		x, errA := parseNumber(a[i].Value)
+		y, errB := parseNumber(b[i].Value)
 		if errA == nil && errB == nil && x != y {
 			if x < y {
 				return -1
 			}
 			return 1
 		}
-		return strings.Compare(a[i].Is, b[i].Is)
+		return strings.Compare(a[i].Value, b[i].Value)
 	}
 	return len(a) - len(b)
 }
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -43,12 +43,12 @@
 func TestCutOffAndResumed(t *testing.T) {
 	p := parsed(t, small)
 	var whole bytes.Buffer
-	if n, err := p.Do(t.Context(), &whole, "r", nil, 3, nil); n != 16 || err != nil {
+	if n, err := p.PlayAll(t.Context(), &whole, "r", nil, 3, nil); n != 16 || err != nil {
 		t.Fatalf("%d runs, %v", n, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var part bytes.Buffer
-	n, err := p.Do(ctx, &part, "r", nil, 1, func(done, of int, _ Result) {
+	n, err := p.PlayAll(ctx, &part, "r", nil, 1, func(done, of int, _ Result) {
 		if done == 5 {
 			cancel()
 		}
@@ -57,26 +57,26 @@
 		t.Fatalf("%d runs, %v", n, err)
 	}
 	torn := part.Bytes()[:part.Len()-20]
-	had, err := Read(bytes.NewReader(torn))
+	had, err := ReadResults(bytes.NewReader(torn))
 	if err != nil || len(had) != n-1 {
 		t.Fatalf("%d read of %d, %v", len(had), n, err)
 	}
 	out := bytes.NewBuffer(torn[:bytes.LastIndexByte(torn, '\n')+1])
-	if n, err := p.Do(t.Context(), out, "r", had, 2, nil); n != 16-len(had) || err != nil {
+	if n, err := p.PlayAll(t.Context(), out, "r", had, 2, nil); n != 16-len(had) || err != nil {
 		t.Fatalf("%d more, %v", n, err)
 	}
 	lines := func(b *bytes.Buffer) string {
-		all, err := Read(b)
+		all, err := ReadResults(b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var page bytes.Buffer
 		for _, c := range Cells(all) {
 			for _, r := range c.Results {
-				page.WriteString(c.Name() + r.Late)
+				page.WriteString(c.Name() + r.LatencyHistogram)
 			}
 		}
-		if err := Page(&page, "x", all); err != nil {
+		if err := WritePage(&page, "x", all); err != nil {
 			t.Fatal(err)
 		}
 		return page.String()
@@ -88,7 +88,7 @@
 		t.Errorf("a plan's name is %s, and then %s", a, b)
 	}
 	// Another build has its own results: nothing of these counts as done.
-	if n, err := p.Do(t.Context(), &bytes.Buffer{}, "other", had, 0, nil); n != 16 || err != nil {
+	if n, err := p.PlayAll(t.Context(), &bytes.Buffer{}, "other", had, 0, nil); n != 16 || err != nil {
 		t.Errorf("%d runs of another build, %v", n, err)
 	}
 }
@@ -138,19 +138,19 @@
 		"name = \"x\"\nscenario = \"dinner-rush\"\nseeds = 6\n[[factor]]\npath = \"settings.slots\"\nvalues = [2, 40]\n[[factor]]\npath = \"module.senders\"\nvalues = [2]",
 	)
 	var out bytes.Buffer
-	if _, err := p.Do(t.Context(), &out, "r", nil, 0, nil); err != nil {
+	if _, err := p.PlayAll(t.Context(), &out, "r", nil, 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	all, err := Read(&out)
+	all, err := ReadResults(&out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	few, many := Split(all, "settings.slots", "2"), Split(all, "settings.slots", "40")
+	few, many := WithLevel(all, "settings.slots", "2"), WithLevel(all, "settings.slots", "40")
 	if len(few) != 6 || len(many) != 6 {
 		t.Fatalf("%d and %d", len(few), len(many))
 	}
 	of := func(a, b []Result) Difference {
-		for _, d := range Compare(a, b, KeyWithout("settings.slots"), Confidence) {
+		for _, d := range Compare(a, b, KeyWithoutFactor("settings.slots"), Confidence) {
 			if d.Measure == "service" {
 				return d
 			}
@@ -158,10 +158,10 @@
 		t.Fatal("no service")
 		return Difference{}
 	}
-	if d := of(few, many); !d.Seen() || d.Mean < 0.05 || d.Up != 6 || d.Pairs != 6 {
+	if d := of(few, many); !d.Significant() || d.Mean < 0.05 || d.Increased != 6 || d.Pairs != 6 {
 		t.Errorf("%v", d)
 	}
-	if d := of(many, many); d.Seen() || !strings.Contains(d.String(), "no difference seen") {
+	if d := of(many, many); d.Significant() || !strings.Contains(d.String(), "no difference seen") {
 		t.Errorf("%v", d)
 	}
 	// Student's t of 4 values by the table: 3.182 standard errors.
@@ -178,17 +178,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := Hunt{Base: base, Plans: 12, Seed: 3, Wrong: emulate.MutantNamed("drains-ignored")}
+	h := Search{Base: base, Candidates: 12, Seed: 3, Mutant: emulate.MutantNamed("drains-ignored")}
 	p, err := h.Run(t.Context())
-	if err != nil || len(p.Rules) == 0 || p.Rules[0] != checker.Drain {
-		t.Fatalf("%+v, %v", p.Rules, err)
+	if err != nil || len(p.BrokenRules) == 0 || p.BrokenRules[0] != checker.Drain {
+		t.Fatalf("%+v, %v", p.BrokenRules, err)
 	}
 	h.Workers = 1
-	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.File.Troubles) != len(p.File.Troubles) ||
+	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.Scenario.Troubles) != len(p.Scenario.Troubles) ||
 		q.Service != p.Service {
 		t.Errorf("one worker found another: %v", err)
 	}
-	data, err := p.File.Encode()
+	data, err := p.Scenario.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,11 +200,11 @@
 		t.Errorf("%d troubles in %v", len(f.Troubles), f.Length.D())
 	}
 	again, err := h.play(f, p.Seed)
-	if err != nil || len(again.Rules) == 0 {
-		t.Errorf("read back: %v, %v", again.Rules, err)
+	if err != nil || len(again.BrokenRules) == 0 {
+		t.Errorf("read back: %v, %v", again.BrokenRules, err)
 	}
-	h.Wrong = nil
-	if again, err = h.play(f, p.Seed); err != nil || len(again.Rules) > 0 {
-		t.Errorf("a sound relay: %v, %v", again.Rules, err)
+	h.Mutant = nil
+	if again, err = h.play(f, p.Seed); err != nil || len(again.BrokenRules) > 0 {
+		t.Errorf("a sound relay: %v, %v", again.BrokenRules, err)
 	}
 }
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -58,7 +58,7 @@
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	golden.Compare(t, *update, "every-key.out.toml", describe(t, p))
 
-	f, o, err := p.world(p.Runs()[0])
+	f, o, err := p.scenarioFor(p.Runs()[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,10 +122,10 @@
 func TestGoldenResult(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	r := p.Play(p.Runs()[0])
-	if r.Late == "" {
+	if r.LatencyHistogram == "" {
 		t.Error("no histogram")
 	}
-	r.Late = "compressed: its bytes are those of a version of Go"
+	r.LatencyHistogram = "compressed: its bytes are those of a version of Go"
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/experiment/page.go
+++ b/internal/simulation/experiment/page.go
@@ -22,9 +22,9 @@
 `),
 )
 
-// Page writes one page with plots of results: each measure over the first factor that is a number, a line for each of
+// WritePage writes one page with plots of results: each measure over the first factor that is a number, a line for each of
 // the others' values, and how late messages were.
-func Page(out io.Writer, name string, all []Result) error {
+func WritePage(out io.Writer, name string, all []Result) error {
 	cells := Cells(all)
 	type head struct {
 		Name, Plan, Revision string
@@ -39,13 +39,13 @@
 	if len(all) > 0 {
 		h.Plan, h.Revision = all[0].Plan, all[0].Revision
 	}
-	axis := numeric(cells)
+	axis := numericFactor(cells)
 	for _, m := range MeasureNames {
 		if c, ok := renderChart(cells, axis, m); ok {
 			h.Charts = append(h.Charts, c)
 		}
 	}
-	h.Charts = append(h.Charts, lateness(cells))
+	h.Charts = append(h.Charts, latencyChart(cells))
 	for _, m := range MeasureNames {
 		h.Heads = append(h.Heads, m[0])
 	}
@@ -64,8 +64,8 @@
 	return page.Execute(out, h)
 }
 
-// numeric is the place of the first factor whose values are all numbers and not all alike; -1 if there is none.
-func numeric(cells []Cell) int {
+// numericFactor is the place of the first factor whose values are all numbers and not all alike; -1 if there is none.
+func numericFactor(cells []Cell) int {
 	if len(cells) == 0 {
 		return -1
 	}
@@ -76,9 +76,9 @@
 			if i >= len(c.Cell) {
 				return -1
 			}
-			_, err := parseNumber(c.Cell[i].Is)
+			_, err := parseNumber(c.Cell[i].Value)
 			ok = ok && err == nil
-			values[c.Cell[i].Is] = true
+			values[c.Cell[i].Value] = true
 		}
 		if ok && len(values) > 1 {
 			return i
@@ -103,10 +103,10 @@
 		q.Y, q.Low, q.High = Interval(values, Confidence)
 		name := ""
 		if axis >= 0 {
-			q.X, _ = parseNumber(c.Cell[axis].Is)
+			q.X, _ = parseNumber(c.Cell[axis].Value)
 			p.Axis = c.Cell[axis].Path
 			rest := slices.Delete(slices.Clone(c.Cell), axis, axis+1)
-			name = cellText(rest)
+			name = formatLevels(rest)
 		}
 		if lines[name] == nil {
 			lines[name] = &chart.Line{Name: name}
@@ -138,9 +138,9 @@
 	return 0
 }
 
-// lateness draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each
+// latencyChart draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each
 // together.
-func lateness(cells []Cell) template.HTML {
+func latencyChart(cells []Cell) template.HTML {
 	p := chart.XY{Title: "lateness", Unit: "seconds from hand-in to delivery", Axis: "percentile", Height: 200}
 	for _, c := range cells[:min(len(cells), len(chart.Colours))] {
 		var sum *hdrhistogram.Histogram
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -21,8 +21,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// runsMost bounds the runs of an experiment.
-const runsMost = 100_000
+// maxRuns bounds the runs of an experiment.
+const maxRuns = 100_000
 
 // Plan is an experiment as it stands in its file.
 type Plan struct {
@@ -30,9 +30,9 @@
 	About    string         `toml:"about"`
 	Scenario string         `toml:"scenario"` // one that is shipped, or a file
 	Seeds    int            `toml:"seeds"`    // 1 to so many; default 10
-	First    uint64         `toml:"first_seed"`
-	Judged   bool           `toml:"judged"` // the rules are judged, too; a run then takes room for its record
-	Set      map[string]any `toml:"set"`    // what holds for all runs, by path
+	FirstSeed    uint64         `toml:"first_seed"`
+	Checked   bool           `toml:"judged"` // the rules are judged, too; a run then takes room for its record
+	Overrides      map[string]any `toml:"set"`    // what holds for all runs, by path
 	Factors  []Factor       `toml:"factor"`
 
 	text  string
@@ -50,17 +50,17 @@
 	Values []any  `toml:"values"`
 }
 
-// Value is one setting of a run.
-type Value struct {
+// Level is one setting of a run.
+type Level struct {
 	Path string `json:"path"`
-	Is   string `json:"is"`
+	Value   string `json:"is"`
 }
 
 // Run is one run of an experiment.
 type Run struct {
-	Cell []Value // in the order of the factors
+	Cell []Level // in the order of the factors
 	Seed uint64
-	set  []assignment
+	assignments  []assignment
 }
 
 type assignment struct {
@@ -70,12 +70,12 @@
 }
 
 // Key names a run within its experiment.
-func (r Run) Key() string { return fmt.Sprint(cellText(r.Cell), " seed=", r.Seed) }
+func (r Run) Key() string { return fmt.Sprint(formatLevels(r.Cell), " seed=", r.Seed) }
 
-func cellText(cell []Value) string {
+func formatLevels(cell []Level) string {
 	var parts []string
 	for _, v := range cell {
-		parts = append(parts, v.Path+"="+v.Is)
+		parts = append(parts, v.Path+"="+v.Value)
 	}
 	return strings.Join(parts, " ")
 }
@@ -90,12 +90,12 @@
 	if p.Seeds == 0 {
 		p.Seeds = 10
 	}
-	if p.First == 0 {
-		p.First = 1
+	if p.FirstSeed == 0 {
+		p.FirstSeed = 1
 	}
 	var errs []error
 	wrong := func(key, format string, args ...any) {
-		errs = append(errs, inLine(p.lines[key], fmt.Errorf(format, args...)))
+		errs = append(errs, atLine(p.lines[key], fmt.Errorf(format, args...)))
 	}
 	if p.Name == "" {
 		wrong("", "no name")
@@ -115,16 +115,16 @@
 		}
 		seen[f.Path] = true
 		for k, v := range f.Values {
-			if slices.ContainsFunc(f.Values[:k], func(o any) bool { return text(o) == text(v) }) {
-				wrong(at+".values", "factor %d (%s): the value %s is given twice", i+1, f.Path, text(v))
+			if slices.ContainsFunc(f.Values[:k], func(o any) bool { return formatValue(o) == formatValue(v) }) {
+				wrong(at+".values", "factor %d (%s): the value %s is given twice", i+1, f.Path, formatValue(v))
 			}
 		}
-		if runs <= runsMost {
+		if runs <= maxRuns {
 			runs *= max(1, len(f.Values))
 		}
 	}
-	if runs > runsMost {
-		wrong("seeds", "more than %d runs", runsMost)
+	if runs > maxRuns {
+		wrong("seeds", "more than %d runs", maxRuns)
 	}
 	if p.Scenario == "" {
 		wrong("", "no scenario")
@@ -139,10 +139,10 @@
 	if len(errs) == 0 {
 		tried := map[string]bool{} // each value by itself: what is wrong with one is told once
 		for _, r := range p.Runs() {
-			if r.Seed != p.First {
+			if r.Seed != p.FirstSeed {
 				continue
 			}
-			if _, _, err := p.world(r); err != nil && !tried[err.Error()] {
+			if _, _, err := p.scenarioFor(r); err != nil && !tried[err.Error()] {
 				tried[err.Error()] = true
 				errs = append(errs, err)
 			}
@@ -154,8 +154,8 @@
 	return p, nil
 }
 
-// inLine says where in the file an error stands, if that is known.
-func inLine(line int, err error) error {
+// atLine says where in the file an error stands, if that is known.
+func atLine(line int, err error) error {
 	if line == 0 {
 		return err
 	}
@@ -173,7 +173,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-func text(v any) string {
+func formatValue(v any) string {
 	if f, ok := v.(float64); ok {
 		return strconv.FormatFloat(f, 'g', -1, 64)
 	}
@@ -183,8 +183,8 @@
 // Runs are all runs, those of one cell together.
 func (p Plan) Runs() (all []Run) {
 	cells := []Run{{}}
-	for _, path := range sortedKeys(p.Set) {
-		cells[0].set = append(cells[0].set, assignment{path, p.Set[path], p.lines["set."+path]})
+	for _, path := range sortedKeys(p.Overrides) {
+		cells[0].assignments = append(cells[0].assignments, assignment{path, p.Overrides[path], p.lines["set."+path]})
 	}
 	for i, f := range p.Factors {
 		var next []Run
@@ -193,8 +193,8 @@
 				next = append(next, Run{
 					Cell: append(
 						slices.Clone(c.Cell),
-						Value{f.Path, text(v)},
-					), set: append(slices.Clone(c.set), assignment{f.Path, v, p.lines[fmt.Sprintf("factor[%d].values", i+1)]}),
+						Level{f.Path, formatValue(v)},
+					), assignments: append(slices.Clone(c.assignments), assignment{f.Path, v, p.lines[fmt.Sprintf("factor[%d].values", i+1)]}),
 				})
 			}
 		}
@@ -202,7 +202,7 @@
 	}
 	for _, c := range cells {
 		for s := range p.Seeds {
-			c.Seed = p.First + uint64(s)
+			c.Seed = p.FirstSeed + uint64(s)
 			all = append(all, c)
 		}
 	}
@@ -218,13 +218,13 @@
 	return keys
 }
 
-// world is a run's scenario and options.
-func (p Plan) world(r Run) (scenario.File, emulate.Options, error) {
+// scenarioFor is a run's scenario and options.
+func (p Plan) scenarioFor(r Run) (scenario.File, emulate.Options, error) {
 	f := p.base.Clone()
-	opts := emulate.Options{Record: p.Judged}
+	opts := emulate.Options{Record: p.Checked}
 	var module []func(*policy.Settings)
 	var errs []error
-	for _, a := range r.set {
+	for _, a := range r.assignments {
 		head, rest, _ := strings.Cut(a.path, ".")
 		var err error
 		switch head {
@@ -236,10 +236,10 @@
 				module = append(module, set)
 			}
 		default:
-			err = assign(reflect.ValueOf(&f).Elem(), strings.Split(a.path, "."), a.value)
+			err = setPath(reflect.ValueOf(&f).Elem(), strings.Split(a.path, "."), a.value)
 		}
 		if err != nil {
-			errs = append(errs, inLine(a.line, fmt.Errorf("%s = %s: %w", a.path, text(a.value), err)))
+			errs = append(errs, atLine(a.line, fmt.Errorf("%s = %s: %w", a.path, formatValue(a.value), err)))
 		}
 	}
 	if len(errs) > 0 {
@@ -253,7 +253,7 @@
 		}
 	}
 	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
-		return f, opts, fmt.Errorf("with %s: %w", cmpOr(cellText(r.Cell), "what is set for all"), err)
+		return f, opts, fmt.Errorf("with %s: %w", cmpOr(formatLevels(r.Cell), "what is set for all"), err)
 	}
 	return f, opts, nil
 }
@@ -351,27 +351,27 @@
 	return nil, fmt.Errorf("no such setting: senders, slots, cold_share, overload_factor, warm_within or order_pause")
 }
 
-// assign sets the field at a path of toml names.
-func assign(v reflect.Value, path []string, value any) error {
+// setPath sets the field at a path of toml names.
+func setPath(v reflect.Value, path []string, value any) error {
 	if len(path) == 0 {
-		return put(v, value)
+		return setValue(v, value)
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			v.Set(reflect.New(v.Type().Elem()))
 		}
-		return assign(v.Elem(), path, value)
+		return setPath(v.Elem(), path, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).Tag.Get("toml") == path[0] {
-				return assign(v.Field(i), path[1:], value)
+				return setPath(v.Field(i), path[1:], value)
 			}
 		}
 	case reflect.Slice:
 		if path[0] == "*" {
 			for i := range v.Len() {
-				if err := assign(v.Index(i), path[1:], value); err != nil {
+				if err := setPath(v.Index(i), path[1:], value); err != nil {
 					return err
 				}
 			}
@@ -381,12 +381,12 @@
 		if err != nil || n < 1 || n > v.Len() {
 			return fmt.Errorf("%q is none of 1 to %d, nor *", path[0], v.Len())
 		}
-		return assign(v.Index(n-1), path[1:], value)
+		return setPath(v.Index(n-1), path[1:], value)
 	}
 	return fmt.Errorf("a scenario has no %q there", path[0])
 }
 
-func put(v reflect.Value, value any) error {
+func setValue(v reflect.Value, value any) error {
 	if v.Type() == reflect.TypeFor[scenario.Duration]() {
 		d, err := duration(value)
 		if err == nil {
@@ -399,7 +399,7 @@
 		if v.IsNil() {
 			v.Set(reflect.New(v.Type().Elem()))
 		}
-		return put(v.Elem(), value)
+		return setValue(v.Elem(), value)
 	case reflect.Int, reflect.Uint64:
 		n, ok := value.(int64)
 		if !ok || n < 0 {
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -23,12 +23,12 @@
 type Result struct {
 	Plan     string  `json:"plan"` // Plan.Hash
 	Revision string  `json:"revision"`
-	Cell     []Value `json:"cell"`
+	Cell     []Level `json:"cell"`
 	Seed     uint64  `json:"seed"`
 	// Measures by their names: see MeasureNames.
 	Measures map[string]float64 `json:"measures"`
-	Broken   map[string]int     `json:"broken,omitempty"` // rules, with the number of breaks
-	Late     string             `json:"late,omitempty"`   // the histogram from hand-in to delivery, in HdrHistogram's form
+	BrokenRules   map[string]int     `json:"broken,omitempty"` // rules, with the number of breaks
+	LatencyHistogram     string             `json:"late,omitempty"`   // the histogram from hand-in to delivery, in HdrHistogram's form
 	Error    string             `json:"error,omitempty"`  // the run could not be played to its end
 }
 
@@ -55,11 +55,11 @@
 // Play plays a run. It plays the same run to the same result, byte for byte.
 func (p Plan) Play(r Run) (res Result) {
 	res = Result{Plan: p.Hash(), Cell: r.Cell, Seed: r.Seed}
-	f, opts, err := p.world(r)
+	f, opts, err := p.scenarioFor(r)
 	var w *emulate.World
 	if err == nil {
 		plan := f.DrawWorld(r.Seed)
-		if p.Judged {
+		if p.Checked {
 			plan = f.Draw(r.Seed)
 		}
 		if w, err = emulate.New(plan, opts); err == nil {
@@ -70,26 +70,26 @@
 		res.Error = err.Error()
 		return res
 	}
-	res.Measures = Measure(&w.Measures)
-	if p.Judged {
+	res.Measures = Measurements(&w.Measures)
+	if p.Checked {
 		h, events := w.Result()
 		v := checker.Judge(h, events)
-		res.Broken = map[string]int{}
+		res.BrokenRules = map[string]int{}
 		for _, x := range v.Findings {
 			if x.Count > 0 {
-				res.Broken[string(x.Rule)] = x.Count
+				res.BrokenRules[string(x.Rule)] = x.Count
 			}
 		}
-		res.Measures["broken"] = float64(len(res.Broken))
+		res.Measures["broken"] = float64(len(res.BrokenRules))
 	}
 	if data, err := w.Histogram().Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
-		res.Late = base64.StdEncoding.EncodeToString(data)
+		res.LatencyHistogram = base64.StdEncoding.EncodeToString(data)
 	}
 	return res
 }
 
-// Measure is the measures of a run by their names.
-func Measure(m *emulate.Measures) map[string]float64 {
+// Measurements is the measures of a run by their names.
+func Measurements(m *emulate.Measures) map[string]float64 {
 	share := func(n, of int) float64 { return math.Round(1e6*float64(n)/float64(max(1, of))) / 1e6 }
 	return map[string]float64{
 		"service": round(m.Whole()), "worst_10s": round(m.Worst10s()), "in_full": share(m.InFull, m.Offered),
@@ -115,10 +115,10 @@
 // Progress is told after each run.
 type Progress func(done, of int, res Result)
 
-// Do plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes
+// PlayAll plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes
 // each result as it comes, a line at a time: what is done is kept whatever ends it. It ends early, with ctx's error,
 // once the runs that are under way are done.
-func (p Plan) Do(
+func (p Plan) PlayAll(
 	ctx context.Context,
 	out io.Writer,
 	revision string,
@@ -177,12 +177,12 @@
 	return n, errors.Join(err, ctx.Err())
 }
 
-const lineMost = 1 << 20
+const maxLineSize = 1 << 20
 
-// Read reads results. A torn last line, as after a kill, is left out.
-func Read(r io.Reader) (all []Result, err error) {
+// ReadResults reads results. A torn last line, as after a kill, is left out.
+func ReadResults(r io.Reader) (all []Result, err error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineSize)
 	var torn error
 	for n := 1; lines.Scan(); n++ {
 		if torn != nil {
@@ -203,7 +203,7 @@
 
 // Histogram is the histogram of a result, nil if it has none that can be read.
 func (r Result) Histogram() *hdrhistogram.Histogram {
-	data, err := base64.StdEncoding.DecodeString(r.Late)
+	data, err := base64.StdEncoding.DecodeString(r.LatencyHistogram)
 	if err != nil || len(data) == 0 {
 		return nil
 	}
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/search.go
@@ -15,50 +15,50 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// Hunt is a search for troubles that a base scenario's relays bear badly.
-type Hunt struct {
+// Search is a search for troubles that a base scenario's relays bear badly.
+type Search struct {
 	Base    scenario.File
-	Plans   int    // that are tried
+	Candidates   int    // that are tried
 	Seed    uint64 // of the search
 	Workers int    // 0: one for each core
-	Wrong   *emulate.Mutant
+	Mutant   *emulate.Mutant
 	// Progress is told after each plan; nil: nobody is.
-	Progress func(done int, worst Prey)
+	Progress func(done int, worst Candidate)
 }
 
-// Prey is what a hunt found: a scenario, and how it went.
-type Prey struct {
-	File    scenario.File
+// Candidate is what a hunt found: a scenario, and how it went.
+type Candidate struct {
+	Scenario    scenario.File
 	Seed    uint64         // it is played with
-	Rules   []checker.Rule // broken
+	BrokenRules   []checker.Rule // broken
 	Service float64
-	Tried   int // plans played, those of the shrinking too
+	Plays   int // plans played, those of the shrinking too
 }
 
 // worse tells whether a is a better find than b: a rule broken goes before any loss.
-func (a Prey) worse(b Prey) bool {
-	if (len(a.Rules) > 0) != (len(b.Rules) > 0) {
-		return len(a.Rules) > 0
+func (a Candidate) worse(b Candidate) bool {
+	if (len(a.BrokenRules) > 0) != (len(b.BrokenRules) > 0) {
+		return len(a.BrokenRules) > 0
 	}
 	return a.Service < b.Service
 }
 
 // Run plays plans and shrinks the worst. The same hunt finds the same, on any number of workers.
-func (h Hunt) Run(ctx context.Context) (Prey, error) {
+func (h Search) Run(ctx context.Context) (Candidate, error) {
 	workers := h.Workers
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	found := make([]*Prey, h.Plans)
+	found := make([]*Candidate, h.Candidates)
 	next := make(chan int)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var first error
-	done, worst := 0, Prey{Service: 2}
+	done, worst := 0, Candidate{Service: 2}
 	for range workers {
 		wg.Go(func() {
 			for i := range next {
-				p, err := h.play(vary(h.Base, engine.NewRandom(h.Seed, "hunt", i)), h.Seed+uint64(i))
+				p, err := h.play(drawVariant(h.Base, engine.NewRandom(h.Seed, "hunt", i)), h.Seed+uint64(i))
 				mu.Lock()
 				if err != nil && first == nil {
 					first = fmt.Errorf("hunt: plan %d: %w", i, err)
@@ -76,7 +76,7 @@
 			}
 		})
 	}
-	for i := range h.Plans {
+	for i := range h.Candidates {
 		select {
 		case next <- i:
 			continue
@@ -87,24 +87,24 @@
 	close(next)
 	wg.Wait()
 	if first != nil {
-		return Prey{}, first
+		return Candidate{}, first
 	}
-	best := Prey{Service: 2}
+	best := Candidate{Service: 2}
 	for _, p := range found { // by their numbers, not as they came
 		if p != nil && p.worse(best) {
 			best = *p
 		}
 	}
-	if best.File.Name == "" {
-		return Prey{}, fmt.Errorf("hunt: nothing was played: %w", ctx.Err())
+	if best.Scenario.Name == "" {
+		return Candidate{}, fmt.Errorf("hunt: nothing was played: %w", ctx.Err())
 	}
-	best.Tried = done
+	best.Plays = done
 	return h.shrink(ctx, best), ctx.Err()
 }
 
-func (h Hunt) play(f scenario.File, seed uint64) (Prey, error) {
-	p := Prey{File: f, Seed: seed}
-	w, err := emulate.New(f.Draw(seed), emulate.Options{Record: true, Wrong: h.Wrong})
+func (h Search) play(f scenario.File, seed uint64) (Candidate, error) {
+	p := Candidate{Scenario: f, Seed: seed}
+	w, err := emulate.New(f.Draw(seed), emulate.Options{Record: true, Wrong: h.Mutant})
 	if err == nil {
 		err = w.Play()
 	}
@@ -114,35 +114,35 @@
 	v := checker.Judge(w.Result())
 	for _, x := range v.Findings {
 		if x.State == checker.Broken {
-			p.Rules = append(p.Rules, x.Rule)
+			p.BrokenRules = append(p.BrokenRules, x.Rule)
 		}
 	}
 	p.Service = v.Service.Whole
 	return p, nil
 }
 
-// kept is how much of a loss a smaller scenario must keep to take the place of the larger.
-const kept = 0.9
+// minLossKept is how much of a loss a smaller scenario must keep to take the place of the larger.
+const minLossKept = 0.9
 
 // shrink makes a find smaller while it stays what it is: it breaks the same rule, or loses nearly as much.
-func (h Hunt) shrink(ctx context.Context, p Prey) Prey {
+func (h Search) shrink(ctx context.Context, p Candidate) Candidate {
 	loss := 1 - p.Service
-	still := func(q Prey) bool {
-		if len(p.Rules) > 0 {
-			return slices.Contains(q.Rules, p.Rules[0])
+	still := func(q Candidate) bool {
+		if len(p.BrokenRules) > 0 {
+			return slices.Contains(q.BrokenRules, p.BrokenRules[0])
 		}
-		return 1-q.Service >= kept*loss
+		return 1-q.Service >= minLossKept*loss
 	}
 	for again := true; again && ctx.Err() == nil; {
 		again = false
-		for _, f := range smaller(p.File) {
+		for _, f := range smallerScenarios(p.Scenario) {
 			if ctx.Err() != nil || f.CheckFor(scenario.EmulatorBounds) != nil {
 				continue
 			}
 			q, err := h.play(f, p.Seed)
-			p.Tried++
+			p.Plays++
 			if err == nil && still(q) {
-				q.Tried = p.Tried
+				q.Plays = p.Plays
 				p, again = q, true
 				break
 			}
@@ -151,8 +151,8 @@
 	return p
 }
 
-// smaller are the scenarios that are a step smaller, those that take most away first.
-func smaller(f scenario.File) (all []scenario.File) {
+// smallerScenarios are the scenarios that are a step smallerScenarios, those that take most away first.
+func smallerScenarios(f scenario.File) (all []scenario.File) {
 	add := func(change func(*scenario.File)) {
 		c := f.Clone()
 		change(&c)
@@ -171,7 +171,7 @@
 		last = max(last, (t.At+t.For+t.Drain).D()+10*time.Second)
 	}
 	if last = last.Truncate(time.Second) + time.Second; last < f.Length.D() {
-		add(func(c *scenario.File) { cut(c, last) })
+		add(func(c *scenario.File) { shorten(c, last) })
 	}
 	if f.Relays > 1 {
 		add(func(c *scenario.File) {
@@ -203,8 +203,8 @@
 	return all
 }
 
-// cut has a scenario end earlier.
-func cut(f *scenario.File, length time.Duration) {
+// shorten has a scenario end earlier.
+func shorten(f *scenario.File, length time.Duration) {
 	f.Length = scenario.Duration(length)
 	f.Traffic = slices.DeleteFunc(f.Traffic, func(t scenario.Traffic) bool { return t.From.D() >= length })
 	for i := range f.Traffic {
@@ -212,16 +212,16 @@
 	}
 }
 
-// struck are the troubles that a hunt draws from.
-var struck = []string{
+// faultKinds are the troubles that a hunt draws from.
+var faultKinds = []string{
 	scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.SlowDown, scenario.Silent, scenario.Death, scenario.Cut,
 	scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill,
 }
 
-const troublesMost = 5
+const maxFaults = 5
 
-// vary is a base scenario with other troubles and another load.
-func vary(base scenario.File, rng *rand.Rand) scenario.File {
+// drawVariant is a base scenario with other troubles and another load.
+func drawVariant(base scenario.File, rng *rand.Rand) scenario.File {
 	f := base.Clone()
 	f.Name = base.Name + "-hunted"
 	f.About = "Found by a hunt."
@@ -233,9 +233,9 @@
 	ms := func(least, most time.Duration) scenario.Duration {
 		return scenario.Duration((least + time.Duration(rng.Int64N(int64(most-least)))).Round(100 * time.Millisecond))
 	}
-	for range 1 + rng.IntN(troublesMost) {
+	for range 1 + rng.IntN(maxFaults) {
 		t := scenario.Trouble{
-			Kind: struck[rng.IntN(len(struck))],
+			Kind: faultKinds[rng.IntN(len(faultKinds))],
 			At:   ms(time.Second, f.Length.D()*7/10),
 			For:  ms(time.Second, 12*time.Second),
 		}
@@ -249,12 +249,12 @@
 			t.For, t.Relays = 0, []int{1 + rng.IntN(f.Relays)}
 		case scenario.Fail:
 			t.Calls = 0.3 + 0.7*rng.Float64()
-			t.Destinations = some(rng, places)
+			t.Destinations = drawDestinations(rng, places)
 		case scenario.SlowDown:
 			t.Factor = 2 + 15*rng.Float64()
-			t.Destinations = some(rng, places)
+			t.Destinations = drawDestinations(rng, places)
 		default:
-			t.Destinations = some(rng, places)
+			t.Destinations = drawDestinations(rng, places)
 		}
 		f.Troubles = append(f.Troubles, t)
 	}
@@ -266,8 +266,8 @@
 	return f
 }
 
-// some draws one to three of n.
-func some(rng *rand.Rand, n int) (all []int) {
+// drawDestinations draws one to three of n.
+func drawDestinations(rng *rand.Rand, n int) (all []int) {
 	for range 1 + rng.IntN(3) {
 		if d := 1 + rng.IntN(n); !slices.Contains(all, d) {
 			all = append(all, d)
