--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -201,13 +201,15 @@
 				"\r\x1b[K%d of %d  %s seed=%d  service %.3f",
 				done,
 				of,
-				experiment.Cell{Cell: r.Cell}.Name(),
+				experiment.Cell{Levels: r.Cell}.Name(),
 				r.Seed,
 				r.Measures["service"],
 			)
 		}
 	}
-	n, err := p.PlayAll(ctx, out, revision(), had, c.Workers, progress)
+	n, err := p.PlayAll(ctx, out, experiment.PlayOptions{
+		Revision: revision(), Previous: had, Workers: c.Workers, Progress: progress,
+	})
 	if !c.Quiet {
 		fmt.Fprintln(s.Err)
 	}
--- /dev/null
+++ b/internal/simulation/experiment/assign.go
@@ -0,0 +1,270 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// What a value must be.
+var (
+	errNotNumber      = errors.New("a number is wanted")
+	errNotWholeNumber = errors.New("a whole number is wanted")
+	errNotDuration    = errors.New(`a duration such as "1.5s" is wanted`)
+	errNotBool        = errors.New("true or false is wanted")
+	errNotText        = errors.New("text is wanted")
+	errNotFraction    = errors.New("a share of 0 to 1 is wanted")
+	errNotCount       = errors.New("a whole number, 0 or more, is wanted")
+	errUnknownMutant  = errors.New("no such mutant")
+	errNotSettable    = errors.New("this cannot be set")
+)
+
+// The settings by the part of a path behind its prefix.
+var (
+	errUnknownOption = errors.New(
+		"the emulator has no such setting: latency, zone_latency, idle_resets, connections, beyond or mutant",
+	)
+	errUnknownEngineSetting = errors.New(
+		"no such setting: senders, slots, cold_share, overload_factor, warm_within or order_pause",
+	)
+)
+
+// assignment sets what stands at a path to a value.
+type assignment struct {
+	path  string
+	value any
+	line  int // of the file; 0: unknown
+}
+
+// engineSetting changes the settings that the decision engines of a world are given.
+type engineSetting func(*policy.Settings)
+
+// apply carries the assignment out on what its path names: the scenario, the emulator's options or the engine settings.
+func (a assignment) apply(file *scenario.File, options *emulate.Options, engine *[]engineSetting) error {
+	prefix, key, _ := strings.Cut(a.path, ".")
+	switch prefix {
+	case "emulator":
+		return setOption(options, key, a.value)
+	case "module":
+		set, err := newEngineSetting(key, a.value)
+		if err == nil {
+			*engine = append(*engine, set)
+		}
+		return err
+	}
+	return setPath(reflect.ValueOf(file).Elem(), strings.Split(a.path, "."), a.value)
+}
+
+func setOption(options *emulate.Options, key string, value any) (err error) {
+	switch key {
+	case "latency":
+		options.Latency, err = toDuration(value)
+	case "zone_latency":
+		options.ZoneLatency, err = toDuration(value)
+	case "idle_resets":
+		options.IdleResets, err = toFraction(value)
+	case "connections":
+		options.Connections, err = toCount(value)
+	case "beyond":
+		options.Beyond, err = toBeyond(value)
+	case "mutant":
+		options.Wrong, err = toMutant(value)
+	default:
+		err = errUnknownOption
+	}
+	return err
+}
+
+func newEngineSetting(key string, value any) (engineSetting, error) {
+	switch key {
+	case "warm_within":
+		d, err := toDuration(value)
+		return func(s *policy.Settings) { s.WarmUpDuration = d }, err
+	case "order_pause":
+		d, err := toDuration(value)
+		return func(s *policy.Settings) { s.OrderingPause = d }, err
+	case "senders":
+		n, err := toNumber(value)
+		return func(s *policy.Settings) { s.FleetSize = int(n) }, err
+	case "slots":
+		n, err := toNumber(value)
+		return func(s *policy.Settings) { s.MaxInFlightCalls = int(n) }, err
+	case "cold_share":
+		n, err := toNumber(value)
+		return func(s *policy.Settings) { s.WarmUpInitialCapacity = n }, err
+	case "overload_factor":
+		n, err := toNumber(value)
+		return func(s *policy.Settings) { s.OverloadFactor = n }, err
+	}
+	return nil, errUnknownEngineSetting
+}
+
+// setPath sets the field at a path of TOML keys.
+func setPath(field reflect.Value, path []string, value any) error {
+	if len(path) == 0 {
+		return setValue(field, value)
+	}
+	switch field.Kind() {
+	case reflect.Pointer:
+		return setPath(allocate(field), path, value)
+	case reflect.Struct:
+		for i := range field.NumField() {
+			if field.Type().Field(i).Tag.Get("toml") == path[0] {
+				return setPath(field.Field(i), path[1:], value)
+			}
+		}
+	case reflect.Slice:
+		return setEntries(field, path, value)
+	}
+	return fmt.Errorf("a scenario has no %q there", path[0])
+}
+
+// setEntries sets a field of one entry of a list, or of all.
+func setEntries(list reflect.Value, path []string, value any) error {
+	if path[0] == "*" {
+		for i := range list.Len() {
+			if err := setPath(list.Index(i), path[1:], value); err != nil {
+				return err
+			}
+		}
+		return nil
+	}
+	number, err := strconv.Atoi(path[0])
+	if err != nil || number < 1 || number > list.Len() {
+		return fmt.Errorf("%q is none of 1 to %d, nor *", path[0], list.Len())
+	}
+	return setPath(list.Index(number-1), path[1:], value)
+}
+
+// allocate returns what a pointer points to, which it creates if there is none yet.
+func allocate(pointer reflect.Value) reflect.Value {
+	if pointer.IsNil() {
+		pointer.Set(reflect.New(pointer.Type().Elem()))
+	}
+	return pointer.Elem()
+}
+
+// setValue sets a field to a value of its type.
+func setValue(field reflect.Value, value any) error {
+	if field.Type() == reflect.TypeFor[scenario.Duration]() {
+		d, err := toDuration(value)
+		if err == nil {
+			field.SetInt(int64(d))
+		}
+		return err
+	}
+	switch field.Kind() {
+	case reflect.Pointer:
+		return setValue(allocate(field), value)
+	case reflect.Int, reflect.Uint64:
+		return setInteger(field, value)
+	case reflect.Float64:
+		x, err := toNumber(value)
+		if err == nil {
+			field.SetFloat(x)
+		}
+		return err
+	case reflect.Bool:
+		b, ok := value.(bool)
+		if !ok {
+			return errNotBool
+		}
+		field.SetBool(b)
+		return nil
+	case reflect.String:
+		s, ok := value.(string)
+		if !ok {
+			return errNotText
+		}
+		field.SetString(s)
+		return nil
+	}
+	return errNotSettable
+}
+
+func setInteger(field reflect.Value, value any) error {
+	n, ok := value.(int64)
+	if !ok || n < 0 {
+		return errNotWholeNumber
+	}
+	if field.Kind() == reflect.Int {
+		field.SetInt(n)
+	} else {
+		field.SetUint(uint64(n))
+	}
+	return nil
+}
+
+func toNumber(value any) (float64, error) {
+	switch x := value.(type) {
+	case int64:
+		return float64(x), nil
+	case float64:
+		return x, nil
+	}
+	return 0, errNotNumber
+}
+
+func toFraction(value any) (float64, error) {
+	x, err := toNumber(value)
+	if err == nil && (x < 0 || x > 1) {
+		err = errNotFraction
+	}
+	return x, err
+}
+
+func toCount(value any) (int, error) {
+	x, err := toNumber(value)
+	if err == nil && (x < 0 || x != math.Trunc(x)) {
+		err = errNotCount
+	}
+	return int(x), err
+}
+
+func toDuration(value any) (time.Duration, error) {
+	text, ok := value.(string)
+	if !ok {
+		return 0, errNotDuration
+	}
+	d, err := time.ParseDuration(text)
+	if err != nil || d < 0 {
+		return 0, errNotDuration
+	}
+	return d, nil
+}
+
+func toBeyond(value any) (emulate.Beyond, error) {
+	name, _ := value.(string) // no text is no name
+	i := slices.Index(emulate.Beyonds, name)
+	if i < 0 {
+		return 0, fmt.Errorf("one of %q is wanted", emulate.Beyonds)
+	}
+	return emulate.Beyond(i), nil
+}
+
+// toMutant returns the mutant of a name, nil for the empty name.
+func toMutant(value any) (*emulate.Mutant, error) {
+	name, _ := value.(string) // as in a plan that varies the mutant: what is no text is the relay as it is
+	mutant := emulate.MutantNamed(name)
+	if mutant == nil && name != "" {
+		return nil, errUnknownMutant
+	}
+	return mutant, nil
+}
+
+// formatValue writes a value of a file, numbers as short as they can be.
+func formatValue(value any) string {
+	if x, ok := value.(float64); ok {
+		return strconv.FormatFloat(x, 'g', -1, 64)
+	}
+	return fmt.Sprint(value)
+}
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -19,7 +19,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// loadPlan reads an experiment and the scenario that stands beside it, if it is not shipped.
+// loadPlan reads an experiment, and the scenario beside it if it is not a shipped one.
 func loadPlan(t *testing.T, path string) Plan {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// describe tells of an experiment by the keys of its file, and of its runs.
+// describe writes an experiment by the keys of its file, and its runs.
 func describe(t *testing.T, p Plan) string {
 	t.Helper()
 	data, err := toml.Marshal(p)
@@ -104,16 +104,10 @@
 			continue // scenarios of the others
 		}
 		p := loadPlan(t, path)
-		fmt.Fprintf(
-			&b,
-			"%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
-			filepath.Base(path),
-			p.Name,
-			p.Scenario,
-			p.Hash(),
-			len(p.Runs()),
-			p.Runs()[len(p.Runs())-1].Key(),
-		)
+		runs := p.Runs()
+		last := runs[len(runs)-1]
+		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
+			filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(runs), last.Key())
 	}
 	golden.Compare(t, *update, "documents.txt", b.String())
 }
--- a/internal/simulation/experiment/page.go
+++ b/internal/simulation/experiment/page.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"cmp"
 	"fmt"
 	"html/template"
 	"io"
@@ -12,154 +13,176 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
-var page = template.Must(
-	template.New("page").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
-<style>body { font: 14px sans-serif; max-width: 1000px; margin: 1em auto; color: #222 } table { border-collapse: collapse } td, th { padding: 2px 8px; text-align: right; border-bottom: 1px solid #e4e4e4 }
+// The charts of a page.
+const (
+	measureChartHeight = 170 // in SVG's units
+	latencyChartHeight = 200
+	// minLogRatio is the ratio of the last to the first value from which on an axis is logarithmic.
+	minLogRatio = 20
+	// nanosecondsPerSecond converts the histograms' values.
+	nanosecondsPerSecond = 1e9
+)
+
+// latencyPercentiles are the points of the latency chart.
+var latencyPercentiles = []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.9}
+
+var pageTemplate = template.Must(template.New("page").Parse(
+	`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
+<style>body { font: 14px sans-serif; max-width: 1000px; margin: 1em auto; color: #222 } ` +
+		`table { border-collapse: collapse } ` +
+		`td, th { padding: 2px 8px; text-align: right; border-bottom: 1px solid #e4e4e4 }
 td:first-child, th:first-child { text-align: left } {{.Style}}</style>
-<h1>{{.Name}}</h1><p>{{.Runs}} runs, plan {{.Plan}}, decisions {{.Revision}}. Bands and brackets are {{.Confidence}} intervals of the mean over the seeds.</p>
+<h1>{{.Name}}</h1><p>{{.Runs}} runs, plan {{.Plan}}, decisions {{.Revision}}. ` +
+		`Bands and brackets are {{.Confidence}} intervals of the mean over the seeds.</p>
 {{range .Charts}}{{.}}{{end}}
-<table><tr><th>cell{{range .Heads}}<th>{{.}}{{end}}</tr>{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}</tr>{{end}}</table></html>
-`),
-)
+<table><tr><th>cell{{range .Heads}}<th>{{.}}{{end}}</tr>` +
+		`{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}</tr>{{end}}</table></html>
+`))
 
-// WritePage writes one page with plots of results: each measure over the first factor that is a number, a line for each of
-// the others' values, and how late messages were.
-func WritePage(out io.Writer, name string, all []Result) error {
-	cells := Cells(all)
-	type head struct {
-		Name, Plan, Revision string
-		Runs                 int
-		Confidence           float64
-		Style                template.CSS
-		Charts               []template.HTML
-		Heads                []string
-		Rows                 [][]string
-	}
-	h := head{Name: name, Runs: len(all), Confidence: Confidence, Style: template.CSS(chart.Style)}
-	if len(all) > 0 {
-		h.Plan, h.Revision = all[0].Plan, all[0].Revision
+// pageData is the data of pageTemplate.
+type pageData struct {
+	Name, Plan, Revision string
+	Runs                 int
+	Confidence           float64
+	Style                template.CSS
+	Charts               []template.HTML
+	Heads                []string
+	Rows                 [][]string
+}
+
+// WritePage writes an HTML page about results: charts of each measure over the first factor that is a number, with a
+// line for each combination of the others, a chart of the latency, and a table.
+func WritePage(out io.Writer, name string, results []Result) error {
+	cells := Cells(results)
+	data := pageData{Name: name, Runs: len(results), Confidence: Confidence, Style: template.CSS(chart.Style)}
+	if len(results) > 0 {
+		data.Plan, data.Revision = results[0].Plan, results[0].Revision
 	}
 	axis := numericFactor(cells)
-	for _, m := range MeasureNames {
-		if c, ok := renderChart(cells, axis, m); ok {
-			h.Charts = append(h.Charts, c)
+	for _, measure := range Measures {
+		if image, ok := measureChart(cells, axis, measure); ok {
+			data.Charts = append(data.Charts, image)
 		}
+		data.Heads = append(data.Heads, measure.Name)
 	}
-	h.Charts = append(h.Charts, latencyChart(cells))
-	for _, m := range MeasureNames {
-		h.Heads = append(h.Heads, m[0])
+	data.Charts = append(data.Charts, latencyChart(cells))
+	for _, cell := range cells {
+		data.Rows = append(data.Rows, tableRow(cell))
 	}
-	for _, c := range cells {
-		row := []string{c.Name()}
-		for _, m := range MeasureNames {
-			mean, low, high := Interval(c.Values(m[0]), Confidence)
-			text := fmt.Sprintf("%.4g", mean)
-			if m[0] == "service" {
-				text = fmt.Sprintf("%.4f [%.4f, %.4f]", mean, low, high)
-			}
-			row = append(row, text)
+	return pageTemplate.Execute(out, data)
+}
+
+// tableRow returns a cell's name and the means of its measures.
+func tableRow(cell Cell) []string {
+	row := []string{cell.Name()}
+	for _, measure := range Measures {
+		mean, low, high := Interval(cell.Values(measure.Name), Confidence)
+		text := fmt.Sprintf("%.4g", mean)
+		if measure.Name == MeasureService {
+			text = fmt.Sprintf("%.4f [%.4f, %.4f]", mean, low, high)
 		}
-		h.Rows = append(h.Rows, row)
+		row = append(row, text)
 	}
-	return page.Execute(out, h)
+	return row
 }
 
-// numericFactor is the place of the first factor whose values are all numbers and not all alike; -1 if there is none.
+// numericFactor returns the index of the first factor with several values that are all numbers, or -1 if there is none.
 func numericFactor(cells []Cell) int {
 	if len(cells) == 0 {
 		return -1
 	}
-	for i := range cells[0].Cell {
+	for i := range cells[0].Levels {
 		values := map[string]bool{}
-		ok := true
-		for _, c := range cells {
-			if i >= len(c.Cell) {
+		numeric := true
+		for _, cell := range cells {
+			if i >= len(cell.Levels) {
 				return -1
 			}
-			_, err := parseNumber(c.Cell[i].Value)
-			ok = ok && err == nil
-			values[c.Cell[i].Value] = true
+			value := cell.Levels[i].Value
+			_, err := parseNumber(value)
+			numeric = numeric && err == nil
+			values[value] = true
 		}
-		if ok && len(values) > 1 {
+		if numeric && len(values) > 1 {
 			return i
 		}
 	}
 	return -1
 }
 
-// renderChart draws a measure that is not 0 throughout.
-func renderChart(cells []Cell, axis int, m [2]string) (template.HTML, bool) {
-	p := chart.XY{Title: m[0], Unit: m[1], Height: 170}
-	lines := map[string]*chart.Line{}
-	var order []string
-	any := false
-	for i, c := range cells {
-		values := c.Values(m[0])
+// measureChart draws a measure over the factor at axis, or over the cells if axis is -1. ok is false for a measure that
+// is 0 in all cells.
+func measureChart(cells []Cell, axis int, measure Measure) (image template.HTML, ok bool) {
+	plot := chart.XY{Title: measure.Name, Unit: measure.Description, Height: measureChartHeight}
+	lines := map[string]int{} // indices by name
+	for i, cell := range cells {
+		values := cell.Values(measure.Name)
 		if len(values) == 0 {
 			continue
 		}
-		any = any || values[len(values)-1] != 0
-		q := chart.Point{X: float64(i + 1)}
-		q.Y, q.Low, q.High = Interval(values, Confidence)
+		ok = ok || values[len(values)-1] != 0
+		point := chart.Point{X: float64(i + 1)}
+		point.Y, point.Low, point.High = Interval(values, Confidence)
 		name := ""
 		if axis >= 0 {
-			q.X, _ = parseNumber(c.Cell[axis].Value)
-			p.Axis = c.Cell[axis].Path
-			rest := slices.Delete(slices.Clone(c.Cell), axis, axis+1)
-			name = formatLevels(rest)
+			level := cell.Levels[axis]
+			point.X, _ = parseNumber(level.Value) // numericFactor has parsed it
+			plot.Axis = level.Path
+			name = formatLevels(slices.Delete(slices.Clone(cell.Levels), axis, axis+1))
 		}
-		if lines[name] == nil {
-			lines[name] = &chart.Line{Name: name}
-			order = append(order, name)
+		index, found := lines[name]
+		if !found {
+			index = len(plot.Lines)
+			lines[name] = index
+			plot.Lines = append(plot.Lines, chart.Line{Name: name})
 		}
-		lines[name].Points = append(lines[name].Points, q)
+		plot.Lines[index].Points = append(plot.Lines[index].Points, point)
 	}
-	if !any {
+	if !ok {
 		return "", false
 	}
-	for _, n := range order {
-		l := *lines[n]
-		slices.SortFunc(l.Points, func(a, b chart.Point) int { return compareFloats(a.X, b.X) })
-		if first, last := l.Points[0].X, l.Points[len(l.Points)-1].X; first > 0 && last >= 20*first {
-			p.Log = true
-		}
-		p.Lines = append(p.Lines, l)
-	}
-	return p.Draw(), true
-}
-
-func compareFloats(a, b float64) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
+	for _, line := range plot.Lines {
+		slices.SortFunc(line.Points, func(a, b chart.Point) int { return cmp.Compare(a.X, b.X) })
+		first, last := line.Points[0].X, line.Points[len(line.Points)-1].X
+		plot.Log = plot.Log || first > 0 && last >= minLogRatio*first
 	}
-	return 0
+	return plot.Draw(), true
 }
 
-// latencyChart draws the time from hand-in to delivery over its percentile, for up to eight cells, the seeds of each
-// together.
+// latencyChart draws the time from submission to delivery over its percentiles, for as many cells as there are colours.
 func latencyChart(cells []Cell) template.HTML {
-	p := chart.XY{Title: "lateness", Unit: "seconds from hand-in to delivery", Axis: "percentile", Height: 200}
-	for _, c := range cells[:min(len(cells), len(chart.Colours))] {
-		var sum *hdrhistogram.Histogram
-		for _, r := range c.Results {
-			if h := r.Histogram(); h != nil && sum == nil {
-				sum = h
-			} else if h != nil {
-				sum.Merge(h)
-			}
-		}
-		if sum == nil {
+	plot := chart.XY{
+		Title:  "lateness",
+		Unit:   "seconds from hand-in to delivery",
+		Axis:   "percentile",
+		Height: latencyChartHeight,
+	}
+	for _, cell := range cells[:min(len(cells), len(chart.Colours))] {
+		histogram := cell.histogram()
+		if histogram == nil {
 			continue
 		}
-		l := chart.Line{Name: strings.TrimSpace(c.Name())}
-		for _, x := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.9} {
-			y := float64(sum.ValueAtPercentile(x)) / 1e9
-			l.Points = append(l.Points, chart.Point{X: x, Y: y, Low: y, High: y})
+		line := chart.Line{Name: strings.TrimSpace(cell.Name())}
+		for _, percentile := range latencyPercentiles {
+			y := float64(histogram.ValueAtPercentile(percentile)) / nanosecondsPerSecond
+			line.Points = append(line.Points, chart.Point{X: percentile, Y: y, Low: y, High: y})
+		}
+		plot.Lines = append(plot.Lines, line)
+	}
+	return plot.Draw()
+}
+
+// histogram returns the latency of all results of a cell, or nil if none has any.
+func (c Cell) histogram() (sum *hdrhistogram.Histogram) {
+	for _, result := range c.Results {
+		histogram := result.Histogram()
+		switch {
+		case histogram == nil:
+		case sum == nil:
+			sum = histogram
+		default:
+			sum.Merge(histogram)
 		}
-		p.Lines = append(p.Lines, l)
 	}
-	return p.Draw()
+	return sum
 }
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment says what an experiment in virtual time is (a scenario, factors, seeds), has each of its runs
-// played, and tells gain from spread: paired differences over the same seeds with intervals of confidence. It does no
-// I/O but through the readers and writers that it is given.
+// Package experiment plays experiments in virtual time: a scenario, the factors that vary, and seeds. It tells an
+// effect from noise by paired differences over equal seeds with confidence intervals, and searches for faults that a
+// scenario's relays handle badly. It does no I/O but through the readers and writers that it is given.
 package experiment
 
 import (
@@ -8,79 +8,56 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"math"
-	"reflect"
+	"maps"
 	"slices"
-	"strconv"
-	"strings"
-	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/config/stricttoml"
-	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
-	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// maxRuns bounds the runs of an experiment.
-const maxRuns = 100_000
+const (
+	// maxRuns bounds the runs of an experiment.
+	maxRuns = 100_000
+	// defaultSeeds is the number of seeds of a plan that gives none.
+	defaultSeeds = 10
+	// defaultFirstSeed is the first seed of a plan that gives none.
+	defaultFirstSeed = 1
+)
 
-// Plan is an experiment as it stands in its file.
+// Plan is an experiment as its file describes it.
 type Plan struct {
-	Name     string         `toml:"name"`
-	About    string         `toml:"about"`
-	Scenario string         `toml:"scenario"` // one that is shipped, or a file
-	Seeds    int            `toml:"seeds"`    // 1 to so many; default 10
-	FirstSeed    uint64         `toml:"first_seed"`
-	Checked   bool           `toml:"judged"` // the rules are judged, too; a run then takes room for its record
-	Overrides      map[string]any `toml:"set"`    // what holds for all runs, by path
-	Factors  []Factor       `toml:"factor"`
+	Name  string `toml:"name"`
+	About string `toml:"about"`
+	// Scenario is the name of a shipped scenario, or a file.
+	Scenario string `toml:"scenario"`
+	// Seeds is how many seeds each cell is played with, by default defaultSeeds.
+	Seeds     int    `toml:"seeds"`
+	FirstSeed uint64 `toml:"first_seed"`
+	// Checked has the checker verify the rules of each run. Such a run keeps a record in memory.
+	Checked bool `toml:"judged"`
+	// Overrides are the settings of all runs, by path.
+	Overrides map[string]any `toml:"set"`
+	Factors   []Factor       `toml:"factor"`
 
 	text  string
-	lines map[string]int // of its keys
+	lines map[string]int // of the file's keys
 	base  scenario.File
 }
 
-// Factor is what varies: each value of each factor with each of the others. Paths are those of a scenario's file, with
-// entries of lists by their numbers, from 1, or * for all: relays, settings.slots, traffic.1.rate, destination.*.count;
-// those of the emulator (emulator.latency, emulator.zone_latency, emulator.idle_resets, emulator.connections,
-// emulator.beyond, emulator.mutant); and what modules are told beside the scenario (module.senders, module.cold_share,
-// module.overload_factor, module.warm_within, module.order_pause, module.slots).
+// Factor is a setting that varies: the plan combines each of its values with those of the other factors.
+//
+// Its path is one of a scenario's file, with entries of lists by their numbers from 1, or * for all (relays,
+// settings.slots, traffic.1.rate, destination.*.count), one of the emulator (emulator.latency, emulator.zone_latency,
+// emulator.idle_resets, emulator.connections, emulator.beyond, emulator.mutant), or a setting of the decision engine
+// that no scenario has (module.senders, module.cold_share, module.overload_factor, module.warm_within,
+// module.order_pause, module.slots).
 type Factor struct {
 	Path   string `toml:"path"`
 	Values []any  `toml:"values"`
 }
 
-// Level is one setting of a run.
-type Level struct {
-	Path string `json:"path"`
-	Value   string `json:"is"`
-}
-
-// Run is one run of an experiment.
-type Run struct {
-	Cell []Level // in the order of the factors
-	Seed uint64
-	assignments  []assignment
-}
-
-type assignment struct {
-	path  string
-	value any
-	line  int // of the file; 0: not known
-}
-
-// Key names a run within its experiment.
-func (r Run) Key() string { return fmt.Sprint(formatLevels(r.Cell), " seed=", r.Seed) }
-
-func formatLevels(cell []Level) string {
-	var parts []string
-	for _, v := range cell {
-		parts = append(parts, v.Path+"="+v.Value)
-	}
-	return strings.Join(parts, " ")
-}
-
-// Parse reads an experiment's file. All that is wrong is told at once; load reads the scenario that it names.
+// Parse reads an experiment's file and reports all that is wrong with it at once. load reads the scenario that the file
+// names.
 func Parse(name string, data []byte, load func(string) (scenario.File, error)) (Plan, error) {
 	var p Plan
 	if err := stricttoml.Decode("experiment "+name, data, &p); err != nil {
@@ -88,65 +65,21 @@
 	}
 	p.text, p.lines = string(data), stricttoml.Lines(data)
 	if p.Seeds == 0 {
-		p.Seeds = 10
+		p.Seeds = defaultSeeds
 	}
 	if p.FirstSeed == 0 {
-		p.FirstSeed = 1
-	}
-	var errs []error
-	wrong := func(key, format string, args ...any) {
-		errs = append(errs, atLine(p.lines[key], fmt.Errorf(format, args...)))
-	}
-	if p.Name == "" {
-		wrong("", "no name")
-	}
-	if p.Seeds < 0 {
-		wrong("seeds", "seeds must be above 0, not %d", p.Seeds)
-	}
-	runs := max(1, p.Seeds)
-	seen := map[string]bool{}
-	for i, f := range p.Factors {
-		at := fmt.Sprintf("factor[%d]", i+1)
-		if len(f.Values) == 0 {
-			wrong(at, "factor %d (%s) has no values", i+1, f.Path)
-		}
-		if seen[f.Path] {
-			wrong(at+".path", "factor %d: %s is a factor already", i+1, f.Path)
-		}
-		seen[f.Path] = true
-		for k, v := range f.Values {
-			if slices.ContainsFunc(f.Values[:k], func(o any) bool { return formatValue(o) == formatValue(v) }) {
-				wrong(at+".values", "factor %d (%s): the value %s is given twice", i+1, f.Path, formatValue(v))
-			}
-		}
-		if runs <= maxRuns {
-			runs *= max(1, len(f.Values))
-		}
-	}
-	if runs > maxRuns {
-		wrong("seeds", "more than %d runs", maxRuns)
+		p.FirstSeed = defaultFirstSeed
 	}
+	errs := p.check()
 	if p.Scenario == "" {
-		wrong("", "no scenario")
-		return Plan{}, fmt.Errorf("experiment %s: %w", name, errors.Join(errs...))
-	}
-	base, err := load(p.Scenario)
-	if err != nil {
-		wrong("scenario", "%w", err)
-		return Plan{}, fmt.Errorf("experiment %s: %w", name, errors.Join(errs...))
+		errs = append(errs, p.errorAt("", "no scenario"))
+	} else if base, err := load(p.Scenario); err != nil {
+		errs = append(errs, p.errorAt("scenario", "%w", err))
+	} else {
+		p.base = base
 	}
-	p.base = base
 	if len(errs) == 0 {
-		tried := map[string]bool{} // each value by itself: what is wrong with one is told once
-		for _, r := range p.Runs() {
-			if r.Seed != p.FirstSeed {
-				continue
-			}
-			if _, _, err := p.scenarioFor(r); err != nil && !tried[err.Error()] {
-				tried[err.Error()] = true
-				errs = append(errs, err)
-			}
-		}
+		errs = p.checkCells()
 	}
 	if len(errs) > 0 {
 		return Plan{}, fmt.Errorf("experiment %s: %w", name, errors.Join(errs...))
@@ -154,283 +87,118 @@
 	return p, nil
 }
 
-// atLine says where in the file an error stands, if that is known.
-func atLine(line int, err error) error {
-	if line == 0 {
-		return err
-	}
-	return fmt.Errorf("line %d: %w", line, err)
-}
-
-// Hash names the experiment: its file, and the scenario that it is about.
-func (p Plan) Hash() string {
-	h := sha256.New()
-	base, err := p.base.Encode()
-	if err != nil {
-		base = []byte(err.Error()) // plain values: there is none
-	}
-	fmt.Fprintf(h, "%s\n%s", p.text, base)
-	return hex.EncodeToString(h.Sum(nil)[:8])
-}
-
-func formatValue(v any) string {
-	if f, ok := v.(float64); ok {
-		return strconv.FormatFloat(f, 'g', -1, 64)
-	}
-	return fmt.Sprint(v)
-}
-
-// Runs are all runs, those of one cell together.
-func (p Plan) Runs() (all []Run) {
-	cells := []Run{{}}
-	for _, path := range sortedKeys(p.Overrides) {
-		cells[0].assignments = append(cells[0].assignments, assignment{path, p.Overrides[path], p.lines["set."+path]})
+// check returns what is wrong with the file itself.
+func (p *Plan) check() (errs []error) {
+	if p.Name == "" {
+		errs = append(errs, p.errorAt("", "no name"))
 	}
-	for i, f := range p.Factors {
-		var next []Run
-		for _, c := range cells {
-			for _, v := range f.Values {
-				next = append(next, Run{
-					Cell: append(
-						slices.Clone(c.Cell),
-						Level{f.Path, formatValue(v)},
-					), assignments: append(slices.Clone(c.assignments), assignment{f.Path, v, p.lines[fmt.Sprintf("factor[%d].values", i+1)]}),
-				})
-			}
-		}
-		cells = next
+	if p.Seeds < 0 {
+		errs = append(errs, p.errorAt("seeds", "seeds must be above 0, not %d", p.Seeds))
 	}
-	for _, c := range cells {
-		for s := range p.Seeds {
-			c.Seed = p.FirstSeed + uint64(s)
-			all = append(all, c)
+	runs := max(1, p.Seeds)
+	paths := map[string]bool{}
+	for i, factor := range p.Factors {
+		errs = append(errs, p.checkFactor(i, paths[factor.Path])...)
+		paths[factor.Path] = true
+		if runs <= maxRuns {
+			runs *= max(1, len(factor.Values))
 		}
 	}
-	return all
-}
-
-func sortedKeys(m map[string]any) []string {
-	var keys []string
-	for k := range m {
-		keys = append(keys, k)
+	if runs > maxRuns {
+		errs = append(errs, p.errorAt("seeds", "more than %d runs", maxRuns))
 	}
-	slices.Sort(keys)
-	return keys
+	return errs
 }
 
-// scenarioFor is a run's scenario and options.
-func (p Plan) scenarioFor(r Run) (scenario.File, emulate.Options, error) {
-	f := p.base.Clone()
-	opts := emulate.Options{Record: p.Checked}
-	var module []func(*policy.Settings)
-	var errs []error
-	for _, a := range r.assignments {
-		head, rest, _ := strings.Cut(a.path, ".")
-		var err error
-		switch head {
-		case "emulator":
-			err = setOption(&opts, rest, a.value)
-		case "module":
-			var set func(*policy.Settings)
-			if set, err = setModule(rest, a.value); err == nil {
-				module = append(module, set)
-			}
-		default:
-			err = setPath(reflect.ValueOf(&f).Elem(), strings.Split(a.path, "."), a.value)
-		}
-		if err != nil {
-			errs = append(errs, atLine(a.line, fmt.Errorf("%s = %s: %w", a.path, formatValue(a.value), err)))
-		}
+// checkFactor returns what is wrong with a factor. duplicate tells that an earlier factor has its path.
+func (p *Plan) checkFactor(index int, duplicate bool) (errs []error) {
+	factor, number, key := p.Factors[index], index+1, factorKey(index)
+	if len(factor.Values) == 0 {
+		errs = append(errs, p.errorAt(key, "factor %d (%s) has no values", number, factor.Path))
 	}
-	if len(errs) > 0 {
-		return f, opts, errors.Join(errs...)
+	if duplicate {
+		errs = append(errs, p.errorAt(key+".path", "factor %d: %s is a factor already", number, factor.Path))
 	}
-	if len(module) > 0 {
-		opts.Settings = func(s *policy.Settings) {
-			for _, set := range module {
-				set(s)
-			}
+	for i, value := range factor.Values {
+		text := formatValue(value)
+		isEqual := func(other any) bool { return formatValue(other) == text }
+		if slices.ContainsFunc(factor.Values[:i], isEqual) {
+			errs = append(errs, p.errorAt(
+				key+".values", "factor %d (%s): the value %s is given twice", number, factor.Path, text,
+			))
 		}
 	}
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
-		return f, opts, fmt.Errorf("with %s: %w", cmpOr(formatLevels(r.Cell), "what is set for all"), err)
-	}
-	return f, opts, nil
+	return errs
 }
 
-func cmpOr(a, b string) string {
-	if a == "" {
-		return b
+// checkCells returns what is wrong with the scenarios of the cells, each error once.
+func (p *Plan) checkCells() (errs []error) {
+	reported := map[string]bool{}
+	for _, run := range p.Runs() {
+		if run.Seed != p.FirstSeed {
+			continue
+		}
+		if _, _, err := p.scenarioFor(run); err != nil && !reported[err.Error()] {
+			reported[err.Error()] = true
+			errs = append(errs, err)
+		}
 	}
-	return a
+	return errs
 }
 
-func number(v any) (float64, error) {
-	switch x := v.(type) {
-	case int64:
-		return float64(x), nil
-	case float64:
-		return x, nil
-	}
-	return 0, fmt.Errorf("a number is wanted")
-}
+// factorKey is the key of a factor in the file.
+func factorKey(index int) string { return fmt.Sprintf("factor[%d]", index+1) }
 
-func duration(v any) (time.Duration, error) {
-	s, ok := v.(string)
-	if !ok {
-		return 0, fmt.Errorf("a duration such as \"1.5s\" is wanted")
-	}
-	d, err := time.ParseDuration(s)
-	if err != nil || d < 0 {
-		return 0, fmt.Errorf("a duration such as \"1.5s\" is wanted")
-	}
-	return d, nil
+// errorAt returns an error with the line of a key of the file, if the file has that key.
+func (p *Plan) errorAt(key, format string, args ...any) error {
+	return atLine(p.lines[key], fmt.Errorf(format, args...))
 }
 
-func setOption(o *emulate.Options, key string, v any) (err error) {
-	switch key {
-	case "latency":
-		o.Latency, err = duration(v)
-	case "zone_latency":
-		o.ZoneLatency, err = duration(v)
-	case "idle_resets":
-		if o.IdleResets, err = number(v); err == nil && (o.IdleResets < 0 || o.IdleResets > 1) {
-			err = fmt.Errorf("a share of 0 to 1 is wanted")
-		}
-	case "connections":
-		x, err := number(v)
-		if o.Connections = int(x); err == nil && (x < 0 || x != math.Trunc(x)) {
-			err = fmt.Errorf("a whole number, 0 or more, is wanted")
-		}
+// atLine adds a line of the file to an error. 0 means that the line is unknown.
+func atLine(line int, err error) error {
+	if line == 0 {
 		return err
-	case "beyond":
-		name, _ := v.(string)
-		i := slices.Index(emulate.Beyonds, name)
-		if o.Beyond = emulate.Beyond(max(0, i)); i < 0 {
-			err = fmt.Errorf("one of %q is wanted", emulate.Beyonds)
-		}
-	case "mutant":
-		name, _ := v.(string)
-		if o.Wrong = emulate.MutantNamed(name); o.Wrong == nil && name != "" {
-			err = fmt.Errorf("no such mutant")
-		}
-	default:
-		err = fmt.Errorf(
-			"the emulator has no such setting: latency, zone_latency, idle_resets, connections, beyond or mutant",
-		)
 	}
-	return err
+	return fmt.Errorf("line %d: %w", line, err)
 }
 
-func setModule(key string, v any) (func(*policy.Settings), error) {
-	switch key {
-	case "warm_within", "order_pause":
-		d, err := duration(v)
-		return func(s *policy.Settings) {
-			if key == "warm_within" {
-				s.WarmUpDuration = d
-			} else {
-				s.OrderingPause = d
-			}
-		}, err
-	case "senders", "slots", "cold_share", "overload_factor":
-		x, err := number(v)
-		return func(s *policy.Settings) {
-			switch key {
-			case "senders":
-				s.FleetSize = int(x)
-			case "slots":
-				s.MaxInFlightCalls = int(x)
-			case "cold_share":
-				s.WarmUpInitialCapacity = x
-			default:
-				s.OverloadFactor = x
-			}
-		}, err
+// Hash identifies the experiment by its file and its scenario.
+func (p Plan) Hash() string {
+	base, err := p.base.Encode()
+	if err != nil {
+		base = []byte(err.Error()) // cannot happen: a scenario has plain values only
 	}
-	return nil, fmt.Errorf("no such setting: senders, slots, cold_share, overload_factor, warm_within or order_pause")
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s\n%s", p.text, base))
+	return hex.EncodeToString(sum[:8])
 }
 
-// setPath sets the field at a path of toml names.
-func setPath(v reflect.Value, path []string, value any) error {
-	if len(path) == 0 {
-		return setValue(v, value)
-	}
-	switch v.Kind() {
-	case reflect.Pointer:
-		if v.IsNil() {
-			v.Set(reflect.New(v.Type().Elem()))
-		}
-		return setPath(v.Elem(), path, value)
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).Tag.Get("toml") == path[0] {
-				return setPath(v.Field(i), path[1:], value)
-			}
+// Runs returns all runs, those of one cell together.
+func (p Plan) Runs() (runs []Run) {
+	for _, cell := range p.cells() {
+		for i := range p.Seeds {
+			cell.Seed = p.FirstSeed + uint64(i)
+			runs = append(runs, cell)
 		}
-	case reflect.Slice:
-		if path[0] == "*" {
-			for i := range v.Len() {
-				if err := setPath(v.Index(i), path[1:], value); err != nil {
-					return err
-				}
-			}
-			return nil
-		}
-		n, err := strconv.Atoi(path[0])
-		if err != nil || n < 1 || n > v.Len() {
-			return fmt.Errorf("%q is none of 1 to %d, nor *", path[0], v.Len())
-		}
-		return setPath(v.Index(n-1), path[1:], value)
 	}
-	return fmt.Errorf("a scenario has no %q there", path[0])
+	return runs
 }
 
-func setValue(v reflect.Value, value any) error {
-	if v.Type() == reflect.TypeFor[scenario.Duration]() {
-		d, err := duration(value)
-		if err == nil {
-			v.SetInt(int64(d))
-		}
-		return err
+// cells returns a run without a seed for each combination of the factors' values.
+func (p Plan) cells() []Run {
+	var overrides []assignment
+	for _, path := range slices.Sorted(maps.Keys(p.Overrides)) {
+		overrides = append(overrides, assignment{path: path, value: p.Overrides[path], line: p.lines["set."+path]})
 	}
-	switch v.Kind() {
-	case reflect.Pointer:
-		if v.IsNil() {
-			v.Set(reflect.New(v.Type().Elem()))
-		}
-		return setValue(v.Elem(), value)
-	case reflect.Int, reflect.Uint64:
-		n, ok := value.(int64)
-		if !ok || n < 0 {
-			return fmt.Errorf("a whole number is wanted")
-		}
-		if v.Kind() == reflect.Int {
-			v.SetInt(n)
-		} else {
-			v.SetUint(uint64(n))
-		}
-		return nil
-	case reflect.Float64:
-		x, err := number(value)
-		if err == nil {
-			v.SetFloat(x)
-		}
-		return err
-	case reflect.Bool:
-		b, ok := value.(bool)
-		if !ok {
-			return fmt.Errorf("true or false is wanted")
-		}
-		v.SetBool(b)
-		return nil
-	case reflect.String:
-		s, ok := value.(string)
-		if !ok {
-			return fmt.Errorf("text is wanted")
+	cells := []Run{{assignments: overrides}}
+	for i, factor := range p.Factors {
+		line := p.lines[factorKey(i)+".values"]
+		var combined []Run
+		for _, cell := range cells {
+			for _, value := range factor.Values {
+				combined = append(combined, cell.with(factor.Path, value, line))
+			}
 		}
-		v.SetString(s)
-		return nil
+		cells = combined
 	}
-	return fmt.Errorf("this cannot be set")
+	return cells
 }
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -1,218 +1,131 @@
 package experiment
 
 import (
-	"bufio"
-	"context"
+	"cmp"
 	"encoding/base64"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"math"
-	"runtime"
-	"sync"
-	"time"
+	"slices"
+	"strings"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Result is what came of a run: one line of a file of results.
-type Result struct {
-	Plan     string  `json:"plan"` // Plan.Hash
-	Revision string  `json:"revision"`
-	Cell     []Level `json:"cell"`
-	Seed     uint64  `json:"seed"`
-	// Measures by their names: see MeasureNames.
-	Measures map[string]float64 `json:"measures"`
-	BrokenRules   map[string]int     `json:"broken,omitempty"` // rules, with the number of breaks
-	LatencyHistogram     string             `json:"late,omitempty"`   // the histogram from hand-in to delivery, in HdrHistogram's form
-	Error    string             `json:"error,omitempty"`  // the run could not be played to its end
+// Level is the value of a factor in a cell.
+type Level struct {
+	Path  string `json:"path"`
+	Value string `json:"is"`
 }
 
-// MeasureNames are the measures of a run, with what each is.
-var MeasureNames = [][2]string{
-	{"service", "worth delivered of the worth asked for"},
-	{"worst_10s", "the same of the worst ten seconds"},
-	{"in_full", "share of the messages delivered within the aim"},
-	{"late_p50", "seconds from hand-in to delivery, median"},
-	{"late_p99", "seconds from hand-in to delivery, 99 %"},
-	{"refused", "share of the messages turned away at the door"},
-	{"deferred", "share given up on with advice to come again"},
-	{"failed", "share given up on with no promise"},
-	{"undelivered", "share never delivered"},
-	{"calls", "calls for each message"},
-	{"calls_full", "share of the calls that were refused"},
-	{"calls_failed", "share of the calls that failed"},
-	{"connections", "new connections for each message"},
-	{"connections_full", "share of them that a host with a full table refused"},
-	{"fell", "destinations pushed over"},
-	{"broken", "rules broken (judged runs)"},
+// Run is one run of an experiment: a cell, that is a level of each factor, with a seed.
+type Run struct {
+	Cell []Level // in the order of the factors
+	Seed uint64
+
+	assignments []assignment
 }
 
-// Play plays a run. It plays the same run to the same result, byte for byte.
-func (p Plan) Play(r Run) (res Result) {
-	res = Result{Plan: p.Hash(), Cell: r.Cell, Seed: r.Seed}
-	f, opts, err := p.scenarioFor(r)
-	var w *emulate.World
-	if err == nil {
-		plan := f.DrawWorld(r.Seed)
-		if p.Checked {
-			plan = f.Draw(r.Seed)
-		}
-		if w, err = emulate.New(plan, opts); err == nil {
-			err = w.Play()
-		}
+// Key names a run within its experiment.
+func (r Run) Key() string { return runKey(r.Cell, r.Seed) }
+
+// with returns the run with one more factor.
+func (r Run) with(path string, value any, line int) Run {
+	return Run{
+		Cell:        append(slices.Clone(r.Cell), Level{Path: path, Value: formatValue(value)}),
+		Seed:        r.Seed,
+		assignments: append(slices.Clone(r.assignments), assignment{path: path, value: value, line: line}),
+	}
+}
+
+func runKey(levels []Level, seed uint64) string {
+	return fmt.Sprintf("%s seed=%d", formatLevels(levels), seed)
+}
+
+func formatLevels(levels []Level) string {
+	var parts []string
+	for _, level := range levels {
+		parts = append(parts, level.Path+"="+level.Value)
 	}
+	return strings.Join(parts, " ")
+}
+
+// Play plays a run. Equal runs give equal results, byte for byte.
+func (p Plan) Play(run Run) Result {
+	result := Result{Plan: p.Hash(), Cell: run.Cell, Seed: run.Seed}
+	world, err := p.simulate(run)
 	if err != nil {
-		res.Error = err.Error()
-		return res
+		result.Error = err.Error()
+		return result
 	}
-	res.Measures = Measurements(&w.Measures)
+	result.Measures = Measurements(&world.Measures)
 	if p.Checked {
-		h, events := w.Result()
-		v := checker.Judge(h, events)
-		res.BrokenRules = map[string]int{}
-		for _, x := range v.Findings {
-			if x.Count > 0 {
-				res.BrokenRules[string(x.Rule)] = x.Count
-			}
-		}
-		res.Measures["broken"] = float64(len(res.BrokenRules))
+		result.BrokenRules = brokenRules(world)
+		result.Measures[MeasureBroken] = float64(len(result.BrokenRules))
 	}
-	if data, err := w.Histogram().Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
-		res.LatencyHistogram = base64.StdEncoding.EncodeToString(data)
+	histogram, err := world.Histogram().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	if err == nil { // a result without its histogram is still one
+		result.LatencyHistogram = base64.StdEncoding.EncodeToString(histogram)
 	}
-	return res
+	return result
 }
 
-// Measurements is the measures of a run by their names.
-func Measurements(m *emulate.Measures) map[string]float64 {
-	share := func(n, of int) float64 { return math.Round(1e6*float64(n)/float64(max(1, of))) / 1e6 }
-	return map[string]float64{
-		"service": round(m.Whole()), "worst_10s": round(m.Worst10s()), "in_full": share(m.InFull, m.Offered),
-		"late_p50": m.Late(50).Seconds(), "late_p99": m.Late(99).Seconds(),
-		"refused": share(
-			m.Refused,
-			m.Offered,
-		), "deferred": share(m.Deferred, m.Offered), "failed": share(m.Failed, m.Offered),
-		"undelivered": share(m.Undelivered(), m.Offered), "calls": share(m.Calls, m.Offered),
-		"calls_full": share(
-			m.CallsFull,
-			m.Calls,
-		), "calls_failed": share(m.CallsFailed, m.Calls), "fell": float64(m.Fell),
-		"connections": share(
-			m.Opened+m.NotOpened,
-			m.Offered,
-		), "connections_full": share(m.NotOpened, m.Opened+m.NotOpened),
-	}
-}
-
-func round(x float64) float64 { return math.Round(1e6*x) / 1e6 }
-
-// Progress is told after each run.
-type Progress func(done, of int, res Result)
-
-// PlayAll plays the runs that are not among the results had before, on so many workers (0: one for each core), and writes
-// each result as it comes, a line at a time: what is done is kept whatever ends it. It ends early, with ctx's error,
-// once the runs that are under way are done.
-func (p Plan) PlayAll(
-	ctx context.Context,
-	out io.Writer,
-	revision string,
-	had []Result,
-	workers int,
-	progress Progress,
-) (n int, err error) {
-	done := map[string]bool{}
-	hash := p.Hash()
-	for _, r := range had {
-		if r.Plan == hash && r.Revision == revision && r.Error == "" {
-			done[Run{Cell: r.Cell, Seed: r.Seed}.Key()] = true
-		}
+// simulate plays the world of a run to its end.
+func (p Plan) simulate(run Run) (*emulate.World, error) {
+	file, options, err := p.scenarioFor(run)
+	if err != nil {
+		return nil, err
 	}
-	runs := p.Runs()
-	todo := make(chan Run)
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	if workers <= 0 {
-		workers = runtime.GOMAXPROCS(0)
+	draw := file.DrawWorld
+	if p.Checked {
+		draw = file.Draw
 	}
-	count := len(done)
-	for range workers {
-		wg.Go(func() {
-			for r := range todo {
-				res := p.Play(r)
-				res.Revision = revision
-				line, e := json.Marshal(res)
-				mu.Lock()
-				if e == nil {
-					_, e = out.Write(append(line, '\n'))
-				}
-				err = errors.Join(err, e)
-				n++
-				count++
-				if progress != nil {
-					progress(count, len(runs), res)
-				}
-				mu.Unlock()
-			}
-		})
+	world, err := emulate.New(draw(run.Seed), options)
+	if err != nil {
+		return nil, err
 	}
-	for _, r := range runs {
-		if done[r.Key()] {
-			continue
-		}
-		select {
-		case todo <- r:
-			continue
-		case <-ctx.Done():
+	return world, world.Play()
+}
+
+// brokenRules returns the rules that a recorded run broke, with the number of violations.
+func brokenRules(world *emulate.World) map[string]int {
+	broken := map[string]int{}
+	for _, finding := range checker.Judge(world.Result()).Findings {
+		if finding.Count > 0 {
+			broken[string(finding.Rule)] = finding.Count
 		}
-		break
 	}
-	close(todo)
-	wg.Wait()
-	return n, errors.Join(err, ctx.Err())
+	return broken
 }
 
-const maxLineSize = 1 << 20
-
-// ReadResults reads results. A torn last line, as after a kill, is left out.
-func ReadResults(r io.Reader) (all []Result, err error) {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLineSize)
-	var torn error
-	for n := 1; lines.Scan(); n++ {
-		if torn != nil {
-			return all, torn
-		}
-		var x Result
-		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
-			torn = fmt.Errorf("results: line %d: %w", n, err)
-			continue
+// scenarioFor returns the scenario of a run and the emulator's options.
+func (p Plan) scenarioFor(run Run) (scenario.File, emulate.Options, error) {
+	file := p.base.Clone()
+	options := emulate.Options{Record: p.Checked}
+	var engine []engineSetting
+	var errs []error
+	for _, a := range run.assignments {
+		if err := a.apply(&file, &options, &engine); err != nil {
+			errs = append(errs, atLine(a.line, fmt.Errorf("%s = %s: %w", a.path, formatValue(a.value), err)))
 		}
-		all = append(all, x)
 	}
-	if err := lines.Err(); err != nil {
-		return all, fmt.Errorf("results: %w", err)
+	if len(errs) > 0 {
+		return file, options, errors.Join(errs...)
 	}
-	return all, nil
-}
-
-// Histogram is the histogram of a result, nil if it has none that can be read.
-func (r Result) Histogram() *hdrhistogram.Histogram {
-	data, err := base64.StdEncoding.DecodeString(r.LatencyHistogram)
-	if err != nil || len(data) == 0 {
-		return nil
+	if len(engine) > 0 {
+		options.Settings = func(s *policy.Settings) {
+			for _, set := range engine {
+				set(s)
+			}
+		}
 	}
-	h, err := hdrhistogram.Decode(data)
-	if err != nil {
-		return nil
+	if err := file.CheckFor(scenario.EmulatorBounds); err != nil {
+		with := cmp.Or(formatLevels(run.Cell), "what is set for all")
+		return file, options, fmt.Errorf("with %s: %w", with, err)
 	}
-	return h
+	return file, options, nil
 }
-
-// Took formats a duration for people.
-func Took(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
--- /dev/null
+++ b/internal/simulation/experiment/search_test.go
@@ -0,0 +1,59 @@
+package experiment
+
+import (
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+)
+
+// TestSearch searches for what breaks a relay that ignores drains. The scenario found is small, reads back, and still
+// breaks that relay, but not the relay as it is. One worker finds the same as several.
+func TestSearch(t *testing.T) {
+	base, err := scenario.Load("quiet-day")
+	if err != nil {
+		t.Fatal(err)
+	}
+	search := Search{Base: base, Candidates: 12, Seed: 3, Mutant: emulate.MutantNamed("drains-ignored")}
+	found, err := search.Run(t.Context())
+	if err != nil || len(found.BrokenRules) == 0 || found.BrokenRules[0] != checker.Drain {
+		t.Fatalf("%+v, %v", found.BrokenRules, err)
+	}
+	t.Run("one worker", func(t *testing.T) {
+		single := search
+		single.Workers = 1
+		other, err := single.Run(t.Context())
+		if err != nil || other.Seed != found.Seed || other.Service != found.Service ||
+			len(other.Scenario.Troubles) != len(found.Scenario.Troubles) {
+			t.Errorf("one worker found another: %v", err)
+		}
+	})
+	t.Run("read back", func(t *testing.T) { checkReadBack(t, search, found) })
+}
+
+// checkReadBack encodes a scenario that was found, and plays what it reads back.
+func checkReadBack(t *testing.T, search Search, found Candidate) {
+	t.Helper()
+	data, err := found.Scenario.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := scenario.Parse("hunted", data)
+	if err != nil {
+		t.Fatalf("%v\n%s", err, data)
+	}
+	if len(file.Troubles) != 1 || file.Length.D() > 40*time.Second {
+		t.Errorf("%d faults in %v", len(file.Troubles), file.Length.D())
+	}
+	again, err := search.play(file, found.Seed)
+	if err != nil || len(again.BrokenRules) == 0 {
+		t.Errorf("the mutant: %v, %v", again.BrokenRules, err)
+	}
+	search.Mutant = nil
+	again, err = search.play(file, found.Seed)
+	if err != nil || len(again.BrokenRules) > 0 {
+		t.Errorf("the relay as it is: %v, %v", again.BrokenRules, err)
+	}
+}
--- /dev/null
+++ b/internal/simulation/experiment/shrink.go
@@ -0,0 +1,140 @@
+package experiment
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+)
+
+const (
+	// minLossKept is the part of a loss of service that a smaller scenario must keep to replace the larger one.
+	minLossKept = 0.9
+	// minSettleTime is how long a shortened scenario goes on after its last fault.
+	minSettleTime = 10 * time.Second
+	// minLength is the length of a shortened scenario without faults, before it is rounded up.
+	minLength = time.Second
+	// minRate is the rate, in messages a second, up to which traffic is not halved.
+	minRate = 10
+	// minFaultDuration is the duration up to which a fault is not halved.
+	minFaultDuration = 2 * time.Second
+	// timeUnit is what drawn and halved times are rounded to.
+	timeUnit = 100 * time.Millisecond
+)
+
+// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it breaks the same
+// rule, or loses nearly as much.
+func (s Search) shrink(ctx context.Context, found Candidate) Candidate {
+	loss := 1 - found.Service
+	showsSame := func(candidate Candidate) bool {
+		if len(found.BrokenRules) > 0 {
+			return slices.Contains(candidate.BrokenRules, found.BrokenRules[0])
+		}
+		return 1-candidate.Service >= minLossKept*loss
+	}
+	for ctx.Err() == nil {
+		smaller, ok := s.shrinkStep(ctx, &found, showsSame)
+		if !ok {
+			break
+		}
+		found = smaller
+	}
+	return found
+}
+
+// shrinkStep returns the first smaller scenario that shows the same. It counts its plays in found.
+func (s Search) shrinkStep(ctx context.Context, found *Candidate, showsSame func(Candidate) bool) (Candidate, bool) {
+	for _, file := range smallerScenarios(found.Scenario) {
+		if ctx.Err() != nil {
+			break
+		}
+		if file.CheckFor(scenario.EmulatorBounds) != nil {
+			continue
+		}
+		candidate, err := s.play(file, found.Seed)
+		found.Plays++
+		if err == nil && showsSame(candidate) {
+			candidate.Plays = found.Plays
+			return candidate, true
+		}
+	}
+	return Candidate{}, false
+}
+
+// smallerScenarios returns the scenarios that are one step smaller, those that remove most first.
+func smallerScenarios(file scenario.File) (smaller []scenario.File) {
+	add := func(change func(*scenario.File)) {
+		changed := file.Clone()
+		change(&changed)
+		smaller = append(smaller, changed)
+	}
+	for i := range file.Troubles {
+		add(func(f *scenario.File) { f.Troubles = slices.Delete(f.Troubles, i, i+1) })
+	}
+	if len(file.Traffic) > 1 {
+		for i := range file.Traffic {
+			add(func(f *scenario.File) { f.Traffic = slices.Delete(f.Traffic, i, i+1) })
+		}
+	}
+	if length := shortestLength(file); length < file.Length.D() {
+		add(func(f *scenario.File) { shorten(f, length) })
+	}
+	if file.Relays > 1 {
+		add(removeRelay)
+	}
+	for i, traffic := range file.Traffic {
+		if traffic.Rate > minRate {
+			add(func(f *scenario.File) { f.Traffic[i].Rate = float64(int(traffic.Rate / 2)) })
+		}
+	}
+	for i := range file.Troubles {
+		for _, change := range smallerFault(file.Troubles[i]) {
+			add(func(f *scenario.File) { change(&f.Troubles[i]) })
+		}
+	}
+	return smaller
+}
+
+// smallerFault returns the steps that make a fault smaller.
+func smallerFault(fault scenario.Trouble) (changes []func(*scenario.Trouble)) {
+	if fault.For.D() > minFaultDuration {
+		half := scenario.Duration((fault.For.D() / 2).Round(timeUnit))
+		changes = append(changes, func(f *scenario.Trouble) { f.For = half })
+	}
+	if len(fault.Destinations) > 1 {
+		for i := range fault.Destinations {
+			changes = append(changes, func(f *scenario.Trouble) {
+				f.Destinations = slices.Delete(f.Destinations, i, i+1)
+			})
+		}
+	}
+	return changes
+}
+
+// shortestLength is the length, in whole seconds, that leaves room for all faults and what follows them.
+func shortestLength(file scenario.File) time.Duration {
+	length := minLength
+	for _, fault := range file.Troubles {
+		length = max(length, (fault.At+fault.For+fault.Drain).D()+minSettleTime)
+	}
+	return length.Truncate(time.Second) + time.Second
+}
+
+// shorten ends a scenario earlier.
+func shorten(file *scenario.File, length time.Duration) {
+	file.Length = scenario.Duration(length)
+	file.Traffic = slices.DeleteFunc(file.Traffic, func(t scenario.Traffic) bool { return t.From.D() >= length })
+	for i := range file.Traffic {
+		file.Traffic[i].To = min(file.Traffic[i].To, file.Length)
+	}
+}
+
+// removeRelay removes the last relay, also from the faults.
+func removeRelay(file *scenario.File) {
+	file.Relays--
+	isRemoved := func(relay int) bool { return relay > file.Relays }
+	for i := range file.Troubles {
+		file.Troubles[i].Relays = slices.DeleteFunc(file.Troubles[i].Relays, isRemoved)
+	}
+}
--- /dev/null
+++ b/internal/simulation/experiment/variant.go
@@ -0,0 +1,104 @@
+package experiment
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+)
+
+// The bounds of what a search draws.
+const (
+	maxFaults            = 5
+	maxFaultDestinations = 3
+	minFaultTime         = time.Second // from the start, and for how long
+	maxFaultDuration     = 12 * time.Second
+	// latestFaultTenths is the part of the scenario's length, in tenths, in which faults begin.
+	latestFaultTenths = 7
+	minDiscoveryDelay = 500 * time.Millisecond
+	maxDiscoveryDelay = 5 * time.Second
+)
+
+// faultKinds are the faults that a search draws from.
+var faultKinds = []string{
+	scenario.Draining,
+	scenario.Gone,
+	scenario.Fail,
+	scenario.Shut,
+	scenario.SlowDown,
+	scenario.Silent,
+	scenario.Death,
+	scenario.Cut,
+	scenario.DiscoveryDown,
+	scenario.DiscoveryLate,
+	scenario.Term,
+	scenario.Kill,
+}
+
+// drawVariant returns a scenario with other faults and another load. The draws have a fixed order, so that a seed gives
+// the same variant again.
+func drawVariant(base scenario.File, random *rand.Rand) scenario.File {
+	file := base.Clone()
+	file.Name = base.Name + "-hunted"
+	file.About = "Found by a hunt."
+	file.Troubles = nil
+	for range 1 + random.IntN(maxFaults) {
+		file.Troubles = append(file.Troubles, drawFault(&file, random))
+	}
+	factor := 0.5 + random.Float64()
+	for i := range file.Traffic {
+		file.Traffic[i].Rate = max(1, float64(int(file.Traffic[i].Rate*factor)))
+	}
+	file.SetDefaults()
+	return file
+}
+
+func drawFault(file *scenario.File, random *rand.Rand) scenario.Trouble {
+	fault := scenario.Trouble{
+		Kind: faultKinds[random.IntN(len(faultKinds))],
+		At:   drawDuration(random, minFaultTime, file.Length.D()*latestFaultTenths/10),
+		For:  drawDuration(random, minFaultTime, maxFaultDuration),
+	}
+	switch fault.Kind {
+	case scenario.Draining, scenario.Gone:
+		fault.Share = 0.1 + 0.6*random.Float64()
+		fault.Replace = random.IntN(4) > 0
+		fault.Batch = 1 + random.IntN(3)
+	case scenario.DiscoveryDown:
+	case scenario.DiscoveryLate:
+		fault.Delay = drawDuration(random, minDiscoveryDelay, maxDiscoveryDelay)
+	case scenario.Term, scenario.Kill:
+		fault.For = 0
+		fault.Relays = []int{1 + random.IntN(file.Relays)}
+	case scenario.Fail:
+		fault.Calls = 0.3 + 0.7*random.Float64()
+		fault.Destinations = drawDestinations(file, random)
+	case scenario.SlowDown:
+		fault.Factor = 2 + 15*random.Float64()
+		fault.Destinations = drawDestinations(file, random)
+	default:
+		fault.Destinations = drawDestinations(file, random)
+	}
+	return fault
+}
+
+func drawDuration(random *rand.Rand, shortest, longest time.Duration) scenario.Duration {
+	drawn := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
+	return scenario.Duration(drawn.Round(timeUnit))
+}
+
+// drawDestinations draws up to maxFaultDestinations of a scenario's destinations, by their numbers from 1.
+func drawDestinations(file *scenario.File, random *rand.Rand) (numbers []int) {
+	total := 0
+	for _, destination := range file.Destinations {
+		total += destination.Count
+	}
+	for range 1 + random.IntN(maxFaultDestinations) {
+		if number := 1 + random.IntN(total); !slices.Contains(numbers, number) {
+			numbers = append(numbers, number)
+		}
+	}
+	slices.Sort(numbers)
+	return numbers
+}
