--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -402,14 +402,14 @@
 }
 
 // members is a list of two endpoints for each of n destinations, all at one address.
-func members(n int, addr, state string) []fake.Member {
-	all := make([]fake.Member, 0, 2*n)
+func members(n int, addr, state string) []fake.ListedEndpoint {
+	all := make([]fake.ListedEndpoint, 0, 2*n)
 	for i := range 2 * n {
-		all = append(all, fake.Member{
+		all = append(all, fake.ListedEndpoint{
 			ID: fmt.Sprintf(
 				"s-%08x",
 				i,
-			), Addr: addr, Zone: []string{"a", "b"}[i%2], Kind: "platform", Cell: i / 2, State: state, Weight: 5000, Started: 1_780_000_000_000,
+			), Addr: addr, Zone: []string{"a", "b"}[i%2], Kind: "platform", Destination: i / 2, State: state, Weight: 5000, StartedMS: 1_780_000_000_000,
 		})
 	}
 	return all
@@ -420,7 +420,7 @@
 	whole := measured(capacity.ListWhole, "destinations", capacity.Bytes)
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{1000, 5000, 20_000, 50_000, 140_000}) {
 		data, err := json.Marshal(
-			fake.Members{Version: int64(2 * n), Full: true, Servers: members(n, "10.20.30.40:8080", "ready")},
+			fake.EndpointList{Version: int64(2 * n), Full: true, Endpoints: members(n, "10.20.30.40:8080", "ready")},
 		)
 		if err != nil {
 			return nil, err
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -48,7 +48,7 @@
 	cmd    *exec.Cmd
 	addr   string
 	folder string
-	agent  *fake.Agent
+	agent  *fake.DiscoveryAgent
 	took   time.Duration // until ready
 }
 
@@ -56,7 +56,7 @@
 // its folder first. A relay that is not ready in time is ended, and errNeverReady comes back.
 func (b *bench) start(
 	ctx context.Context,
-	list []fake.Member,
+	list []fake.ListedEndpoint,
 	known bool,
 	memoryMB int,
 	prepare func(folder string) error,
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	agent, err := fake.NewAgent("n0", rec, fake.NewWorld(scenario.Plan{}, rec), list)
+	agent, err := fake.NewDiscoveryAgent("n0", rec, fake.NewWorld(scenario.Plan{}, rec), list)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		"name": "n0", "seed": "8c1f30d27a5be964", "settings": relaySettings(), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": 4096, "disk_mb": 8192},
 	}
 	if known {
-		config["known"] = agent.Known()
+		config["known"] = agent.NotifiedList()
 	}
 	data, err := json.Marshal(config)
 	if err == nil {
@@ -116,7 +116,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Join(err, p.end())
 	}
-	agent.Running(true)
+	agent.SetRelayRunning(true)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
 		if relayprocess.Ready(client, p.addr) {
@@ -270,7 +270,7 @@
 
 func (p *process) listCosts(
 	ctx context.Context,
-	list []fake.Member,
+	list []fake.ListedEndpoint,
 	n int,
 	memory, ready, started, rest, change *capacity.Series,
 ) error {
@@ -304,7 +304,7 @@
 		for i := range changes {
 			m := list[2+(i*7919)%(len(list)-2)]
 			m.Weight++
-			p.agent.Tell(m)
+			p.agent.Update(m)
 			if err := wait(ctx, every); err != nil {
 				return err
 			}
@@ -449,7 +449,7 @@
 // one was not in force by readyMost.
 func (p *process) moves(
 	ctx context.Context,
-	endpoints []fake.Member,
+	endpoints []fake.ListedEndpoint,
 	here, there *hostServers,
 ) (longest time.Duration, late int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
@@ -461,10 +461,10 @@
 		began := time.Now()
 		for _, m := range endpoints {
 			m.Addr = to.addr(0)
-			p.agent.Tell(m)
+			p.agent.Update(m)
 		}
 		for k := 0; to.calls.Load() == before; k++ {
-			if err := handIn(ctx, client, p.addr, fmt.Sprintf("move%d%011d", i, k), endpoints[0].Cell); err != nil {
+			if err := handIn(ctx, client, p.addr, fmt.Sprintf("move%d%011d", i, k), endpoints[0].Destination); err != nil {
 				late++ // a relay that is at its list for long answers late
 			}
 			if time.Since(began) > readyMost {
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/faults_test.go
@@ -35,7 +35,7 @@
 	for _, text := range rules {
 		rule, err := faultproxy.ParseRule(text)
 		must(t, err)
-		_, err = p.Add(rule)
+		_, err = p.AddRule(rule)
 		must(t, err)
 	}
 	return p
@@ -143,7 +143,7 @@
 		t.Fatalf("%s: status %d", class, status)
 	}
 	// Later messages on sound connections are delivered.
-	eventually(t, "the fault", func() bool { return wire.Stats().Struck > 0 })
+	eventually(t, "the fault", func() bool { return wire.Stats().Triggered > 0 })
 	eventually(t, "another one delivered", func() bool {
 		next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
 		r.mustAccept(next, 10*time.Second)
@@ -207,7 +207,7 @@
 			wire := faultyEndpoint(t, h)
 			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
 			must(t, err)
-			id, err := wire.Add(rule)
+			id, err := wire.AddRule(rule)
 			must(t, err)
 			elsewhere := newEntry("s-2", other.addr(), "b", "gateway", "ready")
 			elsewhere["weight"] = 1.0
@@ -218,7 +218,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 			defer cancel()
-			must(t, wire.Wait(ctx, id))
+			must(t, wire.WaitTriggered(ctx, id))
 			r.kill()
 			r.start(p)
 			if class == "pay" {
@@ -262,7 +262,7 @@
 		must(t, err)
 		rule, err := faultproxy.ParseRule(c.rule)
 		must(t, err)
-		_, err = p.Add(rule)
+		_, err = p.AddRule(rule)
 		must(t, err)
 		id := fmt.Sprint("m", i)
 		req := r.request(id, 10*time.Second, nil)
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -134,7 +134,7 @@
 	for _, i := range from {
 		for _, j := range to {
 			if l := g.links[[2]int{i, j}]; l != nil {
-				must(g.t, l.Set(f))
+				must(g.t, l.SetFaults(f))
 			}
 		}
 	}
@@ -238,10 +238,10 @@
 	// Nearly a third of all datagrams lost, some doubled, reordered and late.
 	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{
 		DatagramFaults: faultproxy.DatagramFaults{
-			Drop:    0.3,
-			Double:  0.1,
-			Reorder: 0.1,
-			Jitter:  20 * time.Millisecond,
+			DropRatio:      0.3,
+			DuplicateRatio: 0.1,
+			ReorderRatio:   0.1,
+			Jitter:         20 * time.Millisecond,
 		},
 	})
 	time.Sleep(3 * time.Second)
--- a/cmd/sockfault/main.go
+++ b/cmd/sockfault/main.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := p.Add(r); err != nil {
+		if _, err := p.AddRule(r); err != nil {
 			return err
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		defer l.Close()
 		fmt.Fprintln(s.Out, "control", l.Addr())
-		go func() { cancel(p.Control(ctx, l)) }()
+		go func() { cancel(p.ServeControl(ctx, l)) }()
 	}
 	if a.Script != "" {
 		f, err := os.Open(a.Script)
@@ -78,7 +78,7 @@
 		}
 		defer f.Close()
 		go func() {
-			if err := p.Script(ctx, f, func(line, answer string) { fmt.Fprintf(s.Out, "%s: %s\n", line, answer) }); err != nil {
+			if err := p.RunScript(ctx, f, func(line, answer string) { fmt.Fprintf(s.Out, "%s: %s\n", line, answer) }); err != nil {
 				cancel(fmt.Errorf("%s: %w", a.Script, err))
 			}
 		}()
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -24,27 +24,27 @@
 	noticesMost = 1 << 20 // bytes of a request with notices
 )
 
-// Member is an entry of the list.
-type Member struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr,omitempty"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
+// ListedEndpoint is an entry of the list.
+type ListedEndpoint struct {
+	ID          string  `json:"id"`
+	Addr        string  `json:"addr,omitempty"`
+	Zone        string  `json:"zone"`
+	Kind        string  `json:"kind"`
+	Destination int     `json:"cell"`
+	State       string  `json:"state"`
+	Weight      float64 `json:"weight"`
+	StartedMS   int64   `json:"started_ms"`
 }
 
-// Members is the list, or changes to it, as discovery writes it.
-type Members struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Member `json:"servers"`
+// EndpointList is the list, or changes to it, as discovery writes it.
+type EndpointList struct {
+	Version   int64            `json:"version"`
+	Full      bool             `json:"full"`
+	Endpoints []ListedEndpoint `json:"servers"`
 }
 
-// Agent is discovery's agent on the machine of one relay.
-type Agent struct {
+// DiscoveryAgent is discovery's agent on the machine of one relay.
+type DiscoveryAgent struct {
 	relay  string
 	rec    *eventlog.Writer
 	world  *World
@@ -53,31 +53,31 @@
 
 	mu      sync.Mutex
 	changed chan struct{} // closed and made anew when there is something to say
-	members map[string]Member
-	log     []change // by version, from the first
-	late    []Member // what discovery has for it while it is silent
+	members map[string]ListedEndpoint
+	log     []change         // by version, from the first
+	late    []ListedEndpoint // what discovery has for it while it is silent
 	hushed  bool
 	running bool // the relay
 }
 
 type change struct {
-	Member
+	ListedEndpoint
 	told bool
 }
 
-// NewAgent starts the agent of a relay with the list as it is, which counts as told.
-func NewAgent(relay string, rec *eventlog.Writer, world *World, list []Member) (*Agent, error) {
+// NewDiscoveryAgent starts the agent of a relay with the list as it is, which counts as told.
+func NewDiscoveryAgent(relay string, rec *eventlog.Writer, world *World, list []ListedEndpoint) (*DiscoveryAgent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: agent of %s: %w", relay, err)
 	}
-	a := &Agent{
+	a := &DiscoveryAgent{
 		relay:   relay,
 		rec:     rec,
 		world:   world,
 		ln:      ln,
 		changed: make(chan struct{}),
-		members: map[string]Member{},
+		members: map[string]ListedEndpoint{},
 	}
 	for _, m := range list {
 		a.log = append(a.log, change{m, true})
@@ -93,10 +93,10 @@
 }
 
 // Addr is where the relay finds the agent.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *DiscoveryAgent) Addr() string { return a.ln.Addr().String() }
 
 // Close ends the agent and all that it has open.
-func (a *Agent) Close() error {
+func (a *DiscoveryAgent) Close() error {
 	err := a.server.Close()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,18 +105,18 @@
 	return err
 }
 
-func (a *Agent) record(m Member) {
-	a.rec.Add(eventlog.Event{Kind: eventlog.RelayNotified, Relay: a.relay, Host: m.ID, State: m.State, Destination: m.Cell})
+func (a *DiscoveryAgent) record(m ListedEndpoint) {
+	a.rec.Add(eventlog.Event{Kind: eventlog.RelayNotified, Relay: a.relay, Host: m.ID, State: m.State, Destination: m.Destination})
 }
 
 // wake is called with mu held.
-func (a *Agent) wake() {
+func (a *DiscoveryAgent) wake() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Tell gives the agent a change that discovery has for it.
-func (a *Agent) Tell(m Member) {
+// Update gives the agent a change that discovery has for it.
+func (a *DiscoveryAgent) Update(m ListedEndpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hushed {
@@ -127,8 +127,8 @@
 }
 
 // take is called with mu held.
-func (a *Agent) take(m Member) {
-	a.log = append(a.log, change{Member: m})
+func (a *DiscoveryAgent) take(m ListedEndpoint) {
+	a.log = append(a.log, change{ListedEndpoint: m})
 	if m.State == eventlog.StateGone {
 		delete(a.members, m.ID)
 	} else {
@@ -139,7 +139,7 @@
 }
 
 // countAsTold has an entry count as told after a time, if the relay runs and the agent may speak. mu is held.
-func (a *Agent) countAsTold(i int) {
+func (a *DiscoveryAgent) countAsTold(i int) {
 	time.AfterFunc(toldBy, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -150,15 +150,15 @@
 }
 
 // tell notes that an entry was told. mu is held.
-func (a *Agent) tell(i int) {
+func (a *DiscoveryAgent) tell(i int) {
 	if !a.log[i].told {
 		a.log[i].told = true
-		a.record(a.log[i].Member)
+		a.record(a.log[i].ListedEndpoint)
 	}
 }
 
-// Hush has discovery fall silent, or speak again and catch up.
-func (a *Agent) Hush(on bool) {
+// SetSilent has discovery fall silent, or speak again and catch up.
+func (a *DiscoveryAgent) SetSilent(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.hushed = on
@@ -172,8 +172,8 @@
 	a.wake()
 }
 
-// Running says whether the relay runs: one that does not is told nothing.
-func (a *Agent) Running(on bool) {
+// SetRelayRunning says whether the relay runs: one that does not is told nothing.
+func (a *DiscoveryAgent) SetRelayRunning(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.running = on
@@ -184,34 +184,34 @@
 	}
 }
 
-// Known is the list as the relay has been told it last.
-func (a *Agent) Known() Members {
+// NotifiedList is the list as the relay has been told it last.
+func (a *DiscoveryAgent) NotifiedList() EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
-	known := map[string]Member{}
+	known := map[string]ListedEndpoint{}
 	for n < len(a.log) && a.log[n].told {
-		if m := a.log[n].Member; m.State == eventlog.StateGone {
+		if m := a.log[n].ListedEndpoint; m.State == eventlog.StateGone {
 			delete(known, m.ID)
 		} else {
 			known[m.ID] = m
 		}
 		n++
 	}
-	return Members{Version: int64(n), Full: true, Servers: sorted(known)}
+	return EndpointList{Version: int64(n), Full: true, Endpoints: sorted(known)}
 }
 
-func sorted(members map[string]Member) []Member {
-	list := make([]Member, 0, len(members))
+func sorted(members map[string]ListedEndpoint) []ListedEndpoint {
+	list := make([]ListedEndpoint, 0, len(members))
 	for _, m := range members {
 		list = append(list, m)
 	}
-	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b ListedEndpoint) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
 // speaks waits until the agent may speak; false if the request has ended before.
-func (a *Agent) speaks(ctx context.Context) bool {
+func (a *DiscoveryAgent) speaks(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
 		hushed, changed := a.hushed, a.changed
@@ -228,7 +228,7 @@
 }
 
 // list answers with the whole list, or with a watch.
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
+func (a *DiscoveryAgent) list(w http.ResponseWriter, r *http.Request) {
 	if !a.speaks(r.Context()) {
 		return
 	}
@@ -251,11 +251,11 @@
 }
 
 // whole is the whole list on the wire, and how many changes are in it. mu is held.
-func (a *Agent) whole() ([]byte, int) {
-	return encode(Members{Version: int64(len(a.log)), Full: true, Servers: sorted(a.members)}), len(a.log)
+func (a *DiscoveryAgent) whole() ([]byte, int) {
+	return encode(EndpointList{Version: int64(len(a.log)), Full: true, Endpoints: sorted(a.members)}), len(a.log)
 }
 
-func encode(m Members) []byte {
+func encode(m EndpointList) []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
 		panic(err) // plain fields only
@@ -263,7 +263,7 @@
 	return append(data, '\n')
 }
 
-func (a *Agent) toldUpTo(n int) {
+func (a *DiscoveryAgent) toldUpTo(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range a.log[:n] {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (a *Agent) watch(w http.ResponseWriter, r *http.Request, index int) {
+func (a *DiscoveryAgent) watch(w http.ResponseWriter, r *http.Request, index int) {
 	flush := http.NewResponseController(w)
 	write := func(line []byte) bool {
 		_, err := w.Write(line)
@@ -288,9 +288,9 @@
 		case index < 0 || index > n || first && index == 0:
 			line, n = a.whole()
 		case index < n:
-			m := Members{Version: int64(n)}
+			m := EndpointList{Version: int64(n)}
 			for _, c := range a.log[index:n] {
-				m.Servers = append(m.Servers, c.Member)
+				m.Endpoints = append(m.Endpoints, c.ListedEndpoint)
 			}
 			line = encode(m)
 		}
@@ -310,7 +310,7 @@
 }
 
 // finals takes notices, also while discovery is silent.
-func (a *Agent) finals(w http.ResponseWriter, r *http.Request) {
+func (a *DiscoveryAgent) finals(w http.ResponseWriter, r *http.Request) {
 	lines := json.NewDecoder(io.LimitReader(r.Body, noticesMost))
 	for {
 		var n struct {
@@ -336,7 +336,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		a.world.Settle(n.ID)
+		a.world.ResolveMessage(n.ID)
 		a.rec.Add(eventlog.Event{
 			Kind: eventlog.MessageNotice, Relay: a.relay, ID: n.ID, State: n.Status, RetryAfter: time.Duration(n.AgainMS) * time.Millisecond,
 		})
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -60,8 +60,8 @@
 	return c
 }
 
-// Takes says whether the relay takes new connections, as its front knows it.
-func (c *Clients) Takes(on bool) {
+// SetAccepting says whether the relay takes new connections, as its front knows it.
+func (c *Clients) SetAccepting(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.takes = on; on {
@@ -84,8 +84,8 @@
 // Wait waits until all that was handed in has its answer, and no client comes again.
 func (c *Clients) Wait() { c.sent.Wait() }
 
-// HandIn hands a message in at once, in a goroutine of its own. late is by how much that is after the plan.
-func (c *Clients) HandIn(ctx context.Context, a scenario.Arrival, late time.Duration) {
+// Submit hands a message in at once, in a goroutine of its own. late is by how much that is after the plan.
+func (c *Clients) Submit(ctx context.Context, a scenario.Arrival, late time.Duration) {
 	c.sent.Go(func() { c.tries(ctx, a, late) })
 }
 
@@ -165,14 +165,14 @@
 
 // try hands a message in once, and records what came of it.
 func (c *Clients) try(ctx context.Context, t try, late time.Duration) (heard int, advice time.Duration) {
-	c.world.HandIn(t.ID, t.Dest, t.deadline)
+	c.world.RegisterMessage(t.ID, t.Dest, t.deadline)
 	c.rec.Add(eventlog.Event{
 		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
 		For: time.Until(t.deadline), Delay: late,
 	})
 	leave := time.Now().Add(c.file.Clients.AnswerWithin.D())
 	unheard := func(cause string) (int, time.Duration) {
-		c.world.Withdraw(t.ID)
+		c.world.WithdrawMessage(t.ID)
 		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: c.relay, Cause: cause})
 		if cause == eventlog.CauseNotSent {
 			return unsent, 0
@@ -216,7 +216,7 @@
 		}
 		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: c.relay, Status: res.StatusCode, RetryAfter: advice})
 		if res.StatusCode >= 300 {
-			c.world.Settle(t.ID)
+			c.world.ResolveMessage(t.ID)
 		}
 		if res.Close {
 			c.drop(conn)
--- a/internal/testkit/fake/host.go
+++ b/internal/testkit/fake/host.go
@@ -22,8 +22,8 @@
 	idleExtra = time.Second // hosts keep an idle connection this much longer than they say
 )
 
-// Host is one endpoint. Each relay has an address of its own for it: so it is known which relay calls.
-type Host struct {
+// Endpoint is one endpoint. Each relay has an address of its own for it: so it is known which relay calls.
+type Endpoint struct {
 	scenario.Endpoint
 	world *World
 	place *place
@@ -36,15 +36,15 @@
 	stopped bool
 }
 
-// AddHost starts a host of the plan, on new addresses or on those of a host that has stopped.
-func (w *World) AddHost(e scenario.Endpoint) (*Host, error) {
+// AddEndpoint starts a host of the plan, on new addresses or on those of a host that has stopped.
+func (w *World) AddEndpoint(e scenario.Endpoint) (*Endpoint, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.places[e.Place]
 	if p == nil {
 		return nil, fmt.Errorf("standin: host %s of no place %q", e.ID, e.Place)
 	}
-	h := &Host{Endpoint: e, world: w, place: p, ports: map[string]*port{}, conns: map[*hostConn]struct{}{}}
+	h := &Endpoint{Endpoint: e, world: w, place: p, ports: map[string]*port{}, conns: map[*hostConn]struct{}{}}
 	old := w.hosts[e.At]
 	if old != nil && !old.stopped {
 		return nil, fmt.Errorf("standin: host %s is to come up where %s still runs", e.ID, e.At)
@@ -74,10 +74,10 @@
 }
 
 // Addr is where a relay finds the host.
-func (h *Host) Addr(relay string) string { return h.ports[relay].addr }
+func (h *Endpoint) Addr(relay string) string { return h.ports[relay].addr }
 
 // Stop ends the host's process for good. Its addresses refuse connections, until another host takes them.
-func (h *Host) Stop() {
+func (h *Endpoint) Stop() {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	if h.stopped {
@@ -93,7 +93,7 @@
 }
 
 // down has the host's process die: connections are reset, and new ones refused.
-func (h *Host) down() {
+func (h *Endpoint) down() {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.isDown = true
@@ -104,7 +104,7 @@
 }
 
 // cut cuts the host's machine off: connections stay open and silent, new ones do not come up.
-func (h *Host) cut() error {
+func (h *Endpoint) cut() error {
 	h.world.mu.Lock()
 	h.isCut = true
 	h.world.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // up has the process start anew after an outage: what was connected before is reset.
-func (h *Host) up() error {
+func (h *Endpoint) up() error {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	if h.stopped {
@@ -134,7 +134,7 @@
 }
 
 // reset breaks all connections. world.mu is held.
-func (h *Host) reset() {
+func (h *Endpoint) reset() {
 	for c := range h.conns {
 		c.breakOff()
 	}
@@ -144,7 +144,7 @@
 // hostConn is a connection that a relay has made.
 type hostConn struct {
 	net.Conn
-	host  *Host
+	host  *Endpoint
 	relay string
 	reset chan struct{} // closed when the host breaks it off
 	once  sync.Once
@@ -178,7 +178,7 @@
 	return n, err
 }
 
-func (h *Host) accepted(nc net.Conn, relay string) {
+func (h *Endpoint) accepted(nc net.Conn, relay string) {
 	c := &hostConn{Conn: nc, host: h, relay: relay, reset: make(chan struct{})}
 	h.world.mu.Lock()
 	if h.stopped || h.isDown || h.world.closed { // accepted just before that
--- a/internal/testkit/fake/port.go
+++ b/internal/testkit/fake/port.go
@@ -117,8 +117,8 @@
 	return fd, (&net.TCPAddr{IP: got.Addr[:], Port: got.Port}).String(), nil
 }
 
-// Reserve keeps an address, such as 127.0.0.1:0, for a process that is to listen on it, also while that is restarted.
-func Reserve(addr string) (reserved string, release func(), err error) {
+// ReserveAddress keeps an address, such as 127.0.0.1:0, for a process that is to listen on it, also while that is restarted.
+func ReserveAddress(addr string) (reserved string, release func(), err error) {
 	fd, reserved, err := bind(addr)
 	if err != nil {
 		return "", nil, fmt.Errorf("standin: reserve %s: %w", addr, err)
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -78,7 +78,7 @@
 	t.Cleanup(r.World.Close)
 	for _, e := range plan.Endpoints {
 		if !e.Later {
-			if _, err := r.AddHost(e); err != nil {
+			if _, err := r.AddEndpoint(e); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -86,7 +86,7 @@
 	return r
 }
 
-func (r *rig) first() *Host { return r.Host(r.plan.Endpoints[0].ID) }
+func (r *rig) first() *Endpoint { return r.Endpoint(r.plan.Endpoints[0].ID) }
 
 func (r *rig) dial(addr string) net.Conn {
 	r.t.Helper()
@@ -120,7 +120,7 @@
 
 func (r *rig) handIn(ids ...string) {
 	for _, id := range ids {
-		r.HandIn(id, 1, time.Now().Add(5*time.Second))
+		r.RegisterMessage(id, 1, time.Now().Add(5*time.Second))
 	}
 }
 
@@ -160,8 +160,8 @@
 func TestWhatAHostRefuses(t *testing.T) {
 	r := newRig(t, "")
 	r.handIn("over", "late")
-	r.Withdraw("over")
-	r.HandIn("late", 1, time.Now().Add(-time.Second))
+	r.WithdrawMessage("over")
+	r.RegisterMessage("late", 1, time.Now().Add(-time.Second))
 	post := func(path, head, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, head, len(body), body)
 	}
@@ -197,7 +197,7 @@
 func TestBundlesTellOfEachMessage(t *testing.T) {
 	r := newRig(t, "")
 	r.handIn("a", "b", "c")
-	r.Withdraw("b")
+	r.WithdrawMessage("b")
 	body := `[{"id":"a","body":""},{"id":"b","body":""},{"id":"c","body":""}]`
 	res := r.ask(
 		r.dial(r.first().Addr("r1")),
@@ -222,7 +222,7 @@
 			t.Fatal(err)
 		}
 	}
-	must(r.Lose(r.first().Place, 1))
+	must(r.SetResponseLossRatio(r.first().Place, 1))
 	c := r.dial(r.first().Addr("r1"))
 	_, err := io.WriteString(c, callText("m1"))
 	must(err)
@@ -234,7 +234,7 @@
 	if e := r.seen(eventlog.CallAborted, nil); e.Call != call.Call || e.Cause != eventlog.CauseHost {
 		t.Errorf("%+v", e)
 	}
-	must(r.Lose(r.first().Place, 0))
+	must(r.SetResponseLossRatio(r.first().Place, 0))
 	if res := r.ask(r.dial(r.first().Addr("r1")), callText("m2")); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -251,14 +251,14 @@
 	if got := [2]int{status("m1"), status("m2")}; got != [2]int{200, 200} {
 		t.Errorf("at its limit: %v", got)
 	}
-	if err := r.Lower("d1", 1e6); err != nil {
+	if err := r.SetLimitDivisor("d1", 1e6); err != nil {
 		t.Fatal(err)
 	}
 	status("m3") // what may come at once
 	if got := status("m4"); got != 503 {
 		t.Errorf("lowered: %d", got)
 	}
-	if err := r.Lower("d1", 1); err != nil {
+	if err := r.SetLimitDivisor("d1", 1); err != nil {
 		t.Fatal(err)
 	}
 	r.handIn("m5")
@@ -266,14 +266,14 @@
 	if got := status("m5"); got != 200 {
 		t.Errorf("restored: %d", got)
 	}
-	if err := r.Lower("none", 2); err == nil {
+	if err := r.SetLimitDivisor("none", 2); err == nil {
 		t.Error("a place that is not there is lowered")
 	}
 }
 
 func TestSlots(t *testing.T) {
 	r := newRig(t, "")
-	if err := r.Outage("d1", scenario.OpMute, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpMute, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	var conns []net.Conn
@@ -330,7 +330,7 @@
 	open := r.dial(addr)
 	io.WriteString(open, "P") // it is accepted by now, or will be
 	r.seen(eventlog.CapacityChanged, nil)
-	if err := r.Outage("d1", scenario.OpDown, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpDown, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := open.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
@@ -339,7 +339,7 @@
 	if c, err := net.DialTimeout("tcp", addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new one: %v %v", c, err)
 	}
-	if err := r.Back("d1"); err != nil {
+	if err := r.EndOutage("d1"); err != nil {
 		t.Fatal(err)
 	}
 	r.handIn("m")
@@ -362,7 +362,7 @@
 	if res := r.ask(open, callText("before")); res.StatusCode != 200 {
 		t.Fatal(res.StatusCode)
 	}
-	if err := r.Outage("d1", scenario.OpCut, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpCut, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(open, callText("meanwhile"))
@@ -375,7 +375,7 @@
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("a new one: %v %v", c, err)
 	}
-	if err := r.Back("d1"); err != nil {
+	if err := r.EndOutage("d1"); err != nil {
 		t.Fatal(err)
 	}
 	open.SetDeadline(time.Now().Add(patience))
@@ -398,14 +398,14 @@
 	addr := old.Addr("r1")
 	next := old.Endpoint
 	next.ID, next.At = "s-new", old.ID
-	if _, err := r.AddHost(next); err == nil {
+	if _, err := r.AddEndpoint(next); err == nil {
 		t.Fatal("two hosts at one address")
 	}
 	old.Stop()
 	if _, err := net.DialTimeout("tcp", addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("stopped: %v", err)
 	}
-	h, err := r.AddHost(next)
+	h, err := r.AddEndpoint(next)
 	if err != nil || h.Addr("r1") != addr {
 		t.Fatalf("%v", err)
 	}
@@ -418,7 +418,7 @@
 
 // A reserved address refuses connections, is found by nobody who asks for any, and serves who asks for it.
 func TestReserve(t *testing.T) {
-	addr, release, err := Reserve("127.0.0.1:0")
+	addr, release, err := ReserveAddress("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -431,25 +431,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Reserve(addr); !errors.Is(err, syscall.EADDRINUSE) {
+		if _, _, err := ReserveAddress(addr); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("reserved what is listened on: %v", err)
 		}
 		l.Close()
 	}
 }
 
-func newAgent(t *testing.T, r *rig) *Agent {
+func newAgent(t *testing.T, r *rig) *DiscoveryAgent {
 	t.Helper()
-	a, err := NewAgent("r1", r.rec, r.World, []Member{{ID: "s-1", Addr: "x:1", State: eventlog.StateReady, Cell: 1}})
+	a, err := NewDiscoveryAgent("r1", r.rec, r.World, []ListedEndpoint{{ID: "s-1", Addr: "x:1", State: eventlog.StateReady, Destination: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close() })
-	a.Running(true)
+	a.SetRelayRunning(true)
 	return a
 }
 
-func watch(t *testing.T, a *Agent, index int) (next func() Members) {
+func watch(t *testing.T, a *DiscoveryAgent, index int) (next func() EndpointList) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
@@ -463,7 +463,7 @@
 		t.Fatal(err)
 	}
 	tr := &http.Transport{DisableKeepAlives: true}
-	lines := make(chan Members, 16)
+	lines := make(chan EndpointList, 16)
 	go func() {
 		defer close(lines)
 		res, err := tr.RoundTrip(req)
@@ -472,20 +472,20 @@
 		}
 		defer res.Body.Close()
 		for d := json.NewDecoder(res.Body); ; {
-			var m Members
+			var m EndpointList
 			if d.Decode(&m) != nil {
 				return
 			}
 			lines <- m
 		}
 	}()
-	return func() Members {
+	return func() EndpointList {
 		select {
 		case m := <-lines:
 			return m
 		case <-ctx.Done():
 			t.Fatal("no line")
-			return Members{}
+			return EndpointList{}
 		}
 	}
 }
@@ -494,42 +494,42 @@
 	r := newRig(t, "")
 	a := newAgent(t, r)
 	next := watch(t, a, 0)
-	if m := next(); !m.Full || m.Version != 1 || len(m.Servers) != 1 {
+	if m := next(); !m.Full || m.Version != 1 || len(m.Endpoints) != 1 {
 		t.Errorf("%+v", m)
 	}
-	a.Tell(Member{ID: "s-2", State: eventlog.StateReady})
-	if m := next(); m.Full || m.Version != 2 || m.Servers[0].ID != "s-2" {
+	a.Update(ListedEndpoint{ID: "s-2", State: eventlog.StateReady})
+	if m := next(); m.Full || m.Version != 2 || m.Endpoints[0].ID != "s-2" {
 		t.Errorf("%+v", m)
 	}
 	// A line counts as told once the agent has written it, which may be after a client has read it.
 	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Host == "s-2" })
-	a.Hush(true)
-	a.Tell(Member{ID: "s-1", State: eventlog.StateDraining})
+	a.SetSilent(true)
+	a.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateDraining})
 	told := func(state string) bool {
 		return slices.ContainsFunc(
 			r.rec.Snapshot(),
 			func(e eventlog.Event) bool { return e.Kind == eventlog.RelayNotified && e.State == state },
 		)
 	}
-	if told(eventlog.StateDraining) || a.Known().Version != 2 {
+	if told(eventlog.StateDraining) || a.NotifiedList().Version != 2 {
 		t.Error("told while it was silent")
 	}
 	late := watch(t, a, 1) // and a watch that begins then waits, too
-	a.Hush(false)
-	if m := next(); m.Version != 3 || m.Servers[0].State != eventlog.StateDraining {
+	a.SetSilent(false)
+	if m := next(); m.Version != 3 || m.Endpoints[0].State != eventlog.StateDraining {
 		t.Errorf("%+v", m)
 	}
-	if m := late(); m.Full || m.Version != 3 || len(m.Servers) != 2 {
+	if m := late(); m.Full || m.Version != 3 || len(m.Endpoints) != 2 {
 		t.Errorf("a watch from version 1: %+v", m)
 	}
 	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.State == eventlog.StateDraining })
 	if m := watch(t, a, 99)(); !m.Full || m.Version != 3 {
 		t.Errorf("a watch from a version that is not: %+v", m)
 	}
-	a.Tell(Member{ID: "s-1", State: eventlog.StateGone})
+	a.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateGone})
 	next()
 	r.seen(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.State == eventlog.StateGone })
-	if k := a.Known(); k.Version != 4 || len(k.Servers) != 1 || k.Servers[0].ID != "s-2" {
+	if k := a.NotifiedList(); k.Version != 4 || len(k.Endpoints) != 1 || k.Endpoints[0].ID != "s-2" {
 		t.Errorf("known: %+v", k)
 	}
 }
@@ -537,7 +537,7 @@
 func TestNoticesAreTakenAlsoWhileItIsSilent(t *testing.T) {
 	r := newRig(t, "")
 	a := newAgent(t, r)
-	a.Hush(true)
+	a.SetSilent(true)
 	r.handIn("m1", "m2")
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 	post := func(body string) int {
@@ -555,8 +555,8 @@
 		e.RetryAfter != 500*time.Millisecond {
 		t.Errorf("%+v", e)
 	}
-	if r.Owed() != 0 {
-		t.Errorf("%d owed", r.Owed())
+	if r.UnresolvedMessages() != 0 {
+		t.Errorf("%d owed", r.UnresolvedMessages())
 	}
 	if s := post("{\"id\":\"m1\",\"status\":\"lost\"}"); s != 400 {
 		t.Errorf("status %d", s)
@@ -598,13 +598,13 @@
 
 func newClients(r *rig, addr string) *Clients {
 	c := NewClients("r1", addr, r.plan.File, r.rec, r.World)
-	c.Takes(true)
+	c.SetAccepting(true)
 	r.t.Cleanup(c.Close)
 	return c
 }
 
 func (r *rig) heardBy(c *Clients, a scenario.Arrival) (events []eventlog.Event) {
-	c.HandIn(context.Background(), a, 0)
+	c.Submit(context.Background(), a, 0)
 	c.Wait()
 	for _, e := range r.rec.Snapshot() {
 		if e.Kind == eventlog.MessageSubmitted || e.Kind == eventlog.SubmissionAnswered || e.Kind == eventlog.SubmissionUnanswered {
@@ -683,10 +683,10 @@
 	r := newRig(t, "")
 	addr := relayStub(t, func(_ int, c net.Conn, _ *http.Request) { io.WriteString(c, took) })
 	c := newClients(r, addr)
-	c.Takes(false)
-	c.HandIn(context.Background(), scenario.Arrival{ID: "m", Dest: 1, Body: 10}, 0)
+	c.SetAccepting(false)
+	c.Submit(context.Background(), scenario.Arrival{ID: "m", Dest: 1, Body: 10}, 0)
 	r.seen(eventlog.SubmissionUnanswered, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseNotSent })
-	c.Takes(true)
+	c.SetAccepting(true)
 	r.seen(eventlog.SubmissionAnswered, nil)
 	c.Wait()
 }
--- a/internal/testkit/fake/world.go
+++ b/internal/testkit/fake/world.go
@@ -28,7 +28,7 @@
 
 	mu     sync.Mutex // guards all below, and what places and hosts say of themselves
 	places map[string]*place
-	hosts  map[string]*Host
+	hosts  map[string]*Endpoint
 	msgs   map[string]*handed
 	slots  map[string]int // calls out, by relay
 	calls  uint64
@@ -56,7 +56,7 @@
 // NewWorld returns a world with the places of a plan and no hosts.
 func NewWorld(plan scenario.Plan, rec *eventlog.Writer) *World {
 	w := &World{
-		rec: rec, settings: plan.File.Settings, places: map[string]*place{}, hosts: map[string]*Host{}, msgs: map[string]*handed{},
+		rec: rec, settings: plan.File.Settings, places: map[string]*place{}, hosts: map[string]*Endpoint{}, msgs: map[string]*handed{},
 		slots: map[string]int{},
 	}
 	for i := range plan.File.Relays {
@@ -68,15 +68,15 @@
 	return w
 }
 
-// HandIn notes a message that a client is about to hand in.
-func (w *World) HandIn(id string, dest int, deadline time.Time) {
+// RegisterMessage notes a message that a client is about to hand in.
+func (w *World) RegisterMessage(id string, dest int, deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.msgs[id] = &handed{dest: dest, deadline: deadline}
 }
 
-// Withdraw notes that a message's client has left without an answer: nothing is owed for it.
-func (w *World) Withdraw(id string) {
+// WithdrawMessage notes that a message's client has left without an answer: nothing is owed for it.
+func (w *World) WithdrawMessage(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m := w.msgs[id]; m != nil {
@@ -85,17 +85,17 @@
 }
 
 // placeHosts are the ids of a place's hosts. mu is held.
-func (w *World) placeHosts(name string) (hosts []*Host) {
+func (w *World) placeHosts(name string) (hosts []*Endpoint) {
 	for _, h := range w.hosts {
 		if h.place.name == name && !h.stopped {
 			hosts = append(hosts, h)
 		}
 	}
-	slices.SortFunc(hosts, func(a, b *Host) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(hosts, func(a, b *Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return hosts
 }
 
-func hostIDs(hosts []*Host) (all []string) {
+func hostIDs(hosts []*Endpoint) (all []string) {
 	for _, h := range hosts {
 		all = append(all, h.ID)
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// Slow has a place take factor times as long; 1 ends it.
-func (w *World) Slow(name string, factor float64) error {
+// SetSlowdown has a place take factor times as long; 1 ends it.
+func (w *World) SetSlowdown(name string, factor float64) error {
 	return w.change(name, func(p *place) {
 		p.slow = factor
 		p.SetSlowdown(factor)
@@ -122,19 +122,19 @@
 	})
 }
 
-// Lower has a place take so many times less than its limit; 1 ends it.
-func (w *World) Lower(name string, factor float64) error {
+// SetLimitDivisor has a place take so many times less than its limit; 1 ends it.
+func (w *World) SetLimitDivisor(name string, factor float64) error {
 	return w.change(name, func(p *place) { p.SetLimitDivisor(factor) })
 }
 
-// Lose has a share of a place's answers be lost; 0 ends it.
-func (w *World) Lose(name string, share float64) error {
+// SetResponseLossRatio has a share of a place's answers be lost; 0 ends it.
+func (w *World) SetResponseLossRatio(name string, share float64) error {
 	return w.change(name, func(p *place) { p.SetResponseLossRatio(share) })
 }
 
-// Outage begins one of a place.
-func (w *World) Outage(name string, op scenario.Op, share float64, lasts time.Duration) error {
-	var hosts []*Host
+// StartOutage begins one of a place.
+func (w *World) StartOutage(name string, op scenario.Op, share float64, lasts time.Duration) error {
+	var hosts []*Endpoint
 	err := w.change(name, func(p *place) {
 		if p.outage != "" {
 			return // it is out already: the first outage's end ends both
@@ -165,9 +165,9 @@
 	return err
 }
 
-// Back ends a place's outage: it returns cold.
-func (w *World) Back(name string) error {
-	var hosts []*Host
+// EndOutage ends a place's outage: it returns cold.
+func (w *World) EndOutage(name string) error {
+	var hosts []*Endpoint
 	cause := ""
 	if err := w.change(name, func(p *place) {
 		hosts, cause = w.placeHosts(name), p.outage
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// Host returns a host by its id; nil if there is none.
-func (w *World) Host(id string) *Host {
+// Endpoint returns a host by its id; nil if there is none.
+func (w *World) Endpoint(id string) *Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hosts[id]
@@ -222,7 +222,7 @@
 func (w *World) Close() {
 	w.mu.Lock()
 	w.closed = true
-	hosts := make([]*Host, 0, len(w.hosts))
+	hosts := make([]*Endpoint, 0, len(w.hosts))
 	for _, h := range w.hosts {
 		hosts = append(hosts, h)
 	}
@@ -236,8 +236,8 @@
 	w.served.Wait()
 }
 
-// Owed is how many messages, of those handed in, are neither delivered nor withdrawn nor ended, and have time left.
-func (w *World) Owed() (n int) {
+// UnresolvedMessages is how many messages, of those handed in, are neither delivered nor withdrawn nor ended, and have time left.
+func (w *World) UnresolvedMessages() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.msgs {
@@ -248,8 +248,8 @@
 	return n
 }
 
-// Settle notes that a message has its end: its client was refused, or the platform was told.
-func (w *World) Settle(id string) {
+// ResolveMessage notes that a message has its end: its client was refused, or the platform was told.
+func (w *World) ResolveMessage(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m := w.msgs[id]; m != nil {
--- a/internal/testkit/faultproxy/control.go
+++ b/internal/testkit/faultproxy/control.go
@@ -21,7 +21,7 @@
 	sessions = 16 // with the control socket, at once
 )
 
-// Command carries out one line of the control protocol and returns what is answered, without "ok". The commands are
+// Execute carries out one line of the control protocol and returns what is answered, without "ok". The commands are
 //
 //	add RULE      adds a rule; answers its number
 //	remove N      takes rule N away
@@ -32,7 +32,7 @@
 //	struck N      answers how often rule N has struck
 //	wait N [D]    waits until rule N has struck, 10s or D at most
 //	sleep D       waits
-func (p *Proxy) Command(ctx context.Context, line string) (string, error) {
+func (p *Proxy) Execute(ctx context.Context, line string) (string, error) {
 	name, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	rest = strings.TrimSpace(rest)
 	number := func() (int, error) {
@@ -48,16 +48,16 @@
 		if err != nil {
 			return "", err
 		}
-		id, err := p.Add(r)
+		id, err := p.AddRule(r)
 		return strconv.Itoa(id), err
 	case "remove":
 		n, err := number()
-		if err == nil && !p.Remove(n) {
+		if err == nil && !p.RemoveRule(n) {
 			err = fmt.Errorf("no rule %d", n)
 		}
 		return "", err
 	case "clear":
-		p.Clear()
+		p.ClearRules()
 		return "", nil
 	case "list":
 		var all []string
@@ -70,14 +70,14 @@
 		if _, _, err := net.SplitHostPort(rest); err != nil {
 			return "", fmt.Errorf("target: %w", err)
 		}
-		p.Target(rest)
+		p.SetTarget(rest)
 		return "", nil
 	case "stats":
 		s := p.Stats()
-		return fmt.Sprintf("made=%d open=%d up=%d down=%d struck=%d", s.Made, s.Open, s.Up, s.Down, s.Struck), nil
+		return fmt.Sprintf("made=%d open=%d up=%d down=%d struck=%d", s.Accepted, s.Active, s.UpstreamBytes, s.DownstreamBytes, s.Triggered), nil
 	case "struck":
 		n, err := number()
-		return strconv.Itoa(p.Struck(n)), err
+		return strconv.Itoa(p.TriggerCount(n)), err
 	case "wait":
 		return "", p.wait(ctx, rest)
 	case "sleep":
@@ -109,12 +109,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	return p.Wait(ctx, n)
+	return p.WaitTriggered(ctx, n)
 }
 
-// Script carries out commands, a line each, until one fails; blank lines and those that begin with # are passed over.
+// RunScript carries out commands, a line each, until one fails; blank lines and those that begin with # are passed over.
 // tell has each answer.
-func (p *Proxy) Script(ctx context.Context, r io.Reader, tell func(line, answer string)) error {
+func (p *Proxy) RunScript(ctx context.Context, r io.Reader, tell func(line, answer string)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, lineMost)
 	for n := 1; lines.Scan(); n++ {
@@ -122,7 +122,7 @@
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		answer, err := p.Command(ctx, line)
+		answer, err := p.Execute(ctx, line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
@@ -131,9 +131,9 @@
 	return lines.Err()
 }
 
-// Control serves the control protocol to whoever connects to l, until ctx ends: a command a line, answered by the lines
+// ServeControl serves the control protocol to whoever connects to l, until ctx ends: a command a line, answered by the lines
 // of its answer and "ok", or by "error: " and why.
-func (p *Proxy) Control(ctx context.Context, l net.Listener) error {
+func (p *Proxy) ServeControl(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	var open sync.WaitGroup
@@ -165,7 +165,7 @@
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
 		}
-		answer, err := p.Command(ctx, lines.Text())
+		answer, err := p.Execute(ctx, lines.Text())
 		switch {
 		case err != nil:
 			answer = "error: " + strings.ReplaceAll(err.Error(), "\n", "; ")
--- a/internal/testkit/faultproxy/datagrams.go
+++ b/internal/testkit/faultproxy/datagrams.go
@@ -18,29 +18,29 @@
 
 // DatagramFaults is what happens to the datagrams of one direction. Shares are of all datagrams, each drawn for itself.
 type DatagramFaults struct {
-	Drop    float64       // share that never arrives; 1: all
-	Double  float64       // share that arrives twice
-	Reorder float64       // share that is overtaken by those behind it: it arrives 30 ms later
-	Delay   time.Duration // of every one
-	Jitter  time.Duration // and up to so much more
-	Rate    int           // bytes a second at most, what is beyond is queued; 0: no bound
+	DropRatio      float64       // share that never arrives; 1: all
+	DuplicateRatio float64       // share that arrives twice
+	ReorderRatio   float64       // share that is overtaken by those behind it: it arrives 30 ms later
+	Delay          time.Duration // of every one
+	Jitter         time.Duration // and up to so much more
+	BytesPerSecond int           // bytes a second at most, what is beyond is queued; 0: no bound
 }
 
 // Validate returns what is wrong with faults.
 func (f DatagramFaults) Validate() error {
-	for _, x := range []float64{f.Drop, f.Double, f.Reorder} {
+	for _, x := range []float64{f.DropRatio, f.DuplicateRatio, f.ReorderRatio} {
 		if !(x >= 0 && x <= 1) {
 			return fmt.Errorf("sockfault: a share is %g, not 0 to 1", x)
 		}
 	}
-	if f.Delay < 0 || f.Delay > forMost || f.Jitter < 0 || f.Jitter > forMost || f.Rate < 0 {
+	if f.Delay < 0 || f.Delay > forMost || f.Jitter < 0 || f.Jitter > forMost || f.BytesPerSecond < 0 {
 		return errors.New("sockfault: delay and jitter are 0 to an hour, rate not below 0")
 	}
 	return nil
 }
 
-// Datagrams takes UDP datagrams and sends each on to its target, and what comes back to whoever sent last from there.
-type Datagrams struct {
+// DatagramProxy takes UDP datagrams and sends each on to its target, and what comes back to whoever sent last from there.
+type DatagramProxy struct {
 	conn *net.UDPConn
 
 	mu       sync.Mutex
@@ -62,8 +62,8 @@
 	conn *net.UDPConn
 }
 
-// StartDatagrams listens on addr for datagrams to target. seed draws which of them are struck.
-func StartDatagrams(addr, target string, seed uint64) (*Datagrams, error) {
+// StartDatagramProxy listens on addr for datagrams to target. seed draws which of them are struck.
+func StartDatagramProxy(addr, target string, seed uint64) (*DatagramProxy, error) {
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("sockfault: %w", err)
@@ -76,16 +76,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("sockfault: %w", err)
 	}
-	d := &Datagrams{conn: conn, target: to, draw: rand.New(rand.NewPCG(seed, 0x756470))}
+	d := &DatagramProxy{conn: conn, target: to, draw: rand.New(rand.NewPCG(seed, 0x756470))}
 	d.works.Go(d.run)
 	return d, nil
 }
 
 // Addr is where it listens.
-func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
+func (d *DatagramProxy) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set has faults strike one direction from now on.
-func (d *Datagrams) Set(dir Direction, f DatagramFaults) error {
+// SetFaults has faults strike one direction from now on.
+func (d *DatagramProxy) SetFaults(dir Direction, f DatagramFaults) error {
 	if err := f.Validate(); err != nil {
 		return err
 	}
@@ -95,15 +95,15 @@
 	return nil
 }
 
-// Passed tells how many datagrams of a direction were sent on, each once, and how many were dropped.
-func (d *Datagrams) Passed(dir Direction) (passed, dropped int) {
+// Counts tells how many datagrams of a direction were sent on, each once, and how many were dropped.
+func (d *DatagramProxy) Counts(dir Direction) (passed, dropped int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.passed[dir], d.dropped[dir]
 }
 
 // Close ends it. What is on its way is lost.
-func (d *Datagrams) Close() error {
+func (d *DatagramProxy) Close() error {
 	d.mu.Lock()
 	d.closed = true
 	err := d.conn.Close()
@@ -115,7 +115,7 @@
 	return err
 }
 
-func (d *Datagrams) run() {
+func (d *DatagramProxy) run() {
 	buf := make([]byte, datagramMost)
 	for {
 		n, from, err := d.conn.ReadFromUDP(buf)
@@ -129,12 +129,12 @@
 		if s == nil {
 			continue
 		}
-		d.carry(Up, buf[:n], func(b []byte) { s.conn.Write(b) })
+		d.carry(Upstream, buf[:n], func(b []byte) { s.conn.Write(b) })
 	}
 }
 
 // session finds or opens that of a sender; nil if it cannot be had.
-func (d *Datagrams) session(from *net.UDPAddr) *session {
+func (d *DatagramProxy) session(from *net.UDPAddr) *session {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.sessions {
@@ -163,7 +163,7 @@
 				return
 			}
 			if err == nil {
-				d.carry(Down, buf[:n], func(b []byte) { d.conn.WriteToUDP(b, from) })
+				d.carry(Downstream, buf[:n], func(b []byte) { d.conn.WriteToUDP(b, from) })
 			}
 		}
 	})
@@ -171,10 +171,10 @@
 }
 
 // carry does to a datagram what is drawn for it.
-func (d *Datagrams) carry(dir Direction, data []byte, send func([]byte)) {
+func (d *DatagramProxy) carry(dir Direction, data []byte, send func([]byte)) {
 	d.mu.Lock()
 	f := d.faults[dir]
-	drop, double, late := d.draw.Float64() < f.Drop, d.draw.Float64() < f.Double, d.draw.Float64() < f.Reorder
+	drop, double, late := d.draw.Float64() < f.DropRatio, d.draw.Float64() < f.DuplicateRatio, d.draw.Float64() < f.ReorderRatio
 	wait := f.Delay
 	if f.Jitter > 0 {
 		wait += time.Duration(d.draw.Int64N(int64(f.Jitter)))
@@ -182,12 +182,12 @@
 	if late {
 		wait += reorderHold
 	}
-	if f.Rate > 0 && !drop {
+	if f.BytesPerSecond > 0 && !drop {
 		now := time.Now()
 		if d.free[dir].Before(now) {
 			d.free[dir] = now
 		}
-		d.free[dir] = d.free[dir].Add(time.Duration(float64(len(data)) / float64(f.Rate) * float64(time.Second)))
+		d.free[dir] = d.free[dir].Add(time.Duration(float64(len(data)) / float64(f.BytesPerSecond) * float64(time.Second)))
 		wait += d.free[dir].Sub(now)
 	}
 	if drop || wait > 0 && d.flying[dir] >= flightMost {
--- a/internal/testkit/faultproxy/datagrams_test.go
+++ b/internal/testkit/faultproxy/datagrams_test.go
@@ -45,21 +45,21 @@
 		atLeast     time.Duration
 	}{
 		"sound":   {DatagramFaults{}, sent, sent, true, 0},
-		"cut":     {DatagramFaults{Drop: 1}, 0, 0, true, 0},
-		"lossy":   {DatagramFaults{Drop: 0.3}, sent / 2, sent * 17 / 20, true, 0},
-		"doubled": {DatagramFaults{Double: 0.5}, sent * 13 / 10, sent * 17 / 10, true, 0},
-		"mixed":   {DatagramFaults{Reorder: 0.3}, sent, sent, false, reorderHold},
+		"cut":     {DatagramFaults{DropRatio: 1}, 0, 0, true, 0},
+		"lossy":   {DatagramFaults{DropRatio: 0.3}, sent / 2, sent * 17 / 20, true, 0},
+		"doubled": {DatagramFaults{DuplicateRatio: 0.5}, sent * 13 / 10, sent * 17 / 10, true, 0},
+		"mixed":   {DatagramFaults{ReorderRatio: 0.3}, sent, sent, false, reorderHold},
 		"late":    {DatagramFaults{Delay: 60 * time.Millisecond}, sent, sent, false, 60 * time.Millisecond},
-		"thin":    {DatagramFaults{Rate: 16000}, sent, sent, false, 90 * time.Millisecond},
+		"thin":    {DatagramFaults{BytesPerSecond: 16000}, sent, sent, false, 90 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			to, addr := receiver(t)
-			d, err := StartDatagrams("127.0.0.1:0", addr, 7)
+			d, err := StartDatagramProxy("127.0.0.1:0", addr, 7)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer d.Close()
-			if err := d.Set(Up, c.faults); err != nil {
+			if err := d.SetFaults(Upstream, c.faults); err != nil {
 				t.Fatal(err)
 			}
 			from, err := net.Dial("udp", d.Addr())
@@ -87,12 +87,12 @@
 			if c.inOrder && !inOrder || name == "mixed" && inOrder {
 				t.Error("order:", inOrder)
 			}
-			if passed, dropped := d.Passed(Up); passed+dropped != sent {
+			if passed, dropped := d.Counts(Upstream); passed+dropped != sent {
 				t.Error(passed, dropped)
 			}
 		})
 	}
-	if err := (&Datagrams{}).Set(Up, DatagramFaults{Drop: 2}); err == nil {
+	if err := (&DatagramProxy{}).SetFaults(Upstream, DatagramFaults{DropRatio: 2}); err == nil {
 		t.Error("a share of 2 is taken")
 	}
 }
@@ -101,7 +101,7 @@
 func TestDatagramsAnswers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	to, addr := receiver(t)
-	d, err := StartDatagrams("127.0.0.1:0", addr, 1)
+	d, err := StartDatagramProxy("127.0.0.1:0", addr, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,13 +169,13 @@
 	if !echo(open, 5*time.Second) {
 		t.Fatal("a sound link")
 	}
-	if err := l.Set(LinkFaults{Cut: true}); err != nil {
+	if err := l.SetFaults(LinkFaults{Cut: true}); err != nil {
 		t.Fatal(err)
 	}
 	if echo(open, 100*time.Millisecond) || echo(dial(), 100*time.Millisecond) {
 		t.Error("something passes a cut link")
 	}
-	if err := l.Set(LinkFaults{}); err != nil {
+	if err := l.SetFaults(LinkFaults{}); err != nil {
 		t.Fatal(err)
 	}
 	if c := dial(); !echo(c, 5*time.Second) {
--- a/internal/testkit/faultproxy/link.go
+++ b/internal/testkit/faultproxy/link.go
@@ -9,7 +9,7 @@
 // Link leads both TCP and UDP to one target, through one port: what one relay of a fleet reaches another by.
 type Link struct {
 	streams   *Proxy
-	datagrams *Datagrams
+	datagrams *DatagramProxy
 }
 
 // LinkFaults is what happens on a Link. The zero value is a sound one.
@@ -30,7 +30,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d, err := StartDatagrams(p.Addr(), target, seed)
+		d, err := StartDatagramProxy(p.Addr(), target, seed)
 		if err == nil {
 			return &Link{p, d}, nil
 		}
@@ -42,36 +42,36 @@
 // Addr is where it listens.
 func (l *Link) Addr() string { return l.streams.Addr() }
 
-// Set has faults strike from now on. Streams bear delays and rates as datagrams do; a share that is dropped costs them
+// SetFaults has faults strike from now on. Streams bear delays and rates as datagrams do; a share that is dropped costs them
 // nothing but, at half and more, everything.
-func (l *Link) Set(f LinkFaults) error {
+func (l *Link) SetFaults(f LinkFaults) error {
 	if f.Cut {
-		f.DatagramFaults = DatagramFaults{Drop: 1}
+		f.DatagramFaults = DatagramFaults{DropRatio: 1}
 	}
 	var rules []Rule
-	for _, dir := range []Direction{Up, Down} {
+	for _, dir := range []Direction{Upstream, Downstream} {
 		switch {
-		case f.Cut || f.Drop >= 0.5:
-			rules = append(rules, Rule{Dir: dir, Do: Stall})
+		case f.Cut || f.DropRatio >= 0.5:
+			rules = append(rules, Rule{Direction: dir, Fault: Stall})
 			continue
 		case f.Delay > 0:
-			rules = append(rules, Rule{Dir: dir, Do: Delay, For: f.Delay})
+			rules = append(rules, Rule{Direction: dir, Fault: Delay, Duration: f.Delay})
 		}
-		if f.Rate > 0 {
-			rules = append(rules, Rule{Dir: dir, Do: Trickle, Rate: f.Rate})
+		if f.BytesPerSecond > 0 {
+			rules = append(rules, Rule{Direction: dir, Fault: Throttle, BytesPerSecond: f.BytesPerSecond})
 		}
 	}
-	l.streams.Clear()
+	l.streams.ClearRules()
 	for _, r := range rules {
-		if _, err := l.streams.Add(r); err != nil {
+		if _, err := l.streams.AddRule(r); err != nil {
 			return fmt.Errorf("sockfault: link: %w", err)
 		}
 	}
-	return l.datagrams.Set(Up, f.DatagramFaults)
+	return l.datagrams.SetFaults(Upstream, f.DatagramFaults)
 }
 
-// Datagrams are the link's, for what has passed.
-func (l *Link) Datagrams() *Datagrams { return l.datagrams }
+// DatagramProxy are the link's, for what has passed.
+func (l *Link) DatagramProxy() *DatagramProxy { return l.datagrams }
 
 // Close ends it.
 func (l *Link) Close() error { return errors.Join(l.streams.Close(), l.datagrams.Close()) }
--- a/internal/testkit/faultproxy/proxy.go
+++ b/internal/testkit/faultproxy/proxy.go
@@ -48,9 +48,9 @@
 
 // Stats is what has passed.
 type Stats struct {
-	Made, Open int   // connections
-	Up, Down   int64 // bytes read from the two sides
-	Struck     int   // faults
+	Accepted, Active               int   // connections
+	UpstreamBytes, DownstreamBytes int64 // bytes read from the two sides
+	Triggered                      int   // faults
 }
 
 // Start listens on addr, such as 127.0.0.1:0, for connections to target. seed makes what Garble writes.
@@ -74,16 +74,16 @@
 // Addr is where it listens.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Target has connections from now on go to another address.
-func (p *Proxy) Target(addr string) {
+// SetTarget has connections from now on go to another address.
+func (p *Proxy) SetTarget(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = addr
 }
 
-// Add adds a rule, for connections that are open too, and returns its number. Of what has passed already, bytes count
+// AddRule adds a rule, for connections that are open too, and returns its number. Of what has passed already, bytes count
 // for At, but none match.
-func (p *Proxy) Add(r Rule) (int, error) {
+func (p *Proxy) AddRule(r Rule) (int, error) {
 	if err := r.Validate(); err != nil {
 		return 0, fmt.Errorf("sockfault: %w", err)
 	}
@@ -101,8 +101,8 @@
 	return p.lastID, nil
 }
 
-// Remove takes a rule away; false if there is none of that number. What it did to open connections stays.
-func (p *Proxy) Remove(id int) bool {
+// RemoveRule takes a rule away; false if there is none of that number. What it did to open connections stays.
+func (p *Proxy) RemoveRule(id int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	was := len(p.rules)
@@ -111,8 +111,8 @@
 	return len(p.rules) < was
 }
 
-// Clear takes all rules away.
-func (p *Proxy) Clear() {
+// ClearRules takes all rules away.
+func (p *Proxy) ClearRules() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules = nil
@@ -130,15 +130,15 @@
 	return all
 }
 
-// Struck is how often a rule has struck.
-func (p *Proxy) Struck(id int) int {
+// TriggerCount is how often a rule has struck.
+func (p *Proxy) TriggerCount(id int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.struck[id]
 }
 
-// Wait waits until a rule has struck.
-func (p *Proxy) Wait(ctx context.Context, id int) error {
+// WaitTriggered waits until a rule has struck.
+func (p *Proxy) WaitTriggered(ctx context.Context, id int) error {
 	for {
 		p.mu.Lock()
 		n, signal := p.struck[id], p.signal
@@ -158,9 +158,9 @@
 func (p *Proxy) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := Stats{Made: p.made, Open: len(p.conns), Up: p.up.Load(), Down: p.down.Load()}
+	s := Stats{Accepted: p.made, Active: len(p.conns), UpstreamBytes: p.up.Load(), DownstreamBytes: p.down.Load()}
 	for _, n := range p.struck {
-		s.Struck += n
+		s.Triggered += n
 	}
 	return s
 }
@@ -203,7 +203,7 @@
 	p.made++
 	c := &pair{proxy: p, n: p.made, done: make(chan struct{}), sides: [2]*net.TCPConn{nc}}
 	for _, r := range p.rules {
-		if r.Do == Refuse && r.hits(c.n) {
+		if r.Fault == Refuse && r.hits(c.n) {
 			p.hit(r.id)
 			nc.SetLinger(0)
 			nc.Close()
@@ -215,7 +215,7 @@
 	p.works.Go(func() { c.serve(target) })
 }
 
-func (r Rule) hits(conn int) bool { return r.Conn == 0 || r.Conn == conn }
+func (r Rule) hits(conn int) bool { return r.Connection == 0 || r.Connection == conn }
 
 // hit notes that a rule has struck. mu is held.
 func (p *Proxy) hit(id int) {
@@ -296,15 +296,15 @@
 	}
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { c.pump(Up) })
-	both.Go(func() { c.pump(Down) })
+	both.Go(func() { c.pump(Upstream) })
+	both.Go(func() { c.pump(Downstream) })
 	both.Wait()
 }
 
 // timed has a rule that waits for time alone strike by itself, if it ends something: no byte need come for that.
 func (c *pair) timed(r ruleAt) {
-	ends := r.Do == Close || r.Do == Reset || r.Do == HalfClose
-	if !ends || r.After == 0 || r.At > 0 || len(r.Match) > 0 || !r.hits(c.n) {
+	ends := r.Fault == Close || r.Fault == Reset || r.Fault == HalfClose
+	if !ends || r.After == 0 || r.Offset > 0 || len(r.Match) > 0 || !r.hits(c.n) {
 		return
 	}
 	c.mu.Lock()
@@ -312,7 +312,7 @@
 	if c.ended {
 		return
 	}
-	c.timers = append(c.timers, time.AfterFunc(r.After, func() { c.finish(r, r.Dir) }))
+	c.timers = append(c.timers, time.AfterFunc(r.After, func() { c.finish(r, r.Direction) }))
 }
 
 // finish ends a direction or both, as a rule says.
@@ -320,7 +320,7 @@
 	c.proxy.mu.Lock()
 	c.proxy.hit(r.id)
 	c.proxy.mu.Unlock()
-	switch r.Do {
+	switch r.Fault {
 	case Reset:
 		c.end(true)
 	case Close:
@@ -378,7 +378,7 @@
 		draw: rand.New(rand.NewPCG(c.proxy.seed, uint64(c.n)<<1|uint64(dir))),
 	}
 	count := &c.proxy.up
-	if dir == Down {
+	if dir == Downstream {
 		count = &c.proxy.down
 	}
 	defer func() {
@@ -423,7 +423,7 @@
 		switch {
 		case i >= 0:
 			now = append(now, f.triggers[i])
-		case r.Dir == f.dir && r.hits(f.n) && r.Do != Refuse:
+		case r.Direction == f.dir && r.hits(f.n) && r.Fault != Refuse:
 			t := &flowTrigger{newTrigger(r.Rule), r.id}
 			if len(r.Match) == 0 {
 				t.left = max(0, t.left-f.passed)
@@ -473,41 +473,41 @@
 
 // strike does what a rule says; false if the direction is at its end.
 func (f *flow) strike(t *flowTrigger) bool {
-	if t.Do == Reset || t.Do == Close || t.Do == HalfClose {
+	if t.Fault == Reset || t.Fault == Close || t.Fault == HalfClose {
 		if f.line != nil {
 			f.line.close()
 		}
 		f.finish(ruleAt{t.id, t.Rule}, f.dir)
 		f.cutOff = true
-		return t.Do == HalfClose
+		return t.Fault == HalfClose
 	}
 	f.proxy.mu.Lock()
 	f.proxy.hit(t.id)
 	f.proxy.mu.Unlock()
-	switch t.Do {
+	switch t.Fault {
 	case Delay:
 		if f.line == nil {
 			f.line = newDelayLine(f)
 		}
-		f.line.by = t.For
-	case Trickle:
+		f.line.by = t.Duration
+	case Throttle:
 		f.pace.Lock()
 		defer f.pace.Unlock()
-		f.rate, f.rateTill = t.Rate, time.Time{}
-		if t.For > 0 {
-			f.rateTill = time.Now().Add(t.For)
+		f.rate, f.rateTill = t.BytesPerSecond, time.Time{}
+		if t.Duration > 0 {
+			f.rateTill = time.Now().Add(t.Duration)
 		}
 	case Stall:
-		if t.For == 0 {
+		if t.Duration == 0 {
 			<-f.done
 			return false
 		}
-		return f.sleep(t.For)
-	case Garble:
-		f.garble, f.with = t.touch(), t.With
+		return f.sleep(t.Duration)
+	case Corrupt:
+		f.garble, f.with = t.touch(), t.Replacement
 	case Drop:
 		f.drop = t.touch()
-	case Double:
+	case Duplicate:
 		f.double = t.touch()
 	case Truncate:
 		f.cutOff = true
--- a/internal/testkit/faultproxy/rule.go
+++ b/internal/testkit/faultproxy/rule.go
@@ -19,8 +19,8 @@
 
 // The directions.
 const (
-	Up   Direction = iota // from the side that connected to the target
-	Down                  // back
+	Upstream   Direction = iota // from the side that connected to the target
+	Downstream                  // back
 )
 
 func (d Direction) String() string { return [...]string{"up", "down"}[d] }
@@ -28,15 +28,15 @@
 // Fault is what is done.
 type Fault string
 
-// The faults. Delay and Trickle last for the rest of the direction, or for For if that is set; Garble, Drop and Double
+// The faults. Delay and Throttle last for the rest of the direction, or for For if that is set; Corrupt, Drop and Duplicate
 // touch the next Bytes and no more. The others end something.
 const (
 	Delay     Fault = "delay"     // every byte arrives For later
-	Trickle   Fault = "trickle"   // Rate bytes a second at most, for For; 0: to the end
+	Throttle  Fault = "trickle"   // Rate bytes a second at most, for For; 0: to the end
 	Stall     Fault = "stall"     // nothing goes on for For; 0: to the end, the connection stays open
-	Garble    Fault = "garble"    // the next Bytes are others, With or drawn by the seed
+	Corrupt   Fault = "garble"    // the next Bytes are others, With or drawn by the seed
 	Drop      Fault = "drop"      // the next Bytes are left out
-	Double    Fault = "double"    // the next Bytes come twice
+	Duplicate Fault = "double"    // the next Bytes come twice
 	Truncate  Fault = "truncate"  // what comes after is left out, the connection stays open
 	HalfClose Fault = "halfclose" // this direction ends (FIN), the other goes on
 	Close     Fault = "close"     // both end in order (FIN)
@@ -44,22 +44,22 @@
 	Refuse    Fault = "refuse"    // the connection is reset as soon as it is made: no trigger but conn
 )
 
-var faults = []Fault{Delay, Trickle, Stall, Garble, Drop, Double, Truncate, HalfClose, Close, Reset, Refuse}
+var faults = []Fault{Delay, Throttle, Stall, Corrupt, Drop, Duplicate, Truncate, HalfClose, Close, Reset, Refuse}
 
 // Rule is one fault and when it strikes.
 type Rule struct {
-	Conn  int       // the n-th connection, counted from 1; 0: each
-	Dir   Direction // whose bytes trigger it and, but for Close, Reset and Refuse, suffer it
-	After time.Duration
-	At    int64  // once so many bytes have passed; with Match, counted from behind what matched
-	Match []byte // once these have passed; empty: At alone counts
-	Nth   int    // which match, counted from 1; default the first
-	Do    Fault
+	Connection int       // the n-th connection, counted from 1; 0: each
+	Direction  Direction // whose bytes trigger it and, but for Close, Reset and Refuse, suffer it
+	After      time.Duration
+	Offset     int64  // once so many bytes have passed; with Match, counted from behind what matched
+	Match      []byte // once these have passed; empty: At alone counts
+	Occurrence int    // which match, counted from 1; default the first
+	Fault      Fault
 
-	For   time.Duration
-	Rate  int // bytes a second
-	Bytes int // default 1
-	With  []byte
+	Duration       time.Duration
+	BytesPerSecond int // bytes a second
+	ByteCount      int // default 1
+	Replacement    []byte
 }
 
 // Bounds of a rule.
@@ -73,28 +73,28 @@
 func (r Rule) Validate() error {
 	known := false
 	for _, f := range faults {
-		known = known || f == r.Do
+		known = known || f == r.Fault
 	}
 	switch {
 	case !known:
-		return fmt.Errorf("unknown fault %q, one of %v", r.Do, faults)
-	case r.Conn < 0 || r.At < 0 || r.After < 0 || r.Nth < 0 || r.For < 0 || r.Rate < 0 || r.Bytes < 0:
+		return fmt.Errorf("unknown fault %q, one of %v", r.Fault, faults)
+	case r.Connection < 0 || r.Offset < 0 || r.After < 0 || r.Occurrence < 0 || r.Duration < 0 || r.BytesPerSecond < 0 || r.ByteCount < 0:
 		return errors.New("no value may be below 0")
-	case r.Dir != Up && r.Dir != Down:
-		return fmt.Errorf("unknown direction %d", r.Dir)
-	case len(r.Match) > matchMost || len(r.With) > matchMost || r.Bytes > bytesMost:
+	case r.Direction != Upstream && r.Direction != Downstream:
+		return fmt.Errorf("unknown direction %d", r.Direction)
+	case len(r.Match) > matchMost || len(r.Replacement) > matchMost || r.ByteCount > bytesMost:
 		return fmt.Errorf("match and with hold %d bytes at most, bytes is %d at most", matchMost, bytesMost)
-	case r.For > forMost || r.After > forMost:
+	case r.Duration > forMost || r.After > forMost:
 		return fmt.Errorf("for and after are %v at most", forMost)
-	case r.Do == Delay && r.For == 0:
+	case r.Fault == Delay && r.Duration == 0:
 		return errors.New("delay needs for")
-	case r.Do == Trickle && r.Rate == 0:
+	case r.Fault == Throttle && r.BytesPerSecond == 0:
 		return errors.New("trickle needs rate")
-	case r.Do == Refuse && (r.At > 0 || len(r.Match) > 0 || r.After > 0):
+	case r.Fault == Refuse && (r.Offset > 0 || len(r.Match) > 0 || r.After > 0):
 		return errors.New("refuse strikes when a connection is made: it takes conn alone")
-	case len(r.With) > 0 && r.Do != Garble:
+	case len(r.Replacement) > 0 && r.Fault != Corrupt:
 		return errors.New("with goes with garble alone")
-	case r.Nth > 0 && len(r.Match) == 0:
+	case r.Occurrence > 0 && len(r.Match) == 0:
 		return errors.New("nth goes with match alone")
 	}
 	return nil
@@ -108,17 +108,17 @@
 			fmt.Fprintf(&b, "%s=%s ", key, value)
 		}
 	}
-	put("conn", strconv.Itoa(r.Conn), r.Conn > 0)
-	put("dir", r.Dir.String(), true)
+	put("conn", strconv.Itoa(r.Connection), r.Connection > 0)
+	put("dir", r.Direction.String(), true)
 	put("after", r.After.String(), r.After > 0)
-	put("at", strconv.FormatInt(r.At, 10), r.At > 0)
+	put("at", strconv.FormatInt(r.Offset, 10), r.Offset > 0)
 	put("match", strconv.Quote(string(r.Match)), len(r.Match) > 0)
-	put("nth", strconv.Itoa(r.Nth), r.Nth > 0)
-	put("for", r.For.String(), r.For > 0)
-	put("rate", strconv.Itoa(r.Rate), r.Rate > 0)
-	put("bytes", strconv.Itoa(r.Bytes), r.Bytes > 0)
-	put("with", strconv.Quote(string(r.With)), len(r.With) > 0)
-	return b.String() + "do=" + string(r.Do)
+	put("nth", strconv.Itoa(r.Occurrence), r.Occurrence > 0)
+	put("for", r.Duration.String(), r.Duration > 0)
+	put("rate", strconv.Itoa(r.BytesPerSecond), r.BytesPerSecond > 0)
+	put("bytes", strconv.Itoa(r.ByteCount), r.ByteCount > 0)
+	put("with", strconv.Quote(string(r.Replacement)), len(r.Replacement) > 0)
+	return b.String() + "do=" + string(r.Fault)
 }
 
 // ParseRule reads a rule: key=value, set apart by blanks; text in Go's quotes, such as
@@ -164,34 +164,34 @@
 func (r *Rule) set(key, value string) (err error) {
 	switch key {
 	case "conn":
-		r.Conn, err = strconv.Atoi(value)
+		r.Connection, err = strconv.Atoi(value)
 	case "dir":
 		switch value {
 		case "up":
-			r.Dir = Up
+			r.Direction = Upstream
 		case "down":
-			r.Dir = Down
+			r.Direction = Downstream
 		default:
 			return fmt.Errorf("%q is neither up nor down", value)
 		}
 	case "after":
 		r.After, err = time.ParseDuration(value)
 	case "at":
-		r.At, err = strconv.ParseInt(value, 10, 64)
+		r.Offset, err = strconv.ParseInt(value, 10, 64)
 	case "match":
 		r.Match = []byte(value)
 	case "nth":
-		r.Nth, err = strconv.Atoi(value)
+		r.Occurrence, err = strconv.Atoi(value)
 	case "do":
-		r.Do = Fault(value)
+		r.Fault = Fault(value)
 	case "for":
-		r.For, err = time.ParseDuration(value)
+		r.Duration, err = time.ParseDuration(value)
 	case "rate":
-		r.Rate, err = strconv.Atoi(value)
+		r.BytesPerSecond, err = strconv.Atoi(value)
 	case "bytes":
-		r.Bytes, err = strconv.Atoi(value)
+		r.ByteCount, err = strconv.Atoi(value)
 	case "with":
-		r.With = []byte(value)
+		r.Replacement = []byte(value)
 	default:
 		return errors.New("unknown key: conn, dir, after, at, match, nth, do, for, rate, bytes and with are known")
 	}
@@ -209,9 +209,9 @@
 }
 
 func newTrigger(r Rule) *trigger {
-	t := &trigger{Rule: r, left: r.At}
+	t := &trigger{Rule: r, left: r.Offset}
 	if len(r.Match) > 0 {
-		t.matches = max(1, r.Nth)
+		t.matches = max(1, r.Occurrence)
 	}
 	return t
 }
@@ -281,10 +281,10 @@
 
 // bytes to touch.
 func (r Rule) touch() int {
-	if len(r.With) > 0 {
-		return len(r.With)
+	if len(r.Replacement) > 0 {
+		return len(r.Replacement)
 	}
-	return max(1, r.Bytes)
+	return max(1, r.ByteCount)
 }
 
 // never is a number of bytes that does not come.
--- a/internal/testkit/faultproxy/sockfault_test.go
+++ b/internal/testkit/faultproxy/sockfault_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	id, err := r.Add(rule)
+	id, err := r.AddRule(rule)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	if text, end := all(r.client); text != "still here" || end != "fin" {
 		t.Errorf("%q, %s", text, end)
 	}
-	if s := r.Stats(); s.Up != 5 || s.Down != 18 || s.Made != 1 || s.Struck != 0 {
+	if s := r.Stats(); s.UpstreamBytes != 5 || s.DownstreamBytes != 18 || s.Accepted != 1 || s.Triggered != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -336,7 +336,7 @@
 	r.send(r.client, "12345")
 	r.expect(r.server, "12345")
 	gone := r.rule(`dir=up match="b" do=reset`)
-	if !r.Remove(gone) || r.Remove(gone) {
+	if !r.RemoveRule(gone) || r.RemoveRule(gone) {
 		t.Error("removed twice, or not at all")
 	}
 	id := r.rule("dir=up at=7 do=halfclose") // counted from the connection's start
@@ -346,10 +346,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := r.Wait(ctx, id); err != nil || r.Struck(id) != 1 || r.Struck(gone) != 0 {
-		t.Errorf("%v, struck %d and %d", err, r.Struck(id), r.Struck(gone))
+	if err := r.WaitTriggered(ctx, id); err != nil || r.TriggerCount(id) != 1 || r.TriggerCount(gone) != 0 {
+		t.Errorf("%v, struck %d and %d", err, r.TriggerCount(id), r.TriggerCount(gone))
 	}
-	r.Clear()
+	r.ClearRules()
 	if len(r.Rules()) != 0 {
 		t.Errorf("%v", r.Rules())
 	}
@@ -362,13 +362,13 @@
 		rule := Rule{
 			Match: []byte(
 				rapid.StringMatching(`[ab]{0,4}`).Draw(t, "match"),
-			), At: rapid.Int64Range(0, 10).Draw(t, "at"), Do: Reset,
+			), Offset: rapid.Int64Range(0, 10).Draw(t, "at"), Fault: Reset,
 		}
 		if len(rule.Match) > 0 {
-			rule.Nth = rapid.IntRange(0, 3).Draw(t, "nth")
+			rule.Occurrence = rapid.IntRange(0, 3).Draw(t, "nth")
 		}
 		want := int64(0)
-		for n := 0; len(rule.Match) > 0 && n < max(1, rule.Nth); n++ {
+		for n := 0; len(rule.Match) > 0 && n < max(1, rule.Occurrence); n++ {
 			i := bytes.Index(data[want:], rule.Match)
 			if i < 0 {
 				want = -1
@@ -377,7 +377,7 @@
 			want += int64(i + len(rule.Match))
 		}
 		if want >= 0 {
-			if want += rule.At; want > int64(len(data)) {
+			if want += rule.Offset; want > int64(len(data)) {
 				want = -1
 			}
 		}
@@ -455,7 +455,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- r.Control(ctx, l) }()
+	go func() { ended <- r.ServeControl(ctx, l) }()
 	c, err := net.Dial("unix", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -497,7 +497,7 @@
 func TestScript(t *testing.T) {
 	r := newRig(t)
 	var told []string
-	err := r.Script(
+	err := r.RunScript(
 		context.Background(),
 		strings.NewReader("# first\nadd do=refuse\n\nsleep 1ms\nlist\nnonsense\nclear\n"),
 		func(line, answer string) { told = append(told, line+": "+answer) },
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -116,19 +116,19 @@
 	case scenario.OpLinkCut:
 		f.Cut, state = true, eventlog.LinkCut
 	case scenario.OpLinkLose:
-		f.Drop = step.X
+		f.DropRatio = step.X
 	case scenario.OpLinkDelay:
 		f.Delay = step.For
 	case scenario.OpLinkMix:
-		f.Double, f.Reorder = step.X, step.X
+		f.DuplicateRatio, f.ReorderRatio = step.X, step.X
 	case scenario.OpLinkRate:
-		f.Rate = int(step.X)
+		f.BytesPerSecond = int(step.X)
 	case scenario.OpLinkSound:
 		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(step.Target)
 	s.rec.Add(eventlog.Event{Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state, Cause: string(step.Op)})
-	return l.Set(f)
+	return l.SetFaults(f)
 }
 
 // freeze stops a relay's process, or lets it go on.
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -69,7 +69,7 @@
 	links  map[string]*faultproxy.Link // between relays of a fleet, by scenario.LinkName
 
 	mu       sync.Mutex
-	members  map[string]fake.Member // what is listed, without addresses
+	members  map[string]fake.ListedEndpoint // what is listed, without addresses
 	handedIn int
 	on       []string
 	err      error // the first that went wrong beside the relays
@@ -108,7 +108,7 @@
 	}
 	header.Format, header.StartedAt = eventlog.FormatVersion, began.Round(0)
 	s := &stage{
-		plan: plan, opts: opts, rec: rec, world: fake.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]fake.Member{},
+		plan: plan, opts: opts, rec: rec, world: fake.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]fake.ListedEndpoint{},
 		delays: rand.New(
 			rand.NewPCG(plan.Delays, 1),
 		), late: map[string]time.Duration{}, changes: map[string]chan change{},
@@ -207,7 +207,7 @@
 		if e.Later {
 			continue
 		}
-		if _, err := s.world.AddHost(e); err != nil {
+		if _, err := s.world.AddEndpoint(e); err != nil {
 			return err
 		}
 		s.members[e.ID] = member(e)
@@ -252,13 +252,13 @@
 	if s.opts.Port > 0 {
 		port = s.opts.Port + i
 	}
-	var list []fake.Member
+	var list []fake.ListedEndpoint
 	for _, e := range s.plan.Endpoints {
 		if !e.Later {
 			list = append(list, s.at(s.members[e.ID], name))
 		}
 	}
-	agent, err := fake.NewAgent(name, s.rec, s.world, list)
+	agent, err := fake.NewDiscoveryAgent(name, s.rec, s.world, list)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 				return
 			case c := <-changes:
 				if sleepUntil(ctx, c.due) {
-					agent.Tell(c.Member)
+					agent.Update(c.ListedEndpoint)
 				}
 			}
 		}
@@ -291,17 +291,17 @@
 
 // change is one of the list that a relay is told of at a time.
 type change struct {
-	fake.Member
+	fake.ListedEndpoint
 	due time.Time
 }
 
-func member(e scenario.Endpoint) fake.Member {
-	return fake.Member{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Dest, State: eventlog.StateReady, Weight: e.Weight}
+func member(e scenario.Endpoint) fake.ListedEndpoint {
+	return fake.ListedEndpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Destination: e.Dest, State: eventlog.StateReady, Weight: e.Weight}
 }
 
 // at is an entry with the address that a relay has for it.
-func (s *stage) at(m fake.Member, relay string) fake.Member {
-	if h := s.world.Host(m.ID); h != nil {
+func (s *stage) at(m fake.ListedEndpoint, relay string) fake.ListedEndpoint {
+	if h := s.world.Endpoint(m.ID); h != nil {
 		m.Addr = h.Addr(relay)
 	}
 	return m
@@ -348,7 +348,7 @@
 		if !at(a.At) {
 			return
 		}
-		s.order[a.Relay].clients.HandIn(ctx, a, time.Since(began)-a.At)
+		s.order[a.Relay].clients.Submit(ctx, a, time.Since(began)-a.At)
 		s.mu.Lock()
 		s.handedIn = i + 1
 		s.mu.Unlock()
@@ -369,7 +369,7 @@
 		longest = max(longest, c.GiveUp.D())
 	}
 	by := time.Now().Add(longest + checker.FinalWithin + checker.Slack + settleExtra)
-	for time.Now().Before(by) && s.world.Owed() > 0 && sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
+	for time.Now().Before(by) && s.world.UnresolvedMessages() > 0 && sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
 	}
 }
 
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -37,7 +37,7 @@
 	addr    string
 	release func() // of addr
 	rec     *eventlog.Writer
-	agent   *fake.Agent
+	agent   *fake.DiscoveryAgent
 	clients *fake.Clients
 	file    scenario.File
 	record  bool         // it records its decisions
@@ -50,7 +50,7 @@
 
 // reserve keeps an address for a relay; port 0 lets the system choose.
 func reserve(port int) (addr string, release func(), err error) {
-	addr, release, err = fake.Reserve("127.0.0.1:" + strconv.Itoa(port))
+	addr, release, err = fake.ReserveAddress("127.0.0.1:" + strconv.Itoa(port))
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return "", nil, fmt.Errorf("rehearsal: port %d is in use: choose another with -port, or none: %w", port, err)
 	} else if err != nil {
@@ -89,7 +89,7 @@
 	return json.MarshalIndent(map[string]any{
 		"name": r.name, "listen": r.addr, "discovery": r.agent.Addr(), "seed": fmt.Sprintf("%016x", r.file.Seed),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.Sockets, "disk_mb": s.DiskMB},
-		"known":  r.agent.Known(),
+		"known":  r.agent.NotifiedList(),
 		"settings": map[string]any{
 			"bounds": map[string]any{
 				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAlive), "may_duplicate": *s.MayDuplicate,
@@ -174,7 +174,7 @@
 		cmd.Env = append(cmd.Env, "ROUTER_MANAGEMENT="+r.fleet.second)
 	}
 	cmd.SysProcAttr = childAttr()
-	r.agent.Running(true)
+	r.agent.SetRelayRunning(true)
 	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateStart})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: start %s: %w", r.name, err)
@@ -187,8 +187,8 @@
 		if err != nil {
 			cause = err.Error()
 		}
-		r.clients.Takes(false)
-		r.agent.Running(false)
+		r.clients.SetAccepting(false)
+		r.agent.SetRelayRunning(false)
 		r.rec.Add(
 			eventlog.Event{
 				Kind:   eventlog.ProcessChanged,
@@ -205,7 +205,7 @@
 		return err
 	}
 	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateUp})
-	r.clients.Takes(true)
+	r.clients.SetAccepting(true)
 	return nil
 }
 
@@ -285,7 +285,7 @@
 	default:
 	}
 	r.signal(syscall.SIGTERM, eventlog.StateTerm)
-	front := time.AfterFunc(frontNotices, func() { r.clients.Takes(false) })
+	front := time.AfterFunc(frontNotices, func() { r.clients.SetAccepting(false) })
 	defer front.Stop()
 	select {
 	case <-r.exited:
--- a/internal/testkit/rehearsal/steps.go
+++ b/internal/testkit/rehearsal/steps.go
@@ -22,19 +22,19 @@
 	case scenario.OpGone:
 		s.tell(step.Target, eventlog.StateGone)
 	case scenario.OpStop:
-		s.world.Host(step.Target).Stop()
+		s.world.Endpoint(step.Target).Stop()
 	case scenario.OpSlow:
-		err = s.world.Slow(step.Target, step.X)
+		err = s.world.SetSlowdown(step.Target, step.X)
 	case scenario.OpLower:
-		err = s.world.Lower(step.Target, step.X)
+		err = s.world.SetLimitDivisor(step.Target, step.X)
 	case scenario.OpLose:
-		err = s.world.Lose(step.Target, step.X)
+		err = s.world.SetResponseLossRatio(step.Target, step.X)
 	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
-		err = s.world.Outage(step.Target, step.Op, step.X, step.For)
+		err = s.world.StartOutage(step.Target, step.Op, step.X, step.For)
 	case scenario.OpBack:
-		err = s.world.Back(step.Target)
+		err = s.world.EndOutage(step.Target)
 	case scenario.OpHush, scenario.OpSpeak:
-		s.relays[step.Target].agent.Hush(step.Op == scenario.OpHush)
+		s.relays[step.Target].agent.SetSilent(step.Op == scenario.OpHush)
 	case scenario.OpDelay:
 		s.mu.Lock()
 		s.late[step.Target] = step.For
@@ -84,7 +84,7 @@
 // list starts a new host and has it listed.
 func (s *stage) list(id string) error {
 	e := s.endpoint(id)
-	if _, err := s.world.AddHost(e); err != nil {
+	if _, err := s.world.AddEndpoint(e); err != nil {
 		return err
 	}
 	s.mu.Lock()
