--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	for _, r := range p.Runs() {
 		if r.Key() == key {
-			return p.Play(r).Broken[string(checker.Drain)] > 0
+			return p.Play(r).Broken[string(checker.DrainRespected)] > 0
 		}
 	}
 	return false
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -159,12 +159,12 @@
 	)
 	held = x.tell(s)
 	if c.Judged {
-		v := checker.Judge(x.w.Result())
-		for _, f := range v.Findings {
-			fmt.Fprintf(s.Out, "  %s: %s, %d cases, %d breaks\n", f.Rule, f.State, f.Exercised, f.Count)
-			held = held && f.State != checker.Broken
+		v := checker.Check(x.w.Result())
+		for _, f := range v.Rules {
+			fmt.Fprintf(s.Out, "  %s: %s, %d cases, %d breaks\n", f.Rule, f.State, f.Exercised, f.ViolationCount)
+			held = held && f.State != checker.Violated
 		}
-		for _, fault := range v.Faults {
+		for _, fault := range v.RunErrors {
 			fmt.Fprintf(s.Out, "  the record proves less: %v\n", fault)
 			held = false
 		}
@@ -265,7 +265,7 @@
 					continue
 				}
 				if at := x.drained[a.Endpoint]; at != nil && at[relay] > 0 &&
-					now > at[relay]+sendsWithin+checker.Slack {
+					now > at[relay]+sendsWithin+checker.Tolerance {
 					x.late++
 				}
 				d := x.dest[a.Endpoint]
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -129,7 +129,7 @@
 	}
 	took := time.Since(began)
 	h, events := w.Result()
-	v := checker.Judge(h, events)
+	v := checker.Check(h, events)
 	if err := report.Text(s.Out, h, events, v); err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 	return exit(status(v))
 }
 
-func status(v checker.Verdict) int {
-	return map[checker.State]int{checker.Held: exitHeld, checker.Broken: exitBroken, checker.NotJudged: exitNotJudged}[v.State()]
+func status(v checker.Result) int {
+	return map[checker.State]int{checker.Held: exitHeld, checker.Violated: exitBroken, checker.Inconclusive: exitNotJudged}[v.State()]
 }
 
 // revision names the decisions that results were had with.
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -104,8 +104,8 @@
 		if err != nil {
 			return convict{err: err}
 		}
-		for _, x := range checker.Judge(w.Result()).Findings {
-			if x.State == checker.Broken && !slices.Contains(c.rules, x.Rule) {
+		for _, x := range checker.Check(w.Result()).Rules {
+			if x.State == checker.Violated && !slices.Contains(c.rules, x.Rule) {
 				c.rules = append(c.rules, x.Rule)
 			}
 		}
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -192,8 +192,8 @@
 	return cli.Exit(status)
 }
 
-func status(v checker.Verdict) int {
-	return map[checker.State]int{checker.Held: exitHeld, checker.Broken: exitBroken, checker.NotJudged: exitNotJudged}[v.State()]
+func status(v checker.Result) int {
+	return map[checker.State]int{checker.Held: exitHeld, checker.Violated: exitBroken, checker.Inconclusive: exitNotJudged}[v.State()]
 }
 
 // progress shows how a run goes, on one line.
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -113,14 +113,14 @@
 		state checker.State
 		all   bool
 		kept  bool
-	}{{checker.Held, false, false}, {checker.Broken, false, true}, {checker.Held, true, true}} {
+	}{{checker.Held, false, false}, {checker.Violated, false, true}, {checker.Held, true, true}} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "r1", rehearsal.RecordingsName, "r1-x.flight")
 		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte("x"), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		var out bytes.Buffer
-		r := rehearsal.Result{Verdict: checker.Verdict{Findings: []checker.Finding{{State: c.state}}}}
+		r := rehearsal.Result{Verdict: checker.Result{Rules: []checker.RuleResult{{State: c.state}}}}
 		if err := (&runCommand{KeepAll: c.all}).recordings(&out, dir, r); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -39,7 +39,7 @@
 // Offer has a client hand a message in, and come again as clients do. The relay and the class are counted from 0.
 func (w *World) Offer(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
-	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Dest, over: w.shares.Over(a.Customer, w.Now())}
+	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Dest, over: w.shares.Exceeded(a.Customer, w.Now())}
 	w.asked(x)
 	if w.opts.Asked != nil {
 		w.opts.Asked(a.Relay, a.Dest)
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -60,7 +60,7 @@
 	for seed := range uint64(5) {
 		for _, by := range []time.Duration{-6 * time.Second, -3 * time.Second} {
 			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: &Mutant{Wall: true}})
-			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.Twice)
+			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.NoDuplicateEffect)
 		}
 	}
 	if !convicted {
@@ -87,7 +87,7 @@
 		}
 		rules := broken(judged(t, w))
 		if by < 0 {
-			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.Lost })
+			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.NoMessageLost })
 		}
 		if len(rules) > 0 {
 			t.Errorf("set by %v: broken: %v", by, rules)
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -39,18 +39,18 @@
 	return w
 }
 
-func judged(t testing.TB, w *World) checker.Verdict {
+func judged(t testing.TB, w *World) checker.Result {
 	t.Helper()
-	v := checker.Judge(w.Result())
-	if len(v.Faults) > 0 {
-		t.Errorf("faults: %+v", v.Faults)
+	v := checker.Check(w.Result())
+	if len(v.RunErrors) > 0 {
+		t.Errorf("faults: %+v", v.RunErrors)
 	}
 	return v
 }
 
-func broken(v checker.Verdict) (all []checker.Rule) {
-	for _, f := range v.Findings {
-		if f.State == checker.Broken {
+func broken(v checker.Result) (all []checker.Rule) {
+	for _, f := range v.Rules {
+		if f.State == checker.Violated {
 			all = append(all, f.Rule)
 		}
 	}
@@ -73,11 +73,11 @@
 				if rules := broken(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
-				if s := v.Service; math.Abs(s.Whole-w.Whole()) > 1e-9 || s.Offered != w.Offered ||
-					s.InFull != w.InFull ||
-					s.CallsFull != w.CallsFull ||
+				if s := v.Service; math.Abs(s.Overall-w.Whole()) > 1e-9 || s.Submitted != w.Offered ||
+					s.DeliveredInTime != w.InFull ||
+					s.CallsRejected != w.CallsFull ||
 					s.Deferred != w.Deferred ||
-					s.Refused != w.Refused {
+					s.Rejected != w.Refused {
 					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Measures, w.Whole())
 				}
 			})
@@ -93,12 +93,12 @@
 // does.
 func TestMutantsAreConvicted(t *testing.T) {
 	where := map[checker.Rule][]string{
-		checker.Lost: {
+		checker.NoMessageLost: {
 			"first-run",
 			"rolling-restarts",
 			"partner-cold",
-		}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
-		checker.Return: {"partner-cold"}, checker.Order: {"dinner-rush"}, checker.Wait: {"dinner-rush", "partner-cold"},
+		}, checker.NoDuplicateEffect: {"first-run", "partner-cold"}, checker.DrainRespected: {"half-draining"},
+		checker.RecoveryNotOverloaded: {"partner-cold"}, checker.OrderKept: {"dinner-rush"}, checker.RetryAfterRespected: {"dinner-rush", "partner-cold"},
 	}
 	// By the tiny worlds, and not by these: see package explore and the table in docs/emulator.md.
 	elsewhere := []string{
@@ -154,7 +154,7 @@
 		}
 		f.SetDefaults()
 		w := played(t, f.Draw(1), Options{Record: true, Wrong: &Mutant{Lag: lag}})
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) != (lag > 0) {
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
 	}
@@ -173,7 +173,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		if lost := slices.Contains(broken(judged(t, w)), checker.Lost); lost != (sync != SyncAlways) {
+		if lost := slices.Contains(broken(judged(t, w)), checker.NoMessageLost); lost != (sync != SyncAlways) {
 			t.Errorf("sync %d: lost %v", sync, lost)
 		}
 	}
@@ -187,8 +187,8 @@
 	for seed := range uint64(8) {
 		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
 		fell += w.Fell
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) ||
-			slices.Contains(rules, checker.Twice) {
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
+			slices.Contains(rules, checker.NoDuplicateEffect) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
 		}
 	}
@@ -241,7 +241,7 @@
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
 	wrong := played(t, p, Options{Record: true, Wrong: MutantNamed("reset-never-ran")})
-	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.Twice) {
+	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
 }
@@ -362,7 +362,7 @@
 	w.run(t, 35*time.Second)
 	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
-	if f := v.Finding(checker.Wait); f.State != checker.Held || f.Exercised < 10 {
+	if f := v.ForRule(checker.RetryAfterRespected); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -12,7 +12,7 @@
 )
 
 // playFleet plays the scenario of links between relays.
-func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Verdict) {
+func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Result) {
 	t.Helper()
 	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
-	return w, checker.Judge(w.Result())
+	return w, checker.Check(w.Result())
 }
 
 // Sound relays believe nothing that is not so, whatever is between them and whatever one of them tells; those with
@@ -57,8 +57,8 @@
 					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
 				}
 				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound &&
-					(v.State() != checker.Held || v.Beliefs.Apart == 0 || v.Beliefs.Deaf.Exercised == 0) {
-					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.Beliefs)
+					(v.State() != checker.Held || v.PeerViews.Disconnected == 0 || v.PeerViews.Stale.Exercised == 0) {
+					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.PeerViews)
 				}
 				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
 					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
@@ -67,7 +67,7 @@
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
 				}
-				if c.kind != "" && v.State() != checker.Broken {
+				if c.kind != "" && v.State() != checker.Violated {
 					t.Errorf("seed %d: not convicted", seed+1)
 				}
 			}
@@ -99,7 +99,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		return fmt.Sprintf("%+v", checker.Judge(w.Result()).Service), w
+		return fmt.Sprintf("%+v", checker.Check(w.Result()).Service), w
 	}
 	on, a := play(true)
 	again, b := play(true)
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -357,7 +357,7 @@
 		convicted := false
 		for seed := range uint64(2) {
 			rules := broken(judged(t, played(t, f.Draw(seed+1), Options{Record: true, Wrong: wrong})))
-			if convicted = convicted || slices.Contains(rules, checker.Drain); wrong == nil && len(rules) > 0 {
+			if convicted = convicted || slices.Contains(rules, checker.DrainRespected); wrong == nil && len(rules) > 0 {
 				t.Errorf("seed %d: broken: %v", seed+1, rules)
 			}
 		}
--- a/internal/simulation/emulate/measures.go
+++ b/internal/simulation/emulate/measures.go
@@ -80,7 +80,7 @@
 	} else {
 		w.InPart++
 	}
-	w.value[w.second(x.at)] += w.worthOf(x) * checker.WorthAfter(c, took)
+	w.value[w.second(x.at)] += w.worthOf(x) * checker.WeightRatioAfter(c, took)
 	w.late.RecordValue(int64(min(took, lateMost))) // within its range
 }
 
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -199,38 +199,38 @@
 	const ms = time.Millisecond
 	return []Mutant{
 		{
-			Name: "journal-not-restored", About: "a restart begins with nothing", Rule: checker.Lost,
+			Name: "journal-not-restored", About: "a restart begins with nothing", Rule: checker.NoMessageLost,
 			Loses: func(bool, bool, uint32) bool { return true },
 		},
 		{
 			Name:  "no-notices",
 			About: "what is given up on is told to nobody",
-			Rule:  checker.Lost,
+			Rule:  checker.NoMessageLost,
 			Quiet: func(uint32) bool { return true },
 		},
 		{
-			Name: "ends-forgotten", About: "what is given up on is kept, and never ended", Rule: checker.Lost,
+			Name: "ends-forgotten", About: "what is given up on is kept, and never ended", Rule: checker.NoMessageLost,
 			Says: func(a *policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject },
 		},
 		{
 			Name:  "some-notices-lost",
 			About: "one notice in 25 is not sent",
-			Rule:  checker.Lost,
+			Rule:  checker.NoMessageLost,
 			Quiet: func(id uint32) bool { return id%25 == 0 },
 		},
 		{
-			Name: "notices-lost-over-restarts", About: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.Lost,
+			Name: "notices-lost-over-restarts", About: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.NoMessageLost,
 			Loses: func(final, _ bool, _ uint32) bool { return final }, Quiet: func(id uint32) bool { return false },
 		},
 		{
 			Name:  "logged-late",
 			About: "what is taken on is in the journal 30 ms after the client was told",
-			Rule:  checker.Lost,
+			Rule:  checker.NoMessageLost,
 			Lag:   30 * ms,
 		},
 
 		{
-			Name: "unsafe-repeated", About: "what must never run twice is taken for what may", Rule: checker.Twice,
+			Name: "unsafe-repeated", About: "what must never run twice is taken for what may", Rule: checker.NoDuplicateEffect,
 			Set: eachClass(func(c *policy.Class) {
 				if c.Effect == policy.NonIdempotent {
 					c.Effect = policy.Idempotent
@@ -240,23 +240,23 @@
 		{
 			Name:  "any-zone",
 			About: "keyed repeats go to any zone",
-			Rule:  checker.Twice,
+			Rule:  checker.NoDuplicateEffect,
 			Set:   eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
 		},
 		{
-			Name: "no-window", About: "keyed repeats go at any time", Rule: checker.Twice,
+			Name: "no-window", About: "keyed repeats go at any time", Rule: checker.NoDuplicateEffect,
 			Set: eachClass(func(c *policy.Class) { c.DedupWindow *= 100 }),
 		},
 		{
-			Name: "reset-never-ran", About: "a broken connection is taken for proof that the call never ran", Rule: checker.Twice,
+			Name: "reset-never-ran", About: "a broken connection is taken for proof that the call never ran", Rule: checker.NoDuplicateEffect,
 			Hears: outcomeAs(policy.Reset, policy.ConnectFailed),
 		},
 		{
-			Name: "timeout-never-ran", About: "a call without an answer is taken for one that never ran", Rule: checker.Twice,
+			Name: "timeout-never-ran", About: "a call without an answer is taken for one that never ran", Rule: checker.NoDuplicateEffect,
 			Hears: outcomeAs(policy.Timeout, policy.ConnectFailed),
 		},
 		{
-			Name: "restart-forgets-sends", About: "after a restart nothing is taken to have run", Rule: checker.Twice,
+			Name: "restart-forgets-sends", About: "after a restart nothing is taken to have run", Rule: checker.NoDuplicateEffect,
 			Hears: func(e *policy.Event) time.Duration {
 				if e.Recovered != nil {
 					e.Recovered = &policy.RecoveredMessage{}
@@ -265,66 +265,66 @@
 			},
 		},
 		{
-			Name: "window-too-long", About: "keyed repeats go until 400 ms after the window", Rule: checker.Twice,
+			Name: "window-too-long", About: "keyed repeats go until 400 ms after the window", Rule: checker.NoDuplicateEffect,
 			Set: eachClass(func(c *policy.Class) { c.DedupWindow += 400 * ms }),
 		},
 
 		{
-			Name: "drains-ignored", About: "what drains or has gone is called all the same", Rule: checker.Drain,
+			Name: "drains-ignored", About: "what drains or has gone is called all the same", Rule: checker.DrainRespected,
 			Hears: stays(func(policy.Endpoint) bool { return true }),
 		},
 		{
-			Name: "some-drains-ignored", About: "of the endpoints one in four stays in service for good", Rule: checker.Drain,
+			Name: "some-drains-ignored", About: "of the endpoints one in four stays in service for good", Rule: checker.DrainRespected,
 			Hears: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
 		},
 		{
 			Name:  "news-3s-late",
 			About: "the list is heeded 3 s after it was told",
-			Rule:  checker.Drain,
+			Rule:  checker.DrainRespected,
 			Hears: lateNews(3 * time.Second),
 		},
 		{
 			Name:  "news-1.4s-late",
 			About: "the list is heeded 1.4 s after it was told",
-			Rule:  checker.Drain,
+			Rule:  checker.DrainRespected,
 			Hears: lateNews(1400 * ms),
 		},
 		{
 			Name:  "news-1.1s-late",
 			About: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
-			Rule:  checker.Drain,
+			Rule:  checker.DrainRespected,
 			Hears: lateNews(1100 * ms),
 		},
 
 		{
-			Name: "no-recovery-budget", About: "a returning destination is sent what it takes when it is warm", Rule: checker.Return,
+			Name: "no-recovery-budget", About: "a returning destination is sent what it takes when it is warm", Rule: checker.RecoveryNotOverloaded,
 			Set: func(s *policy.Settings) { s.WarmUpInitialCapacity, s.OverloadFactor = 1, 1000 },
 		},
 		{
-			Name: "warm-at-once", About: "a returning destination is taken to be warm after 1 s", Rule: checker.Return,
+			Name: "warm-at-once", About: "a returning destination is taken to be warm after 1 s", Rule: checker.RecoveryNotOverloaded,
 			Set: func(s *policy.Settings) { s.WarmUpDuration = time.Second },
 		},
 		{
-			Name: "budget-three-times", About: "a returning destination is taken to bear three times what it does", Rule: checker.Return,
+			Name: "budget-three-times", About: "a returning destination is taken to bear three times what it does", Rule: checker.RecoveryNotOverloaded,
 			Set: func(s *policy.Settings) { s.OverloadFactor *= 3 },
 		},
 		{
-			Name: "budget-for-itself", About: "each relay takes the whole budget for its own", Rule: checker.Return,
+			Name: "budget-for-itself", About: "each relay takes the whole budget for its own", Rule: checker.RecoveryNotOverloaded,
 			Set: func(s *policy.Settings) { s.FleetSize = 1 },
 		},
 		{
-			Name: "budget-twice", About: "a returning destination is taken to bear twice what it does", Rule: checker.Return,
+			Name: "budget-twice", About: "a returning destination is taken to bear twice what it does", Rule: checker.RecoveryNotOverloaded,
 			Set: func(s *policy.Settings) { s.OverloadFactor *= 2 },
 		},
 
 		{
 			Name:  "no-order",
 			About: "messages of a key do not take turns",
-			Rule:  checker.Order,
+			Rule:  checker.OrderKept,
 			Set:   eachClass(func(c *policy.Class) { c.Ordered = false }),
 		},
 		{
-			Name: "some-keys-lost", About: "one message in six has no key", Rule: checker.Order,
+			Name: "some-keys-lost", About: "one message in six has no key", Rule: checker.OrderKept,
 			Hears: func(e *policy.Event) time.Duration {
 				if e.Kind == policy.MessageAccepted && e.MessageID%6 == 0 {
 					e.Key = ""
@@ -335,30 +335,30 @@
 		{
 			Name:  "no-pause",
 			About: "a key does not rest after a call that may still run",
-			Rule:  checker.Order,
+			Rule:  checker.OrderKept,
 			Set:   func(s *policy.Settings) { s.OrderingPause = 0 },
 		},
 		{
 			Name:  "half-a-pause",
 			About: "a key rests half as long",
-			Rule:  checker.Order,
+			Rule:  checker.OrderKept,
 			Set:   func(s *policy.Settings) { s.OrderingPause /= 2 },
 		},
 		{
 			Name:  "pause-too-short",
 			About: "a key rests 100 ms less than it must",
-			Rule:  checker.Order,
+			Rule:  checker.OrderKept,
 			Set:   func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
 		},
 
 		{
 			Name:  "waits-dropped",
 			About: "told waits are not heard",
-			Rule:  checker.Wait,
+			Rule:  checker.RetryAfterRespected,
 			Hears: waitAs(func(*policy.Event) time.Duration { return 0 }),
 		},
 		{
-			Name: "some-waits-dropped", About: "one told wait in eight is not heard", Rule: checker.Wait,
+			Name: "some-waits-dropped", About: "one told wait in eight is not heard", Rule: checker.RetryAfterRespected,
 			Hears: waitAs(func(e *policy.Event) time.Duration {
 				if e.MessageID%8 == 0 {
 					return 0
@@ -369,19 +369,19 @@
 		{
 			Name:  "half-a-wait",
 			About: "told waits are heard as half as long",
-			Rule:  checker.Wait,
+			Rule:  checker.RetryAfterRespected,
 			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
 		},
 		{
 			Name:  "wait-150ms-short",
 			About: "told waits end 150 ms early",
-			Rule:  checker.Wait,
+			Rule:  checker.RetryAfterRespected,
 			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
 		},
 		{
 			Name:  "wait-20ms-short",
 			About: "told waits end 20 ms early",
-			Rule:  checker.Wait,
+			Rule:  checker.RetryAfterRespected,
 			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
 		},
 
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -90,8 +90,8 @@
 			Options{Record: true, WholeMost: 1, Wrong: MutantNamed("drains-ignored")},
 		),
 	)
-	if v.Finding(checker.Drain).State != checker.Broken {
-		t.Errorf("drains ignored: %+v", v.Finding(checker.Drain))
+	if v.ForRule(checker.DrainRespected).State != checker.Violated {
+		t.Errorf("drains ignored: %+v", v.ForRule(checker.DrainRespected))
 	}
 }
 
@@ -135,7 +135,7 @@
 		w.Every(0, 80*time.Second, 1, func() { n++; w.Offer(scenario.Arrival{Dest: 2 + n%39}) })
 		w.run(t, 100*time.Second)
 		w.see(eventlog.Event{Kind: eventlog.RunEnded})
-		if f := judged(t, w.World).Finding(checker.Wait); (f.State == checker.Broken) != forgets || f.Exercised == 0 {
+		if f := judged(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
 			t.Errorf("forgets %v: %+v", forgets, f)
 		}
 	}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -157,7 +157,7 @@
 	calls  uint64
 	ids    uint64
 	length time.Duration
-	shares checker.Shares
+	shares checker.CustomerShares
 	fleet  *fleetNet // nil: relays tell each other nothing
 
 	changes   int               // of discovery's list
@@ -200,7 +200,7 @@
 	w.header.Format, w.header.PlanDigest = eventlog.FormatVersion, plan.Digest()
 	w.header.StartedAt = time.Unix(0, 0).UTC()
 	w.Measures.init(w.header.Classes, w.length)
-	w.shares = checker.NewShares(w.header)
+	w.shares = checker.NewCustomerShares(w.header)
 	for _, p := range plan.Places {
 		w.addPlace(p)
 	}
@@ -309,7 +309,7 @@
 	for _, c := range w.plan.File.Classes {
 		longest = max(longest, c.GiveUp.D())
 	}
-	if err := w.Run(w.length + longest + checker.FinalWithin + checker.Slack + time.Second); err != nil {
+	if err := w.Run(w.length + longest + checker.FinalAnswerTimeout + checker.Tolerance + time.Second); err != nil {
 		return err
 	}
 	if w.opts.Record && len(w.events) >= eventlog.MaxEvents {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -180,7 +180,7 @@
 	}
 	h := Hunt{Base: base, Plans: 12, Seed: 3, Wrong: emulate.MutantNamed("drains-ignored")}
 	p, err := h.Run(t.Context())
-	if err != nil || len(p.Rules) == 0 || p.Rules[0] != checker.Drain {
+	if err != nil || len(p.Rules) == 0 || p.Rules[0] != checker.DrainRespected {
 		t.Fatalf("%+v, %v", p.Rules, err)
 	}
 	h.Workers = 1
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/hunt.go
@@ -111,13 +111,13 @@
 	if err != nil {
 		return p, err
 	}
-	v := checker.Judge(w.Result())
-	for _, x := range v.Findings {
-		if x.State == checker.Broken {
+	v := checker.Check(w.Result())
+	for _, x := range v.Rules {
+		if x.State == checker.Violated {
 			p.Rules = append(p.Rules, x.Rule)
 		}
 	}
-	p.Service = v.Service.Whole
+	p.Service = v.Service.Overall
 	return p, nil
 }
 
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -73,11 +73,11 @@
 	res.Measures = Measure(&w.Measures)
 	if p.Judged {
 		h, events := w.Result()
-		v := checker.Judge(h, events)
+		v := checker.Check(h, events)
 		res.Broken = map[string]int{}
-		for _, x := range v.Findings {
-			if x.Count > 0 {
-				res.Broken[string(x.Rule)] = x.Count
+		for _, x := range v.Rules {
+			if x.ViolationCount > 0 {
+				res.Broken[string(x.Rule)] = x.ViolationCount
 			}
 		}
 		res.Measures["broken"] = float64(len(res.Broken))
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -63,7 +63,7 @@
 // The rules' figures that the settings do not hold.
 const (
 	drainGrace = time.Second
-	lostAfter  = checker.FinalWithin
+	lostAfter  = checker.FinalAnswerTimeout
 )
 
 // MoveKind names a move.
@@ -779,7 +779,7 @@
 		for k := range r.msgs {
 			if m := &r.msgs[k]; !m.told && n.now > m.deadline+lostAfter {
 				n.breaks(
-					checker.Lost,
+					checker.NoMessageLost,
 					"message %d, taken on by relay %d at %v, has no end %v after its time",
 					m.id,
 					i,
@@ -850,7 +850,7 @@
 func (x *explorer) heard(n *node, relay int, evs []policy.Event) {
 	s, err := policy.Restore(x.set, n.relays[relay].module)
 	if err != nil {
-		n.breaks(checker.Lost, "relay %d: its state cannot be put back: %v", relay, err)
+		n.breaks(checker.NoMessageLost, "relay %d: its state cannot be put back: %v", relay, err)
 		return
 	}
 	x.decide(n, relay, s, evs)
@@ -863,7 +863,7 @@
 	r.life++
 	s, err := policy.New(x.set, uint64(relay+100*r.life))
 	if err != nil {
-		n.breaks(checker.Lost, "relay %d does not start again: %v", relay, err)
+		n.breaks(checker.NoMessageLost, "relay %d does not start again: %v", relay, err)
 		return
 	}
 	r.epoch, r.wake, r.calls, r.held = n.now-moduleStart, 0, nil, nil
@@ -940,14 +940,14 @@
 	}
 	m := &r.msgs[k]
 	if m.ended {
-		n.breaks(checker.Lost, "message %d ends twice", m.id)
+		n.breaks(checker.NoMessageLost, "message %d ends twice", m.id)
 		return
 	}
 	c := x.w.Settings.Classes[x.w.Messages[m.n].Class]
 	if a.Kind == policy.Reject && m.ran &&
 		(c.Effect == policy.NonIdempotent || c.Effect == policy.IdempotentByKey && !c.DedupAllZones) {
 		n.breaks(
-			checker.Twice,
+			checker.NoDuplicateEffect,
 			"message %d is refused, which says that it may come again, though a call may have run",
 			m.id,
 		)
@@ -967,7 +967,7 @@
 	route := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
 	if k < 0 || route < 0 {
 		n.breaks(
-			checker.Lost,
+			checker.NoMessageLost,
 			"relay %d sends message %d to %q, of which one is not there",
 			relay,
 			a.MessageID,
@@ -978,23 +978,23 @@
 	m, l := &r.msgs[k], w.Routes[route]
 	c := w.Settings.Classes[w.Messages[m.n].Class]
 	if m.ended {
-		n.breaks(checker.Lost, "message %d is sent after its end", m.id)
+		n.breaks(checker.NoMessageLost, "message %d is sent after its end", m.id)
 	}
 	if m.ran {
 		switch c.Effect {
 		case policy.NonIdempotent:
-			n.breaks(checker.Twice, "message %d must never run twice, may have run, and is sent again", m.id)
+			n.breaks(checker.NoDuplicateEffect, "message %d must never run twice, may have run, and is sent again", m.id)
 		case policy.IdempotentByKey:
 			if late := n.now - m.ranAt - c.DedupWindow; late > 0 {
-				n.breaks(checker.Twice, "message %d is repeated %v after its window", m.id, late)
+				n.breaks(checker.NoDuplicateEffect, "message %d is repeated %v after its window", m.id, late)
 			} else if l.Zone != m.ranZone && !c.DedupAllZones {
-				n.breaks(checker.Twice, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
+				n.breaks(checker.NoDuplicateEffect, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
 			}
 		}
 	}
 	if t, ok := r.told[a.Endpoint]; ok && n.now > t.at+drainGrace {
 		n.breaks(
-			checker.Drain,
+			checker.DrainRespected,
 			"relay %d sends to %s %v after it was told that it is no longer in service",
 			relay,
 			a.Endpoint,
@@ -1002,7 +1002,7 @@
 		)
 	}
 	if until := r.wait[x.gate(l)]; n.now < until-time.Millisecond {
-		n.breaks(checker.Wait, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
+		n.breaks(checker.RetryAfterRespected, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
 	}
 	if c.Ordered && w.Messages[m.n].Key != "" {
 		x.inTurn(n, r, m)
@@ -1032,12 +1032,12 @@
 		}
 		switch {
 		case !e.ended:
-			n.breaks(checker.Order, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
+			n.breaks(checker.OrderKept, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
 		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.id == e.id }):
-			n.breaks(checker.Order, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
+			n.breaks(checker.OrderKept, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
 		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderingPause:
 			n.breaks(
-				checker.Order,
+				checker.OrderKept,
 				"message %d is sent %v after a call of %d that may still run",
 				m.id,
 				n.now-e.doubtAt,
@@ -1069,9 +1069,9 @@
 	}
 	sum := float64(len(n.arrivals))
 	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.OverloadBudget(set.OverloadFactor, able, set.OverloadWindow) &&
-		float64(knew) >= checker.SeenShare*sum {
+		float64(knew) >= checker.MinInformedRatio*sum {
 		n.breaks(
-			checker.Return,
+			checker.RecoveryNotOverloaded,
 			"%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
 			sum,
 			set.OverloadWindow,
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -104,7 +104,7 @@
 // Random paths find what needs many calls, and shorten it.
 func TestWalks(t *testing.T) {
 	f := search(t, "return-many", "no-recovery-budget", Options{})
-	if f.Break == nil || f.Break.Rule != checker.Return || len(f.Path) > 100 {
+	if f.Break == nil || f.Break.Rule != checker.RecoveryNotOverloaded || len(f.Path) > 100 {
 		t.Errorf("%+v, %d moves", f.Break, len(f.Path))
 	}
 }
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -70,7 +70,7 @@
 	told := Outcome{Outcome: policy.Overloaded, Wait: time.Second}
 	return []World{
 		{
-			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
+			Name: "repeats", Rules: []checker.Rule{checker.NoDuplicateEffect, checker.NoMessageLost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -80,7 +80,7 @@
 			), Faults: 2, Restarts: 1, Quantum: quantum, Depth: 11,
 		},
 		{
-			Name: "window", Rules: []checker.Rule{checker.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
+			Name: "window", Rules: []checker.Rule{checker.NoDuplicateEffect}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
 			Outcomes: outcomes(
 				policy.Reset,
@@ -89,7 +89,7 @@
 			), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
 		},
 		{
-			Name: "order", Rules: []checker.Rule{checker.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
+			Name: "order", Rules: []checker.Rule{checker.OrderKept}, About: "one relay: three messages of a key, calls that break or err, a drain",
 			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -98,7 +98,7 @@
 			), Faults: 3, Quantum: quantum, Drains: []string{"a"}, Depth: 10,
 		},
 		{
-			Name: "waits", Rules: []checker.Rule{checker.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
+			Name: "waits", Rules: []checker.Rule{checker.RetryAfterRespected}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
 			Outcomes: []Outcome{
 				{Outcome: policy.OK},
@@ -107,7 +107,7 @@
 			}, Faults: 2, Quantum: quantum, Depth: 10,
 		},
 		{
-			Name: "drains", Rules: []checker.Rule{checker.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
+			Name: "drains", Rules: []checker.Rule{checker.DrainRespected}, About: "two relays that learn at different times that both routes of three drain and go",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -115,24 +115,24 @@
 			), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
 		},
 		{
-			Name: "return", Rules: []checker.Rule{checker.Return}, About: "one relay, a destination that fails and comes back cold",
+			Name: "return", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, About: "one relay, a destination that fails and comes back cold",
 			Relays: 1, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
 			Outcomes: outcomes(policy.OK), Quantum: quantum, Outage: true, Knows: 2, Depth: 10,
 		},
 		{
-			Name: "return-2", Rules: []checker.Rule{checker.Return}, About: "two relays, a destination that is out at the start and comes back cold",
+			Name: "return-2", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, About: "two relays, a destination that is out at the start and comes back cold",
 			Relays: 2, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
 			Outcomes: outcomes(policy.OK), Quantum: time.Second, Outage: true, Out: true, Knows: 2, Depth: 9,
 		},
 		{
-			Name: "return-many", Rules: []checker.Rule{checker.Return}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
+			Name: "return-many", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
 			Relays: 2, Settings: settings(), Routes: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
 			Outcomes: outcomes(
 				policy.OK,
 			), Quantum: 200 * time.Millisecond, Outage: true, Lasts: 3 * time.Second, Knows: 2, Depth: 4, Walks: 1000, WalkDepth: 200,
 		},
 		{
-			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, About: "two relays that are killed at any moment, with a message given up on",
+			Name: "restarts", Rules: []checker.Rule{checker.NoMessageLost, checker.NoDuplicateEffect}, About: "two relays that are killed at any moment, with a message given up on",
 			Relays: 2, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -141,7 +141,7 @@
 			), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
 		},
 		{
-			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
+			Name: "separate", Rules: []checker.Rule{checker.DrainRespected, checker.RetryAfterRespected, checker.NoDuplicateEffect}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
 			Relays: 2, Settings: settings(), Routes: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
 			Outcomes: append(
 				outcomes(policy.OK, policy.Reset),
--- a/internal/testkit/checker/fleet.go
+++ b/internal/testkit/checker/fleet.go
@@ -22,21 +22,23 @@
 )
 
 // Beliefs is what relays held of each other, beside the truth.
-type Beliefs struct {
-	Asked int     `json:"asked"`
-	Apart int     `json:"apart"` // while something was between the two
-	Young Finding `json:"young"` // held to be younger than it can have been told
-	Deaf  Finding `json:"deaf"`  // not heard of, though nothing was in the way
+type PeerViewResult struct {
+	Queried      int        `json:"asked"`
+	Disconnected int        `json:"apart"` // while something was between the two
+	TooFresh     RuleResult `json:"young"` // held to be younger than it can have been told
+	Stale        RuleResult `json:"deaf"`  // not heard of, though nothing was in the way
 }
 
-func (b *Beliefs) wrong() bool { return b != nil && b.Young.Count+b.Deaf.Count > 0 }
+func (b *PeerViewResult) violated() bool {
+	return b != nil && b.TooFresh.ViolationCount+b.Stale.ViolationCount > 0
+}
 
 // State sums them up.
-func (b *Beliefs) State() State {
+func (b *PeerViewResult) State() State {
 	switch {
-	case b.wrong():
-		return Broken
-	case b.Asked == 0:
+	case b.violated():
+		return Violated
+	case b.Queried == 0:
 		return NotExercised
 	}
 	return Held
@@ -122,13 +124,13 @@
 }
 
 // beliefs judges what relays said that they hold of each other; nil if none was asked.
-func (j *judge) beliefs() *Beliefs {
+func (j *judge) beliefs() *PeerViewResult {
 	if !slices.ContainsFunc(j.events, func(e eventlog.Event) bool { return e.Kind == eventlog.PeerView }) {
 		return nil
 	}
-	b := &Beliefs{
-		Young: Finding{Rule: "nobody is believed to be heard who was not"},
-		Deaf:  Finding{Rule: "who can be heard is heard"},
+	b := &PeerViewResult{
+		TooFresh: RuleResult{Rule: "nobody is believed to be heard who was not"},
+		Stale:    RuleResult{Rule: "who can be heard is heard"},
 	}
 	t := newTruth(j.Relays)
 	index := func(name string) int { return slices.Index(t.names, name) }
@@ -160,14 +162,14 @@
 		case e.Kind == eventlog.PeerView && index(e.Name) >= 0:
 			o := index(e.Name)
 			t.until(e.At)
-			b.Asked++
+			b.Queried++
 			apart := t.sound[r][o] == never
 			if apart {
-				b.Apart++
+				b.Disconnected++
 			}
-			b.Young.Exercised++
+			b.TooFresh.Exercised++
 			if e.For >= 0 && e.At-e.Delay-e.For > t.known[r][o]+beliefSlack {
-				b.Young.broken(
+				b.TooFresh.broken(
 					e.At,
 					[]int{i},
 					"%s holds news of %s that is %v old, and can have heard of it as it was at %v at the latest",
@@ -178,9 +180,9 @@
 				)
 			}
 			if since := t.sound[r][o]; !apart && e.At-since > hearsWithin && e.At-offered[o] < toldWithin {
-				b.Deaf.Exercised++
+				b.Stale.Exercised++
 				if e.For < 0 || e.For > youngWithin {
-					b.Deaf.broken(
+					b.Stale.broken(
 						e.At,
 						[]int{i},
 						"%s holds news of %s that is %v old (below 0: none), over links that are sound since %v",
@@ -193,10 +195,10 @@
 			}
 		}
 	}
-	for _, f := range []*Finding{&b.Young, &b.Deaf} {
+	for _, f := range []*RuleResult{&b.TooFresh, &b.Stale} {
 		switch {
-		case f.Count > 0:
-			f.State = Broken
+		case f.ViolationCount > 0:
+			f.State = Violated
 		case f.Exercised == 0:
 			f.State = NotExercised
 		default:
--- a/internal/testkit/checker/fleet_test.go
+++ b/internal/testkit/checker/fleet_test.go
@@ -53,21 +53,21 @@
 		"soon after the links healed":  {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(30*s, "b", "a", eventlog.LinkHealthy), offer(39*s, "b"), belief(40*s, "a", "b", 20*s)}, 0, 0},
 		"what waited came when it did": {[]eventlog.Event{link(5*s, "b", "a", eventlog.LinkCut), link(5*s, "b", "c", eventlog.LinkCut), link(30*s, "b", "c", eventlog.LinkHealthy), belief(31*s, "a", "b", s/2)}, 0, 0},
 	} {
-		v := Judge(
+		v := Check(
 			h,
 			append(
 				append(append([]eventlog.Event(nil), up...), c.events...),
 				eventlog.Event{At: 90 * s, Kind: eventlog.RunEnded},
 			),
 		)
-		if v.Beliefs == nil || v.Beliefs.Young.Count != c.young || v.Beliefs.Deaf.Count != c.deaf {
-			t.Errorf("%s: %+v", name, v.Beliefs)
+		if v.PeerViews == nil || v.PeerViews.TooFresh.ViolationCount != c.young || v.PeerViews.Stale.ViolationCount != c.deaf {
+			t.Errorf("%s: %+v", name, v.PeerViews)
 		}
-		if wrong := c.young+c.deaf > 0; wrong != v.Beliefs.wrong() || wrong && v.State() != Broken {
+		if wrong := c.young+c.deaf > 0; wrong != v.PeerViews.violated() || wrong && v.State() != Violated {
 			t.Errorf("%s: %s", name, v.State())
 		}
 	}
-	if v := Judge(h, up); v.Beliefs != nil {
+	if v := Check(h, up); v.PeerViews != nil {
 		t.Error("beliefs of relays that were not asked")
 	}
 }
--- a/internal/testkit/checker/judge.go
+++ b/internal/testkit/checker/judge.go
@@ -18,20 +18,20 @@
 
 // The figures of the protocol that no setting changes.
 const (
-	Slack        = 50 * time.Millisecond   // by which each limit is longer on sockets
-	FinalWithin  = 300 * time.Millisecond  // after its time is up, a message is lost
-	RestartGrace = 1500 * time.Millisecond // after a restart's ready, until when no notice is overdue
-	WaitLetsBy   = 100 * time.Millisecond  // calls this soon after a told wait are let through
-	SeenShare    = 2.0 / 3                 // of the load that pushed a place over, from relays that knew
+	Tolerance          = 50 * time.Millisecond   // by which each limit is longer on sockets
+	FinalAnswerTimeout = 300 * time.Millisecond  // after its time is up, a message is lost
+	restartGrace       = 1500 * time.Millisecond // after a restart's ready, until when no notice is overdue
+	retryAfterGrace    = 100 * time.Millisecond  // calls this soon after a told wait are let through
+	MinInformedRatio   = 2.0 / 3                 // of the load that pushed a place over, from relays that knew
 
 	// waitRounding is how much earlier than its end a wait may be taken for over: it is told in whole milliseconds.
-	waitRounding = time.Millisecond
+	retryAfterRounding = time.Millisecond
 	// LatenessMost is how late, at the 99th percentile, the load may be handed in. Of a run that did not offer what it
 	// was to offer, nothing can be told.
-	LatenessMost = 50 * time.Millisecond
+	maxLoadLag = 50 * time.Millisecond
 
-	breaksMost = 20 // that are told of a rule; all are counted
-	windowSpan = 10 * time.Second
+	maxViolations = 20 // that are told of a rule; all are counted
+	serviceWindow = 10 * time.Second
 )
 
 // Rule is one of the six.
@@ -39,16 +39,16 @@
 
 // The six rules.
 const (
-	Lost   Rule = "no message is lost"
-	Twice  Rule = "no effect happens twice"
-	Drain  Rule = "drains are kept"
-	Return Rule = "a returning destination is not pushed over"
-	Order  Rule = "order is kept where asked"
-	Wait   Rule = "waits are heeded"
+	NoMessageLost         Rule = "no message is lost"
+	NoDuplicateEffect     Rule = "no effect happens twice"
+	DrainRespected        Rule = "drains are kept"
+	RecoveryNotOverloaded Rule = "a returning destination is not pushed over"
+	OrderKept             Rule = "order is kept where asked"
+	RetryAfterRespected   Rule = "waits are heeded"
 )
 
 // Rules lists the six in the order in which they are told.
-var Rules = [...]Rule{Lost, Twice, Drain, Return, Order, Wait}
+var Rules = [...]Rule{NoMessageLost, NoDuplicateEffect, DrainRespected, RecoveryNotOverloaded, OrderKept, RetryAfterRespected}
 
 // State is what a run shows of a rule.
 type State string
@@ -56,69 +56,69 @@
 // The states.
 const (
 	Held         State = "held"
-	Broken       State = "BROKEN"
+	Violated     State = "BROKEN"
 	NotExercised State = "not exercised"
-	NotJudged    State = "not judged"
+	Inconclusive State = "not judged"
 )
 
 // Break is one breach of a rule.
-type Break struct {
-	At     time.Duration `json:"at"`
-	Text   string        `json:"text"`
-	Events []int         `json:"events"` // that prove it, by their place in the record
+type Violation struct {
+	At       time.Duration `json:"at"`
+	Text     string        `json:"text"`
+	Evidence []int         `json:"events"` // that prove it, by their place in the record
 }
 
 // Finding is what a run shows of one rule.
-type Finding struct {
-	Rule      Rule    `json:"rule"`
-	State     State   `json:"state"`
-	Exercised int     `json:"exercised"` // occasions on which it could have been broken
-	Count     int     `json:"count"`     // breaks
-	Breaks    []Break `json:"breaks,omitempty"`
+type RuleResult struct {
+	Rule           Rule        `json:"rule"`
+	State          State       `json:"state"`
+	Exercised      int         `json:"exercised"` // occasions on which it could have been broken
+	ViolationCount int         `json:"count"`     // breaks
+	Violations     []Violation `json:"breaks,omitempty"`
 }
 
-func (f *Finding) broken(at time.Duration, events []int, format string, args ...any) {
-	if f.Count++; len(f.Breaks) < breaksMost {
+func (f *RuleResult) broken(at time.Duration, events []int, format string, args ...any) {
+	if f.ViolationCount++; len(f.Violations) < maxViolations {
 		slices.Sort(events)
-		f.Breaks = append(f.Breaks, Break{At: at, Text: fmt.Sprintf(format, args...), Events: slices.Compact(events)})
+		f.Violations = append(f.Violations, Violation{At: at, Text: fmt.Sprintf(format, args...), Evidence: slices.Compact(events)})
 	}
 }
 
 // Verdict is what a run shows.
-type Verdict struct {
-	Findings []Finding `json:"findings"`
-	Faults   []Break   `json:"faults,omitempty"`  // what voids the run: no rule, but never right
-	Doubts   []string  `json:"doubts,omitempty"`  // why the rules could not be judged
-	Beliefs  *Beliefs  `json:"beliefs,omitempty"` // of relays that tell each other of themselves
-	Service  Service   `json:"service"`
-	Steps    int       `json:"clock_steps,omitempty"` // of the wall clock, of which nothing here depends
+type Result struct {
+	Rules               []RuleResult    `json:"findings"`
+	RunErrors           []Violation     `json:"faults,omitempty"`  // what voids the run: no rule, but never right
+	InconclusiveReasons []string        `json:"doubts,omitempty"`  // why the rules could not be judged
+	PeerViews           *PeerViewResult `json:"beliefs,omitempty"` // of relays that tell each other of themselves
+	Service             Service         `json:"service"`
+	ClockSteps          int             `json:"clock_steps,omitempty"` // of the wall clock, of which nothing here depends
 }
 
 // State sums the verdict up: Broken if a rule was, or what voids the run came up; NotJudged if it proves nothing; else
 // Held.
-func (v Verdict) State() State {
-	broken := slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.State == Broken })
+func (v Result) State() State {
+	broken := slices.ContainsFunc(v.Rules, func(f RuleResult) bool { return f.State == Violated })
 	switch {
-	case broken || len(v.Faults) > 0 || v.Beliefs.wrong():
-		return Broken
+	case broken || len(v.RunErrors) > 0 || v.PeerViews.violated():
+		return Violated
 	case !v.OK():
-		return NotJudged
+		return Inconclusive
 	}
 	return Held
 }
 
 // OK tells whether the run was judged, no rule was broken and nothing voids it.
-func (v Verdict) OK() bool {
-	if len(v.Faults) > 0 || len(v.Doubts) > 0 || v.Beliefs.wrong() {
+func (v Result) OK() bool {
+	if len(v.RunErrors) > 0 || len(v.InconclusiveReasons) > 0 || v.PeerViews.violated() {
 		return false
 	}
-	return !slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.State == Broken || f.State == NotJudged })
+	return !slices.ContainsFunc(v.Rules, func(f RuleResult) bool { return f.State == Violated || f.State == Inconclusive })
 }
 
 // Finding returns what is found of a rule.
-func (v Verdict) Finding(r Rule) Finding {
-	i := slices.IndexFunc(v.Findings, func(f Finding) bool { return f.Rule == r })
-	return v.Findings[i]
+func (v Result) ForRule(r Rule) RuleResult {
+	i := slices.IndexFunc(v.Rules, func(f RuleResult) bool { return f.Rule == r })
+	return v.Rules[i]
 }
 
 // message is one hand-in.
@@ -166,7 +166,7 @@
 	down     map[string][]span // relays' restarts: from the signal to RestartGrace after ready
 	starts   map[string][]time.Duration
 	end      time.Duration
-	verdict  Verdict
+	verdict  Result
 }
 
 type span struct{ from, to time.Duration }
@@ -175,27 +175,27 @@
 const never = time.Duration(math.MaxInt64)
 
 // Judge judges a run. events are in order.
-func Judge(h eventlog.Header, events []eventlog.Event) Verdict {
+func Check(h eventlog.Header, events []eventlog.Event) Result {
 	j := newJudge(h, events)
 	for _, r := range []struct {
 		Rule
-		check func(*Finding)
-	}{{Lost, j.lost}, {Twice, j.twice}, {Drain, j.drain}, {Return, j.back}, {Order, j.inOrder}, {Wait, j.waits}} {
-		f := Finding{Rule: r.Rule}
+		check func(*RuleResult)
+	}{{NoMessageLost, j.lost}, {NoDuplicateEffect, j.twice}, {DrainRespected, j.drain}, {RecoveryNotOverloaded, j.back}, {OrderKept, j.inOrder}, {RetryAfterRespected, j.waits}} {
+		f := RuleResult{Rule: r.Rule}
 		r.check(&f)
 		switch {
-		case f.Count > 0:
-			f.State = Broken
-		case len(j.verdict.Doubts) > 0:
-			f.State = NotJudged
+		case f.ViolationCount > 0:
+			f.State = Violated
+		case len(j.verdict.InconclusiveReasons) > 0:
+			f.State = Inconclusive
 		case f.Exercised == 0:
 			f.State = NotExercised
 		default:
 			f.State = Held
 		}
-		j.verdict.Findings = append(j.verdict.Findings, f)
+		j.verdict.Rules = append(j.verdict.Rules, f)
 	}
-	j.verdict.Beliefs = j.beliefs()
+	j.verdict.PeerViews = j.beliefs()
 	j.verdict.Service = j.service()
 	return j.verdict
 }
@@ -211,8 +211,8 @@
 }
 
 func (j *judge) fault(at time.Duration, events []int, format string, args ...any) {
-	if len(j.verdict.Faults) < breaksMost {
-		j.verdict.Faults = append(j.verdict.Faults, Break{At: at, Text: fmt.Sprintf(format, args...), Events: events})
+	if len(j.verdict.RunErrors) < maxViolations {
+		j.verdict.RunErrors = append(j.verdict.RunErrors, Violation{At: at, Text: fmt.Sprintf(format, args...), Evidence: events})
 	}
 }
 
@@ -260,25 +260,25 @@
 		case eventlog.ProcessChanged:
 			j.readProcess(e)
 		case eventlog.ClockStepped:
-			j.verdict.Steps++
+			j.verdict.ClockSteps++
 		case eventlog.RunInvalid:
 			j.fault(e.At, []int{i}, "%s", e.Cause)
 		case eventlog.RunEnded:
 			whole = e.Cause == ""
 			if !whole {
-				j.verdict.Doubts = append(j.verdict.Doubts, "the run was cut short: "+e.Cause)
+				j.verdict.InconclusiveReasons = append(j.verdict.InconclusiveReasons, "the run was cut short: "+e.Cause)
 			}
 		}
 	}
 	slices.SortStableFunc(j.all, func(a, b *call) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
-	if !whole && len(j.verdict.Doubts) == 0 {
-		j.verdict.Doubts = append(j.verdict.Doubts, "the record has no end: its writer was killed")
+	if !whole && len(j.verdict.InconclusiveReasons) == 0 {
+		j.verdict.InconclusiveReasons = append(j.verdict.InconclusiveReasons, "the record has no end: its writer was killed")
 	}
-	if p := percentile(late, 0.99); p > LatenessMost {
-		j.verdict.Doubts = append(j.verdict.Doubts, fmt.Sprintf(
+	if p := percentile(late, 0.99); p > maxLoadLag {
+		j.verdict.InconclusiveReasons = append(j.verdict.InconclusiveReasons, fmt.Sprintf(
 			"the load was late by itself: %v at the 99th percentile, %v at most",
 			p.Round(time.Millisecond),
-			LatenessMost,
+			maxLoadLag,
 		))
 	}
 }
@@ -325,7 +325,7 @@
 		}
 	case eventlog.StateUp, eventlog.StateCont:
 		if open {
-			spans[len(spans)-1].to = e.At + RestartGrace
+			spans[len(spans)-1].to = e.At + restartGrace
 		}
 	case eventlog.StateStart:
 		j.starts[e.Relay] = append(j.starts[e.Relay], e.At)
@@ -409,7 +409,7 @@
 }
 
 // lost checks that each message taken on had one final answer in time, and nothing after it.
-func (j *judge) lost(f *Finding) {
+func (j *judge) lost(f *RuleResult) {
 	for _, m := range j.order {
 		if m.unheard >= 0 && j.events[m.unheard].Cause == eventlog.CauseClosed {
 			at := j.events[m.unheard].At
@@ -445,7 +445,7 @@
 			}
 		}
 		for _, a := range m.attempts {
-			if over != never && a.FirstByteAt > over+Slack {
+			if over != never && a.FirstByteAt > over+Tolerance {
 				f.broken(
 					a.FirstByteAt,
 					[]int{m.index, overBy, a.index},
@@ -461,8 +461,8 @@
 }
 
 // settled checks that a message that was taken on has its end in time.
-func (j *judge) settled(f *Finding, m *message) {
-	due := m.At + m.For + FinalWithin + Slack
+func (j *judge) settled(f *RuleResult, m *message) {
+	due := m.At + m.For + FinalAnswerTimeout + Tolerance
 	for until, away := j.away(m.Relay, due); away && until > due; until, away = j.away(m.Relay, due) {
 		due = until
 	}
@@ -496,7 +496,7 @@
 }
 
 // twice checks repeats against each class's allowance.
-func (j *judge) twice(f *Finding) {
+func (j *judge) twice(f *RuleResult) {
 	for _, m := range j.order {
 		tempted := false
 		for i, b := range m.attempts {
@@ -536,7 +536,7 @@
 }
 
 // repeat judges attempt b of a message beside an earlier one.
-func (j *judge) repeat(f *Finding, m *message, a, b attempt) {
+func (j *judge) repeat(f *RuleResult, m *message, a, b attempt) {
 	o, _ := j.outcome(a, b.FirstByteAt)
 	proof := []int{m.index, a.index, b.index}
 	if o == open && !j.Rules.DuplicatesAllowed {
@@ -550,7 +550,7 @@
 	case eventlog.Idempotent:
 	case eventlog.IdempotentByKey:
 		za, zb := j.hosts[a.Host].zone, j.hosts[b.Host].zone
-		if late := b.FirstByteAt - a.FirstByteAt - m.class.DedupWindow; late > Slack {
+		if late := b.FirstByteAt - a.FirstByteAt - m.class.DedupWindow; late > Tolerance {
 			f.broken(b.FirstByteAt, proof, "message %s was repeated %v after its window of %v", m.ID, late, m.class.DedupWindow)
 		} else if za != zb && !m.class.DedupAcrossZones {
 			f.broken(b.FirstByteAt, proof, "message %s may have run in zone %s and was repeated in zone %s", m.ID, za, zb)
@@ -568,7 +568,7 @@
 }
 
 // drain checks that nothing new went to a host that drains or is gone.
-func (j *judge) drain(f *Finding) {
+func (j *judge) drain(f *RuleResult) {
 	type key struct{ relay, host string }
 	type told struct {
 		span
@@ -591,7 +591,7 @@
 	}
 	for _, c := range j.all {
 		for _, t := range closed[key{c.Relay, c.Host}] {
-			if by := t.from + j.Rules.DrainGrace + Slack; c.FirstByteAt > by && c.FirstByteAt < t.to {
+			if by := t.from + j.Rules.DrainGrace + Tolerance; c.FirstByteAt > by && c.FirstByteAt < t.to {
 				f.broken(
 					c.FirstByteAt,
 					[]int{t.index, c.index},
@@ -623,7 +623,7 @@
 }
 
 // back checks that no place that came back cold was pushed over by relays that knew.
-func (j *judge) back(f *Finding) {
+func (j *judge) back(f *RuleResult) {
 	if j.Rules.OverloadFactor <= 0 {
 		return
 	}
@@ -670,7 +670,7 @@
 					proof = append(proof, n)
 				}
 			}
-			if knew >= SeenShare*sum {
+			if knew >= MinInformedRatio*sum {
 				f.broken(
 					c.At,
 					proof,
@@ -744,7 +744,7 @@
 }
 
 // inOrder checks that messages of a key take turns.
-func (j *judge) inOrder(f *Finding) {
+func (j *judge) inOrder(f *RuleResult) {
 	type key struct{ relay, order string }
 	turns := map[key][]*message{}
 	for _, m := range j.order {
@@ -782,7 +782,7 @@
 func (j *judge) outOfTurn(earlier, later *message) (event int, text string) {
 	over, _, _ := j.delivered(earlier)
 	for _, n := range earlier.notices {
-		over = min(over, j.events[n].At-Slack) // it was decided before it was told
+		over = min(over, j.events[n].At-Tolerance) // it was decided before it was told
 	}
 	for _, b := range later.attempts {
 		if b.FirstByteAt < over {
@@ -810,7 +810,7 @@
 }
 
 // waits checks that what was told to wait waited.
-func (j *judge) waits(f *Finding) {
+func (j *judge) waits(f *RuleResult) {
 	type key struct{ relay, place string }
 	type told struct {
 		span
@@ -820,9 +820,9 @@
 	for i, e := range j.events {
 		k := key{e.Relay, j.hosts[e.Host].place}
 		switch {
-		case e.Kind == eventlog.CallAnswered && e.RetryAfter > WaitLetsBy:
+		case e.Kind == eventlog.CallAnswered && e.RetryAfter > retryAfterGrace:
 			f.Exercised++
-			waits[k] = append(waits[k], told{span{e.At + WaitLetsBy, e.At + e.RetryAfter - waitRounding}, i})
+			waits[k] = append(waits[k], told{span{e.At + retryAfterGrace, e.At + e.RetryAfter - retryAfterRounding}, i})
 		case e.Kind == eventlog.ProcessChanged && e.State == eventlog.StateStart:
 			for k := range waits {
 				if k.relay == e.Relay {
--- a/internal/testkit/checker/judge_test.go
+++ b/internal/testkit/checker/judge_test.go
@@ -146,28 +146,28 @@
 }
 
 // judge ends the run at 60 s.
-func (s *script) judge() Verdict {
+func (s *script) judge() Result {
 	events := slices.Clone(s.events)
 	slices.SortStableFunc(events, func(a, b eventlog.Event) int { return int(a.At - b.At) })
-	return Judge(s.h, append(events, eventlog.Event{At: 60 * second, Kind: eventlog.RunEnded}))
+	return Check(s.h, append(events, eventlog.Event{At: 60 * second, Kind: eventlog.RunEnded}))
 }
 
 // want checks that a run breaks one rule and no other; "" : none.
-func want(t *testing.T, s *script, broken Rule) Verdict {
+func want(t *testing.T, s *script, broken Rule) Result {
 	t.Helper()
 	v := s.judge()
-	for _, f := range v.Findings {
-		if (f.State == Broken) != (f.Rule == broken) {
-			t.Errorf("%s: %s %+v; want only %q broken", f.Rule, f.State, f.Breaks, broken)
+	for _, f := range v.Rules {
+		if (f.State == Violated) != (f.Rule == broken) {
+			t.Errorf("%s: %s %+v; want only %q broken", f.Rule, f.State, f.Violations, broken)
 		}
-		for _, b := range f.Breaks {
-			if b.Text == "" || len(b.Events) < 2 && f.Rule != Wait {
+		for _, b := range f.Violations {
+			if b.Text == "" || len(b.Evidence) < 2 && f.Rule != RetryAfterRespected {
 				t.Errorf("%s: a break with no proof: %+v", f.Rule, b)
 			}
 		}
 	}
-	if len(v.Faults)+len(v.Doubts) > 0 {
-		t.Errorf("faults %v, doubts %v", v.Faults, v.Doubts)
+	if len(v.RunErrors)+len(v.InconclusiveReasons) > 0 {
+		t.Errorf("faults %v, doubts %v", v.RunErrors, v.InconclusiveReasons)
 	}
 	return v
 }
@@ -180,15 +180,15 @@
 		rule Rule
 		run  func(s *script, by time.Duration)
 	}{
-		{"a message without an end", Lost, func(s *script, by time.Duration) {
+		{"a message without an end", NoMessageLost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
 			s.notice("m", eventlog.StateUndeliverable, 6*second+350*ms+by)
 		}},
-		{"a delivery too late", Lost, func(s *script, by time.Duration) {
+		{"a delivery too late", NoMessageLost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
 			s.call("r1", "a1", "m", 2*second, 6*second+350*ms+by, 200, 0)
 		}},
-		{"overdue after a restart", Lost, func(s *script, by time.Duration) {
+		{"overdue after a restart", NoMessageLost, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 5*second, 202)
 			s.process("r1", 6*second, eventlog.StateKill)
 			s.process("r1", 6*second+ms, eventlog.StateExit)
@@ -196,63 +196,63 @@
 			s.process("r1", 8*second, eventlog.StateUp)
 			s.notice("m", eventlog.StateUndeliverable, 9500*ms+by)
 		}},
-		{"sent after it was refused", Lost, func(s *script, by time.Duration) {
+		{"sent after it was refused", NoMessageLost, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 5*second, 503)
 			s.call("r1", "a1", "m", second+ms+50*ms+by, 2*second, 200, 0)
 		}},
-		{"sent after its notice", Lost, func(s *script, by time.Duration) {
+		{"sent after its notice", NoMessageLost, func(s *script, by time.Duration) {
 			s.offer("m", safe, second, 5*second, 202)
 			s.notice("m", eventlog.StateDeferred, 2*second)
 			s.call("r1", "a1", "m", 2*second+50*ms+by, 3*second, 200, 0)
 		}},
-		{"a keyed repeat past its window", Twice, func(s *script, by time.Duration) {
+		{"a keyed repeat past its window", NoDuplicateEffect, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 500, 0)
 			s.call("r1", "a1", "m", 12*second+50*ms+by, 13*second, 200, 0)
 		}},
-		{"a keyed repeat in another zone, a refusal not told yet", Twice, func(s *script, by time.Duration) {
+		{"a keyed repeat in another zone, a refusal not told yet", NoDuplicateEffect, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 0)
 			s.call("r1", "a2", "m", 3*second-by, 4*second, 200, 0)
 		}},
-		{"an unsafe repeat", Twice, func(s *script, by time.Duration) {
+		{"an unsafe repeat", NoDuplicateEffect, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 503, 0)
 			s.call("r1", "a1", "m", 3*second-by, 4*second, 200, 0)
 		}},
-		{"an unsafe message refused while it may run", Twice, func(s *script, by time.Duration) {
+		{"an unsafe message refused while it may run", NoDuplicateEffect, func(s *script, by time.Duration) {
 			s.offer("m", unsafe, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 0)
 			s.notice("m", eventlog.StateDeferred, 3*second-by)
 		}},
-		{"sent to a host that drains", Drain, func(s *script, by time.Duration) {
+		{"sent to a host that drains", DrainRespected, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.told("a1", eventlog.StateDraining, 2*second)
 			s.call("r1", "a1", "m", 3*second+50*ms+by, 4*second, 200, 0)
 		}},
-		{"sent to a host that is gone, told as draining before", Drain, func(s *script, by time.Duration) {
+		{"sent to a host that is gone, told as draining before", DrainRespected, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.told("a1", eventlog.StateDraining, 2*second)
 			s.told("a1", eventlog.StateGone, 2900*ms)
 			s.call("r1", "a1", "m", 3*second+50*ms+by, 4*second, 200, 0)
 		}},
-		{"called while it is to wait", Wait, func(s *script, by time.Duration) {
+		{"called while it is to wait", RetryAfterRespected, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 2*second)
 			s.call("r1", "a2", "m", 5*second-ms-ms-by, 6*second, 200, 0)
 		}},
-		{"called when calls are let through no more", Wait, func(s *script, by time.Duration) {
+		{"called when calls are let through no more", RetryAfterRespected, func(s *script, by time.Duration) {
 			s.offer("m", keyed, second, 15*second, 202)
 			s.call("r1", "a1", "m", 2*second, 3*second, 429, 2*second)
 			s.call("r1", "a1", "m", 3*second+100*ms-ms+by, 6*second, 200, 0)
 		}},
-		{"out of turn while an earlier one runs", Order, func(s *script, by time.Duration) {
+		{"out of turn while an earlier one runs", OrderKept, func(s *script, by time.Duration) {
 			s.offer("m1", ordered, second, 15*second, 202)
 			s.offer("m2", ordered, second+10*ms, 15*second, 202)
 			s.call("r1", "a1", "m1", 2*second, 3*second, 200, 0)
 			s.call("r1", "a1", "m2", 3*second-by, 4*second, 200, 0)
 		}},
-		{"out of turn before the key has rested", Order, func(s *script, by time.Duration) {
+		{"out of turn before the key has rested", OrderKept, func(s *script, by time.Duration) {
 			s.offer("m1", ordered, second, 15*second, 202)
 			s.offer("m2", ordered, second+10*ms, 15*second, 202)
 			first := s.call("r1", "a1", "m1", 2*second, 0, 0, 0)
@@ -265,7 +265,7 @@
 			s := newScript()
 			c.run(s, -time.Microsecond)
 			v := want(t, s, "")
-			if f := v.Finding(c.rule); f.State != Held {
+			if f := v.ForRule(c.rule); f.State != Held {
 				t.Errorf("inside the figure: %s, want held", f.State)
 			}
 			s = newScript()
@@ -322,21 +322,21 @@
 	}
 	rate := 4 + 16.0*3/14000 // 3 ms after its return
 	budget := int(2*rate*3 + math.Sqrt(2*rate*3))
-	if v := want(t, run(budget, budget), ""); v.Finding(Return).State != Held {
-		t.Errorf("%+v", v.Finding(Return))
+	if v := want(t, run(budget, budget), ""); v.ForRule(RecoveryNotOverloaded).State != Held {
+		t.Errorf("%+v", v.ForRule(RecoveryNotOverloaded))
 	}
-	want(t, run(budget+1, budget+1), Return)
+	want(t, run(budget+1, budget+1), RecoveryNotOverloaded)
 	most := (budget + 1) * 2 / 3 // of budget+1, so many are under two thirds of the load
-	for float64(most) >= SeenShare*float64(budget+1) {
+	for float64(most) >= MinInformedRatio*float64(budget+1) {
 		most--
 	}
 	want(t, run(budget+1, most), "")
-	want(t, run(budget+1, most+1), Return)
+	want(t, run(budget+1, most+1), RecoveryNotOverloaded)
 }
 
 // Connections that do not come up leave no trace at the host: what a relay had for it tells that it knew.
 func TestRefusedConnectionsCountAsSeen(t *testing.T) {
-	for cause, state := range map[string]State{eventlog.OutageDown: Broken, "silent": NotExercised} {
+	for cause, state := range map[string]State{eventlog.OutageDown: Violated, "silent": NotExercised} {
 		s := newScript()
 		s.add(
 			eventlog.Event{At: second, Kind: eventlog.OutageStarted, Place: "7", Destination: 7, Hosts: []string{"a1"}, Cause: cause},
@@ -358,7 +358,7 @@
 			s.call("r1", "a1", "m", 10*second, 11*second, 500, 0)
 		}
 		s.call("r1", "a1", "m", 12*second, 12*second+ms, 200, 0)
-		if f := s.judge().Finding(Return); f.State != state {
+		if f := s.judge().ForRule(RecoveryNotOverloaded); f.State != state {
 			t.Errorf("%s: %s, want %s", cause, f.State, state)
 		}
 	}
@@ -397,7 +397,7 @@
 	s.notice("m3", eventlog.StateUndeliverable, 4*second)
 	want(t, s, "")
 	s.call("r1", "a1", "m3", 3500*ms, 3600*ms, 200, 0)
-	want(t, s, Twice)
+	want(t, s, NoDuplicateEffect)
 }
 
 // One message of a bundle may be cut off alone, while its call is still out for the others: its key rests from then,
@@ -428,7 +428,7 @@
 	}
 	want(t, run(0, "m1", "other"), "")
 	want(t, run(second, "m1"), "")
-	want(t, run(second-1, "m1"), Order)
+	want(t, run(second-1, "m1"), OrderKept)
 }
 
 func TestOutcomesOfAConnection(t *testing.T) {
@@ -442,14 +442,14 @@
 	s.offer("m", unsafe, second, 15*second, 202)
 	s.ended(s.call("r1", "a1", "m", 2*second, 0, 0, 0), 2500*ms)
 	s.call("r1", "a2", "m", 3*second, 4*second, 200, 0)
-	want(t, s, Twice)
+	want(t, s, NoDuplicateEffect)
 	// And no drain is kept by a call that was cut.
 	s = newScript()
 	s.offer("m", unsafe, second, 15*second, 202)
 	s.told("a1", eventlog.StateGone, 2*second)
 	s.add(eventlog.Event{At: 4 * second, FirstByteAt: 4 * second, Kind: eventlog.CallTruncated, Call: 9, Relay: "r1", Host: "a1"})
 	s.notice("m", eventlog.StateDeferred, 5*second)
-	want(t, s, Drain)
+	want(t, s, DrainRespected)
 }
 
 func TestAnEndedConnection(t *testing.T) {
@@ -463,7 +463,7 @@
 		s.add(eventlog.Event{At: second + 200*ms, Kind: eventlog.SubmissionUnanswered, ID: "m", Relay: "r1", Cause: cause})
 		return s
 	}
-	want(t, unheard(eventlog.CauseClosed, false), Lost)
+	want(t, unheard(eventlog.CauseClosed, false), NoMessageLost)
 	want(t, unheard(eventlog.CauseClosed, true), "")
 	want(t, unheard(eventlog.CauseTimeout, false), "")
 	want(t, unheard(eventlog.CauseNotSent, false), "")
@@ -476,7 +476,7 @@
 	s.notice("m", eventlog.StateDeferred, 3*second) // told again: no harm
 	want(t, s, "")
 	s.notice("m", eventlog.StateUndeliverable, 4*second)
-	want(t, s, Lost)
+	want(t, s, NoMessageLost)
 }
 
 func TestWhereRepeatsAreFree(t *testing.T) {
@@ -492,7 +492,7 @@
 	s.h.Rules.DuplicatesAllowed = false
 	want(t, s, "") // they were not out together
 	s.call("r1", "a2", "m2", 4*second+10*ms, 5*second, 500, 0)
-	want(t, s, Twice)
+	want(t, s, NoDuplicateEffect)
 }
 
 func TestARestartEndsWaitsAndOrder(t *testing.T) {
@@ -519,13 +519,13 @@
 		s.call("r1", "a2", "m", 4*second, 5*second, 200, 0)
 		return s
 	}
-	want(t, run("", ""), Wait)
+	want(t, run("", ""), RetryAfterRespected)
 	want(t, run("a1", "a2"), "")
 }
 
 // A rule that nothing put to the test is never told as held.
 func TestAnIdleRunExercisesNothing(t *testing.T) {
-	for _, f := range newScript().judge().Findings {
+	for _, f := range newScript().judge().Rules {
 		if f.State != NotExercised {
 			t.Errorf("%s: %s", f.Rule, f.State)
 		}
@@ -534,8 +534,8 @@
 	s.offer("m", keyed, second, 5*second, 202)
 	s.call("r1", "a1", "m", 2*second, 3*second, 200, 0)
 	v := s.judge()
-	for _, f := range v.Findings {
-		if want := map[bool]State{true: Held, false: NotExercised}[f.Rule == Lost]; f.State != want {
+	for _, f := range v.Rules {
+		if want := map[bool]State{true: Held, false: NotExercised}[f.Rule == NoMessageLost]; f.State != want {
 			t.Errorf("%s: %s, want %s", f.Rule, f.State, want)
 		}
 	}
@@ -547,18 +547,18 @@
 func TestDoubtfulRunsAreNotJudged(t *testing.T) {
 	cut := newScript()
 	cut.offer("m", keyed, second, 5*second, 202)
-	v := Judge(cut.h, cut.events)
-	if v.OK() || v.Finding(Lost).State != NotJudged || !strings.Contains(v.Doubts[0], "no end") {
+	v := Check(cut.h, cut.events)
+	if v.OK() || v.ForRule(NoMessageLost).State != Inconclusive || !strings.Contains(v.InconclusiveReasons[0], "no end") {
 		t.Errorf("no end: %+v", v)
 	}
-	v = Judge(
+	v = Check(
 		cut.h,
 		append(slices.Clone(cut.events), eventlog.Event{At: 2 * second, Kind: eventlog.RunEnded, Cause: "interrupted"}),
 	)
-	if v.OK() || v.Finding(Lost).State != NotJudged || !strings.Contains(v.Doubts[0], "interrupted") {
+	if v.OK() || v.ForRule(NoMessageLost).State != Inconclusive || !strings.Contains(v.InconclusiveReasons[0], "interrupted") {
 		t.Errorf("cut short: %+v", v)
 	}
-	late := func(by time.Duration) Verdict {
+	late := func(by time.Duration) Result {
 		s := newScript()
 		s.add(
 			eventlog.Event{
@@ -575,17 +575,17 @@
 		s.add(eventlog.Event{At: second, Kind: eventlog.SubmissionAnswered, ID: "m", Relay: "r1", Status: 503})
 		return s.judge()
 	}
-	if v := late(LatenessMost + 1); v.OK() || v.Finding(Lost).State != NotJudged {
+	if v := late(maxLoadLag + 1); v.OK() || v.ForRule(NoMessageLost).State != Inconclusive {
 		t.Errorf("late load: %+v", v)
 	}
-	if v := late(LatenessMost); !v.OK() {
+	if v := late(maxLoadLag); !v.OK() {
 		t.Errorf("load in time: %+v", v)
 	}
 	// What was seen broken stays broken.
 	cut.notice("m", eventlog.StateDeferred, 2*second)
 	cut.call("r1", "a1", "m", 3*second, 4*second, 200, 0)
-	if v := Judge(cut.h, cut.events); v.Finding(Lost).State != Broken {
-		t.Errorf("broken in a run that was cut short: %+v", v.Finding(Lost))
+	if v := Check(cut.h, cut.events); v.ForRule(NoMessageLost).State != Violated {
+		t.Errorf("broken in a run that was cut short: %+v", v.ForRule(NoMessageLost))
 	}
 }
 
@@ -602,8 +602,8 @@
 		s.offer("m", safe, second, 5*second, 202)
 		s.call("r1", "a1", "m", 2*second, 3*second, 200, 0)
 		spoil(s)
-		if v := s.judge(); len(v.Faults) == 0 || v.OK() {
-			t.Errorf("%s: %+v", name, v.Faults)
+		if v := s.judge(); len(v.RunErrors) == 0 || v.OK() {
+			t.Errorf("%s: %+v", name, v.RunErrors)
 		}
 	}
 }
@@ -617,10 +617,10 @@
 	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.ClockStepped, For: -time.Hour})
 	s.h.StartedAt = s.h.StartedAt.Add(time.Hour)
 	after := s.judge()
-	if after.Steps != 1 {
-		t.Errorf("%d steps", after.Steps)
+	if after.ClockSteps != 1 {
+		t.Errorf("%d steps", after.ClockSteps)
 	}
-	after.Steps = 0
+	after.ClockSteps = 0
 	if !reflect.DeepEqual(before, after) {
 		t.Errorf("%+v\n%+v", before, after)
 	}
@@ -680,12 +680,12 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	near("whole", v.Whole, (1+0.7+0+1+1)/(5+2*0.2))
-	near("worst 10 s", v.Worst10s, 0)
-	near("worst customer", v.Worst, 2.7/4)
+	near("whole", v.Overall, (1+0.7+0+1+1)/(5+2*0.2))
+	near("worst 10 s", v.WorstWindow, 0)
+	near("worst customer", v.WorstCustomerService, 2.7/4)
 	near("second customer", v.Customers[1].Service, 1)
-	if v.WorstCustomer != "acme" || v.Customers[1].Over != 2 || v.Worst10sAt < 16*second || v.Offered != 7 || v.InFull != 3 || v.InPart != 1 ||
-		v.Undelivered != 3 || v.Refused != 1 ||
+	if v.WorstCustomer != "acme" || v.Customers[1].OverShare != 2 || v.WorstWindowAt < 16*second || v.Submitted != 7 || v.DeliveredInTime != 3 || v.DeliveredLate != 1 ||
+		v.Undelivered != 3 || v.Rejected != 1 ||
 		v.Deferred != 2 ||
 		v.Failed != 1 {
 		t.Errorf("%+v", v)
@@ -743,9 +743,9 @@
 				s.notice(id, eventlog.StateUndeliverable, now)
 			}
 		}
-		for _, f := range s.judge().Findings {
-			if f.State == Broken {
-				t.Fatalf("%s: %+v", f.Rule, f.Breaks)
+		for _, f := range s.judge().Rules {
+			if f.State == Violated {
+				t.Fatalf("%s: %+v", f.Rule, f.Violations)
 			}
 		}
 	})
@@ -765,7 +765,7 @@
 		b.Run(fmt.Sprint("messages=", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Judge(s.h, events)
+				Check(s.h, events)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/message")
 		})
--- a/internal/testkit/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -260,7 +260,7 @@
 destinations = [1]
 `
 	for mode, want := range map[string]checker.Rule{
-		"none": "", "lose": checker.Lost, "twice": checker.Twice, "drain": checker.Drain, "wait": checker.Wait, "order": checker.Order, "push": checker.Return,
+		"none": "", "lose": checker.NoMessageLost, "twice": checker.NoDuplicateEffect, "drain": checker.DrainRespected, "wait": checker.RetryAfterRespected, "order": checker.OrderKept, "push": checker.RecoveryNotOverloaded,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -282,21 +282,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, x := range r.Verdict.Findings {
-				if (x.State == checker.Broken) != (x.Rule == want) {
+			for _, x := range r.Verdict.Rules {
+				if (x.State == checker.Violated) != (x.Rule == want) {
 					t.Errorf(
 						"%s: %s %d of %d; want only %q broken; %.3v",
 						x.Rule,
 						x.State,
-						x.Count,
+						x.ViolationCount,
 						x.Exercised,
 						want,
-						x.Breaks[:min(2, len(x.Breaks))],
+						x.Violations[:min(2, len(x.Violations))],
 					)
 				}
 			}
-			if len(r.Verdict.Faults)+len(r.Verdict.Doubts) > 0 {
-				t.Errorf("faults %v, doubts %v", r.Verdict.Faults, r.Verdict.Doubts)
+			if len(r.Verdict.RunErrors)+len(r.Verdict.InconclusiveReasons) > 0 {
+				t.Errorf("faults %v, doubts %v", r.Verdict.RunErrors, r.Verdict.InconclusiveReasons)
 			}
 			noneLeft(t, dir)
 		})
--- a/internal/testkit/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -49,8 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := r.Verdict; !v.OK() || v.Beliefs == nil || v.Beliefs.Asked < 150 || v.Beliefs.Apart < 20 {
-		t.Errorf("%s: %+v, beliefs %+v", v.State(), v.Findings, v.Beliefs)
+	if v := r.Verdict; !v.OK() || v.PeerViews == nil || v.PeerViews.Queried < 150 || v.PeerViews.Disconnected < 20 {
+		t.Errorf("%s: %+v, beliefs %+v", v.State(), v.Rules, v.PeerViews)
 	}
 	lives := map[string]int{}
 	for _, e := range r.Events {
--- a/internal/testkit/rehearsal/load_test.go
+++ b/internal/testkit/rehearsal/load_test.go
@@ -36,9 +36,9 @@
 	s := r.Verdict.Service
 	t.Logf(
 		"%d handed in in 10 s, %d answered; late by %v at 99 %%; doubts: %s",
-		s.Offered,
-		s.Refused,
+		s.Submitted,
+		s.Rejected,
 		s.LoadLagP99,
-		strings.Join(r.Verdict.Doubts, "; "),
+		strings.Join(r.Verdict.InconclusiveReasons, "; "),
 	)
 }
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -55,7 +55,7 @@
 type Result struct {
 	Header  eventlog.Header
 	Events  []eventlog.Event
-	Verdict checker.Verdict
+	Verdict checker.Result
 }
 
 // stage is a rehearsal at work.
@@ -119,7 +119,7 @@
 		cause = err.Error()
 	}
 	events, closeErr := rec.Close(cause)
-	return Result{header, events, checker.Judge(header, events)}, errors.Join(err, closeErr)
+	return Result{header, events, checker.Check(header, events)}, errors.Join(err, closeErr)
 }
 
 func writePlan(path string, plan scenario.Plan) error {
@@ -368,7 +368,7 @@
 	for _, c := range s.plan.File.Classes {
 		longest = max(longest, c.GiveUp.D())
 	}
-	by := time.Now().Add(longest + checker.FinalWithin + checker.Slack + settleExtra)
+	by := time.Now().Add(longest + checker.FinalAnswerTimeout + checker.Tolerance + settleExtra)
 	for time.Now().Before(by) && s.world.Owed() > 0 && sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
 	}
 }
@@ -421,5 +421,5 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return Result{h, events, checker.Judge(h, events)}, nil
+	return Result{h, events, checker.Check(h, events)}, nil
 }
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -200,22 +200,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range r.Verdict.Findings {
+	for _, x := range r.Verdict.Rules {
 		if x.State != checker.Held {
-			t.Errorf("%s: %s after %d occasions %+v", x.Rule, x.State, x.Exercised, x.Breaks)
+			t.Errorf("%s: %s after %d occasions %+v", x.Rule, x.State, x.Exercised, x.Violations)
 		}
 	}
-	if !r.Verdict.OK() || r.Verdict.Service.Whole < 0.7 || told < 5 {
+	if !r.Verdict.OK() || r.Verdict.Service.Overall < 0.7 || told < 5 {
 		t.Errorf(
 			"faults %v, doubts %v, service %.3f, told %d times",
-			r.Verdict.Faults,
-			r.Verdict.Doubts,
-			r.Verdict.Service.Whole,
+			r.Verdict.RunErrors,
+			r.Verdict.InconclusiveReasons,
+			r.Verdict.Service.Overall,
 			told,
 		)
 	}
 	again, err := ReadRecord(dir)
-	if err != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Whole != r.Verdict.Service.Whole {
+	if err != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Overall != r.Verdict.Service.Overall {
 		t.Errorf("read again: %d events for %d, %v", len(again.Events), len(r.Events), err)
 	}
 	noneLeft(t, dir)
@@ -368,10 +368,10 @@
 		t.Errorf("%v", err)
 	}
 	again, readErr := ReadRecord(dir)
-	if readErr != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Offered < 30 {
+	if readErr != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Submitted < 30 {
 		t.Errorf("%d events, %v", len(again.Events), readErr)
 	}
-	if again.Verdict.OK() || again.Verdict.Finding(checker.Lost).State != checker.NotJudged {
+	if again.Verdict.OK() || again.Verdict.ForRule(checker.NoMessageLost).State != checker.Inconclusive {
 		t.Errorf("judged: %+v", again.Verdict)
 	}
 	noneLeft(t, dir)
--- a/internal/testkit/report/page.go
+++ b/internal/testkit/report/page.go
@@ -14,7 +14,7 @@
 type pageData struct {
 	Run      eventlog.Header
 	Summary  string
-	Findings []checker.Finding
+	Findings []checker.RuleResult
 	Proofs   []string
 	Service  []serviceRow
 	Plots    []template.HTML
@@ -24,11 +24,11 @@
 type serviceRow struct{ Name, Value, Note string }
 
 // HTML writes the report of a run as one page, without scripts or references to other files.
-func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
+func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Result) error {
 	return pageTemplate.Execute(w, pageData{
 		Run:      h,
 		Summary:  Summary(v),
-		Findings: v.Findings,
+		Findings: v.Rules,
 		Proofs:   proofs(events, v),
 		Service:  serviceRows(v.Service),
 		Plots:    plots(newTimeline(h, events), h, events),
@@ -36,21 +36,21 @@
 }
 
 // proofs returns a text for each violation, each fault that makes the run invalid, and each rule that was not checked.
-func proofs(events []eventlog.Event, v checker.Verdict) []string {
+func proofs(events []eventlog.Event, v checker.Result) []string {
 	var all []string
-	for _, f := range v.Findings {
-		for _, violation := range f.Breaks {
+	for _, f := range v.Rules {
+		for _, violation := range f.Violations {
 			text := fmt.Sprintf("%v: %s", round(violation.At), violation.Text)
-			for _, i := range violation.Events[:min(maxEvidence, len(violation.Events))] {
+			for _, i := range violation.Evidence[:min(maxEvidence, len(violation.Evidence))] {
 				text += fmt.Sprintf("\n  event %d: %s", i, eventLine(events[i]))
 			}
 			all = append(all, text)
 		}
 	}
-	for _, b := range v.Faults {
+	for _, b := range v.RunErrors {
 		all = append(all, fmt.Sprintf("%v: VOID: %s", round(b.At), b.Text))
 	}
-	for _, doubt := range v.Doubts {
+	for _, doubt := range v.InconclusiveReasons {
 		all = append(all, "not judged: "+doubt)
 	}
 	return all
@@ -60,28 +60,28 @@
 	return []serviceRow{
 		{
 			Name:  "whole run",
-			Value: fmt.Sprintf("%.3f", s.Whole),
+			Value: fmt.Sprintf("%.3f", s.Overall),
 			Note: fmt.Sprintf("%d asked for: %d in full, %d in part, %d not delivered",
-				s.Offered, s.InFull, s.InPart, s.Undelivered),
+				s.Submitted, s.DeliveredInTime, s.DeliveredLate, s.Undelivered),
 		},
 		{
 			Name:  "worst 10 s",
-			Value: fmt.Sprintf("%.3f", s.Worst10s),
-			Note:  fmt.Sprintf("from %v", s.Worst10sAt),
+			Value: fmt.Sprintf("%.3f", s.WorstWindow),
+			Note:  fmt.Sprintf("from %v", s.WorstWindowAt),
 		},
 		{
 			Name:  "worst-served customer",
-			Value: fmt.Sprintf("%.3f", s.Worst),
+			Value: fmt.Sprintf("%.3f", s.WorstCustomerService),
 			Note:  s.WorstCustomer + ", within its share",
 		},
 		{
 			Name:  "delivered after",
-			Value: fmt.Sprint(round(s.Median)),
-			Note:  fmt.Sprintf("in the median; %v at 95 %%, %v at 99 %%", round(s.P95), round(s.P99)),
+			Value: fmt.Sprint(round(s.LatencyP50)),
+			Note:  fmt.Sprintf("in the median; %v at 95 %%, %v at 99 %%", round(s.LatencyP95), round(s.LatencyP99)),
 		},
 		{
 			Name:  "hand-ins not taken on",
-			Value: fmt.Sprint(s.Refused),
+			Value: fmt.Sprint(s.Rejected),
 			Note:  fmt.Sprintf("refused at the door; %d without an answer", s.Unanswered),
 		},
 		{
@@ -93,7 +93,7 @@
 			Name:  "calls",
 			Value: fmt.Sprint(s.Calls),
 			Note: fmt.Sprintf("%d refused, %d failed, %d without an answer",
-				s.CallsFull, s.CallsFailed, s.CallsMute),
+				s.CallsRejected, s.CallsFailed, s.CallsUnanswered),
 		},
 	}
 }
@@ -113,7 +113,7 @@
 <p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.PlanDigest}}, {{.Run.Duration}}, ` +
 	`relays {{range .Run.Relays}}{{.}} {{end}}.</p>
 <table><tr><th>rule<th><th>occasions<th>breaks</tr>
-{{range .Findings}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.Count}}</tr>
+{{range .Findings}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.ViolationCount}}</tr>
 {{end}}</table>
 {{range .Proofs}}<pre>{{.}}</pre>{{end}}
 <table>{{range .Service}}<tr><td>{{.Name}}<td>{{.Value}}<td>{{.Note}}</tr>
--- a/internal/testkit/report/plots.go
+++ b/internal/testkit/report/plots.go
@@ -54,7 +54,7 @@
 
 // plots returns the charts of a run.
 func plots(timeline *chart.Timeline, h eventlog.Header, events []eventlog.Event) []template.HTML {
-	messages := newMessageSeries(timeline, checker.Tries(h, events))
+	messages := newMessageSeries(timeline, checker.MessageOutcomes(h, events))
 	all := []template.HTML{
 		timeline.Draw(chart.Plot{
 			Title:  "service",
@@ -99,7 +99,7 @@
 	p95       []float64
 }
 
-func newMessageSeries(timeline *chart.Timeline, messages []checker.Asked) messageSeries {
+func newMessageSeries(timeline *chart.Timeline, messages []checker.MessageOutcome) messageSeries {
 	weight := timeline.Zeros()
 	delivered := timeline.Zeros()
 	latencies := make([][]time.Duration, timeline.Bins)
@@ -110,12 +110,12 @@
 		p95:       timeline.Zeros(),
 	}
 	for _, m := range messages {
-		bin := timeline.At(m.At)
-		weight[bin] += m.Worth
-		delivered[bin] += m.Value
+		bin := timeline.At(m.DueAt)
+		weight[bin] += m.Weight
+		delivered[bin] += m.DeliveredWeight
 		series.submitted[bin] += 1 / timeline.Bin.Seconds()
-		if m.Delivered > 0 {
-			latencies[bin] = append(latencies[bin], m.Delivered-m.At)
+		if m.DeliveredAt > 0 {
+			latencies[bin] = append(latencies[bin], m.DeliveredAt-m.DueAt)
 		}
 	}
 	for bin := range series.service {
--- a/internal/testkit/report/report.go
+++ b/internal/testkit/report/report.go
@@ -26,7 +26,7 @@
 const maxEvidence = 6
 
 // Write writes the report of a run into a folder, in all three forms.
-func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Verdict) error {
+func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Result) error {
 	for name, write := range map[string]func(*os.File) error{
 		JSONName: func(f *os.File) error { return JSON(f, h, v) },
 		TextName: func(f *os.File) error { return Text(f, h, events, v) },
@@ -44,12 +44,12 @@
 }
 
 // JSON writes a verdict as JSON.
-func JSON(w io.Writer, h eventlog.Header, v checker.Verdict) error {
+func JSON(w io.Writer, h eventlog.Header, v checker.Result) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(struct {
 		Header  eventlog.Header `json:"run"`
-		Verdict checker.Verdict `json:"verdict"`
+		Verdict checker.Result  `json:"verdict"`
 		OK      bool            `json:"ok"`
 	}{h, v, v.OK()})
 }
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -19,7 +19,7 @@
 const second = time.Second
 
 // smallRun is a run in which a relay sends to an endpoint that is draining, during a fault whose name needs escaping.
-func smallRun() (eventlog.Header, []eventlog.Event, checker.Verdict) {
+func smallRun() (eventlog.Header, []eventlog.Event, checker.Result) {
 	h := eventlog.Header{
 		Format:     eventlog.FormatVersion,
 		Scenario:   "small <b>",
@@ -66,7 +66,7 @@
 		{At: 6 * second, Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateKill},
 		{At: 12 * second, Kind: eventlog.RunEnded},
 	}
-	return h, events, checker.Judge(h, events)
+	return h, events, checker.Check(h, events)
 }
 
 func TestTextShowsAViolationWithItsEvidence(t *testing.T) {
@@ -97,11 +97,11 @@
 	}
 	var got struct {
 		Run     eventlog.Header
-		Verdict checker.Verdict
+		Verdict checker.Result
 		OK      bool
 	}
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.OK || got.Run.Scenario != h.Scenario ||
-		got.Verdict.Finding(checker.Drain).State != checker.Broken {
+		got.Verdict.ForRule(checker.DrainRespected).State != checker.Violated {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -163,7 +163,7 @@
 func TestAnEmptyRunHasAReport(t *testing.T) {
 	dir := t.TempDir()
 	h := eventlog.Header{Scenario: "empty"}
-	v := checker.Judge(h, nil)
+	v := checker.Check(h, nil)
 	if err := Write(dir, h, nil, v); err != nil {
 		t.Fatal(err)
 	}
