--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -133,7 +133,7 @@
 }
 
 // message hands one in, in a step of its own, so that the next step ends it.
-func (s *stepper) message(id uint32, dest int) {
+func (s *stepper) message(id policy.MessageID, dest int) {
 	s.step(policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: dest, Key: "k", TimeLeft: time.Hour})
 }
 
@@ -166,7 +166,7 @@
 			return nil, err
 		}
 		add(told, n, live()-before)
-		rng, id := rand.New(rand.NewPCG(1, uint64(n))), uint32(0)
+		rng, id := rand.New(rand.NewPCG(1, uint64(n))), policy.MessageID(0)
 		pass := func(messages int) {
 			for range messages {
 				id++
@@ -241,7 +241,7 @@
 					evs,
 					policy.Event{
 						Kind:        policy.MessageAccepted,
-						MessageID:   uint32(i + k + 1),
+						MessageID:   policy.MessageID(i + k + 1),
 						Destination: 500 + (i+k)%down,
 						Key:         "k",
 						TimeLeft:    100 * time.Hour,
@@ -255,7 +255,7 @@
 			s.step(policy.Event{Kind: policy.TimerFired})
 		}
 		add(held, n, live()-before)
-		rng, id := rand.New(rand.NewPCG(2, uint64(n))), uint32(1e9)
+		rng, id := rand.New(rand.NewPCG(2, uint64(n))), policy.MessageID(1e9)
 		const messages = 10_000
 		for range 500 {
 			id++
@@ -275,7 +275,7 @@
 	return held, beside, nil
 }
 
-func stored(id uint32, dest int, deadline time.Time, payload []byte) *journal.Message {
+func stored(id policy.MessageID, dest int, deadline time.Time, payload []byte) *journal.Message {
 	return &journal.Message{
 		ID: id, TraceID: fmt.Sprintf("%016x", id), IdempotencyKey: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id), ClassName: "order", Destination: dest, Deadline: deadline, Body: payload,
 	}
@@ -292,7 +292,7 @@
 	for i := 0; i < n; i += batch {
 		var ms []*journal.Message
 		for k := range min(batch, n-i) {
-			ms = append(ms, stored(uint32(i+k+1), (i+k)%dests, deadline, payload))
+			ms = append(ms, stored(policy.MessageID(i+k+1), (i+k)%dests, deadline, payload))
 		}
 		if err := j.Accept(ms...); err != nil {
 			return errors.Join(err, j.Close())
@@ -349,7 +349,7 @@
 		const messages = 10_000
 		start := used()
 		for i := range messages {
-			m := stored(uint32(n+i+1), i%1000, deadline, payload)
+			m := stored(policy.MessageID(n+i+1), i%1000, deadline, payload)
 			if err := j.Accept(m); err != nil {
 				return nil, errors.Join(err, j.Close())
 			}
@@ -380,7 +380,7 @@
 		if err != nil {
 			return nil, err
 		}
-		payload, deadline, id := make([]byte, body), time.Now().Add(time.Hour), uint32(0)
+		payload, deadline, id := make([]byte, body), time.Now().Add(time.Hour), policy.MessageID(0)
 		const commits = 50
 		began := time.Now()
 		for range commits {
@@ -487,7 +487,7 @@
 				evs,
 				policy.Event{
 					Kind:        policy.MessageAccepted,
-					MessageID:   uint32(at.Milliseconds())*10_000 + uint32(dest),
+					MessageID:   policy.MessageID(at.Milliseconds())*10_000 + policy.MessageID(dest),
 					Destination: dest,
 				},
 			)
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -352,8 +352,8 @@
 	must(t, err)
 	defer closeQuietly(taken)
 	g.writeOperatorFile(2, "label = \"another\"\n", nil)
-	// Relay 3 is listed by nobody. It lists two others: with three it might choose relay 0 and 2 to contact each time, by
-	// chance, until the test ends.
+	// Relay 3 is listed by nobody. It lists two others: of three it might contact relays 0 and 2 each time, by chance,
+	// until the test ends.
 	for _, i := range []int{0, 1, 2} {
 		g.unlist(i, 3)
 	}
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // descriptors is how many a process holds; resident its memory, in bytes.
@@ -143,7 +144,7 @@
 	must(t, err)
 	for {
 		m := &journal.Message{
-			ID:             uint32(taken + 1),
+			ID:             policy.MessageID(taken + 1),
 			TraceID:        fmt.Sprint("m", taken),
 			IdempotencyKey: "k",
 			ClassName:      "order",
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -6,6 +6,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 type journalCommand struct {
@@ -137,7 +138,7 @@
 	Destination int                  `json:"destination"`
 	Uncertain   bool                 `json:"doubtful"`
 	Final       *journal.FinalAnswer `json:"final,omitempty"`
-	ID          uint32               `json:"id"`
+	ID          policy.MessageID     `json:"id"`
 	MayHaveRun  []journal.Attempt    `json:"may_have_run"`
 	ClassName   string               `json:"service"`
 	TraceID     string               `json:"trace"`
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -32,7 +32,7 @@
 	taken := func(i int) policy.Event {
 		return policy.Event{
 			Kind:        policy.MessageAccepted,
-			MessageID:   uint32(i + 1),
+			MessageID:   policy.MessageID(i + 1),
 			Destination: i % destinations,
 			TimeLeft:    8 * time.Hour,
 		}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -94,7 +94,7 @@
 
 	// Of the loop.
 	due    float64 // messages
-	nextID uint32
+	nextID policy.MessageID
 	out    []policy.Event // outcomes for the next step
 	told   bool           // the list
 	tell   chan time.Duration
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -43,7 +43,7 @@
 			Incarnation: settings.Incarnation,
 			Counters:    map[limitScope]*scopeCounter{},
 			Endpoints:   map[string]endpointInfo{},
-			Pending:     map[uint32]pendingMessage{},
+			Pending:     map[policy.MessageID]pendingMessage{},
 			Published:   map[int]publishedReport{},
 		},
 		reports:      loadreport.New(settings.Self, settings.Incarnation, settings.Members),
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -154,7 +154,7 @@
 	events := make([]policy.Event, 1)
 	actions := make([]policy.Action, 1)
 	b.ReportAllocs()
-	id := uint32(0)
+	id := policy.MessageID(0)
 	for now := time.Second; b.Loop(); now += time.Millisecond {
 		id++
 		events[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: int(id % 30)}
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -97,7 +97,7 @@
 
 // setWaiting records whether a message waits. The backlog is counted for the destination, because it is not known
 // which endpoint the message will be sent to.
-func (a *Agent) setWaiting(id uint32, message pendingMessage, waiting bool) {
+func (a *Agent) setWaiting(id policy.MessageID, message pendingMessage, waiting bool) {
 	if message.Waiting == waiting {
 		return
 	}
@@ -111,7 +111,7 @@
 	a.Pending[id] = message
 }
 
-func (a *Agent) removeMessage(id uint32) {
+func (a *Agent) removeMessage(id policy.MessageID) {
 	message, ok := a.Pending[id]
 	if !ok {
 		return
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -22,7 +22,7 @@
 func driveTraffic(a *Agent, from, to time.Duration, rate float64) []loadreport.Report {
 	var published []loadreport.Report
 	interval := time.Duration(float64(time.Second) / rate)
-	id := uint32(from)
+	id := policy.MessageID(from)
 	for now := from; now < to; now += interval {
 		published = append(published, a.Step(now, Input{
 			Events:  []policy.Event{{Kind: policy.MessageAccepted, MessageID: id, Destination: 9}},
@@ -160,7 +160,7 @@
 		for n := range 1 + i%3 {
 			events = append(events, policy.Event{
 				Kind:      policy.AttemptFinished,
-				MessageID: uint32(1000*n + i),
+				MessageID: policy.MessageID(1000*n + i),
 				Endpoint:  endpoint.ID,
 				Outcome:   policy.OK,
 			})
@@ -246,7 +246,7 @@
 	listEndpoints(a, policy.Endpoint{ID: "s-1", Destination: 9, Weight: 500, InService: true})
 	publish := func(now time.Duration, warmingUp bool) []loadreport.Report {
 		return a.Step(now, Input{
-			Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: uint32(now), Destination: 9}},
+			Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: policy.MessageID(now), Destination: 9}},
 			Views: func() []policy.EndpointView {
 				return []policy.EndpointView{{Endpoint: policy.Endpoint{ID: "s-1"}, WarmingUp: warmingUp}}
 			},
--- a/internal/fleet/agent/snapshot.go
+++ b/internal/fleet/agent/snapshot.go
@@ -8,25 +8,26 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // state is what an Agent stores in a snapshot. The keys are part of the recordings' format: they stay as they are
 // when a field is renamed, and the fields of the toarray types keep their order.
 type state struct {
-	Settings          Settings                     `cbor:"Set"`
-	Incarnation       loadreport.Incarnation       `cbor:"Life"`
-	Sequence          uint64                       `cbor:"Sequence"` // of the last published report
-	Counters          map[limitScope]*scopeCounter `cbor:"Tallies"`
-	Endpoints         map[string]endpointInfo      `cbor:"Routes"`
-	Pending           map[uint32]pendingMessage    `cbor:"Held"`
-	Published         map[int]publishedReport      `cbor:"Told"` // by report number
-	NextCheck         time.Duration                `cbor:"LookAt"`
-	PublishInterval   time.Duration                `cbor:"Rest"` // as of PublishIntervalAt
-	PublishIntervalAt time.Duration                `cbor:"RestAt"`
-	NextSweep         time.Duration                `cbor:"SweepAt"`
-	SavedReports      []loadreport.Report          `cbor:"Pages"` // of the table; set in snapshots alone
-	SavedQuota        *quota.Ledger                `cbor:"Book"`  // set in snapshots alone
-	Now               time.Duration                `cbor:"Now"`
+	Settings          Settings                            `cbor:"Set"`
+	Incarnation       loadreport.Incarnation              `cbor:"Life"`
+	Sequence          uint64                              `cbor:"Sequence"` // of the last published report
+	Counters          map[limitScope]*scopeCounter        `cbor:"Tallies"`
+	Endpoints         map[string]endpointInfo             `cbor:"Routes"`
+	Pending           map[policy.MessageID]pendingMessage `cbor:"Held"`
+	Published         map[int]publishedReport             `cbor:"Told"` // by report number
+	NextCheck         time.Duration                       `cbor:"LookAt"`
+	PublishInterval   time.Duration                       `cbor:"Rest"` // as of PublishIntervalAt
+	PublishIntervalAt time.Duration                       `cbor:"RestAt"`
+	NextSweep         time.Duration                       `cbor:"SweepAt"`
+	SavedReports      []loadreport.Report                 `cbor:"Pages"` // of the table; set in snapshots alone
+	SavedQuota        *quota.Ledger                       `cbor:"Book"`  // set in snapshots alone
+	Now               time.Duration                       `cbor:"Now"`
 }
 
 // canonicalEncoding writes the same bytes for the same value.
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -43,9 +43,9 @@
 	settings      policy.Settings
 	destinations  map[int]*Destination
 	endpoints     map[string]*Endpoint
-	destinationOf map[uint32]int    // by message
-	traces        map[uint32]string // of messages that are not accepted yet
-	outcomes      map[string]string // of the current step, by endpoint
+	destinationOf map[policy.MessageID]int    // by message
+	traces        map[policy.MessageID]string // of messages that are not accepted yet
+	outcomes      map[string]string           // of the current step, by endpoint
 
 	steppedAt time.Duration    // the last step
 	sampledAt time.Duration    // the last sample
@@ -66,8 +66,8 @@
 		report:        report,
 		destinations:  map[int]*Destination{},
 		endpoints:     map[string]*Endpoint{},
-		destinationOf: map[uint32]int{},
-		traces:        map[uint32]string{},
+		destinationOf: map[policy.MessageID]int{},
+		traces:        map[policy.MessageID]string{},
 		outcomes:      map[string]string{},
 	}
 	report.Replay, err = replay.Play(data, replay.Visitor{
@@ -112,7 +112,7 @@
 		MaxInFlightCalls: meta.Settings.MaxInFlightCalls,
 		InFlightCalls:    make([]float64, bins),
 		Queued:           make([]float64, bins),
-		Messages:         map[uint32]*Message{},
+		Messages:         map[policy.MessageID]*Message{},
 	}, nil
 }
 
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -20,7 +20,7 @@
 	recorder *flightrecorder.Recorder
 	now      time.Duration
 	timerAt  time.Duration
-	sends    map[uint32]int // by message
+	sends    map[policy.MessageID]int // by message
 }
 
 func newRecordedEngine(t *testing.T) *recordedEngine {
@@ -44,7 +44,7 @@
 		engine:   engine,
 		recorder: flightrecorder.NewRecorder(meta, 0, engine.Snapshot),
 		now:      time.Second,
-		sends:    map[uint32]int{},
+		sends:    map[policy.MessageID]int{},
 	}
 }
 
@@ -92,11 +92,11 @@
 	}
 }
 
-func accepted(id uint32) policy.Event {
+func accepted(id policy.MessageID) policy.Event {
 	return policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: 7, TimeLeft: 16 * time.Second}
 }
 
-func connectFailed(id uint32, attempt int) policy.Event {
+func connectFailed(id policy.MessageID, attempt int) policy.Event {
 	return policy.Event{
 		Kind: policy.AttemptFinished, MessageID: id, Attempt: attempt, Endpoint: "r", Outcome: policy.ConnectFailed,
 	}
@@ -217,7 +217,7 @@
 func TestSharesByCause(t *testing.T) {
 	x := newRecordedEngine(t)
 	x.step(endpointSnapshot(), accepted(1), accepted(2), accepted(3))
-	for id := range uint32(3) {
+	for id := range policy.MessageID(3) {
 		x.until(x.now + 10*time.Millisecond)
 		x.step(connectFailed(id+1, 0))
 	}
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The lines of the JSON form. Fields stand in the order of their keys. Times are in seconds.
@@ -44,17 +45,17 @@
 		Text        string  `json:"what"`
 	}
 	messageRecord struct {
-		Attempts    []attemptRecord `json:"attempts"`
-		Class       int             `json:"class"`
-		Destination int             `json:"destination"`
-		End         string          `json:"end"`
-		EndedAt     float64         `json:"ended"`
-		ID          uint32          `json:"id"`
-		Kind        string          `json:"kind"`
-		TimeLeft    float64         `json:"left"`
-		Spans       []spanRecord    `json:"spans"`
-		AcceptedAt  float64         `json:"taken"`
-		Trace       string          `json:"trace"`
+		Attempts    []attemptRecord  `json:"attempts"`
+		Class       int              `json:"class"`
+		Destination int              `json:"destination"`
+		End         string           `json:"end"`
+		EndedAt     float64          `json:"ended"`
+		ID          policy.MessageID `json:"id"`
+		Kind        string           `json:"kind"`
+		TimeLeft    float64          `json:"left"`
+		Spans       []spanRecord     `json:"spans"`
+		AcceptedAt  float64          `json:"taken"`
+		Trace       string           `json:"trace"`
 	}
 	spanRecord struct {
 		Cause    string  `json:"cause"`
--- a/internal/recording/explain/report.go
+++ b/internal/recording/explain/report.go
@@ -24,7 +24,7 @@
 	InFlightCalls    []float64 // the most in each bin
 	MaxInFlightCalls int       // as configured
 	Queued           []float64 // messages waiting, the most in each bin
-	Messages         map[uint32]*Message
+	Messages         map[policy.MessageID]*Message
 	Notes            []string
 	Truncated        bool // there were more transitions or spans than are kept
 }
@@ -137,7 +137,7 @@
 
 // Message is what happened to one message.
 type Message struct {
-	ID              uint32
+	ID              policy.MessageID
 	Trace           string
 	Destination     int
 	Class           int
--- a/internal/recording/fleetstats/fleetstats_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -12,17 +12,17 @@
 
 var testStart = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-func accepted(id uint32, destination int) policy.Event {
+func accepted(id policy.MessageID, destination int) policy.Event {
 	return policy.Event{
 		Kind: policy.MessageAccepted, MessageID: id, Destination: destination, TimeLeft: 10 * time.Second,
 	}
 }
 
-func send(id uint32, endpoint string) policy.Action {
+func send(id policy.MessageID, endpoint string) policy.Action {
 	return policy.Action{Kind: policy.Send, MessageID: id, Endpoint: endpoint}
 }
 
-func finished(id uint32, endpoint string, outcome policy.Outcome) policy.Event {
+func finished(id policy.MessageID, endpoint string, outcome policy.Outcome) policy.Event {
 	return policy.Event{Kind: policy.AttemptFinished, MessageID: id, Endpoint: endpoint, Outcome: outcome}
 }
 
--- a/internal/recording/fleetstats/reader.go
+++ b/internal/recording/fleetstats/reader.go
@@ -40,8 +40,8 @@
 	*Fleet
 	meta      flightrecorder.Meta
 	endpoints map[string]endpoint
-	messages  map[uint32]message
-	calls     map[uint32]*call // of the attempt in flight, by message
+	messages  map[policy.MessageID]message
+	calls     map[policy.MessageID]*call // of the attempt in flight, by message
 }
 
 func (f *Fleet) read(recording flightrecorder.Recording) error {
@@ -53,8 +53,8 @@
 		Fleet:     f,
 		meta:      recording.Meta,
 		endpoints: map[string]endpoint{},
-		messages:  map[uint32]message{},
-		calls:     map[uint32]*call{},
+		messages:  map[policy.MessageID]message{},
+		calls:     map[policy.MessageID]*call{},
 	}
 	for {
 		entry, ok, err := entries.Next()
@@ -109,7 +109,7 @@
 }
 
 // message returns an accepted message, or one of which nothing is known.
-func (r *recordingReader) message(id uint32) message {
+func (r *recordingReader) message(id policy.MessageID) message {
 	if m, ok := r.messages[id]; ok {
 		return m
 	}
--- a/internal/recording/flightrecorder/decoder.go
+++ b/internal/recording/flightrecorder/decoder.go
@@ -14,7 +14,7 @@
 	err     error
 	names   []string
 	lastNow time.Duration
-	lastID  uint32
+	lastID  policy.MessageID
 }
 
 func (d *decoder) fail() {
@@ -101,8 +101,8 @@
 
 func (d *decoder) duration() time.Duration { return time.Duration(d.int()) }
 
-func (d *decoder) messageID() uint32 {
-	d.lastID = uint32(int64(d.lastID) + d.int())
+func (d *decoder) messageID() policy.MessageID {
+	d.lastID = policy.MessageID(int64(d.lastID) + d.int())
 	return d.lastID
 }
 
--- a/internal/recording/flightrecorder/encoder.go
+++ b/internal/recording/flightrecorder/encoder.go
@@ -17,7 +17,7 @@
 	frameStart  int // of the open frame
 	names       map[string]uint32
 	lastNow     time.Duration
-	lastID      uint32
+	lastID      policy.MessageID
 	checksumBuf [positionSize]byte
 }
 
@@ -91,7 +91,7 @@
 }
 
 // messageID writes a message's number as its difference to the last one: mostly a byte or two.
-func (e *encoder) messageID(id uint32) {
+func (e *encoder) messageID(id policy.MessageID) {
 	e.int(int64(id) - int64(e.lastID))
 	e.lastID = id
 }
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -153,9 +153,9 @@
 }
 
 func (r *goldenRun) take(number int) {
-	id := uint32(number + 1)
+	id := policy.MessageID(number + 1)
 	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
-	for i := range uint32(2) {
+	for i := range policy.MessageID(2) {
 		e := policy.Event{
 			Kind:        policy.MessageAccepted,
 			MessageID:   10*id + i,
@@ -197,7 +197,7 @@
 		r.step(number, now)
 		switch number {
 		case 15:
-			ids := []uint32{160, 161}
+			ids := []policy.MessageID{160, 161}
 			r.recorder.SendChecked(now, "s-1", ids, r.engine.StillAllowed("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -48,9 +48,9 @@
 	Events     []policy.Event
 	Actions    []policy.Action
 	Endpoint   string
-	MessageIDs []uint32
+	MessageIDs []policy.MessageID
 	Allowed    bool
-	MessageID  uint32
+	MessageID  policy.MessageID
 	Text       string
 }
 
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -239,7 +239,7 @@
 }
 
 // SendChecked records an answer of policy.Engine.StillAllowed.
-func (r *Recorder) SendChecked(now time.Duration, endpoint string, messageIDs []uint32, allowed bool) {
+func (r *Recorder) SendChecked(now time.Duration, endpoint string, messageIDs []policy.MessageID, allowed bool) {
 	if r == nil {
 		return
 	}
@@ -259,7 +259,7 @@
 
 // Label records the trace id by which clients and endpoints know a message. It is called before the step that accepts
 // the message.
-func (r *Recorder) Label(id uint32, trace string) {
+func (r *Recorder) Label(id policy.MessageID, trace string) {
 	if r == nil {
 		return
 	}
--- a/internal/recording/flightrecorder/recorder_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -58,9 +58,10 @@
 }
 
 var (
-	drawNumber   = rapid.IntRange(-3, math.MaxInt32)
-	drawDuration = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
-	drawName     = rapid.SampledFrom([]string{"", "s-1", "s-2", "a name with \x00 and ü", strings.Repeat("long", 90)})
+	drawNumber    = rapid.IntRange(-3, math.MaxInt32)
+	drawDuration  = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
+	drawMessageID = rapid.Map(rapid.Uint32(), func(n uint32) policy.MessageID { return policy.MessageID(n) })
+	drawName      = rapid.SampledFrom([]string{"", "s-1", "s-2", "a name with \x00 and ü", strings.Repeat("long", 90)})
 )
 
 func drawEvent(t *rapid.T) policy.Event {
@@ -81,7 +82,7 @@
 	case policy.AttemptFinished, policy.HealthChecked:
 		drawAttempt(t, &e)
 	case policy.MessageCancelled:
-		e.MessageID = rapid.Uint32().Draw(t, "id")
+		e.MessageID = drawMessageID.Draw(t, "id")
 	case policy.EndpointSnapshot, policy.EndpointDelta:
 		for range rapid.IntRange(0, 5).Draw(t, "endpoints") {
 			e.Endpoints = append(e.Endpoints, policy.Endpoint{
@@ -99,7 +100,7 @@
 }
 
 func drawMessage(t *rapid.T, e *policy.Event) {
-	e.MessageID = rapid.Uint32().Draw(t, "id")
+	e.MessageID = drawMessageID.Draw(t, "id")
 	e.Class = drawNumber.Draw(t, "class")
 	e.Tenant = drawNumber.Draw(t, "tenant")
 	e.Destination = drawNumber.Draw(t, "destination")
@@ -117,7 +118,7 @@
 }
 
 func drawAttempt(t *rapid.T, e *policy.Event) {
-	e.MessageID = rapid.Uint32().Draw(t, "id")
+	e.MessageID = drawMessageID.Draw(t, "id")
 	e.Attempt = drawNumber.Draw(t, "attempt")
 	e.Endpoint = drawName.Draw(t, "endpoint")
 	e.Outcome = policy.Outcome(rapid.IntRange(0, 7).Draw(t, "outcome"))
@@ -140,11 +141,11 @@
 	duration := drawDuration.Draw(t, "duration")
 	switch a.Kind {
 	case policy.Send:
-		a.MessageID = rapid.Uint32().Draw(t, "id")
+		a.MessageID = drawMessageID.Draw(t, "id")
 		a.Endpoint = "s-9"
 		a.TimeoutAt = duration
 	case policy.Reject, policy.Fail:
-		a.MessageID = rapid.Uint32().Draw(t, "id")
+		a.MessageID = drawMessageID.Draw(t, "id")
 		a.Delay = duration
 	case policy.SetTimer:
 		a.Delay = duration
@@ -165,14 +166,14 @@
 		rec.Note(e.Text)
 	case 1:
 		e.Kind = flightrecorder.Label
-		e.MessageID = rapid.Uint32().Draw(t, "id")
+		e.MessageID = drawMessageID.Draw(t, "id")
 		e.Text = "trace"
 		rec.Label(e.MessageID, e.Text)
 	case 2:
 		e.Kind = flightrecorder.SendChecked
 		e.Now = now
 		e.Endpoint = "s-1"
-		e.MessageIDs = rapid.SliceOfN(rapid.Uint32(), 1, 4).Draw(t, "ids")
+		e.MessageIDs = rapid.SliceOfN(drawMessageID, 1, 4).Draw(t, "ids")
 		e.Allowed = rapid.Bool().Draw(t, "allowed")
 		rec.SendChecked(now, e.Endpoint, e.MessageIDs, e.Allowed)
 	default:
--- a/internal/recording/flightrecorder/recordertest/driver.go
+++ b/internal/recording/flightrecorder/recordertest/driver.go
@@ -96,9 +96,9 @@
 	events  []policy.Event // of the next step
 	pending []pendingEvent
 
-	lastID       uint32
-	attempts     map[uint32]int // by message
-	destinations map[uint32]int // by message
+	lastID       policy.MessageID
+	attempts     map[policy.MessageID]int // by message
+	destinations map[policy.MessageID]int // by message
 }
 
 // outage is a time in which calls to a destination mostly fail.
@@ -116,8 +116,8 @@
 	d := &driver{
 		rng:          rand.New(rand.NewPCG(seed, 11)),
 		outages:      map[int]outage{},
-		attempts:     map[uint32]int{},
-		destinations: map[uint32]int{},
+		attempts:     map[policy.MessageID]int{},
+		destinations: map[policy.MessageID]int{},
 	}
 	settings := Settings()
 	engine, err := policy.New(settings, seed)
@@ -204,7 +204,7 @@
 		d.addEndpointDelta(removed, *ep)
 	case 2:
 		if d.lastID > 0 {
-			id := 1 + uint32(d.rng.IntN(int(d.lastID)))
+			id := 1 + policy.MessageID(d.rng.IntN(int(d.lastID)))
 			d.events = append(d.events, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 		}
 	}
@@ -241,7 +241,7 @@
 	}
 	if d.rng.IntN(40) == 0 {
 		endpoint := d.randomEndpoint().ID
-		ids := []uint32{d.lastID}
+		ids := []policy.MessageID{d.lastID}
 		d.recorder.SendChecked(now, endpoint, ids, d.engine.StillAllowed(endpoint, ids, now))
 	}
 }
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -251,7 +251,12 @@
 	for i := range 20 {
 		now := first.To + time.Duration(i+1)*50*time.Millisecond
 		events := []policy.Event{
-			{Kind: policy.MessageAccepted, MessageID: uint32(1<<20 + i), Destination: 1, TimeLeft: 3 * time.Second},
+			{
+				Kind:        policy.MessageAccepted,
+				MessageID:   policy.MessageID(1<<20 + i),
+				Destination: 1,
+				TimeLeft:    3 * time.Second,
+			},
 		}
 		resumed.Step(now, events, restored.Step(now, events))
 	}
@@ -282,7 +287,7 @@
 	for i, now := range times {
 		evs := []policy.Event{
 			list,
-			{Kind: policy.MessageAccepted, MessageID: uint32(i + 1), TimeLeft: 16 * time.Second},
+			{Kind: policy.MessageAccepted, MessageID: policy.MessageID(i + 1), TimeLeft: 16 * time.Second},
 		}
 		rec.Step(now, evs, s.Step(now, evs))
 	}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -150,7 +150,7 @@
 // A message that has its final answer meanwhile, or whose time in this call is up, is left out: the connection may come
 // up long after that.
 func (r *Relay) sendableAttempts(c *call) (sendable []*egress.Attempt) {
-	var ids []uint32
+	var ids []policy.MessageID
 	for _, a := range c.attempts {
 		if !a.finished && !a.message.completed && time.Now().Before(a.Deadline) {
 			sendable = append(sendable, &a.Attempt)
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -163,7 +163,7 @@
 	r.recovery = &journal.Recovery{Store: &store.Recovery{}}
 	for i, left := range []time.Duration{10 * time.Second, 500 * time.Millisecond, 10 * time.Second} {
 		m := &journal.Message{
-			ID:             uint32(i + 1),
+			ID:             policy.MessageID(i + 1),
 			TraceID:        fmt.Sprint("m", i),
 			IdempotencyKey: "k",
 			Destination:    9,
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -24,7 +24,7 @@
 }
 
 // cancelEvent tells that the client left before it had the answer to its message.
-type cancelEvent struct{ messageID uint32 }
+type cancelEvent struct{ messageID policy.MessageID }
 
 // callFinished carries the results of a call, one for each of its attempts.
 type callFinished struct {
@@ -42,7 +42,7 @@
 }
 
 // notificationsAcked tells that the platform has taken the final notifications of these messages.
-type notificationsAcked struct{ messageIDs []uint32 }
+type notificationsAcked struct{ messageIDs []policy.MessageID }
 
 // stopAccepting tells that no more messages come.
 type stopAccepting struct{}
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -18,7 +18,7 @@
 
 // responses are those to the submissions of a step, by message. They are no part of execution, so that they need no
 // allocation.
-type responses map[uint32]ingress.Response
+type responses map[policy.MessageID]ingress.Response
 
 // execute carries out the policy's actions: first in the journal, in one write, then on the sockets.
 func (r *Relay) execute(actions []policy.Action, waiting []*submitEvent) {
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -60,7 +60,7 @@
 				action := *c.final
 				action.MessageID = m.ID
 				r.execute([]policy.Action{action}, nil)
-				r.step([]event{notificationsAcked{[]uint32{m.ID}}})
+				r.step([]event{notificationsAcked{[]policy.MessageID{m.ID}}})
 			}
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
 				t.Fatal("it is not removed")
--- a/internal/relay/hotrestart/frames.go
+++ b/internal/relay/hotrestart/frames.go
@@ -11,13 +11,13 @@
 // Frame is one message between the two processes. Exactly one field is set. The tags pin the keys: the other process
 // may be of another build.
 type Frame struct {
-	Hello      *Hello      `json:"Hello,omitempty"`    // from the successor, first
-	Welcome    bool        `json:"Welcome,omitempty"`  // to it: from here on the predecessor hands over when it ends
-	State      *State      `json:"State,omitempty"`    // to it, once
-	Outcome    *Outcome    `json:"Outcome,omitempty"`  // to it
-	Submission *Submission `json:"HandIn,omitempty"`   // to it
-	Answer     *Answer     `json:"Answer,omitempty"`   // from it
-	Cancel     uint32      `json:"Withdraw,omitempty"` // to it: the message whose client left without its answer
+	Hello      *Hello           `json:"Hello,omitempty"`    // from the successor, first
+	Welcome    bool             `json:"Welcome,omitempty"`  // to it: the predecessor hands over when it ends
+	State      *State           `json:"State,omitempty"`    // to it, once
+	Outcome    *Outcome         `json:"Outcome,omitempty"`  // to it
+	Submission *Submission      `json:"HandIn,omitempty"`   // to it
+	Answer     *Answer          `json:"Answer,omitempty"`   // from it
+	Cancel     policy.MessageID `json:"Withdraw,omitempty"` // to it: the message whose client left without its answer
 }
 
 // Hello says which process takes over.
@@ -40,7 +40,7 @@
 	Endpoints    []Endpoint `json:"Routes"`
 	Destinations []int      `json:"Cells"` // that the list has named
 
-	LastID           uint32            `json:"LastID"` // of messages
+	LastID           policy.MessageID  `json:"LastID"` // of messages
 	Messages         []Message         `json:"Messages"`
 	Attempts         []Attempt         `json:"Attempts"`        // without an outcome
 	PendingEvents    []policy.Event    `json:"Later"`           // of the policy's next step
@@ -63,27 +63,27 @@
 
 // Message is what a relay knows of a message beside the journal.
 type Message struct {
-	ID              uint32 `json:"ID"`
-	TraceID         string `json:"Trace"`
-	AttemptsStarted int    `json:"Sends"`
-	Completed       bool   `json:"Ended"`  // the policy has done with it
-	HasDuplicates   bool   `json:"Shared"` // other submissions were answered with it, too
-	ResubmittedAs   uint32 `json:"Next"`   // the message that it goes on as; 0: none
+	ID              policy.MessageID `json:"ID"`
+	TraceID         string           `json:"Trace"`
+	AttemptsStarted int              `json:"Sends"`
+	Completed       bool             `json:"Ended"`  // the policy has done with it
+	HasDuplicates   bool             `json:"Shared"` // other submissions were answered with it, too
+	ResubmittedAs   policy.MessageID `json:"Next"`   // the message that it goes on as; 0: none
 }
 
 // Attempt is an attempt whose call is in flight.
 type Attempt struct {
-	ID       uint32    `json:"ID"` // of its message
-	Number   int       `json:"N"`
-	Endpoint string    `json:"Route"`
-	Zone     int       `json:"Zone"`
-	SentAt   time.Time `json:"Sent"`
-	Finished bool      `json:"Over"` // its outcome is known, its call goes on for others
+	ID       policy.MessageID `json:"ID"` // of its message
+	Number   int              `json:"N"`
+	Endpoint string           `json:"Route"`
+	Zone     int              `json:"Zone"`
+	SentAt   time.Time        `json:"Sent"`
+	Finished bool             `json:"Over"` // its outcome is known, its call goes on for others
 }
 
 // Outcome is how an attempt of the predecessor ended.
 type Outcome struct {
-	ID           uint32             `json:"ID"` // of its message
+	ID           policy.MessageID   `json:"ID"` // of its message
 	Number       int                `json:"N"`
 	Outcome      policy.Outcome     `json:"Outcome"`
 	MessageEnded bool               `json:"Gone"`
@@ -101,9 +101,9 @@
 
 // Answer is what that client is answered.
 type Answer struct {
-	Seq        uint64        `json:"Seq"`
-	ID         uint32        `json:"ID"` // of the message; 0: it was not accepted
-	Status     int           `json:"Status"`
-	RetryAfter time.Duration `json:"Again"`
-	Text       string        `json:"Text"`
+	Seq        uint64           `json:"Seq"`
+	ID         policy.MessageID `json:"ID"` // of the message; 0: it was not accepted
+	Status     int              `json:"Status"`
+	RetryAfter time.Duration    `json:"Again"`
+	Text       string           `json:"Text"`
 }
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -18,6 +18,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // listAgent is discovery's agent: it writes to its watch what a test says, and serves snapshots on request.
@@ -353,7 +354,7 @@
 	old := newTestRelay(t)
 	for i, dest := range []int{50, 60_000} {
 		m := &journal.Message{
-			ID:             uint32(i + 1),
+			ID:             policy.MessageID(i + 1),
 			TraceID:        fmt.Sprint("m", i),
 			IdempotencyKey: "k",
 			Destination:    dest,
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -26,25 +26,25 @@
 
 // messageState is the state of all messages.
 type messageState struct {
-	messages        map[uint32]*message
+	messages        map[policy.MessageID]*message
 	messagesByTrace map[string]*message // the latest message of each client's id
 	cancelled       []*message          // cancelled ones that may have run, roughly in the order of their deadlines
 	finished        finishedMessages
 	pending         int // messages without a final answer
-	lastMessageID   uint32
+	lastMessageID   policy.MessageID
 	journalFull     ratelog.Warning // the journal accepts no new message
 }
 
 func newMessageState() messageState {
 	return messageState{
-		messages:        map[uint32]*message{},
+		messages:        map[policy.MessageID]*message{},
 		messagesByTrace: map[string]*message{},
 		journalFull:     ratelog.Warning{Message: "journal not written, rejecting new messages"},
 	}
 }
 
 // cancel ends a message whose client has left before the answer: it will submit the message as a new one.
-func (r *Relay) cancel(events []policy.Event, id uint32) []policy.Event {
+func (r *Relay) cancel(events []policy.Event, id policy.MessageID) []policy.Event {
 	m := r.messages[id]
 	if m == nil || m.hasDuplicates || m.completed {
 		return events
--- a/internal/relay/notify/sender.go
+++ b/internal/relay/notify/sender.go
@@ -16,6 +16,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/relay/ratelog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -43,17 +44,17 @@
 
 // Notification tells the platform how a message ended.
 type Notification struct {
-	MessageID    uint32 `json:"-"` // the relay's own
-	TraceID      string `json:"id"`
-	Status       Status `json:"status"`
-	RetryAfterMS int64  `json:"again_ms,omitempty"` // of a deferred message
+	MessageID    policy.MessageID `json:"-"` // the relay's own
+	TraceID      string           `json:"id"`
+	Status       Status           `json:"status"`
+	RetryAfterMS int64            `json:"again_ms,omitempty"` // of a deferred message
 }
 
 // Sender sends notifications, each until the platform has confirmed it. It is safe for concurrent use.
 type Sender struct {
 	log         *slog.Logger
 	agent       *discovery.Client
-	onConfirmed func(ids []uint32)
+	onConfirmed func(ids []policy.MessageID)
 	unconfirmed ratelog.Warning
 
 	mu     sync.Mutex
@@ -63,7 +64,7 @@
 
 // NewSender returns a sender that posts to agent, which passes notifications on to the platform. onConfirmed receives
 // the ids of messages whose notifications the platform has confirmed.
-func NewSender(log *slog.Logger, agent *discovery.Client, onConfirmed func(ids []uint32)) *Sender {
+func NewSender(log *slog.Logger, agent *discovery.Client, onConfirmed func(ids []policy.MessageID)) *Sender {
 	return &Sender{
 		log:         log,
 		agent:       agent,
@@ -134,7 +135,7 @@
 
 // confirm removes a batch from the queue and reports it.
 func (s *Sender) confirm(batch []Notification) {
-	ids := make([]uint32, 0, len(batch))
+	ids := make([]policy.MessageID, 0, len(batch))
 	for _, n := range batch {
 		ids = append(ids, n.MessageID)
 	}
--- a/internal/relay/notify/sender_test.go
+++ b/internal/relay/notify/sender_test.go
@@ -14,6 +14,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // platform confirms the third request and all behind it.
@@ -52,9 +53,9 @@
 	p := &platform{t: t}
 	server := httptest.NewServer(p)
 	defer server.Close()
-	confirmed := make(chan []uint32, 10)
+	confirmed := make(chan []policy.MessageID, 10)
 	agent := discovery.NewClient(server.Listener.Addr().String())
-	s := NewSender(slog.New(slog.DiscardHandler), agent, func(ids []uint32) { confirmed <- ids })
+	s := NewSender(slog.New(slog.DiscardHandler), agent, func(ids []policy.MessageID) { confirmed <- ids })
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	s.Add(
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -12,6 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // A damaged journal may lack sends. The messages that they may belong to fail and are not repeated, and no others: what
@@ -129,7 +130,7 @@
 		// The process before: it ran until away ago, when the wall clock was step ahead of what it is now.
 		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), BootID: now.BootID, Uptime: now.Uptime - away}
 		reopen(t, r, was)
-		for id, sent := range map[uint32]time.Duration{1: away + time.Second, 2: away - time.Second} {
+		for id, sent := range map[policy.MessageID]time.Duration{1: away + time.Second, 2: away - time.Second} {
 			m := &journal.Message{
 				ID:             id,
 				TraceID:        fmt.Sprint("m", id),
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -10,6 +10,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // countingFS counts what goes through a file system.
@@ -55,7 +56,7 @@
 	}
 	for {
 		m := &journal.Message{
-			ID:             uint32(messages + 1),
+			ID:             policy.MessageID(messages + 1),
 			TraceID:        fmt.Sprintf("%016x", messages),
 			IdempotencyKey: "k",
 			ClassName:      "order",
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -143,7 +143,7 @@
 	r.recovery = nil
 	r.lastMessageID = s.LastID
 	r.finished.restore(s.FinishedMessages)
-	states := make(map[uint32]*hotrestart.Message, len(s.Messages))
+	states := make(map[policy.MessageID]*hotrestart.Message, len(s.Messages))
 	for i := range s.Messages {
 		states[s.Messages[i].ID] = &s.Messages[i]
 	}
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -18,7 +18,7 @@
 
 // attemptKey names an attempt across processes.
 type attemptKey struct {
-	messageID uint32
+	messageID policy.MessageID
 	number    int
 }
 
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -34,7 +34,7 @@
 }
 
 // outcomeOf is the outcome of a message's first attempt, whose call has ended.
-func outcomeOf(outcome policy.Outcome, messageID uint32, retryAfter time.Duration) remoteOutcome {
+func outcomeOf(outcome policy.Outcome, messageID policy.MessageID, retryAfter time.Duration) remoteOutcome {
 	return remoteOutcome{
 		ID:           messageID,
 		Outcome:      outcome,
@@ -80,7 +80,7 @@
 
 // takeOverThreeAttempts returns the successor of a relay with three messages, an attempt of each in flight, and the
 // ids of these.
-func takeOverThreeAttempts(t *testing.T, edit func(*hotrestart.State)) (*Relay, []uint32) {
+func takeOverThreeAttempts(t *testing.T, edit func(*hotrestart.State)) (*Relay, []policy.MessageID) {
 	t.Helper()
 	old := newTestRelay(t)
 	var submissions []*submitEvent
@@ -94,7 +94,7 @@
 	if len(old.activeCalls) != 3 {
 		t.Fatalf("%d calls in flight", len(old.activeCalls))
 	}
-	var ids []uint32
+	var ids []policy.MessageID
 	for _, submission := range submissions {
 		ids = append(ids, submission.message.ID)
 	}
@@ -107,7 +107,7 @@
 
 // checkAbandoned checks that the attempt of one message counts as one that may have run, and that of another, which was
 // rejected, does not.
-func checkAbandoned(t *testing.T, r *Relay, rejected, abandoned uint32) {
+func checkAbandoned(t *testing.T, r *Relay, rejected, abandoned policy.MessageID) {
 	t.Helper()
 	if len(r.remoteAttempts) != 0 || len(r.messages[rejected].UncertainAttempts) != 0 {
 		t.Errorf("%d remote attempts; rejected: %+v", len(r.remoteAttempts), r.messages[rejected])
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -45,8 +45,8 @@
 	took    time.Duration
 }
 
-func (c *call) ids() []uint32 {
-	all := make([]uint32, 0, len(c.atts))
+func (c *call) ids() []policy.MessageID {
+	all := make([]policy.MessageID, 0, len(c.atts))
 	for _, a := range c.atts {
 		all = append(all, a.m.id)
 	}
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -19,14 +19,14 @@
 	// Equivalent says why a mutant breaks nothing. Its decisions are then those of a sound relay, which a test shows.
 	Equivalent string
 
-	Set   func(*policy.Settings)                          // what the module is told at its start
-	Hears func(e *policy.Event) (late time.Duration)      // changes an event, or tells it later; ignored: Never
-	Says  func(a *policy.Action) bool                     // false: not carried out
-	Loses func(finalDecided, mayRun bool, id uint32) bool // a restart forgets this message
-	Quiet func(id uint32) bool                            // the notice for this message is not sent
-	Wall  bool                                            // its journal goes by the wall clock
-	Lag   time.Duration                                   // so long after it was due something is in the journal
-	Fleet FleetWrong                                      // what is wrong with the links between relays
+	Set   func(*policy.Settings)                                    // what the module is told at its start
+	Hears func(e *policy.Event) (late time.Duration)                // changes an event, or tells it later; ignored: Never
+	Says  func(a *policy.Action) bool                               // false: not carried out
+	Loses func(finalDecided, mayRun bool, id policy.MessageID) bool // a restart forgets this message
+	Quiet func(id policy.MessageID) bool                            // the notice for this message is not sent
+	Wall  bool                                                      // its journal goes by the wall clock
+	Lag   time.Duration                                             // so long after it was due something is in the journal
+	Fleet FleetWrong                                                // what is wrong with the links between relays
 }
 
 // Never, returned by Mutant.Hears, leaves an event out.
@@ -122,7 +122,7 @@
 }
 
 // StillAllowed lets by what the module would, had it heard all.
-func (m *misled) StillAllowed(route string, ids []uint32, now time.Duration) bool {
+func (m *misled) StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool {
 	return m.Module.StillAllowed(route, ids, now)
 }
 
@@ -200,13 +200,13 @@
 	return []Mutant{
 		{
 			Name: "journal-not-restored", About: "a restart begins with nothing", Rule: checker.Lost,
-			Loses: func(bool, bool, uint32) bool { return true },
+			Loses: func(bool, bool, policy.MessageID) bool { return true },
 		},
 		{
 			Name:  "no-notices",
 			About: "what is given up on is told to nobody",
 			Rule:  checker.Lost,
-			Quiet: func(uint32) bool { return true },
+			Quiet: func(policy.MessageID) bool { return true },
 		},
 		{
 			Name: "ends-forgotten", About: "what is given up on is kept, and never ended", Rule: checker.Lost,
@@ -216,11 +216,11 @@
 			Name:  "some-notices-lost",
 			About: "one notice in 25 is not sent",
 			Rule:  checker.Lost,
-			Quiet: func(id uint32) bool { return id%25 == 0 },
+			Quiet: func(id policy.MessageID) bool { return id%25 == 0 },
 		},
 		{
 			Name: "notices-lost-over-restarts", About: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.Lost,
-			Loses: func(final, _ bool, _ uint32) bool { return final }, Quiet: func(id uint32) bool { return false },
+			Loses: func(final, _ bool, _ policy.MessageID) bool { return final }, Quiet: func(id policy.MessageID) bool { return false },
 		},
 		{
 			Name:  "logged-late",
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -53,8 +53,8 @@
 	planned   bool
 	tick      func() // steps, if the process is still the same
 	wakeAt    time.Duration
-	msgs      map[uint32]*message
-	lastID    uint32
+	msgs      map[policy.MessageID]*message
+	lastID    policy.MessageID
 	held      int
 	calling   map[*call]struct{}
 	pools     map[*host]*pool
@@ -83,7 +83,7 @@
 
 // message is a message that a relay has taken on. All but what is marked is in its journal, and outlasts the process.
 type message struct {
-	id       uint32
+	id       policy.MessageID
 	name     string
 	ask      *ask
 	class    int
@@ -129,7 +129,7 @@
 func newRelay(w *World, n int) (*relay, error) {
 	r := &relay{
 		w: w, n: n, name: scenario.RelayName(n + 1), zone: n % len(w.plan.File.Zones), wrong: w.opts.Wrong, seed: w.plan.Seed*1000 + uint64(n),
-		msgs: map[uint32]*message{}, entries: w.entries,
+		msgs: map[policy.MessageID]*message{}, entries: w.entries,
 	}
 	r.dies = w.dying[r.name]
 	r.undoes = r.wrong.lag() > 0 || w.opts.Machines && w.opts.Sync != SyncAlways
@@ -356,7 +356,7 @@
 	w := r.w
 	var calls []*call
 	var ended []*message
-	fresh := func(id uint32) int {
+	fresh := func(id policy.MessageID) int {
 		return slices.IndexFunc(ins, func(in *handIn) bool { return in.m != nil && in.m.id == id })
 	}
 	for _, a := range acts {
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -28,7 +28,7 @@
 	set    policy.Settings
 	seed   uint64
 	routes map[int][]policy.Endpoint // by destination, sorted by route
-	held   map[uint32]*scriptedMessage
+	held   map[policy.MessageID]*scriptedMessage
 }
 
 type scriptedMessage struct {
@@ -38,7 +38,7 @@
 }
 
 func newScripted(set policy.Settings, seed uint64) Module {
-	return &scripted{set: set, seed: seed, routes: map[int][]policy.Endpoint{}, held: map[uint32]*scriptedMessage{}}
+	return &scripted{set: set, seed: seed, routes: map[int][]policy.Endpoint{}, held: map[policy.MessageID]*scriptedMessage{}}
 }
 
 func (s *scripted) list(l policy.Endpoint) {
@@ -124,7 +124,7 @@
 	return acts
 }
 
-func (s *scripted) StillAllowed(route string, _ []uint32, _ time.Duration) bool {
+func (s *scripted) StillAllowed(route string, _ []policy.MessageID, _ time.Duration) bool {
 	for _, routes := range s.routes {
 		for _, l := range routes {
 			if l.ID == route {
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -26,7 +26,7 @@
 // Module is what decides: a *policy.Engine, or one with something wrong about it.
 type Module interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
-	StillAllowed(route string, ids []uint32, now time.Duration) bool
+	StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool
 }
 
 // Sync says what of a relay's journal outlasts a death of its machine. A death of its process alone loses nothing.
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -165,7 +165,7 @@
 }
 
 type msgState struct {
-	id       uint32
+	id       policy.MessageID
 	n        int // in World.Messages
 	at       time.Duration
 	deadline time.Duration
@@ -183,7 +183,7 @@
 }
 
 type callState struct {
-	id    uint32
+	id    policy.MessageID
 	n     int
 	route int
 	sent  time.Duration
@@ -664,7 +664,7 @@
 		r.msgs = append(
 			r.msgs,
 			msgState{
-				id:       uint32(n.given),
+				id:       policy.MessageID(n.given),
 				n:        n.given - 1,
 				at:       n.now,
 				deadline: n.now + w.Settings.Classes[msg.Class].Deadline,
@@ -956,7 +956,7 @@
 }
 
 // quiet tells whether a mutant sends no notice for a message.
-func (x *explorer) quiet(id uint32) bool {
+func (x *explorer) quiet(id policy.MessageID) bool {
 	return x.wrong != nil && x.wrong.Quiet != nil && x.wrong.Quiet(id)
 }
 
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -274,7 +274,7 @@
 func (t *tiny) tell(i int) {
 	m := t.members[i]
 	t.now += tellAfter
-	id := uint32(t.now / time.Millisecond)
+	id := policy.MessageID(t.now / time.Millisecond)
 	told := m.seam.Step(t.now, agent.Input{
 		Incarnation: m.raised, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
 		Views: func() []policy.EndpointView { return nil },
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -81,12 +81,12 @@
 	return n
 }
 
-func (f *lineFields) messageID() uint32 {
+func (f *lineFields) messageID() policy.MessageID {
 	n, err := strconv.ParseUint(f.word(), 10, 32)
 	if err != nil {
 		f.fail("message id")
 	}
-	return uint32(n)
+	return policy.MessageID(n)
 }
 
 func (f *lineFields) boolean() bool {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -26,16 +26,16 @@
 		switch a.Kind {
 		case policy.Send:
 			w.begin("SUBMIT_TO", instance)
-			w.unsigned(a.MessageID)
+			w.unsigned(uint32(a.MessageID))
 			w.text(a.Endpoint)
 			w.milliseconds(a.TimeoutAt)
 		case policy.Reject:
 			w.begin("REJECT", instance)
-			w.unsigned(a.MessageID)
+			w.unsigned(uint32(a.MessageID))
 			w.milliseconds(a.Delay)
 		case policy.Fail:
 			w.begin("SURRENDER", instance)
-			w.unsigned(a.MessageID)
+			w.unsigned(uint32(a.MessageID))
 		case policy.SetTimer:
 			w.begin("WAKE_AT", instance)
 			w.unsigned(0)
--- a/internal/state/journal/bench_peak_test.go
+++ b/internal/state/journal/bench_peak_test.go
@@ -7,6 +7,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -22,7 +24,7 @@
 	// removals is a ring of messages by the tick in which they are removed.
 	removals [int(maxLifetime/peakTick) + 1][]*Message
 
-	lastID      uint32
+	lastID      policy.MessageID
 	live        int
 	maxLive     int
 	rejected    int
--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // The benchmarks compare the legacy log and the journal, both on files: go test -run '^$' -bench . and, at 512 MB, too,
@@ -66,8 +67,8 @@
 	const bytesPerMessage = 1300 // in either of the two, with room to spare
 	dir := b.TempDir()
 	w := openWriter(b, kind, dir, limit)
-	live := uint32(float64(limit) * 0.3 / bytesPerMessage)
-	id := uint32(0)
+	live := policy.MessageID(float64(limit) * 0.3 / bytesPerMessage)
+	id := policy.MessageID(0)
 	for id < live {
 		id++
 		must(b, w.accept(id))
@@ -179,7 +180,7 @@
 			for b.Loop() {
 				dir := b.TempDir()
 				w := openWriter(b, kind, dir, 64e6)
-				for id := range uint32(count) {
+				for id := range policy.MessageID(count) {
 					must(b, w.accept(id+1))
 				}
 				must(b, w.close())
@@ -208,7 +209,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			dir := b.TempDir()
 			w := openWriter(b, journalKind, dir, limitFor(count))
-			for id := range uint32(count) {
+			for id := range policy.MessageID(count) {
 				must(b, w.accept(id+1))
 			}
 			must(b, w.close())
--- a/internal/state/journal/crash_test.go
+++ b/internal/state/journal/crash_test.go
@@ -13,15 +13,16 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // crashModel is what a journal must know in spite of crashes.
 type crashModel struct {
 	rng        *rand.Rand
-	unfinished map[uint32]bool         // messages that were accepted and not removed
-	removed    map[uint32]bool         // messages whose removal was written
-	uncertain  map[uint32]map[int]bool // attempts that may have run, by message
-	lastID     uint32
+	unfinished map[policy.MessageID]bool         // messages that were accepted and not removed
+	removed    map[policy.MessageID]bool         // messages whose removal was written
+	uncertain  map[policy.MessageID]map[int]bool // attempts that may have run, by message
+	lastID     policy.MessageID
 
 	journal  *Journal
 	messages []*Message // in the open journal
@@ -33,9 +34,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model := &crashModel{
 			rng:        rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3)),
-			unfinished: map[uint32]bool{},
-			removed:    map[uint32]bool{},
-			uncertain:  map[uint32]map[int]bool{},
+			unfinished: map[policy.MessageID]bool{},
+			removed:    map[policy.MessageID]bool{},
+			uncertain:  map[policy.MessageID]map[int]bool{},
 		}
 		fs := faultfs.New()
 		for range rapid.IntRange(1, 5).Draw(t, "processes") {
@@ -64,7 +65,7 @@
 	}
 	c.journal = j
 	c.messages = recovery.Messages
-	found := map[uint32]bool{}
+	found := map[policy.MessageID]bool{}
 	for _, m := range recovery.Messages {
 		found[m.ID] = true
 		c.lastID = max(c.lastID, m.ID)
--- a/internal/state/journal/encoding.go
+++ b/internal/state/journal/encoding.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // This file defines the encoding of what is in the store. A message is a value: a version byte, then its fields as
@@ -141,7 +142,7 @@
 	}
 	r := &reader{data: value[1:], timeline: timeline}
 	m := &Message{ // the fields in the order in which appendHeader writes them
-		ID:             uint32(r.readInt()),
+		ID:             policy.MessageID(r.readInt()),
 		Class:          int(r.readInt()),
 		Tenant:         int(r.readInt()),
 		Destination:    int(r.readInt()),
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -14,6 +14,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/endpointhealth"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden files")
@@ -171,7 +172,7 @@
 
 // goldenMigrated returns the messages of the golden legacy log, as they are after their migration.
 func goldenMigrated() []*Message {
-	legacy := func(id uint32) *Message {
+	legacy := func(id policy.MessageID) *Message {
 		return &Message{
 			ID:             id,
 			TraceID:        "trace",
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -12,6 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // ErrFull reports that there is no room for new messages. Attempts, outcomes and removals still find room.
@@ -36,7 +37,7 @@
 type Journal struct {
 	store     *store.Store
 	options   Options
-	live      map[uint32]*Message // messages that are not removed, by ID
+	live      map[policy.MessageID]*Message // messages that are not removed, by ID
 	pending   []pendingRecord
 	scratch   []byte // reused for encoding and for reading values
 	bodyBytes int64  // of the bodies in memory
@@ -65,7 +66,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	j := &Journal{store: st, options: options, live: map[uint32]*Message{}}
+	j := &Journal{store: st, options: options, live: map[policy.MessageID]*Message{}}
 	recovery, err := j.restore(found)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("journal: %w", err), st.Close())
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -10,6 +10,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // openJournal opens the journal in fs with the smallest limit.
@@ -30,7 +31,7 @@
 }
 
 // message returns a message with a value in each field that its client sets.
-func message(id uint32) *Message {
+func message(id policy.MessageID) *Message {
 	return &Message{
 		ID:             id,
 		TraceID:        fmt.Sprint("trace-", id),
@@ -85,7 +86,7 @@
 		t.Fatalf("%+v", recovery)
 	}
 	var messages []*Message
-	for id := range uint32(6) {
+	for id := range policy.MessageID(6) {
 		messages = append(messages, message(id+1))
 	}
 	attempted := messages[5] // as it is after a migration
@@ -120,7 +121,7 @@
 	fs := faultfs.New()
 	j, _ := openJournal(t, fs)
 	var messages []*Message
-	for id := uint32(1); ; id++ {
+	for id := policy.MessageID(1); ; id++ {
 		m := message(id)
 		m.Body = make([]byte, 900)
 		err := j.Accept(m)
@@ -130,7 +131,7 @@
 		must(t, err)
 		messages = append(messages, m)
 	}
-	if j.Tracks(&Message{ID: uint32(len(messages) + 1)}) {
+	if j.Tracks(&Message{ID: policy.MessageID(len(messages) + 1)}) {
 		t.Error("the rejected message is tracked")
 	}
 	for i, m := range messages {
@@ -166,7 +167,7 @@
 func TestDamageMarksOnlyEarlierMessagesUncertain(t *testing.T) {
 	fs := faultfs.New()
 	j, _ := openJournal(t, fs)
-	for id := range uint32(40) {
+	for id := range policy.MessageID(40) {
 		m := message(id + 1)
 		m.Body = make([]byte, 3000)
 		must(t, j.Accept(m))
@@ -200,7 +201,7 @@
 			w := openWriter(t, journalKind, t.TempDir(), limit).(*journalWriter)
 			var maxBytes [3]int64
 			rejected := false
-			for id := uint32(1); id <= 3*messagesInThird && !rejected; id++ {
+			for id := policy.MessageID(1); id <= 3*messagesInThird && !rejected; id++ {
 				rejected = w.accept(id) != nil
 				if removes && id > maxLive {
 					must(t, w.remove(id-maxLive))
--- a/internal/state/journal/kill_test.go
+++ b/internal/state/journal/kill_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var kills = flag.Int("kills", 40, "how often TestKilledWriterLosesNoMessage kills the process that writes")
@@ -43,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	lastID := uint32(0)
+	lastID := policy.MessageID(0)
 	for _, m := range recovery.Messages {
 		fmt.Println(reportFound, m.ID)
 		lastID = max(lastID, m.ID)
@@ -75,14 +76,14 @@
 
 // writerMonitor follows the reports of writers that are killed one after the other.
 type writerMonitor struct {
-	unfinished map[uint32]bool // messages that were accepted and not removed
+	unfinished map[policy.MessageID]bool // messages that were accepted and not removed
 	accepted   int
 }
 
 // follow reads the reports of one writer until it ends. It calls recovered once the writer has opened the journal.
 func (w *writerMonitor) follow(t *testing.T, reports io.Reader, recovered func()) {
 	t.Helper()
-	found := map[uint32]bool{}
+	found := map[policy.MessageID]bool{}
 	lines := bufio.NewScanner(reports)
 	for lines.Scan() {
 		var word, value string
@@ -94,7 +95,7 @@
 			recovered()
 			continue
 		}
-		var id uint32
+		var id policy.MessageID
 		if _, err := fmt.Sscan(value, &id); err != nil {
 			t.Fatalf("%q: %v", lines.Text(), err)
 		}
@@ -112,7 +113,7 @@
 	}
 }
 
-func (w *writerMonitor) checkRecovery(t *testing.T, found map[uint32]bool, intact string) {
+func (w *writerMonitor) checkRecovery(t *testing.T, found map[policy.MessageID]bool, intact string) {
 	t.Helper()
 	for id := range w.unfinished {
 		if !found[id] {
@@ -130,7 +131,7 @@
 func TestKilledWriterLosesNoMessage(t *testing.T) {
 	dir := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, uint64(*kills)))
-	monitor := &writerMonitor{unfinished: map[uint32]bool{}}
+	monitor := &writerMonitor{unfinished: map[policy.MessageID]bool{}}
 	for n := range *kills {
 		t.Run(fmt.Sprint("kill ", n), func(t *testing.T) {
 			cmd := exec.Command(os.Args[0])
--- a/internal/state/journal/message.go
+++ b/internal/state/journal/message.go
@@ -3,16 +3,18 @@
 import (
 	"slices"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // Message is an accepted message with all that the journal knows of its progress. Its JSON keys are stored: they pass
 // from one process to the next in a hot restart.
 type Message struct {
-	ID             uint32 `json:"ID"`    // assigned by the relay
-	TraceID        string `json:"Trace"` // sent by the client
-	IdempotencyKey string `json:"Key"`   // "" if none
-	OrderingKey    string `json:"Order"` // "" if none or if the class is not ordered
-	Class          int    `json:"Class"` // index in the configuration at the time of acceptance
+	ID             policy.MessageID `json:"ID"`    // assigned by the relay
+	TraceID        string           `json:"Trace"` // sent by the client
+	IdempotencyKey string           `json:"Key"`   // "" if none
+	OrderingKey    string           `json:"Order"` // "" if none or if the class is not ordered
+	Class          int              `json:"Class"` // index in the configuration at the time of acceptance
 	// ClassName identifies the class across configurations, in which the same class may have another index. It is ""
 	// if unknown.
 	ClassName   string    `json:"Service"`
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -9,6 +9,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -62,7 +63,7 @@
 	}
 	defer func() { _ = log.Close() }() // an error loses nothing: the log was only read
 	for _, old := range found.Messages {
-		if j.live[old.ID] != nil {
+		if j.live[policy.MessageID(old.ID)] != nil {
 			continue // migrated before a crash
 		}
 		m, err := j.migrateMessage(old, found.Damaged)
@@ -98,7 +99,7 @@
 // legacy log does not tell in which boot they were made.
 func convertMessage(old *legacylog.Message) *Message {
 	m := &Message{
-		ID:             old.ID,
+		ID:             policy.MessageID(old.ID),
 		TraceID:        old.TraceID,
 		IdempotencyKey: old.IdempotencyKey,
 		OrderingKey:    old.OrderingKey,
--- a/internal/state/journal/timeline_test.go
+++ b/internal/state/journal/timeline_test.go
@@ -9,6 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // fakeMachine has clocks that a test sets.
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	c.checkMessages(t, j, recovery, time.Duration(n+1)*clock.MinStep)
-	c.writeMessage(t, j, uint32(n+1))
+	c.writeMessage(t, j, policy.MessageID(n+1))
 	c.endProcess(t, j)
 	c.machine.advance(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms down")) * time.Millisecond)
 	sameBoot := c.machine.uptime > 0 && c.machine.bootID == j.anchor.BootID
@@ -111,7 +112,7 @@
 
 // writeMessage accepts a message and records an attempt, after the wall clock was set: that has no effect on times of
 // the running process.
-func (c *timelineTest) writeMessage(t *rapid.T, j *Journal, id uint32) {
+func (c *timelineTest) writeMessage(t *rapid.T, j *Journal, id policy.MessageID) {
 	begin := c.machine.elapsed
 	c.machine.advance(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 	c.machine.setWall(drawClockStep(t))
--- a/internal/state/journal/writers_test.go
+++ b/internal/state/journal/writers_test.go
@@ -5,14 +5,15 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const benchBodySize = 1000 // bytes
 
 // writer is a journal or a legacy log to which a benchmark writes.
 type writer interface {
-	accept(id uint32) error
-	remove(id uint32) error
+	accept(id policy.MessageID) error
+	remove(id policy.MessageID) error
 	close() error
 }
 
@@ -33,7 +34,7 @@
 }
 
 // benchMessage returns a message as a client may send it, with an empty body of a typical size.
-func benchMessage(id uint32, bodySize int) *Message {
+func benchMessage(id policy.MessageID, bodySize int) *Message {
 	return &Message{
 		ID:             id,
 		TraceID:        "9b1f03aa5c7e2d41",
@@ -45,27 +46,27 @@
 
 type journalWriter struct {
 	journal  *Journal
-	messages map[uint32]*Message
+	messages map[policy.MessageID]*Message
 }
 
 func openJournalWriter(t testing.TB, dir string, limit int64) *journalWriter {
 	t.Helper()
 	j, recovery, err := OpenFolder(dir, Options{Limit: limit})
 	must(t, err)
-	w := &journalWriter{journal: j, messages: map[uint32]*Message{}}
+	w := &journalWriter{journal: j, messages: map[policy.MessageID]*Message{}}
 	for _, m := range recovery.Messages {
 		w.messages[m.ID] = m
 	}
 	return w
 }
 
-func (w *journalWriter) accept(id uint32) error {
+func (w *journalWriter) accept(id policy.MessageID) error {
 	m := benchMessage(id, benchBodySize)
 	w.messages[id] = m
 	return w.journal.Accept(m)
 }
 
-func (w *journalWriter) remove(id uint32) error {
+func (w *journalWriter) remove(id policy.MessageID) error {
 	w.journal.Remove(w.messages[id])
 	delete(w.messages, id)
 	return w.journal.Flush()
@@ -75,24 +76,24 @@
 
 type legacyWriter struct {
 	log      *legacylog.Log
-	messages map[uint32]*legacylog.Message
+	messages map[policy.MessageID]*legacylog.Message
 }
 
 func openLegacyWriter(t testing.TB, dir string, limit int64) *legacyWriter {
 	t.Helper()
 	log, recovery, err := legacylog.Open(dir, limit)
 	must(t, err)
-	w := &legacyWriter{log: log, messages: map[uint32]*legacylog.Message{}}
+	w := &legacyWriter{log: log, messages: map[policy.MessageID]*legacylog.Message{}}
 	for _, m := range recovery.Messages {
-		w.messages[m.ID] = m
+		w.messages[policy.MessageID(m.ID)] = m
 	}
 	return w
 }
 
-func (w *legacyWriter) accept(id uint32) error {
+func (w *legacyWriter) accept(id policy.MessageID) error {
 	sample := benchMessage(id, benchBodySize)
 	m := &legacylog.Message{
-		ID:             sample.ID,
+		ID:             uint32(sample.ID),
 		TraceID:        sample.TraceID,
 		IdempotencyKey: sample.IdempotencyKey,
 		Deadline:       sample.Deadline,
@@ -102,7 +103,7 @@
 	return w.log.Accept(m)
 }
 
-func (w *legacyWriter) remove(id uint32) error {
+func (w *legacyWriter) remove(id policy.MessageID) error {
 	w.log.Remove(w.messages[id])
 	delete(w.messages, id)
 	return w.log.Flush()
--- a/policy/action.go
+++ b/policy/action.go
@@ -19,10 +19,13 @@
 	RequestQuota                     // ask other relays for Calls to the limit scope of Endpoint
 )
 
+// MessageID identifies a message within one relay. The relay numbers the messages that it accepts.
+type MessageID uint32
+
 // Action is one decision of an Engine.
 type Action struct {
 	Kind      ActionKind
-	MessageID uint32
+	MessageID MessageID
 	Endpoint  string
 	TimeoutAt time.Duration // Send: the time at which to abandon the attempt
 	Delay     time.Duration // Reject: Retry-After for the client; SetTimer: time from now
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -11,7 +11,7 @@
 	settings := testSettings()
 	settings.MaxPendingMessages = 10
 	h := newHarness(t, settings)
-	for id := range uint32(9) {
+	for id := range MessageID(9) {
 		h.accept(id, 0)
 	}
 	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
@@ -44,7 +44,7 @@
 		for i := range test.behind {
 			events = append(events, Event{
 				Kind:        MessageAccepted,
-				MessageID:   uint32(i + 2),
+				MessageID:   MessageID(i + 2),
 				Destination: 5,
 				TimeLeft:    9 * time.Second,
 				Recovered:   &RecoveredMessage{},
@@ -79,21 +79,21 @@
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Quota: 1}, {}}
 	h := newHarness(t, settings)
-	accept := func(tenant int, ids ...uint32) {
+	accept := func(tenant int, ids ...MessageID) {
 		for _, id := range ids {
 			h.step(Event{Kind: MessageAccepted, MessageID: id, Tenant: tenant, TimeLeft: 60 * time.Second})
 		}
 	}
 	accept(0, 1, 2, 3, 4, 5)
 	accept(1, 6, 7, 8, 9, 10)
-	var got []uint32
+	var got []MessageID
 	for _, a := range h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}}) {
 		if a.Kind != Send {
 			t.Errorf("%+v, want sends only", a)
 		}
 		got = append(got, a.MessageID)
 	}
-	if want := []uint32{1, 2, 3, 6, 7, 8, 9, 10, 4, 5}; !slices.Equal(got, want) {
+	if want := []MessageID{1, 2, 3, 6, 7, 8, 9, 10, 4, 5}; !slices.Equal(got, want) {
 		t.Errorf("messages are sent in the order %v, want %v", got, want)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -36,7 +36,7 @@
 	now := time.Minute
 	events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 	for i := range backlog {
-		id := uint32(1e9) + uint32(i)
+		id := MessageID(1e9) + MessageID(i)
 		events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 200 + i, TimeLeft: time.Hour})
 	}
 	engine.Step(now, events)
@@ -44,7 +44,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
-		id := uint32(i)
+		id := MessageID(i)
 		endpointID := ""
 		accepted := Event{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}
 		for _, a := range engine.Step(now, []Event{accepted}) {
@@ -98,7 +98,7 @@
 			for i := range 10 {
 				events = append(events, Event{
 					Kind:        MessageAccepted,
-					MessageID:   uint32(i),
+					MessageID:   MessageID(i),
 					Destination: i,
 					TimeLeft:    1000 * time.Hour,
 				})
--- a/policy/connect_test.go
+++ b/policy/connect_test.go
@@ -14,7 +14,7 @@
 		settings := testSettings()
 		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-		other := func(id uint32) bool {
+		other := func(id MessageID) bool {
 			h.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
 			return hasAction(h.finish(id, "b", OK, 10*ms, 0), CloseIdle)
 		}
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -18,7 +18,7 @@
 			if len(model) == 0 || rapid.IntRange(0, 2).Draw(t, "push") > 0 {
 				entry := deadlineEntry{
 					time.Duration(rapid.IntRange(0, 20).Draw(t, "at")),
-					&message{id: rapid.Uint32Range(0, 5).Draw(t, "id")},
+					&message{id: MessageID(rapid.Uint32Range(0, 5).Draw(t, "id"))},
 				}
 				h.push(entry)
 				model = append(model, entry)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -31,9 +31,9 @@
 // Calls to an endpoint whose last call failed carry one message: ten messages once shared each failed trial.
 func TestBatches(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
-	acceptThree := func(first uint32) (calls int) {
+	acceptThree := func(first MessageID) (calls int) {
 		var events []Event
-		for i := range uint32(3) {
+		for i := range MessageID(3) {
 			events = append(events, Event{Kind: MessageAccepted, MessageID: first + i, TimeLeft: 9 * time.Second})
 		}
 		before := len(h.engine.endpoints["a"].calls)
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -61,7 +61,7 @@
 
 func TestEjectionExpires(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
-	for id := range uint32(3) {
+	for id := range MessageID(3) {
 		h.now += time.Second // the recovery budget of a suspect endpoint
 		if got := firstSend(h.accept(id, 0)); got != "a" {
 			t.Fatalf("message %d to %q before the ejection", id, got)
@@ -138,7 +138,7 @@
 	ep := engine.endpoints["hangs"]
 	var pending []pendingEvent
 	var events []Event
-	for id := uint32(1); now < 9*time.Second && !ep.ejected; id++ {
+	for id := MessageID(1); now < 9*time.Second && !ep.ejected; id++ {
 		events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 5, TimeLeft: left})
 		for _, a := range engine.Step(now, events) {
 			if a.Kind != Send {
--- a/policy/emptylist_test.go
+++ b/policy/emptylist_test.go
@@ -74,7 +74,7 @@
 	rng      *rand.Rand
 	engine   *Engine
 	now      time.Duration
-	nextID   uint32
+	nextID   MessageID
 	listed   map[int]bool
 	inFlight []Event // outcomes to come
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -22,7 +22,7 @@
 		}
 		engine.Step(time.Second, []Event{snapshot})
 		events := []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{entry}}}
-		for id := range uint32(10) {
+		for id := range MessageID(10) {
 			accepted := Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 1, TimeLeft: time.Second}
 			events = append(events, accepted)
 		}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -30,7 +30,7 @@
 	ready              []*destination       // scratch space of dispatch
 	emptyDestinations  emptyDestinationList // without endpoints, until they are removed
 
-	messages          map[uint32]*message
+	messages          map[MessageID]*message
 	pendingMessages   int // messages without a final answer
 	deadlines         deadlineHeap
 	keyQueues         map[string]*keyQueue
@@ -66,7 +66,7 @@
 		rng:                  rand.New(pcg),
 		endpoints:            map[string]*endpoint{},
 		destinations:         map[int]*destination{},
-		messages:             map[uint32]*message{},
+		messages:             map[MessageID]*message{},
 		keyQueues:            map[string]*keyQueue{},
 		lowestReportedLimit:  map[int]float64{},
 		connectShortageUntil: map[int]time.Duration{},
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -26,7 +26,7 @@
 	settings.MaxInFlightCalls, settings.MaxPendingMessages = 50, 100
 	h := newHarness(t, settings)
 	for i := range 300 {
-		id, name := uint32(i), fmt.Sprint("r", i)
+		id, name := MessageID(i), fmt.Sprint("r", i)
 		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
 		h.step(
 			Event{Kind: MessageAccepted, MessageID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second},
--- a/policy/event.go
+++ b/policy/event.go
@@ -69,7 +69,7 @@
 // Event is one observation for an Engine. Which fields hold a value depends on its kind.
 type Event struct {
 	Kind      EventKind `json:"Kind"`
-	MessageID uint32    `json:"ID"`
+	MessageID MessageID `json:"ID"`
 
 	// MessageAccepted.
 	Key         string            `json:"Key"`      // ordering key; empty: none
--- a/policy/eviction_property_test.go
+++ b/policy/eviction_property_test.go
@@ -43,15 +43,15 @@
 	retryAfterUntil   map[string]time.Duration
 	consecutiveErrors map[string]int           // by scope
 	recoveredAt       map[string]time.Duration // first delivery after three of them, by scope
-	pending           map[uint32]int           // destinations of pending messages
-	attempts          map[uint32]int
-	nextID            uint32
+	pending           map[MessageID]int        // destinations of pending messages
+	attempts          map[MessageID]int
+	nextID            MessageID
 	timerAt           time.Duration
 }
 
 // streamCall is a call in flight.
 type streamCall struct {
-	id        uint32
+	id        MessageID
 	attempt   int
 	endpoint  string
 	sentAt    time.Duration
@@ -75,8 +75,8 @@
 		retryAfterUntil:   map[string]time.Duration{},
 		consecutiveErrors: map[string]int{},
 		recoveredAt:       map[string]time.Duration{},
-		pending:           map[uint32]int{},
-		attempts:          map[uint32]int{},
+		pending:           map[MessageID]int{},
+		attempts:          map[MessageID]int{},
 		nextID:            1,
 	}
 	for i := range 8 {
--- a/policy/evictor_test.go
+++ b/policy/evictor_test.go
@@ -149,7 +149,7 @@
 	*evictor
 	relay  *Engine
 	now    time.Duration
-	nextID uint32
+	nextID MessageID
 }
 
 func newEvictingRelay(
@@ -196,7 +196,7 @@
 		events = append(events, accepted)
 		r.nextID++
 	}
-	attempts := map[uint32]int{}
+	attempts := map[MessageID]int{}
 	for end := r.now + length; r.now < end; r.now += latency {
 		actions := r.events(events...)
 		events = nil
--- a/policy/fleetpacing_test.go
+++ b/policy/fleetpacing_test.go
@@ -30,7 +30,7 @@
 
 // countFirstCalls returns the number of calls that a relay makes in its first three seconds, with messages for one
 // endpoint.
-func countFirstCalls(t *testing.T, settings Settings, seed uint64, limit float64, messages uint32) (sent int) {
+func countFirstCalls(t *testing.T, settings Settings, seed uint64, limit float64, messages MessageID) (sent int) {
 	t.Helper()
 	engine, err := New(settings, seed)
 	if err != nil {
@@ -61,7 +61,7 @@
 			settings := testSettings()
 			settings.FleetSize = test.relays
 			h := newHarness(t, settings, Endpoint{ID: "a", Weight: test.weight})
-			for id := range uint32(5) {
+			for id := range MessageID(5) {
 				if actions := h.accept(id+1, 0); !hasAction(actions, Send) {
 					t.Errorf("message %d: %+v, want it sent", id+1, actions)
 				}
@@ -88,8 +88,8 @@
 		for i := range int(rate * 20) {
 			now := 2*time.Second + time.Duration(float64(i)/rate*float64(time.Second))
 			engine.Step(now, []Event{
-				{Kind: MessageAccepted, MessageID: uint32(i), TimeLeft: time.Second},
-				{Kind: MessageCancelled, MessageID: uint32(i)},
+				{Kind: MessageAccepted, MessageID: MessageID(i), TimeLeft: time.Second},
+				{Kind: MessageCancelled, MessageID: MessageID(i)},
 			})
 		}
 		return engine.fairPacingRate(engine.endpoints["a"].scope)
@@ -133,13 +133,13 @@
 	h := newHarness(t, settings, Endpoint{ID: "a", Weight: 8})
 	scope := h.engine.endpoints["a"].scope
 	before := h.engine.fairPacingRate(scope)
-	for id := range uint32(20) {
+	for id := range MessageID(20) {
 		h.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
 	if got := h.engine.fairPacingRate(scope); got <= before {
 		t.Errorf("a fair pacing rate of %v with 20 messages more, %v before", got, before)
 	}
-	for id := range uint32(20) {
+	for id := range MessageID(20) {
 		h.engine.reject(h.engine.messages[id])
 	}
 	if after := h.engine.fairPacingRate(scope); after != before {
@@ -185,7 +185,7 @@
 	scope := h.engine.endpoints["a"].scope
 	h.accept(0, 0)
 	scope.pacingRate /= 2
-	for id := range uint32(60) { // at the mean rate
+	for id := range MessageID(60) { // at the mean rate
 		h.now += time.Second
 		h.accept(id+1, 0)
 		queue := scope.destination.queue
--- a/policy/fleetrecovery_test.go
+++ b/policy/fleetrecovery_test.go
@@ -62,8 +62,8 @@
 	tokens        float64        // calls that the limit leaves
 	sawFailure    []bool         // by relay: a failure or rejection in the outage
 	recoveryCalls []recoveryCall // since the recovery
-	nextID        uint32
-	attempts      map[uint32]int // by message
+	nextID        MessageID
+	attempts      map[MessageID]int // by message
 	delivered     int
 }
 
@@ -177,7 +177,7 @@
 		inbox:      make([][]Event, config.relays),
 		scheduled:  map[time.Duration][]fleetEvent{},
 		sawFailure: make([]bool, config.relays),
-		attempts:   map[uint32]int{},
+		attempts:   map[MessageID]int{},
 	}
 	for relay := range sim.engines {
 		sim.start(t, relay)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -72,7 +72,7 @@
 		checked("s-2", Error, 0),
 	})
 	var sent []Action
-	for id := range uint32(12) {
+	for id := range MessageID(12) {
 		at += 10 * time.Millisecond
 		for _, a := range engine.Step(at, []Event{goldenMessage(id + 1)}) {
 			if a.Kind == Send {
@@ -118,7 +118,7 @@
 }
 
 // goldenMessage submits a message; number 12 is recovered.
-func goldenMessage(id uint32) Event {
+func goldenMessage(id MessageID) Event {
 	event := Event{
 		Kind:        MessageAccepted,
 		MessageID:   id,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -13,7 +13,7 @@
 	t        *testing.T
 	engine   *Engine
 	now      time.Duration
-	attempts map[uint32]int
+	attempts map[MessageID]int
 }
 
 // testSettings are settings of a single relay with a class of each effect and three kinds of destination.
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, engine: engine, now: time.Minute, attempts: map[uint32]int{}}
+	h := &harness{t: t, engine: engine, now: time.Minute, attempts: map[MessageID]int{}}
 	for i := range list {
 		list[i].InService = true
 	}
@@ -69,12 +69,12 @@
 }
 
 // accept submits a message for destination 0.
-func (h *harness) accept(id uint32, classIndex int) []Action {
+func (h *harness) accept(id MessageID, classIndex int) []Action {
 	return h.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
 // finish ends the oldest attempt of a message some time later.
-func (h *harness) finish(id uint32, endpointID string, outcome Outcome, after, retryAfter time.Duration) []Action {
+func (h *harness) finish(id MessageID, endpointID string, outcome Outcome, after, retryAfter time.Duration) []Action {
 	h.now += after
 	n := h.attempts[id]
 	h.attempts[id]++
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -56,7 +56,7 @@
 
 // Blocker says what keeps a waiting message from an endpoint.
 type Blocker struct {
-	MessageID uint32
+	MessageID MessageID
 	Endpoint  string // empty with NoEndpoint
 	Cause     BlockCause
 	Until     time.Duration // math.MaxInt64 if only an outcome or a change of the endpoint list ends it
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -26,7 +26,7 @@
 }
 
 // accepted submits messages of a class with an ordering key, which may be empty.
-func accepted(classIndex int, key string, ids ...uint32) (events []Event) {
+func accepted(classIndex int, key string, ids ...MessageID) (events []Event) {
 	for _, id := range ids {
 		event := Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, Key: key, TimeLeft: 16 * time.Second}
 		events = append(events, event)
@@ -35,7 +35,7 @@
 }
 
 // finished ends an attempt at endpoint r.
-func finished(id uint32, attemptNumber int, outcome Outcome, retryAfter time.Duration) Event {
+func finished(id MessageID, attemptNumber int, outcome Outcome, retryAfter time.Duration) Event {
 	return Event{
 		Kind:         AttemptFinished,
 		MessageID:    id,
@@ -56,7 +56,7 @@
 	for _, test := range []struct {
 		name  string
 		steps [][]Event // a tenth of a second apart
-		id    uint32
+		id    MessageID
 		want  BlockCause
 	}{
 		{"no endpoint", [][]Event{accepted(0, "", 1)}, 1, NoEndpoint},
@@ -84,7 +84,7 @@
 }
 
 // checkBlocker checks the one cause that blocks a message after some steps. Looking must change nothing.
-func checkBlocker(t *testing.T, steps [][]Event, id uint32, want BlockCause) {
+func checkBlocker(t *testing.T, steps [][]Event, id MessageID, want BlockCause) {
 	t.Helper()
 	engine, err := New(blockerSettings(), 5)
 	if err != nil {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -12,7 +12,7 @@
 		{1200 * ms, 1200*ms - deadlineMargin},
 		{8 * time.Second, 1600 * ms}, // what an answer not measured yet may take
 	} {
-		actions := h.step(Event{Kind: MessageAccepted, MessageID: uint32(test.left), TimeLeft: test.left})
+		actions := h.step(Event{Kind: MessageAccepted, MessageID: MessageID(test.left), TimeLeft: test.left})
 		if len(actions) != 1 || actions[0].Kind != Send || actions[0].TimeoutAt-h.now != test.want {
 			t.Errorf("%v left: %+v, want one attempt with a timeout of %v", test.left, actions, test.want)
 		}
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -38,10 +38,10 @@
 	rng      *rand.Rand
 	engine   *Engine
 	now      time.Duration
-	lastID   uint32
-	calls    []pendingEvent // in flight, with the time of their outcomes
-	attempts map[uint32]int // by message
-	ended    int            // messages rejected or failed
+	lastID   MessageID
+	calls    []pendingEvent    // in flight, with the time of their outcomes
+	attempts map[MessageID]int // by message
+	ended    int               // messages rejected or failed
 	leak     bool
 	leaked   []uint64
 }
@@ -78,7 +78,7 @@
 		rng:      rand.New(rand.NewPCG(11, 12)),
 		engine:   engine,
 		now:      time.Minute,
-		attempts: map[uint32]int{},
+		attempts: map[MessageID]int{},
 		leak:     leak,
 	}
 }
@@ -149,7 +149,7 @@
 		run.leaked = append(run.leaked, uint64(run.lastID))
 	}
 	if run.rng.IntN(20) == 0 {
-		cancelled := run.lastID - uint32(run.rng.IntN(10))
+		cancelled := run.lastID - MessageID(run.rng.IntN(10))
 		events = append(events, Event{Kind: MessageCancelled, MessageID: cancelled})
 	}
 	inFlight := run.calls[:0]
--- a/policy/message.go
+++ b/policy/message.go
@@ -7,7 +7,7 @@
 
 // message is a message that is pending, or that has ended with attempts still in flight.
 type message struct {
-	id          uint32
+	id          MessageID
 	class       *Class
 	destination *destination
 	keyQueue    *keyQueue     // of its ordering key; nil if it has none
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -8,7 +8,7 @@
 
 func TestPacingDecreasesIncreasesAndRestarts(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 2})
-	for id := range uint32(8) {
+	for id := range MessageID(8) {
 		h.accept(id, 0)
 	}
 	scope := h.engine.endpoints["a"].scope
@@ -27,7 +27,7 @@
 	if want := 4 * (1 + pacingGrowth); scope.pacingRate != want {
 		t.Errorf("pacing rate %v after a delivery, want %v", scope.pacingRate, want)
 	}
-	for id := uint32(3); id < 6; id++ {
+	for id := MessageID(3); id < 6; id++ {
 		h.finish(id, "a", Error, ms, 0)
 	}
 	ep := h.engine.endpoints["a"]
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	var events []Event
-	for i := range uint32(3 * maxQueueScan) {
+	for i := range MessageID(3 * maxQueueScan) {
 		accepted := Event{Kind: MessageAccepted, MessageID: i + 1, Destination: 5, TimeLeft: 9 * time.Second}
 		events = append(events, accepted)
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -27,7 +27,7 @@
 	}
 	endpoints := []Endpoint{{ID: "a", Destination: 5, Weight: 40, InService: true}}
 	relay := &sharingRelay{engine, []Event{{Kind: EndpointSnapshot, Endpoints: endpoints}}}
-	for id := range uint32(200) {
+	for id := range MessageID(200) {
 		accepted := Event{Kind: MessageAccepted, MessageID: id + 1, Destination: 5, TimeLeft: 100 * time.Second}
 		relay.events = append(relay.events, accepted)
 	}
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -10,7 +10,7 @@
 
 // restartMessage is a message that a restart finds, and what became of it.
 type restartMessage struct {
-	id          uint32
+	id          MessageID
 	destination int
 	untried     bool
 	timeLeft    time.Duration
@@ -113,7 +113,7 @@
 
 // addMessages draws the messages that the restart finds.
 func (restart *restartCase) addMessages(rng *rand.Rand, recovered bool) {
-	for id := range uint32(1 + rng.IntN(60)) {
+	for id := range MessageID(1 + rng.IntN(60)) {
 		classIndex := rng.IntN(len(restart.settings.Classes))
 		msg := &restartMessage{
 			id:          id + 1,
@@ -150,7 +150,7 @@
 	restart  *restartCase
 	engine   *Engine
 	now      time.Duration
-	messages map[uint32]*restartMessage
+	messages map[MessageID]*restartMessage
 	answers  []pendingEvent
 	calls    map[int]int // by destination
 	listed   bool        // the late endpoints
@@ -172,7 +172,7 @@
 		restart:  restart,
 		engine:   engine,
 		now:      restartedAt,
-		messages: map[uint32]*restartMessage{},
+		messages: map[MessageID]*restartMessage{},
 		calls:    map[int]int{},
 		listed:   len(restart.lateEndpoints) == 0,
 	}
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -98,7 +98,7 @@
 
 // untriedMessages are recovered messages without an attempt, all for destination 5.
 func untriedMessages(n int, left time.Duration) (events []Event) {
-	for id := range uint32(n) {
+	for id := range MessageID(n) {
 		events = append(events, Event{
 			Kind:        MessageAccepted,
 			MessageID:   id + 1,
@@ -112,7 +112,7 @@
 
 // recoveredOutcome is what became of recovered messages, with the times since the restart.
 type recoveredOutcome struct {
-	sent, rejected map[uint32]time.Duration
+	sent, rejected map[MessageID]time.Duration
 }
 
 // runRecovered runs a relay that recovers untried messages until their time is up.
@@ -124,7 +124,7 @@
 	}
 	const startedAt = time.Second
 	const latency = 50 * ms
-	outcome := recoveredOutcome{sent: map[uint32]time.Duration{}, rejected: map[uint32]time.Duration{}}
+	outcome := recoveredOutcome{sent: map[MessageID]time.Duration{}, rejected: map[MessageID]time.Duration{}}
 	now := startedAt
 	events := slices.Concat(initial, untriedMessages(n, left))
 	for now < startedAt+left+time.Second {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -177,7 +177,7 @@
 // StillAllowed reports whether a call that was decided earlier may still be sent to an endpoint with these messages.
 // Guards against a call that was held up, by a slow connection say, while the endpoint began to drain or sent a
 // Retry-After, or until repeats of a message that may have run are no longer dropped.
-func (e *Engine) StillAllowed(endpointID string, messageIDs []uint32, now time.Duration) bool {
+func (e *Engine) StillAllowed(endpointID string, messageIDs []MessageID, now time.Duration) bool {
 	ep := e.endpoints[endpointID]
 	if ep == nil || !ep.InService || now < ep.scope.retryAfterUntil {
 		return false
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -82,7 +82,7 @@
 		}
 		return kinds
 	}
-	recovered := func(id uint32, attempts int) Event {
+	recovered := func(id MessageID, attempts int) Event {
 		return Event{
 			Kind:        MessageAccepted,
 			MessageID:   id,
@@ -159,16 +159,16 @@
 	})
 	windowEnd := 2*time.Second - deadlineMargin
 	for _, test := range []struct {
-		ids  []uint32
+		ids  []MessageID
 		at   time.Duration
 		want bool
 	}{
-		{[]uint32{1}, windowEnd - 1, true},
-		{[]uint32{1}, windowEnd, false},
-		{[]uint32{2, 1}, windowEnd, false},
-		{[]uint32{2}, 9 * time.Second, true},
-		{[]uint32{3}, 9 * time.Second, true},
-		{[]uint32{77}, 9 * time.Second, true},
+		{[]MessageID{1}, windowEnd - 1, true},
+		{[]MessageID{1}, windowEnd, false},
+		{[]MessageID{2, 1}, windowEnd, false},
+		{[]MessageID{2}, 9 * time.Second, true},
+		{[]MessageID{3}, 9 * time.Second, true},
+		{[]MessageID{77}, 9 * time.Second, true},
 	} {
 		if got := engine.StillAllowed("best", test.ids, test.at); got != test.want {
 			t.Errorf("messages %v at %v: %v", test.ids, test.at, got)
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -19,7 +19,7 @@
 	endpoints []Endpoint
 	outages   map[int]outage // by destination
 	pending   []pendingEvent
-	nextID    uint32
+	nextID    MessageID
 	delivered int
 	counts    actionCounts
 	// One message is accepted in so many steps, in the mean.
@@ -30,7 +30,7 @@
 	// Records of the checker.
 	violations          map[int]string      // the first of each rule
 	listed              map[string]Endpoint // as reported
-	messages            map[uint32]*clientMessage
+	messages            map[MessageID]*clientMessage
 	byKey               map[string][]*clientMessage
 	pausedUntil         map[string]time.Duration   // by ordering key
 	retryAfterUntil     map[string]time.Duration   // by scope
@@ -57,7 +57,7 @@
 
 // clientMessage is a message as the checker records it.
 type clientMessage struct {
-	id          uint32
+	id          MessageID
 	class       Class
 	key         string
 	destination int
@@ -174,7 +174,7 @@
 // reset starts the records anew, as for a new Engine.
 func (sim *simulation) reset() {
 	sim.listed = map[string]Endpoint{}
-	sim.messages = map[uint32]*clientMessage{}
+	sim.messages = map[MessageID]*clientMessage{}
 	sim.byKey = map[string][]*clientMessage{}
 	sim.pausedUntil = map[string]time.Duration{}
 	sim.retryAfterUntil = map[string]time.Duration{}
@@ -262,7 +262,7 @@
 		sim.listed[sim.endpoints[i].ID] = sim.endpoints[i]
 		return []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{old, sim.endpoints[i]}}}
 	case 2: // a client goes away
-		for id := uint32(1); id < sim.nextID; id++ {
+		for id := MessageID(1); id < sim.nextID; id++ {
 			if msg := sim.messages[id]; msg != nil && !msg.ended {
 				msg.ended = true
 				return []Event{{Kind: MessageCancelled, MessageID: id}}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -103,7 +103,7 @@
 func (e *Engine) codeMessages(coder *statecodec.Coder) {
 	codeMessage := func(msg **message) { e.codeMessage(coder, msg) }
 	codeKeyQueue := func(queue **keyQueue) { e.codeKeyQueue(coder, queue) }
-	statecodec.Map(coder, e.messages, func(id *uint32, msg **message) {
+	statecodec.Map(coder, e.messages, func(id *MessageID, msg **message) {
 		statecodec.Uint(coder, id)
 		codeMessage(msg)
 	})
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -102,7 +102,7 @@
 // A replacement that was listed during an outage once got calls at the full rate.
 func TestReplacementInheritsSuspicion(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
-	for id := range uint32(3) {
+	for id := range MessageID(3) {
 		h.accept(id, 0)
 		h.finish(id, "a", ConnectFailed, time.Second, 0)
 		h.step(Event{Kind: MessageCancelled, MessageID: id})
