--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -109,7 +109,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		ok, err := c.play(s, n, func(o *emulate.Options) { o.Wrong = wrong })
+		ok, err := c.play(s, n, func(o *emulate.Options) { o.Mutant = wrong })
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 	x := newFaultWatch(f.DrawWorld(c.Seed), begin, end)
 	opts := x.options()
 	if c.Fault == "zone" {
-		opts.StartAfter = c.Away
+		opts.RestartDelay = c.Away
 	}
 	opts.Record = c.Judged
 	change(&opts)
@@ -152,9 +152,9 @@
 		relays,
 		c.Destinations,
 		c.Length,
-		x.w.Offered,
+		x.w.Submitted,
 		took.Seconds(),
-		float64(x.w.Offered)/took.Seconds(),
+		float64(x.w.Submitted)/took.Seconds(),
 		float64(peak.Load())/1e6,
 	)
 	held = x.tell(s)
@@ -242,7 +242,7 @@
 func (x *faultWatch) options() emulate.Options {
 	return emulate.Options{
 		ZoneLatency: 2 * time.Millisecond,
-		Heard: func(relay int, route, state string) {
+		OnListChange: func(relay int, route, state string) {
 			s := x.changes[heardChange{route, state}]
 			s.heard++
 			if s.last = x.w.Now(); state == eventlog.StateReady {
@@ -255,7 +255,7 @@
 				x.drained[route][relay] = x.w.Now()
 			}
 		},
-		Stepped: func(relay int, _ time.Duration, _ []policy.Event, acts []policy.Action) {
+		OnStep: func(relay int, _ time.Duration, _ []policy.Event, acts []policy.Action) {
 			if x.w == nil {
 				return // its relays have begun; nothing was handed in yet
 			}
@@ -276,12 +276,12 @@
 				}
 			}
 		},
-		Asked: func(_, dest int) {
+		OnSubmission: func(_, dest int) {
 			if c := x.count(dest, x.w.Now()); c != nil {
 				c.asked++
 			}
 		},
-		Delivered: func(dest int, asked, _ time.Duration) {
+		OnDelivery: func(dest int, asked, _ time.Duration) {
 			if c := x.count(dest, asked); c != nil {
 				c.served++
 			}
@@ -302,28 +302,28 @@
 
 // tell prints what was measured; false if a rule was broken or a relay does not have a change.
 func (x *faultWatch) tell(s *cli.Streams) bool {
-	share := func(from, to time.Duration) float64 { return x.w.Between(from, to) }
+	share := func(from, to time.Duration) float64 { return x.w.OverallBetween(from, to) }
 	fmt.Fprintf(
 		s.Out,
 		"  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n",
 		share(0, x.begin-beforeUntil),
 		share(x.begin, x.end),
 		share(x.end, x.plan.File.Length.D()),
-		x.w.Fell,
+		x.w.Overloads,
 	)
 	fmt.Fprintf(
 		s.Out,
 		"  calls %d: refused %d, failed %d; not opened %d; hand-ins refused %d, unanswered %d; deferred %d, failed %d\n",
 		x.w.Calls,
-		x.w.CallsFull,
+		x.w.CallsRejected,
 		x.w.CallsFailed,
-		x.w.NotOpened,
-		x.w.Refused,
+		x.w.ConnectionsRefused,
+		x.w.Rejected,
 		x.w.Unanswered,
 		x.w.Deferred,
 		x.w.Failed,
 	)
-	held := x.w.Fell == 0
+	held := x.w.Overloads == 0
 	if len(x.order) > 0 {
 		var all []time.Duration
 		missing := 0
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -91,7 +91,7 @@
 	if name == "" {
 		return nil, nil
 	}
-	m := emulate.MutantNamed(name)
+	m := emulate.FindMutant(name)
 	if m == nil {
 		var all []string
 		for _, x := range emulate.Mutants() {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := emulate.New(f.Draw(c.Seed), emulate.Options{Record: true, Wrong: wrong})
+	w, err := emulate.New(f.Draw(c.Seed), emulate.Options{Record: true, Mutant: wrong})
 	if err != nil {
 		return err
 	}
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -97,7 +97,7 @@
 // tryScenario plays a scenario in virtual time with a mutant and judges it.
 func tryScenario(f scenario.File, m *emulate.Mutant, seeds int) (c convict) {
 	for seed := range seeds {
-		w, err := emulate.New(f.Draw(uint64(seed+1)), emulate.Options{Record: true, Wrong: m})
+		w, err := emulate.New(f.Draw(uint64(seed+1)), emulate.Options{Record: true, Mutant: m})
 		if err == nil {
 			err = w.Play()
 		}
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -122,23 +122,23 @@
 	took += time.Since(began)
 	stop()
 	end := heap() - before
-	m := experiment.Measure(&w.Measures)
+	m := experiment.Measure(&w.Metrics)
 	perRelay := float64(atRest-ofOne) / float64(max(1, x.relays-1))
 	fmt.Fprintf(
 		s.Out,
 		"%7d %12d %9d %9.4f %10.4f %9.3f %9.4f %8.4f %8.3f %6d %9.1f %12.0f %9.0f %9.0f %13.0f %8.0f %8.1f\n",
 		x.relays,
 		x.destinations,
-		w.Offered,
+		w.Submitted,
 		m["service"],
 		m["worst_10s"],
 		m["late_p99"],
 		m["refused"],
 		m["calls_full"],
 		m["calls"],
-		w.Fell,
+		w.Overloads,
 		took.Seconds(),
-		float64(w.Offered)/took.Seconds(),
+		float64(w.Submitted)/took.Seconds(),
 		float64(end)/1e6,
 		float64(peak.Load())/1e6,
 		(float64(ofOne)-perRelay)/float64(
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -142,24 +142,24 @@
 	connect := w.plan.File.Settings.ConnectTimeout.D()
 	c.in(c.latency(), func() { // the first packet has come to the host
 		up := !h.isCut && !h.isDown && !h.stopped
-		full := up && w.opts.Connections > 0 && w.connections(h) >= w.opts.Connections
+		full := up && w.opts.MaxConnections > 0 && w.connections(h) >= w.opts.MaxConnections
 		if full {
-			w.NotOpened++
+			w.ConnectionsRefused++
 		}
 		switch {
 		case h.isCut:
 			c.in(connect-c.latency(), func() { r.callEnded(c, result{outcome: policy.ConnectFailed}) })
 		case h.isDown || h.stopped:
 			c.in(c.latency(), func() { r.callEnded(c, result{outcome: policy.ConnectFailed}) })
-		case full && w.opts.Beyond != Closed:
+		case full && w.opts.ExcessConnections != ExcessClosed:
 			after := c.latency()
-			if w.opts.Beyond == Unanswered {
+			if w.opts.ExcessConnections == ExcessUnanswered {
 				after = connect - c.latency()
 			}
 			c.in(after, func() { r.callEnded(c, result{outcome: policy.ConnectFailed}) })
 		default:
 			if c.shut = full; !full {
-				w.Opened++
+				w.ConnectionsOpened++
 			}
 			c.in(c.latency(), func() { // the connection is up; meanwhile a drain or a wait may have been told
 				r.asked = append(r.asked, c)
@@ -174,7 +174,7 @@
 	w := c.r.w
 	c.written, c.began = true, w.Now()
 	h := c.host
-	if c.shut || !c.fresh && w.opts.IdleResets > 0 && w.net.Float64() < w.opts.IdleResets {
+	if c.shut || !c.fresh && w.opts.IdleResetRatio > 0 && w.net.Float64() < w.opts.IdleResetRatio {
 		c.done = true // the host never has it
 		c.in(2*c.latency(), func() { c.r.callEnded(c, result{outcome: policy.Reset, took: 2 * c.latency()}) })
 		return
@@ -283,14 +283,13 @@
 		c.reply(0, results, policy.OK, 0)
 		return
 	}
-	h.place.Slots++
 	fate := h.place.HandleCall(w.Now(), h.ID, live)
 	if fate.CausedOverload {
-		w.Fell++
+		w.Overloads++
 		w.see(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.place.Name, Destination: h.Dest, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
-	if fate.Result != upstream.Unanswered && h.place.Resets != nil && w.net.Float64() < h.place.Resets(c.r.n) {
+	if fate.Result != upstream.Unanswered && h.place.ResetRatio != nil && w.net.Float64() < h.place.ResetRatio(c.r.n) {
 		w.ScheduleAfter(0, c.broken)
 		return
 	}
@@ -325,7 +324,7 @@
 		e := eventlog.Event{Kind: eventlog.CallAnswered, Call: c.num, Relay: c.r.name, Host: h.ID, Status: 200, RetryAfter: wait}
 		switch outcome {
 		case policy.Overloaded:
-			w.CallsFull++
+			w.CallsRejected++
 			if e.Status = 503; wait > 0 {
 				e.Status = 429
 			}
@@ -333,7 +332,7 @@
 			w.CallsFailed++
 			e.Status = 500
 		default:
-			w.CallsOK++
+			w.CallsServed++
 			for i := range c.atts {
 				switch {
 				case results[i].outcome == policy.OK:
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -37,12 +37,12 @@
 }
 
 // Offer has a client hand a message in, and come again as clients do. The relay and the class are counted from 0.
-func (w *World) Offer(a scenario.Arrival) {
+func (w *World) Submit(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
 	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Dest, over: w.shares.Exceeded(a.Customer, w.Now())}
 	w.asked(x)
-	if w.opts.Asked != nil {
-		w.opts.Asked(a.Relay, a.Dest)
+	if w.opts.OnSubmission != nil {
+		w.opts.OnSubmission(a.Relay, a.Dest)
 	}
 	if a.ID == "" && w.opts.Record {
 		w.ids++
@@ -115,7 +115,7 @@
 		case statusFailed:
 			w.Failed++
 		case statusRefused:
-			w.Refused++
+			w.Rejected++
 			if t.refusals++; t.refusals > refusalsMost || t.Again == 0 {
 				return
 			}
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -36,10 +36,10 @@
 // no rule breaks, and the decisions are those of a day on which no clock was set. A relay whose journal goes by the
 // wall clock is convicted.
 func TestClocksThatAreSet(t *testing.T) {
-	offered := func(w *World) [4]int { return [4]int{w.Offered, w.CallsOK, w.Deferred, w.Failed} }
+	offered := func(w *World) [4]int { return [4]int{w.Submitted, w.CallsServed, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
 		play := func(by time.Duration, wrong *Mutant) (*World, []checker.Rule) {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: wrong})
+			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: wrong})
 			return w, broken(judged(t, w))
 		}
 		calm, rules := play(0, nil)
@@ -59,7 +59,7 @@
 	convicted := false
 	for seed := range uint64(5) {
 		for _, by := range []time.Duration{-6 * time.Second, -3 * time.Second} {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: &Mutant{Wall: true}})
+			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: &Mutant{UsesWallClock: true}})
 			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.NoDuplicateEffect)
 		}
 	}
@@ -75,7 +75,7 @@
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
 		f := clockDay(t, by)
 		f.Troubles = f.Troubles[:2]
-		w, err := New(f.Draw(1), Options{Record: true, Machines: true, Sync: SyncAlways})
+		w, err := New(f.Draw(1), Options{Record: true, MachineCrashes: true, JournalSync: SyncAlways})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -183,15 +183,15 @@
 	}
 	asked := d.asked * d.rate * places
 	var w *World
-	told := map[*Place][]time.Duration{} // by relay: when it heard of the outage; 0: it did not
-	opts := Options{Record: true, Wrong: wrong, Latency: 5 * time.Millisecond}
-	opts.Settings = func(s *policy.Settings) {
+	told := map[*Service][]time.Duration{} // by relay: when it heard of the outage; 0: it did not
+	opts := Options{Record: true, Mutant: wrong, Latency: 5 * time.Millisecond}
+	opts.ChangeSettings = func(s *policy.Settings) {
 		s.ApproximateWeights, s.IgnoreWeights = d.weights == "rough", d.weights == "none"
 		if d.rates {
 			s.Tenants = []policy.Tenant{{Quota: asked}}
 		}
 	}
-	opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
+	opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if e.Kind != policy.AttemptFinished || e.Outcome == policy.OK || e.Outcome == policy.NotSent ||
 				w.Now() < coldBegins ||
@@ -212,17 +212,17 @@
 		p.OverloadFactor = 0 // it stands, so that all of the ramp is counted
 	}
 	most := rng.IntN(d.relays)
-	w.Every(time.Second, end, asked, func() {
+	w.ScheduleRandomly(time.Second, end, asked, func() {
 		relay := rng.IntN(d.relays)
 		if d.uneven && rng.Float64() < coldEven {
 			relay = most
 		}
-		w.Offer(scenario.Arrival{Relay: relay, Dest: 1})
+		w.Submit(scenario.Arrival{Relay: relay, Dest: 1})
 	})
-	returns := append([]*Place(nil), w.order...)
+	returns := append([]*Service(nil), w.order...)
 	w.Schedule(coldBegins, func() {
 		for _, p := range returns {
-			w.Outage(p.Name, o.op, o.share, d.lasts)
+			w.BeginOutage(p.Name, o.op, o.share, d.lasts)
 		}
 	})
 	if d.replaced {
@@ -236,10 +236,10 @@
 				if fresh.Place == e.ID {
 					continue // a route that stands apart has gone for good: what comes for it never was away
 				}
-				w.List(fresh)
+				w.AddEndpoint(fresh)
 				h := w.hosts[fresh.ID] // it stands in the same outage
 				h.isDown, h.isCut = o.op == scenario.OpDown, o.op == scenario.OpCut
-				w.Tell(e.ID, eventlog.StateGone)
+				w.ChangeEndpoint(e.ID, eventlog.StateGone)
 				w.stop(w.hosts[e.ID])
 			}
 		})
@@ -253,7 +253,7 @@
 	}
 	w.Schedule(back, func() {
 		for _, p := range returns {
-			w.Back(p.Name)
+			w.EndOutage(p.Name)
 		}
 	})
 	if err := w.Run(end); err != nil {
@@ -273,7 +273,7 @@
 }
 
 // count holds each span of the window's length, which ends with a call, against what the place bears at its end.
-func (d coldDay) count(w *World, p *Place, told []time.Duration, back time.Duration) (c coldCount) {
+func (d coldDay) count(w *World, p *Service, told []time.Duration, back time.Duration) (c coldCount) {
 	type come struct {
 		at   time.Duration
 		told bool
@@ -390,7 +390,7 @@
 				if d.weights == "none" {
 					d.weights = "told"
 				}
-				if !d.play(t, MutantNamed(name)).kept() {
+				if !d.play(t, FindMutant(name)).kept() {
 					convicted++
 				}
 			}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -73,12 +73,12 @@
 				if rules := broken(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
-				if s := v.Service; math.Abs(s.Overall-w.Whole()) > 1e-9 || s.Submitted != w.Offered ||
-					s.DeliveredInTime != w.InFull ||
-					s.CallsRejected != w.CallsFull ||
+				if s := v.Service; math.Abs(s.Overall-w.Overall()) > 1e-9 || s.Submitted != w.Submitted ||
+					s.DeliveredInTime != w.DeliveredInTime ||
+					s.CallsRejected != w.CallsRejected ||
 					s.Deferred != w.Deferred ||
-					s.Rejected != w.Refused {
-					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Measures, w.Whole())
+					s.Rejected != w.Rejected {
+					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Metrics, w.Overall())
 				}
 			})
 		}
@@ -121,7 +121,7 @@
 					break
 				}
 				found = slices.Contains(
-					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Wrong: &m}))),
+					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Mutant: &m}))),
 					m.Rule,
 				)
 			}
@@ -131,7 +131,7 @@
 		}
 		if m.Rule == "" {
 			p := loaded(t, "metastable").Draw(1)
-			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Wrong: &m})
+			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Mutant: &m})
 			x, _ := json.Marshal(a.events)
 			if y, _ := json.Marshal(b.events); string(x) != string(y) {
 				t.Errorf("%s is not equivalent", m.Name)
@@ -153,7 +153,7 @@
 			f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Kill, At: scenario.Duration(at)})
 		}
 		f.SetDefaults()
-		w := played(t, f.Draw(1), Options{Record: true, Wrong: &Mutant{Lag: lag}})
+		w := played(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
 		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
@@ -162,8 +162,8 @@
 
 // With the machine goes what was not synced: nothing with a sync for each commit, up to a second with an interval.
 func TestMachinesThatDie(t *testing.T) {
-	for _, sync := range []Sync{SyncNever, SyncInterval, SyncAlways} {
-		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, Sync: sync, Machines: true})
+	for _, sync := range []SyncPolicy{SyncNever, SyncInterval, SyncAlways} {
+		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, JournalSync: sync, MachineCrashes: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,8 +185,8 @@
 	f.Relays = 3
 	fell := 0
 	for seed := range uint64(8) {
-		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
-		fell += w.Fell
+		w := played(t, f.Draw(seed+1), Options{Record: true, Mutant: FindMutant("no-recovery-budget")})
+		fell += w.Overloads
 		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
 			slices.Contains(rules, checker.NoDuplicateEffect) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
@@ -237,10 +237,10 @@
 			lost++
 		}
 	}
-	if calls := w.CallsOK + lost; lost < calls/100 {
+	if calls := w.CallsServed + lost; lost < calls/100 {
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
-	wrong := played(t, p, Options{Record: true, Wrong: MutantNamed("reset-never-ran")})
+	wrong := played(t, p, Options{Record: true, Mutant: FindMutant("reset-never-ran")})
 	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
@@ -252,12 +252,12 @@
 	w := played(
 		t,
 		p,
-		Options{Record: true, IdleResets: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
+		Options{Record: true, IdleResetRatio: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
 	)
 	if rules := broken(judged(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
-	x, err := New(p, Options{EventsMost: 500})
+	x, err := New(p, Options{MaxEvents: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -375,11 +375,11 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				n += played(b, f.DrawWorld(1), Options{}).Offered
+				n += played(b, f.DrawWorld(1), Options{}).Submitted
 			}
 			b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
 		})
 	}
 }
 
-var _ Module = (*policy.Engine)(nil)
+var _ DecisionEngine = (*policy.Engine)(nil)
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -35,19 +35,19 @@
 )
 
 // FleetWrong is what is wrong with the links of all relays. The zero value is nothing.
-type FleetWrong struct {
-	LastWins  bool // what is heard last goes before what is newest
-	AgesStand bool // what is told on is told with the age that it had when it was heard
-	NoBounds  bool // absurd figures are taken
-	NoTransit bool // what was held up on its way, or by a process that was stopped, is taken for fresh
-	NoTable   bool // whoever tells is heard, listed or not
+type LinkFaults struct {
+	LastReceivedWins  bool // what is heard last goes before what is newest
+	FrozenAges bool // what is told on is told with the age that it had when it was heard
+	NoLimits  bool // absurd figures are taken
+	NoTransitTime bool // what was held up on its way, or by a process that was stopped, is taken for fresh
+	AcceptsStrangers   bool // whoever tells is heard, listed or not
 }
 
-func (m *Mutant) fleet() FleetWrong {
+func (m *Mutant) fleet() LinkFaults {
 	if m == nil {
-		return FleetWrong{}
+		return LinkFaults{}
 	}
-	return m.Fleet
+	return m.LinkFaults
 }
 
 // fleetNet is all that is between the relays, and what is true of them.
@@ -171,8 +171,8 @@
 		return nil
 	}
 	n := &fleetNet{
-		w: w, draw: engine.NewRandom(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.Absurd - 1,
-		fleets: max(1, w.opts.Fleets), twin: w.opts.Twin - 1,
+		w: w, draw: engine.NewRandom(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.AbsurdReporter - 1,
+		fleets: max(1, w.opts.MergedFleets), twin: w.opts.NameDuplicate - 1,
 		wrongs: map[string]bool{},
 	}
 	for range w.plan.File.Relays {
@@ -199,7 +199,7 @@
 	life := loadreport.Incarnation{Generation: r.incarnation, Boot: n.draw.Uint32()}
 	var all []string
 	for i := range n.w.plan.File.Relays {
-		if i%n.fleets == r.n%n.fleets || r.wrong.fleet().NoTable {
+		if i%n.fleets == r.n%n.fleets || r.wrong.fleet().AcceptsStrangers {
 			all = append(all, scenario.RelayName(i+1))
 		}
 	}
@@ -271,7 +271,7 @@
 		m.r.plan()
 	}
 	told := out.Published
-	if !m.r.wrong.fleet().NoBounds &&
+	if !m.r.wrong.fleet().NoLimits &&
 		slices.ContainsFunc(
 			events,
 			func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta },
@@ -340,7 +340,7 @@
 // page is one as it is told on now.
 func (m *fleetMember) page(at fleetPlace) (loadreport.Report, bool) {
 	p, ok := m.ledger.Get(m.clock(), at.name, at.number)
-	if age, heard := m.heardAs[at]; heard && m.r.wrong.fleet().AgesStand {
+	if age, heard := m.heardAs[at]; heard && m.r.wrong.fleet().FrozenAges {
 		p.Age = age
 	}
 	if v, other := m.meant[at]; other {
@@ -461,7 +461,7 @@
 	if ask {
 		m.post(sender, fleetPacket{ping: true})
 	}
-	if wrong.NoTransit {
+	if wrong.NoTransitTime {
 		held = 0
 	} else if !known {
 		return
@@ -470,7 +470,7 @@
 		place := fleetPlace{page.Name, page.Number}
 		page.Age = (page.Age + held + time.Millisecond - 1).Truncate(time.Millisecond) // as the wire has it
 		meant := version{page.Name, page.Incarnation, page.Sequence}
-		if wrong.LastWins {
+		if wrong.LastReceivedWins {
 			m.arrived++
 			page.Sequence = m.arrived
 		}
@@ -487,7 +487,7 @@
 		}
 		if out == loadreport.Updated {
 			m.heardAs[place] = page.Age
-			if wrong.LastWins {
+			if wrong.LastReceivedWins {
 				if m.meant[place] == meant {
 					continue // told on once
 				}
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -34,33 +34,33 @@
 func TestFleetMutants(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		wrong FleetWrong
+		wrong LinkFaults
 		opts  Options
 		kind  string // that is found; "": nothing
 	}{
-		{"sound", FleetWrong{}, Options{}, ""},
-		{"sound, one tells absurd figures", FleetWrong{}, Options{Absurd: 1}, ""},
-		{"sound, a name started twice", FleetWrong{}, Options{Twin: 4}, ""},
-		{"sound, two fleets joined by mistake", FleetWrong{}, Options{Fleets: 2}, ""},
-		{"a merge that takes the older", FleetWrong{LastWins: true}, Options{}, "back"},
-		{"ages that do not grow", FleetWrong{AgesStand: true}, Options{}, "age"},
-		{"a bound left out", FleetWrong{NoBounds: true}, Options{Absurd: 1}, "bound"},
-		{"a stall not noticed", FleetWrong{NoTransit: true}, Options{}, "age"},
-		{"strangers heard", FleetWrong{NoTable: true}, Options{Fleets: 2}, "stranger"},
+		{"sound", LinkFaults{}, Options{}, ""},
+		{"sound, one tells absurd figures", LinkFaults{}, Options{AbsurdReporter: 1}, ""},
+		{"sound, a name started twice", LinkFaults{}, Options{NameDuplicate: 4}, ""},
+		{"sound, two fleets joined by mistake", LinkFaults{}, Options{MergedFleets: 2}, ""},
+		{"a merge that takes the older", LinkFaults{LastReceivedWins: true}, Options{}, "back"},
+		{"ages that do not grow", LinkFaults{FrozenAges: true}, Options{}, "age"},
+		{"a bound left out", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, "bound"},
+		{"a stall not noticed", LinkFaults{NoTransitTime: true}, Options{}, "age"},
+		{"strangers heard", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, "stranger"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				c.opts.Wrong = &Mutant{Fleet: c.wrong}
+				c.opts.Mutant = &Mutant{LinkFaults: c.wrong}
 				w, v := playFleet(t, seed+1, c.opts)
 				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") ||
 					c.kind == "" && len(w.fleet.Wrong) > 0 {
 					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
 				}
-				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound &&
+				if sound := c.kind == "" && c.opts.AbsurdReporter+c.opts.NameDuplicate+c.opts.MergedFleets == 0; sound &&
 					(v.State() != checker.Held || v.PeerViews.Disconnected == 0 || v.PeerViews.Stale.Exercised == 0) {
 					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.PeerViews)
 				}
-				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
+				if c.opts.NameDuplicate > 0 { // the one that the others have in their tables is heard, the other is not
 					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
 					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot ||
 						held.Age > 10*time.Second {
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -49,7 +49,7 @@
 // listed appends a destination's entries after so many changes, in the order in which they were first listed.
 func (w *World) listed(all []policy.Endpoint, dest, changes int) []policy.Endpoint {
 	var hosts []*host
-	for _, p := range w.Places(dest) {
+	for _, p := range w.Services(dest) {
 		for _, h := range p.hosts {
 			if h.stateAt(changes) != "" {
 				hosts = append(hosts, h)
@@ -80,7 +80,7 @@
 }
 
 // Tell has discovery tell each relay of a change of an entry, as late as it is and in the order of the changes.
-func (w *World) Tell(id, state string) {
+func (w *World) ChangeEndpoint(id, state string) {
 	h := w.hosts[id]
 	w.changed(h.Endpoint, state)
 	w.changes++
@@ -121,8 +121,8 @@
 	w, h := r.w, c.h
 	r.heard = c.change
 	r.entries += c.more
-	if w.opts.Heard != nil {
-		w.opts.Heard(r.n, h.ID, c.state)
+	if w.opts.OnListChange != nil {
+		w.opts.OnListChange(r.n, h.ID, c.state)
 	}
 	if c.state == eventlog.StateGone {
 		r.dropPool(h)
@@ -138,7 +138,7 @@
 		return // it is at rest: what the list has is told when it wakes
 	}
 	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
-	if !r.large() && r.entries > w.opts.WholeMost {
+	if !r.large() && r.entries > w.opts.MaxEagerEndpoints {
 		r.becomeLarge()
 	}
 }
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -25,7 +25,7 @@
 
 // told has relays know what the customers send, messages a second.
 func told(quota float64) Options {
-	return Options{Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: quota}} }}
+	return Options{ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: quota}} }}
 }
 
 // 300 relays at a destination of 27 calls a second, a call in eleven seconds for each, whose refused calls use up its
@@ -49,8 +49,8 @@
 			w.Schedule(29*time.Second, func() { w.order[0].LimitRate *= 3 })
 		}},
 		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
-			both(w, 20*time.Second, func(p *Place) { w.Outage(p.Name, scenario.OpDown, 0, 0) })
-			both(w, 25*time.Second, func(p *Place) { w.Back(p.Name) })
+			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 		}},
 	} {
 		share, worst := 0.0, 0.0
@@ -63,7 +63,7 @@
 			began := 0
 			for at := 10 * time.Second; at <= 60*time.Second; at += 10 * time.Second {
 				w.run(t, at)
-				all := w.CallsOK + w.CallsFull
+				all := w.CallsServed + w.CallsRejected
 				worst, began = max(worst, float64(all-began)/(10*takes)), all
 			}
 			share += w.rate(10*time.Second, 60*time.Second) / (takes * min(1, c.asked)) / seeds
@@ -92,13 +92,13 @@
 	w := crowdAt(t, relays, 1, takes, told(0.7*takes))
 	load(w, time.Second, 60*time.Second, 0.65*takes)
 	asked, got := 0, 0
-	w.Every(
+	w.ScheduleRandomly(
 		time.Second,
 		45*time.Second,
 		20*0.7*takes/relays,
-		func() { asked++; w.Offer(scenario.Arrival{Relay: 17, Dest: 1}) },
+		func() { asked++; w.Submit(scenario.Arrival{Relay: 17, Dest: 1}) },
 	)
-	w.opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
+	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 17 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
@@ -128,7 +128,7 @@
 			load(w, time.Second, 40*time.Second, c.asked*takes)
 			w.run(t, 41*time.Second)
 			share += w.rate(5*time.Second, 40*time.Second) / (takes * min(1, c.asked)) / seeds
-			refused += float64(w.CallsFull) / float64(w.CallsFull+w.CallsOK) / seeds
+			refused += float64(w.CallsRejected) / float64(w.CallsRejected+w.CallsServed) / seeds
 		}
 		if t.Logf("%d relays, asked for %.1f of the limit: %.2f served, %.2f of the calls refused", c.relays, c.asked, share, refused); share < c.share ||
 			refused > c.refused {
@@ -155,7 +155,7 @@
 			troubles["throttle"](w, 20*time.Second, 29*time.Second)
 			w.run(t, 75*time.Second)
 			worst = max(worst, back(w, 29*time.Second, 35*time.Second, 0.8*0.7*takes))
-			refused += int(w.CallsFull)
+			refused += int(w.CallsRejected)
 		}
 		if t.Logf("%d relays: served again %v after it at the latest, %d calls refused a run", relays, worst, refused/5); worst > 20*time.Second {
 			t.Errorf("%d relays: served again %v after it", relays, worst)
@@ -190,8 +190,8 @@
 		for seed := range uint64(5) {
 			w, takes := crowd(t, relays, seed, Options{})
 			load(w, time.Second, 70*time.Second, 0.7*takes)
-			both(w, 20*time.Second, func(p *Place) { w.Outage(p.Name, scenario.OpDown, 0, 0) })
-			both(w, 25*time.Second, func(p *Place) { w.Back(p.Name) })
+			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 			w.run(t, 75*time.Second)
 			worst = max(worst, back(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
 			if w.order[0].Overloaded() {
@@ -208,10 +208,10 @@
 func TestOneWithLittleAmongManyWithABacklog(t *testing.T) {
 	w, takes := crowd(t, 80, 1, Options{})
 	n := 0
-	w.Every(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Offer(scenario.Arrival{Relay: n % 79, Dest: 1}) })
+	w.ScheduleRandomly(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Submit(scenario.Arrival{Relay: n % 79, Dest: 1}) })
 	var asked, got int
-	w.Every(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Offer(scenario.Arrival{Relay: 79, Dest: 1}) })
-	w.opts.Stepped = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
+	w.ScheduleRandomly(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Submit(scenario.Arrival{Relay: 79, Dest: 1}) })
+	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 79 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
@@ -233,7 +233,7 @@
 // One relay has all the traffic of a fleet: it grows past its part.
 func TestOneWithAllTheTrafficAmongMany(t *testing.T) {
 	w, takes := crowd(t, 80, 1, Options{})
-	w.Every(time.Second, 60*time.Second, takes/4, func() { w.Offer(scenario.Arrival{Relay: 7, Dest: 1}) })
+	w.ScheduleRandomly(time.Second, 60*time.Second, takes/4, func() { w.Submit(scenario.Arrival{Relay: 7, Dest: 1}) })
 	w.run(t, 61*time.Second)
 	early, late := w.rate(5*time.Second, 20*time.Second)/takes*4, w.rate(40*time.Second, 60*time.Second)/takes*4
 	if t.Logf("served %.2f of what is asked for at first, %.2f after 40 s", early, late); late < 0.5 {
@@ -253,7 +253,7 @@
 		w.Schedule(19500*time.Millisecond, func() {
 			for i := 0; i < len(w.relays); i += 2 {
 				for range 4 {
-					w.Offer(scenario.Arrival{Relay: i, Dest: 1})
+					w.Submit(scenario.Arrival{Relay: i, Dest: 1})
 				}
 			}
 		})
@@ -261,9 +261,9 @@
 			w.Schedule(20*time.Second+time.Duration(i)*5*time.Millisecond, func() { w.Kill(i, false) })
 		}
 		w.run(t, 20*time.Second)
-		full := w.CallsFull
+		full := w.CallsRejected
 		w.run(t, 26*time.Second)
-		refused += w.CallsFull - full
+		refused += w.CallsRejected - full
 		w.run(t, 45*time.Second)
 		after += w.rate(26*time.Second, 40*time.Second) / (0.7 * takes) / seeds
 		w.run(t, 60*time.Second) // every message's time is up
@@ -288,21 +288,21 @@
 		lost         float64 // of the messages, at most
 	}{{20, 10, 0.05}, {80, 40, 0.05}, {300, 120, 0.1}} {
 		relays := c.relays
-		served := func(most int, beyond Beyond) (share float64) {
+		served := func(most int, beyond ExcessConnections) (share float64) {
 			for seed := range uint64(seeds) {
-				w, takes := crowd(t, relays, seed, Options{Connections: most, Beyond: beyond})
+				w, takes := crowd(t, relays, seed, Options{MaxConnections: most, ExcessConnections: beyond})
 				load(w, time.Second, 40*time.Second, 0.5*takes)
 				w.run(t, 55*time.Second)
-				share += (1 - float64(w.Undelivered())/float64(w.Offered)) / seeds
-				if bound := most > 0 && relays > 20; w.NotOpened == 0 && bound || w.NotOpened > 0 && most == 0 {
+				share += (1 - float64(w.Undelivered())/float64(w.Submitted)) / seeds
+				if bound := most > 0 && relays > 20; w.ConnectionsRefused == 0 && bound || w.ConnectionsRefused > 0 && most == 0 {
 					t.Errorf(
 						"%d relays, %d connections at a host, one more %s, seed %d: %d met that of %d",
 						relays,
 						most,
-						Beyonds[beyond],
+						ExcessConnectionNames[beyond],
 						seed,
-						w.NotOpened,
-						w.Opened+w.NotOpened,
+						w.ConnectionsRefused,
+						w.ConnectionsOpened+w.ConnectionsRefused,
 					)
 				}
 				for _, h := range w.hosts {
@@ -314,9 +314,9 @@
 			}
 			return share
 		}
-		none := served(0, Refused)
-		for beyond, name := range Beyonds {
-			full := served(c.most, Beyond(beyond))
+		none := served(0, ExcessRefused)
+		for beyond, name := range ExcessConnectionNames {
+			full := served(c.most, ExcessConnections(beyond))
 			if t.Logf("%d relays, one connection more %s: %.3f of the messages served, %.3f with any number", relays, name, full, none); full < none-c.lost {
 				t.Errorf(
 					"%d relays, one connection more %s: %.3f of the messages served, %.3f with any number",
@@ -353,10 +353,10 @@
 			x.Drain = scenario.Duration(12 * time.Second) // they are still there when the list comes
 		}
 	}
-	for _, wrong := range []*Mutant{nil, MutantNamed("drains-ignored")} {
+	for _, wrong := range []*Mutant{nil, FindMutant("drains-ignored")} {
 		convicted := false
 		for seed := range uint64(2) {
-			rules := broken(judged(t, played(t, f.Draw(seed+1), Options{Record: true, Wrong: wrong})))
+			rules := broken(judged(t, played(t, f.Draw(seed+1), Options{Record: true, Mutant: wrong})))
 			if convicted = convicted || slices.Contains(rules, checker.DrainRespected); wrong == nil && len(rules) > 0 {
 				t.Errorf("seed %d: broken: %v", seed+1, rules)
 			}
--- a/internal/simulation/emulate/measures.go
+++ b/internal/simulation/emulate/measures.go
@@ -11,24 +11,24 @@
 )
 
 // Measures are what a run is counted by as it goes, in a room that does not grow with the messages.
-type Measures struct {
-	Offered     int // first tries
-	InFull      int // delivered within the aim
-	InPart      int // delivered after it
-	Refused     int // hand-ins turned away at the door, further tries too
+type Metrics struct {
+	Submitted     int // first tries
+	DeliveredInTime      int // delivered within the aim
+	DeliveredLate      int // delivered after it
+	Rejected     int // hand-ins turned away at the door, further tries too
 	Deferred    int // notices that tell to come again
 	Failed      int // notices that promise nothing, and answers that are neither taken nor refused
 	Unanswered  int // hand-ins without an answer
 	Calls       int // that were written
-	CallsOK     int
-	CallsFull   int
+	CallsServed     int
+	CallsRejected   int
 	CallsFailed int
-	Opened      int // connections to hosts
-	NotOpened   int // connections that a host with a full table refused
-	Fell        int // places pushed over
+	ConnectionsOpened      int // connections to hosts
+	ConnectionsRefused   int // connections that a host with a full table refused
+	Overloads        int // places pushed over
 	Steps       int // of modules
 	Events      int // told to them
-	Woken       int // destinations that modules were told of when there was work for them
+	Activations       int // destinations that modules were told of when there was work for them
 
 	classes []eventlog.Class
 	worth   []float64 // asked for, in each second
@@ -41,7 +41,7 @@
 	worstSpan = 10 // seconds
 )
 
-func (m *Measures) init(classes []eventlog.Class, length time.Duration) {
+func (m *Metrics) init(classes []eventlog.Class, length time.Duration) {
 	m.classes = classes
 	m.worth = make([]float64, int(length/time.Second)+1)
 	m.value = make([]float64, len(m.worth))
@@ -56,10 +56,10 @@
 	return worth
 }
 
-func (m *Measures) second(at time.Duration) int { return min(len(m.worth)-1, int(at/time.Second)) }
+func (m *Metrics) second(at time.Duration) int { return min(len(m.worth)-1, int(at/time.Second)) }
 
 func (w *World) asked(x *ask) {
-	w.Offered++
+	w.Submitted++
 	w.worth[w.second(x.at)] += w.worthOf(x)
 }
 
@@ -70,25 +70,25 @@
 		return
 	}
 	x.done = true
-	if w.opts.Delivered != nil {
-		w.opts.Delivered(x.dest, x.at, w.Now())
+	if w.opts.OnDelivery != nil {
+		w.opts.OnDelivery(x.dest, x.at, w.Now())
 	}
 	c := w.classes[x.class]
 	took := w.Now() - x.at
 	if took <= c.LatencyObjective {
-		w.InFull++
+		w.DeliveredInTime++
 	} else {
-		w.InPart++
+		w.DeliveredLate++
 	}
 	w.value[w.second(x.at)] += w.worthOf(x) * checker.WeightRatioAfter(c, took)
 	w.late.RecordValue(int64(min(took, lateMost))) // within its range
 }
 
 // Whole is the worth delivered of the worth asked for.
-func (m *Measures) Whole() float64 { return m.Between(0, lateMost*1000) }
+func (m *Metrics) Overall() float64 { return m.OverallBetween(0, lateMost*1000) }
 
 // Between is the same of what was asked for in a span of whole seconds.
-func (m *Measures) Between(from, to time.Duration) float64 {
+func (m *Metrics) OverallBetween(from, to time.Duration) float64 {
 	worth, value := 0.0, 0.0
 	for i := int(from / time.Second); i < len(m.worth) && time.Duration(i)*time.Second < to; i++ {
 		worth, value = worth+m.worth[i], value+m.value[i]
@@ -100,21 +100,21 @@
 }
 
 // Worst10s is the worst of any ten seconds, a second apart.
-func (m *Measures) Worst10s() float64 {
+func (m *Metrics) WorstWindow() float64 {
 	worst := math.Inf(1)
 	for from := 0; from == 0 || from+worstSpan < len(m.worth); from++ {
-		worst = min(worst, m.Between(time.Duration(from)*time.Second, time.Duration(from+worstSpan)*time.Second))
+		worst = min(worst, m.OverallBetween(time.Duration(from)*time.Second, time.Duration(from+worstSpan)*time.Second))
 	}
 	return worst
 }
 
 // Undelivered are the first tries that were never delivered.
-func (m *Measures) Undelivered() int { return m.Offered - m.InFull - m.InPart }
+func (m *Metrics) Undelivered() int { return m.Submitted - m.DeliveredInTime - m.DeliveredLate }
 
 // Late is the time from hand-in to delivery at a percentile of the delivered, to three digits.
-func (m *Measures) Late(percentile float64) time.Duration {
+func (m *Metrics) LatencyPercentile(percentile float64) time.Duration {
 	return time.Duration(m.late.ValueAtPercentile(percentile))
 }
 
 // Histogram is the times from hand-in to delivery, in nanoseconds.
-func (m *Measures) Histogram() *hdrhistogram.Histogram { return m.late }
+func (m *Metrics) Latencies() *hdrhistogram.Histogram { return m.late }
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -14,28 +14,28 @@
 // from a sound one.
 type Mutant struct {
 	Name  string
-	About string
+	Description string
 	Rule  checker.Rule // that it breaks; "": none, and Equivalent says why
 	// Equivalent says why a mutant breaks nothing. Its decisions are then those of a sound relay, which a test shows.
 	Equivalent string
 
-	Set   func(*policy.Settings)                                    // what the module is told at its start
-	Hears func(e *policy.Event) (late time.Duration)                // changes an event, or tells it later; ignored: Never
-	Says  func(a *policy.Action) bool                               // false: not carried out
-	Loses func(finalDecided, mayRun bool, id policy.MessageID) bool // a restart forgets this message
-	Quiet func(id policy.MessageID) bool                            // the notice for this message is not sent
-	Wall  bool                                                      // its journal goes by the wall clock
-	Lag   time.Duration                                             // so long after it was due something is in the journal
-	Fleet FleetWrong                                                // what is wrong with the links between relays
+	ChangeSettings   func(*policy.Settings)                                    // what the module is told at its start
+	ChangeEvent func(e *policy.Event) (late time.Duration)                // changes an event, or tells it later; ignored: Never
+	AllowsAction  func(a *policy.Action) bool                               // false: not carried out
+	ForgetsMessage func(finalDecided, mayRun bool, id policy.MessageID) bool // a restart forgets this message
+	DropsNotice func(id policy.MessageID) bool                            // the notice for this message is not sent
+	UsesWallClock  bool                                                      // its journal goes by the wall clock
+	JournalDelay   time.Duration                                             // so long after it was due something is in the journal
+	LinkFaults LinkFaults                                                // what is wrong with the links between relays
 }
 
 // Never, returned by Mutant.Hears, leaves an event out.
-const Never = time.Duration(-1)
+const DropEvent = time.Duration(-1)
 
 func (m *Mutant) settings(set *policy.Settings) {
-	if m != nil && m.Set != nil {
+	if m != nil && m.ChangeSettings != nil {
 		set.Classes = slices.Clone(set.Classes)
-		m.Set(set)
+		m.ChangeSettings(set)
 	}
 }
 
@@ -43,36 +43,36 @@
 	if m == nil {
 		return 0
 	}
-	return m.Lag
+	return m.JournalDelay
 }
 
-func (m *Mutant) trustsWall() bool { return m != nil && m.Wall }
+func (m *Mutant) trustsWall() bool { return m != nil && m.UsesWallClock }
 
 func (m *Mutant) mute(r *relay, x *message) bool {
-	return m != nil && m.Quiet != nil && m.Quiet(x.id)
+	return m != nil && m.DropsNotice != nil && m.DropsNotice(x.id)
 }
 
 func (m *Mutant) restored(r *relay) {
-	if m == nil || m.Loses == nil {
+	if m == nil || m.ForgetsMessage == nil {
 		return
 	}
 	for id, x := range r.msgs {
-		if m.Loses(x.final != nil, len(x.mayRun) > 0, id) {
+		if m.ForgetsMessage(x.final != nil, len(x.mayRun) > 0, id) {
 			delete(r.msgs, id)
 		}
 	}
 }
 
-func (m *Mutant) module(x Module, r *relay) Module {
-	if m == nil || m.Hears == nil && m.Says == nil {
+func (m *Mutant) module(x DecisionEngine, r *relay) DecisionEngine {
+	if m == nil || m.ChangeEvent == nil && m.AllowsAction == nil {
 		return x
 	}
-	return &misled{Module: x, wrong: m, later: func(d time.Duration) { r.in(d, r.plan) }}
+	return &misled{DecisionEngine: x, wrong: m, later: func(d time.Duration) { r.in(d, r.plan) }}
 }
 
 // misled is a module that hears or says what it should not.
 type misled struct {
-	Module
+	DecisionEngine
 	wrong *Mutant
 	later func(time.Duration) // has it step again, so long from now
 	held  []heldEvent
@@ -95,12 +95,12 @@
 		return h.due <= now
 	})
 	for _, e := range events {
-		if m.wrong.Hears == nil {
+		if m.wrong.ChangeEvent == nil {
 			m.buf = append(m.buf, e)
 			continue
 		}
 		e.Endpoints = slices.Clone(e.Endpoints)
-		switch late := m.wrong.Hears(&e); {
+		switch late := m.wrong.ChangeEvent(&e); {
 		case late == 0:
 			m.buf = append(m.buf, e)
 		case late > 0:
@@ -108,13 +108,13 @@
 			m.later(late)
 		}
 	}
-	acts := m.Module.Step(now, m.buf)
-	if m.wrong.Says == nil {
+	acts := m.DecisionEngine.Step(now, m.buf)
+	if m.wrong.AllowsAction == nil {
 		return acts
 	}
 	m.acts = m.acts[:0]
 	for _, a := range acts {
-		if m.wrong.Says(&a) {
+		if m.wrong.AllowsAction(&a) {
 			m.acts = append(m.acts, a)
 		}
 	}
@@ -123,12 +123,12 @@
 
 // StillAllowed lets by what the module would, had it heard all.
 func (m *misled) StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool {
-	return m.Module.StillAllowed(route, ids, now)
+	return m.DecisionEngine.StillAllowed(route, ids, now)
 }
 
 // Views passes the module's views on.
 func (m *misled) Views() ([]policy.EndpointView, int) {
-	if s, ok := m.Module.(*policy.Engine); ok {
+	if s, ok := m.DecisionEngine.(*policy.Engine); ok {
 		return s.Views()
 	}
 	return nil, 0
@@ -199,39 +199,39 @@
 	const ms = time.Millisecond
 	return []Mutant{
 		{
-			Name: "journal-not-restored", About: "a restart begins with nothing", Rule: checker.NoMessageLost,
-			Loses: func(bool, bool, policy.MessageID) bool { return true },
+			Name: "journal-not-restored", Description: "a restart begins with nothing", Rule: checker.NoMessageLost,
+			ForgetsMessage: func(bool, bool, policy.MessageID) bool { return true },
 		},
 		{
 			Name:  "no-notices",
-			About: "what is given up on is told to nobody",
+			Description: "what is given up on is told to nobody",
 			Rule:  checker.NoMessageLost,
-			Quiet: func(policy.MessageID) bool { return true },
+			DropsNotice: func(policy.MessageID) bool { return true },
 		},
 		{
-			Name: "ends-forgotten", About: "what is given up on is kept, and never ended", Rule: checker.NoMessageLost,
-			Says: func(a *policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject },
+			Name: "ends-forgotten", Description: "what is given up on is kept, and never ended", Rule: checker.NoMessageLost,
+			AllowsAction: func(a *policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject },
 		},
 		{
 			Name:  "some-notices-lost",
-			About: "one notice in 25 is not sent",
+			Description: "one notice in 25 is not sent",
 			Rule:  checker.NoMessageLost,
-			Quiet: func(id policy.MessageID) bool { return id%25 == 0 },
+			DropsNotice: func(id policy.MessageID) bool { return id%25 == 0 },
 		},
 		{
-			Name: "notices-lost-over-restarts", About: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.NoMessageLost,
-			Loses: func(final, _ bool, _ policy.MessageID) bool { return final }, Quiet: func(id policy.MessageID) bool { return false },
+			Name: "notices-lost-over-restarts", Description: "a notice that was decided and not confirmed when the process ended is not sent again", Rule: checker.NoMessageLost,
+			ForgetsMessage: func(final, _ bool, _ policy.MessageID) bool { return final }, DropsNotice: func(id policy.MessageID) bool { return false },
 		},
 		{
 			Name:  "logged-late",
-			About: "what is taken on is in the journal 30 ms after the client was told",
+			Description: "what is taken on is in the journal 30 ms after the client was told",
 			Rule:  checker.NoMessageLost,
-			Lag:   30 * ms,
+			JournalDelay:   30 * ms,
 		},
 
 		{
-			Name: "unsafe-repeated", About: "what must never run twice is taken for what may", Rule: checker.NoDuplicateEffect,
-			Set: eachClass(func(c *policy.Class) {
+			Name: "unsafe-repeated", Description: "what must never run twice is taken for what may", Rule: checker.NoDuplicateEffect,
+			ChangeSettings: eachClass(func(c *policy.Class) {
 				if c.Effect == policy.NonIdempotent {
 					c.Effect = policy.Idempotent
 				}
@@ -239,25 +239,25 @@
 		},
 		{
 			Name:  "any-zone",
-			About: "keyed repeats go to any zone",
+			Description: "keyed repeats go to any zone",
 			Rule:  checker.NoDuplicateEffect,
-			Set:   eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
+			ChangeSettings:   eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
 		},
 		{
-			Name: "no-window", About: "keyed repeats go at any time", Rule: checker.NoDuplicateEffect,
-			Set: eachClass(func(c *policy.Class) { c.DedupWindow *= 100 }),
+			Name: "no-window", Description: "keyed repeats go at any time", Rule: checker.NoDuplicateEffect,
+			ChangeSettings: eachClass(func(c *policy.Class) { c.DedupWindow *= 100 }),
 		},
 		{
-			Name: "reset-never-ran", About: "a broken connection is taken for proof that the call never ran", Rule: checker.NoDuplicateEffect,
-			Hears: outcomeAs(policy.Reset, policy.ConnectFailed),
+			Name: "reset-never-ran", Description: "a broken connection is taken for proof that the call never ran", Rule: checker.NoDuplicateEffect,
+			ChangeEvent: outcomeAs(policy.Reset, policy.ConnectFailed),
 		},
 		{
-			Name: "timeout-never-ran", About: "a call without an answer is taken for one that never ran", Rule: checker.NoDuplicateEffect,
-			Hears: outcomeAs(policy.Timeout, policy.ConnectFailed),
+			Name: "timeout-never-ran", Description: "a call without an answer is taken for one that never ran", Rule: checker.NoDuplicateEffect,
+			ChangeEvent: outcomeAs(policy.Timeout, policy.ConnectFailed),
 		},
 		{
-			Name: "restart-forgets-sends", About: "after a restart nothing is taken to have run", Rule: checker.NoDuplicateEffect,
-			Hears: func(e *policy.Event) time.Duration {
+			Name: "restart-forgets-sends", Description: "after a restart nothing is taken to have run", Rule: checker.NoDuplicateEffect,
+			ChangeEvent: func(e *policy.Event) time.Duration {
 				if e.Recovered != nil {
 					e.Recovered = &policy.RecoveredMessage{}
 				}
@@ -265,67 +265,67 @@
 			},
 		},
 		{
-			Name: "window-too-long", About: "keyed repeats go until 400 ms after the window", Rule: checker.NoDuplicateEffect,
-			Set: eachClass(func(c *policy.Class) { c.DedupWindow += 400 * ms }),
+			Name: "window-too-long", Description: "keyed repeats go until 400 ms after the window", Rule: checker.NoDuplicateEffect,
+			ChangeSettings: eachClass(func(c *policy.Class) { c.DedupWindow += 400 * ms }),
 		},
 
 		{
-			Name: "drains-ignored", About: "what drains or has gone is called all the same", Rule: checker.DrainRespected,
-			Hears: stays(func(policy.Endpoint) bool { return true }),
+			Name: "drains-ignored", Description: "what drains or has gone is called all the same", Rule: checker.DrainRespected,
+			ChangeEvent: stays(func(policy.Endpoint) bool { return true }),
 		},
 		{
-			Name: "some-drains-ignored", About: "of the endpoints one in four stays in service for good", Rule: checker.DrainRespected,
-			Hears: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
+			Name: "some-drains-ignored", Description: "of the endpoints one in four stays in service for good", Rule: checker.DrainRespected,
+			ChangeEvent: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
 		},
 		{
 			Name:  "news-3s-late",
-			About: "the list is heeded 3 s after it was told",
+			Description: "the list is heeded 3 s after it was told",
 			Rule:  checker.DrainRespected,
-			Hears: lateNews(3 * time.Second),
+			ChangeEvent: lateNews(3 * time.Second),
 		},
 		{
 			Name:  "news-1.4s-late",
-			About: "the list is heeded 1.4 s after it was told",
+			Description: "the list is heeded 1.4 s after it was told",
 			Rule:  checker.DrainRespected,
-			Hears: lateNews(1400 * ms),
+			ChangeEvent: lateNews(1400 * ms),
 		},
 		{
 			Name:  "news-1.1s-late",
-			About: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
+			Description: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
 			Rule:  checker.DrainRespected,
-			Hears: lateNews(1100 * ms),
+			ChangeEvent: lateNews(1100 * ms),
 		},
 
 		{
-			Name: "no-recovery-budget", About: "a returning destination is sent what it takes when it is warm", Rule: checker.RecoveryNotOverloaded,
-			Set: func(s *policy.Settings) { s.WarmUpInitialCapacity, s.OverloadFactor = 1, 1000 },
+			Name: "no-recovery-budget", Description: "a returning destination is sent what it takes when it is warm", Rule: checker.RecoveryNotOverloaded,
+			ChangeSettings: func(s *policy.Settings) { s.WarmUpInitialCapacity, s.OverloadFactor = 1, 1000 },
 		},
 		{
-			Name: "warm-at-once", About: "a returning destination is taken to be warm after 1 s", Rule: checker.RecoveryNotOverloaded,
-			Set: func(s *policy.Settings) { s.WarmUpDuration = time.Second },
+			Name: "warm-at-once", Description: "a returning destination is taken to be warm after 1 s", Rule: checker.RecoveryNotOverloaded,
+			ChangeSettings: func(s *policy.Settings) { s.WarmUpDuration = time.Second },
 		},
 		{
-			Name: "budget-three-times", About: "a returning destination is taken to bear three times what it does", Rule: checker.RecoveryNotOverloaded,
-			Set: func(s *policy.Settings) { s.OverloadFactor *= 3 },
+			Name: "budget-three-times", Description: "a returning destination is taken to bear three times what it does", Rule: checker.RecoveryNotOverloaded,
+			ChangeSettings: func(s *policy.Settings) { s.OverloadFactor *= 3 },
 		},
 		{
-			Name: "budget-for-itself", About: "each relay takes the whole budget for its own", Rule: checker.RecoveryNotOverloaded,
-			Set: func(s *policy.Settings) { s.FleetSize = 1 },
+			Name: "budget-for-itself", Description: "each relay takes the whole budget for its own", Rule: checker.RecoveryNotOverloaded,
+			ChangeSettings: func(s *policy.Settings) { s.FleetSize = 1 },
 		},
 		{
-			Name: "budget-twice", About: "a returning destination is taken to bear twice what it does", Rule: checker.RecoveryNotOverloaded,
-			Set: func(s *policy.Settings) { s.OverloadFactor *= 2 },
+			Name: "budget-twice", Description: "a returning destination is taken to bear twice what it does", Rule: checker.RecoveryNotOverloaded,
+			ChangeSettings: func(s *policy.Settings) { s.OverloadFactor *= 2 },
 		},
 
 		{
 			Name:  "no-order",
-			About: "messages of a key do not take turns",
+			Description: "messages of a key do not take turns",
 			Rule:  checker.OrderKept,
-			Set:   eachClass(func(c *policy.Class) { c.Ordered = false }),
+			ChangeSettings:   eachClass(func(c *policy.Class) { c.Ordered = false }),
 		},
 		{
-			Name: "some-keys-lost", About: "one message in six has no key", Rule: checker.OrderKept,
-			Hears: func(e *policy.Event) time.Duration {
+			Name: "some-keys-lost", Description: "one message in six has no key", Rule: checker.OrderKept,
+			ChangeEvent: func(e *policy.Event) time.Duration {
 				if e.Kind == policy.MessageAccepted && e.MessageID%6 == 0 {
 					e.Key = ""
 				}
@@ -334,32 +334,32 @@
 		},
 		{
 			Name:  "no-pause",
-			About: "a key does not rest after a call that may still run",
+			Description: "a key does not rest after a call that may still run",
 			Rule:  checker.OrderKept,
-			Set:   func(s *policy.Settings) { s.OrderingPause = 0 },
+			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause = 0 },
 		},
 		{
 			Name:  "half-a-pause",
-			About: "a key rests half as long",
+			Description: "a key rests half as long",
 			Rule:  checker.OrderKept,
-			Set:   func(s *policy.Settings) { s.OrderingPause /= 2 },
+			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause /= 2 },
 		},
 		{
 			Name:  "pause-too-short",
-			About: "a key rests 100 ms less than it must",
+			Description: "a key rests 100 ms less than it must",
 			Rule:  checker.OrderKept,
-			Set:   func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
+			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
 		},
 
 		{
 			Name:  "waits-dropped",
-			About: "told waits are not heard",
+			Description: "told waits are not heard",
 			Rule:  checker.RetryAfterRespected,
-			Hears: waitAs(func(*policy.Event) time.Duration { return 0 }),
+			ChangeEvent: waitAs(func(*policy.Event) time.Duration { return 0 }),
 		},
 		{
-			Name: "some-waits-dropped", About: "one told wait in eight is not heard", Rule: checker.RetryAfterRespected,
-			Hears: waitAs(func(e *policy.Event) time.Duration {
+			Name: "some-waits-dropped", Description: "one told wait in eight is not heard", Rule: checker.RetryAfterRespected,
+			ChangeEvent: waitAs(func(e *policy.Event) time.Duration {
 				if e.MessageID%8 == 0 {
 					return 0
 				}
@@ -368,27 +368,27 @@
 		},
 		{
 			Name:  "half-a-wait",
-			About: "told waits are heard as half as long",
+			Description: "told waits are heard as half as long",
 			Rule:  checker.RetryAfterRespected,
-			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
+			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
 		},
 		{
 			Name:  "wait-150ms-short",
-			About: "told waits end 150 ms early",
+			Description: "told waits end 150 ms early",
 			Rule:  checker.RetryAfterRespected,
-			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
+			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
 		},
 		{
 			Name:  "wait-20ms-short",
-			About: "told waits end 20 ms early",
+			Description: "told waits end 20 ms early",
 			Rule:  checker.RetryAfterRespected,
-			Hears: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
+			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
 		},
 
 		{
-			Name: "waits-of-nothing", About: "waits of under a millisecond are not heard",
+			Name: "waits-of-nothing", Description: "waits of under a millisecond are not heard",
 			Equivalent: "waits are told in whole milliseconds: there is none of less",
-			Hears: waitAs(func(e *policy.Event) time.Duration {
+			ChangeEvent: waitAs(func(e *policy.Event) time.Duration {
 				if e.RetryAfter < ms {
 					return 0
 				}
@@ -396,9 +396,9 @@
 			}),
 		},
 		{
-			Name: "took-of-refusals", About: "how long a connection was in coming that did not come is not heard",
+			Name: "took-of-refusals", Description: "how long a connection was in coming that did not come is not heard",
 			Equivalent: "the module times answers, and takes none from a connection that failed",
-			Hears: func(e *policy.Event) time.Duration {
+			ChangeEvent: func(e *policy.Event) time.Duration {
 				if e.Kind == policy.AttemptFinished && e.Outcome == policy.ConnectFailed {
 					e.Latency = 0
 				}
@@ -409,7 +409,7 @@
 }
 
 // MutantNamed returns a mutant by its name; nil if there is none.
-func MutantNamed(name string) *Mutant {
+func FindMutant(name string) *Mutant {
 	all := Mutants()
 	if i := slices.IndexFunc(all, func(m Mutant) bool { return m.Name == name }); i >= 0 {
 		return &all[i]
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -60,7 +60,7 @@
 	f.Traffic, f.Clients.Again = nil, new(float64)
 	x := &world{}
 	opts.Latency = 20 * time.Millisecond
-	opts.Delivered = func(dest int, asked, at time.Duration) { x.delivered = append(x.delivered, delivery{dest, asked, at}) }
+	opts.OnDelivery = func(dest int, asked, at time.Duration) { x.delivered = append(x.delivered, delivery{dest, asked, at}) }
 	w, err := New(f.Draw(seed+1), opts)
 	if err != nil {
 		t.Fatal(err)
@@ -106,8 +106,8 @@
 // load offers messages to the relays in turn.
 func load(w *world, from, to time.Duration, rate float64) {
 	n := 0
-	w.Every(from, to, rate, func() {
-		w.Offer(scenario.Arrival{Relay: n % len(w.relays), Dest: 1})
+	w.ScheduleRandomly(from, to, rate, func() {
+		w.Submit(scenario.Arrival{Relay: n % len(w.relays), Dest: 1})
 		n++
 	})
 }
@@ -115,28 +115,28 @@
 var troubles = map[string]func(w *world, from, to time.Duration){
 	"overload": func(w *world, from, to time.Duration) { load(w, from, to, 30) },
 	"errors": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.SetFailureRatio(0.8) })
-		both(w, to, func(p *Place) { p.SetFailureRatio(0); p.Recover(w.Now()) })
+		both(w, from, func(p *Service) { p.SetFailureRatio(0.8) })
+		both(w, to, func(p *Service) { p.SetFailureRatio(0); p.Recover(w.Now()) })
 	},
 	"silence": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.SetSilent(true) })
-		both(w, to, func(p *Place) { p.SetSilent(false); p.Recover(w.Now()) })
+		both(w, from, func(p *Service) { p.SetSilent(true) })
+		both(w, to, func(p *Service) { p.SetSilent(false); p.Recover(w.Now()) })
 	},
 	"shut": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.Suspend(to) })
-		both(w, to, func(p *Place) { p.Resume(); p.Recover(w.Now()) })
+		both(w, from, func(p *Service) { p.Suspend(to) })
+		both(w, to, func(p *Service) { p.Resume(); p.Recover(w.Now()) })
 	},
 	"throttle": func(w *world, from, to time.Duration) {
-		both(w, from, func(p *Place) { p.LimitRate /= 4 })
-		both(w, to, func(p *Place) { p.LimitRate *= 4 })
+		both(w, from, func(p *Service) { p.LimitRate /= 4 })
+		both(w, to, func(p *Service) { p.LimitRate *= 4 })
 	},
 	"resets of one": func(w *world, from, to time.Duration) {
-		w.Schedule(from, func() { w.order[0].Resets = func(int) float64 { return 1 } })
-		w.Schedule(to, func() { w.order[0].Resets = nil })
+		w.Schedule(from, func() { w.order[0].ResetRatio = func(int) float64 { return 1 } })
+		w.Schedule(to, func() { w.order[0].ResetRatio = nil })
 	},
 }
 
-func both(w *world, at time.Duration, do func(*Place)) {
+func both(w *world, at time.Duration, do func(*Service)) {
 	w.Schedule(at, func() {
 		for _, p := range w.order {
 			do(p)
@@ -180,14 +180,14 @@
 		k,
 		scenario.Destination{Rate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}},
 		Options{
-			Stepped: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
+			OnStep: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
 				calls = append(calls, fmt.Sprint(relay, now, acts))
 			},
 		},
 	)
 	load(w, time.Second, 60*time.Second, 80)
-	w.Schedule(12*time.Second, func() { w.order[0].Resets = resets })
-	w.Schedule(20*time.Second, func() { w.order[0].Resets = nil })
+	w.Schedule(12*time.Second, func() { w.order[0].ResetRatio = resets })
+	w.Schedule(20*time.Second, func() { w.order[0].ResetRatio = nil })
 	w.run(t, 75*time.Second)
 	w.trace = calls
 	return w
@@ -222,7 +222,7 @@
 			for _, d := range w.delivered { // all of it within 3 s, 40 % at 12 s
 				worth += 1 - 0.6*max(0, (d.at-d.taken).Seconds()-3)/9
 			}
-			offered += w.Offered
+			offered += w.Submitted
 			if rate := w.rate(26*time.Second, 56*time.Second); rate < 0.8*80 {
 				t.Errorf(
 					"%s, %d relays, seed %d: %.1f messages a second once the trouble was over",
@@ -285,9 +285,9 @@
 		load(w, time.Second, 90*time.Second, takes)
 		w.Schedule(30*time.Second, func() { w.order[0].LimitRate /= 2 })
 		w.run(t, 40*time.Second)
-		full, ok := -w.CallsFull, -w.CallsOK
+		full, ok := -w.CallsRejected, -w.CallsServed
 		w.run(t, 90*time.Second)
-		full, ok = full+w.CallsFull, ok+w.CallsOK
+		full, ok = full+w.CallsRejected, ok+w.CallsServed
 		if rate := w.rate(40*time.Second, 90*time.Second); rate < 0.6*takes/2 || full > ok {
 			t.Errorf(
 				"%d relays: %.1f a second of %.1f, %d calls refused for %d served",
@@ -308,10 +308,10 @@
 			w, takes := site(t, "rate", 2, seed)
 			load(w, time.Second, 80*time.Second, 0.5*takes)
 			for at := 20 * time.Second; at < 50*time.Second; at += 2 * period {
-				both(w, at, func(p *Place) { w.Outage(p.Name, scenario.OpDown, 0, 0) })
-				both(w, at+period, func(p *Place) { w.Back(p.Name) })
+				both(w, at, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+				both(w, at+period, func(p *Service) { w.EndOutage(p.Name) })
 			}
-			both(w, 50*time.Second, func(p *Place) { w.Back(p.Name) })
+			both(w, 50*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 			w.run(t, 95*time.Second)
 			if rate := w.rate(65*time.Second, 80*time.Second); rate < 0.8*0.5*takes {
 				t.Errorf("period %v, seed %d: %.1f a second after it", period, seed, rate)
@@ -326,14 +326,14 @@
 		w, takes := site(t, "separate", 2, seed)
 		w.opts.ListDelay = func(relay int) time.Duration { return time.Duration(relay) * 4 * time.Second }
 		load(w, time.Second, 60*time.Second, 0.5*takes)
-		both(w, 20*time.Second, func(p *Place) { p.SetSilent(true) })
+		both(w, 20*time.Second, func(p *Service) { p.SetSilent(true) })
 		w.Schedule(26*time.Second, func() {
 			for _, e := range w.plan.Endpoints {
 				fresh := e
 				fresh.ID += "-2"
 				fresh.Place = fresh.ID
-				w.List(fresh)
-				w.Tell(e.ID, eventlog.StateGone)
+				w.AddEndpoint(fresh)
+				w.ChangeEndpoint(e.ID, eventlog.StateGone)
 			}
 		})
 		w.run(t, 75*time.Second)
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -37,7 +37,7 @@
 	undoes bool // a death may undo what is in the journal
 	dies   bool // its plan ends its process: how hosts stand is kept all the time, as the relay does
 	seed   uint64
-	module Module
+	module DecisionEngine
 
 	life      int  // of its process: what was planned for an earlier one does nothing
 	up        bool // the process runs
@@ -128,14 +128,14 @@
 
 func newRelay(w *World, n int) (*relay, error) {
 	r := &relay{
-		w: w, n: n, name: scenario.RelayName(n + 1), zone: n % len(w.plan.File.Zones), wrong: w.opts.Wrong, seed: w.plan.Seed*1000 + uint64(n),
+		w: w, n: n, name: scenario.RelayName(n + 1), zone: n % len(w.plan.File.Zones), wrong: w.opts.Mutant, seed: w.plan.Seed*1000 + uint64(n),
 		msgs: map[policy.MessageID]*message{}, entries: w.entries,
 	}
 	r.dies = w.dying[r.name]
-	r.undoes = r.wrong.lag() > 0 || w.opts.Machines && w.opts.Sync != SyncAlways
+	r.undoes = r.wrong.lag() > 0 || w.opts.MachineCrashes && w.opts.JournalSync != SyncAlways
 	r.set = Settings(w.plan.File)
-	if w.opts.Settings != nil {
-		w.opts.Settings(&r.set)
+	if w.opts.ChangeSettings != nil {
+		w.opts.ChangeSettings(&r.set)
 	}
 	r.wrong.settings(&r.set)
 	_, err := policy.New(r.set, r.seed)
@@ -143,9 +143,9 @@
 }
 
 // decides makes what decides for a process.
-func (r *relay) decides(seed uint64) Module {
-	if r.w.opts.Module != nil {
-		return r.w.opts.Module(r.set, seed)
+func (r *relay) decides(seed uint64) DecisionEngine {
+	if r.w.opts.NewEngine != nil {
+		return r.w.opts.NewEngine(r.set, seed)
 	}
 	module, err := policy.New(r.set, seed)
 	if err != nil {
@@ -208,7 +208,7 @@
 // resume tells the module of the list, of how hosts stood, and of the messages that the journal holds, in one step.
 func (r *relay) resume() {
 	var evs []policy.Event
-	if r.working = nil; r.entries > r.w.opts.WholeMost {
+	if r.working = nil; r.entries > r.w.opts.MaxEagerEndpoints {
 		r.newWorking()
 	} else {
 		evs = append(evs, policy.Event{Kind: policy.EndpointSnapshot, Endpoints: r.w.whole(r.heard)})
@@ -292,8 +292,8 @@
 		acts = r.module.Step(r.now(), evs)
 		w.Steps++
 		w.Events += len(evs)
-		if w.opts.Stepped != nil {
-			w.opts.Stepped(r.n, r.now(), evs, acts)
+		if w.opts.OnStep != nil {
+			w.opts.OnStep(r.n, r.now(), evs, acts)
 		}
 		if r.fleet != nil {
 			r.fleet.step(evs, acts)
@@ -592,7 +592,7 @@
 	for _, c := range r.sortedCalls() {
 		c.closed()
 	}
-	w.ScheduleAfter(w.opts.StartAfter, r.start)
+	w.ScheduleAfter(w.opts.RestartDelay, r.start)
 }
 
 func (r *relay) sortedCalls() []*call {
@@ -612,7 +612,7 @@
 	lag := r.wrong.lag()
 	now := r.w.Now()
 	keep := max(lag, syncEvery)
-	if r.w.opts.Machines && r.w.opts.Sync == SyncNever {
+	if r.w.opts.MachineCrashes && r.w.opts.JournalSync == SyncNever {
 		keep = now
 	}
 	n := 0
@@ -626,7 +626,7 @@
 func (j *journal) lose(r *relay, machine bool) {
 	since := r.w.Now() - r.wrong.lag()
 	if machine {
-		switch r.w.opts.Sync {
+		switch r.w.opts.JournalSync {
 		case SyncNever:
 			since = -1
 		case SyncInterval:
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -17,7 +17,7 @@
 	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
 	opts := Options{
 		Fleet:    scenario.Fleet{Enabled: true, Rights: on},
-		Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
+		ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
 	}
 	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
 }
@@ -72,7 +72,7 @@
 				c.faults(w)
 			}
 			w.run(t, length)
-			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsFull
+			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsRejected
 			if wrong := slices.Compact(w.fleet.Wrong); len(wrong) > 0 || on && w.fleet.Sums < 50 {
 				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.Sums)
 			}
@@ -120,16 +120,16 @@
 						f.Troubles,
 						func(x scenario.Trouble) bool { return x.At >= f.Length },
 					)
-					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, Connections: 400})
+					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
 					if len(w.fleet.Wrong) > 0 {
 						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.Wrong))
 					}
 					t.Logf(
 						"rights %v: whole day %.3f, %d calls refused of %d",
 						on,
-						w.Whole(),
-						w.CallsFull,
-						w.CallsFull+w.CallsOK,
+						w.Overall(),
+						w.CallsRejected,
+						w.CallsRejected+w.CallsServed,
 					)
 				}
 			})
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -37,7 +37,7 @@
 	due, waits  time.Duration
 }
 
-func newScripted(set policy.Settings, seed uint64) Module {
+func newScripted(set policy.Settings, seed uint64) DecisionEngine {
 	return &scripted{set: set, seed: seed, routes: map[int][]policy.Endpoint{}, held: map[policy.MessageID]*scriptedMessage{}}
 }
 
@@ -204,25 +204,25 @@
 		}
 		w := sameWorld{name: fmt.Sprintf("random %d", seed), plan: f.Draw(seed + 1)}
 		w.opts.ZoneLatency = time.Duration(rng.IntN(3)) * time.Millisecond
-		w.opts.IdleResets = []float64{0, 0.01}[rng.IntN(2)]
+		w.opts.IdleResetRatio = []float64{0, 0.01}[rng.IntN(2)]
 		if rng.IntN(3) == 0 {
-			w.opts.Connections, w.opts.Beyond = 2+rng.IntN(4), Beyond(rng.IntN(3))
+			w.opts.MaxConnections, w.opts.ExcessConnections = 2+rng.IntN(4), ExcessConnections(rng.IntN(3))
 		}
 		if rng.IntN(3) == 0 {
 			w.opts.ListDelay = func(relay int) time.Duration { return time.Duration(50+relay*300) * time.Millisecond }
 		}
 		if rng.IntN(3) == 0 {
-			w.opts.Wrong = &mutants[rng.IntN(len(mutants))]
+			w.opts.Mutant = &mutants[rng.IntN(len(mutants))]
 		}
 		if rng.IntN(3) == 0 {
-			w.opts.Machines, w.opts.Sync = true, Sync(rng.IntN(3))
+			w.opts.MachineCrashes, w.opts.JournalSync = true, SyncPolicy(rng.IntN(3))
 			relay := rng.IntN(f.Relays)
 			w.then = func(w *World) {
 				w.Schedule(7*time.Second, func() { w.Kill(relay, true) })
 				w.Schedule(9*time.Second, func() {
 					e := w.plan.Endpoints[0]
 					e.ID = "s-new"
-					w.List(e)
+					w.AddEndpoint(e)
 				})
 			}
 		}
@@ -259,13 +259,13 @@
 		if err := json.NewEncoder(h).Encode(events); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(h, "%d %d %d %d %v", w.EventCount(), w.Steps, w.Events, w.Opened, w.Whole())
+		fmt.Fprintf(h, "%d %d %d %d %v", w.EventCount(), w.Steps, w.Events, w.ConnectionsOpened, w.Overall())
 		return hex.EncodeToString(h.Sum(nil)[:12])
 	}
 	is := map[string]string{}
 	for _, x := range sameWorlds(t) {
 		is["policy "+x.name] = hash(x)
-		x.opts.Module = newScripted
+		x.opts.NewEngine = newScripted
 		is["scripted "+x.name] = hash(x)
 	}
 	if *recordSame {
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -54,7 +54,7 @@
 	var woken, resting []policy.Endpoint
 	wake := func(dest int) {
 		if r.working.Activate(dest, now) {
-			w.Woken++
+			w.Activations++
 			from := len(woken)
 			woken = w.listed(woken, dest, r.heard)
 			for i := range woken[from:] {
@@ -124,7 +124,7 @@
 
 // Evictable passes on what the module would say.
 func (m *misled) Evictable(dest int) bool {
-	x, ok := m.Module.(rester)
+	x, ok := m.DecisionEngine.(rester)
 	return ok && x.Evictable(dest)
 }
 
@@ -152,7 +152,7 @@
 	}
 	p := &pool{life: h.life}
 	r.pools[h] = p
-	if r.w.opts.Connections > 0 {
+	if r.w.opts.MaxConnections > 0 {
 		if h.pools == nil {
 			h.pools = map[*pool]struct{}{}
 		}
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -33,7 +33,7 @@
 			return float64(m.HeapAlloc)
 		}
 		before := heap()
-		w, err := New(f.DrawWorld(1), Options{WholeMost: whole})
+		w, err := New(f.DrawWorld(1), Options{MaxEagerEndpoints: whole})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,12 +74,12 @@
 func TestWorkingSetsKeepTheRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		f := loaded(t, name)
-		whole, working := played(t, f.Draw(1), Options{}), played(t, f.Draw(1), Options{Record: true, WholeMost: 1})
+		whole, working := played(t, f.Draw(1), Options{}), played(t, f.Draw(1), Options{Record: true, MaxEagerEndpoints: 1})
 		if rules := broken(judged(t, working)); len(rules) > 0 {
 			t.Errorf("%s: broken: %v", name, rules)
 		}
-		if a, b := whole.Whole(), working.Whole(); b < a-0.02 || working.Woken == 0 {
-			t.Errorf("%s: served %.4f, told all %.4f; %d woken", name, b, a, working.Woken)
+		if a, b := whole.Overall(), working.Overall(); b < a-0.02 || working.Activations == 0 {
+			t.Errorf("%s: served %.4f, told all %.4f; %d woken", name, b, a, working.Activations)
 		}
 	}
 	v := judged(
@@ -87,7 +87,7 @@
 		played(
 			t,
 			loaded(t, "half-draining").Draw(1),
-			Options{Record: true, WholeMost: 1, Wrong: MutantNamed("drains-ignored")},
+			Options{Record: true, MaxEagerEndpoints: 1, Mutant: FindMutant("drains-ignored")},
 		),
 	)
 	if v.ForRule(checker.DrainRespected).State != checker.Violated {
@@ -105,9 +105,9 @@
 func TestAWaitOutlastsRest(t *testing.T) {
 	const s = scenario.Duration(time.Second)
 	for _, forgets := range []bool{false, true} {
-		opts := Options{Record: true, WholeMost: 1}
+		opts := Options{Record: true, MaxEagerEndpoints: 1}
 		if forgets {
-			opts.Module = func(set policy.Settings, seed uint64) Module {
+			opts.NewEngine = func(set policy.Settings, seed uint64) DecisionEngine {
 				x, err := policy.New(set, seed)
 				if err != nil {
 					t.Fatal(err)
@@ -125,14 +125,14 @@
 			scenario.Destination{Count: 40},
 			opts,
 		)
-		shut := w.Places(1)[0].Name
-		w.Schedule(10*time.Second, func() { w.Outage(shut, scenario.OpShut, 0, 60*time.Second) })
-		w.Schedule(70*time.Second, func() { w.Back(shut) })
+		shut := w.Services(1)[0].Name
+		w.Schedule(10*time.Second, func() { w.BeginOutage(shut, scenario.OpShut, 0, 60*time.Second) })
+		w.Schedule(70*time.Second, func() { w.EndOutage(shut) })
 		for _, at := range []time.Duration{12, 66, 72} {
-			w.Schedule(at*time.Second, func() { w.Offer(scenario.Arrival{Dest: 1}) })
+			w.Schedule(at*time.Second, func() { w.Submit(scenario.Arrival{Dest: 1}) })
 		}
 		n := 0
-		w.Every(0, 80*time.Second, 1, func() { n++; w.Offer(scenario.Arrival{Dest: 2 + n%39}) })
+		w.ScheduleRandomly(0, 80*time.Second, 1, func() { n++; w.Submit(scenario.Arrival{Dest: 2 + n%39}) })
 		w.run(t, 100*time.Second)
 		w.see(eventlog.Event{Kind: eventlog.RunEnded})
 		if f := judged(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
@@ -156,8 +156,8 @@
 		scenario.Kind{Pace: s / 10, Slots: 20},
 		scenario.Destination{Count: 2, Endpoints: 3},
 		Options{
-			WholeMost: 1,
-			Stepped: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
+			MaxEagerEndpoints: 1,
+			OnStep: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
 				for _, e := range events {
 					told = append(told, e.Endpoints...)
 				}
@@ -169,13 +169,13 @@
 			},
 		},
 	)
-	hosts := w.Places(1)[0].hosts
-	w.Schedule(3*time.Second, func() { w.Tell(hosts[0].ID, eventlog.StateDraining) })
-	w.Schedule(3*time.Second, func() { w.Tell(hosts[1].ID, eventlog.StateGone) })
+	hosts := w.Services(1)[0].hosts
+	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[0].ID, eventlog.StateDraining) })
+	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[1].ID, eventlog.StateGone) })
 	w.Schedule(4*time.Second, func() {
 		e := hosts[2].Endpoint
 		e.ID = "s-new"
-		w.List(e)
+		w.AddEndpoint(e)
 	})
 	load(w, 10*time.Second, 12*time.Second, 50)
 	w.run(t, 13*time.Second)
@@ -200,8 +200,8 @@
 	f.Destinations = []scenario.Destination{
 		{Kind: f.Destinations[0].Kind, Rate: 20, Weight: 1, Count: 500, Endpoints: 2, Zones: f.Zones},
 	}
-	whole, working := played(t, f.DrawWorld(1), Options{}), played(t, f.DrawWorld(1), Options{WholeMost: 1})
-	if a, b := whole.Late(50), working.Late(50); b > a+a/10 {
+	whole, working := played(t, f.DrawWorld(1), Options{}), played(t, f.DrawWorld(1), Options{MaxEagerEndpoints: 1})
+	if a, b := whole.LatencyPercentile(50), working.LatencyPercentile(50); b > a+a/10 {
 		t.Errorf("half of the messages are delivered within %v, where modules are told all within %v", b, a)
 	}
 }
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -24,33 +24,33 @@
 )
 
 // Module is what decides: a *policy.Engine, or one with something wrong about it.
-type Module interface {
+type DecisionEngine interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
 	StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool
 }
 
 // Sync says what of a relay's journal outlasts a death of its machine. A death of its process alone loses nothing.
-type Sync int
+type SyncPolicy int
 
 // The policies.
 const (
-	SyncNever    Sync = iota // nothing that was written since the machine began
+	SyncNever    SyncPolicy = iota // nothing that was written since the machine began
 	SyncInterval             // all but the last second
 	SyncAlways               // all
 )
 
 // Beyond says what a connection meets that is one more than a host takes.
-type Beyond int
+type ExcessConnections int
 
 // The ways.
 const (
-	Refused    Beyond = iota // at once
-	Closed                   // taken by the machine, and broken off under the first request, which never ran
-	Unanswered               // it never comes up
+	ExcessRefused    ExcessConnections = iota // at once
+	ExcessClosed                   // taken by the machine, and broken off under the first request, which never ran
+	ExcessUnanswered               // it never comes up
 )
 
 // Beyonds are their names in files, in that order.
-var Beyonds = []string{"refused", "closed", "unanswered"}
+var ExcessConnectionNames = []string{"refused", "closed", "unanswered"}
 
 // Options say how a plan is played. The zero value is a sound relay on a fast network, with no record.
 type Options struct {
@@ -60,55 +60,54 @@
 	// ZoneLatency is added between a relay and a host of another zone. Relays stand in the zones in turn.
 	ZoneLatency time.Duration
 	// Connections is how many a host takes, idle ones counted; what further ones meet says Beyond. 0: any number.
-	Connections int
-	Beyond      Beyond
-	IdleResets  float64 // share of the calls on a kept connection that find it reset, and never run
-	Sync        Sync
+	MaxConnections int
+	ExcessConnections      ExcessConnections
+	IdleResetRatio  float64 // share of the calls on a kept connection that find it reset, and never run
+	JournalSync        SyncPolicy
 	// ListDelay is how late a relay learns of a change of the list, in place of what the scenario draws; nil: that.
 	ListDelay func(relay int) time.Duration
 	// Wrong is what is wrong with all relays; nil: nothing.
-	Wrong *Mutant
+	Mutant *Mutant
 	// Settings changes what the modules are told, not what the rules are; nil: nothing.
-	Settings func(*policy.Settings)
+	ChangeSettings func(*policy.Settings)
 	// Module makes what decides for a relay; nil: a policy.Engine.
-	Module func(set policy.Settings, seed uint64) Module
+	NewEngine func(set policy.Settings, seed uint64) DecisionEngine
 	// Stepped is told of each step of a module; nil: nobody is.
-	Stepped func(relay int, now time.Duration, events []policy.Event, actions []policy.Action)
+	OnStep func(relay int, now time.Duration, events []policy.Event, actions []policy.Action)
 	// StartAfter is from the end of a relay's process to its next; 0: 600 ms.
-	StartAfter time.Duration
+	RestartDelay time.Duration
 	// Asked is told of each message that a client hands in with its first try; nil: nobody is.
-	Asked func(relay, dest int)
+	OnSubmission func(relay, dest int)
 	// Heard is told of each change of the list that comes to a relay's agent; nil: nobody is.
-	Heard func(relay int, route, state string)
+	OnListChange func(relay int, route, state string)
 	// WholeMost is up to how many entries of a list a module is told whole; 0: catalog.WholeMost. Of a longer one it is
 	// told of the destinations that there is work for.
-	WholeMost int
+	MaxEagerEndpoints int
 	// Delivered is told of each message that is delivered for the first time; nil: nobody is.
-	Delivered func(dest int, asked, at time.Duration)
+	OnDelivery func(dest int, asked, at time.Duration)
 	// Machines says that machines may die: what their journals have not synced is kept to be undone.
-	Machines bool
+	MachineCrashes bool
 	// Absurd is a relay of a fleet, counted from 1, that tells the others figures that cannot be; 0: none does.
-	Absurd int
+	AbsurdReporter int
 	// Fleet goes before the scenario's own; tests alone set it.
 	Fleet scenario.Fleet
 	// Twin is one that was started under the name of the first; 0: none is.
-	Twin int
+	NameDuplicate int
 	// Fleets is how many fleets were joined by mistake, relays in turns: each relay lists those of its own, and reaches
 	// all; 0: one.
-	Fleets int
+	MergedFleets int
 	// EventsMost bounds the engine's events; 0: 2,000 for each message and second of length and relay, and a million
 	// more.
-	EventsMost uint64
+	MaxEvents uint64
 }
 
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
-type Place struct {
+type Service struct {
 	*upstream.Service
 	Name string
-	Dest int
+	Destination int
 	// share of a relay's calls whose connections break under them, and which run; nil: none
-	Resets func(relay int) float64
-	Slots  int    // calls that are being served
+	ResetRatio func(relay int) float64
 	outage string // its cause; "": in service
 	slow   float64
 	hosts  []*host
@@ -121,7 +120,7 @@
 	zone, kind             int
 	later                  bool      // not listed from the start
 	told                   []telling // changes of its entry
-	place                  *Place
+	place                  *Service
 	isDown, isCut, stopped bool
 	life                   int // raised when all its connections are reset
 	calls                  map[*call]struct{}
@@ -138,13 +137,13 @@
 // World is a plan at work.
 type World struct {
 	engine.Engine
-	Measures
+	Metrics
 	plan   scenario.Plan
 	opts   Options
 	set    policy.Settings // as the rules have them
-	places map[string]*Place
-	order  []*Place
-	dests  map[int][]*Place // by destination
+	places map[string]*Service
+	order  []*Service
+	dests  map[int][]*Service // by destination
 	hosts  map[string]*host
 	relays []*relay
 	names  map[string]*relay
@@ -172,18 +171,18 @@
 // New returns a world in which nothing has happened yet. Its relays are up, and know the list.
 func New(plan scenario.Plan, opts Options) (*World, error) {
 	opts.Latency = cmp.Or(opts.Latency, 100*time.Microsecond)
-	opts.StartAfter = cmp.Or(opts.StartAfter, startAfter)
-	opts.WholeMost = cmp.Or(opts.WholeMost, catalog.MaxEagerEndpoints)
+	opts.RestartDelay = cmp.Or(opts.RestartDelay, startAfter)
+	opts.MaxEagerEndpoints = cmp.Or(opts.MaxEagerEndpoints, catalog.MaxEagerEndpoints)
 	w := &World{
-		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Place{}, hosts: map[string]*host{},
-		dests: map[int][]*Place{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
+		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Service{}, hosts: map[string]*host{},
+		dests: map[int][]*Service{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
 		net: engine.NewRandom(
 			plan.Seed,
 			"network",
 			0,
 		), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
 	}
-	if opts.EventsMost == 0 {
+	if opts.MaxEvents == 0 {
 		rate := 0.0
 		for _, t := range plan.File.Traffic {
 			rate += t.Rate * (t.To - t.From).D().Seconds()
@@ -191,15 +190,15 @@
 		if plan.File.Fleet.Enabled { // each relay's links, whatever is handed in
 			rate += 100 * float64(plan.File.Relays) * w.length.Seconds() / 10
 		}
-		opts.EventsMost = 1e6 + uint64(
+		opts.MaxEvents = 1e6 + uint64(
 			2000*(rate+float64(len(plan.Arrivals))+w.length.Seconds()*float64(plan.File.Relays)),
 		)
 	}
-	w.SetMaxEvents(opts.EventsMost)
+	w.SetMaxEvents(opts.MaxEvents)
 	w.header = plan.File.Header(plan.Seed)
 	w.header.Format, w.header.PlanDigest = eventlog.FormatVersion, plan.Digest()
 	w.header.StartedAt = time.Unix(0, 0).UTC()
-	w.Measures.init(w.header.Classes, w.length)
+	w.Metrics.init(w.header.Classes, w.length)
 	w.shares = checker.NewCustomerShares(w.header)
 	for _, p := range plan.Places {
 		w.addPlace(p)
@@ -268,7 +267,7 @@
 }
 
 func (w *World) addPlace(p scenario.Place) {
-	x := &Place{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Dest: p.Dest, slow: 1}
+	x := &Service{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Destination: p.Dest, slow: 1}
 	w.places[p.Name] = x
 	w.order = append(w.order, x)
 	w.dests[p.Dest] = append(w.dests[p.Dest], x)
@@ -283,10 +282,10 @@
 }
 
 // Place returns a place by its name; nil if there is none.
-func (w *World) Place(name string) *Place { return w.places[name] }
+func (w *World) Service(name string) *Service { return w.places[name] }
 
 // Places are all of them, in the plan's order; a destination's own where dest is above 0.
-func (w *World) Places(dest int) []*Place {
+func (w *World) Services(dest int) []*Service {
 	if dest == 0 {
 		return slices.Clone(w.order)
 	}
@@ -322,7 +321,7 @@
 // arrive hands the plan's arrivals in, one after the other, so that the engine holds one of them.
 func (w *World) arrive(n int) {
 	w.Schedule(w.plan.Arrivals[n].At, func() {
-		w.Offer(w.plan.Arrivals[n])
+		w.Submit(w.plan.Arrivals[n])
 		if n+1 < len(w.plan.Arrivals) {
 			w.arrive(n + 1)
 		}
@@ -337,15 +336,15 @@
 	}
 	w.Schedule(group[0].At, func() {
 		for _, a := range group[1:] {
-			w.Schedule(a.At, func() { w.Offer(a) })
+			w.Schedule(a.At, func() { w.Submit(a) })
 		}
-		w.Offer(group[0])
+		w.Submit(group[0])
 		w.stream(f)
 	})
 }
 
 // Every runs do at random times, rate times a second in the mean, in a span.
-func (w *World) Every(from, to time.Duration, rate float64, do func()) {
+func (w *World) ScheduleRandomly(from, to time.Duration, rate float64, do func()) {
 	if rate <= 0 {
 		return
 	}
@@ -353,7 +352,7 @@
 	if next >= to {
 		return
 	}
-	w.Schedule(next, func() { do(); w.Every(next, to, rate, do) })
+	w.Schedule(next, func() { do(); w.ScheduleRandomly(next, to, rate, do) })
 }
 
 // Result is what was seen, for package judge.
@@ -367,23 +366,23 @@
 	case scenario.OpEnds:
 		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
 	case scenario.OpList:
-		w.List(w.later[s.Target])
+		w.AddEndpoint(w.later[s.Target])
 	case scenario.OpDrain:
-		w.Tell(s.Target, eventlog.StateDraining)
+		w.ChangeEndpoint(s.Target, eventlog.StateDraining)
 	case scenario.OpGone:
-		w.Tell(s.Target, eventlog.StateGone)
+		w.ChangeEndpoint(s.Target, eventlog.StateGone)
 	case scenario.OpStop:
 		w.stop(w.hosts[s.Target])
 	case scenario.OpSlow:
-		w.Slow(s.Target, s.X)
+		w.SetSlowdown(s.Target, s.X)
 	case scenario.OpLower:
 		w.places[s.Target].SetLimitDivisor(s.X)
 	case scenario.OpLose:
 		w.places[s.Target].SetResponseLossRatio(s.X)
 	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
-		w.Outage(s.Target, s.Op, s.X, s.For)
+		w.BeginOutage(s.Target, s.Op, s.X, s.For)
 	case scenario.OpBack:
-		w.Back(s.Target)
+		w.EndOutage(s.Target)
 	case scenario.OpHush, scenario.OpSpeak:
 		w.relay(s.Target).hush(s.Op == scenario.OpHush)
 	case scenario.OpDelay:
@@ -437,7 +436,7 @@
 }
 
 // List has a new endpoint come up and be listed.
-func (w *World) List(e scenario.Endpoint) {
+func (w *World) AddEndpoint(e scenario.Endpoint) {
 	if w.places[e.Place] == nil {
 		spec := w.hostsOf(e.Dest)[0].place.Spec
 		w.addPlace(scenario.Place{Name: e.Place, Dest: e.Dest, Spec: spec, Seed: w.net.Uint64()})
@@ -447,12 +446,12 @@
 		return // its place was made above
 	}
 	h.later = true
-	w.Tell(e.ID, eventlog.StateReady)
+	w.ChangeEndpoint(e.ID, eventlog.StateReady)
 }
 
 // hostsOf are the hosts that a destination has ever had.
 func (w *World) hostsOf(dest int) (all []*host) {
-	for _, p := range w.Places(dest) {
+	for _, p := range w.Services(dest) {
 		all = append(all, p.hosts...)
 	}
 	return all
@@ -467,7 +466,7 @@
 }
 
 // standing are a place's hosts that run.
-func (p *Place) standing() (all []*host) {
+func (p *Service) standing() (all []*host) {
 	for _, h := range p.hosts {
 		if !h.stopped {
 			all = append(all, h)
@@ -485,7 +484,7 @@
 }
 
 // able notes what each host of a place can do from now on.
-func (w *World) able(p *Place, share float64, warm time.Duration) {
+func (w *World) able(p *Service, share float64, warm time.Duration) {
 	if !w.opts.Record {
 		return
 	}
@@ -494,7 +493,7 @@
 		rate = 0
 	}
 	for _, h := range p.standing() {
-		w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Dest, Rate: rate, Share: share, For: warm})
+		w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Destination, Rate: rate, Share: share, For: warm})
 	}
 }
 
@@ -523,7 +522,7 @@
 }
 
 // Slow has a place take factor times as long; 1 ends it.
-func (w *World) Slow(name string, factor float64) {
+func (w *World) SetSlowdown(name string, factor float64) {
 	p := w.places[name]
 	p.slow = factor
 	p.SetSlowdown(factor)
@@ -531,13 +530,13 @@
 }
 
 // Outage begins one of a place, as a scenario's step does.
-func (w *World) Outage(name string, op scenario.Op, share float64, lasts time.Duration) {
+func (w *World) BeginOutage(name string, op scenario.Op, share float64, lasts time.Duration) {
 	p := w.places[name]
 	if p.outage != "" {
 		return // it is out already: the first outage's end ends both
 	}
 	p.outage = op.Cause()
-	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Dest, Hosts: ids(p.standing()), Cause: p.outage})
+	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Destination, Hosts: ids(p.standing()), Cause: p.outage})
 	w.able(p, 1, 0)
 	switch op {
 	case scenario.OpFail:
@@ -559,7 +558,7 @@
 }
 
 // Back ends a place's outage: it returns cold, unless it was pushed over.
-func (w *World) Back(name string) {
+func (w *World) EndOutage(name string) {
 	p := w.places[name]
 	cause := p.outage
 	if p.outage = ""; p.Overloaded() {
@@ -577,7 +576,7 @@
 		eventlog.Event{
 			Kind:        eventlog.OutageEnded,
 			Place:       name,
-			Destination: p.Dest,
+			Destination: p.Destination,
 			Hosts:       ids(hosts),
 			Rate:        cold.FullCapacity,
 			Share:       cold.InitialCapacity,
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := Hunt{Base: base, Plans: 12, Seed: 3, Wrong: emulate.MutantNamed("drains-ignored")}
+	h := Hunt{Base: base, Plans: 12, Seed: 3, Wrong: emulate.FindMutant("drains-ignored")}
 	p, err := h.Run(t.Context())
 	if err != nil || len(p.Rules) == 0 || p.Rules[0] != checker.DrainRespected {
 		t.Fatalf("%+v, %v", p.Rules, err)
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	var m policy.Settings
-	o.Settings(&m)
+	o.ChangeSettings(&m)
 	var b strings.Builder
 	for _, c := range []struct {
 		key   string
@@ -72,10 +72,10 @@
 		{"judged", o.Record},
 		{"emulator.latency", o.Latency},
 		{"emulator.zone_latency", o.ZoneLatency},
-		{"emulator.idle_resets", o.IdleResets},
-		{"emulator.connections", o.Connections},
-		{"emulator.beyond", emulate.Beyonds[o.Beyond]},
-		{"emulator.mutant", o.Wrong.Name},
+		{"emulator.idle_resets", o.IdleResetRatio},
+		{"emulator.connections", o.MaxConnections},
+		{"emulator.beyond", emulate.ExcessConnectionNames[o.ExcessConnections]},
+		{"emulator.mutant", o.Mutant.Name},
 		{"module.senders", m.FleetSize},
 		{"module.slots", m.MaxInFlightCalls},
 		{"module.cold_share", m.WarmUpInitialCapacity},
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/hunt.go
@@ -104,7 +104,7 @@
 
 func (h Hunt) play(f scenario.File, seed uint64) (Prey, error) {
 	p := Prey{File: f, Seed: seed}
-	w, err := emulate.New(f.Draw(seed), emulate.Options{Record: true, Wrong: h.Wrong})
+	w, err := emulate.New(f.Draw(seed), emulate.Options{Record: true, Mutant: h.Wrong})
 	if err == nil {
 		err = w.Play()
 	}
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -246,7 +246,7 @@
 		return f, opts, errors.Join(errs...)
 	}
 	if len(module) > 0 {
-		opts.Settings = func(s *policy.Settings) {
+		opts.ChangeSettings = func(s *policy.Settings) {
 			for _, set := range module {
 				set(s)
 			}
@@ -294,24 +294,24 @@
 	case "zone_latency":
 		o.ZoneLatency, err = duration(v)
 	case "idle_resets":
-		if o.IdleResets, err = number(v); err == nil && (o.IdleResets < 0 || o.IdleResets > 1) {
+		if o.IdleResetRatio, err = number(v); err == nil && (o.IdleResetRatio < 0 || o.IdleResetRatio > 1) {
 			err = fmt.Errorf("a share of 0 to 1 is wanted")
 		}
 	case "connections":
 		x, err := number(v)
-		if o.Connections = int(x); err == nil && (x < 0 || x != math.Trunc(x)) {
+		if o.MaxConnections = int(x); err == nil && (x < 0 || x != math.Trunc(x)) {
 			err = fmt.Errorf("a whole number, 0 or more, is wanted")
 		}
 		return err
 	case "beyond":
 		name, _ := v.(string)
-		i := slices.Index(emulate.Beyonds, name)
-		if o.Beyond = emulate.Beyond(max(0, i)); i < 0 {
-			err = fmt.Errorf("one of %q is wanted", emulate.Beyonds)
+		i := slices.Index(emulate.ExcessConnectionNames, name)
+		if o.ExcessConnections = emulate.ExcessConnections(max(0, i)); i < 0 {
+			err = fmt.Errorf("one of %q is wanted", emulate.ExcessConnectionNames)
 		}
 	case "mutant":
 		name, _ := v.(string)
-		if o.Wrong = emulate.MutantNamed(name); o.Wrong == nil && name != "" {
+		if o.Mutant = emulate.FindMutant(name); o.Mutant == nil && name != "" {
 			err = fmt.Errorf("no such mutant")
 		}
 	default:
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -70,7 +70,7 @@
 		res.Error = err.Error()
 		return res
 	}
-	res.Measures = Measure(&w.Measures)
+	res.Measures = Measure(&w.Metrics)
 	if p.Judged {
 		h, events := w.Result()
 		v := checker.Check(h, events)
@@ -82,31 +82,31 @@
 		}
 		res.Measures["broken"] = float64(len(res.Broken))
 	}
-	if data, err := w.Histogram().Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
+	if data, err := w.Latencies().Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
 		res.Late = base64.StdEncoding.EncodeToString(data)
 	}
 	return res
 }
 
 // Measure is the measures of a run by their names.
-func Measure(m *emulate.Measures) map[string]float64 {
+func Measure(m *emulate.Metrics) map[string]float64 {
 	share := func(n, of int) float64 { return math.Round(1e6*float64(n)/float64(max(1, of))) / 1e6 }
 	return map[string]float64{
-		"service": round(m.Whole()), "worst_10s": round(m.Worst10s()), "in_full": share(m.InFull, m.Offered),
-		"late_p50": m.Late(50).Seconds(), "late_p99": m.Late(99).Seconds(),
+		"service": round(m.Overall()), "worst_10s": round(m.WorstWindow()), "in_full": share(m.DeliveredInTime, m.Submitted),
+		"late_p50": m.LatencyPercentile(50).Seconds(), "late_p99": m.LatencyPercentile(99).Seconds(),
 		"refused": share(
-			m.Refused,
-			m.Offered,
-		), "deferred": share(m.Deferred, m.Offered), "failed": share(m.Failed, m.Offered),
-		"undelivered": share(m.Undelivered(), m.Offered), "calls": share(m.Calls, m.Offered),
+			m.Rejected,
+			m.Submitted,
+		), "deferred": share(m.Deferred, m.Submitted), "failed": share(m.Failed, m.Submitted),
+		"undelivered": share(m.Undelivered(), m.Submitted), "calls": share(m.Calls, m.Submitted),
 		"calls_full": share(
-			m.CallsFull,
+			m.CallsRejected,
 			m.Calls,
-		), "calls_failed": share(m.CallsFailed, m.Calls), "fell": float64(m.Fell),
+		), "calls_failed": share(m.CallsFailed, m.Calls), "fell": float64(m.Overloads),
 		"connections": share(
-			m.Opened+m.NotOpened,
-			m.Offered,
-		), "connections_full": share(m.NotOpened, m.Opened+m.NotOpened),
+			m.ConnectionsOpened+m.ConnectionsRefused,
+			m.Submitted,
+		), "connections_full": share(m.ConnectionsRefused, m.ConnectionsOpened+m.ConnectionsRefused),
 	}
 }
 
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -554,8 +554,8 @@
 	x := &explorer{w: w, wrong: wrong, set: w.Settings}
 	x.set.Classes = slices.Clone(x.set.Classes)
 	x.set.FleetSize = w.Relays
-	if wrong != nil && wrong.Set != nil {
-		wrong.Set(&x.set)
+	if wrong != nil && wrong.ChangeSettings != nil {
+		wrong.ChangeSettings(&x.set)
 	}
 	root := &node{from: -1}
 	for i := range w.Relays {
@@ -833,9 +833,9 @@
 
 // step tells a relay's module of an event, as far as the mutant lets it hear.
 func (x *explorer) step(n *node, relay int, e policy.Event) {
-	if x.wrong != nil && x.wrong.Hears != nil {
+	if x.wrong != nil && x.wrong.ChangeEvent != nil {
 		e.Endpoints = slices.Clone(e.Endpoints)
-		switch late := x.wrong.Hears(&e); {
+		switch late := x.wrong.ChangeEvent(&e); {
 		case late < 0:
 			return
 		case late > 0:
@@ -883,8 +883,8 @@
 	for k := range r.msgs {
 		m := &r.msgs[k]
 		m.freed = true
-		if x.wrong != nil && x.wrong.Loses != nil && x.wrong.Loses(m.ended, m.ran, m.id) ||
-			x.wrong != nil && x.wrong.Lag > 0 && n.now-m.at < x.wrong.Lag {
+		if x.wrong != nil && x.wrong.ForgetsMessage != nil && x.wrong.ForgetsMessage(m.ended, m.ran, m.id) ||
+			x.wrong != nil && x.wrong.JournalDelay > 0 && n.now-m.at < x.wrong.JournalDelay {
 			m.lost = true
 			continue // it is owed all the same
 		}
@@ -903,8 +903,8 @@
 		} else {
 			m.doubt, m.doubtAt = true, n.now
 		}
-		if x.wrong != nil && x.wrong.Hears != nil {
-			x.wrong.Hears(&e)
+		if x.wrong != nil && x.wrong.ChangeEvent != nil {
+			x.wrong.ChangeEvent(&e)
 		}
 		evs = append(evs, e)
 	}
@@ -918,7 +918,7 @@
 	acts := s.Step(n.now-r.epoch, evs)
 	for i := range acts {
 		a := acts[i]
-		if x.wrong != nil && x.wrong.Says != nil && !x.wrong.Says(&a) {
+		if x.wrong != nil && x.wrong.AllowsAction != nil && !x.wrong.AllowsAction(&a) {
 			continue
 		}
 		switch a.Kind {
@@ -957,7 +957,7 @@
 
 // quiet tells whether a mutant sends no notice for a message.
 func (x *explorer) quiet(id policy.MessageID) bool {
-	return x.wrong != nil && x.wrong.Quiet != nil && x.wrong.Quiet(id)
+	return x.wrong != nil && x.wrong.DropsNotice != nil && x.wrong.DropsNotice(id)
 }
 
 // send judges a send by the rules.
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -20,7 +20,7 @@
 	if opts.Depth == 0 {
 		opts.Depth = max(4, w.Depth-shallow)
 	}
-	if opts.Wrong = emulate.MutantNamed(mutant); mutant != "" && opts.Wrong == nil {
+	if opts.Wrong = emulate.FindMutant(mutant); mutant != "" && opts.Wrong == nil {
 		t.Fatalf("no mutant %s", mutant)
 	}
 	f, err := Search(t.Context(), w, opts)
@@ -61,7 +61,7 @@
 		{"return-2", "no-recovery-budget", 9},
 	} {
 		f := search(t, c.world, c.mutant, Options{Depth: c.depth, NoWalks: true})
-		m := emulate.MutantNamed(c.mutant)
+		m := emulate.FindMutant(c.mutant)
 		if f.Break == nil || f.Break.Rule != m.Rule {
 			t.Errorf("%s in %s: %+v to depth %d", c.mutant, c.world, f.Break, f.Depth)
 			continue
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -103,7 +103,7 @@
 // tiny is a fleet at one point of a path.
 type tiny struct {
 	w       *FleetWorld
-	wrong   emulate.FleetWrong
+	wrong   emulate.LinkFaults
 	now     time.Duration
 	members []*tinyMember
 	flying  []tinyPacket
@@ -117,7 +117,7 @@
 
 func memberName(i int) string { return fmt.Sprintf("m%d", i) }
 
-func newTiny(w *FleetWorld, wrong emulate.FleetWrong) *tiny {
+func newTiny(w *FleetWorld, wrong emulate.LinkFaults) *tiny {
 	t := &tiny{w: w, wrong: wrong, now: time.Second, left: *w, told: map[string]map[tinyVersion]time.Duration{}}
 	for i := range w.Members {
 		t.members = append(t.members, &tinyMember{name: memberName(i)})
@@ -299,7 +299,7 @@
 	if v, other := m.meant[name]; other {
 		p.Sequence, p.Incarnation = v.sequence, v.Incarnation
 	}
-	if age, heard := m.heardAs[name]; heard && t.wrong.AgesStand {
+	if age, heard := m.heardAs[name]; heard && t.wrong.FrozenAges {
 		p.Age = age
 	}
 	t.flying = append(t.flying, tinyPacket{from, to, m.boots, t.clock(from), p})
@@ -311,13 +311,13 @@
 	if !known {
 		return // put aside until it is; here never
 	}
-	if t.wrong.NoTransit {
+	if t.wrong.NoTransitTime {
 		held = 0
 	}
 	page := p.page
 	page.Age += held
 	meant := tinyVersion{page.Incarnation, page.Sequence}
-	if t.wrong.LastWins {
+	if t.wrong.LastReceivedWins {
 		m.arrived++
 		page.Sequence = m.arrived
 	}
@@ -329,7 +329,7 @@
 		m.ledger.SetIncarnation(m.raised)
 	case loadreport.Updated:
 		m.heardAs[page.Name] = page.Age
-		if t.wrong.LastWins {
+		if t.wrong.LastReceivedWins {
 			m.meant[page.Name] = meant
 		}
 		if next := (p.to + 1) % len(t.members); t.members[next].name != page.Name {
@@ -405,7 +405,7 @@
 	for _, m := range t.members {
 		for _, o := range t.members {
 			p, ok := o.ledger.Get(t.now, m.name, 0)
-			if t.broken == "" && !t.wrong.LastWins &&
+			if t.broken == "" && !t.wrong.LastReceivedWins &&
 				(!ok || p.Incarnation != m.ledger.Incarnation() || p.Sequence != m.sequence) {
 				t.broken = fmt.Sprintf(
 					"after all was exchanged, version %d of %s in life %v is held as %d in %v",
@@ -450,7 +450,7 @@
 
 // SearchFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the
 // fewest moves.
-func SearchFleet(ctx context.Context, w FleetWorld, wrong emulate.FleetWrong) (f FleetFound, err error) {
+func SearchFleet(ctx context.Context, w FleetWorld, wrong emulate.LinkFaults) (f FleetFound, err error) {
 	at := func(path []FleetMove) *tiny {
 		t := newTiny(&w, wrong)
 		for _, m := range path {
--- a/internal/simulation/modelcheck/fleet_test.go
+++ b/internal/simulation/modelcheck/fleet_test.go
@@ -12,20 +12,20 @@
 func TestAllOrdersOfATinyFleet(t *testing.T) {
 	w := TinyFleet
 	w.Depth = 4
-	f, err := SearchFleet(context.Background(), w, emulate.FleetWrong{})
+	f, err := SearchFleet(context.Background(), w, emulate.LinkFaults{})
 	if err != nil || f.Break != "" || f.States < 1000 {
 		t.Errorf("%d states, %v: %s, by %v", f.States, err, f.Break, f.Path)
 	}
 	t.Logf("%d states, %d moves", f.States, f.Paths)
 	twin := w
 	twin.Twin, twin.Depth = true, 3
-	if f, err := SearchFleet(context.Background(), twin, emulate.FleetWrong{}); err != nil || f.Break != "" ||
+	if f, err := SearchFleet(context.Background(), twin, emulate.LinkFaults{}); err != nil || f.Break != "" ||
 		f.States < 300 {
 		t.Errorf("two processes under one name: %d states, %v: %s, by %v", f.States, err, f.Break, f.Path)
 	}
 	w.Depth, w.Restarts, w.Stops, w.Losses, w.Doubles = 5, 0, 0, 0, 0
-	for name, wrong := range map[string]emulate.FleetWrong{
-		"a merge that takes the older": {LastWins: true}, "ages that do not grow": {AgesStand: true}, "a stall not noticed": {NoTransit: true},
+	for name, wrong := range map[string]emulate.LinkFaults{
+		"a merge that takes the older": {LastReceivedWins: true}, "ages that do not grow": {FrozenAges: true}, "a stall not noticed": {NoTransitTime: true},
 	} {
 		f, err := SearchFleet(context.Background(), w, wrong)
 		if err != nil || f.Break == "" {
--- a/internal/simulation/modelcheck/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -44,7 +44,7 @@
 	}
 	var wrong *emulate.Mutant
 	if p.Mutant != "" {
-		if wrong = emulate.MutantNamed(p.Mutant); wrong == nil {
+		if wrong = emulate.FindMutant(p.Mutant); wrong == nil {
 			return nil, nil, nil, fmt.Errorf("path: no mutant %q", p.Mutant)
 		}
 	}
