--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -42,13 +42,13 @@
 	times               float64
 	hollow              string
 }{
-	{capacity.FleetBytes, busyPages, "sent_bytes_per_s", capacity.ByteRate, 1, hollowBusy},
+	{capacity.FleetByteRate, busyPages, "sent_bytes_per_s", capacity.ByteRate, 1, hollowBusy},
 	{capacity.FleetCores, busyPages, "processor_ms_per_s", capacity.Cores, 1e-3, hollowBusy},
 	{capacity.FleetMemory, busyPages, "memory_bytes", capacity.Bytes, 1, hollowBusy},
-	{capacity.FleetMessages, busyPages, "sent_datagrams_per_s", capacity.Rate, 1, hollowBusy},
-	{capacity.FleetKnown, busyPages, "known_all_s", capacity.Seconds, 1, hollowBusy},
-	{capacity.FleetRest, atRest, "sent_bytes_per_s", capacity.ByteRate, 1, hollowRest},
-	{capacity.FleetLending, manyRights, "sent_bytes_per_s", capacity.ByteRate, 1, hollowRight},
+	{capacity.FleetDatagramRate, busyPages, "sent_datagrams_per_s", capacity.Rate, 1, hollowBusy},
+	{capacity.FleetPropagationTime, busyPages, "known_all_s", capacity.Seconds, 1, hollowBusy},
+	{capacity.FleetIdleByteRate, atRest, "sent_bytes_per_s", capacity.ByteRate, 1, hollowRest},
+	{capacity.FleetQuotaByteRate, manyRights, "sent_bytes_per_s", capacity.ByteRate, 1, hollowRight},
 }
 
 // hollowSeries has package hollow measure. A check of its own that fails ends nothing here: it is told, with what was
@@ -112,7 +112,7 @@
 	var series []capacity.Series
 	for _, v := range hollowValues {
 		s := measured(v.series, "members", v.unit)
-		s.Hollow = v.hollow + failed
+		s.Limitations = v.hollow + failed
 		for _, r := range all {
 			if x, ok := r.Values[v.value]; ok && r.What == v.what {
 				add(s, r.N, x*v.times)
--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -52,11 +52,11 @@
 }
 
 func add(s *capacity.Series, n int, value float64) {
-	s.Points = append(s.Points, capacity.Point{N: float64(n), Value: value})
+	s.Points = append(s.Points, capacity.Point{Size: float64(n), Value: value})
 }
 
 func stop(s *capacity.Series, n int) {
-	s.Points = append(s.Points, capacity.Point{N: float64(n), Stopped: true})
+	s.Points = append(s.Points, capacity.Point{Size: float64(n), Failed: true})
 }
 
 func list(all ...*capacity.Series) (series []capacity.Series) {
@@ -152,10 +152,10 @@
 
 // moduleSeries measures the decisions alone.
 func moduleSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	message := measured(capacity.ModuleMessage, "destinations told", capacity.Seconds)
-	told := measured(capacity.ModuleTold, "destinations told", capacity.Bytes)
-	whole := measured(capacity.ModuleList, "destinations told", capacity.Seconds)
-	change := measured(capacity.ModuleChange, "destinations told", capacity.Seconds)
+	message := measured(capacity.EngineMessageCPU, "destinations told", capacity.Seconds)
+	told := measured(capacity.EngineEndpointMemory, "destinations told", capacity.Bytes)
+	whole := measured(capacity.EngineSnapshotCPU, "destinations told", capacity.Seconds)
+	change := measured(capacity.EngineDeltaCPU, "destinations told", capacity.Seconds)
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{100, 1000, 10_000, 50_000, 140_000}) {
 		if err := ctx.Err(); err != nil {
 			return nil, err
@@ -216,13 +216,13 @@
 
 // moduleBacklog holds messages at destinations that are not in service, and has others pass at 500 that are.
 func moduleBacklog(ctx context.Context, b *bench) (held, beside *capacity.Series, err error) {
-	held = measured(capacity.ModuleHeld, "messages held", capacity.Bytes)
-	beside = measured(capacity.ModuleBacklog, "messages held", capacity.Seconds)
-	held.Hollow = fmt.Sprintf(
+	held = measured(capacity.EngineBacklogMemory, "messages held", capacity.Bytes)
+	beside = measured(capacity.EngineBacklogCPU, "messages held", capacity.Seconds)
+	held.Limitations = fmt.Sprintf(
 		"held for %d destinations that are out of service, so nothing of them is tried; 500 others are served",
 		down,
 	)
-	beside.Hollow = held.Hollow
+	beside.Limitations = held.Limitations
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000, 1_000_000}) {
 		if err := ctx.Err(); err != nil {
 			return nil, nil, err
@@ -316,9 +316,9 @@
 // journalSeries measures the journal alone, on files.
 func journalSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	disk := measured(capacity.JournalDisk, "messages", capacity.Bytes)
-	memory := measured(capacity.JournalLive, "messages", capacity.Bytes)
-	message := measured(capacity.JournalMessage, "messages live", capacity.Seconds)
-	open := measured(capacity.JournalOpen, "messages", capacity.Seconds)
+	memory := measured(capacity.JournalMemory, "messages", capacity.Bytes)
+	message := measured(capacity.JournalMessageCPU, "messages live", capacity.Seconds)
+	open := measured(capacity.JournalRecoveryTime, "messages", capacity.Seconds)
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000}) {
 		if err := ctx.Err(); err != nil {
 			return nil, err
@@ -373,7 +373,7 @@
 
 // journalSync measures commits that outlast the machine.
 func journalSync(b *bench) (*capacity.Series, error) {
-	sync := measured(capacity.JournalSync, "messages in a commit", capacity.Seconds)
+	sync := measured(capacity.JournalSyncTime, "messages in a commit", capacity.Seconds)
 	for _, n := range []int{1, 10, 100} {
 		folder := filepath.Join(b.folder, fmt.Sprint("sync", n))
 		j, _, err := journal.OpenFolder(folder, journal.Options{Limit: 256e6, Sync: store.SyncCommit, MaxBodyBytes: 1})
@@ -417,7 +417,7 @@
 
 // listSeries is what a whole list takes on the wire.
 func listSeries(_ context.Context, b *bench) ([]capacity.Series, error) {
-	whole := measured(capacity.ListWhole, "destinations", capacity.Bytes)
+	whole := measured(capacity.SnapshotBytes, "destinations", capacity.Bytes)
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{1000, 5000, 20_000, 50_000, 140_000}) {
 		data, err := json.Marshal(
 			fake.Members{Version: int64(2 * n), Full: true, Servers: members(n, "10.20.30.40:8080", "ready")},
@@ -432,7 +432,7 @@
 
 // fleetSeries measures the bounds of what relays tell each other, and what that costs at so many members.
 func fleetSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	join := measured(capacity.FleetJoin, "relays", capacity.Count)
+	join := measured(capacity.FleetMaxMembers, "relays", capacity.Count)
 	for _, n := range []int{256, 512, 1024, 1025, 2600} {
 		var text strings.Builder
 		text.WriteString("[fleet]\nenabled = true\nname = \"n0\"\nlisten = \"127.0.0.1:7946\"\n[fleet.join]\n")
@@ -445,7 +445,7 @@
 		}
 		add(join, n, float64(n))
 	}
-	pages := measured(capacity.FleetPages, "destinations with traffic", capacity.Count)
+	pages := measured(capacity.FleetMaxPublished, "destinations with traffic", capacity.Count)
 	for _, n := range []int{64, 128, 256, 260, 1024} {
 		if got := toldOf(n); got < n {
 			stop(pages, n)
@@ -453,7 +453,7 @@
 			add(pages, n, float64(got))
 		}
 	}
-	lent := measured(capacity.FleetRights, "destinations with a limit", capacity.Count)
+	lent := measured(capacity.FleetMaxQuotas, "destinations with a limit", capacity.Count)
 	for _, n := range []int{256, 512, 1024, 1025, 2048} {
 		if got := lentOf(n); got < n {
 			stop(lent, n)
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -194,12 +194,12 @@
 		}
 	}
 	run := capacity.Run{
-		Program: c.Program,
-		Date:    time.Now().UTC().Format(time.DateOnly),
-		Commit:  c.Commit,
-		Quick:   c.Quick,
-		AtRest:  c.AtRest,
-		Machine: machine(),
+		Program:    capacity.Program(c.Program),
+		Date:       time.Now().UTC().Format(time.DateOnly),
+		Commit:     c.Commit,
+		Quick:      c.Quick,
+		ActiveOnly: c.AtRest,
+		Machine:    machine(),
 	}
 	if run.Commit == "" {
 		run.Commit = commit(ctx)
@@ -218,7 +218,7 @@
 	for _, x := range run.Series {
 		line := "no line"
 		if l, err := capacity.Fit(x); err == nil {
-			line = fmt.Sprintf("%.4g + %.4g n, residual %.1f %%", l.Base, l.Slope, 100*l.Residual)
+			line = fmt.Sprintf("%.4g + %.4g n, residual %.1f %%", l.Intercept, l.Slope, 100*l.Residual)
 		}
 		fmt.Fprintf(s.Out, "%-18s %v: %s\n", x.Name, x.Points, line)
 	}
--- a/cmd/capacity/main_test.go
+++ b/cmd/capacity/main_test.go
@@ -79,8 +79,8 @@
 				t.Errorf("%s has %d sizes", s.Name, len(s.Points))
 			}
 			for _, p := range s.Points {
-				if p.Value <= 0 || p.Stopped {
-					t.Errorf("%s at %g: %+v", s.Name, p.N, p)
+				if p.Value <= 0 || p.Failed {
+					t.Errorf("%s at %g: %+v", s.Name, p.Size, p)
 				}
 			}
 			if s.Unit == capacity.Bytes && s.Points[2].Value <= s.Points[0].Value {
@@ -130,7 +130,7 @@
 	if err != nil || len(series) != len(hollowValues) {
 		t.Fatal(series, err)
 	}
-	if p := series[1].Points; series[1].Name != capacity.FleetCores || len(p) != 2 || p[0].N != 100 || p[1].N != 300 ||
+	if p := series[1].Points; series[1].Name != capacity.FleetCores || len(p) != 2 || p[0].Size != 100 || p[1].Size != 300 ||
 		p[0].Value != 0.005 {
 		t.Errorf("%+v", series[1])
 	}
--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -219,17 +219,17 @@
 // relayListSeries measures a relay that was handed its list, and changes to it.
 func relayListSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	memory := measured(capacity.RelayMemory, "destinations", capacity.Bytes)
-	ready := measured(capacity.RelayReady, "destinations", capacity.Seconds)
-	started := measured(capacity.RelayStart, "destinations", capacity.Seconds)
-	change := measured(capacity.RelayChange, "destinations", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf(
+	ready := measured(capacity.RelayStartupTime, "destinations", capacity.Seconds)
+	started := measured(capacity.RelayStartupCPU, "destinations", capacity.Seconds)
+	change := measured(capacity.RelayChangeCPU, "destinations", capacity.Seconds)
+	memory.Limitations = fmt.Sprintf(
 		"a memory limit of %d MB, the one that a relay takes where none is told; no load",
 		usualMB,
 	)
-	force := measured(capacity.RelayForce, "destinations", capacity.Seconds)
-	force.Hollow = "one relay with its agent beside it; the longest of five moves of a destination to another address"
-	rest := measured(capacity.RelayRest, "destinations", capacity.Cores)
-	change.Hollow = "where the relay takes over half a core at rest, what a change costs cannot be told apart and is left out"
+	force := measured(capacity.RelayChangeTime, "destinations", capacity.Seconds)
+	force.Limitations = "one relay with its agent beside it; the longest of five moves of a destination to another address"
+	rest := measured(capacity.RelayIdleCores, "destinations", capacity.Cores)
+	change.Limitations = "where the relay takes over half a core at rest, what a change costs cannot be told apart and is left out"
 	all := []*capacity.Series{memory, ready, started, rest, change, force}
 	here, there := newHosts(1), newHosts(1)
 	defer here.close()
@@ -332,7 +332,7 @@
 // relayDiscoverySeries measures a relay that has its list from discovery alone. After two sizes at which it never
 // became ready the larger ones are left out.
 func relayDiscoverySeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	ready := measured(capacity.RelayDiscovery, "destinations", capacity.Seconds)
+	ready := measured(capacity.RelayDiscoveryTime, "destinations", capacity.Seconds)
 	stopped := 0
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{1000, 2000, 3000, 4000, 20_000, 140_000}) {
 		p, err := b.start(ctx, members(n, "127.0.0.1:9", "ready"), false, usualMB, nil)
@@ -355,14 +355,14 @@
 
 // relayBacklogSeries measures a restart with messages in the journal.
 func relayBacklogSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	memory := measured(capacity.RelayBacklog, "messages held", capacity.Bytes)
-	ready := measured(capacity.RelayRecovery, "messages held", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf(
+	memory := measured(capacity.RelayBacklogMemory, "messages held", capacity.Bytes)
+	ready := measured(capacity.RelayRecoveryTime, "messages held", capacity.Seconds)
+	memory.Limitations = fmt.Sprintf(
 		"%d destinations, all out of service: nothing of what is held is tried; bodies of 1,000 bytes in memory; a memory limit of %d MB",
 		down,
 		backlogMB,
 	)
-	ready.Hollow = memory.Hollow
+	ready.Limitations = memory.Limitations
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000}) {
 		p, err := b.start(
 			ctx,
@@ -397,10 +397,10 @@
 // minutes.
 func relayLoadSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const few, many = 100, 20_000
-	load := measured(capacity.RelayLoad, "messages a second", capacity.Cores)
-	load.Hollow = "100 destinations whose hosts answer at once, bodies of 1,000 bytes, the journal without sync"
-	fresh := measured(capacity.RelayFresh, "messages a second", capacity.Cores)
-	fresh.Hollow = "20,000 destinations, otherwise as `relay.load`"
+	load := measured(capacity.RelayCores, "messages a second", capacity.Cores)
+	load.Limitations = "100 destinations whose hosts answer at once, bodies of 1,000 bytes, the journal without sync"
+	fresh := measured(capacity.RelayNewConnectionCores, "messages a second", capacity.Cores)
+	fresh.Limitations = "20,000 destinations, otherwise as `relay.load`"
 	for _, rate := range b.sizes([]int{50, 100, 200}, []int{50, 150, 461, 900}) {
 		for s, dests := range map[*capacity.Series]int{load: few, fresh: many} {
 			took, cpu, err := b.load(ctx, rate, dests)
--- /dev/null
+++ b/internal/capacity/bottleneck.go
@@ -0,0 +1,251 @@
+package capacity
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+)
+
+// Effect is what happens beyond a bottleneck. The gravest comes first.
+type Effect int
+
+// The effects.
+const (
+	Stops       Effect = iota // the relay does not serve
+	DropsExcess               // a mechanism leaves out what exceeds its bound
+	OverBudget                // the relay serves and uses more than its budget
+)
+
+// String returns the effect in the words of the page.
+func (e Effect) String() string {
+	return [...]string{"stops", "leaves out the rest", "over budget"}[e]
+}
+
+// Bottleneck is a size on one axis beyond which a mechanism no longer copes.
+type Bottleneck struct {
+	Axis        string
+	Target      float64
+	Limit       float64 // NaN: unknown; +Inf: none was found
+	Effect      Effect
+	Description string
+	Derivation  string
+	Mechanism   string // the packages that are concerned; empty: there are none
+}
+
+// TargetFraction returns the limit as a fraction of the target.
+func (b Bottleneck) TargetFraction() float64 { return b.Limit / b.Target }
+
+// rank orders bottlenecks below the target by their effects, before those beyond it and the unknown ones.
+func (b Bottleneck) rank() int {
+	const beyondTarget, unknownLimit = int(OverBudget) + 1, int(OverBudget) + 2
+	switch fraction := b.TargetFraction(); {
+	case math.IsNaN(fraction):
+		return unknownLimit
+	case fraction >= 1:
+		return beyondTarget
+	}
+	return int(b.Effect)
+}
+
+// Bottlenecks returns the bottlenecks of a target in the order of their urgency: by effect, the gravest first, then by
+// the fraction of the target. Those beyond the target follow, and unknown ones come last.
+func Bottlenecks(t Target, r Run) []Bottleneck {
+	e := estimator{t, r}
+	all := slices.Concat(
+		e.destinationBottlenecks(),
+		e.relayBottlenecks(),
+		e.loadBottlenecks(),
+		e.backlogBottlenecks(),
+		e.changeBottlenecks(),
+		e.regionBottlenecks(),
+	)
+	slices.SortStableFunc(all, func(a, b Bottleneck) int {
+		return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(a.TargetFraction(), b.TargetFraction()))
+	})
+	return all
+}
+
+// FirstBottleneck returns the most urgent of sorted bottlenecks. It is false if none is below its target.
+func FirstBottleneck(sorted []Bottleneck) (Bottleneck, bool) {
+	for _, b := range sorted {
+		if b.TargetFraction() < 1 {
+			return b, true
+		}
+	}
+	return Bottleneck{}, false
+}
+
+// atFailure sets the limit to the largest size of a series that passed.
+func (e estimator) atFailure(b Bottleneck, name string) Bottleneck {
+	l := e.limit(name)
+	switch {
+	case !l.measured:
+		b.Limit, b.Derivation = math.NaN(), fmt.Sprintf("`%s`: %v", name, errNotMeasured)
+	case l.found:
+		b.Limit, b.Derivation = l.passed, l.derivation()
+	default:
+		b.Limit = math.Inf(1)
+		if l.largest < b.Target {
+			b.Limit = math.NaN()
+		}
+		b.Derivation = fmt.Sprintf("`%s`: none up to %s", name, formatInteger(l.largest))
+	}
+	return b
+}
+
+// atCost sets the limit to the size at which the cost of a series reaches a budget.
+func (e estimator) atCost(b Bottleneck, name string, budget float64) Bottleneck {
+	return e.atRelayCost(b, name, budget, 1)
+}
+
+// atRelayCost is atCost for an axis that counts for so many relays together, while the series counts for one.
+//
+// A nonlinear model that reaches the budget only where it must not be extrapolated to has no limit if that lies beyond
+// the target.
+func (e estimator) atRelayCost(b Bottleneck, name string, budget, relays float64) Bottleneck {
+	b.Effect = OverBudget
+	size := e.sizeAt(name, budget)
+	b.Limit, b.Derivation = size.value*relays, size.derivation
+	if _, m, err := e.model(name); err == nil && math.IsNaN(b.Limit) && maxExtrapolation*m.MaxSize*relays >= b.Target {
+		b.Limit = math.Inf(1)
+		b.Derivation = fmt.Sprintf("`%s` bends by %.0f %%: none up to ten times the largest measured",
+			name, 100*m.Residual)
+	}
+	return b
+}
+
+func (e estimator) destinationBottlenecks() []Bottleneck {
+	bottleneck := func(description string) Bottleneck {
+		return Bottleneck{
+			Axis:        "destinations",
+			Target:      e.Destinations,
+			Mechanism:   listMechanism,
+			Description: description,
+		}
+	}
+	published := bottleneck("a relay tells of no further destination at once")
+	published.Effect, published.Mechanism = DropsExcess, fleetMechanism
+	published.Axis, published.Target = "destinations awake", e.ActiveDestinations()
+	quotas := bottleneck("no further limit is lent")
+	quotas.Effect, quotas.Mechanism = DropsExcess, quotaMechanism
+	engine := bottleneck("the module alone takes a core")
+	engine.Mechanism = engineMechanism
+
+	discovery := bottleneck("a relay that asks discovery never becomes ready")
+	memory := bottleneck(fmt.Sprintf("the list takes %s", Format(e.ControlPlane.Memory, Bytes)))
+	startup := bottleneck(fmt.Sprintf("a start takes %s", Format(e.MaxStartupTime, Seconds)))
+	idle := bottleneck(fmt.Sprintf("the list at rest takes %s", Format(e.ControlPlane.Cores, Cores)))
+	changes := bottleneck(fmt.Sprintf("%s changes a day take %s",
+		formatInteger(e.ChangesPerDay), Format(e.ControlPlane.Cores, Cores)))
+
+	memoryWithoutList := e.cost(RelayMemory, 0).value
+	coresWithoutList := e.cost(RelayIdleCores, 0).value
+	return []Bottleneck{
+		e.atFailure(discovery, RelayDiscoveryTime),
+		e.atCost(memory, RelayMemory, memoryWithoutList+e.ControlPlane.Memory),
+		e.atCost(startup, RelayStartupTime, e.MaxStartupTime),
+		e.atCost(idle, RelayIdleCores, coresWithoutList+e.ControlPlane.Cores),
+		e.atCost(changes, RelayChangeCPU, e.ControlPlane.Cores*secondsPerDay/e.ChangesPerDay),
+		e.atFailure(published, FleetMaxPublished),
+		e.atFailure(quotas, FleetMaxQuotas),
+		e.atCost(engine, EngineMessageCPU, e.RelayCores/e.RelayMessageRate()),
+	}
+}
+
+func (e estimator) relayBottlenecks() []Bottleneck {
+	bottleneck := func(description string) Bottleneck {
+		return Bottleneck{Axis: "relays", Target: e.Relays, Mechanism: fleetMechanism, Description: description}
+	}
+	budget := e.ControlPlane
+	byteRate := Format(budget.ByteRate, ByteRate)
+	members := bottleneck("a relay with a longer table of members does not start")
+	sent := bottleneck("what a member sends takes " + byteRate)
+	quotas := bottleneck("what a member sends to lend 1,000 limits takes " + byteRate)
+	propagation := bottleneck("what one tells is known to all after " + Format(e.MaxPropagationTime, Seconds))
+	cores := bottleneck("membership takes " + Format(budget.Cores, Cores))
+	memory := bottleneck("membership takes " + Format(budget.Memory, Bytes))
+	return []Bottleneck{
+		e.atFailure(members, FleetMaxMembers),
+		e.atCost(sent, FleetByteRate, budget.ByteRate),
+		e.atCost(quotas, FleetQuotaByteRate, budget.ByteRate),
+		e.atCost(propagation, FleetPropagationTime, e.MaxPropagationTime),
+		e.atCost(cores, FleetCores, budget.Cores),
+		e.atCost(memory, FleetMemory, budget.Memory),
+	}
+}
+
+// loadBottlenecks takes the number of relays as given.
+func (e estimator) loadBottlenecks() []Bottleneck {
+	bottleneck := func(description string) Bottleneck {
+		return Bottleneck{
+			Axis:        "events a second",
+			Target:      e.MessageRate,
+			Mechanism:   loopMechanism,
+			Description: description,
+		}
+	}
+	reused := bottleneck("a relay takes a core, connections used again")
+	fresh := bottleneck("a relay takes a core, a connection for each call")
+	return []Bottleneck{
+		e.atRelayCost(reused, RelayCores, e.RelayCores, e.Relays),
+		e.atRelayCost(fresh, RelayNewConnectionCores, e.RelayCores, e.Relays),
+	}
+}
+
+func (e estimator) backlogBottlenecks() []Bottleneck {
+	recovery := Bottleneck{
+		Axis:        "backlog",
+		Target:      e.Backlog,
+		Mechanism:   loopMechanism,
+		Description: fmt.Sprintf("a restart takes %s", Format(e.MaxStartupTime, Seconds)),
+	}
+	engine := Bottleneck{
+		Axis:        "backlog",
+		Target:      e.Backlog,
+		Mechanism:   engineMechanism,
+		Description: "the module takes a core",
+	}
+	return []Bottleneck{
+		e.atRelayCost(recovery, RelayRecoveryTime, e.MaxStartupTime, e.Relays),
+		e.atRelayCost(engine, EngineBacklogCPU, e.RelayCores/e.RelayMessageRate(), e.Relays),
+	}
+}
+
+func (e estimator) changeBottlenecks() []Bottleneck {
+	change := e.cost(RelayChangeCPU, e.Destinations)
+	delta := e.deltaBytes()
+	cores := Bottleneck{
+		Mechanism:   listMechanism,
+		Description: fmt.Sprintf("they take %s", Format(e.ControlPlane.Cores, Cores)),
+		Limit:       e.ControlPlane.Cores * secondsPerDay / change.value,
+		Derivation:  change.derivation,
+	}
+	bytes := Bottleneck{
+		Mechanism:   listMechanism,
+		Description: fmt.Sprintf("they take %s", Format(e.ControlPlane.ByteRate, ByteRate)),
+		Limit:       e.ControlPlane.ByteRate * secondsPerDay / delta.value,
+		Derivation:  delta.derivation,
+	}
+	propagation := Bottleneck{
+		Description: fmt.Sprintf("not in force everywhere in %s", Format(e.MaxPropagationTime, Seconds)),
+		Limit:       math.NaN(),
+		Derivation:  "one relay alone was measured",
+	}
+	all := []Bottleneck{cores, bytes, propagation}
+	for i := range all {
+		all[i].Axis, all[i].Target, all[i].Effect = "changes a day", e.ChangesPerDay, OverBudget
+	}
+	return all
+}
+
+func (e estimator) regionBottlenecks() []Bottleneck {
+	return []Bottleneck{{
+		Axis:        "regions",
+		Target:      e.Regions,
+		Limit:       math.NaN(),
+		Effect:      OverBudget,
+		Description: "nothing knows of regions: links between them are taken like any others",
+		Derivation:  "no mechanism, so no value",
+	}}
+}
--- /dev/null
+++ b/internal/capacity/controlplane.go
@@ -0,0 +1,196 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// controlPlaneRole is what a relay spends on the endpoint list and on the fleet.
+func (e estimator) controlPlaneRole() Role {
+	list, fleet := e.listUse(), e.fleetUse()
+	settings := unknown("a relay reads its own file at SIGHUP; nothing takes a change to all of them").
+		figure("settings: in force everywhere", Seconds, noMechanism).
+		withBudget(e.MaxPropagationTime, controlPlaneBudget)
+	disk := derived(0, "the list is handed over by the platform; "+
+		"the journal keeps hosts' standing, and a number for the fleet's life").figure("disk", Bytes, listMechanism)
+	return Role{"A relay: its control", slices.Concat(
+		[]Figure{
+			e.total("all: processor", Cores, list.changeCores.value+list.knownCores-list.baseCores, fleet.cores.value),
+			e.total("all: memory", Bytes, list.memory.value, fleet.memory.value),
+			e.total("all: bytes", ByteRate, list.deltaRate.value+list.snapshotRate.value, fleet.byteRate.value),
+		},
+		e.listFigures(list),
+		[]Figure{settings},
+		e.fleetFigures(fleet),
+		[]Figure{disk},
+	)}
+}
+
+// listUse is what the endpoint list costs a relay.
+type listUse struct {
+	memory                estimate
+	baseCores, knownCores float64  // without load: with no endpoint list, and with that of the target
+	idleCores             estimate // their difference
+	changeCores           estimate
+	deltaRate             estimate // bytes per second of changes
+	snapshot              estimate // bytes
+	snapshotRate          estimate // bytes per second of snapshots after restarts
+}
+
+func (e estimator) listUse() listUse {
+	baseMemory := e.cost(RelayMemory, 0).value
+	memory := e.cost(RelayMemory, e.Destinations)
+	baseCores := e.cost(RelayIdleCores, 0).value
+	idleCores := e.cost(RelayIdleCores, e.Destinations)
+	change := e.cost(RelayChangeCPU, e.Destinations)
+	delta := e.deltaBytes()
+	snapshot := e.cost(SnapshotBytes, e.Destinations)
+	const withoutList = ", less %s of a relay with no list"
+	return listUse{
+		memory:      memory.withValue(memory.value-baseMemory).explained(withoutList, Format(baseMemory, Bytes)),
+		baseCores:   baseCores,
+		knownCores:  idleCores.value,
+		idleCores:   idleCores.withValue(idleCores.value-baseCores).explained(withoutList, Format(baseCores, Cores)),
+		changeCores: change.withValue(e.ChangesPerDay * change.value / secondsPerDay).explained(", for each change"),
+		deltaRate: derived(e.ChangesPerDay*delta.value/secondsPerDay, "%s changes a day, %s",
+			formatInteger(e.ChangesPerDay), delta.derivation),
+		snapshot: snapshot,
+		snapshotRate: snapshot.withValue(snapshot.value*e.Restarts/e.Relays/secondsPerDay).
+			explained(", %s restarts a day of all", formatInteger(e.Restarts)),
+	}
+}
+
+func (e estimator) listFigures(list listUse) []Figure {
+	startup := e.cost(RelayStartupTime, e.Destinations)
+	propagation := e.cost(RelayChangeTime, e.Destinations)
+	change := e.cost(RelayChangeCPU, e.Destinations).value
+	changesInOneHour := derived(24*e.ChangesPerDay*change/secondsPerDay, "24 times as many a second")
+	transfer := derived(list.snapshot.value/e.ControlPlane.ByteRate, "%s at %s",
+		Format(list.snapshot.value, Bytes), Format(e.ControlPlane.ByteRate, ByteRate))
+	discovery := derived(e.Destinations, "").
+		figure("list: destinations with which it becomes ready by discovery", Count, listMechanism)
+	discovery.Consequence = "it never becomes ready"
+	figure := func(name string, unit Unit, value estimate) Figure {
+		return e.withControlPlaneBudget(value.figure(name, unit, listMechanism))
+	}
+	return []Figure{
+		derived(e.watchMessageRate(), "%s changes a day", formatInteger(e.ChangesPerDay)).
+			figure("messages in: changes, and an empty line every 2 s", Rate, listMechanism),
+		e.withMeasuredBudget(discovery, RelayDiscoveryTime),
+		startup.figure("list: ready when handed over", Seconds, listMechanism).
+			withBudget(e.MaxStartupTime, startupBudget),
+		figure("list: memory", Bytes, list.memory),
+		figure("list: bytes in by changes", ByteRate, list.deltaRate),
+		figure("list: bytes in by whole lists after restarts", ByteRate, list.snapshotRate),
+		transfer.figure("list: one whole list", Seconds, listMechanism),
+		propagation.figure("list: a change in force at a relay", Seconds, listMechanism).
+			withBudget(e.MaxPropagationTime, propagationBudget),
+		figure("list: processor with no change", Cores, list.idleCores),
+		figure("list: processor for changes", Cores, list.changeCores),
+		figure("list: the same, all changes of a day in one hour", Cores, changesInOneHour),
+	}
+}
+
+// fleetUse is what membership and sharing load reports cost a relay.
+type fleetUse struct {
+	byteRate, cores, memory estimate
+}
+
+func (e estimator) fleetUse() fleetUse {
+	return fleetUse{
+		byteRate: e.cost(FleetByteRate, e.Relays),
+		cores:    e.cost(FleetCores, e.Relays),
+		memory:   e.cost(FleetMemory, e.Relays),
+	}
+}
+
+func (e estimator) fleetFigures(fleet fleetUse) []Figure {
+	members := derived(e.Relays, "").figure("membership: relays that hear of each other", Count, fleetMechanism)
+	members.Consequence = "it does not start with the table"
+	published := derived(e.ActiveDestinations(), "").
+		figure("what is shared: destinations told of at once", Count, fleetMechanism)
+	published.Consequence = "of the others it tells nothing"
+	quotas := derived(e.Destinations, "").figure("rights: limits lent", Count, quotaMechanism)
+	quotas.Consequence = "the others go by their even parts"
+
+	datagrams := e.cost(FleetDatagramRate, e.Relays)
+	idle := e.cost(FleetIdleByteRate, e.Relays)
+	propagation := e.cost(FleetPropagationTime, e.Relays)
+	quotaBytes := e.cost(FleetQuotaByteRate, e.Relays)
+	figure := func(name string, unit Unit, value estimate, mechanism string) Figure {
+		return e.withControlPlaneBudget(value.figure(name, unit, mechanism))
+	}
+	return []Figure{
+		e.withMeasuredBudget(members, FleetMaxMembers),
+		datagrams.figure("membership and what is shared: messages out", Rate, fleetMechanism),
+		figure("membership alone: bytes out", ByteRate, idle, fleetMechanism),
+		figure("membership and what is shared: bytes out", ByteRate, fleet.byteRate, fleetMechanism),
+		figure("membership and what is shared: processor", Cores, fleet.cores, fleetMechanism),
+		figure("membership and what is shared: memory", Bytes, fleet.memory, fleetMechanism),
+		propagation.figure("what is shared: a change known to all", Seconds, fleetMechanism).
+			withBudget(e.MaxPropagationTime, propagationBudget),
+		e.withMeasuredBudget(published, FleetMaxPublished),
+		e.withMeasuredBudget(quotas, FleetMaxQuotas),
+		figure("rights: bytes out for 1,000 limits", ByteRate, quotaBytes, quotaMechanism),
+	}
+}
+
+// withControlPlaneBudget returns a figure with the control plane's budget for its unit.
+func (e estimator) withControlPlaneBudget(f Figure) Figure {
+	budget := map[Unit]float64{
+		Cores:    e.ControlPlane.Cores,
+		Bytes:    e.ControlPlane.Memory,
+		ByteRate: e.ControlPlane.ByteRate,
+	}[f.Unit]
+	return f.withBudget(budget, controlPlaneBudget)
+}
+
+// withMeasuredBudget returns a figure whose budget is the largest size of a series that passed. Its value is unknown if
+// no size failed and none was as large.
+func (e estimator) withMeasuredBudget(f Figure, name string) Figure {
+	l := e.limit(name)
+	switch {
+	case !l.measured:
+		f.Value, f.Derivation = math.NaN(), fmt.Sprintf("`%s`: %v", name, errNotMeasured)
+	case l.found:
+		f = f.withBudget(l.passed, measuredBudget)
+		f.Derivation = l.derivation()
+	default:
+		f.Derivation = fmt.Sprintf("`%s`: none of the sizes measured was too large, up to %s",
+			name, formatInteger(l.largest))
+		if l.largest < f.Value {
+			f.Value = math.NaN()
+		}
+	}
+	return f
+}
+
+// total returns what the endpoint list and the fleet take of one budget together. An unknown part is left out: the sum
+// then counts only if it exceeds the budget without that part.
+func (e estimator) total(name string, unit Unit, list, fleet float64) Figure {
+	var sum float64
+	var known []string
+	for _, part := range []struct {
+		name  string
+		value float64
+	}{
+		{"the list", list},
+		{"membership and what is shared with two busy pages", fleet},
+	} {
+		if !math.IsNaN(part.value) {
+			sum += part.value
+			known = append(known, part.name+" "+Format(part.value, unit))
+		}
+	}
+	f := derived(sum, "%s", strings.Join(known, ", ")).figure(name, unit, listMechanism+", "+fleetMechanism)
+	f = e.withControlPlaneBudget(f)
+	if len(known) < 2 {
+		f.Derivation += "; the rest is not measured"
+		if f.Value <= f.Budget {
+			f.Value = math.NaN()
+		}
+	}
+	return f
+}
--- a/internal/capacity/data.go
+++ b/internal/capacity/data.go
@@ -1,36 +1,40 @@
 package capacity
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
 )
 
-// Data is all that was measured, one run for each program: it stands beside the page, which is made of it.
+// Data is everything that was measured: one run for each program. It is stored as docs/capacity.json.
 type Data struct {
 	Runs []Run `json:"runs"`
 }
 
-// Names of the programs that are compared.
+// Program names one of the programs that are compared.
+type Program string
+
+// The programs.
 const (
-	Before  = "before"   // as it was when the tables were first made
-	InForce = "in force" // as it is
+	Baseline Program = "before"   // the program for which the tables were first made
+	Current  Program = "in force" // the program as it is
 )
 
 // Run is what was measured of one program.
 type Run struct {
-	Program string   `json:"program"` // Before or InForce
-	Date    string   `json:"date"`
-	Commit  string   `json:"commit"`
-	Machine Machine  `json:"machine"`
-	Quick   bool     `json:"quick,omitempty"`   // at the smaller sizes alone
-	AtRest  bool     `json:"at_rest,omitempty"` // its module is told of the destinations that are awake alone
-	Seconds float64  `json:"seconds"`           // that it took
-	Series  []Series `json:"series"`
+	Program    Program  `json:"program"`
+	Date       string   `json:"date"`
+	Commit     string   `json:"commit"`
+	Machine    Machine  `json:"machine"`
+	Quick      bool     `json:"quick,omitempty"`   // only the smaller sizes were measured
+	ActiveOnly bool     `json:"at_rest,omitempty"` // the program's engine knows the active destinations only
+	Seconds    float64  `json:"seconds"`           // duration of the measurement
+	Series     []Series `json:"series"`
 }
 
-// Machine is what was measured on.
+// Machine is the computer that the measurements were made on.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int    `json:"memory_mb"`
@@ -40,37 +44,38 @@
 // Series is a cost at several sizes.
 type Series struct {
 	Name   string  `json:"name"`
-	Axis   string  `json:"axis"` // what N counts
-	Unit   Unit    `json:"unit"`
+	Axis   string  `json:"axis"` // what the sizes count
+	Unit   Unit    `json:"unit"` // of the cost
 	Points []Point `json:"points"`
-	// Why tells why a line that bends may be drawn out beyond ten times its largest size; "": it may not.
-	Why string `json:"why,omitempty"`
-	// Hollow tells what the measurement left out, and what that hides.
-	Hollow string `json:"hollow,omitempty"`
+	// ExtrapolationReason says why a nonlinear model of this series may be extrapolated beyond maxExtrapolation. Empty:
+	// it may not.
+	ExtrapolationReason string `json:"why,omitempty"`
+	// Limitations says what the measurement left out.
+	Limitations string `json:"hollow,omitempty"`
 }
 
-// Point is one reading. A size at which what is measured did not come to an end has no value.
+// Point is one measurement. A size at which the measured operation never completed has no value.
 type Point struct {
-	N       float64 `json:"n"`
-	Value   float64 `json:"value"`
-	Stopped bool    `json:"stopped,omitempty"`
+	Size   float64 `json:"n"`
+	Value  float64 `json:"value"`
+	Failed bool    `json:"stopped,omitempty"`
 }
 
-// Unit is what a value counts.
+// Unit is the unit of a value.
 type Unit string
 
 // The units.
 const (
-	Bytes     Unit = "B"
-	ByteRate  Unit = "B/s"
-	Seconds   Unit = "s"
-	Cores     Unit = "cores"
-	Rate      Unit = "/s"
-	Count     Unit = ""
-	CountADay Unit = "/day"
+	Bytes       Unit = "B"
+	ByteRate    Unit = "B/s"
+	Seconds     Unit = "s"
+	Cores       Unit = "cores"
+	Rate        Unit = "/s"
+	Count       Unit = ""
+	CountPerDay Unit = "/day"
 )
 
-// Parse reads Data. Series of one name in a run, sizes that do not rise, and unknown programs are errors.
+// Parse reads Data. It rejects unknown programs, two series of one name in a run, and sizes that decrease.
 func Parse(data []byte) (Data, error) {
 	var d Data
 	if err := json.Unmarshal(data, &d); err != nil {
@@ -78,29 +83,30 @@
 	}
 	var errs []error
 	for _, r := range d.Runs {
-		if r.Program != Before && r.Program != InForce {
-			errs = append(errs, fmt.Errorf("capacity: a run of program %q", r.Program))
+		errs = append(errs, r.validate())
+	}
+	return d, errors.Join(errs...)
+}
+
+func (r Run) validate() error {
+	var errs []error
+	if r.Program != Baseline && r.Program != Current {
+		errs = append(errs, fmt.Errorf("capacity: a run of program %q", r.Program))
+	}
+	seen := map[string]bool{}
+	for _, s := range r.Series {
+		if seen[s.Name] {
+			errs = append(errs, fmt.Errorf("capacity: %s: series %s twice", r.Program, s.Name))
 		}
-		seen := map[string]bool{}
-		for _, s := range r.Series {
-			if seen[s.Name] {
-				errs = append(errs, fmt.Errorf("capacity: %s: series %s twice", r.Program, s.Name))
-			}
-			seen[s.Name] = true
-			if !slices.IsSortedFunc(s.Points, func(a, b Point) int {
-				if a.N < b.N {
-					return -1
-				}
-				return 1
-			}) {
-				errs = append(errs, fmt.Errorf("capacity: %s: sizes of %s do not rise", r.Program, s.Name))
-			}
+		seen[s.Name] = true
+		if !slices.IsSortedFunc(s.Points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) }) {
+			errs = append(errs, fmt.Errorf("capacity: %s: sizes of %s do not rise", r.Program, s.Name))
 		}
 	}
-	return d, errors.Join(errs...)
+	return errors.Join(errs...)
 }
 
-// Bytes is d's form in a file.
+// Bytes returns the stored form of d.
 func (d Data) Bytes() ([]byte, error) {
 	data, err := json.MarshalIndent(d, "", " ")
 	if err != nil {
@@ -109,14 +115,14 @@
 	return append(data, '\n'), nil
 }
 
-// Add puts a run in: its series go before those of the same names that the program's run had; the others stay.
+// Add adds a run. Its series replace those of the same names in the program's earlier run; the others stay.
 func (d *Data) Add(r Run) {
-	for i, old := range d.Runs {
-		if old.Program != r.Program {
+	for i, earlier := range d.Runs {
+		if earlier.Program != r.Program {
 			continue
 		}
-		for _, s := range old.Series {
-			if !slices.ContainsFunc(r.Series, func(x Series) bool { return x.Name == s.Name }) {
+		for _, s := range earlier.Series {
+			if _, replaced := r.series(s.Name); !replaced {
 				r.Series = append(r.Series, s)
 			}
 		}
@@ -127,7 +133,7 @@
 }
 
 // Run returns the run of a program.
-func (d Data) Run(program string) (Run, bool) {
+func (d Data) Run(program Program) (Run, bool) {
 	for _, r := range d.Runs {
 		if r.Program == program {
 			return r, true
@@ -136,12 +142,12 @@
 	return Run{}, false
 }
 
-// Latest is the run of the program in force; before one was measured, that of the program before.
+// Latest returns the run of the current program or, if there is none, of the baseline.
 func (d Data) Latest() (Run, bool) {
-	if r, ok := d.Run(InForce); ok {
+	if r, ok := d.Run(Current); ok {
 		return r, true
 	}
-	return d.Run(Before)
+	return d.Run(Baseline)
 }
 
 func (r Run) series(name string) (Series, bool) {
@@ -152,3 +158,15 @@
 	}
 	return Series{}, false
 }
+
+// largestPassed returns the largest size that completed below the first one that failed, and that first one. It is
+// false if no size failed.
+func (s Series) largestPassed() (passed, failed float64, ok bool) {
+	for _, p := range s.Points {
+		if p.Failed {
+			return passed, p.Size, true
+		}
+		passed = p.Size
+	}
+	return 0, 0, false
+}
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,84 +7,104 @@
 	"strings"
 )
 
-// Format writes a value with its unit, in three figures.
-func Format(v float64, u Unit) string {
+const (
+	significantDigits = 3
+	// maxDecimals is the number of decimals beyond which a small number is written with an exponent.
+	maxDecimals = 6
+	// maxExactCount is the count from which on three digits are enough.
+	maxExactCount = 1e6
+	// maxExactInteger is well below the integers that a float64 does not hold exactly.
+	maxExactInteger = 1e15
+)
+
+// Format returns a value with its unit, in three significant digits.
+func Format(value float64, unit Unit) string {
 	switch {
-	case math.IsNaN(v):
+	case math.IsNaN(value):
 		return "?"
-	case math.IsInf(v, 1):
+	case math.IsInf(value, 1):
 		return "none found"
 	}
-	switch u {
+	switch unit {
 	case Bytes, ByteRate:
-		for _, p := range []struct {
-			size float64
-			name string
-		}{{1e12, "TB"}, {1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}} {
-			if math.Abs(v) >= p.size {
-				return short(v/p.size) + " " + p.name + strings.TrimPrefix(string(u), "B")
-			}
-		}
-		return short(v) + " " + string(u)
+		return formatBytes(value, unit)
 	case Seconds:
-		switch a := math.Abs(v); {
-		case a == 0 || a >= 1:
-			return short(v) + " s"
-		case a >= 1e-3:
-			return short(v*1e3) + " ms"
-		}
-		return short(v*1e6) + " us"
+		return formatSeconds(value)
 	case Cores:
-		return short(100*v) + " % of a core"
+		return formatSignificant(100*value) + " % of a core"
 	case Count:
-		if v == math.Trunc(v) && math.Abs(v) < 1e6 {
-			return exact(v)
+		if value == math.Trunc(value) && math.Abs(value) < maxExactCount {
+			return formatInteger(value)
 		}
-		return short(v)
-	case CountADay:
-		return short(v) + " a day"
+		return formatSignificant(value)
+	case CountPerDay:
+		return formatSignificant(value) + " a day"
 	}
-	return short(v) + " " + string(u)
+	return formatSignificant(value) + " " + string(unit)
 }
 
-// short writes a number in three figures, with commas between thousands.
-func short(v float64) string {
-	if v == 0 {
-		return "0"
+func formatBytes(value float64, unit Unit) string {
+	for _, prefix := range []struct {
+		size float64
+		name string
+	}{{1e12, "TB"}, {1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}} {
+		if math.Abs(value) >= prefix.size {
+			return formatSignificant(value/prefix.size) + " " + prefix.name + strings.TrimPrefix(string(unit), "B")
+		}
 	}
-	digits := max(0, 2-int(math.Floor(math.Log10(math.Abs(v)))))
-	if digits > 6 {
-		return strconv.FormatFloat(v, 'g', 3, 64)
+	return formatSignificant(value) + " " + string(unit)
+}
+
+func formatSeconds(value float64) string {
+	switch magnitude := math.Abs(value); {
+	case magnitude == 0 || magnitude >= 1:
+		return formatSignificant(value) + " s"
+	case magnitude >= 1e-3:
+		return formatSignificant(value*1e3) + " ms"
 	}
-	if unit := math.Pow(10, math.Floor(math.Log10(math.Abs(v)))-2); unit > 1 {
-		v = math.Round(v/unit) * unit
+	return formatSignificant(value*1e6) + " us"
+}
+
+// formatSignificant returns a number in three significant digits, with commas between thousands.
+func formatSignificant(value float64) string {
+	if value == 0 {
+		return "0"
 	}
-	s := strconv.FormatFloat(v, 'f', digits, 64)
-	if strings.Contains(s, ".") {
-		s = strings.TrimRight(strings.TrimRight(s, "0"), ".")
+	exponent := int(math.Floor(math.Log10(math.Abs(value))))
+	decimals := max(0, significantDigits-1-exponent)
+	if decimals > maxDecimals {
+		return strconv.FormatFloat(value, 'g', significantDigits, 64)
 	}
-	whole, rest, dot := strings.Cut(s, ".")
-	sign := ""
-	if strings.HasPrefix(whole, "-") {
-		sign, whole = "-", whole[1:]
+	if unit := math.Pow(10, float64(exponent-(significantDigits-1))); unit > 1 {
+		value = math.Round(value/unit) * unit
 	}
-	for i := len(whole) - 3; i > 0; i -= 3 {
-		whole = whole[:i] + "," + whole[i:]
+	text := strconv.FormatFloat(value, 'f', decimals, 64)
+	if strings.Contains(text, ".") {
+		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	if dot {
-		return sign + whole + "." + rest
+	return groupThousands(text)
+}
+
+// formatInteger returns an integer in all its digits, with commas between thousands.
+func formatInteger(value float64) string {
+	if value != math.Trunc(value) || math.Abs(value) > maxExactInteger {
+		return formatSignificant(value)
 	}
-	return sign + whole
+	return groupThousands(fmt.Sprintf("%.0f", value))
 }
 
-// exact writes a whole number with all its figures.
-func exact(v float64) string {
-	if v != math.Trunc(v) || math.Abs(v) > 1e15 {
-		return short(v)
+// groupThousands puts commas between the thousands of a decimal number.
+func groupThousands(number string) string {
+	sign := ""
+	if strings.HasPrefix(number, "-") {
+		sign, number = "-", number[1:]
+	}
+	integer, fraction, hasFraction := strings.Cut(number, ".")
+	for i := len(integer) - 3; i > 0; i -= 3 {
+		integer = integer[:i] + "," + integer[i:]
 	}
-	s := fmt.Sprintf("%.0f", v)
-	for i := len(s) - 3; i > 0; i -= 3 {
-		s = s[:i] + "," + s[i:]
+	if hasFraction {
+		return sign + integer + "." + fraction
 	}
-	return s
+	return sign + integer
 }
--- a/internal/capacity/golden_test.go
+++ b/internal/capacity/golden_test.go
@@ -12,12 +12,12 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// measured is where the figures of the capacity page stand.
-const measured = "../../docs/capacity.json"
+// dataFile holds the measurements that the capacity page is generated from.
+const dataFile = "../../docs/capacity.json"
 
 // The figures that stand beside the page are read, and written again byte by byte.
 func TestGoldenMeasuredData(t *testing.T) {
-	file, err := os.ReadFile(measured)
+	file, err := os.ReadFile(dataFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 func TestGoldenData(t *testing.T) {
 	const name = "data.json"
 	full := golden.Fill(&Run{})
-	full.Program = InForce
-	want := Data{Runs: []Run{{Program: Before, Series: []Series{{Name: "sparse", Points: []Point{{}}}}}, *full}}
+	full.Program = Current
+	want := Data{Runs: []Run{{Program: Baseline, Series: []Series{{Name: "sparse", Points: []Point{{}}}}}, *full}}
 	data, err := want.Bytes()
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/capacity/outage.go
@@ -0,0 +1,86 @@
+package capacity
+
+import "fmt"
+
+const secondsPerHour = 3600
+
+// Outage is what the loss of a part of the fleet costs.
+type Outage struct {
+	Name                string
+	LostRelays          float64 // that do not serve, or are cut off
+	MessageRate         float64 // of each remaining relay
+	Cores               float64 // of each remaining relay
+	UnreachableMessages float64 // until the machines are back
+	QueuedMessages      float64 // that each relay concerned has queued in addition, at the end
+	QueuedBytes         float64 // of these messages, on disk
+	SnapshotBytes       float64 // of the endpoint snapshots that are sent again
+	StartupTime         float64 // of a relay with its backlog
+	Guarantees          string  // what becomes of the guarantees to clients
+}
+
+const journalOnOneDisk = "what they had taken on waits on their disks, past its time if they stay away; " +
+	"nothing is repeated; a disk that is lost loses it, as nothing else holds it"
+
+// Outages returns the outages that the target names.
+func Outages(t Target, r Run) []Outage {
+	e := estimator{t, r}
+	machine := e.lostRelays(1)
+	machine.Name = fmt.Sprintf("one machine, %s a day", formatInteger(t.MachineFailures))
+	rack := e.lostRelays(t.RackRelays)
+	rack.Name = fmt.Sprintf("a rack or switch (%s relays), every month or two", formatInteger(t.RackRelays))
+	zone := e.lostRelays(t.ZoneRelays())
+	zone.Name = "a zone, every other month"
+	zone.Guarantees += ". A keyed message that may have run is repeated in its own zone alone: these wait for the zone"
+	return []Outage{machine, rack, zone, e.isolatedRegion(), e.dailyRestarts()}
+}
+
+// lostRelays is the outage of some relays, whose load the others take over.
+func (e estimator) lostRelays(lost float64) Outage {
+	rate := e.RelayMessageRate() * e.Relays / (e.Relays - lost)
+	return Outage{
+		LostRelays:          lost,
+		MessageRate:         rate,
+		Cores:               e.cost(RelayCores, rate).value,
+		UnreachableMessages: lost * e.RelayBacklog(),
+		SnapshotBytes:       lost * e.cost(SnapshotBytes, e.Destinations).value,
+		StartupTime:         e.cost(RelayRecoveryTime, e.RelayBacklog()).value,
+		Guarantees:          journalOnOneDisk,
+	}
+}
+
+// isolatedRegion is a region that is cut off from the others for an hour.
+func (e estimator) isolatedRegion() Outage {
+	rate := e.RelayMessageRate()
+	// Destinations are taken as spread evenly over the regions.
+	toOtherRegions := rate * (e.Regions - 1) / e.Regions * secondsPerHour
+	toThisRegion := rate / e.Regions * secondsPerHour
+	diskPerMessage := e.cost(JournalDisk, e.RelayBacklog()).value / e.RelayBacklog()
+	return Outage{
+		Name:           "a region cut off for an hour",
+		LostRelays:     e.RegionRelays(),
+		MessageRate:    rate,
+		Cores:          e.cost(RelayCores, rate).value,
+		QueuedMessages: toOtherRegions,
+		QueuedBytes:    diskPerMessage * toOtherRegions,
+		StartupTime:    e.cost(RelayRecoveryTime, e.RelayBacklog()).value,
+		Guarantees: fmt.Sprintf("each of its relays holds the %s of its events that go to other regions "+
+			"(destinations taken as spread evenly), the others hold %s each; "+
+			"messages whose time is under an hour end as undeliverable or deferred",
+			Format(toOtherRegions, Count), Format(toThisRegion, Count)),
+	}
+}
+
+// dailyRestarts is the restarts of one day together.
+func (e estimator) dailyRestarts() Outage {
+	startup := e.cost(RelayRecoveryTime, e.RelayBacklog()).value
+	return Outage{
+		Name:          fmt.Sprintf("%s restarts a day", formatInteger(e.Restarts)),
+		LostRelays:    e.Restarts * startup / secondsPerDay,
+		MessageRate:   e.RelayMessageRate(),
+		Cores:         e.cost(RelayCores, e.RelayMessageRate()).value,
+		SnapshotBytes: e.Restarts * e.cost(SnapshotBytes, e.Destinations).value,
+		StartupTime:   startup,
+		Guarantees: "none is broken: calls out may finish or count as may-have-run, " +
+			"and what waits is taken up again when the relay is ready; until then it is late by that much",
+	}
+}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,69 +1,92 @@
-// Package capacity works out what a fleet of a size to design for asks of each of its parts: from slopes that were
-// measured at three sizes or more, by arithmetic that a test holds, into the tables of docs/CAPACITY.md. It is pure:
-// what is measured comes as Data.
+// Package capacity works out what a fleet of the design target needs: it fits models to costs that were measured at
+// three sizes or more, extrapolates them to the target, compares the results with budgets and writes the tables of
+// docs/CAPACITY.md. It is pure: measurements come as Data.
 package capacity
 
-// Target is the size to design for, and what may be spent on it. Rates are by the second, times in seconds, amounts in
-// bytes.
-type Target struct {
-	Relays       float64
-	Events       float64 // a second, that all relays take
-	Destinations float64
-	Down         float64 // share of the destinations that are down at any time
-	Backlog      float64 // messages, of all relays
-	Regions      float64
-	Zones        float64
-	Changes      float64 // of configuration, a day
-	InForce      float64 // everywhere within this
+import "math"
 
-	ControlCores    float64 // of a relay, for its control
-	ControlMemory   float64
-	ControlBytes    float64 // a second
-	ControlMachines float64
+// secondsPerDay is the length of a day.
+const secondsPerDay = 86_400
 
-	FailedADay    float64 // machines
-	RestartedADay float64 // relays
+// heartbeatRate is how often discovery sends an empty line on a watch, per second.
+const heartbeatRate = 0.5
 
-	// What the operators' page does not tell, and is taken here.
-	Endpoints float64 // of a destination
-	Body      float64 // of a message
-	Rest      float64 // a destination without traffic is awake for so long: the default of warm_within_ms
-	Rack      float64 // relays behind one switch
-	Cores     float64 // of a relay, for all that it does
-	ReadyIn   float64 // a restarted relay
+// Target is the fleet to design for, and the budgets that it may use. Rates are per second, times in seconds, amounts
+// in bytes, unless a field says otherwise.
+type Target struct {
+	Relays               float64
+	MessageRate          float64 // of all relays together
+	Destinations         float64
+	UnavailableFraction  float64 // of the destinations, at any time
+	Backlog              float64 // messages queued in all relays together
+	Regions              float64
+	Zones                float64
+	ChangesPerDay        float64 // of the endpoint list
+	MaxPropagationTime   float64 // of a change, to all relays
+	ControlPlane         ResourceBudget
+	ControlMachines      float64
+	MachineFailures      float64 // per day
+	Restarts             float64 // of relays, per day
+	DestinationEndpoints float64 // endpoints of one destination
+	IdleTimeout          float64 // how long a destination is active after its last message; default of warm_within_ms
+	RackRelays           float64 // relays behind one switch
+	RelayCores           float64 // that one relay may use
+	MaxStartupTime       float64 // until a restarted relay is ready
 }
 
-// Design is the operators' target.
+// ResourceBudget is what the control plane of one relay may use.
+type ResourceBudget struct {
+	Cores    float64
+	Memory   float64
+	ByteRate float64
+}
+
+// Design returns the operators' target. The operators' page does not say DestinationEndpoints, IdleTimeout, RackRelays,
+// RelayCores and MaxStartupTime: they are assumptions.
 func Design() Target {
 	return Target{
-		Relays: 2600, Events: 1.2e6, Destinations: 140_000, Down: 0.016, Backlog: 5.2e9, Regions: 8, Zones: 19, Changes: 12_000, InForce: 3,
-		ControlCores: 0.042, ControlMemory: 128e6, ControlBytes: 13e3, ControlMachines: 14, FailedADay: 12, RestartedADay: 390,
-		Endpoints: 2, Body: 1000, Rest: 30, Rack: 24, Cores: 1, ReadyIn: 10,
+		Relays:               2600,
+		MessageRate:          1.2e6,
+		Destinations:         140_000,
+		UnavailableFraction:  0.016,
+		Backlog:              5.2e9,
+		Regions:              8,
+		Zones:                19,
+		ChangesPerDay:        12_000,
+		MaxPropagationTime:   3,
+		ControlPlane:         ResourceBudget{Cores: 0.042, Memory: 128e6, ByteRate: 13e3},
+		ControlMachines:      14,
+		MachineFailures:      12,
+		Restarts:             390,
+		DestinationEndpoints: 2,
+		IdleTimeout:          30,
+		RackRelays:           24,
+		RelayCores:           1,
+		MaxStartupTime:       10,
 	}
 }
 
-const day = 86_400 // seconds
-
-// PerRelay is what a relay takes, events a second.
-func (t Target) PerRelay() float64 { return t.Events / t.Relays }
+// RelayMessageRate is the message rate of one relay.
+func (t Target) RelayMessageRate() float64 { return t.MessageRate / t.Relays }
 
-// PerDestination is what a destination is sent by all, events a second.
-func (t Target) PerDestination() float64 { return t.Events / t.Destinations }
+// DestinationMessageRate is the message rate to one destination, of all relays together.
+func (t Target) DestinationMessageRate() float64 { return t.MessageRate / t.Destinations }
 
-// Between is how long a relay waits for its next event to one destination, in seconds.
-func (t Target) Between() float64 { return t.Relays / t.PerDestination() }
+// MessageInterval is the mean time between two messages of one relay to one destination.
+func (t Target) MessageInterval() float64 { return t.Relays / t.DestinationMessageRate() }
 
-// HeldByRelay is a relay's backlog, messages.
-func (t Target) HeldByRelay() float64 { return t.Backlog / t.Relays }
+// RelayBacklog is the number of messages queued in one relay.
+func (t Target) RelayBacklog() float64 { return t.Backlog / t.Relays }
 
-// InZone is the relays of a zone.
-func (t Target) InZone() float64 { return t.Relays / t.Zones }
+// ZoneRelays is the number of relays in one zone.
+func (t Target) ZoneRelays() float64 { return t.Relays / t.Zones }
 
-// InRegion is the relays of a region.
-func (t Target) InRegion() float64 { return t.Relays / t.Regions }
+// RegionRelays is the number of relays in one region.
+func (t Target) RegionRelays() float64 { return t.Relays / t.Regions }
 
-// Awake is how many destinations a relay has had an event to within Rest, with those that are down.
-func (t Target) Awake() float64 {
-	busy := 1 - exp(-t.Rest/t.Between())
-	return t.Destinations * (t.Down + (1-t.Down)*busy)
+// ActiveDestinations is the number of destinations that one relay has had a message for within IdleTimeout, and of
+// those that are unavailable.
+func (t Target) ActiveDestinations() float64 {
+	recentlyUsed := 1 - math.Exp(-t.IdleTimeout/t.MessageInterval())
+	return t.Destinations * (t.UnavailableFraction + (1-t.UnavailableFraction)*recentlyUsed)
 }
