--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -36,11 +36,11 @@
 
 // FleetWrong is what is wrong with the links of all relays. The zero value is nothing.
 type LinkFaults struct {
-	LastReceivedWins  bool // what is heard last goes before what is newest
-	FrozenAges bool // what is told on is told with the age that it had when it was heard
-	NoLimits  bool // absurd figures are taken
-	NoTransitTime bool // what was held up on its way, or by a process that was stopped, is taken for fresh
-	AcceptsStrangers   bool // whoever tells is heard, listed or not
+	LastReceivedWins bool // what is heard last goes before what is newest
+	FrozenAges       bool // what is told on is told with the age that it had when it was heard
+	NoLimits         bool // absurd figures are taken
+	NoTransitTime    bool // what was held up on its way, or by a process that was stopped, is taken for fresh
+	AcceptsStrangers bool // whoever tells is heard, listed or not
 }
 
 func (m *Mutant) fleet() LinkFaults {
--- a/internal/simulation/emulate/measures.go
+++ b/internal/simulation/emulate/measures.go
@@ -12,23 +12,23 @@
 
 // Measures are what a run is counted by as it goes, in a room that does not grow with the messages.
 type Metrics struct {
-	Submitted     int // first tries
-	DeliveredInTime      int // delivered within the aim
+	Submitted          int // first tries
+	DeliveredInTime    int // delivered within the aim
 	DeliveredLate      int // delivered after it
-	Rejected     int // hand-ins turned away at the door, further tries too
-	Deferred    int // notices that tell to come again
-	Failed      int // notices that promise nothing, and answers that are neither taken nor refused
-	Unanswered  int // hand-ins without an answer
-	Calls       int // that were written
-	CallsServed     int
-	CallsRejected   int
-	CallsFailed int
-	ConnectionsOpened      int // connections to hosts
-	ConnectionsRefused   int // connections that a host with a full table refused
-	Overloads        int // places pushed over
-	Steps       int // of modules
-	Events      int // told to them
-	Activations       int // destinations that modules were told of when there was work for them
+	Rejected           int // hand-ins turned away at the door, further tries too
+	Deferred           int // notices that tell to come again
+	Failed             int // notices that promise nothing, and answers that are neither taken nor refused
+	Unanswered         int // hand-ins without an answer
+	Calls              int // that were written
+	CallsServed        int
+	CallsRejected      int
+	CallsFailed        int
+	ConnectionsOpened  int // connections to hosts
+	ConnectionsRefused int // connections that a host with a full table refused
+	Overloads          int // places pushed over
+	Steps              int // of modules
+	Events             int // told to them
+	Activations        int // destinations that modules were told of when there was work for them
 
 	classes []eventlog.Class
 	worth   []float64 // asked for, in each second
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -13,20 +13,20 @@
 // journal keeps. The module itself is as it is. Mutants show which scenario, emulation or check can tell a broken relay
 // from a sound one.
 type Mutant struct {
-	Name  string
+	Name        string
 	Description string
-	Rule  checker.Rule // that it breaks; "": none, and Equivalent says why
+	Rule        checker.Rule // that it breaks; "": none, and Equivalent says why
 	// Equivalent says why a mutant breaks nothing. Its decisions are then those of a sound relay, which a test shows.
 	Equivalent string
 
-	ChangeSettings   func(*policy.Settings)                                    // what the module is told at its start
-	ChangeEvent func(e *policy.Event) (late time.Duration)                // changes an event, or tells it later; ignored: Never
-	AllowsAction  func(a *policy.Action) bool                               // false: not carried out
+	ChangeSettings func(*policy.Settings)                                    // what the module is told at its start
+	ChangeEvent    func(e *policy.Event) (late time.Duration)                // changes an event, or tells it later; ignored: Never
+	AllowsAction   func(a *policy.Action) bool                               // false: not carried out
 	ForgetsMessage func(finalDecided, mayRun bool, id policy.MessageID) bool // a restart forgets this message
-	DropsNotice func(id policy.MessageID) bool                            // the notice for this message is not sent
+	DropsNotice    func(id policy.MessageID) bool                            // the notice for this message is not sent
 	UsesWallClock  bool                                                      // its journal goes by the wall clock
 	JournalDelay   time.Duration                                             // so long after it was due something is in the journal
-	LinkFaults LinkFaults                                                // what is wrong with the links between relays
+	LinkFaults     LinkFaults                                                // what is wrong with the links between relays
 }
 
 // Never, returned by Mutant.Hears, leaves an event out.
@@ -203,9 +203,9 @@
 			ForgetsMessage: func(bool, bool, policy.MessageID) bool { return true },
 		},
 		{
-			Name:  "no-notices",
+			Name:        "no-notices",
 			Description: "what is given up on is told to nobody",
-			Rule:  checker.NoMessageLost,
+			Rule:        checker.NoMessageLost,
 			DropsNotice: func(policy.MessageID) bool { return true },
 		},
 		{
@@ -213,9 +213,9 @@
 			AllowsAction: func(a *policy.Action) bool { return a.Kind != policy.Fail && a.Kind != policy.Reject },
 		},
 		{
-			Name:  "some-notices-lost",
+			Name:        "some-notices-lost",
 			Description: "one notice in 25 is not sent",
-			Rule:  checker.NoMessageLost,
+			Rule:        checker.NoMessageLost,
 			DropsNotice: func(id policy.MessageID) bool { return id%25 == 0 },
 		},
 		{
@@ -223,10 +223,10 @@
 			ForgetsMessage: func(final, _ bool, _ policy.MessageID) bool { return final }, DropsNotice: func(id policy.MessageID) bool { return false },
 		},
 		{
-			Name:  "logged-late",
-			Description: "what is taken on is in the journal 30 ms after the client was told",
-			Rule:  checker.NoMessageLost,
-			JournalDelay:   30 * ms,
+			Name:         "logged-late",
+			Description:  "what is taken on is in the journal 30 ms after the client was told",
+			Rule:         checker.NoMessageLost,
+			JournalDelay: 30 * ms,
 		},
 
 		{
@@ -238,10 +238,10 @@
 			}),
 		},
 		{
-			Name:  "any-zone",
-			Description: "keyed repeats go to any zone",
-			Rule:  checker.NoDuplicateEffect,
-			ChangeSettings:   eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
+			Name:           "any-zone",
+			Description:    "keyed repeats go to any zone",
+			Rule:           checker.NoDuplicateEffect,
+			ChangeSettings: eachClass(func(c *policy.Class) { c.DedupAllZones = true }),
 		},
 		{
 			Name: "no-window", Description: "keyed repeats go at any time", Rule: checker.NoDuplicateEffect,
@@ -278,21 +278,21 @@
 			ChangeEvent: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
 		},
 		{
-			Name:  "news-3s-late",
+			Name:        "news-3s-late",
 			Description: "the list is heeded 3 s after it was told",
-			Rule:  checker.DrainRespected,
+			Rule:        checker.DrainRespected,
 			ChangeEvent: lateNews(3 * time.Second),
 		},
 		{
-			Name:  "news-1.4s-late",
+			Name:        "news-1.4s-late",
 			Description: "the list is heeded 1.4 s after it was told",
-			Rule:  checker.DrainRespected,
+			Rule:        checker.DrainRespected,
 			ChangeEvent: lateNews(1400 * ms),
 		},
 		{
-			Name:  "news-1.1s-late",
+			Name:        "news-1.1s-late",
 			Description: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
-			Rule:  checker.DrainRespected,
+			Rule:        checker.DrainRespected,
 			ChangeEvent: lateNews(1100 * ms),
 		},
 
@@ -318,10 +318,10 @@
 		},
 
 		{
-			Name:  "no-order",
-			Description: "messages of a key do not take turns",
-			Rule:  checker.OrderKept,
-			ChangeSettings:   eachClass(func(c *policy.Class) { c.Ordered = false }),
+			Name:           "no-order",
+			Description:    "messages of a key do not take turns",
+			Rule:           checker.OrderKept,
+			ChangeSettings: eachClass(func(c *policy.Class) { c.Ordered = false }),
 		},
 		{
 			Name: "some-keys-lost", Description: "one message in six has no key", Rule: checker.OrderKept,
@@ -333,28 +333,28 @@
 			},
 		},
 		{
-			Name:  "no-pause",
-			Description: "a key does not rest after a call that may still run",
-			Rule:  checker.OrderKept,
-			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause = 0 },
+			Name:           "no-pause",
+			Description:    "a key does not rest after a call that may still run",
+			Rule:           checker.OrderKept,
+			ChangeSettings: func(s *policy.Settings) { s.OrderingPause = 0 },
 		},
 		{
-			Name:  "half-a-pause",
-			Description: "a key rests half as long",
-			Rule:  checker.OrderKept,
-			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause /= 2 },
+			Name:           "half-a-pause",
+			Description:    "a key rests half as long",
+			Rule:           checker.OrderKept,
+			ChangeSettings: func(s *policy.Settings) { s.OrderingPause /= 2 },
 		},
 		{
-			Name:  "pause-too-short",
-			Description: "a key rests 100 ms less than it must",
-			Rule:  checker.OrderKept,
-			ChangeSettings:   func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
+			Name:           "pause-too-short",
+			Description:    "a key rests 100 ms less than it must",
+			Rule:           checker.OrderKept,
+			ChangeSettings: func(s *policy.Settings) { s.OrderingPause -= 100 * ms },
 		},
 
 		{
-			Name:  "waits-dropped",
+			Name:        "waits-dropped",
 			Description: "told waits are not heard",
-			Rule:  checker.RetryAfterRespected,
+			Rule:        checker.RetryAfterRespected,
 			ChangeEvent: waitAs(func(*policy.Event) time.Duration { return 0 }),
 		},
 		{
@@ -367,21 +367,21 @@
 			}),
 		},
 		{
-			Name:  "half-a-wait",
+			Name:        "half-a-wait",
 			Description: "told waits are heard as half as long",
-			Rule:  checker.RetryAfterRespected,
+			Rule:        checker.RetryAfterRespected,
 			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
 		},
 		{
-			Name:  "wait-150ms-short",
+			Name:        "wait-150ms-short",
 			Description: "told waits end 150 ms early",
-			Rule:  checker.RetryAfterRespected,
+			Rule:        checker.RetryAfterRespected,
 			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
 		},
 		{
-			Name:  "wait-20ms-short",
+			Name:        "wait-20ms-short",
 			Description: "told waits end 20 ms early",
-			Rule:  checker.RetryAfterRespected,
+			Rule:        checker.RetryAfterRespected,
 			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
 		},
 
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
 	opts := Options{
-		Fleet:    scenario.Fleet{Enabled: true, Rights: on},
+		Fleet:          scenario.Fleet{Enabled: true, Rights: on},
 		ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
 	}
 	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -35,8 +35,8 @@
 // The policies.
 const (
 	SyncNever    SyncPolicy = iota // nothing that was written since the machine began
-	SyncInterval             // all but the last second
-	SyncAlways               // all
+	SyncInterval                   // all but the last second
+	SyncAlways                     // all
 )
 
 // Beyond says what a connection meets that is one more than a host takes.
@@ -45,8 +45,8 @@
 // The ways.
 const (
 	ExcessRefused    ExcessConnections = iota // at once
-	ExcessClosed                   // taken by the machine, and broken off under the first request, which never ran
-	ExcessUnanswered               // it never comes up
+	ExcessClosed                              // taken by the machine, and broken off under the first request, which never ran
+	ExcessUnanswered                          // it never comes up
 )
 
 // Beyonds are their names in files, in that order.
@@ -60,10 +60,10 @@
 	// ZoneLatency is added between a relay and a host of another zone. Relays stand in the zones in turn.
 	ZoneLatency time.Duration
 	// Connections is how many a host takes, idle ones counted; what further ones meet says Beyond. 0: any number.
-	MaxConnections int
-	ExcessConnections      ExcessConnections
-	IdleResetRatio  float64 // share of the calls on a kept connection that find it reset, and never run
-	JournalSync        SyncPolicy
+	MaxConnections    int
+	ExcessConnections ExcessConnections
+	IdleResetRatio    float64 // share of the calls on a kept connection that find it reset, and never run
+	JournalSync       SyncPolicy
 	// ListDelay is how late a relay learns of a change of the list, in place of what the scenario draws; nil: that.
 	ListDelay func(relay int) time.Duration
 	// Wrong is what is wrong with all relays; nil: nothing.
@@ -104,13 +104,13 @@
 // Place is a destination, or a route that stands apart, with what a network can do to it beside.
 type Service struct {
 	*upstream.Service
-	Name string
+	Name        string
 	Destination int
 	// share of a relay's calls whose connections break under them, and which run; nil: none
 	ResetRatio func(relay int) float64
-	outage string // its cause; "": in service
-	slow   float64
-	hosts  []*host
+	outage     string // its cause; "": in service
+	slow       float64
+	hosts      []*host
 }
 
 // host is one endpoint.
