--- a/cmd/capacity/process.go
+++ b/cmd/capacity/process.go
@@ -48,7 +48,7 @@
 	cmd    *exec.Cmd
 	addr   string
 	folder string
-	agent  *fake.Agent
+	agent  *fake.DiscoveryAgent
 	took   time.Duration // until ready
 }
 
@@ -56,7 +56,7 @@
 // its folder first. A relay that is not ready in time is ended, and errNeverReady comes back.
 func (b *bench) start(
 	ctx context.Context,
-	list []fake.Member,
+	list []fake.ListedEndpoint,
 	known bool,
 	memoryMB int,
 	prepare func(folder string) error,
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	agent, err := fake.NewAgent("n0", rec, fake.NewWorld(scenario.Plan{}, rec), list)
+	agent, err := fake.NewDiscoveryAgent("n0", rec, fake.NewWorld(scenario.Plan{}, rec), list)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		"name": "n0", "seed": "8c1f30d27a5be964", "settings": relaySettings(), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": 4096, "disk_mb": 8192},
 	}
 	if known {
-		config["known"] = agent.Known()
+		config["known"] = agent.NotifiedList()
 	}
 	data, err := json.Marshal(config)
 	if err == nil {
@@ -116,7 +116,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Join(err, p.end())
 	}
-	agent.Running(true)
+	agent.SetRelayRunning(true)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
 		if relayprocess.Ready(client, p.addr) {
@@ -219,17 +219,17 @@
 // relayListSeries measures a relay that was handed its list, and changes to it.
 func relayListSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	memory := measured(capacity.RelayMemory, "destinations", capacity.Bytes)
-	ready := measured(capacity.RelayReady, "destinations", capacity.Seconds)
-	started := measured(capacity.RelayStart, "destinations", capacity.Seconds)
-	change := measured(capacity.RelayChange, "destinations", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf(
+	ready := measured(capacity.RelayStartupTime, "destinations", capacity.Seconds)
+	started := measured(capacity.RelayStartupCPU, "destinations", capacity.Seconds)
+	change := measured(capacity.RelayChangeCPU, "destinations", capacity.Seconds)
+	memory.Limitations = fmt.Sprintf(
 		"a memory limit of %d MB, the one that a relay takes where none is told; no load",
 		usualMB,
 	)
-	force := measured(capacity.RelayForce, "destinations", capacity.Seconds)
-	force.Hollow = "one relay with its agent beside it; the longest of five moves of a destination to another address"
-	rest := measured(capacity.RelayRest, "destinations", capacity.Cores)
-	change.Hollow = "where the relay takes over half a core at rest, what a change costs cannot be told apart and is left out"
+	force := measured(capacity.RelayChangeTime, "destinations", capacity.Seconds)
+	force.Limitations = "one relay with its agent beside it; the longest of five moves of a destination to another address"
+	rest := measured(capacity.RelayIdleCores, "destinations", capacity.Cores)
+	change.Limitations = "where the relay takes over half a core at rest, what a change costs cannot be told apart and is left out"
 	all := []*capacity.Series{memory, ready, started, rest, change, force}
 	here, there := newHosts(1), newHosts(1)
 	defer here.close()
@@ -270,7 +270,7 @@
 
 func (p *process) listCosts(
 	ctx context.Context,
-	list []fake.Member,
+	list []fake.ListedEndpoint,
 	n int,
 	memory, ready, started, rest, change *capacity.Series,
 ) error {
@@ -304,7 +304,7 @@
 		for i := range changes {
 			m := list[2+(i*7919)%(len(list)-2)]
 			m.Weight++
-			p.agent.Tell(m)
+			p.agent.Update(m)
 			if err := wait(ctx, every); err != nil {
 				return err
 			}
@@ -332,7 +332,7 @@
 // relayDiscoverySeries measures a relay that has its list from discovery alone. After two sizes at which it never
 // became ready the larger ones are left out.
 func relayDiscoverySeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	ready := measured(capacity.RelayDiscovery, "destinations", capacity.Seconds)
+	ready := measured(capacity.RelayDiscoveryTime, "destinations", capacity.Seconds)
 	stopped := 0
 	for _, n := range b.sizes([]int{100, 1000, 3000}, []int{1000, 2000, 3000, 4000, 20_000, 140_000}) {
 		p, err := b.start(ctx, members(n, "127.0.0.1:9", "ready"), false, usualMB, nil)
@@ -355,14 +355,14 @@
 
 // relayBacklogSeries measures a restart with messages in the journal.
 func relayBacklogSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
-	memory := measured(capacity.RelayBacklog, "messages held", capacity.Bytes)
-	ready := measured(capacity.RelayRecovery, "messages held", capacity.Seconds)
-	memory.Hollow = fmt.Sprintf(
+	memory := measured(capacity.RelayBacklogMemory, "messages held", capacity.Bytes)
+	ready := measured(capacity.RelayRecoveryTime, "messages held", capacity.Seconds)
+	memory.Limitations = fmt.Sprintf(
 		"%d destinations, all out of service: nothing of what is held is tried; bodies of 1,000 bytes in memory; a memory limit of %d MB",
 		down,
 		backlogMB,
 	)
-	ready.Hollow = memory.Hollow
+	ready.Limitations = memory.Limitations
 	for _, n := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000}) {
 		p, err := b.start(
 			ctx,
@@ -397,10 +397,10 @@
 // minutes.
 func relayLoadSeries(ctx context.Context, b *bench) ([]capacity.Series, error) {
 	const few, many = 100, 20_000
-	load := measured(capacity.RelayLoad, "messages a second", capacity.Cores)
-	load.Hollow = "100 destinations whose hosts answer at once, bodies of 1,000 bytes, the journal without sync"
-	fresh := measured(capacity.RelayFresh, "messages a second", capacity.Cores)
-	fresh.Hollow = "20,000 destinations, otherwise as `relay.load`"
+	load := measured(capacity.RelayCores, "messages a second", capacity.Cores)
+	load.Limitations = "100 destinations whose hosts answer at once, bodies of 1,000 bytes, the journal without sync"
+	fresh := measured(capacity.RelayNewConnectionCores, "messages a second", capacity.Cores)
+	fresh.Limitations = "20,000 destinations, otherwise as `relay.load`"
 	for _, rate := range b.sizes([]int{50, 100, 200}, []int{50, 150, 461, 900}) {
 		for s, dests := range map[*capacity.Series]int{load: few, fresh: many} {
 			took, cpu, err := b.load(ctx, rate, dests)
@@ -449,7 +449,7 @@
 // one was not in force by readyMost.
 func (p *process) moves(
 	ctx context.Context,
-	endpoints []fake.Member,
+	endpoints []fake.ListedEndpoint,
 	here, there *hostServers,
 ) (longest time.Duration, late int, err error) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
@@ -461,10 +461,10 @@
 		began := time.Now()
 		for _, m := range endpoints {
 			m.Addr = to.addr(0)
-			p.agent.Tell(m)
+			p.agent.Update(m)
 		}
 		for k := 0; to.calls.Load() == before; k++ {
-			if err := handIn(ctx, client, p.addr, fmt.Sprintf("move%d%011d", i, k), endpoints[0].Cell); err != nil {
+			if err := handIn(ctx, client, p.addr, fmt.Sprintf("move%d%011d", i, k), endpoints[0].Destination); err != nil {
 				late++ // a relay that is at its list for long answers late
 			}
 			if time.Since(began) > readyMost {
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -46,7 +46,7 @@
 					r.Key(),
 					res.Error,
 					res.Measures["service"],
-					res.BrokenRules,
+					res.ViolatedRules,
 				)
 			}
 			if p.Name != "many-herd" {
@@ -66,7 +66,7 @@
 	t.Helper()
 	for _, r := range p.Runs() {
 		if r.Key() == key {
-			return p.Play(r).BrokenRules[string(checker.Drain)] > 0
+			return p.Play(r).ViolatedRules[string(checker.DrainRespected)] > 0
 		}
 	}
 	return false
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -41,7 +41,7 @@
 				done,
 				c.Plans,
 				worst.Service,
-				len(worst.BrokenRules),
+				len(worst.ViolatedRules),
 			)
 		}
 	}
@@ -82,10 +82,10 @@
 			t.Relays,
 		)
 	}
-	for _, r := range p.BrokenRules {
+	for _, r := range p.ViolatedRules {
 		fmt.Fprintf(s.Out, "BROKEN: %s\n", r)
 	}
-	if len(p.BrokenRules) > 0 {
+	if len(p.ViolatedRules) > 0 {
 		return cli.Exit(exitBroken)
 	}
 	return nil
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -97,15 +97,15 @@
 // tryScenario plays a scenario in virtual time with a mutant and judges it.
 func tryScenario(f scenario.File, m *emulate.Mutant, seeds int) (c convict) {
 	for seed := range seeds {
-		w, err := emulate.New(f.Draw(uint64(seed+1)), emulate.Options{Record: true, Wrong: m})
+		w, err := emulate.New(f.Draw(uint64(seed+1)), emulate.Options{Record: true, Mutant: m})
 		if err == nil {
 			err = w.Play()
 		}
 		if err != nil {
 			return convict{err: err}
 		}
-		for _, x := range checker.Judge(w.Result()).Findings {
-			if x.State == checker.Broken && !slices.Contains(c.rules, x.Rule) {
+		for _, x := range checker.Check(w.Result()).Rules {
+			if x.State == checker.Violated && !slices.Contains(c.rules, x.Rule) {
 				c.rules = append(c.rules, x.Rule)
 			}
 		}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -39,18 +39,18 @@
 	return w
 }
 
-func judged(t testing.TB, w *World) checker.Verdict {
+func judged(t testing.TB, w *World) checker.Result {
 	t.Helper()
-	v := checker.Judge(w.Result())
-	if len(v.Faults) > 0 {
-		t.Errorf("faults: %+v", v.Faults)
+	v := checker.Check(w.Result())
+	if len(v.RunErrors) > 0 {
+		t.Errorf("faults: %+v", v.RunErrors)
 	}
 	return v
 }
 
-func broken(v checker.Verdict) (all []checker.Rule) {
-	for _, f := range v.Findings {
-		if f.State == checker.Broken {
+func broken(v checker.Result) (all []checker.Rule) {
+	for _, f := range v.Rules {
+		if f.State == checker.Violated {
 			all = append(all, f.Rule)
 		}
 	}
@@ -73,12 +73,12 @@
 				if rules := broken(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
-				if s := v.Service; math.Abs(s.Whole-w.Whole()) > 1e-9 || s.Offered != w.Offered ||
-					s.InFull != w.InFull ||
-					s.CallsFull != w.CallsFull ||
+				if s := v.Service; math.Abs(s.Overall-w.Overall()) > 1e-9 || s.Submitted != w.Submitted ||
+					s.DeliveredInTime != w.DeliveredInTime ||
+					s.CallsRejected != w.CallsRejected ||
 					s.Deferred != w.Deferred ||
-					s.Refused != w.Refused {
-					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Measures, w.Whole())
+					s.Rejected != w.Rejected {
+					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Metrics, w.Overall())
 				}
 			})
 		}
@@ -93,12 +93,12 @@
 // does.
 func TestMutantsAreConvicted(t *testing.T) {
 	where := map[checker.Rule][]string{
-		checker.Lost: {
+		checker.NoMessageLost: {
 			"first-run",
 			"rolling-restarts",
 			"partner-cold",
-		}, checker.Twice: {"first-run", "partner-cold"}, checker.Drain: {"half-draining"},
-		checker.Return: {"partner-cold"}, checker.Order: {"dinner-rush"}, checker.Wait: {"dinner-rush", "partner-cold"},
+		}, checker.NoDuplicateEffect: {"first-run", "partner-cold"}, checker.DrainRespected: {"half-draining"},
+		checker.RecoveryNotOverloaded: {"partner-cold"}, checker.OrderKept: {"dinner-rush"}, checker.RetryAfterRespected: {"dinner-rush", "partner-cold"},
 	}
 	// By the tiny worlds, and not by these: see package explore and the table in docs/emulator.md.
 	elsewhere := []string{
@@ -121,7 +121,7 @@
 					break
 				}
 				found = slices.Contains(
-					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Wrong: &m}))),
+					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Mutant: &m}))),
 					m.Rule,
 				)
 			}
@@ -131,7 +131,7 @@
 		}
 		if m.Rule == "" {
 			p := loaded(t, "metastable").Draw(1)
-			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Wrong: &m})
+			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Mutant: &m})
 			x, _ := json.Marshal(a.events)
 			if y, _ := json.Marshal(b.events); string(x) != string(y) {
 				t.Errorf("%s is not equivalent", m.Name)
@@ -153,8 +153,8 @@
 			f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Kill, At: scenario.Duration(at)})
 		}
 		f.SetDefaults()
-		w := played(t, f.Draw(1), Options{Record: true, Wrong: &Mutant{Lag: lag}})
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) != (lag > 0) {
+		w := played(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
 	}
@@ -162,8 +162,8 @@
 
 // With the machine goes what was not synced: nothing with a sync for each commit, up to a second with an interval.
 func TestMachinesThatDie(t *testing.T) {
-	for _, sync := range []Sync{SyncNever, SyncInterval, SyncAlways} {
-		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, Sync: sync, Machines: true})
+	for _, sync := range []SyncPolicy{SyncNever, SyncInterval, SyncAlways} {
+		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, JournalSync: sync, MachineCrashes: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +173,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		if lost := slices.Contains(broken(judged(t, w)), checker.Lost); lost != (sync != SyncAlways) {
+		if lost := slices.Contains(broken(judged(t, w)), checker.NoMessageLost); lost != (sync != SyncAlways) {
 			t.Errorf("sync %d: lost %v", sync, lost)
 		}
 	}
@@ -185,10 +185,10 @@
 	f.Relays = 3
 	fell := 0
 	for seed := range uint64(8) {
-		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
-		fell += w.Fell
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.Lost) ||
-			slices.Contains(rules, checker.Twice) {
+		w := played(t, f.Draw(seed+1), Options{Record: true, Mutant: FindMutant("no-recovery-budget")})
+		fell += w.Overloads
+		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
+			slices.Contains(rules, checker.NoDuplicateEffect) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
 		}
 	}
@@ -237,11 +237,11 @@
 			lost++
 		}
 	}
-	if calls := w.CallsOK + lost; lost < calls/100 {
+	if calls := w.CallsServed + lost; lost < calls/100 {
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
-	wrong := played(t, p, Options{Record: true, Wrong: MutantNamed("reset-never-ran")})
-	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.Twice) {
+	wrong := played(t, p, Options{Record: true, Mutant: FindMutant("reset-never-ran")})
+	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
 }
@@ -252,12 +252,12 @@
 	w := played(
 		t,
 		p,
-		Options{Record: true, IdleResets: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
+		Options{Record: true, IdleResetRatio: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
 	)
 	if rules := broken(judged(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
-	x, err := New(p, Options{EventsMost: 500})
+	x, err := New(p, Options{MaxEvents: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -362,7 +362,7 @@
 	w.run(t, 35*time.Second)
 	w.see(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
-	if f := v.Finding(checker.Wait); f.State != checker.Held || f.Exercised < 10 {
+	if f := v.ForRule(checker.RetryAfterRespected); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -375,11 +375,11 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				n += played(b, f.DrawWorld(1), Options{}).Offered
+				n += played(b, f.DrawWorld(1), Options{}).Submitted
 			}
 			b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
 		})
 	}
 }
 
-var _ Module = (*policy.Engine)(nil)
+var _ DecisionEngine = (*policy.Engine)(nil)
--- a/internal/simulation/experiment/assign.go
+++ b/internal/simulation/experiment/assign.go
@@ -71,13 +71,13 @@
 	case "zone_latency":
 		options.ZoneLatency, err = toDuration(value)
 	case "idle_resets":
-		options.IdleResets, err = toFraction(value)
+		options.IdleResetRatio, err = toFraction(value)
 	case "connections":
-		options.Connections, err = toCount(value)
+		options.MaxConnections, err = toCount(value)
 	case "beyond":
-		options.Beyond, err = toBeyond(value)
+		options.ExcessConnections, err = toExcessConnections(value)
 	case "mutant":
-		options.Wrong, err = toMutant(value)
+		options.Mutant, err = toMutant(value)
 	default:
 		err = errUnknownOption
 	}
@@ -242,19 +242,19 @@
 	return d, nil
 }
 
-func toBeyond(value any) (emulate.Beyond, error) {
+func toExcessConnections(value any) (emulate.ExcessConnections, error) {
 	name, _ := value.(string) // no text is no name
-	i := slices.Index(emulate.Beyonds, name)
+	i := slices.Index(emulate.ExcessConnectionNames, name)
 	if i < 0 {
-		return 0, fmt.Errorf("one of %q is wanted", emulate.Beyonds)
+		return 0, fmt.Errorf("one of %q is wanted", emulate.ExcessConnectionNames)
 	}
-	return emulate.Beyond(i), nil
+	return emulate.ExcessConnections(i), nil
 }
 
 // toMutant returns the mutant of a name, nil for the empty name.
 func toMutant(value any) (*emulate.Mutant, error) {
 	name, _ := value.(string) // as in a plan that varies the mutant: what is no text is the relay as it is
-	mutant := emulate.MutantNamed(name)
+	mutant := emulate.FindMutant(name)
 	if mutant == nil && name != "" {
 		return nil, errUnknownMutant
 	}
--- a/internal/simulation/experiment/measure.go
+++ b/internal/simulation/experiment/measure.go
@@ -8,14 +8,14 @@
 
 // The names of measures that others refer to, as results have them.
 const (
-	MeasureService    = "service"
-	MeasureWorst10s   = "worst_10s"
-	MeasureLatencyP99 = "late_p99"
-	MeasureRejected   = "refused"
-	MeasureCalls      = "calls"
-	MeasureCallsFull  = "calls_full"
-	MeasureOverloaded = "fell"
-	MeasureBroken     = "broken"
+	MeasureService       = "service"
+	MeasureWorst10s      = "worst_10s"
+	MeasureLatencyP99    = "late_p99"
+	MeasureRejected      = "refused"
+	MeasureCalls         = "calls"
+	MeasureCallsRejected = "calls_full"
+	MeasureOverloads     = "fell"
+	MeasureViolatedRules = "broken"
 )
 
 // Measure is a figure of a run.
@@ -36,33 +36,33 @@
 	{"failed", "share given up on with no promise"},
 	{"undelivered", "share never delivered"},
 	{MeasureCalls, "calls for each message"},
-	{MeasureCallsFull, "share of the calls that were refused"},
+	{MeasureCallsRejected, "share of the calls that were refused"},
 	{"calls_failed", "share of the calls that failed"},
 	{"connections", "new connections for each message"},
 	{"connections_full", "share of them that a host with a full table refused"},
-	{MeasureOverloaded, "destinations pushed over"},
-	{MeasureBroken, "rules broken (judged runs)"},
+	{MeasureOverloads, "destinations pushed over"},
+	{MeasureViolatedRules, "rules broken (judged runs)"},
 }
 
-// Measurements returns the measures of a run by their names, all but MeasureBroken.
-func Measurements(m *emulate.Measures) map[string]float64 {
-	connections := m.Opened + m.NotOpened
+// Measurements returns the measures of a run by their names, all but MeasureViolatedRules.
+func Measurements(m *emulate.Metrics) map[string]float64 {
+	connections := m.ConnectionsOpened + m.ConnectionsRefused
 	return map[string]float64{
-		MeasureService:     roundFigure(m.Whole()),
-		MeasureWorst10s:    roundFigure(m.Worst10s()),
-		"in_full":          ratio(m.InFull, m.Offered),
-		"late_p50":         m.Late(50).Seconds(),
-		MeasureLatencyP99:  m.Late(99).Seconds(),
-		MeasureRejected:    ratio(m.Refused, m.Offered),
-		"deferred":         ratio(m.Deferred, m.Offered),
-		"failed":           ratio(m.Failed, m.Offered),
-		"undelivered":      ratio(m.Undelivered(), m.Offered),
-		MeasureCalls:       ratio(m.Calls, m.Offered),
-		MeasureCallsFull:   ratio(m.CallsFull, m.Calls),
-		"calls_failed":     ratio(m.CallsFailed, m.Calls),
-		"connections":      ratio(connections, m.Offered),
-		"connections_full": ratio(m.NotOpened, connections),
-		MeasureOverloaded:  float64(m.Fell),
+		MeasureService:       roundFigure(m.Overall()),
+		MeasureWorst10s:      roundFigure(m.WorstWindow()),
+		"in_full":            ratio(m.DeliveredInTime, m.Submitted),
+		"late_p50":           m.LatencyPercentile(50).Seconds(),
+		MeasureLatencyP99:    m.LatencyPercentile(99).Seconds(),
+		MeasureRejected:      ratio(m.Rejected, m.Submitted),
+		"deferred":           ratio(m.Deferred, m.Submitted),
+		"failed":             ratio(m.Failed, m.Submitted),
+		"undelivered":        ratio(m.Undelivered(), m.Submitted),
+		MeasureCalls:         ratio(m.Calls, m.Submitted),
+		MeasureCallsRejected: ratio(m.CallsRejected, m.Calls),
+		"calls_failed":       ratio(m.CallsFailed, m.Calls),
+		"connections":        ratio(connections, m.Submitted),
+		"connections_full":   ratio(m.ConnectionsRefused, connections),
+		MeasureOverloads:     float64(m.Overloads),
 	}
 }
 
--- a/internal/simulation/experiment/result.go
+++ b/internal/simulation/experiment/result.go
@@ -24,8 +24,8 @@
 	Seed     uint64  `json:"seed"`
 	// Measures has the figures by the names of Measures.
 	Measures map[string]float64 `json:"measures"`
-	// BrokenRules has the number of violations of each broken rule.
-	BrokenRules map[string]int `json:"broken,omitempty"`
+	// ViolatedRules has the number of violations of each violated rule.
+	ViolatedRules map[string]int `json:"broken,omitempty"`
 	// LatencyHistogram is the times from submission to delivery in HdrHistogram's encoding.
 	LatencyHistogram string `json:"late,omitempty"`
 	// Error is why the run could not be played to its end.
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -62,12 +62,12 @@
 		result.Error = err.Error()
 		return result
 	}
-	result.Measures = Measurements(&world.Measures)
+	result.Measures = Measurements(&world.Metrics)
 	if p.Checked {
-		result.BrokenRules = brokenRules(world)
-		result.Measures[MeasureBroken] = float64(len(result.BrokenRules))
+		result.ViolatedRules = violatedRules(world)
+		result.Measures[MeasureViolatedRules] = float64(len(result.ViolatedRules))
 	}
-	histogram, err := world.Histogram().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	histogram, err := world.Latencies().Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err == nil { // a result without its histogram is still one
 		result.LatencyHistogram = base64.StdEncoding.EncodeToString(histogram)
 	}
@@ -91,15 +91,15 @@
 	return world, world.Play()
 }
 
-// brokenRules returns the rules that a recorded run broke, with the number of violations.
-func brokenRules(world *emulate.World) map[string]int {
-	broken := map[string]int{}
-	for _, finding := range checker.Judge(world.Result()).Findings {
-		if finding.Count > 0 {
-			broken[string(finding.Rule)] = finding.Count
+// violatedRules returns the rules that a recorded run violated, with the number of violations.
+func violatedRules(world *emulate.World) map[string]int {
+	violations := map[string]int{}
+	for _, rule := range checker.Check(world.Result()).Rules {
+		if rule.ViolationCount > 0 {
+			violations[string(rule.Rule)] = rule.ViolationCount
 		}
 	}
-	return broken
+	return violations
 }
 
 // scenarioFor returns the scenario of a run and the emulator's options.
@@ -117,7 +117,7 @@
 		return file, options, errors.Join(errs...)
 	}
 	if len(engine) > 0 {
-		options.Settings = func(s *policy.Settings) {
+		options.ChangeSettings = func(s *policy.Settings) {
 			for _, set := range engine {
 				set(s)
 			}
--- a/internal/simulation/experiment/search.go
+++ b/internal/simulation/experiment/search.go
@@ -27,17 +27,17 @@
 
 // Candidate is a scenario of a search, and how it went.
 type Candidate struct {
-	Scenario    scenario.File
-	Seed        uint64 // that it is played with
-	BrokenRules []checker.Rule
-	Service     float64
-	Plays       int // of the search until then, those that shrink the scenario included
+	Scenario      scenario.File
+	Seed          uint64 // that it is played with
+	ViolatedRules []checker.Rule
+	Service       float64
+	Plays         int // of the search until then, those that shrink the scenario included
 }
 
-// worse tells whether a goes worse than b: a broken rule is worse than any loss of service.
+// worse tells whether a goes worse than b: a violated rule is worse than any loss of service.
 func (a Candidate) worse(b Candidate) bool {
-	if (len(a.BrokenRules) > 0) != (len(b.BrokenRules) > 0) {
-		return len(a.BrokenRules) > 0
+	if (len(a.ViolatedRules) > 0) != (len(b.ViolatedRules) > 0) {
+		return len(a.ViolatedRules) > 0
 	}
 	return a.Service < b.Service
 }
@@ -98,22 +98,22 @@
 	return played, firstErr
 }
 
-// play plays a scenario and has it checked.
+// play plays a scenario and checks its rules.
 func (s Search) play(file scenario.File, seed uint64) (Candidate, error) {
 	candidate := Candidate{Scenario: file, Seed: seed}
-	world, err := emulate.New(file.Draw(seed), emulate.Options{Record: true, Wrong: s.Mutant})
+	world, err := emulate.New(file.Draw(seed), emulate.Options{Record: true, Mutant: s.Mutant})
 	if err != nil {
 		return candidate, err
 	}
 	if err := world.Play(); err != nil {
 		return candidate, err
 	}
-	verdict := checker.Judge(world.Result())
-	for _, finding := range verdict.Findings {
-		if finding.State == checker.Broken {
-			candidate.BrokenRules = append(candidate.BrokenRules, finding.Rule)
+	checked := checker.Check(world.Result())
+	for _, rule := range checked.Rules {
+		if rule.State == checker.Violated {
+			candidate.ViolatedRules = append(candidate.ViolatedRules, rule.Rule)
 		}
 	}
-	candidate.Service = verdict.Service.Whole
+	candidate.Service = checked.Service.Overall
 	return candidate, nil
 }
--- a/internal/simulation/experiment/search_test.go
+++ b/internal/simulation/experiment/search_test.go
@@ -9,17 +9,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// TestSearch searches for what breaks a relay that ignores drains. The scenario found is small, reads back, and still
-// breaks that relay, but not the relay as it is. One worker finds the same as several.
+// TestSearch searches for faults for a relay that ignores drains. The scenario found is small, reads back, and makes
+// that relay violate a rule, but not the relay as it is. One worker finds the same as several.
 func TestSearch(t *testing.T) {
 	base, err := scenario.Load("quiet-day")
 	if err != nil {
 		t.Fatal(err)
 	}
-	search := Search{Base: base, Candidates: 12, Seed: 3, Mutant: emulate.MutantNamed("drains-ignored")}
+	search := Search{Base: base, Candidates: 12, Seed: 3, Mutant: emulate.FindMutant("drains-ignored")}
 	found, err := search.Run(t.Context())
-	if err != nil || len(found.BrokenRules) == 0 || found.BrokenRules[0] != checker.Drain {
-		t.Fatalf("%+v, %v", found.BrokenRules, err)
+	if err != nil || len(found.ViolatedRules) == 0 || found.ViolatedRules[0] != checker.DrainRespected {
+		t.Fatalf("%+v, %v", found.ViolatedRules, err)
 	}
 	t.Run("one worker", func(t *testing.T) {
 		single := search
@@ -48,12 +48,12 @@
 		t.Errorf("%d faults in %v", len(file.Troubles), file.Length.D())
 	}
 	again, err := search.play(file, found.Seed)
-	if err != nil || len(again.BrokenRules) == 0 {
-		t.Errorf("the mutant: %v, %v", again.BrokenRules, err)
+	if err != nil || len(again.ViolatedRules) == 0 {
+		t.Errorf("the mutant: %v, %v", again.ViolatedRules, err)
 	}
 	search.Mutant = nil
 	again, err = search.play(file, found.Seed)
-	if err != nil || len(again.BrokenRules) > 0 {
-		t.Errorf("the relay as it is: %v, %v", again.BrokenRules, err)
+	if err != nil || len(again.ViolatedRules) > 0 {
+		t.Errorf("the relay as it is: %v, %v", again.ViolatedRules, err)
 	}
 }
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -23,13 +23,13 @@
 	timeUnit = 100 * time.Millisecond
 )
 
-// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it breaks the same
+// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it violates the same
 // rule, or loses nearly as much.
 func (s Search) shrink(ctx context.Context, found Candidate) Candidate {
 	loss := 1 - found.Service
 	showsSame := func(candidate Candidate) bool {
-		if len(found.BrokenRules) > 0 {
-			return slices.Contains(candidate.BrokenRules, found.BrokenRules[0])
+		if len(found.ViolatedRules) > 0 {
+			return slices.Contains(candidate.ViolatedRules, found.ViolatedRules[0])
 		}
 		return 1-candidate.Service >= minLossKept*loss
 	}
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -20,7 +20,7 @@
 	if opts.Depth == 0 {
 		opts.Depth = max(4, w.Depth-shallow)
 	}
-	if opts.Wrong = emulate.MutantNamed(mutant); mutant != "" && opts.Wrong == nil {
+	if opts.Wrong = emulate.FindMutant(mutant); mutant != "" && opts.Wrong == nil {
 		t.Fatalf("no mutant %s", mutant)
 	}
 	f, err := Search(t.Context(), w, opts)
@@ -61,7 +61,7 @@
 		{"return-2", "no-recovery-budget", 9},
 	} {
 		f := search(t, c.world, c.mutant, Options{Depth: c.depth, NoWalks: true})
-		m := emulate.MutantNamed(c.mutant)
+		m := emulate.FindMutant(c.mutant)
 		if f.Break == nil || f.Break.Rule != m.Rule {
 			t.Errorf("%s in %s: %+v to depth %d", c.mutant, c.world, f.Break, f.Depth)
 			continue
@@ -104,7 +104,7 @@
 // Random paths find what needs many calls, and shorten it.
 func TestWalks(t *testing.T) {
 	f := search(t, "return-many", "no-recovery-budget", Options{})
-	if f.Break == nil || f.Break.Rule != checker.Return || len(f.Path) > 100 {
+	if f.Break == nil || f.Break.Rule != checker.RecoveryNotOverloaded || len(f.Path) > 100 {
 		t.Errorf("%+v, %d moves", f.Break, len(f.Path))
 	}
 }
