--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -26,8 +26,8 @@
 // Run explores.
 func (c *checkCommand) Run(ctx context.Context, s *cli.Streams) error {
 	if c.List {
-		for _, w := range modelcheck.Worlds() {
-			fmt.Fprintf(s.Out, "%-10s to %2d moves: %s\n", w.Name, w.Depth, w.About)
+		for _, w := range modelcheck.Models() {
+			fmt.Fprintf(s.Out, "%-10s to %2d moves: %s\n", w.Name, w.MaxDepth, w.Description)
 		}
 		return nil
 	}
@@ -38,11 +38,11 @@
 	if err != nil {
 		return err
 	}
-	worlds := modelcheck.Worlds()
+	worlds := modelcheck.Models()
 	if len(c.Worlds) > 0 {
 		worlds = nil
 		for _, name := range c.Worlds {
-			w := modelcheck.WorldNamed(name)
+			w := modelcheck.ModelNamed(name)
 			if w == nil {
 				return fmt.Errorf("no world %q", name)
 			}
@@ -54,24 +54,24 @@
 		w := &worlds[i]
 		depth := c.Depth
 		if depth == 0 {
-			depth = w.Depth
+			depth = w.MaxDepth
 		}
 		began := time.Now()
-		f, err := modelcheck.Search(
+		f, err := modelcheck.Check(
 			ctx,
 			w,
-			modelcheck.Options{Wrong: wrong, Depth: depth + c.Deeper, StatesMost: c.States},
+			modelcheck.Options{Mutant: wrong, MaxDepth: depth + c.Deeper, MaxStates: c.States},
 		)
 		if err != nil && !errors.Is(err, context.Canceled) {
 			return err
 		}
 		how := fmt.Sprintf("to %d moves", f.Depth)
 		switch {
-		case f.Whole:
+		case f.Complete:
 			how = "whole"
-		case f.Walked > 0:
-			how += fmt.Sprintf(", and %d random paths", f.Walked)
-		case f.Stopped:
+		case f.RandomWalks > 0:
+			how += fmt.Sprintf(", and %d random paths", f.RandomWalks)
+		case f.Truncated:
 			how += ", and part of the next: cut off"
 		}
 		fmt.Fprintf(
@@ -79,20 +79,20 @@
 			"%-10s %9d states  %9d moves played  %s  %v",
 			w.Name,
 			f.States,
-			f.Paths,
+			f.Transitions,
 			how,
 			time.Since(began).Round(time.Millisecond),
 		)
-		if f.Break == nil {
+		if f.Violation == nil {
 			fmt.Fprintln(s.Out, "  all rules held")
 			if err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Fprintf(s.Out, "\n%s: BROKEN after %d moves: %s\n", f.Break.Rule, len(f.Path), f.Break.Text)
-		p := modelcheck.Path{World: w.Name, Mutant: c.Mutant, Rule: f.Break.Rule, Moves: f.Path}
-		if err := p.Tell(s.Out); err != nil {
+		fmt.Fprintf(s.Out, "\n%s: BROKEN after %d moves: %s\n", f.Violation.Rule, len(f.Trace), f.Violation.Detail)
+		p := modelcheck.Counterexample{Model: w.Name, Mutant: c.Mutant, Rule: f.Violation.Rule, Moves: f.Trace}
+		if err := p.WriteTrace(s.Out); err != nil {
 			return err
 		}
 		if !broken {
@@ -118,11 +118,11 @@
 	if err != nil {
 		return err
 	}
-	p, err := modelcheck.ParsePath(data)
+	p, err := modelcheck.ParseCounterexample(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Replay, err)
 	}
-	if err := p.Tell(s.Out); err != nil {
+	if err := p.WriteTrace(s.Out); err != nil {
 		return err
 	}
 	b, err := p.Replay()
@@ -133,6 +133,6 @@
 		fmt.Fprintln(s.Out, "no rule is broken on this path")
 		return nil
 	}
-	fmt.Fprintf(s.Out, "%s: BROKEN: %s\n", b.Rule, b.Text)
+	fmt.Fprintf(s.Out, "%s: BROKEN: %s\n", b.Rule, b.Detail)
 	return cli.Exit(exitBroken)
 }
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -52,7 +52,7 @@
 		}
 	}
 	type task struct{ m, at int }
-	worlds := modelcheck.Worlds()
+	worlds := modelcheck.Models()
 	if !c.Check {
 		worlds = nil
 	}
@@ -114,12 +114,12 @@
 }
 
 // tryWorld plays a tiny world with a mutant.
-func tryWorld(ctx context.Context, w *modelcheck.World, m *emulate.Mutant, depth int) convict {
-	f, err := modelcheck.Search(ctx, w, modelcheck.Options{Wrong: m, Depth: depth, Workers: 1})
-	if err != nil || f.Break == nil {
+func tryWorld(ctx context.Context, w *modelcheck.Model, m *emulate.Mutant, depth int) convict {
+	f, err := modelcheck.Check(ctx, w, modelcheck.Options{Mutant: m, MaxDepth: depth, Workers: 1})
+	if err != nil || f.Violation == nil {
 		return convict{err: err}
 	}
-	return convict{rules: []checker.Rule{f.Break.Rule}}
+	return convict{rules: []checker.Rule{f.Violation.Rule}}
 }
 
 func tellPower(out io.Writer, mutants []*emulate.Mutant, names []string, table [][]convict) error {
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -31,33 +31,33 @@
 	Key   string
 }
 
-// Outcome is how a call may end.
-type Outcome struct {
-	Outcome policy.Outcome
-	Wait    time.Duration // told with it
+// CallOutcome is how a call may end.
+type CallOutcome struct {
+	Outcome    policy.Outcome
+	RetryAfter time.Duration // told with it
 }
 
-// World is what is explored: its moves are all that its fields allow, at any time and in any order.
-type World struct {
-	Name, About string
-	Rules       []checker.Rule // that it puts to the test most
-	Relays      int
-	Settings    policy.Settings
-	Routes      []policy.Endpoint // of one destination
-	Messages    []Message         // handed in in this order, each to any relay
-	Outcomes    []Outcome         // of any call
-	Faults      int               // outcomes other than a delivery, on one path at most; a time-out is none
-	Drains      []string          // routes that each relay may be told drain, and then are gone, each at its own time
-	Restarts    int               // kills of relays, on one path at most
-	Outage      bool              // the destination may fail, once, and come back cold
-	Out         bool              // and is out from the start
-	Lasts       time.Duration     // the outage lasts so long at least
+// Model is what is explored: its moves are all that its fields allow, at any time and in any order.
+type Model struct {
+	Name, Description string
+	Rules             []checker.Rule // that it puts to the test most
+	Relays            int
+	Settings          policy.Settings
+	Endpoints         []policy.Endpoint // of one destination
+	Messages          []Message         // handed in in this order, each to any relay
+	Outcomes          []CallOutcome     // of any call
+	MaxFaults         int               // outcomes other than a delivery, on one path at most; a time-out is none
+	DrainingEndpoints []string          // routes that each relay may be told drain, and then are gone, each at its own time
+	MaxRestarts       int               // kills of relays, on one path at most
+	HasOutage         bool              // the destination may fail, once, and come back cold
+	StartsInOutage    bool              // and is out from the start
+	MinOutage         time.Duration     // the outage lasts so long at least
 	// failures in a row that a relay has seen of an outage when it counts as knowing; 0: one
-	Knows   int
-	Quantum time.Duration // time passes by so much at most in a move
-	Depth   int           // moves on a path at most
+	FailuresToDetect int
+	MaxTimeStep      time.Duration // time passes by so much at most in a move
+	MaxDepth         int           // moves on a path at most
 	// Walks are paths of WalkDepth moves, drawn at random, that are played behind the bound: for what needs many calls.
-	Walks, WalkDepth int
+	RandomWalks, RandomWalkLength int
 }
 
 // The rules' figures that the settings do not hold.
@@ -71,51 +71,51 @@
 
 // The moves.
 const (
-	HandIn  MoveKind = "hand in"      // the next message, to Relay
-	End     MoveKind = "a call ends"  // call N of Relay, with outcome Choice
-	Pass    MoveKind = "time passes"  // until something is due, or a quantum; what is decided has been told by then
-	Noticed MoveKind = "notice taken" // of a message of Relay that was given up on: the N-th
-	Drained MoveKind = "told: drains" // Relay, of drain N
-	Left    MoveKind = "told: gone"   // the same
-	Killed  MoveKind = "killed"       // Relay, and started anew
-	Fails   MoveKind = "outage"       // begins
-	Returns MoveKind = "comes back"   // cold
+	MoveSubmit            MoveKind = "hand in"      // the next message, to Relay
+	MoveFinishCall        MoveKind = "a call ends"  // call N of Relay, with outcome Choice
+	MoveAdvanceTime       MoveKind = "time passes"  // until something is due, or a quantum; what is decided has been told by then
+	MoveAcknowledgeNotice MoveKind = "notice taken" // of a message of Relay that was given up on: the N-th
+	MoveObserveDraining   MoveKind = "told: drains" // Relay, of drain N
+	MoveObserveRemoval    MoveKind = "told: gone"   // the same
+	MoveRestart           MoveKind = "killed"       // Relay, and started anew
+	MoveStartOutage       MoveKind = "outage"       // begins
+	MoveEndOutage         MoveKind = "comes back"   // cold
 )
 
 // Move is one step of a path.
 type Move struct {
-	Kind   MoveKind `json:"kind"`
-	Relay  int      `json:"relay,omitempty"`
-	N      int      `json:"n,omitempty"`
-	Choice int      `json:"choice,omitempty"`
+	Kind    MoveKind `json:"kind"`
+	Relay   int      `json:"relay,omitempty"`
+	Index   int      `json:"n,omitempty"`
+	Outcome int      `json:"choice,omitempty"`
 }
 
-// Break is a rule that a path breaks.
-type Break struct {
-	Rule checker.Rule `json:"rule"`
-	Text string       `json:"text"`
+// Violation is a rule that a path breaks.
+type Violation struct {
+	Rule   checker.Rule `json:"rule"`
+	Detail string       `json:"text"`
 }
 
-// Found is what an exploration found.
-type Found struct {
-	World   string
-	States  int  // different ones
-	Paths   int  // moves played
-	Walked  int  // random paths behind that
-	Depth   int  // to which all were played
-	Whole   bool // no path is longer
-	Break   *Break
-	Path    []Move // to the break
-	Stopped bool   // it ended early: too many states, or the context
+// Result is what an exploration found.
+type Result struct {
+	Model       string
+	States      int  // different ones
+	Transitions int  // moves played
+	RandomWalks int  // random paths behind that
+	Depth       int  // to which all were played
+	Complete    bool // no path is longer
+	Violation   *Violation
+	Trace       []Move // to the break
+	Truncated   bool   // it ended early: too many states, or the context
 }
 
 // Options of a search.
 type Options struct {
-	Wrong      *emulate.Mutant
-	Depth      int // 0: the world's
-	StatesMost int // 0: 4 million
-	Workers    int // 0: as many as there are cores
-	NoWalks    bool
+	Mutant          *emulate.Mutant
+	MaxDepth        int // 0: the world's
+	MaxStates       int // 0: 4 million
+	Workers         int // 0: as many as there are cores
+	SkipRandomWalks bool
 }
 
 const statesMost = 4 << 20
@@ -133,7 +133,7 @@
 	arrivals []arrival // calls since the return
 	fell     bool
 	from     int32 // in the path table
-	brk      *Break
+	brk      *Violation
 }
 
 type arrival struct {
@@ -196,7 +196,7 @@
 }
 
 type explorer struct {
-	w     *World
+	w     *Model
 	wrong *emulate.Mutant
 	set   policy.Settings // as the module is told
 
@@ -208,13 +208,13 @@
 	steps []step
 }
 
-// Search explores a world.
-func Search(ctx context.Context, w *World, opts Options) (Found, error) {
-	x, root, err := begin(w, opts.Wrong)
+// Check explores the states of a model.
+func Check(ctx context.Context, w *Model, opts Options) (Result, error) {
+	x, root, err := begin(w, opts.Mutant)
 	if err != nil {
-		return Found{}, err
+		return Result{}, err
 	}
-	most, workers, depth := opts.StatesMost, opts.Workers, opts.Depth
+	most, workers, depth := opts.MaxStates, opts.Workers, opts.MaxDepth
 	if most == 0 {
 		most = statesMost
 	}
@@ -222,28 +222,28 @@
 		workers = runtime.GOMAXPROCS(0)
 	}
 	if depth == 0 {
-		depth = w.Depth
+		depth = w.MaxDepth
 	}
-	f := Found{World: w.Name, States: 1}
+	f := Result{Model: w.Name, States: 1}
 	x.visit(root)
 	frontier := []*node{root}
 	for ; f.Depth < depth && len(frontier) > 0; f.Depth++ {
 		last := f.Depth == depth-1
 		next, paths, broken := x.level(ctx, frontier, workers, last, most-f.States)
-		f.Paths += paths
+		f.Transitions += paths
 		f.States += next.states
 		if broken != nil {
-			f.Break, f.Path = broken.brk, x.path(broken.from)
+			f.Violation, f.Trace = broken.brk, x.path(broken.from)
 			return f, nil
 		}
 		if next.stopped || ctx.Err() != nil {
-			f.Stopped = true
+			f.Truncated = true
 			return f, ctx.Err()
 		}
 		frontier = next.nodes
 	}
-	f.Whole = len(frontier) == 0 && f.Depth < depth
-	if !f.Whole && !opts.NoWalks {
+	f.Complete = len(frontier) == 0 && f.Depth < depth
+	if !f.Complete && !opts.SkipRandomWalks {
 		x.walks(ctx, root, workers, &f)
 	}
 	return f, ctx.Err()
@@ -251,8 +251,8 @@
 
 // walks plays random paths. Of those that break a rule the first by its number is taken, and what is not needed for the
 // break left out.
-func (x *explorer) walks(ctx context.Context, root *node, workers int, f *Found) {
-	found := make([][]Move, x.w.Walks)
+func (x *explorer) walks(ctx context.Context, root *node, workers int, f *Result) {
+	found := make([][]Move, x.w.RandomWalks)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	next := 0
@@ -263,12 +263,12 @@
 				i := next
 				next++
 				mu.Unlock()
-				if i >= x.w.Walks || ctx.Err() != nil {
+				if i >= x.w.RandomWalks || ctx.Err() != nil {
 					return
 				}
 				rng := engine.NewRandom(1, x.w.Name, i)
 				n, path := root, []Move(nil)
-				for range x.w.WalkDepth {
+				for range x.w.RandomWalkLength {
 					moves := x.moves(n)
 					if len(moves) == 0 {
 						break
@@ -281,20 +281,20 @@
 					}
 				}
 				mu.Lock()
-				f.Paths += len(path)
-				f.Walked++
+				f.Transitions += len(path)
+				f.RandomWalks++
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
 	if i := slices.IndexFunc(found, func(p []Move) bool { return p != nil }); i >= 0 {
-		f.Path, f.Break = x.shorten(root, found[i])
+		f.Trace, f.Violation = x.shorten(root, found[i])
 	}
 }
 
 // replay plays moves as far as they can be made; it is the break at their end, if there is one.
-func (x *explorer) replay(n *node, path []Move) *Break {
+func (x *explorer) replay(n *node, path []Move) *Violation {
 	for i, m := range path {
 		if !slices.Contains(x.moves(n), m) {
 			return nil
@@ -310,7 +310,7 @@
 }
 
 // shorten leaves moves out of a path while it ends in the same break.
-func (x *explorer) shorten(root *node, path []Move) ([]Move, *Break) {
+func (x *explorer) shorten(root *node, path []Move) ([]Move, *Violation) {
 	b := x.replay(root, path)
 	for again := true; again; {
 		again = false
@@ -550,7 +550,7 @@
 
 const moduleStart = time.Second
 
-func begin(w *World, wrong *emulate.Mutant) (*explorer, *node, error) {
+func begin(w *Model, wrong *emulate.Mutant) (*explorer, *node, error) {
 	x := &explorer{w: w, wrong: wrong, set: w.Settings}
 	x.set.Classes = slices.Clone(x.set.Classes)
 	x.set.FleetSize = w.Relays
@@ -568,10 +568,10 @@
 			relayState{wait: map[string]time.Duration{}, told: map[string]toldState{}, epoch: -moduleStart},
 		)
 		r := &root.relays[i]
-		x.decide(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Routes}})
+		x.decide(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Endpoints}})
 		r.module = s.Snapshot(nil)
 	}
-	if w.Out {
+	if w.StartsInOutage {
 		root.phase = 1
 	}
 	return x, root, root.err()
@@ -579,14 +579,14 @@
 
 func (n *node) err() error {
 	if n.brk != nil {
-		return fmt.Errorf("explore: broken at the start: %s", n.brk.Text)
+		return fmt.Errorf("explore: broken at the start: %s", n.brk.Detail)
 	}
 	return nil
 }
 
 func (n *node) breaks(rule checker.Rule, format string, args ...any) {
 	if n.brk == nil {
-		n.brk = &Break{rule, fmt.Sprintf("at %v: ", n.now) + fmt.Sprintf(format, args...)}
+		n.brk = &Violation{rule, fmt.Sprintf("at %v: ", n.now) + fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -598,45 +598,45 @@
 			if r > 0 && equal(&n.relays[0], &n.relays[r]) {
 				continue // it is as the first: one of them is enough
 			}
-			all = append(all, Move{Kind: HandIn, Relay: r})
+			all = append(all, Move{Kind: MoveSubmit, Relay: r})
 		}
 	}
 	for r := range n.relays {
 		for c := range n.relays[r].calls {
 			for o, out := range w.Outcomes {
-				if out.Outcome != policy.OK && n.faults >= w.Faults || n.phase == 1 && out.Outcome == policy.OK {
+				if out.Outcome != policy.OK && n.faults >= w.MaxFaults || n.phase == 1 && out.Outcome == policy.OK {
 					continue
 				}
-				all = append(all, Move{Kind: End, Relay: r, N: c, Choice: o})
+				all = append(all, Move{Kind: MoveFinishCall, Relay: r, Index: c, Outcome: o})
 			}
 			if n.phase == 1 { // out of service: it fails, and that is no fault of its own
-				all = append(all, Move{Kind: End, Relay: r, N: c, Choice: -1})
+				all = append(all, Move{Kind: MoveFinishCall, Relay: r, Index: c, Outcome: -1})
 			}
 		}
-		for d, route := range w.Drains {
+		for d, route := range w.DrainingEndpoints {
 			if t, ok := n.relays[r].told[route]; !ok {
-				all = append(all, Move{Kind: Drained, Relay: r, N: d})
+				all = append(all, Move{Kind: MoveObserveDraining, Relay: r, Index: d})
 			} else if !t.gone {
-				all = append(all, Move{Kind: Left, Relay: r, N: d})
+				all = append(all, Move{Kind: MoveObserveRemoval, Relay: r, Index: d})
 			}
 		}
 		for k, m := range n.relays[r].msgs {
-			if m.ended && !m.told && w.Restarts > n.restarts && !x.quiet(m.id) {
-				all = append(all, Move{Kind: Noticed, Relay: r, N: k})
+			if m.ended && !m.told && w.MaxRestarts > n.restarts && !x.quiet(m.id) {
+				all = append(all, Move{Kind: MoveAcknowledgeNotice, Relay: r, Index: k})
 			}
 		}
-		if n.restarts < w.Restarts && (len(n.relays[r].msgs) > 0 || len(n.relays[r].wait) > 0) {
-			all = append(all, Move{Kind: Killed, Relay: r})
+		if n.restarts < w.MaxRestarts && (len(n.relays[r].msgs) > 0 || len(n.relays[r].wait) > 0) {
+			all = append(all, Move{Kind: MoveRestart, Relay: r})
 		}
 	}
-	if w.Outage && n.phase == 0 {
-		all = append(all, Move{Kind: Fails})
+	if w.HasOutage && n.phase == 0 {
+		all = append(all, Move{Kind: MoveStartOutage})
 	}
-	if n.phase == 1 && n.now >= n.failedAt+w.Lasts {
-		all = append(all, Move{Kind: Returns})
+	if n.phase == 1 && n.now >= n.failedAt+w.MinOutage {
+		all = append(all, Move{Kind: MoveEndOutage})
 	}
 	if n.given > 0 {
-		all = append(all, Move{Kind: Pass})
+		all = append(all, Move{Kind: MoveAdvanceTime})
 	}
 	return all
 }
@@ -650,14 +650,14 @@
 // play is the state after a move.
 func (x *explorer) play(from *node, m Move) *node {
 	relay := m.Relay
-	if m.Kind == Pass {
+	if m.Kind == MoveAdvanceTime {
 		relay = -1
 	}
 	n := from.clone(relay)
 	n.brk = nil
 	w := x.w
 	switch m.Kind {
-	case HandIn:
+	case MoveSubmit:
 		r := &n.relays[m.Relay]
 		msg := w.Messages[n.given]
 		n.given++
@@ -671,22 +671,22 @@
 			},
 		)
 		x.step(n, m.Relay, x.taken(n, &r.msgs[len(r.msgs)-1]))
-	case End:
-		out := Outcome{Outcome: policy.Error}
-		if m.Choice >= 0 {
-			out = w.Outcomes[m.Choice]
+	case MoveFinishCall:
+		out := CallOutcome{Outcome: policy.Error}
+		if m.Outcome >= 0 {
+			out = w.Outcomes[m.Outcome]
 			if out.Outcome != policy.OK {
 				n.faults++
 			}
 		} else {
 			n.relays[m.Relay].seen++
 		}
-		x.end(n, m.Relay, m.N, out)
-	case Drained, Left:
-		route := w.Drains[m.N]
-		i := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == route })
-		l := w.Routes[i]
-		l.InService, l.Removed = false, m.Kind == Left
+		x.end(n, m.Relay, m.Index, out)
+	case MoveObserveDraining, MoveObserveRemoval:
+		route := w.DrainingEndpoints[m.Index]
+		i := slices.IndexFunc(w.Endpoints, func(l policy.Endpoint) bool { return l.ID == route })
+		l := w.Endpoints[i]
+		l.InService, l.Removed = false, m.Kind == MoveObserveRemoval
 		t, ok := n.relays[m.Relay].told[route]
 		if !ok {
 			t.at = n.now
@@ -694,16 +694,16 @@
 		t.gone = l.Removed
 		n.relays[m.Relay].told[route] = t
 		x.step(n, m.Relay, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}})
-	case Noticed:
-		n.relays[m.Relay].msgs[m.N].told = true
-	case Killed:
+	case MoveAcknowledgeNotice:
+		n.relays[m.Relay].msgs[m.Index].told = true
+	case MoveRestart:
 		n.restarts++
 		x.restart(n, m.Relay)
-	case Fails:
+	case MoveStartOutage:
 		n.phase, n.failedAt = 1, n.now
-	case Returns:
+	case MoveEndOutage:
 		n.phase, n.backAt = 2, n.now
-	case Pass:
+	case MoveAdvanceTime:
 		x.pass(n)
 	}
 	return n
@@ -717,14 +717,14 @@
 		Key:         msg.Key,
 		Class:       msg.Class,
 		Tenant:      -1,
-		Destination: x.w.Routes[0].Destination,
+		Destination: x.w.Endpoints[0].Destination,
 		TimeLeft:    m.deadline - n.now,
 	}
 }
 
 // pass lets time pass until something is due, or by a quantum, and has that happen.
 func (x *explorer) pass(n *node) {
-	to := n.now + x.w.Quantum
+	to := n.now + x.w.MaxTimeStep
 	soon := func(t time.Duration) {
 		if t > n.now {
 			to = min(to, t)
@@ -758,7 +758,7 @@
 		r := &n.relays[i]
 		for c := 0; c < len(r.calls); c++ {
 			if r.calls[c].cut <= n.now {
-				x.end(n, i, c, Outcome{Outcome: policy.Timeout})
+				x.end(n, i, c, CallOutcome{Outcome: policy.Timeout})
 				c = -1
 			}
 		}
@@ -792,7 +792,7 @@
 }
 
 // end ends a call with an outcome.
-func (x *explorer) end(n *node, relay, call int, out Outcome) {
+func (x *explorer) end(n *node, relay, call int, out CallOutcome) {
 	r := &n.relays[relay]
 	c := r.calls[call]
 	r.calls = slices.Delete(r.calls, call, call+1)
@@ -801,7 +801,7 @@
 	switch out.Outcome {
 	case policy.OK:
 		m.ended, m.told = true, true
-		if r.seen < x.w.Knows {
+		if r.seen < x.w.FailuresToDetect {
 			r.seen = 0 // not in a row
 		}
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
@@ -810,16 +810,16 @@
 	case policy.Reset, policy.Timeout, policy.Cancelled:
 		m.doubt, m.doubtAt = true, n.now
 	}
-	route := x.w.Routes[c.route]
-	if out.Wait > 0 {
+	route := x.w.Endpoints[c.route]
+	if out.RetryAfter > 0 {
 		g := x.gate(route)
-		r.wait[g] = max(r.wait[g], n.now+out.Wait)
+		r.wait[g] = max(r.wait[g], n.now+out.RetryAfter)
 	}
 	if out.Outcome == policy.Timeout && n.phase == 1 {
 		r.seen++
 	}
 	x.step(n, relay, policy.Event{
-		Kind: policy.AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: route.ID, Outcome: out.Outcome, Latency: n.now - c.sent, MessageEnded: out.Outcome == policy.OK, RetryAfter: out.Wait,
+		Kind: policy.AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: route.ID, Outcome: out.Outcome, Latency: n.now - c.sent, MessageEnded: out.Outcome == policy.OK, RetryAfter: out.RetryAfter,
 	})
 }
 
@@ -870,7 +870,7 @@
 	clear(r.wait) // a restart ends a wait
 	r.seen = 0
 	whole := policy.Event{Kind: policy.EndpointSnapshot}
-	for _, l := range x.w.Routes {
+	for _, l := range x.w.Endpoints {
 		if t, ok := r.told[l.ID]; ok {
 			if t.gone {
 				continue
@@ -964,7 +964,7 @@
 func (x *explorer) send(n *node, relay int, a policy.Action) {
 	w, r := x.w, &n.relays[relay]
 	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
-	route := slices.IndexFunc(w.Routes, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
+	route := slices.IndexFunc(w.Endpoints, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
 	if k < 0 || route < 0 {
 		n.breaks(
 			checker.Lost,
@@ -975,7 +975,7 @@
 		)
 		return
 	}
-	m, l := &r.msgs[k], w.Routes[route]
+	m, l := &r.msgs[k], w.Endpoints[route]
 	c := w.Settings.Classes[w.Messages[m.n].Class]
 	if m.ended {
 		n.breaks(checker.Lost, "message %d is sent after its end", m.id)
@@ -1063,7 +1063,7 @@
 	)
 	knew := 0
 	for _, a := range n.arrivals {
-		if n.relays[a.relay].seen >= max(1, x.w.Knows) {
+		if n.relays[a.relay].seen >= max(1, x.w.FailuresToDetect) {
 			knew++
 		}
 	}
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -14,16 +14,16 @@
 // shallow is how much less deep tests look than the program does.
 const shallow = 4
 
-func search(t *testing.T, name, mutant string, opts Options) Found {
+func search(t *testing.T, name, mutant string, opts Options) Result {
 	t.Helper()
-	w := WorldNamed(name)
-	if opts.Depth == 0 {
-		opts.Depth = max(4, w.Depth-shallow)
+	w := ModelNamed(name)
+	if opts.MaxDepth == 0 {
+		opts.MaxDepth = max(4, w.MaxDepth-shallow)
 	}
-	if opts.Wrong = emulate.MutantNamed(mutant); mutant != "" && opts.Wrong == nil {
+	if opts.Mutant = emulate.MutantNamed(mutant); mutant != "" && opts.Mutant == nil {
 		t.Fatalf("no mutant %s", mutant)
 	}
-	f, err := Search(t.Context(), w, opts)
+	f, err := Check(t.Context(), w, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,10 +32,10 @@
 
 // The module keeps the rules on every path of every world, as far as a short search goes.
 func TestTheModuleKeepsTheRules(t *testing.T) {
-	for _, w := range Worlds() {
-		f := search(t, w.Name, "", Options{NoWalks: true})
-		if f.Break != nil {
-			t.Errorf("%s: %s: %s\n%v", w.Name, f.Break.Rule, f.Break.Text, f.Path)
+	for _, w := range Models() {
+		f := search(t, w.Name, "", Options{SkipRandomWalks: true})
+		if f.Violation != nil {
+			t.Errorf("%s: %s: %s\n%v", w.Name, f.Violation.Rule, f.Violation.Detail, f.Trace)
 		}
 		if f.States < 20 {
 			t.Errorf("%s: only %d states", w.Name, f.States)
@@ -60,28 +60,28 @@
 		{"order", "no-pause", 8},
 		{"return-2", "no-recovery-budget", 9},
 	} {
-		f := search(t, c.world, c.mutant, Options{Depth: c.depth, NoWalks: true})
+		f := search(t, c.world, c.mutant, Options{MaxDepth: c.depth, SkipRandomWalks: true})
 		m := emulate.MutantNamed(c.mutant)
-		if f.Break == nil || f.Break.Rule != m.Rule {
-			t.Errorf("%s in %s: %+v to depth %d", c.mutant, c.world, f.Break, f.Depth)
+		if f.Violation == nil || f.Violation.Rule != m.Rule {
+			t.Errorf("%s in %s: %+v to depth %d", c.mutant, c.world, f.Violation, f.Depth)
 			continue
 		}
-		p := Path{World: c.world, Mutant: c.mutant, Rule: f.Break.Rule, Moves: f.Path}
+		p := Counterexample{Model: c.world, Mutant: c.mutant, Rule: f.Violation.Rule, Moves: f.Trace}
 		data, err := json.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p, err = ParsePath(data); err != nil {
+		if p, err = ParseCounterexample(data); err != nil {
 			t.Fatal(err)
 		}
-		if b, err := p.Replay(); err != nil || !reflect.DeepEqual(b, f.Break) {
+		if b, err := p.Replay(); err != nil || !reflect.DeepEqual(b, f.Violation) {
 			t.Errorf("%s: replayed: %+v, %v", c.mutant, b, err)
 		}
-		if err := p.Tell(io.Discard); err != nil {
+		if err := p.WriteTrace(io.Discard); err != nil {
 			t.Error(err)
 		}
-		if f := search(t, c.world, c.mutant, Options{Depth: len(f.Path) - 1, NoWalks: true}); f.Break != nil {
-			t.Errorf("%s: a shorter path: %v", c.mutant, f.Path)
+		if f := search(t, c.world, c.mutant, Options{MaxDepth: len(f.Trace) - 1, SkipRandomWalks: true}); f.Violation != nil {
+			t.Errorf("%s: a shorter path: %v", c.mutant, f.Trace)
 		}
 		p.Mutant = ""
 		if b, err := p.Replay(); err == nil && b != nil {
@@ -93,10 +93,10 @@
 // The same search finds the same on any number of workers.
 func TestTheSearchIsTheSameOnAnyNumberOfWorkers(t *testing.T) {
 	a, b := search(t, "repeats", "any-zone", Options{Workers: 1}), search(t, "repeats", "any-zone", Options{Workers: 7})
-	if a.Break == nil || !slices.Equal(a.Path, b.Path) || a.Paths != b.Paths {
+	if a.Violation == nil || !slices.Equal(a.Trace, b.Trace) || a.Transitions != b.Transitions {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if f := search(t, "drains", "", Options{StatesMost: 50, NoWalks: true}); !f.Stopped {
+	if f := search(t, "drains", "", Options{MaxStates: 50, SkipRandomWalks: true}); !f.Truncated {
 		t.Errorf("not bounded: %+v", f)
 	}
 }
@@ -104,19 +104,19 @@
 // Random paths find what needs many calls, and shorten it.
 func TestWalks(t *testing.T) {
 	f := search(t, "return-many", "no-recovery-budget", Options{})
-	if f.Break == nil || f.Break.Rule != checker.Return || len(f.Path) > 100 {
-		t.Errorf("%+v, %d moves", f.Break, len(f.Path))
+	if f.Violation == nil || f.Violation.Rule != checker.Return || len(f.Trace) > 100 {
+		t.Errorf("%+v, %d moves", f.Violation, len(f.Trace))
 	}
 }
 
-func FuzzParsePath(f *testing.F) {
+func FuzzParseCounterexample(f *testing.F) {
 	f.Add(
 		[]byte(
 			`{"world":"repeats","moves":[{"kind":"hand in"},{"kind":"killed"},{"kind":"time passes"},{"kind":"a call ends","choice":9,"n":-1}]}`,
 		),
 	)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if p, err := ParsePath(data); err == nil {
+		if p, err := ParseCounterexample(data); err == nil {
 			p.Replay()
 		}
 	})
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -12,34 +12,34 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// FleetWorld is a tiny fleet: members that tell one page each, and a network that delivers in any order, or not, or
+// FleetModel is a tiny fleet: members that tell one page each, and a network that delivers in any order, or not, or
 // twice, or late, to processes that are stopped and restarted.
-type FleetWorld struct {
-	Members  int  // three
-	Twin     bool // a fourth process runs under the name of the first
-	Tells    int  // of each member
-	Retells  int  // in all: what a member heard of the others it tells them once more, as an answer to a digest does
-	Losses   int  // datagrams
-	Doubles  int
-	Restarts int           // in all; half of them find no folder
-	Stops    int           // in all: what waited for a process is read when it goes on
-	Passes   int           // times that Pass goes by
-	Pass     time.Duration // at once
-	Depth    int           // moves on a path at most
+type FleetModel struct {
+	Members       int  // three
+	DuplicateName bool // a fourth process runs under the name of the first
+	MaxPublishes  int  // of each member
+	MaxForwards   int  // in all: what a member heard of the others it tells them once more, as an answer to a digest does
+	MaxLosses     int  // datagrams
+	MaxDuplicates int
+	MaxRestarts   int           // in all; half of them find no folder
+	MaxPauses     int           // in all: what waited for a process is read when it goes on
+	MaxTimeSteps  int           // times that Pass goes by
+	TimeStep      time.Duration // at once
+	MaxDepth      int           // moves on a path at most
 }
 
-// TinyFleet is the world that comes with it.
-var TinyFleet = FleetWorld{
-	Members:  3,
-	Tells:    2,
-	Retells:  1,
-	Losses:   1,
-	Doubles:  1,
-	Restarts: 1,
-	Stops:    1,
-	Passes:   1,
-	Pass:     2 * time.Second,
-	Depth:    6,
+// SmallFleet is the world that comes with it.
+var SmallFleet = FleetModel{
+	Members:       3,
+	MaxPublishes:  2,
+	MaxForwards:   1,
+	MaxLosses:     1,
+	MaxDuplicates: 1,
+	MaxRestarts:   1,
+	MaxPauses:     1,
+	MaxTimeSteps:  1,
+	TimeStep:      2 * time.Second,
+	MaxDepth:      6,
 }
 
 // FleetMove is one thing that happens.
@@ -61,12 +61,12 @@
 	return fmt.Sprintf("%s %d", m.Kind, m.Member)
 }
 
-// FleetFound is what a search found.
-type FleetFound struct {
-	States, Paths int
-	Whole         bool // no path was cut off by the depth
-	Break         string
-	Path          []FleetMove
+// FleetResult is what a search found.
+type FleetResult struct {
+	States, Transitions int
+	Complete            bool // no path was cut off by the depth
+	Violation           string
+	Trace               []FleetMove
 }
 
 type tinyPacket struct {
@@ -102,13 +102,13 @@
 
 // tiny is a fleet at one point of a path.
 type tiny struct {
-	w       *FleetWorld
+	w       *FleetModel
 	wrong   emulate.FleetWrong
 	now     time.Duration
 	members []*tinyMember
 	flying  []tinyPacket
 	told    map[string]map[tinyVersion]time.Duration
-	left    FleetWorld // what may still happen
+	left    FleetModel // what may still happen
 	broken  string
 }
 
@@ -117,13 +117,13 @@
 
 func memberName(i int) string { return fmt.Sprintf("m%d", i) }
 
-func newTiny(w *FleetWorld, wrong emulate.FleetWrong) *tiny {
+func newTiny(w *FleetModel, wrong emulate.FleetWrong) *tiny {
 	t := &tiny{w: w, wrong: wrong, now: time.Second, left: *w, told: map[string]map[tinyVersion]time.Duration{}}
 	for i := range w.Members {
 		t.members = append(t.members, &tinyMember{name: memberName(i)})
 		t.told[memberName(i)] = map[tinyVersion]time.Duration{}
 	}
-	if w.Twin {
+	if w.DuplicateName {
 		t.members = append(t.members, &tinyMember{name: memberName(0)})
 	}
 	for i := range t.members {
@@ -185,29 +185,29 @@
 // moves are those that may be made.
 func (t *tiny) moves() (all []FleetMove) {
 	for i, m := range t.members {
-		if m.tells < t.w.Tells && !m.stopped {
+		if m.tells < t.w.MaxPublishes && !m.stopped {
 			all = append(all, FleetMove{Kind: "tell", Member: i})
 		}
-		if t.left.Retells > 0 && !m.stopped {
+		if t.left.MaxForwards > 0 && !m.stopped {
 			all = append(all, FleetMove{Kind: "retell", Member: i})
 		}
-		if t.left.Restarts > 0 {
+		if t.left.MaxRestarts > 0 {
 			all = append(all, FleetMove{Kind: "restart", Member: i}, FleetMove{Kind: "forget", Member: i})
 		}
-		if t.left.Stops > 0 || m.stopped {
+		if t.left.MaxPauses > 0 || m.stopped {
 			all = append(all, FleetMove{Kind: "stop", Member: i})
 		}
 	}
 	for k := range t.flying {
 		all = append(all, FleetMove{Kind: "deliver", Packet: k})
-		if t.left.Losses > 0 {
+		if t.left.MaxLosses > 0 {
 			all = append(all, FleetMove{Kind: "lose", Packet: k})
 		}
-		if t.left.Doubles > 0 {
+		if t.left.MaxDuplicates > 0 {
 			all = append(all, FleetMove{Kind: "double", Packet: k})
 		}
 	}
-	if t.left.Passes > 0 {
+	if t.left.MaxTimeSteps > 0 {
 		all = append(all, FleetMove{Kind: "pass"})
 	}
 	return all
@@ -221,7 +221,7 @@
 		m.tells++
 		t.tell(v.Member)
 	case "retell":
-		t.left.Retells--
+		t.left.MaxForwards--
 		n := len(t.members)
 		for j := range t.w.Members {
 			to := (v.Member + 1) % n
@@ -233,7 +233,7 @@
 			}
 		}
 	case "restart", "forget":
-		t.left.Restarts--
+		t.left.MaxRestarts--
 		if v.Kind == "forget" {
 			m.folder = 0
 		}
@@ -241,7 +241,7 @@
 		t.askAll(v.Member)
 	case "stop":
 		if m.stopped = !m.stopped; m.stopped {
-			t.left.Stops--
+			t.left.MaxPauses--
 			break
 		}
 		for _, p := range m.inbox {
@@ -249,18 +249,18 @@
 		}
 		m.inbox = nil
 	case "pass":
-		t.left.Passes--
-		t.now += t.w.Pass
+		t.left.MaxTimeSteps--
+		t.now += t.w.TimeStep
 	case "deliver", "lose", "double":
 		p := t.flying[v.Packet]
 		if v.Kind == "double" {
-			t.left.Doubles--
+			t.left.MaxDuplicates--
 		} else {
 			t.flying = append(append([]tinyPacket(nil), t.flying[:v.Packet]...), t.flying[v.Packet+1:]...)
 		}
 		switch {
 		case v.Kind == "lose":
-			t.left.Losses--
+			t.left.MaxLosses--
 		case t.members[p.to].stopped:
 			t.members[p.to].inbox = append(t.members[p.to].inbox, p)
 		default:
@@ -372,7 +372,7 @@
 // settle lets all exchange digests, again and again: all then hold the same of each member, and of one that goes on
 // telling its newest.
 func (t *tiny) settle() {
-	if t.w.Twin {
+	if t.w.DuplicateName {
 		return // of two processes under one name there is no newest telling
 	}
 	for i, m := range t.members {
@@ -448,9 +448,9 @@
 	return b.String()
 }
 
-// SearchFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the
+// CheckFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the
 // fewest moves.
-func SearchFleet(ctx context.Context, w FleetWorld, wrong emulate.FleetWrong) (f FleetFound, err error) {
+func CheckFleet(ctx context.Context, w FleetModel, wrong emulate.FleetWrong) (f FleetResult, err error) {
 	at := func(path []FleetMove) *tiny {
 		t := newTiny(&w, wrong)
 		for _, m := range path {
@@ -460,7 +460,7 @@
 	}
 	seen := map[string]struct{}{}
 	frontier := [][]FleetMove{nil}
-	f.Whole = true
+	f.Complete = true
 	for depth := 0; len(frontier) > 0; depth++ {
 		var next [][]FleetMove
 		for _, path := range frontier {
@@ -468,14 +468,14 @@
 				return f, ctx.Err()
 			}
 			moves := at(path).moves()
-			if depth == w.Depth {
-				f.Whole = f.Whole && len(moves) == 0
+			if depth == w.MaxDepth {
+				f.Complete = f.Complete && len(moves) == 0
 				continue
 			}
 			for _, m := range moves {
 				longer := append(append([]FleetMove(nil), path...), m)
 				t := at(longer)
-				f.Paths++
+				f.Transitions++
 				if t.broken == "" {
 					end := at(longer)
 					if end.settle(); end.broken != "" {
@@ -483,7 +483,7 @@
 					}
 				}
 				if t.broken != "" {
-					f.Break, f.Path, f.Whole = t.broken, longer, false
+					f.Violation, f.Trace, f.Complete = t.broken, longer, false
 					return f, nil
 				}
 				if k := t.key(); !has(seen, k) {
--- a/internal/simulation/modelcheck/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -12,9 +12,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Path is a path through a world, as it is kept in a file.
-type Path struct {
-	World  string       `json:"world"`
+// Counterexample is a path through a world, as it is kept in a file.
+type Counterexample struct {
+	Model  string       `json:"world"`
 	Mutant string       `json:"mutant,omitempty"`
 	Rule   checker.Rule `json:"rule,omitempty"` // that it broke when it was kept
 	Moves  []Move       `json:"moves"`
@@ -22,25 +22,25 @@
 
 const movesMost = 1000
 
-// ParsePath reads a path that was kept.
-func ParsePath(data []byte) (Path, error) {
-	var p Path
+// ParseCounterexample reads a path that was kept.
+func ParseCounterexample(data []byte) (Counterexample, error) {
+	var p Counterexample
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&p); err != nil {
-		return Path{}, fmt.Errorf("path: %w", err)
+		return Counterexample{}, fmt.Errorf("path: %w", err)
 	}
 	if len(p.Moves) > movesMost {
-		return Path{}, fmt.Errorf("path: %d moves, %d at most", len(p.Moves), movesMost)
+		return Counterexample{}, fmt.Errorf("path: %d moves, %d at most", len(p.Moves), movesMost)
 	}
 	_, _, _, err := p.begin()
 	return p, err
 }
 
-func (p Path) begin() (*World, *explorer, *node, error) {
-	w := WorldNamed(p.World)
+func (p Counterexample) begin() (*Model, *explorer, *node, error) {
+	w := ModelNamed(p.Model)
 	if w == nil {
-		return nil, nil, nil, fmt.Errorf("path: no world %q", p.World)
+		return nil, nil, nil, fmt.Errorf("path: no world %q", p.Model)
 	}
 	var wrong *emulate.Mutant
 	if p.Mutant != "" {
@@ -53,7 +53,7 @@
 }
 
 // walk plays the moves; each is told with the state behind it.
-func (p Path) walk(told func(m Move, from, to *node)) (*Break, error) {
+func (p Counterexample) walk(told func(m Move, from, to *node)) (*Violation, error) {
 	_, x, n, err := p.begin()
 	if err != nil {
 		return nil, err
@@ -79,16 +79,16 @@
 }
 
 // Replay plays a path again and returns the break at its end, if there still is one.
-func (p Path) Replay() (*Break, error) { return p.walk(nil) }
+func (p Counterexample) Replay() (*Violation, error) { return p.walk(nil) }
 
 var outcomeNames = map[policy.Outcome]string{
 	policy.OK: "delivered", policy.Error: "an error", policy.Overloaded: "refused", policy.Timeout: "no answer in time",
 	policy.ConnectFailed: "no connection", policy.Reset: "broken off", policy.Cancelled: "cancelled", policy.NotSent: "never sent",
 }
 
-// Tell writes a path for people: each move, and what the modules then had out.
-func (p Path) Tell(out io.Writer) error {
-	w := WorldNamed(p.World)
+// WriteTrace writes a path for people: each move, and what the modules then had out.
+func (p Counterexample) WriteTrace(out io.Writer) error {
+	w := ModelNamed(p.Model)
 	var err error
 	_, walkErr := p.walk(func(m Move, from, to *node) {
 		if err != nil {
@@ -96,29 +96,29 @@
 		}
 		text := string(m.Kind)
 		switch m.Kind {
-		case HandIn:
+		case MoveSubmit:
 			text = fmt.Sprintf("message %d is handed in to relay %d", from.given+1, m.Relay)
-		case End:
-			c := from.relays[m.Relay].calls[m.N]
-			o := Outcome{Outcome: policy.Error}
-			if m.Choice >= 0 {
-				o = w.Outcomes[m.Choice]
+		case MoveFinishCall:
+			c := from.relays[m.Relay].calls[m.Index]
+			o := CallOutcome{Outcome: policy.Error}
+			if m.Outcome >= 0 {
+				o = w.Outcomes[m.Outcome]
 			}
 			text = fmt.Sprintf(
 				"relay %d: the call of message %d to %s ends: %s",
 				m.Relay,
 				c.id,
-				w.Routes[c.route].ID,
+				w.Endpoints[c.route].ID,
 				outcomeNames[o.Outcome],
 			)
-			if o.Wait > 0 {
-				text += fmt.Sprintf(", told to wait %v", o.Wait)
+			if o.RetryAfter > 0 {
+				text += fmt.Sprintf(", told to wait %v", o.RetryAfter)
 			}
-		case Drained, Left:
-			text = fmt.Sprintf("relay %d is %s: %s", m.Relay, m.Kind, w.Drains[m.N])
-		case Killed:
+		case MoveObserveDraining, MoveObserveRemoval:
+			text = fmt.Sprintf("relay %d is %s: %s", m.Relay, m.Kind, w.DrainingEndpoints[m.Index])
+		case MoveRestart:
 			text = fmt.Sprintf("relay %d is killed and started anew", m.Relay)
-		case Pass:
+		case MoveAdvanceTime:
 			text = fmt.Sprintf("time passes to %v", to.now)
 		}
 		if _, e := fmt.Fprintf(out, "  %8v  %s%s\n", from.now, text, started(w, from, to)); e != nil {
@@ -132,11 +132,11 @@
 }
 
 // started tells of the calls that are out after a move and were not before.
-func started(w *World, from, to *node) (text string) {
+func started(w *Model, from, to *node) (text string) {
 	for i := range to.relays {
 		for _, c := range to.relays[i].calls {
 			if !slices.Contains(from.relays[i].calls, c) {
-				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.id, w.Routes[c.route].ID)
+				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.id, w.Endpoints[c.route].ID)
 			}
 		}
 	}
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -57,96 +57,96 @@
 	return all
 }
 
-func outcomes(all ...policy.Outcome) (list []Outcome) {
+func outcomes(all ...policy.Outcome) (list []CallOutcome) {
 	for _, o := range all {
-		list = append(list, Outcome{Outcome: o})
+		list = append(list, CallOutcome{Outcome: o})
 	}
 	return list
 }
 
-// Worlds are those that come with the program. Their depths are such that all of them end within a minute on two cores.
-func Worlds() []World {
+// Models are those that come with the program. Their depths are such that all of them end within a minute on two cores.
+func Models() []Model {
 	const quantum = 500 * time.Millisecond
-	told := Outcome{Outcome: policy.Overloaded, Wait: time.Second}
-	return []World{
+	told := CallOutcome{Outcome: policy.Overloaded, RetryAfter: time.Second}
+	return []Model{
 		{
-			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, About: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
-			Relays: 1, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
+			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, Description: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
+			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
 			Outcomes: outcomes(
 				policy.OK,
 				policy.Reset,
 				policy.ConnectFailed,
 				policy.Error,
-			), Faults: 2, Restarts: 1, Quantum: quantum, Depth: 11,
+			), MaxFaults: 2, MaxRestarts: 1, MaxTimeStep: quantum, MaxDepth: 11,
 		},
 		{
-			Name: "window", Rules: []checker.Rule{checker.Twice}, About: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
-			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
+			Name: "window", Rules: []checker.Rule{checker.Twice}, Description: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
+			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
 			Outcomes: outcomes(
 				policy.Reset,
 				policy.Overloaded,
 				policy.ConnectFailed,
-			), Faults: 5, Quantum: 200 * time.Millisecond, Depth: 18,
+			), MaxFaults: 5, MaxTimeStep: 200 * time.Millisecond, MaxDepth: 18,
 		},
 		{
-			Name: "order", Rules: []checker.Rule{checker.Order}, About: "one relay: three messages of a key, calls that break or err, a drain",
-			Relays: 1, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
+			Name: "order", Rules: []checker.Rule{checker.Order}, Description: "one relay: three messages of a key, calls that break or err, a drain",
+			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
 			Outcomes: outcomes(
 				policy.OK,
 				policy.Reset,
 				policy.Error,
-			), Faults: 3, Quantum: quantum, Drains: []string{"a"}, Depth: 10,
+			), MaxFaults: 3, MaxTimeStep: quantum, DrainingEndpoints: []string{"a"}, MaxDepth: 10,
 		},
 		{
-			Name: "waits", Rules: []checker.Rule{checker.Wait}, About: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
-			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
-			Outcomes: []Outcome{
+			Name: "waits", Rules: []checker.Rule{checker.Wait}, Description: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
+			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
+			Outcomes: []CallOutcome{
 				{Outcome: policy.OK},
 				told,
 				{Outcome: policy.Overloaded},
-			}, Faults: 2, Quantum: quantum, Depth: 10,
+			}, MaxFaults: 2, MaxTimeStep: quantum, MaxDepth: 10,
 		},
 		{
-			Name: "drains", Rules: []checker.Rule{checker.Drain}, About: "two relays that learn at different times that both routes of three drain and go",
-			Relays: 2, Settings: settings(), Routes: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
+			Name: "drains", Rules: []checker.Rule{checker.Drain}, Description: "two relays that learn at different times that both routes of three drain and go",
+			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
 				policy.Overloaded,
-			), Faults: 1, Quantum: 600 * time.Millisecond, Drains: []string{"a", "b"}, Depth: 7,
+			), MaxFaults: 1, MaxTimeStep: 600 * time.Millisecond, DrainingEndpoints: []string{"a", "b"}, MaxDepth: 7,
 		},
 		{
-			Name: "return", Rules: []checker.Rule{checker.Return}, About: "one relay, a destination that fails and comes back cold",
-			Relays: 1, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
-			Outcomes: outcomes(policy.OK), Quantum: quantum, Outage: true, Knows: 2, Depth: 10,
+			Name: "return", Rules: []checker.Rule{checker.Return}, Description: "one relay, a destination that fails and comes back cold",
+			Relays: 1, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
+			Outcomes: outcomes(policy.OK), MaxTimeStep: quantum, HasOutage: true, FailuresToDetect: 2, MaxDepth: 10,
 		},
 		{
-			Name: "return-2", Rules: []checker.Rule{checker.Return}, About: "two relays, a destination that is out at the start and comes back cold",
-			Relays: 2, Settings: settings(), Routes: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
-			Outcomes: outcomes(policy.OK), Quantum: time.Second, Outage: true, Out: true, Knows: 2, Depth: 9,
+			Name: "return-2", Rules: []checker.Rule{checker.Return}, Description: "two relays, a destination that is out at the start and comes back cold",
+			Relays: 2, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
+			Outcomes: outcomes(policy.OK), MaxTimeStep: time.Second, HasOutage: true, StartsInOutage: true, FailuresToDetect: 2, MaxDepth: 9,
 		},
 		{
-			Name: "return-many", Rules: []checker.Rule{checker.Return}, About: "two relays with messages enough, a destination that fails and comes back cold; random paths",
-			Relays: 2, Settings: settings(), Routes: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
+			Name: "return-many", Rules: []checker.Rule{checker.Return}, Description: "two relays with messages enough, a destination that fails and comes back cold; random paths",
+			Relays: 2, Settings: settings(), Endpoints: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
 			Outcomes: outcomes(
 				policy.OK,
-			), Quantum: 200 * time.Millisecond, Outage: true, Lasts: 3 * time.Second, Knows: 2, Depth: 4, Walks: 1000, WalkDepth: 200,
+			), MaxTimeStep: 200 * time.Millisecond, HasOutage: true, MinOutage: 3 * time.Second, FailuresToDetect: 2, MaxDepth: 4, RandomWalks: 1000, RandomWalkLength: 200,
 		},
 		{
-			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, About: "two relays that are killed at any moment, with a message given up on",
-			Relays: 2, Settings: settings(), Routes: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
+			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, Description: "two relays that are killed at any moment, with a message given up on",
+			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
 				policy.Reset,
 				policy.Overloaded,
-			), Faults: 2, Restarts: 2, Quantum: time.Second, Depth: 8,
+			), MaxFaults: 2, MaxRestarts: 2, MaxTimeStep: time.Second, MaxDepth: 8,
 		},
 		{
-			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, About: "two relays, routes that stand apart, a told wait, a drain and a kill together",
-			Relays: 2, Settings: settings(), Routes: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
+			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, Description: "two relays, routes that stand apart, a told wait, a drain and a kill together",
+			Relays: 2, Settings: settings(), Endpoints: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
 			Outcomes: append(
 				outcomes(policy.OK, policy.Reset),
 				told,
-			), Faults: 2, Restarts: 1, Drains: []string{"a"}, Quantum: quantum, Depth: 7,
+			), MaxFaults: 2, MaxRestarts: 1, DrainingEndpoints: []string{"a"}, MaxTimeStep: quantum, MaxDepth: 7,
 		},
 	}
 }
@@ -158,10 +158,10 @@
 	return all
 }
 
-// WorldNamed returns a world by its name; nil if there is none.
-func WorldNamed(name string) *World {
-	all := Worlds()
-	if i := slices.IndexFunc(all, func(w World) bool { return w.Name == name }); i >= 0 {
+// ModelNamed returns a world by its name; nil if there is none.
+func ModelNamed(name string) *Model {
+	all := Models()
+	if i := slices.IndexFunc(all, func(w Model) bool { return w.Name == name }); i >= 0 {
 		return &all[i]
 	}
 	return nil
