--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -104,7 +104,7 @@
 // Random paths find what needs many calls, and shorten it.
 func TestWalks(t *testing.T) {
 	f := search(t, "return-many", "no-recovery-budget", Options{})
-	if f.Violation == nil || f.Violation.Rule != checker.Return || len(f.Trace) > 100 {
+	if f.Violation == nil || f.Violation.Rule != checker.RecoveryNotOverloaded || len(f.Trace) > 100 {
 		t.Errorf("%+v, %d moves", f.Violation, len(f.Trace))
 	}
 }
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -70,7 +70,7 @@
 	told := CallOutcome{Outcome: policy.Overloaded, RetryAfter: time.Second}
 	return []Model{
 		{
-			Name: "repeats", Rules: []checker.Rule{checker.Twice, checker.Lost}, Description: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
+			Name: "repeats", Rules: []checker.Rule{checker.NoDuplicateEffect, checker.NoMessageLost}, Description: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
 			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -80,7 +80,7 @@
 			), MaxFaults: 2, MaxRestarts: 1, MaxTimeStep: quantum, MaxDepth: 11,
 		},
 		{
-			Name: "window", Rules: []checker.Rule{checker.Twice}, Description: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
+			Name: "window", Rules: []checker.Rule{checker.NoDuplicateEffect}, Description: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
 			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
 			Outcomes: outcomes(
 				policy.Reset,
@@ -89,7 +89,7 @@
 			), MaxFaults: 5, MaxTimeStep: 200 * time.Millisecond, MaxDepth: 18,
 		},
 		{
-			Name: "order", Rules: []checker.Rule{checker.Order}, Description: "one relay: three messages of a key, calls that break or err, a drain",
+			Name: "order", Rules: []checker.Rule{checker.OrderKept}, Description: "one relay: three messages of a key, calls that break or err, a drain",
 			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -98,7 +98,7 @@
 			), MaxFaults: 3, MaxTimeStep: quantum, DrainingEndpoints: []string{"a"}, MaxDepth: 10,
 		},
 		{
-			Name: "waits", Rules: []checker.Rule{checker.Wait}, Description: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
+			Name: "waits", Rules: []checker.Rule{checker.RetryAfterRespected}, Description: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
 			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
 			Outcomes: []CallOutcome{
 				{Outcome: policy.OK},
@@ -107,7 +107,7 @@
 			}, MaxFaults: 2, MaxTimeStep: quantum, MaxDepth: 10,
 		},
 		{
-			Name: "drains", Rules: []checker.Rule{checker.Drain}, Description: "two relays that learn at different times that both routes of three drain and go",
+			Name: "drains", Rules: []checker.Rule{checker.DrainRespected}, Description: "two relays that learn at different times that both routes of three drain and go",
 			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -115,24 +115,24 @@
 			), MaxFaults: 1, MaxTimeStep: 600 * time.Millisecond, DrainingEndpoints: []string{"a", "b"}, MaxDepth: 7,
 		},
 		{
-			Name: "return", Rules: []checker.Rule{checker.Return}, Description: "one relay, a destination that fails and comes back cold",
+			Name: "return", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "one relay, a destination that fails and comes back cold",
 			Relays: 1, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
 			Outcomes: outcomes(policy.OK), MaxTimeStep: quantum, HasOutage: true, FailuresToDetect: 2, MaxDepth: 10,
 		},
 		{
-			Name: "return-2", Rules: []checker.Rule{checker.Return}, Description: "two relays, a destination that is out at the start and comes back cold",
+			Name: "return-2", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "two relays, a destination that is out at the start and comes back cold",
 			Relays: 2, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
 			Outcomes: outcomes(policy.OK), MaxTimeStep: time.Second, HasOutage: true, StartsInOutage: true, FailuresToDetect: 2, MaxDepth: 9,
 		},
 		{
-			Name: "return-many", Rules: []checker.Rule{checker.Return}, Description: "two relays with messages enough, a destination that fails and comes back cold; random paths",
+			Name: "return-many", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "two relays with messages enough, a destination that fails and comes back cold; random paths",
 			Relays: 2, Settings: settings(), Endpoints: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
 			Outcomes: outcomes(
 				policy.OK,
 			), MaxTimeStep: 200 * time.Millisecond, HasOutage: true, MinOutage: 3 * time.Second, FailuresToDetect: 2, MaxDepth: 4, RandomWalks: 1000, RandomWalkLength: 200,
 		},
 		{
-			Name: "restarts", Rules: []checker.Rule{checker.Lost, checker.Twice}, Description: "two relays that are killed at any moment, with a message given up on",
+			Name: "restarts", Rules: []checker.Rule{checker.NoMessageLost, checker.NoDuplicateEffect}, Description: "two relays that are killed at any moment, with a message given up on",
 			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
 			Outcomes: outcomes(
 				policy.OK,
@@ -141,7 +141,7 @@
 			), MaxFaults: 2, MaxRestarts: 2, MaxTimeStep: time.Second, MaxDepth: 8,
 		},
 		{
-			Name: "separate", Rules: []checker.Rule{checker.Drain, checker.Wait, checker.Twice}, Description: "two relays, routes that stand apart, a told wait, a drain and a kill together",
+			Name: "separate", Rules: []checker.Rule{checker.DrainRespected, checker.RetryAfterRespected, checker.NoDuplicateEffect}, Description: "two relays, routes that stand apart, a told wait, a drain and a kill together",
 			Relays: 2, Settings: settings(), Endpoints: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
 			Outcomes: append(
 				outcomes(policy.OK, policy.Reset),
