--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -20,7 +20,7 @@
 	if opts.MaxDepth == 0 {
 		opts.MaxDepth = max(4, w.MaxDepth-shallow)
 	}
-	if opts.Mutant = emulate.MutantNamed(mutant); mutant != "" && opts.Mutant == nil {
+	if opts.Mutant = emulate.FindMutant(mutant); mutant != "" && opts.Mutant == nil {
 		t.Fatalf("no mutant %s", mutant)
 	}
 	f, err := Check(t.Context(), w, opts)
@@ -61,7 +61,7 @@
 		{"return-2", "no-recovery-budget", 9},
 	} {
 		f := search(t, c.world, c.mutant, Options{MaxDepth: c.depth, SkipRandomWalks: true})
-		m := emulate.MutantNamed(c.mutant)
+		m := emulate.FindMutant(c.mutant)
 		if f.Violation == nil || f.Violation.Rule != m.Rule {
 			t.Errorf("%s in %s: %+v to depth %d", c.mutant, c.world, f.Violation, f.Depth)
 			continue
--- a/internal/simulation/modelcheck/fleet_test.go
+++ b/internal/simulation/modelcheck/fleet_test.go
@@ -12,20 +12,20 @@
 func TestAllOrdersOfATinyFleet(t *testing.T) {
 	w := SmallFleet
 	w.MaxDepth = 4
-	f, err := CheckFleet(context.Background(), w, emulate.FleetWrong{})
+	f, err := CheckFleet(context.Background(), w, emulate.LinkFaults{})
 	if err != nil || f.Violation != "" || f.States < 1000 {
 		t.Errorf("%d states, %v: %s, by %v", f.States, err, f.Violation, f.Trace)
 	}
 	t.Logf("%d states, %d moves", f.States, f.Transitions)
 	twin := w
 	twin.DuplicateName, twin.MaxDepth = true, 3
-	if f, err := CheckFleet(context.Background(), twin, emulate.FleetWrong{}); err != nil || f.Violation != "" ||
+	if f, err := CheckFleet(context.Background(), twin, emulate.LinkFaults{}); err != nil || f.Violation != "" ||
 		f.States < 300 {
 		t.Errorf("two processes under one name: %d states, %v: %s, by %v", f.States, err, f.Violation, f.Trace)
 	}
 	w.MaxDepth, w.MaxRestarts, w.MaxPauses, w.MaxLosses, w.MaxDuplicates = 5, 0, 0, 0, 0
-	for name, wrong := range map[string]emulate.FleetWrong{
-		"a merge that takes the older": {LastWins: true}, "ages that do not grow": {AgesStand: true}, "a stall not noticed": {NoTransit: true},
+	for name, wrong := range map[string]emulate.LinkFaults{
+		"a merge that takes the older": {LastReceivedWins: true}, "ages that do not grow": {FrozenAges: true}, "a stall not noticed": {NoTransitTime: true},
 	} {
 		f, err := CheckFleet(context.Background(), w, wrong)
 		if err != nil || f.Violation == "" {
