--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -23,8 +23,8 @@
 	timeUnit = 100 * time.Millisecond
 )
 
-// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it violates the same
-// rule, or loses nearly as much.
+// shrink makes the scenario of a candidate smaller, a step at a time, while it still shows the same: it violates the
+// same rule, or loses nearly as much.
 func (s Search) shrink(ctx context.Context, found Candidate) Candidate {
 	loss := 1 - found.Service
 	showsSame := func(candidate Candidate) bool {
