--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -45,7 +45,7 @@
 	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
 	f = scaleScenario(relays, c.Destinations, c.Rate, c.Length)
 	// ten calls a second an endpoint
-	f.Kinds[0] = scenario.Kind{Name: "store", Pace: d(500 * time.Millisecond), Spread: 0.5, Slots: 5}
+	f.DestinationKinds[0] = scenario.DestinationKind{Name: "store", ServiceTime: d(500 * time.Millisecond), ServiceTimeVariation: 0.5, MaxConcurrentCalls: 5}
 	begin, end = c.Length/3, c.Length*2/3
 	switch c.Fault {
 	case "changes":
@@ -53,14 +53,14 @@
 		endpoints := c.Destinations * f.Destinations[0].Endpoints
 		// rounded up to the count by the plan
 		share := math.Nextafter(float64(c.Count/replaceSteps)/float64(endpoints), 0)
-		f.Troubles = []scenario.Trouble{
+		f.Faults = []scenario.Fault{
 			{
-				Kind:    scenario.Draining,
-				At:      d(time.Second),
-				For:     d(c.Length - 10*time.Second),
-				Share:   share,
-				Replace: true,
-				Batch:   1,
+				Kind:             scenario.FaultDrain,
+				Start:            d(time.Second),
+				Duration:         d(c.Length - 10*time.Second),
+				Share:            share,
+				ReplaceEndpoints: true,
+				BatchSize:        1,
 			},
 		}
 	case "outages":
@@ -69,9 +69,9 @@
 			down = append(down, 1+i*c.Destinations/c.Count)
 		}
 		back := (c.Count + backShare - 1) / backShare
-		f.Troubles = []scenario.Trouble{
-			{Kind: scenario.Death, At: d(begin), For: d(end - begin), Destinations: down[:back]},
-			{Kind: scenario.Death, At: d(begin), For: d(c.Length - begin), Destinations: down[back:]},
+		f.Faults = []scenario.Fault{
+			{Kind: scenario.FaultCrash, Start: d(begin), Duration: d(end - begin), Destinations: down[:back]},
+			{Kind: scenario.FaultCrash, Start: d(begin), Duration: d(c.Length - begin), Destinations: down[back:]},
 		}
 		f.Traffic = append(f.Traffic, scenario.Traffic{Rate: c.Struck * float64(c.Count), Destinations: down})
 	case "zone":
@@ -81,14 +81,14 @@
 		}
 		f.Destinations[0].Zones = nil
 		end = begin + c.Away
-		f.Troubles = []scenario.Trouble{{Kind: scenario.Kill, At: d(begin), Zone: "z1"}}
+		f.Faults = []scenario.Fault{{Kind: scenario.FaultKill, Start: d(begin), Zone: "z1"}}
 	case "restarts":
 		end = begin + min(restartSpan, c.Length/3)
 		count := math.Ceil(restartShare * float64(relays))
-		f.Troubles = []scenario.Trouble{
+		f.Faults = []scenario.Fault{
 			{
-				Kind:    scenario.Term,
-				At:      d(begin),
+				Kind:    scenario.FaultTerminate,
+				Start:   d(begin),
 				Share:   restartShare,
 				Stagger: d(time.Duration(float64(end-begin) / count)),
 			},
@@ -124,10 +124,10 @@
 // play plays the fault with so many relays, and tells whether all held.
 func (c *faultsCommand) play(s *cli.Streams, relays int, change func(*emulate.Options)) (held bool, err error) {
 	f, begin, end := c.file(relays)
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		return false, err
 	}
-	x := newFaultWatch(f.DrawWorld(c.Seed), begin, end)
+	x := newFaultWatch(f.DrawWithoutArrivals(c.Seed), begin, end)
 	opts := x.options()
 	if c.Fault == "zone" {
 		opts.RestartDelay = c.Away
@@ -215,24 +215,24 @@
 		dest: map[string]int{}, out: map[int][2]time.Duration{}, by: map[int]int{}, found: map[[2]int]struct{}{},
 	}
 	for _, e := range x.plan.Endpoints {
-		x.dest[e.ID] = e.Dest
+		x.dest[e.ID] = e.Destination
 	}
 	places := map[string]int{}
-	for _, p := range x.plan.Places {
-		places[p.Name] = p.Dest
+	for _, p := range x.plan.Services {
+		places[p.Name] = p.Destination
 	}
 	for _, step := range x.plan.Steps {
-		switch state := map[scenario.Op]string{scenario.OpList: eventlog.StateReady, scenario.OpDrain: eventlog.StateDraining, scenario.OpGone: eventlog.StateGone}[step.Op]; {
+		switch state := map[scenario.Op]string{scenario.OpAddEndpoint: eventlog.StateReady, scenario.OpDrainEndpoint: eventlog.StateDraining, scenario.OpRemoveEndpoint: eventlog.StateGone}[step.Op]; {
 		case state != "":
 			c := heardChange{step.Target, state}
 			x.changes[c] = &spread{told: step.At}
 			x.order = append(x.order, c)
-		case step.Op == scenario.OpDown:
+		case step.Op == scenario.OpCrash:
 			x.out[places[step.Target]] = [2]time.Duration{step.At, math.MaxInt64}
-		case step.Op == scenario.OpBack:
+		case step.Op == scenario.OpRestore:
 			d := places[step.Target]
 			x.out[d] = [2]time.Duration{x.out[d][0], step.At}
-		case step.Op == scenario.OpKill || step.Op == scenario.OpTerm:
+		case step.Op == scenario.OpKill || step.Op == scenario.OpTerminate:
 			x.ended++
 		}
 	}
@@ -294,7 +294,7 @@
 	switch out, ok := x.out[dest]; {
 	case !ok:
 		return &x.others
-	case out[1] < x.plan.File.Length.D() && at >= out[1]:
+	case out[1] < x.plan.File.Length.AsDuration() && at >= out[1]:
 		return &x.back
 	}
 	return nil
@@ -308,7 +308,7 @@
 		"  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n",
 		share(0, x.begin-beforeUntil),
 		share(x.begin, x.end),
-		share(x.end, x.plan.File.Length.D()),
+		share(x.end, x.plan.File.Length.AsDuration()),
 		x.w.Overloads,
 	)
 	fmt.Fprintf(
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -65,18 +65,18 @@
 		"worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
 		c.Plans,
 		p.Service,
-		len(p.File.Troubles),
+		len(p.File.Faults),
 		p.Seed,
 		c.Out,
 		c.Out,
 	)
-	for _, t := range p.File.Troubles {
+	for _, t := range p.File.Faults {
 		fmt.Fprintf(
 			s.Out,
 			"  %v  %s for %v  destinations %v share %.2f relays %v\n",
-			t.At.D(),
+			t.Start.AsDuration(),
 			t.Kind,
-			t.For.D(),
+			t.Duration.AsDuration(),
 			t.Destinations,
 			t.Share,
 			t.Relays,
--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -77,7 +77,9 @@
 	)
 }
 
-func load(name string) (scenario.File, error) { return scenario.LoadFor(name, scenario.EmulatorBounds) }
+func load(name string) (scenario.File, error) {
+	return scenario.LoadWithin(name, scenario.EmulatorBounds)
+}
 
 func exit(status int) error {
 	if status == exitHeld {
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -90,11 +90,11 @@
 
 func (c *scaleCommand) play(s *cli.Streams, x size) error {
 	f := scaleScenario(x.relays, x.destinations, c.Rate, c.Length)
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		return err
 	}
 	build := func(f scenario.File) (*emulate.World, error) {
-		return emulate.New(f.DrawWorld(c.Seed), emulate.Options{ZoneLatency: 2 * time.Millisecond})
+		return emulate.New(f.DrawWithoutArrivals(c.Seed), emulate.Options{ZoneLatency: 2 * time.Millisecond})
 	}
 	before := heap()
 	one := f.Clone()
@@ -192,40 +192,40 @@
 		Name: "scale", Length: d(length), Relays: relays, Zones: []string{"north", "south"},
 		Classes: []scenario.Class{
 			{
-				Name:      "order",
-				Share:     8,
-				Effect:    "keyed",
-				Window:    d(10 * time.Second),
-				Aim:       d(3 * time.Second),
-				GiveUp:    d(12 * time.Second),
-				LateWorth: 0.4,
+				Name:             "order",
+				TrafficShare:     8,
+				Effect:           "keyed",
+				DedupWindow:      d(10 * time.Second),
+				LatencyObjective: d(3 * time.Second),
+				Deadline:         d(12 * time.Second),
+				LateWeightRatio:  0.4,
 			},
 			{
-				Name:      "payment",
-				Share:     1,
-				Effect:    "unsafe",
-				Aim:       d(3 * time.Second),
-				GiveUp:    d(10 * time.Second),
-				LateWorth: 0.4,
+				Name:             "payment",
+				TrafficShare:     1,
+				Effect:           "unsafe",
+				LatencyObjective: d(3 * time.Second),
+				Deadline:         d(10 * time.Second),
+				LateWeightRatio:  0.4,
 			},
 			{
-				Name:      "status",
-				Share:     1,
-				Effect:    "safe",
-				Aim:       d(4 * time.Second),
-				GiveUp:    d(10 * time.Second),
-				LateWorth: 0.4,
+				Name:             "status",
+				TrafficShare:     1,
+				Effect:           "safe",
+				LatencyObjective: d(4 * time.Second),
+				Deadline:         d(10 * time.Second),
+				LateWeightRatio:  0.4,
 			},
 		},
-		Kinds: []scenario.Kind{{
-			Name: "store", Pace: d(200 * time.Millisecond), Spread: 0.5, Slots: 8, Limit: "rate", TellsWait: 0.5, Wait: d(300 * time.Millisecond),
+		DestinationKinds: []scenario.DestinationKind{{
+			Name: "store", ServiceTime: d(200 * time.Millisecond), ServiceTimeVariation: 0.5, MaxConcurrentCalls: 8, Limit: "rate", RetryAfterRatio: 0.5, MinRetryAfter: d(300 * time.Millisecond),
 		}},
 		Destinations: []scenario.Destination{
-			{Kind: "store", Count: destinations, Rate: max(1, 2*rate/float64(destinations))},
+			{Kind: "store", Count: destinations, LimitRate: max(1, 2*rate/float64(destinations))},
 		},
 		Traffic: []scenario.Traffic{{Rate: rate}},
-		Troubles: []scenario.Trouble{
-			{Kind: scenario.Fail, At: d(length / 2), For: d(min(10*time.Second, length/4)), Share: 0.1},
+		Faults: []scenario.Fault{
+			{Kind: scenario.FaultFailCalls, Start: d(length / 2), Duration: d(min(10*time.Second, length/4)), Share: 0.1},
 		},
 	}
 	f.SetDefaults()
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.Out, "%-18s %4v  %s\n", name, f.Length.D(), f.About)
+		fmt.Fprintf(s.Out, "%-18s %4v  %s\n", name, f.Length.AsDuration(), f.Description)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 			Record: c.Record || c.KeepAll,
 		}
 		if !c.Quiet {
-			fmt.Fprintf(s.Err, "%s: %s\n", f.Name, f.About)
+			fmt.Fprintf(s.Err, "%s: %s\n", f.Name, f.Description)
 			opts.Progress = func(p rehearsal.Progress) { progress(s.Err, p) }
 		}
 		r, err := rehearsal.Run(ctx, f, opts)
--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -116,7 +116,7 @@
 
 // keep is how long relays keep a connection idle.
 func (w *World) keep() time.Duration {
-	return time.Duration(keepShare * float64(w.plan.File.Settings.KeepAlive))
+	return time.Duration(keepShare * float64(w.plan.File.Settings.KeepAliveTimeout))
 }
 
 // launch makes a call.
@@ -139,7 +139,7 @@
 	}
 	c.fresh = true
 	h := c.host
-	connect := w.plan.File.Settings.ConnectTimeout.D()
+	connect := w.plan.File.Settings.ConnectTimeout.AsDuration()
 	c.in(c.latency(), func() { // the first packet has come to the host
 		up := !h.isCut && !h.isDown && !h.stopped
 		full := up && w.opts.MaxConnections > 0 && w.connections(h) >= w.opts.MaxConnections
@@ -256,7 +256,7 @@
 			Relay:       c.r.name,
 			Host:        h.ID,
 			FirstByteAt: w.Now(),
-			Destination: h.Dest,
+			Destination: h.Destination,
 			Weight:      h.place.CallWeight(len(c.atts)),
 		}
 		for i := range c.atts {
@@ -286,7 +286,7 @@
 	fate := h.place.HandleCall(w.Now(), h.ID, live)
 	if fate.CausedOverload {
 		w.Overloads++
-		w.see(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.place.Name, Destination: h.Dest, Hosts: ids(h.place.standing())})
+		w.see(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.place.Name, Destination: h.Destination, Hosts: ids(h.place.standing())})
 		w.able(h.place, 0, 0)
 	}
 	if fate.Result != upstream.Unanswered && h.place.ResetRatio != nil && w.net.Float64() < h.place.ResetRatio(c.r.n) {
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -39,16 +39,16 @@
 // Offer has a client hand a message in, and come again as clients do. The relay and the class are counted from 0.
 func (w *World) Submit(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
-	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Dest, over: w.shares.Exceeded(a.Customer, w.Now())}
+	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Destination, over: w.shares.Exceeded(a.Customer, w.Now())}
 	w.asked(x)
 	if w.opts.OnSubmission != nil {
-		w.opts.OnSubmission(a.Relay, a.Dest)
+		w.opts.OnSubmission(a.Relay, a.Destination)
 	}
 	if a.ID == "" && w.opts.Record {
 		w.ids++
 		a.ID = fmt.Sprintf("m%d", w.ids)
 	}
-	t := &try{Arrival: a, w: w, ask: x, origin: a.ID, deadline: w.Now() + w.plan.File.Classes[a.Class].GiveUp.D()}
+	t := &try{Arrival: a, w: w, ask: x, origin: a.ID, deadline: w.Now() + w.plan.File.Classes[a.Class].Deadline.AsDuration()}
 	t.offer()
 }
 
@@ -70,7 +70,7 @@
 	w := t.w
 	r := w.relays[t.Relay]
 	w.see(eventlog.Event{
-		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
 		For: t.deadline - w.Now(),
 	})
 	if !r.takes {
@@ -116,10 +116,10 @@
 			w.Failed++
 		case statusRefused:
 			w.Rejected++
-			if t.refusals++; t.refusals > refusalsMost || t.Again == 0 {
+			if t.refusals++; t.refusals > refusalsMost || t.RetryDelay == 0 {
 				return
 			}
-			w.ScheduleAfter(max(t.Again, min(advice, w.plan.File.Settings.MaxRetryAfter.D())), t.next)
+			w.ScheduleAfter(max(t.RetryDelay, min(advice, w.plan.File.Settings.MaxRetryAfter.AsDuration())), t.next)
 		}
 	})
 }
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -16,17 +16,17 @@
 	const s = scenario.Duration(time.Second)
 	f := loaded(t, "partner-silent")
 	f.Length = 40 * s
-	f.Classes[0].Window, f.Classes[0].GiveUp = 4*s, 12*s
-	f.Troubles = []scenario.Trouble{
-		{Kind: scenario.Silent, At: 6 * s, For: 9 * s, Share: 0.5},
-		{Kind: scenario.ClockStep, At: 13 * s, By: scenario.Duration(by)},
-		{Kind: scenario.Kill, At: 14 * s, Stagger: s / 2},
+	f.Classes[0].DedupWindow, f.Classes[0].Deadline = 4*s, 12*s
+	f.Faults = []scenario.Fault{
+		{Kind: scenario.FaultSilence, Start: 6 * s, Duration: 9 * s, Share: 0.5},
+		{Kind: scenario.FaultClockStep, Start: 13 * s, ClockOffset: scenario.Duration(by)},
+		{Kind: scenario.FaultKill, Start: 14 * s, Stagger: s / 2},
 	}
 	if by == 0 {
-		f.Troubles = slices.Delete(f.Troubles, 1, 2)
+		f.Faults = slices.Delete(f.Faults, 1, 2)
 	}
 	f.SetDefaults()
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -74,7 +74,7 @@
 func TestANewBootLeavesAttemptsUndated(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
 		f := clockDay(t, by)
-		f.Troubles = f.Troubles[:2]
+		f.Faults = f.Faults[:2]
 		w, err := New(f.Draw(1), Options{Record: true, MachineCrashes: true, JournalSync: SyncAlways})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -11,6 +11,7 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -27,13 +28,13 @@
 	share float64 // OpFail: of the calls
 	tells float64 // share of the refusals that tell a wait
 }{
-	{"failing", scenario.OpFail, 1, 0.5},
-	{"mostly failing", scenario.OpFail, 0.85, 0.5},
-	{"hanging", scenario.OpMute, 0, 0.5},
-	{"refused", scenario.OpDown, 0, 0.5},
-	{"cut off", scenario.OpCut, 0, 0.5},
-	{"shut", scenario.OpShut, 0, 0},
-	{"shut, waits end together", scenario.OpShut, 0, 1},
+	{"failing", scenario.OpFailCalls, 1, 0.5},
+	{"mostly failing", scenario.OpFailCalls, 0.85, 0.5},
+	{"hanging", scenario.OpSilence, 0, 0.5},
+	{"refused", scenario.OpCrash, 0, 0.5},
+	{"cut off", scenario.OpCutOff, 0, 0.5},
+	{"shut", scenario.OpSuspend, 0, 0},
+	{"shut, waits end together", scenario.OpSuspend, 0, 1},
 }
 
 // The weights that a fleet is told of a destination.
@@ -50,7 +51,7 @@
 	relays, endpoints   int
 	rate                float64 // calls a second that a place takes from all relays
 	spare               float64 // what it can serve warm, of that
-	limit               string
+	limit               upstream.LimitKind
 	asked               float64 // messages for each call that it takes
 	coldFrom, factor    float64
 	warm, window, lasts time.Duration
@@ -60,7 +61,7 @@
 	weights             string
 	rates               bool // the customers' are told
 	giveUp              time.Duration
-	effect              string
+	effect              eventlog.Effect
 }
 
 func drawCold(relays int, seed uint64) coldDay {
@@ -71,11 +72,11 @@
 	}
 	d := coldDay{
 		seed: seed, relays: relays, endpoints: 1 + rng.IntN(3), rate: math.Exp(between(math.Log(2), math.Log(120))), spare: between(1, 2),
-		limit: []string{"rate", "window", "none"}[rng.IntN(3)], asked: between(0.5, 1.5), coldFrom: between(0.05, 0.4), factor: between(1, 2.5),
+		limit: []upstream.LimitKind{"rate", "window", "none"}[rng.IntN(3)], asked: between(0.5, 1.5), coldFrom: between(0.05, 0.4), factor: between(1, 2.5),
 		warm: seconds(5, 30), window: seconds(1, 5), lasts: seconds(6, 14), outage: rng.IntN(len(coldOutages)),
 		uneven: rng.IntN(2) == 0, separate: rng.IntN(3) == 0, replaced: rng.IntN(4) == 0, restarted: rng.IntN(3) == 0,
 		weights: coldWeights[rng.IntN(len(coldWeights))], rates: rng.IntN(2) == 0, giveUp: seconds(8, 28),
-		effect: []string{"safe", "keyed"}[rng.IntN(2)],
+		effect: []eventlog.Effect{"safe", "keyed"}[rng.IntN(2)],
 	}
 	if d.limit == "none" {
 		d.spare = 1 // it takes what it can serve
@@ -143,32 +144,32 @@
 		slots = max(1, int(d.rate*d.spare*0.2))
 		pace = time.Duration(float64(slots) / (d.rate * d.spare) * float64(time.Second))
 	}
-	kind := scenario.Kind{
-		Name: "kind", Separate: d.separate, Pace: sec(pace), Slots: slots, Queue: sec(500 * time.Millisecond), Spread: 0.5, Limit: d.limit, Window: sec(time.Second),
-		TellsWait: o.tells, Wait: sec(300 * time.Millisecond), ColdFrom: d.coldFrom, Warm: sec(d.warm),
+	kind := scenario.DestinationKind{
+		Name: "kind", SeparateEndpoints: d.separate, ServiceTime: sec(pace), MaxConcurrentCalls: slots, MaxQueueTime: sec(500 * time.Millisecond), ServiceTimeVariation: 0.5, Limit: d.limit, LimitWindow: sec(time.Second),
+		RetryAfterRatio: o.tells, MinRetryAfter: sec(300 * time.Millisecond), WarmUpInitialCapacity: d.coldFrom, WarmUpDuration: sec(d.warm),
 	}
 	f := scenario.File{
 		Name: "cold", Length: sec(end + time.Second), Relays: d.relays, Zones: []string{"north", "south"},
-		Settings: scenario.Settings{Slots: 40, Held: 400, FallMultiple: d.factor, FallWindow: sec(d.window)},
+		Settings: scenario.Settings{MaxConcurrentCalls: 40, MaxMessages: 400, OverloadFactor: d.factor, OverloadWindow: sec(d.window)},
 		Classes: []scenario.Class{
 			{
-				Name:      "order",
-				Effect:    d.effect,
-				Window:    sec(10 * time.Second),
-				Aim:       sec(d.giveUp / 4),
-				GiveUp:    sec(d.giveUp),
-				LateWorth: 0.4,
+				Name:             "order",
+				Effect:           d.effect,
+				DedupWindow:      sec(10 * time.Second),
+				LatencyObjective: sec(d.giveUp / 4),
+				Deadline:         sec(d.giveUp),
+				LateWeightRatio:  0.4,
 			},
 		},
-		Kinds:        []scenario.Kind{kind},
-		Destinations: []scenario.Destination{{Kind: "kind", Rate: d.rate, Endpoints: d.endpoints}},
-		Traffic:      []scenario.Traffic{{Rate: 1}},
+		DestinationKinds: []scenario.DestinationKind{kind},
+		Destinations:     []scenario.Destination{{Kind: "kind", LimitRate: d.rate, Endpoints: d.endpoints}},
+		Traffic:          []scenario.Traffic{{Rate: 1}},
 	}
 	f.SetDefaults()
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		t.Fatal(d, err)
 	}
-	f.Traffic, f.Clients.Again = nil, new(float64)
+	f.Traffic, f.Clients.RetryRatio = nil, new(float64)
 	plan := f.Draw(d.seed + 1)
 	rng := rand.New(rand.NewPCG(d.seed, 77))
 	for i := range plan.Endpoints {
@@ -217,7 +218,7 @@
 		if d.uneven && rng.Float64() < coldEven {
 			relay = most
 		}
-		w.Submit(scenario.Arrival{Relay: relay, Dest: 1})
+		w.Submit(scenario.Arrival{Relay: relay, Destination: 1})
 	})
 	returns := append([]*Service(nil), w.order...)
 	w.Schedule(coldBegins, func() {
@@ -233,12 +234,12 @@
 				}
 				fresh := e
 				fresh.ID += "-2"
-				if fresh.Place == e.ID {
+				if fresh.Service == e.ID {
 					continue // a route that stands apart has gone for good: what comes for it never was away
 				}
 				w.AddEndpoint(fresh)
 				h := w.hosts[fresh.ID] // it stands in the same outage
-				h.isDown, h.isCut = o.op == scenario.OpDown, o.op == scenario.OpCut
+				h.isDown, h.isCut = o.op == scenario.OpCrash, o.op == scenario.OpCutOff
 				w.ChangeEndpoint(e.ID, eventlog.StateGone)
 				w.stop(w.hosts[e.ID])
 			}
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -146,11 +146,11 @@
 	for _, lag := range []time.Duration{0, 50 * time.Millisecond} {
 		f := loaded(t, "quiet-day")
 		f.Classes = []scenario.Class{
-			{Name: "payment", Share: 1, Effect: "unsafe", Aim: f.Classes[0].Aim, GiveUp: f.Classes[0].GiveUp, Worth: 1},
+			{Name: "payment", TrafficShare: 1, Effect: "unsafe", LatencyObjective: f.Classes[0].LatencyObjective, Deadline: f.Classes[0].Deadline, Weight: 1},
 		}
-		f.Troubles = nil
+		f.Faults = nil
 		for at := 5 * time.Second; at < 30*time.Second; at += 4 * time.Second {
-			f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Kill, At: scenario.Duration(at)})
+			f.Faults = append(f.Faults, scenario.Fault{Kind: scenario.FaultKill, Start: scenario.Duration(at)})
 		}
 		f.SetDefaults()
 		w := played(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
@@ -201,9 +201,9 @@
 // lists.
 func TestListsOutOfStep(t *testing.T) {
 	f := loaded(t, "replace-58")
-	f.Troubles = append(f.Troubles, scenario.Trouble{
-		Kind: scenario.Death, At: f.Troubles[0].At + scenario.Duration(500*time.Millisecond),
-		For: scenario.Duration(time.Second), Destinations: []int{1},
+	f.Faults = append(f.Faults, scenario.Fault{
+		Kind: scenario.FaultCrash, Start: f.Faults[0].Start + scenario.Duration(500*time.Millisecond),
+		Duration: scenario.Duration(time.Second), Destinations: []int{1},
 	})
 	f.SetDefaults()
 	w := played(
@@ -222,7 +222,7 @@
 // Answers get lost while endpoints are replaced: keyed messages are repeated within their allowance and no rule breaks,
 // and a relay that takes a reset for a call that never ran is convicted on the same day.
 func TestLostAnswers(t *testing.T) {
-	f, err := scenario.LoadFor("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,8 +354,8 @@
 		1,
 		20,
 		200,
-		scenario.Kind{Pace: 50 * s / 1000, Slots: 20, Limit: "window", TellsWait: 1, Wait: s / 1000},
-		scenario.Destination{Rate: 5},
+		scenario.DestinationKind{ServiceTime: 50 * s / 1000, MaxConcurrentCalls: 20, Limit: "window", RetryAfterRatio: 1, MinRetryAfter: s / 1000},
+		scenario.Destination{LimitRate: 5},
 		Options{Record: true},
 	)
 	load(w, 0, 20*time.Second, 20)
@@ -375,7 +375,7 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				n += played(b, f.DrawWorld(1), Options{}).Submitted
+				n += played(b, f.DrawWithoutArrivals(1), Options{}).Submitted
 			}
 			b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
 		})
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -204,7 +204,7 @@
 		}
 	}
 	m.seam = agent.New(agent.Settings{
-		Self: m.name, Incarnation: life, Members: all, DestinationKinds: r.set.DestinationKinds, ShareQuota: n.w.plan.File.Fleet.Rights, FleetSize: r.set.FleetSize,
+		Self: m.name, Incarnation: life, Members: all, DestinationKinds: r.set.DestinationKinds, ShareQuota: n.w.plan.File.Fleet.Quotas, FleetSize: r.set.FleetSize,
 	})
 	m.ledger = loadreport.New(m.name, life, all)
 	m.every(gossip.Interval, m.gossip)
@@ -397,21 +397,21 @@
 	switch f := n.links[scenario.LinkName(m.r.name, to.name)]; f.Op {
 	case scenario.OpLinkCut:
 		return
-	case scenario.OpLinkLose:
-		if n.draw.Float64() < f.X {
+	case scenario.OpLinkLoss:
+		if n.draw.Float64() < f.Value {
 			return
 		}
 	case scenario.OpLinkDelay:
-		late += f.For
-	case scenario.OpLinkMix:
-		if n.draw.Float64() < f.X {
+		late += f.Duration
+	case scenario.OpLinkReorder:
+		if n.draw.Float64() < f.Value {
 			again = late + time.Duration(n.draw.Int64N(int64(mixHold)))
 		}
-		if n.draw.Float64() < f.X {
+		if n.draw.Float64() < f.Value {
 			late += mixHold
 		}
-	case scenario.OpLinkRate:
-		late += time.Duration(gossip.MaxDatagramSize / f.X * float64(time.Second))
+	case scenario.OpLinkThrottle:
+		late += time.Duration(gossip.MaxDatagramSize / f.Value * float64(time.Second))
 	}
 	p.from, p.boot, p.clock = m.name, m.ledger.Incarnation().Boot, m.clock()
 	come := func() {
@@ -608,7 +608,7 @@
 // checkRights holds what all relays may use of each limit at this moment against it: of themselves, and by what they
 // mint for others.
 func (n *fleetNet) checkRights() {
-	if !n.w.plan.File.Fleet.Rights {
+	if !n.w.plan.File.Fleet.Quotas {
 		return
 	}
 	sums, limits := map[quota.Scope]float64{}, map[quota.Scope]float64{}
@@ -654,7 +654,7 @@
 	switch s.Op {
 	case scenario.OpLinkCut:
 		state = eventlog.LinkCut
-	case scenario.OpLinkSound:
+	case scenario.OpLinkRestore:
 		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(s.Target)
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -14,7 +14,7 @@
 // playFleet plays the scenario of links between relays.
 func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Result) {
 	t.Helper()
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,18 +78,18 @@
 // The same plan gives the same beliefs, and a fleet changes no decision: what relays hear reaches the module nowhere
 // yet.
 func TestFleetDecidesNothing(t *testing.T) {
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Troubles = slices.DeleteFunc(f.Troubles, func(x scenario.Trouble) bool { return x.Kind != scenario.LinkCut })
+	f.Faults = slices.DeleteFunc(f.Faults, func(x scenario.Fault) bool { return x.Kind != scenario.FaultLinkCut })
 	play := func(enabled bool) (served string, w *World) {
 		f.Fleet.Enabled = enabled
 		plan := f.Draw(1)
 		if !enabled {
 			plan.Steps = slices.DeleteFunc(
 				plan.Steps,
-				func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkSound },
+				func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkRestore },
 			)
 		}
 		w, err := New(plan, Options{Record: true})
@@ -145,11 +145,11 @@
 	if n >= 100 { // the first of all that is told is told at once
 		length, from = 56*time.Second, 32*time.Second
 	}
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Relays, f.Length, f.Troubles = n, scenario.Duration(length), nil
+	f.Relays, f.Length, f.Faults = n, scenario.Duration(length), nil
 	f.Traffic = f.Traffic[:1]
 	f.Traffic[0].To, f.Traffic[0].Rate = f.Length, float64(n)
 	w, err := New(f.Draw(1), Options{})
@@ -159,7 +159,7 @@
 	for _, a := range w.relays {
 		for _, b := range w.relays {
 			if loss > 0 {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLose, X: loss}
+				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
 			}
 		}
 	}
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -41,7 +41,7 @@
 // listing is how the list has an entry.
 func (w *World) listing(h *host, state string) policy.Endpoint {
 	return policy.Endpoint{
-		ID: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
+		ID: h.ID, Destination: h.Destination, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
 		InService: state == eventlog.StateReady, Removed: state == eventlog.StateGone,
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	d := w.plan.File.Discovery
 	for _, r := range w.relays {
-		late := d.Least.D() + time.Duration(w.delays.Float64()*float64(d.Most-d.Least)) + r.late
+		late := d.MinDelay.AsDuration() + time.Duration(w.delays.Float64()*float64(d.MaxDelay-d.MinDelay)) + r.late
 		if w.opts.ListDelay != nil {
 			late = w.opts.ListDelay(r.n)
 		}
@@ -130,11 +130,11 @@
 	if !r.up {
 		return // the next process begins with it
 	}
-	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Destination})
 	if r.large() && c.more > 0 {
-		r.working.EndpointAdded(h.Dest, r.now())
+		r.working.EndpointAdded(h.Destination, r.now())
 	}
-	if r.large() && !r.working.Contains(h.Dest) {
+	if r.large() && !r.working.Contains(h.Destination) {
 		return // it is at rest: what the list has is told when it wakes
 	}
 	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
@@ -163,5 +163,5 @@
 }
 
 func (w *World) kind(e scenario.Endpoint) int {
-	return slices.IndexFunc(w.plan.File.Kinds, func(k scenario.Kind) bool { return k.Name == e.Kind })
+	return slices.IndexFunc(w.plan.File.DestinationKinds, func(k scenario.DestinationKind) bool { return k.Name == e.Kind })
 }
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -19,8 +19,8 @@
 
 func crowdAt(t testing.TB, relays int, seed uint64, takes float64, opts Options) *world {
 	t.Helper()
-	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
+	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 8, Limit: "rate", CountsRejected: true}
+	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: takes}, opts)
 }
 
 // told has relays know what the customers send, messages a second.
@@ -49,7 +49,7 @@
 			w.Schedule(29*time.Second, func() { w.order[0].LimitRate *= 3 })
 		}},
 		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
-			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
 			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 		}},
 	} {
@@ -96,7 +96,7 @@
 		time.Second,
 		45*time.Second,
 		20*0.7*takes/relays,
-		func() { asked++; w.Submit(scenario.Arrival{Relay: 17, Dest: 1}) },
+		func() { asked++; w.Submit(scenario.Arrival{Relay: 17, Destination: 1}) },
 	)
 	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
@@ -190,7 +190,7 @@
 		for seed := range uint64(5) {
 			w, takes := crowd(t, relays, seed, Options{})
 			load(w, time.Second, 70*time.Second, 0.7*takes)
-			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
 			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 			w.run(t, 75*time.Second)
 			worst = max(worst, back(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
@@ -208,9 +208,9 @@
 func TestOneWithLittleAmongManyWithABacklog(t *testing.T) {
 	w, takes := crowd(t, 80, 1, Options{})
 	n := 0
-	w.ScheduleRandomly(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Submit(scenario.Arrival{Relay: n % 79, Dest: 1}) })
+	w.ScheduleRandomly(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Submit(scenario.Arrival{Relay: n % 79, Destination: 1}) })
 	var asked, got int
-	w.ScheduleRandomly(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Submit(scenario.Arrival{Relay: 79, Dest: 1}) })
+	w.ScheduleRandomly(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Submit(scenario.Arrival{Relay: 79, Destination: 1}) })
 	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 79 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
@@ -233,7 +233,7 @@
 // One relay has all the traffic of a fleet: it grows past its part.
 func TestOneWithAllTheTrafficAmongMany(t *testing.T) {
 	w, takes := crowd(t, 80, 1, Options{})
-	w.ScheduleRandomly(time.Second, 60*time.Second, takes/4, func() { w.Submit(scenario.Arrival{Relay: 7, Dest: 1}) })
+	w.ScheduleRandomly(time.Second, 60*time.Second, takes/4, func() { w.Submit(scenario.Arrival{Relay: 7, Destination: 1}) })
 	w.run(t, 61*time.Second)
 	early, late := w.rate(5*time.Second, 20*time.Second)/takes*4, w.rate(40*time.Second, 60*time.Second)/takes*4
 	if t.Logf("served %.2f of what is asked for at first, %.2f after 40 s", early, late); late < 0.5 {
@@ -253,7 +253,7 @@
 		w.Schedule(19500*time.Millisecond, func() {
 			for i := 0; i < len(w.relays); i += 2 {
 				for range 4 {
-					w.Submit(scenario.Arrival{Relay: i, Dest: 1})
+					w.Submit(scenario.Arrival{Relay: i, Destination: 1})
 				}
 			}
 		})
@@ -334,23 +334,23 @@
 // no rule breaks, and nothing is sent to an endpoint a second after its drain was told. A relay that ignores drains is
 // convicted on the same day.
 func TestManyWhoseListsComeSixSecondsLate(t *testing.T) {
-	f, err := scenario.LoadFor("../../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("../../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Relays = 80
-	for i := range f.Troubles {
-		switch x := &f.Troubles[i]; x.Kind {
-		case scenario.DiscoveryLate:
-			x.At, x.For, x.Delay = scenario.Duration(
+	for i := range f.Faults {
+		switch x := &f.Faults[i]; x.Kind {
+		case scenario.FaultDiscoveryDelay:
+			x.Start, x.Duration, x.Delay = scenario.Duration(
 				2*time.Second,
 			), scenario.Duration(
 				14*time.Second,
 			), scenario.Duration(
 				6*time.Second,
 			)
-		case scenario.Draining:
-			x.Drain = scenario.Duration(12 * time.Second) // they are still there when the list comes
+		case scenario.FaultDrain:
+			x.DrainTime = scenario.Duration(12 * time.Second) // they are still there when the list comes
 		}
 	}
 	for _, wrong := range []*Mutant{nil, FindMutant("drains-ignored")} {
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -30,34 +30,34 @@
 	relays int,
 	seed uint64,
 	slots, held int,
-	kind scenario.Kind,
+	kind scenario.DestinationKind,
 	d scenario.Destination,
 	opts Options,
 ) *world {
 	t.Helper()
 	const s = scenario.Duration(time.Second)
-	kind.Name, kind.TellsWait, kind.ColdFrom, kind.Warm, kind.Queue, kind.Spread = "kind", cmp.Or(
-		kind.TellsWait,
+	kind.Name, kind.RetryAfterRatio, kind.WarmUpInitialCapacity, kind.WarmUpDuration, kind.MaxQueueTime, kind.ServiceTimeVariation = "kind", cmp.Or(
+		kind.RetryAfterRatio,
 		0.5,
 	), 0.18, 14*s, s/2, 0.5
-	kind.Wait = cmp.Or(kind.Wait, 300*s/1000)
+	kind.MinRetryAfter = cmp.Or(kind.MinRetryAfter, 300*s/1000)
 	d.Kind = "kind"
 	f := scenario.File{
 		Name: "recovery", Length: 100 * s, Relays: relays, Zones: []string{"north", "south"},
-		Settings: scenario.Settings{Slots: slots, Held: held, FallMultiple: 2, FallWindow: 3 * s},
+		Settings: scenario.Settings{MaxConcurrentCalls: slots, MaxMessages: held, OverloadFactor: 2, OverloadWindow: 3 * s},
 		Classes: []scenario.Class{
-			{Name: "order", Effect: "keyed", Window: 10 * s, Aim: 3 * s, GiveUp: 12 * s, LateWorth: 0.4},
+			{Name: "order", Effect: "keyed", DedupWindow: 10 * s, LatencyObjective: 3 * s, Deadline: 12 * s, LateWeightRatio: 0.4},
 		},
-		Kinds:        []scenario.Kind{kind},
-		Destinations: []scenario.Destination{d},
-		Traffic:      []scenario.Traffic{{Rate: 1}}, // for its check: what is offered, the tests say
+		DestinationKinds: []scenario.DestinationKind{kind},
+		Destinations:     []scenario.Destination{d},
+		Traffic:          []scenario.Traffic{{Rate: 1}}, // for its check: what is offered, the tests say
 	}
 	f.Fleet = opts.Fleet
 	f.SetDefaults()
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		t.Fatal(err)
 	}
-	f.Traffic, f.Clients.Again = nil, new(float64)
+	f.Traffic, f.Clients.RetryRatio = nil, new(float64)
 	x := &world{}
 	opts.Latency = 20 * time.Millisecond
 	opts.OnDelivery = func(dest int, asked, at time.Duration) { x.delivered = append(x.delivered, delivery{dest, asked, at}) }
@@ -90,24 +90,24 @@
 // site is a world of one destination of a kind, for so many relays; takes is what all of it takes, calls a second.
 func site(t testing.TB, kind string, relays int, seed uint64) (w *world, takes float64) {
 	t.Helper()
-	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 4, Limit: "rate"}
+	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 4, Limit: "rate"}
 	rate, takes := 12.0, 12.0
 	switch kind {
 	case "window":
 		k.Limit = "window"
 	case "separate":
-		k.Limit, k.Separate, rate = "window", true, 6
+		k.Limit, k.SeparateEndpoints, rate = "window", true, 6
 	case "counts": // refused calls use up the limit
-		k.Counts = true
+		k.CountsRejected = true
 	}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: rate}, Options{}), takes
+	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: rate}, Options{}), takes
 }
 
 // load offers messages to the relays in turn.
 func load(w *world, from, to time.Duration, rate float64) {
 	n := 0
 	w.ScheduleRandomly(from, to, rate, func() {
-		w.Submit(scenario.Arrival{Relay: n % len(w.relays), Dest: 1})
+		w.Submit(scenario.Arrival{Relay: n % len(w.relays), Destination: 1})
 		n++
 	})
 }
@@ -161,14 +161,14 @@
 func bundles(t testing.TB, relays int, seed uint64, resets func(relay int) float64) *world {
 	t.Helper()
 	ms := scenario.Duration(time.Millisecond)
-	k := scenario.Kind{
-		PerCall:   10,
-		Pace:      250 * ms,
-		Slots:     8,
-		ItemCost:  0.1,
-		Limit:     "rate",
-		TellsWait: 0.75,
-		Wait:      700 * ms,
+	k := scenario.DestinationKind{
+		MaxMessagesPerCall: 10,
+		ServiceTime:        250 * ms,
+		MaxConcurrentCalls: 8,
+		ExtraMessageCost:   0.1,
+		Limit:              "rate",
+		RetryAfterRatio:    0.75,
+		MinRetryAfter:      700 * ms,
 	}
 	var calls []string
 	w := play(
@@ -178,7 +178,7 @@
 		70,
 		1200,
 		k,
-		scenario.Destination{Rate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}},
+		scenario.Destination{LimitRate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}},
 		Options{
 			OnStep: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
 				calls = append(calls, fmt.Sprint(relay, now, acts))
@@ -308,7 +308,7 @@
 			w, takes := site(t, "rate", 2, seed)
 			load(w, time.Second, 80*time.Second, 0.5*takes)
 			for at := 20 * time.Second; at < 50*time.Second; at += 2 * period {
-				both(w, at, func(p *Service) { w.BeginOutage(p.Name, scenario.OpDown, 0, 0) })
+				both(w, at, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
 				both(w, at+period, func(p *Service) { w.EndOutage(p.Name) })
 			}
 			both(w, 50*time.Second, func(p *Service) { w.EndOutage(p.Name) })
@@ -331,7 +331,7 @@
 			for _, e := range w.plan.Endpoints {
 				fresh := e
 				fresh.ID += "-2"
-				fresh.Place = fresh.ID
+				fresh.Service = fresh.ID
 				w.AddEndpoint(fresh)
 				w.ChangeEndpoint(e.ID, eventlog.StateGone)
 			}
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -268,7 +268,7 @@
 func (r *relay) plan() {
 	if !r.planned {
 		r.planned = true
-		r.w.Schedule(r.last+r.w.plan.File.Settings.Tick.D(), r.tick)
+		r.w.Schedule(r.last+r.w.plan.File.Settings.Tick.AsDuration(), r.tick)
 	}
 }
 
@@ -338,7 +338,7 @@
 		r.lastID++
 		a := &in.t.Arrival
 		in.m = &message{
-			id: r.lastID, name: in.t.ID, ask: in.t.ask, class: a.Class, cust: a.Customer, dest: a.Dest, order: a.Order, deadline: in.t.deadline,
+			id: r.lastID, name: in.t.ID, ask: in.t.ask, class: a.Class, cust: a.Customer, dest: a.Destination, order: a.OrderingKey, deadline: in.t.deadline,
 			due: r.clocks.stamp(in.t.deadline),
 		}
 		r.msgs[r.lastID] = in.m
@@ -455,7 +455,7 @@
 	c.atts = append(c.atts, &attempt{m: m, n: m.sends, until: until})
 	m.sends++
 	m.out++
-	if len(c.atts) == 1 || (until > c.until) == *w.plan.File.Settings.MayDuplicate {
+	if len(c.atts) == 1 || (until > c.until) == *w.plan.File.Settings.DuplicatesAllowed {
 		c.until = until
 	}
 	return calls
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -14,12 +14,12 @@
 // shared is a fleet at one destination whose refused calls use up its limit, that shares what it takes or does not.
 func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
 	t.Helper()
-	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
+	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 8, Limit: "rate", CountsRejected: true}
 	opts := Options{
-		Fleet:          scenario.Fleet{Enabled: true, Rights: on},
+		Fleet:          scenario.Fleet{Enabled: true, Quotas: on},
 		ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
 	}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
+	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: takes}, opts)
 }
 
 // Relays of which each has a call in three seconds are served better and refused less where they share what a
@@ -39,7 +39,7 @@
 	lose := func(w *world) {
 		for _, a := range w.relays {
 			for _, b := range w.relays {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLose, X: 0.3}
+				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 			t.Run(fmt.Sprint(relays, " ", day), func(t *testing.T) {
 				t.Parallel()
 				for _, on := range []bool{false, true} {
-					f, err := scenario.LoadFor("../../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
+					f, err := scenario.LoadWithin("../../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -111,14 +111,14 @@
 						length,
 					), scenario.Fleet{
 						Enabled: true,
-						Rights:  on,
+						Quotas:  on,
 					}
 					for i := range f.Traffic {
 						f.Traffic[i].To = min(f.Traffic[i].To, f.Length)
 					}
-					f.Troubles = slices.DeleteFunc(
-						f.Troubles,
-						func(x scenario.Trouble) bool { return x.At >= f.Length },
+					f.Faults = slices.DeleteFunc(
+						f.Faults,
+						func(x scenario.Fault) bool { return x.Start >= f.Length },
 					)
 					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
 					if len(w.fleet.Wrong) > 0 {
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -154,7 +154,7 @@
 		for i := range f.Traffic {
 			f.Traffic[i].To = min(f.Traffic[i].To, f.Length)
 		}
-		f.Troubles = slices.DeleteFunc(f.Troubles, func(t scenario.Trouble) bool { return t.At >= f.Length })
+		f.Faults = slices.DeleteFunc(f.Faults, func(t scenario.Fault) bool { return t.Start >= f.Length })
 		return f
 	}
 	for _, name := range scenario.Shipped() {
@@ -169,37 +169,37 @@
 		rng := rand.New(rand.NewPCG(seed, 77))
 		f := short(loaded(t, names[rng.IntN(len(names))]))
 		f.Relays = 1 + rng.IntN(6)
-		f.Troubles = nil
+		f.Faults = nil
 		sec := func(least, most int) scenario.Duration {
 			return d(time.Duration(least+rng.IntN(most-least)) * time.Second)
 		}
 		for range 2 + rng.IntN(4) {
-			kinds := []string{
-				scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.Silent, scenario.Death, scenario.Cut,
-				scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill, scenario.LostAnswers, scenario.Lowered,
+			kinds := []scenario.FaultKind{
+				scenario.FaultDrain, scenario.FaultRemove, scenario.FaultFailCalls, scenario.FaultSuspend, scenario.FaultSilence, scenario.FaultCrash, scenario.FaultCutOff,
+				scenario.FaultDiscoveryDown, scenario.FaultDiscoveryDelay, scenario.FaultTerminate, scenario.FaultKill, scenario.FaultLoseAnswers, scenario.FaultLowerLimit,
 			}
-			x := scenario.Trouble{
-				Kind:  kinds[rng.IntN(len(kinds))],
-				At:    sec(1, min(15, int(f.Length.D()/time.Second))),
-				For:   sec(1, 8),
-				Share: 0.2 + 0.6*rng.Float64(),
+			x := scenario.Fault{
+				Kind:     kinds[rng.IntN(len(kinds))],
+				Start:    sec(1, min(15, int(f.Length.AsDuration()/time.Second))),
+				Duration: sec(1, 8),
+				Share:    0.2 + 0.6*rng.Float64(),
 			}
-			if slices.ContainsFunc(f.Troubles, func(y scenario.Trouble) bool { return y.Replace }) &&
-				(x.Kind == scenario.Draining || x.Kind == scenario.Gone) {
+			if slices.ContainsFunc(f.Faults, func(y scenario.Fault) bool { return y.ReplaceEndpoints }) &&
+				(x.Kind == scenario.FaultDrain || x.Kind == scenario.FaultRemove) {
 				continue // it might strike an endpoint that is still to come
 			}
 			switch x.Kind {
-			case scenario.Draining, scenario.Gone:
-				x.Replace, x.Batch, x.SameAddress = rng.IntN(4) > 0, 1+rng.IntN(3), float64(rng.IntN(2))
-			case scenario.DiscoveryLate:
+			case scenario.FaultDrain, scenario.FaultRemove:
+				x.ReplaceEndpoints, x.BatchSize, x.SameAddressRatio = rng.IntN(4) > 0, 1+rng.IntN(3), float64(rng.IntN(2))
+			case scenario.FaultDiscoveryDelay:
 				x.Delay = sec(1, 4)
-			case scenario.Term, scenario.Kill:
-				x.For = 0
+			case scenario.FaultTerminate, scenario.FaultKill:
+				x.Duration = 0
 			}
-			f.Troubles = append(f.Troubles, x)
+			f.Faults = append(f.Faults, x)
 		}
 		f.SetDefaults()
-		if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+		if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 			t.Fatal(err)
 		}
 		w := sameWorld{name: fmt.Sprintf("random %d", seed), plan: f.Draw(seed + 1)}
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -68,8 +68,8 @@
 			wake(e.Destination)
 		case policy.AttemptFinished, policy.HealthChecked:
 			if h := w.hosts[e.Endpoint]; h != nil {
-				if r.working.Touch(h.Dest, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
-					wake(h.Dest)
+				if r.working.Touch(h.Destination, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
+					wake(h.Destination)
 				}
 			}
 		}
@@ -116,7 +116,7 @@
 	}
 	after := restEvery
 	if more {
-		after = r.w.plan.File.Settings.Tick.D()
+		after = r.w.plan.File.Settings.Tick.AsDuration()
 	}
 	r.restAt = r.w.Now() + after
 	r.in(after, r.plan)
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -15,15 +15,15 @@
 func TestPairsWithoutTrafficCostNothing(t *testing.T) {
 	held := func(relays, destinations, whole int) float64 {
 		f := loaded(t, "quiet-day")
-		f.Relays, f.Troubles = relays, nil
+		f.Relays, f.Faults = relays, nil
 		f.Destinations = []scenario.Destination{
 			{
-				Kind:      f.Destinations[0].Kind,
-				Rate:      f.Destinations[0].Rate,
-				Weight:    1,
-				Count:     destinations,
-				Endpoints: 2,
-				Zones:     f.Zones,
+				Kind:          f.Destinations[0].Kind,
+				LimitRate:     f.Destinations[0].LimitRate,
+				TrafficWeight: 1,
+				Count:         destinations,
+				Endpoints:     2,
+				Zones:         f.Zones,
 			},
 		}
 		heap := func() float64 {
@@ -33,7 +33,7 @@
 			return float64(m.HeapAlloc)
 		}
 		before := heap()
-		w, err := New(f.DrawWorld(1), Options{MaxEagerEndpoints: whole})
+		w, err := New(f.DrawWithoutArrivals(1), Options{MaxEagerEndpoints: whole})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,18 +121,18 @@
 			1,
 			20,
 			200,
-			scenario.Kind{Pace: s / 10, Slots: 20, TellsWait: 1},
+			scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20, RetryAfterRatio: 1},
 			scenario.Destination{Count: 40},
 			opts,
 		)
 		shut := w.Services(1)[0].Name
-		w.Schedule(10*time.Second, func() { w.BeginOutage(shut, scenario.OpShut, 0, 60*time.Second) })
+		w.Schedule(10*time.Second, func() { w.BeginOutage(shut, scenario.OpSuspend, 0, 60*time.Second) })
 		w.Schedule(70*time.Second, func() { w.EndOutage(shut) })
 		for _, at := range []time.Duration{12, 66, 72} {
-			w.Schedule(at*time.Second, func() { w.Submit(scenario.Arrival{Dest: 1}) })
+			w.Schedule(at*time.Second, func() { w.Submit(scenario.Arrival{Destination: 1}) })
 		}
 		n := 0
-		w.ScheduleRandomly(0, 80*time.Second, 1, func() { n++; w.Submit(scenario.Arrival{Dest: 2 + n%39}) })
+		w.ScheduleRandomly(0, 80*time.Second, 1, func() { n++; w.Submit(scenario.Arrival{Destination: 2 + n%39}) })
 		w.run(t, 100*time.Second)
 		w.see(eventlog.Event{Kind: eventlog.RunEnded})
 		if f := judged(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
@@ -153,7 +153,7 @@
 		1,
 		20,
 		200,
-		scenario.Kind{Pace: s / 10, Slots: 20},
+		scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20},
 		scenario.Destination{Count: 2, Endpoints: 3},
 		Options{
 			MaxEagerEndpoints: 1,
@@ -196,11 +196,11 @@
 // relays, whose calls spread over the first seconds after a start.
 func TestWhatWakesIsNotLate(t *testing.T) {
 	f := loaded(t, "quiet-day")
-	f.Relays, f.Troubles = 40, nil
+	f.Relays, f.Faults = 40, nil
 	f.Destinations = []scenario.Destination{
-		{Kind: f.Destinations[0].Kind, Rate: 20, Weight: 1, Count: 500, Endpoints: 2, Zones: f.Zones},
+		{Kind: f.Destinations[0].Kind, LimitRate: 20, TrafficWeight: 1, Count: 500, Endpoints: 2, Zones: f.Zones},
 	}
-	whole, working := played(t, f.DrawWorld(1), Options{}), played(t, f.DrawWorld(1), Options{MaxEagerEndpoints: 1})
+	whole, working := played(t, f.DrawWithoutArrivals(1), Options{}), played(t, f.DrawWithoutArrivals(1), Options{MaxEagerEndpoints: 1})
 	if a, b := whole.LatencyPercentile(50), working.LatencyPercentile(50); b > a+a/10 {
 		t.Errorf("half of the messages are delivered within %v, where modules are told all within %v", b, a)
 	}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -180,12 +180,12 @@
 			plan.Seed,
 			"network",
 			0,
-		), delays: rand.New(rand.NewPCG(plan.Delays, 1)), length: plan.File.Length.D(),
+		), delays: rand.New(rand.NewPCG(plan.DiscoverySeed, 1)), length: plan.File.Length.AsDuration(),
 	}
 	if opts.MaxEvents == 0 {
 		rate := 0.0
 		for _, t := range plan.File.Traffic {
-			rate += t.Rate * (t.To - t.From).D().Seconds()
+			rate += t.Rate * (t.To - t.From).AsDuration().Seconds()
 		}
 		if plan.File.Fleet.Enabled { // each relay's links, whatever is handed in
 			rate += 100 * float64(plan.File.Relays) * w.length.Seconds() / 10
@@ -195,16 +195,16 @@
 		)
 	}
 	w.SetMaxEvents(opts.MaxEvents)
-	w.header = plan.File.Header(plan.Seed)
+	w.header = plan.File.RecordHeader(plan.Seed)
 	w.header.Format, w.header.PlanDigest = eventlog.FormatVersion, plan.Digest()
 	w.header.StartedAt = time.Unix(0, 0).UTC()
 	w.Metrics.init(w.header.Classes, w.length)
 	w.shares = checker.NewCustomerShares(w.header)
-	for _, p := range plan.Places {
+	for _, p := range plan.Services {
 		w.addPlace(p)
 	}
 	for _, e := range plan.Endpoints {
-		if e.Later {
+		if e.AddedLater {
 			w.later[e.ID] = e
 			continue
 		}
@@ -215,7 +215,7 @@
 		w.changed(e, eventlog.StateReady)
 	}
 	for _, s := range plan.Steps {
-		if s.Op == scenario.OpTerm || s.Op == scenario.OpKill {
+		if s.Op == scenario.OpTerminate || s.Op == scenario.OpKill {
 			w.dying[s.Target] = true
 		}
 	}
@@ -238,26 +238,26 @@
 func Settings(f scenario.File) policy.Settings {
 	s := f.Settings
 	set := policy.Settings{
-		FleetSize: f.Relays, MaxInFlightCalls: s.Slots, MaxPendingMessages: s.Held, MaxAttempts: s.Attempts, MaxRetryAfter: s.MaxRetryAfter.D(),
-		WarmUpInitialCapacity: 1, OverloadFactor: s.FallMultiple, OverloadWindow: s.FallWindow.D(), OrderingPause: s.OrderPause.D(),
+		FleetSize: f.Relays, MaxInFlightCalls: s.MaxConcurrentCalls, MaxPendingMessages: s.MaxMessages, MaxAttempts: s.MaxAttempts, MaxRetryAfter: s.MaxRetryAfter.AsDuration(),
+		WarmUpInitialCapacity: 1, OverloadFactor: s.OverloadFactor, OverloadWindow: s.OverloadWindow.AsDuration(), OrderingPause: s.OrderingPause.AsDuration(),
 	}
 	for _, c := range f.Classes {
-		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}[c.Effect]
+		effect := map[eventlog.Effect]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}[c.Effect]
 		set.Classes = append(set.Classes, policy.Class{
-			Effect: effect, DedupAllZones: c.Group == "all", DedupWindow: c.Window.D(), Ordered: c.Order, LatencyObjective: c.Aim.D(), Deadline: c.GiveUp.D(), Weight: c.Worth,
+			Effect: effect, DedupAllZones: c.DedupScope == "all", DedupWindow: c.DedupWindow.AsDuration(), Ordered: c.Ordered, LatencyObjective: c.LatencyObjective.AsDuration(), Deadline: c.Deadline.AsDuration(), Weight: c.Weight,
 		})
 	}
-	for _, k := range f.Kinds {
+	for _, k := range f.DestinationKinds {
 		set.DestinationKinds = append(
 			set.DestinationKinds,
-			policy.DestinationKind{LimitPerEndpoint: k.Separate, MaxBatch: k.PerCall},
+			policy.DestinationKind{LimitPerEndpoint: k.SeparateEndpoints, MaxBatch: k.MaxMessagesPerCall},
 		)
 		set.WarmUpInitialCapacity, set.WarmUpDuration = min(
 			set.WarmUpInitialCapacity,
-			k.ColdFrom,
+			k.WarmUpInitialCapacity,
 		), max(
 			set.WarmUpDuration,
-			k.Warm.D(),
+			k.WarmUpDuration.AsDuration(),
 		)
 	}
 	for _, c := range f.Customers {
@@ -266,11 +266,11 @@
 	return set
 }
 
-func (w *World) addPlace(p scenario.Place) {
-	x := &Service{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Destination: p.Dest, slow: 1}
+func (w *World) addPlace(p scenario.Service) {
+	x := &Service{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Destination: p.Destination, slow: 1}
 	w.places[p.Name] = x
 	w.order = append(w.order, x)
-	w.dests[p.Dest] = append(w.dests[p.Dest], x)
+	w.dests[p.Destination] = append(w.dests[p.Destination], x)
 }
 
 // see adds an event to the record, at this moment.
@@ -301,12 +301,12 @@
 		w.arrive(0)
 	} else {
 		for i := range w.plan.File.Traffic {
-			w.stream(w.plan.File.Flow(w.plan.Seed, i))
+			w.stream(w.plan.File.NewTrafficGenerator(w.plan.Seed, i))
 		}
 	}
 	longest := time.Duration(0)
 	for _, c := range w.plan.File.Classes {
-		longest = max(longest, c.GiveUp.D())
+		longest = max(longest, c.Deadline.AsDuration())
 	}
 	if err := w.Run(w.length + longest + checker.FinalAnswerTimeout + checker.Tolerance + time.Second); err != nil {
 		return err
@@ -329,7 +329,7 @@
 }
 
 // stream hands in what a flow draws as time passes, where a plan was drawn without arrivals.
-func (w *World) stream(f *scenario.Flow) {
+func (w *World) stream(f *scenario.TrafficGenerator) {
 	group, ok := f.Next()
 	if !ok {
 		return
@@ -361,55 +361,55 @@
 // do carries a step of the plan out.
 func (w *World) do(s scenario.Step) {
 	switch s.Op {
-	case scenario.OpBegins:
+	case scenario.OpFaultBegins:
 		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
-	case scenario.OpEnds:
+	case scenario.OpFaultEnds:
 		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
-	case scenario.OpList:
+	case scenario.OpAddEndpoint:
 		w.AddEndpoint(w.later[s.Target])
-	case scenario.OpDrain:
+	case scenario.OpDrainEndpoint:
 		w.ChangeEndpoint(s.Target, eventlog.StateDraining)
-	case scenario.OpGone:
+	case scenario.OpRemoveEndpoint:
 		w.ChangeEndpoint(s.Target, eventlog.StateGone)
-	case scenario.OpStop:
+	case scenario.OpStopEndpoint:
 		w.stop(w.hosts[s.Target])
 	case scenario.OpSlow:
-		w.SetSlowdown(s.Target, s.X)
-	case scenario.OpLower:
-		w.places[s.Target].SetLimitDivisor(s.X)
-	case scenario.OpLose:
-		w.places[s.Target].SetResponseLossRatio(s.X)
-	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
-		w.BeginOutage(s.Target, s.Op, s.X, s.For)
-	case scenario.OpBack:
+		w.SetSlowdown(s.Target, s.Value)
+	case scenario.OpLowerLimit:
+		w.places[s.Target].SetLimitDivisor(s.Value)
+	case scenario.OpLoseAnswers:
+		w.places[s.Target].SetResponseLossRatio(s.Value)
+	case scenario.OpFailCalls, scenario.OpSuspend, scenario.OpSilence, scenario.OpCrash, scenario.OpCutOff:
+		w.BeginOutage(s.Target, s.Op, s.Value, s.Duration)
+	case scenario.OpRestore:
 		w.EndOutage(s.Target)
-	case scenario.OpHush, scenario.OpSpeak:
-		w.relay(s.Target).hush(s.Op == scenario.OpHush)
-	case scenario.OpDelay:
-		w.relay(s.Target).late = s.For
-	case scenario.OpClock:
-		w.relay(s.Target).clocks.stepped += s.For
-	case scenario.OpTerm:
+	case scenario.OpSilenceDiscovery, scenario.OpRestoreDiscovery:
+		w.relay(s.Target).hush(s.Op == scenario.OpSilenceDiscovery)
+	case scenario.OpDelayDiscovery:
+		w.relay(s.Target).late = s.Duration
+	case scenario.OpStepClock:
+		w.relay(s.Target).clocks.stepped += s.Duration
+	case scenario.OpTerminate:
 		w.relay(s.Target).term()
 	case scenario.OpKill:
 		r := w.relay(s.Target)
-		if r.kill(false); s.Note != "" {
+		if r.kill(false); s.StateFolder != "" {
 			// of a folder that is gone or older the model takes the fleet's part alone
 			r.incarnation = min(r.incarnation, 1)
-			if s.Note == scenario.FolderNone {
+			if s.StateFolder == scenario.StateFolderRemoved {
 				r.incarnation = 0
 			}
 		}
-	case scenario.OpFreeze, scenario.OpThaw:
-		w.relay(s.Target).freeze(s.Op == scenario.OpFreeze)
+	case scenario.OpStall, scenario.OpResume:
+		w.relay(s.Target).freeze(s.Op == scenario.OpStall)
 	case scenario.OpLinkCut,
-		scenario.OpLinkLose,
+		scenario.OpLinkLoss,
 		scenario.OpLinkDelay,
-		scenario.OpLinkRate,
-		scenario.OpLinkMix,
-		scenario.OpLinkSound:
+		scenario.OpLinkThrottle,
+		scenario.OpLinkReorder,
+		scenario.OpLinkRestore:
 		w.fleet.setLink(s)
-	case scenario.OpHUP:
+	case scenario.OpReload:
 		w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: s.Target, State: eventlog.StateHUP})
 	}
 }
@@ -423,9 +423,9 @@
 // Hosts and places.
 
 func (w *World) addHost(e scenario.Endpoint) (*host, error) {
-	p := w.places[e.Place]
+	p := w.places[e.Service]
 	if p == nil {
-		return nil, fmt.Errorf("emulate: host %s of no place %q", e.ID, e.Place)
+		return nil, fmt.Errorf("emulate: host %s of no place %q", e.ID, e.Service)
 	}
 	h := &host{Endpoint: e, n: len(w.hosts), zone: slices.Index(w.plan.File.Zones, e.Zone), kind: w.kind(e), place: p}
 	w.hosts[e.ID] = h
@@ -437,9 +437,9 @@
 
 // List has a new endpoint come up and be listed.
 func (w *World) AddEndpoint(e scenario.Endpoint) {
-	if w.places[e.Place] == nil {
-		spec := w.hostsOf(e.Dest)[0].place.Spec
-		w.addPlace(scenario.Place{Name: e.Place, Dest: e.Dest, Spec: spec, Seed: w.net.Uint64()})
+	if w.places[e.Service] == nil {
+		spec := w.hostsOf(e.Destination)[0].place.Spec
+		w.addPlace(scenario.Service{Name: e.Service, Destination: e.Destination, Spec: spec, Seed: w.net.Uint64()})
 	}
 	h, err := w.addHost(e)
 	if err != nil {
@@ -459,10 +459,10 @@
 
 func (w *World) changed(e scenario.Endpoint, state string) {
 	place := ""
-	if e.Place == e.ID {
+	if e.Service == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.see(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Dest, Zone: e.Zone, Place: place, State: state})
+	w.see(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
 }
 
 // standing are a place's hosts that run.
@@ -505,7 +505,7 @@
 	h.stopped = true
 	h.place.RemoveEndpoint(h.ID)
 	w.reset(h)
-	w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Destination})
 }
 
 // reset breaks all connections of a host.
@@ -535,22 +535,22 @@
 	if p.outage != "" {
 		return // it is out already: the first outage's end ends both
 	}
-	p.outage = op.Cause()
+	p.outage = op.OutageCause()
 	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Destination, Hosts: ids(p.standing()), Cause: p.outage})
 	w.able(p, 1, 0)
 	switch op {
-	case scenario.OpFail:
+	case scenario.OpFailCalls:
 		p.SetFailureRatio(share)
-	case scenario.OpShut:
+	case scenario.OpSuspend:
 		p.Suspend(w.Now() + lasts)
-	case scenario.OpMute:
+	case scenario.OpSilence:
 		p.SetSilent(true)
-	case scenario.OpDown:
+	case scenario.OpCrash:
 		for _, h := range p.standing() {
 			h.isDown = true
 			w.reset(h)
 		}
-	case scenario.OpCut:
+	case scenario.OpCutOff:
 		for _, h := range p.standing() {
 			h.isCut = true
 		}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -184,7 +184,7 @@
 		t.Fatalf("%+v, %v", p.Rules, err)
 	}
 	h.Workers = 1
-	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.File.Troubles) != len(p.File.Troubles) ||
+	if q, err := h.Run(t.Context()); err != nil || q.Seed != p.Seed || len(q.File.Faults) != len(p.File.Faults) ||
 		q.Service != p.Service {
 		t.Errorf("one worker found another: %v", err)
 	}
@@ -196,8 +196,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, data)
 	}
-	if len(f.Troubles) != 1 || f.Length.D() > 40*time.Second {
-		t.Errorf("%d troubles in %v", len(f.Troubles), f.Length.D())
+	if len(f.Faults) != 1 || f.Length.AsDuration() > 40*time.Second {
+		t.Errorf("%d troubles in %v", len(f.Faults), f.Length.AsDuration())
 	}
 	again, err := h.play(f, p.Seed)
 	if err != nil || len(again.Rules) == 0 {
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -30,7 +30,7 @@
 		if strings.HasSuffix(name, ".toml") {
 			name = filepath.Join(filepath.Dir(path), name)
 		}
-		return scenario.LoadFor(name, scenario.EmulatorBounds)
+		return scenario.LoadWithin(name, scenario.EmulatorBounds)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -82,10 +82,10 @@
 		{"module.overload_factor", m.OverloadFactor},
 		{"module.warm_within", m.WarmUpDuration},
 		{"module.order_pause", m.OrderingPause},
-		{"settings.slots", f.Settings.Slots},
+		{"settings.slots", f.Settings.MaxConcurrentCalls},
 		{"traffic.1.rate", f.Traffic[0].Rate},
-		{"destination.1.weight", f.Destinations[0].Weight},
-		{"destination.2.weight", f.Destinations[1].Weight},
+		{"destination.1.weight", f.Destinations[0].TrafficWeight},
+		{"destination.2.weight", f.Destinations[1].TrafficWeight},
 	} {
 		fmt.Fprintf(&b, "%s = %v\n", c.key, c.value)
 	}
--- a/internal/simulation/experiment/hunt.go
+++ b/internal/simulation/experiment/hunt.go
@@ -136,7 +136,7 @@
 	for again := true; again && ctx.Err() == nil; {
 		again = false
 		for _, f := range smaller(p.File) {
-			if ctx.Err() != nil || f.CheckFor(scenario.EmulatorBounds) != nil {
+			if ctx.Err() != nil || f.ValidateWithin(scenario.EmulatorBounds) != nil {
 				continue
 			}
 			q, err := h.play(f, p.Seed)
@@ -158,8 +158,8 @@
 		change(&c)
 		all = append(all, c)
 	}
-	for i := range f.Troubles {
-		add(func(c *scenario.File) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
+	for i := range f.Faults {
+		add(func(c *scenario.File) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
 	if len(f.Traffic) > 1 {
 		for i := range f.Traffic {
@@ -167,17 +167,17 @@
 		}
 	}
 	last := time.Second
-	for _, t := range f.Troubles {
-		last = max(last, (t.At+t.For+t.Drain).D()+10*time.Second)
+	for _, t := range f.Faults {
+		last = max(last, (t.Start+t.Duration+t.DrainTime).AsDuration()+10*time.Second)
 	}
-	if last = last.Truncate(time.Second) + time.Second; last < f.Length.D() {
+	if last = last.Truncate(time.Second) + time.Second; last < f.Length.AsDuration() {
 		add(func(c *scenario.File) { cut(c, last) })
 	}
 	if f.Relays > 1 {
 		add(func(c *scenario.File) {
 			c.Relays--
-			for i := range c.Troubles {
-				c.Troubles[i].Relays = slices.DeleteFunc(c.Troubles[i].Relays, func(r int) bool { return r > c.Relays })
+			for i := range c.Faults {
+				c.Faults[i].Relays = slices.DeleteFunc(c.Faults[i].Relays, func(r int) bool { return r > c.Relays })
 			}
 		})
 	}
@@ -186,16 +186,16 @@
 			add(func(c *scenario.File) { c.Traffic[i].Rate = float64(int(c.Traffic[i].Rate / 2)) })
 		}
 	}
-	for i, t := range f.Troubles {
-		if t.For.D() > 2*time.Second {
+	for i, t := range f.Faults {
+		if t.Duration.AsDuration() > 2*time.Second {
 			add(func(c *scenario.File) {
-				c.Troubles[i].For = scenario.Duration((t.For.D() / 2).Round(100 * time.Millisecond))
+				c.Faults[i].Duration = scenario.Duration((t.Duration.AsDuration() / 2).Round(100 * time.Millisecond))
 			})
 		}
 		if len(t.Destinations) > 1 {
 			for k := range t.Destinations {
 				add(func(c *scenario.File) {
-					c.Troubles[i].Destinations = slices.Delete(c.Troubles[i].Destinations, k, k+1)
+					c.Faults[i].Destinations = slices.Delete(c.Faults[i].Destinations, k, k+1)
 				})
 			}
 		}
@@ -206,16 +206,16 @@
 // cut has a scenario end earlier.
 func cut(f *scenario.File, length time.Duration) {
 	f.Length = scenario.Duration(length)
-	f.Traffic = slices.DeleteFunc(f.Traffic, func(t scenario.Traffic) bool { return t.From.D() >= length })
+	f.Traffic = slices.DeleteFunc(f.Traffic, func(t scenario.Traffic) bool { return t.From.AsDuration() >= length })
 	for i := range f.Traffic {
 		f.Traffic[i].To = min(f.Traffic[i].To, f.Length)
 	}
 }
 
 // struck are the troubles that a hunt draws from.
-var struck = []string{
-	scenario.Draining, scenario.Gone, scenario.Fail, scenario.Shut, scenario.SlowDown, scenario.Silent, scenario.Death, scenario.Cut,
-	scenario.DiscoveryDown, scenario.DiscoveryLate, scenario.Term, scenario.Kill,
+var struck = []scenario.FaultKind{
+	scenario.FaultDrain, scenario.FaultRemove, scenario.FaultFailCalls, scenario.FaultSuspend, scenario.FaultSlow, scenario.FaultSilence, scenario.FaultCrash, scenario.FaultCutOff,
+	scenario.FaultDiscoveryDown, scenario.FaultDiscoveryDelay, scenario.FaultTerminate, scenario.FaultKill,
 }
 
 const troublesMost = 5
@@ -224,8 +224,8 @@
 func vary(base scenario.File, rng *rand.Rand) scenario.File {
 	f := base.Clone()
 	f.Name = base.Name + "-hunted"
-	f.About = "Found by a hunt."
-	f.Troubles = nil
+	f.Description = "Found by a hunt."
+	f.Faults = nil
 	places := 0
 	for _, d := range f.Destinations {
 		places += d.Count
@@ -234,29 +234,29 @@
 		return scenario.Duration((least + time.Duration(rng.Int64N(int64(most-least)))).Round(100 * time.Millisecond))
 	}
 	for range 1 + rng.IntN(troublesMost) {
-		t := scenario.Trouble{
-			Kind: struck[rng.IntN(len(struck))],
-			At:   ms(time.Second, f.Length.D()*7/10),
-			For:  ms(time.Second, 12*time.Second),
+		t := scenario.Fault{
+			Kind:     struck[rng.IntN(len(struck))],
+			Start:    ms(time.Second, f.Length.AsDuration()*7/10),
+			Duration: ms(time.Second, 12*time.Second),
 		}
 		switch t.Kind {
-		case scenario.Draining, scenario.Gone:
-			t.Share, t.Replace, t.Batch = 0.1+0.6*rng.Float64(), rng.IntN(4) > 0, 1+rng.IntN(3)
-		case scenario.DiscoveryDown:
-		case scenario.DiscoveryLate:
+		case scenario.FaultDrain, scenario.FaultRemove:
+			t.Share, t.ReplaceEndpoints, t.BatchSize = 0.1+0.6*rng.Float64(), rng.IntN(4) > 0, 1+rng.IntN(3)
+		case scenario.FaultDiscoveryDown:
+		case scenario.FaultDiscoveryDelay:
 			t.Delay = ms(500*time.Millisecond, 5*time.Second)
-		case scenario.Term, scenario.Kill:
-			t.For, t.Relays = 0, []int{1 + rng.IntN(f.Relays)}
-		case scenario.Fail:
-			t.Calls = 0.3 + 0.7*rng.Float64()
+		case scenario.FaultTerminate, scenario.FaultKill:
+			t.Duration, t.Relays = 0, []int{1 + rng.IntN(f.Relays)}
+		case scenario.FaultFailCalls:
+			t.CallRatio = 0.3 + 0.7*rng.Float64()
 			t.Destinations = some(rng, places)
-		case scenario.SlowDown:
+		case scenario.FaultSlow:
 			t.Factor = 2 + 15*rng.Float64()
 			t.Destinations = some(rng, places)
 		default:
 			t.Destinations = some(rng, places)
 		}
-		f.Troubles = append(f.Troubles, t)
+		f.Faults = append(f.Faults, t)
 	}
 	factor := 0.5 + rng.Float64()
 	for i := range f.Traffic {
--- a/internal/simulation/experiment/plan.go
+++ b/internal/simulation/experiment/plan.go
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		return f, opts, fmt.Errorf("with %s: %w", cmpOr(cellText(r.Cell), "what is set for all"), err)
 	}
 	return f, opts, nil
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -58,7 +58,7 @@
 	f, opts, err := p.world(r)
 	var w *emulate.World
 	if err == nil {
-		plan := f.DrawWorld(r.Seed)
+		plan := f.DrawWithoutArrivals(r.Seed)
 		if p.Judged {
 			plan = f.Draw(r.Seed)
 		}
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -99,7 +99,7 @@
 
 // tries hands a message in, and again as clients do, until its time is up.
 func (c *Clients) tries(ctx context.Context, a scenario.Arrival, late time.Duration) {
-	t := try{Arrival: a, origin: a.ID, deadline: time.Now().Add(c.file.Classes[a.Class].GiveUp.D())}
+	t := try{Arrival: a, origin: a.ID, deadline: time.Now().Add(c.file.Classes[a.Class].Deadline.AsDuration())}
 	refusals, unanswered := 0, 0
 	for n := 0; ctx.Err() == nil && time.Now().Before(t.deadline); n++ {
 		if n > 0 {
@@ -110,10 +110,10 @@
 		var wait time.Duration
 		switch {
 		case heard == http.StatusTooManyRequests || heard == http.StatusServiceUnavailable:
-			if refusals++; refusals > 1 || t.Again == 0 {
+			if refusals++; refusals > 1 || t.RetryDelay == 0 {
 				return
 			}
-			t.second, wait = "1", max(t.Again, min(advice, c.file.Settings.MaxRetryAfter.D()))
+			t.second, wait = "1", max(t.RetryDelay, min(advice, c.file.Settings.MaxRetryAfter.AsDuration()))
 		case heard > 0:
 			return
 		case heard == unsent:
@@ -165,12 +165,12 @@
 
 // try hands a message in once, and records what came of it.
 func (c *Clients) try(ctx context.Context, t try, late time.Duration) (heard int, advice time.Duration) {
-	c.world.RegisterMessage(t.ID, t.Dest, t.deadline)
+	c.world.RegisterMessage(t.ID, t.Destination, t.deadline)
 	c.rec.Add(eventlog.Event{
-		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Destination: t.Dest, OrderingKey: t.Order,
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
 		For: time.Until(t.deadline), Delay: late,
 	})
-	leave := time.Now().Add(c.file.Clients.AnswerWithin.D())
+	leave := time.Now().Add(c.file.Clients.AnswerTimeout.AsDuration())
 	unheard := func(cause string) (int, time.Duration) {
 		c.world.WithdrawMessage(t.ID)
 		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: c.relay, Cause: cause})
@@ -230,12 +230,12 @@
 // text is the request on the wire.
 func (c *Clients) text(t try) []byte {
 	var b bytes.Buffer
-	b.Grow(512 + t.Body)
+	b.Grow(512 + t.BodySize)
 	b.WriteString("POST /")
 	b.WriteString(c.file.Classes[t.Class].Name)
-	if t.Order != "" {
+	if t.OrderingKey != "" {
 		b.WriteString("?key=")
-		b.WriteString(t.Order)
+		b.WriteString(t.OrderingKey)
 	}
 	b.WriteString(" HTTP/1.1\r\n")
 	b.WriteString(c.headers[t.Class*len(c.file.Customers)+t.Customer])
@@ -243,16 +243,16 @@
 		&b,
 		"X-Trace-Id: %s\r\nIdempotency-Key: %s\r\nX-Expires-In-Ms: %d\r\nEnvelope: dest=%d\r\nContent-Length: %d\r\n",
 		t.ID,
-		t.Key,
+		t.IdempotencyKey,
 		max(0, time.Until(t.deadline).Milliseconds()),
-		t.Dest,
-		t.Body,
+		t.Destination,
+		t.BodySize,
 	)
 	if t.second != "" {
 		fmt.Fprintf(&b, "X-Second-Try: %s\r\n", t.second)
 	}
 	b.WriteString("\r\n")
-	for i := range t.Body {
+	for i := range t.BodySize {
 		b.WriteByte("0123456789abcdef"[i%16])
 	}
 	return b.Bytes()
--- a/internal/testkit/fake/host.go
+++ b/internal/testkit/fake/host.go
@@ -40,14 +40,14 @@
 func (w *World) AddEndpoint(e scenario.Endpoint) (*Endpoint, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.places[e.Place]
+	p := w.places[e.Service]
 	if p == nil {
-		return nil, fmt.Errorf("standin: host %s of no place %q", e.ID, e.Place)
+		return nil, fmt.Errorf("standin: host %s of no place %q", e.ID, e.Service)
 	}
 	h := &Endpoint{Endpoint: e, world: w, place: p, ports: map[string]*port{}, conns: map[*hostConn]struct{}{}}
-	old := w.hosts[e.At]
+	old := w.hosts[e.ReusesAddressOf]
 	if old != nil && !old.stopped {
-		return nil, fmt.Errorf("standin: host %s is to come up where %s still runs", e.ID, e.At)
+		return nil, fmt.Errorf("standin: host %s is to come up where %s still runs", e.ID, e.ReusesAddressOf)
 	}
 	for _, relay := range w.relays {
 		addr := "127.0.0.1:0"
@@ -89,7 +89,7 @@
 	for _, p := range h.ports {
 		p.hold()
 	}
-	h.world.rec.Add(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Dest})
+	h.world.rec.Add(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Destination})
 }
 
 // down has the host's process die: connections are reset, and new ones refused.
@@ -235,7 +235,7 @@
 func (c *hostConn) read(reqs chan<- request, done <-chan struct{}) {
 	w := c.host.world
 	in := bufio.NewReader(c)
-	idle := w.settings.KeepAlive.D() + idleExtra
+	idle := w.settings.KeepAliveTimeout.AsDuration() + idleExtra
 	for {
 		c.SetReadDeadline(time.Now().Add(idle))
 		if _, err := in.Peek(1); err != nil {
@@ -252,7 +252,7 @@
 		if err == nil {
 			body, err = io.ReadAll(io.LimitReader(req.Body, 16*bodyMost))
 		}
-		e := eventlog.Event{Call: n, Relay: c.relay, Host: c.host.ID, Destination: c.host.Dest, FirstByteAt: first}
+		e := eventlog.Event{Call: n, Relay: c.relay, Host: c.host.ID, Destination: c.host.Destination, FirstByteAt: first}
 		if err != nil {
 			if !c.ended { // what is cut short is no fault of its form
 				w.rec.Add(
@@ -432,7 +432,7 @@
 		switch {
 		case m.over || time.Now().After(m.deadline):
 			states[i] = "gone"
-		case m.calls > w.settings.Attempts:
+		case m.calls > w.settings.MaxAttempts:
 			states[i] = "exhausted"
 		default:
 			live++
@@ -449,8 +449,8 @@
 	}
 	fate := c.host.place.HandleCall(w.rec.Now(), c.host.ID, live)
 	if fate.CausedOverload {
-		hosts := w.placeHosts(c.host.Place)
-		w.rec.Add(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: c.host.Place, Destination: c.host.Dest, Hosts: hostIDs(hosts)})
+		hosts := w.placeHosts(c.host.Service)
+		w.rec.Add(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: c.host.Service, Destination: c.host.Destination, Hosts: hostIDs(hosts)})
 		w.able(c.host.place, 0, 0)
 	}
 	a := reply{after: fate.Latency, wait: fate.RetryAfter.Round(time.Millisecond), lost: fate.ResponseLost, slot: true}
@@ -484,7 +484,7 @@
 	w := c.host.world
 	for end := time.Now().Add(slotPatience); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		free := w.slots[c.relay] < w.settings.Slots
+		free := w.slots[c.relay] < w.settings.MaxConcurrentCalls
 		if free {
 			w.slots[c.relay]++
 		}
--- a/internal/testkit/fake/standin_test.go
+++ b/internal/testkit/fake/standin_test.go
@@ -70,14 +70,14 @@
 		t.Fatal(err)
 	}
 	plan := f.Draw(1)
-	rec, err := eventlog.NewWriter(io.Discard, time.Now(), f.Header(1))
+	rec, err := eventlog.NewWriter(io.Discard, time.Now(), f.RecordHeader(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{World: NewWorld(plan, rec), t: t, plan: plan, rec: rec}
 	t.Cleanup(r.World.Close)
 	for _, e := range plan.Endpoints {
-		if !e.Later {
+		if !e.AddedLater {
 			if _, err := r.AddEndpoint(e); err != nil {
 				t.Fatal(err)
 			}
@@ -222,7 +222,7 @@
 			t.Fatal(err)
 		}
 	}
-	must(r.SetResponseLossRatio(r.first().Place, 1))
+	must(r.SetResponseLossRatio(r.first().Service, 1))
 	c := r.dial(r.first().Addr("r1"))
 	_, err := io.WriteString(c, callText("m1"))
 	must(err)
@@ -234,7 +234,7 @@
 	if e := r.seen(eventlog.CallAborted, nil); e.Call != call.Call || e.Cause != eventlog.CauseHost {
 		t.Errorf("%+v", e)
 	}
-	must(r.SetResponseLossRatio(r.first().Place, 0))
+	must(r.SetResponseLossRatio(r.first().Service, 0))
 	if res := r.ask(r.dial(r.first().Addr("r1")), callText("m2")); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -273,7 +273,7 @@
 
 func TestSlots(t *testing.T) {
 	r := newRig(t, "")
-	if err := r.StartOutage("d1", scenario.OpMute, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpSilence, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	var conns []net.Conn
@@ -330,7 +330,7 @@
 	open := r.dial(addr)
 	io.WriteString(open, "P") // it is accepted by now, or will be
 	r.seen(eventlog.CapacityChanged, nil)
-	if err := r.StartOutage("d1", scenario.OpDown, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpCrash, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := open.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
@@ -362,7 +362,7 @@
 	if res := r.ask(open, callText("before")); res.StatusCode != 200 {
 		t.Fatal(res.StatusCode)
 	}
-	if err := r.StartOutage("d1", scenario.OpCut, 0, 0); err != nil {
+	if err := r.StartOutage("d1", scenario.OpCutOff, 0, 0); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(open, callText("meanwhile"))
@@ -397,7 +397,7 @@
 	old := r.first()
 	addr := old.Addr("r1")
 	next := old.Endpoint
-	next.ID, next.At = "s-new", old.ID
+	next.ID, next.ReusesAddressOf = "s-new", old.ID
 	if _, err := r.AddEndpoint(next); err == nil {
 		t.Fatal("two hosts at one address")
 	}
@@ -628,7 +628,7 @@
 		ids, marks = append(ids, req.Header.Get("X-Trace-Id")), append(marks, req.Header.Get("X-Second-Try"))
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.050\r\nContent-Length: 0\r\n\r\n")
 	})
-	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Dest: 1, Again: time.Millisecond, Body: 10})
+	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Destination: 1, RetryDelay: time.Millisecond, BodySize: 10})
 	if got := kinds(events); got != "offer 0 ,heard 503 ,offer 0 ,heard 503 ," {
 		t.Errorf("%s", got)
 	}
@@ -645,7 +645,7 @@
 			io.WriteString(c, took)
 		}
 	})
-	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Dest: 1, Body: 10})
+	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Destination: 1, BodySize: 10})
 	if got := kinds(events); got != "offer 0 ,unheard 0 timeout,offer 0 ,heard 202 ," ||
 		events[1].At-events[0].At < 390*time.Millisecond {
 		t.Errorf("%s", got)
@@ -663,8 +663,8 @@
 		io.WriteString(c, took)
 	})
 	c := newClients(r, addr)
-	r.heardBy(c, scenario.Arrival{ID: "m1", Dest: 1, Body: 10})
-	events := r.heardBy(c, scenario.Arrival{ID: "m2", Dest: 1, Body: 10})
+	r.heardBy(c, scenario.Arrival{ID: "m1", Destination: 1, BodySize: 10})
+	events := r.heardBy(c, scenario.Arrival{ID: "m2", Destination: 1, BodySize: 10})
 	if got := kinds(events); got != "offer 0 ,heard 202 ,offer 0 ,heard 202 ," {
 		t.Errorf("%s", got)
 	}
@@ -673,7 +673,7 @@
 func TestAnAnswerThatNeverComesOnANewConnectionIsALoss(t *testing.T) {
 	r := newRig(t, "")
 	addr := relayStub(t, func(_ int, c net.Conn, _ *http.Request) { c.Close() })
-	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Dest: 1, Body: 10})
+	events := r.heardBy(newClients(r, addr), scenario.Arrival{ID: "m", Destination: 1, BodySize: 10})
 	if got := kinds(events); got != "offer 0 ,unheard 0 closed,offer 0 ,unheard 0 closed," {
 		t.Errorf("%s", got)
 	}
@@ -684,7 +684,7 @@
 	addr := relayStub(t, func(_ int, c net.Conn, _ *http.Request) { io.WriteString(c, took) })
 	c := newClients(r, addr)
 	c.SetAccepting(false)
-	c.Submit(context.Background(), scenario.Arrival{ID: "m", Dest: 1, Body: 10}, 0)
+	c.Submit(context.Background(), scenario.Arrival{ID: "m", Destination: 1, BodySize: 10}, 0)
 	r.seen(eventlog.SubmissionUnanswered, func(e eventlog.Event) bool { return e.Cause == eventlog.CauseNotSent })
 	c.SetAccepting(true)
 	r.seen(eventlog.SubmissionAnswered, nil)
@@ -702,10 +702,10 @@
 		n++
 		c.try(context.Background(), try{
 			Arrival: scenario.Arrival{
-				ID:   fmt.Sprint("m", n),
-				Key:  "k",
-				Dest: 1,
-				Body: 200,
+				ID:             fmt.Sprint("m", n),
+				IdempotencyKey: "k",
+				Destination:    1,
+				BodySize:       200,
 			}, deadline: time.Now().Add(time.Minute),
 		}, 0)
 	}
--- a/internal/testkit/fake/world.go
+++ b/internal/testkit/fake/world.go
@@ -62,8 +62,8 @@
 	for i := range plan.File.Relays {
 		w.relays = append(w.relays, scenario.RelayName(i+1))
 	}
-	for _, p := range plan.Places {
-		w.places[p.Name] = &place{Service: upstream.New(p.Spec, p.Seed), name: p.Name, dest: p.Dest, slow: 1}
+	for _, p := range plan.Services {
+		w.places[p.Name] = &place{Service: upstream.New(p.Spec, p.Seed), name: p.Name, dest: p.Destination, slow: 1}
 	}
 	return w
 }
@@ -139,26 +139,26 @@
 		if p.outage != "" {
 			return // it is out already: the first outage's end ends both
 		}
-		p.outage = op.Cause()
+		p.outage = op.OutageCause()
 		hosts = w.placeHosts(name)
 		w.rec.Add(
 			eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.dest, Hosts: hostIDs(hosts), Cause: p.outage},
 		)
 		w.able(p, 1, 0)
 		switch op {
-		case scenario.OpFail:
+		case scenario.OpFailCalls:
 			p.SetFailureRatio(share)
-		case scenario.OpShut:
+		case scenario.OpSuspend:
 			p.Suspend(w.rec.Now() + lasts)
-		case scenario.OpMute:
+		case scenario.OpSilence:
 			p.SetSilent(true)
 		}
 	})
 	for _, h := range hosts {
 		switch op {
-		case scenario.OpDown:
+		case scenario.OpCrash:
 			h.down()
-		case scenario.OpCut:
+		case scenario.OpCutOff:
 			err = errors.Join(err, h.cut())
 		}
 	}
--- a/internal/testkit/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -269,9 +269,9 @@
 				more = cold
 			}
 			f := parse(t, "7s", 1, more)
-			f.Settings.Slots = 1000
+			f.Settings.MaxConcurrentCalls = 1000
 			if mode == "push" {
-				f.Kinds[0].TellsWait, f.Kinds[0].ColdFrom = 0, 0.05
+				f.DestinationKinds[0].RetryAfterRatio, f.DestinationKinds[0].WarmUpInitialCapacity = 0, 0.05
 			}
 			dir := t.TempDir()
 			r, err := Run(
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -94,7 +94,7 @@
 	fmt.Fprintf(
 		&b,
 		"[fleet]\nenabled = true\nrights = %v\nname = %q\nlabel = \"rehearsal\"\nlisten = %q\n[fleet.join]\n",
-		set.Rights,
+		set.Quotas,
 		name,
 		m.listen,
 	)
@@ -115,15 +115,15 @@
 	switch step.Op {
 	case scenario.OpLinkCut:
 		f.Cut, state = true, eventlog.LinkCut
-	case scenario.OpLinkLose:
-		f.DropRatio = step.X
+	case scenario.OpLinkLoss:
+		f.DropRatio = step.Value
 	case scenario.OpLinkDelay:
-		f.Delay = step.For
-	case scenario.OpLinkMix:
-		f.DuplicateRatio, f.ReorderRatio = step.X, step.X
-	case scenario.OpLinkRate:
-		f.BytesPerSecond = int(step.X)
-	case scenario.OpLinkSound:
+		f.Delay = step.Duration
+	case scenario.OpLinkReorder:
+		f.DuplicateRatio, f.ReorderRatio = step.Value, step.Value
+	case scenario.OpLinkThrottle:
+		f.BytesPerSecond = int(step.Value)
+	case scenario.OpLinkRestore:
 		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(step.Target)
@@ -152,12 +152,12 @@
 }
 
 // putFolder has the next process find another folder than the last one left: none, or an older one.
-func (r *relay) putFolder(which string) error {
+func (r *relay) putFolder(which scenario.StateFolder) error {
 	state := filepath.Join(r.dir, "state")
 	switch which {
-	case scenario.FolderNone:
+	case scenario.StateFolderRemoved:
 		return errors.Join(os.RemoveAll(state), os.MkdirAll(state, 0o700))
-	case scenario.FolderOlder:
+	case scenario.StateFolderOlder:
 		return errors.Join(os.RemoveAll(state), r.copyState(filepath.Join(r.dir, olderName), state))
 	}
 	return nil
--- a/internal/testkit/rehearsal/load_test.go
+++ b/internal/testkit/rehearsal/load_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	f := parse(t, "10s", 1, "")
-	f.Traffic[0].Rate, f.Settings.Sockets = float64(*load), 4096
-	*f.Clients.Again = 0
+	f.Traffic[0].Rate, f.Settings.MaxSockets = float64(*load), 4096
+	*f.Clients.RetryRatio = 0
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	r, err := Run(
 		context.Background(),
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -99,7 +99,7 @@
 		return Result{}, fmt.Errorf("rehearsal: %w", err)
 	}
 	defer out.Close()
-	header := file.Header(plan.Seed)
+	header := file.RecordHeader(plan.Seed)
 	header.PlanDigest = plan.Digest()
 	began := time.Now()
 	rec, err := eventlog.NewWriter(out, began, header)
@@ -110,7 +110,7 @@
 	s := &stage{
 		plan: plan, opts: opts, rec: rec, world: fake.NewWorld(plan, rec), relays: map[string]*relay{}, members: map[string]fake.ListedEndpoint{},
 		delays: rand.New(
-			rand.NewPCG(plan.Delays, 1),
+			rand.NewPCG(plan.DiscoverySeed, 1),
 		), late: map[string]time.Duration{}, changes: map[string]chan change{},
 	}
 	err = s.play(ctx)
@@ -204,7 +204,7 @@
 // setUp starts the hosts, the agents and the relays, and waits until these are ready.
 func (s *stage) setUp(ctx context.Context) error {
 	for _, e := range s.plan.Endpoints {
-		if e.Later {
+		if e.AddedLater {
 			continue
 		}
 		if _, err := s.world.AddEndpoint(e); err != nil {
@@ -254,7 +254,7 @@
 	}
 	var list []fake.ListedEndpoint
 	for _, e := range s.plan.Endpoints {
-		if !e.Later {
+		if !e.AddedLater {
 			list = append(list, s.at(s.members[e.ID], name))
 		}
 	}
@@ -296,7 +296,7 @@
 }
 
 func member(e scenario.Endpoint) fake.ListedEndpoint {
-	return fake.ListedEndpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Destination: e.Dest, State: eventlog.StateReady, Weight: e.Weight}
+	return fake.ListedEndpoint{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Destination: e.Destination, State: eventlog.StateReady, Weight: e.Weight}
 }
 
 // at is an entry with the address that a relay has for it.
@@ -309,10 +309,10 @@
 
 func (s *stage) changed(e scenario.Endpoint, state string) {
 	place := ""
-	if e.Place == e.ID {
+	if e.Service == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	s.rec.Add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Dest, Zone: e.Zone, Place: place, State: state})
+	s.rec.Add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
 }
 
 // takeDown ends the relays, in order if the rehearsal went well, and the stand-ins.
@@ -353,7 +353,7 @@
 		s.handedIn = i + 1
 		s.mu.Unlock()
 	}
-	at(s.plan.File.Length.D())
+	at(s.plan.File.Length.AsDuration())
 }
 
 // settle waits until all that was handed in must have its end.
@@ -366,7 +366,7 @@
 	s.mu.Unlock()
 	longest := time.Duration(0)
 	for _, c := range s.plan.File.Classes {
-		longest = max(longest, c.GiveUp.D())
+		longest = max(longest, c.Deadline.AsDuration())
 	}
 	by := time.Now().Add(longest + checker.FinalAnswerTimeout + checker.Tolerance + settleExtra)
 	for time.Now().Before(by) && s.world.UnresolvedMessages() > 0 && sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
@@ -387,8 +387,8 @@
 		p := Progress{
 			At: time.Since(
 				began,
-			), Length: s.plan.File.Length.D(), HandedIn: s.handedIn, Troubles: append([]string(nil), s.on...),
-			Settling: time.Since(began) > s.plan.File.Length.D(),
+			), Length: s.plan.File.Length.AsDuration(), HandedIn: s.handedIn, Troubles: append([]string(nil), s.on...),
+			Settling: time.Since(began) > s.plan.File.Length.AsDuration(),
 		}
 		s.mu.Unlock()
 		s.opts.Progress(p)
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -260,7 +260,7 @@
 	}
 	later := 0
 	for _, e := range f.Draw(0).Endpoints {
-		if e.Later && calls[e.ID] > 0 {
+		if e.AddedLater && calls[e.ID] > 0 {
 			later++
 		}
 	}
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -62,52 +62,52 @@
 // config is the relay's configuration file.
 func (r *relay) config() ([]byte, error) {
 	s := r.file.Settings
-	ms := func(d scenario.Duration) float64 { return float64(d.D()) / float64(time.Millisecond) }
+	ms := func(d scenario.Duration) float64 { return float64(d.AsDuration()) / float64(time.Millisecond) }
 	var services, realms []map[string]any
 	for _, c := range r.file.Classes {
 		services = append(services, map[string]any{
-			"name": c.Name, "group": c.Group, "goal_time_ms": ms(c.Aim), "give_up_ms": ms(c.GiveUp), "repeat_window_ms": ms(c.Window),
-			"late_worth": c.LateWorth, "value": c.Worth, "by_arrival": c.Order, "stream": false,
-			"semantics": map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[c.Effect],
+			"name": c.Name, "group": c.DedupScope, "goal_time_ms": ms(c.LatencyObjective), "give_up_ms": ms(c.Deadline), "repeat_window_ms": ms(c.DedupWindow),
+			"late_worth": c.LateWeightRatio, "value": c.Weight, "by_arrival": c.Ordered, "stream": false,
+			"semantics": map[eventlog.Effect]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[c.Effect],
 		})
 	}
 	shares := 0.0
 	for _, c := range r.file.Customers {
-		shares += c.Share
+		shares += c.TrafficShare
 	}
 	for _, c := range r.file.Customers {
-		realms = append(realms, map[string]any{"name": c.Name, "share": c.Share / shares, "quota_per_s": c.Quota})
+		realms = append(realms, map[string]any{"name": c.Name, "share": c.TrafficShare / shares, "quota_per_s": c.Quota})
 	}
 	var kinds []string
 	var perCall []int
 	var separate []bool
 	cold, warm := 1.0, 0.0
-	for _, k := range r.file.Kinds {
-		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.PerCall), append(separate, k.Separate)
-		cold, warm = min(cold, k.ColdFrom), max(warm, ms(k.Warm))
+	for _, k := range r.file.DestinationKinds {
+		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.MaxMessagesPerCall), append(separate, k.SeparateEndpoints)
+		cold, warm = min(cold, k.WarmUpInitialCapacity), max(warm, ms(k.WarmUpDuration))
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": r.name, "listen": r.addr, "discovery": r.agent.Addr(), "seed": fmt.Sprintf("%016x", r.file.Seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.Sockets, "disk_mb": s.DiskMB},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.MaxSockets, "disk_mb": s.DiskMB},
 		"known":  r.agent.NotifiedList(),
 		"settings": map[string]any{
 			"bounds": map[string]any{
-				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAlive), "may_duplicate": *s.MayDuplicate,
+				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAliveTimeout), "may_duplicate": *s.DuplicatesAllowed,
 				"max_retry_after_ms": ms(
 					s.MaxRetryAfter,
-				), "retry_after": true, "open_cap": s.Held, "send_cap": s.Attempts,
+				), "retry_after": true, "open_cap": s.MaxMessages, "send_cap": s.MaxAttempts,
 				"probes": false, "peers": false,
 			},
 			"extra": map[string]any{
-				"call_slots": s.Slots, "per_call": perCall, "separate_routes": separate, "loses_worth": "even",
+				"call_slots": s.MaxConcurrentCalls, "per_call": perCall, "separate_routes": separate, "loses_worth": "even",
 			},
 			"fleet_size": r.file.Relays, "kinds": kinds, "zones": r.file.Zones, "tick_ms": ms(s.Tick),
-			"membership_mode": "push", "weight_kind": "nominal", "over_share_worth": *s.OverShareWorth,
+			"membership_mode": "push", "weight_kind": "nominal", "over_share_worth": *s.OverShareWeightRatio,
 			"rules": map[string]any{
 				"stop_sending_within_ms": ms(
 					s.DrainGrace,
-				), "overload_factor": s.FallMultiple, "fall_ms": ms(s.FallWindow),
-				"cold_from": cold, "warm_within_ms": warm, "order_pause_ms": ms(s.OrderPause), "answer_slack_ms": 20.0,
+				), "overload_factor": s.OverloadFactor, "fall_ms": ms(s.OverloadWindow),
+				"cold_from": cold, "warm_within_ms": warm, "order_pause_ms": ms(s.OrderingPause), "answer_slack_ms": 20.0,
 			},
 			"services": services, "realms": realms, "stats": map[string]any{"how": "none"},
 		},
@@ -295,7 +295,7 @@
 }
 
 // restart ends the process and starts it again, on the folder that it left or another one.
-func (r *relay) restart(ctx context.Context, planned bool, folder string, within time.Duration) error {
+func (r *relay) restart(ctx context.Context, planned bool, folder scenario.StateFolder, within time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planned {
--- a/internal/testkit/rehearsal/steps.go
+++ b/internal/testkit/rehearsal/steps.go
@@ -13,49 +13,49 @@
 func (s *stage) do(ctx context.Context, step scenario.Step) {
 	var err error
 	switch step.Op {
-	case scenario.OpBegins, scenario.OpEnds:
+	case scenario.OpFaultBegins, scenario.OpFaultEnds:
 		s.trouble(step)
-	case scenario.OpList:
+	case scenario.OpAddEndpoint:
 		err = s.list(step.Target)
-	case scenario.OpDrain:
+	case scenario.OpDrainEndpoint:
 		s.tell(step.Target, eventlog.StateDraining)
-	case scenario.OpGone:
+	case scenario.OpRemoveEndpoint:
 		s.tell(step.Target, eventlog.StateGone)
-	case scenario.OpStop:
+	case scenario.OpStopEndpoint:
 		s.world.Endpoint(step.Target).Stop()
 	case scenario.OpSlow:
-		err = s.world.SetSlowdown(step.Target, step.X)
-	case scenario.OpLower:
-		err = s.world.SetLimitDivisor(step.Target, step.X)
-	case scenario.OpLose:
-		err = s.world.SetResponseLossRatio(step.Target, step.X)
-	case scenario.OpFail, scenario.OpShut, scenario.OpMute, scenario.OpDown, scenario.OpCut:
-		err = s.world.StartOutage(step.Target, step.Op, step.X, step.For)
-	case scenario.OpBack:
+		err = s.world.SetSlowdown(step.Target, step.Value)
+	case scenario.OpLowerLimit:
+		err = s.world.SetLimitDivisor(step.Target, step.Value)
+	case scenario.OpLoseAnswers:
+		err = s.world.SetResponseLossRatio(step.Target, step.Value)
+	case scenario.OpFailCalls, scenario.OpSuspend, scenario.OpSilence, scenario.OpCrash, scenario.OpCutOff:
+		err = s.world.StartOutage(step.Target, step.Op, step.Value, step.Duration)
+	case scenario.OpRestore:
 		err = s.world.EndOutage(step.Target)
-	case scenario.OpHush, scenario.OpSpeak:
-		s.relays[step.Target].agent.SetSilent(step.Op == scenario.OpHush)
-	case scenario.OpDelay:
+	case scenario.OpSilenceDiscovery, scenario.OpRestoreDiscovery:
+		s.relays[step.Target].agent.SetSilent(step.Op == scenario.OpSilenceDiscovery)
+	case scenario.OpDelayDiscovery:
 		s.mu.Lock()
-		s.late[step.Target] = step.For
+		s.late[step.Target] = step.Duration
 		s.mu.Unlock()
-	case scenario.OpTerm, scenario.OpKill:
+	case scenario.OpTerminate, scenario.OpKill:
 		s.works.Go(func() {
-			if err := s.relays[step.Target].restart(ctx, step.Op == scenario.OpTerm, step.Note, s.opts.ReadyWithin); err != nil &&
+			if err := s.relays[step.Target].restart(ctx, step.Op == scenario.OpTerminate, step.StateFolder, s.opts.ReadyWithin); err != nil &&
 				ctx.Err() == nil {
 				s.fail(err)
 			}
 		})
-	case scenario.OpFreeze, scenario.OpThaw:
-		err = s.relays[step.Target].freeze(step.Op == scenario.OpFreeze)
+	case scenario.OpStall, scenario.OpResume:
+		err = s.relays[step.Target].freeze(step.Op == scenario.OpStall)
 	case scenario.OpLinkCut,
-		scenario.OpLinkLose,
+		scenario.OpLinkLoss,
 		scenario.OpLinkDelay,
-		scenario.OpLinkRate,
-		scenario.OpLinkMix,
-		scenario.OpLinkSound:
+		scenario.OpLinkThrottle,
+		scenario.OpLinkReorder,
+		scenario.OpLinkRestore:
 		err = s.setLink(step)
-	case scenario.OpHUP:
+	case scenario.OpReload:
 		err = s.relays[step.Target].reload()
 	}
 	if err != nil {
@@ -67,7 +67,7 @@
 func (s *stage) trouble(step scenario.Step) {
 	state := eventlog.StateBegin
 	s.mu.Lock()
-	if step.Op == scenario.OpBegins {
+	if step.Op == scenario.OpFaultBegins {
 		s.on = append(s.on, step.Target)
 	} else {
 		state = eventlog.StateEnd
@@ -104,7 +104,7 @@
 	m.State = state
 	s.members[id] = m
 	for _, r := range s.order {
-		late := d.Least.D() + time.Duration(s.delays.Float64()*float64(d.Most-d.Least)) + s.late[r.name]
+		late := d.MinDelay.AsDuration() + time.Duration(s.delays.Float64()*float64(d.MaxDelay-d.MinDelay)) + s.late[r.name]
 		s.changes[r.name] <- change{s.at(m, r.name), time.Now().Add(late)}
 	}
 }
--- a/internal/testkit/scenario/golden_test.go
+++ b/internal/testkit/scenario/golden_test.go
@@ -17,7 +17,7 @@
 // TestGoldenEveryKey reads a scenario that sets every key, and pins what it is written as again, by the keys of the
 // file, and its plan.
 func TestGoldenEveryKey(t *testing.T) {
-	f, err := LoadFor(filepath.Join("testdata", "golden", "every-key.toml"), EmulatorBounds)
+	f, err := LoadWithin(filepath.Join("testdata", "golden", "every-key.toml"), EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, *update, "every-key.out.toml", string(data))
-	again, err := ParseFor("again", data, EmulatorBounds)
+	again, err := ParseWithin("again", data, EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -20,37 +20,37 @@
 )
 
 // Place is a destination, or a route that stands apart.
-type Place struct {
-	Name string
-	Dest int
-	Spec upstream.Spec
-	Seed uint64
+type Service struct {
+	Name        string
+	Destination int
+	Spec        upstream.Spec
+	Seed        uint64
 }
 
 // Endpoint is a host that is listed at some time of the rehearsal.
 type Endpoint struct {
-	ID     string
-	Place  string
-	Dest   int
-	Zone   string
-	Kind   string
-	Weight float64 // as discovery lists it: calls a second that its place takes
-	At     string  // comes up at the address of this endpoint, which has gone; "": at one of its own
-	Later  bool    // not there from the start
+	ID              string
+	Service         string
+	Destination     int
+	Zone            string
+	Kind            string
+	Weight          float64 // as discovery lists it: calls a second that its place takes
+	ReusesAddressOf string  // comes up at the address of this endpoint, which has gone; "": at one of its own
+	AddedLater      bool    // not there from the start
 }
 
 // Arrival is a message that a client hands in.
 type Arrival struct {
-	At       time.Duration
-	ID       string // of the first try
-	Relay    int    // counted from 0
-	Class    int
-	Customer int
-	Dest     int
-	Key      string
-	Order    string
-	Body     int
-	Again    time.Duration // comes again after a refusal, and after this at the soonest; 0: it does not
+	At             time.Duration
+	ID             string // of the first try
+	Relay          int    // counted from 0
+	Class          int
+	Customer       int
+	Destination    int
+	IdempotencyKey string
+	OrderingKey    string
+	BodySize       int
+	RetryDelay     time.Duration // comes again after a refusal, and after this at the soonest; 0: it does not
 }
 
 // Op is something that a step does.
@@ -58,38 +58,38 @@
 
 // The operations. Each names its target.
 const (
-	OpList   Op = "list"  // an endpoint comes up and is listed
-	OpDrain  Op = "drain" // it is listed as draining
-	OpGone   Op = "gone"  // it is listed no more
-	OpStop   Op = "stop"  // its process ends
-	OpFail   Op = "fail"  // of a place: X is the share of calls
-	OpShut   Op = "shut"  // of a place, for For
-	OpSlow   Op = "slow"  // of a place: X is the factor, 1 ends it
-	OpLower  Op = "lower" // of a place: its limit by the factor X, 1 ends it
-	OpLose   Op = "lose"  // of a place: the share X of its answers, 0 ends it
-	OpMute   Op = "mute"
-	OpDown   Op = "down"
-	OpCut    Op = "cut"
-	OpBack   Op = "back" // ends the outage of a place
-	OpHush   Op = "hush" // discovery falls silent to a relay
-	OpSpeak  Op = "speak"
-	OpDelay  Op = "delay" // discovery is later to a relay by For
-	OpTerm   Op = "term"
-	OpKill   Op = "kill"
-	OpHUP    Op = "hup"
-	OpClock  Op = "clock"  // a relay's wall clock is set by For
-	OpBegins Op = "begins" // a trouble, by its name
-	OpEnds   Op = "ends"
-	OpFreeze Op = "freeze" // a relay's process is stopped
-	OpThaw   Op = "thaw"   // and goes on
+	OpAddEndpoint      Op = "list"  // an endpoint comes up and is listed
+	OpDrainEndpoint    Op = "drain" // it is listed as draining
+	OpRemoveEndpoint   Op = "gone"  // it is listed no more
+	OpStopEndpoint     Op = "stop"  // its process ends
+	OpFailCalls        Op = "fail"  // of a place: X is the share of calls
+	OpSuspend          Op = "shut"  // of a place, for For
+	OpSlow             Op = "slow"  // of a place: X is the factor, 1 ends it
+	OpLowerLimit       Op = "lower" // of a place: its limit by the factor X, 1 ends it
+	OpLoseAnswers      Op = "lose"  // of a place: the share X of its answers, 0 ends it
+	OpSilence          Op = "mute"
+	OpCrash            Op = "down"
+	OpCutOff           Op = "cut"
+	OpRestore          Op = "back" // ends the outage of a place
+	OpSilenceDiscovery Op = "hush" // discovery falls silent to a relay
+	OpRestoreDiscovery Op = "speak"
+	OpDelayDiscovery   Op = "delay" // discovery is later to a relay by For
+	OpTerminate        Op = "term"
+	OpKill             Op = "kill"
+	OpReload           Op = "hup"
+	OpStepClock        Op = "clock"  // a relay's wall clock is set by For
+	OpFaultBegins      Op = "begins" // a trouble, by its name
+	OpFaultEnds        Op = "ends"
+	OpStall            Op = "freeze" // a relay's process is stopped
+	OpResume           Op = "thaw"   // and goes on
 
 	// Of the link from one relay to another, whose target is as LinkName writes it. Each undoes those before it.
-	OpLinkCut   Op = "link-cut"
-	OpLinkLose  Op = "link-lose"  // the share X of its datagrams
-	OpLinkDelay Op = "link-delay" // all by For
-	OpLinkRate  Op = "link-rate"  // X bytes a second
-	OpLinkMix   Op = "link-mix"   // the share X of its datagrams comes twice, and the same share is overtaken by others
-	OpLinkSound Op = "link-sound"
+	OpLinkCut      Op = "link-cut"
+	OpLinkLoss     Op = "link-lose"  // the share X of its datagrams
+	OpLinkDelay    Op = "link-delay" // all by For
+	OpLinkThrottle Op = "link-rate"  // X bytes a second
+	OpLinkReorder  Op = "link-mix"   // the share X of its datagrams comes twice, and the same share is overtaken by others
+	OpLinkRestore  Op = "link-sound"
 )
 
 // LinkName is the target of an operation on the link by which one relay is heard by another.
@@ -102,39 +102,59 @@
 }
 
 // Cause is why a place is out of service that an operation strikes; "" if it strikes none.
-func (o Op) Cause() string {
+func (o Op) OutageCause() string {
 	switch o {
-	case OpFail:
+	case OpFailCalls:
 		return eventlog.OutageFailing
-	case OpShut:
+	case OpSuspend:
 		return eventlog.OutageSuspended
-	case OpMute:
+	case OpSilence:
 		return eventlog.OutageSilent
-	case OpDown, OpCut:
+	case OpCrash, OpCutOff:
 		return eventlog.OutageDown
 	}
 	return ""
 }
 
-// Step is something that happens to the world.
+// Step is a change of the world, or of a relay.
 type Step struct {
-	At     time.Duration
-	Op     Op
-	Target string
-	X      float64
-	For    time.Duration
-	Note   string
+	At          time.Duration
+	Op          Op
+	Target      string
+	Value       float64
+	Duration    time.Duration
+	Note        string      // OpFaultBegins: the targets that the fault strikes
+	StateFolder StateFolder // OpKill; "": kept
+}
+
+// String returns the text form of an endpoint. The digest of a plan is computed from the text forms of its parts, and
+// digests are part of stored records: their keys and the order of these are fixed, whatever the fields are called.
+func (e Endpoint) String() string {
+	return fmt.Sprintf("{ID:%v Place:%v Dest:%v Zone:%v Kind:%v Weight:%v At:%v Later:%v}",
+		e.ID, e.Service, e.Destination, e.Zone, e.Kind, e.Weight, e.ReusesAddressOf, e.AddedLater)
+}
+
+// String returns the text form of an arrival; see Endpoint.String.
+func (a Arrival) String() string {
+	return fmt.Sprintf("{At:%v ID:%v Relay:%v Class:%v Customer:%v Dest:%v Key:%v Order:%v Body:%v Again:%v}",
+		a.At, a.ID, a.Relay, a.Class, a.Customer, a.Destination, a.IdempotencyKey, a.OrderingKey, a.BodySize, a.RetryDelay)
+}
+
+// String returns the text form of a step; see Endpoint.String.
+func (s Step) String() string {
+	note := cmp.Or(s.Note, string(s.StateFolder))
+	return fmt.Sprintf("{At:%v Op:%v Target:%v X:%v For:%v Note:%v}", s.At, s.Op, s.Target, s.Value, s.Duration, note)
 }
 
 // Plan is all that a rehearsal plays.
 type Plan struct {
-	File      File
-	Seed      uint64
-	Places    []Place
-	Endpoints []Endpoint
-	Arrivals  []Arrival
-	Steps     []Step
-	Delays    uint64 // seeds how late discovery is
+	File          File
+	Seed          uint64
+	Services      []Service
+	Endpoints     []Endpoint
+	Arrivals      []Arrival
+	Steps         []Step
+	DiscoverySeed uint64 // seeds how late discovery is
 }
 
 // planner draws a plan. Each part has a random stream of its own, so that a change of one leaves the others.
@@ -149,14 +169,14 @@
 func (f File) Draw(seed uint64) Plan { return f.draw(seed, true) }
 
 // DrawWorld makes the plan without its arrivals, which File.Flow draws as time passes: a large one takes no room.
-func (f File) DrawWorld(seed uint64) Plan { return f.draw(seed, false) }
+func (f File) DrawWithoutArrivals(seed uint64) Plan { return f.draw(seed, false) }
 
 func (f File) draw(seed uint64, arrivals bool) Plan {
 	p := planner{Plan: &Plan{File: f, Seed: cmp.Or(seed, f.Seed)}, busy: map[string]bool{}, ids: map[string]bool{}}
-	p.Delays = engine.NewRandom(p.Seed, "delays", 0).Uint64()
+	p.DiscoverySeed = engine.NewRandom(p.Seed, "delays", 0).Uint64()
 	p.world()
 	for i := range f.Traffic {
-		for flow := f.Flow(p.Seed, i); arrivals; {
+		for flow := f.NewTrafficGenerator(p.Seed, i); arrivals; {
 			group, ok := flow.Next()
 			if !ok {
 				break
@@ -169,9 +189,9 @@
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
 		a.ID = fmt.Sprintf("%016x", ids.Uint64())
-		a.Key = fmt.Sprintf("%016x%016x", ids.Uint64(), ids.Uint64())
+		a.IdempotencyKey = fmt.Sprintf("%016x%016x", ids.Uint64(), ids.Uint64())
 	}
-	for i, t := range f.Troubles {
+	for i, t := range f.Faults {
 		p.trouble(i, t)
 	}
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
@@ -183,28 +203,28 @@
 	dest := 0
 	seeds := engine.NewRandom(p.Seed, "places", 0)
 	for _, d := range p.File.Destinations {
-		kind := p.File.Kinds[slices.IndexFunc(p.File.Kinds, func(k Kind) bool { return k.Name == d.Kind })]
-		spec := p.File.Spec(kind, d.Rate)
+		kind := p.File.DestinationKinds[slices.IndexFunc(p.File.DestinationKinds, func(k DestinationKind) bool { return k.Name == d.Kind })]
+		spec := p.File.UpstreamSpec(kind, d.LimitRate)
 		for range d.Count {
 			dest++
 			name := fmt.Sprintf("d%d", dest)
-			if !kind.Separate {
-				p.Places = append(p.Places, Place{name, dest, spec, seeds.Uint64()})
+			if !kind.SeparateEndpoints {
+				p.Services = append(p.Services, Service{name, dest, spec, seeds.Uint64()})
 			}
-			weight := d.Rate
-			if kind.Limit == "none" {
+			weight := d.LimitRate
+			if kind.Limit == upstream.NoLimit {
 				weight = spec.EndpointCapacity()
-				if !kind.Separate {
+				if !kind.SeparateEndpoints {
 					weight *= float64(d.Endpoints)
 				}
 			}
 			for i := range d.Endpoints {
 				e := p.endpoint(
-					Endpoint{Place: name, Dest: dest, Zone: d.Zones[i%len(d.Zones)], Kind: kind.Name, Weight: weight},
+					Endpoint{Service: name, Destination: dest, Zone: d.Zones[i%len(d.Zones)], Kind: kind.Name, Weight: weight},
 				)
-				if kind.Separate {
-					p.Endpoints[e].Place = p.Endpoints[e].ID
-					p.Places = append(p.Places, Place{p.Endpoints[e].ID, dest, spec, seeds.Uint64()})
+				if kind.SeparateEndpoints {
+					p.Endpoints[e].Service = p.Endpoints[e].ID
+					p.Services = append(p.Services, Service{p.Endpoints[e].ID, dest, spec, seeds.Uint64()})
 				}
 			}
 		}
@@ -227,15 +247,15 @@
 }
 
 // shape is the share of its rate that traffic has at a part of its span.
-func shape(kind string, x float64) float64 {
-	if kind == "dinner" {
+func shape(kind TrafficShape, x float64) float64 {
+	if kind == ShapeDinner {
 		return 0.25 + 0.75*math.Sin(math.Pi*x)
 	}
 	return 1
 }
 
 // Flow draws the messages of one traffic of a scenario, as time passes.
-type Flow struct {
+type TrafficGenerator struct {
 	file File
 	t    Traffic
 	draw *rand.Rand
@@ -245,10 +265,10 @@
 }
 
 // Flow is the n-th traffic, counted from 0, with a plan's seed.
-func (f File) Flow(seed uint64, n int) *Flow {
-	x := &Flow{file: f, t: f.Traffic[n], draw: engine.NewRandom(seed, "traffic", n), at: f.Traffic[n].From.D()}
+func (f File) NewTrafficGenerator(seed uint64, n int) *TrafficGenerator {
+	x := &TrafficGenerator{file: f, t: f.Traffic[n], draw: engine.NewRandom(seed, "traffic", n), at: f.Traffic[n].From.AsDuration()}
 	for _, d := range f.Destinations {
-		x.n += d.Weight * float64(d.Count)
+		x.n += d.TrafficWeight * float64(d.Count)
 	}
 	x.upTo = f.uneven(seed)
 	return x
@@ -257,11 +277,11 @@
 // uneven draws what comes to each relay, lognormal with the mean of an even part, summed up to it; nil for even parts.
 // All traffic of a plan has the same.
 func (f File) uneven(seed uint64) (upTo []float64) {
-	if f.Clients.Uneven == 0 {
+	if f.Clients.RelayVariation == 0 {
 		return nil
 	}
 	draw, total := engine.NewRandom(seed, "relays", 0), 0.0
-	sigma := math.Sqrt(math.Log(1 + f.Clients.Uneven*f.Clients.Uneven))
+	sigma := math.Sqrt(math.Log(1 + f.Clients.RelayVariation*f.Clients.RelayVariation))
 	for range f.Relays {
 		total += math.Exp(sigma * draw.NormFloat64())
 		upTo = append(upTo, total)
@@ -273,7 +293,7 @@
 }
 
 // relay draws who a message is handed to.
-func (x *Flow) relay() int {
+func (x *TrafficGenerator) relay() int {
 	if x.upTo == nil {
 		return x.draw.IntN(x.file.Relays)
 	}
@@ -282,44 +302,44 @@
 }
 
 // Next is what comes next: one message, or those of a burst. Their ids and keys are not drawn. It is false at the end.
-func (x *Flow) Next() (group []Arrival, ok bool) {
+func (x *TrafficGenerator) Next() (group []Arrival, ok bool) {
 	t, draw := x.t, x.draw
 	size := 1
-	if t.Shape == "bursts" {
-		size = t.Burst
+	if t.Shape == ShapeBursts {
+		size = t.BurstSize
 	}
 	for len(group) == 0 {
 		x.at += time.Duration(draw.ExpFloat64() / t.Rate * float64(size) * float64(time.Second))
-		if x.at >= t.To.D() {
+		if x.at >= t.To.AsDuration() {
 			return nil, false
 		}
-		if draw.Float64() > shape(t.Shape, float64(x.at-t.From.D())/float64(t.To-t.From)) {
+		if draw.Float64() > shape(t.Shape, float64(x.at-t.From.AsDuration())/float64(t.To-t.From)) {
 			continue
 		}
 		dest := x.destination()
 		for i := range size {
 			a := Arrival{
-				At: x.at + time.Duration(i)*time.Millisecond, Dest: dest, Body: t.Body, Relay: x.relay(),
+				At: x.at + time.Duration(i)*time.Millisecond, Destination: dest, BodySize: t.BodySize, Relay: x.relay(),
 				Class: pick(
 					draw,
 					x.file.Classes,
 					t.Class,
-					func(c Class) (string, float64) { return c.Name, c.Share },
+					func(c Class) (string, float64) { return c.Name, c.TrafficShare },
 				),
 				Customer: pick(
 					draw,
 					x.file.Customers,
 					t.Customer,
-					func(c Customer) (string, float64) { return c.Name, c.Share },
+					func(c Customer) (string, float64) { return c.Name, c.TrafficShare },
 				),
 			}
-			if x.file.Classes[a.Class].Order {
-				a.Order = fmt.Sprintf("o%d-%d", a.Dest, draw.IntN(4))
+			if x.file.Classes[a.Class].Ordered {
+				a.OrderingKey = fmt.Sprintf("o%d-%d", a.Destination, draw.IntN(4))
 			}
-			if draw.Float64() < *x.file.Clients.Again {
-				a.Again = time.Duration((0.5 + draw.Float64()) * float64(x.file.Clients.Backoff))
+			if draw.Float64() < *x.file.Clients.RetryRatio {
+				a.RetryDelay = time.Duration((0.5 + draw.Float64()) * float64(x.file.Clients.RetryBackoff))
 			}
-			if a.At < t.To.D() {
+			if a.At < t.To.AsDuration() {
 				group = append(group, a)
 			}
 		}
@@ -347,18 +367,18 @@
 	return len(list) - 1
 }
 
-func (x *Flow) destination() int {
+func (x *TrafficGenerator) destination() int {
 	if len(x.t.Destinations) > 0 {
 		return x.t.Destinations[x.draw.IntN(len(x.t.Destinations))]
 	}
 	at := x.draw.Float64() * x.n
 	dest := 0
 	for _, d := range x.file.Destinations {
-		if all := d.Weight * float64(d.Count); at >= all {
+		if all := d.TrafficWeight * float64(d.Count); at >= all {
 			at, dest = at-all, dest+d.Count
 			continue
 		}
-		return dest + min(d.Count, 1+int(at/d.Weight))
+		return dest + min(d.Count, 1+int(at/d.TrafficWeight))
 	}
 	return dest
 }
@@ -368,22 +388,22 @@
 	return &p.Steps[len(p.Steps)-1]
 }
 
-func (p *planner) trouble(n int, t Trouble) {
+func (p *planner) trouble(n int, t Fault) {
 	draw := engine.NewRandom(p.Seed, "trouble", n)
 	name := fmt.Sprintf("%s-%d", t.Kind, n+1)
-	begin, end := t.At.D(), (t.At + t.For).D()
+	begin, end := t.Start.AsDuration(), (t.Start + t.Duration).AsDuration()
 	begins := len(p.Steps)
-	p.step(begin, OpBegins, name)
+	p.step(begin, OpFaultBegins, name)
 	var struck []string
 	switch t.Kind {
-	case Draining, Gone:
+	case FaultDrain, FaultRemove:
 		struck = p.replace(draw, t)
-		if t.Kind == Draining {
-			end += t.Drain.D()
+		if t.Kind == FaultDrain {
+			end += t.DrainTime.AsDuration()
 		}
-	case DiscoveryDown, DiscoveryLate, Term, Kill, HUP, ClockStep, Stall:
+	case FaultDiscoveryDown, FaultDiscoveryDelay, FaultTerminate, FaultKill, FaultReload, FaultClockStep, FaultStall:
 		struck = p.relays(draw, t)
-	case LinkCut, LinkLoss, LinkDelay, LinkThrottle, LinkMix:
+	case FaultLinkCut, FaultLinkLoss, FaultLinkDelay, FaultLinkThrottle, FaultLinkReorder:
 		struck = p.links(draw, t)
 	default:
 		for _, place := range p.struck(draw, t) {
@@ -392,49 +412,49 @@
 		}
 	}
 	p.Steps[begins].Note = strings.Join(struck, " ")
-	p.step(max(end, begin+time.Second), OpEnds, name)
+	p.step(max(end, begin+time.Second), OpFaultEnds, name)
 }
 
 // strike has a trouble of a place begin and end.
-func (p *planner) strike(t Trouble, place string, begin, end time.Duration) {
+func (p *planner) strike(t Fault, place string, begin, end time.Duration) {
 	switch t.Kind {
-	case Fail:
-		p.step(begin, OpFail, place).X = t.Calls
-	case Shut:
-		p.step(begin, OpShut, place).For = end - begin
-	case SlowDown:
-		p.step(begin, OpSlow, place).X = t.Factor
-		p.step(end, OpSlow, place).X = 1
+	case FaultFailCalls:
+		p.step(begin, OpFailCalls, place).Value = t.CallRatio
+	case FaultSuspend:
+		p.step(begin, OpSuspend, place).Duration = end - begin
+	case FaultSlow:
+		p.step(begin, OpSlow, place).Value = t.Factor
+		p.step(end, OpSlow, place).Value = 1
 		return
-	case Lowered:
-		p.step(begin, OpLower, place).X = t.Factor
-		p.step(end, OpLower, place).X = 1
+	case FaultLowerLimit:
+		p.step(begin, OpLowerLimit, place).Value = t.Factor
+		p.step(end, OpLowerLimit, place).Value = 1
 		return
-	case LostAnswers:
-		p.step(begin, OpLose, place).X = t.Calls
-		p.step(end, OpLose, place).X = 0
+	case FaultLoseAnswers:
+		p.step(begin, OpLoseAnswers, place).Value = t.CallRatio
+		p.step(end, OpLoseAnswers, place).Value = 0
 		return
-	case Silent:
-		p.step(begin, OpMute, place)
-	case Death:
-		p.step(begin, OpDown, place)
-	case Cut:
-		p.step(begin, OpCut, place)
-	}
-	p.step(end, OpBack, place)
+	case FaultSilence:
+		p.step(begin, OpSilence, place)
+	case FaultCrash:
+		p.step(begin, OpCrash, place)
+	case FaultCutOff:
+		p.step(begin, OpCutOff, place)
+	}
+	p.step(end, OpRestore, place)
 }
 
 // struck draws the places that a trouble strikes.
-func (p *planner) struck(draw *rand.Rand, t Trouble) []Place {
-	var can []Place
+func (p *planner) struck(draw *rand.Rand, t Fault) []Service {
+	var can []Service
 	named, inZone := setOf(t.Destinations), map[string]bool{}
 	for _, e := range p.Endpoints {
 		if t.Zone == "" || e.Zone == t.Zone {
-			inZone[e.Place] = true
+			inZone[e.Service] = true
 		}
 	}
-	for _, x := range p.Places {
-		if (len(named) == 0 || named[x.Dest]) && inZone[x.Name] {
+	for _, x := range p.Services {
+		if (len(named) == 0 || named[x.Destination]) && inZone[x.Name] {
 			can = append(can, x)
 		}
 	}
@@ -454,7 +474,7 @@
 }
 
 // drawRelays are the relays that a trouble strikes, counted from 1.
-func (p *planner) drawRelays(draw *rand.Rand, t Trouble) []int {
+func (p *planner) drawRelays(draw *rand.Rand, t Fault) []int {
 	if len(t.Relays) > 0 {
 		return t.Relays
 	}
@@ -470,13 +490,13 @@
 	switch {
 	case t.Share > 0:
 		count = int(math.Ceil(t.Share * float64(n)))
-	case t.Group == GroupOne:
+	case t.RelayGroup == GroupOne:
 		count = 1
-	case t.Group == GroupHalf:
+	case t.RelayGroup == GroupHalf:
 		count = max(1, n/2)
-	case t.Group == GroupThird:
+	case t.RelayGroup == GroupThird:
 		count = max(1, n/3)
-	case t.Group == GroupAllButOne:
+	case t.RelayGroup == GroupAllButOne:
 		count = max(1, n-1)
 	}
 	if count < n {
@@ -488,7 +508,7 @@
 }
 
 // links has a trouble of the links between the relays struck and all others begin and end.
-func (p *planner) links(draw *rand.Rand, t Trouble) (names []string) {
+func (p *planner) links(draw *rand.Rand, t Fault) (names []string) {
 	struck := p.drawRelays(draw, t)
 	for _, r := range struck {
 		names = append(names, RelayName(r))
@@ -497,10 +517,10 @@
 			if other == r || len(struck) < p.File.Relays && slices.Contains(struck, other) {
 				continue // of all relays, the links of each to each
 			}
-			if t.Way != WayIn {
+			if t.Direction != DirectionIn {
 				p.link(t, LinkName(RelayName(r), RelayName(other)))
 			}
-			if t.Way != WayOut {
+			if t.Direction != DirectionOut {
 				p.link(t, LinkName(RelayName(other), RelayName(r)))
 			}
 		}
@@ -508,49 +528,49 @@
 	return names
 }
 
-func (p *planner) link(t Trouble, name string) {
-	begin := t.At.D()
+func (p *planner) link(t Fault, name string) {
+	begin := t.Start.AsDuration()
 	switch t.Kind {
-	case LinkCut:
+	case FaultLinkCut:
 		p.step(begin, OpLinkCut, name)
-	case LinkLoss:
-		p.step(begin, OpLinkLose, name).X = t.Loss
-	case LinkDelay:
-		p.step(begin, OpLinkDelay, name).For = t.Delay.D()
-	case LinkMix:
-		p.step(begin, OpLinkMix, name).X = t.Mixed
-	case LinkThrottle:
-		p.step(begin, OpLinkRate, name).X = float64(t.Rate)
-	}
-	p.step(begin+t.For.D(), OpLinkSound, name)
+	case FaultLinkLoss:
+		p.step(begin, OpLinkLoss, name).Value = t.LossRatio
+	case FaultLinkDelay:
+		p.step(begin, OpLinkDelay, name).Duration = t.Delay.AsDuration()
+	case FaultLinkReorder:
+		p.step(begin, OpLinkReorder, name).Value = t.ReorderRatio
+	case FaultLinkThrottle:
+		p.step(begin, OpLinkThrottle, name).Value = float64(t.BytesPerSecond)
+	}
+	p.step(begin+t.Duration.AsDuration(), OpLinkRestore, name)
 }
 
 // relays has a trouble of the relays begin and end.
-func (p *planner) relays(draw *rand.Rand, t Trouble) (names []string) {
+func (p *planner) relays(draw *rand.Rand, t Fault) (names []string) {
 	for i, r := range p.drawRelays(draw, t) {
 		name := RelayName(r)
 		names = append(names, name)
-		begin := t.At.D() + time.Duration(i)*t.Stagger.D()
+		begin := t.Start.AsDuration() + time.Duration(i)*t.Stagger.AsDuration()
 		switch t.Kind {
-		case DiscoveryDown:
-			p.step(begin, OpHush, name)
-			p.step(begin+t.For.D(), OpSpeak, name)
-		case DiscoveryLate:
-			p.step(begin, OpDelay, name).For = t.Delay.D()
-			p.step(begin+t.For.D(), OpDelay, name)
-		case Term:
-			p.step(begin, OpTerm, name)
-		case Kill:
-			if step := p.step(begin, OpKill, name); t.Folder != FolderKept {
-				step.Note = t.Folder
+		case FaultDiscoveryDown:
+			p.step(begin, OpSilenceDiscovery, name)
+			p.step(begin+t.Duration.AsDuration(), OpRestoreDiscovery, name)
+		case FaultDiscoveryDelay:
+			p.step(begin, OpDelayDiscovery, name).Duration = t.Delay.AsDuration()
+			p.step(begin+t.Duration.AsDuration(), OpDelayDiscovery, name)
+		case FaultTerminate:
+			p.step(begin, OpTerminate, name)
+		case FaultKill:
+			if step := p.step(begin, OpKill, name); t.StateFolder != StateFolderKept {
+				step.StateFolder = t.StateFolder
 			}
-		case Stall:
-			p.step(begin, OpFreeze, name)
-			p.step(begin+t.For.D(), OpThaw, name)
-		case HUP:
-			p.step(begin, OpHUP, name)
-		case ClockStep:
-			p.step(begin, OpClock, name).For = t.By.D()
+		case FaultStall:
+			p.step(begin, OpStall, name)
+			p.step(begin+t.Duration.AsDuration(), OpResume, name)
+		case FaultReload:
+			p.step(begin, OpReload, name)
+		case FaultClockStep:
+			p.step(begin, OpStepClock, name).Duration = t.ClockOffset.AsDuration()
 		}
 	}
 	return names
@@ -558,11 +578,11 @@
 
 // replace has endpoints drain or go, batch by batch over the trouble's time, each with a new one in its place if asked
 // for. The new one is there before the old one drains, or else where the old one was, after it has gone.
-func (p *planner) replace(draw *rand.Rand, t Trouble) (ids []string) {
+func (p *planner) replace(draw *rand.Rand, t Fault) (ids []string) {
 	var can []int
 	named := setOf(t.Destinations)
 	for i, e := range p.Endpoints {
-		if !p.busy[e.ID] && (len(named) == 0 || named[e.Dest]) && (t.Zone == "" || e.Zone == t.Zone) {
+		if !p.busy[e.ID] && (len(named) == 0 || named[e.Destination]) && (t.Zone == "" || e.Zone == t.Zone) {
 			can = append(can, i)
 		}
 	}
@@ -571,44 +591,44 @@
 		can = can[:int(math.Ceil(t.Share*float64(len(can))))]
 	}
 	var specs map[string]upstream.Spec // of the places before
-	batches := (len(can) + t.Batch - 1) / t.Batch
+	batches := (len(can) + t.BatchSize - 1) / t.BatchSize
 	for n, i := range can {
 		old := p.Endpoints[i]
 		p.busy[old.ID] = true
 		ids = append(ids, old.ID)
-		at := t.At.D() + time.Duration(n/t.Batch)*t.For.D()/time.Duration(max(1, batches))
+		at := t.Start.AsDuration() + time.Duration(n/t.BatchSize)*t.Duration.AsDuration()/time.Duration(max(1, batches))
 		goes := at
-		if t.Kind == Draining {
-			p.step(at, OpDrain, old.ID)
-			goes += t.Drain.D()
+		if t.Kind == FaultDrain {
+			p.step(at, OpDrainEndpoint, old.ID)
+			goes += t.DrainTime.AsDuration()
 		}
-		p.step(goes, OpGone, old.ID)
+		p.step(goes, OpRemoveEndpoint, old.ID)
 		stops := goes
-		if t.Kind == Draining {
+		if t.Kind == FaultDrain {
 			stops += 2 * time.Second // what it took may end
 		}
-		p.step(stops, OpStop, old.ID)
-		if !t.Replace {
+		p.step(stops, OpStopEndpoint, old.ID)
+		if !t.ReplaceEndpoints {
 			continue
 		}
 		next := old
-		next.Later, next.At = true, ""
+		next.AddedLater, next.ReusesAddressOf = true, ""
 		comes := max(0, at-time.Second)
-		if draw.Float64() < t.SameAddress {
-			next.At, comes = old.ID, stops+100*time.Millisecond
+		if draw.Float64() < t.SameAddressRatio {
+			next.ReusesAddressOf, comes = old.ID, stops+100*time.Millisecond
 		}
 		e := p.endpoint(next)
-		if old.Place == old.ID {
-			p.Endpoints[e].Place = p.Endpoints[e].ID
+		if old.Service == old.ID {
+			p.Endpoints[e].Service = p.Endpoints[e].ID
 			if specs == nil {
-				specs = make(map[string]upstream.Spec, len(p.Places))
-				for _, x := range p.Places {
+				specs = make(map[string]upstream.Spec, len(p.Services))
+				for _, x := range p.Services {
 					specs[x.Name] = x.Spec
 				}
 			}
-			p.Places = append(p.Places, Place{p.Endpoints[e].ID, old.Dest, specs[old.Place], draw.Uint64()})
+			p.Services = append(p.Services, Service{p.Endpoints[e].ID, old.Destination, specs[old.Service], draw.Uint64()})
 		}
-		p.step(comes, OpList, p.Endpoints[e].ID)
+		p.step(comes, OpAddEndpoint, p.Endpoints[e].ID)
 	}
 	return ids
 }
@@ -621,18 +641,18 @@
 		k, _ := fmt.Fprintf(buf, format+"\n", args...) // its error stays in buf
 		n += k
 	}
-	line("scenario %s seed %d delays %d", p.File.Name, p.Seed, p.Delays)
-	for _, x := range p.Places {
-		line("place %s dest %d seed %d %v", x.Name, x.Dest, x.Seed, x.Spec)
+	line("scenario %s seed %d delays %d", p.File.Name, p.Seed, p.DiscoverySeed)
+	for _, x := range p.Services {
+		line("place %s dest %d seed %d %v", x.Name, x.Destination, x.Seed, x.Spec)
 	}
 	for _, e := range p.Endpoints {
-		line("endpoint %+v", e)
+		line("endpoint %v", e)
 	}
 	for _, a := range p.Arrivals {
-		line("arrival %+v", a)
+		line("arrival %v", a)
 	}
 	for _, s := range p.Steps {
-		line("step %+v", s)
+		line("step %v", s)
 	}
 	return int64(n), buf.Flush()
 }
--- a/internal/testkit/scenario/scenario_test.go
+++ b/internal/testkit/scenario/scenario_test.go
@@ -77,8 +77,8 @@
 			t.Error(err)
 			continue
 		}
-		if f.Name != name || f.About == "" {
-			t.Errorf("%s is named %q, about %q", name, f.Name, f.About)
+		if f.Name != name || f.Description == "" {
+			t.Errorf("%s is named %q, about %q", name, f.Name, f.Description)
 		}
 		p := f.Draw(0)
 		if len(p.Arrivals) == 0 || text(t, p) != text(t, f.Draw(0)) {
@@ -194,7 +194,7 @@
 	if f, err := Load(path); err != nil || f.Name != "base" {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if err := os.WriteFile(path, bytes.Repeat([]byte("#"), fileMost+1), 0o600); err != nil {
+	if err := os.WriteFile(path, bytes.Repeat([]byte("#"), maxFileSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "over") {
@@ -215,7 +215,7 @@
 func TestTrafficHasItsRateAndShape(t *testing.T) {
 	count := func(more string, from, to time.Duration) (n int) {
 		for _, a := range parse(t, more).Draw(1).Arrivals {
-			if a.At >= from && a.At < to && a.Body == 1000 {
+			if a.At >= from && a.At < to && a.BodySize == 1000 {
 				n++
 			}
 		}
@@ -255,18 +255,18 @@
 	}
 	for _, e := range p.Endpoints {
 		switch {
-		case !e.Later:
+		case !e.AddedLater:
 			first++
 			continue
-		case e.At != "":
+		case e.ReusesAddressOf != "":
 			same++
-			if at["list"+e.ID] <= at["stop"+e.At] {
-				t.Errorf("%s comes up at %v where %s stops at %v", e.ID, at["list"+e.ID], e.At, at["stop"+e.At])
+			if at["list"+e.ID] <= at["stop"+e.ReusesAddressOf] {
+				t.Errorf("%s comes up at %v where %s stops at %v", e.ID, at["list"+e.ID], e.ReusesAddressOf, at["stop"+e.ReusesAddressOf])
 			}
 		}
 		later++
-		if !slices.ContainsFunc(p.Places, func(x Place) bool { return x.Name == e.Place && x.Dest == e.Dest }) {
-			t.Errorf("%s is of no place %s", e.ID, e.Place)
+		if !slices.ContainsFunc(p.Services, func(x Service) bool { return x.Name == e.Service && x.Destination == e.Destination }) {
+			t.Errorf("%s is of no place %s", e.ID, e.Service)
 		}
 	}
 	if later != int(math.Ceil(0.58*float64(first))) || same == 0 || same == later {
@@ -281,15 +281,15 @@
 	).Draw(1)
 	var muted []string
 	for _, s := range p.Steps {
-		if s.Op == OpMute {
+		if s.Op == OpSilence {
 			muted = append(muted, s.Target)
 		}
 	}
 	// Destination 1 is one place with an endpoint in b; of destination 4's routes apart one stands there.
 	var want []string
 	for _, e := range p.Endpoints {
-		if e.Zone == "b" && (e.Dest == 1 || e.Dest == 4) {
-			want = append(want, e.Place)
+		if e.Zone == "b" && (e.Destination == 1 || e.Destination == 4) {
+			want = append(want, e.Service)
 		}
 	}
 	if len(muted) != 2 || !slices.Equal(slices.Sorted(slices.Values(muted)), slices.Sorted(slices.Values(want))) {
@@ -307,14 +307,14 @@
 	var lowered, killed []Step
 	for _, s := range f.Draw(1).Steps {
 		switch s.Op {
-		case OpLower:
+		case OpLowerLimit:
 			lowered = append(lowered, s)
 		case OpKill:
 			killed = append(killed, s)
 		}
 	}
-	if len(lowered) != 2 || lowered[0].At != 2*time.Second || lowered[0].X != 3 || lowered[1].At != 5*time.Second ||
-		lowered[1].X != 1 ||
+	if len(lowered) != 2 || lowered[0].At != 2*time.Second || lowered[0].Value != 3 || lowered[1].At != 5*time.Second ||
+		lowered[1].Value != 1 ||
 		lowered[0].Target != "d2" {
 		t.Errorf("lowered: %+v", lowered)
 	}
@@ -334,7 +334,7 @@
 	f.Traffic[0].Rate = 2000
 	even := f.Draw(3)
 	for _, cv := range []float64{0, 0.5} {
-		f.Clients.Uneven = cv
+		f.Clients.RelayVariation = cv
 		p := f.Draw(3)
 		if cv == 0 && text(t, p) != text(t, even) {
 			t.Error("even parts are not drawn as without the key")
@@ -369,7 +369,7 @@
 		}
 		total := 0.0
 		for _, x := range file.Traffic {
-			total += x.Rate * (x.To - x.From).D().Seconds()
+			total += x.Rate * (x.To - x.From).AsDuration().Seconds()
 		}
 		if total > 10000 {
 			return // legal, and too long to draw here
@@ -386,11 +386,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Destinations, f.Troubles = []Destination{
-		{Kind: f.Kinds[0].Name, Count: 140_000, Endpoints: 2, Rate: 1, Weight: 1, Zones: f.Zones},
+	f.Destinations, f.Faults = []Destination{
+		{Kind: f.DestinationKinds[0].Name, Count: 140_000, Endpoints: 2, LimitRate: 1, TrafficWeight: 1, Zones: f.Zones},
 	}, nil
 	ids := map[string]bool{}
-	for _, e := range f.DrawWorld(1).Endpoints {
+	for _, e := range f.DrawWithoutArrivals(1).Endpoints {
 		ids[e.ID] = true
 	}
 	if len(ids) != 280_000 {
