--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	draw := file.DrawWorld
+	draw := file.DrawWithoutArrivals
 	if p.Checked {
 		draw = file.Draw
 	}
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	if err := file.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := file.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		with := cmp.Or(formatLevels(run.Cell), "what is set for all")
 		return file, options, fmt.Errorf("with %s: %w", with, err)
 	}
--- a/internal/simulation/experiment/search_test.go
+++ b/internal/simulation/experiment/search_test.go
@@ -26,7 +26,7 @@
 		single.Workers = 1
 		other, err := single.Run(t.Context())
 		if err != nil || other.Seed != found.Seed || other.Service != found.Service ||
-			len(other.Scenario.Troubles) != len(found.Scenario.Troubles) {
+			len(other.Scenario.Faults) != len(found.Scenario.Faults) {
 			t.Errorf("one worker found another: %v", err)
 		}
 	})
@@ -44,8 +44,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, data)
 	}
-	if len(file.Troubles) != 1 || file.Length.D() > 40*time.Second {
-		t.Errorf("%d faults in %v", len(file.Troubles), file.Length.D())
+	if len(file.Faults) != 1 || file.Length.AsDuration() > 40*time.Second {
+		t.Errorf("%d faults in %v", len(file.Faults), file.Length.AsDuration())
 	}
 	again, err := search.play(file, found.Seed)
 	if err != nil || len(again.ViolatedRules) == 0 {
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -49,7 +49,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if file.CheckFor(scenario.EmulatorBounds) != nil {
+		if file.ValidateWithin(scenario.EmulatorBounds) != nil {
 			continue
 		}
 		candidate, err := s.play(file, found.Seed)
@@ -69,15 +69,15 @@
 		change(&changed)
 		smaller = append(smaller, changed)
 	}
-	for i := range file.Troubles {
-		add(func(f *scenario.File) { f.Troubles = slices.Delete(f.Troubles, i, i+1) })
+	for i := range file.Faults {
+		add(func(f *scenario.File) { f.Faults = slices.Delete(f.Faults, i, i+1) })
 	}
 	if len(file.Traffic) > 1 {
 		for i := range file.Traffic {
 			add(func(f *scenario.File) { f.Traffic = slices.Delete(f.Traffic, i, i+1) })
 		}
 	}
-	if length := shortestLength(file); length < file.Length.D() {
+	if length := shortestLength(file); length < file.Length.AsDuration() {
 		add(func(f *scenario.File) { shorten(f, length) })
 	}
 	if file.Relays > 1 {
@@ -88,23 +88,23 @@
 			add(func(f *scenario.File) { f.Traffic[i].Rate = float64(int(traffic.Rate / 2)) })
 		}
 	}
-	for i := range file.Troubles {
-		for _, change := range smallerFault(file.Troubles[i]) {
-			add(func(f *scenario.File) { change(&f.Troubles[i]) })
+	for i := range file.Faults {
+		for _, change := range smallerFault(file.Faults[i]) {
+			add(func(f *scenario.File) { change(&f.Faults[i]) })
 		}
 	}
 	return smaller
 }
 
 // smallerFault returns the steps that make a fault smaller.
-func smallerFault(fault scenario.Trouble) (changes []func(*scenario.Trouble)) {
-	if fault.For.D() > minFaultDuration {
-		half := scenario.Duration((fault.For.D() / 2).Round(timeUnit))
-		changes = append(changes, func(f *scenario.Trouble) { f.For = half })
+func smallerFault(fault scenario.Fault) (changes []func(*scenario.Fault)) {
+	if fault.Duration.AsDuration() > minFaultDuration {
+		half := scenario.Duration((fault.Duration.AsDuration() / 2).Round(timeUnit))
+		changes = append(changes, func(f *scenario.Fault) { f.Duration = half })
 	}
 	if len(fault.Destinations) > 1 {
 		for i := range fault.Destinations {
-			changes = append(changes, func(f *scenario.Trouble) {
+			changes = append(changes, func(f *scenario.Fault) {
 				f.Destinations = slices.Delete(f.Destinations, i, i+1)
 			})
 		}
@@ -115,8 +115,8 @@
 // shortestLength is the length, in whole seconds, that leaves room for all faults and what follows them.
 func shortestLength(file scenario.File) time.Duration {
 	length := minLength
-	for _, fault := range file.Troubles {
-		length = max(length, (fault.At+fault.For+fault.Drain).D()+minSettleTime)
+	for _, fault := range file.Faults {
+		length = max(length, (fault.Start+fault.Duration+fault.DrainTime).AsDuration()+minSettleTime)
 	}
 	return length.Truncate(time.Second) + time.Second
 }
@@ -124,7 +124,8 @@
 // shorten ends a scenario earlier.
 func shorten(file *scenario.File, length time.Duration) {
 	file.Length = scenario.Duration(length)
-	file.Traffic = slices.DeleteFunc(file.Traffic, func(t scenario.Traffic) bool { return t.From.D() >= length })
+	isCut := func(traffic scenario.Traffic) bool { return traffic.From.AsDuration() >= length }
+	file.Traffic = slices.DeleteFunc(file.Traffic, isCut)
 	for i := range file.Traffic {
 		file.Traffic[i].To = min(file.Traffic[i].To, file.Length)
 	}
@@ -134,7 +135,7 @@
 func removeRelay(file *scenario.File) {
 	file.Relays--
 	isRemoved := func(relay int) bool { return relay > file.Relays }
-	for i := range file.Troubles {
-		file.Troubles[i].Relays = slices.DeleteFunc(file.Troubles[i].Relays, isRemoved)
+	for i := range file.Faults {
+		file.Faults[i].Relays = slices.DeleteFunc(file.Faults[i].Relays, isRemoved)
 	}
 }
--- a/internal/simulation/experiment/variant.go
+++ b/internal/simulation/experiment/variant.go
@@ -21,19 +21,19 @@
 )
 
 // faultKinds are the faults that a search draws from.
-var faultKinds = []string{
-	scenario.Draining,
-	scenario.Gone,
-	scenario.Fail,
-	scenario.Shut,
-	scenario.SlowDown,
-	scenario.Silent,
-	scenario.Death,
-	scenario.Cut,
-	scenario.DiscoveryDown,
-	scenario.DiscoveryLate,
-	scenario.Term,
-	scenario.Kill,
+var faultKinds = []scenario.FaultKind{
+	scenario.FaultDrain,
+	scenario.FaultRemove,
+	scenario.FaultFailCalls,
+	scenario.FaultSuspend,
+	scenario.FaultSlow,
+	scenario.FaultSilence,
+	scenario.FaultCrash,
+	scenario.FaultCutOff,
+	scenario.FaultDiscoveryDown,
+	scenario.FaultDiscoveryDelay,
+	scenario.FaultTerminate,
+	scenario.FaultKill,
 }
 
 // drawVariant returns a scenario with other faults and another load. The draws have a fixed order, so that a seed gives
@@ -41,10 +41,10 @@
 func drawVariant(base scenario.File, random *rand.Rand) scenario.File {
 	file := base.Clone()
 	file.Name = base.Name + "-hunted"
-	file.About = "Found by a hunt."
-	file.Troubles = nil
+	file.Description = "Found by a hunt."
+	file.Faults = nil
 	for range 1 + random.IntN(maxFaults) {
-		file.Troubles = append(file.Troubles, drawFault(&file, random))
+		file.Faults = append(file.Faults, drawFault(&file, random))
 	}
 	factor := 0.5 + random.Float64()
 	for i := range file.Traffic {
@@ -54,27 +54,27 @@
 	return file
 }
 
-func drawFault(file *scenario.File, random *rand.Rand) scenario.Trouble {
-	fault := scenario.Trouble{
-		Kind: faultKinds[random.IntN(len(faultKinds))],
-		At:   drawDuration(random, minFaultTime, file.Length.D()*latestFaultTenths/10),
-		For:  drawDuration(random, minFaultTime, maxFaultDuration),
+func drawFault(file *scenario.File, random *rand.Rand) scenario.Fault {
+	fault := scenario.Fault{
+		Kind:     faultKinds[random.IntN(len(faultKinds))],
+		Start:    drawDuration(random, minFaultTime, file.Length.AsDuration()*latestFaultTenths/10),
+		Duration: drawDuration(random, minFaultTime, maxFaultDuration),
 	}
 	switch fault.Kind {
-	case scenario.Draining, scenario.Gone:
+	case scenario.FaultDrain, scenario.FaultRemove:
 		fault.Share = 0.1 + 0.6*random.Float64()
-		fault.Replace = random.IntN(4) > 0
-		fault.Batch = 1 + random.IntN(3)
-	case scenario.DiscoveryDown:
-	case scenario.DiscoveryLate:
+		fault.ReplaceEndpoints = random.IntN(4) > 0
+		fault.BatchSize = 1 + random.IntN(3)
+	case scenario.FaultDiscoveryDown:
+	case scenario.FaultDiscoveryDelay:
 		fault.Delay = drawDuration(random, minDiscoveryDelay, maxDiscoveryDelay)
-	case scenario.Term, scenario.Kill:
-		fault.For = 0
+	case scenario.FaultTerminate, scenario.FaultKill:
+		fault.Duration = 0
 		fault.Relays = []int{1 + random.IntN(file.Relays)}
-	case scenario.Fail:
-		fault.Calls = 0.3 + 0.7*random.Float64()
+	case scenario.FaultFailCalls:
+		fault.CallRatio = 0.3 + 0.7*random.Float64()
 		fault.Destinations = drawDestinations(file, random)
-	case scenario.SlowDown:
+	case scenario.FaultSlow:
 		fault.Factor = 2 + 15*random.Float64()
 		fault.Destinations = drawDestinations(file, random)
 	default:
