--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -11,115 +11,115 @@
 
 // The statuses that a client hears.
 const (
-	statusTaken   = 202
-	statusFailed  = 500
-	statusRefused = 503
+	statusAccepted    = 202
+	statusError       = 500
+	statusUnavailable = 503
 )
 
 const (
-	againAfter   = 50 * time.Millisecond  // after a connection that did not come up
-	anewAfter    = 100 * time.Millisecond // after an answer that did not come
-	refusalsMost = 1                      // after which a client comes again
-	unheardMost  = 1
+	reconnectDelay = 50 * time.Millisecond  // after a connection that did not come up
+	retryDelay     = 100 * time.Millisecond // after an answer that did not come
+	maxRejections  = 1                      // after which a client comes again
+	maxUnanswered  = 1
 )
 
 // try is one hand-in of a client.
-type try struct {
+type submission struct {
 	scenario.Arrival
-	w          *World
-	ask        *ask
-	origin     string
+	world      *World
+	message    *clientMessage
+	firstID    string
 	deadline   time.Duration
-	n          int
-	refusals   int
+	retries    int
+	rejections int
 	unanswered int
-	over       bool // answered, or broken off
+	ended      bool // answered, or broken off
 }
 
 // Offer has a client hand a message in, and come again as clients do. The relay and the class are counted from 0.
 func (w *World) Submit(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
-	x := &ask{at: w.Now(), class: a.Class, cust: a.Customer, dest: a.Destination, over: w.shares.Exceeded(a.Customer, w.Now())}
-	w.asked(x)
-	if w.opts.OnSubmission != nil {
-		w.opts.OnSubmission(a.Relay, a.Destination)
+	x := &clientMessage{submittedAt: w.Now(), class: a.Class, customer: a.Customer, destination: a.Destination, overShare: w.shares.Exceeded(a.Customer, w.Now())}
+	w.recordSubmission(x)
+	if w.options.OnSubmission != nil {
+		w.options.OnSubmission(a.Relay, a.Destination)
 	}
-	if a.ID == "" && w.opts.Record {
-		w.ids++
-		a.ID = fmt.Sprintf("m%d", w.ids)
+	if a.ID == "" && w.options.Record {
+		w.lastMessageNumber++
+		a.ID = fmt.Sprintf("m%d", w.lastMessageNumber)
 	}
-	t := &try{Arrival: a, w: w, ask: x, origin: a.ID, deadline: w.Now() + w.plan.File.Classes[a.Class].Deadline.AsDuration()}
-	t.offer()
+	t := &submission{Arrival: a, world: w, message: x, firstID: a.ID, deadline: w.Now() + w.plan.File.Classes[a.Class].Deadline.AsDuration()}
+	t.send()
 }
 
 // next is the client's next try, unless its time is up.
-func (t *try) next() {
-	if t.w.Now() >= t.deadline {
+func (t *submission) retry() {
+	if t.world.Now() >= t.deadline {
 		return
 	}
 	again := *t
-	again.n, again.over = t.n+1, false
-	if t.w.opts.Record {
-		again.ID = fmt.Sprintf("%s-%d", t.origin, again.n)
+	again.retries, again.ended = t.retries+1, false
+	if t.world.options.Record {
+		again.ID = fmt.Sprintf("%s-%d", t.firstID, again.retries)
 	}
-	again.offer()
+	again.send()
 }
 
 // offer hands the message in.
-func (t *try) offer() {
-	w := t.w
+func (t *submission) send() {
+	w := t.world
 	r := w.relays[t.Relay]
-	w.see(eventlog.Event{
-		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
+	w.record(eventlog.Event{
+		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.firstID, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
 		For: t.deadline - w.Now(),
 	})
-	if !r.takes {
+	if !r.accepting {
 		w.Unanswered++
-		w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseNotSent})
-		r.waiting = append(r.waiting, t)
+		w.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseNotSent})
+		r.waitingClients = append(r.waitingClients, t)
 		return
 	}
-	life := r.life
-	w.ScheduleAfter(w.opts.Latency, func() {
-		if r.life != life || !r.up {
-			t.broken(r)
+	life := r.process
+	w.ScheduleAfter(w.options.Latency, func() {
+		if r.process != life || !r.running {
+			t.connectionClosed(r)
 			return
 		}
-		r.ins = append(r.ins, &handIn{t: t})
-		r.plan()
+		r.submissions = append(r.submissions, &pendingSubmission{submission: t})
+		r.scheduleStep()
 	})
 }
 
 // broken is the end of a connection whose request was written, with no answer: it may have been taken on.
-func (t *try) broken(r *relay) {
-	w := t.w
-	if t.over {
+func (t *submission) connectionClosed(r *relay) {
+	w := t.world
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	w.Unanswered++
-	w.see(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
-	if t.unanswered++; t.unanswered > unheardMost || w.set.Classes[t.Class].Effect == policy.NonIdempotent {
+	w.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
+	if t.unanswered++; t.unanswered > maxUnanswered || w.settings.Classes[t.Class].Effect == policy.NonIdempotent {
 		return
 	}
-	w.ScheduleAfter(anewAfter, t.next)
+	w.ScheduleAfter(retryDelay, t.retry)
 }
 
 // answer is what the relay tells the client.
-func (t *try) answer(r *relay, status int, advice time.Duration) {
-	t.over = true
-	w := t.w
-	w.ScheduleAfter(w.opts.Latency, func() {
-		w.see(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: r.name, Status: status, RetryAfter: advice})
+func (t *submission) answer(r *relay, status int, advice time.Duration) {
+	t.ended = true
+	w := t.world
+	w.ScheduleAfter(w.options.Latency, func() {
+		w.record(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: r.name, Status: status, RetryAfter: advice})
 		switch status {
-		case statusFailed:
+		case statusError:
 			w.Failed++
-		case statusRefused:
+		case statusUnavailable:
 			w.Rejected++
-			if t.refusals++; t.refusals > refusalsMost || t.RetryDelay == 0 {
+			if t.rejections++; t.rejections > maxRejections || t.RetryDelay == 0 {
 				return
 			}
-			w.ScheduleAfter(max(t.RetryDelay, min(advice, w.plan.File.Settings.MaxRetryAfter.AsDuration())), t.next)
+			w.ScheduleAfter(max(t.RetryDelay, min(advice, w.plan.File.Settings.MaxRetryAfter.AsDuration())), t.retry)
 		}
 	})
 }
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -199,7 +199,7 @@
 				w.Now()-e.Latency >= back {
 				continue
 			}
-			if at := told[w.hosts[e.Endpoint].place]; at != nil {
+			if at := told[w.endpoints[e.Endpoint].service]; at != nil {
 				at[relay] = cmp.Or(at[relay], w.Now())
 			}
 		}
@@ -208,7 +208,7 @@
 	if err != nil {
 		t.Fatal(d, err)
 	}
-	for _, p := range w.order {
+	for _, p := range w.serviceOrder {
 		told[p] = make([]time.Duration, d.relays)
 		p.OverloadFactor = 0 // it stands, so that all of the ramp is counted
 	}
@@ -220,7 +220,7 @@
 		}
 		w.Submit(scenario.Arrival{Relay: relay, Destination: 1})
 	})
-	returns := append([]*Service(nil), w.order...)
+	returns := append([]*Service(nil), w.serviceOrder...)
 	w.Schedule(coldBegins, func() {
 		for _, p := range returns {
 			w.BeginOutage(p.Name, o.op, o.share, d.lasts)
@@ -238,10 +238,10 @@
 					continue // a route that stands apart has gone for good: what comes for it never was away
 				}
 				w.AddEndpoint(fresh)
-				h := w.hosts[fresh.ID] // it stands in the same outage
-				h.isDown, h.isCut = o.op == scenario.OpCrash, o.op == scenario.OpCutOff
+				h := w.endpoints[fresh.ID] // it stands in the same outage
+				h.down, h.unreachable = o.op == scenario.OpCrash, o.op == scenario.OpCutOff
 				w.ChangeEndpoint(e.ID, eventlog.StateGone)
-				w.stop(w.hosts[e.ID])
+				w.stopEndpoint(w.endpoints[e.ID])
 			}
 		})
 	}
@@ -282,10 +282,10 @@
 	var all []come
 	first := 0
 	for _, e := range w.events {
-		if e.Kind != eventlog.CallReceived || w.hosts[e.Host].place != p || e.At < back || e.At >= back+d.warm {
+		if e.Kind != eventlog.CallReceived || w.endpoints[e.Host].service != p || e.At < back || e.At >= back+d.warm {
 			continue
 		}
-		at := told[w.relay(e.Relay).n]
+		at := told[w.relay(e.Relay).index]
 		x := come{e.At, at > 0 && at <= e.At}
 		all = append(all, x)
 		for all[first].at <= e.At-d.window {
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -360,7 +360,7 @@
 	)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
-	w.see(eventlog.Event{Kind: eventlog.RunEnded})
+	w.record(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
 	if f := v.ForRule(checker.RetryAfterRespected); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -22,16 +22,16 @@
 // sends on what is news to it; digests are exchanged now and then. What it leaves out: membership (all try all that are
 // listed) and the wire's form.
 const (
-	linkLatency  = 500 * time.Microsecond
-	inboxMost    = 256 // datagrams that wait for a process that is stopped
-	seamEvery    = 250 * time.Millisecond
-	beliefsEvery = 500 * time.Millisecond
-	beliefsOf    = 20   // relays at most, whose beliefs are recorded
-	clocksApart  = 0.01 // two relays' clocks at most
-	ageSlack     = 400 * time.Millisecond
-	absurdFactor = 1000
-	versionsKeep = 2 * loadreport.MaxAge
-	mixHold      = 30 * time.Millisecond // a datagram that others overtake
+	linkLatency        = 500 * time.Microsecond
+	maxPausedDatagrams = 256 // datagrams that wait for a process that is stopped
+	agentInterval      = 250 * time.Millisecond
+	checkInterval      = 500 * time.Millisecond
+	maxCheckedRelays   = 20   // relays at most, whose beliefs are recorded
+	maxClockDrift      = 0.01 // two relays' clocks at most
+	ageTolerance       = 400 * time.Millisecond
+	absurdFactor       = 1000
+	versionRetention   = 2 * loadreport.MaxAge
+	maxReorderDelay    = 30 * time.Millisecond // a datagram that others overtake
 )
 
 // FleetWrong is what is wrong with the links of all relays. The zero value is nothing.
@@ -43,7 +43,7 @@
 	AcceptsStrangers bool // whoever tells is heard, listed or not
 }
 
-func (m *Mutant) fleet() LinkFaults {
+func (m *Mutant) linkFaults() LinkFaults {
 	if m == nil {
 		return LinkFaults{}
 	}
@@ -51,252 +51,252 @@
 }
 
 // fleetNet is all that is between the relays, and what is true of them.
-type fleetNet struct {
-	w       *World
-	draw    *rand.Rand
-	links   map[string]scenario.Step // faults, by name; none: sound
-	told    map[version]time.Duration
-	pageOf  map[version]int
-	drift   []float64
-	absurd  int // a relay that tells absurd figures, counted from 0; below 0: none
-	fleets  int // that were joined by mistake: each relay's table lists those of its own
-	twin    int // a relay that was started under the name of the first, counted from 0; below 0: none
-	Wrong   []string
-	wrongs  map[string]bool
-	known   func(by *relay, v version) // told of each version that one takes; nil: nobody is
-	Packets int
-
-	RightsPackets int
-	Sums          int // that were checked
-	Bytes         int // of pages, as a datagram would hold them, more or less
-}
-
-type version struct {
+type fleetNetwork struct {
+	world          *World
+	random         *rand.Rand
+	linkSteps      map[string]scenario.Step // faults, by name; none: sound
+	publishedAt    map[reportVersion]time.Duration
+	reportNumber   map[reportVersion]int
+	clockDrift     []float64
+	absurdRelay    int // a relay that tells absurd figures, counted from 0; below 0: none
+	mergedFleets   int // that were joined by mistake: each relay's table lists those of its own
+	duplicateRelay int // a relay that was started under the name of the first, counted from 0; below 0: none
+	violations     []string
+	recordedKinds  map[string]bool
+	onUpdate       func(by *relay, v reportVersion) // told of each version that one takes; nil: nobody is
+	datagramCount  int
+
+	quotaDatagramCount int
+	quotaCheckCount    int // that were checked
+	byteCount          int // of pages, as a datagram would hold them, more or less
+}
+
+type reportVersion struct {
 	name string
 	loadreport.Incarnation
 	sequence uint64
 }
 
-type fleetPlace struct {
+type reportKey struct {
 	name   string
 	number int
 }
 
 // fleetMember is the link and the seam of one process.
 type fleetMember struct {
-	r       *relay
-	name    string // the relay's, but for a twin
-	net     *fleetNet
-	life    int
-	began   time.Duration
-	offset  time.Duration // of its clock
-	seam    *agent.Agent
-	ledger  *loadreport.Table
-	intake  loadreport.Inbox[fleetPacket]
-	claim   loadreport.NameClaim
-	heard   []quota.Message
-	heardAt []time.Duration // when they were sent at the latest
-	queue   outbox
-	mail    map[fleetPlace]bool
-	raised  loadreport.Incarnation // a new one that the seam has not been told of
-	inbox   []fleetPacket          // while the process is stopped
-	seen    map[fleetPlace]version
-	heardAs map[fleetPlace]time.Duration // of AgesStand
-	arrived uint64                       // of LastWins
-	meant   map[fleetPlace]version       // of LastWins: what a page's version was
+	relay               *relay
+	name                string // the relay's, but for a twin
+	network             *fleetNetwork
+	life                int
+	startedAt           time.Duration
+	clockOffset         time.Duration // of its clock
+	agent               *agent.Agent
+	reports             *loadreport.Table
+	inbox               loadreport.Inbox[datagram]
+	nameClaim           loadreport.NameClaim
+	quotaMessages       []quota.Message
+	quotaSentAt         []time.Duration // when they were sent at the latest
+	outbox              gossipQueue
+	updated             map[reportKey]bool
+	newIncarnation      loadreport.Incarnation // a new one that the seam has not been told of
+	receivedWhilePaused []datagram             // while the process is stopped
+	lastSeen            map[reportKey]reportVersion
+	receivedAge         map[reportKey]time.Duration // of AgesStand
+	receivedCount       uint64                      // of LastWins
+	trueVersion         map[reportKey]reportVersion // of LastWins: what a page's version was
 }
 
 // outbox holds what is to be told, by how often it still is.
-type outbox struct {
-	left   map[fleetPlace]int
-	levels [][]fleetPlace // those that were told least last; a place counts where left says so
+type gossipQueue struct {
+	remaining map[reportKey]int
+	levels    [][]reportKey // those that were told least last; a place counts where left says so
 }
 
 // put has a place told so many times from now on.
-func (o *outbox) put(p fleetPlace, times int) {
-	if o.left == nil {
-		o.left = map[fleetPlace]int{}
+func (o *gossipQueue) put(p reportKey, times int) {
+	if o.remaining == nil {
+		o.remaining = map[reportKey]int{}
 	}
 	for len(o.levels) <= times {
 		o.levels = append(o.levels, nil)
 	}
-	if o.left[p] != times {
-		o.left[p] = times
+	if o.remaining[p] != times {
+		o.remaining[p] = times
 		o.levels[times] = append(o.levels[times], p)
 	}
 }
 
 // take takes what was told least, the newest first, so many at most.
-func (o *outbox) take(most int) (places []fleetPlace) {
+func (o *gossipQueue) take(most int) (places []reportKey) {
 	for n := len(o.levels) - 1; n > 0; n-- {
 		level := &o.levels[n]
 		for len(*level) > 0 && len(places) < most {
 			p := (*level)[len(*level)-1]
 			*level = (*level)[:len(*level)-1]
-			if o.left[p] == n {
-				o.left[p] = -n // is being told
+			if o.remaining[p] == n {
+				o.remaining[p] = -n // is being told
 				places = append(places, p)
 			}
 		}
 	}
 	for _, p := range slices.Backward(places) {
-		if n := -o.left[p] - 1; n > 0 {
+		if n := -o.remaining[p] - 1; n > 0 {
 			o.put(p, n)
 		} else {
-			delete(o.left, p)
+			delete(o.remaining, p)
 		}
 	}
 	return places
 }
 
-type fleetPacket struct {
-	from  string
-	boot  uint32
-	clock time.Duration
-	pages []loadreport.Report
+type datagram struct {
+	sender  string
+	boot    uint32
+	clock   time.Duration
+	reports []loadreport.Report
 
-	rights *quota.Message
-	ping   bool
-	pong   *fleetPong
+	quota         *quota.Message
+	clockRequest  bool
+	clockResponse *clockResponse
 }
 
-type fleetPong struct {
+type clockResponse struct {
 	boot  uint32
 	clock time.Duration
 }
 
 // newFleet returns what is between relays that tell each other of themselves; nil if they do not.
-func newFleet(w *World) *fleetNet {
+func newFleet(w *World) *fleetNetwork {
 	if !w.plan.File.Fleet.Enabled {
 		return nil
 	}
-	n := &fleetNet{
-		w: w, draw: engine.NewRandom(w.plan.Seed, "fleet", 0), links: map[string]scenario.Step{}, told: map[version]time.Duration{}, pageOf: map[version]int{}, absurd: w.opts.AbsurdReporter - 1,
-		fleets: max(1, w.opts.MergedFleets), twin: w.opts.NameDuplicate - 1,
-		wrongs: map[string]bool{},
+	n := &fleetNetwork{
+		world: w, random: engine.NewRandom(w.plan.Seed, "fleet", 0), linkSteps: map[string]scenario.Step{}, publishedAt: map[reportVersion]time.Duration{}, reportNumber: map[reportVersion]int{}, absurdRelay: w.options.AbsurdReporter - 1,
+		mergedFleets: max(1, w.options.MergedFleets), duplicateRelay: w.options.NameDuplicate - 1,
+		recordedKinds: map[string]bool{},
 	}
 	for range w.plan.File.Relays {
-		n.drift = append(n.drift, (n.draw.Float64()-0.5)*clocksApart)
+		n.clockDrift = append(n.clockDrift, (n.random.Float64()-0.5)*maxClockDrift)
 	}
-	w.ScheduleAfter(beliefsEvery, n.look)
+	w.ScheduleAfter(checkInterval, n.checkAll)
 	return n
 }
 
 // join begins a process's part in its fleet.
-func (n *fleetNet) join(r *relay) *fleetMember {
+func (n *fleetNetwork) join(r *relay) *fleetMember {
 	m := &fleetMember{
-		r: r, net: n, name: r.name, life: r.life, began: n.w.Now(), offset: time.Duration(n.draw.Int64N(int64(time.Hour))), mail: map[fleetPlace]bool{},
-		intake: loadreport.Inbox[fleetPacket]{
+		relay: r, network: n, name: r.name, life: r.process, startedAt: n.world.Now(), clockOffset: time.Duration(n.random.Int64N(int64(time.Hour))), updated: map[reportKey]bool{},
+		inbox: loadreport.Inbox[datagram]{
 			ClockRequestInterval: gossip.ClockRequestInterval,
 			MaxDeferred:          gossip.MaxDeferredMessages,
 		},
-		seen: map[fleetPlace]version{}, heardAs: map[fleetPlace]time.Duration{}, meant: map[fleetPlace]version{},
+		lastSeen: map[reportKey]reportVersion{}, receivedAge: map[reportKey]time.Duration{}, trueVersion: map[reportKey]reportVersion{},
 	}
-	if n.twin == r.n {
-		m.name = n.w.relays[0].name
+	if n.duplicateRelay == r.index {
+		m.name = n.world.relays[0].name
 	}
 	r.incarnation++
-	life := loadreport.Incarnation{Generation: r.incarnation, Boot: n.draw.Uint32()}
+	life := loadreport.Incarnation{Generation: r.incarnation, Boot: n.random.Uint32()}
 	var all []string
-	for i := range n.w.plan.File.Relays {
-		if i%n.fleets == r.n%n.fleets || r.wrong.fleet().AcceptsStrangers {
+	for i := range n.world.plan.File.Relays {
+		if i%n.mergedFleets == r.index%n.mergedFleets || r.mutant.linkFaults().AcceptsStrangers {
 			all = append(all, scenario.RelayName(i+1))
 		}
 	}
-	m.seam = agent.New(agent.Settings{
-		Self: m.name, Incarnation: life, Members: all, DestinationKinds: r.set.DestinationKinds, ShareQuota: n.w.plan.File.Fleet.Quotas, FleetSize: r.set.FleetSize,
+	m.agent = agent.New(agent.Settings{
+		Self: m.name, Incarnation: life, Members: all, DestinationKinds: r.settings.DestinationKinds, ShareQuota: n.world.plan.File.Fleet.Quotas, FleetSize: r.settings.FleetSize,
 	})
-	m.ledger = loadreport.New(m.name, life, all)
-	m.every(gossip.Interval, m.gossip)
-	m.every(gossip.SyncInterval, m.digests)
-	m.every(seamEvery, func() { r.plan() })
+	m.reports = loadreport.New(m.name, life, all)
+	m.repeat(gossip.Interval, m.gossip)
+	m.repeat(gossip.SyncInterval, m.exchangeDigests)
+	m.repeat(agentInterval, func() { r.scheduleStep() })
 	return m
 }
 
 // every runs something again and again while the process lives and is not stopped.
-func (m *fleetMember) every(d time.Duration, do func()) {
+func (m *fleetMember) repeat(d time.Duration, do func()) {
 	var again func()
 	again = func() {
-		if m.r.fleet != m || !m.r.up {
+		if m.relay.member != m || !m.relay.running {
 			return
 		}
-		if !m.r.frozen {
+		if !m.relay.paused {
 			do()
 		}
-		m.net.w.ScheduleAfter(d, again)
+		m.network.world.ScheduleAfter(d, again)
 	}
-	m.net.w.ScheduleAfter(time.Duration(m.net.draw.Int64N(int64(d))), again)
+	m.network.world.ScheduleAfter(time.Duration(m.network.random.Int64N(int64(d))), again)
 }
 
 // clock is the process's own monotonic time.
 func (m *fleetMember) clock() time.Duration {
-	return m.offset + time.Duration(float64(m.net.w.Now()-m.began)*(1+m.net.drift[m.r.n]))
+	return m.clockOffset + time.Duration(float64(m.network.world.Now()-m.startedAt)*(1+m.network.clockDrift[m.relay.index]))
 }
 
 // step is the seam's beside the module's.
 func (m *fleetMember) step(events []policy.Event, actions []policy.Action) {
 	at := m.clock()
 	var heard []loadreport.Report
-	for _, p := range slices.SortedFunc(maps.Keys(m.mail), func(a, b fleetPlace) int {
+	for _, p := range slices.SortedFunc(maps.Keys(m.updated), func(a, b reportKey) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.number, b.number))
 	}) {
-		if page, ok := m.ledger.Get(at, p.name, p.number); ok {
+		if page, ok := m.reports.Get(at, p.name, p.number); ok {
 			heard = append(heard, page)
 		}
 	}
-	clear(m.mail)
-	defer func() { m.raised = loadreport.Incarnation{} }()
-	for i := range m.heard {
-		m.heard[i].TransitTime = max(0, at-m.heardAt[i])
+	clear(m.updated)
+	defer func() { m.newIncarnation = loadreport.Incarnation{} }()
+	for i := range m.quotaMessages {
+		m.quotaMessages[i].TransitTime = max(0, at-m.quotaSentAt[i])
 	}
-	out := m.seam.Step(
-		m.r.now(),
+	out := m.agent.Step(
+		m.relay.now(),
 		agent.Input{
 			Received:    heard,
-			Incarnation: m.raised,
-			Quota:       m.heard,
+			Incarnation: m.newIncarnation,
+			Quota:       m.quotaMessages,
 			Events:      events,
 			Actions:     actions,
 			Views:       m.views,
 		},
 	)
-	m.heard, m.heardAt = nil, m.heardAt[:0]
+	m.quotaMessages, m.quotaSentAt = nil, m.quotaSentAt[:0]
 	for i := range out.Quota {
-		if to := m.net.w.relay(out.Quota[i].Member); to != nil {
-			m.post(to, fleetPacket{rights: &out.Quota[i]})
+		if to := m.network.world.relay(out.Quota[i].Member); to != nil {
+			m.sendDatagram(to, datagram{quota: &out.Quota[i]})
 		}
 	}
 	if len(out.Events) > 0 {
-		m.r.pending = append(m.r.pending, out.Events...)
-		m.r.plan()
+		m.relay.pendingEvents = append(m.relay.pendingEvents, out.Events...)
+		m.relay.scheduleStep()
 	}
 	told := out.Published
-	if !m.r.wrong.fleet().NoLimits &&
+	if !m.relay.mutant.linkFaults().NoLimits &&
 		slices.ContainsFunc(
 			events,
 			func(e policy.Event) bool { return e.Kind == policy.EndpointSnapshot || e.Kind == policy.EndpointDelta },
 		) {
-		m.ledger.SetLimits(m.seam.Limits())
+		m.reports.SetLimits(m.agent.Limits())
 	}
 	for _, p := range told {
-		v := version{p.Name, p.Incarnation, p.Sequence}
-		m.net.told[v], m.net.pageOf[v] = m.net.w.Now(), p.Number
-		if m.net.absurd == m.r.n {
+		v := reportVersion{p.Name, p.Incarnation, p.Sequence}
+		m.network.publishedAt[v], m.network.reportNumber[v] = m.network.world.Now(), p.Number
+		if m.network.absurdRelay == m.relay.index {
 			p.Scopes = slices.Clone(p.Scopes)
 			for i := range p.Scopes {
 				p.Scopes[i].Calls = absurdFactor * (1 + p.Scopes[i].Calls)
 			}
-			m.spread(p) // it holds what it likes
+			m.broadcast(p) // it holds what it likes
 			continue
 		}
-		if m.ledger.Restore(at, p) == loadreport.Updated && !m.claim.Suspended(at) {
-			m.put(fleetPlace{p.Name, p.Number})
+		if m.reports.Restore(at, p) == loadreport.Updated && !m.nameClaim.Suspended(at) {
+			m.enqueue(reportKey{p.Name, p.Number})
 		}
 	}
 }
 
 func (m *fleetMember) views() []policy.EndpointView {
-	if s, ok := m.r.module.(interface {
+	if s, ok := m.relay.engine.(interface {
 		Views() ([]policy.EndpointView, int)
 	}); ok {
 		views, _ := s.Views()
@@ -306,31 +306,33 @@
 }
 
 // put queues a page to be told to others.
-func (m *fleetMember) put(p fleetPlace) { m.queue.put(p, gossip.Retransmissions(len(m.net.w.relays))) }
+func (m *fleetMember) enqueue(p reportKey) {
+	m.outbox.put(p, gossip.Retransmissions(len(m.network.world.relays)))
+}
 
 // gossip tells a few others what is news, first what was told least.
 func (m *fleetMember) gossip() {
-	all := m.net.w.relays
+	all := m.network.world.relays
 	for range min(gossip.FanOut(len(all)), len(all)-1) {
 		var pages []loadreport.Report
-		for _, place := range m.queue.take(gossip.ReportsPerDatagram) {
-			if p, ok := m.page(place); ok {
+		for _, place := range m.outbox.take(gossip.ReportsPerDatagram) {
+			if p, ok := m.reportToSend(place); ok {
 				pages = append(pages, p)
 			}
 		}
-		if to := all[m.net.draw.IntN(len(all))]; to != m.r {
-			m.send(to, pages)
+		if to := all[m.network.random.IntN(len(all))]; to != m.relay {
+			m.sendReports(to, pages)
 		}
 	}
 }
 
 // newer are the pages that another lacks.
-func (m *fleetMember) newer(than loadreport.Digest) (pages []loadreport.Report) {
-	for _, p := range m.ledger.MissingFrom(m.clock(), than) {
-		if p.Name == m.name && m.claim.Suspended(m.clock()) {
+func (m *fleetMember) missingFrom(than loadreport.Digest) (pages []loadreport.Report) {
+	for _, p := range m.reports.MissingFrom(m.clock(), than) {
+		if p.Name == m.name && m.nameClaim.Suspended(m.clock()) {
 			continue
 		}
-		if p, ok := m.page(fleetPlace{p.Name, p.Number}); ok {
+		if p, ok := m.reportToSend(reportKey{p.Name, p.Number}); ok {
 			pages = append(pages, p)
 		}
 	}
@@ -338,200 +340,200 @@
 }
 
 // page is one as it is told on now.
-func (m *fleetMember) page(at fleetPlace) (loadreport.Report, bool) {
-	p, ok := m.ledger.Get(m.clock(), at.name, at.number)
-	if age, heard := m.heardAs[at]; heard && m.r.wrong.fleet().FrozenAges {
+func (m *fleetMember) reportToSend(at reportKey) (loadreport.Report, bool) {
+	p, ok := m.reports.Get(m.clock(), at.name, at.number)
+	if age, heard := m.receivedAge[at]; heard && m.relay.mutant.linkFaults().FrozenAges {
 		p.Age = age
 	}
-	if v, other := m.meant[at]; other {
+	if v, other := m.trueVersion[at]; other {
 		p.Sequence = v.sequence
 	}
 	return p, ok
 }
 
 // spread sends a page to all at once, whatever it holds.
-func (m *fleetMember) spread(p loadreport.Report) {
-	for _, to := range m.net.w.relays {
-		if to != m.r {
-			m.send(to, []loadreport.Report{p})
+func (m *fleetMember) broadcast(p loadreport.Report) {
+	for _, to := range m.network.world.relays {
+		if to != m.relay {
+			m.sendReports(to, []loadreport.Report{p})
 		}
 	}
 }
 
 // digests has another send what this one lacks, and the reverse.
-func (m *fleetMember) digests() {
-	to := m.net.w.relays[m.net.draw.IntN(len(m.net.w.relays))]
-	if to == m.r || !to.up || to.frozen || to.fleet == nil || !m.net.passes(m.r, to) || !m.net.passes(to, m.r) {
+func (m *fleetMember) exchangeDigests() {
+	to := m.network.world.relays[m.network.random.IntN(len(m.network.world.relays))]
+	if to == m.relay || !to.running || to.paused || to.member == nil || !m.network.connected(m.relay, to) || !m.network.connected(to, m.relay) {
 		return
 	}
-	o := to.fleet
-	mine, theirs := m.ledger.Digest(m.clock()), o.ledger.Digest(o.clock())
-	m.send(to, m.newer(theirs))
-	o.send(m.r, o.newer(mine))
+	o := to.member
+	mine, theirs := m.reports.Digest(m.clock()), o.reports.Digest(o.clock())
+	m.sendReports(to, m.missingFrom(theirs))
+	o.sendReports(m.relay, o.missingFrom(mine))
 }
 
 // passes tells whether anything does from one relay to another.
-func (n *fleetNet) passes(from, to *relay) bool {
-	return n.links[scenario.LinkName(from.name, to.name)].Op != scenario.OpLinkCut
+func (n *fleetNetwork) connected(from, to *relay) bool {
+	return n.linkSteps[scenario.LinkName(from.name, to.name)].Op != scenario.OpLinkCut
 }
 
 // send is a datagram on its way, or what a stream carries.
-func (m *fleetMember) send(to *relay, pages []loadreport.Report) {
+func (m *fleetMember) sendReports(to *relay, pages []loadreport.Report) {
 	if len(pages) > 0 {
-		m.post(to, fleetPacket{pages: pages})
+		m.sendDatagram(to, datagram{reports: pages})
 	}
 }
 
 // post is a datagram on its way, stamped as it leaves.
-func (m *fleetMember) post(to *relay, p fleetPacket) {
-	n := m.net
-	n.Packets++
-	for _, p := range p.pages {
-		n.Bytes += 40 + 30*len(p.Scopes)
+func (m *fleetMember) sendDatagram(to *relay, p datagram) {
+	n := m.network
+	n.datagramCount++
+	for _, p := range p.reports {
+		n.byteCount += 40 + 30*len(p.Scopes)
 	}
-	if p.rights != nil {
-		n.RightsPackets++
-		n.Bytes += 60 + 25*(len(p.rights.Leases)+len(p.rights.Requests)+len(p.rights.Grants))
+	if p.quota != nil {
+		n.quotaDatagramCount++
+		n.byteCount += 60 + 25*(len(p.quota.Leases)+len(p.quota.Requests)+len(p.quota.Grants))
 	}
 	late, again := linkLatency, time.Duration(-1)
-	switch f := n.links[scenario.LinkName(m.r.name, to.name)]; f.Op {
+	switch f := n.linkSteps[scenario.LinkName(m.relay.name, to.name)]; f.Op {
 	case scenario.OpLinkCut:
 		return
 	case scenario.OpLinkLoss:
-		if n.draw.Float64() < f.Value {
+		if n.random.Float64() < f.Value {
 			return
 		}
 	case scenario.OpLinkDelay:
 		late += f.Duration
 	case scenario.OpLinkReorder:
-		if n.draw.Float64() < f.Value {
-			again = late + time.Duration(n.draw.Int64N(int64(mixHold)))
+		if n.random.Float64() < f.Value {
+			again = late + time.Duration(n.random.Int64N(int64(maxReorderDelay)))
 		}
-		if n.draw.Float64() < f.Value {
-			late += mixHold
+		if n.random.Float64() < f.Value {
+			late += maxReorderDelay
 		}
 	case scenario.OpLinkThrottle:
 		late += time.Duration(gossip.MaxDatagramSize / f.Value * float64(time.Second))
 	}
-	p.from, p.boot, p.clock = m.name, m.ledger.Incarnation().Boot, m.clock()
+	p.sender, p.boot, p.clock = m.name, m.reports.Incarnation().Boot, m.clock()
 	come := func() {
-		switch o := to.fleet; {
-		case o == nil || !to.up:
-		case !to.frozen:
-			o.hear(p)
-		case len(o.inbox) < inboxMost:
-			o.inbox = append(o.inbox, p)
+		switch o := to.member; {
+		case o == nil || !to.running:
+		case !to.paused:
+			o.receive(p)
+		case len(o.receivedWhilePaused) < maxPausedDatagrams:
+			o.receivedWhilePaused = append(o.receivedWhilePaused, p)
 		}
 	}
-	if n.w.ScheduleAfter(late, come); again >= 0 {
-		n.w.ScheduleAfter(again, come)
+	if n.world.ScheduleAfter(late, come); again >= 0 {
+		n.world.ScheduleAfter(again, come)
 	}
 }
 
 // hear takes a datagram that came.
-func (m *fleetMember) hear(p fleetPacket) {
-	wrong, at := m.r.wrong.fleet(), m.clock()
-	sender := m.net.w.relay(p.from)
-	if p.ping {
-		m.post(sender, fleetPacket{pong: &fleetPong{p.boot, p.clock}})
+func (m *fleetMember) receive(p datagram) {
+	wrong, at := m.relay.mutant.linkFaults(), m.clock()
+	sender := m.network.world.relay(p.sender)
+	if p.clockRequest {
+		m.sendDatagram(sender, datagram{clockResponse: &clockResponse{p.boot, p.clock}})
 		return
 	}
-	if p.pong != nil {
-		if p.pong.boot == m.ledger.Incarnation().Boot {
-			for _, p := range m.intake.ClockReceived(p.from, p.boot, p.clock, p.pong.clock, at) {
-				m.hear(p)
+	if p.clockResponse != nil {
+		if p.clockResponse.boot == m.reports.Incarnation().Boot {
+			for _, p := range m.inbox.ClockReceived(p.sender, p.boot, p.clock, p.clockResponse.clock, at) {
+				m.receive(p)
 			}
 		}
 		return
 	}
-	if p.rights != nil {
-		held, known, stale := m.intake.Estimate(p.from, p.boot, p.clock, at)
-		if stale && m.intake.RequestDue(p.from, at) {
-			m.post(sender, fleetPacket{ping: true})
+	if p.quota != nil {
+		held, known, stale := m.inbox.Estimate(p.sender, p.boot, p.clock, at)
+		if stale && m.inbox.RequestDue(p.sender, at) {
+			m.sendDatagram(sender, datagram{clockRequest: true})
 		}
 		if known {
-			r := *p.rights
-			r.Member = p.from
-			m.heard, m.heardAt = append(m.heard, r), append(m.heardAt, at-held)
-			m.r.plan()
+			r := *p.quota
+			r.Member = p.sender
+			m.quotaMessages, m.quotaSentAt = append(m.quotaMessages, r), append(m.quotaSentAt, at-held)
+			m.relay.scheduleStep()
 		}
 		return
 	}
-	held, known, ask := m.intake.Receive(p, p.from, p.boot, p.clock, at)
+	held, known, ask := m.inbox.Receive(p, p.sender, p.boot, p.clock, at)
 	if ask {
-		m.post(sender, fleetPacket{ping: true})
+		m.sendDatagram(sender, datagram{clockRequest: true})
 	}
 	if wrong.NoTransitTime {
 		held = 0
 	} else if !known {
 		return
 	}
-	for _, page := range p.pages {
-		place := fleetPlace{page.Name, page.Number}
+	for _, page := range p.reports {
+		place := reportKey{page.Name, page.Number}
 		page.Age = (page.Age + held + time.Millisecond - 1).Truncate(time.Millisecond) // as the wire has it
-		meant := version{page.Name, page.Incarnation, page.Sequence}
+		meant := reportVersion{page.Name, page.Incarnation, page.Sequence}
 		if wrong.LastReceivedWins {
-			m.arrived++
-			page.Sequence = m.arrived
+			m.receivedCount++
+			page.Sequence = m.receivedCount
 		}
-		out, _ := m.ledger.Merge(at, page)
+		out, _ := m.reports.Merge(at, page)
 		// a life of this relay that its folder does not know of
-		if out == loadreport.Rival && m.claim.ObserveRival(at) {
-			m.r.incarnation = m.ledger.Rival().Generation + 1
-			m.raised = loadreport.Incarnation{Generation: m.r.incarnation, Boot: m.ledger.Incarnation().Boot}
-			m.ledger.SetIncarnation(m.raised)
-			m.r.plan()
+		if out == loadreport.Rival && m.nameClaim.ObserveRival(at) {
+			m.relay.incarnation = m.reports.Rival().Generation + 1
+			m.newIncarnation = loadreport.Incarnation{Generation: m.relay.incarnation, Boot: m.reports.Incarnation().Boot}
+			m.reports.SetIncarnation(m.newIncarnation)
+			m.relay.scheduleStep()
 		}
-		if out == loadreport.Updated && m.net.known != nil {
-			m.net.known(m.r, meant)
+		if out == loadreport.Updated && m.network.onUpdate != nil {
+			m.network.onUpdate(m.relay, meant)
 		}
 		if out == loadreport.Updated {
-			m.heardAs[place] = page.Age
+			m.receivedAge[place] = page.Age
 			if wrong.LastReceivedWins {
-				if m.meant[place] == meant {
+				if m.trueVersion[place] == meant {
 					continue // told on once
 				}
-				m.meant[place] = meant
+				m.trueVersion[place] = meant
 			}
-			m.put(place)
-			m.mail[place] = true
-			m.r.plan()
+			m.enqueue(place)
+			m.updated[place] = true
+			m.relay.scheduleStep()
 		}
 	}
 }
 
 // thaw takes what came while the process was stopped.
-func (m *fleetMember) thaw() {
-	inbox := m.inbox
-	m.inbox = nil
+func (m *fleetMember) resume() {
+	inbox := m.receivedWhilePaused
+	m.receivedWhilePaused = nil
 	for _, p := range inbox {
-		m.hear(p)
+		m.receive(p)
 	}
 }
 
 // look checks what relays hold against what is true, and records what they believe.
-func (n *fleetNet) look() {
-	now := n.w.Now()
-	if now < n.w.length {
-		n.w.ScheduleAfter(beliefsEvery, n.look)
+func (n *fleetNetwork) checkAll() {
+	now := n.world.Now()
+	if now < n.world.length {
+		n.world.ScheduleAfter(checkInterval, n.checkAll)
 	}
-	for _, r := range n.w.relays[:min(beliefsOf, len(n.w.relays))] {
-		if !r.up || r.frozen || r.fleet == nil {
+	for _, r := range n.world.relays[:min(maxCheckedRelays, len(n.world.relays))] {
+		if !r.running || r.paused || r.member == nil {
 			continue
 		}
-		m, limits := r.fleet, r.fleet.seam.Limits()
+		m, limits := r.member, r.member.agent.Limits()
 		youngest, lives := map[string]time.Duration{}, map[string]uint64{}
-		m.ledger.Each(m.clock(), func(p loadreport.Report) {
+		m.reports.Each(m.clock(), func(p loadreport.Report) {
 			if p.Name == m.name {
 				return
 			}
-			n.check(m, limits, p)
+			n.checkReport(m, limits, p)
 			if age, ok := youngest[p.Name]; !ok || p.Age < age {
 				youngest[p.Name] = p.Age
 			}
 			lives[p.Name] = p.Generation
 		})
-		for _, o := range n.w.relays {
+		for _, o := range n.world.relays {
 			if o == r {
 				continue
 			}
@@ -539,7 +541,7 @@
 			if !ok {
 				age = -1
 			}
-			n.w.see(
+			n.world.record(
 				eventlog.Event{
 					Kind:   eventlog.PeerView,
 					Relay:  r.name,
@@ -551,32 +553,32 @@
 			)
 		}
 	}
-	n.checkRights()
-	maps.DeleteFunc(n.told, func(v version, at time.Duration) bool {
-		if now-at > versionsKeep {
-			delete(n.pageOf, v)
+	n.checkQuota()
+	maps.DeleteFunc(n.publishedAt, func(v reportVersion, at time.Duration) bool {
+		if now-at > versionRetention {
+			delete(n.reportNumber, v)
 		}
-		return now-at > versionsKeep
+		return now-at > versionRetention
 	})
 }
 
 // check holds one page that a relay has against the truth: no figure is beyond the bounds, no page is younger than it
 // is, and none goes back to an earlier version.
-func (n *fleetNet) check(m *fleetMember, limits loadreport.Limits, p loadreport.Report) {
-	place := fleetPlace{p.Name, p.Number}
-	v := version{p.Name, p.Incarnation, p.Sequence}
-	if meant, other := m.meant[place]; other {
+func (n *fleetNetwork) checkReport(m *fleetMember, limits loadreport.Limits, p loadreport.Report) {
+	place := reportKey{p.Name, p.Number}
+	v := reportVersion{p.Name, p.Incarnation, p.Sequence}
+	if meant, other := m.trueVersion[place]; other {
 		v = meant
 	}
-	if of := n.w.relay(p.Name); of.n%n.fleets != m.r.n%n.fleets {
-		n.wrong("stranger", "%s holds page %d of %s, of another fleet", m.r.name, p.Number, p.Name)
+	if of := n.world.relay(p.Name); of.index%n.mergedFleets != m.relay.index%n.mergedFleets {
+		n.addViolation("stranger", "%s holds page %d of %s, of another fleet", m.relay.name, p.Number, p.Name)
 	}
 	for _, c := range p.Scopes {
 		if limit, ok := limits[c.Destination][c.Endpoint]; ok && c.Calls > loadreport.MaxRateMultiple*max(1, limit) {
-			n.wrong(
+			n.addViolation(
 				"bound",
 				"%s holds %g calls a second of %s at destination %d, which takes %g",
-				m.r.name,
+				m.relay.name,
 				c.Calls,
 				p.Name,
 				c.Destination,
@@ -584,47 +586,47 @@
 			)
 		}
 	}
-	if at, ok := n.told[v]; ok {
-		if is := n.w.Now() - at; p.Age < is-ageSlack-time.Duration(float64(is)*2*clocksApart) {
-			n.wrong("age", "%s holds page %d of %s, told %v ago, to be %v old", m.r.name, p.Number, p.Name, is, p.Age)
+	if at, ok := n.publishedAt[v]; ok {
+		if is := n.world.Now() - at; p.Age < is-ageTolerance-time.Duration(float64(is)*2*maxClockDrift) {
+			n.addViolation("age", "%s holds page %d of %s, told %v ago, to be %v old", m.relay.name, p.Number, p.Name, is, p.Age)
 		}
 	}
-	was, ok := m.seen[place]
+	was, ok := m.lastSeen[place]
 	if ok &&
 		(v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence) {
-		n.wrong(
+		n.addViolation(
 			"back",
 			"%s goes back from version %d to %d of page %d of %s",
-			m.r.name,
+			m.relay.name,
 			was.sequence,
 			v.sequence,
 			p.Number,
 			p.Name,
 		)
 	}
-	m.seen[place] = v
+	m.lastSeen[place] = v
 }
 
 // checkRights holds what all relays may use of each limit at this moment against it: of themselves, and by what they
 // mint for others.
-func (n *fleetNet) checkRights() {
-	if !n.w.plan.File.Fleet.Quotas {
+func (n *fleetNetwork) checkQuota() {
+	if !n.world.plan.File.Fleet.Quotas {
 		return
 	}
 	sums, limits := map[quota.Scope]float64{}, map[quota.Scope]float64{}
-	for _, r := range n.w.relays {
-		if !r.up || r.fleet == nil || r.fleet.seam.Quota() == nil {
+	for _, r := range n.world.relays {
+		if !r.running || r.member == nil || r.member.agent.Quota() == nil {
 			continue
 		}
-		b := r.fleet.seam.Quota()
+		b := r.member.agent.Quota()
 		for s, a := range b.Accounts {
 			sums[s] += b.OwnRate(r.now(), s) + b.GrantRate(r.now(), s)
 			limits[s] = max(limits[s], a.Limit)
 		}
 	}
 	for s, sum := range sums {
-		if n.Sums++; sum > limits[s]*(1+1e-6) {
-			n.wrong(
+		if n.quotaCheckCount++; sum > limits[s]*(1+1e-6) {
+			n.addViolation(
 				"sum",
 				"all may use %.2f calls a second of destination %d%s, which takes %.2f",
 				sum,
@@ -637,16 +639,16 @@
 }
 
 // wrong notes what is; of each kind the first is recorded.
-func (n *fleetNet) wrong(kind, format string, args ...any) {
+func (n *fleetNetwork) addViolation(kind, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	if n.Wrong = append(n.Wrong, kind); !n.wrongs[kind] {
-		n.wrongs[kind] = true
-		n.w.see(eventlog.Event{Kind: eventlog.RunInvalid, Cause: text})
+	if n.violations = append(n.violations, kind); !n.recordedKinds[kind] {
+		n.recordedKinds[kind] = true
+		n.world.record(eventlog.Event{Kind: eventlog.RunInvalid, Cause: text})
 	}
 }
 
 // setLink carries a step of the plan out that is about a link.
-func (n *fleetNet) setLink(s scenario.Step) {
+func (n *fleetNetwork) applyLinkStep(s scenario.Step) {
 	if n == nil {
 		return
 	}
@@ -658,26 +660,26 @@
 		state = eventlog.LinkHealthy
 	}
 	from, to := scenario.LinkEnds(s.Target)
-	n.w.see(eventlog.Event{Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state, Cause: string(s.Op)})
-	n.links[s.Target] = s
+	n.world.record(eventlog.Event{Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state, Cause: string(s.Op)})
+	n.linkSteps[s.Target] = s
 }
 
 // freeze stops a relay's process, or lets it go on with all that came meanwhile.
-func (r *relay) freeze(on bool) {
-	if !r.up || r.frozen == on {
+func (r *relay) setPaused(on bool) {
+	if !r.running || r.paused == on {
 		return
 	}
 	state := eventlog.StateCont
 	if on {
 		state = eventlog.StateStop
 	}
-	r.w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
-	if r.frozen = on; on {
+	r.world.record(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
+	if r.paused = on; on {
 		return
 	}
-	r.planned = false
-	if r.fleet != nil {
-		r.fleet.thaw()
+	r.stepScheduled = false
+	if r.member != nil {
+		r.member.resume()
 	}
-	r.plan()
+	r.scheduleStep()
 }
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -52,17 +52,17 @@
 			for seed := range uint64(3) {
 				c.opts.Mutant = &Mutant{LinkFaults: c.wrong}
 				w, v := playFleet(t, seed+1, c.opts)
-				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") ||
-					c.kind == "" && len(w.fleet.Wrong) > 0 {
-					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
+				if got := slices.Contains(w.fleet.violations, c.kind); got != (c.kind != "") ||
+					c.kind == "" && len(w.fleet.violations) > 0 {
+					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.violations), c.kind)
 				}
 				if sound := c.kind == "" && c.opts.AbsurdReporter+c.opts.NameDuplicate+c.opts.MergedFleets == 0; sound &&
 					(v.State() != checker.Held || v.PeerViews.Disconnected == 0 || v.PeerViews.Stale.Exercised == 0) {
 					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.PeerViews)
 				}
 				if c.opts.NameDuplicate > 0 { // the one that the others have in their tables is heard, the other is not
-					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
-					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot ||
+					held, ok := w.relays[1].member.reports.Get(w.relays[1].member.clock(), w.relays[0].name, 0)
+					if mine := w.relays[0].member.reports.Incarnation(); !ok || held.Boot != mine.Boot ||
 						held.Age > 10*time.Second {
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
@@ -103,7 +103,7 @@
 	}
 	on, a := play(true)
 	again, b := play(true)
-	if on != again || a.fleet.Packets != b.fleet.Packets || len(a.events) != len(b.events) || a.fleet.Packets == 0 {
+	if on != again || a.fleet.datagramCount != b.fleet.datagramCount || len(a.events) != len(b.events) || a.fleet.datagramCount == 0 {
 		t.Error("a plan played twice differs")
 	}
 	if off, w := play(false); w.fleet != nil || off == "" {
@@ -159,7 +159,7 @@
 	for _, a := range w.relays {
 		for _, b := range w.relays {
 			if loss > 0 {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
+				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
 			}
 		}
 	}
@@ -170,23 +170,23 @@
 		number   int
 	}
 	var changes []change
-	when := map[version]map[int]time.Duration{}
-	w.fleet.known = func(by *relay, v version) {
-		at, ok := w.fleet.told[v]
+	when := map[reportVersion]map[int]time.Duration{}
+	w.fleet.onUpdate = func(by *relay, v reportVersion) {
+		at, ok := w.fleet.publishedAt[v]
 		if !ok || v.name != "r1" || at < from || at > length-8*time.Second {
 			return
 		}
 		if when[v] == nil {
 			when[v] = map[int]time.Duration{}
-			changes = append(changes, change{v.sequence, at, w.fleet.pageOf[v]})
+			changes = append(changes, change{v.sequence, at, w.fleet.reportNumber[v]})
 		}
-		if _, before := when[v][by.n]; !before {
-			when[v][by.n] = w.Now()
+		if _, before := when[v][by.index]; !before {
+			when[v][by.index] = w.Now()
 		}
 	}
 	before := 0
-	w.Schedule(from, func() { before = w.fleet.Bytes })
-	w.Schedule(length-time.Millisecond, func() { bytes = (w.fleet.Bytes - before) / n / int((length-from)/time.Second) })
+	w.Schedule(from, func() { before = w.fleet.byteCount })
+	w.Schedule(length-time.Millisecond, func() { bytes = (w.fleet.byteCount - before) / n / int((length-from)/time.Second) })
 	if err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	for _, c := range changes {
 		first := map[int]time.Duration{}
 		for v, by := range when {
-			if v.sequence < c.sequence || w.fleet.pageOf[v] != c.number {
+			if v.sequence < c.sequence || w.fleet.reportNumber[v] != c.number {
 				continue
 			}
 			for r, at := range by {
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -15,19 +15,19 @@
 // relay and destination.
 
 // telling is a change of an entry.
-type telling struct {
-	change int // its number, from 1
-	state  string
+type entryChange struct {
+	version int // its number, from 1
+	state   string
 }
 
 // stateAt is how an entry stands after so many changes of the list; "" where it is not listed.
-func (h *host) stateAt(changes int) string {
+func (h *endpoint) stateAt(changes int) string {
 	state := eventlog.StateReady
-	if h.later {
+	if h.addedLater {
 		state = ""
 	}
-	for _, t := range h.told {
-		if t.change > changes {
+	for _, t := range h.changes {
+		if t.version > changes {
 			break
 		}
 		state = t.state
@@ -39,7 +39,7 @@
 }
 
 // listing is how the list has an entry.
-func (w *World) listing(h *host, state string) policy.Endpoint {
+func (w *World) listEntry(h *endpoint, state string) policy.Endpoint {
 	return policy.Endpoint{
 		ID: h.ID, Destination: h.Destination, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
 		InService: state == eventlog.StateReady, Removed: state == eventlog.StateGone,
@@ -47,121 +47,121 @@
 }
 
 // listed appends a destination's entries after so many changes, in the order in which they were first listed.
-func (w *World) listed(all []policy.Endpoint, dest, changes int) []policy.Endpoint {
-	var hosts []*host
+func (w *World) appendListed(all []policy.Endpoint, dest, changes int) []policy.Endpoint {
+	var hosts []*endpoint
 	for _, p := range w.Services(dest) {
-		for _, h := range p.hosts {
+		for _, h := range p.endpoints {
 			if h.stateAt(changes) != "" {
 				hosts = append(hosts, h)
 			}
 		}
 	}
-	slices.SortFunc(hosts, func(a, b *host) int { return a.n - b.n })
+	slices.SortFunc(hosts, func(a, b *endpoint) int { return a.index - b.index })
 	for _, h := range hosts {
-		all = append(all, w.listing(h, h.stateAt(changes)))
+		all = append(all, w.listEntry(h, h.stateAt(changes)))
 	}
 	return all
 }
 
 // whole is the whole list after so many changes, by its ids. All relays that ask for the same are given one.
-func (w *World) whole(changes int) []policy.Endpoint {
-	if w.wholeList != nil && w.wholeAt == changes {
-		return w.wholeList
+func (w *World) listSnapshot(changes int) []policy.Endpoint {
+	if w.snapshot != nil && w.snapshotVersion == changes {
+		return w.snapshot
 	}
-	all := make([]policy.Endpoint, 0, len(w.hosts))
-	for _, h := range w.hosts {
+	all := make([]policy.Endpoint, 0, len(w.endpoints))
+	for _, h := range w.endpoints {
 		if state := h.stateAt(changes); state != "" {
-			all = append(all, w.listing(h, state))
+			all = append(all, w.listEntry(h, state))
 		}
 	}
 	slices.SortFunc(all, func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	w.wholeList, w.wholeAt = all, changes
+	w.snapshot, w.snapshotVersion = all, changes
 	return all
 }
 
 // Tell has discovery tell each relay of a change of an entry, as late as it is and in the order of the changes.
 func (w *World) ChangeEndpoint(id, state string) {
-	h := w.hosts[id]
-	w.changed(h.Endpoint, state)
-	w.changes++
-	h.told = append(h.told, telling{w.changes, state})
-	c := &change{telling{w.changes, state}, h, 0}
-	switch was := h.stateAt(w.changes - 1); {
+	h := w.endpoints[id]
+	w.recordEndpointChange(h.Endpoint, state)
+	w.listVersion++
+	h.changes = append(h.changes, entryChange{w.listVersion, state})
+	c := &listUpdate{entryChange{w.listVersion, state}, h, 0}
+	switch was := h.stateAt(w.listVersion - 1); {
 	case was == "" && state != eventlog.StateGone:
-		c.more = 1
+		c.growth = 1
 	case was != "" && state == eventlog.StateGone:
-		c.more = -1
+		c.growth = -1
 	}
 	d := w.plan.File.Discovery
 	for _, r := range w.relays {
-		late := d.MinDelay.AsDuration() + time.Duration(w.delays.Float64()*float64(d.MaxDelay-d.MinDelay)) + r.late
-		if w.opts.ListDelay != nil {
-			late = w.opts.ListDelay(r.n)
+		late := d.MinDelay.AsDuration() + time.Duration(w.discoveryRandom.Float64()*float64(d.MaxDelay-d.MinDelay)) + r.discoveryDelay
+		if w.options.ListDelay != nil {
+			late = w.options.ListDelay(r.index)
 		}
-		r.due = max(r.due, w.Now()+late)
-		w.Schedule(r.due, func() { r.news(c) })
+		r.nextListUpdateAt = max(r.nextListUpdateAt, w.Now()+late)
+		w.Schedule(r.nextListUpdateAt, func() { r.receiveListUpdate(c) })
 	}
 }
 
 // change is a change of the list on its way to the relays.
-type change struct {
-	telling
-	h    *host
-	more int // entries that the list has more after it
+type listUpdate struct {
+	entryChange
+	endpoint *endpoint
+	growth   int // entries that the list has more after it
 }
 
 // Discovery's agent of a relay.
 
 // news is a change of the list that has come to the relay's agent.
-func (r *relay) news(c *change) {
-	if r.hushed {
-		r.unsaid = append(r.unsaid, c)
+func (r *relay) receiveListUpdate(c *listUpdate) {
+	if r.discoverySilent {
+		r.withheldUpdates = append(r.withheldUpdates, c)
 		return
 	}
-	w, h := r.w, c.h
-	r.heard = c.change
-	r.entries += c.more
-	if w.opts.OnListChange != nil {
-		w.opts.OnListChange(r.n, h.ID, c.state)
+	w, h := r.world, c.endpoint
+	r.listVersion = c.version
+	r.listLength += c.growth
+	if w.options.OnListChange != nil {
+		w.options.OnListChange(r.index, h.ID, c.state)
 	}
 	if c.state == eventlog.StateGone {
 		r.dropPool(h)
 	}
-	if !r.up {
+	if !r.running {
 		return // the next process begins with it
 	}
-	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Destination})
-	if r.large() && c.more > 0 {
-		r.working.EndpointAdded(h.Destination, r.now())
+	w.record(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Destination})
+	if r.hasLargeList() && c.growth > 0 {
+		r.workingSet.EndpointAdded(h.Destination, r.now())
 	}
-	if r.large() && !r.working.Contains(h.Destination) {
+	if r.hasLargeList() && !r.workingSet.Contains(h.Destination) {
 		return // it is at rest: what the list has is told when it wakes
 	}
-	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
-	if !r.large() && r.entries > w.opts.MaxEagerEndpoints {
-		r.becomeLarge()
+	r.postEvent(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listEntry(h, c.state)}})
+	if !r.hasLargeList() && r.listLength > w.options.MaxEagerEndpoints {
+		r.switchToLargeList()
 	}
 }
 
-func (r *relay) hush(on bool) {
-	if r.hushed = on; on {
+func (r *relay) silenceDiscovery(on bool) {
+	if r.discoverySilent = on; on {
 		return
 	}
-	unsaid := r.unsaid
-	r.unsaid = nil
+	unsaid := r.withheldUpdates
+	r.withheldUpdates = nil
 	for _, c := range unsaid {
-		r.news(c)
+		r.receiveListUpdate(c)
 	}
 }
 
 // kindOf is the kind of a route as the relay's list has it.
-func (r *relay) kindOf(h *host) int {
-	if h.stateAt(r.heard) == "" {
+func (r *relay) kindOf(h *endpoint) int {
+	if h.stateAt(r.listVersion) == "" {
 		return 0
 	}
 	return h.kind
 }
 
-func (w *World) kind(e scenario.Endpoint) int {
+func (w *World) kindIndex(e scenario.Endpoint) int {
 	return slices.IndexFunc(w.plan.File.DestinationKinds, func(k scenario.DestinationKind) bool { return k.Name == e.Kind })
 }
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -45,8 +45,8 @@
 		{"near", 0.8, 0.75, 1.1, nil},
 		{"over", 1.3, 0.5, 1.2, nil},
 		{"lowered to a third for nine seconds", 0.8, 0.5, 1.1, func(w *world) {
-			w.Schedule(20*time.Second, func() { w.order[0].LimitRate /= 3 })
-			w.Schedule(29*time.Second, func() { w.order[0].LimitRate *= 3 })
+			w.Schedule(20*time.Second, func() { w.serviceOrder[0].LimitRate /= 3 })
+			w.Schedule(29*time.Second, func() { w.serviceOrder[0].LimitRate *= 3 })
 		}},
 		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
 			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
@@ -67,7 +67,7 @@
 				worst, began = max(worst, float64(all-began)/(10*takes)), all
 			}
 			share += w.rate(10*time.Second, 60*time.Second) / (takes * min(1, c.asked)) / seeds
-			if w.order[0].Overloaded() {
+			if w.serviceOrder[0].Overloaded() {
 				t.Errorf("%s, seed %d: pushed over", c.name, seed)
 			}
 		}
@@ -98,7 +98,7 @@
 		20*0.7*takes/relays,
 		func() { asked++; w.Submit(scenario.Arrival{Relay: 17, Destination: 1}) },
 	)
-	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
+	w.options.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 17 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
@@ -171,7 +171,7 @@
 		for seed := range uint64(5) {
 			w, takes := crowd(t, relays, seed, Options{})
 			load(w, time.Second, 90*time.Second, 0.7*takes)
-			w.Schedule(20*time.Second, func() { w.order[0].LimitRate /= 4 })
+			w.Schedule(20*time.Second, func() { w.serviceOrder[0].LimitRate /= 4 })
 			w.run(t, 90*time.Second)
 			share += w.rate(40*time.Second, 90*time.Second) / (takes / 4) / 5
 		}
@@ -194,7 +194,7 @@
 			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 			w.run(t, 75*time.Second)
 			worst = max(worst, back(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
-			if w.order[0].Overloaded() {
+			if w.serviceOrder[0].Overloaded() {
 				t.Errorf("%d relays, seed %d: pushed over", relays, seed)
 			}
 		}
@@ -211,7 +211,7 @@
 	w.ScheduleRandomly(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Submit(scenario.Arrival{Relay: n % 79, Destination: 1}) })
 	var asked, got int
 	w.ScheduleRandomly(10*time.Second, 40*time.Second, 0.1, func() { asked++; w.Submit(scenario.Arrival{Relay: 79, Destination: 1}) })
-	w.opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
+	w.options.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if relay == 79 && e.Kind == policy.AttemptFinished && e.Outcome == policy.OK {
 				got++
@@ -305,9 +305,9 @@
 						w.ConnectionsOpened+w.ConnectionsRefused,
 					)
 				}
-				for _, h := range w.hosts {
+				for _, h := range w.endpoints {
 					// those that come up at once see each other late
-					if n := w.connections(h); most > 0 && n > most+relays/10 {
+					if n := w.connectionCount(h); most > 0 && n > most+relays/10 {
 						t.Errorf("%d relays, seed %d: %d connections at a host that takes %d", relays, seed, n, most)
 					}
 				}
--- a/internal/simulation/emulate/measures.go
+++ b/internal/simulation/emulate/measures.go
@@ -30,68 +30,70 @@
 	Events             int // told to them
 	Activations        int // destinations that modules were told of when there was work for them
 
-	classes []eventlog.Class
-	worth   []float64 // asked for, in each second
-	value   []float64 // of it, delivered
-	late    *hdrhistogram.Histogram
+	classes         []eventlog.Class
+	submittedWeight []float64 // asked for, in each second
+	deliveredWeight []float64 // of it, delivered
+	latencies       *hdrhistogram.Histogram
 }
 
 const (
-	lateMost  = 10 * time.Minute
-	worstSpan = 10 // seconds
+	maxLatency         = 10 * time.Minute
+	worstWindowSeconds = 10 // seconds
 )
 
 func (m *Metrics) init(classes []eventlog.Class, length time.Duration) {
 	m.classes = classes
-	m.worth = make([]float64, int(length/time.Second)+1)
-	m.value = make([]float64, len(m.worth))
-	m.late = hdrhistogram.New(int64(10*time.Microsecond), int64(lateMost), 3)
+	m.submittedWeight = make([]float64, int(length/time.Second)+1)
+	m.deliveredWeight = make([]float64, len(m.submittedWeight))
+	m.latencies = hdrhistogram.New(int64(10*time.Microsecond), int64(maxLatency), 3)
 }
 
-func (w *World) worthOf(x *ask) float64 {
+func (w *World) weightOf(x *clientMessage) float64 {
 	worth := w.classes[x.class].Weight
-	if x.over {
+	if x.overShare {
 		worth *= w.header.Rules.OverShareWeightRatio
 	}
 	return worth
 }
 
-func (m *Metrics) second(at time.Duration) int { return min(len(m.worth)-1, int(at/time.Second)) }
+func (m *Metrics) secondOf(at time.Duration) int {
+	return min(len(m.submittedWeight)-1, int(at/time.Second))
+}
 
-func (w *World) asked(x *ask) {
+func (w *World) recordSubmission(x *clientMessage) {
 	w.Submitted++
-	w.worth[w.second(x.at)] += w.worthOf(x)
+	w.submittedWeight[w.secondOf(x.submittedAt)] += w.weightOf(x)
 }
 
 // delivered counts a delivery, of the first try's the first.
-func (w *World) delivered(m *message) {
-	x := m.ask
-	if x.done {
+func (w *World) recordDelivery(m *message) {
+	x := m.origin
+	if x.delivered {
 		return
 	}
-	x.done = true
-	if w.opts.OnDelivery != nil {
-		w.opts.OnDelivery(x.dest, x.at, w.Now())
+	x.delivered = true
+	if w.options.OnDelivery != nil {
+		w.options.OnDelivery(x.destination, x.submittedAt, w.Now())
 	}
 	c := w.classes[x.class]
-	took := w.Now() - x.at
+	took := w.Now() - x.submittedAt
 	if took <= c.LatencyObjective {
 		w.DeliveredInTime++
 	} else {
 		w.DeliveredLate++
 	}
-	w.value[w.second(x.at)] += w.worthOf(x) * checker.WeightRatioAfter(c, took)
-	w.late.RecordValue(int64(min(took, lateMost))) // within its range
+	w.deliveredWeight[w.secondOf(x.submittedAt)] += w.weightOf(x) * checker.WeightRatioAfter(c, took)
+	w.latencies.RecordValue(int64(min(took, maxLatency))) // within its range
 }
 
 // Whole is the worth delivered of the worth asked for.
-func (m *Metrics) Overall() float64 { return m.OverallBetween(0, lateMost*1000) }
+func (m *Metrics) Overall() float64 { return m.OverallBetween(0, maxLatency*1000) }
 
 // Between is the same of what was asked for in a span of whole seconds.
 func (m *Metrics) OverallBetween(from, to time.Duration) float64 {
 	worth, value := 0.0, 0.0
-	for i := int(from / time.Second); i < len(m.worth) && time.Duration(i)*time.Second < to; i++ {
-		worth, value = worth+m.worth[i], value+m.value[i]
+	for i := int(from / time.Second); i < len(m.submittedWeight) && time.Duration(i)*time.Second < to; i++ {
+		worth, value = worth+m.submittedWeight[i], value+m.deliveredWeight[i]
 	}
 	if worth == 0 {
 		return 1
@@ -102,8 +104,8 @@
 // Worst10s is the worst of any ten seconds, a second apart.
 func (m *Metrics) WorstWindow() float64 {
 	worst := math.Inf(1)
-	for from := 0; from == 0 || from+worstSpan < len(m.worth); from++ {
-		worst = min(worst, m.OverallBetween(time.Duration(from)*time.Second, time.Duration(from+worstSpan)*time.Second))
+	for from := 0; from == 0 || from+worstWindowSeconds < len(m.submittedWeight); from++ {
+		worst = min(worst, m.OverallBetween(time.Duration(from)*time.Second, time.Duration(from+worstWindowSeconds)*time.Second))
 	}
 	return worst
 }
@@ -113,8 +115,8 @@
 
 // Late is the time from hand-in to delivery at a percentile of the delivered, to three digits.
 func (m *Metrics) LatencyPercentile(percentile float64) time.Duration {
-	return time.Duration(m.late.ValueAtPercentile(percentile))
+	return time.Duration(m.latencies.ValueAtPercentile(percentile))
 }
 
 // Histogram is the times from hand-in to delivery, in nanoseconds.
-func (m *Metrics) Latencies() *hdrhistogram.Histogram { return m.late }
+func (m *Metrics) Latencies() *hdrhistogram.Histogram { return m.latencies }
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -32,120 +32,120 @@
 // Never, returned by Mutant.Hears, leaves an event out.
 const DropEvent = time.Duration(-1)
 
-func (m *Mutant) settings(set *policy.Settings) {
+func (m *Mutant) applySettings(set *policy.Settings) {
 	if m != nil && m.ChangeSettings != nil {
 		set.Classes = slices.Clone(set.Classes)
 		m.ChangeSettings(set)
 	}
 }
 
-func (m *Mutant) lag() time.Duration {
+func (m *Mutant) journalDelay() time.Duration {
 	if m == nil {
 		return 0
 	}
 	return m.JournalDelay
 }
 
-func (m *Mutant) trustsWall() bool { return m != nil && m.UsesWallClock }
+func (m *Mutant) trustsWallClock() bool { return m != nil && m.UsesWallClock }
 
-func (m *Mutant) mute(r *relay, x *message) bool {
+func (m *Mutant) dropsNotice(r *relay, x *message) bool {
 	return m != nil && m.DropsNotice != nil && m.DropsNotice(x.id)
 }
 
-func (m *Mutant) restored(r *relay) {
+func (m *Mutant) forgetMessages(r *relay) {
 	if m == nil || m.ForgetsMessage == nil {
 		return
 	}
-	for id, x := range r.msgs {
-		if m.ForgetsMessage(x.final != nil, len(x.mayRun) > 0, id) {
-			delete(r.msgs, id)
+	for id, x := range r.messages {
+		if m.ForgetsMessage(x.final != nil, len(x.mayHaveRun) > 0, id) {
+			delete(r.messages, id)
 		}
 	}
 }
 
-func (m *Mutant) module(x DecisionEngine, r *relay) DecisionEngine {
+func (m *Mutant) wrapEngine(x DecisionEngine, r *relay) DecisionEngine {
 	if m == nil || m.ChangeEvent == nil && m.AllowsAction == nil {
 		return x
 	}
-	return &misled{DecisionEngine: x, wrong: m, later: func(d time.Duration) { r.in(d, r.plan) }}
+	return &mutantEngine{DecisionEngine: x, mutant: m, stepAfter: func(d time.Duration) { r.schedule(d, r.scheduleStep) }}
 }
 
 // misled is a module that hears or says what it should not.
-type misled struct {
+type mutantEngine struct {
 	DecisionEngine
-	wrong *Mutant
-	later func(time.Duration) // has it step again, so long from now
-	held  []heldEvent
-	buf   []policy.Event
-	acts  []policy.Action
+	mutant    *Mutant
+	stepAfter func(time.Duration) // has it step again, so long from now
+	delayed   []delayedEvent
+	events    []policy.Event
+	actions   []policy.Action
 }
 
-type heldEvent struct {
-	due time.Duration
-	e   policy.Event
+type delayedEvent struct {
+	due   time.Duration
+	event policy.Event
 }
 
 // Step passes on what the mutant lets through.
-func (m *misled) Step(now time.Duration, events []policy.Event) []policy.Action {
-	m.buf = m.buf[:0]
-	m.held = slices.DeleteFunc(m.held, func(h heldEvent) bool {
+func (m *mutantEngine) Step(now time.Duration, events []policy.Event) []policy.Action {
+	m.events = m.events[:0]
+	m.delayed = slices.DeleteFunc(m.delayed, func(h delayedEvent) bool {
 		if h.due <= now {
-			m.buf = append(m.buf, h.e)
+			m.events = append(m.events, h.event)
 		}
 		return h.due <= now
 	})
 	for _, e := range events {
-		if m.wrong.ChangeEvent == nil {
-			m.buf = append(m.buf, e)
+		if m.mutant.ChangeEvent == nil {
+			m.events = append(m.events, e)
 			continue
 		}
 		e.Endpoints = slices.Clone(e.Endpoints)
-		switch late := m.wrong.ChangeEvent(&e); {
+		switch late := m.mutant.ChangeEvent(&e); {
 		case late == 0:
-			m.buf = append(m.buf, e)
+			m.events = append(m.events, e)
 		case late > 0:
-			m.held = append(m.held, heldEvent{now + late, e})
-			m.later(late)
+			m.delayed = append(m.delayed, delayedEvent{now + late, e})
+			m.stepAfter(late)
 		}
 	}
-	acts := m.DecisionEngine.Step(now, m.buf)
-	if m.wrong.AllowsAction == nil {
+	acts := m.DecisionEngine.Step(now, m.events)
+	if m.mutant.AllowsAction == nil {
 		return acts
 	}
-	m.acts = m.acts[:0]
+	m.actions = m.actions[:0]
 	for _, a := range acts {
-		if m.wrong.AllowsAction(&a) {
-			m.acts = append(m.acts, a)
+		if m.mutant.AllowsAction(&a) {
+			m.actions = append(m.actions, a)
 		}
 	}
-	return m.acts
+	return m.actions
 }
 
 // StillAllowed lets by what the module would, had it heard all.
-func (m *misled) StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool {
+func (m *mutantEngine) StillAllowed(route string, ids []policy.MessageID, now time.Duration) bool {
 	return m.DecisionEngine.StillAllowed(route, ids, now)
 }
 
 // Views passes the module's views on.
-func (m *misled) Views() ([]policy.EndpointView, int) {
+func (m *mutantEngine) Views() ([]policy.EndpointView, int) {
 	if s, ok := m.DecisionEngine.(*policy.Engine); ok {
 		return s.Views()
 	}
 	return nil, 0
 }
 
-func finished(e *policy.Event) bool {
+func isOutcome(e *policy.Event) bool {
 	return e.Kind == policy.AttemptFinished || e.Kind == policy.HealthChecked
 }
 
-func listed(e *policy.Event) bool { return e.Kind == policy.EndpointDelta }
+func isListChange(e *policy.Event) bool { return e.Kind == policy.EndpointDelta }
 
-func some(name string, of uint32) bool { return crc32.ChecksumIEEE([]byte(name))%of == 0 }
+func oneIn(name string, of uint32) bool { return crc32.ChecksumIEEE([]byte(name))%of == 0 }
 
 // outcomeAs has outcomes be heard as others.
-func outcomeAs(from, to policy.Outcome) func(*policy.Event) time.Duration {
+func replaceOutcome(from, to policy.Outcome) func(*policy.Event) time.Duration {
 	return func(e *policy.Event) time.Duration {
-		if finished(e) && e.Outcome == from {
+		if isOutcome(e) && e.Outcome == from {
 			e.Outcome = to
 		}
 		return 0
@@ -153,18 +153,18 @@
 }
 
 // waitAs has told waits be heard as others.
-func waitAs(as func(e *policy.Event) time.Duration) func(*policy.Event) time.Duration {
+func replaceRetryAfter(as func(e *policy.Event) time.Duration) func(*policy.Event) time.Duration {
 	return func(e *policy.Event) time.Duration {
-		if finished(e) && e.RetryAfter > 0 {
+		if isOutcome(e) && e.RetryAfter > 0 {
 			e.RetryAfter = max(0, as(e))
 		}
 		return 0
 	}
 }
 
-func lateNews(d time.Duration) func(*policy.Event) time.Duration {
+func delayListChanges(d time.Duration) func(*policy.Event) time.Duration {
 	return func(e *policy.Event) time.Duration {
-		if listed(e) {
+		if isListChange(e) {
 			return d
 		}
 		return 0
@@ -172,9 +172,9 @@
 }
 
 // stays has entries stay in service whatever the list says.
-func stays(which func(l policy.Endpoint) bool) func(*policy.Event) time.Duration {
+func keepInService(which func(l policy.Endpoint) bool) func(*policy.Event) time.Duration {
 	return func(e *policy.Event) time.Duration {
-		if listed(e) {
+		if isListChange(e) {
 			for i := range e.Endpoints {
 				if l := &e.Endpoints[i]; which(*l) {
 					l.InService, l.Removed = true, false
@@ -249,11 +249,11 @@
 		},
 		{
 			Name: "reset-never-ran", Description: "a broken connection is taken for proof that the call never ran", Rule: checker.NoDuplicateEffect,
-			ChangeEvent: outcomeAs(policy.Reset, policy.ConnectFailed),
+			ChangeEvent: replaceOutcome(policy.Reset, policy.ConnectFailed),
 		},
 		{
 			Name: "timeout-never-ran", Description: "a call without an answer is taken for one that never ran", Rule: checker.NoDuplicateEffect,
-			ChangeEvent: outcomeAs(policy.Timeout, policy.ConnectFailed),
+			ChangeEvent: replaceOutcome(policy.Timeout, policy.ConnectFailed),
 		},
 		{
 			Name: "restart-forgets-sends", Description: "after a restart nothing is taken to have run", Rule: checker.NoDuplicateEffect,
@@ -271,29 +271,29 @@
 
 		{
 			Name: "drains-ignored", Description: "what drains or has gone is called all the same", Rule: checker.DrainRespected,
-			ChangeEvent: stays(func(policy.Endpoint) bool { return true }),
+			ChangeEvent: keepInService(func(policy.Endpoint) bool { return true }),
 		},
 		{
 			Name: "some-drains-ignored", Description: "of the endpoints one in four stays in service for good", Rule: checker.DrainRespected,
-			ChangeEvent: stays(func(l policy.Endpoint) bool { return some(l.ID, 4) }),
+			ChangeEvent: keepInService(func(l policy.Endpoint) bool { return oneIn(l.ID, 4) }),
 		},
 		{
 			Name:        "news-3s-late",
 			Description: "the list is heeded 3 s after it was told",
 			Rule:        checker.DrainRespected,
-			ChangeEvent: lateNews(3 * time.Second),
+			ChangeEvent: delayListChanges(3 * time.Second),
 		},
 		{
 			Name:        "news-1.4s-late",
 			Description: "the list is heeded 1.4 s after it was told",
 			Rule:        checker.DrainRespected,
-			ChangeEvent: lateNews(1400 * ms),
+			ChangeEvent: delayListChanges(1400 * ms),
 		},
 		{
 			Name:        "news-1.1s-late",
 			Description: "the list is heeded 1.1 s after it was told, 50 ms beyond the slack",
 			Rule:        checker.DrainRespected,
-			ChangeEvent: lateNews(1100 * ms),
+			ChangeEvent: delayListChanges(1100 * ms),
 		},
 
 		{
@@ -355,11 +355,11 @@
 			Name:        "waits-dropped",
 			Description: "told waits are not heard",
 			Rule:        checker.RetryAfterRespected,
-			ChangeEvent: waitAs(func(*policy.Event) time.Duration { return 0 }),
+			ChangeEvent: replaceRetryAfter(func(*policy.Event) time.Duration { return 0 }),
 		},
 		{
 			Name: "some-waits-dropped", Description: "one told wait in eight is not heard", Rule: checker.RetryAfterRespected,
-			ChangeEvent: waitAs(func(e *policy.Event) time.Duration {
+			ChangeEvent: replaceRetryAfter(func(e *policy.Event) time.Duration {
 				if e.MessageID%8 == 0 {
 					return 0
 				}
@@ -370,25 +370,25 @@
 			Name:        "half-a-wait",
 			Description: "told waits are heard as half as long",
 			Rule:        checker.RetryAfterRespected,
-			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
+			ChangeEvent: replaceRetryAfter(func(e *policy.Event) time.Duration { return e.RetryAfter / 2 }),
 		},
 		{
 			Name:        "wait-150ms-short",
 			Description: "told waits end 150 ms early",
 			Rule:        checker.RetryAfterRespected,
-			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
+			ChangeEvent: replaceRetryAfter(func(e *policy.Event) time.Duration { return e.RetryAfter - 150*ms }),
 		},
 		{
 			Name:        "wait-20ms-short",
 			Description: "told waits end 20 ms early",
 			Rule:        checker.RetryAfterRespected,
-			ChangeEvent: waitAs(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
+			ChangeEvent: replaceRetryAfter(func(e *policy.Event) time.Duration { return e.RetryAfter - 20*ms }),
 		},
 
 		{
 			Name: "waits-of-nothing", Description: "waits of under a millisecond are not heard",
 			Equivalent: "waits are told in whole milliseconds: there is none of less",
-			ChangeEvent: waitAs(func(e *policy.Event) time.Duration {
+			ChangeEvent: replaceRetryAfter(func(e *policy.Event) time.Duration {
 				if e.RetryAfter < ms {
 					return 0
 				}
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -131,14 +131,14 @@
 		both(w, to, func(p *Service) { p.LimitRate *= 4 })
 	},
 	"resets of one": func(w *world, from, to time.Duration) {
-		w.Schedule(from, func() { w.order[0].ResetRatio = func(int) float64 { return 1 } })
-		w.Schedule(to, func() { w.order[0].ResetRatio = nil })
+		w.Schedule(from, func() { w.serviceOrder[0].ResetRatio = func(int) float64 { return 1 } })
+		w.Schedule(to, func() { w.serviceOrder[0].ResetRatio = nil })
 	},
 }
 
 func both(w *world, at time.Duration, do func(*Service)) {
 	w.Schedule(at, func() {
-		for _, p := range w.order {
+		for _, p := range w.serviceOrder {
 			do(p)
 		}
 	})
@@ -186,8 +186,8 @@
 		},
 	)
 	load(w, time.Second, 60*time.Second, 80)
-	w.Schedule(12*time.Second, func() { w.order[0].ResetRatio = resets })
-	w.Schedule(20*time.Second, func() { w.order[0].ResetRatio = nil })
+	w.Schedule(12*time.Second, func() { w.serviceOrder[0].ResetRatio = resets })
+	w.Schedule(20*time.Second, func() { w.serviceOrder[0].ResetRatio = nil })
 	w.run(t, 75*time.Second)
 	w.trace = calls
 	return w
@@ -267,7 +267,7 @@
 							after,
 						)
 					}
-					for _, p := range w.order {
+					for _, p := range w.serviceOrder {
 						if p.Overloaded() {
 							t.Errorf("%s, %s, %d relays, seed %d: pushed over", name, kind, relays, seed)
 						}
@@ -283,7 +283,7 @@
 	for _, relays := range []int{1, 2, 20} {
 		w, takes := site(t, "rate", relays, 3)
 		load(w, time.Second, 90*time.Second, takes)
-		w.Schedule(30*time.Second, func() { w.order[0].LimitRate /= 2 })
+		w.Schedule(30*time.Second, func() { w.serviceOrder[0].LimitRate /= 2 })
 		w.run(t, 40*time.Second)
 		full, ok := -w.CallsRejected, -w.CallsServed
 		w.run(t, 90*time.Second)
@@ -324,7 +324,7 @@
 func TestReplacedInMidOutage(t *testing.T) {
 	for seed := range uint64(10) {
 		w, takes := site(t, "separate", 2, seed)
-		w.opts.ListDelay = func(relay int) time.Duration { return time.Duration(relay) * 4 * time.Second }
+		w.options.ListDelay = func(relay int) time.Duration { return time.Duration(relay) * 4 * time.Second }
 		load(w, time.Second, 60*time.Second, 0.5*takes)
 		both(w, 20*time.Second, func(p *Service) { p.SetSilent(true) })
 		w.Schedule(26*time.Second, func() {
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -31,7 +31,7 @@
 		for _, a := range w.relays[:relays/3] {
 			for _, b := range w.relays[relays/3:] {
 				for _, name := range []string{scenario.LinkName(a.name, b.name), scenario.LinkName(b.name, a.name)} {
-					w.fleet.links[name] = scenario.Step{Op: scenario.OpLinkCut}
+					w.fleet.linkSteps[name] = scenario.Step{Op: scenario.OpLinkCut}
 				}
 			}
 		}
@@ -39,16 +39,16 @@
 	lose := func(w *world) {
 		for _, a := range w.relays {
 			for _, b := range w.relays {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
+				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
 			}
 		}
 	}
 	stop := func(w *world) {
 		w.Schedule(15*time.Second, func() {
-			a := w.relays[0].fleet.seam.Quota().Accounts[quota.Scope{Destination: 1}]
+			a := w.relays[0].member.agent.Quota().Accounts[quota.Scope{Destination: 1}]
 			keeper := w.relay(a.LeaseHolder)
-			keeper.freeze(true)
-			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.freeze(false) })
+			keeper.setPaused(true)
+			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.setPaused(false) })
 		})
 	}
 	for _, c := range []struct {
@@ -73,8 +73,8 @@
 			}
 			w.run(t, length)
 			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsRejected
-			if wrong := slices.Compact(w.fleet.Wrong); len(wrong) > 0 || on && w.fleet.Sums < 50 {
-				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.Sums)
+			if wrong := slices.Compact(w.fleet.violations); len(wrong) > 0 || on && w.fleet.quotaCheckCount < 50 {
+				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.quotaCheckCount)
 			}
 		}
 		t.Logf("%s: served %.2f and %.2f, refused %d and %d", c.name, served[0], served[1], refused[0], refused[1])
@@ -121,8 +121,8 @@
 						func(x scenario.Fault) bool { return x.Start >= f.Length },
 					)
 					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
-					if len(w.fleet.Wrong) > 0 {
-						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.Wrong))
+					if len(w.fleet.violations) > 0 {
+						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.violations))
 					}
 					t.Logf(
 						"rights %v: whole day %.3f, %d calls refused of %d",
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -17,48 +17,48 @@
 // The figures of package relay: how many destinations a step looks at that may be put to rest, and how often that is
 // looked at while nothing else happens.
 const (
-	restMost  = 128
-	restEvery = time.Second
-	usualWarm = 30 * time.Second // where settings tell no time to warm up
+	maxEvictions  = 128
+	evictInterval = time.Second
+	defaultWarmUp = 30 * time.Second // where settings tell no time to warm up
 )
 
 // rester is a module that tells whether a destination may be taken away from it: nothing that it knows of it would be
 // missed.
-type rester interface{ Evictable(dest int) bool }
+type evicter interface{ Evictable(dest int) bool }
 
-func (r *relay) large() bool { return r.working != nil }
+func (r *relay) hasLargeList() bool { return r.workingSet != nil }
 
 // newWorking begins a working set: the module knows nothing of a list that is large.
-func (r *relay) newWorking() {
-	r.working, r.restAt = catalog.NewWorkingSet(cmp.Or(r.set.WarmUpDuration, usualWarm)), 0
+func (r *relay) newWorkingSet() {
+	r.workingSet, r.evictAt = catalog.NewWorkingSet(cmp.Or(r.settings.WarmUpDuration, defaultWarmUp)), 0
 }
 
 // becomeLarge is a list that has grown beyond what is told whole. It stays large until the process ends.
-func (r *relay) becomeLarge() {
-	r.newWorking()
-	for _, l := range r.w.whole(r.heard) {
-		r.working.Activate(l.Destination, r.now())
+func (r *relay) switchToLargeList() {
+	r.newWorkingSet()
+	for _, l := range r.world.listSnapshot(r.listVersion) {
+		r.workingSet.Activate(l.Destination, r.now())
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.msgs)) {
-		r.working.Activate(r.msgs[id].dest, r.now())
+	for _, id := range slices.Sorted(maps.Keys(r.messages)) {
+		r.workingSet.Activate(r.messages[id].destination, r.now())
 	}
 }
 
 // rouse has the module told of destinations at rest before what concerns them, and of changes of the list before all
 // else. Then it puts some to rest that have nothing to remember.
-func (r *relay) rouse(evs []policy.Event) []policy.Event {
-	if !r.large() {
+func (r *relay) updateWorkingSet(evs []policy.Event) []policy.Event {
+	if !r.hasLargeList() {
 		return evs
 	}
-	w, now := r.w, r.now()
+	w, now := r.world, r.now()
 	var woken, resting []policy.Endpoint
 	wake := func(dest int) {
-		if r.working.Activate(dest, now) {
+		if r.workingSet.Activate(dest, now) {
 			w.Activations++
 			from := len(woken)
-			woken = w.listed(woken, dest, r.heard)
+			woken = w.appendListed(woken, dest, r.listVersion)
 			for i := range woken[from:] {
-				woken[from+i].Relisted = r.working.Settled(dest, now)
+				woken[from+i].Relisted = r.workingSet.Settled(dest, now)
 			}
 		}
 	}
@@ -67,26 +67,26 @@
 		case policy.MessageAccepted:
 			wake(e.Destination)
 		case policy.AttemptFinished, policy.HealthChecked:
-			if h := w.hosts[e.Endpoint]; h != nil {
-				if r.working.Touch(h.Destination, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
+			if h := w.endpoints[e.Endpoint]; h != nil {
+				if r.workingSet.Touch(h.Destination, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
 					wake(h.Destination)
 				}
 			}
 		}
 	}
-	if m, ok := r.module.(rester); ok {
-		for _, dest := range r.working.EvictIdle(now, restMost, m.Evictable) {
-			resting = w.listed(resting, dest, r.heard)
+	if m, ok := r.engine.(evicter); ok {
+		for _, dest := range r.workingSet.EvictIdle(now, maxEvictions, m.Evictable) {
+			resting = w.appendListed(resting, dest, r.listVersion)
 		}
 	}
 	for i := range resting {
 		resting[i].InService, resting[i].Removed = false, true
 	}
-	r.restAgain(len(resting) > 0)
+	r.scheduleEviction(len(resting) > 0)
 	if len(woken)+len(resting) == 0 {
 		return evs
 	}
-	out := r.roused[:0]
+	out := r.workingSetBuffer[:0]
 	tell := func(list []policy.Endpoint) {
 		if len(list) > 0 {
 			out = append(out, policy.Event{Kind: policy.EndpointDelta, Endpoints: list})
@@ -105,33 +105,33 @@
 		}
 	}
 	tell(resting)
-	r.roused = out
+	r.workingSetBuffer = out
 	return out
 }
 
 // restAgain asks for a step in which more destinations are put to rest.
-func (r *relay) restAgain(more bool) {
-	if r.working.Len() == 0 || r.w.Now() < r.restAt {
+func (r *relay) scheduleEviction(more bool) {
+	if r.workingSet.Len() == 0 || r.world.Now() < r.evictAt {
 		return
 	}
-	after := restEvery
+	after := evictInterval
 	if more {
-		after = r.w.plan.File.Settings.Tick.AsDuration()
+		after = r.world.plan.File.Settings.Tick.AsDuration()
 	}
-	r.restAt = r.w.Now() + after
-	r.in(after, r.plan)
+	r.evictAt = r.world.Now() + after
+	r.schedule(after, r.scheduleStep)
 }
 
 // Evictable passes on what the module would say.
-func (m *misled) Evictable(dest int) bool {
-	x, ok := m.DecisionEngine.(rester)
+func (m *mutantEngine) Evictable(dest int) bool {
+	x, ok := m.DecisionEngine.(evicter)
 	return ok && x.Evictable(dest)
 }
 
 // Idle connections.
 
 // dropPool closes a relay's idle connections to a host.
-func (r *relay) dropPool(h *host) {
+func (r *relay) dropPool(h *endpoint) {
 	if p := r.pools[h]; p != nil {
 		delete(r.pools, h)
 		delete(h.pools, p)
@@ -140,33 +140,33 @@
 
 // addPool is a pool for a host that a relay has none for. Once there are twice as many as were left the last time,
 // those that hold no connection are forgotten.
-func (r *relay) addPool(h *host) *pool {
-	if len(r.pools) >= r.poolsMost {
-		since := r.w.Now() - r.w.keep()
+func (r *relay) addPool(h *endpoint) *connectionPool {
+	if len(r.pools) >= r.maxPools {
+		since := r.world.Now() - r.world.idleTimeout()
 		for h, p := range r.pools {
-			if p.life != h.life || p.open(since) == 0 {
+			if p.epoch != h.connectionEpoch || p.countOpen(since) == 0 {
 				r.dropPool(h)
 			}
 		}
-		r.poolsMost = max(poolsLeast, 2*len(r.pools))
+		r.maxPools = max(minPoolLimit, 2*len(r.pools))
 	}
-	p := &pool{life: h.life}
+	p := &connectionPool{epoch: h.connectionEpoch}
 	r.pools[h] = p
-	if r.w.opts.MaxConnections > 0 {
+	if r.world.options.MaxConnections > 0 {
 		if h.pools == nil {
-			h.pools = map[*pool]struct{}{}
+			h.pools = map[*connectionPool]struct{}{}
 		}
 		h.pools[p] = struct{}{}
 	}
 	return p
 }
 
-const poolsLeast = 64
+const minPoolLimit = 64
 
 // dropPools forgets those of a process that has ended.
-func (r *relay) dropPools() {
+func (r *relay) resetPools() {
 	for h := range r.pools {
 		r.dropPool(h)
 	}
-	r.pools, r.poolsMost = map[*host]*pool{}, poolsLeast
+	r.pools, r.maxPools = map[*endpoint]*connectionPool{}, minPoolLimit
 }
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -134,7 +134,7 @@
 		n := 0
 		w.ScheduleRandomly(0, 80*time.Second, 1, func() { n++; w.Submit(scenario.Arrival{Destination: 2 + n%39}) })
 		w.run(t, 100*time.Second)
-		w.see(eventlog.Event{Kind: eventlog.RunEnded})
+		w.record(eventlog.Event{Kind: eventlog.RunEnded})
 		if f := judged(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
 			t.Errorf("forgets %v: %+v", forgets, f)
 		}
@@ -169,7 +169,7 @@
 			},
 		},
 	)
-	hosts := w.Services(1)[0].hosts
+	hosts := w.Services(1)[0].endpoints
 	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[0].ID, eventlog.StateDraining) })
 	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[1].ID, eventlog.StateGone) })
 	w.Schedule(4*time.Second, func() {
@@ -187,8 +187,8 @@
 	if len(sent) != 2 || sent[hosts[2].ID] == 0 || sent["s-new"] == 0 {
 		t.Errorf("sent %v", sent)
 	}
-	if w.run(t, time.Minute); w.relays[0].working.Len() != 0 {
-		t.Errorf("%d destinations awake long after the last message", w.relays[0].working.Len())
+	if w.run(t, time.Minute); w.relays[0].workingSet.Len() != 0 {
+		t.Errorf("%d destinations awake long after the last message", w.relays[0].workingSet.Len())
 	}
 }
 
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -107,62 +107,62 @@
 	Name        string
 	Destination int
 	// share of a relay's calls whose connections break under them, and which run; nil: none
-	ResetRatio func(relay int) float64
-	outage     string // its cause; "": in service
-	slow       float64
-	hosts      []*host
+	ResetRatio  func(relay int) float64
+	outageCause string // its cause; "": in service
+	slowdown    float64
+	endpoints   []*endpoint
 }
 
 // host is one endpoint.
-type host struct {
+type endpoint struct {
 	scenario.Endpoint
-	n                      int
-	zone, kind             int
-	later                  bool      // not listed from the start
-	told                   []telling // changes of its entry
-	place                  *Service
-	isDown, isCut, stopped bool
-	life                   int // raised when all its connections are reset
-	calls                  map[*call]struct{}
-	pools                  map[*pool]struct{} // of all relays, where connections are bounded
+	index                      int
+	zone, kind                 int
+	addedLater                 bool          // not listed from the start
+	changes                    []entryChange // changes of its entry
+	service                    *Service
+	down, unreachable, stopped bool
+	connectionEpoch            int // raised when all its connections are reset
+	calls                      map[*call]struct{}
+	pools                      map[*connectionPool]struct{} // of all relays, where connections are bounded
 }
 
 // ask is what a client asks for with its first try, and what came of it.
-type ask struct {
-	at                time.Duration
-	class, cust, dest int
-	over, done        bool
+type clientMessage struct {
+	submittedAt                  time.Duration
+	class, customer, destination int
+	overShare, delivered         bool
 }
 
 // World is a plan at work.
 type World struct {
 	engine.Engine
 	Metrics
-	plan   scenario.Plan
-	opts   Options
-	set    policy.Settings // as the rules have them
-	places map[string]*Service
-	order  []*Service
-	dests  map[int][]*Service // by destination
-	hosts  map[string]*host
-	relays []*relay
-	names  map[string]*relay
-	later  map[string]scenario.Endpoint // that are not there from the start
-	dying  map[string]bool              // relays that the plan ends
-	net    *rand.Rand                   // what the network does
-	delays *rand.Rand                   // how late discovery is
-	events []eventlog.Event
-	header eventlog.Header
-	calls  uint64
-	ids    uint64
-	length time.Duration
-	shares checker.CustomerShares
-	fleet  *fleetNet // nil: relays tell each other nothing
-
-	changes   int               // of discovery's list
-	entries   int               // that it had at the start
-	wholeList []policy.Endpoint // after wholeAt changes
-	wholeAt   int
+	plan                  scenario.Plan
+	options               Options
+	settings              policy.Settings // as the rules have them
+	services              map[string]*Service
+	serviceOrder          []*Service
+	servicesByDestination map[int][]*Service // by destination
+	endpoints             map[string]*endpoint
+	relays                []*relay
+	relaysByName          map[string]*relay
+	laterEndpoints        map[string]scenario.Endpoint // that are not there from the start
+	relaysEndedByPlan     map[string]bool              // relays that the plan ends
+	networkRandom         *rand.Rand                   // what the network does
+	discoveryRandom       *rand.Rand                   // how late discovery is
+	events                []eventlog.Event
+	header                eventlog.Header
+	lastCallNumber        uint64
+	lastMessageNumber     uint64
+	length                time.Duration
+	shares                checker.CustomerShares
+	fleet                 *fleetNetwork // nil: relays tell each other nothing
+
+	listVersion       int               // of discovery's list
+	initialListLength int               // that it had at the start
+	snapshot          []policy.Endpoint // after wholeAt changes
+	snapshotVersion   int
 }
 
 // ErrRecord tells that a run saw more than a record may hold.
@@ -171,16 +171,16 @@
 // New returns a world in which nothing has happened yet. Its relays are up, and know the list.
 func New(plan scenario.Plan, opts Options) (*World, error) {
 	opts.Latency = cmp.Or(opts.Latency, 100*time.Microsecond)
-	opts.RestartDelay = cmp.Or(opts.RestartDelay, startAfter)
+	opts.RestartDelay = cmp.Or(opts.RestartDelay, defaultRestartDelay)
 	opts.MaxEagerEndpoints = cmp.Or(opts.MaxEagerEndpoints, catalog.MaxEagerEndpoints)
 	w := &World{
-		plan: plan, opts: opts, set: Settings(plan.File), places: map[string]*Service{}, hosts: map[string]*host{},
-		dests: map[int][]*Service{}, names: map[string]*relay{}, later: map[string]scenario.Endpoint{}, dying: map[string]bool{},
-		net: engine.NewRandom(
+		plan: plan, options: opts, settings: Settings(plan.File), services: map[string]*Service{}, endpoints: map[string]*endpoint{},
+		servicesByDestination: map[int][]*Service{}, relaysByName: map[string]*relay{}, laterEndpoints: map[string]scenario.Endpoint{}, relaysEndedByPlan: map[string]bool{},
+		networkRandom: engine.NewRandom(
 			plan.Seed,
 			"network",
 			0,
-		), delays: rand.New(rand.NewPCG(plan.DiscoverySeed, 1)), length: plan.File.Length.AsDuration(),
+		), discoveryRandom: rand.New(rand.NewPCG(plan.DiscoverySeed, 1)), length: plan.File.Length.AsDuration(),
 	}
 	if opts.MaxEvents == 0 {
 		rate := 0.0
@@ -201,22 +201,22 @@
 	w.Metrics.init(w.header.Classes, w.length)
 	w.shares = checker.NewCustomerShares(w.header)
 	for _, p := range plan.Services {
-		w.addPlace(p)
+		w.addService(p)
 	}
 	for _, e := range plan.Endpoints {
 		if e.AddedLater {
-			w.later[e.ID] = e
+			w.laterEndpoints[e.ID] = e
 			continue
 		}
-		if _, err := w.addHost(e); err != nil {
+		if _, err := w.addEndpoint(e); err != nil {
 			return nil, err
 		}
-		w.entries++
-		w.changed(e, eventlog.StateReady)
+		w.initialListLength++
+		w.recordEndpointChange(e, eventlog.StateReady)
 	}
 	for _, s := range plan.Steps {
 		if s.Op == scenario.OpTerminate || s.Op == scenario.OpKill {
-			w.dying[s.Target] = true
+			w.relaysEndedByPlan[s.Target] = true
 		}
 	}
 	w.fleet = newFleet(w)
@@ -226,7 +226,7 @@
 			return nil, err
 		}
 		w.relays = append(w.relays, r)
-		w.names[r.name] = r
+		w.relaysByName[r.name] = r
 	}
 	for _, r := range w.relays {
 		r.start()
@@ -266,42 +266,42 @@
 	return set
 }
 
-func (w *World) addPlace(p scenario.Service) {
-	x := &Service{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Destination: p.Destination, slow: 1}
-	w.places[p.Name] = x
-	w.order = append(w.order, x)
-	w.dests[p.Destination] = append(w.dests[p.Destination], x)
+func (w *World) addService(p scenario.Service) {
+	x := &Service{Service: upstream.New(p.Spec, p.Seed), Name: p.Name, Destination: p.Destination, slowdown: 1}
+	w.services[p.Name] = x
+	w.serviceOrder = append(w.serviceOrder, x)
+	w.servicesByDestination[p.Destination] = append(w.servicesByDestination[p.Destination], x)
 }
 
 // see adds an event to the record, at this moment.
-func (w *World) see(e eventlog.Event) {
-	if w.opts.Record && len(w.events) < eventlog.MaxEvents {
+func (w *World) record(e eventlog.Event) {
+	if w.options.Record && len(w.events) < eventlog.MaxEvents {
 		e.At = w.Now()
 		w.events = append(w.events, e)
 	}
 }
 
 // Place returns a place by its name; nil if there is none.
-func (w *World) Service(name string) *Service { return w.places[name] }
+func (w *World) Service(name string) *Service { return w.services[name] }
 
 // Places are all of them, in the plan's order; a destination's own where dest is above 0.
 func (w *World) Services(dest int) []*Service {
 	if dest == 0 {
-		return slices.Clone(w.order)
+		return slices.Clone(w.serviceOrder)
 	}
-	return w.dests[dest]
+	return w.servicesByDestination[dest]
 }
 
 // Play plays the plan to its end, and until all that was handed in must have its end.
 func (w *World) Play() error {
 	for _, s := range w.plan.Steps {
-		w.Schedule(s.At, func() { w.do(s) })
+		w.Schedule(s.At, func() { w.applyStep(s) })
 	}
 	if len(w.plan.Arrivals) > 0 {
-		w.arrive(0)
+		w.scheduleArrival(0)
 	} else {
 		for i := range w.plan.File.Traffic {
-			w.stream(w.plan.File.NewTrafficGenerator(w.plan.Seed, i))
+			w.scheduleFlow(w.plan.File.NewTrafficGenerator(w.plan.Seed, i))
 		}
 	}
 	longest := time.Duration(0)
@@ -311,25 +311,25 @@
 	if err := w.Run(w.length + longest + checker.FinalAnswerTimeout + checker.Tolerance + time.Second); err != nil {
 		return err
 	}
-	if w.opts.Record && len(w.events) >= eventlog.MaxEvents {
+	if w.options.Record && len(w.events) >= eventlog.MaxEvents {
 		return ErrRecord
 	}
-	w.see(eventlog.Event{Kind: eventlog.RunEnded})
+	w.record(eventlog.Event{Kind: eventlog.RunEnded})
 	return nil
 }
 
 // arrive hands the plan's arrivals in, one after the other, so that the engine holds one of them.
-func (w *World) arrive(n int) {
+func (w *World) scheduleArrival(n int) {
 	w.Schedule(w.plan.Arrivals[n].At, func() {
 		w.Submit(w.plan.Arrivals[n])
 		if n+1 < len(w.plan.Arrivals) {
-			w.arrive(n + 1)
+			w.scheduleArrival(n + 1)
 		}
 	})
 }
 
 // stream hands in what a flow draws as time passes, where a plan was drawn without arrivals.
-func (w *World) stream(f *scenario.TrafficGenerator) {
+func (w *World) scheduleFlow(f *scenario.TrafficGenerator) {
 	group, ok := f.Next()
 	if !ok {
 		return
@@ -339,7 +339,7 @@
 			w.Schedule(a.At, func() { w.Submit(a) })
 		}
 		w.Submit(group[0])
-		w.stream(f)
+		w.scheduleFlow(f)
 	})
 }
 
@@ -348,7 +348,7 @@
 	if rate <= 0 {
 		return
 	}
-	next := max(w.Now(), from) + time.Duration(w.net.ExpFloat64()/rate*float64(time.Second))
+	next := max(w.Now(), from) + time.Duration(w.networkRandom.ExpFloat64()/rate*float64(time.Second))
 	if next >= to {
 		return
 	}
@@ -359,38 +359,38 @@
 func (w *World) Result() (eventlog.Header, []eventlog.Event) { return w.header, w.events }
 
 // do carries a step of the plan out.
-func (w *World) do(s scenario.Step) {
+func (w *World) applyStep(s scenario.Step) {
 	switch s.Op {
 	case scenario.OpFaultBegins:
-		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
+		w.record(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateBegin, Cause: s.Note})
 	case scenario.OpFaultEnds:
-		w.see(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
+		w.record(eventlog.Event{Kind: eventlog.FaultChanged, Name: s.Target, State: eventlog.StateEnd, Cause: s.Note})
 	case scenario.OpAddEndpoint:
-		w.AddEndpoint(w.later[s.Target])
+		w.AddEndpoint(w.laterEndpoints[s.Target])
 	case scenario.OpDrainEndpoint:
 		w.ChangeEndpoint(s.Target, eventlog.StateDraining)
 	case scenario.OpRemoveEndpoint:
 		w.ChangeEndpoint(s.Target, eventlog.StateGone)
 	case scenario.OpStopEndpoint:
-		w.stop(w.hosts[s.Target])
+		w.stopEndpoint(w.endpoints[s.Target])
 	case scenario.OpSlow:
 		w.SetSlowdown(s.Target, s.Value)
 	case scenario.OpLowerLimit:
-		w.places[s.Target].SetLimitDivisor(s.Value)
+		w.services[s.Target].SetLimitDivisor(s.Value)
 	case scenario.OpLoseAnswers:
-		w.places[s.Target].SetResponseLossRatio(s.Value)
+		w.services[s.Target].SetResponseLossRatio(s.Value)
 	case scenario.OpFailCalls, scenario.OpSuspend, scenario.OpSilence, scenario.OpCrash, scenario.OpCutOff:
 		w.BeginOutage(s.Target, s.Op, s.Value, s.Duration)
 	case scenario.OpRestore:
 		w.EndOutage(s.Target)
 	case scenario.OpSilenceDiscovery, scenario.OpRestoreDiscovery:
-		w.relay(s.Target).hush(s.Op == scenario.OpSilenceDiscovery)
+		w.relay(s.Target).silenceDiscovery(s.Op == scenario.OpSilenceDiscovery)
 	case scenario.OpDelayDiscovery:
-		w.relay(s.Target).late = s.Duration
+		w.relay(s.Target).discoveryDelay = s.Duration
 	case scenario.OpStepClock:
 		w.relay(s.Target).clocks.stepped += s.Duration
 	case scenario.OpTerminate:
-		w.relay(s.Target).term()
+		w.relay(s.Target).terminate()
 	case scenario.OpKill:
 		r := w.relay(s.Target)
 		if r.kill(false); s.StateFolder != "" {
@@ -401,82 +401,82 @@
 			}
 		}
 	case scenario.OpStall, scenario.OpResume:
-		w.relay(s.Target).freeze(s.Op == scenario.OpStall)
+		w.relay(s.Target).setPaused(s.Op == scenario.OpStall)
 	case scenario.OpLinkCut,
 		scenario.OpLinkLoss,
 		scenario.OpLinkDelay,
 		scenario.OpLinkThrottle,
 		scenario.OpLinkReorder,
 		scenario.OpLinkRestore:
-		w.fleet.setLink(s)
+		w.fleet.applyLinkStep(s)
 	case scenario.OpReload:
-		w.see(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: s.Target, State: eventlog.StateHUP})
+		w.record(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: s.Target, State: eventlog.StateHUP})
 	}
 }
 
 // relay is one by its name.
-func (w *World) relay(name string) *relay { return w.names[name] }
+func (w *World) relay(name string) *relay { return w.relaysByName[name] }
 
 // Kill ends a relay's process, counted from 0, or its machine with it; it starts again as the kit starts one.
 func (w *World) Kill(relay int, machine bool) { w.relays[relay].kill(machine) }
 
 // Hosts and places.
 
-func (w *World) addHost(e scenario.Endpoint) (*host, error) {
-	p := w.places[e.Service]
+func (w *World) addEndpoint(e scenario.Endpoint) (*endpoint, error) {
+	p := w.services[e.Service]
 	if p == nil {
 		return nil, fmt.Errorf("emulate: host %s of no place %q", e.ID, e.Service)
 	}
-	h := &host{Endpoint: e, n: len(w.hosts), zone: slices.Index(w.plan.File.Zones, e.Zone), kind: w.kind(e), place: p}
-	w.hosts[e.ID] = h
-	p.hosts = append(p.hosts, h)
+	h := &endpoint{Endpoint: e, index: len(w.endpoints), zone: slices.Index(w.plan.File.Zones, e.Zone), kind: w.kindIndex(e), service: p}
+	w.endpoints[e.ID] = h
+	p.endpoints = append(p.endpoints, h)
 	p.AddEndpoint(e.ID)
-	w.able(p, 1, 0)
+	w.recordCapacity(p, 1, 0)
 	return h, nil
 }
 
 // List has a new endpoint come up and be listed.
 func (w *World) AddEndpoint(e scenario.Endpoint) {
-	if w.places[e.Service] == nil {
-		spec := w.hostsOf(e.Destination)[0].place.Spec
-		w.addPlace(scenario.Service{Name: e.Service, Destination: e.Destination, Spec: spec, Seed: w.net.Uint64()})
+	if w.services[e.Service] == nil {
+		spec := w.endpointsOf(e.Destination)[0].service.Spec
+		w.addService(scenario.Service{Name: e.Service, Destination: e.Destination, Spec: spec, Seed: w.networkRandom.Uint64()})
 	}
-	h, err := w.addHost(e)
+	h, err := w.addEndpoint(e)
 	if err != nil {
 		return // its place was made above
 	}
-	h.later = true
+	h.addedLater = true
 	w.ChangeEndpoint(e.ID, eventlog.StateReady)
 }
 
 // hostsOf are the hosts that a destination has ever had.
-func (w *World) hostsOf(dest int) (all []*host) {
+func (w *World) endpointsOf(dest int) (all []*endpoint) {
 	for _, p := range w.Services(dest) {
-		all = append(all, p.hosts...)
+		all = append(all, p.endpoints...)
 	}
 	return all
 }
 
-func (w *World) changed(e scenario.Endpoint, state string) {
+func (w *World) recordEndpointChange(e scenario.Endpoint, state string) {
 	place := ""
 	if e.Service == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.see(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
+	w.record(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
 }
 
 // standing are a place's hosts that run.
-func (p *Service) standing() (all []*host) {
-	for _, h := range p.hosts {
+func (p *Service) runningEndpoints() (all []*endpoint) {
+	for _, h := range p.endpoints {
 		if !h.stopped {
 			all = append(all, h)
 		}
 	}
-	slices.SortFunc(all, func(a, b *host) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b *endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-func ids(hosts []*host) (all []string) {
+func endpointIDs(hosts []*endpoint) (all []string) {
 	for _, h := range hosts {
 		all = append(all, h.ID)
 	}
@@ -484,60 +484,60 @@
 }
 
 // able notes what each host of a place can do from now on.
-func (w *World) able(p *Service, share float64, warm time.Duration) {
-	if !w.opts.Record {
+func (w *World) recordCapacity(p *Service, share float64, warm time.Duration) {
+	if !w.options.Record {
 		return
 	}
-	rate := p.EndpointCapacity() / p.slow
-	if p.outage != "" || p.Overloaded() {
+	rate := p.EndpointCapacity() / p.slowdown
+	if p.outageCause != "" || p.Overloaded() {
 		rate = 0
 	}
-	for _, h := range p.standing() {
-		w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Destination, Rate: rate, Share: share, For: warm})
+	for _, h := range p.runningEndpoints() {
+		w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Destination, Rate: rate, Share: share, For: warm})
 	}
 }
 
 // stop ends a host's process for good.
-func (w *World) stop(h *host) {
+func (w *World) stopEndpoint(h *endpoint) {
 	if h.stopped {
 		return
 	}
 	h.stopped = true
-	h.place.RemoveEndpoint(h.ID)
-	w.reset(h)
-	w.see(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Destination})
+	h.service.RemoveEndpoint(h.ID)
+	w.resetConnections(h)
+	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Destination})
 }
 
 // reset breaks all connections of a host.
-func (w *World) reset(h *host) {
-	h.life++
+func (w *World) resetConnections(h *endpoint) {
+	h.connectionEpoch++
 	var all []*call
 	for c := range h.calls {
 		all = append(all, c)
 	}
-	slices.SortFunc(all, func(a, b *call) int { return cmp.Compare(a.num, b.num) })
+	slices.SortFunc(all, func(a, b *call) int { return cmp.Compare(a.number, b.number) })
 	for _, c := range all {
-		c.broken()
+		c.breakConnection()
 	}
 }
 
 // Slow has a place take factor times as long; 1 ends it.
 func (w *World) SetSlowdown(name string, factor float64) {
-	p := w.places[name]
-	p.slow = factor
+	p := w.services[name]
+	p.slowdown = factor
 	p.SetSlowdown(factor)
-	w.able(p, 1, 0)
+	w.recordCapacity(p, 1, 0)
 }
 
 // Outage begins one of a place, as a scenario's step does.
 func (w *World) BeginOutage(name string, op scenario.Op, share float64, lasts time.Duration) {
-	p := w.places[name]
-	if p.outage != "" {
+	p := w.services[name]
+	if p.outageCause != "" {
 		return // it is out already: the first outage's end ends both
 	}
-	p.outage = op.OutageCause()
-	w.see(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Destination, Hosts: ids(p.standing()), Cause: p.outage})
-	w.able(p, 1, 0)
+	p.outageCause = op.OutageCause()
+	w.record(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Destination, Hosts: endpointIDs(p.runningEndpoints()), Cause: p.outageCause})
+	w.recordCapacity(p, 1, 0)
 	switch op {
 	case scenario.OpFailCalls:
 		p.SetFailureRatio(share)
@@ -546,48 +546,48 @@
 	case scenario.OpSilence:
 		p.SetSilent(true)
 	case scenario.OpCrash:
-		for _, h := range p.standing() {
-			h.isDown = true
-			w.reset(h)
+		for _, h := range p.runningEndpoints() {
+			h.down = true
+			w.resetConnections(h)
 		}
 	case scenario.OpCutOff:
-		for _, h := range p.standing() {
-			h.isCut = true
+		for _, h := range p.runningEndpoints() {
+			h.unreachable = true
 		}
 	}
 }
 
 // Back ends a place's outage: it returns cold, unless it was pushed over.
 func (w *World) EndOutage(name string) {
-	p := w.places[name]
-	cause := p.outage
-	if p.outage = ""; p.Overloaded() {
+	p := w.services[name]
+	cause := p.outageCause
+	if p.outageCause = ""; p.Overloaded() {
 		return
 	}
 	p.SetFailureRatio(0)
 	p.Resume()
 	p.SetSilent(false)
-	hosts := p.standing()
+	hosts := p.runningEndpoints()
 	if len(hosts) == 0 {
 		return // all were replaced meanwhile
 	}
 	cold := p.Recover(w.Now())
-	w.see(
+	w.record(
 		eventlog.Event{
 			Kind:        eventlog.OutageEnded,
 			Place:       name,
 			Destination: p.Destination,
-			Hosts:       ids(hosts),
+			Hosts:       endpointIDs(hosts),
 			Rate:        cold.FullCapacity,
 			Share:       cold.InitialCapacity,
 			For:         cold.Duration,
 		},
 	)
-	w.able(p, cold.InitialCapacity, cold.Duration)
+	w.recordCapacity(p, cold.InitialCapacity, cold.Duration)
 	if cause == eventlog.OutageSilent || cause == eventlog.OutageDown {
 		for _, h := range hosts { // its processes have started anew
-			h.isDown, h.isCut = false, false
-			w.reset(h)
+			h.down, h.unreachable = false, false
+			w.resetConnections(h)
 		}
 	}
 }
