--- a/internal/testkit/faultproxy/control.go
+++ b/internal/testkit/faultproxy/control.go
@@ -16,107 +16,151 @@
 )
 
 const (
-	lineMost = 16 << 10
-	waitMost = 10 * time.Minute
-	sessions = 16 // with the control socket, at once
+	// maxCommandLength bounds a line of the control protocol, in bytes.
+	maxCommandLength = 16 << 10
+	// maxWait bounds the durations of the commands wait and sleep.
+	maxWait = 10 * time.Minute
+	// defaultWait is how long the command wait waits unless it says so.
+	defaultWait = 10 * time.Second
+	// maxControlSessions bounds the connections that are served at once; others wait.
+	maxControlSessions = 16
 )
 
-// Execute carries out one line of the control protocol and returns what is answered, without "ok". The commands are
+// commands are the commands of the control protocol by name. Each gets the text behind its name and returns the answer.
+var commands = map[string]func(p *Proxy, ctx context.Context, argument string) (string, error){
+	"add":    (*Proxy).commandAdd,
+	"remove": (*Proxy).commandRemove,
+	"clear":  (*Proxy).commandClear,
+	"list":   (*Proxy).commandList,
+	"target": (*Proxy).commandTarget,
+	"stats":  (*Proxy).commandStats,
+	"struck": (*Proxy).commandStruck,
+	"wait":   (*Proxy).commandWait,
+	"sleep":  (*Proxy).commandSleep,
+}
+
+// Execute executes one line of the control protocol and returns its answer, without "ok". The commands are
 //
 //	add RULE      adds a rule; answers its number
-//	remove N      takes rule N away
-//	clear         takes all rules away
-//	list          answers each rule, by its number
-//	target ADDR   has connections from now on go elsewhere
+//	remove N      removes rule N
+//	clear         removes all rules
+//	list          answers the rules with their numbers
+//	target ADDR   makes new connections go to another address
 //	stats         answers what has passed
-//	struck N      answers how often rule N has struck
-//	wait N [D]    waits until rule N has struck, 10s or D at most
+//	struck N      answers how often rule N has triggered
+//	wait N [D]    waits until rule N has triggered, at most 10s or D
 //	sleep D       waits
 func (p *Proxy) Execute(ctx context.Context, line string) (string, error) {
-	name, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	rest = strings.TrimSpace(rest)
-	number := func() (int, error) {
-		n, err := strconv.Atoi(rest)
-		if err != nil {
-			return 0, fmt.Errorf("%s takes the number of a rule, not %q", name, rest)
-		}
-		return n, nil
+	name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
+	execute, ok := commands[name]
+	if !ok {
+		return "", fmt.Errorf("unknown command %q", name)
 	}
-	switch name {
-	case "add":
-		r, err := ParseRule(rest)
-		if err != nil {
-			return "", err
-		}
-		id, err := p.AddRule(r)
-		return strconv.Itoa(id), err
-	case "remove":
-		n, err := number()
-		if err == nil && !p.RemoveRule(n) {
-			err = fmt.Errorf("no rule %d", n)
-		}
+	return execute(p, ctx, strings.TrimSpace(argument))
+}
+
+func (p *Proxy) commandAdd(_ context.Context, argument string) (string, error) {
+	rule, err := ParseRule(argument)
+	if err != nil {
+		return "", err
+	}
+	id, err := p.AddRule(rule)
+	return strconv.Itoa(id), err
+}
+
+func (p *Proxy) commandRemove(_ context.Context, argument string) (string, error) {
+	id, err := parseRuleID("remove", argument)
+	if err != nil {
+		return "", err
+	}
+	if !p.RemoveRule(id) {
+		return "", fmt.Errorf("no rule %d", id)
+	}
+	return "", nil
+}
+
+func (p *Proxy) commandClear(context.Context, string) (string, error) {
+	p.ClearRules()
+	return "", nil
+}
+
+func (p *Proxy) commandList(context.Context, string) (string, error) {
+	rules := p.Rules()
+	lines := make([]string, 0, len(rules))
+	for _, id := range slices.Sorted(maps.Keys(rules)) {
+		lines = append(lines, fmt.Sprintf("%d %s", id, rules[id]))
+	}
+	return strings.Join(lines, "\n"), nil
+}
+
+func (p *Proxy) commandTarget(_ context.Context, argument string) (string, error) {
+	if _, _, err := net.SplitHostPort(argument); err != nil {
+		return "", fmt.Errorf("target: %w", err)
+	}
+	p.SetTarget(argument)
+	return "", nil
+}
+
+func (p *Proxy) commandStats(context.Context, string) (string, error) {
+	s := p.Stats()
+	return fmt.Sprintf(
+		"made=%d open=%d up=%d down=%d struck=%d",
+		s.Accepted, s.Active, s.UpstreamBytes, s.DownstreamBytes, s.Triggered,
+	), nil
+}
+
+func (p *Proxy) commandStruck(_ context.Context, argument string) (string, error) {
+	id, err := parseRuleID("struck", argument)
+	if err != nil {
 		return "", err
-	case "clear":
-		p.ClearRules()
-		return "", nil
-	case "list":
-		var all []string
-		rules := p.Rules()
-		for _, id := range slices.Sorted(maps.Keys(rules)) {
-			all = append(all, fmt.Sprintf("%d %s", id, rules[id]))
-		}
-		return strings.Join(all, "\n"), nil
-	case "target":
-		if _, _, err := net.SplitHostPort(rest); err != nil {
-			return "", fmt.Errorf("target: %w", err)
-		}
-		p.SetTarget(rest)
-		return "", nil
-	case "stats":
-		s := p.Stats()
-		return fmt.Sprintf("made=%d open=%d up=%d down=%d struck=%d", s.Accepted, s.Active, s.UpstreamBytes, s.DownstreamBytes, s.Triggered), nil
-	case "struck":
-		n, err := number()
-		return strconv.Itoa(p.TriggerCount(n)), err
-	case "wait":
-		return "", p.wait(ctx, rest)
-	case "sleep":
-		d, err := time.ParseDuration(rest)
-		if err != nil || d < 0 || d > waitMost {
-			return "", fmt.Errorf("sleep takes a duration, %v at most", waitMost)
-		}
-		select {
-		case <-time.After(d):
-			return "", nil
-		case <-ctx.Done():
-			return "", ctx.Err()
-		}
 	}
-	return "", fmt.Errorf("unknown command %q", name)
+	return strconv.Itoa(p.TriggerCount(id)), nil
 }
 
-func (p *Proxy) wait(ctx context.Context, rest string) error {
-	id, limit, _ := strings.Cut(rest, " ")
-	n, err := strconv.Atoi(id)
+func (p *Proxy) commandWait(ctx context.Context, argument string) (string, error) {
+	idText, limit, _ := strings.Cut(argument, " ")
+	id, err := parseRuleID("wait", idText)
 	if err != nil {
-		return fmt.Errorf("wait takes the number of a rule, not %q", id)
+		return "", err
 	}
-	d := 10 * time.Second
+	timeout := defaultWait
 	if limit != "" {
-		if d, err = time.ParseDuration(strings.TrimSpace(limit)); err != nil || d <= 0 || d > waitMost {
-			return fmt.Errorf("wait takes a duration, %v at most", waitMost)
+		timeout, err = time.ParseDuration(strings.TrimSpace(limit))
+		if err != nil || timeout <= 0 || timeout > maxWait {
+			return "", fmt.Errorf("wait takes a duration, %v at most", maxWait)
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, d)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return p.WaitTriggered(ctx, n)
+	return "", p.WaitTriggered(ctx, id)
+}
+
+func (p *Proxy) commandSleep(ctx context.Context, argument string) (string, error) {
+	duration, err := time.ParseDuration(argument)
+	if err != nil || duration < 0 || duration > maxWait {
+		return "", fmt.Errorf("sleep takes a duration, %v at most", maxWait)
+	}
+	select {
+	case <-time.After(duration):
+		return "", nil
+	case <-ctx.Done():
+		return "", ctx.Err()
+	}
 }
 
-// RunScript carries out commands, a line each, until one fails; blank lines and those that begin with # are passed over.
-// tell has each answer.
-func (p *Proxy) RunScript(ctx context.Context, r io.Reader, tell func(line, answer string)) error {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, lineMost)
+func parseRuleID(command, text string) (int, error) {
+	id, err := strconv.Atoi(text)
+	if err != nil {
+		return 0, fmt.Errorf("%s takes the number of a rule, not %q", command, text)
+	}
+	return id, nil
+}
+
+// RunScript executes commands, one a line, until one fails. It ignores blank lines and those that begin with #, and
+// passes each line with its answer to report.
+func (p *Proxy) RunScript(ctx context.Context, script io.Reader, report func(line, answer string)) error {
+	lines := bufio.NewScanner(script)
+	lines.Buffer(nil, maxCommandLength)
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || line[0] == '#' {
@@ -126,56 +170,61 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		tell(line, answer)
+		report(line, answer)
 	}
 	return lines.Err()
 }
 
-// ServeControl serves the control protocol to whoever connects to l, until ctx ends: a command a line, answered by the lines
-// of its answer and "ok", or by "error: " and why.
-func (p *Proxy) ServeControl(ctx context.Context, l net.Listener) error {
-	stop := context.AfterFunc(ctx, func() { l.Close() })
+// ServeControl serves the control protocol on a listener until ctx ends: one command a line, answered by the lines of
+// its answer and "ok", or by "error: " and the reason. It closes the listener.
+func (p *Proxy) ServeControl(ctx context.Context, listener net.Listener) error {
+	stop := context.AfterFunc(ctx, func() { discard(listener) })
 	defer stop()
-	var open sync.WaitGroup
-	defer open.Wait()
-	room := make(chan struct{}, sessions)
+	var sessions sync.WaitGroup
+	defer sessions.Wait()
+	slots := make(chan struct{}, maxControlSessions)
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		switch {
-		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
+		case errors.Is(err, net.ErrClosed):
 			return nil
-		case err != nil:
+		case err != nil && ctx.Err() == nil:
 			return fmt.Errorf("sockfault: control: %w", err)
+		case err != nil:
+			return nil
 		}
-		room <- struct{}{}
-		open.Go(func() {
-			defer func() { <-room }()
-			p.session(ctx, c)
+		slots <- struct{}{}
+		sessions.Go(func() {
+			defer func() { <-slots }()
+			p.serveControlSession(ctx, conn)
 		})
 	}
 }
 
-func (p *Proxy) session(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+func (p *Proxy) serveControlSession(ctx context.Context, conn net.Conn) {
+	defer discard(conn)
+	stop := context.AfterFunc(ctx, func() { discard(conn) })
 	defer stop()
-	lines := bufio.NewScanner(c)
-	lines.Buffer(nil, lineMost)
+	lines := bufio.NewScanner(conn)
+	lines.Buffer(nil, maxCommandLength)
 	for lines.Scan() {
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
 		}
 		answer, err := p.Execute(ctx, lines.Text())
-		switch {
-		case err != nil:
-			answer = "error: " + strings.ReplaceAll(err.Error(), "\n", "; ")
-		case answer != "":
-			answer += "\nok"
-		default:
-			answer = "ok"
-		}
-		if _, err := fmt.Fprintln(c, answer); err != nil {
+		if _, err := fmt.Fprintln(conn, formatAnswer(answer, err)); err != nil {
 			return
 		}
 	}
 }
+
+// formatAnswer returns the lines that answer a command.
+func formatAnswer(answer string, err error) string {
+	switch {
+	case err != nil:
+		return "error: " + strings.ReplaceAll(err.Error(), "\n", "; ")
+	case answer != "":
+		return answer + "\nok"
+	}
+	return "ok"
+}
--- a/internal/testkit/faultproxy/link.go
+++ b/internal/testkit/faultproxy/link.go
@@ -6,72 +6,78 @@
 	"net"
 )
 
-// Link leads both TCP and UDP to one target, through one port: what one relay of a fleet reaches another by.
+const (
+	// maxPortAttempts bounds the search for a port that is free for both TCP and UDP.
+	maxPortAttempts = 20
+	// minStreamCutRatio is the least ratio of dropped datagrams at which a link passes no streams either.
+	minStreamCutRatio = 0.5
+)
+
+// Link is a proxy for TCP and UDP to one target on one port: what one relay of a fleet reaches another through.
 type Link struct {
 	streams   *Proxy
 	datagrams *DatagramProxy
 }
 
-// LinkFaults is what happens on a Link. The zero value is a sound one.
+// LinkFaults are the faults of a Link. The zero value is a healthy link.
 type LinkFaults struct {
-	// Cut has nothing pass: connections come up and stay silent, as through a firewall that drops.
+	// Cut makes nothing pass: connections come up and stay silent, as through a firewall that drops packets.
 	Cut bool
 	DatagramFaults
 }
 
-// portTries bounds the search for a port that is free for both.
-const portTries = 20
-
 // StartLink listens on a free port of an IP address.
 func StartLink(ip, target string, seed uint64) (*Link, error) {
 	var errs []error
-	for range portTries {
-		p, err := Start(net.JoinHostPort(ip, "0"), target, seed)
+	for range maxPortAttempts {
+		streams, err := Start(net.JoinHostPort(ip, "0"), target, seed)
 		if err != nil {
 			return nil, err
 		}
-		d, err := StartDatagramProxy(p.Addr(), target, seed)
+		datagrams, err := StartDatagramProxy(streams.Addr(), target, seed)
 		if err == nil {
-			return &Link{p, d}, nil
+			return &Link{streams: streams, datagrams: datagrams}, nil
 		}
-		errs = append(errs, err, p.Close()) // the port is another's for UDP
+		errs = append(errs, err, streams.Close()) // another socket has the port for UDP
 	}
 	return nil, errors.Join(errs...)
 }
 
-// Addr is where it listens.
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.streams.Addr() }
 
-// SetFaults has faults strike from now on. Streams bear delays and rates as datagrams do; a share that is dropped costs them
-// nothing but, at half and more, everything.
-func (l *Link) SetFaults(f LinkFaults) error {
-	if f.Cut {
-		f.DatagramFaults = DatagramFaults{DropRatio: 1}
+// SetFaults sets the faults from now on. Streams are delayed and throttled as datagrams are. Dropped datagrams cost
+// them nothing, but at half and more nothing of them passes.
+func (l *Link) SetFaults(faults LinkFaults) error {
+	if faults.Cut {
+		faults.DatagramFaults = DatagramFaults{DropRatio: 1}
+	}
+	l.streams.ClearRules()
+	for _, rule := range faults.streamRules() {
+		if _, err := l.streams.AddRule(rule); err != nil {
+			return fmt.Errorf("sockfault: link: %w", err)
+		}
 	}
+	return l.datagrams.SetFaults(Upstream, faults.DatagramFaults)
+}
+
+// streamRules returns the rules that do to streams what the faults do to datagrams.
+func (f LinkFaults) streamRules() []Rule {
 	var rules []Rule
-	for _, dir := range []Direction{Upstream, Downstream} {
-		switch {
-		case f.Cut || f.DropRatio >= 0.5:
-			rules = append(rules, Rule{Direction: dir, Fault: Stall})
+	for _, direction := range []Direction{Upstream, Downstream} {
+		if f.DropRatio >= minStreamCutRatio {
+			rules = append(rules, Rule{Direction: direction, Fault: Stall})
 			continue
-		case f.Delay > 0:
-			rules = append(rules, Rule{Direction: dir, Fault: Delay, Duration: f.Delay})
 		}
-		if f.BytesPerSecond > 0 {
-			rules = append(rules, Rule{Direction: dir, Fault: Throttle, BytesPerSecond: f.BytesPerSecond})
+		if f.Delay > 0 {
+			rules = append(rules, Rule{Direction: direction, Fault: Delay, Duration: f.Delay})
 		}
-	}
-	l.streams.ClearRules()
-	for _, r := range rules {
-		if _, err := l.streams.AddRule(r); err != nil {
-			return fmt.Errorf("sockfault: link: %w", err)
+		if f.BytesPerSecond > 0 {
+			rules = append(rules, Rule{Direction: direction, Fault: Throttle, BytesPerSecond: f.BytesPerSecond})
 		}
 	}
-	return l.datagrams.SetFaults(Upstream, f.DatagramFaults)
+	return rules
 }
 
-// DatagramProxy are the link's, for what has passed.
-func (l *Link) DatagramProxy() *DatagramProxy { return l.datagrams }
-
-// Close ends it.
+// Close closes both proxies.
 func (l *Link) Close() error { return errors.Join(l.streams.Close(), l.datagrams.Close()) }
--- /dev/null
+++ b/internal/testkit/faultproxy/link_test.go
@@ -0,0 +1,73 @@
+package faultproxy
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+)
+
+// startEcho starts a TCP server that sends back what it receives.
+func startEcho(t *testing.T) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	nettest.CloseAtEnd(t, listener)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer nettest.Close(conn)
+				_, _ = io.Copy(conn, conn) // an error shows at the client
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// echoes reports whether a byte comes back in time.
+func echoes(t *testing.T, conn net.Conn, timeout time.Duration) bool {
+	t.Helper()
+	setDeadline(t, conn, time.Now().Add(timeout))
+	if _, err := conn.Write([]byte("x")); err != nil {
+		return false
+	}
+	_, err := io.ReadFull(conn, make([]byte, 1))
+	return err == nil
+}
+
+// A link that is cut is silent in both directions, also on open streams. It is healthy again when the fault ends.
+func TestLinkCut(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
+	link, err := StartLink("127.0.0.1", startEcho(t), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	nettest.CloseAtEnd(t, link)
+	const timeout = 100 * time.Millisecond
+	open := nettest.Dial(t, link.Addr(), "")
+	if !echoes(t, open, nettest.Patience) {
+		t.Fatal("nothing passes a healthy link")
+	}
+	if err := link.SetFaults(LinkFaults{Cut: true}); err != nil {
+		t.Fatal(err)
+	}
+	if echoes(t, open, timeout) || echoes(t, nettest.Dial(t, link.Addr(), ""), timeout) {
+		t.Error("something passes a cut link")
+	}
+	if err := link.SetFaults(LinkFaults{}); err != nil {
+		t.Fatal(err)
+	}
+	if !echoes(t, nettest.Dial(t, link.Addr(), ""), nettest.Patience) {
+		t.Error("nothing passes a healed link")
+	}
+}
--- /dev/null
+++ b/internal/testkit/faultproxy/proxy_test.go
@@ -0,0 +1,90 @@
+package faultproxy
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
+)
+
+func TestProxyPassesBothDirections(t *testing.T) {
+	h := newHarness(t)
+	h.connect()
+	h.send(h.client, "hello")
+	h.expect(h.server, "hello")
+	h.send(h.server, "good day")
+	h.expect(h.client, "good day")
+	nettest.CloseWrite(h.client) // a half-close is passed on as one
+	if text, end := readAll(h.server); text != "" || end != endFIN {
+		t.Errorf("%q, %s", text, end)
+	}
+	h.send(h.server, "still here")
+	nettest.Close(h.server)
+	if text, end := readAll(h.client); text != "still here" || end != endFIN {
+		t.Errorf("%q, %s", text, end)
+	}
+	stats := h.Stats()
+	if stats.UpstreamBytes != 5 || stats.DownstreamBytes != 18 || stats.Accepted != 1 || stats.Triggered != 0 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+func TestProxyPassesResets(t *testing.T) {
+	h := newHarness(t)
+	h.connect()
+	h.send(h.client, "x")
+	h.expect(h.server, "x")
+	nettest.Reset(h.client)
+	if _, end := readAll(h.server); end != endRST {
+		t.Errorf("the server sees %s", end)
+	}
+}
+
+func TestProxyResetsClientIfTargetRefuses(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	nettest.Close(listener)
+	proxy, err := Start("127.0.0.1:0", listener.Addr().String(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nettest.Close(proxy)
+	conn, err := net.Dial("tcp", proxy.Addr())
+	if err != nil {
+		return // it was reset before it came up here
+	}
+	defer nettest.Close(conn)
+	setDeadline(t, conn, time.Now().Add(nettest.Patience))
+	if _, end := readAll(conn); end != endRST {
+		t.Errorf("%s", end)
+	}
+}
+
+func TestProxyAddsAndRemovesRulesOfOpenConnections(t *testing.T) {
+	h := newHarness(t)
+	h.connect()
+	h.send(h.client, "12345")
+	h.expect(h.server, "12345")
+	removed := h.addRule(`dir=up match="b" do=reset`)
+	if !h.RemoveRule(removed) || h.RemoveRule(removed) {
+		t.Error("removed twice, or not at all")
+	}
+	id := h.addRule("dir=up at=7 do=halfclose") // counted from the start of the connection
+	h.send(h.client, "abcd")
+	if text, _ := readAll(h.server); text != "ab" {
+		t.Errorf("%q", text)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), nettest.Patience)
+	defer cancel()
+	if err := h.WaitTriggered(ctx, id); err != nil || h.TriggerCount(id) != 1 || h.TriggerCount(removed) != 0 {
+		t.Errorf("%v, triggered %d and %d", err, h.TriggerCount(id), h.TriggerCount(removed))
+	}
+	h.ClearRules()
+	if len(h.Rules()) != 0 {
+		t.Errorf("%v", h.Rules())
+	}
+}
--- /dev/null
+++ b/internal/testkit/faultproxy/trigger_test.go
@@ -0,0 +1,53 @@
+package faultproxy
+
+import (
+	"bytes"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// A trigger finds its byte however the data are divided: the model looks at all of them at once.
+func TestTriggersDoNotDependOnHowBytesCome(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		data := []byte(rapid.StringMatching(`[ab]{0,40}`).Draw(t, "data"))
+		rule := Rule{
+			Match:  []byte(rapid.StringMatching(`[ab]{0,4}`).Draw(t, "match")),
+			Offset: rapid.Int64Range(0, 10).Draw(t, "offset"),
+			Fault:  Reset,
+		}
+		if len(rule.Match) > 0 {
+			rule.Occurrence = rapid.IntRange(0, 3).Draw(t, "occurrence")
+		}
+		want := modelOffset(rule, data)
+		tested, got, passed := newTrigger(numberedRule{Rule: rule}), int64(-1), int64(0)
+		for rest := data; got < 0 && len(rest) > 0; {
+			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
+			if offset := tested.nextOffset(rest[:n]); offset >= 0 {
+				got = passed + offset
+			}
+			tested.advance(rest[:n])
+			passed, rest = passed+int64(n), rest[n:]
+		}
+		if len(data) > 0 && got != want {
+			t.Fatalf("%s triggers in %q at %d, want %d", rule, data, got, want)
+		}
+	})
+}
+
+// modelOffset returns where a rule triggers in data; -1: not in them.
+func modelOffset(rule Rule, data []byte) int64 {
+	offset := int64(0)
+	for n := 0; len(rule.Match) > 0 && n < max(1, rule.Occurrence); n++ {
+		i := bytes.Index(data[offset:], rule.Match)
+		if i < 0 {
+			return -1
+		}
+		offset += int64(i + len(rule.Match))
+	}
+	offset += rule.Offset
+	if offset > int64(len(data)) {
+		return -1
+	}
+	return offset
+}
