--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -45,7 +45,7 @@
 	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
 	f = scaleScenario(relays, c.Destinations, c.Rate, c.Length)
 	// ten calls a second an endpoint
-	f.Kinds[0] = scenario.Kind{Name: "store", Pace: d(500 * time.Millisecond), Spread: 0.5, Slots: 5}
+	f.DestinationKinds[0] = scenario.DestinationKind{Name: "store", ServiceTime: d(500 * time.Millisecond), ServiceTimeVariation: 0.5, MaxConcurrentCalls: 5}
 	begin, end = c.Length/3, c.Length*2/3
 	switch c.Fault {
 	case "changes":
@@ -53,14 +53,14 @@
 		endpoints := c.Destinations * f.Destinations[0].Endpoints
 		// rounded up to the count by the plan
 		share := math.Nextafter(float64(c.Count/replaceSteps)/float64(endpoints), 0)
-		f.Troubles = []scenario.Trouble{
+		f.Faults = []scenario.Fault{
 			{
-				Kind:    scenario.Draining,
-				At:      d(time.Second),
-				For:     d(c.Length - 10*time.Second),
-				Share:   share,
-				Replace: true,
-				Batch:   1,
+				Kind:             scenario.FaultDrain,
+				Start:            d(time.Second),
+				Duration:         d(c.Length - 10*time.Second),
+				Share:            share,
+				ReplaceEndpoints: true,
+				BatchSize:        1,
 			},
 		}
 	case "outages":
@@ -69,9 +69,9 @@
 			down = append(down, 1+i*c.Destinations/c.Count)
 		}
 		back := (c.Count + backShare - 1) / backShare
-		f.Troubles = []scenario.Trouble{
-			{Kind: scenario.Death, At: d(begin), For: d(end - begin), Destinations: down[:back]},
-			{Kind: scenario.Death, At: d(begin), For: d(c.Length - begin), Destinations: down[back:]},
+		f.Faults = []scenario.Fault{
+			{Kind: scenario.FaultCrash, Start: d(begin), Duration: d(end - begin), Destinations: down[:back]},
+			{Kind: scenario.FaultCrash, Start: d(begin), Duration: d(c.Length - begin), Destinations: down[back:]},
 		}
 		f.Traffic = append(f.Traffic, scenario.Traffic{Rate: c.Struck * float64(c.Count), Destinations: down})
 	case "zone":
@@ -81,14 +81,14 @@
 		}
 		f.Destinations[0].Zones = nil
 		end = begin + c.Away
-		f.Troubles = []scenario.Trouble{{Kind: scenario.Kill, At: d(begin), Zone: "z1"}}
+		f.Faults = []scenario.Fault{{Kind: scenario.FaultKill, Start: d(begin), Zone: "z1"}}
 	case "restarts":
 		end = begin + min(restartSpan, c.Length/3)
 		count := math.Ceil(restartShare * float64(relays))
-		f.Troubles = []scenario.Trouble{
+		f.Faults = []scenario.Fault{
 			{
-				Kind:    scenario.Term,
-				At:      d(begin),
+				Kind:    scenario.FaultTerminate,
+				Start:   d(begin),
 				Share:   restartShare,
 				Stagger: d(time.Duration(float64(end-begin) / count)),
 			},
@@ -109,7 +109,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		ok, err := c.play(s, n, func(o *emulate.Options) { o.Wrong = wrong })
+		ok, err := c.play(s, n, func(o *emulate.Options) { o.Mutant = wrong })
 		if err != nil {
 			return err
 		}
@@ -124,13 +124,13 @@
 // play plays the fault with so many relays, and tells whether all held.
 func (c *faultsCommand) play(s *cli.Streams, relays int, change func(*emulate.Options)) (held bool, err error) {
 	f, begin, end := c.file(relays)
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		return false, err
 	}
-	x := newFaultWatch(f.DrawWorld(c.Seed), begin, end)
+	x := newFaultWatch(f.DrawWithoutArrivals(c.Seed), begin, end)
 	opts := x.options()
 	if c.Fault == "zone" {
-		opts.StartAfter = c.Away
+		opts.RestartDelay = c.Away
 	}
 	opts.Record = c.Judged
 	change(&opts)
@@ -152,9 +152,9 @@
 		relays,
 		c.Destinations,
 		c.Length,
-		x.w.Offered,
+		x.w.Submitted,
 		took.Seconds(),
-		float64(x.w.Offered)/took.Seconds(),
+		float64(x.w.Submitted)/took.Seconds(),
 		float64(peak.Load())/1e6,
 	)
 	held = x.tell(s)
@@ -215,24 +215,24 @@
 		dest: map[string]int{}, out: map[int][2]time.Duration{}, by: map[int]int{}, found: map[[2]int]struct{}{},
 	}
 	for _, e := range x.plan.Endpoints {
-		x.dest[e.ID] = e.Dest
+		x.dest[e.ID] = e.Destination
 	}
 	places := map[string]int{}
-	for _, p := range x.plan.Places {
-		places[p.Name] = p.Dest
+	for _, p := range x.plan.Services {
+		places[p.Name] = p.Destination
 	}
 	for _, step := range x.plan.Steps {
-		switch state := map[scenario.Op]string{scenario.OpList: eventlog.StateReady, scenario.OpDrain: eventlog.StateDraining, scenario.OpGone: eventlog.StateGone}[step.Op]; {
+		switch state := map[scenario.Op]string{scenario.OpAddEndpoint: eventlog.StateReady, scenario.OpDrainEndpoint: eventlog.StateDraining, scenario.OpRemoveEndpoint: eventlog.StateGone}[step.Op]; {
 		case state != "":
 			c := heardChange{step.Target, state}
 			x.changes[c] = &spread{told: step.At}
 			x.order = append(x.order, c)
-		case step.Op == scenario.OpDown:
+		case step.Op == scenario.OpCrash:
 			x.out[places[step.Target]] = [2]time.Duration{step.At, math.MaxInt64}
-		case step.Op == scenario.OpBack:
+		case step.Op == scenario.OpRestore:
 			d := places[step.Target]
 			x.out[d] = [2]time.Duration{x.out[d][0], step.At}
-		case step.Op == scenario.OpKill || step.Op == scenario.OpTerm:
+		case step.Op == scenario.OpKill || step.Op == scenario.OpTerminate:
 			x.ended++
 		}
 	}
@@ -242,7 +242,7 @@
 func (x *faultWatch) options() emulate.Options {
 	return emulate.Options{
 		ZoneLatency: 2 * time.Millisecond,
-		Heard: func(relay int, route, state string) {
+		OnListChange: func(relay int, route, state string) {
 			s := x.changes[heardChange{route, state}]
 			s.heard++
 			if s.last = x.w.Now(); state == eventlog.StateReady {
@@ -255,7 +255,7 @@
 				x.drained[route][relay] = x.w.Now()
 			}
 		},
-		Stepped: func(relay int, _ time.Duration, _ []policy.Event, acts []policy.Action) {
+		OnStep: func(relay int, _ time.Duration, _ []policy.Event, acts []policy.Action) {
 			if x.w == nil {
 				return // its relays have begun; nothing was handed in yet
 			}
@@ -276,12 +276,12 @@
 				}
 			}
 		},
-		Asked: func(_, dest int) {
+		OnSubmission: func(_, dest int) {
 			if c := x.count(dest, x.w.Now()); c != nil {
 				c.asked++
 			}
 		},
-		Delivered: func(dest int, asked, _ time.Duration) {
+		OnDelivery: func(dest int, asked, _ time.Duration) {
 			if c := x.count(dest, asked); c != nil {
 				c.served++
 			}
@@ -294,7 +294,7 @@
 	switch out, ok := x.out[dest]; {
 	case !ok:
 		return &x.others
-	case out[1] < x.plan.File.Length.D() && at >= out[1]:
+	case out[1] < x.plan.File.Length.AsDuration() && at >= out[1]:
 		return &x.back
 	}
 	return nil
@@ -302,28 +302,28 @@
 
 // tell prints what was measured; false if a rule was broken or a relay does not have a change.
 func (x *faultWatch) tell(s *cli.Streams) bool {
-	share := func(from, to time.Duration) float64 { return x.w.Between(from, to) }
+	share := func(from, to time.Duration) float64 { return x.w.OverallBetween(from, to) }
 	fmt.Fprintf(
 		s.Out,
 		"  worth served: before %.4f, meanwhile %.4f, after %.4f; destinations pushed over: %d\n",
 		share(0, x.begin-beforeUntil),
 		share(x.begin, x.end),
-		share(x.end, x.plan.File.Length.D()),
-		x.w.Fell,
+		share(x.end, x.plan.File.Length.AsDuration()),
+		x.w.Overloads,
 	)
 	fmt.Fprintf(
 		s.Out,
 		"  calls %d: refused %d, failed %d; not opened %d; hand-ins refused %d, unanswered %d; deferred %d, failed %d\n",
 		x.w.Calls,
-		x.w.CallsFull,
+		x.w.CallsRejected,
 		x.w.CallsFailed,
-		x.w.NotOpened,
-		x.w.Refused,
+		x.w.ConnectionsRefused,
+		x.w.Rejected,
 		x.w.Unanswered,
 		x.w.Deferred,
 		x.w.Failed,
 	)
-	held := x.w.Fell == 0
+	held := x.w.Overloads == 0
 	if len(x.order) > 0 {
 		var all []time.Duration
 		missing := 0
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -41,7 +41,7 @@
 // listing is how the list has an entry.
 func (w *World) listing(h *host, state string) policy.Endpoint {
 	return policy.Endpoint{
-		ID: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
+		ID: h.ID, Destination: h.Destination, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
 		InService: state == eventlog.StateReady, Removed: state == eventlog.StateGone,
 	}
 }
@@ -49,7 +49,7 @@
 // listed appends a destination's entries after so many changes, in the order in which they were first listed.
 func (w *World) listed(all []policy.Endpoint, dest, changes int) []policy.Endpoint {
 	var hosts []*host
-	for _, p := range w.Places(dest) {
+	for _, p := range w.Services(dest) {
 		for _, h := range p.hosts {
 			if h.stateAt(changes) != "" {
 				hosts = append(hosts, h)
@@ -80,7 +80,7 @@
 }
 
 // Tell has discovery tell each relay of a change of an entry, as late as it is and in the order of the changes.
-func (w *World) Tell(id, state string) {
+func (w *World) ChangeEndpoint(id, state string) {
 	h := w.hosts[id]
 	w.changed(h.Endpoint, state)
 	w.changes++
@@ -94,7 +94,7 @@
 	}
 	d := w.plan.File.Discovery
 	for _, r := range w.relays {
-		late := d.Least.D() + time.Duration(w.delays.Float64()*float64(d.Most-d.Least)) + r.late
+		late := d.MinDelay.AsDuration() + time.Duration(w.delays.Float64()*float64(d.MaxDelay-d.MinDelay)) + r.late
 		if w.opts.ListDelay != nil {
 			late = w.opts.ListDelay(r.n)
 		}
@@ -121,8 +121,8 @@
 	w, h := r.w, c.h
 	r.heard = c.change
 	r.entries += c.more
-	if w.opts.Heard != nil {
-		w.opts.Heard(r.n, h.ID, c.state)
+	if w.opts.OnListChange != nil {
+		w.opts.OnListChange(r.n, h.ID, c.state)
 	}
 	if c.state == eventlog.StateGone {
 		r.dropPool(h)
@@ -130,15 +130,15 @@
 	if !r.up {
 		return // the next process begins with it
 	}
-	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Dest})
+	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Destination})
 	if r.large() && c.more > 0 {
-		r.working.EndpointAdded(h.Dest, r.now())
+		r.working.EndpointAdded(h.Destination, r.now())
 	}
-	if r.large() && !r.working.Contains(h.Dest) {
+	if r.large() && !r.working.Contains(h.Destination) {
 		return // it is at rest: what the list has is told when it wakes
 	}
 	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
-	if !r.large() && r.entries > w.opts.WholeMost {
+	if !r.large() && r.entries > w.opts.MaxEagerEndpoints {
 		r.becomeLarge()
 	}
 }
@@ -163,5 +163,5 @@
 }
 
 func (w *World) kind(e scenario.Endpoint) int {
-	return slices.IndexFunc(w.plan.File.Kinds, func(k scenario.Kind) bool { return k.Name == e.Kind })
+	return slices.IndexFunc(w.plan.File.DestinationKinds, func(k scenario.DestinationKind) bool { return k.Name == e.Kind })
 }
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -30,7 +30,7 @@
 		if strings.HasSuffix(name, ".toml") {
 			name = filepath.Join(filepath.Dir(path), name)
 		}
-		return scenario.LoadFor(name, scenario.EmulatorBounds)
+		return scenario.LoadWithin(name, scenario.EmulatorBounds)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	var m policy.Settings
-	o.Settings(&m)
+	o.ChangeSettings(&m)
 	var b strings.Builder
 	for _, c := range []struct {
 		key   string
@@ -72,20 +72,20 @@
 		{"judged", o.Record},
 		{"emulator.latency", o.Latency},
 		{"emulator.zone_latency", o.ZoneLatency},
-		{"emulator.idle_resets", o.IdleResets},
-		{"emulator.connections", o.Connections},
-		{"emulator.beyond", emulate.Beyonds[o.Beyond]},
-		{"emulator.mutant", o.Wrong.Name},
+		{"emulator.idle_resets", o.IdleResetRatio},
+		{"emulator.connections", o.MaxConnections},
+		{"emulator.beyond", emulate.ExcessConnectionNames[o.ExcessConnections]},
+		{"emulator.mutant", o.Mutant.Name},
 		{"module.senders", m.FleetSize},
 		{"module.slots", m.MaxInFlightCalls},
 		{"module.cold_share", m.WarmUpInitialCapacity},
 		{"module.overload_factor", m.OverloadFactor},
 		{"module.warm_within", m.WarmUpDuration},
 		{"module.order_pause", m.OrderingPause},
-		{"settings.slots", f.Settings.Slots},
+		{"settings.slots", f.Settings.MaxConcurrentCalls},
 		{"traffic.1.rate", f.Traffic[0].Rate},
-		{"destination.1.weight", f.Destinations[0].Weight},
-		{"destination.2.weight", f.Destinations[1].Weight},
+		{"destination.1.weight", f.Destinations[0].TrafficWeight},
+		{"destination.2.weight", f.Destinations[1].TrafficWeight},
 	} {
 		fmt.Fprintf(&b, "%s = %v\n", c.key, c.value)
 	}
