--- /dev/null
+++ b/internal/cli/output.go
@@ -0,0 +1,54 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+)
+
+// Printer writes a command's output and keeps the first error.
+type Printer struct {
+	out io.Writer
+	err error
+}
+
+// NewPrinter returns a printer to a writer.
+func NewPrinter(out io.Writer) *Printer { return &Printer{out: out} }
+
+// Printf prints in the manner of fmt.Printf. After an error it prints nothing.
+func (p *Printer) Printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.out, format, args...)
+	}
+}
+
+// Err returns the first error.
+func (p *Printer) Err() error { return p.err }
+
+// ProgressFlags are the flags of a command that shows its progress.
+type ProgressFlags struct {
+	Quiet bool `help:"Show no progress." short:"q"`
+}
+
+// ProgressLine returns a progress line on a writer, which shows nothing if the user asked for none.
+func (f ProgressFlags) ProgressLine(out io.Writer) *ProgressLine {
+	if f.Quiet {
+		out = io.Discard
+	}
+	return &ProgressLine{out: out}
+}
+
+// overwriteLine moves a terminal's cursor to the start of the line and clears the line.
+const overwriteLine = "\r\x1b[K"
+
+// ProgressLine shows progress on one line of a terminal. Errors are ignored: the command goes on without the line.
+type ProgressLine struct{ out io.Writer }
+
+// Update replaces the line.
+func (l *ProgressLine) Update(format string, args ...any) {
+	_, _ = fmt.Fprintf(l.out, overwriteLine+format, args...) // see ProgressLine
+}
+
+// End ends the line.
+func (l *ProgressLine) End() {
+	_, _ = fmt.Fprintln(l.out) // see ProgressLine
+}
