--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -9,130 +9,163 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
 	"cherrytrestle.example/cherrytrestle/internal/simulation/modelcheck"
 )
 
+//nolint:lll // A struct tag is one line.
 type checkCommand struct {
-	Worlds []string `name:"world" help:"Worlds; default: all that come with it."`
-	Mutant string   `help:"Check a relay that has this wrong about it." placeholder:"NAME"`
-	Depth  int      `help:"Moves on a path at most; 0: each world's."`
-	Deeper int      `help:"So many moves more than each world's own bound."`
-	States int      `help:"States of a world at most; 0: 4 million." `
-	Keep   string   `help:"File for the path to a break." default:"counterexample.json" placeholder:"FILE"`
-	Replay string   `help:"Play the path in this file again, and nothing else." type:"existingfile" placeholder:"FILE"`
-	List   bool     `help:"List the worlds."`
+	Worlds []string   `name:"world" help:"Worlds; default: all that come with it."`
+	Mutant mutantName `help:"Check a relay that has this wrong about it." placeholder:"NAME"`
+	Depth  int        `help:"Moves on a path at most; 0: each world's."`
+	Deeper int        `help:"So many moves more than each world's own bound."`
+	States int        `help:"States of a world at most; 0: 4 million."`
+	Keep   string     `help:"File for the path to a break." default:"counterexample.json" placeholder:"FILE"`
+	Replay string     `help:"Play the path in this file again, and nothing else." type:"existingfile" placeholder:"FILE"`
+	List   bool       `help:"List the worlds."`
 }
 
-// Run explores.
+// Run checks the models. It writes the counterexample of the first that violates a rule into a file.
 func (c *checkCommand) Run(ctx context.Context, s *cli.Streams) error {
 	if c.List {
-		for _, w := range modelcheck.Models() {
-			fmt.Fprintf(s.Out, "%-10s to %2d moves: %s\n", w.Name, w.MaxDepth, w.Description)
-		}
-		return nil
+		return listModels(s)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
 	}
-	wrong, err := mutant(c.Mutant)
+	mutant, err := c.Mutant.find()
 	if err != nil {
 		return err
 	}
-	worlds := modelcheck.Models()
-	if len(c.Worlds) > 0 {
-		worlds = nil
-		for _, name := range c.Worlds {
-			w := modelcheck.ModelNamed(name)
-			if w == nil {
-				return fmt.Errorf("no world %q", name)
-			}
-			worlds = append(worlds, *w)
-		}
+	models, err := c.models()
+	if err != nil {
+		return err
 	}
-	broken := false
-	for i := range worlds {
-		w := &worlds[i]
-		depth := c.Depth
-		if depth == 0 {
-			depth = w.MaxDepth
-		}
-		began := time.Now()
-		f, err := modelcheck.Check(
-			ctx,
-			w,
-			modelcheck.Options{Mutant: wrong, MaxDepth: depth + c.Deeper, MaxStates: c.States},
-		)
-		if err != nil && !errors.Is(err, context.Canceled) {
+	out := cli.NewPrinter(s.Out)
+	held := true
+	for i := range models {
+		counterexample, err := c.check(ctx, out, &models[i], mutant)
+		if err != nil {
 			return err
 		}
-		how := fmt.Sprintf("to %d moves", f.Depth)
-		switch {
-		case f.Complete:
-			how = "whole"
-		case f.RandomWalks > 0:
-			how += fmt.Sprintf(", and %d random paths", f.RandomWalks)
-		case f.Truncated:
-			how += ", and part of the next: cut off"
-		}
-		fmt.Fprintf(
-			s.Out,
-			"%-10s %9d states  %9d moves played  %s  %v",
-			w.Name,
-			f.States,
-			f.Transitions,
-			how,
-			time.Since(began).Round(time.Millisecond),
-		)
-		if f.Violation == nil {
-			fmt.Fprintln(s.Out, "  all rules held")
-			if err != nil {
-				return err
-			}
+		if counterexample == nil {
 			continue
 		}
-		fmt.Fprintf(s.Out, "\n%s: BROKEN after %d moves: %s\n", f.Violation.Rule, len(f.Trace), f.Violation.Detail)
-		p := modelcheck.Counterexample{Model: w.Name, Mutant: c.Mutant, Rule: f.Violation.Rule, Moves: f.Trace}
-		if err := p.WriteTrace(s.Out); err != nil {
+		if err := counterexample.WriteTrace(s.Out); err != nil {
 			return err
 		}
-		if !broken {
-			data, err := json.MarshalIndent(p, "", " ")
-			if err == nil {
-				err = os.WriteFile(c.Keep, append(data, '\n'), 0o600)
-			}
-			if err != nil {
+		if held {
+			if err := c.keep(out, counterexample); err != nil {
 				return err
 			}
-			fmt.Fprintf(s.Out, "kept in %s: emulate check --replay %s\n", c.Keep, c.Keep)
 		}
-		broken = true
+		held = false
+	}
+	return finish(out, ruleStatus(held))
+}
+
+func listModels(s *cli.Streams) error {
+	out := cli.NewPrinter(s.Out)
+	for _, model := range modelcheck.Models() {
+		out.Printf("%-10s to %2d moves: %s\n", model.Name, model.MaxDepth, model.Description)
+	}
+	return finish(out, exitHeld)
+}
+
+// models returns the models to check.
+func (c *checkCommand) models() ([]modelcheck.Model, error) {
+	if len(c.Worlds) == 0 {
+		return modelcheck.Models(), nil
+	}
+	var models []modelcheck.Model
+	for _, name := range c.Worlds {
+		model := modelcheck.ModelNamed(name)
+		if model == nil {
+			return nil, fmt.Errorf("no world %q", name)
+		}
+		models = append(models, *model)
+	}
+	return models, nil
+}
+
+// check checks a model, and returns a counterexample if it violates a rule.
+func (c *checkCommand) check(
+	ctx context.Context, out *cli.Printer, model *modelcheck.Model, mutant *emulate.Mutant,
+) (*modelcheck.Counterexample, error) {
+	depth := c.Depth
+	if depth == 0 {
+		depth = model.MaxDepth
+	}
+	options := modelcheck.Options{Mutant: mutant, MaxDepth: depth + c.Deeper, MaxStates: c.States}
+	start := time.Now()
+	result, err := modelcheck.Check(ctx, model, options)
+	if err != nil && !errors.Is(err, context.Canceled) {
+		return nil, err
+	}
+	out.Printf("%-10s %9d states  %9d moves played  %s  %v", model.Name, result.States, result.Transitions,
+		describeCoverage(result), time.Since(start).Round(time.Millisecond))
+	violation := result.Violation
+	if violation == nil {
+		out.Printf("  all rules held\n")
+		return nil, err
+	}
+	out.Printf("\n%s: BROKEN after %d moves: %s\n", violation.Rule, len(result.Trace), violation.Detail)
+	return &modelcheck.Counterexample{
+		Model:  model.Name,
+		Mutant: string(c.Mutant),
+		Rule:   violation.Rule,
+		Moves:  result.Trace,
+	}, nil
+}
+
+// describeCoverage tells what part of a model was checked.
+func describeCoverage(result modelcheck.Result) string {
+	switch {
+	case result.Complete:
+		return "whole"
+	case result.RandomWalks > 0:
+		return fmt.Sprintf("to %d moves, and %d random paths", result.Depth, result.RandomWalks)
+	case result.Truncated:
+		return fmt.Sprintf("to %d moves, and part of the next: cut off", result.Depth)
+	}
+	return fmt.Sprintf("to %d moves", result.Depth)
+}
+
+// keep writes a counterexample into the file of --keep.
+func (c *checkCommand) keep(out *cli.Printer, counterexample *modelcheck.Counterexample) error {
+	data, err := json.MarshalIndent(counterexample, "", " ")
+	if err != nil {
+		return err
 	}
-	if broken {
-		return cli.Exit(exitBroken)
+	if err := os.WriteFile(c.Keep, append(data, '\n'), 0o600); err != nil {
+		return err
 	}
+	out.Printf("kept in %s: emulate check --replay %s\n", c.Keep, c.Keep)
 	return nil
 }
 
+// replay plays the counterexample of a file again.
 func (c *checkCommand) replay(s *cli.Streams) error {
 	data, err := os.ReadFile(c.Replay)
 	if err != nil {
 		return err
 	}
-	p, err := modelcheck.ParseCounterexample(data)
+	counterexample, err := modelcheck.ParseCounterexample(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Replay, err)
 	}
-	if err := p.WriteTrace(s.Out); err != nil {
+	if err := counterexample.WriteTrace(s.Out); err != nil {
 		return err
 	}
-	b, err := p.Replay()
+	violation, err := counterexample.Replay()
 	if err != nil {
 		return err
 	}
-	if b == nil {
-		fmt.Fprintln(s.Out, "no rule is broken on this path")
-		return nil
+	out := cli.NewPrinter(s.Out)
+	if violation == nil {
+		out.Printf("no rule is broken on this path\n")
+		return finish(out, exitHeld)
 	}
-	fmt.Fprintf(s.Out, "%s: BROKEN: %s\n", b.Rule, b.Detail)
-	return cli.Exit(exitBroken)
+	out.Printf("%s: BROKEN: %s\n", violation.Rule, violation.Detail)
+	return finish(out, exitViolated)
 }
--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiments_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"maps"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -9,65 +10,59 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
 )
 
-// The experiments that are kept beside the documents load, and a run of each day of many relays breaks no rule. The
-// mutant that ignores drains breaks one of the herd day: the judge is at work.
-func TestTheExperimentsOfTheDocuments(t *testing.T) {
+// TestDocumentedExperiments loads the experiments of the documents, and plays the runs with twenty relays and seed 1
+// of those about many relays: no rule is violated. In many-herd the mutant that ignores drains violates one, so the
+// checker is at work.
+func TestDocumentedExperiments(t *testing.T) {
 	paths, err := filepath.Glob("../../docs/experiments/*.toml")
 	if err != nil || len(paths) < 8 {
 		t.Fatalf("%d files, %v", len(paths), err)
 	}
-	many := 0
+	manyRelays := 0
 	for _, path := range paths {
 		if strings.HasPrefix(filepath.Base(path), "fleet-") {
-			continue // scenarios of the others
+			continue // a scenario of other experiments
 		}
-		p, err := parsePlan(path)
+		plan, err := loadPlan(path)
 		if err != nil {
 			t.Errorf("%s: %v", path, err)
 			continue
 		}
-		if !strings.HasPrefix(p.Name, "many-") {
-			continue
-		}
-		many++
-		least := 0.8
-		if p.Name == "many-split" {
-			least = 0.65 // a zone is away for a fifth of it
-		}
-		for _, r := range p.Runs() {
-			if r.Cell[0].Value != "20" || r.Seed > 1 {
-				continue
-			}
-			if res := p.Play(r); res.Error != "" || res.Measures["broken"] > 0 || res.Measures["fell"] > 0 ||
-				res.Measures["service"] < least {
-				t.Errorf(
-					"%s, %s: %s, service %.2f, broken %v",
-					p.Name,
-					r.Key(),
-					res.Error,
-					res.Measures["service"],
-					res.ViolatedRules,
-				)
-			}
-			if p.Name != "many-herd" {
-				continue
-			}
-			if p.Overrides["emulator.mutant"] = "drains-ignored"; !brokenDrains(t, p, r.Key()) {
-				t.Error("a relay that ignores drains keeps all rules")
-			}
+		if strings.HasPrefix(plan.Name, "many-") {
+			manyRelays++
+			t.Run(plan.Name, func(t *testing.T) { checkManyRelays(t, plan) })
 		}
 	}
-	if many != 5 {
-		t.Errorf("%d days of many relays, want 5", many)
+	if manyRelays != 5 {
+		t.Errorf("%d experiments about many relays, want 5", manyRelays)
 	}
 }
 
-func brokenDrains(t *testing.T, p experiment.Plan, key string) bool {
-	t.Helper()
-	for _, r := range p.Runs() {
-		if r.Key() == key {
-			return p.Play(r).ViolatedRules[string(checker.DrainRespected)] > 0
+// checkManyRelays plays the runs with twenty relays and seed 1.
+func checkManyRelays(t *testing.T, plan experiment.Plan) {
+	minService := 0.8
+	if plan.Name == "many-split" {
+		minService = 0.65 // a zone is away for a fifth of it
+	}
+	for i, run := range plan.Runs() {
+		if run.Cell[0].Value != "20" || run.Seed > 1 {
+			continue
+		}
+		result := plan.Play(run)
+		service := result.Measures[experiment.MeasureService]
+		if result.Error != "" || result.Measures[experiment.MeasureViolatedRules] > 0 ||
+			result.Measures[experiment.MeasureOverloads] > 0 || service < minService {
+			t.Errorf("%s: %s, service %.2f, violated %v", run.Key(), result.Error, service, result.ViolatedRules)
+		}
+		if plan.Name != "many-herd" {
+			continue
+		}
+		mutated := plan
+		mutated.Overrides = maps.Clone(plan.Overrides)
+		mutated.Overrides["emulator.mutant"] = "drains-ignored"
+		result = mutated.Play(mutated.Runs()[i])
+		if result.ViolatedRules[string(checker.DrainRespected)] == 0 {
+			t.Error("a relay that ignores drains keeps all rules")
 		}
 	}
-	return false
 }
--- /dev/null
+++ b/cmd/emulate/faults_test.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+)
+
+// TestMissedListChange has one relay of forty hear of no change of the list within the world's time: the command
+// reports the changes as missing.
+func TestMissedListChange(t *testing.T) {
+	var text bytes.Buffer
+	c := faultsCommand{
+		Fault:        faultChanges,
+		Destinations: 2500,
+		Count:        60,
+		loadFlags:    loadFlags{Rate: 20, Length: 30 * time.Second},
+		Seed:         1,
+	}
+	held, err := c.play(cli.NewPrinter(&text), 40, func(o *emulate.Options) {
+		o.ListDelay = func(relay int) time.Duration {
+			if relay == 7 {
+				return time.Hour
+			}
+			return time.Second
+		}
+	})
+	if err != nil || held || !strings.Contains(text.String(), "60 that some relay does not have") {
+		t.Errorf("held %v, %v:\n%s", held, err, text.String())
+	}
+}
--- a/cmd/emulate/golden_test.go
+++ b/cmd/emulate/golden_test.go
@@ -17,8 +17,8 @@
 
 // TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
 func TestGoldenHelp(t *testing.T) {
-	commands := []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"}
-	golden.CheckHelp(t, *update, "emulate", commands, command)
+	names := []string{"", "run", "experiment", "compare", "report", "hunt", "check", "power", "scale", "faults"}
+	golden.CheckHelp(t, *update, "emulate", names, run)
 }
 
 // wallTime is how long a run took on this machine.
@@ -40,7 +40,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			status, out := do(t, "run", c.scenario, "--seed", c.seed, "--out", dir)
+			status, out := runArgs(t, "run", c.scenario, "--seed", c.seed, "--out", dir)
 			verdict, err := os.ReadFile(filepath.Join(dir, report.JSONName))
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -3,90 +3,76 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"os"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/simulation/experiment"
 )
 
+//nolint:lll // A struct tag is one line.
 type huntCommand struct {
-	Scenario string `arg:"" help:"The scenario whose world and load are struck: one that comes with the kit, or a file."`
-	Plans    int    `help:"Plans that are tried." default:"200"`
-	Seed     uint64 `help:"Seed of the search." default:"1"`
-	Mutant   string `help:"Hunt a relay that has this wrong about it." placeholder:"NAME"`
-	Out      string `help:"File for the scenario that was found." default:"hunted.toml" placeholder:"FILE"`
-	Quiet    bool   `help:"Show no progress." short:"q"`
+	Scenario scenarioName `arg:"" help:"The scenario whose world and load are struck: one that comes with the kit, or a file."`
+	Plans    int          `help:"Plans that are tried." default:"200"`
+	Seed     uint64       `help:"Seed of the search." default:"1"`
+	Mutant   mutantName   `help:"Hunt a relay that has this wrong about it." placeholder:"NAME"`
+	Out      string       `help:"File for the scenario that was found." default:"hunted.toml" placeholder:"FILE"`
+	cli.ProgressFlags
 }
 
-// Run hunts.
+var errPlans = errors.New("--plans must be above 0")
+
+// Run searches, and keeps the scenario that it finds.
 func (c *huntCommand) Run(ctx context.Context, s *cli.Streams) error {
-	base, err := load(c.Scenario)
+	base, err := c.Scenario.load()
 	if err != nil {
 		return err
 	}
-	wrong, err := mutant(c.Mutant)
+	mutant, err := c.Mutant.find()
 	if err != nil {
 		return err
 	}
 	if c.Plans < 1 {
-		return fmt.Errorf("--plans must be above 0")
-	}
-	h := experiment.Search{Base: base, Candidates: c.Plans, Seed: c.Seed, Mutant: wrong}
-	if !c.Quiet {
-		h.Progress = func(done int, worst experiment.Candidate) {
-			fmt.Fprintf(
-				s.Err,
-				"\r\x1b[K%d of %d  worst: service %.3f  %d rules broken",
-				done,
-				c.Plans,
-				worst.Service,
-				len(worst.ViolatedRules),
-			)
-		}
+		return errPlans
 	}
-	p, err := h.Run(ctx)
-	if !c.Quiet {
-		fmt.Fprintln(s.Err)
+	progress := c.ProgressLine(s.Err)
+	search := experiment.Search{
+		Base:       base,
+		Candidates: c.Plans,
+		Seed:       c.Seed,
+		Mutant:     mutant,
+		Progress: func(done int, worst experiment.Candidate) {
+			progress.Update("%d of %d  worst: service %.3f  %d rules broken",
+				done, c.Plans, worst.Service, len(worst.ViolatedRules))
+		},
 	}
-	if err != nil && (!errors.Is(err, context.Canceled) || p.Scenario.Name == "") {
+	found, err := search.Run(ctx)
+	progress.End()
+	cancelledWithCandidate := errors.Is(err, context.Canceled) && found.Scenario.Name != ""
+	if err != nil && !cancelledWithCandidate {
 		return err
 	}
-	p.Scenario.Seed = p.Seed
-	data, err := p.Scenario.Encode()
+	found.Scenario.Seed = found.Seed
+	data, err := found.Scenario.Encode()
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(c.Out, data, 0o600); err != nil {
 		return err
 	}
-	fmt.Fprintf(
-		s.Out,
-		"worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
-		c.Plans,
-		p.Service,
-		len(p.Scenario.Faults),
-		p.Seed,
-		c.Out,
-		c.Out,
-	)
-	for _, t := range p.Scenario.Faults {
-		fmt.Fprintf(
-			s.Out,
-			"  %v  %s for %v  destinations %v share %.2f relays %v\n",
-			t.Start.AsDuration(),
-			t.Kind,
-			t.Duration.AsDuration(),
-			t.Destinations,
-			t.Share,
-			t.Relays,
-		)
-	}
-	for _, r := range p.ViolatedRules {
-		fmt.Fprintf(s.Out, "BROKEN: %s\n", r)
+	return c.printCandidate(s, found)
+}
+
+func (c *huntCommand) printCandidate(s *cli.Streams, found experiment.Candidate) error {
+	out := cli.NewPrinter(s.Out)
+	faults := found.Scenario.Faults
+	out.Printf("worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
+		c.Plans, found.Service, len(faults), found.Seed, c.Out, c.Out)
+	for _, fault := range faults {
+		out.Printf("  %v  %s for %v  destinations %v share %.2f relays %v\n", fault.Start.AsDuration(),
+			fault.Kind, fault.Duration.AsDuration(), fault.Destinations, fault.Share, fault.Relays)
 	}
-	if len(p.ViolatedRules) > 0 {
-		return cli.Exit(exitBroken)
+	for _, rule := range found.ViolatedRules {
+		out.Printf("BROKEN: %s\n", rule)
 	}
-	return nil
+	return finish(out, ruleStatus(len(found.ViolatedRules) == 0))
 }
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -4,12 +4,8 @@
 	"context"
 	"fmt"
 	"runtime"
-	"runtime/debug"
-	"runtime/metrics"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/cli"
@@ -18,216 +14,170 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
+//nolint:lll // A struct tag is one line.
 type scaleCommand struct {
-	Relays       []int         `help:"Numbers of relays." default:"1,2,10,100"`
-	Destinations int           `help:"Destinations." default:"100"`
-	Worlds       []string      `help:"Numbers of relays and of destinations, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
-	Rate         float64       `help:"Messages a second, of all clients." default:"200"`
-	Length       time.Duration `help:"Virtual time." default:"1m"`
-	Seed         uint64        `default:"1"`
+	Relays       []int    `help:"Numbers of relays." default:"1,2,10,100"`
+	Destinations int      `help:"Destinations." default:"100"`
+	Worlds       []string `help:"Numbers of relays and of destinations, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
+	loadFlags
+	Seed uint64 `default:"1"`
 }
 
-type size struct{ relays, destinations int }
+// scaleRow is the measures of one world.
+type scaleRow struct {
+	size      worldSize
+	measures  map[string]float64
+	submitted int
+	overloads int
+	elapsed   time.Duration
+	peak      int64 // bytes that the process held
+	// The bytes of the heap: of a world with one relay and of each further one, before anything has happened, and of
+	// the world at its end.
+	oneRelay int64
+	perRelay float64
+	end      int64
+}
 
-func (c *scaleCommand) sizes() (all []size, err error) {
-	for _, x := range c.Worlds {
-		relays, destinations, ok := strings.Cut(x, "x")
-		n, err1 := strconv.Atoi(relays)
-		d, err2 := strconv.Atoi(destinations)
-		if !ok || err1 != nil || err2 != nil || n < 1 || d < 1 {
-			return nil, fmt.Errorf("--worlds: %q is not RELAYSxDESTINATIONS, such as 300x1000", x)
-		}
-		all = append(all, size{n, d})
-	}
-	if len(all) == 0 {
-		for _, n := range c.Relays {
-			all = append(all, size{n, c.Destinations})
-		}
-	}
-	return all, nil
+// scaleColumns are the columns of the table.
+var scaleColumns = []struct {
+	title  string
+	width  int
+	format string // of a width and a value
+	value  func(scaleRow) any
+}{
+	{"relays", 7, "%*d", func(r scaleRow) any { return r.size.relays }},
+	{"destinations", 12, "%*d", func(r scaleRow) any { return r.size.destinations }},
+	{"messages", 9, "%*d", func(r scaleRow) any { return r.submitted }},
+	{"service", 9, "%*.4f", func(r scaleRow) any { return r.measures[experiment.MeasureService] }},
+	{"worst 10 s", 10, "%*.4f", func(r scaleRow) any { return r.measures[experiment.MeasureWorst10s] }},
+	{"p99 s", 9, "%*.3f", func(r scaleRow) any { return r.measures[experiment.MeasureLatencyP99] }},
+	{"refused", 9, "%*.4f", func(r scaleRow) any { return r.measures[experiment.MeasureRejected] }},
+	{"full", 8, "%*.4f", func(r scaleRow) any { return r.measures[experiment.MeasureCallsRejected] }},
+	{"calls", 8, "%*.3f", func(r scaleRow) any { return r.measures[experiment.MeasureCalls] }},
+	{"fell", 6, "%*d", func(r scaleRow) any { return r.overloads }},
+	{"seconds", 9, "%*.1f", func(r scaleRow) any { return r.elapsed.Seconds() }},
+	{"messages/s", 12, "%*.0f", func(r scaleRow) any { return float64(r.submitted) / r.elapsed.Seconds() }},
+	{"MB", 9, "%*.0f", func(r scaleRow) any { return float64(r.end) / bytesPerMB }},
+	{"peak MB", 9, "%*.0f", func(r scaleRow) any { return float64(r.peak) / bytesPerMB }},
+	{"B/destination", 13, "%*.0f", scaleRow.bytesPerDestination},
+	{"B/relay", 8, "%*.0f", func(r scaleRow) any { return r.perRelay }},
+	{"B/pair", 8, "%*.1f", scaleRow.bytesPerPair},
+}
+
+// bytesPerDestination returns what a destination takes beside the relays.
+func (r scaleRow) bytesPerDestination() any {
+	return (float64(r.oneRelay) - r.perRelay) / float64(r.size.destinations)
+}
+
+// bytesPerPair returns what the messages have left behind, for each pair of a relay and a destination.
+func (r scaleRow) bytesPerPair() any {
+	return float64(r.end-r.oneRelay) / float64(r.size.relays) / float64(r.size.destinations)
 }
 
-// Run plays a world for each size, with the load as it is. What they hold is the heap after a collection: of a world in
-// which nothing has happened, with one relay and with all, and of one at its end. Peak is the most that the program
-// held of the machine's memory meanwhile.
+// Run plays a world of each size under the same load, and prints a row for each.
 func (c *scaleCommand) Run(ctx context.Context, s *cli.Streams) error {
 	sizes, err := c.sizes()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Out, "%v of virtual time, %g messages a second\n", c.Length, c.Rate)
-	fmt.Fprintf(
-		s.Out,
-		"%7s %12s %9s %9s %10s %9s %9s %8s %8s %6s %9s %12s %9s %9s %13s %8s %8s\n",
-		"relays",
-		"destinations",
-		"messages",
-		"service",
-		"worst 10 s",
-		"p99 s",
-		"refused",
-		"full",
-		"calls",
-		"fell",
-		"seconds",
-		"messages/s",
-		"MB",
-		"peak MB",
-		"B/destination",
-		"B/relay",
-		"B/pair",
-	)
-	for _, x := range sizes {
-		if ctx.Err() != nil {
-			return ctx.Err()
+	out := cli.NewPrinter(s.Out)
+	out.Printf("%v of virtual time, %g messages a second\n", c.Length, c.Rate)
+	for i, column := range scaleColumns {
+		out.Printf("%s%*s", columnSeparator(i), column.width, column.title)
+	}
+	out.Printf("\n")
+	for _, size := range sizes {
+		if err := ctx.Err(); err != nil {
+			return err
 		}
-		if err := c.play(s, x); err != nil {
+		row, err := c.measure(size)
+		if err != nil {
 			return err
 		}
+		for i, column := range scaleColumns {
+			out.Printf(columnSeparator(i)+column.format, column.width, column.value(row))
+		}
+		out.Printf("\n")
 	}
-	return nil
+	return finish(out, exitHeld)
 }
 
-func (c *scaleCommand) play(s *cli.Streams, x size) error {
-	f := scaleScenario(x.relays, x.destinations, c.Rate, c.Length)
-	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
-		return err
-	}
-	build := func(f scenario.File) (*emulate.World, error) {
-		return emulate.New(f.DrawWithoutArrivals(c.Seed), emulate.Options{ZoneLatency: 2 * time.Millisecond})
+func columnSeparator(index int) string {
+	if index == 0 {
+		return ""
 	}
-	before := heap()
-	one := f.Clone()
-	one.Relays = 1
-	w, err := build(one)
-	if err != nil {
-		return err
-	}
-	ofOne := heap() - before
-	runtime.KeepAlive(w)
-	w = nil
-	before = heap()
-	peak, stop := watchMemory()
-	defer stop()
-	began := time.Now()
-	if w, err = build(f); err != nil {
-		return err
+	return " "
+}
+
+// sizes returns the sizes that the flags name.
+func (c *scaleCommand) sizes() (sizes []worldSize, err error) {
+	for _, text := range c.Worlds {
+		relays, destinations, ok := strings.Cut(text, "x")
+		r, errRelays := strconv.Atoi(relays)
+		d, errDestinations := strconv.Atoi(destinations)
+		if !ok || errRelays != nil || errDestinations != nil || r < 1 || d < 1 {
+			return nil, fmt.Errorf("--worlds: %q is not RELAYSxDESTINATIONS, such as 300x1000", text)
+		}
+		sizes = append(sizes, worldSize{relays: r, destinations: d})
 	}
-	took := time.Since(began)
-	atRest := heap() - before
-	began = time.Now()
-	if err := w.Play(); err != nil {
-		return err
+	if len(sizes) == 0 {
+		for _, relays := range c.Relays {
+			sizes = append(sizes, worldSize{relays: relays, destinations: c.Destinations})
+		}
 	}
-	took += time.Since(began)
-	stop()
-	end := heap() - before
-	m := experiment.Measurements(&w.Metrics)
-	perRelay := float64(atRest-ofOne) / float64(max(1, x.relays-1))
-	fmt.Fprintf(
-		s.Out,
-		"%7d %12d %9d %9.4f %10.4f %9.3f %9.4f %8.4f %8.3f %6d %9.1f %12.0f %9.0f %9.0f %13.0f %8.0f %8.1f\n",
-		x.relays,
-		x.destinations,
-		w.Submitted,
-		m["service"],
-		m["worst_10s"],
-		m["late_p99"],
-		m["refused"],
-		m["calls_full"],
-		m["calls"],
-		w.Overloads,
-		took.Seconds(),
-		float64(w.Submitted)/took.Seconds(),
-		float64(end)/1e6,
-		float64(peak.Load())/1e6,
-		(float64(ofOne)-perRelay)/float64(
-			x.destinations,
-		),
-		perRelay,
-		float64(end-ofOne)/float64(x.relays)/float64(x.destinations),
-	)
-	runtime.KeepAlive(w)
-	return nil
+	return sizes, nil
 }
 
-func heap() int64 {
-	debug.FreeOSMemory()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc)
+// measure plays a world. Its memory is the heap after a collection, in three states: with one relay and with all before
+// anything has happened, and at the end.
+func (c *scaleCommand) measure(size worldSize) (scaleRow, error) {
+	row := scaleRow{size: size}
+	file := c.scenario(size)
+	if err := file.ValidateWithin(scenario.EmulatorBounds); err != nil {
+		return row, err
+	}
+	var err error
+	if row.oneRelay, err = c.heapWithOneRelay(file); err != nil {
+		return row, err
+	}
+	before := heapBytes()
+	memory := watchMemory()
+	defer memory.stop()
+	start := time.Now()
+	world, err := c.newWorld(file)
+	if err != nil {
+		return row, err
+	}
+	row.elapsed = time.Since(start)
+	initial := heapBytes() - before
+	start = time.Now()
+	if err := world.Play(); err != nil {
+		return row, err
+	}
+	row.elapsed += time.Since(start)
+	row.peak = memory.stop()
+	row.end = heapBytes() - before
+	row.perRelay = float64(initial-row.oneRelay) / float64(max(1, size.relays-1))
+	row.measures = experiment.Measurements(&world.Metrics)
+	row.submitted = world.Submitted
+	row.overloads = world.Overloads
+	return row, nil
 }
 
-// watchMemory notes the most bytes that the program holds of the machine's memory, looking ten times a second, until it
-// is stopped.
-func watchMemory() (peak *atomic.Int64, stop func()) {
-	peak = &atomic.Int64{}
-	look := func() {
-		held := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-		metrics.Read(held)
-		peak.Store(max(peak.Load(), int64(held[0].Value.Uint64()-held[1].Value.Uint64())))
-	}
-	quit, done := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(done)
-		tick := time.NewTicker(100 * time.Millisecond)
-		defer tick.Stop()
-		for {
-			look()
-			select {
-			case <-tick.C:
-			case <-quit:
-				return
-			}
-		}
-	}()
-	return peak, sync.OnceFunc(func() { look(); close(quit); <-done })
+func (c *scaleCommand) newWorld(file scenario.File) (*emulate.World, error) {
+	return emulate.New(file.DrawWithoutArrivals(c.Seed), emulate.Options{ZoneLatency: zoneLatency})
 }
 
-// scaleScenario is a world of plain shape whose parts are the same for any number of relays: destinations that take
-// twice what is asked of them in the mean, a tenth of which fail together for ten seconds at half time.
-func scaleScenario(relays, destinations int, rate float64, length time.Duration) scenario.File {
-	d := func(x time.Duration) scenario.Duration { return scenario.Duration(x) }
-	f := scenario.File{
-		Name: "scale", Length: d(length), Relays: relays, Zones: []string{"north", "south"},
-		Classes: []scenario.Class{
-			{
-				Name:             "order",
-				TrafficShare:     8,
-				Effect:           "keyed",
-				DedupWindow:      d(10 * time.Second),
-				LatencyObjective: d(3 * time.Second),
-				Deadline:         d(12 * time.Second),
-				LateWeightRatio:  0.4,
-			},
-			{
-				Name:             "payment",
-				TrafficShare:     1,
-				Effect:           "unsafe",
-				LatencyObjective: d(3 * time.Second),
-				Deadline:         d(10 * time.Second),
-				LateWeightRatio:  0.4,
-			},
-			{
-				Name:             "status",
-				TrafficShare:     1,
-				Effect:           "safe",
-				LatencyObjective: d(4 * time.Second),
-				Deadline:         d(10 * time.Second),
-				LateWeightRatio:  0.4,
-			},
-		},
-		DestinationKinds: []scenario.DestinationKind{{
-			Name: "store", ServiceTime: d(200 * time.Millisecond), ServiceTimeVariation: 0.5, MaxConcurrentCalls: 8, Limit: "rate", RetryAfterRatio: 0.5, MinRetryAfter: d(300 * time.Millisecond),
-		}},
-		Destinations: []scenario.Destination{
-			{Kind: "store", Count: destinations, LimitRate: max(1, 2*rate/float64(destinations))},
-		},
-		Traffic: []scenario.Traffic{{Rate: rate}},
-		Faults: []scenario.Fault{
-			{Kind: scenario.FaultFailCalls, Start: d(length / 2), Duration: d(min(10*time.Second, length/4)), Share: 0.1},
-		},
+// heapWithOneRelay returns the bytes of a world with one of its relays.
+func (c *scaleCommand) heapWithOneRelay(file scenario.File) (int64, error) {
+	file = file.Clone()
+	file.Relays = 1
+	before := heapBytes()
+	world, err := c.newWorld(file)
+	if err != nil {
+		return 0, err
 	}
-	f.SetDefaults()
-	return f
+	used := heapBytes() - before
+	runtime.KeepAlive(world)
+	return used, nil
 }
--- /dev/null
+++ b/cmd/emulate/world.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+)
+
+// zoneLatency is added between zones of a large world.
+const zoneLatency = 2 * time.Millisecond
+
+// worldSize is the size of a large world.
+type worldSize struct{ relays, destinations int }
+
+// loadFlags are the flags for the load on a large world.
+type loadFlags struct {
+	Rate   float64       `help:"Messages a second, of all clients." default:"200"`
+	Length time.Duration `help:"Virtual time." default:"1m"`
+}
+
+// scenario returns a world that differs in nothing but its size: its destinations take twice their mean load, and a
+// tenth of them fails for ten seconds at half time.
+func (l loadFlags) scenario(size worldSize) scenario.File {
+	file := scenario.File{
+		Name:    "scale",
+		Length:  scenario.Duration(l.Length),
+		Relays:  size.relays,
+		Zones:   []string{"north", "south"},
+		Classes: largeWorldClasses(),
+		DestinationKinds: []scenario.DestinationKind{{
+			Name:                 "store",
+			ServiceTime:          scenario.Duration(200 * time.Millisecond),
+			ServiceTimeVariation: 0.5,
+			MaxConcurrentCalls:   8,
+			Limit:                "rate",
+			RetryAfterRatio:      0.5,
+			MinRetryAfter:        scenario.Duration(300 * time.Millisecond),
+		}},
+		Destinations: []scenario.Destination{{
+			Kind:      "store",
+			Count:     size.destinations,
+			LimitRate: max(1, 2*l.Rate/float64(size.destinations)),
+		}},
+		Traffic: []scenario.Traffic{{Rate: l.Rate}},
+		Faults: []scenario.Fault{{
+			Kind:     scenario.FaultFailCalls,
+			Start:    scenario.Duration(l.Length / 2),
+			Duration: scenario.Duration(min(10*time.Second, l.Length/4)),
+			Share:    0.1,
+		}},
+	}
+	file.SetDefaults()
+	return file
+}
+
+func largeWorldClasses() []scenario.Class {
+	const lateWeightRatio = 0.4
+	return []scenario.Class{
+		{
+			Name:             "order",
+			TrafficShare:     8,
+			Effect:           "keyed",
+			DedupWindow:      scenario.Duration(10 * time.Second),
+			LatencyObjective: scenario.Duration(3 * time.Second),
+			Deadline:         scenario.Duration(12 * time.Second),
+			LateWeightRatio:  lateWeightRatio,
+		},
+		{
+			Name:             "payment",
+			TrafficShare:     1,
+			Effect:           "unsafe",
+			LatencyObjective: scenario.Duration(3 * time.Second),
+			Deadline:         scenario.Duration(10 * time.Second),
+			LateWeightRatio:  lateWeightRatio,
+		},
+		{
+			Name:             "status",
+			TrafficShare:     1,
+			Effect:           "safe",
+			LatencyObjective: scenario.Duration(4 * time.Second),
+			Deadline:         scenario.Duration(10 * time.Second),
+			LateWeightRatio:  lateWeightRatio,
+		},
+	}
+}
