--- a/cmd/capacity/hollow.go
+++ b/cmd/capacity/hollow.go
@@ -19,12 +19,6 @@
 // What is measured of fleets of hollow relays, in virtual time: package hollow does that in its tests alone, since a
 // bubble of testing/synctest is one of a test. It writes its readings to a file.
 
-// reading is a line of that file.
-type reading struct {
-	What string `json:"what"`
-	hollow.Reading
-}
-
 // The cases of package hollow that are taken.
 const (
 	atRest      = "at rest"
@@ -60,9 +54,9 @@
 		run   string
 		sizes []int
 	}{
-		{"^TestMembers$/^" + "two_busy_pages", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
-		{"^TestMembers$/^at_rest", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
-		{"^TestRights$", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
+		{"^TestMeasure$/^two_busy_pages", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
+		{"^TestMeasure$/^at_rest", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
+		{"^TestMeasureQuota$", b.sizes([]int{20, 40, 80}, []int{30, 100, 300})},
 	} {
 		sizes, err := json.Marshal(c.sizes)
 		if err != nil {
@@ -100,22 +94,22 @@
 
 // readHollow makes series of readings.
 func readHollow(data []byte, failed string) ([]capacity.Series, error) {
-	var all []reading
+	var all []hollow.Record
 	for lines := bufio.NewScanner(bytes.NewReader(data)); lines.Scan(); {
-		var r reading
+		var r hollow.Record
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
 			return nil, fmt.Errorf("readings of package hollow: %w", err)
 		}
 		all = append(all, r)
 	}
-	slices.SortStableFunc(all, func(a, b reading) int { return a.N - b.N })
+	slices.SortStableFunc(all, func(a, b hollow.Record) int { return a.Size - b.Size })
 	var series []capacity.Series
 	for _, v := range hollowValues {
 		s := measured(v.series, "members", v.unit)
 		s.Limitations = v.hollow + failed
 		for _, r := range all {
-			if x, ok := r.Values[v.value]; ok && r.What == v.what {
-				add(s, r.N, x*v.times)
+			if x, ok := r.Values[hollow.Metric(v.value)]; ok && r.Case == v.what {
+				add(s, r.Size, x*v.times)
 			}
 		}
 		if len(s.Points) == 0 {
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -4,118 +4,192 @@
 	"fmt"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
-	backlogStep  = 8  // messages that come in one step: those of a tick at 1,600 a second
-	backlogSlots = 64 // calls out at once
+	// backlogBatch messages are accepted in one step: those of minStepInterval at 1,600 per second.
+	backlogBatch = 8
+	// backlogInFlight bounds the calls in flight.
+	backlogInFlight = 64
+	// backlogCallLatency is the latency of each call.
+	backlogCallLatency = 5 * time.Millisecond
+	// unlimitedWeight is an endpoint weight with which pacing delays nothing.
+	unlimitedWeight = 1e6
+	// backlogTimeLeft is more than the measurement takes in virtual time.
+	backlogTimeLeft = 8 * time.Hour
+	// measuredFraction of the messages is accepted or sent in one measurement.
+	measuredFraction = 10
+	idleSteps        = 100
+	engineSeed       = 1
+	engineStart      = time.Minute // of virtual time
 )
 
-// Backlog measures what the decision module spends on held messages, spread over destinations that are out of service:
-// on taking the last tenth of them, a step for eight; on a step in which nothing happens; on sending the first tenth of
-// them once all are back in service; and on taking all up again in one step, as after a restart. Hollow are the
-// journal, the loop and all hosts, which answer at once.
-func Backlog(held, destinations int) (Reading, error) {
-	set := policy.Settings{
-		MaxInFlightCalls: backlogSlots,
-		Classes: []policy.Class{
-			{Effect: policy.Idempotent, LatencyObjective: 3 * time.Second, Deadline: 24 * time.Hour, Weight: 1},
-		},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 1}},
+// backlogSimulation is a decision engine that has queued messages. Simulated are the journal, the event loop and all
+// endpoints.
+type backlogSimulation struct {
+	engine       *policy.Engine
+	now          time.Duration
+	messages     int
+	destinations int
+	endpoints    []policy.Endpoint // one for each destination
+	values       map[Metric]float64
+}
+
+// MeasureBacklog measures what the decision engine spends on queued messages, spread over destinations that are out of
+// service: on accepting the first and the last tenth of them, in batches; on a step in which nothing happens; on
+// sending the first tenth of them once all destinations are back in service; and on accepting all of them in one step,
+// as in a recovery.
+func MeasureBacklog(messages, destinations int) (Measurement, error) {
+	endpoints := make([]policy.Endpoint, 0, destinations)
+	for destination := range destinations {
+		endpoints = append(endpoints, policy.Endpoint{
+			ID:          endpointID(destination),
+			Destination: destination,
+			Weight:      unlimitedWeight,
+		})
 	}
-	list := make([]policy.Endpoint, 0, destinations)
-	for d := range destinations {
-		// no pace holds up what is measured
-		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6})
+	before := memoryInUse()
+	engine, err := policy.New(backlogSettings(), engineSeed)
+	if err != nil {
+		return Measurement{}, fmt.Errorf("hollow: %w", err)
 	}
-	taken := func(i int) policy.Event {
-		return policy.Event{
-			Kind:        policy.MessageAccepted,
-			MessageID:   policy.MessageID(i + 1),
-			Destination: i % destinations,
-			TimeLeft:    8 * time.Hour,
-		}
+	s := backlogSimulation{
+		engine:       engine,
+		now:          engineStart,
+		messages:     messages,
+		destinations: destinations,
+		endpoints:    endpoints,
+		values:       map[Metric]float64{},
 	}
-	before := heap()
-	s, err := policy.New(set, 1)
-	if err != nil {
-		return Reading{}, fmt.Errorf("hollow: %w", err)
+	s.engine.Step(s.now, []policy.Event{s.snapshot()})
+	s.measureAccept()
+	s.values[MemoryPerMessage] = growth(before, memoryInUse()) / float64(messages)
+	s.measureIdleSteps()
+	s.measureSend()
+	if err := s.measureRecovery(); err != nil {
+		return Measurement{}, err
 	}
-	now := time.Minute
-	s.Step(now, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}})
-	values := map[string]float64{}
-	each := func(n int, f func()) float64 { return micros(spent(f)) / float64(max(1, n)) }
-	took := func(from, to int) float64 {
-		var evs []policy.Event
-		return each(to-from, func() {
-			for i := from; i < to; {
-				evs = evs[:0]
-				for ; len(evs) < backlogStep && i < to; i++ {
-					evs = append(evs, taken(i))
-				}
-				now += 5 * time.Millisecond
-				s.Step(now, evs)
-			}
-		})
+	return Measurement{messages, s.values}, nil
+}
+
+func backlogSettings() policy.Settings {
+	return policy.Settings{
+		MaxInFlightCalls: backlogInFlight,
+		Classes: []policy.Class{{
+			Effect:           policy.Idempotent,
+			LatencyObjective: 3 * time.Second,
+			Deadline:         24 * time.Hour,
+			Weight:           1,
+		}},
+		DestinationKinds: destinationKinds(),
+	}
+}
+
+func (s *backlogSimulation) snapshot() policy.Event {
+	return policy.Event{Kind: policy.EndpointSnapshot, Endpoints: s.endpoints}
+}
+
+func (s *backlogSimulation) setInService(inService bool) {
+	for i := range s.endpoints {
+		s.endpoints[i].InService = inService
+	}
+}
+
+func (s *backlogSimulation) message(index int) policy.Event {
+	return policy.Event{
+		Kind:        policy.MessageAccepted,
+		MessageID:   policy.MessageID(index + 1),
+		Destination: index % s.destinations,
+		TimeLeft:    backlogTimeLeft,
 	}
-	values["take_first_us"] = took(0, held/10)
-	took(held/10, held-held/10)
-	values["take_last_us"] = took(held-held/10, held)
-	after := heap()
-	values["memory_bytes_per_message"] = float64(after-min(before, after)) / float64(held)
-	const idle = 100
-	values["idle_step_us"] = each(idle, func() {
-		for range idle {
-			now += 5 * time.Millisecond
-			s.Step(now, nil)
+}
+
+// timePerItem runs work and returns its processor time for each of so many items, in microseconds.
+func timePerItem(items int, work func()) float64 {
+	return microseconds(usage.ThreadCPU(work)) / float64(max(1, items))
+}
+
+func (s *backlogSimulation) measureAccept() {
+	tenth := s.messages / measuredFraction
+	s.values[FirstAcceptTime] = s.accept(0, tenth)
+	s.accept(tenth, s.messages-tenth)
+	s.values[LastAcceptTime] = s.accept(s.messages-tenth, s.messages)
+}
+
+// accept accepts the messages from one index up to another, and returns the time of each.
+func (s *backlogSimulation) accept(from, to int) float64 {
+	var events []policy.Event
+	return timePerItem(to-from, func() {
+		for i := from; i < to; {
+			events = events[:0]
+			for ; len(events) < backlogBatch && i < to; i++ {
+				events = append(events, s.message(i))
+			}
+			s.now += minStepInterval
+			s.engine.Step(s.now, events)
+		}
+	})
+}
+
+func (s *backlogSimulation) measureIdleSteps() {
+	s.values[IdleStepTime] = timePerItem(idleSteps, func() {
+		for range idleSteps {
+			s.now += minStepInterval
+			s.engine.Step(s.now, nil)
 		}
 	})
+}
 
-	for i := range list {
-		list[i].InService = true
-	}
-	// Back in service, in as many steps as it takes.
-	now += time.Second
-	sent, evs := 0, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}
-	sending := spent(func() {
-		for step := 0; sent < held/10 && step < held; step++ {
-			acts := s.Step(now, evs)
-			evs = evs[:0]
-			for _, a := range acts {
+// measureSend brings all destinations back into service, and lets the engine send a tenth of the messages.
+func (s *backlogSimulation) measureSend() {
+	s.setInService(true)
+	s.now += time.Second
+	sent := 0
+	events := []policy.Event{s.snapshot()}
+	cpu := usage.ThreadCPU(func() {
+		for step := 0; sent < s.messages/measuredFraction && step < s.messages; step++ {
+			actions := s.engine.Step(s.now, events)
+			events = events[:0]
+			for _, a := range actions {
 				if a.Kind == policy.Send {
 					sent++
-					evs = append(
-						evs,
-						policy.Event{
-							Kind:         policy.AttemptFinished,
-							MessageID:    a.MessageID,
-							Endpoint:     a.Endpoint,
-							Outcome:      policy.OK,
-							Latency:      5 * time.Millisecond,
-							MessageEnded: true,
-						},
-					)
+					events = append(events, successfulCall(a))
 				}
 			}
-			now += 5 * time.Millisecond
+			s.now += minStepInterval
 		}
 	})
-	values["send_us"], values["sent_share"] = micros(sending)/float64(max(1, sent)), float64(sent)/float64(held)
+	s.values[SendTime] = microseconds(cpu) / float64(max(1, sent))
+	s.values[SentFraction] = float64(sent) / float64(s.messages)
+}
 
-	if s, err = policy.New(set, 1); err != nil {
-		return Reading{}, fmt.Errorf("hollow: %w", err)
+func successfulCall(call policy.Action) policy.Event {
+	return policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    call.MessageID,
+		Endpoint:     call.Endpoint,
+		Outcome:      policy.OK,
+		Latency:      backlogCallLatency,
+		MessageEnded: true,
 	}
-	for i := range list {
-		list[i].InService = false
+}
+
+// measureRecovery gives a new engine all messages in one step.
+func (s *backlogSimulation) measureRecovery() error {
+	engine, err := policy.New(backlogSettings(), engineSeed)
+	if err != nil {
+		return fmt.Errorf("hollow: %w", err)
 	}
-	all := make([]policy.Event, 0, held+1)
-	all = append(all, policy.Event{Kind: policy.EndpointSnapshot, Endpoints: list})
-	for i := range held {
-		e := taken(i)
-		e.Recovered = &policy.RecoveredMessage{Attempts: 1}
-		all = append(all, e)
+	s.setInService(false)
+	events := make([]policy.Event, 0, s.messages+1)
+	events = append(events, s.snapshot())
+	for i := range s.messages {
+		event := s.message(i)
+		event.Recovered = &policy.RecoveredMessage{Attempts: 1}
+		events = append(events, event)
 	}
-	values["resume_us"] = each(held, func() { s.Step(time.Minute, all) })
-	return Reading{held, values}, nil
+	s.values[RecoveryTime] = timePerItem(s.messages, func() { engine.Step(engineStart, events) })
+	return nil
 }
--- a/internal/capacity/hollow/faults.go
+++ b/internal/capacity/hollow/faults.go
@@ -3,76 +3,99 @@
 import (
 	"slices"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
+)
+
+// Parts of the metrics of faults: what the members learn of, and what is told of it.
+const (
+	lossPrefix   = "gone"
+	healedPrefix = "healed"
+
+	knownFractionSuffix    = "_known_share"
+	knownByteRateSuffix    = "_sent_bytes_per_s"
+	knownCPUSuffix         = "_processor_ms_per_s"
+	knownByHalfSuffix      = "_half_s"
+	knownBy99PercentSuffix = "_99_s"
+	knownByAllSuffix       = "_all_s"
 )
 
-// ZoneLost has a zone of so many members gone at once, as if its machines had lost their power, and measures until the
-// others know of it, and what they send and spend meanwhile. Those that are gone are ended while nothing reaches them
-// or comes from them.
-func (f *Fleet) ZoneLost(zone int) Reading {
-	gone := func(i int) bool { return i < zone }
-	cut := func(from, to int) bool { return gone(from) || gone(to) }
-	f.net.cut.Store(&cut)
-	for _, m := range f.members[:zone] {
-		m.end()
+// LoseZone stops the first members all at once, as if their machines had lost power, and measures how long the others
+// need to learn of it, and what they send and spend meanwhile. Nothing reaches the lost members or comes from them.
+func (f *Fleet) LoseZone(size int) Measurement {
+	isLost := func(index int) bool { return index < size }
+	f.network.partition(func(from, to int) bool { return isLost(from) || isLost(to) })
+	for _, m := range f.members[:size] {
+		m.stop()
 	}
-	return Reading{f.opt.Members, f.until("gone", f.members[zone:], f.opt.Members-zone)}
+	return Measurement{f.options.Members, f.awaitAlive(lossPrefix, f.members[size:], f.options.Members-size)}
 }
 
-// RegionsCut cuts the first members off from all others for so long, heals it, and measures until all are members of
-// one fleet again, and what they send and spend from the healing on. On each side it tells the share of those that took
-// all of the other side for dead by then: a few who hear nobody of many doubt themselves first (Lifeguard), and take
-// longer.
-func (f *Fleet) RegionsCut(region int, lasts time.Duration) Reading {
-	cut := func(from, to int) bool { return (from < region) != (to < region) }
-	f.net.cut.Store(&cut)
-	time.Sleep(lasts)
-	share := func(members []*member) float64 {
-		parted := 0.0
-		for _, m := range members {
-			if m.real.AliveCount() == len(members) {
-				parted++
-			}
-		}
-		return parted / float64(len(members))
-	}
-	small, large := share(f.members[:region]), share(f.members[region:])
-	f.net.cut.Store(nil)
-	values := f.until("healed", f.members, f.opt.Members)
-	values["parted_share_cut_off"], values["parted_share_others"] = small, large
-	return Reading{f.opt.Members, values}
+// PartitionRegion separates the first members from all others for a while, heals the partition, and measures how long
+// all members need to be one fleet again, and what they send and spend from then on. For each side it also tells the
+// fraction of members that had found all of the other side dead before. A few members that hear nobody of many doubt
+// themselves first (Lifeguard), and need longer.
+func (f *Fleet) PartitionRegion(size int, duration time.Duration) Measurement {
+	f.network.partition(func(from, to int) bool { return (from < size) != (to < size) })
+	time.Sleep(duration)
+	isolated, remaining := splitFraction(f.members[:size]), splitFraction(f.members[size:])
+	f.network.heal()
+	values := f.awaitAlive(healedPrefix, f.members, f.options.Members)
+	values[IsolatedSplitFraction], values[RemainingSplitFraction] = isolated, remaining
+	return Measurement{f.options.Members, values}
 }
 
-// until follows members until each sees so many alive, for the options' For at most, and tells how long it took them
-// and what they sent.
-func (f *Fleet) until(what string, members []*member, alive int) map[string]float64 {
-	sent := func() (sum uint64) {
-		for _, m := range members {
-			sum += f.net.all[m.number].sentBytes.Load()
+// splitFraction returns the fraction of members to which exactly these members are alive.
+func splitFraction(members []*simulatedMember) float64 {
+	split := 0.0
+	for _, m := range members {
+		if m.member.AliveCount() == len(members) {
+			split++
 		}
-		return sum
 	}
-	began, was, cpu := time.Now(), sent(), processor()
-	var known []float64
-	seen := make([]bool, len(members))
-	for len(known) < len(members) && time.Since(began) < f.opt.For {
-		time.Sleep(lookEvery)
-		for i, m := range members {
-			if !seen[i] && m.real.AliveCount() == alive {
-				seen[i] = true
-				known = append(known, time.Since(began).Seconds())
+	return split / float64(len(members))
+}
+
+// awaitAlive waits until so many members are alive to each of the observers, for ChangeTimeout at most. It returns how
+// long they needed, and what they sent and spent, as metrics with a prefix.
+func (f *Fleet) awaitAlive(prefix string, observers []*simulatedMember, alive int) map[Metric]float64 {
+	began, sentBefore, cpuBefore := time.Now(), f.sentBytes(observers), usage.ProcessCPU()
+	var times []float64
+	informed := make([]bool, len(observers))
+	for len(times) < len(observers) && time.Since(began) < f.options.ChangeTimeout {
+		time.Sleep(pollInterval)
+		for i, m := range observers {
+			if !informed[i] && m.member.AliveCount() == alive {
+				informed[i] = true
+				times = append(times, time.Since(began).Seconds())
 			}
 		}
 	}
-	took, n := time.Since(began).Seconds(), float64(len(members))
-	values := map[string]float64{
-		what + "_known_share": float64(len(known)) / n, what + "_sent_bytes_per_s": float64(sent()-was) / n / took,
-		what + "_processor_ms_per_s": float64((processor() - cpu).Microseconds()) / 1000 / n / took,
+	seconds, count := time.Since(began).Seconds(), float64(len(observers))
+	sent, cpu := f.sentBytes(observers)-sentBefore, usage.ProcessCPU()-cpuBefore
+	metric := func(suffix string) Metric { return Metric(prefix + suffix) }
+	values := map[Metric]float64{
+		metric(knownFractionSuffix): float64(len(times)) / count,
+		metric(knownByteRateSuffix): float64(sent) / count / seconds,
+		metric(knownCPUSuffix):      milliseconds(cpu) / count / seconds,
 	}
-	slices.Sort(known)
-	for name, share := range map[string]float64{"_half_s": 0.5, "_99_s": 0.99, "_all_s": 1} {
-		if i := int(share*n+0.999) - 1; i < len(known) { // those that did not end have no time
-			values[what+name] = known[i]
+	slices.Sort(times)
+	for suffix, fraction := range map[string]float64{
+		knownByHalfSuffix:      0.5,
+		knownBy99PercentSuffix: 0.99,
+		knownByAllSuffix:       1,
+	} {
+		if i := int(fraction*count+0.999) - 1; i < len(times) { // without a time for what did not happen
+			values[metric(suffix)] = times[i]
 		}
 	}
 	return values
 }
+
+// sentBytes returns what members have sent so far.
+func (f *Fleet) sentBytes(members []*simulatedMember) (sum uint64) {
+	for _, m := range members {
+		sum += f.network.transports[m.index].sentBytes.Load()
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/capacity/hollow/faults_test.go
@@ -0,0 +1,49 @@
+package hollow
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// faultSizes are the numbers of members that faults are measured with.
+func faultSizes(t *testing.T) []int {
+	t.Helper()
+	return sizesToMeasure(t, []int{24}, 300)
+}
+
+func TestLoseZone(t *testing.T) {
+	for _, members := range faultSizes(t) {
+		zone := max(4, min(137, members*137/300))
+		t.Run(fmt.Sprintf("%d of %d", zone, members), func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
+				f, stop := startFleet(t, Options{Members: members, ChangeTimeout: 2 * time.Minute})
+				defer stop()
+				m := f.LoseZone(zone)
+				record(t, fmt.Sprintf("zone of %d lost", zone), m)
+				checkRange(t, m, LossKnownFraction, 1, 1)
+				checkRange(t, m, LossKnownHalf, 1, 120) // Nobody can know before a probe has failed.
+			})
+		})
+	}
+}
+
+func TestPartitionRegion(t *testing.T) {
+	duration := time.Minute
+	if *full {
+		duration = 3 * time.Minute
+	}
+	for _, members := range faultSizes(t) {
+		region := members / 8
+		t.Run(fmt.Sprintf("%d of %d", region, members), func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
+				f, stop := startFleet(t, Options{Members: members, ChangeTimeout: 2 * time.Minute})
+				defer stop()
+				m := f.PartitionRegion(region, duration)
+				record(t, fmt.Sprintf("a region of an eighth cut off for %v", duration), m)
+				checkRange(t, m, RemainingSplitFraction, 1, 1)
+				checkRange(t, m, HealedKnownFraction, 1, 1)
+			})
+		})
+	}
+}
--- a/internal/capacity/hollow/network.go
+++ b/internal/capacity/hollow/network.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"net"
@@ -12,163 +13,188 @@
 )
 
 const (
-	port = 7946
-	// datagramsMost wait at a member, more are dropped, as a socket's buffer would; streamsMost connections wait to be
-	// taken.
-	datagramsMost = 1024
-	streamsMost   = 64
+	memberPort = 7946
+	// maxQueuedDatagrams wait at a member. More are dropped, as a socket's buffer would.
+	maxQueuedDatagrams = 1024
+	// maxQueuedStreams wait at a member to be accepted.
+	maxQueuedStreams = 64
 )
 
-// network joins the members of one process. A datagram is handed over at once and whole; nothing is lost but what finds
-// no room or is cut.
-type network struct {
-	all    []*wire
-	byName map[string]*wire
-	byAddr map[string]*wire
-	cut    atomic.Pointer[func(from, to int) bool] // nil: nothing is
-}
+var (
+	errNoAnswer = errors.New("hollow: nobody answers")
+	errRefused  = errors.New("hollow: refused")
+)
 
-// traffic is what passed a member's wires, as bytes of datagrams' payload and of streams.
-type traffic struct {
-	sentBytes, sentDatagrams, sentStreams atomic.Uint64
-	heardBytes, heardDatagrams, lost      atomic.Uint64 // lost: no room
+// network connects the members of one process. It delivers datagrams whole and without delay. It loses those for which
+// the receiver has no room, and those between members that are partitioned.
+type network struct {
+	transports  []*transport
+	byName      map[string]*transport
+	byAddr      map[string]*transport
+	addresses   map[string]string // of all members by name, as the operator's file lists them
+	isSeparated atomic.Pointer[func(from, to int) bool]
 }
 
-// wire is one member's transport.
-type wire struct {
-	traffic
-	net     *network
-	number  int
-	name    string
-	addr    string
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	ended   chan struct{}
-	end     sync.Once
+func newNetwork(members int) *network {
+	n := &network{
+		byName:    map[string]*transport{},
+		byAddr:    map[string]*transport{},
+		addresses: map[string]string{},
+	}
+	for i := range members {
+		t := &transport{
+			network: n,
+			index:   i,
+			name:    memberName(i),
+			addr:    fmt.Sprintf("%v:%d", memberIP(i), memberPort),
+			packets: make(chan *memberlist.Packet, maxQueuedDatagrams),
+			conns:   make(chan net.Conn, maxQueuedStreams),
+			closed:  make(chan struct{}),
+		}
+		n.transports = append(n.transports, t)
+		n.byName[t.name], n.byAddr[t.addr], n.addresses[t.name] = t, t, t.addr
+	}
+	return n
 }
 
-var _ memberlist.NodeAwareTransport = (*wire)(nil)
+func memberIP(index int) net.IP { return net.IPv4(10, byte(index>>16), byte(index>>8), byte(index)) }
 
-func memberName(i int) string { return fmt.Sprintf("r%04d", i) }
+// partition separates the members for which isSeparated is true.
+func (n *network) partition(isSeparated func(from, to int) bool) { n.isSeparated.Store(&isSeparated) }
 
-func memberIP(i int) net.IP { return net.IPv4(10, byte(i>>16), byte(i>>8), byte(i)) }
+// heal ends a partition.
+func (n *network) heal() { n.isSeparated.Store(nil) }
 
-func newNetwork(n int) *network {
-	w := &network{byName: map[string]*wire{}, byAddr: map[string]*wire{}}
-	for i := range n {
-		t := &wire{
-			net: w, number: i, name: memberName(i), addr: fmt.Sprintf("%v:%d", memberIP(i), port), packets: make(chan *memberlist.Packet, datagramsMost),
-			streams: make(chan net.Conn, streamsMost), ended: make(chan struct{}),
-		}
-		w.all, w.byName[t.name], w.byAddr[t.addr] = append(w.all, t), t, t
-	}
-	return w
+// traffic counts what passed a member's transport: bytes of datagrams' payloads and of streams.
+type traffic struct {
+	sentBytes, sentDatagrams         atomic.Uint64
+	receivedBytes, receivedDatagrams atomic.Uint64
+	droppedDatagrams                 atomic.Uint64 // on their way to this member
+	streams                          atomic.Uint64 // that this member dialed
 }
 
-// join is the table of all members, as the operator's file has it.
-func (n *network) join() map[string]string {
-	all := make(map[string]string, len(n.all))
-	for _, t := range n.all {
-		all[t.name] = t.addr
-	}
-	return all
+// transport is one member's connection to the network.
+type transport struct {
+	traffic
+	network   *network
+	index     int
+	name      string
+	addr      string
+	packets   chan *memberlist.Packet
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// to finds a member, if it can be reached.
-func (t *wire) to(a memberlist.Address) (*wire, bool) {
-	o, ok := t.net.byName[a.Name]
+var _ memberlist.NodeAwareTransport = (*transport)(nil)
+
+// reach returns the transport of another member, if that can be reached.
+func (t *transport) reach(a memberlist.Address) (*transport, bool) {
+	other, ok := t.network.byName[a.Name]
 	if !ok {
-		o, ok = t.net.byAddr[a.Addr]
+		other, ok = t.network.byAddr[a.Addr]
 	}
 	if !ok {
 		return nil, false
 	}
-	if cut := t.net.cut.Load(); cut != nil && (*cut)(t.number, o.number) {
+	if isSeparated := t.network.isSeparated.Load(); isSeparated != nil && (*isSeparated)(t.index, other.index) {
 		return nil, false
 	}
-	return o, true
+	return other, true
 }
 
-// Network and String make a wire the address of what it sends.
-func (t *wire) Network() string { return "hollow" }
-func (t *wire) String() string  { return t.addr }
+// Network makes a transport the net.Addr of what it sends.
+func (t *transport) Network() string { return "hollow" }
+
+// String returns the member's address.
+func (t *transport) String() string { return t.addr }
 
-func (t *wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return memberIP(t.number), port, nil
+// FinalAdvertiseAddr returns the member's address.
+func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	return memberIP(t.index), memberPort, nil
 }
 
-func (t *wire) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+// WriteTo sends a datagram to an address.
+func (t *transport) WriteTo(payload []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(payload, memberlist.Address{Addr: addr})
 }
 
-func (t *wire) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+// WriteToAddress sends a datagram to a member.
+func (t *transport) WriteToAddress(payload []byte, a memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	t.sentDatagrams.Add(1)
-	t.sentBytes.Add(uint64(len(b)))
-	o, ok := t.to(a)
+	t.sentBytes.Add(uint64(len(payload)))
+	other, ok := t.reach(a)
 	if !ok {
 		return now, nil
 	}
 	select {
-	case o.packets <- &memberlist.Packet{Buf: append([]byte(nil), b...), From: t, Timestamp: now}:
-		o.heardDatagrams.Add(1)
-		o.heardBytes.Add(uint64(len(b)))
+	case other.packets <- &memberlist.Packet{Buf: bytes.Clone(payload), From: t, Timestamp: now}:
+		other.receivedDatagrams.Add(1)
+		other.receivedBytes.Add(uint64(len(payload)))
 	default:
-		o.lost.Add(1)
+		other.droppedDatagrams.Add(1)
 	}
 	return now, nil
 }
 
-func (t *wire) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *wire) StreamCh() <-chan net.Conn           { return t.streams }
+// PacketCh returns the datagrams that have arrived.
+func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-func (t *wire) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+// StreamCh returns the connections that others have opened.
+func (t *transport) StreamCh() <-chan net.Conn { return t.conns }
+
+// DialTimeout opens a connection to an address.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (t *wire) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	t.sentStreams.Add(1)
-	o, ok := t.to(a)
-	if !ok { // a call into a cut is not answered
+// DialAddressTimeout opens a connection to a member. Across a partition it has no answer until the timeout.
+func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	t.streams.Add(1)
+	other, ok := t.reach(a)
+	if !ok {
 		time.Sleep(timeout)
-		return nil, errors.New("hollow: nobody answers")
+		return nil, errNoAnswer
 	}
 	near, far := net.Pipe()
 	select {
-	case o.streams <- &counted{far, o, t}:
-		return &counted{near, t, o}, nil
-	case <-o.ended:
-		return nil, errors.Join(errors.New("hollow: refused"), near.Close(), far.Close())
+	case other.conns <- &countingConn{far, other, t}:
+		return &countingConn{near, t, other}, nil
+	case <-other.closed:
+		return nil, errors.Join(errRefused, near.Close(), far.Close())
 	case <-time.After(timeout):
-		return nil, errors.Join(errors.New("hollow: nobody answers"), near.Close(), far.Close())
+		return nil, errors.Join(errNoAnswer, near.Close(), far.Close())
 	}
 }
 
-// Shutdown ends the member's side. Connections that nobody took are closed.
-func (t *wire) Shutdown() error {
-	t.end.Do(func() {
-		close(t.ended)
+// Shutdown closes the transport, and the connections that nobody accepted.
+func (t *transport) Shutdown() error {
+	var err error
+	t.closeOnce.Do(func() {
+		close(t.closed)
 		for {
 			select {
-			case c := <-t.streams:
-				c.Close()
+			case conn := <-t.conns:
+				err = errors.Join(err, conn.Close())
 			default:
 				return
 			}
 		}
 	})
-	return nil
+	return err
 }
 
-// counted is one end of a stream.
-type counted struct {
+// countingConn is one end of a stream. It counts what is written to it.
+type countingConn struct {
 	net.Conn
-	from, to *wire
+	from, to *transport
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
+// Write writes to the other end.
+func (c *countingConn) Write(data []byte) (int, error) {
+	n, err := c.Conn.Write(data)
 	c.from.sentBytes.Add(uint64(n))
-	c.to.heardBytes.Add(uint64(n))
+	c.to.receivedBytes.Add(uint64(n))
 	return n, err
 }
--- /dev/null
+++ b/internal/capacity/hollow/quota.go
@@ -0,0 +1,265 @@
+package hollow
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+)
+
+const (
+	// quotaStepInterval is that of a member without load. A relay under load steps more often: that is part of what
+	// Measure measures.
+	quotaStepInterval = 50 * time.Millisecond
+	// renewInterval is how often a member renews the leases that it grants.
+	renewInterval = 600 * time.Millisecond
+	// quotaSettleTime of virtual time passes before the measurement, which takes quotaMeasureTime.
+	quotaSettleTime  = 6 * time.Second
+	quotaMeasureTime = 6 * time.Second
+	// measuredMembers are measured one after the other, and their mean is taken.
+	measuredMembers = 4
+	// maxLeasesPerDatagram of a simulated lender.
+	maxLeasesPerDatagram = 24
+	maxQuotaSize         = 1 << 16 // members, and destinations
+)
+
+// MeasureQuota measures what one member spends on sharing the limits of destinations, in virtual time. Its quota ledger
+// and its codec are real, and what it sends and receives passes through the codec. All others are simulated: they
+// acknowledge, answer that they hold no lease of an earlier incarnation, and each grants leases for the destinations
+// whose lease holder is the measured member. They request nothing, so what active destinations add is missing, as is
+// what membership spends on datagrams. Measure with ShareQuota has both.
+func MeasureQuota(members, destinations int, limit float64) (Measurement, error) {
+	if members < 2 || destinations < 1 || members > maxQuotaSize || destinations > maxQuotaSize {
+		return Measurement{}, fmt.Errorf("hollow: quota of %d members and %d destinations", members, destinations)
+	}
+	c, err := codec.New()
+	if err != nil {
+		return Measurement{}, fmt.Errorf("hollow: %w", err)
+	}
+	mean := map[Metric]float64{}
+	for i := range measuredMembers {
+		values, err := measureQuotaOf(c, members, destinations, limit, i*members/measuredMembers)
+		if err != nil {
+			return Measurement{}, err
+		}
+		for metric, value := range values {
+			mean[metric] += value / measuredMembers
+		}
+	}
+	return Measurement{members, mean}, nil
+}
+
+// quotaPeer is a simulated member as the measured one knows it.
+type quotaPeer struct {
+	name        string
+	incarnation loadreport.Incarnation
+	seq         uint64
+	nextGrant   time.Duration
+}
+
+// message returns the peer's next message.
+func (p *quotaPeer) message(acked loadreport.Incarnation) quota.Message {
+	p.seq++
+	return quota.Message{Member: p.name, Incarnation: p.incarnation, Seq: p.seq, AckedIncarnation: acked}
+}
+
+// quotaLink passes messages through the codec, and counts them.
+type quotaLink struct {
+	codec            *codec.Codec
+	datagrams, bytes float64
+}
+
+// pass returns what the receiver of a message decodes.
+func (l *quotaLink) pass(sender string, boot uint32, now time.Duration, m quota.Message) (quota.Message, error) {
+	datagram := codec.Message{From: sender, Boot: boot, Clock: now.Microseconds()}
+	datagram.SetQuotaMessage(m)
+	data, err := l.codec.Encode(datagram)
+	if err != nil {
+		return quota.Message{}, fmt.Errorf("hollow: %w", err)
+	}
+	l.datagrams++
+	l.bytes += float64(len(data))
+	decoded, err := l.codec.Decode(data)
+	if err != nil {
+		return quota.Message{}, fmt.Errorf("hollow: %w", err)
+	}
+	return decoded.QuotaMessage(), nil
+}
+
+// quotaSimulation is one real ledger among simulated peers.
+type quotaSimulation struct {
+	self        string
+	incarnation loadreport.Incarnation
+	ledger      *quota.Ledger
+	peers       []*quotaPeer // the member itself included
+	peersByName map[string]*quotaPeer
+	lease       float64 // rate that each peer grants of each destination
+
+	sent, received quotaLink
+	cpu            time.Duration // of the ledger and the codec
+	leases         int           // that the ledger granted
+}
+
+func measureQuotaOf(c *codec.Codec, members, destinations int, limit float64, self int) (map[Metric]float64, error) {
+	s := &quotaSimulation{
+		peersByName: map[string]*quotaPeer{},
+		lease:       (1 - quota.ReservedFraction) * (limit / float64(members)),
+	}
+	s.addPeers(members, self)
+	limits := loadreport.Limits{}
+	for destination := range destinations {
+		limits[destination] = map[string]float64{"": limit}
+	}
+	names := s.names()
+	before := memoryInUse()
+	s.ledger = quota.New(0, quota.Settings{
+		Self:        s.self,
+		Incarnation: s.incarnation,
+		Members:     names,
+		FleetSize:   members,
+	})
+	s.ledger.SetLimits(0, limits)
+	values := map[Metric]float64{}
+	s.resetCounters(c)
+	for now := time.Duration(0); now < quotaSettleTime+quotaMeasureTime; now += quotaStepInterval {
+		if now == quotaSettleTime {
+			values[StartDatagramRate] = s.sent.datagrams / quotaSettleTime.Seconds()
+			s.resetCounters(c)
+		}
+		if err := s.step(now); err != nil {
+			return nil, err
+		}
+	}
+	s.addRates(values)
+	values[Memory] = growth(before, memoryInUse())
+	s.addDestinations(values)
+	return values, nil
+}
+
+// addPeers gives each member a random time of its first grant.
+func (s *quotaSimulation) addPeers(members, self int) {
+	rng := rand.New(rand.NewPCG(uint64(members), uint64(self)))
+	for i := range members {
+		p := &quotaPeer{
+			name:        memberName(i),
+			incarnation: loadreport.Incarnation{Generation: 1, Boot: uint32(i + 1)},
+			nextGrant:   time.Duration(rng.Int64N(int64(renewInterval))),
+		}
+		s.peers = append(s.peers, p)
+		s.peersByName[p.name] = p
+	}
+	s.self, s.incarnation = s.peers[self].name, s.peers[self].incarnation
+}
+
+func (s *quotaSimulation) names() []string {
+	names := make([]string, 0, len(s.peers))
+	for _, p := range s.peers {
+		names = append(names, p.name)
+	}
+	return names
+}
+
+func (s *quotaSimulation) resetCounters(c *codec.Codec) {
+	s.sent, s.received = quotaLink{codec: c}, quotaLink{codec: c}
+	s.cpu, s.leases = 0, 0
+}
+
+// step steps the ledger, and delivers what its peers answer and grant.
+func (s *quotaSimulation) step(now time.Duration) error {
+	answers, err := s.stepLedger(now)
+	if err != nil {
+		return err
+	}
+	for _, m := range append(answers, s.grants(now)...) {
+		if err := s.deliver(now, m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// stepLedger steps the ledger and returns the answers to what it sends.
+func (s *quotaSimulation) stepLedger(now time.Duration) (answers []quota.Message, err error) {
+	var messages []quota.Message
+	s.cpu += usage.ThreadCPU(func() { messages, _ = s.ledger.Step(now) })
+	for _, m := range messages {
+		s.leases += len(m.Leases)
+		var received quota.Message
+		// Decoding is the receiver's part. It counts all the same, for the encoding of the answers does not.
+		s.cpu += usage.ThreadCPU(func() { received, err = s.sent.pass(s.self, s.incarnation.Boot, now, m) })
+		if err != nil {
+			return nil, err
+		}
+		asks := received.Ping || received.AsksForLeases
+		if asks || len(received.Leases)+len(received.Requests) > 0 {
+			answer := s.peersByName[m.Member].message(s.incarnation)
+			answer.AckedSeq = m.Seq
+			answer.HoldsNoLease = received.AsksForLeases
+			answers = append(answers, answer)
+		}
+	}
+	return answers, nil
+}
+
+// grants returns the leases that are due from the peers, for the destinations whose lease holder is the measured
+// member.
+func (s *quotaSimulation) grants(now time.Duration) (messages []quota.Message) {
+	var leases []quota.Lease
+	for _, status := range s.ledger.Status(now) {
+		if status.LeaseHolder == s.self {
+			scope := quota.Scope{Destination: status.Destination}
+			leases = append(leases, quota.Lease{Scope: scope, Rate: s.lease})
+		}
+	}
+	if len(leases) == 0 || now <= quota.LeaseDuration+quota.LeaseMargin {
+		return nil
+	}
+	for _, p := range s.peers {
+		if p.name == s.self || now < p.nextGrant {
+			continue
+		}
+		p.nextGrant = now + renewInterval
+		for rest := leases; len(rest) > 0; {
+			n := min(len(rest), maxLeasesPerDatagram)
+			m := p.message(s.incarnation)
+			m.Leases, rest = rest[:n], rest[n:]
+			messages = append(messages, m)
+		}
+	}
+	return messages
+}
+
+// deliver lets the ledger receive a message.
+func (s *quotaSimulation) deliver(now time.Duration, m quota.Message) (err error) {
+	s.cpu += usage.ThreadCPU(func() {
+		var received quota.Message
+		if received, err = s.received.pass(m.Member, m.Boot, now, m); err == nil {
+			s.ledger.Receive(now, received)
+		}
+	})
+	return err
+}
+
+func (s *quotaSimulation) addRates(values map[Metric]float64) {
+	seconds := quotaMeasureTime.Seconds()
+	values[SentDatagramRate] = s.sent.datagrams / seconds
+	values[SentByteRate] = s.sent.bytes / seconds
+	values[LeaseRate] = float64(s.leases) / seconds
+	values[ReceivedDatagramRate] = s.received.datagrams / seconds
+	values[ReceivedByteRate] = s.received.bytes / seconds
+	values[CPUPerSecond] = milliseconds(s.cpu) / seconds
+}
+
+func (s *quotaSimulation) addDestinations(values map[Metric]float64) {
+	held, shared := 0, s.ledger.Status(quotaSettleTime+quotaMeasureTime)
+	for _, status := range shared {
+		if status.LeaseHolder == s.self {
+			held++
+		}
+	}
+	values[HeldDestinations], values[SharedDestinations] = float64(held), float64(len(shared))
+}
--- /dev/null
+++ b/internal/capacity/hollow/quota_test.go
@@ -0,0 +1,36 @@
+package hollow
+
+import "testing"
+
+// What sharing limits costs one member. cmd/capacity runs this test by its name.
+func TestMeasureQuota(t *testing.T) {
+	destinations := []int{30}
+	if *full {
+		destinations = []int{30, 100, 1000}
+	}
+	for _, members := range sizesToMeasure(t, []int{20}, 100, 300, 1000, 2600) {
+		for _, d := range destinations {
+			m, err := MeasureQuota(members, d, 27)
+			if err != nil {
+				t.Fatal(err)
+			}
+			record(t, CaseQuota(d), m)
+			checkRange(t, m, SharedDestinations, float64(d), float64(d))
+			// All limits that the member does not hold itself are lent again at each renewal.
+			lent := (float64(d) - m.Values[HeldDestinations]) / renewInterval.Seconds()
+			granted := float64(members) / renewInterval.Seconds() * float64(d)
+			checkRange(t, m, LeaseRate, 0.9*lent, 1.1*lent)
+			checkRange(t, m, SentDatagramRate, lent/maxLeasesPerDatagram, 2*lent+granted)
+		}
+	}
+}
+
+func TestMeasureQuotaRejectsSizes(t *testing.T) {
+	for _, c := range []struct{ members, destinations int }{
+		{1, 1}, {2, 0}, {maxQuotaSize + 1, 1}, {2, maxQuotaSize + 1},
+	} {
+		if _, err := MeasureQuota(c.members, c.destinations, 27); err == nil {
+			t.Errorf("%d members and %d destinations are accepted", c.members, c.destinations)
+		}
+	}
+}
