--- a/cmd/sockfault/main_test.go
+++ b/cmd/sockfault/main_test.go
@@ -14,132 +14,154 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers with what it is sent.
-func echo(t *testing.T) string {
+// startEcho starts a server that sends back what it receives.
+func startEcho(t *testing.T) (addr string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	nettest.CloseAtEnd(t, listener)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); io.Copy(c, c) }()
+			go func() {
+				defer nettest.Close(conn)
+				_, _ = io.Copy(conn, conn) // an error shows at the client
+			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
+}
+
+// program is a run of the program.
+type program struct {
+	t      *testing.T
+	output *bufio.Reader
+	cancel context.CancelFunc
+	ended  chan error
 }
 
-// start runs the program; lines are what it prints.
-func start(t *testing.T, args ...string) (lines *bufio.Reader, end func() error) {
+func start(t *testing.T, args ...string) *program {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r, w := io.Pipe()
-	done := make(chan error, 1)
+	t.Cleanup(cancel)
+	reader, writer := io.Pipe()
+	ended := make(chan error, 1)
 	go func() {
-		var errs strings.Builder
+		var messages strings.Builder
 		var err error
-		if run(ctx, args, w, &errs) != 0 {
-			err = errors.New(errs.String())
+		if run(ctx, args, writer, &messages) != 0 {
+			err = errors.New(messages.String())
 		}
-		w.Close()
-		done <- err
+		nettest.Close(writer)
+		ended <- err
 	}()
-	t.Cleanup(cancel)
-	return bufio.NewReader(r), func() error {
-		cancel()
-		go io.Copy(io.Discard, r)
-		return <-done
-	}
+	return &program{t: t, output: bufio.NewReader(reader), cancel: cancel, ended: ended}
 }
 
-func word(t *testing.T, lines *bufio.Reader, name string) string {
-	t.Helper()
-	line, err := lines.ReadString('\n')
+// value reads the next line, which must have this name, and returns its value.
+func (p *program) value(name string) string {
+	p.t.Helper()
+	line, err := p.output.ReadString('\n')
 	value, ok := strings.CutPrefix(strings.TrimSpace(line), name+" ")
 	if err != nil || !ok {
-		t.Fatalf("%q, %v; want %s", line, err, name)
+		p.t.Fatalf("%q, %v; want %s", line, err, name)
 	}
 	return value
 }
 
-func dial(t *testing.T, network, addr string) net.Conn {
+// stop ends the program and returns its error.
+func (p *program) stop() error {
+	p.cancel()
+	if _, err := io.Copy(io.Discard, p.output); err != nil {
+		return err
+	}
+	return <-p.ended
+}
+
+func dialControl(t *testing.T, path string) net.Conn {
 	t.Helper()
-	c, err := net.Dial(network, addr)
+	conn, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	t.Cleanup(func() { c.Close() })
-	return c
+	nettest.CloseAtEnd(t, conn)
+	if err := conn.SetDeadline(time.Now().Add(nettest.Patience)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
 }
 
-func TestRulesFromTheCommandLineAndTheControlSocket(t *testing.T) {
+func TestRulesFromCommandLineAndControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control")
-	lines, end := start(t, "--target", echo(t), "--control", path, `dir=down match="c" do=halfclose`)
-	addr := word(t, lines, "listening")
-	if got := word(t, lines, "control"); got != path {
+	program := start(t, "--target", startEcho(t), "--control", path, `dir=down match="c" do=halfclose`)
+	addr := program.value("listening")
+	if got := program.value("control"); got != path {
 		t.Errorf("control at %s", got)
 	}
-	c := dial(t, "tcp", addr)
-	fmt.Fprint(c, "abcdef")
-	if text, err := io.ReadAll(c); string(text) != "abc" || err != nil {
-		t.Errorf("%q, %v", text, err)
+	const text = "abcdef"
+	if got, err := io.ReadAll(nettest.Dial(t, addr, text)); string(got) != "abc" || err != nil {
+		t.Errorf("%q, %v", got, err)
+	}
+	control := dialControl(t, path)
+	if _, err := fmt.Fprintln(control, "clear"); err != nil {
+		t.Fatal(err)
 	}
-	control := dial(t, "unix", path)
-	fmt.Fprintln(control, "clear")
 	if line, err := bufio.NewReader(control).ReadString('\n'); line != "ok\n" || err != nil {
 		t.Errorf("%q, %v", line, err)
 	}
-	c = dial(t, "tcp", addr)
-	fmt.Fprint(c, "abcdef")
-	buf := make([]byte, 6)
-	if _, err := io.ReadFull(c, buf); string(buf) != "abcdef" || err != nil {
-		t.Errorf("%q, %v", buf, err)
+	got := make([]byte, len(text))
+	if _, err := io.ReadFull(nettest.Dial(t, addr, text), got); string(got) != text || err != nil {
+		t.Errorf("%q, %v", got, err)
 	}
-	if err := end(); err != nil {
+	if err := program.stop(); err != nil {
 		t.Errorf("ended: %v", err)
 	}
 }
 
-func TestAScriptThatFailsEndsIt(t *testing.T) {
+func TestFailedScriptEndsProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script")
 	if err := os.WriteFile(path, []byte("add do=refuse\nnonsense\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), nettest.Patience)
 	defer cancel()
-	var out, errs strings.Builder
-	status := run(ctx, []string{"--target", "127.0.0.1:1", "--script", path}, &out, &errs)
-	if status != 1 || !strings.Contains(errs.String(), "line 2: unknown command") ||
-		!strings.Contains(out.String(), "add do=refuse: 1") {
-		t.Errorf("%d, %s, %s", status, errs.String(), out.String())
+	var stdout, stderr strings.Builder
+	status := run(ctx, []string{"--target", "127.0.0.1:1", "--script", path}, &stdout, &stderr)
+	if status != 1 || !strings.Contains(stderr.String(), "line 2: unknown command") ||
+		!strings.Contains(stdout.String(), "add do=refuse: 1") {
+		t.Errorf("%d, %s, %s", status, stderr.String(), stdout.String())
 	}
 }
 
-func TestWhatIsWrongIsSaid(t *testing.T) {
-	for _, c := range []struct {
+func TestErrorsAreReported(t *testing.T) {
+	for _, test := range []struct {
+		name string
 		args []string
 		want string
 	}{
-		{nil, "missing flags: --target"},
-		{[]string{"--target", "127.0.0.1:1", "do=melt"}, "unknown fault"},
-		{[]string{"--target", "127.0.0.1:1", "--listen", "nowhere"}, "nowhere"},
-		{[]string{"--target", "127.0.0.1:1", "--control", "0.0.0.0:0"}, "no loopback address"},
-		{[]string{"--target", "127.0.0.1:1", "--script", "/nonexistent"}, "no such file"},
+		{"no target", nil, "missing flags: --target"},
+		{"rule", []string{"--target", "127.0.0.1:1", "do=melt"}, "unknown fault"},
+		{"address", []string{"--target", "127.0.0.1:1", "--listen", "nowhere"}, "nowhere"},
+		{"control address", []string{"--target", "127.0.0.1:1", "--control", "0.0.0.0:0"}, "no loopback address"},
+		{"script", []string{"--target", "127.0.0.1:1", "--script", "/nonexistent"}, "no such file"},
 	} {
-		var errs strings.Builder
-		if status := run(context.Background(), c.args, io.Discard, &errs); status == 0 ||
-			!strings.Contains(errs.String(), c.want) {
-			t.Errorf("%v: %d, %s, want %q", c.args, status, errs.String(), c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var stderr strings.Builder
+			status := run(context.Background(), test.args, io.Discard, &stderr)
+			if status == 0 || !strings.Contains(stderr.String(), test.want) {
+				t.Errorf("%d, %s, want %q", status, stderr.String(), test.want)
+			}
+		})
 	}
 }
