--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -77,7 +77,9 @@
 	)
 }
 
-func load(name string) (scenario.File, error) { return scenario.LoadFor(name, scenario.EmulatorBounds) }
+func load(name string) (scenario.File, error) {
+	return scenario.LoadWithin(name, scenario.EmulatorBounds)
+}
 
 func exit(status int) error {
 	if status == exitHeld {
@@ -91,7 +93,7 @@
 	if name == "" {
 		return nil, nil
 	}
-	m := emulate.MutantNamed(name)
+	m := emulate.FindMutant(name)
 	if m == nil {
 		var all []string
 		for _, x := range emulate.Mutants() {
@@ -119,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := emulate.New(f.Draw(c.Seed), emulate.Options{Record: true, Wrong: wrong})
+	w, err := emulate.New(f.Draw(c.Seed), emulate.Options{Record: true, Mutant: wrong})
 	if err != nil {
 		return err
 	}
@@ -187,7 +189,7 @@
 		return err
 	}
 	defer out.Close()
-	had, err := experiment.Read(out)
+	had, err := experiment.ReadResults(out)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Out, err)
 	}
@@ -201,13 +203,15 @@
 				"\r\x1b[K%d of %d  %s seed=%d  service %.3f",
 				done,
 				of,
-				experiment.Cell{Cell: r.Cell}.Name(),
+				experiment.Cell{Levels: r.Cell}.Name(),
 				r.Seed,
 				r.Measures["service"],
 			)
 		}
 	}
-	n, err := p.Do(ctx, out, revision(), had, c.Workers, progress)
+	n, err := p.PlayAll(ctx, out, experiment.PlayOptions{
+		Revision: revision(), Previous: had, Workers: c.Workers, Progress: progress,
+	})
 	if !c.Quiet {
 		fmt.Fprintln(s.Err)
 	}
@@ -221,7 +225,7 @@
 	if _, err := out.Seek(0, io.SeekStart); err != nil {
 		return err
 	}
-	all, err := experiment.Read(out)
+	all, err := experiment.ReadResults(out)
 	if err != nil {
 		return err
 	}
@@ -312,7 +316,7 @@
 			return nil, err
 		}
 		defer f.Close()
-		return experiment.Read(f)
+		return experiment.ReadResults(f)
 	}
 	var a, b []experiment.Result
 	key := func(r experiment.Result) string { return experiment.Run{Cell: r.Cell, Seed: r.Seed}.Key() }
@@ -332,15 +336,15 @@
 		if err != nil {
 			return err
 		}
-		a, b, key = experiment.Split(
+		a, b, key = experiment.WithLevel(
 			all,
 			c.Factor,
 			c.A,
-		), experiment.Split(
+		), experiment.WithLevel(
 			all,
 			c.Factor,
 			c.B,
-		), experiment.KeyWithout(
+		), experiment.KeyWithoutFactor(
 			c.Factor,
 		)
 	default:
@@ -369,7 +373,7 @@
 		return err
 	}
 	defer f.Close()
-	all, err := experiment.Read(f)
+	all, err := experiment.ReadResults(f)
 	if err != nil {
 		return err
 	}
@@ -377,7 +381,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(experiment.Page(out, filepath.Base(c.File), all), out.Close()); err != nil {
+	if err := errors.Join(experiment.WritePage(out, filepath.Base(c.File), all), out.Close()); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.Out, "page: %s\n", c.Out)
