--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -14,12 +14,12 @@
 // shared is a fleet at one destination whose refused calls use up its limit, that shares what it takes or does not.
 func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
 	t.Helper()
-	k := scenario.Kind{Pace: scenario.Duration(200 * time.Millisecond), Slots: 8, Limit: "rate", Counts: true}
+	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 8, Limit: "rate", CountsRejected: true}
 	opts := Options{
-		Fleet:    scenario.Fleet{Enabled: true, Rights: on},
-		Settings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
+		Fleet:          scenario.Fleet{Enabled: true, Quotas: on},
+		ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
 	}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{Rate: takes}, opts)
+	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: takes}, opts)
 }
 
 // Relays of which each has a call in three seconds are served better and refused less where they share what a
@@ -31,7 +31,7 @@
 		for _, a := range w.relays[:relays/3] {
 			for _, b := range w.relays[relays/3:] {
 				for _, name := range []string{scenario.LinkName(a.name, b.name), scenario.LinkName(b.name, a.name)} {
-					w.fleet.links[name] = scenario.Step{Op: scenario.OpLinkCut}
+					w.fleet.linkSteps[name] = scenario.Step{Op: scenario.OpLinkCut}
 				}
 			}
 		}
@@ -39,16 +39,16 @@
 	lose := func(w *world) {
 		for _, a := range w.relays {
 			for _, b := range w.relays {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLose, X: 0.3}
+				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
 			}
 		}
 	}
 	stop := func(w *world) {
 		w.Schedule(15*time.Second, func() {
-			a := w.relays[0].fleet.seam.Quota().Accounts[quota.Scope{Destination: 1}]
+			a := w.relays[0].member.agent.Quota().Accounts[quota.Scope{Destination: 1}]
 			keeper := w.relay(a.LeaseHolder)
-			keeper.freeze(true)
-			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.freeze(false) })
+			keeper.setPaused(true)
+			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.setPaused(false) })
 		})
 	}
 	for _, c := range []struct {
@@ -72,9 +72,9 @@
 				c.faults(w)
 			}
 			w.run(t, length)
-			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsFull
-			if wrong := slices.Compact(w.fleet.Wrong); len(wrong) > 0 || on && w.fleet.Sums < 50 {
-				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.Sums)
+			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsRejected
+			if wrong := slices.Compact(w.fleet.violations); len(wrong) > 0 || on && w.fleet.quotaCheckCount < 50 {
+				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.quotaCheckCount)
 			}
 		}
 		t.Logf("%s: served %.2f and %.2f, refused %d and %d", c.name, served[0], served[1], refused[0], refused[1])
@@ -103,7 +103,7 @@
 			t.Run(fmt.Sprint(relays, " ", day), func(t *testing.T) {
 				t.Parallel()
 				for _, on := range []bool{false, true} {
-					f, err := scenario.LoadFor("../../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
+					f, err := scenario.LoadWithin("../../../docs/experiments/fleet-"+day+".toml", scenario.EmulatorBounds)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -111,25 +111,25 @@
 						length,
 					), scenario.Fleet{
 						Enabled: true,
-						Rights:  on,
+						Quotas:  on,
 					}
 					for i := range f.Traffic {
 						f.Traffic[i].To = min(f.Traffic[i].To, f.Length)
 					}
-					f.Troubles = slices.DeleteFunc(
-						f.Troubles,
-						func(x scenario.Trouble) bool { return x.At >= f.Length },
+					f.Faults = slices.DeleteFunc(
+						f.Faults,
+						func(x scenario.Fault) bool { return x.Start >= f.Length },
 					)
-					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, Connections: 400})
-					if len(w.fleet.Wrong) > 0 {
-						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.Wrong))
+					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
+					if len(w.fleet.violations) > 0 {
+						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.violations))
 					}
 					t.Logf(
 						"rights %v: whole day %.3f, %d calls refused of %d",
 						on,
-						w.Whole(),
-						w.CallsFull,
-						w.CallsFull+w.CallsOK,
+						w.Overall(),
+						w.CallsRejected,
+						w.CallsRejected+w.CallsServed,
 					)
 				}
 			})
