--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -42,7 +42,7 @@
 	if len(c.Worlds) > 0 {
 		worlds = nil
 		for _, name := range c.Worlds {
-			w := modelcheck.ModelNamed(name)
+			w := modelcheck.FindModel(name)
 			if w == nil {
 				return fmt.Errorf("no world %q", name)
 			}
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -62,8 +62,8 @@
 
 // The rules' figures that the settings do not hold.
 const (
-	drainGrace = time.Second
-	lostAfter  = checker.FinalAnswerTimeout
+	drainGracePeriod = time.Second
+	finalAnswerGrace = checker.FinalAnswerTimeout
 )
 
 // MoveKind names a move.
@@ -118,22 +118,22 @@
 	SkipRandomWalks bool
 }
 
-const statesMost = 4 << 20
+const defaultMaxStates = 4 << 20
 
 // node is a state of a world. It is not changed once it is in the frontier.
-type node struct {
-	now      time.Duration
-	relays   []relayState
-	given    int
-	faults   int
-	restarts int
-	phase    int // of the outage: 0 none yet, 1 out, 2 back
-	failedAt time.Duration
-	backAt   time.Duration
-	arrivals []arrival // calls since the return
-	fell     bool
-	from     int32 // in the path table
-	brk      *Violation
+type state struct {
+	now         time.Duration
+	relays      []relayState
+	submitted   int
+	faults      int
+	restarts    int
+	outage      int // of the outage: 0 none yet, 1 out, 2 back
+	outageStart time.Duration
+	outageEnd   time.Duration
+	arrivals    []arrival // calls since the return
+	fell        bool
+	pathStep    int32 // in the path table
+	violation   *Violation
 }
 
 type arrival struct {
@@ -142,81 +142,81 @@
 }
 
 type relayState struct {
-	module []byte // its snapshot
-	epoch  time.Duration
-	life   int
-	wake   time.Duration // 0: none asked for
-	msgs   []msgState
-	calls  []callState
-	wait   map[string]time.Duration // told, by gate
-	told   map[string]toldState
-	seen   int // failures in the outage
-	held   []heldState
+	engine         []byte // its snapshot
+	epoch          time.Duration
+	incarnation    int
+	timerAt        time.Duration // 0: none asked for
+	messages       []messageState
+	calls          []callState
+	retryAfter     map[string]time.Duration // told, by gate
+	observed       map[string]endpointChange
+	outageFailures int // failures in the outage
+	delayed        []delayedEvent
 }
 
-type toldState struct {
-	gone bool
-	at   time.Duration
+type endpointChange struct {
+	removed    bool
+	observedAt time.Duration
 }
 
-type heldState struct {
-	due time.Duration
-	e   policy.Event
+type delayedEvent struct {
+	due   time.Duration
+	event policy.Event
 }
 
-type msgState struct {
-	id       policy.MessageID
-	n        int // in World.Messages
-	at       time.Duration
-	deadline time.Duration
-	sends    int
-	ran      bool
-	ranAt    time.Duration
-	ranZone  int
-	doubtAt  time.Duration // last outcome that may still run
-	doubt    bool
-	ended    bool
-	told     bool // its end was told
-	lost     bool // a restart has forgotten it
-	mayRun   []int
-	freed    bool // taken before a restart: its order counts no more
+type messageState struct {
+	id                policy.MessageID
+	index             int // in World.Messages
+	acceptedAt        time.Duration
+	deadline          time.Duration
+	attempts          int
+	mayHaveRun        bool
+	firstRunAt        time.Duration
+	firstRunZone      int
+	unknownOutcomeAt  time.Duration // last outcome that may still run
+	hasUnknownOutcome bool
+	ended             bool
+	endReported       bool // its end was told
+	forgotten         bool // a restart has forgotten it
+	possibleRuns      []int
+	fromBeforeRestart bool // taken before a restart: its order counts no more
 }
 
 type callState struct {
-	id    policy.MessageID
-	n     int
-	route int
-	sent  time.Duration
-	cut   time.Duration
+	messageID policy.MessageID
+	attempt   int
+	endpoint  int
+	sentAt    time.Duration
+	timeoutAt time.Duration
 }
 
-type step struct {
+type pathStep struct {
 	parent int32
 	move   Move
 }
 
 type explorer struct {
-	w     *Model
-	wrong *emulate.Mutant
-	set   policy.Settings // as the module is told
+	model    *Model
+	mutant   *emulate.Mutant
+	settings policy.Settings // as the module is told
 
 	shards [64]struct {
 		sync.Mutex
 		seen map[uint64]struct{}
 	}
-	mu    sync.Mutex
-	steps []step
+	mu        sync.Mutex
+	pathSteps []pathStep
 }
 
 // Check explores the states of a model.
 func Check(ctx context.Context, w *Model, opts Options) (Result, error) {
-	x, root, err := begin(w, opts.Mutant)
+	x, root, err := newExplorer(w, opts.Mutant)
 	if err != nil {
 		return Result{}, err
 	}
 	most, workers, depth := opts.MaxStates, opts.Workers, opts.MaxDepth
 	if most == 0 {
-		most = statesMost
+		most = defaultMaxStates
 	}
 	if workers == 0 {
 		workers = runtime.GOMAXPROCS(0)
@@ -226,14 +226,14 @@
 	}
 	f := Result{Model: w.Name, States: 1}
 	x.visit(root)
-	frontier := []*node{root}
+	frontier := []*state{root}
 	for ; f.Depth < depth && len(frontier) > 0; f.Depth++ {
 		last := f.Depth == depth-1
-		next, paths, broken := x.level(ctx, frontier, workers, last, most-f.States)
+		next, paths, broken := x.expandLevel(ctx, frontier, workers, last, most-f.States)
 		f.Transitions += paths
 		f.States += next.states
 		if broken != nil {
-			f.Violation, f.Trace = broken.brk, x.path(broken.from)
+			f.Violation, f.Trace = broken.violation, x.pathTo(broken.pathStep)
 			return f, nil
 		}
 		if next.stopped || ctx.Err() != nil {
@@ -244,15 +244,15 @@
 	}
 	f.Complete = len(frontier) == 0 && f.Depth < depth
 	if !f.Complete && !opts.SkipRandomWalks {
-		x.walks(ctx, root, workers, &f)
+		x.runRandomWalks(ctx, root, workers, &f)
 	}
 	return f, ctx.Err()
 }
 
 // walks plays random paths. Of those that break a rule the first by its number is taken, and what is not needed for the
 // break left out.
-func (x *explorer) walks(ctx context.Context, root *node, workers int, f *Result) {
-	found := make([][]Move, x.w.RandomWalks)
+func (x *explorer) runRandomWalks(ctx context.Context, root *state, workers int, f *Result) {
+	found := make([][]Move, x.model.RandomWalks)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	next := 0
@@ -263,19 +263,19 @@
 				i := next
 				next++
 				mu.Unlock()
-				if i >= x.w.RandomWalks || ctx.Err() != nil {
+				if i >= x.model.RandomWalks || ctx.Err() != nil {
 					return
 				}
-				rng := engine.NewRandom(1, x.w.Name, i)
+				rng := engine.NewRandom(1, x.model.Name, i)
 				n, path := root, []Move(nil)
-				for range x.w.RandomWalkLength {
-					moves := x.moves(n)
+				for range x.model.RandomWalkLength {
+					moves := x.enabledMoves(n)
 					if len(moves) == 0 {
 						break
 					}
 					m := moves[rng.IntN(len(moves))]
 					path = append(path, m)
-					if n = x.play(n, m); n.brk != nil {
+					if n = x.successor(n, m); n.violation != nil {
 						found[i] = path
 						break
 					}
@@ -289,28 +289,28 @@
 	}
 	wg.Wait()
 	if i := slices.IndexFunc(found, func(p []Move) bool { return p != nil }); i >= 0 {
-		f.Trace, f.Violation = x.shorten(root, found[i])
+		f.Trace, f.Violation = x.shrink(root, found[i])
 	}
 }
 
 // replay plays moves as far as they can be made; it is the break at their end, if there is one.
-func (x *explorer) replay(n *node, path []Move) *Violation {
+func (x *explorer) replay(n *state, path []Move) *Violation {
 	for i, m := range path {
-		if !slices.Contains(x.moves(n), m) {
+		if !slices.Contains(x.enabledMoves(n), m) {
 			return nil
 		}
-		if n = x.play(n, m); n.brk != nil {
+		if n = x.successor(n, m); n.violation != nil {
 			if i < len(path)-1 {
 				return nil
 			}
-			return n.brk
+			return n.violation
 		}
 	}
 	return nil
 }
 
 // shorten leaves moves out of a path while it ends in the same break.
-func (x *explorer) shorten(root *node, path []Move) ([]Move, *Violation) {
+func (x *explorer) shrink(root *state, path []Move) ([]Move, *Violation) {
 	b := x.replay(root, path)
 	for again := true; again; {
 		again = false
@@ -325,26 +325,26 @@
 }
 
 type found struct {
-	nodes   []*node
+	nodes   []*state
 	states  int
 	stopped bool
 }
 
 // level plays every move at every state of a frontier. The result does not hang on the workers: states are in the order
 // of their paths, and of several breaks the first by that order is taken.
-func (x *explorer) level(
+func (x *explorer) expandLevel(
 	ctx context.Context,
-	frontier []*node,
+	frontier []*state,
 	workers int,
 	last bool,
 	room int,
-) (f found, paths int, broken *node) {
+) (f found, paths int, broken *state) {
 	type part struct {
-		nodes  []*node
+		nodes  []*state
 		moves  []Move
 		paths  int
 		states int
-		broken *node
+		broken *state
 		move   Move
 		from   int32
 	}
@@ -366,11 +366,11 @@
 				}
 				p := &parts[i]
 				for _, n := range frontier[i*chunk : min(len(frontier), (i+1)*chunk)] {
-					for _, m := range x.moves(n) {
-						next := x.play(n, m)
+					for _, m := range x.enabledMoves(n) {
+						next := x.successor(n, m)
 						p.paths++
-						next.from = n.from
-						if next.brk != nil {
+						next.pathStep = n.pathStep
+						if next.violation != nil {
 							if p.broken == nil {
 								p.broken, p.move = next, m
 							}
@@ -398,7 +398,7 @@
 		f.states += p.states
 		if p.broken != nil && broken == nil {
 			broken = p.broken
-			broken.from = x.note(broken.from, p.move)
+			broken.pathStep = x.recordStep(broken.pathStep, p.move)
 		}
 	}
 	if f.stopped = f.states > room; broken != nil || f.stopped {
@@ -406,7 +406,7 @@
 	}
 	for i := range parts {
 		for k, n := range parts[i].nodes {
-			n.from = x.note(n.from, parts[i].moves[k])
+			n.pathStep = x.recordStep(n.pathStep, parts[i].moves[k])
 			f.nodes = append(f.nodes, n)
 		}
 		parts[i] = part{}
@@ -414,21 +414,21 @@
 	return f, paths, nil
 }
 
-func (x *explorer) note(parent int32, m Move) int32 {
-	x.steps = append(x.steps, step{parent, m})
-	return int32(len(x.steps) - 1)
+func (x *explorer) recordStep(parent int32, m Move) int32 {
+	x.pathSteps = append(x.pathSteps, pathStep{parent, m})
+	return int32(len(x.pathSteps) - 1)
 }
 
-func (x *explorer) path(at int32) (all []Move) {
-	for ; at >= 0; at = x.steps[at].parent {
-		all = append(all, x.steps[at].move)
+func (x *explorer) pathTo(at int32) (all []Move) {
+	for ; at >= 0; at = x.pathSteps[at].parent {
+		all = append(all, x.pathSteps[at].move)
 	}
 	slices.Reverse(all)
 	return all
 }
 
 // visit tells whether a state is new.
-func (x *explorer) visit(n *node) bool {
+func (x *explorer) visit(n *state) bool {
 	h := xxhash.Sum64(n.encode(nil))
 	s := &x.shards[h%64]
 	s.Lock()
@@ -444,7 +444,7 @@
 }
 
 // encode writes all of a state that what follows hangs on.
-func (n *node) encode(b []byte) []byte {
+func (n *state) encode(b []byte) []byte {
 	num := func(x int64) { b = binary.AppendVarint(b, x) }
 	flag := func(x bool) {
 		if x {
@@ -454,60 +454,60 @@
 		}
 	}
 	num(int64(n.now))
-	num(int64(n.given))
+	num(int64(n.submitted))
 	num(int64(n.faults))
 	num(int64(n.restarts))
-	num(int64(n.phase))
-	num(int64(n.failedAt))
-	num(int64(n.backAt))
+	num(int64(n.outage))
+	num(int64(n.outageStart))
+	num(int64(n.outageEnd))
 	for _, a := range n.arrivals {
 		num(int64(a.at))
 		num(int64(a.relay))
 	}
 	for i := range n.relays {
 		r := &n.relays[i]
-		num(int64(len(r.module)))
-		b = append(b, r.module...)
+		num(int64(len(r.engine)))
+		b = append(b, r.engine...)
 		num(int64(r.epoch))
-		num(int64(r.wake))
-		num(int64(r.seen))
-		for _, m := range r.msgs {
+		num(int64(r.timerAt))
+		num(int64(r.outageFailures))
+		for _, m := range r.messages {
 			num(int64(m.id))
-			num(int64(m.n))
+			num(int64(m.index))
 			num(int64(m.deadline))
-			num(int64(m.sends))
-			flag(m.ran)
-			num(int64(m.ranAt))
-			num(int64(m.ranZone))
-			flag(m.doubt)
-			num(int64(m.doubtAt))
+			num(int64(m.attempts))
+			flag(m.mayHaveRun)
+			num(int64(m.firstRunAt))
+			num(int64(m.firstRunZone))
+			flag(m.hasUnknownOutcome)
+			num(int64(m.unknownOutcomeAt))
 			flag(m.ended)
-			flag(m.told)
-			flag(m.freed)
-			flag(m.lost)
-			for _, k := range m.mayRun {
+			flag(m.endReported)
+			flag(m.fromBeforeRestart)
+			flag(m.forgotten)
+			for _, k := range m.possibleRuns {
 				num(int64(k))
 			}
 		}
 		for _, c := range r.calls {
-			num(int64(c.id))
-			num(int64(c.n))
-			num(int64(c.route))
-			num(int64(c.sent))
-			num(int64(c.cut))
+			num(int64(c.messageID))
+			num(int64(c.attempt))
+			num(int64(c.endpoint))
+			num(int64(c.sentAt))
+			num(int64(c.timeoutAt))
 		}
-		for _, k := range sortedKeys(r.wait) {
+		for _, k := range sortedKeys(r.retryAfter) {
 			b = append(b, k...)
-			num(int64(r.wait[k]))
+			num(int64(r.retryAfter[k]))
 		}
-		for _, k := range sortedKeys(r.told) {
+		for _, k := range sortedKeys(r.observed) {
 			b = append(b, k...)
-			flag(r.told[k].gone)
-			num(int64(r.told[k].at))
+			flag(r.observed[k].removed)
+			num(int64(r.observed[k].observedAt))
 		}
-		for _, h := range r.held {
+		for _, h := range r.delayed {
 			num(int64(h.due))
-			num(int64(h.e.Kind))
+			num(int64(h.event.Kind))
 		}
 	}
 	return b
@@ -523,7 +523,7 @@
 }
 
 // clone copies a state so far that playing a move at one relay does not change it: relay -1 for all.
-func (n *node) clone(relay int) *node {
+func (n *state) clone(relay int) *state {
 	c := *n
 	c.relays = slices.Clone(n.relays)
 	c.arrivals = slices.Clone(n.arrivals)
@@ -532,70 +532,70 @@
 			continue
 		}
 		r := &c.relays[i]
-		r.msgs, r.calls, r.held = slices.Clone(r.msgs), slices.Clone(r.calls), slices.Clone(r.held)
-		for k := range r.msgs {
-			r.msgs[k].mayRun = slices.Clone(r.msgs[k].mayRun)
+		r.messages, r.calls, r.delayed = slices.Clone(r.messages), slices.Clone(r.calls), slices.Clone(r.delayed)
+		for k := range r.messages {
+			r.messages[k].possibleRuns = slices.Clone(r.messages[k].possibleRuns)
 		}
-		wait, told := make(map[string]time.Duration, len(r.wait)), make(map[string]toldState, len(r.told))
-		for k, v := range r.wait {
+		wait, told := make(map[string]time.Duration, len(r.retryAfter)), make(map[string]endpointChange, len(r.observed))
+		for k, v := range r.retryAfter {
 			wait[k] = v
 		}
-		for k, v := range r.told {
+		for k, v := range r.observed {
 			told[k] = v
 		}
-		r.wait, r.told = wait, told
+		r.retryAfter, r.observed = wait, told
 	}
 	return &c
 }
 
-const moduleStart = time.Second
+const engineStart = time.Second
 
-func begin(w *Model, wrong *emulate.Mutant) (*explorer, *node, error) {
-	x := &explorer{w: w, wrong: wrong, set: w.Settings}
-	x.set.Classes = slices.Clone(x.set.Classes)
-	x.set.FleetSize = w.Relays
+func newExplorer(w *Model, wrong *emulate.Mutant) (*explorer, *state, error) {
+	x := &explorer{model: w, mutant: wrong, settings: w.Settings}
+	x.settings.Classes = slices.Clone(x.settings.Classes)
+	x.settings.FleetSize = w.Relays
 	if wrong != nil && wrong.ChangeSettings != nil {
-		wrong.ChangeSettings(&x.set)
+		wrong.ChangeSettings(&x.settings)
 	}
-	root := &node{from: -1}
+	root := &state{pathStep: -1}
 	for i := range w.Relays {
-		s, err := policy.New(x.set, uint64(i))
+		s, err := policy.New(x.settings, uint64(i))
 		if err != nil {
 			return nil, nil, fmt.Errorf("explore: %s: %w", w.Name, err)
 		}
 		root.relays = append(
 			root.relays,
-			relayState{wait: map[string]time.Duration{}, told: map[string]toldState{}, epoch: -moduleStart},
+			relayState{retryAfter: map[string]time.Duration{}, observed: map[string]endpointChange{}, epoch: -engineStart},
 		)
 		r := &root.relays[i]
-		x.decide(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Endpoints}})
-		r.module = s.Snapshot(nil)
+		x.runEngine(root, i, s, []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: w.Endpoints}})
+		r.engine = s.Snapshot(nil)
 	}
 	if w.StartsInOutage {
-		root.phase = 1
+		root.outage = 1
 	}
-	return x, root, root.err()
+	return x, root, root.startError()
 }
 
-func (n *node) err() error {
-	if n.brk != nil {
-		return fmt.Errorf("explore: broken at the start: %s", n.brk.Detail)
+func (n *state) startError() error {
+	if n.violation != nil {
+		return fmt.Errorf("explore: broken at the start: %s", n.violation.Detail)
 	}
 	return nil
 }
 
-func (n *node) breaks(rule checker.Rule, format string, args ...any) {
-	if n.brk == nil {
-		n.brk = &Violation{rule, fmt.Sprintf("at %v: ", n.now) + fmt.Sprintf(format, args...)}
+func (n *state) violate(rule checker.Rule, format string, args ...any) {
+	if n.violation == nil {
+		n.violation = &Violation{rule, fmt.Sprintf("at %v: ", n.now) + fmt.Sprintf(format, args...)}
 	}
 }
 
 // moves are all that may happen at a state.
-func (x *explorer) moves(n *node) (all []Move) {
-	w := x.w
-	if n.given < len(w.Messages) {
+func (x *explorer) enabledMoves(n *state) (all []Move) {
+	w := x.model
+	if n.submitted < len(w.Messages) {
 		for r := range n.relays {
-			if r > 0 && equal(&n.relays[0], &n.relays[r]) {
+			if r > 0 && bothUntouched(&n.relays[0], &n.relays[r]) {
 				continue // it is as the first: one of them is enough
 			}
 			all = append(all, Move{Kind: MoveSubmit, Relay: r})
@@ -604,73 +604,73 @@
 	for r := range n.relays {
 		for c := range n.relays[r].calls {
 			for o, out := range w.Outcomes {
-				if out.Outcome != policy.OK && n.faults >= w.MaxFaults || n.phase == 1 && out.Outcome == policy.OK {
+				if out.Outcome != policy.OK && n.faults >= w.MaxFaults || n.outage == 1 && out.Outcome == policy.OK {
 					continue
 				}
 				all = append(all, Move{Kind: MoveFinishCall, Relay: r, Index: c, Outcome: o})
 			}
-			if n.phase == 1 { // out of service: it fails, and that is no fault of its own
+			if n.outage == 1 { // out of service: it fails, and that is no fault of its own
 				all = append(all, Move{Kind: MoveFinishCall, Relay: r, Index: c, Outcome: -1})
 			}
 		}
 		for d, route := range w.DrainingEndpoints {
-			if t, ok := n.relays[r].told[route]; !ok {
+			if t, ok := n.relays[r].observed[route]; !ok {
 				all = append(all, Move{Kind: MoveObserveDraining, Relay: r, Index: d})
-			} else if !t.gone {
+			} else if !t.removed {
 				all = append(all, Move{Kind: MoveObserveRemoval, Relay: r, Index: d})
 			}
 		}
-		for k, m := range n.relays[r].msgs {
-			if m.ended && !m.told && w.MaxRestarts > n.restarts && !x.quiet(m.id) {
+		for k, m := range n.relays[r].messages {
+			if m.ended && !m.endReported && w.MaxRestarts > n.restarts && !x.dropsNotice(m.id) {
 				all = append(all, Move{Kind: MoveAcknowledgeNotice, Relay: r, Index: k})
 			}
 		}
-		if n.restarts < w.MaxRestarts && (len(n.relays[r].msgs) > 0 || len(n.relays[r].wait) > 0) {
+		if n.restarts < w.MaxRestarts && (len(n.relays[r].messages) > 0 || len(n.relays[r].retryAfter) > 0) {
 			all = append(all, Move{Kind: MoveRestart, Relay: r})
 		}
 	}
-	if w.HasOutage && n.phase == 0 {
+	if w.HasOutage && n.outage == 0 {
 		all = append(all, Move{Kind: MoveStartOutage})
 	}
-	if n.phase == 1 && n.now >= n.failedAt+w.MinOutage {
+	if n.outage == 1 && n.now >= n.outageStart+w.MinOutage {
 		all = append(all, Move{Kind: MoveEndOutage})
 	}
-	if n.given > 0 {
+	if n.submitted > 0 {
 		all = append(all, Move{Kind: MoveAdvanceTime})
 	}
 	return all
 }
 
 // equal tells whether nothing has happened to two relays.
-func equal(a, b *relayState) bool {
-	return len(a.msgs)+len(b.msgs)+len(a.told)+len(b.told)+len(a.wait)+len(b.wait) == 0 && a.seen+b.seen == 0 &&
-		a.life == b.life
+func bothUntouched(a, b *relayState) bool {
+	return len(a.messages)+len(b.messages)+len(a.observed)+len(b.observed)+len(a.retryAfter)+len(b.retryAfter) == 0 && a.outageFailures+b.outageFailures == 0 &&
+		a.incarnation == b.incarnation
 }
 
 // play is the state after a move.
-func (x *explorer) play(from *node, m Move) *node {
+func (x *explorer) successor(from *state, m Move) *state {
 	relay := m.Relay
 	if m.Kind == MoveAdvanceTime {
 		relay = -1
 	}
 	n := from.clone(relay)
-	n.brk = nil
-	w := x.w
+	n.violation = nil
+	w := x.model
 	switch m.Kind {
 	case MoveSubmit:
 		r := &n.relays[m.Relay]
-		msg := w.Messages[n.given]
-		n.given++
-		r.msgs = append(
-			r.msgs,
-			msgState{
-				id:       policy.MessageID(n.given),
-				n:        n.given - 1,
-				at:       n.now,
-				deadline: n.now + w.Settings.Classes[msg.Class].Deadline,
+		msg := w.Messages[n.submitted]
+		n.submitted++
+		r.messages = append(
+			r.messages,
+			messageState{
+				id:         policy.MessageID(n.submitted),
+				index:      n.submitted - 1,
+				acceptedAt: n.now,
+				deadline:   n.now + w.Settings.Classes[msg.Class].Deadline,
 			},
 		)
-		x.step(n, m.Relay, x.taken(n, &r.msgs[len(r.msgs)-1]))
+		x.deliverEvent(n, m.Relay, x.acceptedEvent(n, &r.messages[len(r.messages)-1]))
 	case MoveFinishCall:
 		out := CallOutcome{Outcome: policy.Error}
 		if m.Outcome >= 0 {
@@ -679,52 +679,52 @@
 				n.faults++
 			}
 		} else {
-			n.relays[m.Relay].seen++
+			n.relays[m.Relay].outageFailures++
 		}
-		x.end(n, m.Relay, m.Index, out)
+		x.finishCall(n, m.Relay, m.Index, out)
 	case MoveObserveDraining, MoveObserveRemoval:
 		route := w.DrainingEndpoints[m.Index]
 		i := slices.IndexFunc(w.Endpoints, func(l policy.Endpoint) bool { return l.ID == route })
 		l := w.Endpoints[i]
 		l.InService, l.Removed = false, m.Kind == MoveObserveRemoval
-		t, ok := n.relays[m.Relay].told[route]
+		t, ok := n.relays[m.Relay].observed[route]
 		if !ok {
-			t.at = n.now
+			t.observedAt = n.now
 		}
-		t.gone = l.Removed
-		n.relays[m.Relay].told[route] = t
-		x.step(n, m.Relay, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}})
+		t.removed = l.Removed
+		n.relays[m.Relay].observed[route] = t
+		x.deliverEvent(n, m.Relay, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{l}})
 	case MoveAcknowledgeNotice:
-		n.relays[m.Relay].msgs[m.Index].told = true
+		n.relays[m.Relay].messages[m.Index].endReported = true
 	case MoveRestart:
 		n.restarts++
 		x.restart(n, m.Relay)
 	case MoveStartOutage:
-		n.phase, n.failedAt = 1, n.now
+		n.outage, n.outageStart = 1, n.now
 	case MoveEndOutage:
-		n.phase, n.backAt = 2, n.now
+		n.outage, n.outageEnd = 2, n.now
 	case MoveAdvanceTime:
-		x.pass(n)
+		x.advanceTime(n)
 	}
 	return n
 }
 
-func (x *explorer) taken(n *node, m *msgState) policy.Event {
-	msg := x.w.Messages[m.n]
+func (x *explorer) acceptedEvent(n *state, m *messageState) policy.Event {
+	msg := x.model.Messages[m.index]
 	return policy.Event{
 		Kind:        policy.MessageAccepted,
 		MessageID:   m.id,
 		Key:         msg.Key,
 		Class:       msg.Class,
 		Tenant:      -1,
-		Destination: x.w.Endpoints[0].Destination,
+		Destination: x.model.Endpoints[0].Destination,
 		TimeLeft:    m.deadline - n.now,
 	}
 }
 
 // pass lets time pass until something is due, or by a quantum, and has that happen.
-func (x *explorer) pass(n *node) {
-	to := n.now + x.w.MaxTimeStep
+func (x *explorer) advanceTime(n *state) {
+	to := n.now + x.model.MaxTimeStep
 	soon := func(t time.Duration) {
 		if t > n.now {
 			to = min(to, t)
@@ -732,58 +732,58 @@
 	}
 	for i := range n.relays {
 		r := &n.relays[i]
-		if r.wake > 0 {
-			soon(r.wake)
+		if r.timerAt > 0 {
+			soon(r.timerAt)
 		}
 		for _, c := range r.calls {
-			soon(c.cut)
+			soon(c.timeoutAt)
 		}
-		for _, h := range r.held {
+		for _, h := range r.delayed {
 			soon(h.due)
 		}
-		for _, m := range r.msgs {
-			if !m.told {
-				soon(m.deadline + lostAfter + time.Millisecond)
+		for _, m := range r.messages {
+			if !m.endReported {
+				soon(m.deadline + finalAnswerGrace + time.Millisecond)
 			}
 		}
 	}
 	for i := range n.relays {
-		for k := range n.relays[i].msgs {
-			m := &n.relays[i].msgs[k]
-			m.told = m.told || m.ended && !m.lost && !x.quiet(m.id)
+		for k := range n.relays[i].messages {
+			m := &n.relays[i].messages[k]
+			m.endReported = m.endReported || m.ended && !m.forgotten && !x.dropsNotice(m.id)
 		}
 	}
 	n.now = to
 	for i := range n.relays {
 		r := &n.relays[i]
 		for c := 0; c < len(r.calls); c++ {
-			if r.calls[c].cut <= n.now {
-				x.end(n, i, c, CallOutcome{Outcome: policy.Timeout})
+			if r.calls[c].timeoutAt <= n.now {
+				x.finishCall(n, i, c, CallOutcome{Outcome: policy.Timeout})
 				c = -1
 			}
 		}
 		var due []policy.Event
-		r.held = slices.DeleteFunc(r.held, func(h heldState) bool {
+		r.delayed = slices.DeleteFunc(r.delayed, func(h delayedEvent) bool {
 			if h.due <= n.now {
-				due = append(due, h.e)
+				due = append(due, h.event)
 			}
 			return h.due <= n.now
 		})
-		if r.wake > 0 && r.wake <= n.now {
-			r.wake = 0
+		if r.timerAt > 0 && r.timerAt <= n.now {
+			r.timerAt = 0
 			due = append(due, policy.Event{Kind: policy.TimerFired})
 		}
 		if len(due) > 0 {
-			x.heard(n, i, due)
+			x.stepEngine(n, i, due)
 		}
-		for k := range r.msgs {
-			if m := &r.msgs[k]; !m.told && n.now > m.deadline+lostAfter {
-				n.breaks(
+		for k := range r.messages {
+			if m := &r.messages[k]; !m.endReported && n.now > m.deadline+finalAnswerGrace {
+				n.violate(
 					checker.NoMessageLost,
 					"message %d, taken on by relay %d at %v, has no end %v after its time",
 					m.id,
 					i,
-					m.at,
+					m.acceptedAt,
 					n.now-m.deadline,
 				)
 			}
@@ -792,87 +792,87 @@
 }
 
 // end ends a call with an outcome.
-func (x *explorer) end(n *node, relay, call int, out CallOutcome) {
+func (x *explorer) finishCall(n *state, relay, call int, out CallOutcome) {
 	r := &n.relays[relay]
 	c := r.calls[call]
 	r.calls = slices.Delete(r.calls, call, call+1)
-	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == c.id })
-	m := &r.msgs[k]
+	k := slices.IndexFunc(r.messages, func(m messageState) bool { return m.id == c.messageID })
+	m := &r.messages[k]
 	switch out.Outcome {
 	case policy.OK:
-		m.ended, m.told = true, true
-		if r.seen < x.w.FailuresToDetect {
-			r.seen = 0 // not in a row
+		m.ended, m.endReported = true, true
+		if r.outageFailures < x.model.FailuresToDetect {
+			r.outageFailures = 0 // not in a row
 		}
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
-		m.mayRun = slices.DeleteFunc(m.mayRun, func(a int) bool { return a == c.n })
-		m.ran = len(m.mayRun) > 0
+		m.possibleRuns = slices.DeleteFunc(m.possibleRuns, func(a int) bool { return a == c.attempt })
+		m.mayHaveRun = len(m.possibleRuns) > 0
 	case policy.Reset, policy.Timeout, policy.Cancelled:
-		m.doubt, m.doubtAt = true, n.now
+		m.hasUnknownOutcome, m.unknownOutcomeAt = true, n.now
 	}
-	route := x.w.Endpoints[c.route]
+	route := x.model.Endpoints[c.endpoint]
 	if out.RetryAfter > 0 {
-		g := x.gate(route)
-		r.wait[g] = max(r.wait[g], n.now+out.RetryAfter)
+		g := x.limitScope(route)
+		r.retryAfter[g] = max(r.retryAfter[g], n.now+out.RetryAfter)
 	}
-	if out.Outcome == policy.Timeout && n.phase == 1 {
-		r.seen++
+	if out.Outcome == policy.Timeout && n.outage == 1 {
+		r.outageFailures++
 	}
-	x.step(n, relay, policy.Event{
-		Kind: policy.AttemptFinished, MessageID: c.id, Attempt: c.n, Endpoint: route.ID, Outcome: out.Outcome, Latency: n.now - c.sent, MessageEnded: out.Outcome == policy.OK, RetryAfter: out.RetryAfter,
+	x.deliverEvent(n, relay, policy.Event{
+		Kind: policy.AttemptFinished, MessageID: c.messageID, Attempt: c.attempt, Endpoint: route.ID, Outcome: out.Outcome, Latency: n.now - c.sentAt, MessageEnded: out.Outcome == policy.OK, RetryAfter: out.RetryAfter,
 	})
 }
 
 // gate names what shares a wait.
-func (x *explorer) gate(l policy.Endpoint) string {
-	if x.w.Settings.DestinationKinds[l.Kind].LimitPerEndpoint {
+func (x *explorer) limitScope(l policy.Endpoint) string {
+	if x.model.Settings.DestinationKinds[l.Kind].LimitPerEndpoint {
 		return l.ID
 	}
 	return ""
 }
 
 // step tells a relay's module of an event, as far as the mutant lets it hear.
-func (x *explorer) step(n *node, relay int, e policy.Event) {
-	if x.wrong != nil && x.wrong.ChangeEvent != nil {
+func (x *explorer) deliverEvent(n *state, relay int, e policy.Event) {
+	if x.mutant != nil && x.mutant.ChangeEvent != nil {
 		e.Endpoints = slices.Clone(e.Endpoints)
-		switch late := x.wrong.ChangeEvent(&e); {
+		switch late := x.mutant.ChangeEvent(&e); {
 		case late < 0:
 			return
 		case late > 0:
 			r := &n.relays[relay]
-			r.held = append(r.held, heldState{n.now + late, e})
+			r.delayed = append(r.delayed, delayedEvent{n.now + late, e})
 			return
 		}
 	}
-	x.heard(n, relay, []policy.Event{e})
+	x.stepEngine(n, relay, []policy.Event{e})
 }
 
-func (x *explorer) heard(n *node, relay int, evs []policy.Event) {
-	s, err := policy.Restore(x.set, n.relays[relay].module)
+func (x *explorer) stepEngine(n *state, relay int, evs []policy.Event) {
+	s, err := policy.Restore(x.settings, n.relays[relay].engine)
 	if err != nil {
-		n.breaks(checker.NoMessageLost, "relay %d: its state cannot be put back: %v", relay, err)
+		n.violate(checker.NoMessageLost, "relay %d: its state cannot be put back: %v", relay, err)
 		return
 	}
-	x.decide(n, relay, s, evs)
-	n.relays[relay].module = s.Snapshot(nil)
+	x.runEngine(n, relay, s, evs)
+	n.relays[relay].engine = s.Snapshot(nil)
 }
 
 // restart kills a relay and starts it anew on what its journal holds.
-func (x *explorer) restart(n *node, relay int) {
+func (x *explorer) restart(n *state, relay int) {
 	r := &n.relays[relay]
-	r.life++
-	s, err := policy.New(x.set, uint64(relay+100*r.life))
+	r.incarnation++
+	s, err := policy.New(x.settings, uint64(relay+100*r.incarnation))
 	if err != nil {
-		n.breaks(checker.NoMessageLost, "relay %d does not start again: %v", relay, err)
+		n.violate(checker.NoMessageLost, "relay %d does not start again: %v", relay, err)
 		return
 	}
-	r.epoch, r.wake, r.calls, r.held = n.now-moduleStart, 0, nil, nil
-	clear(r.wait) // a restart ends a wait
-	r.seen = 0
+	r.epoch, r.timerAt, r.calls, r.delayed = n.now-engineStart, 0, nil, nil
+	clear(r.retryAfter) // a restart ends a wait
+	r.outageFailures = 0
 	whole := policy.Event{Kind: policy.EndpointSnapshot}
-	for _, l := range x.w.Endpoints {
-		if t, ok := r.told[l.ID]; ok {
-			if t.gone {
+	for _, l := range x.model.Endpoints {
+		if t, ok := r.observed[l.ID]; ok {
+			if t.removed {
 				continue
 			}
 			l.InService = false
@@ -880,73 +880,73 @@
 		whole.Endpoints = append(whole.Endpoints, l)
 	}
 	evs := []policy.Event{whole}
-	for k := range r.msgs {
-		m := &r.msgs[k]
-		m.freed = true
-		if x.wrong != nil && x.wrong.ForgetsMessage != nil && x.wrong.ForgetsMessage(m.ended, m.ran, m.id) ||
-			x.wrong != nil && x.wrong.JournalDelay > 0 && n.now-m.at < x.wrong.JournalDelay {
-			m.lost = true
+	for k := range r.messages {
+		m := &r.messages[k]
+		m.fromBeforeRestart = true
+		if x.mutant != nil && x.mutant.ForgetsMessage != nil && x.mutant.ForgetsMessage(m.ended, m.mayHaveRun, m.id) ||
+			x.mutant != nil && x.mutant.JournalDelay > 0 && n.now-m.acceptedAt < x.mutant.JournalDelay {
+			m.forgotten = true
 			continue // it is owed all the same
 		}
 		if m.ended {
 			continue // its notice is sent once more
 		}
-		e := x.taken(n, m)
+		e := x.acceptedEvent(n, m)
 		e.Recovered = &policy.RecoveredMessage{
-			Attempts:      m.sends,
-			MayHaveRun:    m.ran,
-			SinceFirstRun: n.now - m.ranAt,
-			FirstRunZone:  m.ranZone,
+			Attempts:      m.attempts,
+			MayHaveRun:    m.mayHaveRun,
+			SinceFirstRun: n.now - m.firstRunAt,
+			FirstRunZone:  m.firstRunZone,
 		}
-		if !m.ran {
+		if !m.mayHaveRun {
 			e.Recovered.SinceFirstRun = 0
 		} else {
-			m.doubt, m.doubtAt = true, n.now
+			m.hasUnknownOutcome, m.unknownOutcomeAt = true, n.now
 		}
-		if x.wrong != nil && x.wrong.ChangeEvent != nil {
-			x.wrong.ChangeEvent(&e)
+		if x.mutant != nil && x.mutant.ChangeEvent != nil {
+			x.mutant.ChangeEvent(&e)
 		}
 		evs = append(evs, e)
 	}
-	x.decide(n, relay, s, evs)
-	r.module = s.Snapshot(nil)
+	x.runEngine(n, relay, s, evs)
+	r.engine = s.Snapshot(nil)
 }
 
 // decide has a module step, carries out what it says, and judges that.
-func (x *explorer) decide(n *node, relay int, s *policy.Engine, evs []policy.Event) {
+func (x *explorer) runEngine(n *state, relay int, s *policy.Engine, evs []policy.Event) {
 	r := &n.relays[relay]
 	acts := s.Step(n.now-r.epoch, evs)
 	for i := range acts {
 		a := acts[i]
-		if x.wrong != nil && x.wrong.AllowsAction != nil && !x.wrong.AllowsAction(&a) {
+		if x.mutant != nil && x.mutant.AllowsAction != nil && !x.mutant.AllowsAction(&a) {
 			continue
 		}
 		switch a.Kind {
 		case policy.SetTimer:
-			r.wake = n.now + a.Delay
+			r.timerAt = n.now + a.Delay
 		case policy.Send:
-			x.send(n, relay, a)
+			x.sendCall(n, relay, a)
 		case policy.Reject, policy.Fail:
-			x.gaveUp(n, relay, a)
+			x.endMessage(n, relay, a)
 		}
 	}
 }
 
-func (x *explorer) gaveUp(n *node, relay int, a policy.Action) {
+func (x *explorer) endMessage(n *state, relay int, a policy.Action) {
 	r := &n.relays[relay]
-	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
+	k := slices.IndexFunc(r.messages, func(m messageState) bool { return m.id == a.MessageID })
 	if k < 0 {
 		return
 	}
-	m := &r.msgs[k]
+	m := &r.messages[k]
 	if m.ended {
-		n.breaks(checker.NoMessageLost, "message %d ends twice", m.id)
+		n.violate(checker.NoMessageLost, "message %d ends twice", m.id)
 		return
 	}
-	c := x.w.Settings.Classes[x.w.Messages[m.n].Class]
-	if a.Kind == policy.Reject && m.ran &&
+	c := x.model.Settings.Classes[x.model.Messages[m.index].Class]
+	if a.Kind == policy.Reject && m.mayHaveRun &&
 		(c.Effect == policy.NonIdempotent || c.Effect == policy.IdempotentByKey && !c.DedupAllZones) {
-		n.breaks(
+		n.violate(
 			checker.NoDuplicateEffect,
 			"message %d is refused, which says that it may come again, though a call may have run",
 			m.id,
@@ -956,17 +956,17 @@
 }
 
 // quiet tells whether a mutant sends no notice for a message.
-func (x *explorer) quiet(id policy.MessageID) bool {
-	return x.wrong != nil && x.wrong.DropsNotice != nil && x.wrong.DropsNotice(id)
+func (x *explorer) dropsNotice(id policy.MessageID) bool {
+	return x.mutant != nil && x.mutant.DropsNotice != nil && x.mutant.DropsNotice(id)
 }
 
 // send judges a send by the rules.
-func (x *explorer) send(n *node, relay int, a policy.Action) {
-	w, r := x.w, &n.relays[relay]
-	k := slices.IndexFunc(r.msgs, func(m msgState) bool { return m.id == a.MessageID })
+func (x *explorer) sendCall(n *state, relay int, a policy.Action) {
+	w, r := x.model, &n.relays[relay]
+	k := slices.IndexFunc(r.messages, func(m messageState) bool { return m.id == a.MessageID })
 	route := slices.IndexFunc(w.Endpoints, func(l policy.Endpoint) bool { return l.ID == a.Endpoint })
 	if k < 0 || route < 0 {
-		n.breaks(
+		n.violate(
 			checker.NoMessageLost,
 			"relay %d sends message %d to %q, of which one is not there",
 			relay,
@@ -975,72 +975,72 @@
 		)
 		return
 	}
-	m, l := &r.msgs[k], w.Endpoints[route]
-	c := w.Settings.Classes[w.Messages[m.n].Class]
+	m, l := &r.messages[k], w.Endpoints[route]
+	c := w.Settings.Classes[w.Messages[m.index].Class]
 	if m.ended {
-		n.breaks(checker.NoMessageLost, "message %d is sent after its end", m.id)
+		n.violate(checker.NoMessageLost, "message %d is sent after its end", m.id)
 	}
-	if m.ran {
+	if m.mayHaveRun {
 		switch c.Effect {
 		case policy.NonIdempotent:
-			n.breaks(checker.NoDuplicateEffect, "message %d must never run twice, may have run, and is sent again", m.id)
+			n.violate(checker.NoDuplicateEffect, "message %d must never run twice, may have run, and is sent again", m.id)
 		case policy.IdempotentByKey:
-			if late := n.now - m.ranAt - c.DedupWindow; late > 0 {
-				n.breaks(checker.NoDuplicateEffect, "message %d is repeated %v after its window", m.id, late)
-			} else if l.Zone != m.ranZone && !c.DedupAllZones {
-				n.breaks(checker.NoDuplicateEffect, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.ranZone, l.Zone)
+			if late := n.now - m.firstRunAt - c.DedupWindow; late > 0 {
+				n.violate(checker.NoDuplicateEffect, "message %d is repeated %v after its window", m.id, late)
+			} else if l.Zone != m.firstRunZone && !c.DedupAllZones {
+				n.violate(checker.NoDuplicateEffect, "message %d may have run in zone %d and is repeated in zone %d", m.id, m.firstRunZone, l.Zone)
 			}
 		}
 	}
-	if t, ok := r.told[a.Endpoint]; ok && n.now > t.at+drainGrace {
-		n.breaks(
+	if t, ok := r.observed[a.Endpoint]; ok && n.now > t.observedAt+drainGracePeriod {
+		n.violate(
 			checker.DrainRespected,
 			"relay %d sends to %s %v after it was told that it is no longer in service",
 			relay,
 			a.Endpoint,
-			n.now-t.at,
+			n.now-t.observedAt,
 		)
 	}
-	if until := r.wait[x.gate(l)]; n.now < until-time.Millisecond {
-		n.breaks(checker.RetryAfterRespected, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
+	if until := r.retryAfter[x.limitScope(l)]; n.now < until-time.Millisecond {
+		n.violate(checker.RetryAfterRespected, "relay %d sends to %s %v before the end of a told wait", relay, a.Endpoint, until-n.now)
 	}
-	if c.Ordered && w.Messages[m.n].Key != "" {
-		x.inTurn(n, r, m)
+	if c.Ordered && w.Messages[m.index].Key != "" {
+		x.checkOrder(n, r, m)
 	}
-	m.sends++
-	m.mayRun = append(m.mayRun, m.sends-1)
-	if !m.ran {
-		m.ran, m.ranAt, m.ranZone = true, n.now, l.Zone
+	m.attempts++
+	m.possibleRuns = append(m.possibleRuns, m.attempts-1)
+	if !m.mayHaveRun {
+		m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, n.now, l.Zone
 	}
 	r.calls = append(
 		r.calls,
-		callState{id: m.id, n: m.sends - 1, route: route, sent: n.now, cut: a.TimeoutAt + r.epoch},
+		callState{messageID: m.id, attempt: m.attempts - 1, endpoint: route, sentAt: n.now, timeoutAt: a.TimeoutAt + r.epoch},
 	)
-	if n.phase == 2 {
-		x.arrived(n, relay, l)
+	if n.outage == 2 {
+		x.checkRecovery(n, relay, l)
 	}
 }
 
 // inTurn judges a send beside the earlier messages of its key.
-func (x *explorer) inTurn(n *node, r *relayState, m *msgState) {
-	key := x.w.Messages[m.n].Key
-	for k := range r.msgs {
-		e := &r.msgs[k]
-		if e.id >= m.id || x.w.Messages[e.n].Key != key || e.freed ||
-			x.w.Messages[e.n].Class != x.w.Messages[m.n].Class {
+func (x *explorer) checkOrder(n *state, r *relayState, m *messageState) {
+	key := x.model.Messages[m.index].Key
+	for k := range r.messages {
+		e := &r.messages[k]
+		if e.id >= m.id || x.model.Messages[e.index].Key != key || e.fromBeforeRestart ||
+			x.model.Messages[e.index].Class != x.model.Messages[m.index].Class {
 			continue
 		}
 		switch {
 		case !e.ended:
-			n.breaks(checker.OrderKept, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
-		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.id == e.id }):
-			n.breaks(checker.OrderKept, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
-		case e.doubt && n.now < e.doubtAt+x.w.Settings.OrderingPause:
-			n.breaks(
+			n.violate(checker.OrderKept, "message %d is sent while %d, before it of its key, is unfinished", m.id, e.id)
+		case slices.ContainsFunc(r.calls, func(c callState) bool { return c.messageID == e.id }):
+			n.violate(checker.OrderKept, "message %d is sent while a call of %d, before it of its key, is out", m.id, e.id)
+		case e.hasUnknownOutcome && n.now < e.unknownOutcomeAt+x.model.Settings.OrderingPause:
+			n.violate(
 				checker.OrderKept,
 				"message %d is sent %v after a call of %d that may still run",
 				m.id,
-				n.now-e.doubtAt,
+				n.now-e.unknownOutcomeAt,
 				e.id,
 			)
 		}
@@ -1049,12 +1049,12 @@
 
 // arrived judges a call to a destination that has come back, as package judge does: by the load of the relays that
 // knew.
-func (x *explorer) arrived(n *node, relay int, l policy.Endpoint) {
-	set := x.w.Settings
+func (x *explorer) checkRecovery(n *state, relay int, l policy.Endpoint) {
+	set := x.model.Settings
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(a arrival) bool { return a.at <= n.now-set.OverloadWindow })
 	n.arrivals = append(n.arrivals, arrival{n.now, relay})
 	able := upstream.WarmUp{
-		StartedAt:       n.backAt,
+		StartedAt:       n.outageEnd,
 		FullCapacity:    l.Weight,
 		InitialCapacity: set.WarmUpInitialCapacity,
 		Duration:        set.WarmUpDuration,
@@ -1063,19 +1063,19 @@
 	)
 	knew := 0
 	for _, a := range n.arrivals {
-		if n.relays[a.relay].seen >= max(1, x.w.FailuresToDetect) {
+		if n.relays[a.relay].outageFailures >= max(1, x.model.FailuresToDetect) {
 			knew++
 		}
 	}
 	sum := float64(len(n.arrivals))
-	if n.now-n.backAt < set.WarmUpDuration && sum > upstream.OverloadBudget(set.OverloadFactor, able, set.OverloadWindow) &&
+	if n.now-n.outageEnd < set.WarmUpDuration && sum > upstream.OverloadBudget(set.OverloadFactor, able, set.OverloadWindow) &&
 		float64(knew) >= checker.MinInformedRatio*sum {
-		n.breaks(
+		n.violate(
 			checker.RecoveryNotOverloaded,
 			"%.0f calls in %v to a destination that is back since %v and can do %.2f a second, %d of them by relays that saw it fail",
 			sum,
 			set.OverloadWindow,
-			n.now-n.backAt,
+			n.now-n.outageEnd,
 			math.Round(able*100)/100,
 			knew,
 		)
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -16,7 +16,7 @@
 
 func search(t *testing.T, name, mutant string, opts Options) Result {
 	t.Helper()
-	w := ModelNamed(name)
+	w := FindModel(name)
 	if opts.MaxDepth == 0 {
 		opts.MaxDepth = max(4, w.MaxDepth-shallow)
 	}
--- a/internal/simulation/modelcheck/fleet.go
+++ b/internal/simulation/modelcheck/fleet.go
@@ -69,88 +69,88 @@
 	Trace               []FleetMove
 }
 
-type tinyPacket struct {
-	from, to int
-	boot     uint32
-	clock    time.Duration
-	page     loadreport.Report
+type datagram struct {
+	from, to    int
+	senderBoot  uint32
+	senderClock time.Duration
+	report      loadreport.Report
 }
 
 // tinyVersion is what a page truly is.
-type tinyVersion struct {
+type reportVersion struct {
 	loadreport.Incarnation
 	sequence uint64
 }
 
-type tinyMember struct {
-	name     string
-	seam     *agent.Agent
-	raised   loadreport.Incarnation // that the seam has not been told of
-	ledger   *loadreport.Table
-	transit  loadreport.TransitEstimator
-	folder   uint64 // incarnation
-	boots    uint32
-	sequence uint64
-	tells    int
-	stopped  bool
-	inbox    []tinyPacket
-	seen     map[string]tinyVersion
-	arrived  uint64
-	meant    map[string]tinyVersion
-	heardAs  map[string]time.Duration
+type memberState struct {
+	name              string
+	agent             *agent.Agent
+	raisedIncarnation loadreport.Incarnation // that the seam has not been told of
+	table             *loadreport.Table
+	transit           loadreport.TransitEstimator
+	generation        uint64 // incarnation
+	boot              uint32
+	sequence          uint64
+	publishes         int
+	paused            bool
+	inbox             []datagram
+	lastVersions      map[string]reportVersion
+	receivedCount     uint64
+	trueVersions      map[string]reportVersion
+	receivedAges      map[string]time.Duration
 }
 
 // tiny is a fleet at one point of a path.
-type tiny struct {
-	w       *FleetModel
-	wrong   emulate.LinkFaults
-	now     time.Duration
-	members []*tinyMember
-	flying  []tinyPacket
-	told    map[string]map[tinyVersion]time.Duration
-	left    FleetModel // what may still happen
-	broken  string
+type fleetState struct {
+	model     *FleetModel
+	faults    emulate.LinkFaults
+	now       time.Duration
+	members   []*memberState
+	inFlight  []datagram
+	published map[string]map[reportVersion]time.Duration
+	remaining FleetModel // what may still happen
+	violation string
 }
 
 // tellAfter is what passes before each telling: a seam tells no page more often.
-const tellAfter = 600 * time.Millisecond
+const publishInterval = 600 * time.Millisecond
 
 func memberName(i int) string { return fmt.Sprintf("m%d", i) }
 
-func newTiny(w *FleetModel, wrong emulate.LinkFaults) *tiny {
-	t := &tiny{w: w, wrong: wrong, now: time.Second, left: *w, told: map[string]map[tinyVersion]time.Duration{}}
+func newFleetState(w *FleetModel, wrong emulate.LinkFaults) *fleetState {
+	t := &fleetState{model: w, faults: wrong, now: time.Second, remaining: *w, published: map[string]map[reportVersion]time.Duration{}}
 	for i := range w.Members {
-		t.members = append(t.members, &tinyMember{name: memberName(i)})
-		t.told[memberName(i)] = map[tinyVersion]time.Duration{}
+		t.members = append(t.members, &memberState{name: memberName(i)})
+		t.published[memberName(i)] = map[reportVersion]time.Duration{}
 	}
 	if w.DuplicateName {
-		t.members = append(t.members, &tinyMember{name: memberName(0)})
+		t.members = append(t.members, &memberState{name: memberName(0)})
 	}
 	for i := range t.members {
 		t.boot(i)
 	}
 	for i := range t.members {
-		t.askAll(i)
+		t.calibrateClocks(i)
 	}
 	return t
 }
 
 // clock is a member's own, far from the others'.
-func (t *tiny) clock(i int) time.Duration { return t.now + time.Duration(i)*time.Hour }
+func (t *fleetState) clock(i int) time.Duration { return t.now + time.Duration(i)*time.Hour }
 
-func (t *tiny) boot(i int) {
+func (t *fleetState) boot(i int) {
 	m := t.members[i]
-	m.folder++
-	m.boots++
+	m.generation++
+	m.boot++
 	var all []string
-	for j := range t.w.Members {
+	for j := range t.model.Members {
 		all = append(all, memberName(j))
 	}
-	life := loadreport.Incarnation{Generation: m.folder, Boot: m.boots + uint32(100*i)}
-	*m = tinyMember{
-		name: m.name, ledger: loadreport.New(m.name, life, all), folder: m.folder, boots: m.boots, tells: m.tells, seen: map[string]tinyVersion{},
-		meant: map[string]tinyVersion{}, heardAs: map[string]time.Duration{},
-		seam: agent.New(
+	life := loadreport.Incarnation{Generation: m.generation, Boot: m.boot + uint32(100*i)}
+	*m = memberState{
+		name: m.name, table: loadreport.New(m.name, life, all), generation: m.generation, boot: m.boot, publishes: m.publishes, lastVersions: map[string]reportVersion{},
+		trueVersions: map[string]reportVersion{}, receivedAges: map[string]time.Duration{},
+		agent: agent.New(
 			agent.Settings{
 				Self:             m.name,
 				Incarnation:      life,
@@ -159,7 +159,7 @@
 			},
 		),
 	}
-	m.seam.Step(
+	m.agent.Step(
 		t.now,
 		agent.Input{
 			Events: []policy.Event{
@@ -167,63 +167,63 @@
 			},
 		},
 	)
-	m.ledger.SetLimits(loadreport.Limits{0: {"": 10}})
+	m.table.SetLimits(loadreport.Limits{0: {"": 10}})
 }
 
 // process names a process, of which two may have one member's name.
-func process(i int) string { return fmt.Sprintf("p%d", i) }
+func processName(i int) string { return fmt.Sprintf("p%d", i) }
 
 // askAll has a member and all others know of each other's clocks. What is asked of one that is stopped is answered when
 // it goes on.
-func (t *tiny) askAll(i int) {
+func (t *fleetState) calibrateClocks(i int) {
 	for j, o := range t.members {
-		t.members[i].transit.Calibrate(process(j), o.boots, t.clock(j), t.now, t.now)
-		o.transit.Calibrate(process(i), t.members[i].boots, t.clock(i), t.now, t.now)
+		t.members[i].transit.Calibrate(processName(j), o.boot, t.clock(j), t.now, t.now)
+		o.transit.Calibrate(processName(i), t.members[i].boot, t.clock(i), t.now, t.now)
 	}
 }
 
 // moves are those that may be made.
-func (t *tiny) moves() (all []FleetMove) {
+func (t *fleetState) enabledMoves() (all []FleetMove) {
 	for i, m := range t.members {
-		if m.tells < t.w.MaxPublishes && !m.stopped {
+		if m.publishes < t.model.MaxPublishes && !m.paused {
 			all = append(all, FleetMove{Kind: "tell", Member: i})
 		}
-		if t.left.MaxForwards > 0 && !m.stopped {
+		if t.remaining.MaxForwards > 0 && !m.paused {
 			all = append(all, FleetMove{Kind: "retell", Member: i})
 		}
-		if t.left.MaxRestarts > 0 {
+		if t.remaining.MaxRestarts > 0 {
 			all = append(all, FleetMove{Kind: "restart", Member: i}, FleetMove{Kind: "forget", Member: i})
 		}
-		if t.left.MaxPauses > 0 || m.stopped {
+		if t.remaining.MaxPauses > 0 || m.paused {
 			all = append(all, FleetMove{Kind: "stop", Member: i})
 		}
 	}
-	for k := range t.flying {
+	for k := range t.inFlight {
 		all = append(all, FleetMove{Kind: "deliver", Packet: k})
-		if t.left.MaxLosses > 0 {
+		if t.remaining.MaxLosses > 0 {
 			all = append(all, FleetMove{Kind: "lose", Packet: k})
 		}
-		if t.left.MaxDuplicates > 0 {
+		if t.remaining.MaxDuplicates > 0 {
 			all = append(all, FleetMove{Kind: "double", Packet: k})
 		}
 	}
-	if t.left.MaxTimeSteps > 0 {
+	if t.remaining.MaxTimeSteps > 0 {
 		all = append(all, FleetMove{Kind: "pass"})
 	}
 	return all
 }
 
 // play makes a move.
-func (t *tiny) play(v FleetMove) {
+func (t *fleetState) apply(v FleetMove) {
 	m := t.members[v.Member]
 	switch v.Kind {
 	case "tell":
-		m.tells++
-		t.tell(v.Member)
+		m.publishes++
+		t.publish(v.Member)
 	case "retell":
-		t.left.MaxForwards--
+		t.remaining.MaxForwards--
 		n := len(t.members)
-		for j := range t.w.Members {
+		for j := range t.model.Members {
 			to := (v.Member + 1) % n
 			if t.members[to].name == memberName(j) {
 				to = (v.Member + 2) % n
@@ -233,104 +233,104 @@
 			}
 		}
 	case "restart", "forget":
-		t.left.MaxRestarts--
+		t.remaining.MaxRestarts--
 		if v.Kind == "forget" {
-			m.folder = 0
+			m.generation = 0
 		}
 		t.boot(v.Member)
-		t.askAll(v.Member)
+		t.calibrateClocks(v.Member)
 	case "stop":
-		if m.stopped = !m.stopped; m.stopped {
-			t.left.MaxPauses--
+		if m.paused = !m.paused; m.paused {
+			t.remaining.MaxPauses--
 			break
 		}
 		for _, p := range m.inbox {
-			t.hear(p)
+			t.receive(p)
 		}
 		m.inbox = nil
 	case "pass":
-		t.left.MaxTimeSteps--
-		t.now += t.w.TimeStep
+		t.remaining.MaxTimeSteps--
+		t.now += t.model.TimeStep
 	case "deliver", "lose", "double":
-		p := t.flying[v.Packet]
+		p := t.inFlight[v.Packet]
 		if v.Kind == "double" {
-			t.left.MaxDuplicates--
+			t.remaining.MaxDuplicates--
 		} else {
-			t.flying = append(append([]tinyPacket(nil), t.flying[:v.Packet]...), t.flying[v.Packet+1:]...)
+			t.inFlight = append(append([]datagram(nil), t.inFlight[:v.Packet]...), t.inFlight[v.Packet+1:]...)
 		}
 		switch {
 		case v.Kind == "lose":
-			t.left.MaxLosses--
-		case t.members[p.to].stopped:
+			t.remaining.MaxLosses--
+		case t.members[p.to].paused:
 			t.members[p.to].inbox = append(t.members[p.to].inbox, p)
 		default:
-			t.hear(p)
+			t.receive(p)
 		}
 	}
-	t.check()
+	t.checkTables()
 }
 
 // tell has a message come to a member, and its seam tell of it, to one other: who hears it tells it on.
-func (t *tiny) tell(i int) {
+func (t *fleetState) publish(i int) {
 	m := t.members[i]
-	t.now += tellAfter
+	t.now += publishInterval
 	id := policy.MessageID(t.now / time.Millisecond)
-	told := m.seam.Step(t.now, agent.Input{
-		Incarnation: m.raised, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
+	told := m.agent.Step(t.now, agent.Input{
+		Incarnation: m.raisedIncarnation, Events: []policy.Event{{Kind: policy.MessageAccepted, MessageID: id}, {Kind: policy.AttemptFinished, MessageID: id, Endpoint: "r", MessageEnded: true}},
 		Views: func() []policy.EndpointView { return nil },
 	})
-	m.raised = loadreport.Incarnation{}
-	if len(told.Published) != 1 || m.ledger.Restore(t.now, told.Published[0]) != loadreport.Updated {
-		t.broken = fmt.Sprintf("%s does not tell: %v", m.name, told)
+	m.raisedIncarnation = loadreport.Incarnation{}
+	if len(told.Published) != 1 || m.table.Restore(t.now, told.Published[0]) != loadreport.Updated {
+		t.violation = fmt.Sprintf("%s does not tell: %v", m.name, told)
 		return
 	}
 	p := told.Published[0]
 	m.sequence = p.Sequence
-	t.told[p.Name][tinyVersion{p.Incarnation, p.Sequence}] = t.now
+	t.published[p.Name][reportVersion{p.Incarnation, p.Sequence}] = t.now
 	t.send(i, (i+1)%len(t.members), p.Name)
 }
 
-func (t *tiny) send(from, to int, name string) {
+func (t *fleetState) send(from, to int, name string) {
 	m := t.members[from]
-	p, ok := m.ledger.Get(t.now, name, 0)
+	p, ok := m.table.Get(t.now, name, 0)
 	if !ok {
 		return
 	}
-	if v, other := m.meant[name]; other {
+	if v, other := m.trueVersions[name]; other {
 		p.Sequence, p.Incarnation = v.sequence, v.Incarnation
 	}
-	if age, heard := m.heardAs[name]; heard && t.wrong.FrozenAges {
+	if age, heard := m.receivedAges[name]; heard && t.faults.FrozenAges {
 		p.Age = age
 	}
-	t.flying = append(t.flying, tinyPacket{from, to, m.boots, t.clock(from), p})
+	t.inFlight = append(t.inFlight, datagram{from, to, m.boot, t.clock(from), p})
 }
 
-func (t *tiny) hear(p tinyPacket) {
+func (t *fleetState) receive(p datagram) {
 	m := t.members[p.to]
-	held, known, _ := m.transit.Estimate(process(p.from), p.boot, p.clock, t.now)
+	held, known, _ := m.transit.Estimate(processName(p.from), p.senderBoot, p.senderClock, t.now)
 	if !known {
 		return // put aside until it is; here never
 	}
-	if t.wrong.NoTransitTime {
+	if t.faults.NoTransitTime {
 		held = 0
 	}
-	page := p.page
+	page := p.report
 	page.Age += held
-	meant := tinyVersion{page.Incarnation, page.Sequence}
-	if t.wrong.LastReceivedWins {
-		m.arrived++
-		page.Sequence = m.arrived
+	meant := reportVersion{page.Incarnation, page.Sequence}
+	if t.faults.LastReceivedWins {
+		m.receivedCount++
+		page.Sequence = m.receivedCount
 	}
-	out, _ := m.ledger.Merge(t.now, page)
+	out, _ := m.table.Merge(t.now, page)
 	switch out {
 	case loadreport.Rival:
-		m.folder = m.ledger.Rival().Generation + 1
-		m.raised = loadreport.Incarnation{Generation: m.folder, Boot: m.ledger.Incarnation().Boot}
-		m.ledger.SetIncarnation(m.raised)
+		m.generation = m.table.Rival().Generation + 1
+		m.raisedIncarnation = loadreport.Incarnation{Generation: m.generation, Boot: m.table.Incarnation().Boot}
+		m.table.SetIncarnation(m.raisedIncarnation)
 	case loadreport.Updated:
-		m.heardAs[page.Name] = page.Age
-		if t.wrong.LastReceivedWins {
-			m.meant[page.Name] = meant
+		m.receivedAges[page.Name] = page.Age
+		if t.faults.LastReceivedWins {
+			m.trueVersions[page.Name] = meant
 		}
 		if next := (p.to + 1) % len(t.members); t.members[next].name != page.Name {
 			t.send(p.to, next, page.Name)
@@ -339,22 +339,22 @@
 }
 
 // check holds what members hold against what is true.
-func (t *tiny) check() {
+func (t *fleetState) checkTables() {
 	for _, m := range t.members {
-		m.ledger.Each(t.now, func(p loadreport.Report) {
+		m.table.Each(t.now, func(p loadreport.Report) {
 			if p.Name == m.name {
 				return
 			}
-			v := tinyVersion{p.Incarnation, p.Sequence}
-			if meant, other := m.meant[p.Name]; other {
+			v := reportVersion{p.Incarnation, p.Sequence}
+			if meant, other := m.trueVersions[p.Name]; other {
 				v = meant
 			}
-			at, ok := t.told[p.Name][v]
-			switch was, seen := m.seen[p.Name]; {
+			at, ok := t.published[p.Name][v]
+			switch was, seen := m.lastVersions[p.Name]; {
 			case !ok:
-				t.broken = fmt.Sprintf("%s holds version %d of %s, which it never told", m.name, v.sequence, p.Name)
+				t.violation = fmt.Sprintf("%s holds version %d of %s, which it never told", m.name, v.sequence, p.Name)
 			case seen && (v.Incarnation.Compare(was.Incarnation) < 0 || v.Incarnation == was.Incarnation && v.sequence < was.sequence):
-				t.broken = fmt.Sprintf(
+				t.violation = fmt.Sprintf(
 					"%s goes back from version %d to %d of %s",
 					m.name,
 					was.sequence,
@@ -362,56 +362,56 @@
 					p.Name,
 				)
 			case p.Age < t.now-at:
-				t.broken = fmt.Sprintf("%s holds what %s told %v ago to be %v old", m.name, p.Name, t.now-at, p.Age)
+				t.violation = fmt.Sprintf("%s holds what %s told %v ago to be %v old", m.name, p.Name, t.now-at, p.Age)
 			}
-			m.seen[p.Name] = v
+			m.lastVersions[p.Name] = v
 		})
 	}
 }
 
 // settle lets all exchange digests, again and again: all then hold the same of each member, and of one that goes on
 // telling its newest.
-func (t *tiny) settle() {
-	if t.w.DuplicateName {
+func (t *fleetState) synchronize() {
+	if t.model.DuplicateName {
 		return // of two processes under one name there is no newest telling
 	}
 	for i, m := range t.members {
-		m.stopped, m.inbox = false, nil
-		if t.broken == "" {
-			t.tell(i)
+		m.paused, m.inbox = false, nil
+		if t.violation == "" {
+			t.publish(i)
 		}
 	}
-	t.flying = nil
+	t.inFlight = nil
 	for range 3 { // once around, once for who learns of a later life of its own, once more for what that tells
 		for i := range t.members {
 			for j, o := range t.members {
 				if i == j {
 					continue
 				}
-				for _, p := range t.members[i].ledger.MissingFrom(t.now, o.ledger.Digest(t.now)) {
-					was := o.ledger.Incarnation()
-					if v, other := t.members[i].meant[p.Name]; other {
+				for _, p := range t.members[i].table.MissingFrom(t.now, o.table.Digest(t.now)) {
+					was := o.table.Incarnation()
+					if v, other := t.members[i].trueVersions[p.Name]; other {
 						p.Sequence, p.Incarnation = v.sequence, v.Incarnation
 					}
-					t.hear(tinyPacket{i, j, t.members[i].boots, t.clock(i), p})
-					if o.ledger.Incarnation() != was {
-						t.tell(j)
+					t.receive(datagram{i, j, t.members[i].boot, t.clock(i), p})
+					if o.table.Incarnation() != was {
+						t.publish(j)
 					}
 				}
 			}
 		}
 	}
-	t.check()
+	t.checkTables()
 	for _, m := range t.members {
 		for _, o := range t.members {
-			p, ok := o.ledger.Get(t.now, m.name, 0)
-			if t.broken == "" && !t.wrong.LastReceivedWins &&
-				(!ok || p.Incarnation != m.ledger.Incarnation() || p.Sequence != m.sequence) {
-				t.broken = fmt.Sprintf(
+			p, ok := o.table.Get(t.now, m.name, 0)
+			if t.violation == "" && !t.faults.LastReceivedWins &&
+				(!ok || p.Incarnation != m.table.Incarnation() || p.Sequence != m.sequence) {
+				t.violation = fmt.Sprintf(
 					"after all was exchanged, version %d of %s in life %v is held as %d in %v",
 					m.sequence,
 					m.name,
-					m.ledger.Incarnation(),
+					m.table.Incarnation(),
 					p.Sequence,
 					p.Incarnation,
 				)
@@ -421,40 +421,42 @@
 }
 
 // key names a state: two paths that lead to it have the same ones behind it.
-func (t *tiny) key() string {
+func (t *fleetState) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, t.now, t.left)
+	fmt.Fprint(&b, t.now, t.remaining)
 	for _, m := range t.members {
 		fmt.Fprint(
 			&b,
 			"|",
-			m.ledger.Incarnation(),
-			m.folder,
-			m.boots,
+			m.table.Incarnation(),
+			m.generation,
+			m.boot,
 			m.sequence,
-			m.tells,
-			m.stopped,
+			m.publishes,
+			m.paused,
 			m.inbox,
-			m.arrived,
-			m.raised,
+			m.receivedCount,
+			m.raisedIncarnation,
 		)
-		b.Write(m.seam.Snapshot(nil))
-		m.ledger.Each(
+		b.Write(m.agent.Snapshot(nil))
+		m.table.Each(
 			t.now,
-			func(p loadreport.Report) { fmt.Fprint(&b, p, m.seen[p.Name], m.meant[p.Name], m.heardAs[p.Name]) },
+			func(p loadreport.Report) {
+				fmt.Fprint(&b, p, m.lastVersions[p.Name], m.trueVersions[p.Name], m.receivedAges[p.Name])
+			},
 		)
 	}
-	fmt.Fprint(&b, t.flying)
+	fmt.Fprint(&b, t.inFlight)
 	return b.String()
 }
 
 // CheckFleet plays all orders of events of a tiny fleet, up to its depth, and stops at the first break: it has the
 // fewest moves.
 func CheckFleet(ctx context.Context, w FleetModel, wrong emulate.LinkFaults) (f FleetResult, err error) {
-	at := func(path []FleetMove) *tiny {
-		t := newTiny(&w, wrong)
+	at := func(path []FleetMove) *fleetState {
+		t := newFleetState(&w, wrong)
 		for _, m := range path {
-			t.play(m)
+			t.apply(m)
 		}
 		return t
 	}
@@ -467,7 +469,7 @@
 			if ctx.Err() != nil {
 				return f, ctx.Err()
 			}
-			moves := at(path).moves()
+			moves := at(path).enabledMoves()
 			if depth == w.MaxDepth {
 				f.Complete = f.Complete && len(moves) == 0
 				continue
@@ -476,14 +478,14 @@
 				longer := append(append([]FleetMove(nil), path...), m)
 				t := at(longer)
 				f.Transitions++
-				if t.broken == "" {
+				if t.violation == "" {
 					end := at(longer)
-					if end.settle(); end.broken != "" {
-						t.broken = end.broken
+					if end.synchronize(); end.violation != "" {
+						t.violation = end.violation
 					}
 				}
-				if t.broken != "" {
-					f.Violation, f.Trace, f.Complete = t.broken, longer, false
+				if t.violation != "" {
+					f.Violation, f.Trace, f.Complete = t.violation, longer, false
 					return f, nil
 				}
 				if k := t.key(); !has(seen, k) {
--- a/internal/simulation/modelcheck/path.go
+++ b/internal/simulation/modelcheck/path.go
@@ -20,7 +20,7 @@
 	Moves  []Move       `json:"moves"`
 }
 
-const movesMost = 1000
+const maxMoves = 1000
 
 // ParseCounterexample reads a path that was kept.
 func ParseCounterexample(data []byte) (Counterexample, error) {
@@ -30,15 +30,15 @@
 	if err := d.Decode(&p); err != nil {
 		return Counterexample{}, fmt.Errorf("path: %w", err)
 	}
-	if len(p.Moves) > movesMost {
-		return Counterexample{}, fmt.Errorf("path: %d moves, %d at most", len(p.Moves), movesMost)
+	if len(p.Moves) > maxMoves {
+		return Counterexample{}, fmt.Errorf("path: %d moves, %d at most", len(p.Moves), maxMoves)
 	}
-	_, _, _, err := p.begin()
+	_, _, _, err := p.start()
 	return p, err
 }
 
-func (p Counterexample) begin() (*Model, *explorer, *node, error) {
-	w := ModelNamed(p.Model)
+func (p Counterexample) start() (*Model, *explorer, *state, error) {
+	w := FindModel(p.Model)
 	if w == nil {
 		return nil, nil, nil, fmt.Errorf("path: no world %q", p.Model)
 	}
@@ -48,30 +48,30 @@
 			return nil, nil, nil, fmt.Errorf("path: no mutant %q", p.Mutant)
 		}
 	}
-	x, n, err := begin(w, wrong)
+	x, n, err := newExplorer(w, wrong)
 	return w, x, n, err
 }
 
 // walk plays the moves; each is told with the state behind it.
-func (p Counterexample) walk(told func(m Move, from, to *node)) (*Violation, error) {
-	_, x, n, err := p.begin()
+func (p Counterexample) run(told func(m Move, from, to *state)) (*Violation, error) {
+	_, x, n, err := p.start()
 	if err != nil {
 		return nil, err
 	}
 	for i, m := range p.Moves {
-		if !slices.Contains(x.moves(n), m) {
+		if !slices.Contains(x.enabledMoves(n), m) {
 			return nil, fmt.Errorf(
 				"path: move %d (%s) cannot be made there: the decisions are not those that it was kept with",
 				i+1,
 				m.Kind,
 			)
 		}
-		next := x.play(n, m)
+		next := x.successor(n, m)
 		if told != nil {
 			told(m, n, next)
 		}
-		if next.brk != nil {
-			return next.brk, nil
+		if next.violation != nil {
+			return next.violation, nil
 		}
 		n = next
 	}
@@ -79,7 +79,7 @@
 }
 
 // Replay plays a path again and returns the break at its end, if there still is one.
-func (p Counterexample) Replay() (*Violation, error) { return p.walk(nil) }
+func (p Counterexample) Replay() (*Violation, error) { return p.run(nil) }
 
 var outcomeNames = map[policy.Outcome]string{
 	policy.OK: "delivered", policy.Error: "an error", policy.Overloaded: "refused", policy.Timeout: "no answer in time",
@@ -88,16 +88,16 @@
 
 // WriteTrace writes a path for people: each move, and what the modules then had out.
 func (p Counterexample) WriteTrace(out io.Writer) error {
-	w := ModelNamed(p.Model)
+	w := FindModel(p.Model)
 	var err error
-	_, walkErr := p.walk(func(m Move, from, to *node) {
+	_, walkErr := p.run(func(m Move, from, to *state) {
 		if err != nil {
 			return
 		}
 		text := string(m.Kind)
 		switch m.Kind {
 		case MoveSubmit:
-			text = fmt.Sprintf("message %d is handed in to relay %d", from.given+1, m.Relay)
+			text = fmt.Sprintf("message %d is handed in to relay %d", from.submitted+1, m.Relay)
 		case MoveFinishCall:
 			c := from.relays[m.Relay].calls[m.Index]
 			o := CallOutcome{Outcome: policy.Error}
@@ -107,8 +107,8 @@
 			text = fmt.Sprintf(
 				"relay %d: the call of message %d to %s ends: %s",
 				m.Relay,
-				c.id,
-				w.Endpoints[c.route].ID,
+				c.messageID,
+				w.Endpoints[c.endpoint].ID,
 				outcomeNames[o.Outcome],
 			)
 			if o.RetryAfter > 0 {
@@ -121,7 +121,7 @@
 		case MoveAdvanceTime:
 			text = fmt.Sprintf("time passes to %v", to.now)
 		}
-		if _, e := fmt.Fprintf(out, "  %8v  %s%s\n", from.now, text, started(w, from, to)); e != nil {
+		if _, e := fmt.Fprintf(out, "  %8v  %s%s\n", from.now, text, startedCalls(w, from, to)); e != nil {
 			err = e
 		}
 	})
@@ -132,11 +132,11 @@
 }
 
 // started tells of the calls that are out after a move and were not before.
-func started(w *Model, from, to *node) (text string) {
+func startedCalls(w *Model, from, to *state) (text string) {
 	for i := range to.relays {
 		for _, c := range to.relays[i].calls {
 			if !slices.Contains(from.relays[i].calls, c) {
-				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.id, w.Endpoints[c.route].ID)
+				text += fmt.Sprintf("; relay %d sends message %d to %s", i, c.messageID, w.Endpoints[c.endpoint].ID)
 			}
 		}
 	}
--- a/internal/simulation/modelcheck/worlds.go
+++ b/internal/simulation/modelcheck/worlds.go
@@ -9,7 +9,7 @@
 )
 
 // settings are those of all worlds: short times, so that a short path sees the end of each.
-func settings() policy.Settings {
+func modelSettings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
 			{Effect: policy.NonIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -40,14 +40,14 @@
 
 // The classes of settings.
 const (
-	unsafe = iota
-	keyed
-	ordered
-	safe
-	patient
+	classNonIdempotent = iota
+	classIdempotentByKey
+	classOrdered
+	classIdempotent
+	classLongDeadline
 )
 
-func routes(weight float64, zones ...int) (all []policy.Endpoint) {
+func endpoints(weight float64, zones ...int) (all []policy.Endpoint) {
 	for i, z := range zones {
 		all = append(
 			all,
@@ -57,7 +57,7 @@
 	return all
 }
 
-func outcomes(all ...policy.Outcome) (list []CallOutcome) {
+func callOutcomes(all ...policy.Outcome) (list []CallOutcome) {
 	for _, o := range all {
 		list = append(list, CallOutcome{Outcome: o})
 	}
@@ -71,8 +71,8 @@
 	return []Model{
 		{
 			Name: "repeats", Rules: []checker.Rule{checker.NoDuplicateEffect, checker.NoMessageLost}, Description: "one relay, two zones: an unsafe message, a keyed one, calls that end in any way, a kill",
-			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: keyed}, {Class: unsafe}},
-			Outcomes: outcomes(
+			Relays: 1, Settings: modelSettings(), Endpoints: endpoints(20, 0, 1), Messages: []Message{{Class: classIdempotentByKey}, {Class: classNonIdempotent}},
+			Outcomes: callOutcomes(
 				policy.OK,
 				policy.Reset,
 				policy.ConnectFailed,
@@ -81,8 +81,8 @@
 		},
 		{
 			Name: "window", Rules: []checker.Rule{checker.NoDuplicateEffect}, Description: "one relay, one zone: a keyed message whose calls break or are refused until its window is over",
-			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: keyed}},
-			Outcomes: outcomes(
+			Relays: 1, Settings: modelSettings(), Endpoints: endpoints(20, 0, 0), Messages: []Message{{Class: classIdempotentByKey}},
+			Outcomes: callOutcomes(
 				policy.Reset,
 				policy.Overloaded,
 				policy.ConnectFailed,
@@ -90,8 +90,8 @@
 		},
 		{
 			Name: "order", Rules: []checker.Rule{checker.OrderKept}, Description: "one relay: three messages of a key, calls that break or err, a drain",
-			Relays: 1, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{ordered, "k"}, {ordered, "k"}, {ordered, "k"}},
-			Outcomes: outcomes(
+			Relays: 1, Settings: modelSettings(), Endpoints: endpoints(20, 0, 0), Messages: []Message{{classOrdered, "k"}, {classOrdered, "k"}, {classOrdered, "k"}},
+			Outcomes: callOutcomes(
 				policy.OK,
 				policy.Reset,
 				policy.Error,
@@ -99,7 +99,7 @@
 		},
 		{
 			Name: "waits", Rules: []checker.Rule{checker.RetryAfterRespected}, Description: "two relays, a destination with one wait for both its routes and one with a wait for each: calls that are told to wait",
-			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0), Messages: []Message{{Class: safe}, {Class: safe}, {Class: keyed}},
+			Relays: 2, Settings: modelSettings(), Endpoints: endpoints(20, 0, 0), Messages: []Message{{Class: classIdempotent}, {Class: classIdempotent}, {Class: classIdempotentByKey}},
 			Outcomes: []CallOutcome{
 				{Outcome: policy.OK},
 				told,
@@ -108,33 +108,33 @@
 		},
 		{
 			Name: "drains", Rules: []checker.Rule{checker.DrainRespected}, Description: "two relays that learn at different times that both routes of three drain and go",
-			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 0, 1), Messages: []Message{{Class: safe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(
+			Relays: 2, Settings: modelSettings(), Endpoints: endpoints(20, 0, 0, 1), Messages: []Message{{Class: classIdempotent}, {Class: classIdempotentByKey}, {Class: classIdempotent}},
+			Outcomes: callOutcomes(
 				policy.OK,
 				policy.Overloaded,
 			), MaxFaults: 1, MaxTimeStep: 600 * time.Millisecond, DrainingEndpoints: []string{"a", "b"}, MaxDepth: 7,
 		},
 		{
 			Name: "return", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "one relay, a destination that fails and comes back cold",
-			Relays: 1, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 6),
-			Outcomes: outcomes(policy.OK), MaxTimeStep: quantum, HasOutage: true, FailuresToDetect: 2, MaxDepth: 10,
+			Relays: 1, Settings: modelSettings(), Endpoints: endpoints(1, 0), Messages: slices.Repeat([]Message{{Class: classIdempotent}}, 6),
+			Outcomes: callOutcomes(policy.OK), MaxTimeStep: quantum, HasOutage: true, FailuresToDetect: 2, MaxDepth: 10,
 		},
 		{
 			Name: "return-2", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "two relays, a destination that is out at the start and comes back cold",
-			Relays: 2, Settings: settings(), Endpoints: routes(1, 0), Messages: slices.Repeat([]Message{{Class: safe}}, 5),
-			Outcomes: outcomes(policy.OK), MaxTimeStep: time.Second, HasOutage: true, StartsInOutage: true, FailuresToDetect: 2, MaxDepth: 9,
+			Relays: 2, Settings: modelSettings(), Endpoints: endpoints(1, 0), Messages: slices.Repeat([]Message{{Class: classIdempotent}}, 5),
+			Outcomes: callOutcomes(policy.OK), MaxTimeStep: time.Second, HasOutage: true, StartsInOutage: true, FailuresToDetect: 2, MaxDepth: 9,
 		},
 		{
 			Name: "return-many", Rules: []checker.Rule{checker.RecoveryNotOverloaded}, Description: "two relays with messages enough, a destination that fails and comes back cold; random paths",
-			Relays: 2, Settings: settings(), Endpoints: routes(4, 0), Messages: slices.Repeat([]Message{{Class: patient}}, 100),
-			Outcomes: outcomes(
+			Relays: 2, Settings: modelSettings(), Endpoints: endpoints(4, 0), Messages: slices.Repeat([]Message{{Class: classLongDeadline}}, 100),
+			Outcomes: callOutcomes(
 				policy.OK,
 			), MaxTimeStep: 200 * time.Millisecond, HasOutage: true, MinOutage: 3 * time.Second, FailuresToDetect: 2, MaxDepth: 4, RandomWalks: 1000, RandomWalkLength: 200,
 		},
 		{
 			Name: "restarts", Rules: []checker.Rule{checker.NoMessageLost, checker.NoDuplicateEffect}, Description: "two relays that are killed at any moment, with a message given up on",
-			Relays: 2, Settings: settings(), Endpoints: routes(20, 0, 1), Messages: []Message{{Class: unsafe}, {Class: keyed}, {Class: safe}},
-			Outcomes: outcomes(
+			Relays: 2, Settings: modelSettings(), Endpoints: endpoints(20, 0, 1), Messages: []Message{{Class: classNonIdempotent}, {Class: classIdempotentByKey}, {Class: classIdempotent}},
+			Outcomes: callOutcomes(
 				policy.OK,
 				policy.Reset,
 				policy.Overloaded,
@@ -142,16 +142,16 @@
 		},
 		{
 			Name: "separate", Rules: []checker.Rule{checker.DrainRespected, checker.RetryAfterRespected, checker.NoDuplicateEffect}, Description: "two relays, routes that stand apart, a told wait, a drain and a kill together",
-			Relays: 2, Settings: settings(), Endpoints: apart(routes(20, 0, 1)), Messages: []Message{{Class: keyed}, {Class: unsafe}, {Class: safe}},
+			Relays: 2, Settings: modelSettings(), Endpoints: withOwnLimits(endpoints(20, 0, 1)), Messages: []Message{{Class: classIdempotentByKey}, {Class: classNonIdempotent}, {Class: classIdempotent}},
 			Outcomes: append(
-				outcomes(policy.OK, policy.Reset),
+				callOutcomes(policy.OK, policy.Reset),
 				told,
 			), MaxFaults: 2, MaxRestarts: 1, DrainingEndpoints: []string{"a"}, MaxTimeStep: quantum, MaxDepth: 7,
 		},
 	}
 }
 
-func apart(all []policy.Endpoint) []policy.Endpoint {
+func withOwnLimits(all []policy.Endpoint) []policy.Endpoint {
 	for i := range all {
 		all[i].Kind = 1
 	}
@@ -159,7 +159,7 @@
 }
 
 // ModelNamed returns a world by its name; nil if there is none.
-func ModelNamed(name string) *Model {
+func FindModel(name string) *Model {
 	all := Models()
 	if i := slices.IndexFunc(all, func(w Model) bool { return w.Name == name }); i >= 0 {
 		return &all[i]
