--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -79,7 +79,7 @@
 	}
 	var models []modelcheck.Model
 	for _, name := range c.Worlds {
-		model := modelcheck.ModelNamed(name)
+		model := modelcheck.FindModel(name)
 		if model == nil {
 			return nil, fmt.Errorf("no world %q", name)
 		}
