--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -24,7 +24,7 @@
 	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
 	r.step([]event{e})
 	for {
-		if _, ok := r.next().(cancelEvent); ok {
+		if _, ok := nextEvent(t, r).(cancelEvent); ok {
 			break
 		}
 	}
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -120,18 +120,24 @@
 	t.Helper()
 	c := nettest.Dial(t, addr, requestText(id))
 	for {
-		if _, ok := r.next().(*submitEvent); ok {
+		if _, ok := nextEvent(t, r).(*submitEvent); ok {
 			break
 		}
 	}
 	return nettest.ReadResponse(t, bufio.NewReader(c))
 }
 
-// next takes a step with the loop's next event.
-func (r *Relay) next() event {
-	e := <-r.events
-	r.step([]event{e})
-	return e
+// nextEvent waits for the next event, takes a step with it, and returns it.
+func nextEvent(t *testing.T, r *Relay) event {
+	t.Helper()
+	select {
+	case e := <-r.events:
+		r.step([]event{e})
+		return e
+	case <-time.After(nettest.Patience):
+		t.Fatal("no event came")
+		return nil
+	}
 }
 
 // stepUntil takes steps until ok holds.
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -71,7 +71,7 @@
 func TestUnknownDestinationsAreRejected(t *testing.T) {
 	r := newTestRelay(t)
 	answers := bufio.NewReader(nettest.Dial(t, serveClients(t, r), requestText("a", "dest=7", "dest=8")))
-	r.next()
+	nextEvent(t, r)
 	if res := nettest.ReadResponse(t, answers); res.StatusCode != http.StatusBadRequest || len(r.messages) > 0 {
 		t.Errorf("status %d, %d messages", res.StatusCode, len(r.messages))
 	}
