--- a/cmd/emulate/check.go
+++ b/cmd/emulate/check.go
@@ -15,14 +15,14 @@
 
 //nolint:lll // A struct tag is one line.
 type checkCommand struct {
-	Worlds []string   `name:"world" help:"Worlds; default: all that come with it."`
-	Mutant mutantName `help:"Check a relay that has this wrong about it." placeholder:"NAME"`
-	Depth  int        `help:"Moves on a path at most; 0: each world's."`
-	Deeper int        `help:"So many moves more than each world's own bound."`
-	States int        `help:"States of a world at most; 0: 4 million."`
-	Keep   string     `help:"File for the path to a break." default:"counterexample.json" placeholder:"FILE"`
-	Replay string     `help:"Play the path in this file again, and nothing else." type:"existingfile" placeholder:"FILE"`
-	List   bool       `help:"List the worlds."`
+	Models             []string   `name:"world" help:"Worlds; default: all that come with it."`
+	Mutant             mutantName `help:"Check a relay that has this wrong about it." placeholder:"NAME"`
+	MaxDepth           int        `name:"depth" help:"Moves on a path at most; 0: each world's."`
+	ExtraDepth         int        `name:"deeper" help:"So many moves more than each world's own bound."`
+	MaxStates          int        `name:"states" help:"States of a world at most; 0: 4 million."`
+	CounterexampleFile string     `name:"keep" help:"File for the path to a break." default:"counterexample.json" placeholder:"FILE"`
+	ReplayFile         string     `name:"replay" help:"Play the path in this file again, and nothing else." type:"existingfile" placeholder:"FILE"`
+	List               bool       `help:"List the worlds."`
 }
 
 // Run checks the models. It writes the counterexample of the first that violates a rule into a file.
@@ -30,14 +30,14 @@
 	if c.List {
 		return listModels(s)
 	}
-	if c.Replay != "" {
+	if c.ReplayFile != "" {
 		return c.replay(s)
 	}
 	mutant, err := c.Mutant.find()
 	if err != nil {
 		return err
 	}
-	models, err := c.models()
+	models, err := c.selectModels()
 	if err != nil {
 		return err
 	}
@@ -72,13 +72,13 @@
 	return finish(out, exitHeld)
 }
 
-// models returns the models to check.
-func (c *checkCommand) models() ([]modelcheck.Model, error) {
-	if len(c.Worlds) == 0 {
+// selectModels returns the models to check.
+func (c *checkCommand) selectModels() ([]modelcheck.Model, error) {
+	if len(c.Models) == 0 {
 		return modelcheck.Models(), nil
 	}
 	var models []modelcheck.Model
-	for _, name := range c.Worlds {
+	for _, name := range c.Models {
 		model := modelcheck.FindModel(name)
 		if model == nil {
 			return nil, fmt.Errorf("no world %q", name)
@@ -92,11 +92,11 @@
 func (c *checkCommand) check(
 	ctx context.Context, out *cli.Printer, model *modelcheck.Model, mutant *emulate.Mutant,
 ) (*modelcheck.Counterexample, error) {
-	depth := c.Depth
+	depth := c.MaxDepth
 	if depth == 0 {
 		depth = model.MaxDepth
 	}
-	options := modelcheck.Options{Mutant: mutant, MaxDepth: depth + c.Deeper, MaxStates: c.States}
+	options := modelcheck.Options{Mutant: mutant, MaxDepth: depth + c.ExtraDepth, MaxStates: c.MaxStates}
 	start := time.Now()
 	result, err := modelcheck.Check(ctx, model, options)
 	if err != nil && !errors.Is(err, context.Canceled) {
@@ -131,28 +131,28 @@
 	return fmt.Sprintf("to %d moves", result.Depth)
 }
 
-// keep writes a counterexample into the file of --keep.
+// keep writes a counterexample into CounterexampleFile.
 func (c *checkCommand) keep(out *cli.Printer, counterexample *modelcheck.Counterexample) error {
 	data, err := json.MarshalIndent(counterexample, "", " ")
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(c.Keep, append(data, '\n'), 0o600); err != nil {
+	if err := os.WriteFile(c.CounterexampleFile, append(data, '\n'), 0o600); err != nil {
 		return err
 	}
-	out.Printf("kept in %s: emulate check --replay %s\n", c.Keep, c.Keep)
+	out.Printf("kept in %[1]s: emulate check --replay %[1]s\n", c.CounterexampleFile)
 	return nil
 }
 
 // replay plays the counterexample of a file again.
 func (c *checkCommand) replay(s *cli.Streams) error {
-	data, err := os.ReadFile(c.Replay)
+	data, err := os.ReadFile(c.ReplayFile)
 	if err != nil {
 		return err
 	}
 	counterexample, err := modelcheck.ParseCounterexample(data)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Replay, err)
+		return fmt.Errorf("%s: %w", c.ReplayFile, err)
 	}
 	if err := counterexample.WriteTrace(s.Out); err != nil {
 		return err
--- a/cmd/emulate/faults.go
+++ b/cmd/emulate/faults.go
@@ -27,11 +27,11 @@
 	Destinations int    `help:"Destinations, of two endpoints each." default:"2500"`
 	Count        int    `help:"Of changes or outages." default:"60"`
 	loadFlags
-	Struck float64       `help:"outages: messages a second for each destination struck, beside the others." default:"3"`
-	Away   time.Duration `help:"zone: how long its relays are gone." default:"15s"`
-	Judged bool          `help:"Judge it by the six rules, too: takes room for the record."`
-	Mutant mutantName    `help:"Play it with a relay that has this wrong about it." placeholder:"NAME"`
-	Seed   uint64        `default:"1"`
+	OutageRate float64       `name:"struck" help:"outages: messages a second for each destination struck, beside the others." default:"3"`
+	ZoneOutage time.Duration `name:"away" help:"zone: how long its relays are gone." default:"15s"`
+	CheckRules bool          `name:"judged" help:"Judge it by the six rules, too: takes room for the record."`
+	Mutant     mutantName    `help:"Play it with a relay that has this wrong about it." placeholder:"NAME"`
+	Seed       uint64        `default:"1"`
 }
 
 const (
@@ -119,7 +119,7 @@
 			Destinations: crashed[recovering:],
 		},
 	}
-	f.Traffic = append(f.Traffic, scenario.Traffic{Rate: c.Struck * float64(c.Count), Destinations: crashed})
+	f.Traffic = append(f.Traffic, scenario.Traffic{Rate: c.OutageRate * float64(c.Count), Destinations: crashed})
 }
 
 // addZoneLoss kills all relays of a zone at once.
@@ -129,7 +129,7 @@
 		f.Zones = append(f.Zones, fmt.Sprintf("z%d", i+1))
 	}
 	f.Destinations[0].Zones = nil
-	f.end = f.start + c.Away
+	f.end = f.start + c.ZoneOutage
 	f.Faults = []scenario.Fault{{
 		Kind:  scenario.FaultKill,
 		Start: scenario.Duration(f.start),
@@ -179,9 +179,9 @@
 	observer := newFaultObserver(f.DrawWithoutArrivals(c.Seed))
 	options := observer.options()
 	if c.Fault == faultZone {
-		options.RestartDelay = c.Away
+		options.RestartDelay = c.ZoneOutage
 	}
-	options.Record = c.Judged
+	options.Record = c.CheckRules
 	change(&options)
 	memory := watchMemory()
 	defer memory.stop()
@@ -199,7 +199,7 @@
 	out.Printf("%d messages in %.1f s, %.0f a second; peak %.0f MB\n",
 		submitted, elapsed, float64(submitted)/elapsed, peak)
 	held = observer.print(out, f)
-	if c.Judged {
+	if c.CheckRules {
 		held = printRules(out, checker.Check(observer.world.Result())) && held
 	}
 	return held, nil
--- a/cmd/emulate/hunt.go
+++ b/cmd/emulate/hunt.go
@@ -11,11 +11,11 @@
 
 //nolint:lll // A struct tag is one line.
 type huntCommand struct {
-	Scenario scenarioName `arg:"" help:"The scenario whose world and load are struck: one that comes with the kit, or a file."`
-	Plans    int          `help:"Plans that are tried." default:"200"`
-	Seed     uint64       `help:"Seed of the search." default:"1"`
-	Mutant   mutantName   `help:"Hunt a relay that has this wrong about it." placeholder:"NAME"`
-	Out      string       `help:"File for the scenario that was found." default:"hunted.toml" placeholder:"FILE"`
+	Scenario   scenarioName `arg:"" help:"The scenario whose world and load are struck: one that comes with the kit, or a file."`
+	Candidates int          `name:"plans" help:"Plans that are tried." default:"200"`
+	Seed       uint64       `help:"Seed of the search." default:"1"`
+	Mutant     mutantName   `help:"Hunt a relay that has this wrong about it." placeholder:"NAME"`
+	Out        string       `help:"File for the scenario that was found." default:"hunted.toml" placeholder:"FILE"`
 	cli.ProgressFlags
 }
 
@@ -31,18 +31,18 @@
 	if err != nil {
 		return err
 	}
-	if c.Plans < 1 {
+	if c.Candidates < 1 {
 		return errPlans
 	}
 	progress := c.ProgressLine(s.Err)
 	search := experiment.Search{
 		Base:       base,
-		Candidates: c.Plans,
+		Candidates: c.Candidates,
 		Seed:       c.Seed,
 		Mutant:     mutant,
 		Progress: func(done int, worst experiment.Candidate) {
 			progress.Update("%d of %d  worst: service %.3f  %d rules broken",
-				done, c.Plans, worst.Service, len(worst.ViolatedRules))
+				done, c.Candidates, worst.Service, len(worst.ViolatedRules))
 		},
 	}
 	found, err := search.Run(ctx)
@@ -66,7 +66,7 @@
 	out := cli.NewPrinter(s.Out)
 	faults := found.Scenario.Faults
 	out.Printf("worst of %d plans: service %.3f, %d troubles, seed %d; kept in %s: emulate run %s\n",
-		c.Plans, found.Service, len(faults), found.Seed, c.Out, c.Out)
+		c.Candidates, found.Service, len(faults), found.Seed, c.Out, c.Out)
 	for _, fault := range faults {
 		out.Printf("  %v  %s for %v  destinations %v share %.2f relays %v\n", fault.Start.AsDuration(),
 			fault.Kind, fault.Duration.AsDuration(), fault.Destinations, fault.Share, fault.Relays)
--- a/cmd/emulate/power.go
+++ b/cmd/emulate/power.go
@@ -18,8 +18,8 @@
 	Mutants   []string       `help:"Mutants; default: all, and the sound relay."`
 	Scenarios []scenarioName `help:"Scenarios; default: all that come with the kit."`
 	Seeds     int            `help:"Seeds of each scenario." default:"2"`
-	Check     bool           `help:"Play the tiny worlds, too." default:"true" negatable:""`
-	Depth     int            `help:"Moves on a path of a tiny world at most; 0: the world's."`
+	UseModels bool           `name:"check" help:"Play the tiny worlds, too." default:"true" negatable:""`
+	MaxDepth  int            `name:"depth" help:"Moves on a path of a tiny world at most; 0: the world's."`
 }
 
 // detector is a scenario or a model that may detect mutants.
@@ -92,7 +92,7 @@
 		run := func(_ context.Context, m *emulate.Mutant) detection { return detectByScenario(file, m, c.Seeds) }
 		detectors = append(detectors, detector{name: string(name), allRules: true, run: run})
 	}
-	if !c.Check {
+	if !c.UseModels {
 		return detectors, nil
 	}
 	for _, model := range modelcheck.Models() {
@@ -100,7 +100,7 @@
 			name:  "check:" + model.Name,
 			rules: model.Rules,
 			run: func(ctx context.Context, m *emulate.Mutant) detection {
-				return detectByModel(ctx, &model, m, c.Depth)
+				return detectByModel(ctx, &model, m, c.MaxDepth)
 			},
 		})
 	}
@@ -110,7 +110,7 @@
 // detectByScenario plays a scenario with several seeds.
 func detectByScenario(file scenario.File, mutant *emulate.Mutant, seeds int) (found detection) {
 	for seed := range seeds {
-		world, err := simulate(file.Draw(uint64(seed+1)), emulate.Options{Record: true, Mutant: mutant})
+		world, err := experiment.Simulate(file.Draw(uint64(seed+1)), emulate.Options{Record: true, Mutant: mutant})
 		if err != nil {
 			return detection{err: err}
 		}
--- a/cmd/emulate/scale.go
+++ b/cmd/emulate/scale.go
@@ -18,7 +18,7 @@
 type scaleCommand struct {
 	Relays       []int    `help:"Numbers of relays." default:"1,2,10,100"`
 	Destinations int      `help:"Destinations." default:"100"`
-	Worlds       []string `help:"Numbers of relays and of destinations, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
+	Sizes        []string `name:"worlds" help:"Numbers of relays and of destinations, in place of --relays and --destinations." placeholder:"RELAYSxDESTINATIONS,..."`
 	loadFlags
 	Seed uint64 `default:"1"`
 }
@@ -76,7 +76,7 @@
 
 // Run plays a world of each size under the same load, and prints a row for each.
 func (c *scaleCommand) Run(ctx context.Context, s *cli.Streams) error {
-	sizes, err := c.sizes()
+	sizes, err := c.worldSizes()
 	if err != nil {
 		return err
 	}
@@ -109,9 +109,9 @@
 	return " "
 }
 
-// sizes returns the sizes that the flags name.
-func (c *scaleCommand) sizes() (sizes []worldSize, err error) {
-	for _, text := range c.Worlds {
+// worldSizes returns the sizes that the flags name.
+func (c *scaleCommand) worldSizes() (sizes []worldSize, err error) {
+	for _, text := range c.Sizes {
 		relays, destinations, ok := strings.Cut(text, "x")
 		r, errRelays := strconv.Atoi(relays)
 		d, errDestinations := strconv.Atoi(destinations)
--- a/cmd/emulate/setup.go
+++ b/cmd/emulate/setup.go
@@ -10,8 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// What several commands have in common: the scenarios and mutants that they are given, a world that is played to its
-// end, and the exit status.
+// What several commands have in common: the scenarios and mutants that they are given, and the exit status.
 
 // scenarioName names a shipped scenario, or a file.
 type scenarioName string
@@ -39,15 +38,6 @@
 	return mutant, nil
 }
 
-// simulate plays a plan to its end.
-func simulate(plan scenario.Plan, options emulate.Options) (*emulate.World, error) {
-	world, err := emulate.New(plan, options)
-	if err != nil {
-		return nil, err
-	}
-	return world, world.Play()
-}
-
 // finish ends a command that has printed all its output.
 func finish(out *cli.Printer, status int) error {
 	if err := out.Err(); err != nil {
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -84,7 +84,12 @@
 	if p.Checked {
 		draw = file.Draw
 	}
-	world, err := emulate.New(draw(run.Seed), options)
+	return Simulate(draw(run.Seed), options)
+}
+
+// Simulate plays a plan to its end.
+func Simulate(plan scenario.Plan, options emulate.Options) (*emulate.World, error) {
+	world, err := emulate.New(plan, options)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/experiment/search.go
+++ b/internal/simulation/experiment/search.go
@@ -101,13 +101,10 @@
 // play plays a scenario and checks its rules.
 func (s Search) play(file scenario.File, seed uint64) (Candidate, error) {
 	candidate := Candidate{Scenario: file, Seed: seed}
-	world, err := emulate.New(file.Draw(seed), emulate.Options{Record: true, Mutant: s.Mutant})
+	world, err := Simulate(file.Draw(seed), emulate.Options{Record: true, Mutant: s.Mutant})
 	if err != nil {
 		return candidate, err
 	}
-	if err := world.Play(); err != nil {
-		return candidate, err
-	}
 	checked := checker.Check(world.Result())
 	for _, rule := range checked.Rules {
 		if rule.State == checker.Violated {
