--- /dev/null
+++ b/internal/testkit/fake/call.go
@@ -0,0 +1,224 @@
+package fake
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
+)
+
+// slotWait is how long a call beyond the slots of a relay waits for a free one. A relay that has given up a call may
+// use its slot again though the endpoint has not noticed yet.
+const slotWait = 30 * time.Millisecond
+
+// slotPollInterval is the pause between two looks for a free slot.
+const slotPollInterval = time.Millisecond
+
+// call is a call as an endpoint received it.
+type call struct {
+	number     uint64
+	ids        []string // of its messages
+	isBatch    bool
+	receivedAt time.Duration
+
+	rejectStatus int // 0: it is well formed
+	rejectReason string
+}
+
+// parseCall parses a request.
+func parseCall(request *http.Request, body []byte) call {
+	if request.Method != http.MethodPost {
+		return rejectedCall(http.StatusMethodNotAllowed, "method %s", request.Method)
+	}
+	switch request.URL.Path {
+	case "/events":
+		id := request.Header.Get("X-Trace-Id")
+		if id == "" {
+			return rejectedCall(http.StatusBadRequest, "a call without X-Trace-Id")
+		}
+		return call{ids: []string{id}}
+	case "/events/bundle":
+		return parseBatch(body)
+	}
+	return rejectedCall(http.StatusNotFound, "path %s", request.URL.Path)
+}
+
+func rejectedCall(status int, format string, args ...any) call {
+	return call{rejectStatus: status, rejectReason: fmt.Sprintf(format, args...)}
+}
+
+// parseBatch parses the body of a call with several messages.
+func parseBatch(body []byte) call {
+	var items []struct {
+		ID   string `json:"id"`
+		Body []byte `json:"body"`
+	}
+	batch := call{isBatch: true}
+	if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 {
+		batch = rejectedCall(http.StatusBadRequest, "unreadable bundle: %v", err)
+	}
+	seen := map[string]bool{}
+	for _, item := range items {
+		if seen[item.ID] {
+			batch.rejectStatus = http.StatusBadRequest
+			batch.rejectReason = fmt.Sprintf("a bundle names %s twice", item.ID)
+		}
+		seen[item.ID] = true
+		batch.ids = append(batch.ids, item.ID)
+	}
+	return batch
+}
+
+// answer is the answer to a call.
+type answer struct {
+	status     int
+	retryAfter time.Duration
+	states     []string // of the messages of a batch
+	noSlot     bool     // the relay has more calls than slots
+	holdsSlot  bool     // the call has one of the relay's slots
+
+	latency time.Duration // from the call's arrival
+	silent  bool          // it is never sent
+	lost    bool          // the connection ends in its place
+}
+
+// delivers reports whether the answer says that the i-th message of the call is delivered.
+func (a answer) delivers(i int) bool {
+	return a.status == http.StatusOK && (a.states == nil || a.states[i] == messageDelivered)
+}
+
+// text returns the answer as it is sent.
+func (a answer) text(ids []string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
+	if a.retryAfter > 0 {
+		fmt.Fprintf(&b, "Retry-After: %s\r\n", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	if a.noSlot {
+		b.WriteString("Slots-Taken: 1\r\n")
+	}
+	body := a.body(ids)
+	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
+	return b.String()
+}
+
+// body returns the states of the messages of a batch; nothing for other calls.
+func (a answer) body(ids []string) []byte {
+	if a.states == nil {
+		return nil
+	}
+	type item struct {
+		ID    string `json:"id"`
+		State string `json:"state"`
+	}
+	items := make([]item, 0, len(ids))
+	for i, id := range ids {
+		items = append(items, item{ID: id, State: a.states[i]})
+	}
+	body, err := json.Marshal(items)
+	if err != nil {
+		panic(err) // strings only
+	}
+	return body
+}
+
+// decide determines the answer to a call.
+func (c *endpointConn) decide(received call) answer {
+	if received.rejectStatus != 0 {
+		c.endpoint.recordInvalid(c.relay, received.rejectReason)
+		return answer{status: received.rejectStatus}
+	}
+	world := c.endpoint.world
+	if !world.acquireSlot(c.relay) {
+		return answer{status: http.StatusServiceUnavailable, noSlot: true}
+	}
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	decided := c.endpoint.handle(received)
+	decided.holdsSlot = true
+	return decided
+}
+
+// handle determines the answer to a call that has a slot. The caller holds world.mu.
+func (e *Endpoint) handle(received call) answer {
+	states, deliverable, known := e.world.countAttempts(received.ids)
+	switch {
+	case !known:
+		return answer{status: http.StatusBadRequest} // the checker finds the call
+	case deliverable > 0:
+		return newAnswer(e.world.handleCall(e, deliverable), received.isBatch, states)
+	case received.isBatch:
+		return answer{status: http.StatusOK, states: states}
+	case states[0] == messageGone:
+		return answer{status: http.StatusGone}
+	}
+	return answer{status: http.StatusGatewayTimeout}
+}
+
+// newAnswer returns the answer that a service responds with.
+func newAnswer(response upstream.Response, isBatch bool, states []string) answer {
+	a := answer{
+		latency:    response.Latency,
+		retryAfter: response.RetryAfter.Round(time.Millisecond),
+		lost:       response.ResponseLost,
+	}
+	switch response.Result {
+	case upstream.Unanswered:
+		a.silent = true
+	case upstream.Failed:
+		a.status = http.StatusInternalServerError
+	case upstream.Rejected:
+		a.status = http.StatusServiceUnavailable
+		if a.retryAfter > 0 {
+			a.status = http.StatusTooManyRequests
+		}
+	case upstream.Served:
+		a.status = http.StatusOK
+		if isBatch {
+			a.states = withDelivered(states)
+		}
+	}
+	return a
+}
+
+// withDelivered marks the messages without a state as delivered.
+func withDelivered(states []string) []string {
+	for i, state := range states {
+		if state == "" {
+			states[i] = messageDelivered
+		}
+	}
+	return states
+}
+
+// acquireSlot takes one of the slots of a relay, for which it waits a moment. It reports whether there was one.
+func (w *World) acquireSlot(relay string) bool {
+	for deadline := time.Now().Add(slotWait); ; time.Sleep(slotPollInterval) {
+		if w.tryAcquireSlot(relay) {
+			return true
+		}
+		if time.Now().After(deadline) {
+			return false
+		}
+	}
+}
+
+func (w *World) tryAcquireSlot(relay string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.activeCalls[relay] >= w.settings.MaxConcurrentCalls {
+		return false
+	}
+	w.activeCalls[relay]++
+	return true
+}
+
+func (w *World) releaseSlot(relay string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.activeCalls[relay]--
+}
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -1,16 +1,9 @@
 package fake
 
 import (
-	"bufio"
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"os"
-	"strconv"
 	"sync"
 	"time"
 
@@ -18,286 +11,238 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// Clients hands messages in to one relay, as its clients would: they wait for so long and no longer, come again after
-// a refusal if they do, and once more after an answer that did not come.
-type Clients struct {
-	relay   string
-	addr    string
-	file    scenario.File
-	rec     *eventlog.Writer
-	world   *World
-	headers []string // by class and customer: the part of a head that does not change
+const (
+	// reconnectPause is the pause before a message is submitted again that was not sent.
+	reconnectPause = 50 * time.Millisecond
+	// unansweredPause is the pause before a message is submitted again that got no answer.
+	unansweredPause = 100 * time.Millisecond
+	// maxUnanswered is how many submissions without an answer a client makes before it gives up.
+	maxUnanswered = 2
+	// maxRejections is how many rejections a client takes before it gives up.
+	maxRejections = 2
+)
 
-	mu     sync.Mutex
-	idle   []*clientConn
-	open   map[*clientConn]struct{}
-	takes  bool          // new connections are taken
-	change chan struct{} // closed and made anew when takes becomes true
-	closed bool
-	sent   sync.WaitGroup
-}
+// The values of X-Second-Try, which tells a relay why a message is submitted again.
+const (
+	secondTryRejected   = "1"
+	secondTryUnanswered = "again"
+)
 
-type clientConn struct {
-	net.Conn
-	r    *bufio.Reader
-	used bool
+// Clients submits messages to one relay as its clients do: they wait for an answer until a timeout, and may submit once
+// more after a rejection, and after an answer that did not come.
+type Clients struct {
+	relay       string
+	addr        string
+	file        scenario.File
+	events      *eventlog.Writer
+	world       *World
+	headers     []string // the constant part of request heads, by class and customer
+	submissions sync.WaitGroup
+
+	mu        sync.Mutex // guards the fields below
+	idle      []*clientConn
+	open      map[*clientConn]struct{}
+	accepting bool          // the relay accepts connections
+	changed   chan struct{} // closed and replaced when accepting becomes true
+	closed    bool
 }
 
-// NewClients returns the clients of a relay at an address. They wait until Takes.
-func NewClients(relay, addr string, file scenario.File, rec *eventlog.Writer, world *World) *Clients {
+// NewClients returns the clients of a relay at an address. They wait until SetAccepting.
+func NewClients(relay, addr string, file scenario.File, events *eventlog.Writer, world *World) *Clients {
 	c := &Clients{
-		relay: relay, addr: addr, file: file, rec: rec, world: world, open: map[*clientConn]struct{}{},
-		change: make(chan struct{}),
+		relay:   relay,
+		addr:    addr,
+		file:    file,
+		events:  events,
+		world:   world,
+		open:    map[*clientConn]struct{}{},
+		changed: make(chan struct{}),
 	}
 	for _, class := range file.Classes {
 		for _, customer := range file.Customers {
-			c.headers = append(
-				c.headers,
-				fmt.Sprintf("Host: origin.svc\r\nX-Qos: %s\r\nX-Customer: %s\r\n", class.Name, customer.Name),
-			)
+			header := fmt.Sprintf("Host: origin.svc\r\nX-Qos: %s\r\nX-Customer: %s\r\n", class.Name, customer.Name)
+			c.headers = append(c.headers, header)
 		}
 	}
 	return c
 }
 
-// SetAccepting says whether the relay takes new connections, as its front knows it.
-func (c *Clients) SetAccepting(on bool) {
+// SetAccepting tells the clients whether the relay accepts new connections, as its load balancer knows it.
+func (c *Clients) SetAccepting(accepting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.takes = on; on {
-		close(c.change)
-		c.change = make(chan struct{})
+	c.accepting = accepting
+	if accepting {
+		close(c.changed)
+		c.changed = make(chan struct{})
 	}
 }
 
-// Close ends all connections and waits for what is under way.
+// Close closes all connections and waits for the submissions.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	c.closed = true
 	for conn := range c.open {
-		conn.Close()
+		discard(conn)
 	}
 	c.mu.Unlock()
-	c.sent.Wait()
+	c.submissions.Wait()
 }
 
-// Wait waits until all that was handed in has its answer, and no client comes again.
-func (c *Clients) Wait() { c.sent.Wait() }
+// Wait waits until every message has its answer and is not submitted again.
+func (c *Clients) Wait() { c.submissions.Wait() }
 
-// Submit hands a message in at once, in a goroutine of its own. late is by how much that is after the plan.
-func (c *Clients) Submit(ctx context.Context, a scenario.Arrival, late time.Duration) {
-	c.sent.Go(func() { c.tries(ctx, a, late) })
+// Submit submits a message in a goroutine of its own. The delay is that against the plan.
+func (c *Clients) Submit(ctx context.Context, arrival scenario.Arrival, delay time.Duration) {
+	c.submissions.Go(func() { c.submitWithRetries(ctx, arrival, delay) })
 }
 
-// try is one hand-in.
-type try struct {
+// submission is one request of a client.
+type submission struct {
 	scenario.Arrival
-	origin   string
-	second   string // X-Second-Try
-	deadline time.Time
+	firstID   string // of the first submission of the message
+	secondTry string // X-Second-Try; "": it is the first
+	deadline  time.Time
 }
 
-// tries hands a message in, and again as clients do, until its time is up.
-func (c *Clients) tries(ctx context.Context, a scenario.Arrival, late time.Duration) {
-	t := try{Arrival: a, origin: a.ID, deadline: time.Now().Add(c.file.Classes[a.Class].Deadline.AsDuration())}
-	refusals, unanswered := 0, 0
-	for n := 0; ctx.Err() == nil && time.Now().Before(t.deadline); n++ {
+// submitWithRetries submits a message, and again as clients do, until its deadline.
+func (c *Clients) submitWithRetries(ctx context.Context, arrival scenario.Arrival, delay time.Duration) {
+	class := c.file.Classes[arrival.Class]
+	s := submission{
+		Arrival:  arrival,
+		firstID:  arrival.ID,
+		deadline: time.Now().Add(class.Deadline.AsDuration()),
+	}
+	rejections, unanswered := 0, 0
+	for n := 0; ctx.Err() == nil && time.Now().Before(s.deadline); n++ {
 		if n > 0 {
-			t.ID = fmt.Sprintf("%s-%d", a.ID, n)
+			s.ID = fmt.Sprintf("%s-%d", arrival.ID, n)
 		}
-		heard, advice := c.try(ctx, t, late)
-		late = 0
-		var wait time.Duration
+		out := c.submit(ctx, s, delay)
+		delay = 0
+		var pause time.Duration
 		switch {
-		case heard == http.StatusTooManyRequests || heard == http.StatusServiceUnavailable:
-			if refusals++; refusals > 1 || t.RetryDelay == 0 {
+		case out.isRejection():
+			rejections++
+			if rejections == maxRejections || s.RetryDelay == 0 {
 				return
 			}
-			t.second, wait = "1", max(t.RetryDelay, min(advice, c.file.Settings.MaxRetryAfter.AsDuration()))
-		case heard > 0:
+			s.secondTry = secondTryRejected
+			pause = max(s.RetryDelay, min(out.retryAfter, c.file.Settings.MaxRetryAfter.AsDuration()))
+		case out.kind == answered:
 			return
-		case heard == unsent:
-			if !c.taken(ctx, t.deadline) {
+		case out.kind == notSent:
+			if !c.awaitAccepting(ctx, s.deadline) {
 				return
 			}
-			wait = 50 * time.Millisecond
-		default: // it may have been taken on
-			if unanswered++; unanswered > 1 || c.file.Classes[a.Class].Effect == "unsafe" {
+			pause = reconnectPause
+		case out.kind == noAnswer: // the relay may have accepted the message
+			unanswered++
+			if unanswered == maxUnanswered || class.Effect == eventlog.NonIdempotent {
 				return
 			}
-			t.second, wait = "again", 100*time.Millisecond
+			s.secondTry = secondTryUnanswered
+			pause = unansweredPause
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait):
+		case <-time.After(pause):
 		}
 	}
 }
 
-// taken waits until the relay takes connections; false if the time is up before.
-func (c *Clients) taken(ctx context.Context, by time.Time) bool {
-	timer := time.NewTimer(time.Until(by))
-	defer timer.Stop()
+// awaitAccepting waits until the relay accepts connections; false if the deadline comes before.
+func (c *Clients) awaitAccepting(ctx context.Context, deadline time.Time) bool {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
 	for {
 		c.mu.Lock()
-		takes, change, closed := c.takes, c.change, c.closed
+		accepting, changed, closed := c.accepting, c.changed, c.closed
 		c.mu.Unlock()
-		if takes || closed {
-			return takes
+		if accepting || closed {
+			return accepting
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case <-ctx.Done():
 			return false
-		case <-timer.C:
-			return false
 		}
 	}
 }
 
-// What try returns in place of a status.
+// outcomeKind is what became of a submission.
+type outcomeKind int
+
 const (
-	unsent   = 0
-	noAnswer = -1
+	answered outcomeKind = iota
+	noAnswer             // the request was sent, as far as the client knows
+	notSent
 )
 
-var errNotTaken = errors.New("the relay takes no connections")
-
-// try hands a message in once, and records what came of it.
-func (c *Clients) try(ctx context.Context, t try, late time.Duration) (heard int, advice time.Duration) {
-	c.world.RegisterMessage(t.ID, t.Destination, t.deadline)
-	c.rec.Add(eventlog.Event{
-		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.origin, Relay: c.relay, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
-		For: time.Until(t.deadline), Delay: late,
-	})
-	leave := time.Now().Add(c.file.Clients.AnswerTimeout.AsDuration())
-	unheard := func(cause string) (int, time.Duration) {
-		c.world.WithdrawMessage(t.ID)
-		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: c.relay, Cause: cause})
-		if cause == eventlog.CauseNotSent {
-			return unsent, 0
-		}
-		return noAnswer, 0
-	}
-	fresh := false
-	for {
-		conn, err := c.get(ctx, leave, fresh)
-		if err != nil {
-			return unheard(eventlog.CauseNotSent)
-		}
-		conn.SetDeadline(leave)
-		if _, err := conn.Write(c.text(t)); err != nil {
-			c.drop(conn)
-			if conn.used && !fresh {
-				fresh = true // the relay closed it between two requests
-				continue
-			}
-			return unheard(eventlog.CauseNotSent)
-		}
-		res, err := http.ReadResponse(conn.r, nil)
-		if err == nil {
-			_, err = io.Copy(io.Discard, io.LimitReader(res.Body, bodyMost))
-			res.Body.Close()
-		}
-		if err != nil {
-			silent := conn.r.Buffered() == 0 && res == nil
-			c.drop(conn)
-			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded):
-				return unheard(eventlog.CauseTimeout)
-			case conn.used && !fresh && silent:
-				fresh = true // its close crossed the request: this is sent once more, on a new one
-				continue
-			}
-			return unheard(eventlog.CauseClosed)
-		}
-		if x, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil && x > 0 && x < 1e6 {
-			advice = time.Duration(x * float64(time.Second))
-		}
-		c.rec.Add(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: c.relay, Status: res.StatusCode, RetryAfter: advice})
-		if res.StatusCode >= 300 {
-			c.world.ResolveMessage(t.ID)
-		}
-		if res.Close {
-			c.drop(conn)
-		} else {
-			c.keep(conn)
-		}
-		return res.StatusCode, advice
+// String returns the kind for messages of tests.
+func (k outcomeKind) String() string {
+	switch k {
+	case answered:
+		return "answered"
+	case noAnswer:
+		return "no answer"
+	case notSent:
+		return "not sent"
 	}
+	return fmt.Sprintf("outcomeKind(%d)", int(k))
 }
 
-// text is the request on the wire.
-func (c *Clients) text(t try) []byte {
-	var b bytes.Buffer
-	b.Grow(512 + t.BodySize)
-	b.WriteString("POST /")
-	b.WriteString(c.file.Classes[t.Class].Name)
-	if t.OrderingKey != "" {
-		b.WriteString("?key=")
-		b.WriteString(t.OrderingKey)
-	}
-	b.WriteString(" HTTP/1.1\r\n")
-	b.WriteString(c.headers[t.Class*len(c.file.Customers)+t.Customer])
-	fmt.Fprintf(
-		&b,
-		"X-Trace-Id: %s\r\nIdempotency-Key: %s\r\nX-Expires-In-Ms: %d\r\nEnvelope: dest=%d\r\nContent-Length: %d\r\n",
-		t.ID,
-		t.IdempotencyKey,
-		max(0, time.Until(t.deadline).Milliseconds()),
-		t.Destination,
-		t.BodySize,
-	)
-	if t.second != "" {
-		fmt.Fprintf(&b, "X-Second-Try: %s\r\n", t.second)
-	}
-	b.WriteString("\r\n")
-	for i := range t.BodySize {
-		b.WriteByte("0123456789abcdef"[i%16])
-	}
-	return b.Bytes()
+// outcome is what became of a submission, with the answer's status and Retry-After if there is one.
+type outcome struct {
+	kind       outcomeKind
+	status     int
+	retryAfter time.Duration
 }
 
-// get returns an idle connection, or a new one.
-func (c *Clients) get(ctx context.Context, by time.Time, fresh bool) (*clientConn, error) {
-	c.mu.Lock()
-	if n := len(c.idle); n > 0 && !fresh {
-		conn := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
-		return conn, nil
-	}
-	ok := c.takes && !c.closed
-	c.mu.Unlock()
-	if !ok {
-		return nil, errNotTaken
-	}
-	d := net.Dialer{Deadline: by}
-	nc, err := d.DialContext(ctx, "tcp", c.addr)
-	if err != nil {
-		return nil, fmt.Errorf("standin: client of %s: %w", c.relay, err)
-	}
-	conn := &clientConn{Conn: nc, r: bufio.NewReaderSize(nc, 1024)}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.open[conn] = struct{}{}
-	return conn, nil
+// isRejection reports whether the answer invites the client to submit again later.
+func (o outcome) isRejection() bool {
+	return o.status == http.StatusTooManyRequests || o.status == http.StatusServiceUnavailable
 }
 
-func (c *Clients) keep(conn *clientConn) {
-	conn.used = true
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
-		conn.Close()
-		return
+// submit submits a message once, and records what becomes of it.
+func (c *Clients) submit(ctx context.Context, s submission, delay time.Duration) outcome {
+	c.world.RegisterMessage(s.ID, s.deadline)
+	c.events.Add(eventlog.Event{
+		Kind:        eventlog.MessageSubmitted,
+		ID:          s.ID,
+		FirstID:     s.firstID,
+		Relay:       c.relay,
+		Class:       s.Class,
+		Customer:    s.Customer,
+		Destination: s.Destination,
+		OrderingKey: s.OrderingKey,
+		For:         time.Until(s.deadline),
+		Delay:       delay,
+	})
+	conn, response, cause := c.exchange(ctx, s, time.Now().Add(c.file.Clients.AnswerTimeout.AsDuration()))
+	if cause != "" {
+		c.world.WithdrawMessage(s.ID)
+		c.events.Add(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: s.ID, Relay: c.relay, Cause: cause})
+		if cause == eventlog.CauseNotSent {
+			return outcome{kind: notSent}
+		}
+		return outcome{kind: noAnswer}
 	}
-	c.idle = append(c.idle, conn)
-}
-
-func (c *Clients) drop(conn *clientConn) {
-	conn.Close()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.open, conn)
+	out := outcome{kind: answered, status: response.StatusCode, retryAfter: parseRetryAfter(response.Header)}
+	c.events.Add(eventlog.Event{
+		Kind:       eventlog.SubmissionAnswered,
+		ID:         s.ID,
+		Relay:      c.relay,
+		Status:     out.status,
+		RetryAfter: out.retryAfter,
+	})
+	if out.status >= http.StatusMultipleChoices {
+		c.world.ResolveMessage(s.ID)
+	}
+	if response.Close {
+		c.drop(conn)
+	} else {
+		c.keep(conn)
+	}
+	return out
 }
--- /dev/null
+++ b/internal/testkit/fake/discovery.go
@@ -0,0 +1,244 @@
+package fake
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+const (
+	// notificationTimeout is when a relay that runs counts as notified of an update, whether or not it arrived.
+	notificationTimeout = 6 * time.Second
+	// headerTimeout bounds the time to read the head of a request to the agent.
+	headerTimeout = 5 * time.Second
+)
+
+// ListedEndpoint is an entry of the endpoint list.
+type ListedEndpoint struct {
+	ID          string  `json:"id"`
+	Addr        string  `json:"addr,omitempty"`
+	Zone        string  `json:"zone"`
+	Kind        string  `json:"kind"`
+	Destination int     `json:"cell"`
+	State       string  `json:"state"`
+	Weight      float64 `json:"weight"`
+	StartedMS   int64   `json:"started_ms"`
+}
+
+// EndpointList is the endpoint list, or updates of it, as discovery sends it.
+type EndpointList struct {
+	Version   int64            `json:"version"`
+	Full      bool             `json:"full"` // a snapshot; else updates since an earlier version
+	Endpoints []ListedEndpoint `json:"servers"`
+}
+
+// DiscoveryAgent is the agent of discovery on the machine of one relay.
+type DiscoveryAgent struct {
+	relay    string
+	events   *eventlog.Writer
+	world    *World
+	listener net.Listener
+	server   *http.Server
+	serving  sync.WaitGroup
+
+	mu           sync.Mutex    // guards the fields below
+	changed      chan struct{} // closed and replaced when there may be something to send
+	listed       map[string]ListedEndpoint
+	updates      []update         // since the start; the version of the list is their number
+	deferred     []ListedEndpoint // updates that came while the agent is silent
+	silent       bool
+	relayRunning bool
+}
+
+// update is an update of the list.
+type update struct {
+	ListedEndpoint
+	notified bool // the relay counts as notified of it
+}
+
+// NewDiscoveryAgent starts the agent of a relay, which counts as notified of the list.
+func NewDiscoveryAgent(
+	relay string,
+	events *eventlog.Writer,
+	world *World,
+	list []ListedEndpoint,
+) (*DiscoveryAgent, error) {
+	listener, err := net.Listen("tcp", anyLoopbackAddr)
+	if err != nil {
+		return nil, fmt.Errorf("fake: discovery agent of %s: %w", relay, err)
+	}
+	a := &DiscoveryAgent{
+		relay:    relay,
+		events:   events,
+		world:    world,
+		listener: listener,
+		changed:  make(chan struct{}),
+		listed:   map[string]ListedEndpoint{},
+	}
+	for _, endpoint := range list {
+		a.updates = append(a.updates, update{ListedEndpoint: endpoint, notified: true})
+		a.listed[endpoint.ID] = endpoint
+		a.recordNotified(endpoint)
+	}
+	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout}
+	a.serving.Go(a.serve)
+	return a, nil
+}
+
+// serve serves requests until Close.
+func (a *DiscoveryAgent) serve() {
+	if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
+		a.recordInvalid("", fmt.Sprintf("discovery agent: %v", err))
+	}
+}
+
+// Addr returns the address of the agent.
+func (a *DiscoveryAgent) Addr() string { return a.listener.Addr().String() }
+
+// Close ends the agent and its connections.
+func (a *DiscoveryAgent) Close() error {
+	err := a.server.Close()
+	a.serving.Wait()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silent = false
+	a.wake()
+	return err
+}
+
+// Update gives the agent an update of the list. While it is silent, the update is deferred.
+func (a *DiscoveryAgent) Update(endpoint ListedEndpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.silent {
+		a.deferred = append(a.deferred, endpoint)
+		return
+	}
+	a.applyUpdate(endpoint)
+}
+
+// SetSilent makes the agent send nothing, or send again beginning with the updates that came meanwhile.
+func (a *DiscoveryAgent) SetSilent(silent bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silent = silent
+	if silent {
+		return
+	}
+	for _, endpoint := range a.deferred {
+		a.applyUpdate(endpoint)
+	}
+	a.deferred = nil
+	a.wake()
+}
+
+// SetRelayRunning tells the agent whether the relay runs: one that does not run is not notified.
+func (a *DiscoveryAgent) SetRelayRunning(running bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.relayRunning = running
+	if !running {
+		return
+	}
+	for i, u := range a.updates {
+		if !u.notified {
+			a.scheduleNotified(i)
+		}
+	}
+}
+
+// NotifiedList returns the list that the relay was notified of last.
+func (a *DiscoveryAgent) NotifiedList() EndpointList {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	listed := map[string]ListedEndpoint{}
+	version := 0
+	for ; version < len(a.updates) && a.updates[version].notified; version++ {
+		applyTo(listed, a.updates[version].ListedEndpoint)
+	}
+	return snapshot(version, listed)
+}
+
+// applyUpdate applies an update to the list. The caller holds mu.
+func (a *DiscoveryAgent) applyUpdate(endpoint ListedEndpoint) {
+	a.updates = append(a.updates, update{ListedEndpoint: endpoint})
+	applyTo(a.listed, endpoint)
+	a.wake()
+	a.scheduleNotified(len(a.updates) - 1)
+}
+
+// scheduleNotified counts the relay as notified of an update after notificationTimeout, if the relay runs then and the
+// agent is not silent. The caller holds mu.
+func (a *DiscoveryAgent) scheduleNotified(i int) {
+	time.AfterFunc(notificationTimeout, func() {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		if a.relayRunning && !a.silent {
+			a.setNotified(i)
+		}
+	})
+}
+
+// setNotifiedUpTo counts the relay as notified of the list in a version.
+func (a *DiscoveryAgent) setNotifiedUpTo(version int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i := range version {
+		a.setNotified(i)
+	}
+}
+
+// setNotified counts the relay as notified of an update. The caller holds mu.
+func (a *DiscoveryAgent) setNotified(i int) {
+	if a.updates[i].notified {
+		return
+	}
+	a.updates[i].notified = true
+	a.recordNotified(a.updates[i].ListedEndpoint)
+}
+
+// wake wakes the requests that wait for a change. The caller holds mu.
+func (a *DiscoveryAgent) wake() {
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+// applyTo applies an update to a list.
+func applyTo(listed map[string]ListedEndpoint, endpoint ListedEndpoint) {
+	if endpoint.State == eventlog.StateGone {
+		delete(listed, endpoint.ID)
+	} else {
+		listed[endpoint.ID] = endpoint
+	}
+}
+
+// snapshot returns a list in the order of ids.
+func snapshot(version int, listed map[string]ListedEndpoint) EndpointList {
+	endpoints := make([]ListedEndpoint, 0, len(listed))
+	for _, id := range slices.Sorted(maps.Keys(listed)) {
+		endpoints = append(endpoints, listed[id])
+	}
+	return EndpointList{Version: int64(version), Full: true, Endpoints: endpoints}
+}
+
+func (a *DiscoveryAgent) recordNotified(endpoint ListedEndpoint) {
+	a.events.Add(eventlog.Event{
+		Kind:        eventlog.RelayNotified,
+		Relay:       a.relay,
+		Host:        endpoint.ID,
+		State:       endpoint.State,
+		Destination: endpoint.Destination,
+	})
+}
+
+// recordInvalid records something that makes the run invalid.
+func (a *DiscoveryAgent) recordInvalid(id, cause string) {
+	a.events.Add(eventlog.Event{Kind: eventlog.RunInvalid, Relay: a.relay, ID: id, Cause: cause})
+}
--- /dev/null
+++ b/internal/testkit/fake/discoveryhttp.go
@@ -0,0 +1,173 @@
+package fake
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+const (
+	// heartbeatInterval is the pause between the empty lines of a watch without news.
+	heartbeatInterval = 2 * time.Second
+	// maxNoticesSize bounds a request with notices, in bytes.
+	maxNoticesSize = 1 << 20
+)
+
+func (a *DiscoveryAgent) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /catalog/members", a.serveList)
+	mux.HandleFunc("POST /v2/finals", a.serveNotices)
+	return mux
+}
+
+// serveList answers with a snapshot of the list, or with a watch.
+func (a *DiscoveryAgent) serveList(w http.ResponseWriter, r *http.Request) {
+	if !a.awaitSpeech(r.Context()) {
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	query := r.URL.Query()
+	if query.Get("stream") == "" {
+		a.mu.Lock()
+		line, version := a.snapshotLine()
+		a.mu.Unlock()
+		if _, err := w.Write(line); err == nil {
+			a.setNotifiedUpTo(version)
+		}
+		return
+	}
+	version, err := strconv.Atoi(query.Get("index"))
+	if err != nil {
+		http.Error(w, "bad index", http.StatusBadRequest)
+		return
+	}
+	a.serveWatch(w, r, version)
+}
+
+// awaitSpeech waits while the agent is silent. It reports whether the request has not ended meanwhile.
+func (a *DiscoveryAgent) awaitSpeech(ctx context.Context) bool {
+	for {
+		a.mu.Lock()
+		silent, changed := a.silent, a.changed
+		a.mu.Unlock()
+		if !silent {
+			return ctx.Err() == nil
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// serveWatch sends a line with the updates since a version, and one for each change after that. Version 0 and versions
+// that never were begin with a snapshot.
+func (a *DiscoveryAgent) serveWatch(w http.ResponseWriter, r *http.Request, version int) {
+	controller := http.NewResponseController(w)
+	if version == 0 {
+		version = noVersion
+	}
+	for a.awaitSpeech(r.Context()) {
+		line, next, changed := a.watchLine(version)
+		if _, err := w.Write(line); err != nil {
+			return
+		}
+		if err := controller.Flush(); err != nil {
+			return
+		}
+		version = next
+		a.setNotifiedUpTo(version)
+		select {
+		case <-changed:
+		case <-time.After(heartbeatInterval):
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// noVersion is the version of a watch that needs a snapshot first.
+const noVersion = -1
+
+// watchLine returns the next line of a watch at a version, the version that it leads to, and a channel that is closed
+// when there may be another line. The line is empty if there is nothing new.
+func (a *DiscoveryAgent) watchLine(version int) (line []byte, next int, changed <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	next = len(a.updates)
+	switch {
+	case version < 0 || version > next:
+		line, next = a.snapshotLine()
+	case version < next:
+		delta := EndpointList{Version: int64(next)}
+		for _, u := range a.updates[version:] {
+			delta.Endpoints = append(delta.Endpoints, u.ListedEndpoint)
+		}
+		line = encodeLine(delta)
+	default:
+		line = []byte("\n")
+	}
+	return line, next, a.changed
+}
+
+// snapshotLine returns the list as it is sent, and its version. The caller holds mu.
+func (a *DiscoveryAgent) snapshotLine() (line []byte, version int) {
+	version = len(a.updates)
+	return encodeLine(snapshot(version, a.listed)), version
+}
+
+func encodeLine(list EndpointList) []byte {
+	line, err := json.Marshal(list)
+	if err != nil {
+		panic(err) // numbers and strings only
+	}
+	return append(line, '\n')
+}
+
+// notice is a relay's notice of how a message ended.
+type notice struct {
+	ID           string `json:"id"`
+	Status       string `json:"status"`
+	RetryAfterMS int64  `json:"again_ms"`
+}
+
+// serveNotices accepts notices, also while the agent is silent.
+func (a *DiscoveryAgent) serveNotices(w http.ResponseWriter, r *http.Request) {
+	decoder := json.NewDecoder(io.LimitReader(r.Body, maxNoticesSize))
+	for {
+		var n notice
+		err := decoder.Decode(&n)
+		switch {
+		case errors.Is(err, io.EOF):
+			w.WriteHeader(http.StatusNoContent)
+			return
+		case err != nil || n.Status != eventlog.StateUndeliverable && n.Status != eventlog.StateDeferred:
+			if r.Context().Err() == nil {
+				a.recordInvalid(n.ID, fmt.Sprintf("unreadable notice %q: %v", n.Status, err))
+			}
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		a.acceptNotice(n)
+	}
+}
+
+// acceptNotice resolves the message of a notice and records it.
+func (a *DiscoveryAgent) acceptNotice(n notice) {
+	a.world.ResolveMessage(n.ID)
+	a.events.Add(eventlog.Event{
+		Kind:       eventlog.MessageNotice,
+		Relay:      a.relay,
+		ID:         n.ID,
+		State:      n.Status,
+		RetryAfter: time.Duration(n.RetryAfterMS) * time.Millisecond,
+	})
+}
--- /dev/null
+++ b/internal/testkit/fake/endpointconn.go
@@ -0,0 +1,233 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+const (
+	// maxBodySize bounds what is read of the body of an answer, in bytes.
+	maxBodySize = 64 << 10
+	// maxCallSize bounds what is read of the body of a call, in bytes.
+	maxCallSize = 16 * maxBodySize
+	// keepAliveGrace is how much longer than they announce endpoints keep an idle connection.
+	keepAliveGrace = time.Second
+)
+
+// endpointConn is a connection of a relay to an endpoint.
+type endpointConn struct {
+	net.Conn
+	endpoint *Endpoint
+	relay    string
+	aborted  chan struct{} // closed when the endpoint ends the connection
+	endOnce  sync.Once
+	readDone bool // a read has failed; for the goroutine that reads
+}
+
+// abort ends the connection with a reset.
+func (c *endpointConn) abort() {
+	c.end(func() {
+		if conn, ok := c.Conn.(*net.TCPConn); ok {
+			_ = conn.SetLinger(0) // an error: the relay has closed it
+		}
+	})
+}
+
+// end ends the connection after calling prepare, unless it has ended.
+func (c *endpointConn) end(prepare func()) {
+	c.endOnce.Do(func() {
+		close(c.aborted)
+		prepare()
+		discard(c.Conn)
+	})
+}
+
+// Read reads from the connection. What comes while the machine is cut off does not reach the endpoint: the read waits
+// for the end of the connection.
+func (c *endpointConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	c.readDone = c.readDone || err != nil
+	if c.endpoint.isIsolated() {
+		<-c.aborted
+		return 0, net.ErrClosed
+	}
+	return n, err
+}
+
+// serve answers the calls of the connection until it ends.
+func (c *endpointConn) serve() {
+	relayLeft := make(chan struct{}) // closed when the relay ends the connection or its sending side
+	calls := make(chan call)
+	done := make(chan struct{})
+	var reader sync.WaitGroup
+	reader.Go(func() {
+		defer close(relayLeft)
+		c.readCalls(calls, done)
+	})
+	defer func() {
+		c.endpoint.removeConnection(c)
+		close(done)
+		c.end(func() {}) // ends the reader, also one that waits because the machine is cut off
+		reader.Wait()
+	}()
+	for {
+		select {
+		case received := <-calls:
+			if !c.answer(received, relayLeft) {
+				return
+			}
+		case <-relayLeft:
+			return
+		case <-c.aborted:
+			return
+		}
+	}
+}
+
+// readCalls reads calls until the connection ends, which it is the first to notice.
+func (c *endpointConn) readCalls(calls chan<- call, done <-chan struct{}) {
+	reader := bufio.NewReader(c)
+	keepAlive := c.endpoint.world.settings.KeepAliveTimeout.AsDuration() + keepAliveGrace
+	for {
+		c.setReadDeadline(time.Now().Add(keepAlive))
+		if _, err := reader.Peek(1); err != nil {
+			return
+		}
+		c.setReadDeadline(time.Time{})
+		received, err := c.readCall(reader)
+		if err != nil {
+			return
+		}
+		select {
+		case calls <- received:
+		case <-done:
+			return
+		}
+	}
+}
+
+func (c *endpointConn) setReadDeadline(deadline time.Time) {
+	_ = c.SetReadDeadline(deadline) // an error shows at the next read
+}
+
+// readCall reads and records one call whose first byte has come.
+func (c *endpointConn) readCall(reader *bufio.Reader) (call, error) {
+	world := c.endpoint.world
+	event := eventlog.Event{
+		FirstByteAt: world.events.Now(),
+		Call:        world.nextCall(),
+		Relay:       c.relay,
+		Host:        c.endpoint.spec.ID,
+		Destination: c.endpoint.spec.Destination,
+	}
+	request, body, err := readRequest(reader)
+	if err != nil {
+		if !c.readDone { // what is cut short need not be readable
+			c.endpoint.recordInvalid(c.relay, fmt.Sprintf("unreadable call: %v", err))
+		}
+		event.Kind = eventlog.CallTruncated
+		world.events.Add(event)
+		return call{}, err
+	}
+	received := parseCall(request, body)
+	received.number = event.Call
+	event.Kind = eventlog.CallReceived
+	event.IDs = received.ids
+	event.Weight = c.endpoint.service.model.CallWeight(len(received.ids))
+	received.receivedAt = world.events.Add(event)
+	return received, nil
+}
+
+func readRequest(reader *bufio.Reader) (*http.Request, []byte, error) {
+	request, err := http.ReadRequest(reader)
+	if err != nil {
+		return nil, nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxCallSize))
+	return request, body, err
+}
+
+// nextCall returns the number of the next call.
+func (w *World) nextCall() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lastCall++
+	return w.lastCall
+}
+
+// answer answers a call. It reports whether the connection goes on.
+func (c *endpointConn) answer(received call, relayLeft <-chan struct{}) bool {
+	world := c.endpoint.world
+	answer := c.decide(received)
+	if answer.holdsSlot {
+		defer world.releaseSlot(c.relay)
+	}
+	if cause := c.awaitAnswer(received, answer, relayLeft); cause != "" {
+		world.events.Add(eventlog.Event{
+			Kind:  eventlog.CallAborted,
+			Call:  received.number,
+			Relay: c.relay,
+			Host:  c.endpoint.spec.ID,
+			Cause: cause,
+		})
+		return false
+	}
+	world.events.Add(eventlog.Event{
+		Kind:       eventlog.CallAnswered,
+		Call:       received.number,
+		Relay:      c.relay,
+		Host:       c.endpoint.spec.ID,
+		Status:     answer.status,
+		RetryAfter: answer.retryAfter,
+		States:     answer.states,
+	})
+	_, err := io.WriteString(c, answer.text(received.ids))
+	return err == nil
+}
+
+// awaitAnswer waits until the answer is due. It returns the cause why there is none, "" if it can be sent.
+func (c *endpointConn) awaitAnswer(received call, answer answer, relayLeft <-chan struct{}) (cause string) {
+	var due <-chan time.Time
+	if !answer.silent {
+		timer := time.NewTimer(answer.latency - (c.endpoint.world.events.Now() - received.receivedAt))
+		defer timer.Stop()
+		due = timer.C
+	}
+	select {
+	case <-due:
+	case <-relayLeft:
+		return eventlog.CauseRelay
+	case <-c.aborted:
+		return eventlog.CauseHost
+	}
+	if !c.endpoint.resolveDelivered(received, answer) {
+		<-c.aborted
+		return eventlog.CauseHost
+	}
+	if answer.lost {
+		return eventlog.CauseHost
+	}
+	return ""
+}
+
+// resolveDelivered resolves the messages that a call delivers. It reports whether the machine is on the network.
+func (e *Endpoint) resolveDelivered(received call, answer answer) bool {
+	e.world.mu.Lock()
+	defer e.world.mu.Unlock()
+	if e.isolated {
+		return false
+	}
+	for i, id := range received.ids {
+		if answer.delivers(i) {
+			e.world.resolve(id)
+		}
+	}
+	return true
+}
--- a/internal/testkit/fake/port.go
+++ b/internal/testkit/fake/port.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"sync"
@@ -10,147 +11,115 @@
 	"time"
 )
 
-// listenFor is how long an address is tried for that was in use a moment ago.
-const listenFor = 2 * time.Second
+const (
+	// anyLoopbackAddr is a free port of the loopback interface.
+	anyLoopbackAddr = "127.0.0.1:0"
+	// listenTimeout bounds the retries of an address that was in use a moment ago.
+	listenTimeout = 2 * time.Second
+	// listenRetryInterval is the pause after a failed listen or accept.
+	listenRetryInterval = 5 * time.Millisecond
+	// maxQueuedConnections bounds the connections that fill the queue of a blocked port.
+	maxQueuedConnections = 16
+	// queueDialTimeout is how long a connection takes at most that still finds a place in the queue.
+	queueDialTimeout = 40 * time.Millisecond
+	// noSocket is the value of a descriptor that is not open.
+	noSocket = -1
+)
+
+// errNotBlocked means that connections to a blocked port still come up.
+var errNotBlocked = errors.New("connections still come up")
 
-// port is an address on which a host accepts connections, refuses them, or lets none come up.
+// port is an address that accepts connections, refuses them, or lets none come up.
 type port struct {
 	addr string
 
-	mu      sync.Mutex
-	changed sync.Cond
-	ln      *net.TCPListener
-	held    int // descriptor that keeps the address while nothing listens; -1: none
-	blocked bool
-	fill    []net.Conn
-	closed  bool
+	mu       sync.Mutex // guards the fields below
+	changed  sync.Cond  // with mu: when connections may be accepted again, or the port is closed
+	listener *net.TCPListener
+	reserved int // a socket that keeps the address while nothing listens; noSocket: none
+	blocked  bool
+	queued   []net.Conn // the connections that fill the queue of a blocked port
+	closed   bool
 }
 
+// listen opens a port.
 func listen(addr string) (*port, error) {
-	p := &port{addr: addr, held: -1}
+	p := &port{addr: addr, reserved: noSocket}
 	p.changed.L = &p.mu
 	if err := p.listen(); err != nil {
 		return nil, err
 	}
-	p.addr = p.ln.Addr().String()
+	p.addr = p.listener.Addr().String()
 	return p, nil
 }
 
-// listen is called with mu held, or before the port is shared.
+// listen opens the listener. The caller holds mu, or is the only one to have the port.
 func (p *port) listen() error {
-	for end := time.Now().Add(listenFor); ; time.Sleep(5 * time.Millisecond) {
-		l, err := net.Listen("tcp", p.addr)
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
+		listener, err := net.Listen("tcp", p.addr)
 		if err == nil {
-			p.ln = l.(*net.TCPListener)
+			p.listener = listener.(*net.TCPListener)
 			return nil
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// serve accepts connections until the port is closed.
-func (p *port) serve(accepted func(net.Conn)) {
+// serve passes accepted connections to accept until the port is closed.
+func (p *port) serve(accept func(net.Conn)) {
 	for {
-		p.mu.Lock()
-		for !p.closed && (p.ln == nil || p.blocked) {
-			p.changed.Wait()
-		}
-		ln := p.ln
-		closed := p.closed
-		p.mu.Unlock()
-		if closed {
+		listener, ok := p.awaitListener()
+		if !ok {
 			return
 		}
-		c, err := ln.Accept()
-		if err == nil {
-			accepted(c)
-			continue
-		}
-		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // it was taken away, or blocked
+		conn, err := listener.Accept()
+		switch {
+		case err == nil:
+			accept(conn)
+		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
+			// The port refuses connections or is blocked.
+		default:
+			time.Sleep(listenRetryInterval) // no file descriptor is free, for example
 		}
-		time.Sleep(5 * time.Millisecond) // out of descriptors, say
 	}
 }
 
-// hold has the address refuse connections, and keeps it: no other socket may come by it meanwhile.
-func (p *port) hold() {
+// awaitListener waits until the port accepts connections; false if it is closed.
+func (p *port) awaitListener() (*net.TCPListener, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.held >= 0 {
-		return
+	for !p.closed && (p.listener == nil || p.blocked) {
+		p.changed.Wait()
 	}
-	p.unblock()
-	p.stop()
-	if fd, _, err := bind(p.addr); err == nil {
-		p.held = fd
-	} // else the address is free, which is as good as long as nobody takes it
+	return p.listener, !p.closed
 }
 
-// bind binds a socket that does not listen: connections to its address are refused, no other socket comes by it, and
-// whoever asks for just this address may listen on it.
-func bind(addr string) (fd int, bound string, err error) {
-	a, err := net.ResolveTCPAddr("tcp4", addr)
-	if err != nil {
-		return -1, "", err
-	}
-	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, "", err
-	}
-	sa := &syscall.SockaddrInet4{Port: a.Port}
-	copy(sa.Addr[:], a.IP.To4())
-	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
-		err = syscall.Bind(fd, sa)
-	}
-	var name syscall.Sockaddr
-	if err == nil {
-		name, err = syscall.Getsockname(fd)
-	}
-	if err != nil {
-		syscall.Close(fd)
-		return -1, "", err
-	}
-	got := name.(*syscall.SockaddrInet4)
-	return fd, (&net.TCPAddr{IP: got.Addr[:], Port: got.Port}).String(), nil
-}
-
-// ReserveAddress keeps an address, such as 127.0.0.1:0, for a process that is to listen on it, also while that is restarted.
-func ReserveAddress(addr string) (reserved string, release func(), err error) {
-	fd, reserved, err := bind(addr)
-	if err != nil {
-		return "", nil, fmt.Errorf("standin: reserve %s: %w", addr, err)
+// refuse makes the port refuse connections. It keeps the address: no other socket can get it meanwhile.
+func (p *port) refuse() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed || p.reserved != noSocket {
+		return
 	}
-	return reserved, sync.OnceFunc(func() { syscall.Close(fd) }), nil
+	p.unblock()
+	p.stopListening()
+	if socket, _, err := bind(p.addr); err == nil {
+		p.reserved = socket
+	} // else the port refuses connections all the same, but the address is free for others
 }
 
-// release gives the address up to whoever listens on it next.
+// release gives up the address for the one that listens on it next.
 func (p *port) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop()
+	p.closeReserved()
 	p.closed = true
 	p.changed.Broadcast()
 }
 
-func (p *port) drop() {
-	if p.held >= 0 {
-		syscall.Close(p.held)
-		p.held = -1
-	}
-}
-
-// stop is called with mu held.
-func (p *port) stop() {
-	if p.ln != nil {
-		p.ln.Close()
-		p.ln = nil
-	}
-}
-
-// open has the address accept connections again.
+// open makes the port accept connections again.
 func (p *port) open() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,74 +127,151 @@
 		return net.ErrClosed
 	}
 	p.unblock()
-	p.drop()
+	p.closeReserved()
 	defer p.changed.Broadcast()
-	if p.ln != nil {
+	if p.listener != nil {
 		return nil
 	}
 	return p.listen()
 }
 
-// block has connections to the address not come up. On Linux a listener whose queue is full drops them: the queue is
-// made as short as can be, and filled.
+// block makes connections to the port not come up. Linux drops them if the queue of a listener is full: the queue is
+// made as short as possible, and filled.
 func (p *port) block() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.ln == nil || p.blocked {
+	if p.closed || p.listener == nil || p.blocked {
 		return nil
 	}
 	p.blocked = true
-	p.ln.SetDeadline(time.Unix(1, 0)) // nothing is accepted any more
-	if err := p.backlog(0); err != nil {
-		return err
+	if err := p.listener.SetDeadline(time.Unix(1, 0)); err != nil { // ends the accept that waits
+		return fmt.Errorf("block %s: %w", p.addr, err)
+	}
+	if err := p.setQueueLength(0); err != nil {
+		return fmt.Errorf("block %s: %w", p.addr, err)
 	}
-	const most = 16
-	for range most {
-		c, err := net.DialTimeout("tcp", p.addr, 40*time.Millisecond)
+	for range maxQueuedConnections {
+		conn, err := net.DialTimeout("tcp", p.addr, queueDialTimeout)
 		if err != nil {
-			return nil // full
+			return nil // the queue is full
 		}
-		p.fill = append(p.fill, c)
+		p.queued = append(p.queued, conn)
 	}
-	return fmt.Errorf("standin: %s still takes connections", p.addr)
+	return fmt.Errorf("block %s: %w", p.addr, errNotBlocked)
 }
 
-func (p *port) backlog(n int) error {
-	raw, err := p.ln.SyscallConn()
-	if err != nil {
-		return fmt.Errorf("standin: %w", err)
-	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), n) }); err != nil {
-		return fmt.Errorf("standin: %w", err)
-	}
-	return failed
-}
-
-// unblock is called with mu held.
+// unblock ends block. The caller holds mu.
 func (p *port) unblock() {
 	if !p.blocked {
 		return
 	}
 	p.blocked = false
-	for _, c := range p.fill {
-		c.Close()
+	for _, conn := range p.queued {
+		discard(conn)
 	}
-	p.fill = nil
-	if p.ln != nil {
-		p.backlog(syscall.SOMAXCONN) // it was raised before
-		p.ln.SetDeadline(time.Time{})
+	p.queued = nil
+	if p.listener != nil {
+		_ = p.setQueueLength(syscall.SOMAXCONN) // an error: the queue is short, and clients try again
+		_ = p.listener.SetDeadline(time.Time{}) // an error shows at the next accept
 	}
 	p.changed.Broadcast()
 }
 
-// close gives the address up for good.
+// setQueueLength sets the number of connections that may wait to be accepted. The caller holds mu.
+func (p *port) setQueueLength(length int) error {
+	raw, err := p.listener.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), length) }); err != nil {
+		return err
+	}
+	return listenErr
+}
+
+// close closes the port for good.
 func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unblock()
-	p.stop()
-	p.drop()
+	p.stopListening()
+	p.closeReserved()
 	p.closed = true
 	p.changed.Broadcast()
 }
+
+// stopListening closes the listener. The caller holds mu.
+func (p *port) stopListening() {
+	if p.listener != nil {
+		discard(p.listener)
+		p.listener = nil
+	}
+}
+
+// closeReserved closes the socket that keeps the address. The caller holds mu.
+func (p *port) closeReserved() {
+	if p.reserved != noSocket {
+		closeSocket(p.reserved)
+		p.reserved = noSocket
+	}
+}
+
+// ReserveAddress keeps an address, such as 127.0.0.1:0, for a process that will listen on it, also while that process
+// restarts. Until release is called, connections to the address are refused while nothing listens.
+func ReserveAddress(addr string) (reserved string, release func(), err error) {
+	socket, reserved, err := bind(addr)
+	if err != nil {
+		return "", nil, fmt.Errorf("fake: reserve %s: %w", addr, err)
+	}
+	return reserved, sync.OnceFunc(func() { closeSocket(socket) }), nil
+}
+
+// bind binds a socket that does not listen. Connections to its address are refused, it is not given to sockets that ask
+// for any address, and whoever asks for it may listen on it.
+func bind(addr string) (socket int, bound string, err error) {
+	resolved, err := net.ResolveTCPAddr("tcp4", addr)
+	if err != nil {
+		return noSocket, "", err
+	}
+	socket, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return noSocket, "", err
+	}
+	bound, err = bindSocket(socket, resolved)
+	if err != nil {
+		closeSocket(socket)
+		return noSocket, "", err
+	}
+	return socket, bound, nil
+}
+
+// bindSocket binds a socket to an address, and returns the address with its port.
+func bindSocket(socket int, addr *net.TCPAddr) (bound string, err error) {
+	sockaddr := &syscall.SockaddrInet4{Port: addr.Port}
+	copy(sockaddr.Addr[:], addr.IP.To4())
+	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return "", err
+	}
+	if err := syscall.Bind(socket, sockaddr); err != nil {
+		return "", err
+	}
+	name, err := syscall.Getsockname(socket)
+	if err != nil {
+		return "", err
+	}
+	inet, ok := name.(*syscall.SockaddrInet4)
+	if !ok {
+		return "", fmt.Errorf("socket bound to a %T", name)
+	}
+	return (&net.TCPAddr{IP: inet.Addr[:], Port: inet.Port}).String(), nil
+}
+
+func closeSocket(socket int) {
+	_ = syscall.Close(socket) // an error loses nothing: the socket never had a connection
+}
+
+// discard closes something that is not needed any more.
+func discard(c io.Closer) {
+	_ = c.Close() // an error: it was closed already, or its peer has left
+}
--- /dev/null
+++ b/internal/testkit/fake/service.go
@@ -0,0 +1,192 @@
+package fake
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
+)
+
+// service is the model of a destination, or of an endpoint with limits of its own, and its faults.
+type service struct {
+	model       *upstream.Service
+	name        string
+	destination int
+	outageCause string  // "": it is in service
+	slowdown    float64 // factor on service times; 1: none
+}
+
+// SetSlowdown multiplies the service times of a service by a factor; 1 ends the fault.
+func (w *World) SetSlowdown(name string, factor float64) error {
+	return w.updateService(name, func(s *service) {
+		s.slowdown = factor
+		s.model.SetSlowdown(factor)
+		w.recordCapacity(s, 1, 0)
+	})
+}
+
+// SetLimitDivisor divides the rate limit of a service; 1 ends the fault.
+func (w *World) SetLimitDivisor(name string, divisor float64) error {
+	return w.updateService(name, func(s *service) { s.model.SetLimitDivisor(divisor) })
+}
+
+// SetResponseLossRatio makes a ratio of the answers of a service get lost; 0 ends the fault.
+func (w *World) SetResponseLossRatio(name string, ratio float64) error {
+	return w.updateService(name, func(s *service) { s.model.SetResponseLossRatio(ratio) })
+}
+
+// StartOutage starts an outage of a service. The ratio is that of failing calls, the duration what Retry-After refers
+// to. An outage during another one has no effect of its own: the end of the first ends both.
+func (w *World) StartOutage(name string, op scenario.Op, failureRatio float64, duration time.Duration) error {
+	var affected []*Endpoint
+	err := w.updateService(name, func(s *service) {
+		if s.outageCause != "" {
+			return
+		}
+		s.outageCause = op.OutageCause()
+		affected = w.runningEndpoints(s)
+		w.events.Add(eventlog.Event{
+			Kind:        eventlog.OutageStarted,
+			Place:       name,
+			Destination: s.destination,
+			Hosts:       endpointIDs(affected),
+			Cause:       s.outageCause,
+		})
+		w.recordCapacity(s, 1, 0)
+		switch op {
+		case scenario.OpFailCalls:
+			s.model.SetFailureRatio(failureRatio)
+		case scenario.OpSuspend:
+			s.model.Suspend(w.events.Now() + duration)
+		case scenario.OpSilence:
+			s.model.SetSilent(true)
+		}
+	})
+	for _, e := range affected {
+		switch op {
+		case scenario.OpCrash:
+			e.crash()
+		case scenario.OpCutOff:
+			err = errors.Join(err, e.isolate())
+		}
+	}
+	return err
+}
+
+// EndOutage ends the outage of a service, which recovers and warms up unless it is overloaded.
+func (w *World) EndOutage(name string) error {
+	var recovered []*Endpoint
+	var cause string
+	err := w.updateService(name, func(s *service) {
+		cause = s.outageCause
+		s.outageCause = ""
+		if !s.model.Overloaded() {
+			recovered = w.runningEndpoints(s)
+			w.recoverService(s, recovered)
+		}
+	})
+	if err != nil {
+		return err
+	}
+	if cause != eventlog.OutageSilent && cause != eventlog.OutageDown {
+		return nil
+	}
+	for _, e := range recovered {
+		if err := e.restart(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// recoverService ends the faults of a service and starts its warm-up. The caller holds mu.
+func (w *World) recoverService(s *service, endpoints []*Endpoint) {
+	s.model.SetFailureRatio(0)
+	s.model.Resume()
+	s.model.SetSilent(false)
+	if len(endpoints) == 0 {
+		return // all of them were replaced meanwhile
+	}
+	warmUp := s.model.Recover(w.events.Now())
+	w.events.Add(eventlog.Event{
+		Kind:        eventlog.OutageEnded,
+		Place:       s.name,
+		Destination: s.destination,
+		Hosts:       endpointIDs(endpoints),
+		Rate:        warmUp.FullCapacity,
+		Share:       warmUp.InitialCapacity,
+		For:         warmUp.Duration,
+	})
+	w.recordCapacity(s, warmUp.InitialCapacity, warmUp.Duration)
+}
+
+// updateService calls update with a service, under mu.
+func (w *World) updateService(name string, update func(*service)) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := w.services[name]
+	if s == nil {
+		return fmt.Errorf("fake: no service %q", name)
+	}
+	update(s)
+	return nil
+}
+
+// recordCapacity records what each endpoint of a service can serve from now on: a ratio of its capacity at first, and
+// all of it when it is warm. The caller holds mu.
+func (w *World) recordCapacity(s *service, initialRatio float64, warmUp time.Duration) {
+	rate := s.model.EndpointCapacity() / s.slowdown
+	if s.outageCause != "" || s.model.Overloaded() {
+		rate = 0
+	}
+	for _, e := range w.runningEndpoints(s) {
+		w.events.Add(eventlog.Event{
+			Kind:        eventlog.CapacityChanged,
+			Host:        e.spec.ID,
+			Destination: s.destination,
+			Rate:        rate,
+			Share:       initialRatio,
+			For:         warmUp,
+		})
+	}
+}
+
+// runningEndpoints returns the endpoints of a service that have not stopped, by id. The caller holds mu.
+func (w *World) runningEndpoints(s *service) []*Endpoint {
+	var endpoints []*Endpoint
+	for _, e := range w.endpoints {
+		if e.service == s && !e.stopped {
+			endpoints = append(endpoints, e)
+		}
+	}
+	slices.SortFunc(endpoints, func(a, b *Endpoint) int { return cmp.Compare(a.spec.ID, b.spec.ID) })
+	return endpoints
+}
+
+func endpointIDs(endpoints []*Endpoint) []string {
+	ids := make([]string, 0, len(endpoints))
+	for _, e := range endpoints {
+		ids = append(ids, e.spec.ID)
+	}
+	return ids
+}
+
+// handleCall passes a call to the model of a service, and records if the call overloaded it. The caller holds mu.
+func (w *World) handleCall(e *Endpoint, messages int) upstream.Response {
+	response := e.service.model.HandleCall(w.events.Now(), e.spec.ID, messages)
+	if response.CausedOverload {
+		w.events.Add(eventlog.Event{
+			Kind:        eventlog.ServiceOverloaded,
+			Place:       e.spec.Service,
+			Destination: e.spec.Destination,
+			Hosts:       endpointIDs(w.runningEndpoints(e.service)),
+		})
+		w.recordCapacity(e.service, 0, 0)
+	}
+	return response
+}
