--- /dev/null
+++ b/internal/testkit/scenario/duration.go
@@ -0,0 +1,25 @@
+package scenario
+
+import (
+	"fmt"
+	"time"
+)
+
+// Duration is a time.Duration that a file gives as text, such as "1.5s".
+type Duration time.Duration
+
+// UnmarshalText parses what time.ParseDuration accepts.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil {
+		return fmt.Errorf("%q is no duration such as \"1.5s\" or \"400ms\"", text)
+	}
+	*d = Duration(parsed)
+	return nil
+}
+
+// MarshalText returns the text that UnmarshalText parses.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
+
+// AsDuration returns the duration as a time.Duration.
+func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
