--- a/internal/testkit/scenario/fault.go
+++ b/internal/testkit/scenario/fault.go
@@ -25,7 +25,7 @@
 	// RelayGroup has the seed choose relays, instead of Relays and Share.
 	RelayGroup RelayGroup `toml:"group"`
 
-	Direction      Direction   `toml:"way"`    // link-*: between the relays that are struck and all others; default both
+	Direction      Direction   `toml:"way"`    // link-*: of the relays that are struck; default both
 	LossRatio      float64     `toml:"loss"`   // link-loss: of datagrams; default 0.3
 	ReorderRatio   float64     `toml:"mixed"`  // link-mix: of datagrams duplicated, and as many reordered; default 0.3
 	BytesPerSecond int         `toml:"rate"`   // link-throttle; default 2000
@@ -42,7 +42,7 @@
 	FaultFailCalls      FaultKind = "fail"           // a ratio of the calls fails quickly
 	FaultSuspend        FaultKind = "shut"           // all calls are rejected
 	FaultSlow           FaultKind = "slow"           // calls take longer
-	FaultLoseAnswers    FaultKind = "lost-answers"   // calls are served, and their connections break instead of the answer
+	FaultLoseAnswers    FaultKind = "lost-answers"   // calls are served, and their connections break before the answer
 	FaultLowerLimit     FaultKind = "lowered"        // the rate limit falls, and the endpoint list does not say so
 	FaultSilence        FaultKind = "silent"         // calls are accepted and never answered
 	FaultCrash          FaultKind = "death"          // processes die: connections are reset and refused
--- a/internal/testkit/scenario/file.go
+++ b/internal/testkit/scenario/file.go
@@ -115,7 +115,7 @@
 	ServiceTimeVariation    float64            `toml:"spread"`   // the coefficient of variation of the service time
 	ServiceTimeDistribution Distribution       `toml:"law"`      // default lognormal
 	MaxConcurrentCalls      int                `toml:"slots"`    // calls that an endpoint serves at the same time
-	MaxQueueTime            Duration           `toml:"queue"`    // calls that would wait longer are rejected; default 500ms
+	MaxQueueTime            Duration           `toml:"queue"`    // calls that wait longer are rejected; default 500ms
 	ExtraMessageCost        float64            `toml:"item_cost"`
 	Limit                   upstream.LimitKind `toml:"limit"`      // none (default), rate or window
 	LimitWindow             Duration           `toml:"window"`     // default 1s
--- a/internal/testkit/scenario/golden_test.go
+++ b/internal/testkit/scenario/golden_test.go
@@ -32,23 +32,35 @@
 	}
 	golden.Compare(t, *update, "every-key.plan.txt", text(t, again.Draw(0)))
 
-	// Between them, the two troubles set each key of a trouble; all else is set in the one table that there is.
+	// Between them, the two faults set each key of a fault; every other key is set in the one table that there is.
 	unset := map[string]int{}
 	for _, m := range notSet.FindAllStringSubmatch(string(data), -1) {
 		unset[m[1]]++
 	}
 	delete(unset, "may_duplicate") // false is not its default
 	for key, n := range unset {
-		if !troubleKeys[key] || n > 1 {
+		if !keysOfOneFault[key] || n > 1 {
 			t.Errorf("the scenario does not set %s", key)
 		}
 	}
 }
 
-// troubleKeys are those of a trouble that only one of the two sets.
-var troubleKeys = map[string]bool{
-	"destinations": true, "share": true, "zone": true, "replace": true, "same_address": true, "delay": true, "relays": true,
-	"by": true, "stagger": true, "group": true, "loss": true, "mixed": true, "rate": true, "folder": true,
+// keysOfOneFault are the keys of a fault that only one of the two sets.
+var keysOfOneFault = map[string]bool{
+	"destinations": true,
+	"share":        true,
+	"zone":         true,
+	"replace":      true,
+	"same_address": true,
+	"delay":        true,
+	"relays":       true,
+	"by":           true,
+	"stagger":      true,
+	"group":        true,
+	"loss":         true,
+	"mixed":        true,
+	"rate":         true,
+	"folder":       true,
 }
 
 // TestGoldenDefaults pins what a scenario has that sets only what it must.
--- a/internal/testkit/scenario/plan.go
+++ b/internal/testkit/scenario/plan.go
@@ -67,7 +67,8 @@
 // String returns the text form of an arrival; see Plan.WriteTo.
 func (a Arrival) String() string {
 	return fmt.Sprintf("{At:%v ID:%v Relay:%v Class:%v Customer:%v Dest:%v Key:%v Order:%v Body:%v Again:%v}",
-		a.At, a.ID, a.Relay, a.Class, a.Customer, a.Destination, a.IdempotencyKey, a.OrderingKey, a.BodySize, a.RetryDelay)
+		a.At, a.ID, a.Relay, a.Class, a.Customer,
+		a.Destination, a.IdempotencyKey, a.OrderingKey, a.BodySize, a.RetryDelay)
 }
 
 // WriteTo writes the text form of a plan. Digests are computed from it, and digests are part of stored records: its
--- a/internal/testkit/scenario/planner_endpoints.go
+++ b/internal/testkit/scenario/planner_endpoints.go
@@ -65,8 +65,8 @@
 	return stopsAt
 }
 
-// addReplacement adds the endpoint that replaces an old one: before that one leaves, or at its address after its process
-// has ended.
+// addReplacement adds the endpoint that replaces an old one: before the old one leaves, or at its address after its
+// process has ended.
 func (p *planner) addReplacement(random *rand.Rand, fault Fault, old Endpoint, leavesAt, stopsAt time.Duration) {
 	replacement := old
 	replacement.ID, replacement.AddedLater, replacement.ReusesAddressOf = "", true, ""
--- /dev/null
+++ b/internal/testkit/scenario/traffic_test.go
@@ -0,0 +1,90 @@
+package scenario
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const (
+	steadyTraffic = `
+[[traffic]]
+rate = 100
+body = 1000
+`
+	dinnerTraffic = steadyTraffic + `shape = "dinner"`
+	burstTraffic  = steadyTraffic + `
+shape = "bursts"
+burst = 10
+from = "5s"
+to = "15s"
+`
+)
+
+// countArrivals returns how many messages with 1000 bytes, which the base scenario has none of, arrive in a span.
+func countArrivals(t *testing.T, more string, from, to time.Duration) int {
+	t.Helper()
+	count := 0
+	for _, a := range parse(t, more).Draw(1).Arrivals {
+		if a.At >= from && a.At < to && a.BodySize == 1000 {
+			count++
+		}
+	}
+	return count
+}
+
+func TestTrafficHasItsRateAndShape(t *testing.T) {
+	for _, c := range []struct {
+		name, more string
+		from, to   time.Duration
+		want       int
+	}{
+		{"steady", steadyTraffic, 0, 20 * time.Second, 2000},
+		{"dinner at its peak", dinnerTraffic, 9 * time.Second, 11 * time.Second, 200},
+		{"dinner at its start", dinnerTraffic, 0, time.Second, 31},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := countArrivals(t, c.more, c.from, c.to)
+			if math.Abs(float64(got-c.want)) > 5*math.Sqrt(float64(c.want)) {
+				t.Errorf("%d, want about %d", got, c.want)
+			}
+		})
+	}
+}
+
+func TestBurstsStayInTheirSpan(t *testing.T) {
+	const from, to, end = 5 * time.Second, 15 * time.Second, 20 * time.Second
+	if n := countArrivals(t, burstTraffic, from, to); n < 500 || n > 1700 {
+		t.Errorf("bursts: %d", n)
+	}
+	if n := countArrivals(t, burstTraffic, 0, from) + countArrivals(t, burstTraffic, to, end); n != 0 {
+		t.Errorf("%d outside of their span", n)
+	}
+}
+
+// The traffic of the relays varies as the scenario says; without a variation it is drawn as without the key.
+func TestRelayVariation(t *testing.T) {
+	const relays = 10
+	f := parse(t, "")
+	f.Relays = relays
+	f.Traffic[0].Rate = 2000
+	withoutKey := text(t, f.Draw(3))
+	for _, variation := range []float64{0, 0.5} {
+		f.Clients.RelayVariation = variation
+		p := f.Draw(3)
+		if variation == 0 && text(t, p) != withoutKey {
+			t.Error("even shares are not drawn as without the key")
+		}
+		counts := make([]float64, relays)
+		for _, a := range p.Arrivals {
+			counts[a.Relay]++
+		}
+		mean, variance := float64(len(p.Arrivals))/relays, 0.0
+		for _, n := range counts {
+			variance += (n/mean - 1) * (n/mean - 1) / relays
+		}
+		if got := math.Sqrt(variance); got < variation/2 || got > 2*variation+0.05 {
+			t.Errorf("variation %v: a coefficient of variation of %.2f", variation, got)
+		}
+	}
+}
--- a/internal/testkit/scenario/validate_fault.go
+++ b/internal/testkit/scenario/validate_fault.go
@@ -69,7 +69,8 @@
 func (f *File) validateRequiredKeys(p *problems, bounds Bounds, at string, fault *Fault) {
 	hasTargets := len(fault.Destinations) > 0 || fault.Share > 0
 	switch fault.Kind {
-	case FaultFailCalls, FaultSuspend, FaultSlow, FaultLowerLimit, FaultLoseAnswers, FaultSilence, FaultCrash, FaultCutOff:
+	case FaultFailCalls, FaultSuspend, FaultSlow, FaultLowerLimit,
+		FaultLoseAnswers, FaultSilence, FaultCrash, FaultCutOff:
 		fault.requireDuration(p, at)
 		p.require(hasTargets, "%s: needs destinations or a share of them", at)
 	case FaultDrain, FaultRemove:
