--- a/cmd/emulate/experiments_test.go
+++ b/cmd/emulate/experiment_test.go
@@ -1,7 +1,10 @@
 package main
 
 import (
+	"bytes"
+	"context"
 	"maps"
+	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -66,3 +69,37 @@
 		}
 	}
 }
+
+// TestResumedExperiment cancels an experiment, cuts the last line of its results off, and resumes it: the results are
+// complete.
+func TestResumedExperiment(t *testing.T) {
+	plan := filepath.Join(t.TempDir(), "plan.toml")
+	if err := os.WriteFile(plan, []byte(testPlan), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	var stdout, stderr bytes.Buffer
+	status := run(ctx, []string{"experiment", "-q", plan}, &stdout, &stderr)
+	if status != exitFailed || !strings.Contains(stderr.String(), "the same command goes on") {
+		t.Errorf("cancelled: status %d, %s", status, stderr.String())
+	}
+	results := strings.TrimSuffix(plan, "toml") + "jsonl"
+	for _, name := range []string{"resumed", "cut off"} {
+		t.Run(name, func(t *testing.T) {
+			if status, out := runArgs(t, "experiment", "-q", plan); status != exitHeld {
+				t.Fatalf("status %d: %s", status, out)
+			}
+			data, err := os.ReadFile(results)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if all, err := experiment.ReadResults(bytes.NewReader(data)); err != nil || len(all) != 6 {
+				t.Errorf("%d results, %v", len(all), err)
+			}
+			if err := os.Truncate(results, int64(len(data)-10)); err != nil {
+				t.Fatal(err)
+			}
+		})
+	}
+}
--- a/internal/simulation/experiment/parallel.go
+++ b/internal/simulation/experiment/parallel.go
@@ -7,7 +7,7 @@
 )
 
 // ForEach calls do with each number below count on so many workers, 0 for one per core. Once the context is done it
-// starts no further calls; it returns when those under way have ended.
+// starts no further call, but for one that it may have offered already. It returns when all calls have ended.
 func ForEach(ctx context.Context, workers, count int, do func(i int)) {
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
@@ -24,6 +24,9 @@
 	defer group.Wait()
 	defer close(next)
 	for i := range count {
+		if ctx.Err() != nil {
+			return
+		}
 		select {
 		case next <- i:
 		case <-ctx.Done():
