--- a/cmd/capacity/inside.go
+++ b/cmd/capacity/inside.go
@@ -92,7 +92,7 @@
 			all,
 			policy.Endpoint{
 				ID:          fmt.Sprintf("s-%08x", i),
-				Destination: i / 2,
+				Destination: policy.DestinationID(i / 2),
 				Zone:        i % 2,
 				Weight:      5e5,
 				InService:   serves(i / 2),
@@ -134,7 +134,7 @@
 
 // message hands one in, in a step of its own, so that the next step ends it.
 func (s *stepper) message(id policy.MessageID, dest int) {
-	s.step(policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: dest, Key: "k", TimeLeft: time.Hour})
+	s.step(policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: policy.DestinationID(dest), Key: "k", TimeLeft: time.Hour})
 }
 
 func newStepper(n int, serves func(int) bool) (*stepper, error) {
@@ -242,7 +242,7 @@
 					policy.Event{
 						Kind:        policy.MessageAccepted,
 						MessageID:   policy.MessageID(i + k + 1),
-						Destination: 500 + (i+k)%down,
+						Destination: policy.DestinationID(500 + (i+k)%down),
 						Key:         "k",
 						TimeLeft:    100 * time.Hour,
 					},
@@ -277,7 +277,7 @@
 
 func stored(id policy.MessageID, dest int, deadline time.Time, payload []byte) *journal.Message {
 	return &journal.Message{
-		ID: id, TraceID: fmt.Sprintf("%016x", id), IdempotencyKey: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id), ClassName: "order", Destination: dest, Deadline: deadline, Body: payload,
+		ID: id, TraceID: fmt.Sprintf("%016x", id), IdempotencyKey: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id), ClassName: "order", Destination: policy.DestinationID(dest), Deadline: deadline, Body: payload,
 	}
 }
 
@@ -488,13 +488,13 @@
 				policy.Event{
 					Kind:        policy.MessageAccepted,
 					MessageID:   policy.MessageID(at.Milliseconds())*10_000 + policy.MessageID(dest),
-					Destination: dest,
+					Destination: policy.DestinationID(dest),
 				},
 			)
 		}
 		for _, p := range s.Step(at, agent.Input{Events: evs}).Published {
 			for _, c := range p.Scopes {
-				seen[c.Destination] = true
+				seen[int(c.Destination)] = true
 			}
 		}
 	}
--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -12,6 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/cli"
 	"cherrytrestle.example/cherrytrestle/internal/recording/explain"
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // errNotRecorded says that no recording matches the command's options.
@@ -97,7 +98,7 @@
 	case c.Format == "html":
 		return explain.WriteHTML(out, report)
 	case c.Destination != nil:
-		return explain.WriteTransitions(out, report, *c.Destination)
+		return explain.WriteTransitions(out, report, policy.DestinationID(*c.Destination))
 	}
 	return explain.WriteText(out, report)
 }
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -135,7 +135,7 @@
 	Class       int                  `json:"class"`
 	Tenant      int                  `json:"customer"`
 	Deadline    string               `json:"deadline"`
-	Destination int                  `json:"destination"`
+	Destination policy.DestinationID `json:"destination"`
 	Uncertain   bool                 `json:"doubtful"`
 	Final       *journal.FinalAnswer `json:"final,omitempty"`
 	ID          policy.MessageID     `json:"id"`
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -27,13 +27,13 @@
 	list := make([]policy.Endpoint, 0, destinations)
 	for d := range destinations {
 		// no pace holds up what is measured
-		list = append(list, policy.Endpoint{ID: route(d), Destination: d, Weight: 1e6})
+		list = append(list, policy.Endpoint{ID: route(d), Destination: policy.DestinationID(d), Weight: 1e6})
 	}
 	taken := func(i int) policy.Event {
 		return policy.Event{
 			Kind:        policy.MessageAccepted,
 			MessageID:   policy.MessageID(i + 1),
-			Destination: i % destinations,
+			Destination: policy.DestinationID(i % destinations),
 			TimeLeft:    8 * time.Hour,
 		}
 	}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -206,7 +206,7 @@
 		if p.Name == w.from &&
 			slices.ContainsFunc(
 				p.Scopes,
-				func(c loadreport.ScopeLoad) bool { return c.Destination == m.fleet.changed() && c.RetryAfter > 0 },
+				func(c loadreport.ScopeLoad) bool { return int(c.Destination) == m.fleet.changed() && c.RetryAfter > 0 },
 			) {
 			w.mu.Lock()
 			if _, before := w.known[m.number]; !before {
@@ -229,7 +229,7 @@
 		for d := range m.fleet.opt.Destinations + 1 {
 			list.Endpoints = append(
 				list.Endpoints,
-				policy.Endpoint{ID: route(d), Destination: d, Weight: m.fleet.opt.Limit, InService: true},
+				policy.Endpoint{ID: route(d), Destination: policy.DestinationID(d), Weight: m.fleet.opt.Limit, InService: true},
 			)
 		}
 		events = append(events, list)
@@ -251,7 +251,7 @@
 	for upTo := now.Seconds() * m.fleet.opt.Messages; m.due < upTo; m.due++ {
 		m.nextID++
 		d := int(m.nextID) % m.fleet.opt.Busy
-		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: m.nextID, Destination: d})
+		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: m.nextID, Destination: policy.DestinationID(d)})
 		actions = append(actions, policy.Action{Kind: policy.Send, MessageID: m.nextID, Endpoint: route(d)})
 		m.out = append(
 			m.out,
--- a/internal/capacity/hollow/list.go
+++ b/internal/capacity/hollow/list.go
@@ -29,7 +29,7 @@
 				whole.Endpoints,
 				policy.Endpoint{
 					ID:          fmt.Sprintf("s-%06d-%d", d, k),
-					Destination: d,
+					Destination: policy.DestinationID(d),
 					Zone:        k,
 					Weight:      8.6,
 					InService:   true,
--- a/internal/capacity/hollow/rights.go
+++ b/internal/capacity/hollow/rights.go
@@ -8,6 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -89,7 +90,7 @@
 	me, life := names[self], stations[names[self]].life
 	limits := loadreport.Limits{}
 	for d := range destinations {
-		limits[d] = map[string]float64{"": limit}
+		limits[policy.DestinationID(d)] = map[string]float64{"": limit}
 	}
 	part := limit / float64(members)
 	before := heap()
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -147,7 +147,7 @@
 func BenchmarkStep(b *testing.B) {
 	a := New(testSettings())
 	var list []policy.Endpoint
-	for d := range 30 {
+	for d := range policy.DestinationID(30) {
 		list = append(list, policy.Endpoint{ID: fmt.Sprint("s-", d), Destination: d, Weight: 50, InService: true})
 	}
 	a.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}})
@@ -157,7 +157,8 @@
 	id := policy.MessageID(0)
 	for now := time.Second; b.Loop(); now += time.Millisecond {
 		id++
-		events[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: int(id % 30)}
+		destination := policy.DestinationID(id % 30)
+		events[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: destination}
 		actions[0] = policy.Action{Kind: policy.Send, MessageID: id, Endpoint: list[id%30].ID}
 		a.Step(now, Input{Events: events, Actions: actions, Views: noViews})
 		events[0] = policy.Event{
--- a/internal/fleet/agent/counters.go
+++ b/internal/fleet/agent/counters.go
@@ -27,7 +27,7 @@
 // limitScope names what shares a limit: a destination, or one endpoint of it that has a limit of its own.
 type limitScope struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Endpoint    string
 }
 
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -8,7 +8,7 @@
 // endpointInfo is what the endpoint list says of an endpoint.
 type endpointInfo struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Kind        int
 	Limit       float64 // calls a second from all relays; 0 if the list does not say
 }
@@ -16,7 +16,7 @@
 // pendingMessage is a message that the engine has accepted and not ended.
 type pendingMessage struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Waiting     bool // part of the backlog: no call with it is in flight
 }
 
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -152,7 +152,7 @@
 			InService:   true,
 		})
 	}
-	for d := range 600 {
+	for d := range policy.DestinationID(600) {
 		list = append(list, policy.Endpoint{ID: fmt.Sprint("x", d), Destination: 4 + d, Weight: 5, InService: true})
 	}
 	events := []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}
--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -12,6 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func newCodec(t testing.TB) *Codec {
@@ -206,7 +207,7 @@
 		rejected  = 1 << 12
 	)
 	for i := range entries {
-		scope := quota.Scope{Destination: 40000 + i, Endpoint: fmt.Sprintf("s-%08x", i)}
+		scope := quota.Scope{Destination: policy.DestinationID(40000 + i), Endpoint: fmt.Sprintf("s-%08x", i)}
 		switch i % 3 {
 		case 0:
 			lease := quota.Lease{Scope: scope, Rate: 0.123456789, Delivered: delivered, Rejected: rejected}
--- a/internal/fleet/codec/quota.go
+++ b/internal/fleet/codec/quota.go
@@ -3,6 +3,7 @@
 import (
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // quotaMessage is a quota.Message on the wire.
@@ -58,7 +59,7 @@
 	}
 	for _, l := range q.Leases {
 		encoded.Leases = append(encoded.Leases, lease{
-			Destination: l.Scope.Destination,
+			Destination: int(l.Scope.Destination),
 			Endpoint:    l.Scope.Endpoint,
 			Rate:        l.Rate,
 			Delivered:   l.Delivered,
@@ -67,7 +68,7 @@
 	}
 	for _, r := range q.Requests {
 		encoded.Requests = append(encoded.Requests, quotaRequest{
-			Destination: r.Scope.Destination,
+			Destination: int(r.Scope.Destination),
 			Endpoint:    r.Scope.Endpoint,
 			ID:          r.ID,
 			Calls:       r.Calls,
@@ -77,7 +78,7 @@
 	}
 	for _, g := range q.Grants {
 		encoded.Grants = append(encoded.Grants, grant{
-			Destination: g.Scope.Destination,
+			Destination: int(g.Scope.Destination),
 			Endpoint:    g.Scope.Endpoint,
 			ID:          g.ID,
 			Calls:       g.Calls,
@@ -101,7 +102,7 @@
 	}
 	for _, l := range encoded.Leases {
 		q.Leases = append(q.Leases, quota.Lease{
-			Scope:     quota.Scope{Destination: l.Destination, Endpoint: l.Endpoint},
+			Scope:     quota.Scope{Destination: policy.DestinationID(l.Destination), Endpoint: l.Endpoint},
 			Rate:      l.Rate,
 			Delivered: l.Delivered,
 			Rejected:  l.Rejected,
@@ -109,7 +110,7 @@
 	}
 	for _, r := range encoded.Requests {
 		q.Requests = append(q.Requests, quota.Request{
-			Scope:     quota.Scope{Destination: r.Destination, Endpoint: r.Endpoint},
+			Scope:     quota.Scope{Destination: policy.DestinationID(r.Destination), Endpoint: r.Endpoint},
 			ID:        r.ID,
 			Calls:     r.Calls,
 			Delivered: r.Delivered,
@@ -118,7 +119,7 @@
 	}
 	for _, g := range encoded.Grants {
 		q.Grants = append(q.Grants, quota.Grant{
-			Scope: quota.Scope{Destination: g.Destination, Endpoint: g.Endpoint},
+			Scope: quota.Scope{Destination: policy.DestinationID(g.Destination), Endpoint: g.Endpoint},
 			ID:    g.ID,
 			Calls: g.Calls,
 		})
--- a/internal/fleet/codec/report.go
+++ b/internal/fleet/codec/report.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // report is a loadreport.Report on the wire.
@@ -60,7 +61,7 @@
 	encoded := make([]scopeLoad, 0, len(loads))
 	for _, load := range loads {
 		encoded = append(encoded, scopeLoad{
-			Destination: load.Destination,
+			Destination: int(load.Destination),
 			Endpoint:    load.Endpoint,
 			Demand:      load.Demand,
 			Calls:       load.Calls,
@@ -95,7 +96,7 @@
 	var loads []loadreport.ScopeLoad
 	for _, load := range encoded {
 		loads = append(loads, loadreport.ScopeLoad{
-			Destination: load.Destination,
+			Destination: policy.DestinationID(load.Destination),
 			Endpoint:    load.Endpoint,
 			Demand:      load.Demand,
 			Calls:       load.Calls,
--- a/internal/fleet/loadreport/aggregate.go
+++ b/internal/fleet/loadreport/aggregate.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -26,7 +28,7 @@
 }
 
 // AggregateOthers sums up what the other members report of a scope.
-func (t *Table) AggregateOthers(now time.Duration, destination int, endpoint string) Aggregate {
+func (t *Table) AggregateOthers(now time.Duration, destination policy.DestinationID, endpoint string) Aggregate {
 	sum := Aggregate{ScopeLoad: ScopeLoad{Destination: destination, Endpoint: endpoint}}
 	key := scopeKey{destination, endpoint}
 	backlog := 0.0
--- a/internal/fleet/loadreport/report.go
+++ b/internal/fleet/loadreport/report.go
@@ -13,6 +13,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -25,20 +27,20 @@
 )
 
 // ReportNumber returns the number of the report that a destination belongs to.
-func ReportNumber(destination int) int { return destination >> reportShift }
+func ReportNumber(destination policy.DestinationID) int { return int(destination >> reportShift) }
 
 // ScopeLoad is what a relay reports of a destination, or of an endpoint with a limit of its own. Rates are a second.
 type ScopeLoad struct {
-	Destination int           `cbor:"Dest"`
-	Endpoint    string        `cbor:"Route"` // "": all endpoints of the destination share one limit
-	Demand      float64       `cbor:"Demand"`
-	Calls       float64       `cbor:"Calls"`
-	Rejections  float64       `cbor:"Refusals"`
-	Deliveries  float64       `cbor:"Deliveries"`
-	Failures    float64       `cbor:"Failures"` // outcomes that are neither a delivery nor a rejection
-	Backlog     int           `cbor:"Backlog"`  // messages waiting
-	RetryAfter  time.Duration `cbor:"Wait"`     // what is left of a Retry-After when the report's age is 0
-	WarmingUp   bool          `cbor:"Cold"`     // the relay takes it to be warming up or in an outage
+	Destination policy.DestinationID `cbor:"Dest"`
+	Endpoint    string               `cbor:"Route"` // "": all endpoints of the destination share one limit
+	Demand      float64              `cbor:"Demand"`
+	Calls       float64              `cbor:"Calls"`
+	Rejections  float64              `cbor:"Refusals"`
+	Deliveries  float64              `cbor:"Deliveries"`
+	Failures    float64              `cbor:"Failures"` // outcomes that are neither a delivery nor a rejection
+	Backlog     int                  `cbor:"Backlog"`  // messages waiting
+	RetryAfter  time.Duration        `cbor:"Wait"`     // what is left of a Retry-After when the report's age is 0
+	WarmingUp   bool                 `cbor:"Cold"`     // the relay takes it to be warming up or in an outage
 }
 
 func (s ScopeLoad) key() scopeKey { return scopeKey{s.Destination, s.Endpoint} }
--- a/internal/fleet/loadreport/table.go
+++ b/internal/fleet/loadreport/table.go
@@ -6,6 +6,8 @@
 	"maps"
 	"slices"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // minAgeGain is how much younger than assumed a known report must be to be forwarded once more.
@@ -35,7 +37,7 @@
 
 // Limits are the limits of the endpoint list, in calls a second from all relays, by destination and endpoint as in
 // ScopeLoad.
-type Limits map[int]map[string]float64
+type Limits map[policy.DestinationID]map[string]float64
 
 // storedReport is a report as a Table keeps it.
 type storedReport struct {
@@ -56,7 +58,7 @@
 }
 
 type scopeKey struct {
-	destination int
+	destination policy.DestinationID
 	endpoint    string
 }
 
--- a/internal/fleet/loadreport/table_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -10,13 +10,15 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var testMembers = []string{"a", "b", "c"}
 
 func newTestTable() *Table { return New("me", Incarnation{1, 1}, testMembers) }
 
-func newScopeLoad(destination int, calls float64) ScopeLoad {
+func newScopeLoad(destination policy.DestinationID, calls float64) ScopeLoad {
 	return ScopeLoad{Destination: destination, Calls: calls, Demand: 2 * calls}
 }
 
@@ -34,7 +36,7 @@
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "scopes") {
 		calls := float64(rapid.IntRange(0, 3).Draw(t, "calls"))
-		r.Scopes = append(r.Scopes, newScopeLoad(r.Number<<reportShift+i, calls))
+		r.Scopes = append(r.Scopes, newScopeLoad(policy.DestinationID(r.Number<<reportShift+i), calls))
 	}
 	return r
 }
@@ -285,7 +287,12 @@
 		for number := range ReportNumber(destinations-1) + 1 {
 			r := Report{Name: name, Incarnation: Incarnation{1, 1}, Number: number, Sequence: uint64(number + 1)}
 			for d := number << reportShift; d < min(destinations, (number+1)<<reportShift); d++ {
-				r.Scopes = append(r.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
+				r.Scopes = append(r.Scopes, ScopeLoad{
+					Destination: policy.DestinationID(d),
+					Demand:      1,
+					Calls:       1,
+					Deliveries:  1,
+				})
 			}
 			mustMerge(t, table, 0, r)
 		}
--- a/internal/fleet/quota/ledger_test.go
+++ b/internal/fleet/quota/ledger_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // One member with all the backlog uses all that is lent, besides its own share. When its lease holder is gone, another
@@ -113,7 +114,7 @@
 // Of more limits than a ledger has accounts for, equal events choose the same ones.
 func TestScopeSelectionIsDeterministic(t *testing.T) {
 	limits := loadreport.Limits{}
-	for destination := range maxScopes + 100 {
+	for destination := range policy.DestinationID(maxScopes + 100) {
 		limits[destination] = map[string]float64{"": 10, "a": 5, "b": 5}
 	}
 	var first map[Scope]*Account
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // maxMessageItems bounds the leases, requests and grants of one message, so that it fits a datagram.
@@ -15,7 +16,7 @@
 // Scope is what shares a limit: a destination, or an endpoint of it with a limit of its own.
 type Scope struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Endpoint    string
 }
 
--- a/internal/fleet/quota/status.go
+++ b/internal/fleet/quota/status.go
@@ -1,6 +1,10 @@
 package quota
 
-import "time"
+import (
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
 
 // OwnRate is how many calls a second of a scope this member may make without a grant.
 func (l *Ledger) OwnRate(now time.Duration, scope Scope) float64 {
@@ -29,15 +33,15 @@
 
 // ScopeStatus describes one scope for status reports. Rates are calls a second.
 type ScopeStatus struct {
-	Destination      int     `json:"dest"`
-	Endpoint         string  `json:"route,omitempty"`
-	Limit            float64 `json:"limit"`   // of all members together, from the endpoint list
-	OwnRate          float64 `json:"own"`     // that this member may use without a grant
-	Lent             float64 `json:"lent"`    // the part of its share that others may use
-	LeaseHolder      string  `json:"keeper"`  // the member that gets its leases and requests
-	GrantRate        float64 `json:"mints"`   // that it grants as a lease holder
-	CapacityFraction float64 `json:"belief"`  // as a lease holder: the part of the limit that the destination takes
-	PendingRequests  int     `json:"waiting"` // as a lease holder: requests in its queue
+	Destination      policy.DestinationID `json:"dest"`
+	Endpoint         string               `json:"route,omitempty"`
+	Limit            float64              `json:"limit"`   // of all members together, from the endpoint list
+	OwnRate          float64              `json:"own"`     // that this member may use without a grant
+	Lent             float64              `json:"lent"`    // the part of its share that others may use
+	LeaseHolder      string               `json:"keeper"`  // the member that gets its leases and requests
+	GrantRate        float64              `json:"mints"`   // that it grants as a lease holder
+	CapacityFraction float64              `json:"belief"`  // as a lease holder: the part of the limit that is taken
+	PendingRequests  int                  `json:"waiting"` // as a lease holder: requests in its queue
 }
 
 // Status describes all scopes with a limit, sorted.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -112,7 +112,7 @@
 	}
 	p.printf("destination\tlimit\town\tlent\tkeeper\tmints\tbelief\twaiting\n")
 	for _, s := range scopes {
-		scope := strconv.Itoa(s.Destination)
+		scope := strconv.Itoa(int(s.Destination))
 		if s.Endpoint != "" {
 			scope += " " + s.Endpoint
 		}
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -41,11 +41,11 @@
 	options       Options
 	report        *Report
 	settings      policy.Settings
-	destinations  map[int]*Destination
+	destinations  map[policy.DestinationID]*Destination
 	endpoints     map[string]*Endpoint
-	destinationOf map[policy.MessageID]int    // by message
-	traces        map[policy.MessageID]string // of messages that are not accepted yet
-	outcomes      map[string]string           // of the current step, by endpoint
+	destinationOf map[policy.MessageID]policy.DestinationID // by message
+	traces        map[policy.MessageID]string               // of messages that are not accepted yet
+	outcomes      map[string]string                         // of the current step, by endpoint
 
 	steppedAt time.Duration    // the last step
 	sampledAt time.Duration    // the last sample
@@ -64,9 +64,9 @@
 	b := &builder{
 		options:       options,
 		report:        report,
-		destinations:  map[int]*Destination{},
+		destinations:  map[policy.DestinationID]*Destination{},
 		endpoints:     map[string]*Endpoint{},
-		destinationOf: map[policy.MessageID]int{},
+		destinationOf: map[policy.MessageID]policy.DestinationID{},
 		traces:        map[policy.MessageID]string{},
 		outcomes:      map[string]string{},
 	}
@@ -151,7 +151,7 @@
 	slices.SortFunc(b.report.Destinations, func(x, y *Destination) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-func (b *builder) destination(id int) *Destination {
+func (b *builder) destination(id policy.DestinationID) *Destination {
 	destination := b.destinations[id]
 	if destination == nil {
 		destination = &Destination{ID: id, Calls: map[policy.Outcome]int{}, Waits: Waits{}}
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -26,36 +26,36 @@
 		To          float64            `json:"to"`
 	}
 	destinationLine struct {
-		Calls       map[string]int     `json:"calls"`
-		Destination int                `json:"destination"`
-		Failed      int                `json:"failed"`
-		Kind        string             `json:"kind"`
-		MaxQueued   int                `json:"queue_most"`
-		Rejected    int                `json:"refused"`
-		Sent        int                `json:"sent"`
-		Accepted    int                `json:"taken"`
-		Waits       map[string]float64 `json:"waited"`
+		Calls       map[string]int       `json:"calls"`
+		Destination policy.DestinationID `json:"destination"`
+		Failed      int                  `json:"failed"`
+		Kind        string               `json:"kind"`
+		MaxQueued   int                  `json:"queue_most"`
+		Rejected    int                  `json:"refused"`
+		Sent        int                  `json:"sent"`
+		Accepted    int                  `json:"taken"`
+		Waits       map[string]float64   `json:"waited"`
 	}
 	transitionLine struct {
-		At          float64 `json:"at"`
-		Outcome     string  `json:"by"`
-		Destination int     `json:"destination"`
-		Kind        string  `json:"kind"`
-		Endpoint    string  `json:"route"`
-		Text        string  `json:"what"`
+		At          float64              `json:"at"`
+		Outcome     string               `json:"by"`
+		Destination policy.DestinationID `json:"destination"`
+		Kind        string               `json:"kind"`
+		Endpoint    string               `json:"route"`
+		Text        string               `json:"what"`
 	}
 	messageRecord struct {
-		Attempts    []attemptRecord  `json:"attempts"`
-		Class       int              `json:"class"`
-		Destination int              `json:"destination"`
-		End         string           `json:"end"`
-		EndedAt     float64          `json:"ended"`
-		ID          policy.MessageID `json:"id"`
-		Kind        string           `json:"kind"`
-		TimeLeft    float64          `json:"left"`
-		Spans       []spanRecord     `json:"spans"`
-		AcceptedAt  float64          `json:"taken"`
-		Trace       string           `json:"trace"`
+		Attempts    []attemptRecord      `json:"attempts"`
+		Class       int                  `json:"class"`
+		Destination policy.DestinationID `json:"destination"`
+		End         string               `json:"end"`
+		EndedAt     float64              `json:"ended"`
+		ID          policy.MessageID     `json:"id"`
+		Kind        string               `json:"kind"`
+		TimeLeft    float64              `json:"left"`
+		Spans       []spanRecord         `json:"spans"`
+		AcceptedAt  float64              `json:"taken"`
+		Trace       string               `json:"trace"`
 	}
 	spanRecord struct {
 		Cause    string  `json:"cause"`
--- a/internal/recording/explain/report.go
+++ b/internal/recording/explain/report.go
@@ -38,7 +38,7 @@
 
 // Destination is what happened at one destination.
 type Destination struct {
-	ID        int
+	ID        policy.DestinationID
 	Accepted  int
 	Calls     map[policy.Outcome]int // that ended, by outcome, counted for each message
 	Sent      int
@@ -52,7 +52,7 @@
 // Endpoint is the history of an endpoint.
 type Endpoint struct {
 	Name        string
-	Destination int
+	Destination policy.DestinationID
 	LimitScope  string // the name of the first endpoint of its limit scope
 
 	// The state of its limit scope at the end of each bin, in calls a second; 0: there is none.
@@ -109,7 +109,7 @@
 // Transition is a change of an endpoint's state in the engine.
 type Transition struct {
 	At          time.Duration
-	Destination int
+	Destination policy.DestinationID
 	Endpoint    string
 	Text        string
 	Outcome     string // that caused it, where one did
@@ -139,7 +139,7 @@
 type Message struct {
 	ID              policy.MessageID
 	Trace           string
-	Destination     int
+	Destination     policy.DestinationID
 	Class           int
 	AcceptedAt      time.Duration
 	TimeLeft        time.Duration // to its deadline, when it was accepted
--- a/internal/recording/explain/sample.go
+++ b/internal/recording/explain/sample.go
@@ -38,7 +38,7 @@
 // queuedMessages is the number of messages waiting at all destinations. Each endpoint's view has that of its
 // destination.
 func queuedMessages(views []policy.EndpointView) (queued int) {
-	counted := map[int]bool{}
+	counted := map[policy.DestinationID]bool{}
 	for i := range views {
 		if id := views[i].Destination; !counted[id] {
 			counted[id] = true
@@ -105,7 +105,7 @@
 
 // updateEndpoints records the endpoints' state, and what has changed since the last time.
 func (b *builder) updateEndpoints(now time.Duration, views []policy.EndpointView) {
-	firstOfDestination := map[int]string{} // of the endpoints that share the destination's limit
+	firstOfDestination := map[policy.DestinationID]string{} // of the endpoints that share the destination's limit
 	for i := range views {
 		view := &views[i]
 		endpoint := b.endpoint(*view)
--- a/internal/recording/explain/text.go
+++ b/internal/recording/explain/text.go
@@ -74,7 +74,7 @@
 }
 
 // WriteTransitions writes the transitions of a destination's endpoints, or of all where id is negative.
-func WriteTransitions(w io.Writer, report *Report, id int) error {
+func WriteTransitions(w io.Writer, report *Report, id policy.DestinationID) error {
 	p := &printer{w: w}
 	for _, t := range report.Transitions {
 		if id >= 0 && t.Destination != id {
--- a/internal/recording/fleetstats/fleetstats_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -12,7 +12,7 @@
 
 var testStart = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-func accepted(id policy.MessageID, destination int) policy.Event {
+func accepted(id policy.MessageID, destination policy.DestinationID) policy.Event {
 	return policy.Event{
 		Kind: policy.MessageAccepted, MessageID: id, Destination: destination, TimeLeft: 10 * time.Second,
 	}
--- a/internal/recording/fleetstats/reader.go
+++ b/internal/recording/fleetstats/reader.go
@@ -88,7 +88,7 @@
 }
 
 func (r *recordingReader) updateEndpoint(listed policy.Endpoint) {
-	destination := strconv.Itoa(listed.Destination)
+	destination := strconv.Itoa(int(listed.Destination))
 	e := endpoint{destination: destination, scope: destination, maxBatch: 1}
 	if kinds := r.meta.Settings.DestinationKinds; listed.Kind >= 0 && listed.Kind < len(kinds) {
 		e.maxBatch = max(1, kinds[listed.Kind].MaxBatch)
@@ -169,7 +169,7 @@
 }
 
 func (r *recordingReader) messageAccepted(now time.Duration, event *policy.Event) {
-	m := message{scope: strconv.Itoa(event.Destination), objectiveAt: now + event.TimeLeft}
+	m := message{scope: strconv.Itoa(int(event.Destination)), objectiveAt: now + event.TimeLeft}
 	if classes := r.meta.Settings.Classes; event.Class >= 0 && event.Class < len(classes) {
 		class := classes[event.Class]
 		m.objectiveAt = now + event.TimeLeft - class.Deadline + class.LatencyObjective
--- a/internal/recording/flightrecorder/decoder.go
+++ b/internal/recording/flightrecorder/decoder.go
@@ -127,7 +127,7 @@
 	case policy.MessageCancelled:
 		x.MessageID = d.messageID()
 	case policy.QuotaGranted:
-		x.Destination = int(d.int())
+		x.Destination = policy.DestinationID(d.int())
 		x.Endpoint = d.name()
 		x.ReservedFraction = d.float()
 		x.GrantedCalls = int(d.int())
@@ -145,7 +145,7 @@
 	x.MessageID = d.messageID()
 	x.Class = int(d.int())
 	x.Tenant = int(d.int())
-	x.Destination = int(d.int())
+	x.Destination = policy.DestinationID(d.int())
 	x.TimeLeft = d.duration()
 	if flags&hasKey != 0 {
 		x.Key = string(d.bytes())
@@ -199,7 +199,7 @@
 	ep.Removed = flags&endpointRemoved != 0
 	ep.Relisted = flags&endpointRelisted != 0
 	ep.ID = d.name()
-	ep.Destination = int(d.int())
+	ep.Destination = policy.DestinationID(d.int())
 	ep.Kind = int(d.int())
 	ep.Zone = int(d.int())
 	ep.Weight = d.float()
--- a/internal/recording/flightrecorder/recorder_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -58,10 +58,13 @@
 }
 
 var (
-	drawNumber    = rapid.IntRange(-3, math.MaxInt32)
-	drawDuration  = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
-	drawMessageID = rapid.Map(rapid.Uint32(), func(n uint32) policy.MessageID { return policy.MessageID(n) })
-	drawName      = rapid.SampledFrom([]string{"", "s-1", "s-2", "a name with \x00 and ü", strings.Repeat("long", 90)})
+	drawNumber      = rapid.IntRange(-3, math.MaxInt32)
+	drawDuration    = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64().Draw(t, "ns")) })
+	drawDestination = rapid.Map(drawNumber, func(n int) policy.DestinationID { return policy.DestinationID(n) })
+	drawMessageID   = rapid.Map(rapid.Uint32(), func(n uint32) policy.MessageID { return policy.MessageID(n) })
+	drawName        = rapid.SampledFrom([]string{
+		"", "s-1", "s-2", "a name with \x00 and ü", strings.Repeat("long", 90),
+	})
 )
 
 func drawEvent(t *rapid.T) policy.Event {
@@ -87,7 +90,7 @@
 		for range rapid.IntRange(0, 5).Draw(t, "endpoints") {
 			e.Endpoints = append(e.Endpoints, policy.Endpoint{
 				ID:          drawName.Draw(t, "endpoint"),
-				Destination: drawNumber.Draw(t, "destination"),
+				Destination: drawDestination.Draw(t, "destination"),
 				Kind:        drawNumber.Draw(t, "kind"),
 				Zone:        drawNumber.Draw(t, "zone"),
 				Weight:      rapid.Float64().Draw(t, "weight"),
@@ -103,7 +106,7 @@
 	e.MessageID = drawMessageID.Draw(t, "id")
 	e.Class = drawNumber.Draw(t, "class")
 	e.Tenant = drawNumber.Draw(t, "tenant")
-	e.Destination = drawNumber.Draw(t, "destination")
+	e.Destination = drawDestination.Draw(t, "destination")
 	e.TimeLeft = drawDuration.Draw(t, "time left")
 	e.Key = rapid.StringN(0, 40, 400).Draw(t, "key")
 	if !rapid.Bool().Draw(t, "recovered") {
--- a/internal/recording/flightrecorder/recordertest/driver.go
+++ b/internal/recording/flightrecorder/recordertest/driver.go
@@ -91,14 +91,14 @@
 	engine    *policy.Engine
 	recorder  *flightrecorder.Recorder
 	endpoints []policy.Endpoint
-	outages   map[int]outage // by destination
+	outages   map[policy.DestinationID]outage // by destination
 
 	events  []policy.Event // of the next step
 	pending []pendingEvent
 
 	lastID       policy.MessageID
-	attempts     map[policy.MessageID]int // by message
-	destinations map[policy.MessageID]int // by message
+	attempts     map[policy.MessageID]int                  // by message
+	destinations map[policy.MessageID]policy.DestinationID // by message
 }
 
 // outage is a time in which calls to a destination mostly fail.
@@ -115,9 +115,9 @@
 func newDriver(seed uint64, duration time.Duration, ringSize int) *driver {
 	d := &driver{
 		rng:          rand.New(rand.NewPCG(seed, 11)),
-		outages:      map[int]outage{},
+		outages:      map[policy.DestinationID]outage{},
 		attempts:     map[policy.MessageID]int{},
-		destinations: map[policy.MessageID]int{},
+		destinations: map[policy.MessageID]policy.DestinationID{},
 	}
 	settings := Settings()
 	engine, err := policy.New(settings, seed)
@@ -133,19 +133,19 @@
 	}
 	d.engine = engine
 	d.recorder = flightrecorder.NewRecorder(meta, ringSize, engine.Snapshot)
-	for dest := range destinations {
+	for dest := range policy.DestinationID(destinations) {
 		for i := range 1 + d.rng.IntN(3) {
 			d.endpoints = append(d.endpoints, policy.Endpoint{
 				ID:          fmt.Sprintf("s-%d-%d", dest, i),
 				Destination: dest,
-				Kind:        dest % 2,
+				Kind:        int(dest % 2),
 				Zone:        i % 2,
 				Weight:      5,
 				InService:   true,
 			})
 		}
 	}
-	for dest := range failedDestinations {
+	for dest := range policy.DestinationID(failedDestinations) {
 		from := duration/4 + time.Duration(d.rng.Int64N(int64(duration/4)))
 		d.outages[dest] = outage{from: from, to: from + duration/8}
 	}
@@ -161,7 +161,7 @@
 	for d.rng.IntN(3) == 0 {
 		d.lastID++
 		id := d.lastID
-		d.destinations[id] = d.rng.IntN(destinations)
+		d.destinations[id] = policy.DestinationID(d.rng.IntN(destinations))
 		e := policy.Event{
 			Kind:        policy.MessageAccepted,
 			MessageID:   id,
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -74,7 +74,7 @@
 	return answers
 }
 
-func newSubmission(id string, dest int, left time.Duration) *submitEvent {
+func newSubmission(id string, dest policy.DestinationID, left time.Duration) *submitEvent {
 	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
 	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 }
--- a/internal/relay/discovery/list.go
+++ b/internal/relay/discovery/list.go
@@ -73,6 +73,6 @@
 	case endpoint.Zone < 0 || endpoint.Kind < 0:
 		return endpoint, "", fmt.Errorf("unknown zone %q or kind %q", record.Zone, record.Kind)
 	}
-	endpoint.Destination = *record.Cell
+	endpoint.Destination = policy.DestinationID(*record.Cell)
 	return endpoint, record.Addr, nil
 }
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -172,7 +172,7 @@
 			}
 		}
 	} else {
-		destinations := map[int]bool{}
+		destinations := map[policy.DestinationID]bool{}
 		for e := range r.catalog.All() {
 			s.Endpoints = append(s.Endpoints, hotrestart.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
 			destinations[e.Destination] = true
--- a/internal/relay/hotrestart/frames.go
+++ b/internal/relay/hotrestart/frames.go
@@ -35,10 +35,10 @@
 
 	// The endpoint list. If LargeList is set it is too long for the policy to hold all of it: then Endpoints are those
 	// that the policy holds, and Destinations is empty.
-	Version      int64      `json:"Version"`
-	LargeList    bool       `json:"Large"`
-	Endpoints    []Endpoint `json:"Routes"`
-	Destinations []int      `json:"Cells"` // that the list has named
+	Version      int64                  `json:"Version"`
+	LargeList    bool                   `json:"Large"`
+	Endpoints    []Endpoint             `json:"Routes"`
+	Destinations []policy.DestinationID `json:"Cells"` // that the list has named
 
 	LastID           policy.MessageID  `json:"LastID"` // of messages
 	Messages         []Message         `json:"Messages"`
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -19,7 +19,7 @@
 )
 
 // isActive tells whether the policy holds a destination.
-func (r *Relay) isActive(destination int) bool {
+func (r *Relay) isActive(destination policy.DestinationID) bool {
 	return !r.largeList.Load() || r.workingSet.Contains(destination)
 }
 
@@ -205,7 +205,9 @@
 }
 
 // activate adds a destination to the working set, and its endpoints to activated if it was not in it.
-func (r *Relay) activate(activated []policy.Endpoint, destination int, now time.Duration) []policy.Endpoint {
+func (r *Relay) activate(
+	activated []policy.Endpoint, destination policy.DestinationID, now time.Duration,
+) []policy.Endpoint {
 	if !r.workingSet.Activate(destination, now) {
 		return activated
 	}
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -156,7 +156,7 @@
 			entries[i].Endpoint = catalog.Endpoint{
 				Endpoint: policy.Endpoint{
 					ID:          fmt.Sprintf("h-%d-%d", v, i),
-					Destination: v*hosts + i,
+					Destination: policy.DestinationID(v*hosts + i),
 					Kind:        1,
 					InService:   true,
 				}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -153,7 +153,7 @@
 }
 
 // deliver submits messages and takes steps until each has been delivered.
-func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, dests ...int) {
+func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, dests ...policy.DestinationID) {
 	t.Helper()
 	was := int(requests.Load())
 	for i, dest := range dests {
@@ -250,7 +250,7 @@
 			for i, dest := range []int{50, 51, 50, 51} {
 				a.sendLine(t, r, discoverytest.ListJSON(2+i, rest, endpointText("s-moves", addr, dest, "ready")))
 				stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
-				r.deliver(t, requests, fmt.Sprint("m", i, "-"), dest)
+				r.deliver(t, requests, fmt.Sprint("m", i, "-"), policy.DestinationID(dest))
 			}
 		})
 	}
@@ -280,7 +280,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				submitted.Add(1)
-				in := newSubmission(fmt.Sprint("m", i), 10_000+i, 9*time.Second)
+				in := newSubmission(fmt.Sprint("m", i), policy.DestinationID(10_000+i), 9*time.Second)
 				r.post(in)
 				if a := <-in.reply; a.Status != http.StatusAccepted {
 					t.Errorf("%d: %+v", i, a)
@@ -352,7 +352,7 @@
 func TestRestartActivatesDestinationsOfMessages(t *testing.T) {
 	addr, requests := nettest.RawServer(t, respondOK)
 	old := newTestRelay(t)
-	for i, dest := range []int{50, 60_000} {
+	for i, dest := range []policy.DestinationID{50, 60_000} {
 		m := &journal.Message{
 			ID:             policy.MessageID(i + 1),
 			TraceID:        fmt.Sprint("m", i),
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -123,7 +123,7 @@
 }
 
 // restoreDestination activates a destination, and removes its endpoints that the predecessor did not know.
-func (r *Relay) restoreDestination(destination int, known map[string]bool) {
+func (r *Relay) restoreDestination(destination policy.DestinationID, known map[string]bool) {
 	if !r.workingSet.Activate(destination, r.now()) {
 		return
 	}
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -134,7 +134,7 @@
 }
 
 // parseDestination finds dest among the name=value pairs of an envelope.
-func parseDestination(envelope string) (int, error) {
+func parseDestination(envelope string) (policy.DestinationID, error) {
 	isSeparator := func(c rune) bool { return strings.ContainsRune(",;& ", c) }
 	for _, pair := range strings.FieldsFunc(envelope, isSeparator) {
 		value, found := strings.CutPrefix(pair, "dest=")
@@ -145,7 +145,7 @@
 		if err != nil || destination < 0 {
 			return 0, fmt.Errorf("bad dest %q", value)
 		}
-		return destination, nil
+		return policy.DestinationID(destination), nil
 	}
 	return 0, fmt.Errorf("%s names no dest", envelopeHeader)
 }
--- a/internal/relay/workingset_test.go
+++ b/internal/relay/workingset_test.go
@@ -40,8 +40,8 @@
 }
 
 // policyEndpoints returns the endpoints that the policy holds, by destination and in the order of their ids.
-func policyEndpoints(r *Relay) map[int][]policy.Endpoint {
-	known := map[int][]policy.Endpoint{}
+func policyEndpoints(r *Relay) map[policy.DestinationID][]policy.Endpoint {
+	known := map[policy.DestinationID][]policy.Endpoint{}
 	views, _ := r.engine.Views()
 	for _, v := range views {
 		known[v.Destination] = append(known[v.Destination], v.Endpoint)
@@ -50,8 +50,8 @@
 }
 
 // workingSetEndpoints returns those that it must hold: all that the catalog has of the working set's destinations.
-func workingSetEndpoints(r *Relay) map[int][]policy.Endpoint {
-	known := map[int][]policy.Endpoint{}
+func workingSetEndpoints(r *Relay) map[policy.DestinationID][]policy.Endpoint {
+	known := map[policy.DestinationID][]policy.Endpoint{}
 	for e := range r.catalog.All() {
 		if r.workingSet.Contains(e.Destination) {
 			known[e.Destination] = append(known[e.Destination], e.Endpoint)
@@ -60,14 +60,14 @@
 	return sortedByID(known)
 }
 
-func sortedByID(known map[int][]policy.Endpoint) map[int][]policy.Endpoint {
+func sortedByID(known map[policy.DestinationID][]policy.Endpoint) map[policy.DestinationID][]policy.Endpoint {
 	for _, ls := range known {
 		slices.SortFunc(ls, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return known
 }
 
-func sameEndpoints(a, b map[int][]policy.Endpoint) bool {
+func sameEndpoints(a, b map[policy.DestinationID][]policy.Endpoint) bool {
 	return maps.EqualFunc(a, b, slices.Equal[[]policy.Endpoint])
 }
 
@@ -136,7 +136,7 @@
 	e := discovery.Entry{Endpoint: catalog.Endpoint{Addr: fmt.Sprintf("127.0.0.1:%d", 1+m.rng.IntN(2))}}
 	e.Endpoint.Endpoint = policy.Endpoint{
 		ID:          fmt.Sprint("h-", k),
-		Destination: 100 + m.rng.IntN(modelDestinations),
+		Destination: policy.DestinationID(100 + m.rng.IntN(modelDestinations)),
 		Kind:        1,
 		Zone:        k % 2,
 		Weight:      50,
@@ -152,7 +152,7 @@
 func (m *workingSetModel) submitRandom(prefix string) {
 	for range m.rng.IntN(4) {
 		id := fmt.Sprint(prefix, "-", m.rng.Uint64())
-		destination := 100 + m.rng.IntN(modelDestinations)
+		destination := policy.DestinationID(100 + m.rng.IntN(modelDestinations))
 		timeLeft := time.Duration(1+m.rng.IntN(30)) * time.Millisecond
 		in := newSubmission(id, destination, timeLeft)
 		m.relay.step([]event{in})
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -41,7 +41,7 @@
 // listing is how the list has an entry.
 func (w *World) listing(h *host, state string) policy.Endpoint {
 	return policy.Endpoint{
-		ID: h.ID, Destination: h.Dest, Zone: h.zone, Weight: h.Weight, Kind: h.kind,
+		ID: h.ID, Destination: policy.DestinationID(h.Dest), Zone: h.zone, Weight: h.Weight, Kind: h.kind,
 		InService: state == eventlog.StateReady, Removed: state == eventlog.StateGone,
 	}
 }
@@ -132,9 +132,9 @@
 	}
 	w.see(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Dest})
 	if r.large() && c.more > 0 {
-		r.working.EndpointAdded(h.Dest, r.now())
+		r.working.EndpointAdded(policy.DestinationID(h.Dest), r.now())
 	}
-	if r.large() && !r.working.Contains(h.Dest) {
+	if r.large() && !r.working.Contains(policy.DestinationID(h.Dest)) {
 		return // it is at rest: what the list has is told when it wakes
 	}
 	r.tell(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{w.listing(h, c.state)}})
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -242,7 +242,7 @@
 
 func (r *relay) taken(m *message) policy.Event {
 	return policy.Event{
-		Kind: policy.MessageAccepted, MessageID: m.id, Key: m.order, Class: m.class, Tenant: m.cust, Destination: m.dest, TimeLeft: r.left(m),
+		Kind: policy.MessageAccepted, MessageID: m.id, Key: m.order, Class: m.class, Tenant: m.cust, Destination: policy.DestinationID(m.dest), TimeLeft: r.left(m),
 	}
 }
 
--- a/internal/simulation/emulate/same_test.go
+++ b/internal/simulation/emulate/same_test.go
@@ -46,8 +46,8 @@
 		s.routes[d] = slices.DeleteFunc(routes, func(x policy.Endpoint) bool { return x.ID == l.ID })
 	}
 	if !l.Removed {
-		s.routes[l.Destination] = append(s.routes[l.Destination], l)
-		slices.SortFunc(s.routes[l.Destination], func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+		s.routes[int(l.Destination)] = append(s.routes[int(l.Destination)], l)
+		slices.SortFunc(s.routes[int(l.Destination)], func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	}
 }
 
@@ -64,7 +64,7 @@
 				s.list(l)
 			}
 		case policy.MessageAccepted:
-			m := &scriptedMessage{dest: e.Destination, due: now + e.TimeLeft}
+			m := &scriptedMessage{dest: int(e.Destination), due: now + e.TimeLeft}
 			if e.Recovered != nil {
 				m.sends = e.Recovered.Attempts
 			}
--- a/internal/simulation/emulate/working.go
+++ b/internal/simulation/emulate/working.go
@@ -24,7 +24,9 @@
 
 // rester is a module that tells whether a destination may be taken away from it: nothing that it knows of it would be
 // missed.
-type rester interface{ Evictable(dest int) bool }
+type rester interface {
+	Evictable(dest policy.DestinationID) bool
+}
 
 func (r *relay) large() bool { return r.working != nil }
 
@@ -40,7 +42,7 @@
 		r.working.Activate(l.Destination, r.now())
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.msgs)) {
-		r.working.Activate(r.msgs[id].dest, r.now())
+		r.working.Activate(policy.DestinationID(r.msgs[id].dest), r.now())
 	}
 }
 
@@ -52,11 +54,11 @@
 	}
 	w, now := r.w, r.now()
 	var woken, resting []policy.Endpoint
-	wake := func(dest int) {
+	wake := func(dest policy.DestinationID) {
 		if r.working.Activate(dest, now) {
 			w.Woken++
 			from := len(woken)
-			woken = w.listed(woken, dest, r.heard)
+			woken = w.listed(woken, int(dest), r.heard)
 			for i := range woken[from:] {
 				woken[from+i].Relisted = r.working.Settled(dest, now)
 			}
@@ -68,15 +70,15 @@
 			wake(e.Destination)
 		case policy.AttemptFinished, policy.HealthChecked:
 			if h := w.hosts[e.Endpoint]; h != nil {
-				if r.working.Touch(h.Dest, now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
-					wake(h.Dest)
+				if r.working.Touch(policy.DestinationID(h.Dest), now); e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
+					wake(policy.DestinationID(h.Dest))
 				}
 			}
 		}
 	}
 	if m, ok := r.module.(rester); ok {
 		for _, dest := range r.working.EvictIdle(now, restMost, m.Evictable) {
-			resting = w.listed(resting, dest, r.heard)
+			resting = w.listed(resting, int(dest), r.heard)
 		}
 	}
 	for i := range resting {
@@ -123,7 +125,7 @@
 }
 
 // Evictable passes on what the module would say.
-func (m *misled) Evictable(dest int) bool {
+func (m *misled) Evictable(dest policy.DestinationID) bool {
 	x, ok := m.Module.(rester)
 	return ok && x.Evictable(dest)
 }
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/working_test.go
@@ -98,7 +98,7 @@
 // careless lets go of what it must remember.
 type careless struct{ *policy.Engine }
 
-func (careless) Evictable(int) bool { return true }
+func (careless) Evictable(policy.DestinationID) bool { return true }
 
 // A destination that told to wait is not forgotten while it lasts, however long it is idle; a module that lets go of it
 // is convicted.
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -216,7 +216,7 @@
 		f.optional()
 		e.Class = f.integer()
 		e.TimeLeft = f.milliseconds()
-		e.Destination = f.integer()
+		e.Destination = policy.DestinationID(f.integer())
 	case "FINISHED":
 		parseFinished(f, e, limits)
 	case "PONG":
@@ -293,7 +293,7 @@
 		return endpoint, errors.New("unknown health")
 	}
 	endpoint.Kind = f.integer()
-	endpoint.Destination = f.integer()
+	endpoint.Destination = policy.DestinationID(f.integer())
 	endpoint.Zone = f.integer()
 	f.optional()
 	endpoint.ID = f.word()
--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -14,7 +14,7 @@
 	return Endpoint{
 		Endpoint: policy.Endpoint{
 			ID:          fmt.Sprintf("ep-%06d-%02d", i, generation),
-			Destination: i / 2,
+			Destination: policy.DestinationID(i / 2),
 			Kind:        i / 2 % 3,
 			Zone:        i % 3,
 			Weight:      float64(5 + i%40),
@@ -130,7 +130,7 @@
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		var endpoints []Endpoint
 		for i := 0; b.Loop(); i++ {
-			endpoints = c.AppendEndpoints(i*7919%(len(list)/2), endpoints[:0])
+			endpoints = c.AppendEndpoints(policy.DestinationID(i*7919%(len(list)/2)), endpoints[:0])
 			if len(endpoints) != 2 {
 				b.Fatal("not two endpoints")
 			}
@@ -145,13 +145,13 @@
 			w := NewWorkingSet(time.Duration(n))
 			now := time.Duration(0)
 			for ; now < time.Duration(n); now++ {
-				w.Activate(int(now), now)
+				w.Activate(policy.DestinationID(now), now)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				w.Activate(int(now), now)
-				w.EvictIdle(now, 16, func(int) bool { return true })
+				w.Activate(policy.DestinationID(now), now)
+				w.EvictIdle(now, 16, func(policy.DestinationID) bool { return true })
 			}
 			if w.Len() < n-1 || w.Len() > n+1 {
 				b.Fatalf("%d active", w.Len())
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -112,10 +112,12 @@
 // HasDestination reports whether a list has named a destination. Of those without an endpoint as many are remembered as
 // the most that ever had one at a time, or MaxEagerEndpoints if that is more. Those that have been without for longest
 // are forgotten first.
-func (c *Catalog) HasDestination(dest int) bool { return c.findDestination(dest) != none }
+func (c *Catalog) HasDestination(dest policy.DestinationID) bool {
+	return c.findDestination(dest) != none
+}
 
 // RememberDestination has a destination count as named, as an earlier process knew it.
-func (c *Catalog) RememberDestination(dest int) {
+func (c *Catalog) RememberDestination(dest policy.DestinationID) {
 	if c.findDestination(dest) == none {
 		c.addEmpty(c.newDestination(dest))
 	}
@@ -123,8 +125,8 @@
 
 // RememberedDestinations returns the destinations that a list has named and that have no endpoint now, those that have
 // been without for longest first.
-func (c *Catalog) RememberedDestinations() iter.Seq[int] {
-	return func(yield func(int) bool) {
+func (c *Catalog) RememberedDestinations() iter.Seq[policy.DestinationID] {
+	return func(yield func(policy.DestinationID) bool) {
 		for i := c.oldestEmpty; i != none; {
 			d := c.destinations.at(i)
 			if !yield(d.id()) {
@@ -145,7 +147,7 @@
 }
 
 // AppendEndpoints appends a destination's endpoints, in the order listed.
-func (c *Catalog) AppendEndpoints(dest int, into []Endpoint) []Endpoint {
+func (c *Catalog) AppendEndpoints(dest policy.DestinationID, into []Endpoint) []Endpoint {
 	d := c.findDestination(dest)
 	if d == none || c.destinations.at(d).empty() {
 		return into
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -14,12 +14,12 @@
 
 // model is a catalog in its simplest form.
 type model struct {
-	all    []Endpoint      // in the order listed
-	seen   map[string]bool // ids that the snapshot being read has named; nil: none is read
-	listed map[int]bool    // destinations that a list has named
+	all    []Endpoint                    // in the order listed
+	seen   map[string]bool               // ids that the snapshot being read has named; nil: none is read
+	listed map[policy.DestinationID]bool // destinations that a list has named
 }
 
-func newModel() *model { return &model{listed: map[int]bool{}} }
+func newModel() *model { return &model{listed: map[policy.DestinationID]bool{}} }
 
 func (m *model) find(id string) int {
 	return slices.IndexFunc(m.all, func(e Endpoint) bool { return e.ID == id })
@@ -79,7 +79,7 @@
 	return removed
 }
 
-func (m *model) endpointsOf(dest int) (endpoints []Endpoint) {
+func (m *model) endpointsOf(dest policy.DestinationID) (endpoints []Endpoint) {
 	for _, e := range m.all {
 		if e.Destination == dest {
 			endpoints = append(endpoints, e)
@@ -95,7 +95,7 @@
 	return Endpoint{
 		Endpoint: policy.Endpoint{
 			ID:          name + fmt.Sprint(id),
-			Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
+			Destination: policy.DestinationID(rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination")),
 			Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
 			Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
 			Weight:      rapid.SampledFrom([]float64{0, 1, 27, 0.1, math.MaxFloat64, -2}).Draw(t, "weight"),
@@ -233,7 +233,7 @@
 		t.Fatalf("destination %d is named", unlisted)
 	}
 	remembered := slices.Collect(c.catalog.RememberedDestinations())
-	wrong := slices.ContainsFunc(remembered, func(dest int) bool {
+	wrong := slices.ContainsFunc(remembered, func(dest policy.DestinationID) bool {
 		return !c.model.listed[dest] || len(c.model.endpointsOf(dest)) > 0
 	})
 	if wrong || len(remembered) != len(c.model.listed)-nonEmpty {
--- a/internal/state/catalog/destinations.go
+++ b/internal/state/catalog/destinations.go
@@ -1,6 +1,10 @@
 package catalog
 
-import "hash/maphash"
+import (
+	"hash/maphash"
+
+	"cherrytrestle.example/cherrytrestle/policy"
+)
 
 // destinationSlot is one destination that a list has named. Its id is in two halves, so that the slot has no padding.
 type destinationSlot struct {
@@ -14,7 +18,9 @@
 // emptyMark in destinationSlot.first marks a destination without endpoints. No index of a slot has this bit.
 const emptyMark = 1 << 31
 
-func (d *destinationSlot) id() int { return int(uint64(d.idHigh)<<32 | uint64(d.idLow)) }
+func (d *destinationSlot) id() policy.DestinationID {
+	return policy.DestinationID(uint64(d.idHigh)<<32 | uint64(d.idLow))
+}
 
 // empty reports whether the destination is in the list of those without endpoints.
 func (d *destinationSlot) empty() bool { return d.first&emptyMark != 0 }
@@ -26,7 +32,7 @@
 func (d *destinationSlot) newerEmpty() uint32 { return d.last }
 
 // findDestination returns a destination's slot, or none.
-func (c *Catalog) findDestination(dest int) uint32 {
+func (c *Catalog) findDestination(dest policy.DestinationID) uint32 {
 	i := c.destinationIndex.first(maphash.Comparable(c.seed, dest))
 	for i != none && c.destinations.at(i).id() != dest {
 		i = c.destinations.at(i).bucketNext
@@ -35,7 +41,7 @@
 }
 
 // newDestination adds a destination, which is neither empty nor has endpoints yet.
-func (c *Catalog) newDestination(dest int) uint32 {
+func (c *Catalog) newDestination(dest policy.DestinationID) uint32 {
 	i := c.freeDestination
 	if i == none {
 		i = c.destinations.add()
@@ -48,7 +54,7 @@
 }
 
 // attach puts an endpoint at the end of a destination.
-func (c *Catalog) attach(endpoint uint32, dest int) {
+func (c *Catalog) attach(endpoint uint32, dest policy.DestinationID) {
 	i := c.findDestination(dest)
 	if i == none {
 		i = c.newDestination(dest)
--- a/internal/state/catalog/destinations_test.go
+++ b/internal/state/catalog/destinations_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func TestOldestEmptyDestinationsAreForgotten(t *testing.T) {
@@ -16,7 +18,7 @@
 			c.Upsert(entry(0, 1)) // destination 0 is back
 		}
 	}
-	wantNamed := map[int]bool{
+	wantNamed := map[policy.DestinationID]bool{
 		0:                     true,
 		1:                     false,
 		2:                     false,
--- a/internal/state/catalog/endpoints.go
+++ b/internal/state/catalog/endpoints.go
@@ -65,7 +65,7 @@
 }
 
 // addEndpoint adds an endpoint of a destination with the text in scratch.
-func (c *Catalog) addEndpoint(dest int) {
+func (c *Catalog) addEndpoint(dest policy.DestinationID) {
 	text := c.storeText()
 	i := c.endpoints.add()
 	c.endpoints.at(i).text = text
--- a/internal/state/catalog/memory_test.go
+++ b/internal/state/catalog/memory_test.go
@@ -64,7 +64,7 @@
 	m.c.BeginSnapshot()
 	for i := range m.n {
 		e := entry(i, round)
-		e.Destination += round * m.n
+		e.Destination += policy.DestinationID(round * m.n)
 		e.Addr = fmt.Sprintf("host-%d-%d:80", round, i)
 		m.c.Upsert(e)
 	}
@@ -91,7 +91,9 @@
 }
 
 // negativeDestination returns one of a third as many destinations as endpoints.
-func (m *memoryTest) negativeDestination(i int) int { return -i%(m.n/3) - 1 }
+func (m *memoryTest) negativeDestination(i int) policy.DestinationID {
+	return policy.DestinationID(-i%(m.n/3) - 1)
+}
 
 // addAndRemove adds one endpoint, and removes it.
 func (m *memoryTest) addAndRemove() {
--- a/internal/state/catalog/workingset.go
+++ b/internal/state/catalog/workingset.go
@@ -12,16 +12,16 @@
 // lately, or the module must not forget them.
 type WorkingSet struct {
 	idleTimeout   time.Duration
-	byDestination map[int]*list.Element
+	byDestination map[policy.DestinationID]*list.Element
 	byLastUse     list.List // of *usage, the least recently used first
 
-	recentlyAdded map[int]time.Duration // destinations of which an endpoint was added lately, and when
-	allAddedAt    time.Duration         // every destination counts as added then, at least
+	recentlyAdded map[policy.DestinationID]time.Duration // destinations of which an endpoint was added lately, and when
+	allAddedAt    time.Duration                          // every destination counts as added then, at least
 }
 
 // usage is when a destination was used last.
 type usage struct {
-	destination int
+	destination policy.DestinationID
 	lastUsed    time.Duration
 }
 
@@ -29,21 +29,21 @@
 func NewWorkingSet(idleTimeout time.Duration) *WorkingSet {
 	return &WorkingSet{
 		idleTimeout:   idleTimeout,
-		byDestination: map[int]*list.Element{},
-		recentlyAdded: map[int]time.Duration{},
+		byDestination: map[policy.DestinationID]*list.Element{},
+		recentlyAdded: map[policy.DestinationID]time.Duration{},
 		allAddedAt:    math.MinInt64 / 2, // long ago, and far enough from overflow
 	}
 }
 
 // Contains reports whether a destination is active.
-func (w *WorkingSet) Contains(dest int) bool { return w.byDestination[dest] != nil }
+func (w *WorkingSet) Contains(dest policy.DestinationID) bool { return w.byDestination[dest] != nil }
 
 // Len returns the number of active destinations.
 func (w *WorkingSet) Len() int { return len(w.byDestination) }
 
 // Activate uses a destination at now. It reports whether it was not active: then the module must get its endpoints
 // first.
-func (w *WorkingSet) Activate(dest int, now time.Duration) bool {
+func (w *WorkingSet) Activate(dest policy.DestinationID, now time.Duration) bool {
 	if w.Contains(dest) {
 		w.Touch(dest, now)
 		return false
@@ -54,7 +54,7 @@
 
 // EndpointAdded notes that an endpoint of a destination was added to the list at now. If there are more than
 // MaxEagerEndpoints such destinations lately, every destination counts as added.
-func (w *WorkingSet) EndpointAdded(dest int, now time.Duration) {
+func (w *WorkingSet) EndpointAdded(dest policy.DestinationID, now time.Duration) {
 	w.recentlyAdded[dest] = now
 	if len(w.recentlyAdded) <= MaxEagerEndpoints {
 		return
@@ -72,7 +72,7 @@
 
 // Settled reports whether a destination has been listed for at least policy.MaxInitialSpread, over which first calls to
 // new endpoints are spread. Activated then, it is as if its module had always known it.
-func (w *WorkingSet) Settled(dest int, now time.Duration) bool {
+func (w *WorkingSet) Settled(dest policy.DestinationID, now time.Duration) bool {
 	if now < w.allAddedAt+policy.MaxInitialSpread {
 		return false
 	}
@@ -81,7 +81,7 @@
 }
 
 // Touch has an active destination count as used at now, which must not go back. Another one stays inactive.
-func (w *WorkingSet) Touch(dest int, now time.Duration) {
+func (w *WorkingSet) Touch(dest policy.DestinationID, now time.Duration) {
 	if element := w.byDestination[dest]; element != nil {
 		usageOf(element).lastUsed = now
 		w.byLastUse.MoveToBack(element)
@@ -91,7 +91,9 @@
 // EvictIdle evicts destinations that were idle for the timeout and that evictable allows, and returns them, the least
 // recently used first. It looks at most at maxChecked of them. One that stays is looked at again as if it had been used
 // now.
-func (w *WorkingSet) EvictIdle(now time.Duration, maxChecked int, evictable func(dest int) bool) (evicted []int) {
+func (w *WorkingSet) EvictIdle(
+	now time.Duration, maxChecked int, evictable func(dest policy.DestinationID) bool,
+) (evicted []policy.DestinationID) {
 	for ; maxChecked > 0 && w.byLastUse.Len() > 0; maxChecked-- {
 		element := w.byLastUse.Front()
 		u := usageOf(element)
--- a/internal/state/catalog/workingset_test.go
+++ b/internal/state/catalog/workingset_test.go
@@ -18,18 +18,18 @@
 				t.Error("a destination of the first list is not settled")
 			}
 			addedAt := time.Minute
-			for d := range added {
+			for d := range policy.DestinationID(added) {
 				w.EndpointAdded(d, addedAt)
 			}
 			settledAt := addedAt + policy.MaxInitialSpread
-			for _, d := range []int{0, added - 1} {
+			for _, d := range []policy.DestinationID{0, policy.DestinationID(added - 1)} {
 				before := w.Settled(d, settledAt-1)
 				after := w.Settled(d, settledAt)
 				if before || !after {
 					t.Errorf("destination %d settled %v, a moment later %v", d, before, after)
 				}
 			}
-			if other := w.Settled(added+7, settledAt-1); other != (added <= MaxEagerEndpoints) {
+			if other := w.Settled(policy.DestinationID(added+7), settledAt-1); other != (added <= MaxEagerEndpoints) {
 				t.Errorf("another settled %v", other)
 			}
 			if len(w.recentlyAdded) > MaxEagerEndpoints {
@@ -37,7 +37,7 @@
 			}
 			later := addedAt + time.Hour
 			for d := range MaxEagerEndpoints { // later ones replace the first
-				w.EndpointAdded(d+2*added, later)
+				w.EndpointAdded(policy.DestinationID(d+2*added), later)
 			}
 			settled := w.Settled(0, later)
 			if len(w.recentlyAdded) > MaxEagerEndpoints || !settled && added < MaxEagerEndpoints {
@@ -49,15 +49,15 @@
 
 func TestWorkingSet(t *testing.T) {
 	w := NewWorkingSet(30 * time.Second)
-	pinned := map[int]bool{}
-	evictable := func(d int) bool { return !pinned[d] }
-	evict := func(now time.Duration, maxChecked int, want ...int) {
+	pinned := map[policy.DestinationID]bool{}
+	evictable := func(d policy.DestinationID) bool { return !pinned[d] }
+	evict := func(now time.Duration, maxChecked int, want ...policy.DestinationID) {
 		t.Helper()
 		if got := w.EvictIdle(now, maxChecked, evictable); !slices.Equal(got, want) {
 			t.Errorf("at %v: evicted %v, want %v", now, got, want)
 		}
 	}
-	for i, d := range []int{7, -1, 3, 9} {
+	for i, d := range []policy.DestinationID{7, -1, 3, 9} {
 		now := time.Duration(i) * time.Second
 		if !w.Activate(d, now) || w.Activate(d, now) || !w.Contains(d) {
 			t.Fatalf("destination %d is not activated once", d)
@@ -82,7 +82,7 @@
 func TestEvictIdleEnds(t *testing.T) {
 	w := NewWorkingSet(0)
 	w.Activate(1, 0)
-	if got := w.EvictIdle(0, 100, func(int) bool { return false }); got != nil || !w.Contains(1) {
+	if got := w.EvictIdle(0, 100, func(policy.DestinationID) bool { return false }); got != nil || !w.Contains(1) {
 		t.Errorf("evicted %v", got)
 	}
 }
--- a/internal/state/endpointhealth/endpointhealth.go
+++ b/internal/state/endpointhealth/endpointhealth.go
@@ -45,7 +45,7 @@
 // timestamp on the journal's timeline.
 func FromViews(views []policy.EndpointView, now time.Duration, timestamp time.Time) []Record {
 	var records []Record
-	unhealthyDestinations := map[int]bool{}
+	unhealthyDestinations := map[policy.DestinationID]bool{}
 	for i := range views {
 		record := fromView(&views[i], now, timestamp)
 		if record.unhealthy() && len(records) < maxRecords {
--- a/internal/state/endpointhealth/endpointhealth_test.go
+++ b/internal/state/endpointhealth/endpointhealth_test.go
@@ -82,7 +82,7 @@
 
 // A healthy endpoint has a record only beside an unhealthy one of its destination, and is no change by itself.
 func TestHealthyEndpointsAreRecordedBesideUnhealthyOnes(t *testing.T) {
-	view := func(id string, destination int, warmingUp bool) policy.EndpointView {
+	view := func(id string, destination policy.DestinationID, warmingUp bool) policy.EndpointView {
 		v := policy.EndpointView{RecentlyHealthy: true, WarmingUp: warmingUp}
 		v.ID = id
 		v.Destination = destination
--- a/internal/state/journal/encoding.go
+++ b/internal/state/journal/encoding.go
@@ -145,7 +145,7 @@
 		ID:             policy.MessageID(r.readInt()),
 		Class:          int(r.readInt()),
 		Tenant:         int(r.readInt()),
-		Destination:    int(r.readInt()),
+		Destination:    policy.DestinationID(r.readInt()),
 		Deadline:       r.readTime(),
 		TraceID:        r.readString(),
 		IdempotencyKey: r.readString(),
--- a/internal/state/journal/message.go
+++ b/internal/state/journal/message.go
@@ -17,11 +17,11 @@
 	Class          int              `json:"Class"` // index in the configuration at the time of acceptance
 	// ClassName identifies the class across configurations, in which the same class may have another index. It is ""
 	// if unknown.
-	ClassName   string    `json:"Service"`
-	Tenant      int       `json:"Customer"`
-	Destination int       `json:"Dest"`
-	Deadline    time.Time `json:"Deadline"`
-	Body        []byte    `json:"Body"` // nil if it was left on disk: see Journal.Body
+	ClassName   string               `json:"Service"`
+	Tenant      int                  `json:"Customer"`
+	Destination policy.DestinationID `json:"Dest"`
+	Deadline    time.Time            `json:"Deadline"`
+	Body        []byte               `json:"Body"` // nil if it was left on disk: see Journal.Body
 
 	Attempts int `json:"Attempts"` // made so far
 	// UncertainAttempts are those attempts that may have run: they have no outcome, or one that does not prove that
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -106,7 +106,7 @@
 		Class:          old.Class,
 		ClassName:      old.ClassName,
 		Tenant:         old.Tenant,
-		Destination:    old.Destination,
+		Destination:    policy.DestinationID(old.Destination),
 		Deadline:       old.Deadline,
 		Body:           old.Body,
 		Attempts:       old.Attempts,
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -85,7 +85,7 @@
 		return
 	}
 	longest := slices.MaxFunc(e.active, func(a, b *destination) int {
-		return cmp.Or(len(a.queue)-len(b.queue), b.id-a.id)
+		return cmp.Or(len(a.queue)-len(b.queue), int(b.id-a.id))
 	})
 	for i := len(longest.queue) - 1; i >= max(0, len(longest.queue)-maxQueueScan); i-- {
 		if msg := longest.queue[i]; e.mayShed(msg) {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -27,7 +27,7 @@
 	for i := range 1000 {
 		list = append(list, Endpoint{
 			ID:          fmt.Sprint("r", i),
-			Destination: i % 400,
+			Destination: DestinationID(i % 400),
 			Kind:        i % 2,
 			Weight:      5e5, // so that pacing delays nothing that is measured
 			InService:   i%400 < 200,
@@ -36,8 +36,12 @@
 	now := time.Minute
 	events := []Event{{Kind: EndpointSnapshot, Endpoints: list}}
 	for i := range backlog {
-		id := MessageID(1e9) + MessageID(i)
-		events = append(events, Event{Kind: MessageAccepted, MessageID: id, Destination: 200 + i, TimeLeft: time.Hour})
+		events = append(events, Event{
+			Kind:        MessageAccepted,
+			MessageID:   MessageID(1e9) + MessageID(i),
+			Destination: DestinationID(200 + i),
+			TimeLeft:    time.Hour,
+		})
 	}
 	engine.Step(now, events)
 	now += time.Second // the first calls of a large fleet spread over a while after the list
@@ -46,7 +50,12 @@
 		now += 10 * ms
 		id := MessageID(i)
 		endpointID := ""
-		accepted := Event{Kind: MessageAccepted, MessageID: id, Destination: i % 200, TimeLeft: time.Minute}
+		accepted := Event{
+			Kind:        MessageAccepted,
+			MessageID:   id,
+			Destination: DestinationID(i % 200),
+			TimeLeft:    time.Minute,
+		}
 		for _, a := range engine.Step(now, []Event{accepted}) {
 			if a.Kind == Send {
 				endpointID = a.Endpoint
@@ -73,8 +82,13 @@
 func BenchmarkListsAndTimers(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
-		entry := Endpoint{ID: fmt.Sprint("r", i), Destination: i % 15, Kind: i % 2, Weight: 50, InService: true}
-		list = append(list, entry)
+		list = append(list, Endpoint{
+			ID:          fmt.Sprint("r", i),
+			Destination: DestinationID(i % 15),
+			Kind:        i % 2,
+			Weight:      50,
+			InService:   true,
+		})
 	}
 	for _, test := range []struct {
 		name   string
@@ -99,7 +113,7 @@
 				events = append(events, Event{
 					Kind:        MessageAccepted,
 					MessageID:   MessageID(i),
-					Destination: i,
+					Destination: DestinationID(i),
 					TimeLeft:    1000 * time.Hour,
 				})
 			}
@@ -124,7 +138,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			destinationID := func(i int) int { return i * 7919 % (4 * listed) } // not in the order of i
+			destinationID := func(i int) DestinationID { // not in the order of i
+				return DestinationID(i * 7919 % (4 * listed))
+			}
 			delta := func(i int, removed bool) Event {
 				id := destinationID(i)
 				event := Event{Kind: EndpointDelta, Endpoints: make([]Endpoint, 2)}
@@ -132,7 +148,7 @@
 					event.Endpoints[j] = Endpoint{
 						ID:          fmt.Sprint("ep-", id, "-", j),
 						Destination: id,
-						Kind:        id % 3,
+						Kind:        int(id % 3),
 						Weight:      20,
 						InService:   true,
 						Removed:     removed,
--- a/policy/emptylist_test.go
+++ b/policy/emptylist_test.go
@@ -14,13 +14,13 @@
 // without endpoints.
 type referenceModel struct {
 	warmUp     time.Duration
-	endpoints  map[string]int // destinations by endpoint
-	known      map[int]bool   // destinations
-	emptySince map[int]time.Duration
-	empty      []int // destinations without endpoints, in the order in which they lost their last one
+	endpoints  map[string]DestinationID // destinations by endpoint
+	known      map[DestinationID]bool   // destinations
+	emptySince map[DestinationID]time.Duration
+	empty      []DestinationID // destinations without endpoints, in the order in which they lost their last one
 }
 
-func (model *referenceModel) hasEndpoints(destinationID int) bool {
+func (model *referenceModel) hasEndpoints(destinationID DestinationID) bool {
 	for _, id := range model.endpoints {
 		if id == destinationID {
 			return true
@@ -38,9 +38,9 @@
 	}
 }
 
-func (model *referenceModel) update(now time.Duration, event Event, messageCounts map[int]int) {
+func (model *referenceModel) update(now time.Duration, event Event, messageCounts map[DestinationID]int) {
 	if event.Kind == EndpointSnapshot {
-		byDestination := func(a, b string) int { return model.endpoints[a] - model.endpoints[b] }
+		byDestination := func(a, b string) int { return int(model.endpoints[a] - model.endpoints[b]) }
 		for _, id := range slices.SortedFunc(maps.Keys(model.endpoints), byDestination) {
 			if !slices.ContainsFunc(event.Endpoints, func(entry Endpoint) bool { return entry.ID == id }) {
 				model.remove(now, id)
@@ -55,7 +55,7 @@
 			model.known[entry.Destination] = true
 		}
 	}
-	model.empty = slices.DeleteFunc(model.empty, func(id int) bool {
+	model.empty = slices.DeleteFunc(model.empty, func(id DestinationID) bool {
 		if model.hasEndpoints(id) {
 			delete(model.emptySince, id)
 			return true
@@ -94,7 +94,7 @@
 func (c *churn) entry(i int) Endpoint {
 	return Endpoint{
 		ID:          fmt.Sprint("r", i),
-		Destination: i / 2,
+		Destination: DestinationID(i / 2),
 		Kind:        i / 2 % 3,
 		Zone:        i % 2,
 		Weight:      20,
@@ -140,7 +140,7 @@
 		accepted := Event{
 			Kind:        MessageAccepted,
 			MessageID:   c.nextID,
-			Destination: c.rng.IntN(12),
+			Destination: DestinationID(c.rng.IntN(12)),
 			TimeLeft:    time.Duration(1+c.rng.IntN(20)) * time.Second,
 		}
 		c.nextID++
@@ -162,7 +162,7 @@
 func simulateChurn(
 	t *testing.T,
 	seed uint64,
-	check func(engine *Engine, now time.Duration, list *Event, messageCounts map[int]int),
+	check func(engine *Engine, now time.Duration, list *Event, messageCounts map[DestinationID]int),
 ) uint64 {
 	t.Helper()
 	c := newChurn(t, seed)
@@ -173,7 +173,7 @@
 		if list != nil {
 			events = append([]Event{*list}, events...)
 		}
-		messageCounts := map[int]int{}
+		messageCounts := map[DestinationID]int{}
 		for _, dest := range c.engine.sortedDestinations {
 			messageCounts[dest.id] = dest.messageCount
 		}
@@ -211,11 +211,11 @@
 	for seed := range uint64(30) {
 		model := referenceModel{
 			warmUp:     testSettings().WarmUpDuration,
-			endpoints:  map[string]int{},
-			known:      map[int]bool{},
-			emptySince: map[int]time.Duration{},
+			endpoints:  map[string]DestinationID{},
+			known:      map[DestinationID]bool{},
+			emptySince: map[DestinationID]time.Duration{},
 		}
-		check := func(engine *Engine, now time.Duration, list *Event, messageCounts map[int]int) {
+		check := func(engine *Engine, now time.Duration, list *Event, messageCounts map[DestinationID]int) {
 			if t.Failed() {
 				return
 			}
@@ -234,7 +234,7 @@
 			if !slices.Equal(got, want) {
 				t.Errorf("seed %d, at %v: knows %v, the model %v", seed, now, got, want)
 			}
-			var empty []int
+			var empty []DestinationID
 			for _, dest := range emptyDestinationsOf(engine) {
 				empty = append(empty, dest.id)
 			}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,7 +9,7 @@
 
 // destination is a destination with its scopes and its queue.
 type destination struct {
-	id           int
+	id           DestinationID
 	scopes       []*limitScope // in the order of selection
 	queue        []*message    // waiting, in the order of precedes
 	messageCount int           // messages that are not released yet
@@ -161,7 +161,7 @@
 }
 
 // ensureDestination returns the destination with an id, which it creates if there is none.
-func (e *Engine) ensureDestination(id int) *destination {
+func (e *Engine) ensureDestination(id DestinationID) *destination {
 	if dest := e.destinations[id]; dest != nil {
 		return dest
 	}
@@ -194,4 +194,4 @@
 }
 
 // compareID compares a destination's id with another one.
-func compareID(dest *destination, id int) int { return cmp.Compare(dest.id, id) }
+func compareID(dest *destination, id DestinationID) int { return cmp.Compare(dest.id, id) }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -23,12 +23,12 @@
 	// startedAt is the time of the first step.
 	startedAt time.Duration
 
-	endpoints          map[string]*endpoint // looked up, never iterated: the order of a map is random
-	destinations       map[int]*destination // looked up, never iterated
-	sortedDestinations []*destination       // by id
-	active             []*destination       // with queued messages
-	ready              []*destination       // scratch space of dispatch
-	emptyDestinations  emptyDestinationList // without endpoints, until they are removed
+	endpoints          map[string]*endpoint           // looked up, never iterated: the order of a map is random
+	destinations       map[DestinationID]*destination // looked up, never iterated
+	sortedDestinations []*destination                 // by id
+	active             []*destination                 // with queued messages
+	ready              []*destination                 // scratch space of dispatch
+	emptyDestinations  emptyDestinationList           // without endpoints, until they are removed
 
 	messages          map[MessageID]*message
 	pendingMessages   int // messages without a final answer
@@ -65,7 +65,7 @@
 		pcg:                  pcg,
 		rng:                  rand.New(pcg),
 		endpoints:            map[string]*endpoint{},
-		destinations:         map[int]*destination{},
+		destinations:         map[DestinationID]*destination{},
 		messages:             map[MessageID]*message{},
 		keyQueues:            map[string]*keyQueue{},
 		lowestReportedLimit:  map[int]float64{},
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -27,12 +27,18 @@
 	h := newHarness(t, settings)
 	for i := range 300 {
 		id, name := MessageID(i), fmt.Sprint("r", i)
-		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, InService: true}}})
-		h.step(
-			Event{Kind: MessageAccepted, MessageID: id, Key: name, Class: 2, Destination: i, TimeLeft: 9 * time.Second},
-		)
+		destination := DestinationID(i)
+		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: destination, InService: true}}})
+		h.step(Event{
+			Kind:        MessageAccepted,
+			MessageID:   id,
+			Key:         name,
+			Class:       2,
+			Destination: destination,
+			TimeLeft:    9 * time.Second,
+		})
 		h.finish(id, name, Timeout, time.Second, 0)
-		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: i, Removed: true}}})
+		h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: name, Destination: destination, Removed: true}}})
 	}
 	h.now += time.Minute
 	h.step(Event{Kind: TimerFired}, Event{Kind: EndpointDelta})
--- a/policy/event.go
+++ b/policy/event.go
@@ -17,12 +17,15 @@
 	NotSent                      // the call never left the relay
 )
 
+// DestinationID identifies a destination: the number that the endpoint list and the messages give it.
+type DestinationID int
+
 // Endpoint is one entry of the endpoint list. Recordings keep it under the tags, as all types of this file.
 type Endpoint struct {
-	ID          string `json:"Route"`
-	Destination int    `json:"Destination"`
-	Kind        int    `json:"Kind"` // index into Settings.DestinationKinds
-	Zone        int    `json:"Zone"`
+	ID          string        `json:"Route"`
+	Destination DestinationID `json:"Destination"`
+	Kind        int           `json:"Kind"` // index into Settings.DestinationKinds
+	Zone        int           `json:"Zone"`
 	// Weight is the capacity in calls a second from all relays together; 0: not known.
 	Weight float64 `json:"Weight"`
 	// InService is false while the endpoint is draining.
@@ -75,7 +78,7 @@
 	Key         string            `json:"Key"`      // ordering key; empty: none
 	Class       int               `json:"Class"`    // index into Settings.Classes
 	Tenant      int               `json:"Customer"` // index into Settings.Tenants
-	Destination int               `json:"Destination"`
+	Destination DestinationID     `json:"Destination"`
 	TimeLeft    time.Duration     `json:"Left"`    // time to the deadline
 	Recovered   *RecoveredMessage `json:"Resumed"` // set if an earlier process accepted the message
 
--- a/policy/eviction.go
+++ b/policy/eviction.go
@@ -14,8 +14,8 @@
 //
 // It looks neither at a single failure nor at a single rejection: the caller waits for WarmUpDuration without use of
 // the destination first. Evictable changes nothing.
-func (e *Engine) Evictable(destinationID int) bool {
-	dest := e.destinations[destinationID]
+func (e *Engine) Evictable(id DestinationID) bool {
+	dest := e.destinations[id]
 	return dest == nil || dest.messageCount == 0 && !slices.ContainsFunc(dest.scopes, e.hasBindingState)
 }
 
--- a/policy/eviction_property_test.go
+++ b/policy/eviction_property_test.go
@@ -41,9 +41,9 @@
 	endpoints         []Endpoint
 	calls             []streamCall
 	retryAfterUntil   map[string]time.Duration
-	consecutiveErrors map[string]int           // by scope
-	recoveredAt       map[string]time.Duration // first delivery after three of them, by scope
-	pending           map[MessageID]int        // destinations of pending messages
+	consecutiveErrors map[string]int              // by scope
+	recoveredAt       map[string]time.Duration    // first delivery after three of them, by scope
+	pending           map[MessageID]DestinationID // destinations of pending messages
 	attempts          map[MessageID]int
 	nextID            MessageID
 	timerAt           time.Duration
@@ -75,14 +75,14 @@
 		retryAfterUntil:   map[string]time.Duration{},
 		consecutiveErrors: map[string]int{},
 		recoveredAt:       map[string]time.Duration{},
-		pending:           map[MessageID]int{},
+		pending:           map[MessageID]DestinationID{},
 		attempts:          map[MessageID]int{},
 		nextID:            1,
 	}
 	for i := range 8 {
 		stream.endpoints = append(stream.endpoints, Endpoint{
 			ID:          fmt.Sprint("r", i),
-			Destination: i % 3,
+			Destination: DestinationID(i % 3),
 			Kind:        i % 3 % 2,
 			Zone:        i % 2,
 			Weight:      50,
@@ -180,7 +180,7 @@
 
 // bindingState describes state of a destination that an eviction would lose; "" if there is none. It looks at the
 // records and at what would block a message in a copy of the Engine.
-func (stream *eventStream) bindingState(destinationID int) string {
+func (stream *eventStream) bindingState(destinationID DestinationID) string {
 	for id, pendingAt := range stream.pending {
 		if pendingAt == destinationID {
 			return fmt.Sprintf("message %d", id)
@@ -217,7 +217,7 @@
 
 // blockerOf describes what would block a message for a destination in a copy of the Engine; "" if nothing would that
 // its eviction loses.
-func (stream *eventStream) blockerOf(destinationID int) string {
+func (stream *eventStream) blockerOf(destinationID DestinationID) string {
 	const probeID = math.MaxUint32
 	engine, err := Restore(stream.engine.settings, stream.engine.Snapshot(nil))
 	if err != nil {
@@ -291,7 +291,7 @@
 // checkEvictions describes the first destination that is evictable with binding state; "" if there is none.
 func (stream *eventStream) checkEvictions(eviction *forgetfulEviction, evictable *int) (wrong string) {
 	before := stream.engine.Snapshot(nil)
-	for destinationID := range 3 {
+	for destinationID := range DestinationID(3) {
 		if wrong != "" || !eviction.evictable(stream.t, stream.engine, destinationID) {
 			continue
 		}
@@ -309,7 +309,7 @@
 func (stream *eventStream) acceptRandom(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "n") {
 		id := stream.nextID
-		destinationID := rapid.IntRange(0, 2).Draw(t, "destination")
+		destinationID := DestinationID(rapid.IntRange(0, 2).Draw(t, "destination"))
 		stream.pending[id] = destinationID
 		stream.nextID++
 		accepted := Event{Kind: MessageAccepted, MessageID: id, Destination: destinationID, TimeLeft: 9 * time.Second}
--- a/policy/eviction_test.go
+++ b/policy/eviction_test.go
@@ -13,7 +13,7 @@
 }
 
 // evictable reports what Evictable would; a nil eviction overlooks nothing.
-func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID int) bool {
+func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID DestinationID) bool {
 	if eviction == nil {
 		return engine.Evictable(destinationID)
 	}
--- a/policy/evictor_test.go
+++ b/policy/evictor_test.go
@@ -15,7 +15,7 @@
 	idleTime  time.Duration // without an event of the destination, before an eviction
 	engine    *Engine
 	endpoints []Endpoint
-	lastUsed  map[int]time.Duration
+	lastUsed  map[DestinationID]time.Duration
 	evictions int
 }
 
@@ -24,7 +24,7 @@
 	if ev.engine != engine {
 		ev.engine = engine
 		ev.endpoints = nil
-		ev.lastUsed = map[int]time.Duration{}
+		ev.lastUsed = map[DestinationID]time.Duration{}
 	}
 	var forwarded []Event
 	for _, event := range events {
@@ -47,7 +47,7 @@
 		forwarded = append(forwarded, event)
 	}
 	actions := slices.Clone(engine.Step(now, forwarded))
-	for destinationID := range 5 {
+	for destinationID := range DestinationID(5) {
 		usedAt, listed := ev.lastUsed[destinationID]
 		if listed && now >= usedAt+ev.idleTime && ev.forgetful.evictable(ev.t, engine, destinationID) {
 			actions = append(actions, engine.Step(now, []Event{ev.listing(destinationID, true)})...)
@@ -79,7 +79,7 @@
 }
 
 // listing returns the event that adds all endpoints of a destination, or removes them.
-func (ev *evictor) listing(destinationID int, removed bool) Event {
+func (ev *evictor) listing(destinationID DestinationID, removed bool) Event {
 	event := Event{Kind: EndpointDelta}
 	for _, entry := range ev.endpoints {
 		if entry.Destination == destinationID {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -107,7 +107,7 @@
 	for i := range 6 {
 		list.Endpoints = append(list.Endpoints, Endpoint{
 			ID:          fmt.Sprint("s-", i),
-			Destination: 1 + i/2,
+			Destination: DestinationID(1 + i/2),
 			Kind:        i / 4,
 			Zone:        i % 2,
 			Weight:      20,
@@ -124,7 +124,7 @@
 		MessageID:   id,
 		Key:         fmt.Sprint("key ", id%2),
 		Class:       int(id % 3),
-		Destination: 1 + int(id%3),
+		Destination: DestinationID(1 + id%3),
 		TimeLeft:    10 * time.Second,
 	}
 	if id == 12 {
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -108,7 +108,7 @@
 	for i := range memoryRoundEndpoints {
 		list = append(list, Endpoint{
 			ID:          fmt.Sprintf("r%d-%d", round, i),
-			Destination: round*memoryRoundEndpoints + i,
+			Destination: DestinationID(round*memoryRoundEndpoints + i),
 			Kind:        i % 2,
 			Zone:        i % 2,
 			Weight:      3000,
@@ -142,7 +142,7 @@
 		MessageID:   run.lastID,
 		Class:       int(run.lastID) % 2,
 		Key:         fmt.Sprint("k", run.lastID/3),
-		Destination: round*memoryRoundEndpoints + run.rng.IntN(memoryRoundEndpoints),
+		Destination: DestinationID(round*memoryRoundEndpoints + run.rng.IntN(memoryRoundEndpoints)),
 		TimeLeft:    5 * time.Second,
 	}}
 	if run.leak {
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -11,7 +11,7 @@
 // restartMessage is a message that a restart finds, and what became of it.
 type restartMessage struct {
 	id          MessageID
-	destination int
+	destination DestinationID
 	untried     bool
 	timeLeft    time.Duration
 	sentAfter   time.Duration // since the restart; -1: never
@@ -27,9 +27,9 @@
 	lateEndpoints []Endpoint // those listed after lateAfter only
 	lateAfter     time.Duration
 	messages      []*restartMessage
-	inService     map[int]bool             // destinations with an endpoint in service
-	listedLate    map[int]bool             // destinations whose endpoints are listed late
-	impaired      map[int]bool             // destinations with a known failure, rejection or Retry-After
+	inService     map[DestinationID]bool   // destinations with an endpoint in service
+	listedLate    map[DestinationID]bool   // destinations whose endpoints are listed late
+	impaired      map[DestinationID]bool   // destinations with a known failure, rejection or Retry-After
 	retryAfter    map[string]time.Duration // by endpoint
 }
 
@@ -44,9 +44,9 @@
 	settings.MaxPendingMessages = 0
 	restart := &restartCase{
 		settings:   settings,
-		inService:  map[int]bool{},
-		listedLate: map[int]bool{},
-		impaired:   map[int]bool{},
+		inService:  map[DestinationID]bool{},
+		listedLate: map[DestinationID]bool{},
+		impaired:   map[DestinationID]bool{},
 		retryAfter: map[string]time.Duration{},
 	}
 	restart.lateAfter = time.Duration(rng.IntN(2000)) * ms
@@ -62,14 +62,14 @@
 func (restart *restartCase) addEndpoints(rng *rand.Rand) {
 	snapshot := Event{Kind: EndpointSnapshot}
 	var health []Event
-	for destinationID := range 1 + rng.IntN(5) {
+	for destinationID := range DestinationID(1 + rng.IntN(5)) {
 		late := rng.IntN(5) == 0
 		restart.listedLate[destinationID] = late
 		for i := range 1 + rng.IntN(3) {
 			entry := Endpoint{
 				ID:          fmt.Sprintf("r%d-%d", destinationID, i),
 				Destination: destinationID,
-				Kind:        destinationID % 2,
+				Kind:        int(destinationID % 2),
 				Zone:        i % 2,
 				Weight:      1 + float64(rng.IntN(60)),
 				InService:   rng.IntN(6) > 0,
@@ -117,7 +117,7 @@
 		classIndex := rng.IntN(len(restart.settings.Classes))
 		msg := &restartMessage{
 			id:          id + 1,
-			destination: rng.IntN(len(restart.listedLate)),
+			destination: DestinationID(rng.IntN(len(restart.listedLate))),
 			sentAfter:   -1,
 			endedAfter:  -1,
 			untried:     true,
@@ -152,8 +152,8 @@
 	now      time.Duration
 	messages map[MessageID]*restartMessage
 	answers  []pendingEvent
-	calls    map[int]int // by destination
-	listed   bool        // the late endpoints
+	calls    map[DestinationID]int // by destination
+	listed   bool                  // the late endpoints
 }
 
 const (
@@ -162,7 +162,7 @@
 )
 
 // run runs a relay until the time of all messages is up. It counts the calls to each destination.
-func (restart *restartCase) run(t *testing.T, seed uint64) (calls map[int]int) {
+func (restart *restartCase) run(t *testing.T, seed uint64) (calls map[DestinationID]int) {
 	t.Helper()
 	engine, err := New(restart.settings, seed)
 	if err != nil {
@@ -173,7 +173,7 @@
 		engine:   engine,
 		now:      restartedAt,
 		messages: map[MessageID]*restartMessage{},
-		calls:    map[int]int{},
+		calls:    map[DestinationID]int{},
 		listed:   len(restart.lateEndpoints) == 0,
 	}
 	for _, msg := range restart.messages {
@@ -242,7 +242,7 @@
 }
 
 // blockedBeyond reports whether a Retry-After of at least d blocks every endpoint of a destination.
-func (restart *restartCase) blockedBeyond(destinationID int, d time.Duration) bool {
+func (restart *restartCase) blockedBeyond(destinationID DestinationID, d time.Duration) bool {
 	longest, all := time.Duration(0), true
 	for _, entry := range restart.endpoints {
 		if entry.Destination == destinationID {
@@ -255,7 +255,7 @@
 }
 
 // faults judges what became of the messages, by the numbers of calls to each destination.
-func (restart *restartCase) faults(calls map[int]int) (faults []string) {
+func (restart *restartCase) faults(calls map[DestinationID]int) (faults []string) {
 	for _, msg := range restart.messages {
 		if !msg.untried || msg.sentAfter >= 0 {
 			continue
@@ -268,7 +268,7 @@
 }
 
 // faultOf judges what became of a message that was found untried and never sent; "" if nothing is wrong.
-func (restart *restartCase) faultOf(msg *restartMessage, calls map[int]int) string {
+func (restart *restartCase) faultOf(msg *restartMessage, calls map[DestinationID]int) string {
 	const spread = MaxInitialSpread + 200*ms // the first calls of a large fleet come within this
 	listedAfter := time.Duration(0)
 	if restart.listedLate[msg.destination] {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -17,7 +17,7 @@
 	settings  Settings
 	now       time.Duration
 	endpoints []Endpoint
-	outages   map[int]outage // by destination
+	outages   map[DestinationID]outage // by destination
 	pending   []pendingEvent
 	nextID    MessageID
 	delivered int
@@ -60,7 +60,7 @@
 	id          MessageID
 	class       Class
 	key         string
-	destination int
+	destination DestinationID
 	deadline    time.Duration
 	attempts    []sentAttempt
 	ended       bool
@@ -149,16 +149,16 @@
 		rng:        rng,
 		settings:   randomSettings(rng),
 		now:        time.Minute,
-		outages:    map[int]outage{},
+		outages:    map[DestinationID]outage{},
 		violations: map[int]string{},
 		nextID:     1,
 	}
-	for destinationID := range 4 {
+	for destinationID := range DestinationID(4) {
 		for i := range 1 + rng.IntN(3) {
 			sim.endpoints = append(sim.endpoints, Endpoint{
 				ID:          fmt.Sprintf("r%d-%d", destinationID, i),
 				Destination: destinationID,
-				Kind:        destinationID % 2,
+				Kind:        int(destinationID % 2),
 				Zone:        i % 2,
 				Weight:      listedWeight,
 				InService:   true,
@@ -224,7 +224,7 @@
 	if class.Ordered {
 		key = fmt.Sprint("k", sim.rng.IntN(5))
 	}
-	msg := &clientMessage{id: sim.nextID, class: class, key: key, destination: sim.rng.IntN(5)}
+	msg := &clientMessage{id: sim.nextID, class: class, key: key, destination: DestinationID(sim.rng.IntN(5))}
 	left := class.Deadline - time.Duration(sim.rng.IntN(2000))*time.Millisecond
 	msg.deadline = sim.now + left
 	sim.nextID++
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -141,7 +141,8 @@
 // codeDestination codes a destination without its queue.
 func (e *Engine) codeDestination(coder *statecodec.Coder, p **destination) {
 	statecodec.NonNil(coder, p, func(dest *destination) {
-		coder.Ints(&dest.id, &dest.messageCount, &dest.activeIndex)
+		statecodec.Int(coder, &dest.id)
+		coder.Ints(&dest.messageCount, &dest.activeIndex)
 		coder.Durations(&dest.blockedUntil, &dest.emptySince)
 		statecodec.List(coder, &dest.scopes, func(scope **limitScope) { e.codeScope(coder, scope) })
 	})
@@ -174,9 +175,9 @@
 // codeEndpoint codes an endpoint with its calls.
 func (e *Engine) codeEndpoint(coder *statecodec.Coder, ep *endpoint) {
 	coder.Text(&ep.ID)
+	statecodec.Int(coder, &ep.Destination)
 	coder.Ints(
-		&ep.Destination, &ep.Kind, &ep.Zone,
-		&ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections,
+		&ep.Kind, &ep.Zone, &ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections,
 	)
 	coder.Floats(&ep.Weight)
 	coder.Bools(&ep.InService, &ep.Removed, &ep.ejected, &ep.warmingUp, &ep.weaklySuspected, &ep.answerLost)
