--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -134,11 +134,11 @@
 	var summary []string
 	for _, f := range files {
 		opts := rehearsal.Options{
-			Dir:    folder(c.Out, f.Name),
-			Binary: path,
-			Seed:   c.Seed,
-			Port:   c.Port,
-			Record: c.Record || c.KeepAll,
+			Dir:             folder(c.Out, f.Name),
+			Binary:          path,
+			Seed:            c.Seed,
+			Port:            c.Port,
+			RecordDecisions: c.Record || c.KeepAll,
 		}
 		if !c.Quiet {
 			fmt.Fprintf(s.Err, "%s: %s\n", f.Name, f.Description)
@@ -157,7 +157,7 @@
 		if err := tell(s.Out, opts.Dir, r); err != nil {
 			return err
 		}
-		if opts.Record {
+		if opts.RecordDecisions {
 			if err := c.recordings(s.Out, opts.Dir, r); err != nil {
 				return err
 			}
@@ -199,8 +199,8 @@
 // progress shows how a run goes, on one line.
 func progress(w io.Writer, p rehearsal.Progress) {
 	const width = 30
-	done := min(width, int(width*p.At/max(1, p.Length)))
-	on := strings.Join(p.Troubles, " ")
+	done := min(width, int(width*p.Elapsed/max(1, p.Length)))
+	on := strings.Join(p.ActiveFaults, " ")
 	if p.Settling {
 		on = "waiting for the last ends"
 	}
@@ -209,9 +209,9 @@
 		"\r\x1b[K[%s%s] %3.0fs of %.0fs  %d handed in  %s",
 		strings.Repeat("#", done),
 		strings.Repeat(".", width-done),
-		p.At.Seconds(),
+		p.Elapsed.Seconds(),
 		p.Length.Seconds(),
-		p.HandedIn,
+		p.Submitted,
 		on,
 	)
 }
--- a/internal/testkit/rehearsal/child_linux.go
+++ b/internal/testkit/rehearsal/child_linux.go
@@ -2,5 +2,5 @@
 
 import "syscall"
 
-// childAttr has a relay die with the rehearsal, also with one that is killed: none is left behind.
-func childAttr() *syscall.SysProcAttr { return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} }
+// childAttributes has the kernel kill a relay when the rehearsal dies, also when it is killed: no process is left.
+func childAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} }
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -195,7 +195,7 @@
 	r, err := Run(
 		context.Background(),
 		f,
-		Options{Dir: dir, Binary: binary, Progress: func(Progress) { told++ }, Record: true},
+		Options{Dir: dir, Binary: binary, Progress: func(Progress) { told++ }, RecordDecisions: true},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -333,8 +333,8 @@
 		opts Options
 		want string
 	}{
-		{"never ready", Options{Binary: script(t, "echo I am lost >&2; exec sleep 60"), ReadyWithin: 300 * time.Millisecond}, "was not ready within 300ms; its log ends with:\nI am lost"},
-		{"ends at once", Options{Binary: script(t, "echo no disk >&2; exit 3"), ReadyWithin: 5 * time.Second}, "ended before it was ready: exit status 3; its log ends with:\nno disk"},
+		{"never ready", Options{Binary: script(t, "echo I am lost >&2; exec sleep 60"), ReadyTimeout: 300 * time.Millisecond}, "was not ready within 300ms; its log ends with:\nI am lost"},
+		{"ends at once", Options{Binary: script(t, "echo no disk >&2; exit 3"), ReadyTimeout: 5 * time.Second}, "ended before it was ready: exit status 3; its log ends with:\nno disk"},
 		{"no program", Options{Binary: "/nonexistent"}, "no such file"},
 		{"port in use", Options{Binary: binary, Port: port}, fmt.Sprintf("port %d is in use", port)},
 	} {
@@ -360,7 +360,7 @@
 	defer cancel()
 	f := parse(t, "60s", 2, "")
 	r, err := Run(ctx, f, Options{Dir: dir, Binary: binary, Progress: func(p Progress) {
-		if p.HandedIn > 30 {
+		if p.Submitted > 30 {
 			cancel()
 		}
 	}})
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -17,301 +16,236 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The parts of a restart, as the platform has them.
+// The times of a restart, as on the platform.
 const (
-	frontNotices = 300 * time.Millisecond // from SIGTERM until no new connections come
-	killAfter    = 3700 * time.Millisecond
-	startAfter   = 600 * time.Millisecond // from the end of a process to the next
-	pollEvery    = 10 * time.Millisecond
-	logTail      = 2 << 10
+	clientStopDelay    = 300 * time.Millisecond  // from SIGTERM until clients make no new connections
+	terminateTimeout   = 3700 * time.Millisecond // from SIGTERM until SIGKILL
+	restartDelay       = 600 * time.Millisecond  // from the end of a process to the next
+	readyPollInterval  = 10 * time.Millisecond
+	healthCheckTimeout = time.Second
+)
+
+const (
+	logName    = "log"
+	maxLogTail = 2 << 10 // bytes of the log in an error
 )
 
 // relay is one relay under its name and address, over its restarts.
 type relay struct {
-	name    string
-	binary  string
-	dir     string // of its configuration, state and log
-	addr    string
-	release func() // of addr
-	rec     *eventlog.Writer
-	agent   *fake.DiscoveryAgent
-	clients *fake.Clients
-	file    scenario.File
-	record  bool         // it records its decisions
-	fleet   *fleetMember // nil: it belongs to none
+	name            string
+	binary          string
+	dir             string // of its configuration, state and log
+	addr            string
+	releaseAddr     func()
+	readyTimeout    time.Duration
+	recordDecisions bool
+	record          *eventlog.Writer
+	agent           *fake.DiscoveryAgent
+	clients         *fake.Clients
+	file            scenario.File
+	fleet           *fleetMember // nil: it belongs to none
 
-	mu     sync.Mutex // guards a restart against another
+	mu     sync.Mutex // serializes what starts, stops and signals the process
 	cmd    *exec.Cmd
 	exited chan struct{} // closed when the process has ended
 }
 
-// reserve keeps an address for a relay; port 0 lets the system choose.
-func reserve(port int) (addr string, release func(), err error) {
+func stateDir(relayDir string) string { return relayprocess.StateFolder(relayDir) }
+
+// reserveAddress reserves an address for a relay; port 0 lets the system choose one.
+func reserveAddress(port int) (addr string, release func(), err error) {
 	addr, release, err = fake.ReserveAddress("127.0.0.1:" + strconv.Itoa(port))
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return "", nil, fmt.Errorf("rehearsal: port %d is in use: choose another with -port, or none: %w", port, err)
-	} else if err != nil {
+	}
+	if err != nil {
 		return "", nil, fmt.Errorf("rehearsal: %w", err)
 	}
 	return addr, release, nil
 }
 
-// config is the relay's configuration file.
-func (r *relay) config() ([]byte, error) {
-	s := r.file.Settings
-	ms := func(d scenario.Duration) float64 { return float64(d.AsDuration()) / float64(time.Millisecond) }
-	var services, realms []map[string]any
-	for _, c := range r.file.Classes {
-		services = append(services, map[string]any{
-			"name": c.Name, "group": c.DedupScope, "goal_time_ms": ms(c.LatencyObjective), "give_up_ms": ms(c.Deadline), "repeat_window_ms": ms(c.DedupWindow),
-			"late_worth": c.LateWeightRatio, "value": c.Weight, "by_arrival": c.Ordered, "stream": false,
-			"semantics": map[eventlog.Effect]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[c.Effect],
-		})
-	}
-	shares := 0.0
-	for _, c := range r.file.Customers {
-		shares += c.TrafficShare
-	}
-	for _, c := range r.file.Customers {
-		realms = append(realms, map[string]any{"name": c.Name, "share": c.TrafficShare / shares, "quota_per_s": c.Quota})
-	}
-	var kinds []string
-	var perCall []int
-	var separate []bool
-	cold, warm := 1.0, 0.0
-	for _, k := range r.file.DestinationKinds {
-		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.MaxMessagesPerCall), append(separate, k.SeparateEndpoints)
-		cold, warm = min(cold, k.WarmUpInitialCapacity), max(warm, ms(k.WarmUpDuration))
+// start starts the process and waits until it is ready.
+func (r *relay) start(ctx context.Context) error {
+	if err := r.writeConfig(); err != nil {
+		return err
 	}
-	return json.MarshalIndent(map[string]any{
-		"name": r.name, "listen": r.addr, "discovery": r.agent.Addr(), "seed": fmt.Sprintf("%016x", r.file.Seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.MaxSockets, "disk_mb": s.DiskMB},
-		"known":  r.agent.NotifiedList(),
-		"settings": map[string]any{
-			"bounds": map[string]any{
-				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAliveTimeout), "may_duplicate": *s.DuplicatesAllowed,
-				"max_retry_after_ms": ms(
-					s.MaxRetryAfter,
-				), "retry_after": true, "open_cap": s.MaxMessages, "send_cap": s.MaxAttempts,
-				"probes": false, "peers": false,
-			},
-			"extra": map[string]any{
-				"call_slots": s.MaxConcurrentCalls, "per_call": perCall, "separate_routes": separate, "loses_worth": "even",
-			},
-			"fleet_size": r.file.Relays, "kinds": kinds, "zones": r.file.Zones, "tick_ms": ms(s.Tick),
-			"membership_mode": "push", "weight_kind": "nominal", "over_share_worth": *s.OverShareWeightRatio,
-			"rules": map[string]any{
-				"stop_sending_within_ms": ms(
-					s.DrainGrace,
-				), "overload_factor": s.OverloadFactor, "fall_ms": ms(s.OverloadWindow),
-				"cold_from": cold, "warm_within_ms": warm, "order_pause_ms": ms(s.OrderingPause), "answer_slack_ms": 20.0,
-			},
-			"services": services, "realms": realms, "stats": map[string]any{"how": "none"},
-		},
-	}, "", " ")
-}
-
-func (r *relay) writeConfig() error {
-	data, err := r.config()
+	args, err := r.writeOperatorFile()
 	if err != nil {
-		return fmt.Errorf("rehearsal: configuration of %s: %w", r.name, err)
+		return err
 	}
-	// Put in place whole: a relay that reads it again must not find half of it.
-	temp := filepath.Join(r.dir, "config.tmp")
-	if err := os.WriteFile(temp, data, 0o600); err != nil {
-		return fmt.Errorf("rehearsal: %w", err)
+	if err := r.startProcess(args); err != nil {
+		return err
 	}
-	if err := os.Rename(temp, filepath.Join(r.dir, "config.json")); err != nil {
-		return fmt.Errorf("rehearsal: %w", err)
+	if err := r.waitUntilReady(ctx); err != nil {
+		r.kill()
+		return err
 	}
+	r.recordState(eventlog.StateUp)
+	r.clients.SetAccepting(true)
 	return nil
 }
 
-// operator writes the operator's file, if there is anything to set, and returns the arguments that name it.
-func (r *relay) operator() (args []string, err error) {
-	text := ""
-	if r.record {
-		text = fmt.Sprintf(
-			"[recorder]\nenabled = true\nwrite = \"all\"\nfolder = %q\nfolder_mb = 1024\n",
-			filepath.Join(r.dir, RecordingsName),
-		)
-	}
-	if r.fleet != nil {
-		text += r.fleet.text(r.name, r.file.Fleet)
-	}
-	if text == "" {
-		return nil, nil
-	}
-	path := filepath.Join(r.dir, "operator.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
-	}
-	return []string{"serve", "--operator", path}, nil
-}
-
-// start starts the process and waits until it is ready.
-func (r *relay) start(ctx context.Context, within time.Duration) error {
-	if err := r.writeConfig(); err != nil {
-		return err
-	}
-	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (r *relay) startProcess(args []string) error {
+	log, err := os.OpenFile(filepath.Join(r.dir, logName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
-	defer log.Close()
-	args, err := r.operator()
-	if err != nil {
-		return err
-	}
-	cmd := exec.Command(r.binary, args...)
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.Env = append(os.Environ(), "ROUTER_NAME="+r.name, "ROUTER_LISTEN="+r.addr, "ROUTER_DISCOVERY="+r.agent.Addr(),
-		"ROUTER_STATE="+filepath.Join(r.dir, "state"), "ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"))
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	// A relay ends by the steps of the plan and by stop, not with a context.
+	cmd := relayprocess.Command(context.Background(), relayprocess.Settings{
+		Program:   r.binary,
+		Folder:    r.dir,
+		Addr:      r.addr,
+		Discovery: r.agent.Addr(),
+	})
+	cmd.Args = append(cmd.Args, args...)
+	cmd.Env = append(cmd.Env, "ROUTER_NAME="+r.name)
 	if r.fleet != nil {
-		cmd.Env = append(cmd.Env, "ROUTER_MANAGEMENT="+r.fleet.second)
+		cmd.Env = append(cmd.Env, "ROUTER_MANAGEMENT="+r.fleet.adminAddr)
 	}
-	cmd.SysProcAttr = childAttr()
+	cmd.Stdout, cmd.Stderr = log, log
+	cmd.SysProcAttr = childAttributes()
 	r.agent.SetRelayRunning(true)
-	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateStart})
+	r.recordState(eventlog.StateStart)
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: start %s: %w", r.name, err)
 	}
 	exited := make(chan struct{})
 	r.cmd, r.exited = cmd, exited
 	go func() {
-		err := cmd.Wait()
-		cause := ""
-		if err != nil {
-			cause = err.Error()
-		}
-		r.clients.SetAccepting(false)
-		r.agent.SetRelayRunning(false)
-		r.rec.Add(
-			eventlog.Event{
-				Kind:   eventlog.ProcessChanged,
-				Relay:  r.name,
-				State:  eventlog.StateExit,
-				Status: cmd.ProcessState.ExitCode(),
-				Cause:  cause,
-			},
-		)
-		close(exited)
+		defer close(exited)
+		r.waitForExit(cmd)
 	}()
-	if err := r.ready(ctx, within); err != nil {
-		r.kill()
-		return err
-	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateUp})
-	r.clients.SetAccepting(true)
 	return nil
 }
 
-// ready asks until the relay says that it is.
-func (r *relay) ready(ctx context.Context, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// waitForExit waits for the end of a process and records it.
+func (r *relay) waitForExit(cmd *exec.Cmd) {
+	cause := ""
+	if err := cmd.Wait(); err != nil {
+		cause = err.Error()
+	}
+	r.clients.SetAccepting(false)
+	r.agent.SetRelayRunning(false)
+	r.record.Add(eventlog.Event{
+		Kind:   eventlog.ProcessChanged,
+		Relay:  r.name,
+		State:  eventlog.StateExit,
+		Status: cmd.ProcessState.ExitCode(),
+		Cause:  cause,
+	})
+}
+
+func (r *relay) recordState(state string) {
+	r.record.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
+}
+
+// waitUntilReady polls the relay's health check.
+func (r *relay) waitUntilReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, r.readyTimeout)
 	defer cancel()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.addr+"/_health", nil)
-		if err != nil {
-			return fmt.Errorf("rehearsal: %w", err)
-		}
-		if res, err := client.Do(req); err == nil {
-			res.Body.Close()
-			if res.StatusCode == http.StatusOK {
-				return nil
-			}
-		}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: healthCheckTimeout}
+	for !relayprocess.Ready(client, r.addr) {
 		select {
 		case <-r.exited:
-			return fmt.Errorf(
-				"rehearsal: %s ended before it was ready: %s%s",
-				r.name,
-				r.cmd.ProcessState,
-				r.lastWords(),
-			)
+			return fmt.Errorf("rehearsal: %s ended before it was ready: %s%s", r.name, r.cmd.ProcessState, r.logTail())
 		case <-ctx.Done():
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				return fmt.Errorf("rehearsal: %s was not ready within %v%s", r.name, within, r.lastWords())
+				return fmt.Errorf("rehearsal: %s was not ready within %v%s", r.name, r.readyTimeout, r.logTail())
 			}
 			return ctx.Err()
-		case <-time.After(pollEvery):
+		case <-time.After(readyPollInterval):
 		}
 	}
+	return nil
 }
 
-// lastWords is the end of the relay's log.
-func (r *relay) lastWords() string {
-	data, err := os.ReadFile(filepath.Join(r.dir, "log"))
+// logTail returns the end of the relay's log as the end of an error; "" if there is none.
+func (r *relay) logTail() string {
+	data, err := os.ReadFile(filepath.Join(r.dir, logName))
 	if err != nil || len(data) == 0 {
 		return ""
 	}
-	return "; its log ends with:\n" + strings.TrimSpace(string(data[max(0, len(data)-logTail):]))
-}
-
-// signal sends a signal that ends the process, and records it first.
-func (r *relay) signal(s os.Signal, state string) {
-	if r.cmd == nil {
-		return
-	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: state})
-	r.cmd.Process.Signal(s) // it may have ended already
+	return "; its log ends with:\n" + strings.TrimSpace(string(data[max(0, len(data)-maxLogTail):]))
 }
 
-// kill ends the process at once, and waits for it.
-func (r *relay) kill() {
+// hasExited returns whether there is no process, or it has ended.
+func (r *relay) hasExited() bool {
 	if r.cmd == nil {
-		return
+		return true
 	}
 	select {
 	case <-r.exited:
+		return true
 	default:
-		r.signal(syscall.SIGKILL, eventlog.StateKill)
-		<-r.exited
+		return false
 	}
 }
 
-// terminate ends the process in order, or by force when its time is up.
-func (r *relay) terminate() {
-	if r.cmd == nil {
+// signal records that the process changes to a state, and sends it a signal.
+func (r *relay) signal(signal syscall.Signal, state string) error {
+	r.recordState(state)
+	if err := r.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		return fmt.Errorf("rehearsal: %v to %s: %w", signal, r.name, err)
+	}
+	return nil
+}
+
+// kill ends the process at once, and waits for its end.
+func (r *relay) kill() {
+	if r.hasExited() {
 		return
 	}
-	select {
-	case <-r.exited:
+	_ = r.signal(syscall.SIGKILL, eventlog.StateKill) // it may have ended already
+	<-r.exited
+}
+
+// terminate ends the process gracefully, or by force after the timeout.
+func (r *relay) terminate() {
+	if r.hasExited() {
 		return
-	default:
 	}
-	r.signal(syscall.SIGTERM, eventlog.StateTerm)
-	front := time.AfterFunc(frontNotices, func() { r.clients.SetAccepting(false) })
-	defer front.Stop()
+	_ = r.signal(syscall.SIGTERM, eventlog.StateTerm) // it may have ended already
+	stopClients := time.AfterFunc(clientStopDelay, func() { r.clients.SetAccepting(false) })
+	defer stopClients.Stop()
 	select {
 	case <-r.exited:
-	case <-time.After(killAfter):
+	case <-time.After(terminateTimeout):
 		r.kill()
 	}
 }
 
-// restart ends the process and starts it again, on the folder that it left or another one.
-func (r *relay) restart(ctx context.Context, planned bool, folder scenario.StateFolder, within time.Duration) error {
+// stop ends the process for good.
+func (r *relay) stop(graceful bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if planned {
+	r.end(graceful)
+}
+
+func (r *relay) end(graceful bool) {
+	if graceful {
 		r.terminate()
 	} else {
 		r.kill()
 	}
-	select {
-	case <-ctx.Done():
+}
+
+// restart ends the process and starts it again with a state folder.
+func (r *relay) restart(ctx context.Context, graceful bool, folder scenario.StateFolder) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.end(graceful)
+	if !sleepUntil(ctx, time.Now().Add(restartDelay)) {
 		return ctx.Err()
-	case <-time.After(startAfter):
 	}
-	if err := r.putFolder(folder); err != nil {
+	if err := r.replaceState(folder); err != nil {
 		return err
 	}
-	return r.start(ctx, within)
+	return r.start(ctx)
 }
 
 // reload has the relay read its configuration again.
@@ -321,9 +255,19 @@
 	if err := r.writeConfig(); err != nil {
 		return err
 	}
-	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateHUP})
-	if err := r.cmd.Process.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("rehearsal: SIGHUP to %s: %w", r.name, err)
-	}
-	return nil
+	return r.signal(syscall.SIGHUP, eventlog.StateHUP)
+}
+
+// stall stops the process without ending it.
+func (r *relay) stall() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.signal(syscall.SIGSTOP, eventlog.StateStop)
+}
+
+// resume lets a stalled process go on.
+func (r *relay) resume() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.signal(syscall.SIGCONT, eventlog.StateCont)
 }
--- /dev/null
+++ b/internal/testkit/rehearsal/statefolder.go
@@ -0,0 +1,55 @@
+package rehearsal
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
+)
+
+// olderStateName is the copy of a relay's state folder from its first start.
+const olderStateName = "state.older"
+
+// saveOlderState copies the state folder as it is now.
+func (r *relay) saveOlderState() error {
+	return copyFiles(stateDir(r.dir), filepath.Join(r.dir, olderStateName))
+}
+
+// replaceState replaces the state folder that the last process left.
+func (r *relay) replaceState(folder scenario.StateFolder) error {
+	state := stateDir(r.dir)
+	switch folder {
+	case scenario.StateFolderRemoved:
+		return errors.Join(os.RemoveAll(state), os.MkdirAll(state, 0o700))
+	case scenario.StateFolderOlder:
+		return errors.Join(os.RemoveAll(state), copyFiles(filepath.Join(r.dir, olderStateName), state))
+	default:
+		return nil
+	}
+}
+
+// copyFiles copies the regular files of a folder, without its subfolders.
+func copyFiles(from, to string) error {
+	entries, err := os.ReadDir(from)
+	if err != nil {
+		return fmt.Errorf("rehearsal: %w", err)
+	}
+	if err := os.MkdirAll(to, 0o700); err != nil {
+		return fmt.Errorf("rehearsal: %w", err)
+	}
+	for _, entry := range entries {
+		if !entry.Type().IsRegular() {
+			continue
+		}
+		data, err := os.ReadFile(filepath.Join(from, entry.Name()))
+		if err == nil {
+			err = os.WriteFile(filepath.Join(to, entry.Name()), data, 0o600)
+		}
+		if err != nil {
+			return fmt.Errorf("rehearsal: %w", err)
+		}
+	}
+	return nil
+}
