--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
@@ -9,38 +10,52 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The statuses that a client hears.
+// The clients behave like those of the rehearsals.
 const (
-	statusAccepted    = 202
-	statusError       = 500
-	statusUnavailable = 503
+	// reconnectDelay is from the start of a relay to the submissions of clients that could not connect before.
+	reconnectDelay = 50 * time.Millisecond
+	// resubmitDelay is from a lost answer to the next submission.
+	resubmitDelay = 100 * time.Millisecond
+	// maxRejections is after how many rejections a client submits once more.
+	maxRejections = 1
+	// maxUnanswered is after how many lost answers a client submits once more.
+	maxUnanswered = 1
 )
 
-const (
-	reconnectDelay = 50 * time.Millisecond  // after a connection that did not come up
-	retryDelay     = 100 * time.Millisecond // after an answer that did not come
-	maxRejections  = 1                      // after which a client comes again
-	maxUnanswered  = 1
-)
+// clientMessage is a message of a client, over all its submissions.
+type clientMessage struct {
+	submittedAt time.Duration // for the first time
+	class       int
+	customer    int
+	destination int
+	overShare   bool // its customer exceeded its share then
+	delivered   bool
+}
 
-// try is one hand-in of a client.
+// submission is one request of a client with a message.
 type submission struct {
 	scenario.Arrival
 	world      *World
 	message    *clientMessage
 	firstID    string
 	deadline   time.Duration
-	retries    int
-	rejections int
-	unanswered int
-	ended      bool // answered, or broken off
+	retries    int  // submissions of the message before this one
+	rejections int  // of them and this one
+	unanswered int  // likewise
+	ended      bool // answered, or its connection closed
 }
 
-// Offer has a client hand a message in, and come again as clients do. The relay and the class are counted from 0.
+// Submit has a client submit a message, and again as clients do. Relays and classes are counted from 0.
 func (w *World) Submit(a scenario.Arrival) {
 	a.Relay %= len(w.relays)
-	x := &clientMessage{submittedAt: w.Now(), class: a.Class, customer: a.Customer, destination: a.Destination, overShare: w.shares.Exceeded(a.Customer, w.Now())}
-	w.recordSubmission(x)
+	message := &clientMessage{
+		submittedAt: w.Now(),
+		class:       a.Class,
+		customer:    a.Customer,
+		destination: a.Destination,
+		overShare:   w.shares.Exceeded(a.Customer, w.Now()),
+	}
+	w.countSubmission(message)
 	if w.options.OnSubmission != nil {
 		w.options.OnSubmission(a.Relay, a.Destination)
 	}
@@ -48,78 +63,107 @@
 		w.lastMessageNumber++
 		a.ID = fmt.Sprintf("m%d", w.lastMessageNumber)
 	}
-	t := &submission{Arrival: a, world: w, message: x, firstID: a.ID, deadline: w.Now() + w.plan.File.Classes[a.Class].Deadline.AsDuration()}
-	t.send()
+	s := &submission{
+		Arrival:  a,
+		world:    w,
+		message:  message,
+		firstID:  a.ID,
+		deadline: w.Now() + w.plan.File.Classes[a.Class].Deadline.AsDuration(),
+	}
+	s.send()
 }
 
-// next is the client's next try, unless its time is up.
-func (t *submission) retry() {
-	if t.world.Now() >= t.deadline {
+// resubmit submits the message again, unless its deadline has passed.
+func (s *submission) resubmit() {
+	if s.world.Now() >= s.deadline {
 		return
 	}
-	again := *t
-	again.retries, again.ended = t.retries+1, false
-	if t.world.options.Record {
-		again.ID = fmt.Sprintf("%s-%d", t.firstID, again.retries)
+	next := *s
+	next.retries++
+	next.ended = false
+	if s.world.options.Record {
+		next.ID = fmt.Sprintf("%s-%d", s.firstID, next.retries)
 	}
-	again.send()
+	next.send()
 }
 
-// offer hands the message in.
-func (t *submission) send() {
-	w := t.world
-	r := w.relays[t.Relay]
+// send sends the request to the relay. If the relay does not listen, the client waits until it does.
+func (s *submission) send() {
+	w := s.world
+	r := w.relays[s.Relay]
 	w.record(eventlog.Event{
-		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.firstID, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
-		For: t.deadline - w.Now(),
+		Kind:        eventlog.MessageSubmitted,
+		ID:          s.ID,
+		FirstID:     s.firstID,
+		Relay:       r.name,
+		Class:       s.Class,
+		Customer:    s.Customer,
+		Destination: s.Destination,
+		OrderingKey: s.OrderingKey,
+		For:         s.deadline - w.Now(),
 	})
 	if !r.accepting {
-		w.Unanswered++
-		w.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseNotSent})
-		r.waitingClients = append(r.waitingClients, t)
+		s.recordUnanswered(r, eventlog.CauseNotSent)
+		r.waitingClients = append(r.waitingClients, s)
 		return
 	}
-	life := r.process
+	process := r.process
 	w.ScheduleAfter(w.options.Latency, func() {
-		if r.process != life || !r.running {
-			t.connectionClosed(r)
+		if r.process != process || !r.running {
+			s.connectionClosed(r)
 			return
 		}
-		r.submissions = append(r.submissions, &pendingSubmission{submission: t})
+		r.receivedSubmissions = append(r.receivedSubmissions, &receivedSubmission{submission: s})
 		r.scheduleStep()
 	})
 }
 
-// broken is the end of a connection whose request was written, with no answer: it may have been taken on.
-func (t *submission) connectionClosed(r *relay) {
-	w := t.world
-	if t.ended {
+// connectionClosed ends a submission that was sent and got no answer. The relay may have accepted the message.
+func (s *submission) connectionClosed(r *relay) {
+	if s.ended {
 		return
 	}
-	t.ended = true
-	w.Unanswered++
-	w.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: t.ID, Relay: r.name, Cause: eventlog.CauseClosed})
-	if t.unanswered++; t.unanswered > maxUnanswered || w.settings.Classes[t.Class].Effect == policy.NonIdempotent {
+	s.ended = true
+	s.recordUnanswered(r, eventlog.CauseClosed)
+	s.unanswered++
+	if s.unanswered > maxUnanswered || s.world.settings.Classes[s.Class].Effect == policy.NonIdempotent {
 		return
 	}
-	w.ScheduleAfter(retryDelay, t.retry)
+	s.world.ScheduleAfter(resubmitDelay, s.resubmit)
 }
 
-// answer is what the relay tells the client.
-func (t *submission) answer(r *relay, status int, advice time.Duration) {
-	t.ended = true
-	w := t.world
-	w.ScheduleAfter(w.options.Latency, func() {
-		w.record(eventlog.Event{Kind: eventlog.SubmissionAnswered, ID: t.ID, Relay: r.name, Status: status, RetryAfter: advice})
+func (s *submission) recordUnanswered(r *relay, cause string) {
+	s.world.Unanswered++
+	s.world.record(eventlog.Event{Kind: eventlog.SubmissionUnanswered, ID: s.ID, Relay: r.name, Cause: cause})
+}
+
+// answer is the relay's answer to the client: an HTTP status, and a Retry-After if it is above 0.
+func (s *submission) answer(r *relay, status int, retryAfter time.Duration) {
+	s.ended = true
+	s.world.ScheduleAfter(s.world.options.Latency, func() {
+		s.world.record(eventlog.Event{
+			Kind:       eventlog.SubmissionAnswered,
+			ID:         s.ID,
+			Relay:      r.name,
+			Status:     status,
+			RetryAfter: retryAfter,
+		})
 		switch status {
-		case statusError:
-			w.Failed++
-		case statusUnavailable:
-			w.Rejected++
-			if t.rejections++; t.rejections > maxRejections || t.RetryDelay == 0 {
-				return
-			}
-			w.ScheduleAfter(max(t.RetryDelay, min(advice, w.plan.File.Settings.MaxRetryAfter.AsDuration())), t.retry)
+		case http.StatusInternalServerError:
+			s.world.Failed++
+		case http.StatusServiceUnavailable:
+			s.rejected(retryAfter)
 		}
 	})
 }
+
+// rejected takes a rejection: clients that retry submit again after their own delay or the Retry-After.
+func (s *submission) rejected(retryAfter time.Duration) {
+	s.world.Rejected++
+	s.rejections++
+	if s.rejections > maxRejections || s.RetryDelay == 0 {
+		return
+	}
+	maxRetryAfter := s.world.plan.File.Settings.MaxRetryAfter.AsDuration()
+	s.world.ScheduleAfter(max(s.RetryDelay, min(retryAfter, maxRetryAfter)), s.resubmit)
+}
--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -8,62 +8,72 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
-// longAgoRan is what a relay tells its module of an attempt whose time it cannot know: past every window in which
-// repeats are dropped.
-const unknownAttemptAge = 24 * time.Hour
+const (
+	// unknownAttemptAge is the age of an attempt whose start cannot be dated: beyond every deduplication window.
+	unknownAttemptAge = 24 * time.Hour
+	// wallClockStart is what machines' wall clocks show at the start, in Unix seconds.
+	wallClockStart = 1e9
+)
 
-// clocks are those of a relay's machine, and the time that its journal goes by, as package journal has it. What a relay
-// reads from its journal is timed by them and not by the world's clock.
+// machineClocks are the clocks of a relay's machine, and the timeline that the relay derives from them for its journal.
+// A relay dates what it reads from its journal by this timeline, and not by the time of the world.
 type machineClocks struct {
-	stepped          time.Duration // by which the wall clock has been set
-	boots            int
-	bootedAt         time.Duration
-	processStartedAt time.Duration  // the process
-	anchor           *clock.Anchor  // in the journal
-	timeline         clock.Timeline // of the process
+	stepped  time.Duration // by which the wall clock was stepped in all
+	boots    int
+	bootedAt time.Duration
+
+	anchor           *clock.Anchor // in the journal
+	timeline         clock.Timeline
+	processStartedAt time.Duration
 }
 
-// read reads them at a time of the world.
-func (c *machineClocks) read(now time.Duration, trustsWall bool) bootclock.Reading {
-	r := bootclock.Reading{
-		Wall:   time.Unix(1e9, 0).Add(now + c.stepped),
+// read reads the clocks at a time of the world. A relay that trusts the wall clock takes its steps for time that passed.
+func (c *machineClocks) read(now time.Duration, trustsWallClock bool) bootclock.Reading {
+	reading := bootclock.Reading{
+		Wall:   time.Unix(wallClockStart, 0).Add(now + c.stepped),
 		BootID: fmt.Sprint(c.boots),
 		Uptime: now - c.bootedAt,
 	}
-	if trustsWall {
-		r.Uptime += c.stepped
+	if trustsWallClock {
+		reading.Uptime += c.stepped
 	}
-	return r
+	return reading
+}
+
+// reboot restarts the machine.
+func (c *machineClocks) reboot(now time.Duration) {
+	c.boots++
+	c.bootedAt = now
 }
 
-// start goes on with the axis in a new process.
-func (c *machineClocks) start(now time.Duration, trustsWall bool) {
-	x, a := clock.Resume(c.anchor, c.read(now, trustsWall))
-	c.timeline, c.anchor, c.processStartedAt = x, &a, now
+// start resumes the timeline in a new process.
+func (c *machineClocks) start(now time.Duration, trustsWallClock bool) {
+	timeline, anchor := clock.Resume(c.anchor, c.read(now, trustsWallClock))
+	c.timeline, c.anchor, c.processStartedAt = timeline, &anchor, now
 }
 
-// end is what a process that ends in order leaves: by how much the clocks have parted.
-func (c *machineClocks) end(now time.Duration, trustsWall bool) {
-	if _, a := clock.Resume(c.anchor, c.read(now, trustsWall)); a.WallOffset != c.anchor.WallOffset {
-		c.anchor = &a
+// end saves by how much the clocks have diverged, as a process does that shuts down gracefully.
+func (c *machineClocks) end(now time.Duration, trustsWallClock bool) {
+	if _, anchor := clock.Resume(c.anchor, c.read(now, trustsWallClock)); anchor.WallOffset != c.anchor.WallOffset {
+		c.anchor = &anchor
 	}
 }
 
-// stamp is a time of the process on the axis.
+// stamp translates a time of the world to the timeline.
 func (c *machineClocks) stamp(at time.Duration) int64 {
 	return c.timeline.Stamp(c.timeline.Base.Add(at - c.processStartedAt))
 }
 
-// time is what stands on the axis, as the process takes it.
+// time translates a stamp of the timeline to the time of the world, as far as the process can know it.
 func (c *machineClocks) time(stamp int64) time.Duration {
 	return c.processStartedAt + c.timeline.Time(stamp).Sub(c.timeline.Base)
 }
 
-// ago is how long ago an attempt began, as far as the process can tell.
-func (c *machineClocks) timeSince(a attemptRecord, now time.Duration) time.Duration {
-	ago := now - c.time(a.startedAt)
-	if a.epoch != c.timeline.Epoch || ago < 0 {
+// age returns how long ago an attempt started, as far as the process can know it.
+func (c *machineClocks) age(a attemptRecord, now time.Duration) time.Duration {
+	age := now - c.time(a.startedAt)
+	if a.epoch != c.timeline.Epoch || age < 0 {
 		return unknownAttemptAge
 	}
-	return ago
+	return age
 }
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -18,45 +18,6 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func loaded(t testing.TB, name string) scenario.File {
-	t.Helper()
-	f, err := scenario.Load(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return f
-}
-
-func played(t testing.TB, p scenario.Plan, opts Options) *World {
-	t.Helper()
-	w, err := New(p, opts)
-	if err == nil {
-		err = w.Play()
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	return w
-}
-
-func judged(t testing.TB, w *World) checker.Result {
-	t.Helper()
-	v := checker.Check(w.Result())
-	if len(v.RunErrors) > 0 {
-		t.Errorf("faults: %+v", v.RunErrors)
-	}
-	return v
-}
-
-func broken(v checker.Result) (all []checker.Rule) {
-	for _, f := range v.Rules {
-		if f.State == checker.Violated {
-			all = append(all, f.Rule)
-		}
-	}
-	return all
-}
-
 // All that the rehearsal kit ships is played with the rules held, the same trace for the same seed whatever runs beside
 // it, and what the measures count is what the judge counts.
 func TestShippedScenarios(t *testing.T) {
@@ -348,16 +309,20 @@
 // The wait of a window's limit ends at its border, and no call comes before it.
 func TestAWaitThatEndsAtASpansBorder(t *testing.T) {
 	s := scenario.Duration(time.Second)
-	w := play(
-		t,
-		2,
-		1,
-		20,
-		200,
-		scenario.DestinationKind{ServiceTime: 50 * s / 1000, MaxConcurrentCalls: 20, Limit: "window", RetryAfterRatio: 1, MinRetryAfter: s / 1000},
-		scenario.Destination{LimitRate: 5},
-		Options{Record: true},
-	)
+	w := worldSpec{
+		relays:      2,
+		seed:        1,
+		maxMessages: 200,
+		kind: scenario.DestinationKind{
+			ServiceTime:        50 * s / 1000,
+			MaxConcurrentCalls: 20,
+			Limit:              "window",
+			RetryAfterRatio:    1,
+			MinRetryAfter:      s / 1000,
+		},
+		destination: scenario.Destination{LimitRate: 5},
+		options:     Options{Record: true},
+	}.start(t)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
 	w.record(eventlog.Event{Kind: eventlog.RunEnded})
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -36,17 +36,17 @@
 		name  string
 		wrong LinkFaults
 		opts  Options
-		kind  string // that is found; "": nothing
+		kind  violation // that is found; "": none
 	}{
 		{"sound", LinkFaults{}, Options{}, ""},
 		{"sound, one tells absurd figures", LinkFaults{}, Options{AbsurdReporter: 1}, ""},
 		{"sound, a name started twice", LinkFaults{}, Options{NameDuplicate: 4}, ""},
 		{"sound, two fleets joined by mistake", LinkFaults{}, Options{MergedFleets: 2}, ""},
-		{"a merge that takes the older", LinkFaults{LastReceivedWins: true}, Options{}, "back"},
-		{"ages that do not grow", LinkFaults{FrozenAges: true}, Options{}, "age"},
-		{"a bound left out", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, "bound"},
-		{"a stall not noticed", LinkFaults{NoTransitTime: true}, Options{}, "age"},
-		{"strangers heard", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, "stranger"},
+		{"a merge that takes the older", LinkFaults{LastReceivedWins: true}, Options{}, versionRolledBack},
+		{"ages that do not grow", LinkFaults{FrozenAges: true}, Options{}, reportTooYoung},
+		{"a bound left out", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, impossibleFigure},
+		{"a stall not noticed", LinkFaults{NoTransitTime: true}, Options{}, reportTooYoung},
+		{"strangers heard", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, reportOfStranger},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -159,7 +159,7 @@
 	for _, a := range w.relays {
 		for _, b := range w.relays {
 			if loss > 0 {
-				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
+				w.fleet.linkFaults[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
 			}
 		}
 	}
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/many_test.go
@@ -19,8 +19,23 @@
 
 func crowdAt(t testing.TB, relays int, seed uint64, takes float64, opts Options) *world {
 	t.Helper()
-	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 8, Limit: "rate", CountsRejected: true}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: takes}, opts)
+	return worldSpec{
+		relays:      relays,
+		seed:        seed,
+		kind:        sharedLimit(),
+		destination: scenario.Destination{LimitRate: takes},
+		options:     opts,
+	}.start(t)
+}
+
+// sharedLimit is a kind of destination whose limit rejected calls use up, too.
+func sharedLimit() scenario.DestinationKind {
+	return scenario.DestinationKind{
+		ServiceTime:        scenario.Duration(200 * time.Millisecond),
+		MaxConcurrentCalls: 8,
+		Limit:              "rate",
+		CountsRejected:     true,
+	}
 }
 
 // told has relays know what the customers send, messages a second.
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -1,7 +1,6 @@
 package emulate
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 	"testing"
@@ -12,81 +11,6 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// world is a world in virtual time, with what was delivered in it.
-type world struct {
-	*World
-	delivered []delivery
-	trace     []string
-}
-
-type delivery struct {
-	dest      int
-	taken, at time.Duration
-}
-
-// play makes a world of one destination, with a class of keyed messages.
-func play(
-	t testing.TB,
-	relays int,
-	seed uint64,
-	slots, held int,
-	kind scenario.DestinationKind,
-	d scenario.Destination,
-	opts Options,
-) *world {
-	t.Helper()
-	const s = scenario.Duration(time.Second)
-	kind.Name, kind.RetryAfterRatio, kind.WarmUpInitialCapacity, kind.WarmUpDuration, kind.MaxQueueTime, kind.ServiceTimeVariation = "kind", cmp.Or(
-		kind.RetryAfterRatio,
-		0.5,
-	), 0.18, 14*s, s/2, 0.5
-	kind.MinRetryAfter = cmp.Or(kind.MinRetryAfter, 300*s/1000)
-	d.Kind = "kind"
-	f := scenario.File{
-		Name: "recovery", Length: 100 * s, Relays: relays, Zones: []string{"north", "south"},
-		Settings: scenario.Settings{MaxConcurrentCalls: slots, MaxMessages: held, OverloadFactor: 2, OverloadWindow: 3 * s},
-		Classes: []scenario.Class{
-			{Name: "order", Effect: "keyed", DedupWindow: 10 * s, LatencyObjective: 3 * s, Deadline: 12 * s, LateWeightRatio: 0.4},
-		},
-		DestinationKinds: []scenario.DestinationKind{kind},
-		Destinations:     []scenario.Destination{d},
-		Traffic:          []scenario.Traffic{{Rate: 1}}, // for its check: what is offered, the tests say
-	}
-	f.Fleet = opts.Fleet
-	f.SetDefaults()
-	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
-		t.Fatal(err)
-	}
-	f.Traffic, f.Clients.RetryRatio = nil, new(float64)
-	x := &world{}
-	opts.Latency = 20 * time.Millisecond
-	opts.OnDelivery = func(dest int, asked, at time.Duration) { x.delivered = append(x.delivered, delivery{dest, asked, at}) }
-	w, err := New(f.Draw(seed+1), opts)
-	if err != nil {
-		t.Fatal(err)
-	}
-	x.World = w
-	return x
-}
-
-func (w *world) run(t testing.TB, until time.Duration) {
-	t.Helper()
-	if err := w.Run(until); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// rate is how many messages a second were delivered in a span.
-func (w *world) rate(from, to time.Duration) float64 {
-	n := 0
-	for _, d := range w.delivered {
-		if d.at >= from && d.at < to {
-			n++
-		}
-	}
-	return float64(n) / (to - from).Seconds()
-}
-
 // site is a world of one destination of a kind, for so many relays; takes is what all of it takes, calls a second.
 func site(t testing.TB, kind string, relays int, seed uint64) (w *world, takes float64) {
 	t.Helper()
@@ -100,7 +24,8 @@
 	case "counts": // refused calls use up the limit
 		k.CountsRejected = true
 	}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: rate}, Options{}), takes
+	spec := worldSpec{relays: relays, seed: seed, kind: k, destination: scenario.Destination{LimitRate: rate}}
+	return spec.start(t), takes
 }
 
 // load offers messages to the relays in turn.
@@ -171,20 +96,23 @@
 		MinRetryAfter:      700 * ms,
 	}
 	var calls []string
-	w := play(
-		t,
-		relays,
-		seed,
-		70,
-		1200,
-		k,
-		scenario.Destination{LimitRate: 15, Endpoints: 3, Zones: []string{"north", "north", "south"}},
-		Options{
+	w := worldSpec{
+		relays:             relays,
+		seed:               seed,
+		maxConcurrentCalls: 70,
+		maxMessages:        1200,
+		kind:               k,
+		destination: scenario.Destination{
+			LimitRate: 15,
+			Endpoints: 3,
+			Zones:     []string{"north", "north", "south"},
+		},
+		options: Options{
 			OnStep: func(relay int, now time.Duration, _ []policy.Event, acts []policy.Action) {
 				calls = append(calls, fmt.Sprint(relay, now, acts))
 			},
 		},
-	)
+	}.start(t)
 	load(w, time.Second, 60*time.Second, 80)
 	w.Schedule(12*time.Second, func() { w.serviceOrder[0].ResetRatio = resets })
 	w.Schedule(20*time.Second, func() { w.serviceOrder[0].ResetRatio = nil })
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/rights_test.go
@@ -8,18 +8,19 @@
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
-	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // shared is a fleet at one destination whose refused calls use up its limit, that shares what it takes or does not.
 func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
 	t.Helper()
-	k := scenario.DestinationKind{ServiceTime: scenario.Duration(200 * time.Millisecond), MaxConcurrentCalls: 8, Limit: "rate", CountsRejected: true}
-	opts := Options{
-		Fleet:          scenario.Fleet{Enabled: true, Quotas: on},
-		ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: takes}} },
-	}
-	return play(t, relays, seed, 20, 120, k, scenario.Destination{LimitRate: takes}, opts)
+	return worldSpec{
+		relays:      relays,
+		seed:        seed,
+		kind:        sharedLimit(),
+		destination: scenario.Destination{LimitRate: takes},
+		fleet:       scenario.Fleet{Enabled: true, Quotas: on},
+		options:     told(takes),
+	}.start(t)
 }
 
 // Relays of which each has a call in three seconds are served better and refused less where they share what a
@@ -31,7 +32,7 @@
 		for _, a := range w.relays[:relays/3] {
 			for _, b := range w.relays[relays/3:] {
 				for _, name := range []string{scenario.LinkName(a.name, b.name), scenario.LinkName(b.name, a.name)} {
-					w.fleet.linkSteps[name] = scenario.Step{Op: scenario.OpLinkCut}
+					w.fleet.linkFaults[name] = scenario.Step{Op: scenario.OpLinkCut}
 				}
 			}
 		}
@@ -39,7 +40,7 @@
 	lose := func(w *world) {
 		for _, a := range w.relays {
 			for _, b := range w.relays {
-				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
+				w.fleet.linkFaults[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
 			}
 		}
 	}
@@ -47,8 +48,8 @@
 		w.Schedule(15*time.Second, func() {
 			a := w.relays[0].member.agent.Quota().Accounts[quota.Scope{Destination: 1}]
 			keeper := w.relay(a.LeaseHolder)
-			keeper.setPaused(true)
-			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.setPaused(false) })
+			keeper.setStalled(true)
+			w.ScheduleAfter(3*quota.LeaseDuration, func() { keeper.setStalled(false) })
 		})
 	}
 	for _, c := range []struct {
--- a/internal/simulation/emulate/working_test.go
+++ b/internal/simulation/emulate/workingset_test.go
@@ -115,16 +115,14 @@
 				return careless{x}
 			}
 		}
-		w := play(
-			t,
-			1,
-			1,
-			20,
-			200,
-			scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20, RetryAfterRatio: 1},
-			scenario.Destination{Count: 40},
-			opts,
-		)
+		w := worldSpec{
+			relays:      1,
+			seed:        1,
+			maxMessages: 200,
+			kind:        scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20, RetryAfterRatio: 1},
+			destination: scenario.Destination{Count: 40},
+			options:     opts,
+		}.start(t)
 		shut := w.Services(1)[0].Name
 		w.Schedule(10*time.Second, func() { w.BeginOutage(shut, scenario.OpSuspend, 0, 60*time.Second) })
 		w.Schedule(70*time.Second, func() { w.EndOutage(shut) })
@@ -147,15 +145,13 @@
 	const s = scenario.Duration(time.Second)
 	var told []policy.Endpoint
 	sent := map[string]int{}
-	w := play(
-		t,
-		1,
-		1,
-		20,
-		200,
-		scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20},
-		scenario.Destination{Count: 2, Endpoints: 3},
-		Options{
+	w := worldSpec{
+		relays:      1,
+		seed:        1,
+		maxMessages: 200,
+		kind:        scenario.DestinationKind{ServiceTime: s / 10, MaxConcurrentCalls: 20},
+		destination: scenario.Destination{Count: 2, Endpoints: 3},
+		options: Options{
 			MaxEagerEndpoints: 1,
 			OnStep: func(_ int, _ time.Duration, events []policy.Event, actions []policy.Action) {
 				for _, e := range events {
@@ -168,7 +164,7 @@
 				}
 			},
 		},
-	)
+	}.start(t)
 	hosts := w.Services(1)[0].endpoints
 	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[0].ID, eventlog.StateDraining) })
 	w.Schedule(3*time.Second, func() { w.ChangeEndpoint(hosts[1].ID, eventlog.StateGone) })
