--- /dev/null
+++ b/internal/testkit/checker/duplicate.go
@@ -0,0 +1,90 @@
+package checker
+
+import (
+	"slices"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+// checkNoDuplicateEffect checks that a message is repeated only as its class allows, by the relay or by a client that
+// is asked to submit it again.
+func checkNoDuplicateEffect(r *record, result *RuleResult) {
+	for _, m := range r.submissions {
+		uncertain := false
+		for i, a := range m.attempts {
+			if o, _ := r.outcome(a, never); o == pending || o == mayHaveRun {
+				uncertain = true
+			}
+			for _, earlier := range m.attempts[:i] {
+				if earlier.call != a.call {
+					r.checkRepeat(result, m, earlier, a)
+				}
+			}
+		}
+		resubmission := r.checkResubmission(result, m)
+		if uncertain || resubmission || len(m.attempts) > 1 {
+			result.Exercised++
+		}
+	}
+}
+
+// checkRepeat checks an attempt of a message against an earlier one.
+func (r *record) checkRepeat(result *RuleResult, m *message, earlier, repeat attempt) {
+	at := repeat.FirstByteAt
+	evidence := []int{m.index, earlier.index, repeat.index}
+	o, _ := r.outcome(earlier, at)
+	switch {
+	case o == pending && !r.Rules.DuplicatesAllowed:
+		result.addViolation(at, evidence, "message %s was sent to %s while a call to %s was out",
+			m.ID, repeat.Host, earlier.Host)
+	case o == didNotRun:
+	case m.class.Effect == eventlog.Idempotent:
+	case m.class.Effect == eventlog.IdempotentByKey:
+		r.checkRepeatByKey(result, m, earlier, repeat)
+	default:
+		result.addViolation(at, evidence, "message %s must not be repeated, may have run at %s, and was sent to %s",
+			m.ID, earlier.Host, repeat.Host)
+	}
+}
+
+// checkRepeatByKey checks that the endpoint of a repeat recognizes the idempotency key of an earlier attempt.
+func (r *record) checkRepeatByKey(result *RuleResult, m *message, earlier, repeat attempt) {
+	at := repeat.FirstByteAt
+	evidence := []int{m.index, earlier.index, repeat.index}
+	zone, repeatZone := r.endpoints[earlier.Host].zone, r.endpoints[repeat.Host].zone
+	late := at - earlier.FirstByteAt - m.class.DedupWindow
+	switch {
+	case late > Tolerance:
+		result.addViolation(at, evidence, "message %s was repeated %v after its window of %v",
+			m.ID, late, m.class.DedupWindow)
+	case zone != repeatZone && !m.class.DedupAcrossZones:
+		result.addViolation(at, evidence, "message %s may have run in zone %s and was repeated in zone %s",
+			m.ID, zone, repeatZone)
+	}
+}
+
+// checkResubmission checks that a client is not asked to submit a message again that may have run, and reports whether
+// a client was asked to after an attempt. A resubmission may reach any zone.
+func (r *record) checkResubmission(result *RuleResult, m *message) (exercised bool) {
+	if m.class.Effect == eventlog.Idempotent ||
+		m.class.Effect == eventlog.IdempotentByKey && m.class.DedupAcrossZones {
+		return false
+	}
+	for _, i := range append(slices.Clone(m.notices), m.answer) {
+		if i == noEvent || !asksForResubmission(r.events[i]) {
+			continue
+		}
+		exercised = exercised || len(m.attempts) > 0
+		at := r.events[i].At
+		mayHaveRunBy := func(a attempt) bool {
+			o, _ := r.outcome(a, at)
+			return o != didNotRun && a.At < at
+		}
+		if n := slices.IndexFunc(m.attempts, mayHaveRunBy); n >= 0 {
+			a := m.attempts[n]
+			result.addViolation(at, []int{m.index, a.index, i},
+				"message %s (%s) was refused though a call to %s may have run", m.ID, m.class.Effect, a.Host)
+		}
+	}
+	return exercised
+}
--- /dev/null
+++ b/internal/testkit/checker/peerview.go
@@ -0,0 +1,131 @@
+package checker
+
+import (
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+const (
+	// peerReportTolerance is how much younger a report may seem than it can be: the query takes time, and so does the
+	// datagram, which nobody observes.
+	peerReportTolerance = 400 * time.Millisecond
+	// peerDiscoveryTimeout is the time within which two relays that run, with healthy links between them, need to have
+	// received a report of each other. A relay that was taken to be dead is contacted again within seconds.
+	peerDiscoveryTimeout = 20 * time.Second
+	// maxPeerReportAge is how old the newest report may be from then on.
+	maxPeerReportAge = 8 * time.Second
+	// peerActivityWindow is how recently a relay must have had a submission for others to need reports of it.
+	peerActivityWindow = 3 * time.Second
+)
+
+// PeerViewResult is what the relays stated of each other, against what they can have known.
+type PeerViewResult struct {
+	Queried      int        `json:"asked"`
+	Disconnected int        `json:"apart"` // queried while one of the two did not run or a link was not healthy
+	TooFresh     RuleResult `json:"young"` // reports that are younger than any that can have been received
+	Stale        RuleResult `json:"deaf"`  // reports that are old or missing, though the links are healthy
+}
+
+// violated reports whether a statement was wrong. A nil result has none.
+func (p *PeerViewResult) violated() bool {
+	return p != nil && p.TooFresh.ViolationCount+p.Stale.ViolationCount > 0
+}
+
+// State sums the result up.
+func (p *PeerViewResult) State() State {
+	switch {
+	case p.violated():
+		return Violated
+	case p.Queried == 0:
+		return NotExercised
+	default:
+		return Held
+	}
+}
+
+// peerViewChecker checks the peer views of a run, in the order of the events.
+type peerViewChecker struct {
+	relays        []string
+	knowledge     *peerKnowledge
+	lastSubmitted []time.Duration
+	result        *PeerViewResult
+}
+
+// checkPeerViews checks what relays stated of each other. It returns nil if none was queried.
+func checkPeerViews(r *record) *PeerViewResult {
+	if !slices.ContainsFunc(r.events, func(e eventlog.Event) bool { return e.Kind == eventlog.PeerView }) {
+		return nil
+	}
+	c := peerViewChecker{
+		relays:        r.Relays,
+		knowledge:     newPeerKnowledge(len(r.Relays)),
+		lastSubmitted: make([]time.Duration, len(r.Relays)),
+		result: &PeerViewResult{
+			TooFresh: RuleResult{Rule: "nobody is believed to be heard who was not"},
+			Stale:    RuleResult{Rule: "who can be heard is heard"},
+		},
+	}
+	for i, e := range r.events {
+		if relay := slices.Index(c.relays, e.Relay); relay >= 0 {
+			c.add(i, e, relay)
+		}
+	}
+	c.result.TooFresh.conclude(true)
+	c.result.Stale.conclude(true)
+	return c.result
+}
+
+// add takes the next event, which concerns a relay.
+func (c *peerViewChecker) add(i int, e eventlog.Event, relay int) {
+	switch e.Kind {
+	case eventlog.MessageSubmitted:
+		c.lastSubmitted[relay] = e.At
+	case eventlog.ProcessChanged:
+		switch e.State {
+		case eventlog.StateStart, eventlog.StateCont:
+			c.knowledge.setRunning(e.At, relay, true)
+		case eventlog.StateExit, eventlog.StateStop, eventlog.StateKill:
+			c.knowledge.setRunning(e.At, relay, false)
+		}
+	case eventlog.LinkChanged:
+		if peer := slices.Index(c.relays, e.Name); peer >= 0 {
+			c.knowledge.setLink(e.At, relay, peer, e.State)
+		}
+	case eventlog.PeerView:
+		if peer := slices.Index(c.relays, e.Name); peer >= 0 {
+			c.checkView(i, e, relay, peer)
+		}
+	}
+}
+
+// checkView checks the age of the newest report that a relay has of a peer.
+func (c *peerViewChecker) checkView(i int, e eventlog.Event, relay, peer int) {
+	c.knowledge.advance(e.At)
+	c.result.Queried++
+	healthySince := c.knowledge.healthySince[relay][peer]
+	if healthySince == never {
+		c.result.Disconnected++
+	}
+	age := e.For.Round(time.Millisecond)
+
+	c.result.TooFresh.Exercised++
+	newest := c.knowledge.newest[relay][peer]
+	if e.For >= 0 && e.At-e.Delay-e.For > newest+peerReportTolerance {
+		c.result.TooFresh.addViolation(e.At, []int{i},
+			"%s holds news of %s that is %v old, and can have heard of it as it was at %v at the latest",
+			e.Relay, e.Name, age, newest.Round(time.Millisecond))
+	}
+
+	if healthySince == never || e.At-healthySince <= peerDiscoveryTimeout ||
+		e.At-c.lastSubmitted[peer] >= peerActivityWindow {
+		return
+	}
+	c.result.Stale.Exercised++
+	if e.For < 0 || e.For > maxPeerReportAge {
+		c.result.Stale.addViolation(e.At, []int{i},
+			"%s holds news of %s that is %v old (below 0: none), over links that are sound since %v",
+			e.Relay, e.Name, age, healthySince.Round(time.Millisecond))
+	}
+}
--- /dev/null
+++ b/internal/testkit/checker/recovery.go
@@ -0,0 +1,190 @@
+package checker
+
+import (
+	"cmp"
+	"net/http"
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
+)
+
+// recovery is a service's return from an outage. It warms up until its capacity is full or the next outage begins.
+type recovery struct {
+	outage      eventlog.Event
+	outageIndex int
+	event       eventlog.Event // the end of the outage
+	index       int
+	until       time.Duration
+	informedBy  map[string]int // by relay: the event by which it observed the outage, or noEvent
+}
+
+// checkRecoveryNotOverloaded checks that no service that warms up after an outage is overloaded by relays that had
+// observed the outage.
+func checkRecoveryNotOverloaded(r *record, result *RuleResult) {
+	if r.Rules.OverloadFactor <= 0 {
+		return
+	}
+	for i, e := range r.events {
+		if e.Kind != eventlog.OutageEnded {
+			continue
+		}
+		if v, ok := r.recovery(i); ok {
+			r.checkRecovery(result, v)
+		}
+	}
+}
+
+// recovery returns the recovery that an event reports, if the record has the beginning of the outage.
+func (r *record) recovery(index int) (recovery, bool) {
+	v := recovery{event: r.events[index], index: index, outageIndex: noEvent}
+	v.until = v.event.At + v.event.For
+	isOutage := func(e eventlog.Event) bool {
+		return e.Kind == eventlog.OutageStarted && e.Place == v.event.Place
+	}
+	for i := index - 1; i >= 0 && v.outageIndex == noEvent; i-- {
+		if isOutage(r.events[i]) {
+			v.outageIndex = i
+		}
+	}
+	if v.outageIndex == noEvent {
+		return v, false
+	}
+	v.outage = r.events[v.outageIndex]
+	if next := slices.IndexFunc(r.events[index+1:], isOutage); next >= 0 {
+		v.until = min(v.until, r.events[index+1+next].At)
+	}
+	v.informedBy = r.informedRelays(v)
+	return v, true
+}
+
+// receives reports whether a call reaches the service while it warms up.
+func (v recovery) receives(c *call) bool {
+	return c.At >= v.event.At && c.At <= v.until && slices.Contains(v.event.Hosts, c.Host)
+}
+
+// isInformed reports whether a relay observed the outage. A relay that the header does not list counts as informed.
+func (v recovery) isInformed(relay string) bool {
+	event, listed := v.informedBy[relay]
+	return !listed || event != noEvent
+}
+
+// checkRecovery checks the load of a recovery, until the first overload.
+func (r *record) checkRecovery(result *RuleResult, v recovery) {
+	var calls []*call
+	informed := false
+	for _, c := range r.received {
+		if v.receives(c) {
+			calls = append(calls, c)
+			informed = informed || v.isInformed(c.Relay)
+		}
+	}
+	if informed {
+		result.Exercised++
+	}
+	window, load := r.firstOverload(v, calls)
+	if len(window) == 0 {
+		return
+	}
+	informedLoad := 0.0
+	evidence := []int{v.outageIndex, v.index}
+	for _, c := range window {
+		evidence = append(evidence, c.index)
+		if v.isInformed(c.Relay) {
+			informedLoad += c.load()
+		}
+	}
+	if informedLoad < MinInformedRatio*load {
+		return
+	}
+	for _, event := range v.informedBy {
+		if event != noEvent {
+			evidence = append(evidence, event)
+		}
+	}
+	at := window[len(window)-1].At
+	result.addViolation(at, evidence,
+		"%s, back since %v and able to do %.1f calls a second, "+
+			"was sent %.1f in %v, %.0f%% by relays that had seen it fail",
+		v.event.Place, (at - v.event.At).Round(time.Millisecond), v.warmUp().CapacityAt(at),
+		load, r.Rules.OverloadWindow, 100*informedLoad/load)
+}
+
+// firstOverload returns the calls of the first window that overload the service, and their load; none if no window
+// does.
+func (r *record) firstOverload(v recovery, calls []*call) (window []*call, load float64) {
+	length := r.Rules.OverloadWindow
+	warmUp := v.warmUp()
+	for _, c := range calls {
+		window = append(window, c)
+		load += c.load()
+		for window[0].At <= c.At-length {
+			load -= window[0].load()
+			window = window[1:]
+		}
+		if load > upstream.OverloadBudget(r.Rules.OverloadFactor, warmUp.CapacityAt(c.At), length) {
+			return window, load
+		}
+	}
+	return nil, 0
+}
+
+func (v recovery) warmUp() upstream.WarmUp {
+	return upstream.WarmUp{
+		StartedAt:       v.event.At,
+		FullCapacity:    v.event.Rate,
+		InitialCapacity: v.event.Share,
+		Duration:        v.event.For,
+	}
+}
+
+// load returns a call's part in the load of a service.
+func (c *call) load() float64 { return cmp.Or(c.Weight, 1) }
+
+// informedRelays returns the event by which each relay of the header observed an outage, noEvent if it did not.
+func (r *record) informedRelays(v recovery) map[string]int {
+	informedBy := map[string]int{}
+	for _, relay := range r.Relays {
+		informedBy[relay] = noEvent
+	}
+	inform := func(relay string, event int) {
+		if first, listed := informedBy[relay]; listed && first == noEvent {
+			informedBy[relay] = event
+		}
+	}
+	duringOutage := func(at time.Duration) bool { return at >= v.outage.At && at <= v.event.At }
+	for _, c := range r.allCalls {
+		if !slices.Contains(v.event.Hosts, c.Host) {
+			continue
+		}
+		if event := r.failure(c); event != noEvent && duringOutage(r.events[event].At) {
+			inform(c.Relay, event)
+		}
+	}
+	if v.outage.Cause != eventlog.OutageDown {
+		return informedBy
+	}
+	// Connections that are not accepted leave no event at the endpoints. A relay that had a message for the destination
+	// has observed the outage.
+	for _, m := range r.submissions {
+		if duringOutage(m.At) && m.Destination == v.event.Destination && r.accepted(m) {
+			inform(m.Relay, m.index)
+		}
+	}
+	return informedBy
+}
+
+// failure returns the event by which the relay observes that a call failed, or noEvent.
+func (r *record) failure(c *call) int {
+	switch {
+	case !c.complete:
+		return c.index
+	case c.reply == noEvent:
+		return c.aborted
+	case r.events[c.reply].Status != http.StatusOK:
+		return c.reply
+	default:
+		return noEvent
+	}
+}
--- /dev/null
+++ b/internal/testkit/checker/retryafter.go
@@ -0,0 +1,59 @@
+package checker
+
+import (
+	"slices"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
+)
+
+const (
+	// retryAfterGrace is the time after a Retry-After during which calls are accepted: they were already under way.
+	retryAfterGrace = 100 * time.Millisecond
+	// retryAfterRounding is how much earlier than its end a Retry-After may be taken to be over: it is sent in whole
+	// milliseconds.
+	retryAfterRounding = time.Millisecond
+)
+
+// relayScope is a rate-limit scope as one relay sees it.
+type relayScope struct{ relay, scope string }
+
+// checkRetryAfterRespected checks that a relay calls no endpoint of a rate-limit scope before the end of a Retry-After.
+// A restart frees the relay.
+func checkRetryAfterRespected(r *record, result *RuleResult) {
+	restrictions := map[relayScope][]restriction{}
+	for i, e := range r.events {
+		key := relayScope{e.Relay, r.endpoints[e.Host].scope}
+		switch {
+		case e.Kind == eventlog.CallAnswered && e.RetryAfter > retryAfterGrace:
+			result.Exercised++
+			span := timeSpan{from: e.At + retryAfterGrace, to: e.At + e.RetryAfter - retryAfterRounding}
+			restrictions[key] = append(restrictions[key], restriction{span, i})
+		case e.Kind == eventlog.ProcessChanged && e.State == eventlog.StateStart:
+			for other := range restrictions {
+				if other.relay == e.Relay {
+					delete(restrictions, other)
+				}
+			}
+		case e.Kind == eventlog.CallReceived:
+			ended := func(w restriction) bool { return w.to <= e.At }
+			restrictions[key] = slices.DeleteFunc(restrictions[key], ended)
+			r.checkCallAllowed(result, i, restrictions[key])
+		}
+	}
+}
+
+// checkCallAllowed checks that a call begins after no restriction that has not ended.
+func (r *record) checkCallAllowed(result *RuleResult, call int, restrictions []restriction) {
+	e := r.events[call]
+	for _, w := range restrictions {
+		if e.At > w.from {
+			answer := r.events[w.event]
+			result.addViolation(e.At, []int{w.event, call},
+				"%s was told by %s at %v to wait until %v, and called %s at %v",
+				e.Relay, answer.Host, answer.At.Round(time.Millisecond), w.to.Round(time.Millisecond),
+				e.Host, e.At.Round(time.Millisecond))
+			return
+		}
+	}
+}
--- a/internal/testkit/checker/service.go
+++ b/internal/testkit/checker/service.go
@@ -2,14 +2,23 @@
 
 import (
 	"math"
+	"net/http"
 	"slices"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// Service is how good a run was: the worth delivered, in full within the aim and in part after it, over the worth asked
-// for. A client's further tries belong to its first.
+const (
+	// serviceWindow is the length of the windows of which a service names the worst.
+	serviceWindow = 10 * time.Second
+	// serviceWindowStep is the time between the beginnings of these windows.
+	serviceWindowStep = time.Second
+)
+
+// Service is how good a run was for the clients: the weight that was delivered over the weight that was submitted, from
+// 0 to 1. A delivery within the latency objective counts in full, one after it in part. All submissions of a message
+// count as one.
 type Service struct {
 	Overall              float64           `json:"whole"`
 	WorstWindow          float64           `json:"worst_10s"`
@@ -18,217 +27,159 @@
 	WorstCustomerService float64           `json:"worst_customer_service"` // within its share
 	Customers            []CustomerService `json:"customers"`
 
-	Submitted       int `json:"offered"` // first tries
-	DeliveredInTime int `json:"in_full"`
+	Submitted       int `json:"offered"` // messages
+	DeliveredInTime int `json:"in_full"` // within the latency objective
 	DeliveredLate   int `json:"in_part"`
 	Undelivered     int `json:"undelivered"`
-	Rejected        int `json:"refused"`    // hand-ins turned away at the door, further tries too
-	Deferred        int `json:"deferred"`   // notices that tell to come again
-	Failed          int `json:"failed"`     // notices that promise nothing, and answers that are neither taken nor refused
-	Unanswered      int `json:"unanswered"` // hand-ins without an answer
-	Calls           int `json:"calls"`      // that came whole
+	Rejected        int `json:"refused"`    // submissions that were answered with 429 or 503
+	Deferred        int `json:"deferred"`   // submissions with a notice to submit again
+	Failed          int `json:"failed"`     // submissions with any other notice, or with an answer that is an error
+	Unanswered      int `json:"unanswered"` // submissions
+	Calls           int `json:"calls"`      // that were received completely
 	CallsFailed     int `json:"calls_failed"`
 	CallsRejected   int `json:"calls_refused"`
 	CallsUnanswered int `json:"calls_without_answer"`
 
-	LatencyP50 time.Duration `json:"latency_p50"` // from hand-in to delivery, of the delivered
+	LatencyP50 time.Duration `json:"latency_p50"` // from the due time to the delivery, of the delivered messages
 	LatencyP95 time.Duration `json:"latency_p95"`
 	LatencyP99 time.Duration `json:"latency_p99"`
-	LoadLagP99 time.Duration `json:"load_lag_p99"` // of the load against its plan
+	LoadLagP99 time.Duration `json:"load_lag_p99"` // of the submissions against their plan
 }
 
-// CustomerShare is the service of one customer, within its share.
+// CustomerService is the service of one customer, within its share.
 type CustomerService struct {
 	Name      string  `json:"name"`
-	Submitted int     `json:"offered"`
-	OverShare int     `json:"over_share"` // of these, beyond its share
+	Submitted int     `json:"offered"`    // messages
+	OverShare int     `json:"over_share"` // those of them that exceed its share
 	Service   float64 `json:"service"`
 }
 
-// Asked is what was asked for with one first try, and what came of it.
-type MessageOutcome struct {
-	DueAt           time.Duration // when it was due
-	Customer        int
-	Class           int
-	Destination     int
-	Weight          float64
-	OverShare       bool          // beyond the customer's share
-	DeliveredWeight float64       // of the worth, delivered
-	DeliveredAt     time.Duration // 0: never
-}
+// weightSum adds up the weight of messages.
+type weightSum struct{ submitted, delivered float64 }
 
-// Tries folds the hand-ins of a record into first tries, in the order in which they were due.
-func MessageOutcomes(h eventlog.Header, events []eventlog.Event) []MessageOutcome {
-	return newJudge(h, events).tries()
+func (s *weightSum) add(o MessageOutcome) {
+	s.submitted += o.Weight
+	s.delivered += o.DeliveredWeight
 }
 
-func (j *judge) tries() []MessageOutcome {
-	type first struct {
-		*message
-		at time.Duration // of its delivery
-	}
-	var firsts []*first
-	of := map[string]*first{}
-	for _, m := range j.order {
-		x := of[m.FirstID]
-		if x == nil {
-			x = &first{m, never}
-			of[m.FirstID] = x
-			firsts = append(firsts, x)
-		}
-		if at, _, ok := j.delivered(m); ok && j.taken(m) {
-			x.at = min(x.at, at)
-		}
-	}
-	shares := NewCustomerShares(j.Header)
-	var all []MessageOutcome
-	for _, x := range firsts {
-		a := MessageOutcome{DueAt: x.At - x.Delay, Customer: x.Customer, Class: x.Class, Destination: x.Destination, Weight: x.class.Weight}
-		if a.OverShare = shares.Exceeded(a.Customer, a.DueAt); a.OverShare {
-			a.Weight *= j.Rules.OverShareWeightRatio
-		}
-		if x.at != never {
-			a.DeliveredAt = x.at
-			a.DeliveredWeight = a.Weight * WeightRatioAfter(x.class, x.at-a.DueAt)
-		}
-		all = append(all, a)
+// service returns the delivered part of the weight, 1 if nothing was submitted.
+func (s *weightSum) service() float64 {
+	if s.submitted <= 0 {
+		return 1
 	}
-	return all
+	return s.delivered / s.submitted
 }
 
-// Shares tell which first tries are beyond their customers' shares: a bucket each, with room for a second's worth.
-type CustomerShares struct {
-	customers []eventlog.Customer
-	buckets   []struct {
-		tokens float64
-		at     time.Duration
+// measureService measures the service of a run.
+func measureService(r *record) Service {
+	outcomes := r.messageOutcomes()
+	s := Service{LoadLagP99: r.loadLag()}
+	s.WorstWindow, s.WorstWindowAt = worstWindow(outcomes, r.Duration)
+	s.addMessages(r, outcomes)
+	s.addCustomers(r, outcomes)
+	for _, m := range r.submissions {
+		s.addSubmission(r, m)
 	}
-}
-
-// NewShares returns the shares of a run that has not begun.
-func NewCustomerShares(h eventlog.Header) CustomerShares {
-	s := CustomerShares{customers: h.Customers}
-	s.buckets = slices.Grow(s.buckets, len(h.Customers))[:len(h.Customers)]
-	for i, c := range h.Customers {
-		s.buckets[i].tokens = max(1, c.RateShare)
+	for _, c := range r.received {
+		s.addCall(r, c)
 	}
 	return s
 }
 
-// Over tells whether a first try of a customer at a time is beyond its share. Times should not go back.
-func (s *CustomerShares) Exceeded(customer int, at time.Duration) bool {
-	if customer < 0 || customer >= len(s.customers) || s.customers[customer].RateShare <= 0 {
-		return false
-	}
-	b, quota := &s.buckets[customer], s.customers[customer].RateShare
-	b.tokens = min(max(1, quota), b.tokens+quota*max(0, at-b.at).Seconds())
-	b.at = max(b.at, at)
-	if b.tokens < 1 {
-		return true
-	}
-	b.tokens--
-	return false
-}
-
-// WorthAfter is the share of its worth that a message has when it is delivered after a time.
-func WeightRatioAfter(c eventlog.Class, after time.Duration) float64 {
-	switch {
-	case after <= c.LatencyObjective:
-		return 1
-	case after > c.Deadline:
-		return 0
-	}
-	return 1 - (1-c.LateWeightRatio)*float64(after-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
-}
-
-func (j *judge) service() Service {
-	s := Service{Overall: 1, WorstWindow: 1, WorstCustomerService: 1}
-	tries := j.tries()
-	var latencies, lags []time.Duration
-	customers := make([]struct{ worth, value float64 }, len(j.Customers))
-	s.Customers = make([]CustomerService, len(j.Customers))
-	worth, value := 0.0, 0.0
-	for _, a := range tries {
+// addMessages adds the outcomes and the latencies of all messages.
+func (s *Service) addMessages(r *record, outcomes []MessageOutcome) {
+	var total weightSum
+	var latencies []time.Duration
+	for _, o := range outcomes {
 		s.Submitted++
-		worth, value = worth+a.Weight, value+a.DeliveredWeight
-		switch {
-		case a.DeliveredAt == 0:
+		total.add(o)
+		if o.DeliveredAt == 0 {
 			s.Undelivered++
-		case a.DeliveredAt-a.DueAt <= j.Classes[a.Class].LatencyObjective:
+			continue
+		}
+		latencies = append(latencies, o.latency())
+		if o.latency() <= r.Classes[o.Class].LatencyObjective {
 			s.DeliveredInTime++
-		default:
+		} else {
 			s.DeliveredLate++
 		}
-		if a.DeliveredAt != 0 {
-			latencies = append(latencies, a.DeliveredAt-a.DueAt)
-		}
-		if a.Customer < len(customers) {
-			s.Customers[a.Customer].Submitted++
-			if a.OverShare {
-				s.Customers[a.Customer].OverShare++
-			} else {
-				customers[a.Customer].worth += a.Weight
-				customers[a.Customer].value += a.DeliveredWeight
-			}
-		}
-	}
-	if worth > 0 {
-		s.Overall = value / worth
 	}
-	for i, c := range customers {
-		s.Customers[i].Name, s.Customers[i].Service = j.Customers[i].Name, 1
-		if c.worth > 0 {
-			s.Customers[i].Service = c.value / c.worth
+	s.Overall = total.service()
+	s.LatencyP50 = percentile(latencies, 0.5)
+	s.LatencyP95 = percentile(latencies, 0.95)
+	s.LatencyP99 = percentile(latencies, 0.99)
+}
+
+// addCustomers adds the service of each customer, and names the worst-served one.
+func (s *Service) addCustomers(r *record, outcomes []MessageOutcome) {
+	s.Customers = make([]CustomerService, len(r.Customers))
+	sums := make([]weightSum, len(r.Customers))
+	for _, o := range outcomes {
+		if o.Customer >= len(r.Customers) {
+			continue
 		}
-		if s.WorstCustomer == "" || s.Customers[i].Service < s.WorstCustomerService {
-			s.WorstCustomer, s.WorstCustomerService = s.Customers[i].Name, s.Customers[i].Service
+		s.Customers[o.Customer].Submitted++
+		if o.OverShare {
+			s.Customers[o.Customer].OverShare++
+		} else {
+			sums[o.Customer].add(o)
 		}
 	}
-	s.WorstWindow, s.WorstWindowAt = worstWindow(tries, j.Duration)
-	for _, m := range j.order {
-		lags = append(lags, m.Delay)
-		switch {
-		case m.unheard >= 0:
-			s.Unanswered++
-		case m.heard >= 0 && refused(j.events[m.heard]):
-			s.Rejected++
-		case m.heard >= 0 && !j.taken(m):
-			s.Failed++
-		case len(m.notices) > 0 && j.events[m.notices[0]].State == eventlog.StateDeferred:
-			s.Deferred++
-		case len(m.notices) > 0:
-			s.Failed++
+	s.WorstCustomerService = 1
+	for i := range s.Customers {
+		c := &s.Customers[i]
+		c.Name, c.Service = r.Customers[i].Name, sums[i].service()
+		if s.WorstCustomer == "" || c.Service < s.WorstCustomerService {
+			s.WorstCustomer, s.WorstCustomerService = c.Name, c.Service
 		}
 	}
-	for _, c := range j.arrived {
-		s.Calls++
-		switch {
-		case c.reply < 0:
-			s.CallsUnanswered++
-		case j.events[c.reply].Status == 429 || j.events[c.reply].Status == 503:
-			s.CallsRejected++
-		case j.events[c.reply].Status != 200:
-			s.CallsFailed++
-		}
+}
+
+// addSubmission counts a submission that did not end in a delivery.
+func (s *Service) addSubmission(r *record, m *message) {
+	switch {
+	case m.noAnswer != noEvent:
+		s.Unanswered++
+	case m.answer != noEvent && isOverloaded(r.events[m.answer].Status):
+		s.Rejected++
+	case m.answer != noEvent && !r.accepted(m):
+		s.Failed++
+	case len(m.notices) == 0:
+	case r.events[m.notices[0]].State == eventlog.StateDeferred:
+		s.Deferred++
+	default:
+		s.Failed++
+	}
+}
+
+// addCall counts a call by its answer.
+func (s *Service) addCall(r *record, c *call) {
+	s.Calls++
+	if c.reply == noEvent {
+		s.CallsUnanswered++
+		return
+	}
+	switch status := r.events[c.reply].Status; {
+	case isOverloaded(status):
+		s.CallsRejected++
+	case status != http.StatusOK:
+		s.CallsFailed++
 	}
-	s.LatencyP50, s.LatencyP95, s.LatencyP99 = percentile(latencies, 0.5), percentile(latencies, 0.95), percentile(latencies, 0.99)
-	s.LoadLagP99 = percentile(lags, 0.99)
-	return s
 }
 
-// worstWindow is the worst service of any 10 s, a second apart, in which anything was asked for. A run that is shorter
-// is one window.
-func worstWindow(tries []MessageOutcome, length time.Duration) (worst float64, at time.Duration) {
+// worstWindow returns the worst service of any window in which a message was due, and when that window begins. A run
+// that is shorter than a window is one window.
+func worstWindow(outcomes []MessageOutcome, length time.Duration) (worst float64, at time.Duration) {
 	worst = math.Inf(1)
-	for from := time.Duration(0); from == 0 || from+serviceWindow <= length; from += time.Second {
-		worth, value := 0.0, 0.0
-		for _, a := range tries {
-			if a.DueAt >= from && a.DueAt < from+serviceWindow {
-				worth, value = worth+a.Weight, value+a.DeliveredWeight
+	for from := time.Duration(0); from == 0 || from+serviceWindow <= length; from += serviceWindowStep {
+		var sum weightSum
+		for _, o := range outcomes {
+			if o.DueAt >= from && o.DueAt < from+serviceWindow {
+				sum.add(o)
 			}
 		}
-		if worth > 0 && value/worth < worst {
-			worst, at = value/worth, from
+		if sum.submitted > 0 && sum.service() < worst {
+			worst, at = sum.service(), from
 		}
 	}
 	if math.IsInf(worst, 1) {
@@ -237,11 +188,12 @@
 	return worst, at
 }
 
-// percentile is the least value that is not below a share of all; 0 of none.
-func percentile(values []time.Duration, share float64) time.Duration {
+// percentile returns the least of the values that is not below a ratio of them, and 0 if there are none.
+func percentile(values []time.Duration, ratio float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[min(len(sorted)-1, max(0, int(math.Ceil(share*float64(len(sorted))))-1))]
+	rank := int(math.Ceil(ratio * float64(len(sorted))))
+	return sorted[min(len(sorted)-1, max(0, rank-1))]
 }
