--- a/internal/testkit/checker/drain_test.go
+++ b/internal/testkit/checker/drain_test.go
@@ -23,6 +23,40 @@
 	})
 }
 
+// Only a relay that had something to send to the destination after the grace could violate the rule.
+func TestDrainsThatAreExercised(t *testing.T) {
+	cases := []struct {
+		name        string
+		submittedAt time.Duration
+		state       State
+	}{
+		{"submission within the grace", 3 * second, NotExercised},
+		{"submission after the grace", 3*second + 1, Held},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			s := newScript()
+			s.notify(eventlog.StateDraining, 2*second)
+			s.submit("m", idempotent, c.submittedAt, 5*second, 503)
+			if r := wantViolated(t, s, "").ForRule(DrainRespected); r.State != c.state {
+				t.Errorf("%s, want %s", r.State, c.state)
+			}
+		})
+	}
+}
+
+func TestAnEndpointBackInService(t *testing.T) {
+	s := newScript()
+	s.submit("m", keyed, second, 15*second, 202)
+	s.notify(eventlog.StateDraining, 2*second)
+	s.notify(eventlog.StateGone, 3*second)
+	s.notify(eventlog.StateReady, 5*second)
+	s.call("a1", "m", 6*second, 7*second, 200)
+	wantViolated(t, s, "")
+	s.call("a1", "m", 4500*ms, 4600*ms, 429)
+	wantViolated(t, s, DrainRespected)
+}
+
 // A call that is cut before its last byte is one more call to the endpoint all the same.
 func TestTruncatedCallAfterADrain(t *testing.T) {
 	s := newScript()
--- a/internal/testkit/checker/duplicate_test.go
+++ b/internal/testkit/checker/duplicate_test.go
@@ -49,6 +49,16 @@
 	wantViolated(t, s, NoDuplicateEffect)
 }
 
+func TestOverlappingCalls(t *testing.T) {
+	s := newScript()
+	s.submit("m", idempotent, second, 15*second, 202)
+	s.call("a1", "m", 2*second, 4*second, 200)
+	s.call("a2", "m", 3*second, 5*second, 200)
+	wantViolated(t, s, "")
+	s.header.Rules.DuplicatesAllowed = false
+	wantViolated(t, s, NoDuplicateEffect)
+}
+
 // A call that is cut before its last byte did not run, and the message may be sent anywhere; one that is cut after it
 // may have run.
 func TestRepeatsAfterAbortedCalls(t *testing.T) {
--- a/internal/testkit/checker/lost_test.go
+++ b/internal/testkit/checker/lost_test.go
@@ -37,6 +37,26 @@
 	})
 }
 
+// A message without a final answer violates the rule once the answer is due, and not if the run ends before.
+func TestAMessageWithoutAFinalAnswer(t *testing.T) {
+	due := FinalAnswerTimeout + Tolerance
+	cases := []struct {
+		name     string
+		deadline time.Duration
+		violated Rule
+	}{
+		{"due when the run ends", runLength - second - due, NoMessageLost},
+		{"due after the run", runLength - second - due + 1, ""},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			s := newScript()
+			s.submit("m", keyed, second, c.deadline, 202)
+			wantViolated(t, s, c.violated)
+		})
+	}
+}
+
 // A relay may end a client's connection without an answer only while it restarts.
 func TestConnectionsWithoutAnAnswer(t *testing.T) {
 	cases := []struct {
--- a/internal/testkit/checker/order_test.go
+++ b/internal/testkit/checker/order_test.go
@@ -22,6 +22,12 @@
 			s.call("a1", "m1", 2600*ms, 2700*ms, 200)
 			s.call("a1", "m2", 3500*ms-excess, 4*second, 200)
 		}},
+		{"sent before the previous message is given up", func(s *script, excess time.Duration) {
+			s.submit("m1", ordered, second, 15*second, 202)
+			s.submit("m2", ordered, second+10*ms, 15*second, 202)
+			s.notice("m1", eventlog.StateDeferred, 3*second)
+			s.call("a1", "m2", 3*second-50*ms-excess, 4*second, 200)
+		}},
 	})
 }
 
--- a/internal/testkit/checker/peerview_test.go
+++ b/internal/testkit/checker/peerview_test.go
@@ -65,6 +65,14 @@
 		processEvent(5*second, "b", eventlog.StateKill),
 		viewEvent(10*second, "a", "b", second),
 	}},
+	{name: "passed on by a third relay after a cut", tooFresh: 1, events: []eventlog.Event{
+		linkEvent(0, "b", "a", eventlog.LinkCut),
+		linkEvent(0, "c", "a", eventlog.LinkCut),
+		linkEvent(5*second, "b", "c", eventlog.LinkCut),
+		linkEvent(8*second, "c", "a", eventlog.LinkHealthy),
+		viewEvent(10*second, "a", "b", 5*second),
+		viewEvent(10*second, "a", "b", 4*second),
+	}},
 	{name: "received when a cut healed", events: []eventlog.Event{
 		linkEvent(5*second, "b", "a", eventlog.LinkCut),
 		linkEvent(5*second, "b", "c", eventlog.LinkCut),
--- a/internal/testkit/checker/service_test.go
+++ b/internal/testkit/checker/service_test.go
@@ -42,6 +42,21 @@
 	return s
 }
 
+// count is a figure of a service and what it should be.
+type count struct {
+	name      string
+	got, want int
+}
+
+func checkCounts(t *testing.T, counts []count) {
+	t.Helper()
+	for _, c := range counts {
+		if c.got != c.want {
+			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
+		}
+	}
+}
+
 func TestService(t *testing.T) {
 	s := serviceRun().check().Service
 	ratios := []struct {
@@ -61,10 +76,7 @@
 	if s.WorstCustomer != "acme" || s.WorstWindowAt < 16*second {
 		t.Errorf("worst customer %q, worst window at %v", s.WorstCustomer, s.WorstWindowAt)
 	}
-	counts := []struct {
-		name      string
-		got, want int
-	}{
+	checkCounts(t, []count{
 		{"over share", s.Customers[1].OverShare, 2},
 		{"submitted", s.Submitted, 7},
 		{"delivered in time", s.DeliveredInTime, 3},
@@ -73,10 +85,34 @@
 		{"rejected", s.Rejected, 1},
 		{"deferred", s.Deferred, 2},
 		{"failed", s.Failed, 1},
-	}
-	for _, c := range counts {
-		if c.got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
-		}
-	}
+	})
+}
+
+func TestServiceOfUndeliveredSubmissionsAndCalls(t *testing.T) {
+	s := newScript()
+	s.submit("unanswered", keyed, second, 5*second, 0)
+	s.add(eventlog.Event{
+		At:    2 * second,
+		Kind:  eventlog.SubmissionUnanswered,
+		ID:    "unanswered",
+		Relay: "r1",
+		Cause: eventlog.CauseTimeout,
+	})
+	s.submit("rejected", keyed, second, 5*second, 503)
+	s.submit("invalid", keyed, second, 5*second, 400)
+	s.call("a1", "rejected", 2*second, 3*second, 200) // does not count: it was not accepted
+	s.call("a1", "invalid", 2*second, 3*second, 429)
+	s.call("a1", "invalid", 2*second, 3*second, 500)
+	s.call("a1", "invalid", 2*second, 0, 0)
+	service := s.check().Service
+	checkCounts(t, []count{
+		{"undelivered", service.Undelivered, 3},
+		{"unanswered", service.Unanswered, 1},
+		{"rejected", service.Rejected, 1},
+		{"failed", service.Failed, 1},
+		{"calls", service.Calls, 4},
+		{"calls rejected", service.CallsRejected, 1},
+		{"calls failed", service.CallsFailed, 1},
+		{"calls unanswered", service.CallsUnanswered, 1},
+	})
 }
