--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -73,12 +73,12 @@
 				if rules := broken(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
-				if s := v.Service; math.Abs(s.Overall-w.Whole()) > 1e-9 || s.Submitted != w.Offered ||
-					s.DeliveredInTime != w.InFull ||
-					s.CallsRejected != w.CallsFull ||
+				if s := v.Service; math.Abs(s.Overall-w.Overall()) > 1e-9 || s.Submitted != w.Submitted ||
+					s.DeliveredInTime != w.DeliveredInTime ||
+					s.CallsRejected != w.CallsRejected ||
 					s.Deferred != w.Deferred ||
-					s.Rejected != w.Refused {
-					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Measures, w.Whole())
+					s.Rejected != w.Rejected {
+					t.Errorf("%s: judged %+v, measured %+v, %v", name, s, w.Metrics, w.Overall())
 				}
 			})
 		}
@@ -121,7 +121,7 @@
 					break
 				}
 				found = slices.Contains(
-					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Wrong: &m}))),
+					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Mutant: &m}))),
 					m.Rule,
 				)
 			}
@@ -131,7 +131,7 @@
 		}
 		if m.Rule == "" {
 			p := loaded(t, "metastable").Draw(1)
-			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Wrong: &m})
+			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Mutant: &m})
 			x, _ := json.Marshal(a.events)
 			if y, _ := json.Marshal(b.events); string(x) != string(y) {
 				t.Errorf("%s is not equivalent", m.Name)
@@ -146,14 +146,14 @@
 	for _, lag := range []time.Duration{0, 50 * time.Millisecond} {
 		f := loaded(t, "quiet-day")
 		f.Classes = []scenario.Class{
-			{Name: "payment", Share: 1, Effect: "unsafe", Aim: f.Classes[0].Aim, GiveUp: f.Classes[0].GiveUp, Worth: 1},
+			{Name: "payment", TrafficShare: 1, Effect: "unsafe", LatencyObjective: f.Classes[0].LatencyObjective, Deadline: f.Classes[0].Deadline, Weight: 1},
 		}
-		f.Troubles = nil
+		f.Faults = nil
 		for at := 5 * time.Second; at < 30*time.Second; at += 4 * time.Second {
-			f.Troubles = append(f.Troubles, scenario.Trouble{Kind: scenario.Kill, At: scenario.Duration(at)})
+			f.Faults = append(f.Faults, scenario.Fault{Kind: scenario.FaultKill, Start: scenario.Duration(at)})
 		}
 		f.SetDefaults()
-		w := played(t, f.Draw(1), Options{Record: true, Wrong: &Mutant{Lag: lag}})
+		w := played(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
 		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
@@ -162,8 +162,8 @@
 
 // With the machine goes what was not synced: nothing with a sync for each commit, up to a second with an interval.
 func TestMachinesThatDie(t *testing.T) {
-	for _, sync := range []Sync{SyncNever, SyncInterval, SyncAlways} {
-		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, Sync: sync, Machines: true})
+	for _, sync := range []SyncPolicy{SyncNever, SyncInterval, SyncAlways} {
+		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, JournalSync: sync, MachineCrashes: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,8 +185,8 @@
 	f.Relays = 3
 	fell := 0
 	for seed := range uint64(8) {
-		w := played(t, f.Draw(seed+1), Options{Record: true, Wrong: MutantNamed("no-recovery-budget")})
-		fell += w.Fell
+		w := played(t, f.Draw(seed+1), Options{Record: true, Mutant: FindMutant("no-recovery-budget")})
+		fell += w.Overloads
 		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
 			slices.Contains(rules, checker.NoDuplicateEffect) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
@@ -201,9 +201,9 @@
 // lists.
 func TestListsOutOfStep(t *testing.T) {
 	f := loaded(t, "replace-58")
-	f.Troubles = append(f.Troubles, scenario.Trouble{
-		Kind: scenario.Death, At: f.Troubles[0].At + scenario.Duration(500*time.Millisecond),
-		For: scenario.Duration(time.Second), Destinations: []int{1},
+	f.Faults = append(f.Faults, scenario.Fault{
+		Kind: scenario.FaultCrash, Start: f.Faults[0].Start + scenario.Duration(500*time.Millisecond),
+		Duration: scenario.Duration(time.Second), Destinations: []int{1},
 	})
 	f.SetDefaults()
 	w := played(
@@ -222,7 +222,7 @@
 // Answers get lost while endpoints are replaced: keyed messages are repeated within their allowance and no rule breaks,
 // and a relay that takes a reset for a call that never ran is convicted on the same day.
 func TestLostAnswers(t *testing.T) {
-	f, err := scenario.LoadFor("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("../../../docs/experiments/fleet-churn.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,10 +237,10 @@
 			lost++
 		}
 	}
-	if calls := w.CallsOK + lost; lost < calls/100 {
+	if calls := w.CallsServed + lost; lost < calls/100 {
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
-	wrong := played(t, p, Options{Record: true, Wrong: MutantNamed("reset-never-ran")})
+	wrong := played(t, p, Options{Record: true, Mutant: FindMutant("reset-never-ran")})
 	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
@@ -252,12 +252,12 @@
 	w := played(
 		t,
 		p,
-		Options{Record: true, IdleResets: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
+		Options{Record: true, IdleResetRatio: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
 	)
 	if rules := broken(judged(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
-	x, err := New(p, Options{EventsMost: 500})
+	x, err := New(p, Options{MaxEvents: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,13 +354,13 @@
 		1,
 		20,
 		200,
-		scenario.Kind{Pace: 50 * s / 1000, Slots: 20, Limit: "window", TellsWait: 1, Wait: s / 1000},
-		scenario.Destination{Rate: 5},
+		scenario.DestinationKind{ServiceTime: 50 * s / 1000, MaxConcurrentCalls: 20, Limit: "window", RetryAfterRatio: 1, MinRetryAfter: s / 1000},
+		scenario.Destination{LimitRate: 5},
 		Options{Record: true},
 	)
 	load(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
-	w.see(eventlog.Event{Kind: eventlog.RunEnded})
+	w.record(eventlog.Event{Kind: eventlog.RunEnded})
 	v := judged(t, w.World)
 	if f := v.ForRule(checker.RetryAfterRespected); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
@@ -375,11 +375,11 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				n += played(b, f.DrawWorld(1), Options{}).Offered
+				n += played(b, f.DrawWithoutArrivals(1), Options{}).Submitted
 			}
 			b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
 		})
 	}
 }
 
-var _ Module = (*policy.Engine)(nil)
+var _ DecisionEngine = (*policy.Engine)(nil)
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -14,7 +14,7 @@
 // playFleet plays the scenario of links between relays.
 func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Result) {
 	t.Helper()
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,35 +34,35 @@
 func TestFleetMutants(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		wrong FleetWrong
+		wrong LinkFaults
 		opts  Options
 		kind  string // that is found; "": nothing
 	}{
-		{"sound", FleetWrong{}, Options{}, ""},
-		{"sound, one tells absurd figures", FleetWrong{}, Options{Absurd: 1}, ""},
-		{"sound, a name started twice", FleetWrong{}, Options{Twin: 4}, ""},
-		{"sound, two fleets joined by mistake", FleetWrong{}, Options{Fleets: 2}, ""},
-		{"a merge that takes the older", FleetWrong{LastWins: true}, Options{}, "back"},
-		{"ages that do not grow", FleetWrong{AgesStand: true}, Options{}, "age"},
-		{"a bound left out", FleetWrong{NoBounds: true}, Options{Absurd: 1}, "bound"},
-		{"a stall not noticed", FleetWrong{NoTransit: true}, Options{}, "age"},
-		{"strangers heard", FleetWrong{NoTable: true}, Options{Fleets: 2}, "stranger"},
+		{"sound", LinkFaults{}, Options{}, ""},
+		{"sound, one tells absurd figures", LinkFaults{}, Options{AbsurdReporter: 1}, ""},
+		{"sound, a name started twice", LinkFaults{}, Options{NameDuplicate: 4}, ""},
+		{"sound, two fleets joined by mistake", LinkFaults{}, Options{MergedFleets: 2}, ""},
+		{"a merge that takes the older", LinkFaults{LastReceivedWins: true}, Options{}, "back"},
+		{"ages that do not grow", LinkFaults{FrozenAges: true}, Options{}, "age"},
+		{"a bound left out", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, "bound"},
+		{"a stall not noticed", LinkFaults{NoTransitTime: true}, Options{}, "age"},
+		{"strangers heard", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, "stranger"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				c.opts.Wrong = &Mutant{Fleet: c.wrong}
+				c.opts.Mutant = &Mutant{LinkFaults: c.wrong}
 				w, v := playFleet(t, seed+1, c.opts)
-				if got := slices.Contains(w.fleet.Wrong, c.kind); got != (c.kind != "") ||
-					c.kind == "" && len(w.fleet.Wrong) > 0 {
-					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.Wrong), c.kind)
+				if got := slices.Contains(w.fleet.violations, c.kind); got != (c.kind != "") ||
+					c.kind == "" && len(w.fleet.violations) > 0 {
+					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.violations), c.kind)
 				}
-				if sound := c.kind == "" && c.opts.Absurd+c.opts.Twin+c.opts.Fleets == 0; sound &&
+				if sound := c.kind == "" && c.opts.AbsurdReporter+c.opts.NameDuplicate+c.opts.MergedFleets == 0; sound &&
 					(v.State() != checker.Held || v.PeerViews.Disconnected == 0 || v.PeerViews.Stale.Exercised == 0) {
 					t.Errorf("seed %d: %s, %+v", seed+1, v.State(), v.PeerViews)
 				}
-				if c.opts.Twin > 0 { // the one that the others have in their tables is heard, the other is not
-					held, ok := w.relays[1].fleet.ledger.Get(w.relays[1].fleet.clock(), w.relays[0].name, 0)
-					if mine := w.relays[0].fleet.ledger.Incarnation(); !ok || held.Boot != mine.Boot ||
+				if c.opts.NameDuplicate > 0 { // the one that the others have in their tables is heard, the other is not
+					held, ok := w.relays[1].member.reports.Get(w.relays[1].member.clock(), w.relays[0].name, 0)
+					if mine := w.relays[0].member.reports.Incarnation(); !ok || held.Boot != mine.Boot ||
 						held.Age > 10*time.Second {
 						t.Errorf("seed %d: %v is held to be %+v", seed+1, mine, held)
 					}
@@ -78,18 +78,18 @@
 // The same plan gives the same beliefs, and a fleet changes no decision: what relays hear reaches the module nowhere
 // yet.
 func TestFleetDecidesNothing(t *testing.T) {
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Troubles = slices.DeleteFunc(f.Troubles, func(x scenario.Trouble) bool { return x.Kind != scenario.LinkCut })
+	f.Faults = slices.DeleteFunc(f.Faults, func(x scenario.Fault) bool { return x.Kind != scenario.FaultLinkCut })
 	play := func(enabled bool) (served string, w *World) {
 		f.Fleet.Enabled = enabled
 		plan := f.Draw(1)
 		if !enabled {
 			plan.Steps = slices.DeleteFunc(
 				plan.Steps,
-				func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkSound },
+				func(s scenario.Step) bool { return s.Op == scenario.OpLinkCut || s.Op == scenario.OpLinkRestore },
 			)
 		}
 		w, err := New(plan, Options{Record: true})
@@ -103,7 +103,7 @@
 	}
 	on, a := play(true)
 	again, b := play(true)
-	if on != again || a.fleet.Packets != b.fleet.Packets || len(a.events) != len(b.events) || a.fleet.Packets == 0 {
+	if on != again || a.fleet.datagramCount != b.fleet.datagramCount || len(a.events) != len(b.events) || a.fleet.datagramCount == 0 {
 		t.Error("a plan played twice differs")
 	}
 	if off, w := play(false); w.fleet != nil || off == "" {
@@ -145,11 +145,11 @@
 	if n >= 100 { // the first of all that is told is told at once
 		length, from = 56*time.Second, 32*time.Second
 	}
-	f, err := scenario.LoadFor("fleet-links", scenario.EmulatorBounds)
+	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Relays, f.Length, f.Troubles = n, scenario.Duration(length), nil
+	f.Relays, f.Length, f.Faults = n, scenario.Duration(length), nil
 	f.Traffic = f.Traffic[:1]
 	f.Traffic[0].To, f.Traffic[0].Rate = f.Length, float64(n)
 	w, err := New(f.Draw(1), Options{})
@@ -159,7 +159,7 @@
 	for _, a := range w.relays {
 		for _, b := range w.relays {
 			if loss > 0 {
-				w.fleet.links[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLose, X: loss}
+				w.fleet.linkSteps[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: loss}
 			}
 		}
 	}
@@ -170,23 +170,23 @@
 		number   int
 	}
 	var changes []change
-	when := map[version]map[int]time.Duration{}
-	w.fleet.known = func(by *relay, v version) {
-		at, ok := w.fleet.told[v]
+	when := map[reportVersion]map[int]time.Duration{}
+	w.fleet.onUpdate = func(by *relay, v reportVersion) {
+		at, ok := w.fleet.publishedAt[v]
 		if !ok || v.name != "r1" || at < from || at > length-8*time.Second {
 			return
 		}
 		if when[v] == nil {
 			when[v] = map[int]time.Duration{}
-			changes = append(changes, change{v.sequence, at, w.fleet.pageOf[v]})
+			changes = append(changes, change{v.sequence, at, w.fleet.reportNumber[v]})
 		}
-		if _, before := when[v][by.n]; !before {
-			when[v][by.n] = w.Now()
+		if _, before := when[v][by.index]; !before {
+			when[v][by.index] = w.Now()
 		}
 	}
 	before := 0
-	w.Schedule(from, func() { before = w.fleet.Bytes })
-	w.Schedule(length-time.Millisecond, func() { bytes = (w.fleet.Bytes - before) / n / int((length-from)/time.Second) })
+	w.Schedule(from, func() { before = w.fleet.byteCount })
+	w.Schedule(length-time.Millisecond, func() { bytes = (w.fleet.byteCount - before) / n / int((length-from)/time.Second) })
 	if err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	for _, c := range changes {
 		first := map[int]time.Duration{}
 		for v, by := range when {
-			if v.sequence < c.sequence || w.fleet.pageOf[v] != c.number {
+			if v.sequence < c.sequence || w.fleet.reportNumber[v] != c.number {
 				continue
 			}
 			for r, at := range by {
--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -19,7 +19,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// loadPlan reads an experiment and the scenario that stands beside it, if it is not shipped.
+// loadPlan reads an experiment, and the scenario beside it if it is not a shipped one.
 func loadPlan(t *testing.T, path string) Plan {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -30,7 +30,7 @@
 		if strings.HasSuffix(name, ".toml") {
 			name = filepath.Join(filepath.Dir(path), name)
 		}
-		return scenario.LoadFor(name, scenario.EmulatorBounds)
+		return scenario.LoadWithin(name, scenario.EmulatorBounds)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// describe tells of an experiment by the keys of its file, and of its runs.
+// describe writes an experiment by the keys of its file, and its runs.
 func describe(t *testing.T, p Plan) string {
 	t.Helper()
 	data, err := toml.Marshal(p)
@@ -58,12 +58,12 @@
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	golden.Compare(t, *update, "every-key.out.toml", describe(t, p))
 
-	f, o, err := p.world(p.Runs()[0])
+	f, o, err := p.scenarioFor(p.Runs()[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	var m policy.Settings
-	o.Settings(&m)
+	o.ChangeSettings(&m)
 	var b strings.Builder
 	for _, c := range []struct {
 		key   string
@@ -72,20 +72,20 @@
 		{"judged", o.Record},
 		{"emulator.latency", o.Latency},
 		{"emulator.zone_latency", o.ZoneLatency},
-		{"emulator.idle_resets", o.IdleResets},
-		{"emulator.connections", o.Connections},
-		{"emulator.beyond", emulate.Beyonds[o.Beyond]},
-		{"emulator.mutant", o.Wrong.Name},
+		{"emulator.idle_resets", o.IdleResetRatio},
+		{"emulator.connections", o.MaxConnections},
+		{"emulator.beyond", emulate.ExcessConnectionNames[o.ExcessConnections]},
+		{"emulator.mutant", o.Mutant.Name},
 		{"module.senders", m.FleetSize},
 		{"module.slots", m.MaxInFlightCalls},
 		{"module.cold_share", m.WarmUpInitialCapacity},
 		{"module.overload_factor", m.OverloadFactor},
 		{"module.warm_within", m.WarmUpDuration},
 		{"module.order_pause", m.OrderingPause},
-		{"settings.slots", f.Settings.Slots},
+		{"settings.slots", f.Settings.MaxConcurrentCalls},
 		{"traffic.1.rate", f.Traffic[0].Rate},
-		{"destination.1.weight", f.Destinations[0].Weight},
-		{"destination.2.weight", f.Destinations[1].Weight},
+		{"destination.1.weight", f.Destinations[0].TrafficWeight},
+		{"destination.2.weight", f.Destinations[1].TrafficWeight},
 	} {
 		fmt.Fprintf(&b, "%s = %v\n", c.key, c.value)
 	}
@@ -104,16 +104,10 @@
 			continue // scenarios of the others
 		}
 		p := loadPlan(t, path)
-		fmt.Fprintf(
-			&b,
-			"%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
-			filepath.Base(path),
-			p.Name,
-			p.Scenario,
-			p.Hash(),
-			len(p.Runs()),
-			p.Runs()[len(p.Runs())-1].Key(),
-		)
+		runs := p.Runs()
+		last := runs[len(runs)-1]
+		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
+			filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(runs), last.Key())
 	}
 	golden.Compare(t, *update, "documents.txt", b.String())
 }
@@ -122,10 +116,10 @@
 func TestGoldenResult(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	r := p.Play(p.Runs()[0])
-	if r.Late == "" {
+	if r.LatencyHistogram == "" {
 		t.Error("no histogram")
 	}
-	r.Late = "compressed: its bytes are those of a version of Go"
+	r.LatencyHistogram = "compressed: its bytes are those of a version of Go"
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -37,7 +37,7 @@
 	addr    string
 	release func() // of addr
 	rec     *eventlog.Writer
-	agent   *fake.Agent
+	agent   *fake.DiscoveryAgent
 	clients *fake.Clients
 	file    scenario.File
 	record  bool         // it records its decisions
@@ -50,7 +50,7 @@
 
 // reserve keeps an address for a relay; port 0 lets the system choose.
 func reserve(port int) (addr string, release func(), err error) {
-	addr, release, err = fake.Reserve("127.0.0.1:" + strconv.Itoa(port))
+	addr, release, err = fake.ReserveAddress("127.0.0.1:" + strconv.Itoa(port))
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return "", nil, fmt.Errorf("rehearsal: port %d is in use: choose another with -port, or none: %w", port, err)
 	} else if err != nil {
@@ -62,52 +62,52 @@
 // config is the relay's configuration file.
 func (r *relay) config() ([]byte, error) {
 	s := r.file.Settings
-	ms := func(d scenario.Duration) float64 { return float64(d.D()) / float64(time.Millisecond) }
+	ms := func(d scenario.Duration) float64 { return float64(d.AsDuration()) / float64(time.Millisecond) }
 	var services, realms []map[string]any
 	for _, c := range r.file.Classes {
 		services = append(services, map[string]any{
-			"name": c.Name, "group": c.Group, "goal_time_ms": ms(c.Aim), "give_up_ms": ms(c.GiveUp), "repeat_window_ms": ms(c.Window),
-			"late_worth": c.LateWorth, "value": c.Worth, "by_arrival": c.Order, "stream": false,
-			"semantics": map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[c.Effect],
+			"name": c.Name, "group": c.DedupScope, "goal_time_ms": ms(c.LatencyObjective), "give_up_ms": ms(c.Deadline), "repeat_window_ms": ms(c.DedupWindow),
+			"late_worth": c.LateWeightRatio, "value": c.Weight, "by_arrival": c.Ordered, "stream": false,
+			"semantics": map[eventlog.Effect]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[c.Effect],
 		})
 	}
 	shares := 0.0
 	for _, c := range r.file.Customers {
-		shares += c.Share
+		shares += c.TrafficShare
 	}
 	for _, c := range r.file.Customers {
-		realms = append(realms, map[string]any{"name": c.Name, "share": c.Share / shares, "quota_per_s": c.Quota})
+		realms = append(realms, map[string]any{"name": c.Name, "share": c.TrafficShare / shares, "quota_per_s": c.Quota})
 	}
 	var kinds []string
 	var perCall []int
 	var separate []bool
 	cold, warm := 1.0, 0.0
-	for _, k := range r.file.Kinds {
-		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.PerCall), append(separate, k.Separate)
-		cold, warm = min(cold, k.ColdFrom), max(warm, ms(k.Warm))
+	for _, k := range r.file.DestinationKinds {
+		kinds, perCall, separate = append(kinds, k.Name), append(perCall, k.MaxMessagesPerCall), append(separate, k.SeparateEndpoints)
+		cold, warm = min(cold, k.WarmUpInitialCapacity), max(warm, ms(k.WarmUpDuration))
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": r.name, "listen": r.addr, "discovery": r.agent.Addr(), "seed": fmt.Sprintf("%016x", r.file.Seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.Sockets, "disk_mb": s.DiskMB},
-		"known":  r.agent.Known(),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.MaxSockets, "disk_mb": s.DiskMB},
+		"known":  r.agent.NotifiedList(),
 		"settings": map[string]any{
 			"bounds": map[string]any{
-				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAlive), "may_duplicate": *s.MayDuplicate,
+				"cancel": true, "connect_timeout_ms": ms(s.ConnectTimeout), "keepalive_ms": ms(s.KeepAliveTimeout), "may_duplicate": *s.DuplicatesAllowed,
 				"max_retry_after_ms": ms(
 					s.MaxRetryAfter,
-				), "retry_after": true, "open_cap": s.Held, "send_cap": s.Attempts,
+				), "retry_after": true, "open_cap": s.MaxMessages, "send_cap": s.MaxAttempts,
 				"probes": false, "peers": false,
 			},
 			"extra": map[string]any{
-				"call_slots": s.Slots, "per_call": perCall, "separate_routes": separate, "loses_worth": "even",
+				"call_slots": s.MaxConcurrentCalls, "per_call": perCall, "separate_routes": separate, "loses_worth": "even",
 			},
 			"fleet_size": r.file.Relays, "kinds": kinds, "zones": r.file.Zones, "tick_ms": ms(s.Tick),
-			"membership_mode": "push", "weight_kind": "nominal", "over_share_worth": *s.OverShareWorth,
+			"membership_mode": "push", "weight_kind": "nominal", "over_share_worth": *s.OverShareWeightRatio,
 			"rules": map[string]any{
 				"stop_sending_within_ms": ms(
 					s.DrainGrace,
-				), "overload_factor": s.FallMultiple, "fall_ms": ms(s.FallWindow),
-				"cold_from": cold, "warm_within_ms": warm, "order_pause_ms": ms(s.OrderPause), "answer_slack_ms": 20.0,
+				), "overload_factor": s.OverloadFactor, "fall_ms": ms(s.OverloadWindow),
+				"cold_from": cold, "warm_within_ms": warm, "order_pause_ms": ms(s.OrderingPause), "answer_slack_ms": 20.0,
 			},
 			"services": services, "realms": realms, "stats": map[string]any{"how": "none"},
 		},
@@ -174,7 +174,7 @@
 		cmd.Env = append(cmd.Env, "ROUTER_MANAGEMENT="+r.fleet.second)
 	}
 	cmd.SysProcAttr = childAttr()
-	r.agent.Running(true)
+	r.agent.SetRelayRunning(true)
 	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateStart})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: start %s: %w", r.name, err)
@@ -187,8 +187,8 @@
 		if err != nil {
 			cause = err.Error()
 		}
-		r.clients.Takes(false)
-		r.agent.Running(false)
+		r.clients.SetAccepting(false)
+		r.agent.SetRelayRunning(false)
 		r.rec.Add(
 			eventlog.Event{
 				Kind:   eventlog.ProcessChanged,
@@ -205,7 +205,7 @@
 		return err
 	}
 	r.rec.Add(eventlog.Event{Kind: eventlog.ProcessChanged, Relay: r.name, State: eventlog.StateUp})
-	r.clients.Takes(true)
+	r.clients.SetAccepting(true)
 	return nil
 }
 
@@ -285,7 +285,7 @@
 	default:
 	}
 	r.signal(syscall.SIGTERM, eventlog.StateTerm)
-	front := time.AfterFunc(frontNotices, func() { r.clients.Takes(false) })
+	front := time.AfterFunc(frontNotices, func() { r.clients.SetAccepting(false) })
 	defer front.Stop()
 	select {
 	case <-r.exited:
@@ -295,7 +295,7 @@
 }
 
 // restart ends the process and starts it again, on the folder that it left or another one.
-func (r *relay) restart(ctx context.Context, planned bool, folder string, within time.Duration) error {
+func (r *relay) restart(ctx context.Context, planned bool, folder scenario.StateFolder, within time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planned {
