--- a/internal/simulation/experiment/golden_test.go
+++ b/internal/simulation/experiment/golden_test.go
@@ -19,7 +19,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// loadPlan reads an experiment and the scenario that stands beside it, if it is not shipped.
+// loadPlan reads an experiment, and the scenario beside it if it is not a shipped one.
 func loadPlan(t *testing.T, path string) Plan {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// describe tells of an experiment by the keys of its file, and of its runs.
+// describe writes an experiment by the keys of its file, and its runs.
 func describe(t *testing.T, p Plan) string {
 	t.Helper()
 	data, err := toml.Marshal(p)
@@ -58,7 +58,7 @@
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	golden.Compare(t, *update, "every-key.out.toml", describe(t, p))
 
-	f, o, err := p.world(p.Runs()[0])
+	f, o, err := p.scenarioFor(p.Runs()[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,16 +104,10 @@
 			continue // scenarios of the others
 		}
 		p := loadPlan(t, path)
-		fmt.Fprintf(
-			&b,
-			"%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
-			filepath.Base(path),
-			p.Name,
-			p.Scenario,
-			p.Hash(),
-			len(p.Runs()),
-			p.Runs()[len(p.Runs())-1].Key(),
-		)
+		runs := p.Runs()
+		last := runs[len(runs)-1]
+		fmt.Fprintf(&b, "%s: %s, scenario %s, hash %s, %d runs, the last %s\n",
+			filepath.Base(path), p.Name, p.Scenario, p.Hash(), len(runs), last.Key())
 	}
 	golden.Compare(t, *update, "documents.txt", b.String())
 }
@@ -122,10 +116,10 @@
 func TestGoldenResult(t *testing.T) {
 	p := loadPlan(t, filepath.Join("testdata", "golden", "every-key.toml"))
 	r := p.Play(p.Runs()[0])
-	if r.Late == "" {
+	if r.LatencyHistogram == "" {
 		t.Error("no histogram")
 	}
-	r.Late = "compressed: its bytes are those of a version of Go"
+	r.LatencyHistogram = "compressed: its bytes are those of a version of Go"
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		t.Fatal(err)
