--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -16,17 +16,17 @@
 	const s = scenario.Duration(time.Second)
 	f := loaded(t, "partner-silent")
 	f.Length = 40 * s
-	f.Classes[0].Window, f.Classes[0].GiveUp = 4*s, 12*s
-	f.Troubles = []scenario.Trouble{
-		{Kind: scenario.Silent, At: 6 * s, For: 9 * s, Share: 0.5},
-		{Kind: scenario.ClockStep, At: 13 * s, By: scenario.Duration(by)},
-		{Kind: scenario.Kill, At: 14 * s, Stagger: s / 2},
+	f.Classes[0].DedupWindow, f.Classes[0].Deadline = 4*s, 12*s
+	f.Faults = []scenario.Fault{
+		{Kind: scenario.FaultSilence, Start: 6 * s, Duration: 9 * s, Share: 0.5},
+		{Kind: scenario.FaultClockStep, Start: 13 * s, ClockOffset: scenario.Duration(by)},
+		{Kind: scenario.FaultKill, Start: 14 * s, Stagger: s / 2},
 	}
 	if by == 0 {
-		f.Troubles = slices.Delete(f.Troubles, 1, 2)
+		f.Faults = slices.Delete(f.Faults, 1, 2)
 	}
 	f.SetDefaults()
-	if err := f.CheckFor(scenario.EmulatorBounds); err != nil {
+	if err := f.ValidateWithin(scenario.EmulatorBounds); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -36,10 +36,10 @@
 // no rule breaks, and the decisions are those of a day on which no clock was set. A relay whose journal goes by the
 // wall clock is convicted.
 func TestClocksThatAreSet(t *testing.T) {
-	offered := func(w *World) [4]int { return [4]int{w.Offered, w.CallsOK, w.Deferred, w.Failed} }
+	offered := func(w *World) [4]int { return [4]int{w.Submitted, w.CallsServed, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
 		play := func(by time.Duration, wrong *Mutant) (*World, []checker.Rule) {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: wrong})
+			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: wrong})
 			return w, broken(judged(t, w))
 		}
 		calm, rules := play(0, nil)
@@ -59,7 +59,7 @@
 	convicted := false
 	for seed := range uint64(5) {
 		for _, by := range []time.Duration{-6 * time.Second, -3 * time.Second} {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Wrong: &Mutant{Wall: true}})
+			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: &Mutant{UsesWallClock: true}})
 			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.NoDuplicateEffect)
 		}
 	}
@@ -74,8 +74,8 @@
 func TestANewBootLeavesAttemptsUndated(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
 		f := clockDay(t, by)
-		f.Troubles = f.Troubles[:2]
-		w, err := New(f.Draw(1), Options{Record: true, Machines: true, Sync: SyncAlways})
+		f.Faults = f.Faults[:2]
+		w, err := New(f.Draw(1), Options{Record: true, MachineCrashes: true, JournalSync: SyncAlways})
 		if err != nil {
 			t.Fatal(err)
 		}
