--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -224,13 +224,13 @@
 	c.endedAtEndpoint = true
 	delete(c.endpoint.calls, c)
 	if c.received {
-		c.relay.world.record(eventlog.Event{Kind: eventlog.CallAborted, Call: c.number, Relay: c.relay.name, Host: c.endpoint.ID, Cause: cause})
+		c.relay.world.record(eventlog.Event{Kind: eventlog.CallAborted, Call: c.number, Relay: c.relay.name, Endpoint: c.endpoint.ID, Cause: cause})
 	}
 }
 
 // broken is the end of a call whose host breaks its connection.
 func (c *call) breakConnection() {
-	c.endAtEndpoint(eventlog.CauseHost)
+	c.endAtEndpoint(eventlog.CauseEndpoint)
 	c.endedAtEndpoint = true
 	delete(c.endpoint.calls, c)
 	if !c.ended {
@@ -256,7 +256,7 @@
 			Kind:        eventlog.CallReceived,
 			Call:        c.number,
 			Relay:       c.relay.name,
-			Host:        h.ID,
+			Endpoint:    h.ID,
 			FirstByteAt: w.Now(),
 			Destination: h.Destination,
 			Weight:      h.service.CallWeight(len(c.attempts)),
@@ -288,7 +288,7 @@
 	fate := h.service.HandleCall(w.Now(), h.ID, live)
 	if fate.CausedOverload {
 		w.Overloads++
-		w.record(eventlog.Event{Kind: eventlog.ServiceOverloaded, Place: h.service.Name, Destination: h.Destination, Hosts: endpointIDs(h.service.runningEndpoints())})
+		w.record(eventlog.Event{Kind: eventlog.ServiceOverloaded, Service: h.service.Name, Destination: h.Destination, Endpoints: endpointIDs(h.service.runningEndpoints())})
 		w.recordCapacity(h.service, 0, 0)
 	}
 	if fate.Result != upstream.Unanswered && h.service.ResetRatio != nil && w.networkRandom.Float64() < h.service.ResetRatio(c.relay.index) {
@@ -323,7 +323,7 @@
 		}
 		c.endedAtEndpoint = true
 		delete(h.calls, c)
-		e := eventlog.Event{Kind: eventlog.CallAnswered, Call: c.number, Relay: c.relay.name, Host: h.ID, Status: 200, RetryAfter: wait}
+		e := eventlog.Event{Kind: eventlog.CallAnswered, Call: c.number, Relay: c.relay.name, Endpoint: h.ID, Status: 200, RetryAfter: wait}
 		switch outcome {
 		case policy.Overloaded:
 			w.CallsRejected++
--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -71,7 +71,7 @@
 	r := w.relays[t.Relay]
 	w.record(eventlog.Event{
 		Kind: eventlog.MessageSubmitted, ID: t.ID, FirstID: t.firstID, Relay: r.name, Class: t.Class, Customer: t.Customer, Destination: t.Destination, OrderingKey: t.OrderingKey,
-		For: t.deadline - w.Now(),
+		Duration: t.deadline - w.Now(),
 	})
 	if !r.accepting {
 		w.Unanswered++
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/cold_test.go
@@ -282,7 +282,7 @@
 	var all []come
 	first := 0
 	for _, e := range w.events {
-		if e.Kind != eventlog.CallReceived || w.endpoints[e.Host].service != p || e.At < back || e.At >= back+d.warm {
+		if e.Kind != eventlog.CallReceived || w.endpoints[e.Endpoint].service != p || e.At < back || e.At >= back+d.warm {
 			continue
 		}
 		at := told[w.relay(e.Relay).index]
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/emulate_test.go
@@ -233,7 +233,7 @@
 	}
 	lost := 0
 	for _, e := range w.events {
-		if e.Kind == eventlog.CallAborted && e.Cause == eventlog.CauseHost {
+		if e.Kind == eventlog.CallAborted && e.Cause == eventlog.CauseEndpoint {
 			lost++
 		}
 	}
--- a/internal/simulation/emulate/fleet.go
+++ b/internal/simulation/emulate/fleet.go
@@ -543,12 +543,12 @@
 			}
 			n.world.record(
 				eventlog.Event{
-					Kind:   eventlog.PeerView,
-					Relay:  r.name,
-					Name:   o.name,
-					State:  "listed",
-					For:    age,
-					Status: int(lives[o.name]),
+					Kind:     eventlog.PeerView,
+					Relay:    r.name,
+					Name:     o.name,
+					State:    "listed",
+					Duration: age,
+					Status:   int(lives[o.name]),
 				},
 			)
 		}
--- a/internal/simulation/emulate/list.go
+++ b/internal/simulation/emulate/list.go
@@ -130,7 +130,7 @@
 	if !r.running {
 		return // the next process begins with it
 	}
-	w.record(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Host: h.ID, State: c.state, Destination: h.Destination})
+	w.record(eventlog.Event{Kind: eventlog.RelayNotified, Relay: r.name, Endpoint: h.ID, State: c.state, Destination: h.Destination})
 	if r.hasLargeList() && c.growth > 0 {
 		r.workingSet.EndpointAdded(h.Destination, r.now())
 	}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -462,7 +462,7 @@
 	if e.Service == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	w.record(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
+	w.record(eventlog.Event{Kind: eventlog.EndpointChanged, Endpoint: e.ID, Destination: e.Destination, Zone: e.Zone, Service: place, State: state})
 }
 
 // standing are a place's hosts that run.
@@ -493,7 +493,7 @@
 		rate = 0
 	}
 	for _, h := range p.runningEndpoints() {
-		w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: p.Destination, Rate: rate, Share: share, For: warm})
+		w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Endpoint: h.ID, Destination: p.Destination, Rate: rate, Share: share, Duration: warm})
 	}
 }
 
@@ -505,7 +505,7 @@
 	h.stopped = true
 	h.service.RemoveEndpoint(h.ID)
 	w.resetConnections(h)
-	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: h.ID, Destination: h.Destination})
+	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Endpoint: h.ID, Destination: h.Destination})
 }
 
 // reset breaks all connections of a host.
@@ -536,7 +536,7 @@
 		return // it is out already: the first outage's end ends both
 	}
 	p.outageCause = op.OutageCause()
-	w.record(eventlog.Event{Kind: eventlog.OutageStarted, Place: name, Destination: p.Destination, Hosts: endpointIDs(p.runningEndpoints()), Cause: p.outageCause})
+	w.record(eventlog.Event{Kind: eventlog.OutageStarted, Service: name, Destination: p.Destination, Endpoints: endpointIDs(p.runningEndpoints()), Cause: p.outageCause})
 	w.recordCapacity(p, 1, 0)
 	switch op {
 	case scenario.OpFailCalls:
@@ -575,12 +575,12 @@
 	w.record(
 		eventlog.Event{
 			Kind:        eventlog.OutageEnded,
-			Place:       name,
+			Service:     name,
 			Destination: p.Destination,
-			Hosts:       endpointIDs(hosts),
+			Endpoints:   endpointIDs(hosts),
 			Rate:        cold.FullCapacity,
 			Share:       cold.InitialCapacity,
-			For:         cold.Duration,
+			Duration:    cold.Duration,
 		},
 	)
 	w.recordCapacity(p, cold.InitialCapacity, cold.Duration)
--- a/internal/testkit/checker/checker_test.go
+++ b/internal/testkit/checker/checker_test.go
@@ -83,7 +83,7 @@
 		answer.RetryAfter = time.Duration(rapid.Int64Range(0, int64(second)).Draw(t, "Retry-After"))
 		r.blockedUntil = max(r.blockedUntil, answeredAt+answer.RetryAfter)
 	}
-	call := r.callWith(eventlog.Event{Relay: "r1", Host: endpoint, IDs: []string{m.id}}, r.now, answer)
+	call := r.callWith(eventlog.Event{Relay: "r1", Endpoint: endpoint, IDs: []string{m.id}}, r.now, answer)
 	if status == 0 {
 		r.abort(call, answeredAt)
 	}
--- a/internal/testkit/checker/drain.go
+++ b/internal/testkit/checker/drain.go
@@ -20,11 +20,11 @@
 func checkDrainRespected(r *record, result *RuleResult) {
 	restrictions := r.drainRestrictions()
 	for _, c := range r.allCalls {
-		for _, d := range restrictions[relayEndpoint{c.Relay, c.Host}] {
+		for _, d := range restrictions[relayEndpoint{c.Relay, c.Endpoint}] {
 			if c.FirstByteAt > d.from+r.Rules.DrainGrace+Tolerance && c.FirstByteAt < d.to {
 				result.addViolation(c.FirstByteAt, []int{d.event, c.index},
 					"%s was sent to by %s %v after this was told that it is no longer in service",
-					c.Host, c.Relay, (c.FirstByteAt - d.from).Round(time.Millisecond))
+					c.Endpoint, c.Relay, (c.FirstByteAt - d.from).Round(time.Millisecond))
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 		if e.Kind != eventlog.RelayNotified {
 			continue
 		}
-		key := relayEndpoint{e.Relay, e.Host}
+		key := relayEndpoint{e.Relay, e.Endpoint}
 		list := restrictions[key]
 		restricted := len(list) > 0 && list[len(list)-1].to == never
 		inService := e.State == eventlog.StateReady
@@ -68,7 +68,7 @@
 		last[key] = max(last[key], m.At)
 	}
 	for _, c := range r.allCalls {
-		key := relayDestination{c.Relay, r.endpoints[c.Host].destination}
+		key := relayDestination{c.Relay, r.endpoints[c.Endpoint].destination}
 		last[key] = max(last[key], c.FirstByteAt)
 	}
 	return last
--- a/internal/testkit/checker/duplicate.go
+++ b/internal/testkit/checker/duplicate.go
@@ -36,14 +36,14 @@
 	switch {
 	case o == pending && !r.Rules.DuplicatesAllowed:
 		result.addViolation(at, evidence, "message %s was sent to %s while a call to %s was out",
-			m.ID, repeat.Host, earlier.Host)
+			m.ID, repeat.Endpoint, earlier.Endpoint)
 	case o == didNotRun:
 	case m.class.Effect == eventlog.Idempotent:
 	case m.class.Effect == eventlog.IdempotentByKey:
 		r.checkRepeatByKey(result, m, earlier, repeat)
 	default:
 		result.addViolation(at, evidence, "message %s must not be repeated, may have run at %s, and was sent to %s",
-			m.ID, earlier.Host, repeat.Host)
+			m.ID, earlier.Endpoint, repeat.Endpoint)
 	}
 }
 
@@ -51,7 +51,7 @@
 func (r *record) checkRepeatByKey(result *RuleResult, m *message, earlier, repeat attempt) {
 	at := repeat.FirstByteAt
 	evidence := []int{m.index, earlier.index, repeat.index}
-	zone, repeatZone := r.endpoints[earlier.Host].zone, r.endpoints[repeat.Host].zone
+	zone, repeatZone := r.endpoints[earlier.Endpoint].zone, r.endpoints[repeat.Endpoint].zone
 	late := at - earlier.FirstByteAt - m.class.DedupWindow
 	switch {
 	case late > Tolerance:
@@ -83,7 +83,7 @@
 		if n := slices.IndexFunc(m.attempts, mayHaveRunBy); n >= 0 {
 			a := m.attempts[n]
 			result.addViolation(at, []int{m.index, a.index, i},
-				"message %s (%s) was refused though a call to %s may have run", m.ID, m.class.Effect, a.Host)
+				"message %s (%s) was refused though a call to %s may have run", m.ID, m.class.Effect, a.Endpoint)
 		}
 	}
 	return exercised
--- a/internal/testkit/checker/duplicate_test.go
+++ b/internal/testkit/checker/duplicate_test.go
@@ -81,7 +81,7 @@
 	for _, id := range ids {
 		s.submit(id, nonIdempotent, second, 15*second, 202)
 	}
-	s.callWith(eventlog.Event{Relay: "r1", Host: "a1", IDs: ids}, 2*second,
+	s.callWith(eventlog.Event{Relay: "r1", Endpoint: "a1", IDs: ids}, 2*second,
 		eventlog.Event{At: 3 * second, Status: 200, States: []string{"ok", "later", "error"}})
 	s.call("a1", "m2", 4*second, 5*second, 200)
 	s.notice("m3", eventlog.StateUndeliverable, 4*second)
--- a/internal/testkit/checker/lost.go
+++ b/internal/testkit/checker/lost.go
@@ -62,7 +62,7 @@
 
 // finalAnswerDue returns until when a message needs its final answer. No answer is overdue while the relay is down.
 func (r *record) finalAnswerDue(m *message) time.Duration {
-	due := m.At + m.For + FinalAnswerTimeout + Tolerance
+	due := m.At + m.Duration + FinalAnswerTimeout + Tolerance
 	for {
 		until, down := r.downUntil(m.Relay, due)
 		if !down {
@@ -92,7 +92,7 @@
 	for _, a := range m.attempts {
 		if a.FirstByteAt > finalAt+Tolerance {
 			result.addViolation(a.FirstByteAt, []int{m.index, final, a.index},
-				"message %s was sent to %s %v after its end", m.ID, a.Host, a.FirstByteAt-finalAt)
+				"message %s was sent to %s %v after its end", m.ID, a.Endpoint, a.FirstByteAt-finalAt)
 			return
 		}
 	}
--- a/internal/testkit/checker/order_test.go
+++ b/internal/testkit/checker/order_test.go
@@ -50,7 +50,7 @@
 			s.submit("m1", ordered, second, 3*second, 202)
 			s.submit("other", idempotent, second, 15*second, 202)
 			s.submit("m2", ordered, second+10*ms, 15*second, 202)
-			batch := eventlog.Event{Relay: "r1", Host: "a1", IDs: c.batch}
+			batch := eventlog.Event{Relay: "r1", Endpoint: "a1", IDs: c.batch}
 			s.abort(s.callWith(batch, 2*second, eventlog.Event{}), 4*second)
 			s.notice("m1", eventlog.StateDeferred, 4*second)
 			s.call("a1", "m2", 4*second+c.pause, 6*second, 200)
--- a/internal/testkit/checker/peerview.go
+++ b/internal/testkit/checker/peerview.go
@@ -108,11 +108,11 @@
 	if healthySince == never {
 		c.result.Disconnected++
 	}
-	age := e.For.Round(time.Millisecond)
+	age := e.Duration.Round(time.Millisecond)
 
 	c.result.TooFresh.Exercised++
 	newest := c.knowledge.newest[relay][peer]
-	if e.For >= 0 && e.At-e.Delay-e.For > newest+peerReportTolerance {
+	if e.Duration >= 0 && e.At-e.Delay-e.Duration > newest+peerReportTolerance {
 		c.result.TooFresh.addViolation(e.At, []int{i},
 			"%s holds news of %s that is %v old, and can have heard of it as it was at %v at the latest",
 			e.Relay, e.Name, age, newest.Round(time.Millisecond))
@@ -123,7 +123,7 @@
 		return
 	}
 	c.result.Stale.Exercised++
-	if e.For < 0 || e.For > maxPeerReportAge {
+	if e.Duration < 0 || e.Duration > maxPeerReportAge {
 		c.result.Stale.addViolation(e.At, []int{i},
 			"%s holds news of %s that is %v old (below 0: none), over links that are sound since %v",
 			e.Relay, e.Name, age, healthySince.Round(time.Millisecond))
--- a/internal/testkit/checker/peerview_test.go
+++ b/internal/testkit/checker/peerview_test.go
@@ -18,7 +18,7 @@
 
 // viewEvent is the statement of a relay that its newest report of another has an age; below 0: it has none.
 func viewEvent(at time.Duration, relay, of string, age time.Duration) eventlog.Event {
-	return eventlog.Event{At: at, Kind: eventlog.PeerView, Relay: relay, Name: of, For: age}
+	return eventlog.Event{At: at, Kind: eventlog.PeerView, Relay: relay, Name: of, Duration: age}
 }
 
 // submissionToB is a submission to relay b: the others need reports of b then.
--- a/internal/testkit/checker/record.go
+++ b/internal/testkit/checker/record.go
@@ -65,7 +65,7 @@
 // endpoint is an entry of the endpoint list. Changes of the list leave these fields as they are.
 type endpoint struct {
 	zone        string
-	scope       string // the rate-limit scope: its destination, or itself if it has limits of its own
+	service     string // what it shares limits with: its destination, or itself if it has limits of its own
 	destination int
 }
 
@@ -115,8 +115,8 @@
 	case eventlog.CallAnswered, eventlog.CallAborted:
 		r.addCallEnd(i, e)
 	case eventlog.EndpointChanged:
-		scope := cmp.Or(e.Place, fmt.Sprint(e.Destination))
-		r.endpoints[e.Host] = endpoint{zone: e.Zone, scope: scope, destination: e.Destination}
+		service := cmp.Or(e.Service, fmt.Sprint(e.Destination))
+		r.endpoints[e.Endpoint] = endpoint{zone: e.Zone, service: service, destination: e.Destination}
 	case eventlog.ProcessChanged:
 		r.addProcessEvent(e)
 	case eventlog.ClockStepped:
@@ -175,7 +175,8 @@
 	for position, id := range e.IDs {
 		m := r.messages[id]
 		if m == nil {
-			r.addRunError(e.At, []int{i}, "%s called %s with message %s, which nobody handed in", e.Relay, e.Host, id)
+			r.addRunError(e.At, []int{i}, "%s called %s with message %s, which nobody handed in",
+				e.Relay, e.Endpoint, id)
 			continue
 		}
 		r.checkAddress(m, c)
@@ -186,13 +187,13 @@
 // checkAddress checks that a message is sent by the relay that has it, and to its destination.
 func (r *record) checkAddress(m *message, c *call) {
 	evidence := []int{m.index, c.index}
-	destination := r.endpoints[c.Host].destination
+	destination := r.endpoints[c.Endpoint].destination
 	switch {
 	case m.Relay != c.Relay:
 		r.addRunError(c.At, evidence, "%s sent message %s, which was handed in to %s", c.Relay, m.ID, m.Relay)
 	case m.Destination != destination:
 		r.addRunError(c.At, evidence, "message %s for destination %d went to %s of destination %d",
-			m.ID, m.Destination, c.Host, destination)
+			m.ID, m.Destination, c.Endpoint, destination)
 	}
 }
 
--- a/internal/testkit/checker/record_test.go
+++ b/internal/testkit/checker/record_test.go
@@ -63,7 +63,7 @@
 		"notice of an unknown message": func(s *script) { s.notice("unknown", eventlog.StateDeferred, 2*second) },
 		"call to another destination":  func(s *script) { s.call("b1", "m", 2*second, 3*second, 200) },
 		"call by another relay": func(s *script) {
-			s.callWith(eventlog.Event{Relay: "r2", Host: "a1", IDs: []string{"m"}}, 2*second,
+			s.callWith(eventlog.Event{Relay: "r2", Endpoint: "a1", IDs: []string{"m"}}, 2*second,
 				eventlog.Event{At: 3 * second, Status: 200})
 		},
 		"crash": func(s *script) { s.process(2*second, eventlog.StateExit) },
@@ -89,7 +89,7 @@
 	s.submit("m", keyed, second, 5*second, 202)
 	s.call("a1", "m", 2*second, 3*second, 200)
 	before := s.check()
-	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.ClockStepped, For: -time.Hour})
+	s.add(eventlog.Event{At: 1500 * ms, Kind: eventlog.ClockStepped, Duration: -time.Hour})
 	s.header.StartedAt = s.header.StartedAt.Add(time.Hour)
 	after := s.check()
 	if after.ClockSteps != 1 {
--- a/internal/testkit/checker/recovery.go
+++ b/internal/testkit/checker/recovery.go
@@ -39,9 +39,9 @@
 // recovery returns the recovery that an event reports, if the record has the beginning of the outage.
 func (r *record) recovery(index int) (recovery, bool) {
 	v := recovery{event: r.events[index], index: index, outageIndex: noEvent}
-	v.until = v.event.At + v.event.For
+	v.until = v.event.At + v.event.Duration
 	isOutage := func(e eventlog.Event) bool {
-		return e.Kind == eventlog.OutageStarted && e.Place == v.event.Place
+		return e.Kind == eventlog.OutageStarted && e.Service == v.event.Service
 	}
 	for i := index - 1; i >= 0 && v.outageIndex == noEvent; i-- {
 		if isOutage(r.events[i]) {
@@ -61,7 +61,7 @@
 
 // receives reports whether a call reaches the service while it warms up.
 func (v recovery) receives(c *call) bool {
-	return c.At >= v.event.At && c.At <= v.until && slices.Contains(v.event.Hosts, c.Host)
+	return c.At >= v.event.At && c.At <= v.until && slices.Contains(v.event.Endpoints, c.Endpoint)
 }
 
 // isInformed reports whether a relay observed the outage. A relay that the header does not list counts as informed.
@@ -107,7 +107,7 @@
 	result.addViolation(at, evidence,
 		"%s, back since %v and able to do %.1f calls a second, "+
 			"was sent %.1f in %v, %.0f%% by relays that had seen it fail",
-		v.event.Place, (at - v.event.At).Round(time.Millisecond), v.warmUp().CapacityAt(at),
+		v.event.Service, (at - v.event.At).Round(time.Millisecond), v.warmUp().CapacityAt(at),
 		load, r.Rules.OverloadWindow, 100*informedLoad/load)
 }
 
@@ -135,7 +135,7 @@
 		StartedAt:       v.event.At,
 		FullCapacity:    v.event.Rate,
 		InitialCapacity: v.event.Share,
-		Duration:        v.event.For,
+		Duration:        v.event.Duration,
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	duringOutage := func(at time.Duration) bool { return at >= v.outage.At && at <= v.event.At }
 	for _, c := range r.allCalls {
-		if !slices.Contains(v.event.Hosts, c.Host) {
+		if !slices.Contains(v.event.Endpoints, c.Endpoint) {
 			continue
 		}
 		if event := r.failure(c); event != noEvent && duringOutage(r.events[event].At) {
--- a/internal/testkit/checker/recovery_test.go
+++ b/internal/testkit/checker/recovery_test.go
@@ -32,7 +32,7 @@
 			Relay:  relay,
 			Status: 202,
 		})
-		s.callWith(eventlog.Event{Relay: relay, Host: "a1", IDs: []string{id}}, 10*second+2*ms,
+		s.callWith(eventlog.Event{Relay: relay, Endpoint: "a1", IDs: []string{id}}, 10*second+2*ms,
 			eventlog.Event{At: 11 * second, Status: 200})
 	}
 	s.call("a1", "seen", 11*second+500*ms, 12*second, 200)
--- a/internal/testkit/checker/retryafter.go
+++ b/internal/testkit/checker/retryafter.go
@@ -15,15 +15,15 @@
 	retryAfterRounding = time.Millisecond
 )
 
-// relayScope is a rate-limit scope as one relay sees it.
-type relayScope struct{ relay, scope string }
+// relayService is a service, that is a rate-limit scope, as one relay sees it.
+type relayService struct{ relay, service string }
 
-// checkRetryAfterRespected checks that a relay calls no endpoint of a rate-limit scope before the end of a Retry-After.
+// checkRetryAfterRespected checks that a relay calls no endpoint of a service before the end of a Retry-After.
 // A restart frees the relay.
 func checkRetryAfterRespected(r *record, result *RuleResult) {
-	restrictions := map[relayScope][]restriction{}
+	restrictions := map[relayService][]restriction{}
 	for i, e := range r.events {
-		key := relayScope{e.Relay, r.endpoints[e.Host].scope}
+		key := relayService{e.Relay, r.endpoints[e.Endpoint].service}
 		switch {
 		case e.Kind == eventlog.CallAnswered && e.RetryAfter > retryAfterGrace:
 			result.Exercised++
@@ -51,8 +51,8 @@
 			answer := r.events[w.event]
 			result.addViolation(e.At, []int{w.event, call},
 				"%s was told by %s at %v to wait until %v, and called %s at %v",
-				e.Relay, answer.Host, answer.At.Round(time.Millisecond), w.to.Round(time.Millisecond),
-				e.Host, e.At.Round(time.Millisecond))
+				e.Relay, answer.Endpoint, answer.At.Round(time.Millisecond), w.to.Round(time.Millisecond),
+				e.Endpoint, e.At.Round(time.Millisecond))
 			return
 		}
 	}
--- a/internal/testkit/checker/retryafter_test.go
+++ b/internal/testkit/checker/retryafter_test.go
@@ -9,7 +9,7 @@
 
 // overloaded adds a call with a message by r1 to a1 that is answered at 3 s with a Retry-After.
 func (s *script) overloaded(id string, status int, retryAfter time.Duration) {
-	s.callWith(eventlog.Event{Relay: "r1", Host: "a1", IDs: []string{id}}, 2*second,
+	s.callWith(eventlog.Event{Relay: "r1", Endpoint: "a1", IDs: []string{id}}, 2*second,
 		eventlog.Event{At: 3 * second, Status: status, RetryAfter: retryAfter})
 }
 
@@ -28,20 +28,20 @@
 	})
 }
 
-func TestRetryAfterBindsTheScope(t *testing.T) {
+func TestRetryAfterBindsTheService(t *testing.T) {
 	cases := []struct {
-		name           string
-		scope1, scope2 string
-		violated       Rule
+		name               string
+		service1, service2 string
+		violated           Rule
 	}{
-		{"endpoints that share a scope", "", "", RetryAfterRespected},
-		{"endpoints with scopes of their own", "a1", "a2", ""},
+		{"endpoints of one service", "", "", RetryAfterRespected},
+		{"endpoints that are services of their own", "a1", "a2", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScript()
-			s.endpoint("a1", "a", 7, c.scope1)
-			s.endpoint("a2", "b", 7, c.scope2)
+			s.endpoint("a1", "a", 7, c.service1)
+			s.endpoint("a2", "b", 7, c.service2)
 			s.submit("m", idempotent, second, 15*second, 202)
 			s.overloaded("m", 503, 5*second)
 			s.call("a2", "m", 4*second, 5*second, 200)
--- a/internal/testkit/checker/script_test.go
+++ b/internal/testkit/checker/script_test.go
@@ -85,14 +85,14 @@
 
 func (s *script) add(e eventlog.Event) { s.events = append(s.events, e) }
 
-// endpoint lists an endpoint. scope is "" if it shares the limits of its destination.
-func (s *script) endpoint(id, zone string, destination int, scope string) {
+// endpoint lists an endpoint. service is "" if it shares the limits of its destination.
+func (s *script) endpoint(id, zone string, destination int, service string) {
 	s.add(eventlog.Event{
 		Kind:        eventlog.EndpointChanged,
-		Host:        id,
+		Endpoint:    id,
 		Zone:        zone,
 		Destination: destination,
-		Place:       scope,
+		Service:     service,
 		State:       eventlog.StateReady,
 	})
 }
@@ -112,7 +112,7 @@
 		Relay:       "r1",
 		Class:       class,
 		Destination: 7,
-		For:         deadline,
+		Duration:    deadline,
 	}
 }
 
@@ -134,7 +134,7 @@
 // call adds a call with a message by r1, of which the endpoint receives the last byte 1 ms after the first. It is
 // answered at a time; status 0: it is not answered.
 func (s *script) call(endpoint, id string, firstByteAt, answeredAt time.Duration, status int) uint64 {
-	return s.callWith(eventlog.Event{Relay: "r1", Host: endpoint, IDs: []string{id}}, firstByteAt,
+	return s.callWith(eventlog.Event{Relay: "r1", Endpoint: endpoint, IDs: []string{id}}, firstByteAt,
 		eventlog.Event{At: answeredAt, Status: status})
 }
 
@@ -145,7 +145,7 @@
 	e.Kind, e.Call, e.Weight = eventlog.CallReceived, s.calls, 1
 	s.add(e)
 	if answer.Status != 0 {
-		answer.Kind, answer.Call, answer.Relay, answer.Host = eventlog.CallAnswered, s.calls, e.Relay, e.Host
+		answer.Kind, answer.Call, answer.Relay, answer.Endpoint = eventlog.CallAnswered, s.calls, e.Relay, e.Endpoint
 		s.add(answer)
 	}
 	return s.calls
@@ -160,7 +160,7 @@
 		Kind:        eventlog.CallTruncated,
 		Call:        s.calls,
 		Relay:       "r1",
-		Host:        "a1",
+		Endpoint:    "a1",
 	})
 }
 
@@ -176,7 +176,7 @@
 
 // notify notifies r1 of the state of a1.
 func (s *script) notify(state string, at time.Duration) {
-	s.add(eventlog.Event{At: at, Kind: eventlog.RelayNotified, Relay: "r1", Host: "a1", State: state})
+	s.add(eventlog.Event{At: at, Kind: eventlog.RelayNotified, Relay: "r1", Endpoint: "a1", State: state})
 }
 
 // outage begins an outage of destination 7.
@@ -184,9 +184,9 @@
 	s.add(eventlog.Event{
 		At:          at,
 		Kind:        eventlog.OutageStarted,
-		Place:       "7",
+		Service:     "7",
 		Destination: 7,
-		Hosts:       endpoints,
+		Endpoints:   endpoints,
 		Cause:       cause,
 	})
 }
@@ -196,12 +196,12 @@
 	s.add(eventlog.Event{
 		At:          at,
 		Kind:        eventlog.OutageEnded,
-		Place:       "7",
+		Service:     "7",
 		Destination: 7,
-		Hosts:       endpoints,
+		Endpoints:   endpoints,
 		Rate:        capacity,
 		Share:       0.2,
-		For:         14 * second,
+		Duration:    14 * second,
 	})
 }
 
--- a/internal/testkit/eventlog/event.go
+++ b/internal/testkit/eventlog/event.go
@@ -8,53 +8,56 @@
 // The kinds of event, with the fields that each sets besides At and Kind.
 const (
 	// MessageSubmitted: a client is about to send a request. ID, FirstID, Relay, Class, Customer, Destination,
-	// OrderingKey, For (time to the deadline), Delay (against the plan).
+	// OrderingKey, Duration (until the deadline), Delay (against the plan).
 	MessageSubmitted Kind = "offer"
 	// SubmissionAnswered: the client got an answer. ID, Relay, Status, RetryAfter.
 	SubmissionAnswered Kind = "heard"
 	// SubmissionUnanswered: the client got no answer. ID, Relay, Cause: see the Cause constants.
 	SubmissionUnanswered Kind = "unheard"
-	// CallReceived: an endpoint received the last byte of a call. Call, Relay, Host, IDs, FirstByteAt, Destination,
-	// Weight.
+	// CallReceived: an endpoint received the last byte of a call. Call, Relay, Endpoint, IDs, FirstByteAt, Destination,
+	// Weight (its part in the load of the service).
 	CallReceived Kind = "call"
-	// CallTruncated: a call ended before the endpoint received its last byte. Call, Relay, Host, FirstByteAt.
+	// CallTruncated: a call ended before the endpoint received its last byte. Call, Relay, Endpoint, FirstByteAt.
 	CallTruncated Kind = "broken"
-	// CallAnswered: an endpoint is about to send an answer. Call, Relay, Host, Status, RetryAfter, States (of a batch
-	// with status 200, in the order of the call's IDs).
+	// CallAnswered: an endpoint is about to send an answer. Call, Relay, Endpoint, Status, RetryAfter, States (of a
+	// batch with status 200, in the order of the call's IDs).
 	CallAnswered Kind = "reply"
-	// CallAborted: a call's connection ended before an answer. Call, Relay, Host, Cause (CauseRelay or CauseHost).
+	// CallAborted: a call's connection ended before an answer. Call, Relay, Endpoint, Cause (CauseRelay or
+	// CauseEndpoint).
 	CallAborted Kind = "ended"
-	// EndpointChanged: the platform changed an entry of its endpoint list. Host, Destination, Zone, State.
+	// EndpointChanged: the platform changed an entry of its endpoint list. Endpoint, Destination, Service (if the
+	// endpoint has limits of its own), Zone, State.
 	EndpointChanged Kind = "change"
-	// RelayNotified: a relay was notified of an entry. Relay, Host, State, Destination.
+	// RelayNotified: a relay was notified of an entry. Relay, Endpoint, State, Destination.
 	RelayNotified Kind = "told"
 	// MessageNotice: a relay notified the platform of how a message ended. Relay, ID, State (undeliverable or
 	// deferred), RetryAfter.
 	MessageNotice Kind = "notice"
 	// ProcessChanged: a relay's process changed. Relay, State (see the State constants), Status, Cause.
 	ProcessChanged Kind = "process"
-	// OutageStarted: a service is out of service for its callers. Place, Hosts, Cause.
+	// OutageStarted: a service begins to fail. Service, Destination, Endpoints, Cause (see the Outage constants).
 	OutageStarted Kind = "outage"
-	// OutageEnded: a service recovered from an outage and warms up. Place, Hosts, Rate (its capacity when warm, in
-	// calls a second), Share (the ratio of it at first), For (until it is warm).
+	// OutageEnded: a service recovered from an outage and warms up. Service, Destination, Endpoints, Rate (its capacity
+	// when warm, in calls a second), Share (the ratio of it at first), Duration (until it is warm).
 	OutageEnded Kind = "back"
-	// ServiceOverloaded: a service was overloaded while it warmed up. Place, Hosts.
+	// ServiceOverloaded: a service was overloaded while it warmed up. Service, Destination, Endpoints.
 	ServiceOverloaded Kind = "fell"
-	// CapacityChanged: the capacity of an endpoint from now on. Host, Destination, Rate (calls a second), Share (the
-	// ratio of it at first), For (until it has all of it).
+	// CapacityChanged: the capacity of an endpoint from now on. Endpoint, Destination, Rate (calls a second), Share
+	// (the ratio of it at first), Duration (until it has all of it).
 	CapacityChanged Kind = "able"
 	// FaultChanged: a fault of the scenario begins or ends. Name, State (begin or end), Cause (its effect).
 	FaultChanged Kind = "trouble"
-	// ClockStepped: the machine's wall clock was stepped. For: by how much.
+	// ClockStepped: the machine's wall clock was stepped. Duration (by how much).
 	ClockStepped Kind = "clock"
 	// LinkChanged: the state of the link from one relay to another. Relay, Name (the other), State (LinkHealthy,
 	// LinkCut or LinkFaulty), Cause.
 	LinkChanged Kind = "link"
-	// PeerView: what a relay states of another. Relay, Name (the other), State (as the relay sees it), For (the age of
-	// the newest report that it received, below 0: none), Status (the other's incarnation).
+	// PeerView: what a relay states of another. Relay, Name (the other), State (as the relay sees it), Duration (the
+	// age of the newest report that it received, below 0: none), Delay (the time that the query took), Status (the
+	// other's incarnation).
 	PeerView Kind = "belief"
 	// RunInvalid: something that makes the run invalid, such as a call with a message that no client submitted. Relay,
-	// Host, ID, Cause.
+	// Endpoint, ID, Cause.
 	RunInvalid Kind = "fault"
 	// RunEnded: the last event of a complete record. Cause, if the run was cut short.
 	RunEnded Kind = "end"
@@ -62,19 +65,19 @@
 
 // Why a client got no answer, and which side ended a connection.
 const (
-	CauseTimeout = "timeout" // the client's timeout passed
-	CauseClosed  = "closed"  // the relay ended the connection though the request was sent completely
-	CauseNotSent = "unsent"  // no connection was made, or it broke before the request's last byte
-	CauseRelay   = "relay"
-	CauseHost    = "host"
+	CauseTimeout  = "timeout" // the client's timeout passed
+	CauseClosed   = "closed"  // the relay ended the connection though the request was sent completely
+	CauseNotSent  = "unsent"  // no connection was made, or it broke before the request's last byte
+	CauseRelay    = "relay"
+	CauseEndpoint = "host"
 )
 
-// Why a service is out of service.
+// How a service fails during an outage.
 const (
-	OutageFailing   = "failing"
-	OutageSuspended = "shut"
-	OutageSilent    = "silent"
-	OutageDown      = "down" // connections are not accepted, which leaves no event at the endpoints
+	OutageFailing   = "failing" // some calls, or all, are answered with errors
+	OutageSuspended = "shut"    // it rejects all calls
+	OutageSilent    = "silent"  // calls are not answered
+	OutageDown      = "down"    // connections are not accepted, which leaves no event at the endpoints
 )
 
 // States of entries of the endpoint list.
@@ -120,13 +123,13 @@
 	At   time.Duration `json:"at"` // since the run began; in nanoseconds in the file, as all durations
 	Kind Kind          `json:"k"`
 
-	ID      string   `json:"id,omitempty"`
-	FirstID string   `json:"of,omitempty"` // id of the message's first submission
-	Relay   string   `json:"relay,omitempty"`
-	Host    string   `json:"host,omitempty"`
-	Hosts   []string `json:"hosts,omitempty"`
-	// Place is a service: a destination, or an endpoint with limits of its own.
-	Place       string        `json:"place,omitempty"`
+	ID        string   `json:"id,omitempty"`
+	FirstID   string   `json:"of,omitempty"` // id of the message's first submission
+	Relay     string   `json:"relay,omitempty"`
+	Endpoint  string   `json:"host,omitempty"`
+	Endpoints []string `json:"hosts,omitempty"`
+	// Service is what has limits of its own: a destination, or one endpoint.
+	Service     string        `json:"place,omitempty"`
 	Destination int           `json:"dest,omitempty"`
 	Zone        string        `json:"zone,omitempty"`
 	Class       int           `json:"class,omitempty"`
@@ -140,7 +143,7 @@
 	States      []string      `json:"states,omitempty"`
 	State       string        `json:"state,omitempty"`
 	RetryAfter  time.Duration `json:"wait,omitempty"`
-	For         time.Duration `json:"for,omitempty"`
+	Duration    time.Duration `json:"for,omitempty"`
 	Delay       time.Duration `json:"late,omitempty"`
 	Rate        float64       `json:"rate,omitempty"`
 	Share       float64       `json:"share,omitempty"`
--- a/internal/testkit/eventlog/eventlog_test.go
+++ b/internal/testkit/eventlog/eventlog_test.go
@@ -29,7 +29,7 @@
 
 func TestReadReturnsWhatWasWritten(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
-		w.Add(Event{Kind: MessageSubmitted, ID: "a", For: time.Second})
+		w.Add(Event{Kind: MessageSubmitted, ID: "a", Duration: time.Second})
 		w.Add(Event{Kind: CallReceived, Call: 3, IDs: []string{"a", "b"}, FirstByteAt: 5})
 	})
 	header, got, err := Read(file)
--- a/internal/testkit/eventlog/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -41,7 +41,7 @@
 	CauseClosed,
 	CauseNotSent,
 	CauseRelay,
-	CauseHost,
+	CauseEndpoint,
 	OutageFailing,
 	OutageSuspended,
 	OutageSilent,
--- a/internal/testkit/fake/clients.go
+++ b/internal/testkit/fake/clients.go
@@ -216,7 +216,7 @@
 		Customer:    s.Customer,
 		Destination: s.Destination,
 		OrderingKey: s.OrderingKey,
-		For:         time.Until(s.deadline),
+		Duration:    time.Until(s.deadline),
 		Delay:       delay,
 	})
 	conn, response, cause := c.exchange(ctx, s, time.Now().Add(c.file.Clients.AnswerTimeout.AsDuration()))
--- a/internal/testkit/fake/discovery.go
+++ b/internal/testkit/fake/discovery.go
@@ -232,7 +232,7 @@
 	a.events.Add(eventlog.Event{
 		Kind:        eventlog.RelayNotified,
 		Relay:       a.relay,
-		Host:        endpoint.ID,
+		Endpoint:    endpoint.ID,
 		State:       endpoint.State,
 		Destination: endpoint.Destination,
 	})
--- a/internal/testkit/fake/discovery_test.go
+++ b/internal/testkit/fake/discovery_test.go
@@ -100,7 +100,7 @@
 		t.Errorf("%+v", list)
 	}
 	// The relay counts as notified once the agent has written the line, which may be after a client has read it.
-	h.waitFor(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Host == "s-2" })
+	h.waitFor(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Endpoint == "s-2" })
 	agent.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateGone})
 	watching.next()
 	h.waitFor(eventlog.RelayNotified, withState(eventlog.StateGone))
@@ -119,7 +119,7 @@
 	watching.next()
 	agent.Update(ListedEndpoint{ID: "s-2", State: eventlog.StateReady})
 	watching.next()
-	h.waitFor(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Host == "s-2" })
+	h.waitFor(eventlog.RelayNotified, func(e eventlog.Event) bool { return e.Endpoint == "s-2" })
 	agent.SetSilent(true)
 	agent.Update(ListedEndpoint{ID: "s-1", State: eventlog.StateDraining})
 	if _, notified := h.find(eventlog.RelayNotified, withState(eventlog.StateDraining)); notified {
--- a/internal/testkit/fake/endpoint.go
+++ b/internal/testkit/fake/endpoint.go
@@ -84,7 +84,7 @@
 	e.refuseConnections()
 	e.world.events.Add(eventlog.Event{
 		Kind:        eventlog.CapacityChanged,
-		Host:        e.spec.ID,
+		Endpoint:    e.spec.ID,
 		Destination: e.spec.Destination,
 	})
 }
@@ -181,5 +181,5 @@
 
 // recordInvalid records something that makes the run invalid.
 func (e *Endpoint) recordInvalid(relay, cause string) {
-	e.world.events.Add(eventlog.Event{Kind: eventlog.RunInvalid, Relay: relay, Host: e.spec.ID, Cause: cause})
+	e.world.events.Add(eventlog.Event{Kind: eventlog.RunInvalid, Relay: relay, Endpoint: e.spec.ID, Cause: cause})
 }
--- a/internal/testkit/fake/endpoint_test.go
+++ b/internal/testkit/fake/endpoint_test.go
@@ -25,7 +25,8 @@
 		return slices.Equal(e.IDs, []string{"m2"})
 	})
 	answered := h.waitFor(eventlog.CallAnswered, func(e eventlog.Event) bool { return e.Call == received.Call })
-	if received.Relay != testRelay || received.Host != h.firstEndpoint().spec.ID || received.FirstByteAt > received.At {
+	if received.Relay != testRelay || received.Endpoint != h.firstEndpoint().spec.ID ||
+		received.FirstByteAt > received.At {
 		t.Errorf("%+v", received)
 	}
 	if answered.At-received.At < 9*time.Millisecond || answered.Status != http.StatusOK {
@@ -45,7 +46,7 @@
 	}
 	received := h.waitFor(eventlog.CallReceived, anyEvent)
 	aborted := h.waitFor(eventlog.CallAborted, anyEvent)
-	if aborted.Call != received.Call || aborted.Cause != eventlog.CauseHost {
+	if aborted.Call != received.Call || aborted.Cause != eventlog.CauseEndpoint {
 		t.Errorf("%+v", aborted)
 	}
 	h.must(h.SetResponseLossRatio(testService, 0))
@@ -149,10 +150,10 @@
 	h.register("m")
 	h.expectStatus(h.dial(addr), "m", http.StatusOK)
 	started, ended := h.waitFor(eventlog.OutageStarted, anyEvent), h.waitFor(eventlog.OutageEnded, anyEvent)
-	if started.Place != testService || started.Cause != eventlog.OutageDown || len(started.Hosts) != 2 {
+	if started.Service != testService || started.Cause != eventlog.OutageDown || len(started.Endpoints) != 2 {
 		t.Errorf("%+v", started)
 	}
-	if ended.Rate != 400 || ended.Share != 0.2 || ended.For != 12*time.Second {
+	if ended.Rate != 400 || ended.Share != 0.2 || ended.Duration != 12*time.Second {
 		t.Errorf("%+v", ended)
 	}
 }
@@ -216,5 +217,5 @@
 	}
 	h.register("m")
 	h.expectStatus(h.dial(addr), "m", http.StatusOK)
-	h.waitFor(eventlog.CallReceived, func(e eventlog.Event) bool { return e.Host == spec.ID })
+	h.waitFor(eventlog.CallReceived, func(e eventlog.Event) bool { return e.Endpoint == spec.ID })
 }
--- a/internal/testkit/fake/endpointconn.go
+++ b/internal/testkit/fake/endpointconn.go
@@ -124,7 +124,7 @@
 		FirstByteAt: world.events.Now(),
 		Call:        world.nextCall(),
 		Relay:       c.relay,
-		Host:        c.endpoint.spec.ID,
+		Endpoint:    c.endpoint.spec.ID,
 		Destination: c.endpoint.spec.Destination,
 	}
 	request, body, err := readRequest(reader)
@@ -171,11 +171,11 @@
 	}
 	if cause := c.awaitAnswer(received, answer, relayLeft); cause != "" {
 		world.events.Add(eventlog.Event{
-			Kind:  eventlog.CallAborted,
-			Call:  received.number,
-			Relay: c.relay,
-			Host:  c.endpoint.spec.ID,
-			Cause: cause,
+			Kind:     eventlog.CallAborted,
+			Call:     received.number,
+			Relay:    c.relay,
+			Endpoint: c.endpoint.spec.ID,
+			Cause:    cause,
 		})
 		return false
 	}
@@ -183,7 +183,7 @@
 		Kind:       eventlog.CallAnswered,
 		Call:       received.number,
 		Relay:      c.relay,
-		Host:       c.endpoint.spec.ID,
+		Endpoint:   c.endpoint.spec.ID,
 		Status:     answer.status,
 		RetryAfter: answer.retryAfter,
 		States:     answer.states,
@@ -205,14 +205,14 @@
 	case <-relayLeft:
 		return eventlog.CauseRelay
 	case <-c.aborted:
-		return eventlog.CauseHost
+		return eventlog.CauseEndpoint
 	}
 	if !c.endpoint.resolveDelivered(received, answer) {
 		<-c.aborted
-		return eventlog.CauseHost
+		return eventlog.CauseEndpoint
 	}
 	if answer.lost {
-		return eventlog.CauseHost
+		return eventlog.CauseEndpoint
 	}
 	return ""
 }
--- a/internal/testkit/fake/service.go
+++ b/internal/testkit/fake/service.go
@@ -52,9 +52,9 @@
 		affected = w.runningEndpoints(s)
 		w.events.Add(eventlog.Event{
 			Kind:        eventlog.OutageStarted,
-			Place:       name,
+			Service:     name,
 			Destination: s.destination,
-			Hosts:       endpointIDs(affected),
+			Endpoints:   endpointIDs(affected),
 			Cause:       s.outageCause,
 		})
 		w.recordCapacity(s, 1, 0)
@@ -115,12 +115,12 @@
 	warmUp := s.model.Recover(w.events.Now())
 	w.events.Add(eventlog.Event{
 		Kind:        eventlog.OutageEnded,
-		Place:       s.name,
+		Service:     s.name,
 		Destination: s.destination,
-		Hosts:       endpointIDs(endpoints),
+		Endpoints:   endpointIDs(endpoints),
 		Rate:        warmUp.FullCapacity,
 		Share:       warmUp.InitialCapacity,
-		For:         warmUp.Duration,
+		Duration:    warmUp.Duration,
 	})
 	w.recordCapacity(s, warmUp.InitialCapacity, warmUp.Duration)
 }
@@ -147,11 +147,11 @@
 	for _, e := range w.runningEndpoints(s) {
 		w.events.Add(eventlog.Event{
 			Kind:        eventlog.CapacityChanged,
-			Host:        e.spec.ID,
+			Endpoint:    e.spec.ID,
 			Destination: s.destination,
 			Rate:        rate,
 			Share:       initialRatio,
-			For:         warmUp,
+			Duration:    warmUp,
 		})
 	}
 }
@@ -182,9 +182,9 @@
 	if response.CausedOverload {
 		w.events.Add(eventlog.Event{
 			Kind:        eventlog.ServiceOverloaded,
-			Place:       e.spec.Service,
+			Service:     e.spec.Service,
 			Destination: e.spec.Destination,
-			Hosts:       endpointIDs(w.runningEndpoints(e.service)),
+			Endpoints:   endpointIDs(w.runningEndpoints(e.service)),
 		})
 		w.recordCapacity(e.service, 0, 0)
 	}
--- a/internal/testkit/rehearsal/fleet.go
+++ b/internal/testkit/rehearsal/fleet.go
@@ -196,7 +196,7 @@
 		}
 		for _, m := range st.Members {
 			s.rec.Add(eventlog.Event{
-				Kind: eventlog.PeerView, Relay: r.name, Name: m.Name, State: m.State, For: m.Age, Delay: took, Status: int(m.Incarnation.Generation),
+				Kind: eventlog.PeerView, Relay: r.name, Name: m.Name, State: m.State, Duration: m.Age, Delay: took, Status: int(m.Incarnation.Generation),
 			})
 		}
 	}
--- a/internal/testkit/rehearsal/rehearsal.go
+++ b/internal/testkit/rehearsal/rehearsal.go
@@ -312,7 +312,7 @@
 	if e.Service == e.ID {
 		place = e.ID // a route that stands apart
 	}
-	s.rec.Add(eventlog.Event{Kind: eventlog.EndpointChanged, Host: e.ID, Destination: e.Destination, Zone: e.Zone, Place: place, State: state})
+	s.rec.Add(eventlog.Event{Kind: eventlog.EndpointChanged, Endpoint: e.ID, Destination: e.Destination, Zone: e.Zone, Service: place, State: state})
 }
 
 // takeDown ends the relays, in order if the rehearsal went well, and the stand-ins.
@@ -405,7 +405,7 @@
 		now := time.Now()
 		monotonic, wall := now.Sub(was), now.Round(0).Sub(was.Round(0))
 		if step := wall - monotonic; step.Abs() > clockStep {
-			s.rec.Add(eventlog.Event{Kind: eventlog.ClockStepped, For: step})
+			s.rec.Add(eventlog.Event{Kind: eventlog.ClockStepped, Duration: step})
 		}
 	}
 }
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -255,7 +255,7 @@
 	calls := map[string]int{}
 	for _, e := range r.Events {
 		if e.Kind == eventlog.CallReceived {
-			calls[e.Host]++
+			calls[e.Endpoint]++
 		}
 	}
 	later := 0
--- a/internal/testkit/report/endpointplots.go
+++ b/internal/testkit/report/endpointplots.go
@@ -57,17 +57,17 @@
 	byID := map[string]*endpointSeries{}
 	var order []*endpointSeries
 	for _, e := range events {
-		s := byID[e.Host]
+		s := byID[e.Endpoint]
 		switch e.Kind {
 		case eventlog.CapacityChanged:
 			if s == nil {
 				s = &endpointSeries{
-					id:          e.Host,
+					id:          e.Endpoint,
 					destination: e.Destination,
 					received:    timeline.Zeros(),
 					capacity:    timeline.Zeros(),
 				}
-				byID[e.Host] = s
+				byID[e.Endpoint] = s
 				order = append(order, s)
 			}
 			s.fillCapacity(timeline.At(e.At), timeline.Bin)
@@ -75,7 +75,7 @@
 				StartedAt:       e.At,
 				FullCapacity:    e.Rate,
 				InitialCapacity: e.Share,
-				Duration:        e.For,
+				Duration:        e.Duration,
 			}
 		case eventlog.CallReceived:
 			if s != nil {
--- a/internal/testkit/report/plots.go
+++ b/internal/testkit/report/plots.go
@@ -28,7 +28,7 @@
 				timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Relay + " " + e.State})
 			}
 		case eventlog.ServiceOverloaded:
-			timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Place + " fell over"})
+			timeline.Marks = append(timeline.Marks, chart.Mark{At: e.At, Text: e.Service + " fell over"})
 		}
 	}
 	return timeline
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -43,25 +43,25 @@
 		Customers: []eventlog.Customer{{Name: "acme"}},
 	}
 	events := []eventlog.Event{
-		{Kind: eventlog.EndpointChanged, Host: "s-1", Destination: 1, Zone: "a", State: eventlog.StateReady},
-		{Kind: eventlog.CapacityChanged, Host: "s-1", Destination: 1, Rate: 10, Share: 1},
+		{Kind: eventlog.EndpointChanged, Endpoint: "s-1", Destination: 1, Zone: "a", State: eventlog.StateReady},
+		{Kind: eventlog.CapacityChanged, Endpoint: "s-1", Destination: 1, Rate: 10, Share: 1},
 		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateStart},
 		{Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateUp},
 		{At: second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateBegin},
 		{
-			At: second, Kind: eventlog.RelayNotified, Relay: "r1", Host: "s-1", State: eventlog.StateDraining,
+			At: second, Kind: eventlog.RelayNotified, Relay: "r1", Endpoint: "s-1", State: eventlog.StateDraining,
 			Destination: 1,
 		},
 		{
 			At: 2 * second, Kind: eventlog.MessageSubmitted, ID: "m", FirstID: "m", Relay: "r1", Destination: 1,
-			For: 8 * second,
+			Duration: 8 * second,
 		},
 		{At: 2 * second, Kind: eventlog.SubmissionAnswered, ID: "m", Relay: "r1", Status: 202},
 		{
-			At: 3 * second, FirstByteAt: 3 * second, Kind: eventlog.CallReceived, Call: 1, Relay: "r1", Host: "s-1",
+			At: 3 * second, FirstByteAt: 3 * second, Kind: eventlog.CallReceived, Call: 1, Relay: "r1", Endpoint: "s-1",
 			IDs: []string{"m"},
 		},
-		{At: 4 * second, Kind: eventlog.CallAnswered, Call: 1, Relay: "r1", Host: "s-1", Status: 200},
+		{At: 4 * second, Kind: eventlog.CallAnswered, Call: 1, Relay: "r1", Endpoint: "s-1", Status: 200},
 		{At: 5 * second, Kind: eventlog.FaultChanged, Name: "drain<&>", State: eventlog.StateEnd},
 		{At: 6 * second, Kind: eventlog.ProcessChanged, Relay: "r1", State: eventlog.StateKill},
 		{At: 12 * second, Kind: eventlog.RunEnded},
