--- a/internal/simulation/emulate/clock.go
+++ b/internal/simulation/emulate/clock.go
@@ -27,7 +27,7 @@
 	processStartedAt time.Duration
 }
 
-// read reads the clocks at a time of the world. A relay that trusts the wall clock takes its steps for time that passed.
+// read reads the clocks at a time of the world. A relay that trusts the wall clock takes its steps for time passing.
 func (c *machineClocks) read(now time.Duration, trustsWallClock bool) bootclock.Reading {
 	reading := bootclock.Reading{
 		Wall:   time.Unix(wallClockStart, 0).Add(now + c.stepped),
--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -11,10 +11,10 @@
 
 // clockDay is a small fleet whose partners fall silent, so that calls are in doubt when its relays are killed, with
 // their wall clocks set by so much just before; 0: they are not.
-func clockDay(t *testing.T, by time.Duration) scenario.File {
+func clockStepScenario(t *testing.T, by time.Duration) scenario.File {
 	t.Helper()
 	const s = scenario.Duration(time.Second)
-	f := loaded(t, "partner-silent")
+	f := loadScenario(t, "partner-silent")
 	f.Length = 40 * s
 	f.Classes[0].DedupWindow, f.Classes[0].Deadline = 4*s, 12*s
 	f.Faults = []scenario.Fault{
@@ -35,12 +35,12 @@
 // The wall clocks of relays are set, forth and back, by moments and hours, before they are killed with calls in doubt:
 // no rule breaks, and the decisions are those of a day on which no clock was set. A relay whose journal goes by the
 // wall clock is convicted.
-func TestClocksThatAreSet(t *testing.T) {
+func TestClockSteps(t *testing.T) {
 	offered := func(w *World) [4]int { return [4]int{w.Submitted, w.CallsServed, w.Deferred, w.Failed} }
 	for seed := range uint64(3) {
 		play := func(by time.Duration, wrong *Mutant) (*World, []checker.Rule) {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: wrong})
-			return w, broken(judged(t, w))
+			w := playPlan(t, clockStepScenario(t, by).Draw(seed+1), Options{Record: true, Mutant: wrong})
+			return w, violatedRules(checkRecord(t, w))
 		}
 		calm, rules := play(0, nil)
 		if len(rules) > 0 {
@@ -59,8 +59,8 @@
 	convicted := false
 	for seed := range uint64(5) {
 		for _, by := range []time.Duration{-6 * time.Second, -3 * time.Second} {
-			w := played(t, clockDay(t, by).Draw(seed+1), Options{Record: true, Mutant: &Mutant{UsesWallClock: true}})
-			convicted = convicted || slices.Contains(broken(judged(t, w)), checker.NoDuplicateEffect)
+			w := playPlan(t, clockStepScenario(t, by).Draw(seed+1), Options{Record: true, Mutant: &Mutant{UsesWallClock: true}})
+			convicted = convicted || slices.Contains(violatedRules(checkRecord(t, w)), checker.NoDuplicateEffect)
 		}
 	}
 	if !convicted {
@@ -71,9 +71,9 @@
 // A new boot makes the time of an attempt unknown: it is not repeated, whatever the clock says then. Where the clock
 // was set back and nobody had looked before the machine died, final answers come late by as much, a class's time at
 // most: nothing there tells.
-func TestANewBootLeavesAttemptsUndated(t *testing.T) {
+func TestRebootMakesAttemptAgesUnknown(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, time.Millisecond, 5 * time.Second} {
-		f := clockDay(t, by)
+		f := clockStepScenario(t, by)
 		f.Faults = f.Faults[:2]
 		w, err := New(f.Draw(1), Options{Record: true, MachineCrashes: true, JournalSync: SyncAlways})
 		if err != nil {
@@ -85,7 +85,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		rules := broken(judged(t, w))
+		rules := violatedRules(checkRecord(t, w))
 		if by < 0 {
 			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.NoMessageLost })
 		}
--- a/internal/simulation/emulate/endpoint.go
+++ b/internal/simulation/emulate/endpoint.go
@@ -63,7 +63,8 @@
 
 // kindIndex returns the index of a destination kind by its name.
 func (w *World) kindIndex(name string) int {
-	return slices.IndexFunc(w.plan.File.DestinationKinds, func(k scenario.DestinationKind) bool { return k.Name == name })
+	kinds := w.plan.File.DestinationKinds
+	return slices.IndexFunc(kinds, func(k scenario.DestinationKind) bool { return k.Name == name })
 }
 
 // AddEndpoint starts the process of an endpoint and adds it to the endpoint list. If its service is new, it is like the
--- a/internal/simulation/emulate/endpointlist.go
+++ b/internal/simulation/emulate/endpointlist.go
@@ -92,8 +92,8 @@
 	return entries
 }
 
-// ChangeEndpoint changes the entry of an endpoint in the list. Each relay learns of it after the delay of discovery, and
-// of all changes in their order.
+// ChangeEndpoint changes the entry of an endpoint in the list. Each relay learns of it after the delay of discovery,
+// and of all changes in their order.
 func (w *World) ChangeEndpoint(id, state string) {
 	e := w.endpoints[id]
 	w.recordEndpointChange(e.Endpoint, state)
--- a/internal/simulation/emulate/execute.go
+++ b/internal/simulation/emulate/execute.go
@@ -10,8 +10,28 @@
 // execute executes the actions of a step: it journals first what they decide, and then answers clients, notifies the
 // platform and makes calls.
 func (r *relay) execute(actions []policy.Action, accepted []*receivedSubmission) {
-	var calls []*call
-	var ended []*message
+	calls, ended := r.apply(actions, accepted)
+	for _, c := range calls {
+		for _, a := range c.attempts {
+			r.attemptStarted(c, a)
+		}
+	}
+	for _, in := range accepted {
+		if in.message != nil {
+			in.submission.answer(r, http.StatusAccepted, 0)
+		}
+	}
+	for _, m := range ended {
+		r.notify(m)
+	}
+	for _, c := range calls {
+		r.startCall(c)
+	}
+}
+
+// apply applies actions to the relay's state. It returns the calls to be made, and the messages that ended without
+// delivery, of which the platform must be notified.
+func (r *relay) apply(actions []policy.Action, accepted []*receivedSubmission) (calls []*call, ended []*message) {
 	for _, a := range actions {
 		m := r.messages[a.MessageID]
 		switch a.Kind {
@@ -31,22 +51,7 @@
 			}
 		}
 	}
-	for _, c := range calls {
-		for _, a := range c.attempts {
-			r.attemptStarted(c, a)
-		}
-	}
-	for _, in := range accepted {
-		if in.message != nil {
-			in.submission.answer(r, http.StatusAccepted, 0)
-		}
-	}
-	for _, m := range ended {
-		r.notify(m)
-	}
-	for _, c := range calls {
-		r.startCall(c)
-	}
+	return calls, ended
 }
 
 // decideFinal ends a message without delivery. A message that was accepted in this step has the final answer as its
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -12,7 +12,7 @@
 )
 
 // playFleet plays the scenario of links between relays.
-func playFleet(t *testing.T, seed uint64, opts Options) (*World, checker.Result) {
+func playFleetLinks(t *testing.T, seed uint64, opts Options) (*World, checker.Result) {
 	t.Helper()
 	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
@@ -51,7 +51,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(3) {
 				c.opts.Mutant = &Mutant{LinkFaults: c.wrong}
-				w, v := playFleet(t, seed+1, c.opts)
+				w, v := playFleetLinks(t, seed+1, c.opts)
 				if got := slices.Contains(w.fleet.violations, c.kind); got != (c.kind != "") ||
 					c.kind == "" && len(w.fleet.violations) > 0 {
 					t.Errorf("seed %d: found %v, want %q", seed+1, slices.Compact(w.fleet.violations), c.kind)
@@ -77,7 +77,7 @@
 
 // The same plan gives the same beliefs, and a fleet changes no decision: what relays hear reaches the module nowhere
 // yet.
-func TestFleetDecidesNothing(t *testing.T) {
+func TestFleetRunsAreReproducible(t *testing.T) {
 	f, err := scenario.LoadWithin("fleet-links", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
@@ -115,14 +115,14 @@
 
 // TestFleetSpread tells how soon all know of what one tells, in virtual time. A fleet of any size knows within a few
 // seconds.
-func TestFleetSpread(t *testing.T) {
+func TestReportSpread(t *testing.T) {
 	sizes := []int{3, 20}
 	if *large {
 		sizes = append(sizes, 100, 300)
 	}
 	for _, n := range sizes {
 		for _, loss := range []float64{0, 0.3} {
-			half, most, all, bytes := spread(t, n, loss)
+			half, most, all, bytes := measureSpread(t, n, loss)
 			t.Logf(
 				"%3d relays, %.0f %% lost: known to half after %v, to 99 %% after %v, to all after %v; %d bytes a second a member",
 				n,
@@ -139,7 +139,7 @@
 	}
 }
 
-func spread(t *testing.T, n int, loss float64) (half, most, all time.Duration, bytes int) {
+func measureSpread(t *testing.T, n int, loss float64) (half, most, all time.Duration, bytes int) {
 	t.Helper()
 	length, from := 24*time.Second, 8*time.Second
 	if n >= 100 { // the first of all that is told is told at once
--- a/internal/simulation/emulate/fleetcheck.go
+++ b/internal/simulation/emulate/fleetcheck.go
@@ -170,8 +170,8 @@
 	return v.Compare(other.Incarnation) < 0
 }
 
-// checkQuotas checks that what all relays may use of a limit at this moment, by themselves and by granting it to others,
-// does not exceed it.
+// checkQuotas checks that what all relays may use of a limit at this moment, by themselves and by granting it to
+// others, does not exceed it.
 func (n *fleetNetwork) checkQuotas() {
 	if !n.world.plan.File.Fleet.Quotas {
 		return
--- a/internal/simulation/emulate/helpers_test.go
+++ b/internal/simulation/emulate/helpers_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-func loaded(t testing.TB, name string) scenario.File {
+func loadScenario(t testing.TB, name string) scenario.File {
 	t.Helper()
 	f, err := scenario.Load(name)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return f
 }
 
-func played(t testing.TB, p scenario.Plan, opts Options) *World {
+func playPlan(t testing.TB, p scenario.Plan, opts Options) *World {
 	t.Helper()
 	w, err := New(p, opts)
 	if err == nil {
@@ -31,7 +31,7 @@
 	return w
 }
 
-func judged(t testing.TB, w *World) checker.Result {
+func checkRecord(t testing.TB, w *World) checker.Result {
 	t.Helper()
 	v := checker.Check(w.Result())
 	if len(v.RunErrors) > 0 {
@@ -40,7 +40,7 @@
 	return v
 }
 
-func broken(v checker.Result) (all []checker.Rule) {
+func violatedRules(v checker.Result) (all []checker.Rule) {
 	for _, f := range v.Rules {
 		if f.State == checker.Violated {
 			all = append(all, f.Rule)
@@ -63,19 +63,19 @@
 }
 
 // world is a world in virtual time, with what was delivered in it.
-type world struct {
+type testWorld struct {
 	*World
-	delivered []delivery
-	trace     []string
+	deliveries []delivery
+	trace      []string
 }
 
 type delivery struct {
-	dest      int
-	taken, at time.Duration
+	destination              int
+	submittedAt, deliveredAt time.Duration
 }
 
 // start starts the world.
-func (s worldSpec) start(t testing.TB) *world {
+func (s worldSpec) start(t testing.TB) *testWorld {
 	t.Helper()
 	const second = scenario.Duration(time.Second)
 	kind, destination := s.kind, s.destination
@@ -117,11 +117,11 @@
 	file.Traffic = nil
 	file.Clients.RetryRatio = new(float64)
 
-	w := &world{}
+	w := &testWorld{}
 	options := s.options
 	options.Latency = 20 * time.Millisecond
 	options.OnDelivery = func(destination int, submittedAt, deliveredAt time.Duration) {
-		w.delivered = append(w.delivered, delivery{destination, submittedAt, deliveredAt})
+		w.deliveries = append(w.deliveries, delivery{destination, submittedAt, deliveredAt})
 	}
 	var err error
 	if w.World, err = New(file.Draw(s.seed+1), options); err != nil {
@@ -130,7 +130,7 @@
 	return w
 }
 
-func (w *world) run(t testing.TB, until time.Duration) {
+func (w *testWorld) run(t testing.TB, until time.Duration) {
 	t.Helper()
 	if err := w.Run(until); err != nil {
 		t.Fatal(err)
@@ -138,10 +138,10 @@
 }
 
 // rate is how many messages a second were delivered in a span.
-func (w *world) rate(from, to time.Duration) float64 {
+func (w *testWorld) deliveryRate(from, to time.Duration) float64 {
 	n := 0
-	for _, d := range w.delivered {
-		if d.at >= from && d.at < to {
+	for _, d := range w.deliveries {
+		if d.deliveredAt >= from && d.deliveredAt < to {
 			n++
 		}
 	}
--- a/internal/simulation/emulate/many_test.go
+++ b/internal/simulation/emulate/manyrelays_test.go
@@ -11,13 +11,13 @@
 )
 
 // crowd is a fleet at one destination whose refused calls use up its limit, told as it is: takes calls a second.
-func crowd(t testing.TB, relays int, seed uint64, opts Options) (w *world, takes float64) {
+func startCrowd(t testing.TB, relays int, seed uint64, opts Options) (w *testWorld, takes float64) {
 	t.Helper()
 	takes = 40
-	return crowdAt(t, relays, seed, takes, opts), takes
+	return startCrowdAt(t, relays, seed, takes, opts), takes
 }
 
-func crowdAt(t testing.TB, relays int, seed uint64, takes float64, opts Options) *world {
+func startCrowdAt(t testing.TB, relays int, seed uint64, takes float64, opts Options) *testWorld {
 	t.Helper()
 	return worldSpec{
 		relays:      relays,
@@ -39,7 +39,7 @@
 }
 
 // told has relays know what the customers send, messages a second.
-func told(quota float64) Options {
+func knownQuota(quota float64) Options {
 	return Options{ChangeSettings: func(s *policy.Settings) { s.Tenants = []policy.Tenant{{Quota: quota}} }}
 }
 
@@ -47,31 +47,31 @@
 // limit: under it, near it, over it; lowered to a third for nine seconds; down for five and back cold. The whole fleet
 // never sends more than told over ten seconds, and what is served is stated. A fleet that is free at first fails all
 // but the first.
-func TestThreeHundredAtAThinDestination(t *testing.T) {
+func TestThreeHundredRelaysAtSmallLimit(t *testing.T) {
 	const takes, relays, seeds = 27.0, 300, 3
 	for _, c := range []struct {
 		name   string
 		asked  float64 // of the limit
 		served float64 // of the lesser of what is asked for and the limit, from 10 s on, at least
 		sent   float64 // calls in any ten seconds, as a multiple of the limit, at most
-		harm   func(w *world)
+		harm   func(w *testWorld)
 	}{
 		{"half", 0.5, 0.9, 0.75, nil},
 		{"near", 0.8, 0.75, 1.1, nil},
 		{"over", 1.3, 0.5, 1.2, nil},
-		{"lowered to a third for nine seconds", 0.8, 0.5, 1.1, func(w *world) {
+		{"lowered to a third for nine seconds", 0.8, 0.5, 1.1, func(w *testWorld) {
 			w.Schedule(20*time.Second, func() { w.serviceOrder[0].LimitRate /= 3 })
 			w.Schedule(29*time.Second, func() { w.serviceOrder[0].LimitRate *= 3 })
 		}},
-		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *world) {
-			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
-			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
+		{"down for five seconds and cold", 0.8, 0.5, 1.2, func(w *testWorld) {
+			atEachService(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
+			atEachService(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 		}},
 	} {
 		share, worst := 0.0, 0.0
 		for seed := range uint64(seeds) {
-			w := crowdAt(t, relays, seed, takes, told(c.asked*takes))
-			load(w, time.Second, 60*time.Second, c.asked*takes)
+			w := startCrowdAt(t, relays, seed, takes, knownQuota(c.asked*takes))
+			submitRandomly(w, time.Second, 60*time.Second, c.asked*takes)
 			if c.harm != nil {
 				c.harm(w)
 			}
@@ -81,7 +81,7 @@
 				all := w.CallsServed + w.CallsRejected
 				worst, began = max(worst, float64(all-began)/(10*takes)), all
 			}
-			share += w.rate(10*time.Second, 60*time.Second) / (takes * min(1, c.asked)) / seeds
+			share += w.deliveryRate(10*time.Second, 60*time.Second) / (takes * min(1, c.asked)) / seeds
 			if w.serviceOrder[0].Overloaded() {
 				t.Errorf("%s, seed %d: pushed over", c.name, seed)
 			}
@@ -102,10 +102,10 @@
 
 // One of 300 relays has twenty times the mean traffic: of what it is asked for a third is delivered, a seventh before
 // paces kept to fair ones.
-func TestOneWithMuchTrafficAmongThreeHundred(t *testing.T) {
+func TestBusyRelayAmongThreeHundred(t *testing.T) {
 	const takes, relays = 27.0, 300
-	w := crowdAt(t, relays, 1, takes, told(0.7*takes))
-	load(w, time.Second, 60*time.Second, 0.65*takes)
+	w := startCrowdAt(t, relays, 1, takes, knownQuota(0.7*takes))
+	submitRandomly(w, time.Second, 60*time.Second, 0.65*takes)
 	asked, got := 0, 0
 	w.ScheduleRandomly(
 		time.Second,
@@ -129,7 +129,7 @@
 // Fleets of all sizes use most of a limit that refused calls use up, and are seldom refused: at 0.8 of it, and asked
 // for more than it. Free at first, as they were, 80 relays asked for 1.3 of it had 37 % of their calls refused and 0.57
 // served.
-func TestManyShareALimitThatRefusalsUseUp(t *testing.T) {
+func TestManyRelaysShareLimit(t *testing.T) {
 	for _, c := range []struct {
 		relays  int
 		asked   float64 // of the limit
@@ -139,10 +139,10 @@
 		share, refused := 0.0, 0.0
 		const seeds = 5
 		for seed := range uint64(seeds) {
-			w, takes := crowd(t, c.relays, seed, Options{})
-			load(w, time.Second, 40*time.Second, c.asked*takes)
+			w, takes := startCrowd(t, c.relays, seed, Options{})
+			submitRandomly(w, time.Second, 40*time.Second, c.asked*takes)
 			w.run(t, 41*time.Second)
-			share += w.rate(5*time.Second, 40*time.Second) / (takes * min(1, c.asked)) / seeds
+			share += w.deliveryRate(5*time.Second, 40*time.Second) / (takes * min(1, c.asked)) / seeds
 			refused += float64(w.CallsRejected) / float64(w.CallsRejected+w.CallsServed) / seeds
 		}
 		if t.Logf("%d relays, asked for %.1f of the limit: %.2f served, %.2f of the calls refused", c.relays, c.asked, share, refused); share < c.share ||
@@ -161,15 +161,15 @@
 }
 
 // A limit that is cut to a quarter for nine seconds: what the refusals cost ends with it, within 20 s.
-func TestManyAtALimitThatIsLoweredForAWhile(t *testing.T) {
+func TestManyRelaysLimitLoweredForAWhile(t *testing.T) {
 	for _, relays := range []int{2, 20, 80} {
 		worst, refused := time.Duration(0), 0
 		for seed := range uint64(5) {
-			w, takes := crowd(t, relays, seed, Options{})
-			load(w, time.Second, 70*time.Second, 0.7*takes)
-			troubles["throttle"](w, 20*time.Second, 29*time.Second)
+			w, takes := startCrowd(t, relays, seed, Options{})
+			submitRandomly(w, time.Second, 70*time.Second, 0.7*takes)
+			faults["throttle"](w, 20*time.Second, 29*time.Second)
 			w.run(t, 75*time.Second)
-			worst = max(worst, back(w, 29*time.Second, 35*time.Second, 0.8*0.7*takes))
+			worst = max(worst, recoveryTime(w, 29*time.Second, 35*time.Second, 0.8*0.7*takes))
 			refused += int(w.CallsRejected)
 		}
 		if t.Logf("%d relays: served again %v after it at the latest, %d calls refused a run", relays, worst, refused/5); worst > 20*time.Second {
@@ -180,15 +180,15 @@
 
 // A limit that is cut to a quarter for good, and its list does not say so: the paces stay down, and what is left is
 // used.
-func TestManyAtALimitThatIsLoweredForGood(t *testing.T) {
+func TestManyRelaysLimitLoweredForGood(t *testing.T) {
 	for _, relays := range []int{2, 20, 80} {
 		share := 0.0
 		for seed := range uint64(5) {
-			w, takes := crowd(t, relays, seed, Options{})
-			load(w, time.Second, 90*time.Second, 0.7*takes)
+			w, takes := startCrowd(t, relays, seed, Options{})
+			submitRandomly(w, time.Second, 90*time.Second, 0.7*takes)
 			w.Schedule(20*time.Second, func() { w.serviceOrder[0].LimitRate /= 4 })
 			w.run(t, 90*time.Second)
-			share += w.rate(40*time.Second, 90*time.Second) / (takes / 4) / 5
+			share += w.deliveryRate(40*time.Second, 90*time.Second) / (takes / 4) / 5
 		}
 		// free at first, and never under half a part: 0.12 with 80
 		if t.Logf("%d relays: %.2f of the quarter used", relays, share); share < 0.2 {
@@ -199,16 +199,16 @@
 
 // An outage of five seconds, shorter than many gaps between a relay's calls: the sum of all calls does not push over
 // the destination that returns cold, and it is served again within 20 s.
-func TestManyAtADestinationThatReturnsCold(t *testing.T) {
+func TestManyRelaysAfterOutage(t *testing.T) {
 	for _, relays := range []int{2, 20, 80, 300} {
 		worst := time.Duration(0)
 		for seed := range uint64(5) {
-			w, takes := crowd(t, relays, seed, Options{})
-			load(w, time.Second, 70*time.Second, 0.7*takes)
-			both(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
-			both(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
+			w, takes := startCrowd(t, relays, seed, Options{})
+			submitRandomly(w, time.Second, 70*time.Second, 0.7*takes)
+			atEachService(w, 20*time.Second, func(p *Service) { w.BeginOutage(p.Name, scenario.OpCrash, 0, 0) })
+			atEachService(w, 25*time.Second, func(p *Service) { w.EndOutage(p.Name) })
 			w.run(t, 75*time.Second)
-			worst = max(worst, back(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
+			worst = max(worst, recoveryTime(w, 25*time.Second, 40*time.Second, 0.8*0.7*takes))
 			if w.serviceOrder[0].Overloaded() {
 				t.Errorf("%d relays, seed %d: pushed over", relays, seed)
 			}
@@ -220,8 +220,8 @@
 }
 
 // All relays have a backlog but one: it gets its messages through beside them, and they theirs.
-func TestOneWithLittleAmongManyWithABacklog(t *testing.T) {
-	w, takes := crowd(t, 80, 1, Options{})
+func TestQuietRelayAmongBusyRelays(t *testing.T) {
+	w, takes := startCrowd(t, 80, 1, Options{})
 	n := 0
 	w.ScheduleRandomly(time.Second, 40*time.Second, 1.1*takes, func() { n++; w.Submit(scenario.Arrival{Relay: n % 79, Destination: 1}) })
 	var asked, got int
@@ -234,7 +234,7 @@
 		}
 	}
 	w.run(t, 55*time.Second)
-	if rate := w.rate(10*time.Second, 40*time.Second); asked == 0 || got < asked*3/4 || rate < 0.5*takes {
+	if rate := w.deliveryRate(10*time.Second, 40*time.Second); asked == 0 || got < asked*3/4 || rate < 0.5*takes {
 		t.Errorf(
 			"%d of %d messages of the one with little delivered; %.1f a second of all, of %.0f",
 			got,
@@ -246,11 +246,11 @@
 }
 
 // One relay has all the traffic of a fleet: it grows past its part.
-func TestOneWithAllTheTrafficAmongMany(t *testing.T) {
-	w, takes := crowd(t, 80, 1, Options{})
+func TestOnlyBusyRelayAmongMany(t *testing.T) {
+	w, takes := startCrowd(t, 80, 1, Options{})
 	w.ScheduleRandomly(time.Second, 60*time.Second, takes/4, func() { w.Submit(scenario.Arrival{Relay: 7, Destination: 1}) })
 	w.run(t, 61*time.Second)
-	early, late := w.rate(5*time.Second, 20*time.Second)/takes*4, w.rate(40*time.Second, 60*time.Second)/takes*4
+	early, late := w.deliveryRate(5*time.Second, 20*time.Second)/takes*4, w.deliveryRate(40*time.Second, 60*time.Second)/takes*4
 	if t.Logf("served %.2f of what is asked for at first, %.2f after 40 s", early, late); late < 0.5 {
 		t.Errorf("served %.2f of what is asked for after 40 s", late)
 	}
@@ -258,12 +258,12 @@
 
 // All relays die in one second, half of them with a journal full of messages, and come back together: what they resume
 // goes out at the paces of a fleet, not as one.
-func TestManyThatAreRestartedTogether(t *testing.T) {
+func TestManyRelaysRestartTogether(t *testing.T) {
 	const seeds = 5
 	after, refused := 0.0, 0
 	for seed := range uint64(seeds) {
-		w, takes := crowd(t, 80, seed, Options{Record: true})
-		load(w, time.Second, 40*time.Second, 0.7*takes)
+		w, takes := startCrowd(t, 80, seed, Options{Record: true})
+		submitRandomly(w, time.Second, 40*time.Second, 0.7*takes)
 		// The relays of even number are handed four messages each, at once.
 		w.Schedule(19500*time.Millisecond, func() {
 			for i := 0; i < len(w.relays); i += 2 {
@@ -280,9 +280,9 @@
 		w.run(t, 26*time.Second)
 		refused += w.CallsRejected - full
 		w.run(t, 45*time.Second)
-		after += w.rate(26*time.Second, 40*time.Second) / (0.7 * takes) / seeds
+		after += w.deliveryRate(26*time.Second, 40*time.Second) / (0.7 * takes) / seeds
 		w.run(t, 60*time.Second) // every message's time is up
-		if rules := broken(judged(t, w.World)); len(rules) > 0 {
+		if rules := violatedRules(checkRecord(t, w.World)); len(rules) > 0 {
 			t.Errorf("seed %d: broken: %v", seed, rules)
 		}
 	}
@@ -296,7 +296,7 @@
 // more, or takes it and breaks it off, or never answers it: relays close theirs after use, and nearly all is served all
 // the same. That some connections meet that shows that the bound binds; that a host has no more of them, that it is
 // kept.
-func TestManyAtAHostThatTakesFewConnections(t *testing.T) {
+func TestManyRelaysWithFewConnections(t *testing.T) {
 	const seeds = 5
 	for _, c := range []struct {
 		relays, most int
@@ -305,8 +305,8 @@
 		relays := c.relays
 		served := func(most int, beyond ExcessConnections) (share float64) {
 			for seed := range uint64(seeds) {
-				w, takes := crowd(t, relays, seed, Options{MaxConnections: most, ExcessConnections: beyond})
-				load(w, time.Second, 40*time.Second, 0.5*takes)
+				w, takes := startCrowd(t, relays, seed, Options{MaxConnections: most, ExcessConnections: beyond})
+				submitRandomly(w, time.Second, 40*time.Second, 0.5*takes)
 				w.run(t, 55*time.Second)
 				share += (1 - float64(w.Undelivered())/float64(w.Submitted)) / seeds
 				if bound := most > 0 && relays > 20; w.ConnectionsRefused == 0 && bound || w.ConnectionsRefused > 0 && most == 0 {
@@ -348,7 +348,7 @@
 // Endpoints are replaced in steps and 80 relays restarted, while every list comes six seconds late, drains among them:
 // no rule breaks, and nothing is sent to an endpoint a second after its drain was told. A relay that ignores drains is
 // convicted on the same day.
-func TestManyWhoseListsComeSixSecondsLate(t *testing.T) {
+func TestManyRelaysWithLateLists(t *testing.T) {
 	f, err := scenario.LoadWithin("../../../docs/experiments/fleet-roll.toml", scenario.EmulatorBounds)
 	if err != nil {
 		t.Fatal(err)
@@ -371,7 +371,7 @@
 	for _, wrong := range []*Mutant{nil, FindMutant("drains-ignored")} {
 		convicted := false
 		for seed := range uint64(2) {
-			rules := broken(judged(t, played(t, f.Draw(seed+1), Options{Record: true, Mutant: wrong})))
+			rules := violatedRules(checkRecord(t, playPlan(t, f.Draw(seed+1), Options{Record: true, Mutant: wrong})))
 			if convicted = convicted || slices.Contains(rules, checker.DrainRespected); wrong == nil && len(rules) > 0 {
 				t.Errorf("seed %d: broken: %v", seed+1, rules)
 			}
--- a/internal/simulation/emulate/metrics.go
+++ b/internal/simulation/emulate/metrics.go
@@ -49,7 +49,7 @@
 	latencies       *hdrhistogram.Histogram
 }
 
-func (m *Metrics) init(classes []eventlog.Class, length time.Duration) {
+func (m *Metrics) initMetrics(classes []eventlog.Class, length time.Duration) {
 	seconds := int(length/time.Second) + 1
 	m.classes = classes
 	m.submittedWeight = make([]float64, seconds)
--- a/internal/simulation/emulate/mutant.go
+++ b/internal/simulation/emulate/mutant.go
@@ -9,8 +9,8 @@
 )
 
 // Mutant is a broken variant of a relay. Its decision engine is the real one; broken are the settings and events that
-// the engine gets, the execution of its actions, the journal, or the links to other relays. Mutants show which scenario,
-// experiment or model check can tell a broken relay from a correct one.
+// the engine gets, the execution of its actions, the journal, or the links to other relays. Mutants show which
+// scenario, experiment or model check can tell a broken relay from a correct one.
 type Mutant struct {
 	Name        string
 	Description string
--- a/internal/simulation/emulate/process.go
+++ b/internal/simulation/emulate/process.go
@@ -218,8 +218,8 @@
 // journalTime returns the time by the journal's timeline.
 func (r *relay) journalTime() time.Time { return time.Unix(0, r.clocks.stamp(r.world.Now())) }
 
-// saveHealthIfDue saves the endpoints' health at its interval, if the plan ends the process. Otherwise to save it before
-// a kill is enough, and spares the many endpoints of large worlds.
+// saveHealthIfDue saves the endpoints' health at its interval, if the plan ends the process. Otherwise it is enough to
+// save it before a kill, which saves time in worlds with many endpoints.
 func (r *relay) saveHealthIfDue() {
 	if r.endedByPlan && r.world.Now() >= r.nextHealthSave {
 		r.nextHealthSave = r.world.Now() + healthSaveInterval
--- a/internal/simulation/emulate/rights_test.go
+++ b/internal/simulation/emulate/quota_test.go
@@ -11,7 +11,7 @@
 )
 
 // shared is a fleet at one destination whose refused calls use up its limit, that shares what it takes or does not.
-func shared(t testing.TB, relays int, seed uint64, takes float64, on bool) *world {
+func startSharingQuota(t testing.TB, relays int, seed uint64, takes float64, on bool) *testWorld {
 	t.Helper()
 	return worldSpec{
 		relays:      relays,
@@ -19,16 +19,16 @@
 		kind:        sharedLimit(),
 		destination: scenario.Destination{LimitRate: takes},
 		fleet:       scenario.Fleet{Enabled: true, Quotas: on},
-		options:     told(takes),
+		options:     knownQuota(takes),
 	}.start(t)
 }
 
 // Relays of which each has a call in three seconds are served better and refused less where they share what a
 // destination takes: near its limit, over it, with a third of them cut off all the while, with three in ten messages
 // lost, and with the keeper stopped for three leases. What all may use is never more than the limit.
-func TestSharedRights(t *testing.T) {
+func TestSharedQuota(t *testing.T) {
 	const takes, relays, length = 27.0, 80, 30 * time.Second
-	cut := func(w *world) {
+	cut := func(w *testWorld) {
 		for _, a := range w.relays[:relays/3] {
 			for _, b := range w.relays[relays/3:] {
 				for _, name := range []string{scenario.LinkName(a.name, b.name), scenario.LinkName(b.name, a.name)} {
@@ -37,14 +37,14 @@
 			}
 		}
 	}
-	lose := func(w *world) {
+	lose := func(w *testWorld) {
 		for _, a := range w.relays {
 			for _, b := range w.relays {
 				w.fleet.linkFaults[scenario.LinkName(a.name, b.name)] = scenario.Step{Op: scenario.OpLinkLoss, Value: 0.3}
 			}
 		}
 	}
-	stop := func(w *world) {
+	stop := func(w *testWorld) {
 		w.Schedule(15*time.Second, func() {
 			a := w.relays[0].member.agent.Quota().Accounts[quota.Scope{Destination: 1}]
 			keeper := w.relay(a.LeaseHolder)
@@ -57,7 +57,7 @@
 		asked  float64 // of the limit
 		gain   float64 // served, more than without, at least
 		less   float64 // refused calls, of those without, at most
-		faults func(w *world)
+		faults func(w *testWorld)
 	}{
 		{"near the limit", 0.9, 0.05, 0.5, nil},
 		{"over it", 1.3, 0.05, 0.5, nil},
@@ -67,13 +67,13 @@
 	} {
 		served, refused := [2]float64{}, [2]int{}
 		for i, on := range []bool{false, true} {
-			w := shared(t, relays, 1, takes, on)
-			load(w, time.Second, length, c.asked*takes)
+			w := startSharingQuota(t, relays, 1, takes, on)
+			submitRandomly(w, time.Second, length, c.asked*takes)
 			if c.faults != nil && on {
 				c.faults(w)
 			}
 			w.run(t, length)
-			served[i], refused[i] = w.rate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsRejected
+			served[i], refused[i] = w.deliveryRate(8*time.Second, length)/(takes*min(1, c.asked)), w.CallsRejected
 			if wrong := slices.Compact(w.fleet.violations); len(wrong) > 0 || on && w.fleet.quotaCheckCount < 50 {
 				t.Errorf("%s: wrong %v in %d sums", c.name, wrong, w.fleet.quotaCheckCount)
 			}
@@ -94,7 +94,7 @@
 
 // TestRightsOnTheDays tells, with -large, what rights bring on the first 20 s of the days of docs/experiments, by the
 // number of relays: some minutes.
-func TestRightsOnTheDays(t *testing.T) {
+func TestSharedQuotaInExperiments(t *testing.T) {
 	if !*large {
 		t.Skip("measures; -large")
 	}
@@ -121,7 +121,7 @@
 						f.Faults,
 						func(x scenario.Fault) bool { return x.Start >= f.Length },
 					)
-					w := played(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
+					w := playPlan(t, f.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
 					if len(w.fleet.violations) > 0 {
 						t.Errorf("rights %v: wrong %v", on, slices.Compact(w.fleet.violations))
 					}
--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -188,8 +188,8 @@
 	return actions
 }
 
-// checkSend sends a call whose connection has just been established, unless the engine no longer allows it: the endpoint
-// may have begun to drain, or sent a Retry-After to another call.
+// checkSend sends a call whose connection has just been established, unless the engine no longer allows it: the
+// endpoint may have begun to drain, or sent a Retry-After to another call.
 func (r *relay) checkSend(c *call) {
 	r.removeEndedAttempts(c)
 	if len(c.attempts) > 0 && r.engine.StillAllowed(c.endpoint.ID, c.messageIDs(), r.now()) && !r.sendsStopped {
--- a/internal/simulation/emulate/service.go
+++ b/internal/simulation/emulate/service.go
@@ -33,8 +33,8 @@
 	return running
 }
 
-// recordCapacity records the capacity of each endpoint of a service from now on. After an outage it starts at an initial
-// ratio and grows over a warm-up time.
+// recordCapacity records the capacity of each endpoint of a service from now on. After an outage it starts at an
+// initial ratio and grows over a warm-up time.
 func (w *World) recordCapacity(s *Service, initial float64, warmUp time.Duration) {
 	if !w.options.Record {
 		return
@@ -59,7 +59,7 @@
 func (w *World) SetSlowdown(name string, factor float64) {
 	s := w.services[name]
 	s.slowdown = factor
-	s.Service.SetSlowdown(factor)
+	s.SetSlowdown(factor)
 	w.recordCapacity(s, 1, 0)
 }
 
--- a/internal/simulation/emulate/cold_test.go
+++ b/internal/simulation/emulate/warmup_test.go
@@ -15,14 +15,14 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-var coldDays = flag.Uint64(
+var warmUpCaseCount = flag.Uint64(
 	"cold",
 	0,
 	"play so many drawn returns of a cold destination with each size of fleet, 100 and 300 relays too",
 )
 
 // coldOutages are the ways in which a destination is away.
-var coldOutages = []struct {
+var warmUpOutages = []struct {
 	name  string
 	op    scenario.Op
 	share float64 // OpFail: of the calls
@@ -38,126 +38,126 @@
 }
 
 // The weights that a fleet is told of a destination.
-var coldWeights = []string{"told", "rough", "none"}
+var weightAccuracies = []string{"told", "rough", "none"}
 
 const (
-	coldBegins = 20 * time.Second // of the outage: by then all know what they take
-	coldEven   = 0.9              // share of the traffic that one relay has where it is uneven
+	outageStart  = 20 * time.Second // of the outage: by then all know what they take
+	busiestShare = 0.9              // share of the traffic that one relay has where it is uneven
 )
 
 // coldDay is a return that was drawn: of what a destination takes, how it was away, and what goes on beside.
-type coldDay struct {
-	seed                uint64
-	relays, endpoints   int
-	rate                float64 // calls a second that a place takes from all relays
-	spare               float64 // what it can serve warm, of that
-	limit               upstream.LimitKind
-	asked               float64 // messages for each call that it takes
-	coldFrom, factor    float64
-	warm, window, lasts time.Duration
-	outage              int
-	uneven, separate    bool
-	replaced, restarted bool // hosts, in the outage; relays, in the ramp
-	weights             string
-	rates               bool // the customers' are told
-	giveUp              time.Duration
-	effect              eventlog.Effect
+type warmUpCase struct {
+	seed                               uint64
+	relays, endpoints                  int
+	rate                               float64 // calls a second that a place takes from all relays
+	capacityRatio                      float64 // what it can serve warm, of that
+	limit                              upstream.LimitKind
+	demandRatio                        float64 // messages for each call that it takes
+	initialCapacity, overloadFactor    float64
+	warmUp, window, outageDuration     time.Duration
+	outage                             int
+	uneven, separateEndpoints          bool
+	endpointsReplaced, relaysRestarted bool // hosts, in the outage; relays, in the ramp
+	weights                            string
+	quotaKnown                         bool // the customers' are told
+	deadline                           time.Duration
+	effect                             eventlog.Effect
 }
 
-func drawCold(relays int, seed uint64) coldDay {
+func drawWarmUpCase(relays int, seed uint64) warmUpCase {
 	rng := rand.New(rand.NewPCG(seed, uint64(relays)))
 	between := func(a, b float64) float64 { return a + (b-a)*rng.Float64() }
 	seconds := func(a, b float64) time.Duration {
 		return time.Duration(between(a, b) * float64(time.Second)).Round(time.Millisecond)
 	}
-	d := coldDay{
-		seed: seed, relays: relays, endpoints: 1 + rng.IntN(3), rate: math.Exp(between(math.Log(2), math.Log(120))), spare: between(1, 2),
-		limit: []upstream.LimitKind{"rate", "window", "none"}[rng.IntN(3)], asked: between(0.5, 1.5), coldFrom: between(0.05, 0.4), factor: between(1, 2.5),
-		warm: seconds(5, 30), window: seconds(1, 5), lasts: seconds(6, 14), outage: rng.IntN(len(coldOutages)),
-		uneven: rng.IntN(2) == 0, separate: rng.IntN(3) == 0, replaced: rng.IntN(4) == 0, restarted: rng.IntN(3) == 0,
-		weights: coldWeights[rng.IntN(len(coldWeights))], rates: rng.IntN(2) == 0, giveUp: seconds(8, 28),
+	d := warmUpCase{
+		seed: seed, relays: relays, endpoints: 1 + rng.IntN(3), rate: math.Exp(between(math.Log(2), math.Log(120))), capacityRatio: between(1, 2),
+		limit: []upstream.LimitKind{"rate", "window", "none"}[rng.IntN(3)], demandRatio: between(0.5, 1.5), initialCapacity: between(0.05, 0.4), overloadFactor: between(1, 2.5),
+		warmUp: seconds(5, 30), window: seconds(1, 5), outageDuration: seconds(6, 14), outage: rng.IntN(len(warmUpOutages)),
+		uneven: rng.IntN(2) == 0, separateEndpoints: rng.IntN(3) == 0, endpointsReplaced: rng.IntN(4) == 0, relaysRestarted: rng.IntN(3) == 0,
+		weights: weightAccuracies[rng.IntN(len(weightAccuracies))], quotaKnown: rng.IntN(2) == 0, deadline: seconds(8, 28),
 		effect: []eventlog.Effect{"safe", "keyed"}[rng.IntN(2)],
 	}
 	if d.limit == "none" {
-		d.spare = 1 // it takes what it can serve
+		d.capacityRatio = 1 // it takes what it can serve
 	}
 	return d
 }
 
-func (d coldDay) String() string {
+func (d warmUpCase) String() string {
 	return fmt.Sprintf(
 		"%d relays, seed %d: %.1f calls a second of each place, asked for %.2f of it, limit %s, %d endpoints (separate %v), from %.2f warm in %v, "+
 			"%.2f times over %v, %s for %v, uneven %v, hosts replaced %v, relays restarted %v, weights %s, rates told %v",
 		d.relays,
 		d.seed,
 		d.rate,
-		d.asked,
+		d.demandRatio,
 		d.limit,
 		d.endpoints,
-		d.separate,
-		d.coldFrom,
-		d.warm,
-		d.factor,
+		d.separateEndpoints,
+		d.initialCapacity,
+		d.warmUp,
+		d.overloadFactor,
 		d.window,
-		coldOutages[d.outage].name,
-		d.lasts,
+		warmUpOutages[d.outage].name,
+		d.outageDuration,
 		d.uneven,
-		d.replaced,
-		d.restarted,
+		d.endpointsReplaced,
+		d.relaysRestarted,
 		d.weights,
-		d.rates,
+		d.quotaKnown,
 	)
 }
 
 // coldCount is what a returning place got, as the worst of all spans of the window's length in its ramp.
-type coldCount struct {
+type warmUpCalls struct {
 	// calls of all relays, and of those that had been told of the outage, as a multiple of what it bears
-	all, told float64
-	at        time.Duration // when all were most, since the return
-	calls     int
-	over      bool // a span was too much, whoever sent it
-	fell      bool // over two thirds of the first such were of relays told: the rule is broken
+	byAll, byInformed float64
+	worstAt           time.Duration // when all were most, since the return
+	calls             int
+	exceeded          bool // a span was too much, whoever sent it
+	violated          bool // over two thirds of the first such were of relays told: the rule is broken
 }
 
 // kept tells whether the relays that could know kept the bound, whoever else called, and the rule held.
-func (c coldCount) kept() bool { return c.told <= 1 && !c.fell }
+func (c warmUpCalls) kept() bool { return c.byInformed <= 1 && !c.violated }
 
 // bears is N + 2 x root of N + 2 for a place that came back so long ago. N is read as of the end of the window, as
 // partner.Place does: the overload factor, times the share that the place has then, times the rate that all relays are
 // told, times the window.
-func (d coldDay) bears(since time.Duration) float64 {
-	share := d.coldFrom + (1-d.coldFrom)*min(1, since.Seconds()/d.warm.Seconds())
-	n := d.factor * share * d.rate * d.window.Seconds()
+func (d warmUpCase) bound(since time.Duration) float64 {
+	share := d.initialCapacity + (1-d.initialCapacity)*min(1, since.Seconds()/d.warmUp.Seconds())
+	n := d.overloadFactor * share * d.rate * d.window.Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
 // play plays the day with relays that are wrong in a way, and counts what each place got.
-func (d coldDay) play(t testing.TB, wrong *Mutant) (worst coldCount) {
+func (d warmUpCase) play(t testing.TB, wrong *Mutant) (worst warmUpCalls) {
 	t.Helper()
-	o := coldOutages[d.outage]
+	o := warmUpOutages[d.outage]
 	sec := func(x time.Duration) scenario.Duration { return scenario.Duration(x.Round(time.Millisecond)) }
-	back := coldBegins + d.lasts
-	end := back + d.warm
-	slots := max(1, int(d.rate*d.spare*0.2/float64(d.endpoints)))
-	pace := time.Duration(float64(d.endpoints*slots) / (d.rate * d.spare) * float64(time.Second))
-	if d.separate {
-		slots = max(1, int(d.rate*d.spare*0.2))
-		pace = time.Duration(float64(slots) / (d.rate * d.spare) * float64(time.Second))
+	back := outageStart + d.outageDuration
+	end := back + d.warmUp
+	slots := max(1, int(d.rate*d.capacityRatio*0.2/float64(d.endpoints)))
+	pace := time.Duration(float64(d.endpoints*slots) / (d.rate * d.capacityRatio) * float64(time.Second))
+	if d.separateEndpoints {
+		slots = max(1, int(d.rate*d.capacityRatio*0.2))
+		pace = time.Duration(float64(slots) / (d.rate * d.capacityRatio) * float64(time.Second))
 	}
 	kind := scenario.DestinationKind{
-		Name: "kind", SeparateEndpoints: d.separate, ServiceTime: sec(pace), MaxConcurrentCalls: slots, MaxQueueTime: sec(500 * time.Millisecond), ServiceTimeVariation: 0.5, Limit: d.limit, LimitWindow: sec(time.Second),
-		RetryAfterRatio: o.tells, MinRetryAfter: sec(300 * time.Millisecond), WarmUpInitialCapacity: d.coldFrom, WarmUpDuration: sec(d.warm),
+		Name: "kind", SeparateEndpoints: d.separateEndpoints, ServiceTime: sec(pace), MaxConcurrentCalls: slots, MaxQueueTime: sec(500 * time.Millisecond), ServiceTimeVariation: 0.5, Limit: d.limit, LimitWindow: sec(time.Second),
+		RetryAfterRatio: o.tells, MinRetryAfter: sec(300 * time.Millisecond), WarmUpInitialCapacity: d.initialCapacity, WarmUpDuration: sec(d.warmUp),
 	}
 	f := scenario.File{
 		Name: "cold", Length: sec(end + time.Second), Relays: d.relays, Zones: []string{"north", "south"},
-		Settings: scenario.Settings{MaxConcurrentCalls: 40, MaxMessages: 400, OverloadFactor: d.factor, OverloadWindow: sec(d.window)},
+		Settings: scenario.Settings{MaxConcurrentCalls: 40, MaxMessages: 400, OverloadFactor: d.overloadFactor, OverloadWindow: sec(d.window)},
 		Classes: []scenario.Class{
 			{
 				Name:             "order",
 				Effect:           d.effect,
 				DedupWindow:      sec(10 * time.Second),
-				LatencyObjective: sec(d.giveUp / 4),
-				Deadline:         sec(d.giveUp),
+				LatencyObjective: sec(d.deadline / 4),
+				Deadline:         sec(d.deadline),
 				LateWeightRatio:  0.4,
 			},
 		},
@@ -179,23 +179,23 @@
 		}
 	}
 	places := float64(1)
-	if d.separate {
+	if d.separateEndpoints {
 		places = float64(d.endpoints)
 	}
-	asked := d.asked * d.rate * places
+	asked := d.demandRatio * d.rate * places
 	var w *World
 	told := map[*Service][]time.Duration{} // by relay: when it heard of the outage; 0: it did not
 	opts := Options{Record: true, Mutant: wrong, Latency: 5 * time.Millisecond}
 	opts.ChangeSettings = func(s *policy.Settings) {
 		s.ApproximateWeights, s.IgnoreWeights = d.weights == "rough", d.weights == "none"
-		if d.rates {
+		if d.quotaKnown {
 			s.Tenants = []policy.Tenant{{Quota: asked}}
 		}
 	}
 	opts.OnStep = func(relay int, _ time.Duration, evs []policy.Event, _ []policy.Action) {
 		for _, e := range evs {
 			if e.Kind != policy.AttemptFinished || e.Outcome == policy.OK || e.Outcome == policy.NotSent ||
-				w.Now() < coldBegins ||
+				w.Now() < outageStart ||
 				w.Now()-e.Latency >= back {
 				continue
 			}
@@ -215,19 +215,19 @@
 	most := rng.IntN(d.relays)
 	w.ScheduleRandomly(time.Second, end, asked, func() {
 		relay := rng.IntN(d.relays)
-		if d.uneven && rng.Float64() < coldEven {
+		if d.uneven && rng.Float64() < busiestShare {
 			relay = most
 		}
 		w.Submit(scenario.Arrival{Relay: relay, Destination: 1})
 	})
 	returns := append([]*Service(nil), w.serviceOrder...)
-	w.Schedule(coldBegins, func() {
+	w.Schedule(outageStart, func() {
 		for _, p := range returns {
-			w.BeginOutage(p.Name, o.op, o.share, d.lasts)
+			w.BeginOutage(p.Name, o.op, o.share, d.outageDuration)
 		}
 	})
-	if d.replaced {
-		w.Schedule(coldBegins+d.lasts/2, func() {
+	if d.endpointsReplaced {
+		w.Schedule(outageStart+d.outageDuration/2, func() {
 			for i, e := range w.plan.Endpoints {
 				if i%2 == 1 {
 					continue
@@ -245,10 +245,10 @@
 			}
 		})
 	}
-	if d.restarted {
+	if d.relaysRestarted {
 		for i := range d.relays {
 			if rng.IntN(3) == 0 {
-				w.Schedule(back+time.Duration(rng.Float64()*float64(d.warm)/2), func() { w.Kill(i, false) })
+				w.Schedule(back+time.Duration(rng.Float64()*float64(d.warmUp)/2), func() { w.Kill(i, false) })
 			}
 		}
 	}
@@ -266,15 +266,15 @@
 	return worst
 }
 
-func worse(a, b coldCount) coldCount {
-	if b.all > a.all {
-		a.all, a.at = b.all, b.at
+func worse(a, b warmUpCalls) warmUpCalls {
+	if b.byAll > a.byAll {
+		a.byAll, a.worstAt = b.byAll, b.worstAt
 	}
-	return coldCount{a.all, max(a.told, b.told), a.at, a.calls + b.calls, a.over || b.over, a.fell || b.fell}
+	return warmUpCalls{a.byAll, max(a.byInformed, b.byInformed), a.worstAt, a.calls + b.calls, a.exceeded || b.exceeded, a.violated || b.violated}
 }
 
 // count holds each span of the window's length, which ends with a call, against what the place bears at its end.
-func (d coldDay) count(w *World, p *Service, told []time.Duration, back time.Duration) (c coldCount) {
+func (d warmUpCase) count(w *World, p *Service, told []time.Duration, back time.Duration) (c warmUpCalls) {
 	type come struct {
 		at   time.Duration
 		told bool
@@ -282,7 +282,7 @@
 	var all []come
 	first := 0
 	for _, e := range w.events {
-		if e.Kind != eventlog.CallReceived || w.endpoints[e.Host].service != p || e.At < back || e.At >= back+d.warm {
+		if e.Kind != eventlog.CallReceived || w.endpoints[e.Host].service != p || e.At < back || e.At >= back+d.warmUp {
 			continue
 		}
 		at := told[w.relay(e.Relay).index]
@@ -297,13 +297,13 @@
 				by++
 			}
 		}
-		bears := d.bears(e.At - back)
-		if sum/bears > c.all {
-			c.all, c.at = sum/bears, e.At-back
+		bears := d.bound(e.At - back)
+		if sum/bears > c.byAll {
+			c.byAll, c.worstAt = sum/bears, e.At-back
 		}
-		c.told = max(c.told, by/bears)
-		if sum > bears && !c.over {
-			c.over, c.fell = true, by > sum*2/3
+		c.byInformed = max(c.byInformed, by/bears)
+		if sum > bears && !c.exceeded {
+			c.exceeded, c.violated = true, by > sum*2/3
 		}
 	}
 	c.calls = len(all)
@@ -314,25 +314,25 @@
 // it bears by those that had been told, in any window of its ramp: fleets of all sizes, with limits, shares, warm-ups,
 // windows, traffic, restarts, replaced hosts and weights drawn by seed. What relays that never were told send beside is
 // logged: where nothing is shared they cannot know.
-func TestAReturningDestinationGetsWhatItBears(t *testing.T) {
+func TestRecoveringDestinationIsNotOverloaded(t *testing.T) {
 	sizes, days := []int{1, 2, 6, 7, 20, 30}, uint64(12)
-	if *coldDays > 0 {
-		sizes, days = append(sizes, 100, 300), *coldDays
+	if *warmUpCaseCount > 0 {
+		sizes, days = append(sizes, 100, 300), *warmUpCaseCount
 	}
 	for _, relays := range sizes {
-		worst, over := coldCount{}, 0
+		worst, over := warmUpCalls{}, 0
 		for seed := range days {
-			d := drawCold(relays, seed)
+			d := drawWarmUpCase(relays, seed)
 			c := d.play(t, nil)
-			if worst = worse(worst, c); c.over {
+			if worst = worse(worst, c); c.exceeded {
 				over++
 			}
 			if !c.kept() {
 				t.Errorf(
 					"%.2f of what it bears, %.2f by relays told, at worst %v after the return: %v",
-					c.all,
-					c.told,
-					c.at,
+					c.byAll,
+					c.byInformed,
+					c.worstAt,
 					d,
 				)
 			}
@@ -341,8 +341,8 @@
 			"%d relays, seeds 0 to %d: at most %.2f of what it bears, %.2f by relays told; %d of %d days over it by others; %d calls",
 			relays,
 			days-1,
-			worst.all,
-			worst.told,
+			worst.byAll,
+			worst.byInformed,
 			over,
 			days,
 			worst.calls,
@@ -356,19 +356,19 @@
 // Days on which the bound was broken before. Each cause: a told wait put one route of a limit in doubt, and at its end
 // the others had all; an answer to a call from before the outage began the ramp at the outage's start; one delivery
 // cleared the doubt of relays that were told once, long before the destination was warm.
-func TestReturnsThatOnceGotMore(t *testing.T) {
+func TestRecoveriesThatOverloadedBefore(t *testing.T) {
 	for _, c := range []struct {
 		cause  string
 		relays int
 		seed   uint64
 	}{{"wait", 20, 56}, {"wait", 6, 41}, {"answer", 7, 33}, {"delivery", 30, 329}} {
-		if x := drawCold(c.relays, c.seed).play(t, nil); !x.kept() {
+		if x := drawWarmUpCase(c.relays, c.seed).play(t, nil); !x.kept() {
 			t.Errorf(
 				"%s: %.2f of what it bears, %.2f by relays told: %v",
 				c.cause,
-				x.all,
-				x.told,
-				drawCold(c.relays, c.seed),
+				x.byAll,
+				x.byInformed,
+				drawWarmUpCase(c.relays, c.seed),
 			)
 		}
 	}
@@ -376,7 +376,7 @@
 
 // Relays whose budget is wrong are convicted by the same count on days that ask much of them, on which sound relays are
 // not: a tenth of what 80 calls a second are at first, for 30 s, and messages for half as much again.
-func TestWrongBudgetsAtAReturningDestination(t *testing.T) {
+func TestMutantsOverloadRecoveringDestination(t *testing.T) {
 	const days = 3
 	names := []string{"", "no-recovery-budget", "warm-at-once", "budget-three-times", "budget-for-itself"}
 	for _, relays := range []int{2, 7, 30} {
@@ -386,8 +386,8 @@
 			}
 			convicted := 0
 			for seed := range uint64(days) {
-				d := drawCold(relays, seed)
-				d.rate, d.asked, d.coldFrom, d.factor, d.warm, d.window = 80, 1.5, 0.1, 1, 30*time.Second, 3*time.Second
+				d := drawWarmUpCase(relays, seed)
+				d.rate, d.demandRatio, d.initialCapacity, d.overloadFactor, d.warmUp, d.window = 80, 1.5, 0.1, 1, 30*time.Second, 3*time.Second
 				if d.weights == "none" {
 					d.weights = "told"
 				}
--- a/internal/simulation/emulate/workingset_test.go
+++ b/internal/simulation/emulate/workingset_test.go
@@ -12,9 +12,9 @@
 )
 
 // Of a pair of relay and destination without traffic nothing is kept. A module that is told all keeps its part.
-func TestPairsWithoutTrafficCostNothing(t *testing.T) {
+func TestIdlePairsCostNoMemory(t *testing.T) {
 	held := func(relays, destinations, whole int) float64 {
-		f := loaded(t, "quiet-day")
+		f := loadScenario(t, "quiet-day")
 		f.Relays, f.Faults = relays, nil
 		f.Destinations = []scenario.Destination{
 			{
@@ -73,20 +73,20 @@
 // told all, and one that does not heed drains is convicted.
 func TestWorkingSetsKeepTheRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
-		f := loaded(t, name)
-		whole, working := played(t, f.Draw(1), Options{}), played(t, f.Draw(1), Options{Record: true, MaxEagerEndpoints: 1})
-		if rules := broken(judged(t, working)); len(rules) > 0 {
+		f := loadScenario(t, name)
+		whole, working := playPlan(t, f.Draw(1), Options{}), playPlan(t, f.Draw(1), Options{Record: true, MaxEagerEndpoints: 1})
+		if rules := violatedRules(checkRecord(t, working)); len(rules) > 0 {
 			t.Errorf("%s: broken: %v", name, rules)
 		}
 		if a, b := whole.Overall(), working.Overall(); b < a-0.02 || working.Activations == 0 {
 			t.Errorf("%s: served %.4f, told all %.4f; %d woken", name, b, a, working.Activations)
 		}
 	}
-	v := judged(
+	v := checkRecord(
 		t,
-		played(
+		playPlan(
 			t,
-			loaded(t, "half-draining").Draw(1),
+			loadScenario(t, "half-draining").Draw(1),
 			Options{Record: true, MaxEagerEndpoints: 1, Mutant: FindMutant("drains-ignored")},
 		),
 	)
@@ -96,13 +96,13 @@
 }
 
 // careless lets go of what it must remember.
-type careless struct{ *policy.Engine }
+type forgetfulEngine struct{ *policy.Engine }
 
-func (careless) Evictable(int) bool { return true }
+func (forgetfulEngine) Evictable(int) bool { return true }
 
 // A destination that told to wait is not forgotten while it lasts, however long it is idle; a module that lets go of it
 // is convicted.
-func TestAWaitOutlastsRest(t *testing.T) {
+func TestRetryAfterSurvivesEviction(t *testing.T) {
 	const s = scenario.Duration(time.Second)
 	for _, forgets := range []bool{false, true} {
 		opts := Options{Record: true, MaxEagerEndpoints: 1}
@@ -112,7 +112,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				return careless{x}
+				return forgetfulEngine{x}
 			}
 		}
 		w := worldSpec{
@@ -133,7 +133,7 @@
 		w.ScheduleRandomly(0, 80*time.Second, 1, func() { n++; w.Submit(scenario.Arrival{Destination: 2 + n%39}) })
 		w.run(t, 100*time.Second)
 		w.record(eventlog.Event{Kind: eventlog.RunEnded})
-		if f := judged(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
+		if f := checkRecord(t, w.World).ForRule(checker.RetryAfterRespected); (f.State == checker.Violated) != forgets || f.Exercised == 0 {
 			t.Errorf("forgets %v: %+v", forgets, f)
 		}
 	}
@@ -141,7 +141,7 @@
 
 // A destination that wakes stands as the relay's list has it then: what drains is not called, what has gone is not
 // told, and what came is.
-func TestWhatWakesStandsAsListed(t *testing.T) {
+func TestActivatedEndpointsMatchList(t *testing.T) {
 	const s = scenario.Duration(time.Second)
 	var told []policy.Endpoint
 	sent := map[string]int{}
@@ -173,7 +173,7 @@
 		e.ID = "s-new"
 		w.AddEndpoint(e)
 	})
-	load(w, 10*time.Second, 12*time.Second, 50)
+	submitRandomly(w, 10*time.Second, 12*time.Second, 50)
 	w.run(t, 13*time.Second)
 	if len(told) != 3 || told[0].ID != hosts[0].ID || told[0].InService || told[1].ID != hosts[2].ID ||
 		told[2].ID != "s-new" ||
@@ -190,13 +190,13 @@
 
 // The first message for a destination at rest is delivered as soon as where modules are told all: also by one of many
 // relays, whose calls spread over the first seconds after a start.
-func TestWhatWakesIsNotLate(t *testing.T) {
-	f := loaded(t, "quiet-day")
+func TestActivationIsNotLate(t *testing.T) {
+	f := loadScenario(t, "quiet-day")
 	f.Relays, f.Faults = 40, nil
 	f.Destinations = []scenario.Destination{
 		{Kind: f.Destinations[0].Kind, LimitRate: 20, TrafficWeight: 1, Count: 500, Endpoints: 2, Zones: f.Zones},
 	}
-	whole, working := played(t, f.DrawWithoutArrivals(1), Options{}), played(t, f.DrawWithoutArrivals(1), Options{MaxEagerEndpoints: 1})
+	whole, working := playPlan(t, f.DrawWithoutArrivals(1), Options{}), playPlan(t, f.DrawWithoutArrivals(1), Options{MaxEagerEndpoints: 1})
 	if a, b := whole.LatencyPercentile(50), working.LatencyPercentile(50); b > a+a/10 {
 		t.Errorf("half of the messages are delivered within %v, where modules are told all within %v", b, a)
 	}
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -1,8 +1,8 @@
-// Package emulate plays a scenario in virtual time: decision engines as they are, each in a simulated relay that shares
-// nothing with the others, with simulated clients, and endpoints that package upstream models. There is no clock, socket
-// or disk: the same plan and options give the same history, byte for byte. The record of a run has the form of package
-// eventlog, so that package checker checks it like the record of a rehearsal with real processes. docs/emulator.md
-// says what the models follow and what they leave out.
+// Package emulate plays a scenario in virtual time: decision engines as they are, each in a simulated relay that
+// shares nothing with the others, with simulated clients, and endpoints that package upstream models. There is no
+// clock, socket or disk: the same plan and options give the same history, byte for byte. The record of a run has the
+// form of package eventlog, so that package checker checks it like the record of a rehearsal with real processes.
+// docs/emulator.md says what the models follow and what they leave out.
 package emulate
 
 import (
@@ -74,7 +74,7 @@
 		header:                recordHeader(&plan),
 	}
 	w.SetMaxEvents(w.options.MaxEvents)
-	w.Metrics.init(w.header.Classes, w.length)
+	w.initMetrics(w.header.Classes, w.length)
 	w.shares = checker.NewCustomerShares(w.header)
 	if err := w.addServices(); err != nil {
 		return nil, err
--- a/internal/simulation/emulate/emulate_test.go
+++ b/internal/simulation/emulate/world_test.go
@@ -22,16 +22,16 @@
 // it, and what the measures count is what the judge counts.
 func TestShippedScenarios(t *testing.T) {
 	for _, name := range scenario.Shipped() {
-		f := loaded(t, name)
+		f := loadScenario(t, name)
 		traces := make([][]byte, 3)
 		var wg sync.WaitGroup
 		for i := range traces {
 			wg.Go(func() {
-				w := played(t, f.Draw(uint64(1+i/2)), Options{Record: true})
+				w := playPlan(t, f.Draw(uint64(1+i/2)), Options{Record: true})
 				_, events := w.Result()
 				traces[i], _ = json.Marshal(events)
-				v := judged(t, w)
-				if rules := broken(v); len(rules) > 0 {
+				v := checkRecord(t, w)
+				if rules := violatedRules(v); len(rules) > 0 {
 					t.Errorf("%s: broken: %v", name, rules)
 				}
 				if s := v.Service; math.Abs(s.Overall-w.Overall()) > 1e-9 || s.Submitted != w.Submitted ||
@@ -52,7 +52,7 @@
 
 // Mutants are convicted of the rule that they break, by what ships; those that break nothing decide as a sound relay
 // does.
-func TestMutantsAreConvicted(t *testing.T) {
+func TestMutantsBreakTheirRule(t *testing.T) {
 	where := map[checker.Rule][]string{
 		checker.NoMessageLost: {
 			"first-run",
@@ -82,7 +82,7 @@
 					break
 				}
 				found = slices.Contains(
-					broken(judged(t, played(t, loaded(t, name).Draw(seed+1), Options{Record: true, Mutant: &m}))),
+					violatedRules(checkRecord(t, playPlan(t, loadScenario(t, name).Draw(seed+1), Options{Record: true, Mutant: &m}))),
 					m.Rule,
 				)
 			}
@@ -91,8 +91,8 @@
 			t.Errorf("%s is not convicted", m.Name)
 		}
 		if m.Rule == "" {
-			p := loaded(t, "metastable").Draw(1)
-			a, b := played(t, p, Options{Record: true}), played(t, p, Options{Record: true, Mutant: &m})
+			p := loadScenario(t, "metastable").Draw(1)
+			a, b := playPlan(t, p, Options{Record: true}), playPlan(t, p, Options{Record: true, Mutant: &m})
 			x, _ := json.Marshal(a.events)
 			if y, _ := json.Marshal(b.events); string(x) != string(y) {
 				t.Errorf("%s is not equivalent", m.Name)
@@ -103,9 +103,9 @@
 
 // A relay that dies between a call's first byte and its journal record makes the call again; one that logs first does
 // not.
-func TestDeathBetweenAFirstByteAndItsRecord(t *testing.T) {
+func TestCrashBeforeJournalRecord(t *testing.T) {
 	for _, lag := range []time.Duration{0, 50 * time.Millisecond} {
-		f := loaded(t, "quiet-day")
+		f := loadScenario(t, "quiet-day")
 		f.Classes = []scenario.Class{
 			{Name: "payment", TrafficShare: 1, Effect: "unsafe", LatencyObjective: f.Classes[0].LatencyObjective, Deadline: f.Classes[0].Deadline, Weight: 1},
 		}
@@ -114,17 +114,17 @@
 			f.Faults = append(f.Faults, scenario.Fault{Kind: scenario.FaultKill, Start: scenario.Duration(at)})
 		}
 		f.SetDefaults()
-		w := played(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
+		w := playPlan(t, f.Draw(1), Options{Record: true, Mutant: &Mutant{JournalDelay: lag}})
+		if rules := violatedRules(checkRecord(t, w)); slices.Contains(rules, checker.NoMessageLost) != (lag > 0) {
 			t.Errorf("logged %v late: broken %v", lag, rules)
 		}
 	}
 }
 
 // With the machine goes what was not synced: nothing with a sync for each commit, up to a second with an interval.
-func TestMachinesThatDie(t *testing.T) {
+func TestMachineCrashes(t *testing.T) {
 	for _, sync := range []SyncPolicy{SyncNever, SyncInterval, SyncAlways} {
-		w, err := New(loaded(t, "quiet-day").Draw(1), Options{Record: true, JournalSync: sync, MachineCrashes: true})
+		w, err := New(loadScenario(t, "quiet-day").Draw(1), Options{Record: true, JournalSync: sync, MachineCrashes: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,21 +134,21 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		if lost := slices.Contains(broken(judged(t, w)), checker.NoMessageLost); lost != (sync != SyncAlways) {
+		if lost := slices.Contains(violatedRules(checkRecord(t, w)), checker.NoMessageLost); lost != (sync != SyncAlways) {
 			t.Errorf("sync %d: lost %v", sync, lost)
 		}
 	}
 }
 
 // A partner that was pushed over stays down, three relays with backlogs at it: each message has its end all the same.
-func TestAPartnerThatStaysDown(t *testing.T) {
-	f := loaded(t, "partner-cold")
+func TestOverloadedServiceStaysDown(t *testing.T) {
+	f := loadScenario(t, "partner-cold")
 	f.Relays = 3
 	fell := 0
 	for seed := range uint64(8) {
-		w := played(t, f.Draw(seed+1), Options{Record: true, Mutant: FindMutant("no-recovery-budget")})
+		w := playPlan(t, f.Draw(seed+1), Options{Record: true, Mutant: FindMutant("no-recovery-budget")})
 		fell += w.Overloads
-		if rules := broken(judged(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
+		if rules := violatedRules(checkRecord(t, w)); slices.Contains(rules, checker.NoMessageLost) ||
 			slices.Contains(rules, checker.NoDuplicateEffect) {
 			t.Errorf("seed %d: broken %v", seed+1, rules)
 		}
@@ -160,14 +160,14 @@
 
 // 58 % of the endpoints are replaced with lists seconds apart between relays, and an outage begins and ends between two
 // lists.
-func TestListsOutOfStep(t *testing.T) {
-	f := loaded(t, "replace-58")
+func TestListsOfRelaysDiffer(t *testing.T) {
+	f := loadScenario(t, "replace-58")
 	f.Faults = append(f.Faults, scenario.Fault{
 		Kind: scenario.FaultCrash, Start: f.Faults[0].Start + scenario.Duration(500*time.Millisecond),
 		Duration: scenario.Duration(time.Second), Destinations: []int{1},
 	})
 	f.SetDefaults()
-	w := played(
+	w := playPlan(
 		t,
 		f.Draw(1),
 		Options{
@@ -175,7 +175,7 @@
 			ListDelay: func(relay int) time.Duration { return time.Duration(1+3*relay) * time.Second },
 		},
 	)
-	if rules := broken(judged(t, w)); len(rules) > 0 {
+	if rules := violatedRules(checkRecord(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
 }
@@ -188,8 +188,8 @@
 		t.Fatal(err)
 	}
 	p := f.Draw(1)
-	w := played(t, p, Options{Record: true})
-	if rules := broken(judged(t, w)); len(rules) > 0 {
+	w := playPlan(t, p, Options{Record: true})
+	if rules := violatedRules(checkRecord(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
 	lost := 0
@@ -201,21 +201,21 @@
 	if calls := w.CallsServed + lost; lost < calls/100 {
 		t.Errorf("%d answers lost of %d: the day shows little", lost, calls)
 	}
-	wrong := played(t, p, Options{Record: true, Mutant: FindMutant("reset-never-ran")})
-	if rules := broken(judged(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
+	wrong := playPlan(t, p, Options{Record: true, Mutant: FindMutant("reset-never-ran")})
+	if rules := violatedRules(checkRecord(t, wrong)); !slices.Contains(rules, checker.NoDuplicateEffect) {
 		t.Errorf("a relay that repeats what was reset breaks %v", rules)
 	}
 }
 
 // Kept connections that break, zones that are far, and a plan without end.
-func TestNetworksAndBounds(t *testing.T) {
-	p := loaded(t, "first-run").Draw(1)
-	w := played(
+func TestNetworkFaultsAndEventBound(t *testing.T) {
+	p := loadScenario(t, "first-run").Draw(1)
+	w := playPlan(
 		t,
 		p,
 		Options{Record: true, IdleResetRatio: 0.2, Latency: 2 * time.Millisecond, ZoneLatency: 40 * time.Millisecond},
 	)
-	if rules := broken(judged(t, w)); len(rules) > 0 {
+	if rules := violatedRules(checkRecord(t, w)); len(rules) > 0 {
 		t.Errorf("broken: %v", rules)
 	}
 	x, err := New(p, Options{MaxEvents: 500})
@@ -307,7 +307,7 @@
 }
 
 // The wait of a window's limit ends at its border, and no call comes before it.
-func TestAWaitThatEndsAtASpansBorder(t *testing.T) {
+func TestRetryAfterEndsAtWindowBoundary(t *testing.T) {
 	s := scenario.Duration(time.Second)
 	w := worldSpec{
 		relays:      2,
@@ -323,10 +323,10 @@
 		destination: scenario.Destination{LimitRate: 5},
 		options:     Options{Record: true},
 	}.start(t)
-	load(w, 0, 20*time.Second, 20)
+	submitRandomly(w, 0, 20*time.Second, 20)
 	w.run(t, 35*time.Second)
 	w.record(eventlog.Event{Kind: eventlog.RunEnded})
-	v := judged(t, w.World)
+	v := checkRecord(t, w.World)
 	if f := v.ForRule(checker.RetryAfterRespected); f.State != checker.Held || f.Exercised < 10 {
 		t.Errorf("%+v", f)
 	}
@@ -335,12 +335,12 @@
 func BenchmarkPlay(b *testing.B) {
 	for _, relays := range []int{2, 20, 200} {
 		b.Run(strconv.Itoa(relays), func(b *testing.B) {
-			f := loaded(b, "quiet-day")
+			f := loadScenario(b, "quiet-day")
 			f.Relays = relays
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				n += played(b, f.DrawWithoutArrivals(1), Options{}).Submitted
+				n += playPlan(b, f.DrawWithoutArrivals(1), Options{}).Submitted
 			}
 			b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "messages/s")
 		})
