--- a/internal/simulation/emulate/scriptedengine_test.go
+++ b/internal/simulation/emulate/scriptedengine_test.go
@@ -96,9 +96,10 @@
 		if entry.Removed {
 			continue
 		}
-		endpoints := append(s.endpoints[entry.Destination], entry)
-		slices.SortFunc(endpoints, func(a, b policy.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-		s.endpoints[entry.Destination] = endpoints
+		s.endpoints[entry.Destination] = append(s.endpoints[entry.Destination], entry)
+		slices.SortFunc(s.endpoints[entry.Destination], func(a, b policy.Endpoint) int {
+			return strings.Compare(a.ID, b.ID)
+		})
 	}
 }
 
