--- a/internal/simulation/emulate/discovery.go
+++ b/internal/simulation/emulate/discovery.go
@@ -27,7 +27,7 @@
 	r.world.record(eventlog.Event{
 		Kind:        eventlog.RelayNotified,
 		Relay:       r.name,
-		Host:        e.ID,
+		Endpoint:    e.ID,
 		State:       u.state,
 		Destination: e.Destination,
 	})
--- a/internal/simulation/emulate/endpointlist.go
+++ b/internal/simulation/emulate/endpointlist.go
@@ -92,8 +92,8 @@
 	return entries
 }
 
-// ChangeEndpoint changes the entry of an endpoint in the list. Each relay learns of it after the delay of discovery, and
-// of all changes in their order.
+// ChangeEndpoint changes the entry of an endpoint in the list. Each relay learns of it after the delay of discovery,
+// and of all changes in their order.
 func (w *World) ChangeEndpoint(id, state string) {
 	e := w.endpoints[id]
 	w.recordEndpointChange(e.Endpoint, state)
@@ -129,13 +129,13 @@
 func (w *World) recordEndpointChange(e scenario.Endpoint, state string) {
 	change := eventlog.Event{
 		Kind:        eventlog.EndpointChanged,
-		Host:        e.ID,
+		Endpoint:    e.ID,
 		Destination: e.Destination,
 		Zone:        e.Zone,
 		State:       state,
 	}
 	if e.Service == e.ID {
-		change.Place = e.ID // it has limits of its own
+		change.Service = e.ID // it has limits of its own
 	}
 	w.record(change)
 }
--- a/internal/simulation/emulate/serve.go
+++ b/internal/simulation/emulate/serve.go
@@ -38,9 +38,9 @@
 		w.Overloads++
 		w.record(eventlog.Event{
 			Kind:        eventlog.ServiceOverloaded,
-			Place:       e.service.Name,
+			Service:     e.service.Name,
 			Destination: e.Destination,
-			Hosts:       endpointIDs(e.service.runningEndpoints()),
+			Endpoints:   endpointIDs(e.service.runningEndpoints()),
 		})
 		w.recordCapacity(e.service, 0, 0)
 	}
@@ -60,7 +60,7 @@
 		Kind:        eventlog.CallReceived,
 		Call:        c.number,
 		Relay:       c.relay.name,
-		Host:        e.ID,
+		Endpoint:    e.ID,
 		FirstByteAt: w.Now(),
 		Destination: e.Destination,
 		Weight:      e.service.CallWeight(len(c.attempts)),
@@ -147,7 +147,7 @@
 		Kind:       eventlog.CallAnswered,
 		Call:       c.number,
 		Relay:      c.relay.name,
-		Host:       c.endpoint.ID,
+		Endpoint:   c.endpoint.ID,
 		RetryAfter: retryAfter,
 	}
 	switch outcome {
@@ -221,18 +221,18 @@
 	delete(c.endpoint.calls, c)
 	if c.received {
 		c.relay.world.record(eventlog.Event{
-			Kind:  eventlog.CallAborted,
-			Call:  c.number,
-			Relay: c.relay.name,
-			Host:  c.endpoint.ID,
-			Cause: cause,
+			Kind:     eventlog.CallAborted,
+			Call:     c.number,
+			Relay:    c.relay.name,
+			Endpoint: c.endpoint.ID,
+			Cause:    cause,
 		})
 	}
 }
 
 // breakConnection has the endpoint break the call's connection.
 func (c *call) breakConnection() {
-	c.endAtEndpoint(eventlog.CauseHost)
+	c.endAtEndpoint(eventlog.CauseEndpoint)
 	if c.ended {
 		return
 	}
--- a/internal/simulation/emulate/service.go
+++ b/internal/simulation/emulate/service.go
@@ -33,8 +33,8 @@
 	return running
 }
 
-// recordCapacity records the capacity of each endpoint of a service from now on. After an outage it starts at an initial
-// ratio and grows over a warm-up time.
+// recordCapacity records the capacity of each endpoint of a service from now on. After an outage it starts at an
+// initial ratio and grows over a warm-up time.
 func (w *World) recordCapacity(s *Service, initial float64, warmUp time.Duration) {
 	if !w.options.Record {
 		return
@@ -46,11 +46,11 @@
 	for _, e := range s.runningEndpoints() {
 		w.record(eventlog.Event{
 			Kind:        eventlog.CapacityChanged,
-			Host:        e.ID,
+			Endpoint:    e.ID,
 			Destination: s.Destination,
 			Rate:        rate,
 			Share:       initial,
-			For:         warmUp,
+			Duration:    warmUp,
 		})
 	}
 }
@@ -59,7 +59,7 @@
 func (w *World) SetSlowdown(name string, factor float64) {
 	s := w.services[name]
 	s.slowdown = factor
-	s.Service.SetSlowdown(factor)
+	s.SetSlowdown(factor)
 	w.recordCapacity(s, 1, 0)
 }
 
@@ -74,9 +74,9 @@
 	running := s.runningEndpoints()
 	w.record(eventlog.Event{
 		Kind:        eventlog.OutageStarted,
-		Place:       name,
+		Service:     name,
 		Destination: s.Destination,
-		Hosts:       endpointIDs(running),
+		Endpoints:   endpointIDs(running),
 		Cause:       s.outageCause,
 	})
 	w.recordCapacity(s, 1, 0)
@@ -117,12 +117,12 @@
 	warmUp := s.Recover(w.Now())
 	w.record(eventlog.Event{
 		Kind:        eventlog.OutageEnded,
-		Place:       name,
+		Service:     name,
 		Destination: s.Destination,
-		Hosts:       endpointIDs(running),
+		Endpoints:   endpointIDs(running),
 		Rate:        warmUp.FullCapacity,
 		Share:       warmUp.InitialCapacity,
-		For:         warmUp.Duration,
+		Duration:    warmUp.Duration,
 	})
 	w.recordCapacity(s, warmUp.InitialCapacity, warmUp.Duration)
 	if cause != eventlog.OutageSilent && cause != eventlog.OutageDown {
