--- a/internal/capacity/hollow/agent.go
+++ b/internal/capacity/hollow/agent.go
@@ -63,7 +63,7 @@
 		for zone := range endpointsPerDestination {
 			endpoints = append(endpoints, policy.Endpoint{
 				ID:          fmt.Sprintf("s-%06d-%d", destination, zone),
-				Destination: destination,
+				Destination: policy.DestinationID(destination),
 				Zone:        zone,
 				Weight:      8.6,
 				InService:   true,
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -46,7 +46,7 @@
 	for destination := range destinations {
 		endpoints = append(endpoints, policy.Endpoint{
 			ID:          endpointID(destination),
-			Destination: destination,
+			Destination: policy.DestinationID(destination),
 			Weight:      unlimitedWeight,
 		})
 	}
@@ -101,7 +101,7 @@
 	return policy.Event{
 		Kind:        policy.MessageAccepted,
 		MessageID:   policy.MessageID(index + 1),
-		Destination: index % s.destinations,
+		Destination: policy.DestinationID(index % s.destinations),
 		TimeLeft:    backlogTimeLeft,
 	}
 }
--- a/internal/capacity/hollow/propagation.go
+++ b/internal/capacity/hollow/propagation.go
@@ -21,7 +21,7 @@
 // isContained reports whether load reports contain the change.
 func (p *propagation) isContained(reports []loadreport.Report) bool {
 	isChange := func(load loadreport.ScopeLoad) bool {
-		return load.Destination == p.destination && load.RetryAfter > 0
+		return int(load.Destination) == p.destination && load.RetryAfter > 0
 	}
 	return slices.ContainsFunc(reports, func(r loadreport.Report) bool {
 		return r.Name == p.origin && slices.ContainsFunc(r.Scopes, isChange)
--- a/internal/capacity/hollow/quota.go
+++ b/internal/capacity/hollow/quota.go
@@ -9,6 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 const (
@@ -112,7 +113,7 @@
 	s.addPeers(members, self)
 	limits := loadreport.Limits{}
 	for destination := range destinations {
-		limits[destination] = map[string]float64{"": limit}
+		limits[policy.DestinationID(destination)] = map[string]float64{"": limit}
 	}
 	names := s.names()
 	before := memoryInUse()
