--- /dev/null
+++ b/internal/simulation/modelcheck/counterexample.go
@@ -0,0 +1,164 @@
+package modelcheck
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// maxMoves bounds the counterexamples that are read from files.
+const maxMoves = 1000
+
+// Counterexample is a path through a model's states to a violation, as files keep it.
+type Counterexample struct {
+	Model  string       `json:"world"`
+	Mutant string       `json:"mutant,omitempty"`
+	Rule   checker.Rule `json:"rule,omitempty"` // that the path violated when it was found
+	Moves  []Move       `json:"moves"`
+}
+
+// ParseCounterexample reads a counterexample from a file's content.
+func ParseCounterexample(data []byte) (Counterexample, error) {
+	var c Counterexample
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&c); err != nil {
+		return Counterexample{}, fmt.Errorf("path: %w", err)
+	}
+	if len(c.Moves) > maxMoves {
+		return Counterexample{}, fmt.Errorf("path: %d moves, %d at most", len(c.Moves), maxMoves)
+	}
+	_, _, err := c.start()
+	return c, err
+}
+
+// start returns an explorer of the counterexample's model, and its initial state.
+func (c Counterexample) start() (*explorer, *state, error) {
+	model := FindModel(c.Model)
+	if model == nil {
+		return nil, nil, fmt.Errorf("path: no world %q", c.Model)
+	}
+	var mutant *emulate.Mutant
+	if c.Mutant != "" {
+		mutant = emulate.FindMutant(c.Mutant)
+		if mutant == nil {
+			return nil, nil, fmt.Errorf("path: no mutant %q", c.Mutant)
+		}
+	}
+	return newExplorer(model, mutant)
+}
+
+// transition is a move, with the states that it joins.
+type transition struct {
+	move          Move
+	before, after *state
+}
+
+// transitions plays the moves up to a violation. With an error it returns the transitions before it.
+func (c Counterexample) transitions() (model *Model, played []transition, err error) {
+	x, s, err := c.start()
+	if err != nil {
+		return nil, nil, err
+	}
+	for i, move := range c.Moves {
+		if !slices.Contains(x.enabledMoves(s), move) {
+			return x.model, played, fmt.Errorf(
+				"path: move %d (%s) cannot be made there: the decisions are not those that it was kept with",
+				i+1,
+				move.Kind,
+			)
+		}
+		next := x.successor(s, move)
+		played = append(played, transition{move, s, next})
+		if next.violation != nil {
+			break
+		}
+		s = next
+	}
+	return x.model, played, nil
+}
+
+// Replay plays the moves again and returns the violation that they lead to; nil if there is none any more.
+func (c Counterexample) Replay() (*Violation, error) {
+	_, played, err := c.transitions()
+	if err != nil || len(played) == 0 {
+		return nil, err
+	}
+	return played[len(played)-1].after.violation, nil
+}
+
+// WriteTrace writes the moves for people to read, one a line, each with the calls that the relays then made.
+func (c Counterexample) WriteTrace(out io.Writer) error {
+	model, played, playErr := c.transitions()
+	for _, t := range played {
+		_, err := fmt.Fprintf(out, "  %8v  %s%s\n", t.before.now, t.describe(model), t.describeCalls(model))
+		if err != nil {
+			return err
+		}
+	}
+	return playErr
+}
+
+// outcomeNames are the words of a trace.
+var outcomeNames = map[policy.Outcome]string{
+	policy.OK:            "delivered",
+	policy.Error:         "an error",
+	policy.Overloaded:    "refused",
+	policy.Timeout:       "no answer in time",
+	policy.ConnectFailed: "no connection",
+	policy.Reset:         "broken off",
+	policy.Cancelled:     "cancelled",
+	policy.NotSent:       "never sent",
+}
+
+// describe says what the move did.
+func (t transition) describe(model *Model) string {
+	move := t.move
+	switch move.Kind {
+	case MoveSubmit:
+		return fmt.Sprintf("message %d is handed in to relay %d", t.before.submitted+1, move.Relay)
+	case MoveFinishCall:
+		call := t.before.relays[move.Relay].calls[move.Index]
+		outcome := move.callOutcome(model)
+		text := fmt.Sprintf(
+			"relay %d: the call of message %d to %s ends: %s",
+			move.Relay,
+			call.messageID,
+			model.Endpoints[call.endpoint].ID,
+			outcomeNames[outcome.Outcome],
+		)
+		if outcome.RetryAfter > 0 {
+			text += fmt.Sprintf(", told to wait %v", outcome.RetryAfter)
+		}
+		return text
+	case MoveObserveDraining, MoveObserveRemoval:
+		return fmt.Sprintf("relay %d is %s: %s", move.Relay, move.Kind, model.DrainingEndpoints[move.Index])
+	case MoveRestart:
+		return fmt.Sprintf("relay %d is killed and started anew", move.Relay)
+	case MoveAdvanceTime:
+		return fmt.Sprintf("time passes to %v", t.after.now)
+	default:
+		return string(move.Kind)
+	}
+}
+
+// describeCalls lists the calls that are in flight after the move and were not before.
+func (t transition) describeCalls(model *Model) string {
+	var text strings.Builder
+	for relay := range t.after.relays {
+		for _, call := range t.after.relays[relay].calls {
+			if !slices.Contains(t.before.relays[relay].calls, call) {
+				endpoint := model.Endpoints[call.endpoint].ID
+				fmt.Fprintf(&text, "; relay %d sends message %d to %s", relay, call.messageID, endpoint)
+			}
+		}
+	}
+	return text.String()
+}
