--- /dev/null
+++ b/internal/simulation/modelcheck/fleet_check.go
@@ -0,0 +1,93 @@
+package modelcheck
+
+import (
+	"context"
+	"slices"
+
+	"cherrytrestle.example/cherrytrestle/internal/simulation/emulate"
+)
+
+// FleetResult is what a search of a fleet's states found. States are counted only by a search without a violation.
+type FleetResult struct {
+	States      int // distinct ones
+	Transitions int // moves played
+	Complete    bool
+	Violation   string      // "": none
+	Trace       []FleetMove // to the violation
+}
+
+// fleetSearch is a breadth-first search of a fleet's states.
+type fleetSearch struct {
+	model   *FleetModel
+	faults  emulate.LinkFaults
+	visited map[string]struct{}
+	result  FleetResult
+}
+
+// CheckFleet explores the states of a fleet up to the model's depth, and stops at the first violation, whose trace has
+// the fewest moves. The members have the faults of a mutant, if there are any.
+func CheckFleet(ctx context.Context, model FleetModel, faults emulate.LinkFaults) (FleetResult, error) {
+	search := &fleetSearch{
+		model:   &model,
+		faults:  faults,
+		visited: map[string]struct{}{},
+		result:  FleetResult{Complete: true},
+	}
+	frontier := [][]FleetMove{nil}
+	for depth := 0; len(frontier) > 0; depth++ {
+		var next [][]FleetMove
+		for _, path := range frontier {
+			if err := ctx.Err(); err != nil {
+				return search.result, err
+			}
+			moves := search.replay(path).enabledMoves()
+			if depth == model.MaxDepth {
+				search.result.Complete = search.result.Complete && len(moves) == 0
+				continue
+			}
+			next = append(next, search.expand(path, moves)...)
+			if search.result.Violation != "" {
+				return search.result, nil
+			}
+		}
+		frontier = next
+	}
+	search.result.States = len(search.visited)
+	return search.result, nil
+}
+
+// replay returns the state that a path leads to. Agents and tables cannot be copied, so that each state is reached by
+// its whole path.
+func (s *fleetSearch) replay(path []FleetMove) *fleetState {
+	f := newFleetState(s.model, s.faults)
+	for _, move := range path {
+		f.apply(move)
+	}
+	return f
+}
+
+// expand plays the moves that are enabled at a path's end, up to the first violation, and returns the paths to new
+// states.
+func (s *fleetSearch) expand(path []FleetMove, moves []FleetMove) (longer [][]FleetMove) {
+	for _, move := range moves {
+		extended := append(slices.Clone(path), move)
+		successor := s.replay(extended)
+		s.result.Transitions++
+		violation := successor.violation
+		if violation == "" {
+			converged := s.replay(extended)
+			converged.checkConvergence()
+			violation = converged.violation
+		}
+		if violation != "" {
+			s.result.Violation, s.result.Trace, s.result.Complete = violation, extended, false
+			return nil
+		}
+		key := successor.key()
+		if _, known := s.visited[key]; !known {
+			s.visited[key] = struct{}{}
+			longer = append(longer, extended)
+		}
+	}
+	return longer
+}
