--- a/internal/testkit/eventlog/header.go
+++ b/internal/testkit/eventlog/header.go
@@ -8,7 +8,8 @@
 // FormatVersion is the version of the file's format. A reader accepts no other.
 const FormatVersion = 1
 
-// Effect is what a repeat of a message of a class may do. The values are the words of the operators' brief.
+// Effect says when a message of a class may be repeated without a second effect. The values are those of scenario
+// files.
 type Effect string
 
 // The effects.
@@ -41,12 +42,20 @@
 
 // Rules are the parameters of the rules that a run is checked against.
 type Rules struct {
-	DrainGrace           time.Duration `json:"drain_grace"`
-	OverloadFactor       float64       `json:"fall_multiple"`
-	OverloadWindow       time.Duration `json:"fall_window"`
-	OrderingPause        time.Duration `json:"order_pause,omitempty"`
-	DuplicatesAllowed    bool          `json:"may_duplicate"`
-	OverShareWeightRatio float64       `json:"over_share_worth"`
+	// DrainGrace is how long a relay may go on calling an endpoint after it was notified of its drain.
+	DrainGrace time.Duration `json:"drain_grace"`
+	// OverloadFactor is the multiple of its capacity that a service bears while it warms up; 0: overloads
+	// are not checked.
+	OverloadFactor float64 `json:"fall_multiple"`
+	// OverloadWindow is the window over which that load is measured.
+	OverloadWindow time.Duration `json:"fall_window"`
+	// OrderingPause is how long a relay must wait with the next message of an ordering key after a call that may still
+	// run.
+	OrderingPause time.Duration `json:"order_pause,omitempty"`
+	// DuplicatesAllowed means that a message may be sent while another call with it is out, as a hedged request.
+	DuplicatesAllowed bool `json:"may_duplicate"`
+	// OverShareWeightRatio is the ratio of its weight that a message beyond its customer's share has.
+	OverShareWeightRatio float64 `json:"over_share_worth"`
 }
 
 // Header describes a run.
--- a/internal/testkit/report/page.go
+++ b/internal/testkit/report/page.go
@@ -1,6 +1,7 @@
 package report
 
 import (
+	"cmp"
 	"fmt"
 	"html/template"
 	"io"
@@ -12,34 +13,35 @@
 
 // pageData is what the page's template shows.
 type pageData struct {
-	Run      eventlog.Header
-	Summary  string
-	Findings []checker.RuleResult
-	Proofs   []string
-	Service  []serviceRow
-	Plots    []template.HTML
+	Run        eventlog.Header
+	Summary    string
+	Rules      []checker.RuleResult
+	Paragraphs []string
+	Service    []serviceRow
+	Plots      []template.HTML
 }
 
-// serviceRow is a row of the table of the service's figures.
+// serviceRow is a row of the table of a service's figures.
 type serviceRow struct{ Name, Value, Note string }
 
 // HTML writes the report of a run as one page, without scripts or references to other files.
-func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, v checker.Result) error {
+func HTML(w io.Writer, h eventlog.Header, events []eventlog.Event, result checker.Result) error {
 	return pageTemplate.Execute(w, pageData{
-		Run:      h,
-		Summary:  Summary(v),
-		Findings: v.Rules,
-		Proofs:   proofs(events, v),
-		Service:  serviceRows(v.Service),
-		Plots:    plots(newTimeline(h, events), h, events),
+		Run:        h,
+		Summary:    Summary(result),
+		Rules:      result.Rules,
+		Paragraphs: paragraphs(events, result),
+		Service:    serviceRows(result.Service),
+		Plots:      plots(newTimeline(h, events), h, events),
 	})
 }
 
-// proofs returns a text for each violation, each fault that makes the run invalid, and each rule that was not checked.
-func proofs(events []eventlog.Event, v checker.Result) []string {
+// paragraphs returns a text for each violation with its evidence, for each error that makes the run invalid, and for
+// each reason why the run is inconclusive.
+func paragraphs(events []eventlog.Event, result checker.Result) []string {
 	var all []string
-	for _, f := range v.Rules {
-		for _, violation := range f.Violations {
+	for _, rule := range result.Rules {
+		for _, violation := range rule.Violations {
 			text := fmt.Sprintf("%v: %s", round(violation.At), violation.Text)
 			for _, i := range violation.Evidence[:min(maxEvidence, len(violation.Evidence))] {
 				text += fmt.Sprintf("\n  event %d: %s", i, eventLine(events[i]))
@@ -47,15 +49,16 @@
 			all = append(all, text)
 		}
 	}
-	for _, b := range v.RunErrors {
-		all = append(all, fmt.Sprintf("%v: VOID: %s", round(b.At), b.Text))
+	for _, runError := range result.RunErrors {
+		all = append(all, fmt.Sprintf("%v: VOID: %s", round(runError.At), runError.Text))
 	}
-	for _, doubt := range v.InconclusiveReasons {
-		all = append(all, "not judged: "+doubt)
+	for _, reason := range result.InconclusiveReasons {
+		all = append(all, "not judged: "+reason)
 	}
 	return all
 }
 
+// serviceRows returns the figures of a service, for the text and the page.
 func serviceRows(s checker.Service) []serviceRow {
 	return []serviceRow{
 		{
@@ -72,7 +75,7 @@
 		{
 			Name:  "worst-served customer",
 			Value: fmt.Sprintf("%.3f", s.WorstCustomerService),
-			Note:  s.WorstCustomer + ", within its share",
+			Note:  cmp.Or(s.WorstCustomer, "none") + ", within its share",
 		},
 		{
 			Name:  "delivered after",
@@ -113,9 +116,9 @@
 <p>{{.Summary}}. Seed {{.Run.Seed}}, plan {{.Run.PlanDigest}}, {{.Run.Duration}}, ` +
 	`relays {{range .Run.Relays}}{{.}} {{end}}.</p>
 <table><tr><th>rule<th><th>occasions<th>breaks</tr>
-{{range .Findings}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.ViolationCount}}</tr>
+{{range .Rules}}<tr><td>{{.Rule}}<td class="{{.State}}">{{.State}}<td>{{.Exercised}}<td>{{.ViolationCount}}</tr>
 {{end}}</table>
-{{range .Proofs}}<pre>{{.}}</pre>{{end}}
+{{range .Paragraphs}}<pre>{{.}}</pre>{{end}}
 <table>{{range .Service}}<tr><td>{{.Name}}<td>{{.Value}}<td>{{.Note}}</tr>
 {{end}}</table>
 <p>Troubles are shaded, restarts marked: point at either for its name.</p>
--- a/internal/testkit/report/report.go
+++ b/internal/testkit/report/report.go
@@ -1,4 +1,4 @@
-// Package report presents the verdict on a rehearsal: as text, as JSON, and as an HTML page with plots that needs no
+// Package report presents the result of a checked run: as text, as JSON, and as an HTML page with plots that needs no
 // other file.
 package report
 
@@ -22,15 +22,15 @@
 	TextName = "report.txt"
 )
 
-// maxEvidence bounds how many of the events that show a violation a report quotes.
+// maxEvidence bounds how many of the events that show a violation the text and the page quote.
 const maxEvidence = 6
 
 // Write writes the report of a run into a folder, in all three forms.
-func Write(dir string, h eventlog.Header, events []eventlog.Event, v checker.Result) error {
+func Write(dir string, h eventlog.Header, events []eventlog.Event, result checker.Result) error {
 	for name, write := range map[string]func(*os.File) error{
-		JSONName: func(f *os.File) error { return JSON(f, h, v) },
-		TextName: func(f *os.File) error { return Text(f, h, events, v) },
-		PageName: func(f *os.File) error { return HTML(f, h, events, v) },
+		JSONName: func(f *os.File) error { return JSON(f, h, result) },
+		TextName: func(f *os.File) error { return Text(f, h, events, result) },
+		PageName: func(f *os.File) error { return HTML(f, h, events, result) },
 	} {
 		f, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
@@ -43,15 +43,15 @@
 	return nil
 }
 
-// JSON writes a verdict as JSON.
-func JSON(w io.Writer, h eventlog.Header, v checker.Result) error {
+// JSON writes the header and the result of a run as JSON.
+func JSON(w io.Writer, h eventlog.Header, result checker.Result) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(struct {
-		Header  eventlog.Header `json:"run"`
-		Verdict checker.Result  `json:"verdict"`
-		OK      bool            `json:"ok"`
-	}{h, v, v.OK()})
+		Header eventlog.Header `json:"run"`
+		Result checker.Result  `json:"verdict"`
+		OK     bool            `json:"ok"`
+	}{h, result, result.OK()})
 }
 
 // round shortens a duration for readers.
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -70,9 +70,9 @@
 }
 
 func TestTextShowsAViolationWithItsEvidence(t *testing.T) {
-	h, events, v := smallRun()
+	h, events, result := smallRun()
 	var b bytes.Buffer
-	if err := Text(&b, h, events, v); err != nil {
+	if err := Text(&b, h, events, result); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -90,27 +90,27 @@
 }
 
 func TestJSONReadsBack(t *testing.T) {
-	h, _, v := smallRun()
+	h, _, result := smallRun()
 	var b bytes.Buffer
-	if err := JSON(&b, h, v); err != nil {
+	if err := JSON(&b, h, result); err != nil {
 		t.Fatal(err)
 	}
 	var got struct {
-		Run     eventlog.Header
-		Verdict checker.Result
-		OK      bool
+		Run    eventlog.Header
+		Result checker.Result `json:"verdict"`
+		OK     bool
 	}
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.OK || got.Run.Scenario != h.Scenario ||
-		got.Verdict.ForRule(checker.DrainRespected).State != checker.Violated {
+		got.Result.ForRule(checker.DrainRespected).State != checker.Violated {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 // The page has no script and refers to no other file, and names are escaped.
 func TestPageIsSelfContained(t *testing.T) {
-	h, events, v := smallRun()
+	h, events, result := smallRun()
 	var b bytes.Buffer
-	if err := HTML(&b, h, events, v); err != nil {
+	if err := HTML(&b, h, events, result); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -163,8 +163,8 @@
 func TestAnEmptyRunHasAReport(t *testing.T) {
 	dir := t.TempDir()
 	h := eventlog.Header{Scenario: "empty"}
-	v := checker.Check(h, nil)
-	if err := Write(dir, h, nil, v); err != nil {
+	result := checker.Check(h, nil)
+	if err := Write(dir, h, nil, result); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{PageName, JSONName, TextName} {
@@ -172,7 +172,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := Write(filepath.Join(dir, "none"), h, nil, v); err == nil {
+	if err := Write(filepath.Join(dir, "none"), h, nil, result); err == nil {
 		t.Error("no error for a folder that does not exist")
 	}
 }
