--- a/internal/simulation/emulate/endpointlist.go
+++ b/internal/simulation/emulate/endpointlist.go
@@ -50,7 +50,7 @@
 func (e *endpoint) entry(state string) policy.Endpoint {
 	return policy.Endpoint{
 		ID:          e.ID,
-		Destination: e.Destination,
+		Destination: policy.DestinationID(e.Destination),
 		Zone:        e.zone,
 		Weight:      e.Weight,
 		Kind:        e.kind,
--- a/internal/simulation/emulate/scriptedengine_test.go
+++ b/internal/simulation/emulate/scriptedengine_test.go
@@ -71,7 +71,7 @@
 	case policy.EndpointDelta:
 		s.applyEntries(e.Endpoints)
 	case policy.MessageAccepted:
-		m := &scriptedMessage{destination: e.Destination, deadline: now + e.TimeLeft}
+		m := &scriptedMessage{destination: int(e.Destination), deadline: now + e.TimeLeft}
 		if e.Recovered != nil {
 			m.attempts = e.Recovered.Attempts
 		}
@@ -96,8 +96,8 @@
 		if entry.Removed {
 			continue
 		}
-		s.endpoints[entry.Destination] = append(s.endpoints[entry.Destination], entry)
-		slices.SortFunc(s.endpoints[entry.Destination], func(a, b policy.Endpoint) int {
+		s.endpoints[int(entry.Destination)] = append(s.endpoints[int(entry.Destination)], entry)
+		slices.SortFunc(s.endpoints[int(entry.Destination)], func(a, b policy.Endpoint) int {
 			return strings.Compare(a.ID, b.ID)
 		})
 	}
