--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -39,19 +39,19 @@
 // Run prints counts of the journal's messages and its use of the disk.
 func (c *inspectCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
-		out := &printer{out: s.Out}
+		out := cli.NewPrinter(s.Out)
 		printMessageCounts(out, recovery)
 		stats := j.Stats()
-		out.printf("store: %d segments, %d bytes on disk of %d, %d of them live; ", stats.SegmentCount,
+		out.Printf("store: %d segments, %d bytes on disk of %d, %d of them live; ", stats.SegmentCount,
 			stats.DiskBytes, stats.Limit, stats.LiveBytes)
-		out.printf("room for %d bytes of new messages, %d of ends and outcomes\n", stats.AvailableForValues,
+		out.Printf("room for %d bytes of new messages, %d of ends and outcomes\n", stats.AvailableForValues,
 			stats.AvailableBytes)
 		printRecovery(out, recovery)
-		return out.err
+		return out.Err()
 	})
 }
 
-func printMessageCounts(out *printer, recovery *journal.Recovery) {
+func printMessageCounts(out *cli.Printer, recovery *journal.Recovery) {
 	var cancelled, final, mayHaveRun, uncertain int
 	for _, message := range recovery.Messages {
 		switch {
@@ -67,38 +67,38 @@
 			uncertain++
 		}
 	}
-	out.printf("messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, ",
+	out.Printf("messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, ",
 		len(recovery.Messages), cancelled, final)
-	out.printf("%d may have run, %d are doubtful\n", mayHaveRun, uncertain)
+	out.Printf("%d may have run, %d are doubtful\n", mayHaveRun, uncertain)
 }
 
 // printRecovery prints what of the journal was damaged, lost or not expected.
-func printRecovery(out *printer, recovery *journal.Recovery) {
+func printRecovery(out *cli.Printer, recovery *journal.Recovery) {
 	store := recovery.Store
 	for _, torn := range store.Torn {
-		out.printf("segment %d: torn behind byte %d, never acknowledged (%d bytes)\n", torn.Segment, torn.From,
+		out.Printf("segment %d: torn behind byte %d, never acknowledged (%d bytes)\n", torn.Segment, torn.From,
 			torn.To-torn.From)
 	}
 	for _, damaged := range store.Damaged {
-		out.printf("segment %d: DAMAGED from byte %d to %d\n", damaged.Segment, damaged.From, damaged.To)
+		out.Printf("segment %d: DAMAGED from byte %d to %d\n", damaged.Segment, damaged.From, damaged.To)
 	}
 	for _, segment := range store.Missing {
-		out.printf("segment %d: MISSING\n", segment)
+		out.Printf("segment %d: MISSING\n", segment)
 	}
 	for _, lost := range store.Lost {
-		out.printf("records %d to %d: LOST; messages taken on before them may have run\n", lost.From, lost.To-1)
+		out.Printf("records %d to %d: LOST; messages taken on before them may have run\n", lost.From, lost.To-1)
 	}
 	for _, key := range store.LostKeys {
-		out.printf("message with key %d: LOST\n", key)
+		out.Printf("message with key %d: LOST\n", key)
 	}
 	for _, name := range store.Foreign {
-		out.printf("%s: not a file of this store\n", name)
+		out.Printf("%s: not a file of this store\n", name)
 	}
 	for _, segment := range store.Stale {
-		out.printf("segment %d: done with, and removed at the next start\n", segment)
+		out.Printf("segment %d: done with, and removed at the next start\n", segment)
 	}
 	if recovery.Unreadable > 0 {
-		out.printf("%d values hold NO MESSAGE of this form\n", recovery.Unreadable)
+		out.Printf("%d values hold NO MESSAGE of this form\n", recovery.Unreadable)
 	}
 }
 
@@ -107,22 +107,22 @@
 // Run exits with 0 if all could be read, and with 3 if not.
 func (c *verifyCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
-		out := &printer{out: s.Out}
+		out := cli.NewPrinter(s.Out)
 		intact := recovery.Intact()
 		for _, message := range recovery.Messages {
 			if _, err := j.Body(message); err != nil {
 				intact = false
-				out.printf("message %d (%s): %v\n", message.ID, message.TraceID, err)
+				out.Printf("message %d (%s): %v\n", message.ID, message.TraceID, err)
 			}
 		}
 		printRecovery(out, recovery)
 		if intact {
-			out.printf("sound: %d messages, %d bytes read\n", len(recovery.Messages), recovery.Store.Bytes())
+			out.Printf("sound: %d messages, %d bytes read\n", len(recovery.Messages), recovery.Store.Bytes())
 		}
-		if out.err == nil && !intact {
+		if out.Err() == nil && !intact {
 			return cli.Exit(exitDamaged)
 		}
-		return out.err
+		return out.Err()
 	})
 }
 
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -26,20 +26,20 @@
 	if err != nil {
 		return err
 	}
-	out := &printer{out: s.Out}
+	out := cli.NewPrinter(s.Out)
 	for _, recording := range found {
-		out.printf("%016x: %s, revision %s, program %s, started %s, %d chunks, %d bytes\n", recording.ID,
+		out.Printf("%016x: %s, revision %s, program %s, started %s, %d chunks, %d bytes\n", recording.ID,
 			recording.Meta.Name, recording.Meta.Revision, recording.Meta.Program,
 			recording.Meta.Started.Format(time.RFC3339Nano), recording.Chunks, len(recording.Data))
 		if err := printEntries(out, recording.Data); err != nil {
 			return err
 		}
 	}
-	return out.err
+	return out.Err()
 }
 
 // printEntries lists a recording's chunks and notes, and counts its steps.
-func printEntries(out *printer, data []byte) error {
+func printEntries(out *cli.Printer, data []byte) error {
 	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 		}
 		switch entry.Kind {
 		case flightrecorder.Begin:
-			out.printf("  offset %d: chunk %d from %v, state of %d bytes\n", entry.At, entry.Chunk, entry.Now,
+			out.Printf("  offset %d: chunk %d from %v, state of %d bytes\n", entry.At, entry.Chunk, entry.Now,
 				len(entry.State))
 		case flightrecorder.Step:
 			steps++
@@ -64,12 +64,12 @@
 			actions += len(entry.Actions)
 			last = entry.Now
 		case flightrecorder.Note:
-			out.printf("  offset %d: %s\n", entry.At, entry.Text)
+			out.Printf("  offset %d: %s\n", entry.At, entry.Text)
 		case flightrecorder.Lost:
-			out.printf("  offset %d: NOT READ: %s\n", entry.At, entry.Text)
+			out.Printf("  offset %d: NOT READ: %s\n", entry.At, entry.Text)
 		}
 	}
-	out.printf("  %d steps with %d events and %d actions, until %v\n", steps, events, actions, last)
+	out.Printf("  %d steps with %d events and %d actions, until %v\n", steps, events, actions, last)
 	return nil
 }
 
@@ -87,15 +87,15 @@
 	if err := os.MkdirAll(c.Out, 0o700); err != nil {
 		return err
 	}
-	out := &printer{out: s.Out}
+	out := cli.NewPrinter(s.Out)
 	for _, recording := range found {
 		path := filepath.Join(c.Out, recordingFileName(recording))
 		if err := writeNewFile(path, recording.Data); err != nil {
 			return err
 		}
-		out.printf("%s\n", path)
+		out.Printf("%s\n", path)
 	}
-	return out.err
+	return out.Err()
 }
 
 // recordingFileName takes the last element of the recorded name alone, so that a name cannot lead out of the folder.
--- a/cmd/cherrytrestle/replay.go
+++ b/cmd/cherrytrestle/replay.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	out := &printer{out: s.Out}
+	out := cli.NewPrinter(s.Out)
 	differs := false
 	for _, recording := range found {
 		began := time.Now()
@@ -36,8 +36,8 @@
 		c.print(out, recording, result, time.Since(began))
 		differs = differs || result.Difference != nil
 	}
-	if out.err != nil {
-		return out.err
+	if out.Err() != nil {
+		return out.Err()
 	}
 	if differs {
 		return cli.Exit(exitDiffers)
@@ -45,20 +45,20 @@
 	return nil
 }
 
-func (c *replayCommand) print(out *printer, rec flightrecorder.Recording, result replay.Result, took time.Duration) {
+func (c *replayCommand) print(out *cli.Printer, rec flightrecorder.Recording, result replay.Result, took time.Duration) {
 	for _, lost := range result.Lost {
-		out.printf("%016x: not read: %s\n", rec.ID, lost)
+		out.Printf("%016x: not read: %s\n", rec.ID, lost)
 	}
 	if !c.Quiet {
-		out.printf("%016x: %s, %s of %v, %d bytes in %d chunks: ", rec.ID, result.Meta.Name, revisions(result),
+		out.Printf("%016x: %s, %s of %v, %d bytes in %d chunks: ", rec.ID, result.Meta.Name, revisions(result),
 			(result.To - result.From).Round(time.Millisecond), len(rec.Data), result.Chunks)
-		out.printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n", result.Steps,
+		out.Printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n", result.Steps,
 			result.Events, result.Actions, result.SendChecks, result.States, float64(result.Events)/took.Seconds())
 	}
 	if result.Difference != nil {
-		out.printf("%016x: DIFFERS: %v\n", rec.ID, result.Difference)
+		out.Printf("%016x: DIFFERS: %v\n", rec.ID, result.Difference)
 	} else if !c.Quiet {
-		out.printf("%016x: no difference\n", rec.ID)
+		out.Printf("%016x: no difference\n", rec.ID)
 	}
 }
 
