--- a/internal/testkit/checker/recovery.go
+++ b/internal/testkit/checker/recovery.go
@@ -10,14 +10,12 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
-// recovery is a service's return from an outage. It warms up until its capacity is full or the next outage begins.
+// recovery is the time after an outage of a service, until it is warm or the next outage begins.
 type recovery struct {
-	outage      eventlog.Event
-	outageIndex int
-	event       eventlog.Event // the end of the outage
-	index       int
-	until       time.Duration
-	informedBy  map[string]int // by relay: the event by which it observed the outage, or noEvent
+	outageStart, outageEnd eventlog.Event
+	startIndex, endIndex   int // of these events
+	until                  time.Duration
+	informedBy             map[string]int // by relay: the event by which it observed the outage, or noEvent
 }
 
 // checkRecoveryNotOverloaded checks that no service that warms up after an outage is overloaded by relays that had
@@ -36,22 +34,22 @@
 	}
 }
 
-// recovery returns the recovery that an event reports, if the record has the beginning of the outage.
+// recovery returns the recovery after an OutageEnded event, if the record has the beginning of the outage.
 func (r *record) recovery(index int) (recovery, bool) {
-	v := recovery{event: r.events[index], index: index, outageIndex: noEvent}
-	v.until = v.event.At + v.event.Duration
+	v := recovery{outageEnd: r.events[index], endIndex: index, startIndex: noEvent}
+	v.until = v.outageEnd.At + v.outageEnd.Duration
 	isOutage := func(e eventlog.Event) bool {
-		return e.Kind == eventlog.OutageStarted && e.Service == v.event.Service
+		return e.Kind == eventlog.OutageStarted && e.Service == v.outageEnd.Service
 	}
-	for i := index - 1; i >= 0 && v.outageIndex == noEvent; i-- {
+	for i := index - 1; i >= 0 && v.startIndex == noEvent; i-- {
 		if isOutage(r.events[i]) {
-			v.outageIndex = i
+			v.startIndex = i
 		}
 	}
-	if v.outageIndex == noEvent {
+	if v.startIndex == noEvent {
 		return v, false
 	}
-	v.outage = r.events[v.outageIndex]
+	v.outageStart = r.events[v.startIndex]
 	if next := slices.IndexFunc(r.events[index+1:], isOutage); next >= 0 {
 		v.until = min(v.until, r.events[index+1+next].At)
 	}
@@ -61,7 +59,7 @@
 
 // receives reports whether a call reaches the service while it warms up.
 func (v recovery) receives(c *call) bool {
-	return c.At >= v.event.At && c.At <= v.until && slices.Contains(v.event.Endpoints, c.Endpoint)
+	return c.At >= v.outageEnd.At && c.At <= v.until && slices.Contains(v.outageEnd.Endpoints, c.Endpoint)
 }
 
 // isInformed reports whether a relay observed the outage. A relay that the header does not list counts as informed.
@@ -88,7 +86,7 @@
 		return
 	}
 	informedLoad := 0.0
-	evidence := []int{v.outageIndex, v.index}
+	evidence := []int{v.startIndex, v.endIndex}
 	for _, c := range window {
 		evidence = append(evidence, c.index)
 		if v.isInformed(c.Relay) {
@@ -107,7 +105,7 @@
 	result.addViolation(at, evidence,
 		"%s, back since %v and able to do %.1f calls a second, "+
 			"was sent %.1f in %v, %.0f%% by relays that had seen it fail",
-		v.event.Service, (at - v.event.At).Round(time.Millisecond), v.warmUp().CapacityAt(at),
+		v.outageEnd.Service, (at - v.outageEnd.At).Round(time.Millisecond), v.warmUp().CapacityAt(at),
 		load, r.Rules.OverloadWindow, 100*informedLoad/load)
 }
 
@@ -132,10 +130,10 @@
 
 func (v recovery) warmUp() upstream.WarmUp {
 	return upstream.WarmUp{
-		StartedAt:       v.event.At,
-		FullCapacity:    v.event.Rate,
-		InitialCapacity: v.event.Share,
-		Duration:        v.event.Duration,
+		StartedAt:       v.outageEnd.At,
+		FullCapacity:    v.outageEnd.Rate,
+		InitialCapacity: v.outageEnd.Share,
+		Duration:        v.outageEnd.Duration,
 	}
 }
 
@@ -153,22 +151,22 @@
 			informedBy[relay] = event
 		}
 	}
-	duringOutage := func(at time.Duration) bool { return at >= v.outage.At && at <= v.event.At }
+	duringOutage := func(at time.Duration) bool { return at >= v.outageStart.At && at <= v.outageEnd.At }
 	for _, c := range r.allCalls {
-		if !slices.Contains(v.event.Endpoints, c.Endpoint) {
+		if !slices.Contains(v.outageEnd.Endpoints, c.Endpoint) {
 			continue
 		}
 		if event := r.failure(c); event != noEvent && duringOutage(r.events[event].At) {
 			inform(c.Relay, event)
 		}
 	}
-	if v.outage.Cause != eventlog.OutageDown {
+	if v.outageStart.Cause != eventlog.OutageDown {
 		return informedBy
 	}
 	// Connections that are not accepted leave no event at the endpoints. A relay that had a message for the destination
 	// has observed the outage.
 	for _, m := range r.submissions {
-		if duringOutage(m.At) && m.Destination == v.event.Destination && r.accepted(m) {
+		if duringOutage(m.At) && m.Destination == v.outageEnd.Destination && r.accepted(m) {
 			inform(m.Relay, m.index)
 		}
 	}
