--- /dev/null
+++ b/internal/recording/flightrecorder/dump_test.go
@@ -0,0 +1,81 @@
+package flightrecorder_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/fleet/agent"
+	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+// dump returns entries as text. It names no fields and no values of enumerations, so that renaming them leaves the
+// golden files as they are.
+func dump(t *testing.T, entries []flightrecorder.Entry) []byte {
+	t.Helper()
+	var text strings.Builder
+	for _, e := range entries {
+		fmt.Fprintf(&text, "%d at %d: %v %q %v %t %d %q\n",
+			e.Kind, e.At, e.Now, e.Endpoint, e.MessageIDs, e.Allowed, e.MessageID, e.Text)
+		if e.Kind == flightrecorder.Begin {
+			fmt.Fprintf(&text, "  begin %x %d %t %s\n", e.ID, e.Chunk, e.Fresh, plainText(e.Meta))
+		}
+		if len(e.State) > 0 {
+			fmt.Fprintf(&text, "  state of %d bytes, %x\n", len(e.State), sha256.Sum256(e.State))
+		}
+		for _, event := range e.Events {
+			dumpEvent(&text, event)
+		}
+		for _, action := range e.Actions {
+			fmt.Fprintf(&text, "  action %s\n", plainText(action))
+		}
+		if e.Kind == flightrecorder.FleetStep {
+			record, err := agent.ReadRecord(e.State)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&text, "  beside %v\n", record)
+		}
+	}
+	return []byte(text.String())
+}
+
+func dumpEvent(text *strings.Builder, event policy.Event) {
+	recovered := event.Recovered
+	event.Recovered = nil
+	fmt.Fprintf(text, "  event %s", plainText(event))
+	if recovered != nil {
+		fmt.Fprintf(text, " resumed %v", *recovered)
+	}
+	fmt.Fprintln(text)
+}
+
+// plainText formats a value as %v does, but enumerations, whose kind is int, as their numbers.
+func plainText(value any) string {
+	v := reflect.ValueOf(value)
+	_, named := value.(fmt.Stringer)
+	switch {
+	case named && v.Kind() == reflect.Int:
+		return strconv.FormatInt(v.Int(), 10)
+	case named:
+		return fmt.Sprint(value)
+	}
+	var parts []string
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			parts = append(parts, plainText(v.Field(i).Interface()))
+		}
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.Slice:
+		for i := range v.Len() {
+			parts = append(parts, plainText(v.Index(i).Interface()))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	}
+	return fmt.Sprint(value)
+}
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"flag"
 	"fmt"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -233,52 +231,6 @@
 	}
 }
 
-// dump is entries as text, in which no name of a field stands.
-func dump(t *testing.T, entries []flightrecorder.Entry) []byte {
-	t.Helper()
-	var text strings.Builder
-	for _, e := range entries {
-		fmt.Fprintf(
-			&text,
-			"%d at %d: %v %q %v %t %d %q\n",
-			e.Kind,
-			e.At,
-			e.Now,
-			e.Endpoint,
-			e.MessageIDs,
-			e.Allowed,
-			e.MessageID,
-			e.Text,
-		)
-		if e.Kind == flightrecorder.Begin {
-			fmt.Fprintf(&text, "  begin %x %d %t %v\n", e.ID, e.Chunk, e.Fresh, e.Meta)
-		}
-		if len(e.State) > 0 {
-			fmt.Fprintf(&text, "  state of %d bytes, %x\n", len(e.State), sha256.Sum256(e.State))
-		}
-		for _, x := range e.Events {
-			resumed := x.Recovered
-			x.Recovered = nil
-			fmt.Fprintf(&text, "  event %v", x)
-			if resumed != nil {
-				fmt.Fprintf(&text, " resumed %v", *resumed)
-			}
-			fmt.Fprintln(&text)
-		}
-		for _, a := range e.Actions {
-			fmt.Fprintf(&text, "  action %v\n", a)
-		}
-		if e.Kind == flightrecorder.FleetStep {
-			rec, err := agent.ReadRecord(e.State)
-			if err != nil {
-				t.Fatal(err)
-			}
-			fmt.Fprintf(&text, "  beside %v\n", rec)
-		}
-	}
-	return []byte(text.String())
-}
-
 // rewrite records entries anew.
 func rewrite(entries []flightrecorder.Entry) []byte {
 	var recorder *flightrecorder.Recorder
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -33,6 +33,25 @@
 	Lost
 )
 
+var entryKindNames = [...]string{
+	Begin:       "begin",
+	Step:        "step",
+	SendChecked: "send checked",
+	Label:       "label",
+	Note:        "note",
+	FleetState:  "fleet state",
+	FleetStep:   "fleet step",
+	Lost:        "lost",
+}
+
+// String returns the kind's name.
+func (k EntryKind) String() string {
+	if k < 0 || int(k) >= len(entryKindNames) {
+		return fmt.Sprintf("entry(%d)", int(k))
+	}
+	return entryKindNames[k]
+}
+
 // Entry is one entry of a recording. Its kind says which fields are set.
 type Entry struct {
 	Kind EntryKind
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -30,6 +30,19 @@
 	Event                 // something that the instance observes
 )
 
+// String returns the kind's name.
+func (k ItemKind) String() string {
+	switch k {
+	case Start:
+		return "start"
+	case Stop:
+		return "stop"
+	case Event:
+		return "event"
+	}
+	return fmt.Sprintf("item(%d)", int(k))
+}
+
 // Item is one event of a batch, for one instance.
 type Item struct {
 	Kind     ItemKind
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // BlockCause is the reason why a message is not sent to an endpoint.
 type BlockCause int
@@ -28,32 +25,6 @@
 	NoEndpoint                          // its destination has no endpoint
 )
 
-var blockCauseNames = [...]string{
-	NotBlocked:        "not blocked",
-	AttemptsExhausted: "attempts exhausted",
-	EndpointDraining:  "endpoint draining",
-	WaitingForKey:     "waiting for key",
-	WrongDedupZone:    "wrong dedup zone",
-	InsufficientTime:  "insufficient time",
-	TrialInFlight:     "trial in flight",
-	EndpointSaturated: "endpoint saturated",
-	OrderingPause:     "ordering pause",
-	RetryAfterPending: "retry-after pending",
-	EndpointEjected:   "endpoint ejected",
-	WarmUpBudget:      "warm-up budget",
-	Paced:             "paced",
-	ConcurrencyLimit:  "concurrency limit",
-	NoEndpoint:        "no endpoint",
-}
-
-// String returns the cause's name.
-func (cause BlockCause) String() string {
-	if cause < 0 || int(cause) >= len(blockCauseNames) {
-		return fmt.Sprintf("cause(%d)", int(cause))
-	}
-	return blockCauseNames[cause]
-}
-
 // Blocker says what keeps a waiting message from an endpoint.
 type Blocker struct {
 	MessageID MessageID
--- a/policy/revision_test.go
+++ b/policy/revision_test.go
@@ -12,7 +12,7 @@
 
 // notDecisions are the source files that decide nothing: Revision leaves them out, so that recordings made before a
 // change of them still name the same decisions.
-var notDecisions = []string{"doc.go", "eviction.go", "inspect.go", "revision.go", "snapshot.go"}
+var notDecisions = []string{"doc.go", "eviction.go", "inspect.go", "names.go", "revision.go", "snapshot.go"}
 
 // Each source file of the package is either part of the revision or known to decide nothing.
 func TestRevisionCoversEveryDecisionFile(t *testing.T) {
