--- a/internal/testkit/rehearsal/badrelay_test.go
+++ b/internal/testkit/rehearsal/badrelay_test.go
@@ -12,33 +12,56 @@
 	"strconv"
 	"strings"
 	"sync"
-	"testing"
 	"time"
+)
+
+// badMode is the rule that a badRelay violates.
+type badMode string
 
-	"cherrytrestle.example/cherrytrestle/internal/testkit/checker"
+const (
+	modeNone           badMode = "none"       // it keeps all rules
+	modeLoseMessages   badMode = "lose"       // it forgets some messages
+	modeDeliverTwice   badMode = "twice"      // it sends payments again that were served
+	modeIgnoreDraining badMode = "drain"      // it calls endpoints that drain
+	modeIgnoreWait     badMode = "wait"       // it ignores Retry-After
+	modeReorder        badMode = "order"      // it swaps messages of an ordering key
+	modeOverload       badMode = "push"       // it retries without a backoff
+	modeRejectAll      badMode = "reject-all" // it rejects all messages, so that the load alone is measured
 )
 
-// bad is a plain relay: it sends each message to the first host of its destination in service, again after a pause if
-// that did not take it, and fails it when its time is up or it may have run. It keeps the rules, but for the one that
-// its mode breaks.
-type bad struct {
-	mode      string
+// badModeVariable names the mode of a process that is a badRelay.
+const badModeVariable = "REHEARSAL_BAD_RELAY"
+
+const (
+	retryPause    = 200 * time.Millisecond
+	noRetryPause  = 20 * time.Millisecond // of modeOverload
+	orderingPause = 1050 * time.Millisecond
+	noEndpointGap = 20 * time.Millisecond
+)
+
+// badRelay is a plain relay: it sends each message to the first endpoint of its destination in service, again after a
+// pause if that rejected it, and fails it after its deadline or if it may have run. It keeps the rules, but for the one
+// that its mode violates.
+type badRelay struct {
+	mode      badMode
 	discovery string
 
-	mu    sync.Mutex
-	hosts map[string]badHost
-	waits map[string]time.Time     // by destination, or by route for gateways
-	turns map[string]chan struct{} // by key: closed when its last message has its end
+	mu         sync.Mutex
+	endpoints  map[string]badEndpoint
+	retryAfter map[string]time.Time     // by service
+	orderTails map[string]chan struct{} // by ordering key: closed when its last message has ended
 }
 
-type badHost struct {
+// badEndpoint is an entry of the endpoint list.
+type badEndpoint struct {
 	ID, Addr, Kind, State, Zone string
-	Cell                        int
+
+	Destination int `json:"cell"`
 }
 
-func badRelay(mode string) {
+func runBadRelay(mode badMode) {
 	var config struct {
-		Known struct{ Servers []badHost }
+		Known struct{ Servers []badEndpoint }
 	}
 	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err == nil {
@@ -48,257 +71,206 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	b := &bad{
-		mode: mode, discovery: os.Getenv("ROUTER_DISCOVERY"), hosts: map[string]badHost{}, waits: map[string]time.Time{},
-		turns: map[string]chan struct{}{},
+	b := &badRelay{
+		mode:       mode,
+		discovery:  os.Getenv("ROUTER_DISCOVERY"),
+		endpoints:  map[string]badEndpoint{},
+		retryAfter: map[string]time.Time{},
+		orderTails: map[string]chan struct{}{},
 	}
-	for _, h := range config.Known.Servers {
-		b.hosts[h.ID] = h
+	for _, endpoint := range config.Known.Servers {
+		b.endpoints[endpoint.ID] = endpoint
 	}
 	go b.watch()
 	http.HandleFunc("GET /_health", func(http.ResponseWriter, *http.Request) {})
-	http.HandleFunc("POST /{class}", b.handIn)
+	http.HandleFunc("POST /{class}", b.serve)
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(os.Getenv("ROUTER_LISTEN"), nil))
 }
 
-func (b *bad) watch() {
-	res, err := http.Get("http://" + b.discovery + "/catalog/members?stream=1&index=0")
+func (b *badRelay) watch() {
+	response, err := http.Get("http://" + b.discovery + "/catalog/members?stream=1&index=0")
 	if err != nil {
 		return
 	}
-	for lines := json.NewDecoder(res.Body); ; {
-		var l struct{ Servers []badHost }
-		if lines.Decode(&l) != nil {
+	for lines := json.NewDecoder(response.Body); ; {
+		var update struct{ Servers []badEndpoint }
+		if lines.Decode(&update) != nil {
 			return
 		}
 		b.mu.Lock()
-		for _, h := range l.Servers {
-			if old, ok := b.hosts[h.ID]; ok && h.Addr == "" {
-				h.Addr, h.Cell, h.Kind, h.Zone = old.Addr, old.Cell, old.Kind, old.Zone
+		for _, endpoint := range update.Servers {
+			if old, ok := b.endpoints[endpoint.ID]; ok && endpoint.Addr == "" {
+				state := endpoint.State
+				endpoint = old
+				endpoint.State = state
 			}
-			b.hosts[h.ID] = h
+			b.endpoints[endpoint.ID] = endpoint
 		}
 		b.mu.Unlock()
 	}
 }
 
-// pick is the host for a destination: the first by its id, at a drained one if that is the mode.
-func (b *bad) pick(dest int) (badHost, bool) {
+// chooseEndpoint returns the endpoint with the first id of those in service, or of all with modeIgnoreDraining. It
+// returns false if there is none, or if a Retry-After has to be respected.
+func (b *badRelay) chooseEndpoint(destination int) (badEndpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var can []badHost
-	for _, h := range b.hosts {
-		if h.Cell != dest || h.State != "ready" && b.mode != "drain" {
+	var candidates []badEndpoint
+	for _, endpoint := range b.endpoints {
+		if endpoint.Destination != destination || endpoint.State != "ready" && b.mode != modeIgnoreDraining {
 			continue
 		}
-		if time.Now().Before(b.waits[b.place(h)]) && b.mode != "wait" {
-			return badHost{}, false
+		if time.Now().Before(b.retryAfter[serviceOf(endpoint)]) && b.mode != modeIgnoreWait {
+			return badEndpoint{}, false
 		}
-		can = append(can, h)
+		candidates = append(candidates, endpoint)
 	}
-	if len(can) == 0 {
-		return badHost{}, false
+	if len(candidates) == 0 {
+		return badEndpoint{}, false
 	}
-	return slices.MinFunc(can, func(x, y badHost) int { return strings.Compare(x.ID, y.ID) }), true
+	return slices.MinFunc(candidates, func(x, y badEndpoint) int { return strings.Compare(x.ID, y.ID) }), true
 }
 
-func (b *bad) place(h badHost) string {
-	if h.Kind == "gateway" {
-		return h.ID
+func serviceOf(endpoint badEndpoint) string {
+	if endpoint.Kind == "gateway" {
+		return endpoint.ID
 	}
-	return strconv.Itoa(h.Cell)
+	return strconv.Itoa(endpoint.Destination)
 }
 
-func (b *bad) handIn(w http.ResponseWriter, r *http.Request) {
-	if b.mode == "door" { // turns all away: the load alone is measured
+func (b *badRelay) serve(w http.ResponseWriter, r *http.Request) {
+	if b.mode == modeRejectAll {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
-	dest, _ := strconv.Atoi(strings.TrimPrefix(r.Header.Get("Envelope"), "dest="))
+	destination, _ := strconv.Atoi(strings.TrimPrefix(r.Header.Get("Envelope"), "dest="))
 	left, _ := strconv.Atoi(r.Header.Get("X-Expires-In-Ms"))
-	if err != nil || dest == 0 {
+	if err != nil || destination == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	id, class, order := r.Header.Get("X-Trace-Id"), r.PathValue("class"), r.URL.Query().Get("key")
-	deadline := time.Now().Add(time.Duration(left) * time.Millisecond)
-	before, done := b.turn(order)
+	message := badMessage{
+		id:          r.Header.Get("X-Trace-Id"),
+		class:       r.PathValue("class"),
+		destination: destination,
+		body:        body,
+		deadline:    time.Now().Add(time.Duration(left) * time.Millisecond),
+	}
+	orderingKey := r.URL.Query().Get("key")
+	before, done := b.enqueue(orderingKey)
 	w.WriteHeader(http.StatusAccepted)
-	if b.mode == "lose" && order == "" && strings.HasSuffix(id, "0") {
+	if b.mode == modeLoseMessages && orderingKey == "" && strings.HasSuffix(message.id, "0") {
 		return
 	}
 	go func() {
 		defer close(done)
 		select {
 		case <-before:
-			b.deliver(id, class, dest, body, deadline)
-		case <-time.After(time.Until(deadline) - 200*time.Millisecond):
-			b.end(id)
+			b.deliver(message)
+		case <-time.After(time.Until(message.deadline) - 200*time.Millisecond):
+			b.notifyUndeliverable(message.id)
 			<-before
 		}
 	}()
 }
 
-// turn queues a message behind those of its key that came before; before is closed when it may go.
-func (b *bad) turn(order string) (before, done chan struct{}) {
+type badMessage struct {
+	id, class   string
+	destination int
+	body        []byte
+	deadline    time.Time
+}
+
+// enqueue queues a message behind those of its ordering key; before is closed when it may go.
+func (b *badRelay) enqueue(orderingKey string) (before, done chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	before, done = b.turns[order], make(chan struct{})
-	if b.mode == "order" && order != "" {
+	before, done = b.orderTails[orderingKey], make(chan struct{})
+	if b.mode == modeReorder && orderingKey != "" {
 		if before == nil { // waits for the next of its key
-			b.turns[order] = done
+			b.orderTails[orderingKey] = done
 			return done, make(chan struct{})
 		}
-		delete(b.turns, order)
+		delete(b.orderTails, orderingKey)
 		done = before // the next goes first, and lets it go
 		before = nil
 	}
-	if order == "" || before == nil {
+	if orderingKey == "" || before == nil {
 		before = make(chan struct{})
 		close(before)
 	}
-	if order != "" && b.mode != "order" {
-		b.turns[order] = done
+	if orderingKey != "" && b.mode != modeReorder {
+		b.orderTails[orderingKey] = done
 	}
 	return before, done
 }
 
-// deliver makes calls until one is answered well, and ends the message if none is.
-func (b *bad) deliver(id, class string, dest int, body []byte, deadline time.Time) {
-	for time.Until(deadline) > 300*time.Millisecond {
-		h, ok := b.pick(dest)
+// deliver makes calls until one is served, and fails the message if none is.
+func (b *badRelay) deliver(m badMessage) {
+	for time.Until(m.deadline) > 300*time.Millisecond {
+		endpoint, ok := b.chooseEndpoint(m.destination)
 		if !ok {
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(noEndpointGap)
 			continue
 		}
-		status, wait := b.call(h, id, body, deadline)
-		switch {
-		case status == 200:
-			if b.mode == "twice" && class == "payment" {
-				b.call(h, id, body, deadline)
+		status, wait := b.call(endpoint, m)
+		switch status {
+		case http.StatusOK:
+			if b.mode == modeDeliverTwice && m.class == "payment" {
+				b.call(endpoint, m)
 			}
 			return
-		case status == 429 || status == 503:
-			b.mu.Lock()
-			if until := time.Now().Add(wait + 5*time.Millisecond); wait > 0 && until.After(b.waits[b.place(h)]) {
-				b.waits[b.place(h)] = until
-			}
-			b.mu.Unlock()
-			pause := 200 * time.Millisecond
-			if b.mode == "push" {
-				pause = 20 * time.Millisecond
+		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+			b.noteRetryAfter(endpoint, wait)
+			pause := retryPause
+			if b.mode == modeOverload {
+				pause = noRetryPause
 			}
 			time.Sleep(pause)
 		default:
-			b.end(id)
-			time.Sleep(1050 * time.Millisecond) // it may still run: its key rests
+			b.notifyUndeliverable(m.id)
+			time.Sleep(orderingPause) // it may still run: the next of its key waits
 			return
 		}
 	}
-	b.end(id)
+	b.notifyUndeliverable(m.id)
 }
 
-func (b *bad) end(id string) {
-	res, err := http.Post("http://"+b.discovery+"/v2/finals", "application/json",
+func (b *badRelay) noteRetryAfter(endpoint badEndpoint, wait time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	service := serviceOf(endpoint)
+	until := time.Now().Add(wait + 5*time.Millisecond)
+	if wait > 0 && until.After(b.retryAfter[service]) {
+		b.retryAfter[service] = until
+	}
+}
+
+func (b *badRelay) notifyUndeliverable(id string) {
+	response, err := http.Post("http://"+b.discovery+"/v2/finals", "application/json",
 		bytes.NewReader(fmt.Appendf(nil, `{"id":%q,"status":"undeliverable"}`, id)))
 	if err == nil {
-		res.Body.Close()
+		response.Body.Close()
 	}
 }
 
-func (b *bad) call(h badHost, id string, body []byte, deadline time.Time) (status int, wait time.Duration) {
-	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(-100*time.Millisecond))
+// call returns the status of a call, 0 if it got no answer, and its Retry-After.
+func (b *badRelay) call(endpoint badEndpoint, m badMessage) (status int, wait time.Duration) {
+	ctx, cancel := context.WithDeadline(context.Background(), m.deadline.Add(-100*time.Millisecond))
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.Addr+"/events", bytes.NewReader(body))
+	url := "http://" + endpoint.Addr + "/events"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(m.body))
 	if err != nil {
 		return 0, 0
 	}
-	req.Header.Set("X-Trace-Id", id)
-	res, err := http.DefaultClient.Do(req)
+	request.Header.Set("X-Trace-Id", m.id)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, 0
 	}
-	defer res.Body.Close()
-	io.Copy(io.Discard, res.Body)
-	seconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-	return res.StatusCode, time.Duration(seconds * float64(time.Second))
-}
-
-// Real processes that break one rule each are convicted of that one, by the whole kit; the same process without its
-// vice is acquitted.
-func TestBadRelaysAreConvicted(t *testing.T) {
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
-	const trouble = `
-[[trouble]]
-kind = "drain"
-at = "1s"
-share = 0.5
-drain = "4s"
-
-[[trouble]]
-kind = "shut"
-at = "500ms"
-for = "1500ms"
-destinations = [1]
-`
-	// A backlog for a partner that is back, able to do little: the vice is to ask at once, and again and again.
-	const cold = `
-[[traffic]]
-from = "1s"
-to = "6s"
-rate = 60
-destinations = [1]
-
-[[trouble]]
-kind = "shut"
-at = "1s"
-for = "2s"
-destinations = [1]
-`
-	for mode, want := range map[string]checker.Rule{
-		"none": "", "lose": checker.NoMessageLost, "twice": checker.NoDuplicateEffect, "drain": checker.DrainRespected, "wait": checker.RetryAfterRespected, "order": checker.OrderKept, "push": checker.RecoveryNotOverloaded,
-	} {
-		t.Run(mode, func(t *testing.T) {
-			t.Parallel()
-			more := trouble
-			if mode == "push" {
-				more = cold
-			}
-			f := parse(t, "7s", 1, more)
-			f.Settings.MaxConcurrentCalls = 1000
-			if mode == "push" {
-				f.DestinationKinds[0].RetryAfterRatio, f.DestinationKinds[0].WarmUpInitialCapacity = 0, 0.05
-			}
-			dir := t.TempDir()
-			r, err := Run(
-				context.Background(),
-				f,
-				Options{Dir: dir, Binary: script(t, "REHEARSAL_BAD_RELAY="+mode+" exec "+self)},
-			)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, x := range r.Verdict.Rules {
-				if (x.State == checker.Violated) != (x.Rule == want) {
-					t.Errorf(
-						"%s: %s %d of %d; want only %q broken; %.3v",
-						x.Rule,
-						x.State,
-						x.ViolationCount,
-						x.Exercised,
-						want,
-						x.Violations[:min(2, len(x.Violations))],
-					)
-				}
-			}
-			if len(r.Verdict.RunErrors)+len(r.Verdict.InconclusiveReasons) > 0 {
-				t.Errorf("faults %v, doubts %v", r.Verdict.RunErrors, r.Verdict.InconclusiveReasons)
-			}
-			noneLeft(t, dir)
-		})
-	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body) // the status is known already
+	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	return response.StatusCode, time.Duration(seconds * float64(time.Second))
 }
--- a/internal/testkit/rehearsal/fleet_test.go
+++ b/internal/testkit/rehearsal/fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"strings"
 	"testing"
 
@@ -9,9 +10,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// The short rig of CI: three relays, of which one is cut off and comes back, one is stopped, and one loses its folder.
-// What they believe of each other is what is true.
-func TestAShortRigOfThreeRelays(t *testing.T) {
+// The short fleet of CI: three relays, of which one is cut off and comes back, one is stalled, and one gets an older
+// state folder. What they state of each other is what is true.
+func TestShortFleetOfThreeRelays(t *testing.T) {
 	f := parse(t, "24s", 3, `
 [fleet]
 enabled = true
@@ -40,7 +41,7 @@
 relays = [3]
 folder = "older"
 `)
-	// What a relay without its folder owes nobody can end: nothing is handed in meanwhile.
+	// The messages of a state folder that is lost have no end: none is submitted before the relay is killed.
 	later := f.Traffic[0]
 	f.Traffic[0].To, later.From = scenario.Duration(15e9), scenario.Duration(20e9)
 	f.Traffic = append(f.Traffic, later)
@@ -50,38 +51,43 @@
 		t.Fatal(err)
 	}
 	if v := r.Verdict; !v.OK() || v.PeerViews == nil || v.PeerViews.Queried < 150 || v.PeerViews.Disconnected < 20 {
-		t.Errorf("%s: %+v, beliefs %+v", v.State(), v.Rules, v.PeerViews)
+		t.Errorf("%s: %+v, peer views %+v", v.State(), v.Rules, v.PeerViews)
 	}
-	lives := map[string]int{}
+	generations := map[string]int{}
 	for _, e := range r.Events {
 		if e.Kind == eventlog.PeerView {
-			lives[e.Name] = max(lives[e.Name], e.Status)
+			generations[e.Name] = max(generations[e.Name], e.Status)
 		}
 	}
-	if lives["r3"] < 2 {
-		t.Errorf("lives heard of: %v", lives)
+	if generations["r3"] < 2 {
+		t.Errorf("generations: %v", generations)
 	}
-	noneLeft(t, dir)
+	checkNoProcessLeft(t, dir)
 }
 
-func TestTroublesOfAFleetAreChecked(t *testing.T) {
-	for more, want := range map[string]string{
-		"[[trouble]]\nkind = \"link-cut\"\nat = \"1s\"\nfor = \"1s\"\n":                                         "needs [fleet] enabled = true",
-		"[fleet]\nenabled = true\n[[trouble]]\nkind = \"link-cut\"\nat = \"1s\"\n":                              "needs for",
-		"[fleet]\nenabled = true\n[[trouble]]\nkind = \"link-delay\"\nat = \"1s\"\nfor = \"1s\"\n":              "needs delay",
-		"[fleet]\nenabled = true\n[[trouble]]\nkind = \"link-loss\"\nat = \"1s\"\nfor = \"1s\"\nloss = 2.0\n":   "loss must be 0 to 1",
-		"[fleet]\nenabled = true\n[[trouble]]\nkind = \"stall\"\nat = \"1s\"\nfor = \"1s\"\ngroup = \"most\"\n": `unknown group "most"`,
-		"[fleet]\nenabled = true\n[[trouble]]\nkind = \"link-cut\"\nat = \"1s\"\nfor = \"1s\"\nway = \"up\"\n":  "way must be both, out or in",
-		"[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nfolder = \"burnt\"\n":                                       "folder must be kept, none or older",
-		"[[trouble]]\nkind = \"stall\"\nat = \"1s\"\nfor = \"1s\"\ngroup = \"one\"\nshare = 0.5\n":              "group goes without relays and share",
-		"[fleet]\nenabeld = true\n": "unknown key fleet.enabeld",
+func TestInvalidFaultsOfAFleetAreRejected(t *testing.T) {
+	const fleet = "[fleet]\nenabled = true\n"
+	for _, c := range []struct{ more, want string }{
+		{fault("link-cut", `for = "1s"`), "needs [fleet] enabled = true"},
+		{fleet + fault("link-cut"), "needs for"},
+		{fleet + fault("link-delay", `for = "1s"`), "needs delay"},
+		{fleet + fault("link-loss", `for = "1s"`, "loss = 2.0"), "loss must be 0 to 1"},
+		{fleet + fault("stall", `for = "1s"`, `group = "most"`), `unknown group "most"`},
+		{fleet + fault("link-cut", `for = "1s"`, `way = "up"`), "way must be both, out or in"},
+		{fault("kill", `folder = "burnt"`), "folder must be kept, none or older"},
+		{fault("stall", `for = "1s"`, `group = "one"`, "share = 0.5"), "group goes without relays and share"},
+		{"[fleet]\nenabeld = true\n", "unknown key fleet.enabeld"},
 	} {
-		_, err := scenario.Parse(
-			"test",
-			[]byte(strings.Replace(strings.Replace(world, "%s", "9s", 1), "%d", "3", 1)+more),
-		)
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", more, err, want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			_, err := scenario.Parse("test", []byte(fmt.Sprintf(baseScenario, "9s", 3)+c.more))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%q: %v, want %q", c.more, err, c.want)
+			}
+		})
 	}
 }
+
+// fault returns the table of a fault of a kind that starts after 1 s.
+func fault(kind string, lines ...string) string {
+	return fmt.Sprintf("[[trouble]]\nkind = %q\nat = \"1s\"\n%s\n", kind, strings.Join(lines, "\n"))
+}
--- a/internal/testkit/rehearsal/rehearsal_test.go
+++ b/internal/testkit/rehearsal/rehearsal_test.go
@@ -21,40 +21,52 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scenario"
 )
 
-// binary is the real relay, built once.
+// binary is the program of the real relay, which is built once.
 var binary string
 
-// Under another variable this binary is a relay that breaks one rule: see badrelay_test.go.
+// TestMain also makes this binary a relay that violates one rule, for the tests that run it again: see badrelay_test.go
+// and badRelayScript.
 func TestMain(m *testing.M) {
-	if mode := os.Getenv("REHEARSAL_BAD_RELAY"); mode != "" {
-		badRelay(mode)
+	if mode := os.Getenv(badModeVariable); mode != "" {
+		runBadRelay(badMode(mode))
 		return
 	}
+	os.Exit(runTests(m))
+}
+
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "rehearsal")
 	if err == nil {
-		binary = filepath.Join(dir, "cherrytrestle")
-		var out []byte
-		if out, err = exec.Command("go", "build", "-buildvcs=false", "-o", binary, "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle").CombinedOutput(); err != nil {
-			err = fmt.Errorf("%w: %s", err, out)
-		}
+		defer func() { _ = os.RemoveAll(dir) }() // the system clears its temporary folder too
+		binary, err = buildRelay(dir)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	code := m.Run()
-	os.RemoveAll(dir)
-	if code == 0 {
-		if err := goleak.Find(); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			code = 1
-		}
+		return 1
+	}
+	if code := m.Run(); code != 0 {
+		return code
+	}
+	if err := goleak.Find(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	return 0
+}
+
+func buildRelay(dir string) (string, error) {
+	const program = "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle"
+	path := filepath.Join(dir, "cherrytrestle")
+	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", path, program).CombinedOutput()
+	if err != nil {
+		return "", fmt.Errorf("%w: %s", err, out)
 	}
-	os.Exit(code)
+	return path, nil
 }
 
-// world is a small one with two kinds of destination and two relays; the rest of a scenario follows it.
-const world = `
+// baseScenario has two kinds of destination; its length and the number of relays are to be filled in, and further
+// tables follow it.
+const baseScenario = `
 name = "test"
 length = "%s"
 relays = %d
@@ -122,15 +134,15 @@
 
 func parse(t *testing.T, length string, relays int, more string) scenario.File {
 	t.Helper()
-	f, err := scenario.Parse("test", []byte(fmt.Sprintf(world, length, relays)+more))
+	f, err := scenario.Parse("test", []byte(fmt.Sprintf(baseScenario, length, relays)+more))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// noneLeft checks that no process of a rehearsal in dir is left.
-func noneLeft(t *testing.T, dir string) {
+// checkNoProcessLeft checks that no process of a rehearsal in dir is left.
+func checkNoProcessLeft(t *testing.T, dir string) {
 	t.Helper()
 	entries, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
@@ -143,11 +155,9 @@
 	}
 }
 
-// The shortened rehearsal of CI: 58 % of the endpoints are replaced while load runs, some of the new ones at old
-// addresses, a partner comes back cold, another tells to wait, and relays are restarted both ways.
-func TestAShortRehearsalHoldsEveryRule(t *testing.T) {
-	dir := t.TempDir()
-	f := parse(t, "11s", 2, `
+// manyFaults: 58 % of the endpoints are replaced while load runs, some of the new ones at old addresses, a destination
+// recovers and needs to warm up, another answers with a Retry-After, and relays are restarted both ways.
+const manyFaults = `
 [[traffic]]
 from = "1s"
 to = "7s"
@@ -190,56 +200,65 @@
 kind = "term"
 at = "7s"
 relays = [2]
-`)
-	told := 0
-	r, err := Run(
-		context.Background(),
-		f,
-		Options{Dir: dir, Binary: binary, Progress: func(Progress) { told++ }, RecordDecisions: true},
-	)
+`
+
+// The shortened rehearsal of CI.
+func TestShortRehearsalKeepsEveryRule(t *testing.T) {
+	dir := t.TempDir()
+	progressCount := 0
+	result, err := Run(context.Background(), parse(t, "11s", 2, manyFaults), Options{
+		Dir:             dir,
+		Binary:          binary,
+		Progress:        func(Progress) { progressCount++ },
+		RecordDecisions: true,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range r.Verdict.Rules {
-		if x.State != checker.Held {
-			t.Errorf("%s: %s after %d occasions %+v", x.Rule, x.State, x.Exercised, x.Violations)
+	verdict := result.Verdict
+	for _, rule := range verdict.Rules {
+		if rule.State != checker.Held {
+			t.Errorf("%s: %s after %d occasions %+v", rule.Rule, rule.State, rule.Exercised, rule.Violations)
 		}
 	}
-	if !r.Verdict.OK() || r.Verdict.Service.Overall < 0.7 || told < 5 {
-		t.Errorf(
-			"faults %v, doubts %v, service %.3f, told %d times",
-			r.Verdict.RunErrors,
-			r.Verdict.InconclusiveReasons,
-			r.Verdict.Service.Overall,
-			told,
-		)
+	if !verdict.OK() || verdict.Service.Overall < 0.7 || progressCount < 5 {
+		t.Errorf("errors of the run %v, inconclusive since %v, service %.3f, progress %d times",
+			verdict.RunErrors, verdict.InconclusiveReasons, verdict.Service.Overall, progressCount)
 	}
 	again, err := ReadRecord(dir)
-	if err != nil || len(again.Events) != len(r.Events) || again.Verdict.Service.Overall != r.Verdict.Service.Overall {
-		t.Errorf("read again: %d events for %d, %v", len(again.Events), len(r.Events), err)
+	if err != nil || len(again.Events) != len(result.Events) ||
+		again.Verdict.Service.Overall != verdict.Service.Overall {
+		t.Errorf("read again: %d events for %d, %v", len(again.Events), len(result.Events), err)
 	}
-	noneLeft(t, dir)
-	// What the relays recorded of it, over a kill and a planned end, replays: equal events give equal actions.
+	checkNoProcessLeft(t, dir)
+	// Each relay was restarted once, one of them by SIGKILL.
 	for _, name := range []string{"r1", "r2"} {
-		paths, err := filepath.Glob(filepath.Join(dir, name, RecordingsName, "*"+flightrecorder.FileExtension))
-		if err != nil {
-			t.Fatal(err)
-		}
-		found, err := flightrecorder.Load(paths...)
-		if err != nil || len(found) != 2 {
-			t.Fatalf("%s: %d recordings in %v, %v", name, len(found), paths, err)
-		}
-		for _, rec := range found {
-			res, err := replay.Play(rec.Data, replay.Visitor{})
-			if err != nil || res.Difference != nil || !res.SameRevision() || res.Actions < 20 {
-				t.Errorf("%s: %v, %+v", name, err, res)
-			}
+		checkRecordingsReplay(t, filepath.Join(dir, name, RecordingsName), 2)
+	}
+}
+
+// checkRecordingsReplay checks that a folder has a number of recordings, in which equal events give equal actions.
+func checkRecordingsReplay(t *testing.T, dir string, want int) {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(dir, "*"+flightrecorder.FileExtension))
+	if err != nil {
+		t.Fatal(err)
+	}
+	recordings, err := flightrecorder.Load(paths...)
+	if err != nil || len(recordings) != want {
+		t.Fatalf("%d recordings in %v, %v", len(recordings), paths, err)
+	}
+	for _, recording := range recordings {
+		result, err := replay.Play(recording.Data, replay.Visitor{})
+		if err != nil || result.Difference != nil || !result.SameRevision() || result.Actions < 20 {
+			t.Errorf("%s: %v, %+v", dir, err, result)
 		}
 	}
 }
 
-// A host that comes up where one has gone has that one's address, and no call for the one reaches the other unseen.
-func TestANewHostAtAnOldAddress(t *testing.T) {
+// A new endpoint that gets the address of a removed one is called there, and no call for the one reaches the other
+// unnoticed.
+func TestNewEndpointAtAnOldAddress(t *testing.T) {
 	f := parse(t, "6s", 1, `
 [[trouble]]
 kind = "gone"
@@ -265,11 +284,11 @@
 		}
 	}
 	if later == 0 {
-		t.Errorf("none of the new hosts was called: %v", calls)
+		t.Errorf("none of the new endpoints was called: %v", calls)
 	}
 }
 
-func TestAMachineCutOffAndASilentOne(t *testing.T) {
+func TestMachineCutOffAndSilentOne(t *testing.T) {
 	f := parse(t, "9s", 2, `
 [[trouble]]
 kind = "cut"
@@ -298,17 +317,17 @@
 	if err != nil || !r.Verdict.OK() {
 		t.Fatalf("%v, %+v", err, r.Verdict)
 	}
-	// While discovery is down nothing is told; what it had meanwhile is told when it is back.
-	told := 0
+	// While discovery is down no relay is notified; what changed meanwhile is notified when it is back.
+	notified := 0
 	for _, e := range r.Events {
 		if e.Kind == eventlog.RelayNotified && e.At > time.Second+500*time.Millisecond {
-			if told++; e.At < 3900*time.Millisecond {
-				t.Errorf("told at %v: %+v", e.At, e)
+			if notified++; e.At < 3900*time.Millisecond {
+				t.Errorf("notified at %v: %+v", e.At, e)
 			}
 		}
 	}
-	if told == 0 {
-		t.Error("never told")
+	if notified == 0 {
+		t.Error("never notified")
 	}
 }
 
@@ -321,7 +340,7 @@
 	return path
 }
 
-func TestWhatFailsEndsWithAReasonAndLeavesNothing(t *testing.T) {
+func TestFailuresHaveAReasonAndLeaveNoProcess(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -329,32 +348,53 @@
 	defer taken.Close()
 	port := taken.Addr().(*net.TCPAddr).Port
 	for _, c := range []struct {
-		name string
-		opts Options
-		want string
+		name    string
+		options Options
+		want    string
 	}{
-		{"never ready", Options{Binary: script(t, "echo I am lost >&2; exec sleep 60"), ReadyTimeout: 300 * time.Millisecond}, "was not ready within 300ms; its log ends with:\nI am lost"},
-		{"ends at once", Options{Binary: script(t, "echo no disk >&2; exit 3"), ReadyTimeout: 5 * time.Second}, "ended before it was ready: exit status 3; its log ends with:\nno disk"},
-		{"no program", Options{Binary: "/nonexistent"}, "no such file"},
-		{"port in use", Options{Binary: binary, Port: port}, fmt.Sprintf("port %d is in use", port)},
+		{
+			name: "never ready",
+			options: Options{
+				Binary:       script(t, "echo I am lost >&2; exec sleep 60"),
+				ReadyTimeout: 300 * time.Millisecond,
+			},
+			want: "was not ready within 300ms; its log ends with:\nI am lost",
+		},
+		{
+			name:    "ends at once",
+			options: Options{Binary: script(t, "echo no disk >&2; exit 3"), ReadyTimeout: 5 * time.Second},
+			want:    "ended before it was ready: exit status 3; its log ends with:\nno disk",
+		},
+		{name: "no program", options: Options{Binary: "/nonexistent"}, want: "no such file"},
+		{
+			name:    "port in use",
+			options: Options{Binary: binary, Port: port},
+			want:    fmt.Sprintf("port %d is in use", port),
+		},
 	} {
-		c.opts.Dir = t.TempDir()
-		_, err := Run(context.Background(), parse(t, "2s", 1, ""), c.opts)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.want)
-		}
-		noneLeft(t, c.opts.Dir)
+		t.Run(c.name, func(t *testing.T) {
+			c.options.Dir = t.TempDir()
+			_, err := Run(context.Background(), parse(t, "2s", 1, ""), c.options)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want %q", err, c.want)
+			}
+			checkNoProcessLeft(t, c.options.Dir)
+		})
 	}
+}
+
+func TestFileInPlaceOfTheFolder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(context.Background(), parse(t, "2s", 1, ""), Options{Dir: file, Binary: binary}); err == nil {
+	options := Options{Dir: file, Binary: binary}
+	if _, err := Run(context.Background(), parse(t, "2s", 1, ""), options); err == nil {
 		t.Error("a file for a folder")
 	}
 }
 
-func TestInterruptedItKeepsWhatItSaw(t *testing.T) {
+func TestInterruptedRunKeepsItsRecord(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -374,5 +414,5 @@
 	if again.Verdict.OK() || again.Verdict.ForRule(checker.NoMessageLost).State != checker.Inconclusive {
 		t.Errorf("judged: %+v", again.Verdict)
 	}
-	noneLeft(t, dir)
+	checkNoProcessLeft(t, dir)
 }
