--- a/internal/simulation/emulate/client.go
+++ b/internal/simulation/emulate/client.go
@@ -100,7 +100,7 @@
 		Customer:    s.Customer,
 		Destination: s.Destination,
 		OrderingKey: s.OrderingKey,
-		For:         s.deadline - w.Now(),
+		Duration:    s.deadline - w.Now(),
 	})
 	if !r.accepting {
 		s.recordUnanswered(r, eventlog.CauseNotSent)
--- a/internal/simulation/emulate/endpoint.go
+++ b/internal/simulation/emulate/endpoint.go
@@ -63,7 +63,8 @@
 
 // kindIndex returns the index of a destination kind by its name.
 func (w *World) kindIndex(name string) int {
-	return slices.IndexFunc(w.plan.File.DestinationKinds, func(k scenario.DestinationKind) bool { return k.Name == name })
+	kinds := w.plan.File.DestinationKinds
+	return slices.IndexFunc(kinds, func(k scenario.DestinationKind) bool { return k.Name == name })
 }
 
 // AddEndpoint starts the process of an endpoint and adds it to the endpoint list. If its service is new, it is like the
@@ -103,7 +104,7 @@
 	e.stopped = true
 	e.service.RemoveEndpoint(e.ID)
 	w.resetConnections(e)
-	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: e.ID, Destination: e.Destination})
+	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Endpoint: e.ID, Destination: e.Destination})
 }
 
 // resetConnections breaks all connections of an endpoint.
--- a/internal/simulation/emulate/message.go
+++ b/internal/simulation/emulate/message.go
@@ -82,7 +82,7 @@
 		Key:         m.orderingKey,
 		Class:       m.class,
 		Tenant:      m.customer,
-		Destination: m.destination,
+		Destination: policy.DestinationID(m.destination),
 		TimeLeft:    r.timeLeft(m),
 	}
 }
--- a/internal/simulation/emulate/mutantengine.go
+++ b/internal/simulation/emulate/mutantengine.go
@@ -72,7 +72,7 @@
 }
 
 // Evictable returns what the engine returns.
-func (m *mutantEngine) Evictable(destination int) bool {
+func (m *mutantEngine) Evictable(destination policy.DestinationID) bool {
 	e, ok := m.DecisionEngine.(evicter)
 	return ok && e.Evictable(destination)
 }
--- a/internal/testkit/rehearsal/discovery.go
+++ b/internal/testkit/rehearsal/discovery.go
@@ -76,13 +76,13 @@
 func (d *discovery) recordState(endpoint scenario.Endpoint, state string) {
 	event := eventlog.Event{
 		Kind:        eventlog.EndpointChanged,
-		Host:        endpoint.ID,
+		Endpoint:    endpoint.ID,
 		Destination: endpoint.Destination,
 		Zone:        endpoint.Zone,
 		State:       state,
 	}
 	if endpoint.Service == endpoint.ID {
-		event.Place = endpoint.ID
+		event.Service = endpoint.ID
 	}
 	d.record.Add(event)
 }
--- a/internal/testkit/rehearsal/peerview.go
+++ b/internal/testkit/rehearsal/peerview.go
@@ -28,13 +28,13 @@
 		}
 		for _, member := range status.Members {
 			r.record.Add(eventlog.Event{
-				Kind:   eventlog.PeerView,
-				Relay:  relay.name,
-				Name:   member.Name,
-				State:  member.State,
-				For:    member.Age,
-				Delay:  delay,
-				Status: int(member.Incarnation.Generation),
+				Kind:     eventlog.PeerView,
+				Relay:    relay.name,
+				Name:     member.Name,
+				State:    member.State,
+				Duration: member.Age,
+				Delay:    delay,
+				Status:   int(member.Incarnation.Generation),
 			})
 		}
 	}
--- a/internal/testkit/rehearsal/runner.go
+++ b/internal/testkit/rehearsal/runner.go
@@ -306,7 +306,7 @@
 		now := time.Now()
 		monotonic, wall := now.Sub(before), now.Round(0).Sub(before.Round(0))
 		if step := wall - monotonic; step.Abs() > minClockStep {
-			r.record.Add(eventlog.Event{Kind: eventlog.ClockStepped, For: step})
+			r.record.Add(eventlog.Event{Kind: eventlog.ClockStepped, Duration: step})
 		}
 	}
 }
