--- /dev/null
+++ b/cmd/rehearse/relaybinary.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+)
+
+const (
+	relayName    = "cherrytrestle"
+	relayPackage = "cherrytrestle.example/cherrytrestle/cmd/cherrytrestle"
+)
+
+// relayBinary returns the path of the relay's program: the one that is named, else the one beside this program, else
+// one that it builds. remove removes what was built.
+func relayBinary(ctx context.Context, path string, stderr io.Writer) (binary string, remove func(), err error) {
+	if path == "" {
+		path = siblingRelay()
+	}
+	if path == "" {
+		return buildRelay(ctx, stderr)
+	}
+	path, err = filepath.Abs(path)
+	if err != nil {
+		return "", nil, fmt.Errorf("relay: %w", err)
+	}
+	info, err := os.Stat(path)
+	if err != nil {
+		return "", nil, fmt.Errorf("relay: %w", err)
+	}
+	if info.IsDir() || info.Mode()&0o111 == 0 {
+		return "", nil, fmt.Errorf("relay: %s is no program", path)
+	}
+	return path, func() {}, nil
+}
+
+// siblingRelay returns the path of the relay beside this program; "" if there is none.
+func siblingRelay() string {
+	self, err := os.Executable()
+	if err != nil {
+		return ""
+	}
+	path := filepath.Join(filepath.Dir(self), relayName)
+	if _, err := os.Stat(path); err != nil {
+		return ""
+	}
+	return path
+}
+
+// buildRelay builds the relay from the module in the current folder, as after "go run".
+func buildRelay(ctx context.Context, stderr io.Writer) (binary string, remove func(), err error) {
+	dir, err := os.MkdirTemp("", "rehearse")
+	if err != nil {
+		return "", nil, fmt.Errorf("relay: %w", err)
+	}
+	remove = func() { _ = os.RemoveAll(dir) } // the system clears its temporary folder too
+	path := filepath.Join(dir, relayName)
+	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, relayPackage)
+	build.Stdout, build.Stderr = stderr, stderr
+	if err := build.Run(); err != nil {
+		remove()
+		return "", nil, fmt.Errorf(
+			"no relay beside this program, and none could be built here: %w (name one with --relay)", err,
+		)
+	}
+	return path, remove, nil
+}
