--- a/cmd/cherrytrestle/replay.go
+++ b/cmd/cherrytrestle/replay.go
@@ -45,7 +45,9 @@
 	return nil
 }
 
-func (c *replayCommand) print(out *cli.Printer, rec flightrecorder.Recording, result replay.Result, took time.Duration) {
+func (c *replayCommand) print(
+	out *cli.Printer, rec flightrecorder.Recording, result replay.Result, took time.Duration,
+) {
 	for _, lost := range result.Lost {
 		out.Printf("%016x: not read: %s\n", rec.ID, lost)
 	}
