--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter connects the simulator's protocol to the decision engine: one policy.Engine for each instance,
-// batches from standard input, replies to standard output. It decides nothing itself.
+// Command simadapter runs decision engines on the simulator's protocol: it reads batches of events from standard input,
+// steps one policy.Engine for each instance, and writes the actions to standard output. It decides nothing itself.
 package main
 
 import (
@@ -31,21 +31,21 @@
 	Version kong.VersionFlag `help:"Print the version and end."`
 }
 
-// Run serves until the input ends.
+// Run processes batches until the input ends.
 func (*app) Run(s *cli.Streams) error { return run(s.In, s.Out) }
 
-// instance is the engine of one relay, with its events in the current batch.
+// instance is the engine of one simulated relay.
 type instance struct {
 	number int
 	engine *policy.Engine // nil: stopped, or it has panicked
-	events []policy.Event
-	active bool // the current batch has something for it
+	events []policy.Event // of the current batch
+	active bool           // the current batch has items for it
 }
 
-// adapter holds the instances by number, and those that the current batch has something for, in order of appearance.
+// adapter has the instances of a simulation.
 type adapter struct {
-	instances map[int]*instance
-	active    []*instance
+	instances map[int]*instance // by number
+	active    []*instance       // those that the current batch has items for, in the order of their first items
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -71,60 +71,62 @@
 	}
 }
 
-// collect gives each instance its events, and starts and stops instances.
+// collect starts and stops instances, and adds the events of a batch to their instances.
 func (a *adapter) collect(items []simwire.Item) error {
 	a.active = a.active[:0]
 	for i := range items {
 		item := &items[i]
-		n := a.activate(item.Instance)
+		target := a.activate(item.Instance)
 		switch item.Kind {
 		case simwire.Start:
 			engine, err := policy.New(item.Settings, item.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", item.Instance, err)
 			}
-			n.engine, n.events = engine, n.events[:0]
+			target.engine = engine
+			target.events = target.events[:0]
 		case simwire.Stop:
-			n.engine, n.events = nil, n.events[:0]
+			target.engine = nil
+			target.events = target.events[:0]
 		case simwire.Event:
-			n.events = append(n.events, item.Event)
+			target.events = append(target.events, item.Event)
 		}
 	}
 	return nil
 }
 
-// activate returns the instance of a number as one of the current batch.
+// activate returns the instance with a number, which it creates if there is none, and makes it one of the batch.
 func (a *adapter) activate(number int) *instance {
-	n := a.instances[number]
-	if n == nil {
-		n = &instance{number: number}
-		a.instances[number] = n
+	found := a.instances[number]
+	if found == nil {
+		found = &instance{number: number}
+		a.instances[number] = found
 	}
-	if !n.active {
-		n.active = true
-		a.active = append(a.active, n)
+	if !found.active {
+		found.active = true
+		a.active = append(a.active, found)
 	}
-	return n
+	return found
 }
 
-// step lets the instances of the batch decide, in order.
+// step steps the engines of the batch's instances, and writes their actions.
 func (a *adapter) step(w *simwire.Writer, now time.Duration) {
-	for _, n := range a.active {
-		n.active = false
-		if n.engine != nil {
-			n.step(w, now)
+	for _, current := range a.active {
+		current.active = false
+		if current.engine != nil {
+			current.step(w, now)
 		}
-		n.events = n.events[:0]
+		current.events = current.events[:0]
 	}
 }
 
-// step lets one instance decide. A panic ends the instance and is reported.
-func (n *instance) step(w *simwire.Writer, now time.Duration) {
+// step steps the engine and writes its actions. A panic stops the instance and is written to the simulator.
+func (i *instance) step(w *simwire.Writer, now time.Duration) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			w.Die(n.number, fmt.Sprint(reason))
-			n.engine = nil
+			w.Die(i.number, fmt.Sprint(reason))
+			i.engine = nil
 		}
 	}()
-	w.Actions(n.number, n.engine.Step(now, n.events))
+	w.Actions(i.number, i.engine.Step(now, i.events))
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,15 +6,17 @@
 	"testing"
 )
 
-const start = "MARK 100.0 1\nCONFIGURE 0 7 services.count=1 services.0.semantics=read_like " +
+// startBatch starts an instance that lists an endpoint and accepts a message.
+const startBatch = "MARK 100.0 1\nCONFIGURE 0 7 services.count=1 services.0.semantics=read_like " +
 	"services.0.goal_time_ms=2000.0 services.0.give_up_ms=9000.0 separate=1\n" +
 	"POOL 0 1\nHOST in_service 0 5 0 - host.a 1\nTARGETS 0 cached 1 0\n" +
 	"KNOCK 0 11 - 0 - - 0 9000.0 5\nGO\n"
 
-func TestRun(t *testing.T) {
+// TestInstanceRestartsWithinABatch stops and starts an instance in one batch: a cancellation of the message that the
+// stopped one had accepted is no error, and each batch has its reply.
+func TestInstanceRestartsWithinABatch(t *testing.T) {
 	var out bytes.Buffer
-	// A relay that dies and starts again in one batch knows nothing of the message it held.
-	in := start + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\n" +
+	in := startBatch + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\n" +
 		"MARK 300.0 3\nTIMED_OUT_CLIENT 0 11\nGO\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -27,7 +29,7 @@
 
 func TestMalformedInputEndsTheAdapter(t *testing.T) {
 	var out bytes.Buffer
-	err := run(strings.NewReader(start+"MARK 200.0 2\nKNOCK 0 11 -\nGO\n"), &out)
+	err := run(strings.NewReader(startBatch+"MARK 200.0 2\nKNOCK 0 11 -\nGO\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 9") || !strings.Contains(err.Error(), "KNOCK 0 11 -") {
 		t.Errorf("error %v", err)
 	}
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,3 +1,3 @@
-// Package simwire implements the simulator's protocol: text lines in, text lines out. It also maps settings, which the
-// simulator and the platform name alike, to those of package policy.
+// Package simwire implements the simulator's protocol, in which both sides send lines of text. It also converts
+// settings, which have the same names in the simulator and on the platform, to those of package policy.
 package simwire
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,14 +11,15 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// lineFields splits a line into its values. The first error is kept, and later calls return zero values or what they
-// can read.
+// lineFields parses the values of a line, which are separated by spaces. Each method parses the next value. The first
+// error is kept in err.
 type lineFields struct {
 	text      string
 	err       error
 	exhausted bool
 }
 
+// fail keeps the error "bad what" if it is the first.
 func (f *lineFields) fail(what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s", what)
@@ -30,25 +31,28 @@
 		f.fail("line: too few values")
 		return ""
 	}
-	w, rest, more := strings.Cut(f.text, " ")
-	f.text, f.exhausted = rest, !more
-	if w == "" {
+	word, rest, more := strings.Cut(f.text, " ")
+	f.text = rest
+	f.exhausted = !more
+	if word == "" {
 		f.fail("line: an empty value")
 	}
-	return w
+	return word
 }
 
+// rest returns the remaining text of the line.
 func (f *lineFields) rest() string {
 	f.exhausted = true
 	return f.text
 }
 
-// end reports what went wrong in the line so far. Values beyond those known are passed over.
+// end returns the first error of the line. Values that follow the known ones are ignored.
 func (f *lineFields) end() error { return f.err }
 
+// optional parses a value in which "-" means none.
 func (f *lineFields) optional() string {
-	if w := f.word(); w != "-" {
-		return w
+	if word := f.word(); word != "-" {
+		return word
 	}
 	return ""
 }
@@ -62,11 +66,11 @@
 }
 
 func (f *lineFields) optionalInteger() int {
-	w := f.optional()
-	if w == "" {
+	text := f.optional()
+	if text == "" {
 		return 0
 	}
-	n, err := strconv.Atoi(w)
+	n, err := strconv.Atoi(text)
 	if err != nil {
 		f.fail("whole number")
 	}
@@ -108,46 +112,56 @@
 	return d
 }
 
-func parseMilliseconds(w string) (time.Duration, error) {
-	x, err := strconv.ParseFloat(w, 64)
-	if err != nil || math.IsNaN(x) || math.Abs(x) > 1e12 {
+// maxMilliseconds bounds a time in either direction.
+const maxMilliseconds = 1e12
+
+// parseMilliseconds parses a time in milliseconds, and rounds it to microseconds.
+func parseMilliseconds(text string) (time.Duration, error) {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(value) || math.Abs(value) > maxMilliseconds {
 		return 0, errors.New("bad time")
 	}
-	return time.Duration(math.Round(x*1000)) * time.Microsecond, nil
+	return time.Duration(math.Round(value*1000)) * time.Microsecond, nil
 }
 
 var outcomeByName = map[string]policy.Outcome{
-	"ok": policy.OK, "error": policy.Error, "full": policy.Overloaded, "timeout": policy.Timeout,
-	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
-	"moot": policy.NotSent,
+	"ok":             policy.OK,
+	"error":          policy.Error,
+	"full":           policy.Overloaded,
+	"timeout":        policy.Timeout,
+	"connect_failed": policy.ConnectFailed,
+	"reset":          policy.Reset,
+	"cancelled":      policy.Cancelled,
+	"moot":           policy.NotSent,
 }
 
 func (f *lineFields) outcome() policy.Outcome {
-	o, ok := outcomeByName[f.word()]
+	outcome, ok := outcomeByName[f.word()]
 	if !ok {
 		f.fail("outcome")
 	}
-	return o
+	return outcome
 }
 
-// limitReport reads name:value pairs; names that the settings do not explain are passed over.
-func (f *lineFields) limitReport(sc *limitFields) policy.LimitReport {
-	var rep policy.LimitReport
+// limitReport parses name:value pairs. It ignores names that are not in limits, and values that are not numbers.
+func (f *lineFields) limitReport(limits *limitFields) policy.LimitReport {
+	var report policy.LimitReport
 	text := f.optional()
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
-		name, value, _ := strings.Cut(pair, ":")
-		x, err := strconv.ParseFloat(value, 64)
+		name, valueText, _ := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(valueText, 64)
 		if err != nil {
 			continue
 		}
 		switch name {
-		case sc.remaining:
-			rep.Remaining = x
-		case sc.limit:
-			rep.Limit, rep.Present = x, true
+		case limits.remaining:
+			report.Remaining = value
+		case limits.limit:
+			report.Limit = value
+			report.Present = true
 		}
 	}
-	return rep
+	return report
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -16,17 +16,17 @@
 const (
 	bufferSize    = 1 << 16 // bytes, of input and output
 	maxQuotedLine = 120     // characters of a malformed line in its error
-	// maxPreallocated bounds the room that a list's announced length reserves, in entries.
+	// maxPreallocated bounds the capacity that is reserved for a list by its announced length, in entries.
 	maxPreallocated = 1024
 )
 
-// ItemKind names what an Item of a batch is.
+// ItemKind is the kind of an Item.
 type ItemKind int
 
 // The kinds of item.
 const (
-	Start ItemKind = iota // a fresh instance, with its settings and seed
-	Stop                  // the instance dies
+	Start ItemKind = iota // a new instance, with its settings and seed
+	Stop                  // the instance ends
 	Event                 // something that the instance observes
 )
 
@@ -52,7 +52,7 @@
 	Event    policy.Event    // Event
 }
 
-// Batch is what comes in at one time.
+// Batch is the items that the simulator sends for one point in time.
 type Batch struct {
 	Now    time.Duration
 	Number string
@@ -63,15 +63,24 @@
 type Reader struct {
 	input         *bufio.Reader
 	lineNumber    int
-	endpointLists map[int][]policy.Endpoint
-	limitFields   map[int]*limitFields
-	pendingList   struct{ number, left int }
+	endpointLists map[int][]policy.Endpoint // by the number of their POOL line
+	limitFields   map[int]*limitFields      // by instance
+	pendingList   pendingList
 	lineBuffer    []byte
 }
 
-// limitFields names the reported values that tell of a rate limit: what remains of it, and the limit itself. An empty
-// name is never reported.
-type limitFields struct{ remaining, limit string }
+// pendingList is the endpoint list whose entries are being read.
+type pendingList struct {
+	number    int
+	remaining int // entries to be read
+}
+
+// limitFields are the names of the reported values that describe a rate limit: what remains of it, and the limit
+// itself. An empty name matches no value.
+type limitFields struct {
+	remaining string
+	limit     string
+}
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
@@ -114,14 +123,14 @@
 }
 
 // truncate shortens a line for an error text.
-func truncate(s string) string {
-	if len(s) > maxQuotedLine {
-		return s[:maxQuotedLine] + "..."
+func truncate(line string) string {
+	if len(line) > maxQuotedLine {
+		return line[:maxQuotedLine] + "..."
 	}
-	return s
+	return line
 }
 
-// readLine returns the next line without its end. With io.EOF it returns what stands behind the last line end.
+// readLine returns the next line without its end. With io.EOF it returns the text after the last line end.
 func (r *Reader) readLine() (string, error) {
 	r.lineNumber++
 	r.lineBuffer = r.lineBuffer[:0]
@@ -135,7 +144,7 @@
 	}
 }
 
-// parseLine takes one line of a batch; done reports that it was the last.
+// parseLine parses one line of a batch; done reports that it was the last.
 func (r *Reader) parseLine(f *lineFields, b *Batch, open *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
@@ -144,7 +153,7 @@
 	if !*open {
 		return false, errors.New("a line outside a batch")
 	}
-	if (name == "HOST") != (r.pendingList.left > 0) {
+	if (name == "HOST") != (r.pendingList.remaining > 0) {
 		return false, errors.New("POOL and its HOST lines do not match")
 	}
 	switch name {
@@ -189,24 +198,25 @@
 // parsePool begins an endpoint list, whose entries follow one a line.
 func (r *Reader) parsePool(f *lineFields) error {
 	r.pendingList.number = f.integer()
-	r.pendingList.left = f.integer()
-	if r.pendingList.left < 0 {
+	r.pendingList.remaining = f.integer()
+	if r.pendingList.remaining < 0 {
 		return errors.New("bad number of entries")
 	}
-	capacity := min(r.pendingList.left, maxPreallocated)
+	capacity := min(r.pendingList.remaining, maxPreallocated)
 	r.endpointLists[r.pendingList.number] = make([]policy.Endpoint, 0, capacity)
 	return f.end()
 }
 
+// parseListEntry parses the next entry of the pending list.
 func (r *Reader) parseListEntry(f *lineFields) error {
-	r.pendingList.left--
+	r.pendingList.remaining--
 	endpoint, err := parseHost(f)
 	number := r.pendingList.number
 	r.endpointLists[number] = append(r.endpointLists[number], endpoint)
 	return err
 }
 
-// parseStart takes the settings and the seed of a new instance.
+// parseStart parses the settings and the seed of a new instance.
 func (r *Reader) parseStart(f *lineFields, b *Batch) error {
 	item := Item{Kind: Start, Instance: f.integer()}
 	item.Seed = f.unsigned()
@@ -217,7 +227,7 @@
 	return err
 }
 
-// parseEvent fills e; known is false for an event that no decision uses.
+// parseEvent parses an event into e. known is false for events that the engine does not use.
 func (r *Reader) parseEvent(name string, f *lineFields, e *policy.Event, limits *limitFields) (known bool, err error) {
 	switch name {
 	case "KNOCK":
@@ -269,7 +279,7 @@
 	e.LimitReport = f.limitReport(limits)
 }
 
-// parseTargets takes an endpoint list that was sent before, whole or as changes.
+// parseTargets parses an event that refers to an earlier list: an endpoint snapshot, a delta or a failed watch.
 func (r *Reader) parseTargets(f *lineFields, e *policy.Event) (known bool, err error) {
 	mode := f.word()
 	f.unsigned()
@@ -293,7 +303,7 @@
 	return true, f.end()
 }
 
-// parseHost reads an entry of an endpoint list.
+// parseHost parses an entry of an endpoint list. A weight that is not a positive number counts as unknown.
 func parseHost(f *lineFields) (policy.Endpoint, error) {
 	var endpoint policy.Endpoint
 	switch f.word() {
@@ -310,8 +320,9 @@
 	endpoint.Zone = f.integer()
 	f.optional()
 	endpoint.ID = f.word()
-	if w, err := strconv.ParseFloat(f.optional(), 64); err == nil && w > 0 && !math.IsInf(w, 0) {
-		endpoint.Weight = w
+	weight, err := strconv.ParseFloat(f.optional(), 64)
+	if err == nil && weight > 0 && !math.IsInf(weight, 0) {
+		endpoint.Weight = weight
 	}
 	return endpoint, f.end()
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,32 +9,36 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// settingValues are the path=value pairs of a CONFIGURE line.
+// maxListLength bounds the length that settings state for a list of objects.
+const maxListLength = 1000
+
+// settingValues parses the values of settings, which it has by their paths. The first error is kept in err.
 type settingValues struct {
 	values map[string]string
 	err    error
 }
 
+// parseConfigure parses the path=value pairs of a CONFIGURE line, in which the value "-" means none.
 func parseConfigure(text string) (policy.Settings, *limitFields, error) {
 	p := &settingValues{values: map[string]string{}}
-	for _, f := range strings.Fields(text) {
-		k, v, ok := strings.Cut(f, "=")
+	for _, pair := range strings.Fields(text) {
+		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", truncate(f))
+			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", truncate(pair))
 		}
-		if v != "-" {
-			p.values[k] = v
+		if value != "-" {
+			p.values[path] = value
 		}
 	}
-	set, err := Settings(p.values)
-	return set, p.limitFields(), err
+	settings, err := Settings(p.values)
+	return settings, p.limitFields(), err
 }
 
-// Settings maps the settings, by their paths, to the decision module's. The real relay's configuration holds the
-// same ones as JSON and comes through here too: what a setting means is said once.
+// Settings converts settings, by their paths, to those of the engine. The relay converts the settings of its
+// configuration file with it, too, so that each one means the same in the simulator and in a deployment.
 func Settings(values map[string]string) (policy.Settings, error) {
 	p := &settingValues{values: values}
-	set := policy.Settings{
+	settings := policy.Settings{
 		FleetSize:             p.integer("fleet_size"),
 		MaxInFlightCalls:      p.integer("extra.call_slots"),
 		MaxPendingMessages:    p.integer("bounds.open_cap"),
@@ -49,100 +53,111 @@
 		OrderingPause:         p.milliseconds("rules.order_pause_ms"),
 	}
 	if p.boolean("bounds.retry_after") {
-		set.MaxRetryAfter = p.milliseconds("bounds.max_retry_after_ms")
+		settings.MaxRetryAfter = p.milliseconds("bounds.max_retry_after_ms")
 	}
-	for _, x := range p.list("extra.carriage") {
-		set.ZoneCosts = append(set.ZoneCosts, p.parse("extra.carriage", x))
+	for _, cost := range p.list("extra.carriage") {
+		settings.ZoneCosts = append(settings.ZoneCosts, p.parse("extra.carriage", cost))
 	}
-	for i := range p.count("services") {
-		set.Classes = append(set.Classes, p.class(fmt.Sprintf("services.%d.", i)))
+	for i := range p.length("services") {
+		settings.Classes = append(settings.Classes, p.class(fmt.Sprintf("services.%d.", i)))
 	}
-	for i := range p.count("realms") {
-		set.Tenants = append(set.Tenants, policy.Tenant{
-			Quota: p.number(fmt.Sprintf("realms.%d.quota_per_s", i)),
-		})
+	for i := range p.length("realms") {
+		tenant := policy.Tenant{Quota: p.number(fmt.Sprintf("realms.%d.quota_per_s", i))}
+		settings.Tenants = append(settings.Tenants, tenant)
 	}
-	per, apart := p.list("extra.per_call"), p.list("extra.separate_routes")
-	for i := range max(len(p.list("kinds")), len(per), len(apart)) {
-		k := policy.DestinationKind{MaxBatch: 1}
-		if i < len(per) {
-			k.MaxBatch = int(p.parse("extra.per_call", per[i]))
+	settings.DestinationKinds = p.destinationKinds()
+	return settings, p.err
+}
+
+// destinationKinds returns as many kinds as the longest of their lists has.
+func (p *settingValues) destinationKinds() (kinds []policy.DestinationKind) {
+	batchSizes := p.list("extra.per_call")
+	separateLimits := p.list("extra.separate_routes")
+	for i := range max(len(p.list("kinds")), len(batchSizes), len(separateLimits)) {
+		kind := policy.DestinationKind{MaxBatch: 1}
+		if i < len(batchSizes) {
+			kind.MaxBatch = int(p.parse("extra.per_call", batchSizes[i]))
 		}
-		if i < len(apart) {
-			k.LimitPerEndpoint = apart[i] == "true"
+		if i < len(separateLimits) {
+			kind.LimitPerEndpoint = separateLimits[i] == "true"
 		}
-		set.DestinationKinds = append(set.DestinationKinds, k)
+		kinds = append(kinds, kind)
 	}
-	return set, p.err
+	return kinds
 }
 
-func (p *settingValues) class(at string) policy.Class {
-	c := policy.Class{
-		DedupAllZones:    p.values[at+"group"] == "all",
-		DedupWindow:      p.milliseconds(at + "repeat_window_ms"),
-		Ordered:          p.boolean(at + "by_arrival"),
-		LatencyObjective: p.milliseconds(at + "goal_time_ms"),
-		Deadline:         p.milliseconds(at + "give_up_ms"),
+// class returns the class whose settings have paths with the prefix.
+func (p *settingValues) class(prefix string) policy.Class {
+	class := policy.Class{
+		DedupAllZones:    p.values[prefix+"group"] == "all",
+		DedupWindow:      p.milliseconds(prefix + "repeat_window_ms"),
+		Ordered:          p.boolean(prefix + "by_arrival"),
+		LatencyObjective: p.milliseconds(prefix + "goal_time_ms"),
+		Deadline:         p.milliseconds(prefix + "give_up_ms"),
 		Weight:           1,
 	}
-	if _, ok := p.values[at+"value"]; ok {
-		c.Weight = p.number(at + "value")
+	if _, ok := p.values[prefix+"value"]; ok {
+		class.Weight = p.number(prefix + "value")
 	}
-	switch p.values[at+"semantics"] {
+	switch p.values[prefix+"semantics"] {
 	case "read_like":
-		c.Effect = policy.Idempotent
+		class.Effect = policy.Idempotent
 	case "idempotency_key":
-		c.Effect = policy.IdempotentByKey
-	default: // what is not known to bear a repeat bears none
-		c.Effect = policy.NonIdempotent
+		class.Effect = policy.IdempotentByKey
+	default: // an unknown kind is not assumed to tolerate repeats
+		class.Effect = policy.NonIdempotent
 	}
-	return c
+	return class
 }
 
-// limitFields finds which reported values tell of a limit.
+// limitFields returns which of the reported values describe a rate limit.
 func (p *settingValues) limitFields() *limitFields {
-	sc := &limitFields{}
+	limits := &limitFields{}
 	for _, name := range p.list("stats.fields") {
 		switch name {
 		case "x0":
-			sc.remaining = name
+			limits.remaining = name
 		case "x1":
-			sc.limit = name
+			limits.limit = name
 		}
 	}
-	return sc
+	return limits
 }
 
-func (p *settingValues) parse(key, value string) float64 {
-	x, err := strconv.ParseFloat(value, 64)
+// parse parses a number of the setting at a path.
+func (p *settingValues) parse(path, text string) float64 {
+	value, err := strconv.ParseFloat(text, 64)
 	if err != nil && p.err == nil {
-		p.err = fmt.Errorf("bad setting %s", key)
+		p.err = fmt.Errorf("bad setting %s", path)
 	}
-	return x
+	return value
 }
 
-func (p *settingValues) number(key string) float64 {
-	if v, ok := p.values[key]; ok {
-		return p.parse(key, v)
+// number returns the number at a path, or 0 if there is none.
+func (p *settingValues) number(path string) float64 {
+	if text, ok := p.values[path]; ok {
+		return p.parse(path, text)
 	}
 	return 0
 }
 
-func (p *settingValues) integer(key string) int { return int(p.number(key)) }
+func (p *settingValues) integer(path string) int { return int(p.number(path)) }
 
-func (p *settingValues) count(path string) int { return min(1000, p.integer(path+".count")) }
+// length returns the length of a list of objects.
+func (p *settingValues) length(path string) int { return min(maxListLength, p.integer(path+".count")) }
 
-func (p *settingValues) milliseconds(key string) time.Duration {
-	return time.Duration(p.number(key)*1000) * time.Microsecond
+func (p *settingValues) milliseconds(path string) time.Duration {
+	return time.Duration(p.number(path)*1000) * time.Microsecond
 }
 
-func (p *settingValues) boolean(key string) bool {
-	return p.values[key] == "true" || p.values[key] == "1"
+func (p *settingValues) boolean(path string) bool {
+	return p.values[path] == "true" || p.values[path] == "1"
 }
 
-func (p *settingValues) list(key string) []string {
-	if p.values[key] == "" {
+// list returns the parts of a value with commas between them.
+func (p *settingValues) list(path string) []string {
+	if p.values[path] == "" {
 		return nil
 	}
-	return strings.Split(p.values[key], ",")
+	return strings.Split(p.values[path], ",")
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,10 +12,12 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
+// configure starts instance 3.
 const configure = "CONFIGURE 3 77 services.count=1 services.0.semantics=read_like services.0.goal_time_ms=2000.0 " +
 	"services.0.give_up_ms=20000.0 stats.fields=x0,x1\n"
 
-func read(t *testing.T, lines string) ([]Item, error) {
+// readBatch reads a batch with these lines, which follows one that starts instance 3.
+func readBatch(t *testing.T, lines string) ([]Item, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader("MARK 10.5 1\n" + configure + "GO\n\nMARK 20.25 2\n" + lines + "GO\n"))
 	var b Batch
@@ -29,72 +31,113 @@
 	return b.Items, err
 }
 
-func TestEvents(t *testing.T) {
-	for _, c := range []struct {
-		lines string
-		want  policy.Event
-	}{
-		{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{
-			Kind: policy.MessageAccepted, MessageID: 1564119492,
-			Key: "obj/kd6", Tenant: 2, TimeLeft: 240 * time.Millisecond, Destination: 57,
-		}},
-		{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{
-			Kind: policy.MessageAccepted, MessageID: 4294967295, Class: 1,
-			TimeLeft: 500 * time.Microsecond,
-		}},
-		{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{
-			Kind: policy.AttemptFinished, MessageID: 9, Attempt: 2,
-			Endpoint: "host.a", Latency: 18500 * time.Microsecond, MessageEnded: true,
-		}},
-		{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{
-			Kind: policy.AttemptFinished, MessageID: 9,
-			Endpoint: "host.a", Outcome: policy.Overloaded, Latency: time.Millisecond,
-			RetryAfter:  450 * time.Millisecond,
-			LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5},
-		}},
-		{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{
-			Kind: policy.AttemptFinished, MessageID: 9, Endpoint: "host.a",
-			Outcome: policy.NotSent,
-		}},
-		{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{
-			Kind: policy.HealthChecked, Endpoint: "host.a",
-			Outcome: policy.ConnectFailed, Latency: 1500 * time.Microsecond,
-		}},
-		{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.MessageCancelled, MessageID: 242166553}},
-		{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.TimerFired}},
-		{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.WatchFailed}},
-		{"POOL 0 2\nHOST in_service 0 57 0 - host.abu 1\nHOST terminating 1 57 1 6100.0 host.azk odd\n" +
-			"TARGETS 3 cached 41 0\n", policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
+// twoEndpoints is a snapshot of two endpoints, of which the second is draining and has no valid weight.
+const twoEndpoints = "POOL 0 2\n" +
+	"HOST in_service 0 57 0 - host.abu 1\n" +
+	"HOST terminating 1 57 1 6100.0 host.azk odd\n" +
+	"TARGETS 3 cached 41 0\n"
+
+// eventCase is the lines of an event, and the event.
+type eventCase struct {
+	lines string
+	want  policy.Event
+}
+
+var eventCases = []eventCase{
+	{"KNOCK 3 1564119492 obj/kd6 1 2 12.0 0 240.0 57\n", policy.Event{
+		Kind:        policy.MessageAccepted,
+		MessageID:   1564119492,
+		Key:         "obj/kd6",
+		Tenant:      2,
+		TimeLeft:    240 * time.Millisecond,
+		Destination: 57,
+	}},
+	{"KNOCK 3 4294967295 - 0 - - 1 0.5 0\n", policy.Event{
+		Kind:      policy.MessageAccepted,
+		MessageID: 4294967295,
+		Class:     1,
+		TimeLeft:  500 * time.Microsecond,
+	}},
+	{"FINISHED 3 9 2 host.a ok 18.5 1 - -\n", policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    9,
+		Attempt:      2,
+		Endpoint:     "host.a",
+		Latency:      18500 * time.Microsecond,
+		MessageEnded: true,
+	}},
+	{"FINISHED 3 9 0 host.a full 1.0 0 450 x0:0.25,x9:7,x1:3.5\n", policy.Event{
+		Kind:        policy.AttemptFinished,
+		MessageID:   9,
+		Endpoint:    "host.a",
+		Outcome:     policy.Overloaded,
+		Latency:     time.Millisecond,
+		RetryAfter:  450 * time.Millisecond,
+		LimitReport: policy.LimitReport{Present: true, Remaining: 0.25, Limit: 3.5},
+	}},
+	{"FINISHED 3 9 0 host.a moot 0 0 1 -\n", policy.Event{
+		Kind:      policy.AttemptFinished,
+		MessageID: 9,
+		Endpoint:  "host.a",
+		Outcome:   policy.NotSent,
+	}},
+	{"PONG 3 host.a connect_failed 1.5 -\n", policy.Event{
+		Kind:     policy.HealthChecked,
+		Endpoint: "host.a",
+		Outcome:  policy.ConnectFailed,
+		Latency:  1500 * time.Microsecond,
+	}},
+	{"TIMED_OUT_CLIENT 3 242166553\n", policy.Event{Kind: policy.MessageCancelled, MessageID: 242166553}},
+	{"TICK_DUE 3 9223372036854775808\n", policy.Event{Kind: policy.TimerFired}},
+	{"TARGETS 3 failed 41 -\n", policy.Event{Kind: policy.WatchFailed}},
+	{twoEndpoints, policy.Event{
+		Kind: policy.EndpointSnapshot,
+		Endpoints: []policy.Endpoint{
 			{ID: "host.abu", Destination: 57, Weight: 1, InService: true},
 			{ID: "host.azk", Destination: 57, Kind: 1, Zone: 1},
-		}}},
-		{
-			"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n",
-			policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{
-				{ID: "host.abu", Destination: 5, Removed: true},
-			}},
 		},
-	} {
-		items, err := read(t, c.lines)
+	}},
+	{"POOL 15 1\nHOST terminated 0 5 0 - host.abu -\nTARGETS 3 delta 42 15\n", policy.Event{
+		Kind:      policy.EndpointDelta,
+		Endpoints: []policy.Endpoint{{ID: "host.abu", Destination: 5, Removed: true}},
+	}},
+}
+
+func TestEvents(t *testing.T) {
+	for _, c := range eventCases {
+		items, err := readBatch(t, c.lines)
 		if err != nil || len(items) != 1 || items[0].Instance != 3 || !reflect.DeepEqual(items[0].Event, c.want) {
 			t.Errorf("%q: %+v, %v\nwant %+v", c.lines, items, err, c.want)
 		}
 	}
-	items, err := read(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
+	items, err := readBatch(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
 	if err != nil || len(items) != 1 || items[0].Kind != Stop {
 		t.Errorf("unused messages: %+v, %v", items, err)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// TestMalformedLinesAreErrors also checks that each error names its line.
+func TestMalformedLinesAreErrors(t *testing.T) {
 	for _, lines := range []string{
-		"WHAT 3 1\n", "KNOCK 3 5000000000 - 0 - - 0 1.0 0\n", "KNOCK 3 1 - 0 -\n", "KNOCK 3 1 - 0 - - 0 soon 0\n",
-		"KNOCK 4 1 - 0 - - 0 1.0 0\n", "FINISHED 3 1 0 host.a melted 1.0 0 - -\n",
-		"FINISHED 3 1 0 host.a ok 1.0 yes - -\n", "TARGETS 3 full 1 7\n", "TARGETS 3 some 1 0\n",
-		"POOL 0 1\nGO\n", "HOST in_service 0 1 0 - host.a 1\n", "POOL 0 1\nHOST lost 0 1 0 - host.a 1\n",
-		"TICK_DUE 3 -1\n", "MARK 30 3\n", "CONFIGURE 5 1 fleet_size=many\n", "CONFIGURE 5 1 nonsense\n", " \n",
+		"WHAT 3 1\n",
+		"KNOCK 3 5000000000 - 0 - - 0 1.0 0\n",
+		"KNOCK 3 1 - 0 -\n",
+		"KNOCK 3 1 - 0 - - 0 soon 0\n",
+		"KNOCK 4 1 - 0 - - 0 1.0 0\n",
+		"FINISHED 3 1 0 host.a melted 1.0 0 - -\n",
+		"FINISHED 3 1 0 host.a ok 1.0 yes - -\n",
+		"TARGETS 3 full 1 7\n",
+		"TARGETS 3 some 1 0\n",
+		"POOL 0 1\nGO\n",
+		"HOST in_service 0 1 0 - host.a 1\n",
+		"POOL 0 1\nHOST lost 0 1 0 - host.a 1\n",
+		"TICK_DUE 3 -1\n",
+		"MARK 30 3\n",
+		"CONFIGURE 5 1 fleet_size=many\n",
+		"CONFIGURE 5 1 nonsense\n",
+		" \n",
 	} {
-		if items, err := read(t, lines); err == nil || !strings.Contains(err.Error(), "line ") {
+		if items, err := readBatch(t, lines); err == nil || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %+v, error %v", lines, items, err)
 		}
 	}
@@ -107,8 +150,8 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
-	set, sc, err := parseConfigure("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
+func TestParseConfigure(t *testing.T) {
+	settings, limits, err := parseConfigure("extra.call_slots=38 extra.carriage=0.0,0.03 extra.per_call=10,1 " +
 		"extra.separate_routes=false,true bounds.open_cap=438 bounds.send_cap=8 bounds.retry_after=true " +
 		"bounds.max_retry_after_ms=3000.0 fleet_size=2 weight_kind=rough membership_mode=ask new.key=1 " +
 		"realms.count=2 realms.0.quota_per_s=52.0 rules.answer_slack_ms=20.0 rules.cold_from=0.18 " +
@@ -119,22 +162,33 @@
 	want := policy.Settings{
 		Classes: []policy.Class{
 			{
-				Effect: policy.IdempotentByKey, DedupAllZones: true, DedupWindow: 10 * time.Second,
-				LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1,
+				Effect:           policy.IdempotentByKey,
+				DedupAllZones:    true,
+				DedupWindow:      10 * time.Second,
+				LatencyObjective: 3 * time.Second,
+				Deadline:         16 * time.Second,
+				Weight:           1,
 			},
 			{Effect: policy.NonIdempotent, Ordered: true, Weight: 4},
 		},
-		DestinationKinds: []policy.DestinationKind{{MaxBatch: 10}, {LimitPerEndpoint: true, MaxBatch: 1}},
-		Tenants:          []policy.Tenant{{Quota: 52}, {}},
-		FleetSize:        2, MaxInFlightCalls: 38, MaxPendingMessages: 438, MaxAttempts: 8,
-		MaxRetryAfter:      3 * time.Second,
-		ApproximateWeights: true, WatchRequired: true, ZoneCosts: []float64{0, 0.03},
-		WarmUpInitialCapacity: 0.18, WarmUpDuration: 14 * time.Second,
-		OverloadFactor: 2, OverloadWindow: 3 * time.Second,
-		OrderingPause: 100 * time.Millisecond,
+		DestinationKinds:      []policy.DestinationKind{{MaxBatch: 10}, {LimitPerEndpoint: true, MaxBatch: 1}},
+		Tenants:               []policy.Tenant{{Quota: 52}, {}},
+		FleetSize:             2,
+		MaxInFlightCalls:      38,
+		MaxPendingMessages:    438,
+		MaxAttempts:           8,
+		MaxRetryAfter:         3 * time.Second,
+		ApproximateWeights:    true,
+		WatchRequired:         true,
+		ZoneCosts:             []float64{0, 0.03},
+		WarmUpInitialCapacity: 0.18,
+		WarmUpDuration:        14 * time.Second,
+		OverloadFactor:        2,
+		OverloadWindow:        3 * time.Second,
+		OrderingPause:         100 * time.Millisecond,
 	}
-	if err != nil || !reflect.DeepEqual(set, want) || sc.limit != "" {
-		t.Errorf("got %+v, %v, %v\nwant %+v", set, sc, err, want)
+	if err != nil || !reflect.DeepEqual(settings, want) || limits.limit != "" {
+		t.Errorf("got %+v, %v, %v\nwant %+v", settings, limits, err, want)
 	}
 }
 
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Writer writes replies. It is for one goroutine.
+// Writer writes replies. It must not be used by several goroutines at once.
 type Writer struct {
 	output *bufio.Writer
 	line   []byte
@@ -20,29 +20,29 @@
 func NewWriter(out io.Writer) *Writer { return &Writer{output: bufio.NewWriterSize(out, bufferSize)} }
 
 // Actions writes the actions of an instance, in order.
-func (w *Writer) Actions(instance int, acts []policy.Action) {
-	for i := range acts {
-		a := &acts[i]
-		switch a.Kind {
+func (w *Writer) Actions(instance int, actions []policy.Action) {
+	for i := range actions {
+		action := &actions[i]
+		switch action.Kind {
 		case policy.Send:
 			w.begin("SUBMIT_TO", instance)
-			w.unsigned(uint32(a.MessageID))
-			w.text(a.Endpoint)
-			w.milliseconds(a.TimeoutAt)
+			w.unsigned(uint32(action.MessageID))
+			w.text(action.Endpoint)
+			w.milliseconds(action.TimeoutAt)
 		case policy.Reject:
 			w.begin("REJECT", instance)
-			w.unsigned(uint32(a.MessageID))
-			w.milliseconds(a.Delay)
+			w.unsigned(uint32(action.MessageID))
+			w.milliseconds(action.Delay)
 		case policy.Fail:
 			w.begin("SURRENDER", instance)
-			w.unsigned(uint32(a.MessageID))
+			w.unsigned(uint32(action.MessageID))
 		case policy.SetTimer:
 			w.begin("WAKE_AT", instance)
 			w.unsigned(0)
-			w.milliseconds(a.Delay)
+			w.milliseconds(action.Delay)
 		case policy.CloseIdle:
 			w.begin("HANG_UP", instance)
-			w.text(a.Endpoint)
+			w.text(action.Endpoint)
 		case policy.WatchEndpoints:
 			w.begin("STREAM_CHANGES", instance)
 			w.unsigned(1)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Die reports that an instance panicked.
+// Die writes that an instance panicked, with the reason in one line.
 func (w *Writer) Die(instance int, reason string) {
 	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
@@ -71,13 +71,14 @@
 	return w.output.Flush()
 }
 
+// begin begins a line about an instance.
 func (w *Writer) begin(name string, instance int) {
 	w.line = append(w.line[:0], name...)
 	w.line = append(w.line, ' ')
 	w.line = strconv.AppendInt(w.line, int64(instance), 10)
 }
 
-// endLine passes the line on. A failed write stays with the buffered output, and End returns it.
+// endLine writes the line. If the write fails, the buffered output keeps the error and End returns it.
 func (w *Writer) endLine() {
 	w.line = append(w.line, '\n')
 	_, _ = w.output.Write(w.line)
