--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,6 @@
-// Package admin serves the second address of a relay, at which the platform and on-call staff ask whether the process
-// is ready and read its metrics. A connection carries one request. A client that sends nothing, or a part of a request,
-// is disconnected within a second and blocks nobody: an answer needs no other connection, and nothing of the relay that
-// is not at hand.
+// Package admin serves the second address of a relay: its readiness, its metrics and the status of its fleet, for the
+// platform and for on-call staff. A connection carries one request. A client that sends nothing, or only a part of a
+// request, is disconnected within a second. Answers never wait: neither for other connections nor for the event loop.
 package admin
 
 import (
@@ -16,8 +15,8 @@
 )
 
 const (
-	// requestTimeout bounds how long a request may take to arrive, and its answer to leave. An answer must come within
-	// 1 s of the request.
+	// requestTimeout bounds the time for reading a request, and that for writing its answer. The platform expects an
+	// answer within 1 s of the request.
 	requestTimeout = 700 * time.Millisecond
 	maxHeaderBytes = 4 << 10
 )
@@ -26,9 +25,10 @@
 type Server struct {
 	// Ready reports whether the process is ready to serve. It is called from many goroutines at once and must not wait.
 	Ready func() bool
-	// Metrics writes the process's metrics, under the same conditions.
+	// Metrics writes the process's metrics. It is called like Ready.
 	Metrics func(io.Writer)
-	// Fleet writes what this process knows of its fleet, as JSON, under the same conditions; nil if it belongs to none.
+	// Fleet writes what this process knows of its fleet, as JSON. It is called like Ready, and is nil if the process
+	// belongs to no fleet.
 	Fleet func(io.Writer) error
 	Log   *slog.Logger
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -83,6 +83,7 @@
 
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
+// TestAnswers checks the status and the body of each answer, and that the server closes the connection behind it.
 func TestAnswers(t *testing.T) {
 	var ready atomic.Bool
 	address := startServer(t, &ready)
@@ -112,8 +113,9 @@
 	}
 }
 
-// Hundreds of clients send nothing, or a part of a request, and stay: others are answered, and none of the silent ones
-// is kept for good. Without the bound on connections or the timeout the last loop waits until its deadline.
+// TestSilentClientsBlockNobody opens hundreds of connections on which clients send nothing or a part of a request: a
+// complete request is answered meanwhile, and the server closes all of the others. Without the bound on connections or
+// the timeout the last loop waits until its deadline.
 func TestSilentClientsBlockNobody(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -34,7 +34,7 @@
 	return registry
 }
 
-// Pins every answer of the second address: status, type and body, with every metric.
+// TestGoldenAnswers pins every answer of the second address: status, type and body, with every metric.
 func TestGoldenAnswers(t *testing.T) {
 	registry := goldenMetrics()
 	ready := true
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// maxConnections bounds the open connections: the oldest one is closed for a new one. It guards against clients that
-// stay and send nothing, each of which costs a descriptor for requestTimeout.
+// maxConnections bounds the open connections, because each client that sends nothing uses a descriptor for
+// requestTimeout.
 const maxConnections = 16
 
-// listener keeps at most maxConnections connections open.
+// listener keeps at most maxConnections connections open: it closes the oldest one for a new one.
 type listener struct {
 	net.Listener
 	mu          sync.Mutex
@@ -55,7 +55,7 @@
 	listener *listener
 }
 
-// Close closes the connection and takes it out of its listener's count.
+// Close closes the connection and removes it from its listener.
 func (c *connection) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of all programs: subcommands, --help and --version, errors on standard error and exit
-// statuses.
+// Package cli runs the command lines of all programs: it parses subcommands and flags, answers --help and --version,
+// prints errors on standard error and returns the exit status.
 package cli
 
 import (
@@ -15,8 +15,8 @@
 // The exit statuses that all programs have in common.
 const (
 	OK     = 0
-	Failed = 1 // unless a program uses another one
-	Usage  = 2
+	Failed = 1 // a command has failed; some programs use another status for that
+	Usage  = 2 // the command line is invalid
 )
 
 // Streams are where a command reads and writes.
@@ -26,12 +26,12 @@
 	Err io.Writer
 }
 
-// Exit is an error that ends a program with this status and without a message: the command has written it.
+// Exit is an error that ends a program with this status. Run prints no message for it: the command has printed its own.
 type Exit int
 
 func (e Exit) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
 
-// Version returns the version of the program, as the tool chain recorded it in the build.
+// Version returns the version of the program, its revision and the version of Go, as recorded in the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -52,8 +52,9 @@
 // kongExit is the panic by which kong ends a program, for example after --help. Its value is the exit status.
 type kongExit int
 
-// Run parses a command line into app, a pointer to a struct in kong's form, and runs the command that it names: its
-// Run method may take a context.Context and a *Streams. failed is the status after an error of the command.
+// Run parses a command line into app, a pointer to a struct in kong's form, and calls the Run method of the command
+// that the line selects, which may have a context.Context and a *Streams as parameters. It returns the exit status;
+// failed is the one for an error of the command.
 func Run(ctx context.Context, name, about string, app any, args []string, s Streams, failed int) (status int) {
 	defer func() {
 		recovered := recover()
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Printer writes a command's output and keeps the first error.
+// Printer writes a command's output and keeps the first error, so that a command checks for errors once.
 type Printer struct {
 	out io.Writer
 	err error
@@ -29,7 +29,7 @@
 	Quiet bool `help:"Show no progress." short:"q"`
 }
 
-// ProgressLine returns a progress line on a writer, which shows nothing if the user asked for none.
+// ProgressLine returns a progress line on a writer. With the flag Quiet it writes nothing.
 func (f ProgressFlags) ProgressLine(out io.Writer) *ProgressLine {
 	if f.Quiet {
 		out = io.Discard
@@ -40,7 +40,7 @@
 // overwriteLine moves a terminal's cursor to the start of the line and clears the line.
 const overwriteLine = "\r\x1b[K"
 
-// ProgressLine shows progress on one line of a terminal. Errors are ignored: the command goes on without the line.
+// ProgressLine shows progress on one line of a terminal. It ignores errors, because a command works without the line.
 type ProgressLine struct{ out io.Writer }
 
 // Update replaces the line.
--- a/internal/cli/output_test.go
+++ b/internal/cli/output_test.go
@@ -21,7 +21,7 @@
 	return w.Buffer.Write(data)
 }
 
-// TestPrinterKeepsFirstError prints nothing after an error, also what would still fit.
+// TestPrinterKeepsFirstError checks that nothing is printed after an error, not even a text that would still fit.
 func TestPrinterKeepsFirstError(t *testing.T) {
 	out := &limitedWriter{limit: 3}
 	p := NewPrinter(out)
--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenEveryKey reads a file that sets every key, and pins the values by the keys of the file.
+// TestGoldenEveryKey reads a file that sets every key, and checks the value of each.
 func TestGoldenEveryKey(t *testing.T) {
 	f, err := Load(filepath.Join("testdata", "golden", "every-key.toml"))
 	if err != nil {
@@ -33,7 +33,7 @@
 		{"log.format", f.Log.Format, "json"},
 		{"log.level", f.Log.Level, "warn"},
 		{"recorder.enabled", f.Recorder.Enabled, true},
-		{"recorder.ring_mb", f.Recorder.Ring(), 2_621_440},
+		{"recorder.ring_mb", f.Recorder.RingBytes(), 2_621_440},
 		{"recorder.write", f.Recorder.Write, "all"},
 		{"recorder.folder", f.Recorder.Folder, "/var/lib/recordings"},
 		{"recorder.folder_mb", f.Recorder.FolderMB, 96.0},
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestGoldenDefaults pins what an empty file stands for.
+// TestGoldenDefaults pins the values of an empty file.
 func TestGoldenDefaults(t *testing.T) {
 	f, err := Load("")
 	if err != nil {
--- a/internal/config/operatorfile/operatorfile.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -1,5 +1,5 @@
-// Package operatorfile reads the operator's file: what an installation turns on in addition to what the platform
-// configures. Everything is off unless the file sets it, and the file may be missing altogether.
+// Package operatorfile reads the operator's file, which turns on features of an installation that the platform's
+// configuration does not cover. All of them are off by default, and the file is optional.
 package operatorfile
 
 import (
@@ -78,11 +78,11 @@
 	FormatJSON = "json"
 )
 
-// Handler returns a handler that writes the log in the configured format and from the configured level on.
+// Handler returns a handler that writes the log in the configured format, from the configured level up.
 func (l Log) Handler(w *os.File) slog.Handler {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
-		level = slog.LevelInfo // validate lets no other text pass
+		level = slog.LevelInfo // cannot happen in a validated file
 	}
 	options := &slog.HandlerOptions{Level: level}
 	if l.Format == FormatJSON {
@@ -106,8 +106,8 @@
 	WriteAll  = "all"  // every decision as it is made
 )
 
-// Ring returns the size of the recorder's ring in bytes.
-func (r Recorder) Ring() int { return int(r.RingMB * bytesPerMB) }
+// RingBytes returns the size of the recorder's ring in bytes.
+func (r Recorder) RingBytes() int { return int(r.RingMB * bytesPerMB) }
 
 // Load reads a file. An empty path means an empty file.
 func Load(path string) (File, error) {
@@ -121,7 +121,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads the text of a file. It reports all errors at once, with the name of the file.
+// Parse reads the text of a file. Its error has all errors of the file, with the file's name.
 func Parse(name string, data []byte) (File, error) {
 	var file File
 	if err := stricttoml.Decode(name, data, &file); err != nil {
@@ -134,17 +134,22 @@
 	return file, nil
 }
 
+const (
+	defaultFolderMB       = 64
+	defaultSyncIntervalMS = 1000
+)
+
 func (f *File) setDefaults() {
 	setDefault(&f.Log.Format, FormatText)
 	setDefault(&f.Log.Level, "info")
 	setDefault(&f.Recorder.RingMB, flightrecorder.DefaultRingSize/bytesPerMB)
 	setDefault(&f.Recorder.Write, WriteRing)
-	setDefault(&f.Recorder.FolderMB, 64)
+	setDefault(&f.Recorder.FolderMB, defaultFolderMB)
 	setDefault(&f.Journal.Sync, SyncNever)
-	setDefault(&f.Journal.IntervalMS, 1000)
+	setDefault(&f.Journal.IntervalMS, defaultSyncIntervalMS)
 }
 
-// setDefault sets a value that is zero.
+// setDefault replaces a zero value by the default.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r := file.Recorder
-	if r.Enabled || r.Write != WriteRing || r.Ring() != 4<<20 || file.Log.Format != FormatText {
+	if r.Enabled || r.Write != WriteRing || r.RingBytes() != 4<<20 || file.Log.Format != FormatText {
 		t.Errorf("%+v", file)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// invalidFile is a file and what its errors must contain.
+// invalidFile is the text of a file, and the texts that its error must contain.
 type invalidFile struct {
 	text  string
 	wants []string
--- a/internal/config/operatorfile/validate.go
+++ b/internal/config/operatorfile/validate.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkAt is check with the line of the key, if the file has it.
+// checkAt is check with the line of the key in the error, if the file has the key.
 func (v *validation) checkAt(ok bool, key, format string, args ...any) {
 	if line := v.lines[key]; line > 0 {
 		key = fmt.Sprintf("line %d: %s", line, key)
@@ -39,7 +39,7 @@
 	v.check(ok, key, format, args...)
 }
 
-// validate reports all errors of a file, of which lines are those of its keys.
+// validate returns all errors of a file, joined. lines are the lines of the file's keys.
 func (f *File) validate(lines map[string]int) error {
 	v := &validation{lines: lines}
 	f.Fleet.validate(v)
@@ -106,7 +106,7 @@
 	}
 }
 
-// validName reports whether a name can stand in a report and a path. It may be empty.
+// validName reports whether a name can be part of a report and of a path. It may be empty.
 func validName(name string) bool {
 	return len(name) <= maxNameBytes && !strings.ContainsAny(name, " /\"\t\r\n")
 }
--- a/internal/config/reload/reload.go
+++ b/internal/config/reload/reload.go
@@ -1,6 +1,6 @@
-// Package reload decides what happens when a relay reads its configuration again while it runs: whether the new one is
-// accepted, and which settings hold while clients may still use the old one. The package is pure: it reads no clock and
-// does no I/O.
+// Package reload decides what happens when a running relay reads its configuration again: whether it accepts the fresh
+// configuration, and which settings apply while clients may still use the old one. The package is pure: it reads no
+// clock and does no I/O.
 package reload
 
 import (
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Config is what a relay and its clients use of a configuration file.
+// Config is the part of a configuration file that a reload can change for the clients of a relay.
 type Config struct {
 	ClassNames  []string        `json:"Classes"` // in the order of Settings.Classes
 	TenantNames []string        `json:"Customers"`
@@ -38,8 +38,8 @@
 		a.FleetSize == b.FleetSize
 }
 
-// Transitional returns the configuration for the time in which clients may use either of two: every class of both,
-// those of the same name with the stricter settings, and the fewer attempts.
+// Transitional returns the configuration that applies while clients may use either of two. It has the classes of both
+// and the lower number of attempts. A class that is in both has the stricter settings of the two.
 func Transitional(old, fresh Config) Config {
 	config := KeepRemovedClasses(old, fresh)
 	for i, name := range old.ClassNames {
@@ -53,7 +53,7 @@
 	return config
 }
 
-// KeepRemovedClasses returns the fresh configuration with the classes that only the old one has behind its own.
+// KeepRemovedClasses returns the fresh configuration with the classes that only the old one has, after its own.
 func KeepRemovedClasses(old, fresh Config) Config {
 	config := fresh
 	config.ClassNames = slices.Clone(fresh.ClassNames)
@@ -67,12 +67,12 @@
 	return config
 }
 
-// stricter returns a class that allows nothing which either of two forbids. Its other settings are those of fresh.
+// stricter returns a class that allows only what both classes allow. Its other settings are those of fresh.
 func stricter(old, fresh policy.Class) policy.Class {
 	class := fresh
 	class.Effect = max(old.Effect, fresh.Effect) // in the order Idempotent, IdempotentByKey, NonIdempotent
 	class.Ordered = old.Ordered || fresh.Ordered
-	// The longer deadline forbids nothing: it bounds what clients may ask for, and each message has one of its own.
+	// The longer deadline is no less strict: it only bounds the deadline that a client sets for each message.
 	class.Deadline = max(old.Deadline, fresh.Deadline)
 	if old.Effect != policy.IdempotentByKey {
 		return class
--- a/internal/config/reload/reload_test.go
+++ b/internal/config/reload/reload_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// allowsRetry reports whether a message of a class that may have run may be sent again, within its zone or to another
-// one, so long after.
+// allowsRetry reports whether a message of a class that may have run may be sent again, some time after its first
+// attempt, in the same zone or in another one.
 func allowsRetry(class policy.Class, otherZone bool, after time.Duration) bool {
 	switch class.Effect {
 	case policy.Idempotent:
@@ -44,8 +44,9 @@
 	}
 }
 
-// The transitional configuration allows nothing that one of the two forbids, and has every class of either.
-func TestTransitionalKeepsBothConfigurations(t *testing.T) {
+// TestTransitionalIsAsStrictAsEither checks that the transitional configuration allows nothing that one of the two
+// forbids, and has every class of either.
+func TestTransitionalIsAsStrictAsEither(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old := drawConfig(t, "old")
 		fresh := drawConfig(t, "fresh")
--- a/internal/config/reload/shape.go
+++ b/internal/config/reload/shape.go
@@ -12,11 +12,12 @@
 	listLength    = "count" // the last part of a path whose value is the length of a list of objects
 )
 
-// Shape counts the values of a file by their paths, in which anyIndex stands for the index of an entry in a list.
+// Shape is the number of values that a file has at each path. In a path, anyIndex stands for all indexes of a list: the
+// number at such a path is that of the entries that have a value. At a path that ends with listLength it is the length
+// of the list.
 type Shape map[string]int
 
-// ShapeOf returns the shape of a file, of which it takes the values by path. A path that ends with listLength gives the
-// length of a list of objects.
+// ShapeOf returns the shape of a file with these values, by path.
 func ShapeOf(values map[string]string) Shape {
 	shape := Shape{}
 	for path, value := range values {
@@ -37,8 +38,8 @@
 	return shape
 }
 
-// missing returns the paths that the old file had throughout and this one has not. A path below a list is there
-// throughout if every entry has it.
+// missing returns the paths that were mandatory in the old file and that this one lacks. A path within the entries of a
+// list was mandatory if every entry had it, and this file lacks it if one of its entries does.
 func (s Shape) missing(old Shape) []string {
 	var paths []string
 	for path, oldCount := range old {
@@ -47,7 +48,7 @@
 		if inList {
 			lengthPath := list + pathSeparator + listLength
 			if oldCount < old[lengthPath] {
-				continue // optional: some entries did without it
+				continue // optional: some entries did not have it
 			}
 			wantCount = s[lengthPath]
 		}
--- a/internal/config/reload/validate.go
+++ b/internal/config/reload/validate.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Validate returns why a fresh configuration cannot replace the old one: all reasons at once, or nil.
+// Validate returns an error with all reasons why a fresh configuration cannot replace the old one, or nil.
 func Validate(old, fresh Config) error {
 	var errs []error
 	if paths := fresh.Shape.missing(old.Shape); len(paths) > 0 {
--- a/internal/config/reload/validate_test.go
+++ b/internal/config/reload/validate_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// validateCase is a change to a valid configuration.
+// validateCase is a change to a valid configuration, and whether Validate accepts it.
 type validateCase struct {
 	change func(*Config)
 	want   string // in the error; "" if the configuration is accepted
--- a/internal/config/stricttoml/lines.go
+++ b/internal/config/stricttoml/lines.go
@@ -7,9 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines returns the line of each key in a file by its path: "a.b", or "a[2].b" in the second of several tables of one
-// name. The line of a table is that of its header. Keys within inline values are left out. Of a file that cannot be
-// read it returns the keys before the error.
+// Lines returns the line of each key in a file by its path: "a.b", or "a[2].b" in the second table of an array. The
+// line of a table is that of its header. Keys within inline values are left out. If the file is malformed it returns
+// the keys before the error.
 func Lines(data []byte) map[string]int {
 	lines := map[string]int{}
 	tableCounts := map[string]int{} // of tables in an array, by path
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a relay does, and writes the counts in the format of statsd: one name:value|type a line.
-// Every process counts from 0. All of it is safe for concurrent use; most counts cost an atomic addition.
+// Package metrics has the counters and gauges of a relay, and writes them in the format of statsd: one name:value|type
+// a line. Every process counts from 0. The package is safe for concurrent use, and most counts cost an atomic addition.
 package metrics
 
 import (
@@ -27,14 +27,14 @@
 // The results.
 const (
 	Completed Result = iota // delivered
-	Rejected                // or returned: its client may submit it again
+	Rejected                // the client may submit it again
 	Failed
 	resultCount
 )
 
 var resultNames = [resultCount]string{"completed", "rejected", "failed"}
 
-// String returns the name of a result, as it stands in the names of metrics.
+// String returns the name of a result in the names of metrics.
 func (r Result) String() string { return resultNames[r] }
 
 // Registry holds the metrics of a process. The zero value is ready to use.
@@ -44,7 +44,7 @@
 	ReloadErrors       atomic.Int64 // configurations rejected at SIGHUP
 	Pending            atomic.Int64 // messages accepted and not ended
 	Members            atomic.Int64 // endpoints in the list
-	UnavailableMembers atomic.Int64 // those of them that get no messages now
+	UnavailableMembers atomic.Int64 // endpoints in the list that get no messages at the moment
 
 	mu      sync.Mutex
 	classes map[string]*classResults // bounded by the classes that configurations have named
@@ -53,7 +53,7 @@
 // classResults counts the messages of a class by their result.
 type classResults [resultCount]int64
 
-// RegisterClass has the metrics of a class written from now on, though none of its messages has ended yet.
+// RegisterClass adds the metrics of a class, so that they are written before the first of its messages has ended.
 func (r *Registry) RegisterClass(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -54,9 +54,9 @@
 		log: log,
 	}
 	if now > 0 {
-		r.Recorder = flightrecorder.ResumeRecorder(meta, settings.Ring(), engine.Snapshot, now)
+		r.Recorder = flightrecorder.ResumeRecorder(meta, settings.RingBytes(), engine.Snapshot, now)
 	} else {
-		r.Recorder = flightrecorder.NewRecorder(meta, settings.Ring(), engine.Snapshot)
+		r.Recorder = flightrecorder.NewRecorder(meta, settings.RingBytes(), engine.Snapshot)
 	}
 	return r
 }
