--- a/internal/recording/chart/chart_test.go
+++ b/internal/recording/chart/chart_test.go
@@ -22,7 +22,7 @@
 			if axis.Bin != test.bin || axis.Bins != test.bins {
 				t.Errorf("%d bins of %v, want %d of %v", axis.Bins, axis.Bin, test.bins, test.bin)
 			}
-			if first, last := axis.At(-time.Second), axis.At(time.Hour); first != 0 || last != test.bins-1 {
+			if first, last := axis.BinAt(-time.Second), axis.BinAt(time.Hour); first != 0 || last != test.bins-1 {
 				t.Errorf("times off the axis are in bins %d and %d", first, last)
 			}
 		})
--- a/internal/recording/chart/timeline.go
+++ b/internal/recording/chart/timeline.go
@@ -59,8 +59,8 @@
 	return t
 }
 
-// At is the bin of a time; times off the axis count at its ends.
-func (t *Timeline) At(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
+// BinAt is the bin of a time; times off the axis count at its ends.
+func (t *Timeline) BinAt(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
 
 // Zeros returns a value for each bin.
 func (t *Timeline) Zeros() []float64 { return make([]float64, t.Bins) }
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -71,11 +71,11 @@
 		outcomes:      map[string]string{},
 	}
 	report.Replay, err = replay.Play(data, replay.Visitor{
-		Settings: func(settings policy.Settings) { b.settings = settings },
-		Begin:    b.begin,
-		Before:   b.beforeStep,
-		Step:     b.step,
-		Other:    b.other,
+		Settings:   func(settings policy.Settings) { b.settings = settings },
+		Begin:      b.begin,
+		BeforeStep: b.beforeStep,
+		AfterStep:  b.step,
+		Other:      b.other,
 	})
 	if err := cmp.Or(err, b.err); err != nil {
 		return nil, err
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -300,7 +300,7 @@
 			t.Errorf("%s: %v, %+v", name, err, res)
 		}
 	}
-	check("whole", data, replay.Visitor{Before: before})
+	check("whole", data, replay.Visitor{BeforeStep: before})
 	check("from the snapshot", data[entries[second].At:], replay.Visitor{})
 	if !compared {
 		t.Error("no state was compared")
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -28,10 +28,10 @@
 	Begin func(s *policy.Engine, e *flightrecorder.Entry)
 	// Settings is called with the settings that are in force from here on.
 	Settings func(set policy.Settings)
-	// Before is called before a step, with the engine as the step before left it.
-	Before func(s *policy.Engine, e *flightrecorder.Entry)
-	// Step is called after a step was replayed.
-	Step func(s *policy.Engine, e *flightrecorder.Entry)
+	// BeforeStep is called before a step, with the engine as the step before left it.
+	BeforeStep func(s *policy.Engine, e *flightrecorder.Entry)
+	// AfterStep is called after a step was replayed.
+	AfterStep func(s *policy.Engine, e *flightrecorder.Entry)
 	// Other is called with labels, notes, and what is lost.
 	Other func(e *flightrecorder.Entry)
 }
@@ -207,8 +207,8 @@
 	p.result.Events += len(e.Events)
 	p.result.Actions += len(e.Actions)
 	p.result.To = e.Now
-	if p.visit.Before != nil {
-		p.visit.Before(p.engine, e)
+	if p.visit.BeforeStep != nil {
+		p.visit.BeforeStep(p.engine, e)
 	}
 	actions, err := stepEngine(p.engine, e)
 	p.lastStep = e
@@ -222,8 +222,8 @@
 		p.setDifference(e, what, describeAt(e.Actions, i), describeAt(actions, i))
 		return
 	}
-	if p.visit.Step != nil {
-		p.visit.Step(p.engine, e)
+	if p.visit.AfterStep != nil {
+		p.visit.AfterStep(p.engine, e)
 	}
 }
 
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -294,7 +294,7 @@
 	var seen []time.Duration
 	res, err := Play(
 		written(t, rec),
-		Visitor{Step: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }},
+		Visitor{AfterStep: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }},
 	)
 	if err != nil || res.Difference != nil || len(seen) != 7 || seen[3] != 30*time.Second || seen[5] != -time.Second {
 		t.Errorf("%v, %+v, %v", err, res, seen)
--- a/internal/testkit/report/endpointplots.go
+++ b/internal/testkit/report/endpointplots.go
@@ -70,7 +70,7 @@
 				byID[e.Endpoint] = s
 				order = append(order, s)
 			}
-			s.fillCapacity(timeline.At(e.At), timeline.Bin)
+			s.fillCapacity(timeline.BinAt(e.At), timeline.Bin)
 			s.current = upstream.WarmUp{
 				StartedAt:       e.At,
 				FullCapacity:    e.Rate,
@@ -79,7 +79,7 @@
 			}
 		case eventlog.CallReceived:
 			if s != nil {
-				s.received[timeline.At(e.At)] += 1 / timeline.Bin.Seconds()
+				s.received[timeline.BinAt(e.At)] += 1 / timeline.Bin.Seconds()
 			}
 		}
 	}
--- a/internal/testkit/report/plots.go
+++ b/internal/testkit/report/plots.go
@@ -110,7 +110,7 @@
 		p95:       timeline.Zeros(),
 	}
 	for _, m := range messages {
-		bin := timeline.At(m.DueAt)
+		bin := timeline.BinAt(m.DueAt)
 		weight[bin] += m.Weight
 		delivered[bin] += m.DeliveredWeight
 		series.submitted[bin] += 1 / timeline.Bin.Seconds()
@@ -159,7 +159,7 @@
 	for _, e := range events {
 		switch e.Kind {
 		case eventlog.CallReceived:
-			bin := timeline.At(e.At)
+			bin := timeline.BinAt(e.At)
 			receivedIn[e.Call] = bin
 			series[unansweredCalls].Values[bin] += perSecond // until it is answered
 		case eventlog.CallAnswered:
