--- a/internal/recording/chart/canvas.go
+++ b/internal/recording/chart/canvas.go
@@ -25,7 +25,7 @@
 	Grey   = "#8a8f98"
 )
 
-// Style is what a page's style sheet needs for the charts.
+// Style is the part of a page's style sheet that the charts need.
 const Style = `svg { display: block; width: 100%; margin: .5em 0 } .grid { stroke: #e4e4e4 } ` +
 	`.mark { stroke: #6b4ba1; stroke-dasharray: 3 2 }
 .shade { fill: #e08a1e; opacity: .13 } .tick, .note { font-size: 9px; fill: #666 } ` +
@@ -48,7 +48,7 @@
 	_, _ = fmt.Fprintf(&c.b, format, args...) // writes to a strings.Builder never fail
 }
 
-// y is the height of a value that is given as a fraction of the axis, cut to it.
+// y returns the vertical position of a value, given as a fraction of the axis. Values off the axis are clamped to it.
 func (c *canvas) y(fraction float64) float64 {
 	return plotTop + c.inner*(1-min(1, max(0, fraction)))
 }
@@ -67,13 +67,13 @@
 	)
 }
 
-// close returns the image. It has numbers, and text that is escaped.
+// close returns the image. It is safe as HTML, because all text in it was escaped.
 func (c *canvas) close() template.HTML {
 	c.b.WriteString("</svg>")
 	return template.HTML(c.b.String())
 }
 
-// titleWidth is about how much space a title takes, and a gap after it.
+// titleWidth estimates the width of a title and the gap after it.
 func titleWidth(title, unit string) float64 { return 7*float64(len(title)+len(unit)) + 30 }
 
 func escape(text string) string { return template.HTMLEscapeString(text) }
--- a/internal/recording/chart/chart_test.go
+++ b/internal/recording/chart/chart_test.go
@@ -13,8 +13,8 @@
 		bins        int
 	}{
 		"no length":        {0, time.Second, 1},
-		"begun bin counts": {1500 * time.Millisecond, time.Second, 2},
-		"longest of 1 s":   {maxBins * time.Second, time.Second, maxBins},
+		"last bin partial": {1500 * time.Millisecond, time.Second, 2},
+		"most bins of 1 s": {maxBins * time.Second, time.Second, maxBins},
 		"longer bins":      {400 * time.Second, 2 * time.Second, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Where a value is missing the line of a series is interrupted.
+// TestGapsInSeries checks that the line of a series is interrupted where a value is missing.
 func TestGapsInSeries(t *testing.T) {
 	axis := NewTimeline(4 * time.Second)
 	values := []float64{1, math.NaN(), 2, 2}
--- a/internal/recording/chart/timeline.go
+++ b/internal/recording/chart/timeline.go
@@ -1,4 +1,5 @@
-// Package chart draws charts as SVG, without scripts: steps and stacks on a time axis, and lines over a number.
+// Package chart draws charts as SVG, without scripts: step lines and stacked bars on a time axis, and lines of values
+// over a parameter.
 package chart
 
 import (
@@ -10,7 +11,7 @@
 // maxBins bounds the bins along a time axis that NewTimeline chooses.
 const maxBins = 240
 
-// minLabelledHeight is the height from which on a plot has its shades' names written in it.
+// minLabelledHeight is the least height of a plot in which the names of shades are written.
 const minLabelledHeight = 100
 
 // Series is one line, or one layer of a stack, with a value for each bin; NaN leaves a gap.
@@ -28,7 +29,7 @@
 	Series      []Series
 }
 
-// Timeline is what all plots of a page share.
+// Timeline is the time axis that all plots of a page share, with its marks.
 type Timeline struct {
 	Length time.Duration
 	Bin    time.Duration
@@ -37,19 +38,20 @@
 	Marks  []Mark
 }
 
-// Shade marks a span.
+// Shade highlights an interval of the time axis.
 type Shade struct {
 	Name     string
 	From, To time.Duration
 }
 
-// Mark marks a moment.
+// Mark marks a point of the time axis.
 type Mark struct {
 	At   time.Duration
 	Text string
 }
 
-// NewTimeline returns a time axis of a length, in bins of a second or, where it is long, of more.
+// NewTimeline returns a time axis of a length, in bins of a second, or in longer ones if there would be more than
+// maxBins.
 func NewTimeline(length time.Duration) *Timeline {
 	t := &Timeline{Length: max(length, time.Second), Bin: time.Second}
 	for t.Length/t.Bin > maxBins {
@@ -59,17 +61,17 @@
 	return t
 }
 
-// BinAt is the bin of a time; times off the axis count at its ends.
+// BinAt returns the bin of a time; times off the axis are in the first or the last bin.
 func (t *Timeline) BinAt(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
 
-// Zeros returns a value for each bin.
+// Zeros returns a series with the value 0 in each bin.
 func (t *Timeline) Zeros() []float64 { return make([]float64, t.Bins) }
 
 func (t *Timeline) x(d time.Duration) float64 {
 	return plotLeft + (plotWidth-plotLeft-plotRight)*float64(d)/float64(t.Length)
 }
 
-// binEnds returns where a bin begins and ends.
+// binEnds returns the horizontal positions of a bin's start and end.
 func (t *Timeline) binEnds(bin int) (from, to float64) {
 	return t.x(time.Duration(bin) * t.Bin), t.x(min(t.Length, time.Duration(bin+1)*t.Bin))
 }
@@ -134,15 +136,14 @@
 // drawLegend writes the title and, after it, the series' names.
 func (t *Timeline) drawLegend(c *canvas, p Plot) {
 	c.printf(`<text class="title" x="%g" y="11">%s</text>`, plotLeft, escape(p.Title+", "+p.Unit))
-	x := plotLeft
-	x += titleWidth(p.Title, p.Unit)
+	x := plotLeft + titleWidth(p.Title, p.Unit)
 	for _, s := range p.Series {
 		c.legendEntry(x, s.Colour, s.Name)
 		x += 24 + 6*float64(len(s.Name))
 	}
 }
 
-// highest is the greatest value that the plot needs space for.
+// highest returns the highest value of a plot: of a series or, if it is stacked, of the sums.
 func (p Plot) highest() (highest float64) {
 	for i := range p.Series[0].Values {
 		value := 0.0
@@ -197,7 +198,7 @@
 	}
 }
 
-// roundUp returns a round number that is not below x.
+// roundUp returns the least of the numbers 1, 2, 4, 5 and 10 times a power of ten that is not below x.
 func roundUp(x float64) float64 {
 	if x <= 0 {
 		return 1
--- a/internal/recording/chart/xy.go
+++ b/internal/recording/chart/xy.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// Point is a value with the interval that it lies in.
+// Point is a value Y for X. The value lies in the interval from Low to High; both are NaN or infinite if unknown.
 type Point struct{ X, Y, Low, High float64 }
 
-// Line is points of one kind, by rising X.
+// Line is a series of points, ordered by X.
 type Line struct {
 	Name, Colour string
 	Points       []Point
 }
 
-// XY is a chart of values over a number: lines with their intervals as bands.
+// XY is a chart of values over a parameter: lines with the intervals of their points as bands.
 type XY struct {
 	Title, Unit, Axis string
 	Height            float64
-	Log               bool // the number's axis is logarithmic
+	Log               bool // the parameter's axis is logarithmic
 	Lines             []Line
 }
 
-// Colours are for lines side by side.
+// Colours are those of the lines of a chart, in order, for lines without a colour.
 var Colours = []string{Blue, Orange, Green, Red, Grey, "#6b4ba1", "#00838f", "#8d6e63"}
 
 const (
-	maxXTicks    = 20  // along the number's axis
+	maxXTicks    = 20  // on the parameter's axis
 	xMargin      = 20  // between the plot area's edges and the first and last point
-	legendOffset = 110 // between the lines' names
+	legendOffset = 110 // between the starts of two legend entries
 	// minAxisRatio is the ratio of the lowest value to the highest below which the value axis begins at 0.
 	minAxisRatio = 0.6
 )
 
-// valueRange is what the axes span.
+// valueRange has the ends of both axes.
 type valueRange struct{ lowX, highX, lowY, highY float64 }
 
-// valueRange returns that of all points; ok is false if there are none.
+// valueRange returns the range of all points; ok is false if there are none.
 func (p XY) valueRange() (r valueRange, ok bool) {
 	r = valueRange{math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)}
 	for _, line := range p.Lines {
@@ -66,12 +66,12 @@
 	return r, true
 }
 
-// xyDrawing is an XY being drawn.
+// xyDrawing is an XY that is being drawn.
 type xyDrawing struct {
 	*canvas
 	valueRange
 	log    bool
-	ticked map[float64]bool // numbers that have a tick
+	ticked map[float64]bool // the values of X that have a tick
 }
 
 // Draw returns the chart as SVG.
@@ -104,15 +104,16 @@
 	return d.close()
 }
 
-// px is where a number stands.
+// px returns the horizontal position of a value of X.
 func (d *xyDrawing) px(x float64) float64 {
 	length := max(1e-9, d.scale(d.highX)-d.scale(d.lowX))
 	return plotLeft + (plotWidth-plotLeft-plotRight-2*xMargin)*(d.scale(x)-d.scale(d.lowX))/length + xMargin
 }
 
-// py is where a value stands.
+// py returns the vertical position of a value of Y.
 func (d *xyDrawing) py(v float64) float64 { return d.y((v - d.lowY) / (d.highY - d.lowY)) }
 
+// scale returns X as it is, or its logarithm on a logarithmic axis.
 func (d *xyDrawing) scale(x float64) float64 {
 	if d.log {
 		return math.Log(x)
@@ -120,8 +121,8 @@
 	return x
 }
 
-// drawLine draws a line's points, the line between them and the band of their intervals: along the upper ends, and back
-// along the lower ones.
+// drawLine draws a line's points, the line between them and the band of their intervals. The band's outline follows the
+// upper ends, and returns along the lower ones.
 func (d *xyDrawing) drawLine(line Line) {
 	var upper, values strings.Builder
 	lower := ""
@@ -148,7 +149,7 @@
 
 func pathStep(command string, x, y float64) string { return fmt.Sprintf("%s%.1f %.1f", command, x, y) }
 
-// drawPoint draws a point, and the tick of its number if that has none yet.
+// drawPoint draws a point, and the tick of its X if that has none yet.
 func (d *xyDrawing) drawPoint(line Line, point Point) {
 	d.printf(
 		`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`,
--- a/internal/recording/explain/events.go
+++ b/internal/recording/explain/events.go
@@ -74,7 +74,7 @@
 	endMessage(message, now, end)
 }
 
-// addOutcome notes an outcome as the possible cause of its endpoint's transitions in this step.
+// addOutcome adds an outcome to the texts that its endpoint's transitions in this step are reported with.
 func (b *builder) addOutcome(event *policy.Event) {
 	text := OutcomeName(event.Outcome)
 	if event.RetryAfter > 0 {
@@ -86,7 +86,8 @@
 	b.outcomes[event.Endpoint] = text
 }
 
-// endMessage notes the end of a message, and reports whether it had none. A nil message is not kept.
+// endMessage records the end of a message, and reports whether it had not ended before. It ignores a nil message, whose
+// history is not kept.
 func endMessage(message *Message, now time.Duration, end string) bool {
 	if message == nil || message.ended() {
 		return false
@@ -104,16 +105,17 @@
 		if destination := b.countingDestination(now, action); destination != nil {
 			destination.Rejected++
 		}
-		b.messageRefused(now, action, "refused")
+		b.endUndelivered(now, action, "refused")
 	case policy.Fail:
 		if destination := b.countingDestination(now, action); destination != nil {
 			destination.Failed++
 		}
-		b.messageRefused(now, action, "failed")
+		b.endUndelivered(now, action, "failed")
 	}
 }
 
-// countingDestination is the destination that an action counts for; nil if it is unknown or the time is out of range.
+// countingDestination returns the destination whose counts include an action, or nil if the destination is unknown or
+// the time is out of the report's range.
 func (b *builder) countingDestination(now time.Duration, action *policy.Action) *Destination {
 	id, known := b.destinationOf[action.MessageID]
 	if !known || !b.report.inRange(now) {
@@ -139,8 +141,8 @@
 	}
 }
 
-// messageRefused notes a final answer without a delivery.
-func (b *builder) messageRefused(now time.Duration, action *policy.Action, end string) {
+// endUndelivered records the final answer of a message that was not delivered.
+func (b *builder) endUndelivered(now time.Duration, action *policy.Action, end string) {
 	message := b.report.Messages[action.MessageID]
 	if endMessage(message, now, end) {
 		message.RetryAfter = action.Delay
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain says from a recording what messages waited for: for one message, a destination or a stretch of time.
-// It replays the recording and inspects, after each step, a copy of the decision engine. It decides nothing and does no
-// I/O.
+// Package explain finds the causes for which messages waited, from a recording: for one message, a destination or an
+// interval of time. It replays the recording and, between steps, inspects a copy of the decision engine. It does no I/O
+// but for writing its reports.
 package explain
 
 import (
@@ -16,27 +16,26 @@
 )
 
 const (
-	// minBin is the length of a bin of the time axis where it is short.
-	minBin = 250 * time.Millisecond
-	// maxBins bounds the bins of the time axis: they are longer where it is long.
+	// minBin is the least length of a bin of the time axis. Bins are longer if there would be more than maxBins.
+	minBin  = 250 * time.Millisecond
 	maxBins = 600
-	// maxTransitions and maxSpans bound the memory of a report; maxSpans those of one message.
+	// maxTransitions and maxSpans bound the memory of a report; maxSpans applies to each message.
 	maxTransitions = 100_000
 	maxSpans       = 1000
 )
 
-// Options say what is explained.
+// Options select what is explained.
 type Options struct {
-	From time.Duration // of the engine's time
+	From time.Duration // in the engine's time
 	To   time.Duration // 0: to the end
-	// SampleInterval is how often, in recorded time, the messages are inspected; 0: after each step. What blocks a
-	// message at one sample counts until the next.
+	// SampleInterval is the interval, in recorded time, at which the engine is inspected; 0: after each step. The cause
+	// that blocks a message at one sample counts until the next one.
 	SampleInterval time.Duration
-	// Messages keeps a Message of each message, by number; it takes memory in proportion to them.
+	// Messages adds the history of each message to the report, which needs memory for each of them.
 	Messages bool
 }
 
-// builder makes a report of a replay.
+// builder builds a report during a replay.
 type builder struct {
 	options       Options
 	report        *Report
@@ -44,13 +43,13 @@
 	destinations  map[policy.DestinationID]*Destination
 	endpoints     map[string]*Endpoint
 	destinationOf map[policy.MessageID]policy.DestinationID // by message
-	traces        map[policy.MessageID]string               // of messages that are not accepted yet
-	outcomes      map[string]string                         // of the current step, by endpoint
+	traces        map[policy.MessageID]string               // trace ids of messages that are not accepted yet
+	outcomes      map[string]string                         // texts of the current step's outcomes, by endpoint
 
-	steppedAt time.Duration    // the last step
-	sampledAt time.Duration    // the last sample
-	sampled   bool             // there is a last sample
-	blockers  []policy.Blocker // what blocked each waiting message at the last sample
+	steppedAt time.Duration    // the time of the last step
+	sampledAt time.Duration    // the time of the last sample
+	sampled   bool             // sampledAt and blockers are valid
+	blockers  []policy.Blocker // of each waiting message, at the last sample
 
 	err error
 }
@@ -74,7 +73,7 @@
 		Settings:   func(settings policy.Settings) { b.settings = settings },
 		Begin:      b.begin,
 		BeforeStep: b.beforeStep,
-		AfterStep:  b.step,
+		AfterStep:  b.afterStep,
 		Other:      b.other,
 	})
 	if err := cmp.Or(err, b.err); err != nil {
@@ -85,9 +84,9 @@
 	return report, nil
 }
 
-// newReport returns the empty report of a recording, with its time axis.
+// newReport returns an empty report with the time axis of a recording.
 func newReport(data []byte, options Options) (*Report, error) {
-	from, to, meta, err := extent(data)
+	from, to, meta, err := recordedInterval(data)
 	if err != nil {
 		return nil, err
 	}
@@ -116,15 +115,15 @@
 	}, nil
 }
 
-// extent is the time that a recording spans.
-func extent(data []byte) (from, to time.Duration, meta flightrecorder.Meta, err error) {
-	r, err := flightrecorder.NewReader(data)
+// recordedInterval returns the times of a recording's first and last steps, and the meta data of its last chunk.
+func recordedInterval(data []byte) (from, to time.Duration, meta flightrecorder.Meta, err error) {
+	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return 0, 0, meta, err
 	}
 	from = math.MaxInt64
 	for {
-		entry, ok, err := r.Next()
+		entry, ok, err := reader.Next()
 		if err != nil {
 			return 0, 0, meta, err
 		}
@@ -134,7 +133,7 @@
 		switch entry.Kind {
 		case flightrecorder.Begin:
 			meta = entry.Meta
-		case flightrecorder.Step: // a clock may step back
+		case flightrecorder.Step: // not in the order of time: the clock may go backwards
 			from = min(from, entry.Now)
 			to = max(to, entry.Now)
 		}
@@ -142,7 +141,7 @@
 	return min(from, to), to, meta, nil
 }
 
-// addDestinations puts the destinations and their endpoints into the report, sorted.
+// addDestinations adds the destinations and their endpoints to the report, sorted.
 func (b *builder) addDestinations() {
 	for _, destination := range b.destinations {
 		b.report.Destinations = append(b.report.Destinations, destination)
@@ -151,6 +150,7 @@
 	slices.SortFunc(b.report.Destinations, func(x, y *Destination) int { return cmp.Compare(x.ID, y.ID) })
 }
 
+// destination returns the destination with an id, which it creates if there is none.
 func (b *builder) destination(id policy.DestinationID) *Destination {
 	destination := b.destinations[id]
 	if destination == nil {
@@ -160,6 +160,7 @@
 	return destination
 }
 
+// endpoint returns the endpoint of a view, which it creates if there is none.
 func (b *builder) endpoint(view policy.EndpointView) *Endpoint {
 	endpoint := b.endpoints[view.ID]
 	if endpoint == nil {
@@ -171,20 +172,22 @@
 	return endpoint
 }
 
-// begin samples the state of an engine that was restored from a snapshot.
+// begin samples the engine at the start of a segment.
 func (b *builder) begin(engine *policy.Engine, entry *flightrecorder.Entry) {
 	b.sample(engine, entry.Now)
 }
 
-// beforeStep makes up for a step that came too soon after a sample to be sampled itself: what it left behind holds all
-// the while until the next step. Without this, a pause would be explained by what blocked messages before it.
+// beforeStep samples the state after the previous step if that step was not sampled, because it followed a sample too
+// soon, and if at least a sample interval has passed since. Otherwise that time would be attributed to the causes that
+// the earlier sample found.
 func (b *builder) beforeStep(engine *policy.Engine, entry *flightrecorder.Entry) {
 	if b.sampled && b.steppedAt > b.sampledAt && entry.Now-b.steppedAt >= b.options.SampleInterval {
 		b.sample(engine, b.steppedAt)
 	}
 }
 
-func (b *builder) step(engine *policy.Engine, entry *flightrecorder.Entry) {
+// afterStep processes the events and actions of a step, and samples the engine if a sample is due.
+func (b *builder) afterStep(engine *policy.Engine, entry *flightrecorder.Entry) {
 	now := entry.Now
 	b.steppedAt = now
 	clear(b.outcomes)
@@ -197,12 +200,13 @@
 	switch {
 	case !b.sampled || now < b.sampledAt || now-b.sampledAt >= b.options.SampleInterval:
 		b.sample(engine, now)
-	case len(b.outcomes) > 0: // so that transitions are reported with the outcomes that caused them
+	case len(b.outcomes) > 0: // transitions are reported with the outcomes of their step
 		views, _ := engine.Views()
 		b.updateEndpoints(now, views)
 	}
 }
 
+// other processes entries that are not steps.
 func (b *builder) other(entry *flightrecorder.Entry) {
 	switch entry.Kind {
 	case flightrecorder.Label:
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -14,13 +14,13 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// recordedEngine is an engine whose steps are recorded, with a clock and a timer.
+// recordedEngine is an engine whose steps are recorded, with a virtual clock and a timer.
 type recordedEngine struct {
 	engine   *policy.Engine
 	recorder *flightrecorder.Recorder
 	now      time.Duration
 	timerAt  time.Duration
-	sends    map[policy.MessageID]int // by message
+	sends    map[policy.MessageID]int // attempts by message
 }
 
 func newRecordedEngine(t *testing.T) *recordedEngine {
@@ -48,33 +48,33 @@
 	}
 }
 
-func (x *recordedEngine) step(events ...policy.Event) {
-	actions := x.engine.Step(x.now, events)
-	x.recorder.Step(x.now, events, actions)
+func (e *recordedEngine) step(events ...policy.Event) {
+	actions := e.engine.Step(e.now, events)
+	e.recorder.Step(e.now, events, actions)
 	for _, action := range actions {
 		switch action.Kind {
 		case policy.SetTimer:
-			x.timerAt = x.now + action.Delay
+			e.timerAt = e.now + action.Delay
 		case policy.Send:
-			x.sends[action.MessageID]++
+			e.sends[action.MessageID]++
 		}
 	}
 }
 
-// until lets time pass, and fires the timer when it is due.
-func (x *recordedEngine) until(at time.Duration) {
-	for x.timerAt > x.now && x.timerAt <= at {
-		x.now = x.timerAt
-		x.timerAt = 0
-		x.step(policy.Event{Kind: policy.TimerFired})
-	}
-	x.now = at
+// advanceTo sets the clock, and fires the timer each time that it is due before.
+func (e *recordedEngine) advanceTo(at time.Duration) {
+	for e.timerAt > e.now && e.timerAt <= at {
+		e.now = e.timerAt
+		e.timerAt = 0
+		e.step(policy.Event{Kind: policy.TimerFired})
+	}
+	e.now = at
 }
 
-func (x *recordedEngine) explain(t *testing.T, options Options) *Report {
+func (e *recordedEngine) explain(t *testing.T, options Options) *Report {
 	t.Helper()
 	var b bytes.Buffer
-	if _, err := x.recorder.WriteTo(&b); err != nil {
+	if _, err := e.recorder.WriteTo(&b); err != nil {
 		t.Fatal(err)
 	}
 	report, err := Explain(b.Bytes(), options)
@@ -98,18 +98,22 @@
 
 func connectFailed(id policy.MessageID, attempt int) policy.Event {
 	return policy.Event{
-		Kind: policy.AttemptFinished, MessageID: id, Attempt: attempt, Endpoint: "r", Outcome: policy.ConnectFailed,
+		Kind:      policy.AttemptFinished,
+		MessageID: id,
+		Attempt:   attempt,
+		Endpoint:  "r",
+		Outcome:   policy.ConnectFailed,
 	}
 }
 
 // recordRetryAfter records a message that is rejected with a Retry-After of two seconds, and then delivered.
 func recordRetryAfter(t *testing.T) *recordedEngine {
 	t.Helper()
-	x := newRecordedEngine(t)
-	x.recorder.Label(1, "trace-one")
-	x.step(endpointSnapshot(), accepted(1))
-	x.until(1100 * time.Millisecond)
-	x.step(policy.Event{
+	e := newRecordedEngine(t)
+	e.recorder.Label(1, "trace-one")
+	e.step(endpointSnapshot(), accepted(1))
+	e.advanceTo(1100 * time.Millisecond)
+	e.step(policy.Event{
 		Kind:       policy.AttemptFinished,
 		MessageID:  1,
 		Endpoint:   "r",
@@ -117,8 +121,8 @@
 		RetryAfter: 2 * time.Second,
 		Latency:    100 * time.Millisecond,
 	})
-	x.until(4 * time.Second)
-	x.step(policy.Event{
+	e.advanceTo(4 * time.Second)
+	e.step(policy.Event{
 		Kind:         policy.AttemptFinished,
 		MessageID:    1,
 		Attempt:      1,
@@ -127,10 +131,10 @@
 		Latency:      500 * time.Millisecond,
 		MessageEnded: true,
 	})
-	return x
+	return e
 }
 
-// A message that is rejected with a Retry-After waits for just that long.
+// TestMessageIsExplained checks that all of a message's wait is attributed to the Retry-After that caused it.
 func TestMessageIsExplained(t *testing.T) {
 	report := recordRetryAfter(t).explain(t, Options{Messages: true})
 	d := report.Destinations[0]
@@ -213,27 +217,27 @@
 	}
 }
 
-// The time is attributed to the cause that is there: an ejection after failures in a row.
-func TestSharesByCause(t *testing.T) {
-	x := newRecordedEngine(t)
-	x.step(endpointSnapshot(), accepted(1), accepted(2), accepted(3))
+// TestWaitsForAnEjectedEndpoint checks that the time after failures in a row is attributed to the ejection.
+func TestWaitsForAnEjectedEndpoint(t *testing.T) {
+	e := newRecordedEngine(t)
+	e.step(endpointSnapshot(), accepted(1), accepted(2), accepted(3))
 	for id := range policy.MessageID(3) {
-		x.until(x.now + 10*time.Millisecond)
-		x.step(connectFailed(id+1, 0))
+		e.advanceTo(e.now + 10*time.Millisecond)
+		e.step(connectFailed(id+1, 0))
 	}
-	x.until(x.now + 10*time.Millisecond)
+	e.advanceTo(e.now + 10*time.Millisecond)
 	var failed []policy.Event
-	for id, n := range x.sends {
+	for id, n := range e.sends {
 		if n == 2 {
 			failed = append(failed, connectFailed(id, 1))
 		}
 	}
-	x.step(failed...)
-	from := x.now
-	x.until(from + time.Second)
-	x.step(policy.Event{Kind: policy.TimerFired})
+	e.step(failed...)
+	from := e.now
+	e.advanceTo(from + time.Second)
+	e.step(policy.Event{Kind: policy.TimerFired})
 
-	report := x.explain(t, Options{From: from})
+	report := e.explain(t, Options{From: from})
 	d := report.Destinations[0]
 	ratio := d.Waits[policy.EndpointEjected] / d.Waits.Sum()
 	if ratio < 0.99 || d.Waits.Sum() < 2.5 || d.MaxQueued != 3 {
@@ -245,8 +249,8 @@
 	}
 }
 
-// The waits of a history with everything in it add up: those of destinations and those of messages are the same, and no
-// message waits longer than it was there.
+// TestWaitsAddUp checks on random histories that the sum of all waits is the same by destination and by message, and
+// that no message waits longer than the time from its acceptance to its end.
 func TestWaitsAddUp(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -259,16 +263,17 @@
 			if err != nil || report.Replay.Difference != nil || len(report.Destinations) != 5 {
 				t.Fatalf("%v, %+v", err, report.Replay)
 			}
-			byDestination, causes := 0.0, Waits{}
+			byDestination := 0.0
+			causes := Waits{}
 			for _, d := range report.Destinations {
 				byDestination += d.Waits.Sum()
-				for c, x := range d.Waits {
-					causes[c] += x
+				for cause, seconds := range d.Waits {
+					causes[cause] += seconds
 				}
 			}
 			byMessage := 0.0
 			for _, m := range report.Messages {
-				byMessage += checkedWait(t, report, m)
+				byMessage += messageWait(t, report, m)
 			}
 			if math.Abs(byDestination-byMessage) > 0.001*byDestination || byDestination == 0 {
 				t.Errorf("%v message-seconds by destination, %v by message", byDestination, byMessage)
@@ -280,8 +285,8 @@
 	}
 }
 
-// checkedWait is how long a message waited, which is not longer than it was there.
-func checkedWait(t *testing.T, report *Report, m *Message) (waited float64) {
+// messageWait returns the time that a message waited, and checks that it is not longer than the message's life.
+func messageWait(t *testing.T, report *Report, m *Message) (waited float64) {
 	t.Helper()
 	for _, s := range m.Spans {
 		waited += (s.To - s.From).Seconds()
@@ -296,7 +301,7 @@
 	return waited
 }
 
-func TestNothingToExplain(t *testing.T) {
+func TestEmptyRecordingIsAnError(t *testing.T) {
 	if _, err := Explain(nil, Options{}); err == nil {
 		t.Error("nothing was explained")
 	}
--- a/internal/recording/explain/html.go
+++ b/internal/recording/explain/html.go
@@ -23,7 +23,8 @@
 	Changes string
 }
 
-// WriteHTML writes one page with plots, all on one time axis, without a script. Ejections are shaded.
+// WriteHTML writes one page with plots, all on one time axis, without a script. The times in which an endpoint was
+// ejected, warming up or under a Retry-After are shaded.
 func WriteHTML(w io.Writer, report *Report) error {
 	var text, transitions strings.Builder
 	if err := WriteText(&text, report); err != nil {
@@ -72,7 +73,8 @@
 	return drawn
 }
 
-// endpointPlots draws an endpoint's outcomes, and before them the limit scope that it is the first endpoint of.
+// endpointPlots draws an endpoint's outcomes. If it is the first endpoint of its limit scope, a plot of the scope's
+// limit and pacing rate precedes them.
 func endpointPlots(axis *chart.Timeline, endpoint *Endpoint, bin time.Duration) (drawn []template.HTML) {
 	if endpoint.LimitScope == endpoint.Name {
 		drawn = append(drawn, axis.Draw(chart.Plot{
@@ -109,7 +111,7 @@
 	})
 }
 
-// withGaps leaves out bins without a value.
+// withGaps returns a series in which the value 0, which means unknown, is a gap.
 func withGaps(values []float64) []float64 {
 	out := slices.Clone(values)
 	for i, v := range out {
@@ -128,7 +130,7 @@
 	return out
 }
 
-// shadedSpans are the times in which an endpoint was ejected, warming up or under a Retry-After.
+// shadedSpans returns the intervals in which an endpoint was ejected, warming up or under a Retry-After.
 func shadedSpans(endpoint *Endpoint, bin time.Duration) (shades []chart.Shade) {
 	for _, state := range []struct {
 		name  string
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -63,7 +63,7 @@
 		Endpoint string  `json:"route"`
 		To       float64 `json:"to"`
 	}
-	// attemptRecord has EndedAt, Outcome and RetryAfter only of an attempt that has ended.
+	// attemptRecord has EndedAt, Outcome and RetryAfter only if the attempt has ended.
 	attemptRecord struct {
 		SentAt     float64  `json:"at"`
 		EndedAt    *float64 `json:"ended,omitempty"`
@@ -74,8 +74,8 @@
 	}
 )
 
-// WriteJSON writes a report as JSON Lines: one line for the report, one for each destination, transition and message,
-// told apart by "kind". Times are in seconds of the engine's clock.
+// WriteJSON writes a report as JSON Lines: one line for the report, and one for each destination, transition and
+// message. The key "kind" says which of these a line is. Times are in seconds of the engine's clock.
 func WriteJSON(w io.Writer, report *Report) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(newReportLine(report)); err != nil {
@@ -88,8 +88,12 @@
 	}
 	for _, t := range report.Transitions {
 		line := transitionLine{
-			Kind: "transition", At: t.At.Seconds(), Destination: t.Destination, Endpoint: t.Endpoint, Text: t.Text,
-			Outcome: t.Outcome,
+			Kind:        "transition",
+			At:          t.At.Seconds(),
+			Destination: t.Destination,
+			Endpoint:    t.Endpoint,
+			Text:        t.Text,
+			Outcome:     t.Outcome,
 		}
 		if err := out.Encode(line); err != nil {
 			return err
@@ -153,7 +157,10 @@
 	}
 	for _, span := range m.Spans {
 		record.Spans = append(record.Spans, spanRecord{
-			From: span.From.Seconds(), To: span.To.Seconds(), Cause: CauseName(span.Cause), Endpoint: span.Endpoint,
+			From:     span.From.Seconds(),
+			To:       span.To.Seconds(),
+			Cause:    CauseName(span.Cause),
+			Endpoint: span.Endpoint,
 		})
 	}
 	for _, attempt := range m.Attempts {
--- a/internal/recording/explain/names.go
+++ b/internal/recording/explain/names.go
@@ -6,7 +6,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// causeNames are the texts for what blocks a message. The JSON form has them as keys.
+// causeNames are the texts for the causes that block a message. They are keys in the JSON form.
 var causeNames = [...]string{
 	policy.NotBlocked:        "its turn in the queue",
 	policy.AttemptsExhausted: "no attempt or time left",
@@ -33,7 +33,7 @@
 	return causeNames[cause]
 }
 
-// outcomeNames are the texts for how a call ended. The JSON form has them as keys and values.
+// outcomeNames are the texts for the outcomes of calls. They are keys and values in the JSON form.
 var outcomeNames = [...]string{
 	policy.OK:            "delivered",
 	policy.Error:         "error",
--- a/internal/recording/explain/report.go
+++ b/internal/recording/explain/report.go
@@ -11,36 +11,36 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Report explains one recording. Series have a value for each bin of the time axis.
+// Report explains one recording. Slices of numbers are series with a value for each bin of the time axis.
 type Report struct {
 	Meta             flightrecorder.Meta
 	Replay           replay.Result
 	From             time.Duration
 	To               time.Duration
-	Bin              time.Duration
+	Bin              time.Duration // the length of a bin
 	Bins             int
-	Destinations     []*Destination // by number
+	Destinations     []*Destination // ordered by number
 	Transitions      []Transition
-	InFlightCalls    []float64 // the most in each bin
+	InFlightCalls    []float64 // the maximum in each bin
 	MaxInFlightCalls int       // as configured
-	Queued           []float64 // messages waiting, the most in each bin
+	Queued           []float64 // messages waiting, the maximum in each bin
 	Messages         map[policy.MessageID]*Message
 	Notes            []string
-	Truncated        bool // there were more transitions or spans than are kept
+	Truncated        bool // there were more transitions or spans than maxTransitions or maxSpans
 }
 
-// bin returns the bin of a time; times off the axis count at its ends.
+// bin returns the bin of a time; times off the axis are in the first or the last bin.
 func (r *Report) bin(at time.Duration) int {
 	return min(r.Bins-1, max(0, int((at-r.From)/r.Bin)))
 }
 
 func (r *Report) inRange(at time.Duration) bool { return at >= r.From && at <= r.To }
 
-// Destination is what happened at one destination.
+// Destination has the counts of one destination. Except for Calls they count messages.
 type Destination struct {
 	ID        policy.DestinationID
 	Accepted  int
-	Calls     map[policy.Outcome]int // that ended, by outcome, counted for each message
+	Calls     map[policy.Outcome]int // attempts that ended, by outcome
 	Sent      int
 	Rejected  int
 	Failed    int
@@ -55,18 +55,18 @@
 	Destination policy.DestinationID
 	LimitScope  string // the name of the first endpoint of its limit scope
 
-	// The state of its limit scope at the end of each bin, in calls a second; 0: there is none.
+	// The state of its limit scope at the end of each bin, in calls a second; 0: unknown.
 	PacingRate       []float64
 	LastRejectedRate []float64
 	EstimatedLimit   []float64
 
-	Queued    []float64 // messages waiting at the destination, the most in each bin
-	Delivered []float64 // outcomes in each bin
+	Queued    []float64 // messages waiting at the destination, the maximum in each bin
+	Delivered []float64 // attempts that ended in each bin, by outcome
 	Rejected  []float64
 	Failed    []float64
-	Sent      []float64
+	Sent      []float64 // attempts that were sent in each bin
 
-	// Whether it was so at some time of the bin.
+	// Whether the endpoint was in the state at some time of the bin.
 	Ejected    []bool
 	WarmingUp  []bool
 	RetryAfter []bool
@@ -94,7 +94,7 @@
 	}
 }
 
-// outcomeSeries is the series that counts an outcome.
+// outcomeSeries returns the series that counts an outcome.
 func (e *Endpoint) outcomeSeries(outcome policy.Outcome) []float64 {
 	switch outcome {
 	case policy.OK:
@@ -115,12 +115,12 @@
 	Outcome     string // that caused it, where one did
 }
 
-// Span is a time in which one cause blocked a message.
+// Span is an interval in which one cause blocked a message.
 type Span struct {
 	From, To time.Duration
 	Cause    policy.BlockCause
 	Endpoint string
-	Until    time.Duration // its end, as the engine expected it; math.MaxInt64: unknown
+	Until    time.Duration // the end that the engine expected; math.MaxInt64: unknown
 }
 
 // Attempt is an attempt to send a message, and its outcome.
@@ -135,7 +135,7 @@
 	RetryAfter time.Duration
 }
 
-// Message is what happened to one message.
+// Message is the history of one message.
 type Message struct {
 	ID              policy.MessageID
 	Trace           string
@@ -155,32 +155,31 @@
 // ended reports whether the message has ended.
 func (m *Message) ended() bool { return m.EndedAt != 0 }
 
-// Waits is how long messages waited for each cause, in message-seconds.
+// Waits is the time that messages waited for each cause, in message-seconds.
 type Waits map[policy.BlockCause]float64
 
-// Sum is the time for all causes.
+// Sum returns the time for all causes.
 func (w Waits) Sum() (sum float64) {
-	for _, x := range w {
-		sum += x
+	for _, seconds := range w {
+		sum += seconds
 	}
 	return sum
 }
 
-// Sorted returns the causes that took time, the longest first.
+// Sorted returns the causes with a time above 0, the longest time first.
 func (w Waits) Sorted() (causes []policy.BlockCause) {
-	for c, x := range w {
-		if x > 0 {
-			causes = append(causes, c)
+	for cause, seconds := range w {
+		if seconds > 0 {
+			causes = append(causes, cause)
 		}
 	}
-	slices.SortFunc(
-		causes,
-		func(a, b policy.BlockCause) int { return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b)) },
-	)
+	slices.SortFunc(causes, func(a, b policy.BlockCause) int {
+		return cmp.Or(cmp.Compare(w[b], w[a]), cmp.Compare(a, b))
+	})
 	return causes
 }
 
-// minShownRatio is the part of the time below which FormatShares leaves a cause out.
+// minShownRatio is the least share of the time with which FormatShares lists a cause.
 const minShownRatio = 0.005
 
 // FormatShares lists the causes with their shares of the time, the largest first.
@@ -190,15 +189,16 @@
 		return "nothing"
 	}
 	var parts []string
-	for _, c := range w.Sorted() {
-		if ratio := w[c] / sum; ratio >= minShownRatio {
-			parts = append(parts, percentage(c, ratio))
+	for _, cause := range w.Sorted() {
+		if ratio := w[cause] / sum; ratio >= minShownRatio {
+			parts = append(parts, formatShare(cause, ratio))
 		}
 	}
 	return strings.Join(parts, ", ")
 }
 
-// DestinationsByWait returns the destinations, those whose messages waited longest first.
+// DestinationsByWait returns the destinations of a report, ordered by the time that their messages waited, the longest
+// first.
 func DestinationsByWait(report *Report) []*Destination {
 	sorted := slices.Clone(report.Destinations)
 	slices.SortStableFunc(sorted, func(a, b *Destination) int {
--- a/internal/recording/explain/sample.go
+++ b/internal/recording/explain/sample.go
@@ -9,7 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// sample inspects the engine after a step.
+// sample attributes the time since the last sample, records the state of the engine and finds what blocks each waiting
+// message.
 func (b *builder) sample(engine *policy.Engine, now time.Duration) {
 	b.attributeWaits(now)
 	views, inFlight := engine.Views()
@@ -26,17 +27,17 @@
 	if !waiting && len(b.destinations) > 0 && len(views) > 0 {
 		return
 	}
-	// Blockers may make endpoints suspect, as a dispatch does: a copy is inspected.
+	// Blockers changes the engine, as a dispatch does. A copy is inspected, so that the replay stays as recorded.
 	copied, err := policy.Restore(b.settings, engine.Snapshot(nil))
 	if err != nil {
 		b.err = cmp.Or(b.err, fmt.Errorf("explain: %w", err))
 		return
 	}
-	b.blockers = firstToEnd(copied.Blockers())
+	b.blockers = earliestBlockers(copied.Blockers())
 }
 
-// queuedMessages is the number of messages waiting at all destinations. Each endpoint's view has that of its
-// destination.
+// queuedMessages returns the number of messages waiting at all destinations. The views of all endpoints of a
+// destination have the number of the destination.
 func queuedMessages(views []policy.EndpointView) (queued int) {
 	counted := map[policy.DestinationID]bool{}
 	for i := range views {
@@ -48,8 +49,9 @@
 	return queued
 }
 
-// firstToEnd keeps, for each message, the blocker that ends first: that of the endpoint that it will be sent to.
-func firstToEnd(blockers []policy.Blocker) []policy.Blocker {
+// earliestBlockers returns, for each message, the blocker that ends first, which is that of the endpoint that the
+// message will be sent to.
+func earliestBlockers(blockers []policy.Blocker) []policy.Blocker {
 	kept := blockers[:0]
 	for _, blocker := range blockers {
 		n := len(kept)
@@ -65,7 +67,7 @@
 	return kept
 }
 
-// attributeWaits counts the time since the last sample for the causes that were found then.
+// attributeWaits adds the time since the last sample to the waits of the causes that were found at that sample.
 func (b *builder) attributeWaits(now time.Duration) {
 	from, to := max(b.sampledAt, b.report.From), min(now, b.report.To)
 	if !b.sampled || to <= from {
@@ -73,14 +75,20 @@
 	}
 	for _, blocker := range b.blockers {
 		id, known := b.destinationOf[blocker.MessageID]
-		if !known { // accepted before the recording began
+		if !known { // accepted before the start of the recording
 			if endpoint := b.endpoints[blocker.Endpoint]; endpoint != nil {
 				id = endpoint.Destination
 			}
 		}
 		b.destination(id).Waits[blocker.Cause] += (to - from).Seconds()
 		if message := b.report.Messages[blocker.MessageID]; message != nil {
-			b.addSpan(message, Span{from, to, blocker.Cause, blocker.Endpoint, blocker.Until})
+			b.addSpan(message, Span{
+				From:     from,
+				To:       to,
+				Cause:    blocker.Cause,
+				Endpoint: blocker.Endpoint,
+				Until:    blocker.Until,
+			})
 		}
 	}
 }
@@ -103,7 +111,7 @@
 	message.Spans = append(message.Spans, span)
 }
 
-// updateEndpoints records the endpoints' state, and what has changed since the last time.
+// updateEndpoints records the state of the endpoints, and its transitions since the last call.
 func (b *builder) updateEndpoints(now time.Duration, views []policy.EndpointView) {
 	firstOfDestination := map[policy.DestinationID]string{} // of the endpoints that share the destination's limit
 	for i := range views {
@@ -136,7 +144,8 @@
 	return view.Kind < 0 || view.Kind >= len(kinds) || !kinds[view.Kind].LimitPerEndpoint
 }
 
-// fillBins fills an endpoint's series up to now. The last state holds until now.
+// fillBins fills an endpoint's series up to now: the bins since the last call with the last state, the current one with
+// the present state.
 func (b *builder) fillBins(endpoint *Endpoint, now time.Duration, view *policy.EndpointView) {
 	first, current := 0, b.report.bin(now)
 	if endpoint.seen {
@@ -158,7 +167,7 @@
 	}
 }
 
-// addTransitions adds the differences between an endpoint's last state and its present one.
+// addTransitions adds a transition for each difference between an endpoint's last state and its present one.
 func (b *builder) addTransitions(now time.Duration, endpoint *Endpoint, view *policy.EndpointView) {
 	last := &endpoint.last
 	if view.InService != last.InService {
@@ -168,7 +177,7 @@
 			b.addTransition(now, view, "drains")
 		}
 	}
-	if endpoint.LimitScope == view.ID { // the state of a scope is reported once, with its first endpoint
+	if endpoint.LimitScope == view.ID { // transitions of a scope are added once, for its first endpoint
 		b.addScopeTransitions(now, last, view)
 	}
 	switch {
@@ -187,7 +196,7 @@
 	}
 }
 
-// addScopeTransitions adds those of the limit scope that an endpoint belongs to.
+// addScopeTransitions adds the transitions of an endpoint's limit scope.
 func (b *builder) addScopeTransitions(now time.Duration, last, view *policy.EndpointView) {
 	if view.DecreasedAt != last.DecreasedAt {
 		b.addTransition(
@@ -217,6 +226,7 @@
 	})
 }
 
+// formatRate returns the text of a pacing rate, which is 0 if the scope is not paced.
 func formatRate(rate float64) string {
 	if rate == 0 {
 		return "free"
--- a/internal/recording/explain/text.go
+++ b/internal/recording/explain/text.go
@@ -23,11 +23,12 @@
 	}
 }
 
-func percentage(cause policy.BlockCause, ratio float64) string {
+// formatShare returns the text for a cause with its share of the time.
+func formatShare(cause policy.BlockCause, ratio float64) string {
 	return fmt.Sprintf("%s %.0f %%", CauseName(cause), 100*ratio)
 }
 
-// WriteText writes a report's destinations, those whose messages waited longest first.
+// WriteText writes a table of a report's destinations, ordered by the time that their messages waited.
 func WriteText(w io.Writer, report *Report) error {
 	p := &printer{w: w}
 	p.header(report)
@@ -73,7 +74,7 @@
 	}
 }
 
-// WriteTransitions writes the transitions of a destination's endpoints, or of all where id is negative.
+// WriteTransitions writes the transitions of a destination's endpoints, or of all endpoints if id is negative.
 func WriteTransitions(w io.Writer, report *Report, id policy.DestinationID) error {
 	p := &printer{w: w}
 	for _, t := range report.Transitions {
@@ -89,13 +90,13 @@
 	return p.err
 }
 
-// messageLine is a line of a message's history.
-type messageLine struct {
+// historyLine is a line of a message's history.
+type historyLine struct {
 	at   time.Duration
 	text string
 }
 
-// WriteMessage writes what happened to a message, in order of time.
+// WriteMessage writes the history of a message, in order of time.
 func WriteMessage(w io.Writer, m *Message) error {
 	p := &printer{w: w}
 	recovered := ""
@@ -106,7 +107,7 @@
 		"message %d (%s) for destination %d, class %d, taken at %.3fs with %.3fs left%s",
 		m.ID, m.Trace, m.Destination, m.Class, m.AcceptedAt.Seconds(), m.TimeLeft.Seconds(), recovered,
 	)
-	var lines []messageLine
+	var lines []historyLine
 	for _, span := range m.Spans {
 		lines = append(lines, span.line())
 	}
@@ -116,27 +117,28 @@
 	if m.ended() {
 		lines = append(lines, m.endLine())
 	}
-	slices.SortStableFunc(lines, func(a, b messageLine) int { return cmp.Compare(a.at, b.at) })
-	for _, l := range lines {
-		p.line("%9.3fs  %s", l.at.Seconds(), l.text)
+	slices.SortStableFunc(lines, func(a, b historyLine) int { return cmp.Compare(a.at, b.at) })
+	for _, line := range lines {
+		p.line("%9.3fs  %s", line.at.Seconds(), line.text)
 	}
 	return p.err
 }
 
-func (s Span) line() messageLine {
+func (s Span) line() historyLine {
 	until := ""
 	if s.Until != math.MaxInt64 && s.Until > s.To {
 		until = fmt.Sprintf(", by then until %.3fs", s.Until.Seconds())
 	}
 	length := (s.To - s.From).Seconds()
-	return messageLine{s.From, fmt.Sprintf("waits %6.3fs: %s %s%s", length, CauseName(s.Cause), s.Endpoint, until)}
+	text := fmt.Sprintf("waits %6.3fs: %s %s%s", length, CauseName(s.Cause), s.Endpoint, until)
+	return historyLine{at: s.From, text: text}
 }
 
-func (a Attempt) lines() []messageLine {
-	lines := []messageLine{{
-		a.SentAt,
-		fmt.Sprintf("attempt %d leaves for %s, to be cut off at %.3fs", a.Number, a.Endpoint, a.TimeoutAt.Seconds()),
-	}}
+func (a Attempt) lines() []historyLine {
+	sent := fmt.Sprintf(
+		"attempt %d leaves for %s, to be cut off at %.3fs", a.Number, a.Endpoint, a.TimeoutAt.Seconds(),
+	)
+	lines := []historyLine{{at: a.SentAt, text: sent}}
 	if a.EndedAt <= 0 {
 		return lines
 	}
@@ -144,17 +146,18 @@
 	if a.RetryAfter > 0 {
 		retryAfter = fmt.Sprintf(", told to wait %v", a.RetryAfter)
 	}
-	return append(lines, messageLine{
-		a.EndedAt,
-		fmt.Sprintf("attempt %d: %s after %.3fs%s", a.Number, OutcomeName(a.Outcome), a.Latency.Seconds(), retryAfter),
-	})
+	ended := fmt.Sprintf(
+		"attempt %d: %s after %.3fs%s", a.Number, OutcomeName(a.Outcome), a.Latency.Seconds(), retryAfter,
+	)
+	return append(lines, historyLine{at: a.EndedAt, text: ended})
 }
 
-func (m *Message) endLine() messageLine {
+func (m *Message) endLine() historyLine {
 	retryAfter := ""
 	if m.RetryAfter > 0 {
 		retryAfter = fmt.Sprintf(", to come again after %v", m.RetryAfter)
 	}
 	age := (m.EndedAt - m.AcceptedAt).Seconds()
-	return messageLine{m.EndedAt, fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, age, retryAfter)}
+	text := fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, age, retryAfter)
+	return historyLine{at: m.EndedAt, text: text}
 }
--- a/internal/recording/fleetstats/counts.go
+++ b/internal/recording/fleetstats/counts.go
@@ -1,18 +1,18 @@
 package fleetstats
 
-// Counts are what a fleet did with a limit scope in a bin of time.
+// Counts are those of a limit scope in a bin of time, over all relays.
 type Counts struct {
-	Accepted         int // messages, those that an earlier process had included
-	Recovered        int // of them, those that an earlier process had
+	Accepted         int // messages, including the recovered ones
+	Recovered        int // messages that an earlier process had accepted
 	Calls            int
 	Sent             int // messages in these calls
-	Rejected         int // calls that ended as overloaded
-	WithRetryAfter   int // of them, those with a Retry-After
-	FailedCalls      int // calls that ended otherwise, but delivered nothing
+	Rejected         int // calls that delivered nothing, and that the endpoint rejected as overloaded
+	WithRetryAfter   int // rejected calls with a Retry-After
+	FailedCalls      int // other calls that delivered nothing
 	Delivered        int // messages
-	Late             int // of them, after their latency objective
+	Late             int // messages that were delivered after their latency objective
 	RejectedMessages int // final answers that ask the client to retry
-	FailedMessages   int // final answers that give up
+	FailedMessages   int // final answers that a message has failed
 }
 
 func (c *Counts) add(other *Counts) {
--- a/internal/recording/fleetstats/fleetstats.go
+++ b/internal/recording/fleetstats/fleetstats.go
@@ -1,5 +1,5 @@
-// Package fleetstats counts across the recordings of a whole fleet what no relay sees by itself: what all of them
-// together sent to a destination, and the outcomes. It is pure: it reads recordings that others have loaded.
+// Package fleetstats counts, over the recordings of all relays of a fleet, their messages and calls to each destination
+// and the outcomes. It is pure: its input are recordings that the caller has loaded.
 package fleetstats
 
 import (
@@ -9,17 +9,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
-// Fleet is what all recordings together contain. A limit scope is named by its destination or, where each endpoint has
-// a limit of its own, by destination and endpoint.
+// Fleet has the counts of all recordings. The name of a limit scope is its destination or, where each endpoint has a
+// limit of its own, DESTINATION/ENDPOINT.
 type Fleet struct {
 	Relays int
 	Start  time.Time // of the process that started first
 	Bin    time.Duration
-	Bins   map[int]map[string]Counts // by time since Start in bins, and by limit scope
+	Bins   map[int]map[string]Counts // by number of the bin, from Start, and by limit scope
 	Limits map[string]float64        // the last limit of each scope in the endpoint list, in calls a second
 }
 
-// Read counts recordings, in bins of a length. What is damaged in them is skipped.
+// Read counts over recordings, in bins of a length. It skips damaged parts.
 func Read(recordings []flightrecorder.Recording, bin time.Duration) (*Fleet, error) {
 	f := &Fleet{Bins: map[int]map[string]Counts{}, Limits: map[string]float64{}, Bin: bin}
 	names := map[string]bool{}
@@ -38,7 +38,7 @@
 	return f, nil
 }
 
-// counts returns a scope's counts in a bin, to be changed and stored by the caller.
+// counts returns the bin of a time and a scope's counts in it. The caller changes the counts and stores them in bin.
 func (f *Fleet) counts(at time.Time, scope string) (bin map[string]Counts, counts Counts) {
 	number := int(at.Sub(f.Start) / f.Bin)
 	if f.Bins[number] == nil {
--- a/internal/recording/fleetstats/fleetstats_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -35,8 +35,8 @@
 	return flightrecorder.Recording{Data: data.Bytes(), Meta: meta}
 }
 
-// recordRelay records one relay: a call of two messages is rejected with a Retry-After, and one of the messages is
-// delivered later, past its objective. A call to another destination times out.
+// recordRelay records one relay: a call with two messages is rejected with a Retry-After, and one of the messages is
+// delivered later, after its latency objective. A call to another destination times out.
 func recordRelay(t *testing.T, name string, started time.Time) flightrecorder.Recording {
 	t.Helper()
 	meta := flightrecorder.Meta{
@@ -82,7 +82,7 @@
 	return recordingOf(t, recorder, meta)
 }
 
-// readTwoRelays reads the recordings of two relays, of which the second started a second later.
+// readTwoRelays counts over the recordings of two relays, of which the second started a second later.
 func readTwoRelays(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := Read([]flightrecorder.Recording{
@@ -126,6 +126,7 @@
 	}
 }
 
+// TestWriteOneScope prints one scope by bin: two lines of header and, up to 2 s, one bin.
 func TestWriteOneScope(t *testing.T) {
 	var out bytes.Buffer
 	err := readTwoRelays(t).Write(&out, 0, 2*time.Second, "1")
@@ -134,8 +135,8 @@
 	}
 }
 
-// A recording that begins with a snapshot, such as a ring buffer that was written out, has its limit scopes in the
-// engine's state. Final answers to messages that were accepted before count for an unknown scope.
+// TestRecordingThatStartsWithASnapshot counts over a recording without an endpoint list, as in a dump of the ring: the
+// limit scopes are those of the engine's state. Messages that were accepted before it are not counted as accepted.
 func TestRecordingThatStartsWithASnapshot(t *testing.T) {
 	settings := policy.Settings{
 		Classes:          []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}},
--- a/internal/recording/fleetstats/reader.go
+++ b/internal/recording/fleetstats/reader.go
@@ -10,16 +10,17 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// unknownScope is that of a message that was accepted before its recording begins.
+// unknownScope is the scope of messages that were accepted before their recording begins, and of unlisted endpoints.
 const unknownScope = "?"
 
-// message is a message that was accepted.
+// message is an accepted message.
 type message struct {
 	scope       string
-	objectiveAt time.Duration // when its latency objective is missed
+	objectiveAt time.Duration // the time until which its latency objective is met
 }
 
-// call collects the attempts of one call. They are sent in one step, to one endpoint, and end in one.
+// call is a call to an endpoint, which has an attempt of each of its messages. A recording has only the attempts: those
+// of one call are sent in one step and finish in one step.
 type call struct {
 	scope      string
 	unfinished int // attempts
@@ -28,14 +29,14 @@
 	delivered  bool
 }
 
-// endpoint is what an entry of the endpoint list says of limit scopes.
+// endpoint is the part of a listed endpoint that decides to which limit scope its calls belong.
 type endpoint struct {
 	destination string
 	scope       string
 	maxBatch    int // messages in a call
 }
 
-// recordingReader counts one recording.
+// recordingReader counts over one recording.
 type recordingReader struct {
 	*Fleet
 	meta      flightrecorder.Meta
@@ -70,8 +71,8 @@
 	}
 }
 
-// begin takes the settings of a chunk. A recording that begins with a snapshot has no endpoint list yet: the engine's
-// state has it. Where this build cannot read that, calls count for an unknown scope until a list comes.
+// begin applies the settings of a chunk. In a recording that begins with a snapshot it reads the endpoints from the
+// engine's state. If this build cannot restore that, calls count for an unknown scope until the next endpoint list.
 func (r *recordingReader) begin(entry *flightrecorder.Entry) {
 	r.meta.Settings = entry.Meta.Settings
 	if entry.Fresh || len(r.endpoints) > 0 {
@@ -100,7 +101,7 @@
 	r.Limits[e.scope] = listed.Weight
 }
 
-// endpoint returns that of a name.
+// endpoint returns the listed endpoint with a name, or one with an unknown scope.
 func (r *recordingReader) endpoint(name string) endpoint {
 	if e, ok := r.endpoints[name]; ok {
 		return e
@@ -108,7 +109,7 @@
 	return endpoint{unknownScope, unknownScope, 1}
 }
 
-// message returns an accepted message, or one of which nothing is known.
+// message returns an accepted message, or one with an unknown scope that is never late.
 func (r *recordingReader) message(id policy.MessageID) message {
 	if m, ok := r.messages[id]; ok {
 		return m
@@ -127,7 +128,7 @@
 	for i := range entry.Events {
 		r.event(entry.Now, &entry.Events[i])
 	}
-	openCalls := map[string]*call{} // that may still take a message, by endpoint
+	openCalls := map[string]*call{} // the last call of this step, by endpoint
 	for i := range entry.Actions {
 		action := &entry.Actions[i]
 		switch action.Kind {
@@ -141,7 +142,7 @@
 	}
 }
 
-// messageSent counts a message as part of the open call to its endpoint, or of a new one where that is full.
+// messageSent counts a message as part of the open call to its endpoint, or of a new one if that is full.
 func (r *recordingReader) messageSent(now time.Duration, action *policy.Action, openCalls map[string]*call) {
 	to := r.endpoint(action.Endpoint)
 	open := openCalls[action.Endpoint]
@@ -207,7 +208,7 @@
 	}
 }
 
-// countFailure counts a call that has ended, if it delivered nothing.
+// countFailure counts a finished call as rejected or failed if it delivered nothing.
 func (c *call) countFailure(counts *Counts) {
 	switch {
 	case c.delivered:
--- a/internal/recording/fleetstats/write.go
+++ b/internal/recording/fleetstats/write.go
@@ -10,18 +10,16 @@
 	"time"
 )
 
-// allScopes is the scope for which Write sums up all of them by bin.
+// allScopes is the scope for which Write prints the sums of all scopes, by bin.
 const allScopes = "all"
 
 const tableHeader = "place\ttold/s\ttaken\tresumed\tcalls\tsent\tfull\twaits\tbad\tok\tlate\tdeferred\tfailed\t"
 
-// Write prints the counts between two times as a table: by limit scope or, for one scope, by bin. To 0 is the end.
+// Write prints the counts between two times as a table: a row for each limit scope or, if a scope is given, a row for
+// each bin. If to is 0 the table has everything from the time from on.
 func (f *Fleet) Write(w io.Writer, from, to time.Duration, scope string) error {
 	rows := f.rows(from, to, scope)
-	keys := slices.SortedFunc(
-		maps.Keys(rows),
-		func(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) },
-	)
+	keys := slices.SortedFunc(maps.Keys(rows), compareKeys)
 	if _, err := fmt.Fprintf(w, "%d relays, from %s\n", f.Relays, f.Start.Format(time.RFC3339)); err != nil {
 		return err
 	}
@@ -43,7 +41,12 @@
 	return table.Flush()
 }
 
-// rows sums up the counts between two times, by the key of their row.
+// compareKeys orders short keys before long ones, so that destinations are in the order of their numbers.
+func compareKeys(a, b string) int {
+	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
+}
+
+// rows returns the sums of the counts between two times, by the key of their row.
 func (f *Fleet) rows(from, to time.Duration, scope string) map[string]*Counts {
 	rows := map[string]*Counts{}
 	for bin, scopes := range f.Bins {
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay feeds a recording of a relay's decisions to the decision module as it is built into this program, in
-// the recording's own time, and reports whether it decides the same. It does no I/O.
+// Package replay replays a recording of a relay's decisions on the decision engine of this build: it steps the engine
+// with the recorded events and times, and reports whether the actions are the recorded ones. It does no I/O.
 package replay
 
 import (
@@ -16,55 +16,55 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// ErrNoStart reports that a recording has no chunk from which it can be replayed.
+// ErrNoStart reports that a recording has no chunk at which a replay can start.
 var ErrNoStart = errors.New("replay: no chunk of the recording can be played from")
 
-// maxLost bounds what is reported of a recording that is damaged all over.
+// maxLost bounds the entries of Result.Lost.
 const maxLost = 100
 
-// Visitor sees a replay as it goes. Any of its functions may be nil. Engines must not be stepped by it.
+// Visitor has functions that are called during a replay. Any of them may be nil. They must not step the engine.
 type Visitor struct {
-	// Begin is called with each engine that a segment is replayed on, before its first step.
-	Begin func(s *policy.Engine, e *flightrecorder.Entry)
-	// Settings is called with the settings that are in force from here on.
-	Settings func(set policy.Settings)
-	// BeforeStep is called before a step, with the engine as the step before left it.
-	BeforeStep func(s *policy.Engine, e *flightrecorder.Entry)
-	// AfterStep is called after a step was replayed.
-	AfterStep func(s *policy.Engine, e *flightrecorder.Entry)
-	// Other is called with labels, notes, and what is lost.
-	Other func(e *flightrecorder.Entry)
+	// Begin is called with the engine of each segment, before its first step.
+	Begin func(engine *policy.Engine, entry *flightrecorder.Entry)
+	// Settings is called with the settings that apply from now on.
+	Settings func(settings policy.Settings)
+	// BeforeStep is called before a step, with the engine in the state after the step before.
+	BeforeStep func(engine *policy.Engine, entry *flightrecorder.Entry)
+	// AfterStep is called after a step without a difference.
+	AfterStep func(engine *policy.Engine, entry *flightrecorder.Entry)
+	// Other is called with labels, notes and lost parts.
+	Other func(entry *flightrecorder.Entry)
 }
 
-// player is a replay that is going on.
+// player is a replay in progress.
 type player struct {
-	visit    Visitor
+	visitor  Visitor
 	result   Result
-	engine   *policy.Engine // nil: waits for a chunk to begin with
+	engine   *policy.Engine // nil until a chunk at which the replay can start
 	settings policy.Settings
 
-	agent       *agent.Agent          // nil: the recording has none, or it waits for its state
-	lastStep    *flightrecorder.Entry // of the module, that the agent's next step belongs to; nil: none
-	lastActions []policy.Action       // in it
+	agent       *agent.Agent          // nil if the recording has none, and until an entry with its state
+	lastStep    *flightrecorder.Entry // the engine's last step, if the agent's step after it has not been replayed
+	lastActions []policy.Action       // of the engine's last step
 }
 
-// Play replays a recording, up to the first action that differs. It fails if nothing could be replayed.
-func Play(data []byte, visit Visitor) (Result, error) {
-	r, err := flightrecorder.NewReader(data)
+// Play replays a recording up to the first difference. It fails if nothing could be replayed.
+func Play(data []byte, visitor Visitor) (Result, error) {
+	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
 		return Result{}, err
 	}
-	p := &player{visit: visit}
+	p := &player{visitor: visitor}
 	p.result.Revision = policy.Revision()
 	for p.result.Difference == nil {
-		e, ok, err := r.Next()
+		entry, ok, err := reader.Next()
 		if err != nil {
 			return p.result, err
 		}
 		if !ok {
 			break
 		}
-		p.playEntry(&e)
+		p.playEntry(&entry)
 	}
 	if p.result.Segments == 0 {
 		return p.result, fmt.Errorf("%w: %v", ErrNoStart, p.result.Lost)
@@ -96,8 +96,8 @@
 }
 
 func (p *player) visitOther(e *flightrecorder.Entry) {
-	if p.visit.Other != nil {
-		p.visit.Other(e)
+	if p.visitor.Other != nil {
+		p.visitor.Other(e)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// beginChunk goes on in a new chunk, or starts there.
+// beginChunk continues the replay in a new chunk, or starts it there.
 func (p *player) beginChunk(e *flightrecorder.Entry) {
 	p.result.Chunks++
 	if p.result.Chunks == 1 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// continueChunk applies a chunk's settings, and compares the state that it begins with to the one that was reached, so
-// that an engine that differs without showing it is found at the next chunk.
+// continueChunk applies a chunk's settings. It compares the state that the chunk begins with to the engine's, which
+// finds engines that differ although their actions have been the same.
 func (p *player) continueChunk(e *flightrecorder.Entry) {
 	if !reflect.DeepEqual(e.Meta.Settings, p.settings) {
 		if err := p.engine.Reconfigure(e.Meta.Settings); err != nil {
@@ -137,17 +137,17 @@
 	}
 }
 
-// compareState compares a state that was reached to the recorded one.
-func (p *player) compareState(e *flightrecorder.Entry, what string, reached []byte) {
-	if bytes.Equal(reached, e.State) {
+// compareState compares a replayed state to the recorded one.
+func (p *player) compareState(e *flightrecorder.Entry, what string, replayed []byte) {
+	if bytes.Equal(replayed, e.State) {
 		return
 	}
 	recorded := fmt.Sprintf("%d bytes", len(e.State))
-	at := firstDifferentByte(reached, e.State)
-	p.setDifference(e, what, recorded, fmt.Sprintf("%d bytes, from byte %d on", len(reached), at))
+	at := firstDifferentByte(replayed, e.State)
+	p.setDifference(e, what, recorded, fmt.Sprintf("%d bytes, from byte %d on", len(replayed), at))
 }
 
-// startSegment starts with a chunk.
+// startSegment starts the replay at a chunk. If that is impossible the replay waits for the next chunk.
 func (p *player) startSegment(e *flightrecorder.Entry) {
 	var engine *policy.Engine
 	var err error
@@ -163,25 +163,25 @@
 	p.engine = engine
 	p.applySettings(e.Meta.Settings)
 	p.result.Segments++
-	if p.visit.Begin != nil {
-		p.visit.Begin(p.engine, e)
+	if p.visitor.Begin != nil {
+		p.visitor.Begin(p.engine, e)
 	}
 }
 
 func (p *player) applySettings(settings policy.Settings) {
 	p.settings = settings
-	if p.visit.Settings != nil {
-		p.visit.Settings(settings)
+	if p.visitor.Settings != nil {
+		p.visitor.Settings(settings)
 	}
 }
 
-// Restore restores the module from the state that a chunk begins with. A state that another build wrote may be one that
-// the module never reaches; that is an error.
-func Restore(e *flightrecorder.Entry) (s *policy.Engine, err error) {
+// Restore restores the engine from the state that a chunk begins with. It fails for a state of another build that this
+// build's engine cannot have.
+func Restore(e *flightrecorder.Entry) (engine *policy.Engine, err error) {
 	defer func() {
-		if x := recover(); x != nil {
-			s = nil
-			err = fmt.Errorf("replay: a state that the module does not know: %v", x)
+		if reason := recover(); reason != nil {
+			engine = nil
+			err = fmt.Errorf("replay: a state that the module does not know: %v", reason)
 		}
 	}()
 	return policy.Restore(e.Meta.Settings, e.State)
@@ -198,7 +198,7 @@
 	return n
 }
 
-// playStep replays a step of the module.
+// playStep replays a step of the engine.
 func (p *player) playStep(e *flightrecorder.Entry) {
 	if p.engine == nil {
 		return
@@ -207,8 +207,8 @@
 	p.result.Events += len(e.Events)
 	p.result.Actions += len(e.Actions)
 	p.result.To = e.Now
-	if p.visit.BeforeStep != nil {
-		p.visit.BeforeStep(p.engine, e)
+	if p.visitor.BeforeStep != nil {
+		p.visitor.BeforeStep(p.engine, e)
 	}
 	actions, err := stepEngine(p.engine, e)
 	p.lastStep = e
@@ -222,22 +222,22 @@
 		p.setDifference(e, what, describeAt(e.Actions, i), describeAt(actions, i))
 		return
 	}
-	if p.visit.AfterStep != nil {
-		p.visit.AfterStep(p.engine, e)
+	if p.visitor.AfterStep != nil {
+		p.visitor.AfterStep(p.engine, e)
 	}
 }
 
-// stepEngine does a step. It guards against a panic of the module on what another build recorded.
+// stepEngine steps the engine. A panic, which events of another build may cause, is returned as an error.
 func stepEngine(engine *policy.Engine, e *flightrecorder.Entry) (actions []policy.Action, err error) {
 	defer func() {
-		if x := recover(); x != nil {
-			err = fmt.Errorf("panic: %v", x)
+		if reason := recover(); reason != nil {
+			err = fmt.Errorf("panic: %v", reason)
 		}
 	}()
 	return engine.Step(e.Now, e.Events), nil
 }
 
-// playSendCheck replays a check whether a call may still be sent.
+// playSendCheck replays a check of whether a call may still be sent.
 func (p *player) playSendCheck(e *flightrecorder.Entry) {
 	if p.engine == nil {
 		return
@@ -249,7 +249,7 @@
 	}
 }
 
-// playFleetState starts with the agent's state that a chunk begins with, or compares it to the one that was reached.
+// playFleetState restores the fleet's agent from a recorded state or, if it is being replayed, compares its state.
 func (p *player) playFleetState(e *flightrecorder.Entry) {
 	if p.agent != nil {
 		p.compareState(e, "the fleet agent's state", p.agent.Snapshot(nil))
@@ -263,7 +263,7 @@
 	p.agent = restored
 }
 
-// playFleetStep replays the step of the fleet's agent that belongs to the module's last one.
+// playFleetStep replays a step of the fleet's agent, which follows the engine's step with the same events.
 func (p *player) playFleetStep(e *flightrecorder.Entry) {
 	if p.engine == nil || p.agent == nil || p.lastStep == nil {
 		return
@@ -275,7 +275,7 @@
 		return
 	}
 	p.result.FleetSteps++
-	out := p.agent.Step(p.lastStep.Now, agent.Input{
+	output := p.agent.Step(p.lastStep.Now, agent.Input{
 		Received:    record.Received,
 		Incarnation: record.Incarnation,
 		Quota:       record.QuotaReceived,
@@ -287,17 +287,22 @@
 		},
 	})
 	p.lastStep = nil
-	sameReports := slices.EqualFunc(out.Published, record.Published, func(a, b loadreport.Report) bool {
+	p.compareFleetOutput(e, &record, &output)
+}
+
+// compareFleetOutput compares the load reports and quota messages of a step of the fleet's agent to the recorded ones.
+func (p *player) compareFleetOutput(e *flightrecorder.Entry, record *agent.Record, output *agent.Output) {
+	sameReports := slices.EqualFunc(output.Published, record.Published, func(a, b loadreport.Report) bool {
 		return reflect.DeepEqual(a, b)
 	})
 	if !sameReports {
-		p.setDifference(e, "published load reports", fmt.Sprint(record.Published), fmt.Sprint(out.Published))
+		p.setDifference(e, "published load reports", fmt.Sprint(record.Published), fmt.Sprint(output.Published))
 	}
-	sameQuota := slices.EqualFunc(out.Quota, record.QuotaSent, func(a, b quota.Message) bool {
+	sameQuota := slices.EqualFunc(output.Quota, record.QuotaSent, func(a, b quota.Message) bool {
 		return fmt.Sprint(a) == fmt.Sprint(b)
 	})
 	if !sameQuota {
-		p.setDifference(e, "sent quota messages", fmt.Sprint(record.QuotaSent), fmt.Sprint(out.Quota))
+		p.setDifference(e, "sent quota messages", fmt.Sprint(record.QuotaSent), fmt.Sprint(output.Quota))
 	}
 }
 
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -15,39 +15,38 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-func written(t testing.TB, rec *flightrecorder.Recorder) []byte {
+// recordingOf returns the recording of a recorder.
+func recordingOf(t testing.TB, recorder *flightrecorder.Recorder) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	if _, err := rec.WriteTo(&b); err != nil {
+	if _, err := recorder.WriteTo(&b); err != nil {
 		t.Fatal(err)
 	}
 	return b.Bytes()
 }
 
-// Whatever is recorded replays without a difference, from its begin and from any chunk that the ring still holds.
+// TestRecordingReplays checks that random histories replay without a difference, both those that are recorded from the
+// start and those of which the ring has only the last chunks.
 func TestRecordingReplays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		span := time.Duration(rapid.IntRange(2, 25).Draw(rt, "seconds")) * time.Second
 		ring := rapid.SampledFrom([]int{flightrecorder.MinRingSize, 64 << 20}).Draw(rt, "ring")
 		_, rec := recordertest.Drive(seed, span, ring, nil)
-		res, err := Play(written(t, rec), Visitor{})
+		res, err := Play(recordingOf(t, rec), Visitor{})
 		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Steps == 0 || res.Segments != 1 {
 			rt.Fatalf("%v, %+v", err, res)
 		}
 	})
 }
 
-// A ring that was overwritten many times still begins at a place from which it plays, and within its bound.
+// TestRingIsBoundedAndReplays records far more than the ring's size: the ring stays within its bound, and what it has
+// at the end replays.
 func TestRingIsBoundedAndReplays(t *testing.T) {
 	maxSize := 0
-	_, rec := recordertest.Drive(
-		3,
-		4*time.Minute,
-		flightrecorder.MinRingSize,
-		func(_ *policy.Engine, rec *flightrecorder.Recorder) { maxSize = max(maxSize, rec.Size()) },
-	)
-	data := written(t, rec)
+	measureSize := func(_ *policy.Engine, rec *flightrecorder.Recorder) { maxSize = max(maxSize, rec.Size()) }
+	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.MinRingSize, measureSize)
+	data := recordingOf(t, rec)
 	if maxSize > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
 		t.Errorf("held %d bytes at most, %d at the end, of %d", maxSize, len(data), flightrecorder.MinRingSize)
 	}
@@ -57,21 +56,21 @@
 	}
 }
 
-// edit plays a recording again with something of it changed, and has it recorded so.
+// edit returns a recording with another revision, and with its entries changed by change, which has their index.
 func edit(t *testing.T, data []byte, revision string, change func(n int, e *flightrecorder.Entry)) []byte {
 	t.Helper()
-	r, err := flightrecorder.NewReader(data)
+	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var rec *flightrecorder.Recorder
 	for n := 0; ; n++ {
-		e, ok, err := r.Next()
+		e, ok, err := reader.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !ok {
-			return written(t, rec)
+			return recordingOf(t, rec)
 		}
 		change(n, &e)
 		switch e.Kind {
@@ -89,8 +88,8 @@
 	}
 }
 
-// changeFirst changes the first action behind the recording's begin for which change returns true. It returns the
-// recording and the time of that step.
+// changeFirst changes the first action for which change returns true, some entries after the recording's start. It
+// returns the changed recording and the time of that step.
 func changeFirst(t *testing.T, data []byte, change func(a *policy.Action) bool) (changed []byte, at time.Duration) {
 	t.Helper()
 	done := false
@@ -110,10 +109,10 @@
 	return changed, at
 }
 
-// The first action that differs is reported, whatever it is: a replay that cannot fail shows nothing.
+// TestFirstDifferenceIsReported changes one action of a recording: the replay reports the step and both actions.
 func TestFirstDifferenceIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
-	data := written(t, rec)
+	data := recordingOf(t, rec)
 	for _, c := range []struct {
 		name   string
 		change func(a *policy.Action) bool
@@ -137,10 +136,11 @@
 	}
 }
 
+// TestMissingActionIsReported replays a recording that lacks an action of the engine.
 func TestMissingActionIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	dropped := false
-	changed := edit(t, written(t, rec), policy.Revision(), func(n int, e *flightrecorder.Entry) {
+	changed := edit(t, recordingOf(t, rec), policy.Revision(), func(n int, e *flightrecorder.Entry) {
 		if n > 20 && !dropped && len(e.Actions) > 0 {
 			e.Actions = slices.Clone(e.Actions[:len(e.Actions)-1])
 			dropped = true
@@ -152,9 +152,10 @@
 	}
 }
 
-func TestOtherSendCheckIsReported(t *testing.T) {
+// TestChangedSendCheckIsReported replays a recording in which each check has the opposite result.
+func TestChangedSendCheckIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
-	changed := edit(t, written(t, rec), policy.Revision(), func(_ int, e *flightrecorder.Entry) {
+	changed := edit(t, recordingOf(t, rec), policy.Revision(), func(_ int, e *flightrecorder.Entry) {
 		e.Allowed = !e.Allowed
 	})
 	res, err := Play(changed, Visitor{})
@@ -163,29 +164,27 @@
 	}
 }
 
-// A recording of another revision is reported and replayed; from its middle only where this build can read the state.
-func TestAnotherRevision(t *testing.T) {
+// TestRecordingOfAnotherRevision checks that a recording of another revision is replayed, and reported as such. One
+// that begins with a state that this build cannot read is an error.
+func TestRecordingOfAnotherRevision(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
-	res, err := Play(edit(t, written(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
+	res, err := Play(edit(t, recordingOf(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
 	if err != nil || res.Difference != nil || res.SameRevision() || res.Steps == 0 {
 		t.Errorf("%v, %+v", err, res)
 	}
-	// A state that this build does not know.
-	s, err := policy.New(recordertest.Settings(), 1)
+	engine, err := policy.New(recordertest.Settings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := flightrecorder.NewRecorder(
-		flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()},
-		flightrecorder.MinRingSize,
-		func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) },
-	)
-	for i := range 40000 {
+	meta := flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}
+	unknownState := func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) }
+	recorder := flightrecorder.NewRecorder(meta, flightrecorder.MinRingSize, unknownState)
+	for i := range 40000 { // more than the ring has space for, so that it begins with a state
 		now := time.Second + time.Duration(i)*time.Millisecond
-		evs := []policy.Event{{Kind: policy.TimerFired}}
-		odd.Step(now, evs, s.Step(now, evs))
+		events := []policy.Event{{Kind: policy.TimerFired}}
+		recorder.Step(now, events, engine.Step(now, events))
 	}
-	if res, err := Play(written(t, odd), Visitor{}); err == nil || len(res.Lost) == 0 {
+	if res, err := Play(recordingOf(t, recorder), Visitor{}); err == nil || len(res.Lost) == 0 {
 		t.Errorf("a state of no known form: %v, %+v", err, res)
 	}
 }
@@ -199,7 +198,7 @@
 	return settings
 }
 
-// driveWithChangedSettings has the settings change during a run; the recorder is notified only if recorded is set.
+// driveWithChangedSettings changes the settings during a run, and records the change only if recorded is set.
 func driveWithChangedSettings(t *testing.T, recorded bool) (*policy.Engine, *flightrecorder.Recorder) {
 	t.Helper()
 	steps := 0
@@ -217,13 +216,13 @@
 	})
 }
 
-// Settings that change during a run are recorded, and it replays without a difference; if they are not recorded it does
-// not.
+// TestChangedSettings checks that a run whose settings change replays without a difference if the change is recorded,
+// and with one if it is not.
 func TestChangedSettings(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		t.Run(fmt.Sprintf("recorded=%t", recorded), func(t *testing.T) {
 			_, rec := driveWithChangedSettings(t, recorded)
-			res, err := Play(written(t, rec), Visitor{})
+			res, err := Play(recordingOf(t, rec), Visitor{})
 			if err != nil || (res.Difference == nil) != recorded {
 				t.Errorf("%v, %+v", err, res.Difference)
 			}
@@ -231,10 +230,10 @@
 	}
 }
 
-// A module that is restored begins a recording with its state, which replays without a difference.
-func TestRestoredModule(t *testing.T) {
+// TestRecordingOfARestoredEngine checks that a recording that begins with the state of a restored engine replays.
+func TestRecordingOfARestoredEngine(t *testing.T) {
 	engine, rec := driveWithChangedSettings(t, true)
-	first, err := Play(written(t, rec), Visitor{})
+	first, err := Play(recordingOf(t, rec), Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,41 +241,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resumed := flightrecorder.ResumeRecorder(
-		flightrecorder.Meta{Revision: policy.Revision(), Settings: changedSettings()},
-		0,
-		restored.Snapshot,
-		first.To,
-	)
+	meta := flightrecorder.Meta{Revision: policy.Revision(), Settings: changedSettings()}
+	resumed := flightrecorder.ResumeRecorder(meta, 0, restored.Snapshot, first.To)
 	for i := range 20 {
 		now := first.To + time.Duration(i+1)*50*time.Millisecond
-		events := []policy.Event{
-			{
-				Kind:        policy.MessageAccepted,
-				MessageID:   policy.MessageID(1<<20 + i),
-				Destination: 1,
-				TimeLeft:    3 * time.Second,
-			},
-		}
+		events := []policy.Event{{
+			Kind:        policy.MessageAccepted,
+			MessageID:   policy.MessageID(1<<20 + i),
+			Destination: 1,
+			TimeLeft:    3 * time.Second,
+		}}
 		resumed.Step(now, events, restored.Step(now, events))
 	}
-	res, err := Play(written(t, resumed), Visitor{})
+	res, err := Play(recordingOf(t, resumed), Visitor{})
 	if err != nil || res.Difference != nil || res.Steps != 20 {
 		t.Errorf("%v, %+v", err, res)
 	}
 }
 
-// A clock that steps is part of the recording: the module is replayed with it as it was.
-func TestClockSteps(t *testing.T) {
-	s, err := policy.New(recordertest.Settings(), 9)
+// TestClockStepsAreReplayed checks that steps have the recorded times, also where the clock went forwards or backwards.
+func TestClockStepsAreReplayed(t *testing.T) {
+	engine, err := policy.New(recordertest.Settings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := flightrecorder.NewRecorder(
-		flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()},
-		flightrecorder.MinRingSize,
-		s.Snapshot,
-	)
+	meta := flightrecorder.Meta{Revision: policy.Revision(), Seed: 9, Settings: recordertest.Settings()}
+	recorder := flightrecorder.NewRecorder(meta, flightrecorder.MinRingSize, engine.Snapshot)
 	list := policy.Event{
 		Kind:      policy.EndpointSnapshot,
 		Endpoints: []policy.Endpoint{{ID: "a", Weight: 3, InService: true}},
@@ -285,44 +275,44 @@
 		time.Second, 2 * time.Second, time.Hour, 30 * time.Second, 31 * time.Second, -time.Second, time.Minute,
 	}
 	for i, now := range times {
-		evs := []policy.Event{
+		events := []policy.Event{
 			list,
 			{Kind: policy.MessageAccepted, MessageID: policy.MessageID(i + 1), TimeLeft: 16 * time.Second},
 		}
-		rec.Step(now, evs, s.Step(now, evs))
+		recorder.Step(now, events, engine.Step(now, events))
 	}
 	var seen []time.Duration
-	res, err := Play(
-		written(t, rec),
-		Visitor{AfterStep: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) }},
-	)
+	visitor := Visitor{
+		AfterStep: func(_ *policy.Engine, e *flightrecorder.Entry) { seen = append(seen, e.Now) },
+	}
+	res, err := Play(recordingOf(t, recorder), visitor)
 	if err != nil || res.Difference != nil || len(seen) != 7 || seen[3] != 30*time.Second || seen[5] != -time.Second {
 		t.Errorf("%v, %+v, %v", err, res, seen)
 	}
 }
 
-// A recording cut at any byte plays as far as it goes, and one with any byte changed never differs from itself unseen:
-// what cannot be read is reported.
+// TestTruncatedAndDamagedRecordings cuts a recording at each byte: all steps before the cut replay. Then it changes one
+// byte at many places: the replay fails or reports a lost part, and finds no difference.
 func TestTruncatedAndDamagedRecordings(t *testing.T) {
 	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
-	data := written(t, rec)
-	whole, err := Play(data, Visitor{})
-	if err != nil || whole.Difference != nil {
-		t.Fatalf("%v, %+v", err, whole)
+	data := recordingOf(t, rec)
+	complete, err := Play(data, Visitor{})
+	if err != nil || complete.Difference != nil {
+		t.Fatalf("%v, %+v", err, complete)
 	}
-	last := 0
+	lastSteps := 0
 	for cut := range data {
 		res, err := Play(data[:cut], Visitor{})
 		if err != nil {
-			if last > 0 {
+			if lastSteps > 0 {
 				t.Fatalf("cut at %d: %v", cut, err)
 			}
 			continue
 		}
-		if res.Difference != nil || res.Steps < last || res.Steps == whole.Steps && cut < len(data)-200 {
+		if res.Difference != nil || res.Steps < lastSteps || res.Steps == complete.Steps && cut < len(data)-200 {
 			t.Fatalf("cut at %d of %d: %+v", cut, len(data), res)
 		}
-		last = res.Steps
+		lastSteps = res.Steps
 	}
 	for at := 0; at < len(data); at += 1 + at%3 {
 		bad := bytes.Clone(data)
@@ -334,26 +324,26 @@
 	}
 }
 
-// After a damaged chunk the next one is played from.
+// TestDamagedChunkIsSkipped checks that a replay starts again at the chunk after a damaged one.
 func TestDamagedChunkIsSkipped(t *testing.T) {
 	_, rec := recordertest.Drive(8, 3*time.Minute, 8*flightrecorder.MinRingSize, nil)
-	data := written(t, rec)
-	whole, err := Play(data, Visitor{})
-	if err != nil || whole.Chunks < 3 {
-		t.Fatalf("%v, %+v", err, whole)
+	data := recordingOf(t, rec)
+	complete, err := Play(data, Visitor{})
+	if err != nil || complete.Chunks < 3 {
+		t.Fatalf("%v, %+v", err, complete)
 	}
 	bad := bytes.Clone(data)
 	bad[len(bad)/2] ^= 4
 	res, err := Play(bad, Visitor{})
-	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Segments != 2 || res.Steps < whole.Steps/2 ||
-		res.Steps >= whole.Steps {
-		t.Errorf("%v, %d steps of %d: %+v", err, res.Steps, whole.Steps, res)
+	if err != nil || res.Difference != nil || len(res.Lost) == 0 || res.Segments != 2 ||
+		res.Steps < complete.Steps/2 || res.Steps >= complete.Steps {
+		t.Errorf("%v, %d steps of %d: %+v", err, res.Steps, complete.Steps, res)
 	}
 }
 
 func FuzzPlay(f *testing.F) {
 	_, rec := recordertest.Drive(2, 1500*time.Millisecond, flightrecorder.MinRingSize, nil)
-	data := written(f, rec)
+	data := recordingOf(f, rec)
 	f.Add(data)
 	f.Add(data[:len(data)/2])
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -362,8 +352,8 @@
 		}
 		_, _ = Play(data, Visitor{}) // may fail, must end, and must not panic
 		if found, err := flightrecorder.Split(data); err == nil {
-			for _, x := range found {
-				_, _ = Play(x.Data, Visitor{})
+			for _, recording := range found {
+				_, _ = Play(recording.Data, Visitor{}) // as above
 			}
 		}
 	})
@@ -371,7 +361,7 @@
 
 func BenchmarkReplay(b *testing.B) {
 	_, rec := recordertest.Drive(4, time.Minute, 64<<20, nil)
-	data := written(b, rec)
+	data := recordingOf(b, rec)
 	events := 0
 	for b.Loop() {
 		res, err := Play(data, Visitor{})
--- a/internal/recording/replay/result.go
+++ b/internal/recording/replay/result.go
@@ -9,11 +9,12 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Difference is where a recording and the module differ. Its fields' names are keys of a command's JSON output.
+// Difference is the first difference of a replay from its recording. Its fields' names are keys of a command's JSON
+// output.
 type Difference struct {
 	Step     int           // number of the step, from 1
 	Offset   int64         // in the recording
-	Now      time.Duration // the module's time
+	Now      time.Duration // the engine's time
 	What     string
 	Recorded string // the first action that differs; empty: none
 	Replayed string
@@ -25,34 +26,35 @@
 		orNone(d.Recorded), orNone(d.Replayed))
 }
 
-func orNone(s string) string {
-	if s == "" {
+func orNone(action string) string {
+	if action == "" {
 		return "none"
 	}
-	return s
+	return action
 }
 
-// Result is the result of a replay.
+// Result counts what was replayed, and has the first difference.
 type Result struct {
-	Meta       flightrecorder.Meta
-	Revision   string // of the module that replayed
+	Meta       flightrecorder.Meta // of the recording's first chunk
+	Revision   string              // of the engine that replayed
 	Chunks     int
-	Segments   int // replayed without a gap
+	Segments   int // parts of the recording that were each replayed without a gap
 	Steps      int
 	Events     int
 	Actions    int
 	SendChecks int
-	States     int // compared byte by byte at the begins of chunks
-	FleetSteps int // steps of the fleet's agent that were replayed, too
-	From, To   time.Duration
-	Lost       []string // what could not be read or replayed
-	Difference *Difference
+	States     int // snapshots of the engine that were compared at the start of a chunk
+	FleetSteps int // steps of the fleet's agent
+	From       time.Duration
+	To         time.Duration
+	Lost       []string    // what could not be read or replayed, at most maxLost
+	Difference *Difference // nil: none
 }
 
-// SameRevision reports whether the recording was made by the module as built here.
+// SameRevision reports whether the recording was made by the engine's revision in this build.
 func (r *Result) SameRevision() bool { return r.Meta.Revision == r.Revision }
 
-// firstDifference returns the index of the first action that differs, or -1.
+// firstDifference returns the index of the first action that differs, or -1. Missing actions differ.
 func firstDifference(a, b []policy.Action) int {
 	if slices.Equal(a, b) {
 		return -1
@@ -65,7 +67,7 @@
 	return min(len(a), len(b))
 }
 
-// describeAt returns the action of an index as text, or "" if there is none.
+// describeAt returns the text of the action with an index, or "" if there is none.
 func describeAt(actions []policy.Action, i int) string {
 	if i >= len(actions) {
 		return ""
