--- a/internal/testkit/fake/clients_test.go
+++ b/internal/testkit/fake/clients_test.go
@@ -166,9 +166,16 @@
 
 func TestCloseOfNewConnectionIsNoAnswer(t *testing.T) {
 	h := newHarness(t)
-	addr := startRelay(t, func(_ int, conn net.Conn, _ *http.Request) { nettest.Close(conn) })
+	var requests atomic.Int32
+	addr := startRelay(t, func(_ int, conn net.Conn, _ *http.Request) {
+		requests.Add(1)
+		nettest.Close(conn)
+	})
 	events := h.submitAndWait(newClients(h, addr), testArrival("m"))
 	expectEvents(t, events, submitted, closed, submitted, closed)
+	if n := requests.Load(); n != 2 {
+		t.Errorf("%d requests of 2 submissions", n)
+	}
 }
 
 func TestClientsWaitForRelay(t *testing.T) {
--- a/internal/testkit/fake/discovery_test.go
+++ b/internal/testkit/fake/discovery_test.go
@@ -26,6 +26,13 @@
 	return agent
 }
 
+// version returns the version of the agent's list.
+func (a *DiscoveryAgent) version() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return len(a.updates)
+}
+
 // watch is a watch of the endpoint list.
 type watch struct {
 	t     *testing.T
@@ -128,6 +135,9 @@
 	if version := agent.NotifiedList().Version; version != 2 {
 		t.Errorf("notified of version %d while the agent was silent", version)
 	}
+	if version := agent.version(); version != 2 {
+		t.Errorf("the list has version %d while the agent is silent", version)
+	}
 	startedMeanwhile := startWatch(t, agent, 1) // waits, too
 	agent.SetSilent(false)
 	if list := watching.next(); list.Version != 3 || list.Endpoints[0].State != eventlog.StateDraining {
--- a/internal/testkit/faultproxy/datagramproxy_test.go
+++ b/internal/testkit/faultproxy/datagramproxy_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"encoding/binary"
+	"errors"
+	"fmt"
 	"net"
+	"os"
 	"slices"
-	"sync"
 	"testing"
 	"time"
 
@@ -13,7 +15,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// listenUDP opens a UDP socket for datagrams.
+const (
+	// sendBatch is how many datagrams are sent without a pause: the buffers of sockets are small.
+	sendBatch = 20
+	// quietPeriod is how long after the last datagram no more is expected.
+	quietPeriod = 400 * time.Millisecond
+)
+
+// listenUDP opens a UDP socket with as large a buffer as the system allows.
 func listenUDP(t *testing.T) (conn *net.UDPConn, addr string) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -21,43 +30,74 @@
 		t.Fatal(err)
 	}
 	nettest.CloseAtEnd(t, conn)
+	if err := conn.SetReadBuffer(1 << 20); err != nil {
+		t.Fatal(err)
+	}
 	return conn, conn.LocalAddr().String()
 }
 
 // encodeNumber returns a datagram that holds a number.
 func encodeNumber(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// sendNumbers sends numbered datagrams, with pauses because the buffers of the sockets are small.
-func sendNumbers(conn net.Conn, count int) error {
+// sendNumbers sends numbered datagrams to a proxy, no faster than it reads them.
+func sendNumbers(conn net.Conn, proxy *DatagramProxy, count int) error {
 	for n := range count {
 		if _, err := conn.Write(encodeNumber(n)); err != nil {
 			return err
 		}
-		if n%20 == 19 {
-			time.Sleep(time.Millisecond)
+		if (n+1)%sendBatch != 0 {
+			continue
+		}
+		if err := awaitCount(proxy, n+1); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// receiveNumbers reads numbered datagrams until none has come for a while.
-func receiveNumbers(t *testing.T, conn *net.UDPConn, quiet time.Duration) (numbers []int) {
+// awaitCount waits until a proxy has read a number of datagrams.
+func awaitCount(proxy *DatagramProxy, want int) error {
+	for end := time.Now().Add(nettest.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if passed, dropped := proxy.Counts(Upstream); passed+dropped == want {
+			return nil
+		}
+	}
+	passed, dropped := proxy.Counts(Upstream)
+	return fmt.Errorf("the proxy passed %d and dropped %d of %d datagrams", passed, dropped, want)
+}
+
+// receiveNumbers reads numbered datagrams until all are sent and none has come for a while. It returns when the last
+// one came, too.
+func receiveNumbers(t *testing.T, conn *net.UDPConn, allSent <-chan struct{}) (numbers []int, lastAt time.Time) {
 	t.Helper()
 	buffer := make([]byte, 64)
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(quiet)); err != nil {
-			t.Fatal(err)
-		}
+		isLast := isClosed(allSent) // this read, if it times out
+		setDeadline(t, conn, time.Now().Add(quietPeriod))
 		n, err := conn.Read(buffer)
-		if err != nil {
-			return numbers
-		}
-		if n == 4 {
+		switch {
+		case err == nil && n == 4:
 			numbers = append(numbers, int(binary.BigEndian.Uint32(buffer)))
+			lastAt = time.Now()
+		case err == nil:
+			t.Fatalf("a datagram of %d bytes", n)
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			t.Fatal(err)
+		case isLast:
+			return numbers, lastAt
 		}
 	}
 }
 
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
 // ordering is what a test expects of the order of datagrams.
 type ordering int
 
@@ -142,18 +182,19 @@
 	}
 	nettest.CloseAtEnd(t, sender)
 	startedAt := time.Now()
-	var sending sync.WaitGroup
-	sending.Go(func() {
-		if err := sendNumbers(sender, sent); err != nil {
+	allSent := make(chan struct{})
+	go func() {
+		defer close(allSent)
+		if err := sendNumbers(sender, proxy, sent); err != nil {
 			t.Error(err)
 		}
-	})
-	received := receiveNumbers(t, target, 400*time.Millisecond)
-	took := time.Since(startedAt)
-	sending.Wait()
-	if len(received) < test.minReceived || len(received) > test.maxReceived || took < test.minDuration {
-		t.Errorf("received %d in %v, want %d to %d in at least %v",
-			len(received), took, test.minReceived, test.maxReceived, test.minDuration)
+	}()
+	received, lastAt := receiveNumbers(t, target, allSent)
+	if len(received) < test.minReceived || len(received) > test.maxReceived {
+		t.Errorf("received %d, want %d to %d", len(received), test.minReceived, test.maxReceived)
+	}
+	if took := lastAt.Sub(startedAt); len(received) > 0 && took < test.minDuration {
+		t.Errorf("received all in %v, want at least %v", took, test.minDuration)
 	}
 	sorted := slices.IsSorted(received)
 	if test.order == inOrder && !sorted || test.order == outOfOrder && sorted {
--- a/internal/testkit/faultproxy/trigger_test.go
+++ b/internal/testkit/faultproxy/trigger_test.go
@@ -51,3 +51,12 @@
 	}
 	return offset
 }
+
+func TestMatchesDoNotOverlap(t *testing.T) {
+	rule := Rule{Match: []byte("aa"), Occurrence: 2, Fault: Reset}
+	tested := newTrigger(numberedRule{Rule: rule})
+	tested.advance([]byte("a"))
+	if got := tested.nextOffset([]byte("aaa")); got != 3 {
+		t.Errorf("triggers after %d bytes, want 3", got)
+	}
+}
