--- a/internal/capacity/hollow/member.go
+++ b/internal/capacity/hollow/member.go
@@ -90,7 +90,11 @@
 		m.lastMessageID++
 		id := m.lastMessageID
 		destination := int(id) % active
-		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: destination})
+		events = append(events, policy.Event{
+			Kind:        policy.MessageAccepted,
+			MessageID:   id,
+			Destination: policy.DestinationID(destination),
+		})
 		actions = append(actions, policy.Action{Kind: policy.Send, MessageID: id, Endpoint: endpointID(destination)})
 		m.pendingOutcomes = append(m.pendingOutcomes, policy.Event{
 			Kind:         policy.AttemptFinished,
@@ -109,7 +113,7 @@
 	for destination := range f.options.Destinations + 1 {
 		event.Endpoints = append(event.Endpoints, policy.Endpoint{
 			ID:          endpointID(destination),
-			Destination: destination,
+			Destination: policy.DestinationID(destination),
 			Weight:      f.options.Limit,
 			InService:   true,
 		})
--- a/internal/simulation/emulate/discovery.go
+++ b/internal/simulation/emulate/discovery.go
@@ -27,14 +27,14 @@
 	r.world.record(eventlog.Event{
 		Kind:        eventlog.RelayNotified,
 		Relay:       r.name,
-		Host:        e.ID,
+		Endpoint:    e.ID,
 		State:       u.state,
 		Destination: e.Destination,
 	})
 	if r.hasLargeList() && u.growth > 0 {
-		r.workingSet.EndpointAdded(e.Destination, r.now())
+		r.workingSet.EndpointAdded(policy.DestinationID(e.Destination), r.now())
 	}
-	if r.hasLargeList() && !r.workingSet.Contains(e.Destination) {
+	if r.hasLargeList() && !r.workingSet.Contains(policy.DestinationID(e.Destination)) {
 		return // the engine gets the entry when the destination becomes active
 	}
 	r.postEvent(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{e.entry(u.state)}})
--- a/internal/simulation/emulate/endpoint.go
+++ b/internal/simulation/emulate/endpoint.go
@@ -104,7 +104,7 @@
 	e.stopped = true
 	e.service.RemoveEndpoint(e.ID)
 	w.resetConnections(e)
-	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Host: e.ID, Destination: e.Destination})
+	w.record(eventlog.Event{Kind: eventlog.CapacityChanged, Endpoint: e.ID, Destination: e.Destination})
 }
 
 // resetConnections breaks all connections of an endpoint.
--- a/internal/simulation/emulate/endpointlist.go
+++ b/internal/simulation/emulate/endpointlist.go
@@ -50,7 +50,7 @@
 func (e *endpoint) entry(state string) policy.Endpoint {
 	return policy.Endpoint{
 		ID:          e.ID,
-		Destination: e.Destination,
+		Destination: policy.DestinationID(e.Destination),
 		Zone:        e.zone,
 		Weight:      e.Weight,
 		Kind:        e.kind,
@@ -129,13 +129,13 @@
 func (w *World) recordEndpointChange(e scenario.Endpoint, state string) {
 	change := eventlog.Event{
 		Kind:        eventlog.EndpointChanged,
-		Host:        e.ID,
+		Endpoint:    e.ID,
 		Destination: e.Destination,
 		Zone:        e.Zone,
 		State:       state,
 	}
 	if e.Service == e.ID {
-		change.Place = e.ID // it has limits of its own
+		change.Service = e.ID // it has limits of its own
 	}
 	w.record(change)
 }
--- a/internal/simulation/emulate/fleetcheck.go
+++ b/internal/simulation/emulate/fleetcheck.go
@@ -111,12 +111,12 @@
 			age = -1
 		}
 		n.world.record(eventlog.Event{
-			Kind:   eventlog.PeerView,
-			Relay:  m.relay.name,
-			Name:   other.name,
-			State:  "listed",
-			For:    age,
-			Status: int(generation[other.name]),
+			Kind:     eventlog.PeerView,
+			Relay:    m.relay.name,
+			Name:     other.name,
+			State:    "listed",
+			Duration: age,
+			Status:   int(generation[other.name]),
 		})
 	}
 }
--- a/internal/simulation/emulate/scriptedengine_test.go
+++ b/internal/simulation/emulate/scriptedengine_test.go
@@ -14,12 +14,12 @@
 type scriptedEngine struct {
 	settings  policy.Settings
 	seed      uint64
-	endpoints map[int][]policy.Endpoint // by destination, sorted by ID
+	endpoints map[policy.DestinationID][]policy.Endpoint // by destination, sorted by ID
 	messages  map[policy.MessageID]*scriptedMessage
 }
 
 type scriptedMessage struct {
-	destination int
+	destination policy.DestinationID
 	attempts    int
 	inFlight    bool
 	deadline    time.Duration
@@ -30,7 +30,7 @@
 	return &scriptedEngine{
 		settings:  settings,
 		seed:      seed,
-		endpoints: map[int][]policy.Endpoint{},
+		endpoints: map[policy.DestinationID][]policy.Endpoint{},
 		messages:  map[policy.MessageID]*scriptedMessage{},
 	}
 }
--- a/internal/simulation/emulate/service.go
+++ b/internal/simulation/emulate/service.go
@@ -46,11 +46,11 @@
 	for _, e := range s.runningEndpoints() {
 		w.record(eventlog.Event{
 			Kind:        eventlog.CapacityChanged,
-			Host:        e.ID,
+			Endpoint:    e.ID,
 			Destination: s.Destination,
 			Rate:        rate,
 			Share:       initial,
-			For:         warmUp,
+			Duration:    warmUp,
 		})
 	}
 }
@@ -74,9 +74,9 @@
 	running := s.runningEndpoints()
 	w.record(eventlog.Event{
 		Kind:        eventlog.OutageStarted,
-		Place:       name,
+		Service:     name,
 		Destination: s.Destination,
-		Hosts:       endpointIDs(running),
+		Endpoints:   endpointIDs(running),
 		Cause:       s.outageCause,
 	})
 	w.recordCapacity(s, 1, 0)
@@ -117,12 +117,12 @@
 	warmUp := s.Recover(w.Now())
 	w.record(eventlog.Event{
 		Kind:        eventlog.OutageEnded,
-		Place:       name,
+		Service:     name,
 		Destination: s.Destination,
-		Hosts:       endpointIDs(running),
+		Endpoints:   endpointIDs(running),
 		Rate:        warmUp.FullCapacity,
 		Share:       warmUp.InitialCapacity,
-		For:         warmUp.Duration,
+		Duration:    warmUp.Duration,
 	})
 	w.recordCapacity(s, warmUp.InitialCapacity, warmUp.Duration)
 	if cause != eventlog.OutageSilent && cause != eventlog.OutageDown {
--- a/internal/simulation/emulate/warmupcase_test.go
+++ b/internal/simulation/emulate/warmupcase_test.go
@@ -365,7 +365,7 @@
 	}
 	var window []arrival
 	for _, e := range r.events {
-		if e.Kind != eventlog.CallReceived || r.World.endpoints[e.Host].service != s ||
+		if e.Kind != eventlog.CallReceived || r.World.endpoints[e.Endpoint].service != s ||
 			e.At < r.recoveredAt() || e.At >= r.end() {
 			continue
 		}
--- a/internal/simulation/emulate/workingset.go
+++ b/internal/simulation/emulate/workingset.go
@@ -22,7 +22,9 @@
 )
 
 // evicter is a decision engine that says whether it has nothing to remember of a destination.
-type evicter interface{ Evictable(destination int) bool }
+type evicter interface {
+	Evictable(destination policy.DestinationID) bool
+}
 
 // hasLargeList reports whether the engine holds a working set, and not the whole list.
 func (r *relay) hasLargeList() bool { return r.workingSet != nil }
@@ -97,9 +99,9 @@
 			if called == nil {
 				continue
 			}
-			r.workingSet.Touch(called.Destination, now)
+			r.workingSet.Touch(policy.DestinationID(called.Destination), now)
 			if e.RetryAfter > 0 || e.Kind == policy.HealthChecked {
-				activated = r.activate(activated, called.Destination, now)
+				activated = r.activate(activated, policy.DestinationID(called.Destination), now)
 			}
 		}
 	}
@@ -107,13 +109,15 @@
 }
 
 // activate adds a destination to the working set, and its endpoints to activated if it was not in it.
-func (r *relay) activate(activated []policy.Endpoint, destination int, now time.Duration) []policy.Endpoint {
+func (r *relay) activate(
+	activated []policy.Endpoint, destination policy.DestinationID, now time.Duration,
+) []policy.Endpoint {
 	if !r.workingSet.Activate(destination, now) {
 		return activated
 	}
 	r.world.Activations++
 	first := len(activated)
-	activated = r.world.appendEntries(activated, destination, r.listVersion)
+	activated = r.world.appendEntries(activated, int(destination), r.listVersion)
 	for i := range activated[first:] {
 		activated[first+i].Relisted = r.workingSet.Settled(destination, now)
 	}
@@ -128,7 +132,7 @@
 		return nil
 	}
 	for _, destination := range r.workingSet.EvictIdle(now, maxEvictions, e.Evictable) {
-		evicted = r.world.appendEntries(evicted, destination, r.listVersion)
+		evicted = r.world.appendEntries(evicted, int(destination), r.listVersion)
 	}
 	for i := range evicted {
 		evicted[i].InService = false
--- a/internal/simulation/emulate/workingset_test.go
+++ b/internal/simulation/emulate/workingset_test.go
@@ -91,7 +91,7 @@
 // forgetfulEngine lets destinations be evicted of which it has something to remember.
 type forgetfulEngine struct{ *policy.Engine }
 
-func (forgetfulEngine) Evictable(int) bool { return true }
+func (forgetfulEngine) Evictable(policy.DestinationID) bool { return true }
 
 // TestRetryAfterSurvivesEviction: a destination that sent a Retry-After is not forgotten before its end, however long
 // it is idle; an engine that forgets it violates the rule.
