--- a/internal/simulation/emulate/call.go
+++ b/internal/simulation/emulate/call.go
@@ -217,8 +217,10 @@
 	switch result.outcome {
 	case policy.Overloaded, policy.ConnectFailed, policy.NotSent:
 		if len(m.mayHaveRun) > 0 {
-			before := slices.Clone(m.mayHaveRun)
-			r.journal.written(func() { m.mayHaveRun = before })
+			if r.journal.undoable {
+				before := slices.Clone(m.mayHaveRun)
+				r.journal.written(func() { m.mayHaveRun = before })
+			}
 			m.attemptNeverRan(a.number)
 		}
 	}
--- a/internal/simulation/emulate/execute.go
+++ b/internal/simulation/emulate/execute.go
@@ -62,7 +62,9 @@
 	i := slices.IndexFunc(accepted, func(in *receivedSubmission) bool { return in.message == m })
 	if i < 0 {
 		m.final = decision
-		r.journal.written(func() { m.final = nil })
+		if r.journal.undoable {
+			r.journal.written(func() { m.final = nil })
+		}
 		return true
 	}
 	status := http.StatusInternalServerError
--- a/internal/simulation/emulate/journal.go
+++ b/internal/simulation/emulate/journal.go
@@ -28,11 +28,9 @@
 	}
 }
 
-// written notes that something is written now, and how to undo it.
+// written notes that something is written now, and how to undo it. Callers check undoable first, which spares the
+// closure.
 func (j *journal) written(undo func()) {
-	if !j.undoable {
-		return
-	}
 	now := j.world.Now()
 	expired := 0
 	for expired < len(j.records) && j.records[expired].at < now-j.retention() {
--- a/internal/simulation/emulate/message.go
+++ b/internal/simulation/emulate/message.go
@@ -67,7 +67,9 @@
 		}
 		in.message = m
 		r.messages[m.id] = m
-		r.journal.written(func() { delete(r.messages, m.id) })
+		if r.journal.undoable {
+			r.journal.written(func() { delete(r.messages, m.id) })
+		}
 		r.pendingCount++
 		accepted = append(accepted, in)
 	}
@@ -120,7 +122,9 @@
 		return
 	}
 	delete(r.messages, m.id)
-	r.journal.written(func() { r.messages[m.id] = m })
+	if r.journal.undoable {
+		r.journal.written(func() { r.messages[m.id] = m })
+	}
 }
 
 // notify notifies the platform of a final decision, which acknowledges the notice.
@@ -159,10 +163,12 @@
 		startedAt: r.clocks.stamp(r.world.Now()),
 		epoch:     r.clocks.timeline.Epoch,
 	})
-	r.journal.written(func() {
-		m.attemptNeverRan(a.number)
-		m.attemptCount--
-	})
+	if r.journal.undoable {
+		r.journal.written(func() {
+			m.attemptNeverRan(a.number)
+			m.attemptCount--
+		})
+	}
 }
 
 // attemptNeverRan removes an attempt from those that may have run.
--- a/internal/simulation/emulate/options.go
+++ b/internal/simulation/emulate/options.go
@@ -38,6 +38,9 @@
 	SyncAlways                     // everything
 )
 
+// String returns a name for messages.
+func (p SyncPolicy) String() string { return [...]string{"never", "interval", "always"}[p] }
+
 // ExcessConnections is what happens to a connection that exceeds the number an endpoint accepts.
 type ExcessConnections int
 
--- a/internal/simulation/emulate/world_test.go
+++ b/internal/simulation/emulate/world_test.go
@@ -79,7 +79,7 @@
 		}
 		lost := slices.Contains(violatedRules(checkRecord(t, w)), checker.NoMessageLost)
 		if lost != (sync != SyncAlways) {
-			t.Errorf("sync %d: lost %v", sync, lost)
+			t.Errorf("sync %s: lost %v", sync, lost)
 		}
 	}
 }
