--- a/internal/fleet/codec/quota.go
+++ b/internal/fleet/codec/quota.go
@@ -21,6 +21,7 @@
 	HoldsNoLease    bool           `cbor:"11,keyasint,omitempty"`
 }
 
+// lease is a quota.Lease on the wire.
 type lease struct {
 	Destination int     `cbor:"1,keyasint,omitempty"`
 	Endpoint    string  `cbor:"2,keyasint,omitempty"`
@@ -29,6 +30,7 @@
 	Rejected    uint32  `cbor:"5,keyasint,omitempty"`
 }
 
+// quotaRequest is a quota.Request on the wire.
 type quotaRequest struct {
 	Destination int    `cbor:"1,keyasint,omitempty"`
 	Endpoint    string `cbor:"2,keyasint,omitempty"`
@@ -38,6 +40,7 @@
 	Rejected    uint32 `cbor:"6,keyasint,omitempty"`
 }
 
+// grant is a quota.Grant on the wire.
 type grant struct {
 	Destination int    `cbor:"1,keyasint,omitempty"`
 	Endpoint    string `cbor:"2,keyasint,omitempty"`
@@ -47,50 +50,25 @@
 
 // SetQuotaMessage puts a quota message into the message.
 func (m *Message) SetQuotaMessage(q quota.Message) {
-	encoded := &quotaMessage{
+	m.EncodedQuota = &quotaMessage{
 		Generation:      q.Generation,
 		Seq:             q.Seq,
 		AckedSeq:        q.AckedSeq,
 		AckedGeneration: q.AckedIncarnation.Generation,
 		AckedBoot:       q.AckedIncarnation.Boot,
 		Ping:            q.Ping,
+		Leases:          convertEach(q.Leases, encodeLease),
+		Requests:        convertEach(q.Requests, encodeRequest),
+		Grants:          convertEach(q.Grants, encodeGrant),
 		AsksForLeases:   q.AsksForLeases,
 		HoldsNoLease:    q.HoldsNoLease,
 	}
-	for _, l := range q.Leases {
-		encoded.Leases = append(encoded.Leases, lease{
-			Destination: int(l.Scope.Destination),
-			Endpoint:    l.Scope.Endpoint,
-			Rate:        l.Rate,
-			Delivered:   l.Delivered,
-			Rejected:    l.Rejected,
-		})
-	}
-	for _, r := range q.Requests {
-		encoded.Requests = append(encoded.Requests, quotaRequest{
-			Destination: int(r.Scope.Destination),
-			Endpoint:    r.Scope.Endpoint,
-			ID:          r.ID,
-			Calls:       r.Calls,
-			Delivered:   r.Delivered,
-			Rejected:    r.Rejected,
-		})
-	}
-	for _, g := range q.Grants {
-		encoded.Grants = append(encoded.Grants, grant{
-			Destination: int(g.Scope.Destination),
-			Endpoint:    g.Scope.Endpoint,
-			ID:          g.ID,
-			Calls:       g.Calls,
-		})
-	}
-	m.EncodedQuota = encoded
 }
 
 // QuotaMessage returns the message's quota message, which must be there. Package quota checks its values.
 func (m Message) QuotaMessage() quota.Message {
 	encoded := m.EncodedQuota
-	q := quota.Message{
+	return quota.Message{
 		Member:           m.From,
 		Incarnation:      loadreport.Incarnation{Generation: encoded.Generation, Boot: m.Boot},
 		Seq:              encoded.Seq,
@@ -99,30 +77,74 @@
 		Ping:             encoded.Ping,
 		AsksForLeases:    encoded.AsksForLeases,
 		HoldsNoLease:     encoded.HoldsNoLease,
+		Leases:           convertEach(encoded.Leases, lease.decode),
+		Requests:         convertEach(encoded.Requests, quotaRequest.decode),
+		Grants:           convertEach(encoded.Grants, grant.decode),
+	}
+}
+
+// convertEach returns the results of a conversion of each item; nil if there is none.
+func convertEach[From, To any](items []From, convert func(From) To) []To {
+	var converted []To
+	for _, item := range items {
+		converted = append(converted, convert(item))
+	}
+	return converted
+}
+
+func encodeLease(l quota.Lease) lease {
+	return lease{
+		Destination: int(l.Scope.Destination),
+		Endpoint:    l.Scope.Endpoint,
+		Rate:        l.Rate,
+		Delivered:   l.Delivered,
+		Rejected:    l.Rejected,
+	}
+}
+
+func (l lease) decode() quota.Lease {
+	return quota.Lease{
+		Scope:     decodeScope(l.Destination, l.Endpoint),
+		Rate:      l.Rate,
+		Delivered: l.Delivered,
+		Rejected:  l.Rejected,
 	}
-	for _, l := range encoded.Leases {
-		q.Leases = append(q.Leases, quota.Lease{
-			Scope:     quota.Scope{Destination: policy.DestinationID(l.Destination), Endpoint: l.Endpoint},
-			Rate:      l.Rate,
-			Delivered: l.Delivered,
-			Rejected:  l.Rejected,
-		})
+}
+
+func encodeRequest(r quota.Request) quotaRequest {
+	return quotaRequest{
+		Destination: int(r.Scope.Destination),
+		Endpoint:    r.Scope.Endpoint,
+		ID:          r.ID,
+		Calls:       r.Calls,
+		Delivered:   r.Delivered,
+		Rejected:    r.Rejected,
 	}
-	for _, r := range encoded.Requests {
-		q.Requests = append(q.Requests, quota.Request{
-			Scope:     quota.Scope{Destination: policy.DestinationID(r.Destination), Endpoint: r.Endpoint},
-			ID:        r.ID,
-			Calls:     r.Calls,
-			Delivered: r.Delivered,
-			Rejected:  r.Rejected,
-		})
+}
+
+func (r quotaRequest) decode() quota.Request {
+	return quota.Request{
+		Scope:     decodeScope(r.Destination, r.Endpoint),
+		ID:        r.ID,
+		Calls:     r.Calls,
+		Delivered: r.Delivered,
+		Rejected:  r.Rejected,
 	}
-	for _, g := range encoded.Grants {
-		q.Grants = append(q.Grants, quota.Grant{
-			Scope: quota.Scope{Destination: policy.DestinationID(g.Destination), Endpoint: g.Endpoint},
-			ID:    g.ID,
-			Calls: g.Calls,
-		})
+}
+
+func encodeGrant(g quota.Grant) grant {
+	return grant{
+		Destination: int(g.Scope.Destination),
+		Endpoint:    g.Scope.Endpoint,
+		ID:          g.ID,
+		Calls:       g.Calls,
 	}
-	return q
+}
+
+func (g grant) decode() quota.Grant {
+	return quota.Grant{Scope: decodeScope(g.Destination, g.Endpoint), ID: g.ID, Calls: g.Calls}
+}
+
+func decodeScope(destination int, endpoint string) quota.Scope {
+	return quota.Scope{Destination: policy.DestinationID(destination), Endpoint: endpoint}
 }
--- a/internal/fleet/codec/report.go
+++ b/internal/fleet/codec/report.go
@@ -43,72 +43,65 @@
 
 // SetReports puts reports into the message.
 func (m *Message) SetReports(reports ...loadreport.Report) {
-	m.EncodedReports = make([]report, 0, len(reports))
-	for _, r := range reports {
-		m.EncodedReports = append(m.EncodedReports, report{
-			Name:       r.Name,
-			Generation: r.Generation,
-			Boot:       r.Boot,
-			Number:     r.Number,
-			Sequence:   r.Sequence,
-			Age:        toMilliseconds(r.Age),
-			Scopes:     encodeScopes(r.Scopes),
-		})
+	m.EncodedReports = convertEach(reports, encodeReport)
+}
+
+// Reports returns the message's reports.
+func (m Message) Reports() []loadreport.Report {
+	return convertEach(m.EncodedReports, report.decode)
+}
+
+func encodeReport(r loadreport.Report) report {
+	return report{
+		Name:       r.Name,
+		Generation: r.Generation,
+		Boot:       r.Boot,
+		Number:     r.Number,
+		Sequence:   r.Sequence,
+		Age:        toMilliseconds(r.Age),
+		Scopes:     convertEach(r.Scopes, encodeScopeLoad),
 	}
 }
 
-func encodeScopes(loads []loadreport.ScopeLoad) []scopeLoad {
-	encoded := make([]scopeLoad, 0, len(loads))
-	for _, load := range loads {
-		encoded = append(encoded, scopeLoad{
-			Destination: int(load.Destination),
-			Endpoint:    load.Endpoint,
-			Demand:      load.Demand,
-			Calls:       load.Calls,
-			Rejections:  load.Rejections,
-			Deliveries:  load.Deliveries,
-			Failures:    load.Failures,
-			Backlog:     load.Backlog,
-			RetryAfter:  toMilliseconds(load.RetryAfter),
-			WarmingUp:   load.WarmingUp,
-		})
+func (r report) decode() loadreport.Report {
+	return loadreport.Report{
+		Name:        r.Name,
+		Incarnation: loadreport.Incarnation{Generation: r.Generation, Boot: r.Boot},
+		Number:      r.Number,
+		Sequence:    r.Sequence,
+		Age:         fromMilliseconds(r.Age),
+		Scopes:      convertEach(r.Scopes, scopeLoad.decode),
 	}
-	return encoded
 }
 
-// Reports returns the message's reports.
-func (m Message) Reports() []loadreport.Report {
-	reports := make([]loadreport.Report, 0, len(m.EncodedReports))
-	for _, r := range m.EncodedReports {
-		reports = append(reports, loadreport.Report{
-			Name:        r.Name,
-			Incarnation: loadreport.Incarnation{Generation: r.Generation, Boot: r.Boot},
-			Number:      r.Number,
-			Sequence:    r.Sequence,
-			Age:         fromMilliseconds(r.Age),
-			Scopes:      decodeScopes(r.Scopes),
-		})
+func encodeScopeLoad(load loadreport.ScopeLoad) scopeLoad {
+	return scopeLoad{
+		Destination: int(load.Destination),
+		Endpoint:    load.Endpoint,
+		Demand:      load.Demand,
+		Calls:       load.Calls,
+		Rejections:  load.Rejections,
+		Deliveries:  load.Deliveries,
+		Failures:    load.Failures,
+		Backlog:     load.Backlog,
+		RetryAfter:  toMilliseconds(load.RetryAfter),
+		WarmingUp:   load.WarmingUp,
 	}
-	return reports
 }
 
-func decodeScopes(encoded []scopeLoad) []loadreport.ScopeLoad {
-	var loads []loadreport.ScopeLoad
-	for _, load := range encoded {
-		loads = append(loads, loadreport.ScopeLoad{
-			Destination: policy.DestinationID(load.Destination),
-			Endpoint:    load.Endpoint,
-			Demand:      load.Demand,
-			Calls:       load.Calls,
-			Rejections:  load.Rejections,
-			Deliveries:  load.Deliveries,
-			Failures:    load.Failures,
-			Backlog:     load.Backlog,
-			RetryAfter:  fromMilliseconds(load.RetryAfter),
-			WarmingUp:   load.WarmingUp,
-		})
+func (l scopeLoad) decode() loadreport.ScopeLoad {
+	return loadreport.ScopeLoad{
+		Destination: policy.DestinationID(l.Destination),
+		Endpoint:    l.Endpoint,
+		Demand:      l.Demand,
+		Calls:       l.Calls,
+		Rejections:  l.Rejections,
+		Deliveries:  l.Deliveries,
+		Failures:    l.Failures,
+		Backlog:     l.Backlog,
+		RetryAfter:  fromMilliseconds(l.RetryAfter),
+		WarmingUp:   l.WarmingUp,
 	}
-	return loads
 }
 
 // SetDigest puts a digest into the message.
