--- a/internal/recording/flightrecorder/decoder.go
+++ b/internal/recording/flightrecorder/decoder.go
@@ -25,23 +25,23 @@
 }
 
 func (d *decoder) uint() uint64 {
-	x, n := binary.Uvarint(d.data)
+	value, n := binary.Uvarint(d.data)
 	if n <= 0 {
 		d.fail()
 		return 0
 	}
 	d.data = d.data[n:]
-	return x
+	return value
 }
 
 func (d *decoder) int() int64 {
-	x, n := binary.Varint(d.data)
+	value, n := binary.Varint(d.data)
 	if n <= 0 {
 		d.fail()
 		return 0
 	}
 	d.data = d.data[n:]
-	return x
+	return value
 }
 
 func (d *decoder) byte() byte {
@@ -49,9 +49,9 @@
 		d.fail()
 		return 0
 	}
-	x := d.data[0]
+	value := d.data[0]
 	d.data = d.data[1:]
-	return x
+	return value
 }
 
 func (d *decoder) bool() bool { return d.byte() != 0 }
@@ -61,9 +61,9 @@
 		d.fail()
 		return 0
 	}
-	x := math.Float64frombits(binary.LittleEndian.Uint64(d.data))
+	value := math.Float64frombits(binary.LittleEndian.Uint64(d.data))
 	d.data = d.data[float64Size:]
-	return x
+	return value
 }
 
 func (d *decoder) bytes() []byte {
@@ -72,9 +72,9 @@
 		d.fail()
 		return nil
 	}
-	x := d.data[:n]
+	value := d.data[:n]
 	d.data = d.data[n:]
-	return x
+	return value
 }
 
 func (d *decoder) name() string {
@@ -117,65 +117,65 @@
 	return int(n)
 }
 
-func (d *decoder) event(x *policy.Event) {
-	*x = policy.Event{Kind: policy.EventKind(d.byte())}
-	switch x.Kind {
+func (d *decoder) event(event *policy.Event) {
+	*event = policy.Event{Kind: policy.EventKind(d.byte())}
+	switch event.Kind {
 	case policy.MessageAccepted:
-		d.messageAccepted(x)
+		d.messageAccepted(event)
 	case policy.AttemptFinished, policy.HealthChecked:
-		d.attemptFinished(x)
+		d.attemptFinished(event)
 	case policy.MessageCancelled:
-		x.MessageID = d.messageID()
+		event.MessageID = d.messageID()
 	case policy.QuotaGranted:
-		x.Destination = policy.DestinationID(d.int())
-		x.Endpoint = d.name()
-		x.ReservedFraction = d.float()
-		x.GrantedCalls = int(d.int())
-		x.TimeLeft = d.duration()
+		event.Destination = policy.DestinationID(d.int())
+		event.Endpoint = d.name()
+		event.ReservedFraction = d.float()
+		event.GrantedCalls = int(d.int())
+		event.TimeLeft = d.duration()
 	case policy.EndpointSnapshot, policy.EndpointDelta:
-		x.Endpoints = d.endpoints()
+		event.Endpoints = d.endpoints()
 	case policy.WatchFailed, policy.TimerFired:
 	default:
 		d.fail()
 	}
 }
 
-func (d *decoder) messageAccepted(x *policy.Event) {
+func (d *decoder) messageAccepted(event *policy.Event) {
 	flags := d.byte()
-	x.MessageID = d.messageID()
-	x.Class = int(d.int())
-	x.Tenant = int(d.int())
-	x.Destination = policy.DestinationID(d.int())
-	x.TimeLeft = d.duration()
+	event.MessageID = d.messageID()
+	event.Class = int(d.int())
+	event.Tenant = int(d.int())
+	event.Destination = policy.DestinationID(d.int())
+	event.TimeLeft = d.duration()
 	if flags&hasKey != 0 {
-		x.Key = string(d.bytes())
+		event.Key = string(d.bytes())
 	}
 	if flags&hasRecovered == 0 {
 		return
 	}
-	x.Recovered = &policy.RecoveredMessage{Attempts: int(d.int())}
+	event.Recovered = &policy.RecoveredMessage{Attempts: int(d.int())}
 	if flags&hasMayHaveRun != 0 {
-		x.Recovered.MayHaveRun = true
-		x.Recovered.SinceFirstRun = d.duration()
-		x.Recovered.FirstRunZone = int(d.int())
+		event.Recovered.MayHaveRun = true
+		event.Recovered.SinceFirstRun = d.duration()
+		event.Recovered.FirstRunZone = int(d.int())
 	}
 }
 
-func (d *decoder) attemptFinished(x *policy.Event) {
+func (d *decoder) attemptFinished(event *policy.Event) {
 	flags := d.byte()
-	x.MessageID = d.messageID()
-	x.Attempt = int(d.int())
-	x.Endpoint = d.name()
-	x.Outcome = policy.Outcome(d.byte())
-	x.Latency = d.duration()
-	x.MessageEnded = flags&hasMessageEnded != 0
+	event.MessageID = d.messageID()
+	event.Attempt = int(d.int())
+	event.Endpoint = d.name()
+	event.Outcome = policy.Outcome(d.byte())
+	event.Latency = d.duration()
+	event.MessageEnded = flags&hasMessageEnded != 0
 	if flags&hasRetryAfter != 0 {
-		x.RetryAfter = d.duration()
+		event.RetryAfter = d.duration()
 	}
 	if flags&hasLimitReport != 0 {
-		x.LimitReport.Present = d.bool()
-		x.LimitReport.Remaining = d.float()
-		x.LimitReport.Limit = d.float()
+		event.LimitReport.Present = d.bool()
+		event.LimitReport.Remaining = d.float()
+		event.LimitReport.Limit = d.float()
 	}
 }
 
@@ -194,35 +194,35 @@
 
 func (d *decoder) endpoint() policy.Endpoint {
 	flags := d.byte()
-	var ep policy.Endpoint
-	ep.InService = flags&endpointInService != 0
-	ep.Removed = flags&endpointRemoved != 0
-	ep.Relisted = flags&endpointRelisted != 0
-	ep.ID = d.name()
-	ep.Destination = policy.DestinationID(d.int())
-	ep.Kind = int(d.int())
-	ep.Zone = int(d.int())
-	ep.Weight = d.float()
-	return ep
+	return policy.Endpoint{ // the fields in the order in which the encoder writes them
+		ID:          d.name(),
+		Destination: policy.DestinationID(d.int()),
+		Kind:        int(d.int()),
+		Zone:        int(d.int()),
+		Weight:      d.float(),
+		InService:   flags&endpointInService != 0,
+		Removed:     flags&endpointRemoved != 0,
+		Relisted:    flags&endpointRelisted != 0,
+	}
 }
 
-func (d *decoder) action(a *policy.Action) {
-	*a = policy.Action{Kind: policy.ActionKind(d.byte())}
-	switch a.Kind {
+func (d *decoder) action(action *policy.Action) {
+	*action = policy.Action{Kind: policy.ActionKind(d.byte())}
+	switch action.Kind {
 	case policy.Send:
-		a.MessageID = d.messageID()
-		a.Endpoint = d.name()
-		a.TimeoutAt = d.duration()
+		action.MessageID = d.messageID()
+		action.Endpoint = d.name()
+		action.TimeoutAt = d.duration()
 	case policy.Reject, policy.Fail:
-		a.MessageID = d.messageID()
-		a.Delay = d.duration()
+		action.MessageID = d.messageID()
+		action.Delay = d.duration()
 	case policy.SetTimer:
-		a.Delay = d.duration()
+		action.Delay = d.duration()
 	case policy.CloseIdle:
-		a.Endpoint = d.name()
+		action.Endpoint = d.name()
 	case policy.RequestQuota:
-		a.Endpoint = d.name()
-		a.Calls = int(d.int())
+		action.Endpoint = d.name()
+		action.Calls = int(d.int())
 	case policy.WatchEndpoints:
 	default:
 		d.fail()
@@ -232,24 +232,24 @@
 // step reads the time, events and actions of a step.
 func (d *decoder) step(e *Entry) {
 	e.Now = d.now()
-	if n := d.count(); n > 0 {
-		e.Events = make([]policy.Event, n)
-	}
-	for i := range e.Events {
-		d.event(&e.Events[i])
-		if d.err != nil {
-			return
-		}
-	}
-	if n := d.count(); n > 0 {
-		e.Actions = make([]policy.Action, n)
+	e.Events = readList(d, d.event)
+	e.Actions = readList(d, d.action)
+}
+
+// readList reads a count and as many entries, until one is malformed.
+func readList[T any](d *decoder, read func(*T)) []T {
+	n := d.count()
+	if n == 0 {
+		return nil
 	}
-	for i := range e.Actions {
-		d.action(&e.Actions[i])
+	list := make([]T, n)
+	for i := range list {
+		read(&list[i])
 		if d.err != nil {
-			return
+			break
 		}
 	}
+	return list
 }
 
 // rest returns all that is left of the payload.
--- a/internal/recording/flightrecorder/encoder.go
+++ b/internal/recording/flightrecorder/encoder.go
@@ -52,6 +52,20 @@
 	binary.LittleEndian.PutUint32(e.buf[e.frameStart+4:], checksum)
 }
 
+// frame appends a frame with a payload.
+func (e *encoder) frame(kind byte, payload []byte) {
+	e.openFrame(kind)
+	e.buf = append(e.buf, payload...)
+	e.closeFrame()
+}
+
+// appendFrame appends a frame whose payload a function appends.
+func (e *encoder) appendFrame(kind byte, appendPayload func([]byte) []byte) {
+	e.openFrame(kind)
+	e.buf = appendPayload(e.buf)
+	e.closeFrame()
+}
+
 func (e *encoder) uint(x uint64) { e.buf = binary.AppendUvarint(e.buf, x) }
 func (e *encoder) int(x int64)   { e.buf = binary.AppendVarint(e.buf, x) }
 func (e *encoder) byte(x byte)   { e.buf = append(e.buf, x) }
@@ -96,82 +110,82 @@
 	e.lastID = id
 }
 
-func (e *encoder) event(x *policy.Event) {
-	e.byte(byte(x.Kind))
-	switch x.Kind {
+func (e *encoder) event(event *policy.Event) {
+	e.byte(byte(event.Kind))
+	switch event.Kind {
 	case policy.MessageAccepted:
-		e.messageAccepted(x)
+		e.messageAccepted(event)
 	case policy.AttemptFinished, policy.HealthChecked:
-		e.attemptFinished(x)
+		e.attemptFinished(event)
 	case policy.MessageCancelled:
-		e.messageID(x.MessageID)
+		e.messageID(event.MessageID)
 	case policy.QuotaGranted:
-		e.int(int64(x.Destination))
-		e.name(x.Endpoint)
-		e.float(x.ReservedFraction)
-		e.int(int64(x.GrantedCalls))
-		e.int(int64(x.TimeLeft))
+		e.int(int64(event.Destination))
+		e.name(event.Endpoint)
+		e.float(event.ReservedFraction)
+		e.int(int64(event.GrantedCalls))
+		e.int(int64(event.TimeLeft))
 	case policy.EndpointSnapshot, policy.EndpointDelta:
-		e.uint(uint64(len(x.Endpoints)))
-		for i := range x.Endpoints {
-			e.endpoint(&x.Endpoints[i])
+		e.uint(uint64(len(event.Endpoints)))
+		for i := range event.Endpoints {
+			e.endpoint(&event.Endpoints[i])
 		}
 	}
 }
 
-func (e *encoder) messageAccepted(x *policy.Event) {
+func (e *encoder) messageAccepted(event *policy.Event) {
 	var flags byte
-	if x.Recovered != nil {
+	if event.Recovered != nil {
 		flags |= hasRecovered
-		if x.Recovered.MayHaveRun {
+		if event.Recovered.MayHaveRun {
 			flags |= hasMayHaveRun
 		}
 	}
-	if x.Key != "" {
+	if event.Key != "" {
 		flags |= hasKey
 	}
 	e.byte(flags)
-	e.messageID(x.MessageID)
-	e.int(int64(x.Class))
-	e.int(int64(x.Tenant))
-	e.int(int64(x.Destination))
-	e.int(int64(x.TimeLeft))
+	e.messageID(event.MessageID)
+	e.int(int64(event.Class))
+	e.int(int64(event.Tenant))
+	e.int(int64(event.Destination))
+	e.int(int64(event.TimeLeft))
 	if flags&hasKey != 0 {
-		e.text(x.Key)
+		e.text(event.Key)
 	}
 	if flags&hasRecovered != 0 {
-		e.int(int64(x.Recovered.Attempts))
+		e.int(int64(event.Recovered.Attempts))
 	}
 	if flags&hasMayHaveRun != 0 {
-		e.int(int64(x.Recovered.SinceFirstRun))
-		e.int(int64(x.Recovered.FirstRunZone))
+		e.int(int64(event.Recovered.SinceFirstRun))
+		e.int(int64(event.Recovered.FirstRunZone))
 	}
 }
 
-func (e *encoder) attemptFinished(x *policy.Event) {
+func (e *encoder) attemptFinished(event *policy.Event) {
 	var flags byte
-	if x.MessageEnded {
+	if event.MessageEnded {
 		flags |= hasMessageEnded
 	}
-	if x.RetryAfter != 0 {
+	if event.RetryAfter != 0 {
 		flags |= hasRetryAfter
 	}
-	if x.LimitReport != (policy.LimitReport{}) {
+	if event.LimitReport != (policy.LimitReport{}) {
 		flags |= hasLimitReport
 	}
 	e.byte(flags)
-	e.messageID(x.MessageID)
-	e.int(int64(x.Attempt))
-	e.name(x.Endpoint)
-	e.byte(byte(x.Outcome))
-	e.int(int64(x.Latency))
+	e.messageID(event.MessageID)
+	e.int(int64(event.Attempt))
+	e.name(event.Endpoint)
+	e.byte(byte(event.Outcome))
+	e.int(int64(event.Latency))
 	if flags&hasRetryAfter != 0 {
-		e.int(int64(x.RetryAfter))
+		e.int(int64(event.RetryAfter))
 	}
 	if flags&hasLimitReport != 0 {
-		e.bool(x.LimitReport.Present)
-		e.float(x.LimitReport.Remaining)
-		e.float(x.LimitReport.Limit)
+		e.bool(event.LimitReport.Present)
+		e.float(event.LimitReport.Remaining)
+		e.float(event.LimitReport.Limit)
 	}
 }
 
@@ -194,22 +208,22 @@
 	e.float(ep.Weight)
 }
 
-func (e *encoder) action(a *policy.Action) {
-	e.byte(byte(a.Kind))
-	switch a.Kind {
+func (e *encoder) action(action *policy.Action) {
+	e.byte(byte(action.Kind))
+	switch action.Kind {
 	case policy.Send:
-		e.messageID(a.MessageID)
-		e.name(a.Endpoint)
-		e.int(int64(a.TimeoutAt))
+		e.messageID(action.MessageID)
+		e.name(action.Endpoint)
+		e.int(int64(action.TimeoutAt))
 	case policy.Reject, policy.Fail:
-		e.messageID(a.MessageID)
-		e.int(int64(a.Delay))
+		e.messageID(action.MessageID)
+		e.int(int64(action.Delay))
 	case policy.SetTimer:
-		e.int(int64(a.Delay))
+		e.int(int64(action.Delay))
 	case policy.CloseIdle:
-		e.name(a.Endpoint)
+		e.name(action.Endpoint)
 	case policy.RequestQuota:
-		e.name(a.Endpoint)
-		e.int(int64(a.Calls))
+		e.name(action.Endpoint)
+		e.int(int64(action.Calls))
 	}
 }
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -21,10 +21,10 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 const (
-	goldenID    = 0x1122334455667788
-	goldenSeed  = 5
-	goldenSteps = 30
-	goldenEvery = 100 * time.Millisecond
+	goldenID       = 0x1122334455667788
+	goldenSeed     = 5
+	goldenSteps    = 30
+	goldenInterval = 100 * time.Millisecond
 )
 
 // goldenRun is a short run of a module, with the agent of its fleet or without.
@@ -37,8 +37,8 @@
 
 func newGoldenRun(t *testing.T, fleet bool) *goldenRun {
 	t.Helper()
-	set := recordertest.Settings()
-	engine, err := policy.New(set, goldenSeed)
+	settings := recordertest.Settings()
+	engine, err := policy.New(settings, goldenSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		Revision: "golden",
 		Program:  "v1",
 		Seed:     goldenSeed,
-		Settings: set,
+		Settings: settings,
 		Started:  time.Unix(1e9, 0).UTC(),
 	}
 	run := &goldenRun{engine: engine, recorder: flightrecorder.NewRecorderWithID(goldenID, meta, 0, engine.Snapshot)}
@@ -56,7 +56,7 @@
 			Self:             "n1",
 			Incarnation:      loadreport.Incarnation{Generation: 1, Boot: 2},
 			Members:          []string{"n1", "n2"},
-			DestinationKinds: set.DestinationKinds,
+			DestinationKinds: settings.DestinationKinds,
 			ShareQuota:       true,
 			FleetSize:        2,
 		})
@@ -114,14 +114,7 @@
 	if r.agent == nil {
 		r.recorder.Step(now, events, actions)
 	} else {
-		in := goldenInput(number)
-		rec := agent.Record{Received: in.Received, QuotaReceived: in.Quota}
-		in.Events, in.Actions = events, actions
-		in.Views = func() []policy.EndpointView { views, _ := r.engine.Views(); return views }
-		out := r.agent.Step(now, in)
-		rec.Published, rec.QuotaSent = out.Published, out.Quota
-		r.recorder.StepWithFleet(now, events, actions, rec.Append(nil))
-		r.events = out.Events
+		r.stepFleet(number, now, events, actions)
 	}
 	for _, action := range actions {
 		switch action.Kind {
@@ -133,16 +126,39 @@
 	}
 }
 
+// stepFleet does a step of the agent, and records it with the module's.
+func (r *goldenRun) stepFleet(number int, now time.Duration, events []policy.Event, actions []policy.Action) {
+	in := goldenInput(number)
+	in.Events = events
+	in.Actions = actions
+	in.Views = func() []policy.EndpointView {
+		views, _ := r.engine.Views()
+		return views
+	}
+	out := r.agent.Step(now, in)
+	record := agent.Record{
+		Received:      in.Received,
+		Published:     out.Published,
+		QuotaReceived: in.Quota,
+		QuotaSent:     out.Quota,
+	}
+	r.recorder.StepWithFleet(now, events, actions, record.Append(nil))
+	r.events = out.Events
+}
+
+// goldenAnswer returns the outcome of an attempt.
 func goldenAnswer(number int, action policy.Action) policy.Event {
 	e := policy.Event{
 		Kind:         policy.AttemptFinished,
 		MessageID:    action.MessageID,
 		Endpoint:     action.Endpoint,
-		Latency:      goldenEvery,
+		Latency:      goldenInterval,
 		MessageEnded: true,
 	}
 	if number%4 == 0 {
-		e.Outcome, e.MessageEnded, e.RetryAfter = policy.Overloaded, false, time.Second
+		e.Outcome = policy.Overloaded
+		e.MessageEnded = false
+		e.RetryAfter = time.Second
 	}
 	if number%4 == 1 {
 		e.LimitReport = policy.LimitReport{Present: true, Remaining: 0.5, Limit: 5}
@@ -150,7 +166,8 @@
 	return e
 }
 
-func (r *goldenRun) take(number int) {
+// acceptMessages adds two messages to the events of the next step, and in some steps another event.
+func (r *goldenRun) acceptMessages(number int) {
 	id := policy.MessageID(number + 1)
 	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
 	for i := range policy.MessageID(2) {
@@ -182,16 +199,19 @@
 		r.events = append(r.events, policy.Event{Kind: policy.WatchFailed})
 	case 13:
 		gone := goldenEndpoints()[1]
-		gone.InService, gone.Removed = false, true
+		gone.InService = false
+		gone.Removed = true
 		r.events = append(r.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{gone}})
 	}
 }
 
-func (r *goldenRun) live() []byte {
+// record runs the module, and returns its recording.
+func (r *goldenRun) record(t *testing.T) []byte {
+	t.Helper()
 	r.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: goldenEndpoints()}}
 	for number := range goldenSteps {
-		now := time.Second + time.Duration(number)*goldenEvery
-		r.take(number)
+		now := time.Second + time.Duration(number)*goldenInterval
+		r.acceptMessages(number)
 		r.step(number, now)
 		switch number {
 		case 15:
@@ -202,37 +222,12 @@
 			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
 		}
 	}
-	return recorded(r.recorder)
-}
-
-func recorded(r *flightrecorder.Recorder) []byte {
-	var buf bytes.Buffer
-	if _, err := r.WriteTo(&buf); err != nil {
-		panic(err) // a buffer takes all
-	}
-	return buf.Bytes()
-}
-
-func goldenEntries(t *testing.T, data []byte) (entries []flightrecorder.Entry) {
-	t.Helper()
-	r, err := flightrecorder.NewReader(data)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for {
-		e, ok, err := r.Next()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !ok {
-			return entries
-		}
-		entries = append(entries, e)
-	}
+	return written(t, r.recorder)
 }
 
 // rewrite records entries anew.
-func rewrite(entries []flightrecorder.Entry) []byte {
+func rewrite(t *testing.T, entries []flightrecorder.Entry) []byte {
+	t.Helper()
 	var recorder *flightrecorder.Recorder
 	var state, fleetState []byte
 	for i, e := range entries {
@@ -247,12 +242,8 @@
 				recorder.Reconfigured(e.Meta.Settings)
 				continue
 			}
-			recorder = flightrecorder.NewRecorderWithID(
-				e.ID,
-				e.Meta,
-				0,
-				func(b []byte) []byte { return append(b, state...) },
-			)
+			appendState := func(b []byte) []byte { return append(b, state...) }
+			recorder = flightrecorder.NewRecorderWithID(e.ID, e.Meta, 0, appendState)
 			if hasFleet {
 				recorder.RecordFleet(func(b []byte) []byte { return append(b, fleetState...) })
 			}
@@ -270,16 +261,15 @@
 			recorder.Note(e.Text)
 		}
 	}
-	return recorded(recorder)
+	return written(t, recorder)
 }
 
 // playGolden plays a recording whole, compares the module's state at its second chunk, and plays it from there.
 func playGolden(t *testing.T, data []byte, entries []flightrecorder.Entry, fleet bool) {
 	t.Helper()
-	second := slices.IndexFunc(
-		entries,
-		func(e flightrecorder.Entry) bool { return e.Kind == flightrecorder.Begin && !e.Fresh },
-	)
+	second := slices.IndexFunc(entries, func(e flightrecorder.Entry) bool {
+		return e.Kind == flightrecorder.Begin && !e.Fresh
+	})
 	if second < 0 {
 		t.Fatal("no chunk begins with a snapshot")
 	}
@@ -294,10 +284,14 @@
 	}
 	check := func(name string, part []byte, visit replay.Visitor) {
 		t.Helper()
-		res, err := replay.Play(part, visit)
-		if err != nil || res.Difference != nil || len(res.Lost) > 0 || res.Segments != 1 ||
-			(res.FleetSteps > 0) != fleet {
-			t.Errorf("%s: %v, %+v", name, err, res)
+		result, err := replay.Play(part, visit)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			return
+		}
+		complete := len(result.Lost) == 0 && result.Segments == 1 && (result.FleetSteps > 0) == fleet
+		if result.Difference != nil || !complete {
+			t.Errorf("%s: %+v", name, result)
 		}
 	}
 	check("whole", data, replay.Visitor{Before: before})
@@ -311,17 +305,15 @@
 func TestGoldenRecordings(t *testing.T) {
 	for name, fleet := range map[string]bool{"fleet-off": false, "fleet-on": true} {
 		t.Run(name, func(t *testing.T) {
-			data := golden.Check(t, *update, name+".flight", newGoldenRun(t, fleet).live())
-			entries := goldenEntries(t, data)
-			golden.Check(t, *update, name+".txt", dump(t, entries))
-			golden.Check(t, false, name+".flight", rewrite(entries))
-			playGolden(t, data, entries, fleet)
-			granted := bytes.Contains(
-				golden.Read(t, name+".txt"),
-				fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted),
-			)
+			data := golden.Check(t, *update, name+".flight", newGoldenRun(t, fleet).record(t))
+			all := entries(t, data)
+			golden.Check(t, *update, name+".txt", dump(t, all))
+			golden.Check(t, false, name+".flight", rewrite(t, all))
+			playGolden(t, data, all, fleet)
+			grant := fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted)
+			granted := bytes.Contains(golden.Read(t, name+".txt"), grant)
 			if granted != fleet {
-				t.Errorf("rights are granted: %t", granted)
+				t.Errorf("quota is granted: %t", granted)
 			}
 		})
 	}
--- a/internal/recording/flightrecorder/reader_test.go
+++ b/internal/recording/flightrecorder/reader_test.go
@@ -85,17 +85,13 @@
 func TestPartsAreJoined(t *testing.T) {
 	var dumps [][]byte
 	n := 0
-	_, rec := recordertest.Drive(
-		2,
-		40*time.Second,
-		flightrecorder.MinRingSize,
-		func(_ *policy.Engine, rec *flightrecorder.Recorder) {
-			n++
-			if n%1200 == 0 {
-				dumps = append(dumps, written(t, rec))
-			}
-		},
-	)
+	afterStep := func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+		n++
+		if n%1200 == 0 {
+			dumps = append(dumps, written(t, rec))
+		}
+	}
+	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.MinRingSize, afterStep)
 	dumps = append(dumps, written(t, rec))
 	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.MinRingSize, nil)
 	found, err := flightrecorder.Split(append([][]byte{written(t, other), []byte("junk")}, dumps...)...)
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -1,11 +1,11 @@
 package flightrecorder
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
@@ -57,7 +57,7 @@
 
 	id           uint64
 	enc          encoder
-	chunkLimit   int // the open chunk, which is enc's, ends beyond so many bytes
+	chunkLimit   int // bytes beyond which the open chunk, which is enc's, ends
 	minChunkSize int
 
 	ringSize     int
@@ -66,7 +66,7 @@
 	spare        []byte  // buffer of a chunk that was dropped
 
 	followed bool          // a sink follows the recording
-	appended chan struct{} // tells the sink that there is something new
+	appended chan struct{} // notifies the sink that there is something new
 }
 
 type chunk struct {
@@ -137,18 +137,12 @@
 	if err != nil { // a setting that is not a number, which the module rejects
 		data = []byte("{}")
 	}
-	r.enc.openFrame(frameChunkHeader)
-	r.enc.buf = append(r.enc.buf, data...)
-	r.enc.closeFrame()
+	r.enc.frame(frameChunkHeader, data)
 	if !fresh {
-		r.enc.openFrame(frameState)
-		r.enc.buf = r.state(r.enc.buf)
-		r.enc.closeFrame()
+		r.enc.appendFrame(frameState, r.state)
 	}
 	if r.fleetState != nil {
-		r.enc.openFrame(frameFleetState)
-		r.enc.buf = r.fleetState(r.enc.buf)
-		r.enc.closeFrame()
+		r.enc.appendFrame(frameFleetState, r.fleetState)
 	}
 	r.chunkLimit = max(r.minChunkSize, minChunkToStateRatio*len(r.enc.buf))
 }
@@ -163,9 +157,7 @@
 		r.spare = r.closedChunks[drop].data
 		drop++
 	}
-	if drop > 0 {
-		r.closedChunks = append(r.closedChunks[:0], r.closedChunks[drop:]...)
-	}
+	r.closedChunks = slices.Delete(r.closedChunks, 0, drop)
 }
 
 // Step records a step: the events that the module got at now, and its actions. It is called after the module's own
@@ -201,9 +193,7 @@
 	}
 	e.closeFrame()
 	if r.fleetState != nil {
-		e.openFrame(frameFleetStep)
-		e.buf = append(e.buf, fleet...)
-		e.closeFrame()
+		e.frame(frameFleetStep, fleet)
 	}
 	r.rollIfFull()
 }
@@ -308,56 +298,6 @@
 	return int64(n), err
 }
 
-// position is how far a sink has followed a recording.
-type position struct {
-	chunk  uint32
-	offset int
-}
-
-// piece is a part of a chunk that a sink has not got yet.
-type piece struct {
-	chunk  uint32
-	offset int // 0: the chunk begins here
-	data   []byte
-}
-
-// readFrom copies what came after a position, and returns the position behind it. lost counts the chunks that left the
-// ring before they were followed to their ends; at most one of them had been followed to its end.
-func (r *Recorder) readFrom(from position) (pieces []piece, to position, lost int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	to = from
-	follow := func(c chunk) {
-		if c.number < to.chunk {
-			return
-		}
-		if c.number > to.chunk {
-			lost += int(c.number - to.chunk)
-			to = position{chunk: c.number}
-		}
-		if to.offset < len(c.data) {
-			pieces = append(pieces, piece{chunk: c.number, offset: to.offset, data: bytes.Clone(c.data[to.offset:])})
-		}
-		to.offset = len(c.data)
-	}
-	for _, c := range r.closedChunks {
-		follow(c)
-		if c.number == to.chunk {
-			to = position{chunk: c.number + 1}
-		}
-	}
-	follow(chunk{number: r.enc.chunk, data: r.enc.buf})
-	return pieces, to, lost
-}
-
-// startFollowing returns a channel that tells when there is something new.
-func (r *Recorder) startFollowing() <-chan struct{} {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.followed = true
-	return r.appended
-}
-
 // Size returns how many bytes the ring holds.
 func (r *Recorder) Size() int {
 	r.mu.Lock()
--- a/internal/recording/flightrecorder/recorder_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -50,11 +50,9 @@
 }
 
 func newRecorder(ringSize int) *flightrecorder.Recorder {
-	return flightrecorder.NewRecorder(
-		flightrecorder.Meta{Name: "n1", Settings: recordertest.Settings()},
-		ringSize,
-		func(b []byte) []byte { return append(b, "state"...) },
-	)
+	meta := flightrecorder.Meta{Name: "n1", Settings: recordertest.Settings()}
+	appendState := func(b []byte) []byte { return append(b, "state"...) }
+	return flightrecorder.NewRecorder(meta, ringSize, appendState)
 }
 
 var (
@@ -77,6 +75,7 @@
 		policy.WatchFailed,
 		policy.TimerFired,
 		policy.HealthChecked,
+		policy.QuotaGranted,
 	}).Draw(t, "kind")
 	e := policy.Event{Kind: kind}
 	switch kind {
@@ -96,8 +95,15 @@
 				Weight:      rapid.Float64().Draw(t, "weight"),
 				InService:   rapid.Bool().Draw(t, "in service"),
 				Removed:     rapid.Bool().Draw(t, "removed"),
+				Relisted:    rapid.Bool().Draw(t, "relisted"),
 			})
 		}
+	case policy.QuotaGranted:
+		e.Destination = drawDestination.Draw(t, "destination")
+		e.Endpoint = drawName.Draw(t, "endpoint")
+		e.ReservedFraction = rapid.Float64().Draw(t, "reserved fraction")
+		e.GrantedCalls = drawNumber.Draw(t, "granted calls")
+		e.TimeLeft = drawDuration.Draw(t, "time left")
 	}
 	return e
 }
@@ -140,7 +146,7 @@
 }
 
 func drawAction(t *rapid.T) policy.Action {
-	a := policy.Action{Kind: policy.ActionKind(rapid.IntRange(0, 5).Draw(t, "action"))}
+	a := policy.Action{Kind: policy.ActionKind(rapid.IntRange(0, int(policy.RequestQuota)).Draw(t, "action"))}
 	duration := drawDuration.Draw(t, "duration")
 	switch a.Kind {
 	case policy.Send:
@@ -154,6 +160,9 @@
 		a.Delay = duration
 	case policy.CloseIdle:
 		a.Endpoint = "s-9"
+	case policy.RequestQuota:
+		a.Endpoint = "s-9"
+		a.Calls = drawNumber.Draw(t, "calls")
 	}
 	return a
 }
@@ -256,26 +265,24 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	rec := flightrecorder.NewRecorder(
-		flightrecorder.Meta{Settings: recordertest.Settings()},
-		0,
-		func(b []byte) []byte { return append(b, make([]byte, 4096)...) },
-	)
-	took := policy.Event{
+	meta := flightrecorder.Meta{Settings: recordertest.Settings()}
+	appendState := func(b []byte) []byte { return append(b, make([]byte, 4096)...) }
+	rec := flightrecorder.NewRecorder(meta, 0, appendState)
+	accepted := policy.Event{
 		Kind:        policy.MessageAccepted,
 		MessageID:   1,
 		Class:       1,
 		Destination: 7,
 		TimeLeft:    16 * time.Second,
 	}
-	done := policy.Event{
+	finished := policy.Event{
 		Kind:         policy.AttemptFinished,
 		MessageID:    1,
 		Endpoint:     "s-5be2a07c",
 		Latency:      250 * time.Millisecond,
 		MessageEnded: true,
 	}
-	events := []policy.Event{took, done}
+	events := []policy.Event{accepted, finished}
 	actions := []policy.Action{
 		{Kind: policy.Send, MessageID: 1, Endpoint: "s-5be2a07c", TimeoutAt: time.Hour},
 		{Kind: policy.SetTimer, Delay: time.Millisecond},
@@ -285,7 +292,8 @@
 	for b.Loop() {
 		now += 5 * time.Millisecond
 		events[0].MessageID++
-		events[1].MessageID, actions[0].MessageID = events[0].MessageID, events[0].MessageID
+		events[1].MessageID = events[0].MessageID
+		actions[0].MessageID = events[0].MessageID
 		rec.Step(now, events, actions)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(4*b.N), "ns/event")
--- a/internal/recording/flightrecorder/sink_test.go
+++ b/internal/recording/flightrecorder/sink_test.go
@@ -59,27 +59,21 @@
 }
 
 // driveFollowed drives a module whose recording is followed, and returns the number of steps and the ring's size.
-func driveFollowed(
-	t *testing.T, follow func(context.Context, *flightrecorder.Recorder) error,
-) (steps, ringSize int) {
+func driveFollowed(t *testing.T, follow func(context.Context, *flightrecorder.Recorder) error) (steps, ringSize int) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	var once sync.Once
-	_, rec := recordertest.Drive(
-		6,
-		30*time.Second,
-		flightrecorder.MinRingSize,
-		func(_ *policy.Engine, rec *flightrecorder.Recorder) {
-			once.Do(func() {
-				go func() { done <- follow(ctx, rec) }()
-			})
-			steps++
-			if steps%500 == 0 {
-				time.Sleep(120 * time.Millisecond) // real time for the sink, which looks every 100 ms
-			}
-		},
-	)
+	afterStep := func(_ *policy.Engine, rec *flightrecorder.Recorder) {
+		once.Do(func() {
+			go func() { done <- follow(ctx, rec) }()
+		})
+		steps++
+		if steps%500 == 0 {
+			time.Sleep(120 * time.Millisecond) // real time for the sink, which looks every 100 ms
+		}
+	}
+	_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.MinRingSize, afterStep)
 	stop()
 	if err := <-done; err != nil {
 		t.Fatal(err)
