--- a/internal/simulation/emulate/message.go
+++ b/internal/simulation/emulate/message.go
@@ -16,7 +16,7 @@
 	origin          *clientMessage
 	class           int
 	customer        int
-	destination     int
+	destination     policy.DestinationID
 	orderingKey     string
 	deadline        time.Duration // in the time of the world
 	journalDeadline int64         // on the journal's timeline
@@ -60,7 +60,7 @@
 			origin:          s.message,
 			class:           s.Class,
 			customer:        s.Customer,
-			destination:     s.Destination,
+			destination:     policy.DestinationID(s.Destination),
 			orderingKey:     s.OrderingKey,
 			deadline:        s.deadline,
 			journalDeadline: r.clocks.stamp(s.deadline),
@@ -82,7 +82,7 @@
 		Key:         m.orderingKey,
 		Class:       m.class,
 		Tenant:      m.customer,
-		Destination: policy.DestinationID(m.destination),
+		Destination: m.destination,
 		TimeLeft:    r.timeLeft(m),
 	}
 }
