--- a/internal/simulation/emulate/relay.go
+++ b/internal/simulation/emulate/relay.go
@@ -50,7 +50,7 @@
 	runStep             func()        // steps, if the process is still the same
 	stepScheduled       bool
 	lastStepAt          time.Duration
-	timerAt             time.Duration // when the engine's timer fires; it has one
+	timerAt             time.Duration // when the engine's only timer fires; 0: it is not set
 	pendingEvents       []policy.Event
 	eventBuffer         []policy.Event
 	receivedSubmissions []*receivedSubmission
--- a/internal/simulation/emulate/world.go
+++ b/internal/simulation/emulate/world.go
@@ -225,9 +225,6 @@
 // Result returns the record, for package checker.
 func (w *World) Result() (eventlog.Header, []eventlog.Event) { return w.header, w.events }
 
-// Service returns a service by its name; nil if there is none.
-func (w *World) Service(name string) *Service { return w.services[name] }
-
 // Services returns the services of a destination, or all of them for 0, in the order of the plan.
 func (w *World) Services(destination int) []*Service {
 	if destination == 0 {
