--- a/internal/simulation/emulate/scriptedengine_test.go
+++ b/internal/simulation/emulate/scriptedengine_test.go
@@ -14,12 +14,12 @@
 type scriptedEngine struct {
 	settings  policy.Settings
 	seed      uint64
-	endpoints map[int][]policy.Endpoint // by destination, sorted by ID
+	endpoints map[policy.DestinationID][]policy.Endpoint // by destination, sorted by ID
 	messages  map[policy.MessageID]*scriptedMessage
 }
 
 type scriptedMessage struct {
-	destination int
+	destination policy.DestinationID
 	attempts    int
 	inFlight    bool
 	deadline    time.Duration
@@ -30,7 +30,7 @@
 	return &scriptedEngine{
 		settings:  settings,
 		seed:      seed,
-		endpoints: map[int][]policy.Endpoint{},
+		endpoints: map[policy.DestinationID][]policy.Endpoint{},
 		messages:  map[policy.MessageID]*scriptedMessage{},
 	}
 }
@@ -71,7 +71,7 @@
 	case policy.EndpointDelta:
 		s.applyEntries(e.Endpoints)
 	case policy.MessageAccepted:
-		m := &scriptedMessage{destination: int(e.Destination), deadline: now + e.TimeLeft}
+		m := &scriptedMessage{destination: e.Destination, deadline: now + e.TimeLeft}
 		if e.Recovered != nil {
 			m.attempts = e.Recovered.Attempts
 		}
@@ -91,13 +91,15 @@
 func (s *scriptedEngine) applyEntries(entries []policy.Endpoint) {
 	for _, entry := range entries {
 		for destination, endpoints := range s.endpoints {
-			s.endpoints[destination] = slices.DeleteFunc(endpoints, func(e policy.Endpoint) bool { return e.ID == entry.ID })
+			s.endpoints[destination] = slices.DeleteFunc(endpoints, func(e policy.Endpoint) bool {
+				return e.ID == entry.ID
+			})
 		}
 		if entry.Removed {
 			continue
 		}
-		s.endpoints[int(entry.Destination)] = append(s.endpoints[int(entry.Destination)], entry)
-		slices.SortFunc(s.endpoints[int(entry.Destination)], func(a, b policy.Endpoint) int {
+		s.endpoints[entry.Destination] = append(s.endpoints[entry.Destination], entry)
+		slices.SortFunc(s.endpoints[entry.Destination], func(a, b policy.Endpoint) int {
 			return strings.Compare(a.ID, b.ID)
 		})
 	}
--- a/internal/simulation/emulate/workingset.go
+++ b/internal/simulation/emulate/workingset.go
@@ -43,7 +43,7 @@
 		r.workingSet.Activate(e.Destination, now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.messages)) {
-		r.workingSet.Activate(policy.DestinationID(r.messages[id].destination), now)
+		r.workingSet.Activate(r.messages[id].destination, now)
 	}
 }
 
