--- a/internal/simulation/emulate/message.go
+++ b/internal/simulation/emulate/message.go
@@ -16,7 +16,7 @@
 	origin          *clientMessage
 	class           int
 	customer        int
-	destination     int
+	destination     policy.DestinationID
 	orderingKey     string
 	deadline        time.Duration // in the time of the world
 	journalDeadline int64         // on the journal's timeline
@@ -60,14 +60,16 @@
 			origin:          s.message,
 			class:           s.Class,
 			customer:        s.Customer,
-			destination:     s.Destination,
+			destination:     policy.DestinationID(s.Destination),
 			orderingKey:     s.OrderingKey,
 			deadline:        s.deadline,
 			journalDeadline: r.clocks.stamp(s.deadline),
 		}
 		in.message = m
 		r.messages[m.id] = m
-		r.journal.written(func() { delete(r.messages, m.id) })
+		if r.journal.undoable {
+			r.journal.written(func() { delete(r.messages, m.id) })
+		}
 		r.pendingCount++
 		accepted = append(accepted, in)
 	}
@@ -82,7 +84,7 @@
 		Key:         m.orderingKey,
 		Class:       m.class,
 		Tenant:      m.customer,
-		Destination: policy.DestinationID(m.destination),
+		Destination: m.destination,
 		TimeLeft:    r.timeLeft(m),
 	}
 }
@@ -120,7 +122,9 @@
 		return
 	}
 	delete(r.messages, m.id)
-	r.journal.written(func() { r.messages[m.id] = m })
+	if r.journal.undoable {
+		r.journal.written(func() { r.messages[m.id] = m })
+	}
 }
 
 // notify notifies the platform of a final decision, which acknowledges the notice.
@@ -159,10 +163,12 @@
 		startedAt: r.clocks.stamp(r.world.Now()),
 		epoch:     r.clocks.timeline.Epoch,
 	})
-	r.journal.written(func() {
-		m.attemptNeverRan(a.number)
-		m.attemptCount--
-	})
+	if r.journal.undoable {
+		r.journal.written(func() {
+			m.attemptNeverRan(a.number)
+			m.attemptCount--
+		})
+	}
 }
 
 // attemptNeverRan removes an attempt from those that may have run.
