--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -38,12 +38,12 @@
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192 + n/50, "sockets": 256, "disk_mb": 3 + n/500}
 	r.client.Timeout = 30 * time.Second
 	management := withManagement(t, r)
-	p := &platform{Server: discovery.Server}
-	r.start(p)
+	platform := &fakePlatform{Server: discovery.Server}
+	r.start(platform)
 	refused := fillBacklog(r, n, destinations, values)
 	measureWaiting(r, values)
 	r.kill()
-	measureRestart(t, r, p, values)
+	measureRestart(t, r, platform, values)
 	if refused > 0 {
 		t.Errorf("%d of %d were not accepted", refused, n)
 	}
@@ -94,9 +94,9 @@
 	values["processor_ms_per_s_waiting"] = float64((r.cpuTime() - usedBefore).Milliseconds()) / seconds
 }
 
-func measureRestart(t *testing.T, r *relayProcess, p *platform, values map[string]float64) {
+func measureRestart(t *testing.T, r *relayProcess, platform *fakePlatform, values map[string]float64) {
 	t.Helper()
-	r.launch(p)
+	r.launch(platform)
 	monitor := r.monitorHealth()
 	if !monitor.untilReady(2 * time.Minute) {
 		t.Fatal("not ready again after 2 minutes")
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -11,21 +11,21 @@
 )
 
 // startInLargeFleet is a relay of the full fleet, with 31 endpoints listed.
-func startInLargeFleet(b *testing.B) (*relayProcess, *platform) {
+func startInLargeFleet(b *testing.B) (*relayProcess, *fakePlatform) {
 	b.Helper()
-	p := newPlatform(b)
-	h := newEndpoint(b, answerStatus(http.StatusOK))
+	platform := newPlatform(b)
+	endpoint := newEndpoint(b, answerStatus(http.StatusOK))
 	var known []listEntry
 	for i := range 31 {
-		m := newEntry("s-"+string(rune('a'+i)), h.addr(), "a", "gateway", "ready")
+		m := newEntry("s-"+string(rune('a'+i)), endpoint.addr(), "a", "gateway", "ready")
 		m["weight"] = 9000.0
 		known = append(known, m)
 	}
-	r := newRelay(b, p, known, func(set map[string]any) {
+	r := newRelay(b, platform, known, func(set map[string]any) {
 		set["fleet_size"] = 300
 		set["bounds"].(map[string]any)["open_cap"] = 5000
 	})
-	return r, p
+	return r, platform
 }
 
 // killForCPUTime kills the process and returns the processor time that it used.
@@ -40,18 +40,18 @@
 // less.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
-	r, p := startInLargeFleet(b)
+	r, platform := startInLargeFleet(b)
 	r.killForCPUTime()
 	var start time.Duration
 	for range starts {
-		r.start(p)
+		r.start(platform)
 		start += r.killForCPUTime() / starts
 	}
 	b.ReportMetric(float64(start.Microseconds())/1000, "ms/start")
-	r.start(p)
+	r.start(platform)
 	time.Sleep(idle * time.Second)
 	b.ReportMetric(float64((r.killForCPUTime()-start).Microseconds())/1000/idle, "ms/idle-s")
-	r.start(p)
+	r.start(platform)
 	for i := range messages {
 		r.mustAccept(traceID(i), 9*time.Second)
 	}
@@ -73,23 +73,23 @@
 // alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
-	h := newEndpoint(b, nil)
-	alone := newTestFleet(b, 1, h)
-	rigs := []*testFleet{newTestFleet(b, 3, h), newTestFleet(b, 3, h)}
+	endpoint := newEndpoint(b, nil)
+	alone := newTestFleet(b, 1, endpoint)
+	rigs := []*testFleet{newTestFleet(b, 3, endpoint), newTestFleet(b, 3, endpoint)}
 	must(b, os.Remove(filepath.Join(alone.relays[0].dir, "operator.toml")))
 	alone.relays[0].env = nil
 	alone.start(0)
-	for _, g := range rigs {
-		g.start(g.allRelays()...)
+	for _, fleet := range rigs {
+		fleet.start(fleet.allRelays()...)
 	}
-	g := rigs[1]
+	fleet := rigs[1]
 	eventually(b, "the fleet is one", func() bool {
-		state, _ := g.memberState(0, 2)
+		state, _ := fleet.memberState(0, 2)
 		return state == "alive"
 	})
-	must(b, g.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
-	defer signalQuietly(g.relays[2].cmd, syscall.SIGCONT)
-	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], g.relays[0]}
+	must(b, fleet.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
+	defer signalQuietly(fleet.relays[2].cmd, syscall.SIGCONT)
+	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], fleet.relays[0]}
 	accepts := make([][]time.Duration, 3)
 	finals := make([][]time.Duration, 3)
 	for i := range messages {
@@ -98,7 +98,7 @@
 			began := time.Now()
 			r.mustAccept(id, 9*time.Second)
 			accepts[k] = append(accepts[k], time.Since(began))
-			for h.count(id) == 0 {
+			for endpoint.count(id) == 0 {
 				time.Sleep(50 * time.Microsecond)
 			}
 			finals[k] = append(finals[k], time.Since(began))
@@ -131,9 +131,9 @@
 		{"small on 12 MB, room for half", 12, 0, 40_000},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			p := newPlatform(b)
-			h := newEndpoint(b, nil)
-			list := []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}
+			platform := newPlatform(b)
+			endpoint := newEndpoint(b, nil)
+			list := endpoint.list(singleKind, "draining")
 			r := prepareRelay(b, list, func(settings map[string]any) {
 				settings["bounds"].(map[string]any)["open_cap"] = c.room
 			})
@@ -143,7 +143,7 @@
 			var ready time.Duration
 			for range b.N {
 				began := time.Now()
-				r.start(p)
+				r.start(platform)
 				ready += time.Since(began)
 				r.kill()
 			}
--- a/cmd/cherrytrestle/faults_test.go
+++ b/cmd/cherrytrestle/connectionfaults_test.go
@@ -27,22 +27,22 @@
 	}
 }
 
-func faultyEndpoint(t testing.TB, h *endpoint, rules ...string) *faultproxy.Proxy {
+func faultyEndpoint(t testing.TB, endpoint *fakeEndpoint, rules ...string) *faultproxy.Proxy {
 	t.Helper()
-	p, err := faultproxy.Start("127.0.0.1:0", h.addr(), 1)
+	proxy, err := faultproxy.Start("127.0.0.1:0", endpoint.addr(), 1)
 	must(t, err)
-	t.Cleanup(func() { closeQuietly(p) })
+	t.Cleanup(func() { closeQuietly(proxy) })
 	for _, text := range rules {
 		rule, err := faultproxy.ParseRule(text)
 		must(t, err)
-		_, err = p.AddRule(rule)
+		_, err = proxy.AddRule(rule)
 		must(t, err)
 	}
-	return p
+	return proxy
 }
 
 // statuses are the statuses of a message's notifications, each once.
-func (p *platform) statuses(id string) (all []string) {
+func (p *fakePlatform) statuses(id string) (all []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range p.notifications {
@@ -117,8 +117,8 @@
 	for _, fault := range wireFaults() {
 		t.Run(strings.ReplaceAll(fault.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			p := newPlatform(t)
-			h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+			platform := newPlatform(t)
+			endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 				if fault.first == "chunked" {
 					w.(http.Flusher).Flush()
 				}
@@ -126,18 +126,18 @@
 			})
 			// Each class has a wire of its own, whose first connection is struck.
 			for _, class := range []string{"pay", "order"} {
-				sendOverFault(t, p, h, fault, class)
-				checkFaultEnd(t, p, h, fault, class)
+				sendOverFault(t, platform, endpoint, fault, class)
+				checkFaultEnd(t, platform, endpoint, fault, class)
 			}
 		})
 	}
 }
 
 // sendOverFault sends a message of the class over a faulty wire, waits until it has ended and terminates the relay.
-func sendOverFault(t *testing.T, p *platform, h *endpoint, fault wireFault, class string) {
+func sendOverFault(t *testing.T, platform *fakePlatform, endpoint *fakeEndpoint, fault wireFault, class string) {
 	t.Helper()
-	wire := faultyEndpoint(t, h, "conn=1 "+fault.rule)
-	r := newRelay(t, p, []listEntry{newEntry("s-"+class, wire.Addr(), "a", "gateway", "ready")}, withPayments)
+	wire := faultyEndpoint(t, endpoint, "conn=1 "+fault.rule)
+	r := newRelay(t, platform, []listEntry{newEntry("s-"+class, wire.Addr(), "a", singleKind, "ready")}, withPayments)
 	id := "m-" + class
 	if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
 		t.Fatalf("%s: status %d", class, status)
@@ -147,15 +147,15 @@
 	eventually(t, "another one delivered", func() bool {
 		next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
 		r.mustAccept(next, 10*time.Second)
-		eventually(t, next, func() bool { return h.count(next) > 0 || p.notification(next) != nil })
-		return h.count(next) > 0
+		eventually(t, next, func() bool { return endpoint.count(next) > 0 || platform.notification(next) != nil })
+		return endpoint.count(next) > 0
 	})
 	least, _ := fault.keyedCalls()
 	eventually(t, "the message has ended", func() bool {
-		if len(p.statuses(id)) > 0 {
+		if len(platform.statuses(id)) > 0 {
 			return true
 		}
-		ran := h.count(id)
+		ran := endpoint.count(id)
 		return ran > 0 && (class == "order" && ran >= least || fault.nonRepeat != failed)
 	})
 	if err := r.terminate(); err != nil {
@@ -164,10 +164,10 @@
 }
 
 // checkFaultEnd checks the calls and the final answer of a message that was sent over a faulty wire.
-func checkFaultEnd(t *testing.T, p *platform, h *endpoint, fault wireFault, class string) {
+func checkFaultEnd(t *testing.T, platform *fakePlatform, endpoint *fakeEndpoint, fault wireFault, class string) {
 	t.Helper()
 	id := "m-" + class
-	ends := p.statuses(id)
+	ends := platform.statuses(id)
 	if len(ends) > 1 {
 		t.Errorf("%s: ends %v", class, ends)
 	}
@@ -178,7 +178,7 @@
 		least = 0
 		most = fault.calls
 	}
-	calls := h.count(id)
+	calls := endpoint.count(id)
 	if calls > most || calls < least {
 		t.Errorf("%s: %d calls, want %d to %d", class, calls, least, most)
 	}
@@ -201,18 +201,18 @@
 	for _, class := range []string{"pay", "order"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p := newPlatform(t)
-			h := newEndpoint(t, nil)
+			platform := newPlatform(t)
+			endpoint := newEndpoint(t, nil)
 			other := newEndpoint(t, nil)
-			wire := faultyEndpoint(t, h)
+			wire := faultyEndpoint(t, endpoint)
 			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
 			must(t, err)
 			id, err := wire.AddRule(rule)
 			must(t, err)
-			elsewhere := newEntry("s-2", other.addr(), "b", "gateway", "ready")
+			elsewhere := newEntry("s-2", other.addr(), "b", singleKind, "ready")
 			elsewhere["weight"] = 1.0
-			here := newEntry("s-1", wire.Addr(), "a", "gateway", "ready")
-			r := newRelay(t, p, []listEntry{here, elsewhere}, withPayments)
+			here := newEntry("s-1", wire.Addr(), "a", singleKind, "ready")
+			r := newRelay(t, platform, []listEntry{here, elsewhere}, withPayments)
 			if status, _ := r.submit("m", 8*time.Second, withClass(class)); status != http.StatusAccepted {
 				t.Fatalf("status %d", status)
 			}
@@ -220,17 +220,17 @@
 			defer cancel()
 			must(t, wire.WaitTriggered(ctx, id))
 			r.kill()
-			r.start(p)
+			r.start(platform)
 			if class == "pay" {
-				eventually(t, "a notification", func() bool { return p.notification("m") != nil })
+				eventually(t, "a notification", func() bool { return platform.notification("m") != nil })
 			} else {
-				eventually(t, "repeated", func() bool { return h.count("m") == 2 })
+				eventually(t, "repeated", func() bool { return endpoint.count("m") == 2 })
 			}
 			must(t, r.terminate())
-			if ends := p.statuses("m"); class == "pay" &&
-				(h.count("m") != 1 || !slices.Equal(ends, []string{"undeliverable"})) ||
-				class == "order" && (h.count("m") != 2 || len(ends) > 0) {
-				t.Errorf("%d calls, ends %v", h.count("m"), ends)
+			if ends := platform.statuses("m"); class == "pay" &&
+				(endpoint.count("m") != 1 || !slices.Equal(ends, []string{"undeliverable"})) ||
+				class == "order" && (endpoint.count("m") != 2 || len(ends) > 0) {
+				t.Errorf("%d calls, ends %v", endpoint.count("m"), ends)
 			}
 			if other.count("m") != 0 {
 				t.Error("sent to the other zone, where its repeat is not dropped")
@@ -243,9 +243,9 @@
 // relay's to deliver twice under its id.
 func TestFaultsOnTheClientsSide(t *testing.T) {
 	t.Parallel()
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	for i, c := range []struct {
 		rule  string
 		calls int // at most
@@ -258,15 +258,15 @@
 		{`dir=down at=5 do=reset`, 1},
 		{`dir=up match="\r\n\r\n" for=100ms do=stall`, 1},
 	} {
-		p, err := faultproxy.Start("127.0.0.1:0", r.addr, 1)
+		proxy, err := faultproxy.Start("127.0.0.1:0", r.addr, 1)
 		must(t, err)
 		rule, err := faultproxy.ParseRule(c.rule)
 		must(t, err)
-		_, err = p.AddRule(rule)
+		_, err = proxy.AddRule(rule)
 		must(t, err)
 		id := fmt.Sprint("m", i)
 		req := r.request(id, 10*time.Second, nil)
-		req.URL.Host = p.Addr()
+		req.URL.Host = proxy.Addr()
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 		status := 0
 		if res, err := client.Do(req); err == nil {
@@ -274,13 +274,13 @@
 			status = res.StatusCode
 		}
 		if status == http.StatusAccepted {
-			eventually(t, id, func() bool { return h.count(id) == 1 })
+			eventually(t, id, func() bool { return endpoint.count(id) == 1 })
 		}
-		closeQuietly(p)
+		closeQuietly(proxy)
 		next := fmt.Sprint("next", i)
 		r.mustAccept(next, 10*time.Second)
-		eventually(t, next, func() bool { return h.count(next) == 1 })
-		if n := h.count(id); n > c.calls {
+		eventually(t, next, func() bool { return endpoint.count(next) == 1 })
+		if n := endpoint.count(id); n > c.calls {
 			t.Errorf("%s: %d calls", c.rule, n)
 		}
 	}
--- a/cmd/cherrytrestle/window_test.go
+++ b/cmd/cherrytrestle/dedupwindow_test.go
@@ -9,12 +9,12 @@
 )
 
 // arrivals are the times at which a message arrived.
-func (h *endpoint) arrivals(id string) (at []time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i, x := range h.seen {
+func (endpoint *fakeEndpoint) arrivals(id string) (at []time.Time) {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	for i, x := range endpoint.seen {
 		if x == id {
-			at = append(at, h.at[i])
+			at = append(at, endpoint.at[i])
 		}
 	}
 	return at
@@ -55,7 +55,7 @@
 }
 
 func testDedupWindow(t *testing.T, c windowCase) {
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	var killed atomic.Bool
 	one := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		if !killed.Load() {
@@ -63,7 +63,7 @@
 		}
 	})
 	other := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	r := newRelay(t, platform, one.list(singleKind, "ready"), func(set map[string]any) {
 		set["services"].([]map[string]any)[0]["repeat_window_ms"] = dedupWindow.Milliseconds()
 		set["extra"].(map[string]any)["call_slots"] = 40 // all are sent
 	})
@@ -80,14 +80,14 @@
 	r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{entry}}
 	r.writeConfig()
 	time.Sleep(c.down)
-	r.start(p)
+	r.start(platform)
 	inTime := time.Since(one.arrivals("m0")[0]) < dedupWindow*2/3 // otherwise the machine is too slow for this case
 	if c.late > 0 {
 		time.Sleep(time.Until(killedAt.Add(c.late)))
 		entry["state"] = "ready"
-		p.publish(false, entry)
+		platform.publish(false, entry)
 	}
-	repeated := checkRepeats(t, p, one, other)
+	repeated := checkRepeats(t, platform, one, other)
 	t.Logf("%d repeated", repeated)
 	if c.repeats && inTime && repeated == 0 || c.never && repeated > 0 {
 		t.Errorf("%d repeated", repeated)
@@ -95,7 +95,7 @@
 }
 
 // nextEntry is the endpoint that the next process lists.
-func (c windowCase) nextEntry(one, other *endpoint) listEntry {
+func (c windowCase) nextEntry(one, other *fakeEndpoint) listEntry {
 	next := one
 	if c.zone != "a" {
 		next = other
@@ -104,17 +104,17 @@
 	if c.late > 0 {
 		state = "draining"
 	}
-	return newEntry("s-2", next.addr(), c.zone, "gateway", state)
+	return newEntry("s-2", next.addr(), c.zone, singleKind, state)
 }
 
 // checkRepeats waits until each message is repeated or has ended, and returns how many repeats there were, none of them
 // past the window or in the other zone.
-func checkRepeats(t *testing.T, p *platform, one, other *endpoint) (repeated int) {
+func checkRepeats(t *testing.T, platform *fakePlatform, one, other *fakeEndpoint) (repeated int) {
 	t.Helper()
 	for i := range windowMessages {
 		id := fmt.Sprint("m", i)
 		eventually(t, id+" repeated or ended", func() bool {
-			return one.count(id) > 1 || p.notification(id) != nil || other.count(id) > 0
+			return one.count(id) > 1 || platform.notification(id) != nil || other.count(id) > 0
 		})
 		arrivals := one.arrivals(id)
 		for _, repeat := range arrivals[1:] {
@@ -126,7 +126,7 @@
 		if other.count(id) > 0 {
 			t.Errorf("%s repeated in the other zone", id)
 		}
-		if status := p.notification(id); status != nil && status["status"] != "undeliverable" {
+		if status := platform.notification(id); status != nil && status["status"] != "undeliverable" {
 			t.Errorf("%s, which may have run, ended with %v", id, status)
 		}
 	}
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -14,18 +14,18 @@
 )
 
 func TestAcceptsAndDelivers(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m1", 10*time.Second)
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "both delivered", func() bool { return h.count("m1") == 1 && h.count("m2") == 1 })
+	eventually(t, "both delivered", func() bool { return endpoint.count("m1") == 1 && endpoint.count("m2") == 1 })
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
 	for i, c := range []struct {
 		edit func(*http.Request)
@@ -66,22 +66,22 @@
 	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
 		t.Errorf("64 KiB: status %d", status)
 	}
-	eventually(t, "the good one delivered", func() bool { return h.count("big") == 1 })
-	if h.calls != 1 {
-		t.Errorf("%d calls", h.calls)
+	eventually(t, "the good one delivered", func() bool { return endpoint.count("big") == 1 })
+	if endpoint.calls != 1 {
+		t.Errorf("%d calls", endpoint.calls)
 	}
 }
 
 func TestPendingMessagesAreBounded(t *testing.T) {
 	const held = 5
 	wait := make(chan struct{})
-	p, h := newPlatform(t), newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	platform, endpoint := newPlatform(t), newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-wait:
 		case <-r.Context().Done():
 		}
 	})
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(s map[string]any) {
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(s map[string]any) {
 		s["bounds"].(map[string]any)["open_cap"] = held
 		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all are sent, and none can be rejected for another
 	})
@@ -103,23 +103,23 @@
 
 // A message that the engine gives up on gets its answer by a notification, which is retried until it is acknowledged.
 func TestNotificationsAreRetried(t *testing.T) {
-	p := newPlatform(t)
-	p.failNotifications = 3
-	h := newEndpoint(t, answerStatus(http.StatusServiceUnavailable))
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	platform := newPlatform(t)
+	platform.failNotifications = 3
+	endpoint := newEndpoint(t, answerStatus(http.StatusServiceUnavailable))
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m1", 700*time.Millisecond)
-	eventually(t, "a notification", func() bool { return p.notification("m1") != nil })
-	if f := p.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
+	eventually(t, "a notification", func() bool { return platform.notification("m1") != nil })
+	if f := platform.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
 		t.Errorf("notification %v", f)
 	}
 }
 
 func TestRetryAfterIsObserved(t *testing.T) {
 	const wait = 600 * time.Millisecond
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	var mu sync.Mutex
 	var rejectedAt time.Time
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if rejectedAt.IsZero() {
@@ -130,17 +130,17 @@
 		}
 		writeStates(w, ids, "ok")
 	})
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the Retry-After", func() bool { return h.count("m1") == 1 })
+	eventually(t, "the Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	for i := range 5 {
 		r.mustAccept(fmt.Sprint("w", i), 10*time.Second)
 	}
-	eventually(t, "all delivered", func() bool { return h.count("m1") == 2 && h.count("w4") == 1 })
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i, id := range h.seen {
-		if since := h.at[i].Sub(rejectedAt); i > 0 && since < wait && since > 100*time.Millisecond {
+	eventually(t, "all delivered", func() bool { return endpoint.count("m1") == 2 && endpoint.count("w4") == 1 })
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	for i, id := range endpoint.seen {
+		if since := endpoint.at[i].Sub(rejectedAt); i > 0 && since < wait && since > 100*time.Millisecond {
 			t.Errorf("%s came %v after the Retry-After", id, since)
 		}
 	}
@@ -148,10 +148,10 @@
 
 // Messages that wait for one endpoint when its Retry-After is over are sent as one call.
 func TestMessagesShareACall(t *testing.T) {
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	var mu sync.Mutex
 	var most, calls int
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if calls++; calls == 1 {
@@ -162,9 +162,9 @@
 		most = max(most, len(ids))
 		writeStates(w, ids, "ok", "later")
 	})
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m0", 10*time.Second)
-	eventually(t, "the Retry-After", func() bool { return h.count("m0") == 1 })
+	eventually(t, "the Retry-After", func() bool { return endpoint.count("m0") == 1 })
 	for i := range 8 {
 		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
@@ -180,9 +180,9 @@
 
 // Requests that stop half-way and silent connections block nobody.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	for _, part := range []string{"", "POST /ord", "POST /order HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc"} {
 		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
@@ -197,7 +197,7 @@
 		t.Errorf("%q, %v", line, err)
 	}
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
+	eventually(t, "delivered", func() bool { return endpoint.count("m1") == 1 })
 	if err := r.terminate(); err != nil {
 		t.Errorf("with half a request open: %v", err)
 	}
--- a/cmd/cherrytrestle/endpoint_test.go
+++ b/cmd/cherrytrestle/fakeendpoint_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// endpoint is one endpoint that messages are sent to.
-type endpoint struct {
+// fakeEndpoint is one endpoint that messages are sent to.
+type fakeEndpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
 	seen   []string    // ids, in the order of their calls
@@ -23,9 +23,9 @@
 	answer func(w http.ResponseWriter, r *http.Request, ids []string)
 }
 
-func newEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *endpoint {
-	h := &endpoint{answer: answer}
-	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func newEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *fakeEndpoint {
+	endpoint := &fakeEndpoint{answer: answer}
+	endpoint.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -41,28 +41,34 @@
 				ids = append(ids, x.ID)
 			}
 		}
-		h.mu.Lock()
-		h.calls++
+		endpoint.mu.Lock()
+		endpoint.calls++
 		for _, id := range ids {
-			h.seen = append(h.seen, id)
-			h.at = append(h.at, time.Now())
+			endpoint.seen = append(endpoint.seen, id)
+			endpoint.at = append(endpoint.at, time.Now())
 		}
-		h.mu.Unlock()
-		if h.answer != nil {
-			h.answer(w, r, ids)
+		endpoint.mu.Unlock()
+		if endpoint.answer != nil {
+			endpoint.answer(w, r, ids)
 		}
 	}))
-	t.Cleanup(func() { h.CloseClientConnections(); h.Close() })
-	return h
+	t.Cleanup(func() { endpoint.CloseClientConnections(); endpoint.Close() })
+	return endpoint
 }
 
-func (h *endpoint) addr() string { return h.Listener.Addr().String() }
+func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (h *endpoint) count(id string) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// list returns an endpoint list with only this endpoint, as s-1 in zone a.
+func (e *fakeEndpoint) list(kind, state string) []listEntry {
+	return []listEntry{newEntry("s-1", e.addr(), "a", kind, state)}
+}
+
+// count returns how many calls had the message.
+func (e *fakeEndpoint) count(id string) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	n := 0
-	for _, x := range h.seen {
+	for _, x := range e.seen {
 		if x == id {
 			n++
 		}
@@ -70,24 +76,24 @@
 	return n
 }
 
-func (h *endpoint) totalCalls() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.calls
+func (e *fakeEndpoint) totalCalls() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.calls
 }
 
 // lastCall is the time of the last message's arrival.
-func (h *endpoint) lastCall() time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.MaxFunc(h.at, time.Time.Compare)
+func (e *fakeEndpoint) lastCall() time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.MaxFunc(e.at, time.Time.Compare)
 }
 
 // maxCallsWithin is the greatest number of messages that arrived in any window of time.
-func (h *endpoint) maxCallsWithin(window time.Duration) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	at := slices.SortedFunc(slices.Values(h.at), time.Time.Compare)
+func (e *fakeEndpoint) maxCallsWithin(window time.Duration) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	at := slices.SortedFunc(slices.Values(e.at), time.Time.Compare)
 	most := 0
 	first := 0
 	for last := range at {
--- a/cmd/cherrytrestle/platform_test.go
+++ b/cmd/cherrytrestle/fakeplatform_test.go
@@ -12,15 +12,22 @@
 	"time"
 )
 
+// The kinds of destination in the settings of prepareRelay.
+const (
+	batchKind  = "platform" // up to ten messages in a call, a limit for the destination
+	singleKind = "gateway"  // one message in a call, a limit for each endpoint
+)
+
 // listEntry is an entry of the endpoint list.
 type listEntry map[string]any
 
-func newEntry(id, addr, zone, kind string, state string) listEntry {
+// newEntry returns the entry of an endpoint of destination 7.
+func newEntry(id, addr, zone, kind, state string) listEntry {
 	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
-// platform stands in for discovery, and for the receiver of notifications.
-type platform struct {
+// fakePlatform stands in for discovery, and for the receiver of notifications.
+type fakePlatform struct {
 	*httptest.Server
 	mu                sync.Mutex
 	version           int
@@ -34,30 +41,30 @@
 
 // disconnect ends all connections, and waits until no watch is answered any more: one that is about to end would take
 // the next line with it.
-func (p *platform) disconnect(t testing.TB) {
+func (p *fakePlatform) disconnect(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
 	eventually(t, "no watch", func() bool { return p.watches.Load() == 0 })
 }
 
-func newPlatform(t testing.TB) *platform {
-	p := &platform{version: 1, lines: make(chan string, 16)}
+func newPlatform(t testing.TB) *fakePlatform {
+	platform := &fakePlatform{version: 1, lines: make(chan string, 16)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
-		p.mu.Lock()
+		platform.mu.Lock()
 		if r.URL.Query().Get("stream") == "" {
-			defer p.mu.Unlock()
-			list := map[string]any{"version": p.version, "full": true, "servers": p.fullList}
+			defer platform.mu.Unlock()
+			list := map[string]any{"version": platform.version, "full": true, "servers": platform.fullList}
 			_ = json.NewEncoder(w).Encode(list) // the relay may have gone
 			return
 		}
-		p.indexes = append(p.indexes, r.URL.Query().Get("index"))
-		p.mu.Unlock()
-		p.watches.Add(1)
-		defer p.watches.Add(-1)
+		platform.indexes = append(platform.indexes, r.URL.Query().Get("index"))
+		platform.mu.Unlock()
+		platform.watches.Add(1)
+		defer platform.watches.Add(-1)
 		for {
 			select {
-			case line := <-p.lines:
+			case line := <-platform.lines:
 				writeQuietly(w, line+"\n")
 			case <-time.After(500 * time.Millisecond):
 				writeQuietly(w, "\n")
@@ -68,10 +75,10 @@
 		}
 	})
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.failNotifications > 0 {
-			p.failNotifications--
+		platform.mu.Lock()
+		defer platform.mu.Unlock()
+		if platform.failNotifications > 0 {
+			platform.failNotifications--
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -83,17 +90,17 @@
 				t.Errorf("notification: %v", err)
 				break
 			}
-			p.notifications = append(p.notifications, f)
+			platform.notifications = append(platform.notifications, f)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	p.Server = httptest.NewServer(mux)
-	t.Cleanup(func() { p.CloseClientConnections(); p.Close() })
-	return p
+	platform.Server = httptest.NewServer(mux)
+	t.Cleanup(func() { platform.CloseClientConnections(); platform.Close() })
+	return platform
 }
 
 // publish sends a change of the list to the watch.
-func (p *platform) publish(full bool, members ...listEntry) {
+func (p *fakePlatform) publish(full bool, members ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
@@ -102,7 +109,7 @@
 }
 
 // notification returns the notification for a message, or nil.
-func (p *platform) notification(id string) map[string]any {
+func (p *fakePlatform) notification(id string) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range p.notifications {
@@ -114,20 +121,20 @@
 }
 
 // watchIndexes are the versions that watches began from.
-func (p *platform) watchIndexes() []string {
+func (p *fakePlatform) watchIndexes() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.indexes)
 }
 
 // notificationsToFail is how many more notifications the platform will fail.
-func (p *platform) notificationsToFail() int {
+func (p *fakePlatform) notificationsToFail() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failNotifications
 }
 
-func (p *platform) notificationCount() int {
+func (p *fakePlatform) notificationCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.notifications)
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -24,7 +24,7 @@
 // testFleet is several relay processes, each pair of them with a link of its own in each direction.
 type testFleet struct {
 	t               testing.TB
-	platforms       []*platform
+	platforms       []*fakePlatform
 	relays          []*relayProcess
 	managementAddrs []string // second addresses
 	listens         []string
@@ -48,7 +48,7 @@
 func relayName(i int) string { return fmt.Sprintf("r%d", i) }
 
 // newTestFleet prepares n relays that all deliver to one endpoint.
-func newTestFleet(t testing.TB, n int, h *endpoint) *testFleet {
+func newTestFleet(t testing.TB, n int, endpoint *fakeEndpoint) *testFleet {
 	g := &testFleet{t: t, links: map[[2]int]*faultproxy.Link{}}
 	for range n {
 		g.listens = append(g.listens, freeAddr(t))
@@ -65,7 +65,7 @@
 		}
 	}
 	for i := range n {
-		list := []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}
+		list := endpoint.list(batchKind, "ready")
 		r := prepareRelay(t, list, func(settings map[string]any) { settings["fleet_size"] = n })
 		r.config["name"] = relayName(i)
 		g.managementAddrs = append(g.managementAddrs, withManagement(t, r))
@@ -208,8 +208,8 @@
 // from each other again when the links heal, also when that takes longer than gossip goes on to members taken for dead.
 // A relay that receives and whose reports are lost is seen to be gone.
 func TestRelaysReceiveFromEachOther(t *testing.T) {
-	h := newEndpoint(t, nil)
-	g := newTestFleet(t, 3, h)
+	endpoint := newEndpoint(t, nil)
+	g := newTestFleet(t, 3, endpoint)
 	g.start(g.allRelays()...)
 	g.sendTraffic()
 	g.waitReceived(g.allRelays(), g.allRelays())
@@ -285,8 +285,8 @@
 // Relays that are all restarted receive from each other again. A member that reports values out of range is rejected,
 // and messages are delivered all the same.
 func TestAllRestartedAndOneOutOfRange(t *testing.T) {
-	h := newEndpoint(t, nil)
-	g := newTestFleet(t, 4, h)
+	endpoint := newEndpoint(t, nil)
+	g := newTestFleet(t, 4, endpoint)
 	three := []int{0, 1, 2}
 	g.start(three...)
 	g.sendTraffic()
@@ -340,14 +340,14 @@
 		}
 	}
 	g.relays[0].mustAccept("after-rejection", 5*time.Second)
-	eventually(t, "delivered all the same", func() bool { return h.count("after-rejection") > 0 })
+	eventually(t, "delivered all the same", func() bool { return endpoint.count("after-rejection") > 0 })
 }
 
 // A relay whose port is taken serves, reports that, and joins when the port is free. Members that are not listed, or of
 // another fleet, are ignored.
 func TestIgnoredMembers(t *testing.T) {
-	h := newEndpoint(t, nil)
-	g := newTestFleet(t, 4, h)
+	endpoint := newEndpoint(t, nil)
+	g := newTestFleet(t, 4, endpoint)
 	taken, err := net.Listen("tcp", g.listens[0])
 	must(t, err)
 	defer closeQuietly(taken)
@@ -365,7 +365,7 @@
 		return !status.Up && strings.Contains(status.DownReason, "in use")
 	})
 	g.relays[0].mustAccept("while-alone", 5*time.Second)
-	eventually(t, "delivered alone", func() bool { return h.count("while-alone") > 0 })
+	eventually(t, "delivered alone", func() bool { return endpoint.count("while-alone") > 0 })
 	eventually(t, "an unlisted member is kept out", func() bool {
 		status := g.status(1)
 		return status.Status != nil && status.UnknownMembers > 0
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -71,12 +71,12 @@
 		sockets  = 192
 		memoryMB = 64
 	)
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := prepareRelay(t, endpoint.list(singleKind, "ready"), nil)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": 3}
 	r.writeConfig()
-	r.start(p)
+	r.start(platform)
 	conns, over := startFlood(t, r.addr, act)
 	peakDescriptors := 0
 	peakMemory := int64(0)
@@ -93,7 +93,7 @@
 		peakDescriptors = max(peakDescriptors, r.descriptors())
 		peakMemory = max(peakMemory, r.resident())
 	}
-	eventually(t, "the last is delivered", func() bool { return h.count("m39") > 0 })
+	eventually(t, "the last is delivered", func() bool { return endpoint.count("m39") > 0 })
 	if peakDescriptors > sockets || peakMemory > memoryTimes*memoryMB<<20 {
 		t.Errorf("%d descriptors of %d, %d MB of %d", peakDescriptors, sockets, peakMemory>>20, memoryMB)
 	}
@@ -169,12 +169,12 @@
 		after := time.Duration(delayMS) * time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
-			p := newPlatform(t)
-			h := newEndpoint(t, nil)
-			r := prepareRelay(t, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "draining")}, nil)
+			platform := newPlatform(t)
+			endpoint := newEndpoint(t, nil)
+			r := prepareRelay(t, endpoint.list(batchKind, "draining"), nil)
 			n := fillDisk(t, r, 3, 2000)
 			for range 2 {
-				r.launch(p)
+				r.launch(platform)
 				time.Sleep(after) // before its first instruction, or in or behind its recovery
 				began := time.Now()
 				err := r.terminate()
--- a/cmd/cherrytrestle/upgrade_test.go
+++ b/cmd/cherrytrestle/hotrestart_test.go
@@ -16,7 +16,7 @@
 )
 
 // holdListeningSocket has the platform hold the socket that clients connect to, and restarts the relay on it.
-func holdListeningSocket(t *testing.T, r *relayProcess, p *platform) {
+func holdListeningSocket(t *testing.T, r *relayProcess, platform *fakePlatform) {
 	r.kill()
 	l, err := net.Listen("tcp", r.addr)
 	must(t, err)
@@ -25,7 +25,7 @@
 	must(t, err)
 	t.Cleanup(func() { closeQuietly(r.socket) })
 	second := withManagement(t, r)
-	r.start(p)
+	r.start(platform)
 	waitReady(t, second)
 }
 
@@ -42,11 +42,11 @@
 }
 
 // upgrade starts a second process beside the first, ends that one once the second is ready, and returns how it ended.
-func (r *relayProcess) upgrade(p *platform) (ended <-chan error, old *exec.Cmd) {
+func (r *relayProcess) upgrade(platform *fakePlatform) (ended <-chan error, old *exec.Cmd) {
 	r.t.Helper()
 	old = r.cmd
 	second := withManagement(r.t, r)
-	r.start(p)
+	r.start(platform)
 	waitReady(r.t, second)
 	must(r.t, old.Process.Signal(syscall.SIGTERM))
 	done := make(chan error, 1)
@@ -150,19 +150,19 @@
 func TestUpgradesUnderLoad(t *testing.T) {
 	one := newEndpoint(t, slowly)
 	two := newEndpoint(t, slowly)
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{
-		newEntry("s-1", one.addr(), "a", "gateway", "ready"),
-		newEntry("s-2", two.addr(), "a", "gateway", "ready"),
+	platform := newPlatform(t)
+	r := newRelay(t, platform, []listEntry{
+		newEntry("s-1", one.addr(), "a", singleKind, "ready"),
+		newEntry("s-2", two.addr(), "a", singleKind, "ready"),
 	}, func(set map[string]any) {
 		set["bounds"].(map[string]any)["open_cap"] = 500
 		set["extra"].(map[string]any)["call_slots"] = 40
 	})
-	holdListeningSocket(t, r, p)
+	holdListeningSocket(t, r, platform)
 	load := startUpgradeLoad(r)
 	for range 3 {
 		time.Sleep(300 * time.Millisecond) // load between two upgrades
-		ended, _ := r.upgrade(p)
+		ended, _ := r.upgrade(platform)
 		if err := <-ended; err != nil {
 			t.Errorf("the old process: %v", err)
 		}
@@ -187,7 +187,7 @@
 }
 
 // repeatedIDs counts the messages that reached the endpoints more than once.
-func repeatedIDs(endpoints ...*endpoint) int {
+func repeatedIDs(endpoints ...*fakeEndpoint) int {
 	calls := map[string]int{}
 	for _, e := range endpoints {
 		e.mu.Lock()
@@ -209,7 +209,7 @@
 func TestUpgradeKeepsPendingState(t *testing.T) {
 	hold := make(chan struct{})
 	var refuse atomic.Bool
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
 			<-hold
 		}
@@ -220,31 +220,31 @@
 		}
 		writeStates(w, ids, "ok")
 	})
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
-	holdListeningSocket(t, r, p)
+	platform := newPlatform(t)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
+	holdListeningSocket(t, r, platform)
 	r.mustAccept("slow", 10*time.Second)
-	eventually(t, "a call in flight", func() bool { return h.count("slow") == 1 })
+	eventually(t, "a call in flight", func() bool { return endpoint.count("slow") == 1 })
 	refuse.Store(true)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "a Retry-After", func() bool { return h.count("m1") == 1 })
+	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
 	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
 	refuse.Store(false)
-	ended, _ := r.upgrade(p)
+	ended, _ := r.upgrade(platform)
 	r.mustAccept("m2", 10*time.Second)
-	if time.Since(rejectedAt) < 2*time.Second && h.count("m2")+h.count("m1") != 1 {
+	if time.Since(rejectedAt) < 2*time.Second && endpoint.count("m2")+endpoint.count("m1") != 1 {
 		t.Error("sent during a Retry-After")
 	}
 	close(hold) // the first process receives the answer and hands it to the second
-	eventually(t, "both are delivered", func() bool { return h.count("m2") == 1 && h.count("m1") == 2 })
+	eventually(t, "both are delivered", func() bool { return endpoint.count("m2") == 1 && endpoint.count("m1") == 2 })
 	if d := time.Since(rejectedAt); d < 2300*time.Millisecond {
 		t.Errorf("the wait of 2.5 s was over after %v", d)
 	}
 	if err := <-ended; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	if h.count("slow") != 1 || p.notification("slow") != nil {
+	if endpoint.count("slow") != 1 || platform.notification("slow") != nil {
 		t.Error("the call that was out has not ended its message")
 	}
 	r.client.CloseIdleConnections()
@@ -256,10 +256,10 @@
 // A message that the first process has delivered and forgotten is submitted once more at the second: it does not run
 // again.
 func TestUpgradeKeepsFinishedMessages(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, withPayments)
-	holdListeningSocket(t, r, p)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), withPayments)
+	holdListeningSocket(t, r, platform)
 	take := func() {
 		t.Helper()
 		if status, _ := r.submit("m1", 10*time.Second, withClass("pay")); status != http.StatusAccepted {
@@ -267,17 +267,17 @@
 		}
 	}
 	take()
-	eventually(t, "delivered", func() bool { return h.count("m1") == 1 })
+	eventually(t, "delivered", func() bool { return endpoint.count("m1") == 1 })
 	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
-	ended, _ := r.upgrade(p)
+	ended, _ := r.upgrade(platform)
 	if err := <-ended; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
 	r.client.CloseIdleConnections()
 	take()
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "the one behind it", func() bool { return h.count("m2") == 1 })
-	if n := h.count("m1"); n != 1 {
+	eventually(t, "the one behind it", func() bool { return endpoint.count("m2") == 1 })
+	if n := endpoint.count("m1"); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
@@ -289,7 +289,7 @@
 		t.Run(who, func(t *testing.T) {
 			hold := make(chan struct{})
 			var once sync.Once
-			h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+			endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 				if ids[0] == "slow" {
 					first := false
 					once.Do(func() { first = true })
@@ -299,29 +299,29 @@
 				}
 			})
 			defer close(hold)
-			p := newPlatform(t)
-			r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
-			holdListeningSocket(t, r, p)
+			platform := newPlatform(t)
+			r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
+			holdListeningSocket(t, r, platform)
 			r.mustAccept("slow", 10*time.Second)
-			eventually(t, "a call in flight", func() bool { return h.count("slow") == 1 })
+			eventually(t, "a call in flight", func() bool { return endpoint.count("slow") == 1 })
 			if who == "second, before" {
 				old := r.cmd
 				second := withManagement(t, r)
-				r.start(p)
+				r.start(platform)
 				waitReady(t, second)
 				r.kill()
 				r.cmd = old
 				r.mustAccept("m1", 10*time.Second)
-				eventually(t, "served on", func() bool { return h.count("m1") == 1 })
+				eventually(t, "served on", func() bool { return endpoint.count("m1") == 1 })
 				return
 			}
-			_, old := r.upgrade(p)
+			_, old := r.upgrade(platform)
 			r.client.CloseIdleConnections()
 			r.mustAccept("m1", 10*time.Second) // the second process serves
 			must(t, old.Process.Kill())
-			eventually(t, "repeated, within its zone and window", func() bool { return h.count("slow") == 2 })
+			eventually(t, "repeated, within its zone and window", func() bool { return endpoint.count("slow") == 2 })
 			r.mustAccept("m2", 10*time.Second)
-			eventually(t, "served on", func() bool { return h.count("m2") == 1 })
+			eventually(t, "served on", func() bool { return endpoint.count("m2") == 1 })
 		})
 	}
 }
@@ -348,42 +348,42 @@
 }
 
 func testTerminatedDuringHotRestart(t *testing.T, who string, delay time.Duration) {
-	p := newPlatform(t)
-	h := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0][0] == 'o' {
 			time.Sleep(300 * time.Millisecond) // in flight during the hot restart
 		}
 	})
-	ready := newEntry("s-1", h.addr(), "a", "gateway", "ready")
-	later := newEntry("s-2", h.addr(), "a", "gateway", "draining")
+	ready := newEntry("s-1", endpoint.addr(), "a", singleKind, "ready")
+	later := newEntry("s-2", endpoint.addr(), "a", singleKind, "draining")
 	later["cell"] = 8
-	r := newRelay(t, p, []listEntry{ready, later}, func(set map[string]any) {
+	r := newRelay(t, platform, []listEntry{ready, later}, func(set map[string]any) {
 		withPayments(set)
 		set["extra"].(map[string]any)["call_slots"] = 40
 	})
-	holdListeningSocket(t, r, p)
+	holdListeningSocket(t, r, platform)
 	accepted := submitSentAndUnsent(t, r)
-	eventually(t, "a call in flight", func() bool { return h.count("o5") == 1 })
-	terminateHotRestart(t, r, p, who, delay)
+	eventually(t, "a call in flight", func() bool { return endpoint.count("o5") == 1 })
+	terminateHotRestart(t, r, platform, who, delay)
 	r.client.CloseIdleConnections()
 	later["state"] = "ready"
 	if r.cmd == nil {
 		r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{ready, later}}
 		r.writeConfig()
-		r.start(p)
+		r.start(platform)
 	} else {
-		p.publish(false, later)
+		platform.publish(false, later)
 	}
 	for _, id := range accepted {
-		eventually(t, id+" sent", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
-		if h.count(id) == 0 {
-			t.Errorf("%s was never sent: %v", id, p.notification(id))
+		eventually(t, id+" sent", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+		if endpoint.count(id) == 0 {
+			t.Errorf("%s was never sent: %v", id, platform.notification(id))
 		}
 	}
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "served on", func() bool { return h.count("m1") == 1 })
+	eventually(t, "served on", func() bool { return endpoint.count("m1") == 1 })
 	for i, id := range accepted {
-		if n := h.count(id); n > 1 && i/2%2 == 1 {
+		if n := endpoint.count(id); n > 1 && i/2%2 == 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
@@ -414,11 +414,11 @@
 
 // terminateHotRestart starts a second process, and terminates it or both after the delay. r.cmd is the process that
 // remains, or nil.
-func terminateHotRestart(t *testing.T, r *relayProcess, p *platform, who string, delay time.Duration) {
+func terminateHotRestart(t *testing.T, r *relayProcess, platform *fakePlatform, who string, delay time.Duration) {
 	t.Helper()
 	old := r.cmd
 	management := withManagement(t, r)
-	r.start(p)
+	r.start(platform)
 	if who != secondBefore {
 		waitReady(t, management)
 		must(t, old.Process.Signal(syscall.SIGTERM))
--- a/cmd/cherrytrestle/idleclients_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -81,11 +81,11 @@
 func testIdleClients(t *testing.T, sockets int, request string) {
 	one := newEndpoint(t, nil)
 	two := newEndpoint(t, nil)
-	p, down := newFailingDiscovery(t, newEntry("s-2", two.addr(), "a", "gateway", "ready"))
-	r := prepareRelay(t, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	platform, down := newFailingDiscovery(t, newEntry("s-2", two.addr(), "a", singleKind, "ready"))
+	r := prepareRelay(t, one.list(singleKind, "ready"), nil)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets, "disk_mb": 3}
 	r.writeConfig()
-	r.start(p)
+	r.start(platform)
 	r.limitDescriptors(uint64(sockets))
 	ctx, leave := context.WithCancel(context.Background())
 	wait := dialMany(ctx, r.addr, 3*sockets, func(conn net.Conn) { writeQuietly(conn, request) })
@@ -127,7 +127,7 @@
 }
 
 // newFailingDiscovery closes all connections while it is down, and lists one endpoint then.
-func newFailingDiscovery(t *testing.T, entry listEntry) (p *platform, down *atomic.Bool) {
+func newFailingDiscovery(t *testing.T, entry listEntry) (platform *fakePlatform, down *atomic.Bool) {
 	t.Helper()
 	down = &atomic.Bool{}
 	down.Store(true)
@@ -147,7 +147,7 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return &platform{Server: server}, down
+	return &fakePlatform{Server: server}, down
 }
 
 // answersWith sends a request, and reports whether it is answered with this status.
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -20,9 +20,9 @@
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	p := newPlatform(t)
-	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(5 * time.Millisecond) })
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(5 * time.Millisecond) })
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
 		set["bounds"].(map[string]any)["open_cap"] = 200
 		set["extra"].(map[string]any)["call_slots"] = 40
@@ -65,12 +65,12 @@
 		killProcess(r.cmd)
 		close(stop)
 		clients.Wait()
-		r.start(p)
+		r.start(platform)
 	}
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
 	}
-	calls := noPaymentTwice(t, h)
+	calls := noPaymentTwice(t, endpoint)
 	t.Logf("%d messages taken, %d calls, %d kills", len(taken), calls, *relayKills)
 	if len(taken) < 10**relayKills {
 		t.Errorf("only %d accepted: the test shows little", len(taken))
@@ -78,17 +78,17 @@
 }
 
 // noPaymentTwice checks that no payment reached an endpoint more than once, and returns how many calls there were.
-func noPaymentTwice(t *testing.T, h *endpoint) (calls int) {
+func noPaymentTwice(t *testing.T, endpoint *fakeEndpoint) (calls int) {
 	t.Helper()
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
 	ran := map[string]int{}
-	for _, id := range h.seen {
+	for _, id := range endpoint.seen {
 		if ran[id]++; strings.HasPrefix(id, "pay") && ran[id] == 2 {
 			t.Errorf("%s ran twice", id)
 		}
 	}
-	return len(h.seen)
+	return len(endpoint.seen)
 }
 
 // Killed, and killed again twice before the start that follows is done, at random points: accepted messages still end,
@@ -98,15 +98,15 @@
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 2))
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	answers := make(chan struct{})
-	h := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	endpoint := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-answers:
 		case <-r.Context().Done():
 		}
 	})
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
 		set["bounds"].(map[string]any)["open_cap"] = 400
 		set["extra"].(map[string]any)["call_slots"] = 40
@@ -122,17 +122,17 @@
 		}
 		r.kill()
 		for range 2 {
-			r.launch(p)
+			r.launch(platform)
 			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // the point of the kill is what is drawn
 			r.kill()
 		}
-		r.start(p)
+		r.start(platform)
 	}
 	close(answers)
 	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
 	}
-	noPaymentTwice(t, h)
+	noPaymentTwice(t, endpoint)
 	if len(taken) < 15**relayKills {
 		t.Errorf("only %d accepted: the test shows little", len(taken))
 	}
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -50,52 +50,52 @@
 
 // gatedEndpoint holds its answers back until its gate is closed.
 type gatedEndpoint struct {
-	*endpoint
+	*fakeEndpoint
 	gate     chan struct{}
 	answered sync.Map // ids
 }
 
 func newGatedEndpoint(t *testing.T) *gatedEndpoint {
-	g := &gatedEndpoint{gate: make(chan struct{})}
-	g.endpoint = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, ids []string) {
+	gated := &gatedEndpoint{gate: make(chan struct{})}
+	gated.fakeEndpoint = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, ids []string) {
 		select {
-		case <-g.gate:
+		case <-gated.gate:
 			for _, id := range ids {
-				g.answered.Store(id, true)
+				gated.answered.Store(id, true)
 			}
 		case <-r.Context().Done():
 		}
 	})
-	return g
+	return gated
 }
 
 // runKilledAt has a relay accept messages that its endpoint does not answer, killed, killed twice at one step of the
 // recovery, and then recover. It returns what was wrong, and whether the recovery had such a step.
 func runKilledAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
-	p := newPlatform(t)
-	h := newGatedEndpoint(t)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, func(set map[string]any) {
+	platform := newPlatform(t)
+	endpoint := newGatedEndpoint(t)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
 		set["extra"].(map[string]any)["call_slots"] = 40
 	})
 	r.kill()
 	r.setKillStep(first)
-	r.start(p)
+	r.start(platform)
 	accepted := submitBoth(r, fmt.Sprintf("%d-%v", then.At, then.Torn))
-	eventually(r.t, "calls in flight", func() bool { return h.count(accepted[len(accepted)-1]) > 0 })
+	eventually(r.t, "calls in flight", func() bool { return endpoint.count(accepted[len(accepted)-1]) > 0 })
 	r.kill()
 	r.setKillStep(then)
 	for range 2 {
-		reached = killDuringRecovery(r, p, h, accepted)
+		reached = killDuringRecovery(r, platform, endpoint, accepted)
 	}
 	r.env = nil
-	close(h.gate)
-	r.start(p)
+	close(endpoint.gate)
+	r.start(platform)
 	timeout := conditionTimeout
 	if first.Late {
 		timeout = 2 * time.Second // messages are expected to be forgotten
 	}
-	wrong = violationsAfter(p, h, accepted, timeout)
+	wrong = violationsAfter(platform, endpoint, accepted, timeout)
 	r.kill()
 	return wrong, reached
 }
@@ -115,13 +115,13 @@
 
 // killDuringRecovery starts the relay, which kills itself at its step. It returns whether it did before all messages
 // went on.
-func killDuringRecovery(r *relayProcess, p *platform, h *gatedEndpoint, accepted []string) bool {
+func killDuringRecovery(r *relayProcess, platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) bool {
 	calls := map[string]int{}
 	for _, id := range accepted {
-		calls[id] = h.count(id)
+		calls[id] = endpoint.count(id)
 	}
-	waits := func(id string) bool { return h.count(id) <= calls[id] && p.notification(id) == nil }
-	r.launch(p)
+	waits := func(id string) bool { return endpoint.count(id) <= calls[id] && platform.notification(id) == nil }
+	r.launch(platform)
 	over := make(chan struct{})
 	go func() {
 		_ = r.cmd.Wait() // the signal is its error
@@ -143,9 +143,9 @@
 }
 
 // violationsAfter returns what is still wrong when the timeout is over, or nil as soon as nothing is.
-func violationsAfter(p *platform, h *gatedEndpoint, accepted []string, timeout time.Duration) []string {
+func violationsAfter(platform *fakePlatform, endpoint *gatedEndpoint, accepted []string, timeout time.Duration) []string {
 	for end := time.Now().Add(timeout); ; time.Sleep(2 * time.Millisecond) {
-		wrong := violations(p, h, accepted)
+		wrong := violations(platform, endpoint, accepted)
 		if len(wrong) == 0 || time.Now().After(end) {
 			return wrong
 		}
@@ -153,13 +153,13 @@
 }
 
 // violations are the messages that were forgotten, or ran twice though they must not.
-func violations(p *platform, h *gatedEndpoint, accepted []string) []string {
+func violations(platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) []string {
 	var wrong []string
 	for _, id := range accepted {
-		if _, ok := h.answered.Load(id); !ok && p.notification(id) == nil {
+		if _, ok := endpoint.answered.Load(id); !ok && platform.notification(id) == nil {
 			wrong = append(wrong, id+" was forgotten")
 		}
-		if h.count(id) > 1 && strings.HasPrefix(id, "pay") {
+		if endpoint.count(id) > 1 && strings.HasPrefix(id, "pay") {
 			wrong = append(wrong, id+" ran twice")
 		}
 	}
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -34,12 +34,12 @@
 	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newPlatform(t)
-			h := newEndpoint(t, answerStatus(http.StatusOK))
+			platform := newPlatform(t)
+			endpoint := newEndpoint(t, answerStatus(http.StatusOK))
 			live := func(state string) []listEntry {
-				return append(idleEntries(dests, 1000), newEntry("s-1", h.addr(), "a", "gateway", state))
+				return append(idleEntries(dests, 1000), newEntry("s-1", endpoint.addr(), "a", singleKind, state))
 			}
-			r := newRelay(t, p, live("draining"), nil)
+			r := newRelay(t, platform, live("draining"), nil)
 			r.mustAccept("waits", 12*time.Second)
 			whole := fmt.Appendf(nil, `{"version":50,"full":true,"servers":[`)
 			for i, m := range idleEntries(dests, 100_000) {
@@ -54,7 +54,7 @@
 					m["cell"],
 				)
 			}
-			p.lines <- string(bytes.TrimRight(whole, "}")) // and a line's end, and never more
+			platform.lines <- string(bytes.TrimRight(whole, "}")) // and a line's end, and never more
 			eventually(t, "the list is being applied", func() bool {
 				res, err := r.client.Do(
 					r.request(
@@ -73,14 +73,14 @@
 			_ = r.cmd.Wait() // the signal is its error
 			r.config["known"] = map[string]any{"version": 2, "full": true, "servers": live("ready")}
 			r.writeConfig()
-			r.start(p)
+			r.start(platform)
 			for _, id := range []string{"waits", "after"} {
-				eventually(t, id+" is delivered", func() bool { return h.count(id) > 0 })
+				eventually(t, id+" is delivered", func() bool { return endpoint.count(id) > 0 })
 			}
 			time.Sleep(100 * time.Millisecond)
 			for _, id := range []string{"waits", "after"} {
-				if n := h.count(id); n != 1 || p.notification(id) != nil {
-					t.Errorf("%s: %d times, notification %v", id, n, p.notification(id))
+				if n := endpoint.count(id); n != 1 || platform.notification(id) != nil {
+					t.Errorf("%s: %d times, notification %v", id, n, platform.notification(id))
 				}
 			}
 		})
--- a/cmd/cherrytrestle/manyrelays_test.go
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -36,7 +36,7 @@
 	list[1]["addr"] = stays.addr()
 	list[1]["weight"] = 5000.0
 	discovery := newDiscoveryServer(t, 2, list)
-	relays, monitors := launchMany(t, n, &platform{Server: discovery.Server}, values)
+	relays, monitors := launchMany(t, n, &fakePlatform{Server: discovery.Server}, values)
 	load := startLoad(relays)
 	eventually(t, "the endpoint that will be drained is called", func() bool { return drained.totalCalls() >= 5*n })
 	changed := list[2 : 2+destinations]
@@ -69,13 +69,13 @@
 func launchMany(
 	t *testing.T,
 	n int,
-	p *platform,
+	platform *fakePlatform,
 	values map[string]float64,
 ) (relays []*relayProcess, monitors []*healthMonitor) {
 	t.Helper()
 	for range n {
 		r := prepareRelay(t, nil, func(set map[string]any) { set["fleet_size"] = n })
-		r.launch(p)
+		r.launch(platform)
 		relays = append(relays, r)
 		monitors = append(monitors, r.monitorHealth())
 	}
@@ -145,7 +145,7 @@
 }
 
 // distinctIDs counts the messages that reached any of the endpoints.
-func distinctIDs(endpoints ...*endpoint) int {
+func distinctIDs(endpoints ...*fakeEndpoint) int {
 	ids := map[string]bool{}
 	for _, e := range endpoints {
 		e.mu.Lock()
--- a/cmd/cherrytrestle/versions_test.go
+++ b/cmd/cherrytrestle/mixedversions_test.go
@@ -39,32 +39,32 @@
 // version and back with their folders.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, olderFormatCommit)
-	g := newTestFleet(t, 4, newEndpoint(t, nil))
+	fleet := newTestFleet(t, 4, newEndpoint(t, nil))
 	for _, i := range []int{0, 1} {
-		g.relays[i].program = older
+		fleet.relays[i].program = older
 	}
-	g.start(g.allRelays()...)
-	g.sendTraffic()
-	g.waitReceived(g.allRelays(), g.allRelays())
+	fleet.start(fleet.allRelays()...)
+	fleet.sendTraffic()
+	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
 	swap := func(i int, program string) {
-		before := g.status(i).Incarnation.Generation
-		_ = g.relays[i].terminate() // how it ends is checked elsewhere
-		g.relays[i].program = program
-		g.start(i)
-		g.waitReceived(g.allRelays(), g.allRelays())
-		if now := g.status(i).Incarnation.Generation; now != before+1 {
+		before := fleet.status(i).Incarnation.Generation
+		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
+		fleet.relays[i].program = program
+		fleet.start(i)
+		fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
+		if now := fleet.status(i).Incarnation.Generation; now != before+1 {
 			t.Errorf("relay %d begins incarnation %d after %d", i, now, before)
 		}
 	}
 	swap(1, "")    // over
 	swap(2, older) // and back
-	for _, i := range g.allRelays() {
-		if s := g.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
+	for _, i := range fleet.allRelays() {
+		if s := fleet.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
 	}
-	_ = g.relays[3].terminate() // how it ends is checked elsewhere
-	if err := replayed(g.relays[3].dir); err != nil {
+	_ = fleet.relays[3].terminate() // how it ends is checked elsewhere
+	if err := replayed(fleet.relays[3].dir); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/cherrytrestle/measure_test.go
+++ b/cmd/cherrytrestle/processusage_test.go
@@ -70,14 +70,14 @@
 }
 
 func (r *relayProcess) monitorHealth() *healthMonitor {
-	h := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
+	m := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
 	client := &http.Client{Timeout: 30 * time.Second}
-	h.done.Go(func() {
+	m.done.Go(func() {
 		defer client.CloseIdleConnections()
 		var last time.Time
 		for {
 			select {
-			case <-h.stop:
+			case <-m.stop:
 				return
 			case <-time.After(2 * time.Millisecond):
 			}
@@ -88,33 +88,33 @@
 			closeQuietly(res.Body)
 			now := time.Now()
 			if !last.IsZero() {
-				h.longest.Store(max(h.longest.Load(), int64(now.Sub(last))))
+				m.longest.Store(max(m.longest.Load(), int64(now.Sub(last))))
 			}
 			last = now
 			if res.StatusCode == http.StatusOK {
-				h.ready.CompareAndSwap(0, int64(now.Sub(h.began)))
+				m.ready.CompareAndSwap(0, int64(now.Sub(m.began)))
 			}
 		}
 	})
-	r.t.Cleanup(h.end)
-	return h
+	r.t.Cleanup(m.end)
+	return m
 }
 
-func (h *healthMonitor) longestMS() float64 { return float64(h.longest.Load()) / 1e6 }
+func (m *healthMonitor) longestMS() float64 { return float64(m.longest.Load()) / 1e6 }
 
-func (h *healthMonitor) end() {
+func (m *healthMonitor) end() {
 	select {
-	case <-h.stop:
+	case <-m.stop:
 	default:
-		close(h.stop)
+		close(m.stop)
 	}
-	h.done.Wait()
+	m.done.Wait()
 }
 
 // untilReady waits until the relay is ready, and reports whether it was in time.
-func (h *healthMonitor) untilReady(timeout time.Duration) bool {
-	for h.ready.Load() == 0 && time.Since(h.began) < timeout {
+func (m *healthMonitor) untilReady(timeout time.Duration) bool {
+	for m.ready.Load() == 0 && time.Since(m.began) < timeout {
 		time.Sleep(2 * time.Millisecond)
 	}
-	return h.ready.Load() != 0
+	return m.ready.Load() != 0
 }
--- a/cmd/cherrytrestle/quota_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -16,19 +16,19 @@
 
 // newQuotaFleet prepares relays that share an endpoint's limit in calls a second. By their settings each may send a
 // small part of the traffic.
-func newQuotaFleet(t *testing.T, n int, h *endpoint, takes float64) *testFleet {
-	g := newTestFleet(t, n, h)
-	for i, r := range g.relays {
-		entry := newEntry("s-1", h.addr(), "a", "gateway", "ready")
+func newQuotaFleet(t *testing.T, n int, endpoint *fakeEndpoint, takes float64) *testFleet {
+	fleet := newTestFleet(t, n, endpoint)
+	for i, r := range fleet.relays {
+		entry := newEntry("s-1", endpoint.addr(), "a", singleKind, "ready")
 		entry["weight"] = takes
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": []listEntry{entry}}
 		r.config["settings"].(map[string]any)["realms"] = []map[string]any{
 			{"name": "acme", "share": 1, "quota_per_s": 50 * takes},
 		}
 		r.writeConfig()
-		g.writeOperatorFile(i, "rights = true\n", nil)
+		fleet.writeOperatorFile(i, "rights = true\n", nil)
 	}
-	return g
+	return fleet
 }
 
 // quotaStatus is the status of a relay's only limit.
@@ -48,64 +48,64 @@
 		n     = 8
 		limit = 16.0
 	)
-	h := newEndpoint(t, nil)
-	g := newQuotaFleet(t, n, h, limit)
-	g.start(g.allRelays()...)
-	t.Cleanup(g.startBacklog(0))
+	endpoint := newEndpoint(t, nil)
+	fleet := newQuotaFleet(t, n, endpoint, limit)
+	fleet.start(fleet.allRelays()...)
+	t.Cleanup(fleet.startBacklog(0))
 	callRate := func() float64 {
 		const window = 2 * time.Second
-		before := h.totalCalls()
+		before := endpoint.totalCalls()
 		time.Sleep(window) // a rate is counted over time
-		return float64(h.totalCalls()-before) / window.Seconds()
+		return float64(endpoint.totalCalls()-before) / window.Seconds()
 	}
 	shared := func(what string) {
 		t.Helper()
 		eventually(t, what, func() bool { return callRate() > 0.65*limit })
 	}
 
-	eventually(t, "one lease holder", func() bool { return g.agreedLeaseHolder() != "" })
+	eventually(t, "one lease holder", func() bool { return fleet.agreedLeaseHolder() != "" })
 	shared("the one with the backlog uses what others lend")
 
-	if k := g.relayIndex(g.agreedLeaseHolder()); k > 0 { // stopped for more than three leases
-		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
+	if k := fleet.relayIndex(fleet.agreedLeaseHolder()); k > 0 { // stopped for more than three leases
+		must(t, fleet.relays[k].cmd.Process.Signal(syscall.SIGSTOP))
 		shared("another lease holder, the first being stopped")
 		time.Sleep(3 * quota.LeaseDuration)
-		must(t, g.relays[k].cmd.Process.Signal(syscall.SIGCONT))
+		must(t, fleet.relays[k].cmd.Process.Signal(syscall.SIGCONT))
 		shared("the first one is back")
 	}
 
-	others := g.allRelays()[1:]
-	g.setFaults([]int{0}, others, faultproxy.LinkFaults{Cut: true})
-	g.setFaults(others, []int{0}, faultproxy.LinkFaults{Cut: true})
+	others := fleet.allRelays()[1:]
+	fleet.setFaults([]int{0}, others, faultproxy.LinkFaults{Cut: true})
+	fleet.setFaults(others, []int{0}, faultproxy.LinkFaults{Cut: true})
 	eventually(t, "cut off it uses its own part", func() bool {
 		rate := callRate()
 		return rate > 0 && rate < 0.5*limit
 	})
-	g.setFaults(g.allRelays(), g.allRelays(), faultproxy.LinkFaults{})
+	fleet.setFaults(fleet.allRelays(), fleet.allRelays(), faultproxy.LinkFaults{})
 	shared("the links are sound again")
 
 	for _, i := range others {
-		g.relays[i].kill()
+		fleet.relays[i].kill()
 	}
-	g.start(others...)
+	fleet.start(others...)
 	shared("all others were killed while they lent")
-	checkCallsWithinLimit(t, h, n, limit)
+	checkCallsWithinLimit(t, endpoint, n, limit)
 	for _, i := range []int{0, 1} {
-		_ = g.relays[i].terminate() // how it ends is checked elsewhere
-		if err := replayed(g.relays[i].dir); err != nil && !strings.Contains(err.Error(), "no recordings") {
-			t.Errorf("%s: %v", filepath.Base(g.relays[i].dir), err)
+		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
+		if err := replayed(fleet.relays[i].dir); err != nil && !strings.Contains(err.Error(), "no recordings") {
+			t.Errorf("%s: %v", filepath.Base(fleet.relays[i].dir), err)
 		}
 	}
 }
 
 // checkCallsWithinLimit checks the calls in any ten seconds. Beyond the limit there may be what was saved up: a call
 // and a half by each relay, what the lease holder saves, and what was granted within the time that a grant is valid.
-func checkCallsWithinLimit(t *testing.T, h *endpoint, relays int, limit float64) {
+func checkCallsWithinLimit(t *testing.T, endpoint *fakeEndpoint, relays int, limit float64) {
 	t.Helper()
 	const window = 10 * time.Second
 	saved := 1.5*float64(relays) + 0.3*limit + limit*quota.GrantTTL.Seconds()
-	if calls := h.maxCallsWithin(window); float64(calls) > limit*window.Seconds()+saved {
-		t.Errorf("%d calls in %v, at a limit of %g a second", calls, window, limit)
+	if calls := endpoint.maxCallsWithin(window); float64(calls) > limit*window.Seconds()+saved {
+		t.Errorf("%d calls in %v, at a limit of %fleet a second", calls, window, limit)
 	}
 }
 
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -28,25 +28,25 @@
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, os.WriteFile(path, []byte(operator), 0o600))
 	t.Setenv("CHERRYTRESTLE_OPERATOR", path)
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	refusals := 3
-	var h *endpoint
-	h = newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
+	var endpoint *fakeEndpoint
+	endpoint = newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
+		endpoint.mu.Lock()
+		defer endpoint.mu.Unlock()
 		if refusals--; refusals >= 0 {
 			w.Header().Set("Retry-After", "0.2")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
-	r = newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r = newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
 		r.mustAccept(id, 10*time.Second)
 	}
 	eventually(t, "all delivered, after the refusals", func() bool {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return len(h.seen) >= 7
+		endpoint.mu.Lock()
+		defer endpoint.mu.Unlock()
+		return len(endpoint.seen) >= 7
 	})
 	return r
 }
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -15,7 +15,7 @@
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var refuse atomic.Bool
 	refuse.Store(true)
-	h := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if refuse.Load() {
 			w.Header().Set("Retry-After", "2.4")
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -23,17 +23,17 @@
 		}
 		writeStates(w, ids, "ok")
 	})
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "platform", "ready")}, nil)
+	platform := newPlatform(t)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "a Retry-After", func() bool { return h.count("m1") == 1 })
+	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
 	time.Sleep(400 * time.Millisecond) // it is stored within 250 ms
 	refuse.Store(false)
 	r.kill()
-	r.start(p)
+	r.start(platform)
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "both are delivered", func() bool { return h.count("m1") == 2 && h.count("m2") == 1 })
+	eventually(t, "both are delivered", func() bool { return endpoint.count("m1") == 2 && endpoint.count("m2") == 1 })
 	if d := time.Since(rejectedAt); d < 2200*time.Millisecond {
 		t.Errorf("sent %v after a Retry-After of 2.4 s", d)
 	}
@@ -41,9 +41,9 @@
 
 // Messages in the legacy log of an earlier program are delivered by this one, and the log is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
-	h := newEndpoint(t, nil)
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	endpoint := newEndpoint(t, nil)
+	platform := newPlatform(t)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.kill()
 	state := filepath.Join(r.dir, "state")
 	must(t, os.RemoveAll(state))
@@ -59,8 +59,8 @@
 		Body:           []byte("body"),
 	}))
 	must(t, closeForChild(log))
-	r.start(p)
-	eventually(t, "delivered", func() bool { return h.count("old") == 1 })
+	r.start(platform)
+	eventually(t, "delivered", func() bool { return endpoint.count("old") == 1 })
 	if _, err := os.Stat(filepath.Join(state, "wal.log")); !os.IsNotExist(err) {
 		t.Errorf("the log is still there: %v", err)
 	}
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/relayprocess_test.go
@@ -34,9 +34,9 @@
 }
 
 // newRelay starts a relay; change may alter the settings.
-func newRelay(t testing.TB, p *platform, known []listEntry, change func(settings map[string]any)) *relayProcess {
+func newRelay(t testing.TB, platform *fakePlatform, known []listEntry, change func(settings map[string]any)) *relayProcess {
 	r := prepareRelay(t, known, change)
-	r.start(p)
+	r.start(platform)
 	return r
 }
 
@@ -93,9 +93,9 @@
 }
 
 // start starts a process and waits until it is ready.
-func (r *relayProcess) start(p *platform) {
+func (r *relayProcess) start(platform *fakePlatform) {
 	r.t.Helper()
-	r.launch(p)
+	r.launch(platform)
 	if r.socket != nil {
 		return // clients find out
 	}
@@ -103,7 +103,7 @@
 }
 
 // launch starts a process.
-func (r *relayProcess) launch(p *platform) {
+func (r *relayProcess) launch(platform *fakePlatform) {
 	r.t.Helper()
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must(r.t, err)
@@ -112,7 +112,7 @@
 		Program:   cmp.Or(r.program, os.Args[0]),
 		Folder:    r.dir,
 		Addr:      r.addr,
-		Discovery: p.Listener.Addr().String(),
+		Discovery: platform.Listener.Addr().String(),
 	})
 	r.cmd.Stderr = log
 	r.cmd.Env = append(r.cmd.Env, "CHERRYTRESTLE_TEST_RELAY=1")
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -71,15 +71,15 @@
 // Settings change under SIGHUP: a class is added and its rules apply, another is removed. A file that is incomplete or
 // invalid changes nothing, not even the address of discovery that it names. The metrics count all of it.
 func TestSettingsChangeUnderSIGHUP(t *testing.T) {
-	h := newEndpoint(t, failBadMessages)
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	endpoint := newEndpoint(t, failBadMessages)
+	platform := newPlatform(t)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.kill()
 	management := withManagement(t, r)
-	r.start(p)
+	r.start(platform)
 	r.mustAccept("m1", 10*time.Second)
 	waitMetric(t, management, "completed.order", "1")
-	r.config["discovery"] = p.Listener.Addr().String()
+	r.config["discovery"] = platform.Listener.Addr().String()
 
 	// One more class, whose messages must never run twice.
 	next := deepCopy(t, r.config)
@@ -96,11 +96,11 @@
 		return status == http.StatusAccepted
 	})
 	waitMetric(t, management, "failed.payment", "1")
-	if n := h.count("bad1"); n != 1 {
+	if n := endpoint.count("bad1"); n != 1 {
 		t.Errorf("a message that may not run twice was sent %d times", n)
 	}
 
-	reloadInvalidConfigs(t, r, h, management, next)
+	reloadInvalidConfigs(t, r, endpoint, management, next)
 
 	// A class is removed. Its open messages end by its rules, also over a restart.
 	settings["services"] = settings["services"].([]any)[1:]
@@ -136,7 +136,7 @@
 
 // reloadInvalidConfigs reloads configurations that are each spoilt in another way, and name another discovery. The
 // relay counts an error each time, and serves as before.
-func reloadInvalidConfigs(t *testing.T, r *relayProcess, h *endpoint, management string, valid map[string]any) {
+func reloadInvalidConfigs(t *testing.T, r *relayProcess, endpoint *fakeEndpoint, management string, valid map[string]any) {
 	t.Helper()
 	other := newPlatform(t)
 	failures := 0
@@ -152,7 +152,7 @@
 		}
 		id := fmt.Sprint("still", failures)
 		r.mustAccept(id, 10*time.Second)
-		eventually(t, id, func() bool { return h.count(id) == 1 })
+		eventually(t, id, func() bool { return endpoint.count(id) == 1 })
 	}
 	if len(other.watchIndexes()) > 0 {
 		t.Error("the discovery of an invalid file was polled")
@@ -193,21 +193,21 @@
 
 // The second address answers while clients take many connections of the first, and is not ready during shutdown.
 func TestReadinessAndMetrics(t *testing.T) {
-	var h *endpoint
+	var endpoint *fakeEndpoint
 	hold := make(chan struct{})
-	h = newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint = newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
 			<-hold
 		}
 	})
-	p := newPlatform(t)
-	r := newRelay(t, p, []listEntry{
-		newEntry("s-1", h.addr(), "a", "gateway", "ready"),
-		newEntry("s-2", h.addr(), "a", "gateway", "draining"),
+	platform := newPlatform(t)
+	r := newRelay(t, platform, []listEntry{
+		newEntry("s-1", endpoint.addr(), "a", singleKind, "ready"),
+		newEntry("s-2", endpoint.addr(), "a", singleKind, "draining"),
 	}, nil)
 	r.kill()
 	second := withManagement(t, r)
-	r.start(p)
+	r.start(platform)
 	ready := func() int {
 		res, err := http.Get("http://" + second + "/v1/readyz")
 		must(t, err)
@@ -223,7 +223,7 @@
 		defer closeQuietly(c)
 	}
 	r.mustAccept("slow", 10*time.Second)
-	eventually(t, "the call is out", func() bool { return h.count("slow") == 1 })
+	eventually(t, "the call is out", func() bool { return endpoint.count("slow") == 1 })
 	waitMetric(t, second, "pending", "1")
 	waitMetric(t, second, "upstream_requests", "1")
 	waitMetric(t, second, "members_unavailable", "1")
@@ -249,7 +249,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			called := make(chan struct{}, 100)
-			old := &platform{Server: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			old := &fakePlatform{Server: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				select {
 				case called <- struct{}{}:
 				default:
@@ -263,10 +263,10 @@
 			second := newPlatform(t)
 			second.version = 7 // it counts by itself
 			second.fullList = []listEntry{
-				newEntry("s-1", one.addr(), "a", "gateway", "draining"),
-				newEntry("s-2", two.addr(), "a", "gateway", "ready"),
+				newEntry("s-1", one.addr(), "a", singleKind, "draining"),
+				newEntry("s-2", two.addr(), "a", singleKind, "ready"),
 			}
-			list := []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}
+			list := one.list(singleKind, "ready")
 			r := newRelay(t, old, list, func(settings map[string]any) { settings["fleet_size"] = 300 })
 			<-called
 			r.config["discovery"] = second.Listener.Addr().String()
@@ -294,21 +294,21 @@
 // A known list that cannot be read or is empty counts as none: the relay starts, keeps its accepted messages, and is
 // ready once it has a list from discovery.
 func TestUnreadableKnownList(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "draining")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(singleKind, "draining"), nil)
 	r.mustAccept("m1", 12*time.Second) // no endpoint accepts it
 	r.kill()
 	for _, known := range []any{"none", 17, []any{}, map[string]any{"version": "new"}, map[string]any{}, nil} {
 		r.config["known"] = known
 		r.writeConfig()
-		p.disconnect(t)
-		p.publish(true, newEntry("s-1", h.addr(), "a", "gateway", "draining"))
-		r.start(p)
+		platform.disconnect(t)
+		platform.publish(true, newEntry("s-1", endpoint.addr(), "a", singleKind, "draining"))
+		r.start(platform)
 		r.kill()
 	}
-	p.disconnect(t)
-	p.publish(true, newEntry("s-1", h.addr(), "a", "gateway", "ready"))
-	r.start(p)
-	eventually(t, "delivered once the list is known", func() bool { return h.count("m1") == 1 })
+	platform.disconnect(t)
+	platform.publish(true, newEntry("s-1", endpoint.addr(), "a", singleKind, "ready"))
+	r.start(platform)
+	eventually(t, "delivered once the list is known", func() bool { return endpoint.count("m1") == 1 })
 }
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -13,9 +13,9 @@
 // A call that was in flight when the process was killed may have run. The next process repeats the message, and only
 // where repeats are dropped: in the same zone.
 func TestKilledWithACallInFlight(t *testing.T) {
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	first := true
-	var one *endpoint
+	var one *fakeEndpoint
 	one = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		one.mu.Lock()
 		hang := first
@@ -26,7 +26,7 @@
 		}
 	})
 	other := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", one.addr(), "a", "gateway", "ready")}, nil)
+	r := newRelay(t, platform, one.list(singleKind, "ready"), nil)
 	r.mustAccept("m1", 10*time.Second)
 	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
@@ -34,10 +34,10 @@
 	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
 
 	// It starts with a list whose first endpoint, by its weight, is in the other zone.
-	better := newEntry("s-0", other.addr(), "b", "gateway", "ready")
+	better := newEntry("s-0", other.addr(), "b", singleKind, "ready")
 	better["weight"] = 900.0
-	r.start(p)
-	p.publish(false, better)
+	r.start(platform)
+	platform.publish(false, better)
 	eventually(t, "delivered again", func() bool { return one.count("m1") == 2 })
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "a new message goes to the better endpoint", func() bool { return other.count("m2") == 1 })
@@ -45,12 +45,12 @@
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notification for the overdue one", func() bool { return p.notification("late") != nil })
+		eventually(t, "a notification for the overdue one", func() bool { return platform.notification("late") != nil })
 	}
 
 	// Delivered and ended messages stay ended.
 	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
-	r.start(p)
+	r.start(platform)
 	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
 	if one.count("m1") != 2 {
@@ -59,13 +59,13 @@
 }
 
 func TestGracefulShutdown(t *testing.T) {
-	p := newPlatform(t)
+	platform := newPlatform(t)
 	began := make(chan struct{}, 10)
-	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) {
+	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) {
 		began <- struct{}{}
 		time.Sleep(time.Second) // a call that takes its time
 	})
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.mustAccept("running", 10*time.Second)
 	<-began
 	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
@@ -84,13 +84,13 @@
 	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
 		t.Errorf("ended after %v: %v", took, err)
 	}
-	if h.count("running") != 1 {
-		t.Errorf("the running call: %d", h.count("running"))
+	if endpoint.count("running") != 1 {
+		t.Errorf("the running call: %d", endpoint.count("running"))
 	}
-	r.start(p)
+	r.start(platform)
 	r.mustAccept("next", 10*time.Second)
-	eventually(t, "the next message", func() bool { return h.count("next") == 1 })
-	if h.count("running") != 1 {
+	eventually(t, "the next message", func() bool { return endpoint.count("next") == 1 })
+	if endpoint.count("running") != 1 {
 		t.Error("a delivered message went again")
 	}
 }
@@ -145,9 +145,9 @@
 
 // Clients that go on through a graceful shutdown, and through a kill, lose no message that was accepted.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	load := &restartLoad{r: r}
 
 	// The load balancer sends nothing more to a relay some tenths of a second after SIGTERM.
@@ -165,7 +165,7 @@
 	if err := r.cmd.Wait(); err != nil {
 		t.Errorf("ended: %v", err)
 	}
-	r.start(p)
+	r.start(platform)
 
 	stop = make(chan struct{})
 	go func() {
@@ -175,15 +175,15 @@
 	}()
 	load.run("kill", stop)
 	_ = r.cmd.Wait() // the signal is its error
-	r.start(p)
+	r.start(platform)
 	for _, id := range load.accepted {
-		eventually(t, id+" delivered or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
+		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
 	}
 	if len(load.accepted) < 20 {
 		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
 	}
 	for _, id := range load.accepted {
-		if n := h.count(id); strings.HasPrefix(id, "term") && n > 1 {
+		if n := endpoint.count(id); strings.HasPrefix(id, "term") && n > 1 {
 			t.Errorf("%s was sent %d times though its calls could finish", id, n)
 		}
 	}
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -72,7 +72,7 @@
 func testLargeCatalog(t *testing.T, how string, n int) {
 	values := map[string]float64{}
 	defer func() { recordReading(t, "catalog "+how, n, values) }()
-	h := newEndpoint(t, nil)
+	endpoint := newEndpoint(t, nil)
 	discovery, r := launchWithCatalog(t, how, n)
 	monitor := r.monitorHealth()
 	ready := monitor.untilReady(readyTimeout)
@@ -86,8 +86,8 @@
 	}
 	values["ready"] = 1
 	values["ready_s"] = time.Duration(monitor.ready.Load()).Seconds()
-	values["change_obeyed_ms"] = milliseconds(addDestination(t, discovery, r, n, h.addr()))
-	eventually(t, "delivered", func() bool { return h.totalCalls() > 0 })
+	values["change_obeyed_ms"] = milliseconds(addDestination(t, discovery, r, n, endpoint.addr()))
+	eventually(t, "delivered", func() bool { return endpoint.totalCalls() > 0 })
 	monitor.end()
 	values["memory_most_mb"] = r.memory(relayprocess.PeakMemory)
 	values["health_longest_all_ms"] = monitor.longestMS()
@@ -109,7 +109,7 @@
 	discovery := newDiscoveryServer(t, version, list)
 	r := prepareRelay(t, known, nil)
 	r.config = nil // as large as the list
-	r.launch(&platform{Server: discovery.Server})
+	r.launch(&fakePlatform{Server: discovery.Server})
 	return discovery, r
 }
 
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -58,15 +58,15 @@
 
 func testShutdown(t *testing.T, c shutdownCase) {
 	const killAfter = 3700 * time.Millisecond
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	list := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", "gateway", state)} }
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	list := func(state string) []listEntry { return endpoint.list(singleKind, state) }
 	var known []listEntry
 	if c.listed {
 		known = list("draining")
 	}
 	r := prepareRelay(t, known, nil)
-	r.launch(p)
+	r.launch(platform)
 	eventually(t, "it listens", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
 		if err == nil {
@@ -83,10 +83,10 @@
 	}
 	r.config["known"] = map[string]any{"version": 2, "full": true, "servers": list("ready")}
 	r.writeConfig()
-	r.start(p)
-	eventually(t, "the message is sent", func() bool { return h.count("m") == 1 })
-	if h.count("gone") > 1 {
-		t.Errorf("the message whose client has gone: sent %d times", h.count("gone"))
+	r.start(platform)
+	eventually(t, "the message is sent", func() bool { return endpoint.count("m") == 1 })
+	if endpoint.count("gone") > 1 {
+		t.Errorf("the message whose client has gone: sent %d times", endpoint.count("gone"))
 	}
 }
 
@@ -113,9 +113,9 @@
 
 // The connections of idle clients are closed without a reset at SIGTERM.
 func TestIdleClientsAreClosedCleanly(t *testing.T) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	r := newRelay(t, p, []listEntry{newEntry("s-1", h.addr(), "a", "gateway", "ready")}, nil)
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	var conns []net.Conn
 	for range 20 {
 		conn, err := net.Dial("tcp", r.addr)
@@ -142,10 +142,10 @@
 
 // SIGTERM again and again, up to the last moment of a process: it ends in order each time, and by none of the signals.
 func TestSignalsDuringExit(t *testing.T) {
-	p := newPlatform(t)
-	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", "gateway", "ready")}, nil)
+	platform := newPlatform(t)
+	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", singleKind, "ready")}, nil)
 	for range 12 {
-		r.start(p)
+		r.start(platform)
 		cmd := r.cmd
 		over := make(chan struct{})
 		go func() {
--- a/cmd/cherrytrestle/untried_test.go
+++ b/cmd/cherrytrestle/unsentmessages_test.go
@@ -24,25 +24,25 @@
 
 func untriedCases() []untriedCase {
 	return []untriedCase{
-		{name: "no limits known, 300 relays", senders: 300, weights: "none", kind: "gateway", known: true},
-		{name: "no limits known, several in a call", senders: 300, weights: "none", kind: "platform", known: true},
-		{name: "no limits known, 2 relays", senders: 2, weights: "none", kind: "gateway", known: true},
-		{name: "no limits known, the endpoint is listed late", senders: 300, weights: "none", kind: "gateway"},
-		{name: "limits are listed, 300 relays", senders: 300, weights: "nominal", kind: "gateway", known: true},
-		{name: "limits are listed, the endpoint is listed late", senders: 300, weights: "nominal", kind: "gateway"},
-		{name: "terminated", senders: 300, weights: "nominal", kind: "gateway", known: true, term: true},
-		{name: "may not be repeated", senders: 300, weights: "none", kind: "gateway", known: true, class: "pay"},
+		{name: "no limits known, 300 relays", senders: 300, weights: "none", kind: singleKind, known: true},
+		{name: "no limits known, several in a call", senders: 300, weights: "none", kind: batchKind, known: true},
+		{name: "no limits known, 2 relays", senders: 2, weights: "none", kind: singleKind, known: true},
+		{name: "no limits known, the endpoint is listed late", senders: 300, weights: "none", kind: singleKind},
+		{name: "limits are listed, 300 relays", senders: 300, weights: "nominal", kind: singleKind, known: true},
+		{name: "limits are listed, the endpoint is listed late", senders: 300, weights: "nominal", kind: singleKind},
+		{name: "terminated", senders: 300, weights: "nominal", kind: singleKind, known: true, term: true},
+		{name: "may not be repeated", senders: 300, weights: "none", kind: singleKind, known: true, class: "pay"},
 		{
 			name:    "may not be repeated, terminated, listed late",
-			senders: 2, weights: "nominal", kind: "gateway", class: "pay", term: true,
+			senders: 2, weights: "nominal", kind: singleKind, class: "pay", term: true,
 		},
 		{
 			name:    "nearly no room",
-			senders: 2, weights: "nominal", kind: "gateway", known: true, messages: 60, room: 64,
+			senders: 2, weights: "nominal", kind: singleKind, known: true, messages: 60, room: 64,
 		},
 		{
 			name:    "more than there is room for now",
-			senders: 2, weights: "nominal", kind: "platform", known: true, messages: 60, room: 10,
+			senders: 2, weights: "nominal", kind: batchKind, known: true, messages: 60, room: 10,
 		},
 	}
 }
@@ -59,10 +59,12 @@
 }
 
 func testUntried(t *testing.T, c untriedCase) {
-	p := newPlatform(t)
-	h := newEndpoint(t, nil)
-	list := func(state string) []listEntry { return []listEntry{newEntry("s-1", h.addr(), "a", c.kind, state)} }
-	r := newRelay(t, p, list("draining"), func(settings map[string]any) {
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, nil)
+	list := func(state string) []listEntry {
+		return []listEntry{newEntry("s-1", endpoint.addr(), "a", c.kind, state)}
+	}
+	r := newRelay(t, platform, list("draining"), func(settings map[string]any) {
 		settings["fleet_size"] = c.senders
 		settings["weight_kind"] = c.weights
 		settings["rules"].(map[string]any)["overload_factor"] = 2.5
@@ -88,15 +90,15 @@
 		r.config["known"] = map[string]any{"version": 2, "full": true, "servers": list("ready")}
 	}
 	r.writeConfig()
-	r.start(p)
+	r.start(platform)
 	if !c.known {
-		p.publish(false, list("ready")...)
+		platform.publish(false, list("ready")...)
 	}
 	for i := range messages {
 		id := fmt.Sprint("m", i)
-		eventually(t, id+" sent or ended", func() bool { return h.count(id) > 0 || p.notification(id) != nil })
-		if h.count(id) == 0 {
-			t.Errorf("%s was never sent: %v", id, p.notification(id))
+		eventually(t, id+" sent or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+		if endpoint.count(id) == 0 {
+			t.Errorf("%s was never sent: %v", id, platform.notification(id))
 		}
 	}
 }
