--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// errNotRecorded says that no recording matches the command's options.
+// errNotRecorded is returned if no recording and no message matches the command's options.
 var errNotRecorded = errors.New("nothing of that is recorded")
 
 //nolint:lll // A struct tag is one line.
@@ -47,6 +47,7 @@
 	return errors.Join(c.explainAll(file, found), file.Close())
 }
 
+// explainAll explains the recordings that match the command's options.
 func (c *explainCommand) explainAll(out io.Writer, found []flightrecorder.Recording) error {
 	anyWritten := false
 	for _, recording := range found {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// explain writes one recording's report, or its report of one message, and reports whether there was any.
+// explain writes the report of a recording, or the history of one message. It reports whether it has written anything.
 func (c *explainCommand) explain(out io.Writer, recording flightrecorder.Recording) (written bool, err error) {
 	report, err := explain.Explain(recording.Data, explain.Options{
 		From:           c.From,
@@ -91,6 +92,7 @@
 	return written, nil
 }
 
+// writeReport writes a report in the chosen format.
 func (c *explainCommand) writeReport(out io.Writer, report *explain.Report) error {
 	switch {
 	case c.Format == "jsonl":
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -22,12 +22,12 @@
 }
 
 const (
-	statusTimeout = 2 * time.Second // for each relay's answer
-	maxStatusSize = 4 << 20         // bytes of an answer
-	minBinWidth   = time.Millisecond
+	statusTimeout = 2 * time.Second  // for each relay's answer
+	maxStatusSize = 4 << 20          // of an answer, in bytes
+	minBinWidth   = time.Millisecond // of the table by time
 )
 
-// errNoFleet is the answer of a relay whose fleet is off.
+// errNoFleet is returned for a relay that belongs to no fleet.
 var errNoFleet = errors.New("the relay belongs to no fleet")
 
 type statusCommand struct {
@@ -51,6 +51,7 @@
 	return errors.Join(errs...)
 }
 
+// fetchStatus queries the second address of a relay for the status of its fleet.
 func fetchStatus(ctx context.Context, client *http.Client, addr string) (fleet.Status, error) {
 	var status fleet.Status
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/fleet", http.NoBody)
@@ -61,7 +62,7 @@
 	if err != nil {
 		return status, err
 	}
-	defer func() { _ = response.Body.Close() }() // It was only read: there is nothing to lose.
+	defer func() { _ = response.Body.Close() }() // nothing was written, so that an error loses nothing
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -24,19 +24,19 @@
 // exitDamaged is the exit status for a journal that is damaged.
 const exitDamaged = 3
 
-// withJournal opens the journal for reading, calls use and closes it.
+// withJournal opens the journal for reading, calls use, and closes the journal.
 func (c *journalFolder) withJournal(use func(*journal.Journal, *journal.Recovery) error) error {
 	j, recovery, err := journal.Read(c.State, int64(c.LimitMB*1e6))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = j.Close() }() // It was only read: there is nothing to lose.
+	defer func() { _ = j.Close() }() // nothing was written, so that an error loses nothing
 	return use(j, recovery)
 }
 
 type inspectCommand struct{ journalFolder }
 
-// Run prints counts of the journal's messages and its use of the disk.
+// Run prints the numbers of the journal's messages, and its use of the disk.
 func (c *inspectCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
 		out := cli.NewPrinter(s.Out)
@@ -51,6 +51,7 @@
 	})
 }
 
+// printMessageCounts prints how many messages the journal has, and in which states.
 func printMessageCounts(out *cli.Printer, recovery *journal.Recovery) {
 	var cancelled, final, mayHaveRun, uncertain int
 	for _, message := range recovery.Messages {
@@ -72,7 +73,7 @@
 	out.Printf("%d may have run, %d are doubtful\n", mayHaveRun, uncertain)
 }
 
-// printRecovery prints what of the journal was damaged, lost or not expected.
+// printRecovery prints which parts of the journal are damaged, lost or unexpected.
 func printRecovery(out *cli.Printer, recovery *journal.Recovery) {
 	store := recovery.Store
 	for _, torn := range store.Torn {
@@ -104,7 +105,7 @@
 
 type verifyCommand struct{ journalFolder }
 
-// Run exits with 0 if all could be read, and with 3 if not.
+// Run reads the journal. The exit status is 0 if all of it could be read, and exitDamaged otherwise.
 func (c *verifyCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
 		out := cli.NewPrinter(s.Out)
@@ -128,7 +129,7 @@
 
 type dumpCommand struct{ journalFolder }
 
-// messageLine is a message of the journal as dump writes it. The fields are in the order of their keys.
+// messageLine is the line that dump writes for a message. The fields are in the order of their keys.
 type messageLine struct {
 	Attempts    int                  `json:"attempts"`
 	BodyBytes   int                  `json:"body_bytes"`
--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -4,7 +4,7 @@
 //	cherrytrestle replay FILE     replays a recording with the decision engine as built here
 //	cherrytrestle explain FILE    explains what delayed messages
 //	cherrytrestle recording ...   lists recordings, or extracts them from a log
-//	cherrytrestle fleet ...       counts over recordings of many relays, or queries running ones for their fleet
+//	cherrytrestle fleet ...       counts over recordings of many relays, or queries running relays for their fleet
 //	cherrytrestle journal ...     inspects a relay's journal
 //
 // The configuration of serve comes from the platform by the environment (package relay), and from the operator's file.
@@ -28,11 +28,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// heapFraction is the part of the memory limit that the heap may grow to. The rest is for stacks, the program itself
-// and the journal's files.
+// heapFraction is the fraction of the memory limit that the Go runtime may use. The rest is for the program's code and
+// for the pages of the journal's files.
 const heapFraction = 0.7
 
-// commands are the command line's commands.
+// commands has the commands and flags of the command line, in kong's form.
 //
 //nolint:lll // A struct tag is one line.
 type commands struct {
@@ -46,8 +46,8 @@
 }
 
 func main() {
-	// The signals stay caught until the process has exited: one more, in the moment before that, would end it by the
-	// signal.
+	// The signals stay caught until the process exits. Otherwise a second one just before the exit would end the
+	// process, with the signal as its status.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	status := cli.Run(ctx, "cherrytrestle", "A relay for outbound messages.", &commands{}, os.Args[1:],
 		cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}, cli.Failed)
@@ -63,7 +63,7 @@
 
 // Run serves until SIGTERM or SIGINT. SIGHUP reloads the configuration, SIGUSR1 dumps the recording.
 func (c *serveCommand) Run(ctx context.Context) error {
-	// Caught from the start: unhandled, either signal ends the process.
+	// Both are caught from the start, because an uncaught one ends the process.
 	reload := notifySignal(syscall.SIGHUP)
 	dump := notifySignal(syscall.SIGUSR1)
 	file, err := operatorfile.Load(c.Operator)
@@ -89,14 +89,15 @@
 	return r.Run(ctx)
 }
 
+// notifySignal returns a channel that receives a signal.
 func notifySignal(sig os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, sig)
 	return signals
 }
 
-// handleSignals reloads the configuration and dumps the recording on request. It ends with the process, because both
-// are possible until then.
+// handleSignals reloads the configuration and dumps the recording on request. It runs until the process exits, so that
+// both are possible during the shutdown.
 func handleSignals(r *relay.Relay, log *slog.Logger, reload, dump <-chan os.Signal) {
 	for {
 		select {
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -20,7 +20,7 @@
 	Files []string `arg:"" name:"file" help:"Recordings, or logs that hold them." type:"existingfile"`
 }
 
-// Run lists the recordings chunk by chunk, with what of them cannot be read.
+// Run lists the recordings and their chunks, and the parts that cannot be read.
 func (c *infoCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
@@ -78,7 +78,7 @@
 	Out   string   `help:"Folder for the recordings." default:"." type:"path"`
 }
 
-// Run writes each recording to a file. It never overwrites one.
+// Run writes each recording to a new file. It never overwrites a file.
 func (c *extractCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
@@ -98,12 +98,14 @@
 	return out.Err()
 }
 
-// recordingFileName takes the last element of the recorded name alone, so that a name cannot lead out of the folder.
+// recordingFileName returns the name of a recording's file. It uses only the last element of the recorded relay's name,
+// so that the file is always in the chosen folder.
 func recordingFileName(recording flightrecorder.Recording) string {
 	name := filepath.Base(filepath.Clean("/" + recording.Meta.Name))
 	return fmt.Sprintf("%s-%016x%s", name, recording.ID, flightrecorder.FileExtension)
 }
 
+// writeNewFile creates a file. It fails if the file exists.
 func writeNewFile(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
--- a/cmd/cherrytrestle/replay.go
+++ b/cmd/cherrytrestle/replay.go
@@ -18,8 +18,8 @@
 	Quiet bool     `short:"q" help:"Print only differences and what could not be read."`
 }
 
-// Run exits with 0 if all recordings replay without a difference, with 3 if one does not, and with 1 if one cannot be
-// replayed.
+// Run replays the recordings. The exit status is 0 if all replay without a difference, exitDiffers if one does not, and
+// cli.Failed if one cannot be replayed.
 func (c *replayCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
@@ -45,25 +45,29 @@
 	return nil
 }
 
+// print prints the result of one replay.
 func (c *replayCommand) print(
-	out *cli.Printer, rec flightrecorder.Recording, result replay.Result, took time.Duration,
+	out *cli.Printer, recording flightrecorder.Recording, result replay.Result, duration time.Duration,
 ) {
 	for _, lost := range result.Lost {
-		out.Printf("%016x: not read: %s\n", rec.ID, lost)
+		out.Printf("%016x: not read: %s\n", recording.ID, lost)
 	}
 	if !c.Quiet {
-		out.Printf("%016x: %s, %s of %v, %d bytes in %d chunks: ", rec.ID, result.Meta.Name, revisions(result),
-			(result.To - result.From).Round(time.Millisecond), len(rec.Data), result.Chunks)
-		out.Printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n", result.Steps,
-			result.Events, result.Actions, result.SendChecks, result.States, float64(result.Events)/took.Seconds())
+		out.Printf("%016x: %s, %s of %v, %d bytes in %d chunks: ",
+			recording.ID, result.Meta.Name, revisions(result),
+			(result.To - result.From).Round(time.Millisecond), len(recording.Data), result.Chunks)
+		out.Printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n",
+			result.Steps, result.Events, result.Actions, result.SendChecks, result.States,
+			float64(result.Events)/duration.Seconds())
 	}
 	if result.Difference != nil {
-		out.Printf("%016x: DIFFERS: %v\n", rec.ID, result.Difference)
+		out.Printf("%016x: DIFFERS: %v\n", recording.ID, result.Difference)
 	} else if !c.Quiet {
-		out.Printf("%016x: no difference\n", rec.ID)
+		out.Printf("%016x: no difference\n", recording.ID)
 	}
 }
 
+// revisions describes the revisions that recorded and that replayed.
 func revisions(result replay.Result) string {
 	if result.SameRevision() {
 		return "revision " + result.Revision
