--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -13,8 +12,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// TestBacklog has a relay hold many messages for endpoints that are down, kills it and starts it again: it holds them
-// all still. What a message costs as more are held is recorded, and held to nothing here: the machine has other work.
+// TestBacklog submits many messages for endpoints that are down, kills the relay and starts it again: each accepted
+// message is still pending or has ended with a notification. It records the cost of a message as the backlog grows, and
+// checks no bound on it, because the machine runs other tests at the same time.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
 		for _, n := range testSizes(t, []int{2000}, 10000, 50000, 100000) {
@@ -28,48 +28,37 @@
 func testBacklog(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
 	defer func() { recordReading(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
-	list := destinationEntries(0, destinations, closedAddr(t))
+	list := destinationEntries(0, destinations, unusedAddr(t, "127.0.0.1"))
 	discovery := newDiscoveryServer(t, 1, list)
 	r := prepareRelay(t, list, func(set map[string]any) {
-		set["bounds"].(map[string]any)["open_cap"] = n + n/2
-		set["bounds"].(map[string]any)["send_cap"] = 0 // none ends for its attempts
-		set["services"].([]map[string]any)[0]["give_up_ms"] = 24 * 3600 * 1000
+		setMaxPending(set, n+n/2)
+		setMaxAttempts(set, 0) // messages end by their deadline alone
+		orderClass(set)["give_up_ms"] = 24 * 3600 * 1000
 	})
-	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192 + n/50, "sockets": 256, "disk_mb": 3 + n/500}
+	r.setLimits(192+n/50, 256, float64(3+n/500))
 	r.client.Timeout = 30 * time.Second
-	management := withManagement(t, r)
-	platform := &fakePlatform{Server: discovery.Server}
-	r.start(platform)
-	refused := fillBacklog(r, n, destinations, values)
+	management := r.setManagement()
+	r.start(discovery)
+	notAccepted := fillBacklog(r, n, destinations, values)
 	measureWaiting(r, values)
 	r.kill()
-	measureRestart(t, r, platform, values)
-	if refused > 0 {
-		t.Errorf("%d of %d were not accepted", refused, n)
+	measureRestart(t, r, discovery, values)
+	if notAccepted > 0 {
+		t.Errorf("%d of %d were not accepted", notAccepted, n)
 	}
-	checkBacklog(t, discovery, management, n, n-int(refused))
-}
-
-// closedAddr is an address that nobody listens on.
-func closedAddr(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	must(t, err)
-	addr := listener.Addr().String()
-	must(t, listener.Close())
-	return addr
+	checkBacklog(t, discovery, management, n, n-int(notAccepted))
 }
 
 // fillBacklog submits n messages in parts, measures the first, the middle and the last part, and returns how many were
 // not accepted.
-func fillBacklog(r *relayProcess, n, destinations int, values map[string]float64) (refused int64) {
+func fillBacklog(r *relayProcess, n, destinations int, values map[string]float64) (notAccepted int64) {
 	const parts = 10
 	usedBefore := r.cpuTime()
 	for part := range parts {
 		began := time.Now()
 		first := part * n / parts
 		end := (part + 1) * n / parts
-		refused += r.submitMany(first, end, destinations, 32)
+		notAccepted += r.submitMany(first, end, destinations, 32)
 		used := r.cpuTime()
 		if part == 0 || part == parts/2 || part == parts-1 {
 			messages := float64(end - first)
@@ -79,11 +68,11 @@
 		}
 		usedBefore = used
 	}
-	values["refused"] = float64(refused)
-	return refused
+	values["refused"] = float64(notAccepted)
+	return notAccepted
 }
 
-// measureWaiting measures what the relay takes while messages wait.
+// measureWaiting measures the memory, the disk space and the processor time that the relay uses while messages wait.
 func measureWaiting(r *relayProcess, values map[string]float64) {
 	const seconds = 2
 	values["memory_mb"] = r.memory(relayprocess.ResidentMemory)
@@ -94,11 +83,12 @@
 	values["processor_ms_per_s_waiting"] = float64((r.cpuTime() - usedBefore).Milliseconds()) / seconds
 }
 
-func measureRestart(t *testing.T, r *relayProcess, platform *fakePlatform, values map[string]float64) {
+// measureRestart launches the relay and measures its recovery.
+func measureRestart(t *testing.T, r *relayProcess, discovery *discoveryServer, values map[string]float64) {
 	t.Helper()
-	r.launch(platform)
+	r.launch(discovery)
 	monitor := r.monitorHealth()
-	if !monitor.untilReady(2 * time.Minute) {
+	if !monitor.waitReady(2 * time.Minute) {
 		t.Fatal("not ready again after 2 minutes")
 	}
 	values["restart_ready_s"] = time.Duration(monitor.ready.Load()).Seconds()
@@ -131,10 +121,10 @@
 	}
 }
 
-// submitMany submits messages from first to last over so many connections, to destinations in turn, and returns how
-// many were not accepted.
-func (r *relayProcess) submitMany(first, last, destinations, connections int) (refused int64) {
-	var next, notAccepted atomic.Int64
+// submitMany submits the messages with the numbers from first to end-1 over a number of connections, to the
+// destinations in turn. It returns how many were not accepted.
+func (r *relayProcess) submitMany(first, end, destinations, connections int) (notAccepted int64) {
+	var next, failures atomic.Int64
 	next.Store(int64(first))
 	var clients sync.WaitGroup
 	transport := &http.Transport{MaxIdleConnsPerHost: connections}
@@ -142,19 +132,19 @@
 	client := &http.Client{Transport: transport, Timeout: 30 * time.Second}
 	for range connections {
 		clients.Go(func() {
-			for i := int(next.Add(1) - 1); i < last; i = int(next.Add(1) - 1) {
+			for i := int(next.Add(1) - 1); i < end; i = int(next.Add(1) - 1) {
 				response, err := client.Do(r.request(traceID(i), 8*time.Hour, toDestination(i%destinations)))
 				if err != nil {
-					notAccepted.Add(1)
+					failures.Add(1)
 					continue
 				}
 				closeQuietly(response.Body)
 				if response.StatusCode != http.StatusAccepted {
-					notAccepted.Add(1)
+					failures.Add(1)
 				}
 			}
 		})
 	}
 	clients.Wait()
-	return notAccepted.Load()
+	return failures.Load()
 }
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -3,27 +3,26 @@
 import (
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// startInLargeFleet is a relay of the full fleet, with 31 endpoints listed.
+// startInLargeFleet starts a relay that is one of 300 and lists 31 endpoints.
 func startInLargeFleet(b *testing.B) (*relayProcess, *fakePlatform) {
 	b.Helper()
 	platform := newPlatform(b)
 	endpoint := newEndpoint(b, answerStatus(http.StatusOK))
 	var known []listEntry
 	for i := range 31 {
-		m := newEntry("s-"+string(rune('a'+i)), endpoint.addr(), "a", "gateway", "ready")
-		m["weight"] = 9000.0
-		known = append(known, m)
+		entry := newEntry("s-"+string(rune('a'+i)), endpoint.addr(), "a", singleKind, "ready")
+		entry["weight"] = 9000.0
+		known = append(known, entry)
 	}
 	r := newRelay(b, platform, known, func(set map[string]any) {
 		set["fleet_size"] = 300
-		set["bounds"].(map[string]any)["open_cap"] = 5000
+		setMaxPending(set, 5000)
 	})
 	return r, platform
 }
@@ -35,9 +34,9 @@
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime measures what a relay of the full fleet uses: for a start, for an idle second, and for a
-// message accepted, delivered and journaled. It uses the kernel's count of the process, whose grain is a clock tick or
-// less.
+// BenchmarkProcessorTime measures the processor time of a relay in a large fleet: for a start, for an idle second, and
+// for a message that is accepted, journaled and delivered. The kernel counts it with a resolution of a clock tick or
+// better.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, platform := startInLargeFleet(b)
@@ -59,37 +58,27 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func traceID(i int) string {
-	const digits = "0123456789abcdef"
-	id := []byte("00000000000bench")
-	for k := 10; k >= 0; k-- {
-		id[k] = digits[i%16]
-		i /= 16
-	}
-	return string(id)
-}
-
-// BenchmarkAccept measures how long a client waits for its 202, and a message for its delivery, at the 99th percentile:
-// alone, in a fleet of three, and in one of which a member hangs. All three take turns in one run, message by message.
+// BenchmarkAccept measures the 99th percentile of the time to the answer 202 and to the delivery of a message: of a
+// relay without a fleet, in a fleet of three, and in a fleet of three of which one hangs. The three take turns, message
+// by message.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
 	endpoint := newEndpoint(b, nil)
 	alone := newTestFleet(b, 1, endpoint)
-	rigs := []*testFleet{newTestFleet(b, 3, endpoint), newTestFleet(b, 3, endpoint)}
-	must(b, os.Remove(filepath.Join(alone.relays[0].dir, "operator.toml")))
+	sound := newTestFleet(b, 3, endpoint)
+	hung := newTestFleet(b, 3, endpoint)
+	must(b, os.Remove(alone.operatorFile(0)))
 	alone.relays[0].env = nil
 	alone.start(0)
-	for _, fleet := range rigs {
-		fleet.start(fleet.allRelays()...)
-	}
-	fleet := rigs[1]
-	eventually(b, "the fleet is one", func() bool {
-		state, _ := fleet.memberState(0, 2)
+	sound.start(sound.allRelays()...)
+	hung.start(hung.allRelays()...)
+	eventually(b, "relay 0 knows the relay that will hang", func() bool {
+		state, _ := hung.memberState(0, 2)
 		return state == "alive"
 	})
-	must(b, fleet.relays[2].cmd.Process.Signal(syscall.SIGSTOP))
-	defer signalQuietly(fleet.relays[2].cmd, syscall.SIGCONT)
-	subjects := []*relayProcess{alone.relays[0], rigs[0].relays[0], fleet.relays[0]}
+	hung.relays[2].signal(syscall.SIGSTOP)
+	defer signalQuietly(hung.relays[2].cmd, syscall.SIGCONT)
+	subjects := []*relayProcess{alone.relays[0], sound.relays[0], hung.relays[0]}
 	accepts := make([][]time.Duration, 3)
 	finals := make([][]time.Duration, 3)
 	for i := range messages {
@@ -119,10 +108,10 @@
 // that its disk allows.
 func BenchmarkReady(b *testing.B) {
 	for _, c := range []struct {
-		name   string
-		diskMB float64
-		body   int
-		room   int
+		name       string
+		diskMB     float64
+		bodyBytes  int
+		maxPending int
 	}{
 		{"small", 3, 0, 1 << 20},
 		{"small, room for few", 3, 0, 50},
@@ -135,11 +124,10 @@
 			endpoint := newEndpoint(b, nil)
 			list := endpoint.list(singleKind, "draining")
 			r := prepareRelay(b, list, func(settings map[string]any) {
-				settings["bounds"].(map[string]any)["open_cap"] = c.room
+				setMaxPending(settings, c.maxPending)
 			})
-			r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": c.diskMB}
-			r.writeConfig()
-			n := fillDisk(b, r, c.diskMB, c.body)
+			r.setLimits(192, 256, c.diskMB)
+			n := fillJournal(b, r, c.diskMB, c.bodyBytes)
 			var ready time.Duration
 			for range b.N {
 				began := time.Now()
--- a/cmd/cherrytrestle/connectionfaults_test.go
+++ b/cmd/cherrytrestle/connectionfaults_test.go
@@ -12,24 +12,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// withPayments adds a class that must never run twice.
-func withPayments(settings map[string]any) {
-	settings["services"] = append(settings["services"].([]map[string]any), map[string]any{
-		"name": "pay", "semantics": "non_idempotent", "goal_time_ms": 1000, "give_up_ms": 16000, "value": 1,
-	})
-}
-
-// withClass submits a message under a class.
-func withClass(class string) func(*http.Request) {
-	return func(req *http.Request) {
-		req.URL.Path = "/" + class
-		req.Header.Set("X-Qos", class)
-	}
-}
-
-func faultyEndpoint(t testing.TB, endpoint *fakeEndpoint, rules ...string) *faultproxy.Proxy {
+// startProxy starts a proxy to an address that injects faults by the rules.
+func startProxy(t testing.TB, addr string, rules ...string) *faultproxy.Proxy {
 	t.Helper()
-	proxy, err := faultproxy.Start("127.0.0.1:0", endpoint.addr(), 1)
+	proxy, err := faultproxy.Start("127.0.0.1:0", addr, 1)
 	must(t, err)
 	t.Cleanup(func() { closeQuietly(proxy) })
 	for _, text := range rules {
@@ -41,77 +27,66 @@
 	return proxy
 }
 
-// statuses are the statuses of a message's notifications, each once.
-func (p *fakePlatform) statuses(id string) (all []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, f := range p.notifications {
-		if s := fmt.Sprint(f["status"]); f["id"] == id && !slices.Contains(all, s) {
-			all = append(all, s)
-		}
-	}
-	return all
-}
-
 // Ends of a message that must never run twice.
 const (
-	delivered        = "delivered"
-	failed           = "undeliverable"
-	eitherEnd        = "" // delivered, or failed without having run
-	deliveredOrMayBe = "delivered, or undeliverable though it may have run"
+	delivered         = "delivered"
+	failed            = "undeliverable"
+	deliveredOrNotRun = "delivered, or undeliverable without a call"
+	deliveredOrFailed = "delivered, or undeliverable though it may have run"
 )
 
-// wireFault is a fault that strikes the first connection to an endpoint.
+// wireFault is a fault of the first connection to an endpoint, and what it does to a message of each class.
 type wireFault struct {
-	name, rule string
-	nonRepeat  string // the end of a message that must never run twice
-	calls      int    // the endpoint's calls for that, at most
-	keyed      int    // calls for one with a key, which is always delivered; below 0: so many at most
-	first      string // the endpoint's first answer; "": a plain 200
+	name          string
+	rule          string
+	paymentEnd    string // the end of a message of the class "pay", which must never run twice
+	maxCalls      int    // to the endpoint, for that message
+	keyedCalls    int    // for a message with a key, which is always delivered; below 0: from 1 to so many
+	chunkedAnswer bool   // the endpoint's answer has chunks in place of a length
 }
 
 func wireFaults() []wireFault {
 	return []wireFault{
-		// The endpoint has all of the request, and the relay learns nothing: it may have run.
-		{"half-closed behind the body", `dir=down do=halfclose`, failed, 1, 2, ""},
-		{"reset instead of an answer", `dir=down do=reset`, failed, 1, 2, ""},
-		{"closed instead of an answer", `dir=down do=close`, failed, 1, 2, ""},
-		// A reset may overtake the body in front of it: the endpoint drops what it has not read yet. And the answer of
-		// an endpoint that is quick may come through before either.
-		{"reset behind the body", `dir=up match="\r\n\r\nbody" do=reset`, deliveredOrMayBe, 1, -2, ""},
-		{"closed behind the body", `dir=up match="\r\n\r\nbody" do=close`, deliveredOrMayBe, 1, -2, ""},
-		{"silent behind the body", `dir=down do=stall`, failed, 1, 2, ""},
-		{"the answer left out", `dir=down do=truncate`, failed, 1, 2, ""},
-		{"cut in the status line", `dir=down match="HTTP/1.1 2" do=close`, failed, 1, 2, ""},
-		{"garbled status", `dir=down match="HTTP/1.1 " with="x9" do=garble`, failed, 1, 2, ""},
-		// Half-closed by the relay's side of the wire only: the answer still comes.
-		{"half-closed upwards", `dir=up match="\r\n\r\nbody" do=halfclose`, delivered, 1, 1, ""},
-		// The endpoint never has the last byte. Whether the relay wrote it before it noticed the break is open.
-		{"cut before the last byte", `dir=up match="\r\n\r\nbod" do=reset`, eitherEnd, 1, 1, ""},
-		{"refused", `do=refuse`, eitherEnd, 1, 1, ""},
-		{"a byte of the body left out", `dir=up match="\r\n\r\nbod" do=drop`, failed, 0, 1, ""},
-		// A first line of 200 came: it is delivered, whatever follows.
-		{"garbled chunk header", `dir=down match="\r\n\r\n" with="Z!" do=garble`, delivered, 1, 1, "chunked"},
-		{"garbled length", `dir=down match="Content-Length: " with="?" do=garble`, delivered, 1, 1, ""},
-		{"bytes behind a good answer", `dir=down match="\r\n\r\n" bytes=2 do=double`, delivered, 1, 1, ""},
-		{"cut in the answer's body", `dir=down match="\r\n\r\no" do=reset`, delivered, 1, 1, ""},
-		// Slow is no fault, as long as there is time.
-		{"late", `dir=down for=300ms do=delay`, delivered, 1, 1, ""},
-		{"a trickle", `dir=down rate=400 do=trickle`, delivered, 1, 1, ""},
-		{"late requests", `dir=up for=200ms do=delay`, delivered, 1, 1, ""},
+		// The endpoint has the complete request, and the relay has no answer: the message may have run.
+		{"half-closed after the body", `dir=down do=halfclose`, failed, 1, 2, false},
+		{"reset instead of an answer", `dir=down do=reset`, failed, 1, 2, false},
+		{"closed instead of an answer", `dir=down do=close`, failed, 1, 2, false},
+		// A reset may overtake the body before it: the endpoint drops what it has not read yet. The answer of a fast
+		// endpoint may arrive before the reset or the end of the connection.
+		{"reset after the body", `dir=up match="\r\n\r\nbody" do=reset`, deliveredOrFailed, 1, -2, false},
+		{"closed after the body", `dir=up match="\r\n\r\nbody" do=close`, deliveredOrFailed, 1, -2, false},
+		{"silent after the body", `dir=down do=stall`, failed, 1, 2, false},
+		{"no answer before the end", `dir=down do=truncate`, failed, 1, 2, false},
+		{"cut in the status line", `dir=down match="HTTP/1.1 2" do=close`, failed, 1, 2, false},
+		{"garbled status", `dir=down match="HTTP/1.1 " with="x9" do=garble`, failed, 1, 2, false},
+		// Only the direction to the endpoint is closed: the answer still arrives.
+		{"half-closed towards the endpoint", `dir=up match="\r\n\r\nbody" do=halfclose`, delivered, 1, 1, false},
+		// The endpoint never has the last byte. The relay may have written it before it noticed the reset.
+		{"cut before the last byte", `dir=up match="\r\n\r\nbod" do=reset`, deliveredOrNotRun, 1, 1, false},
+		{"connection refused", `do=refuse`, deliveredOrNotRun, 1, 1, false},
+		{"a byte of the body lost", `dir=up match="\r\n\r\nbod" do=drop`, failed, 0, 1, false},
+		// A status line with 200 arrives: the message is delivered, whatever follows.
+		{"garbled chunk header", `dir=down match="\r\n\r\n" with="Z!" do=garble`, delivered, 1, 1, true},
+		{"garbled length", `dir=down match="Content-Length: " with="?" do=garble`, delivered, 1, 1, false},
+		{"bytes doubled in an answer", `dir=down match="\r\n\r\n" bytes=2 do=double`, delivered, 1, 1, false},
+		{"cut in the answer's body", `dir=down match="\r\n\r\no" do=reset`, delivered, 1, 1, false},
+		// A slow answer is no failure before the timeout.
+		{"late answer", `dir=down for=300ms do=delay`, delivered, 1, 1, false},
+		{"slow answer", `dir=down rate=400 do=trickle`, delivered, 1, 1, false},
+		{"late request", `dir=up for=200ms do=delay`, delivered, 1, 1, false},
 	}
 }
 
-// keyedCalls is the range of calls for a message with a key.
-func (f wireFault) keyedCalls() (least, most int) {
-	if f.keyed < 0 {
-		return 1, -f.keyed
+// keyedCallRange returns the lowest and the highest number of calls for a message with a key.
+func (f wireFault) keyedCallRange() (low, high int) {
+	if f.keyedCalls < 0 {
+		return 1, -f.keyedCalls
 	}
-	return f.keyed, f.keyed
+	return f.keyedCalls, f.keyedCalls
 }
 
-// Whatever happens to the bytes between the relay and an endpoint, each message has one final answer, and none that may
-// have run is repeated beyond its class's allowance. The first connection is struck, the others are sound.
+// TestEachFaultOnTheWireEndsInOneFinalAnswer injects a fault into the first connection to an endpoint: each message has
+// one final answer, and one that may have run is repeated only if its class allows that.
 func TestEachFaultOnTheWireEndsInOneFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for _, fault := range wireFaults() {
@@ -119,12 +94,12 @@
 			t.Parallel()
 			platform := newPlatform(t)
 			endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
-				if fault.first == "chunked" {
+				if fault.chunkedAnswer {
 					w.(http.Flusher).Flush()
 				}
 				writeQuietly(w, "ok")
 			})
-			// Each class has a wire of its own, whose first connection is struck.
+			// Each class has a proxy and a relay of its own.
 			for _, class := range []string{"pay", "order"} {
 				sendOverFault(t, platform, endpoint, fault, class)
 				checkFaultEnd(t, platform, endpoint, fault, class)
@@ -133,10 +108,11 @@
 	}
 }
 
-// sendOverFault sends a message of the class over a faulty wire, waits until it has ended and terminates the relay.
+// sendOverFault submits a message of the class to a relay with a faulty connection to its endpoint, waits until the
+// message has ended and terminates the relay.
 func sendOverFault(t *testing.T, platform *fakePlatform, endpoint *fakeEndpoint, fault wireFault, class string) {
 	t.Helper()
-	wire := faultyEndpoint(t, endpoint, "conn=1 "+fault.rule)
+	wire := startProxy(t, endpoint.addr(), "conn=1 "+fault.rule)
 	r := newRelay(t, platform, []listEntry{newEntry("s-"+class, wire.Addr(), "a", singleKind, "ready")}, withPayments)
 	id := "m-" + class
 	if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
@@ -150,20 +126,20 @@
 		eventually(t, next, func() bool { return endpoint.count(next) > 0 || platform.notification(next) != nil })
 		return endpoint.count(next) > 0
 	})
-	least, _ := fault.keyedCalls()
+	low, _ := fault.keyedCallRange()
 	eventually(t, "the message has ended", func() bool {
 		if len(platform.statuses(id)) > 0 {
 			return true
 		}
-		ran := endpoint.count(id)
-		return ran > 0 && (class == "order" && ran >= least || fault.nonRepeat != failed)
+		calls := endpoint.count(id)
+		return calls > 0 && (class == "order" && calls >= low || fault.paymentEnd != failed)
 	})
 	if err := r.terminate(); err != nil {
 		t.Fatalf("ended: %v", err)
 	}
 }
 
-// checkFaultEnd checks the calls and the final answer of a message that was sent over a faulty wire.
+// checkFaultEnd checks the calls and the final answer of a message that was sent over a faulty connection.
 func checkFaultEnd(t *testing.T, platform *fakePlatform, endpoint *fakeEndpoint, fault wireFault, class string) {
 	t.Helper()
 	id := "m-" + class
@@ -172,30 +148,31 @@
 		t.Errorf("%s: ends %v", class, ends)
 	}
 	want := delivered
-	least, most := fault.keyedCalls()
+	low, high := fault.keyedCallRange()
 	if class == "pay" {
-		want = fault.nonRepeat
-		least = 0
-		most = fault.calls
+		want = fault.paymentEnd
+		low = 0
+		high = fault.maxCalls
 	}
 	calls := endpoint.count(id)
-	if calls > most || calls < least {
-		t.Errorf("%s: %d calls, want %d to %d", class, calls, least, most)
+	if calls > high || calls < low {
+		t.Errorf("%s: %d calls, want %d to %d", class, calls, low, high)
 	}
 	switch {
 	case want == delivered && len(ends) > 0:
 		t.Errorf("%s: delivered, and then %v", class, ends)
 	case want == failed && !slices.Equal(ends, []string{failed}):
 		t.Errorf("%s: ended as %v, want %s", class, ends, failed)
-	case want == eitherEnd && (calls == 1) == (len(ends) == 1):
+	case want == deliveredOrNotRun && (calls == 1) == (len(ends) == 1):
 		t.Errorf("%s: %d calls and ends %v", class, calls, ends)
-	case want == deliveredOrMayBe && calls+len(ends) == 0:
+	case want == deliveredOrFailed && calls+len(ends) == 0:
 		t.Errorf("%s: neither delivered nor ended", class)
 	}
 }
 
-// An endpoint has answered 200, and the relay is killed before it could read, or record, that. What must not run twice
-// is not sent again, and ends as failed; what may is repeated where its repeat is dropped.
+// TestKilledBetweenTheAnswerAndItsRecord kills a relay after its endpoint has answered 200, and before the relay could
+// read the answer. The next process reports a payment as failed and does not send it again. It repeats an order, and
+// only in the zone in which repeats are dropped.
 func TestKilledBetweenTheAnswerAndItsRecord(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"pay", "order"} {
@@ -204,8 +181,8 @@
 			platform := newPlatform(t)
 			endpoint := newEndpoint(t, nil)
 			other := newEndpoint(t, nil)
-			wire := faultyEndpoint(t, endpoint)
-			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the answer is on its way, and stays there
+			wire := startProxy(t, endpoint.addr())
+			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the relay never has the answer
 			must(t, err)
 			id, err := wire.AddRule(rule)
 			must(t, err)
@@ -239,16 +216,16 @@
 	}
 }
 
-// Faults between a client and the relay: a message of which all came has one answer or, without one, is not the
-// relay's to deliver twice under its id.
+// TestFaultsOnTheClientsSide injects faults between a client and the relay: a message with the answer 202 is delivered
+// once, one that arrived in part is not delivered, and one whose answer is lost is delivered once at most.
 func TestFaultsOnTheClientsSide(t *testing.T) {
 	t.Parallel()
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	for i, c := range []struct {
-		rule  string
-		calls int // at most
+		rule     string
+		maxCalls int
 	}{
 		{`dir=up match="\r\n\r\nbod" do=reset`, 0},
 		{`dir=up match="\r\n\r\nbod" do=halfclose`, 0},
@@ -258,12 +235,7 @@
 		{`dir=down at=5 do=reset`, 1},
 		{`dir=up match="\r\n\r\n" for=100ms do=stall`, 1},
 	} {
-		proxy, err := faultproxy.Start("127.0.0.1:0", r.addr, 1)
-		must(t, err)
-		rule, err := faultproxy.ParseRule(c.rule)
-		must(t, err)
-		_, err = proxy.AddRule(rule)
-		must(t, err)
+		proxy := startProxy(t, r.addr, c.rule)
 		id := fmt.Sprint("m", i)
 		req := r.request(id, 10*time.Second, nil)
 		req.URL.Host = proxy.Addr()
@@ -280,8 +252,8 @@
 		next := fmt.Sprint("next", i)
 		r.mustAccept(next, 10*time.Second)
 		eventually(t, next, func() bool { return endpoint.count(next) == 1 })
-		if n := endpoint.count(id); n > c.calls {
-			t.Errorf("%s: %d calls", c.rule, n)
+		if calls := endpoint.count(id); calls > c.maxCalls {
+			t.Errorf("%s: %d calls", c.rule, calls)
 		}
 	}
 }
--- a/cmd/cherrytrestle/dedupwindow_test.go
+++ b/cmd/cherrytrestle/dedupwindow_test.go
@@ -8,18 +8,6 @@
 	"time"
 )
 
-// arrivals are the times at which a message arrived.
-func (endpoint *fakeEndpoint) arrivals(id string) (at []time.Time) {
-	endpoint.mu.Lock()
-	defer endpoint.mu.Unlock()
-	for i, x := range endpoint.seen {
-		if x == id {
-			at = append(at, endpoint.at[i])
-		}
-	}
-	return at
-}
-
 const (
 	dedupWindow    = time.Second
 	windowMessages = 6
@@ -27,24 +15,24 @@
 
 // windowCase is a restart with calls in flight.
 type windowCase struct {
-	name    string
-	down    time.Duration // between the kill and the next start
-	zone    string        // of the endpoint that the next process lists
-	late    time.Duration // from the kill until that endpoint is in service
-	repeats bool          // messages are repeated
-	never   bool          // none is
+	name         string
+	downtime     time.Duration // from the kill to the next start
+	zone         string        // of the endpoint that the next process lists
+	serviceDelay time.Duration // from the kill until that endpoint is in service; 0: it is from the start
+	repeats      bool          // messages must be repeated
+	never        bool          // no message may be repeated; with neither field set, both are allowed
 }
 
-// Calls with a key are in flight when the process is killed, and endpoints drop repeats for a second only, and in one
-// zone. The next process repeats the messages if it comes in time, and never past the window or in the other zone; a
-// message that it may not repeat gets a notification.
+// TestNoRepeatPastTheDedupWindow kills a relay that has calls with a key in flight. Endpoints drop repeats within one
+// zone, for a second. The next process repeats the messages only within that time and in that zone, and notifies the
+// platform of the end of the others.
 func TestNoRepeatPastTheDedupWindow(t *testing.T) {
 	const past = dedupWindow + 200*time.Millisecond
 	for _, c := range []windowCase{
 		{name: "at once", zone: "a", repeats: true},
-		{name: "towards the end of the window", down: 600 * time.Millisecond, zone: "a"},
-		{name: "past the window", down: past, zone: "a", never: true},
-		{name: "at once, the endpoint is in service past the window", zone: "a", late: past, never: true},
+		{name: "towards the end of the window", downtime: 600 * time.Millisecond, zone: "a"},
+		{name: "past the window", downtime: past, zone: "a", never: true},
+		{name: "at once, the endpoint is in service past the window", zone: "a", serviceDelay: past, never: true},
 		{name: "at once, in the other zone", zone: "b", never: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,8 +52,8 @@
 	})
 	other := newEndpoint(t, nil)
 	r := newRelay(t, platform, one.list(singleKind, "ready"), func(set map[string]any) {
-		set["services"].([]map[string]any)[0]["repeat_window_ms"] = dedupWindow.Milliseconds()
-		set["extra"].(map[string]any)["call_slots"] = 40 // all are sent
+		orderClass(set)["repeat_window_ms"] = dedupWindow.Milliseconds()
+		setMaxInFlightCalls(set, 40) // so that all are sent
 	})
 	for i := range windowMessages {
 		r.mustAccept(fmt.Sprint("m", i), 8*time.Second)
@@ -77,13 +65,12 @@
 	killed.Store(true)
 	killedAt := time.Now()
 	entry := c.nextEntry(one, other)
-	r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{entry}}
-	r.writeConfig()
-	time.Sleep(c.down)
+	r.setKnown(2, entry)
+	time.Sleep(c.downtime)
 	r.start(platform)
 	inTime := time.Since(one.arrivals("m0")[0]) < dedupWindow*2/3 // otherwise the machine is too slow for this case
-	if c.late > 0 {
-		time.Sleep(time.Until(killedAt.Add(c.late)))
+	if c.serviceDelay > 0 {
+		time.Sleep(time.Until(killedAt.Add(c.serviceDelay)))
 		entry["state"] = "ready"
 		platform.publish(false, entry)
 	}
@@ -94,21 +81,21 @@
 	}
 }
 
-// nextEntry is the endpoint that the next process lists.
+// nextEntry returns the entry of the endpoint that the next process lists.
 func (c windowCase) nextEntry(one, other *fakeEndpoint) listEntry {
 	next := one
 	if c.zone != "a" {
 		next = other
 	}
 	state := "ready"
-	if c.late > 0 {
+	if c.serviceDelay > 0 {
 		state = "draining"
 	}
 	return newEntry("s-2", next.addr(), c.zone, singleKind, state)
 }
 
-// checkRepeats waits until each message is repeated or has ended, and returns how many repeats there were, none of them
-// past the window or in the other zone.
+// checkRepeats waits until each message is repeated or has ended, checks that no repeat is past the window or in the
+// other zone, and returns the number of repeats.
 func checkRepeats(t *testing.T, platform *fakePlatform, one, other *fakeEndpoint) (repeated int) {
 	t.Helper()
 	for i := range windowMessages {
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -13,6 +13,9 @@
 	"time"
 )
 
+// maxBodySize is the size of the largest body that the relay accepts, in bytes.
+const maxBodySize = 64 << 10
+
 func TestAcceptsAndDelivers(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -22,11 +25,20 @@
 	eventually(t, "both delivered", func() bool { return endpoint.count("m1") == 1 && endpoint.count("m2") == 1 })
 }
 
+// TestMalformedRequestsAreRejected also checks that the largest body is accepted, and that only its message is sent.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
 	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
-	set := func(k, v string) func(*http.Request) { return func(q *http.Request) { q.Header.Set(k, v) } }
+	set := func(name, value string) func(*http.Request) {
+		return func(request *http.Request) { request.Header.Set(name, value) }
+	}
+	setBody := func(size, contentLength int64) func(*http.Request) {
+		return func(request *http.Request) {
+			request.Body = io.NopCloser(bytes.NewReader(make([]byte, size)))
+			request.ContentLength = contentLength
+		}
+	}
 	for i, c := range []struct {
 		edit func(*http.Request)
 		want int
@@ -43,65 +55,60 @@
 		{set("X-Expires-In-Ms", "-5"), 400},
 		{set("X-Expires-In-Ms", "1e3"), 400},
 		{set("X-Expires-In-Ms", "99999999999999999999"), 400},
-		{func(q *http.Request) { q.URL.Path = "/unknown"; q.Header.Set("X-Qos", "unknown") }, 400},
-		{func(q *http.Request) {
-			q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10+1)))
-			q.ContentLength = 64<<10 + 1
-		}, 413},
-		{func(q *http.Request) {
-			q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10+1)))
-			q.ContentLength = -1
-		}, 413},
-		{func(q *http.Request) { q.Method = http.MethodPut }, 405},
+		{withClass("unknown"), 400},
+		{setBody(maxBodySize+1, maxBodySize+1), 413},
+		{setBody(maxBodySize+1, -1), 413},
+		{func(request *http.Request) { request.Method = http.MethodPut }, 405},
 	} {
 		id := fmt.Sprint("bad", i)
 		if status, _ := r.submit(id, 10*time.Second, c.edit); status != c.want {
 			t.Errorf("request %d: status %d, want %d", i, status, c.want)
 		}
 	}
-	big := func(q *http.Request) {
-		q.Body = io.NopCloser(bytes.NewReader(make([]byte, 64<<10)))
-		q.ContentLength = 64 << 10
-	}
-	if status, _ := r.submit("big", 10*time.Second, big); status != http.StatusAccepted {
-		t.Errorf("64 KiB: status %d", status)
+	status, _ := r.submit("largest", 10*time.Second, setBody(maxBodySize, maxBodySize))
+	if status != http.StatusAccepted {
+		t.Errorf("the largest body: status %d", status)
 	}
-	eventually(t, "the good one delivered", func() bool { return endpoint.count("big") == 1 })
-	if endpoint.calls != 1 {
-		t.Errorf("%d calls", endpoint.calls)
+	eventually(t, "the valid one delivered", func() bool { return endpoint.count("largest") == 1 })
+	if calls := endpoint.totalCalls(); calls != 1 {
+		t.Errorf("%d calls", calls)
 	}
 }
 
+// TestPendingMessagesAreBounded submits messages that the endpoint does not answer: above the bound they are rejected
+// with a Retry-After.
 func TestPendingMessagesAreBounded(t *testing.T) {
-	const held = 5
+	const maxPending = 5
 	wait := make(chan struct{})
-	platform, endpoint := newPlatform(t), newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+	platform := newPlatform(t)
+	endpoint := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
 		select {
 		case <-wait:
 		case <-r.Context().Done():
 		}
 	})
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(s map[string]any) {
-		s["bounds"].(map[string]any)["open_cap"] = held
-		s["extra"].(map[string]any)["call_slots"] = 0 // no limit: all are sent, and none can be rejected for another
+		setMaxPending(s, maxPending)
+		setMaxInFlightCalls(s, 0) // so that all are sent, and none can be rejected in favour of another
 	})
 	defer close(wait)
-	taken := 0
-	for i := range 3 * held {
-		status, again := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
+	accepted := 0
+	for i := range 3 * maxPending {
+		status, retryAfter := r.submit(fmt.Sprint("m", i), 10*time.Second, nil)
 		switch {
 		case status == http.StatusAccepted:
-			taken++
-		case status != http.StatusServiceUnavailable || again == "":
-			t.Errorf("status %d, advice %q", status, again)
+			accepted++
+		case status != http.StatusServiceUnavailable || retryAfter == "":
+			t.Errorf("status %d, Retry-After %q", status, retryAfter)
 		}
 	}
-	if taken < held-1 || taken > held { // the engine rejects a little before the bound
-		t.Errorf("%d accepted, the bound is %d", taken, held)
+	if accepted < maxPending-1 || accepted > maxPending { // the engine may reject one below the bound
+		t.Errorf("%d accepted, the bound is %d", accepted, maxPending)
 	}
 }
 
-// A message that the engine gives up on gets its answer by a notification, which is retried until it is acknowledged.
+// TestNotificationsAreRetried checks that the final answer to a message that was not delivered is sent to the platform
+// until it is acknowledged.
 func TestNotificationsAreRetried(t *testing.T) {
 	platform := newPlatform(t)
 	platform.failNotifications = 3
@@ -109,11 +116,14 @@
 	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
 	r.mustAccept("m1", 700*time.Millisecond)
 	eventually(t, "a notification", func() bool { return platform.notification("m1") != nil })
-	if f := platform.notification("m1"); f["status"] != "deferred" || f["again_ms"] == nil {
-		t.Errorf("notification %v", f)
+	notification := platform.notification("m1")
+	if notification["status"] != "deferred" || notification["again_ms"] == nil {
+		t.Errorf("notification %v", notification)
 	}
 }
 
+// TestRetryAfterIsObserved checks that an endpoint gets no message until its Retry-After is over, but for those that
+// were on their way when it was sent.
 func TestRetryAfterIsObserved(t *testing.T) {
 	const wait = 600 * time.Millisecond
 	platform := newPlatform(t)
@@ -146,11 +156,11 @@
 	}
 }
 
-// Messages that wait for one endpoint when its Retry-After is over are sent as one call.
+// TestMessagesShareACall checks that messages that wait for the same endpoint are sent in one call, up to the limit.
 func TestMessagesShareACall(t *testing.T) {
 	platform := newPlatform(t)
 	var mu sync.Mutex
-	var most, calls int
+	var maxMessages, calls int
 	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -159,7 +169,7 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		most = max(most, len(ids))
+		maxMessages = max(maxMessages, len(ids))
 		writeStates(w, ids, "ok", "later")
 	})
 	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
@@ -168,17 +178,20 @@
 	for i := range 8 {
 		r.mustAccept(fmt.Sprint("b", i), 10*time.Second)
 	}
-	eventually(t, "a bundle", func() bool {
+	eventually(t, "a call with several messages", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return most > 1
+		return maxMessages > 1
 	})
-	if most > 10 {
-		t.Errorf("%d in a call", most)
+	mu.Lock()
+	defer mu.Unlock()
+	if maxMessages > 10 {
+		t.Errorf("%d messages in a call", maxMessages)
 	}
 }
 
-// Requests that stop half-way and silent connections block nobody.
+// TestIncompleteRequestsBlockNobody opens connections that send nothing, a part of a request or no HTTP: other messages
+// are accepted and delivered, and the relay shuts down in order.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
--- a/cmd/cherrytrestle/discoveryserver_test.go
+++ b/cmd/cherrytrestle/discoveryserver_test.go
@@ -12,51 +12,53 @@
 	"time"
 )
 
-// discoveryServer stands in for discovery with a list that is encoded once, however large it is.
+// discoveryServer is a fake of the platform for large lists, which it encodes only once. It serves any number of
+// watches.
 type discoveryServer struct {
 	*httptest.Server
-	fullList []byte // for watches from an older version
-	version  int    // of it
+	fullList []byte // the line for polls, and for watches from a version before that of the list
+	version  int    // of the full list
 
 	mu      sync.Mutex
-	changes [][]byte          // by version, from the next on
-	changed chan struct{}     // closed, and made anew, with each
-	finals  map[string]string // status by id
+	changes [][]byte          // the lines of the versions after the full list's
+	changed chan struct{}     // closed at the next change
+	finals  map[string]string // the status of the last notification, by message id
 }
 
+// newDiscoveryServer starts a server with a list, which is closed at the end of the test.
 func newDiscoveryServer(t *testing.T, version int, list []listEntry) *discoveryServer {
 	t.Helper()
-	whole, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
+	fullList, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
 	must(t, err)
 	a := &discoveryServer{
-		fullList: append(whole, '\n'),
+		fullList: append(fullList, '\n'),
 		version:  version,
 		changed:  make(chan struct{}),
 		finals:   map[string]string{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
-		has, err := strconv.Atoi(r.URL.Query().Get("index"))
-		if err != nil || has < version {
-			has = version
-			_, _ = w.Write(a.fullList) // the relay may have gone
+		sent, err := strconv.Atoi(r.URL.Query().Get("index")) // the version that the relay has
+		if err != nil || sent < version {
+			sent = version
+			_, _ = w.Write(a.fullList) // the relay may have closed the connection
 		}
-		for beat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
+		for heartbeat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
 			a.mu.Lock()
-			lines := a.changes[has-version:]
-			more := a.changed
+			lines := a.changes[sent-version:]
+			changed := a.changed
 			a.mu.Unlock()
 			for _, line := range lines {
-				_, _ = w.Write(line) // the relay may have gone
+				_, _ = w.Write(line) // the relay may have closed the connection
 			}
-			has += len(lines)
+			sent += len(lines)
 			w.(http.Flusher).Flush()
 			select {
-			case <-more:
-			case <-beat.C:
+			case <-changed:
+			case <-heartbeat.C:
 				writeQuietly(w, "\n")
 			case <-r.Context().Done():
-				beat.Stop()
+				heartbeat.Stop()
 				return
 			}
 		}
@@ -64,12 +66,9 @@
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		for lines := json.NewDecoder(r.Body); ; {
-			var f struct{ ID, Status string }
-			if err := lines.Decode(&f); err != nil {
-				break // the end, or a notification that is retried
-			}
-			a.finals[f.ID] = f.Status
+		received, _ := decodeNotifications(r.Body) // a request that breaks off is retried
+		for _, notification := range received {
+			a.finals[fmt.Sprint(notification["id"])] = fmt.Sprint(notification["status"])
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
@@ -78,17 +77,17 @@
 	return a
 }
 
-// destinationEntries lists destinations of two endpoints each, each at an address of its own where none is given.
+// destinationEntries returns entries of the destinations from one number up to another, with two endpoints for each. If
+// no address is given, each endpoint has another one, at which nobody listens.
 func destinationEntries(from, to int, addr string) (list []listEntry) {
 	for d := from; d < to; d++ {
 		for k := range 2 {
-			// nobody is there, nor called
-			own := cmp.Or(addr, fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k))
+			unique := fmt.Sprintf("127.%d.%d.%d:%d", 1+d>>16, d>>8&255, d&255, 9000+k)
 			list = append(list, listEntry{
 				"id":     fmt.Sprintf("s-%06d-%d", d, k),
-				"addr":   own,
+				"addr":   cmp.Or(addr, unique),
 				"zone":   "ab"[k : k+1],
-				"kind":   "platform",
+				"kind":   batchKind,
 				"cell":   d,
 				"state":  "ready",
 				"weight": 8.6,
@@ -111,3 +110,5 @@
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
+
+func (a *discoveryServer) addr() string { return a.Listener.Addr().String() }
--- a/cmd/cherrytrestle/fakeendpoint_test.go
+++ b/cmd/cherrytrestle/fakeendpoint_test.go
@@ -13,17 +13,21 @@
 	"time"
 )
 
-// fakeEndpoint is one endpoint that messages are sent to.
+// answerFunc answers a call to an endpoint, which has the messages with the ids.
+type answerFunc func(w http.ResponseWriter, r *http.Request, ids []string)
+
+// fakeEndpoint is an endpoint that records the messages that are sent to it.
 type fakeEndpoint struct {
 	*httptest.Server
 	mu     sync.Mutex
-	seen   []string    // ids, in the order of their calls
-	at     []time.Time // of each
+	seen   []string    // the ids of the messages, in the order of their arrival
+	at     []time.Time // the time of arrival of each of seen
 	calls  int
-	answer func(w http.ResponseWriter, r *http.Request, ids []string)
+	answer answerFunc // nil: 200
 }
 
-func newEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, ids []string)) *fakeEndpoint {
+// newEndpoint starts an endpoint, which is closed at the end of the test.
+func newEndpoint(t testing.TB, answer answerFunc) *fakeEndpoint {
 	endpoint := &fakeEndpoint{answer: answer}
 	endpoint.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -31,14 +35,14 @@
 			return
 		}
 		ids := []string{r.Header.Get("X-Trace-Id")}
-		if strings.HasSuffix(r.URL.Path, "/bundle") {
-			var items []struct{ ID string }
-			if json.Unmarshal(body, &items) != nil {
+		if strings.HasSuffix(r.URL.Path, "/bundle") { // a call with several messages
+			var messages []struct{ ID string }
+			if json.Unmarshal(body, &messages) != nil {
 				t.Errorf("bundle: %s", body)
 			}
 			ids = ids[:0]
-			for _, x := range items {
-				ids = append(ids, x.ID)
+			for _, message := range messages {
+				ids = append(ids, message.ID)
 			}
 		}
 		endpoint.mu.Lock()
@@ -82,35 +86,48 @@
 	return e.calls
 }
 
-// lastCall is the time of the last message's arrival.
+// arrivals are the times at which a message arrived.
+func (e *fakeEndpoint) arrivals(id string) (at []time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i, x := range e.seen {
+		if x == id {
+			at = append(at, e.at[i])
+		}
+	}
+	return at
+}
+
+// lastCall returns the time of the last message's arrival.
 func (e *fakeEndpoint) lastCall() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.MaxFunc(e.at, time.Time.Compare)
 }
 
-// maxCallsWithin is the greatest number of messages that arrived in any window of time.
+// maxCallsWithin returns the highest number of messages that arrived in any window of time of this length.
 func (e *fakeEndpoint) maxCallsWithin(window time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at := slices.SortedFunc(slices.Values(e.at), time.Time.Compare)
-	most := 0
+	highest := 0
 	first := 0
 	for last := range at {
 		for at[last].Sub(at[first]) > window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 // answerStatus answers each call with the status.
-func answerStatus(status int) func(http.ResponseWriter, *http.Request, []string) {
+func answerStatus(status int) answerFunc {
 	return func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(status) }
 }
 
-// writeStates answers a call that carries several messages with a state for each, the given ones in turn.
+// writeStates writes the answer to a call with several messages: a state for each, the given ones in turn. For a call
+// with one message it writes nothing.
 func writeStates(w io.Writer, ids []string, states ...string) {
 	if len(ids) == 1 {
 		return
@@ -121,3 +138,16 @@
 	}
 	writeQuietly(w, "["+strings.Join(answers, ",")+"]")
 }
+
+// callsByMessage returns how many calls to any of the endpoints had each message, by its id.
+func callsByMessage(endpoints ...*fakeEndpoint) map[string]int {
+	calls := map[string]int{}
+	for _, e := range endpoints {
+		e.mu.Lock()
+		for _, id := range e.seen {
+			calls[id]++
+		}
+		e.mu.Unlock()
+	}
+	return calls
+}
--- a/cmd/cherrytrestle/fakeplatform_test.go
+++ b/cmd/cherrytrestle/fakeplatform_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -26,27 +28,28 @@
 	return listEntry{"id": id, "addr": addr, "zone": zone, "kind": kind, "cell": 7, "state": state, "weight": 500.0}
 }
 
-// fakePlatform stands in for discovery, and for the receiver of notifications.
+// fakePlatform is a fake of discovery and of the receiver of notifications.
 type fakePlatform struct {
 	*httptest.Server
 	mu                sync.Mutex
 	version           int
-	lines             chan string // to the watch
-	indexes           []string    // that watches began from
+	lines             chan string // to be sent to the watch
+	indexes           []string    // the versions that watches asked for
 	notifications     []map[string]any
-	failNotifications int // so many requests with notifications fail first
-	fullList          []listEntry
-	watches           atomic.Int32 // that are answered
+	failNotifications int          // so many more requests with notifications fail
+	fullList          []listEntry  // the answer to a poll
+	watches           atomic.Int32 // watches that are being answered
 }
 
-// disconnect ends all connections, and waits until no watch is answered any more: one that is about to end would take
-// the next line with it.
+// disconnect closes all connections, and waits until no watch is being answered: one that is about to end would receive
+// the next line in place of the new watch.
 func (p *fakePlatform) disconnect(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
 	eventually(t, "no watch", func() bool { return p.watches.Load() == 0 })
 }
 
+// newPlatform starts a fake platform, which is closed at the end of the test.
 func newPlatform(t testing.TB) *fakePlatform {
 	platform := &fakePlatform{version: 1, lines: make(chan string, 16)}
 	mux := http.NewServeMux()
@@ -82,16 +85,11 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		for lines := json.NewDecoder(r.Body); ; {
-			var f map[string]any
-			if err := lines.Decode(&f); err == io.EOF {
-				break
-			} else if err != nil {
-				t.Errorf("notification: %v", err)
-				break
-			}
-			platform.notifications = append(platform.notifications, f)
+		received, err := decodeNotifications(r.Body)
+		if err != nil {
+			t.Errorf("notification: %v", err)
 		}
+		platform.notifications = append(platform.notifications, received...)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	platform.Server = httptest.NewServer(mux)
@@ -99,35 +97,47 @@
 	return platform
 }
 
-// publish sends a change of the list to the watch.
-func (p *fakePlatform) publish(full bool, members ...listEntry) {
+// publish sends a list, or a change of the list, to the watch.
+func (p *fakePlatform) publish(full bool, entries ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	line, _ := json.Marshal(map[string]any{"version": p.version, "full": full, "servers": members})
+	line, _ := json.Marshal(map[string]any{"version": p.version, "full": full, "servers": entries})
 	p.lines <- string(line)
 }
 
-// notification returns the notification for a message, or nil.
+// notification returns the first notification of a message, or nil.
 func (p *fakePlatform) notification(id string) map[string]any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range p.notifications {
-		if f["id"] == id {
-			return f
+	for _, notification := range p.notifications {
+		if notification["id"] == id {
+			return notification
 		}
 	}
 	return nil
 }
 
-// watchIndexes are the versions that watches began from.
+// statuses returns the different statuses of a message's notifications.
+func (p *fakePlatform) statuses(id string) (all []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, notification := range p.notifications {
+		if status := fmt.Sprint(notification["status"]); notification["id"] == id && !slices.Contains(all, status) {
+			all = append(all, status)
+		}
+	}
+	return all
+}
+
+// watchIndexes returns the versions that watches asked for.
 func (p *fakePlatform) watchIndexes() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.indexes)
 }
 
-// notificationsToFail is how many more notifications the platform will fail.
+// notificationsToFail returns how many more requests with notifications will fail.
 func (p *fakePlatform) notificationsToFail() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,3 +149,19 @@
 	defer p.mu.Unlock()
 	return len(p.notifications)
 }
+
+func (p *fakePlatform) addr() string { return p.Listener.Addr().String() }
+
+// decodeNotifications reads notifications, one JSON object a line. With an error it returns those before it.
+func decodeNotifications(body io.Reader) (notifications []map[string]any, err error) {
+	for lines := json.NewDecoder(body); ; {
+		var notification map[string]any
+		switch err := lines.Decode(&notification); {
+		case errors.Is(err, io.EOF):
+			return notifications, nil
+		case err != nil:
+			return notifications, err
+		}
+		notifications = append(notifications, notification)
+	}
+}
--- a/cmd/cherrytrestle/golden_test.go
+++ b/cmd/cherrytrestle/golden_test.go
@@ -12,7 +12,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestGoldenHelp pins the help of each command: its flags, their defaults and the names of environment variables.
+// TestGoldenHelp pins the help of each command: its flags, their defaults and their environment variables.
 func TestGoldenHelp(t *testing.T) {
 	commandLines := []string{
 		"", "serve", "replay", "explain", "fleet", "fleet count", "fleet status",
--- a/cmd/cherrytrestle/hotrestart_test.go
+++ b/cmd/cherrytrestle/hotrestart_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -15,53 +14,46 @@
 	"time"
 )
 
-// holdListeningSocket has the platform hold the socket that clients connect to, and restarts the relay on it.
-func holdListeningSocket(t *testing.T, r *relayProcess, platform *fakePlatform) {
+// restartOnInheritedSocket restarts a relay with a listening socket that the test opens and passes to its processes, as
+// a platform does for hot restarts.
+func restartOnInheritedSocket(t *testing.T, r *relayProcess, platform *fakePlatform) {
+	t.Helper()
 	r.kill()
-	l, err := net.Listen("tcp", r.addr)
+	listener, err := net.Listen("tcp", r.addr)
 	must(t, err)
-	t.Cleanup(func() { closeQuietly(l) })
-	r.socket, err = l.(*net.TCPListener).File()
+	t.Cleanup(func() { closeQuietly(listener) })
+	r.socket, err = listener.(*net.TCPListener).File()
 	must(t, err)
 	t.Cleanup(func() { closeQuietly(r.socket) })
-	second := withManagement(t, r)
+	management := r.setManagement()
 	r.start(platform)
-	waitReady(t, second)
+	waitReady(t, management)
 }
 
-func waitReady(t testing.TB, second string) {
-	t.Helper()
-	eventually(t, "ready on the second address", func() bool {
-		res, err := http.Get("http://" + second + "/v1/readyz")
-		if err != nil {
-			return false
-		}
-		closeQuietly(res.Body)
-		return res.StatusCode == http.StatusOK
-	})
-}
-
-// upgrade starts a second process beside the first, ends that one once the second is ready, and returns how it ended.
-func (r *relayProcess) upgrade(platform *fakePlatform) (ended <-chan error, old *exec.Cmd) {
+// hotRestart starts a second process, waits until it is ready, and sends SIGTERM to the first. It returns the first
+// process, and a channel for the error with which that ends.
+func (r *relayProcess) hotRestart(platform *fakePlatform) (ended <-chan error, first *exec.Cmd) {
 	r.t.Helper()
-	old = r.cmd
-	second := withManagement(r.t, r)
+	first = r.cmd
+	management := r.setManagement()
 	r.start(platform)
-	waitReady(r.t, second)
-	must(r.t, old.Process.Signal(syscall.SIGTERM))
+	waitReady(r.t, management)
+	must(r.t, first.Process.Signal(syscall.SIGTERM))
 	done := make(chan error, 1)
-	go func() { done <- old.Wait() }()
-	return done, old
+	go func() { done <- first.Wait() }()
+	return done, first
 }
 
-// keepAliveClient keeps its connection until an answer says that it is closed. It counts failures of it.
+// keepAliveClient submits messages on one connection until an answer says that the relay closes it. It counts requests
+// without an answer as failures.
 type keepAliveClient struct {
 	r        *relayProcess
-	conn     net.Conn
+	conn     net.Conn // nil: none
 	in       *bufio.Reader
 	failures *atomic.Int64
 }
 
+// submit submits a message and returns the answer's status, or 0 without an answer.
 func (c *keepAliveClient) submit(id string, expires time.Duration) int {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.r.addr)
@@ -94,34 +86,34 @@
 	return res.StatusCode
 }
 
-// upgradeLoad is clients that submit messages on connections that they keep.
-type upgradeLoad struct {
-	failures atomic.Int64 // connections that were refused, reset or closed unread
+// keepAliveLoad is clients that submit messages on connections that they keep, until end is called.
+type keepAliveLoad struct {
+	failures atomic.Int64 // connections that were refused, reset or closed without an answer
 	rejected atomic.Int64
 	accepted atomic.Int64
-	ids      sync.Map // of the accepted messages
+	ids      sync.Map // the ids of the accepted messages
 	stop     chan struct{}
 	clients  sync.WaitGroup
 }
 
-func startUpgradeLoad(r *relayProcess) *upgradeLoad {
-	load := &upgradeLoad{stop: make(chan struct{})}
+func startKeepAliveLoad(r *relayProcess) *keepAliveLoad {
+	load := &keepAliveLoad{stop: make(chan struct{})}
 	for i := range 10 {
 		load.clients.Go(func() { load.submit(r, i) })
 	}
 	return load
 }
 
-func (l *upgradeLoad) submit(r *relayProcess, client int) {
-	c := &keepAliveClient{r: r, failures: &l.failures}
+func (l *keepAliveLoad) submit(r *relayProcess, number int) {
+	client := &keepAliveClient{r: r, failures: &l.failures}
 	for n := 0; ; n++ {
 		select {
 		case <-l.stop:
 			return
 		case <-time.After(time.Duration(20+rand.IntN(60)) * time.Millisecond):
 		}
-		id := fmt.Sprintf("c%d-%d", client, n)
-		switch c.submit(id, 12*time.Second) {
+		id := fmt.Sprintf("c%d-%d", number, n)
+		switch client.submit(id, 12*time.Second) {
 		case http.StatusAccepted:
 			l.accepted.Add(1)
 			l.ids.Store(id, true)
@@ -131,45 +123,45 @@
 	}
 }
 
-func (l *upgradeLoad) end() {
+func (l *keepAliveLoad) end() {
 	close(l.stop)
 	l.clients.Wait()
 }
 
-// slowly answers after some tenths of a second at most, and now and then so late that the call is in flight during an
-// upgrade.
-func slowly(http.ResponseWriter, *http.Request, []string) {
+// answerSlowly answers after a random time of 20 to 100 ms, and one call of fifty 600 ms later, so that it is in flight
+// during a hot restart.
+func answerSlowly(http.ResponseWriter, *http.Request, []string) {
 	if rand.IntN(50) == 0 {
 		time.Sleep(600 * time.Millisecond)
 	}
 	time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
 }
 
-// Upgrades under load, one after the other, while endpoints answer late: no client meets a connection that is refused,
-// reset or unread, each message is delivered, and none by more calls than its class allows.
-func TestUpgradesUnderLoad(t *testing.T) {
-	one := newEndpoint(t, slowly)
-	two := newEndpoint(t, slowly)
+// TestHotRestartsUnderLoad does several hot restarts under load: no connection of a client is refused, reset or closed
+// without an answer, and each accepted message is delivered once.
+func TestHotRestartsUnderLoad(t *testing.T) {
+	one := newEndpoint(t, answerSlowly)
+	two := newEndpoint(t, answerSlowly)
 	platform := newPlatform(t)
 	r := newRelay(t, platform, []listEntry{
 		newEntry("s-1", one.addr(), "a", singleKind, "ready"),
 		newEntry("s-2", two.addr(), "a", singleKind, "ready"),
 	}, func(set map[string]any) {
-		set["bounds"].(map[string]any)["open_cap"] = 500
-		set["extra"].(map[string]any)["call_slots"] = 40
+		setMaxPending(set, 500)
+		setMaxInFlightCalls(set, 40)
 	})
-	holdListeningSocket(t, r, platform)
-	load := startUpgradeLoad(r)
+	restartOnInheritedSocket(t, r, platform)
+	load := startKeepAliveLoad(r)
 	for range 3 {
-		time.Sleep(300 * time.Millisecond) // load between two upgrades
-		ended, _ := r.upgrade(platform)
+		time.Sleep(300 * time.Millisecond) // load between two hot restarts
+		ended, _ := r.hotRestart(platform)
 		if err := <-ended; err != nil {
-			t.Errorf("the old process: %v", err)
+			t.Errorf("the first process: %v", err)
 		}
 	}
 	load.end()
 	if n := load.failures.Load(); n > 0 {
-		t.Errorf("%d messages met a refused, reset or unread connection", n)
+		t.Errorf("%d requests had no answer", n)
 	}
 	if load.accepted.Load() < 200 {
 		t.Errorf("only %d accepted, %d rejected", load.accepted.Load(), load.rejected.Load())
@@ -179,41 +171,25 @@
 		eventually(t, fmt.Sprint(id, " delivered"), func() bool { return calls(id.(string)) > 0 })
 		return true
 	})
-	// These endpoints answer everything: no repeat is due. A call that was cancelled while its connection was opened
-	// never ran.
-	if twice := repeatedIDs(one, two); twice > 0 {
-		t.Errorf("%d messages ran twice", twice)
-	}
-}
-
-// repeatedIDs counts the messages that reached the endpoints more than once.
-func repeatedIDs(endpoints ...*fakeEndpoint) int {
-	calls := map[string]int{}
-	for _, e := range endpoints {
-		e.mu.Lock()
-		for _, id := range e.seen {
-			calls[id]++
-		}
-		e.mu.Unlock()
-	}
-	repeated := 0
-	for _, n := range calls {
-		if n > 1 {
-			repeated++
+	// The endpoints answer each call, so that there is no reason for a repeat. A call that is cancelled before its
+	// connection is open does not reach them.
+	for id, calls := range callsByMessage(one, two) {
+		if calls > 1 {
+			t.Errorf("%s ran %d times", id, calls)
 		}
 	}
-	return repeated
 }
 
-// The state of the first process binds the second: a Retry-After, and a call in flight.
-func TestUpgradeKeepsPendingState(t *testing.T) {
-	hold := make(chan struct{})
-	var refuse atomic.Bool
+// TestHotRestartKeepsPendingState does a hot restart during a Retry-After and with a call in flight: the second process
+// observes the Retry-After, and the outcome of the call ends its message.
+func TestHotRestartKeepsPendingState(t *testing.T) {
+	answerSlow := make(chan struct{})
+	var reject atomic.Bool
 	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
-			<-hold
+			<-answerSlow
 		}
-		if refuse.Load() {
+		if reject.Load() {
 			w.Header().Set("Retry-After", "2.5")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
@@ -222,30 +198,30 @@
 	})
 	platform := newPlatform(t)
 	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
-	holdListeningSocket(t, r, platform)
+	restartOnInheritedSocket(t, r, platform)
 	r.mustAccept("slow", 10*time.Second)
 	eventually(t, "a call in flight", func() bool { return endpoint.count("slow") == 1 })
-	refuse.Store(true)
+	reject.Store(true)
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
-	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
-	refuse.Store(false)
-	ended, _ := r.upgrade(platform)
+	time.Sleep(50 * time.Millisecond) // until the relay has read the answer, which cannot be observed
+	reject.Store(false)
+	ended, _ := r.hotRestart(platform)
 	r.mustAccept("m2", 10*time.Second)
 	if time.Since(rejectedAt) < 2*time.Second && endpoint.count("m2")+endpoint.count("m1") != 1 {
 		t.Error("sent during a Retry-After")
 	}
-	close(hold) // the first process receives the answer and hands it to the second
+	close(answerSlow) // the first process receives the answer, and forwards it to the second
 	eventually(t, "both are delivered", func() bool { return endpoint.count("m2") == 1 && endpoint.count("m1") == 2 })
 	if d := time.Since(rejectedAt); d < 2300*time.Millisecond {
-		t.Errorf("the wait of 2.5 s was over after %v", d)
+		t.Errorf("sent %v after a Retry-After of 2.5 s", d)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("the first process: %v", err)
 	}
 	if endpoint.count("slow") != 1 || platform.notification("slow") != nil {
-		t.Error("the call that was out has not ended its message")
+		t.Error("the call in flight has not ended its message")
 	}
 	r.client.CloseIdleConnections()
 	if err := r.terminate(); err != nil {
@@ -253,88 +229,94 @@
 	}
 }
 
-// A message that the first process has delivered and forgotten is submitted once more at the second: it does not run
-// again.
-func TestUpgradeKeepsFinishedMessages(t *testing.T) {
+// TestHotRestartKeepsFinishedMessages submits a message to the first process, and once more to the second after it has
+// been delivered: it is accepted, and does not run again.
+func TestHotRestartKeepsFinishedMessages(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), withPayments)
-	holdListeningSocket(t, r, platform)
-	take := func() {
+	restartOnInheritedSocket(t, r, platform)
+	submitPayment := func() {
 		t.Helper()
 		if status, _ := r.submit("m1", 10*time.Second, withClass("pay")); status != http.StatusAccepted {
 			t.Fatalf("status %d", status)
 		}
 	}
-	take()
+	submitPayment()
 	eventually(t, "delivered", func() bool { return endpoint.count("m1") == 1 })
-	time.Sleep(50 * time.Millisecond) // the answer must be read: nothing else shows it
-	ended, _ := r.upgrade(platform)
+	time.Sleep(50 * time.Millisecond) // until the relay has read the answer, which cannot be observed
+	ended, _ := r.hotRestart(platform)
 	if err := <-ended; err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("the first process: %v", err)
 	}
 	r.client.CloseIdleConnections()
-	take()
+	submitPayment()
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "the one behind it", func() bool { return endpoint.count("m2") == 1 })
+	eventually(t, "the message after it", func() bool { return endpoint.count("m2") == 1 })
 	if n := endpoint.count("m1"); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
 
-// The first process dies in the middle of an upgrade, or the second before it has taken over: calls in flight may have
-// run, nothing is lost, and the one that remains serves on.
-func TestUpgradeSurvivesEitherProcess(t *testing.T) {
-	for _, who := range []string{"first, with a call out", "second, before"} {
-		t.Run(who, func(t *testing.T) {
-			hold := make(chan struct{})
-			var once sync.Once
-			endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
-				if ids[0] == "slow" {
-					first := false
-					once.Do(func() { first = true })
-					if first {
-						<-hold
-					}
-				}
-			})
-			defer close(hold)
-			platform := newPlatform(t)
-			r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
-			holdListeningSocket(t, r, platform)
-			r.mustAccept("slow", 10*time.Second)
-			eventually(t, "a call in flight", func() bool { return endpoint.count("slow") == 1 })
-			if who == "second, before" {
-				old := r.cmd
-				second := withManagement(t, r)
-				r.start(platform)
-				waitReady(t, second)
-				r.kill()
-				r.cmd = old
-				r.mustAccept("m1", 10*time.Second)
-				eventually(t, "served on", func() bool { return endpoint.count("m1") == 1 })
-				return
-			}
-			_, old := r.upgrade(platform)
-			r.client.CloseIdleConnections()
-			r.mustAccept("m1", 10*time.Second) // the second process serves
-			must(t, old.Process.Kill())
-			eventually(t, "repeated, within its zone and window", func() bool { return endpoint.count("slow") == 2 })
-			r.mustAccept("m2", 10*time.Second)
-			eventually(t, "served on", func() bool { return endpoint.count("m2") == 1 })
-		})
-	}
+// startWithSlowCall starts a relay on an inherited socket, and submits a message whose first call ends with the test.
+func startWithSlowCall(t *testing.T) (*relayProcess, *fakePlatform, *fakeEndpoint) {
+	t.Helper()
+	testEnds := make(chan struct{})
+	var firstCall sync.Once
+	endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+		wait := false
+		if ids[0] == "slow" {
+			firstCall.Do(func() { wait = true })
+		}
+		if wait {
+			<-testEnds
+		}
+	})
+	t.Cleanup(func() { close(testEnds) })
+	platform := newPlatform(t)
+	r := newRelay(t, platform, endpoint.list(batchKind, "ready"), nil)
+	restartOnInheritedSocket(t, r, platform)
+	r.mustAccept("slow", 10*time.Second)
+	eventually(t, "a call in flight", func() bool { return endpoint.count("slow") == 1 })
+	return r, platform, endpoint
+}
+
+// TestFirstProcessKilledDuringHotRestart kills the first process while the second serves: its call in flight may have
+// run, and the second process repeats the message.
+func TestFirstProcessKilledDuringHotRestart(t *testing.T) {
+	r, platform, endpoint := startWithSlowCall(t)
+	_, first := r.hotRestart(platform)
+	r.client.CloseIdleConnections()
+	r.mustAccept("m1", 10*time.Second) // by the second process
+	must(t, first.Process.Kill())
+	eventually(t, "repeated, within its zone and window", func() bool { return endpoint.count("slow") == 2 })
+	r.mustAccept("m2", 10*time.Second)
+	eventually(t, "served by the second process", func() bool { return endpoint.count("m2") == 1 })
+}
+
+// TestSecondProcessKilledBeforeHotRestart kills the second process before the first has had SIGTERM: the first serves
+// as before.
+func TestSecondProcessKilledBeforeHotRestart(t *testing.T) {
+	r, platform, endpoint := startWithSlowCall(t)
+	first := r.cmd
+	management := r.setManagement()
+	r.start(platform)
+	waitReady(t, management)
+	r.kill()
+	r.cmd = first
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "served by the first process", func() bool { return endpoint.count("m1") == 1 })
 }
 
-// Which processes of a hot restart get SIGTERM, and when.
+// The processes of a hot restart that have SIGTERM after a delay.
 const (
-	secondBefore = "second, before" // before it has taken over
-	secondAfter  = "second"
-	bothAfter    = "both"
+	secondBefore = "second, before" // the second, and the first has had none
+	secondAfter  = "second"         // the second, after the first has had its SIGTERM
+	bothAfter    = "both"           // the second, and the first once more
 )
 
-// SIGTERM at any moment of a hot restart, to the second process or to both: each ends in order, and accepted messages,
-// sent or not, go on with the next process and run no more often than their class allows.
+// TestTerminatedDuringHotRestart sends SIGTERM at different times of a hot restart, to the second process or to both:
+// each ends in order, the next process sends the accepted messages, and no payment runs twice.
 func TestTerminatedDuringHotRestart(t *testing.T) {
 	for _, who := range []string{secondBefore, secondAfter, bothAfter} {
 		for _, delayMS := range []int{0, 3, 10, 30, 150} {
@@ -359,29 +341,28 @@
 	later["cell"] = 8
 	r := newRelay(t, platform, []listEntry{ready, later}, func(set map[string]any) {
 		withPayments(set)
-		set["extra"].(map[string]any)["call_slots"] = 40
+		setMaxInFlightCalls(set, 40)
 	})
-	holdListeningSocket(t, r, platform)
+	restartOnInheritedSocket(t, r, platform)
 	accepted := submitSentAndUnsent(t, r)
 	eventually(t, "a call in flight", func() bool { return endpoint.count("o5") == 1 })
 	terminateHotRestart(t, r, platform, who, delay)
 	r.client.CloseIdleConnections()
 	later["state"] = "ready"
 	if r.cmd == nil {
-		r.config["known"] = map[string]any{"version": 2, "full": true, "servers": []listEntry{ready, later}}
-		r.writeConfig()
+		r.setKnown(2, ready, later)
 		r.start(platform)
 	} else {
 		platform.publish(false, later)
 	}
 	for _, id := range accepted {
-		eventually(t, id+" sent", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+		waitSentOrEnded(t, endpoint, platform, id)
 		if endpoint.count(id) == 0 {
 			t.Errorf("%s was never sent: %v", id, platform.notification(id))
 		}
 	}
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "served on", func() bool { return endpoint.count("m1") == 1 })
+	eventually(t, "a new message is delivered", func() bool { return endpoint.count("m1") == 1 })
 	for i, id := range accepted {
 		if n := endpoint.count(id); n > 1 && i/2%2 == 1 {
 			t.Errorf("%s ran %d times", id, n)
@@ -389,8 +370,8 @@
 	}
 }
 
-// submitSentAndUnsent submits messages to a destination that is sent to, and to one whose endpoint is draining, in
-// pairs of a class that may be repeated and pairs of one that may not.
+// submitSentAndUnsent submits messages to a destination whose endpoint is in service, and to one whose endpoint is
+// draining. Of each four messages the last two are payments.
 func submitSentAndUnsent(t *testing.T, r *relayProcess) []string {
 	t.Helper()
 	var accepted []string
@@ -412,41 +393,40 @@
 	return accepted
 }
 
-// terminateHotRestart starts a second process, and terminates it or both after the delay. r.cmd is the process that
-// remains, or nil.
+// terminateHotRestart starts a second process and, after the delay, sends SIGTERM to it or to both. Afterwards r.cmd is
+// the process that still runs, or nil.
 func terminateHotRestart(t *testing.T, r *relayProcess, platform *fakePlatform, who string, delay time.Duration) {
 	t.Helper()
-	old := r.cmd
-	management := withManagement(t, r)
+	first := r.cmd
+	management := r.setManagement()
 	r.start(platform)
 	if who != secondBefore {
 		waitReady(t, management)
-		must(t, old.Process.Signal(syscall.SIGTERM))
+		must(t, first.Process.Signal(syscall.SIGTERM))
 	}
 	time.Sleep(delay)
 	began := time.Now()
-	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	r.signal(syscall.SIGTERM)
 	if who == bothAfter {
-		must(t, old.Process.Signal(syscall.SIGTERM)) // once more
+		must(t, first.Process.Signal(syscall.SIGTERM))
 	}
-	checkEnd(t, r.cmd, began, who == secondBefore)
-	r.cmd = old
+	checkShutdown(t, r.cmd, began, who == secondBefore)
+	r.cmd = first
 	if who != secondBefore {
-		checkEnd(t, old, began, false)
+		checkShutdown(t, first, began, false)
 		r.cmd = nil
 	}
 }
 
-// checkEnd waits for a process to end in order, or by the signal if that may come before the process catches it.
-func checkEnd(t *testing.T, cmd *exec.Cmd, began time.Time, maybeUncaught bool) {
+// checkShutdown waits for the end of a process that has had SIGTERM, and checks that it ended in time and without an
+// error. With maybeUncaught the signal may have come before the process caught it, and have ended it.
+func checkShutdown(t *testing.T, cmd *exec.Cmd, began time.Time, maybeUncaught bool) {
 	t.Helper()
 	err := cmd.Wait()
-	var exit *exec.ExitError
-	uncaught := errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
-	if err != nil && (!uncaught || !maybeUncaught) {
+	if err != nil && (!endedBySignal(err) || !maybeUncaught) {
 		t.Errorf("ended: %v", err)
 	}
-	if took := time.Since(began); took > 3700*time.Millisecond {
+	if took := time.Since(began); took > maxShutdownTime {
 		t.Errorf("ended after %v", took)
 	}
 }
--- a/cmd/cherrytrestle/idleclients_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -9,41 +9,21 @@
 	"net/http/httptest"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
-	"unsafe"
 )
 
-// limitDescriptors has the system give the process so many descriptors at most.
-func (r *relayProcess) limitDescriptors(descriptors uint64) {
-	r.t.Helper()
-	limit := syscall.Rlimit{Cur: descriptors, Max: descriptors}
-	_, _, err := syscall.RawSyscall6(
-		syscall.SYS_PRLIMIT64,
-		uintptr(r.cmd.Process.Pid),
-		syscall.RLIMIT_NOFILE,
-		uintptr(unsafe.Pointer(&limit)),
-		0,
-		0,
-		0,
-	)
-	if err != 0 {
-		r.t.Fatal(err)
-	}
-}
-
-// dialMany has n clients connect, call first and stay until the relay closes the connection. Each connects again after
-// a moment, until ctx ends.
-func dialMany(ctx context.Context, addr string, n int, first func(net.Conn)) (wait func()) {
-	var all sync.WaitGroup
+// startIdleClients starts n clients, each of which connects, writes a text and waits until the relay closes the
+// connection. Then it connects again, until ctx ends. wait waits until all have ended.
+func startIdleClients(ctx context.Context, addr string, n int, text string) (wait func()) {
+	var clients sync.WaitGroup
 	for range n {
-		all.Go(func() {
+		clients.Go(func() {
 			for ctx.Err() == nil {
 				conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { closeQuietly(conn) })
-					first(conn)
+					writeQuietly(conn, text)
 					drain(conn)
 					stop()
 					closeQuietly(conn)
@@ -55,11 +35,12 @@
 			}
 		})
 	}
-	return all.Wait
+	return clients.Wait
 }
 
-// Idle clients fill the descriptors that the machine gives while discovery is down. The health answer, a new connection
-// to an endpoint, and the call to discovery that finds it back still get theirs.
+// TestIdleClientsLeaveDescriptorsForTheOthers opens more idle connections than the relay may have descriptors, while
+// discovery is down. The relay still has descriptors for health checks, for new connections to endpoints, and for the
+// connection to discovery when that is back.
 func TestIdleClientsLeaveDescriptorsForTheOthers(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
@@ -83,17 +64,16 @@
 	two := newEndpoint(t, nil)
 	platform, down := newFailingDiscovery(t, newEntry("s-2", two.addr(), "a", singleKind, "ready"))
 	r := prepareRelay(t, one.list(singleKind, "ready"), nil)
-	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets, "disk_mb": 3}
-	r.writeConfig()
+	r.setLimits(192, sockets, 3)
 	r.start(platform)
 	r.limitDescriptors(uint64(sockets))
-	ctx, leave := context.WithCancel(context.Background())
-	wait := dialMany(ctx, r.addr, 3*sockets, func(conn net.Conn) { writeQuietly(conn, request) })
+	ctx, cancel := context.WithCancel(context.Background())
+	wait := startIdleClients(ctx, r.addr, 3*sockets, request)
 	defer wait()
-	defer leave()
+	defer cancel()
 	time.Sleep(500 * time.Millisecond) // until the clients have connected
 
-	// Requests whose connection is closed unread are sent again, as clients do.
+	// A request whose connection is closed without an answer is sent again.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	accepted := func(id string) {
 		t.Helper()
@@ -122,11 +102,11 @@
 	})
 	t.Logf("%d descriptors of %d", descriptors, sockets)
 	if descriptors < sockets/5 {
-		t.Errorf("%d descriptors: the clients fill none", descriptors)
+		t.Errorf("%d descriptors: the idle clients use none", descriptors)
 	}
 }
 
-// newFailingDiscovery closes all connections while it is down, and lists one endpoint then.
+// newFailingDiscovery starts a discovery that closes all connections while it is down, and has one endpoint afterwards.
 func newFailingDiscovery(t *testing.T, entry listEntry) (platform *fakePlatform, down *atomic.Bool) {
 	t.Helper()
 	down = &atomic.Bool{}
@@ -149,13 +129,3 @@
 	})
 	return &fakePlatform{Server: server}, down
 }
-
-// answersWith sends a request, and reports whether it is answered with this status.
-func answersWith(client *http.Client, request *http.Request, status int) bool {
-	response, err := client.Do(request)
-	if err != nil {
-		return false
-	}
-	closeQuietly(response.Body)
-	return response.StatusCode == status
-}
--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -14,8 +14,8 @@
 
 var relayKills = flag.Int("relaykills", 8, "how often TestKilledUnderLoad kills the relay")
 
-// Killed again and again under load, at any point, with compactions on the way since its disk is small: no accepted
-// message is forgotten, and none that must not run twice does.
+// TestKilledUnderLoad kills a relay at random times under load. Its disk is small, so that its journal is compacted.
+// Each accepted message is sent or ends with a notification, and no payment is sent twice.
 func TestKilledUnderLoad(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -24,76 +24,70 @@
 	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(5 * time.Millisecond) })
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
-		set["bounds"].(map[string]any)["open_cap"] = 200
-		set["extra"].(map[string]any)["call_slots"] = 40
+		setMaxPending(set, 200)
+		setMaxInFlightCalls(set, 40)
 	})
-	var mu sync.Mutex
-	var taken []string
-	body := strings.Repeat("x", 6000)
+	load := &largeMessageLoad{r: r}
 	for round := range *relayKills {
 		stop := make(chan struct{})
 		var clients sync.WaitGroup
-		for c := range 4 {
-			clients.Go(func() {
-				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
-				for i := 0; ; i++ {
-					select {
-					case <-stop:
-						return
-					default:
-					}
-					class := []string{"order", "pay"}[i%2]
-					id := fmt.Sprintf("%s-%d-%d-%d", class, round, c, i)
-					req := r.request(id, 8*time.Second, withClass(class))
-					req.Body = io.NopCloser(strings.NewReader(body))
-					req.ContentLength = int64(len(body))
-					req.GetBody = nil
-					res, err := client.Do(req)
-					if err != nil {
-						continue
-					}
-					closeQuietly(res.Body)
-					if res.StatusCode == http.StatusAccepted {
-						mu.Lock()
-						taken = append(taken, id)
-						mu.Unlock()
-					}
-				}
-			})
+		for client := range 4 {
+			clients.Go(func() { load.submit(fmt.Sprintf("%d-%d", round, client), stop) })
 		}
-		time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond) // the point of the kill is what is drawn
+		time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond) // a random time for the kill
 		killProcess(r.cmd)
 		close(stop)
 		clients.Wait()
 		r.start(platform)
 	}
-	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+	for _, id := range load.accepted {
+		waitSentOrEnded(t, endpoint, platform, id)
 	}
-	calls := noPaymentTwice(t, endpoint)
-	t.Logf("%d messages taken, %d calls, %d kills", len(taken), calls, *relayKills)
-	if len(taken) < 10**relayKills {
-		t.Errorf("only %d accepted: the test shows little", len(taken))
+	calls := checkNoPaymentTwice(t, endpoint)
+	t.Logf("%d messages accepted, %d calls, %d kills", len(load.accepted), calls, *relayKills)
+	if len(load.accepted) < 10**relayKills {
+		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
 	}
 }
 
-// noPaymentTwice checks that no payment reached an endpoint more than once, and returns how many calls there were.
-func noPaymentTwice(t *testing.T, endpoint *fakeEndpoint) (calls int) {
-	t.Helper()
-	endpoint.mu.Lock()
-	defer endpoint.mu.Unlock()
-	ran := map[string]int{}
-	for _, id := range endpoint.seen {
-		if ran[id]++; strings.HasPrefix(id, "pay") && ran[id] == 2 {
-			t.Errorf("%s ran twice", id)
+// largeMessageLoad is clients that submit large messages of both classes.
+type largeMessageLoad struct {
+	r        *relayProcess
+	mu       sync.Mutex
+	accepted []string
+}
+
+// submit submits messages until stop is closed.
+func (l *largeMessageLoad) submit(name string, stop <-chan struct{}) {
+	body := strings.Repeat("x", 6000)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		class := []string{"order", "pay"}[i%2]
+		id := fmt.Sprintf("%s-%s-%d", class, name, i)
+		request := l.r.request(id, 8*time.Second, withClass(class))
+		request.Body = io.NopCloser(strings.NewReader(body))
+		request.ContentLength = int64(len(body))
+		request.GetBody = nil
+		response, err := client.Do(request)
+		if err != nil {
+			continue
+		}
+		closeQuietly(response.Body)
+		if response.StatusCode == http.StatusAccepted {
+			l.mu.Lock()
+			l.accepted = append(l.accepted, id)
+			l.mu.Unlock()
 		}
 	}
-	return len(endpoint.seen)
 }
 
-// Killed, and killed again twice before the start that follows is done, at random points: accepted messages still end,
-// and none runs twice that must not. The first kill leaves a journal full of messages whose endpoint did not answer, so
-// that there is much to recover.
+// TestKilledAgainDuringRecovery kills a relay that has many messages in its journal, and kills it twice more at random
+// times of the next start: each accepted message is sent or ends with a notification, and no payment is sent twice.
 func TestKilledAgainDuringRecovery(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -108,32 +102,45 @@
 	})
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
-		set["bounds"].(map[string]any)["open_cap"] = 400
-		set["extra"].(map[string]any)["call_slots"] = 40
+		setMaxPending(set, 400)
+		setMaxInFlightCalls(set, 40)
 	})
-	var taken []string
+	var accepted []string
 	for round := range *relayKills / 2 {
 		for i := range 40 {
 			class := []string{"order", "pay"}[i%2]
 			id := fmt.Sprintf("%s-%d-%d", class, round, i)
 			if status, _ := r.submit(id, 12*time.Second, withClass(class)); status == http.StatusAccepted {
-				taken = append(taken, id)
+				accepted = append(accepted, id)
 			}
 		}
 		r.kill()
 		for range 2 {
 			r.launch(platform)
-			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // the point of the kill is what is drawn
+			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // a random time for the kill
 			r.kill()
 		}
 		r.start(platform)
 	}
 	close(answers)
-	for _, id := range taken {
-		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+	for _, id := range accepted {
+		waitSentOrEnded(t, endpoint, platform, id)
+	}
+	checkNoPaymentTwice(t, endpoint)
+	if len(accepted) < 15**relayKills {
+		t.Errorf("only %d accepted: the test shows little", len(accepted))
 	}
-	noPaymentTwice(t, endpoint)
-	if len(taken) < 15**relayKills {
-		t.Errorf("only %d accepted: the test shows little", len(taken))
+}
+
+// checkNoPaymentTwice checks that no payment reached the endpoint more than once. It returns the number of calls, each
+// counted once for each of its messages.
+func checkNoPaymentTwice(t *testing.T, endpoint *fakeEndpoint) (total int) {
+	t.Helper()
+	for id, calls := range callsByMessage(endpoint) {
+		total += calls
+		if calls > 1 && strings.HasPrefix(id, "pay") {
+			t.Errorf("%s ran %d times", id, calls)
+		}
 	}
+	return total
 }
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -19,13 +19,14 @@
 // killVariable names the step at which a relay of the tests kills itself.
 const killVariable = "CHERRYTRESTLE_TEST_KILL"
 
-// killStep is a call of the journal to its files.
+// killStep is a step at which a relay kills itself, and the faults of its journal's files.
 type killStep struct {
-	At         int
-	Torn, Late bool
+	At   int  // number of the call to the files, from 1; 0: never
+	Torn bool // a write is cut in the middle
+	Late bool // writes reach the files late
 }
 
-// serveUntilKilled is the relay's process in which the journal's files go through a faultfs.Killer.
+// serveUntilKilled runs a relay whose journal uses a faultfs.Killer for its files. step is a killStep in JSON.
 func serveUntilKilled(step string) {
 	var k killStep
 	if err := json.Unmarshal([]byte(step), &k); err != nil {
@@ -42,17 +43,19 @@
 	}
 }
 
+// setKillStep sets the step at which the relay's next processes kill themselves.
 func (r *relayProcess) setKillStep(k killStep) {
+	r.t.Helper()
 	step, err := json.Marshal(k)
 	must(r.t, err)
 	r.env = []string{killVariable + "=" + string(step)}
 }
 
-// gatedEndpoint holds its answers back until its gate is closed.
+// gatedEndpoint answers no call until its gate is closed.
 type gatedEndpoint struct {
 	*fakeEndpoint
 	gate     chan struct{}
-	answered sync.Map // ids
+	answered sync.Map // ids of the messages in answered calls
 }
 
 func newGatedEndpoint(t *testing.T) *gatedEndpoint {
@@ -69,22 +72,24 @@
 	return gated
 }
 
-// runKilledAt has a relay accept messages that its endpoint does not answer, killed, killed twice at one step of the
-// recovery, and then recover. It returns what was wrong, and whether the recovery had such a step.
-func runKilledAt(t *testing.T, first, then killStep) (wrong []string, reached bool) {
+// runKilledAt submits messages that the endpoint does not answer to a relay with the faults of first, kills it, starts
+// it twice so that it kills itself at the step during its recovery, and lets the next process recover. It returns what
+// was wrong, and whether the recovery had such a step.
+func runKilledAt(t *testing.T, first, step killStep) (wrong []string, reached bool) {
+	t.Helper()
 	platform := newPlatform(t)
 	endpoint := newGatedEndpoint(t)
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(set map[string]any) {
 		withPayments(set)
-		set["extra"].(map[string]any)["call_slots"] = 40
+		setMaxInFlightCalls(set, 40)
 	})
 	r.kill()
 	r.setKillStep(first)
 	r.start(platform)
-	accepted := submitBoth(r, fmt.Sprintf("%d-%v", then.At, then.Torn))
+	accepted := submitBothClasses(r, fmt.Sprintf("%d-%v", step.At, step.Torn))
 	eventually(r.t, "calls in flight", func() bool { return endpoint.count(accepted[len(accepted)-1]) > 0 })
 	r.kill()
-	r.setKillStep(then)
+	r.setKillStep(step)
 	for range 2 {
 		reached = killDuringRecovery(r, platform, endpoint, accepted)
 	}
@@ -93,15 +98,15 @@
 	r.start(platform)
 	timeout := conditionTimeout
 	if first.Late {
-		timeout = 2 * time.Second // messages are expected to be forgotten
+		timeout = 2 * time.Second // messages are expected to be lost
 	}
 	wrong = violationsAfter(platform, endpoint, accepted, timeout)
 	r.kill()
 	return wrong, reached
 }
 
-// submitBoth submits messages of both classes, and returns the accepted ones.
-func submitBoth(r *relayProcess, name string) []string {
+// submitBothClasses submits messages of both classes, and returns the accepted ones.
+func submitBothClasses(r *relayProcess, name string) []string {
 	var accepted []string
 	for i := range 8 {
 		class := []string{"order", "pay"}[i%2]
@@ -113,8 +118,8 @@
 	return accepted
 }
 
-// killDuringRecovery starts the relay, which kills itself at its step. It returns whether it did before all messages
-// went on.
+// killDuringRecovery starts a relay that kills itself at a step. It returns whether it did so before each message was
+// sent again or had ended; otherwise it kills the relay then.
 func killDuringRecovery(r *relayProcess, platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) bool {
 	calls := map[string]int{}
 	for _, id := range accepted {
@@ -122,28 +127,30 @@
 	}
 	waits := func(id string) bool { return endpoint.count(id) <= calls[id] && platform.notification(id) == nil }
 	r.launch(platform)
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		_ = r.cmd.Wait() // the signal is its error
-		close(over)
+		close(ended)
 	}()
 	reached := false
 	eventually(r.t, "the step, or the end of the recovery", func() bool {
 		select {
-		case <-over:
+		case <-ended:
 			reached = true
 		default:
 		}
 		return reached || !slices.ContainsFunc(accepted, waits)
 	})
 	_ = r.cmd.Process.Kill() // it may have ended
-	<-over
+	<-ended
 	r.client.CloseIdleConnections()
 	return reached
 }
 
-// violationsAfter returns what is still wrong when the timeout is over, or nil as soon as nothing is.
-func violationsAfter(platform *fakePlatform, endpoint *gatedEndpoint, accepted []string, timeout time.Duration) []string {
+// violationsAfter waits until there are no violations. It returns those that there still are after the timeout.
+func violationsAfter(
+	platform *fakePlatform, endpoint *gatedEndpoint, accepted []string, timeout time.Duration,
+) []string {
 	for end := time.Now().Add(timeout); ; time.Sleep(2 * time.Millisecond) {
 		wrong := violations(platform, endpoint, accepted)
 		if len(wrong) == 0 || time.Now().After(end) {
@@ -152,12 +159,12 @@
 	}
 }
 
-// violations are the messages that were forgotten, or ran twice though they must not.
+// violations describes the messages that were lost, and the payments that ran twice.
 func violations(platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) []string {
 	var wrong []string
 	for _, id := range accepted {
 		if _, ok := endpoint.answered.Load(id); !ok && platform.notification(id) == nil {
-			wrong = append(wrong, id+" was forgotten")
+			wrong = append(wrong, id+" was lost")
 		}
 		if endpoint.count(id) > 1 && strings.HasPrefix(id, "pay") {
 			wrong = append(wrong, id+" ran twice")
@@ -166,8 +173,8 @@
 	return wrong
 }
 
-// Killed at every step of a recovery, before each call to the journal's files and in the middle of each write, twice in
-// a row: each accepted message ends, and none runs twice that must not.
+// TestKilledAtEachStepOfRecovery kills a relay twice at the same step of its recovery, for each step: before each call
+// to the journal's files, and in the middle of each write. Each accepted message ends, and no payment runs twice.
 func TestKilledAtEachStepOfRecovery(t *testing.T) {
 	last := 0
 	for _, torn := range []bool{false, true} {
@@ -189,8 +196,8 @@
 	}
 }
 
-// A relay that writes its journal after the action that the record is for is detected: the last write is lost with the
-// process.
+// TestLateJournalWriteIsDetected shows that runKilledAt can fail: it finds a violation if a relay writes its journal
+// only after the action that the record is for, because the last write is lost with the process.
 func TestLateJournalWriteIsDetected(t *testing.T) {
 	for at := 1; at <= 10; at++ {
 		if wrong, _ := runKilledAt(t, killStep{Late: true}, killStep{At: at}); len(wrong) > 0 {
--- a/cmd/cherrytrestle/main_test.go
+++ b/cmd/cherrytrestle/main_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The tests run the relay as a process of its own, this binary under another variable, so that signals and
-// restarts are real.
+// TestMain runs the relay in place of the tests if an environment variable is set. The tests start this binary with
+// that variable, so that they restart real processes and send real signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("CHERRYTRESTLE_TEST_RELAY") != "" {
 		if step := os.Getenv(killVariable); step != "" {
--- a/cmd/cherrytrestle/manyrelays_test.go
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries:
-// no relay sends it anything from 1 s after that was published, and all accepted messages are delivered.
+// TestManyRelaysOfOneCatalog runs many relays with one large list under load. Right after a change of half of all
+// entries an endpoint is drained: from 1 s after that no relay calls it, and all accepted messages are delivered.
 func TestManyRelaysOfOneCatalog(t *testing.T) {
 	destinations := 2000
 	if *full {
@@ -36,7 +36,7 @@
 	list[1]["addr"] = stays.addr()
 	list[1]["weight"] = 5000.0
 	discovery := newDiscoveryServer(t, 2, list)
-	relays, monitors := launchMany(t, n, &fakePlatform{Server: discovery.Server}, values)
+	relays, monitors := launchMany(t, n, discovery, values)
 	load := startLoad(relays)
 	eventually(t, "the endpoint that will be drained is called", func() bool { return drained.totalCalls() >= 5*n })
 	changed := list[2 : 2+destinations]
@@ -50,7 +50,7 @@
 	time.Sleep(3 * time.Second)
 	load.end()
 	eventually(t, "all accepted messages are delivered", func() bool {
-		return distinctIDs(drained, stays) >= int(load.accepted.Load())
+		return len(callsByMessage(drained, stays)) >= int(load.accepted.Load())
 	})
 	if stays.totalCalls() == 0 {
 		t.Error("nothing goes to the endpoint that stays")
@@ -67,10 +67,7 @@
 
 // launchMany launches n relays and waits until each is ready.
 func launchMany(
-	t *testing.T,
-	n int,
-	platform *fakePlatform,
-	values map[string]float64,
+	t *testing.T, n int, platform discovery, values map[string]float64,
 ) (relays []*relayProcess, monitors []*healthMonitor) {
 	t.Helper()
 	for range n {
@@ -80,7 +77,7 @@
 		monitors = append(monitors, r.monitorHealth())
 	}
 	for i, monitor := range monitors {
-		if !monitor.untilReady(readyTimeout) {
+		if !monitor.waitReady(readyTimeout) {
 			t.Fatalf("relay %d is not ready after %v", i, readyTimeout)
 		}
 		values["ready_s"] = max(values["ready_s"], time.Duration(monitor.ready.Load()).Seconds())
@@ -88,6 +85,7 @@
 	return relays, monitors
 }
 
+// measureMany adds the peak memory and the health latency of the relays to the values, and their mean processor time.
 func measureMany(t *testing.T, relays []*relayProcess, monitors []*healthMonitor, values map[string]float64) {
 	t.Helper()
 	for i, r := range relays {
@@ -97,18 +95,19 @@
 		values["processor_s"] += r.cpuTime().Seconds() / float64(len(relays))
 	}
 	if peak := values["memory_most_mb"]; peak > maxCatalogMemoryMB {
-		t.Errorf("%.0f MB at the most, %d wanted", peak, maxCatalogMemoryMB)
+		t.Errorf("peak memory %.0f MB, at most %d wanted", peak, maxCatalogMemoryMB)
 	}
 }
 
-// relayLoad is messages that are submitted to each of some relays until end is called.
+// relayLoad is a client for each of some relays that submits messages until end is called.
 type relayLoad struct {
 	accepted atomic.Int64
-	rejected atomic.Int64
+	rejected atomic.Int64 // or not answered
 	stop     chan struct{}
 	clients  sync.WaitGroup
 }
 
+// startLoad starts the clients.
 func startLoad(relays []*relayProcess) *relayLoad {
 	load := &relayLoad{stop: make(chan struct{})}
 	for i, r := range relays {
@@ -143,16 +142,3 @@
 	close(l.stop)
 	l.clients.Wait()
 }
-
-// distinctIDs counts the messages that reached any of the endpoints.
-func distinctIDs(endpoints ...*fakeEndpoint) int {
-	ids := map[string]bool{}
-	for _, e := range endpoints {
-		e.mu.Lock()
-		for _, id := range e.seen {
-			ids[id] = true
-		}
-		e.mu.Unlock()
-	}
-	return len(ids)
-}
--- a/cmd/cherrytrestle/memoryfactor_norace_test.go
+++ b/cmd/cherrytrestle/memoryfactor_norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// memoryTimes is how much more memory than its limit a relay of the tests may take.
-const memoryTimes = 1
+// memoryFactor is the factor by which a relay of the tests may exceed its memory limit.
+const memoryFactor = 1
--- a/cmd/cherrytrestle/memoryfactor_race_test.go
+++ b/cmd/cherrytrestle/memoryfactor_race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// memoryTimes is how much more memory than its limit a relay of the tests may take: the race detector uses five to ten
-// times as much.
-const memoryTimes = 10
+// memoryFactor is the factor by which a relay of the tests may exceed its memory limit. With the race detector a program
+// uses five to ten times as much memory.
+const memoryFactor = 10
--- a/cmd/cherrytrestle/mixedversions_test.go
+++ b/cmd/cherrytrestle/mixedversions_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// olderFormatCommit is a commit whose program has other publish intervals, forwards each report more often and knows no
-// theoretical arrival times.
+// olderFormatCommit is a commit with other publish intervals, which forwards each report more often and whose quota
+// messages have no theoretical arrival times.
 const olderFormatCommit = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
 
-// olderProgram builds the program of an earlier commit.
+// olderProgram builds the program of an earlier commit. It skips the test with -short, or without that commit.
 func olderProgram(t *testing.T, commit string) string {
 	t.Helper()
 	if testing.Short() {
@@ -35,8 +35,8 @@
 	return program
 }
 
-// A fleet of which half run an earlier version exchanges reports as one, also while its relays go over to the new
-// version and back with their folders.
+// TestFleetOfTwoVersions runs a fleet of which half the relays have an earlier version: all receive each other's
+// reports, also when a relay changes to the other version with its folder.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, olderFormatCommit)
 	fleet := newTestFleet(t, 4, newEndpoint(t, nil))
@@ -46,7 +46,7 @@
 	fleet.start(fleet.allRelays()...)
 	fleet.sendTraffic()
 	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
-	swap := func(i int, program string) {
+	changeProgram := func(i int, program string) {
 		before := fleet.status(i).Incarnation.Generation
 		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
 		fleet.relays[i].program = program
@@ -56,15 +56,15 @@
 			t.Errorf("relay %d begins incarnation %d after %d", i, now, before)
 		}
 	}
-	swap(1, "")    // over
-	swap(2, older) // and back
+	changeProgram(1, "")
+	changeProgram(2, older)
 	for _, i := range fleet.allRelays() {
 		if s := fleet.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
 			t.Errorf("relay %d: %+v", i, s.Status)
 		}
 	}
 	_ = fleet.relays[3].terminate() // how it ends is checked elsewhere
-	if err := replayed(fleet.relays[3].dir); err != nil {
+	if err := replayRecordings(fleet.relays[3]); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/cherrytrestle/processusage_test.go
+++ b/cmd/cherrytrestle/processusage_test.go
@@ -5,32 +5,34 @@
 	"errors"
 	"fmt"
 	"io/fs"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
+	"syscall"
 	"time"
+	"unsafe"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
+// clockTick is the unit of the processor times of the kernel's statistics.
+const clockTick = 10 * time.Millisecond
+
 // cpuTime is the processor time that the process has used.
 func (r *relayProcess) cpuTime() time.Duration {
 	r.t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	must(r.t, err)
 	_, rest, _ := bytes.Cut(data, []byte(") "))
-	fields := strings.Fields(string(rest)) // from the third on
-	sum := 0
-	for _, f := range fields[11:13] {
-		n, err := strconv.Atoi(f)
+	fields := strings.Fields(string(rest)) // without the first two fields
+	ticks := 0
+	for _, field := range fields[11:13] { // utime and stime
+		n, err := strconv.Atoi(field)
 		must(r.t, err)
-		sum += n
+		ticks += n
 	}
-	return time.Duration(sum) * 10 * time.Millisecond // the system's clock tick
+	return time.Duration(ticks) * clockTick
 }
 
 // memory is a memory field of the process, in MB.
@@ -41,7 +43,7 @@
 	return bytes / 1e6
 }
 
-// disk is what the files of the relay's folder hold, in MB.
+// disk is the size of the files in the relay's state folder, in MB.
 func (r *relayProcess) disk() (mb float64) {
 	err := filepath.WalkDir(relayprocess.StateFolder(r.dir), func(_ string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
@@ -59,62 +61,28 @@
 	return mb
 }
 
-// healthMonitor checks the relay's health all the time, until it ends: when the relay was first ready, and the longest
-// time between two answers.
-type healthMonitor struct {
-	began   time.Time
-	stop    chan struct{}
-	done    sync.WaitGroup
-	ready   atomic.Int64 // nanoseconds since began; 0: not yet
-	longest atomic.Int64
-}
-
-func (r *relayProcess) monitorHealth() *healthMonitor {
-	m := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
-	client := &http.Client{Timeout: 30 * time.Second}
-	m.done.Go(func() {
-		defer client.CloseIdleConnections()
-		var last time.Time
-		for {
-			select {
-			case <-m.stop:
-				return
-			case <-time.After(2 * time.Millisecond):
-			}
-			res, err := client.Get("http://" + r.addr + "/_health")
-			if err != nil {
-				continue // it does not listen yet
-			}
-			closeQuietly(res.Body)
-			now := time.Now()
-			if !last.IsZero() {
-				m.longest.Store(max(m.longest.Load(), int64(now.Sub(last))))
-			}
-			last = now
-			if res.StatusCode == http.StatusOK {
-				m.ready.CompareAndSwap(0, int64(now.Sub(m.began)))
-			}
-		}
-	})
-	r.t.Cleanup(m.end)
-	return m
-}
-
-func (m *healthMonitor) longestMS() float64 { return float64(m.longest.Load()) / 1e6 }
-
-func (m *healthMonitor) end() {
-	select {
-	case <-m.stop:
-	default:
-		close(m.stop)
-	}
-	m.done.Wait()
+// descriptors is the number of the process's open descriptors.
+func (r *relayProcess) descriptors() int {
+	r.t.Helper()
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
+	must(r.t, err)
+	return len(open)
 }
 
-// untilReady waits until the relay is ready, and reports whether it was in time.
-func (m *healthMonitor) untilReady(timeout time.Duration) bool {
-	for m.ready.Load() == 0 && time.Since(m.began) < timeout {
-		time.Sleep(2 * time.Millisecond)
+// limitDescriptors bounds the number of descriptors that the system lets the process have.
+func (r *relayProcess) limitDescriptors(descriptors uint64) {
+	r.t.Helper()
+	limit := syscall.Rlimit{Cur: descriptors, Max: descriptors}
+	_, _, err := syscall.RawSyscall6(
+		syscall.SYS_PRLIMIT64,
+		uintptr(r.cmd.Process.Pid),
+		syscall.RLIMIT_NOFILE,
+		uintptr(unsafe.Pointer(&limit)),
+		0,
+		0,
+		0,
+	)
+	if err != 0 {
+		r.t.Fatal(err)
 	}
-	return m.ready.Load() != 0
 }
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -16,25 +16,28 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
-func command(args ...string) (status int, out, errs string) {
+// runCommand runs a command line of the program in this process.
+func runCommand(args ...string) (status int, out, errs string) {
 	var stdout, stderr bytes.Buffer
 	streams := cli.Streams{Out: &stdout, Err: &stderr}
 	status = cli.Run(context.Background(), "cherrytrestle", "", &commands{}, args, streams, cli.Failed)
 	return status, stdout.String(), stderr.String()
 }
 
-// runRecorded has a relay process record while its endpoint rejects and then answers.
+// runRecorded starts a relay with an operator's file that turns on its recorder, and delivers messages to an endpoint
+// that rejects the first calls.
 func runRecorded(t *testing.T, operator string) (r *relayProcess) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	must(t, os.WriteFile(path, []byte(operator), 0o600))
 	t.Setenv("CHERRYTRESTLE_OPERATOR", path)
 	platform := newPlatform(t)
-	refusals := 3
+	rejections := 3
 	var endpoint *fakeEndpoint
 	endpoint = newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ []string) {
 		endpoint.mu.Lock()
 		defer endpoint.mu.Unlock()
-		if refusals--; refusals >= 0 {
+		if rejections--; rejections >= 0 {
 			w.Header().Set("Retry-After", "0.2")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
@@ -43,7 +46,7 @@
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
 		r.mustAccept(id, 10*time.Second)
 	}
-	eventually(t, "all delivered, after the refusals", func() bool {
+	eventually(t, "all delivered, after the rejections", func() bool {
 		endpoint.mu.Lock()
 		defer endpoint.mu.Unlock()
 		return len(endpoint.seen) >= 7
@@ -51,79 +54,81 @@
 	return r
 }
 
-// A relay process dumps its recording on a signal: it replays without a difference in this process, and explains why a
-// message waited.
+// TestRecordingOfAProcess dumps the recording of a relay by SIGUSR1, and runs the commands that read it: it replays
+// without a difference, explains what delayed a message, and lists why it was dumped. A damaged copy is reported.
 func TestRecordingOfAProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
-	must(t, r.cmd.Process.Signal(syscall.SIGUSR1))
+	r.signal(syscall.SIGUSR1)
 	var paths []string
 	eventually(t, "a recording", func() bool {
 		paths, _ = filepath.Glob(filepath.Join(dir, "n0-*-sigusr1"+flightrecorder.FileExtension))
 		return len(paths) == 1
 	})
 	r.kill()
-	status, out, errs := command("replay", paths[0])
+	status, out, errs := runCommand("replay", paths[0])
 	if status != 0 || !strings.Contains(out, "no difference") {
 		t.Errorf("%d, %s%s", status, out, errs)
 	}
-	status, out, errs = command("explain", "--message", "m2", paths[0])
+	status, out, errs = runCommand("explain", "--message", "m2", paths[0])
 	if status != 0 || !strings.Contains(out, "told to wait") || !strings.Contains(out, "delivered") ||
 		!strings.Contains(out, "(m2)") {
 		t.Errorf("%d, %s%s", status, out, errs)
 	}
 	for _, format := range []string{"text", "jsonl", "html"} {
-		if status, out, errs := command("explain", "--format", format, paths[0]); status != 0 || len(out) < 200 {
+		if status, out, errs := runCommand("explain", "--format", format, paths[0]); status != 0 || len(out) < 200 {
 			t.Errorf("%s: %d, %s%s", format, status, out, errs)
 		}
 	}
-	if status, out, _ := command("recording", "info", paths[0]); status != 0 ||
+	if status, out, _ := runCommand("recording", "info", paths[0]); status != 0 ||
 		!strings.Contains(out, "kept: SIGUSR1") {
 		t.Errorf("%d, %s", status, out)
 	}
-	// A damaged recording is reported.
 	data, err := os.ReadFile(paths[0])
 	must(t, err)
 	found, err := flightrecorder.Split(data)
 	must(t, err)
 	bad := filepath.Join(t.TempDir(), "bad")
 	must(t, os.WriteFile(bad, data[:len(data)-3], 0o600))
-	if status, out, _ := command("replay", bad); status != 0 || !strings.Contains(out, "not read") || len(found) != 1 {
+	status, out, _ = runCommand("replay", bad)
+	if status != 0 || !strings.Contains(out, "not read") || len(found) != 1 {
 		t.Errorf("%d, %s", status, out)
 	}
 }
 
-// Where a platform keeps nothing but the log, recordings go there, and what a killed process wrote is taken out of it.
+// TestRecordingInTheLog writes a recording to the relay's log, kills the relay, and extracts the recording from there:
+// it replays, and a second extraction does not overwrite the file.
 func TestRecordingInTheLog(t *testing.T) {
 	r := runRecorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
 	log := filepath.Join(r.dir, "log")
 	eventually(t, "the recording in the log", func() bool {
-		status, out, _ := command("explain", "--message", "m4", log)
+		status, out, _ := runCommand("explain", "--message", "m4", log)
 		return status == 0 && strings.Contains(out, "delivered")
 	})
 	r.kill()
 	out := t.TempDir()
-	status, text, errs := command("recording", "extract", "--out", out, log)
+	status, text, errs := runCommand("recording", "extract", "--out", out, log)
 	path := strings.TrimSpace(text)
 	if status != 0 || filepath.Dir(path) != out {
 		t.Fatalf("%d, %s%s", status, text, errs)
 	}
-	if status, text, errs := command("replay", path, log); status != 0 || strings.Count(text, "no difference") != 1 {
+	if status, text, errs := runCommand("replay", path, log); status != 0 || strings.Count(text, "no difference") != 1 {
 		t.Errorf("%d, %s%s", status, text, errs)
 	}
-	if status, _, errs := command("recording", "extract", "--out", out, log); status != 1 ||
+	if status, _, errs := runCommand("recording", "extract", "--out", out, log); status != 1 ||
 		!strings.Contains(errs, "exists") {
-		t.Errorf("a file was written over: %d, %s", status, errs)
+		t.Errorf("a file was overwritten: %d, %s", status, errs)
 	}
 	data, err := os.ReadFile(log)
 	must(t, err)
 	for line := range strings.Lines(string(data)) {
 		if !strings.HasPrefix(line, "flight ") && !json.Valid([]byte(line)) {
-			t.Errorf("a line of the log that is neither: %.60s", line)
+			t.Errorf("a line that is neither of the recording nor JSON: %.60s", line)
 		}
 	}
 }
 
+// TestCommandErrors checks the exit status and the message of commands that fail.
 func TestCommandErrors(t *testing.T) {
 	junk := filepath.Join(t.TempDir(), "junk")
 	must(t, os.WriteFile(junk, []byte("[recorder]\nenabeld = true\n"), 0o600))
@@ -142,12 +147,12 @@
 		{[]string{"serve", "--operator", "/nonexistent"}, cli.Failed, "no such file"},
 		{nil, cli.Failed, "config"},
 	} {
-		status, _, errs := command(c.args...)
+		status, _, errs := runCommand(c.args...)
 		if status != c.status || !strings.Contains(errs, c.want) {
 			t.Errorf("%v: %d, %s, want %q", c.args, status, errs, c.want)
 		}
 	}
-	if status, out, _ := command("--version"); status != 0 || !strings.Contains(out, "cherrytrestle") {
+	if status, out, _ := runCommand("--version"); status != 0 || !strings.Contains(out, "cherrytrestle") {
 		t.Errorf("%d, %s", status, out)
 	}
 }
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"errors"
+	"fmt"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -8,15 +10,18 @@
 	"testing"
 	"time"
 
+	"cherrytrestle.example/cherrytrestle/internal/state/journal"
 	"cherrytrestle.example/cherrytrestle/internal/state/legacylog"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A Retry-After that the killed process received binds the next one.
+// TestRetryAfterOutlastsTheProcess kills a relay after a Retry-After: the next process observes it.
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
-	var refuse atomic.Bool
-	refuse.Store(true)
+	var reject atomic.Bool
+	reject.Store(true)
 	endpoint := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request, ids []string) {
-		if refuse.Load() {
+		if reject.Load() {
 			w.Header().Set("Retry-After", "2.4")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
@@ -29,7 +34,7 @@
 	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
 	time.Sleep(400 * time.Millisecond) // it is stored within 250 ms
-	refuse.Store(false)
+	reject.Store(false)
 	r.kill()
 	r.start(platform)
 	r.mustAccept("m2", 10*time.Second)
@@ -39,13 +44,14 @@
 	}
 }
 
-// Messages in the legacy log of an earlier program are delivered by this one, and the log is removed.
+// TestLegacyLogIsMigrated starts a relay with a message in the legacy log of an earlier version: the message is
+// delivered, and the log is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
 	endpoint := newEndpoint(t, nil)
 	platform := newPlatform(t)
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.kill()
-	state := filepath.Join(r.dir, "state")
+	state := relayprocess.StateFolder(r.dir)
 	must(t, os.RemoveAll(state))
 	must(t, os.Mkdir(state, 0o700))
 	log, _, err := legacylog.Open(state, 3e6)
@@ -65,3 +71,62 @@
 		t.Errorf("the log is still there: %v", err)
 	}
 }
+
+// fillJournal writes messages into a relay's journal until its disk limit is reached, and returns how many.
+func fillJournal(t testing.TB, r *relayProcess, diskMB float64, bodyBytes int) (written int) {
+	t.Helper()
+	j, _, err := journal.OpenFolder(relayprocess.StateFolder(r.dir), journal.Options{Limit: int64(diskMB * 1e6)})
+	must(t, err)
+	for {
+		m := &journal.Message{
+			ID:             policy.MessageID(written + 1),
+			TraceID:        fmt.Sprint("m", written),
+			IdempotencyKey: "k",
+			ClassName:      "order",
+			Destination:    7,
+			Body:           make([]byte, bodyBytes),
+			Deadline:       time.Now().Add(14 * time.Second),
+		}
+		err := j.Accept(m)
+		if errors.Is(err, journal.ErrFull) {
+			break
+		}
+		must(t, err)
+		written++
+	}
+	must(t, closeForChild(j))
+	return written
+}
+
+// TestTerminatedInRecovery sends SIGTERM at different times of a start with a full journal: the relay ends in time, and
+// no message is lost.
+func TestTerminatedInRecovery(t *testing.T) {
+	for _, delayMS := range []int{0, 2, 5, 10, 20, 60} {
+		after := time.Duration(delayMS) * time.Millisecond
+		t.Run(after.String(), func(t *testing.T) {
+			t.Parallel()
+			platform := newPlatform(t)
+			endpoint := newEndpoint(t, nil)
+			r := prepareRelay(t, endpoint.list(batchKind, "draining"), nil)
+			n := fillJournal(t, r, 3, 2000)
+			for range 2 {
+				r.launch(platform)
+				time.Sleep(after) // before, during or after its recovery
+				began := time.Now()
+				err := r.terminate()
+				if took := time.Since(began); took > maxShutdownTime {
+					t.Errorf("ended after %v", took)
+				}
+				if !endedBySignal(err) { // which may come before the process catches it
+					must(t, err)
+				}
+			}
+			j, found, err := journal.OpenFolder(relayprocess.StateFolder(r.dir), journal.Options{Limit: 3e6})
+			must(t, err)
+			defer closeQuietly(j)
+			if len(found.Messages) != n || !found.Intact() {
+				t.Errorf("%d messages of %d, intact %v", len(found.Messages), n, found.Intact())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/cherrytrestle/relayconfig_test.go
@@ -0,0 +1,165 @@
+package main
+
+import (
+	"encoding/json"
+	"net/http"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+)
+
+// prepareRelay creates a relay's folder and configuration, and chooses its address. change may change the default
+// settings.
+func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
+	t.Helper()
+	settings := defaultSettings()
+	if change != nil {
+		change(settings)
+	}
+	r := &relayProcess{
+		t:      t,
+		dir:    t.TempDir(),
+		addr:   unusedAddr(t, randomLoopbackIP()),
+		client: &http.Client{Timeout: 2 * time.Second},
+	}
+	must(t, os.Mkdir(relayprocess.StateFolder(r.dir), 0o700))
+	r.config = map[string]any{
+		"name":     "n0",
+		"seed":     "8c1f30d27a5be964",
+		"settings": settings,
+		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
+		"known":    map[string]any{"version": 1, "full": true, "servers": known},
+	}
+	r.writeConfig()
+	t.Cleanup(func() {
+		if r.cmd != nil {
+			r.kill()
+		}
+		if t.Failed() {
+			log, _ := os.ReadFile(r.logFile()) // without a log there is nothing to show
+			t.Logf("the relay's log:\n%s", log)
+		}
+	})
+	return r
+}
+
+// defaultSettings are the settings of the platform that the tests begin with: one class of message and one tenant.
+func defaultSettings() map[string]any {
+	return map[string]any{
+		"bounds": map[string]any{
+			"cancel":             true,
+			"connect_timeout_ms": 1000,
+			"keepalive_ms":       15000,
+			"max_retry_after_ms": 3000,
+			"may_duplicate":      true,
+			"open_cap":           50,
+			"retry_after":        true,
+			"send_cap":           8,
+		},
+		"extra": map[string]any{
+			"call_slots":      8,
+			"per_call":        []int{10, 1},
+			"separate_routes": []bool{false, true},
+		},
+		"fleet_size": 1,
+		"kinds":      []string{batchKind, singleKind},
+		"tick_ms":    5,
+		"zones":      []string{"a", "b"},
+		"rules": map[string]any{
+			"cold_from":       0.2,
+			"fall_ms":         3000,
+			"overload_factor": 2,
+			"warm_within_ms":  14000,
+		},
+		"services": []map[string]any{{
+			"name":             "order",
+			"semantics":        "idempotency_key",
+			"group":            "zone",
+			"goal_time_ms":     3000,
+			"give_up_ms":       16000,
+			"repeat_window_ms": 10000,
+			"value":            1,
+		}},
+		"realms": []map[string]any{{"name": "acme", "share": 1}},
+		"stats":  map[string]any{"how": "none"},
+	}
+}
+
+// setMaxPending sets the bound on accepted messages that have not ended.
+func setMaxPending(settings map[string]any, n int) {
+	settings["bounds"].(map[string]any)["open_cap"] = n
+}
+
+// setMaxAttempts sets the bound on the attempts of a message; 0: no bound.
+func setMaxAttempts(settings map[string]any, n int) {
+	settings["bounds"].(map[string]any)["send_cap"] = n
+}
+
+// setMaxInFlightCalls sets the bound on calls in flight; 0: no bound.
+func setMaxInFlightCalls(settings map[string]any, n int) {
+	settings["extra"].(map[string]any)["call_slots"] = n
+}
+
+// orderClass returns the settings of the class "order".
+func orderClass(settings map[string]any) map[string]any {
+	return settings["services"].([]map[string]any)[0]
+}
+
+// withPayments adds the class "pay", whose messages must never run twice.
+func withPayments(settings map[string]any) {
+	settings["services"] = append(settings["services"].([]map[string]any), map[string]any{
+		"name": "pay", "semantics": "non_idempotent", "goal_time_ms": 1000, "give_up_ms": 16000, "value": 1,
+	})
+}
+
+// writeConfig writes the configuration file.
+func (r *relayProcess) writeConfig() {
+	r.t.Helper()
+	config, err := json.Marshal(r.config)
+	must(r.t, err)
+	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), config, 0o600))
+}
+
+// setLimits sets the relay's limits, and writes the configuration file.
+func (r *relayProcess) setLimits(memoryMB, sockets int, diskMB float64) {
+	r.t.Helper()
+	r.config["limits"] = map[string]any{
+		"cores": 1, "memory_mb": memoryMB, "sockets": sockets, "disk_mb": diskMB,
+	}
+	r.writeConfig()
+}
+
+// setKnown sets the endpoint list that the next process starts with, and writes the configuration file.
+func (r *relayProcess) setKnown(version int, list ...listEntry) {
+	r.t.Helper()
+	r.config["known"] = map[string]any{"version": version, "full": true, "servers": list}
+	r.writeConfig()
+}
+
+// setManagement gives the relay a second address, and writes the configuration file. It returns the address, which the
+// next process listens on.
+func (r *relayProcess) setManagement() (addr string) {
+	r.t.Helper()
+	addr = unusedAddr(r.t, "127.0.0.1")
+	r.config["management"] = addr
+	r.writeConfig()
+	return addr
+}
+
+// reload replaces the configuration file by a text and sends SIGHUP.
+func (r *relayProcess) reload(text []byte) {
+	r.t.Helper()
+	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), text, 0o600))
+	r.signal(syscall.SIGHUP)
+}
+
+// reloadDiscovery sets the address of discovery in the configuration file and sends SIGHUP.
+func (r *relayProcess) reloadDiscovery(platform discovery) {
+	r.t.Helper()
+	r.config["discovery"] = platform.addr()
+	r.writeConfig()
+	r.signal(syscall.SIGHUP)
+}
--- a/cmd/cherrytrestle/relayprocess_test.go
+++ b/cmd/cherrytrestle/relayprocess_test.go
@@ -3,16 +3,11 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
-	"fmt"
-	"math/rand/v2"
-	"net"
+	"errors"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -20,99 +15,57 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// relayProcess is a relay under its name and address, over its restarts.
+// maxShutdownTime is the time that a relay has from SIGTERM to its end. The platform may send SIGKILL after it.
+const maxShutdownTime = 3700 * time.Millisecond
+
+// relayProcess is a relay with its folder and address, which stay the same when its process is restarted.
 type relayProcess struct {
-	program string // "": this one
 	t       testing.TB
+	program string // the binary; "": this one
 	dir     string
 	addr    string
-	cmd     *exec.Cmd
+	cmd     *exec.Cmd // nil: no process
 	client  *http.Client
-	config  map[string]any
-	socket  *os.File // that clients connect to, if the platform holds it
-	env     []string // beside what the platform sets
+	config  map[string]any // the configuration file
+	socket  *os.File       // the listening socket, if the platform passes it to the process
+	env     []string       // environment variables in addition to those of the platform
 }
 
-// newRelay starts a relay; change may alter the settings.
-func newRelay(t testing.TB, platform *fakePlatform, known []listEntry, change func(settings map[string]any)) *relayProcess {
+// discovery is a server that a relay gets its endpoint list from.
+type discovery interface{ addr() string }
+
+// newRelay starts a relay that knows a list. change may change the default settings.
+func newRelay(
+	t testing.TB, platform discovery, known []listEntry, change func(settings map[string]any),
+) *relayProcess {
+	t.Helper()
 	r := prepareRelay(t, known, change)
 	r.start(platform)
 	return r
 }
 
-// prepareRelay writes a relay's configuration.
-func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
-	settings := map[string]any{
-		"bounds": map[string]any{
-			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
-			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8,
-		},
-		"extra":      map[string]any{"call_slots": 8, "per_call": []int{10, 1}, "separate_routes": []bool{false, true}},
-		"fleet_size": 1, "kinds": []string{"platform", "gateway"}, "tick_ms": 5, "zones": []string{"a", "b"},
-		"rules": map[string]any{"cold_from": 0.2, "fall_ms": 3000, "overload_factor": 2, "warm_within_ms": 14000},
-		"services": []map[string]any{{
-			"name": "order", "semantics": "idempotency_key", "group": "zone",
-			"goal_time_ms": 3000, "give_up_ms": 16000, "repeat_window_ms": 10000, "value": 1,
-		}},
-		"realms": []map[string]any{{"name": "acme", "share": 1}},
-		"stats":  map[string]any{"how": "none"},
-	}
-	if change != nil {
-		change(settings)
-	}
-	// An address of its own: while the relay is down nobody else of this machine takes its port, as all that connect
-	// from 127.0.0.1 might.
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
-	must(t, err)
-	r := &relayProcess{t: t, dir: t.TempDir(), addr: l.Addr().String(), client: &http.Client{Timeout: 2 * time.Second}}
-	must(t, closeForChild(l))
-	must(t, os.Mkdir(relayprocess.StateFolder(r.dir), 0o700))
-	r.config = map[string]any{
-		"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings,
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 3},
-		"known":  map[string]any{"version": 1, "full": true, "servers": known},
-	}
-	r.writeConfig()
-	t.Cleanup(func() {
-		if r.cmd != nil {
-			r.kill()
-		}
-		if t.Failed() {
-			log, _ := os.ReadFile(filepath.Join(r.dir, "log"))
-			t.Logf("the relay's log:\n%s", log)
-		}
-	})
-	return r
-}
-
-func (r *relayProcess) writeConfig() {
-	r.t.Helper()
-	config, err := json.Marshal(r.config)
-	must(r.t, err)
-	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), config, 0o600))
-}
-
-// start starts a process and waits until it is ready.
-func (r *relayProcess) start(platform *fakePlatform) {
+// start starts a process and waits until it is ready. With a listening socket of the platform it does not wait, because
+// another process may answer on it.
+func (r *relayProcess) start(platform discovery) {
 	r.t.Helper()
 	r.launch(platform)
 	if r.socket != nil {
-		return // clients find out
+		return
 	}
 	eventually(r.t, "ready", func() bool { return relayprocess.Ready(r.client, r.addr) })
 }
 
 // launch starts a process.
-func (r *relayProcess) launch(platform *fakePlatform) {
+func (r *relayProcess) launch(platform discovery) {
 	r.t.Helper()
-	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(r.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	must(r.t, err)
 	defer closeQuietly(log)
 	r.cmd = relayprocess.Command(context.Background(), relayprocess.Settings{
 		Program:   cmp.Or(r.program, os.Args[0]),
 		Folder:    r.dir,
 		Addr:      r.addr,
-		Discovery: platform.Listener.Addr().String(),
+		Discovery: platform.addr(),
 	})
 	r.cmd.Stderr = log
 	r.cmd.Env = append(r.cmd.Env, "CHERRYTRESTLE_TEST_RELAY=1")
@@ -124,55 +77,48 @@
 	must(r.t, r.cmd.Start())
 }
 
-func (r *relayProcess) kill() {
-	killProcess(r.cmd)
-	r.cmd = nil
-	r.client.CloseIdleConnections()
-}
+// logFile is the file that the relay's processes write their logs to.
+func (r *relayProcess) logFile() string { return filepath.Join(r.dir, "log") }
 
-// request makes a request that submits a message; edit may change it.
-func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
-	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
-	must(r.t, err)
-	for k, v := range map[string]string{
-		"X-Trace-Id": id, "X-Qos": "order", "X-Customer": "acme", "Idempotency-Key": "key-" + id, "Envelope": "dest=7",
-		"X-Expires-In-Ms": strconv.FormatInt(expires.Milliseconds(), 10),
-	} {
-		req.Header.Set(k, v)
-	}
-	if edit != nil {
-		edit(req)
-	}
-	return req
-}
-
-// submit submits a message and returns the answer's status and advice.
-func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
+// signal sends a signal to the process, which must be running.
+func (r *relayProcess) signal(sig os.Signal) {
 	r.t.Helper()
-	res, err := r.client.Do(r.request(id, expires, edit))
-	must(r.t, err)
-	drain(res.Body)
-	closeQuietly(res.Body)
-	return res.StatusCode, res.Header.Get("Retry-After")
+	must(r.t, r.cmd.Process.Signal(sig))
 }
 
-func (r *relayProcess) mustAccept(id string, expires time.Duration) {
-	r.t.Helper()
-	if status, _ := r.submit(id, expires, nil); status != http.StatusAccepted {
-		r.t.Fatalf("%s: status %d", id, status)
-	}
+// kill kills the process and waits for its end.
+func (r *relayProcess) kill() {
+	killProcess(r.cmd)
+	r.cmd = nil
+	r.client.CloseIdleConnections()
 }
 
-// terminate sends SIGTERM and returns how the process ended.
+// terminate sends SIGTERM and returns the error with which the process ended.
 func (r *relayProcess) terminate() error {
 	signalQuietly(r.cmd, syscall.SIGTERM)
 	return r.wait()
 }
 
-// wait returns how the process ended.
+// wait waits for the end of the process, and returns the error with which it ended.
 func (r *relayProcess) wait() error {
 	err := r.cmd.Wait()
 	r.cmd = nil
 	r.client.CloseIdleConnections()
 	return err
 }
+
+// killProcess kills a process and waits for its end. Both errors are expected: the process may have ended before, or it
+// ends by the signal.
+func killProcess(cmd *exec.Cmd) {
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
+}
+
+// signalQuietly signals a process that may have ended.
+func signalQuietly(cmd *exec.Cmd, sig os.Signal) { _ = cmd.Process.Signal(sig) }
+
+// endedBySignal reports whether a process was ended by a signal that it did not catch.
+func endedBySignal(err error) bool {
+	var exit *exec.ExitError
+	return errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled()
+}
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -3,83 +3,32 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// withManagement gives a relay a second address; the next process reads it from the file.
-func withManagement(t testing.TB, r *relayProcess) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must(t, err)
-	must(t, closeForChild(l))
-	r.config["management"] = l.Addr().String()
-	r.writeConfig()
-	return l.Addr().String()
-}
-
-// metric fetches the metrics and returns the value of one; "" if there is none.
-func metric(t testing.TB, addr, name string) string {
-	t.Helper()
-	res, err := http.Get("http://" + addr + "/v1/metrics")
-	must(t, err)
-	defer closeQuietly(res.Body)
-	data, err := io.ReadAll(res.Body)
-	must(t, err)
-	for line := range strings.Lines(string(data)) {
-		if value, ok := strings.CutPrefix(line, "router."+name+":"); ok {
-			value, _, _ = strings.Cut(value, "|")
-			return value
-		}
-	}
-	return ""
-}
-
-func waitMetric(t testing.TB, addr, name, want string) {
-	t.Helper()
-	var got string
-	defer func() {
-		if got != want {
-			t.Logf("%s is %q", name, got)
-		}
-	}()
-	eventually(t, name+" "+want, func() bool {
-		got = metric(t, addr, name)
-		return got == want
-	})
-}
-
-// deepCopy of a configuration, to be spoilt.
-func deepCopy(t testing.TB, x map[string]any) (y map[string]any) {
-	data, err := json.Marshal(x)
-	must(t, err)
-	must(t, json.Unmarshal(data, &y))
-	return y
-}
-
+// serviceSettings returns the settings of a class of a decoded configuration.
 func serviceSettings(config map[string]any, i int) map[string]any {
 	return config["settings"].(map[string]any)["services"].([]any)[i].(map[string]any)
 }
 
-// Settings change under SIGHUP: a class is added and its rules apply, another is removed. A file that is incomplete or
-// invalid changes nothing, not even the address of discovery that it names. The metrics count all of it.
+// TestSettingsChangeUnderSIGHUP adds a class, whose rules apply, and removes another one. A file that is incomplete or
+// invalid changes nothing, not even the address of discovery. The metrics count accepted and rejected reloads.
 func TestSettingsChangeUnderSIGHUP(t *testing.T) {
 	endpoint := newEndpoint(t, failBadMessages)
 	platform := newPlatform(t)
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.kill()
-	management := withManagement(t, r)
+	management := r.setManagement()
 	r.start(platform)
 	r.mustAccept("m1", 10*time.Second)
 	waitMetric(t, management, "completed.order", "1")
-	r.config["discovery"] = platform.Listener.Addr().String()
+	r.config["discovery"] = platform.addr()
 
 	// One more class, whose messages must never run twice.
 	next := deepCopy(t, r.config)
@@ -102,11 +51,11 @@
 
 	reloadInvalidConfigs(t, r, endpoint, management, next)
 
-	// A class is removed. Its open messages end by its rules, also over a restart.
+	// The first class is removed.
 	settings["services"] = settings["services"].([]any)[1:]
 	r.reload(encodeConfig(t, next))
 	waitMetric(t, management, "config_reloads", "2")
-	eventually(t, "the old class is rejected", func() bool {
+	eventually(t, "the removed class is rejected", func() bool {
 		status, _ := r.submit("late", 10*time.Second, nil)
 		return status == http.StatusBadRequest
 	})
@@ -114,6 +63,7 @@
 	waitMetric(t, management, "pending", "0")
 }
 
+// failBadMessages fails calls with messages whose id begins with "bad".
 func failBadMessages(w http.ResponseWriter, _ *http.Request, ids []string) {
 	if strings.HasPrefix(ids[0], "bad") {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -127,24 +77,19 @@
 	return data
 }
 
-// reload writes a configuration file and sends SIGHUP.
-func (r *relayProcess) reload(data []byte) {
-	r.t.Helper()
-	must(r.t, os.WriteFile(filepath.Join(r.dir, "config.json"), data, 0o600))
-	must(r.t, r.cmd.Process.Signal(syscall.SIGHUP))
-}
-
-// reloadInvalidConfigs reloads configurations that are each spoilt in another way, and name another discovery. The
-// relay counts an error each time, and serves as before.
-func reloadInvalidConfigs(t *testing.T, r *relayProcess, endpoint *fakeEndpoint, management string, valid map[string]any) {
+// reloadInvalidConfigs reloads configurations that are each invalid in another way, and have another address of
+// discovery. The relay counts an error each time, and serves as before.
+func reloadInvalidConfigs(
+	t *testing.T, r *relayProcess, endpoint *fakeEndpoint, management string, valid map[string]any,
+) {
 	t.Helper()
 	other := newPlatform(t)
 	failures := 0
-	for name, spoil := range invalidConfigs(t) {
+	for name, encodeInvalid := range invalidConfigs(t) {
 		config := deepCopy(t, valid)
-		config["discovery"] = other.Listener.Addr().String()
+		config["discovery"] = other.addr()
 		serviceSettings(config, 0)["name"] = "other"
-		r.reload(spoil(config))
+		r.reload(encodeInvalid(config))
 		failures++
 		waitMetric(t, management, "config_reload_errors", fmt.Sprint(failures))
 		if metric(t, management, "completed.other") != "" {
@@ -159,7 +104,7 @@
 	}
 }
 
-// invalidConfigs are ways to spoil a configuration, by name.
+// invalidConfigs returns functions that make a configuration invalid and encode it, by the name of the fault.
 func invalidConfigs(t *testing.T) map[string]func(config map[string]any) []byte {
 	t.Helper()
 	return map[string]func(config map[string]any) []byte{
@@ -181,7 +126,7 @@
 			return encodeConfig(t, config)
 		},
 		"attempts below 0": func(config map[string]any) []byte {
-			config["settings"].(map[string]any)["bounds"].(map[string]any)["send_cap"] = -1
+			setMaxAttempts(config["settings"].(map[string]any), -1)
 			return encodeConfig(t, config)
 		},
 		"text for a number": func(config map[string]any) []byte {
@@ -191,11 +136,11 @@
 	}
 }
 
-// The second address answers while clients take many connections of the first, and is not ready during shutdown.
+// TestReadinessAndMetrics checks the answers of the second address while clients have many connections to the first
+// one, and that the relay is not ready during its shutdown.
 func TestReadinessAndMetrics(t *testing.T) {
-	var endpoint *fakeEndpoint
 	hold := make(chan struct{})
-	endpoint = newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
+	endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
 		if ids[0] == "slow" {
 			<-hold
 		}
@@ -206,98 +151,97 @@
 		newEntry("s-2", endpoint.addr(), "a", singleKind, "draining"),
 	}, nil)
 	r.kill()
-	second := withManagement(t, r)
+	management := r.setManagement()
 	r.start(platform)
 	ready := func() int {
-		res, err := http.Get("http://" + second + "/v1/readyz")
+		t.Helper()
+		status, err := readiness(management)
 		must(t, err)
-		closeQuietly(res.Body)
-		return res.StatusCode
+		return status
 	}
 	if status := ready(); status != http.StatusOK {
 		t.Errorf("ready: %d", status)
 	}
-	for range 100 { // they connect and say nothing
-		c, err := net.Dial("tcp", r.addr)
+	for range 100 { // idle connections
+		conn, err := net.Dial("tcp", r.addr)
 		must(t, err)
-		defer closeQuietly(c)
+		defer closeQuietly(conn)
 	}
 	r.mustAccept("slow", 10*time.Second)
-	eventually(t, "the call is out", func() bool { return endpoint.count("slow") == 1 })
-	waitMetric(t, second, "pending", "1")
-	waitMetric(t, second, "upstream_requests", "1")
-	waitMetric(t, second, "members_unavailable", "1")
-	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	eventually(t, "the call is in flight", func() bool { return endpoint.count("slow") == 1 })
+	waitMetric(t, management, "pending", "1")
+	waitMetric(t, management, "upstream_requests", "1")
+	waitMetric(t, management, "members_unavailable", "1")
+	r.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() bool { return ready() == http.StatusServiceUnavailable })
 	close(hold)
 	must(t, r.cmd.Wait())
 	r.cmd = nil
 }
 
-// SIGHUP moves discovery while the old address is silent, breaks off or rejects callers: the relay, one of 300, follows
-// the new one at once, and its list alone. SIGTERM in the middle of a move ends it in order, with its message stored or
-// delivered.
+// TestReloadMovesAwayFromFaultyDiscovery changes the address of discovery while the old one does not answer properly.
+// The relay, one of 300, polls the new address at once and uses its list. Then the address changes back, and SIGTERM
+// ends the relay in order.
 func TestReloadMovesAwayFromFaultyDiscovery(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
-		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"breaks off": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"429":        func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
-		"503, a while": func(w http.ResponseWriter, _ *http.Request) {
+		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"aborted": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"429":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
+		"503 with Retry-After": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "30")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
 	} {
-		t.Run(name, func(t *testing.T) {
-			called := make(chan struct{}, 100)
-			old := &fakePlatform{Server: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				select {
-				case called <- struct{}{}:
-				default:
-				}
-				answer(w, r)
-			}))}
-			defer old.Close()
-			defer old.CloseClientConnections()
-			one := newEndpoint(t, nil)
-			two := newEndpoint(t, nil)
-			second := newPlatform(t)
-			second.version = 7 // it counts by itself
-			second.fullList = []listEntry{
-				newEntry("s-1", one.addr(), "a", singleKind, "draining"),
-				newEntry("s-2", two.addr(), "a", singleKind, "ready"),
-			}
-			list := one.list(singleKind, "ready")
-			r := newRelay(t, old, list, func(settings map[string]any) { settings["fleet_size"] = 300 })
-			<-called
-			r.config["discovery"] = second.Listener.Addr().String()
-			r.writeConfig()
-			must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-			eventually(t, "a watch at the new address", func() bool { return len(second.watchIndexes()) > 0 })
-			if index := second.watchIndexes()[0]; index != "7" {
-				t.Errorf("a watch from %s, want it from the full list's 7", index)
-			}
-			r.mustAccept("m1", 10*time.Second)
-			eventually(t, "the endpoint of the new list", func() bool { return two.count("m1") == 1 })
-			if n := one.count("m1"); n > 0 {
-				t.Errorf("%d calls to a draining endpoint", n)
-			}
-			r.config["discovery"] = old.Listener.Addr().String()
-			r.writeConfig()
-			must(t, r.cmd.Process.Signal(syscall.SIGHUP))
-			if err := r.terminate(); err != nil {
-				t.Errorf("ended in the middle of a move: %v", err)
-			}
-		})
+		t.Run(name, func(t *testing.T) { testReloadAwayFrom(t, answer) })
+	}
+}
+
+func testReloadAwayFrom(t *testing.T, answer http.HandlerFunc) {
+	called := make(chan struct{}, 100)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case called <- struct{}{}:
+		default:
+		}
+		answer(w, r)
+	}))
+	defer server.Close()
+	defer server.CloseClientConnections()
+	faulty := &fakePlatform{Server: server}
+	one := newEndpoint(t, nil)
+	two := newEndpoint(t, nil)
+	sound := newPlatform(t)
+	sound.version = 7 // unlike the version of the relay's list
+	sound.fullList = []listEntry{
+		newEntry("s-1", one.addr(), "a", singleKind, "draining"),
+		newEntry("s-2", two.addr(), "a", singleKind, "ready"),
+	}
+	list := one.list(singleKind, "ready")
+	r := newRelay(t, faulty, list, func(settings map[string]any) { settings["fleet_size"] = 300 })
+	<-called
+	r.reloadDiscovery(sound)
+	eventually(t, "a watch at the new address", func() bool { return len(sound.watchIndexes()) > 0 })
+	if index := sound.watchIndexes()[0]; index != "7" {
+		t.Errorf("a watch from %s, want it from the full list's 7", index)
+	}
+	r.mustAccept("m1", 10*time.Second)
+	eventually(t, "the endpoint of the new list", func() bool { return two.count("m1") == 1 })
+	if n := one.count("m1"); n > 0 {
+		t.Errorf("%d calls to a draining endpoint", n)
+	}
+	r.reloadDiscovery(faulty)
+	if err := r.terminate(); err != nil {
+		t.Errorf("ended during the change of the address: %v", err)
 	}
 }
 
-// A known list that cannot be read or is empty counts as none: the relay starts, keeps its accepted messages, and is
-// ready once it has a list from discovery.
+// TestUnreadableKnownList starts a relay with known lists that are invalid or empty: it starts without a list, is ready
+// once it has one from discovery, and keeps its accepted message.
 func TestUnreadableKnownList(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
 	r := newRelay(t, platform, endpoint.list(singleKind, "draining"), nil)
-	r.mustAccept("m1", 12*time.Second) // no endpoint accepts it
+	r.mustAccept("m1", 12*time.Second) // the only endpoint is draining
 	r.kill()
 	for _, known := range []any{"none", 17, []any{}, map[string]any{"version": "new"}, map[string]any{}, nil} {
 		r.config["known"] = known
@@ -312,3 +256,11 @@
 	r.start(platform)
 	eventually(t, "delivered once the list is known", func() bool { return endpoint.count("m1") == 1 })
 }
+
+// deepCopy returns a copy of a configuration, with the types that JSON is decoded to.
+func deepCopy(t testing.TB, config map[string]any) (copied map[string]any) {
+	data, err := json.Marshal(config)
+	must(t, err)
+	must(t, json.Unmarshal(data, &copied))
+	return copied
+}
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -5,23 +5,20 @@
 	"net/http"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// A call that was in flight when the process was killed may have run. The next process repeats the message, and only
-// where repeats are dropped: in the same zone.
+// TestKilledWithACallInFlight kills a relay with a call in flight, which may have run: the next process repeats the
+// message, and only in the zone in which repeats are dropped. A message whose time has run out ends with a
+// notification, and a message that was delivered is not sent again after another restart.
 func TestKilledWithACallInFlight(t *testing.T) {
 	platform := newPlatform(t)
-	first := true
-	var one *fakeEndpoint
-	one = newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
-		one.mu.Lock()
-		hang := first
-		first = false
-		one.mu.Unlock()
-		if hang {
+	var calls atomic.Int64
+	one := newEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ []string) {
+		if calls.Add(1) == 1 {
 			<-r.Context().Done()
 		}
 	})
@@ -31,9 +28,9 @@
 	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
 	r.kill()
-	time.Sleep(700 * time.Millisecond) // the second message's time runs out while no relay is there
+	time.Sleep(700 * time.Millisecond) // the time of the message "late" runs out
 
-	// It starts with a list whose first endpoint, by its weight, is in the other zone.
+	// A better endpoint, by its weight, is in the other zone.
 	better := newEntry("s-0", other.addr(), "b", singleKind, "ready")
 	better["weight"] = 900.0
 	r.start(platform)
@@ -45,30 +42,31 @@
 		t.Error("repeated in another zone")
 	}
 	if one.count("late") == 0 { // it may have been delivered before the kill
-		eventually(t, "a notification for the overdue one", func() bool { return platform.notification("late") != nil })
+		eventually(t, "a notification of the late message", func() bool { return platform.notification("late") != nil })
 	}
 
-	// Delivered and ended messages stay ended.
-	eventually(t, "an empty log after a planned end", func() bool { return r.terminate() == nil })
+	must(t, r.terminate())
 	r.start(platform)
 	r.mustAccept("m3", 10*time.Second)
 	eventually(t, "m3", func() bool { return one.count("m3")+other.count("m3") == 1 })
 	if one.count("m1") != 2 {
-		t.Errorf("m1 went %d times", one.count("m1"))
+		t.Errorf("m1 was sent %d times", one.count("m1"))
 	}
 }
 
+// TestGracefulShutdown sends SIGTERM while a call is in flight: the relay is not ready any more, still accepts messages
+// for a while, lets the call finish and ends in time. The next process does not send the delivered message again.
 func TestGracefulShutdown(t *testing.T) {
 	platform := newPlatform(t)
 	began := make(chan struct{}, 10)
 	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) {
 		began <- struct{}{}
-		time.Sleep(time.Second) // a call that takes its time
+		time.Sleep(time.Second)
 	})
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	r.mustAccept("running", 10*time.Second)
 	<-began
-	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	r.signal(syscall.SIGTERM)
 	start := time.Now()
 	eventually(t, "not ready", func() bool {
 		res, err := r.client.Get("http://" + r.addr + "/_health")
@@ -81,7 +79,7 @@
 		r.mustAccept("after", 10*time.Second) // new messages are still accepted
 	}
 	err := r.terminate()
-	if took := time.Since(start); err != nil || took > 3700*time.Millisecond {
+	if took := time.Since(start); err != nil || took > maxShutdownTime {
 		t.Errorf("ended after %v: %v", took, err)
 	}
 	if endpoint.count("running") != 1 {
@@ -91,11 +89,11 @@
 	r.mustAccept("next", 10*time.Second)
 	eventually(t, "the next message", func() bool { return endpoint.count("next") == 1 })
 	if endpoint.count("running") != 1 {
-		t.Error("a delivered message went again")
+		t.Error("a delivered message was sent again")
 	}
 }
 
-// restartLoad is clients that submit messages until they are stopped, whatever happens to the relay meanwhile.
+// restartLoad is clients that submit messages while the relay is restarted.
 type restartLoad struct {
 	r *relayProcess
 
@@ -104,7 +102,7 @@
 	unanswered int
 }
 
-// run submits messages until stop is closed.
+// run runs three clients until stop is closed.
 func (l *restartLoad) run(round string, stop <-chan struct{}) {
 	var clients sync.WaitGroup
 	for client := range 3 {
@@ -123,7 +121,7 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 		id := fmt.Sprintf("%s-%d", name, i)
-		// The client sends it again if the relay closes the connection at the same moment.
+		// The client retries on another connection if the relay closes this one without an answer.
 		response, err := client.Do(l.r.request(id, 16*time.Second, nil))
 		l.record(id, response, err)
 		if err == nil {
@@ -143,14 +141,15 @@
 	}
 }
 
-// Clients that go on through a graceful shutdown, and through a kill, lose no message that was accepted.
+// TestRestartsUnderLoadLoseNothing restarts a relay under load, by SIGTERM and by SIGKILL: each accepted message is
+// sent or ends with a notification. The graceful shutdown answers each request, and causes no repeat.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, func(http.ResponseWriter, *http.Request, []string) { time.Sleep(30 * time.Millisecond) })
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	load := &restartLoad{r: r}
 
-	// The load balancer sends nothing more to a relay some tenths of a second after SIGTERM.
+	// A load balancer stops sending requests to a relay some tenths of a second after SIGTERM.
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
@@ -177,7 +176,7 @@
 	_ = r.cmd.Wait() // the signal is its error
 	r.start(platform)
 	for _, id := range load.accepted {
-		eventually(t, id+" delivered or ended", func() bool { return endpoint.count(id) > 0 || platform.notification(id) != nil })
+		waitSentOrEnded(t, endpoint, platform, id)
 	}
 	if len(load.accepted) < 20 {
 		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -9,44 +9,43 @@
 	"time"
 )
 
-// shutdownCase is what happens at the moment of SIGTERM.
+// shutdownCase is a circumstance in which SIGTERM is sent.
 type shutdownCase struct {
-	name   string
-	listed bool // the first process lists the message's endpoint, which is draining
-	at     func(t *testing.T, r *relayProcess)
+	name      string
+	listed    bool // the first process lists the message's endpoint, which is draining
+	terminate func(t *testing.T, r *relayProcess)
 }
 
 func shutdownCases() []shutdownCase {
-	terminate := func(r *relayProcess) { must(r.t, r.cmd.Process.Signal(syscall.SIGTERM)) }
 	return []shutdownCase{
 		{"twice", true, func(_ *testing.T, r *relayProcess) {
-			terminate(r)
+			r.signal(syscall.SIGTERM)
 			time.Sleep(100 * time.Millisecond)
 			signalQuietly(r.cmd, syscall.SIGTERM)
 		}},
-		{"before the first list", false, func(_ *testing.T, r *relayProcess) { terminate(r) }},
+		{"before the first list", false, func(_ *testing.T, r *relayProcess) { r.signal(syscall.SIGTERM) }},
 		{"with a SIGHUP", true, func(_ *testing.T, r *relayProcess) {
-			must(r.t, r.cmd.Process.Signal(syscall.SIGHUP))
-			terminate(r)
+			r.signal(syscall.SIGHUP)
+			r.signal(syscall.SIGTERM)
 		}},
 		{"while clients send half requests", true, func(t *testing.T, r *relayProcess) {
 			for range 20 {
-				trickle(t, r.addr)
+				startSlowRequest(t, r.addr)
 			}
-			terminate(r)
+			r.signal(syscall.SIGTERM)
 		}},
 		{"while a message's client has gone", true, func(t *testing.T, r *relayProcess) {
 			conn, err := net.Dial("tcp", r.addr)
 			must(t, err)
 			must(t, r.request("gone", 10*time.Second, nil).Write(conn))
 			closeQuietly(conn)
-			terminate(r)
+			r.signal(syscall.SIGTERM)
 		}},
 	}
 }
 
-// Whatever happens at the moment of SIGTERM, a relay ends in order before SIGKILL may come, and the next process sends
-// the messages that were accepted and not sent.
+// TestShutdownAtAnyMoment sends SIGTERM in different circumstances: the relay ends in order and in time, and the next
+// process sends the message that was accepted and not sent.
 func TestShutdownAtAnyMoment(t *testing.T) {
 	for _, c := range shutdownCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,13 +56,11 @@
 }
 
 func testShutdown(t *testing.T, c shutdownCase) {
-	const killAfter = 3700 * time.Millisecond
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
-	list := func(state string) []listEntry { return endpoint.list(singleKind, state) }
 	var known []listEntry
 	if c.listed {
-		known = list("draining")
+		known = endpoint.list(singleKind, "draining")
 	}
 	r := prepareRelay(t, known, nil)
 	r.launch(platform)
@@ -75,14 +72,13 @@
 		return err == nil
 	})
 	r.mustAccept("m", 12*time.Second)
-	c.at(t, r)
+	c.terminate(t, r)
 	began := time.Now()
 	err := r.wait()
-	if took := time.Since(began); err != nil || took > killAfter {
+	if took := time.Since(began); err != nil || took > maxShutdownTime {
 		t.Errorf("ended after %v: %v", took, err)
 	}
-	r.config["known"] = map[string]any{"version": 2, "full": true, "servers": list("ready")}
-	r.writeConfig()
+	r.setKnown(2, endpoint.list(singleKind, "ready")...)
 	r.start(platform)
 	eventually(t, "the message is sent", func() bool { return endpoint.count("m") == 1 })
 	if endpoint.count("gone") > 1 {
@@ -90,8 +86,9 @@
 	}
 }
 
-// trickle sends a request by a byte at a time, and never the last one.
-func trickle(t *testing.T, addr string) {
+// startSlowRequest sends the start of a request, one byte at a time, until the end of the test.
+func startSlowRequest(t *testing.T, addr string) {
+	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	must(t, err)
 	var sending sync.WaitGroup
@@ -111,7 +108,7 @@
 	})
 }
 
-// The connections of idle clients are closed without a reset at SIGTERM.
+// TestIdleClientsAreClosedCleanly checks that SIGTERM closes the connections of idle clients without a reset.
 func TestIdleClientsAreClosedCleanly(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -125,11 +122,11 @@
 		must(t, err)
 		must(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 		answer := make([]byte, 1)
-		_, err = conn.Read(answer) // the remainder comes with it, or before the end
+		_, err = conn.Read(answer) // the rest of the answer is read below
 		must(t, err)
 		conns = append(conns, conn)
 	}
-	must(t, r.cmd.Process.Signal(syscall.SIGTERM))
+	r.signal(syscall.SIGTERM)
 	for _, conn := range conns {
 		if _, err := io.Copy(io.Discard, conn); err != nil {
 			t.Errorf("ended by %v", err)
@@ -140,21 +137,22 @@
 	}
 }
 
-// SIGTERM again and again, up to the last moment of a process: it ends in order each time, and by none of the signals.
+// TestSignalsDuringExit sends SIGTERM again and again until the process has ended: it ends in order, and not by a
+// signal.
 func TestSignalsDuringExit(t *testing.T) {
 	platform := newPlatform(t)
 	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", singleKind, "ready")}, nil)
 	for range 12 {
 		r.start(platform)
 		cmd := r.cmd
-		over := make(chan struct{})
+		signalled := make(chan struct{})
 		go func() {
-			defer close(over)
+			defer close(signalled)
 			for cmd.Process.Signal(syscall.SIGTERM) == nil {
 			}
 		}()
 		err := r.wait()
-		<-over
+		<-signalled
 		must(t, err)
 	}
 }
--- a/cmd/cherrytrestle/systemcalls_test.go
+++ b/cmd/cherrytrestle/systemcalls_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// Days of many relays refuse other programs, fork, splice and sendfile (ENOSYS). Go's library uses the last two by
-// itself where it copies from a socket or a file to a socket; the daemon copies to nothing but io.Discard, and starts
-// no program.
+// TestDaemonMakesNoForbiddenSystemCalls searches the sources of the relay for uses of system calls that some of its
+// environments reject (ENOSYS): exec, fork, splice and sendfile. Go's library uses the last two when it copies from a
+// socket or a file to a socket. Therefore the relay may only copy to io.Discard, and must not start programs.
 func TestDaemonMakesNoForbiddenSystemCalls(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	node := regexp.MustCompile(`(?m)^node = \[(.*)\]$`).FindSubmatch(deploy)
 	if node == nil {
-		t.Fatal("the deploy file names no node")
+		t.Fatal("the deploy file has no list of the node's sources")
 	}
 	files := 0
 	for _, quoted := range strings.Split(string(node[1]), ",") {
@@ -34,8 +34,8 @@
 			}
 			files++
 			source, err := os.ReadFile(path)
-			for _, what := range forbiddenUses(t, path, source) {
-				t.Error(what)
+			for _, use := range forbiddenUses(t, path, source) {
+				t.Error(use)
 			}
 			return err
 		})
@@ -44,7 +44,7 @@
 		}
 	}
 	if files < 30 {
-		t.Errorf("only %d files of the daemon were read", files)
+		t.Errorf("only %d files of the relay were read", files)
 	}
 	bad := "package x\nimport (\"io\"; \"os/exec\"; \"net/http\")\n" +
 		"func f() { io.Copy(w, r); io.CopyN(io.Discard, r, 1); http.ServeFile(w, q, n); exec.Command(n) }"
@@ -53,7 +53,13 @@
 	}
 }
 
-// forbiddenUses lists what in a source may end in a refused system call.
+// forbiddenCalls are functions of Go's library that start programs or may use sendfile.
+var forbiddenCalls = []string{"http.ServeFile", "http.ServeContent", "syscall.ForkExec", "os.StartProcess"}
+
+// copyCalls are functions that may use splice or sendfile, unless they copy to io.Discard.
+var copyCalls = []string{"io.Copy", "io.CopyN", "io.CopyBuffer"}
+
+// forbiddenUses lists the imports and calls of a source that may make a forbidden system call.
 func forbiddenUses(t *testing.T, path string, source []byte) (found []string) {
 	t.Helper()
 	set := token.NewFileSet()
@@ -61,8 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, i := range file.Imports {
-		if i.Path.Value == `"os/exec"` {
+	for _, imported := range file.Imports {
+		if imported.Path.Value == `"os/exec"` {
 			found = append(found, path+": imports os/exec")
 		}
 	}
@@ -71,14 +77,9 @@
 		if !ok {
 			return true
 		}
-		name := dotted(call.Fun)
-		copies := slices.Contains([]string{"io.Copy", "io.CopyN", "io.CopyBuffer"}, name) &&
-			dotted(call.Args[0]) != "io.Discard"
-		if copies ||
-			slices.Contains(
-				[]string{"http.ServeFile", "http.ServeContent", "syscall.ForkExec", "os.StartProcess"},
-				name,
-			) {
+		name := qualifiedName(call.Fun)
+		copies := slices.Contains(copyCalls, name) && qualifiedName(call.Args[0]) != "io.Discard"
+		if copies || slices.Contains(forbiddenCalls, name) {
 			found = append(found, set.Position(call.Pos()).String()+": "+name)
 		}
 		return true
@@ -86,11 +87,15 @@
 	return found
 }
 
-func dotted(e ast.Expr) string {
-	if s, ok := e.(*ast.SelectorExpr); ok {
-		if x, ok := s.X.(*ast.Ident); ok {
-			return x.Name + "." + s.Sel.Name
-		}
+// qualifiedName returns the text of an expression like package.Name, or "".
+func qualifiedName(expression ast.Expr) string {
+	selector, ok := expression.(*ast.SelectorExpr)
+	if !ok {
+		return ""
+	}
+	qualifier, ok := selector.X.(*ast.Ident)
+	if !ok {
+		return ""
 	}
-	return ""
+	return qualifier.Name + "." + selector.Sel.Name
 }
