--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -41,7 +41,7 @@
 		state: state{
 			Settings:    settings,
 			Incarnation: settings.Incarnation,
-			Counters:    map[limitScope]*scopeCounter{},
+			Counters:    map[quota.Scope]*scopeCounter{},
 			Endpoints:   map[string]endpointInfo{},
 			Pending:     map[policy.MessageID]pendingMessage{},
 			Published:   map[int]publishedReport{},
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -84,10 +84,8 @@
 		Leases:      []quota.Lease{{Scope: scope, Rate: 0.1, Delivered: uint32(n)}},
 		Requests:    []quota.Request{{Scope: scope, ID: uint32(n), Calls: 1}},
 	}}
-	in.Actions = append(
-		slices.Clip(in.Actions),
-		policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2},
-	)
+	request := policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2}
+	in.Actions = append(slices.Clip(in.Actions), request)
 }
 
 // An agent that is restored in the middle continues like the one that is not: with the same output and state.
--- a/internal/fleet/agent/counters.go
+++ b/internal/fleet/agent/counters.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -24,13 +25,6 @@
 	maxWireRate      = 65000
 )
 
-// limitScope names what shares a limit: a destination, or one endpoint of it that has a limit of its own.
-type limitScope struct {
-	_           struct{} `cbor:",toarray"`
-	Destination policy.DestinationID
-	Endpoint    string
-}
-
 // scopeCounter counts the traffic of one limit scope. Its fields are exported for snapshots alone.
 type scopeCounter struct {
 	UpdatedAt time.Duration `cbor:"At"`
@@ -64,7 +58,7 @@
 }
 
 // load is the counter as it is reported to the other members.
-func (c *scopeCounter) load(scope limitScope, now time.Duration) loadreport.ScopeLoad {
+func (c *scopeCounter) load(scope quota.Scope, now time.Duration) loadreport.ScopeLoad {
 	return loadreport.ScopeLoad{
 		Destination: scope.Destination,
 		Endpoint:    scope.Endpoint,
@@ -90,7 +84,7 @@
 }
 
 // counter returns the scope's counter with its levels as of now.
-func (a *Agent) counter(scope limitScope) *scopeCounter {
+func (a *Agent) counter(scope quota.Scope) *scopeCounter {
 	counter := a.Counters[scope]
 	if counter == nil {
 		counter = &scopeCounter{UpdatedAt: a.Now}
@@ -102,20 +96,20 @@
 
 // scopeOf returns the limit scope of an endpoint: its destination, or the endpoint itself if its kind limits each
 // endpoint by itself.
-func (a *Agent) scopeOf(endpoint string) limitScope {
+func (a *Agent) scopeOf(endpoint string) quota.Scope {
 	info := a.Endpoints[endpoint]
 	if a.destinationKind(info.Kind).LimitPerEndpoint {
-		return limitScope{Destination: info.Destination, Endpoint: endpoint}
+		return quota.Scope{Destination: info.Destination, Endpoint: endpoint}
 	}
-	return limitScope{Destination: info.Destination}
+	return quota.Scope{Destination: info.Destination}
 }
 
-// destinationKind returns the zero kind for a number that the settings do not list.
-func (a *Agent) destinationKind(kind int) policy.DestinationKind {
-	if kind < 0 || kind >= len(a.Settings.DestinationKinds) {
+// destinationKind returns a kind by its index; the zero kind for an index that the settings do not have.
+func (a *Agent) destinationKind(index int) policy.DestinationKind {
+	if index < 0 || index >= len(a.Settings.DestinationKinds) {
 		return policy.DestinationKind{}
 	}
-	return a.Settings.DestinationKinds[kind]
+	return a.Settings.DestinationKinds[index]
 }
 
 // countSentCalls turns the messages that this step sent into calls: one call may carry a batch of them. Endpoints are
@@ -123,7 +117,7 @@
 func (a *Agent) countSentCalls() {
 	for _, endpoint := range slices.Sorted(maps.Keys(a.sentMessages)) {
 		messages := a.sentMessages[endpoint]
-		batch := max(1, a.destinationKind(a.Endpoints[endpoint].Kind).MaxBatch)
+		batch := a.destinationKind(a.Endpoints[endpoint].Kind).BatchSize()
 		calls := (messages + batch - 1) / batch
 		a.counter(a.scopeOf(endpoint)).Calls += float64(calls)
 	}
@@ -131,7 +125,7 @@
 }
 
 func (a *Agent) removeIdleCounters(now time.Duration) {
-	maps.DeleteFunc(a.Counters, func(_ limitScope, counter *scopeCounter) bool {
+	maps.DeleteFunc(a.Counters, func(_ quota.Scope, counter *scopeCounter) bool {
 		counter.decay(now)
 		return counter.idle(now)
 	})
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -2,6 +2,7 @@
 
 import (
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
@@ -25,7 +26,7 @@
 	case policy.MessageAccepted:
 		a.removeMessage(event.MessageID)
 		if event.Recovered == nil {
-			a.counter(limitScope{Destination: event.Destination}).Demand++
+			a.counter(quota.Scope{Destination: event.Destination}).Demand++
 		}
 		a.setWaiting(event.MessageID, pendingMessage{Destination: event.Destination}, true)
 	case policy.MessageCancelled:
@@ -56,7 +57,7 @@
 		a.removeMessage(action.MessageID)
 	case policy.RequestQuota:
 		if a.quota != nil {
-			a.quota.Request(a.Now, a.quotaScope(action.Endpoint), action.Calls)
+			a.quota.Request(a.Now, a.scopeOf(action.Endpoint), action.Calls)
 		}
 	}
 }
@@ -101,7 +102,7 @@
 	if message.Waiting == waiting {
 		return
 	}
-	counter := a.counter(limitScope{Destination: message.Destination})
+	counter := a.counter(quota.Scope{Destination: message.Destination})
 	if waiting {
 		counter.Backlog++
 	} else {
--- a/internal/fleet/agent/quota.go
+++ b/internal/fleet/agent/quota.go
@@ -34,19 +34,15 @@
 	return messages, events
 }
 
-func (a *Agent) quotaScope(endpoint string) quota.Scope {
-	scope := a.scopeOf(endpoint)
-	return quota.Scope{Destination: scope.Destination, Endpoint: scope.Endpoint}
-}
-
 // recordOutcome counts an outcome for the estimate of the limit. Rejections by an endpoint that may be warming up say
 // nothing about the limit: the engine's recovery ramp deals with them.
 func (a *Agent) recordOutcome(endpoint string, rejected bool) {
 	if a.quota == nil {
 		return
 	}
-	if rejected && a.counter(a.scopeOf(endpoint)).WarmingUp {
+	scope := a.scopeOf(endpoint)
+	if rejected && a.counter(scope).WarmingUp {
 		return
 	}
-	a.quota.RecordOutcome(a.quotaScope(endpoint), rejected)
+	a.quota.RecordOutcome(scope, rejected)
 }
--- a/internal/fleet/agent/snapshot.go
+++ b/internal/fleet/agent/snapshot.go
@@ -17,7 +17,7 @@
 	Settings          Settings                            `cbor:"Set"`
 	Incarnation       loadreport.Incarnation              `cbor:"Life"`
 	Sequence          uint64                              `cbor:"Sequence"` // of the last published report
-	Counters          map[limitScope]*scopeCounter        `cbor:"Tallies"`
+	Counters          map[quota.Scope]*scopeCounter       `cbor:"Tallies"`
 	Endpoints         map[string]endpointInfo             `cbor:"Routes"`
 	Pending           map[policy.MessageID]pendingMessage `cbor:"Held"`
 	Published         map[int]publishedReport             `cbor:"Told"` // by report number
--- a/internal/recording/explain/sample.go
+++ b/internal/recording/explain/sample.go
@@ -132,8 +132,7 @@
 
 // sharesLimit reports whether an endpoint shares its destination's limit with others.
 func (b *builder) sharesLimit(view *policy.EndpointView) bool {
-	kinds := b.settings.DestinationKinds
-	return view.Kind < 0 || view.Kind >= len(kinds) || !kinds[view.Kind].LimitPerEndpoint
+	return !b.settings.DestinationKind(view.Kind).LimitPerEndpoint
 }
 
 // fillBins fills an endpoint's series up to now. The last state holds until now.
--- a/internal/recording/fleetstats/reader.go
+++ b/internal/recording/fleetstats/reader.go
@@ -89,12 +89,10 @@
 
 func (r *recordingReader) updateEndpoint(listed policy.Endpoint) {
 	destination := strconv.Itoa(int(listed.Destination))
-	e := endpoint{destination: destination, scope: destination, maxBatch: 1}
-	if kinds := r.meta.Settings.DestinationKinds; listed.Kind >= 0 && listed.Kind < len(kinds) {
-		e.maxBatch = max(1, kinds[listed.Kind].MaxBatch)
-		if kinds[listed.Kind].LimitPerEndpoint {
-			e.scope += "/" + listed.ID
-		}
+	kind := r.meta.Settings.DestinationKind(listed.Kind)
+	e := endpoint{destination: destination, scope: destination, maxBatch: kind.BatchSize()}
+	if kind.LimitPerEndpoint {
+		e.scope += "/" + listed.ID
 	}
 	r.endpoints[listed.ID] = e
 	r.Limits[e.scope] = listed.Weight
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -74,7 +74,8 @@
 	}
 	endpoint, _ := r.catalog.Endpoint(a.Endpoint)
 	size := egress.BatchItemSize(m.TraceID, m.IdempotencyKey, m.Size())
-	c := findCall(calls, a.Endpoint, r.maxBatch(endpoint.Kind), size)
+	maxBatch := r.activeConfig.Settings.DestinationKind(endpoint.Kind).BatchSize()
+	c := findCall(calls, a.Endpoint, maxBatch, size)
 	if c == nil {
 		outgoing := egress.Call{EndpointID: a.Endpoint, Addr: endpoint.Addr, SentAt: time.Now()}
 		c = newCall(outgoing, endpoint.Zone)
@@ -97,15 +98,6 @@
 	return calls
 }
 
-// maxBatch is how many messages a call to an endpoint of this kind may carry.
-func (r *Relay) maxBatch(kind int) int {
-	kinds := r.activeConfig.Settings.DestinationKinds
-	if kind < 0 || kind >= len(kinds) {
-		return 1
-	}
-	return max(1, kinds[kind].MaxBatch)
-}
-
 // findCall returns the last of the calls to an endpoint that has room for one more message; nil if there is none.
 // Bodies are bounded: many small messages are no reason for the endpoint to reject a large one.
 func findCall(calls []*call, endpoint string, maxBatch, size int) (found *call) {
@@ -117,9 +109,9 @@
 	return found
 }
 
-// insertByDeadline inserts an attempt before those whose messages have less time left. A call goes by its first
-// message: a response that comes after that one's deadline tells nothing certain of the others, even if it is complete.
-// So no call may outlast its first message.
+// insertByDeadline inserts an attempt before those whose messages have less time left. The first
+// message sets the deadline of a call: a response that comes after it proves nothing about the others, even if it is
+// complete. So no call may outlast its first message.
 func (c *call) insertByDeadline(a *attempt) {
 	i := slices.IndexFunc(c.attempts, func(b *attempt) bool { return b.message.Deadline.Before(a.message.Deadline) })
 	if i < 0 {
--- a/policy/call.go
+++ b/policy/call.go
@@ -62,9 +62,4 @@
 }
 
 // maxBatch returns the number of messages that a call to a kind of destination may carry.
-func (e *Engine) maxBatch(kind int) int {
-	if kind >= 0 && kind < len(e.settings.DestinationKinds) {
-		return max(1, e.settings.DestinationKinds[kind].MaxBatch)
-	}
-	return 1
-}
+func (e *Engine) maxBatch(kind int) int { return e.settings.DestinationKind(kind).BatchSize() }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -110,7 +110,7 @@
 	dest := e.ensureDestination(listed.Destination)
 	ep := &endpoint{Endpoint: listed, tieBreaker: e.rng.Uint64()}
 	e.endpoints[listed.ID] = ep
-	perEndpoint := e.limitPerEndpoint(listed.Kind)
+	perEndpoint := e.settings.DestinationKind(listed.Kind).LimitPerEndpoint
 	if perEndpoint || len(dest.scopes) == 0 {
 		scope := &limitScope{
 			destination:      dest,
@@ -133,14 +133,6 @@
 	return dest
 }
 
-// limitPerEndpoint reports whether each endpoint of a kind has its own limit scope.
-func (e *Engine) limitPerEndpoint(kind int) bool {
-	if kind < 0 || kind >= len(e.settings.DestinationKinds) {
-		return false
-	}
-	return e.settings.DestinationKinds[kind].LimitPerEndpoint
-}
-
 // removeEndpoint removes an endpoint from the tables. Calls in flight keep it alive until their outcomes.
 func (e *Engine) removeEndpoint(ep *endpoint) {
 	ep.Removed = true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -46,6 +46,9 @@
 	MaxBatch int `json:"PerCall"`
 }
 
+// BatchSize returns the number of messages that one call may carry, 1 at least.
+func (kind DestinationKind) BatchSize() int { return max(1, kind.MaxBatch) }
+
 // Tenant is one customer of the service.
 type Tenant struct {
 	// Quota is the traffic in messages a second, over all relays, that the tenant may send; 0: no quota is set.
@@ -100,14 +103,20 @@
 // relay would let a call through within a message's time.
 const maxFleetSize = 1_000_000
 
+// DestinationKind returns a kind by its index; the zero kind for an index that the settings do not have.
+func (settings *Settings) DestinationKind(index int) DestinationKind {
+	if index < 0 || index >= len(settings.DestinationKinds) {
+		return DestinationKind{}
+	}
+	return settings.DestinationKinds[index]
+}
+
 // validate returns an error for settings that make no sense.
 func (settings *Settings) validate() error {
 	if len(settings.Classes) == 0 {
 		return errors.New("policy: settings name no class")
 	}
-	lowestCount := min(
-		settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.MaxAttempts,
-	)
+	lowestCount := min(settings.FleetSize, settings.MaxInFlightCalls, settings.MaxPendingMessages, settings.MaxAttempts)
 	if lowestCount < 0 {
 		return errors.New("policy: settings hold a negative count")
 	}
