--- a/internal/fleet/loadreport/table_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -226,10 +226,18 @@
 	table := newTestTable()
 	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
 	mustMerge(t, table, 0, Report{
-		Name: "a", Incarnation: earlier, Number: 0, Sequence: 50, Scopes: []ScopeLoad{newScopeLoad(1, 5)},
+		Name:        "a",
+		Incarnation: earlier,
+		Number:      0,
+		Sequence:    50,
+		Scopes:      []ScopeLoad{newScopeLoad(1, 5)},
 	})
 	mustMerge(t, table, 0, Report{
-		Name: "a", Incarnation: later, Number: 1, Sequence: 1, Scopes: []ScopeLoad{newScopeLoad(4, 1)},
+		Name:        "a",
+		Incarnation: later,
+		Number:      1,
+		Sequence:    1,
+		Scopes:      []ScopeLoad{newScopeLoad(4, 1)},
 	})
 	if got := allReports(table, 0); len(got) != 1 || got[0].Number != 1 {
 		t.Error("the earlier incarnation was not dropped:", got)
--- a/internal/fleet/membership/quota.go
+++ b/internal/fleet/membership/quota.go
@@ -46,7 +46,7 @@
 	return messages
 }
 
-// receiveQuota takes a quota message if its sender's clock is known. Otherwise its time in transit cannot be told; it
+// receiveQuota takes a quota message if its sender's clock is known. Otherwise its time in transit is unknown: it
 // is dropped, and sent again by its sender. n.mu must be held.
 func (n *Node) receiveQuota(now time.Duration, message codec.Message) {
 	sent := microseconds(message.Clock)
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -100,7 +100,7 @@
 
 // mergeReports merges the reports of a message, with the message's time in transit added to their ages: it may have
 // been held up by the network, or while either process was stopped. While the sender's clock is not known, that time
-// cannot be told, and the message is deferred. n.mu must be held.
+// is unknown, and the message is deferred. n.mu must be held.
 func (n *Node) mergeReports(now time.Duration, message codec.Message) []reportKey {
 	if len(message.EncodedReports) == 0 {
 		return nil
--- a/internal/fleet/quota/grant.go
+++ b/internal/fleet/quota/grant.go
@@ -42,10 +42,9 @@
 		}
 		rate += lease.Rate
 	}
-	account.HeldLeases = slices.DeleteFunc(
-		account.HeldLeases,
-		func(lease heldLease) bool { return lease.ExpiresAt <= l.Now },
-	)
+	account.HeldLeases = slices.DeleteFunc(account.HeldLeases, func(lease heldLease) bool {
+		return lease.ExpiresAt <= l.Now
+	})
 	maxRate := lendableFraction * account.Limit
 	if rate > maxRate {
 		added *= maxRate / rate
@@ -101,10 +100,9 @@
 
 // grantTokens grants whole tokens to the requests in the queue, round robin, one call at a time.
 func (l *Ledger) grantTokens(scope Scope, account *Account) {
-	account.Queue = slices.DeleteFunc(
-		account.Queue,
-		func(queued queuedRequest) bool { return l.Now >= queued.ExpiresAt },
-	)
+	account.Queue = slices.DeleteFunc(account.Queue, func(queued queuedRequest) bool {
+		return l.Now >= queued.ExpiresAt
+	})
 	satisfied := 0 // requests in succession that want no more
 	for account.Tokens >= 1 && satisfied < len(account.Queue) {
 		queued := account.Queue[0]
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -135,10 +135,9 @@
 		return
 	}
 	// What this member has lent to itself ends at once.
-	account.HeldLeases = slices.DeleteFunc(
-		account.HeldLeases,
-		func(lease heldLease) bool { return lease.Lender == l.Settings.Self },
-	)
+	account.HeldLeases = slices.DeleteFunc(account.HeldLeases, func(lease heldLease) bool {
+		return lease.Lender == l.Settings.Self
+	})
 	m := l.messageTo(account.LeaseHolder)
 	m.Leases = append(m.Leases, Lease{
 		Scope:     scope,
@@ -160,10 +159,9 @@
 // recordLentLease records that a rate is lent to the lease holder now.
 func (l *Ledger) recordLentLease(account *Account, rate float64) {
 	if account.LeaseHolder != l.Settings.Self { // what this member has lent to itself ends at once
-		account.LentLeases = slices.DeleteFunc(
-			account.LentLeases,
-			func(lease lentLease) bool { return lease.Holder == l.Settings.Self },
-		)
+		account.LentLeases = slices.DeleteFunc(account.LentLeases, func(lease lentLease) bool {
+			return lease.Holder == l.Settings.Self
+		})
 	}
 	if rate <= 0 {
 		return
--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -240,10 +240,9 @@
 	account.estimateCapacity(l.Now)
 	l.grantTokens(scope, account)
 	l.notifyReservedFraction(scope, account)
-	account.LentLeases = slices.DeleteFunc(
-		account.LentLeases,
-		func(lease lentLease) bool { return l.Now >= lease.ReservedUntil },
-	)
+	account.LentLeases = slices.DeleteFunc(account.LentLeases, func(lease lentLease) bool {
+		return l.Now >= lease.ReservedUntil
+	})
 }
 
 // notifyReservedFraction notifies the policy if the fraction of its share that this member may use has changed.
--- a/internal/fleet/quota/restart.go
+++ b/internal/fleet/quota/restart.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// answerLeaseQuery tells a member that has started that no lease of another incarnation of it is held, and that none
+// answerLeaseQuery answers a member that has started that no lease of another incarnation of it is held, and that none
 // will be accepted for as long as one may be in transit. It does not answer while one is held: the member asks again,
 // or waits until it has expired.
 func (l *Ledger) answerLeaseQuery(m Message, p *peer) {
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -98,7 +98,11 @@
 
 func connectFailed(id policy.MessageID, attempt int) policy.Event {
 	return policy.Event{
-		Kind: policy.AttemptFinished, MessageID: id, Attempt: attempt, Endpoint: "r", Outcome: policy.ConnectFailed,
+		Kind:      policy.AttemptFinished,
+		MessageID: id,
+		Attempt:   attempt,
+		Endpoint:  "r",
+		Outcome:   policy.ConnectFailed,
 	}
 }
 
--- a/internal/recording/explain/html.go
+++ b/internal/recording/explain/html.go
@@ -145,7 +145,9 @@
 				start = i
 			case !set && start >= 0:
 				shades = append(shades, chart.Shade{
-					Name: state.name, From: time.Duration(start) * bin, To: time.Duration(i) * bin,
+					Name: state.name,
+					From: time.Duration(start) * bin,
+					To:   time.Duration(i) * bin,
 				})
 				start = -1
 			}
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -88,8 +88,12 @@
 	}
 	for _, t := range report.Transitions {
 		line := transitionLine{
-			Kind: "transition", At: t.At.Seconds(), Destination: t.Destination, Endpoint: t.Endpoint, Text: t.Text,
-			Outcome: t.Outcome,
+			Kind:        "transition",
+			At:          t.At.Seconds(),
+			Destination: t.Destination,
+			Endpoint:    t.Endpoint,
+			Text:        t.Text,
+			Outcome:     t.Outcome,
 		}
 		if err := out.Encode(line); err != nil {
 			return err
@@ -153,7 +157,10 @@
 	}
 	for _, span := range m.Spans {
 		record.Spans = append(record.Spans, spanRecord{
-			From: span.From.Seconds(), To: span.To.Seconds(), Cause: CauseName(span.Cause), Endpoint: span.Endpoint,
+			From:     span.From.Seconds(),
+			To:       span.To.Seconds(),
+			Cause:    CauseName(span.Cause),
+			Endpoint: span.Endpoint,
 		})
 	}
 	for _, attempt := range m.Attempts {
--- a/internal/recording/explain/text.go
+++ b/internal/recording/explain/text.go
@@ -58,9 +58,7 @@
 		report.Meta.Started.UTC().Format(time.RFC3339Nano),
 	)
 	if !report.Replay.SameRevision() {
-		p.line(
-			"recorded by revision %s of the module, explained by %s", report.Meta.Revision, report.Replay.Revision,
-		)
+		p.line("recorded by revision %s of the module, explained by %s", report.Meta.Revision, report.Replay.Revision)
 	}
 	if difference := report.Replay.Difference; difference != nil {
 		p.line("NOT EXPLAINED beyond here: the module as built here decides otherwise: %v", difference)
--- a/internal/recording/fleetstats/fleetstats_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -14,7 +14,10 @@
 
 func accepted(id policy.MessageID, destination policy.DestinationID) policy.Event {
 	return policy.Event{
-		Kind: policy.MessageAccepted, MessageID: id, Destination: destination, TimeLeft: 10 * time.Second,
+		Kind:        policy.MessageAccepted,
+		MessageID:   id,
+		Destination: destination,
+		TimeLeft:    10 * time.Second,
 	}
 }
 
@@ -110,7 +113,14 @@
 	}
 	for scope, want := range map[string]Counts{
 		"1": {
-			Accepted: 4, Recovered: 2, Calls: 4, Sent: 6, Rejected: 2, WithRetryAfter: 2, Delivered: 2, Late: 2,
+			Accepted:         4,
+			Recovered:        2,
+			Calls:            4,
+			Sent:             6,
+			Rejected:         2,
+			WithRetryAfter:   2,
+			Delivered:        2,
+			Late:             2,
 			RejectedMessages: 2,
 		},
 		"2":   {Accepted: 2, FailedMessages: 2},
--- a/internal/recording/statecodec/golden_test.go
+++ b/internal/recording/statecodec/golden_test.go
@@ -15,8 +15,15 @@
 func goldenNode() *node {
 	child := &node{name: "child", n: -2, list: []int{3}, named: map[string]int{}}
 	root := &node{
-		name: "root", n: 300, small: 255, big: 1 << 63, on: true, x: -1.5, at: time.Minute,
-		list: []int{1, -1, 1 << 40}, named: map[string]int{"b": 2, "a": 1},
+		name:  "root",
+		n:     300,
+		small: 255,
+		big:   1 << 63,
+		on:    true,
+		x:     -1.5,
+		at:    time.Minute,
+		list:  []int{1, -1, 1 << 40},
+		named: map[string]int{"b": 2, "a": 1},
 	}
 	root.peers = []*node{child, nil, child}
 	child.parent = root
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// ready tells whether the platform may count on this process.
+// ready reports whether the platform may count on this process.
 func (r *Relay) ready() bool {
 	serving := r.endpointsKnown.Load() || r.awaitingHandover.Load()
 	return serving && !r.terminating.Load()
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -85,7 +85,7 @@
 	return r.duplicateReply(known), true
 }
 
-// admit tells whether there is a destination and capacity for a new message; if not, reply rejects it.
+// admit reports whether there is a destination and capacity for a new message; if not, reply rejects it.
 func (r *Relay) admit(m *journal.Message) (reply ingress.Response, admitted bool) {
 	if r.listReceived && !r.catalog.HasDestination(m.Destination) {
 		r.countResult(m, metrics.Failed)
--- a/internal/relay/configfile.go
+++ b/internal/relay/configfile.go
@@ -124,7 +124,7 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// relaySettings are the settings that the relay itself goes by. The policy's are mapped by package simwire.
+// relaySettings are the settings that the relay itself uses. The policy's are mapped by package simwire.
 type relaySettings struct {
 	Services []namedEntry `json:"services"`
 	Realms   []namedEntry `json:"realms"`
--- a/internal/relay/discovery/list.go
+++ b/internal/relay/discovery/list.go
@@ -19,7 +19,7 @@
 type List struct {
 	Version int64
 	Full    bool    // it names all endpoints
-	Entries []Entry // each is read by itself: an unreadable one spoils no other
+	Entries []Entry // each is read by itself: an unreadable one does not affect the others
 }
 
 // Entry is one entry of a list as it was read.
--- a/internal/relay/discovery/list_test.go
+++ b/internal/relay/discovery/list_test.go
@@ -47,8 +47,13 @@
 	t.Helper()
 	lists := make(chan List, 64)
 	w := NewWatcher(Config{
-		Log: log, Client: NewClient(addr), IdleTimeout: nettest.Patience, Version: version, Parser: testParser(),
-		OnUpdate: func(l List) { lists <- l }, Backoff: backoff.Backoff{Clients: 1},
+		Log:         log,
+		Client:      NewClient(addr),
+		IdleTimeout: nettest.Patience,
+		Version:     version,
+		Parser:      testParser(),
+		OnUpdate:    func(l List) { lists <- l },
+		Backoff:     backoff.Backoff{Clients: 1},
 	})
 	start(t, w)
 	for !ok(delivered) {
--- a/internal/relay/discovery/parts.go
+++ b/internal/relay/discovery/parts.go
@@ -44,7 +44,7 @@
 	Reply chan bool
 }
 
-// errStopped tells that the owner of the watcher takes no more parts.
+// errStopped reports that the owner of the watcher takes no more parts.
 var errStopped = errors.New("relay has stopped")
 
 // partSender sends the parts of a long list to the owner of a watcher, one at a time, while the next one is read.
--- a/internal/relay/discovery/reader.go
+++ b/internal/relay/discovery/reader.go
@@ -18,7 +18,7 @@
 // Several times what the largest sites have.
 const MaxEntries = 1 << 20
 
-// ErrTooLong tells that a list, or an entry of it, is beyond its bound.
+// ErrTooLong reports that a list, or an entry of it, is beyond its bound.
 var ErrTooLong = errors.New("list too long")
 
 var (
@@ -27,7 +27,7 @@
 	errNotAList       = errors.New("not a list")
 )
 
-// ListHead is what a list tells beside its entries, as far as it has been read.
+// ListHead is what a list holds beside its entries, as far as it has been read.
 type ListHead struct {
 	Version    int64
 	Full       bool
@@ -53,7 +53,7 @@
 }
 
 // Next reads one list. Its keys may come in any order: head is filled in as they do. Each entry goes to take, whose
-// error ends the reading. The error is io.EOF if no other list follows. Errors of which isUnreadable holds tell that
+// error ends the reading. The error is io.EOF if no other list follows. Errors of which isUnreadable holds say that
 // what was read is no list; see resume.
 func (r *ListReader) Next(head *ListHead, take func(Entry) error) error {
 	if !r.resumed {
@@ -181,13 +181,13 @@
 	}
 }
 
-// isUnreadable tells whether an error of Next says that what was read is no list, and not that reading ended.
+// isUnreadable reports whether an error of Next says that what was read is no list, and not that reading ended.
 func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	return errors.As(err, &syntax) || isTypeError(err) || errors.Is(err, errNotAList)
 }
 
-// isTypeError tells whether a value was read in full, and has another type than the one that it was decoded to.
+// isTypeError reports whether a value was read in full, and has another type than the one that it was decoded to.
 func isTypeError(err error) bool {
 	var mismatch *json.UnmarshalTypeError
 	return errors.As(err, &mismatch)
--- a/internal/relay/discovery/receive.go
+++ b/internal/relay/discovery/receive.go
@@ -89,7 +89,7 @@
 	return catalog.MaxEagerEndpoints
 }
 
-// largeList tells whether the owner's list is a long one.
+// largeList reports whether the owner's list is a long one.
 func (r *receiver) largeList() bool { return r.cfg.LargeList != nil && r.cfg.LargeList() }
 
 // beginParts begins to deliver the list in parts, unless it brings changes that are known already.
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -50,7 +50,7 @@
 	OnUpdate func(List)               // receives lists that are delivered as a whole
 	OnPart   func(*SnapshotPart) bool // receives the parts of other lists; false: the owner has stopped
 	Stopped  <-chan struct{}          // closed when the owner has stopped and answers no more parts
-	// LargeList tells whether all full lists, and changes over MaxPartEntries, go in parts. nil: they do not.
+	// LargeList reports whether all full lists, and changes over MaxPartEntries, go in parts. nil: they do not.
 	LargeList func() bool
 }
 
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -50,9 +50,14 @@
 	})
 	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
-		OnUpdate: func(l List) { delivered <- l }, Backoff: backoff.Backoff{Clients: 1},
-		Rand: rand.New(rand.NewPCG(1, 2)),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 50 * time.Millisecond,
+		Version:     4,
+		HasList:     true,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     backoff.Backoff{Clients: 1},
+		Rand:        rand.New(rand.NewPCG(1, 2)),
 	})
 	start(t, w)
 	select {
@@ -89,8 +94,12 @@
 	client := NewClient(addrOf(old))
 	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: client, IdleTimeout: nettest.Patience, OnUpdate: func(l List) { delivered <- l },
-		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      client,
+		IdleTimeout: nettest.Patience,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour},
+		Rand:        rand.New(maxSource{}),
 	})
 	start(t, w)
 	receive := func(version int64) {
@@ -173,8 +182,13 @@
 	var settings policy.Settings
 	settings.FleetSize = 300
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
-		OnUpdate: func(l List) { delivered <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 30 * time.Millisecond,
+		HasList:     true,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     NewBackoff(settings, grace),
+		Rand:        rand.New(maxSource{}),
 	})
 	began := time.Now()
 	start(t, w)
@@ -293,9 +307,14 @@
 	})
 	delivered := make(chan time.Time, 8)
 	start(t, NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
-		OnUpdate: func(List) { delivered <- time.Now() }, Backoff: NewBackoff(settings, time.Second),
-		Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: WatchIdleTimeout,
+		HasList:     true,
+		Version:     4,
+		OnUpdate:    func(List) { delivered <- time.Now() },
+		Backoff:     NewBackoff(settings, time.Second),
+		Rand:        rand.New(maxSource{}),
 	}))
 	var since time.Time
 	select {
@@ -322,8 +341,11 @@
 	})
 	delivered := make(chan List, 10)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
-		OnUpdate: func(l List) { delivered <- l },
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 50 * time.Millisecond,
+		Version:     4,
+		OnUpdate:    func(l List) { delivered <- l },
 	})
 	start(t, w)
 	for _, want := range []string{"4", "9"} {
--- a/internal/relay/egress/client.go
+++ b/internal/relay/egress/client.go
@@ -30,7 +30,7 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Config is what a client goes by.
+// Config configures a Client.
 type Config struct {
 	ConnectTimeout time.Duration
 	KeepAlive      time.Duration // endpoints close a connection that stood idle for so long
--- a/internal/relay/egress/pool.go
+++ b/internal/relay/egress/pool.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// getConn returns an idle connection to an endpoint, else a new one; dialed tells which.
+// getConn returns an idle connection to an endpoint, else a new one; dialed reports which.
 func (p *pool) getConn(ctx context.Context, target endpointAddr) (conn *pooledConn, dialed bool, err error) {
 	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		if _, quiet := c.Unwatch(); quiet && time.Since(c.idleSince) < p.idleTimeout {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -23,7 +23,7 @@
 	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
-// cancelEvent tells that the client left before it had the answer to its message.
+// cancelEvent reports that the client left before it had the answer to its message.
 type cancelEvent struct{ messageID policy.MessageID }
 
 // callFinished carries the results of a call, one for each of its attempts.
@@ -32,7 +32,7 @@
 	results []egress.Result
 }
 
-// attemptTimeout tells that the time of one attempt is up while its call goes on for others.
+// attemptTimeout reports that the time of one attempt is up while its call goes on for others.
 type attemptTimeout struct{ attempt *attempt }
 
 // sendCheck asks which attempts of a delayed call may still be sent.
@@ -41,10 +41,10 @@
 	reply chan []*egress.Attempt // buffered; receives the attempts that may still be sent
 }
 
-// notificationsAcked tells that the platform has taken the final notifications of these messages.
+// notificationsAcked reports that the platform has taken the final notifications of these messages.
 type notificationsAcked struct{ messageIDs []policy.MessageID }
 
-// stopAccepting tells that no more messages come.
+// stopAccepting reports that no more messages come.
 type stopAccepting struct{}
 
 // stopSending ends all decisions: from here on only outcomes are recorded.
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -65,7 +65,7 @@
 func (r *Relay) prepareSend(x *execution, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil {
-		// A bug, but one call slot less is better than no relay.
+		// A bug, but one call less in flight is better than no relay.
 		r.log.Error("send of an unknown message", "message_id", a.MessageID)
 		return
 	}
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -64,7 +64,7 @@
 // forward answers the watcher: nobody here uses the list any more.
 func (e partEvent) forward(*Relay) { e.part.Reply <- true }
 
-// forward answers that nothing may be sent: nobody here can tell any more.
+// forward answers that nothing may be sent: this process no longer knows.
 func (e sendCheck) forward(*Relay) { e.reply <- nil }
 
 func (e metricsRequest) forward(r *Relay) {
@@ -81,7 +81,7 @@
 	r.clearSuccessor(e.conn)
 }
 
-// forwardOutcome sends the outcome of an attempt to the successor. callFinished tells that no other one follows.
+// forwardOutcome sends the outcome of an attempt to the successor. callFinished says that no other one follows.
 func (r *Relay) forwardOutcome(a *attempt, res egress.Result, callFinished bool) {
 	r.sendToSuccessor(hotrestart.Frame{Outcome: &hotrestart.Outcome{
 		ID:           a.message.ID,
@@ -171,8 +171,8 @@
 	}
 }
 
-// abort tells that no answer comes any more. The successor may have accepted what was forwarded: its client must not be
-// told to submit again, and is told that the message failed.
+// abort answers submissions to which no answer comes any more. The successor may have accepted them: their clients must
+// not submit again, and learn that the message failed.
 func (f *forwardedSubmissions) abort() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,7 +182,7 @@
 	clear(f.pending)
 }
 
-// empty tells whether all submissions are answered.
+// empty reports whether all submissions are answered.
 func (f *forwardedSubmissions) empty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -37,7 +37,7 @@
 	golden.Compare(t, *update, "every-key.out.txt", b.String())
 }
 
-// relaySettingsOf lists what the relay itself goes by.
+// relaySettingsOf lists the settings that the relay itself uses.
 func relaySettingsOf(c *Config) []setting {
 	return []setting{
 		{"name", c.Name},
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -27,13 +27,13 @@
 	forwarded forwardedSubmissions
 }
 
-// successorReady tells that a process is ready to take over.
+// successorReady reports that a process is ready to take over.
 type successorReady struct{ conn *hotrestart.Conn }
 
-// successorGone tells that such a process has closed its connection.
+// successorGone reports that such a process has closed its connection.
 type successorGone struct{ conn *hotrestart.Conn }
 
-// handOverRequest asks the loop to hand over. The reply tells whether it has.
+// handOverRequest asks the loop to hand over. The reply says whether it has.
 type handOverRequest struct{ reply chan bool }
 
 func (e successorReady) apply(r *Relay, _ *stepState) { r.setSuccessor(e.conn) }
--- a/internal/relay/hotrestart/conn.go
+++ b/internal/relay/hotrestart/conn.go
@@ -30,7 +30,7 @@
 )
 
 var (
-	// ErrNoPredecessor tells that no process listens to hand over.
+	// ErrNoPredecessor reports that no process listens to hand over.
 	ErrNoPredecessor = errors.New("handover: no process to take over from")
 
 	errFrameTooLarge = errors.New("frame too large")
@@ -76,8 +76,8 @@
 	return l, nil
 }
 
-// RequestState asks the process at the other end to hand over, and waits until it does. awaiting is told when that
-// process knows of this one, and when the wait is over: a process that is told to end between the two hands over. The
+// RequestState asks the process at the other end to hand over, and waits until it does. awaiting is called when that
+// process knows of this one, and when the wait is over: a process that is terminated between the two hands over. The
 // state is nil if the other end ends without handing over.
 func (c *Conn) RequestState(revision string, awaiting func(bool)) (*State, error) {
 	if err := c.Send(Frame{Hello: &Hello{Revision: revision}}); err != nil {
@@ -85,7 +85,7 @@
 	}
 	f, err := c.Receive()
 	if err == nil && f.Welcome {
-		// Not before: told to end between a yes here and the hello there, the other process would end without handing
+		// Not before: terminated between a yes here and the hello there, the other process would end without handing
 		// over.
 		awaiting(true)
 		f, err = c.Receive()
--- a/internal/relay/hotrestart/conn_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -28,8 +28,13 @@
 		{Hello: &Hello{Revision: "0123"}},
 		{Welcome: true},
 		{State: &State{
-			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255},
-			Version: 41, Destinations: []policy.DestinationID{7}, LastID: 9,
+			Now:          time.Hour,
+			At:           at,
+			WakeAt:       at,
+			Snapshot:     []byte{0, 1, 255},
+			Version:      41,
+			Destinations: []policy.DestinationID{7},
+			LastID:       9,
 			Config: reload.Config{
 				ClassNames: []string{"order"},
 				Settings:   policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}},
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -31,7 +31,7 @@
 // Conn.EndHandling while the response is awaited.
 type Handler func(conn *Conn, request *http.Request) Response
 
-// Config is what a server goes by.
+// Config configures a Server.
 type Config struct {
 	MaxConns int
 	Handler  Handler
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -18,7 +18,7 @@
 	defaultWarmUp = 30 * time.Second
 )
 
-// isActive tells whether the policy holds a destination.
+// isActive reports whether the policy holds a destination.
 func (r *Relay) isActive(destination policy.DestinationID) bool {
 	return !r.largeList.Load() || r.workingSet.Contains(destination)
 }
@@ -131,10 +131,10 @@
 	return updates
 }
 
-// endsService tells whether an entry drains or removes its endpoint.
+// endsService reports whether an entry drains or removes its endpoint.
 func endsService(e *discovery.Entry) bool { return e.Err == nil && !e.InService }
 
-// exceedsCatalog tells whether an entry names a new endpoint that the catalog may not hold.
+// exceedsCatalog reports whether an entry names a new endpoint that the catalog may not hold.
 func (r *Relay) exceedsCatalog(e *discovery.Entry) bool {
 	if r.catalog.EndpointCount() < discovery.MaxEntries || e.Err != nil {
 		return false
@@ -169,7 +169,7 @@
 	return out
 }
 
-// isListEvent tells whether events of this kind carry changes of the endpoint list.
+// isListEvent reports whether events of this kind carry changes of the endpoint list.
 func isListEvent(kind policy.EventKind) bool {
 	return kind == policy.EndpointDelta || kind == policy.EndpointSnapshot
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -148,15 +148,15 @@
 }
 
 // waitForTick waits for the next step's time. Parts of a long list are taken meanwhile.
-func (r *Relay) waitForTick(batch []event, rest time.Duration) []event {
-	if rest <= 0 {
+func (r *Relay) waitForTick(batch []event, remaining time.Duration) []event {
+	if remaining <= 0 {
 		return batch
 	}
 	if !r.receivingSnapshot {
-		time.Sleep(rest)
+		time.Sleep(remaining)
 		return batch
 	}
-	due := time.NewTimer(rest)
+	due := time.NewTimer(remaining)
 	defer due.Stop()
 	for len(batch) < maxBatchEvents {
 		select {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// allFinished tells whether no message is left but cancelled ones without an attempt in flight.
+// allFinished reports whether no message is left but cancelled ones without an attempt in flight.
 func (r *Relay) allFinished() bool {
 	for _, m := range r.messages {
 		if m.inFlight > 0 || !m.Cancelled {
@@ -144,7 +144,7 @@
 	return classes[m.Class], true
 }
 
-// isIdempotent tells whether a message may run any number of times without harm.
+// isIdempotent reports whether a message may run any number of times without harm.
 func (r *Relay) isIdempotent(m *journal.Message) bool {
 	class, known := r.classOf(m)
 	return known && class.Effect == policy.Idempotent
@@ -162,16 +162,14 @@
 	r.journal.RecordFinal(m.Message, final)
 	r.queueNotification(m)
 	// The policy has counted an attempt that is never sent.
-	r.deferredEvents = append(
-		r.deferredEvents,
-		policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID},
-		policy.Event{
-			Kind:         policy.AttemptFinished,
-			MessageID:    m.ID,
-			Attempt:      m.attemptsStarted,
-			Outcome:      policy.NotSent,
-			MessageEnded: true,
-		},
-	)
+	cancelled := policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID}
+	notSent := policy.Event{
+		Kind:         policy.AttemptFinished,
+		MessageID:    m.ID,
+		Attempt:      m.attemptsStarted,
+		Outcome:      policy.NotSent,
+		MessageEnded: true,
+	}
+	r.deferredEvents = append(r.deferredEvents, cancelled, notSent)
 	r.requestStepAfter(r.cfg.Tick)
 }
--- a/internal/relay/notify/sender.go
+++ b/internal/relay/notify/sender.go
@@ -1,4 +1,4 @@
-// Package notify sends final notifications to the platform: how messages ended that it was told were accepted.
+// Package notify sends final notifications to the platform: how accepted messages ended that were not delivered.
 package notify
 
 import (
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -100,7 +100,7 @@
 // DumpRecording writes out what the flight recorder's ring holds. It may be called at any time, from any goroutine.
 func (r *Relay) DumpRecording(reason string) { r.sharedRecorder.Load().dump(reason) }
 
-// dumpOnPanic writes out the recording of a loop that panics, and lets it panic. It must be deferred.
+// dumpOnPanic writes out the recording of a loop that panics, and panics again. It must be deferred.
 func (r *Relay) dumpOnPanic() {
 	if x := recover(); x != nil {
 		r.recorder.dump("crash")
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -34,7 +34,11 @@
 	for name, folder := range map[string]string{"log": "", "folder": filepath.Join(t.TempDir(), "kept")} {
 		t.Run(name, func(t *testing.T) {
 			settings := operatorfile.Recorder{
-				Enabled: true, RingMB: 1, Write: operatorfile.WriteRing, Folder: folder, FolderMB: 2,
+				Enabled:  true,
+				RingMB:   1,
+				Write:    operatorfile.WriteRing,
+				Folder:   folder,
+				FolderMB: 2,
 			}
 			r, out := newRecordedRelay(t, settings)
 			r.recoverState()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -224,5 +224,5 @@
 	}
 }
 
-// watcherStream tells the watcher's random numbers from those of other parts that have the same seed.
+// watcherStream sets the watcher's random numbers apart from those of other parts that have the same seed.
 const watcherStream = 0x68657264
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -28,7 +28,7 @@
 	latestGeneration int           // of latestConfig: changes of an earlier generation are void
 }
 
-// Reload applies what may change while the relay runs: the settings and discovery's address, or neither. err tells that
+// Reload applies what may change while the relay runs: the settings and discovery's address, or neither. err says that
 // the file could not be read at all. Only one goroutine may call it at a time.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
@@ -59,7 +59,7 @@
 	time.AfterFunc(configOverlap+removedClassGrace, func() { r.post(configChange{to, generation}) })
 }
 
-// changeConfig has the policy and the relay go by another configuration.
+// changeConfig applies another configuration to the policy and the relay.
 func (r *Relay) changeConfig(e configChange) {
 	if e.generation < r.activeGeneration {
 		return
@@ -73,7 +73,7 @@
 	r.applyConfig(e.config)
 }
 
-// applyConfig has the loop and the reading of clients' requests go by a configuration.
+// applyConfig applies a configuration to the loop and to the parsing of clients' requests.
 func (r *Relay) applyConfig(config reload.Config) {
 	for _, class := range config.ClassNames {
 		r.metrics.RegisterClass(class)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// closeWhenDrained tells shutdown once nothing is left to wait for.
+// closeWhenDrained notifies shutdown once nothing is left to wait for.
 func (r *Relay) closeWhenDrained() {
 	if !r.stopping || r.drainedClosed {
 		return
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"maps"
@@ -13,7 +14,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// errTerminated tells that this process was told to end before it took over.
+// errTerminated reports that this process was terminated before it took over.
 var errTerminated = errors.New("relay: terminated before it took over")
 
 // attemptKey names an attempt across processes.
@@ -22,10 +23,10 @@
 	number    int
 }
 
-// remoteOutcome tells the outcome of an attempt that the predecessor made.
+// remoteOutcome is the outcome of an attempt that the predecessor made.
 type remoteOutcome hotrestart.Outcome
 
-// predecessorGone tells that nothing more comes from the predecessor.
+// predecessorGone reports that nothing more comes from the predecessor.
 type predecessorGone struct{}
 
 func (e remoteOutcome) apply(r *Relay, s *stepState) {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// closePredecessor ends the connection to the predecessor. Its error tells nothing: all that is left to do with the
-// connection is to be rid of it.
+// closePredecessor ends the connection to the predecessor. Its error does not matter: nothing
+// more is done with the connection.
 func (r *Relay) closePredecessor() { _ = r.predecessor.Close() }
 
 // receiveFromPredecessor posts to the loop what the predecessor sends after its state: outcomes of its attempts, and
@@ -133,7 +134,7 @@
 	return events
 }
 
-// abandonRemoteAttempts ends the attempts whose outcomes the predecessor has not told: they may have run.
+// abandonRemoteAttempts ends the attempts whose outcomes the predecessor has not sent: they may have run.
 func (r *Relay) abandonRemoteAttempts(events []policy.Event) []policy.Event {
 	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), compareAttempts) {
 		a := r.remoteAttempts[key]
@@ -146,11 +147,11 @@
 
 // compareAttempts orders attempts by message and number.
 func compareAttempts(a, b attemptKey) int {
-	return int(int64(a.messageID)-int64(b.messageID))*1000 + a.number - b.number
+	return cmp.Or(cmp.Compare(a.messageID, b.messageID), cmp.Compare(a.number, b.number))
 }
 
-// resumeAfterRemoteAttempt tells the policy the outcome of an attempt of a message that it does not know yet, and of
-// the message once that has no other attempt in flight.
+// resumeAfterRemoteAttempt notifies the policy of the outcome of an attempt of a message that it does not know yet, and
+// of the message once that has no other attempt in flight.
 func (r *Relay) resumeAfterRemoteAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	events = append(events, policy.Event{
 		Kind:        policy.HealthChecked,
--- a/internal/state/clock/timeline_test.go
+++ b/internal/state/clock/timeline_test.go
@@ -22,27 +22,45 @@
 	const elapsed = 5 * time.Second
 	for name, c := range map[string]resumeCase{
 		"the clock is not set": {
-			bootIDs: [2]string{"a", "a"}, elapsed: elapsed, wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+			bootIDs:    [2]string{"a", "a"},
+			elapsed:    elapsed,
+			wantAge:    elapsed,
+			wantEpochs: [2]int64{1, 1},
 		},
 		"set back by an hour": {
-			bootIDs: [2]string{"a", "a"}, wallStep: -time.Hour, elapsed: elapsed,
-			wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+			bootIDs:    [2]string{"a", "a"},
+			wallStep:   -time.Hour,
+			elapsed:    elapsed,
+			wantAge:    elapsed,
+			wantEpochs: [2]int64{1, 1},
 		},
 		"set forward by an hour": {
-			bootIDs: [2]string{"a", "a"}, wallStep: time.Hour, elapsed: elapsed,
-			wantAge: elapsed, wantEpochs: [2]int64{1, 1},
+			bootIDs:    [2]string{"a", "a"},
+			wallStep:   time.Hour,
+			elapsed:    elapsed,
+			wantAge:    elapsed,
+			wantEpochs: [2]int64{1, 1},
 		},
 		"a drift is no step": {
-			bootIDs: [2]string{"a", "a"}, wallStep: 3 * time.Millisecond, elapsed: elapsed,
-			wantAge: elapsed + 3*time.Millisecond, wantEpochs: [2]int64{1, 1},
+			bootIDs:    [2]string{"a", "a"},
+			wallStep:   3 * time.Millisecond,
+			elapsed:    elapsed,
+			wantAge:    elapsed + 3*time.Millisecond,
+			wantEpochs: [2]int64{1, 1},
 		},
 		"rebooted, set back by 2 s": {
-			bootIDs: [2]string{"a", "b"}, wallStep: -2 * time.Second, elapsed: elapsed,
-			wantAge: elapsed - 2*time.Second, wantEpochs: [2]int64{1, 2},
+			bootIDs:    [2]string{"a", "b"},
+			wallStep:   -2 * time.Second,
+			elapsed:    elapsed,
+			wantAge:    elapsed - 2*time.Second,
+			wantEpochs: [2]int64{1, 2},
 		},
 		"no boot ID, set back by 2 s": {
-			bootIDs: [2]string{"", ""}, wallStep: -2 * time.Second, elapsed: elapsed,
-			wantAge: elapsed - 2*time.Second, wantEpochs: [2]int64{0, 0},
+			bootIDs:    [2]string{"", ""},
+			wallStep:   -2 * time.Second,
+			elapsed:    elapsed,
+			wantAge:    elapsed - 2*time.Second,
+			wantEpochs: [2]int64{0, 0},
 		},
 	} {
 		t.Run(name, func(t *testing.T) { checkResume(t, c) })
--- a/internal/state/endpointhealth/events_test.go
+++ b/internal/state/endpointhealth/events_test.go
@@ -170,24 +170,20 @@
 	rejectedHealthy.RecentlyHealthy = true
 
 	for name, c := range map[string]recentlyHealthyCase{
-		"rejected, healthy": {
-			records: []Record{rejectedHealthy}, down: time.Second, wantSuspect: false,
-		},
-		"rejected, not healthy": {
-			records: []Record{rejected}, down: time.Second, wantSuspect: true,
-		},
-		"rejected, healthy long ago": {
-			records: []Record{rejectedHealthy}, down: 4 * time.Second, wantSuspect: true,
-		},
+		"rejected, healthy":          {records: []Record{rejectedHealthy}, down: time.Second, wantSuspect: false},
+		"rejected, not healthy":      {records: []Record{rejected}, down: time.Second, wantSuspect: true},
+		"rejected, healthy long ago": {records: []Record{rejectedHealthy}, down: 4 * time.Second, wantSuspect: true},
 		"beside one that is warming up, healthy": {
-			records: []Record{healthy, besideWarmingUp}, down: time.Second, wantSuspect: false,
+			records:     []Record{healthy, besideWarmingUp},
+			down:        time.Second,
+			wantSuspect: false,
 		},
 		"beside one that is warming up, no record": {
-			records: []Record{besideWarmingUp}, down: time.Second, wantSuspect: true,
-		},
-		"warming up": {
-			records: []Record{warmingUp}, down: time.Second, wantSuspect: true,
+			records:     []Record{besideWarmingUp},
+			down:        time.Second,
+			wantSuspect: true,
 		},
+		"warming up": {records: []Record{warmingUp}, down: time.Second, wantSuspect: true},
 	} {
 		t.Run(name, func(t *testing.T) { checkRecentlyHealthy(t, c) })
 	}
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -96,7 +96,7 @@
 }
 
 // convertMessage returns a message of a legacy log as it is accepted by the journal. Its attempts are undated: the
-// legacy log does not tell in which boot they were made.
+// legacy log does not say in which boot they were made.
 func convertMessage(old *legacylog.Message) *Message {
 	m := &Message{
 		ID:             policy.MessageID(old.ID),
--- a/internal/state/journal/timeline_test.go
+++ b/internal/state/journal/timeline_test.go
@@ -45,7 +45,7 @@
 	at     time.Duration // elapsed time of the test
 	bootID string
 	// lost is the sum of the steps of the wall clock between the last reading in a boot and the next boot: no clock
-	// can tell them.
+	// knows them.
 	lost time.Duration
 }
 
--- a/internal/state/legacylog/log.go
+++ b/internal/state/legacylog/log.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return false, err
 	}
-	// A record behind a torn one could not be told from its rest: the tail is removed before anything is appended.
+	// A record behind a torn one could be taken for its rest: the tail is removed before anything is appended.
 	if err := l.file.Truncate(l.size); err != nil {
 		return false, errors.Join(fmt.Errorf("remove a torn tail: %w", err), l.file.Close())
 	}
--- a/internal/state/store/compact.go
+++ b/internal/state/store/compact.go
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// recordLocation tells where a record was written.
+// recordLocation says where a record was written.
 type recordLocation struct {
 	segment  *segment
 	offset   int64
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -20,7 +20,7 @@
 	frameNumberOffset = 7
 )
 
-// framePart tells which part of a record a frame holds.
+// framePart says which part of a record a frame holds.
 type framePart byte
 
 const (
--- a/internal/state/store/index.go
+++ b/internal/state/store/index.go
@@ -1,6 +1,6 @@
 package store
 
-// valueLocation tells where a live value is stored.
+// valueLocation says where a live value is stored.
 type valueLocation struct {
 	segment     uint32
 	offset      uint32
@@ -9,7 +9,7 @@
 	newestDelta int32  // chain of its deltas in Store.deltas, by index from 1; 0: none
 }
 
-// deltaEntry tells where a delta is stored, to count its segment's live bytes.
+// deltaEntry says where a delta is stored, to count its segment's live bytes.
 type deltaEntry struct {
 	number   uint64 // of its record, before any move
 	segment  uint32
--- a/internal/state/store/open.go
+++ b/internal/state/store/open.go
@@ -178,9 +178,7 @@
 
 // scanSegments reads the records of all segments. One before the newest that its directory does not list is stale. It
 // returns the number that follows the last record.
-func (r *recoverer) scanSegments(
-	directory map[uint32]directoryEntry, newest uint32,
-) (nextNumber uint64, err error) {
+func (r *recoverer) scanSegments(directory map[uint32]directoryEntry, newest uint32) (nextNumber uint64, err error) {
 	var kept []*segment
 	for _, seg := range r.store.segments {
 		entry, listed := directory[seg.number]
--- a/policy/deadline.go
+++ b/policy/deadline.go
@@ -55,7 +55,7 @@
 	n := len(entries) - 1
 	first := entries[0]
 	last := entries[n]
-	entries[n] = deadlineEntry{} // lets its message go
+	entries[n] = deadlineEntry{} // releases its message
 	*h = entries[:n]
 	for i := 0; n > 0; {
 		child := 2*i + 1
@@ -72,7 +72,7 @@
 	return first
 }
 
-// addDeadline has a message looked at when the time comes.
+// addDeadline schedules a look at a message.
 func (e *Engine) addDeadline(at time.Duration, msg *message) {
 	e.deadlines.push(deadlineEntry{at: at, message: msg})
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -16,5 +16,5 @@
 // queue.go. Decisions about a message: admission.go, ordering.go, selection.go, dispatch.go, retry.go, deadline.go,
 // restart.go. Decisions about an endpoint or a scope: outcome.go, ejection.go, connect.go, suspicion.go, slowstart.go,
 // latency.go, capacity.go, traffic.go, pacing.go, fleetpacing.go, quota.go. For recordings and explanations:
-// snapshot.go, inspect.go, revision.go. Which destinations a caller may forget: eviction.go.
+// snapshot.go, inspect.go, names.go, revision.go. Which destinations a caller may forget: eviction.go.
 package policy
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -36,9 +36,13 @@
 				Weight:           1,
 			},
 		},
-		DestinationKinds: []DestinationKind{{MaxBatch: 1}, {LimitPerEndpoint: true, MaxBatch: 1}, {MaxBatch: 3}},
-		FleetSize:        1, WarmUpInitialCapacity: 0.2, WarmUpDuration: 10 * time.Second, OverloadFactor: 2,
-		OverloadWindow: 2 * time.Second, OrderingPause: 100 * ms,
+		DestinationKinds:      []DestinationKind{{MaxBatch: 1}, {LimitPerEndpoint: true, MaxBatch: 1}, {MaxBatch: 3}},
+		FleetSize:             1,
+		WarmUpInitialCapacity: 0.2,
+		WarmUpDuration:        10 * time.Second,
+		OverloadFactor:        2,
+		OverloadWindow:        2 * time.Second,
+		OrderingPause:         100 * ms,
 	}
 }
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -39,7 +39,7 @@
 	switch obs.outcome {
 	case OK:
 		e.recordSuccess(ep, obs.sentAt, latency)
-	case NotSent, Cancelled: // tell nothing about the endpoint
+	case NotSent, Cancelled: // say nothing about the endpoint
 	case Overloaded:
 		e.recordRejection(ep, obs)
 		e.applyFailureRules(ep, obs)
--- a/policy/restart.go
+++ b/policy/restart.go
@@ -3,7 +3,7 @@
 import "time"
 
 // recoverMessage gives a message what an earlier process knew of it, so that the rules hold across a restart. A backlog
-// is not poured out at once: pacing rates start at this relay's fair share, in a large fleet with the spread of first
+// is not sent all at once: pacing rates start at this relay's fair share, in a large fleet with the spread of first
 // calls.
 func (e *Engine) recoverMessage(msg *message, recovered *RecoveredMessage) {
 	if recovered == nil {
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -254,7 +254,7 @@
 	return all || sharedScope && longest >= d-deadlineMargin
 }
 
-// faults judges what became of the messages, by the numbers of calls to each destination.
+// faults returns what is wrong with the fates of the messages, by the numbers of calls to each destination.
 func (restart *restartCase) faults(calls map[DestinationID]int) (faults []string) {
 	for _, msg := range restart.messages {
 		if !msg.untried || msg.sentAfter >= 0 {
@@ -267,7 +267,7 @@
 	return faults
 }
 
-// faultOf judges what became of a message that was found untried and never sent; "" if nothing is wrong.
+// faultOf returns what is wrong with the fate of a message that was found untried and never sent; "" if nothing is.
 func (restart *restartCase) faultOf(msg *restartMessage, calls map[DestinationID]int) string {
 	const spread = MaxInitialSpread + 200*ms // the first calls of a large fleet come within this
 	listedAfter := time.Duration(0)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -19,7 +19,7 @@
 	acceptInterval int
 }
 
-// checkSend judges a Send action by rules 1, 2, 3, 5 and 6.
+// checkSend checks a Send action against rules 1, 2, 3, 5 and 6.
 func (sim *simulation) checkSend(msg *clientMessage, a Action) {
 	if msg.ended || sim.now >= msg.deadline || len(msg.attempts) >= sim.settings.MaxAttempts {
 		sim.violate(1, "message %d sent after its end", msg.id)
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkRepeat judges an attempt of a message that may have run, by rule 2.
+// checkRepeat checks an attempt of a message that may have run against rule 2.
 func (sim *simulation) checkRepeat(msg *clientMessage, entry Endpoint) {
 	i := slices.IndexFunc(msg.attempts, func(a sentAttempt) bool { return a.mayHaveRun })
 	if i < 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkOrder judges an attempt of a message with an ordering key by rule 6.
+// checkOrder checks an attempt of a message with an ordering key against rule 6.
 func (sim *simulation) checkOrder(msg *clientMessage) {
 	for _, earlier := range sim.byKey[msg.key] {
 		if earlier == msg {
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkRejection judges a Reject action by rule 2: the client may retry.
+// checkRejection checks a Reject action against rule 2: the client may retry.
 func (sim *simulation) checkRejection(msg *clientMessage) {
 	class := msg.class
 	if class.Effect == Idempotent || class.Effect == IdempotentByKey && class.DedupAllZones {
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkCall judges a new call by the limit of calls in flight, and by rule 4 if its destination is warming up. That
-// rule binds an Engine that saw failures of it.
+// checkCall checks a new call against the limit of calls in flight, and against rule 4 if its destination is warming
+// up. That rule binds an Engine that saw failures of it.
 func (sim *simulation) checkCall(msg *clientMessage, entry Endpoint) {
 	sim.callsInFlight++
 	if sim.callsInFlight > sim.settings.MaxInFlightCalls {
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkRecovery judges a call to a scope that is warming up by rule 4: the calls of any overload window since the
+// checkRecovery checks a call to a scope that is warming up against rule 4: the calls of any overload window since the
 // recovery stay within the budget.
 func (sim *simulation) checkRecovery(scope string, recoveredAt time.Duration) {
 	sim.callsSinceRecovery[scope] = append(sim.callsSinceRecovery[scope], sim.now)
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkDeadlines judges messages without a final answer by rule 1, and forgets those that are over.
+// checkDeadlines checks messages without a final answer against rule 1, and forgets those that are over.
 func (sim *simulation) checkDeadlines() {
 	for id, msg := range sim.messages {
 		over := msg.ended && !msg.hasAttemptInFlight()
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -10,7 +10,7 @@
 )
 
 // simulation plays long random but legal event sequences against an Engine: clients, endpoints, outages and a restart.
-// A checker judges the Engine's actions by the six rules, see rules_test.go. It keeps its own records and shares
+// A checker checks the Engine's actions against the six rules, see rules_test.go. It keeps its own records and shares
 // nothing with the guards of the package.
 type simulation struct {
 	rng       *rand.Rand
@@ -310,7 +310,7 @@
 	}
 }
 
-// apply carries out the actions of a step, and has the checker judge them.
+// apply carries out the actions of a step, and has the checker check them.
 func (sim *simulation) apply(actions []Action) {
 	calls := map[string]*simulatedCall{} // of this step, by endpoint
 	for _, a := range actions {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -13,7 +13,7 @@
 )
 
 // startWarmUp begins the warm-up of a suspect endpoint with its first delivery. An endpoint that is only weakly
-// suspected needs none, unless this relay's share is more than a call in the whole of it.
+// suspected needs none, unless this relay's share is more than one call in all of it.
 func (e *Engine) startWarmUp(ep *endpoint) {
 	ep.recoveredAt = e.now
 	ep.warmingUp = !ep.weaklySuspected || e.fairShare(ep.scope)*e.settings.WarmUpDuration.Seconds() > 1
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -176,9 +176,7 @@
 func (e *Engine) codeEndpoint(coder *statecodec.Coder, ep *endpoint) {
 	coder.Text(&ep.ID)
 	statecodec.Int(coder, &ep.Destination)
-	coder.Ints(
-		&ep.Kind, &ep.Zone, &ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections,
-	)
+	coder.Ints(&ep.Kind, &ep.Zone, &ep.consecutiveSuccesses, &ep.consecutiveFailures, &ep.consecutiveRejections)
 	coder.Floats(&ep.Weight)
 	coder.Bools(&ep.InService, &ep.Removed, &ep.ejected, &ep.warmingUp, &ep.weaklySuspected, &ep.answerLost)
 	coder.Durations(
