--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -63,7 +63,7 @@
 		Endpoint string  `json:"route"`
 		To       float64 `json:"to"`
 	}
-	// attemptRecord has EndedAt, Outcome and RetryAfter only of an attempt that has ended.
+	// attemptRecord has EndedAt, Outcome and RetryAfter only if the attempt has ended.
 	attemptRecord struct {
 		SentAt     float64  `json:"at"`
 		EndedAt    *float64 `json:"ended,omitempty"`
@@ -74,8 +74,8 @@
 	}
 )
 
-// WriteJSON writes a report as JSON Lines: one line for the report, one for each destination, transition and message,
-// told apart by "kind". Times are in seconds of the engine's clock.
+// WriteJSON writes a report as JSON Lines: one line for the report, and one for each destination, transition and
+// message. The key "kind" says which of these a line is. Times are in seconds of the engine's clock.
 func WriteJSON(w io.Writer, report *Report) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(newReportLine(report)); err != nil {
