--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -24,8 +24,8 @@
 )
 
 // An endpoint may take the deadline of a call's first message for that of the call, and respond once it is over: what
-// it then says of the others is not certain, however complete it is. Here the response comes as soon as the message with
-// the least time has had its final answer.
+// it then says of the others is not certain, however complete it is. Here the response comes as soon as the message
+// with the least time has had its final answer.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{
 		{"short", "long", "middle"},
