--- a/internal/recording/flightrecorder/recordertest/driver.go
+++ b/internal/recording/flightrecorder/recordertest/driver.go
@@ -133,21 +133,21 @@
 	}
 	d.engine = engine
 	d.recorder = flightrecorder.NewRecorder(meta, ringSize, engine.Snapshot)
-	for dest := range policy.DestinationID(destinations) {
+	for destination := range policy.DestinationID(destinations) {
 		for i := range 1 + d.rng.IntN(3) {
 			d.endpoints = append(d.endpoints, policy.Endpoint{
-				ID:          fmt.Sprintf("s-%d-%d", dest, i),
-				Destination: dest,
-				Kind:        int(dest % 2),
+				ID:          fmt.Sprintf("s-%d-%d", destination, i),
+				Destination: destination,
+				Kind:        int(destination % 2),
 				Zone:        i % 2,
 				Weight:      5,
 				InService:   true,
 			})
 		}
 	}
-	for dest := range policy.DestinationID(failedDestinations) {
+	for destination := range policy.DestinationID(failedDestinations) {
 		from := duration/4 + time.Duration(d.rng.Int64N(int64(duration/4)))
-		d.outages[dest] = outage{from: from, to: from + duration/8}
+		d.outages[destination] = outage{from: from, to: from + duration/8}
 	}
 	d.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: slices.Clone(d.endpoints)}}
 	return d
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -61,21 +61,21 @@
 	}
 }
 
-// submitAll has the loop take all of these hand-ins in one step.
-func submitAll(r *Relay, ins ...*submitEvent) (answers []ingress.Response) {
-	batch := make([]event, len(ins))
-	for i, in := range ins {
-		batch[i] = in
+// submitAll submits messages in one step, and returns their answers.
+func submitAll(r *Relay, submissions ...*submitEvent) (answers []ingress.Response) {
+	batch := make([]event, len(submissions))
+	for i, submission := range submissions {
+		batch[i] = submission
 	}
 	r.step(batch)
-	for _, in := range ins {
-		answers = append(answers, <-in.reply)
+	for _, submission := range submissions {
+		answers = append(answers, <-submission.reply)
 	}
 	return answers
 }
 
-func newSubmission(id string, dest policy.DestinationID, left time.Duration) *submitEvent {
-	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
+func newSubmission(id string, destination policy.DestinationID, left time.Duration) *submitEvent {
+	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: destination, Deadline: time.Now().Add(left)}
 	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 }
 
@@ -124,10 +124,10 @@
 // under its id, also when the process restarts in between, before or after.
 func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
 	for restart := range 3 {
-		const dest = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
+		const destination = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
 		r := newTestRelay(t)
-		r.catalog.RememberDestination(dest)
-		in := newSubmission("m1", dest, 5*time.Second)
+		r.catalog.RememberDestination(destination)
+		in := newSubmission("m1", destination, 5*time.Second)
 		submitAll(r, in)
 		m := r.messages[in.message.ID]
 		sent := journal.Attempt{Number: 0, Endpoint: "s-8", Zone: 1, SentAt: time.Now().Add(-time.Second).Round(0)}
@@ -137,9 +137,9 @@
 		r.step([]event{cancelEvent{m.ID}})
 		if restart == 1 {
 			r = restartRelay(t, r)
-			r.catalog.RememberDestination(dest)
+			r.catalog.RememberDestination(destination)
 		}
-		if a := submitAll(r, newSubmission("m1", dest, 5*time.Second))[0]; a.Status != http.StatusAccepted {
+		if a := submitAll(r, newSubmission("m1", destination, 5*time.Second))[0]; a.Status != http.StatusAccepted {
 			t.Fatalf("answer %+v", a)
 		}
 		if restart == 2 {
--- a/internal/relay/discovery/receive.go
+++ b/internal/relay/discovery/receive.go
@@ -127,7 +127,7 @@
 	isNew := full || r.head.Version > r.knownVersion
 	switch {
 	case r.skipped:
-		// Its head may have come behind its entries, and tell that it should have been delivered.
+		// Its head may have come behind its entries, and say that it should have been delivered.
 		r.needsSnapshot = r.needsSnapshot || isNew
 		return nil
 	case r.inParts:
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -123,8 +123,7 @@
 }
 
 // watchOnce runs one watch until its connection ends or is idle, and the pause before the next. A connection that is
-// cut off gives no sign: only missing lines tell. The version is kept up, so that the next watch resumes where this one
-// ended.
+// cut off gives no sign but missing lines. The version is kept up, so that the next watch resumes where this one ended.
 func (w *Watcher) watchOnce(ctx context.Context, addr string) {
 	before := w.version
 	began := time.Now()
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
+// Discovery that rejects callers in every way that it has, as after a release that restarts a whole fleet, is called
 // again until it answers, from the version that is known, and never by calls side by side.
 func TestWatchIsRetriedAfterEveryKindOfFailure(t *testing.T) {
 	var calls, open, most atomic.Int64
@@ -258,7 +258,7 @@
 // The same on real connections: discovery fails two calls, and has a new list from the moment on at which the second
 // has begun.
 func TestListIsDeliveredSoonAfterOutage(t *testing.T) {
-	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	reject := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	broken := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
@@ -267,12 +267,12 @@
 		relays int
 		fail   http.HandlerFunc
 	}{
-		{"refused, 300 poll", true, 300, refuse},
-		{"refused, 2600 poll", true, 2600, refuse},
+		{"refused, 300 poll", true, 300, reject},
+		{"refused, 2600 poll", true, 2600, reject},
 		{"given up, 2600 poll", true, 2600, silent},
 		{"broken off, 80 poll", true, 80, broken},
 		{"given up, pushed to 300", false, 300, silent},
-		{"refused, 3 poll", true, 3, refuse},
+		{"refused, 3 poll", true, 3, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/relay/egress/client.go
+++ b/internal/relay/egress/client.go
@@ -1,10 +1,10 @@
 // Package egress makes the relay's calls to endpoints: it keeps connections for them, writes one request with one
-// message or several, reads the response, and says of each message whether it was delivered, surely not, or may have
-// run.
+// message or several, reads the response, and says of each message whether it was delivered, certainly did not
+// run, or may have run.
 //
-// It has a connection pool of its own. The Transport of net/http sends some requests again by itself, which a message
-// that must not run twice can't bear; it dials where nobody can look again before the request is written; and it does
-// not show what came behind a response.
+// It has a connection pool of its own. The Transport of net/http retries some requests by itself, while some messages
+// must not run twice; it dials without a chance to check again before the request is written; and it does not show what
+// came behind a response.
 package egress
 
 import (
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -26,34 +26,34 @@
 	for _, s := range waiting {
 		replies[s.acceptedAs.ID] = ingress.Response{Status: http.StatusAccepted}
 	}
-	var x execution
+	var todo execution
 	for i := range actions {
-		r.prepare(&x, replies, &actions[i])
+		r.prepare(&todo, replies, &actions[i])
 	}
-	if err := r.recordSends(x.calls); err != nil {
-		r.sendsUnrecorded.Log(r.log, "calls", len(x.calls), "err", err)
+	if err := r.recordSends(todo.calls); err != nil {
+		r.sendsUnrecorded.Log(r.log, "calls", len(todo.calls), "err", err)
 		// A send that is not in the journal must not leave: after a restart it would be made again.
-		r.returnCalls(x.calls)
-		x.calls = nil
+		r.returnCalls(todo.calls)
+		todo.calls = nil
 	}
 	for _, s := range waiting {
 		s.reply <- replies[s.acceptedAs.ID]
 	}
-	for _, m := range x.failed {
+	for _, m := range todo.failed {
 		r.queueNotification(m)
 	}
-	for _, c := range x.calls {
+	for _, c := range todo.calls {
 		r.startCall(c)
 	}
 }
 
-// prepare notes an action in the state and the journal, and adds to x what is left to do once the journal is written.
-func (r *Relay) prepare(x *execution, replies responses, a *policy.Action) {
+// prepare notes an action in the state and the journal, and adds what is left to do once the journal is written.
+func (r *Relay) prepare(todo *execution, replies responses, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
-		r.prepareSend(x, a)
+		r.prepareSend(todo, a)
 	case policy.Reject, policy.Fail:
-		r.prepareFinalAnswer(x, replies, a)
+		r.prepareFinalAnswer(todo, replies, a)
 	case policy.SetTimer:
 		r.timerAt = time.Now().Add(a.Delay) // the policy counts on one timer, the last that it set
 	case policy.CloseIdle:
@@ -62,19 +62,19 @@
 }
 
 // prepareSend adds an attempt to the calls.
-func (r *Relay) prepareSend(x *execution, a *policy.Action) {
+func (r *Relay) prepareSend(todo *execution, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil {
 		// A bug, but one call less in flight is better than no relay.
 		r.log.Error("send of an unknown message", "message_id", a.MessageID)
 		return
 	}
-	x.calls = r.addToCalls(x.calls, m, a)
+	todo.calls = r.addToCalls(todo.calls, m, a)
 }
 
 // prepareFinalAnswer ends a message that is rejected or has failed. The client of a message of this step has that as
 // its answer; one of an earlier step gets a notification.
-func (r *Relay) prepareFinalAnswer(x *execution, replies responses, a *policy.Action) {
+func (r *Relay) prepareFinalAnswer(todo *execution, replies responses, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil || m.completed {
 		return
@@ -88,7 +88,7 @@
 		return
 	}
 	r.journal.RecordFinal(m.Message, final)
-	x.failed = append(x.failed, m)
+	todo.failed = append(todo.failed, m)
 }
 
 // recordSends writes the sends of calls, and all else that was recorded in this step, to the journal.
--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -27,51 +27,55 @@
 
 // add remembers a message, unless it could do no harm as a new one.
 func (r *finishedMessages) add(m *message) {
-	e := finishedReply{until: m.Deadline}
+	reply := finishedReply{until: m.Deadline}
 	switch {
 	case len(m.UncertainAttempts) == 0: // it never ran: it may come as a new one
 		return
 	case m.Final == nil:
-		e.answer.Status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
+		reply.answer.Status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
 	case m.Final.Retryable:
 		return // its client was asked to submit it again
 	default:
-		e.answer = finalAnswer(*m.Final)
+		reply.answer = finalAnswer(*m.Final)
 	}
-	r.put(m.TraceID, e)
+	r.put(m.TraceID, reply)
 }
 
 // put remembers a reply.
-func (r *finishedMessages) put(trace string, e finishedReply) {
+func (r *finishedMessages) put(trace string, reply finishedReply) {
 	if r.replies == nil {
 		r.replies = map[string]finishedReply{}
 	}
 	if _, known := r.replies[trace]; !known {
 		r.order = append(r.order, trace)
 	}
-	r.replies[trace] = e
+	r.replies[trace] = reply
 }
 
 // export returns what the next process needs to give the same answers.
 func (r *finishedMessages) export() (messages []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
-		e := r.replies[trace]
-		messages = append(messages, hotrestart.FinishedMessage{TraceID: trace, Status: e.answer.Status, Until: e.until})
+		reply := r.replies[trace]
+		messages = append(messages, hotrestart.FinishedMessage{
+			TraceID: trace,
+			Status:  reply.answer.Status,
+			Until:   reply.until,
+		})
 	}
 	return messages
 }
 
 // restore adds what the process before this one exported.
 func (r *finishedMessages) restore(messages []hotrestart.FinishedMessage) {
-	for _, e := range messages {
-		r.put(e.TraceID, finishedReply{ingress.Response{Status: e.Status}, e.Until})
+	for _, m := range messages {
+		r.put(m.TraceID, finishedReply{answer: ingress.Response{Status: m.Status}, until: m.Until})
 	}
 }
 
 // reply is the answer to a submission under the id of a finished message; false if none is remembered.
 func (r *finishedMessages) reply(trace string, now time.Time) (reply ingress.Response, known bool) {
-	e, found := r.replies[trace]
-	return e.answer, found && now.Before(e.until)
+	remembered, found := r.replies[trace]
+	return remembered.answer, found && now.Before(remembered.until)
 }
 
 // expire forgets messages past their deadlines, and the oldest beyond maxFinishedMessages.
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -14,7 +14,7 @@
 // A message is submitted once more under its id when it was just finished, as after an answer that was lost with its
 // connection: what has run, or may have, does not run again. What never ran, or was rejected, is a new message.
 func TestDuplicateOfFinishedMessage(t *testing.T) {
-	const dest = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
+	const destination = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
 	delivered := &egress.Result{Outcome: policy.OK}
 	rejected := &egress.Result{Outcome: policy.Overloaded}
 	uncertain := &egress.Result{Outcome: policy.Reset}
@@ -37,8 +37,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestRelay(t)
-			r.catalog.RememberDestination(dest)
-			in := newSubmission("m1", dest, 5*time.Second)
+			r.catalog.RememberDestination(destination)
+			in := newSubmission("m1", destination, 5*time.Second)
 			submitAll(r, in)
 			m := r.messages[in.message.ID]
 			if c.result != nil {
@@ -65,7 +65,7 @@
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
 				t.Fatal("it is not removed")
 			}
-			again := newSubmission("m1", dest, 5*time.Second)
+			again := newSubmission("m1", destination, 5*time.Second)
 			if a := submitAll(r, again)[0]; a.Status != c.status {
 				t.Errorf("answer %+v, want %d", a, c.status)
 			}
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -109,17 +109,17 @@
 // finishAfterHandOver ends a process that has handed over, within shutdownTimeout.
 func (r *Relay) finishAfterHandOver() {
 	began := time.Now()
-	by := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
+	after := timersFrom(began)
 	r.ingress.DisableKeepAlive()
 	select {
 	case <-r.ingress.Emptied(drainConnectionsTimeout):
-	case <-by(drainConnectionsTimeout):
+	case <-after(drainConnectionsTimeout):
 	}
 	r.ingress.Close(began.Add(shutdownSendTime + shutdownAnswerTime/2))
 	r.post(stopAccepting{})
 	select {
 	case <-r.drained:
-	case <-by(shutdownTimeout):
+	case <-after(shutdownTimeout):
 	}
 }
 
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -38,8 +38,8 @@
 	Log      *slog.Logger
 }
 
-// Server serves the connections of clients. Where it may hold no more of them, it closes those that
-// are not in use.
+// Server serves the connections of clients. Where it may hold no more of them, it closes those that are
+// not in use.
 type Server struct {
 	log          *slog.Logger
 	handler      Handler
--- a/internal/relay/knownlist.go
+++ b/internal/relay/knownlist.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// knownMode tells what becomes of the endpoint list of a configuration.
+// knownMode says what becomes of the endpoint list of a configuration.
 type knownMode bool
 
 const (
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -20,7 +20,7 @@
 // A long list breaks off in the middle of an entry: the entries so far hold, no endpoint is removed for not being named
 // yet, its version is not adopted, and it is requested again. One that stalls or never ends is cut off.
 func TestLongListThatBreaksOff(t *testing.T) {
-	const dests = 4000
+	const destinations = 4000
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
 	live := endpointText("s-new", addr, 50, "ready")
@@ -28,7 +28,7 @@
 		c.IdleTimeout = 300 * time.Millisecond
 		c.ListTimeout = 600 * time.Millisecond
 	})
-	whole := discoverytest.ListJSON(9, dests, live)
+	whole := discoverytest.ListJSON(9, destinations, live)
 	half := whole[:len(whole)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
 		half = half[:len(half)-1]
@@ -51,7 +51,7 @@
 	asked("the start", "1")
 	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
 	asked("an end in an entry", "1")
-	if n := held(); n < 1000 || n > 2*dests || r.listVersion != 1 {
+	if n := held(); n < 1000 || n > 2*destinations || r.listVersion != 1 {
 		t.Errorf("%d endpoints, version %d", n, r.listVersion)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok {
@@ -65,7 +65,7 @@
 	}
 	a.sendLine(t, r, whole)
 	stepLoopUntil(t, r, "the whole list", func() bool { return r.listVersion == 9 })
-	if n := held(); n != 2*dests+1 {
+	if n := held(); n != 2*destinations+1 {
 		t.Errorf("%d hosts", n)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); ok {
@@ -77,11 +77,11 @@
 func TestLongListsOfOlderVersions(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	follow(t, r, a)
-	for _, l := range []struct{ version, dests int }{{50, 3000}, {3, 2500}, {2, 2200}} {
-		a.sendLine(t, r, discoverytest.ListJSON(l.version, l.dests))
+	for _, l := range []struct{ version, destinations int }{{50, 3000}, {3, 2500}, {2, 2200}} {
+		a.sendLine(t, r, discoverytest.ListJSON(l.version, l.destinations))
 		stepLoopUntil(t, r, fmt.Sprint("version ", l.version), func() bool { return r.listVersion == int64(l.version) })
-		if r.catalog.EndpointCount() != 2*l.dests {
-			t.Errorf("version %d: %d endpoints, want %d", l.version, r.catalog.EndpointCount(), 2*l.dests)
+		if r.catalog.EndpointCount() != 2*l.destinations {
+			t.Errorf("version %d: %d endpoints, want %d", l.version, r.catalog.EndpointCount(), 2*l.destinations)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 // A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied
 // again, whether their version comes before them or behind.
 func TestLongListReplacesUnreadableLine(t *testing.T) {
-	const dests = 3000
+	const destinations = 3000
 	for name, older := range map[string]func([]byte) []byte{
 		"version first": func(entries []byte) []byte {
 			return fmt.Appendf(nil, `{"version":6,"servers":[%s]}`, entries)
@@ -101,18 +101,18 @@
 		t.Run(name, func(t *testing.T) {
 			r, a := newTestRelay(t), newListAgent(t)
 			a.serveSnapshot(func(w http.ResponseWriter, _ *http.Request) {
-				_, _ = w.Write(discoverytest.ListJSON(7, dests))
+				_, _ = w.Write(discoverytest.ListJSON(7, destinations))
 			})
 			follow(t, r, a)
 			var entries []byte
-			for i := range 2 * dests {
+			for i := range 2 * destinations {
 				entries = append(append(entries, discoverytest.EndpointJSON(i, i/2, "draining")...), ',')
 			}
 			text := append([]byte(`{"version":5,"servers":[{"id`+"\n"), older(entries[:len(entries)-1])...)
 			newer := "\n" + `{"version":8,"servers":[` + discoverytest.EndpointJSON(0, 0, "draining") + "]}\n"
 			a.sendLine(t, r, append(text, newer...))
 			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
-			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests {
+			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations {
 				t.Errorf("%d of %d endpoints drain", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
 		})
@@ -139,9 +139,9 @@
 	}
 }
 
-// Fifty whole lists, each of hosts that nobody has seen before, take no more room than a few.
+// Fifty complete lists, each of endpoints that nobody has seen before, take no more memory than a few.
 func TestMemoryAfterFiftyListsOfNewEndpoints(t *testing.T) {
-	const hosts = 2000
+	const endpoints = 2000
 	r := newTestRelay(t)
 	heap := func() uint64 {
 		runtime.GC()
@@ -151,12 +151,12 @@
 	}
 	var few uint64
 	for v := range 50 {
-		entries := make([]discovery.Entry, hosts)
+		entries := make([]discovery.Entry, endpoints)
 		for i := range entries {
 			entries[i].Endpoint = catalog.Endpoint{
 				Endpoint: policy.Endpoint{
 					ID:          fmt.Sprintf("h-%d-%d", v, i),
-					Destination: policy.DestinationID(v*hosts + i),
+					Destination: policy.DestinationID(v*endpoints + i),
 					Kind:        1,
 					InService:   true,
 				}, Addr: fmt.Sprintf("127.0.%d.%d:%d", i>>8, i&255, 1+v),
@@ -167,7 +167,7 @@
 			few = heap()
 		}
 	}
-	if many := heap(); r.catalog.EndpointCount() != hosts || many > few+few/2 {
-		t.Errorf("%d hosts; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), few, many)
+	if many := heap(); r.catalog.EndpointCount() != endpoints || many > few+few/2 {
+		t.Errorf("%d endpoints; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), few, many)
 	}
 }
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -142,9 +142,9 @@
 }
 
 // endpointText is the entry of an endpoint in a list.
-func endpointText(id, addr string, dest int, state string) string {
+func endpointText(id, addr string, destination int, state string) string {
 	const form = `{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`
-	return fmt.Sprintf(form, id, addr, dest, state)
+	return fmt.Sprintf(form, id, addr, destination, state)
 }
 
 // changeText is a line of the watch with changes.
@@ -153,18 +153,18 @@
 }
 
 // deliver submits messages and takes steps until each has been delivered.
-func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, dests ...policy.DestinationID) {
+func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, destinations ...policy.DestinationID) {
 	t.Helper()
 	was := int(requests.Load())
-	for i, dest := range dests {
-		a := submitAll(r, newSubmission(fmt.Sprint(ids, i), dest, 9*time.Second))[0]
+	for i, destination := range destinations {
+		a := submitAll(r, newSubmission(fmt.Sprint(ids, i), destination, 9*time.Second))[0]
 		if a.Status != http.StatusAccepted {
-			t.Fatalf("destination %d: %+v", dest, a)
+			t.Fatalf("destination %d: %+v", destination, a)
 		}
 	}
-	what := fmt.Sprintf("%d messages of %q are delivered", len(dests), ids)
+	what := fmt.Sprintf("%d messages of %q are delivered", len(destinations), ids)
 	stepLoopUntil(t, r, what, func() bool {
-		return int(requests.Load()) == was+len(dests) && len(r.activeCalls) == 0
+		return int(requests.Load()) == was+len(destinations) && len(r.activeCalls) == 0
 	})
 }
 
@@ -177,28 +177,28 @@
 // A list that is too long for the policy comes by the watch: the policy holds what is in use, messages for the rest are
 // delivered as well, and changes reach both.
 func TestPolicyHoldsOnlyUsedDestinations(t *testing.T) {
-	const dests = 6000
+	const destinations = 6000
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
 	first := endpointText("s-1", addr, 7, "ready")
 	last := endpointText("s-last", addr, 99, "ready")
 	follow(t, r, a)
-	a.sendLine(t, r, discoverytest.ListJSON(2, dests, first, last))
+	a.sendLine(t, r, discoverytest.ListJSON(2, destinations, first, last))
 	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
-	if n := len(policyEndpoints(r)); r.catalog.EndpointCount() != 2*dests+2 || n != 1 || !r.largeList.Load() {
+	if n := len(policyEndpoints(r)); r.catalog.EndpointCount() != 2*destinations+2 || n != 1 || !r.largeList.Load() {
 		t.Fatalf("%d endpoints, the policy holds %d destinations", r.catalog.EndpointCount(), n)
 	}
 	r.deliver(t, requests, "a", 7, 99)
 	if n := len(policyEndpoints(r)); n != 2 {
 		t.Errorf("the policy holds %d destinations", n)
 	}
-	a.sendLine(t, r, discoverytest.ListJSON(3, dests, first, last))
+	a.sendLine(t, r, discoverytest.ListJSON(3, destinations, first, last))
 	stepLoopUntil(t, r, "the list once more", func() bool { return r.listVersion == 3 })
 	draining := discoverytest.EndpointJSON(8, 4, "draining")
 	gone := discoverytest.EndpointJSON(10, 5, "gone")
 	a.sendLine(t, r, changeText(4, draining, gone))
 	stepLoopUntil(t, r, "changes", func() bool { return r.listVersion == 4 })
-	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*dests+1 {
+	if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations+1 {
 		t.Errorf("%d endpoints drain of %d", r.drainingEndpoints, r.catalog.EndpointCount())
 	}
 	draining = endpointText("s-last", addr, 99, "draining")
@@ -247,10 +247,10 @@
 			r, a := newTestRelay(t), newListAgent(t)
 			addr, requests := nettest.RawServer(t, respondOK)
 			follow(t, r, a)
-			for i, dest := range []int{50, 51, 50, 51} {
-				a.sendLine(t, r, discoverytest.ListJSON(2+i, rest, endpointText("s-moves", addr, dest, "ready")))
+			for i, destination := range []int{50, 51, 50, 51} {
+				a.sendLine(t, r, discoverytest.ListJSON(2+i, rest, endpointText("s-moves", addr, destination, "ready")))
 				stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == int64(2+i) })
-				r.deliver(t, requests, fmt.Sprint("m", i, "-"), policy.DestinationID(dest))
+				r.deliver(t, requests, fmt.Sprint("m", i, "-"), policy.DestinationID(destination))
 			}
 		})
 	}
@@ -258,15 +258,15 @@
 
 // Thousands of destinations are activated within moments, and each message is delivered.
 func TestThousandsOfDestinationsActivateAtOnce(t *testing.T) {
-	const dests, workers = 3000, 100
+	const destinations, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
-	var hosts []string
-	for i := range dests {
-		hosts = append(hosts, endpointText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
+	var live []string
+	for i := range destinations {
+		live = append(live, endpointText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
 	}
 	follow(t, r, a)
-	a.sendLine(t, r, discoverytest.ListJSON(2, 1000, hosts...))
+	a.sendLine(t, r, discoverytest.ListJSON(2, 1000, live...))
 	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	runLoop(t, r)
 	began := time.Now()
@@ -274,7 +274,7 @@
 	var submitted atomic.Int32
 	for w := range workers {
 		clients.Go(func() {
-			for i := w; i < dests; i += workers {
+			for i := w; i < destinations; i += workers {
 				// With more messages pending a relay rejects new ones.
 				for int(submitted.Load())-int(requests.Load()) > 250 {
 					time.Sleep(time.Millisecond)
@@ -289,8 +289,8 @@
 		})
 	}
 	clients.Wait()
-	nettest.Eventually(t, "all are delivered", func() bool { return int(requests.Load()) == dests })
-	t.Logf("%d activated and delivered in %v", dests, time.Since(began))
+	nettest.Eventually(t, "all are delivered", func() bool { return int(requests.Load()) == destinations })
+	t.Logf("%d activated and delivered in %v", destinations, time.Since(began))
 }
 
 // A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new is sent to the
@@ -352,12 +352,12 @@
 func TestRestartActivatesDestinationsOfMessages(t *testing.T) {
 	addr, requests := nettest.RawServer(t, respondOK)
 	old := newTestRelay(t)
-	for i, dest := range []policy.DestinationID{50, 60_000} {
+	for i, destination := range []policy.DestinationID{50, 60_000} {
 		m := &journal.Message{
 			ID:             policy.MessageID(i + 1),
 			TraceID:        fmt.Sprint("m", i),
 			IdempotencyKey: "k",
-			Destination:    dest,
+			Destination:    destination,
 			Deadline:       time.Now().Add(9 * time.Second),
 		}
 		if err := old.journal.Accept(m); err != nil {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -55,7 +55,7 @@
 // writeMetrics writes the metrics' page, with gauges that are up to date if the loop answers in time.
 func (r *Relay) writeMetrics(w io.Writer) {
 	r.refreshGauges()
-	_, _ = r.metrics.WriteTo(w) // the reader has left: nobody to tell
+	_, _ = r.metrics.WriteTo(w) // fails only if the reader has left
 }
 
 // refreshGauges asks the loop to update its gauges, and waits for that at most metricsTimeout.
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -102,8 +102,8 @@
 
 // dumpOnPanic writes out the recording of a loop that panics, and panics again. It must be deferred.
 func (r *Relay) dumpOnPanic() {
-	if x := recover(); x != nil {
+	if cause := recover(); cause != nil {
 		r.recorder.dump("crash")
-		panic(x)
+		panic(cause)
 	}
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -224,6 +225,6 @@
 // messagesInOrder returns the messages in the order in which they were accepted.
 func (r *Relay) messagesInOrder() []*message {
 	messages := slices.Collect(maps.Values(r.messages))
-	slices.SortFunc(messages, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(messages, func(a, b *message) int { return cmp.Compare(a.ID, b.ID) })
 	return messages
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -22,7 +22,7 @@
 // on a new connection, which is still accepted. Requests that were read are answered, and calls in flight may finish.
 func (r *Relay) shutdown(listener net.Listener) {
 	began := time.Now()
-	after := func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
+	after := timersFrom(began)
 	r.terminating.Store(true)
 	r.ingress.Drain()
 	<-after(shutdownAcceptTime)
@@ -40,3 +40,8 @@
 	case <-after(shutdownTimeout):
 	}
 }
+
+// timersFrom returns a function that returns a channel which receives a value once so much time has passed since began.
+func timersFrom(began time.Time) func(time.Duration) <-chan time.Time {
+	return func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
+}
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -112,14 +112,14 @@
 // HasDestination reports whether a list has named a destination. Of those without an endpoint as many are remembered as
 // the most that ever had one at a time, or MaxEagerEndpoints if that is more. Those that have been without for longest
 // are forgotten first.
-func (c *Catalog) HasDestination(dest policy.DestinationID) bool {
-	return c.findDestination(dest) != none
+func (c *Catalog) HasDestination(destination policy.DestinationID) bool {
+	return c.findDestination(destination) != none
 }
 
 // RememberDestination has a destination count as named, as an earlier process knew it.
-func (c *Catalog) RememberDestination(dest policy.DestinationID) {
-	if c.findDestination(dest) == none {
-		c.addEmpty(c.newDestination(dest))
+func (c *Catalog) RememberDestination(destination policy.DestinationID) {
+	if c.findDestination(destination) == none {
+		c.addEmpty(c.newDestination(destination))
 	}
 }
 
@@ -147,12 +147,12 @@
 }
 
 // AppendEndpoints appends a destination's endpoints, in the order listed.
-func (c *Catalog) AppendEndpoints(dest policy.DestinationID, into []Endpoint) []Endpoint {
-	d := c.findDestination(dest)
+func (c *Catalog) AppendEndpoints(destination policy.DestinationID, into []Endpoint) []Endpoint {
+	d := c.findDestination(destination)
 	if d == none || c.destinations.at(d).empty() {
 		return into
 	}
-	for i := c.destinations.at(d).first; i != none; i = c.endpoints.at(i).destNext {
+	for i := c.destinations.at(d).first; i != none; i = c.endpoints.at(i).nextInDestination {
 		into = append(into, c.readEndpoint(i, ""))
 	}
 	return into
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -79,9 +79,9 @@
 	return removed
 }
 
-func (m *model) endpointsOf(dest policy.DestinationID) (endpoints []Endpoint) {
+func (m *model) endpointsOf(destination policy.DestinationID) (endpoints []Endpoint) {
 	for _, e := range m.all {
-		if e.Destination == dest {
+		if e.Destination == destination {
 			endpoints = append(endpoints, e)
 		}
 	}
@@ -213,13 +213,13 @@
 
 func (c *comparison) checkDestinations(t *rapid.T) {
 	nonEmpty := 0
-	for dest := range c.model.listed {
-		want := c.model.endpointsOf(dest)
-		if got := c.catalog.AppendEndpoints(dest, nil); !slices.Equal(got, want) {
-			t.Fatalf("destination %d has %v, want %v", dest, got, want)
+	for destination := range c.model.listed {
+		want := c.model.endpointsOf(destination)
+		if got := c.catalog.AppendEndpoints(destination, nil); !slices.Equal(got, want) {
+			t.Fatalf("destination %d has %v, want %v", destination, got, want)
 		}
-		if !c.catalog.HasDestination(dest) {
-			t.Fatalf("destination %d is not named", dest)
+		if !c.catalog.HasDestination(destination) {
+			t.Fatalf("destination %d is not named", destination)
 		}
 		if len(want) > 0 {
 			nonEmpty++
@@ -233,8 +233,8 @@
 		t.Fatalf("destination %d is named", unlisted)
 	}
 	remembered := slices.Collect(c.catalog.RememberedDestinations())
-	wrong := slices.ContainsFunc(remembered, func(dest policy.DestinationID) bool {
-		return !c.model.listed[dest] || len(c.model.endpointsOf(dest)) > 0
+	wrong := slices.ContainsFunc(remembered, func(destination policy.DestinationID) bool {
+		return !c.model.listed[destination] || len(c.model.endpointsOf(destination)) > 0
 	})
 	if wrong || len(remembered) != len(c.model.listed)-nonEmpty {
 		t.Fatalf("remembers %v, want those without endpoints of %v",
--- a/internal/state/catalog/destinations.go
+++ b/internal/state/catalog/destinations.go
@@ -32,32 +32,32 @@
 func (d *destinationSlot) newerEmpty() uint32 { return d.last }
 
 // findDestination returns a destination's slot, or none.
-func (c *Catalog) findDestination(dest policy.DestinationID) uint32 {
-	i := c.destinationIndex.first(maphash.Comparable(c.seed, dest))
-	for i != none && c.destinations.at(i).id() != dest {
+func (c *Catalog) findDestination(destination policy.DestinationID) uint32 {
+	i := c.destinationIndex.first(maphash.Comparable(c.seed, destination))
+	for i != none && c.destinations.at(i).id() != destination {
 		i = c.destinations.at(i).bucketNext
 	}
 	return i
 }
 
 // newDestination adds a destination, which is neither empty nor has endpoints yet.
-func (c *Catalog) newDestination(dest policy.DestinationID) uint32 {
+func (c *Catalog) newDestination(destination policy.DestinationID) uint32 {
 	i := c.freeDestination
 	if i == none {
 		i = c.destinations.add()
 	} else {
 		c.freeDestination = c.destinations.at(i).bucketNext
 	}
-	*c.destinations.at(i) = destinationSlot{idLow: uint32(dest), idHigh: uint32(uint64(dest) >> 32)}
+	*c.destinations.at(i) = destinationSlot{idLow: uint32(destination), idHigh: uint32(uint64(destination) >> 32)}
 	c.destinationIndex.add(i)
 	return i
 }
 
 // attach puts an endpoint at the end of a destination.
-func (c *Catalog) attach(endpoint uint32, dest policy.DestinationID) {
-	i := c.findDestination(dest)
+func (c *Catalog) attach(endpoint uint32, destination policy.DestinationID) {
+	i := c.findDestination(destination)
 	if i == none {
-		i = c.newDestination(dest)
+		i = c.newDestination(destination)
 	}
 	d := c.destinations.at(i)
 	if d.empty() {
--- a/internal/state/catalog/destinations_test.go
+++ b/internal/state/catalog/destinations_test.go
@@ -26,9 +26,9 @@
 		MaxEagerEndpoints + 2: true,
 		MaxEagerEndpoints + 3: false,
 	}
-	for dest, want := range wantNamed {
-		if got := c.HasDestination(dest); got != want {
-			t.Errorf("destination %d: named %t", dest, got)
+	for destination, want := range wantNamed {
+		if got := c.HasDestination(destination); got != want {
+			t.Errorf("destination %d: named %t", destination, got)
 		}
 	}
 	got := slices.Collect(c.RememberedDestinations())
--- a/internal/state/catalog/endpoints.go
+++ b/internal/state/catalog/endpoints.go
@@ -8,12 +8,12 @@
 
 // endpointSlot is one endpoint. It holds no pointers, so that the garbage collector skips the table.
 type endpointSlot struct {
-	text        uint32 // position in the arena
-	bucketNext  uint32 // the next slot of its bucket
-	prev, next  uint32 // in the order listed
-	destPrev    uint32 // in the order listed of its destination
-	destNext    uint32
-	destination uint32
+	text              uint32 // position in the arena
+	bucketNext        uint32 // the next slot of its bucket
+	prev, next        uint32 // in the order listed
+	prevInDestination uint32 // in the order listed of its destination
+	nextInDestination uint32
+	destination       uint32
 }
 
 // endpointID returns a slot's id, as its text holds it.
@@ -65,12 +65,12 @@
 }
 
 // addEndpoint adds an endpoint of a destination with the text in scratch.
-func (c *Catalog) addEndpoint(dest policy.DestinationID) {
+func (c *Catalog) addEndpoint(destination policy.DestinationID) {
 	text := c.storeText()
 	i := c.endpoints.add()
 	c.endpoints.at(i).text = text
 	c.endpointIndex.add(i)
-	c.attach(i, dest)
+	c.attach(i, destination)
 	c.linkLast(i)
 	c.moveToSeen(i)
 }
@@ -96,8 +96,8 @@
 	*c.nextLink(slot.prev) = to
 	*c.prevLink(slot.next) = to
 	d := c.destinations.at(slot.destination)
-	*c.destNextLink(d, slot.destPrev) = to
-	*c.destPrevLink(d, slot.destNext) = to
+	*c.nextLinkInDestination(d, slot.prevInDestination) = to
+	*c.prevLinkInDestination(d, slot.nextInDestination) = to
 	if c.firstSeen == from {
 		c.firstSeen = to
 	}
@@ -138,20 +138,20 @@
 	return &c.endpoints.at(i).prev
 }
 
-// destNextLink is nextLink within a destination.
-func (c *Catalog) destNextLink(d *destinationSlot, i uint32) *uint32 {
+// nextLinkInDestination is nextLink within a destination.
+func (c *Catalog) nextLinkInDestination(d *destinationSlot, i uint32) *uint32 {
 	if i == none {
 		return &d.first
 	}
-	return &c.endpoints.at(i).destNext
+	return &c.endpoints.at(i).nextInDestination
 }
 
-// destPrevLink is prevLink within a destination.
-func (c *Catalog) destPrevLink(d *destinationSlot, i uint32) *uint32 {
+// prevLinkInDestination is prevLink within a destination.
+func (c *Catalog) prevLinkInDestination(d *destinationSlot, i uint32) *uint32 {
 	if i == none {
 		return &d.last
 	}
-	return &c.endpoints.at(i).destPrev
+	return &c.endpoints.at(i).prevInDestination
 }
 
 // linkLast puts a slot at the end of the order listed.
@@ -175,14 +175,14 @@
 
 // linkLastInDestination puts a slot at the end of its destination.
 func (c *Catalog) linkLastInDestination(d *destinationSlot, slot *endpointSlot, i uint32) {
-	slot.destPrev = d.last
-	slot.destNext = none
-	*c.destNextLink(d, d.last) = i
+	slot.prevInDestination = d.last
+	slot.nextInDestination = none
+	*c.nextLinkInDestination(d, d.last) = i
 	d.last = i
 }
 
 // unlinkInDestination takes a slot out of the order of its destination.
 func (c *Catalog) unlinkInDestination(d *destinationSlot, slot *endpointSlot) {
-	*c.destNextLink(d, slot.destPrev) = slot.destNext
-	*c.destPrevLink(d, slot.destNext) = slot.destPrev
+	*c.nextLinkInDestination(d, slot.prevInDestination) = slot.nextInDestination
+	*c.prevLinkInDestination(d, slot.nextInDestination) = slot.prevInDestination
 }
--- a/internal/state/catalog/snapshot_test.go
+++ b/internal/state/catalog/snapshot_test.go
@@ -17,9 +17,9 @@
 	if !hasAddr {
 		addr = "127.0.0.1:1"
 	}
-	id, dest, _ := strings.Cut(rest, "@")
+	id, destination, _ := strings.Cut(rest, "@")
 	e := Endpoint{Endpoint: policy.Endpoint{ID: id, InService: !removed, Removed: removed}, Addr: addr}
-	if _, err := fmt.Sscan(dest, &e.Destination); err != nil {
+	if _, err := fmt.Sscan(destination, &e.Destination); err != nil {
 		t.Fatalf("entry %q: %v", text, err)
 	}
 	return e
--- a/internal/state/catalog/workingset.go
+++ b/internal/state/catalog/workingset.go
@@ -36,26 +36,28 @@
 }
 
 // Contains reports whether a destination is active.
-func (w *WorkingSet) Contains(dest policy.DestinationID) bool { return w.byDestination[dest] != nil }
+func (w *WorkingSet) Contains(destination policy.DestinationID) bool {
+	return w.byDestination[destination] != nil
+}
 
 // Len returns the number of active destinations.
 func (w *WorkingSet) Len() int { return len(w.byDestination) }
 
 // Activate uses a destination at now. It reports whether it was not active: then the module must get its endpoints
 // first.
-func (w *WorkingSet) Activate(dest policy.DestinationID, now time.Duration) bool {
-	if w.Contains(dest) {
-		w.Touch(dest, now)
+func (w *WorkingSet) Activate(destination policy.DestinationID, now time.Duration) bool {
+	if w.Contains(destination) {
+		w.Touch(destination, now)
 		return false
 	}
-	w.byDestination[dest] = w.byLastUse.PushBack(&usage{destination: dest, lastUsed: now})
+	w.byDestination[destination] = w.byLastUse.PushBack(&usage{destination: destination, lastUsed: now})
 	return true
 }
 
 // EndpointAdded notes that an endpoint of a destination was added to the list at now. If there are more than
 // MaxEagerEndpoints such destinations lately, every destination counts as added.
-func (w *WorkingSet) EndpointAdded(dest policy.DestinationID, now time.Duration) {
-	w.recentlyAdded[dest] = now
+func (w *WorkingSet) EndpointAdded(destination policy.DestinationID, now time.Duration) {
+	w.recentlyAdded[destination] = now
 	if len(w.recentlyAdded) <= MaxEagerEndpoints {
 		return
 	}
@@ -72,17 +74,17 @@
 
 // Settled reports whether a destination has been listed for at least policy.MaxInitialSpread, over which first calls to
 // new endpoints are spread. Activated then, it is as if its module had always known it.
-func (w *WorkingSet) Settled(dest policy.DestinationID, now time.Duration) bool {
+func (w *WorkingSet) Settled(destination policy.DestinationID, now time.Duration) bool {
 	if now < w.allAddedAt+policy.MaxInitialSpread {
 		return false
 	}
-	addedAt, recent := w.recentlyAdded[dest]
+	addedAt, recent := w.recentlyAdded[destination]
 	return !recent || now >= addedAt+policy.MaxInitialSpread
 }
 
 // Touch has an active destination count as used at now, which must not go back. Another one stays inactive.
-func (w *WorkingSet) Touch(dest policy.DestinationID, now time.Duration) {
-	if element := w.byDestination[dest]; element != nil {
+func (w *WorkingSet) Touch(destination policy.DestinationID, now time.Duration) {
+	if element := w.byDestination[destination]; element != nil {
 		usageOf(element).lastUsed = now
 		w.byLastUse.MoveToBack(element)
 	}
@@ -92,7 +94,7 @@
 // recently used first. It looks at most at maxChecked of them. One that stays is looked at again as if it had been used
 // now.
 func (w *WorkingSet) EvictIdle(
-	now time.Duration, maxChecked int, evictable func(dest policy.DestinationID) bool,
+	now time.Duration, maxChecked int, evictable func(destination policy.DestinationID) bool,
 ) (evicted []policy.DestinationID) {
 	for ; maxChecked > 0 && w.byLastUse.Len() > 0; maxChecked-- {
 		element := w.byLastUse.Front()
--- a/internal/state/store/header.go
+++ b/internal/state/store/header.go
@@ -10,7 +10,7 @@
 const (
 	// HeaderSize is the size of a segment's header in bytes. The first block's frames follow it.
 	HeaderSize = 64
-	// Format is the version of the format on disk. A folder of a newer version is refused and left as it is.
+	// Format is the version of the format on disk. A folder of a newer version is rejected and left as it is.
 	Format = 1
 
 	magic = "CTSTORE\x00"
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// A folder of a newer format is refused and left as it is.
+// A folder of a newer format is rejected and left as it is.
 func TestNewerFormat(t *testing.T) {
 	fs, _ := filledFolder(t, 20, 300)
 	fs = fs.Reboot()
--- a/policy/message.go
+++ b/policy/message.go
@@ -22,7 +22,7 @@
 	maxAttempts        int // 0: no limit
 	inFlight           []attempt
 	lastFailedEndpoint *endpoint // of the last attempt that failed
-	timeouts           int       // attempts without an answer
+	timeouts           int       // attempts without an answer; used by no decision, and part of the snapshot's format
 
 	mayHaveRun   bool          // an attempt may have run
 	firstRunAt   time.Duration // send of the first of those
