--- a/internal/simulation/emulate/clock_test.go
+++ b/internal/simulation/emulate/clock_test.go
@@ -41,13 +41,13 @@
 	for seed := range uint64(3) {
 		without, rules := playAndCheck(t, clockStepScenario(t, 0).Draw(seed+1), Options{})
 		if len(rules) > 0 {
-			t.Errorf("seed %d: broken: %v", seed+1, rules)
+			t.Errorf("seed %d: violated: %v", seed+1, rules)
 		}
 		steps := []time.Duration{-time.Hour, -7 * time.Second, -2 * time.Second, 7 * time.Second, time.Hour}
 		for _, step := range steps {
 			w, rules := playAndCheck(t, clockStepScenario(t, step).Draw(seed+1), Options{})
 			if len(rules) > 0 {
-				t.Errorf("seed %d, set by %v: broken: %v", seed+1, step, rules)
+				t.Errorf("seed %d, clocks stepped by %v: violated: %v", seed+1, step, rules)
 			}
 			if figures(w) != figures(without) {
 				t.Errorf("seed %d, set by %v: %v, %v where no clock was set",
@@ -55,15 +55,15 @@
 			}
 		}
 	}
-	convicted := false
+	violated := false
 	for seed := range uint64(5) {
 		for _, step := range []time.Duration{-6 * time.Second, -3 * time.Second} {
 			options := Options{Mutant: &Mutant{UsesWallClock: true}}
 			_, rules := playAndCheck(t, clockStepScenario(t, step).Draw(seed+1), options)
-			convicted = convicted || slices.Contains(rules, checker.NoDuplicateEffect)
+			violated = violated || slices.Contains(rules, checker.NoDuplicateEffect)
 		}
 	}
-	if !convicted {
+	if !violated {
 		t.Error("a relay whose journal goes by the wall clock keeps the rules")
 	}
 }
@@ -90,7 +90,7 @@
 			rules = slices.DeleteFunc(rules, func(r checker.Rule) bool { return r == checker.NoMessageLost })
 		}
 		if len(rules) > 0 {
-			t.Errorf("set by %v: broken: %v", step, rules)
+			t.Errorf("clocks stepped by %v: violated: %v", step, rules)
 		}
 	}
 }
--- a/internal/simulation/emulate/fleet_test.go
+++ b/internal/simulation/emulate/fleet_test.go
@@ -29,15 +29,15 @@
 		options Options
 		want    violation // "": none
 	}{
-		{"sound", LinkFaults{}, Options{}, ""},
-		{"sound, one tells absurd figures", LinkFaults{}, Options{AbsurdReporter: 1}, ""},
-		{"sound, a name started twice", LinkFaults{}, Options{NameDuplicate: 4}, ""},
-		{"sound, two fleets joined by mistake", LinkFaults{}, Options{MergedFleets: 2}, ""},
-		{"a merge that takes the older", LinkFaults{LastReceivedWins: true}, Options{}, versionRolledBack},
-		{"ages that do not grow", LinkFaults{FrozenAges: true}, Options{}, reportTooYoung},
-		{"a bound left out", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, impossibleFigure},
-		{"a stall not noticed", LinkFaults{NoTransitTime: true}, Options{}, reportTooYoung},
-		{"strangers heard", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, reportOfStranger},
+		{"correct", LinkFaults{}, Options{}, ""},
+		{"correct, one relay reports absurd figures", LinkFaults{}, Options{AbsurdReporter: 1}, ""},
+		{"correct, two processes under a name", LinkFaults{}, Options{NameDuplicate: 4}, ""},
+		{"correct, two fleets merged by mistake", LinkFaults{}, Options{MergedFleets: 2}, ""},
+		{"last received wins", LinkFaults{LastReceivedWins: true}, Options{}, versionRolledBack},
+		{"frozen ages", LinkFaults{FrozenAges: true}, Options{}, reportTooYoung},
+		{"no limits", LinkFaults{NoLimits: true}, Options{AbsurdReporter: 1}, impossibleFigure},
+		{"no transit time", LinkFaults{NoTransitTime: true}, Options{}, reportTooYoung},
+		{"strangers accepted", LinkFaults{AcceptsStrangers: true}, Options{MergedFleets: 2}, reportOfStranger},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
@@ -71,7 +71,7 @@
 		t.Errorf("seed %d: found %v, want %q", seed, slices.Compact(found), want)
 	}
 	if checker.Check(w.Result()).State() != checker.Violated {
-		t.Errorf("seed %d: not convicted", seed)
+		t.Errorf("seed %d: no violation found", seed)
 	}
 }
 
@@ -90,7 +90,7 @@
 	first, other := w.relays[0].member, w.relays[1].member
 	held, ok := other.reports.Get(other.clock(), first.name, 0)
 	if want := first.reports.Incarnation(); !ok || held.Boot != want.Boot || held.Age > 10*time.Second {
-		t.Errorf("seed %d: %v is held to be %+v", seed, want, held)
+		t.Errorf("seed %d: %v is known as %+v", seed, want, held)
 	}
 }
 
--- a/internal/simulation/emulate/manyrelays_test.go
+++ b/internal/simulation/emulate/manyrelays_test.go
@@ -93,7 +93,7 @@
 				rate := w.deliveryRate(10*time.Second, 60*time.Second)
 				served += rate / (smallRate * min(1, c.demand)) / seeds
 				if w.serviceOrder[0].Overloaded() {
-					t.Errorf("seed %d: pushed over", seed)
+					t.Errorf("seed %d: overloaded", seed)
 				}
 			}
 			t.Logf("%.2f served, at most %.2f of the limit sent in ten seconds", served, maxSent)
@@ -149,11 +149,11 @@
 			served += w.deliveryRate(5*time.Second, 40*time.Second) / (sharedRate * min(1, c.demand)) / seeds
 			rejected += float64(w.CallsRejected) / float64(w.CallsRejected+w.CallsServed) / seeds
 		}
-		t.Logf("%d relays, asked for %.1f of the limit: %.2f served, %.2f of the calls refused",
+		t.Logf("%d relays, demand of %.1f of the limit: %.2f served, %.2f of the calls rejected",
 			c.relays, c.demand, served, rejected)
 		if served < c.minServed || rejected > c.maxRejected {
-			t.Errorf("%d relays, asked for %.1f of the limit: %.2f served, want %.2f; "+
-				"%.2f of the calls refused, %.2f at most",
+			t.Errorf("%d relays, demand of %.1f of the limit: %.2f served, want %.2f; "+
+				"%.2f of the calls rejected, %.2f at most",
 				c.relays, c.demand, served, c.minServed, rejected, c.maxRejected)
 		}
 	}
@@ -173,10 +173,10 @@
 			slowest = max(slowest, recoveryTime(w, 29*time.Second, 35*time.Second, 0.8*demand))
 			rejected += w.CallsRejected
 		}
-		t.Logf("%d relays: served again %v after it at the latest, %d calls refused a run",
+		t.Logf("%d relays: recovered %v after it at the latest, %d calls rejected a run",
 			relays, slowest, rejected/seeds)
 		if slowest > 20*time.Second {
-			t.Errorf("%d relays: served again %v after it", relays, slowest)
+			t.Errorf("%d relays: recovered %v after it", relays, slowest)
 		}
 	}
 }
@@ -215,12 +215,12 @@
 			w.run(t, 75*time.Second)
 			slowest = max(slowest, recoveryTime(w, 25*time.Second, 40*time.Second, 0.8*demand))
 			if w.serviceOrder[0].Overloaded() {
-				t.Errorf("%d relays, seed %d: pushed over", relays, seed)
+				t.Errorf("%d relays, seed %d: overloaded", relays, seed)
 			}
 		}
-		t.Logf("%d relays: served again %v after it at the latest", relays, slowest)
+		t.Logf("%d relays: recovered %v after it at the latest", relays, slowest)
 		if slowest > 20*time.Second {
-			t.Errorf("%d relays: served again %v after it", relays, slowest)
+			t.Errorf("%d relays: recovered %v after it", relays, slowest)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	w.run(t, 55*time.Second)
 	rate := w.deliveryRate(10*time.Second, 40*time.Second)
 	if submitted == 0 || *delivered < submitted*3/4 || rate < 0.5*sharedRate {
-		t.Errorf("%d of %d messages of the one with little delivered; %.1f a second of all, of %.0f",
+		t.Errorf("%d of %d messages of the quiet relay delivered; %.1f a second of all, of %.0f",
 			*delivered, submitted, rate, sharedRate)
 	}
 }
@@ -259,9 +259,9 @@
 	w.run(t, 61*time.Second)
 	early := w.deliveryRate(5*time.Second, 20*time.Second) / demand
 	late := w.deliveryRate(40*time.Second, 60*time.Second) / demand
-	t.Logf("served %.2f of what is asked for at first, %.2f after 40 s", early, late)
+	t.Logf("served %.2f of the demand at first, %.2f after 40 s", early, late)
 	if late < 0.5 {
-		t.Errorf("served %.2f of what is asked for after 40 s", late)
+		t.Errorf("served %.2f of the demand after 40 s", late)
 	}
 }
 
@@ -291,13 +291,13 @@
 		served += w.deliveryRate(26*time.Second, 40*time.Second) / demand / seeds
 		w.run(t, 60*time.Second) // all deadlines have passed
 		if rules := violatedRules(checkRecord(t, w.World)); len(rules) > 0 {
-			t.Errorf("seed %d: broken: %v", seed, rules)
+			t.Errorf("seed %d: violated: %v", seed, rules)
 		}
 	}
-	t.Logf("%d calls refused a run in the six seconds from the kill, "+
-		"%.2f of what is asked for served in the fourteen that follow", rejected/seeds, served)
+	t.Logf("%d calls rejected a run in the six seconds from the kill, "+
+		"%.2f of the demand served in the next fourteen", rejected/seeds, served)
 	if rejected/seeds > 50 || served < 0.85 {
-		t.Errorf("%d calls refused a run, want 50 at most; %.2f served, want 0.85", rejected/seeds, served)
+		t.Errorf("%d calls rejected a run, want 50 at most; %.2f served, want 0.85", rejected/seeds, served)
 	}
 }
 
@@ -318,10 +318,10 @@
 		unbounded := servedWithConnections(t, c.relays, 0, ExcessRefused)
 		for _, excess := range []ExcessConnections{ExcessRefused, ExcessClosed, ExcessUnanswered} {
 			served := servedWithConnections(t, c.relays, c.maxConnections, excess)
-			t.Logf("%d relays, one connection more %s: %.3f of the messages served, %.3f with any number",
+			t.Logf("%d relays, excess connections %s: %.3f of the messages served, %.3f without a bound",
 				c.relays, excess, served, unbounded)
 			if served < unbounded-c.maxLoss {
-				t.Errorf("%d relays, one connection more %s: %.3f of the messages served, %.3f with any number",
+				t.Errorf("%d relays, excess connections %s: %.3f of the messages served, %.3f without a bound",
 					c.relays, excess, served, unbounded)
 			}
 		}
@@ -341,13 +341,14 @@
 		served += (1 - float64(w.Undelivered())/float64(w.Submitted)) / seeds
 		binds := maxConnections > 0 && relays > 20
 		if w.ConnectionsRefused == 0 && binds || w.ConnectionsRefused > 0 && maxConnections == 0 {
-			t.Errorf("%d relays, %d connections at a host, one more %s, seed %d: %d met that of %d",
+			t.Errorf("%d relays, %d connections to an endpoint, excess %s, seed %d: %d of %d exceeded them",
 				relays, maxConnections, excess, seed, w.ConnectionsRefused, w.ConnectionsOpened+w.ConnectionsRefused)
 		}
 		for _, e := range w.endpoints {
 			// Connections that are established at the same time do not count each other.
 			if n := w.connectionCount(e); maxConnections > 0 && n > maxConnections+relays/10 {
-				t.Errorf("%d relays, seed %d: %d connections at a host that takes %d", relays, seed, n, maxConnections)
+				t.Errorf("%d relays, seed %d: %d connections to an endpoint that accepts %d",
+					relays, seed, n, maxConnections)
 			}
 		}
 	}
@@ -373,7 +374,7 @@
 	ignoredDrain := false
 	for seed := range uint64(2) {
 		if _, rules := playAndCheck(t, file.Draw(seed+1), Options{}); len(rules) > 0 {
-			t.Errorf("seed %d: broken: %v", seed+1, rules)
+			t.Errorf("seed %d: violated: %v", seed+1, rules)
 		}
 		_, rules := playAndCheck(t, file.Draw(seed+1), Options{Mutant: FindMutant("drains-ignored")})
 		ignoredDrain = ignoredDrain || slices.Contains(rules, checker.DrainRespected)
--- a/internal/simulation/emulate/mutant_test.go
+++ b/internal/simulation/emulate/mutant_test.go
@@ -40,7 +40,7 @@
 			if m.Rule == "" {
 				checkEquivalent(t, &m)
 			} else if !breaksRule(t, &m, scenarios[m.Rule]) {
-				t.Errorf("%s is not convicted", m.Name)
+				t.Errorf("%s breaks no rule", m.Name)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 		file.SetDefaults()
 		_, rules := playAndCheck(t, file.Draw(1), Options{Mutant: &Mutant{JournalDelay: delay}})
 		if slices.Contains(rules, checker.NoMessageLost) != (delay > 0) {
-			t.Errorf("journaled %v late: broken %v", delay, rules)
+			t.Errorf("journaled %v late: violated %v", delay, rules)
 		}
 	}
 }
--- a/internal/simulation/emulate/quota_test.go
+++ b/internal/simulation/emulate/quota_test.go
@@ -40,7 +40,7 @@
 		{"over it", 1.3, 0.05, 0.5, nil},
 		{"a third cut off", 0.9, 0, 0.7, cutOffThird},
 		{"three in ten lost", 0.9, 0.03, 0.6, loseDatagrams},
-		{"the keeper stopped", 0.9, 0, 0.7, stallLeaseHolder},
+		{"the lease holder stalled", 0.9, 0, 0.7, stallLeaseHolder},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			play := func(shareQuota bool) (served float64, rejected int) {
@@ -52,13 +52,13 @@
 				w.run(t, length)
 				violations := slices.Compact(w.fleet.violations)
 				if len(violations) > 0 || shareQuota && w.fleet.quotaCheckCount < 50 {
-					t.Errorf("wrong %v in %d sums", violations, w.fleet.quotaCheckCount)
+					t.Errorf("violations %v in %d checks", violations, w.fleet.quotaCheckCount)
 				}
 				return w.deliveryRate(8*time.Second, length) / (limitRate * min(1, c.demand)), w.CallsRejected
 			}
 			servedAlone, rejectedAlone := play(false)
 			served, rejected := play(true)
-			figures := fmt.Sprintf("served %.2f and %.2f, refused %d and %d",
+			figures := fmt.Sprintf("served %.2f and %.2f, rejected %d and %d",
 				servedAlone, served, rejectedAlone, rejected)
 			t.Log(figures)
 			if served < servedAlone+c.minGain || float64(rejected) > c.maxRejections*float64(rejectedAlone) {
@@ -118,9 +118,9 @@
 					})
 					w := playPlan(t, file.Draw(1), Options{Latency: 20 * time.Millisecond, MaxConnections: 400})
 					if len(w.fleet.violations) > 0 {
-						t.Errorf("rights %v: wrong %v", shareQuota, slices.Compact(w.fleet.violations))
+						t.Errorf("shared quota %v: violations %v", shareQuota, slices.Compact(w.fleet.violations))
 					}
-					t.Logf("rights %v: whole day %.3f, %d calls refused of %d",
+					t.Logf("shared quota %v: service %.3f, %d calls rejected of %d",
 						shareQuota, w.Overall(), w.CallsRejected, w.CallsRejected+w.CallsServed)
 				}
 			})
--- a/internal/simulation/emulate/recovery_test.go
+++ b/internal/simulation/emulate/recovery_test.go
@@ -58,15 +58,15 @@
 			s.Recover(w.Now())
 		})
 	},
-	"shut": func(w *testWorld, from, to time.Duration) {
+	"suspension": func(w *testWorld, from, to time.Duration) {
 		atEachService(w, from, func(s *Service) { s.Suspend(to) })
 		atEachService(w, to, func(s *Service) {
 			s.Resume()
 			s.Recover(w.Now())
 		})
 	},
-	"throttle": lowerLimit,
-	"resets of one": func(w *testWorld, from, to time.Duration) {
+	"lowered limit": lowerLimit,
+	"resets": func(w *testWorld, from, to time.Duration) {
 		resetCalls(w, from, to, func(int) float64 { return 1 })
 	},
 }
@@ -171,14 +171,14 @@
 			}
 			submitted += w.Submitted
 			if rate := w.deliveryRate(26*time.Second, 56*time.Second); rate < 0.8*lostAnswersDemand {
-				t.Errorf("%s, %d relays, seed %d: %.1f messages a second once the trouble was over",
+				t.Errorf("%s, %d relays, seed %d: %.1f messages a second after the fault",
 					c.name, c.relays, seed, rate)
 			}
 		}
 		ratio := weight / float64(submitted)
-		t.Logf("%s, %d relays: %.3f of the worth", c.name, c.relays, ratio)
+		t.Logf("%s, %d relays: %.3f of the weight", c.name, c.relays, ratio)
 		if ratio < c.minWeight {
-			t.Errorf("%s, %d relays: %.3f of the worth, want %.2f", c.name, c.relays, ratio, c.minWeight)
+			t.Errorf("%s, %d relays: %.3f of the weight, want %.2f", c.name, c.relays, ratio, c.minWeight)
 		}
 	}
 }
@@ -214,11 +214,11 @@
 	fault(w, 20*time.Second, 30*time.Second)
 	w.run(t, 100*time.Second)
 	if after := recoveryTime(w, 30*time.Second, 55*time.Second, 0.8*demand); after > maxRecovery {
-		t.Errorf("seed %d: served again %v after the trouble", w.seed, after)
+		t.Errorf("seed %d: recovered %v after the fault", w.seed, after)
 	}
 	for _, s := range w.serviceOrder {
 		if s.Overloaded() {
-			t.Errorf("seed %d: pushed over", w.seed)
+			t.Errorf("seed %d: overloaded", w.seed)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		rejected, served := w.CallsRejected-rejectedBefore, w.CallsServed-servedBefore
 		rate := w.deliveryRate(40*time.Second, 90*time.Second)
 		if rate < 0.6*halfCapacity || rejected > served {
-			t.Errorf("%d relays: %.1f a second of %.1f, %d calls refused for %d served",
+			t.Errorf("%d relays: %.1f a second of %.1f, %d calls rejected for %d served",
 				relays, rate, halfCapacity, rejected, served)
 		}
 	}
@@ -286,7 +286,7 @@
 		})
 		w.run(t, 75*time.Second)
 		if after := recoveryTime(w, 26*time.Second, 30*time.Second, 0.8*demand); after > 20*time.Second {
-			t.Errorf("seed %d: served again %v after they were replaced", seed, after)
+			t.Errorf("seed %d: recovered %v after they were replaced", seed, after)
 		}
 	}
 }
@@ -297,6 +297,6 @@
 	again := playLostAnswers(t, 2, 1, mostLost)
 	other := playLostAnswers(t, 2, 2, mostLost)
 	if !slices.Equal(first.actions, again.actions) || slices.Equal(first.actions, other.actions) {
-		t.Error("a seed is not one history")
+		t.Error("a seed does not determine the actions")
 	}
 }
--- a/internal/simulation/emulate/warmup_test.go
+++ b/internal/simulation/emulate/warmup_test.go
@@ -28,15 +28,15 @@
 				exceeded++
 			}
 			if !calls.kept() {
-				t.Errorf("%.2f of what it bears, %.2f by relays told, at worst %v after the return: %v",
+				t.Errorf("%.2f of the bound, %.2f by informed relays, at worst %v after the recovery: %v",
 					calls.byAll, calls.byInformed, calls.worstAt, c)
 			}
 		}
-		t.Logf("%d relays, seeds 0 to %d: at most %.2f of what it bears, %.2f by relays told; "+
-			"%d of %d days over it by others; %d calls",
+		t.Logf("%d relays, seeds 0 to %d: at most %.2f of the bound, %.2f by informed relays; "+
+			"%d of %d cases exceed it with the others; %d calls",
 			relays, cases-1, worst.byAll, worst.byInformed, exceeded, cases, worst.calls)
 		if worst.calls == 0 {
-			t.Errorf("%d relays: no call in any ramp", relays)
+			t.Errorf("%d relays: no call in any warm-up", relays)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	} {
 		c := drawWarmUpCase(past.relays, past.seed)
 		if calls := c.play(t, nil); !calls.kept() {
-			t.Errorf("%s: %.2f of what it bears, %.2f by relays told: %v",
+			t.Errorf("%s: %.2f of the bound, %.2f by informed relays: %v",
 				past.cause, calls.byAll, calls.byInformed, c)
 		}
 	}
@@ -75,7 +75,7 @@
 			if name == "budget-for-itself" && relays == 2 {
 				continue // twice two thirds of N is within the bound
 			}
-			convicted := 0
+			exceeded := 0
 			for seed := range uint64(cases) {
 				c := drawWarmUpCase(relays, seed)
 				c.rate = 80
@@ -88,12 +88,12 @@
 					c.weights = exactWeights
 				}
 				if !c.play(t, FindMutant(name)).kept() {
-					convicted++
+					exceeded++
 				}
 			}
-			t.Logf("%q, %d relays: convicted on %d days of %d", name, relays, convicted, cases)
-			if (convicted > 0) != (name != "") {
-				t.Errorf("%q, %d relays: convicted on %d days of %d", name, relays, convicted, cases)
+			t.Logf("%q, %d relays: the bound is exceeded in %d cases of %d", name, relays, exceeded, cases)
+			if (exceeded > 0) != (name != "") {
+				t.Errorf("%q, %d relays: the bound is exceeded in %d cases of %d", name, relays, exceeded, cases)
 			}
 		}
 	}
--- a/internal/simulation/emulate/warmupcase_test.go
+++ b/internal/simulation/emulate/warmupcase_test.go
@@ -32,19 +32,19 @@
 	{"failing", scenario.OpFailCalls, 1, 0.5},
 	{"mostly failing", scenario.OpFailCalls, 0.85, 0.5},
 	{"hanging", scenario.OpSilence, 0, 0.5},
-	{"refused", scenario.OpCrash, 0, 0.5},
+	{"crashed", scenario.OpCrash, 0, 0.5},
 	{"cut off", scenario.OpCutOff, 0, 0.5},
-	{"shut", scenario.OpSuspend, 0, 0},
-	{"shut, waits end together", scenario.OpSuspend, 0, 1},
+	{"suspended", scenario.OpSuspend, 0, 0},
+	{"suspended, with Retry-After", scenario.OpSuspend, 0, 1},
 }
 
 // weightAccuracy is how well the weights of endpoints state their capacity.
 type weightAccuracy string
 
 const (
-	exactWeights       weightAccuracy = "told"
-	approximateWeights weightAccuracy = "rough"
-	unknownWeights     weightAccuracy = "none"
+	exactWeights       weightAccuracy = "exact"
+	approximateWeights weightAccuracy = "approximate"
+	unknownWeights     weightAccuracy = "unknown"
 )
 
 // warmUpCase is a destination that recovers from an outage and warms up.
@@ -108,10 +108,10 @@
 }
 
 func (c warmUpCase) String() string {
-	return fmt.Sprintf("%d relays, seed %d: %.1f calls a second of each place, asked for %.2f of it, limit %s, "+
-		"%d endpoints (separate %v), from %.2f warm in %v, %.2f times over %v, %s for %v, uneven %v, "+
-		"hosts replaced %v, relays restarted %v, weights %s, rates told %v",
-		c.relays, c.seed, c.rate, c.demandRatio, c.limit, c.endpoints, c.separateEndpoints, c.initialCapacity, c.warmUp,
+	return fmt.Sprintf("%d relays, seed %d: limit of %.1f calls a second (%s), demand %.2f of it, "+
+		"%d endpoints (separate %v), warm-up from %.2f in %v, overload factor %.2f over %v, %s for %v, uneven %v, "+
+		"endpoints replaced %v, relays restarted %v, weights %s, quota known %v",
+		c.relays, c.seed, c.rate, c.limit, c.demandRatio, c.endpoints, c.separateEndpoints, c.initialCapacity, c.warmUp,
 		c.overloadFactor, c.window, warmUpOutages[c.outage].name, c.outageDuration, c.uneven,
 		c.endpointsReplaced, c.relaysRestarted, c.weights, c.quotaKnown)
 }
--- a/internal/simulation/emulate/workingset_test.go
+++ b/internal/simulation/emulate/workingset_test.go
@@ -28,7 +28,7 @@
 		ofOne := heapGrowth(t, 1, many, c.maxEagerEndpoints) - heapGrowth(t, 1, few, c.maxEagerEndpoints)
 		perPair := (growth - ofOne) / float64(c.relays-1) / (many - few)
 		if (perPair < 1) != c.free {
-			t.Errorf("%d relays, lists told whole up to %d entries: %.2f bytes a pair",
+			t.Errorf("%d relays, whole lists of up to %d entries: %.2f bytes a pair",
 				c.relays, c.maxEagerEndpoints, perPair)
 		}
 	}
@@ -71,11 +71,11 @@
 		wholeList := playPlan(t, plan, Options{})
 		workingSet, rules := playAndCheck(t, plan, Options{MaxEagerEndpoints: 1})
 		if len(rules) > 0 {
-			t.Errorf("%s: broken: %v", name, rules)
+			t.Errorf("%s: violated: %v", name, rules)
 		}
 		want, got := wholeList.Overall(), workingSet.Overall()
 		if got < want-0.02 || workingSet.Activations == 0 {
-			t.Errorf("%s: served %.4f, told all %.4f; %d woken", name, got, want, workingSet.Activations)
+			t.Errorf("%s: served %.4f, with whole lists %.4f; %d activations", name, got, want, workingSet.Activations)
 		}
 	}
 	w := playPlan(t, loadScenario(t, "half-draining").Draw(1), Options{
@@ -183,14 +183,14 @@
 		given[0].ID != draining || given[0].InService ||
 		given[1].ID != unchanged ||
 		given[2].ID != added || !given[2].InService {
-		t.Errorf("told %+v", given)
+		t.Errorf("given %+v", given)
 	}
 	if len(sent) != 2 || sent[unchanged] == 0 || sent[added] == 0 {
 		t.Errorf("sent %v", sent)
 	}
 	w.run(t, time.Minute)
 	if active := w.relays[0].workingSet.Len(); active != 0 {
-		t.Errorf("%d destinations awake long after the last message", active)
+		t.Errorf("%d destinations active long after the last message", active)
 	}
 }
 
@@ -211,6 +211,6 @@
 	want := playPlan(t, plan, Options{}).LatencyPercentile(50)
 	got := playPlan(t, plan, Options{MaxEagerEndpoints: 1}).LatencyPercentile(50)
 	if got > want+want/10 {
-		t.Errorf("half of the messages are delivered within %v, where modules are told all within %v", got, want)
+		t.Errorf("half of the messages are delivered within %v, with whole lists within %v", got, want)
 	}
 }
--- a/internal/simulation/emulate/world_test.go
+++ b/internal/simulation/emulate/world_test.go
@@ -38,13 +38,13 @@
 			for _, w := range worlds {
 				result := checkRecord(t, w)
 				if rules := violatedRules(result); len(rules) > 0 {
-					t.Errorf("broken: %v", rules)
+					t.Errorf("violated: %v", rules)
 				}
 				compareMetrics(t, w, result.Service)
 			}
 			first, again, other := marshalEvents(t, worlds[0]), marshalEvents(t, worlds[1]), marshalEvents(t, worlds[2])
 			if first != again || first == other {
-				t.Error("a seed is not one record")
+				t.Error("a seed does not determine the record")
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 		w, rules := playAndCheck(t, file.Draw(seed+1), Options{Mutant: FindMutant("no-recovery-budget")})
 		overloads += w.Overloads
 		if slices.Contains(rules, checker.NoMessageLost) || slices.Contains(rules, checker.NoDuplicateEffect) {
-			t.Errorf("seed %d: broken %v", seed+1, rules)
+			t.Errorf("seed %d: violated %v", seed+1, rules)
 		}
 	}
 	if overloads == 0 {
@@ -117,7 +117,7 @@
 		ListDelay: func(relay int) time.Duration { return time.Duration(1+3*relay) * time.Second },
 	})
 	if len(rules) > 0 {
-		t.Errorf("broken: %v", rules)
+		t.Errorf("violated: %v", rules)
 	}
 }
 
@@ -127,7 +127,7 @@
 	plan := loadExperiment(t, "fleet-churn").Draw(1)
 	w, rules := playAndCheck(t, plan, Options{})
 	if len(rules) > 0 {
-		t.Errorf("broken: %v", rules)
+		t.Errorf("violated: %v", rules)
 	}
 	lost := 0
 	for _, e := range w.events {
@@ -153,7 +153,7 @@
 		ZoneLatency:    40 * time.Millisecond,
 	})
 	if len(rules) > 0 {
-		t.Errorf("broken: %v", rules)
+		t.Errorf("violated: %v", rules)
 	}
 	if _, err := play(plan, Options{MaxEvents: 500}); !errors.Is(err, engine.ErrTooManyEvents) {
 		t.Errorf("unbounded: %v", err)
