--- a/cmd/cherrytrestle/measure_test.go
+++ b/cmd/cherrytrestle/measure_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
-	"io/fs"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
@@ -42,21 +39,11 @@
 }
 
 // disk is what the files of the relay's folder hold, in MB.
-func (r *relayProcess) disk() (mb float64) {
-	err := filepath.WalkDir(relayprocess.StateFolder(r.dir), func(_ string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() {
-			return err
-		}
-		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) {
-			return nil
-		} else if err == nil {
-			mb += float64(info.Size()) / 1e6
-		}
-		return err
-	})
+func (r *relayProcess) disk() float64 {
+	r.t.Helper()
+	bytes, err := relayprocess.FolderSize(relayprocess.StateFolder(r.dir))
 	must(r.t, err)
-	return mb
+	return bytes / 1e6
 }
 
 // healthMonitor checks the relay's health all the time, until it ends: when the relay was first ready, and the longest
--- a/cmd/cherrytrestle/process_test.go
+++ b/cmd/cherrytrestle/process_test.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -11,7 +10,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -42,21 +40,13 @@
 
 // prepareRelay writes a relay's configuration.
 func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
-	settings := map[string]any{
-		"bounds": map[string]any{
-			"cancel": true, "connect_timeout_ms": 1000, "keepalive_ms": 15000, "max_retry_after_ms": 3000,
-			"may_duplicate": true, "open_cap": 50, "retry_after": true, "send_cap": 8,
-		},
-		"extra":      map[string]any{"call_slots": 8, "per_call": []int{10, 1}, "separate_routes": []bool{false, true}},
-		"fleet_size": 1, "kinds": []string{"platform", "gateway"}, "tick_ms": 5, "zones": []string{"a", "b"},
-		"rules": map[string]any{"cold_from": 0.2, "fall_ms": 3000, "overload_factor": 2, "warm_within_ms": 14000},
-		"services": []map[string]any{{
-			"name": "order", "semantics": "idempotency_key", "group": "zone",
-			"goal_time_ms": 3000, "give_up_ms": 16000, "repeat_window_ms": 10000, "value": 1,
-		}},
-		"realms": []map[string]any{{"name": "acme", "share": 1}},
-		"stats":  map[string]any{"how": "none"},
+	settings := relayprocess.BaseSettings()
+	settings["extra"] = map[string]any{
+		"call_slots":      8,
+		"per_call":        []int{10, 1},
+		"separate_routes": []bool{false, true},
 	}
+	settings["kinds"] = []string{"platform", "gateway"}
 	if change != nil {
 		change(settings)
 	}
@@ -87,9 +77,7 @@
 
 func (r *relayProcess) writeConfig() {
 	r.t.Helper()
-	config, err := json.Marshal(r.config)
-	must(r.t, err)
-	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), config, 0o600))
+	must(r.t, relayprocess.WriteConfig(r.dir, r.config))
 }
 
 // start starts a process and waits until it is ready.
@@ -132,14 +120,13 @@
 
 // request makes a request that submits a message; edit may change it.
 func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
-	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
+	req, err := relayprocess.Submission{
+		ID:          id,
+		Destination: 7,
+		TimeLeft:    expires,
+		Body:        strings.NewReader("body"),
+	}.NewRequest(context.Background(), r.addr)
 	must(r.t, err)
-	for k, v := range map[string]string{
-		"X-Trace-Id": id, "X-Qos": "order", "X-Customer": "acme", "Idempotency-Key": "key-" + id, "Envelope": "dest=7",
-		"X-Expires-In-Ms": strconv.FormatInt(expires.Milliseconds(), 10),
-	} {
-		req.Header.Set(k, v)
-	}
 	if edit != nil {
 		edit(req)
 	}
--- a/internal/testkit/relayprocess/relayprocess.go
+++ b/internal/testkit/relayprocess/relayprocess.go
@@ -1,16 +1,19 @@
-// Package relayprocess runs the relay as a process of its own for tests and measurements: its environment, its health,
-// and its memory as the kernel counts it.
+// Package relayprocess runs the relay as a process of its own for tests and measurements: its configuration and
+// environment, its health, messages for it, and what it uses of memory, processor and disk.
 package relayprocess
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"io/fs"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
+	"time"
 )
 
 // File and folder names within a relay's folder.
@@ -19,6 +22,9 @@
 	configFile  = "config.json"
 )
 
+// errNoSchedstat is returned if the kernel does not count processor time by thread.
+var errNoSchedstat = errors.New("the system does not tell what a thread has used")
+
 // Memory fields of the kernel's status file of a process.
 const (
 	ResidentMemory = "VmRSS"
@@ -80,3 +86,57 @@
 	}
 	return 0, fmt.Errorf("memory of process %d: no field %s", pid, field)
 }
+
+// CPU returns the processor time of the threads that a running process has.
+func CPU(pid int) (time.Duration, error) {
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
+	if err != nil || len(threads) == 0 {
+		return 0, errors.Join(errNoSchedstat, err)
+	}
+	var sum time.Duration
+	for _, path := range threads {
+		used, err := threadCPU(path)
+		if err != nil {
+			return 0, err
+		}
+		sum += used
+	}
+	return sum, nil
+}
+
+// threadCPU reads the first field of a schedstat file, nanoseconds on a processor.
+func threadCPU(path string) (time.Duration, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return 0, err
+	}
+	fields := strings.Fields(string(data))
+	if len(fields) == 0 {
+		return 0, fmt.Errorf("%s is empty", path)
+	}
+	nanoseconds, err := strconv.ParseInt(fields[0], 10, 64)
+	return time.Duration(nanoseconds), err
+}
+
+// FolderSize returns the bytes of all regular files in a folder and below. Files that vanish meanwhile do not count.
+func FolderSize(folder string) (float64, error) {
+	var size int64
+	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+		if path != folder && errors.Is(err, fs.ErrNotExist) {
+			return nil
+		}
+		if err != nil || !entry.Type().IsRegular() {
+			return err
+		}
+		info, err := entry.Info()
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		size += info.Size()
+		return nil
+	})
+	return float64(size), err
+}
--- a/internal/testkit/relayprocess/relayprocess_test.go
+++ b/internal/testkit/relayprocess/relayprocess_test.go
@@ -1,11 +1,15 @@
 package relayprocess
 
 import (
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"os"
+	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
+	"time"
 )
 
 func TestCommand(t *testing.T) {
@@ -51,3 +55,83 @@
 		t.Error("a field that does not exist is found")
 	}
 }
+
+func TestCPU(t *testing.T) {
+	const used = 20 * time.Millisecond
+	before, err := CPU(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	after := before
+	for deadline := time.Now().Add(10 * time.Second); after < before+used && time.Now().Before(deadline); {
+		if after, err = CPU(os.Getpid()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if after < before+used {
+		t.Errorf("a busy process used %v", after-before)
+	}
+	if _, err := CPU(-1); !errors.Is(err, errNoSchedstat) {
+		t.Errorf("a process that does not exist gives %v", err)
+	}
+}
+
+func TestFolderSize(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.Mkdir(filepath.Join(folder, "inner"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for name, size := range map[string]int{"a": 10, "inner/b": 200} {
+		if err := os.WriteFile(filepath.Join(folder, name), make([]byte, size), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if size, err := FolderSize(folder); err != nil || size != 210 {
+		t.Errorf("%g bytes, %v; want 210", size, err)
+	}
+	if _, err := FolderSize(filepath.Join(folder, "none")); err == nil {
+		t.Error("a folder that does not exist has a size")
+	}
+}
+
+func TestSubmission(t *testing.T) {
+	s := Submission{ID: "m1", Destination: 7, TimeLeft: 1500 * time.Millisecond, Body: strings.NewReader("body")}
+	req, err := s.NewRequest(t.Context(), "a:1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if req.Method != http.MethodPost || req.URL.String() != "http://a:1/order" {
+		t.Errorf("%s %s", req.Method, req.URL)
+	}
+	for name, want := range map[string]string{
+		"X-Trace-Id":      "m1",
+		"X-Qos":           "order",
+		"X-Customer":      "acme",
+		"Idempotency-Key": "key-m1",
+		"Envelope":        "dest=7",
+		"X-Expires-In-Ms": "1500",
+	} {
+		if got := req.Header.Get(name); got != want {
+			t.Errorf("%s: %q, want %q", name, got, want)
+		}
+	}
+}
+
+func TestWriteConfig(t *testing.T) {
+	folder := t.TempDir()
+	if err := WriteConfig(folder, map[string]any{"name": "n0", "settings": BaseSettings()}); err != nil {
+		t.Fatal(err)
+	}
+	data, err := os.ReadFile(ConfigFile(folder))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{`"name":"n0"`, `"open_cap":50`} {
+		if !strings.Contains(string(data), want) {
+			t.Errorf("%s lacks %s", data, want)
+		}
+	}
+	if err := WriteConfig(folder, map[string]any{"name": make(chan int)}); err == nil {
+		t.Error("a configuration that JSON cannot hold is written")
+	}
+}
