--- /dev/null
+++ b/cmd/capacity/engine.go
@@ -0,0 +1,280 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
+	"cherrytrestle.example/cherrytrestle/policy"
+)
+
+const (
+	engineSeed        = 1
+	engineStart       = time.Minute           // of virtual time
+	engineCallLatency = 10 * time.Millisecond // of each call
+	// firstCallSpread is more than the time over which an engine spreads first calls after an endpoint snapshot.
+	firstCallSpread = 5 * time.Second
+	// unlimitedWeight is an endpoint weight with which pacing delays nothing that is measured.
+	unlimitedWeight = 5e5
+	messageKey      = "k"
+
+	// activeDestinations are in service beside a backlog.
+	activeDestinations = 500
+	// unavailableDestinations have the messages of a backlog: as many as are unavailable at any time at the target.
+	unavailableDestinations = 2240
+)
+
+// heapInUse returns the bytes of live objects.
+func heapInUse() float64 { return float64(usage.Memory().HeapAlloc) }
+
+// simulatedRelay is a decision engine whose calls all succeed.
+type simulatedRelay struct {
+	*policy.Engine
+	now      time.Duration
+	outcomes []policy.Event // for the next step
+	sent     int            // calls so far
+	lastID   policy.MessageID
+}
+
+// newSimulatedRelay returns a relay that knows destinations, of which some are in service.
+func newSimulatedRelay(destinations int, inService func(destination int) bool) (*simulatedRelay, error) {
+	engine, err := policy.New(engineSettings(), engineSeed)
+	if err != nil {
+		return nil, err
+	}
+	s := &simulatedRelay{Engine: engine, now: engineStart}
+	s.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: endpointsOf(destinations, inService)})
+	s.now += firstCallSpread
+	return s, nil
+}
+
+func engineSettings() policy.Settings {
+	return policy.Settings{
+		Classes: []policy.Class{{
+			Effect:           policy.IdempotentByKey,
+			DedupWindow:      10 * time.Second,
+			LatencyObjective: 3 * time.Second,
+			Deadline:         time.Hour,
+			Weight:           1,
+		}},
+		DestinationKinds:      []policy.DestinationKind{{MaxBatch: 1}},
+		Tenants:               []policy.Tenant{{}},
+		FleetSize:             1,
+		MaxAttempts:           8,
+		WarmUpDuration:        30 * time.Second,
+		OverloadFactor:        2,
+		OverloadWindow:        3 * time.Second,
+		WarmUpInitialCapacity: 0.1,
+	}
+}
+
+// endpointsOf returns two endpoints for each destination.
+func endpointsOf(destinations int, inService func(destination int) bool) []policy.Endpoint {
+	endpoints := make([]policy.Endpoint, 0, endpointsPerDestination*destinations)
+	for i := range endpointsPerDestination * destinations {
+		destination := i / endpointsPerDestination
+		endpoints = append(endpoints, policy.Endpoint{
+			ID:          fmt.Sprintf("s-%08x", i),
+			Destination: destination,
+			Zone:        i % endpointsPerDestination,
+			Weight:      unlimitedWeight,
+			InService:   inService(destination),
+		})
+	}
+	return endpoints
+}
+
+func allInService(int) bool { return true }
+
+// step steps the engine with events, and with the outcomes of the calls of the last step.
+func (s *simulatedRelay) step(events ...policy.Event) {
+	s.now += time.Millisecond
+	events = append(s.outcomes, events...)
+	s.outcomes = nil
+	for _, action := range s.Step(s.now, events) {
+		if action.Kind != policy.Send {
+			continue
+		}
+		s.sent++
+		s.outcomes = append(s.outcomes, policy.Event{
+			Kind:         policy.AttemptFinished,
+			MessageID:    action.MessageID,
+			Endpoint:     action.Endpoint,
+			Outcome:      policy.OK,
+			Latency:      engineCallLatency,
+			MessageEnded: true,
+		})
+	}
+}
+
+// submit submits messages to random destinations, each in a step of its own, so that the next step ends it.
+func (s *simulatedRelay) submit(messages, destinations int, rng *rand.Rand) {
+	for range messages {
+		s.lastID++
+		s.step(policy.Event{
+			Kind:        policy.MessageAccepted,
+			MessageID:   s.lastID,
+			Destination: rng.IntN(destinations),
+			Key:         messageKey,
+			TimeLeft:    time.Hour,
+		})
+	}
+}
+
+// measureSubmit returns the CPU seconds of one message. It is an error if less than nine in ten of the messages are
+// sent: then something else is measured.
+func (s *simulatedRelay) measureSubmit(messages, destinations int, rng *rand.Rand) (float64, error) {
+	began, sent := usage.ProcessCPU(), s.sent
+	s.submit(messages, destinations, rng)
+	used := usage.ProcessCPU() - began
+	if got := s.sent - sent; got < messages*9/10 {
+		return 0, fmt.Errorf("%d of %d messages were sent: the pace of the run measures something else", got, messages)
+	}
+	return used.Seconds() / float64(messages), nil
+}
+
+// engineSeries are the series over the known destinations.
+type engineSeries struct {
+	message, memory, snapshot, delta *series
+}
+
+// measureEngine measures the decision engine alone.
+func measureEngine(ctx context.Context, b *bench) ([]capacity.Series, error) {
+	const axis = "destinations told"
+	all := engineSeries{
+		message:  newSeries(capacity.EngineMessageCPU, axis, capacity.Seconds),
+		memory:   newSeries(capacity.EngineEndpointMemory, axis, capacity.Bytes),
+		snapshot: newSeries(capacity.EngineSnapshotCPU, axis, capacity.Seconds),
+		delta:    newSeries(capacity.EngineDeltaCPU, axis, capacity.Seconds),
+	}
+	for _, destinations := range b.sizes([]int{100, 1000, 3000}, []int{100, 1000, 10_000, 50_000, 140_000}) {
+		if err := ctx.Err(); err != nil {
+			return nil, err
+		}
+		if err := all.measure(destinations); err != nil {
+			return nil, fmt.Errorf("%d destinations: %w", destinations, err)
+		}
+	}
+	memory, message, err := measureEngineBacklog(ctx, b)
+	if err != nil {
+		return nil, err
+	}
+	return collect(all.message, all.memory, all.snapshot, all.delta, memory, message), nil
+}
+
+func (e *engineSeries) measure(destinations int) error {
+	const warmUpMessages, messages = 1000, 20_000
+	before := heapInUse()
+	s, err := newSimulatedRelay(destinations, allInService)
+	if err != nil {
+		return err
+	}
+	e.memory.add(destinations, heapInUse()-before)
+	rng := rand.New(rand.NewPCG(1, uint64(destinations)))
+	s.submit(warmUpMessages, destinations, rng)
+	cpu, err := s.measureSubmit(messages, destinations, rng)
+	if err != nil {
+		return err
+	}
+	e.message.add(destinations, cpu)
+	endpoints := endpointsOf(destinations, allInService)
+	e.snapshot.add(destinations, s.measureSnapshots(endpoints, max(3, 500_000/destinations)))
+	e.delta.add(destinations, s.measureDeltas(endpoints, rng))
+	runtime.KeepAlive(s)
+	return nil
+}
+
+// measureSnapshots returns the CPU seconds of an endpoint snapshot that changes nothing.
+func (s *simulatedRelay) measureSnapshots(endpoints []policy.Endpoint, snapshots int) float64 {
+	began := usage.ProcessCPU()
+	for range snapshots {
+		s.step(policy.Event{Kind: policy.EndpointSnapshot, Endpoints: endpoints})
+	}
+	return (usage.ProcessCPU() - began).Seconds() / float64(snapshots)
+}
+
+// measureDeltas returns the CPU seconds of a change of one endpoint.
+func (s *simulatedRelay) measureDeltas(endpoints []policy.Endpoint, rng *rand.Rand) float64 {
+	const deltas = 20_000
+	began := usage.ProcessCPU()
+	for i := range deltas {
+		changed := endpoints[rng.IntN(len(endpoints))]
+		changed.Weight += float64(i%2 + 1)
+		s.step(policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{changed}})
+	}
+	return (usage.ProcessCPU() - began).Seconds() / deltas
+}
+
+// measureEngineBacklog queues messages for destinations that are out of service, and submits others beside them.
+func measureEngineBacklog(ctx context.Context, b *bench) (memory, message *series, err error) {
+	const axis = "messages held"
+	memory = newSeries(capacity.EngineBacklogMemory, axis, capacity.Bytes)
+	message = newSeries(capacity.EngineBacklogCPU, axis, capacity.Seconds)
+	memory.Limitations = fmt.Sprintf("held for %d destinations that are out of service, "+
+		"so nothing of them is tried; %d others are served", unavailableDestinations, activeDestinations)
+	message.Limitations = memory.Limitations
+	for _, queued := range b.sizes([]int{1000, 5000, 20_000}, []int{10_000, 100_000, 300_000, 1_000_000}) {
+		if err := ctx.Err(); err != nil {
+			return nil, nil, err
+		}
+		if err := measureBesideBacklog(queued, memory, message); err != nil {
+			return nil, nil, fmt.Errorf("beside %d held: %w", queued, err)
+		}
+	}
+	return memory, message, nil
+}
+
+func measureBesideBacklog(queued int, memory, message *series) error {
+	const (
+		warmUpMessages, messages = 500, 10_000
+		// firstID is beyond the queued messages.
+		firstID = 1e9
+	)
+	s, err := newSimulatedRelay(activeDestinations+unavailableDestinations, func(destination int) bool {
+		return destination < activeDestinations
+	})
+	if err != nil {
+		return err
+	}
+	before := heapInUse()
+	s.queue(queued)
+	memory.add(queued, heapInUse()-before)
+	s.lastID = firstID
+	rng := rand.New(rand.NewPCG(2, uint64(queued)))
+	s.submit(warmUpMessages, activeDestinations, rng)
+	cpu, err := s.measureSubmit(messages, activeDestinations, rng)
+	if err != nil {
+		return err
+	}
+	message.add(queued, cpu)
+	runtime.KeepAlive(s)
+	return nil
+}
+
+// queue submits messages to the unavailable destinations, and waits until all of them have passed their latency
+// objective: each is moved within its queue then, once.
+func (s *simulatedRelay) queue(messages int) {
+	const batch, lateSeconds = 500, 10
+	events := make([]policy.Event, 0, batch)
+	for i := 0; i < messages; i += batch {
+		events = events[:0]
+		for k := i; k < min(i+batch, messages); k++ {
+			events = append(events, policy.Event{
+				Kind:        policy.MessageAccepted,
+				MessageID:   policy.MessageID(k + 1),
+				Destination: activeDestinations + k%unavailableDestinations,
+				Key:         messageKey,
+				TimeLeft:    100 * time.Hour,
+			})
+		}
+		s.step(events...)
+	}
+	for range lateSeconds {
+		s.now += time.Second
+		s.step(policy.Event{Kind: policy.TimerFired})
+	}
+}
--- /dev/null
+++ b/cmd/capacity/fleetbounds_test.go
@@ -0,0 +1,35 @@
+package main
+
+import "testing"
+
+// The bounds of what relays share are found: all of so many, and not all of more.
+func TestDestinationsPublished(t *testing.T) {
+	for destinations, want := range map[int]int{16: 16, 256: 256, 300: 256} {
+		if got := destinationsPublished(destinations); got != want {
+			t.Errorf("of %d destinations a member publishes %d, want %d", destinations, got, want)
+		}
+	}
+}
+
+func TestQuotaAccounts(t *testing.T) {
+	for destinations, want := range map[int]int{16: 16, 1024: 1024, 1100: 1024} {
+		if got := quotaAccounts(destinations); got != want {
+			t.Errorf("of %d limits %d are shared, want %d", destinations, got, want)
+		}
+	}
+}
+
+func TestMembersAccepted(t *testing.T) {
+	for members, want := range map[int]int{2: 2, 1024: 1024, 1025: 0} {
+		if got := membersAccepted(members); got != want {
+			t.Errorf("of %d members %d are accepted, want %d", members, got, want)
+		}
+	}
+}
+
+func TestMeasureBound(t *testing.T) {
+	s := measureBound("x", "things", []int{1, 2, 3}, func(size int) int { return min(size, 2) })
+	if len(s.Points) != 3 || s.Points[1].Failed || s.Points[1].Value != 2 || !s.Points[2].Failed {
+		t.Errorf("%+v", s.Points)
+	}
+}
--- /dev/null
+++ b/cmd/capacity/tables.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+
+	"cherrytrestle.example/cherrytrestle/internal/capacity"
+	"cherrytrestle.example/cherrytrestle/internal/cli"
+)
+
+// files are the stored measurements and the page that is made of them.
+type files struct {
+	Data string `help:"What was measured." default:"docs/capacity.json" placeholder:"FILE"`
+	Page string `help:"The page with the tables." default:"docs/CAPACITY.md" placeholder:"FILE"`
+}
+
+// load reads the measurements. Without a file there are none.
+func (f files) load() (capacity.Data, error) {
+	data, err := os.ReadFile(f.Data)
+	if errors.Is(err, fs.ErrNotExist) {
+		return capacity.Data{}, nil
+	}
+	if err != nil {
+		return capacity.Data{}, err
+	}
+	d, err := capacity.Parse(data)
+	if err != nil {
+		return capacity.Data{}, fmt.Errorf("%s: %w", f.Data, err)
+	}
+	return d, nil
+}
+
+// generate returns the page as it is, and with the tables that the data gives.
+func (f files) generate(d capacity.Data) (current, generated string, err error) {
+	page, err := os.ReadFile(f.Page)
+	if err != nil {
+		return "", "", err
+	}
+	sections, err := capacity.Sections(capacity.Design(), d)
+	if err != nil {
+		return "", "", err
+	}
+	generated, err = capacity.Fill(string(page), sections)
+	return string(page), generated, err
+}
+
+type tablesCommand struct {
+	files
+	Check bool `help:"Write nothing: fail where the page does not hold what the data gives."`
+}
+
+// Run writes the tables, or checks them.
+func (c *tablesCommand) Run(s *cli.Streams) error {
+	d, err := c.load()
+	if err != nil {
+		return err
+	}
+	current, generated, err := c.generate(d)
+	switch {
+	case err != nil:
+		return err
+	case current == generated:
+		_, err := fmt.Fprintf(s.Out, "%s holds what %s gives\n", c.Page, c.Data)
+		return err
+	case c.Check:
+		return fmt.Errorf("%s does not hold what %s gives: run capacity tables", c.Page, c.Data)
+	}
+	if _, err := fmt.Fprintf(s.Out, "wrote %s\n", c.Page); err != nil {
+		return err
+	}
+	return os.WriteFile(c.Page, []byte(generated), 0o644)
+}
