--- a/cmd/capacity/engine.go
+++ b/cmd/capacity/engine.go
@@ -79,7 +79,7 @@
 		destination := i / endpointsPerDestination
 		endpoints = append(endpoints, policy.Endpoint{
 			ID:          fmt.Sprintf("s-%08x", i),
-			Destination: destination,
+			Destination: policy.DestinationID(destination),
 			Zone:        i % endpointsPerDestination,
 			Weight:      unlimitedWeight,
 			InService:   inService(destination),
@@ -118,7 +118,7 @@
 		s.step(policy.Event{
 			Kind:        policy.MessageAccepted,
 			MessageID:   s.lastID,
-			Destination: rng.IntN(destinations),
+			Destination: policy.DestinationID(rng.IntN(destinations)),
 			Key:         messageKey,
 			TimeLeft:    time.Hour,
 		})
@@ -266,7 +266,7 @@
 			events = append(events, policy.Event{
 				Kind:        policy.MessageAccepted,
 				MessageID:   policy.MessageID(k + 1),
-				Destination: activeDestinations + k%unavailableDestinations,
+				Destination: policy.DestinationID(activeDestinations + k%unavailableDestinations),
 				Key:         messageKey,
 				TimeLeft:    100 * time.Hour,
 			})
--- a/cmd/capacity/fleetbounds.go
+++ b/cmd/capacity/fleetbounds.go
@@ -74,11 +74,11 @@
 // destinationsPublished returns of how many destinations a member publishes load. It has ten messages a second to each.
 func destinationsPublished(destinations int) int {
 	const maxDestinations = 10_000 // for message IDs that differ
-	a, published := newAgent(destinations, false), map[int]bool{}
+	a, published := newAgent(destinations, false), map[policy.DestinationID]bool{}
 	for now := 3 * time.Second; now < 6*time.Second; now += 100 * time.Millisecond {
 		firstID := policy.MessageID(now.Milliseconds()) * maxDestinations
 		var events []policy.Event
-		for destination := range destinations {
+		for destination := range policy.DestinationID(destinations) {
 			events = append(events, policy.Event{
 				Kind:        policy.MessageAccepted,
 				MessageID:   firstID + policy.MessageID(destination),
--- a/cmd/capacity/journal.go
+++ b/cmd/capacity/journal.go
@@ -30,7 +30,7 @@
 		TraceID:        fmt.Sprintf("%016x", id),
 		IdempotencyKey: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08x", id),
 		ClassName:      "order",
-		Destination:    destination,
+		Destination:    policy.DestinationID(destination),
 		Deadline:       deadline,
 		Body:           body,
 	}
--- a/internal/capacity/hollow/fleet.go
+++ b/internal/capacity/hollow/fleet.go
@@ -163,4 +163,4 @@
 
 func memberName(index int) string { return fmt.Sprintf("r%04d", index) }
 
-func endpointID(destination int) string { return fmt.Sprintf("s-%06d", destination) }
+func endpointID(destination policy.DestinationID) string { return fmt.Sprintf("s-%06d", destination) }
--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -24,7 +24,7 @@
 	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
 	r.step([]event{e})
 	for {
-		if _, ok := r.next().(cancelEvent); ok {
+		if _, ok := nextEvent(t, r).(cancelEvent); ok {
 			break
 		}
 	}
@@ -74,7 +74,7 @@
 	return answers
 }
 
-func newSubmission(id string, dest int, left time.Duration) *submitEvent {
+func newSubmission(id string, dest policy.DestinationID, left time.Duration) *submitEvent {
 	m := &journal.Message{TraceID: id, IdempotencyKey: "k", Destination: dest, Deadline: time.Now().Add(left)}
 	return &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -30,6 +30,19 @@
 	Event                 // something that the instance observes
 )
 
+// String returns the kind's name.
+func (k ItemKind) String() string {
+	switch k {
+	case Start:
+		return "start"
+	case Stop:
+		return "stop"
+	case Event:
+		return "event"
+	}
+	return fmt.Sprintf("item(%d)", int(k))
+}
+
 // Item is one event of a batch, for one instance.
 type Item struct {
 	Kind     ItemKind
@@ -216,7 +229,7 @@
 		f.optional()
 		e.Class = f.integer()
 		e.TimeLeft = f.milliseconds()
-		e.Destination = f.integer()
+		e.Destination = policy.DestinationID(f.integer())
 	case "FINISHED":
 		parseFinished(f, e, limits)
 	case "PONG":
@@ -293,7 +306,7 @@
 		return endpoint, errors.New("unknown health")
 	}
 	endpoint.Kind = f.integer()
-	endpoint.Destination = f.integer()
+	endpoint.Destination = policy.DestinationID(f.integer())
 	endpoint.Zone = f.integer()
 	f.optional()
 	endpoint.ID = f.word()
