--- a/internal/capacity/hollow/agent.go
+++ b/internal/capacity/hollow/agent.go
@@ -59,11 +59,11 @@
 
 func agentEndpoints(destinations int) []policy.Endpoint {
 	endpoints := make([]policy.Endpoint, 0, endpointsPerDestination*destinations)
-	for destination := range destinations {
+	for destination := range policy.DestinationID(destinations) {
 		for zone := range endpointsPerDestination {
 			endpoints = append(endpoints, policy.Endpoint{
 				ID:          fmt.Sprintf("s-%06d-%d", destination, zone),
-				Destination: policy.DestinationID(destination),
+				Destination: destination,
 				Zone:        zone,
 				Weight:      8.6,
 				InService:   true,
--- a/internal/capacity/hollow/quota.go
+++ b/internal/capacity/hollow/quota.go
@@ -112,8 +112,8 @@
 	}
 	s.addPeers(members, self)
 	limits := loadreport.Limits{}
-	for destination := range destinations {
-		limits[policy.DestinationID(destination)] = map[string]float64{"": limit}
+	for destination := range policy.DestinationID(destinations) {
+		limits[destination] = map[string]float64{"": limit}
 	}
 	names := s.names()
 	before := memoryInUse()
