--- a/internal/fleet/quota/safety_test.go
+++ b/internal/fleet/quota/safety_test.go
@@ -141,7 +141,7 @@
 // A member that has lost its data directory uses its share as soon as all others have said that they hold no lease of
 // an earlier incarnation. A lease of that incarnation that is still in transit is not accepted any more: a member that
 // accepts it all the same would exceed the limit.
-func TestLeasesOfEarlierIncarnationAreRefused(t *testing.T) {
+func TestLeasesOfEarlierIncarnationAreRejected(t *testing.T) {
 	for name, keepsPromise := range map[string]bool{"promise kept": true, "promise broken": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFleet(2, 2, 10, faults{}, middle)
--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -53,9 +53,9 @@
 	if calls := r.addToCalls(nil, m, &send); len(calls) != 0 {
 		t.Error("sent without its body")
 	}
-	notices := r.notifier.Pending()
-	if len(notices) != 1 || notices[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
-		t.Errorf("notices %+v, %d pending", notices, r.pending)
+	notifications := r.notifier.Pending()
+	if len(notifications) != 1 || notifications[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
+		t.Errorf("notifications %+v, %d pending", notifications, r.pending)
 	}
 	if a := submitAll(r, newSubmission("m2", 7, 5*time.Second))[0]; a.Status != 202 {
 		t.Errorf("afterwards: %+v", a)
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -113,21 +113,21 @@
 	}
 }
 
-// delayConnections has connections to endpoints come up only once up is closed. dialled tells of each attempt to
-// connect, came of each request.
-func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialled <-chan struct{}, came <-chan string) {
+// delayConnections has connections to endpoints come up only once up is closed. dialed receives a value for each
+// attempt to connect, requests the text of each request.
+func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialed <-chan struct{}, requests <-chan string) {
 	t.Helper()
-	asked := make(chan struct{}, 16)
-	requests := make(chan string, 16)
+	dials := make(chan struct{}, 16)
+	received := make(chan string, 16)
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, req *http.Request) bool {
 		body, _ := io.ReadAll(req.Body)
-		requests <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
+		received <- req.URL.Path + " " + req.Header.Get("X-Trace-Id") + string(body)
 		nettest.Send(conn, nettest.OKResponse)
 		return true
 	})
 	config := r.egressConfig()
 	config.Dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
-		asked <- struct{}{}
+		dials <- struct{}{}
 		select {
 		case <-up:
 		case <-ctx.Done():
@@ -137,7 +137,7 @@
 		return d.DialContext(ctx, network, addr)
 	}
 	r.egress = egress.New(config)
-	return asked, requests
+	return dials, received
 }
 
 // runLoop has the relay's loop run until the test ends.
@@ -156,7 +156,7 @@
 func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
-	dialled, came := delayConnections(t, r, up)
+	dialed, requests := delayConnections(t, r, up)
 	const endpoint = `{"id":"s-9","addr":"127.0.0.1:1","zone":"a","kind":"platform","cell":9,` +
 		`"state":"ready","weight":50}`
 	r.cfg.Known.Entries = entriesOf(r, endpoint)
@@ -176,14 +176,14 @@
 	}
 	r.recoverState()
 	runLoop(t, r)
-	<-dialled
+	<-dialed
 	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
-		notices := r.notifier.Pending()
-		return len(notices) == 1 && notices[0].TraceID == "m1"
+		notifications := r.notifier.Pending()
+		return len(notifications) == 1 && notifications[0].TraceID == "m1"
 	})
 	close(up)
 	select {
-	case got := <-came:
+	case got := <-requests:
 		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
 			t.Error("the endpoint was sent", got)
 		}
@@ -200,7 +200,7 @@
 	ends := time.Now().Add(300 * time.Millisecond)
 	up := make(chan struct{})
 	time.AfterFunc(time.Until(ends), func() { close(up) })
-	dialled, came := delayConnections(t, r, up)
+	dialed, requests := delayConnections(t, r, up)
 	m := &journal.Message{
 		ID:                1,
 		TraceID:           "m",
@@ -217,10 +217,10 @@
 	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
 	r.recoverState()
 	runLoop(t, r)
-	<-dialled
+	<-dialed
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		notices := r.notifier.Pending()
-		if len(notices) == 1 && notices[0].Status == "undeliverable" {
+		notifications := r.notifier.Pending()
+		if len(notifications) == 1 && notifications[0].Status == "undeliverable" {
 			break
 		}
 		if time.Now().After(end) {
@@ -228,7 +228,7 @@
 		}
 	}
 	select {
-	case <-came:
+	case <-requests:
 		t.Error("it was sent")
 	default:
 	}
--- a/internal/relay/discovery/list_test.go
+++ b/internal/relay/discovery/list_test.go
@@ -16,13 +16,13 @@
 )
 
 // newAgent returns an agent of which each watch is answered by the next text and then ends; the last one stays.
-func newAgent(t *testing.T, whole string, watches ...string) (addr string, indexes <-chan string) {
+func newAgent(t *testing.T, snapshot string, watches ...string) (addr string, indexes <-chan string) {
 	t.Helper()
 	var mu sync.Mutex
 	came, n := make(chan string, 64), 0
 	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("stream") == "" {
-			send(w, whole)
+			send(w, snapshot)
 			return
 		}
 		came <- r.URL.Query().Get("index")
@@ -80,7 +80,7 @@
 	delivered := watch(t, addr, quiet(), 40, func(delivered []List) bool { return len(delivered) == 3 })
 	for i, want := range []int64{41, 2, 3} {
 		if delivered[i].Version != want || delivered[i].Full != (want == 2) {
-			t.Errorf("list %d: version %d, whole %v", i, delivered[i].Version, delivered[i].Full)
+			t.Errorf("list %d: version %d, full %v", i, delivered[i].Version, delivered[i].Full)
 		}
 	}
 	for _, want := range []string{"40", "41", "2"} {
--- a/internal/relay/discovery/receive.go
+++ b/internal/relay/discovery/receive.go
@@ -67,7 +67,7 @@
 			return nil
 		}
 	} else {
-		if len(r.entries) <= r.maxWholeEntries() {
+		if len(r.entries) <= r.maxUnsplitEntries() {
 			return nil
 		}
 		if err := r.beginParts(); err != nil {
@@ -81,8 +81,8 @@
 	return r.sendEntries()
 }
 
-// maxWholeEntries is how many entries a list may have that is delivered as a whole.
-func (r *receiver) maxWholeEntries() int {
+// maxUnsplitEntries is how many entries a list may have that is delivered as a whole.
+func (r *receiver) maxUnsplitEntries() int {
 	if r.largeList() {
 		return MaxPartEntries
 	}
--- a/internal/relay/hotrestart/conn_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -167,24 +167,23 @@
 // Cut at any byte a frame is an error, and never another frame.
 func TestCutFrameIsAnError(t *testing.T) {
 	client, server := net.Pipe()
-	var whole []byte
 	go func() {
 		defer client.Close()
 		if err := NewConn(client).Send(sampleFrames()[2]); err != nil {
 			t.Error(err)
 		}
 	}()
-	whole, err := io.ReadAll(server)
+	written, err := io.ReadAll(server)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
-		f, err := receive(whole[:n])
+	for n := range written {
+		f, err := receive(written[:n])
 		if err == nil || n > 0 && errors.Is(err, io.EOF) || !reflect.DeepEqual(f, Frame{}) {
 			t.Fatalf("cut at %d: %+v, %v", n, f, err)
 		}
 	}
-	if _, err := receive(whole); err != nil {
+	if _, err := receive(written); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -28,8 +28,8 @@
 		c.IdleTimeout = 300 * time.Millisecond
 		c.ListTimeout = 600 * time.Millisecond
 	})
-	whole := discoverytest.ListJSON(9, destinations, live)
-	half := whole[:len(whole)*3/4]
+	complete := discoverytest.ListJSON(9, destinations, live)
+	half := complete[:len(complete)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
 		half = half[:len(half)-1]
 	}
@@ -63,8 +63,8 @@
 	if r.listVersion != 1 {
 		t.Errorf("version %d", r.listVersion)
 	}
-	a.sendLine(t, r, whole)
-	stepLoopUntil(t, r, "the whole list", func() bool { return r.listVersion == 9 })
+	a.sendLine(t, r, complete)
+	stepLoopUntil(t, r, "the complete list", func() bool { return r.listVersion == 9 })
 	if n := held(); n != 2*destinations+1 {
 		t.Errorf("%d hosts", n)
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// Versions that begin again, and a whole list that is older than the one in force: what the agent says last holds.
+// Versions that begin again, and a complete list that is older than the one in force: what the agent says last holds.
 func TestLongListsOfOlderVersions(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	follow(t, r, a)
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -24,26 +24,26 @@
 // listAgent is discovery's agent: it writes to its watch what a test says, and serves snapshots on request.
 type listAgent struct {
 	*httptest.Server
-	indexes chan string // of the watches
-	texts   chan []byte
-	written chan time.Time // when each text was
-	asked   atomic.Int32   // snapshots
+	indexes          chan string // of the watches
+	texts            chan []byte
+	written          chan time.Time // when each text was
+	snapshotRequests atomic.Int32
 
-	mu    sync.Mutex
-	whole func(w http.ResponseWriter, r *http.Request)
+	mu       sync.Mutex
+	snapshot func(w http.ResponseWriter, r *http.Request)
 }
 
 func newListAgent(t *testing.T) *listAgent {
 	t.Helper()
 	a := &listAgent{indexes: make(chan string, 1000), texts: make(chan []byte, 8), written: make(chan time.Time, 8)}
-	a.whole = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	a.snapshot = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("stream") == "" {
-			a.asked.Add(1)
+			a.snapshotRequests.Add(1)
 			a.mu.Lock()
-			whole := a.whole
+			snapshot := a.snapshot
 			a.mu.Unlock()
-			whole(w, r)
+			snapshot(w, r)
 			return
 		}
 		a.indexes <- r.URL.Query().Get("index")
@@ -72,10 +72,10 @@
 	return a
 }
 
-func (a *listAgent) serveSnapshot(whole func(w http.ResponseWriter, r *http.Request)) {
+func (a *listAgent) serveSnapshot(snapshot func(w http.ResponseWriter, r *http.Request)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.whole = whole
+	a.snapshot = snapshot
 }
 
 // follow has a relay watch an agent until the test ends. The test takes the steps, see stepLoopUntil, unless the loop
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -51,7 +51,7 @@
 		failed[n.TraceID] = n.Status == "undeliverable"
 	}
 	if !failed["m100"] || !failed["m109"] || failed["m299"] {
-		t.Errorf("notices %+v", again.notifier.Pending())
+		t.Errorf("notifications %+v", again.notifier.Pending())
 	}
 	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
 		t.Errorf("%d pending: what stands behind the damage is to go on", again.pending)
@@ -91,10 +91,10 @@
 			t.Errorf("back by %v: %v left", back, left)
 		}
 		r.recoverState()
-		notices := r.notifier.Pending()
-		failed := len(notices) == 1 && notices[0].TraceID == "ran"
+		notifications := r.notifier.Pending()
+		failed := len(notifications) == 1 && notifications[0].TraceID == "ran"
 		if failed != (back > 0) || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("back by %v: notices %+v", back, notices)
+			t.Errorf("back by %v: notifications %+v", back, notifications)
 		}
 		r.calls.Wait()
 	}
@@ -157,9 +157,10 @@
 			}
 		}
 		r.recoverState()
-		notices := r.notifier.Pending()
-		if len(notices) != 1 || notices[0].TraceID != "m1" || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("step %v: notices %+v", step, notices)
+		notifications := r.notifier.Pending()
+		failed := len(notifications) == 1 && notifications[0].TraceID == "m1"
+		if !failed || r.messages[2] == nil || r.messages[2].completed {
+			t.Errorf("step %v: notifications %+v", step, notifications)
 		}
 		r.calls.Wait()
 	}
@@ -197,7 +198,7 @@
 		}
 		r.recoverState()
 		if len(r.notifier.Pending()) != 1 || r.notifier.Pending()[0].TraceID != "m1" {
-			t.Errorf("step %v: notices %+v", step, r.notifier.Pending())
+			t.Errorf("step %v: notifications %+v", step, r.notifier.Pending())
 		}
 		r.calls.Wait()
 	}
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -153,7 +153,7 @@
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, errTerminated) {
-		t.Errorf("told to end: %v", err)
+		t.Errorf("terminated: %v", err)
 	}
 }
 
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -24,7 +24,7 @@
 type framePart byte
 
 const (
-	partWhole framePart = iota + 1
+	partFull framePart = iota + 1
 	partFirst
 	partMiddle
 	partLast
@@ -34,7 +34,7 @@
 func partOf(first, last bool) framePart {
 	switch {
 	case first && last:
-		return partWhole
+		return partFull
 	case first:
 		return partFirst
 	case last:
@@ -57,7 +57,7 @@
 func (f frame) isContinuation() bool { return f.part() == partMiddle || f.part() == partLast }
 
 // isFinal reports whether the record ends with this frame.
-func (f frame) isFinal() bool { return f.part() == partWhole || f.part() == partLast }
+func (f frame) isFinal() bool { return f.part() == partFull || f.part() == partLast }
 
 // frameChecksum is the checksum of a frame at an offset of a segment. It covers the bytes behind the checksum and the
 // frame's position: a frame that was copied to another position, by whomever, does not verify there.
@@ -135,7 +135,7 @@
 	}
 	size := frameHeaderSize + int(binary.LittleEndian.Uint16(data[frameLengthOffset:]))
 	part := framePart(data[framePartOffset])
-	if size > len(data) || part < partWhole || part > partLast {
+	if size > len(data) || part < partFull || part > partLast {
 		return nil, false
 	}
 	if binary.LittleEndian.Uint32(data) != frameChecksum(epoch, offset, data[frameLengthOffset:size]) {
