--- a/cmd/capacity/measure.go
+++ b/cmd/capacity/measure.go
@@ -159,16 +159,15 @@
 }
 
 func printModels(out io.Writer, run capacity.Run) error {
+	printer := cli.NewPrinter(out)
 	for _, s := range run.Series {
 		line := "no line"
 		if m, err := capacity.Fit(s); err == nil {
 			line = fmt.Sprintf("%.4g + %.4g n, residual %.1f %%", m.Intercept, m.Slope, 100*m.Residual)
 		}
-		if _, err := fmt.Fprintf(out, "%-18s %v: %s\n", s.Name, s.Points, line); err != nil {
-			return err
-		}
+		printer.Printf("%-18s %v: %s\n", s.Name, s.Points, line)
 	}
-	return nil
+	return printer.Err()
 }
 
 // store adds the run to the stored measurements, and writes the page.
--- a/cmd/capacity/relay.go
+++ b/cmd/capacity/relay.go
@@ -19,7 +19,7 @@
 
 const (
 	relayName = "n0"
-	// defaultMemoryMB is the memory limit that a relay takes if it is told none. The garbage collector goes by it.
+	// defaultMemoryMB is the memory limit of a relay that is given none. The garbage collector goes by it.
 	defaultMemoryMB = 192
 	// backlogMemoryMB is a limit with room for a backlog in memory.
 	backlogMemoryMB = 4096
--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 // TestBacklog has a relay hold many messages for endpoints that are down, kills it and starts it again: it holds them
 // all still. What a message costs as more are held is recorded, and held to nothing here: the machine has other work.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
-		for _, n := range testSizes(t, []int{2000}, 10000, 50000, 100000) {
+		for _, n := range scaletest.Sizes(t, []int{2000}, 10000, 50000, 100000) {
 			t.Run(fmt.Sprintf("%d destinations, %d", destinations, n), func(t *testing.T) {
 				testBacklog(t, n, destinations)
 			})
@@ -27,7 +28,7 @@
 
 func testBacklog(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
-	defer func() { recordReading(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
+	defer func() { scaletest.Record(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
 	list := destinationEntries(0, destinations, closedAddr(t))
 	discovery := newDiscoveryServer(t, 1, list)
 	r := prepareRelay(t, list, func(set map[string]any) {
--- a/cmd/cherrytrestle/manyrelays_test.go
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -9,16 +9,17 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 // Many relays follow one large list under load. An endpoint is drained right behind a change of half of all entries:
 // no relay sends it anything from 1 s after that was published, and all accepted messages are delivered.
 func TestManyRelaysOfOneCatalog(t *testing.T) {
 	destinations := 2000
-	if *full {
+	if scaletest.Full() {
 		destinations = 50000
 	}
-	for _, n := range testSizes(t, []int{3}, 30) {
+	for _, n := range scaletest.Sizes(t, []int{3}, 30) {
 		t.Run(fmt.Sprintf("%d relays, %d destinations", n, destinations), func(t *testing.T) {
 			testManyRelays(t, n, destinations)
 		})
@@ -27,7 +28,7 @@
 
 func testManyRelays(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
-	defer func() { recordReading(t, fmt.Sprintf("relays of %d destinations", destinations), n, values) }()
+	defer func() { scaletest.Record(t, fmt.Sprintf("relays of %d destinations", destinations), n, values) }()
 	drained := newEndpoint(t, nil)
 	stays := newEndpoint(t, nil)
 	list := destinationEntries(0, destinations, "")
--- a/cmd/cherrytrestle/scale_test.go
+++ b/cmd/cherrytrestle/scale_test.go
@@ -1,58 +1,15 @@
 package main
 
 import (
-	"encoding/json"
-	"flag"
 	"fmt"
-	"maps"
 	"net/http"
-	"os"
-	"slices"
 	"testing"
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-var (
-	full     = flag.Bool("full", false, "scale tests at all their sizes, for some minutes and gigabytes")
-	sizes    = flag.String("sizes", "", "with -full: a JSON array of the sizes instead of the usual ones")
-	readings = flag.String("readings", "", "file that readings of the scale tests are added to, one JSON object a line")
-)
-
-// testSizes returns the sizes to measure: the short ones, or with -full the long ones.
-func testSizes(t *testing.T, short []int, long ...int) []int {
-	if !*full {
-		return short
-	}
-	if *sizes != "" {
-		var own []int
-		must(t, json.Unmarshal([]byte(*sizes), &own))
-		return own
-	}
-	return long
-}
-
-// recordReading logs a reading, and adds it to the -readings file.
-func recordReading(t *testing.T, what string, n int, values map[string]float64) {
-	t.Helper()
-	text := fmt.Sprintf("%s, %d:", what, n)
-	for _, name := range slices.Sorted(maps.Keys(values)) {
-		text += fmt.Sprintf(" %s %.4g", name, values[name])
-	}
-	t.Log(text)
-	if *readings == "" {
-		return
-	}
-	line, err := json.Marshal(map[string]any{"what": what, "n": n, "values": values})
-	must(t, err)
-	f, err := os.OpenFile(*readings, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-	must(t, err)
-	defer closeQuietly(f)
-	_, err = f.Write(append(line, '\n'))
-	must(t, err)
-}
-
 const (
 	// maxCatalogMemoryMB is what a relay may take at the highest, at any size of the list.
 	maxCatalogMemoryMB = 128
@@ -63,7 +20,7 @@
 // and applies a change of one entry.
 func TestLargeCatalog(t *testing.T) {
 	for _, how := range []string{"listed", "known"} {
-		for _, n := range testSizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
+		for _, n := range scaletest.Sizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
 			t.Run(fmt.Sprintf("%s, %d", how, n), func(t *testing.T) { testLargeCatalog(t, how, n) })
 		}
 	}
@@ -71,7 +28,7 @@
 
 func testLargeCatalog(t *testing.T, how string, n int) {
 	values := map[string]float64{}
-	defer func() { recordReading(t, "catalog "+how, n, values) }()
+	defer func() { scaletest.Record(t, "catalog "+how, n, values) }()
 	h := newEndpoint(t, nil)
 	discovery, r := launchWithCatalog(t, how, n)
 	monitor := r.monitorHealth()
--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -113,11 +113,12 @@
 
 // limit is the largest size that a series was found to allow.
 type limit struct {
-	series             string
-	measured           bool
-	found              bool    // a size failed
-	largest            float64 // measured size
-	passed, firstError float64 // if found: the largest size that passed, the smallest that failed
+	series      string
+	measured    bool    // false: there is nothing else to say
+	largest     float64 // size that was measured
+	found       bool    // a size failed
+	passed      float64 // if found: the largest size below the failed one
+	firstFailed float64 // if found: the smallest size that failed
 }
 
 // limit returns what a series says of its largest size.
@@ -127,11 +128,11 @@
 		return limit{series: name}
 	}
 	l := limit{series: name, measured: true, largest: s.Points[len(s.Points)-1].Size}
-	l.passed, l.firstError, l.found = s.largestPassed()
+	l.passed, l.firstFailed, l.found = s.largestPassed()
 	return l
 }
 
 // derivation says which sizes passed and failed. It is meant for limits that were found.
 func (l limit) derivation() string {
-	return fmt.Sprintf("`%s`: %s did, %s did not", l.series, formatInteger(l.passed), formatInteger(l.firstError))
+	return fmt.Sprintf("`%s`: %s did, %s did not", l.series, formatInteger(l.passed), formatInteger(l.firstFailed))
 }
--- a/internal/capacity/hollow/faults.go
+++ b/internal/capacity/hollow/faults.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/capacity/usage"
 )
 
-// Parts of the metrics of faults: what the members learn of, and what is told of it.
+// Parts of the metrics of faults: what the members learn of, and what is measured of that.
 const (
 	lossPrefix   = "gone"
 	healedPrefix = "healed"
--- a/internal/capacity/hollow/faults_test.go
+++ b/internal/capacity/hollow/faults_test.go
@@ -4,12 +4,14 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 // faultSizes are the numbers of members that faults are measured with.
 func faultSizes(t *testing.T) []int {
 	t.Helper()
-	return sizesToMeasure(t, []int{24}, 300)
+	return scaletest.Sizes(t, []int{24}, 300)
 }
 
 func TestLoseZone(t *testing.T) {
@@ -20,7 +22,7 @@
 				f, stop := startFleet(t, Options{Members: members, ChangeTimeout: 2 * time.Minute})
 				defer stop()
 				m := f.LoseZone(zone)
-				record(t, fmt.Sprintf("zone of %d lost", zone), m)
+				scaletest.Record(t, fmt.Sprintf("zone of %d lost", zone), m.Size, m.Values)
 				checkRange(t, m, LossKnownFraction, 1, 1)
 				checkRange(t, m, LossKnownHalf, 1, 120) // Nobody can know before a probe has failed.
 			})
@@ -30,7 +32,7 @@
 
 func TestPartitionRegion(t *testing.T) {
 	duration := time.Minute
-	if *full {
+	if scaletest.Full() {
 		duration = 3 * time.Minute
 	}
 	for _, members := range faultSizes(t) {
@@ -40,7 +42,7 @@
 				f, stop := startFleet(t, Options{Members: members, ChangeTimeout: 2 * time.Minute})
 				defer stop()
 				m := f.PartitionRegion(region, duration)
-				record(t, fmt.Sprintf("a region of an eighth cut off for %v", duration), m)
+				scaletest.Record(t, fmt.Sprintf("a region of an eighth cut off for %v", duration), m.Size, m.Values)
 				checkRange(t, m, RemainingSplitFraction, 1, 1)
 				checkRange(t, m, HealedKnownFraction, 1, 1)
 			})
--- a/internal/capacity/hollow/fleet_test.go
+++ b/internal/capacity/hollow/fleet_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 // What members spend and how soon they learn of changes, in virtual time. cmd/capacity runs this test by its name.
@@ -21,7 +23,7 @@
 		{CaseActive, Options{Destinations: 8, ActiveDestinations: 6}, 10 * time.Second, []int{50, 100, 200, 300}},
 		{CaseQuota(24), Options{Destinations: 24, ShareQuota: true}, 10 * time.Second, []int{50, 100, 200, 300}},
 	} {
-		for _, members := range sizesToMeasure(t, []int{20}, c.long...) {
+		for _, members := range scaletest.Sizes(t, []int{20}, c.long...) {
 			t.Run(fmt.Sprintf("%s, %d", c.name, members), func(t *testing.T) {
 				options := c.options
 				options.Members = members
@@ -40,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record(t, name, m)
+	scaletest.Record(t, name, m.Size, m.Values)
 	checkRange(t, m, InformedFraction, 0.99, 1)
 	checkRange(t, m, PropagationHalf, 0, 1)
 	checkRange(t, m, SentDatagramRate, 0.1, 1e5)
--- a/internal/capacity/hollow/quota_test.go
+++ b/internal/capacity/hollow/quota_test.go
@@ -1,20 +1,24 @@
 package hollow
 
-import "testing"
+import (
+	"testing"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
+)
 
 // What sharing limits costs one member. cmd/capacity runs this test by its name.
 func TestMeasureQuota(t *testing.T) {
 	destinations := []int{30}
-	if *full {
+	if scaletest.Full() {
 		destinations = []int{30, 100, 1000}
 	}
-	for _, members := range sizesToMeasure(t, []int{20}, 100, 300, 1000, 2600) {
+	for _, members := range scaletest.Sizes(t, []int{20}, 100, 300, 1000, 2600) {
 		for _, d := range destinations {
 			m, err := MeasureQuota(members, d, 27)
 			if err != nil {
 				t.Fatal(err)
 			}
-			record(t, CaseQuota(d), m)
+			scaletest.Record(t, CaseQuota(d), m.Size, m.Values)
 			checkRange(t, m, SharedDestinations, float64(d), float64(d))
 			// All limits that the member does not hold itself are lent again at each renewal.
 			lent := (float64(d) - m.Values[HeldDestinations]) / renewInterval.Seconds()
