--- a/internal/capacity/data_test.go
+++ b/internal/capacity/data_test.go
@@ -31,7 +31,7 @@
 	r, _ := d.Latest()
 	a, _ := r.series("a")
 	b, ok := r.series("b")
-	if len(d.Runs) != 1 || r.Commit != "two" || a.Axis != "new" || !ok || b.Axis != "old" {
+	if len(d.Runs) != 1 || len(r.Series) != 2 || r.Commit != "two" || a.Axis != "new" || !ok || b.Axis != "old" {
 		t.Errorf("%+v", d)
 	}
 	d.Add(Run{Program: Current, Commit: "three"})
