--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 // TestBacklog submits many messages for endpoints that are down, kills the relay and starts it again: each accepted
@@ -17,7 +18,7 @@
 // checks no bound on it, because the machine runs other tests at the same time.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
-		for _, n := range testSizes(t, []int{2000}, 10000, 50000, 100000) {
+		for _, n := range scaletest.Sizes(t, []int{2000}, 10000, 50000, 100000) {
 			t.Run(fmt.Sprintf("%d destinations, %d", destinations, n), func(t *testing.T) {
 				testBacklog(t, n, destinations)
 			})
@@ -27,7 +28,7 @@
 
 func testBacklog(t *testing.T, n, destinations int) {
 	values := map[string]float64{}
-	defer func() { recordReading(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
+	defer func() { scaletest.Record(t, fmt.Sprintf("backlog for %d destinations", destinations), n, values) }()
 	list := destinationEntries(0, destinations, unusedAddr(t, "127.0.0.1"))
 	discovery := newDiscoveryServer(t, 1, list)
 	r := prepareRelay(t, list, func(set map[string]any) {
--- a/cmd/cherrytrestle/largecatalog_test.go
+++ b/cmd/cherrytrestle/largecatalog_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
+	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
 const (
@@ -19,7 +20,7 @@
 // changes one entry. The relay becomes ready, applies the change, and stays within its memory bound.
 func TestLargeCatalog(t *testing.T) {
 	for _, how := range []string{"listed", "known"} {
-		for _, n := range testSizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
+		for _, n := range scaletest.Sizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
 			t.Run(fmt.Sprintf("%s, %d", how, n), func(t *testing.T) { testLargeCatalog(t, how, n) })
 		}
 	}
@@ -27,7 +28,7 @@
 
 func testLargeCatalog(t *testing.T, how string, n int) {
 	values := map[string]float64{}
-	defer func() { recordReading(t, "catalog "+how, n, values) }()
+	defer func() { scaletest.Record(t, "catalog "+how, n, values) }()
 	endpoint := newEndpoint(t, nil)
 	discovery, r := launchWithCatalog(t, how, n)
 	monitor := r.monitorHealth()
--- a/cmd/cherrytrestle/processusage_test.go
+++ b/cmd/cherrytrestle/processusage_test.go
@@ -2,11 +2,8 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
@@ -44,21 +41,11 @@
 }
 
 // disk is the size of the files in the relay's state folder, in MB.
-func (r *relayProcess) disk() (mb float64) {
-	err := filepath.WalkDir(relayprocess.StateFolder(r.dir), func(_ string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() {
-			return err
-		}
-		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) {
-			return nil
-		} else if err == nil {
-			mb += float64(info.Size()) / 1e6
-		}
-		return err
-	})
+func (r *relayProcess) disk() float64 {
+	r.t.Helper()
+	bytes, err := relayprocess.FolderSize(relayprocess.StateFolder(r.dir))
 	must(r.t, err)
-	return mb
+	return bytes / 1e6
 }
 
 // descriptors is the number of the process's open descriptors.
--- a/cmd/cherrytrestle/relayconfig_test.go
+++ b/cmd/cherrytrestle/relayconfig_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"net/http"
 	"os"
 	"syscall"
@@ -46,56 +45,26 @@
 	return r
 }
 
-// defaultSettings are the settings of the platform that the tests begin with: one class of message and one tenant.
+// defaultSettings returns the settings that the tests begin with: one class, one tenant and two kinds of destination.
 func defaultSettings() map[string]any {
-	return map[string]any{
-		"bounds": map[string]any{
-			"cancel":             true,
-			"connect_timeout_ms": 1000,
-			"keepalive_ms":       15000,
-			"max_retry_after_ms": 3000,
-			"may_duplicate":      true,
-			"open_cap":           50,
-			"retry_after":        true,
-			"send_cap":           8,
-		},
-		"extra": map[string]any{
-			"call_slots":      8,
-			"per_call":        []int{10, 1},
-			"separate_routes": []bool{false, true},
-		},
-		"fleet_size": 1,
-		"kinds":      []string{batchKind, singleKind},
-		"tick_ms":    5,
-		"zones":      []string{"a", "b"},
-		"rules": map[string]any{
-			"cold_from":       0.2,
-			"fall_ms":         3000,
-			"overload_factor": 2,
-			"warm_within_ms":  14000,
-		},
-		"services": []map[string]any{{
-			"name":             "order",
-			"semantics":        "idempotency_key",
-			"group":            "zone",
-			"goal_time_ms":     3000,
-			"give_up_ms":       16000,
-			"repeat_window_ms": 10000,
-			"value":            1,
-		}},
-		"realms": []map[string]any{{"name": "acme", "share": 1}},
-		"stats":  map[string]any{"how": "none"},
+	settings := relayprocess.BaseSettings()
+	settings["extra"] = map[string]any{
+		"call_slots":      8,
+		"per_call":        []int{10, 1},
+		"separate_routes": []bool{false, true},
 	}
+	settings["kinds"] = []string{batchKind, singleKind}
+	return settings
 }
 
 // setMaxPending sets the bound on accepted messages that have not ended.
 func setMaxPending(settings map[string]any, n int) {
-	settings["bounds"].(map[string]any)["open_cap"] = n
+	settings[relayprocess.BoundsSetting].(map[string]any)["open_cap"] = n
 }
 
 // setMaxAttempts sets the bound on the attempts of a message; 0: no bound.
 func setMaxAttempts(settings map[string]any, n int) {
-	settings["bounds"].(map[string]any)["send_cap"] = n
+	settings[relayprocess.BoundsSetting].(map[string]any)["send_cap"] = n
 }
 
 // setMaxInFlightCalls sets the bound on calls in flight; 0: no bound.
@@ -105,22 +74,26 @@
 
 // orderClass returns the settings of the class "order".
 func orderClass(settings map[string]any) map[string]any {
-	return settings["services"].([]map[string]any)[0]
+	return settings[relayprocess.ServicesSetting].([]map[string]any)[0]
 }
 
 // withPayments adds the class "pay", whose messages must never run twice.
 func withPayments(settings map[string]any) {
-	settings["services"] = append(settings["services"].([]map[string]any), map[string]any{
-		"name": "pay", "semantics": "non_idempotent", "goal_time_ms": 1000, "give_up_ms": 16000, "value": 1,
-	})
+	payments := map[string]any{
+		"name":         "pay",
+		"semantics":    "non_idempotent",
+		"goal_time_ms": 1000,
+		"give_up_ms":   16000,
+		"value":        1,
+	}
+	classes := settings[relayprocess.ServicesSetting].([]map[string]any)
+	settings[relayprocess.ServicesSetting] = append(classes, payments)
 }
 
 // writeConfig writes the configuration file.
 func (r *relayProcess) writeConfig() {
 	r.t.Helper()
-	config, err := json.Marshal(r.config)
-	must(r.t, err)
-	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), config, 0o600))
+	must(r.t, relayprocess.WriteConfig(r.dir, r.config))
 }
 
 // setLimits sets the relay's limits, and writes the configuration file.
--- a/cmd/cherrytrestle/submit_test.go
+++ b/cmd/cherrytrestle/submit_test.go
@@ -1,28 +1,30 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net/http"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
 // request returns a request that submits a message of the class "order". edit may change it.
 func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
-	req, err := http.NewRequest(http.MethodPost, "http://"+r.addr+"/order", strings.NewReader("body"))
+	r.t.Helper()
+	request, err := relayprocess.Submission{
+		ID:          id,
+		Destination: 7,
+		TimeLeft:    expires,
+		Body:        strings.NewReader("body"),
+	}.NewRequest(context.Background(), r.addr)
 	must(r.t, err)
-	for k, v := range map[string]string{
-		"X-Trace-Id": id, "X-Qos": "order", "X-Customer": "acme", "Idempotency-Key": "key-" + id, "Envelope": "dest=7",
-		"X-Expires-In-Ms": strconv.FormatInt(expires.Milliseconds(), 10),
-	} {
-		req.Header.Set(k, v)
-	}
 	if edit != nil {
-		edit(req)
+		edit(request)
 	}
-	return req
+	return request
 }
 
 // submit submits a message and returns the answer's status and advice.
--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -43,10 +43,10 @@
 // as in a recovery.
 func MeasureBacklog(messages, destinations int) (Measurement, error) {
 	endpoints := make([]policy.Endpoint, 0, destinations)
-	for destination := range destinations {
+	for destination := range policy.DestinationID(destinations) {
 		endpoints = append(endpoints, policy.Endpoint{
 			ID:          endpointID(destination),
-			Destination: policy.DestinationID(destination),
+			Destination: destination,
 			Weight:      unlimitedWeight,
 		})
 	}
--- a/internal/capacity/hollow/propagation.go
+++ b/internal/capacity/hollow/propagation.go
@@ -6,12 +6,13 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // propagation follows one change: a Retry-After that one member observes.
 type propagation struct {
 	origin      string // the member's name
-	destination int
+	destination policy.DestinationID
 	began       time.Time
 
 	mu    sync.Mutex
@@ -21,7 +22,7 @@
 // isContained reports whether load reports contain the change.
 func (p *propagation) isContained(reports []loadreport.Report) bool {
 	isChange := func(load loadreport.ScopeLoad) bool {
-		return int(load.Destination) == p.destination && load.RetryAfter > 0
+		return load.Destination == p.destination && load.RetryAfter > 0
 	}
 	return slices.ContainsFunc(reports, func(r loadreport.Report) bool {
 		return r.Name == p.origin && slices.ContainsFunc(r.Scopes, isChange)
@@ -55,7 +56,9 @@
 }
 
 // changedDestination is the destination that changes are about. It is listed last and has no load.
-func (f *Fleet) changedDestination() int { return f.options.Destinations }
+func (f *Fleet) changedDestination() policy.DestinationID {
+	return policy.DestinationID(f.options.Destinations)
+}
 
 // Change makes one member observe a Retry-After, and returns the sorted times until the others know of it. Those that
 // do not within ChangeTimeout are missing.
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -31,15 +31,15 @@
 // Conn.EndHandling while the response is awaited.
 type Handler func(conn *Conn, request *http.Request) Response
 
-// Config is what a server goes by.
+// Config configures a Server.
 type Config struct {
 	MaxConns int
 	Handler  Handler
 	Log      *slog.Logger
 }
 
-// Server serves the connections of clients. Where it may hold no more of them, it closes those that
-// are not in use.
+// Server serves the connections of clients. Where it may hold no more of them, it closes those that are
+// not in use.
 type Server struct {
 	log          *slog.Logger
 	handler      Handler
