--- a/cmd/cherrytrestle/submit_test.go
+++ b/cmd/cherrytrestle/submit_test.go
@@ -27,7 +27,7 @@
 	return request
 }
 
-// submit submits a message and returns the answer's status and advice.
+// submit submits a message, and returns the answer's status and its Retry-After.
 func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
