--- a/internal/recording/explain/events.go
+++ b/internal/recording/explain/events.go
@@ -104,12 +104,12 @@
 		if destination := b.countingDestination(now, action); destination != nil {
 			destination.Rejected++
 		}
-		b.messageRefused(now, action, "refused")
+		b.endUndelivered(now, action, "refused")
 	case policy.Fail:
 		if destination := b.countingDestination(now, action); destination != nil {
 			destination.Failed++
 		}
-		b.messageRefused(now, action, "failed")
+		b.endUndelivered(now, action, "failed")
 	}
 }
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// messageRefused notes a final answer without a delivery.
-func (b *builder) messageRefused(now time.Duration, action *policy.Action, end string) {
+// endUndelivered records a final answer without a delivery.
+func (b *builder) endUndelivered(now time.Duration, action *policy.Action, end string) {
 	message := b.report.Messages[action.MessageID]
 	if endMessage(message, now, end) {
 		message.RetryAfter = action.Delay
--- a/internal/recording/explain/report.go
+++ b/internal/recording/explain/report.go
@@ -21,9 +21,9 @@
 	Bins             int
 	Destinations     []*Destination // by number
 	Transitions      []Transition
-	InFlightCalls    []float64 // the most in each bin
+	InFlightCalls    []float64 // the maximum of each bin
 	MaxInFlightCalls int       // as configured
-	Queued           []float64 // messages waiting, the most in each bin
+	Queued           []float64 // messages waiting, the maximum of each bin
 	Messages         map[policy.MessageID]*Message
 	Notes            []string
 	Truncated        bool // there were more transitions or spans than are kept
@@ -60,7 +60,7 @@
 	LastRejectedRate []float64
 	EstimatedLimit   []float64
 
-	Queued    []float64 // messages waiting at the destination, the most in each bin
+	Queued    []float64 // messages waiting at the destination, the maximum of each bin
 	Delivered []float64 // outcomes in each bin
 	Rejected  []float64
 	Failed    []float64
