--- a/internal/capacity/hollow/backlog.go
+++ b/internal/capacity/hollow/backlog.go
@@ -43,7 +43,7 @@
 // as in a recovery.
 func MeasureBacklog(messages, destinations int) (Measurement, error) {
 	endpoints := make([]policy.Endpoint, 0, destinations)
-	for destination := range destinations {
+	for destination := range policy.DestinationID(destinations) {
 		endpoints = append(endpoints, policy.Endpoint{
 			ID:          endpointID(destination),
 			Destination: destination,
@@ -101,7 +101,7 @@
 	return policy.Event{
 		Kind:        policy.MessageAccepted,
 		MessageID:   policy.MessageID(index + 1),
-		Destination: index % s.destinations,
+		Destination: policy.DestinationID(index % s.destinations),
 		TimeLeft:    backlogTimeLeft,
 	}
 }
--- a/internal/capacity/hollow/member.go
+++ b/internal/capacity/hollow/member.go
@@ -89,7 +89,7 @@
 	for due := now.Seconds() * m.fleet.options.MessageRate; m.nextMessage < due; m.nextMessage++ {
 		m.lastMessageID++
 		id := m.lastMessageID
-		destination := int(id) % active
+		destination := policy.DestinationID(int(id) % active)
 		events = append(events, policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: destination})
 		actions = append(actions, policy.Action{Kind: policy.Send, MessageID: id, Endpoint: endpointID(destination)})
 		m.pendingOutcomes = append(m.pendingOutcomes, policy.Event{
@@ -106,7 +106,7 @@
 // snapshot is the endpoint list, with one endpoint for each destination.
 func (f *Fleet) snapshot() policy.Event {
 	event := policy.Event{Kind: policy.EndpointSnapshot}
-	for destination := range f.options.Destinations + 1 {
+	for destination := range policy.DestinationID(f.options.Destinations + 1) {
 		event.Endpoints = append(event.Endpoints, policy.Endpoint{
 			ID:          endpointID(destination),
 			Destination: destination,
--- a/internal/capacity/hollow/propagation.go
+++ b/internal/capacity/hollow/propagation.go
@@ -6,12 +6,13 @@
 	"time"
 
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // propagation follows one change: a Retry-After that one member observes.
 type propagation struct {
 	origin      string // the member's name
-	destination int
+	destination policy.DestinationID
 	began       time.Time
 
 	mu    sync.Mutex
@@ -55,7 +56,9 @@
 }
 
 // changedDestination is the destination that changes are about. It is listed last and has no load.
-func (f *Fleet) changedDestination() int { return f.options.Destinations }
+func (f *Fleet) changedDestination() policy.DestinationID {
+	return policy.DestinationID(f.options.Destinations)
+}
 
 // Change makes one member observe a Retry-After, and returns the sorted times until the others know of it. Those that
 // do not within ChangeTimeout are missing.
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -84,10 +84,8 @@
 		Leases:      []quota.Lease{{Scope: scope, Rate: 0.1, Delivered: uint32(n)}},
 		Requests:    []quota.Request{{Scope: scope, ID: uint32(n), Calls: 1}},
 	}}
-	in.Actions = append(
-		slices.Clip(in.Actions),
-		policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2},
-	)
+	request := policy.Action{Kind: policy.RequestQuota, Endpoint: "s-1", Calls: 2}
+	in.Actions = append(slices.Clip(in.Actions), request)
 }
 
 // An agent that is restored in the middle continues like the one that is not: with the same output and state.
@@ -147,7 +145,7 @@
 func BenchmarkStep(b *testing.B) {
 	a := New(testSettings())
 	var list []policy.Endpoint
-	for d := range 30 {
+	for d := range policy.DestinationID(30) {
 		list = append(list, policy.Endpoint{ID: fmt.Sprint("s-", d), Destination: d, Weight: 50, InService: true})
 	}
 	a.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: list}}})
@@ -157,7 +155,8 @@
 	id := policy.MessageID(0)
 	for now := time.Second; b.Loop(); now += time.Millisecond {
 		id++
-		events[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: int(id % 30)}
+		destination := policy.DestinationID(id % 30)
+		events[0] = policy.Event{Kind: policy.MessageAccepted, MessageID: id, Destination: destination}
 		actions[0] = policy.Action{Kind: policy.Send, MessageID: id, Endpoint: list[id%30].ID}
 		a.Step(now, Input{Events: events, Actions: actions, Views: noViews})
 		events[0] = policy.Event{
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -2,13 +2,14 @@
 
 import (
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
+	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 // endpointInfo is what the endpoint list says of an endpoint.
 type endpointInfo struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Kind        int
 	Limit       float64 // calls a second from all relays; 0 if the list does not say
 }
@@ -16,7 +17,7 @@
 // pendingMessage is a message that the engine has accepted and not ended.
 type pendingMessage struct {
 	_           struct{} `cbor:",toarray"`
-	Destination int
+	Destination policy.DestinationID
 	Waiting     bool // part of the backlog: no call with it is in flight
 }
 
@@ -25,7 +26,7 @@
 	case policy.MessageAccepted:
 		a.removeMessage(event.MessageID)
 		if event.Recovered == nil {
-			a.counter(limitScope{Destination: event.Destination}).Demand++
+			a.counter(quota.Scope{Destination: event.Destination}).Demand++
 		}
 		a.setWaiting(event.MessageID, pendingMessage{Destination: event.Destination}, true)
 	case policy.MessageCancelled:
@@ -56,7 +57,7 @@
 		a.removeMessage(action.MessageID)
 	case policy.RequestQuota:
 		if a.quota != nil {
-			a.quota.Request(a.Now, a.quotaScope(action.Endpoint), action.Calls)
+			a.quota.Request(a.Now, a.scopeOf(action.Endpoint), action.Calls)
 		}
 	}
 }
@@ -101,7 +102,7 @@
 	if message.Waiting == waiting {
 		return
 	}
-	counter := a.counter(limitScope{Destination: message.Destination})
+	counter := a.counter(quota.Scope{Destination: message.Destination})
 	if waiting {
 		counter.Backlog++
 	} else {
--- a/internal/fleet/loadreport/table_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -10,13 +10,15 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 var testMembers = []string{"a", "b", "c"}
 
 func newTestTable() *Table { return New("me", Incarnation{1, 1}, testMembers) }
 
-func newScopeLoad(destination int, calls float64) ScopeLoad {
+func newScopeLoad(destination policy.DestinationID, calls float64) ScopeLoad {
 	return ScopeLoad{Destination: destination, Calls: calls, Demand: 2 * calls}
 }
 
@@ -34,7 +36,7 @@
 	}
 	for i := range rapid.IntRange(0, 2).Draw(t, "scopes") {
 		calls := float64(rapid.IntRange(0, 3).Draw(t, "calls"))
-		r.Scopes = append(r.Scopes, newScopeLoad(r.Number<<reportShift+i, calls))
+		r.Scopes = append(r.Scopes, newScopeLoad(policy.DestinationID(r.Number<<reportShift+i), calls))
 	}
 	return r
 }
@@ -224,10 +226,18 @@
 	table := newTestTable()
 	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
 	mustMerge(t, table, 0, Report{
-		Name: "a", Incarnation: earlier, Number: 0, Sequence: 50, Scopes: []ScopeLoad{newScopeLoad(1, 5)},
+		Name:        "a",
+		Incarnation: earlier,
+		Number:      0,
+		Sequence:    50,
+		Scopes:      []ScopeLoad{newScopeLoad(1, 5)},
 	})
 	mustMerge(t, table, 0, Report{
-		Name: "a", Incarnation: later, Number: 1, Sequence: 1, Scopes: []ScopeLoad{newScopeLoad(4, 1)},
+		Name:        "a",
+		Incarnation: later,
+		Number:      1,
+		Sequence:    1,
+		Scopes:      []ScopeLoad{newScopeLoad(4, 1)},
 	})
 	if got := allReports(table, 0); len(got) != 1 || got[0].Number != 1 {
 		t.Error("the earlier incarnation was not dropped:", got)
@@ -285,7 +295,12 @@
 		for number := range ReportNumber(destinations-1) + 1 {
 			r := Report{Name: name, Incarnation: Incarnation{1, 1}, Number: number, Sequence: uint64(number + 1)}
 			for d := number << reportShift; d < min(destinations, (number+1)<<reportShift); d++ {
-				r.Scopes = append(r.Scopes, ScopeLoad{Destination: d, Demand: 1, Calls: 1, Deliveries: 1})
+				r.Scopes = append(r.Scopes, ScopeLoad{
+					Destination: policy.DestinationID(d),
+					Demand:      1,
+					Calls:       1,
+					Deliveries:  1,
+				})
 			}
 			mustMerge(t, table, 0, r)
 		}
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -26,36 +26,36 @@
 		To          float64            `json:"to"`
 	}
 	destinationLine struct {
-		Calls       map[string]int     `json:"calls"`
-		Destination int                `json:"destination"`
-		Failed      int                `json:"failed"`
-		Kind        string             `json:"kind"`
-		MaxQueued   int                `json:"queue_most"`
-		Rejected    int                `json:"refused"`
-		Sent        int                `json:"sent"`
-		Accepted    int                `json:"taken"`
-		Waits       map[string]float64 `json:"waited"`
+		Calls       map[string]int       `json:"calls"`
+		Destination policy.DestinationID `json:"destination"`
+		Failed      int                  `json:"failed"`
+		Kind        string               `json:"kind"`
+		MaxQueued   int                  `json:"queue_most"`
+		Rejected    int                  `json:"refused"`
+		Sent        int                  `json:"sent"`
+		Accepted    int                  `json:"taken"`
+		Waits       map[string]float64   `json:"waited"`
 	}
 	transitionLine struct {
-		At          float64 `json:"at"`
-		Outcome     string  `json:"by"`
-		Destination int     `json:"destination"`
-		Kind        string  `json:"kind"`
-		Endpoint    string  `json:"route"`
-		Text        string  `json:"what"`
+		At          float64              `json:"at"`
+		Outcome     string               `json:"by"`
+		Destination policy.DestinationID `json:"destination"`
+		Kind        string               `json:"kind"`
+		Endpoint    string               `json:"route"`
+		Text        string               `json:"what"`
 	}
 	messageRecord struct {
-		Attempts    []attemptRecord  `json:"attempts"`
-		Class       int              `json:"class"`
-		Destination int              `json:"destination"`
-		End         string           `json:"end"`
-		EndedAt     float64          `json:"ended"`
-		ID          policy.MessageID `json:"id"`
-		Kind        string           `json:"kind"`
-		TimeLeft    float64          `json:"left"`
-		Spans       []spanRecord     `json:"spans"`
-		AcceptedAt  float64          `json:"taken"`
-		Trace       string           `json:"trace"`
+		Attempts    []attemptRecord      `json:"attempts"`
+		Class       int                  `json:"class"`
+		Destination policy.DestinationID `json:"destination"`
+		End         string               `json:"end"`
+		EndedAt     float64              `json:"ended"`
+		ID          policy.MessageID     `json:"id"`
+		Kind        string               `json:"kind"`
+		TimeLeft    float64              `json:"left"`
+		Spans       []spanRecord         `json:"spans"`
+		AcceptedAt  float64              `json:"taken"`
+		Trace       string               `json:"trace"`
 	}
 	spanRecord struct {
 		Cause    string  `json:"cause"`
@@ -63,7 +63,7 @@
 		Endpoint string  `json:"route"`
 		To       float64 `json:"to"`
 	}
-	// attemptRecord has EndedAt, Outcome and RetryAfter only of an attempt that has ended.
+	// attemptRecord has EndedAt, Outcome and RetryAfter only if the attempt has ended.
 	attemptRecord struct {
 		SentAt     float64  `json:"at"`
 		EndedAt    *float64 `json:"ended,omitempty"`
@@ -74,8 +74,8 @@
 	}
 )
 
-// WriteJSON writes a report as JSON Lines: one line for the report, one for each destination, transition and message,
-// told apart by "kind". Times are in seconds of the engine's clock.
+// WriteJSON writes a report as JSON Lines: one line for the report, and one for each destination, transition and
+// message. The key "kind" says which of these a line is. Times are in seconds of the engine's clock.
 func WriteJSON(w io.Writer, report *Report) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(newReportLine(report)); err != nil {
@@ -88,8 +88,12 @@
 	}
 	for _, t := range report.Transitions {
 		line := transitionLine{
-			Kind: "transition", At: t.At.Seconds(), Destination: t.Destination, Endpoint: t.Endpoint, Text: t.Text,
-			Outcome: t.Outcome,
+			Kind:        "transition",
+			At:          t.At.Seconds(),
+			Destination: t.Destination,
+			Endpoint:    t.Endpoint,
+			Text:        t.Text,
+			Outcome:     t.Outcome,
 		}
 		if err := out.Encode(line); err != nil {
 			return err
@@ -153,7 +157,10 @@
 	}
 	for _, span := range m.Spans {
 		record.Spans = append(record.Spans, spanRecord{
-			From: span.From.Seconds(), To: span.To.Seconds(), Cause: CauseName(span.Cause), Endpoint: span.Endpoint,
+			From:     span.From.Seconds(),
+			To:       span.To.Seconds(),
+			Cause:    CauseName(span.Cause),
+			Endpoint: span.Endpoint,
 		})
 	}
 	for _, attempt := range m.Attempts {
--- a/internal/relay/discovery/list.go
+++ b/internal/relay/discovery/list.go
@@ -19,7 +19,7 @@
 type List struct {
 	Version int64
 	Full    bool    // it names all endpoints
-	Entries []Entry // each is read by itself: an unreadable one spoils no other
+	Entries []Entry // each is read by itself: an unreadable one does not affect the others
 }
 
 // Entry is one entry of a list as it was read.
@@ -73,6 +73,6 @@
 	case endpoint.Zone < 0 || endpoint.Kind < 0:
 		return endpoint, "", fmt.Errorf("unknown zone %q or kind %q", record.Zone, record.Kind)
 	}
-	endpoint.Destination = *record.Cell
+	endpoint.Destination = policy.DestinationID(*record.Cell)
 	return endpoint, record.Addr, nil
 }
--- a/internal/relay/discovery/receive.go
+++ b/internal/relay/discovery/receive.go
@@ -67,7 +67,7 @@
 			return nil
 		}
 	} else {
-		if len(r.entries) <= r.maxWholeEntries() {
+		if len(r.entries) <= r.maxUnsplitEntries() {
 			return nil
 		}
 		if err := r.beginParts(); err != nil {
@@ -81,15 +81,15 @@
 	return r.sendEntries()
 }
 
-// maxWholeEntries is how many entries a list may have that is delivered as a whole.
-func (r *receiver) maxWholeEntries() int {
+// maxUnsplitEntries is how many entries a list may have that is delivered as a whole.
+func (r *receiver) maxUnsplitEntries() int {
 	if r.largeList() {
 		return MaxPartEntries
 	}
 	return catalog.MaxEagerEndpoints
 }
 
-// largeList tells whether the owner's list is a long one.
+// largeList reports whether the owner's list is a long one.
 func (r *receiver) largeList() bool { return r.cfg.LargeList != nil && r.cfg.LargeList() }
 
 // beginParts begins to deliver the list in parts, unless it brings changes that are known already.
@@ -127,7 +127,7 @@
 	isNew := full || r.head.Version > r.knownVersion
 	switch {
 	case r.skipped:
-		// Its head may have come behind its entries, and tell that it should have been delivered.
+		// Its head may have come behind its entries, and say that it should have been delivered.
 		r.needsSnapshot = r.needsSnapshot || isNew
 		return nil
 	case r.inParts:
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Discovery that turns callers away in every way that it has, as after a release that restarts a whole fleet, is called
+// Discovery that rejects callers in every way that it has, as after a release that restarts a whole fleet, is called
 // again until it answers, from the version that is known, and never by calls side by side.
 func TestWatchIsRetriedAfterEveryKindOfFailure(t *testing.T) {
 	var calls, open, most atomic.Int64
@@ -50,9 +50,14 @@
 	})
 	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4, HasList: true,
-		OnUpdate: func(l List) { delivered <- l }, Backoff: backoff.Backoff{Clients: 1},
-		Rand: rand.New(rand.NewPCG(1, 2)),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 50 * time.Millisecond,
+		Version:     4,
+		HasList:     true,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     backoff.Backoff{Clients: 1},
+		Rand:        rand.New(rand.NewPCG(1, 2)),
 	})
 	start(t, w)
 	select {
@@ -89,8 +94,12 @@
 	client := NewClient(addrOf(old))
 	delivered := make(chan List, 8)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: client, IdleTimeout: nettest.Patience, OnUpdate: func(l List) { delivered <- l },
-		Backoff: backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour}, Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      client,
+		IdleTimeout: nettest.Patience,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     backoff.Backoff{Clients: 1_000_000, Grace: 24 * time.Hour},
+		Rand:        rand.New(maxSource{}),
 	})
 	start(t, w)
 	receive := func(version int64) {
@@ -173,8 +182,13 @@
 	var settings policy.Settings
 	settings.FleetSize = 300
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 30 * time.Millisecond, HasList: true,
-		OnUpdate: func(l List) { delivered <- l }, Backoff: NewBackoff(settings, grace), Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 30 * time.Millisecond,
+		HasList:     true,
+		OnUpdate:    func(l List) { delivered <- l },
+		Backoff:     NewBackoff(settings, grace),
+		Rand:        rand.New(maxSource{}),
 	})
 	began := time.Now()
 	start(t, w)
@@ -244,7 +258,7 @@
 // The same on real connections: discovery fails two calls, and has a new list from the moment on at which the second
 // has begun.
 func TestListIsDeliveredSoonAfterOutage(t *testing.T) {
-	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	reject := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	broken := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
@@ -253,12 +267,12 @@
 		relays int
 		fail   http.HandlerFunc
 	}{
-		{"refused, 300 poll", true, 300, refuse},
-		{"refused, 2600 poll", true, 2600, refuse},
+		{"refused, 300 poll", true, 300, reject},
+		{"refused, 2600 poll", true, 2600, reject},
 		{"given up, 2600 poll", true, 2600, silent},
 		{"broken off, 80 poll", true, 80, broken},
 		{"given up, pushed to 300", false, 300, silent},
-		{"refused, 3 poll", true, 3, refuse},
+		{"refused, 3 poll", true, 3, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -293,9 +307,14 @@
 	})
 	delivered := make(chan time.Time, 8)
 	start(t, NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: WatchIdleTimeout, HasList: true, Version: 4,
-		OnUpdate: func(List) { delivered <- time.Now() }, Backoff: NewBackoff(settings, time.Second),
-		Rand: rand.New(maxSource{}),
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: WatchIdleTimeout,
+		HasList:     true,
+		Version:     4,
+		OnUpdate:    func(List) { delivered <- time.Now() },
+		Backoff:     NewBackoff(settings, time.Second),
+		Rand:        rand.New(maxSource{}),
 	}))
 	var since time.Time
 	select {
@@ -322,8 +341,11 @@
 	})
 	delivered := make(chan List, 10)
 	w := NewWatcher(Config{
-		Log: quiet(), Client: NewClient(addrOf(s)), IdleTimeout: 50 * time.Millisecond, Version: 4,
-		OnUpdate: func(l List) { delivered <- l },
+		Log:         quiet(),
+		Client:      NewClient(addrOf(s)),
+		IdleTimeout: 50 * time.Millisecond,
+		Version:     4,
+		OnUpdate:    func(l List) { delivered <- l },
 	})
 	start(t, w)
 	for _, want := range []string{"4", "9"} {
--- a/internal/relay/hotrestart/conn_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -28,8 +28,13 @@
 		{Hello: &Hello{Revision: "0123"}},
 		{Welcome: true},
 		{State: &State{
-			Now: time.Hour, At: at, WakeAt: at, Snapshot: []byte{0, 1, 255},
-			Version: 41, Destinations: []int{7}, LastID: 9,
+			Now:          time.Hour,
+			At:           at,
+			WakeAt:       at,
+			Snapshot:     []byte{0, 1, 255},
+			Version:      41,
+			Destinations: []policy.DestinationID{7},
+			LastID:       9,
 			Config: reload.Config{
 				ClassNames: []string{"order"},
 				Settings:   policy.Settings{Classes: []policy.Class{{Effect: policy.IdempotentByKey}}},
@@ -162,24 +167,23 @@
 // Cut at any byte a frame is an error, and never another frame.
 func TestCutFrameIsAnError(t *testing.T) {
 	client, server := net.Pipe()
-	var whole []byte
 	go func() {
 		defer client.Close()
 		if err := NewConn(client).Send(sampleFrames()[2]); err != nil {
 			t.Error(err)
 		}
 	}()
-	whole, err := io.ReadAll(server)
+	written, err := io.ReadAll(server)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
-		f, err := receive(whole[:n])
+	for n := range written {
+		f, err := receive(written[:n])
 		if err == nil || n > 0 && errors.Is(err, io.EOF) || !reflect.DeepEqual(f, Frame{}) {
 			t.Fatalf("cut at %d: %+v, %v", n, f, err)
 		}
 	}
-	if _, err := receive(whole); err != nil {
+	if _, err := receive(written); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -18,8 +18,8 @@
 	defaultWarmUp = 30 * time.Second
 )
 
-// isActive tells whether the policy holds a destination.
-func (r *Relay) isActive(destination int) bool {
+// isActive reports whether the policy holds a destination.
+func (r *Relay) isActive(destination policy.DestinationID) bool {
 	return !r.largeList.Load() || r.workingSet.Contains(destination)
 }
 
@@ -131,10 +131,10 @@
 	return updates
 }
 
-// endsService tells whether an entry drains or removes its endpoint.
+// endsService reports whether an entry drains or removes its endpoint.
 func endsService(e *discovery.Entry) bool { return e.Err == nil && !e.InService }
 
-// exceedsCatalog tells whether an entry names a new endpoint that the catalog may not hold.
+// exceedsCatalog reports whether an entry names a new endpoint that the catalog may not hold.
 func (r *Relay) exceedsCatalog(e *discovery.Entry) bool {
 	if r.catalog.EndpointCount() < discovery.MaxEntries || e.Err != nil {
 		return false
@@ -169,7 +169,7 @@
 	return out
 }
 
-// isListEvent tells whether events of this kind carry changes of the endpoint list.
+// isListEvent reports whether events of this kind carry changes of the endpoint list.
 func isListEvent(kind policy.EventKind) bool {
 	return kind == policy.EndpointDelta || kind == policy.EndpointSnapshot
 }
@@ -205,7 +205,9 @@
 }
 
 // activate adds a destination to the working set, and its endpoints to activated if it was not in it.
-func (r *Relay) activate(activated []policy.Endpoint, destination int, now time.Duration) []policy.Endpoint {
+func (r *Relay) activate(
+	activated []policy.Endpoint, destination policy.DestinationID, now time.Duration,
+) []policy.Endpoint {
 	if !r.workingSet.Activate(destination, now) {
 		return activated
 	}
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -54,9 +54,9 @@
 		log: log,
 	}
 	if now > 0 {
-		r.Recorder = flightrecorder.ResumeRecorder(meta, settings.Ring(), engine.Snapshot, now)
+		r.Recorder = flightrecorder.ResumeRecorder(meta, settings.RingBytes(), engine.Snapshot, now)
 	} else {
-		r.Recorder = flightrecorder.NewRecorder(meta, settings.Ring(), engine.Snapshot)
+		r.Recorder = flightrecorder.NewRecorder(meta, settings.RingBytes(), engine.Snapshot)
 	}
 	return r
 }
@@ -100,10 +100,10 @@
 // DumpRecording writes out what the flight recorder's ring holds. It may be called at any time, from any goroutine.
 func (r *Relay) DumpRecording(reason string) { r.sharedRecorder.Load().dump(reason) }
 
-// dumpOnPanic writes out the recording of a loop that panics, and lets it panic. It must be deferred.
+// dumpOnPanic writes out the recording of a loop that panics, and panics again. It must be deferred.
 func (r *Relay) dumpOnPanic() {
-	if x := recover(); x != nil {
+	if cause := recover(); cause != nil {
 		r.recorder.dump("crash")
-		panic(x)
+		panic(cause)
 	}
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -123,7 +124,7 @@
 }
 
 // restoreDestination activates a destination, and removes its endpoints that the predecessor did not know.
-func (r *Relay) restoreDestination(destination int, known map[string]bool) {
+func (r *Relay) restoreDestination(destination policy.DestinationID, known map[string]bool) {
 	if !r.workingSet.Activate(destination, r.now()) {
 		return
 	}
@@ -224,6 +225,6 @@
 // messagesInOrder returns the messages in the order in which they were accepted.
 func (r *Relay) messagesInOrder() []*message {
 	messages := slices.Collect(maps.Values(r.messages))
-	slices.SortFunc(messages, func(a, b *message) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(messages, func(a, b *message) int { return cmp.Compare(a.ID, b.ID) })
 	return messages
 }
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -14,12 +14,12 @@
 
 // model is a catalog in its simplest form.
 type model struct {
-	all    []Endpoint      // in the order listed
-	seen   map[string]bool // ids that the snapshot being read has named; nil: none is read
-	listed map[int]bool    // destinations that a list has named
+	all    []Endpoint                    // in the order listed
+	seen   map[string]bool               // ids that the snapshot being read has named; nil: none is read
+	listed map[policy.DestinationID]bool // destinations that a list has named
 }
 
-func newModel() *model { return &model{listed: map[int]bool{}} }
+func newModel() *model { return &model{listed: map[policy.DestinationID]bool{}} }
 
 func (m *model) find(id string) int {
 	return slices.IndexFunc(m.all, func(e Endpoint) bool { return e.ID == id })
@@ -79,9 +79,9 @@
 	return removed
 }
 
-func (m *model) endpointsOf(dest int) (endpoints []Endpoint) {
+func (m *model) endpointsOf(destination policy.DestinationID) (endpoints []Endpoint) {
 	for _, e := range m.all {
-		if e.Destination == dest {
+		if e.Destination == destination {
 			endpoints = append(endpoints, e)
 		}
 	}
@@ -95,7 +95,7 @@
 	return Endpoint{
 		Endpoint: policy.Endpoint{
 			ID:          name + fmt.Sprint(id),
-			Destination: rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination"),
+			Destination: policy.DestinationID(rapid.OneOf(rapid.IntRange(-3, 12), rapid.Int()).Draw(t, "destination")),
 			Kind:        rapid.OneOf(rapid.IntRange(0, 2), rapid.Int()).Draw(t, "kind"),
 			Zone:        rapid.IntRange(-1, 3).Draw(t, "zone"),
 			Weight:      rapid.SampledFrom([]float64{0, 1, 27, 0.1, math.MaxFloat64, -2}).Draw(t, "weight"),
@@ -213,13 +213,13 @@
 
 func (c *comparison) checkDestinations(t *rapid.T) {
 	nonEmpty := 0
-	for dest := range c.model.listed {
-		want := c.model.endpointsOf(dest)
-		if got := c.catalog.AppendEndpoints(dest, nil); !slices.Equal(got, want) {
-			t.Fatalf("destination %d has %v, want %v", dest, got, want)
+	for destination := range c.model.listed {
+		want := c.model.endpointsOf(destination)
+		if got := c.catalog.AppendEndpoints(destination, nil); !slices.Equal(got, want) {
+			t.Fatalf("destination %d has %v, want %v", destination, got, want)
 		}
-		if !c.catalog.HasDestination(dest) {
-			t.Fatalf("destination %d is not named", dest)
+		if !c.catalog.HasDestination(destination) {
+			t.Fatalf("destination %d is not named", destination)
 		}
 		if len(want) > 0 {
 			nonEmpty++
@@ -233,8 +233,8 @@
 		t.Fatalf("destination %d is named", unlisted)
 	}
 	remembered := slices.Collect(c.catalog.RememberedDestinations())
-	wrong := slices.ContainsFunc(remembered, func(dest int) bool {
-		return !c.model.listed[dest] || len(c.model.endpointsOf(dest)) > 0
+	wrong := slices.ContainsFunc(remembered, func(destination policy.DestinationID) bool {
+		return !c.model.listed[destination] || len(c.model.endpointsOf(destination)) > 0
 	})
 	if wrong || len(remembered) != len(c.model.listed)-nonEmpty {
 		t.Fatalf("remembers %v, want those without endpoints of %v",
--- a/internal/state/catalog/destinations_test.go
+++ b/internal/state/catalog/destinations_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"cherrytrestle.example/cherrytrestle/policy"
 )
 
 func TestOldestEmptyDestinationsAreForgotten(t *testing.T) {
@@ -16,7 +18,7 @@
 			c.Upsert(entry(0, 1)) // destination 0 is back
 		}
 	}
-	wantNamed := map[int]bool{
+	wantNamed := map[policy.DestinationID]bool{
 		0:                     true,
 		1:                     false,
 		2:                     false,
@@ -24,9 +26,9 @@
 		MaxEagerEndpoints + 2: true,
 		MaxEagerEndpoints + 3: false,
 	}
-	for dest, want := range wantNamed {
-		if got := c.HasDestination(dest); got != want {
-			t.Errorf("destination %d: named %t", dest, got)
+	for destination, want := range wantNamed {
+		if got := c.HasDestination(destination); got != want {
+			t.Errorf("destination %d: named %t", destination, got)
 		}
 	}
 	got := slices.Collect(c.RememberedDestinations())
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -96,7 +96,7 @@
 }
 
 // convertMessage returns a message of a legacy log as it is accepted by the journal. Its attempts are undated: the
-// legacy log does not tell in which boot they were made.
+// legacy log does not say in which boot they were made.
 func convertMessage(old *legacylog.Message) *Message {
 	m := &Message{
 		ID:             policy.MessageID(old.ID),
@@ -106,7 +106,7 @@
 		Class:          old.Class,
 		ClassName:      old.ClassName,
 		Tenant:         old.Tenant,
-		Destination:    old.Destination,
+		Destination:    policy.DestinationID(old.Destination),
 		Deadline:       old.Deadline,
 		Body:           old.Body,
 		Attempts:       old.Attempts,
--- a/internal/testkit/report/endpointplots.go
+++ b/internal/testkit/report/endpointplots.go
@@ -57,29 +57,29 @@
 	byID := map[string]*endpointSeries{}
 	var order []*endpointSeries
 	for _, e := range events {
-		s := byID[e.Host]
+		s := byID[e.Endpoint]
 		switch e.Kind {
 		case eventlog.CapacityChanged:
 			if s == nil {
 				s = &endpointSeries{
-					id:          e.Host,
+					id:          e.Endpoint,
 					destination: e.Destination,
 					received:    timeline.Zeros(),
 					capacity:    timeline.Zeros(),
 				}
-				byID[e.Host] = s
+				byID[e.Endpoint] = s
 				order = append(order, s)
 			}
-			s.fillCapacity(timeline.At(e.At), timeline.Bin)
+			s.fillCapacity(timeline.BinAt(e.At), timeline.Bin)
 			s.current = upstream.WarmUp{
 				StartedAt:       e.At,
 				FullCapacity:    e.Rate,
 				InitialCapacity: e.Share,
-				Duration:        e.For,
+				Duration:        e.Duration,
 			}
 		case eventlog.CallReceived:
 			if s != nil {
-				s.received[timeline.At(e.At)] += 1 / timeline.Bin.Seconds()
+				s.received[timeline.BinAt(e.At)] += 1 / timeline.Bin.Seconds()
 			}
 		}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,7 +9,7 @@
 
 // destination is a destination with its scopes and its queue.
 type destination struct {
-	id           int
+	id           DestinationID
 	scopes       []*limitScope // in the order of selection
 	queue        []*message    // waiting, in the order of precedes
 	messageCount int           // messages that are not released yet
@@ -110,7 +110,7 @@
 	dest := e.ensureDestination(listed.Destination)
 	ep := &endpoint{Endpoint: listed, tieBreaker: e.rng.Uint64()}
 	e.endpoints[listed.ID] = ep
-	perEndpoint := e.limitPerEndpoint(listed.Kind)
+	perEndpoint := e.settings.DestinationKind(listed.Kind).LimitPerEndpoint
 	if perEndpoint || len(dest.scopes) == 0 {
 		scope := &limitScope{
 			destination:      dest,
@@ -133,14 +133,6 @@
 	return dest
 }
 
-// limitPerEndpoint reports whether each endpoint of a kind has its own limit scope.
-func (e *Engine) limitPerEndpoint(kind int) bool {
-	if kind < 0 || kind >= len(e.settings.DestinationKinds) {
-		return false
-	}
-	return e.settings.DestinationKinds[kind].LimitPerEndpoint
-}
-
 // removeEndpoint removes an endpoint from the tables. Calls in flight keep it alive until their outcomes.
 func (e *Engine) removeEndpoint(ep *endpoint) {
 	ep.Removed = true
@@ -161,7 +153,7 @@
 }
 
 // ensureDestination returns the destination with an id, which it creates if there is none.
-func (e *Engine) ensureDestination(id int) *destination {
+func (e *Engine) ensureDestination(id DestinationID) *destination {
 	if dest := e.destinations[id]; dest != nil {
 		return dest
 	}
@@ -194,4 +186,4 @@
 }
 
 // compareID compares a destination's id with another one.
-func compareID(dest *destination, id int) int { return cmp.Compare(dest.id, id) }
+func compareID(dest *destination, id DestinationID) int { return cmp.Compare(dest.id, id) }
