--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -32,7 +32,8 @@
 	Port      int      `help:"Port of the first relay, the others come after it; 0: any that are free."`
 	Record    bool     `help:"Have the relays record their decisions; the recordings are kept where a rule was broken."`
 	KeepAll   bool     `help:"With --record: keep the recordings whatever came of it."`
-	Quiet     bool     `help:"Show no progress." short:"q"`
+
+	cli.ProgressFlags
 }
 
 // Run runs scenarios one after the other.
@@ -95,14 +96,11 @@
 		Port:            c.Port,
 		RecordDecisions: c.Record || c.KeepAll,
 	}
-	if !c.Quiet {
-		printProgress(streams.Err, "%s: %s\n", file.Name, file.Description)
-		options.Progress = func(p rehearsal.Progress) { printProgress(streams.Err, "%s", progressLine(p)) }
-	}
+	line := c.ProgressLine(streams.Err)
+	line.Start("%s: %s", file.Name, file.Description)
+	options.Progress = func(p rehearsal.Progress) { line.Update("%s", progressText(p)) }
 	result, err := rehearsal.Run(ctx, file, options)
-	if !c.Quiet {
-		printProgress(streams.Err, "\n")
-	}
+	line.End()
 	if err != nil {
 		if len(result.Events) > 0 {
 			err = fmt.Errorf("%w\nwhat was seen until then is kept in %s", err, options.Dir)
@@ -134,17 +132,14 @@
 	return err
 }
 
-// printProgress prints to the terminal. A run goes on where nobody can see its progress.
-func printProgress(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
-
-// progressLine returns the text that replaces the line of the terminal by the progress of a run.
-func progressLine(p rehearsal.Progress) string {
+// progressText describes the progress of a run on one line.
+func progressText(p rehearsal.Progress) string {
 	done := min(progressBarWidth, int(progressBarWidth*p.Elapsed/max(1, p.Length)))
 	bar := strings.Repeat("#", done) + strings.Repeat(".", progressBarWidth-done)
 	activity := strings.Join(p.ActiveFaults, " ")
 	if p.Settling {
 		activity = "waiting for the last ends"
 	}
-	return fmt.Sprintf("\r\x1b[K[%s] %3.0fs of %.0fs  %d handed in  %s",
+	return fmt.Sprintf("[%s] %3.0fs of %.0fs  %d handed in  %s",
 		bar, p.Elapsed.Seconds(), p.Length.Seconds(), p.Submitted, activity)
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -43,6 +43,11 @@
 // ProgressLine shows progress on one line of a terminal. It ignores errors, because a command works without the line.
 type ProgressLine struct{ out io.Writer }
 
+// Start prints a heading above the line.
+func (l *ProgressLine) Start(format string, args ...any) {
+	_, _ = fmt.Fprintf(l.out, format+"\n", args...) // see ProgressLine
+}
+
 // Update replaces the line.
 func (l *ProgressLine) Update(format string, args ...any) {
 	_, _ = fmt.Fprintf(l.out, overwriteLine+format, args...) // see ProgressLine
--- a/internal/cli/output_test.go
+++ b/internal/cli/output_test.go
@@ -42,12 +42,13 @@
 		flags ProgressFlags
 		want  string
 	}{
-		{"shown", ProgressFlags{}, "\r\x1b[K1 of 2\r\x1b[K2 of 2\n"},
+		{"shown", ProgressFlags{}, "a run\n\r\x1b[K1 of 2\r\x1b[K2 of 2\n"},
 		{"quiet", ProgressFlags{Quiet: true}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			line := c.flags.ProgressLine(&out)
+			line.Start("a %s", "run")
 			for i := range 2 {
 				line.Update("%d of 2", i+1)
 			}
