--- a/internal/testkit/rehearsal/relay.go
+++ b/internal/testkit/rehearsal/relay.go
@@ -14,6 +14,8 @@
 	"syscall"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/fake"
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
@@ -190,7 +192,7 @@
 func (r *relay) signal(signal syscall.Signal, state string) error {
 	r.recordState(state)
 	if err := r.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("rehearsal: %v to %s: %w", signal, r.name, err)
+		return fmt.Errorf("rehearsal: %s to %s: %w", unix.SignalName(signal), r.name, err)
 	}
 	return nil
 }
