--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"fmt"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -27,14 +28,11 @@
 	if err != nil || c.KnownErr != nil {
 		t.Fatal(err, c.KnownErr)
 	}
-	all := relaySettingsOf(&c)
-	all = append(all, policySettingsOf(&c)...)
-	all = append(all, knownEndpointsOf(&c)...)
-	var b strings.Builder
-	for _, x := range all {
-		fmt.Fprintf(&b, "%s = %v\n", x.key, x.value)
+	var text strings.Builder
+	for _, s := range slices.Concat(relaySettingsOf(&c), policySettingsOf(&c), knownEndpointsOf(&c)) {
+		fmt.Fprintf(&text, "%s = %v\n", s.key, s.value)
 	}
-	golden.Compare(t, *update, "every-key.out.txt", b.String())
+	golden.Compare(t, *update, "every-key.out.txt", text.String())
 }
 
 // relaySettingsOf lists the settings that the relay itself uses.
@@ -142,16 +140,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ name, got string }{
-		{"ROUTER_NAME", c.Name},
-		{"ROUTER_LISTEN", c.Listen},
-		{"ROUTER_DISCOVERY", c.DiscoveryAddr},
-		{"ROUTER_STATE", c.StateDir},
-		{"ROUTER_MANAGEMENT", c.AdminListen},
-		{"ROUTER_INHERITED_FD", c.InheritedFD},
+	for name, got := range map[string]string{
+		"ROUTER_NAME":         c.Name,
+		"ROUTER_LISTEN":       c.Listen,
+		"ROUTER_DISCOVERY":    c.DiscoveryAddr,
+		"ROUTER_STATE":        c.StateDir,
+		"ROUTER_MANAGEMENT":   c.AdminListen,
+		"ROUTER_INHERITED_FD": c.InheritedFD,
 	} {
-		if x.got != env[x.name] {
-			t.Errorf("%s is read as %q, want %q", x.name, x.got, env[x.name])
+		if got != env[name] {
+			t.Errorf("%s is read as %q, want %q", name, got, env[name])
 		}
 	}
 }
