--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -117,8 +117,8 @@
 }
 
 // The wall clock is set while no process runs. A message that was sent before its deduplication window is not repeated,
-// one sent within it is, and each keeps the time that it really has left: the boot clock tells.
-func TestDedupWindowGoesByTheBootClock(t *testing.T) {
+// one sent within it is, and each keeps the time that it really has left, as the boot clock measures it.
+func TestDedupWindowFollowsTheBootClock(t *testing.T) {
 	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
--- a/internal/state/store/crash_test.go
+++ b/internal/state/store/crash_test.go
@@ -149,11 +149,7 @@
 	}
 	for range 2 {
 		for _, key := range keys {
-			b := s.Begin()
-			b.Append(key, bytes.Repeat([]byte{1}, 40))
-			if err := s.Commit(b); err != nil {
-				t.Fatal(err)
-			}
+			mustCommit(t, s, func(b *store.Batch) { b.Append(key, bytes.Repeat([]byte{1}, 40)) })
 			if s.CompactionDue() {
 				if _, err := s.Compact(4 << 10); err != nil {
 					t.Fatal(err)
@@ -162,11 +158,7 @@
 		}
 	}
 	for _, key := range keys {
-		b := s.Begin()
-		b.Delete(key)
-		if err := s.Commit(b); err != nil {
-			t.Fatal(err)
-		}
+		mustDelete(t, s, key)
 	}
 	if used := fs.Size(512); used > limit {
 		t.Errorf("%d bytes of %d", used, limit)
@@ -195,30 +187,14 @@
 func TestValuesAreNeverReadAsRecords(t *testing.T) {
 	fs := faultfs.New()
 	s, _ := openStore(t, fs)
-	b := s.Begin()
-	live := b.Put([]byte("the one to be deleted by another's body"))
-	if err := s.Commit(b); err != nil {
-		t.Fatal(err)
-	}
-	b = s.Begin()
-	deleted := b.Put([]byte("deleted"))
-	if err := s.Commit(b); err != nil {
-		t.Fatal(err)
-	}
-	b = s.Begin()
-	b.Delete(deleted)
-	if err := s.Commit(b); err != nil {
-		t.Fatal(err)
-	}
+	live := mustPut(t, s, []byte("the one to be deleted by another's body"))
+	deleted := mustPut(t, s, []byte("deleted"))
+	mustDelete(t, s, deleted)
 	name := fs.Files()[0]
 	hidden := bytes.Clone(fs.Data(name))
 	body := append(make([]byte, store.BlockSize-len(hidden)%store.BlockSize), hidden...)
 	before := len(hidden)
-	b = s.Begin()
-	b.Put(bytes.Repeat(body, 3))
-	if err := s.Commit(b); err != nil {
-		t.Fatal(err)
-	}
+	mustPut(t, s, bytes.Repeat(body, 3))
 	data := fs.Data(name)
 	for cut := before; cut < len(data); cut++ {
 		folder := fs.Reboot()
--- a/internal/state/store/model_test.go
+++ b/internal/state/store/model_test.go
@@ -78,6 +78,29 @@
 	return s, rec
 }
 
+// mustCommit commits a batch that fill fills.
+func mustCommit(t testing.TB, s *store.Store, fill func(b *store.Batch)) {
+	t.Helper()
+	b := s.Begin()
+	fill(b)
+	if err := s.Commit(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// mustPut commits a value and returns its key.
+func mustPut(t testing.TB, s *store.Store, value []byte) (key uint64) {
+	t.Helper()
+	mustCommit(t, s, func(b *store.Batch) { key = b.Put(value) })
+	return key
+}
+
+// mustDelete commits the removal of a value.
+func mustDelete(t testing.TB, s *store.Store, key uint64) {
+	t.Helper()
+	mustCommit(t, s, func(b *store.Batch) { b.Delete(key) })
+}
+
 // driver does random work on a store and keeps a model in step.
 type driver struct {
 	rng       *rand.Rand
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -54,11 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := s.Begin()
-	key := b.Put([]byte("value"))
-	if err := s.Commit(b); err != nil {
-		t.Fatal(err)
-	}
+	key := mustPut(t, s, []byte("value"))
 	if _, _, err := store.Open(dir, store.Options{Limit: limit}); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
@@ -66,7 +62,7 @@
 	if err != nil || !slices.Equal(rec.Keys, []uint64{key}) {
 		t.Fatalf("%v, %+v", err, rec)
 	}
-	b = reader.Begin()
+	b := reader.Begin()
 	b.Delete(key)
 	if err := reader.Commit(b); !errors.Is(err, store.ErrReadOnly) {
 		t.Error(err)
@@ -180,11 +176,7 @@
 			}, nil)
 			for _, seconds := range c.commits {
 				now = time.Unix(int64(seconds), 0)
-				b := s.Begin()
-				b.Put([]byte("x"))
-				if err := s.Commit(b); err != nil {
-					t.Fatal(err)
-				}
+				mustPut(t, s, []byte("x"))
 			}
 			if syncs < c.minSyncs || syncs > c.maxSyncs {
 				t.Errorf("%d syncs, want %d to %d", syncs, c.minSyncs, c.maxSyncs)
