--- a/internal/fleet/membership/receive_test.go
+++ b/internal/fleet/membership/receive_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// A message that was held up by the network, or by a process that was stopped, gets its true age from the receiver's own
-// clock.
+// A message that was held up by the network, or by a process that was stopped, gets its true age from the receiver's
+// own clock.
 func TestTransitTimeCountsAsAge(t *testing.T) {
 	var clock atomic.Int64
 	now := func() time.Duration { return time.Duration(clock.Load()) }
