--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -148,7 +148,7 @@
 	},
 }
 
-// Every error of a file is reported, with its line or its key.
+// TestParseReportsEveryError checks that all errors of a file are reported, each with its line or its key.
 func TestParseReportsEveryError(t *testing.T) {
 	for name, c := range invalidFiles {
 		t.Run(name, func(t *testing.T) {
