--- a/cmd/cherrytrestle/addresses_test.go
+++ b/cmd/cherrytrestle/addresses_test.go
@@ -2,28 +2,17 @@
 
 import (
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
-	"syscall"
 	"testing"
 )
 
-// closeForChild closes a lock or an address that a child process is to use next. A process that is being forked has
-// copies of all descriptors of this one until it executes its program, and would keep the lock or the address in use.
-// Therefore closeForChild waits for forks in progress, and prevents others until the descriptor is closed.
-func closeForChild(c io.Closer) error {
-	syscall.ForkLock.Lock()
-	defer syscall.ForkLock.Unlock()
-	return c.Close()
-}
-
 // unusedAddr returns an address of an IP with a port that nobody listens on.
 func unusedAddr(t testing.TB, ip string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	must(t, err)
-	must(t, closeForChild(listener))
+	releaseAddr(t, listener)
 	return listener.Addr().String()
 }
 
@@ -35,7 +24,7 @@
 		addr := unusedAddr(t, ip)
 		conn, err := net.ListenPacket("udp", addr)
 		if err == nil {
-			must(t, closeForChild(conn))
+			releaseDatagramAddr(t, conn)
 			return addr
 		}
 	}
--- a/cmd/cherrytrestle/management_test.go
+++ b/cmd/cherrytrestle/management_test.go
@@ -1,21 +1,19 @@
 package main
 
 import (
+	"bufio"
 	"io"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
+	"time"
 )
 
 // metric returns the value of a metric at a second address, or "" if it has none of that name.
 func metric(t testing.TB, addr, name string) string {
 	t.Helper()
-	res, err := http.Get("http://" + addr + "/v1/metrics")
-	must(t, err)
-	defer closeQuietly(res.Body)
-	data, err := io.ReadAll(res.Body)
-	must(t, err)
-	for line := range strings.Lines(string(data)) {
+	for line := range strings.Lines(fetchMetrics(t, addr)) {
 		if value, ok := strings.CutPrefix(line, "router."+name+":"); ok {
 			value, _, _ = strings.Cut(value, "|")
 			return value
@@ -24,6 +22,41 @@
 	return ""
 }
 
+// requestTimeout is the time within which a relay wants a request at its second address. It closes a connection without
+// one.
+const requestTimeout = 700 * time.Millisecond
+
+// fetchMetrics returns the text of all metrics. A request that this process has sent too late, because the machine is
+// busy, is repeated: its failure is not the relay's.
+func fetchMetrics(t testing.TB, addr string) string {
+	t.Helper()
+	for end := time.Now().Add(conditionTimeout); ; {
+		began := time.Now()
+		conn, err := net.Dial("tcp", addr)
+		must(t, err)
+		writeQuietly(conn, "GET /v1/metrics HTTP/1.1\r\nHost: relay\r\n\r\n")
+		late := time.Since(began) >= requestTimeout
+		text, err := readMetrics(conn)
+		closeQuietly(conn)
+		if err == nil {
+			return text
+		}
+		if !late || time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+}
+
+// readMetrics reads the response to a request for the metrics.
+func readMetrics(conn net.Conn) (string, error) {
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return "", err
+	}
+	data, err := io.ReadAll(response.Body)
+	return string(data), err
+}
+
 // waitMetric waits until a metric has a value.
 func waitMetric(t testing.TB, addr, name, want string) {
 	t.Helper()
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -64,7 +64,7 @@
 		Deadline:       time.Now().Add(10 * time.Second),
 		Body:           []byte("body"),
 	}))
-	must(t, closeForChild(log))
+	must(t, log.Close())
 	r.start(platform)
 	eventually(t, "delivered", func() bool { return endpoint.count("old") == 1 })
 	if _, err := os.Stat(filepath.Join(state, "wal.log")); !os.IsNotExist(err) {
@@ -94,7 +94,7 @@
 		must(t, err)
 		written++
 	}
-	must(t, closeForChild(j))
+	releaseLock(t, j, filepath.Join(relayprocess.StateFolder(r.dir), "journal", "lock"))
 	return written
 }
 
