--- a/cmd/sockfault/main_test.go
+++ b/cmd/sockfault/main_test.go
@@ -20,29 +20,6 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEcho starts a server that sends back what it receives.
-func startEcho(t *testing.T) (addr string) {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	nettest.CloseAtEnd(t, listener)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nettest.Close(conn)
-				_, _ = io.Copy(conn, conn) // an error shows at the client
-			}()
-		}
-	}()
-	return listener.Addr().String()
-}
-
 // program is a run of the program.
 type program struct {
 	t      *testing.T
@@ -104,7 +81,7 @@
 
 func TestRulesFromCommandLineAndControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control")
-	program := start(t, "--target", startEcho(t), "--control", path, `dir=down match="c" do=halfclose`)
+	program := start(t, "--target", nettest.EchoServer(t), "--control", path, `dir=down match="c" do=halfclose`)
 	addr := program.value("listening")
 	if got := program.value("control"); got != path {
 		t.Errorf("control at %s", got)
--- a/internal/fleet/codec/quota.go
+++ b/internal/fleet/codec/quota.go
@@ -85,7 +85,10 @@
 
 // convertEach returns the results of a conversion of each item; nil if there is none.
 func convertEach[From, To any](items []From, convert func(From) To) []To {
-	var converted []To
+	if len(items) == 0 {
+		return nil
+	}
+	converted := make([]To, 0, len(items))
 	for _, item := range items {
 		converted = append(converted, convert(item))
 	}
--- a/internal/testkit/faultproxy/link_test.go
+++ b/internal/testkit/faultproxy/link_test.go
@@ -11,29 +11,6 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// startEcho starts a TCP server that sends back what it receives.
-func startEcho(t *testing.T) (addr string) {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	nettest.CloseAtEnd(t, listener)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nettest.Close(conn)
-				_, _ = io.Copy(conn, conn) // an error shows at the client
-			}()
-		}
-	}()
-	return listener.Addr().String()
-}
-
 // echoes reports whether a byte comes back in time.
 func echoes(t *testing.T, conn net.Conn, timeout time.Duration) bool {
 	t.Helper()
@@ -48,7 +25,7 @@
 // A link that is cut is silent in both directions, also on open streams. It is healthy again when the fault ends.
 func TestLinkCut(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	link, err := StartLink("127.0.0.1", startEcho(t), 1)
+	link, err := StartLink("127.0.0.1", nettest.EchoServer(t), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/nettest/nettest.go
+++ b/internal/testkit/nettest/nettest.go
@@ -74,6 +74,29 @@
 	return tested, peer
 }
 
+// EchoServer returns the address of a server that sends back all that it receives. It closes with the test.
+func EchoServer(t *testing.T) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, listener)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer Close(conn)
+				_, _ = io.Copy(conn, conn) // an error shows at the client
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
 // RawServer reads whole requests on plain sockets and hands each to serve, with its number among all requests, from 1.
 // serve writes the response and returns false to close the connection. The server closes with the test.
 func RawServer(
