--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxPendingRatio is the fraction of Settings.MaxPendingMessages above which messages are shed: the rest takes those
-// that may not be rejected.
+// maxPendingRatio is the fraction of Settings.MaxPendingMessages above which load is shed. The remaining fraction
+// is left for messages that may not be rejected.
 const maxPendingRatio = 0.9
 
-// acceptMessage takes a message that a client has submitted.
+// acceptMessage enqueues a message that a client has submitted, and sheds load if too many messages are pending.
 func (e *Engine) acceptMessage(event *Event) {
 	msg := e.newMessage(event)
 	if e.exceedsQuota(event.Tenant) {
@@ -31,7 +31,8 @@
 	e.shedLoad()
 }
 
-// newMessage returns the message of a MessageAccepted event. The lower its weight, the later it is queued.
+// newMessage returns the message of a MessageAccepted event. A lower class weight places it further back in the
+// queue.
 func (e *Engine) newMessage(event *Event) *message {
 	class := e.classOf(event)
 	msg := &message{
@@ -47,7 +48,8 @@
 	return msg
 }
 
-// classOf returns the class of a message; for one that is not configured, the strictest there is.
+// classOf returns the class of a message. A message whose class is not configured is treated as non-idempotent and
+// ordered, which are the strictest rules.
 func (e *Engine) classOf(event *Event) *Class {
 	if event.Class >= 0 && event.Class < len(e.settings.Classes) {
 		return &e.settings.Classes[event.Class]
@@ -61,8 +63,8 @@
 	}
 }
 
-// exceedsQuota counts a message against its tenant's quota, of which this relay has an even part, and reports whether
-// it is beyond. A burst of two seconds' traffic is within the quota.
+// exceedsQuota counts a message against this relay's even share of the tenant's quota, and reports whether the
+// message exceeds that share. A burst of two seconds' traffic is within the quota.
 func (e *Engine) exceedsQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(e.tenantTraffic) || e.settings.Tenants[tenant].Quota <= 0 {
 		return false
@@ -78,7 +80,8 @@
 	return false
 }
 
-// shedLoad rejects the last message of the longest queue that may be rejected, while too many messages are pending.
+// shedLoad rejects one message if too many messages are pending: in the longest queue, the last message that may be
+// rejected. It inspects at most maxQueueScan messages.
 func (e *Engine) shedLoad() {
 	limit := e.settings.MaxPendingMessages
 	if limit <= 0 || e.pendingMessages <= int(maxPendingRatio*float64(limit)) {
@@ -95,9 +98,9 @@
 	}
 }
 
-// mayShed reports whether a message may be rejected for lack of capacity. A message that a restart found without an
-// attempt may not: it was accepted, and nothing was tried for it yet. It may if a Retry-After blocks all of its scopes
-// beyond its deadline.
+// mayShed reports whether a message may be rejected for lack of capacity. A recovered message without an attempt
+// may not be rejected, because it was accepted and nothing has been tried for it yet. Such a message may be
+// rejected nevertheless if a Retry-After blocks every scope of its destination until its deadline or longer.
 func (e *Engine) mayShed(msg *message) bool {
 	if !e.mayReject(msg) {
 		return false
--- a/policy/call.go
+++ b/policy/call.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// call is one call in flight. Messages of one destination may share it.
+// call is a call in flight. It carries one or more messages of the same destination.
 type call struct {
 	endpoint  *endpoint
-	pending   int  // messages whose outcome is missing
+	pending   int  // messages without an outcome yet
 	delivered bool // at least one message was delivered
 	sentAt    time.Duration
-	overdueAt time.Duration // an answer is overdue after this
-	timeoutAt time.Duration // the first of its messages times out then
+	overdueAt time.Duration // the answer is overdue after this time
+	timeoutAt time.Duration // earliest timeout of its messages
 }
 
-// attempt is the part of one message in a call.
+// attempt is an attempt to deliver one message, carried by a call.
 type attempt struct {
 	number int
 	call   *call
 }
 
-// recordCallStart accounts for a call that is sent: the in-flight counts, and what it takes of its scope's pacing and
-// recovery tokens.
+// recordCallStart updates the in-flight counts for a call that is sent, and takes the call's pacing token (or
+// granted call) and its recovery token from the scope.
 func (e *Engine) recordCallStart(c *call) {
 	scope := c.endpoint.scope
 	e.callsInFlight++
 	scope.inFlight++
 	c.endpoint.calls = append(c.endpoint.calls, c)
-	e.sendRate(scope) // drops sends older than a second
+	e.sendRate(scope) // removes sends older than a second from recentSends
 	scope.recentSends = append(scope.recentSends, e.now)
 	if scope.pacingRate > 0 && scope.hasGrant(e.now) {
 		scope.grantedCalls--
@@ -40,14 +40,15 @@
 	}
 }
 
-// recordCallEnd accounts for a call whose last outcome is in.
+// recordCallEnd updates the in-flight counts once all messages of a call have their outcomes.
 func (e *Engine) recordCallEnd(c *call) {
 	e.callsInFlight--
 	c.endpoint.scope.inFlight--
 	c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(other *call) bool { return other == c })
 }
 
-// takeCall removes an attempt from its message and returns its call; nil if the attempt is not known.
+// takeCall removes an attempt from its message and returns the call that carries it, or nil if the message has no
+// such attempt in flight.
 func (e *Engine) takeCall(msg *message, attemptNumber int) *call {
 	if msg == nil {
 		return nil
@@ -61,5 +62,5 @@
 	return nil
 }
 
-// maxBatch returns the number of messages that a call to a kind of destination may carry.
+// maxBatch returns the largest number of messages that one call to a kind of destination may carry.
 func (e *Engine) maxBatch(kind int) int { return e.settings.DestinationKind(kind).BatchSize() }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Estimates of what a scope takes and of this relay's share.
+// Parameters for estimating the capacity of a scope and this relay's share of it.
 const (
-	minScopeCapacity        = 1.0 // calls a second that any scope takes
-	ownDeliveryRatio        = 0.2 // weight of the relay's own deliveries in its fair share; the rest is even
+	minScopeCapacity        = 1.0 // calls a second that any scope is assumed to take
+	ownDeliveryRatio        = 0.2 // weight of the relay's own deliveries in its fair share, beside the even share
 	approximateWeightFactor = 1.5 // factor by which an approximate weight may exceed the real capacity
 	deliveryRateWindow      = decayWindow(10 * time.Second)
 )
@@ -17,7 +17,7 @@
 // decayWindow is the time in which an exponentially decaying count falls to 1/e.
 type decayWindow time.Duration
 
-// remaining returns the fraction of a count that is left after some time.
+// remaining returns the fraction of a count that is left after the given time.
 func (w decayWindow) remaining(since time.Duration) float64 {
 	return math.Exp(-float64(since) / float64(w))
 }
@@ -36,8 +36,9 @@
 	}
 }
 
-// knownLimit returns what a scope takes from all relays, on the low side, in calls a second; 0 if nothing is known. A
-// scope that has reported no limit yet is taken for the lowest reported one of its kind.
+// knownLimit returns a low estimate of the calls a second that a scope takes from all relays together, or 0 if
+// nothing is known. If the scope has not reported a limit, the lowest limit reported for its kind is used. If there
+// is none either, the listed weight of its first endpoint is used.
 func (e *Engine) knownLimit(scope *limitScope) float64 {
 	limit := cmp.Or(scope.reportedLimit, e.lowestReportedLimit[scope.kind])
 	if limit > 0 || e.settings.IgnoreWeights || len(scope.endpoints) == 0 {
@@ -50,8 +51,8 @@
 	return weight
 }
 
-// scopeCapacity returns what a scope takes from all relays, on the low side, in calls a second. Where nothing is known,
-// it assumes that the scope takes as much from each other relay as it took from this one.
+// scopeCapacity returns a low estimate of the calls a second that a scope takes from all relays together. If no
+// limit is known, it assumes that the scope takes as many calls from each other relay as from this one.
 func (e *Engine) scopeCapacity(scope *limitScope) float64 {
 	limit := e.knownLimit(scope)
 	if limit == 0 {
@@ -60,21 +61,21 @@
 	return max(minScopeCapacity, limit)
 }
 
-// fairShare returns this relay's share of the calls a second that a scope takes from all relays. Traffic is uneven, so
-// it is a fixed mix of an even share and the relay's own deliveries. Each of these adds up to the capacity over all
-// relays, and so does the mix.
+// fairShare returns this relay's share, in calls a second, of the capacity of a scope. Traffic is uneven, so the
+// share is a fixed mix of an even share and the relay's own delivery rate. Summed over all relays, the even shares
+// give the capacity. So do the delivery rates while the scope is fully used, and so does the mix.
 func (e *Engine) fairShare(scope *limitScope) float64 {
 	even := (1 - ownDeliveryRatio) * e.scopeCapacity(scope) / float64(e.settings.FleetSize)
 	return even + ownDeliveryRatio*e.deliveryRate(scope)
 }
 
-// hasSparseShare reports whether this relay's share of a scope is less than one call in an overload window.
+// hasSparseShare reports whether this relay's share of a scope is less than one call per overload window.
 func (e *Engine) hasSparseShare(scope *limitScope) bool {
 	return e.fairShare(scope)*e.settings.OverloadWindow.Seconds() < 1
 }
 
-// deliveryRate returns the mean rate of this relay's deliveries to a scope. While an endpoint of the scope is suspect,
-// it is the rate before that.
+// deliveryRate returns the mean rate of this relay's deliveries to a scope, in deliveries a second. The rate does
+// not decay while an endpoint of the scope is suspect.
 func (e *Engine) deliveryRate(scope *limitScope) float64 {
 	if scope.hasSuspect() {
 		return scope.deliveryRate
@@ -82,7 +83,8 @@
 	return scope.deliveryRate * deliveryRateWindow.remaining(e.now-scope.deliveryRateAt)
 }
 
-// recordDelivery adds a delivery to the delivery rate, which does not fall while an endpoint of the scope is suspect.
+// recordDelivery adds a delivery to the delivery rate. The rate does not fall while an endpoint of the scope is
+// suspect.
 func (e *Engine) recordDelivery(scope *limitScope) {
 	since := (e.now - scope.deliveryRateAt).Seconds()
 	if scope.hasSuspect() && scope.deliveryRate > 0 {
@@ -93,7 +95,7 @@
 	scope.deliveryRateAt = e.now
 }
 
-// sendRate returns the number of calls to a scope in the last second, and forgets older ones.
+// sendRate returns the number of calls sent to a scope in the last second, and drops the records of older calls.
 func (e *Engine) sendRate(scope *limitScope) float64 {
 	expired := 0
 	for expired < len(scope.recentSends) && scope.recentSends[expired] <= e.now-time.Second {
--- a/policy/deadline.go
+++ b/policy/deadline.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// deadlineMargin is the time by which final answers and timeouts come before a message's deadline, so that they reach
-// the client in time.
+// deadlineMargin is the time between the last possible final answer or timeout of a message and the message's
+// deadline. It lets the answer reach the client in time.
 const deadlineMargin = 12 * time.Millisecond
 
-// Delays of messages in the queue, as fractions of their time left.
+// Delays of messages in the queue, as fractions of the time left until their deadlines.
 const (
-	missedObjectiveDelayRatio = 0.5 // of one that has missed its latency objective
-	overQuotaDelayRatio       = 0.5 // of one beyond its tenant's quota
+	missedObjectiveDelayRatio = 0.5 // for a message that has missed its latency objective
+	overQuotaDelayRatio       = 0.5 // for a message beyond its tenant's quota
 )
 
-// minClassWeight is the lowest weight that counts: weights divide delays, and may be zero.
+// minClassWeight is the lower bound of a class weight where it divides a delay: configured weights may be zero.
 const minClassWeight = 0.01
 
-// deadlineEntry is a time at which a message has to be looked at.
+// deadlineEntry is a time at which a message is due for a check by handleDeadlines.
 type deadlineEntry struct {
 	at      time.Duration
 	message *message
@@ -29,8 +29,8 @@
 	return entry.at < other.at || entry.at == other.at && entry.message.id < other.message.id
 }
 
-// deadlineHeap is a binary heap, the soonest entry first. It is written out since container/heap allocates a copy of
-// each entry, twice for each message.
+// deadlineHeap is a binary heap with the earliest entry first. It does not use container/heap, which allocates a
+// copy of each entry, twice for each message.
 type deadlineHeap []deadlineEntry
 
 // push adds an entry.
@@ -49,13 +49,13 @@
 	entries[i] = entry
 }
 
-// pop removes and returns the soonest entry of a heap that is not empty.
+// pop removes and returns the earliest entry. The heap must not be empty.
 func (h *deadlineHeap) pop() deadlineEntry {
 	entries := *h
 	n := len(entries) - 1
 	first := entries[0]
 	last := entries[n]
-	entries[n] = deadlineEntry{} // releases its message
+	entries[n] = deadlineEntry{} // drops the reference to the message
 	*h = entries[:n]
 	for i := 0; n > 0; {
 		child := 2*i + 1
@@ -72,18 +72,19 @@
 	return first
 }
 
-// addDeadline schedules a look at a message.
+// addDeadline schedules a check of a message.
 func (e *Engine) addDeadline(at time.Duration, msg *message) {
 	e.deadlines.push(deadlineEntry{at: at, message: msg})
 }
 
-// handleDeadlines gives messages their final answers whose time is up, and moves those back in the queue that have
-// missed their latency objectives.
+// handleDeadlines checks the messages whose entries are due. A message whose deadline has passed, or that can have
+// no further attempt, gets its final answer. A message that has missed its latency objective moves back in the
+// queue.
 func (e *Engine) handleDeadlines() {
 	for len(e.deadlines) > 0 && (e.deadlines[0].at <= e.now || e.deadlines[0].message.ended) {
 		msg := e.deadlines.pop().message
 		switch {
-		case msg.ended: // has its answer
+		case msg.ended: // already has its final answer
 		case e.attemptsExhausted(msg) || e.now >= msg.deadline:
 			e.rejectOrFail(msg)
 		case e.now >= msg.objectiveAt:
@@ -92,8 +93,8 @@
 	}
 }
 
-// deprioritize moves a message back that has missed its latency objective: those that may still meet theirs have more
-// to lose and go first.
+// deprioritize moves a message that has missed its latency objective back in the queue. Messages that can still
+// meet their objectives lose more by waiting, so they go first.
 func (e *Engine) deprioritize(msg *message) {
 	queued := msg.queued
 	e.dequeue(msg)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// maxQueueScan is the number of queued messages of one destination that are looked at for one that may be sent. It
-// bounds the work of a step where a long queue is blocked.
+// maxQueueScan is the largest number of queued messages of one destination that one search inspects, such as the
+// search for a message that may be sent. It bounds the work of a step when a long queue is blocked.
 const maxQueueScan = 500
 
-// dispatch sends what may be sent, in the order of precedes, while calls in flight are allowed. Destinations that were
-// found blocked, and for which no event has called for a recheck, are not looked at.
+// dispatch sends the messages that may be sent, in the order defined by precedes, until the limit of calls in
+// flight is reached. It skips destinations that were found blocked until a later time, unless an event has
+// triggered a recheck.
 func (e *Engine) dispatch() {
 	e.collectReady()
 	for e.settings.MaxInFlightCalls <= 0 || e.callsInFlight < e.settings.MaxInFlightCalls {
@@ -40,7 +41,7 @@
 	}
 }
 
-// nextDestination returns the ready destination whose next message goes first; nil if no message may be sent.
+// nextDestination returns the ready destination whose next message goes first, or nil if no message may be sent.
 func (e *Engine) nextDestination() *destination {
 	var best *destination
 	for _, dest := range e.ready {
@@ -54,7 +55,8 @@
 	return best
 }
 
-// selectNext finds the next message of a destination that may be sent, or the time at which one may.
+// selectNext sets the candidate of a destination to the first message that may be sent. If there is none, it sets
+// blockedUntil to the time at which a message may be sent.
 func (e *Engine) selectNext(dest *destination) {
 	dest.candidate = nil
 	dest.candidateEndpoint = nil
@@ -80,8 +82,8 @@
 	}
 }
 
-// rejectUnservable rejects messages that would wait in vain, since their destination stays blocked beyond their
-// deadlines. Another relay, which got no such Retry-After, may still deliver them.
+// rejectUnservable rejects messages whose destination stays blocked until their deadlines or longer. Their clients
+// can submit them to another relay, which may still deliver them if it has not received the same Retry-After.
 func (e *Engine) rejectUnservable(dest *destination) {
 	for i := len(dest.queue) - 1; i >= 0; i-- {
 		msg := dest.queue[i]
@@ -91,8 +93,9 @@
 	}
 }
 
-// startCall starts a call with the next message of a destination and, where the kind allows, with further ones. They
-// share one fate: after a failure a call carries one message, after a lost answer half as many as allowed.
+// startCall starts a call with the candidate of a destination and further messages, up to the batch size of the
+// destination's kind. A failed call usually fails all its messages, so a call carries a single message after a
+// failure of the endpoint, and half a batch after a lost answer.
 func (e *Engine) startCall(dest *destination) {
 	ep := dest.candidateEndpoint
 	c := &call{endpoint: ep, sentAt: e.now, overdueAt: e.now + e.latencyBound(ep, overdueDeviations)}
@@ -108,13 +111,14 @@
 	for i := 0; c.pending < batch && i < len(dest.queue) && i < maxQueueScan; {
 		msg := dest.queue[i]
 		if msg.lastFailedEndpoint == ep || !e.addToCall(msg, c) {
-			i++ // else the next message has moved to this place
+			i++ // otherwise the message was dequeued, and the next one is now at index i
 		}
 	}
 	e.recordCallStart(c)
 }
 
-// addToCall adds an attempt of a message to a call, if attemptAllowedAt allows it now.
+// addToCall adds an attempt of a message to a call if attemptAllowedAt allows the attempt now, and reports whether
+// it did.
 func (e *Engine) addToCall(msg *message, c *call) bool {
 	if e.attemptAllowedAt(msg, c.endpoint) > e.now {
 		return false
