--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// Ejection times. An ejection is what the paper calls a "skip".
+// Ejection times. The paper that describes this selector calls an ejection a "skip".
 const (
-	initialEjectionTime = 2 * time.Second  // most outages last longer, and a trial costs one call
-	maxEjectionTime     = 10 * time.Second // the length in the paper
-	ejectionGrowth      = 1.5              // factor from one ejection to the next while trials fail
-	ejectionJitter      = 0.2              // fraction by which a time varies, so that relays do not return in step
+	initialEjectionTime = 2 * time.Second  // most outages last longer, but a failed trial costs only one call
+	maxEjectionTime     = 10 * time.Second // the ejection time in the paper
+	ejectionGrowth      = 1.5              // factor by which the time grows with each failed trial
+	ejectionJitter      = 0.2              // random variation of the time, so that relays do not retry in step
 )
 
-// Evidence of an outage, as opposed to a limit or to single losses.
+// Thresholds that tell an outage from a rate limit and from single lost calls.
 const (
-	outageRetryAfter         = 2500 * time.Millisecond // a longer Retry-After is no limit's window
+	outageRetryAfter         = 2500 * time.Millisecond // a longer Retry-After exceeds any rate limit's window
 	outageRejections         = 4                       // consecutive rejections that show an outage
-	minOutageRejectionTime   = 2 * time.Second         // if they last so long: longer than a limit's usual window
+	minOutageRejectionTime   = 2 * time.Second         // these must span this time; a limit's window is usually shorter
 	ejectAfterFailures       = 3                       // consecutive failures that eject an endpoint
 	ejectAfterRecentFailures = 5                       // failures among the last 8 outcomes that eject an endpoint
 )
 
-// failureRule says what follows from a failure: whether the endpoint is ejected, and what else.
+// failureRule defines which failures it matches, whether they eject the endpoint, and how else the Engine responds.
 type failureRule struct {
 	name    string
 	matches func(e *Engine, ep *endpoint, obs observation) bool
 	ejects  bool
-	respond func(e *Engine, ep *endpoint, obs observation) // nil: nothing
+	respond func(e *Engine, ep *endpoint, obs observation) // nil: no other response
 }
 
-// failureRules are evaluated in order; the first that matches decides.
+// failureRules are evaluated in order; only the first that matches is applied.
 var failureRules = []failureRule{
-	// An outage that rejects calls: the endpoint comes back with a part of its capacity.
+	// An endpoint that rejects calls in an outage comes back with only a part of its capacity.
 	{name: "outage", matches: showsOutage, ejects: true, respond: (*Engine).suspectScope},
 	{name: "rejected", matches: isRejection, respond: (*Engine).decreasePacing},
 	{name: "trial failed", matches: isFailedTrial, ejects: true},
-	// A full connection table rejects at once, and may take the next connection.
+	// An endpoint with a full connection table refuses a connection at once, but may accept the next one.
 	{name: "connect exhausted", matches: isConnectExhaustion, respond: (*Engine).pauseConnecting},
 	{name: "consecutive failures", matches: hasConsecutiveFailures, ejects: true},
-	// An outage may fail only most calls: successes between them do not clear it.
+	// In an outage some calls may still succeed, so successes between failures do not rule it out.
 	{name: "mostly failing", matches: isMostlyFailing, ejects: true},
 	{name: "failed", matches: func(*Engine, *endpoint, observation) bool { return true }},
 }
 
-// showsOutage matches a long Retry-After, and consecutive rejections over some time.
+// showsOutage matches a rejection with a long Retry-After, and the last of at least outageRejections consecutive
+// rejections that span at least minOutageRejectionTime.
 func showsOutage(e *Engine, ep *endpoint, obs observation) bool {
 	if obs.outcome != Overloaded {
 		return false
@@ -59,21 +60,23 @@
 // isFailedTrial matches any failure of an endpoint that was ejected and has delivered nothing since.
 func isFailedTrial(_ *Engine, ep *endpoint, _ observation) bool { return ep.ejected }
 
-// isConnectExhaustion matches a connection that failed as at a full connection table.
+// isConnectExhaustion matches a failed connection that looks like a full connection table.
 func isConnectExhaustion(_ *Engine, _ *endpoint, obs observation) bool { return obs.connectExhausted }
 
-// hasConsecutiveFailures matches enough failures without a delivery between them.
+// hasConsecutiveFailures matches if ejectAfterFailures failures or more have occurred without a delivery between
+// them.
 func hasConsecutiveFailures(_ *Engine, ep *endpoint, _ observation) bool {
 	return ep.consecutiveFailures >= ejectAfterFailures
 }
 
-// isMostlyFailing matches enough failures among the last outcomes.
+// isMostlyFailing matches if recentFailures, the last eight outcomes, holds ejectAfterRecentFailures failures or
+// more.
 func isMostlyFailing(_ *Engine, ep *endpoint, _ observation) bool {
 	return bits.OnesCount8(ep.recentFailures) >= ejectAfterRecentFailures
 }
 
-// applyFailureRules applies the first rule that matches a failure. An attempt that ended early, for lack of time, may
-// make its endpoint suspect but ejects none.
+// applyFailureRules applies the first rule that matches a failure. It ignores a truncated attempt, which had too
+// little time for an answer: such an attempt may make its endpoint suspect, but does not eject it.
 func (e *Engine) applyFailureRules(ep *endpoint, obs observation) {
 	if obs.truncated {
 		return
@@ -92,8 +95,8 @@
 	}
 }
 
-// eject makes messages pass an endpoint by for a while, longer with each failed trial. Failures of calls that were sent
-// before the ejection began add nothing.
+// eject makes an endpoint suspect and ejects it: messages skip it for a time that grows with each failed trial. The
+// failure of a call that was sent before the current ejection began does not prolong that ejection.
 func (e *Engine) eject(ep *endpoint, sentAt time.Duration) {
 	e.suspect(ep)
 	if ep.ejected && sentAt < ep.ejectedUntil-ep.ejectionTime {
--- a/policy/emptylist.go
+++ b/policy/emptylist.go
@@ -1,7 +1,8 @@
 package policy
 
-// emptyDestinationList is a linked list of the destinations without endpoints, in the order in which they lost their
-// last one. Destinations leave it one by one and from any place, so it is linked through them.
+// emptyDestinationList is a linked list of the destinations without endpoints, in the order in which they lost
+// their last endpoint. The links are fields of destination, so that a destination can be removed from any place in
+// the list without a search.
 type emptyDestinationList struct{ first, last *destination }
 
 // has reports whether a destination is in the list.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -11,17 +11,17 @@
 type destination struct {
 	id           DestinationID
 	scopes       []*limitScope // in the order of selection
-	queue        []*message    // waiting, in the order of precedes
+	queue        []*message    // waiting, in the order defined by precedes
 	messageCount int           // messages that are not released yet
 	activeIndex  int           // index in Engine.active, from 1; 0: not active
-	// blockedUntil is the time before which nothing may be sent unless an event calls for a recheck.
+	// blockedUntil is the time before which no message can be sent, unless an event triggers a recheck.
 	blockedUntil time.Duration
 
 	// The next message to send in this dispatch, with its endpoint.
 	candidate         *message
 	candidateEndpoint *endpoint
 
-	// Links of emptyDestinationList.
+	// State for emptyDestinationList.
 	emptySince    time.Duration // when the last endpoint was removed
 	previousEmpty *destination
 	nextEmpty     *destination
@@ -32,11 +32,11 @@
 	return slices.ContainsFunc(dest.scopes, func(scope *limitScope) bool { return len(scope.endpoints) > 0 })
 }
 
-// recheck makes the next dispatch look at a destination again.
+// recheck makes the next dispatch check a blocked destination again.
 func (e *Engine) recheck(dest *destination) { dest.blockedUntil = 0 }
 
-// updateEndpoints applies a complete endpoint list or changes of it. An endpoint that is draining or removed takes no
-// new call from here on.
+// updateEndpoints applies a complete endpoint list or changes to the list. Endpoints that are draining or removed
+// get no new calls from then on.
 func (e *Engine) updateEndpoints(entries []Endpoint, complete bool) {
 	if e.settings.WatchRequired && complete && len(e.sortedDestinations) == 0 {
 		e.emit(Action{Kind: WatchEndpoints})
@@ -65,7 +65,7 @@
 	e.removeEmptyDestinations()
 }
 
-// removeUnlisted removes all endpoints that a complete list does not name.
+// removeUnlisted removes all endpoints that a complete list does not contain.
 func (e *Engine) removeUnlisted(entries []Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for i := range entries {
@@ -82,10 +82,10 @@
 	}
 }
 
-// updateEndpoint applies one entry of a list and returns the destination whose endpoints it adds to or changes; nil if
-// none.
+// updateEndpoint applies one entry of a list. It returns the destination of an added or changed endpoint, or nil if
+// the entry removes one.
 func (e *Engine) updateEndpoint(listed Endpoint) *destination {
-	if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) { // also where it is not a number
+	if !(listed.Weight > 0) || math.IsInf(listed.Weight, 0) { // !(... > 0) is also true for NaN
 		listed.Weight = 0
 	}
 	ep := e.endpoints[listed.ID]
@@ -99,13 +99,13 @@
 		return e.addEndpoint(listed)
 	}
 	if listed.InService && !ep.InService {
-		ep.lastSuccessAt = 0 // like a new one: what it answered before it drained says nothing about it now
+		ep.lastSuccessAt = 0 // as for a new endpoint: successes before it drained are no evidence of its present health
 	}
 	ep.Endpoint = listed
 	return ep.scope.destination
 }
 
-// addEndpoint adds an endpoint that is not known and returns its destination.
+// addEndpoint adds a new endpoint and returns its destination.
 func (e *Engine) addEndpoint(listed Endpoint) *destination {
 	dest := e.ensureDestination(listed.Destination)
 	ep := &endpoint{Endpoint: listed, tieBreaker: e.rng.Uint64()}
@@ -121,8 +121,8 @@
 			suspectRemovedAt: math.MinInt64 / 2,
 		}
 		if listed.Relisted {
-			// As if it had been listed all the while. Guards against a first message that waits as after a start, each
-			// time that the endpoint is listed again.
+			// Earn tokens as if the endpoint had been listed since the start. Otherwise the first message after
+			// each relisting would wait as after a start.
 			scope.tokensUpdatedAt = e.startedAt
 		}
 		dest.scopes = append(dest.scopes, scope)
@@ -133,7 +133,8 @@
 	return dest
 }
 
-// removeEndpoint removes an endpoint from the tables. Calls in flight keep it alive until their outcomes.
+// removeEndpoint removes an endpoint from the tables. Calls in flight still refer to it until they have their
+// outcomes.
 func (e *Engine) removeEndpoint(ep *endpoint) {
 	ep.Removed = true
 	delete(e.endpoints, ep.ID)
@@ -152,7 +153,7 @@
 	}
 }
 
-// ensureDestination returns the destination with an id, which it creates if there is none.
+// ensureDestination returns the destination with an id, and creates it if there is none.
 func (e *Engine) ensureDestination(id DestinationID) *destination {
 	if dest := e.destinations[id]; dest != nil {
 		return dest
@@ -164,8 +165,8 @@
 	return dest
 }
 
-// removeEmptyDestinations removes destinations that have had no endpoint for a warm-up and hold no message. It only
-// looks at those that are due.
+// removeEmptyDestinations removes the destinations that have had no endpoint for WarmUpDuration and have no
+// message. It inspects only those that have been without an endpoint for that long.
 func (e *Engine) removeEmptyDestinations() {
 	dest := e.emptyDestinations.first
 	for dest != nil && e.now >= dest.emptySince+e.settings.WarmUpDuration {
@@ -185,5 +186,5 @@
 	e.sortedDestinations = slices.Delete(e.sortedDestinations, i, i+1)
 }
 
-// compareID compares a destination's id with another one.
+// compareID compares a destination's id with another id, for binary searches.
 func compareID(dest *destination, id DestinationID) int { return cmp.Compare(dest.id, id) }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// randomStream is the second half of the generator's seed. It never changes: recordings replay its draws.
+// randomStream is the second half of the random number generator's seed. It must not change: recordings replay the
+// numbers drawn from it.
 const randomStream = 0x6f6e7978
 
-// timerSlack is the resolution of timers: a clock coarser than the caller's may fire one that much early.
+// timerSlack is the resolution of timers. A timer may fire early by this much if its clock is coarser than the
+// clock that Step's times come from.
 const timerSlack = time.Millisecond
 
-// Engine decides for one relay. It is a pure state machine: equal events give equal actions. It is not safe for
-// concurrent use.
+// Engine makes the delivery decisions of one relay. It is a pure state machine: equal events give equal actions. It
+// is not safe for concurrent use.
 type Engine struct {
 	settings Settings
-	pcg      *rand.PCG // source of rng, kept apart since snapshots hold its state
+	pcg      *rand.PCG // source of rng; snapshots save its state
 	rng      *rand.Rand
-	now      time.Duration // of the current step
+	now      time.Duration // time of the current step
 	// startedAt is the time of the first step.
 	startedAt time.Duration
 
-	endpoints          map[string]*endpoint           // looked up, never iterated: the order of a map is random
-	destinations       map[DestinationID]*destination // looked up, never iterated
+	endpoints          map[string]*endpoint           // never iterated: the order would be random
+	destinations       map[DestinationID]*destination // never iterated, for the same reason
 	sortedDestinations []*destination                 // by id
 	active             []*destination                 // with queued messages
 	ready              []*destination                 // scratch space of dispatch
@@ -34,15 +36,16 @@
 	pendingMessages   int // messages without a final answer
 	deadlines         deadlineHeap
 	keyQueues         map[string]*keyQueue
-	expiringKeyQueues []*keyQueue // empty ones, in the order in which their pauses end
+	expiringKeyQueues []*keyQueue // became empty, in this order; kept until their pauses end
 	callsInFlight     int
 
-	// lowestReportedLimit is the lowest limit reported by any endpoint of a kind.
+	// lowestReportedLimit holds the lowest rate limit that any endpoint of a kind has reported, in calls a second.
 	lowestReportedLimit map[int]float64
-	// connectShortageUntil is the time until which a connection that fails at once, to an endpoint of a kind, counts as
-	// an exhausted connection table.
+	// connectShortageUntil holds, by kind, the time until which a connection that fails at once is attributed to a
+	// full connection table.
 	connectShortageUntil map[int]time.Duration
-	// closeIdleUntil is the time until which connections to a kind are closed after use, since its tables were full.
+	// closeIdleUntil holds, by kind, the time until which idle connections are closed after each call, because the
+	// connection table of an endpoint was full.
 	closeIdleUntil map[int]time.Duration
 
 	tenantTraffic   []trafficMeter
@@ -53,7 +56,7 @@
 	actions          []Action      // of the current step
 }
 
-// New returns an Engine that knows nothing but its settings. The seed determines all its random choices.
+// New returns an Engine without endpoints and messages. The seed determines all its random choices.
 func New(settings Settings, seed uint64) (*Engine, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -75,7 +78,8 @@
 	}, nil
 }
 
-// Reconfigure applies other settings from here on. Pending messages keep their class and their number of attempts.
+// Reconfigure replaces the settings for later steps. Pending messages keep their class and their maximum number of
+// attempts.
 func (e *Engine) Reconfigure(settings Settings) error {
 	validated, err := New(settings, 0)
 	if err != nil {
@@ -86,13 +90,13 @@
 	return nil
 }
 
-// Step takes the events that were observed up to now and returns the actions to take, in order. The slice is valid
-// until the next step.
+// Step takes the events that were observed up to now and returns the actions to take, in order. The returned slice
+// is valid until the next step.
 func (e *Engine) Step(now time.Duration, events []Event) []Action {
 	e.now = now
 	e.actions = e.actions[:0]
 	e.startedAt = cmp.Or(e.startedAt, now)
-	// A timer may fire a little early: one this close counts as fired.
+	// A timer may fire slightly early, so one that is due within timerSlack counts as fired.
 	if e.timerAt <= now+timerSlack {
 		e.timerAt = 0
 	}
@@ -127,21 +131,22 @@
 		if e.settings.WatchRequired {
 			e.emit(Action{Kind: WatchEndpoints})
 		}
-	case TimerFired: // the step alone is what was asked for
+	case TimerFired: // changes no state; the timer was set for the step itself
 	}
 }
 
 // emit adds an action to those of the current step.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// requestTimer asks for a step at t, unless an earlier one is asked for.
+// requestTimer requests a step at t, unless an earlier one is already requested.
 func (e *Engine) requestTimer(t time.Duration) {
 	if t < math.MaxInt64 && (e.requestedTimerAt == 0 || t < e.requestedTimerAt) {
 		e.requestedTimerAt = t
 	}
 }
 
-// setTimer sets a timer for the earliest time that needs a step, unless one is set that fires no later.
+// setTimer sets a timer for the earliest time at which a step is needed, unless a timer is already set that fires
+// no later.
 func (e *Engine) setTimer() {
 	if len(e.deadlines) > 0 {
 		e.requestTimer(e.deadlines[0].at)
--- a/policy/event.go
+++ b/policy/event.go
@@ -17,23 +17,24 @@
 	NotSent                      // the call never left the relay
 )
 
-// DestinationID identifies a destination: the number that the endpoint list and the messages give it.
+// DestinationID is the number of a destination in the endpoint list and in messages.
 type DestinationID int
 
-// Endpoint is one entry of the endpoint list. Recordings keep it under the tags, as all types of this file.
+// Endpoint is one entry of the endpoint list. Recordings encode it under its JSON tags, as they do all types of
+// this file.
 type Endpoint struct {
 	ID          string        `json:"Route"`
 	Destination DestinationID `json:"Destination"`
 	Kind        int           `json:"Kind"` // index into Settings.DestinationKinds
 	Zone        int           `json:"Zone"`
-	// Weight is the capacity in calls a second from all relays together; 0: not known.
+	// Weight is the capacity in calls a second from all relays together; 0: unknown.
 	Weight float64 `json:"Weight"`
 	// InService is false while the endpoint is draining.
 	InService bool `json:"InService"`
-	// Removed entries leave the list.
+	// Removed is set if the endpoint has left the list.
 	Removed bool `json:"Gone"`
-	// Relisted: the endpoint was listed before and was evicted since (see Evictable). It says nothing of an endpoint
-	// that is known.
+	// Relisted is set if the endpoint was listed before and has been evicted since (see Evictable). It has no
+	// effect on an endpoint that the Engine already has.
 	Relisted bool `json:"Again"`
 }
 
@@ -44,29 +45,29 @@
 const (
 	MessageAccepted  EventKind = iota // a client has submitted a message
 	AttemptFinished                   // an attempt has its outcome
-	MessageCancelled                  // the client of a message is gone
+	MessageCancelled                  // a message needs no further attempts: its client has left, or has its answer
 	EndpointSnapshot                  // the complete endpoint list
-	EndpointDelta                     // changes of the endpoint list
+	EndpointDelta                     // changes to the endpoint list
 	WatchFailed                       // a request for the endpoint list has failed
 	TimerFired                        // the timer of a SetTimer action has fired
 	HealthChecked                     // a health check has its outcome
 	QuotaGranted                      // the quota that other relays grant this one has changed
 )
 
-// LimitReport is what an endpoint reports of its rate limit. It is late and noisy.
+// LimitReport is an endpoint's report of its rate limit. The figures are delayed and noisy.
 type LimitReport struct {
 	Present   bool    `json:"Told"`
 	Remaining float64 `json:"Left"`  // fraction of the limit that is left
 	Limit     float64 `json:"Limit"` // calls a second; 0: no limit
 }
 
-// RecoveredMessage is what became of a message in the earlier process that had accepted it. A call that was in flight
-// when that process ended may have run.
+// RecoveredMessage describes the attempts that an earlier process made for a message that it had accepted. A call
+// that was in flight when that process ended may have run.
 type RecoveredMessage struct {
 	Attempts      int           `json:"Attempts"` // attempts used
-	MayHaveRun    bool          `json:"Ran"`      // one of them may have run
-	SinceFirstRun time.Duration `json:"RanAgo"`   // time since the first of those was sent
-	FirstRunZone  int           `json:"RanZone"`  // and the zone that it was sent to
+	MayHaveRun    bool          `json:"Ran"`      // at least one attempt may have run
+	SinceFirstRun time.Duration `json:"RanAgo"`   // time since the first attempt that may have run was sent
+	FirstRunZone  int           `json:"RanZone"`  // zone that this attempt was sent to
 }
 
 // Event is one observation for an Engine. Which fields hold a value depends on its kind.
@@ -82,7 +83,8 @@
 	TimeLeft    time.Duration     `json:"Left"`    // time to the deadline
 	Recovered   *RecoveredMessage `json:"Resumed"` // set if an earlier process accepted the message
 
-	// AttemptFinished and HealthChecked; Endpoint also for QuotaGranted of a scope of one endpoint.
+	// AttemptFinished and HealthChecked. Endpoint is also set for QuotaGranted if the endpoint has its own limit
+	// scope.
 	Attempt      int           `json:"Attempt"`
 	Endpoint     string        `json:"Route"`
 	Outcome      Outcome       `json:"Outcome"`
@@ -94,8 +96,8 @@
 	// EndpointSnapshot and EndpointDelta.
 	Endpoints []Endpoint `json:"List"`
 
-	// QuotaGranted, for a destination or for an endpoint with a scope of its own. An Engine learns of other relays'
-	// load through these two figures alone.
-	ReservedFraction float64 `json:"Share"` // fraction of its even share that the relay may use: the rest is lent
-	GrantedCalls     int     `json:"Calls"` // calls that it may make beyond that, within TimeLeft
+	// QuotaGranted, for a destination or for an endpoint with its own limit scope. These two figures are all that
+	// an Engine receives about the load of other relays.
+	ReservedFraction float64 `json:"Share"` // fraction of the relay's even share that it has not lent to others
+	GrantedCalls     int     `json:"Calls"` // calls that the relay may make in addition, within TimeLeft
 }
--- a/policy/eviction.go
+++ b/policy/eviction.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Evictable reports whether a caller with very many destinations may remove one, by an EndpointDelta with Removed, and
-// list it again when it is needed. As of the last step, removing it must drop nothing that binds: no message is pending
-// and no call in flight, no Retry-After and no ejection is in force, no endpoint is suspect or warming up, the last
-// rejection no longer matters, and other relays share none of its limit. Listed again, the destination is as after a
-// start, which then allows nothing that its old state would not.
+// Evictable reports whether a caller with very many destinations may remove a destination, by an EndpointDelta with
+// Removed, and list it again when it is needed. A destination that is listed again starts in its initial state.
+// Evictable therefore returns false while the present state, as of the last step, forbids something that the
+// initial state allows. This is so if a message is pending or a call is in flight, if a Retry-After or an ejection
+// is in force, if an endpoint is suspect or warming up, if the last rejection still limits the pacing rate, or if
+// the relay shares the destination's quota with other relays.
 //
-// It looks neither at a single failure nor at a single rejection: the caller waits for WarmUpDuration without use of
-// the destination first. Evictable changes nothing.
+// Evictable ignores a single failure or rejection as a sign of an outage. The caller must therefore wait until the
+// destination has been unused for WarmUpDuration. Evictable does not change the Engine.
 func (e *Engine) Evictable(id DestinationID) bool {
 	dest := e.destinations[id]
 	return dest == nil || dest.messageCount == 0 && !slices.ContainsFunc(dest.scopes, e.hasBindingState)
@@ -24,17 +25,17 @@
 	switch {
 	case scope.inFlight > 0, e.now < scope.retryAfterUntil:
 		return true
-	case scope.quotaShared: // only changes of grants are reported: a new scope would use the part that is lent
+	case scope.quotaShared: // only changes of grants are reported: a new scope would use quota that is lent to others
 		return true
-	case e.now < scope.suspectRemovedAt+e.settings.WarmUpDuration: // what replaces a suspect endpoint inherits it
+	case e.now < scope.suspectRemovedAt+e.settings.WarmUpDuration: // the replacement inherits the suspicion
 		return true
 	case scope.consecutiveFailures >= suspectAfterFailures, scope.connectExhaustions >= maxConnectExhaustions:
-		return true // the next failure, of any endpoint, shows an outage
+		return true // one more failure of any endpoint counts as an outage
 	}
 	return e.hasReducedPacing(scope) || slices.ContainsFunc(scope.endpoints, e.isImpaired)
 }
 
-// isImpaired reports whether an endpoint has calls in flight, is ejected, suspect or warming up.
+// isImpaired reports whether an endpoint has calls in flight, is ejected, is suspect or is warming up.
 func (e *Engine) isImpaired(ep *endpoint) bool {
 	switch {
 	case len(ep.calls) > 0, ep.ejected, e.now < ep.ejectedUntil:
@@ -42,12 +43,13 @@
 	case ep.warmingUp && !e.isWarm(ep):
 		return true
 	}
-	return ep.lastSuccessAt == 0 && ep.scope.hasSuspect() // it inherits suspicion with its next call
+	return ep.lastSuccessAt == 0 && ep.scope.hasSuspect() // the endpoint inherits the suspicion at its next call
 }
 
-// hasReducedPacing reports whether a scope is paced such that a start must not undo it: the tokens of a call are not
-// earned yet, or a rejection has decreased the rate and it could not have grown back by now, at its slowest growth. A
-// rejection longer ago than rejectionFreeWindow does not matter, as in growth itself.
+// hasReducedPacing reports whether a scope is paced more strictly than a new scope would be. This is so while the
+// token for the next call is not earned yet, and after a rejection has decreased the rate. The decrease counts for
+// at least rejectionFreeWindow, because the rejection limits growth for that long, and until the rate could have
+// grown back at its slowest growth.
 func (e *Engine) hasReducedPacing(scope *limitScope) bool {
 	switch {
 	case scope.pacingRate == 0:
@@ -57,10 +59,10 @@
 	case scope.decreasedAt == 0:
 		return false
 	}
-	startRate := scope.lastRejectedRate // a small fleet starts without pacing
+	startRate := scope.lastRejectedRate // a small fleet starts without pacing, so the rejected rate is the target
 	if e.isLargeFleet(scope) {
 		startRate = e.fairPacingRate(scope)
 	}
-	steps := math.Log(startRate/scope.pacingRate) / math.Log1p(cautiousPacingGrowth) // one a second
+	steps := math.Log(startRate/scope.pacingRate) / math.Log1p(cautiousPacingGrowth) // one growth step a second
 	return e.now < scope.decreasedAt+max(rejectionFreeWindow, time.Duration(steps*float64(time.Second)))
 }
