--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -16,16 +16,17 @@
 	}
 	actions := h.step(Event{Kind: MessageAccepted, MessageID: 20, Destination: 4, TimeLeft: 60 * time.Second})
 	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].MessageID == 20 {
-		t.Errorf("with little capacity left: %+v", actions)
+		t.Errorf("near the limit of pending messages: %+v, want one rejection of an earlier message", actions)
 	}
 }
 
-// Load shedding looks at a bounded number of messages for one to reject. A restart may find the maximum of pending
-// messages, none of which may be rejected, and would else look at all of them for each recovered and each new message.
+// Load shedding inspects a bounded number of messages to find one to reject. After a restart, MaxPendingMessages
+// messages may be pending, none of which may be rejected. Without the bound, all of them would be inspected for
+// each recovered and each new message.
 func TestLoadSheddingScansABoundedQueue(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		behind   int // messages that may not be rejected, behind one that may
+		behind   int // number of messages that may not be rejected, queued behind one that may
 		rejected bool
 	}{
 		{"near the end", maxQueueScan - 1, true},
@@ -35,7 +36,7 @@
 			Classes: []Class{
 				{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second},
 			},
-			MaxPendingMessages: (test.behind*10 + 8) / 9, // the last message is the first above maxPendingRatio of it
+			MaxPendingMessages: (test.behind*10 + 8) / 9, // only the last message exceeds maxPendingRatio
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +61,8 @@
 	}
 }
 
-// A message of an unknown class ends once, under the strictest rules. A weight that is not a number means nothing.
+// A message of an unknown class gets one final answer under the strictest rules: it fails after a timeout instead
+// of being retried. A weight that is not a number is ignored.
 func TestUnknownClassAndWeight(t *testing.T) {
 	for _, classIndex := range []int{-1, 99} {
 		h := newHarness(t, testSettings(), Endpoint{ID: "a", Weight: math.NaN()}, Endpoint{ID: "b", Kind: 77})
@@ -68,13 +70,13 @@
 			t.Fatalf("class %d: not sent", classIndex)
 		}
 		if actions := h.finish(1, "a", Timeout, time.Second, 0); !hasAction(actions, Fail) || hasAction(actions, Send) {
-			t.Errorf("class %d: %+v after a timeout", classIndex, actions)
+			t.Errorf("class %d: %+v after a timeout, want a failure and no retry", classIndex, actions)
 		}
 	}
 }
 
-// Messages beyond a tenant's quota go after those within it, and a tenant without one has no bound. A burst of two
-// seconds' traffic is within the quota.
+// Messages beyond a tenant's quota are sent after messages within it. Messages of a tenant without a quota are
+// always within it. A burst of two seconds' traffic is within the quota.
 func TestMessagesBeyondTheQuotaGoLater(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Quota: 1}, {}}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep accepts and delivers one message at a relay with 400 destinations and 1,000 endpoints. With a backlog,
-// 200 more messages wait for destinations without an endpoint in service.
+// BenchmarkStep measures how long an Engine with 400 destinations and 1,000 endpoints takes to accept and deliver
+// one message. With a backlog, 200 more messages wait for destinations without an endpoint in service.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{0, 200} {
 		b.Run(fmt.Sprintf("backlog=%d", backlog), func(b *testing.B) { benchmarkStep(b, backlog) })
@@ -29,7 +29,7 @@
 			ID:          fmt.Sprint("r", i),
 			Destination: DestinationID(i % 400),
 			Kind:        i % 2,
-			Weight:      5e5, // so that pacing delays nothing that is measured
+			Weight:      5e5, // so high that pacing delays none of the messages
 			InService:   i%400 < 200,
 		})
 	}
@@ -44,7 +44,7 @@
 		})
 	}
 	engine.Step(now, events)
-	now += time.Second // the first calls of a large fleet spread over a while after the list
+	now += time.Second // a large fleet spreads its first calls over some time after the first list
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * ms
@@ -76,9 +76,9 @@
 	}
 }
 
-// BenchmarkListsAndTimers is one step of one of 300 relays with 31 endpoints of 15 destinations, while ten messages
-// wait: with a complete list that changes nothing, with a change of one endpoint, and with a timer for which nothing is
-// due.
+// BenchmarkListsAndTimers measures one step of a relay in a fleet of 300, with 31 endpoints of 15 destinations and
+// ten pending messages. The event of the step is a complete list without a change, an update of one endpoint, or a
+// timer when nothing is due.
 func BenchmarkListsAndTimers(b *testing.B) {
 	var list []Endpoint
 	for i := range 31 {
@@ -127,8 +127,9 @@
 	}
 }
 
-// BenchmarkListAndEvict adds one destination of two endpoints and evicts another, with so many destinations listed; as
-// many were evicted within the last warm-up.
+// BenchmarkListAndEvict measures adding one destination with two endpoints and evicting another, while the given
+// number of destinations is listed. As many destinations as are listed have been evicted within the last
+// WarmUpDuration.
 func BenchmarkListAndEvict(b *testing.B) {
 	for _, listed := range []int{1000, 10000, 50000, 140000} {
 		b.Run(fmt.Sprintf("listed=%d", listed), func(b *testing.B) {
@@ -138,7 +139,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			destinationID := func(i int) DestinationID { // not in the order of i
+			destinationID := func(i int) DestinationID { // scattered, so that IDs are not added in order
 				return DestinationID(i * 7919 % (4 * listed))
 			}
 			delta := func(i int, removed bool) Event {
@@ -174,7 +175,7 @@
 				i++
 			}
 			if n := len(engine.endpoints); n < 2*listed || n > 2*listed+4 {
-				b.Fatalf("%d endpoints", n)
+				b.Fatalf("%d endpoints in the Engine, want %d to %d", n, 2*listed, 2*listed+4)
 			}
 		})
 	}
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Where the capacity of a destination is not known, a relay goes by its own deliveries: the recovery budget of a
-// suspect endpoint is then its share of a destination of that size, not of one call a second. It is no less than that,
-// and a known limit goes before it.
+// A relay estimates an unknown capacity of a destination from its own deliveries. The recovery budget of a suspect
+// endpoint is then based on this estimate, and not on the minimum of one call a second. The estimate is never below
+// that minimum, and a known limit takes precedence over it.
 func TestUnknownCapacityFollowsOwnDeliveries(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		weights    bool
-		deliveries int // one in 100 ms
+		deliveries int // one every 100 ms
 		least      float64
 		most       float64
 	}{
@@ -38,14 +38,15 @@
 		}
 		ep := engine.endpoints["only"]
 		if capacity := engine.scopeCapacity(ep.scope); capacity < test.least || capacity > test.most {
-			t.Errorf("%s: takes %.1f calls a second, want %.1f to %.1f", test.name, capacity, test.least, test.most)
+			t.Errorf("%s: capacity %.1f calls a second, want %.1f to %.1f", test.name, capacity, test.least, test.most)
 		}
 		failed := Event{Kind: HealthChecked, Endpoint: "only", Outcome: Error}
 		engine.Step(now, []Event{failed, failed})
 		all := engine.recoveryRate(ep) * float64(settings.FleetSize)
 		tooFew := test.deliveries > 0 && all < 2
 		if !ep.warmingUp || tooFew || all > engine.scopeCapacity(ep.scope) {
-			t.Errorf("%s: all relays may make %.2f calls a second to a suspect endpoint", test.name, all)
+			t.Errorf("%s: suspect %v, want true; all relays together may make %.2f calls a second, want at most %.2f "+
+				"and, after deliveries, at least 2", test.name, ep.warmingUp, all, engine.scopeCapacity(ep.scope))
 		}
 	}
 }
@@ -61,6 +62,6 @@
 		}
 	}
 	if got := window.seconds(); got != 10 {
-		t.Errorf("a window of ten seconds has %v", got)
+		t.Errorf("a window of ten seconds has %v seconds, want 10", got)
 	}
 }
--- a/policy/connect_test.go
+++ b/policy/connect_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Idle connections of hundreds of relays once filled the connection tables of destinations.
+// A relay of a large fleet closes connections after use once a connection table was full. Guards against idle
+// connections of hundreds of relays that fill the connection tables of destinations.
 func TestScarceConnectionsAreClosedAfterUse(t *testing.T) {
 	for _, test := range []struct {
 		relays int
@@ -14,7 +15,7 @@
 		settings := testSettings()
 		settings.FleetSize = test.relays
 		h := newHarness(t, settings, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-		other := func(id MessageID) bool {
+		deliveryClosesIdle := func(id MessageID) bool {
 			h.step(Event{Kind: MessageAccepted, MessageID: id, Destination: 1, TimeLeft: 9 * time.Second})
 			return hasAction(h.finish(id, "b", OK, 10*ms, 0), CloseIdle)
 		}
@@ -22,18 +23,21 @@
 		h.finish(1, "a", OK, 10*ms, 0)
 		h.accept(2, 0)
 		h.finish(2, "a", ConnectFailed, 10*ms, 0)
-		if other(3) {
-			t.Errorf("%d relays: closed after a connection of the kind that failed: it may be an outage's", test.relays)
+		if deliveryClosesIdle(3) {
+			t.Errorf("%d relays: connections closed after a failed connection, which may be due to an outage",
+				test.relays)
 		}
 		h.advance(time.Second)
 		h.finish(2, "a", OK, 10*ms, 0)
-		if got := other(4); got != test.want {
-			t.Errorf("%d relays: closed %v after a failed connection and an answer of the kind", test.relays, got)
+		if got := deliveryClosesIdle(4); got != test.want {
+			t.Errorf("%d relays: connections closed %v after a failed connection and then a delivery, want %v",
+				test.relays, got, test.want)
 		}
 	}
 }
 
-// Two failed connections at a full table once made a destination suspect for its whole warm-up.
+// Guards against two failed connections at a full connection table that make a destination suspect for its whole
+// warm-up.
 func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	for _, test := range []struct {
 		relays, fails int
@@ -41,9 +45,9 @@
 		suspect       bool
 	}{
 		{20, 2, 10 * ms, false},                         // a full table
-		{100, maxConnectExhaustions + 3, 10 * ms, true}, // an outage after all
-		{100, 3, time.Second, true},                     // not at once: no answer at all
-		{3, 3, 10 * ms, true},                           // few relays fill no table
+		{100, maxConnectExhaustions + 3, 10 * ms, true}, // too many failures for a full table: an outage
+		{100, 3, time.Second, true},                     // connections that do not fail at once: no full table
+		{3, 3, 10 * ms, true},                           // too few relays to fill a table
 	} {
 		settings := testSettings()
 		settings.FleetSize = test.relays
@@ -55,7 +59,7 @@
 			h.engine.observeOutcome(h.engine.endpoints["a"], obs, test.took)
 		}
 		if got := h.engine.endpoints["a"].warmingUp; got != test.suspect {
-			t.Errorf("%+v: suspect %v", test, got)
+			t.Errorf("%+v: suspect %v, want %v", test, got, test.suspect)
 		}
 	}
 }
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The heap returns entries in order, whatever is pushed in between, and allocates nothing for an entry once it has
-// grown.
+// The heap returns entries in order for any sequence of pushes and pops. It allocates nothing for an entry once its
+// slice has grown.
 func TestDeadlineHeapOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h deadlineHeap
@@ -27,7 +27,8 @@
 			got := h.pop()
 			for i := range model {
 				if model[i].precedes(&got) {
-					t.Fatalf("%v, %d popped before %v, %d", got.at, got.message.id, model[i].at, model[i].message.id)
+					t.Fatalf("entry at %v of message %d popped before entry at %v of message %d",
+						got.at, got.message.id, model[i].at, model[i].message.id)
 				}
 			}
 			i := slices.Index(model, got)
@@ -37,7 +38,7 @@
 			model = slices.Delete(model, i, i+1)
 		}
 		if len(h) != len(model) {
-			t.Fatalf("%d left of %d", len(h), len(model))
+			t.Fatalf("%d entries in the heap, want %d", len(h), len(model))
 		}
 	})
 	h := make(deadlineHeap, 0, 8)
@@ -47,7 +48,7 @@
 		h.pop()
 	})
 	if allocations > 0 {
-		t.Errorf("%.0f allocations for an entry", allocations)
+		t.Errorf("%.0f allocations for an entry, want none", allocations)
 	}
 }
 
@@ -58,6 +59,6 @@
 	h.accept(2, 0)
 	actions := h.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "a", InService: true}}})
 	if len(actions) != 2 || actions[0].MessageID != 2 || actions[1].MessageID != 1 {
-		t.Errorf("order of sends: %+v", actions)
+		t.Errorf("actions %+v, want message 2 sent before message 1", actions)
 	}
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Messages once waited until their deadlines for destinations that were blocked beyond them.
+// Guards against messages that wait until their deadlines although their destination is blocked for longer.
 func TestUnservableMessagesAreRejected(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 400
@@ -19,16 +19,17 @@
 	}
 	mayReject := h.engine.mayReject(&message{class: &settings.Classes[2]})
 	if actions := h.accept(2, 2); hasAction(actions, Reject) != mayReject {
-		t.Errorf("non-idempotent, nothing sent: %+v", actions)
+		t.Errorf("non-idempotent message without an attempt: %+v, rejection wanted: %v", actions, mayReject)
 	}
 	ep.scope.recoveryTokens = 1 - h.engine.recoveryRate(ep) // blocked for a second
 	h.engine.recheck(ep.scope.destination)
 	if actions := h.accept(3, 0); hasAction(actions, Reject) {
-		t.Errorf("blocked for a second: %+v, want it queued", actions)
+		t.Errorf("blocked for a second: %+v, want the message queued", actions)
 	}
 }
 
-// Calls to an endpoint whose last call failed carry one message: ten messages once shared each failed trial.
+// A call to an endpoint whose last call failed carries one message. Guards against trials that fail ten messages at
+// once.
 func TestBatches(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
 	acceptThree := func(first MessageID) (calls int) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// A dispatch does not look at blocked destinations: it once walked them all.
+// A dispatch skips blocked destinations. Guards against dispatches that check all blocked destinations each time.
 func TestBlockedDestinationsAreNotRechecked(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	h.accept(1, 0)
@@ -60,6 +61,6 @@
 	blockedUntil := h.engine.active[0].blockedUntil
 	h.step(Event{Kind: MessageAccepted, MessageID: 2, Destination: 1, TimeLeft: 9 * time.Second})
 	if len(h.engine.active) != 1 || h.engine.active[0].blockedUntil != blockedUntil {
-		t.Error("a message for another destination had the blocked one checked again")
+		t.Error("a message for another destination triggered a recheck of the blocked one")
 	}
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -62,29 +62,29 @@
 func TestEjectionExpires(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 9}, Endpoint{ID: "b", Kind: 1, Weight: 5})
 	for id := range MessageID(3) {
-		h.now += time.Second // the recovery budget of a suspect endpoint
+		h.now += time.Second // the recovery budget allows the next call to a suspect endpoint
 		if got := firstSend(h.accept(id, 0)); got != "a" {
-			t.Fatalf("message %d to %q before the ejection", id, got)
+			t.Fatalf("message %d sent to %q before the ejection, want a", id, got)
 		}
 		h.finish(id, "a", Error, 10*ms, 0)
 		h.step(Event{Kind: MessageCancelled, MessageID: id})
 	}
 	if got := firstSend(h.accept(10, 0)); got != "b" {
-		t.Errorf("message to %q while a is ejected", got)
+		t.Errorf("message sent to %q while a is ejected, want b", got)
 	}
 	h.now += time.Duration(float64(initialEjectionTime) * (1 + ejectionJitter))
 	if got := firstSend(h.accept(11, 0)); got != "a" {
-		t.Errorf("message to %q after the ejection", got)
+		t.Errorf("message sent to %q after the ejection, want a", got)
 	}
 	if got := firstSend(h.accept(12, 0)); got != "b" {
-		t.Errorf("second message to %q during the trial", got)
+		t.Errorf("second message sent to %q during the trial, want b", got)
 	}
 	if got := firstSend(h.accept(13, 2)); got != "b" {
-		t.Errorf("non-idempotent message to %q during the trial", got)
+		t.Errorf("non-idempotent message sent to %q during the trial, want b", got)
 	}
 }
 
-// Attempts that timed out after milliseconds once kept recovered endpoints ejected.
+// Guards against attempts that time out after milliseconds and so keep recovered endpoints ejected.
 func TestTruncatedAttemptEjectsNothing(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -93,13 +93,13 @@
 		h.engine.observeOutcome(ep, observation{outcome: Timeout, sentAt: h.now, truncated: true}, ms)
 	}
 	if ep.ejected || !ep.warmingUp {
-		t.Errorf("ejected %v, suspect %v after short attempts", ep.ejected, ep.warmingUp)
+		t.Errorf("ejected %v, suspect %v after truncated attempts; want suspect only", ep.ejected, ep.warmingUp)
 	}
 }
 
-// In a class with less time than answers of most endpoints may take, all attempts time out before that. An endpoint
-// that hangs is ejected all the same. An attempt of a class with more time that times out as early, since little of it
-// was left, still ejects none.
+// In a class whose deadline is shorter than the time that most endpoints may take to answer, all attempts time out
+// early. An endpoint that hangs must still be ejected. In a class with a longer deadline, an attempt that times out
+// as early because little time was left ejects no endpoint.
 func TestHangingEndpointIsEjectedWithShortDeadlines(t *testing.T) {
 	short := Class{Effect: Idempotent, LatencyObjective: 350 * ms, Deadline: 900 * ms, Weight: 1}
 	long := Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second, Weight: 1}
@@ -116,14 +116,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			ejected, timeouts := callHangingEndpoint(t, test.class, test.left)
 			if ejected != test.ejects || timeouts < ejectAfterFailures {
-				t.Errorf("ejected %v after %d calls, want %v", ejected, timeouts, test.ejects)
+				t.Errorf("ejected %v after %d timeouts, want %v after at least %d",
+					ejected, timeouts, test.ejects, ejectAfterFailures)
 			}
 		})
 	}
 }
 
-// callHangingEndpoint sends messages with little time left to an endpoint that never answers, until it is ejected or
-// eight seconds are over, and counts the attempts that time out.
+// callHangingEndpoint sends messages with little time left to an endpoint that never answers, until the endpoint is
+// ejected or eight seconds have passed, and counts the attempts that time out.
 func callHangingEndpoint(t *testing.T, class Class, left time.Duration) (ejected bool, timeouts int) {
 	t.Helper()
 	settings := Settings{Classes: []Class{class}, DestinationKinds: []DestinationKind{{MaxBatch: 1}}, FleetSize: 2}
--- a/policy/emptylist_test.go
+++ b/policy/emptylist_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// referenceModel is what an Engine knows of destinations by the plain rule: each list event looks at all destinations
-// without endpoints.
+// referenceModel determines which destinations an Engine must have, by a simple method: each list event checks all
+// destinations without endpoints.
 type referenceModel struct {
 	warmUp     time.Duration
-	endpoints  map[string]DestinationID // destinations by endpoint
-	known      map[DestinationID]bool   // destinations
+	endpoints  map[string]DestinationID // destination by endpoint ID
+	known      map[DestinationID]bool   // destinations that the Engine must have
 	emptySince map[DestinationID]time.Duration
-	empty      []DestinationID // destinations without endpoints, in the order in which they lost their last one
+	empty      []DestinationID // destinations without endpoints, in the order in which they lost their last endpoint
 }
 
 func (model *referenceModel) hasEndpoints(destinationID DestinationID) bool {
@@ -69,14 +69,14 @@
 	})
 }
 
-// churn drives an Engine with random lists, changes of them, messages and pauses.
+// churn drives an Engine with random endpoint lists, changes to the list, messages and pauses.
 type churn struct {
 	rng      *rand.Rand
 	engine   *Engine
 	now      time.Duration
 	nextID   MessageID
 	listed   map[int]bool
-	inFlight []Event // outcomes to come
+	inFlight []Event // AttemptFinished events of the attempts in flight, without their outcomes
 }
 
 func newChurn(t *testing.T, seed uint64) *churn {
@@ -102,7 +102,8 @@
 	}
 }
 
-// delta removes and adds some of a few destinations, most of them with all their endpoints.
+// delta returns a list change that adds and removes endpoints of a few destinations, mostly all endpoints of a
+// destination at once.
 func (c *churn) delta() *Event {
 	event := &Event{Kind: EndpointDelta}
 	for range 1 + c.rng.IntN(4) {
@@ -129,7 +130,7 @@
 	return event
 }
 
-// events returns a list event or nil, and other events.
+// events returns the random events of one step: a list event, or nil if there is none, and other events.
 func (c *churn) events() (list *Event, others []Event) {
 	switch n := c.rng.IntN(10); {
 	case n == 0:
@@ -157,8 +158,9 @@
 	return nil, []Event{{Kind: TimerFired}}
 }
 
-// simulateChurn runs a churn. After each step, check is called with the list event, if there was one, and the numbers
-// of messages by destination before the step. It returns a hash of all actions, to compare with those of another build.
+// simulateChurn runs an Engine under churn. After each step, it calls check with the list event, if there was one,
+// and the numbers of messages by destination before the step. It returns a hash of all actions, which can be
+// compared with the hash of another build.
 func simulateChurn(
 	t *testing.T,
 	seed uint64,
@@ -178,7 +180,7 @@
 			messageCounts[dest.id] = dest.messageCount
 		}
 		for _, a := range c.engine.Step(c.now, events) {
-			_, _ = fmt.Fprintln(hash, c.now, a) // a hash takes whatever is written
+			_, _ = fmt.Fprintln(hash, c.now, a) // writing to a hash never fails
 			if a.Kind == Send {
 				c.inFlight = append(c.inFlight, c.outcomeOf(a))
 			}
@@ -197,7 +199,7 @@
 	return Event{Kind: AttemptFinished, MessageID: a.MessageID, Attempt: number, Endpoint: a.Endpoint}
 }
 
-// emptyDestinationsOf returns the destinations without endpoints that an Engine still knows, in their order.
+// emptyDestinationsOf returns the destinations without endpoints that an Engine still has, in list order.
 func emptyDestinationsOf(engine *Engine) (all []*destination) {
 	for dest := engine.emptyDestinations.first; dest != nil; dest = dest.nextEmpty {
 		all = append(all, dest)
@@ -205,7 +207,7 @@
 	return all
 }
 
-// What an Engine knows after every step is what the reference model knows.
+// After every step, an Engine has the same destinations as the reference model.
 func TestEmptyDestinationsAreRemovedAsInTheModel(t *testing.T) {
 	removed := 0
 	for seed := range uint64(30) {
@@ -226,25 +228,26 @@
 			}
 			for id := range engine.destinations {
 				if !model.known[id] && engine.destinations[id].messageCount > 0 {
-					model.known[id] = true // created for a message, without a list that named it
+					model.known[id] = true // created for a message, without an endpoint in the list
 				}
 			}
 			got := slices.Sorted(maps.Keys(engine.destinations))
 			want := slices.Sorted(maps.Keys(model.known))
 			if !slices.Equal(got, want) {
-				t.Errorf("seed %d, at %v: knows %v, the model %v", seed, now, got, want)
+				t.Errorf("seed %d, at %v: destinations %v, want %v as in the model", seed, now, got, want)
 			}
 			var empty []DestinationID
 			for _, dest := range emptyDestinationsOf(engine) {
 				empty = append(empty, dest.id)
 			}
 			if !slices.Equal(empty, model.empty) {
-				t.Errorf("seed %d, at %v: without endpoints %v, in the model %v", seed, now, empty, model.empty)
+				t.Errorf("seed %d, at %v: destinations without endpoints %v, want %v as in the model",
+					seed, now, empty, model.empty)
 			}
 		}
 		t.Logf("seed %d: the hash of the actions is %x", seed, simulateChurn(t, seed, check))
 	}
 	if removed < 100 {
-		t.Errorf("%d destinations removed: the runs show too little", removed)
+		t.Errorf("only %d destinations removed in all runs, want at least 100", removed)
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A large fleet spreads its first calls to a new endpoint. An endpoint that is listed again, after an eviction, allows
-// the same calls as if it had been known all along, and no more.
+// A large fleet spreads its first calls to a new endpoint. An endpoint that is listed again after an eviction
+// allows exactly the calls that it would allow if it had been listed without interruption.
 func TestRelistedEndpointIsAsIfKnown(t *testing.T) {
 	countCalls := func(seed uint64, relisted, known bool, after time.Duration) (n int) {
 		settings := testSettings()
@@ -46,7 +46,7 @@
 			t.Errorf("%v after a start: %d calls to a relisted endpoint, %d to a known one", after, toRelisted, toKnown)
 		}
 		if after >= MaxInitialSpread && toNew >= toRelisted {
-			t.Errorf("%v after a start: %d calls to a new endpoint, %d to a relisted one: the test shows nothing",
+			t.Errorf("%v after a start: %d calls to a new endpoint, want fewer than the %d to a relisted one",
 				after, toNew, toRelisted)
 		}
 	}
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A timer that fired a fraction early once counted as still set, and the message that it was for got no answer.
+// Guards against a timer that fires slightly early but still counts as set, so that the message it was set for
+// never gets an answer.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.accept(1, 0)
@@ -16,11 +17,12 @@
 	h.engine.timerAt, h.engine.requestedTimerAt = h.engine.requestedTimerAt, 0
 	actions := h.engine.Step(at, []Event{{Kind: TimerFired}})
 	if !hasAction(actions, SetTimer) {
-		t.Errorf("no timer set: %+v", actions)
+		t.Errorf("actions %+v after an early timer, want a new timer", actions)
 	}
 }
 
-// Key queues once stayed for good when their pause outlasted their last message, and destinations always did.
+// Guards against two leaks: key queues whose pause outlasted their last message were never removed, nor were any
+// destinations.
 func TestNothingIsRetainedAfterRemoval(t *testing.T) {
 	settings := testSettings()
 	settings.MaxInFlightCalls, settings.MaxPendingMessages = 50, 100
--- a/policy/eviction_property_test.go
+++ b/policy/eviction_property_test.go
@@ -11,29 +11,29 @@
 	"pgregory.net/rapid"
 )
 
-// forgetfulEvictions must all be detected by random event streams, each for the state that it forgets. Shared quota is
-// tested by TestSharedQuotaPreventsEviction.
-var forgetfulEvictions = []forgetfulEviction{
-	{name: "messages", forgetDestination: func(dest *destination) { dest.messageCount = 0 }},
-	{name: "Retry-Afters", forgetScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
-	{name: "ejections", forgetScope: forEachEndpoint(func(ep *endpoint) {
+// faultyEvictions are variants of Evictable that each ignore one part of the state. Random event streams must
+// detect all of them. Shared quota is tested by TestSharedQuotaPreventsEviction.
+var faultyEvictions = []faultyEviction{
+	{name: "messages", clearDestination: func(dest *destination) { dest.messageCount = 0 }},
+	{name: "Retry-Afters", clearScope: func(scope *limitScope) { scope.retryAfterUntil = 0 }},
+	{name: "ejections", clearScope: forEachEndpoint(func(ep *endpoint) {
 		ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false
 	})},
-	{name: "suspect endpoints", forgetScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
-	{name: "warm-ups", forgetScope: forEachEndpoint(func(ep *endpoint) {
+	{name: "suspect endpoints", clearScope: forEachEndpoint(func(ep *endpoint) { ep.warmingUp = false })},
+	{name: "warm-ups", clearScope: forEachEndpoint(func(ep *endpoint) {
 		if ep.recoveredAt > 0 {
 			ep.warmingUp = false
 		}
 	})},
-	{name: "removed suspects", forgetScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
-	{name: "failures of several endpoints", forgetScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
-	{name: "pacing", forgetScope: func(scope *limitScope) {
+	{name: "removed suspects", clearScope: func(scope *limitScope) { scope.suspectRemovedAt = math.MinInt64 / 2 }},
+	{name: "failures of several endpoints", clearScope: func(scope *limitScope) { scope.consecutiveFailures = 0 }},
+	{name: "pacing", clearScope: func(scope *limitScope) {
 		scope.tokens, scope.tokensUpdatedAt, scope.decreasedAt = 1, 0, 0
 	}},
 }
 
-// eventStream is an Engine under random events, with records of its own: Retry-Afters and outages by scope, messages by
-// destination.
+// eventStream drives an Engine with random events. It keeps records that do not depend on the Engine's state:
+// Retry-Afters and outages by scope, and pending messages with their destinations.
 type eventStream struct {
 	t                 *rapid.T
 	engine            *Engine
@@ -42,7 +42,7 @@
 	calls             []streamCall
 	retryAfterUntil   map[string]time.Duration
 	consecutiveErrors map[string]int              // by scope
-	recoveredAt       map[string]time.Duration    // first delivery after three of them, by scope
+	recoveredAt       map[string]time.Duration    // first delivery after three consecutive errors, by scope
 	pending           map[MessageID]DestinationID // destinations of pending messages
 	attempts          map[MessageID]int
 	nextID            MessageID
@@ -102,7 +102,7 @@
 	return fmt.Sprint(stream.endpoints[i].Destination)
 }
 
-// step applies events and carries out the actions.
+// step passes events to the Engine and records the actions that it returns.
 func (stream *eventStream) step(events ...Event) {
 	for _, a := range stream.engine.Step(stream.now, events) {
 		switch a.Kind {
@@ -123,7 +123,7 @@
 	}
 }
 
-// advance lets time pass, with the timers and timeouts that are due.
+// advance moves the clock forward and delivers the timers and timeouts that become due.
 func (stream *eventStream) advance(by time.Duration) {
 	for end := stream.now + by; stream.now < end; {
 		next := end
@@ -178,8 +178,8 @@
 	})
 }
 
-// bindingState describes state of a destination that an eviction would lose; "" if there is none. It looks at the
-// records and at what would block a message in a copy of the Engine.
+// bindingState describes state of a destination that an eviction must not lose; "" if there is none. It checks the
+// records, and what would block a message in a copy of the Engine.
 func (stream *eventStream) bindingState(destinationID DestinationID) string {
 	for id, pendingAt := range stream.pending {
 		if pendingAt == destinationID {
@@ -197,7 +197,8 @@
 	return stream.blockerOf(destinationID)
 }
 
-// endpointState describes binding state of an endpoint in the records; "" if there is none.
+// endpointState describes state of an endpoint that an eviction must not lose, according to the records; "" if
+// there is none.
 func (stream *eventStream) endpointState(entry Endpoint) string {
 	scope := stream.scopeKey(entry.ID)
 	switch {
@@ -215,8 +216,8 @@
 	return ""
 }
 
-// blockerOf describes what would block a message for a destination in a copy of the Engine; "" if nothing would that
-// its eviction loses.
+// blockerOf submits a probe message for a destination to a copy of the Engine. It describes the state that blocks the
+// probe, if an eviction would lose that state; "" otherwise.
 func (stream *eventStream) blockerOf(destinationID DestinationID) string {
 	const probeID = math.MaxUint32
 	engine, err := Restore(stream.engine.settings, stream.engine.Snapshot(nil))
@@ -250,9 +251,9 @@
 	return ""
 }
 
-// run runs a random stream. It counts how often a destination is evictable, and describes the first eviction that would
-// lose binding state; "" if none would.
-func (stream *eventStream) run(eviction *forgetfulEviction, evictable *int) (wrong string) {
+// run runs a random stream. It adds the number of times that a destination is evictable to evictable, and describes
+// the first eviction that would lose binding state; "" if none would.
+func (stream *eventStream) run(eviction *faultyEviction, evictable *int) (violation string) {
 	stream.t.Repeat(map[string]func(*rapid.T){
 		"accept": stream.acceptRandom,
 		"answer": stream.answerRandom,
@@ -280,30 +281,30 @@
 			stream.advance(time.Duration(rapid.IntRange(3, 40).Draw(t, "s")) * time.Second)
 		},
 		"": func(*rapid.T) {
-			if wrong == "" {
-				wrong = stream.checkEvictions(eviction, evictable)
+			if violation == "" {
+				violation = stream.checkEvictions(eviction, evictable)
 			}
 		},
 	})
-	return wrong
+	return violation
 }
 
 // checkEvictions describes the first destination that is evictable with binding state; "" if there is none.
-func (stream *eventStream) checkEvictions(eviction *forgetfulEviction, evictable *int) (wrong string) {
+func (stream *eventStream) checkEvictions(eviction *faultyEviction, evictable *int) (violation string) {
 	before := stream.engine.Snapshot(nil)
 	for destinationID := range DestinationID(3) {
-		if wrong != "" || !eviction.evictable(stream.t, stream.engine, destinationID) {
+		if violation != "" || !eviction.evictable(stream.t, stream.engine, destinationID) {
 			continue
 		}
 		*evictable++
 		if state := stream.bindingState(destinationID); state != "" {
-			wrong = fmt.Sprintf("at %v destination %d is evictable, with %s", stream.now, destinationID, state)
+			violation = fmt.Sprintf("at %v destination %d is evictable, with %s", stream.now, destinationID, state)
 		}
 	}
 	if !bytes.Equal(stream.engine.Snapshot(nil), before) {
-		stream.t.Fatal("asking changed the Engine")
+		stream.t.Fatal("checking for evictable destinations changed the Engine")
 	}
-	return wrong
+	return violation
 }
 
 func (stream *eventStream) acceptRandom(t *rapid.T) {
@@ -341,43 +342,44 @@
 	old := *entry
 	old.Removed = true
 	old.InService = false
-	// What the new endpoint inherits is only asked of the copy.
+	// The records do not cover state that the new endpoint inherits; blockerOf finds it in the copy of the Engine.
 	delete(stream.consecutiveErrors, stream.scopeKey(entry.ID))
 	delete(stream.recoveredAt, stream.scopeKey(entry.ID))
 	entry.ID += "'"
 	stream.step(Event{Kind: EndpointDelta, Endpoints: []Endpoint{old, *entry}})
 }
 
-// Whatever has happened, an evictable destination holds no binding state: no message, call, Retry-After, ejection,
-// suspicion, warm-up or pacing rate.
+// After any sequence of events, an evictable destination holds no binding state: no message, call, Retry-After,
+// ejection, suspicion, warm-up or pacing rate.
 func TestEvictableDestinationsHoldNoBindingState(t *testing.T) {
 	evictable, streams := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		streams++
-		if wrong := newEventStream(t).run(nil, &evictable); wrong != "" {
-			t.Fatal(wrong)
+		if violation := newEventStream(t).run(nil, &evictable); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 	if evictable < streams {
-		t.Errorf("%d times evictable in %d streams: they show too little", evictable, streams)
+		t.Errorf("destinations evictable %d times in %d streams, want at least once per stream", evictable, streams)
 	}
 }
 
-// The streams can fail: each forgetful eviction is detected.
+// The random streams detect each faulty variant of Evictable. Guards against streams that never reach the binding
+// states, with which TestEvictableDestinationsHoldNoBindingState would always pass.
 func TestForgetfulEvictionsAreDetected(t *testing.T) {
-	for _, eviction := range forgetfulEvictions {
+	for _, eviction := range faultyEvictions {
 		t.Run(eviction.name, func(t *testing.T) {
 			gen := rapid.Custom(func(t *rapid.T) string {
 				evictable := 0
 				return newEventStream(t).run(&eviction, &evictable)
 			})
 			for seed := range 600 {
-				if wrong := gen.Example(seed); wrong != "" {
-					t.Logf("seed %d: %s", seed, wrong)
+				if violation := gen.Example(seed); violation != "" {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Error("none of 600 streams detects it")
+			t.Error("none of 600 streams detects the faulty eviction")
 		})
 	}
 }
--- a/policy/eviction_test.go
+++ b/policy/eviction_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// forgetfulEviction is an Evictable that overlooks something: it asks a copy of the Engine without that state.
-type forgetfulEviction struct {
-	name              string
-	forgetScope       func(*limitScope)
-	forgetDestination func(*destination)
+// faultyEviction is a faulty variant of Evictable that ignores a part of the state: it clears that part in a copy
+// of the Engine, and calls Evictable on the copy.
+type faultyEviction struct {
+	name             string
+	clearScope       func(*limitScope)
+	clearDestination func(*destination)
 }
 
-// evictable reports what Evictable would; a nil eviction overlooks nothing.
-func (eviction *forgetfulEviction) evictable(t fataler, engine *Engine, destinationID DestinationID) bool {
+// evictable reports whether this variant allows the eviction of a destination. A nil variant is Evictable itself.
+func (eviction *faultyEviction) evictable(t fataler, engine *Engine, destinationID DestinationID) bool {
 	if eviction == nil {
 		return engine.Evictable(destinationID)
 	}
@@ -22,12 +23,12 @@
 		t.Fatal(err)
 	}
 	if dest := copied.destinations[destinationID]; dest != nil {
-		if eviction.forgetDestination != nil {
-			eviction.forgetDestination(dest)
+		if eviction.clearDestination != nil {
+			eviction.clearDestination(dest)
 		}
 		for _, scope := range dest.scopes {
-			if eviction.forgetScope != nil {
-				eviction.forgetScope(scope)
+			if eviction.clearScope != nil {
+				eviction.clearScope(scope)
 			}
 		}
 	}
@@ -37,7 +38,7 @@
 // fataler is a *testing.T or a *rapid.T.
 type fataler interface{ Fatal(args ...any) }
 
-// forEachEndpoint returns a function that changes all endpoints of a scope.
+// forEachEndpoint returns a function that applies set to all endpoints of a scope.
 func forEachEndpoint(set func(*endpoint)) func(*limitScope) {
 	return func(scope *limitScope) {
 		for _, ep := range scope.endpoints {
@@ -49,7 +50,7 @@
 // change sets a part of the state of a destination with one scope and two endpoints, of which ep is the first.
 type change func(dest *destination, scope *limitScope, ep *endpoint)
 
-// Each part of the binding state prevents an eviction by itself, for as long as it binds.
+// Each part of the binding state prevents an eviction by itself, for as long as it is in force.
 func TestBindingStatePreventsEviction(t *testing.T) {
 	const now = time.Minute
 	warmUp := testSettings().WarmUpDuration
@@ -62,7 +63,7 @@
 	for _, test := range []struct {
 		name   string
 		change change
-		binds  time.Duration // for so long; forever: until an event ends it
+		binds  time.Duration // how long the state prevents an eviction; forever: until an event ends it
 	}{
 		{"nothing", func(*destination, *limitScope, *endpoint) {}, 0},
 		{"one failure, and a reset", func(_ *destination, scope *limitScope, ep *endpoint) {
@@ -105,7 +106,7 @@
 		{"a recent rejection", ofScope(func(scope *limitScope) {
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 9, 10, now, 1
 		}), rejectionFreeWindow},
-		{"a pacing rate at a quarter", ofScope(func(scope *limitScope) { // ln 4 / ln 1.03 s
+		{"a pacing rate at a quarter", ofScope(func(scope *limitScope) { // grows back in ln 4 / ln 1.03 seconds
 			scope.pacingRate, scope.lastRejectedRate, scope.decreasedAt, scope.tokens = 2.5, 10, now, 1
 		}), 46900 * ms},
 	} {
@@ -113,7 +114,8 @@
 	}
 }
 
-// checkEvictable checks that a destination with a change of its state is not evictable for as long as that binds.
+// checkEvictable changes the state of a destination and checks that it is evictable once binds has passed, not
+// earlier.
 func checkEvictable(t *testing.T, now time.Duration, apply change, binds time.Duration) {
 	t.Helper()
 	a := Endpoint{ID: "a", Destination: 1, Weight: 6}
@@ -129,7 +131,7 @@
 	} {
 		engine.now = now + after
 		if got, want := engine.Evictable(1), after >= binds; got != want {
-			t.Errorf("evictable after %v: %t", after, got)
+			t.Errorf("evictable after %v: %t, want %t", after, got, want)
 		}
 	}
 	if !engine.Evictable(2) {
@@ -137,7 +139,8 @@
 	}
 }
 
-// What other relays may use of a limit is reported once: a new scope would not know it.
+// Guards against an eviction after which a relay uses quota that it has lent to other relays: only changes of
+// grants are reported, so a new scope would start without them.
 func TestSharedQuotaPreventsEviction(t *testing.T) {
 	r := newEvictingRelay(t, 1, 300, nil, forever)
 	r.events(
--- a/policy/evictor_test.go
+++ b/policy/evictor_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// evictor stands between the events and an Engine, as a relay with a long endpoint list does: it keeps the list, adds a
-// destination when it is first needed, and evicts it once that is allowed. It need not wait until a destination has
-// been idle, which makes it a harder test of what an eviction loses.
+// evictor passes events to an Engine as a relay with a long endpoint list does: it keeps the list, adds a
+// destination to the Engine when a message first needs it, and evicts the destination once Evictable allows that.
+// An idleTime of 0 evicts destinations without waiting until they are idle, which is a stricter test of what an
+// eviction loses.
 type evictor struct {
 	t         *testing.T
-	forgetful *forgetfulEviction
-	idleTime  time.Duration // without an event of the destination, before an eviction
+	faulty    *faultyEviction // decides on evictions; nil: Evictable itself
+	idleTime  time.Duration   // minimum time between the last use of a destination and its eviction
 	engine    *Engine
 	endpoints []Endpoint
 	lastUsed  map[DestinationID]time.Duration
 	evictions int
 }
 
-// step is in place of Engine.Step.
+// step replaces Engine.Step in simulations: it adds and evicts destinations as needed.
 func (ev *evictor) step(engine *Engine, now time.Duration, events []Event) []Action {
 	if ev.engine != engine {
 		ev.engine = engine
@@ -49,7 +50,7 @@
 	actions := slices.Clone(engine.Step(now, forwarded))
 	for destinationID := range DestinationID(5) {
 		usedAt, listed := ev.lastUsed[destinationID]
-		if listed && now >= usedAt+ev.idleTime && ev.forgetful.evictable(ev.t, engine, destinationID) {
+		if listed && now >= usedAt+ev.idleTime && ev.faulty.evictable(ev.t, engine, destinationID) {
 			actions = append(actions, engine.Step(now, []Event{ev.listing(destinationID, true)})...)
 			delete(ev.lastUsed, destinationID)
 			ev.evictions++
@@ -63,7 +64,7 @@
 	return slices.IndexFunc(ev.endpoints, func(entry Endpoint) bool { return entry.ID == endpointID })
 }
 
-// update applies an entry to the list, and reports whether it is for a destination that the Engine does not know.
+// update applies an entry to the list, and reports whether its destination is not in the Engine.
 func (ev *evictor) update(entry Endpoint) bool {
 	i := ev.index(entry.ID)
 	switch {
@@ -90,20 +91,20 @@
 	return event
 }
 
-// simulateWithEvictor runs a simulation with fewer messages, so that destinations become evictable, and with
-// Retry-Afters on any answer.
+// simulateWithEvictor runs a simulation with an evictor. There are fewer messages, so that destinations become
+// evictable, and any answer may carry a Retry-After.
 func simulateWithEvictor(
 	t *testing.T,
 	seed uint64,
 	acceptInterval int,
-	forgetful *forgetfulEviction,
+	faulty *faultyEviction,
 ) (*simulation, *evictor) {
 	t.Helper()
-	ev := &evictor{t: t, forgetful: forgetful}
+	ev := &evictor{t: t, faulty: faulty}
 	return simulate(t, seed, disabledGuard{acceptInterval: acceptInterval, step: ev.step}), ev
 }
 
-// An Engine whose destinations are evicted keeps the six rules, by the records of the simulation's checker.
+// An Engine whose destinations are evicted keeps the six rules, according to the simulation's checker.
 func TestSixRulesWithEviction(t *testing.T) {
 	evictions := 0
 	for seed := range uint64(40) {
@@ -116,12 +117,12 @@
 		}
 	}
 	if evictions < 40*10 {
-		t.Errorf("%d evictions in 40 runs: they show too little", evictions)
+		t.Errorf("%d evictions in 40 runs, want at least 400", evictions)
 	}
 }
 
-// forgetPacing forgets what rejections, calls and failures left behind.
-func forgetPacing(scope *limitScope) {
+// clearPacing clears the state that rejections, calls and failures have left in a scope.
+func clearPacing(scope *limitScope) {
 	scope.pacingRate = 0
 	scope.tokens = 1
 	scope.tokensUpdatedAt = 0
@@ -131,20 +132,20 @@
 }
 
 func TestForgettingRetryAfterBreaksItsRule(t *testing.T) {
-	forgetful := &forgetfulEviction{forgetScope: func(scope *limitScope) {
-		forgetPacing(scope)
+	faulty := &faultyEviction{clearScope: func(scope *limitScope) {
+		clearPacing(scope)
 		scope.retryAfterUntil = 0
 	}}
 	for seed := range uint64(60) {
-		if sim, _ := simulateWithEvictor(t, seed, 80, forgetful); sim.violations[5] != "" {
+		if sim, _ := simulateWithEvictor(t, seed, 80, faulty); sim.violations[5] != "" {
 			t.Logf("seed %d: %s", seed, sim.violations[5])
 			return
 		}
 	}
-	t.Error("none of 60 runs violated it")
+	t.Error("none of 60 runs violated rule 5")
 }
 
-// evictingRelay is a relay with an evictor and destination 1 of two endpoints.
+// evictingRelay is an Engine with an evictor. Its endpoint list has destination 1 only, with two endpoints.
 type evictingRelay struct {
 	*evictor
 	relay  *Engine
@@ -156,7 +157,7 @@
 	t *testing.T,
 	seed uint64,
 	fleetSize int,
-	forgetful *forgetfulEviction,
+	faulty *faultyEviction,
 	idleTime time.Duration,
 ) *evictingRelay {
 	t.Helper()
@@ -169,12 +170,13 @@
 		t.Fatal(err)
 	}
 	r := &evictingRelay{
-		evictor: &evictor{t: t, forgetful: forgetful, idleTime: idleTime},
+		evictor: &evictor{t: t, faulty: faulty, idleTime: idleTime},
 		relay:   engine,
 		now:     time.Minute,
 		nextID:  1,
 	}
-	// Each has a scope of its own: a shared one outlasts its endpoints for a warm-up, even if they are evicted.
+	// Each endpoint has its own scope, since a shared one stays for WarmUpDuration after an eviction of its
+	// endpoints.
 	r.events(Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "a", Destination: 1, Kind: 1, Weight: 6, InService: true},
 		{ID: "b", Destination: 1, Kind: 1, Weight: 6, InService: true},
@@ -182,12 +184,13 @@
 	return r
 }
 
-// events applies events at the present time.
+// events passes events to the evictor at the current time.
 func (r *evictingRelay) events(events ...Event) []Action {
 	return slices.Clone(r.step(r.relay, r.now, events))
 }
 
-// burst submits n messages and counts the calls of the next time, each answered after 20 ms.
+// burst submits n messages and counts the calls within the given length of time. Each call ends after 20 ms with
+// the given outcome.
 func (r *evictingRelay) burst(n int, outcome Outcome, length time.Duration) (calls int) {
 	const latency = 20 * ms
 	var events []Event
@@ -223,12 +226,12 @@
 
 const forever = 1000 * time.Hour
 
-// A destination that comes back from an outage takes no more calls, whether it may be evicted meanwhile or not.
-// Evictions that forget outages overload it with the backlog.
+// A destination that recovers from an outage gets no more calls with evictions than without. Evictions that lose
+// the state of an outage would overload the destination with the backlog.
 func TestEvictionOverloadsNoRecoveringDestination(t *testing.T) {
-	run := func(forgetful *forgetfulEviction, idleTime time.Duration) (calls, evictions int) {
+	run := func(faulty *faultyEviction, idleTime time.Duration) (calls, evictions int) {
 		for seed := range uint64(20) {
-			r := newEvictingRelay(t, seed, 1, forgetful, idleTime)
+			r := newEvictingRelay(t, seed, 1, faulty, idleTime)
 			r.burst(5, Error, 4*time.Second)
 			r.burst(1, OK, 8*time.Second)
 			evictions += r.evictions
@@ -238,35 +241,36 @@
 	}
 	without, _ := run(nil, forever)
 	with, _ := run(nil, 0)
-	forgetting, evictions := run(&forgetfulEviction{forgetScope: func(scope *limitScope) {
-		forgetPacing(scope)
+	faultyCalls, evictions := run(&faultyEviction{clearScope: func(scope *limitScope) {
+		clearPacing(scope)
 		scope.suspectRemovedAt = -time.Hour
 		forEachEndpoint(func(ep *endpoint) { ep.ejectedUntil, ep.ejected, ep.warmingUp = 0, false, false })(scope)
 	}}, 0)
-	t.Logf("%d calls without evictions, %d with them, %d with %d evictions that forget outages",
-		without, with, forgetting, evictions)
+	t.Logf("%d calls without evictions, %d with them, %d with %d evictions that lose outages",
+		without, with, faultyCalls, evictions)
 	if with > without+without/20 {
-		t.Errorf("%d calls with evictions, %d without", with, without)
+		t.Errorf("%d calls with evictions, want at most 5%% more than the %d without", with, without)
 	}
-	if forgetting < 2*without || evictions == 0 {
-		t.Error("evictions that forget outages are not detected")
+	if faultyCalls < 2*without || evictions == 0 {
+		t.Error("evictions that lose outages are not detected")
 	}
 }
 
-// With evictions between its messages, one of 3,000 relays makes no more calls than without. After an eviction it makes
-// no more calls than a relay that has just started. Evictions that do not wait for the tokens of a call allow more.
+// A relay of a fleet of 3,000 makes no more calls with evictions between its messages than without, and no more
+// than relays that have just started. Evictions that do not wait until the token for the next call is earned would
+// allow more calls.
 func TestEvictionDoesNotCircumventPacing(t *testing.T) {
 	const fleetSize = 3000
 	const messages = 20 // after the first
 	const seeds = 60
 	const length = 3 * time.Second
-	started := 0 // calls of so many relays that have just started
+	started := 0 // calls of seeds * messages relays that have just started
 	for seed := range uint64(seeds * messages) {
 		started += newEvictingRelay(t, seeds+seed, fleetSize, nil, forever).burst(1, OK, length)
 	}
-	run := func(forgetful *forgetfulEviction, idleTime, pause time.Duration) (calls, evictions int) {
+	run := func(faulty *faultyEviction, idleTime, pause time.Duration) (calls, evictions int) {
 		for seed := range uint64(seeds) {
-			r := newEvictingRelay(t, seed, fleetSize, forgetful, idleTime)
+			r := newEvictingRelay(t, seed, fleetSize, faulty, idleTime)
 			r.burst(1, OK, length)
 			for range messages {
 				r.now += pause
@@ -281,15 +285,15 @@
 	for _, pause := range []time.Duration{warmUp + 2*time.Second, 90 * time.Second, 600 * time.Second} {
 		without, _ := run(nil, forever, pause)
 		with, evictions := run(nil, warmUp, pause)
-		forgetting, _ := run(&forgetfulEviction{forgetScope: forgetPacing}, warmUp, pause)
-		t.Logf("a message each %v: %d calls without evictions, %d with %d of them, %d with those that forget pacing; "+
-			"%d of relays that have just started", pause, without, with, evictions, forgetting, started)
+		faultyCalls, _ := run(&faultyEviction{clearScope: clearPacing}, warmUp, pause)
+		t.Logf("a message every %v: %d calls without evictions, %d with %d evictions, %d with evictions that lose "+
+			"pacing state, %d of relays that have just started", pause, without, with, evictions, faultyCalls, started)
 		if with > without+without/20 || with > started+started/20 || evictions == 0 {
-			t.Errorf("a message each %v: %d calls with %d evictions, %d without, %d of relays that have just started",
+			t.Errorf("a message every %v: %d calls with %d evictions, %d without, %d of relays that have just started",
 				pause, with, evictions, without, started)
 		}
-		if pause < time.Minute && forgetting < without+without/3 {
-			t.Error("evictions that forget pacing are not detected")
+		if pause < time.Minute && faultyCalls < without+without/3 {
+			t.Error("evictions that lose pacing state are not detected")
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A relay takes one message for destination 7, whose first endpoint answers that it is full.
+// A relay accepts one message for destination 7. The first endpoint rejects it as overloaded, so the relay sends it
+// to the second one.
 func Example() {
 	engine, err := policy.New(policy.Settings{
 		Classes: []policy.Class{
