--- a/internal/relay/netconn/netconn.go
+++ b/internal/relay/netconn/netconn.go
@@ -1,6 +1,6 @@
-// Package netconn has the connection that both sides of the relay read HTTP messages from, the one to clients and the
-// one to endpoints. It bounds what a peer can have read of it, shows what came beyond a message, and notices a peer
-// that speaks or leaves out of turn.
+// Package netconn provides the connection type that the relay uses both for clients and for endpoints. It limits
+// how many bytes are read from a peer, exposes bytes that follow an HTTP message, and detects a peer that sends
+// bytes or closes the connection while nothing is expected from it.
 package netconn
 
 import (
@@ -13,44 +13,45 @@
 )
 
 const (
-	// MaxBodySize bounds a message's body, a batch's and a response's.
+	// MaxBodySize is the largest body of a message, a batch or a response, in bytes.
 	MaxBodySize = 64 << 10
-	// MaxWireSize bounds a body on the wire: one in chunks, however small they are.
+	// MaxWireSize limits a body as it is on the wire, in bytes. It allows for chunked bodies with very small
+	// chunks.
 	MaxWireSize = 8 * MaxBodySize
-	// MaxHeaderSize bounds the header of a request or a response.
+	// MaxHeaderSize limits the header of a request or a response, in bytes.
 	MaxHeaderSize = 16 << 10
-	// readBufferSize is how many bytes are read ahead.
+	// readBufferSize is the size of a connection's read buffer, in bytes.
 	readBufferSize = 4 << 10
 )
 
-// ErrReadBudget reports that the peer sent more than AllowBytes let it.
-var ErrReadBudget = errors.New("more bytes than are allowed here")
+// ErrReadBudget reports that the peer sent more bytes than AllowBytes permitted.
+var ErrReadBudget = errors.New("peer sent more bytes than the read budget allows")
 
-// Past is a deadline that has passed: with it, what reads or writes a connection ends at once.
+// Past is a deadline that has expired. Setting it makes reads and writes of a connection fail at once.
 var Past = time.Unix(1, 0)
 
-// Conn is a connection from which messages are read by Reader. One goroutine uses it at a time, apart from Pending and
-// the deadlines.
+// Conn is a connection whose input is read through Reader. Only one goroutine may use it at a time, except for
+// Pending, Discard and the deadline methods.
 type Conn struct {
 	net.Conn
-	Reader     *bufio.Reader // reads through Read, and so within the budget
-	readBudget int           // bytes that may still come
+	Reader     *bufio.Reader // reads through Conn.Read, and so within the read budget
+	readBudget int           // number of bytes that may still be received
 	capturing  bool
-	captured   []byte     // what came since StartCapture
-	watchDone  chan error // how the watch's read ended; buffered, so that a watch ends also if nobody asks
+	captured   []byte     // see StartCapture
+	watchDone  chan error // receives the error of the watch's read; buffered, so that the watch ends without Unwatch
 }
 
-// New returns a Conn on a connection. AllowBytes must be called before the first read.
+// New returns a Conn that wraps conn. AllowBytes must be called before the first read.
 func New(conn net.Conn) *Conn {
 	c := &Conn{Conn: conn}
 	c.Reader = bufio.NewReaderSize(c, readBufferSize)
 	return c
 }
 
-// AllowBytes lets n more bytes come. It guards against headers and bodies without end.
+// AllowBytes permits the peer to send n more bytes. The limit guards against endless headers and bodies.
 func (c *Conn) AllowBytes(n int) { c.readBudget = n }
 
-// Read reads within the budget. It is there for Reader; others read from that one.
+// Read reads from the connection within the read budget. It is meant for Reader only; other code reads from Reader.
 func (c *Conn) Read(b []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, ErrReadBudget
@@ -63,29 +64,33 @@
 	return n, err
 }
 
-// ExpireReadsAt sets the deadline of reads. It can fail only on a closed connection, which the next read reports.
+// ExpireReadsAt sets the deadline of reads. Setting it can fail only on a closed connection. The next read reports
+// that error.
 func (c *Conn) ExpireReadsAt(deadline time.Time) { _ = c.SetReadDeadline(deadline) }
 
-// ExpireWritesAt sets the deadline of writes. It can fail only on a closed connection, which the next write reports.
+// ExpireWritesAt sets the deadline of writes. Setting it can fail only on a closed connection. The next write
+// reports that error.
 func (c *Conn) ExpireWritesAt(deadline time.Time) { _ = c.SetWriteDeadline(deadline) }
 
-// ExpireAt sets the deadline of reads and writes. It can fail only on a closed connection, which the next one reports.
+// ExpireAt sets the deadline of reads and writes. Setting it can fail only on a closed connection. The next read or
+// write reports that error.
 func (c *Conn) ExpireAt(deadline time.Time) { _ = c.SetDeadline(deadline) }
 
-// Discard closes a connection that is of no further use, so that an error changes nothing.
+// Discard closes a connection that is no longer needed. It ignores the error, which has no consequence.
 func (c *Conn) Discard() { _ = c.Close() }
 
-// StartCapture has all that is read ahead or comes from here on kept as it is on the wire, until StopCapture.
+// StartCapture starts to copy the received bytes as they are on the wire, until StopCapture. The copy begins with
+// the bytes that Reader has buffered.
 func (c *Conn) StartCapture() {
-	buffered, _ := c.Reader.Peek(c.Reader.Buffered()) // cannot fail: it is there
+	buffered, _ := c.Reader.Peek(c.Reader.Buffered()) // cannot fail: these bytes are buffered
 	c.capturing = true
 	c.captured = append(c.captured[:0], buffered...)
 }
 
-// Captured returns what was kept since StartCapture. The next StartCapture overwrites it.
+// Captured returns the bytes captured since StartCapture. The next StartCapture overwrites them.
 func (c *Conn) Captured() []byte { return c.captured }
 
-// StopCapture ends what StartCapture began. A large buffer is not kept for the next capture.
+// StopCapture ends the capture. It does not keep a large buffer for the next one.
 func (c *Conn) StopCapture() {
 	c.capturing = false
 	if cap(c.captured) > readBufferSize {
@@ -93,8 +98,9 @@
 	}
 }
 
-// Watch looks out for a peer that speaks or leaves while nothing is due from it. It calls onEvent, if that is not nil,
-// when the peer does. Unwatch must follow before the next read.
+// Watch starts a goroutine that detects whether the peer sends bytes or closes the connection while nothing is
+// expected from it. When that happens, the goroutine calls onEvent if that is not nil. Unwatch must be called
+// before the next read.
 func (c *Conn) Watch(onEvent func()) {
 	c.AllowBytes(readBufferSize)
 	done := make(chan error, 1)
@@ -108,7 +114,8 @@
 	}()
 }
 
-// Unwatch ends a watch. open is false if the peer has left, quiet is false if it left or spoke.
+// Unwatch ends a watch. open is false if the peer has closed the connection. quiet is false if the peer has closed
+// it or sent bytes.
 func (c *Conn) Unwatch() (open, quiet bool) {
 	c.ExpireReadsAt(Past)
 	err := <-c.watchDone
@@ -116,33 +123,34 @@
 	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || c.Reader.Buffered() > 0 {
 		return err == nil, false
 	}
-	// A deadline that has passed hides what came just before it.
+	// A read fails after its deadline even if bytes arrived before, so the socket is checked as well.
 	pending := c.Pending()
 	return pending != PendingEnd, pending == PendingNone
 }
 
-// PendingInput is what the system holds of a connection that nobody has read.
+// PendingInput describes the unread input of a connection in the kernel's receive buffer.
 type PendingInput int
 
-// What the system may hold.
+// The kinds of unread input.
 const (
-	PendingNone  PendingInput = iota // nothing came
-	PendingBytes                     // the peer spoke
-	PendingEnd                       // the peer has left, or nothing more can be read
+	PendingNone  PendingInput = iota // no unread bytes
+	PendingBytes                     // the peer has sent bytes
+	PendingEnd                       // the peer has closed the connection, or reads fail
 )
 
-// Pending returns what has come and was not read, without waiting for more. A read may be under way meanwhile.
+// Pending reports the unread input of the connection, without waiting for more. Bytes that Reader has buffered do
+// not count. Pending may be called while another goroutine reads.
 func (c *Conn) Pending() PendingInput {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return PendingNone // no socket: nothing stands between the peer and a read
+		return PendingNone // not a socket, so there is no receive buffer
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return PendingEnd
 	}
 	pending := PendingEnd
-	// Not by RawConn.Read, which waits for a reader that is at it.
+	// RawConn.Read would wait until a concurrent read ends.
 	err = raw.Control(func(fd uintptr) { pending = peekSocket(int(fd)) })
 	if err != nil {
 		return PendingEnd
@@ -150,7 +158,7 @@
 	return pending
 }
 
-// peekSocket looks at a socket's first unread byte.
+// peekSocket checks for an unread byte of a socket without blocking or consuming it.
 func peekSocket(fd int) PendingInput {
 	var buffer [1]byte
 	n, err := 0, error(syscall.EINTR)
