--- a/internal/relay/egress/call.go
+++ b/internal/relay/egress/call.go
@@ -17,35 +17,36 @@
 type Call struct {
 	EndpointID string
 	Addr       string
-	SentAt     time.Time  // when it was decided and recorded
-	Deadline   time.Time  // when it is given up
-	Attempts   []*Attempt // those of several messages travel as one batch
+	SentAt     time.Time  // when the relay decided on the call and recorded it
+	Deadline   time.Time  // when the relay gives up the call
+	Attempts   []*Attempt // one for each message; several are sent as one batch
 }
 
-// Attempt is one message's part in a call.
+// Attempt is one try to deliver a message, as part of a call.
 type Attempt struct {
 	TraceID        string
 	IdempotencyKey string // "": none
 	Body           []byte
-	Deadline       time.Time // when the message stops waiting for its result
+	Deadline       time.Time // when the attempt times out; its call may go on for other attempts
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt, with the feedback that the endpoint sent in its response.
 type Result struct {
 	Outcome      policy.Outcome
-	MessageEnded bool // the message is over: nothing more is to be done for it
-	RetryAfter   time.Duration
+	MessageEnded bool          // the message needs no further attempts
+	RetryAfter   time.Duration // 0: none
 	LimitReport  policy.LimitReport
-	Latency      time.Duration // from the writing of the request to the first byte of the response
+	Latency      time.Duration // from the start of writing the request to the first byte of the response
 }
 
-// lastDeadline returns when the last of a call's attempts is given up.
+// lastDeadline returns the latest deadline of the call's attempts.
 func (c *Call) lastDeadline() time.Time {
 	last := slices.MaxFunc(c.Attempts, func(a, b *Attempt) int { return a.Deadline.Compare(b.Deadline) })
 	return last.Deadline
 }
 
-// Body returns the body of the call's request: a single message's own, else the batch of all.
+// Body returns the body of the call's request: the body of its only message, or the encoded batch of all its
+// messages.
 func (c *Call) Body() []byte {
 	if len(c.Attempts) == 1 {
 		return c.Attempts[0].Body
@@ -53,7 +54,7 @@
 	return encodeBatch(c)
 }
 
-// newRequest returns the request of a call.
+// newRequest returns the HTTP request for a call.
 func newRequest(c *Call) (*http.Request, error) {
 	path := "/events"
 	timeLeft := max(1, time.Until(c.Deadline).Milliseconds())
@@ -81,14 +82,15 @@
 	return request, nil
 }
 
-// batchItem is a message in a batch.
+// batchItem is the JSON form of a message in a batch.
 type batchItem struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// BatchItemSize returns the most bytes that a message takes in a batch: any byte of an id may be escaped.
+// BatchItemSize returns the largest number of bytes that a message can take in an encoded batch. JSON may escape
+// every byte of the trace ID and the idempotency key.
 func BatchItemSize(traceID, idempotencyKey string, bodySize int) int {
 	const escapedSize = len(`\u0000`)
 	return base64.StdEncoding.EncodedLen(bodySize) +
@@ -96,21 +98,21 @@
 		len(`{"id":"","key":"","body":""},[]`)
 }
 
-// encodeBatch returns the batch of a call's messages.
+// encodeBatch returns the JSON encoding of all messages of a call.
 func encodeBatch(c *Call) []byte {
 	items := make([]batchItem, 0, len(c.Attempts))
 	for _, a := range c.Attempts {
-		body := append([]byte{}, a.Body...) // never nil: null is no body
+		body := append([]byte{}, a.Body...) // never nil, which JSON would encode as null
 		items = append(items, batchItem{ID: a.TraceID, Key: a.IdempotencyKey, Body: body})
 	}
 	data, err := json.Marshal(items)
 	if err != nil {
-		panic(err) // strings and bytes only: cannot fail
+		panic(err) // cannot happen: strings and byte slices can always be encoded
 	}
 	return data
 }
 
-// sameResults gives every attempt of a call the same result.
+// sameResults returns a slice with the same result for every attempt of a call.
 func sameResults(c *Call, result Result) []Result {
 	results := make([]Result, len(c.Attempts))
 	for i := range results {
--- a/internal/relay/egress/client.go
+++ b/internal/relay/egress/client.go
@@ -1,10 +1,10 @@
-// Package egress makes the relay's calls to endpoints: it keeps connections for them, writes one request with one
-// message or several, reads the response, and says of each message whether it was delivered, certainly did not
-// run, or may have run.
+// Package egress makes the relay's calls to endpoints. It keeps a pool of connections, writes requests that carry
+// one message or several, and reads the responses. For each message it reports whether the message was delivered,
+// certainly did not run, or may have run.
 //
-// It has a connection pool of its own. The Transport of net/http retries some requests by itself, while some messages
-// must not run twice; it dials without a chance to check again before the request is written; and it does not show what
-// came behind a response.
+// The package has its own connection pool because http.Transport does not fit for three reasons. Transport retries
+// some requests by itself, but some messages must not run twice. It dials without a chance to check the call again
+// before the request is written. It does not expose bytes that follow a response.
 package egress
 
 import (
@@ -23,8 +23,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// recheckAfter is how long after its decision a call may leave without a second look: within what the policy's times
-// leave before they bind.
+// recheckAfter is how long after its decision a call may be written on an idle connection without another check. It
+// is shorter than policy.deadlineMargin, so the time limits that the policy applied still hold.
 const recheckAfter = 10 * time.Millisecond
 
 // DialFunc opens a connection to an address.
@@ -33,11 +33,11 @@
 // Config configures a Client.
 type Config struct {
 	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // endpoints close a connection that stood idle for so long
+	KeepAlive      time.Duration // time after which endpoints close an idle connection
 	MaxConns       int
-	ReportFields   []string           // fields of the endpoints' load reports; empty: none are sent
-	OnWritten      func(messages int) // called when a request was written to its end
-	Dial           DialFunc           // nil: TCP without keep-alive probes
+	ReportFields   []string           // fields to read from the endpoints' load reports; empty: endpoints send none
+	OnWritten      func(messages int) // called after a request was written completely
+	Dial           DialFunc           // nil: dial TCP without keep-alive probes
 	Log            *slog.Logger
 }
 
@@ -50,7 +50,7 @@
 	malformedResponses ratelog.Warning
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(config Config) *Client {
 	return &Client{
 		pool:               newPool(config),
@@ -61,9 +61,9 @@
 	}
 }
 
-// Do makes a call and returns the results of its attempts, in their order. Where the call was held up, as by a new
-// connection that had to come up first, check is asked before the request is written: it returns the attempts that may
-// leave even then.
+// Do makes a call and returns the results of its attempts, in the order of call.Attempts. If it had to open a
+// connection, or more than recheckAfter has passed since call.SentAt, Do calls check before it writes the request.
+// check returns the attempts that may still be sent. The other attempts have the outcome NotSent.
 func (c *Client) Do(ctx context.Context, call *Call, check func() []*Attempt) []Result {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -74,37 +74,37 @@
 	case err != nil:
 		return sameResults(call, Result{Outcome: policy.ConnectFailed})
 	}
-	// While the connection came up, or the journal was slow to write, the endpoint may have begun to drain or have sent
-	// a Retry-After, and messages may have ended.
-	leaving := *call
+	// While the connection was opened or the journal was slow to write, the endpoint may have begun to drain or sent a
+	// Retry-After, and messages may have received their final answers or reached their deadlines.
+	sendable := *call
 	if dialed || time.Since(call.SentAt) > recheckAfter {
-		leaving.Attempts = check()
+		sendable.Attempts = check()
 	}
 	results := sameResults(call, Result{Outcome: policy.NotSent})
-	if len(leaving.Attempts) == 0 {
+	if len(sendable.Attempts) == 0 {
 		conn.release()
 		return results
 	}
-	if last := leaving.lastDeadline(); last.Before(leaving.Deadline) {
-		leaving.Deadline = last // the call's own was that of a message which leaves no more
-		var cancelLeaving context.CancelFunc
-		ctx, cancelLeaving = context.WithDeadline(ctx, last)
-		defer cancelLeaving()
+	if last := sendable.lastDeadline(); last.Before(sendable.Deadline) {
+		sendable.Deadline = last // call.Deadline is the deadline of a message that is no longer sent
+		var cancelSendable context.CancelFunc
+		ctx, cancelSendable = context.WithDeadline(ctx, last)
+		defer cancelSendable()
 	}
-	request, err := newRequest(&leaving)
+	request, err := newRequest(&sendable)
 	if err != nil {
 		conn.release()
 		return results
 	}
-	for i, result := range c.exchange(ctx, request, &leaving, conn) {
-		results[slices.Index(call.Attempts, leaving.Attempts[i])] = result
+	for i, result := range c.exchange(ctx, request, &sendable, conn) {
+		results[slices.Index(call.Attempts, sendable.Attempts[i])] = result
 	}
 	return results
 }
 
-// exchange writes the request, reads its response, and keeps or closes the connection.
+// exchange writes the request and reads its response. It then returns the connection to the pool or closes it.
 func (c *Client) exchange(ctx context.Context, request *http.Request, call *Call, conn *pooledConn) []Result {
-	// A call is given up by ending its connection's reads and writes: no response to it is read any more.
+	// When ctx ends, the reads and writes of the connection fail, and the call ends without a response.
 	stop := context.AfterFunc(ctx, func() { conn.ExpireAt(netconn.Past) })
 	began := time.Now()
 	written := writeRequest(conn, request) == nil
@@ -112,7 +112,7 @@
 		c.onWritten(len(call.Attempts))
 	}
 	batch := len(call.Attempts) > 1
-	read := readResponse(conn, request, batch) // there may be a response though not all could be written
+	read := readResponse(conn, request, batch) // the endpoint may respond to an incomplete request
 	if stop() && read.err == nil && written {
 		conn.ExpireAt(time.Time{})
 		conn.release()
@@ -124,13 +124,13 @@
 	}
 	result := c.readFeedback(read.header)
 	result.Latency = read.firstByteAt.Sub(began)
-	incomplete := read.err != nil && !errors.Is(read.err, errConnEnds)
-	if incomplete && !isPeerFailure(read.err) {
+	incomplete := read.err != nil && !errors.Is(read.err, errConnNotReusable)
+	if incomplete && !isConnFailure(read.err) {
 		c.malformedResponses.Log(c.log, "endpoint", call.EndpointID, "err", read.err)
 	}
 	switch {
 	case read.header != nil && read.header.StatusCode == http.StatusOK && !batch:
-		result.Outcome = policy.OK // with the first line: what follows means nothing
+		result.Outcome = policy.OK // decided by the status line, even if the rest is malformed
 	case incomplete:
 		result.Outcome = failureOutcome(ctx, written)
 	case read.header.StatusCode == http.StatusOK:
@@ -141,14 +141,14 @@
 	return sameResults(call, result)
 }
 
-// isPeerFailure reports whether a response did not come because of the peer's silence or end, and not because of what
-// the peer sent.
-func isPeerFailure(err error) bool {
+// isConnFailure reports whether a response could not be read because the connection ended, failed or timed out, and
+// not because the peer sent malformed data.
+func isConnFailure(err error) bool {
 	var network net.Error
 	return errors.As(err, &network) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// writeRequest writes a request in one go.
+// writeRequest writes a request with a single Write.
 func writeRequest(conn *pooledConn, request *http.Request) error {
 	var text bytes.Buffer
 	if err := request.Write(&text); err != nil {
@@ -158,8 +158,9 @@
 	return err
 }
 
-// failureOutcome returns the outcome of a call whose response did not come. Until the last byte of a request is written
-// no endpoint begins its work. All that is doubtful may have run.
+// failureOutcome returns the outcome of a call without a complete response. No endpoint starts work on a request
+// before it has received the last byte, so a request that was not written completely did not run. In all other
+// cases the messages may have run.
 func failureOutcome(ctx context.Context, written bool) policy.Outcome {
 	switch {
 	case !written:
--- a/internal/relay/egress/client_test.go
+++ b/internal/relay/egress/client_test.go
@@ -14,7 +14,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// testConfig returns a configuration of a small machine.
+// testConfig returns a client configuration as on a small machine.
 func testConfig() Config {
 	return Config{
 		ConnectTimeout: 2 * time.Second,
@@ -26,7 +26,7 @@
 	}
 }
 
-// newTestClient returns a client that closes with the test.
+// newTestClient returns a client that is closed at the end of the test.
 func newTestClient(t *testing.T, config Config) *Client {
 	t.Helper()
 	client := New(config)
@@ -34,7 +34,7 @@
 	return client
 }
 
-// newCall is a call to addr with messages of these ids.
+// newCall returns a call to addr with one message for each id.
 func newCall(addr string, ids ...string) *Call {
 	c := &Call{EndpointID: "s-1", Addr: addr, SentAt: time.Now(), Deadline: time.Now().Add(nettest.Patience)}
 	for _, id := range ids {
@@ -48,18 +48,18 @@
 	return c
 }
 
-// allow lets all attempts of a call leave.
+// allow returns a check that permits all attempts of a call.
 func allow(c *Call) func() []*Attempt {
 	return func() []*Attempt { return c.Attempts }
 }
 
-// doCall makes a call all of whose attempts may leave.
+// doCall makes a call with a check that permits all attempts.
 func doCall(t *testing.T, client *Client, c *Call) []Result {
 	t.Helper()
 	return client.Do(t.Context(), c, allow(c))
 }
 
-// openConns returns how many connections a client holds.
+// openConns returns how many connections a client has open.
 func openConns(client *Client) int {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -98,8 +98,9 @@
 	}
 }
 
-// A Transport would send this request again by itself: it carries an Idempotency-Key, its connection was used
-// before, and no byte of an answer came.
+// http.Transport would resend the second request by itself, because the request has an Idempotency-Key, its
+// connection was used before, and no byte of a response arrived. The client must not, because the message may have
+// run.
 func TestNoAutomaticResend(t *testing.T) {
 	for _, body := range []string{"some", ""} {
 		addr, requests := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
@@ -148,17 +149,17 @@
 		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	if took := time.Since(began); took > nettest.Patience/2 {
-		t.Errorf("took %v", took)
+		t.Errorf("the call took %v", took)
 	}
 	if n := openConns(client); n != 0 {
-		t.Errorf("%d connections counted", n)
+		t.Errorf("%d connections counted as open, want 0", n)
 	}
 }
 
-// stuckConn takes part of a request and then breaks.
+// stuckConn accepts a limited number of bytes and then fails.
 type stuckConn struct {
 	net.Conn
-	left int
+	left int // bytes that it still accepts
 }
 
 func (c *stuckConn) Write(b []byte) (int, error) {
@@ -185,7 +186,7 @@
 		t.Errorf("outcome %v", r[0].Outcome)
 	}
 	if n := requests.Load(); n != 0 {
-		t.Errorf("the endpoint received %d whole requests", n)
+		t.Errorf("the endpoint received %d complete requests, want 0", n)
 	}
 }
 
@@ -208,11 +209,12 @@
 	select {
 	case <-left:
 	case <-time.After(nettest.Patience):
-		t.Error("the endpoint still has the connection")
+		t.Error("the connection was not closed after the call timed out")
 	}
 }
 
-// An endpoint that responds before it has read all, and closes, has responded.
+// A response counts even if the endpoint sends it before it has read the whole request, and then closes the
+// connection.
 func TestEarlyResponseCounts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -235,8 +237,8 @@
 	}
 }
 
-// Latency counts from the request's writing: a connection that is slow to come up says nothing of how long responses
-// take.
+// Latency is measured from the start of writing the request. The time to open a connection says nothing about
+// response times, so it must not count.
 func TestLatencyStartsWithWriting(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		nettest.Send(conn, nettest.OKResponse)
@@ -244,13 +246,13 @@
 	})
 	client := newTestClient(t, testConfig())
 	c := newCall(addr, "a")
-	var up time.Time
+	var checkedAt time.Time
 	r := client.Do(t.Context(), c, func() []*Attempt {
-		time.Sleep(50 * time.Millisecond) // as a slow dial would take
-		up = time.Now()
+		time.Sleep(50 * time.Millisecond) // simulates a slow dial
+		checkedAt = time.Now()
 		return c.Attempts
 	})
-	if took := r[0].Latency; took <= 0 || took > time.Since(up) {
-		t.Errorf("took %v", took)
+	if took := r[0].Latency; took <= 0 || took > time.Since(checkedAt) {
+		t.Errorf("latency %v, want more than 0 and less than the time since the check", took)
 	}
 }
--- a/internal/relay/egress/pool.go
+++ b/internal/relay/egress/pool.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// idleRatio is the part of the endpoints' keep-alive time after which an idle connection is closed from this side.
-	// It guards against a request that crosses the endpoint's own close: it ends as a reset, which may have run.
+	// idleRatio is the fraction of the endpoints' keep-alive time after which the relay closes an idle connection.
+	// If the endpoint closed the connection first, a request sent at that moment could end with a reset, after
+	// which its messages may have run.
 	idleRatio = 0.8
-	// capacityRetryInterval is how long a call waits before it looks for a free connection or descriptor again.
+	// capacityRetryInterval is the pause before a call tries again to open a connection after the relay ran out of
+	// connections, descriptors or similar resources.
 	capacityRetryInterval = 20 * time.Millisecond
 )
 
 var errTooManyConns = errors.New("all connections that the relay may hold are in use")
 
-// endpointAddr is an endpoint at an address. Another endpoint may come up at an address that was in use: it has other
-// connections.
+// endpointAddr identifies the connections to an endpoint at an address. A new endpoint may reuse the address of an
+// earlier one, but not its connections.
 type endpointAddr struct{ endpointID, addr string }
 
 // pool opens connections to endpoints, bounds their number, and keeps idle ones for the next call.
@@ -35,13 +37,13 @@
 	maxConns       int
 
 	mu        sync.Mutex
-	idle      map[endpointAddr][]*pooledConn // the last used last
-	idleAddrs map[string]int                 // by endpoint: at how many addresses it has idle connections
-	open      int                            // connections, idle or not
+	idle      map[endpointAddr][]*pooledConn // the most recently used is the last
+	idleAddrs map[string]int                 // by endpoint ID: number of addresses with idle connections
+	open      int                            // number of connections that are being opened, in use or idle
 	closed    bool
 }
 
-// pooledConn is a connection to an endpoint.
+// pooledConn is a connection to an endpoint that its pool counts, whether it is idle or in use.
 type pooledConn struct {
 	*netconn.Conn
 	pool      *pool
@@ -65,13 +67,13 @@
 	}
 }
 
-// getConn returns an idle connection to an endpoint, else a new one; dialed reports which.
+// getConn returns an idle connection to target, or opens a new one. dialed is true if the connection is new.
 func (p *pool) getConn(ctx context.Context, target endpointAddr) (conn *pooledConn, dialed bool, err error) {
 	for c := p.takeIdle(target); c != nil; c = p.takeIdle(target) {
 		if _, quiet := c.Unwatch(); quiet && time.Since(c.idleSince) < p.idleTimeout {
 			return c, false, nil
 		}
-		c.close() // closed by the endpoint, or something came that no call had asked for
+		c.close() // the endpoint closed it or sent unexpected bytes, or it was idle too long
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -89,14 +91,14 @@
 	}
 }
 
-// isLocalShortage reports whether a connection did not come up for want of what this relay may hold: that says nothing
-// of the endpoint.
+// isLocalShortage reports whether a connection could not be opened because this relay lacks connections,
+// descriptors, ports or memory. Such an error is no failure of the endpoint.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, errTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// connect opens a connection, if need be in the place of an idle one.
+// connect opens a connection. At the connection limit it first closes the connection that has been idle longest.
 func (p *pool) connect(ctx context.Context, target endpointAddr) (*pooledConn, error) {
 	if !p.reserve() {
 		return nil, errTooManyConns
@@ -111,7 +113,8 @@
 	return &pooledConn{Conn: netconn.New(conn), pool: p, target: target}, nil
 }
 
-// reserve counts a connection that is about to be opened; false if there may be no more.
+// reserve counts a connection that is about to be opened. It returns false if the pool is closed, or if the limit
+// is reached and no idle connection can be closed.
 func (p *pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +128,8 @@
 	return true
 }
 
-// takeIdle takes the connection that was used last out of the pool; nil if there is none.
+// takeIdle removes the most recently used idle connection to target from the pool and returns it, or nil if there
+// is none.
 func (p *pool) takeIdle(target endpointAddr) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +142,7 @@
 	return c
 }
 
-// release puts a connection into the pool for the next call.
+// release returns a connection to the pool for the next call, or closes it if the pool is closed.
 func (c *pooledConn) release() {
 	p := c.pool
 	p.mu.Lock()
@@ -173,12 +177,12 @@
 	c.pool.drop(c)
 }
 
-// CloseIdle closes the idle connections to an endpoint, at whatever address.
+// CloseIdle closes the idle connections to an endpoint at all its addresses.
 func (p *pool) CloseIdle(endpointID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idleAddrs[endpointID] == 0 {
-		return // a list may name a hundred thousand endpoints that go
+		return // a list may remove 100,000 endpoints: avoid a scan of p.idle for each of them
 	}
 	for target := range p.idle {
 		if target.endpointID == endpointID {
@@ -187,7 +191,7 @@
 	}
 }
 
-// Close closes all idle connections and keeps none from here on.
+// Close closes all idle connections and prevents new ones. Connections in use are closed when their calls end.
 func (p *pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,22 +201,22 @@
 	}
 }
 
-// evictOne is evict for those that do not hold the mutex.
+// evictOne locks the mutex and calls evict.
 func (p *pool) evictOne() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.evict()
 }
 
-// Callers of the functions below hold the mutex.
+// The methods below require that the caller holds p.mu.
 
-// drop closes a connection.
+// drop closes a connection and no longer counts it.
 func (p *pool) drop(c *pooledConn) {
 	p.open--
 	c.Discard()
 }
 
-// remove takes a connection out of the pool; false if it was not in it.
+// remove removes an idle connection from the pool. It returns false if the connection was not in the pool.
 func (p *pool) remove(c *pooledConn) bool {
 	conns := p.idle[c.target]
 	i := slices.Index(conns, c)
@@ -245,7 +249,7 @@
 	}
 }
 
-// dropIdleAt closes the idle connections to an endpoint at an address.
+// dropIdleAt closes all idle connections to target.
 func (p *pool) dropIdleAt(target endpointAddr) {
 	for _, c := range slices.Clone(p.idle[target]) {
 		p.remove(c)
--- a/internal/relay/egress/pool_test.go
+++ b/internal/relay/egress/pool_test.go
@@ -20,7 +20,7 @@
 func TestConnsAreReused(t *testing.T) {
 	const calls = 6
 	var opened atomic.Int32
-	var together sync.WaitGroup // every round waits until all of its calls are there
+	var together sync.WaitGroup // holds each handler until all calls of its round have arrived
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		together.Done()
 		together.Wait()
@@ -47,7 +47,7 @@
 		done.Wait()
 	}
 	if n := opened.Load(); n != calls {
-		t.Errorf("%d connections for %d calls at once", n, calls)
+		t.Errorf("%d connections opened for %d concurrent calls", n, calls)
 	}
 }
 
@@ -68,9 +68,9 @@
 		t.Fatalf("outcome %v", r[0].Outcome)
 	}
 	select {
-	case <-closed: // the server sets no limit of its own: the client closed it
+	case <-closed: // by the client, as the server has no idle timeout
 	case <-time.After(nettest.Patience):
-		t.Error("still open")
+		t.Error("the idle connection was not closed")
 	}
 }
 
@@ -83,7 +83,7 @@
 	config.MaxConns = 1
 	config.ConnectTimeout = 100 * time.Millisecond
 	client := newTestClient(t, config)
-	for i, s := range []*httptest.Server{one, two, one} { // each takes the place of the idle one before
+	for i, s := range []*httptest.Server{one, two, one} { // each call evicts the idle connection of the one before
 		r := doCall(t, client, newCall(addrOf(s), "a"))
 		if n := openConns(client); r[0].Outcome != policy.OK || n != 1 {
 			t.Errorf("call %d: outcome %v, %d open", i, r[0].Outcome, n)
@@ -93,14 +93,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// That the relay itself may hold no more is no failure of the endpoint.
+	// The relay's own connection limit must not count as a failure of the endpoint.
 	if r := doCall(t, client, newCall(addrOf(two), "a")); r[0].Outcome != policy.NotSent {
-		t.Errorf("beyond the bound: outcome %v", r[0].Outcome)
+		t.Errorf("beyond the connection limit: outcome %v", r[0].Outcome)
 	}
 	busy.close()
 }
 
-// The connections of an endpoint go with it: another one may come up at its address.
+// The idle connections of a removed endpoint are closed. A new endpoint at the same address never uses them.
 func TestRemovedEndpointLosesConns(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		nettest.Send(conn, nettest.OKResponse)
@@ -116,15 +116,15 @@
 		return other.Attempts
 	})
 	if n := openConns(client); !checked || n != 2 {
-		t.Errorf("another endpoint got the connection: %d open", n)
+		t.Errorf("the call to another endpoint used the connection of the first: %d open", n)
 	}
 	client.CloseIdle("s-1")
 	if n := openConns(client); n != 1 {
-		t.Errorf("%d open", n)
+		t.Errorf("%d connections open after CloseIdle, want 1", n)
 	}
 }
 
-// An endpoint that closes an idle connection is noticed before a request is written to it.
+// The client detects that an endpoint has closed an idle connection before it writes the next request on it.
 func TestIdleCloseIsNoticed(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		nettest.Send(conn, nettest.OKResponse)
@@ -135,18 +135,19 @@
 		if r := doCall(t, client, newCall(addr, "a")); r[0].Outcome != policy.OK {
 			t.Errorf("outcome %v", r[0].Outcome)
 		}
-		nettest.Eventually(t, "noticed", func() bool { return openConns(client) == 0 })
+		nettest.Eventually(t, "the client drops the closed connection", func() bool { return openConns(client) == 0 })
 	}
 }
 
-// An idle connection on which the endpoint spoke or left in the moment of its next use carries no call: what stands
-// there would be taken for the response, and a message be lost as delivered.
+// An idle connection must not be used if the endpoint has sent bytes on it or closed it just before its next use.
+// The client would take those bytes for the response to the next call, and report a message as delivered that was
+// not.
 func TestIdleConnIsCheckedBeforeUse(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		act  func(conn net.Conn)
 	}{
-		{"a response that nobody asked for", func(conn net.Conn) { nettest.Send(conn, nettest.OKResponse) }},
+		{"an unexpected response", func(conn net.Conn) { nettest.Send(conn, nettest.OKResponse) }},
 		{"a close", func(conn net.Conn) { nettest.Close(conn) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -180,13 +181,13 @@
 			kept := client.takeIdle(endpointAddr{"s-1", addr})
 			kept.Unwatch()
 			failedBefore := observed.FailedReads()
-			kept.ExpireReadsAt(netconn.Past) // its watch will see nothing
+			kept.ExpireReadsAt(netconn.Past) // ends the watch before the endpoint's action
 			kept.release()
 			nettest.Eventually(t, "the watch has ended", func() bool {
 				return observed.FailedReads() > failedBefore || requests.Load() > 1
 			})
 			c.act(<-served)
-			nettest.Eventually(t, "the system has it", func() bool { return kept.Pending() != netconn.PendingNone })
+			nettest.Eventually(t, "input arrives", func() bool { return kept.Pending() != netconn.PendingNone })
 			if r := doCall(t, client, newCall(addr, "b")); r[0].Outcome != policy.Overloaded {
 				t.Errorf("the second call: %v, want the endpoint's own response to it", r[0].Outcome)
 			}
--- a/internal/relay/egress/recheck_test.go
+++ b/internal/relay/egress/recheck_test.go
@@ -24,9 +24,9 @@
 	if n := requests.Load(); n != 0 {
 		t.Errorf("the endpoint received %d requests", n)
 	}
-	// The connection is idle now, and needs no second look.
+	// The connection is idle now, so the next call is sent without a check.
 	r = client.Do(t.Context(), newCall(addr, "b"), func() []*Attempt {
-		t.Error("checked again")
+		t.Error("the call on the idle connection was checked again")
 		return nil
 	})
 	if r[0].Outcome != policy.OK {
@@ -34,7 +34,8 @@
 	}
 }
 
-// A call that was held up on its way to an idle connection, as by a slow journal, is checked again before it leaves.
+// A call that is delayed before it uses an idle connection, for example by a slow journal, is checked again before
+// it is sent.
 func TestCheckAfterDelay(t *testing.T) {
 	addr, requests := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		nettest.Send(conn, nettest.OKResponse)
@@ -60,7 +61,7 @@
 			return nil
 		})
 		if checked != c.checked {
-			t.Errorf("delayed by %v: checked %v", c.delay, checked)
+			t.Errorf("delayed by %v: check called: %v", c.delay, checked)
 		}
 		if r[0].Outcome != c.outcome {
 			t.Errorf("delayed by %v: %v, want %v", c.delay, r[0].Outcome, c.outcome)
@@ -71,8 +72,8 @@
 	}
 }
 
-// The message with the most time may be over before the connection is up: the call is then no longer than what the rest
-// has.
+// The message with the latest deadline may be dropped while the connection is opened. The deadline of the call is
+// then the latest of the remaining messages.
 func TestDeadlineOfRemainingAttempts(t *testing.T) {
 	expires := make(chan string, 1)
 	addr, _ := nettest.RawServer(t, func(_ int, _ net.Conn, req *http.Request) bool {
@@ -84,7 +85,7 @@
 	c.Attempts[2].Deadline = time.Now().Add(200 * time.Millisecond)
 	results := newTestClient(t, testConfig()).Do(t.Context(), c, func() []*Attempt { return c.Attempts[1:] })
 	if ms, err := strconv.Atoi(<-expires); err != nil || ms > 400 {
-		t.Errorf("the request says that it waits %d ms, %v", ms, err)
+		t.Errorf("X-Expires-In-Ms: %d, %v; want at most 400", ms, err)
 	}
 	for i, want := range []policy.Outcome{policy.NotSent, policy.Timeout, policy.Timeout} {
 		if results[i].Outcome != want {
--- a/internal/relay/egress/response.go
+++ b/internal/relay/egress/response.go
@@ -18,38 +18,40 @@
 )
 
 const (
-	// responseTimeout bounds how long a response may take from its first byte to its last. It guards against headers
-	// and bodies that do not end.
+	// responseTimeout limits the time from the first byte of a response to its last. It guards against headers and
+	// bodies that never end.
 	responseTimeout = 500 * time.Millisecond
-	// maxInformational bounds how many 1xx responses may come ahead of the one that counts.
+	// maxInformational limits how many 1xx responses may precede the final response.
 	maxInformational = 16
-	// maxReportedValue bounds what an endpoint may report of its limit.
+	// maxReportedValue is the largest value accepted in a load report. Larger values are ignored.
 	maxReportedValue = 1e9
-	// maxRetryAfterSeconds bounds what an endpoint may ask for: a longer wait is taken for an error of its own.
+	// maxRetryAfterSeconds is the largest accepted Retry-After. A longer one is ignored as an error of the
+	// endpoint.
 	maxRetryAfterSeconds = 1e6
 )
 
 var (
-	errMalformed = errors.New("malformed response")
-	errConnEnds  = errors.New("the response is complete and its connection at its end")
+	errResponseTooLong = errors.New("response body over 64 KiB, or more than 16 informational responses")
+	errConnNotReusable = errors.New("response is complete, but its connection cannot be reused")
 )
 
-// response is what came in answer to a call.
+// response is what was received for a call.
 type response struct {
-	header      *http.Response // of a malformed one perhaps its first line alone; nil if that cannot be read either
-	body        []byte         // of the response to a batch
-	firstByteAt time.Time      // zero: nothing came
-	err         error          // why it is not complete, or more than that: its connection is of no further use
+	header      *http.Response // only the status line if the rest is malformed; nil: no valid status line
+	body        []byte         // set only for a batch with status 200
+	firstByteAt time.Time      // zero: nothing was received
+	err         error          // why the response is incomplete, or errConnNotReusable; nil: reusable
 }
 
-// readResponse reads the response to a request, which carried a batch or a single message.
+// readResponse reads the response to a request. batch is true if the request carried several messages.
 func readResponse(conn *pooledConn, request *http.Request, batch bool) (r response) {
 	conn.AllowBytes(netconn.MaxHeaderSize)
 	if _, err := conn.Reader.Peek(1); err != nil {
 		r.err = err
 		return r
 	}
-	// Where the call ended this very moment, this takes the place of its deadline, and it ends so much later.
+	// If the call is aborted just now, this deadline overwrites the one that aborts it, and the call ends up to
+	// responseTimeout late.
 	r.firstByteAt = time.Now()
 	conn.ExpireReadsAt(r.firstByteAt.Add(responseTimeout))
 	for range maxInformational {
@@ -70,24 +72,24 @@
 			return r
 		}
 	}
-	r.err = errMalformed
+	r.err = errResponseTooLong
 	return r
 }
 
-// peekLine returns what comes to the end of its first line, without reading it.
+// peekLine returns the next line, with its line feed, without consuming it.
 func peekLine(reader *bufio.Reader) ([]byte, error) {
 	for {
-		buffered, _ := reader.Peek(reader.Buffered()) // cannot fail: it is there
+		buffered, _ := reader.Peek(reader.Buffered()) // cannot fail: these bytes are buffered
 		if i := bytes.IndexByte(buffered, '\n'); i >= 0 {
 			return bytes.Clone(buffered[:i+1]), nil
 		}
 		if _, err := reader.Peek(len(buffered) + 1); err != nil {
-			return nil, err // bufio.ErrBufferFull: a line without end
+			return nil, err // bufio.ErrBufferFull if the line exceeds the buffer
 		}
 	}
 }
 
-// parseStatusLine parses a first line by itself; nil if it cannot be parsed.
+// parseStatusLine parses a status line without the rest of its header. It returns nil if the line is malformed.
 func parseStatusLine(line []byte, request *http.Request) *http.Response {
 	lineAlone := io.MultiReader(bytes.NewReader(line), strings.NewReader("\r\n"))
 	header, err := http.ReadResponse(bufio.NewReader(lineAlone), request)
@@ -97,11 +99,11 @@
 	return header
 }
 
-// readBody reads a response's body, and returns it if it has the results of a batch. It returns an error also if the
-// connection can carry no further call.
+// readBody reads the body of a response and returns it if it holds the results of a batch. If the response is
+// complete but the connection cannot be reused, it returns errConnNotReusable together with the body.
 func readBody(conn *pooledConn, header *http.Response, batch bool) ([]byte, error) {
 	if header.ContentLength > netconn.MaxBodySize {
-		return nil, errMalformed
+		return nil, errResponseTooLong
 	}
 	conn.AllowBytes(netconn.MaxWireSize)
 	bounded := io.LimitReader(header.Body, netconn.MaxBodySize+1)
@@ -113,19 +115,20 @@
 			return nil, err
 		}
 		if len(body) > netconn.MaxBodySize {
-			return nil, errMalformed
+			return nil, errResponseTooLong
 		}
 	} else if n, err := io.Copy(io.Discard, bounded); err != nil || n > netconn.MaxBodySize {
-		return nil, cmp.Or(err, errMalformed)
+		return nil, cmp.Or(err, errResponseTooLong)
 	}
 	endsWithConn := header.ContentLength < 0 && len(header.TransferEncoding) == 0
 	if conn.Reader.Buffered() > 0 || header.Close || endsWithConn {
-		return body, errConnEnds
+		return body, errConnNotReusable
 	}
 	return body, nil
 }
 
-// readFeedback returns what a header says besides the outcome: when to come again, and the endpoint's load.
+// readFeedback returns a result with the Retry-After and the load report of a response header, which may be nil. It
+// does not set the outcome.
 func (c *Client) readFeedback(header *http.Response) (result Result) {
 	if header != nil {
 		result.RetryAfter = parseRetryAfter(header.Header.Get("Retry-After"))
@@ -134,7 +137,7 @@
 	return result
 }
 
-// statusOutcome returns what a status other than 200 says.
+// statusOutcome returns the outcome for a status other than 200, and whether the message needs no further attempts.
 func statusOutcome(header *http.Response) (outcome policy.Outcome, messageEnded bool) {
 	switch header.StatusCode {
 	case http.StatusTooManyRequests:
@@ -149,11 +152,11 @@
 	case http.StatusGone:
 		return policy.NotSent, true
 	}
-	return policy.Error, false // 500, and what is not known: it may have run
+	return policy.Error, false // 500 or an unknown status: the message may have run
 }
 
-// batchResults reads the result of each message of a batch. A message whose result is missing or unreadable may have
-// run. common is what holds for all of them.
+// batchResults returns the result of each message of a batch. common holds the fields that all results share. A
+// message whose state is missing or unreadable may have run, so its outcome is policy.Error.
 func batchResults(call *Call, common Result, body []byte) []Result {
 	states := parseBatchStates(body)
 	common.Outcome = policy.Error
@@ -176,7 +179,7 @@
 	return results
 }
 
-// parseBatchStates returns the states in a batch's response by the messages' ids. It leaves out what it cannot read.
+// parseBatchStates returns the states in the response to a batch by trace ID. It skips unreadable items.
 func parseBatchStates(body []byte) map[string]string {
 	var items []json.RawMessage
 	if json.Unmarshal(body, &items) != nil {
@@ -195,7 +198,8 @@
 	return states
 }
 
-// parseLimitReport parses what an endpoint reports of its limit. It leaves out what makes no sense.
+// parseLimitReport parses the load report of an endpoint. It skips fields that are not configured, and values that
+// are not numbers from 0 to maxReportedValue.
 func (c *Client) parseLimitReport(text string) policy.LimitReport {
 	var report policy.LimitReport
 	text, ok := strings.CutPrefix(text, "TEXT ")
@@ -220,7 +224,8 @@
 	return report
 }
 
-// parseRetryAfter parses a Retry-After in seconds, whole or decimal; 0 if there is none that can be read.
+// parseRetryAfter parses the seconds of a Retry-After header, which may have a decimal fraction. It returns 0 if
+// they are missing, malformed or out of range.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	inRange := seconds > 0 && seconds <= maxRetryAfterSeconds // false for NaN
--- a/internal/relay/egress/response_test.go
+++ b/internal/relay/egress/response_test.go
@@ -133,18 +133,18 @@
 	})
 	for i, r := range doCall(t, newTestClient(t, testConfig()), newCall(addr, "a", "b")) {
 		if r.Outcome != policy.Reset {
-			t.Errorf("attempt %d: %v", i, r.Outcome)
+			t.Errorf("attempt %d: outcome %v, want a reset", i, r.Outcome)
 		}
 	}
 	if r := doCall(t, newTestClient(t, testConfig()), newCall(addr, "a")); r[0].Outcome != policy.OK {
-		t.Errorf("a single message is delivered with the first line: %v", r[0].Outcome)
+		t.Errorf("a single message with status 200: outcome %v", r[0].Outcome)
 	}
 }
 
-// A response is followed by more than belongs to it: the rest must not answer the next call.
+// Bytes that follow a response must not be taken for the response to the next call.
 func TestBytesBehindResponseAnswerNoOtherCall(t *testing.T) {
 	const busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-	for _, behind := range []string{nettest.OKResponse, busy, "noise", "\r\n"} {
+	for _, trailing := range []string{nettest.OKResponse, busy, "noise", "\r\n"} {
 		for _, late := range []bool{false, true} {
 			addr, _ := nettest.RawServer(t, func(n int, conn net.Conn, _ *http.Request) bool {
 				switch {
@@ -152,26 +152,26 @@
 					nettest.Send(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 				case late:
 					nettest.Send(conn, nettest.OKResponse)
-					nettest.Send(conn, behind)
+					nettest.Send(conn, trailing)
 				default:
-					nettest.Send(conn, nettest.OKResponse+behind)
+					nettest.Send(conn, nettest.OKResponse+trailing)
 				}
 				return true
 			})
 			client := newTestClient(t, testConfig())
 			if r := doCall(t, client, newCall(addr, "a")); r[0].Outcome != policy.OK {
-				t.Fatalf("%q: outcome %v", behind, r[0].Outcome)
+				t.Fatalf("%q: outcome %v", trailing, r[0].Outcome)
 			}
 			nettest.Eventually(t, "the connection is closed", func() bool { return openConns(client) == 0 })
 			if r := doCall(t, client, newCall(addr, "b")); r[0].Outcome != policy.Error {
-				t.Errorf("%q: the second call has the first one's rest: %v", behind, r[0].Outcome)
+				t.Errorf("%q after the first response: second call %v, want an error", trailing, r[0].Outcome)
 			}
 		}
 	}
 }
 
-// A message with a malformed response may have run. A single one is delivered where the first line says 200. In no case
-// does it take long, and the connection is of no further use.
+// A message may have run if its response is malformed. A single message counts as delivered if the status line says
+// 200. In all cases the call ends before its deadline, and its connection is closed.
 func TestMalformedResponses(t *testing.T) {
 	const okHeader = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for _, c := range []struct {
@@ -181,24 +181,24 @@
 		batch    policy.Outcome
 	}{
 		{"noise", "\x00\x17\xff\x03 what\r\n\r\n", policy.Reset, policy.Reset},
-		{"noise without end", strings.Repeat("\xfe", 20_000), policy.Reset, policy.Reset},
-		{"half a line", "HTTP/1.1 2", policy.Reset, policy.Reset},
+		{"endless noise", strings.Repeat("\xfe", 20_000), policy.Reset, policy.Reset},
+		{"part of a line", "HTTP/1.1 2", policy.Reset, policy.Reset},
 		{"broken header", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", policy.OK, policy.Reset},
 		{"broken header of an error", "HTTP/1.1 503 Busy\r\nno colon\r\n\r\n", policy.Reset, policy.Reset},
 		{
-			"header without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 2000),
+			"endless header", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 2000),
 			policy.OK, policy.Reset,
 		},
-		{"header that stops", "HTTP/1.1 200 OK\r\nX-More: and", policy.OK, policy.Reset},
+		{"incomplete header", "HTTP/1.1 200 OK\r\nX-More: and", policy.OK, policy.Reset},
 		{"negative length", okHeader + "-1\r\n\r\n", policy.OK, policy.Reset},
 		{"two lengths", okHeader + "5\r\nContent-Length: 7\r\n\r\n", policy.OK, policy.Reset},
 		{"too long", okHeader + "500\r\n\r\n[]", policy.OK, policy.Reset},
 		{"too short", okHeader + "1\r\n\r\n[]", policy.OK, policy.Error},
 		{"3 GB", okHeader + "3000000000\r\n\r\n[", policy.OK, policy.Reset},
 		{"a rejection of 3 GB", "HTTP/1.1 503 Busy\r\nContent-Length: 3000000000\r\n\r\n[", policy.Reset, policy.Reset},
-		{"chunks without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		{"endless chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("1000\r\n"+strings.Repeat(" ", 0x1000)+"\r\n", 40), policy.OK, policy.Reset},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100), policy.Reset, policy.Reset},
+		{"only 1xx responses", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100), policy.Reset, policy.Reset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -219,17 +219,17 @@
 					}
 				}
 				if time.Now().After(call.Deadline) {
-					t.Error("it ended with the call's time-out alone")
+					t.Error("the call ended only at its deadline")
 				}
 				if openConns(client) > 0 {
-					t.Errorf("%d messages: the connection is kept", len(ids))
+					t.Errorf("%d messages: the connection was not closed", len(ids))
 				}
 			}
 		})
 	}
 }
 
-// 1xx responses come ahead of the one that counts, and a connection that carried them can carry more.
+// 1xx responses before the final response are skipped, and their connection can be reused.
 func TestInformationalResponses(t *testing.T) {
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		const informational = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
@@ -245,7 +245,7 @@
 	}
 }
 
-// Reports that make no sense never reach the policy.
+// Invalid load reports are ignored, so that they never reach the policy.
 func TestOddLimitReports(t *testing.T) {
 	client := newTestClient(t, testConfig())
 	for _, text := range []string{
@@ -258,7 +258,7 @@
 	}
 }
 
-// readConn gives out the bytes of a reader. It is no socket.
+// readConn is a connection whose input comes from r. It is not a socket, so it has no receive buffer to check.
 type readConn struct {
 	net.Conn
 	r io.Reader
@@ -268,7 +268,7 @@
 
 func (c readConn) Read(b []byte) (int, error) { return c.r.Read(b) }
 
-// Whatever comes in response, the bytes that are kept and the values that are read are bounded.
+// Whatever an endpoint responds, the size of the returned body and the parsed values stay within their limits.
 func FuzzResponses(f *testing.F) {
 	f.Add([]byte(nettest.OKResponse), true)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"+nettest.OKResponse+nettest.OKResponse), false)
@@ -281,10 +281,10 @@
 		}
 		read := readResponse(conn, request, batch)
 		if read.err == nil && (read.header == nil || conn.Reader.Buffered() > 0) {
-			t.Errorf("%q can carry another call", data)
+			t.Errorf("%q: the connection counts as reusable", data)
 		}
 		if len(read.body) > netconn.MaxBodySize {
-			t.Errorf("%d bytes kept", len(read.body))
+			t.Errorf("body of %d bytes returned", len(read.body))
 		}
 		if read.header == nil {
 			return
