--- a/internal/relay/ingress/conn.go
+++ b/internal/relay/ingress/conn.go
@@ -9,15 +9,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/netconn"
 )
 
-// phase is what a client's connection is at.
+// phase is the state of a client's connection.
 type phase int
 
 const (
-	phaseNew       phase = iota // nothing has come yet
-	phaseReading                // a request is coming
-	phaseHandling               // the handler is at work on a request
-	phaseIdle                   // the last request is answered
-	phaseLingering              // a request is rejected; what still comes of it is thrown away
+	phaseNew       phase = iota // no request has begun yet
+	phaseReading                // a request is being read
+	phaseHandling               // a request was read, and its response is awaited
+	phaseIdle                   // the last request was answered
+	phaseLingering              // a request was rejected, and the remaining input is discarded
 )
 
 // Conn is a client's connection.
@@ -31,7 +31,7 @@
 	dropped    bool
 }
 
-// ReadBody reads the body of a request, which is as long as its header says or comes in chunks. ErrorResponse gives the
+// ReadBody reads the body of a request, which has a Content-Length or is chunked. ErrorResponse returns the
 // response to an error.
 func (c *Conn) ReadBody(request *http.Request) ([]byte, error) {
 	body, err := readBody(request)
@@ -57,8 +57,8 @@
 	return body, err
 }
 
-// BeginHandling notes that a request is read to its end, and watches the connection while its response is awaited. It
-// returns false if the connection was closed to make room: the request is over.
+// BeginHandling records that a request was read completely, and watches the connection until EndHandling. It
+// returns false if the server has closed the connection. The request then needs no response.
 func (c *Conn) BeginHandling() bool {
 	if !c.server.setPhase(c, phaseHandling) {
 		return false
@@ -67,17 +67,17 @@
 	return true
 }
 
-// EndHandling ends what BeginHandling began, before the response is written. It returns false if the client has left:
-// nobody reads the response.
+// EndHandling ends the watch of BeginHandling. It must be called before the response is written. It returns false
+// if the client has closed the connection and will not read the response.
 func (c *Conn) EndHandling() (connected bool) {
 	connected, _ = c.stream.Unwatch()
 	return connected
 }
 
-// awaitsRequest reports whether nothing of a request was read that is not answered.
+// awaitsRequest reports whether no part of an unanswered request has been read.
 func (c *Conn) awaitsRequest() bool { return c.phase == phaseNew || c.phase == phaseIdle }
 
-// nothingPending reports whether nothing came from the client that was not read. Closed over such bytes, the connection
-// would be reset, and a request that has come to its end would have no response. A connection on which something came
+// nothingPending reports whether there are no unread bytes from the client. Closing a connection with unread bytes
+// would reset it, and a request that had arrived completely would get no response. A connection with unread bytes
 // is about to be served.
 func (c *Conn) nothingPending() bool { return c.stream.Pending() != netconn.PendingBytes }
--- a/internal/relay/ingress/exchange.go
+++ b/internal/relay/ingress/exchange.go
@@ -16,23 +16,26 @@
 )
 
 const (
-	// requestTimeout bounds a request from its first byte to its last, and the wait for it on a new connection. A
-	// client that sends nothing, or nothing that can be read, has an error or a close within 3 s of its connecting.
+	// requestTimeout limits the time from the first byte of a request to its last, and the wait for the first byte
+	// on a new connection. A client that sends nothing, or nothing readable, gets an error response or a close
+	// within 3 s of connecting.
 	requestTimeout = 2 * time.Second
-	// lateRequestTimeout is what a request has that begins in the last moment of its connection's time.
+	// lateRequestTimeout is the minimum time for reading a request, even if the request begins just before the
+	// deadline of its connection.
 	lateRequestTimeout = 500 * time.Millisecond
-	// idleTimeout is how long a connection is kept for the next request.
+	// idleTimeout is how long an idle connection is kept open for the next request.
 	idleTimeout = 2 * time.Minute
-	// writeTimeout bounds the writing of a response.
+	// writeTimeout limits the time to write a response.
 	writeTimeout = time.Second
 
-	// A rejected request may still be on its way: closed before it has come, the connection would be reset, and the
-	// response lost with it. The rest of it is read for lingerTimeout, or up to maxLingerSize bytes.
+	// The client may still be sending a request that was rejected. Closing the connection before all bytes are read
+	// would reset it, and the client could lose the response. The server therefore reads and discards the remaining
+	// bytes, for up to lingerTimeout and up to maxLingerSize bytes.
 	lingerTimeout = 3 * time.Second
 	maxLingerSize = 128 << 20
 )
 
-// serveConn reads requests from a connection until one side ends it.
+// serveConn serves the requests of a connection until the client or the server closes it.
 func (s *Server) serveConn(c *Conn) {
 	defer func() {
 		s.mu.Lock()
@@ -52,8 +55,8 @@
 	}
 }
 
-// awaitRequest waits until a request begins; false if none did by the deadline. A deadline that has passed hides what
-// came just before it, so the system is asked once more.
+// awaitRequest waits until a request begins. It returns false if none has begun by the deadline. A read fails after
+// its deadline even if bytes arrived before, so the socket is checked once more.
 func (c *Conn) awaitRequest(deadline time.Time) bool {
 	c.stream.ExpireReadsAt(deadline)
 	c.stream.AllowBytes(netconn.MaxHeaderSize)
@@ -67,12 +70,12 @@
 	return err == nil
 }
 
-// requestDeadline returns when a request that begins now must have come to its end, on a connection that was given
-// until connDeadline to begin one.
+// requestDeadline returns the time by which a request that begins now must be read completely. connDeadline is the
+// time by which it had to begin.
 func requestDeadline(now, connDeadline time.Time) time.Time {
 	deadline := now.Add(requestTimeout)
 	switch {
-	case deadline.Before(connDeadline): // it was idle before
+	case deadline.Before(connDeadline): // the connection was idle, not new
 		return deadline
 	case connDeadline.Sub(now) < lateRequestTimeout:
 		return now.Add(lateRequestTimeout)
@@ -80,7 +83,7 @@
 	return connDeadline
 }
 
-// serveRequest reads a request and answers it; false if the connection is of no further use.
+// serveRequest reads a request and writes its response. It returns false if the connection must be closed.
 func (s *Server) serveRequest(c *Conn) bool {
 	c.stream.StartCapture()
 	request, err := http.ReadRequest(c.stream.Reader)
@@ -90,25 +93,26 @@
 	case err != nil:
 		return s.reject(c, ErrorResponse(err))
 	case hasConflictingLengths(request, header):
-		// One of the two hides what the other does not count: a request in a body, or the other way round.
+		// The two may place the end of the body differently. A request could then be hidden in a body, or a part of
+		// a body be taken for a request.
 		return s.reject(c, BadRequest("both Content-Length and Transfer-Encoding"))
 	case request.ContentLength > netconn.MaxBodySize:
 		return s.reject(c, ErrorResponse(ErrBodyTooLarge))
 	}
 	c.stream.AllowBytes(netconn.MaxWireSize)
 	if strings.EqualFold(request.Header.Get("Expect"), "100-continue") {
-		// Where it cannot be written the client has left, which the reading of the body shows.
+		// A write error means that the client has left. Reading the body then fails as well.
 		_, _ = io.WriteString(c.stream.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	buffered := int64(c.stream.Reader.Buffered())
 	complete := request.ContentLength >= 0 && request.ContentLength <= buffered
 	response := s.handler(c, request)
 	if response.Status == 0 {
-		return false // the client has left
+		return false // the client has left, or the server has closed the connection
 	}
 	if response.isClientError() {
 		if complete {
-			// It stands in the buffer: this waits for nothing and cannot fail.
+			// The whole body is buffered, so discarding it neither blocks nor fails.
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
 		if !complete || c.stream.Reader.Buffered() > 0 {
@@ -119,11 +123,11 @@
 	return err == nil && !closing
 }
 
-// hasConflictingLengths reports whether a header gives its body's length in both ways. Package http takes one of them
-// and no longer shows the other, so the header is read once more, by the reader that package http uses.
+// hasConflictingLengths reports whether a header has both Content-Length and Transfer-Encoding. Package net/http
+// drops one of the two, so the header is parsed again, by the same textproto reader that net/http uses.
 func hasConflictingLengths(request *http.Request, header []byte) bool {
 	if len(request.TransferEncoding) == 0 && request.ProtoAtLeast(1, 1) {
-		return false // there was no Transfer-Encoding
+		return false // no Transfer-Encoding: net/http ignores it only in HTTP/1.0 requests
 	}
 	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(header)))
 	if _, err := reader.ReadLine(); err != nil {
@@ -133,23 +137,23 @@
 	return err != nil || fields["Content-Length"] != nil && fields["Transfer-Encoding"] != nil
 }
 
-// reject answers a request whose end has not come or cannot be found. The connection ends, but not before the rest has
-// come. It returns false, as the connection is of no further use.
+// reject responds to a request that was not read completely, or whose end cannot be determined. It then closes the
+// sending side and discards the remaining input. It always returns false, because the connection must be closed.
 func (s *Server) reject(c *Conn, response Response) bool {
 	if _, err := s.writeResponse(c, response, true); err != nil || !s.setPhase(c, phaseLingering) {
 		return false
 	}
 	if half, ok := c.stream.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // both directions close soon, also where this fails
+		_ = half.CloseWrite() // an error does not matter: the whole connection is closed soon
 	}
 	c.stream.ExpireReadsAt(time.Now().Add(lingerTimeout))
-	// However this ends, nothing is done with it.
+	// An error does not matter: the connection is closed next.
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.stream.Conn, maxLingerSize))
 	return false
 }
 
-// writeResponse writes a response. It returns whether the connection ends with it, because the caller or the server
-// says so.
+// writeResponse writes a response. closing is true if the connection must be closed after it: if last is set, or if
+// the server closes connections after their next response.
 func (s *Server) writeResponse(c *Conn, response Response, last bool) (closing bool, err error) {
 	if response.isClientError() {
 		s.badRequests.Log(s.log, "from", c.stream.RemoteAddr(), "status", response.Status, "text", response.Text)
@@ -164,7 +168,7 @@
 	return closing, err
 }
 
-// encodeResponse returns a response as it stands on the wire.
+// encodeResponse returns a response in its wire format.
 func encodeResponse(response Response, closing bool) ([]byte, error) {
 	encoded := http.Response{
 		StatusCode: response.Status,
--- a/internal/relay/ingress/response.go
+++ b/internal/relay/ingress/response.go
@@ -13,20 +13,20 @@
 var (
 	// ErrBodyTooLarge reports a body of more than netconn.MaxBodySize bytes.
 	ErrBodyTooLarge = errors.New("body over 64 KiB")
-	// ErrTrailingBytes reports bytes behind a request. Clients send one request at a time: the length was wrong, and
-	// the body is not what was meant.
+	// ErrTrailingBytes reports bytes that follow a request. Clients send one request at a time, so the length of
+	// the request was wrong, and its body is not the one that the client meant to send.
 	ErrTrailingBytes = errors.New("more bytes than the length tells")
 )
 
-// Response is what a client is answered. The zero Response means that no answer is possible or of use: the connection
-// is closed.
+// Response is the response to a client's request. The zero Response means that a response is impossible or useless:
+// the connection is closed without one.
 type Response struct {
 	Status     int
-	RetryAfter time.Duration // when to try again; 0: no advice
-	Text       string        // explains an error to people
+	RetryAfter time.Duration // when the client should try again; 0: no Retry-After
+	Text       string        // describes an error for people
 }
 
-// BadRequest returns the response to a request that the client must not repeat as it is.
+// BadRequest returns the response to a request that the client must not repeat unchanged.
 func BadRequest(format string, args ...any) Response {
 	return Response{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
@@ -46,7 +46,7 @@
 	return BadRequest("unreadable request")
 }
 
-// isClientError reports whether the response says that the request was wrong.
+// isClientError reports whether the status says that the request was wrong (4xx).
 func (r Response) isClientError() bool {
 	return r.Status >= http.StatusBadRequest && r.Status < http.StatusInternalServerError
 }
--- a/internal/relay/ingress/server.go
+++ b/internal/relay/ingress/server.go
@@ -1,9 +1,9 @@
-// Package ingress serves the clients' side of the relay: it accepts connections, reads one HTTP request at a time from
-// each, and writes the response that its handler gives.
+// Package ingress serves the relay's clients. It accepts connections, reads one HTTP request at a time from each,
+// and writes the response that the handler returns.
 //
-// It is a server of its own, as the one of net/http does not do what clients are promised here: a request that has come
-// to its end has a response also where connections are closed to make room or at a shutdown, a client that leaves while
-// its response is awaited is noticed, and whatever cannot be read is answered within a bounded time.
+// It does not use the server of net/http, which does not give clients the following guarantees. A request that has
+// arrived completely gets a response even if connections are closed to make room or at shutdown. A client that
+// leaves while its response is awaited is detected. Unreadable input is answered within a bounded time.
 package ingress
 
 import (
@@ -19,16 +19,16 @@
 )
 
 const (
-	// newConnGrace is how long a connection on which nothing came yet is not the first to be closed for another one.
+	// newConnGrace is how long a new connection may stay silent before it is the first to be closed to make room.
 	newConnGrace = 100 * time.Millisecond
-	// surplusIdleTime is how long a connection may stand idle where more than maxKeptConns are open.
+	// surplusIdleTime is how long a connection may stay idle while more than maxKeptConns are open.
 	surplusIdleTime = 2 * time.Second
-	// acceptRetryDelay passes after a failed accept: its cause seldom goes at once.
+	// acceptRetryDelay is the pause after a failed accept, because the cause rarely disappears at once.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Handler answers a request. It reads the request's body by Conn.ReadBody and stands between Conn.BeginHandling and
-// Conn.EndHandling while the response is awaited.
+// Handler returns the response to a request. It reads the body with Conn.ReadBody. Before it waits for the result
+// of the request it calls Conn.BeginHandling, and afterwards Conn.EndHandling.
 type Handler func(conn *Conn, request *http.Request) Response
 
 // Config configures a Server.
@@ -38,18 +38,17 @@
 	Log      *slog.Logger
 }
 
-// Server serves the connections of clients. Where it may hold no more of them, it closes those that are
-// not in use.
+// Server serves the connections of clients. At its limit of connections it closes those that are not in use.
 type Server struct {
 	log          *slog.Logger
 	handler      Handler
 	maxConns     int
-	maxKeptConns int // with more connections than that, none stays idle for long
+	maxKeptConns int // with more connections than this, idle ones are closed early
 
 	mu           sync.Mutex
-	changed      sync.Cond // signalled when a connection ends or falls idle
+	changed      sync.Cond // signalled when a connection is closed or becomes idle
 	conns        map[*Conn]struct{}
-	keepAliveOff bool // responses end their connections
+	keepAliveOff bool // connections are closed after their next response
 	closed       bool
 
 	badRequests ratelog.Warning
@@ -78,7 +77,7 @@
 			return
 		}
 		if err != nil {
-			// Out of descriptors, say, or a client that left at once: no reason to end.
+			// For example, descriptors have run out, or the client has left already. Accepting goes on.
 			acceptFailures.Log(s.log, "err", err)
 			s.makeRoom(true)
 			time.Sleep(acceptRetryDelay)
@@ -98,7 +97,7 @@
 	return &Conn{server: s, stream: netconn.New(accepted), phaseSince: time.Now()}
 }
 
-// add takes a connection in; false if the server is closed and no request is on the connection.
+// add registers a connection. It returns false if the server is closed and the client has sent no bytes.
 func (s *Server) add(c *Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +108,8 @@
 	return true
 }
 
-// makeRoom waits until another connection may be added, if need be by closing one. Forced, it closes one in any case.
+// makeRoom waits until another connection may be added, and closes one if necessary. With forced set, it closes one
+// even below the limit, unless the responses of all are awaited.
 func (s *Server) makeRoom(forced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	for len(s.conns) >= s.maxConns || forced {
 		c := s.evictionCandidate(now)
 		if c != nil && c.awaitsRequest() && !c.nothingPending() {
-			c.phase = phaseReading // as good as: others make way first
+			c.phase = phaseReading // a request has arrived: prefer to close another connection
 			continue
 		}
 		if c != nil {
@@ -127,8 +127,8 @@
 		}
 		forced = false
 	}
-	// Clients that send one request and keep their connections must not fill the table for good. Those that send many
-	// seldom pay for that: their connections are in use.
+	// Clients that send one request and keep their connections open must not use up the limit. Clients that send many
+	// requests are seldom affected, because their connections are in use.
 	if len(s.conns) > s.maxKeptConns {
 		for c := range s.conns {
 			if c.phase == phaseIdle && now.Sub(c.phaseSince) > surplusIdleTime && c.nothingPending() {
@@ -138,14 +138,14 @@
 	}
 }
 
-// evictionRank orders connections by how little is lost with them; the lowest goes first.
+// evictionRank orders connections by how much is lost when they are closed. The lowest rank is closed first.
 type evictionRank int
 
 const (
-	rankSilent     evictionRank = iota + 1 // nothing ever came
-	rankIdle                               // no request is under way
-	rankIncomplete                         // a request is not read to its end, or is rejected
-	rankHandling                           // never evicted: its response is awaited
+	rankSilent     evictionRank = iota + 1 // no request has begun within newConnGrace
+	rankIdle                               // no request is in progress
+	rankIncomplete                         // a request was read in part, or rejected
+	rankHandling                           // a response is awaited; never closed
 )
 
 func (c *Conn) evictionRank(now time.Time) evictionRank {
@@ -160,8 +160,8 @@
 	return rankHandling
 }
 
-// evictionCandidate returns the connection to close where room is short: of the lowest rank the one that is longest in
-// its phase. It returns nil if the responses of all are awaited.
+// evictionCandidate returns the connection to close when room is needed: of those with the lowest rank, the one
+// that has been longest in its phase. It returns nil if the responses of all connections are awaited.
 func (s *Server) evictionCandidate(now time.Time) *Conn {
 	var candidate *Conn
 	lowest := rankHandling
@@ -178,7 +178,7 @@
 	return candidate
 }
 
-// drop closes a connection and forgets it. The mutex is held.
+// drop closes a connection and unregisters it. The caller holds s.mu.
 func (s *Server) drop(c *Conn) {
 	if c.dropped {
 		return
@@ -189,7 +189,8 @@
 	s.changed.Broadcast()
 }
 
-// setPhase notes what a connection is at; false if it was closed meanwhile, or ends with the response just written.
+// setPhase sets the phase of a connection. It returns false if the connection was closed meanwhile, or if p is
+// phaseIdle and keep-alive is off.
 func (s *Server) setPhase(c *Conn, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,23 +203,24 @@
 	return !c.dropped
 }
 
-// endsAfterResponse reports whether connections are closed with their next response. Clients can hold only so many
-// connections, too: where many are held, those that send one request and stay would keep the others from connecting,
-// long before the table here is full.
+// endsAfterResponse reports whether connections are closed after their next response. The clients together can open
+// only a limited number of connections, too. If the server kept many open, clients that send one request and stay
+// connected would keep others from connecting long before the server reaches its own limit.
 func (s *Server) endsAfterResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keepAliveOff || len(s.conns) > s.maxKeptConns
 }
 
-// DisableKeepAlive has connections closed with their next response. Idle ones stay open: a request may be on its way.
+// DisableKeepAlive makes the server close connections after their next response. Idle connections stay open,
+// because a request may be on its way.
 func (s *Server) DisableKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keepAliveOff = true
 }
 
-// Drain closes idle connections and has the others closed with their next response.
+// Drain closes idle connections, and makes the server close the others after their next response.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +232,7 @@
 	}
 }
 
-// Emptied returns a channel that is closed once no connection is left, or after a time-out.
+// Emptied returns a channel that is closed when no connection is left, or after the timeout.
 func (s *Server) Emptied(timeout time.Duration) <-chan struct{} {
 	emptied := make(chan struct{})
 	deadline := time.Now().Add(timeout)
@@ -247,8 +249,8 @@
 	return emptied
 }
 
-// Close closes the connections whose response is not awaited, waits for the others until the deadline, and closes them
-// too.
+// Close closes connections without an unanswered request. It waits for the others until the deadline and then
+// closes them, too.
 func (s *Server) Close(deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,7 +269,7 @@
 	}
 }
 
-// wakeWaiters has those that wait for a change look at the clock.
+// wakeWaiters wakes the goroutines that wait for s.changed, so that they check their deadlines.
 func (s *Server) wakeWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/ingress/server_test.go
+++ b/internal/relay/ingress/server_test.go
@@ -16,18 +16,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// peerActs are what a peer may do in the last moment, and what the system then holds of it.
+// peerActs are actions of a peer just before a deadline, with the result expected from Pending.
 var peerActs = []struct {
 	name    string
 	act     func(peer net.Conn)
 	pending netconn.PendingInput
 }{
 	{"nothing", func(net.Conn) {}, netconn.PendingNone},
-	{"half a line", func(p net.Conn) { nettest.Send(p, "HTT") }, netconn.PendingBytes},
-	{"its end", nettest.CloseWrite, netconn.PendingEnd},
+	{"part of a line", func(p net.Conn) { nettest.Send(p, "HTT") }, netconn.PendingBytes},
+	{"a half-close", nettest.CloseWrite, netconn.PendingEnd},
 	{"a close", func(p net.Conn) { nettest.Close(p) }, netconn.PendingEnd},
 	{"a reset", nettest.Reset, netconn.PendingEnd},
-	{"bytes and its end", func(p net.Conn) { nettest.Send(p, "x"); nettest.Close(p) }, netconn.PendingBytes},
+	{"bytes and a close", func(p net.Conn) { nettest.Send(p, "x"); nettest.Close(p) }, netconn.PendingBytes},
 }
 
 const (
@@ -40,7 +40,7 @@
 	return New(Config{MaxConns: maxConns, Handler: handler, Log: slog.New(slog.DiscardHandler)})
 }
 
-// serve has a server accept connections until the test ends.
+// serve lets a server accept connections until the test ends.
 func serve(t *testing.T, s *Server) (addr string) {
 	t.Helper()
 	listener := nettest.Listen(t)
@@ -52,7 +52,8 @@
 	return listener.Addr().String()
 }
 
-// answerAll answers a POST as one that is handled, and all else at once.
+// answerAll is a handler. It calls BeginHandling and EndHandling for a POST and accepts it. It responds to all
+// other requests at once.
 func answerAll(conn *Conn, request *http.Request) Response {
 	if request.Method != http.MethodPost {
 		return Response{Status: http.StatusOK}
@@ -66,7 +67,8 @@
 	return Response{Status: http.StatusAccepted}
 }
 
-// A request that has come to its end before the server closes its connection has a response, whoever closes it and why.
+// A request that arrives completely before the server closes its connection gets a response, for whatever reason
+// the connection is closed.
 func TestRequestBeforeCloseIsAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -74,12 +76,12 @@
 		close   func(t *testing.T, s *Server)
 		closing bool
 	}{
-		{"idle, at the signal", phaseIdle, func(_ *testing.T, s *Server) { s.Drain() }, true},
-		{"idle, at the end", phaseIdle, beginClose, true},
-		{"new, at the end", phaseNew, beginClose, true},
-		{"idle, no room", phaseIdle, func(_ *testing.T, s *Server) { s.makeRoom(true) }, false},
-		{"new, no room", phaseNew, func(_ *testing.T, s *Server) { s.makeRoom(true) }, false},
-		{"idle, little room", phaseIdle, func(_ *testing.T, s *Server) { s.maxKeptConns = 0; s.makeRoom(false) }, true},
+		{"idle, Drain", phaseIdle, func(_ *testing.T, s *Server) { s.Drain() }, true},
+		{"idle, Close", phaseIdle, beginClose, true},
+		{"new, Close", phaseNew, beginClose, true},
+		{"idle, forced eviction", phaseIdle, func(_ *testing.T, s *Server) { s.makeRoom(true) }, false},
+		{"new, forced eviction", phaseNew, func(_ *testing.T, s *Server) { s.makeRoom(true) }, false},
+		{"idle, surplus", phaseIdle, func(_ *testing.T, s *Server) { s.maxKeptConns = 0; s.makeRoom(false) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var answered atomic.Int32
@@ -95,16 +97,16 @@
 			conn.phase = c.phase
 			conn.phaseSince = time.Now().Add(-time.Minute)
 			s.conns[conn] = struct{}{}
-			// Beside it one that may go: it is the newer, and the last choice.
-			beside, _ := nettest.Pair(t)
-			other := s.newConn(beside)
+			// Another connection may be closed instead. It is newer, so the tested connection is considered first.
+			otherConn, _ := nettest.Pair(t)
+			other := s.newConn(otherConn)
 			other.phase = phaseIdle
 			other.phaseSince = time.Now().Add(-surplusIdleTime / 2)
 			s.conns[other] = struct{}{}
 			if _, err := io.WriteString(peer, postText); err != nil {
 				t.Fatal(err)
 			}
-			nettest.Eventually(t, "the request is there", func() bool {
+			nettest.Eventually(t, "the request has arrived", func() bool {
 				return conn.stream.Pending() == netconn.PendingBytes
 			})
 			c.close(t, s)
@@ -127,7 +129,7 @@
 	}
 }
 
-// beginClose begins to close a server and returns when the first look at its connections is over.
+// beginClose starts to close a server. It returns when Close has checked all connections once.
 func beginClose(t *testing.T, s *Server) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -137,14 +139,15 @@
 		s.Close(time.Now().Add(nettest.Patience))
 	}()
 	t.Cleanup(func() { <-ended })
-	nettest.Eventually(t, "the end has begun", func() bool {
+	nettest.Eventually(t, "Close has begun", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.closed
 	})
 }
 
-// A request that comes in the last moment of a connection's time is read, one that never comes is not waited for.
+// A request that begins just before the connection's deadline is read. Without input, awaitRequest does not wait
+// beyond the deadline.
 func TestRequestInLastMoment(t *testing.T) {
 	s := newTestServer(100, nil)
 	for _, c := range peerActs {
@@ -154,13 +157,13 @@
 			c.act(peer)
 			nettest.Eventually(t, c.name, func() bool { return conn.stream.Pending() == c.pending })
 			if comes := conn.awaitRequest(netconn.Past); comes != (c.pending == netconn.PendingBytes) {
-				t.Errorf("a request comes: %v", comes)
+				t.Errorf("awaitRequest returned %v", comes)
 			}
 		})
 	}
 }
 
-// What begins in the last moment of a connection's time has a little longer to come to its end.
+// A request that begins shortly before the connection's deadline still has lateRequestTimeout to arrive completely.
 func TestRequestDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct{ left, want time.Duration }{
@@ -176,7 +179,7 @@
 	}
 }
 
-// Connections that are silent, and those that are kept for nothing, make way for clients that have something to say.
+// At the connection limit, silent and idle connections are closed to make room for clients that send requests.
 func TestSilentAndIdleConnsMakeWay(t *testing.T) {
 	const maxConns = 4
 	s := newTestServer(460, answerAll)
@@ -190,24 +193,24 @@
 	for i := range 2 * maxConns {
 		reader := bufio.NewReader(nettest.Dial(t, addr, postText))
 		if response := nettest.ReadResponse(t, reader); response.StatusCode != http.StatusAccepted {
-			t.Errorf("%d: status %d", i, response.StatusCode)
+			t.Errorf("request %d: status %d", i, response.StatusCode)
 		}
 	}
-	nettest.ExpectEnd(t, "the one that was idle longest", kept)
+	nettest.ExpectEnd(t, "the connection that was idle longest", kept)
 	if n := openConns(s); n > maxConns {
-		t.Errorf("%d connections held", n)
+		t.Errorf("%d connections open, above the limit", n)
 	}
 }
 
-// openConns returns how many connections a server holds.
+// openConns returns how many connections a server has open.
 func openConns(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Where many connections are held, a response ends its own, and says so: clients that send one request and stay would
-// else hold all that they all may have.
+// With more than maxKeptConns connections open, a response carries "Connection: close" and ends its connection.
+// Otherwise clients that send one request and stay connected could hold all connections that clients may open.
 func TestCrowdedServerKeepsNoConn(t *testing.T) {
 	s := newTestServer(460, answerAll)
 	s.maxKeptConns = 1
@@ -215,23 +218,23 @@
 	conn := nettest.Dial(t, addr, getText)
 	alone := bufio.NewReader(conn)
 	if response := nettest.ReadResponse(t, alone); response.Close {
-		t.Error("not kept, though it is alone")
+		t.Error("the only connection was closed")
 	}
 	second := bufio.NewReader(nettest.Dial(t, addr, getText))
 	if response := nettest.ReadResponse(t, second); !response.Close {
-		t.Error("kept in a crowd")
+		t.Error("a connection beyond maxKeptConns was kept")
 	}
-	nettest.ExpectEnd(t, "the second", second)
-	nettest.Eventually(t, "room again", func() bool { return openConns(s) == 1 })
+	nettest.ExpectEnd(t, "the second connection", second)
+	nettest.Eventually(t, "the second connection is removed", func() bool { return openConns(s) == 1 })
 	if _, err := io.WriteString(conn, getText); err != nil {
 		t.Fatal(err)
 	}
 	if response := nettest.ReadResponse(t, alone); response.Close {
-		t.Error("not kept, though it is alone again")
+		t.Error("the connection was closed, though it was the only one again")
 	}
 }
 
-// Where the responses of all connections are awaited, a new one waits for the first that is done.
+// If the responses of all connections are awaited, a new connection waits until the first of them is finished.
 func TestNoResponseIsCutOffToMakeRoom(t *testing.T) {
 	handling, proceed := make(chan struct{}), make(chan struct{})
 	s := newTestServer(1, func(conn *Conn, request *http.Request) Response {
@@ -263,7 +266,8 @@
 	}
 }
 
-// The response is not lost with a connection that is reset under it, however much is still on its way.
+// A client that is still sending a large request receives the rejection. The server reads the remaining input
+// first, because an early close would reset the connection and lose the response.
 func TestRejectionIsReadBeforeClose(t *testing.T) {
 	const size = 60 << 20
 	addr := serve(t, newTestServer(100, answerAll))
@@ -276,7 +280,7 @@
 				}
 			}
 			if _, err := io.CopyN(conn, zeros{}, size); err != nil {
-				t.Fatalf("not read to its end: %v", err)
+				t.Fatalf("the server stopped reading the request: %v", err)
 			}
 			nettest.CloseWrite(conn)
 			responses := bufio.NewReader(conn)
@@ -284,7 +288,7 @@
 			if response.StatusCode != http.StatusRequestEntityTooLarge && response.StatusCode != http.StatusBadRequest {
 				t.Errorf("status %d", response.StatusCode)
 			}
-			nettest.ExpectEnd(t, "the rest", responses)
+			nettest.ExpectEnd(t, "after the rejection", responses)
 		})
 	}
 }
@@ -296,17 +300,17 @@
 	return len(b), nil
 }
 
-// A connection on which nothing comes is closed within the 3 s that such a client is promised.
+// A connection without input is closed within the 3 s that are promised to clients.
 func TestSilentConnIsClosedInTime(t *testing.T) {
 	began := time.Now()
 	addr := serve(t, newTestServer(100, answerAll))
-	nettest.ExpectEnd(t, "silent", bufio.NewReader(nettest.Dial(t, addr, "")))
+	nettest.ExpectEnd(t, "silent connection", bufio.NewReader(nettest.Dial(t, addr, "")))
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
 }
 
-// No header that gives its body's length in both ways passes.
+// A header with both Content-Length and Transfer-Encoding is always detected.
 func FuzzHeads(f *testing.F) {
 	f.Add([]byte("POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"))
@@ -320,16 +324,16 @@
 			!bytes.Contains(bytes.ToLower(stream.Captured()), []byte("\ncontent-length:")) {
 			return
 		}
-		// The header alone counts: what stands behind it may still hold that text.
+		// Only the header counts: the captured bytes after it may contain the same text.
 		header, _, _ := bytes.Cut(stream.Captured(), []byte("\r\n\r\n"))
 		if bytes.Contains(bytes.ToLower(header), []byte("\r\ncontent-length:")) &&
 			!hasConflictingLengths(request, stream.Captured()) {
-			t.Errorf("%q passes", data)
+			t.Errorf("%q: both lengths, but not detected", data)
 		}
 	})
 }
 
-// readConn gives out the bytes of a reader. It is no socket.
+// readConn is a connection whose input comes from r. It is not a socket, so it has no receive buffer to check.
 type readConn struct {
 	net.Conn
 	r io.Reader
