--- a/policy/fleetpacing.go
+++ b/policy/fleetpacing.go
@@ -5,36 +5,40 @@
 	"time"
 )
 
-// Pacing in a large fleet, whose relays must take care of each other: what is harmless from one of them is not from
-// all at once.
+// Pacing in a large fleet. A burst or a quick rate increase that is harmless from one relay overloads an endpoint
+// if all relays do the same at once.
 const (
-	fleetBurstTokens        = 0.5              // calls beyond one that may be sent after a time without calls
-	rejectionFreeWindow     = 20 * time.Second // without a rejection for so long, a rate may outgrow its fair rate
-	fleetExcessPacingGrowth = 0.1              // growth above the fair rate, with each success
-	maxFleetPacingRatio     = 2                // multiple of the fair rate that a backlog may reach if quotas are set
-	minFleetPacingRatio     = 0.05             // of the fair share: a rate does not fall below this
+	fleetBurstTokens        = 0.5              // tokens above 1 that a scope may save up while it sends no calls
+	rejectionFreeWindow     = 20 * time.Second // time after a rejection with little or no growth above the fair rate
+	fleetExcessPacingGrowth = 0.1              // growth with each success, as a fraction, near or above the fair rate
+	maxFleetPacingRatio     = 2                // maximum rate with a backlog and quotas, as a multiple of the fair rate
+	minFleetPacingRatio     = 0.05             // minimum after consecutive rejections, as a fraction of the fair share
 )
 
-// MaxInitialSpread is the time over which a large fleet spreads its first calls to what is newly listed, at most.
+// MaxInitialSpread is the maximum time over which the relays of a large fleet spread their first calls to a newly
+// listed endpoint.
 const MaxInitialSpread = 3 * time.Second
 
-// isLargeFleet reports whether a known limit of a scope is shared by so many relays that few of them see it reached.
+// isLargeFleet reports whether a scope has a known limit and so many relays share it that only a few of them
+// receive a rejection when the limit is reached.
 func (e *Engine) isLargeFleet(scope *limitScope) bool {
 	return e.settings.FleetSize > smallFleetSize && e.knownLimit(scope) > 0
 }
 
-// initializePacing gives a scope its first pacing rate: this relay's part of the known limit. Guards against a fleet
-// that is not paced at first and goes far beyond the limit together; where rejected calls count against the limit, it
-// would be rejected for as long as it goes on. Its tokens grow from the time at which the scope was listed.
+// initializePacing sets the first pacing rate of a scope: this relay's share of the known limit. Without it, the
+// relays of a large fleet would start unpaced and together exceed the limit by far. Where rejected calls count
+// against the limit, they would then be rejected for as long as they kept calling at that rate. The scope's tokens
+// accumulate from the time at which it was listed.
 func (e *Engine) initializePacing(scope *limitScope) {
 	scope.pacingRate = e.fairPacingRate(scope)
 	scope.increasedAt = e.now
 	scope.tokens = 1 - e.rng.Float64()*math.Min(1, scope.pacingRate*MaxInitialSpread.Seconds())
 }
 
-// boundPacing bounds a pacing rate where quotas are set: by the fair rate, and with a backlog by a multiple of it if
-// the previous rate was no lower. Guards against rates that have outgrown the fair one with a single success, or whose
-// share has shrunk since: their sum exceeds the limit, and rejected calls use it up.
+// boundPacing limits a pacing rate if tenant quotas are set. The maximum is the fair rate, or maxFleetPacingRatio
+// times the fair rate if there is a backlog and the previous rate was at least the fair rate. Otherwise one success
+// could raise a rate far above the fair rate, and a rate could stay high after the relay's share had shrunk. The
+// rates of all relays would then add up to more than the limit, and rejected calls would use up the limit.
 func (e *Engine) boundPacing(scope *limitScope, previous float64) {
 	if scope.pacingRate == 0 {
 		e.initializePacing(scope)
@@ -50,8 +54,9 @@
 	scope.pacingRate = math.Min(scope.pacingRate, highest)
 }
 
-// minTrialRate returns the lowest useful pacing rate: one call within a message's deadline, or half of the fair share
-// if that is less. With a lower one the end of an outage is noticed too late.
+// minTrialRate returns the lowest useful pacing rate: one call within the shortest deadline of all classes, or half
+// of the fair share if that is less. At a lower rate, the relay would detect the end of an outage too late for the
+// messages that wait.
 func (e *Engine) minTrialRate(fairShare float64) float64 {
 	rate := 0.0
 	for _, class := range e.settings.Classes {
@@ -62,9 +67,11 @@
 	return math.Min(rate, minPacingShareRatio*fairShare)
 }
 
-// fleetPacingGrowth returns the growth of a pacing rate with one success. It is quick below the fair rate, since the
-// fair rates add up to the limit. Beyond, a rate grows only with a backlog, into what other relays leave: where quotas
-// are set, long after a rejection; else its place is found by rejections.
+// fleetPacingGrowth returns the fraction by which a pacing rate grows with one success. Well below the fair rate,
+// growth is quick, since the fair rates of all relays add up to the limit. Above the fair rate, a rate grows only
+// if there is a backlog, to use capacity that other relays leave unused. If quotas are set, this also requires that
+// the last rejection was at least rejectionFreeWindow ago. Without quotas, the rate keeps growing until calls are
+// rejected.
 func (e *Engine) fleetPacingGrowth(scope *limitScope) float64 {
 	fair := e.fairPacingRate(scope)
 	quotasSet := e.totalQuota() > 0
@@ -80,9 +87,10 @@
 	return fleetExcessPacingGrowth
 }
 
-// fleetRateAfterRejection returns the pacing rate after a rejection; it falls further with consecutive ones. Guards
-// against a limit that was lowered below half: where rejected calls count against it, a fleet that stays at half of its
-// shares gets nothing through.
+// fleetRateAfterRejection returns the pacing rate after a rejection. A single rejection lowers the rate to half of
+// the relay's fair share at the least; consecutive rejections lower it further. This matters if a limit is lowered
+// to less than half of its former value and rejected calls count against it. If the relays then stayed at half of
+// their former shares, all their calls would be rejected.
 func (e *Engine) fleetRateAfterRejection(ep *endpoint, rate float64) float64 {
 	fairShare := e.fairShare(ep.scope)
 	decreased := math.Min(rate*pacingDecreaseFactor, e.fairPacingRate(ep.scope))
--- a/policy/fleetpacing_test.go
+++ b/policy/fleetpacing_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A whole fleet that starts with messages for one destination does not together exceed the known limit by far. Relays
-// without pacing would send all of them at once, so the check can fail.
+// A fleet whose relays all start with messages for one destination must not exceed the known limit by far. Without
+// pacing, the relays would send all messages at once.
 func TestLargeFleetStartsNearTheLimit(t *testing.T) {
 	const limit, messages = 20.0, 5
 	for _, test := range []struct {
 		relays int
-		within float64 // of the limit, over three seconds
+		within float64 // maximum calls in three seconds, as a multiple of the limit
 	}{{20, 2}, {80, 2}, {300, 6}} {
 		sent := 0
 		for i := range test.relays {
@@ -22,7 +22,7 @@
 			sent += countFirstCalls(t, settings, uint64(i), limit, messages)
 		}
 		if bound := int(test.within * limit * 3); sent > bound || sent < int(limit) {
-			t.Errorf("%d relays: %d calls in three seconds of a limit of %v, want up to %d",
+			t.Errorf("%d relays: %d calls in three seconds with a limit of %v calls a second, want up to %d",
 				test.relays, sent, limit, bound)
 		}
 	}
@@ -51,7 +51,7 @@
 	return sent
 }
 
-// Small fleets, and those whose destination has no known limit, start without pacing.
+// Small fleets, and fleets whose destination has no known limit, start without pacing.
 func TestSmallFleetStartsWithoutPacing(t *testing.T) {
 	for _, test := range []struct {
 		relays int
@@ -70,12 +70,12 @@
 	}
 }
 
-// A relay with twice the mean traffic takes more of a limit than one with half of it, and a whole fleet of both no more
-// than the limit.
+// A relay with twice the mean traffic gets a higher share of a limit than a relay with half of the mean traffic.
+// The rates of a fleet of both kinds do not exceed the limit.
 func TestFairPacingRateFollowsTraffic(t *testing.T) {
-	const relays, limit, usual = 40, 60.0, 5.0 // the latter in messages a second of a relay
+	const relays, limit, meanRate = 40, 60.0, 5.0 // meanRate: messages a second at each relay
 	settings := testSettings()
-	settings.FleetSize, settings.Tenants = relays, []Tenant{{Quota: relays * usual}}
+	settings.FleetSize, settings.Tenants = relays, []Tenant{{Quota: relays * meanRate}}
 	pacingRate := func(rate float64) float64 {
 		engine, err := New(settings, 1)
 		if err != nil {
@@ -94,8 +94,8 @@
 		}
 		return engine.fairPacingRate(engine.endpoints["a"].scope)
 	}
-	busy := pacingRate(2 * usual)
-	quiet := pacingRate(usual / 2)
+	busy := pacingRate(2 * meanRate)
+	quiet := pacingRate(meanRate / 2)
 	const fairShare = limit / relays
 	if busy < 1.05*fairShare || quiet > 0.65*fairShare {
 		t.Errorf("pacing rates %.2f and %.2f with a fair share of %.2f", busy, quiet, fairShare)
@@ -105,7 +105,8 @@
 	}
 }
 
-// After a rejection, a relay above its fair pacing rate falls back to it at once, and never below half of its share.
+// A rejection lowers a pacing rate above the fair rate to the fair rate at once, and lowers no rate below half of
+// the relay's share.
 func TestFleetRateAfterRejection(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 80
@@ -126,7 +127,7 @@
 	}
 }
 
-// A rejected message does not count as own traffic: its client retries.
+// A rejected message does not count as the relay's own traffic, since its client retries it.
 func TestRejectedTrafficDoesNotCount(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize, settings.Tenants = 80, []Tenant{{Quota: 80}}
@@ -137,28 +138,28 @@
 		h.engine.acceptMessage(&Event{Kind: MessageAccepted, MessageID: id, TimeLeft: time.Minute})
 	}
 	if got := h.engine.fairPacingRate(scope); got <= before {
-		t.Errorf("a fair pacing rate of %v with 20 messages more, %v before", got, before)
+		t.Errorf("the fair pacing rate is %v after 20 messages, want more than the %v before", got, before)
 	}
 	for id := range MessageID(20) {
 		h.engine.reject(h.engine.messages[id])
 	}
 	if after := h.engine.fairPacingRate(scope); after != before {
-		t.Errorf("a fair pacing rate of %v once they were rejected, %v before", after, before)
+		t.Errorf("the fair pacing rate is %v after the messages were rejected, want %v as before", after, before)
 	}
 }
 
-// With quotas, a pacing rate comes back to the fair one, not past it by one success that stands for seconds, and stays
-// there without a backlog or after a rejection. With a backlog and no rejection for long it grows to twice the fair
-// one. Without quotas it grows.
+// With quotas, a pacing rate returns to the fair rate, even if one success counts for several seconds of growth. It
+// stays there without a backlog or after a rejection. With a backlog and without a recent rejection, it grows to
+// twice the fair rate. Without quotas and with a backlog, it grows beyond that.
 func TestFleetPacingGrowth(t *testing.T) {
 	for _, test := range []struct {
 		name                      string
 		quotas, backlog, rejected bool
-		least, most               float64 // of the fair pacing rate, in the end
+		least, most               float64 // final rate, as a multiple of the fair pacing rate
 	}{
 		{"quotas", true, false, false, 0.99, 1},
 		{"quotas, a backlog", true, true, false, 1.9, 2},
-		{"quotas, a backlog, rejected", true, true, true, 0.99, 1.2}, // what it had when its share was greater
+		{"quotas, a backlog, rejected", true, true, true, 0.99, 1.2}, // above 1: kept from when the share was greater
 		{"no quotas, a backlog", false, true, false, 3.1, 100},
 		{"no quotas", false, false, false, 0.99, 3},
 	} {
@@ -170,7 +171,7 @@
 			}
 			got := growPacing(t, settings, test.backlog, test.rejected)
 			if got < test.least || got > test.most+1e-9 {
-				t.Errorf("%v of the fair pacing rate after a minute of successes, want %v to %v",
+				t.Errorf("%v times the fair pacing rate after a minute of successes, want %v to %v",
 					got, test.least, test.most)
 			}
 		})
@@ -185,7 +186,7 @@
 	scope := h.engine.endpoints["a"].scope
 	h.accept(0, 0)
 	scope.pacingRate /= 2
-	for id := range MessageID(60) { // at the mean rate
+	for id := range MessageID(60) { // one message a second: the mean rate of a relay
 		h.now += time.Second
 		h.accept(id+1, 0)
 		queue := scope.destination.queue
@@ -197,11 +198,11 @@
 			scope.decreasedAt = h.now - 5*time.Second
 		}
 		below := scope.pacingRate < h.engine.fairPacingRate(scope)
-		scope.increasedAt = h.now - maxGrowthSeconds*time.Second // the success stands for as long as one may
+		scope.increasedAt = h.now - maxGrowthSeconds*time.Second // the success counts for the maximum time
 		h.engine.increasePacing(scope)
 		ratio = scope.pacingRate / h.engine.fairPacingRate(scope)
 		if len(settings.Tenants) > 0 && below && scope.pacingRate > h.engine.fairPacingRate(scope) {
-			t.Errorf("one success led from below the fair pacing rate to %v of it", ratio)
+			t.Errorf("one success raised the pacing rate from below the fair rate to %v times the fair rate", ratio)
 		}
 		h.engine.boundPacing(scope, scope.pacingRate)
 		ratio = scope.pacingRate / h.engine.fairPacingRate(scope)
@@ -211,12 +212,13 @@
 }
 
 // After many consecutive rejections, the pacing rate of a relay in a large fleet still allows one call within the
-// deadline of a message, or half of its share.
+// deadline of a message, or half of the relay's share if that is less. It never falls below a twentieth of the
+// share.
 func TestFleetPacingKeepsATrialWithinTheDeadline(t *testing.T) {
 	for _, test := range []struct{ limit, least, most float64 }{
-		{4, 0.019, 0.021}, // with a share of a call in 25 s: half of it
-		{40, 0.08, 0.09},  // of four in 10 s: one within the deadline of twelve seconds
-		{400, 0.19, 0.21}, // of four a second: a twentieth of it
+		{4, 0.019, 0.021}, // share of one call in 25 s: half of the share
+		{40, 0.08, 0.09},  // share of four calls in 10 s: one call within the deadline of 12 s
+		{400, 0.19, 0.21}, // share of four calls a second: a twentieth of the share
 	} {
 		settings := testSettings()
 		settings.FleetSize = 80
--- a/policy/fleetrecovery_test.go
+++ b/policy/fleetrecovery_test.go
@@ -10,15 +10,15 @@
 
 // fleetCase is one run of a fleet of relays against a single endpoint, which fails or rejects calls for a while and
 // then warms up. The checker counts the calls that reach the endpoint from relays that saw a failure or a rejection
-// during the outage, and holds each window since the recovery against the budget. The relays share nothing but the
-// endpoint.
+// during the outage, and compares each overload window since the recovery with the budget. The relays share nothing
+// but the endpoint.
 type fleetCase struct {
 	relays        int
 	limit         float64 // calls a second
-	demand        float64 // messages, as a multiple of the limit
-	failRatio     float64 // of the calls in the outage
-	limitListed   bool    // as the endpoint's weight
-	limitReported bool    // in answers
+	demand        float64 // messages a second, as a multiple of the limit
+	failRatio     float64 // fraction of the calls in the outage that fail
+	limitListed   bool    // the endpoint's weight is the limit
+	limitReported bool    // answers report the limit
 }
 
 func (config fleetCase) String() string {
@@ -30,7 +30,7 @@
 	fleetTick       = 10 * time.Millisecond
 	fleetStartsAt   = time.Minute
 	fleetFailsAt    = fleetStartsAt + 20*time.Second
-	fleetRestartsAt = fleetFailsAt + 7*time.Second // a third of the relays
+	fleetRestartsAt = fleetFailsAt + 7*time.Second // a third of the relays restart
 	fleetRecoversAt = fleetStartsAt + 35*time.Second
 	fleetEndsAt     = fleetRecoversAt + 8*time.Second
 )
@@ -51,16 +51,16 @@
 	}
 }
 
-// fleetSimulation is the endpoint, the relays with their messages, and the records of the checker.
+// fleetSimulation holds the endpoint, the relays with their messages, and the records of the checker.
 type fleetSimulation struct {
 	config        fleetCase
 	rng           *rand.Rand
 	now           time.Duration
 	engines       []*Engine
-	inbox         [][]Event // by relay
+	inbox         [][]Event // events for the next step, by relay
 	scheduled     map[time.Duration][]fleetEvent
-	tokens        float64        // calls that the limit leaves
-	sawFailure    []bool         // by relay: a failure or rejection in the outage
+	tokens        float64        // calls that the limit still allows
+	sawFailure    []bool         // by relay: it saw a failure or rejection in the outage
 	recoveryCalls []recoveryCall // since the recovery
 	nextID        MessageID
 	attempts      map[MessageID]int // by message
@@ -76,7 +76,7 @@
 // recoveryCall is a call after the recovery.
 type recoveryCall struct {
 	at         time.Duration
-	sawFailure bool // of its relay
+	sawFailure bool // the relay that made the call saw one
 }
 
 // start starts a relay, or restarts it.
@@ -125,7 +125,7 @@
 	sim.schedule(relay, 2*fleetTick, event)
 }
 
-// schedule schedules an event for a relay, at the next tick after some time.
+// schedule schedules an event for a relay, at the first tick after the given time.
 func (sim *fleetSimulation) schedule(relay int, after time.Duration, event Event) {
 	at := (sim.now + after + fleetTick - 1) / fleetTick * fleetTick
 	sim.scheduled[at] = append(sim.scheduled[at], fleetEvent{relay, event})
@@ -195,9 +195,9 @@
 	return sim
 }
 
-// overloaded reports whether a window since the recovery overloaded the endpoint: more calls than its budget, with two
-// standard deviations of that for chance, two thirds of them from relays that saw a failure. It also returns the
-// greatest fraction that a window used of the part of these relays.
+// overloaded reports whether any window since the recovery overloaded the endpoint. A window does so if it has more
+// calls than its budget plus two standard deviations, and at least two thirds of them come from relays that saw a
+// failure. It also returns the fraction used of the calls allowed to these relays, the maximum of all windows.
 func (sim *fleetSimulation) overloaded() (overloaded bool, used float64) {
 	settings := fleetSettings(sim.config)
 	initial := settings.WarmUpInitialCapacity
@@ -239,7 +239,7 @@
 				sim := simulateFleet(t, config, seed)
 				overloaded, used := sim.overloaded()
 				if overloaded {
-					t.Errorf("%v, seed %d: overloaded, %.2f used of the part of relays that saw a failure",
+					t.Errorf("%v, seed %d: overloaded: relays that saw a failure used %.2f of their allowed calls",
 						config, seed, used)
 				}
 				if sim.delivered == 0 {
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// Repeated decreases, by counts of few calls a second, once starved scopes whose limit was known.
+// Guards against starving a scope with a known limit by repeated decreases, each based on a count of few calls a
+// second.
 func TestPacingKeepsHalfTheEvenShare(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1, Weight: 20})
 	ep := h.engine.endpoints["a"]
@@ -54,7 +55,8 @@
 	}
 }
 
-// With one call in several seconds a pacing rate once grew thirty times slower than with ten a second.
+// Guards against slow growth where calls are rare. If each success counted the same, a pacing rate would grow
+// thirty times slower with one call in several seconds than with ten calls a second.
 func TestPacingGrowsWithTimeBetweenSuccesses(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 1})
 	scope := h.engine.endpoints["a"].scope
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Requests for quota of other relays.
+// Requests to other relays for quota.
 const (
 	quotaRequestInterval = 100 * time.Millisecond // time between requests while messages wait
-	quotaRequestLead     = 700 * time.Millisecond // time by which a request goes ahead of the calls
+	quotaRequestLead     = 700 * time.Millisecond // time by which a request precedes the calls
 )
 
-// applyGrant applies the quota that other relays grant this one, and the part of its own that it has lent. Granted
-// calls that were not used yet expire with the first grant of them.
+// applyGrant applies the quota that other relays grant to this relay, and the fraction of its own quota that this
+// relay has not lent. If several grants have unused calls, all these calls expire with the grant that expires
+// first.
 func (e *Engine) applyGrant(event *Event) {
 	dest := e.destinations[event.Destination]
 	if dest == nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// addGrant adds granted calls that expire at a time.
+// addGrant adds granted calls that expire at expiresAt, or with an earlier grant that still has unused calls.
 func (scope *limitScope) addGrant(calls int, now, expiresAt time.Duration) {
 	if scope.hasGrant(now) {
 		scope.grantedCalls += calls
@@ -45,14 +46,15 @@
 	scope.grantExpiresAt = expiresAt
 }
 
-// hasGrant reports whether a call may be made beyond the relay's own pacing rate.
+// hasGrant reports whether the scope has a granted call, which may be made in addition to the relay's own pacing
+// rate.
 func (scope *limitScope) hasGrant(now time.Duration) bool {
 	return scope.grantedCalls > 0 && now < scope.grantExpiresAt
 }
 
-// requestQuota asks other relays for calls while messages wait for pacing alone, and returns the time at which to look
-// again. Nothing but pacing blocks the scope from openAt on; the request goes shortly ahead of that, since calls that
-// the recovery budget allows lapse while it is answered.
+// requestQuota requests calls from other relays while messages wait only for pacing, and returns the time at which
+// to check again. From openAt on, nothing but pacing blocks the scope. The request is sent shortly before openAt:
+// calls that the recovery budget allows would lapse while the relay waits for the reply.
 func (e *Engine) requestQuota(scope *limitScope, openAt, pacedAt time.Duration) time.Duration {
 	waiting := len(scope.destination.queue)
 	if !scope.quotaShared || waiting == 0 {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sharingRelay is one of 40 relays that share a limit of 40 calls a second, with a backlog: by itself it makes about a
-// call a second. Its calls are answered with the next step.
+// sharingRelay is one of 40 relays that share a limit of 40 calls a second, with a backlog. Without quota of other
+// relays, it makes about one call a second. Its calls are answered in the next step.
 type sharingRelay struct {
 	*Engine
 	events []Event
@@ -20,7 +20,7 @@
 		},
 		DestinationKinds: []DestinationKind{{MaxBatch: 1}},
 		FleetSize:        40,
-		Tenants:          []Tenant{{Quota: 4000}}, // of which little comes to this relay
+		Tenants:          []Tenant{{Quota: 4000}}, // only little of this traffic arrives at this relay
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -35,8 +35,8 @@
 	return relay
 }
 
-// runFor steps the relay for some time, with events at its beginning. It counts calls and requests for quota, and
-// returns the calls that the last request asked for.
+// runFor steps the relay for some time, with the given events in the first step. It returns the number of calls,
+// the number of requests for quota, and the number of calls that the last request asked for.
 func (relay *sharingRelay) runFor(from, length time.Duration, events ...Event) (calls, requests, requested int) {
 	relay.events = append(relay.events, events...)
 	for now := from; now < from+length; now += 10 * time.Millisecond {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A grant lets a relay make some calls beyond its own pacing rate, for some time; lending slows that rate. A relay asks
-// for quota only where limits are shared, shortly before its calls may be sent.
+// A grant allows a relay some calls beyond its own pacing rate, for a limited time. Lending lowers that rate. A
+// relay requests quota only for shared limits, and shortly before its calls may be sent.
 func TestQuotaGrants(t *testing.T) {
 	const length = 10 * time.Second
 	rejected := func(retryAfter time.Duration) Event {
@@ -111,13 +111,13 @@
 				t.Errorf("%d requests, want %d to %d", requests, test.minRequests, test.maxRequests)
 			}
 			if requests > 0 && requested < 100 {
-				t.Errorf("a request for %d calls, want all that wait", requested)
+				t.Errorf("the last request was for %d calls, want at least 100", requested)
 			}
 		})
 	}
 }
 
-// A relay that lends and borrows goes on from its snapshot as it was.
+// A relay that lends and borrows quota behaves the same after it was restored from its snapshot.
 func TestQuotaGrantsSurviveSnapshots(t *testing.T) {
 	original := newSharingRelay(t)
 	original.runFor(10*time.Second, time.Second,
