--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Expected latencies.
+// Bounds on the latency of an answer.
 const (
-	timeoutDeviations = 6                      // mean deviations above the mean that a timeout allows
+	timeoutDeviations = 6                      // mean deviations above the mean after which an attempt times out
 	overdueDeviations = 4                      // mean deviations above the mean after which an answer is overdue
-	minLatencyBound   = 800 * time.Millisecond // no answer is overdue before this
+	minLatencyBound   = 800 * time.Millisecond // no answer is overdue sooner after its call was sent
 )
 
-// recordLatency updates the mean and the mean deviation of an endpoint's latency, as TCP does for round trips.
+// recordLatency updates the mean and the mean deviation of an endpoint's latency, as TCP does for round-trip times.
 func (e *Engine) recordLatency(ep *endpoint, latency time.Duration) {
 	if ep.latencyMean == 0 {
 		ep.latencyMean = latency
@@ -21,7 +21,8 @@
 	ep.latencyDeviation += (max(difference, -difference) - ep.latencyDeviation) / 4
 }
 
-// latencyBound returns how long an answer of an endpoint may take: its mean latency and some mean deviations.
+// latencyBound returns how long an endpoint may take to answer: its mean latency plus the given number of mean
+// deviations, at least minLatencyBound. Before the first answer it is twice minLatencyBound.
 func (e *Engine) latencyBound(ep *endpoint, deviations int) time.Duration {
 	if ep.latencyMean == 0 {
 		return 2 * minLatencyBound
@@ -29,17 +30,18 @@
 	return max(minLatencyBound, ep.latencyMean+time.Duration(deviations)*ep.latencyDeviation)
 }
 
-// attemptTimeoutAt returns the time at which an attempt times out. It has as long as answers of the endpoint take, and
-// half of the time left at most. A non-idempotent message has no second attempt and waits twice as long; a trial of an
-// ejected endpoint waits least.
+// attemptTimeoutAt returns the time at which an attempt times out. The timeout depends on the endpoint's latency
+// and is usually at most half of the message's time left, so that a second attempt can follow. A non-idempotent
+// message has no second attempt, so its timeout is twice as long. A trial call to an ejected endpoint has the
+// shortest timeout.
 func (e *Engine) attemptTimeoutAt(msg *message, ep *endpoint) time.Duration {
 	objective := msg.class.LatencyObjective
 	timeout := max(e.latencyBound(ep, timeoutDeviations), objective/2)
 	if msg.class.Effect == IdempotentByKey && !msg.class.DedupAllZones {
-		timeout = max(timeout, objective) // few endpoints may take the retry
+		timeout = max(timeout, objective) // only endpoints of one zone may take a retry
 	}
 	if e.settings.MaxInFlightCalls > 0 && 2*e.callsInFlight > e.settings.MaxInFlightCalls {
-		timeout = min(timeout, objective) // calls in flight run short
+		timeout = min(timeout, objective) // more than half of the allowed calls are in flight
 	}
 	if ep.ejected {
 		timeout = objective / 2
@@ -48,7 +50,7 @@
 	if msg.class.Effect == NonIdempotent {
 		return e.now + min(timeLeft, 2*timeout)
 	}
-	// Where half of the time left is less than an answer may take, one attempt has all of it.
+	// If half of the time left is less than an answer may take, one attempt gets all of the time left.
 	if timeLeft/2 >= e.latencyBound(ep, overdueDeviations) {
 		timeLeft /= 2
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// observation is one outcome at an endpoint, as the failure rules see it.
+// observation describes one outcome at an endpoint, as input of the failure rules.
 type observation struct {
 	outcome          Outcome
 	retryAfter       time.Duration
 	sentAt           time.Duration
 	truncated        bool // ended before an answer could be expected
-	connectExhausted bool // no connection, as at a full connection table
+	connectExhausted bool // the connection failed as at a full connection table
 }
 
 // healthChecked applies the outcome of a health check.
@@ -31,7 +31,7 @@
 	e.recheck(ep.scope.destination)
 }
 
-// observeOutcome learns about an endpoint from an outcome.
+// observeOutcome updates the state of an endpoint and its scope with an outcome.
 func (e *Engine) observeOutcome(ep *endpoint, obs observation, latency time.Duration) {
 	if e.now < e.closeIdleUntil[ep.Kind] {
 		e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
@@ -39,7 +39,7 @@
 	switch obs.outcome {
 	case OK:
 		e.recordSuccess(ep, obs.sentAt, latency)
-	case NotSent, Cancelled: // say nothing about the endpoint
+	case NotSent, Cancelled: // no evidence about the endpoint
 	case Overloaded:
 		e.recordRejection(ep, obs)
 		e.applyFailureRules(ep, obs)
@@ -51,8 +51,9 @@
 // recordSuccess records a delivery.
 func (e *Engine) recordSuccess(ep *endpoint, sentAt, latency time.Duration) {
 	scope := ep.scope
-	// A connection table that was full and takes a call again was no outage. Guards against connections that are closed
-	// after every use during an outage of other endpoints: each call of a fleet then costs a handshake.
+	// A delivery after failed connections shows that a connection table was full and that there was no outage. Only
+	// then are connections closed after use. In an outage of other endpoints, closing them would cost the fleet a
+	// handshake for each call.
 	if scope.connectExhaustions > 0 && scope.consecutiveFailures == 0 && e.settings.FleetSize > smallFleetSize {
 		e.closeIdleUntil[ep.Kind] = e.now + connectShortageWindow
 	}
@@ -70,14 +71,15 @@
 	}
 	e.recordDelivery(scope)
 	ep.consecutiveSuccesses++
-	// The delivery of a call that was sent before one that failed at once does not show a recovery.
+	// The delivery of a call that was sent before another call failed at once does not show a recovery.
 	if ep.warmingUp && ep.recoveredAt == 0 && sentAt > ep.lastFailureSentAt {
 		e.startWarmUp(ep)
 	}
 	e.increasePacing(scope)
 }
 
-// endEjection returns an ejected endpoint that has delivered to service.
+// endEjection ends the ejection of an endpoint that has delivered. If no other endpoint of the scope is healthy,
+// the scope restarts at pacingRestartRate.
 func (e *Engine) endEjection(ep *endpoint) {
 	ep.ejected = false
 	ep.ejectedUntil = 0
@@ -87,7 +89,7 @@
 		return other != ep && e.recentlyHealthy(other)
 	})
 	if siblingHealthy {
-		return // the scope was never out, and its pacing rate stays
+		return // the scope as a whole had no outage and keeps its pacing rate
 	}
 	scope.pacingRate = pacingRestartRate
 	scope.tokens = 0
@@ -104,18 +106,19 @@
 	e.suspectOnWeakSignal(ep)
 }
 
-// observeFailure learns about an endpoint from a call that was neither delivered nor rejected.
+// observeFailure updates the state of an endpoint with a call that was neither delivered nor rejected.
 func (e *Engine) observeFailure(ep *endpoint, obs observation, latency time.Duration) {
 	ep.answerLost = ep.answerLost || obs.outcome == Reset
 	if obs.outcome == Timeout || obs.outcome == Reset {
-		// Calls may be lost with the connection that carries them: the next one takes a fresh connection.
+		// The call may have been lost because its connection is broken, so the next call must open a new
+		// connection.
 		e.emit(Action{Kind: CloseIdle, Endpoint: ep.ID})
 		if e.isNoEvidence(ep, obs) {
 			return
 		}
 	}
 	if obs.outcome == Timeout {
-		e.recordLatency(ep, latency+latency/2) // its answer takes longer than the timeout
+		e.recordLatency(ep, latency+latency/2) // the answer takes longer than the timeout
 	}
 	obs.connectExhausted = e.looksConnectExhausted(ep, obs)
 	if e.failedToConnectAtOnce(obs) {
@@ -130,9 +133,10 @@
 	e.applyFailureRules(ep, obs)
 }
 
-// isNoEvidence reports whether a lost call says nothing about the health of its endpoint: a later call was answered, or
-// the endpoint is healthy and either the connection broke or the attempt had less time than an answer takes. Guards
-// against a backlog whose late attempts keep an endpoint suspect for good.
+// isNoEvidence reports whether a lost call is no evidence about the health of its endpoint. This is so if a later
+// call was answered, or if the endpoint is healthy and either the connection broke or the attempt had less time
+// than an answer takes. Otherwise a backlog of messages whose attempts have too little time, close to their
+// deadlines, could keep an endpoint suspect forever.
 func (e *Engine) isNoEvidence(ep *endpoint, obs observation) bool {
 	if ep.lastAnsweredSendAt >= obs.sentAt {
 		return true
@@ -140,12 +144,14 @@
 	return (obs.outcome == Reset || obs.truncated) && e.recentlyHealthy(ep)
 }
 
-// recordFailure counts a failure of an endpoint and of its scope, and makes them suspect.
+// recordFailure counts a failure of an endpoint and of its scope, and marks them as suspect if the failures are
+// sufficient evidence.
 func (e *Engine) recordFailure(ep *endpoint, obs observation) {
 	scope := ep.scope
 	ep.consecutiveFailures++
 	ep.consecutiveRejections = 0
-	// In an outage all calls, or most of them, fail at once. Timeouts between answers are lost calls instead.
+	// In an outage, all or most calls fail at once. Timeouts between answers are lost calls, and are not counted
+	// here.
 	if obs.outcome == Error || obs.outcome == ConnectFailed {
 		ep.recentFailures = ep.recentFailures<<1 | 1
 		scope.lastFailureSentAt = max(scope.lastFailureSentAt, obs.sentAt)
@@ -156,7 +162,7 @@
 	} else {
 		e.suspectWeakly(ep)
 	}
-	// Consecutive failures over all endpoints of a scope show an outage of them all.
+	// Consecutive failures across all endpoints of a scope indicate an outage of all of them.
 	scope.consecutiveFailures++
 	if scope.consecutiveFailures >= ejectAfterFailures {
 		e.suspectScope(ep, obs)
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Timeouts of calls that later ones overtook once ejected endpoints that lost single calls.
+// Guards against ejecting an endpoint that loses single calls: a timeout is no evidence if a later call was
+// answered.
 func TestLostCallIsNoEvidence(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -20,7 +21,7 @@
 	}
 }
 
-// Scattered resets once put healthy endpoints under the recovery budget.
+// Guards against scattered resets that put a healthy endpoint under the recovery budget.
 func TestResetAtAHealthyEndpointIsNoEvidence(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
--- a/policy/scope.go
+++ b/policy/scope.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// limitScope is the set of endpoints that share a rate limit, a Retry-After time and their outages: all endpoints of a
-// destination, or a single one where its kind has a limit per endpoint.
+// limitScope is the set of endpoints that share a rate limit, a Retry-After time and outages: all endpoints of a
+// destination, or a single endpoint if the destination's kind has a limit per endpoint.
 type limitScope struct {
 	destination *destination
 	endpoints   []*endpoint // in the order of selection
@@ -14,7 +14,7 @@
 	kind        int
 
 	retryAfterUntil time.Duration // no call before this: a Retry-After is in force
-	inFlight        int           // calls
+	inFlight        int           // calls in flight
 
 	// Pacing, see pacing.go.
 	pacingRate       float64 // calls a second; 0: not paced
@@ -23,7 +23,7 @@
 	increasedAt      time.Duration
 	tokens           float64
 	tokensUpdatedAt  time.Duration
-	recentSends      []time.Duration // calls of the last second
+	recentSends      []time.Duration // send times of the calls of the last second
 
 	// Capacity, see capacity.go.
 	reportedLimit  float64 // calls a second; 0: not reported
@@ -31,57 +31,58 @@
 	deliveryRateAt time.Duration
 
 	// Health, see outcome.go and slowstart.go.
-	recoveryTokens      float64 // calls that suspect endpoints may take, as of recoveryUpdatedAt; one at most
+	recoveryTokens      float64 // calls that suspect endpoints may take, as of recoveryUpdatedAt; overdue ones lapse
 	recoveryUpdatedAt   time.Duration
-	lastFailureSentAt   time.Duration // latest send of a call that failed at once
+	lastFailureSentAt   time.Duration // latest send time of a call that failed at once or was rejected
 	suspectRemovedAt    time.Duration // last removal of a suspect endpoint; in the distant past if none
-	consecutiveFailures int           // over all endpoints
-	connectExhaustions  int           // connections that failed as at a full table, since the last delivery
+	consecutiveFailures int           // over all endpoints of the scope
+	connectExhaustions  int           // connections that failed as at a full connection table since the last delivery
 
 	// Quota lent and borrowed, see quota.go.
-	quotaShared      bool          // other relays may use a part of this one's share, and it of theirs
-	reservedFraction float64       // of the even share that is not lent
-	grantedCalls     int           // calls that may be made beyond it
-	grantExpiresAt   time.Duration // and until when
+	quotaShared      bool          // this relay and the others lend each other parts of their shares
+	reservedFraction float64       // fraction of this relay's even share that is not lent
+	grantedCalls     int           // granted calls left, in addition to this relay's share
+	grantExpiresAt   time.Duration // when the granted calls expire
 	quotaRequestedAt time.Duration
 }
 
-// endpoint is an entry of the endpoint list with its state. There may be very many: small fields stand side by side.
+// endpoint is an entry of the endpoint list with its state. There may be very many endpoints, so small fields are
+// placed next to each other to save memory.
 type endpoint struct {
 	Endpoint
 	scope      *limitScope
-	tieBreaker uint64  // orders equal endpoints
+	tieBreaker uint64  // random; orders endpoints that are otherwise equal
 	calls      []*call // in flight, in the order in which they were sent
 
 	// Ejection, see ejection.go.
-	ejectedUntil time.Duration // messages pass it by before this
-	ejectionTime time.Duration // length of the last ejection; 0 if it has delivered since
+	ejectedUntil time.Duration // no message is sent to the endpoint before this
+	ejectionTime time.Duration // length of the last ejection; 0 if the endpoint has delivered since
 	ejected      bool          // was ejected, and has delivered nothing since
 
 	// Suspicion and recovery, see suspicion.go and slowstart.go.
 	warmingUp            bool          // suspect: may be in an outage, or is coming back from one
-	weaklySuspected      bool          // on the evidence of one failure: one delivery clears it
-	lastFailureSentAt    time.Duration // the scope's, when the endpoint became suspect
-	recoveredAt          time.Duration // first delivery of a call sent after that, while warming up; 0: none yet
+	weaklySuspected      bool          // suspect on weak evidence, such as one failure: one delivery may clear it
+	lastFailureSentAt    time.Duration // that of the scope when the endpoint became suspect
+	recoveredAt          time.Duration // first delivery, while warming up, of a call sent later than that; 0: none
 	consecutiveSuccesses int           // since the endpoint became suspect
 
 	// Outcomes, see outcome.go.
 	consecutiveFailures   int
-	answerLost            bool          // an answer was lost, and none came since
-	recentFailures        uint8         // last 8 deliveries, errors and failed connections; failures have their bit set
-	consecutiveRejections int           // since the last answer of another kind
-	firstRejectedAt       time.Duration // the first of them
+	answerLost            bool          // a connection broke before the answer, and no delivery followed
+	recentFailures        uint8         // last 8 deliveries, errors and failed connections, a bit each; 1: failure
+	consecutiveRejections int           // since the last delivery or failure
+	firstRejectedAt       time.Duration // time of the first of these rejections
 	lastSuccessAt         time.Duration
-	lastAnsweredSendAt    time.Duration // latest send that was answered
+	lastAnsweredSendAt    time.Duration // latest send time of a call that was delivered
 
 	latencyMean      time.Duration
-	latencyDeviation time.Duration // mean deviation
+	latencyDeviation time.Duration // mean deviation from latencyMean
 }
 
-// recentlyHealthyWindow is the time for which one delivery shows that an endpoint is up.
+// recentlyHealthyWindow is the time after a delivery for which an endpoint counts as healthy.
 const recentlyHealthyWindow = 3 * time.Second
 
-// recentlyHealthy reports whether an endpoint has delivered of late.
+// recentlyHealthy reports whether an endpoint has delivered within recentlyHealthyWindow.
 func (e *Engine) recentlyHealthy(ep *endpoint) bool {
 	return ep.lastSuccessAt > 0 && e.now-ep.lastSuccessAt < recentlyHealthyWindow
 }
@@ -91,8 +92,8 @@
 	return slices.ContainsFunc(scope.endpoints, func(ep *endpoint) bool { return ep.warmingUp })
 }
 
-// retryAfter blocks the scope until the given time, unless it is blocked for longer. It holds for all messages, not
-// only for the one whose answer carried the Retry-After.
+// retryAfter blocks the scope until the given time, unless it is already blocked for longer. The block applies to
+// all messages, not only to the one whose answer carried the Retry-After.
 func (scope *limitScope) retryAfter(until time.Duration) {
 	scope.retryAfterUntil = max(scope.retryAfterUntil, until)
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// never is the time of what only an outcome or a change of the endpoint list can bring about.
+// never stands for a time that is not known, since only an outcome or a change of the endpoint list can allow the
+// call.
 const never time.Duration = math.MaxInt64
 
-// smallFleetSize is the largest number of relays that is a small fleet. All of them fit any connection table, and each
-// sees enough of an endpoint by itself: they need no spread over equal endpoints and no caution for the others' sake.
+// smallFleetSize is the largest number of relays in a small fleet. The connections of so few relays fit any
+// connection table, and each relay makes enough calls to an endpoint to detect its limit and its outages by itself.
+// Such relays need neither spread their calls over equal endpoints nor call less for the sake of the other relays.
 const smallFleetSize = 6
 
-// Bounds on the calls in flight to one place, out of Settings.MaxInFlightCalls. They keep silent or very slow endpoints
-// from taking all of them before any attempt times out.
+// Bounds on the calls in flight to one scope or endpoint. They keep silent or very slow endpoints from taking all
+// of Settings.MaxInFlightCalls before any attempt times out.
 const (
-	maxScopeInFlightRatio = 0.4 // of them, to one scope
-	minScopeInFlight      = 2   // calls that a scope may always have
-	overdueCallsDivisor   = 4   // one in so many may be overdue at an endpoint, ejectAfterFailures at most
+	maxScopeInFlightRatio = 0.4 // fraction of MaxInFlightCalls for one scope
+	minScopeInFlight      = 2   // calls in flight that a scope may always have
+	overdueCallsDivisor   = 4   // MaxInFlightCalls/4 overdue calls saturate an endpoint, or ejectAfterFailures if less
 )
 
-// sortEndpoints puts the endpoints and scopes of a destination in their order of selection: higher weight, lower fee,
-// then a tie-breaker that each relay draws by itself. Guards against hundreds of relays that all load the first of
-// several equal endpoints.
+// sortEndpoints sorts the endpoints and scopes of a destination in the order of selection: higher weight, lower
+// cost, then a tie-breaker that each relay draws at random. Without the tie-breaker, hundreds of relays would all
+// load the first of several equal endpoints.
 func (e *Engine) sortEndpoints(dest *destination) {
 	for _, scope := range dest.scopes {
 		slices.SortFunc(scope.endpoints, e.compareEndpoints)
@@ -49,7 +51,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// zoneCost returns the fee of a call to an endpoint, which depends on its zone.
+// zoneCost returns the cost of a call to an endpoint, which depends on the endpoint's zone.
 func (e *Engine) zoneCost(ep *endpoint) float64 {
 	if ep.scope.perEndpoint && ep.Zone >= 0 && ep.Zone < len(e.settings.ZoneCosts) {
 		return e.settings.ZoneCosts[ep.Zone]
@@ -57,9 +59,10 @@
 	return 0
 }
 
-// selectEndpoint returns the first endpoint in order that takes a message now; else nil and the time at which one may.
-// Endpoints that share a scope are one tier, in which the one with the fewest calls in flight goes first. An endpoint
-// that failed this message last, or whose calls are overdue, is taken only if no other is left.
+// selectEndpoint returns the first endpoint, in the order of selection, that takes a message now. If none does, it
+// returns nil and the time at which one may. Endpoints that share a scope form one tier, in which the endpoint with
+// the fewest calls in flight is preferred. The endpoint at which this message failed last, and endpoints with
+// overdue calls, are selected only if no other endpoint takes the message.
 func (e *Engine) selectEndpoint(msg *message) (*endpoint, time.Duration) {
 	var fallback *endpoint
 	soonest := never
@@ -83,13 +86,14 @@
 	return fallback, soonest
 }
 
-// takesMessageAt returns the time at which an endpoint may take a message, as things stand.
+// takesMessageAt returns the time at which an endpoint may take a message, given the current state.
 func (e *Engine) takesMessageAt(msg *message, ep *endpoint) time.Duration {
 	at := e.attemptAllowedAt(msg, ep)
 	if msg.deadline-e.now < ep.latencyMean {
 		return never // too little time is left for an answer
 	}
-	// A non-idempotent message is lost with a failed attempt: others try an ejected endpoint first.
+	// A non-idempotent message has no retry after an attempt that may have run, so other messages try an ejected
+	// endpoint first.
 	if ep.ejected && msg.class.Effect == NonIdempotent {
 		at = max(at, msg.deadline-(msg.deadline-msg.objectiveAt)/2)
 	}
@@ -99,8 +103,8 @@
 	return max(at, e.acceptsCallAt(ep))
 }
 
-// acceptsCallAt returns the time at which an endpoint takes its next call, by its scope, its ejection and its pacing;
-// never if only an outcome can change that.
+// acceptsCallAt returns the time at which an endpoint takes its next call, given the state of its scope, its
+// ejection and its pacing. It returns never if only an outcome or a change of the endpoint list can allow a call.
 func (e *Engine) acceptsCallAt(ep *endpoint) time.Duration {
 	trialInFlight := ep.ejected && len(ep.calls) > 0
 	if !ep.InService || ep.Removed || trialInFlight || e.saturated(ep) {
@@ -122,9 +126,10 @@
 	return e.requestQuota(scope, at, pacedAt)
 }
 
-// saturated reports whether an endpoint or its scope has too many calls in flight. Guards against silent or very slow
-// endpoints that would take all calls in flight before any attempt times out: while the oldest calls are overdue, only
-// a few may be out. Overload of the whole fleet looks the same; it ends with the first answer.
+// saturated reports whether an endpoint or its scope has too many calls in flight. Silent or very slow endpoints
+// could otherwise use up all calls in flight before any attempt times out: an endpoint whose oldest calls are
+// overdue may have only a few calls in flight. An overload of the whole fleet makes calls overdue in the same way,
+// and the first answer ends that state.
 func (e *Engine) saturated(ep *endpoint) bool {
 	limit := e.settings.MaxInFlightCalls
 	if limit <= 0 {
@@ -136,7 +141,8 @@
 	return e.hasOverdueCalls(ep, min(ejectAfterFailures, max(1, limit/overdueCallsDivisor)))
 }
 
-// hasOverdueCalls reports whether n calls of an endpoint are overdue, and none is answered that was sent later.
+// hasOverdueCalls reports whether at least n calls of an endpoint are overdue, and no call that was sent later was
+// delivered.
 func (e *Engine) hasOverdueCalls(ep *endpoint, n int) bool {
 	if len(ep.calls) < n {
 		return false
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -16,14 +16,14 @@
 	for range 3 {
 		got = append(got, firstSend(h.finish(1, got[len(got)-1], Overloaded, 10*ms, 0)))
 	}
-	// Each rejection leaves its scope paced and without tokens, so the message moves on.
-	slices.Sort(got[1:3]) // equal endpoints are in the order of their tie-breakers
+	// Each rejection leaves its scope paced and without tokens, so the message goes to the next endpoint.
+	slices.Sort(got[1:3]) // the order of the equal endpoints b and c is not checked
 	if want := []string{"z", "b", "c", "a"}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
 }
 
-// Hundreds of relays once loaded the first of several equal endpoints while the others idled.
+// Guards against a fleet whose relays all call the first of several equal endpoints while the others are idle.
 func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(60) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,8 @@
 	h.engine.now = h.now
 	h.engine.suspect(ep)
 	ep.scope.recoveryTokens = 0
-	// Two thirds of an overload at the window's end, 2*0.36*5*2 calls, less half a call, in a window that lapses late.
+	// The rate is two thirds of the calls that overload the endpoint at the end of the window, 2*0.36*5*2, less
+	// half a call. It is spread over the window and the time after which calls lapse.
 	rate := (recoveryPushRatio*2*0.36*5*2 - 0.5) / (2 * (1 + recoveryLapseRatio)) * (1 - ownDeliveryRatio)
 	if got, want := h.engine.recoveryBudgetAt(ep), h.now+callInterval(rate); got != want {
 		t.Errorf("next call at %v, want %v", got, want)
@@ -23,7 +24,7 @@
 	}
 }
 
-// Relays that got a Retry-After once all called at its end: their recovery budgets had filled meanwhile.
+// Guards against relays that all call at the end of a Retry-After, since their recovery budgets filled during it.
 func TestRetryAfterSavesNoRecoveryTokens(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 400
@@ -52,7 +53,7 @@
 	}
 }
 
-// Calls saved up by hundreds of relays through a long outage once went out together at its end.
+// Guards against hundreds of relays that save up calls during a long outage and make them together at its end.
 func TestDueRecoveryCallsLapse(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, Endpoint{ID: "a", Kind: 1, Weight: 4})
@@ -75,7 +76,8 @@
 	}
 }
 
-// Under loss without resets, each timeout once restarted the warm-up of an endpoint that went on answering.
+// Guards against a warm-up that starts again with each timeout, while the endpoint still answers other calls. This
+// happens if calls are lost without a reset of their connections.
 func TestTimeoutsBetweenAnswersKeepTheWarmUp(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	ep := h.engine.endpoints["a"]
@@ -100,13 +102,13 @@
 	}
 }
 
-// The answer to a call that was sent before one that failed at once starts no warm-up; that to a later call does, and
-// that to any call after a lost one.
+// The answer to a call that was sent before another call failed at once does not start the warm-up. The answer to a
+// call sent later does. After a lost call, the answer to any call does.
 func TestAnswersToEarlierCallsStartNoWarmUp(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome Outcome
-		sent    time.Duration // of the answered call, after the failed ones
+		sent    time.Duration // of the answered call, relative to the failed calls
 		starts  bool
 	}{
 		{"error", Error, -time.Second, false},
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -2,13 +2,14 @@
 
 // Evidence that makes an endpoint suspect.
 const (
-	suspectAfterFailures       = 2   // consecutive failures after which an endpoint may be in an outage
-	suspectAfterRecentFailures = 3   // failures among the last 8 outcomes after which it may be in one
-	sparseOutageRejections     = 2   // consecutive rejections that do so at a relay with a sparse share
-	weakSignalProbability      = 0.6 // with which one rejection, or a connection that failed at once, does so
+	suspectAfterFailures       = 2   // consecutive failures that make an endpoint suspect
+	suspectAfterRecentFailures = 3   // failures among the last 8 outcomes that make it suspect
+	sparseOutageRejections     = 2   // consecutive rejections that make it suspect (large fleet or sparse share)
+	weakSignalProbability      = 0.6 // probability that a rejection or an immediate connection failure makes it suspect
 )
 
-// suspect makes an endpoint take calls from the recovery budget only, until it has recovered and warmed up.
+// suspect marks an endpoint as suspect: it takes calls from the recovery budget only, until it has recovered and
+// warmed up.
 func (e *Engine) suspect(ep *endpoint) {
 	scope := ep.scope
 	if !scope.hasSuspect() {
@@ -24,15 +25,16 @@
 	ep.lastFailureSentAt = scope.lastFailureSentAt
 }
 
-// suspectScope makes all endpoints suspect that share the scope of one.
+// suspectScope marks all endpoints of an endpoint's scope as suspect.
 func (e *Engine) suspectScope(ep *endpoint, _ observation) {
 	for _, other := range ep.scope.endpoints {
 		e.suspect(other)
 	}
 }
 
-// suspectWeakly makes an endpoint suspect until its next delivery, where this relay's share is less than a call in an
-// overload window. Guards against hundreds of relays that saw one failure each, and overload the endpoint together.
+// suspectWeakly marks an endpoint as suspect on weak evidence, which the next delivery may clear, if this relay's
+// share is less than one call in an overload window. Otherwise hundreds of relays that saw one failure each could
+// together overload the endpoint.
 func (e *Engine) suspectWeakly(ep *endpoint) {
 	if ep.warmingUp || !e.hasSparseShare(ep.scope) {
 		return
@@ -41,11 +43,12 @@
 	ep.weaklySuspected = true
 }
 
-// suspectOnWeakSignal takes two rejections some time apart for a sign of an outage. Where this relay's share is less
-// than a call in a warm-up, it takes one rejection, or a connection that failed as at a full table, for one by chance.
-// Guards against many relays that have seen one failure each and all come back together. Most rejections are those of a
-// limit, so some relays must come back: those that do are under two thirds, while they come less than five times as
-// often as others.
+// suspectOnWeakSignal treats two rejections some time apart as a sign of an outage. If this relay's share is less
+// than one call in a warm-up, it also treats a single rejection, or a connection that failed as at a full
+// connection table, as such a sign, with a probability of weakSignalProbability. Otherwise many relays that saw one
+// failure each would all resume their calls at the same time. Most rejections are caused by a limit, however, so
+// some of these relays must resume. They make less than two thirds of all calls as long as each of them calls less
+// than five times as often as the other relays.
 func (e *Engine) suspectOnWeakSignal(ep *endpoint) {
 	repeated := ep.consecutiveRejections >= sparseOutageRejections && e.now-ep.firstRejectedAt >= minOutageRejectionTime
 	if repeated && e.settings.FleetSize > smallFleetSize && !e.hasSparseShare(ep.scope) {
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// One relay of hundreds may see a single failure of an outage: that is enough to suspect it, and one delivery clears
-// it.
+// In a fleet of hundreds of relays, a relay may see only a single failure of an outage. This is enough to make the
+// endpoint suspect, and one delivery clears the suspicion.
 func TestSparseShareSuspectsOnOneFailure(t *testing.T) {
 	for _, test := range []struct {
 		relays  int
@@ -28,7 +28,8 @@
 	}
 }
 
-// Hundreds of relays that a destination had rejected twice each, in an outage, once overloaded it together.
+// Guards against relays that together overload a destination after it rejected two calls of each relay in an
+// outage.
 func TestSparseShareSuspectsOnTwoRejections(t *testing.T) {
 	for _, test := range []struct {
 		relays    int
@@ -36,9 +37,9 @@
 		suspect   bool
 	}{
 		{20, minOutageRejectionTime, 0, true},
-		{20, minOutageRejectionTime - ms, 0, false},  // a burst of calls: over by then
+		{20, minOutageRejectionTime - ms, 0, false},  // too close together: a burst of calls
 		{20, minOutageRejectionTime, 500 * ms, true}, // outages send a Retry-After too
-		{10, minOutageRejectionTime, 0, true},        // more than a call in an overload window: a warm-up follows
+		{10, minOutageRejectionTime, 0, true},        // share above a call in an overload window: a warm-up follows
 		{1, minOutageRejectionTime, 0, false},
 	} {
 		settings := testSettings()
@@ -55,21 +56,21 @@
 	}
 }
 
-// Hundreds of relays that were rejected once in an outage, or had one connection fail in a crash, once overloaded the
-// destination together as it came back. Most of them suspect it now; where each sees more calls of an endpoint, none
-// does yet.
+// Guards against hundreds of relays that together overload a destination when it recovers, after one rejection each
+// in an outage or one failed connection each in a crash. Most of them must suspect the endpoint. In smaller fleets,
+// where each relay makes more calls to an endpoint, no relay may suspect it yet.
 func TestWeakSignalsSuspectByChance(t *testing.T) {
 	for _, test := range []struct {
 		relays      int
 		outcome     Outcome
 		healthy     bool
-		least, most int // suspect, of 200
+		least, most int // relays that suspect the endpoint, of 200
 	}{
 		{400, Overloaded, false, 100, 140},
 		{400, ConnectFailed, false, 100, 140},
-		{400, Overloaded, true, 0, 0}, // it has answered of late
+		{400, Overloaded, true, 0, 0}, // the endpoint has delivered recently
 		{3, Overloaded, false, 0, 0},
-		{20, Overloaded, false, 0, 0}, // its share is more than a call in a warm-up
+		{20, Overloaded, false, 0, 0}, // each share is more than a call in a warm-up
 	} {
 		settings := testSettings()
 		settings.FleetSize = test.relays
@@ -99,7 +100,7 @@
 	}
 }
 
-// A replacement that was listed during an outage once got calls at the full rate.
+// Guards against calls at the full rate to a replacement endpoint that is listed during an outage.
 func TestReplacementInheritsSuspicion(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a"})
 	for id := range MessageID(3) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// A Retry-After that shows an outage, at one endpoint, makes all endpoints of its scope suspect: at its end all of them
-// take calls from the recovery budget.
+// A Retry-After of one endpoint that indicates an outage makes all endpoints of its scope suspect. When it ends,
+// all of them take calls from the recovery budget only.
 func TestOutageSuspectsTheWholeScope(t *testing.T) {
 	settings := testSettings()
 	settings.WarmUpDuration = 20 * time.Second
@@ -128,8 +129,8 @@
 	}
 }
 
-// One delivery clears the weak suspicion of a relay whose share is less than a call in a warm-up; at others it starts
-// the warm-up.
+// One delivery clears the weak suspicion of a relay whose share is less than one call in a warm-up. At other
+// relays, it starts the warm-up.
 func TestOneDeliveryClearsWeakSuspicion(t *testing.T) {
 	for _, test := range []struct {
 		limit   float64
