--- a/policy/message.go
+++ b/policy/message.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// message is a message that is pending, or that has ended with attempts still in flight.
+// message holds the state of a message that is pending, or that has ended while attempts are still in flight.
 type message struct {
 	id          MessageID
 	class       *Class
 	destination *destination
-	keyQueue    *keyQueue     // of its ordering key; nil if it has none
-	objectiveAt time.Duration // the latency objective is met until then
+	keyQueue    *keyQueue     // queue of its ordering key; nil without one
+	objectiveAt time.Duration // a delivery up to this time meets the latency objective
 	deadline    time.Duration
-	queueRank   time.Duration // place in the queue: lower goes first
+	queueRank   time.Duration // position in the queue: the lowest is sent first
 	queued      bool
-	ended       bool // has its final answer
+	ended       bool // has its final answer, or was cancelled
 	recovered   bool // was accepted by an earlier process
 
 	attempts           int
 	maxAttempts        int // 0: no limit
 	inFlight           []attempt
 	lastFailedEndpoint *endpoint // of the last attempt that failed
-	timeouts           int       // attempts without an answer; used by no decision, and part of the snapshot's format
+	timeouts           int       // attempts without an answer; used by no decision, kept for the snapshot format
 
 	mayHaveRun   bool          // an attempt may have run
-	firstRunAt   time.Duration // send of the first of those
-	firstRunZone int           // and its zone
+	firstRunAt   time.Duration // send time of the first attempt that may have run
+	firstRunZone int           // zone of that attempt's endpoint
 }
 
-// rejectOrFail gives a message its final answer: a rejection if the client may safely retry, else a failure. A message
-// without a further attempt gets it at once, not at its deadline: its client can use the time.
+// rejectOrFail gives a message its final answer: a rejection if the client may safely retry, else a failure. A
+// message that can have no further attempt gets its final answer at once, not at its deadline, so that its client
+// can use the remaining time.
 func (e *Engine) rejectOrFail(msg *message) {
 	if e.mayReject(msg) {
 		e.reject(msg)
@@ -39,15 +40,15 @@
 	e.fail(msg)
 }
 
-// reject ends a message for which mayReject holds. Its Retry-After reaches to the time at which an endpoint may take a
-// retry.
+// reject ends a message for which mayReject returns true. The Retry-After that the client gets covers those of all
+// scopes of the destination, up to Settings.MaxRetryAfter.
 func (e *Engine) reject(msg *message) {
 	retryAfter := MinRetryAfter
 	for _, scope := range msg.destination.scopes {
 		retryAfter = max(retryAfter, scope.retryAfterUntil-e.now)
 	}
 	e.emit(Action{Kind: Reject, MessageID: msg.id, Delay: min(retryAfter, e.settings.MaxRetryAfter)})
-	// The client may retry here or at another relay, and the message counts there.
+	// If the client retries, this or another relay counts the message then.
 	e.acceptedTraffic.level = max(0, e.acceptedTraffic.level-1)
 	e.finishMessage(msg)
 }
@@ -58,7 +59,7 @@
 	e.finishMessage(msg)
 }
 
-// finishMessage ends a message that needs no further answer.
+// finishMessage ends a message that has its final answer, or whose client has cancelled it.
 func (e *Engine) finishMessage(msg *message) {
 	if !msg.ended {
 		msg.ended = true
@@ -68,7 +69,8 @@
 	e.releaseMessage(msg)
 }
 
-// releaseMessage drops an ended message once its attempts have their outcomes. The next message of its key may go then.
+// releaseMessage removes an ended message once all its attempts have their outcomes. The next message with the same
+// ordering key may then be sent.
 func (e *Engine) releaseMessage(msg *message) {
 	if !msg.ended || len(msg.inFlight) > 0 {
 		return
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -5,8 +5,8 @@
 // keyQueue orders the messages of one ordering key: each waits until the one before it is released.
 type keyQueue struct {
 	key         string
-	messages    []*message    // as accepted; only the first may be sent
-	pausedUntil time.Duration // no first attempt before this: an earlier one may still run
+	messages    []*message    // in order of acceptance; only the first may be sent
+	pausedUntil time.Duration // no message's first attempt before this: an attempt of an earlier message may still run
 	expiring    bool          // in Engine.expiringKeyQueues
 }
 
@@ -21,12 +21,13 @@
 	msg.keyQueue = queue
 }
 
-// pause blocks the first attempts of a key until the given time, unless they are blocked for longer.
+// pause blocks the first attempts of the key's messages until the given time, unless they are already blocked for
+// longer.
 func (queue *keyQueue) pause(until time.Duration) {
 	queue.pausedUntil = max(queue.pausedUntil, until)
 }
 
-// startExpiry keeps an empty queue for its pause alone.
+// startExpiry schedules the removal of an empty queue for the end of its pause.
 func (e *Engine) startExpiry(queue *keyQueue) {
 	if !queue.expiring {
 		queue.expiring = true
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -32,8 +32,8 @@
 	dest := msg.destination
 	i := sort.Search(len(dest.queue), func(i int) bool { return !precedes(dest.queue[i], msg) })
 	if len(dest.queue) > maxQueueScan && i < len(dest.queue)/2 {
-		// Most messages leave at the front. Guards against a long queue that is moved for each of its messages, as when
-		// all of them miss their latency objectives.
+		// Most messages leave at the front. Moving the shorter front part avoids moving the rest of a long queue
+		// for each of its messages, for example when all of them miss their latency objectives.
 		copy(dest.queue[1:i+1], dest.queue[:i])
 		dest.queue[0] = nil
 		dest.queue = dest.queue[1:]
@@ -45,7 +45,7 @@
 	}
 }
 
-// deactivate takes a destination out of the active ones; the last of them takes its place.
+// deactivate removes a destination from the active ones. The last active destination moves to its index.
 func (e *Engine) deactivate(dest *destination) {
 	last := e.active[len(e.active)-1]
 	e.active[dest.activeIndex-1] = last
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A long queue stays in place when its first message leaves. Moved for each of its messages, as when all that a restart
-// finds miss their latency objectives, it takes time by the square of its length. The order stays in any case.
+// Removing the first message must not move the rest of a long queue. Otherwise, the time to remove all messages is
+// quadratic in the length of the queue, for example when all messages that a restart recovers miss their latency
+// objectives. Removing a message from any place must keep the order.
 func TestDequeueAtTheFrontMovesNothing(t *testing.T) {
 	class := Class{Effect: Idempotent, LatencyObjective: 3 * time.Second, Deadline: 16 * time.Second}
 	engine, err := New(Settings{Classes: []Class{class}}, 1)
@@ -39,7 +40,7 @@
 		engine.dequeue(left[i])
 		left = slices.Delete(left, i, i+1)
 		if !slices.Equal(dest.queue, left) {
-			t.Fatalf("another order with %d left", len(left))
+			t.Fatalf("wrong order with %d messages left", len(left))
 		}
 	}
 }
--- a/policy/restart.go
+++ b/policy/restart.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// recoverMessage gives a message what an earlier process knew of it, so that the rules hold across a restart. A backlog
-// is not sent all at once: pacing rates start at this relay's fair share, in a large fleet with the spread of first
-// calls.
+// recoverMessage restores what an earlier process recorded about a message, so that the rules hold across a
+// restart. A backlog is not sent all at once: pacing rates start at this relay's fair share. In a large fleet, the
+// first calls are also spread over MaxInitialSpread.
 func (e *Engine) recoverMessage(msg *message, recovered *RecoveredMessage) {
 	if recovered == nil {
 		return
@@ -15,7 +15,7 @@
 		e.recordFirstRun(msg, e.now-recovered.SinceFirstRun, recovered.FirstRunZone)
 	}
 	if e.attemptsExhausted(msg) {
-		e.addDeadline(e.now, msg) // ends in this step
+		e.addDeadline(e.now, msg) // gets its final answer in this step
 	}
 	if msg.keyQueue != nil && recovered.MayHaveRun {
 		// A call that was in flight when the process ended may still run.
@@ -26,8 +26,8 @@
 	}
 }
 
-// paceBacklog gives a scope that is not paced yet the pacing rate for a recovered backlog. Where no limit is known, the
-// rate is such that all messages go out in half of the time left.
+// paceBacklog sets the pacing rate of a scope that is not paced yet, for a recovered backlog. If no limit is known,
+// the rate is high enough to send all messages of the destination in half of this message's time left.
 func (e *Engine) paceBacklog(scope *limitScope, msg *message) {
 	if scope.pacingRate == 0 && e.isLargeFleet(scope) {
 		e.initializePacing(scope)
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// restartMessage is a message that a restart finds, and what became of it.
+// restartMessage is a message that a restart recovers, and its fate after the restart.
 type restartMessage struct {
 	id          MessageID
 	destination DestinationID
-	untried     bool
+	untried     bool // no attempt was made before the restart
 	timeLeft    time.Duration
-	sentAfter   time.Duration // since the restart; -1: never
+	sentAfter   time.Duration // first attempt, since the restart; -1: never
 	endedAfter  time.Duration // since the restart, by a rejection or failure; -1: never
 	rejected    bool
 }
@@ -24,7 +24,7 @@
 	settings      Settings
 	initialEvents []Event
 	endpoints     []Endpoint
-	lateEndpoints []Endpoint // those listed after lateAfter only
+	lateEndpoints []Endpoint // those listed only after lateAfter
 	lateAfter     time.Duration
 	messages      []*restartMessage
 	inService     map[DestinationID]bool   // destinations with an endpoint in service
@@ -36,7 +36,7 @@
 func randomRestart(seed uint64, recovered bool) *restartCase {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	settings := randomSettings(rng)
-	settings.Classes = slices.Clone(settings.Classes[:3]) // ordering has tests of its own
+	settings.Classes = slices.Clone(settings.Classes[:3]) // ordering has its own tests
 	settings.FleetSize = []int{1, 2, 6, 7, 80, 300}[rng.IntN(6)]
 	settings.IgnoreWeights = rng.IntN(3) == 0
 	settings.ApproximateWeights = rng.IntN(3) == 0
@@ -53,7 +53,7 @@
 	restart.addEndpoints(rng)
 	restart.addMessages(rng, recovered)
 	if len(restart.messages) > 10 && rng.IntN(3) == 0 {
-		restart.settings.MaxPendingMessages = len(restart.messages) // the relay starts at the maximum
+		restart.settings.MaxPendingMessages = len(restart.messages) // the relay starts at this maximum
 	}
 	return restart
 }
@@ -87,7 +87,7 @@
 	restart.initialEvents = append([]Event{snapshot}, health...)
 }
 
-// randomHealth draws what is known of an endpoint: mostly nothing.
+// randomHealth draws the health checks of an endpoint: in most cases none.
 func (restart *restartCase) randomHealth(rng *rand.Rand, entry Endpoint) (events []Event) {
 	checked := Event{Kind: HealthChecked, Endpoint: entry.ID}
 	switch rng.IntN(8) {
@@ -111,7 +111,7 @@
 	return events
 }
 
-// addMessages draws the messages that the restart finds.
+// addMessages draws the messages that the relay starts with. If recovered is set, an earlier process accepted them.
 func (restart *restartCase) addMessages(rng *rand.Rand, recovered bool) {
 	for id := range MessageID(1 + rng.IntN(60)) {
 		classIndex := rng.IntN(len(restart.settings.Classes))
@@ -145,7 +145,7 @@
 	}
 }
 
-// restartRun is a relay that goes on from what a restart finds, at endpoints that deliver everything.
+// restartRun is a relay after a restart, with endpoints that deliver every call.
 type restartRun struct {
 	restart  *restartCase
 	engine   *Engine
@@ -153,7 +153,7 @@
 	messages map[MessageID]*restartMessage
 	answers  []pendingEvent
 	calls    map[DestinationID]int // by destination
-	listed   bool                  // the late endpoints
+	listed   bool                  // the late endpoints are listed
 }
 
 const (
@@ -161,7 +161,8 @@
 	restartLatency = 40 * ms
 )
 
-// run runs a relay until the time of all messages is up. It counts the calls to each destination.
+// run runs a relay until all messages have passed their deadlines. It returns the number of calls to each
+// destination.
 func (restart *restartCase) run(t *testing.T, seed uint64) (calls map[DestinationID]int) {
 	t.Helper()
 	engine, err := New(restart.settings, seed)
@@ -228,7 +229,7 @@
 	return next
 }
 
-// dueEvents returns the answers that are due, and the late endpoints when they are listed.
+// dueEvents returns the answers that are due and, at their time, the event that lists the late endpoints.
 func (run *restartRun) dueEvents() (events []Event) {
 	for len(run.answers) > 0 && run.answers[0].at <= run.now {
 		events = append(events, run.answers[0].event)
@@ -254,7 +255,7 @@
 	return all || sharedScope && longest >= d-deadlineMargin
 }
 
-// faults returns what is wrong with the fates of the messages, by the numbers of calls to each destination.
+// faults describes what is wrong with the fates of the messages, given the number of calls to each destination.
 func (restart *restartCase) faults(calls map[DestinationID]int) (faults []string) {
 	for _, msg := range restart.messages {
 		if !msg.untried || msg.sentAfter >= 0 {
@@ -267,7 +268,8 @@
 	return faults
 }
 
-// faultOf returns what is wrong with the fate of a message that was found untried and never sent; "" if nothing is.
+// faultOf describes what is wrong with the fate of a message that had no attempt before or after the restart. It
+// returns "" if nothing is wrong.
 func (restart *restartCase) faultOf(msg *restartMessage, calls map[DestinationID]int) string {
 	const spread = MaxInitialSpread + 200*ms // the first calls of a large fleet come within this
 	listedAfter := time.Duration(0)
@@ -281,9 +283,9 @@
 	case !msg.rejected:
 		return fmt.Sprintf("message %d failed, though it has not run", msg.id)
 	case early && !restart.blockedBeyond(msg.destination, msg.timeLeft):
-		return fmt.Sprintf("message %d rejected untried after %v of %v", msg.id, msg.endedAfter, msg.timeLeft)
+		return fmt.Sprintf("message %d rejected untried after %v, deadline %v", msg.id, msg.endedAfter, msg.timeLeft)
 	case !restart.inService[msg.destination] || restart.impaired[msg.destination]:
-		return "" // no endpoint, or none that is known to be healthy: there may have been no call
+		return "" // no endpoint in service, or known failures: a missing call is no fault
 	case msg.timeLeft-listedAfter < spread:
 		return "" // too little time
 	case calls[msg.destination] == 0:
@@ -294,9 +296,10 @@
 	return ""
 }
 
-// With any settings, endpoint lists and health, a message that a restart finds untried gets an attempt before its
-// deadline, unless a Retry-After blocks all endpoints beyond it, or capacity does, which the calls made show. It never
-// ends early without one.
+// With random settings, endpoint lists and health, a message that a restart recovers without an attempt gets one
+// before its deadline. It may get none if a Retry-After blocks all endpoints beyond the deadline, or if capacity is
+// lacking, in which case other messages were sent to the destination. Only such a Retry-After may end the message
+// early.
 func TestRecoveredMessagesAreTriedOrKept(t *testing.T) {
 	sent, all := 0, 0
 	for seed := range uint64(1500) {
@@ -315,16 +318,16 @@
 	}
 	t.Logf("%d of %d sent", sent, all)
 	if sent < all/4 {
-		t.Error("the test shows little")
+		t.Error("too few messages were sent: the test checks too little")
 	}
-	// The same with messages that no earlier process accepted: they may be rejected early. It shows that the test can
-	// fail.
+	// The same check must find faults with messages that no earlier process accepted, since these may be rejected
+	// early. This verifies that the check can fail.
 	found := 0
 	for seed := range uint64(200) {
 		restart := randomRestart(seed, false)
 		found += len(restart.faults(restart.run(t, seed)))
 	}
 	if found == 0 {
-		t.Error("nothing is ever found wrong")
+		t.Error("no fault was found with messages that no earlier process accepted")
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// restartSettings have one class with an idempotency key, whose repeats a zone drops for 10 s.
+// restartSettings returns settings with one class, whose messages have an idempotency key. The endpoints of one
+// zone drop repeats for 10 s.
 func restartSettings() Settings {
 	return Settings{
 		Classes: []Class{{
@@ -22,7 +23,7 @@
 	}
 }
 
-// twoZoneList is a list of a better endpoint in zone 1 and another in zone 0.
+// twoZoneList returns a list with an endpoint in zone 1 and another, of lower weight, in zone 0.
 func twoZoneList() Event {
 	return Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{
 		{ID: "best", Destination: 5, Zone: 1, Weight: 50, InService: true},
@@ -91,12 +92,12 @@
 			sends++
 		}
 	}
-	if sends == 0 || sends > 4 { // one for each endpoint, and what rounding adds
+	if sends == 0 || sends > 4 { // one for each endpoint, plus some for rounding
 		t.Errorf("%d sends at once", sends)
 	}
 }
 
-// untriedMessages are recovered messages without an attempt, all for destination 5.
+// untriedMessages returns events of n recovered messages without an attempt, all for destination 5.
 func untriedMessages(n int, left time.Duration) (events []Event) {
 	for id := range MessageID(n) {
 		events = append(events, Event{
@@ -110,12 +111,12 @@
 	return events
 }
 
-// recoveredOutcome is what became of recovered messages, with the times since the restart.
+// recoveredOutcome holds the times since the restart at which recovered messages were sent or rejected.
 type recoveredOutcome struct {
 	sent, rejected map[MessageID]time.Duration
 }
 
-// runRecovered runs a relay that recovers untried messages until their time is up.
+// runRecovered runs a relay that recovers n messages without an attempt, until they have passed their deadlines.
 func runRecovered(t *testing.T, settings Settings, initial []Event, n int, left time.Duration) recoveredOutcome {
 	t.Helper()
 	engine, err := New(settings, 7)
@@ -159,9 +160,9 @@
 	return outcome
 }
 
-// Where no limit is known, a share of it is not known either: waiting messages are tried in half of their time. Where a
-// limit blocks some of them, or the relay is at its maximum of pending messages, they wait until their time is up. They
-// end early only if a Retry-After blocks all endpoints beyond that.
+// If no limit is known, this relay's share is not known either, and recovered messages are tried within half of
+// their time left. If a limit blocks some of them, or the relay is at its maximum of pending messages, they wait
+// until their deadlines. They end early only if a Retry-After blocks all endpoints beyond their deadlines.
 func TestUntriedMessagesAreTriedOrKept(t *testing.T) {
 	const left = 10 * time.Second
 	limited := restartSettings()
@@ -186,9 +187,9 @@
 		settings     Settings
 		initial      []Event
 		n            int
-		sent         int           // at least
-		sentBy       time.Duration // all of these
-		rejectedFrom time.Duration // none before; the rest
+		sent         int           // minimum number of sent messages
+		sentBy       time.Duration // latest time of a first attempt
+		rejectedFrom time.Duration // earliest time of a rejection; 0: at once
 	}{
 		{"no limit known", unlimited, list(0), 20, 20, left/2 + time.Second, left},
 		{"no limit known, one message", unlimited, list(0), 1, 1, left / 2, left},
@@ -212,7 +213,7 @@
 					t.Errorf("message %d rejected after %v", id, at)
 				}
 				if test.rejectedFrom == 0 && at > 0 {
-					t.Errorf("message %d, blocked beyond its time, rejected after %v only", id, at)
+					t.Errorf("message %d, blocked beyond its deadline, rejected only after %v", id, at)
 				}
 			}
 		})
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// attemptFinished applies the outcome of an attempt: to the call that it was part of, to the endpoint and to its
-// message, which is retried if it may be.
+// attemptFinished applies the outcome of an attempt to its call, its endpoint and its message. The message is
+// queued again if it may be retried.
 func (e *Engine) attemptFinished(event *Event) {
 	msg := e.messages[event.MessageID]
 	ep := e.endpoints[event.Endpoint]
 	c := e.takeCall(msg, event.Attempt)
 	if c != nil {
-		ep = c.endpoint // which may have been removed
+		ep = c.endpoint // the endpoint list may no longer contain it
 	}
 	if ep != nil && event.RetryAfter > 0 {
 		ep.scope.retryAfter(e.now + event.RetryAfter)
@@ -40,7 +40,8 @@
 	}
 }
 
-// callFinished learns from a call whose last outcome is in. It counts as delivered if any of its messages was.
+// callFinished applies the result of a call once all its messages have outcomes. The call counts as delivered if
+// any of its messages was delivered.
 func (e *Engine) callFinished(c *call, msg *message, event *Event) {
 	e.recordCallEnd(c)
 	outcome := event.Outcome
@@ -56,8 +57,7 @@
 	}, event.Latency)
 }
 
-// recordPossibleRun records what an attempt may have done: its message may have run unless the outcome proves that it
-// has not.
+// recordPossibleRun records that the message of an attempt may have run, unless the outcome proves that it has not.
 func (e *Engine) recordPossibleRun(msg *message, event *Event, c *call) {
 	switch event.Outcome {
 	case ConnectFailed:
@@ -70,7 +70,7 @@
 		if msg.keyQueue != nil {
 			msg.keyQueue.pause(e.now + e.settings.OrderingPause)
 		}
-	case OK, Error: // it has run, or an answer came
+	case OK, Error: // the message has run, or the endpoint has answered
 	}
 	msg.lastFailedEndpoint = c.endpoint
 	if !msg.mayHaveRun || c.sentAt < msg.firstRunAt {
@@ -78,8 +78,8 @@
 	}
 }
 
-// recordFirstRun records the first attempt that may have run. A message with an idempotency key is looked at when
-// repeats are no longer dropped.
+// recordFirstRun records the first attempt that may have run. A message with an idempotency key is checked again
+// when its dedup window ends, since it may not be retried after that.
 func (e *Engine) recordFirstRun(msg *message, sentAt time.Duration, zone int) {
 	msg.mayHaveRun = true
 	msg.firstRunAt = sentAt
@@ -89,18 +89,19 @@
 	}
 }
 
-// dedupWindowEnd returns the time until which a message with an idempotency key may be retried that may have run.
+// dedupWindowEnd returns the time until which a message with an idempotency key may be retried after an attempt
+// that may have run.
 func (msg *message) dedupWindowEnd() time.Duration {
 	return msg.firstRunAt + msg.class.DedupWindow - deadlineMargin
 }
 
-// usedAllAttempts reports whether the number of attempts of a message is used up.
+// usedAllAttempts reports whether a message has had its maximum number of attempts.
 func (msg *message) usedAllAttempts() bool {
 	return msg.maxAttempts > 0 && msg.attempts >= msg.maxAttempts
 }
 
-// attemptsExhausted reports whether attemptAllowedAt can never again allow an attempt, whatever becomes of the
-// endpoints.
+// attemptsExhausted reports whether attemptAllowedAt can never again allow an attempt of a message, whatever
+// changes at the endpoints.
 func (e *Engine) attemptsExhausted(msg *message) bool {
 	switch {
 	case msg.ended || len(msg.inFlight) > 0:
@@ -120,8 +121,8 @@
 	return false
 }
 
-// mayReject reports whether the client of a message may safely retry it: a repeat does no harm anywhere, or the message
-// has not run.
+// mayReject reports whether the client of a message may safely retry it: a repeat is harmless at any endpoint, or
+// the message has not run.
 func (e *Engine) mayReject(msg *message) bool {
 	if msg.ended {
 		return false
@@ -132,14 +133,14 @@
 	return !msg.mayHaveRun && len(msg.inFlight) == 0
 }
 
-// attemptAllowedAt returns the time at which an attempt of a message at an endpoint keeps the six rules; never as
-// things stand. It is the one guard of all attempts.
+// attemptAllowedAt returns the earliest time at which the six rules allow an attempt of a message at an endpoint,
+// or never if they do not allow one in the current state. Every attempt passes this check.
 func (e *Engine) attemptAllowedAt(msg *message, ep *endpoint) time.Duration {
-	// Rule 1: nothing after the final answer, the deadline or the last attempt.
+	// Rule 1: no attempt after the final answer, the deadline or the last allowed attempt.
 	if msg.ended || e.now >= msg.deadline || msg.usedAllAttempts() {
 		return never
 	}
-	// Rule 2: one attempt at a time, and repeats only where they are dropped.
+	// Rule 2: one attempt at a time, and repeats only where they are dropped or harmless.
 	if len(msg.inFlight) > 0 || msg.mayHaveRun && !e.mayRepeat(msg, ep) {
 		return never
 	}
@@ -147,7 +148,7 @@
 	if !ep.InService || ep.Removed || ep.Destination != msg.destination.id {
 		return never
 	}
-	// Rule 6: one message of an ordering key after another, with pauses.
+	// Rule 6: messages with the same ordering key one after another, with pauses.
 	orderedAt := time.Duration(0)
 	if queue := msg.keyQueue; queue != nil {
 		if queue.messages[0] != msg {
@@ -161,7 +162,8 @@
 	return max(orderedAt, ep.scope.retryAfterUntil, e.recoveryBudgetAt(ep))
 }
 
-// mayRepeat reports whether an endpoint drops a repeat of a message that may have run, or the repeat does no harm.
+// mayRepeat reports whether a message that may have run may be sent to an endpoint: the endpoint drops the repeat,
+// or the repeat is harmless.
 func (e *Engine) mayRepeat(msg *message, ep *endpoint) bool {
 	switch msg.class.Effect {
 	case NonIdempotent:
@@ -174,9 +176,9 @@
 	return true
 }
 
-// StillAllowed reports whether a call that was decided earlier may still be sent to an endpoint with these messages.
-// Guards against a call that was held up, by a slow connection say, while the endpoint began to drain or sent a
-// Retry-After, or until repeats of a message that may have run are no longer dropped.
+// StillAllowed reports whether a call from an earlier step may still be sent to an endpoint with these messages. A
+// call may be delayed, for example by a slow connection. Meanwhile the endpoint may have begun to drain or sent a
+// Retry-After, or the dedup window of a message that may have run may have ended.
 func (e *Engine) StillAllowed(endpointID string, messageIDs []MessageID, now time.Duration) bool {
 	ep := e.endpoints[endpointID]
 	if ep == nil || !ep.InService || now < ep.scope.retryAfterUntil {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// The Retry-After for one message of a call whose others were delivered was once lost.
+// Guards against losing the Retry-After for one message of a call whose other messages were delivered.
 func TestRetryAfterOfAPartlyDeliveredCall(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{ID: "a", Kind: 2})
 	h.step(
@@ -68,7 +68,7 @@
 	}
 }
 
-// A message that no endpoint may ever take again gets its final answer then, not at its deadline.
+// A message that can have no further attempt gets its final answer at once, not at its deadline.
 func TestExhaustedMessagesEndAtOnce(t *testing.T) {
 	engine, err := New(restartSettings(), 1)
 	if err != nil {
@@ -93,14 +93,14 @@
 	}
 	got := ends(time.Second, twoZoneList(), recovered(1, 8), recovered(2, 2))
 	if len(got) != 1 || got[0] != Fail {
-		t.Errorf("with no attempts left: %v", got)
+		t.Errorf("final answers to a message with no attempts left: %v", got)
 	}
-	// No endpoint is in zone 2, where the second may have run: it waits for one as long as repeats are dropped.
+	// Message 2 may have run in zone 2, which has no endpoint. It waits for one until its dedup window ends.
 	if got := ends(10900 * time.Millisecond); len(got) != 0 {
-		t.Errorf("inside the window: %v", got)
+		t.Errorf("final answers inside the dedup window: %v", got)
 	}
 	if got := ends(11 * time.Second); len(got) != 1 || got[0] != Fail {
-		t.Errorf("after the window: %v", got)
+		t.Errorf("final answers after the dedup window: %v", got)
 	}
 }
 
@@ -121,7 +121,7 @@
 	check("best", time.Second, true)
 	check("other", time.Second, true)
 	check("none", time.Second, false)
-	// A Retry-After that comes with a delivery, as in the answer to a batch, binds too.
+	// A Retry-After that comes with a delivery, as in the answer to a batch, also applies.
 	engine.Step(2*time.Second, []Event{{
 		Kind:         AttemptFinished,
 		MessageID:    1,
@@ -135,12 +135,12 @@
 	engine.Step(4*time.Second, []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{
 		{ID: "best", Destination: 5, Zone: 1, Weight: 50}, {ID: "other", Removed: true},
 	}}})
-	check("best", 4*time.Second, false)  // drains
-	check("other", 4*time.Second, false) // is gone
+	check("best", 4*time.Second, false)  // draining
+	check("other", 4*time.Second, false) // removed
 }
 
-// A connection that took long must not carry a retry that is no longer dropped. A message that has not run may be sent
-// at any time, and so may one that may be repeated at will.
+// A retry that was delayed by a slow connection must not be sent after the dedup window, when endpoints no longer
+// drop it. A message that has not run may still be sent, and so may an idempotent message.
 func TestStillAllowedWithinDedupWindow(t *testing.T) {
 	settings := restartSettings()
 	idempotent := settings.Classes[0]
@@ -171,7 +171,7 @@
 		{[]MessageID{77}, 9 * time.Second, true},
 	} {
 		if got := engine.StillAllowed("best", test.ids, test.at); got != test.want {
-			t.Errorf("messages %v at %v: %v", test.ids, test.at, got)
+			t.Errorf("messages %v at %v: still allowed %v", test.ids, test.at, got)
 		}
 	}
 }
