--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -117,7 +117,7 @@
 	return list
 }
 
-// goldenMessage submits a message; number 12 is recovered.
+// goldenMessage returns the event of a submitted message. Message 12 is recovered from an earlier process.
 func goldenMessage(id MessageID) Event {
 	event := Event{
 		Kind:        MessageAccepted,
@@ -133,8 +133,8 @@
 	return event
 }
 
-// A snapshot that another build wrote is restored, and written again byte for byte. How its state came about is not
-// checked here: decisions may change while the format stays.
+// A snapshot that an earlier build wrote is restored and written again byte for byte. The decisions that led to its
+// state are not checked, since they may change while the format stays the same.
 func TestGoldenSnapshot(t *testing.T) {
 	if *update {
 		golden.Write(t, goldenSnapshot, goldenEngine(t).Snapshot(nil))
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// newHarness returns a harness whose Engine knows the endpoints of a list, all in service.
+// newHarness returns a harness whose Engine has received a list of endpoints, all in service.
 func newHarness(t *testing.T, settings Settings, list ...Endpoint) *harness {
 	t.Helper()
 	engine, err := New(settings, 1)
@@ -61,7 +61,7 @@
 	return h
 }
 
-// step applies events at the present time and returns the actions other than SetTimer.
+// step applies events at the current time and returns the actions other than SetTimer.
 func (h *harness) step(events ...Event) []Action {
 	var actions []Action
 	for _, a := range h.engine.Step(h.now, events) {
@@ -77,7 +77,7 @@
 	return h.step(Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, TimeLeft: 60 * time.Second})
 }
 
-// finish ends the oldest attempt of a message some time later.
+// finish lets time pass and then ends the oldest attempt of a message with an outcome.
 func (h *harness) finish(id MessageID, endpointID string, outcome Outcome, after, retryAfter time.Duration) []Action {
 	h.now += after
 	n := h.attempts[id]
--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -5,36 +5,37 @@
 // BlockCause is the reason why a message is not sent to an endpoint.
 type BlockCause int
 
-// The causes, in the order in which they are looked at. The first that holds is reported; of those that end at a known
-// time, the one that ends last.
+// The causes, in the order in which they are evaluated. The first that applies is reported. Of the causes that end
+// at a known time (OrderingPause to Paced), the one that ends last is reported.
 const (
-	NotBlocked        BlockCause = iota // it is sent when its place in the queue comes up
-	AttemptsExhausted                   // no attempt or no time is left
+	NotBlocked        BlockCause = iota // the message is sent when its turn in the queue comes
+	AttemptsExhausted                   // the message has no attempt or no time left
 	EndpointDraining                    // the endpoint is draining
-	WaitingForKey                       // an earlier message of its ordering key is pending
-	WrongDedupZone                      // it may have run, and its repeat is only dropped elsewhere
-	InsufficientTime                    // less time is left than an answer of the endpoint takes
+	WaitingForKey                       // an earlier message with the same ordering key is pending
+	WrongDedupZone                      // the message may have run, and only endpoints of another zone drop repeats
+	InsufficientTime                    // the time left is less than the endpoint's mean latency
 	TrialInFlight                       // the endpoint is ejected, and the one trial call is in flight
 	EndpointSaturated                   // too many calls are in flight, or the oldest of them are overdue
-	OrderingPause                       // its ordering key pauses
+	OrderingPause                       // the message's ordering key is paused
 	RetryAfterPending                   // a Retry-After is in force
 	EndpointEjected                     // the endpoint is ejected
 	WarmUpBudget                        // the recovery budget of a suspect endpoint is used up
-	Paced                               // the scope is paced
-	ConcurrencyLimit                    // no further call may be in flight
-	NoEndpoint                          // its destination has no endpoint
+	Paced                               // the scope's pacing rate does not allow a call yet
+	ConcurrencyLimit                    // Settings.MaxInFlightCalls calls are in flight
+	NoEndpoint                          // the message's destination has no endpoint
 )
 
-// Blocker says what keeps a waiting message from an endpoint.
+// Blocker is the reason why a waiting message is not sent to one endpoint.
 type Blocker struct {
 	MessageID MessageID
 	Endpoint  string // empty with NoEndpoint
 	Cause     BlockCause
-	Until     time.Duration // math.MaxInt64 if only an outcome or a change of the endpoint list ends it
+	Until     time.Duration // end of the cause; math.MaxInt64 if only an outcome or an endpoint list change ends it
 }
 
-// Blockers returns what blocks the waiting messages, by destination and in the order of its queue. Call it on a copy
-// (Restore of a Snapshot): looking may make an endpoint suspect, as a dispatch does.
+// Blockers returns what blocks each waiting message at each endpoint of its destination, sorted by destination and
+// by position in the queue. Call it on a copy (Restore of a Snapshot): like a dispatch, it may mark an endpoint as
+// suspect.
 func (e *Engine) Blockers() (blockers []Blocker) {
 	for _, dest := range e.sortedDestinations {
 		for _, msg := range dest.queue {
@@ -65,7 +66,7 @@
 	return cause, until
 }
 
-// openEndedBlocker returns the first cause that does not end at a known time; NotBlocked if none holds.
+// openEndedBlocker returns the first cause that applies and has no known end, or NotBlocked if there is none.
 func (e *Engine) openEndedBlocker(msg *message, ep *endpoint) BlockCause {
 	switch {
 	case e.attemptsExhausted(msg) || e.now >= msg.deadline:
@@ -86,8 +87,8 @@
 	return NotBlocked
 }
 
-// timedBlocker returns the cause that ends last, of those that end at a known time, and its end; NotBlocked if none
-// holds.
+// timedBlocker returns, of the causes that end at a known time, the one that ends last, and its end. It returns
+// NotBlocked if no such cause applies.
 func (e *Engine) timedBlocker(msg *message, ep *endpoint) (cause BlockCause, until time.Duration) {
 	until = e.now
 	consider := func(candidate BlockCause, at time.Duration) {
@@ -111,8 +112,8 @@
 	Endpoint
 	PacingRate       float64 // of the scope; 0: not paced
 	LastRejectedRate float64 // of the scope; 0: none
-	Limit            float64 // of the scope, from all relays; 0: not known
-	FairShare        float64 // of the scope, of this relay
+	Limit            float64 // of the scope, for all relays together; 0: not known
+	FairShare        float64 // of the scope's capacity, for this relay
 	RetryAfterUntil  time.Duration
 	DecreasedAt      time.Duration // last decrease of the pacing rate; 0: none
 	EjectedUntil     time.Duration
@@ -120,7 +121,7 @@
 	LatencyMean      time.Duration
 	Ejected          bool
 	WarmingUp        bool
-	RecentlyHealthy  bool // it has delivered of late
+	RecentlyHealthy  bool // the endpoint has delivered within recentlyHealthyWindow
 	Calls            int  // in flight at the endpoint
 	InFlight         int  // in flight in the scope
 	Queued           int  // messages waiting at the destination
--- a/policy/inspect_test.go
+++ b/policy/inspect_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// accepted submits messages of a class with an ordering key, which may be empty.
+// accepted returns events that submit messages of a class with an ordering key, which may be empty.
 func accepted(classIndex int, key string, ids ...MessageID) (events []Event) {
 	for _, id := range ids {
 		event := Event{Kind: MessageAccepted, MessageID: id, Class: classIndex, Key: key, TimeLeft: 16 * time.Second}
@@ -34,7 +34,7 @@
 	return events
 }
 
-// finished ends an attempt at endpoint r.
+// finished returns the event that ends an attempt at endpoint r.
 func finished(id MessageID, attemptNumber int, outcome Outcome, retryAfter time.Duration) Event {
 	return Event{
 		Kind:         AttemptFinished,
@@ -48,7 +48,8 @@
 	}
 }
 
-// The cause is reported that blocks a message, for each cause that a test can bring about by steps at given times.
+// Blockers reports the cause that blocks a message. The cases are the causes that a test can produce by steps at
+// fixed times.
 func TestBlockersReportTheCause(t *testing.T) {
 	listed := Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: "r", InService: true, Weight: 50}}}
 	drained := Event{Kind: EndpointDelta, Endpoints: []Endpoint{{ID: "r", Weight: 50}}}
@@ -83,7 +84,8 @@
 	}
 }
 
-// checkBlocker checks the one cause that blocks a message after some steps. Looking must change nothing.
+// checkBlocker checks that a message is blocked by one cause after some steps. Inspecting the Engine must not
+// change it.
 func checkBlocker(t *testing.T, steps [][]Event, id MessageID, want BlockCause) {
 	t.Helper()
 	engine, err := New(blockerSettings(), 5)
@@ -107,9 +109,9 @@
 		}
 	}
 	if len(got) != 1 || got[0].Cause != want || got[0].Until <= engine.now && got[0].Until < math.MaxInt64 {
-		t.Errorf("%+v, want %v", got, want)
+		t.Errorf("blockers %+v, want the cause %v", got, want)
 	}
 	if views, _ := engine.Views(); !bytes.Equal(engine.Snapshot(nil), before) {
-		t.Errorf("looking changed the Engine: %v", views)
+		t.Errorf("inspecting the Engine changed it; views: %v", views)
 	}
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// The heap after collection does not grow with the messages, in a long run of one of 300 relays with destinations that
-// come and go, all outcomes, cancelled and failed messages. A run that keeps a word for each message fails the same
-// check.
+// The heap after garbage collection must not grow with the number of messages. The run is a long one, of one relay
+// in a fleet of 300, with destinations that come and go, all outcomes, and cancelled and failed messages. A run
+// that leaks one word for each message must fail the same check.
 func TestMemoryStaysFlatOverALongRun(t *testing.T) {
-	// The heap is that of the whole process: what earlier tests left behind moves it by a few hundred bytes a round.
-	// Only growth that shows each time is the Engine's.
+	// The heap is that of the whole process, and memory left by earlier tests changes it by a few hundred bytes a
+	// round. Only growth in every run is caused by the Engine.
 	const runs = 3
 	for run := 1; ; run++ {
 		lowest, highest := heapGrowth(t, false)
@@ -23,13 +23,13 @@
 			break
 		}
 		if run == runs {
-			t.Errorf("it grows in each of %d runs", runs)
+			t.Errorf("the heap grows in each of %d runs", runs)
 			break
 		}
 	}
 	if lowest, _ := heapGrowth(t, true); lowest < 4 {
-		t.Errorf("with a leak of a word for each message it grows by %.2f bytes a message at least: "+
-			"the test shows nothing", lowest)
+		t.Errorf("with a leak of a word for each message, the heap grows by only %.2f bytes a message at least: "+
+			"the test detects no leak", lowest)
 	}
 }
 
@@ -102,7 +102,8 @@
 	}
 }
 
-// round runs one round: a new list of endpoints, then messages, then pauses until the time of all messages is up.
+// round runs one round: a new list of endpoints, then messages, then pauses until all messages have passed their
+// deadlines.
 func (run *memoryRun) round(round int) {
 	var list []Endpoint
 	for i := range memoryRoundEndpoints {
@@ -134,7 +135,7 @@
 	clear(run.attempts)
 }
 
-// nextEvents submits a message, cancels some, and ends the attempts that are due.
+// nextEvents returns events that submit a message, sometimes cancel one, and end the attempts that are due.
 func (run *memoryRun) nextEvents(round int) []Event {
 	run.lastID++
 	events := []Event{{
@@ -169,7 +170,7 @@
 	return events
 }
 
-// heapGrowth returns the 95 % interval of the heap's growth, in bytes a message.
+// heapGrowth returns the 95 % confidence interval of the heap's growth, in bytes a message.
 func heapGrowth(t *testing.T, leak bool) (lowest, highest float64) {
 	t.Helper()
 	run := newMemoryRun(t, leak)
@@ -187,13 +188,13 @@
 		bytes = append(bytes, float64(stats.HeapAlloc))
 	}
 	if run.ended == 0 || len(run.leaked) > 0 != leak {
-		t.Fatalf("%d messages rejected or failed: the run shows little", run.ended)
+		t.Fatalf("%d messages rejected or failed, %d leaked: the run tests too little", run.ended, len(run.leaked))
 	}
 	runtime.KeepAlive(run)
 	return slope(messages, bytes)
 }
 
-// slope returns the 95 % interval of the slope of a least squares line through 30 points.
+// slope returns the 95 % confidence interval of the slope of a least squares line through 30 points.
 func slope(xs, ys []float64) (lowest, highest float64) {
 	const studentT = 2.05 // for 28 degrees of freedom
 	n := float64(len(xs))
--- a/policy/names.go
+++ b/policy/names.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The names of the enumerations' values, in logs and in the output of tests. Nothing is stored under them.
+// The names of the enumeration values, for logs and test output. Stored data does not contain them.
 var (
 	outcomeNames = [...]string{
 		OK:            "ok",
@@ -73,7 +73,7 @@
 // String returns the cause's name.
 func (cause BlockCause) String() string { return nameOf(blockCauseNames[:], "cause", int(cause)) }
 
-// nameOf returns the name of an enumeration's value; of one that has none, the enumeration and the number.
+// nameOf returns the name of an enumeration value, or the enumeration and the number if the value has no name.
 func nameOf(names []string, enumeration string, value int) string {
 	if value < 0 || value >= len(names) {
 		return fmt.Sprintf("%s(%d)", enumeration, value)
--- a/policy/names_test.go
+++ b/policy/names_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Each value has a name, and no two values of an enumeration have the same one.
+// Each value has a name, and no two values of an enumeration have the same name.
 func TestNamesAreCompleteAndDistinct(t *testing.T) {
 	for enumeration, names := range map[string][]string{
 		"outcome": outcomeNames[:],
--- a/policy/revision.go
+++ b/policy/revision.go
@@ -9,7 +9,7 @@
 // revisionSize is the number of bytes of the hash that identify a revision.
 const revisionSize = 6
 
-// sourceFiles are the files that decide something. Files that only describe the state are left out.
+// sourceFiles are the source files that affect decisions. Files that only describe the state are left out.
 //
 //go:embed action.go admission.go call.go capacity.go connect.go deadline.go dispatch.go ejection.go
 //go:embed emptylist.go endpoints.go engine.go event.go fleetpacing.go latency.go message.go ordering.go
@@ -17,8 +17,8 @@
 //go:embed settings.go slowstart.go suspicion.go traffic.go
 var sourceFiles embed.FS
 
-// Revision identifies the source text of the decisions as built: equal revisions decide alike, so that a recording can
-// be replayed exactly.
+// Revision returns a hash of the source files that affect decisions. Engines of equal revisions make equal
+// decisions, so that a recording can be replayed exactly.
 func Revision() string {
 	sum := sha256.New()
 	entries, _ := sourceFiles.ReadDir(".") // sorted by name; cannot fail
--- a/policy/revision_test.go
+++ b/policy/revision_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// notDecisions are the source files that decide nothing: Revision leaves them out, so that recordings made before a
-// change of them still name the same decisions.
+// notDecisions are the source files that do not affect decisions. Revision leaves them out, so that a change in
+// them does not change the revision that earlier recordings contain.
 var notDecisions = []string{"doc.go", "eviction.go", "inspect.go", "names.go", "revision.go", "snapshot.go"}
 
-// Each source file of the package is either part of the revision or known to decide nothing.
+// Each source file of the package is either part of the revision or listed in notDecisions.
 func TestRevisionCoversEveryDecisionFile(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
@@ -38,11 +38,11 @@
 		t.Errorf("the revision covers %v, want %v", got, want)
 	}
 	if len(got) < 20 {
-		t.Errorf("%d files found: the test shows little", len(got))
+		t.Errorf("%d files found, want at least 20", len(got))
 	}
 }
 
-// The deploy file lists what the decisions live in: every source file of this package.
+// The policy line of the deploy file lists every source file of this package.
 func TestDeployFileListsEverySourceFile(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -69,7 +69,7 @@
 		}
 	}
 	if n := strings.Count(line, `"policy/`); n != listed {
-		t.Errorf("deploy/balancer.toml lists %d files of policy, %d stand there", n, listed)
+		t.Errorf("deploy/balancer.toml lists %d files of policy, the package has %d", n, listed)
 	}
 }
 
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// disabledGuard changes what an Engine knows or does, as if one of its guards were disabled.
+// disabledGuard changes the input or the steps of an Engine, as if one of its guards were disabled.
 type disabledGuard struct {
 	name     string
-	rule     int // that must be violated
+	rule     int // the rule that must be violated then
 	settings func(*Settings)
 	event    func(*Event)
-	replace  func(*Engine) *Engine                                            // after each step
+	replace  func(*Engine) *Engine                                            // called after each step
 	step     func(engine *Engine, now time.Duration, events []Event) []Action // in place of Engine.Step
-	// acceptInterval is that of the simulation, with a Retry-After on any answer; 0: every fourth step a message, and a
-	// Retry-After with rejections alone.
+	// acceptInterval is that of the simulation. If it is set, any answer may carry a Retry-After. If it is 0, the
+	// simulation uses 4, and only rejections carry a Retry-After.
 	acceptInterval int
 }
 
 // checkSend checks a Send action against rules 1, 2, 3, 5 and 6.
 func (sim *simulation) checkSend(msg *clientMessage, a Action) {
 	if msg.ended || sim.now >= msg.deadline || len(msg.attempts) >= sim.settings.MaxAttempts {
-		sim.violate(1, "message %d sent after its end", msg.id)
+		sim.violate(1, "message %d sent after its final answer, deadline or last attempt", msg.id)
 	}
 	if msg.hasAttemptInFlight() {
-		sim.violate(2, "message %d sent twice at once", msg.id)
+		sim.violate(2, "message %d sent while another attempt is in flight", msg.id)
 	}
 	entry, known := sim.listed[a.Endpoint]
 	sim.checkRepeat(msg, entry)
@@ -51,7 +51,7 @@
 	case msg.class.Effect == NonIdempotent:
 		sim.violate(2, "non-idempotent message %d sent again", msg.id)
 	case msg.class.Effect == IdempotentByKey && sim.now >= first.sentAt+msg.class.DedupWindow:
-		sim.violate(2, "message %d with an idempotency key sent after its window", msg.id)
+		sim.violate(2, "message %d with an idempotency key sent after its dedup window", msg.id)
 	case msg.class.Effect != IdempotentByKey || msg.class.DedupAllZones:
 	case sim.listed[first.endpoint].Zone != entry.Zone:
 		sim.violate(2, "message %d with an idempotency key sent to another zone", msg.id)
@@ -69,11 +69,11 @@
 		}
 	}
 	if len(msg.attempts) == 0 && sim.pausedUntil[msg.key] > sim.now {
-		sim.violate(6, "message %d sent while its key pauses", msg.id)
+		sim.violate(6, "message %d sent while its ordering key is paused", msg.id)
 	}
 }
 
-// checkRejection checks a Reject action against rule 2: the client may retry.
+// checkRejection checks a Reject action against rule 2, since the client may retry the message.
 func (sim *simulation) checkRejection(msg *clientMessage) {
 	class := msg.class
 	if class.Effect == Idempotent || class.Effect == IdempotentByKey && class.DedupAllZones {
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkCall checks a new call against the limit of calls in flight, and against rule 4 if its destination is warming
-// up. That rule binds an Engine that saw failures of it.
+// checkCall checks a new call against the limit of calls in flight, and against rule 4 if its destination is
+// warming up. Rule 4 applies only if the Engine saw three consecutive failures of the scope.
 func (sim *simulation) checkCall(msg *clientMessage, entry Endpoint) {
 	sim.callsInFlight++
 	if sim.callsInFlight > sim.settings.MaxInFlightCalls {
@@ -124,7 +124,8 @@
 	}
 }
 
-// checkDeadlines checks messages without a final answer against rule 1, and forgets those that are over.
+// checkDeadlines checks messages without a final answer against rule 1, and removes those that have ended, unless
+// they have an ordering key.
 func (sim *simulation) checkDeadlines() {
 	for id, msg := range sim.messages {
 		over := msg.ended && !msg.hasAttemptInFlight()
@@ -147,12 +148,13 @@
 			}
 		}
 		if sim.delivered < 150 || sim.counts.rejections == 0 || sim.counts.failures == 0 {
-			t.Errorf("seed %d: %d delivered, %+v: the run shows too little", seed, sim.delivered, sim.counts)
+			t.Errorf("seed %d: %d delivered, %+v: the run tests too little", seed, sim.delivered, sim.counts)
 		}
 	}
 }
 
-// The checker can fail: it finds a violation of each rule by an Engine whose guard is disabled.
+// Verifies that the checker can fail: it finds a violation of each rule if the Engine's guard for the rule is
+// disabled.
 func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for _, guard := range []disabledGuard{
 		{name: "deadline", rule: 1, event: func(event *Event) { event.TimeLeft += time.Second }},
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// An invalid fleet size is an error, and a reconfiguration with one changes nothing; none at all means one relay.
+// An invalid fleet size is rejected, and a rejected reconfiguration changes nothing. A fleet size of 0 means one
+// relay.
 func TestFleetSizeIsValidated(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 80
@@ -35,7 +36,7 @@
 			t.Errorf("%d relays are accepted", relays)
 		}
 		if err := h.engine.Reconfigure(wrong); err == nil || h.engine.settings.FleetSize != 80 {
-			t.Errorf("%d relays: error %v, and %d apply", relays, err, h.engine.settings.FleetSize)
+			t.Errorf("%d relays: error %v, and the fleet size is %d", relays, err, h.engine.settings.FleetSize)
 		}
 	}
 	settings.FleetSize = 0
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// simulation plays long random but legal event sequences against an Engine: clients, endpoints, outages and a restart.
-// A checker checks the Engine's actions against the six rules, see rules_test.go. It keeps its own records and shares
-// nothing with the guards of the package.
+// simulation runs an Engine with long random but valid event sequences of clients, endpoints, outages and a
+// restart. A checker checks the Engine's actions against the six rules, see rules_test.go. The checker keeps its
+// own records and shares no code with the guards of the package.
 type simulation struct {
 	rng       *rand.Rand
 	settings  Settings
@@ -22,14 +22,14 @@
 	nextID    MessageID
 	delivered int
 	counts    actionCounts
-	// One message is accepted in so many steps, in the mean.
+	// In each step, messages are accepted while a draw with a probability of 1/acceptInterval succeeds.
 	acceptInterval int
-	// Any answer may carry a Retry-After, not only rejections.
+	// retryAfterOnAny lets any answer carry a Retry-After, not only rejections.
 	retryAfterOnAny bool
 
 	// Records of the checker.
-	violations          map[int]string      // the first of each rule
-	listed              map[string]Endpoint // as reported
+	violations          map[int]string      // the first violation of each rule
+	listed              map[string]Endpoint // last reported state, by endpoint
 	messages            map[MessageID]*clientMessage
 	byKey               map[string][]*clientMessage
 	pausedUntil         map[string]time.Duration   // by ordering key
@@ -70,11 +70,11 @@
 	return slices.ContainsFunc(msg.attempts, func(a sentAttempt) bool { return a.inFlight })
 }
 
-// pendingEvent is an event to come.
+// pendingEvent is an event that the Engine receives later.
 type pendingEvent struct {
 	at    time.Duration
 	event Event
-	call  *simulatedCall // nil if it ends none
+	call  *simulatedCall // the call of the ended attempt; nil for other events
 }
 
 // simulatedCall is one call: messages to one endpoint from one step.
@@ -171,7 +171,7 @@
 	return sim
 }
 
-// reset starts the records anew, as for a new Engine.
+// reset clears the records, as for a new Engine.
 func (sim *simulation) reset() {
 	sim.listed = map[string]Endpoint{}
 	sim.messages = map[MessageID]*clientMessage{}
@@ -243,7 +243,8 @@
 	}
 }
 
-// rareEvents returns, one time in a hundred, changes of the endpoint list, a cancelled message or unknown messages.
+// rareEvents returns, once in a hundred calls, changes of the endpoint list, a cancelled message or unknown
+// messages.
 func (sim *simulation) rareEvents() []Event {
 	switch sim.rng.IntN(400) {
 	case 0: // an endpoint drains, or comes back
@@ -251,7 +252,7 @@
 		entry.InService = !entry.InService
 		sim.listed[entry.ID] = *entry
 		return []Event{{Kind: EndpointDelta, Endpoints: []Endpoint{*entry}}}
-	case 1: // another endpoint replaces one for good
+	case 1: // another endpoint replaces one permanently
 		i := sim.rng.IntN(len(sim.endpoints))
 		old := sim.endpoints[i]
 		old.Removed = true
@@ -278,7 +279,7 @@
 	return nil
 }
 
-// recordOutcome records the outcome of an attempt before the Engine learns of it.
+// recordOutcome records the outcome of an attempt before the Engine receives it.
 func (sim *simulation) recordOutcome(event *Event) {
 	msg := sim.messages[event.MessageID]
 	if msg == nil {
@@ -310,7 +311,7 @@
 	}
 }
 
-// apply carries out the actions of a step, and has the checker check them.
+// apply carries out the actions of a step and checks them.
 func (sim *simulation) apply(actions []Action) {
 	calls := map[string]*simulatedCall{} // of this step, by endpoint
 	for _, a := range actions {
@@ -343,7 +344,7 @@
 	}
 }
 
-// simulateAttempt adds an attempt to a call. Its outcome comes later, at its timeout at the latest.
+// simulateAttempt adds an attempt to a call. Its outcome follows later, no later than its timeout.
 func (sim *simulation) simulateAttempt(msg *clientMessage, a Action, calls map[string]*simulatedCall) {
 	entry := sim.listed[a.Endpoint]
 	event := Event{Kind: AttemptFinished, MessageID: msg.id, Attempt: len(msg.attempts), Endpoint: a.Endpoint}
@@ -416,8 +417,8 @@
 	return engine, []Event{{Kind: EndpointSnapshot, Endpoints: slices.Clone(sim.endpoints)}}
 }
 
-// simulate runs a simulation of a minute, with a restart, and returns it with the rules that were violated. The last
-// quarter of it has no new messages.
+// simulate runs a simulation of a minute, with a restart, and returns it with the rules that were violated. The
+// last quarter of the minute has no new messages.
 func simulate(t *testing.T, seed uint64, guard disabledGuard) *simulation {
 	t.Helper()
 	sim := newSimulation(seed)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -9,20 +9,20 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/statecodec"
 )
 
-// snapshotForm is the version of the snapshot format. It is raised with every change of the code functions below, which
-// describe the format for both directions; a snapshot of another version is rejected.
+// snapshotForm is the version of the snapshot format. Increment it with every change of the code* methods below,
+// each of which defines the format for both writing and reading. Snapshots of other versions are rejected.
 const snapshotForm = 7
 
-// Snapshot appends the state of an Engine between two steps to buf. Equal states give equal bytes. Recordings that
-// begin in the middle of a run start with one.
+// Snapshot appends the state of an Engine between two steps to buf. Equal states give equal bytes. A recording that
+// begins in the middle of a run starts with a snapshot.
 func (e *Engine) Snapshot(buf []byte) []byte {
 	coder := statecodec.NewWriter(buf)
 	e.codeState(coder)
 	return coder.Bytes()
 }
 
-// Restore returns an Engine of these settings in the state of a snapshot: from there on, equal events give equal
-// actions.
+// Restore returns an Engine with the given settings in the state of a snapshot. From there on, equal events give
+// the same actions as in the Engine that wrote the snapshot.
 func Restore(settings Settings, data []byte) (*Engine, error) {
 	e, err := New(settings, 0)
 	if err != nil {
@@ -44,11 +44,12 @@
 	return e, nil
 }
 
-// codeState codes the whole state. The order of all that follows is part of the format.
+// codeState writes or reads the whole state, depending on the direction of the coder. The order of the fields, here
+// and in the methods below, is part of the format.
 func (e *Engine) codeState(coder *statecodec.Coder) {
-	form := snapshotForm
-	coder.Ints(&form)
-	if form != snapshotForm {
+	version := snapshotForm
+	coder.Ints(&version)
+	if version != snapshotForm {
 		coder.Fail()
 		return
 	}
@@ -65,7 +66,7 @@
 	})
 }
 
-// codeGenerator codes the state of the random number generator.
+// codeGenerator writes or reads the state of the random number generator.
 func (e *Engine) codeGenerator(coder *statecodec.Coder) {
 	state, _ := e.pcg.MarshalBinary() // never fails
 	text := string(state)
@@ -76,7 +77,7 @@
 	e.rng = rand.New(e.pcg)
 }
 
-// codeDestinations codes all destinations, the active ones and the empty ones.
+// codeDestinations writes or reads all destinations, and the lists of the active and of the empty ones.
 func (e *Engine) codeDestinations(coder *statecodec.Coder) {
 	codeDestination := func(dest **destination) { e.codeDestination(coder, dest) }
 	statecodec.List(coder, &e.sortedDestinations, codeDestination)
@@ -98,8 +99,8 @@
 	}
 }
 
-// codeMessages codes all messages, the queues of the destinations and those of the ordering keys. Queues are coded
-// apart from the destinations, so that messages do not nest.
+// codeMessages writes or reads all messages, the queues of the destinations and those of the ordering keys. Queues
+// are written separately from their destinations, so that messages do not nest.
 func (e *Engine) codeMessages(coder *statecodec.Coder) {
 	codeMessage := func(msg **message) { e.codeMessage(coder, msg) }
 	codeKeyQueue := func(queue **keyQueue) { e.codeKeyQueue(coder, queue) }
@@ -117,7 +118,7 @@
 	statecodec.List(coder, &e.expiringKeyQueues, codeKeyQueue)
 }
 
-// codeTables codes the tables by kind and by tenant.
+// codeTables writes or reads the tables that are indexed by destination kind or by tenant.
 func (e *Engine) codeTables(coder *statecodec.Coder) {
 	statecodec.Map(coder, e.lowestReportedLimit, func(kind *int, limit *float64) {
 		coder.Ints(kind)
@@ -138,7 +139,7 @@
 	}
 }
 
-// codeDestination codes a destination without its queue.
+// codeDestination writes or reads a destination without its queue.
 func (e *Engine) codeDestination(coder *statecodec.Coder, p **destination) {
 	statecodec.NonNil(coder, p, func(dest *destination) {
 		statecodec.Int(coder, &dest.id)
@@ -148,7 +149,7 @@
 	})
 }
 
-// codeScope codes a limit scope with its endpoints.
+// codeScope writes or reads a limit scope with its endpoints.
 func (e *Engine) codeScope(coder *statecodec.Coder, p **limitScope) {
 	statecodec.NonNil(coder, p, func(scope *limitScope) {
 		e.codeDestination(coder, &scope.destination)
@@ -172,7 +173,7 @@
 	})
 }
 
-// codeEndpoint codes an endpoint with its calls.
+// codeEndpoint writes or reads an endpoint with its calls.
 func (e *Engine) codeEndpoint(coder *statecodec.Coder, ep *endpoint) {
 	coder.Text(&ep.ID)
 	statecodec.Int(coder, &ep.Destination)
@@ -189,7 +190,7 @@
 	statecodec.List(coder, &ep.calls, func(c **call) { e.codeCall(coder, c) })
 }
 
-// codeCall codes a call in flight.
+// codeCall writes or reads a call in flight.
 func (e *Engine) codeCall(coder *statecodec.Coder, p **call) {
 	statecodec.NonNil(coder, p, func(c *call) {
 		statecodec.NonNil(coder, &c.endpoint, func(ep *endpoint) { e.codeEndpoint(coder, ep) })
@@ -199,7 +200,7 @@
 	})
 }
 
-// codeMessage codes a message with its attempts in flight.
+// codeMessage writes or reads a message with its attempts in flight.
 func (e *Engine) codeMessage(coder *statecodec.Coder, p **message) {
 	statecodec.NonNil(coder, p, func(msg *message) {
 		statecodec.Uint(coder, &msg.id)
@@ -217,7 +218,8 @@
 	})
 }
 
-// codeClass codes the class of a message: its index in the settings, or its value if they no longer name it.
+// codeClass writes or reads the class of a message: its index in the settings, or its fields if the settings no
+// longer contain it.
 func (e *Engine) codeClass(coder *statecodec.Coder, msg *message) {
 	if coder.Reading() {
 		msg.class = new(Class)
@@ -234,7 +236,7 @@
 	coder.Floats(&msg.class.Weight)
 }
 
-// codeKeyQueue codes the queue of an ordering key.
+// codeKeyQueue writes or reads the queue of an ordering key.
 func (e *Engine) codeKeyQueue(coder *statecodec.Coder, p **keyQueue) {
 	statecodec.Pointer(coder, p, func(queue *keyQueue) {
 		coder.Text(&queue.key)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// clearScratch clears what an Engine keeps only for the time of a step, or to reuse memory.
+// clearScratch clears the fields that an Engine uses only within a step, or only to reuse memory.
 func clearScratch(engine *Engine) {
 	engine.actions = nil
 	engine.ready = nil
@@ -26,8 +26,8 @@
 	}
 }
 
-// A restored Engine equals the original, field by field: a new field that the snapshot leaves out is found here. It
-// also goes on as the original would have.
+// A restored Engine equals the original in every field, so that the test detects a new field that the snapshot
+// leaves out. The restored Engine also takes the same actions as the original would have.
 func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(4) {
 		steps, compared := 0, 0
@@ -57,23 +57,23 @@
 		with := simulate(t, seed, disabledGuard{replace: replace})
 		without := simulate(t, seed, disabledGuard{})
 		if with.counts != without.counts || with.delivered != without.delivered {
-			t.Errorf("seed %d: goes on differently after a restore: %+v %d, %+v %d",
+			t.Errorf("seed %d: runs with and without restores differ: %+v, %d delivered; %+v, %d delivered",
 				seed, with.counts, with.delivered, without.counts, without.delivered)
 		}
 		if compared < 20 {
-			t.Errorf("seed %d: compared %d times only", seed, compared)
+			t.Errorf("seed %d: compared only %d times", seed, compared)
 		}
 	}
 }
 
-// difference names the first field in which two Engines differ; "" if they are equal. reflect.DeepEqual names none, and
-// takes nil and empty for different.
+// difference returns the path of the first field in which two Engines differ, or "" if they are equal.
+// reflect.DeepEqual does not report the field, and treats nil and empty slices or maps as different.
 func difference(a, b *Engine) string {
 	c := comparison{seen: map[[2]uintptr]bool{}}
 	return c.values("engine", reflect.ValueOf(a), reflect.ValueOf(b))
 }
 
-// comparison compares values that point at each other.
+// comparison compares values that may point to each other in cycles.
 type comparison struct{ seen map[[2]uintptr]bool }
 
 func (c comparison) values(path string, a, b reflect.Value) string {
