--- a/policy/fleetpacing.go
+++ b/policy/fleetpacing.go
@@ -27,8 +27,8 @@
 
 // initializePacing sets the first pacing rate of a scope: this relay's share of the known limit. Without it, the
 // relays of a large fleet would start unpaced and together exceed the limit by far. Where rejected calls count
-// against the limit, they would then be rejected for as long as they kept calling at that rate. The scope's tokens
-// accumulate from the time at which it was listed.
+// against the limit, the relays would then be rejected for as long as they kept calling at that rate. The scope's
+// tokens accumulate from the time at which it was listed.
 func (e *Engine) initializePacing(scope *limitScope) {
 	scope.pacingRate = e.fairPacingRate(scope)
 	scope.increasedAt = e.now
@@ -36,9 +36,10 @@
 }
 
 // boundPacing limits a pacing rate if tenant quotas are set. The maximum is the fair rate, or maxFleetPacingRatio
-// times the fair rate if there is a backlog and the previous rate was at least the fair rate. Otherwise one success
-// could raise a rate far above the fair rate, and a rate could stay high after the relay's share had shrunk. The
-// rates of all relays would then add up to more than the limit, and rejected calls would use up the limit.
+// times the fair rate if there is a backlog and the previous rate was at least the fair rate. Without this bound,
+// one success could raise a rate far above the fair rate, and a rate could stay high after the relay's share had
+// shrunk. The rates of all relays would then add up to more than the limit, and rejected calls would use up the
+// limit.
 func (e *Engine) boundPacing(scope *limitScope, previous float64) {
 	if scope.pacingRate == 0 {
 		e.initializePacing(scope)
@@ -87,10 +88,10 @@
 	return fleetExcessPacingGrowth
 }
 
-// fleetRateAfterRejection returns the pacing rate after a rejection. A single rejection lowers the rate to half of
-// the relay's fair share at the least; consecutive rejections lower it further. This matters if a limit is lowered
-// to less than half of its former value and rejected calls count against it. If the relays then stayed at half of
-// their former shares, all their calls would be rejected.
+// fleetRateAfterRejection returns the pacing rate after a rejection. A single rejection lowers the rate no further
+// than to half of the relay's fair share. Consecutive rejections lower it further. This matters if a limit is
+// lowered to less than half of its former value and rejected calls count against it. If the relays then stayed at
+// half of their former shares, all their calls would be rejected.
 func (e *Engine) fleetRateAfterRejection(ep *endpoint, rate float64) float64 {
 	fairShare := e.fairShare(ep.scope)
 	decreased := math.Min(rate*pacingDecreaseFactor, e.fairPacingRate(ep.scope))
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,7 +6,7 @@
 const (
 	timeoutDeviations = 6                      // mean deviations above the mean after which an attempt times out
 	overdueDeviations = 4                      // mean deviations above the mean after which an answer is overdue
-	minLatencyBound   = 800 * time.Millisecond // no answer is overdue sooner after its call was sent
+	minLatencyBound   = 800 * time.Millisecond // an answer is never overdue sooner than this
 )
 
 // recordLatency updates the mean and the mean deviation of an endpoint's latency, as TCP does for round-trip times.
--- a/policy/message.go
+++ b/policy/message.go
@@ -48,7 +48,7 @@
 		retryAfter = max(retryAfter, scope.retryAfterUntil-e.now)
 	}
 	e.emit(Action{Kind: Reject, MessageID: msg.id, Delay: min(retryAfter, e.settings.MaxRetryAfter)})
-	// If the client retries, this or another relay counts the message then.
+	// The relay that accepts the client's retry, this or another one, counts the message then.
 	e.acceptedTraffic.level = max(0, e.acceptedTraffic.level-1)
 	e.finishMessage(msg)
 }
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -40,7 +40,7 @@
 		rate = math.Min(rate, scope.pacingRate)
 	}
 	if e.isLargeFleet(scope) {
-		// With one call in several seconds, there may be none in the last second.
+		// With one call in several seconds, there may be none in the last second. The pacing rate is used then.
 		scope.pacingRate = e.fleetRateAfterRejection(ep, cmp.Or(rate, scope.pacingRate))
 		scope.lastRejectedRate = 0
 	} else {
--- a/policy/restart_property_test.go
+++ b/policy/restart_property_test.go
@@ -14,8 +14,8 @@
 	destination DestinationID
 	untried     bool // no attempt was made before the restart
 	timeLeft    time.Duration
-	sentAfter   time.Duration // first attempt, since the restart; -1: never
-	endedAfter  time.Duration // since the restart, by a rejection or failure; -1: never
+	sentAfter   time.Duration // time from the restart to the first attempt; -1: never
+	endedAfter  time.Duration // time from the restart to a rejection or failure; -1: never
 	rejected    bool
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,7 +12,7 @@
 	ep := e.endpoints[event.Endpoint]
 	c := e.takeCall(msg, event.Attempt)
 	if c != nil {
-		ep = c.endpoint // the endpoint list may no longer contain it
+		ep = c.endpoint // the endpoint may have been removed from e.endpoints since
 	}
 	if ep != nil && event.RetryAfter > 0 {
 		ep.scope.retryAfter(e.now + event.RetryAfter)
--- a/policy/revision_test.go
+++ b/policy/revision_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// notDecisions are the source files that do not affect decisions. Revision leaves them out, so that a change in
-// them does not change the revision that earlier recordings contain.
+// notDecisions are the source files that do not affect decisions. Revision leaves them out, so that recordings made
+// before a change in them still match the revision.
 var notDecisions = []string{"doc.go", "eviction.go", "inspect.go", "names.go", "revision.go", "snapshot.go"}
 
 // Each source file of the package is either part of the revision or listed in notDecisions.
--- a/policy/scope.go
+++ b/policy/scope.go
@@ -61,9 +61,9 @@
 
 	// Suspicion and recovery, see suspicion.go and slowstart.go.
 	warmingUp            bool          // suspect: may be in an outage, or is coming back from one
-	weaklySuspected      bool          // suspect on weak evidence, such as one failure: one delivery may clear it
-	lastFailureSentAt    time.Duration // that of the scope when the endpoint became suspect
-	recoveredAt          time.Duration // first delivery, while warming up, of a call sent later than that; 0: none
+	weaklySuspected      bool          // the suspicion is weak, as after a single failure: one delivery may clear it
+	lastFailureSentAt    time.Duration // the scope's lastFailureSentAt when the endpoint became suspect
+	recoveredAt          time.Duration // first delivery, while suspect, of a call sent after lastFailureSentAt; 0: none
 	consecutiveSuccesses int           // since the endpoint became suspect
 
 	// Outcomes, see outcome.go.
