--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/admin"
 )
 
-// serveAdmin begins to answer on the admin address, until ctx ends.
+// serveAdmin starts the server at the admin address. The server runs until ctx ends.
 func (r *Relay) serveAdmin(ctx context.Context) error {
 	listener, err := net.Listen("tcp", r.cfg.AdminListen)
 	if err != nil {
@@ -22,11 +22,11 @@
 	if r.fleet != nil {
 		server.Fleet = r.fleet.WriteJSON
 	}
-	go func() { _ = server.Serve(ctx, listener) }() // returns as ctx ends
+	go func() { _ = server.Serve(ctx, listener) }() // returns when ctx ends
 	return nil
 }
 
-// ready reports whether the platform may count on this process.
+// ready reports whether this process serves clients, or is about to take over, and is not terminating.
 func (r *Relay) ready() bool {
 	serving := r.endpointsKnown.Load() || r.awaitingHandover.Load()
 	return serving && !r.terminating.Load()
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -14,8 +14,8 @@
 // unavailableResponse asks a client whose message was not accepted to submit it again soon.
 var unavailableResponse = ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: policy.MinRetryAfter}
 
-// accept puts new messages into the journal and returns the submissions that are answered once this step is decided.
-// All others have their answers.
+// accept records new messages in the journal. It answers rejected submissions and duplicates of earlier messages
+// right away, and returns the submissions whose answers depend on this step's decisions.
 func (r *Relay) accept(submissions []*submitEvent) (waiting []*submitEvent) {
 	var records []*journal.Message
 	now := time.Now()
@@ -51,7 +51,7 @@
 		s.acceptedAs.accepting = false
 	}
 	if err != nil {
-		// A full disk is no reason to die: pending messages go on, new ones are rejected.
+		// A full disk must not stop the relay: pending messages go on, and only new ones are rejected.
 		r.journalFull.Log(r.log, "err", err)
 		r.rollBack(waiting)
 		return nil
@@ -59,8 +59,8 @@
 	return waiting
 }
 
-// resolveClass looks up a message's class once more, as the configuration may have changed since the client's request
-// was read; false if the class exists no more.
+// resolveClass updates the class index of a message, because the configuration may have changed since the client's
+// request was parsed. It returns false if the class no longer exists.
 func (r *Relay) resolveClass(m *journal.Message) bool {
 	if m.ClassName != "" {
 		m.Class = slices.Index(r.activeConfig.ClassNames, m.ClassName)
@@ -69,8 +69,9 @@
 	return true
 }
 
-// replyToDuplicate is the answer to a message whose id is in use, by known, or was until recently. A cancelled message
-// may be submitted once more, unless its call is still in flight and no second one may be.
+// replyToDuplicate returns the answer to a submission whose id belongs to the message known or to a recently finished
+// message. duplicate is false if the submission counts as a new message. A cancelled message may be submitted again,
+// unless its call is still in flight and hedging is not allowed.
 func (r *Relay) replyToDuplicate(
 	m *journal.Message,
 	known *message,
@@ -85,7 +86,8 @@
 	return r.duplicateReply(known), true
 }
 
-// admit reports whether there is a destination and capacity for a new message; if not, reply rejects it.
+// admit reports whether a new message can be accepted. Its destination must be in the endpoint list, once there is
+// one, and the number of pending messages must be below its limit. If not, reply rejects the message.
 func (r *Relay) admit(m *journal.Message) (reply ingress.Response, admitted bool) {
 	if r.listReceived && !r.catalog.HasDestination(m.Destination) {
 		r.countResult(m, metrics.Failed)
@@ -99,8 +101,8 @@
 	return ingress.Response{}, true
 }
 
-// register adds a new message to the relay's state. One that was cancelled before, and may have run then, goes on from
-// there: previous is what it was.
+// register adds a new message to the relay's state. previous is the cancelled message with the same id, or nil. A
+// cancelled message may have run, so the new message goes on with its attempts.
 func (r *Relay) register(record *journal.Message, previous *message) *message {
 	r.lastMessageID++
 	record.ID = r.lastMessageID
@@ -118,7 +120,7 @@
 	return m
 }
 
-// rollBack rejects messages that could not be journaled, and restores what register changed.
+// rollBack rejects messages that could not be journaled, and undoes what register changed for them.
 func (r *Relay) rollBack(waiting []*submitEvent) {
 	for _, s := range waiting {
 		if m := s.acceptedAs; m.Message == s.message {
@@ -137,20 +139,19 @@
 	}
 }
 
-// duplicateReply is the answer to a message under the id of one that is known: the final answer that this one has, if
-// any.
+// duplicateReply returns the answer to a submission with the id of m: the final answer of m, if it has one.
 func (r *Relay) duplicateReply(m *message) ingress.Response {
 	switch {
-	case m.Cancelled: // its call is still in flight, and no second one may be
+	case m.Cancelled: // its call is still in flight, and hedging is not allowed
 		return ingress.Response{Status: http.StatusInternalServerError}
-	case m.Final == nil: // pending, or delivered
+	case m.Final == nil: // pending or delivered
 		m.hasDuplicates = true
 		return ingress.Response{Status: http.StatusAccepted}
 	}
 	return finalAnswer(*m.Final)
 }
 
-// finalAnswer is the answer to the client of a message that is not delivered.
+// finalAnswer returns the answer to the client of a message that was not delivered.
 func finalAnswer(f journal.FinalAnswer) ingress.Response {
 	if f.Retryable {
 		return ingress.Response{Status: http.StatusServiceUnavailable, RetryAfter: f.RetryAfter}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -12,33 +12,33 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// call is a call to an endpoint, with what the loop knows of it.
+// call is a call to an endpoint, with the state that the loop keeps for it.
 type call struct {
 	egress.Call
-	zone     int
-	size     int        // of its body at most, if it carries several messages
-	attempts []*attempt // those whose outcome is awaited, in the order of Call.Attempts
+	zone     int        // zone of the endpoint
+	size     int        // upper bound of the body size of a batch, in bytes
+	attempts []*attempt // in the order of Call.Attempts; empty if the predecessor made the call
 
-	// single holds the attempts of a call with one message, as most calls are.
+	// single is the initial storage of attempts: most calls carry one message and need no allocation for the slice.
 	single [1]*attempt
 }
 
-// attempt is an attempt of a message, with what the loop knows of it.
+// attempt is an attempt to deliver a message, with the state that the loop keeps for it.
 type attempt struct {
 	egress.Attempt
 	call     *call
 	message  *message
-	number   int         // among the message's attempts, from 0
-	timer    *time.Timer // ends it before the rest of its call; nil if it ends with it
-	finished bool        // its outcome is known to the engine
+	number   int         // within the message, from 0
+	timer    *time.Timer // ends the attempt before its call ends; nil if both end together
+	finished bool        // its outcome was passed on to the engine, or to the successor
 }
 
 // callState is the state of the calls in flight.
 type callState struct {
-	callCtx         context.Context // ends when calls must be given up
+	callCtx         context.Context // cancelled when calls in flight must be abandoned
 	activeCalls     map[*call]struct{}
 	callsInFlight   int
-	sendsUnrecorded ratelog.Warning // the journal does not accept the sends of calls
+	sendsUnrecorded ratelog.Warning // the journal could not record the sends of calls
 }
 
 func newCallState() callState {
@@ -55,7 +55,7 @@
 	return c
 }
 
-// outgoing returns the attempts as package egress knows them.
+// outgoing returns the attempts in the form that package egress uses.
 func (c *call) outgoing() []*egress.Attempt {
 	attempts := make([]*egress.Attempt, len(c.attempts))
 	for i, a := range c.attempts {
@@ -64,8 +64,9 @@
 	return attempts
 }
 
-// addToCalls adds an attempt of a message to a call to its endpoint. The sends of one step to one endpoint share a
-// call, up to the largest batch of its kind.
+// addToCalls adds an attempt of a message to a call to the action's endpoint, and returns the calls. Sends of one
+// step to the same endpoint share a call, up to the maximum batch of the endpoint's kind. A message whose body cannot
+// be read from the journal fails instead.
 func (r *Relay) addToCalls(calls []*call, m *message, a *policy.Action) []*call {
 	body, err := r.journal.Body(m.Message)
 	if err != nil {
@@ -91,15 +92,17 @@
 	})
 	m.attemptsStarted++
 	m.inFlight++
-	// With hedging, the rest of a call may outlast the timeout of one of its messages, and without it nothing may.
+	// With hedging, a call lasts until the latest timeout of its attempts. Without hedging it ends at the earliest
+	// timeout: a message may be sent again after its timeout, and must not have two attempts in flight.
 	if len(c.attempts) == 1 || deadline.After(c.Deadline) == r.cfg.AllowHedging {
 		c.Deadline = deadline
 	}
 	return calls
 }
 
-// findCall returns the last of the calls to an endpoint that has room for one more message; nil if there is none.
-// Bodies are bounded: many small messages are no reason for the endpoint to reject a large one.
+// findCall returns the last call to the endpoint that has room for one more message; nil if there is none. A batch
+// stays within the maximum body size: the endpoint would reject a larger one with all its messages, although it would
+// accept each of them alone.
 func findCall(calls []*call, endpoint string, maxBatch, size int) (found *call) {
 	for _, c := range calls {
 		if c.EndpointID == endpoint && len(c.attempts) < maxBatch && c.size+size <= netconn.MaxBodySize {
@@ -109,9 +112,9 @@
 	return found
 }
 
-// insertByDeadline inserts an attempt before those whose messages have less time left. The first
-// message sets the deadline of a call: a response that comes after it proves nothing about the others, even if it is
-// complete. So no call may outlast its first message.
+// insertByDeadline inserts an attempt before those whose messages have less time left. An endpoint may apply the
+// deadline of the first message to the whole call. A response after that deadline proves nothing about the other
+// messages, even if it is complete, so no call may outlast its first message.
 func (c *call) insertByDeadline(a *attempt) {
 	i := slices.IndexFunc(c.attempts, func(b *attempt) bool { return b.message.Deadline.Before(a.message.Deadline) })
 	if i < 0 {
@@ -120,7 +123,7 @@
 	c.attempts = slices.Insert(c.attempts, i, a)
 }
 
-// startCall makes a call on a goroutine of its own.
+// startCall makes a call on its own goroutine, which posts the results to the loop.
 func (r *Relay) startCall(c *call) {
 	r.callsInFlight++
 	r.activeCalls[c] = struct{}{}
@@ -138,9 +141,9 @@
 	}()
 }
 
-// sendableAttempts returns the attempts of a delayed call that may still be sent, if the policy still allows the call.
-// A message that has its final answer meanwhile, or whose time in this call is up, is left out: the connection may come
-// up long after that.
+// sendableAttempts returns the attempts of a delayed call that may still be sent; none if the policy no longer allows
+// the call. It omits messages that received their final answer during the delay, and attempts that have timed out:
+// establishing a connection can take longer than the timeout of an attempt.
 func (r *Relay) sendableAttempts(c *call) (sendable []*egress.Attempt) {
 	var ids []policy.MessageID
 	for _, a := range c.attempts {
@@ -161,7 +164,8 @@
 	return sendable
 }
 
-// checkSend asks the loop which attempts of a delayed call may still be sent.
+// checkSend has the loop determine which attempts of a delayed call may still be sent. It returns none if the loop
+// has ended.
 func (r *Relay) checkSend(c *call) []*egress.Attempt {
 	reply := make(chan []*egress.Attempt, 1)
 	if !r.post(sendCheck{c, reply}) {
@@ -175,7 +179,7 @@
 	}
 }
 
-// callEnded handles the results of a call.
+// callEnded handles the results of a call, and appends the events for the policy.
 func (r *Relay) callEnded(events []policy.Event, e *callFinished) []policy.Event {
 	r.callsInFlight--
 	delete(r.activeCalls, e.call)
@@ -185,12 +189,13 @@
 	return events
 }
 
-// attemptEnded handles the result of an attempt: for the journal, the message's state, and the policy.
+// attemptEnded updates the journal and the message's state with the result of an attempt, and appends the events for
+// the policy.
 func (r *Relay) attemptEnded(events []policy.Event, a *attempt, result egress.Result) []policy.Event {
 	m := a.message
 	delivered := result.Outcome == policy.OK
 	if a.finished {
-		// Its time was up, and the call went on for others. A delivery still ends the message.
+		// The attempt timed out while its call went on for other messages. A delivery still ends the message.
 		if delivered {
 			events = r.markDelivered(events, m)
 		}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -15,45 +14,45 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Config is all that a relay is given at its start.
+// Config is the configuration of a relay at its start.
 type Config struct {
 	Name          string
 	Listen        string // the address for clients
-	InheritedFD   string // descriptor of the platform's socket that listens there already; "": none
+	InheritedFD   string // descriptor of the platform's socket, which already listens there; "": none
 	AdminListen   string // the address for on-call staff and the platform; "": none
 	DiscoveryAddr string // the address of service discovery's agent
-	StateDir      string // the folder that outlasts the process
+	StateDir      string // the folder for the journal and other files that outlive the process
 	Seed          uint64
 	Limits        Limits
 
-	Known        discovery.List   // the endpoint list as this relay last had it; may be old or empty
-	KnownCatalog *catalog.Catalog // the list, in place of Known, if it is too long for the policy to hold it; else nil
-	KnownErr     error            // why the list is unreadable; it is empty then, and comes from discovery
+	Known        discovery.List   // the last endpoint list of this relay, from the file; may be outdated or empty
+	KnownCatalog *catalog.Catalog // holds the list in place of Known if it is too long for the policy; else nil
+	KnownErr     error            // why the list is unreadable; Known is then empty, and the list comes from discovery
 
-	// Config holds what a reload may change. Without TenantNames the site has no tenants.
+	// Config holds what a reload may change. Its TenantNames is empty if the site has no tenants.
 	reload.Config
 
 	Zones []string
 	Kinds []string
 
 	ConnectTimeout   time.Duration
-	KeepAlive        time.Duration // endpoints close a connection that was idle for so long
-	DrainGrace       time.Duration // so long after the news of a drain or removal, sends there must have ended
-	Tick             time.Duration // the least time between two steps
+	KeepAlive        time.Duration // how long endpoints keep an idle connection open
+	DrainGrace       time.Duration // how long sends to an endpoint may go on after the notice of its drain or removal
+	Tick             time.Duration // minimum time between two steps
 	AllowHedging     bool          // two attempts of a message may be in flight at once
-	LoadReportFields []string      // fields of the endpoints' load reports; empty: there are none
+	LoadReportFields []string      // fields of the endpoints' load reports; empty: there are no reports
 
 	Operator operatorfile.File
-	Version  string // of the program
+	Version  string // version of the program
 
-	// WrapJournalFS wraps the file system of the journal; nil: it is used as it is.
+	// WrapJournalFS wraps the file system of the journal; nil: the file system is used directly.
 	WrapJournalFS func(store.FS) store.FS
 
-	unreadable      int             // how many entries of the list are unreadable, if it is long
-	firstUnreadable discovery.Entry // the first of them
+	unreadable      int             // number of unreadable entries, if the list is long
+	firstUnreadable discovery.Entry // the first unreadable entry
 }
 
-// Limits are those of the relay's machine.
+// Limits are the resource limits of the relay's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -61,7 +60,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// What holds if a configuration does not say otherwise.
+// Defaults for settings that the configuration leaves out.
 const (
 	defaultConnectTimeout = time.Second
 	defaultKeepAlive      = 15 * time.Second
@@ -69,12 +68,12 @@
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
 	defaultDiskMB         = 3
-	// defaultDeadline is the most time that a message may have if its class sets no deadline.
+	// defaultDeadline bounds the time to the deadline of a message if its class sets no deadline.
 	defaultDeadline = 24 * time.Hour
 )
 
-// LoadConfig reads the configuration at a start: the file that ROUTER_CONFIG names. The other ROUTER_ variables
-// override it.
+// LoadConfig reads the configuration for the start of a relay from the file that ROUTER_CONFIG names. The other
+// ROUTER_ variables override the file.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv, keepKnown)
 	if err != nil {
@@ -93,13 +92,17 @@
 		}
 	}
 	if c.Listen == "" || c.DiscoveryAddr == "" || c.StateDir == "" {
-		return Config{}, errors.New("config: ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_STATE must be set")
+		return Config{}, fmt.Errorf(
+			"config: ROUTER_LISTEN (%q), ROUTER_DISCOVERY (%q) and ROUTER_STATE (%q) must all be set",
+			c.Listen, c.DiscoveryAddr, c.StateDir,
+		)
 	}
 	return c, nil
 }
 
-// ReloadConfig reads the file that ROUTER_CONFIG names once more. It overrides the other ROUTER_ variables, which are
-// as old as the process. The endpoint list in it is checked and not kept: discovery has a newer one.
+// ReloadConfig reads the file that ROUTER_CONFIG names again. The file now overrides the other ROUTER_ variables,
+// which date from the start of the process. The endpoint list in the file is checked but not kept: discovery has a
+// newer one.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	c, err := readConfig(getenv, checkKnown)
 	if err != nil {
@@ -118,7 +121,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // a file that was only read loses nothing if Close fails
 	c, err := parseConfigFile(f, known)
 	if err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
@@ -126,7 +129,7 @@
 	return c, nil
 }
 
-// setDefaults fills in what a configuration may leave out.
+// setDefaults sets the defaults for settings that the configuration leaves out.
 func (c *Config) setDefaults() {
 	setDefault(&c.ConnectTimeout, defaultConnectTimeout)
 	setDefault(&c.KeepAlive, defaultKeepAlive)
@@ -142,7 +145,7 @@
 	}
 }
 
-// maxTimeLeft is the most time that a message of a class may have.
+// maxTimeLeft returns the maximum time to the deadline of a message of a class.
 func maxTimeLeft(class policy.Class) time.Duration {
 	if class.Deadline > 0 {
 		return class.Deadline
--- a/internal/relay/configfile.go
+++ b/internal/relay/configfile.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// maxTick bounds the tick, so that no setting makes clients wait for their answers.
+	// maxTick bounds the tick, so that a large setting does not delay the answers to clients.
 	maxTick = 20 * time.Millisecond
-	// readBufferSize is how much of a file is read at once, in bytes.
+	// readBufferSize is the size of the buffer for reading a file, in bytes.
 	readBufferSize = 64 << 10
 	// knownKey is the key of the endpoint list in a configuration file.
 	knownKey = "known"
 )
 
-// errTrailing is the error for a file with more than one object in it.
-var errTrailing = errors.New("more behind the end")
+// errTrailing reports that a file continues after its object.
+var errTrailing = errors.New("unexpected data after the end of the object")
 
-// parseConfigFile reads a configuration file without holding all of it in memory: its endpoint list may be longer than
-// what is kept of it.
+// parseConfigFile reads a configuration file without holding all of the file in memory, because the endpoint list in
+// the file may be much longer than the part of it that is kept.
 func parseConfigFile(src io.ReadSeeker, known knownMode) (Config, error) {
 	settings, knownAt, err := splitKnownEndpoints(src)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return Config{}, err
 	}
 	if knownAt >= 0 {
-		// Read last, wherever it stands: the settings name its zones and kinds.
+		// The endpoint list is read last, wherever it stands: its entries refer to zones and kinds of the settings.
 		if _, err := src.Seek(knownAt, io.SeekStart); err != nil {
 			return Config{}, err
 		}
@@ -50,8 +50,8 @@
 	return c, nil
 }
 
-// splitKnownEndpoints returns a configuration with true in place of its endpoint list, and the offset of that list,
-// just behind its key; -1: there is none.
+// splitKnownEndpoints returns the configuration with true in place of its endpoint list. knownAt is the offset just
+// after the key of the list, or -1 if there is no list.
 func splitKnownEndpoints(src io.Reader) (settings []byte, knownAt int64, err error) {
 	dec := json.NewDecoder(bufio.NewReaderSize(src, readBufferSize))
 	t, err := dec.Token()
@@ -59,7 +59,7 @@
 		return nil, 0, err
 	}
 	if t != json.Delim('{') {
-		return nil, 0, errors.New("not an object")
+		return nil, 0, fmt.Errorf("the file begins with %v, want an object", t)
 	}
 	knownAt = -1
 	values := map[string]json.RawMessage{}
@@ -88,7 +88,7 @@
 	return settings, knownAt, err
 }
 
-// decodeValue reads the value of a key.
+// decodeValue reads the value of a key into values.
 func decodeValue(dec *json.Decoder, key string, values map[string]json.RawMessage) error {
 	var value json.RawMessage
 	err := dec.Decode(&value)
@@ -98,7 +98,8 @@
 	return err
 }
 
-// skipKnownEndpoints reads past the endpoint list and returns its offset; -1 if null stands in its place.
+// skipKnownEndpoints reads past the endpoint list, puts true in its place into values, and returns the offset of the
+// list; -1 if the list is null.
 func skipKnownEndpoints(dec *json.Decoder, key string, values map[string]json.RawMessage) (at int64, err error) {
 	at = dec.InputOffset()
 	first, err := jsonstream.SkipValue(dec, func() {})
@@ -113,7 +114,7 @@
 	return at, nil
 }
 
-// configFile is the form of a configuration file, without its endpoint list.
+// configFile is the format of a configuration file, without the endpoint list.
 type configFile struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -124,7 +125,7 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// relaySettings are the settings that the relay itself uses. The policy's are mapped by package simwire.
+// relaySettings are the settings that the relay itself uses. Package simwire maps those of the policy.
 type relaySettings struct {
 	Services []namedEntry `json:"services"`
 	Realms   []namedEntry `json:"realms"`
@@ -145,12 +146,12 @@
 	} `json:"rules"`
 }
 
-// namedEntry is an entry of the settings of which the relay needs the name alone.
+// namedEntry is an entry of the settings of which the relay uses only the name.
 type namedEntry struct {
 	Name string `json:"name"`
 }
 
-// statsInAnswers is the setting for load reports that come with endpoints' answers.
+// statsInAnswers is the value of the setting stats.how if endpoints send load reports in their answers.
 const statsInAnswers = "answers"
 
 // parseSettings reads a configuration without its endpoint list.
@@ -182,7 +183,8 @@
 		DrainGrace:     milliseconds(own.Rules.StopSendingMS),
 		Tick:           min(milliseconds(own.TickMS), maxTick),
 	}
-	// A seed that is no hexadecimal number still gives random numbers, the same at each start.
+	// An invalid seed is not an error: ParseUint returns a fixed value for it, with which the random numbers are the
+	// same at each start.
 	c.Seed, _ = strconv.ParseUint(file.Seed, 16, 64)
 	for _, service := range own.Services {
 		c.ClassNames = append(c.ClassNames, service.Name)
@@ -196,7 +198,8 @@
 	return c, nil
 }
 
-// policySettings maps settings to those of the policy, by way of the simulator's form.
+// policySettings maps settings to those of the policy. It first flattens them to the form in which the simulator
+// sends settings, which simwire reads.
 func policySettings(data []byte) (policy.Settings, error) {
 	var tree any
 	if err := json.Unmarshal(data, &tree); err != nil {
@@ -207,18 +210,18 @@
 	return simwire.Settings(values)
 }
 
-// shapeOf is the shape of a whole file, with true in place of the endpoint list.
+// shapeOf returns the shape of a file that has true in place of the endpoint list.
 func shapeOf(data []byte) reload.Shape {
 	var file map[string]any
 	if json.Unmarshal(data, &file) != nil {
-		return nil // cannot be: parseSettings has read it
+		return nil // cannot happen: parseSettings has parsed the same data
 	}
 	values := map[string]string{}
 	flatten(values, "", file)
 	return reload.ShapeOf(values)
 }
 
-// flatten writes nested JSON as the paths and values of the simulator's wire.
+// flatten adds nested JSON to values, under the paths that the simulator uses.
 func flatten(values map[string]string, path string, x any) {
 	switch x := x.(type) {
 	case map[string]any:
@@ -233,7 +236,8 @@
 	}
 }
 
-// flattenArray writes an array: objects below their indexes, all other elements as one list.
+// flattenArray adds an array to values: objects under their indexes, with the length of the array as "count", and all
+// other elements as one comma-separated list.
 func flattenArray(values map[string]string, path string, array []any) {
 	scalars := make([]string, 0, len(array))
 	for i, element := range array {
@@ -249,7 +253,7 @@
 	}
 }
 
-// scalar writes a value that is no object and no array.
+// scalar formats a value that is neither an object nor an array.
 func scalar(x any) string {
 	if f, ok := x.(float64); ok {
 		return strconv.FormatFloat(f, 'f', -1, 64)
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -10,22 +10,23 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// endpointState is what the loop knows of endpoints. All of the list is in the catalog. The policy holds all of it,
-// too, up to catalog.MaxEagerEndpoints; of a longer one it holds the destinations of the working set: see largelist.go.
+// endpointState is the loop's state of the endpoint list. The catalog holds the whole list. The policy holds the
+// whole list, too, if it has no more than catalog.MaxEagerEndpoints endpoints. Of a longer list the policy holds only
+// the destinations of the working set: see largelist.go.
 type endpointState struct {
 	catalog           *catalog.Catalog
 	listVersion       int64
-	listReceived      bool // a list was read: a destination that none has named is unknown
-	drainingEndpoints int  // endpoints that are not in service
-	receivingSnapshot bool // a long list is being received, or broke off
-	snapshotNeeded    bool // the list that the configuration has may lack endpoints
-	snapshotTruncated bool // the list that is being received has more entries than the catalog may hold
+	listReceived      bool // a list was applied: destinations that no list has named are rejected
+	drainingEndpoints int  // listed endpoints that are not in service
+	receivingSnapshot bool // a long list is being received, or its transfer broke off
+	snapshotNeeded    bool // the list known at the start may lack endpoints: discovery's full list is fetched first
+	snapshotTruncated bool // the list being received has more endpoints than the catalog may hold
 
-	catalogFull       ratelog.Warning // endpoints beyond what the catalog may hold
+	catalogFull       ratelog.Warning // the catalog may hold no more endpoints
 	unreadableEntries ratelog.Warning
 
-	workingSet *catalog.WorkingSet // of a long list, the destinations that the policy holds; else nil
-	evictAt    time.Time           // when the next step for evictions is due; zero: none is asked for
+	workingSet *catalog.WorkingSet // destinations of a long list that the policy holds; nil while the list is short
+	evictAt    time.Time           // when the next step for evictions is due; zero: none is scheduled
 	scratch    []catalog.Endpoint  // reused by the functions that list a destination's endpoints
 }
 
@@ -36,8 +37,8 @@
 	}
 }
 
-// applyList applies an endpoint list, or changes of it, and returns the policy's event. An unreadable entry is skipped;
-// if it names a known endpoint, that stays as it was.
+// applyList applies an endpoint list, or changes to the list, and returns the event for the policy, if there is any.
+// An unreadable entry is skipped. If it names a known endpoint, that endpoint stays unchanged.
 func (r *Relay) applyList(list discovery.List) []policy.Event {
 	large := r.largeList.Load()
 	r.listVersion = list.Version
@@ -72,7 +73,7 @@
 	return []policy.Event{event}
 }
 
-// markEndpointsKnown notes that a whole list was applied.
+// markEndpointsKnown marks the endpoint list as known once the catalog has an endpoint.
 func (r *Relay) markEndpointsKnown() {
 	if r.catalog.EndpointCount() > 0 {
 		r.listReceived = true
@@ -80,7 +81,7 @@
 	}
 }
 
-// applyEntry applies an entry of a list, and appends to updates what the policy has to know of it.
+// applyEntry applies an entry of a list, and appends the changes for the policy to updates.
 func (r *Relay) applyEntry(updates []policy.Endpoint, e *discovery.Entry) []policy.Endpoint {
 	if e.Err != nil {
 		r.unreadableEntries.Log(r.log, "entry", e.Text, "err", e.Err)
@@ -93,7 +94,8 @@
 	change := r.catalog.Upsert(e.Endpoint)
 	r.recordChange(&change)
 	if change.Kind == catalog.Moved && change.Old.Destination != e.Destination && r.isActive(change.Old.Destination) {
-		// An endpoint's limit scope belongs to its destination: it begins anew at the other one.
+		// An endpoint's rate-limit scope belongs to its destination. The endpoint gets a new scope at its new
+		// destination, so the policy must remove the old endpoint first.
 		updates = append(updates, removedEndpoint(change.Old))
 	}
 	switch {
@@ -109,8 +111,9 @@
 	return updates
 }
 
-// recordChange carries a change of the catalog on to what depends on it. Idle connections to an address that an
-// endpoint has left are closed, so that no call goes there.
+// recordChange updates the state that depends on a changed entry of the catalog: the working set, the number of
+// draining endpoints and the idle connections. Idle connections to an address that an endpoint has left are closed,
+// so that no call uses them.
 func (r *Relay) recordChange(c *catalog.Change) {
 	var hadOld, hasNew, changedDestination, changedAddr bool
 	switch c.Kind {
@@ -143,8 +146,8 @@
 	}
 }
 
-// endpointsRemoved handles endpoints that a complete list did not name, and appends to updates what the policy has to
-// know of them. A policy that gets the complete list needs nothing.
+// endpointsRemoved handles endpoints that a complete list no longer names. It appends their removal to updates only
+// if the list is long: a short list goes to the policy as a whole.
 func (r *Relay) endpointsRemoved(updates []policy.Endpoint, removed []catalog.Endpoint) []policy.Endpoint {
 	for _, old := range removed {
 		r.recordChange(&catalog.Change{Old: old, Kind: catalog.Removed})
@@ -155,7 +158,7 @@
 	return updates
 }
 
-// removedEndpoint is the policy's update for an endpoint that is gone.
+// removedEndpoint returns the policy's update for an endpoint that was removed.
 func removedEndpoint(e catalog.Endpoint) policy.Endpoint {
 	return policy.Endpoint{ID: e.ID, Destination: e.Destination, Kind: e.Kind, Zone: e.Zone, Removed: true}
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -10,20 +10,20 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// event is something that happened outside the loop. Its handler runs on the loop's goroutine: it updates the relay's
-// state at once, and adds to the step whatever has to wait until the policy has decided.
+// event is something that happened outside the loop. Its apply method runs on the loop's goroutine: it updates the
+// relay's state immediately, and adds to the step what has to wait for the policy's decisions.
 type event interface {
 	apply(r *Relay, s *stepState)
 }
 
-// submitEvent is a message that a client submits.
+// submitEvent submits a message from a client.
 type submitEvent struct {
 	message    *journal.Message
-	acceptedAs *message              // set by the loop: the message that it became, or that it duplicates
+	acceptedAs *message              // set by the loop: the message that was registered for it, or that it duplicates
 	reply      chan ingress.Response // buffered: the loop never waits for the client
 }
 
-// cancelEvent reports that the client left before it had the answer to its message.
+// cancelEvent reports that a client left before it received the answer to its message.
 type cancelEvent struct{ messageID policy.MessageID }
 
 // callFinished carries the results of a call, one for each of its attempts.
@@ -32,31 +32,31 @@
 	results []egress.Result
 }
 
-// attemptTimeout reports that the time of one attempt is up while its call goes on for others.
+// attemptTimeout reports that an attempt has timed out while its call goes on for other messages.
 type attemptTimeout struct{ attempt *attempt }
 
-// sendCheck asks which attempts of a delayed call may still be sent.
+// sendCheck requests the attempts of a delayed call that may still be sent.
 type sendCheck struct {
 	call  *call
-	reply chan []*egress.Attempt // buffered; receives the attempts that may still be sent
+	reply chan []*egress.Attempt // buffered; receives those attempts
 }
 
-// notificationsAcked reports that the platform has taken the final notifications of these messages.
+// notificationsAcked reports that the platform has accepted the final notifications of these messages.
 type notificationsAcked struct{ messageIDs []policy.MessageID }
 
-// stopAccepting reports that no more messages come.
+// stopAccepting reports that no more messages will be submitted.
 type stopAccepting struct{}
 
-// stopSending ends all decisions: from here on only outcomes are recorded.
+// stopSending ends the decisions of the policy: from then on only outcomes are recorded.
 type stopSending struct{}
 
-// tick asks for a step and carries nothing.
+// tick requests a step and carries no data.
 type tick struct{}
 
-// listEvent is a short endpoint list, or a change of it.
+// listEvent carries an endpoint list that was received as a whole, or changes to the list.
 type listEvent struct{ list discovery.List }
 
-// partEvent is one part of a long endpoint list.
+// partEvent carries one part of a long endpoint list.
 type partEvent struct{ part *discovery.SnapshotPart }
 
 func (e *submitEvent) apply(_ *Relay, s *stepState) { s.submissions = append(s.submissions, e) }
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -10,17 +10,18 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// execution is what is left to do once the journal has what a step changes.
+// execution is the work of a step that remains once the journal holds the step's changes.
 type execution struct {
 	calls  []*call
-	failed []*message // messages of earlier steps that have a final answer now
+	failed []*message // messages of earlier steps that received their final answer in this step
 }
 
-// responses are those to the submissions of a step, by message. They are no part of execution, so that they need no
-// allocation.
+// responses holds the responses to the submissions of a step, by message. The map is not a field of execution, so
+// that it needs no heap allocation.
 type responses map[policy.MessageID]ingress.Response
 
-// execute carries out the policy's actions: first in the journal, in one write, then on the sockets.
+// execute carries out the policy's actions. It records them in the journal in one write, and only then sends
+// anything: answers, notifications and calls.
 func (r *Relay) execute(actions []policy.Action, waiting []*submitEvent) {
 	replies := make(responses, len(waiting))
 	for _, s := range waiting {
@@ -32,7 +33,8 @@
 	}
 	if err := r.recordSends(todo.calls); err != nil {
 		r.sendsUnrecorded.Log(r.log, "calls", len(todo.calls), "err", err)
-		// A send that is not in the journal must not leave: after a restart it would be made again.
+		// A send that is not in the journal must not leave the relay: after a restart the message would be sent
+		// again.
 		r.returnCalls(todo.calls)
 		todo.calls = nil
 	}
@@ -47,7 +49,8 @@
 	}
 }
 
-// prepare notes an action in the state and the journal, and adds what is left to do once the journal is written.
+// prepare applies an action to the relay's state, queues its records for the journal, and adds the work that follows
+// the journal write to todo.
 func (r *Relay) prepare(todo *execution, replies responses, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
@@ -55,25 +58,25 @@
 	case policy.Reject, policy.Fail:
 		r.prepareFinalAnswer(todo, replies, a)
 	case policy.SetTimer:
-		r.timerAt = time.Now().Add(a.Delay) // the policy counts on one timer, the last that it set
+		r.timerAt = time.Now().Add(a.Delay) // the policy has one timer: the last SetTimer action counts
 	case policy.CloseIdle:
 		r.egress.CloseIdle(a.Endpoint)
 	}
 }
 
-// prepareSend adds an attempt to the calls.
+// prepareSend adds the attempt of a Send action to the calls.
 func (r *Relay) prepareSend(todo *execution, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil {
-		// A bug, but one call less in flight is better than no relay.
-		r.log.Error("send of an unknown message", "message_id", a.MessageID)
+		// Such an action is a bug, but a call that is not made is better than a crash of the relay.
+		r.log.Error("send action ignored, unknown message", "message_id", a.MessageID)
 		return
 	}
 	todo.calls = r.addToCalls(todo.calls, m, a)
 }
 
-// prepareFinalAnswer ends a message that is rejected or has failed. The client of a message of this step has that as
-// its answer; one of an earlier step gets a notification.
+// prepareFinalAnswer ends a message that is rejected or has failed. The client of a message that was submitted in
+// this step receives the final answer as its response; a message of an earlier step gets a final notification.
 func (r *Relay) prepareFinalAnswer(todo *execution, replies responses, a *policy.Action) {
 	m := r.messages[a.MessageID]
 	if m == nil || m.completed {
@@ -91,7 +94,7 @@
 	todo.failed = append(todo.failed, m)
 }
 
-// recordSends writes the sends of calls, and all else that was recorded in this step, to the journal.
+// recordSends writes the sends of calls and all other pending records of the step to the journal.
 func (r *Relay) recordSends(calls []*call) error {
 	var sends []journal.Send
 	for _, c := range calls {
@@ -106,13 +109,14 @@
 	return r.journal.RecordSends(sends...)
 }
 
-// returnCalls ends calls whose sends could not be recorded, as if they had never connected.
+// returnCalls ends calls whose sends could not be recorded, with the outcome of a connection that failed.
 func (r *Relay) returnCalls(calls []*call) {
 	for _, c := range calls {
 		for _, a := range c.attempts {
 			r.deferredEvents = r.attemptEnded(r.deferredEvents, a, egress.Result{Outcome: policy.ConnectFailed})
 		}
 	}
-	// The policy learns of it in a step of its own, soon. That is not the step of its timer, which must not be lost.
+	// The policy receives these events in an additional step. Requesting that step does not change timerAt, so the
+	// policy's timer is not lost.
 	r.requestStepAfter(r.cfg.Tick)
 }
--- a/internal/relay/finished.go
+++ b/internal/relay/finished.go
@@ -8,40 +8,41 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/ingress"
 )
 
-// maxFinishedMessages bounds how many finished messages are remembered: at a thousand a second, those of four seconds.
+// maxFinishedMessages bounds how many finished messages are kept: those of about four seconds, at a thousand messages
+// a second.
 const maxFinishedMessages = 4096
 
-// finishedMessages remembers, until their deadlines, the messages that are finished and out of the journal, also those
-// of a process that handed over to this one. A client whose answer was lost with its connection submits its message
-// once more under the same id, perhaps after the delivery.
+// finishedMessages holds the answers to messages that are finished and no longer in the journal, until the deadlines
+// of the messages. It includes messages of a predecessor that handed over. A client that lost its connection before
+// it received the answer submits its message again under the same id, possibly after the delivery.
 type finishedMessages struct {
-	replies map[string]finishedReply // by the client's id
-	order   []string                 // the ids, as the messages finished
+	replies map[string]finishedReply // by trace id
+	order   []string                 // trace ids, in the order in which the messages finished
 }
 
-// finishedReply is the answer to a client that submits a finished message once more, and until when it holds.
+// finishedReply is the answer to a client that submits a finished message again, and until when it is valid.
 type finishedReply struct {
 	answer ingress.Response
 	until  time.Time
 }
 
-// add remembers a message, unless it could do no harm as a new one.
+// add stores the answer to a finished message, unless it is safe to accept the message as a new one.
 func (r *finishedMessages) add(m *message) {
 	reply := finishedReply{until: m.Deadline}
 	switch {
-	case len(m.UncertainAttempts) == 0: // it never ran: it may come as a new one
+	case len(m.UncertainAttempts) == 0: // it never ran, so it may be submitted as a new message
 		return
 	case m.Final == nil:
 		reply.answer.Status = http.StatusAccepted // delivered, perhaps after its client had cancelled it
 	case m.Final.Retryable:
-		return // its client was asked to submit it again
+		return // the client was asked to submit it again
 	default:
 		reply.answer = finalAnswer(*m.Final)
 	}
 	r.put(m.TraceID, reply)
 }
 
-// put remembers a reply.
+// put stores a reply under a trace id.
 func (r *finishedMessages) put(trace string, reply finishedReply) {
 	if r.replies == nil {
 		r.replies = map[string]finishedReply{}
@@ -52,7 +53,7 @@
 	r.replies[trace] = reply
 }
 
-// export returns what the next process needs to give the same answers.
+// export returns the finished messages for the successor, which then gives the same answers.
 func (r *finishedMessages) export() (messages []hotrestart.FinishedMessage) {
 	for _, trace := range r.order {
 		reply := r.replies[trace]
@@ -65,20 +66,22 @@
 	return messages
 }
 
-// restore adds what the process before this one exported.
+// restore adds the finished messages that the predecessor exported.
 func (r *finishedMessages) restore(messages []hotrestart.FinishedMessage) {
 	for _, m := range messages {
 		r.put(m.TraceID, finishedReply{answer: ingress.Response{Status: m.Status}, until: m.Until})
 	}
 }
 
-// reply is the answer to a submission under the id of a finished message; false if none is remembered.
+// reply returns the answer to a submission under the id of a finished message; known is false if none is stored or
+// the stored one is no longer valid.
 func (r *finishedMessages) reply(trace string, now time.Time) (reply ingress.Response, known bool) {
-	remembered, found := r.replies[trace]
-	return remembered.answer, found && now.Before(remembered.until)
+	stored, found := r.replies[trace]
+	return stored.answer, found && now.Before(stored.until)
 }
 
-// expire forgets messages past their deadlines, and the oldest beyond maxFinishedMessages.
+// expire removes messages from the oldest on: those past their deadlines, and those beyond maxFinishedMessages. It
+// stops at the first message that stays. A message behind it may remain past its own deadline, which reply checks.
 func (r *finishedMessages) expire(now time.Time) {
 	expired := 0
 	for _, trace := range r.order {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// joinFleet makes this relay a member of its fleet, if the operator's file says so.
+// joinFleet makes this relay a member of its fleet, if the operator's file enables that.
 func (r *Relay) joinFleet() {
 	settings := r.cfg.Operator.Fleet
 	if !settings.Enabled {
@@ -29,8 +29,8 @@
 	r.recorder.RecordFleet(r.fleet.Agent().Snapshot)
 }
 
-// restoreFleet gives the member of a process that has taken over what the one before knew: the endpoint list and the
-// pending messages.
+// restoreFleet passes the endpoint list and the pending messages of the predecessor to the fleet member of a process
+// that has taken over.
 func (r *Relay) restoreFleet(snapshot policy.Event) {
 	if r.fleet == nil {
 		return
--- a/internal/relay/forwarding.go
+++ b/internal/relay/forwarding.go
@@ -11,16 +11,17 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// drainConnectionsTimeout is how long a process that has handed over serves the connections that its clients have: each
-// answer ends one.
+// drainConnectionsTimeout is how long a process that has handed over goes on serving its open client connections.
+// Each connection closes after its next answer.
 const drainConnectionsTimeout = 2 * time.Second
 
-// forwardedEvent is an event that matters to a process that has handed over. All others are ignored there.
+// forwardedEvent is an event that a process still handles after it has handed over. All other events are ignored
+// then.
 type forwardedEvent interface {
 	forward(r *Relay)
 }
 
-// forwardEvents is the loop's step once another process decides.
+// forwardEvents takes the place of the step in a process that has handed over.
 func (r *Relay) forwardEvents(batch []event) {
 	for _, e := range batch {
 		if f, ok := e.(forwardedEvent); ok {
@@ -61,10 +62,10 @@
 	r.sendToSuccessor(hotrestart.Frame{Outcome: &outcome})
 }
 
-// forward answers the watcher: nobody here uses the list any more.
+// forward replies to the watcher that sent the part. This process no longer uses the endpoint list.
 func (e partEvent) forward(*Relay) { e.part.Reply <- true }
 
-// forward answers that nothing may be sent: this process no longer knows.
+// forward allows no send, because only the successor can still decide which attempts may be sent.
 func (e sendCheck) forward(*Relay) { e.reply <- nil }
 
 func (e metricsRequest) forward(r *Relay) {
@@ -81,7 +82,8 @@
 	r.clearSuccessor(e.conn)
 }
 
-// forwardOutcome sends the outcome of an attempt to the successor. callFinished says that no other one follows.
+// forwardOutcome sends the outcome of an attempt to the successor. callFinished reports that the call of the attempt
+// has ended, so that no other outcome of the attempt follows.
 func (r *Relay) forwardOutcome(a *attempt, res egress.Result, callFinished bool) {
 	r.sendToSuccessor(hotrestart.Frame{Outcome: &hotrestart.Outcome{
 		ID:           a.message.ID,
@@ -95,8 +97,8 @@
 	}})
 }
 
-// sendToSuccessor sends a frame to the successor. One that has died took the state along: the next process recovers
-// from the journal.
+// sendToSuccessor sends a frame to the successor. If the successor has died, the state that it took over is lost: the
+// next process recovers from the journal.
 func (r *Relay) sendToSuccessor(f hotrestart.Frame) {
 	if r.successor == nil {
 		return
@@ -106,7 +108,8 @@
 	}
 }
 
-// finishAfterHandOver ends a process that has handed over, within shutdownTimeout.
+// finishAfterHandOver serves the open client connections and waits for the calls in flight of a process that has
+// handed over, for no longer than shutdownTimeout.
 func (r *Relay) finishAfterHandOver() {
 	began := time.Now()
 	after := timersFrom(began)
@@ -123,14 +126,15 @@
 	}
 }
 
-// forwardedSubmissions are submissions that the successor answers.
+// forwardedSubmissions holds the submissions that were sent to the successor and have no answer yet.
 type forwardedSubmissions struct {
 	mu      sync.Mutex
 	lastSeq uint64
 	pending map[uint64]*submitEvent // by sequence number
 }
 
-// forward sends a submission to the successor. There are no more of them than connections of clients.
+// forward sends a submission to the successor. The number of pending submissions is bounded by that of client
+// connections.
 func (f *forwardedSubmissions) forward(successor *hotrestart.Conn, submitted *submitEvent) {
 	if successor == nil {
 		submitted.reply <- unavailableResponse
@@ -147,7 +151,7 @@
 	}
 }
 
-// add notes a submission whose answer is to come, and returns its sequence number.
+// add registers a submission that awaits its answer, and returns its sequence number.
 func (f *forwardedSubmissions) add(submitted *submitEvent) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +163,7 @@
 	return f.lastSeq
 }
 
-// reply gives a client the successor's answer.
+// reply passes the successor's answer on to the client.
 func (f *forwardedSubmissions) reply(a *hotrestart.Answer) {
 	f.mu.Lock()
 	submitted := f.pending[a.Seq]
@@ -171,8 +175,8 @@
 	}
 }
 
-// abort answers submissions to which no answer comes any more. The successor may have accepted them: their clients must
-// not submit again, and learn that the message failed.
+// abort answers the pending submissions when the successor is gone. The successor may have accepted them, so the
+// answer is that the message failed: the clients must not submit it again.
 func (f *forwardedSubmissions) abort() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -12,17 +12,18 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// hotRestartState is what a relay knows of the process before it and of the one after it.
+// hotRestartState is the state of hot restarts: from the predecessor to this process, and from this process to its
+// successor.
 type hotRestartState struct {
 	predecessor *hotrestart.Conn // nil: this process started without one
-	// stopLeading ends what only the process that owns the journal does: it watches the endpoint list and sends
-	// final notifications.
+	// stopLeading stops what only the process that owns the journal does: fleet membership, the watch of the endpoint
+	// list and the sending of final notifications.
 	stopLeading context.CancelFunc
 
 	// Owned by the loop.
-	remoteAttempts map[attemptKey]*attempt // of the predecessor, without an outcome
-	successor      *hotrestart.Conn        // that is ready to take over; nil: none
-	handedOver     bool                    // the successor has taken over: this process decides nothing more
+	remoteAttempts map[attemptKey]*attempt // attempts of the predecessor, in calls that have not ended
+	successor      *hotrestart.Conn        // the process that is ready to take over or has taken over; nil: none
+	handedOver     bool                    // the successor has taken over: this process makes no more decisions
 
 	forwarded forwardedSubmissions
 }
@@ -30,10 +31,10 @@
 // successorReady reports that a process is ready to take over.
 type successorReady struct{ conn *hotrestart.Conn }
 
-// successorGone reports that such a process has closed its connection.
+// successorGone reports that a process that was ready to take over has closed its connection.
 type successorGone struct{ conn *hotrestart.Conn }
 
-// handOverRequest asks the loop to hand over. The reply says whether it has.
+// handOverRequest requests that the loop hand over. The reply reports whether it did.
 type handOverRequest struct{ reply chan bool }
 
 func (e successorReady) apply(r *Relay, _ *stepState) { r.setSuccessor(e.conn) }
@@ -44,8 +45,8 @@
 
 func (r *Relay) handoverPath() string { return filepath.Join(r.cfg.StateDir, "handover.sock") }
 
-// listenForSuccessor lets another process take over from this one until ctx ends, if the platform holds the clients'
-// socket.
+// listenForSuccessor lets another process connect and take over from this one until ctx ends. It does nothing unless
+// the platform holds the clients' socket, which the other process needs.
 func (r *Relay) listenForSuccessor(ctx context.Context) {
 	if r.cfg.InheritedFD == "" {
 		return
@@ -55,21 +56,21 @@
 		r.log.Warn("no process can take over from this one", "err", err)
 		return
 	}
-	context.AfterFunc(ctx, func() { _ = l.Close() }) // nothing is lost with a listener
+	context.AfterFunc(ctx, func() { _ = l.Close() }) // an error of Close does not matter: no data is lost
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
-				return // closed, or out of descriptors: then a hot restart is a plain one
+				return // the listener is closed or out of descriptors: the next process recovers from the journal
 			}
 			go r.serveSuccessor(hotrestart.NewConn(c))
 		}
 	}()
 }
 
-// serveSuccessor serves a process that wants to take over, until it closes its connection.
+// serveSuccessor serves a process that wants to take over, until that process closes its connection.
 func (r *Relay) serveSuccessor(c *hotrestart.Conn) {
-	defer func() { _ = c.Close() }() // the other end is gone by then, or not wanted
+	defer func() { _ = c.Close() }() // the other process has closed the connection, or is rejected
 	f, err := c.Receive()
 	if err != nil || f.Hello == nil {
 		return
@@ -90,36 +91,38 @@
 	r.post(successorGone{c})
 }
 
-// setSuccessor takes a process as the one to hand over to, in place of an earlier one.
+// setSuccessor makes a process the one to hand over to, in place of an earlier one.
 func (r *Relay) setSuccessor(c *hotrestart.Conn) {
 	if r.successor != nil {
-		_ = r.successor.Close() // nothing was handed over to it
+		_ = r.successor.Close() // nothing was handed over to the earlier process
 	}
 	r.successor = c
 	r.sendToSuccessor(hotrestart.Frame{Welcome: true})
 }
 
-// clearSuccessor forgets a process that has closed its connection.
+// clearSuccessor removes the successor, if c is its connection.
 func (r *Relay) clearSuccessor(c *hotrestart.Conn) {
 	if r.successor == c {
 		r.successor = nil
 	}
 }
 
-// handOverToSuccessor has the loop hand over, if a process is ready to take over.
+// handOverToSuccessor has the loop hand over if a process is ready to take over, and reports whether it did.
 func (r *Relay) handOverToSuccessor() bool {
 	request := handOverRequest{make(chan bool, 1)}
 	return r.post(request) && <-request.reply
 }
 
-// transferState hands over to the successor, between two steps. From here on this process decides nothing.
+// transferState hands over to the successor and reports whether there is one. It runs at the end of a step. From then
+// on this process makes no more decisions.
 func (r *Relay) transferState() bool {
 	if r.successor == nil {
 		return false
 	}
 	state := r.exportState()
 	if err := r.journal.Close(); err != nil {
-		r.log.Warn("journal not written at hand-over", "err", err) // the state says which messages have ended
+		// The successor drops messages of the journal that the state does not list: they have ended.
+		r.log.Warn("journal not written at hand-over", "err", err)
 	}
 	r.handedOver = true
 	r.stopLeading()
@@ -133,7 +136,7 @@
 	return true
 }
 
-// exportState returns all that the successor must know beside the journal.
+// exportState returns the state that the successor needs in addition to the journal.
 func (r *Relay) exportState() *hotrestart.State {
 	s := &hotrestart.State{
 		Now:              r.now(),
@@ -162,7 +165,7 @@
 	return s
 }
 
-// exportEndpoints adds the endpoint list to a state. Of a long list it is the part that the policy knows.
+// exportEndpoints adds the endpoint list to a state. Of a long list it adds only the endpoints that the policy holds.
 func (r *Relay) exportEndpoints(s *hotrestart.State) {
 	if s.LargeList {
 		views, _ := r.engine.Views()
@@ -185,7 +188,7 @@
 	slices.SortFunc(s.Endpoints, func(a, b hotrestart.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// exportMessage returns what the successor must know of a message beside the journal.
+// exportMessage returns the state of a message that the successor needs in addition to the journal.
 func exportMessage(m *message) hotrestart.Message {
 	exported := hotrestart.Message{
 		ID:              m.ID,
@@ -200,7 +203,7 @@
 	return exported
 }
 
-// exportAttempt returns what the successor must know of an attempt whose call is in flight.
+// exportAttempt returns the state of an attempt whose call is in flight.
 func exportAttempt(a *attempt) hotrestart.Attempt {
 	return hotrestart.Attempt{
 		ID:       a.message.ID,
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// healthSaveInterval is how often the health of endpoints is saved at most.
+	// healthSaveInterval is the minimum time between two saves of endpoint health.
 	healthSaveInterval = 250 * time.Millisecond
-	// healthSaveCostRatio bounds the cost of looking at all endpoints: one part in so many of the loop's time.
+	// healthSaveCostRatio bounds the cost of saves, which examine all endpoints: saves take at most
+	// 1/healthSaveCostRatio of the loop's time.
 	healthSaveCostRatio = 50
 )
 
-// healthState is what the journal holds of the endpoints' health.
+// healthState controls how the health of endpoints is saved in the journal.
 type healthState struct {
-	saved         []endpointhealth.Record
-	nextSave      time.Time // not before this
-	saveScheduled bool      // a step at nextSave is asked for
+	saved         []endpointhealth.Record // the records that the journal holds
+	nextSave      time.Time               // the earliest time of the next save
+	saveScheduled bool                    // a step at nextSave was requested
 }
 
-// saveEndpointHealth saves in the journal what a restarted relay must know of endpoints with faults.
+// saveEndpointHealth writes the health of unhealthy endpoints to the journal, for the next process after a restart.
+// It writes only if something has changed, and at most once in healthSaveInterval.
 func (r *Relay) saveEndpointHealth() {
 	now := time.Now()
 	if now.Before(r.health.nextSave) {
-		// What this step has learned must not wait for the next one, which may be long in coming.
+		// The next step may be far off, so a step is requested to save what changed in this one.
 		if !r.health.saveScheduled {
 			r.health.saveScheduled = true
 			r.requestStepAfter(r.health.nextSave.Sub(now))
@@ -36,7 +38,8 @@
 	records := endpointhealth.FromViews(views, r.now(), r.journal.Stamp(now))
 	if endpointhealth.Changed(r.health.saved, records) {
 		if err := r.journal.SaveEndpointHealth(endpointhealth.Encode(records)); err != nil {
-			// A restart knows less. The room goes to the messages first.
+			// Only the next process is affected: it has less information. Messages have precedence for the space in
+			// the journal.
 			r.log.Debug("endpoint health not saved", "err", err)
 		} else {
 			r.health.saved = records
--- a/internal/relay/journal.go
+++ b/internal/relay/journal.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// reservedDiskBytes is the part of the disk limit for the other files of the state folder.
+	// reservedDiskBytes is the part of the disk limit that is left to the other files of the state folder.
 	reservedDiskBytes = 4 << 10
-	// journalLockTimeout is how long to wait for a predecessor that broke off to release the journal.
+	// journalLockTimeout is how long to wait for the lock of the journal while a predecessor that failed to hand over
+	// still holds it.
 	journalLockTimeout = 10 * time.Second
-	// journalLockRetryInterval is the time between two attempts to lock the journal meanwhile.
+	// journalLockRetryInterval is the time between two tries to lock the journal.
 	journalLockRetryInterval = 20 * time.Millisecond
 )
 
-// openJournal opens the journal, and leaves what it holds in r.recovery.
+// openJournal opens the journal, and sets r.recovery to what the journal holds.
 func (r *Relay) openJournal() error {
 	options := r.cfg.Operator.Journal.Options(int64(r.cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
 	options.WrapFS = r.cfg.WrapJournalFS
@@ -26,7 +27,7 @@
 	for ; ; time.Sleep(journalLockRetryInterval) {
 		opened, recovery, err := journal.OpenFolder(r.cfg.StateDir, options)
 		if errors.Is(err, store.ErrLocked) && r.predecessor != nil && time.Now().Before(deadline) {
-			continue // the predecessor broke off without handing over, and has not ended yet
+			continue // the predecessor disconnected without handing over, and has not exited yet
 		}
 		if err != nil {
 			return fmt.Errorf("relay: %w", err)
--- a/internal/relay/knownlist.go
+++ b/internal/relay/knownlist.go
@@ -9,20 +9,20 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// knownMode says what becomes of the endpoint list of a configuration.
+// knownMode determines what is done with the endpoint list of a configuration.
 type knownMode bool
 
 const (
-	keepKnown  knownMode = true  // it is read and kept
-	checkKnown knownMode = false // it is only checked for its form
+	keepKnown  knownMode = true  // the list is read and kept
+	checkKnown knownMode = false // only the form of the list is checked
 )
 
-// readKnownEndpoints reads the endpoint list of a configuration, from just behind its key. A long one goes to a catalog
-// as it is read.
+// readKnownEndpoints reads the endpoint list of a configuration. src starts just after the key of the list. A long
+// list goes to a catalog while it is read.
 func (c *Config) readKnownEndpoints(src io.Reader, mode knownMode) error {
 	from := bufio.NewReaderSize(src, readBufferSize)
-	if _, err := from.ReadSlice(':'); err != nil { // only blanks stand before it
-		return fmt.Errorf("known: %w", err)
+	if _, err := from.ReadSlice(':'); err != nil { // only white space precedes the colon
+		return fmt.Errorf("endpoint list %q: %w", knownKey, err)
 	}
 	var parser *discovery.Parser
 	if mode == keepKnown {
@@ -44,7 +44,7 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("known: %w", err)
+		return fmt.Errorf("endpoint list %q: %w", knownKey, err)
 	}
 	c.Known = discovery.List{Version: head.Version, Full: head.Full, Entries: short}
 	c.KnownCatalog = long
@@ -61,7 +61,8 @@
 	return long
 }
 
-// addKnownEntry adds an entry to a long list. Unreadable ones are counted, and the first of them is kept for the log.
+// addKnownEntry adds an entry to the catalog of a long list. Unreadable entries are counted, and the first of them is
+// kept for the log.
 func (c *Config) addKnownEntry(long *catalog.Catalog, e discovery.Entry) {
 	if e.Err == nil {
 		long.Upsert(e.Endpoint)
@@ -73,7 +74,7 @@
 	}
 }
 
-// parser returns the parser of the entries of an endpoint list.
+// parser returns a parser for the entries of an endpoint list.
 func (c *Config) parser() *discovery.Parser {
 	return &discovery.Parser{Zones: c.Zones, Kinds: c.Kinds}
 }
