--- a/internal/relay/admission_test.go
+++ b/internal/relay/admission_test.go
@@ -12,7 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A client that gave up waiting submits the message anew, under another id: the first must not be sent again.
+// A client that stops waiting submits its message again under another id, so the first message must not be sent any
+// more.
 func TestMessageIsCancelledWhenItsClientLeaves(t *testing.T) {
 	r := newTestRelay(t)
 	listener := nettest.Listen(t)
@@ -21,7 +22,7 @@
 	served := listener.Accepted(t)
 	e := <-r.events
 	c.Close()
-	nettest.Eventually(t, "the client is seen to leave", func() bool { return served.FailedReads() > 0 })
+	nettest.Eventually(t, "the relay reads the end of the connection", func() bool { return served.FailedReads() > 0 })
 	r.step([]event{e})
 	for {
 		if _, ok := nextEvent(t, r).(cancelEvent); ok {
@@ -32,32 +33,33 @@
 	stepUntil(t, r, "the message is removed", func() bool { return len(r.messages) == 0 && r.pending == 0 })
 }
 
-// A message that comes once more because its connection was closed meanwhile is the same message.
+// A client whose connection closed before the answer came submits its message again under the same id. The message
+// must be accepted only once.
 func TestMessageSubmittedTwiceIsAcceptedOnce(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveClients(t, r)
 	for range 2 {
 		if res := submit(t, r, addr, "m1"); res.StatusCode != http.StatusAccepted {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("status %d, want 202", res.StatusCode)
 		}
 	}
 	if len(r.messages) != 1 {
-		t.Errorf("%d messages", len(r.messages))
+		t.Errorf("%d messages, want 1", len(r.messages))
 	}
 }
 
-// With the journal's folder gone, as with a full disk, new messages are rejected and nothing is sent unrecorded.
+// A closed journal fails every write, as a full disk does: new messages are rejected, and nothing is sent unrecorded.
 func TestFullDiskRejectsNewMessages(t *testing.T) {
 	r := newTestRelay(t)
-	if err := r.journal.Close(); err != nil { // every write fails from here on
+	if err := r.journal.Close(); err != nil { // every later write fails
 		t.Fatal(err)
 	}
 	res := submit(t, r, serveClients(t, r), "m1")
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, Retry-After %q", res.StatusCode, res.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q, want 503 with Retry-After", res.StatusCode, res.Header.Get("Retry-After"))
 	}
 	if len(r.messages) != 0 || r.pending != 0 || r.callsInFlight != 0 {
-		t.Errorf("%d pending, %d in flight", r.pending, r.callsInFlight)
+		t.Errorf("%d messages, %d pending, %d calls in flight, want none", len(r.messages), r.pending, r.callsInFlight)
 	}
 }
 
@@ -84,18 +86,19 @@
 	r := newTestRelay(t)
 	for i, a := range submitAll(r, newSubmission("m1", 7, -time.Second), newSubmission("m1", 7, time.Second)) {
 		if a.Status != http.StatusServiceUnavailable {
-			t.Errorf("copy %d: %+v", i, a)
+			t.Errorf("submission %d: answer %+v, want status 503", i, a)
 		}
 	}
 	r.journal.Close()
 	for i, a := range submitAll(r, newSubmission("m2", 7, time.Second), newSubmission("m2", 7, time.Second)) {
 		if a.Status != http.StatusServiceUnavailable {
-			t.Errorf("copy %d, no log: %+v", i, a)
+			t.Errorf("submission %d, journal closed: answer %+v, want status 503", i, a)
 		}
 	}
 }
 
-// The client that submitted a message first may leave: the message stays accepted for the one with its duplicate.
+// A message was submitted by two clients, and the first of them leaves. The message stays accepted, because the
+// second client has received that answer.
 func TestMessageWithDuplicatesIsNotCancelled(t *testing.T) {
 	r := newTestRelay(t)
 	first := newSubmission("m1", 7, 5*time.Second)
@@ -103,11 +106,12 @@
 	submitAll(r, newSubmission("m1", 7, 5*time.Second))
 	r.step([]event{cancelEvent{first.message.ID}})
 	if m := r.messages[first.message.ID]; m == nil || m.completed {
-		t.Errorf("cancelled: %+v", m)
+		t.Errorf("the message was cancelled: %+v", m)
 	}
 }
 
-// A message that has failed, and only waits for its notification, gives its duplicates the same response.
+// A message has its final answer and only waits for its notification to be acknowledged. A duplicate of the message
+// receives the same final answer.
 func TestDuplicateOfFailedMessageHasItsResponse(t *testing.T) {
 	r := newTestRelay(t)
 	in := newSubmission("m1", 7, 5*time.Second)
@@ -116,15 +120,15 @@
 	r.execute([]policy.Action{{Kind: policy.Reject, MessageID: m.ID, Delay: 700 * time.Millisecond}}, nil)
 	if a := submitAll(r, newSubmission("m1", 7, 5*time.Second))[0]; a.Status != http.StatusServiceUnavailable ||
 		a.RetryAfter != 700*time.Millisecond {
-		t.Errorf("answer %+v", a)
+		t.Errorf("answer %+v, want status 503 with a Retry-After of 700 ms", a)
 	}
 }
 
-// A cancelled message that may have run keeps its attempts, its window and its zone when it is submitted once more
-// under its id, also when the process restarts in between, before or after.
+// A cancelled message that may have run is submitted again under its id. It keeps its attempts, and with them the
+// start of its deduplication window and its zone, also if the process restarts before or after the second submission.
 func TestResubmittedMessageKeepsItsAttempts(t *testing.T) {
-	for restart := range 3 {
-		const destination = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
+	for restart := range 3 { // 0: none, 1: before the second submission, 2: after it
+		const destination = 8 // known but without endpoints: the policy sends nothing
 		r := newTestRelay(t)
 		r.catalog.RememberDestination(destination)
 		in := newSubmission("m1", destination, 5*time.Second)
@@ -140,14 +144,14 @@
 			r.catalog.RememberDestination(destination)
 		}
 		if a := submitAll(r, newSubmission("m1", destination, 5*time.Second))[0]; a.Status != http.StatusAccepted {
-			t.Fatalf("answer %+v", a)
+			t.Fatalf("restart %d: answer %+v, want status 202", restart, a)
 		}
 		if restart == 2 {
 			r = restartRelay(t, r)
 		}
 		again := r.messagesByTrace["m1"]
 		if again == nil || again.completed || again.ID == m.ID {
-			t.Fatalf("restart %d: %+v", restart, again)
+			t.Fatalf("restart %d: message %+v, want a pending one with a new id", restart, again)
 		}
 		e := r.recoveredEvent(again).Recovered
 		if e.Attempts != 1 || !e.MayHaveRun || e.FirstRunZone != 1 || e.SinceFirstRun < time.Second ||
@@ -157,7 +161,7 @@
 	}
 }
 
-// restartRelay returns a relay on the journal that another left behind.
+// restartRelay closes the journal of a relay and returns a new relay that has recovered from it.
 func restartRelay(t *testing.T, old *Relay) *Relay {
 	t.Helper()
 	if err := old.journal.Close(); err != nil {
--- a/internal/relay/bodies_test.go
+++ b/internal/relay/bodies_test.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bodies that do not fit into memory are read from the journal as they are sent. A message whose body is unreadable
-// fails with a notification, and the loop goes on.
+// Bodies beyond the memory limit are read from the journal when they are sent. A message whose body cannot be read
+// fails with a notification, and the relay goes on accepting messages.
 func TestBodiesAreReadFromDisk(t *testing.T) {
 	cfg := newTestRelay(t).cfg
 	cfg.StateDir = t.TempDir()
@@ -33,11 +33,11 @@
 	submitAll(r, in)
 	m := r.messages[in.message.ID]
 	if m.Body != nil || m.Size() != 14 || len(r.activeCalls) != 1 {
-		t.Fatalf("body %q of %d, %d calls", m.Body, m.Size(), len(r.activeCalls))
+		t.Fatalf("body in memory %q, size %d, %d calls, want none, 14 and 1", m.Body, m.Size(), len(r.activeCalls))
 	}
 	for c := range r.activeCalls {
 		if string(c.attempts[0].Body) != "a body on disk" {
-			t.Errorf("sent %q", c.attempts[0].Body)
+			t.Errorf("sent body %q", c.attempts[0].Body)
 		}
 	}
 	paths, _ := filepath.Glob(filepath.Join(journal.Folder(cfg.StateDir), "*.seg"))
@@ -51,13 +51,13 @@
 	}
 	send := policy.Action{Kind: policy.Send, MessageID: m.ID, Endpoint: "s-1", TimeoutAt: time.Minute}
 	if calls := r.addToCalls(nil, m, &send); len(calls) != 0 {
-		t.Error("sent without its body")
+		t.Error("a message with an unreadable body was added to a call")
 	}
 	notifications := r.notifier.Pending()
 	if len(notifications) != 1 || notifications[0].Status != "undeliverable" || r.pending != 0 || !m.completed {
-		t.Errorf("notifications %+v, %d pending", notifications, r.pending)
+		t.Errorf("notifications %+v, %d pending, want one undeliverable and none pending", notifications, r.pending)
 	}
 	if a := submitAll(r, newSubmission("m2", 7, 5*time.Second))[0]; a.Status != 202 {
-		t.Errorf("afterwards: %+v", a)
+		t.Errorf("next submission: answer %+v, want status 202", a)
 	}
 }
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -23,9 +23,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// An endpoint may take the deadline of a call's first message for that of the call, and respond once it is over: what
-// it then says of the others is not certain, however complete it is. Here the response comes as soon as the message
-// with the least time has had its final answer.
+// An endpoint may apply the deadline of a call's first message to the whole call, and respond after that deadline.
+// Such a response proves nothing about the other messages, even if it is complete, so the message with the most time
+// left must come first. Here the endpoint responds once the message with the least time left has its final answer.
 func TestNoCallOutlastsItsFirstMessage(t *testing.T) {
 	for _, order := range [][]string{
 		{"short", "long", "middle"},
@@ -36,7 +36,8 @@
 	}
 }
 
-// testFirstMessageOfCall submits messages in an order, and checks which one leads their call.
+// testFirstMessageOfCall submits messages in an order, and checks that the one with the most time left leads their
+// call.
 func testFirstMessageOfCall(t *testing.T, order []string) {
 	timeLeft := map[string]time.Duration{
 		"short":  400 * time.Millisecond,
@@ -50,7 +51,7 @@
 	addr, _ := nettest.RawServer(t, func(_ int, conn net.Conn, request *http.Request) bool {
 		var items []struct{ ID string }
 		if err := json.NewDecoder(request.Body).Decode(&items); err != nil || len(items) != 3 {
-			t.Errorf("%d messages, %v", len(items), err)
+			t.Errorf("the call has %d messages, want 3; decoding error: %v", len(items), err)
 			return false
 		}
 		mu.Lock()
@@ -70,21 +71,21 @@
 	}
 	submitAll(r, submissions...)
 	isShort := func(n notify.Notification) bool { return n.TraceID == "short" }
-	stepUntil(t, r, "the short one has its final answer", func() bool {
+	stepUntil(t, r, "message short has its final answer", func() bool {
 		return slices.ContainsFunc(r.notifier.Pending(), isShort)
 	})
 	close(shortEnded)
-	stepUntil(t, r, "the others are over", func() bool {
+	stepUntil(t, r, "messages long and middle are finished", func() bool {
 		return r.messagesByTrace["long"] == nil && r.messagesByTrace["middle"] == nil
 	})
 	mu.Lock()
 	defer mu.Unlock()
 	if !slices.Equal(first, []string{"long"}) {
-		t.Errorf("calls led by %v: their response came after that one's time", first)
+		t.Errorf("first messages of the calls: %v, want a single call that begins with long", first)
 	}
 }
 
-// Together the messages of a step may be larger than any body may.
+// The messages of one step may together be larger than the maximum body size. They are split into several calls.
 func TestBatchIsNoLargerThanABodyMayBe(t *testing.T) {
 	r := newTestRelay(t)
 	endpoint := policy.Endpoint{ID: "s-1", Kind: 0, InService: true}
@@ -105,16 +106,16 @@
 		sent += len(c.attempts)
 		body := (&egress.Call{Attempts: c.outgoing()}).Body()
 		if len(c.attempts) > 1 && (len(body) > netconn.MaxBodySize || len(body) > c.size) {
-			t.Errorf("%d messages in %d bytes, %d counted", len(c.attempts), len(body), c.size)
+			t.Errorf("a batch of %d messages has %d bytes, counted as %d", len(c.attempts), len(body), c.size)
 		}
 	}
 	if sent != 6 || len(calls) != 3 {
-		t.Errorf("%d messages in %d calls", sent, len(calls))
+		t.Errorf("%d messages in %d calls, want 6 in 3", sent, len(calls))
 	}
 }
 
-// delayConnections has connections to endpoints come up only once up is closed. dialed receives a value for each
-// attempt to connect, requests the text of each request.
+// delayConnections delays the connections to endpoints until up is closed. dialed receives a value for each attempt
+// to connect. requests receives the path, the trace id and the body of each request.
 func delayConnections(t *testing.T, r *Relay, up <-chan struct{}) (dialed <-chan struct{}, requests <-chan string) {
 	t.Helper()
 	dials := make(chan struct{}, 16)
@@ -140,7 +141,7 @@
 	return dials, received
 }
 
-// runLoop has the relay's loop run until the test ends.
+// runLoop runs the relay's loop until the test ends.
 func runLoop(t *testing.T, r *Relay) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,8 +152,8 @@
 	go r.loop(ctx)
 }
 
-// The connection of a call with several messages comes up late: one of them has failed meanwhile, since its time was
-// up. It must not be sent with the others.
+// The connection of a call with several messages is established only after one of the messages has failed at its
+// deadline. That message must not be sent with the others.
 func TestFinishedMessageIsLeftOutOfDelayedCall(t *testing.T) {
 	r := newTestRelay(t)
 	up := make(chan struct{})
@@ -177,7 +178,7 @@
 	r.recoverState()
 	runLoop(t, r)
 	<-dialed
-	nettest.Eventually(t, "the one whose time is up has failed", func() bool {
+	nettest.Eventually(t, "message m1 has failed at its deadline", func() bool {
 		notifications := r.notifier.Pending()
 		return len(notifications) == 1 && notifications[0].TraceID == "m1"
 	})
@@ -185,15 +186,16 @@
 	select {
 	case got := <-requests:
 		if !strings.Contains(got, `"m0"`) || !strings.Contains(got, `"m2"`) || strings.Contains(got, `"m1"`) {
-			t.Error("the endpoint was sent", got)
+			t.Errorf("the endpoint received %q, want messages m0 and m2", got)
 		}
 	case <-time.After(nettest.Patience):
-		t.Error("the others are not sent")
+		t.Error("messages m0 and m2 were not sent")
 	}
 }
 
-// A retry that was decided inside its deduplication window waits for a connection that comes up only after it, as from
-// a machine that is back. It must not be sent then: no endpoint recognizes it as a duplicate any more.
+// A retry is decided within its deduplication window, but its connection is established only after the window has
+// ended, as with a machine that was unreachable and is back. The retry must not be sent then: no endpoint still
+// recognizes it as a duplicate.
 func TestDelayedRetryPastItsWindowIsNotSent(t *testing.T) {
 	r := newTestRelay(t)
 	window := r.cfg.Settings.Classes[0].DedupWindow
@@ -213,7 +215,7 @@
 	if err := r.journal.Accept(m); err != nil {
 		t.Fatal(err)
 	}
-	// as an earlier process left it
+	// The message is recovered, as from an earlier process.
 	r.recovery = &journal.Recovery{Messages: []*journal.Message{m}, Store: &store.Recovery{}}
 	r.recoverState()
 	runLoop(t, r)
@@ -224,21 +226,21 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("never ended")
+			t.Fatal("the message has no final answer after 10 s")
 		}
 	}
 	select {
 	case <-requests:
-		t.Error("it was sent")
+		t.Error("the retry was sent after its deduplication window")
 	default:
 	}
 }
 
-// A Send of an unknown message must not end the loop.
+// A Send action for an unknown message is ignored, and must not crash the loop.
 func TestSendOfUnknownMessageIsIgnored(t *testing.T) {
 	r := newTestRelay(t)
 	r.execute([]policy.Action{{Kind: policy.Send, MessageID: 4711, Endpoint: "s-1", TimeoutAt: time.Minute}}, nil)
 	if r.callsInFlight != 0 {
-		t.Errorf("%d calls", r.callsInFlight)
+		t.Errorf("%d calls in flight, want none", r.callsInFlight)
 	}
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -19,7 +19,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 )
 
-// referenceShape takes the shape of a file that is read as a tree.
+// referenceShape returns the shape of a file that is decoded as a whole.
 func referenceShape(t *testing.T, data []byte) reload.Shape {
 	t.Helper()
 	var file map[string]any
@@ -34,35 +34,35 @@
 	return reload.ShapeOf(values)
 }
 
-// knownCase is an endpoint list in a configuration, and what is read of it.
+// knownCase is an endpoint list in a configuration file, and the expected result of reading it.
 type knownCase struct {
 	name, known string
 	endpoints   int // -1: the list is unreadable
 	version     int64
 }
 
-// A configuration is the same wherever its endpoint list stands and however its keys are ordered, and its shape is that
-// of the tree.
+// The position of the endpoint list in a file and the order of its keys do not affect what is read, and the shape is
+// the same as that of a file that is decoded as a whole.
 func TestConfigIsParsedAsAStream(t *testing.T) {
 	const one = `{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"gateway","cell":7,"state":"ready","weight":50}`
 	const settings = `"settings":` + settingsJSON
 	const head = `"name":"n3","limits":{"cores":2}`
 	long := string(bytes.TrimSpace(discoverytest.ListJSON(9, 3000, one)))
 	withUnreadable := string(bytes.TrimSpace(discoverytest.ListJSON(9, 3000, `7`, `{"id":"x"}`, one)))
-	endless := strings.Repeat("x", 3*discovery.MaxEntrySize)
+	oversized := strings.Repeat("x", 3*discovery.MaxEntrySize)
 	for _, c := range []knownCase{
-		{"none", ``, 0, 0},
-		{"null", `"known":null`, 0, 0},
+		{"no list", ``, 0, 0},
+		{"a list that is null", `"known":null`, 0, 0},
 		{"a short list", `"known":{"version":4,"full":true,"servers":[` + one + `]}`, 1, 4},
 		{
-			"its keys in another order",
+			"a short list with another order of keys",
 			`"known" : {"servers":[` + one + `],"other":{"servers":[1]},"full":true,"version":4}`, 1, 4,
 		},
-		{"no servers", `"known":{"version":4,"servers":null}`, 0, 4},
-		{"a number", `"known":7`, -1, 0},
-		{"servers that are none", `"known":{"version":4,"servers":{}}`, -1, 0},
-		{"a version that is none", `"known":{"version":"x","servers":[` + one + `]}`, -1, 0},
-		{"an entry without end", `"known":{"version":4,"servers":["` + endless + `"]}`, -1, 0},
+		{"servers that are null", `"known":{"version":4,"servers":null}`, 0, 4},
+		{"a list that is a number", `"known":7`, -1, 0},
+		{"servers that are no array", `"known":{"version":4,"servers":{}}`, -1, 0},
+		{"a version that is a string", `"known":{"version":"x","servers":[` + one + `]}`, -1, 0},
+		{"an entry that is too large", `"known":{"version":4,"servers":["` + oversized + `"]}`, -1, 0},
 		{"a long list", `"known":` + long, 6001, 9},
 		{"a long list with unreadable entries", `"known":` + withUnreadable, 6001, 9},
 	} {
@@ -78,7 +78,7 @@
 	}
 }
 
-// checkConfig reads a configuration and checks what is read.
+// checkConfig parses a configuration and checks the result.
 func checkConfig(t *testing.T, c knownCase, text []byte, mode knownMode) {
 	t.Helper()
 	cfg, err := parseConfigFile(bytes.NewReader(text), mode)
@@ -90,13 +90,13 @@
 		endpoints = cfg.KnownCatalog.EndpointCount()
 	}
 	if (cfg.KnownErr != nil) != (c.endpoints < 0) {
-		t.Errorf("mode %v: error %v", mode, cfg.KnownErr)
+		t.Errorf("mode %v: error of the endpoint list: %v, want one: %v", mode, cfg.KnownErr, c.endpoints < 0)
 	}
 	if mode == checkKnown && endpoints != 0 {
-		t.Errorf("%d endpoints are kept", endpoints)
+		t.Errorf("%d endpoints are kept, want none", endpoints)
 	}
 	if mode == keepKnown && c.endpoints >= 0 && (endpoints != c.endpoints || cfg.Known.Version != c.version) {
-		t.Errorf("%d endpoints of version %d", endpoints, cfg.Known.Version)
+		t.Errorf("%d endpoints, version %d, want %d, version %d", endpoints, cfg.Known.Version, c.endpoints, c.version)
 	}
 	want := referenceShape(t, text)
 	if !reload.Equal(reload.Config{Shape: cfg.Shape}, reload.Config{Shape: want}) {
@@ -111,12 +111,12 @@
 	const settings = `{"settings":` + settingsJSON
 	for _, text := range []string{``, `7`, `null`, settings, settings + `} x`, settings + `,"known":{"servers":[}}`} {
 		if cfg, err := parseConfigFile(strings.NewReader(text), keepKnown); err == nil {
-			t.Errorf("%q passes as %+v", text, cfg)
+			t.Errorf("%q is accepted as %+v", text, cfg)
 		}
 	}
 }
 
-// The same file read again by SIGHUP changes nothing, and its endpoint list takes no memory.
+// Reloading an unchanged file changes nothing, and the endpoint list in the file is not held in memory.
 func TestReloadKeepsNoEndpointList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	const form = `{"name":"n3","discovery":"127.0.0.1:1","known":%s,"settings":%s}`
@@ -142,21 +142,21 @@
 	runtime.ReadMemStats(&before)
 	again, err := ReloadConfig(getenv)
 	if err != nil || again.KnownCatalog != nil || len(again.Known.Entries) > 0 {
-		t.Fatalf("%v, %d endpoints", err, len(again.Known.Entries))
+		t.Fatalf("error %v, %d endpoints kept, want none", err, len(again.Known.Entries))
 	}
 	if !reload.Equal(cfg.Config, again.Config) {
 		t.Fatalf("%+v, want %+v", again.Config, cfg.Config)
 	}
 	if err := r.Reload(again, nil); err != nil || r.catalog.EndpointCount() != 40_000 {
-		t.Errorf("%v, %d endpoints", err, r.catalog.EndpointCount())
+		t.Errorf("error %v, %d endpoints, want 40000", err, r.catalog.EndpointCount())
 	}
 	runtime.ReadMemStats(&after)
-	if took := after.TotalAlloc - before.TotalAlloc; took > uint64(len(text))/2 {
-		t.Errorf("%d bytes were taken to read %d", took, len(text))
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > uint64(len(text))/2 {
+		t.Errorf("reading a file of %d bytes allocated %d bytes", len(text), allocated)
 	}
 }
 
-// The relay's configuration and the simulator's wire give the policy the same settings.
+// A configuration file and the simulator's protocol give the policy the same settings.
 func TestConfigMatchesSimulatorSettings(t *testing.T) {
 	const text = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","settings":` + settingsJSON + `}`
 	c, err := parseConfig([]byte(text))
@@ -169,11 +169,11 @@
 		t.Fatal(err)
 	}
 	if want := b.Items[0].Settings; !reflect.DeepEqual(c.Settings, want) {
-		t.Errorf("from JSON\n%+v\non the wire\n%+v", c.Settings, want)
+		t.Errorf("settings from the file\n%+v\nsettings from the simulator\n%+v", c.Settings, want)
 	}
 	if c.ConnectTimeout != 1500*time.Millisecond || c.KeepAlive != 15*time.Second || c.Tick != 5*time.Millisecond ||
 		c.Seed != 0x8c1f30d27a5be964 || !reflect.DeepEqual(c.TenantNames, []string{"acme", "bolt"}) {
-		t.Errorf("the relay's own part: %+v", c)
+		t.Errorf("settings that the relay itself uses: %+v", c)
 	}
 }
 
@@ -183,12 +183,12 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, err := parseConfig(data)
 		if err == nil && (c.Limits.Sockets <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0) {
-			t.Errorf("%s passes as %+v", data, c)
+			t.Errorf("%s is accepted as %+v", data, c)
 		}
 	})
 }
 
-// configure are the same settings as the simulator writes them.
+// configure holds the settings of settingsJSON as the simulator sends them.
 const configure = "bounds.cancel=true bounds.connect_timeout_ms=1500.0 bounds.max_retry_after_ms=3000.0 " +
 	"bounds.open_cap=438 bounds.retry_after=true bounds.send_cap=8 extra.call_slots=38 extra.carriage=0.0,0.03 " +
 	"extra.per_call=10,1,1 extra.separate_routes=false,true,false fleet_size=2 kinds=platform,gateway,store " +
--- a/internal/relay/constants_test.go
+++ b/internal/relay/constants_test.go
@@ -11,23 +11,23 @@
 	"testing"
 )
 
-// The reason of each constant of the relay's packages and of policy, which no setting gives. One that stands in for a
-// setting comes from the settings, and has no place here.
-var behindConstants = map[string][]string{
-	"the protocol's pages, the same for every customer": {
+// constantReasons lists the constants of package policy and of the relay's packages, by the reason why they are not
+// settings. A constant must not replace a setting: such a value has to be read from the settings.
+var constantReasons = map[string][]string{
+	"fixed by the documented protocol, the same for every customer": {
 		"relay.envelopeHeader", "netconn.MaxBodySize", "ingress.requestTimeout", "ingress.lateRequestTimeout",
 		"relay.shutdownAcceptTime", "relay.shutdownAnswerTime", "relay.shutdownSendTime", "relay.shutdownTimeout",
 		"discovery.WatchIdleTimeout", "relay.drainConnectionsTimeout", "notify.postTimeout", "backoff.maxInterval",
 		"policy.recoveryPushRatio",
 	},
-	"a bound of the relay's own, on what a peer may have of it": {
+	"the relay's own bound on what a peer may use of its resources": {
 		"netconn.MaxWireSize", "relay.maxIDSize", "ingress.idleTimeout", "ingress.writeTimeout",
 		"ingress.lingerTimeout", "ingress.maxLingerSize", "netconn.MaxHeaderSize", "netconn.readBufferSize",
 		"discovery.MaxEntries", "discovery.MaxEntrySize", "discovery.ListTimeout", "notify.maxNotificationsPerPost",
 		"notify.maxResponseSize", "egress.responseTimeout", "egress.maxReportedValue", "egress.maxInformational",
 		"egress.maxRetryAfterSeconds", "discovery.fetchIdleTimeout",
 	},
-	"a bound of the relay's own, on its own work": {
+	"the relay's own bound on its work": {
 		"hotrestart.dialTimeout", "hotrestart.sendTimeout", "hotrestart.maxFrameSize", "hotrestart.headerSize",
 		"hotrestart.maxPathLength", "relay.maxTick",
 		"relay.eventQueueSize", "relay.maxBatchEvents", "egress.recheckAfter", "relay.clockTolerance",
@@ -41,19 +41,19 @@
 		"policy.maxFleetSize", "policy.snapshotForm", "policy.deadlineMargin", "policy.randomStream",
 		"policy.timerSlack", "policy.minClassWeight", "policy.revisionSize",
 	},
-	"a share of what the settings tell": {
+	"a fraction of a setting": {
 		"egress.idleRatio", "backoff.graceRatio", "policy.recoveryLapseRatio", "policy.maxPendingRatio",
 		"policy.maxScopeInFlightRatio", "policy.overQuotaDelayRatio", "policy.missedObjectiveDelayRatio",
 		"policy.minScopeInFlight", "policy.overdueCallsDivisor",
 	},
-	"at most, or at least: the settings go before it": {
+	"a default or a limit: settings take precedence": {
 		"relay.defaultConnectTimeout", "relay.defaultKeepAlive", "relay.defaultDrainGrace", "relay.defaultMemoryMB",
 		"relay.defaultSockets", "relay.defaultDiskMB", "relay.defaultDeadline", "relay.unknownRunAge",
 		"relay.defaultWarmUp", "backoff.maxDelay", "policy.minLatencyBound", "policy.MinRetryAfter",
 		"policy.minScopeCapacity", "policy.defaultWarmUpInitialCapacity", "policy.defaultWarmUpDuration",
 		"policy.defaultOverloadWindow", "policy.defaultOverloadFactor",
 	},
-	"the design's, open by its page: lengths of skips, rules, factors of paces": {
+	"a parameter that the design leaves open: ejection times, thresholds, pacing factors": {
 		"backoff.smallGroupSize", "backoff.spreadPerClient", "backoff.minDelay", "backoff.maxJitter",
 		"policy.initialEjectionTime", "policy.maxEjectionTime", "policy.ejectionGrowth", "policy.ejectionJitter",
 		"policy.outageRetryAfter", "policy.outageRejections", "policy.sparseOutageRejections",
@@ -69,23 +69,24 @@
 		"policy.connectExhaustionPause", "policy.connectShortageWindow", "policy.recentlyHealthyWindow",
 		"policy.smallFleetSize", "policy.MaxInitialSpread", "policy.pacingDecreaseFactor",
 	},
-	"an identifier or a unit: nothing that could be set": {
+	"an identifier or a unit, which no setting could replace": {
 		"relay.watcherStream", "relay.firstInheritedFD", "relay.bytesPerMiB", "relay.knownKey",
 		"relay.statsInAnswers",
 	},
-	"statistics: deviations, mixes, spans of a mean": {
+	"statistics: numbers of deviations, mixing ratios, averaging windows": {
 		"policy.recoveryDeviations", "policy.ownDeliveryRatio", "policy.approximateWeightFactor",
 		"policy.deliveryRateWindow", "policy.timeoutDeviations", "policy.overdueDeviations",
 	},
 }
 
-// Each constant has its reason, and none is listed that is gone: a new one has to be thought about.
+// Every constant must be listed with a reason, and every listed constant must exist. This guards against a new
+// constant in place of a value that the settings provide.
 func TestNoConstantStandsInForASetting(t *testing.T) {
 	listed := map[string]bool{}
-	for why, names := range behindConstants {
+	for reason, names := range constantReasons {
 		for _, name := range names {
 			if listed[name] {
-				t.Errorf("%s is listed twice, also as: %s", name, why)
+				t.Errorf("%s is listed twice, the second time under %q", name, reason)
 			}
 			listed[name] = true
 		}
@@ -94,19 +95,19 @@
 	slices.Sort(found)
 	for _, name := range found {
 		if !listed[name] {
-			t.Errorf("%s: does it stand in for something that the settings tell?", name)
+			t.Errorf("%s is not listed: must its value come from the settings?", name)
 		}
 		delete(listed, name)
 	}
 	for name := range listed {
-		t.Errorf("%s is listed, and no more", name)
+		t.Errorf("%s is listed but does not exist", name)
 	}
 	if len(found) < 80 {
-		t.Errorf("%d constants found: the test shows little", len(found))
+		t.Errorf("found only %d constants, want at least 80: the search misses packages", len(found))
 	}
 }
 
-// constantsBelow returns the constants of all packages of a folder.
+// constantsBelow returns the constants of all packages below a folder.
 func constantsBelow(t *testing.T, folder string) (names []string) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
@@ -122,7 +123,8 @@
 	return names
 }
 
-// constantsOf returns the constants of a file that have a value of their own and no type, or a Duration's.
+// constantsOf returns the constants of a file that have a value of their own and no declared type. Members of
+// enumerations are left out.
 func constantsOf(t *testing.T, name string) (names []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
@@ -136,7 +138,7 @@
 		}
 		for _, spec := range group.Specs {
 			v := spec.(*ast.ValueSpec)
-			if len(v.Values) == 0 || v.Type != nil { // of an enumeration
+			if len(v.Values) == 0 || v.Type != nil { // a member of an enumeration
 				continue
 			}
 			for _, n := range v.Names {
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -6,7 +6,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/relay/discovery"
 )
 
-// An endpoint is removed and added in one list, or the other way round: the last entry holds, for the relay and for the
+// One list may both remove and add an endpoint, in either order. The last entry applies, to the catalog and to the
 // policy.
 func TestEndpointRemovedAndAddedInOneList(t *testing.T) {
 	const gone = `{"id":"s-1","state":"gone"}`
@@ -27,7 +27,7 @@
 		views, _ := r.engine.Views()
 		if ok != c.listed || len(views) != r.catalog.EndpointCount() ||
 			c.listed && (known.Addr != "127.0.0.1:7" || !views[0].InService || views[0].Zone != 1) {
-			t.Errorf("%v, complete %v: listed %v %+v, in the policy %+v", c.entries, c.full, ok, known, views)
+			t.Errorf("%v, complete %v: in the catalog %v, %+v; in the policy %+v", c.entries, c.full, ok, known, views)
 		}
 	}
 }
@@ -46,9 +46,9 @@
 	one, _ := r.catalog.Endpoint("s-1")
 	two, _ := r.catalog.Endpoint("s-2")
 	if r.catalog.EndpointCount() != 2 || one.Addr != "127.0.0.1:1" || two.Zone != 1 {
-		t.Errorf("endpoints %+v, %+v", one, two)
+		t.Errorf("%d endpoints, s-1 %+v, s-2 %+v", r.catalog.EndpointCount(), one, two)
 	}
 	if len(events) != 1 || len(events[0].Endpoints) != 2 {
-		t.Errorf("the policy has %+v", events)
+		t.Errorf("events for the policy %+v, want one with 2 endpoints", events)
 	}
 }
--- a/internal/relay/finished_test.go
+++ b/internal/relay/finished_test.go
@@ -11,10 +11,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A message is submitted once more under its id when it was just finished, as after an answer that was lost with its
-// connection: what has run, or may have, does not run again. What never ran, or was rejected, is a new message.
+// A client that lost its connection before the answer came submits its message again under the same id, shortly after
+// the message was finished. A message that has run, or may have, must not run again. One that never ran, or was
+// rejected, is a new message.
 func TestDuplicateOfFinishedMessage(t *testing.T) {
-	const destination = 8 // listed once, and without an endpoint now: nothing is sent but what the test says
+	const destination = 8 // known but without endpoints: the policy sends nothing
 	delivered := &egress.Result{Outcome: policy.OK}
 	rejected := &egress.Result{Outcome: policy.Overloaded}
 	uncertain := &egress.Result{Outcome: policy.Reset}
@@ -22,11 +23,11 @@
 	reject := &policy.Action{Kind: policy.Reject, Delay: time.Second}
 	for _, c := range []struct {
 		name       string
-		result     *egress.Result // of its one attempt; nil: none was made
-		final      *policy.Action // after that; nil: none
+		result     *egress.Result // of the message's only attempt; nil: no attempt was made
+		final      *policy.Action // the action that then ends the message; nil: none
 		status     int
 		isNew      bool
-		clientLeft bool // with the call in flight
+		clientLeft bool // while the call was in flight
 	}{
 		{"delivered", delivered, nil, http.StatusAccepted, false, false},
 		{"delivered after its client left", delivered, nil, http.StatusAccepted, false, true},
@@ -63,23 +64,23 @@
 				r.step([]event{notificationsAcked{[]policy.MessageID{m.ID}}})
 			}
 			if r.messages[m.ID] != nil || r.messagesByTrace["m1"] != nil {
-				t.Fatal("it is not removed")
+				t.Fatal("the finished message is not removed")
 			}
 			again := newSubmission("m1", destination, 5*time.Second)
 			if a := submitAll(r, again)[0]; a.Status != c.status {
 				t.Errorf("answer %+v, want %d", a, c.status)
 			}
-			if _, old := r.finished.reply("m1", m.Deadline); old {
-				t.Error("remembered past its time")
+			if _, known := r.finished.reply("m1", m.Deadline); known {
+				t.Error("the answer is kept past the deadline of the message")
 			}
 			if isNew := r.messagesByTrace["m1"] != nil; isNew != c.isNew {
-				t.Errorf("accepted as a new message: %v", isNew)
+				t.Errorf("accepted as a new message: %v, want %v", isNew, c.isNew)
 			}
 		})
 	}
 }
 
-// Finished messages are remembered up to a number and a time.
+// Finished messages are kept up to a maximum number, and until their deadlines.
 func TestFinishedMessagesAreBounded(t *testing.T) {
 	var r finishedMessages
 	now := time.Now()
@@ -93,9 +94,9 @@
 	}
 	_, last := r.replies[fmt.Sprint(3*maxFinishedMessages-1)]
 	if len(r.replies) != maxFinishedMessages || len(r.order) != maxFinishedMessages || !last {
-		t.Errorf("%d remembered, %d in order, the last among them: %v", len(r.replies), len(r.order), last)
+		t.Errorf("%d replies, %d ids, the last one kept: %v", len(r.replies), len(r.order), last)
 	}
 	if r.expire(now.Add(2 * time.Hour)); len(r.replies) != 0 || r.order != nil {
-		t.Errorf("%d remembered after their time", len(r.replies))
+		t.Errorf("%d replies are kept past their deadlines", len(r.replies))
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -11,15 +11,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// setting is a value that the configuration is read to, by its key there.
+// setting is a value read from a configuration, and its key in the file.
 type setting struct {
 	key   string
 	value any
 }
 
-// TestGoldenConfig reads a configuration that sets every key, and pins the values by the keys of the file.
+// TestGoldenConfig reads a configuration that sets every key, and compares the resulting values with a golden file.
 func TestGoldenConfig(t *testing.T) {
 	path := filepath.Join("testdata", "golden", "every-key.json")
 	c, err := LoadConfig(func(name string) string {
@@ -105,7 +105,7 @@
 	return all
 }
 
-// knownEndpointsOf lists the known endpoint list.
+// knownEndpointsOf lists the fields of the known endpoint list.
 func knownEndpointsOf(c *Config) []setting {
 	all := []setting{{"known.version", c.Known.Version}, {"known.full", c.Known.Full}}
 	for i, e := range c.Known.Entries {
@@ -125,7 +125,7 @@
 	return all
 }
 
-// TestGoldenEnvironment pins the names of the variables that override the file.
+// TestGoldenEnvironment checks the names of the environment variables that override the file.
 func TestGoldenEnvironment(t *testing.T) {
 	env := map[string]string{
 		"ROUTER_CONFIG":       filepath.Join("testdata", "golden", "every-key.json"),
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -16,7 +16,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// settingsJSON are settings as a configuration has them.
+// settingsJSON is the settings object of a configuration file.
 const settingsJSON = `{"bounds":{"cancel":true,"connect_timeout_ms":1500.0,"keepalive_ms":15000.0,
 	"max_retry_after_ms":3000.0,"may_duplicate":true,"open_cap":438,"retry_after":true,"send_cap":8},
 	"extra":{"call_slots":38,"carriage":[0.0,0.03],"per_call":[10,1,1],"separate_routes":[false,true,false]},
@@ -28,12 +28,12 @@
 	"stats":{"fields":[],"how":"none"},"tick_ms":5.0,"weight_kind":"nominal","zones":["a","b"],"zone":0,
 	"novel":[[1,2],null]}`
 
-// parseConfig reads a configuration that is all there.
+// parseConfig parses a configuration file that is held in memory.
 func parseConfig(data []byte) (Config, error) {
 	return parseConfigFile(bytes.NewReader(data), keepKnown)
 }
 
-// parseList reads a list that is all there.
+// parseList parses an endpoint list that is held in memory.
 func parseList(c *Config, data []byte) (l discovery.List, err error) {
 	var head discovery.ListHead
 	err = discovery.NewListReader(bytes.NewReader(data), c.parser()).Next(&head, func(e discovery.Entry) error {
@@ -44,7 +44,7 @@
 	return l, err
 }
 
-// entriesOf are entries as a relay reads them.
+// entriesOf parses entries of an endpoint list as the relay does.
 func entriesOf(r *Relay, texts ...string) []discovery.Entry {
 	l, err := parseList(&r.cfg, []byte(`{"servers":[`+strings.Join(texts, ",")+`]}`))
 	if err != nil {
@@ -55,7 +55,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// newTestConfig returns a configuration with one endpoint, which does not listen.
+// newTestConfig returns a configuration with one endpoint, at whose address nothing listens.
 func newTestConfig(t *testing.T) Config {
 	t.Helper()
 	const text = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON +
@@ -69,7 +69,7 @@
 	return c
 }
 
-// newTestRelay returns a relay whose loop is not running: the test takes the steps.
+// newTestRelay returns a relay whose loop does not run: the test runs the steps itself.
 func newTestRelay(t *testing.T) *Relay {
 	t.Helper()
 	r, err := New(newTestConfig(t), discardLog(), io.Discard)
@@ -87,7 +87,7 @@
 	return r
 }
 
-// serveClients serves clients at an address.
+// serveClients serves clients at a new address until the test ends.
 func serveClients(t *testing.T, r *Relay) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,7 +98,7 @@
 	return l.Addr().String()
 }
 
-// serveClientsAt serves clients at a listener.
+// serveClientsAt serves clients of a listener until the test ends.
 func serveClientsAt(t *testing.T, r *Relay, l net.Listener) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -108,14 +108,15 @@
 	go r.ingress.Serve(l)
 }
 
-// requestText is a client's request on the wire; edit may spoil it.
+// requestText returns the text of a client's request. edit holds pairs of an old string and its replacement, with
+// which the request can be made invalid.
 func requestText(id string, edit ...string) string {
 	text := "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: order\r\nX-Customer: bolt\r\n" +
 		"Idempotency-Key: k\r\nEnvelope: dest=7\r\nX-Expires-In-Ms: 5000\r\nContent-Length: 4\r\n\r\nbody"
 	return strings.NewReplacer(edit...).Replace(text)
 }
 
-// submit submits a message and takes steps until it is decided.
+// submit submits a message, runs steps until the message is handled, and returns the response.
 func submit(t *testing.T, r *Relay, addr, id string) *http.Response {
 	t.Helper()
 	c := nettest.Dial(t, addr, requestText(id))
@@ -127,7 +128,7 @@
 	return nettest.ReadResponse(t, bufio.NewReader(c))
 }
 
-// nextEvent waits for the next event, takes a step with it, and returns it.
+// nextEvent waits for the next event, runs a step with it, and returns the event.
 func nextEvent(t *testing.T, r *Relay) event {
 	t.Helper()
 	select {
@@ -135,12 +136,12 @@
 		r.step([]event{e})
 		return e
 	case <-time.After(nettest.Patience):
-		t.Fatal("no event came")
+		t.Fatal("no event was posted")
 		return nil
 	}
 }
 
-// stepUntil takes steps until ok holds.
+// stepUntil runs steps until ok returns true.
 func stepUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	nettest.Eventually(t, what, func() bool {
