--- a/internal/relay/largelist.go
+++ b/internal/relay/largelist.go
@@ -12,19 +12,22 @@
 const (
 	// maxEvictions bounds how many destinations a step examines for eviction.
 	maxEvictions = 128
-	// evictInterval is how often destinations are examined for eviction while nothing else happens.
+	// evictInterval is the time until the next step that examines destinations for eviction, if the last step evicted
+	// none.
 	evictInterval = time.Second
-	// defaultWarmUp is the warm-up time if the settings give none.
+	// defaultWarmUp replaces Settings.WarmUpDuration if that is 0. A destination must have been idle for the warm-up
+	// duration before it may be evicted.
 	defaultWarmUp = 30 * time.Second
 )
 
-// isActive reports whether the policy holds a destination.
+// isActive reports whether the policy holds the endpoints of a destination. Of a long list it holds only those of the
+// working set.
 func (r *Relay) isActive(destination policy.DestinationID) bool {
 	return !r.largeList.Load() || r.workingSet.Contains(destination)
 }
 
-// loadKnownEndpoints loads the endpoint list of the configuration, if that is long. A short one goes to the policy with
-// recoverState.
+// loadKnownEndpoints installs the endpoint list of the configuration as the catalog, if the list is long. A short list
+// is applied later, by recoverState.
 func (r *Relay) loadKnownEndpoints() {
 	if r.cfg.KnownCatalog == nil {
 		r.catalog = catalog.New()
@@ -47,12 +50,13 @@
 	r.markEndpointsKnown()
 }
 
-// newWorkingSet returns an empty working set.
+// newWorkingSet returns an empty working set, whose idle timeout is the warm-up duration.
 func (r *Relay) newWorkingSet() *catalog.WorkingSet {
 	return catalog.NewWorkingSet(cmp.Or(r.activeConfig.Settings.WarmUpDuration, defaultWarmUp))
 }
 
-// switchToLargeList has the policy hold a working set from here on. So far it holds all of the catalog.
+// switchToLargeList limits the policy to a working set from now on. At first all destinations of the catalog and of
+// messages are in the set, because the policy already holds them.
 func (r *Relay) switchToLargeList() {
 	if r.largeList.Load() {
 		return
@@ -68,7 +72,8 @@
 	}
 }
 
-// applyPart applies a part of a long list. The policy has its updates in the next step.
+// applyPart applies a part of a long list to the catalog, and replies to its sender. The policy receives the resulting
+// updates in the next step.
 func (r *Relay) applyPart(p *discovery.SnapshotPart) {
 	ok := true
 	var updates []policy.Endpoint
@@ -98,10 +103,10 @@
 	p.Reply <- ok
 }
 
-// applyEntries applies some entries of a list: drains and removals first, so that nothing more is sent there and the
-// catalog has room for what is added.
+// applyEntries applies some entries of a list. Drains and removals come first: no more messages are sent to those
+// endpoints, and the removals make room in the catalog for new endpoints.
 func (r *Relay) applyEntries(entries []discovery.Entry) (updates []policy.Endpoint) {
-	var lastEnd map[string]int // by endpoint, its last entry that drains or removes it
+	var lastEnd map[string]int // by endpoint id: index of the last entry that drains or removes the endpoint
 	for i := range entries {
 		e := &entries[i]
 		if !endsService(e) {
@@ -119,7 +124,7 @@
 			continue
 		}
 		if last, ok := lastEnd[e.ID]; ok && i < last {
-			continue // the later entry holds
+			continue // a later entry drains or removes the endpoint
 		}
 		if r.exceedsCatalog(e) {
 			r.snapshotTruncated = true
@@ -134,7 +139,7 @@
 // endsService reports whether an entry drains or removes its endpoint.
 func endsService(e *discovery.Entry) bool { return e.Err == nil && !e.InService }
 
-// exceedsCatalog reports whether an entry names a new endpoint that the catalog may not hold.
+// exceedsCatalog reports whether an entry would add an endpoint to a catalog that already holds discovery.MaxEntries.
 func (r *Relay) exceedsCatalog(e *discovery.Entry) bool {
 	if r.catalog.EndpointCount() < discovery.MaxEntries || e.Err != nil {
 		return false
@@ -143,9 +148,9 @@
 	return !known
 }
 
-// updateWorkingSet adds to a step's events what a policy that holds a working set needs with them. First come the
-// changes of the list, then the endpoints of destinations that become active, then all other events, and last the
-// removal of destinations that have been idle.
+// updateWorkingSet updates the working set for a step. It returns the step's events and the resulting endpoint updates
+// in the order that the policy needs: changes of the list, endpoints of destinations that become active, all other
+// events, and removals of evicted destinations.
 func (r *Relay) updateWorkingSet(now time.Duration, events []policy.Event) []policy.Event {
 	out := make([]policy.Event, 0, len(events)+2)
 	for _, e := range events {
@@ -174,8 +179,8 @@
 	return kind == policy.EndpointDelta || kind == policy.EndpointSnapshot
 }
 
-// activateDestinations adds the destinations that events concern to the working set, and returns the endpoints of those
-// that are new in it.
+// activateDestinations updates the working set with the destinations of a step's events. It returns the endpoints of
+// those that were not in the set before.
 func (r *Relay) activateDestinations(now time.Duration, events []policy.Event) (activated []policy.Endpoint) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
@@ -204,7 +209,8 @@
 	return r.activate(activated, endpoint.Destination, now)
 }
 
-// activate adds a destination to the working set, and its endpoints to activated if it was not in it.
+// activate adds a destination to the working set. If the destination was not in the set before, its endpoints are
+// appended to activated.
 func (r *Relay) activate(
 	activated []policy.Endpoint, destination policy.DestinationID, now time.Duration,
 ) []policy.Endpoint {
@@ -220,8 +226,8 @@
 	return activated
 }
 
-// evictDestinations removes destinations from the working set that are idle and of which the policy has nothing to
-// remember. It returns the removal of their endpoints.
+// evictDestinations removes idle destinations from the working set, except those for which the policy holds state that
+// it must keep (see policy.Engine.Evictable). It returns the updates that remove their endpoints.
 func (r *Relay) evictDestinations(now time.Duration) (evicted []policy.Endpoint) {
 	for _, destination := range r.workingSet.EvictIdle(now, maxEvictions, r.engine.Evictable) {
 		r.scratch = r.catalog.AppendEndpoints(destination, r.scratch[:0])
@@ -232,14 +238,15 @@
 	return evicted
 }
 
-// scheduleEviction asks for a step in which more destinations may be evicted: soon if there were some just now.
-func (r *Relay) scheduleEviction(more bool) {
+// scheduleEviction requests a step that examines destinations for eviction. It comes after one tick if this step has
+// evicted some, as more may be due, and after evictInterval otherwise.
+func (r *Relay) scheduleEviction(evictedSome bool) {
 	now := time.Now()
 	if r.workingSet.Len() == 0 || now.Before(r.evictAt) {
 		return
 	}
 	delay := evictInterval
-	if more {
+	if evictedSome {
 		delay = r.cfg.Tick
 	}
 	r.evictAt = now.Add(delay)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -11,36 +11,38 @@
 )
 
 const (
-	// eventQueueSize is how many events may wait for the loop before those who post them wait, too.
+	// eventQueueSize is the number of events that can wait for the loop. While the queue is full, post blocks.
 	eventQueueSize = 1024
 	// maxBatchEvents bounds the events of one step, so that no step takes long.
 	maxBatchEvents = 512
-	// initialClock keeps the policy's clock away from 0, which it takes for never.
+	// initialClock is the time on the policy's clock when the relay starts. It is not 0, because the policy
+	// interprets a time of 0 as "never".
 	initialClock = time.Second
 )
 
-// loopState is the state that the loop owns. Until the loop runs, New, recovery and hot restart set it.
+// loopState is the state that only the loop's goroutine may access. Before the loop runs, New, recovery and hot restart
+// initialize it.
 type loopState struct {
 	engine         *policy.Engine
-	started        time.Time // when the policy's clock stood at 0
+	started        time.Time // when the policy's clock read 0
 	recorder       *recording
 	journal        *journal.Journal
-	recovery       *journal.Recovery // what the journal held at the start, until it is restored
+	recovery       *journal.Recovery // what the journal held at the start; nil once it is restored
 	health         healthState
-	timerAt        time.Time      // when the policy wants a step at the latest; zero: it wants none
-	deferredEvents []policy.Event // for the next step
-	current        stepState      // of the step that runs
+	timerAt        time.Time      // the policy's timer: when the next step is due at the latest; zero: none is set
+	deferredEvents []policy.Event // for the policy's next step
+	current        stepState      // state of the step in progress
 
 	activeConfig     reload.Config
-	activeGeneration int // of activeConfig, see configChange
+	activeGeneration int // generation of activeConfig: see configChange
 
 	endpointState
 	messageState
 	callState
 
-	stopping       bool // no more messages come
-	sendingStopped bool // no more decisions are taken
-	drainedClosed  bool
+	stopping       bool // clients submit no more messages
+	sendingStopped bool // the policy takes no more decisions; outcomes are still recorded
+	drainedClosed  bool // Relay.drained is closed
 }
 
 func newLoopState(engine *policy.Engine) loopState {
@@ -53,7 +55,7 @@
 	}
 }
 
-// post hands an event to the loop; false if that has ended.
+// post queues an event for the loop, and waits while the queue is full. It returns false if the loop has ended.
 func (r *Relay) post(e event) bool {
 	select {
 	case r.events <- e:
@@ -63,11 +65,11 @@
 	}
 }
 
-// now is the time on the policy's clock.
+// now returns the time on the policy's clock.
 func (r *Relay) now() time.Duration { return time.Since(r.started) }
 
-// loop runs the steps, until ctx ends. A step takes the events since the last one, no more often than the settings'
-// tick: messages that come together can then share a call.
+// loop runs steps until ctx ends. Each step handles the events since the previous one. Steps start at least one tick
+// apart, so that messages which arrive shortly after one another can share a call.
 func (r *Relay) loop(ctx context.Context) {
 	defer close(r.loopDone)
 	defer r.dumpOnPanic()
@@ -83,7 +85,7 @@
 			return
 		case e := <-r.events:
 			if batch = r.collect(batch, e); len(batch) == 0 && len(r.deferredEvents) == 0 {
-				continue // a part of a long list that changes nothing for the policy
+				continue // a part of a long list without changes for the policy
 			}
 		case <-timer.C:
 		}
@@ -98,7 +100,7 @@
 	}
 }
 
-// collectQueued adds the events that are there already to a batch.
+// collectQueued adds the events that are already queued to a batch, up to maxBatchEvents.
 func (r *Relay) collectQueued(batch []event) []event {
 	for len(batch) < maxBatchEvents {
 		select {
@@ -111,7 +113,8 @@
 	return batch
 }
 
-// drainEvents answers and records what came before the end, without any further decision.
+// drainEvents handles the events that are still queued when the loop ends. Submissions are answered and outcomes are
+// recorded, but the policy takes no more decisions.
 func (r *Relay) drainEvents() {
 	r.sendingStopped = true
 	for {
@@ -124,7 +127,7 @@
 	}
 }
 
-// requestStep asks the loop for a step. It never waits: a loop whose queue is full takes its steps anyway.
+// requestStep requests a step from the loop. It never blocks: while the queue is full, the loop runs a step anyway.
 func (r *Relay) requestStep() {
 	select {
 	case r.events <- tick{}:
@@ -132,13 +135,14 @@
 	}
 }
 
-// requestStepAfter asks the loop for a step after a delay.
+// requestStepAfter requests a step from the loop after a delay.
 func (r *Relay) requestStepAfter(delay time.Duration) {
 	time.AfterFunc(delay, func() { r.post(tick{}) })
 }
 
-// collect adds an event to a step's batch. All parts of a long list but the first are applied at once: their sender
-// waits for the reply to each part, so that no earlier one can be in the batch.
+// collect adds an event to a step's batch. A part of a long list is applied immediately instead, unless it is the first
+// one. The parts still take effect in order: their sender waits for the reply to each part before it sends the next, so
+// no earlier part can be in the batch.
 func (r *Relay) collect(batch []event, e event) []event {
 	if p, ok := e.(partEvent); ok && p.part.Kind != discovery.PartBegin && !r.handedOver {
 		r.applyPart(p.part)
@@ -147,7 +151,8 @@
 	return append(batch, e)
 }
 
-// waitForTick waits for the next step's time. Parts of a long list are taken meanwhile.
+// waitForTick waits for the remaining time until the next step. While a long list is being received, it also collects
+// events, so that the parts of the list need not wait for the step.
 func (r *Relay) waitForTick(batch []event, remaining time.Duration) []event {
 	if remaining <= 0 {
 		return batch
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -14,25 +14,25 @@
 // message is a message that is not finished: it is pending, an attempt is in flight, or the journal still holds it.
 type message struct {
 	*journal.Message
-	attemptsStarted int  // as the policy counts them
+	attemptsStarted int  // attempts that the policy has started; also the number of the next one
 	inFlight        int  // attempts without an outcome
-	completed       bool // it has its result: the policy takes no more decision on it
+	completed       bool // the message has its result: the policy takes no more decisions on it
 
-	accepting      bool     // registered in this step, which may still reject it
-	hasDuplicates  bool     // another client has the answer that it is accepted: it cannot be cancelled
-	resubmittedAs  *message // the message that a cancelled one goes on as, after its client submitted it again
-	awaitingRemote bool     // unknown to the policy until its attempts at another process have their outcomes
+	accepting      bool     // the message was registered in this step, which may still reject it
+	hasDuplicates  bool     // another submission shares the answer to this message, which can no longer be cancelled
+	resubmittedAs  *message // of a cancelled message that its client submitted again: the new message
+	awaitingRemote bool     // the policy gets the message once its attempts at the predecessor have outcomes
 }
 
 // messageState is the state of all messages.
 type messageState struct {
 	messages        map[policy.MessageID]*message
-	messagesByTrace map[string]*message // the latest message of each client's id
-	cancelled       []*message          // cancelled ones that may have run, roughly in the order of their deadlines
+	messagesByTrace map[string]*message // by trace id: the latest message with that id
+	cancelled       []*message          // cancelled messages that may have run, roughly in the order of their deadlines
 	finished        finishedMessages
-	pending         int // messages without a final answer
+	pending         int // number of messages that are not completed
 	lastMessageID   policy.MessageID
-	journalFull     ratelog.Warning // the journal accepts no new message
+	journalFull     ratelog.Warning // logged when the journal cannot store new messages
 }
 
 func newMessageState() messageState {
@@ -43,7 +43,8 @@
 	}
 }
 
-// cancel ends a message whose client has left before the answer: it will submit the message as a new one.
+// cancel ends a message whose client disconnected before it received the answer. The client will submit the message
+// again, as a new one.
 func (r *Relay) cancel(events []policy.Event, id policy.MessageID) []policy.Event {
 	m := r.messages[id]
 	if m == nil || m.hasDuplicates || m.completed {
@@ -54,8 +55,9 @@
 	return append(events, policy.Event{Kind: policy.MessageCancelled, MessageID: id})
 }
 
-// release drops a message whose client has no promise of delivery. One that may have run is kept as cancelled as long
-// as its client may submit it once more under its id: that must not make it a new message.
+// release drops a message whose client was not promised its delivery. A message that may have run is kept as cancelled
+// while its client may still submit it again under the same id, because that submission must continue from the attempts
+// already made.
 func (r *Relay) release(m *message) {
 	if len(m.UncertainAttempts) == 0 {
 		r.journal.Remove(m.Message)
@@ -66,7 +68,8 @@
 	r.cancelled = append(r.cancelled, m)
 }
 
-// markDelivered ends a message that was delivered after all, and the messages that it goes on as. m may be nil.
+// markDelivered ends a message that turned out to be delivered, and the messages as which it was submitted again. m may
+// be nil.
 func (r *Relay) markDelivered(events []policy.Event, m *message) []policy.Event {
 	for ; m != nil; m = m.resubmittedAs {
 		if !m.completed {
@@ -80,8 +83,9 @@
 	return events
 }
 
-// expire drops cancelled messages: past their deadline, once it is certain that they never ran, or once they go on as
-// other messages, which have all their attempts.
+// expire drops finished messages past their deadlines, and cancelled messages that are no longer needed: those past
+// their deadlines, those that are known never to have run, and those that were submitted again, since the new message
+// includes their attempts.
 func (r *Relay) expire() {
 	now := time.Now()
 	r.finished.expire(now)
@@ -95,7 +99,7 @@
 	})
 }
 
-// markCompleted notes that a message has its result.
+// markCompleted records that a message has its result, so that it no longer counts as pending.
 func (r *Relay) markCompleted(m *message) {
 	if !m.completed {
 		m.completed = true
@@ -103,7 +107,8 @@
 	}
 }
 
-// remove forgets a message, unless an attempt is in flight or the journal still holds it.
+// remove deletes a message, unless it has no result yet, an attempt is in flight, or the journal still holds it. The
+// answer to the message is kept in finishedMessages, if its client may need it again.
 func (r *Relay) remove(m *message) {
 	if m.inFlight > 0 || !m.completed || r.journal.Tracks(m.Message) {
 		return
@@ -115,7 +120,7 @@
 	}
 }
 
-// allFinished reports whether no message is left but cancelled ones without an attempt in flight.
+// allFinished reports whether all remaining messages are cancelled ones without an attempt in flight.
 func (r *Relay) allFinished() bool {
 	for _, m := range r.messages {
 		if m.inFlight > 0 || !m.Cancelled {
@@ -125,7 +130,7 @@
 	return true
 }
 
-// queueNotification queues the final notification of a message that was accepted and is not delivered.
+// queueNotification queues the final notification for a message that was accepted but not delivered.
 func (r *Relay) queueNotification(m *message) {
 	n := notify.Notification{MessageID: m.ID, TraceID: m.TraceID, Status: notify.Undeliverable}
 	if m.Final.Retryable {
@@ -161,7 +166,7 @@
 	r.countResult(m.Message, finalResult(final))
 	r.journal.RecordFinal(m.Message, final)
 	r.queueNotification(m)
-	// The policy has counted an attempt that is never sent.
+	// The policy has already counted the attempt, which is never sent.
 	cancelled := policy.Event{Kind: policy.MessageCancelled, MessageID: m.ID}
 	notSent := policy.Event{
 		Kind:         policy.AttemptFinished,
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -9,13 +9,14 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// metricsTimeout is how long a reader of the metrics waits for the loop: later values are of no use to it.
+// metricsTimeout bounds how long a request for the metrics waits for the loop to update the gauges. After that the
+// gauges keep their previous values: a later response would be of no use to the client.
 const metricsTimeout = 300 * time.Millisecond
 
-// metricsRequest asks the loop to bring its gauges up to date.
+// metricsRequest has the loop update its gauges and then close done.
 type metricsRequest struct{ done chan struct{} }
 
-// countResult counts the final result of a message.
+// countResult counts the final result of a message in the metrics of its class.
 func (r *Relay) countResult(m *journal.Message, result metrics.Result) {
 	class := m.ClassName
 	if class == "" && m.Class >= 0 && m.Class < len(r.activeConfig.ClassNames) {
@@ -24,7 +25,7 @@
 	r.metrics.CountResult(class, result)
 }
 
-// finalResult is the result that a final answer is counted as.
+// finalResult returns the result that the metrics count for a final answer.
 func finalResult(f journal.FinalAnswer) metrics.Result {
 	if f.Retryable {
 		return metrics.Rejected
@@ -32,8 +33,8 @@
 	return metrics.Failed
 }
 
-// updateGauges brings the gauges of the loop's state up to date. An endpoint is unavailable while it drains, is
-// ejected, or has a Retry-After that has not passed.
+// updateGauges sets the gauges from the loop's state. An endpoint is unavailable while it drains, is ejected, or has a
+// Retry-After that has not passed.
 func (r *Relay) updateGauges() {
 	r.metrics.Pending.Store(int64(r.pending))
 	r.metrics.Members.Store(int64(r.catalog.EndpointCount()))
@@ -52,13 +53,13 @@
 	return !v.InService || v.Ejected || now < v.EjectedUntil || now < v.RetryAfterUntil
 }
 
-// writeMetrics writes the metrics' page, with gauges that are up to date if the loop answers in time.
+// writeMetrics writes the metrics page. Its gauges are up to date if the loop updates them within metricsTimeout.
 func (r *Relay) writeMetrics(w io.Writer) {
 	r.refreshGauges()
-	_, _ = r.metrics.WriteTo(w) // fails only if the reader has left
+	_, _ = r.metrics.WriteTo(w) // fails only if the client has disconnected
 }
 
-// refreshGauges asks the loop to update its gauges, and waits for that at most metricsTimeout.
+// refreshGauges has the loop update its gauges, and waits for at most metricsTimeout.
 func (r *Relay) refreshGauges() {
 	timeout := time.NewTimer(metricsTimeout)
 	defer timeout.Stop()
--- a/internal/relay/netconfig.go
+++ b/internal/relay/netconfig.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// reservedDescriptors are those, of the share for endpoints, that the journal's files and the second address may
-	// need.
+	// reservedDescriptors is how many file descriptors are left to the journal's files and the admin address. They are
+	// taken out of the share of the connections to endpoints.
 	reservedDescriptors = 16
-	// minEndpointConns are left to calls on the smallest machine.
+	// minEndpointConns is how many connections to endpoints are allowed even with a very low limit on sockets.
 	minEndpointConns = 8
 )
 
-// egressConfig returns the configuration of the calls to endpoints, which may use three eighths of all descriptors.
+// egressConfig returns the configuration of the client that calls endpoints. Its connections and reservedDescriptors
+// together may use three eighths of all file descriptors.
 func (r *Relay) egressConfig() egress.Config {
 	return egress.Config{
 		ConnectTimeout: r.cfg.ConnectTimeout,
@@ -25,8 +26,8 @@
 	}
 }
 
-// ingressConfig returns the configuration of the clients' side. Clients hold a third of the descriptors with their
-// requests; what it may use beyond that is for those that are slow to leave.
+// ingressConfig returns the configuration of the server for clients. Clients with requests use up to a third of all
+// file descriptors. The server may use more, for connections that their clients are slow to close.
 func (r *Relay) ingressConfig() ingress.Config {
 	return ingress.Config{
 		MaxConns: r.cfg.Limits.Sockets * 9 / 20,
--- a/internal/relay/recorder.go
+++ b/internal/relay/recorder.go
@@ -13,7 +13,8 @@
 
 const bytesPerMiB = 1 << 20
 
-// recording is the relay's flight recorder and where its recordings go. One without a Recorder records nothing.
+// recording is the relay's flight recorder, and where its recordings are written. Without a Recorder it records
+// nothing.
 type recording struct {
 	*flightrecorder.Recorder
 	settings operatorfile.Recorder
@@ -22,7 +23,8 @@
 	log      *slog.Logger
 }
 
-// newRecording begins a recording of a new engine, or, with now over 0, of one that was restored then.
+// newRecording begins a recording of a new engine. If now is above 0, the engine was restored from a predecessor's
+// state at that time, and the recording begins with the restored state.
 func newRecording(
 	cfg Config,
 	log *slog.Logger,
@@ -61,7 +63,7 @@
 	return r
 }
 
-// run writes the recording out continuously, if the operator's file asks for that, until ctx ends.
+// run writes the recording continuously until ctx ends, if the operator's file says so (operatorfile.WriteAll).
 func (r *recording) run(ctx context.Context) {
 	if r.Recorder == nil || r.settings.Write != operatorfile.WriteAll {
 		return
@@ -77,7 +79,7 @@
 	}
 }
 
-// dump writes out what the recorder's ring holds.
+// dump writes the contents of the recorder's ring to the folder, or to the log if no folder is set.
 func (r *recording) dump(reason string) {
 	if r.Recorder == nil {
 		r.log.Warn("no recording written: the recorder is off")
@@ -97,10 +99,11 @@
 	r.log.Info("recording written", "reason", reason, "path", path)
 }
 
-// DumpRecording writes out what the flight recorder's ring holds. It may be called at any time, from any goroutine.
+// DumpRecording writes the contents of the flight recorder's ring to the recorder's folder or to the log, with the
+// reason for it. It may be called at any time, from any goroutine.
 func (r *Relay) DumpRecording(reason string) { r.sharedRecorder.Load().dump(reason) }
 
-// dumpOnPanic writes out the recording of a loop that panics, and panics again. It must be deferred.
+// dumpOnPanic writes the recording if the loop panics, and panics again with the same value. It must be deferred.
 func (r *Relay) dumpOnPanic() {
 	if cause := recover(); cause != nil {
 		r.recorder.dump("crash")
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -11,13 +11,16 @@
 )
 
 const (
-	// clockTolerance is how much two readings of a clock that is slewed may differ.
+	// clockTolerance is by how much a clock that is only slewed may appear to run backwards between two readings. A
+	// larger difference shows that the clock was set.
 	clockTolerance = 10 * time.Millisecond
-	// unknownRunAge stands for the age of an attempt whose time is unknown: past the usual deduplication windows.
+	// unknownRunAge is the assumed age of an attempt whose time is unknown. It is longer than the usual deduplication
+	// windows, so that the message is not sent again on the assumption that the endpoint drops duplicates.
 	unknownRunAge = 24 * time.Hour
 )
 
-// recoverState gives the policy the known endpoint list and what an earlier process left in the journal, in one step.
+// recoverState passes the endpoint list of the configuration, and what an earlier process left in the journal, to the
+// policy in one step.
 func (r *Relay) recoverState() {
 	found := r.recovery
 	r.recovery = nil
@@ -45,14 +48,15 @@
 	r.execute(r.decide(r.now(), events), nil)
 }
 
-// recoverMessage restores the state of a message of an earlier process. One that is not completed goes on.
+// recoverMessage restores the state of a message that an earlier process accepted. If the message is not completed, its
+// caller passes it to the policy.
 func (r *Relay) recoverMessage(record *journal.Message) *message {
 	if record.ClassName != "" {
-		// The policy takes a class that the settings lack for the strictest.
+		// For a class that the settings no longer have, the index is -1, and the policy applies its strictest class.
 		record.Class = slices.Index(r.activeConfig.ClassNames, record.ClassName)
 	}
 	if record.Uncertain && r.isIdempotent(record) {
-		record.Uncertain = false // whatever it has done may be done once more
+		record.Uncertain = false // the message may run any number of times
 	}
 	m := &message{Message: record, attemptsStarted: record.Attempts}
 	r.messages[m.ID] = m
@@ -66,7 +70,7 @@
 		m.completed = true
 		r.queueNotification(m)
 	case record.Uncertain:
-		// Attempts may be missing from the journal: another one could run it twice.
+		// Attempts of the message may be missing from the journal: one more attempt could make the message run twice.
 		m.completed = true
 		r.journal.RecordFinal(record, journal.FinalAnswer{})
 		r.countResult(record, metrics.Failed)
@@ -78,7 +82,8 @@
 	return m
 }
 
-// recoveredEvent is the event of a message that had attempts before, in an earlier process or before it was cancelled.
+// recoveredEvent returns the policy's event for a message that may have had attempts before, in an earlier process or
+// until it was cancelled.
 func (r *Relay) recoveredEvent(m *message) policy.Event {
 	e := r.acceptedEvent(m)
 	e.Recovered = &policy.RecoveredMessage{Attempts: m.Attempts}
@@ -91,22 +96,23 @@
 	return e
 }
 
-// timeSinceRun is how long ago an attempt of a message was sent, as the deduplication windows count it.
+// timeSinceRun returns how long ago an attempt of a message was sent, to be compared with the deduplication window of
+// its class. If that is unknown, the result is outside the window.
 func (r *Relay) timeSinceRun(m *message, a journal.Attempt) time.Duration {
 	since := time.Since(a.SentAt)
 	if a.Undated || since < -clockTolerance {
-		// The clock was set, or may have been: nobody can tell how long the endpoint still recognizes a duplicate.
+		// The clock was set, or may have been: it is unknown how long the endpoint still recognizes a duplicate.
 		class, _ := r.classOf(m.Message)
 		return max(unknownRunAge, class.DedupWindow)
 	}
 	return max(0, since)
 }
 
-// acceptedEvent is the event of a new message.
+// acceptedEvent returns the policy's event for a new message.
 func (r *Relay) acceptedEvent(m *message) policy.Event {
 	timeLeft := time.Until(m.Deadline)
 	if class, known := r.classOf(m.Message); known {
-		timeLeft = min(timeLeft, maxTimeLeft(class)) // a clock that was set back gives no more time
+		timeLeft = min(timeLeft, maxTimeLeft(class)) // a clock that was set back must not extend the time
 	}
 	return policy.Event{
 		Kind:        policy.MessageAccepted,
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -2,8 +2,9 @@
 // discovery, and keeps a journal of all messages that are not finished. It connects these with package policy, which
 // takes every decision.
 //
-// One goroutine, the loop, owns the policy's engine, the journal and all state of messages. Whatever happens elsewhere
-// reaches it as an event, so that no request is sent on a decision older than what the loop has learned.
+// One goroutine, the loop, owns the policy's engine, the journal and all state of messages. Whatever happens on other
+// goroutines reaches the loop as an event. A request is therefore never sent on a decision that is older than the
+// events which the loop has handled.
 package relay
 
 import (
@@ -28,23 +29,23 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Relay is one relay. The embedded state types say which goroutine owns them; all other fields are either set before
-// Run starts goroutines or safe for concurrent use.
+// Relay is one relay process. The comments of the embedded state types name the goroutine that owns each of them. All
+// other fields are either set before Run starts goroutines or safe for concurrent use.
 type Relay struct {
 	cfg    Config
 	log    *slog.Logger
-	logOut io.Writer // receives recordings, where no folder is set for them
+	logOut io.Writer // receives recordings if no folder is set for them
 
 	ingress  *ingress.Server   // serves clients
 	egress   *egress.Client    // calls endpoints
-	agent    *discovery.Client // service discovery's
-	notifier *notify.Sender    // final notifications
-	fleet    *fleet.Member     // nil: this relay shares nothing with others
+	agent    *discovery.Client // requests to service discovery's agent
+	notifier *notify.Sender    // sends final notifications
+	fleet    *fleet.Member     // nil: this relay is not part of a fleet
 	metrics  metrics.Registry
 
 	events   chan event
 	loopDone chan struct{}  // closed when the loop has ended
-	drained  chan struct{}  // closed when the relay is stopping and nothing is left to wait for
+	drained  chan struct{}  // closed when the relay is stopping and has no message or call left to wait for
 	calls    sync.WaitGroup // calls in flight
 
 	sharedState
@@ -53,18 +54,18 @@
 	loopState
 }
 
-// sharedState is what any goroutine may read.
+// sharedState may be read by any goroutine.
 type sharedState struct {
-	clientConfig     atomic.Pointer[reload.Config] // the configuration that clients' requests are read by
+	clientConfig     atomic.Pointer[reload.Config] // the configuration for parsing clients' requests
 	sharedRecorder   atomic.Pointer[recording]     // the loop's recorder
-	endpointsKnown   atomic.Bool                   // the state is recovered and an endpoint list is known
+	endpointsKnown   atomic.Bool                   // a list with an endpoint was applied: the relay can be ready
 	largeList        atomic.Bool                   // the list is, or was, too long for the policy to hold all of it
-	terminating      atomic.Bool                   // SIGTERM came, or another process has taken over
-	awaitingHandover atomic.Bool                   // the process before this one is about to hand over
+	terminating      atomic.Bool                   // SIGTERM was received, or the successor has taken over
+	awaitingHandover atomic.Bool                   // the predecessor has agreed to hand over, and has not done so yet
 }
 
-// New returns a relay that has read what an earlier process left in the journal. Recordings that go to the log are
-// written to out.
+// New returns a relay that is ready to run. It reads what an earlier process left in the journal, unless there is a
+// predecessor that can hand over and still owns the journal. Recordings that go to the log are written to out.
 func New(cfg Config, log *slog.Logger, out io.Writer) (*Relay, error) {
 	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -96,7 +97,7 @@
 	if cfg.InheritedFD != "" {
 		r.predecessor, err = hotrestart.Dial(r.handoverPath())
 		if err == nil {
-			return r, nil // the journal is the other process's, until it hands over
+			return r, nil // the predecessor owns the journal until it hands over
 		}
 		log.Info("starting from the journal", "err", err)
 	}
@@ -106,7 +107,8 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, and then shuts down in order: see shutdown.
+// Run serves clients until ctx ends. Then it hands over to a successor, if one is ready, or else shuts down gracefully:
+// see shutdown.
 func (r *Relay) Run(ctx context.Context) error {
 	listener, err := listen(r.cfg.Listen, r.cfg.InheritedFD)
 	if err != nil {
@@ -122,7 +124,7 @@
 	callCtx, stopCalls := context.WithCancel(context.Background())
 	defer stopCalls()
 	r.callCtx = callCtx
-	err = r.restore(ctx) // before clients learn that the relay is ready
+	err = r.restore(ctx) // before clients can see that the relay is ready
 	if errors.Is(err, errTerminated) {
 		return listener.Close()
 	}
@@ -141,18 +143,18 @@
 
 	r.serveUntil(ctx, listener)
 	stopCalls()
-	r.calls.Wait() // their outcomes reach the journal
+	r.calls.Wait() // the loop records their outcomes in the journal
 	stop()
 	<-r.loopDone
 	background.Wait()
 	r.egress.Close()
 	if r.successor != nil {
-		_ = r.successor.Close() // everything for it is sent
+		_ = r.successor.Close() // everything for the successor is sent
 	}
 	return r.closeJournal()
 }
 
-// restore takes over from the process before this one, or goes on from the journal.
+// restore takes over from the predecessor, or recovers the state from the journal if there is no predecessor.
 func (r *Relay) restore(ctx context.Context) error {
 	if r.predecessor == nil {
 		r.recoverState()
@@ -161,7 +163,8 @@
 	return r.takeOver(ctx)
 }
 
-// startBackground starts what only the process that owns the journal does, until ctx ends.
+// startBackground starts the tasks that only the process that owns the journal may run, until ctx ends: the fleet's
+// member, the sending of final notifications, and the watcher of the endpoint list.
 func (r *Relay) startBackground(ctx context.Context, background *sync.WaitGroup) {
 	if r.fleet != nil {
 		background.Go(func() { r.fleet.Run(ctx) })
@@ -171,7 +174,8 @@
 	background.Go(func() { watcher.Run(ctx) })
 }
 
-// startRecorder has recordings written out as they go on, where that is set, until stop is called.
+// startRecorder starts a goroutine that writes the recording continuously, if the operator's file says so. stop ends
+// the goroutine and waits for it.
 func (r *Relay) startRecorder() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -185,8 +189,8 @@
 	}
 }
 
-// serveUntil serves clients until ctx ends. Then it leaves the listener to another process, if one takes over, or
-// shuts down.
+// serveUntil serves clients until ctx ends. Then it hands over to the successor, which serves new connections from then
+// on, or shuts down if there is none.
 func (r *Relay) serveUntil(ctx context.Context, listener net.Listener) {
 	accepting := make(chan struct{})
 	go func() {
@@ -199,12 +203,12 @@
 		r.shutdown(listener)
 		return
 	}
-	_ = listener.Close() // connections wait for the other process from here on
-	<-accepting          // one that was accepted just before is served like the others
+	_ = listener.Close() // new connections wait for the successor from here on
+	<-accepting          // a connection that was accepted just before is still served
 	r.finishAfterHandOver()
 }
 
-// discoveryConfig returns how a watcher follows the endpoint list for the loop.
+// discoveryConfig returns the configuration of a watcher that posts the endpoint list and its changes to the loop.
 func (r *Relay) discoveryConfig() discovery.Config {
 	return discovery.Config{
 		Log:           r.log,
@@ -224,5 +228,6 @@
 	}
 }
 
-// watcherStream sets the watcher's random numbers apart from those of other parts that have the same seed.
+// watcherStream is the stream of the watcher's random numbers. It keeps them independent of the other random numbers
+// that are drawn with the same seed.
 const watcherStream = 0x68657264
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// configOverlap is how long the old and the new settings both apply. Clients change over from 1.2 s after SIGHUP
-	// on.
+	// configOverlap is how long after a reload the old and the new settings both apply. Clients switch to the new
+	// settings from 1.2 s after SIGHUP on.
 	configOverlap = 1500 * time.Millisecond
-	// removedClassGrace is how much longer messages of a removed class are accepted: those that were rejected under it
-	// come again.
+	// removedClassGrace is how long after configOverlap messages of a removed class are still accepted. Clients submit
+	// messages again that were rejected before the class was removed.
 	removedClassGrace = 10 * time.Second
 )
 
-// configChange has the loop apply a configuration, unless one of a later generation came before.
+// configChange has the loop apply a configuration, unless it has already applied one of a later generation.
 type configChange struct {
 	config     reload.Config
 	generation int
@@ -24,19 +24,20 @@
 
 // reloadState is owned by the goroutine that calls Reload.
 type reloadState struct {
-	latestConfig     reload.Config // taken last; the loop changes over to it in steps
-	latestGeneration int           // of latestConfig: changes of an earlier generation are void
+	latestConfig     reload.Config // accepted last; the loop switches to it in stages
+	latestGeneration int           // of latestConfig; the loop ignores changes of earlier generations
 }
 
-// Reload applies what may change while the relay runs: the settings and discovery's address, or neither. err says that
-// the file could not be read at all. Only one goroutine may call it at a time.
+// Reload applies what may change while the relay runs: the settings and discovery's address, or neither of them. A
+// non-nil err means that the configuration file could not be read: Reload then changes nothing. Only one goroutine may
+// call it at a time.
 func (r *Relay) Reload(cfg Config, err error) error {
 	if err == nil {
 		err = reload.Validate(r.latestConfig, cfg.Config)
 	}
 	if err != nil {
 		r.metrics.ReloadErrors.Add(1)
-		return fmt.Errorf("relay: the configuration stays as it was: %w", err)
+		return fmt.Errorf("relay: the previous configuration stays in force: %w", err)
 	}
 	r.metrics.Reloads.Add(1)
 	r.log.Info("configuration applied", "discovery", cfg.DiscoveryAddr, "classes", cfg.ClassNames)
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// scheduleConfig replaces one configuration by another in three steps: one that serves clients of either, the new one
-// with the old one's classes, and the new one.
+// scheduleConfig switches from one configuration to another in three stages. First comes a transitional configuration
+// for clients that use either of the two, then the new one with the classes that it removes, and last the new one.
 func (r *Relay) scheduleConfig(from, to reload.Config, generation int) {
 	r.post(configChange{reload.Transitional(from, to), generation})
 	withRemoved := reload.KeepRemovedClasses(from, to)
@@ -59,14 +60,14 @@
 	time.AfterFunc(configOverlap+removedClassGrace, func() { r.post(configChange{to, generation}) })
 }
 
-// changeConfig applies another configuration to the policy and the relay.
+// changeConfig applies another configuration to the policy and the relay, unless a later one was already applied.
 func (r *Relay) changeConfig(e configChange) {
 	if e.generation < r.activeGeneration {
 		return
 	}
 	r.activeGeneration = e.generation
 	if err := r.engine.Reconfigure(e.config.Settings); err != nil {
-		r.log.Error("settings rejected", "err", err) // a bug: reload.Validate has asked the policy
+		r.log.Error("policy rejected new settings", "err", err) // a bug: reload.Validate has checked them
 		return
 	}
 	r.recorder.Reconfigured(e.config.Settings)
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -14,7 +14,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// restoreState goes on where the predecessor has stopped.
+// restoreState restores the state that the predecessor handed over, and continues from it with a first step.
 func (r *Relay) restoreState(s *hotrestart.State) {
 	now := s.Now + max(0, time.Since(s.At))
 	r.started = time.Now().Add(-now)
@@ -37,8 +37,8 @@
 	r.execute(r.decide(r.now(), events), nil)
 }
 
-// restorePolicy restores the policy's state. It returns false if that has a form that this program does not read: then
-// the policy begins anew, as after a restart.
+// restorePolicy restores the policy's state. It returns false if this program cannot read the format of that state.
+// The policy then starts without it, as after a restart.
 func (r *Relay) restorePolicy(s *hotrestart.State) bool {
 	engine, err := policy.Restore(s.Config.Settings, s.Snapshot)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return true
 }
 
-// recoverMessages appends the events for the messages of a policy that begins anew. Messages with attempts in flight at
-// the predecessor wait for the outcomes of these.
+// recoverMessages appends the events that pass the messages to a policy which starts without its earlier state.
+// Messages with attempts in flight at the predecessor are passed once these attempts have outcomes.
 func (r *Relay) recoverMessages(events []policy.Event) []policy.Event {
 	for _, m := range r.messagesInOrder() {
 		if m.completed {
@@ -69,9 +69,10 @@
 	return events
 }
 
-// restoreEndpoints restores the predecessor's endpoint list, and returns the event by which its policy knew of it. Of a
-// long list the policy's part is all that is handed over: for the rest this process begins with the list in its own
-// configuration, as after a restart, and fetches a snapshot at once.
+// restoreEndpoints restores the predecessor's endpoint list, and returns the endpoints that were handed over as an
+// event for the policy. Of a long list, only the endpoints that the predecessor's policy holds are handed over. All
+// others come from the list in this process's own configuration, as after a restart, and a snapshot is fetched at
+// once.
 func (r *Relay) restoreEndpoints(s *hotrestart.State) policy.Event {
 	if s.LargeList {
 		known := r.cfg.Known.Entries
@@ -100,12 +101,12 @@
 	return snapshot
 }
 
-// restoreWorkingSet activates the destinations that the policy knows of. Where the list is long, the predecessor knew
-// better than this process's list which endpoints an active destination has.
+// restoreWorkingSet activates the destinations that the policy holds. With a long list, an active destination keeps
+// only the endpoints that the predecessor handed over: they are newer than those in this process's configuration.
 func (r *Relay) restoreWorkingSet(s *hotrestart.State) {
 	if !s.LargeList {
 		if r.catalog.EndpointCount() > catalog.MaxEagerEndpoints {
-			r.switchToLargeList() // the predecessor's policy knew all of it
+			r.switchToLargeList() // the predecessor's policy held all of it
 		}
 		return
 	}
@@ -123,7 +124,8 @@
 	}
 }
 
-// restoreDestination activates a destination, and removes its endpoints that the predecessor did not know.
+// restoreDestination activates a destination, and removes those of its endpoints whose ids are not in known: the
+// predecessor's policy did not hold them.
 func (r *Relay) restoreDestination(destination policy.DestinationID, known map[string]bool) {
 	if !r.workingSet.Activate(destination, r.now()) {
 		return
@@ -138,7 +140,7 @@
 	}
 }
 
-// restoreMessages restores the messages of the journal, with what the predecessor's state says of them.
+// restoreMessages restores the messages of the journal, each with its state at the predecessor.
 func (r *Relay) restoreMessages(s *hotrestart.State) {
 	recovery := r.recovery
 	r.recovery = nil
@@ -151,14 +153,14 @@
 	for _, m := range recovery.Messages {
 		r.lastMessageID = max(r.lastMessageID, m.ID)
 		state := states[m.ID]
-		if state == nil { // its end could not be written to the journal
+		if state == nil { // the message has ended, but the predecessor could not write that to the journal
 			r.journal.Remove(m)
 			continue
 		}
 		r.restoreMessage(m, state)
 	}
 	for id, state := range states {
-		if r.messages[id] == nil { // it has ended, but an attempt is in flight
+		if r.messages[id] == nil { // the message has ended, but an attempt is in flight
 			r.messages[id] = &message{
 				Message:         &journal.Message{ID: id, TraceID: state.TraceID, Cancelled: true},
 				attemptsStarted: state.AttemptsStarted,
@@ -173,8 +175,8 @@
 	}
 }
 
-// restoreMessage restores a message of the journal. Messages come in the order in which they were accepted, so that the
-// last one of a trace is the one that is found by it.
+// restoreMessage restores a message of the journal. It must be called in the order in which messages were accepted, so
+// that messagesByTrace has the latest message of each trace id.
 func (r *Relay) restoreMessage(recovered *journal.Message, state *hotrestart.Message) {
 	if recovered.ClassName != "" {
 		recovered.Class = slices.Index(r.activeConfig.ClassNames, recovered.ClassName)
@@ -199,13 +201,14 @@
 	}
 }
 
-// restoreAttempts restores the attempts that are in flight at the predecessor.
+// restoreAttempts restores the attempts that are in flight at the predecessor. Then it deletes the messages for which
+// nothing is left to do: see remove.
 func (r *Relay) restoreAttempts(s *hotrestart.State) {
 	r.remoteAttempts = make(map[attemptKey]*attempt, len(s.Attempts))
 	for _, remote := range s.Attempts {
 		m := r.messages[remote.ID]
 		if m == nil {
-			continue // nothing is left to do for it
+			continue // no message is left that the outcome could change
 		}
 		r.remoteAttempts[attemptKey{remote.ID, remote.Number}] = &attempt{
 			call:     newCall(egress.Call{EndpointID: remote.Endpoint, SentAt: remote.SentAt}, remote.Zone),
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// The phases of a graceful shutdown, counted from SIGTERM. SIGKILL comes no sooner than 3.7 s after it, and new
-// connections come for up to 0.4 s.
+// The phases of a graceful shutdown, counted from SIGTERM. SIGKILL follows no sooner than 3.7 s after SIGTERM, and
+// clients open new connections for up to 0.4 s after it.
 const (
 	// shutdownAcceptTime is how long new connections are accepted.
 	shutdownAcceptTime = 500 * time.Millisecond
-	// shutdownAnswerTime is when requests that were read must have their answers.
+	// shutdownAnswerTime is when requests that were read must have been answered.
 	shutdownAnswerTime = time.Second
-	// shutdownSendTime is when the last call starts: a later one would be cut off without an outcome.
+	// shutdownSendTime is when the last call may start: a later one would be cut off without an outcome.
 	shutdownSendTime = 2200 * time.Millisecond
-	// shutdownTimeout is when calls still in flight are given up.
+	// shutdownTimeout is when calls that are still in flight are abandoned.
 	shutdownTimeout = 3300 * time.Millisecond
 )
 
-// shutdown is the graceful shutdown. Idle connections close at once. A request that crosses that close comes once more
-// on a new connection, which is still accepted. Requests that were read are answered, and calls in flight may finish.
+// shutdown shuts down gracefully. Idle connections are closed at once. If a request was on its way on one of them, its
+// client sends it again on a new connection, which is still accepted. Requests that were read are answered, and calls
+// in flight may finish.
 func (r *Relay) shutdown(listener net.Listener) {
 	began := time.Now()
 	after := timersFrom(began)
 	r.terminating.Store(true)
 	r.ingress.Drain()
 	<-after(shutdownAcceptTime)
-	_ = listener.Close() // nothing depends on it: the process ends
+	_ = listener.Close() // an error does not matter: the process ends
 	r.ingress.Close(began.Add(shutdownAnswerTime))
 	r.post(stopAccepting{})
 	select {
@@ -41,7 +42,7 @@
 	}
 }
 
-// timersFrom returns a function that returns a channel which receives a value once so much time has passed since began.
+// timersFrom returns a function like time.After whose durations count from began.
 func timersFrom(began time.Time) func(time.Duration) <-chan time.Time {
 	return func(d time.Duration) <-chan time.Time { return time.After(time.Until(began.Add(d))) }
 }
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -6,16 +6,17 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// stepState is what a step collects from its events, and carries out in the order that step gives.
+// stepState is the work that a step collects from its events. Relay.step does this work in a fixed order.
 type stepState struct {
 	policyEvents    []policy.Event
 	submissions     []*submitEvent
 	sendChecks      []sendCheck
 	metricsRequests []metricsRequest
-	handOff         *handOverRequest // nil: nobody asks to take over
+	handOff         *handOverRequest // nil: no hand-over is requested
 }
 
-// reset empties the state for the next step. It keeps the slices that only a step refers to, and their room.
+// reset empties the state for the next step. It reuses the capacity of the slices that are no longer referenced after a
+// step.
 func (s *stepState) reset() {
 	clear(s.submissions)
 	clear(s.sendChecks)
@@ -27,8 +28,9 @@
 	}
 }
 
-// step applies a batch of events, has the policy decide, and carries out what it decides. The order is fixed: state
-// first, then new messages, decisions and calls, and at last the answers to those who asked about the outcome.
+// step applies a batch of events, calls the policy, and executes its actions. The order is fixed: first the changes to
+// the relay's state, then new messages, decisions and calls, and last the replies to requests about the state after the
+// step.
 func (r *Relay) step(batch []event) {
 	if r.handedOver {
 		r.forwardEvents(batch)
@@ -52,7 +54,7 @@
 	r.closeWhenDrained()
 }
 
-// decideAndExecute accepts the step's messages, has the policy decide, and executes its actions.
+// decideAndExecute accepts the step's messages, calls the policy, and executes its actions.
 func (r *Relay) decideAndExecute(now time.Duration, s *stepState) {
 	waiting := r.accept(s.submissions)
 	if r.sendingStopped {
@@ -62,7 +64,7 @@
 	events := s.policyEvents
 	for _, submitted := range waiting {
 		switch m := submitted.acceptedAs; {
-		case m.Message != submitted.message: // a duplicate of one before it
+		case m.Message != submitted.message: // a duplicate of an earlier submission in this step
 		case m.Attempts > 0:
 			events = append(events, r.recoveredEvent(m))
 		default:
@@ -72,7 +74,7 @@
 	r.execute(r.decide(now, events), waiting)
 }
 
-// answerRequests answers those who asked about the state after this step.
+// answerRequests replies to requests about the state after this step, and hands over if that is requested.
 func (r *Relay) answerRequests(s *stepState) {
 	for _, check := range s.sendChecks {
 		check.reply <- r.sendableAttempts(check.call)
@@ -86,7 +88,7 @@
 	}
 }
 
-// closeWhenDrained notifies shutdown once nothing is left to wait for.
+// closeWhenDrained closes drained, for which shutdown waits, once no message or call is left to wait for.
 func (r *Relay) closeWhenDrained() {
 	if !r.stopping || r.drainedClosed {
 		return
@@ -97,7 +99,7 @@
 	}
 }
 
-// decide has the policy take a step, and records it.
+// decide runs a step of the policy and of the fleet's member, if there is one, and records it.
 func (r *Relay) decide(now time.Duration, events []policy.Event) []policy.Action {
 	if r.largeList.Load() {
 		events = r.updateWorkingSet(now, events)
@@ -117,7 +119,7 @@
 	}
 	if len(received) > 0 {
 		r.deferredEvents = append(r.deferredEvents, received...)
-		r.requestStep() // the policy learns of it in a step of its own, soon
+		r.requestStep() // the policy receives these events in the next step, soon
 	}
 	return actions
 }
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -14,10 +14,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// maxIDSize bounds an id or a key of a message, in bytes.
+// maxIDSize bounds the trace id, the idempotency key and the ordering key of a message, in bytes each.
 const maxIDSize = 256
 
-// envelopeHeader names the header that says where a message goes.
+// envelopeHeader is the name of the header with a message's destination.
 const envelopeHeader = "Envelope"
 
 // handleRequest answers a client's request.
@@ -34,7 +34,8 @@
 	return r.receiveMessage(conn, request)
 }
 
-// receiveMessage takes one message. Whatever is malformed ends here and never reaches the policy.
+// receiveMessage reads one message, passes it to the loop and returns the loop's response. Malformed requests are
+// rejected here and never reach the policy.
 func (r *Relay) receiveMessage(conn *ingress.Conn, request *http.Request) ingress.Response {
 	receivedAt := time.Now()
 	m, timeLeft, err := r.parseMessage(request)
@@ -58,21 +59,22 @@
 	if conn.EndHandling() {
 		return response
 	}
-	// A client that has left without the response submits the message anew: this one must not be sent as well.
+	// The client disconnected before the response and will submit the message again, as a new one. This one must not be
+	// sent as well.
 	if m.ID != 0 {
 		r.post(cancelEvent{m.ID})
 	}
 	return ingress.Response{}
 }
 
-// parseMessage reads all of a request but its body.
+// parseMessage parses all of a request except its body.
 func (r *Relay) parseMessage(request *http.Request) (m *journal.Message, timeLeft time.Duration, err error) {
 	config := r.clientConfig.Load()
 	className := strings.TrimPrefix(request.URL.Path, "/")
 	m = &journal.Message{
 		TraceID:        request.Header.Get("X-Trace-Id"),
 		IdempotencyKey: request.Header.Get("Idempotency-Key"),
-		OrderingKey:    request.URL.Query().Get("key"), // what the message is about, where its class keeps order
+		OrderingKey:    request.URL.Query().Get("key"), // an ordered class delivers messages with the same key in order
 		Class:          slices.Index(config.ClassNames, className),
 		ClassName:      className,
 	}
@@ -95,7 +97,7 @@
 	return m, timeLeft, nil
 }
 
-// checkIDs checks what names a message and its class.
+// checkIDs checks the headers that identify a message and its class.
 func checkIDs(m *journal.Message, request *http.Request, class policy.Class) error {
 	longest := max(len(m.TraceID), len(m.IdempotencyKey), len(m.OrderingKey))
 	switch {
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// parseTenant returns the index of a request's tenant; 0 where the site names none.
+// parseTenant returns the index of a request's tenant. It is 0 if no tenants are configured.
 func parseTenant(request *http.Request, names []string) (int, error) {
 	if len(names) == 0 {
 		return 0, nil
@@ -124,7 +126,7 @@
 	return tenant, nil
 }
 
-// parseTimeLeft returns how long the client waits for its message.
+// parseTimeLeft returns the time that the client gives its message until the deadline.
 func parseTimeLeft(request *http.Request, class policy.Class) (time.Duration, error) {
 	ms, err := strconv.ParseInt(request.Header.Get("X-Expires-In-Ms"), 10, 64)
 	if err != nil || ms < 0 || ms > maxTimeLeft(class).Milliseconds() {
@@ -133,7 +135,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// parseDestination finds dest among the name=value pairs of an envelope.
+// parseDestination returns the value of dest among the name=value pairs of an envelope.
 func parseDestination(envelope string) (policy.DestinationID, error) {
 	isSeparator := func(c rune) bool { return strings.ContainsRune(",;& ", c) }
 	for _, pair := range strings.FieldsFunc(envelope, isSeparator) {
--- a/internal/relay/takeover.go
+++ b/internal/relay/takeover.go
@@ -15,9 +15,9 @@
 )
 
 // errTerminated reports that this process was terminated before it took over.
-var errTerminated = errors.New("relay: terminated before it took over")
+var errTerminated = errors.New("relay: process terminated before it took over from its predecessor")
 
-// attemptKey names an attempt across processes.
+// attemptKey identifies an attempt. It is the same in the predecessor and in this process.
 type attemptKey struct {
 	messageID policy.MessageID
 	number    int
@@ -26,7 +26,7 @@
 // remoteOutcome is the outcome of an attempt that the predecessor made.
 type remoteOutcome hotrestart.Outcome
 
-// predecessorGone reports that nothing more comes from the predecessor.
+// predecessorGone reports that the predecessor sends nothing more.
 type predecessorGone struct{}
 
 func (e remoteOutcome) apply(r *Relay, s *stepState) {
@@ -37,8 +37,8 @@
 	s.policyEvents = r.abandonRemoteAttempts(s.policyEvents)
 }
 
-// takeOver waits until the predecessor hands over, or ends without. In the latter case this process goes on from the
-// journal.
+// takeOver waits until the predecessor hands over or ends. If it ends without handing over, this process recovers the
+// state from the journal.
 func (r *Relay) takeOver(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, r.closePredecessor)
 	defer stop()
@@ -60,19 +60,18 @@
 	return nil
 }
 
-// closePredecessor ends the connection to the predecessor. Its error does not matter: nothing
-// more is done with the connection.
+// closePredecessor closes the connection to the predecessor. Errors do not matter: the connection is no longer used.
 func (r *Relay) closePredecessor() { _ = r.predecessor.Close() }
 
 // receiveFromPredecessor posts to the loop what the predecessor sends after its state: outcomes of its attempts, and
-// what its clients still submit and cancel.
+// submissions and cancellations of its clients.
 func (r *Relay) receiveFromPredecessor() {
 	defer r.post(predecessorGone{})
 	defer r.closePredecessor()
 	for {
 		f, err := r.predecessor.Receive()
 		if err != nil {
-			r.log.Info("predecessor ended", "err", err)
+			r.log.Info("connection to the predecessor ended", "err", err)
 			return
 		}
 		switch {
@@ -88,8 +87,8 @@
 	}
 }
 
-// acceptForPredecessor posts a submission of the predecessor's client, and sends back the answer once there is one.
-// It returns false if the loop has ended.
+// acceptForPredecessor posts a submission from a client of the predecessor to the loop. It sends the answer to the
+// predecessor as soon as there is one, without waiting for it. It returns false if the loop has ended.
 func (r *Relay) acceptForPredecessor(submission *hotrestart.Submission) bool {
 	m := submission.Message
 	submitted := &submitEvent{message: m, reply: make(chan ingress.Response, 1)}
@@ -106,7 +105,7 @@
 				RetryAfter: response.RetryAfter,
 				Text:       response.Text,
 			}
-			// Where the predecessor is gone, so is the client.
+			// An error means that the predecessor has ended, and with it the connection of the client.
 			_ = r.predecessor.Send(hotrestart.Frame{Answer: answer})
 		case <-r.loopDone:
 		}
@@ -114,7 +113,7 @@
 	return true
 }
 
-// remoteAttemptFinished takes the outcome of an attempt of the predecessor.
+// remoteAttemptFinished handles the outcome of an attempt that the predecessor made.
 func (r *Relay) remoteAttemptFinished(events []policy.Event, o remoteOutcome) []policy.Event {
 	key := attemptKey{o.ID, o.Number}
 	a := r.remoteAttempts[key]
@@ -134,7 +133,8 @@
 	return events
 }
 
-// abandonRemoteAttempts ends the attempts whose outcomes the predecessor has not sent: they may have run.
+// abandonRemoteAttempts ends the attempts whose outcomes the predecessor did not send, with the outcome Cancelled:
+// their messages may have run.
 func (r *Relay) abandonRemoteAttempts(events []policy.Event) []policy.Event {
 	for _, key := range slices.SortedFunc(maps.Keys(r.remoteAttempts), compareAttempts) {
 		a := r.remoteAttempts[key]
@@ -150,8 +150,8 @@
 	return cmp.Or(cmp.Compare(a.messageID, b.messageID), cmp.Compare(a.number, b.number))
 }
 
-// resumeAfterRemoteAttempt notifies the policy of the outcome of an attempt of a message that it does not know yet, and
-// of the message once that has no other attempt in flight.
+// resumeAfterRemoteAttempt handles the result of an attempt whose message is unknown to the policy. It passes the
+// outcome to the policy as a health check of the endpoint, and the message once it has no other attempt in flight.
 func (r *Relay) resumeAfterRemoteAttempt(events []policy.Event, a *attempt, res egress.Result) []policy.Event {
 	events = append(events, policy.Event{
 		Kind:        policy.HealthChecked,
