--- a/internal/relay/longlist_faults_test.go
+++ b/internal/relay/longlist_faults_test.go
@@ -17,30 +17,31 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A long list breaks off in the middle of an entry: the entries so far hold, no endpoint is removed for not being named
-// yet, its version is not adopted, and it is requested again. One that stalls or never ends is cut off.
+// A long list that breaks off in the middle of an entry must not count as complete. Its entries up to there apply,
+// but no endpoint is removed because the list has not named it yet, the version of the list is not adopted, and the
+// watch starts again from the old version. A list that stalls or never ends is abandoned.
 func TestLongListThatBreaksOff(t *testing.T) {
 	const destinations = 4000
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
-	live := endpointText("s-new", addr, 50, "ready")
+	reachable := endpointText("s-new", addr, 50, "ready")
 	follow(t, r, a, func(c *discovery.Config) {
 		c.IdleTimeout = 300 * time.Millisecond
 		c.ListTimeout = 600 * time.Millisecond
 	})
-	complete := discoverytest.ListJSON(9, destinations, live)
+	complete := discoverytest.ListJSON(9, destinations, reachable)
 	half := complete[:len(complete)*3/4]
 	for half[len(half)-1] == '}' || half[len(half)-1] == ',' {
 		half = half[:len(half)-1]
 	}
-	held := func() int { return r.catalog.EndpointCount() }
-	asked := func(what, want string) {
+	endpointCount := func() int { return r.catalog.EndpointCount() }
+	expectWatch := func(what, want string) {
 		t.Helper()
 		stepLoopUntil(t, r, "a watch after "+what, func() bool {
 			select {
 			case got := <-a.indexes:
 				if got != want {
-					t.Errorf("after %s: a watch from %s, want %s", what, got, want)
+					t.Errorf("after %s: a watch from version %s, want %s", what, got, want)
 				}
 				return true
 			default:
@@ -48,32 +49,33 @@
 			}
 		})
 	}
-	asked("the start", "1")
+	expectWatch("the start", "1")
 	a.sendLine(t, r, append(bytes.Clone(half), "CUT"...))
-	asked("an end in an entry", "1")
-	if n := held(); n < 1000 || n > 2*destinations || r.listVersion != 1 {
-		t.Errorf("%d endpoints, version %d", n, r.listVersion)
+	expectWatch("an end in an entry", "1")
+	if n := endpointCount(); n < 1000 || n > 2*destinations || r.listVersion != 1 {
+		t.Errorf("%d endpoints, want 1000 to %d; version %d, want 1", n, 2*destinations, r.listVersion)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok {
-		t.Error("a host is gone that the list had not come to yet")
+		t.Error("endpoint s-1 was removed although the list broke off")
 	}
 	r.deliver(t, requests, "a", 50)
-	a.sendLine(t, r, half) // and blank lines: they are a sign of life, but not for ever
-	asked("a list without end", "1")
+	a.sendLine(t, r, half) // the blank lines of the agent prevent the idle timeout, but not ListTimeout
+	expectWatch("a list without end", "1")
 	if r.listVersion != 1 {
-		t.Errorf("version %d", r.listVersion)
+		t.Errorf("version %d after a list without end, want 1", r.listVersion)
 	}
 	a.sendLine(t, r, complete)
 	stepLoopUntil(t, r, "the complete list", func() bool { return r.listVersion == 9 })
-	if n := held(); n != 2*destinations+1 {
-		t.Errorf("%d hosts", n)
+	if n := endpointCount(); n != 2*destinations+1 {
+		t.Errorf("%d endpoints, want %d", n, 2*destinations+1)
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); ok {
-		t.Error("a host is left that the list does not name")
+		t.Error("endpoint s-1 is left although the complete list does not name it")
 	}
 }
 
-// Versions that begin again, and a complete list that is older than the one in force: what the agent says last holds.
+// The versions of lists may start again from lower numbers. The complete list that the agent sent last applies,
+// even if its version is lower than that of the list in force.
 func TestLongListsOfOlderVersions(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	follow(t, r, a)
@@ -86,8 +88,8 @@
 	}
 }
 
-// A snapshot makes up for an unreadable line, also if it is long. Changes that it contains already are not applied
-// again, whether their version comes before them or behind.
+// After an unreadable line of the watch, the relay fetches a snapshot, which may be a long list. Changes that the
+// snapshot already contains are not applied again, whether their version is written before or after their entries.
 func TestLongListReplacesUnreadableLine(t *testing.T) {
 	const destinations = 3000
 	for name, older := range map[string]func([]byte) []byte{
@@ -113,13 +115,14 @@
 			a.sendLine(t, r, append(text, newer...))
 			stepLoopUntil(t, r, "the list", func() bool { return r.listVersion == 8 })
 			if r.drainingEndpoints != 1 || r.catalog.EndpointCount() != 2*destinations {
-				t.Errorf("%d of %d endpoints drain", r.drainingEndpoints, r.catalog.EndpointCount())
+				t.Errorf("%d of %d endpoints drain, want 1", r.drainingEndpoints, r.catalog.EndpointCount())
 			}
 		})
 	}
 }
 
-// One entry of a list is too long: one line of the log tells of it with its size, and the list in force stays.
+// A list with an entry that is too long is rejected. One line of the log reports that with the size limit, and the
+// list in force stays.
 func TestOversizedEntry(t *testing.T) {
 	var log lockedBuffer
 	r := newTestRelay(t)
@@ -130,16 +133,17 @@
 		_, _ = fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":%q}]}`, id)
 	})
 	follow(t, r, a, func(c *discovery.Config) { c.NeedsSnapshot = true })
-	stepLoopUntil(t, r, "the watch asks for it", func() bool { return len(a.indexes) > 0 })
+	stepLoopUntil(t, r, "a watch is requested", func() bool { return len(a.indexes) > 0 })
 	if n := log.count("endpoint list too long"); n != 1 || log.count("one entry is over 16384 bytes") == 0 {
-		t.Errorf("logged %d times: %s", n, log.String())
+		t.Errorf("\"endpoint list too long\" logged %d times, want 1: %s", n, log.String())
 	}
 	if _, ok := r.catalog.Endpoint("s-1"); !ok || r.catalog.EndpointCount() != 1 || r.listVersion != 1 {
 		t.Errorf("%d endpoints, version %d", r.catalog.EndpointCount(), r.listVersion)
 	}
 }
 
-// Fifty complete lists, each of endpoints that nobody has seen before, take no more memory than a few.
+// Fifty complete lists, each of endpoints that no earlier list has named, take hardly more memory than five of
+// them: removed endpoints must leave nothing behind.
 func TestMemoryAfterFiftyListsOfNewEndpoints(t *testing.T) {
 	const endpoints = 2000
 	r := newTestRelay(t)
@@ -149,7 +153,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	var few uint64
+	var afterFive uint64
 	for v := range 50 {
 		entries := make([]discovery.Entry, endpoints)
 		for i := range entries {
@@ -164,10 +168,10 @@
 		}
 		applyLongList(r, true, int64(v), entries)
 		if v == 4 {
-			few = heap()
+			afterFive = heap()
 		}
 	}
-	if many := heap(); r.catalog.EndpointCount() != endpoints || many > few+few/2 {
-		t.Errorf("%d endpoints; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), few, many)
+	if afterFifty := heap(); r.catalog.EndpointCount() != endpoints || afterFifty > afterFive+afterFive/2 {
+		t.Errorf("%d endpoints; %d bytes after 5 lists, %d after 50", r.catalog.EndpointCount(), afterFive, afterFifty)
 	}
 }
--- a/internal/relay/longlist_test.go
+++ b/internal/relay/longlist_test.go
@@ -21,12 +21,13 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// listAgent is discovery's agent: it writes to its watch what a test says, and serves snapshots on request.
+// listAgent is a fake of service discovery's agent. It writes the texts that a test sends to its watch, and blank
+// lines meanwhile. After a text that ends with CUT it aborts the connection. It serves snapshots on request.
 type listAgent struct {
 	*httptest.Server
-	indexes          chan string // of the watches
-	texts            chan []byte
-	written          chan time.Time // when each text was
+	indexes          chan string    // the version from which each watch was requested
+	texts            chan []byte    // to write to the watch
+	written          chan time.Time // when each text was written
 	snapshotRequests atomic.Int32
 
 	mu       sync.Mutex
@@ -78,8 +79,8 @@
 	a.snapshot = snapshot
 }
 
-// follow has a relay watch an agent until the test ends. The test takes the steps, see stepLoopUntil, unless the loop
-// runs.
+// follow runs a watcher that posts an agent's lists to a relay, until the test ends. Unless the relay's loop runs,
+// the test has to run the steps: see stepLoopUntil.
 func follow(t *testing.T, r *Relay, a *listAgent, change ...func(*discovery.Config)) {
 	t.Helper()
 	r.agent.Move(addrOf(a.Server))
@@ -109,7 +110,7 @@
 	})
 }
 
-// stepLoopUntil takes steps as the loop does until ok holds.
+// stepLoopUntil runs steps in the same way as the loop until ok returns true.
 func stepLoopUntil(t *testing.T, r *Relay, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(nettest.Patience); !ok(); {
@@ -122,12 +123,12 @@
 			r.step(nil)
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout while waiting for: %s", what)
 		}
 	}
 }
 
-// sendLine has the agent write a text to its watch, and takes the steps of what comes meanwhile.
+// sendLine has the agent write a text to its watch, and runs steps until it is written.
 func (a *listAgent) sendLine(t *testing.T, r *Relay, text []byte) {
 	t.Helper()
 	a.texts <- text
@@ -141,41 +142,41 @@
 	})
 }
 
-// endpointText is the entry of an endpoint in a list.
+// endpointText returns the entry of an endpoint in a list, as JSON.
 func endpointText(id, addr string, destination int, state string) string {
 	const form = `{"id":%q,"addr":%q,"zone":"a","kind":"gateway","cell":%d,"state":%q,"weight":50}`
 	return fmt.Sprintf(form, id, addr, destination, state)
 }
 
-// changeText is a line of the watch with changes.
+// changeText returns a line of the watch with changes of the list, as JSON.
 func changeText(version int, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"servers":[%s]}`+"\n", version, strings.Join(entries, ","))
 }
 
-// deliver submits messages and takes steps until each has been delivered.
+// deliver submits a message to each of the destinations, and runs steps until all of them are delivered.
 func (r *Relay) deliver(t *testing.T, requests *atomic.Int32, ids string, destinations ...policy.DestinationID) {
 	t.Helper()
-	was := int(requests.Load())
+	before := int(requests.Load())
 	for i, destination := range destinations {
-		a := submitAll(r, newSubmission(fmt.Sprint(ids, i), destination, 9*time.Second))[0]
-		if a.Status != http.StatusAccepted {
-			t.Fatalf("destination %d: %+v", destination, a)
+		response := submitAll(r, newSubmission(fmt.Sprint(ids, i), destination, 9*time.Second))[0]
+		if response.Status != http.StatusAccepted {
+			t.Fatalf("message to destination %d: response %+v", destination, response)
 		}
 	}
 	what := fmt.Sprintf("%d messages of %q are delivered", len(destinations), ids)
 	stepLoopUntil(t, r, what, func() bool {
-		return int(requests.Load()) == was+len(destinations) && len(r.activeCalls) == 0
+		return int(requests.Load()) == before+len(destinations) && len(r.activeCalls) == 0
 	})
 }
 
-// respondOK is an endpoint that delivers everything.
+// respondOK serves an endpoint that answers every request with 200.
 func respondOK(_ int, conn net.Conn, _ *http.Request) bool {
 	_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// A list that is too long for the policy comes by the watch: the policy holds what is in use, messages for the rest are
-// delivered as well, and changes reach both.
+// The watch delivers a list that is too long for the policy. The policy holds only the destinations in use. Messages
+// to all other destinations are delivered as well, and changes apply to the endpoints of all destinations.
 func TestPolicyHoldsOnlyUsedDestinations(t *testing.T) {
 	const destinations = 6000
 	r, a := newTestRelay(t), newListAgent(t)
@@ -209,15 +210,15 @@
 		known := policyEndpoints(r)
 		return len(known[7]) == 0 && len(known[99]) == 1 && !known[99][0].InService
 	})
-	// A message for an endpoint that drains waits for another one.
+	// A message to a destination whose only endpoint drains waits for another endpoint.
 	if a := submitAll(r, newSubmission("waits", 99, 9*time.Second))[0]; a.Status != http.StatusAccepted {
-		t.Fatalf("%+v", a)
+		t.Fatalf("message to a destination whose only endpoint drains: response %+v", a)
 	}
-	was := requests.Load()
+	before := requests.Load()
 	a.sendLine(t, r, changeText(6, endpointText("s-next", addr, 99, "ready")))
-	stepLoopUntil(t, r, "it is delivered", func() bool { return requests.Load() == was+1 })
+	stepLoopUntil(t, r, "the message is delivered", func() bool { return requests.Load() == before+1 })
 	if a := submitAll(r, newSubmission("unknown", 1_000_000, 9*time.Second))[0]; a.Status != http.StatusBadRequest {
-		t.Errorf("a destination that no list has named: %+v", a)
+		t.Errorf("message to a destination that no list has named: response %+v", a)
 	}
 }
 
@@ -231,16 +232,17 @@
 	a.sendLine(t, r, discoverytest.ListJSON(2, 3000, endpointText("s-old", old, 50, "draining")))
 	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	if a := submitAll(r, newSubmission("m", 50, 9*time.Second))[0]; a.Status != http.StatusAccepted {
-		t.Fatalf("%+v", a)
+		t.Fatalf("message to a destination whose only endpoint drains: response %+v", a)
 	}
 	a.sendLine(t, r, changeText(3, endpointText("s-next", next, 50, "ready")))
-	stepLoopUntil(t, r, "it is delivered", func() bool { return nextRequests.Load() == 1 })
+	stepLoopUntil(t, r, "the message is delivered", func() bool { return nextRequests.Load() == 1 })
 	if n := oldRequests.Load(); n != 0 {
-		t.Errorf("%d requests at the one that drains", n)
+		t.Errorf("%d requests to the endpoint that drains", n)
 	}
 }
 
-// An endpoint moves from one destination to another, and back in the next list: messages of either find it where it is.
+// An endpoint moves from one destination to another, and back with the next list. A message to the endpoint's current
+// destination is delivered to the endpoint.
 func TestEndpointMovesBetweenDestinations(t *testing.T) {
 	for name, rest := range map[string]int{"a short list": 1, "a long list": 3000} {
 		t.Run(name, func(t *testing.T) {
@@ -256,17 +258,17 @@
 	}
 }
 
-// Thousands of destinations are activated within moments, and each message is delivered.
+// Thousands of destinations are activated at about the same time, and the message to each is delivered.
 func TestThousandsOfDestinationsActivateAtOnce(t *testing.T) {
 	const destinations, workers = 3000, 100
 	r, a := newTestRelay(t), newListAgent(t)
 	addr, requests := nettest.RawServer(t, respondOK)
-	var live []string
+	var reachable []string
 	for i := range destinations {
-		live = append(live, endpointText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
+		reachable = append(reachable, endpointText(fmt.Sprint("live-", i), addr, 10_000+i, "ready"))
 	}
 	follow(t, r, a)
-	a.sendLine(t, r, discoverytest.ListJSON(2, 1000, live...))
+	a.sendLine(t, r, discoverytest.ListJSON(2, 1000, reachable...))
 	stepLoopUntil(t, r, "the list is known", func() bool { return r.listVersion == 2 })
 	runLoop(t, r)
 	began := time.Now()
@@ -275,15 +277,15 @@
 	for w := range workers {
 		clients.Go(func() {
 			for i := w; i < destinations; i += workers {
-				// With more messages pending a relay rejects new ones.
+				// The relay rejects new messages while too many are pending.
 				for int(submitted.Load())-int(requests.Load()) > 250 {
 					time.Sleep(time.Millisecond)
 				}
 				submitted.Add(1)
-				in := newSubmission(fmt.Sprint("m", i), policy.DestinationID(10_000+i), 9*time.Second)
-				r.post(in)
-				if a := <-in.reply; a.Status != http.StatusAccepted {
-					t.Errorf("%d: %+v", i, a)
+				submission := newSubmission(fmt.Sprint("m", i), policy.DestinationID(10_000+i), 9*time.Second)
+				r.post(submission)
+				if a := <-submission.reply; a.Status != http.StatusAccepted {
+					t.Errorf("message %d: response %+v", i, a)
 				}
 			}
 		})
@@ -293,8 +295,8 @@
 	t.Logf("%d activated and delivered in %v", destinations, time.Since(began))
 }
 
-// A drain stands behind a hundred thousand other entries, and comes while messages do: nothing new is sent to the
-// endpoint once the grace period is over.
+// The drain of an endpoint follows longList other entries, and arrives while messages are submitted. Nothing more
+// is sent to the endpoint after the grace period.
 func TestDrainAfterLongListTakesEffectInTime(t *testing.T) {
 	r, a := newTestRelay(t), newListAgent(t)
 	var last atomic.Int64
@@ -305,10 +307,10 @@
 	next, nextRequests := nettest.RawServer(t, respondOK)
 	runLoop(t, r)
 	follow(t, r, a)
-	servers := func(version int, full bool, old, next string, more []byte) []byte {
-		return fmt.Appendf(nil, `{"version":%d,"full":%v,"servers":[%s%s,%s]}`+"\n", version, full, more, old, next)
+	list := func(version int, full bool, old, next string, others []byte) []byte {
+		return fmt.Appendf(nil, `{"version":%d,"full":%v,"servers":[%s%s,%s]}`+"\n", version, full, others, old, next)
 	}
-	a.texts <- servers(2, true, endpointText("s-old", old, 7, "ready"), endpointText("t-next", next, 7, "ready"), nil)
+	a.texts <- list(2, true, endpointText("s-old", old, 7, "ready"), endpointText("t-next", next, 7, "ready"), nil)
 	<-a.written
 	stop := make(chan struct{})
 	ended := make(chan struct{})
@@ -319,9 +321,9 @@
 	go func() {
 		defer close(ended)
 		for i := 0; ; i++ {
-			in := newSubmission(fmt.Sprint("m", i), 7, 5*time.Second)
-			r.post(in)
-			<-in.reply
+			submission := newSubmission(fmt.Sprint("m", i), 7, 5*time.Second)
+			r.post(submission)
+			<-submission.reply
 			select {
 			case <-stop:
 				return
@@ -330,25 +332,26 @@
 		}
 	}()
 	nettest.Eventually(t, "the endpoint is used", func() bool { return oldRequests.Load() > 20 })
-	var more []byte
+	var others []byte
 	for i := range longList {
-		more = append(append(more, discoverytest.EndpointJSON(i, i/2, "ready")...), ',')
+		others = append(append(others, discoverytest.EndpointJSON(i, i/2, "ready")...), ',')
 	}
-	text := servers(3, false, endpointText("s-old", old, 7, "draining"), endpointText("t-next", next, 7, "ready"), more)
+	text := list(3, false, endpointText("s-old", old, 7, "draining"), endpointText("t-next", next, 7, "ready"), others)
 	a.texts <- text
 	written := <-a.written
-	was := nextRequests.Load()
-	nettest.Eventually(t, "the other one is used", func() bool {
-		return nextRequests.Load() > was+100 && time.Since(written) > r.cfg.DrainGrace+300*time.Millisecond
+	before := nextRequests.Load()
+	nettest.Eventually(t, "the other endpoint is used", func() bool {
+		return nextRequests.Load() > before+100 && time.Since(written) > r.cfg.DrainGrace+300*time.Millisecond
 	})
 	lag := time.Unix(0, last.Load()).Sub(written)
-	t.Logf("%d entries of %d MB: the last request %v after the drain was written", longList, len(text)>>20, lag)
+	t.Logf("%d entries in %d MiB: the last request %v after the drain was written", longList, len(text)>>20, lag)
 	if lag > r.cfg.DrainGrace {
-		t.Errorf("used %v after its drain was announced", lag)
+		t.Errorf("the endpoint was used %v after its drain was announced, want at most %v", lag, r.cfg.DrainGrace)
 	}
 }
 
-// The messages of an earlier process activate their destinations, as far as the list has them.
+// After a restart, the messages in the journal activate their destinations. A message waits if the list does not
+// have its destination yet.
 func TestRestartActivatesDestinationsOfMessages(t *testing.T) {
 	addr, requests := nettest.RawServer(t, respondOK)
 	old := newTestRelay(t)
@@ -390,12 +393,12 @@
 		t.Errorf("ready %v, version %d", r.endpointsKnown.Load(), r.listVersion)
 	}
 	r.recoverState()
-	stepLoopUntil(t, r, "the one whose destination is known is delivered", func() bool {
+	stepLoopUntil(t, r, "the message whose destination is listed is delivered", func() bool {
 		return requests.Load() == 1 && len(r.activeCalls) == 0
 	})
 	if n := len(policyEndpoints(r)); n != 1 || r.pending != 1 {
 		t.Errorf("the policy holds %d destinations, %d messages are pending", n, r.pending)
 	}
 	applyLongList(r, false, 5, entriesOf(r, endpointText("s-60000", addr, 60_000, "ready")))
-	stepLoopUntil(t, r, "the other one, when it is", func() bool { return requests.Load() == 2 })
+	stepLoopUntil(t, r, "the other message is delivered", func() bool { return requests.Load() == 2 })
 }
--- a/internal/relay/norace_test.go
+++ b/internal/relay/norace_test.go
@@ -2,5 +2,5 @@
 
 package relay
 
-// longList is how many entries the tests have a long list of.
+// longList is the number of entries in the list of TestDrainAfterLongListTakesEffectInTime.
 const longList = 100_000
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -2,6 +2,6 @@
 
 package relay
 
-// longList is how many entries the tests have a long list of: the race detector makes reading them some ten times
-// slower.
+// longList is the number of entries in the list of TestDrainAfterLongListTakesEffectInTime. It is lower here, because
+// the race detector makes reading entries some ten times slower.
 const longList = 5_000
--- a/internal/relay/recorder_test.go
+++ b/internal/relay/recorder_test.go
@@ -12,7 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
-// newRecordedRelay returns a relay with a recorder, whose state is not recovered yet, and its log.
+// newRecordedRelay returns a relay with a recorder, and the relay's log. The relay's state is not recovered yet.
 func newRecordedRelay(t *testing.T, settings operatorfile.Recorder) (*Relay, *bytes.Buffer) {
 	t.Helper()
 	c := newTestConfig(t)
@@ -29,7 +29,7 @@
 	return r, &out
 }
 
-// A loop that panics leaves its recording, and the panic goes on.
+// When the loop panics, its recording is written and the panic continues.
 func TestPanicDumpsRecording(t *testing.T) {
 	for name, folder := range map[string]string{"log": "", "folder": filepath.Join(t.TempDir(), "kept")} {
 		t.Run(name, func(t *testing.T) {
@@ -43,23 +43,23 @@
 			r, out := newRecordedRelay(t, settings)
 			r.recoverState()
 			r.post(tick{})
-			r.post(&callFinished{}) // a call that there is not
+			r.post(&callFinished{}) // its call is nil: the step panics
 			if panicOfLoop(t, r) == nil {
-				t.Fatal("no panic: the test shows nothing")
+				t.Fatal("the loop did not panic")
 			}
 			found, err := recordingsOf(t, folder, out)
 			if err != nil || len(found) != 1 {
-				t.Fatalf("%d recordings, %v: %s", len(found), err, out)
+				t.Fatalf("%d recordings, want 1; err %v; log %s", len(found), err, out)
 			}
 			played, err := replay.Play(found[0].Data, replay.Visitor{})
 			if err != nil || played.Difference != nil || played.Steps != 1 {
-				t.Errorf("%v, %+v", err, played)
+				t.Errorf("replay: err %v, %+v", err, played)
 			}
 		})
 	}
 }
 
-// panicOfLoop runs the loop and returns what it panics with.
+// panicOfLoop runs the loop and returns the value of its panic.
 func panicOfLoop(t *testing.T, r *Relay) (x any) {
 	t.Helper()
 	defer func() { x = recover() }()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// recordingsOf reads the recordings of a crash from a folder, or from the log.
+// recordingsOf reads the recordings of a crash from a folder, or from the log if folder is empty.
 func recordingsOf(t *testing.T, folder string, log *bytes.Buffer) ([]flightrecorder.Recording, error) {
 	t.Helper()
 	if folder == "" {
@@ -84,7 +84,7 @@
 	r, out := newRecordedRelay(t, operatorfile.Recorder{})
 	r.DumpRecording("SIGUSR1")
 	if !bytes.Contains(out.Bytes(), []byte("recorder is off")) {
-		t.Errorf("%s", out)
+		t.Errorf("the log does not say that the recorder is off: %s", out)
 	}
 	plain := newTestRelay(t)
 	if res := submit(t, plain, serveClients(t, plain), "m1"); res.StatusCode != http.StatusAccepted {
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -15,12 +15,12 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A damaged journal may lack sends. The messages that they may belong to fail and are not repeated, and no others: what
-// was accepted behind the damage goes on.
+// A damaged journal may lack records of sends. Only the messages to which the lost records may have belonged fail,
+// and they are not sent again. Messages that were accepted after the damaged place continue.
 func TestDamagedJournalRepeatsNothing(t *testing.T) {
 	r := newTestRelay(t)
 	addr := serveClients(t, r)
-	for i := range 200 { // over several blocks of the store: damage in the last one looks like a torn write
+	for i := range 200 { // they fill several blocks of the store: damage in the last one looks like a torn write
 		submit(t, r, addr, fmt.Sprint("m", 100+i))
 	}
 	if err := r.journal.Close(); err != nil {
@@ -54,16 +54,17 @@
 		t.Errorf("notifications %+v", again.notifier.Pending())
 	}
 	if m := again.messagesByTrace["m299"]; again.pending < 10 || m == nil || m.completed {
-		t.Errorf("%d pending: what stands behind the damage is to go on", again.pending)
+		t.Errorf("%d pending: messages that were accepted after the damaged place must continue", again.pending)
 	}
 }
 
-// With the clock set back between two processes a message that may have run is not repeated: how long its endpoint
-// recognizes duplicates is unknown. One that never ran goes on, with no more time than its class gives.
+// The wall clock is set back between two processes. A message that may have run is not sent again, because it is
+// unknown how long its endpoint still recognizes duplicates. A message that never ran continues, with no more time
+// left than its class allows.
 func TestWallClockSetBack(t *testing.T) {
-	for _, back := range []time.Duration{0, time.Minute} {
+	for _, setBack := range []time.Duration{0, time.Minute} {
 		r := newTestRelay(t)
-		at := time.Now().Add(back)
+		acceptedAt := time.Now().Add(setBack)
 		class := r.cfg.Settings.Classes[0]
 		ran := &journal.Message{
 			ID:                1,
@@ -71,9 +72,9 @@
 			IdempotencyKey:    "k",
 			OrderingKey:       "a",
 			Destination:       7,
-			Deadline:          at.Add(10 * time.Second),
+			Deadline:          acceptedAt.Add(10 * time.Second),
 			Attempts:          1,
-			UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: at}},
+			UncertainAttempts: []journal.Attempt{{Endpoint: "s-1", SentAt: acceptedAt}},
 		}
 		untried := &journal.Message{
 			ID:             2,
@@ -81,26 +82,26 @@
 			IdempotencyKey: "k",
 			OrderingKey:    "b",
 			Destination:    7,
-			Deadline:       at.Add(class.Deadline),
+			Deadline:       acceptedAt.Add(class.Deadline),
 		}
 		if err := r.journal.Accept(ran, untried); err != nil {
 			t.Fatal(err)
 		}
 		r.recovery = &journal.Recovery{Messages: []*journal.Message{ran, untried}, Store: &store.Recovery{}}
 		if left := r.acceptedEvent(&message{Message: untried}).TimeLeft; left > class.Deadline {
-			t.Errorf("back by %v: %v left", back, left)
+			t.Errorf("clock set back by %v: %v left, want at most %v", setBack, left, class.Deadline)
 		}
 		r.recoverState()
 		notifications := r.notifier.Pending()
 		failed := len(notifications) == 1 && notifications[0].TraceID == "ran"
-		if failed != (back > 0) || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("back by %v: notifications %+v", back, notifications)
+		if failed != (setBack > 0) || r.messages[2] == nil || r.messages[2].completed {
+			t.Errorf("clock set back by %v: notifications %+v", setBack, notifications)
 		}
 		r.calls.Wait()
 	}
 }
 
-// reopen opens a relay's journal as a process would that begins at now.
+// reopen closes a relay's journal, and opens it as a process would that starts at now.
 func reopen(t *testing.T, r *Relay, now bootclock.Reading) *journal.Recovery {
 	t.Helper()
 	if err := r.journal.Close(); err != nil {
@@ -116,96 +117,101 @@
 	return found
 }
 
-// The wall clock is set while no process runs. A message that was sent before its deduplication window is not repeated,
-// one sent within it is, and each keeps the time that it really has left, as the boot clock measures it.
+// The wall clock is set while no process runs. A message that was sent longer ago than its deduplication window is
+// not sent again, and one that was sent within the window is. Both keep the time that they really have left. All
+// these times are measured by the boot clock.
 func TestDedupWindowFollowsTheBootClock(t *testing.T) {
-	for _, step := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
+	for _, clockStep := range []time.Duration{0, -7 * time.Second, -time.Hour, 7 * time.Second, time.Hour} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
 		if now.BootID == "" {
 			now.BootID = "a boot"
 		}
 		class := r.cfg.Settings.Classes[0]
-		away := class.DedupWindow / 2
-		// The process before: it ran until away ago, when the wall clock was step ahead of what it is now.
-		was := bootclock.Reading{Wall: now.Wall.Add(-away - step), BootID: now.BootID, Uptime: now.Uptime - away}
-		reopen(t, r, was)
-		for id, sent := range map[policy.MessageID]time.Duration{1: away + time.Second, 2: away - time.Second} {
+		downtime := class.DedupWindow / 2
+		// The clocks at the end of the earlier process. Since then the wall clock was set forward by clockStep.
+		ended := bootclock.Reading{
+			Wall:   now.Wall.Add(-downtime - clockStep),
+			BootID: now.BootID,
+			Uptime: now.Uptime - downtime,
+		}
+		reopen(t, r, ended)
+		for id, sent := range map[policy.MessageID]time.Duration{1: downtime + time.Second, 2: downtime - time.Second} {
 			m := &journal.Message{
 				ID:             id,
 				TraceID:        fmt.Sprint("m", id),
 				IdempotencyKey: "k",
 				OrderingKey:    fmt.Sprint(id),
 				Destination:    7,
-				Deadline:       was.Wall.Add(away + 9*time.Second),
+				Deadline:       ended.Wall.Add(downtime + 9*time.Second),
 			}
 			if err := r.journal.Accept(m); err != nil {
 				t.Fatal(err)
 			}
-			attempt := journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(-sent)}
+			attempt := journal.Attempt{Endpoint: "s-1", SentAt: ended.Wall.Add(-sent)}
 			if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: attempt}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r.recovery = reopen(t, r, now)
-		if d := (r.recovery.ClockStep - step).Abs(); d > time.Millisecond {
-			t.Errorf("step %v: taken for %v", step, r.recovery.ClockStep)
+		if d := (r.recovery.ClockStep - clockStep).Abs(); d > time.Millisecond {
+			t.Errorf("clock step %v: measured as %v", clockStep, r.recovery.ClockStep)
 		}
 		for _, m := range r.recovery.Messages {
 			if left := time.Until(m.Deadline); left < 8*time.Second || left > 9*time.Second {
-				t.Errorf("step %v: %v left of 9 s", step, left)
+				t.Errorf("clock step %v: %v left, want 8 s to 9 s", clockStep, left)
 			}
 		}
 		r.recoverState()
 		notifications := r.notifier.Pending()
 		failed := len(notifications) == 1 && notifications[0].TraceID == "m1"
 		if !failed || r.messages[2] == nil || r.messages[2].completed {
-			t.Errorf("step %v: notifications %+v", step, notifications)
+			t.Errorf("clock step %v: notifications %+v", clockStep, notifications)
 		}
 		r.calls.Wait()
 	}
 }
 
-// The machine was rebooted while a call was in flight, and its clock set: whatever the wall clock says, what may have
-// run is not repeated, since nobody can tell how long its endpoint recognizes duplicates. The same holds for the second
-// process of the new boot.
+// The machine was rebooted while a call was in flight, and its wall clock was set. A message that may have run is
+// not sent again, whatever the wall clock reads, because it is unknown how long its endpoint still recognizes
+// duplicates. This also holds for the second process after the reboot.
 func TestNewBootRepeatsNothingThatMayHaveRun(t *testing.T) {
-	for _, step := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
+	for _, clockStep := range []time.Duration{0, -7 * time.Second, 7 * time.Second} {
 		r := newTestRelay(t)
 		now := bootclock.Now()
-		was := bootclock.Reading{Wall: now.Wall.Add(-6*time.Second - step), BootID: "before", Uptime: time.Hour}
+		ended := bootclock.Reading{Wall: now.Wall.Add(-6*time.Second - clockStep), BootID: "before", Uptime: time.Hour}
 		later := bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 6 * time.Second}
-		reopen(t, r, was)
+		reopen(t, r, ended)
 		m := &journal.Message{
 			ID:             1,
 			TraceID:        "m1",
 			IdempotencyKey: "k",
 			OrderingKey:    "1",
 			Destination:    7,
-			Deadline:       was.Wall.Add(15 * time.Second),
+			Deadline:       ended.Wall.Add(15 * time.Second),
 		}
 		if err := r.journal.Accept(m); err != nil {
 			t.Fatal(err)
 		}
-		attempt := journal.Attempt{Endpoint: "s-1", SentAt: was.Wall.Add(time.Second)}
+		attempt := journal.Attempt{Endpoint: "s-1", SentAt: ended.Wall.Add(time.Second)}
 		if err := r.journal.RecordSends(journal.Send{Message: m, Attempt: attempt}); err != nil {
 			t.Fatal(err)
 		}
 		reopen(t, r, bootclock.Reading{Wall: now.Wall, BootID: "after", Uptime: 5 * time.Second})
 		r.recovery = reopen(t, r, later)
 		if len(r.recovery.Messages) != 1 {
-			t.Fatalf("%d messages", len(r.recovery.Messages))
+			t.Fatalf("%d messages recovered, want 1", len(r.recovery.Messages))
 		}
 		r.recoverState()
 		if len(r.notifier.Pending()) != 1 || r.notifier.Pending()[0].TraceID != "m1" {
-			t.Errorf("step %v: notifications %+v", step, r.notifier.Pending())
+			t.Errorf("clock step %v: notifications %+v", clockStep, r.notifier.Pending())
 		}
 		r.calls.Wait()
 	}
 }
 
-// A restart that cannot tell how long ago a message ran takes it for longer than any window, also one of more than a
-// day.
+// A restarted process may be unable to determine how long ago a message ran. It then assumes that the message is
+// outside any deduplication window, even one of more than a day.
 func TestUndatedAttemptIsOutsideAnyWindow(t *testing.T) {
 	r := newTestRelay(t)
 	for _, window := range []time.Duration{0, time.Second, 72 * time.Hour} {
@@ -217,8 +223,8 @@
 				UncertainAttempts: []journal.Attempt{{SentAt: time.Now(), Undated: true}},
 			},
 		}
-		if ago := r.recoveredEvent(m).Recovered.SinceFirstRun; ago < max(unknownRunAge, window) {
-			t.Errorf("window %v: ran %v ago", window, ago)
+		if since := r.recoveredEvent(m).Recovered.SinceFirstRun; since < max(unknownRunAge, window) {
+			t.Errorf("window %v: assumed to have run %v ago", window, since)
 		}
 	}
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -13,10 +13,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// countingFS counts what goes through a file system.
+// countingFS counts the reads, writes and syncs of a file system, and the bytes that are read.
 type countingFS struct {
 	store.FS
-	reads, read, writes, syncs int
+	reads, bytesRead, writes, syncs int
 }
 
 type countingFile struct {
@@ -31,7 +31,7 @@
 
 func (f countingFile) ReadAt(b []byte, at int64) (int, error) {
 	f.fs.reads++
-	f.fs.read += len(b)
+	f.fs.bytesRead += len(b)
 	return f.File.ReadAt(b, at)
 }
 
@@ -45,8 +45,9 @@
 	return f.File.Sync()
 }
 
-// fillJournal fills the journal of a relay until it accepts no more, as a process that is killed leaves it, and returns
-// what it holds: messages that were never sent, or every second one with an attempt in flight.
+// fillJournal fills the journal of a relay until it accepts no more messages, as a killed process would leave it.
+// If sent is set, every second message has an attempt in flight, and otherwise none was ever sent. It returns the
+// number of messages and the size of the journal.
 func fillJournal(t testing.TB, cfg Config, bodySize int, sent bool) (messages int, bytes int64) {
 	t.Helper()
 	options := cfg.Operator.Journal.Options(int64(cfg.Limits.DiskMB*1e6) - reservedDiskBytes)
@@ -62,7 +63,7 @@
 			ClassName:      "order",
 			Destination:    7,
 			Body:           make([]byte, bodySize),
-			Deadline:       time.Now().Add(time.Hour), // the relay reduces it to the class's
+			Deadline:       time.Now().Add(time.Hour), // the relay reduces it to the deadline of the class
 		}
 		err := j.Accept(m)
 		if err == nil {
@@ -86,9 +87,10 @@
 	return messages, bytes
 }
 
-// The work of a restart with the largest journal that the disk allows grows in proportion to its content, whatever the
-// limit of pending messages: so many reads and allocations a message, each byte read no more than three times, and few
-// writes before clients learn that the relay is ready.
+// The work of a restart with the largest journal that the disk limit allows grows in proportion to the content of the
+// journal, whatever the limit of pending messages. There is a bound on the reads and allocations for each message, the
+// bytes read are at most twice the disk limit, and there are few writes before clients can see that the relay is
+// ready.
 func TestRestartWithLargestJournal(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -130,10 +132,10 @@
 				r.calls.Wait()
 				_ = r.journal.Close()
 			})
-			measured := map[string][2]int{ // and the most that there may be
+			measured := map[string][2]int{ // each with its upper bound
 				"messages lost":         {n - len(r.messages), 0},
 				"reads":                 {fs.reads, 2*n + 100},
-				"bytes read":            {fs.read, int(2e6 * c.diskMB)},
+				"bytes read":            {fs.bytesRead, int(2e6 * c.diskMB)},
 				"writes":                {fs.writes, 4},
 				"syncs":                 {fs.syncs, 4},
 				"allocations":           {int(after.Mallocs - before.Mallocs), 16*n + 2000},
@@ -144,7 +146,7 @@
 			measured["bytes in use in kB"] = [2]int{(int(after.HeapAlloc) - int(before.HeapAlloc)) >> 10, n + 8<<10}
 			for what, x := range measured {
 				if x[0] > x[1] {
-					t.Errorf("%s: %d, at most %d", what, x[0], x[1])
+					t.Errorf("%s: %d, want at most %d", what, x[0], x[1])
 				}
 			}
 			t.Logf("%d messages in %d kB: %v", n, size>>10, measured)
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -18,13 +18,14 @@
 	addr string
 }
 
-// referenceList applies lists as the relay did before it had a catalog: the model that short lists are held to.
+// referenceList applies lists with a plain map, as the relay did before it had a catalog. It is the model with
+// which the handling of short lists is compared.
 type referenceList struct {
 	cfg       Config
 	endpoints map[string]referenceEndpoint
 }
 
-// apply applies a list and returns the policy's event.
+// apply applies a list and returns the resulting event for the policy.
 func (r *referenceList) apply(full bool, entries []string) policy.Event {
 	e := policy.Event{Kind: policy.EndpointDelta}
 	if full {
@@ -60,9 +61,10 @@
 	return e
 }
 
-// randomLists returns short lists: complete ones and changes, with endpoints that drain, are removed, come back, move
-// to other addresses, are named twice or are unreadable. None moves to another destination: there the old relay never
-// sent to it again.
+// randomLists returns short lists, complete ones and changes, and the texts of their entries. Endpoints drain, are
+// removed, are listed again, move to other addresses, are named twice or have unreadable entries. None moves to
+// another destination, because there the relay differs from the model: a relay that applied lists like
+// referenceList never sent messages to such an endpoint again.
 func randomLists(rng *rand.Rand) (lists []discovery.List, texts [][]string) {
 	for range 1 + rng.IntN(20) {
 		l := discovery.List{Version: rng.Int64N(50), Full: rng.IntN(4) == 0}
@@ -90,7 +92,8 @@
 	return lists, texts
 }
 
-// With short lists the policy has the same events as before there was a catalog, and the relay the same addresses.
+// With short lists, the policy receives the same events as from referenceList, and the relay has the same
+// addresses.
 func TestShortListsGiveTheSameEventsAsBefore(t *testing.T) {
 	r := newTestRelay(t)
 	for seed := range uint64(300) {
@@ -103,16 +106,16 @@
 			l.Entries = entriesOf(r, texts[i]...)
 			want := old.apply(l.Full, texts[i])
 			if got := r.applyList(l); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-				t.Fatalf("seed %d, list %d of %v: events\n%+v\nbefore\n%+v", seed, i, texts[i], got, want)
+				t.Fatalf("seed %d, list %d of %v: events\n%+v\nwant\n%+v", seed, i, texts[i], got, want)
 			}
 			if r.catalog.EndpointCount() != len(old.endpoints) {
 				n := r.catalog.EndpointCount()
-				t.Fatalf("seed %d, list %d: %d endpoints, before %d", seed, i, n, len(old.endpoints))
+				t.Fatalf("seed %d, list %d: %d endpoints, want %d", seed, i, n, len(old.endpoints))
 			}
 			draining := 0
 			for id, want := range old.endpoints {
 				if got, ok := r.catalog.Endpoint(id); !ok || got.Endpoint != want.Endpoint || got.Addr != want.addr {
-					t.Fatalf("seed %d, list %d: %s is %+v, before %+v", seed, i, id, got, want)
+					t.Fatalf("seed %d, list %d: %s is %+v, want %+v", seed, i, id, got, want)
 				}
 				if !want.InService {
 					draining++
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -12,8 +12,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// A request that is on its way over an idle connection at the moment of SIGTERM has a response. The order is made by
-// hand: the relay's read is held back until the system has the request.
+// A request that arrives on an idle connection at the moment of SIGTERM is answered. The test forces this order: it
+// holds back the relay's read until the operating system has received the request.
 func TestShutdownAnswersReceivedRequest(t *testing.T) {
 	r := newTestRelay(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -28,11 +28,11 @@
 	responses := bufio.NewReader(peer)
 	nettest.ReadResponse(t, responses)
 	served := listener.Accepted(t)
-	served.AwaitHeld(t) // the connection is idle, and the next read does not begin
+	served.AwaitHeld(t) // the connection is idle, and its next read is held back
 	if _, err := io.WriteString(peer, requestText("m1")); err != nil {
 		t.Fatal(err)
 	}
-	nettest.Eventually(t, "the request is there", func() bool {
+	nettest.Eventually(t, "the operating system has the request", func() bool {
 		return netconn.New(served).Pending() == netconn.PendingBytes
 	})
 	r.ingress.Drain()
@@ -43,5 +43,5 @@
 	}
 }
 
-// addrOf is the address of a test's server.
+// addrOf returns the address of a test server.
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// What cannot be read, or makes no sense, is answered and goes no further.
+// A request that cannot be parsed or is invalid is answered with an error and never reaches the loop.
 func TestBadRequestsGoNoFurther(t *testing.T) {
 	hidden := requestText("hidden")
 	chunked := func(proto string) string {
@@ -24,9 +24,9 @@
 		text string
 		want int
 	}{
-		"both lengths":      {chunked("HTTP/1.1"), 400},
-		"both lengths, old": {chunked("HTTP/1.0"), 400},
-		"a length in two ways": {
+		"Content-Length and chunked":           {chunked("HTTP/1.1"), 400},
+		"Content-Length and chunked, HTTP/1.0": {chunked("HTTP/1.0"), 400},
+		"two values of Content-Length": {
 			requestText("a", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400,
 		},
 		"noise":         {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
@@ -40,18 +40,18 @@
 		"huge length":             {requestText("a", "Length: 4", "Length: 99999999999999999999"), 400},
 		"large length":            {requestText("a", "Length: 4", "Length: 3000000000"), 413},
 		"short length":            {requestText("a", "Length: 4", "Length: 3"), 400},
-		"no such class":           {requestText("a", "/order", "/other", "Qos: order", "Qos: other"), 400},
+		"unknown class":           {requestText("a", "/order", "/other", "Qos: order", "Qos: other"), 400},
 		"no id":                   {requestText(""), 400},
 		"two ids":                 {requestText("a", "X-Qos", "X-Trace-Id: b\r\nX-Qos"), 400},
 		"a deadline in words":     {requestText("a", "5000", "soon"), 400},
-		"more time than there is": {requestText("a", "5000", "5000000"), 400},
+		"time above the deadline": {requestText("a", "5000", "5000000"), 400},
 		"no length":               {requestText("a", "Content-Length: 4\r\n", ""), 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newTestRelay(t)
 			conn := nettest.Dial(t, serveClients(t, r), "")
-			go func() { // the relay may reject it before all is written
+			go func() { // the relay may reject the request before all of it is written
 				nettest.Send(conn, c.text)
 				nettest.CloseWrite(conn)
 			}()
@@ -67,7 +67,8 @@
 	}
 }
 
-// A destination that no list has named never reaches the policy, which would keep it.
+// A message to a destination that no list has named is rejected and never reaches the policy, which would keep
+// state for the destination.
 func TestUnknownDestinationsAreRejected(t *testing.T) {
 	r := newTestRelay(t)
 	answers := bufio.NewReader(nettest.Dial(t, serveClients(t, r), requestText("a", "dest=7", "dest=8")))
@@ -77,7 +78,7 @@
 	}
 }
 
-// A bad request that has come to its end costs a client no connection.
+// After a bad request that was read to its end, the connection serves further requests.
 func TestConnOutlastsBadRequest(t *testing.T) {
 	r := newTestRelay(t)
 	conn := nettest.Dial(t, serveClients(t, r), requestText("a", "X-Qos: order", "X-Qos: what"))
--- a/internal/relay/takeover_longlist_test.go
+++ b/internal/relay/takeover_longlist_test.go
@@ -11,13 +11,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// A process with a long list hands over what its policy holds. The other one begins from the list that it has itself,
-// takes over what is in use, and asks for a snapshot.
+// A process with a long list hands over only the endpoints that its policy holds. The successor starts from the
+// list in its own configuration, applies the endpoints that were handed over, and fetches a snapshot.
 func TestTakeoverWithLongList(t *testing.T) {
 	addr, requests := nettest.RawServer(t, respondOK)
 	for name, edit := range map[string]func(*hotrestart.State){
-		"the same form": func(*hotrestart.State) {},
-		"another form":  func(s *hotrestart.State) { s.Snapshot = []byte{9} },
+		"known snapshot format":   func(*hotrestart.State) {},
+		"unknown snapshot format": func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			old := newRelayWithLongList(t, addr)
--- a/internal/relay/takeover_test.go
+++ b/internal/relay/takeover_test.go
@@ -15,7 +15,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// successorOf returns a relay that has restored the state of another one; edit may change that.
+// successorOf returns a relay that has restored the state of old. edit may change the state before it is restored.
 func successorOf(t *testing.T, old *Relay, edit func(*hotrestart.State)) *Relay {
 	t.Helper()
 	s := old.exportState()
@@ -33,7 +33,7 @@
 	return r
 }
 
-// outcomeOf is the outcome of a message's first attempt, whose call has ended.
+// outcomeOf returns the outcome of a message's first attempt, whose call has ended.
 func outcomeOf(outcome policy.Outcome, messageID policy.MessageID, retryAfter time.Duration) remoteOutcome {
 	return remoteOutcome{
 		ID:           messageID,
@@ -44,42 +44,43 @@
 	}
 }
 
-// Whether the policy's state can be read or not: what is in flight at the predecessor is not sent again before its
-// outcome, and that binds: a delivery ends the message, a Retry-After delays the next attempt, and an attempt without
-// an outcome may have run.
+// Attempts are in flight at the predecessor when it hands over. Their messages are not sent again before the
+// outcomes are known, whether or not the successor can read the policy's state. The outcomes then take effect: a
+// delivery ends the message, a Retry-After delays the next attempt, and an attempt without an outcome counts as one
+// that may have run.
 func TestTakeOverWithAttemptsInFlight(t *testing.T) {
-	forms := map[string]func(*hotrestart.State){
-		"the same form": func(*hotrestart.State) {},
-		"another form":  func(s *hotrestart.State) { s.Snapshot = []byte{9} },
+	edits := map[string]func(*hotrestart.State){
+		"known snapshot format":   func(*hotrestart.State) {},
+		"unknown snapshot format": func(s *hotrestart.State) { s.Snapshot = []byte{9} },
 	}
-	for name, edit := range forms {
+	for name, edit := range edits {
 		t.Run(name, func(t *testing.T) {
 			r, ids := takeOverThreeAttempts(t, edit)
 			r.step([]event{tick{}})
 			if len(r.activeCalls) != 0 {
-				t.Fatal("sent again with the outcome still to come")
+				t.Fatal("a message was sent again before the outcome of its attempt was known")
 			}
 			r.step([]event{outcomeOf(policy.OK, ids[0], 0)})
 			if r.messages[ids[0]] != nil || r.pending != 2 {
-				t.Errorf("delivered there, not completed here: pending %d", r.pending)
+				t.Errorf("the message that the predecessor delivered is not completed: %d pending, want 2", r.pending)
 			}
 			r.step([]event{outcomeOf(policy.Overloaded, ids[1], 5*time.Second)})
 			views, _ := r.engine.Views()
 			if len(r.activeCalls) != 0 || len(views) != 1 || views[0].RetryAfterUntil < r.now()+4*time.Second {
-				t.Errorf("Retry-After does not bind: %d calls, %+v", len(r.activeCalls), views)
+				t.Errorf("Retry-After is not respected: %d calls, endpoints %+v", len(r.activeCalls), views)
 			}
 			r.step([]event{predecessorGone{}})
 			checkAbandoned(t, r, ids[1], ids[2])
 			response := submitAll(r, newSubmission("m3", 7, 9*time.Second))[0]
 			if response.Status != http.StatusAccepted || r.pending != 2 {
-				t.Errorf("submitted again: %+v, pending %d", response, r.pending)
+				t.Errorf("message m3 submitted again: response %+v, %d pending, want 2", response, r.pending)
 			}
 		})
 	}
 }
 
-// takeOverThreeAttempts returns the successor of a relay with three messages, an attempt of each in flight, and the
-// ids of these.
+// takeOverThreeAttempts returns the successor of a relay with three messages, each with an attempt in flight, and
+// the ids of the messages.
 func takeOverThreeAttempts(t *testing.T, edit func(*hotrestart.State)) (*Relay, []policy.MessageID) {
 	t.Helper()
 	old := newTestRelay(t)
@@ -100,26 +101,28 @@
 	}
 	r := successorOf(t, old, edit)
 	if len(r.remoteAttempts) != 3 || r.pending != 3 || len(r.activeCalls) != 0 {
-		t.Fatalf("remote %d, pending %d, calls %d", len(r.remoteAttempts), r.pending, len(r.activeCalls))
+		t.Fatalf("%d attempts at the predecessor, %d pending, %d calls; want 3, 3, 0",
+			len(r.remoteAttempts), r.pending, len(r.activeCalls))
 	}
 	return r, ids
 }
 
-// checkAbandoned checks that the attempt of one message counts as one that may have run, and that of another, which was
-// rejected, does not.
+// checkAbandoned checks that the attempt of the abandoned message counts as one that may have run, and that the
+// attempt of the rejected message does not.
 func checkAbandoned(t *testing.T, r *Relay, rejected, abandoned policy.MessageID) {
 	t.Helper()
 	if len(r.remoteAttempts) != 0 || len(r.messages[rejected].UncertainAttempts) != 0 {
-		t.Errorf("%d remote attempts; rejected: %+v", len(r.remoteAttempts), r.messages[rejected])
+		t.Errorf("%d attempts at the predecessor; rejected: %+v", len(r.remoteAttempts), r.messages[rejected])
 	}
 	m := r.messages[abandoned]
 	if m == nil || m.completed || m.inFlight != 0 || len(m.UncertainAttempts) != 1 {
-		t.Errorf("without an outcome: %+v", m)
+		t.Errorf("message whose attempt has no outcome: %+v", m)
 	}
 }
 
-// A process that takes over is ready only once its predecessor knows of it: told to end before that, the predecessor
-// would end without handing over, and its clients' connections with it.
+// A process that is to take over reports that it is ready only after its predecessor has confirmed that it will
+// hand over. If the predecessor were terminated before that, it would end without handing over and close its
+// clients' connections.
 func TestReadyOnlyAfterWelcome(t *testing.T) {
 	dir := t.TempDir()
 	l, err := hotrestart.Listen(filepath.Join(dir, "s"))
@@ -135,29 +138,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := hotrestart.NewConn(accepted)
+	predecessor := hotrestart.NewConn(accepted)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- r.takeOver(ctx) }()
-	if f, err := first.Receive(); err != nil || f.Hello == nil {
-		t.Fatalf("%+v, %v", f, err)
+	if f, err := predecessor.Receive(); err != nil || f.Hello == nil {
+		t.Fatalf("received %+v, %v; want Hello", f, err)
 	}
 	if r.awaitingHandover.Load() {
-		t.Error("ready before it is welcome")
+		t.Error("ready before the predecessor has sent Welcome")
 	}
-	if err := first.Send(hotrestart.Frame{Welcome: true}); err != nil {
+	if err := predecessor.Send(hotrestart.Frame{Welcome: true}); err != nil {
 		t.Fatal(err)
 	}
-	for !r.awaitingHandover.Load() { // the test's own time limit ends what never comes
+	for !r.awaitingHandover.Load() { // if that never happens, the time limit of the tests ends this
 		runtime.Gosched()
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, errTerminated) {
-		t.Errorf("terminated: %v", err)
+		t.Errorf("after termination: error %v, want %v", err, errTerminated)
 	}
 }
 
-// A message whose end could not be written to the journal does not come back with it.
+// The predecessor could not write the end of a message to the journal. The successor does not restore that message.
 func TestTakeOverOfAnEndThatIsNotInTheJournal(t *testing.T) {
 	old := newTestRelay(t)
 	submission := newSubmission("m1", 7, 9*time.Second)
@@ -167,6 +170,6 @@
 		s.Attempts = nil
 	})
 	if len(r.messages) != 0 || r.pending != 0 || r.journal.Tracks(submission.message) {
-		t.Errorf("pending %d, %v", r.pending, r.messages)
+		t.Errorf("%d pending, messages %v", r.pending, r.messages)
 	}
 }
--- a/internal/relay/warnings_test.go
+++ b/internal/relay/warnings_test.go
@@ -19,7 +19,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// lockedBuffer is a log's text, written by several goroutines.
+// lockedBuffer holds the text of a log to which several goroutines write.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,19 +31,20 @@
 	return b.text.Write(p)
 }
 
-// String returns the text.
+// String returns the text that was written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// count returns how often the text has s.
+// count returns how often s occurs in the text.
 func (b *lockedBuffer) count(s string) int {
 	return strings.Count(b.String(), s)
 }
 
-// Bad input of every kind, over and over: it is logged, and not each time, and good input beside it is served.
+// Bad input of one kind comes again and again. It is logged only once, since the occurrences are too close together
+// for another line, and good messages are still accepted.
 func TestBadInputIsLoggedOnce(t *testing.T) {
 	const times = 20
 	for _, c := range []struct {
@@ -57,7 +58,7 @@
 				requestText("x", "X-Qos: order", "X-Qos: what"),
 				requestText("x", "Length: 4", "Length: 99999999"),
 			}
-			_, _ = io.Copy(io.Discard, nettest.Dial(t, addr, bad[i%len(bad)]+"\r\n")) // until it is closed
+			_, _ = io.Copy(io.Discard, nettest.Dial(t, addr, bad[i%len(bad)]+"\r\n")) // until the relay closes it
 		}},
 		{"entries of the list", "unreadable entry", func(_ *testing.T, r *Relay, _ int) {
 			entries := entriesOf(r, `{"id":"s-9","state":"asleep"}`, `7`)
@@ -72,7 +73,7 @@
 			}
 			a := submitAll(r, newSubmission(fmt.Sprint("m", i), 7, time.Second))[0]
 			if a.Status != http.StatusServiceUnavailable {
-				t.Errorf("%+v", a)
+				t.Errorf("journal closed: response %+v", a)
 			}
 		}},
 	} {
@@ -86,13 +87,13 @@
 				c.bad(t, r, i)
 			}
 			if n := log.count(c.logged); n != 1 {
-				t.Errorf("logged %d times", n)
+				t.Errorf("%q logged %d times, want 1", c.logged, n)
 			}
 			if c.logged == "rejecting new messages" {
-				return // nothing is accepted
+				return // no message is accepted
 			}
 			if res := submit(t, r, serveClients(t, r), "good"); res.StatusCode != http.StatusAccepted {
-				t.Errorf("a good message: %d", res.StatusCode)
+				t.Errorf("a good message: status %d", res.StatusCode)
 			}
 		})
 	}
@@ -115,6 +116,6 @@
 	}
 	results := r.egress.Do(t.Context(), &call, func() []*egress.Attempt { return call.Attempts })
 	if results[0].Outcome != policy.Reset {
-		t.Errorf("%v", results[0].Outcome)
+		t.Errorf("outcome %v, want %v", results[0].Outcome, policy.Reset)
 	}
 }
--- a/internal/relay/workingset_test.go
+++ b/internal/relay/workingset_test.go
@@ -15,9 +15,9 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// applyLongList applies a list as the loop does with a long one, with a step after some of its parts.
+// applyLongList applies a list in parts, as the loop does with a long list, and runs a step after some of them.
 func applyLongList(r *Relay, full bool, version int64, entries []discovery.Entry) {
-	give := func(p *discovery.SnapshotPart) bool {
+	sendPart := func(p *discovery.SnapshotPart) bool {
 		p.Reply = make(chan bool, 1)
 		if p.Kind == discovery.PartBegin {
 			r.step([]event{partEvent{p}})
@@ -26,16 +26,16 @@
 		}
 		return <-p.Reply
 	}
-	give(&discovery.SnapshotPart{Kind: discovery.PartBegin})
-	for some := range slices.Chunk(entries, 7) {
-		give(&discovery.SnapshotPart{Kind: discovery.PartEntries, Entries: some})
-		if len(some)%2 == 0 {
+	sendPart(&discovery.SnapshotPart{Kind: discovery.PartBegin})
+	for chunk := range slices.Chunk(entries, 7) {
+		sendPart(&discovery.SnapshotPart{Kind: discovery.PartEntries, Entries: chunk})
+		if len(chunk)%2 == 0 {
 			r.step(nil)
 		}
 	}
-	for full && !give(&discovery.SnapshotPart{Kind: discovery.PartSweep}) {
+	for full && !sendPart(&discovery.SnapshotPart{Kind: discovery.PartSweep}) {
 	}
-	give(&discovery.SnapshotPart{Kind: discovery.PartEnd, Version: version})
+	sendPart(&discovery.SnapshotPart{Kind: discovery.PartEnd, Version: version})
 	r.step(nil)
 }
 
@@ -49,7 +49,8 @@
 	return sortedByID(known)
 }
 
-// workingSetEndpoints returns those that it must hold: all that the catalog has of the working set's destinations.
+// workingSetEndpoints returns the endpoints that the policy must hold, in the same form as policyEndpoints: all
+// that the catalog has of the working set's destinations.
 func workingSetEndpoints(r *Relay) map[policy.DestinationID][]policy.Endpoint {
 	known := map[policy.DestinationID][]policy.Endpoint{}
 	for e := range r.catalog.All() {
@@ -61,8 +62,8 @@
 }
 
 func sortedByID(known map[policy.DestinationID][]policy.Endpoint) map[policy.DestinationID][]policy.Endpoint {
-	for _, ls := range known {
-		slices.SortFunc(ls, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	for _, endpoints := range known {
+		slices.SortFunc(endpoints, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return known
 }
@@ -71,8 +72,8 @@
 	return maps.EqualFunc(a, b, slices.Equal[[]policy.Endpoint])
 }
 
-// Whatever lists, changes and messages come, and whichever destinations are evicted: the policy holds all endpoints of
-// the working set's destinations, and no others. The list itself is that of a relay which keeps all in a map.
+// After any sequence of lists, changes, messages and evictions, the policy holds all endpoints of the working set's
+// destinations, and no others. The catalog holds the same endpoints as a model that keeps all of them in a map.
 func TestPolicyHoldsTheWorkingSet(t *testing.T) {
 	const idleTime = 40 * time.Millisecond
 	for seed := range uint64(20) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// workingSetModel drives a relay at random and keeps its list in a map.
+// workingSetModel passes random input to a relay, and keeps the relay's endpoint list in a map for comparison.
 type workingSetModel struct {
 	rng     *rand.Rand
 	relay   *Relay
@@ -110,7 +111,7 @@
 	modelEndpoints    = 40
 )
 
-// applyRandomList applies a complete list, or changes.
+// applyRandomList applies a random list, either a complete one or changes, to the relay and to the model.
 func (m *workingSetModel) applyRandomList(version int64) {
 	full := m.rng.IntN(3) == 0
 	var entries []discovery.Entry
@@ -148,19 +149,19 @@
 	return e
 }
 
-// submitRandom submits some messages with little time.
+// submitRandom submits some messages that expire after at most 30 ms.
 func (m *workingSetModel) submitRandom(prefix string) {
 	for range m.rng.IntN(4) {
 		id := fmt.Sprint(prefix, "-", m.rng.Uint64())
 		destination := policy.DestinationID(100 + m.rng.IntN(modelDestinations))
 		timeLeft := time.Duration(1+m.rng.IntN(30)) * time.Millisecond
-		in := newSubmission(id, destination, timeLeft)
-		m.relay.step([]event{in})
-		<-in.reply
+		submission := newSubmission(id, destination, timeLeft)
+		m.relay.step([]event{submission})
+		<-submission.reply
 	}
 }
 
-// stepRandom takes some events of the relay.
+// stepRandom runs some steps, each with an event that waits in the relay's queue, if there is one.
 func (m *workingSetModel) stepRandom() {
 	r := m.relay
 	for range m.rng.IntN(3) {
@@ -190,7 +191,8 @@
 	}
 }
 
-// The same complete list once more gives the policy no updates, and one with one change gives it that one alone.
+// Applying the same complete list again gives the policy no updates. A list with a change inside the working set
+// gives it that update alone.
 func TestUnchangedListGivesNoUpdates(t *testing.T) {
 	r := newTestRelay(t)
 	entries := entriesOf(
@@ -202,7 +204,7 @@
 	applyLongList(r, true, 2, entries)
 	a := submitAll(r, newSubmission("m", 50, 9*time.Second))[0]
 	if a.Status != http.StatusAccepted || !r.workingSet.Contains(50) || r.workingSet.Contains(51) {
-		t.Fatalf("%+v", a)
+		t.Fatalf("response %+v; want destination 50 alone in the working set", a)
 	}
 	updatesOf := func(entries []discovery.Entry) (updates []policy.Endpoint) {
 		r.catalog.BeginSnapshot()
@@ -222,14 +224,14 @@
 		return updates
 	}
 	if updates := updatesOf(entries); len(updates) != 0 {
-		t.Errorf("the same list: %+v", updates)
+		t.Errorf("updates of an unchanged list: %+v", updates)
 	}
 	entries[1].InService = false
 	entries[2].InService = false
 	if updates := updatesOf(entries); len(updates) != 1 || updates[0] != entries[1].Endpoint.Endpoint {
-		t.Errorf("a drain inside the working set, and one outside: %+v", updates)
+		t.Errorf("updates of a drain inside the working set and one outside: %+v", updates)
 	}
 	if updates := updatesOf(entries[1:]); len(updates) != 1 || updates[0].ID != "s-a" || !updates[0].Removed {
-		t.Errorf("an endpoint of the working set is not named: %+v", updates)
+		t.Errorf("updates of a list that no longer names an endpoint of the working set: %+v", updates)
 	}
 }
