--- a/internal/relay/discovery/backoff/backoff.go
+++ b/internal/relay/discovery/backoff/backoff.go
@@ -1,10 +1,12 @@
-// Package backoff decides when one of many clients calls a service that they share, so that they do not jam it when all
-// of them have to call at once. It is pure: it has no clock and no I/O, and random numbers are the caller's.
+// Package backoff decides when one of many clients calls a service that they share, so that the clients do not overload
+// the service when all of them have to call at the same time. It is pure: it has no clock and does no I/O, and the
+// caller provides the random numbers.
 //
-// A service that answers calls in turn, and whose callers give up after a while, can jam for good: once its queue is as
-// long as callers wait, everything that it answers has been given up on, and the retries keep the queue as it is. Only
-// a time with fewer calls ends that. So the delay of retries grows with the number of clients, doubles while calls fail
-// up to a bound, and has retries arrive in turns.
+// A service that answers calls in the order of their arrival, and whose callers give up after a timeout, can stay
+// overloaded forever. Once a call waits in the queue for longer than the timeout, its caller has given up before the
+// answer comes, and the retries keep the queue as long as it is. Only a period with fewer calls ends the overload. The
+// delay of a retry therefore grows with the number of clients and doubles, up to a limit, while calls fail. Retries
+// arrive in groups, with pauses in which the service can clear its queue.
 package backoff
 
 import (
@@ -13,41 +15,43 @@
 )
 
 const (
-	// spreadPerClient is what each client adds to the window over which retries spread.
+	// spreadPerClient is how much each client adds to the window over which calls are spread.
 	spreadPerClient = 60 * time.Millisecond
-	// maxInterval bounds the time from the beginning of a call that failed to the next one. What a service has counts
-	// as delivered six seconds after the service could be reached, however the calls before went, and a call takes a
-	// while, too.
+	// maxInterval bounds the time from the start of a failed call to the start of the next one. A change that the
+	// service has counts as delivered six seconds after the service could be reached, however earlier calls ended. The
+	// difference is left for the call that reads the change.
 	maxInterval = 5 * time.Second
-	// maxJitter bounds the last part of its window that a delay is drawn from. The part is half of the window at most.
+	// maxJitter bounds the random part of a delay. A delay is drawn from the end of its window: from the last
+	// maxJitter, or from the second half if that is shorter.
 	maxJitter = 1500 * time.Millisecond
-	// graceRatio is the part of the grace over which calls spread that may find news which binds at once.
+	// graceRatio is the fraction of Backoff.Grace over which calls are spread if they may read a change that applies
+	// already.
 	graceRatio = 0.5
-	// smallGroupSize is a number of clients that any such service bears at once.
+	// smallGroupSize is the largest number of clients whose simultaneous calls do not overload any service.
 	smallGroupSize = 6
 
-	// Bounds of the delay between the calls of a small group. It stays within the group's part of the grace, too.
+	// Bounds of the delay between the calls of a small group. The delay does not exceed graceWindow, either.
 	minDelay = 50 * time.Millisecond
 	maxDelay = time.Second
-	// maxDoublings bounds the doublings of a delay: it is far beyond the upper bound by then.
+	// maxDoublings bounds how often a delay is doubled. By then the delay is far beyond its upper bound.
 	maxDoublings = 10
 )
 
-// Backoff paces the calls of one client. The zero value paces the only client of a service.
+// Backoff computes the delays between the calls of one client. The zero value suits a service with a single client.
 type Backoff struct {
-	Clients int           // all clients of the service, this one included
-	Grace   time.Duration // how long after news could have been read it need not be followed
+	Clients int           // number of clients of the service, including this one
+	Grace   time.Duration // how long after a change can be read a client may still act on the state before the change
 
-	failures  int  // calls that failed in a row
-	succeeded bool // the last call did
+	failures  int  // number of consecutive failed calls
+	succeeded bool // the last call was answered
 }
 
-// graceWindow is how long news may wait to be read: well within the grace.
+// graceWindow returns how long a change may wait until it is read: well within the grace.
 func (b *Backoff) graceWindow() time.Duration { return time.Duration(graceRatio * float64(b.Grace)) }
 
-// InitialDelay returns how long to wait before the first call of a client that has something from an earlier process to
-// go by. The wait ends well within the grace: what changed while no process ran could be read from the first moment on.
-// It keeps a restarted fleet from going on for seconds with a list that has changed.
+// InitialDelay returns the delay before the first call of a client that starts with data from an earlier process. A
+// change that was made while no process ran can be read from the start, so the delay ends well within the grace. With a
+// longer delay, a restarted fleet would use an outdated list for seconds.
 func (b *Backoff) InitialDelay(rng *rand.Rand) time.Duration {
 	if b.Clients <= smallGroupSize {
 		return 0
@@ -56,14 +60,14 @@
 	return time.Duration(rng.Float64() * float64(window))
 }
 
-// Failed notes a call that took so long and failed or was rejected, or whose response has ended, and returns how long
-// to wait before the next one. In the last case the service was there a moment ago and may have news: the next call
-// comes as a first one does.
+// Failed records that a call failed or was rejected, or that its response has ended, and returns the delay before the
+// next call. took is how long the call took. If a response has ended, the service could be reached a moment ago and may
+// have a change, so the next call comes as soon as a client's first call.
 //
-// The windows of many clients grow to maxInterval and no further, so it is not by calling seldom that they leave a slow
-// service capacity, but by calling in turns: clients that were rejected together retry together, within the jitter, and
-// until then the service works off its queue. Drawn from all of the window, the delays of 300 clients would spread
-// evenly over it and keep a queue full for good.
+// With many clients the window reaches maxInterval and grows no further, so a slow service is not relieved by rare
+// calls. It is relieved because calls come in groups: clients that were rejected together retry together, within
+// maxJitter, and the service clears its queue in the meantime. If the delays of 300 clients were drawn from the whole
+// window, their calls would spread evenly over it and keep the queue full forever.
 func (b *Backoff) Failed(rng *rand.Rand, took time.Duration) time.Duration {
 	doublings := min(b.failures, maxDoublings)
 	b.failures++
@@ -82,7 +86,7 @@
 	return minDelay + earliest + time.Duration(rng.Float64()*float64(window-earliest))
 }
 
-// smallGroupDelay is the delay between the calls of few clients, which need no spread.
+// smallGroupDelay returns the delay between the calls of a small group, whose calls need not be spread.
 func (b *Backoff) smallGroupDelay(doublings int) time.Duration {
 	upperBound := maxDelay
 	if b.Grace > 0 {
@@ -91,7 +95,7 @@
 	return min(upperBound, minDelay<<doublings)
 }
 
-// Succeeded notes a call that was answered.
+// Succeeded records that a call was answered.
 func (b *Backoff) Succeeded() {
 	b.failures = 0
 	b.succeeded = true
--- a/internal/relay/discovery/backoff/backoff_test.go
+++ b/internal/relay/discovery/backoff/backoff_test.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// service answers calls in turn. It rejects a call that would wait longer than patience. It answers also a call that
-// its client has given up on, and that answer is of no use.
+// service simulates a service that answers calls in the order of their arrival. It rejects a call that would wait
+// longer than patience. It also spends time on answering a call that its client has given up on.
 type service struct {
 	perCall  time.Duration
 	patience time.Duration
-	freeAt   time.Duration // when the queue is worked off
+	freeAt   time.Duration // when all accepted calls are answered
 }
 
 const roundTrip = 200 * time.Millisecond
 
-// clientCall is a call that a client is about to make, or learns to have failed.
+// clientCall is a simulated event: a client makes a call, or gives up its last call.
 type clientCall struct {
 	at     time.Duration
 	client int
-	gaveUp bool // the client's patience ends now
+	gaveUp bool // the client gives up its last call and makes no call
 }
 
-// agenda is a heap of calls by their time.
-type agenda []clientCall
-
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(clientCall)) }
-func (a *agenda) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+// eventQueue is a heap of clientCalls, the earliest first.
+type eventQueue []clientCall
+
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(clientCall)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
@@ -43,19 +43,19 @@
 	retryDelay   func(b *Backoff, rng *rand.Rand, took time.Duration) time.Duration
 )
 
-// allAnswered simulates n clients that all have to call at 0, and returns when the last had its answer; false if that
-// is not within a minute.
+// allAnswered simulates n clients that all have to call at time 0. It returns when the last client had its answer, or
+// false if that takes more than a minute.
 func allAnswered(s service, n int, seed uint64, initial initialDelay, retry retryDelay) (time.Duration, bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	clients := make([]Backoff, n)
-	var a agenda
+	var queue eventQueue
 	for i := range clients {
 		clients[i] = Backoff{Clients: n, Grace: time.Second}
-		heap.Push(&a, clientCall{at: initial(&clients[i], rng), client: i})
+		heap.Push(&queue, clientCall{at: initial(&clients[i], rng), client: i})
 	}
 	last := time.Duration(0)
-	for left := n; left > 0 && len(a) > 0; {
-		call := heap.Pop(&a).(clientCall)
+	for left := n; left > 0 && len(queue) > 0; {
+		call := heap.Pop(&queue).(clientCall)
 		if call.at > time.Minute {
 			return 0, false
 		}
@@ -63,15 +63,15 @@
 		queued := s.freeAt - call.at
 		switch {
 		case call.gaveUp:
-			heap.Push(&a, clientCall{at: call.at + retry(b, rng, s.patience), client: call.client})
+			heap.Push(&queue, clientCall{at: call.at + retry(b, rng, s.patience), client: call.client})
 			continue
-		case queued > s.patience: // rejected; a call that is accepted may still be answered too late
-			heap.Push(&a, clientCall{at: call.at + retry(b, rng, 0), client: call.client})
+		case queued > s.patience: // rejected; an accepted call may still be answered too late
+			heap.Push(&queue, clientCall{at: call.at + retry(b, rng, 0), client: call.client})
 			continue
 		}
 		s.freeAt = max(s.freeAt, call.at) + s.perCall
 		if s.freeAt-call.at > s.patience-roundTrip {
-			heap.Push(&a, clientCall{at: call.at + s.patience, client: call.client, gaveUp: true})
+			heap.Push(&queue, clientCall{at: call.at + s.patience, client: call.client, gaveUp: true})
 			continue
 		}
 		left--
@@ -80,23 +80,23 @@
 	return last, true
 }
 
-// All clients have their answers within a few times the time that the service needs for one call of each, whatever that
-// is, and whether their first calls come together or at any moment of an interval.
+// All clients have their answers within a small multiple of the time that the service needs to answer one call of each.
+// This holds whether the first calls are made as by InitialDelay or spread over maxInterval.
 func TestManyClientsAreAllAnswered(t *testing.T) {
-	initials := map[string]initialDelay{"together": (*Backoff).InitialDelay, "at any moment": anyMoment}
-	forEachLoad(func(n int, all time.Duration, seed uint64) {
+	initials := map[string]initialDelay{"after InitialDelay": (*Backoff).InitialDelay, "spread evenly": uniformDelay}
+	forEachLoad(func(n int, total time.Duration, seed uint64) {
 		for name, initial := range initials {
-			took, ok := allAnswered(loaded(n, all), n, seed, initial, (*Backoff).Failed)
-			if !ok || took > answeredWithin(all) {
-				t.Errorf("%d clients, %v for all, first calls %s, seed %d: %v, %v, not within %v",
-					n, all, name, seed, took, ok, answeredWithin(all))
+			took, ok := allAnswered(newService(n, total), n, seed, initial, (*Backoff).Failed)
+			if !ok || took > answeredWithin(total) {
+				t.Errorf("%d clients, service time %v, first calls %s, seed %d: answered after %v (%v), want within %v",
+					n, total, name, seed, took, ok, answeredWithin(total))
 			}
 		}
 	})
 }
 
-// The delays of a small group, used by many clients, jam the service, and so do delays that are drawn from all of the
-// interval: TestManyClientsAreAllAnswered can fail.
+// Shows that TestManyClientsAreAllAnswered can fail: if many clients use the delays of a small group, or delays that
+// are drawn from all of maxInterval, the service stays overloaded.
 func TestOtherDelaysJamTheService(t *testing.T) {
 	atOnce := func(*Backoff, *rand.Rand) time.Duration { return 0 }
 	smallGroup := func(b *Backoff, _ *rand.Rand, _ time.Duration) time.Duration {
@@ -105,7 +105,7 @@
 		return min(maxDelay, minDelay<<doublings)
 	}
 	evenlySpread := func(b *Backoff, rng *rand.Rand, _ time.Duration) time.Duration {
-		return minDelay + anyMoment(b, rng)
+		return minDelay + uniformDelay(b, rng)
 	}
 	for name, delays := range map[string]struct {
 		initial initialDelay
@@ -114,62 +114,64 @@
 		"of a small group": {atOnce, smallGroup},
 		"evenly spread":    {(*Backoff).InitialDelay, evenlySpread},
 	} {
-		jammed := false
-		forEachLoad(func(n int, all time.Duration, seed uint64) {
-			took, ok := allAnswered(loaded(n, all), n, seed, delays.initial, delays.retry)
-			jammed = jammed || !ok || took > answeredWithin(all)
+		overloaded := false
+		forEachLoad(func(n int, total time.Duration, seed uint64) {
+			took, ok := allAnswered(newService(n, total), n, seed, delays.initial, delays.retry)
+			overloaded = overloaded || !ok || took > answeredWithin(total)
 		})
-		if !jammed {
-			t.Errorf("delays %s never jam it: TestManyClientsAreAllAnswered shows nothing", name)
+		if !overloaded {
+			t.Errorf("delays %s never overload the service: TestManyClientsAreAllAnswered cannot fail", name)
 		}
 	}
 }
 
-// anyMoment is a delay of up to an interval.
-func anyMoment(_ *Backoff, rng *rand.Rand) time.Duration {
+// uniformDelay returns a delay drawn evenly from 0 to maxInterval.
+func uniformDelay(_ *Backoff, rng *rand.Rand) time.Duration {
 	return time.Duration(rng.Float64() * float64(maxInterval))
 }
 
-// forEachLoad calls play for numbers of clients and the time that the service needs for a call of each.
-func forEachLoad(play func(n int, all time.Duration, seed uint64)) {
+// forEachLoad calls run for several numbers of clients n, 20 seeds each. total is the time that the service needs to
+// answer one call of each client.
+func forEachLoad(run func(n int, total time.Duration, seed uint64)) {
 	for _, n := range []int{1, 3, 8, 16, 36, 48, 80, 300, 2600} {
-		for _, all := range []time.Duration{2 * time.Second, 8 * time.Second} {
+		for _, total := range []time.Duration{2 * time.Second, 8 * time.Second} {
 			for seed := range uint64(20) {
-				play(n, all, seed)
+				run(n, total, seed)
 			}
 		}
 	}
 }
 
-// loaded is a service that needs so long for a call of each client.
-func loaded(n int, all time.Duration) service {
-	return service{perCall: all / time.Duration(max(n, 12)), patience: 2 * time.Second}
+// newService returns a service that needs total to answer one call of each of n clients, or of 12 clients if n is
+// smaller.
+func newService(n int, total time.Duration) service {
+	return service{perCall: total / time.Duration(max(n, 12)), patience: 2 * time.Second}
 }
 
-// answeredWithin is when the last client has to have its answer.
-func answeredWithin(all time.Duration) time.Duration { return 5*all + 2*time.Second }
+// answeredWithin returns the time within which the last client must have its answer.
+func answeredWithin(total time.Duration) time.Duration { return 5*total + 2*time.Second }
 
-// Few clients neither wait at first nor long.
+// The clients of a small group make their first calls at once, and their retry delays are short.
 func TestSmallGroupCallsAtOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := Backoff{Clients: 3}
 	if d := c.InitialDelay(rng); d != 0 {
-		t.Errorf("first after %v", d)
+		t.Errorf("first call after %v, want 0", d)
 	}
 	for i, want := range []time.Duration{50, 100, 200, 400, 800, 1000, 1000} {
 		if d := c.Failed(rng, 0); d != want*time.Millisecond {
-			t.Errorf("pause %d: %v", i, d)
+			t.Errorf("delay %d: %v, want %v", i, d, want*time.Millisecond)
 		}
 	}
 	c.Succeeded()
 	if d := c.Failed(rng, 0); d != 50*time.Millisecond {
-		t.Errorf("after an answer: %v", d)
+		t.Errorf("delay after an answered call: %v, want 50ms", d)
 	}
 }
 
-// However many they are, a client's first call comes well within the grace after its start, and so does the one after a
-// call whose answer has ended: news that the service has binds from then on. After one that failed the next is less
-// than six seconds away.
+// For any number of clients, a client's first call comes well within the grace after its start, and so does the call
+// after a response that has ended: a change that the service has applies from that moment on. After a failed call, the
+// next call comes within six seconds.
 func TestCallsThatMayFindNewsComeWithinGrace(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	const grace = time.Second
@@ -181,26 +183,26 @@
 			first, after = max(first, d), max(after, c.Failed(rng, 0))
 			c.Succeeded()
 			if again := c.Failed(rng, 0); d > grace/2 || again > grace/2+minDelay {
-				t.Fatalf("%d clients: first call after %v, again %v after one that was answered", n, d, again)
+				t.Fatalf("%d clients: first call after %v, next call %v after a response that has ended", n, d, again)
 			}
 		}
 		if want := grace / 2; first < want*9/10 {
-			t.Errorf("%d clients: first calls within %v, not spread over %v", n, first, want)
+			t.Errorf("%d clients: first calls within %v, want them spread over %v", n, first, want)
 		}
 		if after > 5*time.Second+minDelay || after < min(4*time.Second, time.Duration(n)*spreadPerClient/2) {
-			t.Errorf("%d clients: %v after a call that failed", n, after)
+			t.Errorf("%d clients: next call up to %v after a failed call", n, after)
 		}
 	}
 }
 
-// However often their calls fail, few clients call again within their part of the grace.
+// However often their calls fail, the clients of a small group call again within half of the grace.
 func TestSmallGroupRetriesWithinGrace(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 10 * time.Second} {
 		c := Backoff{Clients: 1, Grace: grace}
 		for i := range 20 {
 			if d := c.Failed(rng, 0); d > grace/2 || d > maxDelay {
-				t.Errorf("grace %v: pause %d is %v", grace, i, d)
+				t.Errorf("grace %v: delay %d is %v", grace, i, d)
 			}
 		}
 	}
--- a/internal/relay/discovery/client.go
+++ b/internal/relay/discovery/client.go
@@ -1,8 +1,8 @@
-// Package discovery watches the list of endpoints that service discovery has, and reads lists.
+// Package discovery watches the endpoint list of service discovery and parses endpoint lists.
 //
-// A Watcher delivers lists to its owner. Short ones go as a whole; a long one goes in parts while it is read, so that
-// no more of it than a few parts is in memory. A Client is the connection to discovery's agent, which a change of the
-// configuration may move to another address.
+// A Watcher delivers lists to its owner. A short list is delivered as a whole. A long list is delivered in parts while
+// it is read, so that only a few parts are in memory at a time. A Client calls the discovery agent, whose address can
+// change with the configuration.
 package discovery
 
 import (
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// ErrMoved is the cause for which calls end that are in flight when a Client moves to another address.
-var ErrMoved = errors.New("discovery has moved to another address")
+// ErrMoved is the cancellation cause of calls that are in flight when a Client moves to another address.
+var ErrMoved = errors.New("discovery agent moved to another address")
 
-// Client calls discovery's agent. It is safe for concurrent use.
+// Client calls the discovery agent. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 
 	mu           sync.Mutex
 	addr         string
-	targetCtx    context.Context // ends when addr changes
+	targetCtx    context.Context // cancelled when addr changes
 	cancelTarget context.CancelFunc
 }
 
-// NewClient returns a client of the agent at addr.
+// NewClient returns a client of the discovery agent at addr.
 func NewClient(addr string) *Client {
 	c := &Client{addr: addr, http: &http.Client{Transport: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -39,7 +39,8 @@
 	return c
 }
 
-// Move has all calls go to addr from here on. Those in flight to the old address end with ErrMoved.
+// Move directs new calls to addr. The contexts that Target returned for the old address are cancelled with ErrMoved as
+// their cause.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,8 +53,8 @@
 	c.http.CloseIdleConnections()
 }
 
-// Target returns the agent's address and a context for calls there, which ends with ctx, when the client moves, or by
-// release.
+// Target returns the agent's address and a context for calls to it. The context is cancelled when ctx ends, when the
+// client moves to another address, or when the caller calls release.
 func (c *Client) Target(ctx context.Context) (addr string, targetCtx context.Context, release func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,5 +66,5 @@
 	}
 }
 
-// Do sends a request.
+// Do sends a request. Callers take its address and its context from Target.
 func (c *Client) Do(req *http.Request) (*http.Response, error) { return c.http.Do(req) }
--- a/internal/relay/discovery/list.go
+++ b/internal/relay/discovery/list.go
@@ -9,27 +9,27 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Why an entry is unusable.
+// Errors of Parser.Parse for a record that lacks a required field.
 var (
-	errNoID      = errors.New("no id")
-	errNoAddress = errors.New("no address or no cell")
+	errNoID      = errors.New("entry has no \"id\"")
+	errNoAddress = errors.New("entry has no \"addr\" or no \"cell\"")
 )
 
-// List is an endpoint list, or changes of it.
+// List is a full endpoint list, or a set of changes to one.
 type List struct {
 	Version int64
-	Full    bool    // it names all endpoints
-	Entries []Entry // each is read by itself: an unreadable one does not affect the others
+	Full    bool    // the list names all endpoints; those that it omits are removed
+	Entries []Entry // parsed independently: an unreadable entry does not affect the others
 }
 
-// Entry is one entry of a list as it was read.
+// Entry is one parsed entry of a list.
 type Entry struct {
 	catalog.Endpoint
-	Err  error  // why the entry is unreadable; then nothing else of it counts, except its id where there is one
-	Text string // what was read of an unreadable entry
+	Err  error  // why the entry is unreadable; only its ID is valid then, if it has one
+	Text string // the decoded fields of an unreadable entry, for the log
 }
 
-// EndpointRecord is an entry of a list as it stands on the wire.
+// EndpointRecord is the JSON form of a list entry.
 type EndpointRecord struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
@@ -40,13 +40,14 @@
 	Weight float64 `json:"weight"`
 }
 
-// Parser interprets the entries of lists.
+// Parser converts the records of lists to endpoints.
 type Parser struct {
-	Zones []string // names of zones, in the order of their numbers
-	Kinds []string // names of destination kinds, likewise
+	Zones []string // names of zones; the number of a zone is its index
+	Kinds []string // names of destination kinds; the number of a kind is its index
 }
 
-// Parse returns the endpoint of an entry and its address. The endpoint has its id also if there is an error.
+// Parse returns the endpoint of a record and its address, which is empty for a removed endpoint. The endpoint has the
+// record's ID even if Parse returns an error.
 func (p *Parser) Parse(record *EndpointRecord) (endpoint policy.Endpoint, addr string, err error) {
 	endpoint = policy.Endpoint{
 		ID:     record.ID,
--- a/internal/relay/discovery/list_test.go
+++ b/internal/relay/discovery/list_test.go
@@ -15,17 +15,19 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/nettest"
 )
 
-// newAgent returns an agent of which each watch is answered by the next text and then ends; the last one stays.
+// newAgent starts an agent that serves snapshot as the full list. It answers each watch with the next text of watches
+// and then ends the watch, except that the last one stays open. indexes receives the query parameter "index" of each
+// watch.
 func newAgent(t *testing.T, snapshot string, watches ...string) (addr string, indexes <-chan string) {
 	t.Helper()
 	var mu sync.Mutex
-	came, n := make(chan string, 64), 0
+	received, n := make(chan string, 64), 0
 	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("stream") == "" {
 			send(w, snapshot)
 			return
 		}
-		came <- r.URL.Query().Get("index")
+		received <- r.URL.Query().Get("index")
 		mu.Lock()
 		text := ""
 		if n < len(watches) {
@@ -39,10 +41,10 @@
 			<-r.Context().Done()
 		}
 	})
-	return addrOf(s), came
+	return addrOf(s), received
 }
 
-// watch watches an agent until ok holds of all lists that were delivered.
+// watch runs a watcher of the agent at addr until ok holds for the lists delivered so far, and returns these lists.
 func watch(t *testing.T, addr string, log *slog.Logger, version int64, ok func([]List) bool) (delivered []List) {
 	t.Helper()
 	lists := make(chan List, 64)
@@ -61,14 +63,14 @@
 		case l := <-lists:
 			delivered = append(delivered, l)
 		case <-time.After(nettest.Patience):
-			t.Fatalf("delivered %d lists only: %+v", len(delivered), delivered)
+			t.Fatalf("delivered only %d lists: %+v", len(delivered), delivered)
 		}
 	}
 	return delivered
 }
 
-// An agent's versions begin again, as those of another machine would: what it tells is taken, and the next watch goes
-// on from there.
+// The versions of an agent may start again at a lower number, as after a move to another machine. The watcher delivers
+// such a list, and the next watch starts from its version.
 func TestVersionsMayRestart(t *testing.T) {
 	addr, indexes := newAgent(
 		t,
@@ -85,12 +87,12 @@
 	}
 	for _, want := range []string{"40", "41", "2"} {
 		if got := <-indexes; got != want {
-			t.Errorf("a watch from %s, want %s", got, want)
+			t.Errorf("watch from version %s, want %s", got, want)
 		}
 	}
 }
 
-// Lists come indented, with blanks ahead, with blank lines between, or over many lines.
+// A list may have blanks before it, blank lines around it and CRLF line ends, or extend over many indented lines.
 func TestIndentedLists(t *testing.T) {
 	servers := `[{"id":"s-7","addr":"127.0.0.1:7","zone":"b","kind":"gateway","cell":7,"state":"ready","weight":50}]`
 	line := fmt.Sprintf(`{"version":6,"full":true,"servers":%s}`, servers)
@@ -101,7 +103,7 @@
 	for name, text := range map[string]string{
 		"blanks ahead":    " \t  " + line + "  \n",
 		"blank lines":     "\n  \n\n" + line + "\n\n",
-		"returns":         line + "\r\n",
+		"CRLF line ends":  line + "\r\n",
 		"over many lines": indented.String() + "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,10 +117,10 @@
 				return last.Version == 6 && len(last.Entries) == 1
 			})
 			if e := delivered[len(delivered)-1].Entries[0]; e.Err != nil || e.ID != "s-7" {
-				t.Errorf("%+v", e)
+				t.Errorf("entry %+v, want s-7 without an error", e)
 			}
 			if n := strings.Count(log.String(), "unreadable line"); n > 1 {
-				t.Errorf("logged %d times", n)
+				t.Errorf("unreadable lines logged %d times, want at most once", n)
 			}
 		})
 	}
--- a/internal/relay/discovery/main_test.go
+++ b/internal/relay/discovery/main_test.go
@@ -16,7 +16,7 @@
 // emptyList is a full list without entries.
 const emptyList = `{"version":9,"full":true,"servers":[]}`
 
-// testParser knows the zones and kinds of the lists of these tests.
+// testParser returns a parser with the zones and kinds that the lists in the tests use.
 func testParser() *Parser {
 	return &Parser{Zones: []string{"a", "b"}, Kinds: []string{"platform", "gateway", "store"}}
 }
@@ -25,7 +25,7 @@
 
 func addrOf(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// newServer serves until the test ends.
+// newServer starts a server that runs until the test ends.
 func newServer(t *testing.T, handler http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -33,7 +33,8 @@
 	return s
 }
 
-// send writes a text to a client at once. A client that has left makes it fail, which ends the request anyway.
+// send writes a text to a client and flushes it. It ignores errors: they mean that the client has closed the
+// connection, which ends the request anyway.
 func send(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
--- a/internal/relay/discovery/parts.go
+++ b/internal/relay/discovery/parts.go
@@ -2,20 +2,21 @@
 
 import "errors"
 
-// MaxPartEntries is how many entries the loop applies at once: well under a millisecond's work.
+// MaxPartEntries is the largest number of entries in a part of a long list. The relay's loop applies a part of this
+// size in well under a millisecond.
 const MaxPartEntries = 512
 
-// PartKind is what a part of a long list carries.
+// PartKind is the kind of a SnapshotPart.
 type PartKind int
 
 const (
-	// PartBegin begins a list.
+	// PartBegin starts a list.
 	PartBegin PartKind = iota
-	// PartEntries carries some of its entries.
+	// PartEntries carries some entries of the list.
 	PartEntries
-	// PartSweep removes some of the endpoints that a complete list did not name.
+	// PartSweep asks the owner to remove some of the endpoints that a full list did not name.
 	PartSweep
-	// PartEnd ends the list: its version is reached.
+	// PartEnd ends the list and carries its version.
 	PartEnd
 )
 
@@ -34,28 +35,30 @@
 	return "unknown"
 }
 
-// SnapshotPart is a part of a long list. The next one comes once Reply has its answer.
+// SnapshotPart is one part of a long list. The watcher sends the next part after the owner has answered on Reply.
 type SnapshotPart struct {
 	Kind    PartKind
-	Entries []Entry
-	Version int64
-	// Reply is buffered and receives one answer. For a sweep: whether it was the last. For the end: whether the catalog
-	// holds all entries.
+	Entries []Entry // of a PartEntries
+	Version int64   // of a PartEnd
+	// Reply is buffered and receives one answer. The answer to a PartSweep is whether all endpoints that the list did
+	// not name are removed. The answer to a PartEnd is whether the catalog holds all entries of the list. The answers
+	// to other parts have no meaning.
 	Reply chan bool
 }
 
-// errStopped reports that the owner of the watcher takes no more parts.
-var errStopped = errors.New("relay has stopped")
+// errStopped reports that the watcher's owner accepts no more parts.
+var errStopped = errors.New("relay has stopped and accepts no more parts of lists")
 
-// partSender sends the parts of a long list to the owner of a watcher, one at a time, while the next one is read.
+// partSender sends the parts of a long list to the watcher's owner, one at a time. While the owner applies a part, the
+// watcher reads the next one.
 type partSender struct {
-	post    func(*SnapshotPart) bool // false: the owner has stopped
-	stopped <-chan struct{}          // closed then
+	post    func(*SnapshotPart) bool // returns false if the owner has stopped
+	stopped <-chan struct{}          // closed when the owner has stopped
 
-	pending chan bool // receives the answer to the last part; nil: that has its answer
+	pending chan bool // receives the answer to the last part; nil: no answer is awaited
 }
 
-// send waits for the answer to the last part and sends the next one.
+// send waits for the answer to the previous part and sends p. It does not wait for the answer to p.
 func (s *partSender) send(p *SnapshotPart) error {
 	if _, err := s.wait(); err != nil {
 		return err
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// wait waits for the answer to the last part.
+// wait returns the answer to the last part, or true if no answer is awaited.
 func (s *partSender) wait() (ok bool, err error) {
 	if s.pending == nil {
 		return true, nil
@@ -82,7 +85,7 @@
 	return ok, err
 }
 
-// sendAndWait sends a part and waits for its answer.
+// sendAndWait sends p and returns the answer to it.
 func (s *partSender) sendAndWait(p *SnapshotPart) (ok bool, err error) {
 	if err := s.send(p); err != nil {
 		return false, err
--- a/internal/relay/discovery/reader.go
+++ b/internal/relay/discovery/reader.go
@@ -14,36 +14,39 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// MaxEntries bounds the entries of a list, and the endpoints that are held of all lists: some hundred bytes each.
-// Several times what the largest sites have.
+// MaxEntries bounds the number of entries in a list and the number of endpoints that the relay holds. It limits memory:
+// an endpoint takes some hundred bytes. The bound is several times the number of endpoints of the largest sites.
 const MaxEntries = 1 << 20
 
-// ErrTooLong reports that a list, or an entry of it, is beyond its bound.
+// ErrTooLong reports that a list exceeds MaxEntries, or that a value in it exceeds MaxEntrySize.
 var ErrTooLong = errors.New("list too long")
 
 var (
 	errEntryTooLong   = fmt.Errorf("%w: one entry is over %d bytes", ErrTooLong, MaxEntrySize)
 	errTooManyEntries = fmt.Errorf("%w: over %d entries", ErrTooLong, MaxEntries)
-	errNotAList       = errors.New("not a list")
+	errNotAList       = errors.New("endpoint list is not an object, or its \"servers\" is not an array")
 )
 
-// ListHead is what a list holds beside its entries, as far as it has been read.
+// ListHead holds the fields of a list other than its entries, as far as they have been read.
 type ListHead struct {
 	Version    int64
 	Full       bool
-	hasVersion bool // its version has been read
+	hasVersion bool // Version has been read
 }
 
-// ListReader reads lists as they come, one entry at a time: no more of a list than one entry is in memory.
+// ListReader reads a stream of lists entry by entry. It holds no more than one entry of a list in memory.
 type ListReader struct {
 	src     *boundedSource
 	dec     *json.Decoder
 	parser  *Parser
-	onBegin func() (stop func() bool) // called when a list has begun; stop when it is over; nil: nobody asks
-	resumed bool                      // resume has found the beginning of a list
+	onBegin func() (stop func() bool) // called when a list begins, stop when it ends; nil: no callback
+
+	// resumed reports that resume has put another buffer between src and dec. Next cannot see whether that buffer is
+	// empty, and leaves src.skipBlanks as it is.
+	resumed bool
 }
 
-// NewListReader returns a reader of the lists in src. Without a parser entries are skipped.
+// NewListReader returns a reader of the lists in src. If parser is nil, entries are skipped.
 func NewListReader(src io.Reader, parser *Parser) *ListReader {
 	return newListReader(&boundedSource{src: src}, parser)
 }
@@ -52,12 +55,12 @@
 	return &ListReader{src: src, dec: json.NewDecoder(src), parser: parser}
 }
 
-// Next reads one list. Its keys may come in any order: head is filled in as they do. Each entry goes to take, whose
-// error ends the reading. The error is io.EOF if no other list follows. Errors of which isUnreadable holds say that
-// what was read is no list; see resume.
-func (r *ListReader) Next(head *ListHead, take func(Entry) error) error {
+// Next reads one list. The keys of a list may come in any order: Next sets each field of head as soon as it has read
+// the field. It passes each entry to onEntry and stops if that returns an error. Next returns io.EOF if no other list
+// follows. If isUnreadable holds for the error, the input is not a list, and resume can skip it.
+func (r *ListReader) Next(head *ListHead, onEntry func(Entry) error) error {
 	if !r.resumed {
-		buffered, _ := io.ReadAll(r.dec.Buffered()) // a reader of bytes in memory: it cannot fail
+		buffered, _ := io.ReadAll(r.dec.Buffered()) // cannot fail: the bytes are in memory
 		r.src.skipBlanks = len(bytes.TrimSpace(buffered)) == 0
 	}
 	r.src.listBytes = 0
@@ -73,7 +76,7 @@
 		defer r.onBegin()()
 	}
 	for r.src.allowValue(); r.dec.More(); r.src.allowValue() {
-		if err := r.readField(head, take); err != nil {
+		if err := r.readField(head, onEntry); err != nil {
 			return jsonstream.NoEOF(err)
 		}
 	}
@@ -81,13 +84,13 @@
 	return jsonstream.NoEOF(err)
 }
 
-// readField reads a key of a list and its value.
-func (r *ListReader) readField(head *ListHead, take func(Entry) error) error {
+// readField reads one key of a list and its value.
+func (r *ListReader) readField(head *ListHead, onEntry func(Entry) error) error {
 	key, err := r.dec.Token()
 	if err != nil {
 		return err
 	}
-	name, _ := key.(string) // the decoder lets no other key pass
+	name, _ := key.(string) // the decoder rejects all keys that are not strings
 	switch {
 	case strings.EqualFold(name, "version"):
 		head.hasVersion = true
@@ -95,14 +98,14 @@
 	case strings.EqualFold(name, "full"):
 		return r.dec.Decode(&head.Full)
 	case strings.EqualFold(name, "servers"):
-		return r.readEntries(take)
+		return r.readEntries(onEntry)
 	}
 	_, err = jsonstream.SkipValue(r.dec, r.src.allowValue)
 	return err
 }
 
-// readEntries reads the array of entries.
-func (r *ListReader) readEntries(take func(Entry) error) error {
+// readEntries reads the array of entries, or null in its place.
+func (r *ListReader) readEntries(onEntry func(Entry) error) error {
 	token, err := r.dec.Token()
 	switch {
 	case err != nil:
@@ -119,7 +122,7 @@
 		if count > MaxEntries {
 			return errTooManyEntries
 		}
-		if err := r.readEntry(&record, take); err != nil {
+		if err := r.readEntry(&record, onEntry); err != nil {
 			return err
 		}
 	}
@@ -127,8 +130,8 @@
 	return err
 }
 
-// readEntry reads an entry by way of record, which is reused.
-func (r *ListReader) readEntry(record *EndpointRecord, take func(Entry) error) error {
+// readEntry decodes one entry into record, which is reused from entry to entry, and passes the entry to onEntry.
+func (r *ListReader) readEntry(record *EndpointRecord, onEntry func(Entry) error) error {
 	if r.parser == nil {
 		return r.dec.Decode(&jsonstream.Ignored{})
 	}
@@ -137,10 +140,10 @@
 	if err != nil && !isTypeError(err) {
 		return err
 	}
-	return take(r.parseEntry(record, err))
+	return onEntry(r.parseEntry(record, err))
 }
 
-// parseEntry returns the entry of a record. decodeErr is what kept the record from being read in full.
+// parseEntry returns the entry of a record. decodeErr is the error if some field of the record has the wrong type.
 func (r *ListReader) parseEntry(record *EndpointRecord, decodeErr error) Entry {
 	endpoint, addr, err := r.parser.Parse(record)
 	e := Entry{Endpoint: catalog.Endpoint{Endpoint: endpoint, Addr: addr}, Err: cmp.Or(decodeErr, err)}
@@ -150,7 +153,8 @@
 	return e
 }
 
-// resume skips what was no list, to the next line that begins one: lines inside a list are indented.
+// resume skips an unreadable list, up to the next line that starts with '{'. Such a line begins a list, since the lines
+// inside a list are indented.
 func (r *ListReader) resume() error {
 	rest := bufio.NewReader(io.MultiReader(r.dec.Buffered(), r.src))
 	for {
@@ -170,7 +174,7 @@
 	}
 }
 
-// skipLine skips the rest of a line, however long it is.
+// skipLine skips the rest of a line of any length.
 func (r *ListReader) skipLine(rest *bufio.Reader) error {
 	for {
 		r.src.allowValue()
@@ -181,13 +185,14 @@
 	}
 }
 
-// isUnreadable reports whether an error of Next says that what was read is no list, and not that reading ended.
+// isUnreadable reports whether an error of Next means that the input is not a list, rather than that the input ended or
+// could not be read.
 func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	return errors.As(err, &syntax) || isTypeError(err) || errors.Is(err, errNotAList)
 }
 
-// isTypeError reports whether a value was read in full, and has another type than the one that it was decoded to.
+// isTypeError reports whether err means that a value was read in full but has the wrong JSON type for its Go type.
 func isTypeError(err error) bool {
 	var mismatch *json.UnmarshalTypeError
 	return errors.As(err, &mismatch)
--- a/internal/relay/discovery/reader_bench_test.go
+++ b/internal/relay/discovery/reader_bench_test.go
@@ -8,13 +8,14 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/discoverytest"
 )
 
-// BenchmarkListEntry tells what an entry of a long list costs: to read, and to apply.
+// BenchmarkListEntry measures the time per entry of a long list: to read it, to read it and put it into a catalog, and
+// to skip it.
 func BenchmarkListEntry(b *testing.B) {
 	const destinations = 10_000
 	text := discoverytest.ListJSON(1, destinations)
 	for _, bench := range []struct {
-		name string
-		take func() func(Entry) error
+		name       string
+		newHandler func() func(Entry) error
 	}{
 		{"read", func() func(Entry) error { return func(Entry) error { return nil } }},
 		{"read-and-put", func() func(Entry) error {
@@ -27,7 +28,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				lists := NewListReader(bytes.NewReader(text), testParser())
-				if err := lists.Next(&ListHead{}, bench.take()); err != nil {
+				if err := lists.Next(&ListHead{}, bench.newHandler()); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/relay/discovery/reader_test.go
+++ b/internal/relay/discovery/reader_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// parseList reads a list that is all there.
+// parseList reads one list from data.
 func parseList(parser *Parser, data []byte) (l List, err error) {
 	var head ListHead
 	err = NewListReader(bytes.NewReader(data), parser).Next(&head, func(e Entry) error {
@@ -19,7 +19,8 @@
 	return l, err
 }
 
-// A list has a bound, and an entry has: what lies within is read, whatever else stands beside it.
+// The number of entries in a list and the size of each value are limited. A list within these limits is read, whatever
+// else it holds.
 func TestListBounds(t *testing.T) {
 	entries := func(n int) io.Reader {
 		return io.MultiReader(
@@ -36,10 +37,10 @@
 		from io.Reader
 		want error
 	}{
-		{"as many entries as may be", entries(MaxEntries), nil},
-		{"one more", entries(MaxEntries + 1), errTooManyEntries},
-		{"an entry as long as may be", long(MaxEntrySize - 2), nil},
-		{"a longer one", long(3 * MaxEntrySize), errEntryTooLong},
+		{"the maximum number of entries", entries(MaxEntries), nil},
+		{"one entry more", entries(MaxEntries + 1), errTooManyEntries},
+		{"an entry of the maximum size", long(MaxEntrySize - 2), nil},
+		{"a longer entry", long(3 * MaxEntrySize), errEntryTooLong},
 		{
 			"a long value beside the entries",
 			strings.NewReader(`{"x":"` + strings.Repeat("x", 3*MaxEntrySize) + `"}`),
@@ -52,12 +53,12 @@
 		},
 	} {
 		if err := NewListReader(c.from, nil).Next(&ListHead{}, nil); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// Whatever discovery says, an entry that passes can be used, and none ends the relay.
+// Whatever discovery sends, the reader does not panic, and each entry without an error can be used.
 func FuzzLists(f *testing.F) {
 	f.Add(
 		[]byte(`{"version":2,"full":true,"servers":[{"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"store","cell":3,
@@ -71,7 +72,7 @@
 		}
 		for _, e := range l.Entries {
 			if e.Err == nil && (e.ID == "" || !e.Removed && (e.Addr == "" || e.Zone < 0 || e.Kind < 0)) {
-				t.Errorf("of %s %+v passes", data, e)
+				t.Errorf("list %s: unusable entry %+v has no error", data, e)
 			}
 		}
 	})
--- a/internal/relay/discovery/receive.go
+++ b/internal/relay/discovery/receive.go
@@ -9,38 +9,38 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/catalog"
 )
 
-// noVersion is less than any version of a list.
+// noVersion is lower than any version of a list.
 const noVersion = int64(math.MinInt64)
 
-// receiveOptions is how a list is received.
+// receiveOptions configures how one list is received.
 type receiveOptions struct {
-	fullSnapshot bool                    // the list is full, whatever it says
-	knownVersion int64                   // changes up to this version are known already
-	onProgress   func()                  // is called as the list goes on
-	cancel       context.CancelCauseFunc // ends the reading of a list that does not end in time
+	fullSnapshot bool                    // the list is full, whatever its field "full" says
+	knownVersion int64                   // changes up to this version were delivered before
+	onProgress   func()                  // called whenever receiving the list has made progress
+	cancel       context.CancelCauseFunc // ends the reading of a list that exceeds Config.ListTimeout
 }
 
-// receiver receives one list and delivers it: as a whole, or a long one in parts as it comes.
+// receiver receives one list and delivers it: a short list as a whole, a long one in parts while it is read.
 type receiver struct {
 	*Watcher
 	receiveOptions
 
 	head    ListHead
-	entries []Entry // not delivered yet
-	spare   []Entry // the room of the part that was answered last
-	read    int     // entries
-	inParts bool    // the list is long
-	skipped bool    // the list is known already: it is read and not delivered
+	entries []Entry // read, but not delivered yet
+	spare   []Entry // backing array of the part sent last; reused once that part is answered
+	read    int     // number of entries read
+	inParts bool    // the list is delivered in parts
+	skipped bool    // the list is read but not delivered: its changes were delivered before
 }
 
-// receive receives one list. Its version is reached with its end.
+// receive receives one list and delivers it. The watcher's version changes only when the whole list is delivered.
 func (w *Watcher) receive(lists *ListReader, options receiveOptions) error {
 	r := &receiver{Watcher: w, receiveOptions: options, head: ListHead{Full: options.fullSnapshot}}
 	lists.onBegin = nil
 	if w.cfg.ListTimeout > 0 {
 		lists.onBegin = r.startTimeout
 	}
-	err := lists.Next(&r.head, r.take)
+	err := lists.Next(&r.head, r.addEntry)
 	if errors.Is(err, ErrTooLong) {
 		w.oversizeLists.Log(w.cfg.Log, "err", err, "entries", r.read, "bytes", lists.src.listBytes)
 	}
@@ -50,13 +50,14 @@
 	return r.finish()
 }
 
-// startTimeout cancels the list if it has not ended in time, unless stop is called.
+// startTimeout cancels the reading of the list after Config.ListTimeout, unless stop is called before.
 func (r *receiver) startTimeout() (stop func() bool) {
 	return time.AfterFunc(r.cfg.ListTimeout, func() { r.cancel(errListTimeout) }).Stop
 }
 
-// take takes an entry of the list. Once there are more than are delivered as a whole, they go in parts.
-func (r *receiver) take(e Entry) error {
+// addEntry adds an entry of the list. If the list has more entries than may be delivered as a whole, addEntry delivers
+// them in parts.
+func (r *receiver) addEntry(e Entry) error {
 	r.read++
 	if r.read%MaxPartEntries == 0 {
 		r.onProgress()
@@ -81,7 +82,7 @@
 	return r.sendEntries()
 }
 
-// maxUnsplitEntries is how many entries a list may have that is delivered as a whole.
+// maxUnsplitEntries returns the largest number of entries of a list that is delivered as a whole.
 func (r *receiver) maxUnsplitEntries() int {
 	if r.largeList() {
 		return MaxPartEntries
@@ -89,10 +90,11 @@
 	return catalog.MaxEagerEndpoints
 }
 
-// largeList reports whether the owner's list is a long one.
+// largeList reports whether the owner holds a long list; see Config.LargeList.
 func (r *receiver) largeList() bool { return r.cfg.LargeList != nil && r.cfg.LargeList() }
 
-// beginParts begins to deliver the list in parts, unless it brings changes that are known already.
+// beginParts begins to deliver the list in parts. If the list seems to hold only changes that were delivered before, it
+// is skipped instead. The fields "version" and "full" may follow the entries; finish corrects the decision then.
 func (r *receiver) beginParts() error {
 	r.inParts = true
 	mayBeKnown := !r.fullSnapshot && !r.head.Full && r.knownVersion != noVersion
@@ -104,14 +106,14 @@
 	return err
 }
 
-// sendEntries sends the full parts of the entries that were read.
+// sendEntries sends the entries that were read in parts of MaxPartEntries, and keeps those that do not fill a part.
 func (r *receiver) sendEntries() error {
 	for len(r.entries) >= MaxPartEntries {
 		part := r.entries[:MaxPartEntries:MaxPartEntries]
 		if err := r.parts.send(&SnapshotPart{Kind: PartEntries, Entries: part}); err != nil {
 			return err
 		}
-		// The part before this one was answered: its room is free.
+		// send has waited for the answer to the previous part, so the array of that part can be reused.
 		rest := r.spare[:0]
 		rest = append(rest, r.entries[MaxPartEntries:]...)
 		r.spare = r.entries[:0]
@@ -121,13 +123,14 @@
 	return nil
 }
 
-// finish delivers what is left once the list has ended.
+// finish delivers what is left of the list after its last entry.
 func (r *receiver) finish() error {
 	full := r.fullSnapshot || r.head.Full
 	isNew := full || r.head.Version > r.knownVersion
 	switch {
 	case r.skipped:
-		// Its head may have come behind its entries, and say that it should have been delivered.
+		// "version" or "full" may have come after the entries and show that the list is new. A snapshot is fetched
+		// then.
 		r.needsSnapshot = r.needsSnapshot || isNew
 		return nil
 	case r.inParts:
@@ -138,13 +141,14 @@
 		}
 		return r.finishParts(full)
 	case isNew:
-		r.reached(r.head.Version, full)
+		r.markDelivered(r.head.Version, full)
 		r.cfg.OnUpdate(List{Version: r.head.Version, Full: full, Entries: r.entries})
 	}
 	return nil
 }
 
-// finishParts sends the rest of a list that goes in parts, and its end.
+// finishParts sends the remaining entries of a list that is delivered in parts, and its end. If the list is full, it
+// also has the endpoints removed that the list did not name.
 func (r *receiver) finishParts(full bool) error {
 	if _, err := r.parts.sendAndWait(&SnapshotPart{Kind: PartEntries, Entries: r.entries}); err != nil {
 		return err
@@ -161,11 +165,11 @@
 	if !complete {
 		return errTooManyEntries
 	}
-	r.reached(r.head.Version, full)
+	r.markDelivered(r.head.Version, full)
 	return nil
 }
 
-// sweep has the owner remove the endpoints that a full list did not name.
+// sweep asks the owner to remove the endpoints that a full list did not name, until none is left.
 func (r *receiver) sweep() error {
 	for {
 		done, err := r.parts.sendAndWait(&SnapshotPart{Kind: PartSweep})
@@ -179,8 +183,8 @@
 	}
 }
 
-// reached notes the version of a list that was delivered.
-func (w *Watcher) reached(version int64, full bool) {
+// markDelivered records the version of a list that was delivered. A full list makes another snapshot unnecessary.
+func (w *Watcher) markDelivered(version int64, full bool) {
 	w.version = version
 	w.needsSnapshot = w.needsSnapshot && !full
 }
--- a/internal/relay/discovery/source.go
+++ b/internal/relay/discovery/source.go
@@ -5,23 +5,26 @@
 	"io"
 )
 
-// MaxEntrySize bounds one entry of a list, and any other single value in it, in bytes. Some 150 are usual.
+// MaxEntrySize bounds the size of one entry of a list, and of any other single value in it, in bytes. An entry usually
+// has about 150 bytes.
 const MaxEntrySize = 16 << 10
 
-// boundedSource is what a decoder reads lists from. It bounds how far the decoder reads on for one value.
+// boundedSource is the source that a JSON decoder reads lists from. It limits how many bytes the decoder reads for one
+// value.
 type boundedSource struct {
 	src       io.Reader
-	listBytes int    // bytes of the list that is being read
-	remaining int    // bytes that may still be read for a value; blanks do not count
-	onLine    func() // is called when a line has ended: a sign of life; nil: nobody asks
-	// skipBlanks has blanks dropped: no list has begun. Without it a decoder keeps all blank lines of a quiet day.
+	listBytes int    // bytes read for the current list
+	remaining int    // bytes that may still be read for the current value; data that is only white space does not count
+	onLine    func() // called after a read that contains the end of a line, even of a blank one; nil: no callback
+	// skipBlanks makes Read drop data that is only white space. It is set until a list begins. Otherwise the decoder
+	// would keep in its buffer all the blank lines that arrive while the watch has no changes.
 	skipBlanks bool
 }
 
-// allowValue lets the decoder read one more value.
+// allowValue resets the limit, so that the decoder can read one more value.
 func (s *boundedSource) allowValue() { s.remaining = MaxEntrySize }
 
-// Read reads from the source. The error is errEntryTooLong where a value has no end within its bound.
+// Read reads from the source. The error is errEntryTooLong if a value exceeds MaxEntrySize.
 func (s *boundedSource) Read(b []byte) (int, error) {
 	if s.remaining <= 0 {
 		return 0, errEntryTooLong
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -17,57 +17,60 @@
 )
 
 const (
-	// WatchIdleTimeout is the usual Config.IdleTimeout. Discovery sends a line every 2 s, if only a blank one.
+	// WatchIdleTimeout is the usual Config.IdleTimeout. Discovery sends at least a blank line every 2 s.
 	WatchIdleTimeout = 4500 * time.Millisecond
-	// ListTimeout is the usual Config.ListTimeout: a list comes in full within this, however long it is.
+	// ListTimeout is the usual Config.ListTimeout. Even the longest list is complete within this time.
 	ListTimeout = 30 * time.Second
-	// fetchIdleTimeout bounds the time between the parts of a list that was fetched: one that stalls is not coming.
+	// fetchIdleTimeout bounds how long the fetch of a list may make no progress. A list that stalls for longer is not
+	// expected to arrive.
 	fetchIdleTimeout = time.Second
 )
 
 var (
-	errWatchIdle   = errors.New("watch is idle: no line in time")
-	errFetchIdle   = errors.New("list stalled")
-	errListTimeout = errors.New("list does not end in time")
+	errWatchIdle   = errors.New("watch is idle: no line within the idle timeout")
+	errFetchIdle   = errors.New("fetch of the endpoint list made no progress within the idle timeout")
+	errListTimeout = errors.New("endpoint list not complete within the list timeout")
 )
 
-// Config is what a Watcher needs from its owner.
+// Config configures a Watcher.
 type Config struct {
 	Log    *slog.Logger
 	Client *Client
 	Parser *Parser
 
-	Backoff backoff.Backoff // paces the calls of all relays that watch the list
-	Rand    *rand.Rand      // for Backoff
+	Backoff backoff.Backoff // delays calls; accounts for the other relays that call the same service
+	Rand    *rand.Rand      // source of randomness for Backoff
 
-	IdleTimeout time.Duration // a watch without a line for so long is dead
-	ListTimeout time.Duration // a list ends within this time; 0: it may take any time
+	IdleTimeout time.Duration // a watch is ended if it receives no line for this long
+	ListTimeout time.Duration // a list is given up if it is not complete within this time; 0: no limit
 
-	HasList       bool  // the owner has a list, which serves meanwhile
-	Version       int64 // of that list
-	NeedsSnapshot bool  // that list may lack endpoints: the full list is fetched first
+	HasList       bool  // the owner has a list, which it uses until it receives a newer one
+	Version       int64 // of the owner's list
+	NeedsSnapshot bool  // the owner's list may lack endpoints: the full list is fetched first
 
 	OnUpdate func(List)               // receives lists that are delivered as a whole
-	OnPart   func(*SnapshotPart) bool // receives the parts of other lists; false: the owner has stopped
+	OnPart   func(*SnapshotPart) bool // receives the parts of other lists; returns false if the owner has stopped
 	Stopped  <-chan struct{}          // closed when the owner has stopped and answers no more parts
-	// LargeList reports whether all full lists, and changes over MaxPartEntries, go in parts. nil: they do not.
+	// LargeList reports whether the owner holds a long list. If so, full lists of any length and changes of more than
+	// MaxPartEntries entries are delivered in parts. If not, or if LargeList is nil, only lists of more than
+	// catalog.MaxEagerEndpoints entries are.
 	LargeList func() bool
 }
 
-// Watcher watches the endpoint list: it fetches full lists and follows the stream of changes, and delivers both to its
+// Watcher watches the endpoint list: it fetches full lists, follows the stream of changes and delivers both to its
 // owner.
 type Watcher struct {
 	cfg           Config
 	backoff       backoff.Backoff
-	version       int64 // of the list as it was delivered
-	needsSnapshot bool  // changes alone are not enough: the full list is to be fetched
+	version       int64 // version of the list from which the next watch starts
+	needsSnapshot bool  // changes are not enough: the full list must be fetched
 	parts         partSender
 
 	unreadableLines ratelog.Warning
 	oversizeLists   ratelog.Warning
 }
 
-// NewWatcher returns a watcher, which begins with Run.
+// NewWatcher returns a watcher. Run starts it.
 func NewWatcher(cfg Config) *Watcher {
 	return &Watcher{
 		cfg:             cfg,
@@ -80,9 +83,10 @@
 	}
 }
 
-// NewBackoff returns the backoff of a relay with these settings. Where relays poll for lists, all of them call one
-// service. Where lists are pushed, the address is an agent of the relay's own: calls to it burden nobody else, and what
-// it has binds at once, also after it was silent.
+// NewBackoff returns the backoff of a relay with these settings. Where relays poll for lists (settings.WatchRequired),
+// all of them call one service, so the fleet size sets the delays. Otherwise lists are pushed to an agent of the
+// relay's own, and calls to that agent put no load on others. A change applies as soon as the agent has it, even if the
+// agent did not answer before.
 func NewBackoff(settings policy.Settings, grace time.Duration) backoff.Backoff {
 	b := backoff.Backoff{Clients: 1, Grace: grace}
 	if settings.WatchRequired {
@@ -103,11 +107,13 @@
 		if targetCtx.Err() == nil {
 			w.watchOnce(targetCtx, addr)
 		}
-		// A move ends the pause, too: the list at the new address binds, and the pause was meant for the old one.
+		// A move also ends the delay before the next call: the delay was meant for the old address, and the list at the
+		// new one applies at once.
 		moved := errors.Is(context.Cause(targetCtx), ErrMoved)
 		release()
 		if moved {
-			// Another agent may number its versions otherwise. The old list serves until this one answers.
+			// The new agent may number its versions differently. The owner uses the old list until the new agent
+			// answers.
 			w.needsSnapshot = true
 			w.backoff.Succeeded()
 		}
@@ -122,15 +128,16 @@
 	}
 }
 
-// watchOnce runs one watch until its connection ends or is idle, and the pause before the next. A connection that is
-// cut off gives no sign but missing lines. The version is kept up, so that the next watch resumes where this one ended.
+// watchOnce runs one watch until its connection ends or is idle, and then waits for the delay before the next watch. An
+// interrupted network may show only as missing lines. The next watch resumes from the version that this one has
+// reached.
 func (w *Watcher) watchOnce(ctx context.Context, addr string) {
 	before := w.version
 	began := time.Now()
 	err := w.stream(ctx, addr)
 	cause := context.Cause(ctx)
 	if cause != nil && !errors.Is(cause, ErrMoved) {
-		return // the watcher is to end
+		return // the watcher is stopping
 	}
 	w.cfg.Log.Warn("watch ended", "version", w.version, "err", cmp.Or(cause, err))
 	if w.version != before {
@@ -139,12 +146,12 @@
 	sleep(ctx, w.backoff.Failed(w.cfg.Rand, time.Since(began)))
 }
 
-// stream reads lists from a watch until that ends, and returns why it did.
+// stream reads lists from a watch until the watch ends, and returns why it ended.
 func (w *Watcher) stream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if w.needsSnapshot && w.fetch(ctx, addr) != nil {
-		w.version = 0 // the watch itself may send the full list
+		w.version = 0 // a watch from version 0 may send the full list
 	}
 	idle := time.AfterFunc(w.cfg.IdleTimeout, func() { cancel(errWatchIdle) })
 	defer idle.Stop()
@@ -154,20 +161,20 @@
 	}
 	defer closeBody(res)
 	w.backoff.Succeeded()
-	alive := func() { idle.Reset(w.cfg.IdleTimeout) }
-	lists := newListReader(&boundedSource{src: res.Body, onLine: alive}, w.cfg.Parser)
-	options := receiveOptions{knownVersion: noVersion, onProgress: alive, cancel: cancel}
+	resetIdle := func() { idle.Reset(w.cfg.IdleTimeout) }
+	lists := newListReader(&boundedSource{src: res.Body, onLine: resetIdle}, w.cfg.Parser)
+	options := receiveOptions{knownVersion: noVersion, onProgress: resetIdle, cancel: cancel}
 	for {
 		unreadable, err := w.receiveUpdate(lists, options)
 		if err != nil {
 			return contextCause(ctx, jsonstream.NoEOF(err))
 		}
 		if w.needsSnapshot {
-			idle.Stop() // the watch is not read meanwhile
+			idle.Stop() // the watch is not read during the fetch
 			if w.fetch(ctx, addr) == nil {
 				options.knownVersion = w.version
 			}
-			alive()
+			resetIdle()
 		}
 		if !unreadable {
 			continue
@@ -178,8 +185,8 @@
 	}
 }
 
-// receiveUpdate receives one list of a watch. An unreadable one is no error: it would be as unreadable if the watch
-// began again from the version before it, forever. The full list makes up for it.
+// receiveUpdate receives one list of a watch. An unreadable list is not an error: a new watch from the version before
+// it would receive the same list again and again. The full list is fetched in its place.
 func (w *Watcher) receiveUpdate(lists *ListReader, options receiveOptions) (unreadable bool, err error) {
 	err = w.receive(lists, options)
 	if err == nil {
@@ -230,13 +237,14 @@
 	}
 	if res.StatusCode != http.StatusOK {
 		closeBody(res)
-		return nil, fmt.Errorf("discovery answers %s", res.Status)
+		return nil, fmt.Errorf("discovery answered GET %s with status %s", url, res.Status)
 	}
 	return res, nil
 }
 
-// closeBody ends a response. What is left of it is of no use, and neither is the error of closing it.
+// closeBody closes the body of a response. Data that is left in the body is not needed, and neither is an error of
+// closing it.
 func closeBody(res *http.Response) { _ = res.Body.Close() }
 
-// contextCause returns why a call ended: the cause for which its context ended, if that has, or else its error.
+// contextCause returns why a call ended: the cause of its context if that is cancelled, or else err.
 func contextCause(ctx context.Context, err error) error { return cmp.Or(context.Cause(ctx), err) }
--- a/internal/relay/discovery/watcher_test.go
+++ b/internal/relay/discovery/watcher_test.go
@@ -15,34 +15,34 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Discovery that rejects callers in every way that it has, as after a release that restarts a whole fleet, is called
-// again until it answers, from the version that is known, and never by calls side by side.
+// Discovery may fail calls in many ways, for example after a release that restarts a whole fleet. The watcher calls
+// again until discovery answers, starts each watch from the version that it has, and makes one call at a time.
 func TestWatchIsRetriedAfterEveryKindOfFailure(t *testing.T) {
-	var calls, open, most atomic.Int64
-	ways := []func(w http.ResponseWriter, r *http.Request){
+	var calls, open, maxOpen atomic.Int64
+	failures := []func(w http.ResponseWriter, r *http.Request){
 		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
 		func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "0.01")
 			w.WriteHeader(http.StatusTooManyRequests)
 		},
 		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, // the connection breaks
-		func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },    // no answer
-		func(w http.ResponseWriter, _ *http.Request) { // a head, and nothing after it
+		func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, // closes the connection
+		func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },    // never answers
+		func(w http.ResponseWriter, _ *http.Request) { // headers, but no body
 			w.(http.Flusher).Flush()
 		},
 	}
 	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
-		if now := open.Add(1); now > most.Load() {
-			most.Store(now)
+		if now := open.Add(1); now > maxOpen.Load() {
+			maxOpen.Store(now)
 		}
 		defer open.Add(-1)
 		n := int(calls.Add(1))
-		if got := r.URL.Query().Get("index"); got != "4" && n <= len(ways)+1 {
-			t.Errorf("call %d: a watch from %q, want 4", n, got)
+		if got := r.URL.Query().Get("index"); got != "4" && n <= len(failures)+1 {
+			t.Errorf("call %d: watch from version %q, want 4", n, got)
 		}
-		if n <= len(ways) {
-			ways[n-1](w, r)
+		if n <= len(failures) {
+			failures[n-1](w, r)
 			return
 		}
 		send(w, emptyList+"\n")
@@ -68,18 +68,18 @@
 	case <-time.After(nettest.Patience):
 		t.Errorf("never delivered after %d calls", calls.Load())
 	}
-	if n := most.Load(); n > 2 { // the server may see the end of one a little after the next has come
-		t.Errorf("%d calls side by side", n)
+	if n := maxOpen.Load(); n > 2 { // the server may notice the end of a call shortly after the next one began
+		t.Errorf("%d concurrent calls", n)
 	}
 }
 
-// maxSource is a source of random numbers that are as great as they may be.
+// maxSource is a random source that always returns the largest number, so that delays are as long as possible.
 type maxSource struct{}
 
 func (maxSource) Uint64() uint64 { return math.MaxUint64 }
 
-// A relay that waits before it calls discovery again calls at once where discovery has moved: what the new address has
-// binds.
+// If discovery moves while a watcher waits before its next call, the watcher calls the new address at once: the list
+// there applies already.
 func TestMoveEndsBackoff(t *testing.T) {
 	serve := func(version int, stay bool) *httptest.Server {
 		s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -113,15 +113,15 @@
 			t.Fatalf("version %d never delivered", version)
 		}
 	}
-	receive(5) // and the watch has ended, or ends soon: the next call is half a day away
+	receive(5) // the watch has ended or is about to end: the next call is due in half a day
 	client.Move(addrOf(fresh))
 	receive(9)
 }
 
-// Where lists are pushed, what the agent has binds within the grace. It is silent while discovery is down, and answers
-// the calls made meanwhile when it is back. So a relay of a fleet of 300 has a call open at nearly all times,
-// however many failed before. The times here are those of a clock that stands still while nothing waits: each call's
-// silence, and the pauses as they are drawn.
+// Where lists are pushed, a relay must follow a change within the grace after its agent has the change. While discovery
+// is down, the agent does not answer. When discovery is back, the agent answers the calls that were made in the
+// meantime. So a relay of a fleet of 300 must have a call open at nearly all times, however many of its calls failed
+// before. The test uses no real clock: it adds up the idle time of the calls and the delays as they are drawn.
 func TestIdleAgentIsCalledWithinTheGrace(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -133,7 +133,8 @@
 		{"pushed, 300 relays", false, 300, time.Second, true},
 		{"pushed, 300 relays, short grace", false, 300, 400 * time.Millisecond, true},
 		{"pushed, 2 relays", false, 2, time.Second, true},
-		// One service answers all of these in turn: calls this soon would jam it. This shows that the test can fail.
+		// A single service answers all these relays in turn. Calls as soon as in the other cases would overload the
+		// service. This case shows that the test can fail.
 		{"polled, 300 relays", true, 300, time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -142,25 +143,26 @@
 			settings.FleetSize, settings.WatchRequired = c.relays, c.poll
 			caller, rng := NewBackoff(settings, grace), rand.New(maxSource{})
 			if first := caller.InitialDelay(rng); first > c.grace {
-				t.Errorf("the first call comes after %v", first)
+				t.Errorf("first call after %v, want within %v", first, c.grace)
 			}
 			caller.Succeeded()
-			// A watch becomes idle right after a line; the next ones are never answered.
-			clock, uncalled := WatchIdleTimeout, time.Duration(0)
+			// The watch becomes idle right after a line, and the agent answers none of the calls that follow.
+			clock, longestGap := WatchIdleTimeout, time.Duration(0)
 			if again := caller.Failed(rng, 0); clock+again > 6*time.Second {
-				t.Errorf("called again %v after the watch became idle, when what it missed binds already", clock+again)
+				t.Errorf("next call %v after the last line, want within 6s, when a missed change applies", clock+again)
 			}
-			for range 6 { // as if they had failed at once, which gives the longest pauses
-				uncalled = max(uncalled, caller.Failed(rng, 0))
+			for range 6 { // calls that fail at once have the longest delays
+				longestGap = max(longestGap, caller.Failed(rng, 0))
 			}
-			if ok := uncalled <= c.grace; ok != c.within {
-				t.Errorf("not called for %v at a time, of a grace of %v", uncalled, c.grace)
+			if ok := longestGap <= c.grace; ok != c.within {
+				t.Errorf("no call for up to %v, grace %v, want within the grace: %v", longestGap, c.grace, c.within)
 			}
 		})
 	}
 }
 
-// The same on real connections: an agent that takes calls and says nothing, until it is back.
+// On real connections, an agent accepts calls and does not answer them until it is back. A relay of a fleet of 300
+// receives the list then.
 func TestCallsToIdleAgentAreAnswered(t *testing.T) {
 	back := make(chan struct{})
 	var calls atomic.Int64
@@ -197,26 +199,28 @@
 	case <-time.After(nettest.Patience):
 		t.Fatal("never delivered")
 	}
-	// Four silent calls and the pauses between; as one of a fleet that polls, the pauses alone are over twenty seconds.
+	// The time is that of four unanswered calls and the delays between them. In a fleet that polls, the delays alone
+	// would take over twenty seconds.
 	t.Logf("delivered after %v and %d calls", time.Since(began), calls.Load())
 }
 
-// deliveredWithin is when a change counts as delivered: so long after discovery had it and could be reached, however
-// the calls before went. callTakes is left of it for the call that finds it.
+// deliveredWithin is the time after which a change counts as delivered, from the moment at which discovery has it and
+// can be reached, however earlier calls ended. callAllowance is the part of this time for the call that reads the
+// change.
 const (
 	deliveredWithin = 6 * time.Second
-	callTakes       = 400 * time.Millisecond
+	callAllowance   = 400 * time.Millisecond
 )
 
-// However many relays share discovery and however their calls fail, the next call begins in time. The clock is that of
-// the calls and pauses alone; the worst moment for discovery to be back is right after a call began that comes to
-// nothing.
+// However many relays share discovery and however their calls fail, the next call begins in time. The test uses no real
+// clock: it adds up the durations of calls and delays. In the worst case, discovery is back right after the start of a
+// call that will fail.
 func TestNextCallComesInTime(t *testing.T) {
-	ways := map[string]time.Duration{
+	failures := map[string]time.Duration{
 		"refused":       0,
-		"turned away":   2 * time.Second,
+		"rejected late": 2 * time.Second,
 		"not connected": time.Second,
-		"silent":        WatchIdleTimeout,
+		"unanswered":    WatchIdleTimeout,
 	}
 	for _, poll := range []bool{false, true} {
 		for _, relays := range []int{1, 2, 6, 7, 12, 24, 80, 300, 1000, 2600} {
@@ -238,25 +242,25 @@
 					caller := NewBackoff(settings, grace)
 					note(caller.InitialDelay(rng), "the first call")
 					for range 3 {
-						caller.Succeeded() // a watch, which becomes idle
+						caller.Succeeded() // a watch that then becomes idle
 						note(WatchIdleTimeout+caller.Failed(rng, WatchIdleTimeout), "after a watch")
 						for i := range 12 {
-							for way, took := range ways {
+							for way, took := range failures {
 								note(took+caller.Failed(rng, took), fmt.Sprintf("after call %d, %s", i, way))
 							}
 						}
 					}
 				}
-				if worst+callTakes > deliveredWithin {
-					t.Errorf("%d relays, polled %v, grace %v: no call for %v, %s", relays, poll, grace, worst, at)
+				if worst+callAllowance > deliveredWithin {
+					t.Errorf("%d relays, polling %v, grace %v: no call for %v, %s", relays, poll, grace, worst, at)
 				}
 			}
 		}
 	}
 }
 
-// The same on real connections: discovery fails two calls, and has a new list from the moment on at which the second
-// has begun.
+// On real connections, discovery fails two calls and has a new list from the start of the second call on. The watcher
+// delivers the list in time.
 func TestListIsDeliveredSoonAfterOutage(t *testing.T) {
 	reject := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
@@ -279,7 +283,7 @@
 			var settings policy.Settings
 			settings.FleetSize = c.relays
 			settings.WatchRequired = c.poll
-			if took := outage(t, settings, c.fail); took > deliveredWithin {
+			if took := measureDelivery(t, settings, c.fail); took > deliveredWithin {
 				t.Errorf("delivered after %v", took)
 			} else {
 				t.Logf("delivered after %v", took)
@@ -288,8 +292,9 @@
 	}
 }
 
-// outage has two calls of a watcher fail, and returns how long after the beginning of the second it has the list.
-func outage(t *testing.T, settings policy.Settings, fail http.HandlerFunc) time.Duration {
+// measureDelivery makes a watcher's first two calls fail. It returns the time from the start of the second call until
+// the watcher delivers the list.
+func measureDelivery(t *testing.T, settings policy.Settings, fail http.HandlerFunc) time.Duration {
 	t.Helper()
 	var calls atomic.Int64
 	available := make(chan time.Time, 1)
@@ -331,7 +336,8 @@
 	return 0
 }
 
-// A watch that is cut off says nothing: silence alone tells, and the next resumes where it ended.
+// If the network is interrupted, missing lines are the only sign that a watch has ended. The next watch resumes from
+// the version that the idle one has reached.
 func TestIdleWatchIsResumed(t *testing.T) {
 	indexes := make(chan string, 10)
 	s := newServer(t, func(w http.ResponseWriter, req *http.Request) {
@@ -352,16 +358,16 @@
 		select {
 		case got := <-indexes:
 			if l := <-delivered; got != want || l.Version != 9 || !l.Full {
-				t.Errorf("watch from %s, want %s; delivered %+v", got, want, l)
+				t.Errorf("watch from version %s, want %s; delivered %+v", got, want, l)
 			}
 		case <-time.After(nettest.Patience):
-			t.Fatalf("no watch from %s", want)
+			t.Fatalf("no watch from version %s", want)
 		}
 	}
 }
 
-// A line that cannot be read would come again and again if the watch began from its version: the whole list makes up
-// for it, and changes that it holds already are not undone by older lines.
+// If a watch started again from the version before an unreadable line, it would receive that line again and again. The
+// watcher fetches the full list instead. Older lines that follow do not undo changes that the full list holds already.
 func TestUnreadableLineCausesFetch(t *testing.T) {
 	var watches atomic.Int32
 	s := newServer(t, func(w http.ResponseWriter, req *http.Request) {
@@ -395,6 +401,6 @@
 		}
 	}
 	if n := watches.Load(); n != 1 {
-		t.Errorf("%d watches", n)
+		t.Errorf("%d watches, want 1", n)
 	}
 }
