--- a/internal/relay/hotrestart/conn.go
+++ b/internal/relay/hotrestart/conn.go
@@ -1,6 +1,6 @@
-// Package hotrestart carries a relay from one process to another over a Unix socket: the state of the one that ends,
-// and from then on the outcomes of its calls and what its clients still submit. Frames are JSON behind their lengths;
-// both ends are processes of one user on one machine. See docs/design/upgrade.md.
+// Package hotrestart moves a relay from one process to another over a Unix socket. The predecessor sends its state, and
+// from then on the outcomes of its calls and the messages that its clients still submit. A frame is a JSON text after
+// its length. Both ends are processes of one user on one machine. See docs/design/upgrade.md.
 package hotrestart
 
 import (
@@ -16,38 +16,39 @@
 )
 
 const (
-	// maxFrameSize bounds a frame, in bytes: a state of 100,000 messages is some 40 MB.
+	// maxFrameSize bounds the JSON text of a frame, in bytes. The state of 100,000 messages takes about 40 MB.
 	maxFrameSize = 128 << 20
-	// sendTimeout bounds how long a frame may take to be written, so that nobody waits for a process that no longer
+	// sendTimeout bounds the time for writing a frame, so that the sender does not wait for a process that no longer
 	// reads.
 	sendTimeout = time.Second
-	// dialTimeout bounds how long a connection may take to be established.
+	// dialTimeout bounds the time for establishing a connection.
 	dialTimeout = time.Second
-	// maxPathLength bounds the path of the socket, in bytes: the system's limit is little more.
+	// maxPathLength bounds the length of the socket's path, in bytes. The operating system's limit is slightly higher.
 	maxPathLength = 100
-	// headerSize is the size of the length before a frame.
+	// headerSize is the size of the length before a frame, in bytes.
 	headerSize = 4
 )
 
 var (
-	// ErrNoPredecessor reports that no process listens to hand over.
+	// ErrNoPredecessor reports that no process is listening that could hand over.
 	ErrNoPredecessor = errors.New("handover: no process to take over from")
 
 	errFrameTooLarge = errors.New("frame too large")
 )
 
-// Conn is one end of a connection between two processes. Send may be called by many goroutines at once, Receive by one.
+// Conn is one end of a connection between two processes. Send is safe for concurrent use. Receive is for one goroutine
+// at a time.
 type Conn struct {
 	conn net.Conn
 
 	mu  sync.Mutex
-	err error // of a Send that failed: the other end cannot read what follows
+	err error // first write error: the other end cannot read frames after an incomplete one
 }
 
 // NewConn wraps a connection to the other process.
 func NewConn(c net.Conn) *Conn { return &Conn{conn: c} }
 
-// Dial connects to the process that listens at path. The error is ErrNoPredecessor if there is none.
+// Dial connects to the process that listens at path. If that fails, the error wraps ErrNoPredecessor.
 func Dial(path string) (*Conn, error) {
 	c, err := net.DialTimeout("unix", path, dialTimeout)
 	if err != nil {
@@ -56,11 +57,11 @@
 	return NewConn(c), nil
 }
 
-// Listen listens at path, in place of a process that listened there before. The path stays when the listener closes: by
-// then it may be another's.
+// Listen listens at path, in place of a process that listened there before. Closing the listener does not remove the
+// path, since another process may listen there by then.
 func Listen(path string) (net.Listener, error) {
 	if len(path) > maxPathLength {
-		return nil, fmt.Errorf("handover: %q is longer than a socket's path may be", path)
+		return nil, fmt.Errorf("handover: socket path %q has %d bytes, want at most %d", path, len(path), maxPathLength)
 	}
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -76,17 +77,17 @@
 	return l, nil
 }
 
-// RequestState asks the process at the other end to hand over, and waits until it does. awaiting is called when that
-// process knows of this one, and when the wait is over: a process that is terminated between the two hands over. The
-// state is nil if the other end ends without handing over.
+// RequestState asks the predecessor to hand over, and waits until it does. It calls awaiting(true) when the predecessor
+// has accepted this process as its successor, and awaiting(false) when the wait is over. A predecessor that is
+// terminated between these calls hands over. The state is nil if the predecessor ends without handing over.
 func (c *Conn) RequestState(revision string, awaiting func(bool)) (*State, error) {
 	if err := c.Send(Frame{Hello: &Hello{Revision: revision}}); err != nil {
 		return nil, err
 	}
 	f, err := c.Receive()
 	if err == nil && f.Welcome {
-		// Not before: terminated between a yes here and the hello there, the other process would end without handing
-		// over.
+		// awaiting(true) must not come before Welcome: a predecessor that is terminated before it has received Hello
+		// ends without handing over.
 		awaiting(true)
 		f, err = c.Receive()
 		awaiting(false)
@@ -97,14 +98,14 @@
 	return f.State, nil
 }
 
-// Send writes a frame. After an error nothing more can be sent.
+// Send writes a frame. After a failure to write, all later calls return the same error.
 func (c *Conn) Send(f Frame) error {
 	data, err := json.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("handover: encode frame: %w", err)
 	}
 	if len(data) > maxFrameSize {
-		return fmt.Errorf("handover: %w: %d bytes", errFrameTooLarge, len(data))
+		return fmt.Errorf("handover: send: %w: %d bytes, want at most %d", errFrameTooLarge, len(data), maxFrameSize)
 	}
 	buf := make([]byte, 0, headerSize+len(data))
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(data)))
@@ -115,12 +116,12 @@
 		return c.err
 	}
 	if err := c.write(buf); err != nil {
-		c.err = fmt.Errorf("handover: %w", err)
+		c.err = fmt.Errorf("handover: write frame: %w", err)
 	}
 	return c.err
 }
 
-// write writes a frame in time.
+// write writes an encoded frame within sendTimeout.
 func (c *Conn) write(frame []byte) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
@@ -129,7 +130,7 @@
 	return err
 }
 
-// Receive waits for a frame. The error is io.EOF if the other end closed between two frames.
+// Receive waits for the next frame. It returns io.EOF if the other end closed the connection between two frames.
 func (c *Conn) Receive() (Frame, error) {
 	var header [headerSize]byte
 	_, err := io.ReadFull(c.conn, header[:])
@@ -137,20 +138,22 @@
 		return Frame{}, io.EOF
 	}
 	if err != nil {
-		return Frame{}, fmt.Errorf("handover: %w", err)
+		return Frame{}, fmt.Errorf("handover: read the length of a frame: %w", err)
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameSize {
-		return Frame{}, fmt.Errorf("handover: %w: %d bytes", errFrameTooLarge, size)
+		return Frame{}, fmt.Errorf("handover: receive: %w: %d bytes, want at most %d",
+			errFrameTooLarge, size, maxFrameSize)
 	}
 	f, err := c.receiveBody(int(size))
 	if err != nil {
-		return Frame{}, fmt.Errorf("handover: %w", err)
+		return Frame{}, fmt.Errorf("handover: read a frame of %d bytes: %w", size, err)
 	}
 	return f, nil
 }
 
-// receiveBody reads a frame behind its length. The buffer grows with what comes: a length alone takes no memory.
+// receiveBody reads the JSON text of a frame, which has size bytes. Its buffer grows as the text arrives, so that a
+// large size without a text takes no memory.
 func (c *Conn) receiveBody(size int) (f Frame, err error) {
 	data, err := io.ReadAll(io.LimitReader(c.conn, int64(size)))
 	if err != nil {
@@ -163,5 +166,5 @@
 	return f, err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.conn.Close() }
--- a/internal/relay/hotrestart/conn_test.go
+++ b/internal/relay/hotrestart/conn_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Dial(path); !errors.Is(err, ErrNoPredecessor) {
-		t.Fatalf("nobody there: %v", err)
+		t.Fatalf("dial where no process listens: error %v, want ErrNoPredecessor", err)
 	}
 	l, err := Listen(path)
 	if err != nil {
@@ -100,7 +100,7 @@
 func TestFramesArriveAsSent(t *testing.T) {
 	a, b := connect(t)
 	var wg sync.WaitGroup
-	for range 4 { // whole, also from many at once
+	for range 4 { // frames of concurrent senders must not mix
 		wg.Go(func() {
 			for _, f := range sampleFrames() {
 				if err := a.Send(f); err != nil {
@@ -124,21 +124,22 @@
 	wg.Wait()
 	for i := range sampleFrames() {
 		if got[i] != 4 {
-			t.Errorf("frame %d came %d times as it went", i, got[i])
+			t.Errorf("frame %d arrived unchanged %d times, want 4", i, got[i])
 		}
 	}
 	a.Close()
 	if _, err := b.Receive(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last: %v", err)
+		t.Errorf("receive after the connection was closed: %v, want io.EOF", err)
 	}
 	if err := b.Send(sampleFrames()[0]); err == nil {
 		if err = b.Send(sampleFrames()[0]); err == nil {
-			t.Error("sent to nobody")
+			t.Error("no error after two frames to a closed connection")
 		}
 	}
 }
 
-// A process that took over from another keeps its place when the other one's listener closes.
+// Two processes listen at the same path one after the other. Closing the first one's listener must not remove the path
+// of the second.
 func TestPathBelongsToLatestListener(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	one, err := Listen(path)
@@ -157,14 +158,14 @@
 	}
 	c.Close()
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("socket file %v, error %v; want mode 0600", info, err)
 	}
 	if _, err := Listen(filepath.Join(t.TempDir(), strings.Repeat("x", 120))); err == nil {
-		t.Error("a path that is too long")
+		t.Error("no error for a path that is too long")
 	}
 }
 
-// Cut at any byte a frame is an error, and never another frame.
+// A frame that is cut at any byte causes an error and is never read as another frame.
 func TestCutFrameIsAnError(t *testing.T) {
 	client, server := net.Pipe()
 	go func() {
@@ -188,7 +189,7 @@
 	}
 }
 
-// bytesConn is a connection on which bytes came.
+// bytesConn is a connection that receives the bytes of r.
 type bytesConn struct {
 	net.Conn
 	r io.Reader
@@ -205,10 +206,10 @@
 		f.Add(append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...))
 	}
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	f.Add([]byte{7, 0xff, 0xff, 0xff, 1}) // a length alone takes no memory
+	f.Add([]byte{7, 0xff, 0xff, 0xff, 1}) // a length without a text takes no memory
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if f, err := receive(data); err != nil && !reflect.DeepEqual(f, Frame{}) {
-			t.Errorf("%+v with %v", f, err)
+			t.Errorf("frame %+v with error %v, want an empty frame", f, err)
 		}
 	})
 }
--- a/internal/relay/hotrestart/golden_keys_test.go
+++ b/internal/relay/hotrestart/golden_keys_test.go
@@ -7,8 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-// TestGoldenKeys pins the keys under which one process tells another what it has: other builds of the program read
-// them.
+// TestGoldenKeys checks that the JSON keys of frames do not change: processes of other builds read them.
 func TestGoldenKeys(t *testing.T) {
 	var x Frame
 	golden.Fill(&x)
--- a/internal/relay/hotrestart/golden_test.go
+++ b/internal/relay/hotrestart/golden_test.go
@@ -12,9 +12,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// recordingConn keeps what is written to it.
+// recordingConn records the bytes that are written to it.
 type recordingConn struct {
 	net.Conn
 	written bytes.Buffer
@@ -24,7 +24,8 @@
 
 func (c *recordingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// goldenFrames are a frame of each kind with every field set, and one with none, by their golden files.
+// goldenFrames returns frames by the names of their golden files. Most kinds have a frame with every field set and a
+// frame with no field set. The frame in empty.frame has no kind.
 func goldenFrames() map[string]Frame {
 	return map[string]Frame{
 		"hello.frame":          {Hello: golden.Fill(&Hello{})},
@@ -44,7 +45,8 @@
 	}
 }
 
-// A process of another build reads and writes the same frames.
+// Processes of other builds read and write the same frames: each frame is encoded as in its golden file, and the file
+// is decoded to the same frame.
 func TestGoldenFrames(t *testing.T) {
 	for name, frame := range goldenFrames() {
 		var conn recordingConn
