--- a/internal/relay/jsonstream/jsonstream.go
+++ b/internal/relay/jsonstream/jsonstream.go
@@ -1,4 +1,4 @@
-// Package jsonstream helps to read JSON documents as they come, without holding all of one in memory.
+// Package jsonstream helps to read JSON documents from a stream without holding a whole document in memory.
 package jsonstream
 
 import (
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// NoEOF returns err, or io.ErrUnexpectedEOF in place of io.EOF: for a document that ends in its middle.
+// NoEOF returns io.ErrUnexpectedEOF if err is io.EOF, and err otherwise. It is for errors that occur inside a document.
 func NoEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -15,25 +15,25 @@
 	return err
 }
 
-// Ignored is a JSON value of which nothing is kept.
+// Ignored is a JSON value that is decoded and discarded.
 type Ignored struct{}
 
 // UnmarshalJSON accepts any value.
 func (*Ignored) UnmarshalJSON([]byte) error { return nil }
 
-// SkipValue reads over a value, and is never further ahead than one element of an array. before is called before each
-// read. It returns the value's first token: nil for null.
-func SkipValue(dec *json.Decoder, before func()) (first json.Token, err error) {
-	before()
+// SkipValue skips the next value of dec and returns the first token of the value, which is nil for null. It holds no
+// more than one element of an array in memory. It calls beforeRead before each read from dec.
+func SkipValue(dec *json.Decoder, beforeRead func()) (first json.Token, err error) {
+	beforeRead()
 	first, err = dec.Token()
 	if err != nil {
 		return nil, err
 	}
 	switch first {
 	case json.Delim('{'):
-		err = skipFields(dec, before)
+		err = skipFields(dec, beforeRead)
 	case json.Delim('['):
-		err = skipElements(dec, before)
+		err = skipElements(dec, beforeRead)
 	default:
 		return first, nil
 	}
@@ -44,22 +44,22 @@
 	return first, err
 }
 
-// skipFields reads over the keys and values of an object.
-func skipFields(dec *json.Decoder, before func()) error {
-	for before(); dec.More(); before() {
+// skipFields skips the keys and values of an object.
+func skipFields(dec *json.Decoder, beforeRead func()) error {
+	for beforeRead(); dec.More(); beforeRead() {
 		if _, err := dec.Token(); err != nil {
 			return err
 		}
-		if _, err := SkipValue(dec, before); err != nil {
+		if _, err := SkipValue(dec, beforeRead); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// skipElements reads over the elements of an array.
-func skipElements(dec *json.Decoder, before func()) error {
-	for before(); dec.More(); before() {
+// skipElements skips the elements of an array.
+func skipElements(dec *json.Decoder, beforeRead func()) error {
+	for beforeRead(); dec.More(); beforeRead() {
 		if err := dec.Decode(&Ignored{}); err != nil {
 			return err
 		}
--- a/internal/relay/jsonstream/jsonstream_test.go
+++ b/internal/relay/jsonstream/jsonstream_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A value of any form is skipped to its end, and the decoder goes on behind it.
+// A value of any type is skipped to its end, and the decoder continues with the value that follows.
 func TestSkipValue(t *testing.T) {
 	for _, c := range []struct {
 		text  string
@@ -28,17 +28,17 @@
 				t.Errorf("first token %v, want %v; %d reads, %v", first, c.first, reads, err)
 			}
 			if next, err := dec.Token(); err != nil || next != "next" {
-				t.Errorf("behind it: %v, %v", next, err)
+				t.Errorf("token after the value: %v, %v; want next", next, err)
 			}
 		})
 	}
 }
 
-// A value that has no end is an error.
+// A value that is cut off is an error.
 func TestSkipUnfinishedValue(t *testing.T) {
 	for _, text := range []string{``, `{"a":`, `{"a":1`, `[1,`, `[{"a"`} {
 		if _, err := SkipValue(json.NewDecoder(strings.NewReader(text)), func() {}); err == nil {
-			t.Errorf("%q passes", text)
+			t.Errorf("%q: no error", text)
 		}
 	}
 }
--- a/internal/relay/notify/sender.go
+++ b/internal/relay/notify/sender.go
@@ -1,4 +1,5 @@
-// Package notify sends final notifications to the platform: how accepted messages ended that were not delivered.
+// Package notify sends final notifications to the platform. They report how accepted messages ended that were not
+// delivered.
 package notify
 
 import (
@@ -22,35 +23,35 @@
 const (
 	// postTimeout bounds one request to the platform.
 	postTimeout = time.Second
-	// maxNotificationsPerPost bounds the lines of a request.
+	// maxNotificationsPerPost bounds the number of notifications in a request.
 	maxNotificationsPerPost = 256
-	// maxResponseSize bounds what is read of a response, which is empty as a rule.
+	// maxResponseSize bounds how many bytes of a response are read. Usually a response is empty.
 	maxResponseSize = 64 << 10
 
-	// Bounds of the delay before a request that failed is made again. It doubles with each failure.
+	// Bounds of the delay before a failed request is repeated. The delay doubles with each failure.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// Status is how a message ended, as the platform names it.
+// Status is the platform's name for how a message ended.
 type Status string
 
 const (
 	// Undeliverable is the status of a message that failed for good.
 	Undeliverable Status = "undeliverable"
-	// Deferred is the status of a message that its client may submit again after a while.
+	// Deferred is the status of a message that its client may submit again after a delay.
 	Deferred Status = "deferred"
 )
 
-// Notification tells the platform how a message ended.
+// Notification reports to the platform how a message ended.
 type Notification struct {
-	MessageID    policy.MessageID `json:"-"` // the relay's own
+	MessageID    policy.MessageID `json:"-"` // the relay's own ID, which is not sent
 	TraceID      string           `json:"id"`
 	Status       Status           `json:"status"`
-	RetryAfterMS int64            `json:"again_ms,omitempty"` // of a deferred message
+	RetryAfterMS int64            `json:"again_ms,omitempty"` // delay before a deferred message may be submitted again
 }
 
-// Sender sends notifications, each until the platform has confirmed it. It is safe for concurrent use.
+// Sender sends each notification until the platform has confirmed it. It is safe for concurrent use.
 type Sender struct {
 	log         *slog.Logger
 	agent       *discovery.Client
@@ -59,11 +60,11 @@
 
 	mu     sync.Mutex
 	queue  []Notification
-	signal chan struct{} // has one element if there may be something in the queue
+	signal chan struct{} // wakes Run; holds an element if notifications were added since Run last waited
 }
 
-// NewSender returns a sender that posts to agent, which passes notifications on to the platform. onConfirmed receives
-// the ids of messages whose notifications the platform has confirmed.
+// NewSender returns a sender that posts notifications to the discovery agent, which forwards them to the platform.
+// onConfirmed receives the IDs of the messages whose notifications the platform has confirmed.
 func NewSender(log *slog.Logger, agent *discovery.Client, onConfirmed func(ids []policy.MessageID)) *Sender {
 	return &Sender{
 		log:         log,
@@ -74,7 +75,7 @@
 	}
 }
 
-// Add queues notifications. It never waits, so that the relay's loop does not.
+// Add queues notifications. It never blocks, since the relay's loop calls it.
 func (s *Sender) Add(notifications ...Notification) {
 	s.mu.Lock()
 	s.queue = append(s.queue, notifications...)
@@ -92,8 +93,8 @@
 	return slices.Clone(s.queue)
 }
 
-// Run sends what is queued until ctx ends. A notification that the platform did not confirm is sent again: a duplicate
-// does no harm, a missing one loses a message.
+// Run sends the queued notifications until ctx ends. It sends a notification again if the platform did not confirm it:
+// a duplicate notification does no harm, but a missing one loses a message.
 func (s *Sender) Run(ctx context.Context) {
 	delay := minRetryDelay
 	for {
@@ -115,7 +116,7 @@
 		s.unconfirmed.Log(s.log, "count", len(batch), "err", err)
 		if errors.Is(err, discovery.ErrMoved) {
 			delay = minRetryDelay
-			continue // at once, to the new address
+			continue // retry at once, at the new address
 		}
 		select {
 		case <-ctx.Done():
@@ -126,14 +127,15 @@
 	}
 }
 
-// nextBatch returns the oldest notifications, which stay in the queue until they are confirmed.
+// nextBatch returns the oldest notifications, as many as fit in a request. They stay in the queue until they are
+// confirmed.
 func (s *Sender) nextBatch() []Notification {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue[:min(len(s.queue), maxNotificationsPerPost)]
 }
 
-// confirm removes a batch from the queue and reports it.
+// confirm removes a batch from the queue and reports its message IDs to onConfirmed.
 func (s *Sender) confirm(batch []Notification) {
 	ids := make([]policy.MessageID, 0, len(batch))
 	for _, n := range batch {
@@ -142,13 +144,13 @@
 	s.mu.Lock()
 	s.queue = s.queue[len(batch):]
 	if len(s.queue) == 0 {
-		s.queue = nil // its array can be freed
+		s.queue = nil // frees the backing array
 	}
 	s.mu.Unlock()
 	s.onConfirmed(ids)
 }
 
-// post sends a batch to the agent's address. The error is discovery.ErrMoved if that changed meanwhile.
+// post sends a batch to the agent's address. The error is discovery.ErrMoved if the address changes during the request.
 func (s *Sender) post(ctx context.Context, batch []Notification) error {
 	addr, targetCtx, release := s.agent.Target(ctx)
 	defer release()
@@ -159,7 +161,7 @@
 	return err
 }
 
-// postTo sends a batch to an address, one line a notification.
+// postTo sends a batch to addr, with one line of JSON for each notification.
 func (s *Sender) postTo(ctx context.Context, addr string, batch []Notification) error {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
@@ -178,12 +180,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = res.Body.Close() }() // the response was read, or is of no use
+	defer func() { _ = res.Body.Close() }() // an error of closing does no harm: the response was read or is not needed
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxResponseSize)); err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("platform answers %s", res.Status)
+		return fmt.Errorf("platform answered with status %s, want %d", res.Status, http.StatusNoContent)
 	}
 	return nil
 }
--- a/internal/relay/notify/sender_test.go
+++ b/internal/relay/notify/sender_test.go
@@ -17,13 +17,13 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// platform confirms the third request and all behind it.
+// platform simulates a platform that confirms the third request and all later ones.
 type platform struct {
 	t *testing.T
 
 	mu    sync.Mutex
 	posts int
-	lines int // of requests that were confirmed
+	lines int // number of lines in confirmed requests
 }
 
 func (p *platform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -41,14 +41,14 @@
 	for line := range bytes.Lines(body) {
 		var n map[string]any
 		if json.Unmarshal(line, &n) != nil || n["id"] == nil {
-			p.t.Errorf("line %q", line)
+			p.t.Errorf("line %q is not a JSON object with an \"id\"", line)
 		}
 		p.lines++
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Only status 204 confirms notifications: they are sent until it comes, and then no more.
+// Only status 204 confirms notifications. They are sent until the platform answers with 204, and not after that.
 func TestNotificationsAreRetriedUntilConfirmed(t *testing.T) {
 	p := &platform{t: t}
 	server := httptest.NewServer(p)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A notification has the form that the platform reads: the relay's own id of the message stays out of it.
+// A notification is encoded in the form that the platform reads, without the relay's own message ID.
 func TestNotificationsOnTheWire(t *testing.T) {
 	for want, n := range map[string]Notification{
 		`{"id":"a","status":"undeliverable"}`:           {MessageID: 1, TraceID: "a", Status: Undeliverable},
--- a/internal/relay/ratelog/ratelog.go
+++ b/internal/relay/ratelog/ratelog.go
@@ -1,5 +1,5 @@
 // Package ratelog logs warnings about input from outside the process at a limited rate. Peers can repeat bad input any
-// number of times: each kind of it shows in the log, and none can fill it.
+// number of times. Each kind of bad input appears in the log, but none can fill it.
 package ratelog
 
 import (
@@ -11,7 +11,7 @@
 // minInterval is the shortest time between two log lines of the same Warning.
 const minInterval = time.Minute
 
-// Warning is one kind of fault. Its log lines are at least minInterval apart; those between are only counted.
+// Warning is one kind of fault. Its log lines are at least minInterval apart. Occurrences in between are only counted.
 type Warning struct {
 	Message string // the constant message of its log lines
 
@@ -20,8 +20,8 @@
 	suppressed int       // occurrences since lastLogged that were not logged
 }
 
-// Log logs an occurrence of the fault, or counts it if the last one was logged too recently. The next line that is
-// logged carries the count as "suppressed".
+// Log logs an occurrence of the fault, or only counts it if less than minInterval has passed since the last log line.
+// The next log line has the count as the attribute "suppressed".
 func (w *Warning) Log(log *slog.Logger, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/ratelog/ratelog_test.go
+++ b/internal/relay/ratelog/ratelog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Within the interval only the first occurrence is logged; the next line tells how many were not.
+// Within minInterval only the first occurrence is logged. The next log line reports how many were suppressed.
 func TestWarningLogsOncePerInterval(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
