--- a/internal/relay/discovery/backoff/backoff.go
+++ b/internal/relay/discovery/backoff/backoff.go
@@ -24,10 +24,11 @@
 	// maxJitter bounds the random part of a delay. A delay is drawn from the end of its window: from the last
 	// maxJitter, or from the second half if that is shorter.
 	maxJitter = 1500 * time.Millisecond
-	// graceRatio is the fraction of Backoff.Grace over which calls are spread if they may read a change that applies
-	// already.
+	// graceRatio is the fraction of Backoff.Grace over which calls are spread that may read a change whose grace has
+	// begun.
 	graceRatio = 0.5
-	// smallGroupSize is the largest number of clients whose simultaneous calls do not overload any service.
+	// smallGroupSize is a number of clients that any such service can serve at once. The calls of a group up to this
+	// size need not be spread.
 	smallGroupSize = 6
 
 	// Bounds of the delay between the calls of a small group. The delay does not exceed graceWindow, either.
--- a/internal/relay/discovery/backoff/backoff_test.go
+++ b/internal/relay/discovery/backoff/backoff_test.go
@@ -170,7 +170,7 @@
 }
 
 // For any number of clients, a client's first call comes well within the grace after its start, and so does the call
-// after a response that has ended: a change that the service has applies from that moment on. After a failed call, the
+// after a response that has ended: the grace of a change at the service begins at that moment. After a failed call, the
 // next call comes within six seconds.
 func TestCallsThatMayFindNewsComeWithinGrace(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -85,8 +85,8 @@
 
 // NewBackoff returns the backoff of a relay with these settings. Where relays poll for lists (settings.WatchRequired),
 // all of them call one service, so the fleet size sets the delays. Otherwise lists are pushed to an agent of the
-// relay's own, and calls to that agent put no load on others. A change applies as soon as the agent has it, even if the
-// agent did not answer before.
+// relay's own, and calls to that agent put no load on others. The grace of a change begins when the agent has the
+// change, even if the agent did not answer before.
 func NewBackoff(settings policy.Settings, grace time.Duration) backoff.Backoff {
 	b := backoff.Backoff{Clients: 1, Grace: grace}
 	if settings.WatchRequired {
--- a/internal/relay/hotrestart/frames.go
+++ b/internal/relay/hotrestart/frames.go
@@ -38,7 +38,7 @@
 	Version      int64                  `json:"Version"`
 	LargeList    bool                   `json:"Large"`
 	Endpoints    []Endpoint             `json:"Routes"`
-	Destinations []policy.DestinationID `json:"Cells"` // all that the list has named, now or earlier
+	Destinations []policy.DestinationID `json:"Cells"` // named by the list, now or earlier
 
 	LastID           policy.MessageID  `json:"LastID"` // the last message ID that was assigned
 	Messages         []Message         `json:"Messages"`
