--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -9,7 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// entry returns an endpoint as a platform names them: two to a destination. Each generation has other ids.
+// entry returns the i-th entry of a list, with an id and address of the form that a platform uses. Each destination has
+// two endpoints. Each generation has other ids.
 func entry(i, generation int) Endpoint {
 	return Endpoint{
 		Endpoint: policy.Endpoint{
@@ -32,7 +33,7 @@
 	return list
 }
 
-// applySnapshot passes a snapshot to the catalog, and sweeps in slices.
+// applySnapshot applies a snapshot to the catalog, with a sweep in parts.
 func applySnapshot(c *Catalog, list []Endpoint) {
 	c.BeginSnapshot()
 	for i := range list {
@@ -43,7 +44,7 @@
 	}
 }
 
-// heapSize returns the bytes of live objects.
+// heapSize returns the size of all live heap objects in bytes.
 func heapSize() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -51,7 +52,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// sizes are the numbers of destinations that the benchmarks run with.
+// sizes are the numbers of destinations with which the benchmarks run.
 var sizes = []int{1000, 10000, 50000, 140000}
 
 func eachSize(b *testing.B, run func(b *testing.B, c *Catalog, list []Endpoint)) {
@@ -70,37 +71,38 @@
 	}
 }
 
-// BenchmarkUpsert is one entry that changes an endpoint's weight, spread over the list so that no memory is cached.
+// BenchmarkUpsert measures an entry that changes an endpoint's weight. Consecutive entries are far apart in the list,
+// so that their memory is not in the processor's cache.
 func BenchmarkUpsert(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 0; b.Loop(); i++ {
 			e := &list[i*7919%len(list)]
 			e.Weight++
 			if c.Upsert(*e).Kind != Updated {
-				b.Fatal("not changed")
+				b.Fatal("Upsert did not update the endpoint")
 			}
 		}
 	})
 }
 
-// BenchmarkReplace is an endpoint that is removed and one that takes its place.
+// BenchmarkReplace measures the removal of an endpoint and the addition of one in its place.
 func BenchmarkReplace(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 0; b.Loop(); i++ {
 			e := list[i*7919%len(list)]
 			e.Removed = true
 			if c.Upsert(e).Kind != Removed {
-				b.Fatal("not removed")
+				b.Fatal("Upsert did not remove the endpoint")
 			}
 			e.Removed = false
 			if c.Upsert(e).Kind != Added {
-				b.Fatal("not added")
+				b.Fatal("Upsert did not add the endpoint")
 			}
 		}
 	})
 }
 
-// BenchmarkIdenticalSnapshot is a snapshot that changes nothing.
+// BenchmarkIdenticalSnapshot measures a snapshot that changes nothing.
 func BenchmarkIdenticalSnapshot(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for b.Loop() {
@@ -110,7 +112,7 @@
 	})
 }
 
-// BenchmarkNewSnapshot is a snapshot of other ids, with the sweep of the old ones.
+// BenchmarkNewSnapshot measures a snapshot in which all ids are new, including the sweep of the old endpoints.
 func BenchmarkNewSnapshot(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		for i := 1; b.Loop(); i++ {
@@ -125,20 +127,21 @@
 	})
 }
 
-// BenchmarkAppendEndpoints is what the activation of a destination costs here.
+// BenchmarkAppendEndpoints measures the catalog's part in the activation of a destination.
 func BenchmarkAppendEndpoints(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *Catalog, list []Endpoint) {
 		var endpoints []Endpoint
 		for i := 0; b.Loop(); i++ {
 			endpoints = c.AppendEndpoints(policy.DestinationID(i*7919%(len(list)/2)), endpoints[:0])
 			if len(endpoints) != 2 {
-				b.Fatal("not two endpoints")
+				b.Fatalf("%d endpoints, want 2", len(endpoints))
 			}
 		}
 	})
 }
 
-// BenchmarkWorkingSet is one destination activated and another evicted, with so many active.
+// BenchmarkWorkingSet measures the activation of a destination and the eviction of another one. The number of active
+// destinations stays about the same.
 func BenchmarkWorkingSet(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("active=%d", n), func(b *testing.B) {
@@ -154,7 +157,7 @@
 				w.EvictIdle(now, 16, func(policy.DestinationID) bool { return true })
 			}
 			if w.Len() < n-1 || w.Len() > n+1 {
-				b.Fatalf("%d active", w.Len())
+				b.Fatalf("%d active destinations, want about %d", w.Len(), n)
 			}
 		})
 	}
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds all endpoints of discovery's list in a compact form, and reports what changes between any two
-// lists. A relay with a long list passes to its decision module only the destinations in use (WorkingSet); all others
-// are stored here. The package is pure: no clock, no I/O, and equal calls give equal results.
+// Package catalog stores all endpoints of discovery's list in a compact form, and reports what each new entry changes.
+// If the list is long, the relay passes only the destinations in use (WorkingSet) to its engine. All others are
+// stored only here. The package is pure: it reads no clock, does no I/O, and equal calls give equal results.
 package catalog
 
 import (
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// MaxEagerEndpoints is how many endpoints a list may have that is passed to the decision module as a whole, and how
-// many destinations without endpoints are remembered at least.
+// MaxEagerEndpoints is the number of endpoints up to which a list is passed to the engine as a whole. It also limits
+// the memory for other records: see HasDestination and WorkingSet.EndpointAdded.
 const MaxEagerEndpoints = 4096
 
 // Endpoint is one entry of discovery's list.
@@ -21,19 +21,19 @@
 	Addr string
 }
 
-// ChangeKind says what an entry changes.
+// ChangeKind is the effect of a list entry on the catalog.
 type ChangeKind int
 
 const (
-	// Unchanged is an entry that changes nothing. So is the removal of an endpoint that is not known.
+	// Unchanged means that the entry has no effect. This includes the removal of an unknown endpoint.
 	Unchanged ChangeKind = iota
-	// Added is an entry of an endpoint that was not known.
+	// Added means that the endpoint was unknown before.
 	Added
-	// Updated is one with another state, weight, zone or kind.
+	// Updated means that the endpoint's state, weight, zone or kind has changed, but not its address or destination.
 	Updated
-	// Moved is one with another address or destination.
+	// Moved means that the endpoint's address or destination has changed.
 	Moved
-	// Removed is the removal of an endpoint.
+	// Removed means that the endpoint was removed.
 	Removed
 )
 
@@ -54,42 +54,42 @@
 	return "unknown"
 }
 
-// Change is what Upsert did. Old equals New after Unchanged, and is empty after Added. After Removed New is the entry
-// as given.
+// Change is the result of Upsert. Old equals New if the kind is Unchanged, and is empty if it is Added. New is the
+// entry as given, also if the kind is Removed.
 type Change struct {
 	Old, New Endpoint
 	Kind     ChangeKind
 }
 
-// none is the index of no slot. Slots have indexes from 1 on.
+// none stands for no slot where a slot index is expected. Slots have indexes from 1.
 const none = 0
 
-// Catalog holds all endpoints. It must be made by New.
+// Catalog holds all endpoints of a list. It must be created by New.
 type Catalog struct {
-	seed    maphash.Seed // affects only how long a search takes
-	texts   textArena
-	scratch []byte // reused for the text of the entry that is upserted
+	seed    maphash.Seed // of all hashes; affects only the duration of lookups
+	arena   byteArena
+	scratch []byte // reused for the encoding of the entry that Upsert applies
 
 	endpoints     table[endpointSlot]
-	endpointIndex hashIndex // by id
-	first, last   uint32    // in the order listed
-	inSnapshot    bool      // a snapshot is being read: the endpoints that it has named are moved to the end
-	firstSeen     uint32    // the first of those
+	endpointIndex hashIndex // by endpoint id
+	first, last   uint32    // endpoints at the ends of the list order: see All
+	inSnapshot    bool      // a snapshot is being applied, whose endpoints move to the end of the list order
+	firstSeen     uint32    // the first endpoint in list order that the snapshot has named, or none
 
 	destinations     table[destinationSlot]
-	freeDestination  uint32    // unused slots, by bucketNext
-	destinationIndex hashIndex // by id
-	nonEmpty         int       // destinations with an endpoint
-	peakNonEmpty     int       // its maximum, without endpoints that a snapshot has yet to sweep
-	emptyCount       int       // destinations without an endpoint
-	oldestEmpty      uint32    // the one that has been without for longest
-	newestEmpty      uint32
+	freeDestination  uint32    // first unused slot; bucketNext links it to the next one
+	destinationIndex hashIndex // by destination id
+	nonEmpty         int       // number of destinations with endpoints
+	peakNonEmpty     int       // highest nonEmpty so far; a snapshot counts after its sweep
+	emptyCount       int       // number of destinations without endpoints
+	oldestEmpty      uint32    // destination that has been without endpoints for longest
+	newestEmpty      uint32    // destination that has been without endpoints for the shortest time
 }
 
 // New returns an empty Catalog.
 func New() *Catalog {
 	c := &Catalog{seed: maphash.MakeSeed()}
-	// The slots with index none.
+	// Index 0 means none, so the first slot of each table stays unused.
 	c.endpoints.add()
 	c.destinations.add()
 	c.endpointIndex = newHashIndex(
@@ -109,22 +109,24 @@
 // DestinationCount returns the number of destinations that have an endpoint.
 func (c *Catalog) DestinationCount() int { return c.nonEmpty }
 
-// HasDestination reports whether a list has named a destination. Of those without an endpoint as many are remembered as
-// the most that ever had one at a time, or MaxEagerEndpoints if that is more. Those that have been without for longest
-// are forgotten first.
+// HasDestination reports whether a list has named a destination. The catalog also keeps destinations without endpoints.
+// Their number is limited to the highest number of destinations that had endpoints at the same time, or to
+// MaxEagerEndpoints if that is more. Beyond the limit, the destination that has been without endpoints for longest is
+// removed.
 func (c *Catalog) HasDestination(destination policy.DestinationID) bool {
 	return c.findDestination(destination) != none
 }
 
-// RememberDestination has a destination count as named, as an earlier process knew it.
+// RememberDestination adds a destination without endpoints, unless the catalog has it already. It restores a
+// destination that a list has named in an earlier process.
 func (c *Catalog) RememberDestination(destination policy.DestinationID) {
 	if c.findDestination(destination) == none {
 		c.addEmpty(c.newDestination(destination))
 	}
 }
 
-// RememberedDestinations returns the destinations that a list has named and that have no endpoint now, those that have
-// been without for longest first.
+// RememberedDestinations returns the destinations that a list has named and that have no endpoints now. Destinations
+// that have been without endpoints for longest come first.
 func (c *Catalog) RememberedDestinations() iter.Seq[policy.DestinationID] {
 	return func(yield func(policy.DestinationID) bool) {
 		for i := c.oldestEmpty; i != none; {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Endpoint returns what is known of an id.
+// Endpoint returns the endpoint with the given id, and false if there is none.
 func (c *Catalog) Endpoint(id string) (Endpoint, bool) {
 	i := c.findEndpoint(id)
 	if i == none {
@@ -146,7 +148,7 @@
 	return c.readEndpoint(i, id), true
 }
 
-// AppendEndpoints appends a destination's endpoints, in the order listed.
+// AppendEndpoints appends a destination's endpoints to into, in list order, and returns the extended slice.
 func (c *Catalog) AppendEndpoints(destination policy.DestinationID, into []Endpoint) []Endpoint {
 	d := c.findDestination(destination)
 	if d == none || c.destinations.at(d).empty() {
@@ -158,8 +160,8 @@
 	return into
 }
 
-// All returns all endpoints in the order listed: as the last snapshot named them, followed by those that later entries
-// added. The catalog must not be changed meanwhile.
+// All returns all endpoints in list order: first in the order of the last snapshot, then those that later entries have
+// added or given another destination. The catalog must not be changed during the iteration.
 func (c *Catalog) All() iter.Seq[Endpoint] {
 	return func(yield func(Endpoint) bool) {
 		for i := c.first; i != none; i = c.endpoints.at(i).next {
@@ -170,15 +172,16 @@
 	}
 }
 
-// BeginSnapshot begins a list of all endpoints: its entries follow by Upsert and MarkSeen, then Sweep. A snapshot that
-// broke off before is abandoned; what its entries changed stays.
+// BeginSnapshot begins a list of all endpoints. The caller passes each entry to Upsert or MarkSeen, and then calls
+// Sweep until it is done. An earlier snapshot that was not finished is abandoned, but the changes by its entries
+// stay.
 func (c *Catalog) BeginSnapshot() {
 	c.inSnapshot = true
 	c.firstSeen = none
 }
 
-// Upsert takes an entry of a list. One with Removed set removes the endpoint. In a snapshot the endpoint counts as
-// seen, and follows those seen before in the order listed.
+// Upsert applies an entry of a list. An entry with Removed set removes the endpoint. During a snapshot, any other entry
+// marks the endpoint as seen, and the endpoint moves to the end of the list order.
 func (c *Catalog) Upsert(e Endpoint) Change {
 	i := c.findEndpoint(e.ID)
 	switch {
@@ -189,20 +192,20 @@
 		c.removeEndpoint(i)
 		return Change{Old: old, New: e, Kind: Removed}
 	}
-	c.scratch = appendText(c.scratch[:0], &e)
+	c.scratch = encodeEndpoint(c.scratch[:0], &e)
 	if i == none {
 		c.addEndpoint(e.Destination)
 		return Change{New: e, Kind: Added}
 	}
 	slot := c.endpoints.at(i)
 	sameDestination := c.destinations.at(slot.destination).id() == e.Destination
-	// A text states its own length: one that begins with another is equal to it.
-	if sameDestination && bytes.HasPrefix(c.texts.bytesAt(slot.text), c.scratch) {
+	// Encodings contain their lengths, so none is a prefix of another: a match of the prefix is a match of the whole.
+	if sameDestination && bytes.HasPrefix(c.arena.bytesAt(slot.position), c.scratch) {
 		c.moveToSeen(i)
 		return Change{Old: e, New: e, Kind: Unchanged}
 	}
 	old := c.readEndpoint(i, e.ID)
-	c.replaceText(i)
+	c.replaceEncoding(i)
 	if !sameDestination {
 		c.detach(i)
 		c.attach(i, e.Destination)
@@ -216,7 +219,8 @@
 	return Change{Old: old, New: e, Kind: Moved}
 }
 
-// MarkSeen has an endpoint whose entry could not be read count as seen. What is known of it stays.
+// MarkSeen marks an endpoint as seen without changing it, for a snapshot entry that could not be read. It returns the
+// endpoint, and false if there is none with this id.
 func (c *Catalog) MarkSeen(id string) (Endpoint, bool) {
 	i := c.findEndpoint(id)
 	if i == none {
@@ -227,8 +231,8 @@
 	return e, true
 }
 
-// Sweep removes, after the last entry of a snapshot, the endpoints that were not seen, in the order listed, and at most
-// maxRemoved of them. It reports whether none is left.
+// Sweep removes the endpoints that the snapshot has not named, in list order. It is called after the last entry of the
+// snapshot. Each call removes at most maxRemoved endpoints, and reports done once all are removed.
 func (c *Catalog) Sweep(maxRemoved int) (removed []Endpoint, done bool) {
 	for ; c.inSnapshot && c.first != c.firstSeen && maxRemoved > 0; maxRemoved-- {
 		removed = append(removed, c.readEndpoint(c.first, ""))
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -12,10 +12,10 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// model is a catalog in its simplest form.
+// model is a simple implementation of a catalog, which serves as the reference.
 type model struct {
-	all    []Endpoint                    // in the order listed
-	seen   map[string]bool               // ids that the snapshot being read has named; nil: none is read
+	all    []Endpoint                    // in list order
+	seen   map[string]bool               // ids that the current snapshot has named; nil if there is none
 	listed map[policy.DestinationID]bool // destinations that a list has named
 }
 
@@ -88,7 +88,7 @@
 	return endpoints
 }
 
-// drawEndpoint draws an entry, whose id is one of three names and a number up to maxID.
+// drawEndpoint draws a list entry. Its id is one of three prefixes, followed by a number up to maxID.
 func drawEndpoint(t *rapid.T, maxID int) Endpoint {
 	name := rapid.SampledFrom([]string{"", "ep-", "a long name with a number behind it, "}).Draw(t, "name")
 	id := rapid.IntRange(0, maxID).Draw(t, "id")
@@ -108,15 +108,15 @@
 	}
 }
 
-// comparison is a catalog and a model that get the same lists.
+// comparison holds a catalog and a model to which the same lists are applied.
 type comparison struct {
 	catalog *Catalog
 	model   *model
-	maxID   int // of the endpoints
+	maxID   int // highest number in an endpoint's id
 }
 
-// The catalog does what the model does, over entries, snapshots, unfinished ones, and sweeps in parts with entries
-// between.
+// The catalog returns the same as the model, over random sequences of entries, finished and unfinished snapshots, and
+// sweeps in several parts.
 func TestCatalogMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &comparison{
@@ -150,7 +150,7 @@
 	}
 }
 
-// upsertKnown upserts what is known, unchanged.
+// upsertKnown applies an entry that equals a known endpoint.
 func (c *comparison) upsertKnown(t *rapid.T) {
 	if len(c.model.all) == 0 {
 		return
@@ -166,7 +166,7 @@
 	e, ok := c.catalog.MarkSeen(id)
 	i := c.model.find(id)
 	if ok != (i >= 0) || ok && e != c.model.all[i] {
-		t.Fatalf("MarkSeen(%q) = %+v, %t", id, e, ok)
+		t.Fatalf("MarkSeen(%q) = %+v, %t; the model has it at index %d", id, e, ok, i)
 	}
 	if ok {
 		c.model.markSeen(i)
@@ -183,7 +183,7 @@
 		var more []Endpoint
 		more, done = c.catalog.Sweep(maxRemoved)
 		if len(more) > maxRemoved || len(more) == 0 && !done {
-			t.Fatalf("a sweep of %d removed %d", maxRemoved, len(more))
+			t.Fatalf("Sweep(%d) removed %d endpoints, done: %t", maxRemoved, len(more), done)
 		}
 		removed = append(removed, more...)
 	}
@@ -192,10 +192,10 @@
 	}
 }
 
-// check compares all that the catalog knows with the model.
+// check compares the whole content of the catalog with the model.
 func (c *comparison) check(t *rapid.T) {
 	if all := slices.Collect(c.catalog.All()); !slices.Equal(all, c.model.all) {
-		t.Fatalf("all are %v, want %v", all, c.model.all)
+		t.Fatalf("All() = %v, want %v", all, c.model.all)
 	}
 	if got := c.catalog.EndpointCount(); got != len(c.model.all) {
 		t.Fatalf("%d endpoints, want %d", got, len(c.model.all))
@@ -206,7 +206,7 @@
 		}
 	}
 	if _, ok := c.catalog.Endpoint("never listed"); ok {
-		t.Fatal("an endpoint that no list named")
+		t.Fatal("Endpoint returned an endpoint that no list has named")
 	}
 	c.checkDestinations(t)
 }
@@ -219,25 +219,25 @@
 			t.Fatalf("destination %d has %v, want %v", destination, got, want)
 		}
 		if !c.catalog.HasDestination(destination) {
-			t.Fatalf("destination %d is not named", destination)
+			t.Fatalf("HasDestination(%d) = false, but a list has named it", destination)
 		}
 		if len(want) > 0 {
 			nonEmpty++
 		}
 	}
 	if got := c.catalog.DestinationCount(); got != nonEmpty {
-		t.Fatalf("%d destinations, want %d", got, nonEmpty)
+		t.Fatalf("%d destinations with endpoints, want %d", got, nonEmpty)
 	}
 	const unlisted = -100
 	if c.catalog.HasDestination(unlisted) && !c.model.listed[unlisted] {
-		t.Fatalf("destination %d is named", unlisted)
+		t.Fatalf("HasDestination(%d) = true, but no list has named it", unlisted)
 	}
 	remembered := slices.Collect(c.catalog.RememberedDestinations())
 	wrong := slices.ContainsFunc(remembered, func(destination policy.DestinationID) bool {
 		return !c.model.listed[destination] || len(c.model.endpointsOf(destination)) > 0
 	})
 	if wrong || len(remembered) != len(c.model.listed)-nonEmpty {
-		t.Fatalf("remembers %v, want those without endpoints of %v",
+		t.Fatalf("RememberedDestinations() = %v, want those without endpoints among %v",
 			remembered, slices.Collect(maps.Keys(c.model.listed)))
 	}
 }
--- a/internal/state/catalog/destinations.go
+++ b/internal/state/catalog/destinations.go
@@ -6,29 +6,31 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// destinationSlot is one destination that a list has named. Its id is in two halves, so that the slot has no padding.
+// destinationSlot is one destination that a list has named. Its 64-bit id is stored in two halves, so that the slot has
+// no padding.
 type destinationSlot struct {
 	idLow, idHigh uint32
-	bucketNext    uint32 // the next slot of its bucket, or the next free one
-	// first and last are those of its endpoints. Of a destination without endpoints first is the destination that lost
-	// its last endpoint before it, with emptyMark set, and last the one that did after it.
+	bucketNext    uint32 // the next slot of the same hash bucket; in an unused slot, the next unused one
+	// first and last are the first and the last endpoint of the destination. If it has no endpoints, they link it into
+	// the list of empty destinations: first is the one that became empty before it, with emptyMark set, and last is the
+	// one that became empty after it.
 	first, last uint32
 }
 
-// emptyMark in destinationSlot.first marks a destination without endpoints. No index of a slot has this bit.
+// emptyMark in destinationSlot.first marks a destination without endpoints. Slot indexes do not use this bit.
 const emptyMark = 1 << 31
 
 func (d *destinationSlot) id() policy.DestinationID {
 	return policy.DestinationID(uint64(d.idHigh)<<32 | uint64(d.idLow))
 }
 
-// empty reports whether the destination is in the list of those without endpoints.
+// empty reports whether the destination is in the list of empty destinations.
 func (d *destinationSlot) empty() bool { return d.first&emptyMark != 0 }
 
-// olderEmpty returns the destination that lost its last endpoint before this one.
+// olderEmpty returns the destination that became empty before this one, or none.
 func (d *destinationSlot) olderEmpty() uint32 { return d.first &^ emptyMark }
 
-// newerEmpty returns the destination that lost its last endpoint after this one.
+// newerEmpty returns the destination that became empty after this one, or none.
 func (d *destinationSlot) newerEmpty() uint32 { return d.last }
 
 // findDestination returns a destination's slot, or none.
@@ -40,7 +42,8 @@
 	return i
 }
 
-// newDestination adds a destination, which is neither empty nor has endpoints yet.
+// newDestination adds a destination that has no endpoints and is not in the list of empty destinations. The caller adds
+// an endpoint to it or adds it to that list.
 func (c *Catalog) newDestination(destination policy.DestinationID) uint32 {
 	i := c.freeDestination
 	if i == none {
@@ -53,7 +56,7 @@
 	return i
 }
 
-// attach puts an endpoint at the end of a destination.
+// attach appends an endpoint to those of a destination. It adds the destination if the catalog lacks it.
 func (c *Catalog) attach(endpoint uint32, destination policy.DestinationID) {
 	i := c.findDestination(destination)
 	if i == none {
@@ -74,7 +77,7 @@
 	c.linkLastInDestination(d, slot, endpoint)
 }
 
-// detach takes an endpoint out of its destination.
+// detach removes an endpoint from its destination. If it was the last one, the destination becomes empty.
 func (c *Catalog) detach(endpoint uint32) {
 	slot := c.endpoints.at(endpoint)
 	d := c.destinations.at(slot.destination)
@@ -85,7 +88,7 @@
 	}
 }
 
-// addEmpty remembers a destination without endpoints, and forgets the oldest if they are too many.
+// addEmpty appends a destination to the list of empty destinations, and removes the oldest one if they are too many.
 func (c *Catalog) addEmpty(i uint32) {
 	d := c.destinations.at(i)
 	d.first = c.newestEmpty | emptyMark
@@ -98,12 +101,12 @@
 	c.newestEmpty = i
 	c.emptyCount++
 	if c.emptyCount > max(MaxEagerEndpoints, c.peakNonEmpty) {
-		c.forgetDestination(c.oldestEmpty)
+		c.removeDestination(c.oldestEmpty)
 	}
 }
 
-// forgetDestination frees the slot of a destination without endpoints.
-func (c *Catalog) forgetDestination(i uint32) {
+// removeDestination removes an empty destination from the catalog and frees its slot.
+func (c *Catalog) removeDestination(i uint32) {
 	d := c.destinations.at(i)
 	c.removeEmpty(d)
 	c.destinationIndex.remove(i)
@@ -111,7 +114,7 @@
 	c.freeDestination = i
 }
 
-// removeEmpty takes a destination out of those without endpoints.
+// removeEmpty removes a destination from the list of empty destinations.
 func (c *Catalog) removeEmpty(d *destinationSlot) {
 	older := d.olderEmpty()
 	newer := d.newerEmpty()
--- a/internal/state/catalog/endpoints.go
+++ b/internal/state/catalog/endpoints.go
@@ -6,47 +6,48 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// endpointSlot is one endpoint. It holds no pointers, so that the garbage collector skips the table.
+// endpointSlot is one endpoint. It holds no pointers, so that the garbage collector does not scan the table.
 type endpointSlot struct {
-	text              uint32 // position in the arena
-	bucketNext        uint32 // the next slot of its bucket
-	prev, next        uint32 // in the order listed
-	prevInDestination uint32 // in the order listed of its destination
+	position          uint32 // of the encoding in the arena
+	bucketNext        uint32 // the next slot of the same hash bucket
+	prev, next        uint32 // neighbors in list order
+	prevInDestination uint32 // neighbors in list order among the endpoints of the destination
 	nextInDestination uint32
-	destination       uint32
+	destination       uint32 // slot index
 }
 
-// endpointID returns a slot's id, as its text holds it.
+// endpointID returns the id of a slot's endpoint. The result is a part of the stored encoding.
 func (c *Catalog) endpointID(i uint32) []byte {
-	r := textReader(c.texts.bytesAt(c.endpoints.at(i).text))
+	r := fieldReader(c.arena.bytesAt(c.endpoints.at(i).position))
 	return r.bytes()
 }
 
-// readEndpoint returns the endpoint of a slot. id is its own if the caller has it, which saves an allocation; else "".
+// readEndpoint returns the endpoint of a slot. A caller that has the endpoint's id passes it as id, which saves an
+// allocation. Other callers pass "".
 func (c *Catalog) readEndpoint(i uint32, id string) Endpoint {
 	slot := c.endpoints.at(i)
-	var t endpointText
-	t.parse(c.texts.bytesAt(slot.text))
+	var decoded decodedEndpoint
+	decoded.parse(c.arena.bytesAt(slot.position))
 	if id == "" {
-		id = string(t.id)
+		id = string(decoded.id)
 	}
 	return Endpoint{
 		Endpoint: policy.Endpoint{
 			ID:          id,
 			Destination: c.destinations.at(slot.destination).id(),
-			Kind:        t.kind,
-			Zone:        t.zone,
-			Weight:      t.weight,
-			InService:   t.inService,
+			Kind:        decoded.kind,
+			Zone:        decoded.zone,
+			Weight:      decoded.weight,
+			InService:   decoded.inService,
 		},
-		Addr: t.addr(),
+		Addr: decoded.addr(),
 	}
 }
 
-// findEndpoint returns an id's slot, or none.
+// findEndpoint returns the slot of the endpoint with the given id, or none.
 func (c *Catalog) findEndpoint(id string) uint32 {
 	if c.inSnapshot && c.first != none && string(c.endpointID(c.first)) == id {
-		return c.first // a snapshot mostly names its entries in the order of the last one
+		return c.first // snapshots mostly have the order of the one before, so this is the most likely endpoint
 	}
 	i := c.endpointIndex.first(maphash.String(c.seed, id))
 	for i != none && string(c.endpointID(i)) != id {
@@ -55,29 +56,31 @@
 	return i
 }
 
-// findEndpointByText returns the slot with this id whose text is at a position, or none.
-func (c *Catalog) findEndpointByText(id []byte, text uint32) uint32 {
+// findEndpointByPosition returns the slot of the endpoint with the given id whose encoding is at the given position, or
+// none.
+func (c *Catalog) findEndpointByPosition(id []byte, position uint32) uint32 {
 	i := c.endpointIndex.first(maphash.Bytes(c.seed, id))
-	for i != none && c.endpoints.at(i).text != text {
+	for i != none && c.endpoints.at(i).position != position {
 		i = c.endpoints.at(i).bucketNext
 	}
 	return i
 }
 
-// addEndpoint adds an endpoint of a destination with the text in scratch.
+// addEndpoint adds an endpoint of a destination. Its encoding is in scratch.
 func (c *Catalog) addEndpoint(destination policy.DestinationID) {
-	text := c.storeText()
+	position := c.storeEncoding()
 	i := c.endpoints.add()
-	c.endpoints.at(i).text = text
+	c.endpoints.at(i).position = position
 	c.endpointIndex.add(i)
 	c.attach(i, destination)
 	c.linkLast(i)
 	c.moveToSeen(i)
 }
 
-// removeEndpoint removes an endpoint. The last slot takes its index, so that the table has no gaps.
+// removeEndpoint removes an endpoint. The last slot of the table moves to the free index, so that the table has no
+// gaps.
 func (c *Catalog) removeEndpoint(i uint32) {
-	text := c.endpoints.at(i).text
+	position := c.endpoints.at(i).position
 	c.endpointIndex.remove(i)
 	c.detach(i)
 	c.unlink(i)
@@ -85,10 +88,10 @@
 		c.renumberEndpoint(last, i)
 	}
 	c.endpoints.pop()
-	c.releaseText(text)
+	c.releaseEncoding(position)
 }
 
-// renumberEndpoint moves a slot to another index, which nothing refers to any more.
+// renumberEndpoint moves a slot to an index to which nothing refers any more, and updates all links to the slot.
 func (c *Catalog) renumberEndpoint(from, to uint32) {
 	c.endpointIndex.renumber(from, to)
 	slot := c.endpoints.at(to)
@@ -103,8 +106,8 @@
 	}
 }
 
-// moveToSeen has an endpoint count as seen in a snapshot: it moves to the end. What was not seen is so what stands in
-// front, and needs no mark.
+// moveToSeen marks an endpoint as seen during a snapshot by moving it to the end of the list order. The endpoints not
+// seen yet are those in front of firstSeen, so that slots need no mark.
 func (c *Catalog) moveToSeen(i uint32) {
 	if !c.inSnapshot {
 		return
@@ -122,7 +125,8 @@
 	}
 }
 
-// nextLink returns what refers to the slot behind i in the order listed; behind none is the first.
+// nextLink returns the link from slot i to the next one in list order. If i is none, it returns the link to the first
+// slot.
 func (c *Catalog) nextLink(i uint32) *uint32 {
 	if i == none {
 		return &c.first
@@ -130,7 +134,8 @@
 	return &c.endpoints.at(i).next
 }
 
-// prevLink returns what refers to the slot before i in the order listed; before none is the last.
+// prevLink returns the link from slot i to the previous one in list order. If i is none, it returns the link to the
+// last slot.
 func (c *Catalog) prevLink(i uint32) *uint32 {
 	if i == none {
 		return &c.last
@@ -138,7 +143,7 @@
 	return &c.endpoints.at(i).prev
 }
 
-// nextLinkInDestination is nextLink within a destination.
+// nextLinkInDestination is like nextLink, but among the endpoints of a destination.
 func (c *Catalog) nextLinkInDestination(d *destinationSlot, i uint32) *uint32 {
 	if i == none {
 		return &d.first
@@ -146,7 +151,7 @@
 	return &c.endpoints.at(i).nextInDestination
 }
 
-// prevLinkInDestination is prevLink within a destination.
+// prevLinkInDestination is like prevLink, but among the endpoints of a destination.
 func (c *Catalog) prevLinkInDestination(d *destinationSlot, i uint32) *uint32 {
 	if i == none {
 		return &d.last
@@ -154,7 +159,7 @@
 	return &c.endpoints.at(i).prevInDestination
 }
 
-// linkLast puts a slot at the end of the order listed.
+// linkLast adds a slot at the end of the list order.
 func (c *Catalog) linkLast(i uint32) {
 	slot := c.endpoints.at(i)
 	slot.prev = c.last
@@ -163,7 +168,7 @@
 	c.last = i
 }
 
-// unlink takes a slot out of the order listed.
+// unlink removes a slot from the list order.
 func (c *Catalog) unlink(i uint32) {
 	slot := c.endpoints.at(i)
 	if c.firstSeen == i {
@@ -173,7 +178,7 @@
 	*c.prevLink(slot.next) = slot.prev
 }
 
-// linkLastInDestination puts a slot at the end of its destination.
+// linkLastInDestination adds a slot at the end of the endpoints of its destination.
 func (c *Catalog) linkLastInDestination(d *destinationSlot, slot *endpointSlot, i uint32) {
 	slot.prevInDestination = d.last
 	slot.nextInDestination = none
@@ -181,7 +186,7 @@
 	d.last = i
 }
 
-// unlinkInDestination takes a slot out of the order of its destination.
+// unlinkInDestination removes a slot from the endpoints of its destination.
 func (c *Catalog) unlinkInDestination(d *destinationSlot, slot *endpointSlot) {
 	*c.nextLinkInDestination(d, slot.prevInDestination) = slot.nextInDestination
 	*c.prevLinkInDestination(d, slot.nextInDestination) = slot.prevInDestination
--- a/internal/state/catalog/hashindex.go
+++ b/internal/state/catalog/hashindex.go
@@ -2,16 +2,18 @@
 
 import "math/bits"
 
-// hashIndex finds records by a hash. It is a linear hash table, which grows and shrinks by one bucket with a record, so
-// that no change rebuilds it. The records hold the chains of the buckets.
+// hashIndex finds records by a hash. It uses linear hashing: the number of buckets grows and shrinks one by one with
+// the number of records, so that no change rebuilds the table. The records of a bucket form a linked list, whose
+// links are stored in the records.
 type hashIndex struct {
-	buckets table[uint32] // the first record of each
-	count   int           // records
-	next    func(uint32) *uint32
-	hash    func(uint32) uint64
+	buckets table[uint32]        // the first record of each bucket
+	count   int                  // number of records
+	next    func(uint32) *uint32 // returns a record's link to the next record of its bucket
+	hash    func(uint32) uint64  // returns a record's hash
 }
 
-// newHashIndex returns an index of records whose chain is at next and whose hash is hash.
+// newHashIndex returns an empty index. next returns a record's link to the next record of its bucket, and hash
+// returns a record's hash.
 func newHashIndex(next func(uint32) *uint32, hash func(uint32) uint64) hashIndex {
 	x := hashIndex{next: next, hash: hash}
 	x.buckets.add()
@@ -28,10 +30,10 @@
 	return bucket
 }
 
-// first returns the first record that may have this hash, or none.
+// first returns the first record of the bucket for a hash, or none.
 func (x *hashIndex) first(hash uint64) uint32 { return *x.buckets.at(x.bucketOf(hash)) }
 
-// reference returns what refers to a record: its bucket, or the record before it.
+// reference returns the link to a record, which is in the bucket or in the record before it.
 func (x *hashIndex) reference(i uint32) *uint32 {
 	ref := x.buckets.at(x.bucketOf(x.hash(i)))
 	for *ref != i {
@@ -58,17 +60,17 @@
 	}
 }
 
-// renumber has the index refer to a record by another number. Its chain goes with it.
+// renumber changes the number of a record. The caller moves the record, including its link to the next one.
 func (x *hashIndex) renumber(from, to uint32) { *x.reference(from) = to }
 
-// splitSource returns the bucket that the last one was split off.
+// splitSource returns the bucket from which the last bucket was split.
 func (x *hashIndex) splitSource() *uint32 {
 	last := uint(x.buckets.count - 1)
 	highestBit := uint(1) << (bits.Len(last) - 1)
 	return x.buckets.at(uint32(last &^ highestBit))
 }
 
-// split adds a bucket, and moves to it the records that belong there now.
+// split adds a bucket, and moves to it the records whose hash belongs there now.
 func (x *hashIndex) split() {
 	added := x.buckets.add()
 	target := x.buckets.at(added)
@@ -85,7 +87,7 @@
 	}
 }
 
-// merge removes the last bucket, and appends its records to the one that it was split off.
+// merge removes the last bucket, and appends its records to the bucket from which it was split.
 func (x *hashIndex) merge() {
 	ref := x.splitSource()
 	for *ref != none {
--- a/internal/state/catalog/memory_test.go
+++ b/internal/state/catalog/memory_test.go
@@ -10,55 +10,56 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// memory is the size of a catalog in bytes.
-type memory struct{ texts, liveTexts, destinations, rest int }
+// memory is the size of a catalog in bytes, by part. liveArena is the part of arena that is in use.
+type memory struct{ arena, liveArena, destinations, other int }
 
 func (c *Catalog) memory() memory {
 	var m memory
-	for _, chunk := range c.texts.chunks {
-		m.texts += cap(chunk.data)
-		m.liveTexts += chunk.live
+	for _, chunk := range c.arena.chunks {
+		m.arena += cap(chunk.data)
+		m.liveArena += chunk.live
 	}
 	m.destinations = tableChunkSize * len(c.destinations.chunks) * int(unsafe.Sizeof(destinationSlot{}))
-	m.rest = tableChunkSize * len(c.endpoints.chunks) * int(unsafe.Sizeof(endpointSlot{}))
+	m.other = tableChunkSize * len(c.endpoints.chunks) * int(unsafe.Sizeof(endpointSlot{}))
 	bucketChunks := len(c.endpointIndex.buckets.chunks) + len(c.destinationIndex.buckets.chunks)
-	m.rest += tableChunkSize * bucketChunks * int(unsafe.Sizeof(uint32(0)))
-	m.rest += cap(c.texts.chunks) * int(unsafe.Sizeof(textChunk{}))
-	m.rest += cap(c.texts.free) * int(unsafe.Sizeof(int(0)))
+	m.other += tableChunkSize * bucketChunks * int(unsafe.Sizeof(uint32(0)))
+	m.other += cap(c.arena.chunks) * int(unsafe.Sizeof(arenaChunk{}))
+	m.other += cap(c.arena.free) * int(unsafe.Sizeof(int(0)))
 	return m
 }
 
-// liveTexts adds up the texts of all endpoints.
-func (c *Catalog) liveTexts() int {
+// encodedSize returns the size of the encodings of all endpoints in bytes.
+func (c *Catalog) encodedSize() int {
 	size := 0
-	var t endpointText
+	var decoded decodedEndpoint
 	for i := range c.endpoints.count - 1 {
-		t.parse(c.texts.bytesAt(c.endpoints.at(uint32(i + 1)).text))
-		size += t.length
+		decoded.parse(c.arena.bytesAt(c.endpoints.at(uint32(i + 1)).position))
+		size += decoded.length
 	}
 	return size
 }
 
-// memoryTest is a catalog of n endpoints whose memory is compared with that after five snapshots.
+// memoryTest compares the memory of a catalog of n endpoints with its memory after five snapshots.
 type memoryTest struct {
-	c     *Catalog
-	n     int
-	early memory
-	ids   []string
+	c        *Catalog
+	n        int
+	baseline memory   // after five snapshots
+	ids      []string // of the endpoints in the catalog, once replacements have begun
 }
 
-// check fails the test if the memory has grown, or less than half of the texts' memory is in use.
+// check fails the test if the tables have grown since the baseline, if the arena's count of live bytes is wrong, or if
+// less than half of the arena is in use, with an allowance of four chunks.
 func (m *memoryTest) check(t *testing.T, after string) {
 	t.Helper()
 	got := m.c.memory()
-	live := m.c.liveTexts()
-	grown := got.destinations > m.early.destinations || got.rest > m.early.rest
-	if grown || got.liveTexts != live || got.texts > 2*got.liveTexts+4*textChunkSize {
-		t.Errorf("after %s: %+v bytes, %d of texts in use; after five snapshots %+v", after, got, live, m.early)
+	live := m.c.encodedSize()
+	grown := got.destinations > m.baseline.destinations || got.other > m.baseline.other
+	if grown || got.liveArena != live || got.arena > 2*got.liveArena+4*arenaChunkSize {
+		t.Errorf("after %s: memory %+v, encodings %d bytes; after five snapshots %+v", after, got, live, m.baseline)
 	}
 }
 
-// snapshot applies a snapshot with ids, addresses and destinations of its own.
+// snapshot applies a snapshot whose ids, addresses and destinations differ from those of all other rounds.
 func (m *memoryTest) snapshot(t *testing.T, round int) {
 	t.Helper()
 	m.c.BeginSnapshot()
@@ -76,12 +77,12 @@
 	}
 }
 
-// replaceOne removes a random endpoint and adds another, every second time with its destination.
+// replaceOne removes a random endpoint and adds one with another id. A removal may empty a destination.
 func (m *memoryTest) replaceOne(t *testing.T, rng *rand.Rand, i int) {
 	t.Helper()
 	id := &m.ids[rng.IntN(m.n)]
 	if m.c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: *id, Removed: true}}).Kind != Removed {
-		t.Fatal("not removed: ", *id)
+		t.Fatalf("Upsert did not remove endpoint %q", *id)
 	}
 	*id = fmt.Sprint("once ", i)
 	m.c.Upsert(Endpoint{
@@ -90,27 +91,28 @@
 	})
 }
 
-// negativeDestination returns one of a third as many destinations as endpoints.
+// negativeDestination returns one of n/3 destinations with negative ids, which no snapshot names.
 func (m *memoryTest) negativeDestination(i int) policy.DestinationID {
 	return policy.DestinationID(-i%(m.n/3) - 1)
 }
 
-// addAndRemove adds one endpoint, and removes it.
+// addAndRemove adds one endpoint and removes it again.
 func (m *memoryTest) addAndRemove() {
 	m.c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Destination: -1}})
 	m.c.Upsert(Endpoint{Endpoint: policy.Endpoint{ID: "short-lived", Removed: true}})
 }
 
-// Fifty snapshots with other ids, addresses and destinations each time take no more memory than five, and one of ten
-// endpoints frees that of endpoints and texts. The slots of destinations stay, for others. At least half of the texts'
-// memory is in use.
+// The memory of a catalog depends on its content, not on the number of changes. After fifty snapshots, each with
+// other ids, addresses and destinations, it is no larger than after five. A snapshot of ten endpoints frees the
+// memory of the former endpoints and their encodings. The slots of destinations stay allocated for reuse. At least
+// half of the arena is in use.
 func TestMemoryIsBounded(t *testing.T) {
 	m := &memoryTest{c: New(), n: 20000}
 	const rounds = 50
 	for round := range rounds {
 		m.snapshot(t, round)
 		if round == 4 {
-			m.early = m.c.memory()
+			m.baseline = m.c.memory()
 		}
 	}
 	m.check(t, "fifty snapshots")
@@ -131,21 +133,21 @@
 		})
 		m.addAndRemove()
 	}
-	m.check(t, "updates, and one endpoint that comes and goes")
+	m.check(t, "updates, with another endpoint added and removed after each")
 	for range m.n {
 		m.addAndRemove()
 	}
-	m.check(t, "one endpoint alone that comes and goes")
+	m.check(t, "adding and removing one endpoint repeatedly")
 	if got := len(slices.Collect(m.c.RememberedDestinations())); got > m.n {
-		t.Errorf("%d destinations without endpoints are remembered", got)
+		t.Errorf("%d destinations without endpoints, want at most %d", got, m.n)
 	}
 
 	applySnapshot(m.c, entries(5, 0))
 	m.check(t, "a short snapshot")
-	if got := m.c.memory(); got.rest > m.early.rest/3 || got.texts > 2*textChunkSize {
-		t.Errorf("after a short snapshot: %+v bytes; after five long ones %+v", got, m.early)
+	if got := m.c.memory(); got.other > m.baseline.other/3 || got.arena > 2*arenaChunkSize {
+		t.Errorf("after a short snapshot: memory %+v; after five long ones %+v", got, m.baseline)
 	}
 	if m.c.EndpointCount() != 10 || len(m.c.AppendEndpoints(0, nil)) != 2 {
-		t.Error("not the ten endpoints that were listed")
+		t.Error("the catalog does not hold the ten endpoints of the short snapshot")
 	}
 }
--- a/internal/state/catalog/snapshot_test.go
+++ b/internal/state/catalog/snapshot_test.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// parseEntry reads "id@destination", with "!" in front of a removal, and "=address" behind.
+// parseEntry parses an entry of the form "id@destination" or "id@destination=address". A leading "!" marks a removal.
 func parseEntry(t *testing.T, text string) Endpoint {
 	t.Helper()
 	rest, removed := strings.CutPrefix(text, "!")
@@ -33,7 +33,8 @@
 	return strings.Join(ids, " ")
 }
 
-// applyList applies "snapshot: ...", "unfinished: ..." (a snapshot without a sweep), or entries alone.
+// applyList applies a list of entries, which may begin with "snapshot:" or with "unfinished:" (a snapshot without a
+// sweep). It returns the kinds of the entries' changes and the endpoints that were swept.
 func applyList(t *testing.T, c *Catalog, list string) (kinds []ChangeKind, swept []Endpoint) {
 	t.Helper()
 	text, complete := strings.CutPrefix(list, "snapshot:")
@@ -52,14 +53,14 @@
 	return kinds, swept
 }
 
-// listTests are sequences of lists and what they leave.
+// listTests are sequences of lists and the catalog's expected state after them.
 var listTests = []struct {
 	name            string
 	lists           []string     // see applyList
-	kinds           []ChangeKind // of all entries
-	all             string       // ids in the order listed
-	destination1    string       // the same
-	swept           string       // by all lists
+	kinds           []ChangeKind // of the changes by all entries
+	all             string       // ids of all endpoints, in list order
+	destination1    string       // ids of the endpoints of destination 1, in list order
+	swept           string       // ids of the endpoints that were swept after any list
 	hasDestination2 bool
 }{
 	{
@@ -191,7 +192,7 @@
 				t.Errorf("changes %v, want %v", kinds, c.kinds)
 			}
 			if got := joinIDs(slices.Collect(catalog.All())); got != c.all {
-				t.Errorf("all are %q, want %q", got, c.all)
+				t.Errorf("All() = %q, want %q", got, c.all)
 			}
 			if got := joinIDs(catalog.AppendEndpoints(1, nil)); got != c.destination1 {
 				t.Errorf("destination 1 has %q, want %q", got, c.destination1)
@@ -200,7 +201,7 @@
 				t.Errorf("swept %q, want %q", got, c.swept)
 			}
 			if got := catalog.HasDestination(2); got != c.hasDestination2 {
-				t.Errorf("destination 2 named: %t", got)
+				t.Errorf("HasDestination(2) = %t, want %t", got, c.hasDestination2)
 			}
 		})
 	}
--- a/internal/state/catalog/table.go
+++ b/internal/state/catalog/table.go
@@ -1,9 +1,10 @@
 package catalog
 
-// tableChunkSize is how many records a table grows by.
+// tableChunkSize is the number of records by which a table grows.
 const tableChunkSize = 1024
 
-// table is an array that grows and shrinks by chunks, without being copied: a change costs the same at any size.
+// table is an array that grows and shrinks by chunks. Its records are never copied, so that a change costs the same at
+// any size.
 type table[T any] struct {
 	chunks []*[tableChunkSize]T
 	count  int
@@ -22,7 +23,8 @@
 	return i
 }
 
-// pop removes the last record. One spare chunk stays, so that a table around a chunk's end does not allocate each time.
+// pop removes the last record. It keeps one spare chunk, so that a table whose size varies around the end of a chunk
+// does not allocate each time.
 func (t *table[T]) pop() {
 	t.count--
 	used := (t.count + tableChunkSize - 1) / tableChunkSize
--- a/internal/state/catalog/workingset.go
+++ b/internal/state/catalog/workingset.go
@@ -8,30 +8,32 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// WorkingSet holds the destinations that are active, which are those that a decision module knows: they were used
-// lately, or the module must not forget them.
+// WorkingSet holds the active destinations, whose endpoints were passed to the engine. Each was used recently, or the
+// engine has state of it that must not be lost.
 type WorkingSet struct {
 	idleTimeout   time.Duration
 	byDestination map[policy.DestinationID]*list.Element
-	byLastUse     list.List // of *usage, the least recently used first
+	byLastUse     list.List // of *usage, least recently used first
 
-	recentlyAdded map[policy.DestinationID]time.Duration // destinations of which an endpoint was added lately, and when
-	allAddedAt    time.Duration                          // every destination counts as added then, at least
+	// recentlyAdded holds the time at which an endpoint was last added to a destination. If there are too many recent
+	// ones, the map is cleared and allAddedAt set: every destination then counts as if one had been added at that time.
+	recentlyAdded map[policy.DestinationID]time.Duration
+	allAddedAt    time.Duration
 }
 
-// usage is when a destination was used last.
+// usage is the last use of a destination.
 type usage struct {
 	destination policy.DestinationID
 	lastUsed    time.Duration
 }
 
-// NewWorkingSet returns an empty set, whose destinations may be evicted once they were not used for idleTimeout.
+// NewWorkingSet returns an empty set. Its destinations may be evicted after idleTimeout without use.
 func NewWorkingSet(idleTimeout time.Duration) *WorkingSet {
 	return &WorkingSet{
 		idleTimeout:   idleTimeout,
 		byDestination: map[policy.DestinationID]*list.Element{},
 		recentlyAdded: map[policy.DestinationID]time.Duration{},
-		allAddedAt:    math.MinInt64 / 2, // long ago, and far enough from overflow
+		allAddedAt:    math.MinInt64 / 2, // in the distant past, but far enough from overflow
 	}
 }
 
@@ -43,8 +45,8 @@
 // Len returns the number of active destinations.
 func (w *WorkingSet) Len() int { return len(w.byDestination) }
 
-// Activate uses a destination at now. It reports whether it was not active: then the module must get its endpoints
-// first.
+// Activate records the use of a destination at now, and makes it active. It returns true if the destination was
+// inactive. The engine must then receive its endpoints before the event that uses the destination.
 func (w *WorkingSet) Activate(destination policy.DestinationID, now time.Duration) bool {
 	if w.Contains(destination) {
 		w.Touch(destination, now)
@@ -54,8 +56,9 @@
 	return true
 }
 
-// EndpointAdded notes that an endpoint of a destination was added to the list at now. If there are more than
-// MaxEagerEndpoints such destinations lately, every destination counts as added.
+// EndpointAdded records that an endpoint of a destination was added to the list at now. If that holds for more than
+// MaxEagerEndpoints destinations within policy.MaxInitialSpread, the set no longer tracks each of them, but treats
+// every destination as if an endpoint had been added at now.
 func (w *WorkingSet) EndpointAdded(destination policy.DestinationID, now time.Duration) {
 	w.recentlyAdded[destination] = now
 	if len(w.recentlyAdded) <= MaxEagerEndpoints {
@@ -72,8 +75,9 @@
 	}
 }
 
-// Settled reports whether a destination has been listed for at least policy.MaxInitialSpread, over which first calls to
-// new endpoints are spread. Activated then, it is as if its module had always known it.
+// Settled reports whether no endpoint was added to a destination for at least policy.MaxInitialSpread, the time over
+// which first calls to new endpoints are spread. When a settled destination is activated, its endpoints are treated as
+// if the engine had always had them.
 func (w *WorkingSet) Settled(destination policy.DestinationID, now time.Duration) bool {
 	if now < w.allAddedAt+policy.MaxInitialSpread {
 		return false
@@ -82,7 +86,8 @@
 	return !recent || now >= addedAt+policy.MaxInitialSpread
 }
 
-// Touch has an active destination count as used at now, which must not go back. Another one stays inactive.
+// Touch records the use of an active destination at now. An inactive destination stays inactive. now must not be less
+// than in earlier calls.
 func (w *WorkingSet) Touch(destination policy.DestinationID, now time.Duration) {
 	if element := w.byDestination[destination]; element != nil {
 		usageOf(element).lastUsed = now
@@ -90,9 +95,9 @@
 	}
 }
 
-// EvictIdle evicts destinations that were idle for the timeout and that evictable allows, and returns them, the least
-// recently used first. It looks at most at maxChecked of them. One that stays is looked at again as if it had been used
-// now.
+// EvictIdle evicts destinations that were idle for the timeout and for which evictable returns true. It returns them,
+// the least recently used first. It checks at most maxChecked idle destinations. A destination that is not evictable
+// counts as used at now, so that it is checked again only after another timeout.
 func (w *WorkingSet) EvictIdle(
 	now time.Duration, maxChecked int, evictable func(destination policy.DestinationID) bool,
 ) (evicted []policy.DestinationID) {
@@ -113,5 +118,5 @@
 	return evicted
 }
 
-// usageOf returns what an element of WorkingSet.byLastUse holds.
+// usageOf returns the usage in an element of WorkingSet.byLastUse.
 func usageOf(element *list.Element) *usage { return element.Value.(*usage) }
--- a/internal/state/catalog/workingset_test.go
+++ b/internal/state/catalog/workingset_test.go
@@ -9,13 +9,14 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// A destination that was added lately is not settled; with very many that were, none is.
+// A destination to which an endpoint was added recently is not settled. If there are more such destinations than the
+// set tracks, no destination is settled.
 func TestSettled(t *testing.T) {
 	for _, added := range []int{1, 100, MaxEagerEndpoints, MaxEagerEndpoints + 1, 3 * MaxEagerEndpoints} {
 		t.Run(fmt.Sprintf("added=%d", added), func(t *testing.T) {
 			w := NewWorkingSet(time.Second)
 			if !w.Settled(7, 0) {
-				t.Error("a destination of the first list is not settled")
+				t.Error("a destination is not settled, but no endpoint was added")
 			}
 			addedAt := time.Minute
 			for d := range policy.DestinationID(added) {
@@ -26,22 +27,22 @@
 				before := w.Settled(d, settledAt-1)
 				after := w.Settled(d, settledAt)
 				if before || !after {
-					t.Errorf("destination %d settled %v, a moment later %v", d, before, after)
+					t.Errorf("destination %d: Settled = %v, then %v at %v", d, before, after, settledAt)
 				}
 			}
 			if other := w.Settled(policy.DestinationID(added+7), settledAt-1); other != (added <= MaxEagerEndpoints) {
-				t.Errorf("another settled %v", other)
+				t.Errorf("a destination without added endpoints: Settled = %v with %d added", other, added)
 			}
 			if len(w.recentlyAdded) > MaxEagerEndpoints {
-				t.Errorf("%d are remembered", len(w.recentlyAdded))
+				t.Errorf("%d destinations are tracked, want at most %d", len(w.recentlyAdded), MaxEagerEndpoints)
 			}
 			later := addedAt + time.Hour
-			for d := range MaxEagerEndpoints { // later ones replace the first
+			for d := range MaxEagerEndpoints { // these additions replace the former ones
 				w.EndpointAdded(policy.DestinationID(d+2*added), later)
 			}
 			settled := w.Settled(0, later)
 			if len(w.recentlyAdded) > MaxEagerEndpoints || !settled && added < MaxEagerEndpoints {
-				t.Errorf("an hour later: %d are remembered, settled %v", len(w.recentlyAdded), settled)
+				t.Errorf("an hour later: %d destinations are tracked, Settled(0) = %v", len(w.recentlyAdded), settled)
 			}
 		})
 	}
@@ -60,29 +61,30 @@
 	for i, d := range []policy.DestinationID{7, -1, 3, 9} {
 		now := time.Duration(i) * time.Second
 		if !w.Activate(d, now) || w.Activate(d, now) || !w.Contains(d) {
-			t.Fatalf("destination %d is not activated once", d)
+			t.Fatalf("destination %d: want the first Activate to return true, the second false", d)
 		}
 	}
 	pinned[-1] = true
 	evict(29*time.Second, 9)
 	evict(30*time.Second, 9, 7)
 	w.Touch(3, 31*time.Second)
-	w.Touch(7, 31*time.Second) // not active: stays so
-	evict(33*time.Second, 1)   // -1 is checked, and stays
+	w.Touch(7, 31*time.Second) // stays inactive
+	evict(33*time.Second, 1)   // checks only -1, which is not evictable
 	evict(33*time.Second, 9, 9)
 	delete(pinned, -1)
 	evict(60*time.Second, 9)
 	evict(63*time.Second, 9, 3, -1)
 	if w.Len() != 0 || w.Contains(7) || !w.Activate(7, 64*time.Second) || w.Len() != 1 {
-		t.Error("not all are evicted")
+		t.Error("the set is not empty after all evictions, or destination 7 cannot be activated again")
 	}
 }
 
-// Where nothing is evictable and the timeout is 0, one call still ends.
+// EvictIdle returns even if no destination is evictable and the idle timeout is 0, which makes a checked destination
+// idle again at once.
 func TestEvictIdleEnds(t *testing.T) {
 	w := NewWorkingSet(0)
 	w.Activate(1, 0)
 	if got := w.EvictIdle(0, 100, func(policy.DestinationID) bool { return false }); got != nil || !w.Contains(1) {
-		t.Errorf("evicted %v", got)
+		t.Errorf("evicted %v, want none; destination 1 is active: %t", got, w.Contains(1))
 	}
 }
