--- a/internal/state/bootclock/bootclock.go
+++ b/internal/state/bootclock/bootclock.go
@@ -1,5 +1,6 @@
-// Package bootclock reads the machine's clocks together: the wall clock, which may be set, and the time since the
-// machine was booted, which may not. The latter can measure the time between two processes of one boot.
+// Package bootclock reads two clocks of the machine together: the wall clock, which can be set, and the boot clock,
+// which counts the time since boot and cannot be set. The boot clock measures the time between two processes of one
+// boot.
 package bootclock
 
 import (
@@ -10,17 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading is what the clocks show at one moment.
+// Reading is a reading of both clocks at one moment.
 type Reading struct {
-	Wall   time.Time     // with its monotonic reading
-	BootID string        // identifies the boot; if it is "", it is unknown and Uptime has no meaning
-	Uptime time.Duration // since the boot, including time asleep; it is never set
+	Wall   time.Time     // with a monotonic reading
+	BootID string        // identifies the boot; "" if it is unknown, and then Uptime has no meaning
+	Uptime time.Duration // time since boot, including time in suspend
 }
 
-// bootIDPath is where Linux shows an ID that it draws at each boot.
+// bootIDPath is the file with a random ID that Linux generates at each boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Now reads the clocks. On a machine without boot IDs, or without a boot clock, it reads the wall clock alone.
+// Now reads the clocks. On a machine without boot IDs or without a boot clock, it reads only the wall clock.
 func Now() Reading {
 	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
--- a/internal/state/bootclock/bootclock_test.go
+++ b/internal/state/bootclock/bootclock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Both clocks advance together, and the boot ID stays the same.
+// Between two readings, both clocks advance by about the same time, and the boot ID stays the same.
 func TestNow(t *testing.T) {
 	first := Now()
 	if first.BootID == "" {
@@ -16,9 +16,9 @@
 		second = Now()
 	}
 	if second.BootID != first.BootID || second.Uptime <= first.Uptime {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("first reading %+v, second reading %+v", first, second)
 	}
 	if d := second.Wall.Sub(first.Wall) - (second.Uptime - first.Uptime); d.Abs() > time.Second {
-		t.Errorf("the clocks differ by %v", d)
+		t.Errorf("the wall clock advanced by %v more than the boot clock", d)
 	}
 }
--- a/internal/state/clock/timeline.go
+++ b/internal/state/clock/timeline.go
@@ -1,6 +1,7 @@
-// Package clock provides a timeline that continues over processes and is not affected when the wall clock is set. It
-// follows the monotonic clock within a process, the boot clock between two processes of one boot, and the wall clock
-// between two boots. It began as the wall time. The package reads no clock itself: callers pass the readings.
+// Package clock provides a timeline that continues across processes and is not affected when the wall clock is set. The
+// timeline follows the monotonic clock within a process, the boot clock from one process to the next of the same boot,
+// and the wall clock from one boot to the next. A new timeline starts at the wall time. The package reads no clock
+// itself: callers pass the readings.
 package clock
 
 import (
@@ -9,37 +10,38 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
-// Anchor is what a process stores so that the next one can continue the timeline.
+// Anchor relates the timeline to the clocks at one moment. A process stores it so that the next one can continue the
+// timeline.
 type Anchor struct {
 	BootID     string
-	Uptime     time.Duration // of the machine, when the anchor was made
-	Stamp      int64         // on the timeline, at that time
-	WallOffset time.Duration // wall time minus timeline, when the anchor was made
-	// Epoch counts the boots from 1. Between two epochs the timeline follows the wall clock. It is 0 if the machine has
-	// no boot ID.
+	Uptime     time.Duration // time since boot when the anchor was made
+	Stamp      int64         // timeline time when the anchor was made, in nanoseconds
+	WallOffset time.Duration // wall time minus timeline time when the anchor was made
+	// Epoch counts the boots from 1. From one epoch to the next, the timeline follows the wall clock. It is 0 if no
+	// process so far had a boot ID.
 	Epoch int64
 }
 
-// MinStep is the least difference between the clocks that counts as setting the wall clock. It guards against taking
-// their drift, or the time between reading one and the other, for a step.
+// MinStep is the smallest deviation of the wall clock from the boot clock that counts as setting the wall clock.
+// Smaller deviations may be drift, or the time that passes between reading the two clocks.
 const MinStep = 10 * time.Millisecond
 
-// Timeline maps times of one process to nanoseconds on the timeline.
+// Timeline converts between times of one process and stamps, which are times on the timeline in nanoseconds.
 type Timeline struct {
-	Base      time.Time // when the process began, with its monotonic reading
-	BaseStamp int64     // on the timeline, at that time
-	Epoch     int64     // as in Anchor; 0 if the machine has no boot ID
+	Base      time.Time // when the process began, with a monotonic reading
+	BaseStamp int64     // stamp of Base
+	Epoch     int64     // number of the boot, as in Anchor; 0 if this process has no boot ID
 }
 
-// Stamp returns a time of this process on the timeline.
+// Stamp converts a time of this process to a stamp.
 func (t Timeline) Stamp(at time.Time) int64 { return t.BaseStamp + int64(at.Sub(t.Base)) }
 
-// Time returns a stamp as a time of this process. It has a monotonic reading, so that time.Since and time.Until measure
-// what has truly passed.
+// Time converts a stamp to a time of this process. The result has a monotonic reading, so that time.Since and
+// time.Until are correct even if the wall clock is set.
 func (t Timeline) Time(stamp int64) time.Time { return t.Base.Add(time.Duration(stamp - t.BaseStamp)) }
 
-// Resume returns the timeline of a process that begins now, and the anchor to store for the next one. The timeline
-// begins if last is nil.
+// Resume continues the timeline of the anchor last in a process that begins now, or starts a new timeline if last is
+// nil. It also returns the anchor to store for the next process.
 func Resume(last *Anchor, now bootclock.Reading) (Timeline, Anchor) {
 	if last == nil {
 		last = &Anchor{}
@@ -56,7 +58,7 @@
 		if time.Duration(stamp-timeline.BaseStamp).Abs() < MinStep {
 			return timeline, *last
 		}
-		timeline.BaseStamp = stamp // the wall clock was set
+		timeline.BaseStamp = stamp // the wall clock was set: follow the boot clock
 	}
 	return timeline, Anchor{
 		BootID:     now.BootID,
--- a/internal/state/clock/timeline_test.go
+++ b/internal/state/clock/timeline_test.go
@@ -7,17 +7,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/bootclock"
 )
 
-// resumeCase is two processes, one after the other.
+// resumeCase describes two consecutive processes.
 type resumeCase struct {
 	bootIDs    [2]string     // of the two processes
-	wallStep   time.Duration // by which the wall clock is set between the two
-	elapsed    time.Duration // true time between the two
-	wantAge    time.Duration // of a time that the first process stored, in the second
-	wantEpochs [2]int64
+	wallStep   time.Duration // by which the wall clock is set between the processes
+	elapsed    time.Duration // true time from the start of the first process to that of the second
+	wantAge    time.Duration // age in the second process of a time that the first process stored
+	wantEpochs [2]int64      // of the two processes
 }
 
-// A time that an earlier process stored is as long ago as it truly is, within one boot; after a reboot, and on a
-// machine without boot IDs, as long ago as the wall clock says.
+// Within one boot, a time that an earlier process stored has its true age, even if the wall clock was set. After a
+// reboot, and on a machine without boot IDs, its age follows from the wall clock.
 func TestResumeKeepsElapsedTime(t *testing.T) {
 	const elapsed = 5 * time.Second
 	for name, c := range map[string]resumeCase{
@@ -41,7 +41,7 @@
 			wantAge:    elapsed,
 			wantEpochs: [2]int64{1, 1},
 		},
-		"a drift is no step": {
+		"drift below MinStep": {
 			bootIDs:    [2]string{"a", "a"},
 			wallStep:   3 * time.Millisecond,
 			elapsed:    elapsed,
@@ -78,17 +78,18 @@
 	uptime += c.elapsed
 	second, anchor := Resume(&anchor, bootclock.Reading{Wall: wall, BootID: c.bootIDs[1], Uptime: uptime})
 	if age := wall.Sub(second.Time(stamp)); age != c.wantAge {
-		t.Errorf("%v ago, want %v", age, c.wantAge)
+		t.Errorf("the stored time is %v ago, want %v", age, c.wantAge)
 	}
 	if got := [2]int64{first.Epoch, second.Epoch}; got != c.wantEpochs {
 		t.Errorf("epochs %v, want %v", got, c.wantEpochs)
 	}
 
-	// A third process continues evenly from the second one, whatever was set before.
+	// In a third process, the timeline has advanced by the true time since the second one began, even if the wall clock
+	// was set before.
 	wall = wall.Add(time.Second)
 	uptime += time.Second
 	third, _ := Resume(&anchor, bootclock.Reading{Wall: wall, BootID: c.bootIDs[1], Uptime: uptime})
 	if passed := third.BaseStamp - second.BaseStamp; passed != int64(time.Second) {
-		t.Errorf("after a second the timeline has advanced by %v", time.Duration(passed))
+		t.Errorf("the timeline has advanced by %v after a second", time.Duration(passed))
 	}
 }
--- a/internal/state/endpointhealth/endpointhealth.go
+++ b/internal/state/endpointhealth/endpointhealth.go
@@ -1,7 +1,7 @@
-// Package endpointhealth decides what a restarted relay must know of the endpoints that its former process saw fail,
-// reject messages or ask for a pause, and how its decision engine learns of it. The engine receives ordinary events, as
-// if it had observed the same itself: a Retry-After, a rejection, consecutive failures. The package is pure: it reads
-// no clock and does no I/O.
+// Package endpointhealth carries the health of endpoints across a restart of the relay. It selects what to save of the
+// endpoints that failed, rejected messages or asked for a pause, and converts it to events that restore the same
+// state in a new engine. These are ordinary events, as if the engine had observed them itself: a Retry-After, a
+// rejection, consecutive failures. The package is pure: it reads no clock and does no I/O.
 package endpointhealth
 
 import (
@@ -14,35 +14,38 @@
 )
 
 const (
-	// maxRecords bounds the records, and so the space that they take: some 100 bytes each.
+	// maxRecords limits the number of records, and so their size in the journal: about 100 bytes each.
 	maxRecords = 256
-	// healthyTTL is how long after ObservedAt a healthy answer still counts as recent.
+	// healthyTTL is the age of a record up to which RecentlyHealthy is restored.
 	healthyTTL = 3 * time.Second
-	// rejectedTTL is how long after ObservedAt a rejection above a rate limit is of use to the next process.
+	// rejectedTTL is how long a rejection above a rate limit counts as recent when a record is made, and the age of a
+	// record up to which RecentlyRejected is restored.
 	rejectedTTL = 10 * time.Second
 )
 
-// Record is the health of an endpoint that is unhealthy, or that is healthy beside an unhealthy one of its destination.
-// It is stored, so its JSON keys are fixed. All times are on the journal's timeline: see journal.Journal.Stamp.
+// Record is the health of an unhealthy endpoint, or of a healthy endpoint whose destination has an unhealthy one.
+// Records are stored, so their JSON keys are fixed. All times are on the journal's timeline: see
+// journal.Journal.Stamp.
 type Record struct {
 	Endpoint         string    `json:"Route"`
 	ObservedAt       time.Time `json:"At"`
-	RetryAfterUntil  time.Time `json:"Wait,omitzero"`   // the endpoint asked for no message before this
-	Ejected          bool      `json:"Down,omitempty"`  // and nothing was delivered since
-	WarmingUp        bool      `json:"Cold,omitempty"`  // it may be in an outage, or recovering from one
-	RecentlyRejected bool      `json:"Paced,omitempty"` // it rejected messages above a rate limit
-	RecentlyHealthy  bool      `json:"Alive,omitempty"` // it answered, and is neither ejected nor warming up
+	RetryAfterUntil  time.Time `json:"Wait,omitzero"`   // the endpoint asked for no message before this time
+	Ejected          bool      `json:"Down,omitempty"`  // it is ejected, and has delivered nothing since
+	WarmingUp        bool      `json:"Cold,omitempty"`  // it is suspected of an outage, or is recovering from one
+	RecentlyRejected bool      `json:"Paced,omitempty"` // it recently rejected messages above a rate limit
+	RecentlyHealthy  bool      `json:"Alive,omitempty"` // it recently delivered, and is neither ejected nor warming up
 }
 
 func (r *Record) unhealthy() bool {
 	return r.Ejected || r.WarmingUp || r.RecentlyRejected || !r.RetryAfterUntil.IsZero()
 }
 
-// age returns how long ago the endpoint was observed. A clock that was set back makes no record older.
+// age returns the time since the endpoint was observed. It is 0 if ObservedAt is in the future because the clock was
+// set back.
 func (r *Record) age(now time.Time) time.Duration { return max(0, now.Sub(r.ObservedAt)) }
 
-// FromViews returns the records for the endpoints of an engine at now, which is its own time and corresponds to
-// timestamp on the journal's timeline.
+// FromViews returns the records to save for the endpoints of an engine. now is the engine's time, and timestamp is the
+// same moment on the journal's timeline.
 func FromViews(views []policy.EndpointView, now time.Duration, timestamp time.Time) []Record {
 	var records []Record
 	unhealthyDestinations := map[policy.DestinationID]bool{}
@@ -82,16 +85,16 @@
 }
 
 const (
-	// refreshInterval is how old saved records may become while an endpoint stays unhealthy: a restart depends on
-	// their age.
+	// refreshInterval is the age beyond which saved records are replaced while an endpoint stays unhealthy. What a
+	// restart restores depends on the time since the endpoint was last observed.
 	refreshInterval = 2 * time.Second
-	// retryAfterTolerance is by how much a Retry-After may differ without being another one: each is computed from two
-	// clocks.
+	// retryAfterTolerance is the difference below which two ends of a Retry-After count as equal. Each end is computed
+	// from two clocks, and so varies a little.
 	retryAfterTolerance = 20 * time.Millisecond
 )
 
-// Changed reports whether current records differ from the saved ones in a way that is worth saving. An endpoint that is
-// healthy again is such a difference. The passage of time is none, until the saved records are older than
+// Changed reports whether the current records must be saved because they differ from the saved ones. An endpoint that
+// became healthy again is a difference. The passage of time alone is none until the saved records are older than
 // refreshInterval.
 func Changed(saved, current []Record) bool {
 	saved = onlyUnhealthy(saved)
@@ -109,8 +112,8 @@
 	return slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return !r.unhealthy() })
 }
 
-// sameHealth reports whether a current record says no more than the saved one. A Retry-After that has ended is no
-// difference.
+// sameHealth reports whether the saved record still describes the health in the current one. A Retry-After that has
+// ended since is not a difference.
 func sameHealth(saved, current Record) bool {
 	return saved.Endpoint == current.Endpoint &&
 		saved.Ejected == current.Ejected &&
@@ -120,16 +123,17 @@
 			current.RetryAfterUntil.Sub(saved.RetryAfterUntil).Abs() < retryAfterTolerance)
 }
 
-// Encode encodes records.
+// Encode returns the JSON form of records, or nil if it cannot encode them.
 func Encode(records []Record) []byte {
 	data, err := json.Marshal(records)
 	if err != nil {
-		return nil // a time outside the years that JSON can hold: of no use to a restart
+		return nil // a record has a time whose year JSON cannot represent, so a restart could not use it
 	}
 	return data
 }
 
-// Decode decodes records. It returns nil if it cannot: a restart without them is as safe as one that lost its folder.
+// Decode decodes records. It returns nil if it cannot decode them: a restart without records is as safe as one that has
+// lost its journal.
 func Decode(data []byte) []Record {
 	if len(data) == 0 {
 		return nil
--- a/internal/state/endpointhealth/endpointhealth_test.go
+++ b/internal/state/endpointhealth/endpointhealth_test.go
@@ -49,16 +49,17 @@
 			current := slices.Clone(saved)
 			c.change(&current[0])
 			if got := Changed(saved, current); got != c.want {
-				t.Errorf("changed: %v, want %v", got, c.want)
+				t.Errorf("Changed = %v, want %v", got, c.want)
 			}
 		})
 	}
 	if !Changed(saved, nil) || Changed(nil, nil) {
-		t.Error("only an endpoint that is healthy again is a change")
+		t.Error("want a change if the endpoint is healthy again, and none if there are no records at all")
 	}
 }
 
-// There are never more records than the bound, and damaged data is decoded to nothing or to records that do no harm.
+// FromViews returns at most maxRecords records. Decode returns nil for truncated data, and Events does not panic on the
+// records of damaged data.
 func TestRecordsAreBoundedAndDecodeRejectsDamage(t *testing.T) {
 	views := make([]policy.EndpointView, 3*maxRecords)
 	for i := range views {
@@ -66,13 +67,13 @@
 		views[i].Ejected = true
 	}
 	if n := len(FromViews(views, time.Second, time.Unix(1, 0))); n != maxRecords {
-		t.Errorf("%d records", n)
+		t.Errorf("%d records, want %d", n, maxRecords)
 	}
 	data := Encode(FromViews(views[:3], time.Second, time.Unix(1, 0)))
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range data {
 		if records := Decode(data[:n]); records != nil {
-			t.Fatalf("cut at %d: %+v", n, records)
+			t.Fatalf("truncated to %d bytes: %+v, want nil", n, records)
 		}
 		damaged := slices.Clone(data)
 		damaged[n] = byte(rng.Uint32())
@@ -80,7 +81,8 @@
 	}
 }
 
-// A healthy endpoint has a record only beside an unhealthy one of its destination, and is no change by itself.
+// A healthy endpoint has a record only if its destination has an unhealthy one. The records of healthy endpoints do not
+// count as a change.
 func TestHealthyEndpointsAreRecordedBesideUnhealthyOnes(t *testing.T) {
 	view := func(id string, destination policy.DestinationID, warmingUp bool) policy.EndpointView {
 		v := policy.EndpointView{RecentlyHealthy: true, WarmingUp: warmingUp}
@@ -102,6 +104,6 @@
 		t.Errorf("records %+v, want %+v", records, want)
 	}
 	if Changed(records, records[1:]) {
-		t.Error("a healthy endpoint is a change")
+		t.Error("the record of a healthy endpoint counts as a change")
 	}
 }
--- a/internal/state/endpointhealth/events.go
+++ b/internal/state/endpointhealth/events.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// failuresToSuspect is how many consecutive failures make the engine suspect an outage of an endpoint.
+	// failuresToSuspect is the number of consecutive failures after which the engine suspects an outage of an endpoint.
 	failuresToSuspect = 2
-	// failuresToEject is how many consecutive failures make the engine eject an endpoint.
+	// failuresToEject is the number of consecutive failures after which the engine ejects an endpoint.
 	failuresToEject = 3
-	// maxRetryAfter bounds a restored Retry-After. It guards against a clock that was set back far.
+	// maxRetryAfter is the longest Retry-After that is restored. It guards against a clock that was set back far.
 	maxRetryAfter = time.Hour
 )
 
-// Events returns the events that restore the records of a former process in a new engine, at now on the journal's
-// timeline. They follow the endpoint list. An endpoint is restored as ejected or warming up for as long as an outage
-// may still have effects: for warmUp after it was observed.
+// Events returns the events that restore the records of a former process in a new engine. now is the time on the
+// journal's timeline. The engine must receive the endpoint list before these events. An endpoint is restored as
+// ejected or warming up for as long as an outage may still have effects, which is warmUp after it was observed.
 func Events(records []Record, now time.Time, warmUp time.Duration) []policy.Event {
 	var events []policy.Event
-	// Recent healthy answers come first. This guards against suspicions that the former engine did not have: an engine
-	// takes a rejection by an endpoint that has not answered for a sign of an outage, and an endpoint that has not
-	// answered for as unhealthy as the others of its destination.
+	// Deliveries by healthy endpoints come first, since the engine could otherwise suspect endpoints that the former
+	// engine did not suspect. If an endpoint has not answered yet, the engine may take a rejection for a sign of an
+	// outage, and it suspects the endpoint if another one with the same rate limit is suspect.
 	for i := range records {
 		record := &records[i]
 		if record.Endpoint != "" && record.RecentlyHealthy && record.age(now) < healthyTTL {
@@ -37,7 +37,7 @@
 	return events
 }
 
-// appendEvents appends the events that restore what is wrong with an endpoint.
+// appendEvents appends the events that restore the rejections, failures and Retry-After of an endpoint.
 func appendEvents(events []policy.Event, record *Record, now time.Time, warmUp time.Duration) []policy.Event {
 	age := record.age(now)
 	if record.RecentlyRejected && age < rejectedTTL {
@@ -57,7 +57,7 @@
 	return events
 }
 
-// failures returns how many consecutive failures restore the state of an endpoint.
+// failures returns the number of consecutive failures that restore the ejection or the warm-up of an endpoint.
 func (r *Record) failures(age, warmUp time.Duration) int {
 	switch {
 	case age >= warmUp:
--- a/internal/state/endpointhealth/events_test.go
+++ b/internal/state/endpointhealth/events_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// endpointSnapshot lists two endpoints of a destination with a common limit, and two of one with a limit for each.
+// endpointSnapshot lists two endpoints of a destination that share a rate limit, and two of a destination whose
+// endpoints have a limit each.
 func endpointSnapshot() policy.Event {
 	return policy.Event{Kind: policy.EndpointSnapshot, Endpoints: []policy.Endpoint{
 		{ID: "a", Destination: 1, Kind: 0, InService: true, Weight: 20},
@@ -56,8 +57,8 @@
 	return event
 }
 
-// Over any history, a restored engine holds back what the former one held back, for an outage or for a Retry-After, and
-// for no shorter time. What was healthy is healthy.
+// After any history, a restored engine holds back each endpoint that the former one held back because of an outage or a
+// Retry-After, and for at least the same time. The endpoints of a destination without records are healthy.
 func TestRestoredEngineKeepsEndpointHealth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		former, err := policy.New(testSettings(), 1)
@@ -80,41 +81,41 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		down := time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms down")) * time.Millisecond
+		downtime := time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms down")) * time.Millisecond
 		const restoredAt = time.Second
-		events := Events(records, wall.Add(down), testSettings().WarmUpDuration)
+		events := Events(records, wall.Add(downtime), testSettings().WarmUpDuration)
 		restored.Step(restoredAt, append([]policy.Event{endpointSnapshot()}, events...))
-		for _, was := range views {
-			is := findView(restored, was.ID)
-			checkHeldBack(t, was, is, was.RetryAfterUntil-now-down, restoredAt)
-			if destinationIsHealthy(restored, records, was) {
-				checkHealthy(t, is, restoredAt)
+		for _, before := range views {
+			after := findView(restored, before.ID)
+			checkHeldBack(t, before, after, before.RetryAfterUntil-now-downtime, restoredAt)
+			if destinationIsHealthy(restored, records, before) {
+				checkHealthy(t, after, restoredAt)
 			}
 		}
 	})
 }
 
-// checkHeldBack fails if an endpoint was held back and is not, or for a shorter time. left is the time for which a
-// Retry-After should still hold.
-func checkHeldBack(t *rapid.T, was, is policy.EndpointView, left, now time.Duration) {
-	if was.Ejected && !is.Ejected || was.WarmingUp && !is.WarmingUp {
-		t.Fatalf("%s: was %+v, is %+v", was.ID, was, is)
+// checkHeldBack fails the test if an endpoint that was held back before the restart is not held back after it, or for a
+// shorter time. left is the time until the end of its Retry-After.
+func checkHeldBack(t *rapid.T, before, after policy.EndpointView, left, now time.Duration) {
+	if before.Ejected && !after.Ejected || before.WarmingUp && !after.WarmingUp {
+		t.Fatalf("%s: %+v before the restart, %+v after it", before.ID, before, after)
 	}
-	if left > 0 && is.RetryAfterUntil < now+left {
-		t.Fatalf("%s: a Retry-After of %v more is one of %v", was.ID, left, is.RetryAfterUntil-now)
+	if left > 0 && after.RetryAfterUntil < now+left {
+		t.Fatalf("%s: Retry-After ends in %v, want %v", before.ID, after.RetryAfterUntil-now, left)
 	}
 }
 
-// destinationIsHealthy reports whether no endpoint of the same destination has a record.
+// destinationIsHealthy reports whether no endpoint of the destination of an endpoint has a record.
 func destinationIsHealthy(e *policy.Engine, records []Record, view policy.EndpointView) bool {
 	return !slices.ContainsFunc(records, func(r Record) bool {
 		return r.Endpoint == view.ID || findView(e, r.Endpoint).Destination == view.Destination
 	})
 }
 
-func checkHealthy(t *rapid.T, is policy.EndpointView, now time.Duration) {
-	if is.Ejected || is.WarmingUp || is.RetryAfterUntil > now || is.PacingRate > 0 {
-		t.Fatalf("%s was healthy, and is %+v", is.ID, is)
+func checkHealthy(t *rapid.T, view policy.EndpointView, now time.Duration) {
+	if view.Ejected || view.WarmingUp || view.RetryAfterUntil > now || view.PacingRate > 0 {
+		t.Fatalf("%s was healthy before the restart, and is %+v after it", view.ID, view)
 	}
 }
 
@@ -133,7 +134,7 @@
 	const failures = failuresToEject + failuresToSuspect
 	for name, c := range map[string]struct {
 		age  time.Duration
-		want int // events
+		want int // number of events
 	}{
 		"at once":                        {0, 1 + failures + 1},
 		"Retry-After has ended":          {2 * time.Second, 1 + failures},
@@ -145,22 +146,23 @@
 		t.Run(name, func(t *testing.T) {
 			events := Events(records, observedAt.Add(c.age), 14*time.Second)
 			if len(events) != c.want {
-				t.Errorf("%d events, not %d: %+v", len(events), c.want, events)
+				t.Errorf("%d events, want %d: %+v", len(events), c.want, events)
 			}
 		})
 	}
 }
 
-// recentlyHealthyCase is what is restored, and whether it makes endpoint "a" suspect.
+// recentlyHealthyCase holds the records to restore, and whether they make the engine suspect endpoint "a".
 type recentlyHealthyCase struct {
 	records     []Record
-	down        time.Duration // between the processes
-	wantSuspect bool          // under some seed
+	downtime    time.Duration // between the processes
+	wantSuspect bool          // with at least one seed
 }
 
-// A rejection that the former engine took for one by a limit makes the restored one suspect no outage, and neither does
-// an unhealthy endpoint make it suspect a healthy one of the same destination: what answered a moment before is
-// restored as healthy, but not for long, and not if the former engine saw no answer.
+// An endpoint that delivered shortly before the restart is restored as healthy. If it also rejected messages, the
+// restored engine takes the rejection for one by a rate limit, as the former engine did, and not for a sign of an
+// outage. An unhealthy endpoint of the same destination does not make it suspect either. Neither holds if the last
+// delivery was too long ago, or if the former engine saw none.
 func TestRecentlyHealthyEndpointIsRestored(t *testing.T) {
 	healthy := Record{Endpoint: "a", ObservedAt: observedAt, RecentlyHealthy: true}
 	rejected := Record{Endpoint: "a", ObservedAt: observedAt, RecentlyRejected: true}
@@ -170,20 +172,24 @@
 	rejectedHealthy.RecentlyHealthy = true
 
 	for name, c := range map[string]recentlyHealthyCase{
-		"rejected, healthy":          {records: []Record{rejectedHealthy}, down: time.Second, wantSuspect: false},
-		"rejected, not healthy":      {records: []Record{rejected}, down: time.Second, wantSuspect: true},
-		"rejected, healthy long ago": {records: []Record{rejectedHealthy}, down: 4 * time.Second, wantSuspect: true},
+		"rejected, healthy":     {records: []Record{rejectedHealthy}, downtime: time.Second, wantSuspect: false},
+		"rejected, not healthy": {records: []Record{rejected}, downtime: time.Second, wantSuspect: true},
+		"rejected, healthy long ago": {
+			records:     []Record{rejectedHealthy},
+			downtime:    4 * time.Second,
+			wantSuspect: true,
+		},
 		"beside one that is warming up, healthy": {
 			records:     []Record{healthy, besideWarmingUp},
-			down:        time.Second,
+			downtime:    time.Second,
 			wantSuspect: false,
 		},
 		"beside one that is warming up, no record": {
 			records:     []Record{besideWarmingUp},
-			down:        time.Second,
+			downtime:    time.Second,
 			wantSuspect: true,
 		},
-		"warming up": {records: []Record{warmingUp}, down: time.Second, wantSuspect: true},
+		"warming up": {records: []Record{warmingUp}, downtime: time.Second, wantSuspect: true},
 	} {
 		t.Run(name, func(t *testing.T) { checkRecentlyHealthy(t, c) })
 	}
@@ -197,15 +203,15 @@
 		engine := restoreEngine(t, seed, c)
 		suspect = suspect || findView(engine, "a").WarmingUp
 		if otherWarmsUp && !findView(engine, "b").WarmingUp {
-			t.Fatal("the endpoint that was warming up is not")
+			t.Fatal("endpoint b was warming up before the restart, but not after it")
 		}
 	}
 	if suspect != c.wantSuspect {
-		t.Errorf("suspect: %v", suspect)
+		t.Errorf("endpoint a is suspect: %v, want %v", suspect, c.wantSuspect)
 	}
 }
 
-// restoreEngine restores an engine of a large fleet, and has it look at the endpoints for a message.
+// restoreEngine restores an engine of a large fleet, and passes it a message so that it evaluates the endpoints.
 func restoreEngine(t *testing.T, seed uint64, c recentlyHealthyCase) *policy.Engine {
 	t.Helper()
 	const now = time.Second
@@ -215,7 +221,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := Events(c.records, observedAt.Add(c.down), settings.WarmUpDuration)
+	events := Events(c.records, observedAt.Add(c.downtime), settings.WarmUpDuration)
 	engine.Step(now, append([]policy.Event{endpointSnapshot()}, events...))
 	engine.Step(now, []policy.Event{
 		{Kind: policy.MessageAccepted, MessageID: 1, Destination: 1, TimeLeft: 10 * time.Second},
--- a/internal/state/endpointhealth/golden_test.go
+++ b/internal/state/endpointhealth/golden_test.go
@@ -11,7 +11,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// A process of another build reads and writes the same records.
+// Records are encoded as in the golden file and decoded from it, so that other builds of the program can exchange them.
 func TestGoldenRecords(t *testing.T) {
 	const name = "records.json"
 	records := []Record{
@@ -21,6 +21,6 @@
 	}
 	golden.Check(t, *update, name, Encode(records))
 	if got := Decode(golden.Read(t, name)); !reflect.DeepEqual(got, records) {
-		t.Errorf("read as %+v, want %+v", got, records)
+		t.Errorf("Decode = %+v, want %+v", got, records)
 	}
 }
