--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// MaxEagerEndpoints is the number of endpoints up to which a list is passed to the engine as a whole. It also limits
-// the memory for other records: see HasDestination and WorkingSet.EndpointAdded.
+// MaxEagerEndpoints is the number of endpoints up to which a list is passed to the engine as a whole. A Catalog can
+// keep at least this number of destinations without endpoints: see HasDestination.
 const MaxEagerEndpoints = 4096
 
 // Endpoint is one entry of discovery's list.
@@ -72,7 +72,7 @@
 
 	endpoints     table[endpointSlot]
 	endpointIndex hashIndex // by endpoint id
-	first, last   uint32    // endpoints at the ends of the list order: see All
+	first, last   uint32    // the first and the last endpoint in list order: see All
 	inSnapshot    bool      // a snapshot is being applied, whose endpoints move to the end of the list order
 	firstSeen     uint32    // the first endpoint in list order that the snapshot has named, or none
 
--- a/internal/state/catalog/encoding.go
+++ b/internal/state/catalog/encoding.go
@@ -23,8 +23,8 @@
 	maxIPv4Text = len("255.255.255.255:65535")
 )
 
-// mayBeIPv4 reports whether an address has only characters of an IPv4 address with port. It spares host names the
-// parser, whose error costs an allocation.
+// mayBeIPv4 reports whether an address has only characters of an IPv4 address with port. The check avoids the
+// allocation of the parser's error for host names.
 func mayBeIPv4(addr string) bool {
 	for i := range len(addr) {
 		if b := addr[i]; b != '.' && b != ':' && (b < '0' || b > '9') {
--- a/internal/state/catalog/hashindex.go
+++ b/internal/state/catalog/hashindex.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// hashIndex finds records by a hash. It uses linear hashing: the number of buckets grows and shrinks one by one with
-// the number of records, so that no change rebuilds the table. The records of a bucket form a linked list, whose
+// hashIndex finds records by a hash. It uses linear hashing: the number of buckets grows and shrinks by one as the
+// number of records does, so that no change rebuilds the table. The records of a bucket form a linked list, whose
 // links are stored in the records.
 type hashIndex struct {
 	buckets table[uint32]        // the first record of each bucket
--- a/internal/state/catalog/snapshot_test.go
+++ b/internal/state/catalog/snapshot_test.go
@@ -60,7 +60,7 @@
 	kinds           []ChangeKind // of the changes by all entries
 	all             string       // ids of all endpoints, in list order
 	destination1    string       // ids of the endpoints of destination 1, in list order
-	swept           string       // ids of the endpoints that were swept after any list
+	swept           string       // ids of the endpoints that the sweeps removed
 	hasDestination2 bool
 }{
 	{
--- a/internal/state/catalog/workingset.go
+++ b/internal/state/catalog/workingset.go
@@ -33,7 +33,7 @@
 		idleTimeout:   idleTimeout,
 		byDestination: map[policy.DestinationID]*list.Element{},
 		recentlyAdded: map[policy.DestinationID]time.Duration{},
-		allAddedAt:    math.MinInt64 / 2, // in the distant past, but far enough from overflow
+		allAddedAt:    math.MinInt64 / 2, // in the distant past; half of the minimum, since sums must not overflow
 	}
 }
 
@@ -56,9 +56,9 @@
 	return true
 }
 
-// EndpointAdded records that an endpoint of a destination was added to the list at now. If that holds for more than
-// MaxEagerEndpoints destinations within policy.MaxInitialSpread, the set no longer tracks each of them, but treats
-// every destination as if an endpoint had been added at now.
+// EndpointAdded records that an endpoint was added to a destination at now. If more than MaxEagerEndpoints destinations
+// had one added within policy.MaxInitialSpread, the set no longer tracks each destination, but treats every destination
+// as if an endpoint had been added to it at now.
 func (w *WorkingSet) EndpointAdded(destination policy.DestinationID, now time.Duration) {
 	w.recentlyAdded[destination] = now
 	if len(w.recentlyAdded) <= MaxEagerEndpoints {
--- a/internal/state/clock/timeline_test.go
+++ b/internal/state/clock/timeline_test.go
@@ -84,8 +84,8 @@
 		t.Errorf("epochs %v, want %v", got, c.wantEpochs)
 	}
 
-	// In a third process, the timeline has advanced by the true time since the second one began, even if the wall clock
-	// was set before.
+	// From the second process to a third one, the timeline advances by the true time, even if the wall clock was set
+	// before.
 	wall = wall.Add(time.Second)
 	uptime += time.Second
 	third, _ := Resume(&anchor, bootclock.Reading{Wall: wall, BootID: c.bootIDs[1], Uptime: uptime})
--- a/internal/state/endpointhealth/endpointhealth.go
+++ b/internal/state/endpointhealth/endpointhealth.go
@@ -94,8 +94,8 @@
 )
 
 // Changed reports whether the current records must be saved because they differ from the saved ones. An endpoint that
-// became healthy again is a difference. The passage of time alone is none until the saved records are older than
-// refreshInterval.
+// became healthy again is a difference. While an endpoint stays unhealthy, the records also differ once the saved ones
+// are older than refreshInterval.
 func Changed(saved, current []Record) bool {
 	saved = onlyUnhealthy(saved)
 	current = onlyUnhealthy(current)
--- a/internal/state/endpointhealth/events.go
+++ b/internal/state/endpointhealth/events.go
@@ -17,7 +17,7 @@
 
 // Events returns the events that restore the records of a former process in a new engine. now is the time on the
 // journal's timeline. The engine must receive the endpoint list before these events. An endpoint is restored as
-// ejected or warming up for as long as an outage may still have effects, which is warmUp after it was observed.
+// ejected or warming up only if it was observed less than warmUp ago, since an outage may have effects for that long.
 func Events(records []Record, now time.Time, warmUp time.Duration) []policy.Event {
 	var events []policy.Event
 	// Deliveries by healthy endpoints come first, since the engine could otherwise suspect endpoints that the former
--- a/internal/state/endpointhealth/events_test.go
+++ b/internal/state/endpointhealth/events_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// destinationIsHealthy reports whether no endpoint of the destination of an endpoint has a record.
+// destinationIsHealthy reports whether no endpoint in the destination of view has a record.
 func destinationIsHealthy(e *policy.Engine, records []Record, view policy.EndpointView) bool {
 	return !slices.ContainsFunc(records, func(r Record) bool {
 		return r.Endpoint == view.ID || findView(e, r.Endpoint).Destination == view.Destination
