--- a/internal/state/catalog/workingset_test.go
+++ b/internal/state/catalog/workingset_test.go
@@ -61,7 +61,7 @@
 	for i, d := range []policy.DestinationID{7, -1, 3, 9} {
 		now := time.Duration(i) * time.Second
 		if !w.Activate(d, now) || w.Activate(d, now) || !w.Contains(d) {
-			t.Fatalf("destination %d: want the first Activate to return true, the second false", d)
+			t.Fatalf("destination %d: want true, then false from Activate, and the destination active", d)
 		}
 	}
 	pinned[-1] = true
--- a/internal/state/endpointhealth/events_test.go
+++ b/internal/state/endpointhealth/events_test.go
@@ -102,7 +102,7 @@
 		t.Fatalf("%s: %+v before the restart, %+v after it", before.ID, before, after)
 	}
 	if left > 0 && after.RetryAfterUntil < now+left {
-		t.Fatalf("%s: Retry-After ends in %v, want %v", before.ID, after.RetryAfterUntil-now, left)
+		t.Fatalf("%s: Retry-After ends in %v, want at least %v", before.ID, after.RetryAfterUntil-now, left)
 	}
 }
 
