--- a/internal/state/journal/bench_test.go
+++ b/internal/state/journal/bench_test.go
@@ -14,11 +14,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The benchmarks compare the legacy log and the journal, both on files: go test -run '^$' -bench . and, at 512 MB, too,
-// with -large.
-var large = flag.Bool("large", false, "benchmarks at 512 MB and a million records")
+// large adds long benchmarks. All benchmarks of this package use real files, and some compare the legacy log with the
+// journal. To run them: go test -run '^$' -bench .
+var large = flag.Bool("large", false, "also run benchmarks at 512 MB, with a million records, and BenchmarkPeakHour")
 
-// diskLimit is a limit on disk at which benchmarks run.
+// diskLimit is a disk limit under which benchmarks run.
 type diskLimit struct {
 	name  string
 	bytes int64
@@ -32,10 +32,10 @@
 	return limits
 }
 
-// limitFor returns a limit that leaves ample room for a number of messages.
+// limitFor returns a disk limit with ample space for a number of messages.
 func limitFor(messages int) int64 { return max(store.MinLimit, int64(messages)*3000) }
 
-// heapBytes returns the bytes in use on the heap after a collection.
+// heapBytes returns the bytes in use on the heap after a garbage collection.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -43,18 +43,18 @@
 	return int64(stats.HeapAlloc)
 }
 
-// milliseconds returns a duration as a fraction of milliseconds.
+// milliseconds converts a duration to milliseconds with a fraction.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// reportWrites reports how many bytes the store has written for each committed byte.
+// reportWrites reports the write amplification: the bytes that the store has written per committed byte.
 func reportWrites(b *testing.B, stats store.Stats) {
 	b.Helper()
 	written := stats.CommittedBytes + stats.CompactedBytes
 	b.ReportMetric(float64(written)/float64(stats.CommittedBytes), "write-amp")
 }
 
-// BenchmarkAcceptAndRemove accepts a message and removes the oldest one, with 30 % of the limit in use, and reports the
-// longest accept: the one in which the legacy log compacts itself.
+// BenchmarkAcceptAndRemove accepts a message and removes the oldest one while 30 % of the disk limit is in use. It
+// reports the longest accept. In the legacy log, that is one that compacts the whole log.
 func BenchmarkAcceptAndRemove(b *testing.B) {
 	for _, limit := range diskLimits() {
 		for _, kind := range []writerKind{legacyKind, journalKind} {
@@ -64,7 +64,7 @@
 }
 
 func benchmarkAcceptAndRemove(b *testing.B, kind writerKind, limit int64) {
-	const bytesPerMessage = 1300 // in either of the two, with room to spare
+	const bytesPerMessage = 1300 // upper bound of a message's size on disk, for both kinds of writer
 	dir := b.TempDir()
 	w := openWriter(b, kind, dir, limit)
 	live := policy.MessageID(float64(limit) * 0.3 / bytesPerMessage)
@@ -100,7 +100,7 @@
 	must(b, w.close())
 }
 
-// BenchmarkOpen recovers stores of many live records.
+// BenchmarkOpen measures the recovery of stores with many live values.
 func BenchmarkOpen(b *testing.B) {
 	counts := []int{1000, 100_000}
 	if *large {
@@ -132,11 +132,11 @@
 		st, recovery, err := store.Open(store.Dir(dir), options)
 		must(b, err)
 		if len(recovery.Keys) != count {
-			b.Fatal(len(recovery.Keys))
+			b.Fatalf("recovered %d values, want %d", len(recovery.Keys), count)
 		}
 		bytesRead += recovery.Bytes()
 		b.StopTimer()
-		recovery = nil // what is left on the heap is the store's
+		recovery = nil // heapBytes must count only the store
 		heapAfter = heapBytes()
 		runtime.KeepAlive(st)
 		must(b, st.Close())
@@ -146,7 +146,7 @@
 	b.ReportMetric(float64(heapAfter-heapBefore)/float64(count), "B/live")
 }
 
-// BenchmarkCommit measures the store alone: a value, a delta and a deletion in one commit.
+// BenchmarkCommit measures the store without the journal: a value, a delta and a deletion in one commit.
 func BenchmarkCommit(b *testing.B) {
 	const maxLive = 1000
 	st, _, err := store.Open(store.Dir(b.TempDir()), store.Options{Limit: 64e6})
@@ -165,7 +165,7 @@
 		}
 		must(b, st.Commit(batch))
 		if st.CompactionDue() {
-			_, err := st.Compact(minCompaction)
+			_, err := st.Compact(minCompactionBytes)
 			must(b, err)
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 }
 
-// folderSize returns the bytes of all files in a folder and below it.
+// folderSize returns the total size in bytes of the files in a folder and its subfolders.
 func folderSize(b *testing.B, dir string) int64 {
 	b.Helper()
 	size := int64(0)
@@ -203,7 +203,8 @@
 	return size
 }
 
-// BenchmarkMemoryPerMessage reports what an open journal holds in memory for each live message whose body is on disk.
+// BenchmarkMemoryPerMessage reports how many bytes of memory an open journal uses for each live message whose body is
+// only on disk.
 func BenchmarkMemoryPerMessage(b *testing.B) {
 	for _, count := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -218,9 +219,9 @@
 				j, recovery, err := OpenFolder(dir, Options{Limit: limitFor(count), MaxBodyBytes: 1})
 				must(b, err)
 				if len(recovery.Messages) != count {
-					b.Fatal(len(recovery.Messages))
+					b.Fatalf("recovered %d messages, want %d", len(recovery.Messages), count)
 				}
-				recovery = nil // what is left on the heap is the journal's
+				recovery = nil // heapBytes must count only the journal
 				b.ReportMetric(float64(heapBytes()-heapBefore)/float64(count), "B/live")
 				must(b, j.Close())
 			}
--- a/internal/state/journal/encoding.go
+++ b/internal/state/journal/encoding.go
@@ -8,22 +8,23 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// This file defines the encoding of what is in the store. A message is a value: a version byte, then its fields as
-// zigzag varints and as strings behind their lengths, then the body up to the end of the value. What happens to a
-// message later is a delta to its value: a kind byte and the fields of that kind.
+// This file defines the encoding of the values and deltas in the store. A message is stored as a value: a version
+// byte, the fields of the message, and the body, which extends to the end of the value. Integers are zigzag varints.
+// Strings are preceded by their length as an unsigned varint. Each later change to a message is stored as a delta to
+// its value: a kind byte and the fields of that kind.
 
-// The version bytes, with which each value begins.
+// Version bytes. Each value begins with one.
 const (
 	messageVersion = 1
-	healthVersion  = 0x81 // data of Journal.SaveEndpointHealth
-	anchorVersion  = 0x82 // anchor of the timeline
+	healthVersion  = 0x81 // endpoint health, as passed to Journal.SaveEndpointHealth
+	anchorVersion  = 0x82 // anchor of the timeline (clock.Anchor)
 )
 
-// deltaKind is the byte with which a delta begins.
+// deltaKind is the first byte of a delta and identifies the change to the message.
 type deltaKind byte
 
 const (
-	// deltaRemove is never stored: a removed message is deleted from the store.
+	// deltaRemove occurs only in pending records and is never stored: a removed message is deleted from the store.
 	deltaRemove deltaKind = iota
 	deltaSend
 	deltaNotRun
@@ -31,7 +32,7 @@
 	deltaCancelled
 )
 
-// valueVersion returns the version byte of a value; 0, which is no version, if the value is empty.
+// valueVersion returns the version byte of a value, or 0, which is not a version, if the value is empty.
 func valueVersion(value []byte) byte {
 	if len(value) == 0 {
 		return 0
@@ -45,7 +46,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// appendAttempt appends an attempt. Its epoch is 0 if the attempt is undated.
+// appendAttempt appends the encoding of an attempt. The epoch of an undated attempt is encoded as 0.
 func appendAttempt(b []byte, a *Attempt, timeline clock.Timeline) []byte {
 	b = appendVarint(b, int64(a.Number))
 	b = appendString(b, a.Endpoint)
@@ -66,7 +67,7 @@
 	return appendVarint(b, int64(answer.RetryAfter))
 }
 
-// appendHeader appends all of a message but its body.
+// appendHeader appends the encoding of all fields of a message except its body.
 func (m *Message) appendHeader(b []byte, timeline clock.Timeline) []byte {
 	b = append(b, messageVersion)
 	b = appendVarint(b, int64(m.ID))
@@ -86,9 +87,10 @@
 	return b
 }
 
-// reader reads fields in sequence. Once a field is malformed failed is set, and this field and all later ones are zero.
+// reader decodes fields in sequence. After a malformed field, failed is set, and that field and all later ones read
+// as zero.
 type reader struct {
-	data     []byte // not read yet
+	data     []byte // input that is not decoded yet
 	timeline clock.Timeline
 	failed   bool
 }
@@ -122,7 +124,7 @@
 
 func (r *reader) readTime() time.Time { return r.timeline.Time(r.readInt()) }
 
-// readAttempt reads an attempt. One that was made in another epoch is undated.
+// readAttempt reads an attempt. It is marked as undated unless its epoch is known and is the current epoch.
 func (r *reader) readAttempt() Attempt {
 	a := Attempt{
 		Number:   int(r.readInt()),
@@ -135,13 +137,13 @@
 	return a
 }
 
-// decodeMessage decodes a message. It returns false if the value is not of this encoding.
+// decodeMessage decodes a message. It returns false if the value is not a message of a known version or is malformed.
 func decodeMessage(value []byte, timeline clock.Timeline) (*Message, bool) {
 	if valueVersion(value) != messageVersion {
 		return nil, false
 	}
 	r := &reader{data: value[1:], timeline: timeline}
-	m := &Message{ // the fields in the order in which appendHeader writes them
+	m := &Message{ // in the order in which appendHeader writes the fields
 		ID:             policy.MessageID(r.readInt()),
 		Class:          int(r.readInt()),
 		Tenant:         int(r.readInt()),
@@ -155,7 +157,7 @@
 	}
 	count := r.readInt()
 	if count < 0 || count > int64(len(r.data)) {
-		return nil, false // an attempt takes more than a byte: this guards against a huge loop over damaged data
+		return nil, false // an attempt takes more than a byte: without this check, damaged data could cause a huge loop
 	}
 	for range count {
 		m.UncertainAttempts = append(m.UncertainAttempts, r.readAttempt())
@@ -169,7 +171,7 @@
 	return m, true
 }
 
-// applyDelta applies a delta. It returns false if the delta is not of this encoding.
+// applyDelta decodes a delta and applies it to m. It returns false if the kind is unknown or the delta is malformed.
 func (m *Message) applyDelta(delta []byte, timeline clock.Timeline) bool {
 	if len(delta) == 0 {
 		return false
@@ -199,7 +201,7 @@
 	return !r.failed && len(r.data) == 0
 }
 
-// encodeAnchor appends an anchor.
+// encodeAnchor appends the encoding of an anchor.
 func encodeAnchor(a *clock.Anchor, b []byte) []byte {
 	b = append(b, anchorVersion)
 	b = appendString(b, a.BootID)
@@ -209,7 +211,7 @@
 	return appendVarint(b, a.Epoch)
 }
 
-// decodeAnchor decodes an anchor; nil if the value is not of this encoding.
+// decodeAnchor decodes an anchor. It returns nil if the value is malformed.
 func decodeAnchor(value []byte) *clock.Anchor {
 	r := &reader{data: value[1:]}
 	a := &clock.Anchor{
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -1,7 +1,8 @@
-// Package journal records what a relay must know after a restart: the messages that it has accepted, their attempts,
-// the attempts that may have run, and final answers that are not delivered yet. It stores them in an embedded
-// log-structured store. What has been written survives the end of the process, SIGKILL included. The package only
-// records: it makes no decisions about messages.
+// Package journal stores what a relay needs after a restart: the messages that it has accepted, their attempts, which
+// of these attempts may have run, final answers that are not delivered yet, and the health of endpoints. An attempt
+// has run if the endpoint processed the message. The data is kept in the log-structured store of package store.
+// Written data survives the end of the process, SIGKILL included. The package only stores records: it makes no
+// decisions about messages.
 package journal
 
 import (
@@ -15,19 +16,21 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// ErrFull reports that there is no room for new messages. Attempts, outcomes and removals still find room.
+// ErrFull reports that the disk limit leaves no space for new messages. Attempts, outcomes and removals can still be
+// written.
 var ErrFull = errors.New("no room for new messages")
 
 // Options configure a Journal.
 type Options struct {
-	Limit    int64 // bytes on disk
+	Limit    int64 // maximum size on disk, in bytes
 	Sync     store.SyncPolicy
-	Interval time.Duration // between syncs, under store.SyncInterval
-	// MaxBodyBytes bounds the bodies that stay in memory in addition to the store; 0 means no bound.
+	Interval time.Duration // time between syncs, if Sync is store.SyncInterval
+	// MaxBodyBytes limits the total size of the message bodies that are kept in memory in addition to the store. 0
+	// means no limit.
 	MaxBodyBytes int64
 	// Clock reads the machine's clocks; nil means bootclock.Now.
 	Clock func() bootclock.Reading
-	// WrapFS wraps the file system of the journal's folder; nil leaves it as it is.
+	// WrapFS wraps the file system of the journal's folder in OpenFolder; nil means no wrapping.
 	WrapFS func(store.FS) store.FS
 
 	readOnly bool
@@ -37,22 +40,22 @@
 type Journal struct {
 	store     *store.Store
 	options   Options
-	live      map[policy.MessageID]*Message // messages that are not removed, by ID
+	live      map[policy.MessageID]*Message // accepted messages that are not removed, by ID
 	pending   []pendingRecord
-	scratch   []byte // reused for encoding and for reading values
-	bodyBytes int64  // of the bodies in memory
+	scratch   []byte // buffer reused for encoding and for reading values
+	bodyBytes int64  // total size of the bodies in memory
 
-	// healthKeys and anchorKeys are the store's keys of saved endpoint health and of anchors. Only the last of each
-	// counts.
+	// healthKeys and anchorKeys are the store keys under which endpoint health and anchors of the timeline are saved.
+	// If there are several, only the value of the last key is used.
 	healthKeys []uint64
 	anchorKeys []uint64
 
 	timeline      clock.Timeline
-	anchor        clock.Anchor // the one that should be stored: the store may have had no room for it
-	compactionErr error        // the first since CompactionError was last called
+	anchor        clock.Anchor // current anchor; not in the store if there was no space for it
+	compactionErr error        // first error since the last call of CompactionError
 }
 
-// Open opens the journal in a file system, or creates one.
+// Open opens the journal in fs, or creates one there.
 func Open(fs store.FS, options Options) (*Journal, *Recovery, error) {
 	if options.Clock == nil {
 		options.Clock = bootclock.Now
@@ -74,7 +77,8 @@
 	return j, recovery, nil
 }
 
-// Close writes what is pending and how far the wall clock has been set by now, and closes the store.
+// Close writes the pending records, saves a new anchor if the wall clock was set while the journal was open, and
+// closes the store.
 func (j *Journal) Close() error {
 	err := j.Flush()
 	if err == nil && !j.options.readOnly {
@@ -83,10 +87,10 @@
 	return errors.Join(err, j.store.Close())
 }
 
-// Stats returns the store's use of space and work.
+// Stats returns the statistics of the store.
 func (j *Journal) Stats() store.Stats { return j.store.Stats() }
 
-// Tracks reports whether m was accepted and is not removed yet.
+// Tracks reports whether m was accepted and has not been removed.
 func (j *Journal) Tracks(m *Message) bool { return j.live[m.ID] == m }
 
 // Body returns the body of a message, from memory or from the store.
@@ -101,7 +105,8 @@
 	return value[len(value)-m.bodySize:], nil
 }
 
-// retainBody keeps the body of a stored message in memory, unless the bodies there would then exceed their bound.
+// retainBody keeps the body of a stored message in memory, unless the total size of the bodies there would exceed
+// MaxBodyBytes.
 func (j *Journal) retainBody(m *Message) {
 	m.bodySize = len(m.Body)
 	if j.options.MaxBodyBytes > 0 && j.bodyBytes+int64(m.bodySize) > j.options.MaxBodyBytes {
@@ -111,14 +116,15 @@
 	j.bodyBytes += int64(m.bodySize)
 }
 
-// releaseBody takes a removed message's body out of the count of bodies in memory.
+// releaseBody subtracts a removed message's body from bodyBytes if the body was in memory.
 func (j *Journal) releaseBody(m *Message) {
 	if m.Body != nil {
 		j.bodyBytes -= int64(m.bodySize)
 	}
 }
 
-// CompactionError returns the first error that stopped compaction since it was last called, if there was one.
+// CompactionError returns the first compaction error since the previous call of CompactionError, or nil if there was
+// none.
 func (j *Journal) CompactionError() error {
 	err := j.compactionErr
 	j.compactionErr = nil
--- a/internal/state/journal/metadata.go
+++ b/internal/state/journal/metadata.go
@@ -7,18 +7,19 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/clock"
 )
 
-// Stamp converts a time of this process to the journal's timeline, in the form of a wall time. Setting the wall clock
-// does not affect it, so times within the data for SaveEndpointHealth should be converted this way.
+// Stamp converts a time of this process to the journal's timeline and returns it in the form of a wall time. Setting
+// the wall clock does not affect the result, so times in the data for SaveEndpointHealth should be converted with
+// Stamp.
 func (j *Journal) Stamp(t time.Time) time.Time { return time.Unix(0, j.timeline.Stamp(t)) }
 
-// SaveEndpointHealth stores data for the next process, in place of what was stored before, in one commit with all that
-// is pending. After ErrFull the former data stays.
+// SaveEndpointHealth stores data for the next process and replaces the data stored before. Pending records are
+// written in the same commit. After ErrFull the data stored before remains.
 func (j *Journal) SaveEndpointHealth(data []byte) error {
 	return j.replace(&j.healthKeys, append([]byte{healthVersion}, data...))
 }
 
-// saveAnchor writes the anchor unless the store already holds it. If there is no room, the next process continues from
-// the anchor before it.
+// saveAnchor stores the current anchor unless the store already holds it. If there is no space, saveAnchor returns no
+// error, and the next process continues the timeline from the previous anchor.
 func (j *Journal) saveAnchor() error {
 	saved, err := j.savedAnchor()
 	if err != nil {
@@ -34,7 +35,7 @@
 	return err
 }
 
-// savedAnchor returns the last anchor in the store; nil if there is none or if it cannot be decoded.
+// savedAnchor returns the last anchor in the store. It returns nil if there is none or if it cannot be decoded.
 func (j *Journal) savedAnchor() (*clock.Anchor, error) {
 	if len(j.anchorKeys) == 0 {
 		return nil, nil
@@ -46,7 +47,7 @@
 	return decodeAnchor(value), nil
 }
 
-// updateAnchor writes a new anchor if the wall clock was set while this process ran.
+// updateAnchor stores a new anchor if the wall clock was set while this process ran.
 func (j *Journal) updateAnchor() error {
 	_, now := clock.Resume(&j.anchor, j.options.Clock())
 	if now.WallOffset == j.anchor.WallOffset {
@@ -56,7 +57,8 @@
 	return j.saveAnchor()
 }
 
-// replace puts a value in place of those under keys.
+// replace stores a value and deletes the values under keys in one commit. keys then holds only the key of the new
+// value.
 func (j *Journal) replace(keys *[]uint64, value []byte) error {
 	batch := j.beginBatch()
 	key := batch.Put(nil, value)
--- a/internal/state/journal/migrate.go
+++ b/internal/state/journal/migrate.go
@@ -21,8 +21,8 @@
 func Folder(stateFolder string) string { return filepath.Join(stateFolder, folderName) }
 
 // OpenFolder opens the journal in a relay's state folder, or creates one, and migrates the messages of a legacy log
-// there. The log is removed once all of it is in the journal: after a crash on the way the log is still there, and what
-// was migrated before is not migrated again.
+// in that folder to the journal. The legacy log is removed after all its messages are in the journal. If a crash
+// interrupts the migration, the next call migrates the messages that are not in the journal yet.
 func OpenFolder(stateFolder string, options Options) (*Journal, *Recovery, error) {
 	dir := Folder(stateFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -42,7 +42,7 @@
 	return j, recovery, nil
 }
 
-// Read opens the journal of a state folder to be read only, also while a relay uses it.
+// Read opens the journal of a state folder read-only. A relay may be using the journal at the same time.
 func Read(stateFolder string, limit int64) (*Journal, *Recovery, error) {
 	return Open(store.Dir(Folder(stateFolder)), Options{Limit: limit, readOnly: true})
 }
@@ -57,14 +57,14 @@
 	if err != nil {
 		return err
 	}
-	log, found, err := legacylog.Open(stateFolder, math.MaxInt64) // nothing is written to it, so no limit is needed
+	log, found, err := legacylog.Open(stateFolder, math.MaxInt64) // no limit is needed: nothing is written to the log
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // an error loses nothing: the log was only read
+	defer func() { _ = log.Close() }() // safe to ignore: the log was only read
 	for _, old := range found.Messages {
 		if j.live[policy.MessageID(old.ID)] != nil {
-			continue // migrated before a crash
+			continue // migrated by an earlier process, which crashed
 		}
 		m, err := j.migrateMessage(old, found.Damaged)
 		if err != nil {
@@ -76,7 +76,8 @@
 	return os.Remove(path)
 }
 
-// migrateMessage writes a message of a legacy log to the journal.
+// migrateMessage writes a message of a legacy log to the journal and returns it. uncertain reports that the log was
+// damaged, so that records of the message may be missing.
 func (j *Journal) migrateMessage(old *legacylog.Message, uncertain bool) (*Message, error) {
 	m := convertMessage(old)
 	m.Uncertain = uncertain
@@ -95,8 +96,8 @@
 	return m, nil
 }
 
-// convertMessage returns a message of a legacy log as it is accepted by the journal. Its attempts are undated: the
-// legacy log does not say in which boot they were made.
+// convertMessage converts a message of a legacy log to a message that Accept can take. The attempts are undated
+// because the legacy log does not record in which boot they were made.
 func convertMessage(old *legacylog.Message) *Message {
 	m := &Message{
 		ID:             policy.MessageID(old.ID),
--- a/internal/state/journal/recovery.go
+++ b/internal/state/journal/recovery.go
@@ -9,25 +9,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// Recovery is what Open found in the store.
+// Recovery is what Open read from the store.
 type Recovery struct {
-	Messages []*Message // not removed yet, in the order of their IDs, in which they were accepted
+	Messages []*Message // messages that are not removed, sorted by ID, which is the order of acceptance
 	Store    *store.Recovery
-	// EndpointHealth is what Journal.SaveEndpointHealth stored last.
+	// EndpointHealth is the data of the last successful call of Journal.SaveEndpointHealth.
 	EndpointHealth []byte
-	// Migrated counts the messages that were taken over from a legacy log.
+	// Migrated is the number of messages that OpenFolder migrated from a legacy log.
 	Migrated int
-	// ClockStep is by how much the wall clock was set since the journal was last opened, measured by the boot clock.
+	// ClockStep is the amount by which the wall clock was set since the stored anchor was written, measured against
+	// the boot clock. It is 0 after a reboot, since the boot clock then starts again.
 	ClockStep time.Duration
-	// Unreadable counts the values in the store that are no message of a known encoding.
+	// Unreadable is the number of values in the store that could not be decoded as messages.
 	Unreadable int
 }
 
-// Intact reports whether everything that was ever written could be read.
+// Intact reports whether the store could read all that was committed, and every message could be decoded.
 func (r *Recovery) Intact() bool { return r.Store.Intact() && r.Unreadable == 0 }
 
-// restore rebuilds the journal from what the store found. It also continues the timeline: a time that is read from a
-// message depends on it, so the anchor is read before any message.
+// restore rebuilds the journal from the recovered store. It continues the timeline first, because decoding the times
+// of a message depends on the timeline.
 func (j *Journal) restore(found *store.Recovery) (*Recovery, error) {
 	recovery := &Recovery{Store: found}
 	messageKeys, err := j.loadMetadata(found, recovery)
@@ -48,7 +49,8 @@
 	return recovery, nil
 }
 
-// loadMetadata reads the values that are not messages and continues the timeline. It returns the keys of the others.
+// loadMetadata reads the endpoint health and the anchors, and continues the timeline from the last anchor. It returns
+// the keys of all other values, which should be messages.
 func (j *Journal) loadMetadata(found *store.Recovery, recovery *Recovery) (messageKeys []uint64, err error) {
 	var last *clock.Anchor
 	for _, key := range found.Keys {
@@ -58,7 +60,7 @@
 		}
 		j.scratch = value
 		switch valueVersion(value) {
-		case healthVersion: // keys ascend, so the last value counts
+		case healthVersion: // keys ascend, so the last value is the newest
 			j.healthKeys = append(j.healthKeys, key)
 			recovery.EndpointHealth = append([]byte(nil), value[1:]...)
 		case anchorVersion:
@@ -95,7 +97,7 @@
 		}
 	}
 	if j.live[m.ID] != nil {
-		return nil // a second copy: the migration of a legacy log was interrupted between two writes
+		return nil // a second copy, left by an interrupted migration of a legacy log
 	}
 	j.live[m.ID] = m
 	j.retainBody(m)
--- a/internal/state/journal/write.go
+++ b/internal/state/journal/write.go
@@ -7,22 +7,25 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// Each write is followed by a step of compaction, so that the work is spread evenly and no write waits long.
+// Each write is followed by a step of compaction if the store needs one. The size of a step is bounded, so that the
+// work is spread evenly and no write takes long.
 const (
-	// minCompaction is the least that a step copies, in bytes: enough for small writes to make progress, too.
-	minCompaction = 8 << 10
-	// compactionRatio is how many times the bytes just written a step copies: compaction must outrun the writes.
+	// minCompactionBytes is the minimum number of bytes in a step. It lets compaction advance when writes are small.
+	minCompactionBytes = 8 << 10
+	// compactionRatio is the number of bytes in a step per byte that was just written. Compaction must free space
+	// faster than writes use it.
 	compactionRatio = 3
 )
 
-// pendingRecord is an outcome, a final answer or a removal that waits for the next write.
+// pendingRecord is a change to a message that the next write includes: an outcome, a final answer, a cancellation or
+// a removal.
 type pendingRecord struct {
 	message *Message
 	kind    deltaKind
-	attempt int // its number, for deltaNotRun
+	attempt int // number of the attempt, only for deltaNotRun
 }
 
-// Accept records that messages are accepted, all or none. After ErrFull none of them is in the journal.
+// Accept records messages as accepted, either all of them or none. After ErrFull none of them is in the journal.
 func (j *Journal) Accept(messages ...*Message) error {
 	batch := j.beginBatch()
 	keys := make([]uint64, 0, 16)
@@ -41,7 +44,8 @@
 	return nil
 }
 
-// RecordSends records attempts, all or none. It is called before the first byte of any of them leaves.
+// RecordSends records attempts, either all of them or none. It must be called before the first byte of any of them is
+// sent.
 func (j *Journal) RecordSends(sends ...Send) error {
 	batch := j.beginBatch()
 	for i := range sends {
@@ -58,8 +62,8 @@
 	return nil
 }
 
-// RecordNotRun notes an outcome which proves that an attempt never ran. No other outcome needs a record: it would
-// change nothing for the next process.
+// RecordNotRun adds a pending record of an outcome that proves that an attempt never ran. Other outcomes need no
+// record: the attempt stays uncertain after them, as it is without an outcome.
 func (j *Journal) RecordNotRun(m *Message, attempt int) {
 	if !j.Tracks(m) {
 		return
@@ -68,7 +72,7 @@
 	j.pending = append(j.pending, pendingRecord{message: m, kind: deltaNotRun, attempt: attempt})
 }
 
-// RecordFinal notes the final answer that will end m.
+// RecordFinal adds a pending record of the final answer of m.
 func (j *Journal) RecordFinal(m *Message, answer FinalAnswer) {
 	if !j.Tracks(m) {
 		return
@@ -77,8 +81,8 @@
 	j.pending = append(j.pending, pendingRecord{message: m, kind: deltaFinal})
 }
 
-// RecordCancelled notes that the client of m waits for no answer. Until Remove the journal keeps which attempts may
-// have run.
+// RecordCancelled adds a pending record that the client of m no longer waits for an answer. The journal keeps the
+// uncertain attempts of m until Remove.
 func (j *Journal) RecordCancelled(m *Message) {
 	if !j.Tracks(m) {
 		return
@@ -87,7 +91,7 @@
 	j.pending = append(j.pending, pendingRecord{message: m, kind: deltaCancelled})
 }
 
-// Remove notes that m is complete and need not be known any longer.
+// Remove stops tracking m, which is complete, and adds a pending record of its removal.
 func (j *Journal) Remove(m *Message) {
 	if !j.Tracks(m) {
 		return
@@ -97,7 +101,7 @@
 	j.pending = append(j.pending, pendingRecord{message: m, kind: deltaRemove})
 }
 
-// Flush writes what is pending. After an error it stays pending for the next write.
+// Flush writes the pending records. After an error they stay pending for the next write.
 func (j *Journal) Flush() error {
 	if len(j.pending) == 0 {
 		return nil
@@ -126,8 +130,8 @@
 	return batch
 }
 
-// commit writes a batch, which begins with the pending records, and then compacts in proportion. If there is no room
-// for new messages it writes the pending records alone.
+// commit writes a batch from beginBatch, which includes the pending records, and then runs a step of compaction if one
+// is due. If there is no space for new messages, commit writes only the pending records and returns ErrFull.
 func (j *Journal) commit(batch *store.Batch) error {
 	committedBefore := j.store.Stats().CommittedBytes
 	err := j.store.Commit(batch)
@@ -159,15 +163,15 @@
 	return nil
 }
 
-// compact runs a step of compaction if the store needs one, in proportion to what was written since
-// Stats.CommittedBytes was committedBefore. An error does not fail the write, which succeeded: the next step tries
-// again, and CompactionError reports it.
+// compact runs a step of compaction if the store needs one. committedBefore is Stats.CommittedBytes before the write;
+// the size of the step is in proportion to the bytes written since then. A compaction error does not fail the write:
+// the next step tries again, and CompactionError returns the error.
 func (j *Journal) compact(committedBefore int64) {
 	if !j.store.CompactionDue() {
 		return
 	}
 	written := int(j.store.Stats().CommittedBytes - committedBefore)
-	_, err := j.store.Compact(max(minCompaction, compactionRatio*written))
+	_, err := j.store.Compact(max(minCompactionBytes, compactionRatio*written))
 	if err != nil && j.compactionErr == nil {
 		j.compactionErr = err
 	}
