--- a/internal/state/journal/bench_peak_test.go
+++ b/internal/state/journal/bench_peak_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	peakTick    = 5 * time.Millisecond
-	maxLifetime = 12 * time.Second // of a message
+	peakTick    = 5 * time.Millisecond // virtual time per step of the simulation
+	maxLifetime = 12 * time.Second     // longest time from acceptance to removal of a message
 )
 
-// peakHour plays an hour of messages in virtual time.
+// peakHour simulates an hour of messages in virtual time.
 type peakHour struct {
 	b       *testing.B
 	rng     *rand.Rand
 	journal *Journal
-	// removals is a ring of messages by the tick in which they are removed.
+	// removals is a ring buffer with one entry for each tick: the messages that are removed in that tick.
 	removals [int(maxLifetime/peakTick) + 1][]*Message
 
 	lastID      policy.MessageID
@@ -31,12 +31,13 @@
 	longestStep time.Duration
 }
 
-// BenchmarkPeakHour plays an hour in which arrivals rise from 40 to 360 messages a second and fall again. Nine of ten
-// messages are removed within 0.6 s and the others within 12 s, and a fifth has a second attempt. The small limit is
-// the one of the platform. It reports what the hour costs, and how many messages were rejected for want of room.
+// BenchmarkPeakHour simulates an hour in which the arrival rate rises from 40 to 360 messages per second and falls
+// again. Nine of ten messages are removed within 0.6 s, the others within 12 s. A fifth of the messages has a second
+// attempt. The smaller disk limit is the platform's. The benchmark reports the cost of the hour and how many messages
+// were rejected because the journal was full.
 func BenchmarkPeakHour(b *testing.B) {
 	if !*large {
-		b.Skip("with -large")
+		b.Skip("runs only with -large")
 	}
 	for _, limit := range []int64{3e6, 64e6} {
 		b.Run(fmt.Sprint(limit/1e6, "MB"), func(b *testing.B) {
@@ -64,7 +65,7 @@
 	must(b, j.Close())
 }
 
-// step plays one tick: removals, then arrivals with their attempts.
+// step simulates one tick: it removes messages, accepts new ones and records their attempts.
 func (p *peakHour) step(at time.Duration) {
 	tick := int(at/peakTick) % len(p.removals)
 	begin := time.Now()
@@ -89,7 +90,7 @@
 	p.longestStep = max(p.longestStep, time.Since(begin))
 }
 
-// arrivals returns the messages that arrive in a tick.
+// arrivals returns the messages that arrive in the tick that starts at the given virtual time.
 func (p *peakHour) arrivals(at time.Duration) []*Message {
 	load := math.Sin(math.Pi * float64(at) / float64(time.Hour))
 	expected := (40 + 320*load*load) * peakTick.Seconds()
@@ -110,7 +111,7 @@
 	}
 }
 
-// scheduleRemoval chooses when a message is removed.
+// scheduleRemoval chooses the tick in which a message is removed.
 func (p *peakHour) scheduleRemoval(m *Message, tick int) {
 	lifetime := time.Duration(p.rng.Float64() * float64(600*time.Millisecond))
 	if p.rng.IntN(10) == 0 {
--- a/internal/state/journal/crash_test.go
+++ b/internal/state/journal/crash_test.go
@@ -16,7 +16,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// crashModel is what a journal must know in spite of crashes.
+// crashModel makes random changes to a journal and tracks what the journal must still hold after a crash.
 type crashModel struct {
 	rng        *rand.Rand
 	unfinished map[policy.MessageID]bool         // messages that were accepted and not removed
@@ -25,11 +25,11 @@
 	lastID     policy.MessageID
 
 	journal  *Journal
-	messages []*Message // in the open journal
+	messages []*Message // live messages of the open journal, oldest first
 }
 
-// Over many crashes, at any call of the file system, no accepted message is lost, no removed one comes back, and no
-// attempt that may have run is taken for one that did not.
+// Each process stops at a random call of the file system. After any number of such crashes, no accepted message is
+// lost, no removed message is recovered, and no attempt that may have run is missing from the uncertain attempts.
 func TestCrashesLoseNoMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &crashModel{
@@ -48,20 +48,20 @@
 				err = model.step()
 			}
 			if !errors.Is(err, faultfs.ErrStopped) {
-				t.Fatal(err)
+				t.Fatalf("a step failed with an error other than the simulated crash: %v", err)
 			}
 		}
 	})
 }
 
-// open opens the journal and compares what it found with the model.
+// open opens the journal and compares the recovered messages with the model.
 func (c *crashModel) open(t *rapid.T, fs store.FS) {
 	j, recovery, err := Open(fs, Options{Limit: store.MinLimit, MaxBodyBytes: 2000})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the journal after a crash: %v", err)
 	}
 	if !recovery.Intact() {
-		t.Fatalf("%+v", recovery.Store)
+		t.Fatalf("the recovery is not intact: %+v", recovery.Store)
 	}
 	c.journal = j
 	c.messages = recovery.Messages
@@ -79,18 +79,18 @@
 	c.unfinished = found
 }
 
-// checkMessage compares a message that was found with the model.
+// checkMessage compares a recovered message with the model.
 func (c *crashModel) checkMessage(t *rapid.T, m *Message) {
 	if c.removed[m.ID] {
-		t.Fatalf("message %d was removed and comes back", m.ID)
+		t.Fatalf("removed message %d is recovered", m.ID)
 	}
 	body, err := c.journal.Body(m)
 	if err != nil || !bytes.HasPrefix(body, []byte(fmt.Sprint("body of ", m.ID))) {
-		t.Fatalf("body of %d: %.30q, %v", m.ID, body, err)
+		t.Fatalf("message %d: body %.30q, error %v", m.ID, body, err)
 	}
 	for number := range c.uncertain[m.ID] {
 		if !slices.ContainsFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == number }) {
-			t.Fatalf("message %d: attempt %d may have run, and the journal does not know it", m.ID, number)
+			t.Fatalf("message %d: attempt %d may have run but is not recovered as uncertain", m.ID, number)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// accept accepts a new message. If there is no room it removes the oldest message instead.
+// accept accepts a new message. If there is no space, it removes the oldest message instead.
 func (c *crashModel) accept() error {
 	c.lastID++
 	m := message(c.lastID)
@@ -126,7 +126,7 @@
 	return err
 }
 
-// removeOldest removes the oldest message. Until this is written the message must not be lost.
+// removeOldest removes the oldest message. Until the removal is written, the message must not be lost.
 func (c *crashModel) removeOldest() error {
 	if len(c.messages) == 0 {
 		return nil
@@ -159,7 +159,7 @@
 		return nil
 	}
 	number := m.UncertainAttempts[0].Number
-	delete(c.uncertain[m.ID], number) // once it is pending, the attempt may be known or not
+	delete(c.uncertain[m.ID], number) // a pending record may or may not survive a crash
 	c.journal.RecordNotRun(m, number)
 	return c.journal.Flush()
 }
@@ -167,7 +167,7 @@
 func (c *crashModel) remove(i int) error {
 	m := c.messages[i]
 	c.messages = slices.Delete(slices.Clone(c.messages), i, i+1)
-	delete(c.unfinished, m.ID) // once it is pending, the message may come back or not
+	delete(c.unfinished, m.ID) // a pending removal may or may not survive a crash
 	c.journal.Remove(m)
 	if err := c.journal.Flush(); err != nil {
 		return err
--- a/internal/state/journal/encoding_test.go
+++ b/internal/state/journal/encoding_test.go
@@ -11,7 +11,7 @@
 // fixedTimeline is the timeline of a machine whose clock was never set.
 var fixedTimeline = clock.Timeline{Base: time.Unix(0, 0), Epoch: 1}
 
-// encodeMessage returns the value of a message.
+// encodeMessage encodes a message as a store value.
 func encodeMessage(m *Message) []byte {
 	return append(m.appendHeader(nil, fixedTimeline), m.Body...)
 }
@@ -28,12 +28,12 @@
 
 func TestApplyDeltaRejectsMalformedInput(t *testing.T) {
 	for name, delta := range map[string][]byte{
-		"empty":               nil,
-		"unknown kind":        {99},
-		"send without fields": {byte(deltaSend)},
-		"final cut off":       {byte(deltaFinal), 2},
-		"cancelled and more":  {byte(deltaCancelled), 1},
-		"not run and more":    append([]byte{byte(deltaNotRun), 2}, strings.Repeat("x", 9)...),
+		"empty":                 nil,
+		"unknown kind":          {99},
+		"send without fields":   {byte(deltaSend)},
+		"final cut off":         {byte(deltaFinal), 2},
+		"cancelled, extra byte": {byte(deltaCancelled), 1},
+		"not run, extra bytes":  append([]byte{byte(deltaNotRun), 2}, strings.Repeat("x", 9)...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if message(1).applyDelta(delta, fixedTimeline) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// Whatever is decoded is the same after it is encoded and decoded again.
+// A message that can be decoded stays the same when it is encoded and decoded again. Data that is not a message is
+// applied as a delta, which must not panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(encodeMessage(message(3)))
 	attempt := Attempt{Number: 1, Endpoint: "h", Zone: 2, SentAt: time.Unix(1, 2)}
@@ -56,24 +57,24 @@
 		}
 		again, ok := decodeMessage(encodeMessage(m), fixedTimeline)
 		if !ok || !equalMessages(m, again) {
-			t.Errorf("%+v, %+v", m, again)
+			t.Errorf("decoded %+v, after encoding and decoding again %+v", m, again)
 		}
 	})
 }
 
-// An anchor that cannot be decoded counts as none: times then depend on the wall clock.
+// A malformed anchor is treated as missing: times then depend on the wall clock.
 func TestDecodeAnchorRejectsMalformedInput(t *testing.T) {
 	want := clock.Anchor{BootID: "b", Uptime: 1, Stamp: 2, WallOffset: 3, Epoch: 4}
 	value := encodeAnchor(&want, nil)
 	if got := decodeAnchor(value); got == nil || *got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("decoded anchor %+v, want %+v", got, want)
 	}
 	for cut := 1; cut < len(value); cut++ {
 		if got := decodeAnchor(value[:cut]); got != nil {
-			t.Errorf("cut at %d: %+v", cut, got)
+			t.Errorf("an anchor cut at byte %d is accepted: %+v", cut, got)
 		}
 	}
 	if decodeAnchor(append(value, 0)) != nil {
-		t.Error("an anchor with a byte behind it is accepted")
+		t.Error("an anchor with a trailing byte is accepted")
 	}
 }
--- a/internal/state/journal/golden_test.go
+++ b/internal/state/journal/golden_test.go
@@ -19,9 +19,9 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-const goldenState = "state" // a state folder in testdata
+const goldenState = "state" // the state folder among the golden files
 
-// goldenStart is the wall time at which the golden journal was created, and the begin of its timeline.
+// goldenStart is the wall time at which the golden journal was created and at which its timeline starts.
 var goldenStart = time.Unix(1e9, 0).UTC()
 
 func goldenClock() bootclock.Reading {
@@ -34,7 +34,7 @@
 	return clock.Anchor{BootID: "golden-boot", Uptime: time.Minute, Stamp: goldenStart.UnixNano(), Epoch: 1}
 }
 
-// goldenHealth is the endpoint health in the golden journal.
+// goldenHealth returns the endpoint health in the golden journal.
 func goldenHealth() []byte {
 	return endpointhealth.Encode([]endpointhealth.Record{
 		{
@@ -58,14 +58,15 @@
 	}
 }
 
-// writeGolden writes messages of every kind to a state folder, and returns those that are not removed.
+// writeGolden writes a journal with messages in all states to a state folder. It returns the messages that are not
+// removed.
 func writeGolden(t *testing.T, stateFolder string) []*Message {
 	t.Helper()
 	j, _, err := OpenFolder(stateFolder, goldenOptions())
 	must(t, err)
 	untried, sent, cancelled := message(1), message(2), message(3)
 	deferred, failed, removed := message(4), message(5), message(6)
-	attempted := message(7) // before it was accepted
+	attempted := message(7) // has attempts from before it was accepted
 	attempted.Attempts = 2
 	attempted.UncertainAttempts = []Attempt{goldenAttempt(1)}
 	undated := message(8)
@@ -86,7 +87,7 @@
 	return []*Message{untried, sent, cancelled, deferred, failed, attempted, undated}
 }
 
-// goldenCopy returns a copy of the golden state folder, which holds a journal alone.
+// goldenCopy returns a copy of the golden state folder, which contains only a journal.
 func goldenCopy(t *testing.T) string {
 	t.Helper()
 	stateFolder := t.TempDir()
@@ -124,8 +125,8 @@
 	return j, recovery
 }
 
-// A journal that another build wrote is read in full, and this build writes the same but for the random numbers of
-// segments.
+// This build reads all of the golden journal, which an earlier build wrote, and writes the same values and deltas.
+// The segment files themselves are not compared, since each contains a random number.
 func TestGoldenJournal(t *testing.T) {
 	written := t.TempDir()
 	want := writeGolden(t, written)
@@ -138,18 +139,18 @@
 
 	j, recovery := openGolden(t, goldenCopy(t), goldenOptions())
 	if !recovery.Intact() || recovery.ClockStep != 0 {
-		t.Errorf("found %+v", recovery)
+		t.Errorf("the recovery is not intact, or the clock step is not 0: %+v", recovery)
 	}
 	checkMessages(t, recovery.Messages, want)
 	if !bytes.Equal(recovery.EndpointHealth, goldenHealth()) {
-		t.Errorf("endpoint health %s", recovery.EndpointHealth)
+		t.Errorf("endpoint health %s, want %s", recovery.EndpointHealth, goldenHealth())
 	}
 	if j.anchor != goldenAnchor() {
 		t.Errorf("anchor %+v, want %+v", j.anchor, goldenAnchor())
 	}
 }
 
-// The timeline of a golden journal continues although the wall clock was set while no process ran.
+// The timeline of the golden journal continues without a step even if the wall clock was set while no process ran.
 func TestGoldenAnchor(t *testing.T) {
 	options := goldenOptions()
 	options.Clock = func() bootclock.Reading {
@@ -160,17 +161,17 @@
 	}
 	j, recovery := openGolden(t, goldenCopy(t), options)
 	if recovery.ClockStep != time.Hour-5*time.Second {
-		t.Errorf("clock step %v", recovery.ClockStep)
+		t.Errorf("clock step %v, want %v", recovery.ClockStep, time.Hour-5*time.Second)
 	}
 	if got, want := j.timeline.BaseStamp, goldenStart.Add(5*time.Second).UnixNano(); got != want {
 		t.Errorf("the timeline continues at %d, want %d", got, want)
 	}
 }
 
-// goldenLegacyLog is a legacy log that an earlier build wrote.
+// goldenLegacyLog is the path of a legacy log that an earlier build wrote.
 const goldenLegacyLog = "../legacylog/testdata/golden/wal.log"
 
-// goldenMigrated returns the messages of the golden legacy log, as they are after their migration.
+// goldenMigrated returns the messages of the golden legacy log as they are after the migration.
 func goldenMigrated() []*Message {
 	legacy := func(id policy.MessageID) *Message {
 		return &Message{
@@ -195,7 +196,7 @@
 	untried := legacy(1)
 	sent := legacy(2)
 	attempted(sent, 0)
-	sent.Attempts = 2 // the second one is known not to have run
+	sent.Attempts = 2 // the second attempt never ran
 	deferred := legacy(3)
 	deferred.Final = &FinalAnswer{Retryable: true, RetryAfter: 1500 * time.Millisecond}
 	failed := legacy(4)
@@ -212,7 +213,7 @@
 	return []*Message{untried, sent, deferred, failed, cancelled, compacted, empty}
 }
 
-// All messages of a legacy log are migrated.
+// All messages of the golden legacy log are migrated with their progress.
 func TestGoldenLegacyLogMigration(t *testing.T) {
 	log, err := os.ReadFile(goldenLegacyLog)
 	must(t, err)
@@ -224,11 +225,11 @@
 	migrated := recovery.Migrated
 	golden.Check(t, *update, "carried-over.txt", dump(t, stateFolder))
 
-	// The next process reads the same from the journal alone.
+	// The next process recovers the same messages from the journal alone.
 	_, recovery = openGolden(t, stateFolder, goldenOptions())
 	want := goldenMigrated()
 	checkMessages(t, recovery.Messages, want)
 	if migrated != len(want) || recovery.Migrated != 0 {
-		t.Errorf("%d messages migrated, then %d", migrated, recovery.Migrated)
+		t.Errorf("%d messages migrated, want %d; then %d, want 0", migrated, len(want), recovery.Migrated)
 	}
 }
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -13,7 +13,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// openJournal opens the journal in fs with the smallest limit.
+// openJournal opens the journal in fs with the smallest disk limit.
 func openJournal(t testing.TB, fs store.FS) (*Journal, *Recovery) {
 	t.Helper()
 	j, recovery, err := Open(fs, Options{Limit: store.MinLimit})
@@ -30,7 +30,7 @@
 	}
 }
 
-// message returns a message with a value in each field that its client sets.
+// message returns a message without attempts. Each field that is set at acceptance has a value.
 func message(id policy.MessageID) *Message {
 	return &Message{
 		ID:             id,
@@ -46,13 +46,13 @@
 	}
 }
 
-// equalMessages reports whether two messages are equal in everything that is stored.
+// equalMessages reports whether two messages are equal apart from the differences that normalized removes.
 func equalMessages(a, b *Message) bool {
 	return reflect.DeepEqual(normalized(a), normalized(b))
 }
 
-// normalized returns a copy of a message without what differs between equal messages: its place in the store, the
-// location of times, and whether an empty slice is nil.
+// normalized returns a copy of a message without the differences between equal messages: the key in the store, the
+// body size, the locations and monotonic readings of times, and whether an empty list of attempts is nil.
 func normalized(m *Message) Message {
 	result := *m
 	result.key = 0
@@ -66,7 +66,7 @@
 	return result
 }
 
-// checkMessages compares messages in order.
+// checkMessages compares two lists of messages, including their order.
 func checkMessages(t *testing.T, got, want []*Message) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -83,13 +83,13 @@
 	fs := faultfs.New()
 	j, recovery := openJournal(t, fs)
 	if len(recovery.Messages) != 0 || !recovery.Intact() {
-		t.Fatalf("%+v", recovery)
+		t.Fatalf("a new journal is not empty or not intact: %+v", recovery)
 	}
 	var messages []*Message
 	for id := range policy.MessageID(6) {
 		messages = append(messages, message(id+1))
 	}
-	attempted := messages[5] // as it is after a migration
+	attempted := messages[5] // accepted with attempts, as in a migration
 	attempted.Body = nil
 	attempted.Attempts = 2
 	attempted.UncertainAttempts = []Attempt{{Number: 1, Endpoint: "h", Zone: 1, SentAt: time.Unix(5, 5)}}
@@ -115,8 +115,8 @@
 	checkMessages(t, recovery.Messages, slices.Delete(messages, 4, 5))
 }
 
-// If there is no room for new messages, there still is for outcomes and removals, and these are written although the
-// new message is not.
+// A full journal rejects new messages and still writes attempts, outcomes and removals. Pending outcomes are written
+// even if the new message in the same batch is rejected.
 func TestFullJournalRejectsOnlyNewMessages(t *testing.T) {
 	fs := faultfs.New()
 	j, _ := openJournal(t, fs)
@@ -140,17 +140,17 @@
 		if i%2 == 0 {
 			j.RecordNotRun(m, 0)
 			if err := j.Accept(&Message{ID: 1e6, Body: make([]byte, 100000)}); !errors.Is(err, ErrFull) {
-				t.Fatal(err)
+				t.Fatalf("accept a message that is too large for the space left: error %v, want ErrFull", err)
 			}
 		}
 	}
 	_, recovery := openJournal(t, fs.Reboot())
 	if len(recovery.Messages) != len(messages) {
-		t.Fatalf("%d messages, want %d", len(recovery.Messages), len(messages))
+		t.Fatalf("recovered %d messages, want %d", len(recovery.Messages), len(messages))
 	}
 	for i, m := range recovery.Messages {
 		if len(m.UncertainAttempts) != i%2 {
-			t.Errorf("message %d: %d uncertain attempts", m.ID, len(m.UncertainAttempts))
+			t.Errorf("message %d: %d uncertain attempts, want %d", m.ID, len(m.UncertainAttempts), i%2)
 		}
 	}
 	for _, m := range messages {
@@ -159,11 +159,12 @@
 	}
 	must(t, j.Accept(message(1)))
 	if err := j.CompactionError(); err != nil {
-		t.Error(err)
+		t.Errorf("compaction failed: %v", err)
 	}
 }
 
-// Damage makes those messages uncertain that the lost records may have been about, and no others.
+// Lost records may be deltas of any message that was accepted before them. Damage therefore makes these messages
+// uncertain, and no others.
 func TestDamageMarksOnlyEarlierMessagesUncertain(t *testing.T) {
 	fs := faultfs.New()
 	j, _ := openJournal(t, fs)
@@ -183,13 +184,14 @@
 		}
 	}
 	if recovery.Intact() || len(recovery.Messages) < 37 || uncertain < 15 || uncertain > 25 {
-		t.Errorf("%d messages, %d uncertain: %+v", len(recovery.Messages), uncertain, recovery.Store)
+		t.Errorf("recovered %d messages, want at least 37 and damage; %d uncertain, want 15 to 25: %+v",
+			len(recovery.Messages), uncertain, recovery.Store)
 	}
 }
 
-// While messages are accepted and removed, the folder does not grow: what it holds at most in the last third of the run
-// is no more than in the first. A journal from which nothing is removed reaches its limit and rejects messages, which
-// shows that the run is long enough.
+// The folder does not grow while messages are accepted and removed: its maximum size in the last third of the run is
+// at most 2 % above that in the first third. To show that the run is long enough, it is repeated without removals:
+// the journal must then reach its limit and reject a message.
 func TestDiskUseStaysBounded(t *testing.T) {
 	const (
 		limit           = 1 << 20
@@ -211,10 +213,10 @@
 			}
 			grown := maxBytes[2] > maxBytes[0]+maxBytes[0]/50
 			if removes && (rejected || grown || maxBytes[2] > limit) {
-				t.Errorf("at most %v bytes in the thirds of the run, a message rejected: %v", maxBytes, rejected)
+				t.Errorf("maximum disk use in each third of the run: %v; rejected: %v", maxBytes, rejected)
 			}
 			if !removes && !rejected {
-				t.Errorf("a journal of %v bytes from which nothing is removed rejects no message", maxBytes)
+				t.Errorf("no message is rejected; maximum disk use in each third of the run: %v", maxBytes)
 			}
 			must(t, w.close())
 		})
--- a/internal/state/journal/kill_test.go
+++ b/internal/state/journal/kill_test.go
@@ -17,16 +17,16 @@
 
 var kills = flag.Int("kills", 40, "how often TestKilledWriterLosesNoMessage kills the process that writes")
 
-// writerVariable names the environment variable under which this binary is a process that writes a journal until it is
-// killed. Its value is the state folder.
+// writerVariable is the name of an environment variable. If it is set, this test binary runs as a process that writes
+// to a journal until it is killed. The value is the state folder.
 const writerVariable = "JOURNAL_TEST_WRITER"
 
-// The words with which the writer reports what it does, one line each, followed by a message ID or a value.
+// Words in the reports of the writer process. A report is one line: a word, then a message ID or another value.
 const (
-	reportFound    = "found"    // a message that the journal recovered
-	reportIntact   = "intact"   // whether the recovery was intact; behind all that was found
-	reportAccepted = "accepted" // a message, after it was accepted
-	reportRemoving = "removing" // a message, before it is removed
+	reportFound    = "found"    // followed by the ID of a recovered message
+	reportIntact   = "intact"   // followed by true or false; reported after all recovered messages
+	reportAccepted = "accepted" // followed by the ID of a message that has been accepted
+	reportRemoving = "removing" // followed by the ID of a message that is about to be removed
 	reportError    = "error"
 )
 
@@ -38,7 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// runWriter writes a journal as fast as it can, and reports on standard output. It returns only with an error.
+// runWriter writes to a journal as fast as possible and reports each change on standard output. It returns only if
+// there is an error.
 func runWriter(dir string) error {
 	j, recovery, err := OpenFolder(dir, Options{Limit: store.MinLimit})
 	if err != nil {
@@ -74,13 +75,14 @@
 	}
 }
 
-// writerMonitor follows the reports of writers that are killed one after the other.
+// writerMonitor checks the reports of writer processes that run and are killed one after the other.
 type writerMonitor struct {
 	unfinished map[policy.MessageID]bool // messages that were accepted and not removed
 	accepted   int
 }
 
-// follow reads the reports of one writer until it ends. It calls recovered once the writer has opened the journal.
+// follow reads the reports of one writer until the writer ends. It calls recovered after the writer has opened the
+// journal.
 func (w *writerMonitor) follow(t *testing.T, reports io.Reader, recovered func()) {
 	t.Helper()
 	found := map[policy.MessageID]bool{}
@@ -88,7 +90,7 @@
 	for lines.Scan() {
 		var word, value string
 		if _, err := fmt.Sscan(lines.Text(), &word, &value); err != nil {
-			t.Fatalf("%q: %v", lines.Text(), err)
+			t.Fatalf("malformed report %q: %v", lines.Text(), err)
 		}
 		if word == reportIntact {
 			w.checkRecovery(t, found, value)
@@ -97,7 +99,7 @@
 		}
 		var id policy.MessageID
 		if _, err := fmt.Sscan(value, &id); err != nil {
-			t.Fatalf("%q: %v", lines.Text(), err)
+			t.Fatalf("malformed message ID in report %q: %v", lines.Text(), err)
 		}
 		switch word {
 		case reportFound:
@@ -108,7 +110,7 @@
 		case reportRemoving:
 			delete(w.unfinished, id)
 		default:
-			t.Fatal(lines.Text())
+			t.Fatalf("unexpected report %q", lines.Text())
 		}
 	}
 }
@@ -121,13 +123,13 @@
 		}
 	}
 	if intact != "true" {
-		t.Error("the journal is damaged")
+		t.Errorf("the recovered journal is damaged: writer reported intact = %s", intact)
 	}
 	w.unfinished = found
 }
 
-// A writer that is killed at any moment of an append, a new segment, a compaction or a removal, again and again in one
-// folder, loses no message that was accepted and not removed.
+// Writer processes that use the same folder are killed one after the other at random moments: during an append, the
+// start of a segment, a compaction or a removal. No message is lost that was accepted and not removed.
 func TestKilledWriterLosesNoMessage(t *testing.T) {
 	dir := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, uint64(*kills)))
@@ -140,17 +142,17 @@
 			must(t, err)
 			must(t, cmd.Start())
 			defer func() {
-				_ = cmd.Process.Kill() // an error: it has ended
-				_ = cmd.Wait()         // always an error: it was killed
+				_ = cmd.Process.Kill() // fails if the writer has ended
+				_ = cmd.Wait()         // always fails because the writer was killed
 			}()
 			monitor.follow(t, out, func() {
 				delay := time.Duration(rng.IntN(20_000)) * time.Microsecond
-				time.AfterFunc(delay, func() { _ = cmd.Process.Kill() }) // an error: it ended by itself
+				time.AfterFunc(delay, func() { _ = cmd.Process.Kill() }) // fails if the writer has ended
 			})
 		})
 	}
 	if minAccepted := 10 * *kills; monitor.accepted < minAccepted {
-		t.Errorf("%d messages accepted, %d are needed to show anything", monitor.accepted, minAccepted)
+		t.Errorf("%d messages accepted; the test needs at least %d", monitor.accepted, minAccepted)
 	}
 	t.Logf("%d messages accepted by %d writers", monitor.accepted, *kills)
 }
--- a/internal/state/journal/migrate_test.go
+++ b/internal/state/journal/migrate_test.go
@@ -13,7 +13,7 @@
 
 const legacyLimit = 3e6 // bytes on disk
 
-// writeLegacyLog writes a legacy log of six messages, of which five are not removed.
+// writeLegacyLog writes a legacy log with six messages, one of which is removed.
 func writeLegacyLog(t *testing.T, dir string) {
 	t.Helper()
 	log, _, err := legacylog.Open(dir, legacyLimit)
@@ -48,11 +48,12 @@
 		j, recovery, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
 		if len(recovery.Messages) != 5 || recovery.Migrated != migrated {
-			t.Fatalf("start %d: %d messages, %d migrated", i, len(recovery.Messages), recovery.Migrated)
+			t.Fatalf("start %d: %d messages, want 5; %d migrated, want %d",
+				i, len(recovery.Messages), recovery.Migrated, migrated)
 		}
 		checkMigrated(t, recovery.Messages)
 		if _, err := os.Stat(filepath.Join(dir, legacyLogName)); !os.IsNotExist(err) {
-			t.Errorf("the legacy log is still there: %v", err)
+			t.Errorf("the legacy log still exists: %v", err)
 		}
 		must(t, j.Close())
 	}
@@ -66,17 +67,18 @@
 		t.Errorf("uncertain attempts of the message that never ran: %+v", notRun.UncertainAttempts)
 	}
 	if final.Final == nil || final.Final.RetryAfter != time.Second {
-		t.Errorf("final answer %+v", final.Final)
+		t.Errorf("final answer %+v, want RetryAfter 1s", final.Final)
 	}
 	if !cancelled.Cancelled {
-		t.Errorf("not cancelled: %+v", cancelled)
+		t.Errorf("the message is not cancelled: %+v", cancelled)
 	}
 	if len(sent.UncertainAttempts) != 1 || sent.UncertainAttempts[0].Zone != 1 {
 		t.Errorf("uncertain attempts of the message that was sent: %+v", sent.UncertainAttempts)
 	}
 }
 
-// A crash during the migration leaves the log; the next start migrates what is missing, and nothing twice.
+// A crash during the migration leaves the legacy log in place. The next start migrates only the messages that are not
+// in the journal yet.
 func TestInterruptedMigrationIsCompleted(t *testing.T) {
 	const cuts = 40
 	for cut := range cuts {
@@ -87,7 +89,7 @@
 		j, _, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
 		must(t, j.Close())
-		// As if the process had died when a part of the store was written, before it removed the log.
+		// Simulate a process that was killed after it wrote a part of the store and before it removed the legacy log.
 		must(t, os.WriteFile(filepath.Join(dir, legacyLogName), log, 0o600))
 		names, err := store.Dir(Folder(dir)).List()
 		must(t, err)
@@ -100,7 +102,7 @@
 		j, recovery, err := OpenFolder(dir, Options{Limit: legacyLimit})
 		must(t, err)
 		if len(recovery.Messages) != 5 {
-			t.Errorf("cut at %d of %d: %d messages", cut, cuts, len(recovery.Messages))
+			t.Errorf("store cut at %d/%d of its size: %d messages, want 5", cut, cuts, len(recovery.Messages))
 		}
 		must(t, j.Close())
 	}
--- a/internal/state/journal/timeline_test.go
+++ b/internal/state/journal/timeline_test.go
@@ -12,7 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// fakeMachine has clocks that a test sets.
+// fakeMachine is a machine whose clocks are controlled by the test.
 type fakeMachine struct {
 	elapsed time.Duration // since the test began
 	uptime  time.Duration
@@ -20,17 +20,17 @@
 	bootID  string
 }
 
-// advance lets time pass on all clocks.
+// advance advances all clocks by d.
 func (m *fakeMachine) advance(d time.Duration) {
 	m.elapsed += d
 	m.uptime += d
 	m.wall = m.wall.Add(d)
 }
 
-// setWall sets the wall clock by a step.
+// setWall changes the wall clock by step.
 func (m *fakeMachine) setWall(step time.Duration) { m.wall = m.wall.Add(step) }
 
-// reboot gives the machine a new boot ID and sets the uptime back.
+// reboot gives the machine a new boot ID and resets its uptime.
 func (m *fakeMachine) reboot() {
 	m.bootID += "'"
 	m.uptime = 0
@@ -40,12 +40,12 @@
 	return bootclock.Reading{Wall: m.wall, BootID: m.bootID, Uptime: m.uptime}
 }
 
-// recordedSend is what a test knows of an attempt in the journal.
+// recordedSend holds the true time and boot of an attempt in the journal.
 type recordedSend struct {
 	at     time.Duration // elapsed time of the test
 	bootID string
-	// lost is the sum of the steps of the wall clock between the last reading in a boot and the next boot: no clock
-	// knows them.
+	// lost is the sum of the changes to the wall clock between the last reading before a reboot and the first reading
+	// after it. No clock can measure these changes.
 	lost time.Duration
 }
 
@@ -56,10 +56,10 @@
 	sends   []*recordedSend // one for each message, in the order of the messages
 }
 
-const testDeadline = 9 * time.Second // of a message, from its attempt
+const testDeadline = 9 * time.Second // time from a message's attempt to its deadline
 
-// Over any sequence of processes, boots and steps of the wall clock, a time in the journal is as long ago as it truly
-// is. Only steps of the wall clock that a reboot hides show up.
+// The age of a time in the journal equals the elapsed time, over any sequence of processes, reboots and changes to
+// the wall clock. The only exceptions are changes to the wall clock during a reboot, which cannot be measured.
 func TestTimestampsFollowElapsedTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := &timelineTest{
@@ -72,7 +72,7 @@
 	})
 }
 
-// runProcess opens the journal, checks the times in it, writes one message and ends.
+// runProcess simulates a process that opens the journal, checks the times in it, writes one message and ends.
 func (c *timelineTest) runProcess(t *rapid.T, n int) {
 	j, recovery, err := Open(c.fs, Options{Limit: 1 << 20, Clock: c.machine.read})
 	if err != nil {
@@ -91,13 +91,13 @@
 // checkMessages compares the times of recovered messages with the true ones.
 func (c *timelineTest) checkMessages(t *rapid.T, j *Journal, recovery *Recovery, tolerance time.Duration) {
 	if len(recovery.Messages) != len(c.sends) {
-		t.Fatalf("%d messages of %d", len(recovery.Messages), len(c.sends))
+		t.Fatalf("recovered %d messages, want %d", len(recovery.Messages), len(c.sends))
 	}
 	for i, m := range recovery.Messages {
 		send := c.sends[i]
 		attempt := m.UncertainAttempts[0]
 		if attempt.Undated != (send.bootID != c.machine.bootID) {
-			t.Fatalf("sent in boot %q, now %q: undated %v", send.bootID, c.machine.bootID, attempt.Undated)
+			t.Fatalf("sent in boot %q, now boot %q: undated is %v", send.bootID, c.machine.bootID, attempt.Undated)
 		}
 		age := j.timeline.Base.Sub(attempt.SentAt)
 		wantAge := c.machine.elapsed - send.at + send.lost
@@ -105,12 +105,12 @@
 			t.Fatalf("sent %v ago, recovered as %v ago", wantAge, age)
 		}
 		if left := m.Deadline.Sub(j.timeline.Base); left != testDeadline-age {
-			t.Fatalf("%v left, sent %v ago", left, age)
+			t.Fatalf("sent %v ago: %v left to the deadline, want %v", age, left, testDeadline-age)
 		}
 	}
 }
 
-// writeMessage accepts a message and records an attempt, after the wall clock was set: that has no effect on times of
+// writeMessage changes the wall clock, accepts a message and records an attempt. The change must not affect times of
 // the running process.
 func (c *timelineTest) writeMessage(t *rapid.T, j *Journal, id policy.MessageID) {
 	begin := c.machine.elapsed
@@ -122,11 +122,11 @@
 	mustRapid(t, j.RecordSends(Send{m, Attempt{Endpoint: "h", SentAt: now}}))
 	c.sends = append(c.sends, &recordedSend{at: c.machine.elapsed, bootID: c.machine.bootID})
 	if stamp := j.Stamp(now); j.timeline.Time(stamp.UnixNano()) != now {
-		t.Fatalf("stamp %v of %v", stamp, now)
+		t.Fatalf("stamp %v of time %v does not convert back to that time", stamp, now)
 	}
 }
 
-// endProcess ends the process in order, by a kill, or together with the machine.
+// endProcess ends the process in one of three ways: a regular end, a kill, or a reboot of the machine.
 func (c *timelineTest) endProcess(t *rapid.T, j *Journal) {
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
 	case 0:
--- a/internal/state/journal/writers_test.go
+++ b/internal/state/journal/writers_test.go
@@ -33,7 +33,7 @@
 	return openJournalWriter(t, dir, limit)
 }
 
-// benchMessage returns a message as a client may send it, with an empty body of a typical size.
+// benchMessage returns a message as a client may send it, with a body of bodySize zero bytes.
 func benchMessage(id policy.MessageID, bodySize int) *Message {
 	return &Message{
 		ID:             id,
