--- a/internal/state/legacylog/compact_test.go
+++ b/internal/state/legacylog/compact_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// During a compaction the old file and the new one stand side by side: neither may exceed its share of the limit.
+// During a compaction the old file and the new one exist at the same time: together they must not exceed the limit.
+// Between compactions the log must leave space for the next one.
 func TestCompactionKeepsDiskLimit(t *testing.T) {
 	const (
-		limit       = 100_000
-		maxLive     = 20
-		maxDiskUse  = limit * 6 / 10 // between compactions
-		wantAtLeast = 10             // compactions
+		limit          = 100_000
+		maxLive        = 20
+		maxDiskUse     = limit * 6 / 10 // between compactions
+		minCompactions = 10
 	)
 	dir := t.TempDir()
 	l, _ := open(t, dir, limit)
@@ -33,21 +34,21 @@
 		}
 		if l.size < sizeBefore {
 			compactions++
-			// sizeBefore is what the old file took when the new one stood beside it.
+			// The old file had sizeBefore bytes when the new one existed beside it.
 			if sum := sizeBefore + l.size + 4*blockSize; sum > limit {
-				t.Fatalf("%d bytes on disk during a compaction", sum)
+				t.Fatalf("%d bytes on disk during a compaction, limit %d", sum, limit)
 			}
 		}
 		if got := diskUse(t, dir); got > maxDiskUse {
-			t.Fatalf("%d bytes on disk", got)
+			t.Fatalf("%d bytes on disk between compactions, limit %d", got, maxDiskUse)
 		}
 	}
-	if compactions < wantAtLeast {
-		t.Errorf("%d compactions", compactions)
+	if compactions < minCompactions {
+		t.Errorf("%d compactions, want at least %d", compactions, minCompactions)
 	}
 	recovery := reopen(t, dir, limit)
 	if len(recovery.Messages) != len(live) || len(recovery.Messages[0].UncertainAttempts) != 1 {
-		t.Errorf("%d messages live, %d found", len(live), len(recovery.Messages))
+		t.Errorf("recovered %d messages, want %d, each with one uncertain attempt", len(recovery.Messages), len(live))
 	}
 }
 
@@ -61,7 +62,7 @@
 		t.Errorf("found %q", ids(recovery))
 	}
 	if _, err := os.Stat(filepath.Join(dir, tempFileName)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the incomplete file is still there: %v", err)
+		t.Errorf("the incomplete new file still exists: %v", err)
 	}
 }
 
@@ -79,9 +80,9 @@
 		}
 	}
 	if !errors.Is(err, ErrFull) || len(live) < 5 {
-		t.Fatalf("%d accepted, then %v", len(live), err)
+		t.Fatalf("%d messages accepted, want at least 5; then error %v, want ErrFull", len(live), err)
 	}
-	for round := range 4 { // live messages can be sent, again and again, and removed
+	for round := range 4 { // live messages can still be sent, several times, and removed
 		for _, m := range live {
 			must(t, l.RecordSends(Send{m, Attempt{Number: round, Endpoint: "s-5be2a07c", SentAt: noon}}))
 			l.RecordNotRun(m, round)
@@ -96,7 +97,7 @@
 		t.Errorf("found %q", ids(recovery))
 	}
 	if got := diskUse(t, dir); got > limit {
-		t.Errorf("%d bytes on disk", got)
+		t.Errorf("%d bytes on disk, limit %d", got, limit)
 	}
 }
 
@@ -114,6 +115,6 @@
 	}
 	size := len(appendRecord(nil, record{Kind: recordAccept, ID: 1, Message: m}, m.Body))
 	if int64(size) > estimatedSize(m) {
-		t.Errorf("a record of %d bytes counts as %d", size, estimatedSize(m))
+		t.Errorf("a record of %d bytes has an estimated size of %d bytes", size, estimatedSize(m))
 	}
 }
--- a/internal/state/legacylog/golden_keys_test.go
+++ b/internal/state/legacylog/golden_keys_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-// TestGoldenKeys pins the JSON keys of records, which other builds of the program read.
+// TestGoldenKeys checks the JSON keys of records. They must not change: logs of earlier builds contain them.
 func TestGoldenKeys(t *testing.T) {
 	var x record
 	golden.Fill(&x)
--- a/internal/state/legacylog/golden_test.go
+++ b/internal/state/legacylog/golden_test.go
@@ -15,7 +15,7 @@
 
 const goldenLimit = 3e6
 
-// goldenMessage returns a message with a value in each field that its client sets.
+// goldenMessage returns a message without attempts. Each field that is set at acceptance has a value.
 func goldenMessage(id uint32) *Message {
 	return &Message{
 		ID:             id,
@@ -35,14 +35,14 @@
 	return Attempt{Number: n, Endpoint: "s-1", Zone: 1, SentAt: time.Unix(1e9, 0).UTC()}
 }
 
-// writeGoldenLog writes a log with every kind of record, and returns the messages in it that are not removed.
+// writeGoldenLog writes a log with records of all kinds. It returns the messages that are not removed.
 func writeGoldenLog(t *testing.T, folder string) []*Message {
 	t.Helper()
 	log, _, err := Open(folder, goldenLimit)
 	must(t, err)
 	untried, sent, deferred := goldenMessage(1), goldenMessage(2), goldenMessage(3)
 	failed, cancelled, removed := goldenMessage(4), goldenMessage(5), goldenMessage(6)
-	compacted := goldenMessage(7) // as a compaction writes it
+	compacted := goldenMessage(7) // accepted with progress, as a compaction writes it
 	compacted.Attempts = 3
 	compacted.UncertainAttempts = []Attempt{goldenAttempt(2)}
 	compacted.Final = &FinalAnswer{Retryable: true, RetryAfter: time.Second}
@@ -76,7 +76,7 @@
 	return result
 }
 
-// This build writes the same log as another one, and reads what the other one wrote.
+// This build writes the same bytes as the golden log, which an earlier build wrote, and reads all its messages.
 func TestGoldenLog(t *testing.T) {
 	written := t.TempDir()
 	want := writeGoldenLog(t, written)
@@ -90,7 +90,7 @@
 	must(t, err)
 	defer func() { must(t, log.Close()) }()
 	if recovery.Damaged || len(recovery.Messages) != len(want) {
-		t.Fatalf("%d messages, damaged: %v", len(recovery.Messages), recovery.Damaged)
+		t.Fatalf("recovered %d messages, want %d; damaged: %v", len(recovery.Messages), len(want), recovery.Damaged)
 	}
 	for i := range want {
 		got, want := withoutEmptySlices(recovery.Messages[i]), withoutEmptySlices(want[i])
--- a/internal/state/legacylog/log.go
+++ b/internal/state/legacylog/log.go
@@ -1,9 +1,10 @@
-// Package legacylog is the write-ahead log in which former versions of the program kept their messages. The journal
-// replaced it; the package is there to migrate what such a version left, and to compare the two in benchmarks.
+// Package legacylog implements the write-ahead log in which earlier versions of the program stored their messages.
+// The journal has replaced it. The package remains in order to migrate the messages of such a version and to compare
+// the log with the journal in benchmarks.
 //
-// The log is one file in the state folder, of records as in record.go. What has been written survives SIGKILL without a
-// sync. The loss of the machine loses it: then other relays take over the messages. Times in it are wall times, since
-// the monotonic clock of one process has no meaning in the next.
+// The log is one file of records in the state folder; record.go defines the records. Written records survive SIGKILL
+// without a sync. They do not survive the loss of the machine: other relays then take over the messages. Times in the
+// log are wall times, since monotonic clock readings of one process have no meaning in the next.
 package legacylog
 
 import (
@@ -15,41 +16,43 @@
 	"slices"
 )
 
-// ErrFull reports that there is no room for new messages. Attempts, outcomes and removals still find room.
+// ErrFull reports that the disk limit leaves no space for new messages. Attempts, outcomes and removals can still be
+// written.
 var ErrFull = errors.New("legacylog: no room for new messages")
 
 const (
 	fileName     = "wal.log"
 	tempFileName = "wal.tmp" // the new file of a compaction
-	blockSize    = 512       // in which a file takes space on disk, in bytes
+	blockSize    = 512       // unit of disk allocation, in bytes
 )
 
-// Ratios of the disk limit. During a compaction the old file and the new one stand side by side, and both must fit: the
-// sum of the two stays below 1 by more than a write takes.
+// Shares of the disk limit. During a compaction the old file and the new one exist at the same time, and both must fit
+// into the limit. The two shares add up to less than 1, and the difference is more than one write takes.
 const (
-	maxLiveRatio    = 0.36 // new messages are rejected beyond this
-	compactionRatio = 0.5  // a file beyond this is compacted
+	maxLiveRatio    = 0.36 // bound on the size of live messages; beyond it, new messages are rejected
+	compactionRatio = 0.5  // bound on the size of the file; beyond it, the file is compacted
 )
 
-// Recovery is what Open found.
+// Recovery is what Open read from the log.
 type Recovery struct {
-	Messages []*Message // not removed yet, in the order of their IDs, in which they were accepted
-	// Damaged reports that records before the last one were unreadable: the attempts of a message may be missing.
+	Messages []*Message // messages that are not removed, sorted by ID, which is the order of acceptance
+	// Damaged reports that bytes before the last complete record were unreadable: attempts of any message may be
+	// missing.
 	Damaged bool
 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
 	dir       string
-	limit     int64 // bytes on disk
+	limit     int64 // maximum size on disk, in bytes
 	file      *os.File
-	size      int64               // of the file, which holds good records up to there
-	live      map[uint32]*Message // messages that are not removed, by ID
-	liveBytes int64               // estimate of what they take in a compacted log
-	pending   []byte              // records that wait for the next write
+	size      int64               // bytes of the file that hold complete records; the next write starts there
+	live      map[uint32]*Message // accepted messages that are not removed, by ID
+	liveBytes int64               // estimated size of the live messages in a compacted log
+	pending   []byte              // encoded records that the next write includes
 }
 
-// Open opens the log in dir, or creates one, with a limit of bytes on disk.
+// Open opens the log in dir, or creates one there. limit is the maximum size on disk, in bytes.
 func Open(dir string, limit int64) (*Log, Recovery, error) {
 	l := &Log{dir: dir, limit: limit, live: map[uint32]*Message{}}
 	damaged, err := l.open()
@@ -59,9 +62,9 @@
 	return l, Recovery{Messages: l.messages(), Damaged: damaged}, nil
 }
 
-// open reads the file and opens it for appending.
+// open reads the log file and opens it for appending.
 func (l *Log) open() (damaged bool, err error) {
-	// A crash during a compaction leaves the old file complete, and a part of the new one.
+	// A crash during a compaction leaves the old file complete and may leave an incomplete new file.
 	if err := os.Remove(l.path(tempFileName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return false, err
 	}
@@ -74,19 +77,20 @@
 	if err != nil {
 		return false, err
 	}
-	// A record behind a torn one could be taken for its rest: the tail is removed before anything is appended.
+	// Truncate after the last complete record: otherwise the next record would follow an incomplete one and could be
+	// read as a part of it.
 	if err := l.file.Truncate(l.size); err != nil {
-		return false, errors.Join(fmt.Errorf("remove a torn tail: %w", err), l.file.Close())
+		return false, errors.Join(fmt.Errorf("truncate after the last complete record: %w", err), l.file.Close())
 	}
 	return damaged, nil
 }
 
 func (l *Log) path(name string) string { return filepath.Join(l.dir, name) }
 
-// Close writes what is pending and closes the file.
+// Close writes the pending records and closes the file.
 func (l *Log) Close() error { return errors.Join(l.Flush(), l.file.Close()) }
 
-// Accept records that messages are accepted, all or none. After ErrFull none of them is in the log.
+// Accept records messages as accepted, either all of them or none. After ErrFull none of them is in the log.
 func (l *Log) Accept(messages ...*Message) error {
 	var records []byte
 	for _, m := range messages {
@@ -104,7 +108,8 @@
 	return nil
 }
 
-// RecordSends records attempts, all or none. It is called before the first byte of any of them leaves.
+// RecordSends records attempts, either all of them or none. It must be called before the first byte of any of them is
+// sent.
 func (l *Log) RecordSends(sends ...Send) error {
 	var records []byte
 	for _, send := range sends {
@@ -119,8 +124,8 @@
 	return nil
 }
 
-// RecordNotRun notes an outcome which proves that an attempt never ran. No other outcome needs a record: it would
-// change nothing for the next process.
+// RecordNotRun adds a pending record of an outcome that proves that an attempt never ran. Other outcomes need no
+// record: the attempt stays uncertain after them, as it is without an outcome.
 func (l *Log) RecordNotRun(m *Message, attempt int) {
 	if l.live[m.ID] == nil {
 		return
@@ -129,7 +134,7 @@
 	l.addPending(record{Kind: recordNotRun, ID: m.ID, N: attempt})
 }
 
-// RecordFinal notes the final answer that will end m.
+// RecordFinal adds a pending record of the final answer of m.
 func (l *Log) RecordFinal(m *Message, answer FinalAnswer) {
 	if l.live[m.ID] == nil {
 		return
@@ -138,8 +143,8 @@
 	l.addPending(record{Kind: recordFinal, ID: m.ID, Final: &answer})
 }
 
-// RecordCancelled notes that the client of m waits for no answer. Until Remove the log keeps which attempts may have
-// run.
+// RecordCancelled adds a pending record that the client of m no longer waits for an answer. The log keeps the
+// uncertain attempts of m until Remove.
 func (l *Log) RecordCancelled(m *Message) {
 	if l.live[m.ID] == nil {
 		return
@@ -148,7 +153,7 @@
 	l.addPending(record{Kind: recordCancelled, ID: m.ID})
 }
 
-// Remove notes that m is complete and need not be known any longer.
+// Remove drops m, which is complete, from the live messages and adds a pending record of its removal.
 func (l *Log) Remove(m *Message) {
 	if l.live[m.ID] == nil {
 		return
@@ -159,7 +164,7 @@
 
 func (l *Log) addPending(rec record) { l.pending = appendRecord(l.pending, rec, nil) }
 
-// Flush writes what is pending. After an error it stays pending for the next write.
+// Flush writes the pending records. After an error they stay pending for the next write.
 func (l *Log) Flush() error {
 	if len(l.pending) == 0 {
 		return nil
@@ -167,12 +172,13 @@
 	return l.write(nil)
 }
 
-// write appends the pending records and then others in one write. After an error only the others are given up.
+// write appends the pending records and then the given records in one write. After an error the pending records stay
+// pending and the given records are dropped.
 func (l *Log) write(records []byte) error {
 	data := slices.Concat(l.pending, records)
 	if l.size+int64(len(data)) > l.limitShare(compactionRatio) {
-		// A compaction writes the state that the pending records have led to, so they need not be written. If it
-		// fails, there still is the room beyond compactionRatio.
+		// The compacted file already includes the effect of the pending records, so they need not be written. If
+		// compaction fails, the file may grow beyond compactionRatio, up to the disk limit.
 		if err := l.compact(); err == nil {
 			data = records
 		}
@@ -184,7 +190,7 @@
 		return ErrFull
 	}
 	if _, err := l.file.WriteAt(data, l.size); err != nil {
-		// A part may have been written: it must not stand before later records.
+		// A part of the data may have been written. It must not precede later records.
 		return errors.Join(fmt.Errorf("legacylog: %w", err), l.file.Truncate(l.size))
 	}
 	l.size += int64(len(data))
@@ -192,7 +198,7 @@
 	return nil
 }
 
-// compact replaces the file with one that holds the live messages alone.
+// compact replaces the log file with one that holds only the live messages.
 func (l *Log) compact() error {
 	var records []byte
 	for _, m := range l.messages() {
@@ -205,7 +211,7 @@
 	if err != nil {
 		return fmt.Errorf("legacylog: compact: %w", err)
 	}
-	_ = l.file.Close() // an error loses nothing: the new file holds all that counts
+	_ = l.file.Close() // safe to ignore: the new file holds all live messages
 	l.file = file
 	l.size = int64(len(records))
 	l.pending = l.pending[:0]
@@ -216,7 +222,8 @@
 	return nil
 }
 
-// replaceFile writes a new file and puts it in place of the log's. A crash leaves the one or the other, complete.
+// replaceFile writes a temporary file and renames it to the log file. After a crash of the process the log file is
+// either the old file or the new one, and complete.
 func (l *Log) replaceFile(data []byte) (*os.File, error) {
 	temp := l.path(tempFileName)
 	file, err := os.OpenFile(temp, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -233,10 +240,10 @@
 	return file, nil
 }
 
-// limitShare returns a ratio of the limit in bytes.
+// limitShare returns a share of the disk limit in bytes.
 func (l *Log) limitShare(ratio float64) int64 { return int64(ratio * float64(l.limit)) }
 
-// messages returns the live messages in the order of their IDs, in which they were accepted.
+// messages returns the live messages sorted by ID, which is the order of acceptance.
 func (l *Log) messages() []*Message {
 	messages := make([]*Message, 0, len(l.live))
 	for _, m := range l.live {
--- a/internal/state/legacylog/log_test.go
+++ b/internal/state/legacylog/log_test.go
@@ -14,18 +14,18 @@
 
 var noon = time.Date(2026, 11, 29, 12, 0, 0, 0, time.UTC)
 
-// open opens a log, and closes its file at the end of the test without writing what is pending.
+// open opens a log. At the end of the test it closes the file without writing the pending records.
 func open(t *testing.T, dir string, limit int64) (*Log, Recovery) {
 	t.Helper()
 	l, recovery, err := Open(dir, limit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.file.Close() }) // an error: the test has closed it
+	t.Cleanup(func() { _ = l.file.Close() }) // fails if the test has closed the file
 	return l, recovery
 }
 
-// reopen opens a log as if its process had been killed, and returns what it found.
+// reopen opens a log as if the process that wrote it had been killed, and returns the recovery.
 func reopen(t *testing.T, dir string, limit int64) Recovery {
 	t.Helper()
 	l, recovery := open(t, dir, limit)
@@ -52,7 +52,7 @@
 	}
 }
 
-// ids returns the IDs of the messages that were found.
+// ids returns the IDs of the recovered messages, each followed by a space.
 func ids(recovery Recovery) string {
 	text := ""
 	for _, m := range recovery.Messages {
@@ -61,7 +61,7 @@
 	return text
 }
 
-// readLog returns the content of the log's file.
+// readLog returns the content of the log file.
 func readLog(t *testing.T, dir string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -69,7 +69,7 @@
 	return data
 }
 
-// writeLog writes the log's file to a new folder.
+// writeLog writes a log file to a new folder.
 func writeLog(t *testing.T, data []byte) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -77,7 +77,7 @@
 	return dir
 }
 
-// diskUse returns what a folder takes on disk, each file in whole blocks.
+// diskUse returns the disk space that the files of a folder take. Each file takes whole blocks.
 func diskUse(t *testing.T, dir string) int64 {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -117,11 +117,11 @@
 func checkFinal(t *testing.T, m *Message) {
 	t.Helper()
 	if m.Final == nil || !m.Final.Retryable || m.Final.RetryAfter != 700*time.Millisecond {
-		t.Errorf("final answer %+v", m.Final)
+		t.Errorf("final answer %+v, want a retryable one with RetryAfter 700ms", m.Final)
 	}
 }
 
-// checkSecondAttempt checks a message of which the first attempt never ran, and the second may have run.
+// checkSecondAttempt checks a message whose first attempt never ran and whose second attempt may have run.
 func checkSecondAttempt(t *testing.T, m *Message, second Attempt) {
 	t.Helper()
 	if m.Attempts != 2 || len(m.UncertainAttempts) != 1 {
@@ -153,11 +153,11 @@
 		dir := writeLog(t, data[:cut])
 		l, recovery := open(t, dir, ampleLimit)
 		if got := ids(recovery); got != "1 " || recovery.Damaged {
-			t.Fatalf("cut at %d: found %q, damaged %v", cut, got, recovery.Damaged)
+			t.Fatalf("cut at byte %d: found %q, damaged %v", cut, got, recovery.Damaged)
 		}
 		must(t, l.Accept(message(3)))
 		if recovery := reopen(t, dir, ampleLimit); ids(recovery) != "1 3 " {
-			t.Fatalf("cut at %d: appended to it, found %q", cut, ids(recovery))
+			t.Fatalf("cut at byte %d: after an append, found %q", cut, ids(recovery))
 		}
 	}
 }
@@ -200,7 +200,7 @@
 		before := len(recovery.Messages)
 		must(t, l.Accept(message(1000)))
 		if recovery := reopen(t, dir, ampleLimit); len(recovery.Messages) != before+1 {
-			t.Fatalf("%d messages found, then %d with one more", before, len(recovery.Messages))
+			t.Fatalf("recovered %d messages, then %d after one more was accepted", before, len(recovery.Messages))
 		}
 		must(t, l.file.Close())
 	}
@@ -217,14 +217,14 @@
 	defer func() { must(t, readOnly.Close()) }()
 	l.file = readOnly
 	if err := l.Accept(message(3)); err == nil {
-		t.Error("accepted without a record")
+		t.Error("Accept returns no error although its write failed")
 	}
 	if err := l.RecordSends(Send{one, Attempt{Endpoint: "s-1", SentAt: noon}}); err == nil || one.Attempts != 0 {
-		t.Errorf("sent without a record: %v", err)
+		t.Errorf("RecordSends with a failed write: error %v, %d attempts, want an error and none", err, one.Attempts)
 	}
 	l.Remove(two)
 	if err := l.Flush(); err == nil {
-		t.Error("a removal counts as written")
+		t.Error("Flush returns no error although its write failed")
 	}
 	l.file = writable
 	must(t, l.Flush()) // the removal was still pending
--- a/internal/state/legacylog/message.go
+++ b/internal/state/legacylog/message.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Message is an accepted message with all that the log knows of its progress. The types of this file are those of the
-// stored format, which no longer changes. They are apart from the journal's, so that the journal may change its own and
-// still read old logs.
+// Message is an accepted message and its recorded progress. The types in this file define the stored format, which no
+// longer changes. They are separate from the journal's types, so that the journal can change its types and still
+// migrate old logs.
 type Message struct {
-	ID             uint32 `json:"ID"`    // assigned by the log's user
+	ID             uint32 `json:"ID"`    // assigned by the caller of Accept
 	TraceID        string `json:"Trace"` // sent by the client
 	IdempotencyKey string `json:"Key"`   // "" if none
 	OrderingKey    string `json:"Order"` // "" if none or if the class is not ordered
-	Class          int    `json:"Class"` // index in the configuration at the time of acceptance
-	// ClassName identifies the class across configurations, in which the same class may have another index. It is ""
-	// if unknown.
+	Class          int    `json:"Class"` // index of the class in the configuration at the time of acceptance
+	// ClassName identifies the class if the configuration changes, because the index of a class may differ between
+	// configurations. It is "" if unknown.
 	ClassName   string    `json:"Service,omitempty"`
 	Tenant      int       `json:"Customer"`
 	Destination int       `json:"Dest"`
 	Deadline    time.Time `json:"Deadline"`
-	Body        []byte    `json:"-"` // stands behind the JSON of its record
+	Body        []byte    `json:"-"` // stored after the JSON of the record
 
-	Attempts int `json:"Attempts"` // made so far
-	// UncertainAttempts are those attempts that may have run: they have no outcome, or one that does not prove that
-	// the endpoint never processed them.
+	Attempts int `json:"Attempts"` // number of attempts made so far
+	// UncertainAttempts are the attempts that may have run: they have no outcome, or their outcome does not prove
+	// that the endpoint never processed the message.
 	UncertainAttempts []Attempt    `json:"MayRun"`
 	Final             *FinalAnswer `json:"Final"` // nil until decided
 
-	// Cancelled reports that the client left without an answer and waits for none. The message may have run, which
-	// must be known if the client submits it again.
+	// Cancelled reports that the client disconnected before the final answer and no longer waits for one. The message
+	// may have run. The log keeps its attempts in case the client submits the message again.
 	Cancelled bool `json:"Withdrawn,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	SentAt   time.Time `json:"At"`
 }
 
-// FinalAnswer is the answer that ends a message which was not delivered.
+// FinalAnswer is the final answer of a message that was not delivered.
 type FinalAnswer struct {
 	Retryable  bool          `json:"Deferred"` // the client may safely submit the message again
 	RetryAfter time.Duration `json:"Again"`
@@ -53,25 +53,26 @@
 	Attempt Attempt
 }
 
-// addAttempt counts an attempt as made. It is uncertain until its outcome proves that it never ran.
+// addAttempt counts an attempt as made and adds it to UncertainAttempts, where it stays until an outcome proves that
+// it never ran.
 func (m *Message) addAttempt(attempt Attempt) {
 	m.Attempts = max(m.Attempts, attempt.Number+1)
 	m.UncertainAttempts = append(m.UncertainAttempts, attempt)
 }
 
-// removeAttempt drops an attempt that is proven not to have run. It still counts as made.
+// removeAttempt removes an attempt that never ran from UncertainAttempts. Attempts still counts it.
 func (m *Message) removeAttempt(number int) {
 	m.UncertainAttempts = slices.DeleteFunc(m.UncertainAttempts, func(a Attempt) bool { return a.Number == number })
 }
 
-// Estimates of what a message takes in a compacted log, in bytes. They are upper bounds for the JSON of a record with
-// its keys and numbers; strings and the body come in addition.
+// Parts of the estimated size of a message in a compacted log, in bytes. Each is an upper bound for the JSON keys and
+// numbers. The lengths of strings and of the body are added to them.
 const (
-	messageOverhead = 280
-	attemptOverhead = 80
+	messageOverhead = 280 // of a message without its attempts
+	attemptOverhead = 80  // of each uncertain attempt
 )
 
-// estimatedSize returns about what a message takes in a compacted log.
+// estimatedSize returns the approximate size of a message in a compacted log, in bytes.
 func estimatedSize(m *Message) int64 {
 	size := messageOverhead + len(m.Body) + len(m.TraceID) + len(m.IdempotencyKey) + len(m.OrderingKey)
 	for _, attempt := range m.UncertainAttempts {
--- a/internal/state/legacylog/record.go
+++ b/internal/state/legacylog/record.go
@@ -7,18 +7,18 @@
 	"hash/crc32"
 )
 
-// This file defines the encoding of records. A record is a header of magic, payload length and checksum of the payload,
-// all little-endian. The payload is the length of the JSON as an unsigned varint, the JSON, and the body of a message
-// up to the end of the payload.
+// This file defines the encoding of records. A record consists of a header and a payload. The header holds a magic
+// number, the length of the payload and the CRC-32 of the payload, all little-endian. The payload holds the length of
+// the JSON as an unsigned varint, the JSON, and the body of a message, which extends to the end of the payload.
 const (
 	magic          = 0xC7A1
-	lengthOffset   = 2 // in the header, behind the magic of 2 bytes
-	checksumOffset = 6 // in the header, behind the length of 4 bytes
+	lengthOffset   = 2 // in the header, after the magic number of 2 bytes
+	checksumOffset = 6 // in the header, after the length of 4 bytes
 	headerSize     = 10
-	maxRecordSize  = 1 << 20 // of a payload, in bytes: a message's is far smaller
+	maxPayloadSize = 1 << 20 // in bytes; the payload of a message is far smaller
 )
 
-// recordKind says what a record is about.
+// recordKind identifies the change that a record describes.
 type recordKind byte
 
 const (
@@ -30,21 +30,21 @@
 	recordCancelled
 )
 
-// record is the JSON of a record.
+// record is the part of a record that is encoded as JSON.
 type record struct {
 	Kind    recordKind   `json:"Kind"`
 	ID      uint32       `json:"ID"` // of the message
 	Message *Message     `json:"Message,omitempty"`
 	Attempt *Attempt     `json:"Attempt,omitempty"`
-	N       int          `json:"N,omitempty"` // number of an attempt
+	N       int          `json:"N,omitempty"` // number of the attempt, only for recordNotRun
 	Final   *FinalAnswer `json:"Final,omitempty"`
 }
 
-// appendRecord appends a record with a body.
+// appendRecord appends the encoding of a record and the body of a message, which may be empty.
 func appendRecord(b []byte, rec record, body []byte) []byte {
 	text, err := json.Marshal(rec)
 	if err != nil {
-		panic(fmt.Sprintf("legacylog: encode a record: %v", err)) // its fields are plain: this cannot fail
+		panic(fmt.Sprintf("legacylog: encode a record: %v", err)) // not expected: JSON supports all field types
 	}
 	start := len(b)
 	b = append(b, make([]byte, headerSize)...)
@@ -58,8 +58,8 @@
 	return b
 }
 
-// readRecord reads the record at the start of data. size is what it takes; 0 if data does not begin with a complete and
-// undamaged record.
+// readRecord reads the record at the start of data. size is the length of the record in bytes, or 0 if data does not
+// begin with a complete and undamaged record.
 func readRecord(data []byte) (rec record, body []byte, size int) {
 	payload, ok := readPayload(data)
 	if !ok {
@@ -78,13 +78,14 @@
 	return rec, body, size
 }
 
-// readPayload returns the payload of the record at the start of data, if it is complete and its checksum is right.
+// readPayload returns the payload of the record at the start of data if the record is complete and its checksum
+// matches.
 func readPayload(data []byte) ([]byte, bool) {
 	if len(data) < headerSize || binary.LittleEndian.Uint16(data) != magic {
 		return nil, false
 	}
 	size := int64(binary.LittleEndian.Uint32(data[lengthOffset:]))
-	if size > maxRecordSize || size > int64(len(data)-headerSize) {
+	if size > maxPayloadSize || size > int64(len(data)-headerSize) {
 		return nil, false
 	}
 	payload := data[headerSize : headerSize+size]
--- a/internal/state/legacylog/replay.go
+++ b/internal/state/legacylog/replay.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// replay applies the records in data. It skips what it cannot read. It returns the end of the last good record, and
-// whether there were unreadable bytes before it.
+// replay applies the records in data and skips unreadable bytes. It returns the offset after the last complete
+// record, and whether there are unreadable bytes before that record.
 func (l *Log) replay(data []byte) (goodEnd int64, damaged bool) {
 	for at := 0; at < len(data); {
 		rec, body, size := readRecord(data[at:])
 		if size == 0 {
-			at++ // search for the next record: a damaged one must not hide those behind it
+			at++ // search for the next record: a damaged one must not hide those after it
 			continue
 		}
 		if int64(at) != goodEnd {
@@ -21,8 +21,8 @@
 	return goodEnd, damaged
 }
 
-// apply applies a record to the live messages. A record of an unknown message is ignored: its first record is
-// unreadable.
+// apply applies a record to the live messages. A record of an unknown message is ignored: the record that accepted
+// the message was unreadable.
 func (l *Log) apply(rec record, body []byte) {
 	if rec.Kind == recordAccept && rec.Message != nil {
 		m := rec.Message
@@ -53,19 +53,19 @@
 	})
 }
 
-// add adds a message to the live ones.
+// add adds m to the live messages.
 func (l *Log) add(m *Message) {
 	l.live[m.ID] = m
 	l.liveBytes += estimatedSize(m)
 }
 
-// remove takes a message out of the live ones.
+// remove removes m from the live messages.
 func (l *Log) remove(m *Message) {
 	delete(l.live, m.ID)
 	l.liveBytes -= estimatedSize(m)
 }
 
-// update changes a live message and keeps the count of bytes right.
+// update changes a live message and adjusts liveBytes.
 func (l *Log) update(m *Message, change func()) {
 	l.liveBytes -= estimatedSize(m)
 	change()
--- a/internal/state/legacylog/replay_test.go
+++ b/internal/state/legacylog/replay_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Whatever the file holds, it is read to the end, and a record behind it is found.
+// replay must accept arbitrary data, and must find a record that is appended after the last complete record of that
+// data.
 func FuzzReplay(f *testing.F) {
 	data := appendRecord(nil, record{Kind: recordAccept, ID: 1, Message: message(1)}, []byte("body"))
 	data = appendRecord(data, record{Kind: recordSend, ID: 1, Attempt: &Attempt{Endpoint: "s-1"}}, nil)
