--- a/internal/state/store/batch.go
+++ b/internal/state/store/batch.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// maxDeleteSize is the number of bytes that a delete takes at most.
+// maxDeleteSize is the largest number of bytes that a delete takes on disk.
 const maxDeleteSize = frameHeaderSize + maxRecordHeader
 
-// Batch is what one commit does. Its methods add to it; it must not be used after Commit.
+// Batch collects the operations of one commit. It must not be used after Commit, because the store reuses it.
 type Batch struct {
 	store    *Store
 	ops      []op
-	data     []byte // of all ops
+	data     []byte // values and deltas of all ops
 	putCount int
 	err      error
 }
@@ -21,18 +21,19 @@
 type op struct {
 	kind     recordKind
 	key      uint64
-	from, to int // of Batch.data
+	from, to int // range of its bytes in Batch.data; to is exclusive
 }
 
 func (o *op) size() int { return o.to - o.from }
 
-// maxRecordSize is the number of bytes that the operation takes on disk at most.
+// maxRecordSize returns the largest number of bytes that the operation takes on disk.
 func (o *op) maxRecordSize() int64 { return maxFramedSize(int64(o.size()) + maxRecordHeader) }
 
-// Begin returns the store's batch, emptied.
+// Begin empties the store's batch and returns it. Each store has only one batch.
 func (s *Store) Begin() *Batch {
 	if len(s.pendingDeletes) > 0 {
-		s.applyPendingDeletes() // keys follow from what is written before them; where it fails, so does Commit
+		// The deletes use up record numbers, which determine the keys that Put returns. If they fail, so does Commit.
+		s.applyPendingDeletes()
 	}
 	b := &s.batch
 	b.store = s
@@ -43,7 +44,7 @@
 	return b
 }
 
-// Put adds a new value, made of parts, and returns the key that it has once it is committed.
+// Put adds a new value, the concatenation of parts. It returns the key that the value will have after Commit.
 func (b *Batch) Put(parts ...[]byte) (key uint64) {
 	key = b.store.nextNumber + uint64(len(b.ops))
 	b.add(kindPut, key, parts...)
@@ -51,10 +52,10 @@
 	return key
 }
 
-// Append adds a delta to a value, which may have been put in this batch.
+// Append adds a delta to a value, which may have been put in the same batch.
 func (b *Batch) Append(key uint64, delta []byte) { b.add(kindDelta, key, delta) }
 
-// Delete removes a value. A key that is not there is no error: it is removed already.
+// Delete removes a value. A key without a live value is no error: the value may have been removed already.
 func (b *Batch) Delete(key uint64) { b.add(kindDelete, key) }
 
 // Len returns the number of operations that the batch holds.
@@ -72,10 +73,11 @@
 	b.ops = append(b.ops, op{kind: kind, key: key, from: from, to: len(b.data)})
 }
 
-// maxValueSize is the size of a value or a delta at most. The rest of a segment is for frames and the directory.
+// maxValueSize returns the largest size of a value or delta in bytes. The rest of a segment is for frame headers
+// and the directory.
 func (s *Store) maxValueSize() int { return int(s.segmentSize) * 7 / 8 }
 
-// maxRecordSize is the number of bytes that a batch takes on disk at most.
+// maxRecordSize returns the largest number of bytes that the batch takes on disk.
 func (b *Batch) maxRecordSize() int64 {
 	size := int64(0)
 	for i := range b.ops {
@@ -84,9 +86,13 @@
 	return size
 }
 
-// Commit writes a batch, all of it or none. After ErrFull the same batch without puts may be committed. After any error
-// the store holds what it held before, with one exception: of a batch longer than a segment whose first part was
-// written and whose second part could not be, deltas and deletes of the first part remain.
+// Commit writes all operations of a batch or, if it fails, none, with the exceptions below. After ErrFull, the same
+// operations without the puts may be committed in a new batch.
+//
+// A batch that the active segment cannot hold is written in parts. If a later part cannot be written, deltas and
+// deletes of the earlier parts remain; values of the earlier parts are deleted by the next Begin. If only the sync
+// fails, the whole batch remains in the store, but may not survive a machine crash. A crash during Commit may leave
+// the first operations of the batch without the others.
 func (s *Store) Commit(b *Batch) error {
 	switch {
 	case b.err != nil:
@@ -118,13 +124,13 @@
 	return s.syncCommit()
 }
 
-// checkDeltaKeys fails with ErrKeyNotFound where a delta's value is neither stored nor put in the batch.
+// checkDeltaKeys returns ErrKeyNotFound if the value of a delta is neither stored nor put in the batch.
 func (s *Store) checkDeltaKeys(b *Batch) error {
 	firstNew := s.nextNumber
-	behindNew := firstNew + uint64(len(b.ops))
+	endNew := firstNew + uint64(len(b.ops))
 	for i := range b.ops {
 		o := &b.ops[i]
-		if o.kind != kindDelta || o.key >= firstNew && o.key < behindNew {
+		if o.kind != kindDelta || o.key >= firstNew && o.key < endNew {
 			continue
 		}
 		if _, ok := s.index[o.key]; !ok {
@@ -134,8 +140,8 @@
 	return nil
 }
 
-// writeOps writes a batch's operations from one on, as many as the segment holds, in one write, and brings the index up
-// to date. It returns the first operation that is not written.
+// writeOps writes the operations of a batch starting at index from, as many as the active segment can hold, in one
+// write, and updates the store's index. It returns the index of the first operation that it did not write.
 func (s *Store) writeOps(b *Batch, from int) (next int, err error) {
 	if err := s.ensureSpace(b.ops[from].maxRecordSize()); err != nil {
 		return from, err
@@ -170,7 +176,7 @@
 	return next, nil
 }
 
-// appendOpHeader appends an operation's record up to its bytes.
+// appendOpHeader appends the kind and the fields of an operation's record. The operation's bytes follow them.
 func (s *Store) appendOpHeader(record []byte, o *op) []byte {
 	record = append(record, byte(o.kind))
 	switch o.kind {
@@ -183,8 +189,8 @@
 	return record
 }
 
-// scheduleDeletes notes the values that a batch put into earlier segments before a later part of it could not be
-// written: they are on disk, and are deleted before anything else.
+// scheduleDeletes schedules the deletion of the values in a batch's written operations, after a later operation
+// could not be written. The values are on disk, and must be deleted before the next batch is committed.
 func (s *Store) scheduleDeletes(written []op) {
 	for i := range written {
 		if written[i].kind == kindPut {
@@ -193,7 +199,7 @@
 	}
 }
 
-// applyPendingDeletes deletes the values of failed batches, each in a write of its own.
+// applyPendingDeletes deletes the values of failed batches, each in a separate write.
 func (s *Store) applyPendingDeletes() {
 	for len(s.pendingDeletes) > 0 {
 		last := len(s.pendingDeletes) - 1
--- a/internal/state/store/compact.go
+++ b/internal/state/store/compact.go
@@ -8,56 +8,62 @@
 	"slices"
 )
 
-// Compaction moves the live records of one segment forward, a bounded number of bytes in each step, and then removes
-// the segment. It uses the ordinary write path: a crash leaves a record twice, under the same key and number, and
-// recovery takes it once.
+// Compaction moves the live records of one segment to the end of the log, a bounded number of bytes in each step,
+// and then removes the segment. It uses the ordinary write path. A crash can leave a record in two segments. Both
+// copies have the same key, and copies of a delta also the same original record number, so recovery counts the
+// record only once.
 
 const (
-	// maxGarbageSegments is how much garbage, in segments, is left beside as many bytes as are live.
+	// maxGarbageSegments limits the garbage on disk before compaction is due: as many bytes as are live, plus the
+	// size of this many segments.
 	maxGarbageSegments = 4
 
-	// Above compactionDiskTenths of the limit any garbage makes compaction due. Segments with a live ratio above
-	// maxLiveRatioToCompact win little for what is written again: they are compacted only above shortageDiskQuarters of
-	// the limit. Those above maxLiveRatioInShortage win nothing.
+	// When the bytes on disk exceed compactionDiskTenths of the limit, compaction is due however little garbage
+	// there is. Rewriting a segment with a live ratio above maxLiveRatioToCompact frees little space, so such a
+	// segment is compacted only when the bytes on disk exceed shortageDiskQuarters of the limit. A segment with a
+	// live ratio above maxLiveRatioInShortage is not compacted even then. maxSegments overrides these live ratios.
 	compactionDiskTenths   = 6
 	shortageDiskQuarters   = 3
 	maxLiveRatioToCompact  = 0.75
 	maxLiveRatioInShortage = 0.97
 
-	// maxSegments is how many segments make compaction due whatever they hold: it bounds the open files.
+	// maxSegments is the number of segments at which compaction is due whatever they hold. It bounds the number of
+	// open files.
 	maxSegments = 2 * segmentsPerLimit
 
 	// compactionReadBlocks is how many blocks compaction reads at a time.
 	compactionReadBlocks = 16
 )
 
-// compaction is the compaction that is going on.
+// compaction is the state of the compaction in progress.
 type compaction struct {
-	segment *segment // being compacted; nil: none
-	offset  int64    // of its next record
-	number  uint64   // of the last record that was read
+	segment *segment // the segment being compacted; nil: no compaction is in progress
+	offset  int64    // where to look for its next record
+	number  uint64   // number of the last record that was read
 
-	frames assembler // reused for the record that is read
+	frames assembler // joins the frames of the record being read
 
-	// buffer holds bytes of the segment bufferSegment from bufferOffset on; 0: of none.
+	// buffer holds bytes of the segment with number bufferSegment, starting at bufferOffset. If bufferSegment is 0,
+	// the buffer is not valid.
 	buffer        []byte
 	bufferSegment uint32
 	bufferOffset  int64
 }
 
-// begin begins to compact a segment.
+// begin starts the compaction of a segment.
 func (c *compaction) begin(seg *segment) {
 	c.segment = seg
 	c.offset = HeaderSize
 	c.number = seg.header.FirstRecord
 }
 
-// CompactionDue reports whether there is enough garbage for Compact.
+// CompactionDue reports whether Compact has anything to do: a compaction is in progress, or there is enough garbage
+// to start one.
 func (s *Store) CompactionDue() bool { return s.compaction.segment != nil || s.pickSegment() != nil }
 
-// pickSegment chooses the segment to compact; nil: none. Of those that are not written to it is the one with the
-// smallest live ratio, once garbage takes more than what is live and some segments, or space gets short. A segment that
-// is nearly all live is left until space is very short: compaction would write it again for little.
+// pickSegment returns the segment to compact next, or nil if no compaction is due. It picks the segment with the
+// smallest live ratio, except the active one. Compaction is due if there are too many segments, or if the bytes on
+// disk exceed maxBytesWithoutCompaction and the segment has enough garbage.
 func (s *Store) pickSegment() *segment {
 	if s.options.ReadOnly || len(s.segments) < 2 {
 		return nil
@@ -78,13 +84,14 @@
 	return best
 }
 
-// maxBytesWithoutCompaction is how many bytes may be on disk before compaction is due.
+// maxBytesWithoutCompaction returns how many bytes may be on disk before compaction is due.
 func (s *Store) maxBytesWithoutCompaction() int64 {
 	withGarbage := 2*s.liveBytes + maxGarbageSegments*s.segmentSize
 	return min(withGarbage, s.options.Limit*compactionDiskTenths/10)
 }
 
-// isWorthCompacting reports whether a segment has enough garbage for the space that is left.
+// isWorthCompacting reports whether a segment has enough garbage to be compacted. When space is short, less garbage
+// is enough.
 func (s *Store) isWorthCompacting(seg *segment) bool {
 	ratio := seg.liveRatio()
 	if ratio <= maxLiveRatioToCompact {
@@ -94,8 +101,8 @@
 	return short && ratio <= maxLiveRatioInShortage
 }
 
-// Compact does a step of compaction: it reads and writes about budget bytes, and a whole record where one is longer. It
-// reports whether there is more to do. Where it fails nothing is lost, and the next step tries again.
+// Compact does one step of compaction. It reads and writes about budget bytes, or more if a single record is
+// longer. It reports whether there is more to do. An error loses no data, and the next step tries again.
 func (s *Store) Compact(budget int) (more bool, err error) {
 	if s.options.ReadOnly {
 		return false, ErrReadOnly
@@ -108,7 +115,7 @@
 		}
 		c.begin(seg)
 	}
-	// A segment is compacted into those behind it.
+	// Live records move to later segments, so the segment being compacted must not be the active one.
 	if c.segment == s.activeSegment() || !s.appendable {
 		if err := s.rollSegment(); err != nil {
 			return true, err
@@ -130,8 +137,8 @@
 	return true, nil
 }
 
-// moveNextRecord moves the next record of the segment that is compacted if it is live, and returns how many bytes were
-// read for it.
+// moveNextRecord reads the next record of the segment being compacted and moves it if it is live. It returns how
+// many bytes it read.
 func (s *Store) moveNextRecord() (used int, err error) {
 	c := &s.compaction
 	next, found, err := s.readNextRecord()
@@ -148,9 +155,9 @@
 	return used, nil
 }
 
-// readNextRecord reads the next complete record of the segment that is compacted into its frames. It returns the offset
-// behind the record; found is false if there is none, and the offset is the segment's end. What cannot be read on the
-// way was reported at recovery, or has been damaged since: it is skipped.
+// readNextRecord reads the next complete record of the segment being compacted into compaction.frames, and returns
+// the offset after the record. If there is none, found is false and next is the segment's end. Unreadable bytes are
+// skipped: recovery has reported them, or they were damaged since.
 func (s *Store) readNextRecord() (next int64, found bool, err error) {
 	c := &s.compaction
 	c.frames.discard()
@@ -181,8 +188,8 @@
 	return c.segment.size, false, nil
 }
 
-// readBlock returns the bytes of the segment that is compacted from an offset to the end of its block. It reads several
-// blocks at a time.
+// readBlock returns the bytes of the segment being compacted from offset to the end of the block or of the segment.
+// It reads several blocks at a time into the buffer.
 func (s *Store) readBlock(offset int64) ([]byte, error) {
 	c := &s.compaction
 	seg := c.segment
@@ -199,7 +206,7 @@
 		n, err := readAvailable(seg.file, c.buffer, start)
 		if err != nil {
 			c.bufferSegment = 0
-			return nil, fmt.Errorf("store: compact: %w", err)
+			return nil, fmt.Errorf("store: compact: read segment %d: %w", seg.number, err)
 		}
 		c.buffer = c.buffer[:n]
 		c.bufferSegment = seg.number
@@ -209,7 +216,7 @@
 	return c.buffer[offset-c.bufferOffset : end-c.bufferOffset], nil
 }
 
-// moveRecord writes a record of the segment that is compacted again if it is live.
+// moveRecord moves a record of the segment being compacted if it is live. low is the low 32 bits of its number.
 func (s *Store) moveRecord(low uint32, offset int64, record []byte) error {
 	s.compaction.number = fullNumber(s.compaction.number, low)
 	if len(record) == 0 {
@@ -288,7 +295,8 @@
 	return nil
 }
 
-// moveDelete moves the delete of a value whose put stands in another segment, unless that one is gone.
+// moveDelete moves a delete as long as target, the segment that holds the put, exists. A put in the segment being
+// compacted is removed together with its delete.
 func (s *Store) moveDelete(target uint32, offset int64, record []byte) error {
 	from := s.compaction.segment
 	if target == from.number || s.findSegment(target) == nil {
@@ -306,14 +314,14 @@
 	return nil
 }
 
-// recordLocation says where a record was written.
+// recordLocation is the place where a record was written.
 type recordLocation struct {
 	segment  *segment
 	offset   int64
 	diskSize int64
 }
 
-// writeRecord writes a record by itself at the end of the log.
+// writeRecord appends a single record to the active segment, in a separate write.
 func (s *Store) writeRecord(record []byte) (recordLocation, error) {
 	if err := s.ensureSpace(maxFramedSize(int64(len(record)))); err != nil {
 		return recordLocation{}, err
@@ -331,38 +339,39 @@
 	return recordLocation{segment: seg, offset: offset, diskSize: seg.size - offset}, nil
 }
 
-// removeCompacted removes the compacted segment, of which nothing is needed any more. First it is recorded as removed,
-// so that a file that a crash leaves behind is not taken for one that should exist.
+// removeCompacted removes the compacted segment, which holds nothing that is still needed. It first records the
+// removal, so that after a crash recovery neither uses the file if it still exists nor reports it as missing if it
+// is gone.
 func (s *Store) removeCompacted() error {
 	removed := s.compaction.segment
 	record := binary.AppendUvarint([]byte{byte(kindRemoved)}, uint64(removed.number))
 	if _, err := s.writeRecord(record); err != nil {
 		return err
 	}
-	if s.options.Sync != SyncNever { // what was moved must be as durable as what it was moved from
+	if s.options.Sync != SyncNever { // the moved records must be as durable as the originals
 		if err := s.activeSegment().file.Sync(); err != nil {
-			return fmt.Errorf("store: compact: %w", err)
+			return fmt.Errorf("store: compact: sync: %w", err)
 		}
 	}
 	s.compaction.segment = nil
 	s.segments = slices.DeleteFunc(s.segments, func(seg *segment) bool { return seg == removed })
-	for _, seg := range s.segments { // deletes of its values are not needed any more
+	for _, seg := range s.segments { // deletes of the removed segment's values are no longer needed
 		if n := seg.tombstones[removed.number]; n > 0 {
 			s.addLiveBytes(seg, -int64(n))
 			delete(seg.tombstones, removed.number)
 		}
 	}
-	s.liveBytes -= removed.liveBytes // of what could not be read
+	s.liveBytes -= removed.liveBytes // bytes of live records that could not be read, and so were not moved
 	s.stats.RemovedSegments++
 	err := removed.file.Close()
 	removeErr := s.fs.Remove(segmentName(removed.number))
 	if removeErr != nil && !errors.Is(removeErr, os.ErrNotExist) {
-		err = errors.Join(err, removeErr) // its space stays taken until the next start
+		err = errors.Join(err, removeErr) // its space stays in use until the next Open removes the file
 	} else {
 		s.diskBytes -= roundToUnits(removed.fileSize)
 	}
 	if err != nil {
-		return fmt.Errorf("store: compact: %w", err)
+		return fmt.Errorf("store: compact: remove segment %d: %w", removed.number, err)
 	}
 	return nil
 }
--- a/internal/state/store/crash_test.go
+++ b/internal/state/store/crash_test.go
@@ -12,15 +12,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// A store whose process stops at any call of append, roll, compaction and removal holds what was committed, and of the
-// last commit a part from its begin.
+// A process may stop at any file system call of a commit, a segment roll, a compaction or a segment removal. The
+// next process must find everything that was committed, and of the interrupted commit only its first operations.
 func TestProcessStopsAtEveryCall(t *testing.T) {
 	const (
 		steps   = 260
 		maxSize = 3000
 	)
 	for _, partial := range []int{0, 1, 100, 4000, 1 << 20} {
-		stride := 1 // every call; with a part written every third
+		stride := 1 // every call; every third if a write at that call is partly done
 		if partial > 0 {
 			stride = 3
 		}
@@ -33,9 +33,9 @@
 			for i := 0; i < steps && err == nil; i++ {
 				err = d.step(maxSize)
 			}
-			if err == nil { // the whole run was without a stop
+			if err == nil { // the run ended before the n-th call
 				if n < 200 {
-					t.Fatalf("only %d calls: the test shows little", n)
+					t.Fatalf("the run ended before call %d: want at least 200 calls", n)
 				}
 				break
 			}
@@ -44,9 +44,9 @@
 	}
 }
 
-// checkAfterStop checks what the next process finds in the folder of one that stopped. With goOn it also works on from
-// there, through more compactions, and checks what that leaves.
-func checkAfterStop(t *testing.T, label string, fs *faultfs.FS, d *driver, goOn bool) {
+// checkAfterStop checks what the next process finds in the folder of a stopped one. With continueWork, the next
+// process also does more steps, including compactions, and checkAfterStop checks what they leave.
+func checkAfterStop(t *testing.T, label string, fs *faultfs.FS, d *driver, continueWork bool) {
 	t.Helper()
 	s, rec := openStore(t, fs.Reboot())
 	diff := d.committed.difference(s, rec)
@@ -59,7 +59,7 @@
 		t.Fatalf("%s: %s: %+v", label, diff, rec)
 	}
 	m := modelOf(t, s, rec)
-	if !goOn {
+	if !continueWork {
 		return
 	}
 	folder := fs.Reboot()
@@ -72,8 +72,8 @@
 	}
 }
 
-// Errors of the file system at every call: nothing that was committed is lost, nothing is held that was not, and once
-// they are over work goes on.
+// The file system returns errors at any call. Nothing that was committed may be lost, nothing from a failed commit
+// may remain, and work must continue once the errors end.
 func TestErrorsAtEveryCall(t *testing.T) {
 	for _, fault := range []error{syscall.EIO, syscall.ENOSPC} {
 		for _, partial := range []int{0, 50, 5000} {
@@ -86,7 +86,8 @@
 	}
 }
 
-// checkErrorAtCall has three calls from the n-th on fail, of which writes write a part.
+// checkErrorAtCall makes three successive calls fail, starting with the n-th. Failing writes still write at most
+// partial bytes.
 func checkErrorAtCall(t *testing.T, fault error, partial, n int) {
 	t.Helper()
 	fs := faultfs.New()
@@ -115,8 +116,8 @@
 	}
 }
 
-// A disk that is full, at whatever size, also in the middle of a compaction: new values are rejected, deletes find
-// space in the end, and once there is space all goes on.
+// The disk becomes full at various sizes, also during a compaction. Writes may fail, but nothing that was committed
+// may be lost, and work must continue once there is space again.
 func TestFullDisk(t *testing.T) {
 	for capacity := int64(20 << 10); capacity < limit; capacity += 60 << 10 {
 		fs := faultfs.New()
@@ -129,7 +130,7 @@
 		fs.SetCapacity(0)
 		for range 50 {
 			if err := d.step(3000); err != nil {
-				t.Fatalf("with space again: %v", err)
+				t.Fatalf("a disk of %d bytes, after the limit was lifted: %v", capacity, err)
 			}
 		}
 		s, rec := openStore(t, fs.Reboot())
@@ -139,13 +140,13 @@
 	}
 }
 
-// With nothing to compact new values are rejected while there is still space for deltas and deletes.
+// When there is nothing to compact, new values are rejected while there is still space for deltas and deletes.
 func TestFullWithoutGarbage(t *testing.T) {
 	fs := faultfs.New()
 	s, _ := openStore(t, fs)
 	keys := putUntilFull(t, s)
 	if st := s.Stats(); st.LiveBytes < limit/2 || st.AvailableForValues > 2000 || st.AvailableBytes < limit/8 {
-		t.Errorf("%+v", st)
+		t.Errorf("stats of a full store: %+v", st)
 	}
 	for range 2 {
 		for _, key := range keys {
@@ -161,7 +162,7 @@
 		mustDelete(t, s, key)
 	}
 	if used := fs.Size(512); used > limit {
-		t.Errorf("%d bytes of %d", used, limit)
+		t.Errorf("%d bytes on disk, limit %d", used, limit)
 	}
 }
 
@@ -182,8 +183,8 @@
 	}
 }
 
-// A value that holds whole segments, records and headers of this very store is read as none of them, also where the
-// record that holds it is torn at any byte.
+// A value that contains whole segments, records and headers of the same store must not be read as any of them, even
+// if the record of the value is cut at any byte.
 func TestValuesAreNeverReadAsRecords(t *testing.T) {
 	fs := faultfs.New()
 	s, _ := openStore(t, fs)
--- a/internal/state/store/damage_test.go
+++ b/internal/state/store/damage_test.go
@@ -14,9 +14,10 @@
 
 const segmentSuffix = ".seg"
 
-// checkDamaged checks that what is read after damage is never wrong: every value and delta that is there is as it was,
-// nothing deleted is live, and anything that is missing is reported, with the values that it concerns. A file that was
-// cut between two records is as if the later ones had never been written: with truncated nothing need be reported.
+// checkDamaged checks that a store never returns wrong data after damage. Every value that is found is as it was
+// put. A deleted value may be live again, or a value may be missing, only if damage is reported; a delta may be
+// missing only if its value is reported as uncertain, or a torn write is reported. A file that was cut between two
+// records looks as if the later records had never been written, so nothing need be reported if truncated is set.
 func checkDamaged(t *testing.T, label string, fs *faultfs.FS, want model, truncated bool) {
 	t.Helper()
 	s, rec, err := store.Open(fs, store.Options{Limit: limit})
@@ -31,7 +32,7 @@
 			if !reported {
 				t.Fatalf("%s: deleted value %d is live, and nothing is reported", label, key)
 			}
-			continue // its delete was lost
+			continue // its delete was lost, and damage is reported
 		}
 		if got, err := s.Get(key, nil); err != nil || string(got) != entry[0] {
 			t.Fatalf("%s: value %d: %.40q, %v", label, key, got, err)
@@ -64,11 +65,11 @@
 			folder.Put(name, bytes.Clone(data[:cut]))
 			checkDamaged(t, fmt.Sprintf("%s cut at %d of %d", name, cut, len(data)), folder, want, true)
 		}
-		for _, zeros := range []int{1, 100, 5000} { // as file systems leave
+		for _, zeros := range []int{1, 100, 5000} { // file systems may leave zeros at the end of a file
 			for cut := 0; cut <= len(data); cut += 7 {
 				folder := fs.Reboot()
 				folder.Put(name, append(bytes.Clone(data[:cut]), make([]byte, zeros)...))
-				checkDamaged(t, fmt.Sprintf("%s cut at %d, %d zeros behind", name, cut, zeros), folder, want, true)
+				checkDamaged(t, fmt.Sprintf("%s cut at %d, then %d zeros", name, cut, zeros), folder, want, true)
 			}
 		}
 	}
@@ -94,13 +95,14 @@
 	}
 }
 
-// Damage in the middle hides nothing that stands behind it, and concerns only what was there before it.
+// A flipped byte in the middle of a segment must not hide the records after it: only records near it are lost, and
+// the loss is reported.
 func TestDamageInTheMiddle(t *testing.T) {
 	const maxSize = 3000
 	fs, want := filledFolder(t, 600, maxSize)
 	segments := segmentFiles(fs)
 	if len(segments) < 4 {
-		t.Fatalf("%d segments only", len(segments))
+		t.Fatalf("%d segments, want at least 4", len(segments))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -112,7 +114,7 @@
 		folder.Put(name, data)
 		label := fmt.Sprintf("%s byte %d", name, at)
 		s, rec := openStore(t, folder)
-		checkLittleIsLost(t, label, rec, len(want), 3*store.BlockSize+maxSize+100)
+		checkLossIsBounded(t, label, rec, len(want), 3*store.BlockSize+maxSize+100)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -120,8 +122,9 @@
 	}
 }
 
-// checkLittleIsLost checks that at most one range of at most maxBytes is damaged, and nine tenths of the values remain.
-func checkLittleIsLost(t *testing.T, label string, rec *store.Recovery, values int, maxBytes int64) {
+// checkLossIsBounded checks that at most one range of at most maxBytes is damaged, and that at least nine tenths of
+// the values remain.
+func checkLossIsBounded(t *testing.T, label string, rec *store.Recovery, values int, maxBytes int64) {
 	t.Helper()
 	if len(rec.Damaged) > 1 || rec.Intact() && len(rec.Keys) != values {
 		t.Fatalf("%s: %+v", label, rec)
@@ -135,7 +138,8 @@
 	}
 }
 
-// A segment that is missing is reported, also where a copy of another has its name; files of others are left alone.
+// A missing segment is reported, even if a copy of another segment has its name. Files that do not belong to the
+// store are reported as foreign, and do not change what is read.
 func TestMissingAndForeignFiles(t *testing.T) {
 	fs, want := filledFolder(t, 600, 3000)
 	segments := segmentFiles(fs)
@@ -145,18 +149,18 @@
 			folder := fs.Reboot()
 			folder.Put(name, nil)
 			if _, rec := openStore(t, folder); len(rec.Missing) != 1 || rec.Intact() {
-				t.Errorf("without it: %+v", rec)
+				t.Errorf("segment removed: %+v", rec)
 			}
 			folder = fs.Reboot()
 			folder.Put(name, bytes.Clone(folder.Data(last)))
 			if _, rec := openStore(t, folder); len(rec.Missing) != 1 || len(rec.Foreign) != 1 {
-				t.Errorf("a copy of another in its place: %+v", rec)
+				t.Errorf("segment replaced by a copy of another: %+v", rec)
 			}
 			folder = fs.Reboot()
 			folder.Put("copy of "+name, bytes.Clone(folder.Data(name)))
 			folder.Put("00000000.tmp", []byte("stale"))
 			if s, rec := openStore(t, folder); len(rec.Foreign) != 2 || want.difference(s, rec) != "" {
-				t.Errorf("a copy beside it: %+v", rec)
+				t.Errorf("with a copy under another name and a temporary file: %+v", rec)
 			}
 		})
 	}
@@ -176,7 +180,7 @@
 		if err != nil {
 			return
 		}
-		// Whatever the bytes are, reading and writing may fail, and must not panic.
+		// With any bytes, reading and writing may fail but must not panic.
 		for _, key := range rec.Keys {
 			_, _ = s.Get(key, nil)
 		}
--- a/internal/state/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -1,6 +1,7 @@
-// Package faultfs provides file systems that fail on demand, for tests of what must survive that. FS is one in memory:
-// it stops at a call, as a process that is killed there, writes a part, returns an error, or is full. Killer passes
-// calls on to another file system and kills its own process at one of them.
+// Package faultfs provides file systems that fail on demand, to test code that must survive such failures. FS is a
+// file system in memory. It can stop at a call, as if the process were killed there, write only a part of the data,
+// return an error, or be full. Killer passes calls on to another file system and kills its own process at one of
+// them.
 package faultfs
 
 import (
@@ -17,34 +18,37 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// ErrStopped is the error of the call at which the process stopped, and of all calls after it.
+// ErrStopped is returned by the call at which the simulated process stopped, and by all calls after it.
 var ErrStopped = errors.New("faultfs: stopped")
 
-// FS is a folder in memory. Its faults may be set at any time.
+// FS is a folder in memory. Its faults can be changed at any time.
 type FS struct {
 	mu           sync.Mutex
 	files        map[string][]byte
 	locked       bool
 	calls        int
-	stopAt       int              // 0: never
-	partial      int              // bytes that the call at which it stops still writes
-	capacity     int64            // bytes in all files; 0: unbounded
-	failCall     func(Call) error // nil: none
-	partialWrite func(Call) int   // bytes of a write that are written in spite of failCall's error; nil: none
+	stopAt       int              // number of the call; 0: never
+	partial      int              // bytes that are still written if the call at stopAt is a write
+	capacity     int64            // maximum bytes in all files; 0: unbounded
+	failCall     func(Call) error // error of a call; nil: no call fails
+	partialWrite func(Call) int   // bytes that are written although failCall failed the write; nil: none
 }
 
-// Call is one call that changes something or reads.
+// Call describes a call on an FS or its files. Size, Close and a Lock that fails with ErrLocked are not counted as
+// calls.
 type Call struct {
-	Number int // from 1
-	Op     string
-	Name   string
-	Size   int
+	Number int    // counted from 1 since the last StopAt
+	Op     string // such as "open" or "write"
+	Name   string // of the file; empty for calls on the folder
+	Size   int    // bytes to read or write
 }
 
 // New returns an empty folder.
 func New() *FS { return &FS{files: map[string][]byte{}} }
 
-// StopAt has the process stop at its n-th call from now on. If that is a write, partial bytes of it are still written.
+// StopAt stops the simulated process at the n-th call from now on: that call and all later ones fail with
+// ErrStopped. If that call is a write, at most partial bytes of it are still written. If n is 0, the process does
+// not stop.
 func (f *FS) StopAt(n, partial int) {
 	f.withLock(func() {
 		f.calls = 0
@@ -53,8 +57,8 @@
 	})
 }
 
-// Fail has those calls fail for which failCall returns an error. partialWrite returns how many bytes of a write that
-// fails are written; nil: none.
+// Fail makes each call fail for which failCall returns an error. partialWrite returns how many bytes of a failed
+// write are still written; nil means none.
 func (f *FS) Fail(failCall func(Call) error, partialWrite func(Call) int) {
 	f.withLock(func() {
 		f.failCall = failCall
@@ -62,7 +66,7 @@
 	})
 }
 
-// SetCapacity bounds the bytes of all files; 0: unbounded.
+// SetCapacity limits the bytes of all files; 0 means no limit.
 func (f *FS) SetCapacity(n int64) { f.withLock(func() { f.capacity = n }) }
 
 func (f *FS) withLock(do func()) {
@@ -71,14 +75,15 @@
 	do()
 }
 
-// Calls returns the number of calls since StopAt.
+// Calls returns the number of calls since the last StopAt, or since New.
 func (f *FS) Calls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// Reboot returns the folder as a new process finds it: what was written, no lock, no faults.
+// Reboot returns a copy of the folder as a new process finds it: with the data that was written, without lock and
+// faults.
 func (f *FS) Reboot() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,14 +101,14 @@
 	return slices.Sorted(maps.Keys(f.files))
 }
 
-// Data returns a file's data. To change it, Put a copy.
+// Data returns a file's data without copying it. To change a file, Put a changed copy.
 func (f *FS) Data(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.files[name]
 }
 
-// Put writes a file, or removes it if data is nil.
+// Put replaces a file's data, or removes the file if data is nil.
 func (f *FS) Put(name string, data []byte) {
 	f.withLock(func() {
 		if data == nil {
@@ -114,7 +119,7 @@
 	})
 }
 
-// Size returns the size of all files, each rounded up to whole units.
+// Size returns the total size of all files, each rounded up to a multiple of unit.
 func (f *FS) Size(unit int64) (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +129,8 @@
 	return sum
 }
 
-// beginCall counts a call and returns its error, and how many bytes of a write are done all the same.
+// beginCall counts a call and returns the error with which it must fail, if any. written is how many bytes a write
+// must write, also if it fails.
 func (f *FS) beginCall(op, name string, size int) (written int, err error) {
 	f.calls++
 	switch {
@@ -265,7 +271,7 @@
 	return n, err
 }
 
-// excess returns by how many bytes all files exceed the capacity if one becomes as long as end.
+// excess returns by how many bytes the files would exceed the capacity if the named file grew to end bytes.
 func (f *FS) excess(name string, end int64) int64 {
 	if f.capacity == 0 {
 		return 0
--- a/internal/state/store/faultfs/killer.go
+++ b/internal/state/store/faultfs/killer.go
@@ -9,23 +9,24 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// Killer passes calls on to a file system of the operating system, and kills its own process at one of them: a real
-// SIGKILL, after which the files are as the calls before left them.
+// Killer passes calls on to another file system, and kills its own process at one of them with SIGKILL. The files
+// then remain as the earlier calls left them.
 type Killer struct {
 	FS        store.FS
-	KillAt    int  // number of the call, from 1; 0: never
-	TornWrite bool // if that call is a write, half of it is written first
-	// DelayWrites has each write reach the file only with the next one, so that a kill takes the last one with it: the
-	// fault of a journal that writes too late. A check must find it.
+	KillAt    int  // number of the call, counted from 1; 0: never
+	TornWrite bool // if the call at KillAt is a write, half of its data is written first
+	// DelayWrites delays each write until the next write, read or truncation, so that a kill loses the last write.
+	// It simulates a journal that writes too late, a fault that a test of the journal must detect. Sync does not
+	// flush the delayed write either.
 	DelayWrites bool
 
 	mu           sync.Mutex
 	calls        int
-	delayedWrite func() error // the write that has not reached its file; nil: none
+	delayedWrite func() error // the write that was not passed on yet; nil: none
 }
 
-// beginCall counts a call and kills the process if it is the one to be killed at. tearWrite writes a part of a write
-// before; nil: the call is no write.
+// beginCall counts a call, and kills the process if the call is the one at KillAt. tearWrite writes a part of the
+// call's data before the kill; it is nil if the call is not a write.
 func (k *Killer) beginCall(tearWrite func() error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -34,12 +35,12 @@
 		return
 	}
 	if k.TornWrite && tearWrite != nil {
-		_ = tearWrite() // the process ends here, whatever of it was written
+		_ = tearWrite() // the process is killed next, even if the partial write failed
 	}
 	if err := killSelf(); err != nil {
-		panic(err) // a process that lives on would pass for one that was killed
+		panic(err) // if the process went on, a test would take it for killed
 	}
-	select {} // until the signal arrives; under mu, so that nothing more is written
+	select {} // wait for the signal; mu stays locked, so that no other call writes
 }
 
 func killSelf() error {
@@ -50,7 +51,7 @@
 	return process.Kill()
 }
 
-// flush has the delayed write reach its file.
+// flush passes the delayed write on to its file.
 func (k *Killer) flush() error {
 	k.mu.Lock()
 	write := k.delayedWrite
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// BlockSize is the size of a block in bytes. A frame header stands at the start of each block, so that recovery
-	// finds the next frame behind damage without looking at bytes inside a payload.
+	// BlockSize is the size of a block in bytes. Each block starts with a frame header; in the first block the
+	// segment's header precedes it. After damage, recovery therefore continues at the next block and never searches
+	// for a frame inside a payload.
 	BlockSize = 4096
 
 	frameHeaderSize = 11
 )
 
-// Offsets of the frame header's fields. The checksum stands first and covers all that follows.
+// Offsets of the frame header's fields. The checksum comes first and covers the rest of the frame.
 const (
 	frameLengthOffset = 4
 	framePartOffset   = 6
 	frameNumberOffset = 7
 )
 
-// framePart says which part of a record a frame holds.
+// framePart states which part of a record a frame holds.
 type framePart byte
 
 const (
@@ -30,7 +31,7 @@
 	partLast
 )
 
-// partOf returns the part of a record's frame that is its first, its last, both or neither.
+// partOf returns the part for a frame that is the first of its record, the last, both or neither.
 func partOf(first, last bool) framePart {
 	switch {
 	case first && last:
@@ -43,12 +44,13 @@
 	return partMiddle
 }
 
-// frame is a verified frame: its header, and a part of a record.
+// frame holds the bytes of a frame with a correct checksum: the frame header, then the payload, which is a part of
+// a record.
 type frame []byte
 
 func (f frame) part() framePart { return framePart(f[framePartOffset]) }
 
-// recordNumber returns the low bits of the record's number.
+// recordNumber returns the low 32 bits of the record's number.
 func (f frame) recordNumber() uint32 { return binary.LittleEndian.Uint32(f[frameNumberOffset:]) }
 
 func (f frame) payload() []byte { return f[frameHeaderSize:] }
@@ -59,22 +61,23 @@
 // isFinal reports whether the record ends with this frame.
 func (f frame) isFinal() bool { return f.part() == partFull || f.part() == partLast }
 
-// frameChecksum is the checksum of a frame at an offset of a segment. It covers the bytes behind the checksum and the
-// frame's position: a frame that was copied to another position, by whomever, does not verify there.
+// frameChecksum returns the checksum of a frame that starts at offset in the segment with this epoch. rest is the
+// frame after its checksum field. The checksum depends on epoch and offset, so a copy of a frame at another
+// position does not verify there, whoever made the copy: a value may contain any bytes.
 func frameChecksum(epoch uint64, offset int64, rest []byte) uint32 {
 	const mixer = 0x9e3779b97f4a7c15 // 2^64 / golden ratio: spreads epoch and offset over all bits
 	position := (epoch ^ uint64(offset)) * mixer
 	return crc32.Update(uint32(position^position>>32), castagnoli, rest)
 }
 
-// blockEnd returns the offset behind the block that an offset lies in.
+// blockEnd returns the end offset of the block that contains offset.
 func blockEnd(offset int64) int64 { return offset - offset%BlockSize + BlockSize }
 
 // blockRemaining returns the number of bytes from an offset to the end of its block.
 func blockRemaining(offset int64) int64 { return BlockSize - offset%BlockSize }
 
-// frameOffset returns where the first frame of a record stands that is written at an offset: not in a block's last
-// bytes, where no frame header fits.
+// frameOffset returns the offset of the first frame of a record that is written at offset. No frame starts in the
+// last bytes of a block, where its header would not fit.
 func frameOffset(offset int64) int64 {
 	if remaining := blockRemaining(offset); remaining < frameHeaderSize {
 		return offset + remaining
@@ -82,7 +85,7 @@
 	return offset
 }
 
-// framedSize returns the number of bytes that a record of n bytes takes at an offset.
+// framedSize returns the number of bytes that a record of n bytes takes on disk if it is written at offset.
 func framedSize(offset, n int64) int64 {
 	start := offset
 	for first := true; first || n > 0; first = false {
@@ -94,14 +97,14 @@
 	return offset - start
 }
 
-// maxFramedSize returns the number of bytes that a record of n bytes takes at most, wherever it begins.
+// maxFramedSize returns the largest number of bytes that a record of n bytes can take on disk, wherever it begins.
 func maxFramedSize(n int64) int64 {
 	return n + frameHeaderSize*(2+n/(BlockSize-frameHeaderSize)) + frameHeaderSize
 }
 
-// AppendRecord appends a record's frames to b, which will be written at an offset of the segment with this epoch, the
-// first record at HeaderSize. Records follow one another without gaps, but for a block's last bytes where no frame
-// header fits.
+// AppendRecord appends a record's frames to b. offset is the position of the appended bytes in the segment that has
+// this epoch; the first record of a segment is at HeaderSize. Frames follow one another without gaps, except that
+// the last bytes of a block are zero if no frame header fits into them.
 func AppendRecord(b []byte, epoch uint64, offset int64, number uint64, record []byte) []byte {
 	for first := true; ; first = false {
 		remaining := int(blockRemaining(offset))
@@ -128,7 +131,8 @@
 	}
 }
 
-// readFrame reads the frame at the start of data, which end with the frame's block.
+// readFrame returns the frame at the start of data, or false if there is no valid one. offset is the position of
+// data in the segment. data must end no later than the block that contains offset.
 func readFrame(epoch uint64, offset int64, data []byte) (frame, bool) {
 	if len(data) < frameHeaderSize {
 		return nil, false
@@ -146,23 +150,24 @@
 
 // assembler joins the frames of one record.
 type assembler struct {
-	started bool   // a record has begun, and its last frame has not come
+	started bool   // a record is in progress: its last frame has not been added yet
 	number  uint32 // low bits of the record's number
 	offset  int64  // of its first frame
 	record  []byte
 }
 
-// accepts reports whether a frame continues the record that has begun, or begins a record where none is open under its
-// number.
+// accepts reports whether a frame may follow the frames added so far. A continuation must have the number of the
+// record in progress, and a first frame must not.
 func (a *assembler) accepts(f frame) bool {
 	continues := a.started && f.recordNumber() == a.number
 	return continues == f.isContinuation()
 }
 
-// discard gives up the record that has begun.
+// discard drops the record in progress.
 func (a *assembler) discard() { a.started = false }
 
-// add takes the frame at an offset and reports whether its record is complete. A continuation of no record is skipped.
+// add appends a frame at offset to the record in progress, or starts a new record with it. It reports whether the
+// record is complete. A continuation is ignored if no record is in progress.
 func (a *assembler) add(offset int64, f frame) bool {
 	if !f.isContinuation() {
 		a.started = true
@@ -181,23 +186,24 @@
 	return false
 }
 
-// Range is a range of a segment's bytes, from its first to behind its last.
+// Range is a range of bytes of a segment. To is exclusive.
 type Range struct{ From, To int64 }
 
-// Scan reads the records of a segment, whose header data begin with, and passes each to found, with the low bits of its
-// number and the offset of its first frame; record is valid until found returns. Behind damage it goes on at the next
-// block, and never looks for a frame where none can begin. end is the end of the last complete record; damaged are the
-// ranges before that which could not be read. What stands behind end is torn, and was never acknowledged as written.
+// Scan reads the records in data, which begins with the segment's header h. It calls found for each record with the
+// low 32 bits of the record's number and the offset of its first frame; record is valid until found returns. After
+// bytes that it cannot read, Scan continues at the next block, and never searches for a frame where none can begin.
+// end is the offset after the last complete record. damaged are the ranges before end that could not be read. Bytes
+// after end are taken for a torn write, which was never acknowledged.
 func Scan(h Header, data []byte, found func(number uint32, offset int64, record []byte)) (end int64, damaged []Range) {
 	const none = -1
 	end = HeaderSize
-	unreadFrom := int64(none) // where the bytes begin that could not be read since the last complete record
+	unreadableFrom := int64(none) // offset of the first unreadable byte after the last complete record
 	var a assembler
-	markUnread := func(offset int64) {
-		if unreadFrom == none {
-			unreadFrom = offset
+	markUnreadable := func(offset int64) {
+		if unreadableFrom == none {
+			unreadableFrom = offset
 			if a.started {
-				unreadFrom = a.offset
+				unreadableFrom = a.offset
 			}
 		}
 		a.discard()
@@ -209,21 +215,21 @@
 		}
 		f, ok := readFrame(h.Epoch, offset, data[offset:min(blockEnd(offset), int64(len(data)))])
 		if !ok {
-			markUnread(offset)
+			markUnreadable(offset)
 			offset = blockEnd(offset)
 			continue
 		}
 		if !a.accepts(f) {
-			markUnread(offset) // other parts of its record are missing, or of the record before it
+			markUnreadable(offset) // frames of this record or of the one in progress are missing
 		}
 		complete := a.add(offset, f)
 		offset += int64(len(f))
 		if !complete {
 			continue
 		}
-		if unreadFrom != none {
-			damaged = append(damaged, Range{unreadFrom, a.offset})
-			unreadFrom = none
+		if unreadableFrom != none {
+			damaged = append(damaged, Range{unreadableFrom, a.offset})
+			unreadableFrom = none
 		}
 		found(a.number, a.offset, a.record)
 		end = offset
@@ -231,7 +237,7 @@
 	return end, damaged
 }
 
-// joinFrames returns the record whose frames data are, from an offset of its segment on.
+// joinFrames returns the record whose frames are in data, which begins at offset in the segment with this epoch.
 func joinFrames(epoch uint64, offset int64, data []byte) ([]byte, error) {
 	var record []byte
 	for len(data) > 0 {
--- a/internal/state/store/frame_test.go
+++ b/internal/state/store/frame_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// testHeader is that of the segments under test.
+// testHeader is the header of the segments under test.
 var testHeader = Header{Format: Format, Epoch: 0x1234567890abcdef, Segment: 7, FirstRecord: 100}
 
-// segmentOf returns a segment with records, and where each ends.
+// segmentOf returns a segment with the given records, and the end offset of each record.
 func segmentOf(records [][]byte) (data []byte, ends []int64) {
 	data = testHeader.Append(nil)
 	for i, r := range records {
@@ -24,7 +24,7 @@
 	return data, ends
 }
 
-// scanned is what Scan found in a segment.
+// scanned holds what Scan found in a segment.
 type scanned struct {
 	records map[uint32][]byte
 	order   []uint32
@@ -41,7 +41,7 @@
 	return found
 }
 
-// recordsOverBlockEnds returns records whose frames reach over a block's end in every way.
+// recordsOverBlockEnds returns records whose frames cross the ends of blocks in different ways.
 func recordsOverBlockEnds() (records [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	sizes := []int{
@@ -75,14 +75,14 @@
 	})
 }
 
-// Cut at every byte: all records that were complete before the cut are found, nothing else, and nothing is reported as
-// damaged.
+// A segment may be cut at any byte. Scan must find exactly the records that were complete before the cut, and must
+// not report damage.
 func TestScanTruncatedAtEveryByte(t *testing.T) {
 	data, ends := segmentOf(recordsOverBlockEnds())
 	for n := HeaderSize; n <= len(data); n++ {
 		for _, zeros := range []int{0, 5000} { // file systems may leave zeros at the end
 			cut := append(bytes.Clone(data[:n]), make([]byte, zeros)...)
-			complete := 0 // zeros may be just what is missing
+			complete := 0 // a record is also complete if its missing bytes are zeros
 			for complete < len(ends) && bytes.HasPrefix(cut, data[:ends[complete]]) {
 				complete++
 			}
@@ -96,8 +96,9 @@
 	}
 }
 
-// Each byte flipped: every record that is found is as it was written, all are found but those that share a block with
-// the byte, and the byte lies in what is reported as damaged, or behind the end.
+// Any byte of a segment may be flipped. Every record that Scan finds must be as it was written, only records that
+// share a block with the byte may be missing, and if one is missing, the byte must be in a range reported as
+// damaged or after the returned end.
 func TestScanWithEveryByteFlipped(t *testing.T) {
 	records := recordsOverBlockEnds()
 	data, ends := segmentOf(records)
@@ -128,8 +129,8 @@
 	}
 }
 
-// A payload that holds a whole segment, at whatever offset, and is uncovered by damage in front of it, yields no
-// record.
+// A payload that contains a whole segment, at any offset in a block, must not yield a record when the record that
+// holds the payload is cut off.
 func TestPayloadIsNeverReadAsRecord(t *testing.T) {
 	hostile, _ := segmentOf([][]byte{[]byte("end of another's message")})
 	for shift := range BlockSize {
@@ -148,24 +149,24 @@
 func TestParseHeader(t *testing.T) {
 	good := testHeader.Append(nil)
 	if h, err := ParseHeader(good); err != nil || h != testHeader || len(good) != HeaderSize {
-		t.Errorf("%+v, %v", h, err)
+		t.Errorf("valid header: %+v, %v", h, err)
 	}
 	for bit := range 8 * HeaderSize {
 		bad := bytes.Clone(good)
 		bad[bit/8] ^= 1 << (bit % 8)
 		if _, err := ParseHeader(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSegment) {
-			t.Errorf("bit %d: %v", bit, err)
+			t.Errorf("bit %d flipped: %v", bit, err)
 		}
 	}
 	for n := range HeaderSize {
 		if _, err := ParseHeader(good[:n]); !errors.Is(err, ErrNotSegment) {
-			t.Errorf("%d bytes: %v", n, err)
+			t.Errorf("header cut to %d bytes: %v", n, err)
 		}
 	}
 	newer := testHeader
 	newer.Format++
 	if _, err := ParseHeader(newer.Append(nil)); !errors.Is(err, ErrNewerFormat) {
-		t.Errorf("newer: %v", err)
+		t.Errorf("newer format: %v", err)
 	}
 }
 
--- a/internal/state/store/fs.go
+++ b/internal/state/store/fs.go
@@ -9,21 +9,21 @@
 	"syscall"
 )
 
-// FS is what the store needs of a file system: one folder, whose files it names.
+// FS is the interface of the file system that the store needs: a single folder, whose files are accessed by name.
 type FS interface {
 	// List returns the names of the folder's files, in any order.
 	List() ([]string, error)
-	// Open opens a file. With create it creates one, which must not exist yet.
+	// Open opens an existing file, or creates a file if create is set. Creating a file that exists is an error.
 	Open(name string, create bool) (File, error)
 	Remove(name string) error
-	// Sync makes the folder's entries survive the loss of the machine.
+	// Sync syncs the folder, so that its list of files survives a machine crash.
 	Sync() error
-	// Lock keeps other processes from the folder until the Closer is closed. It fails with ErrLocked if another process
-	// holds the lock.
+	// Lock locks the folder, using the file with this name, until the Closer is closed. It fails with ErrLocked if
+	// another process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is an open file.
+// File is an open file of an FS.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -33,10 +33,10 @@
 	Sync() error
 }
 
-// ErrLocked reports that another process has the folder open.
+// ErrLocked reports that another process holds the folder's lock.
 var ErrLocked = errors.New("store: the folder is in use by another process")
 
-// Dir is a folder of the operating system.
+// Dir is an FS in a folder of the operating system's file system. Its value is the folder's path.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
@@ -64,7 +64,7 @@
 	}
 	f, err := os.OpenFile(d.path(name), flag, 0o600)
 	if !create && errors.Is(err, os.ErrPermission) {
-		f, err = os.Open(d.path(name)) // a read-only store needs no more
+		f, err = os.Open(d.path(name)) // read access is enough for a read-only store
 	}
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock implements FS. The lock ends with the process, however it ends.
+// Lock implements FS. The operating system releases the lock when the process ends, even if it is killed.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// osFile is a file of the operating system.
+// osFile is a File of the operating system's file system.
 type osFile struct{ *os.File }
 
 // Size implements File.
--- a/internal/state/store/header.go
+++ b/internal/state/store/header.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// HeaderSize is the size of a segment's header in bytes. The first block's frames follow it.
+	// HeaderSize is the size of a segment's header in bytes. The frames of the first block follow it.
 	HeaderSize = 64
-	// Format is the version of the format on disk. A folder of a newer version is rejected and left as it is.
+	// Format is the version of the format on disk. Open rejects a folder of a newer version and leaves it
+	// unchanged.
 	Format = 1
 
 	magic = "CTSTORE\x00"
-	// blockSizeUnit is the unit, in bytes, in which a header states the block size.
+	// blockSizeUnit is the unit, in bytes, of the header's block size field.
 	blockSizeUnit = 512
 )
 
@@ -28,24 +29,25 @@
 	headerChecksumOffset  = 60
 )
 
-// Errors that ParseHeader wraps.
+// Errors of ParseHeader, to be matched with errors.Is. Store.Get also returns ErrDamaged, for a value that cannot
+// be read.
 var (
-	ErrNotSegment  = errors.New("store: not a segment")
+	ErrNotSegment  = errors.New("store: not a segment file")
 	ErrNewerFormat = errors.New("store: written by a newer version")
-	ErrDamaged     = errors.New("store: damaged")
+	ErrDamaged     = errors.New("store: data is damaged")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Header stands at the start of a segment.
+// Header is the header at the start of a segment.
 type Header struct {
 	Format      uint16
-	Epoch       uint64 // random, new with each segment: no frame verifies in another segment
+	Epoch       uint64 // random for each segment, so that no frame's checksum is correct in another segment
 	Segment     uint64
 	FirstRecord uint64 // number of the segment's first record
 }
 
-// Append appends the header in its form on disk.
+// Append appends the encoded header to b.
 func (h Header) Append(b []byte) []byte {
 	start := len(b)
 	b = append(b, make([]byte, HeaderSize)...)
@@ -61,7 +63,7 @@
 	return b
 }
 
-// ParseHeader reads the header at the start of a segment.
+// ParseHeader decodes the header at the start of a segment's bytes.
 func ParseHeader(b []byte) (Header, error) {
 	if len(b) < HeaderSize || string(b[:len(magic)]) != magic {
 		return Header{}, ErrNotSegment
--- a/internal/state/store/index.go
+++ b/internal/state/store/index.go
@@ -1,23 +1,24 @@
 package store
 
-// valueLocation says where a live value is stored.
+// valueLocation is the place on disk of a live value.
 type valueLocation struct {
 	segment     uint32
 	offset      uint32
-	diskSize    uint32 // bytes that its frames take
-	size        uint32 // of the value
-	newestDelta int32  // chain of its deltas in Store.deltas, by index from 1; 0: none
+	diskSize    uint32 // bytes of its record's frames on disk
+	size        uint32 // bytes of the value
+	newestDelta int32  // head of its delta chain: index in Store.deltas plus 1; 0: none
 }
 
-// deltaEntry says where a delta is stored, to count its segment's live bytes.
+// deltaEntry is the place on disk of a delta. It is kept to update the live bytes of the delta's segment.
 type deltaEntry struct {
-	number   uint64 // of its record, before any move
+	number   uint64 // the delta's record number before any move
 	segment  uint32
 	diskSize uint32
-	next     int32 // the delta before it, or the next free entry
+	next     int32 // previous delta of the value, or next unused entry: index in Store.deltas plus 1; 0: none
 }
 
-// applyOp brings the index up to date with an operation that was written at an offset of a segment.
+// applyOp updates the index with an operation that was written to a segment as the record with this number, in the
+// bytes from offset to end.
 func (s *Store) applyOp(seg *segment, o *op, number uint64, offset, end int64) {
 	diskSize := end - offset
 	switch o.kind {
@@ -50,7 +51,7 @@
 	}
 }
 
-// removeValue takes a value and its deltas out of the index.
+// removeValue removes a value and its deltas from the index and from the live bytes.
 func (s *Store) removeValue(key uint64, value valueLocation) {
 	delete(s.index, key)
 	if seg := s.findSegment(value.segment); seg != nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// addDelta adds a delta to the chain of a value.
+// addDelta adds a delta to the head of a value's chain.
 func (s *Store) addDelta(value *valueLocation, entry deltaEntry) {
 	entry.next = value.newestDelta
 	if free := s.freeDelta; free != 0 {
--- a/internal/state/store/model_test.go
+++ b/internal/state/store/model_test.go
@@ -13,10 +13,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// limit is that of the stores under test.
+// limit is the Options.Limit of the stores under test.
 const limit = store.MinLimit
 
-// model is what a store must hold, as a plain map: by key a value, followed by its deltas.
+// model is the expected content of a store. It maps each key to its value, followed by the value's deltas.
 type model map[uint64][]string
 
 func (m model) clone() model {
@@ -27,7 +27,7 @@
 	return c
 }
 
-// difference describes how a store that was just opened differs from a model; empty if it does not.
+// difference describes how a store that was just opened differs from the model. It is empty if they are equal.
 func (m model) difference(s *store.Store, rec *store.Recovery) string {
 	if len(rec.Keys) != len(m) {
 		return fmt.Sprintf("%d values, want %d", len(rec.Keys), len(m))
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// modelOf is what an opened store holds.
+// modelOf returns the content of a store that was just opened.
 func modelOf(t testing.TB, s *store.Store, rec *store.Recovery) model {
 	t.Helper()
 	m := model{}
@@ -78,7 +78,7 @@
 	return s, rec
 }
 
-// mustCommit commits a batch that fill fills.
+// mustCommit commits a batch to which fill adds operations.
 func mustCommit(t testing.TB, s *store.Store, fill func(b *store.Batch)) {
 	t.Helper()
 	b := s.Begin()
@@ -95,19 +95,19 @@
 	return key
 }
 
-// mustDelete commits the removal of a value.
+// mustDelete commits the deletion of a value.
 func mustDelete(t testing.TB, s *store.Store, key uint64) {
 	t.Helper()
 	mustCommit(t, s, func(b *store.Batch) { b.Delete(key) })
 }
 
-// driver does random work on a store and keeps a model in step.
+// driver applies random operations to a store, and the same operations to a model.
 type driver struct {
 	rng       *rand.Rand
 	store     *store.Store
 	committed model
-	keys      []uint64 // of committed, sorted
-	// possible are the models that a crash in a commit that failed may leave; nil: no commit failed.
+	keys      []uint64 // keys of committed, sorted
+	// possible are the contents that a crash during a failed commit may leave. It is nil if no commit failed.
 	possible []model
 }
 
@@ -117,7 +117,8 @@
 	return d
 }
 
-// step commits one batch, and compacts a little. It returns the first error other than a lack of space.
+// step commits one batch, and does one step of compaction if it is due. If there is no space for the batch, step
+// deletes the oldest values. It returns the first error, except a lack of space for the batch or for compaction.
 func (d *driver) step(maxSize int) error {
 	b := d.store.Begin()
 	next := d.fill(b, maxSize)
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// fill adds random operations to a batch and returns the model after them. Each prefix of them is possible after a
-// crash.
+// fill adds random operations to a batch and returns the model after them. It sets d.possible to the model after
+// each prefix of the operations, because a crash may leave any prefix.
 func (d *driver) fill(b *store.Batch, maxSize int) model {
 	next := d.committed.clone()
 	possible := []model{next.clone()}
@@ -163,7 +164,7 @@
 				next[key] = append(slices.Clone(next[key]), delta)
 			}
 		default:
-			i := d.rng.IntN(min(len(d.keys), 40)) // mostly the old ones
+			i := d.rng.IntN(min(len(d.keys), 40)) // one of the 40 oldest
 			b.Delete(d.keys[i])
 			delete(next, d.keys[i])
 			d.keys = slices.Delete(d.keys, i, i+1)
@@ -174,7 +175,7 @@
 	return next
 }
 
-// deleteOldest deletes n values, for which a full store must have space.
+// deleteOldest deletes up to n of the oldest values. A full store must have space for these deletes.
 func (d *driver) deleteOldest(n int) error {
 	keys := d.keys[:min(n, len(d.keys))]
 	b := d.store.Begin()
@@ -190,7 +191,8 @@
 	return nil
 }
 
-// stepWithFault does a step in which calls may fail with an error. A batch that fails is given up.
+// stepWithFault does a step in which file system calls may fail with the error fault. A batch that fails is not
+// retried.
 func (d *driver) stepWithFault(t *testing.T, maxSize int, fault error) {
 	t.Helper()
 	before := d.committed.clone()
@@ -207,7 +209,7 @@
 	d.refreshKeys()
 }
 
-// mustStep does n steps, which must not fail.
+// mustStep does n steps, none of which may fail.
 func (d *driver) mustStep(t testing.TB, n, maxSize int) {
 	t.Helper()
 	for range n {
@@ -217,13 +219,14 @@
 	}
 }
 
-// refreshKeys has the driver choose among what is committed.
+// refreshKeys sets d.keys to the keys of d.committed.
 func (d *driver) refreshKeys() {
 	d.keys = slices.AppendSeq(d.keys[:0], maps.Keys(d.committed))
 	slices.Sort(d.keys)
 }
 
-// filledFolder returns a folder after so many steps, and what it holds.
+// filledFolder returns a folder after a driver has done the given number of steps, and the folder's expected
+// content.
 func filledFolder(t testing.TB, steps, maxSize int) (*faultfs.FS, model) {
 	t.Helper()
 	fs := faultfs.New()
--- a/internal/state/store/open.go
+++ b/internal/state/store/open.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// lockFileName is the file that is locked while a process may write to the folder.
+	// lockFileName is the name of the file that is locked while a process may write to the folder.
 	lockFileName = "lock"
-	// directoryReadSize is how many bytes at the start of a segment are read for its directory.
+	// directoryReadSize is how many bytes at the start of a segment are read to find its directory.
 	directoryReadSize = 64 << 10
 )
 
-// Open opens the store in a folder, or creates one. It changes nothing but to remove segments that are not needed any
-// more.
+// Open opens the store in a folder; a folder without segments is an empty store. Unless the store is read-only,
+// Open locks the folder and removes the files of stale segments. It changes no other file.
 func Open(fs FS, options Options) (_ *Store, _ *Recovery, err error) {
 	if options.Limit < MinLimit {
-		return nil, nil, fmt.Errorf("store: limit of %d bytes, at least %d", options.Limit, MinLimit)
+		return nil, nil, fmt.Errorf("store: limit is %d bytes, must be at least %d", options.Limit, MinLimit)
 	}
 	s := &Store{
 		fs:          fs,
@@ -29,7 +29,7 @@
 	}
 	if !options.ReadOnly {
 		if s.lock, err = fs.Lock(lockFileName); err != nil {
-			return nil, nil, fmt.Errorf("store: %w", err)
+			return nil, nil, fmt.Errorf("store: lock folder: %w", err)
 		}
 	}
 	r := newRecoverer(s)
@@ -39,7 +39,8 @@
 	return s, r.result, nil
 }
 
-// run reads the segments: headers first, then directories, then records.
+// run reads the segments' headers first, then their directories, then their records. From the records it builds the
+// store's index.
 func (r *recoverer) run() error {
 	if err := r.openSegments(); err != nil {
 		return err
@@ -66,11 +67,11 @@
 	return r.removeStale()
 }
 
-// openSegments opens the segments that exist.
+// openSegments opens the segments in the folder.
 func (r *recoverer) openSegments() error {
 	names, err := r.store.fs.List()
 	if err != nil {
-		return fmt.Errorf("store: %w", err)
+		return fmt.Errorf("store: list files: %w", err)
 	}
 	slices.Sort(names)
 	last := uint32(0)
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// openSegment opens a segment's file and keeps it if it is one of this store.
+// openSegment opens a segment's file, and adds the segment to the store if readSegmentHeader accepts it.
 func (r *recoverer) openSegment(name string, number uint32, last bool) error {
 	file, err := r.store.fs.Open(name, false)
 	if err != nil {
@@ -106,7 +107,7 @@
 	}
 	if seg == nil {
 		if err := file.Close(); err != nil {
-			return fmt.Errorf("store: %w", err)
+			return fmt.Errorf("store: close %s: %w", name, err)
 		}
 		return nil
 	}
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// readSegmentHeader reads a segment's header; nil if the file is not to be used. A segment whose header is damaged is
-// kept with unreadableSize.
+// readSegmentHeader reads a segment's header. It returns nil if the file must not be used. A segment whose header
+// is damaged is returned with unreadableSize.
 func (r *recoverer) readSegmentHeader(file File, number uint32, last bool) (*segment, error) {
 	size, err := file.Size()
 	if err != nil {
@@ -132,7 +133,7 @@
 	case errors.Is(err, ErrNewerFormat):
 		return nil, err
 	case last && (len(head) < HeaderSize || err != nil && isZero(head)):
-		// A crash cut it off as it was begun: nothing in it was acknowledged.
+		// A crash interrupted the creation of the segment: nothing in it was acknowledged.
 		r.addTorn(number, 0, size)
 		r.result.Stale = append(r.result.Stale, number)
 		return nil, nil
@@ -149,8 +150,8 @@
 
 func isZero(data []byte) bool { return len(bytes.Trim(data, "\x00")) == 0 }
 
-// readDirectories reads the first record of each segment. It returns what the newest directory that can be read says of
-// the segments, and the number of its segment.
+// readDirectories reads the first record of each segment. It returns the newest readable directory and the number
+// of the segment that holds it.
 func (r *recoverer) readDirectories() (directory map[uint32]directoryEntry, newest uint32, err error) {
 	directory = map[uint32]directoryEntry{}
 	for _, seg := range r.store.segments {
@@ -176,8 +177,8 @@
 	return directory, newest, nil
 }
 
-// scanSegments reads the records of all segments. One before the newest that its directory does not list is stale. It
-// returns the number that follows the last record.
+// scanSegments reads the records of all segments. A segment before the newest directory's segment is stale if that
+// directory does not list it. nextNumber is the number after the last record.
 func (r *recoverer) scanSegments(directory map[uint32]directoryEntry, newest uint32) (nextNumber uint64, err error) {
 	var kept []*segment
 	for _, seg := range r.store.segments {
@@ -185,7 +186,7 @@
 		if !listed && seg.number < newest {
 			r.result.Stale = append(r.result.Stale, seg.number)
 			if err := seg.file.Close(); err != nil {
-				return 0, fmt.Errorf("store: %w", err)
+				return 0, fmt.Errorf("store: close %s: %w", segmentName(seg.number), err)
 			}
 			continue
 		}
@@ -199,7 +200,8 @@
 	return nextNumber, nil
 }
 
-// scanSegment reads a segment's records. What stands behind the end that a directory states was never acknowledged.
+// scanSegment reads a segment's records. Records at or after entry.nextNumber, the end stated by the directory,
+// were never acknowledged and are ignored.
 func (r *recoverer) scanSegment(seg *segment, entry directoryEntry) error {
 	if seg.size == unreadableSize {
 		seg.size = 0
@@ -214,15 +216,15 @@
 	r.result.bytesRead += seg.fileSize
 	const none = -1
 	next := seg.header.FirstRecord
-	behindEnd := int64(none) // where the first record stands that is behind the directory's end
+	firstIgnored := int64(none) // offset of the first record after the end stated by the directory
 	end, damaged := Scan(seg.header, data, func(low uint32, offset int64, record []byte) {
 		number := fullNumber(next, low)
 		if number < next {
 			return
 		}
 		if entry.nextNumber > 0 && number >= entry.nextNumber {
-			if behindEnd == none {
-				behindEnd = offset
+			if firstIgnored == none {
+				firstIgnored = offset
 			}
 			return
 		}
@@ -230,8 +232,8 @@
 		next = number + 1
 		r.applyRecord(seg, number, offset, record)
 	})
-	if behindEnd != none {
-		end = behindEnd
+	if firstIgnored != none {
+		end = firstIgnored
 	}
 	for _, d := range damaged {
 		if d.From < end {
@@ -251,7 +253,7 @@
 	return nil
 }
 
-// dropRemovedSegments leaves out segments that a record says are removed.
+// dropRemovedSegments drops the segments whose removal was recorded.
 func (r *recoverer) dropRemovedSegments() {
 	r.store.segments = slices.DeleteFunc(r.store.segments, func(seg *segment) bool {
 		if !r.removed[seg.number] {
@@ -259,19 +261,19 @@
 		}
 		r.result.Stale = append(r.result.Stale, seg.number)
 		r.store.diskBytes -= roundToUnits(seg.fileSize)
-		_ = seg.file.Close() // it was only read: nothing can be lost
+		_ = seg.file.Close() // the file was only read, so an error on closing loses nothing
 		return true
 	})
 }
 
-// removeStale removes the files of segments that are not needed any more.
+// removeStale removes the files of stale segments.
 func (r *recoverer) removeStale() error {
 	if r.store.options.ReadOnly {
 		return nil
 	}
 	for _, number := range r.result.Stale {
 		if err := r.store.fs.Remove(segmentName(number)); err != nil {
-			return fmt.Errorf("store: remove a stale segment: %w", err)
+			return fmt.Errorf("store: remove stale segment %d: %w", number, err)
 		}
 	}
 	return nil
--- a/internal/state/store/record.go
+++ b/internal/state/store/record.go
@@ -2,23 +2,25 @@
 
 import "encoding/binary"
 
-// recordKind is the first byte of a record. Fields follow it as unsigned varints, then bytes.
+// recordKind is the first byte of a record. The fields of the kind follow as unsigned varints, then the bytes of a
+// value or delta.
 type recordKind byte
 
 const (
 	kindPut        recordKind = iota + 1 // value; its key is the record's own number
 	kindMovedPut                         // key, value
 	kindDelta                            // key, delta
-	kindMovedDelta                       // key, the number that the record had before, delta
-	kindDelete                           // key, segment that holds the put
-	kindDirectory                        // the segments that exist: see Store.directoryRecord
-	kindRemoved                          // segment that is removed
+	kindMovedDelta                       // key, the delta's record number before any move, delta
+	kindDelete                           // key, number of the segment that holds the put
+	kindDirectory                        // the existing segments: see Store.directoryRecord
+	kindRemoved                          // number of a segment that is about to be removed
 )
 
-// maxRecordHeader is the size of a record's kind and fields at most.
+// maxRecordHeader is the largest size in bytes of a record's kind and fields, without a directory's.
 const maxRecordHeader = 1 + 2*binary.MaxVarintLen64
 
-// parseFields reads n unsigned varints, two at most, from a record behind its kind.
+// parseFields reads the n fields, at most two, that follow a record's kind. rest holds the bytes after these
+// fields.
 func parseFields(record []byte, n int) (values [2]uint64, rest []byte, ok bool) {
 	rest = record[1:]
 	for i := range n {
@@ -32,19 +34,20 @@
 	return values, rest, true
 }
 
-// fullNumber returns the record number with these low bits that is nearest to another one.
+// fullNumber returns the record number nearest to near whose low 32 bits are low.
 func fullNumber(near uint64, low uint32) uint64 {
 	return near + uint64(int64(int32(low-uint32(near))))
 }
 
-// directoryEntry is what a directory states of a segment.
+// directoryEntry describes one segment in a directory.
 type directoryEntry struct {
-	firstRecord uint64
-	nextNumber  uint64 // number behind its last record; 0: not known
+	firstRecord uint64 // number of its first record
+	nextNumber  uint64 // number after its last record; 0: not known
 }
 
-// directoryRecord returns the directory that a new segment begins with: for each segment its number, the number of its
-// first record and the number behind its last. It includes the new segment, whose end is not known yet: 0.
+// directoryRecord returns the directory that a new segment begins with. For each segment it lists the segment's
+// number, the number of its first record, and the number after its last record. The new segment is listed too, with
+// 0 as the last of these, because its end is not known yet.
 func (s *Store) directoryRecord(newSegment uint32) []byte {
 	record := []byte{byte(kindDirectory)}
 	for _, seg := range s.segments {
@@ -57,7 +60,7 @@
 	return binary.AppendUvarint(record, 0)
 }
 
-// parseDirectory reads a directory by segment number; nil if the record is none.
+// parseDirectory returns the entries of a directory by segment number, or nil if record is not a valid directory.
 func parseDirectory(record []byte) map[uint32]directoryEntry {
 	if len(record) == 0 || recordKind(record[0]) != kindDirectory {
 		return nil
--- a/internal/state/store/recovery.go
+++ b/internal/state/store/recovery.go
@@ -7,36 +7,39 @@
 	"slices"
 )
 
-// SegmentRange is a range of a segment's bytes, from its first to behind its last.
+// SegmentRange is a range of bytes of a segment. To is exclusive.
 type SegmentRange struct {
 	Segment  uint32
 	From, To int64
 }
 
-// RecordRange is a range of record numbers, from the first to behind the last.
+// RecordRange is a range of record numbers. To is exclusive.
 type RecordRange struct{ From, To uint64 }
 
 func (r RecordRange) contains(number uint64) bool { return r.From <= number && number < r.To }
 
-// Recovery is what Open found. Values are in the Store; their deltas are here.
+// Recovery describes what Open found. It holds the deltas of the live values; the values themselves are read with
+// Store.Get.
 type Recovery struct {
-	// Keys are those of the live values, in the order in which they were put.
+	// Keys are the keys of the live values, in the order in which the values were put.
 	Keys []uint64
-	// Torn is what stands behind the last complete record of a segment that a process died on, or could not write. It
-	// was never acknowledged, and is dropped.
+	// Torn are the bytes after the last acknowledged record of a segment, left by a process that crashed or whose
+	// write failed. They were never acknowledged, and are dropped.
 	Torn []SegmentRange
-	// Damaged is what was committed and cannot be read.
+	// Damaged are the bytes that were committed and cannot be read.
 	Damaged []SegmentRange
-	// Missing are segments that do not exist, and should.
+	// Missing are the numbers of segments that should exist according to the newest directory, and do not.
 	Missing []uint32
-	// Foreign are files that are not this store's, or have the name of another segment. They are left alone.
+	// Foreign are the names of files that do not belong to this store, or whose name is that of another segment
+	// than their header states. Such files are left alone.
 	Foreign []string
-	// Stale are segments that a crash kept from being removed. They are removed now.
+	// Stale are the numbers of segments that a crash kept from being removed or from being completely created. Open
+	// removes them unless the store is read-only.
 	Stale []uint32
 	// Lost are the numbers of records that were committed and could not be read. A value whose key is among them is
-	// lost.
+	// lost if no moved copy of it was found.
 	Lost []RecordRange
-	// LostKeys are keys of which deltas were found, and no value.
+	// LostKeys are the keys of lost values for which deltas were found.
 	LostKeys []uint64
 
 	deltas    map[uint64][]foundDelta
@@ -45,7 +48,7 @@
 
 // foundDelta is a delta as recovery found it.
 type foundDelta struct {
-	number   uint64 // of its record, before any move
+	number   uint64 // the delta's record number before any move
 	segment  uint32
 	diskSize uint32
 	data     []byte
@@ -60,36 +63,36 @@
 	return deltas
 }
 
-// Uncertain reports whether a delta of a live value may be among the records that were lost. Its owner must assume that
-// there was one.
+// Uncertain reports whether a delta of a live value may be among the lost records, which is possible if one of them
+// has a higher number than the value's key. The caller must then assume that a delta was lost.
 func (r *Recovery) Uncertain(key uint64) bool {
 	return slices.ContainsFunc(r.Lost, func(lost RecordRange) bool { return lost.To > key+1 })
 }
 
-// Intact reports whether all that was ever committed was read.
+// Intact reports whether everything that was committed could be read.
 func (r *Recovery) Intact() bool {
 	return len(r.Damaged) == 0 && len(r.Missing) == 0 && len(r.Lost) == 0 && len(r.LostKeys) == 0
 }
 
-// Bytes returns how many bytes were read.
+// Bytes returns how many bytes of segments were read.
 func (r *Recovery) Bytes() int64 { return r.bytesRead }
 
-// recoverer collects what the segments' records say, and makes the store's index of it.
+// recoverer collects the records of all segments and builds the store's index from them.
 type recoverer struct {
 	store   *Store
 	result  *Recovery
 	values  map[uint64]valueLocation // by key
-	deleted map[uint64]bool          // keys
-	// superseded are segments that hold an old copy of a value or delta that was moved, as an unfinished compaction
-	// leaves them.
+	deleted map[uint64]bool          // by key
+	// superseded holds the numbers of segments with an old copy of a value or delta that was moved. An unfinished
+	// compaction leaves such copies behind.
 	superseded map[uint32]bool
-	// removed are segments that a record says are removed.
+	// removed holds the numbers of segments whose removal was recorded.
 	removed map[uint32]bool
-	// tombstones are the bytes of deletes.
+	// tombstones are the bytes of deletes on disk.
 	tombstones map[tombstoneKey]uint32
 }
 
-// tombstoneKey names the segment that a delete stands in, and the one that held the put.
+// tombstoneKey groups deletes by the segment that holds them and by target, the segment that holds the put.
 type tombstoneKey struct{ segment, target uint32 }
 
 func newRecoverer(s *Store) *recoverer {
@@ -104,7 +107,7 @@
 	}
 }
 
-// addLost notes that records were committed and cannot be read.
+// addLost reports records that were committed and cannot be read. to is exclusive.
 func (r *recoverer) addLost(from, to uint64) {
 	if from < to {
 		r.result.Lost = append(r.result.Lost, RecordRange{From: from, To: to})
@@ -119,8 +122,8 @@
 	r.result.Damaged = append(r.result.Damaged, SegmentRange{Segment: segment, From: from, To: to})
 }
 
-// applyRecord takes a record. One that makes no sense although its checksum is right is of another version: it changes
-// nothing.
+// applyRecord adds a record to what was collected. A record with a correct checksum but an unknown kind or
+// malformed fields comes from another version of the program, and is ignored.
 func (r *recoverer) applyRecord(seg *segment, number uint64, offset int64, record []byte) {
 	if len(record) == 0 {
 		return
@@ -161,7 +164,7 @@
 	}
 }
 
-// applyPut takes a value, or a later copy of it.
+// applyPut adds a value. A later copy of a value replaces the earlier one.
 func (r *recoverer) applyPut(key uint64, location valueLocation) {
 	if old, ok := r.values[key]; ok && old.segment != location.segment {
 		r.superseded[old.segment] = true
@@ -169,7 +172,7 @@
 	r.values[key] = location
 }
 
-// applyDelta takes a delta, or a later copy of it.
+// applyDelta adds a delta. A later copy of a delta replaces the earlier one.
 func (r *recoverer) applyDelta(key uint64, delta foundDelta) {
 	deltas := r.result.deltas[key]
 	i, ok := slices.BinarySearchFunc(deltas, delta.number, func(d foundDelta, number uint64) int {
@@ -185,7 +188,7 @@
 	r.result.deltas[key] = slices.Insert(deltas, i, delta)
 }
 
-// buildIndex makes the store's index of the records that were found.
+// buildIndex builds the store's index from the records that were collected.
 func (r *recoverer) buildIndex() {
 	r.dropDeadValues()
 	r.dropDeadDeltas()
@@ -197,7 +200,7 @@
 	r.resumeCompaction()
 }
 
-// dropDeadValues leaves out values that were deleted, or whose segment is gone.
+// dropDeadValues drops values that were deleted, and values whose segment was dropped.
 func (r *recoverer) dropDeadValues() {
 	for key, value := range r.values {
 		if r.deleted[key] || r.store.findSegment(value.segment) == nil {
@@ -206,8 +209,8 @@
 	}
 }
 
-// dropDeadDeltas leaves out deltas without a live value, or whose segment is gone. It reports those of values that were
-// lost.
+// dropDeadDeltas drops deltas without a live value, and deltas whose segment was dropped. It reports the keys of
+// lost values that have deltas.
 func (r *recoverer) dropDeadDeltas() {
 	for key, deltas := range r.result.deltas {
 		if _, live := r.values[key]; live {
@@ -225,7 +228,7 @@
 	slices.Sort(r.result.LostKeys)
 }
 
-// indexValue enters a live value and its deltas into the store's index.
+// indexValue adds a live value and its deltas to the store's index.
 func (r *recoverer) indexValue(key uint64) {
 	s := r.store
 	value := r.values[key]
@@ -237,7 +240,8 @@
 	s.addLiveBytes(s.findSegment(value.segment), int64(value.diskSize))
 }
 
-// countTombstones counts the deletes whose put's segment still exists as live: without them the value would be back.
+// countTombstones counts a delete as live while the segment that holds the put exists: without the delete, the next
+// recovery would restore the deleted value.
 func (r *recoverer) countTombstones() {
 	s := r.store
 	for key, diskSize := range r.tombstones {
@@ -249,8 +253,9 @@
 	}
 }
 
-// resumeCompaction has an unfinished compaction go on first: until its segment is gone a value stands in two segments,
-// and the delete that ends it names only the later one.
+// resumeCompaction resumes an unfinished compaction. It must finish before any other compaction: until then a value
+// may exist in two segments, and a delete refers only to the segment with the later copy. If that segment were
+// removed first, the delete would be dropped and the older copy of the value would come back.
 func (r *recoverer) resumeCompaction() {
 	for _, seg := range r.store.segments {
 		if r.superseded[seg.number] {
--- a/internal/state/store/segment.go
+++ b/internal/state/store/segment.go
@@ -12,38 +12,41 @@
 )
 
 const (
-	// Segments are a sixteenth of the limit within these bounds, in bytes: small ones leave compaction less to move
-	// at a time, large ones keep the number of files low.
+	// The size of a segment is the store's limit divided by segmentsPerLimit, within these bounds in bytes. Small
+	// segments leave compaction less to move at a time; large ones keep the number of files low.
 	segmentsPerLimit = 16
 	minSegmentSize   = 128 << 10
 	maxSegmentSize   = 16 << 20
 
-	// allocationUnit is the unit, in bytes, in which a file counts against the limit, as file systems allocate.
+	// allocationUnit is the unit, in bytes, to which file sizes are rounded up before they count against the limit,
+	// because file systems allocate whole units.
 	allocationUnit = 512
-	// reservedBytes of the limit are never used: allocation units of files that the store does not count, as the lock.
+	// reservedBytes is the part of the limit that is never used. It covers the allocation units of files that the
+	// store does not count, such as the lock file.
 	reservedBytes = 4 * allocationUnit
 
 	segmentSuffix     = ".seg"
 	segmentNameDigits = 8
 )
 
-// unreadableSize is the size of a segment whose header is damaged: nothing in it can be read.
+// unreadableSize is the segment.size of a segment whose header is damaged: none of its records can be read.
 const unreadableSize = -1
 
-// segment is one file.
+// segment is one file of the log.
 type segment struct {
 	number     uint32
 	header     Header
 	file       File
-	size       int64  // bytes that hold records or the header; unreadableSize while opening one that is damaged
-	fileSize   int64  // bytes of the file, at the most
-	nextNumber uint64 // number behind its last record
-	liveBytes  int64  // bytes of records that are live
-	// tombstones are the bytes of deletes in it, by the segment that held the put.
+	size       int64  // bytes of the header and the records; unreadableSize during Open if the header is damaged
+	fileSize   int64  // upper bound of the file's size in bytes
+	nextNumber uint64 // number after that of its last record
+	liveBytes  int64  // bytes of live records and of deletes that are still needed
+	// tombstones are the bytes of the segment's deletes that are still needed, by the number of the segment that
+	// holds the put.
 	tombstones map[uint32]uint32
 }
 
-// liveRatio is the part of a segment's bytes that is live.
+// liveRatio returns the share of the segment's bytes that is live.
 func (seg *segment) liveRatio() float64 {
 	return float64(seg.liveBytes) / float64(max(1, seg.size))
 }
@@ -57,7 +60,7 @@
 	return fmt.Sprintf("%0*x%s", segmentNameDigits, number, segmentSuffix)
 }
 
-// parseSegmentName returns the number of the segment that a file's name states; ok is false for other files.
+// parseSegmentName returns the segment number in a file's name; ok is false for files that are not segments.
 func parseSegmentName(name string) (number uint32, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) != segmentNameDigits {
@@ -69,10 +72,10 @@
 	return number, segmentName(number) == name
 }
 
-// activeSegment returns the segment that is written to: the last one.
+// activeSegment returns the segment to which records are appended: the last one.
 func (s *Store) activeSegment() *segment { return s.segments[len(s.segments)-1] }
 
-// findSegment returns the segment of a number; nil if it does not exist any more.
+// findSegment returns the segment with a number, or nil if there is none.
 func (s *Store) findSegment(number uint32) *segment {
 	i, ok := slices.BinarySearchFunc(s.segments, number, func(seg *segment, number uint32) int {
 		return cmp.Compare(seg.number, number)
@@ -83,13 +86,13 @@
 	return s.segments[i]
 }
 
-// addLiveBytes counts n more live bytes in a segment.
+// addLiveBytes adds n, which may be negative, to the live bytes of a segment and of the store.
 func (s *Store) addLiveBytes(seg *segment, n int64) {
 	seg.liveBytes += n
 	s.liveBytes += n
 }
 
-// recordFileSize notes how long a segment's file has become.
+// recordFileSize updates the known size of a segment's file, and the bytes on disk, after the file may have grown.
 func (s *Store) recordFileSize(seg *segment, size int64) {
 	if size > seg.fileSize {
 		s.diskBytes += roundToUnits(size) - roundToUnits(seg.fileSize)
@@ -109,12 +112,12 @@
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		// A part may have been written. Neither this process nor the next may read it as committed.
+		// A part of data may have been written. Neither this process nor the next one may read it as committed.
 		if truncateErr := seg.file.Truncate(seg.size); truncateErr != nil {
 			s.truncateErr = cmp.Or(s.truncateErr, truncateErr)
 			s.recordFileSize(seg, seg.size+int64(n))
 		}
-		return fmt.Errorf("store: write: %w", err)
+		return fmt.Errorf("store: write segment %d: %w", seg.number, err)
 	}
 	s.recordFileSize(seg, end)
 	seg.size = end
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// ensureSpace begins a new segment unless the active one has space for n bytes.
+// ensureSpace begins a new segment unless the active one may be written to and has space for n bytes.
 func (s *Store) ensureSpace(n int64) error {
 	if s.appendable && s.truncateErr == nil && s.activeSegment().size+n <= s.segmentSize {
 		return nil
@@ -130,8 +133,8 @@
 	return s.rollSegment()
 }
 
-// rollSegment begins a new segment. Its first record names all segments that exist, and how far each goes: what stands
-// behind that in one of them was never acknowledged.
+// rollSegment begins a new segment. Its first record is a directory, which lists all existing segments and the end
+// of each. Anything after that end was never acknowledged.
 func (s *Store) rollSegment() error {
 	number := uint32(1)
 	if len(s.segments) > 0 {
@@ -139,7 +142,8 @@
 	}
 	header := Header{Format: Format, Epoch: rand.Uint64(), Segment: uint64(number), FirstRecord: s.nextNumber}
 	data := header.Append(nil)
-	// The directory takes the number before the next: it does not count as a record, so that keys do not depend on it.
+	// The directory's number is one less than the next record's, so it uses up no record number. Keys are record
+	// numbers, and therefore do not depend on when segments begin.
 	data = AppendRecord(data, header.Epoch, HeaderSize, s.nextNumber-1, s.directoryRecord(number))
 	if s.diskBytes+roundToUnits(int64(len(data))) > s.options.Limit-reservedBytes {
 		return ErrNoSpace
@@ -164,12 +168,12 @@
 	return nil
 }
 
-// createSegmentFile creates a segment's file with its first data. Unless the policy is SyncNever it syncs the segment
-// before it and the folder, so that the segments on disk have no gap after the loss of the machine.
+// createSegmentFile creates a segment's file and writes data to its start. Unless the policy is SyncNever, it then
+// syncs the previous segment and the folder, so that the segments on disk have no gap after a machine crash.
 func (s *Store) createSegmentFile(name string, data []byte) (File, error) {
 	file, err := s.fs.Open(name, true)
 	if errors.Is(err, os.ErrExist) {
-		// Left by a roll that failed half-way: nothing refers to it.
+		// The file was left by a rollSegment that failed halfway. Nothing refers to it.
 		if err = s.fs.Remove(name); err == nil {
 			file, err = s.fs.Open(name, true)
 		}
@@ -189,7 +193,7 @@
 	return file, nil
 }
 
-// syncBeforeRoll makes the active segment and the folder's entries durable before a new segment follows.
+// syncBeforeRoll syncs the active segment and the folder before a new segment becomes the active one.
 func (s *Store) syncBeforeRoll() error {
 	if s.options.Sync == SyncNever {
 		return nil
@@ -201,7 +205,7 @@
 	return errors.Join(err, s.fs.Sync())
 }
 
-// readAvailable fills data from an offset of a file as far as the file goes, and returns how many bytes it read.
+// readAvailable reads into data from an offset of a file, up to the file's end, and returns how many bytes it read.
 func readAvailable(file File, data []byte, offset int64) (int, error) {
 	n, err := file.ReadAt(data, offset)
 	if errors.Is(err, io.EOF) {
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -1,9 +1,14 @@
-// Package store is a small embedded store for data that must survive the process: an append-only log in segments with
-// an index in memory, compaction in bounded steps, and a recovery that reports what it could not read. It knows nothing
-// of its users. docs/design/store.md has the format on disk and the argument for each crash.
+// Package store is a small embedded store for data that must survive the process. It is an append-only log in
+// segment files with an index in memory. Compaction runs in bounded steps, and recovery reports what it could not
+// read. The package does not depend on its users. docs/design/store.md describes the format on disk and the
+// reasoning for each kind of crash.
 //
-// A value is put and gets a key; small deltas are appended to it; it is deleted. A batch of these is one commit and one
-// write. A Store must be used by one goroutine at a time.
+// Putting a value assigns it a key. Small deltas can be appended to a value, and a value can be deleted. A Batch of
+// these operations is one commit. It is written in one write, or in several if the active segment cannot hold the
+// whole batch. A Store must be used by one goroutine at a time.
+//
+// The code calls the file-system directory of a store its folder. A directory is a record that lists the store's
+// segments.
 package store
 
 import (
@@ -14,28 +19,30 @@
 	"time"
 )
 
-// MinLimit is the smallest limit of a store in bytes.
+// MinLimit is the smallest allowed Options.Limit, in bytes.
 const MinLimit = 1 << 20
 
-// Space that is kept free, as parts of the limit, so that deltas, deletes and compaction work on a full store.
+// Shares of the limit that a put may fill. The remaining space is reserved for deltas, deletes and compaction,
+// which must still work on a full store.
 const (
-	// maxLiveRatio bounds what is live after a put: compaction needs garbage to remove.
+	// maxLiveRatio limits the live bytes after a put: compaction frees space only by removing garbage.
 	maxLiveRatio = 0.55
-	// maxPutDiskRatio bounds what is on disk after a put: the rest is for deltas, deletes and compaction.
+	// maxPutDiskRatio limits the bytes on disk after a put.
 	maxPutDiskRatio = 0.80
 )
 
-// defaultSyncInterval is the interval of SyncInterval where none is set.
+// defaultSyncInterval replaces an Options.Interval of 0.
 const defaultSyncInterval = time.Second
 
 // Errors of a Store.
 var (
-	// ErrFull reports that there is no space for new values. Deltas and deletes still find space.
+	// ErrFull reports that there is no space for new values. Deltas and deletes may still fit.
 	ErrFull = errors.New("store: no space for new values")
-	// ErrNoSpace reports that not even deltas and deletes find space: the limit is too small for what is live, or the
-	// disk is full.
+	// ErrNoSpace reports that a write would exceed the limit even though it adds no new values. Either the limit is
+	// too small for the live data, or compaction has not freed enough space yet. If the disk itself is full, the
+	// file system's error is returned instead.
 	ErrNoSpace = errors.New("store: no space left")
-	// ErrTooLarge reports a value that no segment could hold.
+	// ErrTooLarge reports a value or delta that is too large for a segment.
 	ErrTooLarge = errors.New("store: value too large")
 	// ErrKeyNotFound reports a key without a live value.
 	ErrKeyNotFound = errors.New("store: no such key")
@@ -45,15 +52,16 @@
 	ErrReadOnly = errors.New("store: opened read-only")
 )
 
-// SyncPolicy says which commits survive the loss of the machine. All survive the death of the process.
+// SyncPolicy determines which commits survive a machine crash. Every commit survives a process crash, whatever the
+// policy.
 type SyncPolicy int
 
 const (
-	// SyncNever leaves it to the operating system what is written out.
+	// SyncNever never syncs. The operating system decides when written data reaches the disk.
 	SyncNever SyncPolicy = iota
-	// SyncInterval syncs in a commit once Options.Interval has passed since the last sync.
+	// SyncInterval syncs during a commit if Options.Interval has passed since the last sync.
 	SyncInterval
-	// SyncCommit syncs in each commit.
+	// SyncCommit syncs during every commit.
 	SyncCommit
 )
 
@@ -72,15 +80,15 @@
 
 // Options configure a Store.
 type Options struct {
-	Limit    int64 // bytes on disk, at least MinLimit
+	Limit    int64 // maximum bytes on disk; at least MinLimit
 	Sync     SyncPolicy
-	Interval time.Duration // of SyncInterval; 0: 1 s
+	Interval time.Duration // for SyncInterval; 0 means 1 s
 	ReadOnly bool          // nothing is written, removed or locked
-	// Now is the clock of SyncInterval; nil: time.Now.
+	// Now is the clock for SyncInterval; nil means time.Now.
 	Now func() time.Time
 }
 
-// withDefaults returns the options with the values of those that are not set.
+// withDefaults returns the options with defaults in place of those that are not set.
 func (o Options) withDefaults() Options {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -96,25 +104,28 @@
 	lock    io.Closer
 	closed  bool
 
-	segments    []*segment // by number; the last one is written to
+	segments    []*segment // sorted by number; the last one is the active segment
 	segmentSize int64
-	appendable  bool // the last segment may be written to: this process began it
-	// truncateErr is the error of a failed write whose segment could not be cut back: a new segment must be begun.
+	appendable  bool // whether the active segment may be written to: only if this process began it
+	// truncateErr is set if what a failed write left in the active segment could not be truncated. The next write
+	// must then begin a new segment.
 	truncateErr error
 
 	index map[uint64]valueLocation
-	// deltas are the chains of all values, freeDelta the first unused one, by index from 1.
+	// deltas holds the delta chains of all values as linked lists, and freeDelta is the head of the list of unused
+	// entries. The links are slice indexes plus 1; 0 ends a list.
 	deltas    []deltaEntry
 	freeDelta int32
 
 	nextNumber uint64 // number of the next record
 	liveBytes  int64  // of all live records
-	diskBytes  int64  // of all files
+	diskBytes  int64  // of all files, in whole allocation units
 	stats      Stats
 
 	batch Batch
-	// pendingDeletes are values of a batch that failed half-way: they are on disk, and are deleted before anything
-	// else.
+	// pendingDeletes are the keys of values in batches whose later operations could not be written. These values
+	// are on disk, and must be deleted before the next batch is committed. pendingDeleteErr is the error of the
+	// last attempt to delete them.
 	pendingDeletes   []uint64
 	pendingDeleteErr error
 
@@ -125,22 +136,22 @@
 
 	writeBuf   []byte  // reused for the frames of a write
 	recordBuf  []byte  // reused for one record
-	recordEnds []int64 // reused for the offsets behind the records of a write
+	recordEnds []int64 // reused for the end offsets of the records of a write
 }
 
 // Stats describe the state of a store.
 type Stats struct {
 	LiveValues      int
-	LiveBytes       int64 // that live values and their deltas take on disk
+	LiveBytes       int64 // that live values, their deltas and the deletes still needed take on disk
 	DiskBytes       int64
 	Limit           int64
 	SegmentCount    int
 	CommittedBytes  int64 // written by commits
-	CompactedBytes  int64 // written again by compaction
+	CompactedBytes  int64 // written by compaction
 	RemovedSegments int
-	// AvailableForValues is how many more bytes of new values fit before compaction makes space.
+	// AvailableForValues is how many bytes of new values fit without further compaction.
 	AvailableForValues int64
-	// AvailableBytes is how many more bytes of anything fit.
+	// AvailableBytes is how many bytes of any operation fit without further compaction.
 	AvailableBytes int64
 }
 
@@ -157,21 +168,22 @@
 	return stats
 }
 
-// availableLiveBytes is how many more bytes may be live. A delete for each live value must find space, too.
+// availableLiveBytes returns how many more bytes may become live. It reserves space for a delete of each live
+// value.
 func (s *Store) availableLiveBytes() int64 {
 	maxLiveBytes := int64(maxLiveRatio * float64(s.options.Limit))
 	return maxLiveBytes - s.liveBytes - int64(len(s.index))*maxDeleteSize
 }
 
-// maxPutDiskBytes is how many bytes may be on disk after a put.
+// maxPutDiskBytes returns how many bytes may be on disk after a put.
 func (s *Store) maxPutDiskBytes() int64 { return int64(maxPutDiskRatio * float64(s.options.Limit)) }
 
-// hasSpaceForValues reports whether a batch of this size with new values fits.
+// hasSpaceForValues reports whether a batch that puts values and takes size bytes on disk fits.
 func (s *Store) hasSpaceForValues(size int64) bool {
 	return s.availableLiveBytes() >= size && s.diskBytes+size <= s.maxPutDiskBytes()
 }
 
-// Get appends a value to buf, as it was put, without its deltas.
+// Get appends the value of a key to buf, as it was put and without its deltas.
 func (s *Store) Get(key uint64, buf []byte) ([]byte, error) {
 	value, ok := s.index[key]
 	if !ok {
@@ -185,7 +197,7 @@
 	offset := int64(value.offset)
 	data := make([]byte, value.diskSize)
 	if _, err := seg.file.ReadAt(data, offset); err != nil {
-		return buf, fmt.Errorf("store: read: %w", err)
+		return buf, fmt.Errorf("store: read segment %d, offset %d: %w", value.segment, offset, err)
 	}
 	record, err := joinFrames(seg.header.Epoch, offset, data)
 	if err == nil && int(value.size) > len(record) {
@@ -197,14 +209,14 @@
 	return append(buf, record[len(record)-int(value.size):]...), nil
 }
 
-// syncCommit makes commits survive the loss of the machine, as the policy asks.
+// syncCommit syncs the active segment if the sync policy requires it for the current commit.
 func (s *Store) syncCommit() error {
 	switch s.options.Sync {
 	case SyncNever:
 		return nil
 	case SyncInterval:
 		now := s.options.Now()
-		// A clock that was set back syncs at once.
+		// A negative elapsed time means that the clock was set back: sync now.
 		if elapsed := now.Sub(s.syncedAt); elapsed >= 0 && elapsed < s.options.Interval {
 			return nil
 		}
@@ -220,8 +232,8 @@
 	return nil
 }
 
-// Close closes the store. What was committed survives the process, and the loss of the machine as far as the policy
-// says.
+// Close closes the store. Unless the policy is SyncNever, it first syncs what has not been synced yet, so that all
+// commits survive a machine crash.
 func (s *Store) Close() error {
 	if s.closed {
 		return ErrClosed
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -14,8 +14,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// What a store holds is what a plain map would hold, over restarts, compactions and a full disk, and its files keep
-// within the limit.
+// A store must hold the same content as a plain map, across restarts, compactions and lack of space, and its files
+// must stay within the limit.
 func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fs := faultfs.New()
@@ -37,7 +37,7 @@
 					rt.Fatal(err)
 				}
 				if used := fs.Size(512); used > limit {
-					rt.Fatalf("%d bytes on disk of %d", used, limit)
+					rt.Fatalf("%d bytes on disk, limit %d", used, limit)
 				}
 			}
 			m = d.committed
@@ -58,24 +58,24 @@
 	if _, _, err := store.Open(dir, store.Options{Limit: limit}); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	reader, rec, err := store.Open(dir, store.Options{Limit: limit, ReadOnly: true}) // beside the one that writes
+	reader, rec, err := store.Open(dir, store.Options{Limit: limit, ReadOnly: true}) // while s is open for writing
 	if err != nil || !slices.Equal(rec.Keys, []uint64{key}) {
 		t.Fatalf("%v, %+v", err, rec)
 	}
 	b := reader.Begin()
 	b.Delete(key)
 	if err := reader.Commit(b); !errors.Is(err, store.ErrReadOnly) {
-		t.Error(err)
+		t.Errorf("commit to a read-only store: %v", err)
 	}
 	if _, err := reader.Compact(1); !errors.Is(err, store.ErrReadOnly) {
-		t.Error(err)
+		t.Errorf("compaction of a read-only store: %v", err)
 	}
 	if err := errors.Join(reader.Close(), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A folder of a newer format is rejected and left as it is.
+// A folder with a newer format is rejected and left unchanged.
 func TestNewerFormat(t *testing.T) {
 	fs, _ := filledFolder(t, 20, 300)
 	fs = fs.Reboot()
@@ -90,7 +90,7 @@
 	before := fs.Reboot()
 	if _, _, err := store.Open(fs, store.Options{Limit: limit}); !errors.Is(err, store.ErrNewerFormat) ||
 		!strings.Contains(err.Error(), name) {
-		t.Error(err)
+		t.Errorf("%s with a newer format: %v", name, err)
 	}
 	for _, name := range before.Files() {
 		if !bytes.Equal(before.Data(name), fs.Data(name)) {
@@ -111,12 +111,12 @@
 	b := s.Begin()
 	b.Append(77, []byte("x"))
 	if err := s.Commit(b); !errors.Is(err, store.ErrKeyNotFound) {
-		t.Error(err)
+		t.Errorf("delta of a key that does not exist: %v", err)
 	}
 	b = s.Begin()
 	b.Put(make([]byte, 1<<20))
 	if err := s.Commit(b); !errors.Is(err, store.ErrTooLarge) {
-		t.Error(err)
+		t.Errorf("value of 1 MiB: %v", err)
 	}
 	b = s.Begin()
 	key := b.Put([]byte("a"))
@@ -125,7 +125,7 @@
 	if err := s.Commit(b); err != nil {
 		t.Error(err)
 	}
-	// A batch of more than a segment holds.
+	// This batch is larger than a segment.
 	b = s.Begin()
 	var keys []uint64
 	for range 12 {
@@ -136,20 +136,20 @@
 	}
 	for _, key := range keys {
 		if got, err := s.Get(key, nil); err != nil || len(got) != 30<<10 {
-			t.Errorf("%d bytes, %v", len(got), err)
+			t.Errorf("value %d: %d bytes, %v", key, len(got), err)
 		}
 	}
 	if _, err := s.Get(12345, nil); !errors.Is(err, store.ErrKeyNotFound) {
-		t.Error(err)
+		t.Errorf("value of a key that does not exist: %v", err)
 	}
 }
 
-// Each policy syncs when it says, also where the clock is set back.
+// Each policy syncs as often as documented, also if the clock is set back.
 func TestSyncPolicies(t *testing.T) {
 	for _, c := range []struct {
 		policy             store.SyncPolicy
-		commits            []int // seconds
-		minSyncs, maxSyncs int   // of files
+		commits            []int // time of each commit, in seconds
+		minSyncs, maxSyncs int   // syncs of segment files
 	}{
 		{policy: store.SyncNever, commits: []int{1, 2, 3, 4}, minSyncs: 0, maxSyncs: 0},
 		{policy: store.SyncCommit, commits: []int{1, 1, 1, 1}, minSyncs: 4, maxSyncs: 5},
@@ -193,7 +193,7 @@
 		7:                  "SyncPolicy(7)",
 	} {
 		if got := policy.String(); got != want {
-			t.Errorf("%d is %q, want %q", int(policy), got, want)
+			t.Errorf("SyncPolicy %d: %q, want %q", int(policy), got, want)
 		}
 	}
 }
