--- a/internal/state/store/batch.go
+++ b/internal/state/store/batch.go
@@ -32,7 +32,8 @@
 // Begin empties the store's batch and returns it. Each store has only one batch.
 func (s *Store) Begin() *Batch {
 	if len(s.pendingDeletes) > 0 {
-		// The deletes use up record numbers, which determine the keys that Put returns. If they fail, so does Commit.
+		// Pending deletes use up record numbers, which determine the keys that Put returns, so they come first. If
+		// they fail, Commit fails too.
 		s.applyPendingDeletes()
 	}
 	b := &s.batch
@@ -68,7 +69,7 @@
 	}
 	size := len(b.data) - from
 	if maxSize := b.store.maxValueSize(); size > maxSize {
-		b.err = fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, maxSize)
+		b.err = fmt.Errorf("%w: %d bytes, must be at most %d", ErrTooLarge, size, maxSize)
 	}
 	b.ops = append(b.ops, op{kind: kind, key: key, from: from, to: len(b.data)})
 }
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// writeOps writes the operations of a batch starting at index from, as many as the active segment can hold, in one
-// write, and updates the store's index. It returns the index of the first operation that it did not write.
+// writeOps writes the operations of a batch starting at index from, as many as fit into one segment, in one write,
+// and updates the store's index. It returns the index of the first operation that it did not write.
 func (s *Store) writeOps(b *Batch, from int) (next int, err error) {
 	if err := s.ensureSpace(b.ops[from].maxRecordSize()); err != nil {
 		return from, err
--- a/internal/state/store/compact.go
+++ b/internal/state/store/compact.go
@@ -18,10 +18,11 @@
 	// size of this many segments.
 	maxGarbageSegments = 4
 
-	// When the bytes on disk exceed compactionDiskTenths of the limit, compaction is due however little garbage
-	// there is. Rewriting a segment with a live ratio above maxLiveRatioToCompact frees little space, so such a
-	// segment is compacted only when the bytes on disk exceed shortageDiskQuarters of the limit. A segment with a
-	// live ratio above maxLiveRatioInShortage is not compacted even then. maxSegments overrides these live ratios.
+	// When the bytes on disk exceed compactionDiskTenths tenths of the limit, compaction is due even if there is
+	// less garbage than maxGarbageSegments allows. Rewriting a segment with a live ratio above
+	// maxLiveRatioToCompact frees little space, so such a segment is compacted only when the bytes on disk exceed
+	// shortageDiskQuarters quarters of the limit. A segment with a live ratio above maxLiveRatioInShortage is not
+	// compacted even then. If there are maxSegments segments, the live ratio does not matter.
 	compactionDiskTenths   = 6
 	shortageDiskQuarters   = 3
 	maxLiveRatioToCompact  = 0.75
@@ -31,14 +32,14 @@
 	// open files.
 	maxSegments = 2 * segmentsPerLimit
 
-	// compactionReadBlocks is how many blocks compaction reads at a time.
+	// compactionReadBlocks is how many blocks compaction reads from a file in one call.
 	compactionReadBlocks = 16
 )
 
 // compaction is the state of the compaction in progress.
 type compaction struct {
 	segment *segment // the segment being compacted; nil: no compaction is in progress
-	offset  int64    // where to look for its next record
+	offset  int64    // offset in the segment from which to read the next record
 	number  uint64   // number of the last record that was read
 
 	frames assembler // joins the frames of the record being read
@@ -189,7 +190,7 @@
 }
 
 // readBlock returns the bytes of the segment being compacted from offset to the end of the block or of the segment.
-// It reads several blocks at a time into the buffer.
+// It reads several blocks at a time into compaction.buffer.
 func (s *Store) readBlock(offset int64) ([]byte, error) {
 	c := &s.compaction
 	seg := c.segment
--- a/internal/state/store/crash_test.go
+++ b/internal/state/store/crash_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkErrorAtCall makes three successive calls fail, starting with the n-th. Failing writes still write at most
+// checkErrorAtCall makes three successive calls fail, starting with the n-th. A failing write still writes up to
 // partial bytes.
 func checkErrorAtCall(t *testing.T, fault error, partial, n int) {
 	t.Helper()
--- a/internal/state/store/damage_test.go
+++ b/internal/state/store/damage_test.go
@@ -14,10 +14,11 @@
 
 const segmentSuffix = ".seg"
 
-// checkDamaged checks that a store never returns wrong data after damage. Every value that is found is as it was
-// put. A deleted value may be live again, or a value may be missing, only if damage is reported; a delta may be
-// missing only if its value is reported as uncertain, or a torn write is reported. A file that was cut between two
-// records looks as if the later records had never been written, so nothing need be reported if truncated is set.
+// checkDamaged checks that a store never returns wrong data after damage. Every live value must be as it was put. A
+// deleted value may be live again, and a value may be missing, only if damage or a torn write is reported. The
+// deltas of a value may differ only if the value is reported as uncertain, or if a torn write is reported. With
+// truncated, none of these reports is required, because a file that was cut between two records looks as if the
+// later records had never been written.
 func checkDamaged(t *testing.T, label string, fs *faultfs.FS, want model, truncated bool) {
 	t.Helper()
 	s, rec, err := store.Open(fs, store.Options{Limit: limit})
--- a/internal/state/store/faultfs/faultfs.go
+++ b/internal/state/store/faultfs/faultfs.go
@@ -108,7 +108,7 @@
 	return f.files[name]
 }
 
-// Put replaces a file's data, or removes the file if data is nil.
+// Put sets a file's data, creating the file if needed, or removes the file if data is nil.
 func (f *FS) Put(name string, data []byte) {
 	f.withLock(func() {
 		if data == nil {
@@ -129,8 +129,8 @@
 	return sum
 }
 
-// beginCall counts a call and returns the error with which it must fail, if any. written is how many bytes a write
-// must write, also if it fails.
+// beginCall counts a call and returns the error with which the call must fail, if any. written is how many bytes a
+// write stores, even if it fails.
 func (f *FS) beginCall(op, name string, size int) (written int, err error) {
 	f.calls++
 	switch {
--- a/internal/state/store/frame.go
+++ b/internal/state/store/frame.go
@@ -62,8 +62,8 @@
 func (f frame) isFinal() bool { return f.part() == partFull || f.part() == partLast }
 
 // frameChecksum returns the checksum of a frame that starts at offset in the segment with this epoch. rest is the
-// frame after its checksum field. The checksum depends on epoch and offset, so a copy of a frame at another
-// position does not verify there, whoever made the copy: a value may contain any bytes.
+// frame after its checksum field. The checksum depends on epoch and offset, so that a copy of a frame at another
+// position does not verify there. A value may contain such copies, because it may contain any bytes.
 func frameChecksum(epoch uint64, offset int64, rest []byte) uint32 {
 	const mixer = 0x9e3779b97f4a7c15 // 2^64 / golden ratio: spreads epoch and offset over all bits
 	position := (epoch ^ uint64(offset)) * mixer
@@ -152,7 +152,7 @@
 type assembler struct {
 	started bool   // a record is in progress: its last frame has not been added yet
 	number  uint32 // low bits of the record's number
-	offset  int64  // of its first frame
+	offset  int64  // offset of the record's first frame
 	record  []byte
 }
 
--- a/internal/state/store/frame_test.go
+++ b/internal/state/store/frame_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Any byte of a segment may be flipped. Every record that Scan finds must be as it was written, only records that
-// share a block with the byte may be missing, and if one is missing, the byte must be in a range reported as
-// damaged or after the returned end.
+// Any byte of a segment may be flipped. Every record that Scan finds must be as it was written. Only records that
+// share a block with the byte may be missing. If one is missing, the byte must be in a range reported as damaged,
+// or after the returned end.
 func TestScanWithEveryByteFlipped(t *testing.T) {
 	records := recordsOverBlockEnds()
 	data, ends := segmentOf(records)
--- a/internal/state/store/record.go
+++ b/internal/state/store/record.go
@@ -16,7 +16,8 @@
 	kindRemoved                          // number of a segment that is about to be removed
 )
 
-// maxRecordHeader is the largest size in bytes of a record's kind and fields, without a directory's.
+// maxRecordHeader is the largest size in bytes of a record's kind and fields. Directories, which have more fields,
+// may exceed it.
 const maxRecordHeader = 1 + 2*binary.MaxVarintLen64
 
 // parseFields reads the n fields, at most two, that follow a record's kind. rest holds the bytes after these
@@ -41,8 +42,8 @@
 
 // directoryEntry describes one segment in a directory.
 type directoryEntry struct {
-	firstRecord uint64 // number of its first record
-	nextNumber  uint64 // number after its last record; 0: not known
+	firstRecord uint64 // number of the segment's first record
+	nextNumber  uint64 // number after the segment's last record; 0: not known
 }
 
 // directoryRecord returns the directory that a new segment begins with. For each segment it lists the segment's
--- a/internal/state/store/segment.go
+++ b/internal/state/store/segment.go
@@ -39,7 +39,7 @@
 	file       File
 	size       int64  // bytes of the header and the records; unreadableSize during Open if the header is damaged
 	fileSize   int64  // upper bound of the file's size in bytes
-	nextNumber uint64 // number after that of its last record
+	nextNumber uint64 // number of the record that follows its last one
 	liveBytes  int64  // bytes of live records and of deletes that are still needed
 	// tombstones are the bytes of the segment's deletes that are still needed, by the number of the segment that
 	// holds the put.
@@ -134,7 +134,7 @@
 }
 
 // rollSegment begins a new segment. Its first record is a directory, which lists all existing segments and the end
-// of each. Anything after that end was never acknowledged.
+// of each. Recovery ignores what follows that end in a segment, because it was never acknowledged.
 func (s *Store) rollSegment() error {
 	number := uint32(1)
 	if len(s.segments) > 0 {
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -38,12 +38,12 @@
 var (
 	// ErrFull reports that there is no space for new values. Deltas and deletes may still fit.
 	ErrFull = errors.New("store: no space for new values")
-	// ErrNoSpace reports that a write would exceed the limit even though it adds no new values. Either the limit is
-	// too small for the live data, or compaction has not freed enough space yet. If the disk itself is full, the
-	// file system's error is returned instead.
+	// ErrNoSpace reports that a write would exceed the limit, so that not even deltas and deletes fit. Either the
+	// limit is too small for the live data, or compaction has not freed enough space yet. If the disk itself is
+	// full, the file system's error is returned instead.
 	ErrNoSpace = errors.New("store: no space left")
 	// ErrTooLarge reports a value or delta that is too large for a segment.
-	ErrTooLarge = errors.New("store: value too large")
+	ErrTooLarge = errors.New("store: value or delta too large")
 	// ErrKeyNotFound reports a key without a live value.
 	ErrKeyNotFound = errors.New("store: no such key")
 	// ErrClosed reports the use of a store after Close.
@@ -106,7 +106,7 @@
 
 	segments    []*segment // sorted by number; the last one is the active segment
 	segmentSize int64
-	appendable  bool // whether the active segment may be written to: only if this process began it
+	appendable  bool // whether the active segment may be written to; true only if this process began it
 	// truncateErr is set if what a failed write left in the active segment could not be truncated. The next write
 	// must then begin a new segment.
 	truncateErr error
@@ -142,7 +142,7 @@
 // Stats describe the state of a store.
 type Stats struct {
 	LiveValues      int
-	LiveBytes       int64 // that live values, their deltas and the deletes still needed take on disk
+	LiveBytes       int64 // bytes on disk of live values, their deltas, and deletes that are still needed
 	DiskBytes       int64
 	Limit           int64
 	SegmentCount    int
