--- a/internal/fleet/quota/capacity.go
+++ b/internal/fleet/quota/capacity.go
@@ -132,7 +132,7 @@
 	return a.Outcomes.Rejected <= 0 && elapsed >= sparseEstimateInterval
 }
 
-// growCapacity increases the estimate by the growth of the time since the last refill, but of one second at most.
+// growCapacity lets the estimate grow for the time since the last refill, but for one second at most.
 func (a *Account) growCapacity(elapsed time.Duration) {
 	rate := 0.0
 	if a.Growing {
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -110,7 +110,7 @@
 	m.transit = loadreport.TransitEstimator{}
 	m.inbox = nil
 	m.stopped = false
-	for _, other := range f.members { // exchanges clock readings without delay
+	for _, other := range f.members { // the processes exchange clock readings without delay
 		if other.ledger != nil {
 			otherClock := other.clock(f.now)
 			m.transit.Calibrate(other.name, other.boots, otherClock, now, now)
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -147,7 +147,7 @@
 	})
 }
 
-// availableRate is the lendable rate that is not lent to members other than the lease holder.
+// availableRate is the part of the lendable rate that is not lent to members other than the lease holder.
 func (l *Ledger) availableRate(account *Account) float64 {
 	if l.earlierLeasesPossible() {
 		return 0
--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -7,13 +7,13 @@
 // members that each scope has of its own. A lease holder turns the rate that it holds into whole calls and grants them
 // to members that request calls.
 //
-// The sum of what all members may use at one moment never exceeds the limit, whatever is lost, duplicated, delayed,
-// stopped or restarted on the way:
+// The sum of what all members may use at one moment never exceeds the limit, whichever messages are lost, duplicated or
+// delayed, and whichever processes are stopped or restarted:
 //
 //   - A lender does not use what it has lent until the lease is over by its own clock, plus a margin for clocks that
 //     run at different speeds.
-//   - A lease holder stops before that: it counts the lease from the earliest time at which the lender can have sent
-//     it.
+//   - A lease holder stops using a lease before that: it counts the lease from the earliest time at which the lender
+//     can have sent it.
 //   - A starting process has no record of the leases that its earlier incarnations lent. It waits until such leases
 //     have expired, or until all members have answered that they hold none.
 //   - Other members use no part of a silent member's share except what that member has lent them.
@@ -76,7 +76,7 @@
 	IgnoreOutcomesUntil time.Duration           `cbor:"Deaf"`
 	Growing             bool                    `cbor:"Grows"`    // few calls were rejected before the last estimate
 	Outcomes            outcomeSum              `cbor:"Outcomes"` // reported since EstimatedAt
-	MemberOutcomes      map[string]outcomeCount `cbor:"Counts"`   // the last report of each member
+	MemberOutcomes      map[string]outcomeCount `cbor:"Counts"`   // the counts last reported by each member
 
 	Pending   pendingRequest `cbor:"Want"`
 	Delivered uint32         `cbor:"Done"`    // this member's delivered calls, in this incarnation
@@ -249,7 +249,7 @@
 	})
 }
 
-// notifyReservedFraction notifies the policy if the reserved fraction has changed notably.
+// notifyReservedFraction notifies the policy if the reserved fraction has changed by more than minNotifiedChange.
 func (l *Ledger) notifyReservedFraction(scope Scope, account *Account) {
 	if account.Limit <= 0 {
 		return
--- a/internal/fleet/quota/peer.go
+++ b/internal/fleet/quota/peer.go
@@ -25,20 +25,20 @@
 type peer struct {
 	loadreport.Incarnation
 	LastSeq    uint64        `cbor:"Seen"`  // the greatest sequence number received from this incarnation
-	LastSentAt time.Duration `cbor:"Heard"` // the earliest time at which it can have sent its last message
+	LastSentAt time.Duration `cbor:"Heard"` // the earliest time at which the peer can have sent its last message
 	PingedAt   time.Duration `cbor:"Pinged"`
 
-	// The last leases sent to the member, and whether it has acknowledged them.
+	// The last leases sent to the peer, and whether it has acknowledged them.
 	LeasesSentAt time.Duration `cbor:"Sent"`
 	LeasesAcked  bool          `cbor:"Acked"`
 	LeasesSeq    uint64        `cbor:"SentAs"`
 
-	// HoldsNoLease is set once the member has answered that it holds no lease of another incarnation of this member.
+	// HoldsNoLease is set once the peer has answered that it holds no lease of another incarnation of this member.
 	HoldsNoLease bool          `cbor:"None"`
-	QueriedAt    time.Duration `cbor:"Asked"` // when the member was last asked whether it holds such a lease
+	QueriedAt    time.Duration `cbor:"Asked"` // when the peer was last asked whether it holds such a lease
 
-	// AcceptedIncarnation is the only incarnation of the member from which messages are accepted before
-	// AcceptOnlyUntil. This member has confirmed to that incarnation that it holds no lease of any other.
+	// AcceptedIncarnation is the only incarnation of the peer whose messages are accepted before AcceptOnlyUntil. This
+	// member has confirmed to that incarnation that it holds no lease of another one.
 	AcceptedIncarnation loadreport.Incarnation `cbor:"Only"`
 	AcceptOnlyUntil     time.Duration          `cbor:"Until"`
 }
--- a/internal/fleet/quota/request.go
+++ b/internal/fleet/quota/request.go
@@ -33,7 +33,7 @@
 func (r *pendingRequest) expired(now time.Duration) bool { return now >= r.RequestedAt+GrantTTL }
 
 // Request requests a number of calls from the scope's lease holder, in addition to those granted already. The policy
-// repeats the call for as long as it wants them.
+// repeats the request for as long as it wants the calls.
 func (l *Ledger) Request(now time.Duration, scope Scope, calls int) {
 	l.Now = now
 	account := l.Accounts[scope]
--- a/internal/fleet/quota/restart.go
+++ b/internal/fleet/quota/restart.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// answerLeaseQuery answers a member that has started. The answer confirms that this member holds no lease of another
-// incarnation of that member, and accepts none for as long as one may be in transit. While this member holds such a
-// lease it does not answer: the other member asks again, or waits until the lease has expired.
+// answerLeaseQuery answers the sender of m, which has started. The answer confirms that this member holds no lease of
+// another incarnation of the sender, and accepts none for as long as one may be in transit. While this member holds
+// such a lease it does not answer. The sender asks again, or waits until the lease has expired.
 func (l *Ledger) answerLeaseQuery(m Message, p *peer) {
 	for _, account := range l.Accounts {
 		for _, lease := range account.HeldLeases {
--- a/internal/fleet/quota/safety_test.go
+++ b/internal/fleet/quota/safety_test.go
@@ -33,58 +33,58 @@
 	}
 }
 
-func (w *faultyNetwork) randomDelay(limit time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(limit)))
+func (network *faultyNetwork) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(network.random.Int64N(int64(limit)))
 }
 
 // delays returns the time in transit of each copy of a message, and none if the message is lost.
-func (w *faultyNetwork) delays(from, to int) []time.Duration {
-	if w.fleet.now < w.cutUntil[[2]int{from, to}] || w.random.Float64() < w.lossRate {
+func (network *faultyNetwork) delays(from, to int) []time.Duration {
+	if network.fleet.now < network.cutUntil[[2]int{from, to}] || network.random.Float64() < network.lossRate {
 		return nil
 	}
-	delays := []time.Duration{w.randomDelay(10 * time.Millisecond)}
-	if w.random.IntN(10) == 0 { // a late duplicate
-		delays = append(delays, w.randomDelay(w.maxDelay+1))
+	delays := []time.Duration{network.randomDelay(10 * time.Millisecond)}
+	if network.random.IntN(10) == 0 { // a late duplicate
+		delays = append(delays, network.randomDelay(network.maxDelay+1))
 	}
-	if w.random.IntN(20) == 0 {
-		delays[0] += w.randomDelay(w.maxDelay + 1)
+	if network.random.IntN(20) == 0 {
+		delays[0] += network.randomDelay(network.maxDelay + 1)
 	}
 	return delays
 }
 
-func (w *faultyNetwork) requested(int) int {
-	if w.random.IntN(4) == 0 {
-		return 1 + w.random.IntN(3)
+func (network *faultyNetwork) requested(int) int {
+	if network.random.IntN(4) == 0 {
+		return 1 + network.random.IntN(3)
 	}
 	return 0
 }
 
 // injectFault stops, resumes, restarts or disconnects a random member, cuts one of its links, or does nothing. The
 // following fault comes at next.
-func (w *faultyNetwork) injectFault(next time.Duration) {
-	n := len(w.fleet.members)
-	i := w.draw(0, n-1)
-	member := w.fleet.members[i]
-	switch w.draw(0, 5) {
+func (network *faultyNetwork) injectFault(next time.Duration) {
+	n := len(network.fleet.members)
+	i := network.draw(0, n-1)
+	member := network.fleet.members[i]
+	switch network.draw(0, 5) {
 	case 0:
-		w.fleet.boot(i)
+		network.fleet.boot(i)
 	case 1:
 		if member.stopped {
-			w.fleet.resume(member)
+			network.fleet.resume(member)
 		} else {
 			member.stopped = true
 		}
 	case 2: // one link is cut, one way
-		link := [2]int{i, w.draw(0, n-1)}
-		w.cutUntil[link] = w.fleet.now + time.Duration(w.draw(500, 12000))*time.Millisecond
+		link := [2]int{i, network.draw(0, n-1)}
+		network.cutUntil[link] = network.fleet.now + time.Duration(network.draw(500, 12000))*time.Millisecond
 	case 3: // all links of a member are cut, both ways
 		for j := range n {
-			w.cutUntil[[2]int{i, j}] = next
-			w.cutUntil[[2]int{j, i}] = next
+			network.cutUntil[[2]int{i, j}] = next
+			network.cutUntil[[2]int{j, i}] = next
 		}
 	case 5: // the member starts without its data directory
 		member.generation = 0
-		w.fleet.boot(i)
+		network.fleet.boot(i)
 	}
 }
 
--- a/internal/fleet/quota/status.go
+++ b/internal/fleet/quota/status.go
@@ -40,7 +40,7 @@
 	Lent             float64              `json:"lent"`    // the part of this member's share that others may use
 	LeaseHolder      string               `json:"keeper"`  // receives this member's leases and requests
 	GrantRate        float64              `json:"mints"`   // what this member may grant as a lease holder
-	CapacityFraction float64              `json:"belief"`  // as a lease holder: the estimated fraction that is accepted
+	CapacityFraction float64              `json:"belief"`  // as a lease holder: accepted fraction of Limit (estimate)
 	PendingRequests  int                  `json:"waiting"` // as a lease holder: the length of its request queue
 }
 
