--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Each report reaches all but a few members, and the report rate hardly depends on the fleet's size.
+// For all sizes of the fleet, a report is retransmitted often enough to reach all but a few members, and the report
+// rate stays in a narrow range.
 func TestFleetSizeParameters(t *testing.T) {
 	for _, test := range []struct {
 		members, fanOut, retransmissions int
@@ -22,10 +23,13 @@
 		t.Run(fmt.Sprint(test.members, " members"), func(t *testing.T) {
 			fanOut, retransmissions := FanOut(test.members), Retransmissions(test.members)
 			if fanOut != test.fanOut || retransmissions != test.retransmissions {
-				t.Errorf("to %d, %d times, want %+v", fanOut, retransmissions, test)
+				t.Errorf(
+					"fan-out %d and %d retransmissions, want %d and %d",
+					fanOut, retransmissions, test.fanOut, test.retransmissions,
+				)
 			}
 			if rate := MaxReportRate(test.members); rate < 45 || rate > 85 {
-				t.Errorf("%g reports a second", rate)
+				t.Errorf("maximum rate of %g reports a second is not between 45 and 85", rate)
 			}
 		})
 	}
--- a/internal/fleet/loadreport/aggregate.go
+++ b/internal/fleet/loadreport/aggregate.go
@@ -11,28 +11,30 @@
 const (
 	// HalfLife is the time in which a report loses half of its weight.
 	HalfLife = 5 * time.Second
-	// MaxAge is the age at which a report is dropped: less than a thousandth of its weight is left then.
+	// MaxAge is the age after which a report is dropped. Less than a thousandth of its weight is left then.
 	MaxAge = 10 * HalfLife
 )
 
-// DecayWeight is the weight of a figure at an age: it halves with each HalfLife.
+// DecayWeight returns the weight of a report of the given age: 1 at age 0, halved with each HalfLife.
 func DecayWeight(age time.Duration) float64 {
 	return math.Exp2(-max(0, age.Seconds()) / HalfLife.Seconds())
 }
 
-// Aggregate sums up what all other members report of one scope, each figure by the weight of its age.
+// Aggregate combines the loads that all other members report for one scope.
 type Aggregate struct {
-	ScopeLoad                // RetryAfter: the longest that is left; WarmingUp: that of any
-	WarmingUpMembers float64 // the weighted number of members that take it to be warming up
-	Members          float64 // the weighted number of members that report of it
+	// The rates and the backlog are sums, in which each member's load is weighted by the age of its report. RetryAfter
+	// is the longest remaining time of any member. WarmingUp is set if any member reports it.
+	ScopeLoad
+	WarmingUpMembers float64 // weighted number of members that report the scope as warming up
+	Members          float64 // weighted number of members that report the scope
 }
 
-// AggregateOthers sums up what the other members report of a scope.
+// AggregateOthers aggregates the loads that all members but the table's own report for a scope.
 func (t *Table) AggregateOthers(now time.Duration, destination policy.DestinationID, endpoint string) Aggregate {
 	sum := Aggregate{ScopeLoad: ScopeLoad{Destination: destination, Endpoint: endpoint}}
 	key := scopeKey{destination, endpoint}
 	backlog := 0.0
-	for _, name := range sortedKeys(t.members) { // in one order, so that sums of floats are the same on all relays
+	for _, name := range sortedKeys(t.members) { // sorted, so that sums of floats are the same on all relays
 		stored, ok := t.members[name].reports[ReportNumber(destination)]
 		if name == t.self || !ok || stored.expired(now) {
 			continue
@@ -52,7 +54,7 @@
 	return sum
 }
 
-// add adds all figures but the backlog, which is summed up as a float by the caller.
+// add adds all fields of a load but the backlog, which the caller sums as a float and rounds.
 func (a *Aggregate) add(load *ScopeLoad, age time.Duration, weight float64) {
 	a.Members += weight
 	a.Demand += weight * load.Demand
--- a/internal/fleet/loadreport/digest.go
+++ b/internal/fleet/loadreport/digest.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Digest lists the versions that a table holds, by member, so that another table finds what it lacks.
+// Digest lists the versions of the reports that a table holds, by member. Another member compares it with its own table
+// to find the reports that the first table lacks.
 type Digest map[string]MemberVersions
 
 // MemberVersions lists the versions of one member's reports.
 type MemberVersions struct {
 	Incarnation
-	Sequences map[int]uint64 // by report number
+	Sequences map[int]uint64 // sequence by report number
 }
 
-// lacks reports whether a table with these versions of a member lacks a report of it.
+// lacks reports whether a table that holds these versions of a member lacks r, or holds an older version of it.
 func (v MemberVersions) lacks(r Report) bool {
 	known := v.Incarnation
 	order := known.Compare(r.Incarnation)
 	return order < 0 || order == 0 && r.Sequence > v.Sequences[r.Number]
 }
 
-// Digest returns the versions of what has not expired.
+// Digest returns the versions of all reports that have not expired.
 func (t *Table) Digest(now time.Duration) Digest {
 	d := Digest{}
 	for name, m := range t.members {
@@ -37,7 +38,7 @@
 	return d
 }
 
-// MissingFrom returns the reports that the table of a digest lacks, the youngest first.
+// MissingFrom returns the reports of t that the table described by a digest lacks, youngest first.
 func (t *Table) MissingFrom(now time.Duration, d Digest) (missing []Report) {
 	t.Each(now, func(r Report) {
 		if versions, ok := d[r.Name]; !ok || versions.lacks(r) {
--- a/internal/fleet/loadreport/inbox.go
+++ b/internal/fleet/loadreport/inbox.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Inbox is a TransitEstimator for a receiver that can ask. It says when to ask a sender for its clock, and defers
-// messages of senders whose clock is not known yet. M is a message as the caller has it. Names must be of listed
-// members: that bounds memory.
+// Inbox is a TransitEstimator for a receiver that can request clock readings of senders. It determines when a request
+// is due, and defers messages of senders whose clock is not known yet. M is the caller's type of message. The caller
+// passes only names of listed members, whose number bounds the memory used.
 type Inbox[M any] struct {
 	TransitEstimator
-	ClockRequestInterval time.Duration // after which a sender that has not answered is asked again
-	MaxDeferred          int           // messages of one sender that are deferred, the newest
+	ClockRequestInterval time.Duration // least time between two clock requests to one sender
+	MaxDeferred          int           // greatest number of deferred messages of one sender; the oldest are dropped
 
 	requestedAt map[string]time.Duration
 	deferred    map[string][]M
 }
 
-// Receive takes a message that was stamped sent. It was in transit for transitTime at most. If that is not known, the
-// message is deferred until ClockReceived. RequestClock says that its sender is to be asked for its clock now.
+// Receive processes a message that its sender stamped with the time sent. If known is set, transitTime is an upper
+// bound of the time that the message was in transit. Otherwise the message is deferred until ClockReceived. If
+// requestClock is set, the caller is to send a clock request to the sender.
 func (in *Inbox[M]) Receive(
 	m M,
 	name string,
@@ -30,7 +31,7 @@
 	return transitTime, known, requestClock
 }
 
-// deferMessage keeps a message, in place of the oldest of its sender if there are too many.
+// deferMessage stores a message, and drops the oldest one of the same sender if there are more than MaxDeferred.
 func (in *Inbox[M]) deferMessage(name string, m M) {
 	if in.deferred == nil {
 		in.deferred = map[string][]M{}
@@ -40,7 +41,8 @@
 	in.deferred[name] = messages[max(0, len(messages)-in.MaxDeferred):]
 }
 
-// RequestDue reports whether a sender that should be asked is to be asked now, and records that it is.
+// RequestDue reports whether ClockRequestInterval has passed since the last clock request to a sender. If so, it
+// records that a request is sent now.
 func (in *Inbox[M]) RequestDue(name string, now time.Duration) bool {
 	if at, ok := in.requestedAt[name]; ok && now-at < in.ClockRequestInterval {
 		return false
@@ -52,9 +54,9 @@
 	return true
 }
 
-// ClockReceived takes a sender's answer as Calibrate does, and returns the messages of it that were deferred.
-func (in *Inbox[M]) ClockReceived(name string, boot uint32, clock, asked, now time.Duration) (deferred []M) {
-	in.Calibrate(name, boot, clock, asked, now)
+// ClockReceived calibrates a sender as Calibrate does, and returns the deferred messages of that sender.
+func (in *Inbox[M]) ClockReceived(name string, boot uint32, clock, requestedAt, now time.Duration) (deferred []M) {
+	in.Calibrate(name, boot, clock, requestedAt, now)
 	deferred = in.deferred[name]
 	delete(in.deferred, name)
 	return deferred
--- a/internal/fleet/loadreport/nameclaim_test.go
+++ b/internal/fleet/loadreport/nameclaim_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A member begins a new incarnation past a rival a few times. Whoever goes on answering is another process, and this
-// one is suspended until no rival was observed for long.
+// A member begins a new incarnation after the first few rivals. If rivals continue to appear, another process uses the
+// name, and the member is suspended until no rival has been observed for rivalSuspension.
 func TestNameClaim(t *testing.T) {
 	type observation struct {
 		at        int // seconds
 		takeOver  bool
-		suspended bool // afterwards
+		suspended bool // after the observation
 	}
 	for name, observations := range map[string][]observation{
-		"an old data directory": {{5, true, false}},
-		"one that is older still, later": {
+		"old data directory, one rival": {{5, true, false}},
+		"older data directory, late rivals": {
 			{5, true, false},
 			{7, true, false},
 			{40, true, false},
 			{80, true, false},
 		},
-		"another process under the name": {
+		"another process under the same name": {
 			{5, true, false},
 			{6, true, false},
 			{7, true, false},
@@ -37,7 +37,10 @@
 				now := time.Duration(want.at) * time.Second
 				takeOver := claim.ObserveRival(now)
 				if suspended := claim.Suspended(now); takeOver != want.takeOver || suspended != want.suspended {
-					t.Errorf("after %d s: take over %v, suspended %v", want.at, takeOver, suspended)
+					t.Errorf(
+						"after %d s: take over %v, suspended %v, want %v, %v",
+						want.at, takeOver, suspended, want.takeOver, want.suspended,
+					)
 				}
 			}
 		})
@@ -48,15 +51,15 @@
 func TestSuspend(t *testing.T) {
 	var claim NameClaim
 	if !claim.Suspend(time.Second, 10*time.Second) {
-		t.Error("the first suspension is not new")
+		t.Error("the first suspension was not reported as new")
 	}
 	if claim.Suspend(2*time.Second, time.Second) {
-		t.Error("the second suspension is new")
+		t.Error("the second suspension was reported as new")
 	}
 	if !claim.Suspended(10 * time.Second) {
-		t.Error("the suspension was shortened")
+		t.Error("the suspension was shortened by the second one")
 	}
 	if claim.Suspended(11 * time.Second) {
-		t.Error("the suspension has not ended")
+		t.Error("the suspension did not end after 10 s")
 	}
 }
--- a/internal/fleet/loadreport/table.go
+++ b/internal/fleet/loadreport/table.go
@@ -10,20 +10,21 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// minAgeGain is how much younger than assumed a known report must be to be forwarded once more.
+// minAgeGain is the least decrease of a known report's age that makes a received copy count as Updated, so that it is
+// forwarded again.
 const minAgeGain = 250 * time.Millisecond
 
-// MergeResult is what became of a report that was merged.
+// MergeResult is the result of merging a report into a Table.
 type MergeResult int
 
-// The results.
+// The results of merging a report.
 const (
-	Updated  MergeResult = iota // it is new, or much younger than assumed
-	Known                       // it is known, and hardly younger than assumed
-	Stale                       // a newer one is known
-	Own                         // it is the table's own, of this incarnation or an earlier one
-	Rival                       // it is of the own name, and of an incarnation that is not an earlier one
-	Rejected                    // it cannot be right, or is one too many
+	Updated  MergeResult = iota // the report is new, or its age is notably less than that of the known copy
+	Known                       // the report is known, and its age is about that of the known copy or greater
+	Stale                       // a newer report is known
+	Own                         // the report is the own member's, of its current incarnation or an earlier one
+	Rival                       // the report has the own member's name, but a later incarnation
+	Rejected                    // the report is invalid, or exceeds MaxReports
 )
 
 // String returns the name of the result.
@@ -35,26 +36,26 @@
 	return names[r]
 }
 
-// Limits are the limits of the endpoint list, in calls a second from all relays, by destination and endpoint as in
-// ScopeLoad.
+// Limits holds the limits of the endpoint list, in calls a second from all relays together, by destination and endpoint
+// as in ScopeLoad.
 type Limits map[policy.DestinationID]map[string]float64
 
-// storedReport is a report as a Table keeps it.
+// storedReport is a report in a Table.
 type storedReport struct {
 	sequence    uint64
-	publishedAt time.Duration // the receiver's time at which it was published, at the earliest
+	publishedAt time.Duration // earliest time, on the receiver's clock, at which it can have been published
 	scopes      []ScopeLoad
 }
 
 func (r storedReport) expired(now time.Duration) bool { return now-r.publishedAt > MaxAge }
 
-// age is 0 at least, also at a time before publishedAt.
+// age returns the age of the report, which is 0 if now is before publishedAt.
 func (r storedReport) age(now time.Duration) time.Duration { return max(0, now-r.publishedAt) }
 
-// member is what a Table holds of one member.
+// member holds the reports of one member's latest known incarnation.
 type member struct {
 	incarnation Incarnation
-	reports     map[int]storedReport // by number
+	reports     map[int]storedReport // by report number
 }
 
 type scopeKey struct {
@@ -69,7 +70,7 @@
 	return cmp.Compare(k.endpoint, other.endpoint)
 }
 
-// Table holds the reports that one relay has received, and its own.
+// Table holds a relay's own reports and those that it has received from other members.
 type Table struct {
 	self        string
 	incarnation Incarnation
@@ -80,7 +81,7 @@
 	rival       Incarnation
 }
 
-// New returns the table of a member that accepts the reports of those listed.
+// New returns the table of member self, which accepts only reports of itself and of the listed members.
 func New(self string, incarnation Incarnation, listed []string) *Table {
 	t := &Table{
 		self:        self,
@@ -106,8 +107,8 @@
 	}
 }
 
-// SetIncarnation begins a new incarnation of the own member. The reports of the earlier one are dropped, here and by
-// all who receive a report of the new one.
+// SetIncarnation begins a new incarnation of the own member and drops the reports of the earlier one. Other members
+// drop them when they receive a report of the new incarnation.
 func (t *Table) SetIncarnation(incarnation Incarnation) {
 	if incarnation.Compare(t.incarnation) > 0 {
 		t.incarnation = incarnation
@@ -115,14 +116,14 @@
 	}
 }
 
-// Incarnation returns that of the own member.
+// Incarnation returns the own member's incarnation.
 func (t *Table) Incarnation() Incarnation { return t.incarnation }
 
-// Rival returns the greatest incarnation received under the own name that is neither the own one nor an earlier one;
-// the zero value if there is none.
+// Rival returns the greatest incarnation received under the own member's name that was later than the own incarnation
+// at that time. It returns the zero value if there is none.
 func (t *Table) Rival() Incarnation { return t.rival }
 
-// Merge takes a report that was received.
+// Merge merges a received report into the table.
 func (t *Table) Merge(now time.Duration, r Report) (MergeResult, error) {
 	if err := t.validate(&r); err != nil {
 		t.rejected[err.Reason]++
@@ -140,7 +141,7 @@
 	return Rival, nil
 }
 
-// mergeReport keeps the greater of a report and what is known of its member.
+// mergeReport stores a report if it is newer than the known one of the same member and number.
 func (t *Table) mergeReport(now time.Duration, r Report) MergeResult {
 	m := t.members[r.Name]
 	if m == nil {
@@ -158,7 +159,8 @@
 	known, ok := m.reports[r.Number]
 	switch {
 	case !ok && len(m.reports) >= MaxReports:
-		// No relay publishes more in one incarnation, and it must not displace others' reports.
+		// No relay publishes more reports at a time, since its own table rejects them too. A surplus report must not
+		// displace others.
 		t.rejected[TooManyReports]++
 		return Rejected
 	case !ok || received.sequence > known.sequence:
@@ -171,15 +173,16 @@
 	}
 }
 
-// mergeSameVersion merges two copies of one version that came on different ways. Neither age is less than the true one,
-// so that the lesser is nearer to it. No relay publishes two contents under one version; if they differ all the same,
-// all members keep the same one.
+// mergeSameVersion merges two copies of one version that have arrived by different routes. Neither age is less than the
+// true one, so the lesser age is closer to it. A relay never publishes two contents under one version. If the contents
+// differ nevertheless, all members keep the lesser one by ScopeLoad.compare.
 func (m *member) mergeSameVersion(number int, known, received storedReport) MergeResult {
 	order := slices.CompareFunc(received.scopes, known.scopes, ScopeLoad.compare)
 	if order >= 0 && received.publishedAt <= known.publishedAt {
 		return Known
 	}
-	// One that is only a little younger is not forwarded: it would go round the fleet once more for nothing.
+	// A copy that is only slightly younger does not count as updated. Otherwise it would be forwarded through the fleet
+	// again without benefit.
 	updated := order < 0 || received.publishedAt-known.publishedAt >= minAgeGain
 	received.publishedAt = max(received.publishedAt, known.publishedAt)
 	if order > 0 {
@@ -192,8 +195,8 @@
 	return Updated
 }
 
-// Publish puts a report of the own member into the table, as of now, and returns it as it is to be sent. Sequence must
-// grow with each report.
+// Publish adds a report of the own member with age 0 to the table, and returns the report for sending. The sequence
+// must grow with each report.
 func (t *Table) Publish(now time.Duration, number int, sequence uint64, scopes []ScopeLoad) (Report, error) {
 	r := Report{Name: t.self, Incarnation: t.incarnation, Number: number, Sequence: sequence, Scopes: scopes}
 	if err := t.validate(&r); err != nil {
@@ -201,12 +204,12 @@
 		return Report{}, err
 	}
 	if t.mergeReport(now, r) != Updated {
-		return Report{}, rejectf(TooManyReports, "report %d is not published", number)
+		return Report{}, rejectf(TooManyReports, "own report %d cannot be added to the table", number)
 	}
 	return r, nil
 }
 
-// Restore takes a report of the own member that was published already.
+// Restore adds to the table a report of the own member that was published already.
 func (t *Table) Restore(now time.Duration, r Report) MergeResult {
 	if r.Name != t.self || r.Incarnation != t.incarnation || t.validate(&r) != nil {
 		return Rejected
@@ -214,7 +217,7 @@
 	return t.mergeReport(now, r)
 }
 
-// Get returns a report with its age now.
+// Get returns a report with its current age, if the table holds it and it has not expired.
 func (t *Table) Get(now time.Duration, name string, number int) (Report, bool) {
 	m := t.members[name]
 	if m == nil {
@@ -227,7 +230,7 @@
 	return Report{name, m.incarnation, number, stored.sequence, stored.age(now), stored.scopes}, true
 }
 
-// Each calls f with each report that has not expired, by name and number.
+// Each calls f for each report that has not expired, in order of name and number.
 func (t *Table) Each(now time.Duration, f func(Report)) {
 	for _, name := range sortedKeys(t.members) {
 		for _, number := range sortedKeys(t.members[name].reports) {
@@ -238,7 +241,7 @@
 	}
 }
 
-// sortedKeys allocates once, which slices.Sorted of an iterator does not.
+// sortedKeys returns the sorted keys of a map. It allocates only once, unlike slices.Sorted(maps.Keys(m)).
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for key := range m {
@@ -248,7 +251,7 @@
 	return keys
 }
 
-// Count returns how many reports have not expired.
+// Count returns the number of reports that have not expired.
 func (t *Table) Count(now time.Duration) (n int) {
 	for _, m := range t.members {
 		for _, stored := range m.reports {
@@ -260,7 +263,7 @@
 	return n
 }
 
-// RemoveExpired drops expired reports.
+// RemoveExpired drops expired reports, and members that have no other reports.
 func (t *Table) RemoveExpired(now time.Duration) {
 	for name, m := range t.members {
 		for number, stored := range m.reports {
@@ -274,16 +277,16 @@
 	}
 }
 
-// MemberStats says how much a table holds of a member.
+// MemberStats describes the reports that a table holds of one member.
 type MemberStats struct {
 	Name        string        `json:"name"`
 	Incarnation Incarnation   `json:"life"`
 	Reports     int           `json:"pages"`
 	Scopes      int           `json:"cells"`
-	Age         time.Duration `json:"age"` // of its youngest report, in nanoseconds
+	Age         time.Duration `json:"age"` // age of the youngest report, in nanoseconds
 }
 
-// Stats returns those of all members, by name, and how many reports were rejected, by reason.
+// Stats returns the statistics of all members, sorted by name, and the number of rejected reports by reason.
 func (t *Table) Stats(now time.Duration) (members []MemberStats, rejected map[RejectReason]uint64) {
 	for _, name := range sortedKeys(t.members) {
 		m := t.members[name]
--- a/internal/fleet/loadreport/table_test.go
+++ b/internal/fleet/loadreport/table_test.go
@@ -22,7 +22,7 @@
 	return ScopeLoad{Destination: destination, Calls: calls, Demand: 2 * calls}
 }
 
-// drawReport draws few values of each kind, so that reports often meet.
+// drawReport draws each field from few values, so that reports often have the same member, number or version.
 func drawReport(t *rapid.T) Report {
 	r := Report{
 		Name: rapid.SampledFrom(testMembers).Draw(t, "name"),
@@ -41,17 +41,17 @@
 	return r
 }
 
-// mergeTime is when mergeAll merges: later than any age that is drawn.
+// mergeTime is the time at which mergeAll merges. It is greater than any age that is drawn.
 const mergeTime = 100 * time.Second
 
-// mergeAll merges drawn reports. Some of them are rejected, which must not depend on the order either.
+// mergeAll merges drawn reports. Which of them are rejected must not depend on the order either.
 func mergeAll(table *Table, reports ...Report) {
 	for _, r := range reports {
 		_, _ = table.Merge(mergeTime, r)
 	}
 }
 
-// mustMerge merges a report that is valid.
+// mustMerge merges a report that must be valid.
 func mustMerge(t *testing.T, table *Table, now time.Duration, r Report) MergeResult {
 	t.Helper()
 	result, err := table.Merge(now, r)
@@ -66,8 +66,8 @@
 	return reports
 }
 
-// What a table holds does not depend on the order in which it received reports, nor on how often. Two tables that send
-// each other what the other lacks hold the same afterwards.
+// The content of a table does not depend on the order in which it receives reports, nor on how often it receives them.
+// Two tables that send each other the missing reports have the same content afterwards.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	const now = mergeTime
 	rapid.Check(t, func(t *rapid.T) {
@@ -79,7 +79,7 @@
 			mergeAll(b, r, r)
 		}
 		if x, y := allReports(a, now), allReports(b, now); !reflect.DeepEqual(x, y) {
-			t.Fatalf("in order %v\nshuffled %v", x, y)
+			t.Fatalf("merged in order: %v\nmerged in random order, twice each: %v", x, y)
 		}
 
 		c, d := newTestTable(), newTestTable()
@@ -94,17 +94,17 @@
 		mergeAll(c, missingFromC...)
 		mergeAll(d, missingFromD...)
 		if x, y := len(c.MissingFrom(now, d.Digest(now))), len(d.MissingFrom(now, c.Digest(now))); x+y > 0 {
-			t.Fatalf("%d and %d reports still differ", x, y)
+			t.Fatalf("after the exchange the tables still lack %d and %d reports", x, y)
 		}
 
 		a.RemoveExpired(now + MaxAge + time.Second)
 		if members, _ := a.Stats(now); len(members) > 0 {
-			t.Fatalf("held past the greatest age: %v", members)
+			t.Fatalf("the table still holds reports that are older than MaxAge: %v", members)
 		}
 	})
 }
 
-// Of one version the lesser age counts, and ages grow with the receiver's time.
+// If one version of a report is received with several ages, the least counts. Ages grow with the receiver's time.
 func TestReportAges(t *testing.T) {
 	table := newTestTable()
 	r := Report{
@@ -122,7 +122,7 @@
 		want MergeResult
 	}{
 		{"much younger", 3 * time.Second, Updated},
-		{"hardly younger, which is not forwarded again", 3*time.Second - 2*time.Millisecond, Known},
+		{"slightly younger, which is not forwarded again", 3*time.Second - 2*time.Millisecond, Known},
 		{"older", 4 * time.Second, Known},
 	} {
 		r.Age = copied.age
@@ -133,29 +133,29 @@
 
 	const later = 24 * time.Second
 	if got, ok := table.Get(later, "a", 0); !ok || got.Age != 7*time.Second-2*time.Millisecond {
-		t.Error(got, ok)
+		t.Errorf("report %+v, found %v", got, ok)
 	}
 	sum := table.AggregateOthers(later, 1, "")
 	callsDecayed := math.Abs(sum.Calls-8*math.Exp2(-6.998/5)) <= 1e-9
 	if !callsDecayed || sum.RetryAfter != 3002*time.Millisecond || !sum.WarmingUp {
-		t.Errorf("%+v", sum)
+		t.Errorf("aggregate: %+v", sum)
 	}
 	checkDecay(t, table, receivedAt)
 }
 
-// checkDecay checks that a table's calls at destination 1 decay to nothing without a step.
+// checkDecay checks that a table's calls at destination 1 decay to 0 without sudden changes.
 func checkDecay(t *testing.T, table *Table, start time.Duration) {
 	t.Helper()
 	last := table.AggregateOthers(start, 1, "").Calls
 	for now := start; now < 90*time.Second; now += 50 * time.Millisecond {
 		calls := table.AggregateOthers(now, 1, "").Calls
 		if calls > last || last-calls > 0.01*8 {
-			t.Fatalf("a step from %g to %g at %v", last, calls, now)
+			t.Fatalf("calls change from %g to %g at %v", last, calls, now)
 		}
 		last = calls
 	}
 	if last != 0 {
-		t.Error("something is left:", last)
+		t.Errorf("calls have not decayed to 0 but to %g", last)
 	}
 }
 
@@ -166,7 +166,7 @@
 	for _, test := range []struct {
 		name   string
 		reason RejectReason
-		spoil  func(*Report)
+		modify func(*Report) // makes a valid report invalid
 	}{
 		{"unlisted member", UnlistedMember, func(r *Report) { r.Name = "stranger" }},
 		{"negative rate", OutOfRange, func(r *Report) { r.Scopes[0].Calls = -1 }},
@@ -192,19 +192,22 @@
 				Sequence:    1,
 				Scopes:      []ScopeLoad{newScopeLoad(4, 1), newScopeLoad(5, 1)},
 			}
-			test.spoil(&r)
+			test.modify(&r)
 			_, before := table.Stats(0)
 			result, err := table.Merge(0, r)
 			members, after := table.Stats(0)
 			var rejected *RejectedError
 			if result != Rejected || !errors.As(err, &rejected) || rejected.Reason != test.reason {
-				t.Errorf("%v: %v, %v", r, result, err)
+				t.Errorf("report %v: result %v, error %v, want reason %q", r, result, err, test.reason)
 			}
 			if after[test.reason] != before[test.reason]+1 {
-				t.Errorf("%d rejected as %s, %d before", after[test.reason], test.reason, before[test.reason])
+				t.Errorf(
+					"%d reports were rejected as %q, %d before the merge",
+					after[test.reason], test.reason, before[test.reason],
+				)
 			}
 			if len(members) > 0 {
-				t.Error("something is held:", members)
+				t.Error("the table holds a rejected report:", members)
 			}
 		})
 	}
@@ -217,11 +220,12 @@
 		mustMerge(t, table, 0, r)
 	}
 	if members, rejected := table.Stats(0); members[0].Reports != MaxReports || rejected[TooManyReports] != 5 {
-		t.Error(members, rejected)
+		t.Errorf("members %+v, rejected reports %v", members, rejected)
 	}
 }
 
-// An incarnation replaces all earlier ones.
+// When the first report of an incarnation arrives, all reports of the member's earlier incarnations are dropped. A
+// report of an earlier incarnation that arrives later is stale.
 func TestIncarnationReplacesEarlierOnes(t *testing.T) {
 	table := newTestTable()
 	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
@@ -244,11 +248,11 @@
 	}
 	late := Report{Name: "a", Incarnation: earlier, Number: 2, Sequence: 99}
 	if result := mustMerge(t, table, 0, late); result != Stale {
-		t.Error(result)
+		t.Errorf("late report of the earlier incarnation: %v, want %v", result, Stale)
 	}
 }
 
-// An incarnation under the own name is told apart from earlier ones.
+// A report under the own member's name is Own up to the current incarnation, and Rival beyond it.
 func TestIncarnations(t *testing.T) {
 	table := New("me", Incarnation{3, 7}, append(testMembers, "me"))
 	for incarnation, want := range map[Incarnation]MergeResult{
@@ -264,14 +268,14 @@
 		}
 	}
 	if table.Rival() != (Incarnation{4, 1}) {
-		t.Error(table.Rival())
+		t.Errorf("rival %v, want the greatest one", table.Rival())
 	}
 	if _, err := table.Publish(0, 0, 1, []ScopeLoad{newScopeLoad(1, 1)}); err != nil {
 		t.Error(err)
 	}
 	table.SetIncarnation(Incarnation{5, 7})
 	if _, ok := table.Get(0, "me", 0); ok || table.Incarnation() != (Incarnation{5, 7}) {
-		t.Error("a report of the earlier incarnation is still there")
+		t.Error("the table still holds a report of the earlier incarnation, or has not begun the new one")
 	}
 }
 
@@ -282,7 +286,7 @@
 	return stats.HeapAlloc
 }
 
-// 300 members that each report of 30 destinations fit 4 MB.
+// A table with reports of 300 members, each with 30 destinations, takes at most 4 MB.
 func TestTableMemory(t *testing.T) {
 	const destinations = 30
 	var names []string
@@ -306,9 +310,9 @@
 		}
 	}
 	used := heapSize() - before
-	t.Logf("%.2f MB", float64(used)/1e6)
+	t.Logf("the table takes %.2f MB", float64(used)/1e6)
 	if members, _ := table.Stats(0); len(members) != 300 || used > 4e6 {
-		t.Errorf("%d members, %d bytes", len(members), used)
+		t.Errorf("%d members take %d bytes", len(members), used)
 	}
 	runtime.KeepAlive(table)
 }
--- a/internal/fleet/loadreport/transit_test.go
+++ b/internal/fleet/loadreport/transit_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// However long a message, a question or an answer was delayed, and whichever clock runs faster, the estimate is never
-// less than the true transit time, and hardly more.
+// The estimate is never less than the true transit time, and exceeds it only by the round-trip time of the last clock
+// request and by drift. This holds for any delays of messages, requests and answers, and whichever clock runs faster.
 func TestTransitEstimate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drift := rapid.Float64Range(-MaxClockDrift, MaxClockDrift).Draw(t, "drift")
@@ -23,15 +23,15 @@
 		}
 		var estimator TransitEstimator
 		if _, known, stale := estimator.Estimate("a", 1, 0, 0); known || !stale {
-			t.Fatal("known before it was asked")
+			t.Fatal("the sender is calibrated before it has answered a request")
 		}
-		var now, asked, roundTrip time.Duration
-		for range rapid.IntRange(1, 4).Draw(t, "questions") {
-			asked = now
-			answered := asked + draw("there", 3*time.Second)
-			now = answered + draw("back", 3*time.Second)
-			estimator.Calibrate("a", 1, senderClock(answered), asked, now)
-			roundTrip = now - asked
+		var now, requestedAt, roundTrip time.Duration
+		for range rapid.IntRange(1, 4).Draw(t, "requests") {
+			requestedAt = now
+			answeredAt := requestedAt + draw("request transit", 3*time.Second)
+			now = answeredAt + draw("answer transit", 3*time.Second)
+			estimator.Calibrate("a", 1, senderClock(answeredAt), requestedAt, now)
+			roundTrip = now - requestedAt
 			now += draw("pause", 30*time.Second)
 		}
 
@@ -39,12 +39,12 @@
 		transitTime := draw("transit", 20*time.Second)
 		now += transitTime
 		estimate, known, _ := estimator.Estimate("a", 1, senderClock(sent), now)
-		limit := transitTime + roundTrip + time.Duration(2*MaxClockDrift*float64(now-asked))
+		limit := transitTime + roundTrip + time.Duration(2*MaxClockDrift*float64(now-requestedAt))
 		if !known || estimate < transitTime-time.Microsecond || estimate > limit+time.Microsecond {
-			t.Fatalf("%v, was %v, %v at most", estimate, transitTime, limit)
+			t.Fatalf("estimate %v (known: %v), want %v to %v", estimate, known, transitTime, limit)
 		}
 		if _, known, _ := estimator.Estimate("a", 2, senderClock(sent), now); known {
-			t.Fatal("a new process is taken to have the clock of the earlier one")
+			t.Fatal("the calibration of a process was used for another boot of the same member")
 		}
 	})
 }
@@ -55,12 +55,12 @@
 		estimator.Calibrate(fmt.Sprint(i), 1, 0, 0, 0)
 	}
 	if n := len(estimator.calibrations); n > maxSenders {
-		t.Error(n, "calibrations are held")
+		t.Errorf("%d calibrations are stored, want at most %d", n, maxSenders)
 	}
 }
 
-// Messages that come before their sender's clock is known are deferred, the newest of them, and the sender is asked now
-// and then.
+// While a sender's clock is not known, its newest messages are deferred, and a clock request is due once per
+// ClockRequestInterval.
 func TestInbox(t *testing.T) {
 	in := Inbox[int]{ClockRequestInterval: time.Second, MaxDeferred: 2}
 	var requests []int
@@ -68,27 +68,27 @@
 		now := time.Duration(i) * 100 * time.Millisecond
 		_, known, requestClock := in.Receive(i, "a", 7, time.Hour+now, now)
 		if known {
-			t.Fatal("known before it answered")
+			t.Fatal("the sender's clock is known before it has answered a request")
 		}
 		if requestClock {
 			requests = append(requests, i)
 		}
 	}
 	if !slices.Equal(requests, []int{0, 10, 20}) {
-		t.Error("asked at", requests)
+		t.Error("clock requests at messages", requests)
 	}
 
 	now := 3 * time.Second
 	if deferred := in.ClockReceived("a", 7, time.Hour+now, now, now); !slices.Equal(deferred, []int{23, 24}) {
-		t.Error("deferred:", deferred)
+		t.Error("deferred messages:", deferred)
 	}
 	transitTime, known, requestClock := in.Receive(25, "a", 7, time.Hour+now, now+time.Second)
 	inRange := transitTime >= time.Second && transitTime <= time.Second+20*time.Millisecond
 	if !known || requestClock || !inRange {
-		t.Error("in transit for", transitTime, known, requestClock)
+		t.Errorf("transit time %v, known %v, clock request due %v", transitTime, known, requestClock)
 	}
 	if _, known, requestClock := in.Receive(26, "a", 8, 0, now+2*time.Second); known || !requestClock {
-		t.Error("another boot's clock is known, or not asked for")
+		t.Error("the clock of another boot is known, or no request for it is due")
 	}
 	if len(in.ClockReceived("a", 8, 0, now, now)) != 1 {
 		t.Error("the message of another boot was not deferred")
--- a/internal/fleet/loadreport/validate.go
+++ b/internal/fleet/loadreport/validate.go
@@ -10,23 +10,24 @@
 	maxNameLength     = 64  // bytes of a member's name
 	maxEndpointLength = 128 // bytes of an endpoint's name
 
-	// MaxRateMultiple bounds a reported rate, as a multiple of the limit in the endpoint list. A relay reports its own
-	// part only: more than this multiple of what the destination takes from all relays is not traffic but an error.
+	// MaxRateMultiple bounds a reported rate, as a multiple of the limit in the endpoint list. A relay reports only its
+	// own traffic, so a rate above this multiple of the limit for all relays together is an error.
 	MaxRateMultiple = 20
-	// MaxRate bounds a reported rate where the endpoint list has no limit, in calls a second.
+	// MaxRate bounds a reported rate for which the endpoint list has no limit, in calls a second.
 	MaxRate = 1e5
-	// minLimit is the limit that any destination is taken to have at least, in calls a second.
+	// minLimit is the least limit that MaxRateMultiple is applied to, in calls a second. Lesser limits count as
+	// minLimit.
 	minLimit      = 1.0
-	maxBacklog    = 1 << 20
+	maxBacklog    = 1 << 20 // messages
 	maxRetryAfter = time.Hour
-	// maxSequence bounds sequences and generations: one beyond it would leave no room for a greater one.
+	// maxSequence bounds sequences and generations, so that there is always room for greater ones.
 	maxSequence = math.MaxUint64 / 2
 )
 
-// RejectReason is why a report was rejected. The texts are keys of the status page.
+// RejectReason is the reason why a report was rejected. The texts are keys in the status page.
 type RejectReason string
 
-// The reasons.
+// The reasons for rejecting a report.
 const (
 	UnlistedMember RejectReason = "unlisted name"
 	Malformed      RejectReason = "malformed"
@@ -35,7 +36,7 @@
 	Expired        RejectReason = "too old"
 )
 
-// RejectedError says why a report was rejected.
+// RejectedError is the error for a report that was rejected.
 type RejectedError struct {
 	Reason RejectReason
 	Detail string
@@ -49,7 +50,7 @@
 	return &RejectedError{reason, fmt.Sprintf(format, args...)}
 }
 
-// validate returns why a report cannot be right; nil: it may be.
+// validate returns an error if a report is invalid or its member is not listed.
 func (t *Table) validate(r *Report) *RejectedError {
 	if err := t.validateHeader(r); err != nil {
 		return err
@@ -58,10 +59,13 @@
 		scope := &r.Scopes[i]
 		misplaced := scope.Destination < 0 || ReportNumber(scope.Destination) != r.Number
 		if misplaced || len(scope.Endpoint) > maxEndpointLength {
-			return rejectf(Malformed, "%s: destination %d in report %d", r.Name, scope.Destination, r.Number)
+			return rejectf(
+				Malformed, "member %s: destination %d is not part of report %d, or its endpoint name is too long",
+				r.Name, scope.Destination, r.Number,
+			)
 		}
 		if i > 0 && scope.key().compare(r.Scopes[i-1].key()) <= 0 {
-			return rejectf(Malformed, "%s: scopes of report %d are not sorted", r.Name, r.Number)
+			return rejectf(Malformed, "member %s: scopes of report %d are not sorted or not unique", r.Name, r.Number)
 		}
 		if err := t.validateLoad(r.Name, scope); err != nil {
 			return err
@@ -77,20 +81,20 @@
 	validVersion := r.Generation > 0 && r.Generation <= maxSequence && r.Sequence > 0 && r.Sequence <= maxSequence
 	if !validVersion || r.Number < 0 || len(r.Scopes) > MaxScopes {
 		return rejectf(
-			Malformed, "%s: generation %d, sequence %d, report %d of %d scopes",
+			Malformed, "member %s: invalid generation %d, sequence %d, report number %d or scope count %d",
 			r.Name, r.Generation, r.Sequence, r.Number, len(r.Scopes),
 		)
 	}
 	if r.Age < 0 {
-		return rejectf(OutOfRange, "%s: age %v", r.Name, r.Age)
+		return rejectf(OutOfRange, "member %s: negative age %v", r.Name, r.Age)
 	}
 	if r.Age > MaxAge {
-		return rejectf(Expired, "%s: age %v", r.Name, r.Age)
+		return rejectf(Expired, "member %s: age %v is greater than MaxAge", r.Name, r.Age)
 	}
 	return nil
 }
 
-// validateLoad checks the figures of one scope.
+// validateLoad checks the values of one scope.
 func (t *Table) validateLoad(name string, load *ScopeLoad) *RejectedError {
 	maxRate := MaxRate
 	if limit, ok := t.limits[load.key()]; ok {
@@ -99,13 +103,14 @@
 	for _, rate := range load.rates() {
 		if !(rate >= 0 && rate <= maxRate) { // written so that NaN fails too
 			return rejectf(
-				OutOfRange, "%s: %g a second at destination %d, %g at most", name, rate, load.Destination, maxRate,
+				OutOfRange, "member %s: rate %g per second at destination %d is not between 0 and %g",
+				name, rate, load.Destination, maxRate,
 			)
 		}
 	}
 	if load.Backlog < 0 || load.Backlog > maxBacklog || load.RetryAfter < 0 || load.RetryAfter > maxRetryAfter {
 		return rejectf(
-			OutOfRange, "%s: backlog %d, Retry-After %v at destination %d",
+			OutOfRange, "member %s: backlog %d or Retry-After %v of destination %d is out of range",
 			name, load.Backlog, load.RetryAfter, load.Destination,
 		)
 	}
