--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent is the fleet member's state machine, which steps beside the decision engine. It observes what the
-// engine received and decided and what other members published, and returns the load reports and quota messages that
-// the others should receive.
+// Package agent is the state machine of a fleet member. It is stepped after each step of the decision engine. From
+// the engine's events and actions and from what other members sent, it computes the load reports and quota messages
+// to send to the other members.
 //
-// It is pure, as the engine is: equal calls in equal order give equal results, in the relay, in the emulator and in a
-// replay of a recording.
+// Like the engine, the agent is pure: the same calls in the same order give the same results in the relay, in the
+// emulator and in a replay of a recording.
 package agent
 
 import (
@@ -21,10 +21,10 @@
 type Settings struct {
 	Self             string                   `cbor:"Self"`
 	Incarnation      loadreport.Incarnation   `cbor:"Life"`
-	Members          []string                 `cbor:"Members"` // every listed member of the fleet, this one among them
+	Members          []string                 `cbor:"Members"` // all configured members of the fleet, this one included
 	DestinationKinds []policy.DestinationKind `cbor:"Kinds"`
-	ShareQuota       bool                     `cbor:"Rights"`  // limits are shared by leases: package quota
-	FleetSize        int                      `cbor:"Senders"` // as the platform reports it
+	ShareQuota       bool                     `cbor:"Rights"`  // share the rate limits by leases, see package quota
+	FleetSize        int                      `cbor:"Senders"` // the number of relays, as the platform reports it
 }
 
 // Agent is one member's state machine. It is not safe for concurrent use.
@@ -32,10 +32,10 @@
 	state
 	reports      *loadreport.Table
 	quota        *quota.Ledger  // nil if limits are not shared
-	sentMessages map[string]int // by endpoint, within the current step
+	sentMessages map[string]int // messages sent in the current step, by endpoint
 }
 
-// New returns an Agent that has received nothing.
+// New returns an Agent without any reports, counters or messages.
 func New(settings Settings) *Agent {
 	return &Agent{
 		state: state{
@@ -51,26 +51,25 @@
 	}
 }
 
-// Input is what one step takes.
+// Input is the input of one step.
 type Input struct {
-	Received    []loadreport.Report    // with their ages at the step's time
-	Incarnation loadreport.Incarnation // the member's own, if it has begun a new one; otherwise zero
+	Received    []loadreport.Report    // with their ages at the time of the step
+	Incarnation loadreport.Incarnation // the member's new one, if it has begun one; otherwise zero
 	Quota       []quota.Message
 	Events      []policy.Event
 	Actions     []policy.Action
-	// Views returns the engine's endpoints. It is called only if something may be published.
+	// Views returns the state of the engine's endpoints. It is called only by steps that check which reports are due.
 	Views func() []policy.EndpointView
 }
 
-// Output is what one step returns.
+// Output is the output of one step.
 type Output struct {
 	Published []loadreport.Report // for all other members
-	Quota     []quota.Message     // for one member each
+	Quota     []quota.Message     // each for one member
 	Events    []policy.Event      // for the engine's next step
 }
 
-// Step processes the input at time now and returns what to send. It must be called for every step of the engine,
-// after it.
+// Step processes the input at time now and returns what to send. It must be called after every step of the engine.
 func (a *Agent) Step(now time.Duration, in Input) Output {
 	var out Output
 	out.Published = a.observe(now, in)
@@ -80,7 +79,7 @@
 	return out
 }
 
-// observe takes the input into the state and returns the reports that are due.
+// observe updates the state from the input and returns the reports that are due.
 func (a *Agent) observe(now time.Duration, in Input) []loadreport.Report {
 	a.Now = now
 	if a.Settings.ShareQuota && a.quota == nil {
@@ -114,8 +113,8 @@
 	return a.publish(now)
 }
 
-// beginIncarnation replaces the member's incarnation by a later one. The other members forget what the earlier one
-// published, so that everything is due again.
+// beginIncarnation replaces the member's incarnation by a later one. The other members drop the reports of the
+// earlier one, so all reports become due again.
 func (a *Agent) beginIncarnation(incarnation loadreport.Incarnation) {
 	if incarnation == (loadreport.Incarnation{}) || incarnation.Compare(a.Incarnation) <= 0 {
 		return
@@ -129,7 +128,7 @@
 	}
 }
 
-// sweep removes expired reports and idle counters, every sweepInterval.
+// sweep removes expired reports and idle counters if the last sweep is at least sweepInterval ago.
 func (a *Agent) sweep(now time.Duration) {
 	if now < a.NextSweep {
 		return
@@ -139,11 +138,11 @@
 	a.removeIdleCounters(now)
 }
 
-// NextStep returns when a step is due at the latest, even if nothing happens.
+// NextStep returns the time by which a step is due even if nothing happens before.
 func (a *Agent) NextStep() time.Duration { return a.NextCheck }
 
-// Reports returns the table of load reports, which the caller must only read.
+// Reports returns the table of load reports, which the caller must not modify.
 func (a *Agent) Reports() *loadreport.Table { return a.reports }
 
-// Quota returns the member's quota ledger, which the caller must only read, or nil if limits are not shared.
+// Quota returns the member's quota ledger, which the caller must not modify, or nil if limits are not shared.
 func (a *Agent) Quota() *quota.Ledger { return a.quota }
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// historyInput is the input of the n-th recorded step, with a report of another member now and then.
+// historyInput returns the input for the n-th recorded step. Every 97th step also receives a report of another
+// member.
 func historyInput(entry flightrecorder.Entry, n int) Input {
 	in := Input{Events: entry.Events, Actions: entry.Actions, Views: noViews}
 	if n%97 == 0 {
@@ -74,7 +75,8 @@
 	return in
 }
 
-// addQuota has another member lend and request quota in a step, and this one request some.
+// addQuota adds a message to a step's input with which another member lends and requests quota, and an action with
+// which this member requests quota.
 func addQuota(in *Input, n int) {
 	scope := quota.Scope{Destination: 1}
 	in.Quota = []quota.Message{{
@@ -88,13 +90,14 @@
 	in.Actions = append(slices.Clip(in.Actions), request)
 }
 
-// An agent that is restored in the middle continues like the one that is not: with the same output and state.
+// An agent that is restored from a snapshot in the middle of a history continues with the same output and state as
+// one that is not restored.
 func TestRestoredAgentContinuesAlike(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { testRestoredAgent(t, seed) })
 	}
 	if _, err := Restore([]byte("no state")); err == nil {
-		t.Error("bytes that are no snapshot are restored")
+		t.Error("Restore accepts bytes that are not a snapshot")
 	}
 }
 
@@ -111,7 +114,7 @@
 		want := original.Step(entry.Now, in)
 		got := restored.Step(entry.Now, in)
 		if !reflect.DeepEqual(want, got) {
-			t.Fatalf("step %d: %v and %v", i, want, got)
+			t.Fatalf("step %d: original returned %v, restored %v", i, want, got)
 		}
 		published += len(want.Published)
 		quotaOutputs += len(want.Quota) + len(want.Events)
@@ -120,14 +123,14 @@
 		}
 	}
 	if quotaOutputs < 50 {
-		t.Errorf("only %d quota messages and events", quotaOutputs)
+		t.Errorf("%d quota messages and events, want at least 50", quotaOutputs)
 	}
 	if published < 20 || original.Reports().AggregateOthers(original.Now, 1, "").Members == 0 {
-		t.Errorf("only %d reports were published", published)
+		t.Errorf("%d reports published, want at least 20, and a report of another member must be held", published)
 	}
 }
 
-// restoredCopy restores an agent from another's snapshot, which must be the same again.
+// restoredCopy restores an agent from the original's snapshot, and checks that the copy writes the same snapshot.
 func restoredCopy(t *testing.T, original *Agent) *Agent {
 	t.Helper()
 	snapshot := original.Snapshot(nil)
@@ -136,12 +139,12 @@
 		t.Fatal(err)
 	}
 	if again := restored.Snapshot(nil); !bytes.Equal(snapshot, again) {
-		t.Fatal("the restored state differs")
+		t.Fatal("the restored agent writes another snapshot than the original")
 	}
 	return restored
 }
 
-// BenchmarkStep is the cost of a step beside the engine's.
+// BenchmarkStep measures the two steps that process one message: its acceptance and call, and its delivery.
 func BenchmarkStep(b *testing.B) {
 	a := New(testSettings())
 	var list []policy.Endpoint
--- a/internal/fleet/agent/counters.go
+++ b/internal/fleet/agent/counters.go
@@ -15,20 +15,22 @@
 	// rateWindow is the time constant of the exponentially decaying averages: rates are means over about this long.
 	rateWindow = 5 * time.Second
 
-	// idleLevel is the sum of a counter's levels below which it counts as idle and is removed.
+	// A counter without a backlog or a Retry-After is idle, and is removed, when its levels add up to less than
+	// idleLevel.
 	idleLevel = 1e-6
 
-	// Rates are rounded to what takes two bytes on the wire (half-precision floats): rateMantissaBits binary digits,
-	// at most maxWireRate, and rates below minWireRate a second count as zero.
+	// Rates are rounded so that the codec encodes them in two bytes, as half-precision floats: to rateMantissaBits
+	// significant bits and at most maxWireRate a second. Rates below minWireRate a second count as zero.
 	rateMantissaBits = 11
 	minWireRate      = 1e-3
 	maxWireRate      = 65000
 )
 
-// scopeCounter counts the traffic of one limit scope. Its fields are exported for snapshots alone.
+// scopeCounter counts the traffic of one limit scope. Its fields are exported only for encoding in snapshots.
 type scopeCounter struct {
 	UpdatedAt time.Duration `cbor:"At"`
-	// Demand and the four fields after it are levels: a rate times rateWindow.
+	// The five fields from Demand to Failures are levels: each is a rate a second multiplied by rateWindow in
+	// seconds.
 	Demand          float64       `cbor:"Demand"`
 	Calls           float64       `cbor:"Calls"`
 	Rejections      float64       `cbor:"Refusals"`
@@ -39,7 +41,7 @@
 	WarmingUp       bool          `cbor:"Cold"`
 }
 
-// decay reduces the levels by the time since the last update.
+// decay reduces the levels according to the time since the last update.
 func (c *scopeCounter) decay(now time.Duration) {
 	if now > c.UpdatedAt {
 		factor := math.Exp(-float64(now-c.UpdatedAt) / float64(rateWindow))
@@ -57,7 +59,7 @@
 	return c.Backlog == 0 && c.RetryAfterUntil <= now && level < idleLevel
 }
 
-// load is the counter as it is reported to the other members.
+// load returns the counter's values as they are published to the other members.
 func (c *scopeCounter) load(scope quota.Scope, now time.Duration) loadreport.ScopeLoad {
 	return loadreport.ScopeLoad{
 		Destination: scope.Destination,
@@ -73,7 +75,7 @@
 	}
 }
 
-// wireRate is a level as a rate a second, rounded to what takes two bytes on the wire.
+// wireRate converts a level to a rate a second, rounded so that it takes two bytes on the wire.
 func wireRate(level float64) float64 {
 	rate := level / rateWindow.Seconds()
 	if rate < minWireRate {
@@ -83,7 +85,7 @@
 	return math.Ldexp(math.Round(fraction*(1<<rateMantissaBits))/(1<<rateMantissaBits), exponent)
 }
 
-// counter returns the scope's counter with its levels as of now.
+// counter returns the scope's counter, with its levels as of now. It creates the counter if there is none.
 func (a *Agent) counter(scope quota.Scope) *scopeCounter {
 	counter := a.Counters[scope]
 	if counter == nil {
@@ -94,8 +96,8 @@
 	return counter
 }
 
-// scopeOf returns the limit scope of an endpoint: its destination, or the endpoint itself if its kind limits each
-// endpoint by itself.
+// scopeOf returns the limit scope of an endpoint: the endpoint alone if its destination kind limits each endpoint
+// separately, otherwise its destination.
 func (a *Agent) scopeOf(endpoint string) quota.Scope {
 	info := a.Endpoints[endpoint]
 	if a.destinationKind(info.Kind).LimitPerEndpoint {
@@ -104,7 +106,7 @@
 	return quota.Scope{Destination: info.Destination}
 }
 
-// destinationKind returns a kind by its index; the zero kind for an index that the settings do not have.
+// destinationKind returns the destination kind with an index, or the zero kind if the index is out of range.
 func (a *Agent) destinationKind(index int) policy.DestinationKind {
 	if index < 0 || index >= len(a.Settings.DestinationKinds) {
 		return policy.DestinationKind{}
@@ -112,8 +114,8 @@
 	return a.Settings.DestinationKinds[index]
 }
 
-// countSentCalls turns the messages that this step sent into calls: one call may carry a batch of them. Endpoints are
-// taken in order, because sums of floats depend on it.
+// countSentCalls counts the calls with which this step sent its messages. One call may carry a batch of messages to
+// an endpoint. Endpoints are processed in sorted order, because the rounding of float sums depends on the order.
 func (a *Agent) countSentCalls() {
 	for _, endpoint := range slices.Sorted(maps.Keys(a.sentMessages)) {
 		messages := a.sentMessages[endpoint]
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -10,9 +10,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
-// A snapshot's form, with every field of it set, those of the reports and the quota among them.
+// The encoded state, with every field set including those of the reports and the quota, matches the golden file and
+// is decoded to the same state.
 func TestGoldenState(t *testing.T) {
 	var want state
 	golden.Fill(&want)
@@ -26,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwant %+v", got, want)
+		t.Errorf("decoded %+v\nwant %+v", got, want)
 	}
 }
 
-// An agent restored from a snapshot of an earlier build writes it again.
+// An agent that is restored from a snapshot of an earlier build writes the same snapshot again.
 func TestGoldenSnapshot(t *testing.T) {
 	a := New(quotaSettings())
 	steps := engineHistory(t, 1)
@@ -48,7 +49,7 @@
 	}
 }
 
-// What a step received and sent, with every field set.
+// A record with every field set matches the golden file and is decoded to the same record.
 func TestGoldenRecord(t *testing.T) {
 	var want Record
 	golden.Fill(&want)
@@ -58,6 +59,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwant %+v", got, want)
+		t.Errorf("decoded %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -6,19 +6,19 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// endpointInfo is what the endpoint list says of an endpoint.
+// endpointInfo is what the agent uses of an endpoint's entry in the endpoint list.
 type endpointInfo struct {
 	_           struct{} `cbor:",toarray"`
 	Destination policy.DestinationID
-	Kind        int
-	Limit       float64 // calls a second from all relays; 0 if the list does not say
+	Kind        int     // index into Settings.DestinationKinds
+	Limit       float64 // calls a second from all relays together; 0: not known
 }
 
-// pendingMessage is a message that the engine has accepted and not ended.
+// pendingMessage is a message that the engine has accepted and that has not ended yet.
 type pendingMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Destination policy.DestinationID
-	Waiting     bool // part of the backlog: no call with it is in flight
+	Waiting     bool // counted in the backlog, because no call with the message is in flight
 }
 
 func (a *Agent) observeEvent(event *policy.Event) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// attemptFinished removes the attempt's message if it has ended, and otherwise adds it to the backlog again.
+// attemptFinished removes the attempt's message if the message has ended, and otherwise adds it to the backlog again.
 func (a *Agent) attemptFinished(event *policy.Event) {
 	message, ok := a.Pending[event.MessageID]
 	if !ok {
@@ -96,8 +96,8 @@
 	a.setWaiting(event.MessageID, message, true)
 }
 
-// setWaiting records whether a message waits. The backlog is counted for the destination, because it is not known
-// which endpoint the message will be sent to.
+// setWaiting records whether a message waits, and adjusts the backlog of its destination. The backlog is not counted
+// by endpoint, because the endpoint that a message will be sent to is not known in advance.
 func (a *Agent) setWaiting(id policy.MessageID, message pendingMessage, waiting bool) {
 	if message.Waiting == waiting {
 		return
@@ -155,14 +155,15 @@
 		scope := a.scopeOf(endpoint)
 		byEndpoint[scope.Endpoint] = max(byEndpoint[scope.Endpoint], info.Limit)
 		if scope.Endpoint != "" {
-			// Backlog and demand of separately limited endpoints are reported for the destination.
+			// Demand and backlog are reported for the whole destination, so its limit is the sum of its endpoints'
+			// limits.
 			byEndpoint[""] += info.Limit
 		}
 	}
 	return limits
 }
 
-// updateWarmingUp takes over from the engine which endpoints are warming up or ejected.
+// updateWarmingUp marks the scopes of endpoints that, according to the engine, are warming up or ejected.
 func (a *Agent) updateWarmingUp(views []policy.EndpointView) {
 	for _, counter := range a.Counters {
 		counter.WarmingUp = false
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -11,41 +11,42 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// A report is published when a rate has changed notably, and not before its publish interval is over. If a Retry-After,
-// a backlog or a warm-up begins or ends it is published at once, up to maxUrgentBurst times in a row, and then pauses
-// for longer (GCRA). An unchanged report is published again after republishInterval, so that it does not decay at the
-// other members.
+// A report is published when one of its rates has changed notably, but not before its publish interval is over. When
+// a backlog or a warm-up begins or ends, or a Retry-After begins or changes, the report is published at once. That
+// happens up to maxUrgentBurst times in a row, after which the report pauses for longer (GCRA, the generic cell rate
+// algorithm). An unchanged report is published again after republishInterval, so that it does not decay at the other
+// members.
 const (
-	// publishCheckInterval is how often the agent checks what is due.
+	// publishCheckInterval is how often the agent checks which reports are due.
 	publishCheckInterval = 100 * time.Millisecond
-	// minPublishInterval is the least time between two regular publications of one report. The interval is longer
-	// where all members' reports together would take more than the links carry.
+	// minPublishInterval is the least time between two regular publications of one report. The interval is longer if
+	// the reports of all members together would exceed gossip.MaxReportRate.
 	minPublishInterval = 500 * time.Millisecond
-	// publishIntervalRefresh is how often the interval is computed.
+	// publishIntervalRefresh is how often the publish interval is recomputed.
 	publishIntervalRefresh = time.Second
 	republishInterval      = loadreport.HalfLife / 2
 	maxUrgentBurst         = 4
 
-	// A rate has changed notably if it differs by minRelativeChange of the greater value, and by minAbsoluteChange a
-	// second.
+	// A rate has changed notably if it differs by more than minRelativeChange of the greater value and by more than
+	// minAbsoluteChange a second.
 	minRelativeChange = 0.1
 	minAbsoluteChange = 0.05
 
-	// maxScopeBytes is what one scope takes on the wire at most, without its endpoint's name, and maxReportBytes what
-	// the scopes of one report may take: a report must fit a datagram.
+	// maxScopeBytes is the greatest encoded size of a scope without its endpoint's name. maxReportBytes bounds the
+	// encoded size of all scopes of a report, because a report must fit into one datagram.
 	maxScopeBytes  = 42
 	maxReportBytes = 1100
 )
 
-// publishedReport is the last publication of a report.
+// publishedReport records the last publication of a report.
 type publishedReport struct {
 	_           struct{} `cbor:",toarray"`
 	PublishedAt time.Duration
-	NextRegular time.Duration // the theoretical arrival time of GCRA: all publications so far are paid for by then
+	NextRegular time.Duration // when the next regular publication may happen: the theoretical arrival time of GCRA
 	Scopes      []loadreport.ScopeLoad
 }
 
-// publish returns the reports that are due.
+// publish returns the reports that are due, and records that they are published.
 func (a *Agent) publish(now time.Duration) []loadreport.Report {
 	var reports []loadreport.Report
 	loads := a.loadsByReport(now)
@@ -58,12 +59,12 @@
 		a.Sequence++
 		report, err := a.reports.Publish(now, number, a.Sequence, scopes)
 		if err != nil {
-			// The table counts it: a value of this relay's own that is out of range is not published.
+			// The report is not published. The table has counted it, for example as one with a value out of range.
 			continue
 		}
 		reports = append(reports, report)
 		if len(scopes) == 0 {
-			// An empty report decays like any other, and there is nothing to repeat meanwhile.
+			// An empty report is not published again: its expiry changes nothing for the other members.
 			delete(a.Published, number)
 			continue
 		}
@@ -91,7 +92,7 @@
 	return loads
 }
 
-// reportNumbers returns the numbers of the reports that have loads now or were published, in order.
+// reportNumbers returns the sorted numbers of the reports that have loads now or are in a.Published.
 func (a *Agent) reportNumbers(loads map[int][]loadreport.ScopeLoad) []int {
 	numbers := slices.Collect(maps.Keys(loads))
 	for number := range a.Published {
@@ -103,9 +104,9 @@
 	return numbers
 }
 
-// publishInterval is the time between two regular publications of a report, such that all reports of all members
-// together take no more than the links carry. A member that receives from a part of the fleet alone knows only that
-// part's reports, and it is with these that it shares links.
+// publishInterval returns the time between two regular publications of a report. It is long enough for the reports of
+// all members together to stay within gossip.MaxReportRate. A member that receives reports from only a part of the
+// fleet counts only these, which is correct because it shares links only with that part.
 func (a *Agent) publishInterval() time.Duration {
 	if a.PublishInterval == 0 || a.Now >= a.PublishIntervalAt+publishIntervalRefresh {
 		reportRate := gossip.MaxReportRate(len(a.Settings.Members))
@@ -120,7 +121,7 @@
 func (a *Agent) publishDue(number int, scopes []loadreport.ScopeLoad, interval time.Duration) bool {
 	last, published := a.Published[number]
 	if !published {
-		// A member may have MaxReports at once: further destinations wait until others are idle.
+		// A member publishes at most loadreport.MaxReports reports. Further ones wait until others are idle.
 		return len(scopes) > 0 && len(a.Published) < loadreport.MaxReports
 	}
 	if a.Now < last.NextRegular {
@@ -131,14 +132,14 @@
 		last.urgentChange(scopes, a.Now)
 }
 
-// burstLeft reports whether an urgent change may be published before the next regular publication. It bounds how many
-// follow each other.
+// burstLeft reports whether an urgent change may be published before the next regular publication. It allows
+// maxUrgentBurst publications in a row, at least publishCheckInterval apart.
 func (p publishedReport) burstLeft(now, interval time.Duration) bool {
 	return now-p.PublishedAt >= publishCheckInterval && p.NextRegular-now <= (maxUrgentBurst-1)*interval
 }
 
-// urgentChange reports whether a Retry-After, a backlog or a warm-up has begun or ended in one of the scopes since the
-// report was published.
+// urgentChange reports whether, since the report was published, a backlog or a warm-up has begun or ended or a
+// Retry-After has begun or changed in one of the scopes.
 func (p publishedReport) urgentChange(scopes []loadreport.ScopeLoad, now time.Duration) bool {
 	return slices.ContainsFunc(scopes, func(load loadreport.ScopeLoad) bool {
 		last := p.scope(load)
@@ -148,7 +149,7 @@
 	})
 }
 
-// scope returns the published load of the same scope, or none.
+// scope returns the published load of the same scope, or the zero value if there is none.
 func (p publishedReport) scope(load loadreport.ScopeLoad) loadreport.ScopeLoad {
 	i := slices.IndexFunc(p.Scopes, func(other loadreport.ScopeLoad) bool { return compareScopes(load, other) == 0 })
 	if i < 0 {
@@ -157,7 +158,8 @@
 	return p.Scopes[i]
 }
 
-// retryAfterChanged reports whether a Retry-After ends at another time than the one that was published elapsed ago.
+// retryAfterChanged reports whether the current Retry-After ends at another time than the one that was published the
+// time elapsed ago. Differences of up to 2*publishCheckInterval are ignored.
 func retryAfterChanged(current, published, elapsed time.Duration) bool {
 	if current <= 0 {
 		return false
@@ -165,7 +167,7 @@
 	return published == 0 || (current-(published-elapsed)).Abs() > 2*publishCheckInterval
 }
 
-// similarLoad reports whether two loads are of one scope and do not differ notably.
+// similarLoad reports whether two loads are of the same scope and do not differ notably.
 func similarLoad(current, published loadreport.ScopeLoad) bool {
 	return compareScopes(current, published) == 0 &&
 		!changedNotably(current.Demand, published.Demand) &&
@@ -184,13 +186,13 @@
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Endpoint, b.Endpoint))
 }
 
-// compareTraffic orders the scopes with the most traffic first.
+// compareTraffic orders scopes by their traffic, the one with the most first.
 func compareTraffic(a, b loadreport.ScopeLoad) int {
 	return cmp.Or(cmp.Compare(b.Demand+b.Calls, a.Demand+a.Calls), compareScopes(a, b))
 }
 
-// truncateScopes leaves out the scopes with the least traffic if a report would not fit a datagram, and returns the
-// others in order.
+// truncateScopes drops the scopes with the least traffic if the report would not fit into a datagram or exceed
+// loadreport.MaxScopes. It returns the others sorted by scope.
 func truncateScopes(scopes []loadreport.ScopeLoad) []loadreport.ScopeLoad {
 	slices.SortFunc(scopes, compareTraffic)
 	size := 0
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -17,8 +17,8 @@
 	a.Step(time.Second, Input{Events: []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: endpoints}}})
 }
 
-// driveTraffic has destination 9 receive rate messages a second, each sent at once, of which every third is rejected
-// with a Retry-After. It returns what was published.
+// driveTraffic simulates traffic to destination 9: rate messages a second, each sent at once. Every third is rejected
+// with a Retry-After and stays pending, the others are delivered. It returns the published reports.
 func driveTraffic(a *Agent, from, to time.Duration, rate float64) []loadreport.Report {
 	var published []loadreport.Report
 	interval := time.Duration(float64(time.Second) / rate)
@@ -47,8 +47,8 @@
 	return published
 }
 
-// Reports say what happened, are published no more often than all members can bear, and fade when nothing happens any
-// more.
+// Reports carry the rates of the traffic and are published at a bounded rate. After all messages have ended, an empty
+// report is published and the agent keeps no state.
 func TestPublishedReports(t *testing.T) {
 	a := New(testSettings())
 	listEndpoints(a,
@@ -63,21 +63,21 @@
 	published := driveTraffic(a, time.Second, 41*time.Second, 30)
 	last := published[len(published)-1]
 	if last.Name != "me" || last.Number != loadreport.ReportNumber(9) || len(last.Scopes) != 1 {
-		t.Fatalf("%+v", last)
+		t.Fatalf("last report %+v, want one scope of destination 9", last)
 	}
 	checkLoad(t, last.Scopes[0])
 	if len(published) > 40*8 {
-		t.Errorf("%d reports in 40 s", len(published))
+		t.Errorf("%d reports in 40 s, want at most 8 a second", len(published))
 	}
 	for i := 1; i < len(published); i++ {
 		if published[i].Sequence <= published[i-1].Sequence {
-			t.Fatal("sequences do not grow")
+			t.Fatal("sequence numbers do not increase")
 		}
 	}
-	checkFading(t, a, 41*time.Second)
+	checkIdle(t, a, 41*time.Second)
 }
 
-// checkLoad checks the load that driveTraffic makes in 40 s with 30 messages a second.
+// checkLoad checks the reported load after driveTraffic has run for 40 s with 30 messages a second.
 func checkLoad(t *testing.T, load loadreport.ScopeLoad) {
 	t.Helper()
 	rates := []struct {
@@ -92,16 +92,17 @@
 	}
 	for _, rate := range rates {
 		if math.Abs(rate.got-rate.want) > 0.1*rate.want {
-			t.Errorf("%s: %g, want %g", rate.name, rate.got, rate.want)
+			t.Errorf("%s: %g a second, want %g", rate.name, rate.got, rate.want)
 		}
 	}
 	if load.Backlog < 100 || load.RetryAfter <= 0 || load.RetryAfter > 400*time.Millisecond {
-		t.Errorf("backlog %d, Retry-After %v: every third message waits", load.Backlog, load.RetryAfter)
+		t.Errorf("backlog %d, Retry-After %v; want at least 100 messages, and more than 0 and at most 400ms",
+			load.Backlog, load.RetryAfter)
 	}
 }
 
-// checkFading cancels all messages and checks that the last report is an empty one, and that no state is left.
-func checkFading(t *testing.T, a *Agent, from time.Duration) {
+// checkIdle cancels all messages, and checks that the last published report is empty and that no state is left.
+func checkIdle(t *testing.T, a *Agent, from time.Duration) {
 	t.Helper()
 	var cancelled []policy.Event
 	for id := range a.Pending {
@@ -115,32 +116,35 @@
 		}
 	}
 	if !empty || len(a.Counters) > 0 || len(a.Published) > 0 || len(a.Pending) > 0 {
-		t.Errorf("empty report published: %v; left: %v %v %v", empty, a.Counters, a.Published, a.Pending)
+		t.Errorf("last report empty: %v; left: counters %v, published reports %v, pending messages %v",
+			empty, a.Counters, a.Published, a.Pending)
 	}
 }
 
-// A report holds what fits a datagram, the scopes with the most traffic first; destinations beyond the bound wait.
+// A report holds only the scopes that fit into a datagram, those with the most traffic. A member publishes at most
+// MaxReports reports at a time; further destinations wait.
 func TestReportBounds(t *testing.T) {
 	a := New(testSettings())
 	published := a.Step(time.Second, Input{Events: manyOutcomes(), Views: noViews}).Published
 	if len(published) != loadreport.MaxReports {
-		t.Errorf("%d reports", len(published))
+		t.Errorf("%d reports, want %d", len(published), loadreport.MaxReports)
 	}
 	if n := len(published[0].Scopes); n < 10 || n > loadreport.MaxScopes {
-		t.Errorf("%d scopes in a report", n)
+		t.Errorf("%d scopes in a report, want 10 to %d", n, loadreport.MaxScopes)
 	}
-	// A new incarnation publishes everything again, because the others forget the one before.
+	// A new incarnation publishes everything again, because the other members drop the reports of the earlier one.
 	again := a.Step(2*time.Second, Input{
 		Incarnation: loadreport.Incarnation{Generation: 2, Boot: 2},
 		Views:       noViews,
 	}).Published
 	if len(again) != loadreport.MaxReports || again[0].Generation != 2 {
-		t.Errorf("%d reports of incarnation %v", len(again), again[0].Incarnation)
+		t.Errorf("%d reports of incarnation %v, want %d of generation 2",
+			len(again), again[0].Incarnation, loadreport.MaxReports)
 	}
 }
 
-// manyOutcomes lists 40 separately limited endpoints of one destination and 600 destinations, with up to three
-// deliveries each.
+// manyOutcomes returns an endpoint list and up to three deliveries by each of its endpoints. The list has 40
+// separately limited endpoints of one destination, and one endpoint of each of 600 destinations.
 func manyOutcomes() []policy.Event {
 	var list []policy.Endpoint
 	for i := range 40 {
@@ -169,8 +173,8 @@
 	return events
 }
 
-// However much changes, the reports of all members together take no more than the links carry; what is urgent is
-// published at once, a few times in a row.
+// Even if a report has an urgent change with every check, it is published no more often than the network can carry
+// with the reports of all other members, apart from a short burst.
 func TestPublishIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, members := range []int{3, 100, 300} {
 		t.Run(fmt.Sprint(members, " members"), func(t *testing.T) { testPublishInterval(t, members) })
@@ -179,8 +183,8 @@
 
 func testPublishInterval(t *testing.T, members int) {
 	const (
-		began  = 30 * time.Second
-		length = 120 * time.Second
+		measuredFrom = 30 * time.Second
+		measuredTime = 120 * time.Second
 	)
 	settings := testSettings()
 	settings.Members = []string{"me"}
@@ -191,26 +195,26 @@
 	listEndpoints(a, policy.Endpoint{ID: "s-1", Destination: 9, Weight: 500, InService: true})
 	published := 0
 	sequence := uint64(0)
-	for now := time.Second; now < began+length; now += publishCheckInterval {
+	for now := time.Second; now < measuredFrom+measuredTime; now += publishCheckInterval {
 		in := Input{Views: noViews, Events: []policy.Event{alternatingBacklog(now)}}
 		if now%(10*time.Second) == 0 {
 			sequence += 2
 			in.Received = reportsOfOthers(settings.Members[1:], sequence)
 		}
 		reports := a.Step(now, in).Published
-		if now >= began {
+		if now >= measuredFrom {
 			published += len(reports)
 		}
 	}
 	reports := 2*(members-1) + 1
 	reportRate := gossip.MaxReportRate(members) / float64(reports) // publications of one report a second
-	maxPublished := length.Seconds()*min(reportRate, 1/minPublishInterval.Seconds()) + maxUrgentBurst
+	maxPublished := measuredTime.Seconds()*min(reportRate, 1/minPublishInterval.Seconds()) + maxUrgentBurst
 	if float64(published) > maxPublished || float64(published) < 0.7*maxPublished {
-		t.Errorf("%d reports in %v, want at most %.0f", published, length, maxPublished)
+		t.Errorf("%d reports in %v, want 70 %% to 100 %% of %.0f", published, measuredTime, maxPublished)
 	}
 }
 
-// alternatingBacklog begins and ends a backlog with every check.
+// alternatingBacklog returns an event that begins a backlog or ends it, alternately at each check.
 func alternatingBacklog(now time.Duration) policy.Event {
 	if now/publishCheckInterval%2 == 0 {
 		return policy.Event{
@@ -224,7 +228,7 @@
 	return policy.Event{Kind: policy.MessageAccepted, MessageID: 1, Destination: 9}
 }
 
-// reportsOfOthers are two reports of each member.
+// reportsOfOthers returns two reports of each member.
 func reportsOfOthers(members []string, sequence uint64) []loadreport.Report {
 	var reports []loadreport.Report
 	for _, member := range members {
@@ -240,7 +244,7 @@
 	return reports
 }
 
-// A warm-up that begins is published with the next check, though the report was published just before.
+// When a warm-up begins, the report is published at the next check, even if it was published just before.
 func TestWarmUpIsUrgent(t *testing.T) {
 	a := New(testSettings())
 	listEndpoints(a, policy.Endpoint{ID: "s-1", Destination: 9, Weight: 500, InService: true})
--- a/internal/fleet/agent/quota.go
+++ b/internal/fleet/agent/quota.go
@@ -7,7 +7,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// startQuota creates the quota ledger. Its time begins with the first step, whatever the clock reads then.
+// startQuota creates the quota ledger. It is called by the first step, because the ledger starts at that step's time,
+// which may be any value of the clock.
 func (a *Agent) startQuota(now time.Duration) {
 	a.quota = quota.New(now, quota.Settings{
 		Self:        a.Settings.Self,
@@ -17,7 +18,8 @@
 	})
 }
 
-// stepQuota returns the quota messages to send, and the changes of quota as events for the engine.
+// stepQuota steps the quota ledger. It returns the quota messages to send, and the changes of quota as events for the
+// engine.
 func (a *Agent) stepQuota(now time.Duration) ([]quota.Message, []policy.Event) {
 	messages, changes := a.quota.Step(now)
 	var events []policy.Event
@@ -34,8 +36,9 @@
 	return messages, events
 }
 
-// recordOutcome counts an outcome for the estimate of the limit. Rejections by an endpoint that may be warming up say
-// nothing about the limit: the engine's recovery ramp deals with them.
+// recordOutcome counts an outcome for the ledger's estimate of the capacity. Rejections are not counted while an
+// endpoint of the scope is warming up or ejected: they do not show the capacity, and the engine's slow start handles
+// them.
 func (a *Agent) recordOutcome(endpoint string, rejected bool) {
 	if a.quota == nil {
 		return
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
-// Record is what one step received from other members and sent to them. Together with the engine's own record it is
-// all that a replay needs. The order of the fields is part of the recordings' format.
+// Record holds what one step received from other members and what it sent to them. A replay needs only this and the
+// engine's own record. The order of the fields is part of the recordings' format.
 type Record struct {
 	_             struct{} `cbor:",toarray"`
 	Received      []loadreport.Report
@@ -27,7 +27,7 @@
 	}
 	data, err := canonicalEncoding.Marshal(r)
 	if err != nil {
-		return b // A value that is not a number: the table accepts none.
+		return b // Every record can be encoded.
 	}
 	return append(b, data...)
 }
@@ -37,14 +37,14 @@
 	return entries == 0 && r.Incarnation == (loadreport.Incarnation{})
 }
 
-// ReadRecord decodes what Append wrote. Empty data are an empty record.
+// ReadRecord decodes what Append wrote. Empty data is an empty record.
 func ReadRecord(data []byte) (Record, error) {
 	var record Record
 	if len(data) == 0 {
 		return record, nil
 	}
 	if err := cbor.Unmarshal(data, &record); err != nil {
-		return Record{}, fmt.Errorf("fleet agent: record: %w", err)
+		return Record{}, fmt.Errorf("fleet agent: decode record: %w", err)
 	}
 	return record, nil
 }
--- a/internal/fleet/agent/snapshot.go
+++ b/internal/fleet/agent/snapshot.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// state is what an Agent stores in a snapshot. The keys are part of the recordings' format: they stay as they are
-// when a field is renamed, and the fields of the toarray types keep their order.
+// state is the part of an Agent that a snapshot stores. The CBOR keys are part of the recordings' format: they must
+// not change when a field is renamed, and the fields of the toarray types must keep their order.
 type state struct {
 	Settings          Settings                            `cbor:"Set"`
 	Incarnation       loadreport.Incarnation              `cbor:"Life"`
@@ -22,33 +22,33 @@
 	Pending           map[policy.MessageID]pendingMessage `cbor:"Held"`
 	Published         map[int]publishedReport             `cbor:"Told"` // by report number
 	NextCheck         time.Duration                       `cbor:"LookAt"`
-	PublishInterval   time.Duration                       `cbor:"Rest"` // as of PublishIntervalAt
+	PublishInterval   time.Duration                       `cbor:"Rest"` // computed at PublishIntervalAt
 	PublishIntervalAt time.Duration                       `cbor:"RestAt"`
 	NextSweep         time.Duration                       `cbor:"SweepAt"`
-	SavedReports      []loadreport.Report                 `cbor:"Pages"` // of the table; set in snapshots alone
-	SavedQuota        *quota.Ledger                       `cbor:"Book"`  // set in snapshots alone
+	SavedReports      []loadreport.Report                 `cbor:"Pages"` // of the table; set only in snapshots
+	SavedQuota        *quota.Ledger                       `cbor:"Book"`  // set only in snapshots
 	Now               time.Duration                       `cbor:"Now"`
 }
 
-// canonicalEncoding writes the same bytes for the same value.
+// canonicalEncoding encodes equal values as equal bytes.
 var canonicalEncoding = newCanonicalEncoding()
 
 func newCanonicalEncoding() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // The options are constants.
+		panic(err) // The options are constant and valid.
 	}
 	return mode
 }
 
-// Snapshot appends the state to b: the same bytes for the same state.
+// Snapshot appends the encoded state to b. Equal states give equal bytes.
 func (a *Agent) Snapshot(b []byte) []byte {
 	saved := a.state
 	a.reports.Each(a.Now, func(report loadreport.Report) { saved.SavedReports = append(saved.SavedReports, report) })
 	saved.SavedQuota = a.quota
 	data, err := canonicalEncoding.Marshal(saved)
 	if err != nil {
-		return b // A rate that is not a number: Step produces none.
+		return b // Every state can be encoded.
 	}
 	return append(b, data...)
 }
@@ -57,7 +57,7 @@
 func Restore(data []byte) (*Agent, error) {
 	var saved state
 	if err := cbor.Unmarshal(data, &saved); err != nil {
-		return nil, fmt.Errorf("fleet agent: snapshot: %w", err)
+		return nil, fmt.Errorf("fleet agent: decode snapshot: %w", err)
 	}
 	a := New(saved.Settings)
 	a.reports.SetIncarnation(saved.Incarnation)
@@ -77,7 +77,7 @@
 		if report.Name == a.Settings.Self {
 			a.reports.Restore(a.Now, report)
 		} else {
-			// The report was accepted before the snapshot; one that is rejected now is counted.
+			// The report was accepted before the snapshot was written. If it is rejected now, the table counts it.
 			_, _ = a.reports.Merge(a.Now, report)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet connects the relay's loop to its fleet. A Member steps the pure state machine of package agent beside
-// the decision engine, and hands its output to a node of package membership, which carries it to the other members. The
-// loop never waits for the node, and without one the relay serves alone.
+// Package fleet connects a relay to the other relays of its fleet. A Member holds the state machine of package agent,
+// which the relay's loop steps after the decision engine. The output of the agent goes to a node of package
+// membership, which sends it to the other members. The loop never waits for the node. Without a node, the relay works
+// without its fleet.
 package fleet
 
 import (
@@ -24,15 +25,15 @@
 )
 
 const (
-	// listenRetryInterval is how often a member that cannot listen tries again.
+	// listenRetryInterval is how long Run waits after a failed start of the node before it tries again.
 	listenRetryInterval = 2 * time.Second
-	// quotaStatusInterval is how often the quota's status is copied for Status.
+	// quotaStatusInterval is how often Step copies the quota status for Status, which other goroutines call.
 	quotaStatusInterval = 500 * time.Millisecond
-	// stepInterval is how often the loop is asked for a step if nothing else happens.
+	// stepInterval is how often Run requests a step from the loop, even if nothing was received.
 	stepInterval = 250 * time.Millisecond
 )
 
-// errStopped is the reason for a member's being down after Run has returned.
+// errStopped is the reason that Status gives for a down member after Run has returned.
 var errStopped = errors.New("fleet: ended")
 
 // Config configures a Member.
@@ -41,27 +42,27 @@
 	Label            string
 	Listen           string
 	Peers            map[string]string
-	Folder           string // outlasts the process
+	Folder           string // the directory for data that outlasts the process
 	DestinationKinds []policy.DestinationKind
-	ShareQuota       bool // limits are shared among FleetSize relays
-	FleetSize        int  // as the platform reports it
-	// Clock is the clock of Step's now.
+	ShareQuota       bool // divide the rate limits among FleetSize relays
+	FleetSize        int  // the number of relays, as the platform reports it
+	// Clock returns the current time on the clock from which the now of Step is taken.
 	Clock func() time.Duration
 	Log   *slog.Logger
-	// RequestStep asks the loop for a step. It must not block.
+	// RequestStep requests a step from the loop. It must not block.
 	RequestStep func()
-	// Transport carries the node's datagrams and streams; nil: sockets on Listen.
+	// Transport carries the node's datagrams and streams. If it is nil, the node opens sockets on Listen.
 	Transport memberlist.NodeAwareTransport
 }
 
-// Member is a relay's membership of its fleet. Step and Agent belong to the loop; the other methods may be called from
-// any goroutine.
+// Member is a relay's membership in its fleet. Only the loop may call Step and Agent. The other methods may be called
+// from any goroutine.
 type Member struct {
 	cfg           Config
 	incarnation   loadreport.Incarnation
 	agent         *agent.Agent
-	lastNode      *membership.Node // that the last step used; the loop's
-	quotaStatusAt time.Duration    // when quotaStatus was set last; the loop's
+	lastNode      *membership.Node // used by the last step; accessed only by the loop
+	quotaStatusAt time.Duration    // when quotaStatus was set last; accessed only by the loop
 
 	quotaStatus atomic.Pointer[[]quota.ScopeStatus]
 
@@ -70,7 +71,8 @@
 	downReason error
 }
 
-// New returns a Member that is down. It begins a new incarnation, the first one if its folder has none.
+// New begins a new incarnation of the member and returns it without a node, which Run starts. The generation is one
+// more than the stored one, or 1 if none is stored.
 func New(cfg Config) *Member {
 	incarnation := loadreport.Incarnation{Generation: readIncarnation(cfg) + 1, Boot: rand.Uint32()}
 	if err := writeIncarnation(cfg, incarnation.Generation); err != nil {
@@ -90,7 +92,8 @@
 	}
 }
 
-// Run keeps the node up until ctx is done. If the port is taken it tries again; the relay serves meanwhile.
+// Run starts the node and stops it when ctx is done. If the node does not start, for example because the port is
+// taken, Run tries again every listenRetryInterval. Meanwhile the relay works without its fleet.
 func (m *Member) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -156,8 +159,8 @@
 	m.downReason = downReason
 }
 
-// Step steps the agent after a step of the engine. It returns what a recording must hold of it, and events for the
-// engine's next step.
+// Step steps the agent after a step of the engine. It returns the record of the step for the recording, and events
+// for the engine's next step.
 func (m *Member) Step(
 	now time.Duration,
 	events []policy.Event,
@@ -165,13 +168,13 @@
 	views func() []policy.EndpointView,
 ) (agent.Record, []policy.Event) {
 	var record agent.Record
-	var decidedAt time.Duration // the node's time at now, or before that
+	var decidedAt time.Duration // the time of now on the node's clock, or an earlier time
 	node := m.currentNode()
 	if node != nil {
 		record.Received, record.Incarnation = node.Received()
 		if m.cfg.ShareQuota {
-			// The node's clock is read first: if the process is stopped between the two, quota messages count as
-			// decided earlier and leases are shorter, never longer.
+			// The node's clock is read first. If the process is paused between the two readings, the quota messages
+			// count as decided too early, which makes leases shorter. The opposite order could make them too long.
 			decidedAt = node.Now()
 			decidedAt -= m.cfg.Clock() - now
 			record.QuotaReceived = node.ReceivedQuota()
@@ -195,7 +198,7 @@
 	return record, out.Events
 }
 
-// updateQuotaStatus copies the quota's status for Status, every quotaStatusInterval.
+// updateQuotaStatus copies the quota status for Status if the last copy is at least quotaStatusInterval old.
 func (m *Member) updateQuotaStatus(now time.Duration) {
 	ledger := m.agent.Quota()
 	if ledger == nil || now < m.quotaStatusAt+quotaStatusInterval {
@@ -206,7 +209,7 @@
 	m.quotaStatus.Store(&status)
 }
 
-// updateLimits sets the limits of the endpoint list at the node, if the list has changed or the node is a new one.
+// updateLimits passes the limits of the endpoint list to the node if the list has changed or the node is a new one.
 func (m *Member) updateLimits(node *membership.Node, events []policy.Event) {
 	if node == m.lastNode && !slices.ContainsFunc(events, changesEndpoints) {
 		return
@@ -219,7 +222,7 @@
 	return event.Kind == policy.EndpointSnapshot || event.Kind == policy.EndpointDelta
 }
 
-// send hands the agent's output to the node.
+// send passes the agent's output to the node.
 func (m *Member) send(node *membership.Node, decidedAt time.Duration, out agent.Output) {
 	if len(out.Published) > 0 {
 		node.Publish(out.Published)
@@ -229,7 +232,7 @@
 	}
 }
 
-// AliveCount is the number of alive members, this one among them; 0 while the member is down.
+// AliveCount returns the number of alive and suspected members, this one included, or 0 while the member is down.
 func (m *Member) AliveCount() int {
 	node := m.currentNode()
 	if node == nil {
@@ -238,5 +241,5 @@
 	return node.AliveCount()
 }
 
-// Agent returns the member's state machine, which the loop alone may use, and only read.
+// Agent returns the member's state machine. Only the loop may use it, and must not modify it.
 func (m *Member) Agent() *agent.Agent { return m.agent }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,9 +13,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
-// The status as GET /v1/fleet returns it and as it is printed, with every field set and for a member that is down.
+// The JSON that GET /v1/fleet returns and the printed table match the golden files, for a member that is up with
+// every field set and for a member that is down.
 func TestGoldenStatus(t *testing.T) {
 	var linked Status
 	golden.Fill(&linked)
@@ -30,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v\nwant %+v", name, got, want)
+			t.Errorf("%s: decoded status %+v\nwant %+v", name, got, want)
 		}
 		var text bytes.Buffer
 		if err := got.Print(&text); err != nil {
@@ -40,11 +41,11 @@
 	}
 }
 
-// The generation in an earlier build's file is read, and written as the same file.
+// A generation is written with the bytes that earlier builds wrote, and is read from an earlier build's file.
 func TestGoldenIncarnation(t *testing.T) {
-	const incarnation = 41
+	const generation = 41
 	cfg := Config{Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}
-	if err := writeIncarnation(cfg, incarnation); err != nil {
+	if err := writeIncarnation(cfg, generation); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(cfg.Folder, "fleet.life")
@@ -56,7 +57,7 @@
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if n := readIncarnation(cfg); n != incarnation {
-		t.Errorf("incarnation %d, want %d", n, incarnation)
+	if n := readIncarnation(cfg); n != generation {
+		t.Errorf("generation %d, want %d", n, generation)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,7 +18,7 @@
 type Status struct {
 	Up         bool                `json:"up"`
 	DownReason string              `json:"why,omitempty"`
-	Quota      []quota.ScopeStatus `json:"rights,omitempty"` // if limits are shared
+	Quota      []quota.ScopeStatus `json:"rights,omitempty"` // only if limits are shared
 	*membership.Status
 }
 
@@ -44,7 +44,7 @@
 // WriteJSON writes the current Status as JSON.
 func (m *Member) WriteJSON(w io.Writer) error {
 	if err := json.NewEncoder(w).Encode(m.Status()); err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("fleet: write status: %w", err)
 	}
 	return nil
 }
@@ -52,14 +52,14 @@
 // Print writes the status as a table for people.
 func (s Status) Print(w io.Writer) error {
 	if !s.Up || s.Status == nil {
-		_, err := fmt.Fprintf(w, "not linked: %s\n", s.DownReason)
+		_, err := fmt.Fprintf(w, "not connected: %s\n", s.DownReason)
 		return err
 	}
 	p := &statusPrinter{table: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
 	p.printNode(s.Status)
 	p.printMembers(s.Members)
 	for _, reason := range slices.Sorted(maps.Keys(s.Rejected)) {
-		p.printf("refused: %s\t%d\n", reason, s.Rejected[reason])
+		p.printf("rejected: %s\t%d\n", reason, s.Rejected[reason])
 	}
 	p.printQuota(s.Quota)
 	p.printCounters(s.Counters)
@@ -67,7 +67,7 @@
 		p.err = p.table.Flush()
 	}
 	if p.err != nil {
-		return fmt.Errorf("fleet: %w", p.err)
+		return fmt.Errorf("fleet: print status: %w", p.err)
 	}
 	return nil
 }
@@ -85,16 +85,16 @@
 }
 
 func (p *statusPrinter) printNode(s *membership.Status) {
-	p.printf("%s of fleet %q, listens on %s, life %d/%08x, ", s.Name, s.Fleet, s.Listen,
+	p.printf("%s of fleet %q, listens on %s, incarnation %d/%08x, ", s.Name, s.Fleet, s.Listen,
 		s.Incarnation.Generation, s.Incarnation.Boot)
-	p.printf("health %d (0 is best), %d pages queued, %d bytes sent\n", s.Health, s.Queued, s.SentBytes)
+	p.printf("health %d (0 is best), %d reports queued, %d bytes sent\n", s.Health, s.Queued, s.SentBytes)
 	if s.NameConflict {
-		p.printf("ANOTHER PROCESS RUNS UNDER THIS NAME: this one tells nothing\n")
+		p.printf("ANOTHER PROCESS USES THIS MEMBER'S NAME: publishing suspended\n")
 	}
 }
 
 func (p *statusPrinter) printMembers(members []membership.MemberStatus) {
-	p.printf("member\tstate\tlife\theard\tpages\tcells\taddress\n")
+	p.printf("member\tstate\tgeneration\tlast report\treports\tscopes\taddress\n")
 	for _, m := range members {
 		age := "never"
 		generation := "-"
@@ -110,7 +110,7 @@
 	if len(scopes) == 0 {
 		return
 	}
-	p.printf("destination\tlimit\town\tlent\tkeeper\tmints\tbelief\twaiting\n")
+	p.printf("destination\tlimit\town\tlent\tlease holder\tgrant rate\tcapacity\twaiting\n")
 	for _, s := range scopes {
 		scope := strconv.Itoa(int(s.Destination))
 		if s.Endpoint != "" {
@@ -122,7 +122,8 @@
 }
 
 func (p *statusPrinter) printCounters(c membership.Counters) {
-	p.printf("messages heard %d, unreadable %d, of newer programs %d; ", c.Received, c.Unreadable, c.UnsupportedVersion)
-	p.printf("rival pages %d, names with two addresses %d, strangers %d\n", c.RivalReports, c.AddressConflicts,
+	p.printf("messages received %d, unreadable %d, of unsupported versions %d; ", c.Received, c.Unreadable,
+		c.UnsupportedVersion)
+	p.printf("rival reports %d, address conflicts %d, unknown members %d\n", c.RivalReports, c.AddressConflicts,
 		c.UnknownMembers)
 }
