--- a/internal/fleet/codec/codec_test.go
+++ b/internal/fleet/codec/codec_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// sampleReport has every field set.
+// sampleReport returns a report with every field set.
 func sampleReport() loadreport.Report {
 	return loadreport.Report{
 		Name:        "r1",
@@ -63,7 +63,7 @@
 	}
 }
 
-// sampleData is an encoded message with the sample reports and digest.
+// sampleData returns an encoded message with the sample reports and the sample digest.
 func sampleData(t testing.TB, c *Codec) []byte {
 	t.Helper()
 	m := Message{From: "r3", Boot: 4, Clock: 123456789, WantsReports: true}
@@ -81,36 +81,37 @@
 	data := sampleData(t, c)
 	got, err := c.Decode(data)
 	if err != nil || got.From != "r3" || got.Boot != 4 || got.Clock != 123456789 || !got.WantsReports {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("decoded message %+v, error %v", got, err)
 	}
 	if reports := got.Reports(); !reflect.DeepEqual(reports, sampleReports()) {
-		t.Errorf("%+v\nwant %+v", reports, sampleReports())
+		t.Errorf("reports %+v\nwant %+v", reports, sampleReports())
 	}
 	if digest := got.ReportDigest(); !reflect.DeepEqual(digest, sampleDigest()) {
-		t.Errorf("%+v\nwant %+v", digest, sampleDigest())
+		t.Errorf("digest %+v\nwant %+v", digest, sampleDigest())
 	}
 	for size := range len(data) {
 		if _, err := c.Decode(data[:size]); err == nil {
-			t.Errorf("truncated to %d bytes it is accepted", size)
+			t.Errorf("a message truncated to %d bytes is accepted", size)
 		}
 	}
 }
 
-// A newer program's fields are ignored, and what must not be ignored is rejected as such.
+// Unknown fields of a newer program are ignored. A message that requires a newer version is rejected with
+// ErrUnsupportedVersion.
 func TestNewerPrograms(t *testing.T) {
 	c := newCodec(t)
 	tree := newerTree(t, sampleData(t, c))
 	got, err := c.Decode(marshal(t, tree))
 	if err != nil || !reflect.DeepEqual(got.Reports(), sampleReports()) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded message %+v, error %v", got, err)
 	}
 	tree[0] = Version + 1
 	if _, err := c.Decode(marshal(t, tree)); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrUnsupportedVersion)
 	}
 }
 
-// newerTree is a message with fields that no program has yet, at each level.
+// newerTree decodes a message into maps, and adds a field at each level that this program does not have.
 func newerTree(t *testing.T, data []byte) map[int]any {
 	t.Helper()
 	var tree map[int]any
@@ -141,7 +142,8 @@
 	return data
 }
 
-// Any input is decoded or rejected, and what is decoded has ages that the table's bounds can judge.
+// Any input is either decoded or rejected. Decoded reports are either rejected by a table or have an age within its
+// bounds.
 func FuzzDecode(f *testing.F) {
 	c := newCodec(f)
 	f.Add(sampleData(f, c))
@@ -155,19 +157,19 @@
 		for _, r := range m.Reports() {
 			result, err := table.Merge(time.Hour, r)
 			if (result == loadreport.Rejected) != (err != nil) && result != loadreport.Rejected {
-				t.Errorf("%v, %v", result, err)
+				t.Errorf("merge result %v, error %v", result, err)
 			}
 		}
 		table.Each(time.Hour, func(r loadreport.Report) {
 			if r.Age < 0 || r.Age > loadreport.MaxAge {
-				t.Errorf("age %v", r.Age)
+				t.Errorf("age %v, want 0 to %v", r.Age, loadreport.MaxAge)
 			}
 		})
 		m.ReportDigest()
 	})
 }
 
-// A quota message is decoded as it was encoded, and one with as many entries as a message has fits a datagram.
+// A quota message with the greatest number of entries is decoded as it was encoded, and fits into a datagram.
 func TestQuotaMessage(t *testing.T) {
 	c := newCodec(t)
 	want := fullQuotaMessage()
@@ -182,14 +184,14 @@
 		t.Fatal(err)
 	}
 	if got := decoded.QuotaMessage(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwant %+v", got, want)
+		t.Errorf("quota message %+v\nwant %+v", got, want)
 	}
 	if len(data) > gossip.MaxDatagramSize {
-		t.Errorf("%d bytes", len(data))
+		t.Errorf("encoded message has %d bytes, want at most %d", len(data), gossip.MaxDatagramSize)
 	}
 }
 
-// fullQuotaMessage has the most entries that one message holds, with values that are long when encoded.
+// fullQuotaMessage returns a message with the greatest number of entries, whose values are long when encoded.
 func fullQuotaMessage() quota.Message {
 	m := quota.Message{
 		Member:           "relay-17",
--- a/internal/fleet/codec/golden_test.go
+++ b/internal/fleet/codec/golden_test.go
@@ -10,7 +10,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
 func goldenQuota() quota.Message {
 	scope := quota.Scope{Destination: 7, Endpoint: "s-1"}
@@ -35,7 +35,8 @@
 	}
 }
 
-// goldenMessages are a message of each kind, and one with every field set, by the name of its file.
+// goldenMessages returns a message of each kind and a message with every field set, by the names of their golden
+// files.
 func goldenMessages() map[string]Message {
 	var reports, digest, quotaMessage, filled Message
 	reports.SetReports(sampleReport())
@@ -61,7 +62,7 @@
 	return messages
 }
 
-// Every kind of message has the bytes that earlier builds wrote, and is decoded as the same.
+// Every kind of message is encoded to the bytes that earlier builds wrote, and these are decoded to the same message.
 func TestGoldenMessages(t *testing.T) {
 	c := newCodec(t)
 	for name, want := range goldenMessages() {
@@ -73,29 +74,29 @@
 			file := golden.Check(t, *update, name+".cbor", data)
 			got, err := c.Decode(file)
 			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v, %v\nwant %+v", got, err, want)
+				t.Fatalf("decoded message %+v, error %v\nwant %+v", got, err, want)
 			}
 			checkContent(t, name, got)
 		})
 	}
 }
 
-// checkContent checks what a decoded message carries.
+// checkContent checks the reports, the digest or the quota message of a decoded message.
 func checkContent(t *testing.T, name string, m Message) {
 	t.Helper()
 	switch name {
 	case "page":
 		want := []loadreport.Report{sampleReport()}
 		if got := m.Reports(); !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v\nwant %+v", got, want)
+			t.Errorf("reports %+v\nwant %+v", got, want)
 		}
 	case "digest":
 		if got := m.ReportDigest(); !reflect.DeepEqual(got, goldenDigest()) {
-			t.Errorf("%+v\nwant %+v", got, goldenDigest())
+			t.Errorf("digest %+v\nwant %+v", got, goldenDigest())
 		}
 	case "rights":
 		if got := m.QuotaMessage(); !reflect.DeepEqual(got, goldenQuota()) {
-			t.Errorf("%+v\nwant %+v", got, goldenQuota())
+			t.Errorf("quota message %+v\nwant %+v", got, goldenQuota())
 		}
 	}
 }
--- a/internal/fleet/codec/quota.go
+++ b/internal/fleet/codec/quota.go
@@ -8,7 +8,7 @@
 
 // quotaMessage is a quota.Message on the wire.
 type quotaMessage struct {
-	Generation      uint64         `cbor:"1,keyasint"` // of the sender, whose boot the message has
+	Generation      uint64         `cbor:"1,keyasint"` // of the sender's incarnation; its boot is Message.Boot
 	Seq             uint64         `cbor:"2,keyasint"`
 	AckedSeq        uint64         `cbor:"3,keyasint,omitempty"`
 	AckedGeneration uint64         `cbor:"4,keyasint,omitempty"`
@@ -65,7 +65,7 @@
 	}
 }
 
-// QuotaMessage returns the message's quota message, which must be there. Package quota checks its values.
+// QuotaMessage returns the message's quota message. EncodedQuota must not be nil. Package quota checks the values.
 func (m Message) QuotaMessage() quota.Message {
 	encoded := m.EncodedQuota
 	return quota.Message{
@@ -83,7 +83,7 @@
 	}
 }
 
-// convertEach returns the results of a conversion of each item; nil if there is none.
+// convertEach returns the converted items, or nil if there are none.
 func convertEach[From, To any](items []From, convert func(From) To) []To {
 	if len(items) == 0 {
 		return nil
--- a/internal/fleet/codec/report.go
+++ b/internal/fleet/codec/report.go
@@ -123,12 +123,13 @@
 	return digest
 }
 
-// toMilliseconds rounds up: a report is rather older than said, and a Retry-After rather longer.
+// toMilliseconds rounds up, so that a received age or Retry-After is never shorter than the one that was sent.
 func toMilliseconds(d time.Duration) uint64 {
 	return uint64((max(0, d) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// fromMilliseconds returns a negative duration for one that is out of range, which every bound rejects.
+// fromMilliseconds returns -1 for a value that a duration cannot hold. The checks of received reports reject any
+// negative duration.
 func fromMilliseconds(ms uint64) time.Duration {
 	if ms > math.MaxInt64/uint64(time.Millisecond) {
 		return -1
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -8,7 +8,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/codec"
 )
 
-// delegate is a Node as memberlist calls it: memberlist's Delegate, ConflictDelegate and AliveDelegate.
+// delegate implements memberlist's Delegate, ConflictDelegate and AliveDelegate on a Node.
 type delegate Node
 
 func (d *delegate) node() *Node { return (*Node)(d) }
@@ -16,15 +16,16 @@
 // NodeMeta returns no metadata.
 func (d *delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes a message from another member.
+// NotifyMsg processes a message from another member.
 func (d *delegate) NotifyMsg(data []byte) { d.node().receive(data) }
 
-// GetBroadcasts returns queued reports, as many as fit a datagram.
+// GetBroadcasts returns as many queued reports as fit into a datagram.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns a digest of the reports that this node has.
+// LocalState returns an encoded message with a digest of the reports that this node has. It requests the reports that
+// the digest lacks.
 func (d *delegate) LocalState(bool) []byte {
 	n := d.node()
 	now := n.cfg.now()
@@ -44,10 +45,10 @@
 	return data
 }
 
-// MergeRemoteState takes another member's digest, which is answered with the reports that it lacks.
+// MergeRemoteState processes another member's digest. The node answers with the reports that the digest lacks.
 func (d *delegate) MergeRemoteState(data []byte, _ bool) { d.node().receive(data) }
 
-// NotifyAlive keeps out members that the configuration does not list.
+// NotifyAlive rejects members that are not in the configuration.
 func (d *delegate) NotifyAlive(peer *memberlist.Node) error {
 	n := d.node()
 	if _, listed := n.cfg.Peers[peer.Name]; listed || peer.Name == n.cfg.Name {
@@ -56,11 +57,12 @@
 	n.mu.Lock()
 	n.counters.UnknownMembers++
 	n.mu.Unlock()
-	return fmt.Errorf("membership: member %q is not listed", peer.Name)
+	return fmt.Errorf("membership: member %q is not in the configuration", peer.Name)
 }
 
-// NotifyConflict is called when a name is seen with two addresses. If it is this node's own, the others know another
-// process by it, or this one by an earlier address: the node is suspended until they accept its address.
+// NotifyConflict is called when a member name is seen with two addresses. If it is this node's own name, either
+// another process uses the name or the other members still have an earlier address of this process. The node suspends
+// publishing for nameReclaimTimeout, after which the others accept a new address.
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) {
 	n := d.node()
 	now := n.cfg.now()
--- a/internal/fleet/membership/direct.go
+++ b/internal/fleet/membership/direct.go
@@ -15,11 +15,11 @@
 	to        string
 	pong      *codec.Pong    // set in the answer to a clock request
 	quota     *quota.Message // set in a quota message
-	decidedAt time.Duration  // of the quota message
+	decidedAt time.Duration  // when the quota message was decided, on the node's clock
 }
 
-// enqueueDirect queues a direct message, or drops it if too many are queued: the peer, or the next message of its
-// kind, makes up for it.
+// enqueueDirect queues a direct message, or drops it if the queue is full. A dropped message is made up for like a
+// lost datagram: the peer repeats its request, or the next message of the same kind replaces it.
 func (n *Node) enqueueDirect(message directMessage) {
 	select {
 	case n.directMessages <- message:
@@ -27,7 +27,7 @@
 	}
 }
 
-// sendDirectLoop sends queued direct messages.
+// sendDirectLoop sends queued direct messages until ctx is done.
 func (n *Node) sendDirectLoop(ctx context.Context) {
 	for {
 		select {
@@ -39,7 +39,8 @@
 	}
 }
 
-// sendDirect stamps a message and sends it. Quota messages carry the time at which they were decided.
+// sendDirect encodes and sends a message. A message is stamped with the current time, except a quota message, which
+// is stamped with the time at which it was decided.
 func (n *Node) sendDirect(message directMessage) {
 	encoded := codec.Message{
 		From:  n.cfg.Name,
@@ -56,7 +57,8 @@
 	if err != nil {
 		return // Every direct message can be encoded.
 	}
-	// Sent by name: the transport knows the address, also of a member that is not alive in memberlist's view.
+	// The message is addressed by the member's name, which the transport resolves. It therefore also reaches a member
+	// that memberlist does not consider alive.
 	address := memberlist.Address{Addr: n.cfg.Peers[message.to], Name: message.to}
 	// A datagram that cannot be sent counts as lost, and the message is sent or requested again.
 	_ = n.memberlist.SendToAddress(address, data)
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -10,9 +10,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
-// What a node gives memberlist for a state exchange; it has no metadata.
+// The local state that a node returns to memberlist for a state exchange matches the golden file. A node has no
+// metadata.
 func TestGoldenLocalState(t *testing.T) {
 	messageCodec, err := codec.New()
 	if err != nil {
@@ -36,10 +37,10 @@
 		Scopes:      []loadreport.ScopeLoad{{Destination: 8, Calls: 1}},
 	}
 	if result, err := node.reports.Merge(time.Minute, report); result != loadreport.Updated {
-		t.Fatal(result, err)
+		t.Fatalf("merge result %v, error %v", result, err)
 	}
 	golden.Check(t, *update, "local-state.cbor", (*delegate)(node).LocalState(false))
 	if meta := (*delegate)(node).NodeMeta(512); meta != nil {
-		t.Errorf("metadata %q", meta)
+		t.Errorf("metadata %q, want none", meta)
 	}
 }
--- a/internal/fleet/membership/incarnation.go
+++ b/internal/fleet/membership/incarnation.go
@@ -6,8 +6,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// observeRival handles a report under this member's name that is of no incarnation of this process or one before it:
-// either the stored generation was an old one, or another process uses the name. n.mu must be held.
+// observeRival handles a report under this member's name whose incarnation is later than this process's own. Either
+// the stored generation was out of date, or another process uses the name. n.mu must be held.
 func (n *Node) observeRival(now time.Duration) {
 	n.counters.RivalReports++
 	if n.incarnationPending {
@@ -21,15 +21,16 @@
 		return
 	}
 	n.incarnationPending = true
-	n.incarnationRequests <- struct{}{} // Has room: at most one incarnation is pending.
+	n.incarnationRequests <- struct{}{} // Does not block: at most one request is pending.
 }
 
-// logSuspended logs that this member publishes nothing for a while.
+// logSuspended logs that this member has suspended publishing.
 func (n *Node) logSuspended() {
 	n.cfg.Log.Error("fleet: another process uses this member's name; publishing suspended", "member", n.cfg.Name)
 }
 
-// startIncarnation begins a new incarnation that is later than all received ones, after it was saved.
+// startIncarnation saves and begins an incarnation that is later than all that were received under this member's
+// name. The incarnation begins even if it cannot be saved.
 func (n *Node) startIncarnation() {
 	n.mu.Lock()
 	generation := n.reports.Rival().Generation + 1
--- a/internal/fleet/membership/incarnation_test.go
+++ b/internal/fleet/membership/incarnation_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// Another process under the node's own name is outbid a few times. Then the node is suspended, and publishes again when
-// none was received for long.
+// If another process publishes under the node's own name, the node begins a later incarnation, up to three times.
+// Then it suspends publishing until it has received no report of the other process for a minute.
 func TestNameConflict(t *testing.T) {
 	const rivalBoot = 999
 	var clock atomic.Int64
@@ -26,7 +26,7 @@
 			return errors.New("disk full")
 		}
 	})[0]
-	// What the other process publishes comes over a third member.
+	// The reports of the other process arrive through another member.
 	forwarder := &Node{
 		cfg: Config{
 			Name:        memberName(1),
@@ -44,22 +44,22 @@
 	for i := range 3 {
 		generation := uint64(10 * (i + 1))
 		receiveRival(generation, 2)
-		eventually(t, "a new incarnation", func() bool {
+		eventually(t, "a new incarnation has begun", func() bool {
 			_, own := node.Received()
 			return own.Generation == generation+1 ||
 				saved.Load() == generation+1 && node.Status().Incarnation.Generation == generation+1
 		})
 		if node.Status().NameConflict {
-			t.Fatal("suspended after", i, "incarnations of another process")
+			t.Fatalf("suspended by incarnation %d of another process", i+1)
 		}
 	}
 	receiveRival(99, 1)
 	if status := node.Status(); !status.NameConflict {
-		t.Fatalf("%+v", status)
+		t.Fatalf("not suspended: %+v", status)
 	}
 	publishOne(node, 1, 1)
 	if node.Status().Queued != 0 {
-		t.Error("a suspended node publishes")
+		t.Error("a suspended node has queued a report")
 	}
 	clock.Add(int64(61 * time.Second))
 	publishOne(node, 2, 1)
@@ -68,7 +68,7 @@
 	}
 }
 
-// rivalReports are reports of another process under the member's name.
+// rivalReports returns reports of another process under the member's name.
 func rivalReports(member string, generation uint64, boot uint32, count int) []loadreport.Report {
 	var reports []loadreport.Report
 	for number := range count {
--- a/internal/fleet/membership/memberlist.go
+++ b/internal/fleet/membership/memberlist.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// A member is probed every probeInterval and must answer within probeTimeout.
+	// Every probeInterval the node probes one other member, which must answer within probeTimeout.
 	probeInterval = time.Second
 	probeTimeout  = 400 * time.Millisecond
 
-	// streamTimeout bounds a stream, so that a peer that hangs does not hold it.
+	// streamTimeout bounds each operation on a stream, so that a hanging peer does not block it forever.
 	streamTimeout = 2 * time.Second
 
-	// nameReclaimTimeout is the time after which the others accept another address for the name of a dead member.
+	// nameReclaimTimeout is how long after a member's death the others accept another address for its name.
 	nameReclaimTimeout = 10 * time.Second
 )
 
-// createMemberlist listens and joins memberlist. Nothing listens if it fails.
+// createMemberlist opens the transport and creates the memberlist instance. If it fails, no socket stays open.
 func (n *Node) createMemberlist() error {
 	config := n.memberlistConfig()
 	inner := n.cfg.Transport
@@ -57,19 +57,19 @@
 	config.ProbeInterval = probeInterval
 	config.ProbeTimeout = probeTimeout
 	config.TCPTimeout = streamTimeout
-	config.PushPullInterval = cmp.Or(n.cfg.syncEvery, gossip.SyncInterval)
+	config.PushPullInterval = cmp.Or(n.cfg.syncInterval, gossip.SyncInterval)
 	config.EnableCompression = false
 	config.DeadNodeReclaimTime = nameReclaimTimeout
-	// The delegate's protocol version stays 0 for good: memberlist keeps out members with a newer one altogether. The
-	// codec's versions are finer.
+	// The delegate's protocol version must stay 0, because memberlist excludes members with a newer version entirely.
+	// With the codec's versions, only single messages are rejected.
 	config.Delegate = (*delegate)(n)
 	config.Conflict = (*delegate)(n)
 	config.Alive = (*delegate)(n)
 	return config
 }
 
-// listen opens the sockets and sets their address in the configuration. It is set explicitly, so that memberlist does
-// not look for one.
+// listen opens the sockets and sets their address in the configuration. The advertised address is set explicitly, so
+// that memberlist does not choose one itself.
 func listen(config *memberlist.Config, address string) (*memberlist.NetTransport, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/fleet/membership/network_test.go
+++ b/internal/fleet/membership/network_test.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -17,15 +16,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// network connects nodes within one process, with nothing between them but what a test puts there.
+// network connects nodes within one process. Datagrams are lost and links are cut only as the test configures.
 type network struct {
 	memberlist.MockNetwork
 	seed  uint64
-	loss  atomic.Uint64 // of datagrams, in millionths
-	fault func(from, to string) (lost bool)
+	loss  atomic.Uint64                     // the share of lost datagrams, in millionths
+	fault func(from, to string) (lost bool) // cuts the link between two members; nil: none is cut
 }
 
-const allDatagrams = 1e6 // a loss in millionths
+const allDatagrams = 1e6 // the loss, in millionths, at which every datagram is lost
 
 // memberTransport is one member's end of a network.
 type memberTransport struct {
@@ -54,11 +53,11 @@
 	if lost || t.net.fault != nil && t.net.fault(t.from, address.Name) {
 		return time.Now(), nil
 	}
-	// memberlist's mock network hands a packet to its reader and waits: two nodes that answer each other at once would
-	// wait for ever.
+	// memberlist's mock network blocks until the receiver reads the packet. Two nodes that answer each other at the
+	// same time would deadlock.
 	b = slices.Clone(b)
 	go func() {
-		// A datagram to a node that is gone is lost.
+		// A datagram to a node that is closed is lost.
 		_, _ = t.MockTransport.WriteToAddress(b, address)
 	}()
 	return time.Now(), nil
@@ -66,9 +65,9 @@
 
 func (t *memberTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if t.net.fault != nil && t.net.fault(t.from, address.Name) {
-		return nil, errors.New("cut")
+		return nil, fmt.Errorf("the link from %s to %s is cut", t.from, address.Name)
 	}
-	// The mock network does not give up on a node that is gone, either.
+	// The mock network ignores the timeout, and would block forever on a node that is closed.
 	type dialed struct {
 		net.Conn
 		err error
@@ -82,13 +81,14 @@
 	case result := <-done:
 		return result.Conn, result.err
 	case <-time.After(timeout):
-		return nil, errors.New("nobody answers")
+		return nil, fmt.Errorf("%s does not answer within %v", address.Name, timeout)
 	}
 }
 
 func memberName(i int) string { return fmt.Sprintf("r%03d", i) }
 
-// mesh starts count nodes that list each other. edit may change a node's configuration.
+// mesh starts count nodes that list each other. If edit is not nil, it may change a node's configuration before the
+// node starts.
 func mesh(t testing.TB, net *network, count int, edit func(i int, c *Config)) []*Node {
 	t.Helper()
 	transports := make([]*memberTransport, count)
@@ -128,14 +128,14 @@
 	var closing sync.WaitGroup
 	for _, node := range nodes {
 		closing.Go(func() {
-			// Errors of a mock network's end say nothing about the node.
+			// Errors from closing the mock network do not concern the node.
 			_ = node.Close()
 		})
 	}
 	closing.Wait()
 }
 
-// ownReport is a report of the node's own.
+// ownReport returns a report of the node itself.
 func ownReport(n *Node, sequence uint64, calls float64) loadreport.Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -147,12 +147,12 @@
 	}
 }
 
-// publishOne publishes a report of the node's own.
+// publishOne publishes a report of the node itself.
 func publishOne(n *Node, sequence uint64, calls float64) {
 	n.Publish([]loadreport.Report{ownReport(n, sequence, calls)})
 }
 
-// holdsReport reports whether the node holds the member's report in at least this sequence.
+// holdsReport reports whether the node holds the member's report 0 with this sequence number or a later one.
 func holdsReport(n *Node, member string, sequence uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,7 +164,7 @@
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -1,6 +1,7 @@
-// Package membership connects the relays of a fleet. Membership, failure detection and gossip are those of
-// hashicorp/memberlist (SWIM with Lifeguard) on a transport of its own, which resolves each member's name to the
-// address that this relay has for it. The package makes no decisions, and no caller waits for the network.
+// Package membership sends load reports and quota messages between the relays of a fleet. Membership, failure
+// detection and gossip are those of hashicorp/memberlist (SWIM with Lifeguard). Its transport is replaced by one that
+// resolves each member's name to the address that this relay is configured with. The package makes no decisions about
+// traffic. Callers that publish, send or read do not wait for the network.
 package membership
 
 import (
@@ -20,11 +21,12 @@
 )
 
 const (
-	// leaveTimeout bounds how long Close waits for its leave message to go out: the others find out by themselves.
+	// leaveTimeout bounds how long Close waits for its leave message to be sent. If it is not sent, the other members
+	// detect the node's absence by their probes.
 	leaveTimeout = 2 * gossip.Interval
 
-	// Bounds of the queues between callers and the node's goroutines. What is beyond them is dropped, as a datagram
-	// may be, and requested again.
+	// Capacities of the queues between callers and the node's goroutines. Messages that exceed them are dropped, like
+	// lost datagrams, and are sent or requested again.
 	maxPendingReplies = 8
 	maxPendingDirect  = 1024
 )
@@ -32,22 +34,26 @@
 // Config configures a Node.
 type Config struct {
 	Name   string // of this member
-	Fleet  string // the label of the fleet: members of another one are ignored; "": any
+	Fleet  string // the label of the fleet; members with another label are ignored
 	Listen string // IP and port, for TCP and UDP; port 0: any free one
-	// Peers are the addresses of all members by name, as this relay reaches them. Its own entry is not used.
+	// Peers maps the names of all members to the addresses at which this relay reaches them. The address in this
+	// member's own entry is not used.
 	Peers       map[string]string
 	Incarnation loadreport.Incarnation
 	Log         *slog.Logger
-	// SaveIncarnation stores a generation beyond the life of the process. It is called on a goroutine of the node.
+	// SaveIncarnation stores a generation so that it outlasts the process. It is called on a goroutine of the node.
 	SaveIncarnation func(generation uint64) error
-	// OnReceive is called when something was received, at most once until Received is called. It must not block.
+	// OnReceive is called when reports, quota messages or a new incarnation are ready for Received or ReceivedQuota.
+	// Further reports or quota messages do not cause another call until the earlier ones were read. OnReceive is
+	// called with the node locked: it must not block or call the node.
 	OnReceive func()
 
-	// Transport carries datagrams and streams; nil: sockets on Listen. It allows many members in one process.
+	// Transport carries datagrams and streams. If it is nil, the node opens sockets on Listen. Tests and simulations
+	// with many members in one process set it.
 	Transport memberlist.NodeAwareTransport
 
-	now       func() time.Duration // monotonic; set by tests
-	syncEvery time.Duration        // set by tests; 0: gossip.SyncInterval
+	now          func() time.Duration // monotonic; set only by tests
+	syncInterval time.Duration        // between exchanges of digests; set only by tests; 0: gossip.SyncInterval
 }
 
 // Node is one member's connection to its fleet. Its methods may be called from any goroutine.
@@ -61,11 +67,11 @@
 	mu                 sync.Mutex
 	reports            *loadreport.Table
 	inbox              loadreport.Inbox[codec.Message]
-	updatedReports     map[reportKey]struct{} // until the next call of Received
-	newIncarnation     loadreport.Incarnation // that Received has not returned yet; otherwise zero
+	updatedReports     map[reportKey]struct{} // updated since the last call of Received
+	newIncarnation     loadreport.Incarnation // the one that Received has not returned yet, or zero
 	incarnationPending bool                   // a new incarnation was requested and has not begun
 	nameClaim          loadreport.NameClaim
-	receivedQuota      []timedQuota // until the next call of ReceivedQuota
+	receivedQuota      []timedQuota // received since the last call of ReceivedQuota
 	counters           Counters
 	closed             bool
 
@@ -76,13 +82,13 @@
 	workers             sync.WaitGroup
 }
 
-// reportKey names a report.
+// reportKey identifies a report by its member's name and its number.
 type reportKey struct {
 	name   string
 	number int
 }
 
-// Start listens, joins the fleet and begins to send and receive. It fails if the address is not available.
+// Start listens, and begins to join the fleet and to send and receive. It fails if the address is not available.
 func Start(cfg Config) (*Node, error) {
 	messageCodec, err := codec.New()
 	if err != nil {
@@ -105,7 +111,8 @@
 		digestReplies:       make(chan digestReply, maxPendingReplies),
 		incarnationRequests: make(chan struct{}, 1),
 	}
-	// The listed members count, not those that are alive: a node that has not seen any yet sends all the same.
+	// How often the node sends a report depends on the number of listed members, not of alive ones. Otherwise a node
+	// that has not seen the other members yet would drop its reports too early.
 	n.broadcasts.NumNodes = func() int { return gossip.EffectiveSize(len(cfg.Peers)) }
 	n.broadcasts.RetransmitMult = gossip.RetransmitMultiplier(len(cfg.Peers))
 	if err := n.createMemberlist(); err != nil {
@@ -123,7 +130,7 @@
 	return slices.Sorted(maps.Keys(peers))
 }
 
-// Close leaves the fleet and waits for the node's goroutines.
+// Close leaves the fleet and waits for the node's goroutines to end.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	wasClosed := n.closed
@@ -143,13 +150,13 @@
 	return nil
 }
 
-// Addr is the address that the node listens on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.memberlist.LocalNode().Address() }
 
-// AliveCount is the number of alive and suspected members, this one among them.
+// AliveCount returns the number of alive and suspected members, this one included.
 func (n *Node) AliveCount() int { return n.memberlist.NumMembers() }
 
-// Now is the node's monotonic time.
+// Now returns the node's monotonic time.
 func (n *Node) Now() time.Duration { return n.cfg.now() }
 
 // SetLimits sets the limits of the endpoint list, against which received rates are checked.
--- a/internal/fleet/membership/publish.go
+++ b/internal/fleet/membership/publish.go
@@ -9,7 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// Publish queues reports of this member for all others. It does not block.
+// Publish queues reports of this member for all others, or only stores them while publishing is suspended. It does
+// not block.
 func (n *Node) Publish(reports []loadreport.Report) {
 	now := n.cfg.now()
 	var keys []reportKey
@@ -25,14 +26,15 @@
 	n.queueBroadcasts(keys)
 }
 
-// queueBroadcasts queues reports for gossip. n.mu must not be held: the queue calls back for the messages.
+// queueBroadcasts queues reports for gossip. n.mu must not be held, because the queue calls broadcast.Message, which
+// locks it.
 func (n *Node) queueBroadcasts(keys []reportKey) {
 	for _, key := range keys {
 		n.broadcasts.QueueBroadcast(&broadcast{node: n, reportKey: key})
 	}
 }
 
-// broadcast is a queued report. A newer version of it replaces an older one.
+// broadcast is a report in memberlist's queue. A newer version of a report replaces the queued one.
 type broadcast struct {
 	node *Node
 	reportKey
@@ -47,7 +49,7 @@
 	return ok && queued.reportKey == b.reportKey
 }
 
-// Message encodes the report with its age at this moment, not when it was queued.
+// Message encodes the current version of the report, with its current age instead of the age when it was queued.
 func (b *broadcast) Message() []byte {
 	b.node.mu.Lock()
 	report, ok := b.node.reports.Get(b.node.cfg.now(), b.name, b.number)
@@ -58,10 +60,10 @@
 	return b.node.encodeReports(report)
 }
 
-// Finished does nothing: what becomes of a broadcast does not matter.
+// Finished does nothing: nothing depends on whether a broadcast was sent or dropped.
 func (b *broadcast) Finished() {}
 
-// encodeReports returns a message with the reports, stamped now. Without any it is an empty message.
+// encodeReports encodes a message with the reports and the current time. Without reports, the message is empty.
 func (n *Node) encodeReports(reports ...loadreport.Report) []byte {
 	var message codec.Message
 	if len(reports) > 0 {
@@ -74,7 +76,7 @@
 	}
 	data, err := n.codec.Encode(message)
 	if err != nil {
-		return nil // A value that is not a number: the table holds none.
+		return nil // Only NaN and infinities cannot be encoded, and the table holds none.
 	}
 	return data
 }
--- a/internal/fleet/membership/quota.go
+++ b/internal/fleet/membership/quota.go
@@ -7,18 +7,19 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
-// maxReceivedQuota bounds the quota messages between two calls of ReceivedQuota. What is beyond it is dropped, as the
-// network may do.
+// maxReceivedQuota bounds the quota messages between two calls of ReceivedQuota. Further ones are dropped, like lost
+// datagrams.
 const maxReceivedQuota = 4096
 
-// timedQuota is a received quota message.
+// timedQuota is a received quota message with a bound of its sending time.
 type timedQuota struct {
 	quota.Message
-	sentAt time.Duration // the latest time at which it can have been sent
+	sentAt time.Duration // the earliest time, on this node's clock, at which it can have been sent
 }
 
-// SendQuota sends each message to its member. They were decided at the given time of Now. It does not block: messages
-// beyond the queue's bound are lost, as datagrams may be.
+// SendQuota queues each message for its member, or drops all while publishing is suspended. The messages were decided
+// at decidedAt on the clock of Now. SendQuota does not block: messages for which the queue has no room are dropped,
+// like lost datagrams.
 func (n *Node) SendQuota(decidedAt time.Duration, messages []quota.Message) {
 	n.mu.Lock()
 	suspended := n.nameClaim.Suspended(n.cfg.now())
@@ -31,8 +32,7 @@
 	}
 }
 
-// ReceivedQuota returns the quota messages received since the last call, with the longest time that they can have been
-// in transit.
+// ReceivedQuota returns the quota messages received since the last call, with upper bounds of their times in transit.
 func (n *Node) ReceivedQuota() []quota.Message {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,8 +46,8 @@
 	return messages
 }
 
-// receiveQuota takes a quota message if its sender's clock is known. Otherwise its time in transit is unknown: it
-// is dropped, and sent again by its sender. n.mu must be held.
+// receiveQuota stores a quota message for ReceivedQuota if its sender's clock is known. Otherwise the message's time
+// in transit is unknown: the message is dropped, and its sender sends it again. n.mu must be held.
 func (n *Node) receiveQuota(now time.Duration, message codec.Message) {
 	sent := microseconds(message.Clock)
 	transitTime, known, stale := n.inbox.Estimate(message.From, message.Boot, sent, now)
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// Received returns the reports that are new since the last call, with their ages now, and the member's own
-// incarnation if that is new.
+// Received returns the reports that were updated since the last call, with their current ages. It also returns the
+// member's own incarnation if the member has begun a new one since the last call, and otherwise the zero value.
 func (n *Node) Received() ([]loadreport.Report, loadreport.Incarnation) {
 	now := n.cfg.now()
 	n.mu.Lock()
@@ -31,13 +31,13 @@
 	return reports, incarnation
 }
 
-// receive takes an encoded message and forwards the reports in it that are new.
+// receive processes an encoded message, and forwards the reports that it updates.
 func (n *Node) receive(data []byte) {
 	message, err := n.codec.Decode(data)
 	n.queueBroadcasts(n.process(message, err))
 }
 
-// process takes a decoded message, or the error of decoding it, and returns the reports that were updated.
+// process handles a decoded message, or counts the error of decoding it. It returns the reports that were updated.
 func (n *Node) process(message codec.Message, err error) []reportKey {
 	now := n.cfg.now()
 	n.mu.Lock()
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if message.From == "" {
-		return nil // An empty message: its report expired while it was queued.
+		return nil // The message is empty, because its report expired while it was queued.
 	}
 	if _, listed := n.cfg.Peers[message.From]; !listed || message.From == n.cfg.Name {
 		n.counters.UnknownMembers++
@@ -81,8 +81,8 @@
 	}
 }
 
-// mergeWithDeferred merges the reports of a message. If it answers a clock request it also merges those of earlier
-// messages that were deferred until the sender's clock is known. n.mu must be held.
+// mergeWithDeferred merges the reports of a message. If the message answers a clock request, its sender's clock is
+// now known, and the reports of the sender's deferred messages are merged first. n.mu must be held.
 func (n *Node) mergeWithDeferred(now time.Duration, message codec.Message) []reportKey {
 	var messages []codec.Message
 	if message.Pong != nil && message.Pong.Boot == n.cfg.Incarnation.Boot {
@@ -98,9 +98,9 @@
 	return updated
 }
 
-// mergeReports merges the reports of a message, with the message's time in transit added to their ages: it may have
-// been held up by the network, or while either process was stopped. While the sender's clock is not known, that time
-// is unknown, and the message is deferred. n.mu must be held.
+// mergeReports merges the reports of a message and returns those that were updated. It adds the message's time in
+// transit to their ages, because the network may have delayed the message, or either process may have been paused.
+// While the sender's clock is unknown, that time is unknown too, and the message is deferred. n.mu must be held.
 func (n *Node) mergeReports(now time.Duration, message codec.Message) []reportKey {
 	if len(message.EncodedReports) == 0 {
 		return nil
@@ -130,7 +130,8 @@
 	return updated
 }
 
-// notifyUpdated hands updated reports, or a new incarnation, to the next call of Received. n.mu must be held.
+// notifyUpdated stores the keys of updated reports for the next call of Received. It calls OnReceive if no updated
+// report was stored before. n.mu must be held.
 func (n *Node) notifyUpdated(updated []reportKey) {
 	if len(updated) == 0 && n.newIncarnation == (loadreport.Incarnation{}) {
 		return
--- a/internal/fleet/membership/receive_test.go
+++ b/internal/fleet/membership/receive_test.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// A message that was held up by the network, or by a process that was stopped, gets its true age from the receiver's
-// own clock.
+// The time that a message was in transit is added to the age of its reports, whether the network delayed the message
+// or a process was paused. The receiver measures that time with its own clock.
 func TestTransitTimeCountsAsAge(t *testing.T) {
 	var clock atomic.Int64
 	now := func() time.Duration { return time.Duration(clock.Load()) }
@@ -26,7 +26,7 @@
 	first := loadreport.Report{Name: "a", Incarnation: sender.cfg.Incarnation, Sequence: 1}
 	receiver.receive(sender.encodeReports(first))
 	if got, _ := receiver.Received(); len(got) > 0 {
-		t.Fatal("received from a member whose clock is not known, who may have sent it at any time:", got)
+		t.Fatal("a report was received before its sender's clock was known, so its age is unknown:", got)
 	}
 	pong, err := sender.codec.Encode(codec.Message{
 		From:  "a",
@@ -39,7 +39,7 @@
 	}
 	receiver.receive(pong)
 	if got, _ := receiver.Received(); len(got) != 1 {
-		t.Fatal("a deferred message is lost:", got)
+		t.Fatalf("received %v, want the one report of the deferred message", got)
 	}
 	second := loadreport.Report{
 		Name:        "a",
@@ -53,10 +53,10 @@
 	receiver.receive(data)
 	got, _ := receiver.Received()
 	if len(got) != 1 || got[0].Sequence != 2 || got[0].Age < 9900*time.Millisecond {
-		t.Errorf("%+v", got)
+		t.Errorf("received %+v, want report 2 with an age of 10 s", got)
 	}
 	receiver.receive([]byte("nothing that can be decoded"))
 	if status := receiver.Status(); status.Unreadable != 1 {
-		t.Error(status.Unreadable)
+		t.Errorf("%d unreadable messages, want 1", status.Unreadable)
 	}
 }
--- a/internal/fleet/membership/spread_test.go
+++ b/internal/fleet/membership/spread_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-var large = flag.Bool("large", false, "measure fleets of 3 to 300 nodes in one process, for some minutes")
+var large = flag.Bool("large", false, "measure fleets of 3 to 300 nodes in one process, which takes some minutes")
 
-// TestSpread measures, with -large, how soon all nodes receive a change, and what a node pays: nodes of one process, in
-// real time.
+// TestSpread measures how soon all nodes receive a change, and how many bytes and how much processor time each node
+// uses. The nodes run in one process, in real time. With -large, it measures fleets of 3 to 300 nodes, otherwise only
+// fleets of 3.
 func TestSpread(t *testing.T) {
 	sizes := []int{3}
 	if *large {
@@ -21,7 +22,7 @@
 	}
 	for _, loss := range []uint64{0, 300000} {
 		for _, size := range sizes {
-			name := fmt.Sprintf("%d links, loss %.1f", size, float64(loss)/allDatagrams)
+			name := fmt.Sprintf("%d nodes, loss %.1f", size, float64(loss)/allDatagrams)
 			t.Run(name, func(t *testing.T) { measureSpread(t, size, loss) })
 		}
 	}
@@ -29,11 +30,11 @@
 
 const (
 	spreadRounds = 4
-	// republish is how often each node publishes its report again, as one does that has nothing new.
-	republish = 2500 * time.Millisecond
+	// republishInterval is how often each node publishes its report again, as a relay does with an unchanged report.
+	republishInterval = 2500 * time.Millisecond
 )
 
-// spreadTimes are the times after which half, 99 % and all of the nodes held a change, by round.
+// spreadTimes holds, for each round, the times after which half, 99 % and all of the nodes held the change.
 type spreadTimes struct {
 	half, most, all []time.Duration
 }
@@ -48,13 +49,13 @@
 func measureSpread(t *testing.T, size int, loss uint64) {
 	net := &network{}
 	nodes := mesh(t, net, size, nil)
-	eventually(t, "all are members", func() bool {
+	eventually(t, "all nodes are members", func() bool {
 		return !slices.ContainsFunc(nodes, func(n *Node) bool { return n.AliveCount() < size })
 	})
 	net.loss.Store(loss)
 	stop := publishInBackground(nodes[1:])
-	time.Sleep(min(6*time.Second, time.Duration(size)*30*time.Millisecond)) // until all publish, evenly over time
-	began := time.Now()
+	time.Sleep(min(6*time.Second, time.Duration(size)*30*time.Millisecond)) // until nodes publish, spread over time
+	startedAt := time.Now()
 	sentBefore := sentBytes(nodes)
 	cpuBefore := cpuTime(t)
 	var times spreadTimes
@@ -62,23 +63,23 @@
 		times.add(measureRound(t, nodes, 1000*round))
 		time.Sleep(300 * time.Millisecond)
 	}
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	sent := float64(sentBytes(nodes) - sentBefore)
-	used := (cpuTime(t) - cpuBefore).Seconds()
+	cpuUsed := (cpuTime(t) - cpuBefore).Seconds()
 	stop()
-	t.Logf("n %d, loss %.0f%%: half %v, 99%% %v, all %v", size, float64(loss)/1e4,
+	t.Logf("%d nodes, loss %.0f%%: half hold a change after %v, 99%% after %v, all after %v", size, float64(loss)/1e4,
 		median(times.half), median(times.most), median(times.all))
-	t.Logf("%.0f bytes a second and %.2f ms of processor time a second a member",
-		sent/took/float64(size), used*1e3/took/float64(size))
+	t.Logf("%.0f bytes a second and %.2f ms of processor time a second per member",
+		sent/elapsed/float64(size), cpuUsed*1e3/elapsed/float64(size))
 }
 
-// publishInBackground has each node publish a report every republish, until the returned function is called.
+// publishInBackground makes each node publish a report every republishInterval until the returned function is called.
 func publishInBackground(nodes []*Node) (stop func()) {
 	done := make(chan struct{})
 	var publishers sync.WaitGroup
 	for i, node := range nodes {
 		publishers.Go(func() {
-			timer := time.NewTimer(time.Duration(i) * republish / time.Duration(len(nodes)+1))
+			timer := time.NewTimer(time.Duration(i) * republishInterval / time.Duration(len(nodes)+1))
 			for sequence := uint64(1); ; sequence++ {
 				select {
 				case <-done:
@@ -86,7 +87,7 @@
 				case <-timer.C:
 				}
 				publishOne(node, sequence, float64(sequence%7))
-				timer.Reset(republish)
+				timer.Reset(republishInterval)
 			}
 		})
 	}
@@ -96,27 +97,27 @@
 	}
 }
 
-// measureRound has the first node publish a change, and returns how long each node took to hold it.
+// measureRound publishes a change on the first node, and returns how long each node took to receive it, sorted.
 func measureRound(t *testing.T, nodes []*Node, sequence uint64) []time.Duration {
-	began := time.Now()
-	nextPublish := began
+	publishedAt := time.Now()
+	nextPublish := publishedAt
 	first := sequence + 1
 	var times []time.Duration
-	known := make([]bool, len(nodes))
-	eventually(t, "all hold the change", func() bool {
-		if !time.Now().Before(nextPublish) { // It is published again like all others, so that it does not fade.
+	received := make([]bool, len(nodes))
+	eventually(t, "all nodes hold the change", func() bool {
+		if !time.Now().Before(nextPublish) { // The change is republished, so that it does not expire.
 			sequence++
 			publishOne(nodes[0], sequence, 5)
-			nextPublish = nextPublish.Add(republish)
+			nextPublish = nextPublish.Add(republishInterval)
 		}
 		for i, node := range nodes {
-			if !known[i] && holdsReport(node, nodes[0].cfg.Name, first) {
-				known[i] = true
-				times = append(times, time.Since(began))
+			if !received[i] && holdsReport(node, nodes[0].cfg.Name, first) {
+				received[i] = true
+				times = append(times, time.Since(publishedAt))
 			}
 		}
 		if len(times) < len(nodes) && len(nodes) > 50 {
-			time.Sleep(8 * time.Millisecond) // looking takes processor time too
+			time.Sleep(8 * time.Millisecond) // limits the processor time that is used by checking
 		}
 		return len(times) == len(nodes)
 	})
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -9,22 +9,22 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/loadreport"
 )
 
-// Counters count over the life of a Node.
+// Counters count events since the start of a Node.
 type Counters struct {
 	Received           uint64 `json:"heard"`     // messages
 	Unreadable         uint64 `json:"unread"`    // messages that could not be decoded
 	UnsupportedVersion uint64 `json:"newer"`     // messages that need a newer program
 	RivalReports       uint64 `json:"rivals"`    // reports of another process under this member's name
-	AddressConflicts   uint64 `json:"conflicts"` // sightings of a name with two addresses
-	UnknownMembers     uint64 `json:"strangers"` // messages and sightings of members that are not listed
+	AddressConflicts   uint64 `json:"conflicts"` // notifications that a name has two addresses
+	UnknownMembers     uint64 `json:"strangers"` // messages and notifications of members that are not listed
 	SentBytes          uint64 `json:"sent_bytes"`
 	Streams            uint64 `json:"streams"`
 }
 
-// MemberStatus is what a node knows of another member.
+// MemberStatus is the state of another member as a node has it.
 type MemberStatus struct {
 	loadreport.MemberStats
-	Addr  string `json:"addr"`  // as this relay reaches it
+	Addr  string `json:"addr"`  // at which this relay reaches the member
 	State string `json:"state"` // alive, suspect, dead, left or unseen
 }
 
@@ -34,7 +34,7 @@
 	Fleet        string                             `json:"fleet"`
 	Listen       string                             `json:"listen"`
 	Incarnation  loadreport.Incarnation             `json:"life"`
-	NameConflict bool                               `json:"twin"` // another process uses the name: nothing is sent
+	NameConflict bool                               `json:"twin"` // publishing is suspended: the name is in use
 	Health       int                                `json:"health"`
 	Queued       int                                `json:"queued"`
 	Members      []MemberStatus                     `json:"members"`
@@ -42,13 +42,13 @@
 	Counters
 }
 
-// unseenState is the state of a listed member that memberlist does not know.
+// unseenState is the state of a listed member that memberlist does not return as alive.
 const unseenState = "unseen"
 
-// noReportAge is the age of a member of which there is no report.
+// noReportAge is the age in the status of a member of which the node has no report.
 const noReportAge = -1
 
-// memberStates names memberlist's states.
+// memberStates maps memberlist's states to their names in a status.
 var memberStates = map[memberlist.NodeStateType]string{
 	memberlist.StateAlive:   "alive",
 	memberlist.StateSuspect: "suspect",
@@ -58,8 +58,8 @@
 
 // Status returns the node's current state.
 func (n *Node) Status() Status {
-	// All that takes locks of memberlist's comes before n.mu: both its queue and its membership hold theirs while
-	// they call the node, which takes n.mu.
+	// Everything that takes locks of memberlist comes before n.mu. memberlist holds the locks of its queue and of its
+	// member list while it calls the node, which takes n.mu, so the opposite order could deadlock.
 	states := map[string]string{}
 	for _, member := range n.memberlist.Members() {
 		states[member.Name] = memberStates[member.State]
@@ -89,7 +89,7 @@
 	return status
 }
 
-// memberStatus returns the status of all other listed members, by name.
+// memberStatus returns the status of all other listed members, sorted by name.
 func (n *Node) memberStatus(stats []loadreport.MemberStats, states map[string]string) []MemberStatus {
 	var members []MemberStatus
 	for _, name := range memberNames(n.cfg.Peers) {
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// Listed members that are not alive are contacted every rejoinInterval or so (jittered), a few at a time.
+	// About every rejoinInterval, with jitter, up to maxRejoinsPerRound listed members that are not alive are
+	// contacted.
 	rejoinInterval     = 2 * time.Second
 	maxRejoinsPerRound = 2
 
-	// The reports that another member lacks are sent in messages of about replyBatchBytes.
+	// Reports that another member lacks are sent in batches of about replyBatchBytes.
 	replyBatchBytes      = 16 << 10
 	estimatedReportBytes = 200
 	reportsPerReply      = replyBatchBytes / estimatedReportBytes
 )
 
-// digestReply is a digest that is to be answered with what its sender lacks.
+// digestReply is a received digest to be answered with the reports that its sender lacks.
 type digestReply struct {
 	to     string
 	digest loadreport.Digest
 }
 
-// enqueueReply queues a reply, or drops it if too many are queued: the member sends its digest again.
+// enqueueReply queues a reply, or drops it if the queue is full: the member sends its digest again.
 func (n *Node) enqueueReply(reply digestReply) {
 	select {
 	case n.digestReplies <- reply:
@@ -36,7 +37,7 @@
 	}
 }
 
-// replyLoop answers digests and begins new incarnations, one after the other.
+// replyLoop answers digests and begins new incarnations, one at a time, until ctx is done.
 func (n *Node) replyLoop(ctx context.Context) {
 	for {
 		select {
@@ -50,7 +51,7 @@
 	}
 }
 
-// sendMissing sends the reports that the digest's sender lacks, if that is alive.
+// sendMissing sends the reports that the sender of the digest lacks, if that member is alive.
 func (n *Node) sendMissing(ctx context.Context, reply digestReply) {
 	members := n.memberlist.Members()
 	i := slices.IndexFunc(members, func(member *memberlist.Node) bool { return member.Name == reply.to })
@@ -64,7 +65,8 @@
 	}
 }
 
-// missingFrom returns the reports that a digest lacks, without the member's own while it is suspended.
+// missingFrom returns the reports that a digest lacks. Reports of this member are left out while publishing is
+// suspended.
 func (n *Node) missingFrom(digest loadreport.Digest) []loadreport.Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,8 +77,8 @@
 	return reports
 }
 
-// rejoinLoop contacts listed members that are not alive, because gossip does not reach a member that was away for
-// long, and removes what has expired.
+// rejoinLoop regularly contacts listed members that are not alive, because gossip does not reach a member that was
+// away for long. It also removes expired reports.
 func (n *Node) rejoinLoop(ctx context.Context) {
 	names := memberNames(n.cfg.Peers)
 	for {
@@ -107,12 +109,13 @@
 	}
 }
 
-// removeExpired drops expired reports, and the oldest broadcasts if more are queued than all members have reports.
+// removeExpired drops expired reports. If more broadcasts are queued than all members can have reports, it also drops
+// those that were sent most often.
 func (n *Node) removeExpired(members int) {
 	n.mu.Lock()
 	n.reports.RemoveExpired(n.cfg.now())
 	n.mu.Unlock()
-	// The condition also protects a queue that was never used: pruning one panics.
+	// The condition also protects a queue that was never used, on which Prune panics.
 	maxQueued := members * loadreport.MaxReports
 	if n.broadcasts.NumQueued() > maxQueued {
 		n.broadcasts.Prune(maxQueued)
--- a/internal/fleet/membership/transport.go
+++ b/internal/fleet/membership/transport.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport resolves a member's name to the address that this relay has for it. That may differ from one relay to the
-// next, so that each pair of members can be connected through a proxy of its own.
+// transport resolves a member's name to the address that this relay is configured with. Each relay may have another
+// address for the same member, so that each pair of members can be connected through its own proxy.
 type transport struct {
 	memberlist.NodeAwareTransport
 	addresses map[string]string
@@ -31,8 +31,8 @@
 	return t.NodeAwareTransport.WriteToAddress(b, t.resolve(address))
 }
 
-// DialAddressTimeout opens a stream. Where memberlist sets a deadline of its own that one counts; for messages to one
-// member it sets none, and a peer that hangs would hold them for ever.
+// DialAddressTimeout opens a stream with a deadline. memberlist replaces the deadline where it sets its own. It sets
+// none for messages to a single member, which a hanging peer would otherwise block forever.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.streams.Add(1)
 	conn, err := t.NodeAwareTransport.DialAddressTimeout(t.resolve(address), timeout)
@@ -45,7 +45,7 @@
 	return &countingConn{conn, &t.sentBytes}, nil
 }
 
-// countingConn counts the bytes that are written.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	sentBytes *atomic.Uint64
--- a/internal/fleet/membership/versions_test.go
+++ b/internal/fleet/membership/versions_test.go
@@ -13,8 +13,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/gossip"
 )
 
-// newerMember is a member whose program does not exist yet: its messages have fields that this one does not know, and
-// some need a newer program.
+// newerMember simulates a member that runs a newer program. Its messages have fields that this program does not have,
+// and some of them require a newer format version.
 type newerMember struct {
 	name string
 
@@ -25,7 +25,7 @@
 
 const newerBoot = 7
 
-// message encodes a report, with keys of the codec's and unknown ones.
+// message encodes a message with one report. Both have the codec's keys and unknown keys.
 func (m *newerMember) message(requiredVersion int) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +52,7 @@
 func mustMarshal(value any) []byte {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // All of it can be encoded.
+		panic(err) // All values in the tests can be encoded.
 	}
 	return data
 }
@@ -89,8 +89,8 @@
 
 func (m *newerMember) MergeRemoteState([]byte, bool) {}
 
-// Part of the fleet runs a program that is not written yet: what this one understands of its messages is taken, the
-// rest is counted, and the others are received as before.
+// One member of the fleet runs a newer program. The nodes use the fields of its messages that they support, count the
+// messages that require a newer format version, and receive from the other members as before.
 func TestNewerMembers(t *testing.T) {
 	const newerName = "r900"
 	net := &network{}
@@ -114,14 +114,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = list.Shutdown() }() // of no interest: the test is over
+	defer func() { _ = list.Shutdown() }() // the error does not matter after the test
 	for _, node := range nodes {
 		publishOne(node, 1, 1)
 	}
 	for i, node := range nodes {
-		eventually(t, "the newer member's reports are received", func() bool {
+		eventually(t, "the newer member's messages are received and counted", func() bool {
 			return holdsReport(node, newerName, 1) && node.Status().UnsupportedVersion > 0
 		})
-		eventually(t, "so are the other node's", func() bool { return holdsReport(node, memberName(1-i), 1) })
+		eventually(t, "the other node's report arrives", func() bool { return holdsReport(node, memberName(1-i), 1) })
 	}
 }
