--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -54,7 +54,7 @@
 // Input is the input of one step.
 type Input struct {
 	Received    []loadreport.Report    // with their ages at the time of the step
-	Incarnation loadreport.Incarnation // the member's new one, if it has begun one; otherwise zero
+	Incarnation loadreport.Incarnation // the member's new incarnation, or zero if it has not begun one
 	Quota       []quota.Message
 	Events      []policy.Event
 	Actions     []policy.Action
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -155,8 +155,8 @@
 		scope := a.scopeOf(endpoint)
 		byEndpoint[scope.Endpoint] = max(byEndpoint[scope.Endpoint], info.Limit)
 		if scope.Endpoint != "" {
-			// Demand and backlog are reported for the whole destination, so its limit is the sum of its endpoints'
-			// limits.
+			// Demand and backlog are reported for the destination instead of the endpoints. The limit of the
+			// destination is the sum of the endpoints' limits.
 			byEndpoint[""] += info.Limit
 		}
 	}
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -59,7 +59,7 @@
 		a.Sequence++
 		report, err := a.reports.Publish(now, number, a.Sequence, scopes)
 		if err != nil {
-			// The report is not published. The table has counted it, for example as one with a value out of range.
+			// The table rejected the report, for example because a value is out of range, and counted it.
 			continue
 		}
 		reports = append(reports, report)
@@ -158,8 +158,9 @@
 	return p.Scopes[i]
 }
 
-// retryAfterChanged reports whether the current Retry-After ends at another time than the one that was published the
-// time elapsed ago. Differences of up to 2*publishCheckInterval are ignored.
+// retryAfterChanged reports whether a Retry-After ends at another time than the published one. current is what is
+// left of it now, published is what was left at its publication, and elapsed is the time since then. Differences of
+// up to 2*publishCheckInterval are ignored.
 func retryAfterChanged(current, published, elapsed time.Duration) bool {
 	if current <= 0 {
 		return false
@@ -191,7 +192,7 @@
 	return cmp.Or(cmp.Compare(b.Demand+b.Calls, a.Demand+a.Calls), compareScopes(a, b))
 }
 
-// truncateScopes drops the scopes with the least traffic if the report would not fit into a datagram or exceed
+// truncateScopes drops the scopes with the least traffic if the report would not fit into a datagram or would exceed
 // loadreport.MaxScopes. It returns the others sorted by scope.
 func truncateScopes(scopes []loadreport.ScopeLoad) []loadreport.ScopeLoad {
 	slices.SortFunc(scopes, compareTraffic)
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -207,7 +207,7 @@
 		}
 	}
 	reports := 2*(members-1) + 1
-	reportRate := gossip.MaxReportRate(members) / float64(reports) // publications of one report a second
+	reportRate := gossip.MaxReportRate(members) / float64(reports) // publications of each report a second
 	maxPublished := measuredTime.Seconds()*min(reportRate, 1/minPublishInterval.Seconds()) + maxUrgentBurst
 	if float64(published) > maxPublished || float64(published) < 0.7*maxPublished {
 		t.Errorf("%d reports in %v, want 70 %% to 100 %% of %.0f", published, measuredTime, maxPublished)
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/fleet/quota"
 )
 
-// Record holds what one step received from other members and what it sent to them. A replay needs only this and the
-// engine's own record. The order of the fields is part of the recordings' format.
+// Record holds what one step received from other members and what it sent to them. A replay of the step needs only
+// this and the engine's record of the step. The order of the fields is part of the recordings' format.
 type Record struct {
 	_             struct{} `cbor:",toarray"`
 	Received      []loadreport.Report
--- a/internal/fleet/codec/codec.go
+++ b/internal/fleet/codec/codec.go
@@ -42,7 +42,7 @@
 	WantsReports    bool             `cbor:"6,keyasint,omitempty"` // requests what Digest lacks; Digest may be empty
 	Ping            bool             `cbor:"7,keyasint,omitempty"` // a clock request, to be answered at once
 	Pong            *Pong            `cbor:"8,keyasint,omitempty"` // the answer to a clock request
-	EncodedQuota    *quotaMessage    `cbor:"9,keyasint,omitempty"` // if set, Clock is the time of its decision
+	EncodedQuota    *quotaMessage    `cbor:"9,keyasint,omitempty"` // if set, Clock is when it was decided
 }
 
 // Pong answers a clock request. It repeats the Boot and the Clock of the request.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,7 +33,7 @@
 	stepInterval = 250 * time.Millisecond
 )
 
-// errStopped is the reason that Status gives for a down member after Run has returned.
+// errStopped is the reason in the status of a member whose Run has returned.
 var errStopped = errors.New("fleet: ended")
 
 // Config configures a Member.
@@ -46,7 +46,7 @@
 	DestinationKinds []policy.DestinationKind
 	ShareQuota       bool // divide the rate limits among FleetSize relays
 	FleetSize        int  // the number of relays, as the platform reports it
-	// Clock returns the current time on the clock from which the now of Step is taken.
+	// Clock returns the current time of the clock from which the now of Step is read.
 	Clock func() time.Duration
 	Log   *slog.Logger
 	// RequestStep requests a step from the loop. It must not block.
--- a/internal/fleet/membership/direct.go
+++ b/internal/fleet/membership/direct.go
@@ -18,8 +18,8 @@
 	decidedAt time.Duration  // when the quota message was decided, on the node's clock
 }
 
-// enqueueDirect queues a direct message, or drops it if the queue is full. A dropped message is made up for like a
-// lost datagram: the peer repeats its request, or the next message of the same kind replaces it.
+// enqueueDirect queues a direct message, or drops it if the queue is full. A dropped message is handled like a lost
+// datagram: the peer repeats its request, or the next message of the same kind replaces it.
 func (n *Node) enqueueDirect(message directMessage) {
 	select {
 	case n.directMessages <- message:
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -1,7 +1,7 @@
 // Package membership sends load reports and quota messages between the relays of a fleet. Membership, failure
-// detection and gossip are those of hashicorp/memberlist (SWIM with Lifeguard). Its transport is replaced by one that
-// resolves each member's name to the address that this relay is configured with. The package makes no decisions about
-// traffic. Callers that publish, send or read do not wait for the network.
+// detection and gossip are those of hashicorp/memberlist (SWIM with Lifeguard). The package replaces memberlist's
+// transport by one that resolves each member's name to the address in this relay's configuration. It makes no
+// decisions about traffic. Callers that publish, send or read do not wait for the network.
 package membership
 
 import (
--- a/internal/fleet/membership/quota.go
+++ b/internal/fleet/membership/quota.go
@@ -11,10 +11,10 @@
 // datagrams.
 const maxReceivedQuota = 4096
 
-// timedQuota is a received quota message with a bound of its sending time.
+// timedQuota is a received quota message and the time at which it was sent.
 type timedQuota struct {
 	quota.Message
-	sentAt time.Duration // the earliest time, on this node's clock, at which it can have been sent
+	sentAt time.Duration // the earliest possible time, on this node's clock
 }
 
 // SendQuota queues each message for its member, or drops all while publishing is suspended. The messages were decided
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -13,7 +13,7 @@
 type Counters struct {
 	Received           uint64 `json:"heard"`     // messages
 	Unreadable         uint64 `json:"unread"`    // messages that could not be decoded
-	UnsupportedVersion uint64 `json:"newer"`     // messages that need a newer program
+	UnsupportedVersion uint64 `json:"newer"`     // messages that require a newer format version
 	RivalReports       uint64 `json:"rivals"`    // reports of another process under this member's name
 	AddressConflicts   uint64 `json:"conflicts"` // notifications that a name has two addresses
 	UnknownMembers     uint64 `json:"strangers"` // messages and notifications of members that are not listed
@@ -21,7 +21,7 @@
 	Streams            uint64 `json:"streams"`
 }
 
-// MemberStatus is the state of another member as a node has it.
+// MemberStatus describes another member in a Status.
 type MemberStatus struct {
 	loadreport.MemberStats
 	Addr  string `json:"addr"`  // at which this relay reaches the member
@@ -30,11 +30,12 @@
 
 // Status is the state of a node for operators.
 type Status struct {
-	Name         string                             `json:"name"`
-	Fleet        string                             `json:"fleet"`
-	Listen       string                             `json:"listen"`
-	Incarnation  loadreport.Incarnation             `json:"life"`
-	NameConflict bool                               `json:"twin"` // publishing is suspended: the name is in use
+	Name        string                 `json:"name"`
+	Fleet       string                 `json:"fleet"`
+	Listen      string                 `json:"listen"`
+	Incarnation loadreport.Incarnation `json:"life"`
+	// NameConflict is set while publishing is suspended, because another process uses the name.
+	NameConflict bool                               `json:"twin"`
 	Health       int                                `json:"health"`
 	Queued       int                                `json:"queued"`
 	Members      []MemberStatus                     `json:"members"`
@@ -45,7 +46,7 @@
 // unseenState is the state of a listed member that memberlist does not return as alive.
 const unseenState = "unseen"
 
-// noReportAge is the age in the status of a member of which the node has no report.
+// noReportAge is the Age of a member of which the node has no report.
 const noReportAge = -1
 
 // memberStates maps memberlist's states to their names in a status.
--- a/internal/fleet/membership/transport.go
+++ b/internal/fleet/membership/transport.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport resolves a member's name to the address that this relay is configured with. Each relay may have another
+// transport resolves a member's name to the address in this relay's configuration. Each relay may have another
 // address for the same member, so that each pair of members can be connected through its own proxy.
 type transport struct {
 	memberlist.NodeAwareTransport
--- a/internal/fleet/membership/versions_test.go
+++ b/internal/fleet/membership/versions_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	nodes := mesh(t, net, 2, func(i int, c *Config) {
-		if i == 0 { // All configurations share one map, which is only read from then on.
+		if i == 0 { // All configurations share one map, which is only read after this.
 			c.Peers[newerName] = fmt.Sprintf("%s:%d", ip, port)
 		}
 	})
