--- a/cmd/cherrytrestle/explain.go
+++ b/cmd/cherrytrestle/explain.go
@@ -16,19 +16,19 @@
 )
 
 // errNotRecorded is returned if no recording and no message matches the command's options.
-var errNotRecorded = errors.New("nothing of that is recorded")
+var errNotRecorded = errors.New("no recording or message matches the options")
 
 //nolint:lll // A struct tag is one line.
 type explainCommand struct {
 	Files       []string      `arg:"" name:"file" help:"Recordings: files of a recorder's folder, or logs that hold them." type:"existingfile"`
-	Message     string        `help:"Tell the story of this message: its trace id, or its number." xor:"what"`
-	Destination *int          `help:"Tell what changed at this destination's routes." xor:"what" placeholder:"N"`
-	From        time.Duration `help:"Look from this time on, since the relay's start."`
-	To          time.Duration `help:"And up to this time; 0: to the end."`
-	Every       time.Duration `help:"How often, in recorded time, to look at what waits; 0: after each step." default:"25ms"`
-	Format      string        `help:"text, jsonl (JSON Lines, with all messages) or html (one page with plots)." enum:"text,jsonl,html" default:"text"`
+	Message     string        `help:"Explain one message, by trace id or number." xor:"what"`
+	Destination *int          `help:"List the state changes of this destination's endpoints." xor:"what" placeholder:"N"`
+	From        time.Duration `help:"Start of the time range, as time since the relay's start."`
+	To          time.Duration `help:"End of the time range, as time since the relay's start; 0: the end of the recording."`
+	Every       time.Duration `help:"Interval, in recorded time, at which waiting messages are sampled; 0: after each step." default:"25ms"`
+	Format      string        `help:"Output format: text, jsonl (JSON Lines, with all messages) or html (one page with plots)." enum:"text,jsonl,html" default:"text"`
 	Out         string        `help:"File to write; default: standard output." placeholder:"FILE"`
-	Recording   string        `help:"Only the recording whose id begins with this." placeholder:"ID"`
+	Recording   string        `help:"Explain only recordings whose id begins with this." placeholder:"ID"`
 }
 
 // Run explains each recording in turn.
--- a/cmd/cherrytrestle/fleet.go
+++ b/cmd/cherrytrestle/fleet.go
@@ -17,24 +17,25 @@
 
 //nolint:lll // A struct tag is one line.
 type fleetCommand struct {
-	Count  countCommand  `cmd:"" default:"withargs" help:"Count across the recordings of many relays what all of them together did (the default)."`
-	Status statusCommand `cmd:"" help:"Tell of a running fleet as its relays see it."`
+	Count  countCommand  `cmd:"" default:"withargs" help:"Print a table of counts, summed over the recordings of many relays (the default)."`
+	Status statusCommand `cmd:"" help:"Print the status of a running fleet, as each of its relays sees it."`
 }
 
 const (
-	statusTimeout = 2 * time.Second  // for each relay's answer
-	maxStatusSize = 4 << 20          // of an answer, in bytes
-	minBinWidth   = time.Millisecond // of the table by time
+	statusTimeout = 2 * time.Second  // bounds the wait for each relay's answer
+	maxStatusSize = 4 << 20          // of a relay's answer, in bytes
+	minBinWidth   = time.Millisecond // lower bound on the flag --bin
 )
 
 // errNoFleet is returned for a relay that belongs to no fleet.
 var errNoFleet = errors.New("the relay belongs to no fleet")
 
 type statusCommand struct {
-	Addrs []string `arg:"" name:"address" help:"Second addresses of relays (ROUTER_MANAGEMENT)."`
+	Addrs []string `arg:"" name:"address" help:"Management addresses of relays (ROUTER_MANAGEMENT)."`
 }
 
-// Run prints the fleet as each of the relays sees it. It fails if one does not answer.
+// Run prints the status of the fleet as each of the relays sees it. It queries all relays, and returns an error if
+// any of them does not answer.
 func (c *statusCommand) Run(ctx context.Context, s *cli.Streams) error {
 	client := http.Client{Timeout: statusTimeout}
 	var errs []error
@@ -51,7 +52,7 @@
 	return errors.Join(errs...)
 }
 
-// fetchStatus queries the second address of a relay for the status of its fleet.
+// fetchStatus requests the status of the fleet from the management address of a relay.
 func fetchStatus(ctx context.Context, client *http.Client, addr string) (fleet.Status, error) {
 	var status fleet.Status
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/fleet", http.NoBody)
@@ -62,7 +63,7 @@
 	if err != nil {
 		return status, err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing was written, so that an error loses nothing
+	defer func() { _ = response.Body.Close() }() // the body is only read, so an error loses no data
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
@@ -77,13 +78,13 @@
 //nolint:lll // A struct tag is one line.
 type countCommand struct {
 	Files []string      `arg:"" name:"file" help:"Recordings of many relays: files of a recorder's folder, or logs that hold them." type:"existingfile"`
-	From  time.Duration `help:"Count from here on, since the first process began."`
-	To    time.Duration `help:"Count up to here; 0: to the end."`
-	Bin   time.Duration `default:"1s" help:"Width of the times that are told apart."`
-	Place string        `help:"Tell one place by time: a destination, DESTINATION/ROUTE where routes stand apart, or all."`
+	From  time.Duration `help:"Start of the time range, as time since the start of the first process."`
+	To    time.Duration `help:"End of the time range, as time since the start of the first process; 0: the end of the recordings."`
+	Bin   time.Duration `default:"1s" help:"Width of a time bin, for the table by time."`
+	Place string        `help:"Print the counts of one rate-limit scope by time: a destination, DESTINATION/ENDPOINT where each endpoint has a limit of its own, or all."`
 }
 
-// Run prints a table.
+// Run prints the counts as a table: a row for each rate-limit scope or, with --place, a row for each time bin.
 func (c *countCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
--- a/cmd/cherrytrestle/journal.go
+++ b/cmd/cherrytrestle/journal.go
@@ -10,15 +10,16 @@
 )
 
 type journalCommand struct {
-	Inspect inspectCommand `cmd:"" help:"Tell what a journal holds and how much room is left."`
-	Verify  verifyCommand  `cmd:"" help:"Read all of a journal, and tell what cannot be read (status 3)."`
+	Inspect inspectCommand `cmd:"" help:"Print the counts of a journal's messages, its disk use and its free space."`
+	Verify  verifyCommand  `cmd:"" help:"Read all of a journal, and print what cannot be read (exit status 3)."`
 	Dump    dumpCommand    `cmd:"" help:"Write the messages of a journal as JSON Lines, without their bodies."`
 }
 
-// journalFolder is the state folder of a relay, running or not, or a copy of one. Nothing in it is changed.
+// journalFolder selects the state folder of a relay, running or not, or a copy of a state folder. The commands do not
+// change anything in the folder.
 type journalFolder struct {
 	State   string  `arg:"" help:"The relay's state folder." type:"existingdir"`
-	LimitMB float64 `help:"The disk limit, as the platform tells it to the relay." default:"3"`
+	LimitMB float64 `help:"The relay's disk limit in MB, as the platform sets it." default:"3"`
 }
 
 // exitDamaged is the exit status for a journal that is damaged.
@@ -30,22 +31,22 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = j.Close() }() // nothing was written, so that an error loses nothing
+	defer func() { _ = j.Close() }() // the journal is only read, so an error loses no data
 	return use(j, recovery)
 }
 
 type inspectCommand struct{ journalFolder }
 
-// Run prints the numbers of the journal's messages, and its use of the disk.
+// Run prints the counts of the journal's messages, its disk use, its free space and its damage.
 func (c *inspectCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
 		out := cli.NewPrinter(s.Out)
 		printMessageCounts(out, recovery)
 		stats := j.Stats()
-		out.Printf("store: %d segments, %d bytes on disk of %d, %d of them live; ", stats.SegmentCount,
+		out.Printf("store: %d segments, %d bytes on disk (limit %d), %d of them live; ", stats.SegmentCount,
 			stats.DiskBytes, stats.Limit, stats.LiveBytes)
-		out.Printf("room for %d bytes of new messages, %d of ends and outcomes\n", stats.AvailableForValues,
-			stats.AvailableBytes)
+		out.Printf("space for %d bytes of new messages, %d of attempts, outcomes and removals\n",
+			stats.AvailableForValues, stats.AvailableBytes)
 		printRecovery(out, recovery)
 		return out.Err()
 	})
@@ -68,16 +69,16 @@
 			uncertain++
 		}
 	}
-	out.Printf("messages: %d, of which %d are withdrawn, %d wait for their notices to be taken, ",
+	out.Printf("messages: %d, of which %d are cancelled, %d have an unacknowledged final answer, ",
 		len(recovery.Messages), cancelled, final)
-	out.Printf("%d may have run, %d are doubtful\n", mayHaveRun, uncertain)
+	out.Printf("%d may have run, %d may be missing records\n", mayHaveRun, uncertain)
 }
 
 // printRecovery prints which parts of the journal are damaged, lost or unexpected.
 func printRecovery(out *cli.Printer, recovery *journal.Recovery) {
 	store := recovery.Store
 	for _, torn := range store.Torn {
-		out.Printf("segment %d: torn behind byte %d, never acknowledged (%d bytes)\n", torn.Segment, torn.From,
+		out.Printf("segment %d: torn write from byte %d on, never acknowledged (%d bytes)\n", torn.Segment, torn.From,
 			torn.To-torn.From)
 	}
 	for _, damaged := range store.Damaged {
@@ -87,7 +88,7 @@
 		out.Printf("segment %d: MISSING\n", segment)
 	}
 	for _, lost := range store.Lost {
-		out.Printf("records %d to %d: LOST; messages taken on before them may have run\n", lost.From, lost.To-1)
+		out.Printf("records %d to %d: LOST; messages accepted before them may have run\n", lost.From, lost.To-1)
 	}
 	for _, key := range store.LostKeys {
 		out.Printf("message with key %d: LOST\n", key)
@@ -96,16 +97,16 @@
 		out.Printf("%s: not a file of this store\n", name)
 	}
 	for _, segment := range store.Stale {
-		out.Printf("segment %d: done with, and removed at the next start\n", segment)
+		out.Printf("segment %d: obsolete, will be removed at the relay's next start\n", segment)
 	}
 	if recovery.Unreadable > 0 {
-		out.Printf("%d values hold NO MESSAGE of this form\n", recovery.Unreadable)
+		out.Printf("%d values hold NO MESSAGE in a known encoding\n", recovery.Unreadable)
 	}
 }
 
 type verifyCommand struct{ journalFolder }
 
-// Run reads the journal. The exit status is 0 if all of it could be read, and exitDamaged otherwise.
+// Run reads the whole journal. The exit status is 0 if everything could be read, and exitDamaged otherwise.
 func (c *verifyCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
 		out := cli.NewPrinter(s.Out)
@@ -118,7 +119,7 @@
 		}
 		printRecovery(out, recovery)
 		if intact {
-			out.Printf("sound: %d messages, %d bytes read\n", len(recovery.Messages), recovery.Store.Bytes())
+			out.Printf("intact: %d messages, %d bytes read\n", len(recovery.Messages), recovery.Store.Bytes())
 		}
 		if out.Err() == nil && !intact {
 			return cli.Exit(exitDamaged)
@@ -129,7 +130,7 @@
 
 type dumpCommand struct{ journalFolder }
 
-// messageLine is the line that dump writes for a message. The fields are in the order of their keys.
+// messageLine is the line that dump writes for a message. The fields are ordered by their JSON keys.
 type messageLine struct {
 	Attempts    int                  `json:"attempts"`
 	BodyBytes   int                  `json:"body_bytes"`
@@ -146,7 +147,7 @@
 	Cancelled   bool                 `json:"withdrawn"`
 }
 
-// Run writes a line for each message.
+// Run writes a JSON line for each message.
 func (c *dumpCommand) Run(s *cli.Streams) error {
 	return c.withJournal(func(j *journal.Journal, recovery *journal.Recovery) error {
 		encoder := json.NewEncoder(s.Out)
