--- a/cmd/cherrytrestle/addresses_test.go
+++ b/cmd/cherrytrestle/addresses_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// unusedAddr returns an address of an IP with a port that nobody listens on.
+// unusedAddr returns an address of the given IP with a TCP port that no process listens on.
 func unusedAddr(t testing.TB, ip string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -16,7 +16,7 @@
 	return listener.Addr().String()
 }
 
-// unusedTCPAndUDPAddr returns an address of a random loopback IP with a port that nobody listens on, with TCP or UDP.
+// unusedTCPAndUDPAddr returns an address of a random loopback IP with a port that no process uses for TCP or UDP.
 func unusedTCPAndUDPAddr(t testing.TB) string {
 	t.Helper()
 	ip := randomLoopbackIP()
@@ -30,8 +30,8 @@
 	}
 }
 
-// randomLoopbackIP returns a loopback IP that hardly anything else on the machine uses. On 127.0.0.1 a connection of
-// another process could take the port of a relay while the relay is down.
+// randomLoopbackIP returns a random loopback IP, which other processes on the machine are unlikely to use. On
+// 127.0.0.1 an outgoing connection of another process could be assigned a relay's port while that relay is down.
 func randomLoopbackIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
--- a/cmd/cherrytrestle/backlog_test.go
+++ b/cmd/cherrytrestle/backlog_test.go
@@ -13,9 +13,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// TestBacklog submits many messages for endpoints that are down, kills the relay and starts it again: each accepted
-// message is still pending or has ended with a notification. It records the cost of a message as the backlog grows, and
-// checks no bound on it, because the machine runs other tests at the same time.
+// TestBacklog submits many messages for endpoints that are down, then kills and restarts the relay. After the restart
+// each accepted message must be pending or have ended with a notification. The test records the cost of a message as
+// the backlog grows. It checks no bound on this cost, because the machine runs other tests at the same time.
 func TestBacklog(t *testing.T) {
 	for _, destinations := range []int{1, 100, 2240} {
 		for _, n := range scaletest.Sizes(t, []int{2000}, 10000, 50000, 100000) {
@@ -33,7 +33,7 @@
 	discovery := newDiscoveryServer(t, 1, list)
 	r := prepareRelay(t, list, func(set map[string]any) {
 		setMaxPending(set, n+n/2)
-		setMaxAttempts(set, 0) // messages end by their deadline alone
+		setMaxAttempts(set, 0) // no bound: messages end only at their deadline
 		orderClass(set)["give_up_ms"] = 24 * 3600 * 1000
 	})
 	r.setLimits(192+n/50, 256, float64(3+n/500))
@@ -45,13 +45,13 @@
 	r.kill()
 	measureRestart(t, r, discovery, values)
 	if notAccepted > 0 {
-		t.Errorf("%d of %d were not accepted", notAccepted, n)
+		t.Errorf("%d of %d messages were not accepted", notAccepted, n)
 	}
 	checkBacklog(t, discovery, management, n, n-int(notAccepted))
 }
 
-// fillBacklog submits n messages in parts, measures the first, the middle and the last part, and returns how many were
-// not accepted.
+// fillBacklog submits n messages in equal parts and returns how many were not accepted. For the first, the middle and
+// the last part it records the processor time per message and the rate of submissions.
 func fillBacklog(r *relayProcess, n, destinations int, values map[string]float64) (notAccepted int64) {
 	const parts = 10
 	usedBefore := r.cpuTime()
@@ -84,13 +84,13 @@
 	values["processor_ms_per_s_waiting"] = float64((r.cpuTime() - usedBefore).Milliseconds()) / seconds
 }
 
-// measureRestart launches the relay and measures its recovery.
+// measureRestart launches the relay and records the time, the peak memory and the processor time until it is ready.
 func measureRestart(t *testing.T, r *relayProcess, discovery *discoveryServer, values map[string]float64) {
 	t.Helper()
 	r.launch(discovery)
 	monitor := r.monitorHealth()
 	if !monitor.waitReady(2 * time.Minute) {
-		t.Fatal("not ready again after 2 minutes")
+		t.Fatal("relay not ready 2 minutes after its restart")
 	}
 	values["restart_ready_s"] = time.Duration(monitor.ready.Load()).Seconds()
 	values["restart_memory_most_mb"] = r.memory(relayprocess.PeakMemory)
@@ -98,7 +98,8 @@
 	monitor.end()
 }
 
-// checkBacklog waits until each accepted message is pending or has ended with a notification.
+// checkBacklog waits until each accepted message is pending or has ended with a notification. It fails the test if
+// fewer than 90 % of the n submitted messages are pending, because the backlog is then too small to test.
 func checkBacklog(t *testing.T, discovery *discoveryServer, management string, n, accepted int) {
 	t.Helper()
 	var pending, ended int
@@ -118,12 +119,12 @@
 		return pending+ended == accepted
 	})
 	if pending < n*9/10 {
-		t.Errorf("only %d of %d are pending: the test shows little", pending, n)
+		t.Errorf("only %d of %d messages are pending, want at least 90 %%", pending, n)
 	}
 }
 
-// submitMany submits the messages with the numbers from first to end-1 over a number of connections, to the
-// destinations in turn. It returns how many were not accepted.
+// submitMany submits the messages with the numbers from first to end-1, to the destinations in turn, over the given
+// number of parallel connections. It returns how many were not accepted.
 func (r *relayProcess) submitMany(first, end, destinations, connections int) (notAccepted int64) {
 	var next, failures atomic.Int64
 	next.Store(int64(first))
--- a/cmd/cherrytrestle/bench_test.go
+++ b/cmd/cherrytrestle/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startInLargeFleet starts a relay that is one of 300 and lists 31 endpoints.
+// startInLargeFleet starts a relay of a fleet of 300, with 31 endpoints in its endpoint list.
 func startInLargeFleet(b *testing.B) (*relayProcess, *fakePlatform) {
 	b.Helper()
 	platform := newPlatform(b)
@@ -34,9 +34,9 @@
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-// BenchmarkProcessorTime measures the processor time of a relay in a large fleet: for a start, for an idle second, and
-// for a message that is accepted, journaled and delivered. The kernel counts it with a resolution of a clock tick or
-// better.
+// BenchmarkProcessorTime measures the processor time of a relay in a large fleet: for a start, for an idle second,
+// and for a message that is accepted, journaled and delivered. The kernel reports processor time with a resolution of
+// one clock tick or better.
 func BenchmarkProcessorTime(b *testing.B) {
 	const starts, idle, messages = 10, 5, 3000
 	r, platform := startInLargeFleet(b)
@@ -58,27 +58,27 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkAccept measures the 99th percentile of the time to the answer 202 and to the delivery of a message: of a
-// relay without a fleet, in a fleet of three, and in a fleet of three of which one hangs. The three take turns, message
-// by message.
+// BenchmarkAccept measures the 99th percentile of the time from the submission of a message to the answer 202, and to
+// the delivery of the message. It compares a relay without a fleet, a relay in a fleet of three, and a relay in a
+// fleet of three in which another relay hangs. The messages go to these three relays in turn.
 func BenchmarkAccept(b *testing.B) {
 	const messages = 3000
 	endpoint := newEndpoint(b, nil)
 	alone := newTestFleet(b, 1, endpoint)
-	sound := newTestFleet(b, 3, endpoint)
+	healthy := newTestFleet(b, 3, endpoint)
 	hung := newTestFleet(b, 3, endpoint)
 	must(b, os.Remove(alone.operatorFile(0)))
 	alone.relays[0].env = nil
 	alone.start(0)
-	sound.start(sound.allRelays()...)
+	healthy.start(healthy.allRelays()...)
 	hung.start(hung.allRelays()...)
-	eventually(b, "relay 0 knows the relay that will hang", func() bool {
+	eventually(b, "relay 0 sees the relay that will hang as alive", func() bool {
 		state, _ := hung.memberState(0, 2)
 		return state == "alive"
 	})
 	hung.relays[2].signal(syscall.SIGSTOP)
 	defer signalQuietly(hung.relays[2].cmd, syscall.SIGCONT)
-	subjects := []*relayProcess{alone.relays[0], sound.relays[0], hung.relays[0]}
+	subjects := []*relayProcess{alone.relays[0], healthy.relays[0], hung.relays[0]}
 	accepts := make([][]time.Duration, 3)
 	finals := make([][]time.Duration, 3)
 	for i := range messages {
@@ -104,8 +104,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReady measures how long a process takes from its start to its first health answer, with the largest journal
-// that its disk allows.
+// BenchmarkReady measures how long a process takes from its start until its health check succeeds, with the largest
+// journal that the disk limit allows.
 func BenchmarkReady(b *testing.B) {
 	for _, c := range []struct {
 		name       string
--- a/cmd/cherrytrestle/connectionfaults_test.go
+++ b/cmd/cherrytrestle/connectionfaults_test.go
@@ -12,7 +12,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// startProxy starts a proxy to an address that injects faults by the rules.
+// startProxy starts a proxy to addr. The proxy injects faults into connections according to the rules.
 func startProxy(t testing.TB, addr string, rules ...string) *faultproxy.Proxy {
 	t.Helper()
 	proxy, err := faultproxy.Start("127.0.0.1:0", addr, 1)
@@ -27,7 +27,7 @@
 	return proxy
 }
 
-// Ends of a message that must never run twice.
+// Expected ends of a message that must never run twice. The value of failed is also the status in notifications.
 const (
 	delivered         = "delivered"
 	failed            = "undeliverable"
@@ -35,24 +35,24 @@
 	deliveredOrFailed = "delivered, or undeliverable though it may have run"
 )
 
-// wireFault is a fault of the first connection to an endpoint, and what it does to a message of each class.
+// wireFault is a fault of the first connection to an endpoint, with its expected effect on a message of each class.
 type wireFault struct {
 	name          string
 	rule          string
-	paymentEnd    string // the end of a message of the class "pay", which must never run twice
-	maxCalls      int    // to the endpoint, for that message
-	keyedCalls    int    // for a message with a key, which is always delivered; below 0: from 1 to so many
-	chunkedAnswer bool   // the endpoint's answer has chunks in place of a length
+	paymentEnd    string // expected end of the message of the class "pay", which must never run twice
+	maxCalls      int    // highest allowed number of calls with the message of the class "pay"
+	keyedCalls    int    // expected calls with the message of the class "order", which is always delivered; -n: 1 to n
+	chunkedAnswer bool   // the endpoint's answer is chunked and has no Content-Length
 }
 
 func wireFaults() []wireFault {
 	return []wireFault{
-		// The endpoint has the complete request, and the relay has no answer: the message may have run.
+		// The endpoint receives the complete request, but the relay receives no answer: the message may have run.
 		{"half-closed after the body", `dir=down do=halfclose`, failed, 1, 2, false},
 		{"reset instead of an answer", `dir=down do=reset`, failed, 1, 2, false},
 		{"closed instead of an answer", `dir=down do=close`, failed, 1, 2, false},
-		// A reset may overtake the body before it: the endpoint drops what it has not read yet. The answer of a fast
-		// endpoint may arrive before the reset or the end of the connection.
+		// A reset may arrive before the endpoint has read the body, and the unread part of the body is then lost. The
+		// answer of a fast endpoint may arrive before the reset or the close.
 		{"reset after the body", `dir=up match="\r\n\r\nbody" do=reset`, deliveredOrFailed, 1, -2, false},
 		{"closed after the body", `dir=up match="\r\n\r\nbody" do=close`, deliveredOrFailed, 1, -2, false},
 		{"silent after the body", `dir=down do=stall`, failed, 1, 2, false},
@@ -61,23 +61,24 @@
 		{"garbled status", `dir=down match="HTTP/1.1 " with="x9" do=garble`, failed, 1, 2, false},
 		// Only the direction to the endpoint is closed: the answer still arrives.
 		{"half-closed towards the endpoint", `dir=up match="\r\n\r\nbody" do=halfclose`, delivered, 1, 1, false},
-		// The endpoint never has the last byte. The relay may have written it before it noticed the reset.
+		// The endpoint never receives the last byte of the request. If the relay wrote that byte before it noticed the
+		// reset, it must assume that the message may have run.
 		{"cut before the last byte", `dir=up match="\r\n\r\nbod" do=reset`, deliveredOrNotRun, 1, 1, false},
 		{"connection refused", `do=refuse`, deliveredOrNotRun, 1, 1, false},
 		{"a byte of the body lost", `dir=up match="\r\n\r\nbod" do=drop`, failed, 0, 1, false},
-		// A status line with 200 arrives: the message is delivered, whatever follows.
+		// A status line with 200 arrives: the message counts as delivered, whatever follows.
 		{"garbled chunk header", `dir=down match="\r\n\r\n" with="Z!" do=garble`, delivered, 1, 1, true},
 		{"garbled length", `dir=down match="Content-Length: " with="?" do=garble`, delivered, 1, 1, false},
 		{"bytes doubled in an answer", `dir=down match="\r\n\r\n" bytes=2 do=double`, delivered, 1, 1, false},
 		{"cut in the answer's body", `dir=down match="\r\n\r\no" do=reset`, delivered, 1, 1, false},
-		// A slow answer is no failure before the timeout.
+		// A slow answer or request is no failure before the timeout.
 		{"late answer", `dir=down for=300ms do=delay`, delivered, 1, 1, false},
 		{"slow answer", `dir=down rate=400 do=trickle`, delivered, 1, 1, false},
 		{"late request", `dir=up for=200ms do=delay`, delivered, 1, 1, false},
 	}
 }
 
-// keyedCallRange returns the lowest and the highest number of calls for a message with a key.
+// keyedCallRange returns the lowest and the highest expected number of calls with the message of the class "order".
 func (f wireFault) keyedCallRange() (low, high int) {
 	if f.keyedCalls < 0 {
 		return 1, -f.keyedCalls
@@ -85,8 +86,8 @@
 	return f.keyedCalls, f.keyedCalls
 }
 
-// TestEachFaultOnTheWireEndsInOneFinalAnswer injects a fault into the first connection to an endpoint: each message has
-// one final answer, and one that may have run is repeated only if its class allows that.
+// TestEachFaultOnTheWireEndsInOneFinalAnswer injects a fault into the first connection to an endpoint. Each message
+// must get exactly one final answer. A message that may have run may be repeated only if its class allows repeats.
 func TestEachFaultOnTheWireEndsInOneFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for _, fault := range wireFaults() {
@@ -118,9 +119,9 @@
 	if status, _ := r.submit(id, 5*time.Second, withClass(class)); status != http.StatusAccepted {
 		t.Fatalf("%s: status %d", class, status)
 	}
-	// Later messages on sound connections are delivered.
-	eventually(t, "the fault", func() bool { return wire.Stats().Triggered > 0 })
-	eventually(t, "another one delivered", func() bool {
+	// Later messages, on connections without a fault, are delivered.
+	eventually(t, "the fault is triggered", func() bool { return wire.Stats().Triggered > 0 })
+	eventually(t, "a later message is delivered", func() bool {
 		next := fmt.Sprintf("%s-%d", class, time.Now().UnixNano())
 		r.mustAccept(next, 10*time.Second)
 		eventually(t, next, func() bool { return endpoint.count(next) > 0 || platform.notification(next) != nil })
@@ -135,7 +136,7 @@
 		return calls > 0 && (class == "order" && calls >= low || fault.paymentEnd != failed)
 	})
 	if err := r.terminate(); err != nil {
-		t.Fatalf("ended: %v", err)
+		t.Fatalf("the relay ended with an error: %v", err)
 	}
 }
 
@@ -145,7 +146,7 @@
 	id := "m-" + class
 	ends := platform.statuses(id)
 	if len(ends) > 1 {
-		t.Errorf("%s: ends %v", class, ends)
+		t.Errorf("%s: several final answers: %v", class, ends)
 	}
 	want := delivered
 	low, high := fault.keyedCallRange()
@@ -160,19 +161,19 @@
 	}
 	switch {
 	case want == delivered && len(ends) > 0:
-		t.Errorf("%s: delivered, and then %v", class, ends)
+		t.Errorf("%s: final answers %v, want only the delivery", class, ends)
 	case want == failed && !slices.Equal(ends, []string{failed}):
 		t.Errorf("%s: ended as %v, want %s", class, ends, failed)
 	case want == deliveredOrNotRun && (calls == 1) == (len(ends) == 1):
-		t.Errorf("%s: %d calls and ends %v", class, calls, ends)
+		t.Errorf("%s: %d calls and final answers %v, want either a call or a final answer", class, calls, ends)
 	case want == deliveredOrFailed && calls+len(ends) == 0:
-		t.Errorf("%s: neither delivered nor ended", class)
+		t.Errorf("%s: neither a call nor a final answer", class)
 	}
 }
 
-// TestKilledBetweenTheAnswerAndItsRecord kills a relay after its endpoint has answered 200, and before the relay could
-// read the answer. The next process reports a payment as failed and does not send it again. It repeats an order, and
-// only in the zone in which repeats are dropped.
+// TestKilledBetweenTheAnswerAndItsRecord kills a relay after its endpoint has answered 200, but before the relay
+// could read the answer. The next process reports a payment as undeliverable and does not send it again. It repeats
+// an order, but only in the zone of the first call, in which endpoints drop repeats.
 func TestKilledBetweenTheAnswerAndItsRecord(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"pay", "order"} {
@@ -182,7 +183,7 @@
 			endpoint := newEndpoint(t, nil)
 			other := newEndpoint(t, nil)
 			wire := startProxy(t, endpoint.addr())
-			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the relay never has the answer
+			rule, err := faultproxy.ParseRule("conn=1 dir=down do=stall") // the relay never receives the answer
 			must(t, err)
 			id, err := wire.AddRule(rule)
 			must(t, err)
@@ -207,17 +208,18 @@
 			if ends := platform.statuses("m"); class == "pay" &&
 				(endpoint.count("m") != 1 || !slices.Equal(ends, []string{"undeliverable"})) ||
 				class == "order" && (endpoint.count("m") != 2 || len(ends) > 0) {
-				t.Errorf("%d calls, ends %v", endpoint.count("m"), ends)
+				t.Errorf("%d calls, final answers %v", endpoint.count("m"), ends)
 			}
 			if other.count("m") != 0 {
-				t.Error("sent to the other zone, where its repeat is not dropped")
+				t.Error("the message was sent to the other zone, where a repeat is not dropped")
 			}
 		})
 	}
 }
 
-// TestFaultsOnTheClientsSide injects faults between a client and the relay: a message with the answer 202 is delivered
-// once, one that arrived in part is not delivered, and one whose answer is lost is delivered once at most.
+// TestFaultsOnTheClientsSide injects faults between a client and the relay. A message that is answered with 202 is
+// delivered once. A message that arrives in part is not delivered. A message whose answer is lost is delivered at
+// most once.
 func TestFaultsOnTheClientsSide(t *testing.T) {
 	t.Parallel()
 	platform := newPlatform(t)
@@ -253,7 +255,7 @@
 		r.mustAccept(next, 10*time.Second)
 		eventually(t, next, func() bool { return endpoint.count(next) == 1 })
 		if calls := endpoint.count(id); calls > c.maxCalls {
-			t.Errorf("%s: %d calls", c.rule, calls)
+			t.Errorf("%s: %d calls, want at most %d", c.rule, calls, c.maxCalls)
 		}
 	}
 }
--- a/cmd/cherrytrestle/dedupwindow_test.go
+++ b/cmd/cherrytrestle/dedupwindow_test.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	dedupWindow    = time.Second
-	windowMessages = 6
+	dedupWindow    = time.Second // the time in which the endpoints of one zone drop repeats
+	windowMessages = 6           // in flight when the relay is killed
 )
 
-// windowCase is a restart with calls in flight.
+// windowCase is a test case: a restart with calls in flight.
 type windowCase struct {
 	name         string
 	downtime     time.Duration // from the kill to the next start
-	zone         string        // of the endpoint that the next process lists
-	serviceDelay time.Duration // from the kill until that endpoint is in service; 0: it is from the start
-	repeats      bool          // messages must be repeated
-	never        bool          // no message may be repeated; with neither field set, both are allowed
+	zone         string        // zone of the only endpoint in the next process's list
+	serviceDelay time.Duration // from the kill until that endpoint is ready; 0: ready at the start
+	mustRepeat   bool          // at least one message must be repeated
+	noRepeat     bool          // no message may be repeated; if neither is set, repeats are optional
 }
 
-// TestNoRepeatPastTheDedupWindow kills a relay that has calls with a key in flight. Endpoints drop repeats within one
-// zone, for a second. The next process repeats the messages only within that time and in that zone, and notifies the
-// platform of the end of the others.
+// TestNoRepeatPastTheDedupWindow kills a relay that has calls with an idempotency key in flight. Endpoints drop
+// repeats within one zone and within dedupWindow. The next process repeats messages only within this time and this
+// zone. It ends all other messages and notifies the platform.
 func TestNoRepeatPastTheDedupWindow(t *testing.T) {
 	const past = dedupWindow + 200*time.Millisecond
 	for _, c := range []windowCase{
-		{name: "at once", zone: "a", repeats: true},
+		{name: "at once", zone: "a", mustRepeat: true},
 		{name: "towards the end of the window", downtime: 600 * time.Millisecond, zone: "a"},
-		{name: "past the window", downtime: past, zone: "a", never: true},
-		{name: "at once, the endpoint is in service past the window", zone: "a", serviceDelay: past, never: true},
-		{name: "at once, in the other zone", zone: "b", never: true},
+		{name: "past the window", downtime: past, zone: "a", noRepeat: true},
+		{name: "at once, the endpoint is in service past the window", zone: "a", serviceDelay: past, noRepeat: true},
+		{name: "at once, in the other zone", zone: "b", noRepeat: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -53,7 +53,7 @@
 	other := newEndpoint(t, nil)
 	r := newRelay(t, platform, one.list(singleKind, "ready"), func(set map[string]any) {
 		orderClass(set)["repeat_window_ms"] = dedupWindow.Milliseconds()
-		setMaxInFlightCalls(set, 40) // so that all are sent
+		setMaxInFlightCalls(set, 40) // so that all messages are sent at once
 	})
 	for i := range windowMessages {
 		r.mustAccept(fmt.Sprint("m", i), 8*time.Second)
@@ -68,20 +68,20 @@
 	r.setKnown(2, entry)
 	time.Sleep(c.downtime)
 	r.start(platform)
-	inTime := time.Since(one.arrivals("m0")[0]) < dedupWindow*2/3 // otherwise the machine is too slow for this case
+	inTime := time.Since(one.arrivals("m0")[0]) < dedupWindow*2/3 // false: the machine is too slow to require a repeat
 	if c.serviceDelay > 0 {
 		time.Sleep(time.Until(killedAt.Add(c.serviceDelay)))
 		entry["state"] = "ready"
 		platform.publish(false, entry)
 	}
 	repeated := checkRepeats(t, platform, one, other)
-	t.Logf("%d repeated", repeated)
-	if c.repeats && inTime && repeated == 0 || c.never && repeated > 0 {
-		t.Errorf("%d repeated", repeated)
+	t.Logf("%d repeats", repeated)
+	if c.mustRepeat && inTime && repeated == 0 || c.noRepeat && repeated > 0 {
+		t.Errorf("%d repeats; required: %t, forbidden: %t", repeated, c.mustRepeat, c.noRepeat)
 	}
 }
 
-// nextEntry returns the entry of the endpoint that the next process lists.
+// nextEntry returns the only entry of the next process's endpoint list.
 func (c windowCase) nextEntry(one, other *fakeEndpoint) listEntry {
 	next := one
 	if c.zone != "a" {
@@ -94,8 +94,8 @@
 	return newEntry("s-2", next.addr(), c.zone, singleKind, state)
 }
 
-// checkRepeats waits until each message is repeated or has ended, checks that no repeat is past the window or in the
-// other zone, and returns the number of repeats.
+// checkRepeats waits until each message has been repeated or has ended. It checks that no repeat came after the
+// window or reached the other zone, and returns the number of repeats.
 func checkRepeats(t *testing.T, platform *fakePlatform, one, other *fakeEndpoint) (repeated int) {
 	t.Helper()
 	for i := range windowMessages {
--- a/cmd/cherrytrestle/delivery_test.go
+++ b/cmd/cherrytrestle/delivery_test.go
@@ -25,7 +25,8 @@
 	eventually(t, "both delivered", func() bool { return endpoint.count("m1") == 1 && endpoint.count("m2") == 1 })
 }
 
-// TestMalformedRequestsAreRejected also checks that the largest body is accepted, and that only its message is sent.
+// TestMalformedRequestsAreRejected checks the status of malformed requests. It also checks that a body of the maximum
+// size is accepted, and that only the message with this body is sent.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -69,14 +70,14 @@
 	if status != http.StatusAccepted {
 		t.Errorf("the largest body: status %d", status)
 	}
-	eventually(t, "the valid one delivered", func() bool { return endpoint.count("largest") == 1 })
+	eventually(t, "the valid message is delivered", func() bool { return endpoint.count("largest") == 1 })
 	if calls := endpoint.totalCalls(); calls != 1 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("%d calls, want 1", calls)
 	}
 }
 
-// TestPendingMessagesAreBounded submits messages that the endpoint does not answer: above the bound they are rejected
-// with a Retry-After.
+// TestPendingMessagesAreBounded submits messages while the endpoint answers no call. Messages above the bound on
+// pending messages are rejected with a Retry-After.
 func TestPendingMessagesAreBounded(t *testing.T) {
 	const maxPending = 5
 	wait := make(chan struct{})
@@ -89,7 +90,7 @@
 	})
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), func(s map[string]any) {
 		setMaxPending(s, maxPending)
-		setMaxInFlightCalls(s, 0) // so that all are sent, and none can be rejected in favour of another
+		setMaxInFlightCalls(s, 0) // no bound: all messages are sent, and none can be rejected in favour of another
 	})
 	defer close(wait)
 	accepted := 0
@@ -99,16 +100,16 @@
 		case status == http.StatusAccepted:
 			accepted++
 		case status != http.StatusServiceUnavailable || retryAfter == "":
-			t.Errorf("status %d, Retry-After %q", status, retryAfter)
+			t.Errorf("status %d, Retry-After %q, want 202, or 503 with a Retry-After", status, retryAfter)
 		}
 	}
-	if accepted < maxPending-1 || accepted > maxPending { // the engine may reject one below the bound
-		t.Errorf("%d accepted, the bound is %d", accepted, maxPending)
+	if accepted < maxPending-1 || accepted > maxPending { // the engine may reject one message below the bound
+		t.Errorf("%d messages accepted, the bound is %d", accepted, maxPending)
 	}
 }
 
-// TestNotificationsAreRetried checks that the final answer to a message that was not delivered is sent to the platform
-// until it is acknowledged.
+// TestNotificationsAreRetried checks that the final answer to a message that was not delivered is sent to the
+// platform repeatedly until the platform acknowledges it.
 func TestNotificationsAreRetried(t *testing.T) {
 	platform := newPlatform(t)
 	platform.failNotifications = 3
@@ -118,12 +119,12 @@
 	eventually(t, "a notification", func() bool { return platform.notification("m1") != nil })
 	notification := platform.notification("m1")
 	if notification["status"] != "deferred" || notification["again_ms"] == nil {
-		t.Errorf("notification %v", notification)
+		t.Errorf("notification %v, want status deferred and again_ms", notification)
 	}
 }
 
-// TestRetryAfterIsObserved checks that an endpoint gets no message until its Retry-After is over, but for those that
-// were on their way when it was sent.
+// TestRetryAfterIsObserved checks that an endpoint receives no message during its Retry-After, except those that were
+// already in transit when it sent the Retry-After.
 func TestRetryAfterIsObserved(t *testing.T) {
 	const wait = 600 * time.Millisecond
 	platform := newPlatform(t)
@@ -151,12 +152,13 @@
 	defer endpoint.mu.Unlock()
 	for i, id := range endpoint.seen {
 		if since := endpoint.at[i].Sub(rejectedAt); i > 0 && since < wait && since > 100*time.Millisecond {
-			t.Errorf("%s came %v after the Retry-After", id, since)
+			t.Errorf("%s arrived %v after a Retry-After of %v", id, since, wait)
 		}
 	}
 }
 
-// TestMessagesShareACall checks that messages that wait for the same endpoint are sent in one call, up to the limit.
+// TestMessagesShareACall checks that messages that wait for the same endpoint are sent in one call, up to the limit
+// of ten messages in a call.
 func TestMessagesShareACall(t *testing.T) {
 	platform := newPlatform(t)
 	var mu sync.Mutex
@@ -186,12 +188,12 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if maxMessages > 10 {
-		t.Errorf("%d messages in a call", maxMessages)
+		t.Errorf("%d messages in a call, want at most 10", maxMessages)
 	}
 }
 
-// TestIncompleteRequestsBlockNobody opens connections that send nothing, a part of a request or no HTTP: other messages
-// are accepted and delivered, and the relay shuts down in order.
+// TestIncompleteRequestsBlockNobody opens connections that send nothing, a part of a request, or data that is not
+// HTTP. Messages of other clients are still accepted and delivered, and the relay shuts down without an error.
 func TestIncompleteRequestsBlockNobody(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -207,11 +209,11 @@
 	defer closeQuietly(bad)
 	writeQuietly(bad, "NONSENSE\r\n\r\n")
 	if line, err := bufio.NewReader(bad).ReadString('\n'); err != nil || !strings.Contains(line, "400") {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("answer %q and error %v to data that is not HTTP, want status 400", line, err)
 	}
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "delivered", func() bool { return endpoint.count("m1") == 1 })
 	if err := r.terminate(); err != nil {
-		t.Errorf("with half a request open: %v", err)
+		t.Errorf("the relay ended with an error while requests were incomplete: %v", err)
 	}
 }
--- a/cmd/cherrytrestle/discovery_test.go
+++ b/cmd/cherrytrestle/discovery_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestDrainingAndWatchResume checks that messages go to another endpoint when one drains, also if other entries of the
-// change are malformed, that a new watch resumes at the version that the relay has, and that a full list removes the
-// endpoints that are not in it.
+// TestDrainingAndWatchResume checks that messages go to another endpoint while one is draining, even if the change of
+// the list also has malformed entries. A new watch resumes at the version that the relay has. A full list removes the
+// endpoints that it does not contain.
 func TestDrainingAndWatchResume(t *testing.T) {
 	platform := newPlatform(t)
 	one := newEndpoint(t, nil)
@@ -18,7 +18,7 @@
 	better["weight"] = 900.0
 	r := newRelay(t, platform, []listEntry{better, newEntry("s-2", two.addr(), "a", singleKind, "ready")}, nil)
 	r.mustAccept("m1", 10*time.Second)
-	eventually(t, "the better endpoint", func() bool { return one.count("m1") == 1 })
+	eventually(t, "m1 reaches the endpoint with the higher weight", func() bool { return one.count("m1") == 1 })
 	better["state"] = "draining"
 	// All entries but the first are malformed.
 	platform.publish(false, better, listEntry{"id": 17}, listEntry{"id": "s-9", "state": "asleep"})
@@ -26,22 +26,23 @@
 		return r.newMessageReaches(two, one)
 	})
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "m2", func() bool { return two.count("m2") == 1 })
+	eventually(t, "m2 is delivered", func() bool { return two.count("m2") == 1 })
 
 	platform.CloseClientConnections()
 	eventually(t, "a second watch", func() bool { return len(platform.watchIndexes()) > 1 })
 	if indexes := platform.watchIndexes(); indexes[0] != "1" || indexes[1] != "2" {
-		t.Errorf("watches from %v", indexes)
+		t.Errorf("watches resumed at versions %v, want 1 and 2", indexes)
 	}
 	better["state"] = "ready"
-	platform.publish(true, better) // the other is missing: it is removed
+	platform.publish(true, better) // the full list lacks the other endpoint, so the relay removes it
 	eventually(t, "back at the first endpoint", func() bool {
 		return r.newMessageReaches(one, two)
 	})
 }
 
-// TestSIGHUPMovesDiscovery changes the address of discovery twice: the relay uses the old list until the new discovery
-// answers, also if its versions are lower, notifications go to the new address, and an unreadable file changes nothing.
+// TestSIGHUPMovesDiscovery changes the address of discovery twice, with a SIGHUP each time. The relay uses the old list
+// until the new discovery answers, and then the new list, even if its version is lower. Notifications go to the new
+// address. An unreadable configuration file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	one := newEndpoint(t, nil)
 	two := newEndpoint(t, nil)
@@ -61,7 +62,7 @@
 		eventually(t, id, func() bool { return one.count(id)+unavailable.count(id) > 0 })
 		return unavailable.count(id) > 0
 	})
-	eventually(t, "a notification that failed", func() bool { return first.notificationsToFail() < all })
+	eventually(t, "a notification has failed", func() bool { return first.notificationsToFail() < all })
 
 	second.fullList = []listEntry{newEntry("s-2", two.addr(), "a", singleKind, "ready")}
 	r.reloadDiscovery(second)
@@ -79,10 +80,10 @@
 
 	first.fullList = []listEntry{newEntry("s-2", two.addr(), "a", singleKind, "ready")}
 	r.reloadDiscovery(first)
-	eventually(t, "back at the first", func() bool {
+	eventually(t, "the first discovery's new list is used", func() bool {
 		return r.newMessageReaches(two, one)
 	})
 	if err := r.terminate(); err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("the relay ended with an error: %v", err)
 	}
 }
--- a/cmd/cherrytrestle/discoveryserver_test.go
+++ b/cmd/cherrytrestle/discoveryserver_test.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// discoveryServer is a fake of the platform for large lists, which it encodes only once. It serves any number of
-// watches.
+// discoveryServer is a fake platform for large endpoint lists. It encodes the full list only once, and serves any
+// number of watches.
 type discoveryServer struct {
 	*httptest.Server
-	fullList []byte // the line for polls, and for watches from a version before that of the list
+	fullList []byte // the encoded list, for polls and for watches that resume at an earlier version
 	version  int    // of the full list
 
 	mu      sync.Mutex
-	changes [][]byte          // the lines of the versions after the full list's
-	changed chan struct{}     // closed at the next change
+	changes [][]byte          // the encoded changes, one for each version after that of fullList
+	changed chan struct{}     // closed and replaced at each change
 	finals  map[string]string // the status of the last notification, by message id
 }
 
-// newDiscoveryServer starts a server with a list, which is closed at the end of the test.
+// newDiscoveryServer starts a server that publishes the list. The server is closed at the end of the test.
 func newDiscoveryServer(t *testing.T, version int, list []listEntry) *discoveryServer {
 	t.Helper()
 	fullList, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": list})
 	must(t, err)
-	a := &discoveryServer{
+	s := &discoveryServer{
 		fullList: append(fullList, '\n'),
 		version:  version,
 		changed:  make(chan struct{}),
@@ -41,13 +41,13 @@
 		sent, err := strconv.Atoi(r.URL.Query().Get("index")) // the version that the relay has
 		if err != nil || sent < version {
 			sent = version
-			_, _ = w.Write(a.fullList) // the relay may have closed the connection
+			_, _ = w.Write(s.fullList) // the relay may have closed the connection
 		}
 		for heartbeat := time.NewTicker(500 * time.Millisecond); r.URL.Query().Get("stream") != ""; {
-			a.mu.Lock()
-			lines := a.changes[sent-version:]
-			changed := a.changed
-			a.mu.Unlock()
+			s.mu.Lock()
+			lines := s.changes[sent-version:]
+			changed := s.changed
+			s.mu.Unlock()
 			for _, line := range lines {
 				_, _ = w.Write(line) // the relay may have closed the connection
 			}
@@ -64,21 +64,22 @@
 		}
 	})
 	mux.HandleFunc("POST /v2/finals", func(w http.ResponseWriter, r *http.Request) {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		received, _ := decodeNotifications(r.Body) // a request that breaks off is retried
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		received, _ := decodeNotifications(r.Body) // an error is ignored: the relay retries an interrupted request
 		for _, notification := range received {
-			a.finals[fmt.Sprint(notification["id"])] = fmt.Sprint(notification["status"])
+			s.finals[fmt.Sprint(notification["id"])] = fmt.Sprint(notification["status"])
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	a.Server = httptest.NewServer(mux)
-	t.Cleanup(func() { a.CloseClientConnections(); a.Close() })
-	return a
+	s.Server = httptest.NewServer(mux)
+	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	return s
 }
 
-// destinationEntries returns entries of the destinations from one number up to another, with two endpoints for each. If
-// no address is given, each endpoint has another one, at which nobody listens.
+// destinationEntries returns the entries of the destinations with numbers in [from, to), with two endpoints for each
+// destination. All endpoints have the address addr. If addr is "", each endpoint has a different address, on which no
+// process listens.
 func destinationEntries(from, to int, addr string) (list []listEntry) {
 	for d := from; d < to; d++ {
 		for k := range 2 {
@@ -97,18 +98,18 @@
 	return list
 }
 
-// publish sends a change to all watches.
-func (a *discoveryServer) publish(t *testing.T, changes ...listEntry) {
+// publish sends a change of the list to all watches.
+func (s *discoveryServer) publish(t *testing.T, changes ...listEntry) {
 	t.Helper()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	line, err := json.Marshal(
-		map[string]any{"version": a.version + len(a.changes) + 1, "full": false, "servers": changes},
+		map[string]any{"version": s.version + len(s.changes) + 1, "full": false, "servers": changes},
 	)
 	must(t, err)
-	a.changes = append(a.changes, append(line, '\n'))
-	close(a.changed)
-	a.changed = make(chan struct{})
+	s.changes = append(s.changes, append(line, '\n'))
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (a *discoveryServer) addr() string { return a.Listener.Addr().String() }
+func (s *discoveryServer) addr() string { return s.Listener.Addr().String() }
--- a/cmd/cherrytrestle/fakeendpoint_test.go
+++ b/cmd/cherrytrestle/fakeendpoint_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// answerFunc answers a call to an endpoint, which has the messages with the ids.
+// answerFunc answers a call to an endpoint. The call contains the messages with the ids.
 type answerFunc func(w http.ResponseWriter, r *http.Request, ids []string)
 
 // fakeEndpoint is an endpoint that records the messages that are sent to it.
@@ -21,9 +21,9 @@
 	*httptest.Server
 	mu     sync.Mutex
 	seen   []string    // the ids of the messages, in the order of their arrival
-	at     []time.Time // the time of arrival of each of seen
+	at     []time.Time // the arrival time of each message in seen
 	calls  int
-	answer answerFunc // nil: 200
+	answer answerFunc // nil: the status is always 200
 }
 
 // newEndpoint starts an endpoint, which is closed at the end of the test.
@@ -38,7 +38,7 @@
 		if strings.HasSuffix(r.URL.Path, "/bundle") { // a call with several messages
 			var messages []struct{ ID string }
 			if json.Unmarshal(body, &messages) != nil {
-				t.Errorf("bundle: %s", body)
+				t.Errorf("a call with several messages has a malformed body: %s", body)
 			}
 			ids = ids[:0]
 			for _, message := range messages {
@@ -67,7 +67,7 @@
 	return []listEntry{newEntry("s-1", e.addr(), "a", kind, state)}
 }
 
-// count returns how many calls had the message.
+// count returns how many calls contained the message.
 func (e *fakeEndpoint) count(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,7 +86,7 @@
 	return e.calls
 }
 
-// arrivals are the times at which a message arrived.
+// arrivals returns the times at which a message arrived.
 func (e *fakeEndpoint) arrivals(id string) (at []time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,14 +98,14 @@
 	return at
 }
 
-// lastCall returns the time of the last message's arrival.
+// lastCall returns the arrival time of the last message.
 func (e *fakeEndpoint) lastCall() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.MaxFunc(e.at, time.Time.Compare)
 }
 
-// maxCallsWithin returns the highest number of messages that arrived in any window of time of this length.
+// maxCallsWithin returns the highest number of messages that arrived in any time window of the given length.
 func (e *fakeEndpoint) maxCallsWithin(window time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,13 +121,13 @@
 	return highest
 }
 
-// answerStatus answers each call with the status.
+// answerStatus returns a function that answers each call with the status.
 func answerStatus(status int) answerFunc {
 	return func(w http.ResponseWriter, _ *http.Request, _ []string) { w.WriteHeader(status) }
 }
 
-// writeStates writes the answer to a call with several messages: a state for each, the given ones in turn. For a call
-// with one message it writes nothing.
+// writeStates writes the answer to a call with several messages. The messages get the given states in turn. For a
+// call with one message it writes nothing.
 func writeStates(w io.Writer, ids []string, states ...string) {
 	if len(ids) == 1 {
 		return
@@ -139,7 +139,7 @@
 	writeQuietly(w, "["+strings.Join(answers, ",")+"]")
 }
 
-// callsByMessage returns how many calls to any of the endpoints had each message, by its id.
+// callsByMessage returns, by message id, how many calls to the endpoints contained the message.
 func callsByMessage(endpoints ...*fakeEndpoint) map[string]int {
 	calls := map[string]int{}
 	for _, e := range endpoints {
--- a/cmd/cherrytrestle/fakeplatform_test.go
+++ b/cmd/cherrytrestle/fakeplatform_test.go
@@ -16,8 +16,8 @@
 
 // The kinds of destination in the settings of prepareRelay.
 const (
-	batchKind  = "platform" // up to ten messages in a call, a limit for the destination
-	singleKind = "gateway"  // one message in a call, a limit for each endpoint
+	batchKind  = "platform" // up to ten messages in a call, one rate limit for the destination
+	singleKind = "gateway"  // one message in a call, one rate limit for each endpoint
 )
 
 // listEntry is an entry of the endpoint list.
@@ -33,16 +33,16 @@
 	*httptest.Server
 	mu                sync.Mutex
 	version           int
-	lines             chan string // to be sent to the watch
-	indexes           []string    // the versions that watches asked for
+	lines             chan string // to be sent to the open watch
+	indexes           []string    // the versions at which watches resumed
 	notifications     []map[string]any
-	failNotifications int          // so many more requests with notifications fail
+	failNotifications int          // how many more requests with notifications will fail
 	fullList          []listEntry  // the answer to a poll
-	watches           atomic.Int32 // watches that are being answered
+	watches           atomic.Int32 // number of open watches
 }
 
-// disconnect closes all connections, and waits until no watch is being answered: one that is about to end would receive
-// the next line in place of the new watch.
+// disconnect closes all connections and waits until no watch is open. Otherwise a watch that is about to end could
+// receive the next line instead of the new watch.
 func (p *fakePlatform) disconnect(t testing.TB) {
 	t.Helper()
 	p.CloseClientConnections()
@@ -58,7 +58,7 @@
 		if r.URL.Query().Get("stream") == "" {
 			defer platform.mu.Unlock()
 			list := map[string]any{"version": platform.version, "full": true, "servers": platform.fullList}
-			_ = json.NewEncoder(w).Encode(list) // the relay may have gone
+			_ = json.NewEncoder(w).Encode(list) // the relay may have closed the connection
 			return
 		}
 		platform.indexes = append(platform.indexes, r.URL.Query().Get("index"))
@@ -87,7 +87,7 @@
 		}
 		received, err := decodeNotifications(r.Body)
 		if err != nil {
-			t.Errorf("notification: %v", err)
+			t.Errorf("decode notifications: %v", err)
 		}
 		platform.notifications = append(platform.notifications, received...)
 		w.WriteHeader(http.StatusNoContent)
@@ -97,7 +97,7 @@
 	return platform
 }
 
-// publish sends a list, or a change of the list, to the watch.
+// publish sends a full list, or a change of the list, to the watch.
 func (p *fakePlatform) publish(full bool, entries ...listEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// statuses returns the different statuses of a message's notifications.
+// statuses returns the distinct statuses of a message's notifications.
 func (p *fakePlatform) statuses(id string) (all []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +130,7 @@
 	return all
 }
 
-// watchIndexes returns the versions that watches asked for.
+// watchIndexes returns the versions at which watches resumed, in the order of the watches.
 func (p *fakePlatform) watchIndexes() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,7 +152,8 @@
 
 func (p *fakePlatform) addr() string { return p.Listener.Addr().String() }
 
-// decodeNotifications reads notifications, one JSON object a line. With an error it returns those before it.
+// decodeNotifications reads notifications, one JSON object per line. With an error it also returns the notifications
+// that were read before the error.
 func decodeNotifications(body io.Reader) (notifications []map[string]any, err error) {
 	for lines := json.NewDecoder(body); ; {
 		var notification map[string]any
--- a/cmd/cherrytrestle/fleet_test.go
+++ b/cmd/cherrytrestle/fleet_test.go
@@ -16,9 +16,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// TestRelaysReceiveFromEachOther runs three relays under faults of their links: all receive each other's reports, one
-// that is partitioned or whose reports are lost is not seen as alive and fresh, and all receive again after the faults.
-// Their recordings replay without a difference.
+// TestRelaysReceiveFromEachOther runs three relays and injects faults into the links between them. Without faults all
+// relays receive each other's load reports. The others do not see a partitioned relay as alive, and have no fresh
+// report of a relay whose reports are lost. After each fault all relays receive reports again. The recordings of the
+// relays replay without a difference.
 func TestRelaysReceiveFromEachOther(t *testing.T) {
 	endpoint := newEndpoint(t, nil)
 	fleet := newTestFleet(t, 3, endpoint)
@@ -27,7 +28,7 @@
 	fleet.sendTraffic()
 	fleet.waitReceived(all, all)
 
-	// Relay 0 is partitioned, for longer than gossip to members that it considers dead continues.
+	// Relay 0 is partitioned until the others no longer see it as alive and have no fresh report of it.
 	fleet.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
 	fleet.setFaults([]int{1, 2}, []int{0}, faultproxy.LinkFaults{Cut: true})
 	for _, i := range []int{1, 2} {
@@ -40,7 +41,7 @@
 	fleet.setFaults(all, all, faultproxy.LinkFaults{})
 	fleet.waitReceived(all, all)
 
-	// Relay 0 receives, and its reports are lost.
+	// Relay 0 receives reports, but its own reports are lost.
 	fleet.setFaults([]int{0}, []int{1, 2}, faultproxy.LinkFaults{Cut: true})
 	eventually(t, "the reports of the relay are not fresh", func() bool {
 		_, age := fleet.memberState(1, 0)
@@ -49,7 +50,7 @@
 	fleet.setFaults(all, all, faultproxy.LinkFaults{})
 	fleet.waitReceived(all, all)
 
-	// Datagrams are lost, doubled, reordered and delayed.
+	// Datagrams are lost, duplicated, reordered and delayed.
 	fleet.setFaults(all, all, faultproxy.LinkFaults{
 		DatagramFaults: faultproxy.DatagramFaults{
 			DropRatio:      0.3,
@@ -66,20 +67,20 @@
 		if len(status.Rejected) > 0 || status.Unreadable > 0 || status.NameConflict {
 			t.Errorf("relay %d: %+v", i, status)
 		}
-		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
+		_ = fleet.relays[i].terminate() // other tests check the shutdown
 		must(t, replayRecordings(fleet.relays[i]))
 	}
 }
 
-// TestStalledRelay stops a relay's process and lets it continue: its reports are not fresh meanwhile, and all relays
-// have fresh reports of each other afterwards.
+// TestStalledRelay suspends a relay's process and resumes it. While the process is suspended its reports are not
+// fresh. Afterwards all relays have fresh reports of each other.
 func TestStalledRelay(t *testing.T) {
 	fleet := newTestFleet(t, 3, newEndpoint(t, nil))
 	fleet.start(fleet.allRelays()...)
 	fleet.sendTraffic()
 	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
 	fleet.relays[0].signal(syscall.SIGSTOP)
-	eventually(t, "the reports of the stopped relay are not fresh", func() bool {
+	eventually(t, "the reports of the suspended relay are not fresh", func() bool {
 		_, age := fleet.memberState(1, 0)
 		return age > 8*time.Second
 	})
@@ -87,8 +88,8 @@
 	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
 }
 
-// TestAllRestarted kills all running relays of a fleet, which lacks one, and starts them again: they receive each
-// other's reports.
+// TestAllRestarted kills all running relays of a fleet and starts them again. One listed relay never runs. After the
+// restart the running relays receive each other's reports.
 func TestAllRestarted(t *testing.T) {
 	fleet := newTestFleet(t, 4, newEndpoint(t, nil))
 	three := []int{0, 1, 2}
@@ -102,8 +103,8 @@
 	fleet.waitReceived(three, three)
 }
 
-// TestReportsOutOfRangeAreRejected has a member publish a valid report and then reports with values out of range: they
-// are rejected, and messages are delivered as before.
+// TestReportsOutOfRangeAreRejected has a member publish a valid report and then reports with values out of range. The
+// latter are rejected, and messages are still delivered.
 func TestReportsOutOfRangeAreRejected(t *testing.T) {
 	endpoint := newEndpoint(t, nil)
 	fleet := newTestFleet(t, 4, endpoint)
@@ -128,7 +129,7 @@
 		return age >= 0
 	})
 	for sequence := uint64(2); ; sequence++ {
-		member.Publish(report(sequence, 90_000)) // for a destination with a limit of 500
+		member.Publish(report(sequence, 90_000)) // calls per second, at a destination with a limit of 500
 		time.Sleep(50 * time.Millisecond)
 		if status := fleet.status(0); status.Status != nil && status.Rejected[loadreport.OutOfRange] > 0 {
 			break
@@ -163,9 +164,9 @@
 	return member
 }
 
-// TestIgnoredMembers starts a fleet in which the port of relay 0 is in use, relay 2 belongs to another fleet, and relay
-// 3 is not listed by the others. Relay 0 serves, reports the port, and joins when the port is free. Relays 0 and 1
-// ignore the reports of the other two.
+// TestIgnoredMembers starts a fleet in which the port of relay 0 is in use, relay 2 belongs to another fleet, and
+// relay 3 is not listed by the others. Relay 0 delivers messages without the fleet, reports that its port is in use,
+// and joins the fleet when the port is free. Relays 0 and 1 ignore the reports of relays 2 and 3.
 func TestIgnoredMembers(t *testing.T) {
 	endpoint := newEndpoint(t, nil)
 	fleet := newTestFleet(t, 4, endpoint)
@@ -173,8 +174,9 @@
 	must(t, err)
 	defer closeQuietly(portUser)
 	fleet.writeOperatorFile(2, "label = \"another\"\n", nil)
-	// Relay 3 lists only relays 0 and 1, so that it contacts relay 1 within the test. With relay 2 in its list it might
-	// contact relays 0 and 2 each time, by chance.
+	// Relay 3 lists only relays 0 and 1, so that it certainly contacts relay 1 within the test. In each round a relay
+	// contacts at most two listed relays, chosen at random. With relay 2 in the list these might always be relays 0
+	// and 2.
 	for _, i := range []int{0, 1, 2} {
 		fleet.unlist(i, 3)
 	}
@@ -196,20 +198,22 @@
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
 			if state, age := fleet.memberState(i, j); age >= 0 || state == "alive" {
-				t.Errorf("%d receives from %d: %s, %v", i, j, state, age)
+				t.Errorf("relay %d receives from relay %d: state %q, report age %v", i, j, state, age)
 			}
 		}
 	}
 }
 
-// TestIncarnationsOfARelay restarts a relay many times, with an older state and without one: the others know its newest
-// incarnation each time. Then another process uses its name, which is detected.
+// TestIncarnationsOfARelay restarts a relay many times, then with an older state file, then without a state file. The
+// other relays receive its newest incarnation each time. Then another process uses the relay's name, and the conflict
+// is detected.
 func TestIncarnationsOfARelay(t *testing.T) {
 	fleet := newTestFleet(t, 3, newEndpoint(t, nil))
 	fleet.start(fleet.allRelays()...)
 	fleet.sendTraffic()
 	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
-	// waitKnown waits until relay 0 has a later incarnation that the others know, and returns it.
+	// waitKnown waits until the others have received an incarnation of relay 0 that is later than the given one. It
+	// returns the later incarnation.
 	waitKnown := func(what string, after loadreport.Incarnation) (current loadreport.Incarnation) {
 		t.Helper()
 		eventually(t, what, func() bool {
@@ -226,7 +230,7 @@
 		fleet.relays[0].kill()
 		fleet.start(0)
 	}
-	last := waitKnown("the newest incarnation is known", loadreport.Incarnation{})
+	last := waitKnown("the others have the newest incarnation", loadreport.Incarnation{})
 	if last.Generation != 51 {
 		t.Errorf("after fifty restarts the incarnation is %v", last)
 	}
@@ -247,7 +251,7 @@
 	rival.sendTraffic()
 	hasConflict := func(f *testFleet) bool {
 		status := f.status(0)
-		return status.Status != nil && status.NameConflict // nil: its member is not up yet
+		return status.Status != nil && status.NameConflict // nil: the relay has not joined the fleet yet
 	}
-	eventually(t, "one of the two is suspended", func() bool { return hasConflict(fleet) || hasConflict(rival) })
+	eventually(t, "a name conflict is detected", func() bool { return hasConflict(fleet) || hasConflict(rival) })
 }
--- a/cmd/cherrytrestle/floods_test.go
+++ b/cmd/cherrytrestle/floods_test.go
@@ -11,8 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// TestFloodsBlockNobody opens many connections at once on which clients misbehave: messages of other clients are
-// accepted and delivered, and the relay's descriptors and memory stay within their limits.
+// TestFloodsBlockNobody opens many connections at once on which clients misbehave. Messages of other clients are
+// still accepted and delivered, and the relay's file descriptors and memory stay within their limits.
 func TestFloodsBlockNobody(t *testing.T) {
 	const headers = "POST /order HTTP/1.1\r\nHost: x\r\nX-Trace-Id: flood\r\nContent-Length: 60000\r\n\r\n"
 	for _, c := range []struct {
@@ -34,7 +34,7 @@
 	}
 }
 
-// sendRequestsOnly sends requests and reads no answers.
+// sendRequestsOnly sends requests without reading the answers.
 func sendRequestsOnly(conn net.Conn) {
 	for range 200 {
 		if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
@@ -64,24 +64,28 @@
 		default:
 		}
 		id := fmt.Sprint("m", i)
-		// The relay may reject a client by closing its connection: the client tries again.
+		// The relay may reject a client by closing its connection. The client then tries again.
 		eventually(t, id+" accepted", func() bool { return r.accepts(id) })
 		peakDescriptors = max(peakDescriptors, r.descriptors())
 		peakMemory = max(peakMemory, r.memory(relayprocess.ResidentMemory))
 	}
-	eventually(t, "the last is delivered", func() bool { return endpoint.count("m39") > 0 })
+	eventually(t, "m39 is delivered", func() bool { return endpoint.count("m39") > 0 })
 	maxMemory := memoryFactor * memoryMiB * (1 << 20) / 1e6 // in MB
 	if peakDescriptors > sockets || peakMemory > maxMemory {
-		t.Errorf("%d descriptors of %d, %.1f MB of %.1f", peakDescriptors, sockets, peakMemory, maxMemory)
+		t.Errorf(
+			"peak of %d descriptors (limit %d) and %.1f MB (limit %.1f)",
+			peakDescriptors, sockets, peakMemory, maxMemory,
+		)
 	}
 	close(conns)
 	for conn := range conns {
 		closeQuietly(conn)
 	}
-	t.Logf("%d descriptors, %.1f MB", peakDescriptors, peakMemory)
+	t.Logf("peak of %d descriptors and %.1f MB", peakDescriptors, peakMemory)
 }
 
-// startFlood opens many connections and calls act with each. opened is closed when the last one is open.
+// startFlood opens many connections in the background, calls act with each, and sends the open connections to conns.
+// It closes opened after the last attempt to connect.
 func startFlood(t *testing.T, addr string, act func(conn net.Conn)) (conns chan net.Conn, opened chan struct{}) {
 	const connections = 400
 	conns = make(chan net.Conn, connections)
--- a/cmd/cherrytrestle/healthmonitor_test.go
+++ b/cmd/cherrytrestle/healthmonitor_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// healthMonitor checks the relay's health again and again until end is called. It measures the time until the relay is
-// ready, and the longest time between two answers.
+// healthMonitor polls the relay's health until end is called. It measures the time until the relay is ready, and the
+// longest time between two answers.
 type healthMonitor struct {
 	began   time.Time
 	stop    chan struct{}
 	done    sync.WaitGroup
-	ready   atomic.Int64 // nanoseconds since began; 0: not yet
-	longest atomic.Int64 // nanoseconds between two answers
+	ready   atomic.Int64 // nanoseconds from began until the relay was ready; 0: not ready yet
+	longest atomic.Int64 // longest time between two answers, in nanoseconds
 }
 
-// monitorHealth starts a health monitor, which ends with the test at the latest.
+// monitorHealth starts a health monitor, which is stopped at the end of the test at the latest.
 func (r *relayProcess) monitorHealth() *healthMonitor {
 	m := &healthMonitor{began: time.Now(), stop: make(chan struct{})}
 	client := &http.Client{Timeout: 30 * time.Second}
@@ -32,7 +32,7 @@
 			}
 			res, err := client.Get("http://" + r.addr + "/_health")
 			if err != nil {
-				continue // it does not listen yet
+				continue // the relay does not listen yet
 			}
 			closeQuietly(res.Body)
 			now := time.Now()
@@ -51,7 +51,7 @@
 
 func (m *healthMonitor) longestMS() float64 { return float64(m.longest.Load()) / 1e6 }
 
-// end ends the monitor. It may be called more than once.
+// end stops the monitor and waits for its goroutine. It may be called more than once.
 func (m *healthMonitor) end() {
 	select {
 	case <-m.stop:
@@ -61,7 +61,8 @@
 	m.done.Wait()
 }
 
-// waitReady waits until the relay is ready, and reports whether it was within the timeout.
+// waitReady waits until the relay is ready or the timeout, counted from the monitor's start, has passed. It reports
+// whether the relay is ready.
 func (m *healthMonitor) waitReady(timeout time.Duration) bool {
 	for m.ready.Load() == 0 && time.Since(m.began) < timeout {
 		time.Sleep(2 * time.Millisecond)
--- a/cmd/cherrytrestle/helpers_test.go
+++ b/cmd/cherrytrestle/helpers_test.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// conditionTimeout is longer than any of the tests' conditions should need.
+	// conditionTimeout bounds the wait for a condition. It is longer than any condition should need.
 	conditionTimeout  = 15 * time.Second
 	conditionInterval = 2 * time.Millisecond
 )
 
-// eventually waits until a condition is true. what names the condition.
+// eventually waits until the condition is true, and fails the test after conditionTimeout. what names the condition
+// in the failure message.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(conditionTimeout); !condition(); time.Sleep(conditionInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within %v: %s", conditionTimeout, what)
 		}
 	}
 }
 
-// must ends the test if there is an error.
+// must fails the test immediately if err is not nil.
 func must(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
@@ -30,11 +31,11 @@
 	}
 }
 
-// closeQuietly closes what a test no longer needs. Its error says nothing about the relay.
+// closeQuietly closes c and ignores the error, because no test depends on it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// drain reads until the end, or until the relay closes the connection.
+// drain reads and discards all data until the end or an error, such as a closed connection.
 func drain(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-// writeQuietly writes to a connection that the relay may have closed already.
+// writeQuietly writes to a connection and ignores the error, because the relay may have closed the connection.
 func writeQuietly(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
--- a/cmd/cherrytrestle/hotrestart_test.go
+++ b/cmd/cherrytrestle/hotrestart_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// restartOnInheritedSocket restarts a relay with a listening socket that the test opens and passes to its processes, as
-// a platform does for hot restarts.
+// restartOnInheritedSocket restarts a relay with a listening socket that the test opens and passes to the relay's
+// processes, as the platform does for hot restarts.
 func restartOnInheritedSocket(t *testing.T, r *relayProcess, platform *fakePlatform) {
 	t.Helper()
 	r.kill()
@@ -30,8 +30,9 @@
 	waitReady(t, management)
 }
 
-// hotRestart starts a second process, waits until it is ready, and sends SIGTERM to the first. It returns the first
-// process, and a channel for the error with which that ends.
+// hotRestart starts a second process (the successor), waits until it is ready, and sends SIGTERM to the first process
+// (the predecessor). It returns a channel that receives the error with which the first process ends, and the first
+// process itself.
 func (r *relayProcess) hotRestart(platform *fakePlatform) (ended <-chan error, first *exec.Cmd) {
 	r.t.Helper()
 	first = r.cmd
@@ -44,16 +45,16 @@
 	return done, first
 }
 
-// keepAliveClient submits messages on one connection until an answer says that the relay closes it. It counts requests
-// without an answer as failures.
+// keepAliveClient submits messages on one connection until an answer has the header "Connection: close", and then on a
+// new connection. It counts requests without an answer as failures.
 type keepAliveClient struct {
 	r        *relayProcess
-	conn     net.Conn // nil: none
+	conn     net.Conn // nil: not connected
 	in       *bufio.Reader
 	failures *atomic.Int64
 }
 
-// submit submits a message and returns the answer's status, or 0 without an answer.
+// submit submits a message and returns the answer's status, or 0 if there is no answer.
 func (c *keepAliveClient) submit(id string, expires time.Duration) int {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.r.addr)
@@ -86,12 +87,12 @@
 	return res.StatusCode
 }
 
-// keepAliveLoad is clients that submit messages on connections that they keep, until end is called.
+// keepAliveLoad is a group of clients that submit messages on persistent connections until end is called.
 type keepAliveLoad struct {
-	failures atomic.Int64 // connections that were refused, reset or closed without an answer
-	rejected atomic.Int64
-	accepted atomic.Int64
-	ids      sync.Map // the ids of the accepted messages
+	failures atomic.Int64 // requests whose connection was refused, reset or closed without an answer
+	rejected atomic.Int64 // requests with the answer 503
+	accepted atomic.Int64 // requests with the answer 202
+	ids      sync.Map     // the ids of the accepted messages
 	stop     chan struct{}
 	clients  sync.WaitGroup
 }
@@ -128,8 +129,8 @@
 	l.clients.Wait()
 }
 
-// answerSlowly answers after a random time of 20 to 100 ms, and one call of fifty 600 ms later, so that it is in flight
-// during a hot restart.
+// answerSlowly answers after a random time of 20 to 100 ms. About one call in fifty takes 600 ms longer, so that some
+// calls are in flight during a hot restart.
 func answerSlowly(http.ResponseWriter, *http.Request, []string) {
 	if rand.IntN(50) == 0 {
 		time.Sleep(600 * time.Millisecond)
@@ -137,8 +138,8 @@
 	time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
 }
 
-// TestHotRestartsUnderLoad does several hot restarts under load: no connection of a client is refused, reset or closed
-// without an answer, and each accepted message is delivered once.
+// TestHotRestartsUnderLoad does several hot restarts under load. No connection of a client is refused, reset or
+// closed without an answer, and each accepted message is delivered exactly once.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	one := newEndpoint(t, answerSlowly)
 	two := newEndpoint(t, answerSlowly)
@@ -156,7 +157,7 @@
 		time.Sleep(300 * time.Millisecond) // load between two hot restarts
 		ended, _ := r.hotRestart(platform)
 		if err := <-ended; err != nil {
-			t.Errorf("the first process: %v", err)
+			t.Errorf("the first process ended with an error: %v", err)
 		}
 	}
 	load.end()
@@ -171,17 +172,17 @@
 		eventually(t, fmt.Sprint(id, " delivered"), func() bool { return calls(id.(string)) > 0 })
 		return true
 	})
-	// The endpoints answer each call, so that there is no reason for a repeat. A call that is cancelled before its
-	// connection is open does not reach them.
+	// The endpoints answer each call, so no message needs to be repeated. A call that is cancelled before its
+	// connection is open does not reach an endpoint.
 	for id, calls := range callsByMessage(one, two) {
 		if calls > 1 {
-			t.Errorf("%s ran %d times", id, calls)
+			t.Errorf("message %s ran %d times, want 1", id, calls)
 		}
 	}
 }
 
-// TestHotRestartKeepsPendingState does a hot restart during a Retry-After and with a call in flight: the second process
-// observes the Retry-After, and the outcome of the call ends its message.
+// TestHotRestartKeepsPendingState does a hot restart during a Retry-After and with a call in flight. The second
+// process observes the Retry-After, and the outcome of the call ends the message that the call carries.
 func TestHotRestartKeepsPendingState(t *testing.T) {
 	answerSlow := make(chan struct{})
 	var reject atomic.Bool
@@ -205,32 +206,32 @@
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
-	time.Sleep(50 * time.Millisecond) // until the relay has read the answer, which cannot be observed
+	time.Sleep(50 * time.Millisecond) // time for the relay to read the answer, which the test cannot observe
 	reject.Store(false)
 	ended, _ := r.hotRestart(platform)
 	r.mustAccept("m2", 10*time.Second)
 	if time.Since(rejectedAt) < 2*time.Second && endpoint.count("m2")+endpoint.count("m1") != 1 {
-		t.Error("sent during a Retry-After")
+		t.Error("a message was sent during the Retry-After")
 	}
-	close(answerSlow) // the first process receives the answer, and forwards it to the second
+	close(answerSlow) // the first process receives the answer and forwards it to the second process
 	eventually(t, "both are delivered", func() bool { return endpoint.count("m2") == 1 && endpoint.count("m1") == 2 })
 	if d := time.Since(rejectedAt); d < 2300*time.Millisecond {
-		t.Errorf("sent %v after a Retry-After of 2.5 s", d)
+		t.Errorf("messages were sent %v after a Retry-After of 2.5 s", d)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the first process: %v", err)
+		t.Errorf("the first process ended with an error: %v", err)
 	}
 	if endpoint.count("slow") != 1 || platform.notification("slow") != nil {
 		t.Error("the call in flight has not ended its message")
 	}
 	r.client.CloseIdleConnections()
 	if err := r.terminate(); err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("the relay ended with an error: %v", err)
 	}
 }
 
-// TestHotRestartKeepsFinishedMessages submits a message to the first process, and once more to the second after it has
-// been delivered: it is accepted, and does not run again.
+// TestHotRestartKeepsFinishedMessages submits a message to the first process and, after its delivery, again to the
+// second process. The second process accepts the message and does not send it again.
 func TestHotRestartKeepsFinishedMessages(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -244,21 +245,22 @@
 	}
 	submitPayment()
 	eventually(t, "delivered", func() bool { return endpoint.count("m1") == 1 })
-	time.Sleep(50 * time.Millisecond) // until the relay has read the answer, which cannot be observed
+	time.Sleep(50 * time.Millisecond) // time for the relay to read the answer, which the test cannot observe
 	ended, _ := r.hotRestart(platform)
 	if err := <-ended; err != nil {
-		t.Errorf("the first process: %v", err)
+		t.Errorf("the first process ended with an error: %v", err)
 	}
 	r.client.CloseIdleConnections()
 	submitPayment()
 	r.mustAccept("m2", 10*time.Second)
-	eventually(t, "the message after it", func() bool { return endpoint.count("m2") == 1 })
+	eventually(t, "m2 is delivered", func() bool { return endpoint.count("m2") == 1 })
 	if n := endpoint.count("m1"); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("m1 ran %d times, want 1", n)
 	}
 }
 
-// startWithSlowCall starts a relay on an inherited socket, and submits a message whose first call ends with the test.
+// startWithSlowCall starts a relay on an inherited socket, and submits a message whose first call gets no answer
+// before the end of the test.
 func startWithSlowCall(t *testing.T) (*relayProcess, *fakePlatform, *fakeEndpoint) {
 	t.Helper()
 	testEnds := make(chan struct{})
@@ -281,21 +283,21 @@
 	return r, platform, endpoint
 }
 
-// TestFirstProcessKilledDuringHotRestart kills the first process while the second serves: its call in flight may have
-// run, and the second process repeats the message.
+// TestFirstProcessKilledDuringHotRestart kills the first process while the second serves. The call that the first
+// process has in flight may have run. The second process repeats the message of this call.
 func TestFirstProcessKilledDuringHotRestart(t *testing.T) {
 	r, platform, endpoint := startWithSlowCall(t)
 	_, first := r.hotRestart(platform)
 	r.client.CloseIdleConnections()
-	r.mustAccept("m1", 10*time.Second) // by the second process
+	r.mustAccept("m1", 10*time.Second) // accepted by the second process
 	must(t, first.Process.Kill())
 	eventually(t, "repeated, within its zone and window", func() bool { return endpoint.count("slow") == 2 })
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "served by the second process", func() bool { return endpoint.count("m2") == 1 })
 }
 
-// TestSecondProcessKilledBeforeHotRestart kills the second process before the first has had SIGTERM: the first serves
-// as before.
+// TestSecondProcessKilledBeforeHotRestart kills the second process before the first has received SIGTERM. The first
+// process continues to serve.
 func TestSecondProcessKilledBeforeHotRestart(t *testing.T) {
 	r, platform, endpoint := startWithSlowCall(t)
 	first := r.cmd
@@ -308,15 +310,16 @@
 	eventually(t, "served by the first process", func() bool { return endpoint.count("m1") == 1 })
 }
 
-// The processes of a hot restart that have SIGTERM after a delay.
+// The processes of a hot restart that receive SIGTERM after the delay of the test case.
 const (
-	secondBefore = "second, before" // the second, and the first has had none
-	secondAfter  = "second"         // the second, after the first has had its SIGTERM
-	bothAfter    = "both"           // the second, and the first once more
+	secondBefore = "second, before" // the second process; the first receives no SIGTERM
+	secondAfter  = "second"         // the second process, after the first has received SIGTERM
+	bothAfter    = "both"           // the second process, and the first for the second time
 )
 
-// TestTerminatedDuringHotRestart sends SIGTERM at different times of a hot restart, to the second process or to both:
-// each ends in order, the next process sends the accepted messages, and no payment runs twice.
+// TestTerminatedDuringHotRestart sends SIGTERM at different times of a hot restart, to the second process or to both.
+// Each terminated process shuts down in time and without an error. The process that serves afterwards sends the
+// accepted messages, and no payment runs twice.
 func TestTerminatedDuringHotRestart(t *testing.T) {
 	for _, who := range []string{secondBefore, secondAfter, bothAfter} {
 		for _, delayMS := range []int{0, 3, 10, 30, 150} {
@@ -358,20 +361,20 @@
 	for _, id := range accepted {
 		waitSentOrEnded(t, endpoint, platform, id)
 		if endpoint.count(id) == 0 {
-			t.Errorf("%s was never sent: %v", id, platform.notification(id))
+			t.Errorf("message %s was never sent, its notification is %v", id, platform.notification(id))
 		}
 	}
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a new message is delivered", func() bool { return endpoint.count("m1") == 1 })
 	for i, id := range accepted {
 		if n := endpoint.count(id); n > 1 && i/2%2 == 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("payment %s ran %d times", id, n)
 		}
 	}
 }
 
-// submitSentAndUnsent submits messages to a destination whose endpoint is in service, and to one whose endpoint is
-// draining. Of each four messages the last two are payments.
+// submitSentAndUnsent submits messages in turn to destination 7, whose endpoint is ready, and to destination 8, whose
+// endpoint is draining. It returns their ids. Of every four messages the last two are payments.
 func submitSentAndUnsent(t *testing.T, r *relayProcess) []string {
 	t.Helper()
 	var accepted []string
@@ -418,15 +421,15 @@
 	}
 }
 
-// checkShutdown waits for the end of a process that has had SIGTERM, and checks that it ended in time and without an
-// error. With maybeUncaught the signal may have come before the process caught it, and have ended it.
+// checkShutdown waits for the end of a process that was sent SIGTERM, and checks that the process ended in time and
+// without an error. With maybeUncaught, SIGTERM may also have killed the process before it began to catch the signal.
 func checkShutdown(t *testing.T, cmd *exec.Cmd, began time.Time, maybeUncaught bool) {
 	t.Helper()
 	err := cmd.Wait()
 	if err != nil && (!endedBySignal(err) || !maybeUncaught) {
-		t.Errorf("ended: %v", err)
+		t.Errorf("the process ended with an error: %v", err)
 	}
 	if took := time.Since(began); took > maxShutdownTime {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the process ended %v after SIGTERM, want at most %v", took, maxShutdownTime)
 	}
 }
--- a/cmd/cherrytrestle/idleclients_test.go
+++ b/cmd/cherrytrestle/idleclients_test.go
@@ -13,8 +13,9 @@
 	"time"
 )
 
-// startIdleClients starts n clients, each of which connects, writes a text and waits until the relay closes the
-// connection. Then it connects again, until ctx ends. wait waits until all have ended.
+// startIdleClients starts n clients. Each client connects, writes the text and waits until the relay closes the
+// connection. Then it connects again, until ctx is cancelled. The returned function waits until all clients have
+// ended.
 func startIdleClients(ctx context.Context, addr string, n int, text string) (wait func()) {
 	var clients sync.WaitGroup
 	for range n {
@@ -38,9 +39,9 @@
 	return clients.Wait
 }
 
-// TestIdleClientsLeaveDescriptorsForTheOthers opens more idle connections than the relay may have descriptors, while
-// discovery is down. The relay still has descriptors for health checks, for new connections to endpoints, and for the
-// connection to discovery when that is back.
+// TestIdleClientsLeaveDescriptorsForTheOthers opens more idle connections than the relay may have file descriptors,
+// while discovery is down. The relay still has descriptors for health checks, for new connections to endpoints, and
+// for the connection to discovery when discovery is up again.
 func TestIdleClientsLeaveDescriptorsForTheOthers(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
@@ -90,7 +91,7 @@
 		id := fmt.Sprint("m", i)
 		accepted(id)
 		eventually(t, id+" at the endpoint", func() bool { return one.count(id) > 0 })
-		one.CloseClientConnections() // the next call needs a connection of its own
+		one.CloseClientConnections() // the next call needs a new connection
 	}
 	descriptors := r.descriptors()
 	down.Store(false)
@@ -102,11 +103,12 @@
 	})
 	t.Logf("%d descriptors of %d", descriptors, sockets)
 	if descriptors < sockets/5 {
-		t.Errorf("%d descriptors: the idle clients use none", descriptors)
+		t.Errorf("%d descriptors in use, want at least %d: the idle clients use none", descriptors, sockets/5)
 	}
 }
 
-// newFailingDiscovery starts a discovery that closes all connections while it is down, and has one endpoint afterwards.
+// newFailingDiscovery starts a discovery server that closes all connections while down is true, and afterwards lists
+// one endpoint.
 func newFailingDiscovery(t *testing.T, entry listEntry) (platform *fakePlatform, down *atomic.Bool) {
 	t.Helper()
 	down = &atomic.Bool{}
