--- a/cmd/cherrytrestle/main.go
+++ b/cmd/cherrytrestle/main.go
@@ -1,13 +1,14 @@
 // Command cherrytrestle is the relay, with commands that read its recordings and its journal.
 //
 //	cherrytrestle [serve]         accepts messages from clients and delivers each by a call to an endpoint
-//	cherrytrestle replay FILE     replays a recording with the decision engine as built here
-//	cherrytrestle explain FILE    explains what delayed messages
+//	cherrytrestle replay FILE     replays a recording with the decision engine of this build
+//	cherrytrestle explain FILE    explains from a recording what delayed messages
 //	cherrytrestle recording ...   lists recordings, or extracts them from a log
-//	cherrytrestle fleet ...       counts over recordings of many relays, or queries running relays for their fleet
+//	cherrytrestle fleet ...       analyzes recordings of many relays, or queries running relays for their fleet status
 //	cherrytrestle journal ...     inspects a relay's journal
 //
-// The configuration of serve comes from the platform by the environment (package relay), and from the operator's file.
+// The serve command takes its configuration from the platform through environment variables (package relay), and from
+// the operator's file (package operatorfile).
 package main
 
 import (
@@ -28,26 +29,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store"
 )
 
-// heapFraction is the fraction of the memory limit that the Go runtime may use. The rest is for the program's code and
-// for the pages of the journal's files.
+// heapFraction is the fraction of the memory limit that the Go runtime may use. The remaining memory is for the
+// program's code and for the pages of the journal's files.
 const heapFraction = 0.7
 
-// commands has the commands and flags of the command line, in kong's form.
+// commands declares the commands and flags of the program for the kong parser.
 //
 //nolint:lll // A struct tag is one line.
 type commands struct {
 	Version   kong.VersionFlag `help:"Print the version and end."`
 	Serve     serveCommand     `cmd:"" default:"withargs" help:"Run the relay (the default)."`
-	Replay    replayCommand    `cmd:"" help:"Play recordings to the decision module as built here, and tell whether it decides the same."`
-	Explain   explainCommand   `cmd:"" help:"Tell from recordings what held messages up."`
-	Fleet     fleetCommand     `cmd:"" help:"Tell of a fleet: from recordings of many relays, or as running ones see it."`
-	Recording recordingCommand `cmd:"" help:"List recordings, or take them out of a log."`
-	Journal   journalCommand   `cmd:"" help:"Look into a relay's journal, running or not."`
+	Replay    replayCommand    `cmd:"" help:"Replay recordings with the decision engine of this build and report differences (status 3)."`
+	Explain   explainCommand   `cmd:"" help:"Explain from recordings what delayed messages."`
+	Fleet     fleetCommand     `cmd:"" help:"Analyze the recordings of a fleet's relays, or query running relays for the fleet's status."`
+	Recording recordingCommand `cmd:"" help:"List recordings, or extract them from a log."`
+	Journal   journalCommand   `cmd:"" help:"Inspect the journal of a relay, which may be running."`
 }
 
 func main() {
-	// The signals stay caught until the process exits. Otherwise a second one just before the exit would end the
-	// process, with the signal as its status.
+	// The stop function is not used: the signals stay caught until the process exits. Otherwise a second signal just
+	// before the exit would kill the process, and its exit status would be that of the signal.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	status := cli.Run(ctx, "cherrytrestle", "A relay for outbound messages.", &commands{}, os.Args[1:],
 		cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}, cli.Failed)
@@ -56,14 +57,14 @@
 
 //nolint:lll // A struct tag is one line.
 type serveCommand struct {
-	Operator string `help:"The operator's file (TOML): what this installation turns on. None: nothing." env:"CHERRYTRESTLE_OPERATOR" placeholder:"FILE"`
+	Operator string `help:"The operator's file (TOML), which turns on optional features. Default: none of them." env:"CHERRYTRESTLE_OPERATOR" placeholder:"FILE"`
 
-	wrapJournalFS func(store.FS) store.FS // set by tests, between the journal and its files
+	wrapJournalFS func(store.FS) store.FS // set by tests: wraps the file system of the journal
 }
 
 // Run serves until SIGTERM or SIGINT. SIGHUP reloads the configuration, SIGUSR1 dumps the recording.
 func (c *serveCommand) Run(ctx context.Context) error {
-	// Both are caught from the start, because an uncaught one ends the process.
+	// SIGHUP and SIGUSR1 are caught from the start, because a signal that is not caught ends the process.
 	reload := notifySignal(syscall.SIGHUP)
 	dump := notifySignal(syscall.SIGUSR1)
 	file, err := operatorfile.Load(c.Operator)
@@ -89,15 +90,16 @@
 	return r.Run(ctx)
 }
 
-// notifySignal returns a channel that receives a signal.
+// notifySignal returns a channel that receives a signal of the process. The channel holds one: further signals are
+// dropped until it is read.
 func notifySignal(sig os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, sig)
 	return signals
 }
 
-// handleSignals reloads the configuration and dumps the recording on request. It runs until the process exits, so that
-// both are possible during the shutdown.
+// handleSignals reloads the configuration on each SIGHUP and dumps the recording on each SIGUSR1. It runs until the
+// process exits, so that both signals also work during the shutdown.
 func handleSignals(r *relay.Relay, log *slog.Logger, reload, dump <-chan os.Signal) {
 	for {
 		select {
--- a/cmd/cherrytrestle/recording.go
+++ b/cmd/cherrytrestle/recording.go
@@ -38,7 +38,7 @@
 	return out.Err()
 }
 
-// printEntries lists a recording's chunks and notes, and counts its steps.
+// printEntries lists a recording's chunks, its notes and the parts that could not be read, and counts its steps.
 func printEntries(out *cli.Printer, data []byte) error {
 	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return out.Err()
 }
 
-// recordingFileName returns the name of a recording's file. It uses only the last element of the recorded relay's name,
-// so that the file is always in the chosen folder.
+// recordingFileName returns the name of a recording's file. The relay's name in the recording may contain slashes:
+// only its last element is used, so that the file is always in the chosen folder.
 func recordingFileName(recording flightrecorder.Recording) string {
 	name := filepath.Base(filepath.Clean("/" + recording.Meta.Name))
 	return fmt.Sprintf("%s-%016x%s", name, recording.ID, flightrecorder.FileExtension)
--- a/cmd/cherrytrestle/replay.go
+++ b/cmd/cherrytrestle/replay.go
@@ -15,11 +15,11 @@
 //nolint:lll // A struct tag is one line.
 type replayCommand struct {
 	Files []string `arg:"" name:"file" help:"Recordings: files of a recorder's folder, or logs that hold them." type:"existingfile"`
-	Quiet bool     `short:"q" help:"Print only differences and what could not be read."`
+	Quiet bool     `short:"q" help:"Print only differences and parts that could not be read."`
 }
 
-// Run replays the recordings. The exit status is 0 if all replay without a difference, exitDiffers if one does not, and
-// cli.Failed if one cannot be replayed.
+// Run replays the recordings. The exit status is 0 if every replay agrees with its recording, exitDiffers if one
+// differs, and cli.Failed if a recording cannot be replayed.
 func (c *replayCommand) Run(s *cli.Streams) error {
 	found, err := flightrecorder.Load(c.Files...)
 	if err != nil {
@@ -53,10 +53,10 @@
 		out.Printf("%016x: not read: %s\n", recording.ID, lost)
 	}
 	if !c.Quiet {
-		out.Printf("%016x: %s, %s of %v, %d bytes in %d chunks: ",
+		out.Printf("%016x: %s, %s, duration %v, %d bytes in %d chunks: ",
 			recording.ID, result.Meta.Name, revisions(result),
 			(result.To - result.From).Round(time.Millisecond), len(recording.Data), result.Chunks)
-		out.Printf("%d steps, %d events, %d actions, %d clearances, %d states; %.0f events a second\n",
+		out.Printf("%d steps, %d events, %d actions, %d send checks, %d engine states; %.0f events a second\n",
 			result.Steps, result.Events, result.Actions, result.SendChecks, result.States,
 			float64(result.Events)/duration.Seconds())
 	}
@@ -67,10 +67,10 @@
 	}
 }
 
-// revisions describes the revisions that recorded and that replayed.
+// revisions describes the engine's revision that made the recording and the one that replayed it.
 func revisions(result replay.Result) string {
 	if result.SameRevision() {
 		return "revision " + result.Revision
 	}
-	return fmt.Sprintf("recorded by revision %s, played by %s", result.Meta.Revision, result.Revision)
+	return fmt.Sprintf("recorded by revision %s, replayed by %s", result.Meta.Revision, result.Revision)
 }
