--- a/cmd/cherrytrestle/kill_test.go
+++ b/cmd/cherrytrestle/kill_test.go
@@ -12,10 +12,12 @@
 	"time"
 )
 
-var relayKills = flag.Int("relaykills", 8, "how often TestKilledUnderLoad kills the relay")
+var relayKills = flag.Int("relaykills", 8,
+	"how often TestKilledUnderLoad kills the relay; TestKilledAgainDuringRecovery runs half as many rounds")
 
-// TestKilledUnderLoad kills a relay at random times under load. Its disk is small, so that its journal is compacted.
-// Each accepted message is sent or ends with a notification, and no payment is sent twice.
+// TestKilledUnderLoad kills a relay at random times under load. The relay's disk limit is so small that the journal is
+// compacted. Each accepted message is sent or ends with a notification, and no message of the class "pay" is sent
+// twice.
 func TestKilledUnderLoad(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -46,18 +48,18 @@
 	calls := checkNoPaymentTwice(t, endpoint)
 	t.Logf("%d messages accepted, %d calls, %d kills", len(load.accepted), calls, *relayKills)
 	if len(load.accepted) < 10**relayKills {
-		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
+		t.Errorf("only %d messages were accepted, too few for this test", len(load.accepted))
 	}
 }
 
-// largeMessageLoad is clients that submit large messages of both classes.
+// largeMessageLoad is a group of clients that submit large messages of the classes "order" and "pay" to a relay.
 type largeMessageLoad struct {
 	r        *relayProcess
 	mu       sync.Mutex
 	accepted []string
 }
 
-// submit submits messages until stop is closed.
+// submit submits messages, one after the other, until stop is closed.
 func (l *largeMessageLoad) submit(name string, stop <-chan struct{}) {
 	body := strings.Repeat("x", 6000)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
@@ -86,8 +88,9 @@
 	}
 }
 
-// TestKilledAgainDuringRecovery kills a relay that has many messages in its journal, and kills it twice more at random
-// times of the next start: each accepted message is sent or ends with a notification, and no payment is sent twice.
+// TestKilledAgainDuringRecovery kills a relay that has many messages in its journal. It also kills the next two
+// processes, at random times of their recovery. Each accepted message is sent or ends with a notification, and no
+// message of the class "pay" is sent twice.
 func TestKilledAgainDuringRecovery(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -128,18 +131,19 @@
 	}
 	checkNoPaymentTwice(t, endpoint)
 	if len(accepted) < 15**relayKills {
-		t.Errorf("only %d accepted: the test shows little", len(accepted))
+		t.Errorf("only %d messages were accepted, too few for this test", len(accepted))
 	}
 }
 
-// checkNoPaymentTwice checks that no payment reached the endpoint more than once. It returns the number of calls, each
-// counted once for each of its messages.
+// checkNoPaymentTwice checks that the endpoint received no message of the class "pay" more than once. The ids of such
+// messages begin with "pay". It returns the number of calls, and counts a call with several messages once for each of
+// them.
 func checkNoPaymentTwice(t *testing.T, endpoint *fakeEndpoint) (total int) {
 	t.Helper()
 	for id, calls := range callsByMessage(endpoint) {
 		total += calls
 		if calls > 1 && strings.HasPrefix(id, "pay") {
-			t.Errorf("%s ran %d times", id, calls)
+			t.Errorf("%s was sent %d times, want at most once", id, calls)
 		}
 	}
 	return total
--- a/cmd/cherrytrestle/killstep_test.go
+++ b/cmd/cherrytrestle/killstep_test.go
@@ -16,17 +16,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/state/store/faultfs"
 )
 
-// killVariable names the step at which a relay of the tests kills itself.
+// killVariable is the environment variable that passes a killStep, in JSON, to a relay process of the tests.
 const killVariable = "CHERRYTRESTLE_TEST_KILL"
 
-// killStep is a step at which a relay kills itself, and the faults of its journal's files.
+// killStep specifies the call to its journal's files at which a relay kills itself, and the faults of the files.
 type killStep struct {
 	At   int  // number of the call to the files, from 1; 0: never
-	Torn bool // a write is cut in the middle
-	Late bool // writes reach the files late
+	Torn bool // if that call is a write, half of its data is written
+	Late bool // a write reaches its file only with a later call
 }
 
-// serveUntilKilled runs a relay whose journal uses a faultfs.Killer for its files. step is a killStep in JSON.
+// serveUntilKilled runs a relay that kills itself at a step, a killStep in JSON. The relay's journal accesses its
+// files through a faultfs.Killer.
 func serveUntilKilled(step string) {
 	var k killStep
 	if err := json.Unmarshal([]byte(step), &k); err != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// setKillStep sets the step at which the relay's next processes kill themselves.
+// setKillStep makes each later process of the relay kill itself at a step.
 func (r *relayProcess) setKillStep(k killStep) {
 	r.t.Helper()
 	step, err := json.Marshal(k)
@@ -51,7 +52,7 @@
 	r.env = []string{killVariable + "=" + string(step)}
 }
 
-// gatedEndpoint answers no call until its gate is closed.
+// gatedEndpoint is an endpoint that answers calls only after the channel gate has been closed.
 type gatedEndpoint struct {
 	*fakeEndpoint
 	gate     chan struct{}
@@ -72,9 +73,15 @@
 	return gated
 }
 
-// runKilledAt submits messages that the endpoint does not answer to a relay with the faults of first, kills it, starts
-// it twice so that it kills itself at the step during its recovery, and lets the next process recover. It returns what
-// was wrong, and whether the recovery had such a step.
+// runKilledAt kills a relay, and then two of its recoveries at the same step:
+//
+//  1. A relay whose files have the faults of first accepts messages. The endpoint does not answer, and the relay is
+//     killed.
+//  2. Two further processes, one after the other, recover the messages and kill themselves at step.
+//  3. The endpoint begins to answer, and a last process recovers the messages.
+//
+// It returns the violations that it finds after that, and whether the second process of item 2 reached the step before
+// the end of its recovery.
 func runKilledAt(t *testing.T, first, step killStep) (wrong []string, reached bool) {
 	t.Helper()
 	platform := newPlatform(t)
@@ -98,14 +105,15 @@
 	r.start(platform)
 	timeout := conditionTimeout
 	if first.Late {
-		timeout = 2 * time.Second // messages are expected to be lost
+		timeout = 2 * time.Second // shorter, because messages are expected to be lost
 	}
 	wrong = violationsAfter(platform, endpoint, accepted, timeout)
 	r.kill()
 	return wrong, reached
 }
 
-// submitBothClasses submits messages of both classes, and returns the accepted ones.
+// submitBothClasses submits messages of the classes "order" and "pay" in turn. It returns the ids of the accepted
+// ones.
 func submitBothClasses(r *relayProcess, name string) []string {
 	var accepted []string
 	for i := range 8 {
@@ -118,18 +126,19 @@
 	return accepted
 }
 
-// killDuringRecovery starts a relay that kills itself at a step. It returns whether it did so before each message was
-// sent again or had ended; otherwise it kills the relay then.
+// killDuringRecovery starts a process that is to kill itself at its step. It reports whether the process did so before
+// the end of its recovery, at which each accepted message has been sent again or has a notification. If the recovery
+// ends first, killDuringRecovery kills the process.
 func killDuringRecovery(r *relayProcess, platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) bool {
 	calls := map[string]int{}
 	for _, id := range accepted {
 		calls[id] = endpoint.count(id)
 	}
-	waits := func(id string) bool { return endpoint.count(id) <= calls[id] && platform.notification(id) == nil }
+	waiting := func(id string) bool { return endpoint.count(id) <= calls[id] && platform.notification(id) == nil }
 	r.launch(platform)
 	ended := make(chan struct{})
 	go func() {
-		_ = r.cmd.Wait() // the signal is its error
+		_ = r.cmd.Wait() // an error is expected: a signal ends the process
 		close(ended)
 	}()
 	reached := false
@@ -139,15 +148,16 @@
 			reached = true
 		default:
 		}
-		return reached || !slices.ContainsFunc(accepted, waits)
+		return reached || !slices.ContainsFunc(accepted, waiting)
 	})
-	_ = r.cmd.Process.Kill() // it may have ended
+	_ = r.cmd.Process.Kill() // fails if the process has already ended
 	<-ended
 	r.client.CloseIdleConnections()
 	return reached
 }
 
-// violationsAfter waits until there are no violations. It returns those that there still are after the timeout.
+// violationsAfter polls until there are no violations, or until the timeout. It returns the violations of the last
+// poll.
 func violationsAfter(
 	platform *fakePlatform, endpoint *gatedEndpoint, accepted []string, timeout time.Duration,
 ) []string {
@@ -159,7 +169,8 @@
 	}
 }
 
-// violations describes the messages that were lost, and the payments that ran twice.
+// violations describes the accepted messages that were lost, and the messages of the class "pay" that were sent more
+// than once. A message is lost if no call with it was answered and the platform received no notification of it.
 func violations(platform *fakePlatform, endpoint *gatedEndpoint, accepted []string) []string {
 	var wrong []string
 	for _, id := range accepted {
@@ -167,14 +178,15 @@
 			wrong = append(wrong, id+" was lost")
 		}
 		if endpoint.count(id) > 1 && strings.HasPrefix(id, "pay") {
-			wrong = append(wrong, id+" ran twice")
+			wrong = append(wrong, id+" was sent more than once")
 		}
 	}
 	return wrong
 }
 
-// TestKilledAtEachStepOfRecovery kills a relay twice at the same step of its recovery, for each step: before each call
-// to the journal's files, and in the middle of each write. Each accepted message ends, and no payment runs twice.
+// TestKilledAtEachStepOfRecovery kills a relay twice at the same step of its recovery. It does so for each step:
+// before each call to the journal's files, and in the middle of each write. No accepted message is lost, and no
+// message of the class "pay" is sent twice.
 func TestKilledAtEachStepOfRecovery(t *testing.T) {
 	last := 0
 	for _, torn := range []bool{false, true} {
@@ -190,14 +202,14 @@
 			last = max(last, at)
 		}
 	}
-	t.Logf("%d steps", last)
+	t.Logf("the recovery has %d steps", last)
 	if last < 20 {
-		t.Errorf("a recovery of %d steps: the test shows little", last)
+		t.Errorf("the recovery has only %d steps, too few for this test", last)
 	}
 }
 
-// TestLateJournalWriteIsDetected shows that runKilledAt can fail: it finds a violation if a relay writes its journal
-// only after the action that the record is for, because the last write is lost with the process.
+// TestLateJournalWriteIsDetected checks that runKilledAt finds a violation if a relay writes a record of its journal
+// only after the action that the record is for. A kill then loses the last write.
 func TestLateJournalWriteIsDetected(t *testing.T) {
 	for at := 1; at <= 10; at++ {
 		if wrong, _ := runKilledAt(t, killStep{Late: true}, killStep{At: at}); len(wrong) > 0 {
@@ -205,5 +217,5 @@
 			return
 		}
 	}
-	t.Error("it keeps the rules")
+	t.Error("no violation was found although the journal's writes were late")
 }
--- a/cmd/cherrytrestle/largecatalog_test.go
+++ b/cmd/cherrytrestle/largecatalog_test.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxCatalogMemoryMB bounds the peak memory of a relay, at any size of the list.
+	// maxCatalogMemoryMB is the highest peak memory that a relay may use, in MB, whatever the size of its list.
 	maxCatalogMemoryMB = 128
 	readyTimeout       = 30 * time.Second
 )
 
-// TestLargeCatalog starts a relay with a list of many destinations, from discovery or from its configuration, and
-// changes one entry. The relay becomes ready, applies the change, and stays within its memory bound.
+// TestLargeCatalog starts a relay with a list of many destinations, from discovery or from its configuration, and then
+// adds a destination. The relay becomes ready, accepts and delivers a message to the new destination, and stays within
+// its memory limit.
 func TestLargeCatalog(t *testing.T) {
 	for _, how := range []string{"listed", "known"} {
 		for _, n := range scaletest.Sizes(t, []int{20000}, 1000, 10000, 50000, 140000) {
@@ -49,11 +50,12 @@
 	values["memory_most_mb"] = r.memory(relayprocess.PeakMemory)
 	values["health_longest_all_ms"] = monitor.longestMS()
 	if peak := values["memory_most_mb"]; peak > maxCatalogMemoryMB {
-		t.Errorf("peak memory %.0f MB, at most %d wanted", peak, maxCatalogMemoryMB)
+		t.Errorf("peak memory is %.0f MB, want at most %d MB", peak, maxCatalogMemoryMB)
 	}
 }
 
-// launchWithCatalog launches a relay that has n destinations from discovery, or from its configuration.
+// launchWithCatalog launches a relay that gets n destinations from discovery or, if how is "known", from its
+// configuration.
 func launchWithCatalog(t *testing.T, how string, n int) (*discoveryServer, *relayProcess) {
 	t.Helper()
 	list := destinationEntries(0, n, "")
@@ -65,12 +67,12 @@
 	}
 	discovery := newDiscoveryServer(t, version, list)
 	r := prepareRelay(t, known, nil)
-	r.config = nil // frees its memory, because it is as large as the list
+	r.config = nil // the configuration is as large as the list: this frees its memory
 	r.launch(discovery)
 	return discovery, r
 }
 
-// addDestination publishes destination n, and returns the time until a message to it is accepted.
+// addDestination publishes destination n, and returns the time until the relay accepts a message to it.
 func addDestination(t *testing.T, discovery *discoveryServer, r *relayProcess, n int, addr string) time.Duration {
 	t.Helper()
 	discovery.publish(t, destinationEntries(n, n+1, addr)...)
@@ -81,7 +83,7 @@
 			return time.Since(published)
 		}
 		if time.Since(published) > conditionTimeout {
-			t.Fatal("the change is not applied")
+			t.Fatal("no message to the added destination was accepted in time")
 		}
 	}
 }
--- a/cmd/cherrytrestle/longlist_test.go
+++ b/cmd/cherrytrestle/longlist_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// unreachableEntries returns entries of n destinations from a number on, with two endpoints for each at which nobody
-// listens.
+// unreachableEntries returns the entries of n destinations, whose numbers begin at from. Each destination has two
+// endpoints, with addresses at which nothing listens.
 func unreachableEntries(n, from int) []listEntry {
 	entries := make([]listEntry, 0, 2*n)
 	for i := range 2 * n {
@@ -22,7 +22,8 @@
 	return entries
 }
 
-// incompleteList returns the text of a full list of n destinations from a number on, which stops within the last entry.
+// incompleteList returns the JSON of a full list of n destinations, whose numbers begin at from. The text breaks off
+// before the end of the last entry.
 func incompleteList(n, from int) string {
 	text := fmt.Appendf(nil, `{"version":50,"full":true,"servers":[`)
 	for i, entry := range unreachableEntries(n, from) {
@@ -36,8 +37,8 @@
 }
 
 // TestTerminatedDuringALongList ends a relay by a signal while it applies a full list that lacks the endpoint of the
-// accepted messages. The next process starts from its stored list, and not from the part that was applied: each message
-// is delivered, once.
+// accepted messages. The next process starts from the list in its configuration, not from the part of the full list
+// that was applied: each message is delivered once.
 func TestTerminatedDuringALongList(t *testing.T) {
 	for name, signal := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGKILL": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
@@ -66,16 +67,16 @@
 	})
 	r.mustAccept("after", 12*time.Second)
 	r.signal(signal)
-	_ = r.cmd.Wait() // the signal is its error
+	_ = r.cmd.Wait() // an error is expected if the signal ends the process
 	r.setKnown(2, knownList("ready")...)
 	r.start(platform)
 	for _, id := range []string{"before", "after"} {
 		eventually(t, id+" is delivered", func() bool { return endpoint.count(id) > 0 })
 	}
-	time.Sleep(100 * time.Millisecond) // in which a repeat would come
+	time.Sleep(100 * time.Millisecond) // a repeated call would arrive within this time
 	for _, id := range []string{"before", "after"} {
 		if n := endpoint.count(id); n != 1 || platform.notification(id) != nil {
-			t.Errorf("%s: %d times, notification %v", id, n, platform.notification(id))
+			t.Errorf("%s was sent %d times, notification %v; want once and none", id, n, platform.notification(id))
 		}
 	}
 }
--- a/cmd/cherrytrestle/management_test.go
+++ b/cmd/cherrytrestle/management_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// metric returns the value of a metric at a second address, or "" if it has none of that name.
+// metric returns the value of a metric from a relay's management address, or "" if there is no metric of that name.
 func metric(t testing.TB, addr, name string) string {
 	t.Helper()
 	for line := range strings.Lines(fetchMetrics(t, addr)) {
@@ -22,12 +22,12 @@
 	return ""
 }
 
-// requestTimeout is the time within which a relay wants a request at its second address. It closes a connection without
-// one.
+// requestTimeout is how long a relay waits for a request on a new connection to its management address. Then it closes
+// the connection.
 const requestTimeout = 700 * time.Millisecond
 
-// fetchMetrics returns the text of all metrics. A request that this process has sent too late, because the machine is
-// busy, is repeated: its failure is not the relay's.
+// fetchMetrics returns the text of all metrics. On a busy machine, this process may send its request only after
+// requestTimeout, when the relay has closed the connection. Such a request is repeated.
 func fetchMetrics(t testing.TB, addr string) string {
 	t.Helper()
 	for end := time.Now().Add(conditionTimeout); ; {
@@ -72,7 +72,7 @@
 	})
 }
 
-// readiness returns the status with which a second address answers whether the relay is ready.
+// readiness returns the status of the readiness check at a relay's management address.
 func readiness(addr string) (status int, err error) {
 	response, err := http.Get("http://" + addr + "/v1/readyz")
 	if err != nil {
@@ -82,10 +82,10 @@
 	return response.StatusCode, nil
 }
 
-// waitReady waits until the relay with this second address is ready.
+// waitReady waits until the relay with this management address is ready.
 func waitReady(t testing.TB, addr string) {
 	t.Helper()
-	eventually(t, "ready on the second address", func() bool {
+	eventually(t, "ready at the management address", func() bool {
 		status, err := readiness(addr)
 		return err == nil && status == http.StatusOK
 	})
--- a/cmd/cherrytrestle/manyrelays_test.go
+++ b/cmd/cherrytrestle/manyrelays_test.go
@@ -12,8 +12,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/scaletest"
 )
 
-// TestManyRelaysOfOneCatalog runs many relays with one large list under load. Right after a change of half of all
-// entries an endpoint is drained: from 1 s after that no relay calls it, and all accepted messages are delivered.
+// TestManyRelaysOfOneCatalog runs many relays with the same large endpoint list under load. It changes half of the
+// list's entries, and then drains an endpoint. From 1 s after that, no relay calls the endpoint, and all accepted
+// messages are delivered.
 func TestManyRelaysOfOneCatalog(t *testing.T) {
 	destinations := 2000
 	if scaletest.Full() {
@@ -54,11 +55,11 @@
 		return len(callsByMessage(drained, stays)) >= int(load.accepted.Load())
 	})
 	if stays.totalCalls() == 0 {
-		t.Error("nothing goes to the endpoint that stays")
+		t.Error("the endpoint that stays in service received no calls")
 	}
 	last := drained.lastCall().Sub(published)
 	if last > time.Second {
-		t.Errorf("called %v after its drain was published", last)
+		t.Errorf("the drained endpoint was called %v after its drain was published, want at most 1 s", last)
 	}
 	values["last_call_to_the_drained_ms"] = float64(last.Milliseconds())
 	values["taken"] = float64(load.accepted.Load())
@@ -66,7 +67,8 @@
 	measureMany(t, relays, monitors, values)
 }
 
-// launchMany launches n relays and waits until each is ready.
+// launchMany launches n relays and waits until each is ready. It adds the longest time until a relay was ready to
+// values.
 func launchMany(
 	t *testing.T, n int, platform discovery, values map[string]float64,
 ) (relays []*relayProcess, monitors []*healthMonitor) {
@@ -86,7 +88,8 @@
 	return relays, monitors
 }
 
-// measureMany adds the peak memory and the health latency of the relays to the values, and their mean processor time.
+// measureMany ends the monitors. It adds to values the highest peak memory and the longest health check interval of
+// any relay, and the relays' mean processor time. It also checks the peak memory.
 func measureMany(t *testing.T, relays []*relayProcess, monitors []*healthMonitor, values map[string]float64) {
 	t.Helper()
 	for i, r := range relays {
@@ -96,14 +99,14 @@
 		values["processor_s"] += r.cpuTime().Seconds() / float64(len(relays))
 	}
 	if peak := values["memory_most_mb"]; peak > maxCatalogMemoryMB {
-		t.Errorf("peak memory %.0f MB, at most %d wanted", peak, maxCatalogMemoryMB)
+		t.Errorf("peak memory is %.0f MB, want at most %d MB", peak, maxCatalogMemoryMB)
 	}
 }
 
-// relayLoad is a client for each of some relays that submits messages until end is called.
+// relayLoad is a group of clients, one for each relay, that submit messages until end is called.
 type relayLoad struct {
 	accepted atomic.Int64
-	rejected atomic.Int64 // or not answered
+	rejected atomic.Int64 // submissions that were rejected or not answered
 	stop     chan struct{}
 	clients  sync.WaitGroup
 }
--- a/cmd/cherrytrestle/memoryfactor_norace_test.go
+++ b/cmd/cherrytrestle/memoryfactor_norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// memoryFactor is the factor by which a relay of the tests may exceed its memory limit.
+// memoryFactor is the multiple of its memory limit that a relay of the tests may use.
 const memoryFactor = 1
--- a/cmd/cherrytrestle/memoryfactor_race_test.go
+++ b/cmd/cherrytrestle/memoryfactor_race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// memoryFactor is the factor by which a relay of the tests may exceed its memory limit. With the race detector a program
+// memoryFactor is the multiple of its memory limit that a relay of the tests may use. With the race detector a program
 // uses five to ten times as much memory.
 const memoryFactor = 10
--- a/cmd/cherrytrestle/mixedversions_test.go
+++ b/cmd/cherrytrestle/mixedversions_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// olderFormatCommit is a commit with other publish intervals, which forwards each report more often and whose quota
-// messages have no theoretical arrival times.
+// olderFormatCommit is a commit at which relays have other publish intervals, forward each load report more often, and
+// send quota messages without theoretical arrival times.
 const olderFormatCommit = "4a73c76cba9955173abc52bae1cbd966f4ef89d3"
 
-// olderProgram builds the program of an earlier commit. It skips the test with -short, or without that commit.
+// olderProgram builds the program of an earlier commit, and returns its path. It skips the test with -short, or if the
+// repository lacks the commit.
 func olderProgram(t *testing.T, commit string) string {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("builds a program")
+		t.Skip("-short: the test builds an earlier version of the program")
 	}
 	if err := exec.Command("git", "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
-		t.Skipf("no history here that holds %s: %v", commit, err)
+		t.Skipf("the repository has no commit %s: %v", commit, err)
 	}
 	dir := t.TempDir()
 	run := func(where, name string, args ...string) {
@@ -35,8 +36,8 @@
 	return program
 }
 
-// TestFleetOfTwoVersions runs a fleet of which half the relays have an earlier version: all receive each other's
-// reports, also when a relay changes to the other version with its folder.
+// TestFleetOfTwoVersions runs a fleet in which half of the relays have an earlier version. All relays receive each
+// other's load reports. They still do after a relay was restarted with the other version and the same folder.
 func TestFleetOfTwoVersions(t *testing.T) {
 	older := olderProgram(t, olderFormatCommit)
 	fleet := newTestFleet(t, 4, newEndpoint(t, nil))
@@ -48,22 +49,22 @@
 	fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
 	changeProgram := func(i int, program string) {
 		before := fleet.status(i).Incarnation.Generation
-		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
+		_ = fleet.relays[i].terminate() // other tests check the error
 		fleet.relays[i].program = program
 		fleet.start(i)
 		fleet.waitReceived(fleet.allRelays(), fleet.allRelays())
 		if now := fleet.status(i).Incarnation.Generation; now != before+1 {
-			t.Errorf("relay %d begins incarnation %d after %d", i, now, before)
+			t.Errorf("relay %d: incarnation %d after the change of version, want %d", i, now, before+1)
 		}
 	}
 	changeProgram(1, "")
 	changeProgram(2, older)
 	for _, i := range fleet.allRelays() {
 		if s := fleet.status(i); s.Unreadable+s.UnsupportedVersion > 0 || len(s.Rejected) > 0 || s.NameConflict {
-			t.Errorf("relay %d: %+v", i, s.Status)
+			t.Errorf("relay %d has unreadable or rejected messages or a name conflict: %+v", i, s.Status)
 		}
 	}
-	_ = fleet.relays[3].terminate() // how it ends is checked elsewhere
+	_ = fleet.relays[3].terminate() // other tests check the error
 	if err := replayRecordings(fleet.relays[3]); err != nil {
 		t.Error(err)
 	}
--- a/cmd/cherrytrestle/processusage_test.go
+++ b/cmd/cherrytrestle/processusage_test.go
@@ -13,16 +13,16 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// clockTick is the unit of the processor times of the kernel's statistics.
+// clockTick is the unit of the processor times in /proc/PID/stat: 1/100 s.
 const clockTick = 10 * time.Millisecond
 
-// cpuTime is the processor time that the process has used.
+// cpuTime returns the processor time that the process has used in user and kernel mode.
 func (r *relayProcess) cpuTime() time.Duration {
 	r.t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	must(r.t, err)
 	_, rest, _ := bytes.Cut(data, []byte(") "))
-	fields := strings.Fields(string(rest)) // without the first two fields
+	fields := strings.Fields(string(rest)) // the fields after the process id and the name
 	ticks := 0
 	for _, field := range fields[11:13] { // utime and stime
 		n, err := strconv.Atoi(field)
@@ -32,7 +32,7 @@
 	return time.Duration(ticks) * clockTick
 }
 
-// memory is a memory field of the process, in MB.
+// memory returns a memory field of the process, for example relayprocess.PeakMemory, in MB.
 func (r *relayProcess) memory(field string) float64 {
 	r.t.Helper()
 	bytes, err := relayprocess.Memory(r.cmd.Process.Pid, field)
@@ -40,7 +40,7 @@
 	return bytes / 1e6
 }
 
-// disk is the size of the files in the relay's state folder, in MB.
+// disk returns the size of the files in the relay's state folder, in MB.
 func (r *relayProcess) disk() float64 {
 	r.t.Helper()
 	bytes, err := relayprocess.FolderSize(relayprocess.StateFolder(r.dir))
@@ -48,7 +48,7 @@
 	return bytes / 1e6
 }
 
-// descriptors is the number of the process's open descriptors.
+// descriptors returns the number of descriptors that the process has open.
 func (r *relayProcess) descriptors() int {
 	r.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
@@ -56,7 +56,7 @@
 	return len(open)
 }
 
-// limitDescriptors bounds the number of descriptors that the system lets the process have.
+// limitDescriptors limits how many descriptors the running process may have open.
 func (r *relayProcess) limitDescriptors(descriptors uint64) {
 	r.t.Helper()
 	limit := syscall.Rlimit{Cur: descriptors, Max: descriptors}
--- a/cmd/cherrytrestle/quota_test.go
+++ b/cmd/cherrytrestle/quota_test.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// newQuotaFleet prepares n relays that share the limit of an endpoint, in calls a second.
+// newQuotaFleet prepares n relays that share one endpoint. limit is the endpoint's rate limit in calls per second.
 func newQuotaFleet(t *testing.T, n int, endpoint *fakeEndpoint, limit float64) *testFleet {
 	fleet := newTestFleet(t, n, endpoint)
 	for i, r := range fleet.relays {
@@ -26,10 +26,10 @@
 	return fleet
 }
 
-// TestQuotaIsSharedByProcesses runs eight relays that share an endpoint of 16 calls a second, of which one has all of
-// the traffic. That relay uses most of the limit, also while the lease holder is stopped, and after all others were
-// killed. While it is partitioned from the others it uses its own part. The endpoint never gets more calls than the
-// limit and the allowed burst.
+// TestQuotaIsSharedByProcesses runs eight relays that share an endpoint with a limit of 16 calls per second. Only
+// relay 0 has traffic. It uses most of the limit, also while the lease holder is stopped, and after all other relays
+// were killed and restarted. While relay 0 is partitioned from the others, it uses only its own share. The endpoint
+// never gets more calls than the limit and the allowed burst.
 func TestQuotaIsSharedByProcesses(t *testing.T) {
 	const (
 		n     = 8
@@ -52,47 +52,48 @@
 	}
 
 	eventually(t, "one lease holder", func() bool { return fleet.agreedLeaseHolder() != "" })
-	waitShared("the relay with the traffic uses the others' parts")
+	waitShared("relay 0 uses the shares of the other relays")
 
-	if k := fleet.relayIndex(fleet.agreedLeaseHolder()); k > 0 { // stopped for more than three leases
+	if k := fleet.relayIndex(fleet.agreedLeaseHolder()); k > 0 { // stop it for more than three lease durations
 		fleet.relays[k].signal(syscall.SIGSTOP)
-		waitShared("another lease holder while the first is stopped")
+		waitShared("relay 0 uses most of the limit while the first lease holder is stopped")
 		time.Sleep(3 * quota.LeaseDuration)
 		fleet.relays[k].signal(syscall.SIGCONT)
-		waitShared("the first lease holder continues")
+		waitShared("relay 0 uses most of the limit after the first lease holder continues")
 	}
 
 	others := fleet.allRelays()[1:]
 	fleet.setFaults([]int{0}, others, faultproxy.LinkFaults{Cut: true})
 	fleet.setFaults(others, []int{0}, faultproxy.LinkFaults{Cut: true})
-	eventually(t, "it uses its own part while it is partitioned", func() bool {
+	eventually(t, "relay 0 uses only its own share while it is partitioned", func() bool {
 		rate := callRate()
 		return rate > 0 && rate < 0.5*limit
 	})
 	fleet.setFaults(fleet.allRelays(), fleet.allRelays(), faultproxy.LinkFaults{})
-	waitShared("the links work again")
+	waitShared("relay 0 uses most of the limit after the partition")
 
 	for _, i := range others {
 		fleet.relays[i].kill()
 	}
 	fleet.start(others...)
-	waitShared("all others were killed and restarted")
+	waitShared("relay 0 uses most of the limit after all others were killed and restarted")
 	checkCallsWithinLimit(t, endpoint, n, limit)
 	for _, i := range []int{0, 1} {
-		_ = fleet.relays[i].terminate() // how it ends is checked elsewhere
+		_ = fleet.relays[i].terminate() // other tests check the error
 		if err := replayRecordings(fleet.relays[i]); err != nil && !errors.Is(err, errNoRecordings) {
 			t.Errorf("%s: %v", filepath.Base(fleet.relays[i].dir), err)
 		}
 	}
 }
 
-// checkCallsWithinLimit checks the number of calls in any ten seconds. The limit may be exceeded by a burst: a call and
-// a half of each relay, the lease holder's burst, and the grants of the time that a grant is valid.
+// checkCallsWithinLimit checks the number of calls in any window of ten seconds. The number may exceed the limit by
+// 1.5 calls for each relay, by the calls of 0.3 s that a lease holder may save up, and by the calls granted within the
+// lifetime of a grant.
 func checkCallsWithinLimit(t *testing.T, endpoint *fakeEndpoint, relays int, limit float64) {
 	t.Helper()
 	const window = 10 * time.Second
 	burst := 1.5*float64(relays) + 0.3*limit + limit*quota.GrantTTL.Seconds()
 	if calls := endpoint.maxCallsWithin(window); float64(calls) > limit*window.Seconds()+burst {
-		t.Errorf("%d calls in %v, at a limit of %g a second", calls, window, limit)
+		t.Errorf("%d calls in %v, more than a limit of %g calls per second and the allowed burst", calls, window, limit)
 	}
 }
--- a/cmd/cherrytrestle/recording_test.go
+++ b/cmd/cherrytrestle/recording_test.go
@@ -16,7 +16,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
-// runCommand runs a command line of the program in this process.
+// runCommand runs a command line of the program in this process. It returns the exit status and what the command wrote
+// to standard output and standard error.
 func runCommand(args ...string) (status int, out, errs string) {
 	var stdout, stderr bytes.Buffer
 	streams := cli.Streams{Out: &stdout, Err: &stderr}
@@ -24,8 +25,8 @@
 	return status, stdout.String(), stderr.String()
 }
 
-// runRecorded starts a relay with an operator's file that turns on its recorder, and delivers messages to an endpoint
-// that rejects the first calls.
+// runRecorded starts a relay with this text of the operator's file, which turns on the recorder. It waits until four
+// messages are delivered by an endpoint that rejects the first three calls.
 func runRecorded(t *testing.T, operator string) (r *relayProcess) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -46,7 +47,7 @@
 	for _, id := range []string{"m1", "m2", "m3", "m4"} {
 		r.mustAccept(id, 10*time.Second)
 	}
-	eventually(t, "all delivered, after the rejections", func() bool {
+	eventually(t, "all messages are delivered after the rejections", func() bool {
 		endpoint.mu.Lock()
 		defer endpoint.mu.Unlock()
 		return len(endpoint.seen) >= 7
@@ -54,8 +55,9 @@
 	return r
 }
 
-// TestRecordingOfAProcess dumps the recording of a relay by SIGUSR1, and runs the commands that read it: it replays
-// without a difference, explains what delayed a message, and lists why it was dumped. A damaged copy is reported.
+// TestRecordingOfAProcess dumps the recording of a relay by SIGUSR1, and runs the commands that read recordings. The
+// recording replays without a difference, explains what delayed a message, and has a note on why it was dumped. The
+// replay of a damaged copy reports the damaged part.
 func TestRecordingOfAProcess(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	r := runRecorded(t, "[recorder]\nenabled = true\nfolder = \""+dir+"\"\n")
@@ -68,21 +70,21 @@
 	r.kill()
 	status, out, errs := runCommand("replay", paths[0])
 	if status != 0 || !strings.Contains(out, "no difference") {
-		t.Errorf("%d, %s%s", status, out, errs)
+		t.Errorf("replay: status %d, %s%s", status, out, errs)
 	}
 	status, out, errs = runCommand("explain", "--message", "m2", paths[0])
 	if status != 0 || !strings.Contains(out, "told to wait") || !strings.Contains(out, "delivered") ||
 		!strings.Contains(out, "(m2)") {
-		t.Errorf("%d, %s%s", status, out, errs)
+		t.Errorf("explain --message m2: status %d, %s%s", status, out, errs)
 	}
 	for _, format := range []string{"text", "jsonl", "html"} {
 		if status, out, errs := runCommand("explain", "--format", format, paths[0]); status != 0 || len(out) < 200 {
-			t.Errorf("%s: %d, %s%s", format, status, out, errs)
+			t.Errorf("explain --format %s: status %d, %s%s", format, status, out, errs)
 		}
 	}
 	if status, out, _ := runCommand("recording", "info", paths[0]); status != 0 ||
 		!strings.Contains(out, "kept: SIGUSR1") {
-		t.Errorf("%d, %s", status, out)
+		t.Errorf("recording info: status %d, %s", status, out)
 	}
 	data, err := os.ReadFile(paths[0])
 	must(t, err)
@@ -92,12 +94,12 @@
 	must(t, os.WriteFile(bad, data[:len(data)-3], 0o600))
 	status, out, _ = runCommand("replay", bad)
 	if status != 0 || !strings.Contains(out, "not read") || len(found) != 1 {
-		t.Errorf("%d, %s", status, out)
+		t.Errorf("replay of a damaged copy: status %d, %s; %d recordings in the original", status, out, len(found))
 	}
 }
 
-// TestRecordingInTheLog writes a recording to the relay's log, kills the relay, and extracts the recording from there:
-// it replays, and a second extraction does not overwrite the file.
+// TestRecordingInTheLog lets a relay write its recording to its log, kills the relay, and extracts the recording from
+// the log. The extracted file replays without a difference, and a second extraction does not overwrite the file.
 func TestRecordingInTheLog(t *testing.T) {
 	r := runRecorded(t, "[recorder]\nenabled = true\nwrite = \"all\"\n[log]\nformat = \"json\"\n")
 	log := filepath.Join(r.dir, "log")
@@ -110,20 +112,20 @@
 	status, text, errs := runCommand("recording", "extract", "--out", out, log)
 	path := strings.TrimSpace(text)
 	if status != 0 || filepath.Dir(path) != out {
-		t.Fatalf("%d, %s%s", status, text, errs)
+		t.Fatalf("recording extract: status %d, %s%s", status, text, errs)
 	}
 	if status, text, errs := runCommand("replay", path, log); status != 0 || strings.Count(text, "no difference") != 1 {
-		t.Errorf("%d, %s%s", status, text, errs)
+		t.Errorf("replay: status %d, %s%s", status, text, errs)
 	}
 	if status, _, errs := runCommand("recording", "extract", "--out", out, log); status != 1 ||
 		!strings.Contains(errs, "exists") {
-		t.Errorf("a file was overwritten: %d, %s", status, errs)
+		t.Errorf("extraction over an existing file: status %d, %s; want status 1 and an error", status, errs)
 	}
 	data, err := os.ReadFile(log)
 	must(t, err)
 	for line := range strings.Lines(string(data)) {
 		if !strings.HasPrefix(line, "flight ") && !json.Valid([]byte(line)) {
-			t.Errorf("a line that is neither of the recording nor JSON: %.60s", line)
+			t.Errorf("the log has a line that is neither JSON nor a part of the recording: %.60s", line)
 		}
 	}
 }
@@ -149,10 +151,10 @@
 	} {
 		status, _, errs := runCommand(c.args...)
 		if status != c.status || !strings.Contains(errs, c.want) {
-			t.Errorf("%v: %d, %s, want %q", c.args, status, errs, c.want)
+			t.Errorf("%v: status %d, error %q; want status %d, error with %q", c.args, status, errs, c.status, c.want)
 		}
 	}
 	if status, out, _ := runCommand("--version"); status != 0 || !strings.Contains(out, "cherrytrestle") {
-		t.Errorf("%d, %s", status, out)
+		t.Errorf("--version: status %d, %s", status, out)
 	}
 }
--- a/cmd/cherrytrestle/recovery_test.go
+++ b/cmd/cherrytrestle/recovery_test.go
@@ -16,7 +16,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// TestRetryAfterOutlastsTheProcess kills a relay after a Retry-After: the next process observes it.
+// TestRetryAfterOutlastsTheProcess kills a relay after an endpoint has answered with a Retry-After. The next process
+// does not call the endpoint before the Retry-After has passed.
 func TestRetryAfterOutlastsTheProcess(t *testing.T) {
 	var reject atomic.Bool
 	reject.Store(true)
@@ -33,19 +34,19 @@
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "a Retry-After", func() bool { return endpoint.count("m1") == 1 })
 	rejectedAt := time.Now()
-	time.Sleep(400 * time.Millisecond) // it is stored within 250 ms
+	time.Sleep(400 * time.Millisecond) // the relay stores the Retry-After within 250 ms
 	reject.Store(false)
 	r.kill()
 	r.start(platform)
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "both are delivered", func() bool { return endpoint.count("m1") == 2 && endpoint.count("m2") == 1 })
 	if d := time.Since(rejectedAt); d < 2200*time.Millisecond {
-		t.Errorf("sent %v after a Retry-After of 2.4 s", d)
+		t.Errorf("the messages were sent %v after a Retry-After of 2.4 s", d)
 	}
 }
 
-// TestLegacyLogIsMigrated starts a relay with a message in the legacy log of an earlier version: the message is
-// delivered, and the log is removed.
+// TestLegacyLogIsMigrated starts a relay with a message in the log file of an earlier version. The message is
+// delivered, and the log file is removed.
 func TestLegacyLogIsMigrated(t *testing.T) {
 	endpoint := newEndpoint(t, nil)
 	platform := newPlatform(t)
@@ -68,11 +69,12 @@
 	r.start(platform)
 	eventually(t, "delivered", func() bool { return endpoint.count("old") == 1 })
 	if _, err := os.Stat(filepath.Join(state, "wal.log")); !os.IsNotExist(err) {
-		t.Errorf("the log is still there: %v", err)
+		t.Errorf("wal.log was not removed: %v", err)
 	}
 }
 
-// fillJournal writes messages into a relay's journal until its disk limit is reached, and returns how many.
+// fillJournal writes messages into a relay's journal until its disk limit is reached. It returns the number of
+// messages.
 func fillJournal(t testing.TB, r *relayProcess, diskMB float64, bodyBytes int) (written int) {
 	t.Helper()
 	j, _, err := journal.OpenFolder(relayprocess.StateFolder(r.dir), journal.Options{Limit: int64(diskMB * 1e6)})
@@ -98,8 +100,8 @@
 	return written
 }
 
-// TestTerminatedInRecovery sends SIGTERM at different times of a start with a full journal: the relay ends in time, and
-// no message is lost.
+// TestTerminatedInRecovery sends SIGTERM at different times after the start of a relay with a full journal. The relay
+// ends within maxShutdownTime, and no message is lost.
 func TestTerminatedInRecovery(t *testing.T) {
 	for _, delayMS := range []int{0, 2, 5, 10, 20, 60} {
 		after := time.Duration(delayMS) * time.Millisecond
@@ -111,13 +113,13 @@
 			n := fillJournal(t, r, 3, 2000)
 			for range 2 {
 				r.launch(platform)
-				time.Sleep(after) // before, during or after its recovery
+				time.Sleep(after) // before, during or after the recovery
 				began := time.Now()
 				err := r.terminate()
 				if took := time.Since(began); took > maxShutdownTime {
-					t.Errorf("ended after %v", took)
+					t.Errorf("the relay took %v to end, want at most %v", took, maxShutdownTime)
 				}
-				if !endedBySignal(err) { // which may come before the process catches it
+				if !endedBySignal(err) { // the signal may arrive before the process catches it
 					must(t, err)
 				}
 			}
@@ -125,7 +127,7 @@
 			must(t, err)
 			defer closeQuietly(j)
 			if len(found.Messages) != n || !found.Intact() {
-				t.Errorf("%d messages of %d, intact %v", len(found.Messages), n, found.Intact())
+				t.Errorf("the journal has %d messages of %d, intact %v", len(found.Messages), n, found.Intact())
 			}
 		})
 	}
--- a/cmd/cherrytrestle/relayconfig_test.go
+++ b/cmd/cherrytrestle/relayconfig_test.go
@@ -10,8 +10,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// prepareRelay creates a relay's folder and configuration, and chooses its address. change may change the default
-// settings.
+// prepareRelay creates a relay's folder and configuration with an endpoint list, and chooses an unused address. It
+// starts no process. change may be nil, or change the default settings.
 func prepareRelay(t testing.TB, known []listEntry, change func(settings map[string]any)) *relayProcess {
 	t.Helper()
 	settings := defaultSettings()
@@ -38,14 +38,14 @@
 			r.kill()
 		}
 		if t.Failed() {
-			log, _ := os.ReadFile(r.logFile()) // without a log there is nothing to show
+			log, _ := os.ReadFile(r.logFile()) // without a log, the text is empty
 			t.Logf("the relay's log:\n%s", log)
 		}
 	})
 	return r
 }
 
-// defaultSettings returns the settings that the tests begin with: one class, one tenant and two kinds of destination.
+// defaultSettings returns the default settings of the tests: one class, one tenant and two kinds of destination.
 func defaultSettings() map[string]any {
 	settings := relayprocess.BaseSettings()
 	settings["extra"] = map[string]any{
@@ -57,17 +57,17 @@
 	return settings
 }
 
-// setMaxPending sets the bound on accepted messages that have not ended.
+// setMaxPending sets the maximum number of pending messages: accepted ones without a final answer.
 func setMaxPending(settings map[string]any, n int) {
 	settings[relayprocess.BoundsSetting].(map[string]any)["open_cap"] = n
 }
 
-// setMaxAttempts sets the bound on the attempts of a message; 0: no bound.
+// setMaxAttempts sets the maximum number of attempts of a message; 0: no maximum.
 func setMaxAttempts(settings map[string]any, n int) {
 	settings[relayprocess.BoundsSetting].(map[string]any)["send_cap"] = n
 }
 
-// setMaxInFlightCalls sets the bound on calls in flight; 0: no bound.
+// setMaxInFlightCalls sets the maximum number of calls in flight; 0: no maximum.
 func setMaxInFlightCalls(settings map[string]any, n int) {
 	settings["extra"].(map[string]any)["call_slots"] = n
 }
@@ -77,7 +77,7 @@
 	return settings[relayprocess.ServicesSetting].([]map[string]any)[0]
 }
 
-// withPayments adds the class "pay", whose messages must never run twice.
+// withPayments adds the class "pay", whose messages are not idempotent and must never be executed twice.
 func withPayments(settings map[string]any) {
 	payments := map[string]any{
 		"name":         "pay",
@@ -112,8 +112,8 @@
 	r.writeConfig()
 }
 
-// setManagement gives the relay a second address, and writes the configuration file. It returns the address, which the
-// next process listens on.
+// setManagement chooses a management address for the relay, and writes the configuration file. The next process
+// listens on the returned address.
 func (r *relayProcess) setManagement() (addr string) {
 	r.t.Helper()
 	addr = unusedAddr(r.t, "127.0.0.1")
@@ -122,7 +122,7 @@
 	return addr
 }
 
-// reload replaces the configuration file by a text and sends SIGHUP.
+// reload replaces the content of the configuration file and sends SIGHUP.
 func (r *relayProcess) reload(text []byte) {
 	r.t.Helper()
 	must(r.t, os.WriteFile(relayprocess.ConfigFile(r.dir), text, 0o600))
--- a/cmd/cherrytrestle/relayprocess_test.go
+++ b/cmd/cherrytrestle/relayprocess_test.go
@@ -15,18 +15,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// maxShutdownTime is the time that a relay has from SIGTERM to its end. The platform may send SIGKILL after it.
+// maxShutdownTime is how long a relay may take to end after SIGTERM. After that time the platform may send SIGKILL.
 const maxShutdownTime = 3700 * time.Millisecond
 
 // relayProcess is a relay with its folder and address, which stay the same when its process is restarted.
 type relayProcess struct {
 	t       testing.TB
-	program string // the binary; "": this one
+	program string // the binary; "": the running test binary
 	dir     string
 	addr    string
 	cmd     *exec.Cmd // nil: no process
 	client  *http.Client
-	config  map[string]any // the configuration file
+	config  map[string]any // the content of the configuration file
 	socket  *os.File       // the listening socket, if the platform passes it to the process
 	env     []string       // environment variables in addition to those of the platform
 }
@@ -34,7 +34,8 @@
 // discovery is a server that a relay gets its endpoint list from.
 type discovery interface{ addr() string }
 
-// newRelay starts a relay that knows a list. change may change the default settings.
+// newRelay starts a relay with an endpoint list in its configuration. change may be nil, or change the default
+// settings.
 func newRelay(
 	t testing.TB, platform discovery, known []listEntry, change func(settings map[string]any),
 ) *relayProcess {
@@ -44,8 +45,8 @@
 	return r
 }
 
-// start starts a process and waits until it is ready. With a listening socket of the platform it does not wait, because
-// another process may answer on it.
+// start starts a process and waits until it is ready. If the platform passes the listening socket to the process,
+// start does not wait, because another process may answer on the same socket.
 func (r *relayProcess) start(platform discovery) {
 	r.t.Helper()
 	r.launch(platform)
@@ -55,7 +56,7 @@
 	eventually(r.t, "ready", func() bool { return relayprocess.Ready(r.client, r.addr) })
 }
 
-// launch starts a process.
+// launch starts a process and does not wait until it is ready.
 func (r *relayProcess) launch(platform discovery) {
 	r.t.Helper()
 	log, err := os.OpenFile(r.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -107,14 +108,14 @@
 	return err
 }
 
-// killProcess kills a process and waits for its end. Both errors are expected: the process may have ended before, or it
-// ends by the signal.
+// killProcess kills a process and waits for its end. It ignores both errors: Kill fails if the process has already
+// ended, and Wait returns the signal as an error.
 func killProcess(cmd *exec.Cmd) {
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
 
-// signalQuietly signals a process that may have ended.
+// signalQuietly sends a signal to a process, and ignores the error if the process has already ended.
 func signalQuietly(cmd *exec.Cmd, sig os.Signal) { _ = cmd.Process.Signal(sig) }
 
 // endedBySignal reports whether a process was ended by a signal that it did not catch.
--- a/cmd/cherrytrestle/release_test.go
+++ b/cmd/cherrytrestle/release_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// A process that this one starts holds copies of all its descriptors until its own program has begun: the kernel closes
-// them as a part of exec, which may be after the call that started it has returned. Whatever is released for the next
-// process is therefore not free when it has been closed here, but once these copies are closed, too.
+// A child process holds copies of all descriptors of this process until its exec closes them, which may be after the
+// call that started the child has returned. Closing a descriptor here therefore does not yet release its address or
+// lock for the next process: the copies must be closed, too.
 
 // releaseAddr closes a listener, and waits until its address refuses connections.
 func releaseAddr(t testing.TB, l net.Listener) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// releaseDatagramAddr closes a socket for datagrams, and waits until its address refuses them.
+// releaseDatagramAddr closes a datagram socket, and waits until its address refuses datagrams.
 func releaseDatagramAddr(t testing.TB, socket net.PacketConn) {
 	t.Helper()
 	must(t, closeBetweenForks(socket))
@@ -45,7 +45,7 @@
 	})
 }
 
-// releaseLock closes what holds the lock of a file, and waits until the file can be locked.
+// releaseLock closes the holder of a file's lock, and waits until the file can be locked.
 func releaseLock(t testing.TB, holder io.Closer, path string) {
 	t.Helper()
 	must(t, closeBetweenForks(holder))
@@ -55,17 +55,18 @@
 	eventually(t, "the lock is free", func() bool {
 		return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
 	})
-	must(t, syscall.Flock(int(file.Fd()), syscall.LOCK_UN)) // also for copies of the descriptor
+	must(t, syscall.Flock(int(file.Fd()), syscall.LOCK_UN)) // also for copies of the descriptor in child processes
 }
 
-// closeBetweenForks closes c while no process is being forked, so that no copy is made meanwhile.
+// closeBetweenForks closes c while no process is being forked, so that no child gets a new copy of the descriptor.
 func closeBetweenForks(c io.Closer) error {
 	syscall.ForkLock.Lock()
 	defer syscall.ForkLock.Unlock()
 	return c.Close()
 }
 
-// Whatever still has a copy of the released descriptor, the address or lock is free when the release returns.
+// TestReleaseWaitsForCopies checks that the release functions wait for all copies of a descriptor: the address or lock
+// is free when they return.
 func TestReleaseWaitsForCopies(t *testing.T) {
 	const copyHeld = 100 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,13 +96,13 @@
 			})
 			c.release()
 			if !closed.Load() {
-				t.Error("it was released while a copy was open")
+				t.Error("the release returned while a copy of the descriptor was open")
 			}
 		})
 	}
 }
 
-// duplicable is a file that can be duplicated as sockets can.
+// duplicable gives a file the method File of the sockets of package net.
 type duplicable struct{ file *os.File }
 
 // File returns a duplicate of the file's descriptor.
--- a/cmd/cherrytrestle/reload_test.go
+++ b/cmd/cherrytrestle/reload_test.go
@@ -12,13 +12,15 @@
 	"time"
 )
 
-// serviceSettings returns the settings of a class of a decoded configuration.
+// serviceSettings returns the settings of class i in a decoded configuration.
 func serviceSettings(config map[string]any, i int) map[string]any {
 	return config["settings"].(map[string]any)["services"].([]any)[i].(map[string]any)
 }
 
-// TestSettingsChangeUnderSIGHUP adds a class, whose rules apply, and removes another one. A file that is incomplete or
-// invalid changes nothing, not even the address of discovery. The metrics count accepted and rejected reloads.
+// TestSettingsChangeUnderSIGHUP reloads the configuration twice: with a class added, and then with another class
+// removed. The new class's settings apply to its messages, and messages of the removed class are rejected. A
+// configuration file that is incomplete or invalid changes nothing, not even the address of discovery. The metrics
+// count accepted and rejected reloads.
 func TestSettingsChangeUnderSIGHUP(t *testing.T) {
 	endpoint := newEndpoint(t, failBadMessages)
 	platform := newPlatform(t)
@@ -30,7 +32,7 @@
 	waitMetric(t, management, "completed.order", "1")
 	r.config["discovery"] = platform.addr()
 
-	// One more class, whose messages must never run twice.
+	// Add a class whose messages must never be executed twice.
 	next := deepCopy(t, r.config)
 	settings := next["settings"].(map[string]any)
 	payment := deepCopy(t, serviceSettings(next, 0))
@@ -46,12 +48,12 @@
 	})
 	waitMetric(t, management, "failed.payment", "1")
 	if n := endpoint.count("bad1"); n != 1 {
-		t.Errorf("a message that may not run twice was sent %d times", n)
+		t.Errorf("a message that must never be executed twice was sent %d times", n)
 	}
 
 	reloadInvalidConfigs(t, r, endpoint, management, next)
 
-	// The first class is removed.
+	// Remove the first class.
 	settings["services"] = settings["services"].([]any)[1:]
 	r.reload(encodeConfig(t, next))
 	waitMetric(t, management, "config_reloads", "2")
@@ -77,8 +79,9 @@
 	return data
 }
 
-// reloadInvalidConfigs reloads configurations that are each invalid in another way, and have another address of
-// discovery. The relay counts an error each time, and serves as before.
+// reloadInvalidConfigs reloads configurations that are each invalid in a different way. Each also has another address
+// of discovery and another name of the first class. The relay counts an error for each of them, and keeps its
+// settings.
 func reloadInvalidConfigs(
 	t *testing.T, r *relayProcess, endpoint *fakeEndpoint, management string, valid map[string]any,
 ) {
@@ -93,14 +96,14 @@
 		failures++
 		waitMetric(t, management, "config_reload_errors", fmt.Sprint(failures))
 		if metric(t, management, "completed.other") != "" {
-			t.Errorf("%s: applied in part", name)
+			t.Errorf("configuration %q is invalid, but was applied in part", name)
 		}
 		id := fmt.Sprint("still", failures)
 		r.mustAccept(id, 10*time.Second)
 		eventually(t, id, func() bool { return endpoint.count(id) == 1 })
 	}
 	if len(other.watchIndexes()) > 0 {
-		t.Error("the discovery of an invalid file was polled")
+		t.Error("the relay opened a watch at the address of discovery in an invalid configuration")
 	}
 }
 
@@ -136,8 +139,8 @@
 	}
 }
 
-// TestReadinessAndMetrics checks the answers of the second address while clients have many connections to the first
-// one, and that the relay is not ready during its shutdown.
+// TestReadinessAndMetrics checks the answers at the management address while clients have many connections to the
+// address for submissions. It also checks that the relay is not ready during its shutdown.
 func TestReadinessAndMetrics(t *testing.T) {
 	hold := make(chan struct{})
 	endpoint := newEndpoint(t, func(_ http.ResponseWriter, _ *http.Request, ids []string) {
@@ -160,7 +163,7 @@
 		return status
 	}
 	if status := ready(); status != http.StatusOK {
-		t.Errorf("ready: %d", status)
+		t.Errorf("readiness check: status %d, want %d", status, http.StatusOK)
 	}
 	for range 100 { // idle connections
 		conn, err := net.Dial("tcp", r.addr)
@@ -179,9 +182,9 @@
 	r.cmd = nil
 }
 
-// TestReloadMovesAwayFromFaultyDiscovery changes the address of discovery while the old one does not answer properly.
-// The relay, one of 300, polls the new address at once and uses its list. Then the address changes back, and SIGTERM
-// ends the relay in order.
+// TestReloadMovesAwayFromFaultyDiscovery changes the address of discovery while the server at the old address is
+// faulty. The relay, in a fleet of 300, polls the new address at once and uses the list from there. Then the address
+// is changed back, and the relay ends without an error after SIGTERM.
 func TestReloadMovesAwayFromFaultyDiscovery(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -211,7 +214,7 @@
 	one := newEndpoint(t, nil)
 	two := newEndpoint(t, nil)
 	sound := newPlatform(t)
-	sound.version = 7 // unlike the version of the relay's list
+	sound.version = 7 // not the version of the relay's list
 	sound.fullList = []listEntry{
 		newEntry("s-1", one.addr(), "a", singleKind, "draining"),
 		newEntry("s-2", two.addr(), "a", singleKind, "ready"),
@@ -222,21 +225,21 @@
 	r.reloadDiscovery(sound)
 	eventually(t, "a watch at the new address", func() bool { return len(sound.watchIndexes()) > 0 })
 	if index := sound.watchIndexes()[0]; index != "7" {
-		t.Errorf("a watch from %s, want it from the full list's 7", index)
+		t.Errorf("the watch begins at version %s, want version 7 of the full list", index)
 	}
 	r.mustAccept("m1", 10*time.Second)
 	eventually(t, "the endpoint of the new list", func() bool { return two.count("m1") == 1 })
 	if n := one.count("m1"); n > 0 {
-		t.Errorf("%d calls to a draining endpoint", n)
+		t.Errorf("%d calls with m1 to the draining endpoint, want none", n)
 	}
 	r.reloadDiscovery(faulty)
 	if err := r.terminate(); err != nil {
-		t.Errorf("ended during the change of the address: %v", err)
+		t.Errorf("SIGTERM during the change of the address: the relay ended with %v", err)
 	}
 }
 
-// TestUnreadableKnownList starts a relay with known lists that are invalid or empty: it starts without a list, is ready
-// once it has one from discovery, and keeps its accepted message.
+// TestUnreadableKnownList starts a relay with known lists in its configuration that are invalid or empty. The relay
+// starts without a list, is ready when it has one from discovery, and keeps its accepted message.
 func TestUnreadableKnownList(t *testing.T) {
 	platform := newPlatform(t)
 	endpoint := newEndpoint(t, nil)
@@ -254,10 +257,10 @@
 	platform.disconnect(t)
 	platform.publish(true, newEntry("s-1", endpoint.addr(), "a", singleKind, "ready"))
 	r.start(platform)
-	eventually(t, "delivered once the list is known", func() bool { return endpoint.count("m1") == 1 })
+	eventually(t, "m1 is delivered with the list from discovery", func() bool { return endpoint.count("m1") == 1 })
 }
 
-// deepCopy returns a copy of a configuration, with the types that JSON is decoded to.
+// deepCopy returns a copy of a configuration, in which all values have the types that JSON is decoded to.
 func deepCopy(t testing.TB, config map[string]any) (copied map[string]any) {
 	data, err := json.Marshal(config)
 	must(t, err)
--- a/cmd/cherrytrestle/replayrecordings_test.go
+++ b/cmd/cherrytrestle/replayrecordings_test.go
@@ -10,10 +10,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/replay"
 )
 
-var errNoRecordings = errors.New("no recordings")
+var errNoRecordings = errors.New("the relay has no recordings")
 
-// replayRecordings replays the recordings of a relay of a testFleet. It fails if the engine or the fleet's agent decide
-// otherwise, if a part is lost, or if no step of the fleet's agent is recorded.
+// replayRecordings replays the recordings of a relay of a testFleet. It returns an error if a replayed decision of the
+// engine or of the fleet's agent differs, if a part of a recording is lost, or if no step of the fleet's agent is
+// recorded.
 func replayRecordings(r *relayProcess) error {
 	files, err := filepath.Glob(filepath.Join(r.dir, "recordings", "*"))
 	if err != nil {
@@ -37,7 +38,7 @@
 			return fmt.Errorf("replay: %s", result.Difference)
 		}
 		if len(result.Lost) > 0 {
-			return fmt.Errorf("replay: lost %q", result.Lost)
+			return fmt.Errorf("replay: parts of the recording are lost: %q", result.Lost)
 		}
 		fleetSteps += result.FleetSteps
 	}
--- a/cmd/cherrytrestle/restart_test.go
+++ b/cmd/cherrytrestle/restart_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// TestKilledWithACallInFlight kills a relay with a call in flight, which may have run: the next process repeats the
-// message, and only in the zone in which repeats are dropped. A message whose time has run out ends with a
-// notification, and a message that was delivered is not sent again after another restart.
+// TestKilledWithACallInFlight kills a relay with a call in flight. The endpoint may have executed the call's message,
+// so the next process repeats the message only in the same zone, where repeats are dropped. A message whose deadline
+// has passed ends with a notification. A message that was delivered is not sent again after another restart.
 func TestKilledWithACallInFlight(t *testing.T) {
 	platform := newPlatform(t)
 	var calls atomic.Int64
@@ -28,9 +28,9 @@
 	r.mustAccept("late", 600*time.Millisecond)
 	eventually(t, "the call", func() bool { return one.count("m1") == 1 })
 	r.kill()
-	time.Sleep(700 * time.Millisecond) // the time of the message "late" runs out
+	time.Sleep(700 * time.Millisecond) // until after the deadline of the message "late"
 
-	// A better endpoint, by its weight, is in the other zone.
+	// Add an endpoint in the other zone, with a higher weight.
 	better := newEntry("s-0", other.addr(), "b", singleKind, "ready")
 	better["weight"] = 900.0
 	r.start(platform)
@@ -39,9 +39,9 @@
 	r.mustAccept("m2", 10*time.Second)
 	eventually(t, "a new message goes to the better endpoint", func() bool { return other.count("m2") == 1 })
 	if other.count("m1") != 0 {
-		t.Error("repeated in another zone")
+		t.Error("m1 was repeated in the other zone")
 	}
-	if one.count("late") == 0 { // it may have been delivered before the kill
+	if one.count("late") == 0 { // the message may have been delivered before the kill
 		eventually(t, "a notification of the late message", func() bool { return platform.notification("late") != nil })
 	}
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestGracefulShutdown sends SIGTERM while a call is in flight: the relay is not ready any more, still accepts messages
-// for a while, lets the call finish and ends in time. The next process does not send the delivered message again.
+// TestGracefulShutdown sends SIGTERM while a call is in flight. The relay is no longer ready, still accepts messages
+// for a while, lets the call finish, and ends in time. The next process does not send the delivered message again.
 func TestGracefulShutdown(t *testing.T) {
 	platform := newPlatform(t)
 	began := make(chan struct{}, 10)
@@ -75,15 +75,15 @@
 		}
 		return err == nil && res.StatusCode == http.StatusServiceUnavailable
 	})
-	if time.Since(start) < 200*time.Millisecond { // otherwise the machine is too slow for this
+	if time.Since(start) < 200*time.Millisecond { // later, the relay may have closed its listener
 		r.mustAccept("after", 10*time.Second) // new messages are still accepted
 	}
 	err := r.terminate()
 	if took := time.Since(start); err != nil || took > maxShutdownTime {
-		t.Errorf("ended after %v: %v", took, err)
+		t.Errorf("the relay took %v to end, with error %v; want at most %v and no error", took, err, maxShutdownTime)
 	}
 	if endpoint.count("running") != 1 {
-		t.Errorf("the running call: %d", endpoint.count("running"))
+		t.Errorf("the message of the call in flight was sent %d times, want once", endpoint.count("running"))
 	}
 	r.start(platform)
 	r.mustAccept("next", 10*time.Second)
@@ -93,13 +93,13 @@
 	}
 }
 
-// restartLoad is clients that submit messages while the relay is restarted.
+// restartLoad is a group of clients that submit messages while the relay is restarted.
 type restartLoad struct {
 	r *relayProcess
 
 	mu         sync.Mutex
 	accepted   []string
-	unanswered int
+	unanswered int // requests without an answer
 }
 
 // run runs three clients until stop is closed.
@@ -149,7 +149,8 @@
 	r := newRelay(t, platform, endpoint.list(singleKind, "ready"), nil)
 	load := &restartLoad{r: r}
 
-	// A load balancer stops sending requests to a relay some tenths of a second after SIGTERM.
+	// A load balancer stops sending requests to a relay some tenths of a second after SIGTERM. These clients stop
+	// after 100 ms.
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
@@ -159,31 +160,31 @@
 	}()
 	load.run("term", stop)
 	if load.unanswered > 0 {
-		t.Errorf("%d requests had no answer through a graceful shutdown", load.unanswered)
+		t.Errorf("%d requests were not answered during a graceful shutdown", load.unanswered)
 	}
 	if err := r.cmd.Wait(); err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("SIGTERM: the relay ended with %v", err)
 	}
 	r.start(platform)
 
 	stop = make(chan struct{})
 	go func() {
 		time.Sleep(200 * time.Millisecond)
-		_ = r.cmd.Process.Kill() // it may have ended
+		_ = r.cmd.Process.Kill() // fails if the process has already ended
 		close(stop)
 	}()
 	load.run("kill", stop)
-	_ = r.cmd.Wait() // the signal is its error
+	_ = r.cmd.Wait() // an error is expected: a signal ends the process
 	r.start(platform)
 	for _, id := range load.accepted {
 		waitSentOrEnded(t, endpoint, platform, id)
 	}
 	if len(load.accepted) < 20 {
-		t.Errorf("only %d accepted: the test shows little", len(load.accepted))
+		t.Errorf("only %d messages were accepted, too few for this test", len(load.accepted))
 	}
 	for _, id := range load.accepted {
 		if n := endpoint.count(id); strings.HasPrefix(id, "term") && n > 1 {
-			t.Errorf("%s was sent %d times though its calls could finish", id, n)
+			t.Errorf("%s was sent %d times, although a graceful shutdown lets its call finish", id, n)
 		}
 	}
 }
--- a/cmd/cherrytrestle/shutdown_test.go
+++ b/cmd/cherrytrestle/shutdown_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// shutdownCase is a circumstance in which SIGTERM is sent.
+// shutdownCase is a situation in which a relay receives SIGTERM.
 type shutdownCase struct {
 	name      string
-	listed    bool // the first process lists the message's endpoint, which is draining
+	listed    bool // the first process has a list with the message's endpoint, as draining; false: no list
 	terminate func(t *testing.T, r *relayProcess)
 }
 
@@ -28,7 +28,7 @@
 			r.signal(syscall.SIGHUP)
 			r.signal(syscall.SIGTERM)
 		}},
-		{"while clients send half requests", true, func(t *testing.T, r *relayProcess) {
+		{"while clients send incomplete requests", true, func(t *testing.T, r *relayProcess) {
 			for range 20 {
 				startSlowRequest(t, r.addr)
 			}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestShutdownAtAnyMoment sends SIGTERM in different circumstances: the relay ends in order and in time, and the next
-// process sends the message that was accepted and not sent.
+// TestShutdownAtAnyMoment sends SIGTERM in different situations. The relay ends without an error within
+// maxShutdownTime. The next process sends the message that the first one accepted and did not send.
 func TestShutdownAtAnyMoment(t *testing.T) {
 	for _, c := range shutdownCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 	r := prepareRelay(t, known, nil)
 	r.launch(platform)
-	eventually(t, "it listens", func() bool {
+	eventually(t, "the relay listens", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			closeQuietly(conn)
@@ -76,17 +76,18 @@
 	began := time.Now()
 	err := r.wait()
 	if took := time.Since(began); err != nil || took > maxShutdownTime {
-		t.Errorf("ended after %v: %v", took, err)
+		t.Errorf("the relay took %v to end, with error %v; want at most %v and no error", took, err, maxShutdownTime)
 	}
 	r.setKnown(2, endpoint.list(singleKind, "ready")...)
 	r.start(platform)
 	eventually(t, "the message is sent", func() bool { return endpoint.count("m") == 1 })
 	if endpoint.count("gone") > 1 {
-		t.Errorf("the message whose client has gone: sent %d times", endpoint.count("gone"))
+		t.Errorf("the message whose client has gone was sent %d times, want at most once", endpoint.count("gone"))
 	}
 }
 
-// startSlowRequest sends the start of a request, one byte at a time, until the end of the test.
+// startSlowRequest sends a part of a request, one byte at a time, and keeps the connection open until the end of the
+// test.
 func startSlowRequest(t *testing.T, addr string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -122,14 +123,14 @@
 		must(t, err)
 		must(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 		answer := make([]byte, 1)
-		_, err = conn.Read(answer) // the rest of the answer is read below
+		_, err = conn.Read(answer) // the other bytes of the answer are read below
 		must(t, err)
 		conns = append(conns, conn)
 	}
 	r.signal(syscall.SIGTERM)
 	for _, conn := range conns {
 		if _, err := io.Copy(io.Discard, conn); err != nil {
-			t.Errorf("ended by %v", err)
+			t.Errorf("the connection of an idle client ended with %v", err)
 		}
 	}
 	if err := r.wait(); err != nil {
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestSignalsDuringExit sends SIGTERM again and again until the process has ended: it ends in order, and not by a
-// signal.
+// TestSignalsDuringExit sends SIGTERM repeatedly until the process has ended. The process exits without an error, and
+// is not ended by one of the signals.
 func TestSignalsDuringExit(t *testing.T) {
 	platform := newPlatform(t)
 	r := prepareRelay(t, []listEntry{newEntry("s-1", "127.0.0.1:1", "a", singleKind, "ready")}, nil)
--- a/cmd/cherrytrestle/submit_test.go
+++ b/cmd/cherrytrestle/submit_test.go
@@ -11,7 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/relayprocess"
 )
 
-// request returns a request that submits a message of the class "order". edit may change it.
+// request returns a request that submits a message of the class "order" to destination 7. edit may be nil, or change
+// the request.
 func (r *relayProcess) request(id string, expires time.Duration, edit func(*http.Request)) *http.Request {
 	r.t.Helper()
 	request, err := relayprocess.Submission{
@@ -27,7 +28,7 @@
 	return request
 }
 
-// submit submits a message, and returns the answer's status and its Retry-After.
+// submit submits a message. It returns the response's status and its header Retry-After.
 func (r *relayProcess) submit(id string, expires time.Duration, edit func(*http.Request)) (int, string) {
 	r.t.Helper()
 	res, err := r.client.Do(r.request(id, expires, edit))
@@ -37,11 +38,11 @@
 	return res.StatusCode, res.Header.Get("Retry-After")
 }
 
-// mustAccept submits a message that the relay must accept.
+// mustAccept submits a message, and ends the test if the relay does not accept it.
 func (r *relayProcess) mustAccept(id string, expires time.Duration) {
 	r.t.Helper()
 	if status, _ := r.submit(id, expires, nil); status != http.StatusAccepted {
-		r.t.Fatalf("%s: status %d", id, status)
+		r.t.Fatalf("submission of %s: status %d, want %d", id, status, http.StatusAccepted)
 	}
 }
 
@@ -50,8 +51,8 @@
 	return answersWith(r.client, r.request(id, 12*time.Second, nil), http.StatusAccepted)
 }
 
-// newMessageReaches submits a message under a new id, waits until one of two endpoints is called with it once, and
-// reports whether that is the one wanted.
+// newMessageReaches submits a message with a new id, waits until one of two endpoints has received it, and reports
+// whether that endpoint is the wanted one.
 func (r *relayProcess) newMessageReaches(wanted, other *fakeEndpoint) bool {
 	r.t.Helper()
 	id := fmt.Sprint("new-", time.Now().UnixNano())
@@ -60,7 +61,7 @@
 	return wanted.count(id) == 1
 }
 
-// withClass changes the class of a request's message.
+// withClass returns a function that changes the class of a request's message.
 func withClass(class string) func(*http.Request) {
 	return func(req *http.Request) {
 		req.URL.Path = "/" + class
@@ -68,12 +69,12 @@
 	}
 }
 
-// toDestination changes the destination of a request's message.
+// toDestination returns a function that changes the destination of a request's message.
 func toDestination(n int) func(*http.Request) {
 	return func(request *http.Request) { request.Header.Set("Envelope", fmt.Sprintf("dest=%d", n)) }
 }
 
-// answersWith sends a request, and reports whether it is answered with this status.
+// answersWith sends a request, and reports whether the answer has this status.
 func answersWith(client *http.Client, request *http.Request, status int) bool {
 	response, err := client.Do(request)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return response.StatusCode == status
 }
 
-// traceID returns a trace id of 16 characters for a number.
+// traceID returns a trace id of 16 characters, which begins with the hexadecimal digits of i.
 func traceID(i int) string {
 	const digits = "0123456789abcdef"
 	id := []byte("00000000000bench")
--- a/cmd/cherrytrestle/systemcalls_test.go
+++ b/cmd/cherrytrestle/systemcalls_test.go
@@ -23,7 +23,7 @@
 	}
 	node := regexp.MustCompile(`(?m)^node = \[(.*)\]$`).FindSubmatch(deploy)
 	if node == nil {
-		t.Fatal("the deploy file has no list of the node's sources")
+		t.Fatal("deploy/balancer.toml has no list of the relay's sources (node)")
 	}
 	files := 0
 	for _, quoted := range strings.Split(string(node[1]), ",") {
@@ -44,12 +44,12 @@
 		}
 	}
 	if files < 30 {
-		t.Errorf("only %d files of the relay were read", files)
+		t.Errorf("only %d source files of the relay were read, want at least 30", files)
 	}
 	bad := "package x\nimport (\"io\"; \"os/exec\"; \"net/http\")\n" +
 		"func f() { io.Copy(w, r); io.CopyN(io.Discard, r, 1); http.ServeFile(w, q, n); exec.Command(n) }"
 	if got := forbiddenUses(t, "bad.go", []byte(bad)); len(got) != 3 {
-		t.Errorf("the check finds %q", got)
+		t.Errorf("the check finds %q in the bad source, want 3 uses", got)
 	}
 }
 
--- a/cmd/cherrytrestle/testfleet_test.go
+++ b/cmd/cherrytrestle/testfleet_test.go
@@ -17,21 +17,21 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/faultproxy"
 )
 
-// testFleet is a fleet of relay processes. The load reports of each relay to each other one go through a link of their
-// own, which can have faults. The slices are indexed by the number of the relay.
+// testFleet is a fleet of relay processes. Load reports from one relay to another go through a link, which can have
+// faults. Each ordered pair of relays has its own link. The slices are indexed by the number of the relay.
 type testFleet struct {
 	t               testing.TB
 	platforms       []*fakePlatform
 	relays          []*relayProcess
-	managementAddrs []string                    // the relays' second addresses
-	fleetAddrs      []string                    // on which the relays receive load reports
+	managementAddrs []string                    // for status and metrics
+	fleetAddrs      []string                    // at which the relays receive load reports
 	links           map[[2]int]*faultproxy.Link // by the numbers of the sender and the receiver
 }
 
 // relayName returns the name of a relay in its fleet.
 func relayName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// newTestFleet prepares n relays that all deliver to one endpoint. It does not start them.
+// newTestFleet prepares n relays that all deliver to one endpoint. It starts no processes.
 func newTestFleet(t testing.TB, n int, endpoint *fakeEndpoint) *testFleet {
 	f := &testFleet{t: t, links: map[[2]int]*faultproxy.Link{}}
 	for range n {
@@ -60,13 +60,14 @@
 	return f
 }
 
-// operatorFile is the path of a relay's operator file.
+// operatorFile returns the path of a relay's operator file.
 func (f *testFleet) operatorFile(i int) string {
 	return filepath.Join(f.relays[i].dir, "operator.toml")
 }
 
-// writeOperatorFile writes a relay's operator file, which turns on the recorder and the fleet. fleetKeys are more lines
-// of the table fleet. The relay reaches the others over their links, or at the addresses in peers.
+// writeOperatorFile writes a relay's operator file, which turns on the recorder and the fleet. fleetKeys has further
+// lines for the table fleet. peers maps names of relays to their addresses. Relays without an entry are reached over
+// their links.
 func (f *testFleet) writeOperatorFile(i int, fleetKeys string, peers map[string]string) {
 	f.t.Helper()
 	var text strings.Builder
@@ -102,7 +103,7 @@
 	must(f.t, os.WriteFile(path, []byte(listed.String()), 0o600))
 }
 
-// start starts relays, one after the other.
+// start starts the relays with these numbers, one after the other.
 func (f *testFleet) start(which ...int) {
 	for _, i := range which {
 		f.relays[i].start(f.platforms[i])
@@ -117,7 +118,7 @@
 	return which
 }
 
-// setFaults sets the faults of the links from some relays to others. Without faults the links work.
+// setFaults sets the faults of the links from some relays to others. The zero LinkFaults makes the links work again.
 func (f *testFleet) setFaults(from, to []int, faults faultproxy.LinkFaults) {
 	f.t.Helper()
 	for _, i := range from {
@@ -129,7 +130,7 @@
 	}
 }
 
-// status returns the status of the fleet as a relay sees it, or an empty one if the relay does not answer.
+// status returns the status of the fleet that a relay reports, or an empty one if the relay does not answer.
 func (f *testFleet) status(i int) fleet.Status {
 	response, err := http.Get("http://" + f.managementAddrs[i] + "/v1/fleet")
 	if err != nil {
@@ -143,8 +144,8 @@
 	return status
 }
 
-// memberState returns the state of relay j as relay i sees it, and the age of its last report. The age is negative if
-// relay i has no report of relay j.
+// memberState returns the state of relay j that relay i reports, and the age of its last report from relay j. The age
+// is negative if relay i has no such report.
 func (f *testFleet) memberState(i, j int) (state string, age time.Duration) {
 	if status := f.status(i); status.Status != nil {
 		for _, member := range status.Members {
@@ -156,7 +157,7 @@
 	return "", -1
 }
 
-// incarnation returns the incarnation of relay j as relay i knows it, or an empty one.
+// incarnation returns the incarnation of relay j that relay i reports, or an empty one if it reports none.
 func (f *testFleet) incarnation(i, j int) loadreport.Incarnation {
 	status := f.status(i)
 	if status.Status == nil {
@@ -173,16 +174,17 @@
 	return loadreport.Incarnation{}
 }
 
-// maxFreshAge bounds the age of a fresh report. An unchanged report is published every 2.5 s, and gossip takes time.
+// maxFreshAge is the highest age of a load report that counts as fresh. An unchanged report is published only every
+// 2.5 s, and takes time to spread by gossip.
 const maxFreshAge = 6 * time.Second
 
-// waitReceived waits until each of some relays has a fresh report of each of others.
-func (f *testFleet) waitReceived(by, of []int) {
+// waitReceived waits until each receiver has a fresh load report of each sender.
+func (f *testFleet) waitReceived(receivers, senders []int) {
 	f.t.Helper()
-	for _, i := range by {
-		for _, j := range of {
+	for _, i := range receivers {
+		for _, j := range senders {
 			if i != j {
-				eventually(f.t, fmt.Sprintf("%d receives from %d", i, j), func() bool {
+				eventually(f.t, fmt.Sprintf("relay %d receives the reports of relay %d", i, j), func() bool {
 					state, age := f.memberState(i, j)
 					return state == "alive" && age >= 0 && age < maxFreshAge
 				})
@@ -191,12 +193,13 @@
 	}
 }
 
-// sendTraffic submits messages to all relays until the test ends, so that they have something to report.
+// sendTraffic submits messages to all relays until the test ends, so that their load reports are not empty.
 func (f *testFleet) sendTraffic() {
 	f.t.Cleanup(startTraffic(20*time.Millisecond, f.relays...))
 }
 
-// quotaStatus returns the status of a relay's only limit, or an empty one.
+// quotaStatus returns the status of a relay's only rate-limit scope, or an empty one if the relay does not have
+// exactly one.
 func (f *testFleet) quotaStatus(i int) quota.ScopeStatus {
 	if status := f.status(i); len(status.Quota) == 1 {
 		return status.Quota[0]
@@ -204,7 +207,7 @@
 	return quota.ScopeStatus{}
 }
 
-// agreedLeaseHolder returns the lease holder if all relays agree on it, or "".
+// agreedLeaseHolder returns the lease holder of the relays' only rate-limit scope if all report the same one, or "".
 func (f *testFleet) agreedLeaseHolder() string {
 	holder := f.quotaStatus(1).LeaseHolder
 	for _, i := range f.allRelays() {
--- a/cmd/cherrytrestle/traffic_test.go
+++ b/cmd/cherrytrestle/traffic_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startTraffic submits a message to one of the relays in turn at each interval, until stop is called. It ignores the
+// startTraffic submits a message at each interval, to each of the relays in turn, until stop is called. It ignores the
 // answers.
 func startTraffic(interval time.Duration, relays ...*relayProcess) (stop func()) {
 	done := make(chan struct{})
--- a/cmd/cherrytrestle/unsentmessages_test.go
+++ b/cmd/cherrytrestle/unsentmessages_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// unsentCase is a restart with messages that were accepted and not sent.
+// unsentCase is a restart of a relay that has accepted messages but not sent them.
 type unsentCase struct {
 	name       string
 	fleetSize  int
-	weightKind string // of the settings
-	kind       string // of the destination
-	known      bool   // the next process knows the endpoint from its start; otherwise discovery adds it
+	weightKind string // "none": the endpoints' weights are not used as limits
+	kind       string // the kind of the destination
+	known      bool   // the next process has the endpoint in its configuration; otherwise discovery adds it
 	messages   int    // 0: eight
-	maxPending int    // of the next process; 0: as before
+	maxPending int    // maximum of pending messages in the next process; 0: unchanged
 	class      string // "": order
 	sigterm    bool   // the first process is terminated; otherwise it is killed
 }
@@ -106,8 +106,8 @@
 	},
 }
 
-// TestUnsentMessagesSurviveARestart restarts a relay that has accepted messages for a draining endpoint: the next
-// process sends all of them once the endpoint is in service.
+// TestUnsentMessagesSurviveARestart restarts a relay that has accepted messages for a draining endpoint. The next
+// process sends all of them when the endpoint is in service.
 func TestUnsentMessagesSurviveARestart(t *testing.T) {
 	for _, c := range unsentCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	for i := range messages {
 		status, _ := r.submit(fmt.Sprint("m", i), 12*time.Second, withClass(cmp.Or(c.class, "order")))
 		if status != http.StatusAccepted {
-			t.Fatalf("m%d: status %d", i, status)
+			t.Fatalf("submission of m%d: status %d, want %d", i, status, http.StatusAccepted)
 		}
 	}
 	if c.sigterm {
@@ -157,7 +157,7 @@
 		id := fmt.Sprint("m", i)
 		waitSentOrEnded(t, endpoint, platform, id)
 		if endpoint.count(id) == 0 {
-			t.Errorf("%s was never sent: %v", id, platform.notification(id))
+			t.Errorf("%s was never sent, notification: %v", id, platform.notification(id))
 		}
 	}
 }
