--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the second address of a relay: its readiness, its metrics and the status of its fleet, for the
-// platform and for on-call staff. A connection carries one request. A client that sends nothing, or only a part of a
-// request, is disconnected within a second. Answers never wait: neither for other connections nor for the event loop.
+// Package admin serves the admin address of a relay: it reports the relay's readiness, its metrics and the status of
+// its fleet to the platform and to on-call staff. A connection carries one request. A client that sends nothing or only
+// a part of a request is disconnected within a second. No request waits for another connection.
 package admin
 
 import (
@@ -15,25 +15,25 @@
 )
 
 const (
-	// requestTimeout bounds the time for reading a request, and that for writing its answer. The platform expects an
+	// requestTimeout bounds the time to read a request, and also the time to write its answer. The platform expects an
 	// answer within 1 s of the request.
 	requestTimeout = 700 * time.Millisecond
 	maxHeaderBytes = 4 << 10
 )
 
-// Server answers requests on the second address.
+// Server answers requests on the admin address. Ready, Metrics and Fleet are called from many goroutines at once, and
+// must return well within requestTimeout even if the relay's event loop is busy.
 type Server struct {
-	// Ready reports whether the process is ready to serve. It is called from many goroutines at once and must not wait.
+	// Ready reports whether the process is ready to serve.
 	Ready func() bool
-	// Metrics writes the process's metrics. It is called like Ready.
+	// Metrics writes the process's metrics.
 	Metrics func(io.Writer)
-	// Fleet writes what this process knows of its fleet, as JSON. It is called like Ready, and is nil if the process
-	// belongs to no fleet.
+	// Fleet writes this process's view of its fleet as JSON. It is nil if the process belongs to no fleet.
 	Fleet func(io.Writer) error
 	Log   *slog.Logger
 }
 
-// Handler returns the handler of all requests.
+// Handler returns the handler for all requests on the admin address.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", s.handleReady)
@@ -49,7 +49,7 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = fmt.Fprintln(w, "ready") // an error: the client has left
+	_, _ = fmt.Fprintln(w, "ready") // fails only if the client has disconnected
 }
 
 func (s *Server) handleMetrics(w http.ResponseWriter, _ *http.Request) {
@@ -60,7 +60,7 @@
 func (s *Server) handleFleet(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := s.Fleet(w); err != nil {
-		s.Log.Debug("fleet status not sent", "err", err) // the client has left
+		s.Log.Debug("fleet status not sent", "err", err) // the client has disconnected
 	}
 }
 
@@ -71,7 +71,7 @@
 		ReadTimeout:    requestTimeout,
 		WriteTimeout:   requestTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		// Clients that leave early are nothing to report above this level.
+		// The server reports clients that disconnect early as errors, which are only worth a debug message.
 		ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
 	server.SetKeepAlivesEnabled(false)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -31,7 +31,7 @@
 	s := Server{
 		Ready: ready.Load,
 		Metrics: func(w io.Writer) {
-			_, _ = fmt.Fprintln(w, "router.pending:3|g") // an error: the client has left
+			_, _ = fmt.Fprintln(w, "router.pending:3|g") // fails only if the client has disconnected
 		},
 		Log: slog.New(slog.DiscardHandler),
 	}
@@ -39,7 +39,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-served; err != nil {
-			t.Errorf("served: %v", err)
+			t.Errorf("Serve: %v", err)
 		}
 	})
 	return l.Addr().String()
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // an error loses nothing: the test is over
+	t.Cleanup(func() { _ = c.Close() }) // the test is over, so an error does not matter
 	return c
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// sendRequest sends a request on a connection of its own, which the server must close behind its answer.
+// sendRequest sends a request on a new connection, which the server must close after its answer.
 func sendRequest(t *testing.T, address, text string) (status int, body string) {
 	t.Helper()
 	c := connect(t, address)
@@ -83,7 +83,7 @@
 
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-// TestAnswers checks the status and the body of each answer, and that the server closes the connection behind it.
+// TestAnswers checks the status and the body of each answer, and that the server closes the connection afterwards.
 func TestAnswers(t *testing.T) {
 	var ready atomic.Bool
 	address := startServer(t, &ready)
@@ -103,19 +103,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if status, body := sendRequest(t, address, c.request); status != c.status || body != c.body {
-				t.Errorf("%q: %d %q", c.request, status, body)
+				t.Errorf("%q: status %d, body %q", c.request, status, body)
 			}
 		})
 	}
 	ready.Store(true)
 	if status, _ := sendRequest(t, address, getRequest("/v1/readyz")); status != http.StatusOK {
-		t.Errorf("ready: %d", status)
+		t.Errorf("ready: status %d", status)
 	}
 }
 
-// TestSilentClientsBlockNobody opens hundreds of connections on which clients send nothing or a part of a request: a
-// complete request is answered meanwhile, and the server closes all of the others. Without the bound on connections or
-// the timeout the last loop waits until its deadline.
+// TestSilentClientsBlockNobody opens hundreds of connections on which clients send nothing or a part of a request. A
+// complete request must still be answered, and the server must close all other connections. If neither the bound on
+// connections nor the timeout closed them, the last loop would wait until its deadline and fail.
 func TestSilentClientsBlockNobody(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
@@ -124,16 +124,16 @@
 	for i := range 300 {
 		c := connect(t, address)
 		if i%2 == 0 {
-			_, _ = io.WriteString(c, "GET /v1/re") // an error: the server has closed it, for newer ones
+			_, _ = io.WriteString(c, "GET /v1/re") // fails if the server has already closed c for a newer connection
 		}
 		silent = append(silent, c)
 	}
 	if status, _ := sendRequest(t, address, getRequest("/v1/metrics")); status != http.StatusOK {
-		t.Errorf("%d", status)
+		t.Errorf("metrics: status %d", status)
 	}
 	for i, c := range silent {
 		must(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
-		_, err := io.Copy(io.Discard, c) // any error but the deadline's: the server has closed the connection
+		_, err := io.Copy(io.Discard, c) // ends before the deadline only if the server has closed the connection
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("connection %d is still open", i)
 		}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenMetrics returns metrics of which each has a value of its own.
+// goldenMetrics returns a registry in which every metric has a different value.
 func goldenMetrics() *metrics.Registry {
 	registry := &metrics.Registry{}
 	for i, result := range []metrics.Result{metrics.Completed, metrics.Rejected, metrics.Failed} {
@@ -34,7 +34,7 @@
 	return registry
 }
 
-// TestGoldenAnswers pins every answer of the second address: status, type and body, with every metric.
+// TestGoldenAnswers pins the status, content type and body of every answer, with every metric.
 func TestGoldenAnswers(t *testing.T) {
 	registry := goldenMetrics()
 	ready := true
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,18 +6,18 @@
 	"sync"
 )
 
-// maxConnections bounds the open connections, because each client that sends nothing uses a descriptor for
+// maxConnections bounds the open connections, because each client that sends nothing occupies a file descriptor for
 // requestTimeout.
 const maxConnections = 16
 
-// listener keeps at most maxConnections connections open: it closes the oldest one for a new one.
+// listener keeps at most maxConnections connections open. Beyond that, it closes the oldest one for each new one.
 type listener struct {
 	net.Listener
 	mu          sync.Mutex
 	connections []*connection // oldest first
 }
 
-// Accept accepts a connection, and closes the oldest one if there are too many.
+// Accept accepts a connection, and closes the oldest one if more than maxConnections are open.
 func (l *listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -25,12 +25,12 @@
 	}
 	c := &connection{Conn: accepted, listener: l}
 	if oldest := l.add(c); oldest != nil {
-		_ = oldest.Close() // an error: its client has left
+		_ = oldest.Close() // fails only if the connection is already closed
 	}
 	return c, nil
 }
 
-// add adds a connection. It returns the oldest one if there are too many.
+// add adds a connection. If more than maxConnections are open, it returns the oldest one for the caller to close.
 func (l *listener) add(c *connection) (oldest *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs the command lines of all programs: it parses subcommands and flags, answers --help and --version,
-// prints errors on standard error and returns the exit status.
+// Package cli runs the command lines of all programs: it parses subcommands and flags, handles --help and --version,
+// prints errors to standard error and returns the exit status.
 package cli
 
 import (
@@ -12,21 +12,22 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit statuses that all programs have in common.
+// Exit statuses that are common to all programs.
 const (
 	OK     = 0
-	Failed = 1 // a command has failed; some programs use another status for that
+	Failed = 1 // the command failed; some programs use another status for this
 	Usage  = 2 // the command line is invalid
 )
 
-// Streams are where a command reads and writes.
+// Streams holds the standard input, output and error of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// Exit is an error that ends a program with this status. Run prints no message for it: the command has printed its own.
+// Exit is an error whose value becomes the exit status of the program. Run prints no message for it, because the
+// command has already printed one.
 type Exit int
 
 func (e Exit) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
@@ -49,12 +50,13 @@
 	return version + " " + info.GoVersion
 }
 
-// kongExit is the panic by which kong ends a program, for example after --help. Its value is the exit status.
+// kongExit is the exit status when kong ends a command line, for example after --help. It is the value of a panic that
+// Run recovers from, instead of an exit of the process.
 type kongExit int
 
-// Run parses a command line into app, a pointer to a struct in kong's form, and calls the Run method of the command
-// that the line selects, which may have a context.Context and a *Streams as parameters. It returns the exit status;
-// failed is the one for an error of the command.
+// Run parses args into app, a pointer to a struct that describes the command line to kong. It calls the Run method of
+// the command that args select, which may have a context.Context and a *Streams as parameters. It returns the exit
+// status, which is failed for any error of the command but an Exit.
 func Run(ctx context.Context, name, about string, app any, args []string, s Streams, failed int) (status int) {
 	defer func() {
 		recovered := recover()
@@ -75,7 +77,7 @@
 	command, err := parser.Parse(args)
 	if err != nil {
 		printError(s.Err, name, err)
-		_, _ = fmt.Fprintf(s.Err, "see %s --help\n", name) // as in printError
+		_, _ = fmt.Fprintf(s.Err, "see %s --help\n", name) // see printError
 		return Usage
 	}
 	err = command.Run()
@@ -105,7 +107,8 @@
 	)
 }
 
-// printError writes an error of a program. If that fails there is nowhere else to report it: the exit status remains.
+// printError writes an error with the program's name. It ignores a failure to write: only the exit status then reports
+// the error.
 func printError(w io.Writer, name string, err error) {
 	_, _ = fmt.Fprintf(w, "%s: %v\n", name, err)
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -11,17 +11,17 @@
 	err error
 }
 
-// NewPrinter returns a printer to a writer.
+// NewPrinter returns a Printer that writes to out.
 func NewPrinter(out io.Writer) *Printer { return &Printer{out: out} }
 
-// Printf prints in the manner of fmt.Printf. After an error it prints nothing.
+// Printf formats and prints like fmt.Printf. After an error it prints nothing.
 func (p *Printer) Printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.out, format, args...)
 	}
 }
 
-// Err returns the first error.
+// Err returns the first error of Printf.
 func (p *Printer) Err() error { return p.err }
 
 // ProgressFlags are the flags of a command that shows its progress.
@@ -29,7 +29,7 @@
 	Quiet bool `help:"Show no progress." short:"q"`
 }
 
-// ProgressLine returns a progress line on a writer. With the flag Quiet it writes nothing.
+// ProgressLine returns a progress line that writes to out, or that writes nothing if Quiet is set.
 func (f ProgressFlags) ProgressLine(out io.Writer) *ProgressLine {
 	if f.Quiet {
 		out = io.Discard
@@ -40,7 +40,8 @@
 // overwriteLine moves a terminal's cursor to the start of the line and clears the line.
 const overwriteLine = "\r\x1b[K"
 
-// ProgressLine shows progress on one line of a terminal. It ignores errors, because a command works without the line.
+// ProgressLine shows progress on one line of a terminal. It ignores write errors, because a command's result does not
+// depend on the line.
 type ProgressLine struct{ out io.Writer }
 
 // Start prints a heading above the line.
@@ -48,12 +49,12 @@
 	_, _ = fmt.Fprintf(l.out, format+"\n", args...) // see ProgressLine
 }
 
-// Update replaces the line.
+// Update replaces the text of the line.
 func (l *ProgressLine) Update(format string, args ...any) {
 	_, _ = fmt.Fprintf(l.out, overwriteLine+format, args...) // see ProgressLine
 }
 
-// End ends the line.
+// End moves the terminal to the next line.
 func (l *ProgressLine) End() {
 	_, _ = fmt.Fprintln(l.out) // see ProgressLine
 }
--- a/internal/cli/output_test.go
+++ b/internal/cli/output_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// limitedWriter fails once it is full.
+// limitedWriter fails each write that would exceed limit bytes in total.
 type limitedWriter struct {
 	bytes.Buffer
 	limit int
@@ -54,7 +54,7 @@
 			}
 			line.End()
 			if got := out.String(); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("output %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics has the counters and gauges of a relay, and writes them in the format of statsd: one name:value|type
-// a line. Every process counts from 0. The package is safe for concurrent use, and most counts cost an atomic addition.
+// Package metrics holds the counters and gauges of a relay, and writes them in the statsd format: one name:value|type
+// per line. Every process starts its counters at 0. The package is safe for concurrent use, and most updates cost one
+// atomic operation.
 package metrics
 
 import (
@@ -12,10 +13,10 @@
 	"sync/atomic"
 )
 
-// prefix begins every name.
+// prefix starts the name of every metric.
 const prefix = "router."
 
-// The types of a metric.
+// Metric types of the statsd format.
 const (
 	counter = "c"
 	gauge   = "g"
@@ -24,43 +25,43 @@
 // Result is how a message ended.
 type Result int
 
-// The results.
+// The results of a message.
 const (
-	Completed Result = iota // delivered
-	Rejected                // the client may submit it again
-	Failed
+	Completed Result = iota // the message was delivered
+	Rejected                // the client may submit the message again
+	Failed                  // not known to be delivered, and the client must not submit the message again
 	resultCount
 )
 
 var resultNames = [resultCount]string{"completed", "rejected", "failed"}
 
-// String returns the name of a result in the names of metrics.
+// String returns the result as it is written in the names of metrics.
 func (r Result) String() string { return resultNames[r] }
 
 // Registry holds the metrics of a process. The zero value is ready to use.
 type Registry struct {
-	UpstreamRequests   atomic.Int64 // messages written in full to endpoints, each attempt by itself
+	UpstreamRequests   atomic.Int64 // messages written in full to endpoints; each attempt counts
 	Reloads            atomic.Int64 // configurations accepted at SIGHUP
 	ReloadErrors       atomic.Int64 // configurations rejected at SIGHUP
-	Pending            atomic.Int64 // messages accepted and not ended
+	Pending            atomic.Int64 // accepted messages that have not ended
 	Members            atomic.Int64 // endpoints in the list
-	UnavailableMembers atomic.Int64 // endpoints in the list that get no messages at the moment
+	UnavailableMembers atomic.Int64 // endpoints in the list that receive no messages at the moment
 
 	mu      sync.Mutex
-	classes map[string]*classResults // bounded by the classes that configurations have named
+	classes map[string]*classResults // by class name; bounded by the number of classes that configurations have named
 }
 
 // classResults counts the messages of a class by their result.
 type classResults [resultCount]int64
 
-// RegisterClass adds the metrics of a class, so that they are written before the first of its messages has ended.
+// RegisterClass adds the counters of a class, so that WriteTo includes them before the first message of the class ends.
 func (r *Registry) RegisterClass(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resultsOf(name)
 }
 
-// resultsOf returns the counts of a class. The caller holds the lock.
+// resultsOf returns the counters of a class, and adds them if there are none. The caller must hold mu.
 func (r *Registry) resultsOf(class string) *classResults {
 	results := r.classes[class]
 	if results == nil {
@@ -73,7 +74,7 @@
 	return results
 }
 
-// CountResult counts the end of a message.
+// CountResult increments the counter of a class and a result by one message.
 func (r *Registry) CountResult(class string, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +95,7 @@
 	return int64(n), err
 }
 
-// writeResults writes the results by class.
+// writeResults writes the counters of each class, ordered by class name.
 func (r *Registry) writeResults(text *strings.Builder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,7 +20,7 @@
 router.config_reload_errors:1|c
 `
 
-// TestWriteTo counts and writes in many goroutines at once, and checks the sums and the order of the lines.
+// TestWriteTo counts and writes in many goroutines at once, then checks the totals and the order of the lines.
 func TestWriteTo(t *testing.T) {
 	var registry Registry
 	registry.RegisterClass("b")
