--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestGoldenDefaults pins the values of an empty file.
+// TestGoldenDefaults pins the default values, which apply without a file.
 func TestGoldenDefaults(t *testing.T) {
 	f, err := Load("")
 	if err != nil {
--- a/internal/config/operatorfile/operatorfile.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -1,5 +1,5 @@
-// Package operatorfile reads the operator's file, which turns on features of an installation that the platform's
-// configuration does not cover. All of them are off by default, and the file is optional.
+// Package operatorfile reads the operator's file, an optional TOML file. It turns on features of an installation that
+// the platform's configuration does not cover. All of these features are off by default.
 package operatorfile
 
 import (
@@ -16,7 +16,7 @@
 
 const bytesPerMB = 1 << 20
 
-// File is the operator's file.
+// File holds the settings of the operator's file.
 type File struct {
 	Log      Log      `toml:"log"`
 	Recorder Recorder `toml:"recorder"`
@@ -24,22 +24,24 @@
 	Fleet    Fleet    `toml:"fleet"`
 }
 
-// Fleet configures whether the relays of a fleet exchange load reports, and where.
+// Fleet configures whether the relays of a fleet exchange load reports, and under which names and addresses.
 type Fleet struct {
 	Enabled bool   `toml:"enabled"`
-	Name    string `toml:"name"`   // of this relay; by default the one that the platform gives it
-	Label   string `toml:"label"`  // of the fleet; reports of relays with another one are ignored
+	Name    string `toml:"name"`   // of this relay; default: its name in the platform's configuration
+	Label   string `toml:"label"`  // of the fleet; reports from relays with another label are ignored
 	Listen  string `toml:"listen"` // IP address and port, for TCP and UDP
-	// Peers are the addresses of all relays by their names, as this relay reaches them. Its own is skipped.
+	// Peers maps the names of all relays of the fleet to the addresses at which this relay reaches them. This relay's
+	// own entry is not used.
 	Peers      map[string]string `toml:"join"`
-	ShareQuota bool              `toml:"rights"` // distribute the limits of destinations over the fleet by demand
+	ShareQuota bool              `toml:"rights"` // divide the rate limits of destinations among the relays by demand
 }
 
-// Journal configures what survives the loss of the machine, and what stays in memory.
+// Journal configures when the journal is synced to disk, which determines what survives the loss of the machine, and
+// which message bodies stay in memory.
 type Journal struct {
 	Sync       string  `toml:"sync"`             // a key of syncPolicies; default SyncNever
-	IntervalMS float64 `toml:"sync_interval_ms"` // default 1000; 10 to 60000
-	// MaxBodiesMB bounds the bodies in memory; the others are read from disk. 0 means no bound.
+	IntervalMS float64 `toml:"sync_interval_ms"` // with SyncInterval; default 1000; 10 to 60000
+	// MaxBodiesMB bounds the message bodies in memory; the others are read from disk. 0 means no bound.
 	MaxBodiesMB float64 `toml:"bodies_mb"`
 }
 
@@ -56,7 +58,7 @@
 	SyncCommit:   store.SyncCommit,
 }
 
-// Options returns the options of a journal with a limit of bytes on disk.
+// Options returns the options of a journal that occupies at most limit bytes on disk.
 func (j Journal) Options(limit int64) journal.Options {
 	return journal.Options{
 		Limit:        limit,
@@ -91,25 +93,25 @@
 	return slog.NewTextHandler(w, options)
 }
 
-// Recorder configures whether decisions are recorded, and where recordings go.
+// Recorder configures whether decisions are recorded, and where recordings are written.
 type Recorder struct {
 	Enabled  bool    `toml:"enabled"`
-	RingMB   float64 `toml:"ring_mb"`   // in memory; default 4, at least 0.25
+	RingMB   float64 `toml:"ring_mb"`   // size of the ring in memory; default 4, at least 0.25
 	Write    string  `toml:"write"`     // WriteRing, the default, or WriteAll
-	Folder   string  `toml:"folder"`    // for the files; if empty, recordings go to the log as lines of text
-	FolderMB float64 `toml:"folder_mb"` // of the files in the folder; default 64, at least 1
+	Folder   string  `toml:"folder"`    // for recording files; if empty, recordings go to the log as lines of text
+	FolderMB float64 `toml:"folder_mb"` // limit on the total size of the files in Folder; default 64, at least 1
 }
 
 // Values of Recorder.Write.
 const (
-	WriteRing = "kept" // the ring in memory, at SIGUSR1 or a crash
-	WriteAll  = "all"  // every decision as it is made
+	WriteRing = "kept" // write out the ring in memory on SIGUSR1 or a crash
+	WriteAll  = "all"  // write out every decision as it is made
 )
 
 // RingBytes returns the size of the recorder's ring in bytes.
 func (r Recorder) RingBytes() int { return int(r.RingMB * bytesPerMB) }
 
-// Load reads a file. An empty path means an empty file.
+// Load reads and validates the file at path. An empty path means an empty file.
 func Load(path string) (File, error) {
 	if path == "" {
 		return Parse("", nil)
@@ -121,7 +123,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads the text of a file. Its error has all errors of the file, with the file's name.
+// Parse decodes and validates the text of a file. name is the file's name in errors. If there are unknown keys, the
+// error lists all of them. Otherwise it lists all invalid values.
 func Parse(name string, data []byte) (File, error) {
 	var file File
 	if err := stricttoml.Decode(name, data, &file); err != nil {
@@ -149,7 +152,7 @@
 	setDefault(&f.Journal.IntervalMS, defaultSyncIntervalMS)
 }
 
-// setDefault replaces a zero value by the default.
+// setDefault replaces a zero value with the default.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -28,14 +28,14 @@
 	}
 	r := file.Recorder
 	if r.Enabled || r.Write != WriteRing || r.RingBytes() != 4<<20 || file.Log.Format != FormatText {
-		t.Errorf("%+v", file)
+		t.Errorf("defaults of an empty file: %+v", file)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Error(err)
+		t.Errorf("missing file: error %v, want %v", err, os.ErrNotExist)
 	}
 	shipped, err := Load("../../../deploy/cherrytrestle.toml")
 	if err != nil || !reflect.DeepEqual(shipped, file) {
-		t.Errorf("the shipped file turns something on: %+v, %v", shipped, err)
+		t.Errorf("the shipped file does not have the default values: %+v, error %v", shipped, err)
 	}
 }
 
@@ -65,14 +65,14 @@
 	options := file.Journal.Options(3e6)
 	if options.Limit != 3e6 || options.Sync != store.SyncInterval ||
 		options.Interval != 250*time.Millisecond || options.MaxBodyBytes != 512<<10 {
-		t.Errorf("%+v", options)
+		t.Errorf("options %+v", options)
 	}
 	if options := (Journal{}).Options(1); options.Sync != store.SyncNever || options.MaxBodyBytes != 0 {
-		t.Errorf("without a file: %+v", options)
+		t.Errorf("options of the zero Journal: %+v", options)
 	}
 }
 
-// invalidFile is the text of a file, and the texts that its error must contain.
+// invalidFile holds the text of a file and the texts that its error must contain.
 type invalidFile struct {
 	text  string
 	wants []string
@@ -126,7 +126,7 @@
 	},
 	"fleet without addresses": {
 		text:  "[fleet]\nenabled = true\n",
-		wants: []string{`fleet.listen is ""`, "fleet.join names nobody"},
+		wants: []string{`fleet.listen is ""`, "fleet.join is empty"},
 	},
 	"fleet with invalid names and addresses": {
 		text: `[fleet]
@@ -155,7 +155,7 @@
 			_, err := Parse("f.toml", []byte(c.text))
 			for _, want := range c.wants {
 				if err == nil || !strings.Contains(err.Error(), want) {
-					t.Errorf("%v, want %q", err, want)
+					t.Errorf("error %v, want %q in it", err, want)
 				}
 			}
 		})
@@ -166,7 +166,7 @@
 	f.Add([]byte("[recorder]\nenabled = true\nring_mb = 1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if file, err := Parse("f", data); err == nil && file.validate(nil) != nil {
-			t.Errorf("accepted, and invalid: %+v", file)
+			t.Errorf("Parse accepted an invalid file: %+v", file)
 		}
 	})
 }
--- a/internal/config/operatorfile/validate.go
+++ b/internal/config/operatorfile/validate.go
@@ -15,23 +15,23 @@
 const (
 	maxPeers     = 1024
 	maxNameBytes = 64
-	maxMB        = 1 << 20 // of any size in a file
+	maxMB        = 1 << 20 // upper bound of recorder.folder_mb and journal.bodies_mb
 )
 
 // validation collects the errors of a file.
 type validation struct {
-	lines map[string]int // of the file's keys
+	lines map[string]int // line of each key in the file
 	errs  []error
 }
 
-// check adds an error about a key unless ok.
+// check adds an error about the setting key unless ok is true.
 func (v *validation) check(ok bool, key, format string, args ...any) {
 	if !ok {
 		v.errs = append(v.errs, fmt.Errorf("%s %s", key, fmt.Sprintf(format, args...)))
 	}
 }
 
-// checkAt is check with the line of the key in the error, if the file has the key.
+// checkAt is like check, but adds the key's line to the error if the file contains the key.
 func (v *validation) checkAt(ok bool, key, format string, args ...any) {
 	if line := v.lines[key]; line > 0 {
 		key = fmt.Sprintf("line %d: %s", line, key)
@@ -39,7 +39,7 @@
 	v.check(ok, key, format, args...)
 }
 
-// validate returns all errors of a file, joined. lines are the lines of the file's keys.
+// validate returns all errors of a file, joined. lines holds the line of each key in the file.
 func (f *File) validate(lines map[string]int) error {
 	v := &validation{lines: lines}
 	f.Fleet.validate(v)
@@ -83,7 +83,7 @@
 }
 
 func (f Fleet) validate(v *validation) {
-	const nameRule = "%q: 64 bytes at most, without blanks, slashes and quotes"
+	const nameRule = "%q, not a name of at most 64 bytes without blanks, slashes and quotes"
 	v.checkAt(validName(f.Name), "fleet.name", "is "+nameRule, f.Name)
 	v.checkAt(validName(f.Label), "fleet.label", "is "+nameRule, f.Label)
 	if f.Listen != "" || f.Enabled {
@@ -94,30 +94,30 @@
 	}
 	v.checkAt(
 		!f.Enabled || len(f.Peers) > 0,
-		"fleet.join", "names nobody: a table of all relays' names and addresses is needed",
+		"fleet.join", "is empty, not a table of the names and addresses of all relays",
 	)
 	v.checkAt(f.Enabled || !f.ShareQuota, "fleet.rights", "needs fleet.enabled = true")
-	v.checkAt(len(f.Peers) <= maxPeers, "fleet.join", "names %d relays, %d at most", len(f.Peers), maxPeers)
+	v.checkAt(len(f.Peers) <= maxPeers, "fleet.join", "lists %d relays, %d at most", len(f.Peers), maxPeers)
 	for _, name := range slices.Sorted(maps.Keys(f.Peers)) {
 		key := "fleet.join." + name
 		address := f.Peers[name]
-		v.checkAt(name != "" && validName(name), key, "names "+nameRule, name)
+		v.checkAt(name != "" && validName(name), key, "has the name "+nameRule, name)
 		v.checkAt(validPeerAddress(address), key, `is %q, not an address and a port, such as "10.0.0.8:7946"`, address)
 	}
 }
 
-// validName reports whether a name can be part of a report and of a path. It may be empty.
+// validName reports whether a name can be part of a report and of a path. An empty name is valid.
 func validName(name string) bool {
 	return len(name) <= maxNameBytes && !strings.ContainsAny(name, " /\"\t\r\n")
 }
 
-// validListenAddress reports whether an address is an IP address of one machine, with a port.
+// validListenAddress reports whether an address has an IP address other than 0.0.0.0 or ::, and a port other than 0.
 func validListenAddress(address string) bool {
 	addrPort, err := netip.ParseAddrPort(address)
 	return err == nil && addrPort.Port() > 0 && !addrPort.Addr().IsUnspecified()
 }
 
-// validPeerAddress reports whether an address is a host and a port.
+// validPeerAddress reports whether an address has a host, and a port from 1 to 65535.
 func validPeerAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
--- a/internal/config/reload/reload.go
+++ b/internal/config/reload/reload.go
@@ -1,6 +1,6 @@
-// Package reload decides what happens when a running relay reads its configuration again: whether it accepts the fresh
-// configuration, and which settings apply while clients may still use the old one. The package is pure: it reads no
-// clock and does no I/O.
+// Package reload holds the rules for reloading the configuration of a running relay: whether the relay accepts the
+// fresh configuration, and which settings apply while clients may still use the old one. The package is pure: it reads
+// no clock and does no I/O.
 package reload
 
 import (
@@ -15,10 +15,10 @@
 	ClassNames  []string        `json:"Classes"` // in the order of Settings.Classes
 	TenantNames []string        `json:"Customers"`
 	Settings    policy.Settings `json:"Settings"`
-	Shape       Shape           `json:"Shape"` // of the file
+	Shape       Shape           `json:"Shape"` // of the configuration file
 }
 
-// Equal reports whether two configurations have the same effect.
+// Equal reports whether two configurations have the same names, shape and settings, as equalSettings compares them.
 func Equal(a, b Config) bool {
 	return slices.Equal(a.ClassNames, b.ClassNames) &&
 		slices.Equal(a.TenantNames, b.TenantNames) &&
@@ -26,7 +26,8 @@
 		maps.Equal(a.Shape, b.Shape)
 }
 
-// equalSettings compares the settings that a configuration file sets.
+// equalSettings compares the classes, kinds, tenants, zone costs, limits and fleet sizes of two settings. It does not
+// compare the other fields, such as WarmUpDuration.
 func equalSettings(a, b *policy.Settings) bool {
 	return slices.Equal(a.Classes, b.Classes) &&
 		slices.Equal(a.DestinationKinds, b.DestinationKinds) &&
@@ -38,8 +39,9 @@
 		a.FleetSize == b.FleetSize
 }
 
-// Transitional returns the configuration that applies while clients may use either of two. It has the classes of both
-// and the lower number of attempts. A class that is in both has the stricter settings of the two.
+// Transitional returns the configuration that applies while clients may use either old or fresh. It has the classes of
+// both configurations and the lower of their limits on attempts. A class that is in both has the stricter settings of
+// the two. All else is as in fresh.
 func Transitional(old, fresh Config) Config {
 	config := KeepRemovedClasses(old, fresh)
 	for i, name := range old.ClassNames {
@@ -53,7 +55,7 @@
 	return config
 }
 
-// KeepRemovedClasses returns the fresh configuration with the classes that only the old one has, after its own.
+// KeepRemovedClasses returns fresh with the classes that only old has, appended after the classes of fresh.
 func KeepRemovedClasses(old, fresh Config) Config {
 	config := fresh
 	config.ClassNames = slices.Clone(fresh.ClassNames)
@@ -67,12 +69,13 @@
 	return config
 }
 
-// stricter returns a class that allows only what both classes allow. Its other settings are those of fresh.
+// stricter combines two versions of a class into one that allows only what both allow. Other settings, such as the
+// weight, are those of fresh.
 func stricter(old, fresh policy.Class) policy.Class {
 	class := fresh
-	class.Effect = max(old.Effect, fresh.Effect) // in the order Idempotent, IdempotentByKey, NonIdempotent
+	class.Effect = max(old.Effect, fresh.Effect) // effects ascend in strictness, from Idempotent to NonIdempotent
 	class.Ordered = old.Ordered || fresh.Ordered
-	// The longer deadline is no less strict: it only bounds the deadline that a client sets for each message.
+	// The longer deadline is no less strict, because it only bounds the deadline that a client sets for each message.
 	class.Deadline = max(old.Deadline, fresh.Deadline)
 	if old.Effect != policy.IdempotentByKey {
 		return class
--- a/internal/config/reload/reload_test.go
+++ b/internal/config/reload/reload_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// allowsRetry reports whether a message of a class that may have run may be sent again, some time after its first
-// attempt, in the same zone or in another one.
+// allowsRetry reports whether a class allows another attempt for a message that may already have run. The attempt is
+// made in the same zone or in another one, and starts the given time after the first attempt.
 func allowsRetry(class policy.Class, otherZone bool, after time.Duration) bool {
 	switch class.Effect {
 	case policy.Idempotent:
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestTransitionalIsAsStrictAsEither checks that the transitional configuration allows nothing that one of the two
-// forbids, and has every class of either.
+// TestTransitionalIsAsStrictAsEither checks that the transitional configuration allows nothing that the old or the
+// fresh configuration forbids, and has every class of both.
 func TestTransitionalIsAsStrictAsEither(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old := drawConfig(t, "old")
@@ -54,15 +54,15 @@
 		checkStricter(t, transitional, old)
 		checkStricter(t, transitional, fresh)
 		if len(transitional.Settings.Classes) != len(transitional.ClassNames) {
-			t.Fatal("classes without names")
+			t.Fatal("the numbers of classes and class names differ")
 		}
 	})
 }
 
-// checkStricter fails if a transitional configuration allows something that config forbids, or lacks a class of it.
+// checkStricter fails if transitional allows something that config forbids, or lacks a class of config.
 func checkStricter(t *rapid.T, transitional, config Config) {
 	if transitional.Settings.MaxAttempts > config.Settings.MaxAttempts {
-		t.Fatal("more attempts than one configuration allows")
+		t.Fatal("transitional allows more attempts than config")
 	}
 	for i, name := range config.ClassNames {
 		if !slices.Contains(transitional.ClassNames, name) {
@@ -78,7 +78,7 @@
 
 func checkStricterClass(t *rapid.T, transitional, class policy.Class) {
 	if class.Ordered && !transitional.Ordered || transitional.Deadline < class.Deadline {
-		t.Fatalf("%+v of %+v", transitional, class)
+		t.Fatalf("%+v does not keep the order or the deadline of %+v", transitional, class)
 	}
 	for after := range time.Duration(10) {
 		for _, otherZone := range []bool{false, true} {
--- a/internal/config/reload/shape.go
+++ b/internal/config/reload/shape.go
@@ -12,12 +12,12 @@
 	listLength    = "count" // the last part of a path whose value is the length of a list of objects
 )
 
-// Shape is the number of values that a file has at each path. In a path, anyIndex stands for all indexes of a list: the
-// number at such a path is that of the entries that have a value. At a path that ends with listLength it is the length
-// of the list.
+// Shape holds the number of values that a file has at each path. In a path, anyIndex stands for all indexes of a list:
+// the number at such a path counts the entries that have a value. The number at a path that ends with listLength is the
+// length of the list.
 type Shape map[string]int
 
-// ShapeOf returns the shape of a file with these values, by path.
+// ShapeOf returns the shape of a file with the given values, which are keyed by path.
 func ShapeOf(values map[string]string) Shape {
 	shape := Shape{}
 	for path, value := range values {
@@ -38,8 +38,9 @@
 	return shape
 }
 
-// missing returns the paths that were mandatory in the old file and that this one lacks. A path within the entries of a
-// list was mandatory if every entry had it, and this file lacks it if one of its entries does.
+// missing returns the mandatory paths that the file of s lacks. Every path of the old file is mandatory, except a path
+// within the entries of a list that some of the old entries lack. A path within the entries of a list is missing from s
+// if any entry lacks it.
 func (s Shape) missing(old Shape) []string {
 	var paths []string
 	for path, oldCount := range old {
@@ -48,7 +49,7 @@
 		if inList {
 			lengthPath := list + pathSeparator + listLength
 			if oldCount < old[lengthPath] {
-				continue // optional: some entries did not have it
+				continue // optional: some entries of the old file do not have it
 			}
 			wantCount = s[lengthPath]
 		}
--- a/internal/config/reload/validate.go
+++ b/internal/config/reload/validate.go
@@ -9,7 +9,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Validate returns an error with all reasons why a fresh configuration cannot replace the old one, or nil.
+// Validate returns an error with all reasons why fresh cannot replace old, or nil if it can.
 func Validate(old, fresh Config) error {
 	var errs []error
 	if paths := fresh.Shape.missing(old.Shape); len(paths) > 0 {
@@ -17,12 +17,15 @@
 	}
 	settings := &fresh.Settings
 	if len(settings.Classes) == 0 || len(settings.Classes) != len(fresh.ClassNames) {
-		errs = append(errs, errors.New("no class is named"))
+		errs = append(errs, fmt.Errorf(
+			"%d classes and %d class names, must be at least one class and a name for each",
+			len(settings.Classes), len(fresh.ClassNames),
+		))
 		return errors.Join(errs...)
 	}
 	errs = append(errs, validateClasses(fresh)...)
 	if settings.MaxAttempts < 0 || settings.MaxAttempts == 0 && old.Settings.MaxAttempts > 0 {
-		errs = append(errs, errors.New("the number of attempts is not over 0"))
+		errs = append(errs, fmt.Errorf("the number of attempts is %d, must be greater than 0", settings.MaxAttempts))
 	}
 	if _, err := policy.New(*settings, 0); err != nil {
 		errs = append(errs, err)
@@ -35,10 +38,12 @@
 	var errs []error
 	for i, name := range config.ClassNames {
 		if name == "" || slices.Index(config.ClassNames, name) != i {
-			errs = append(errs, fmt.Errorf("class %d has no name of its own", i))
+			errs = append(errs, fmt.Errorf("class %d: its name %q is empty or already in use", i, name))
 		}
 		if config.Settings.Classes[i].Deadline <= 0 {
-			errs = append(errs, fmt.Errorf("class %q: its deadline is not over 0", name))
+			errs = append(errs, fmt.Errorf(
+				"class %q: its deadline is %v, must be greater than 0", name, config.Settings.Classes[i].Deadline,
+			))
 		}
 	}
 	return errs
--- a/internal/config/reload/validate_test.go
+++ b/internal/config/reload/validate_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// validateCase is a change to a valid configuration, and whether Validate accepts it.
+// validateCase holds a change to a valid configuration, and whether Validate accepts the result.
 type validateCase struct {
 	change func(*Config)
 	want   string // in the error; "" if the configuration is accepted
@@ -71,30 +71,30 @@
 	},
 	"no deadline": {
 		change: func(c *Config) { c.Settings.Classes[1].Deadline = 0 },
-		want:   `"payment": its deadline is not over 0`,
+		want:   `"payment": its deadline is 0s, must be greater than 0`,
 	},
 	"negative deadline": {
 		change: func(c *Config) { c.Settings.Classes[0].Deadline = -5 },
-		want:   `"order": its deadline is not over 0`,
+		want:   `"order": its deadline is -5ns, must be greater than 0`,
 	},
 	"no attempts": {
 		change: func(c *Config) { c.Settings.MaxAttempts = 0 },
-		want:   "attempts is not over 0",
+		want:   "attempts is 0, must be greater than 0",
 	},
 	"negative attempts": {
 		change: func(c *Config) { c.Settings.MaxAttempts = -1 },
-		want:   "attempts is not over 0",
+		want:   "attempts is -1, must be greater than 0",
 	},
 	"no class": {
 		change: func(c *Config) {
 			c.Settings.Classes = nil
 			c.ClassNames = nil
 		},
-		want: "no class",
+		want: "0 classes and 0 class names",
 	},
 	"a name twice": {
 		change: func(c *Config) { c.ClassNames[1] = "order" },
-		want:   "class 1 has no name of its own",
+		want:   `class 1: its name "order" is empty or already in use`,
 	},
 	"negative latency objective": {
 		change: func(c *Config) { c.Settings.Classes[0].LatencyObjective = -1 },
@@ -112,7 +112,7 @@
 				t.Errorf("rejected: %v", err)
 			}
 			if c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q in it", err, c.want)
 			}
 		})
 	}
--- a/internal/config/stricttoml/lines.go
+++ b/internal/config/stricttoml/lines.go
@@ -7,15 +7,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines returns the line of each key in a file by its path: "a.b", or "a[2].b" in the second table of an array. The
-// line of a table is that of its header. Keys within inline values are left out. If the file is malformed it returns
-// the keys before the error.
+// Lines returns the line number of each key in a file, by the key's path: "a.b", or "a[2].b" in the second table of an
+// array. The line of a table is that of its header. Keys within inline values are left out. If the file is malformed,
+// Lines returns the keys before the error.
 func Lines(data []byte) map[string]int {
 	lines := map[string]int{}
-	tableCounts := map[string]int{} // of tables in an array, by path
+	tableCounts := map[string]int{} // number of tables so far in each array, by path
 	var parser unstable.Parser
 	parser.Reset(data)
-	tablePrefix := "" // of the table that the parser is in
+	tablePrefix := "" // path of the current table and a dot; empty at the top level
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		path, line := keyOf(&parser, expression)
@@ -34,7 +34,7 @@
 	return lines
 }
 
-// keyOf returns the key of an expression, with dots between its parts, and the line of its first part.
+// keyOf returns the dotted key of an expression and the line of its first part.
 func keyOf(parser *unstable.Parser, expression *unstable.Node) (path string, line int) {
 	var parts []string
 	for key := expression.Key(); key.Next(); {
--- a/internal/config/stricttoml/lines_test.go
+++ b/internal/config/stricttoml/lines_test.go
@@ -33,7 +33,7 @@
 		"factor[2].path":     12,
 	}
 	if !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("lines %v, want %v", got, want)
 	}
 }
 
--- a/internal/config/stricttoml/stricttoml.go
+++ b/internal/config/stricttoml/stricttoml.go
@@ -1,4 +1,4 @@
-// Package stricttoml reads TOML files in which every key must be known, and reports where each error is.
+// Package stricttoml reads TOML files in which every key must be known, and reports the position of each error.
 package stricttoml
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads data into v. It reports all unknown keys at once, each as "name:line: unknown key a.b".
+// Decode reads data into v. If keys are unknown, the error lists all of them, each as "name:line: unknown key a.b".
 func Decode(name string, data []byte, v any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
