--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs decision engines on the simulator's protocol: it reads batches of events from standard input,
-// steps one policy.Engine for each instance, and writes the actions to standard output. It decides nothing itself.
+// Command simadapter connects decision engines to the simulator. It reads batches of events from standard input, steps
+// one policy.Engine for each simulated relay, and writes the actions to standard output. It makes no decisions of its
+// own.
 package main
 
 import (
@@ -24,7 +25,7 @@
 
 const (
 	name        = "simadapter"
-	description = "The decision engine on the simulator's protocol, on standard input and output."
+	description = "Runs decision engines over the simulator's protocol on standard input and output."
 )
 
 type app struct {
@@ -37,15 +38,15 @@
 // instance is the engine of one simulated relay.
 type instance struct {
 	number int
-	engine *policy.Engine // nil: stopped, or it has panicked
+	engine *policy.Engine // nil before a start, and after a stop or a panic
 	events []policy.Event // of the current batch
-	active bool           // the current batch has items for it
+	active bool           // whether the current batch has items for this instance
 }
 
-// adapter has the instances of a simulation.
+// adapter runs the instances of one simulation.
 type adapter struct {
 	instances map[int]*instance // by number
-	active    []*instance       // those that the current batch has items for, in the order of their first items
+	active    []*instance       // instances with items in the current batch, in the order of their first items
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -71,7 +72,7 @@
 	}
 }
 
-// collect starts and stops instances, and adds the events of a batch to their instances.
+// collect applies the items of a batch: it starts and stops instances, and queues each event for its instance.
 func (a *adapter) collect(items []simwire.Item) error {
 	a.active = a.active[:0]
 	for i := range items {
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// activate returns the instance with a number, which it creates if there is none, and makes it one of the batch.
+// activate returns the instance with the given number and marks it as active in the current batch. If the instance does
+// not exist, activate creates it.
 func (a *adapter) activate(number int) *instance {
 	found := a.instances[number]
 	if found == nil {
@@ -109,7 +111,7 @@
 	return found
 }
 
-// step steps the engines of the batch's instances, and writes their actions.
+// step steps the engines of all active instances and writes their actions.
 func (a *adapter) step(w *simwire.Writer, now time.Duration) {
 	for _, current := range a.active {
 		current.active = false
@@ -120,7 +122,8 @@
 	}
 }
 
-// step steps the engine and writes its actions. A panic stops the instance and is written to the simulator.
+// step steps the engine and writes its actions. If the engine panics, step reports the panic to the simulator and stops
+// the instance.
 func (i *instance) step(w *simwire.Writer, now time.Duration) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// startBatch starts an instance that lists an endpoint and accepts a message.
+// startBatch starts an instance, sends it a list with one endpoint, and submits a message to it.
 const startBatch = "MARK 100.0 1\nCONFIGURE 0 7 services.count=1 services.0.semantics=read_like " +
 	"services.0.goal_time_ms=2000.0 services.0.give_up_ms=9000.0 separate=1\n" +
 	"POOL 0 1\nHOST in_service 0 5 0 - host.a 1\nTARGETS 0 cached 1 0\n" +
 	"KNOCK 0 11 - 0 - - 0 9000.0 5\nGO\n"
 
-// TestInstanceRestartsWithinABatch stops and starts an instance in one batch: a cancellation of the message that the
-// stopped one had accepted is no error, and each batch has its reply.
+// TestInstanceRestartsWithinABatch stops an instance and starts it again in one batch. If the client then cancels a
+// message that only the stopped engine had accepted, that must not be an error. Each batch must get its reply.
 func TestInstanceRestartsWithinABatch(t *testing.T) {
 	var out bytes.Buffer
 	in := startBatch + "\nMARK 200.0 2\nRETIRE 0\nCONFIGURE 0 8 services.count=1\nGO\n" +
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,7 +1,6 @@
 package simwire
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -11,18 +10,18 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// lineFields parses the values of a line, which are separated by spaces. Each method parses the next value. The first
-// error is kept in err.
+// lineFields parses the values of a line, which are separated by spaces. Each method that parses takes the next value
+// off the line. err holds the first error.
 type lineFields struct {
-	text      string
+	text      string // not yet parsed
 	err       error
-	exhausted bool
+	exhausted bool // no value is left
 }
 
-// fail keeps the error "bad what" if it is the first.
+// fail sets err to the error "invalid <what>" unless err holds an earlier error.
 func (f *lineFields) fail(what string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("bad %s", what)
+		f.err = fmt.Errorf("invalid %s", what)
 	}
 }
 
@@ -40,16 +39,16 @@
 	return word
 }
 
-// rest returns the remaining text of the line.
+// rest returns the remaining text of the line as one value.
 func (f *lineFields) rest() string {
 	f.exhausted = true
 	return f.text
 }
 
-// end returns the first error of the line. Values that follow the known ones are ignored.
+// end returns the first error of the line. It ignores values that are left on the line.
 func (f *lineFields) end() error { return f.err }
 
-// optional parses a value in which "-" means none.
+// optional parses a value. It returns "" for the value "-", which means none.
 func (f *lineFields) optional() string {
 	if word := f.word(); word != "-" {
 		return word
@@ -112,14 +111,14 @@
 	return d
 }
 
-// maxMilliseconds bounds a time in either direction.
+// maxMilliseconds bounds the absolute value of a time, so that a time.Duration can hold it.
 const maxMilliseconds = 1e12
 
 // parseMilliseconds parses a time in milliseconds, and rounds it to microseconds.
 func parseMilliseconds(text string) (time.Duration, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.Abs(value) > maxMilliseconds {
-		return 0, errors.New("bad time")
+		return 0, fmt.Errorf("time %q is not a number of milliseconds up to %g", text, maxMilliseconds)
 	}
 	return time.Duration(math.Round(value*1000)) * time.Microsecond, nil
 }
@@ -143,7 +142,8 @@
 	return outcome
 }
 
-// limitReport parses name:value pairs. It ignores names that are not in limits, and values that are not numbers.
+// limitReport parses name:value pairs with commas between them. It ignores names that are not in limits, and values
+// that are not numbers.
 func (f *lineFields) limitReport(limits *limitFields) policy.LimitReport {
 	var report policy.LimitReport
 	text := f.optional()
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	bufferSize    = 1 << 16 // bytes, of input and output
-	maxQuotedLine = 120     // characters of a malformed line in its error
-	// maxPreallocated bounds the capacity that is reserved for a list by its announced length, in entries.
+	bufferSize    = 1 << 16 // bytes, of the input buffer and of the output buffer
+	maxQuotedLine = 120     // bytes of a malformed line or setting that an error quotes at most
+	// maxPreallocated bounds, in entries, the capacity that is allocated for a list before its entries are read.
 	maxPreallocated = 1024
 )
 
 // ItemKind is the kind of an Item.
 type ItemKind int
 
-// The kinds of item.
+// The kinds of an Item.
 const (
 	Start ItemKind = iota // a new instance, with its settings and seed
 	Stop                  // the instance ends
-	Event                 // something that the instance observes
+	Event                 // an event for the instance's engine
 )
 
 // String returns the kind's name.
@@ -43,27 +43,27 @@
 	return fmt.Sprintf("item(%d)", int(k))
 }
 
-// Item is one event of a batch, for one instance.
+// Item is one entry of a batch. It concerns one instance, which is the engine of one simulated relay.
 type Item struct {
 	Kind     ItemKind
 	Instance int
-	Settings policy.Settings // Start
-	Seed     uint64          // Start
-	Event    policy.Event    // Event
+	Settings policy.Settings // set for Start
+	Seed     uint64          // set for Start
+	Event    policy.Event    // set for Event
 }
 
-// Batch is the items that the simulator sends for one point in time.
+// Batch holds the items that the simulator sends for one point in simulated time.
 type Batch struct {
 	Now    time.Duration
-	Number string
+	Number string // repeated in the reply
 	Items  []Item
 }
 
-// Reader reads batches.
+// Reader reads batches from the simulator.
 type Reader struct {
 	input         *bufio.Reader
 	lineNumber    int
-	endpointLists map[int][]policy.Endpoint // by the number of their POOL line
+	endpointLists map[int][]policy.Endpoint // by the number in their POOL line
 	limitFields   map[int]*limitFields      // by instance
 	pendingList   pendingList
 	lineBuffer    []byte
@@ -72,17 +72,17 @@
 // pendingList is the endpoint list whose entries are being read.
 type pendingList struct {
 	number    int
-	remaining int // entries to be read
+	remaining int // HOST lines that are still to be read
 }
 
-// limitFields are the names of the reported values that describe a rate limit: what remains of it, and the limit
-// itself. An empty name matches no value.
+// limitFields holds the names of the reported values that describe a rate limit: the remaining fraction of the limit,
+// and the limit itself. A name is empty if endpoints do not report the value.
 type limitFields struct {
 	remaining string
 	limit     string
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		input:         bufio.NewReaderSize(in, bufferSize),
@@ -91,8 +91,8 @@
 	}
 }
 
-// Next reads one batch into b, whose items it overwrites. It returns io.EOF when the input ends between batches, and
-// an error that names the line for anything malformed.
+// Next reads one batch into b, whose items it overwrites. It returns io.EOF if the input ends between batches. If the
+// input is malformed, the error gives the line number.
 func (r *Reader) Next(b *Batch) error {
 	b.Items = b.Items[:0]
 	open := false
@@ -122,7 +122,7 @@
 	}
 }
 
-// truncate shortens a line for an error text.
+// truncate shortens a line or setting for an error text.
 func truncate(line string) string {
 	if len(line) > maxQuotedLine {
 		return line[:maxQuotedLine] + "..."
@@ -130,7 +130,7 @@
 	return line
 }
 
-// readLine returns the next line without its end. With io.EOF it returns the text after the last line end.
+// readLine returns the next line without its line break. With io.EOF it returns the text after the last line break.
 func (r *Reader) readLine() (string, error) {
 	r.lineNumber++
 	r.lineBuffer = r.lineBuffer[:0]
@@ -144,17 +144,17 @@
 	}
 }
 
-// parseLine parses one line of a batch; done reports that it was the last.
+// parseLine parses one line. done is true if the line ends the batch.
 func (r *Reader) parseLine(f *lineFields, b *Batch, open *bool) (done bool, err error) {
 	name := f.word()
 	if name == "MARK" {
 		return false, parseMark(f, b, open)
 	}
 	if !*open {
-		return false, errors.New("a line outside a batch")
+		return false, fmt.Errorf("%s outside a batch", name)
 	}
 	if (name == "HOST") != (r.pendingList.remaining > 0) {
-		return false, errors.New("POOL and its HOST lines do not match")
+		return false, fmt.Errorf("unexpected %s: the POOL lacks %d HOST lines", name, r.pendingList.remaining)
 	}
 	switch name {
 	case "GO":
@@ -172,7 +172,7 @@
 	item := Item{Kind: Event, Instance: f.integer()}
 	limits := r.limitFields[item.Instance]
 	if limits == nil {
-		return false, errors.New("no such instance")
+		return false, fmt.Errorf("instance %d was never started", item.Instance)
 	}
 	known, err := r.parseEvent(name, f, &item.Event, limits)
 	if known {
@@ -181,7 +181,7 @@
 	return false, err
 }
 
-// parseMark begins a batch.
+// parseMark parses a MARK line, which begins a batch.
 func parseMark(f *lineFields, b *Batch, open *bool) error {
 	if *open {
 		return errors.New("MARK inside a batch")
@@ -190,17 +190,17 @@
 	b.Now = f.milliseconds()
 	b.Number = f.word()
 	if _, err := strconv.ParseUint(b.Number, 10, 64); err != nil {
-		return errors.New("bad batch number")
+		return fmt.Errorf("batch number %q is not a whole number", b.Number)
 	}
 	return f.end()
 }
 
-// parsePool begins an endpoint list, whose entries follow one a line.
+// parsePool parses a POOL line, which begins an endpoint list. Each entry of the list follows on a HOST line.
 func (r *Reader) parsePool(f *lineFields) error {
 	r.pendingList.number = f.integer()
 	r.pendingList.remaining = f.integer()
 	if r.pendingList.remaining < 0 {
-		return errors.New("bad number of entries")
+		return fmt.Errorf("number of entries is %d, must not be negative", r.pendingList.remaining)
 	}
 	capacity := min(r.pendingList.remaining, maxPreallocated)
 	r.endpointLists[r.pendingList.number] = make([]policy.Endpoint, 0, capacity)
@@ -227,7 +227,7 @@
 	return err
 }
 
-// parseEvent parses an event into e. known is false for events that the engine does not use.
+// parseEvent parses an event into e. known is false if the engine does not use events of this name.
 func (r *Reader) parseEvent(name string, f *lineFields, e *policy.Event, limits *limitFields) (known bool, err error) {
 	switch name {
 	case "KNOCK":
@@ -259,7 +259,7 @@
 	case "HEADERS", "INBOX":
 		return false, nil
 	default:
-		return false, errors.New("unknown message")
+		return false, fmt.Errorf("unknown line type %q", name)
 	}
 	return true, f.end()
 }
@@ -279,7 +279,8 @@
 	e.LimitReport = f.limitReport(limits)
 }
 
-// parseTargets parses an event that refers to an earlier list: an endpoint snapshot, a delta or a failed watch.
+// parseTargets parses an event of the endpoint list: a snapshot or a delta, whose entries are in an earlier POOL, or a
+// failed watch.
 func (r *Reader) parseTargets(f *lineFields, e *policy.Event) (known bool, err error) {
 	mode := f.word()
 	f.unsigned()
@@ -293,11 +294,11 @@
 		e.Kind = policy.WatchFailed
 		return true, f.end()
 	default:
-		return false, errors.New("unknown mode")
+		return false, fmt.Errorf("unknown mode %q of TARGETS", mode)
 	}
 	list, ok := r.endpointLists[number]
 	if !ok {
-		return false, errors.New("no such POOL")
+		return false, fmt.Errorf("no earlier POOL has the number %d", number)
 	}
 	e.Endpoints = list
 	return true, f.end()
@@ -313,7 +314,7 @@
 	case "terminated":
 		endpoint.Removed = true
 	default:
-		return endpoint, errors.New("unknown health")
+		return endpoint, errors.New("unknown health of an endpoint")
 	}
 	endpoint.Kind = f.integer()
 	endpoint.Destination = policy.DestinationID(f.integer())
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,22 +9,22 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// maxListLength bounds the length that settings state for a list of objects.
+// maxListLength bounds the number of objects that are read from a list, whatever length the settings state.
 const maxListLength = 1000
 
-// settingValues parses the values of settings, which it has by their paths. The first error is kept in err.
+// settingValues parses the values of settings. err holds the first error.
 type settingValues struct {
-	values map[string]string
+	values map[string]string // by path
 	err    error
 }
 
-// parseConfigure parses the path=value pairs of a CONFIGURE line, in which the value "-" means none.
+// parseConfigure parses the path=value pairs of a CONFIGURE line. A setting with the value "-" counts as not set.
 func parseConfigure(text string) (policy.Settings, *limitFields, error) {
 	p := &settingValues{values: map[string]string{}}
 	for _, pair := range strings.Fields(text) {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return policy.Settings{}, nil, fmt.Errorf("bad setting %q", truncate(pair))
+			return policy.Settings{}, nil, fmt.Errorf("setting %q has no value", truncate(pair))
 		}
 		if value != "-" {
 			p.values[path] = value
@@ -34,8 +34,8 @@
 	return settings, p.limitFields(), err
 }
 
-// Settings converts settings, by their paths, to those of the engine. The relay converts the settings of its
-// configuration file with it, too, so that each one means the same in the simulator and in a deployment.
+// Settings converts the values of settings, by path, to the settings of the engine. The relay also uses Settings for
+// its configuration file, so that each setting means the same in the simulator and in a deployment.
 func Settings(values map[string]string) (policy.Settings, error) {
 	p := &settingValues{values: values}
 	settings := policy.Settings{
@@ -69,7 +69,8 @@
 	return settings, p.err
 }
 
-// destinationKinds returns as many kinds as the longest of their lists has.
+// destinationKinds returns the kinds of destination. Several settings are lists with one entry per kind; there are as
+// many kinds as the longest of these lists has entries.
 func (p *settingValues) destinationKinds() (kinds []policy.DestinationKind) {
 	batchSizes := p.list("extra.per_call")
 	separateLimits := p.list("extra.separate_routes")
@@ -86,7 +87,7 @@
 	return kinds
 }
 
-// class returns the class whose settings have paths with the prefix.
+// class returns the class whose settings have paths that start with prefix.
 func (p *settingValues) class(prefix string) policy.Class {
 	class := policy.Class{
 		DedupAllZones:    p.values[prefix+"group"] == "all",
@@ -104,13 +105,13 @@
 		class.Effect = policy.Idempotent
 	case "idempotency_key":
 		class.Effect = policy.IdempotentByKey
-	default: // an unknown kind is not assumed to tolerate repeats
+	default: // unknown semantics: assume that repeats do harm
 		class.Effect = policy.NonIdempotent
 	}
 	return class
 }
 
-// limitFields returns which of the reported values describe a rate limit.
+// limitFields returns the names of those reported values that describe a rate limit.
 func (p *settingValues) limitFields() *limitFields {
 	limits := &limitFields{}
 	for _, name := range p.list("stats.fields") {
@@ -124,11 +125,11 @@
 	return limits
 }
 
-// parse parses a number of the setting at a path.
+// parse parses text as a number. path names the setting in the error.
 func (p *settingValues) parse(path, text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil && p.err == nil {
-		p.err = fmt.Errorf("bad setting %s", path)
+		p.err = fmt.Errorf("setting %s: %q is not a number", path, text)
 	}
 	return value
 }
@@ -143,7 +144,7 @@
 
 func (p *settingValues) integer(path string) int { return int(p.number(path)) }
 
-// length returns the length of a list of objects.
+// length returns the length of the list of objects at a path, maxListLength at most.
 func (p *settingValues) length(path string) int { return min(maxListLength, p.integer(path+".count")) }
 
 func (p *settingValues) milliseconds(path string) time.Duration {
@@ -154,7 +155,7 @@
 	return p.values[path] == "true" || p.values[path] == "1"
 }
 
-// list returns the parts of a value with commas between them.
+// list returns the parts of the comma-separated value at a path.
 func (p *settingValues) list(path string) []string {
 	if p.values[path] == "" {
 		return nil
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,11 +12,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// configure starts instance 3.
+// configure is the line that starts instance 3.
 const configure = "CONFIGURE 3 77 services.count=1 services.0.semantics=read_like services.0.goal_time_ms=2000.0 " +
 	"services.0.give_up_ms=20000.0 stats.fields=x0,x1\n"
 
-// readBatch reads a batch with these lines, which follows one that starts instance 3.
+// readBatch returns the items of a batch with the given lines. An earlier batch starts instance 3.
 func readBatch(t *testing.T, lines string) ([]Item, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader("MARK 10.5 1\n" + configure + "GO\n\nMARK 20.25 2\n" + lines + "GO\n"))
@@ -31,13 +31,13 @@
 	return b.Items, err
 }
 
-// twoEndpoints is a snapshot of two endpoints, of which the second is draining and has no valid weight.
+// twoEndpoints holds the lines of a snapshot of two endpoints. The second one is draining and has an invalid weight.
 const twoEndpoints = "POOL 0 2\n" +
 	"HOST in_service 0 57 0 - host.abu 1\n" +
 	"HOST terminating 1 57 1 6100.0 host.azk odd\n" +
 	"TARGETS 3 cached 41 0\n"
 
-// eventCase is the lines of an event, and the event.
+// eventCase holds the lines of an event, and the event that they must be parsed into.
 type eventCase struct {
 	lines string
 	want  policy.Event
@@ -112,11 +112,11 @@
 	}
 	items, err := readBatch(t, "HEADERS 3 1 0 host.a 9.25\nINBOX 3 2 6869\nRETIRE 3\n")
 	if err != nil || len(items) != 1 || items[0].Kind != Stop {
-		t.Errorf("unused messages: %+v, %v", items, err)
+		t.Errorf("events that the engine does not use, and a stop: items %+v, error %v", items, err)
 	}
 }
 
-// TestMalformedLinesAreErrors also checks that each error names its line.
+// TestMalformedLinesAreErrors also checks that each error of a line gives the line number.
 func TestMalformedLinesAreErrors(t *testing.T) {
 	for _, lines := range []string{
 		"WHAT 3 1\n",
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,13 +10,13 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Writer writes replies. It must not be used by several goroutines at once.
+// Writer writes replies to the simulator. It is not safe for concurrent use.
 type Writer struct {
 	output *bufio.Writer
 	line   []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{output: bufio.NewWriterSize(out, bufferSize)} }
 
 // Actions writes the actions of an instance, in order.
@@ -51,7 +51,7 @@
 	}
 }
 
-// Die writes that an instance panicked, with the reason in one line.
+// Die reports that an instance panicked. It replaces line breaks in the reason with spaces.
 func (w *Writer) Die(instance int, reason string) {
 	w.begin("DIE", instance)
 	w.text(strings.Map(func(r rune) rune {
@@ -63,7 +63,7 @@
 	w.endLine()
 }
 
-// End ends the reply to a batch and flushes it. It returns the first error of any write.
+// End ends the reply to the batch with the given number and flushes it. It returns the first error of any write.
 func (w *Writer) End(number string) error {
 	w.line = append(w.line[:0], "YIELD "...)
 	w.line = append(w.line, number...)
@@ -71,7 +71,7 @@
 	return w.output.Flush()
 }
 
-// begin begins a line about an instance.
+// begin starts a line with its name and the number of its instance.
 func (w *Writer) begin(name string, instance int) {
 	w.line = append(w.line[:0], name...)
 	w.line = append(w.line, ' ')
