--- a/internal/recording/flightrecorder/decoder.go
+++ b/internal/recording/flightrecorder/decoder.go
@@ -8,11 +8,12 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// decoder reads one frame's payload. The first error is kept; whatever it returns after one is zero.
+// decoder decodes the frames of one chunk, one payload at a time. Values that it returns after the first error have no
+// meaning.
 type decoder struct {
-	data    []byte
-	err     error
-	names   []string
+	data    []byte   // what is left of the payload
+	err     error    // the first error
+	names   []string // the chunk's numbered strings; number n is at index n-1
 	lastNow time.Duration
 	lastID  policy.MessageID
 }
@@ -93,7 +94,7 @@
 	return d.names[n-1]
 }
 
-// now reads a time, which is written as its difference to the last one.
+// now reads a time, which is encoded as the difference from the previous one.
 func (d *decoder) now() time.Duration {
 	d.lastNow += d.duration()
 	return d.lastNow
@@ -106,8 +107,8 @@
 	return d.lastID
 }
 
-// count reads how many entries follow. Each takes at least a byte, so that no length asks for more memory than the
-// frame could fill.
+// count reads the number of entries of a list. An entry takes at least one byte, so a count above the number of bytes
+// left is malformed. This bounds the memory that a malformed count can claim.
 func (d *decoder) count() int {
 	n := d.uint()
 	if n > uint64(len(d.data)) || n > maxEntries {
@@ -180,7 +181,8 @@
 }
 
 func (d *decoder) endpoints() []policy.Endpoint {
-	const maxPreallocated = 1 << 16 // entries are larger in memory than in a frame: a false count must not cost much
+	// An endpoint is larger in memory than in a frame: the limit bounds the memory that a malformed count can claim.
+	const maxPreallocated = 1 << 16
 	n := d.count()
 	endpoints := make([]policy.Endpoint, 0, min(n, maxPreallocated))
 	for range n {
@@ -194,7 +196,7 @@
 
 func (d *decoder) endpoint() policy.Endpoint {
 	flags := d.byte()
-	return policy.Endpoint{ // the fields in the order in which the encoder writes them
+	return policy.Endpoint{ // The fields are read in this order, which must be the encoder's.
 		ID:          d.name(),
 		Destination: policy.DestinationID(d.int()),
 		Kind:        int(d.int()),
@@ -236,7 +238,7 @@
 	e.Actions = readList(d, d.action)
 }
 
-// readList reads a count and as many entries, until one is malformed.
+// readList reads a count and that many entries. It stops at the first malformed entry.
 func readList[T any](d *decoder, read func(*T)) []T {
 	n := d.count()
 	if n == 0 {
@@ -252,7 +254,7 @@
 	return list
 }
 
-// rest returns all that is left of the payload.
+// rest returns the bytes of the payload that were not read yet.
 func (d *decoder) rest() []byte {
 	rest := d.data
 	d.data = nil
--- a/internal/recording/flightrecorder/dump_test.go
+++ b/internal/recording/flightrecorder/dump_test.go
@@ -13,8 +13,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// dump returns entries as text. It names no fields and no values of enumerations, so that renaming them leaves the
-// golden files as they are.
+// dump returns entries as text. The text has no names of fields or enumeration values, so that renaming them does not
+// change the golden files.
 func dump(t *testing.T, entries []flightrecorder.Entry) []byte {
 	t.Helper()
 	var text strings.Builder
@@ -44,6 +44,7 @@
 	return []byte(text.String())
 }
 
+// dumpEvent appends an event as text, and the value of its Recovered field in place of the pointer.
 func dumpEvent(text *strings.Builder, event policy.Event) {
 	recovered := event.Recovered
 	event.Recovered = nil
@@ -54,14 +55,14 @@
 	fmt.Fprintln(text)
 }
 
-// plainText formats a value as %v does, but enumerations, whose kind is int, as their numbers.
+// plainText formats a value as %v does, except that enumerations, whose kind is int, are formatted as numbers.
 func plainText(value any) string {
 	v := reflect.ValueOf(value)
-	_, named := value.(fmt.Stringer)
+	_, isStringer := value.(fmt.Stringer)
 	switch {
-	case named && v.Kind() == reflect.Int:
+	case isStringer && v.Kind() == reflect.Int:
 		return strconv.FormatInt(v.Int(), 10)
-	case named:
+	case isStringer:
 		return fmt.Sprint(value)
 	}
 	var parts []string
--- a/internal/recording/flightrecorder/encoder.go
+++ b/internal/recording/flightrecorder/encoder.go
@@ -8,20 +8,20 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// encoder appends one chunk's frames to a buffer. Strings that are likely to be repeated are written once in a chunk
-// and by number from then on.
+// encoder appends one chunk's frames to a buffer. A string that is likely to recur is written in full once per chunk
+// and as a number after that.
 type encoder struct {
 	buf         []byte
-	id          uint64 // of the recording
-	chunk       uint32
-	frameStart  int // of the open frame
-	names       map[string]uint32
+	id          uint64            // of the recording
+	chunk       uint32            // number of the chunk
+	frameStart  int               // offset of the open frame in buf
+	names       map[string]uint32 // numbers of the strings written so far, from 1
 	lastNow     time.Duration
 	lastID      policy.MessageID
-	checksumBuf [positionSize]byte
+	checksumBuf [positionSize]byte // scratch space of frameChecksum
 }
 
-// begin begins a chunk in buf, whose bytes are overwritten.
+// begin starts a chunk in buf and overwrites buf's contents.
 func (e *encoder) begin(id uint64, chunk uint32, buf []byte) {
 	buf = append(buf[:0], magic...)
 	buf = binary.LittleEndian.AppendUint64(buf, id)
@@ -33,7 +33,7 @@
 	clear(e.names)
 }
 
-// openFrame begins a frame, whose length and checksum closeFrame fills in.
+// openFrame starts a frame. closeFrame fills in its length and checksum.
 func (e *encoder) openFrame(kind byte) {
 	e.frameStart = len(e.buf)
 	e.buf = append(e.buf, 0, 0, 0, 0, 0, 0, 0, 0, kind)
@@ -42,7 +42,7 @@
 // frameSize returns the size of the open frame's payload.
 func (e *encoder) frameSize() int { return len(e.buf) - e.frameStart - frameHeaderSize }
 
-// dropFrame gives up the open frame.
+// dropFrame discards the open frame.
 func (e *encoder) dropFrame() { e.buf = e.buf[:e.frameStart] }
 
 func (e *encoder) closeFrame() {
@@ -59,7 +59,7 @@
 	e.closeFrame()
 }
 
-// appendFrame appends a frame whose payload a function appends.
+// appendFrame appends a frame whose payload is written by appendPayload.
 func (e *encoder) appendFrame(kind byte, appendPayload func([]byte) []byte) {
 	e.openFrame(kind)
 	e.buf = appendPayload(e.buf)
@@ -87,13 +87,13 @@
 	e.buf = append(e.buf, s...)
 }
 
-// now writes a time as its difference to the last one.
+// now writes a time as the difference from the previous one.
 func (e *encoder) now(now time.Duration) {
 	e.int(int64(now - e.lastNow))
 	e.lastNow = now
 }
 
-// name writes a string that is likely to be repeated: 0 and its text the first time, then its number.
+// name writes a string that is likely to recur: the first time as 0 and the text, after that as its number.
 func (e *encoder) name(s string) {
 	if n, ok := e.names[s]; ok {
 		e.uint(uint64(n))
@@ -104,7 +104,7 @@
 	e.names[s] = uint32(len(e.names) + 1)
 }
 
-// messageID writes a message's number as its difference to the last one: mostly a byte or two.
+// messageID writes a message id as the difference from the previous one, which mostly takes one or two bytes.
 func (e *encoder) messageID(id policy.MessageID) {
 	e.int(int64(id) - int64(e.lastID))
 	e.lastID = id
--- a/internal/recording/flightrecorder/export_test.go
+++ b/internal/recording/flightrecorder/export_test.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// Reseal corrects the checksums of the frames in data, so that tests reach the code behind them.
+// Reseal corrects the checksums of the frames in data, so that tests reach the code after the checksum check.
 func Reseal(data []byte) {
 	start := bytes.Index(data, []byte(magic))
 	for start >= 0 && len(data)-start >= preambleSize {
@@ -18,7 +18,8 @@
 	}
 }
 
-// resealChunk corrects the checksums of the chunk that data begin with, and returns how many bytes of it are frames.
+// resealChunk corrects the frame checksums of the chunk at the start of data. It returns the offset after the last
+// frame.
 func resealChunk(data []byte) int {
 	id := binary.LittleEndian.Uint64(data[len(magic):])
 	number := binary.LittleEndian.Uint32(data[len(magic)+idSize:])
@@ -36,10 +37,10 @@
 	return offset
 }
 
-// Written returns how many bytes the open chunk holds.
-func (r *Recorder) Written() int { return len(r.enc.buf) }
+// OpenChunkSize returns the number of bytes in the open chunk.
+func (r *Recorder) OpenChunkSize() int { return len(r.enc.buf) }
 
-// NewRecorderWithID is NewRecorder for a recording with a known id, so that its bytes are known.
+// NewRecorderWithID is NewRecorder with a fixed recording id, which makes the recording's bytes reproducible.
 func NewRecorderWithID(id uint64, meta Meta, ringSize int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ringSize, state)
 	r.id = id
@@ -47,5 +48,5 @@
 	return r
 }
 
-// Head is a chunk's header.
-type Head = chunkHeader
+// ChunkHeader is the header of a chunk.
+type ChunkHeader = chunkHeader
--- a/internal/recording/flightrecorder/folder.go
+++ b/internal/recording/flightrecorder/folder.go
@@ -15,30 +15,32 @@
 )
 
 const (
-	// FileExtension ends the name of a file that holds a recording or a part of one.
+	// FileExtension is the extension of a file that holds a recording or a part of one.
 	FileExtension = ".flight"
-	// MinFolderSize is the smallest limit of a folder's files, in bytes.
+	// MinFolderSize is the smallest value of Folder.Limit, in bytes.
 	MinFolderSize = 1 << 20
 
-	// filesPerFolder is about how many files Follow fills a folder with: the oldest is removed as a whole.
+	// filesPerFolder is the approximate number of files in a folder that Follow has filled. To free space, whole files
+	// are removed, the oldest first.
 	filesPerFolder = 8
-	// maxReasonLength bounds the part of a file's name that states a reason, in bytes.
-	maxReasonLength = 40
+	// maxFileNameWordLength limits the relay's name and the reason in a file's name, in bytes each.
+	maxFileNameWordLength = 40
 
 	tempExtension = FileExtension + ".tmp"
-	// tempTimeout is the age from which a temporary file is one that a dead process left.
+	// tempTimeout is the age above which a temporary file counts as left behind by a process that died.
 	tempTimeout = time.Minute
 )
 
-// Folder is a folder for recordings with a limit on the bytes of the files in it that end in FileExtension. The oldest
-// are removed for new ones.
+// Folder is a folder for recordings. Its files with FileExtension are removed, the oldest first, to keep their total
+// size within a limit.
 type Folder struct {
 	Path  string
-	Limit int64 // bytes; at least MinFolderSize
-	Name  string
+	Limit int64  // bytes; at least MinFolderSize
+	Name  string // the relay's; file names begin with it
 }
 
-// Dump writes what a Recorder's ring holds into a file of its own and returns the file's path.
+// Dump writes the contents of a Recorder's ring to a new file and returns the file's path. The reason becomes a note in
+// the recording and a part of the file's name.
 func (f Folder) Dump(r *Recorder, reason string) (string, error) {
 	r.Note("kept: " + reason)
 	var ring bytes.Buffer
@@ -47,13 +49,13 @@
 	}
 	size := int64(ring.Len())
 	if size > f.Limit {
-		return "", fmt.Errorf("flightrecorder: the ring holds %d bytes, the folder may hold %d", size, f.Limit)
+		return "", fmt.Errorf("flightrecorder: the ring holds %d bytes, folder %q may hold %d", size, f.Path, f.Limit)
 	}
 	if err := f.freeSpace(size); err != nil {
 		return "", err
 	}
 	path := filepath.Join(f.Path, f.fileName(fileNameWord(reason)))
-	temp := path + ".tmp" // it gets its name only when it is complete
+	temp := path + ".tmp" // renamed to path when it is complete
 	if err := os.WriteFile(temp, ring.Bytes(), 0o600); err != nil {
 		return "", errors.Join(fmt.Errorf("flightrecorder: write the ring: %w", err), removeFile(temp))
 	}
@@ -63,7 +65,7 @@
 	return path, nil
 }
 
-// removeFile removes a file, which need not exist.
+// removeFile removes a file. It is no error if the file does not exist.
 func removeFile(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("flightrecorder: %w", err)
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// fileNameWord makes a text fit for a part of a file's name.
+// fileNameWord converts a text to a part of a file's name: lower-case letters, digits and hyphens.
 func fileNameWord(s string) string {
 	s = strings.Map(func(r rune) rune {
 		switch {
@@ -82,24 +84,25 @@
 		}
 		return '-'
 	}, s)
-	return strings.Trim(s[:min(len(s), maxReasonLength)], "-")
+	return strings.Trim(s[:min(len(s), maxFileNameWordLength)], "-")
 }
 
-// fileName returns a name that sorts by time.
-func (f Folder) fileName(what string) string {
+// fileName returns a file name that ends in suffix and FileExtension. The names of one relay sort by time.
+func (f Folder) fileName(suffix string) string {
 	name := cmp.Or(fileNameWord(f.Name), "relay")
 	now := time.Now().UTC().Format("20060102T150405.000000000")
-	return fmt.Sprintf("%s-%s-%s%s", name, now, what, FileExtension)
+	return fmt.Sprintf("%s-%s-%s%s", name, now, suffix, FileExtension)
 }
 
-// recordingFile is a file of a folder.
+// recordingFile is a file in a Folder that holds a recording or a part of one.
 type recordingFile struct {
 	name       string
 	size       int64
 	modifiedAt time.Time
 }
 
-// freeSpace removes the oldest files until size more bytes fit, and temporary files of dead processes.
+// freeSpace creates the folder if it does not exist, and removes its oldest files until size more bytes fit. It also
+// removes abandoned temporary files.
 func (f Folder) freeSpace(size int64) error {
 	if err := os.MkdirAll(f.Path, 0o700); err != nil {
 		return fmt.Errorf("flightrecorder: %w", err)
@@ -124,7 +127,7 @@
 	return nil
 }
 
-// files returns the folder's files, oldest first. It removes temporary files of dead processes.
+// files returns the folder's recording files, oldest first. It removes abandoned temporary files.
 func (f Folder) files() ([]recordingFile, error) {
 	entries, err := os.ReadDir(f.Path)
 	if err != nil {
@@ -134,7 +137,7 @@
 	for _, entry := range entries {
 		info, err := entry.Info()
 		if err != nil || !info.Mode().IsRegular() {
-			continue // removed meanwhile, or none of ours
+			continue // removed since ReadDir, or not a regular file
 		}
 		name := entry.Name()
 		switch {
@@ -152,27 +155,29 @@
 	return files, nil
 }
 
-// isAbandoned reports whether a file is a temporary one that a dead process left.
+// isAbandoned reports whether a file is a temporary one, left behind by a process that died.
 func isAbandoned(info fs.FileInfo) bool {
 	return strings.HasSuffix(info.Name(), tempExtension) && time.Since(info.ModTime()) > tempTimeout
 }
 
-// Follow writes a recording into files of the folder as it goes on, until ctx ends, and then what is left of it. A
-// killed process loses what it recorded since the last followInterval. An error ends it: the relay goes on without.
+// Follow writes a recording continuously to files of the folder until ctx ends, and then writes the remaining part. If
+// the process is killed, about the last followInterval of the recording is lost. Follow returns at the first error; the
+// Recorder keeps recording in its ring.
 func (f Folder) Follow(ctx context.Context, r *Recorder) error {
 	w := folderWriter{folder: f, maxFileSize: max(f.Limit, MinFolderSize) / filesPerFolder}
 	return errors.Join(followChunks(ctx, r, w.write), w.close())
 }
 
-// folderWriter writes pieces of a recording into a folder's files.
+// folderWriter writes pieces of a recording to a folder's files.
 type folderWriter struct {
 	folder      Folder
-	maxFileSize int64
+	maxFileSize int64    // bytes above which no further chunk begins in a file
 	file        *os.File // nil: none is open
-	size        int64
+	size        int64    // bytes in file
 }
 
-// write writes a piece into the open file, or into a new one if it begins a chunk that does not fit.
+// write appends a piece to the open file. It starts a new file if none is open, or if the piece begins a chunk and does
+// not fit into the open file.
 func (w *folderWriter) write(p piece) error {
 	isFull := p.offset == 0 && w.size+int64(len(p.data)) > w.maxFileSize
 	if w.file == nil || isFull {
@@ -188,6 +193,7 @@
 	return nil
 }
 
+// nextFile closes the open file and creates the next one.
 func (w *folderWriter) nextFile() error {
 	if err := w.close(); err != nil {
 		return fmt.Errorf("flightrecorder: %w", err)
--- a/internal/recording/flightrecorder/follow.go
+++ b/internal/recording/flightrecorder/follow.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// followInterval is the shortest time between two looks of a sink at a recording: it collects what comes meanwhile.
+// followInterval is the shortest time between two reads of a recording by a sink. A sink writes what was recorded in
+// between in one go.
 const followInterval = 100 * time.Millisecond
 
-// position is how far a sink has followed a recording.
+// position is the point up to which a sink has read a recording.
 type position struct {
-	chunk  uint32
-	offset int
+	chunk  uint32 // number of the chunk
+	offset int    // in the chunk, in bytes
 }
 
-// piece is a part of a chunk that a sink has not got yet.
+// piece is a part of a chunk that a sink has not written yet.
 type piece struct {
 	chunk  uint32
-	offset int // 0: the chunk begins here
+	offset int // of data in the chunk; 0: the chunk begins here
 	data   []byte
 }
 
-// followChunks passes a recording's pieces to write until ctx ends, and then what is left of it.
+// followChunks passes the pieces of a recording to write as they are recorded. When ctx ends, it passes the remaining
+// pieces and returns.
 func followChunks(ctx context.Context, r *Recorder, write func(piece) error) error {
 	appended := r.startFollowing()
 	var at position
@@ -31,7 +33,7 @@
 		pieces, next, lost := r.readFrom(at)
 		at = next
 		if lost > 0 {
-			slog.Warn("recorder: the ring was overwritten before it was written out", "chunks", lost)
+			slog.Warn("flight recorder: chunks were dropped from the ring before they were written out", "chunks", lost)
 		}
 		for _, p := range pieces {
 			if err := write(p); err != nil {
@@ -45,7 +47,8 @@
 	}
 }
 
-// waitForMore waits for followInterval, and then until there is something new. It returns false when ctx ends.
+// waitForMore waits for followInterval, and then until something was appended to the recording. It returns false as
+// soon as ctx ends.
 func waitForMore(ctx context.Context, appended <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -60,8 +63,9 @@
 	}
 }
 
-// readFrom copies what came after a position, and returns the position behind it. lost counts the chunks that left the
-// ring before they were followed to their ends; at most one of them had been followed to its end.
+// readFrom copies what was recorded after a position, and returns the position after the copied data. lost counts the
+// chunks that were dropped from the ring before they were read to their ends. It also counts the chunk at from if that
+// chunk was dropped after it had been read completely: the position does not show that the chunk was complete.
 func (r *Recorder) readFrom(from position) (pieces []piece, to position, lost int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +93,7 @@
 	return pieces, to, lost
 }
 
-// startFollowing returns a channel that receives a value when there is something new.
+// startFollowing returns a channel that receives a value after something was appended to the recording.
 func (r *Recorder) startFollowing() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/recording/flightrecorder/format.go
+++ b/internal/recording/flightrecorder/format.go
@@ -1,10 +1,12 @@
-// Package flightrecorder is the relay's flight recorder: it keeps the events that the decision module got and the
-// actions that it returned, in a bounded ring in memory and, where asked for, in files or in the log, so that a part of
-// a relay's run can be replayed. It decides nothing and delays no step. docs/design/flight-recorder.md has the format.
+// Package flightrecorder records the events that the decision engine received and the actions that it returned, so
+// that a part of a relay's run can be replayed. It keeps them in a bounded ring in memory and optionally writes them to
+// files or to the log. It takes no decisions, and no step waits for its I/O. docs/design/flight-recorder.md describes
+// the format.
 //
-// A recording is a sequence of chunks, each readable by itself: it begins with a header frame and, unless it is the
-// first of a process, with the module's state. Every frame carries a CRC-32C over its length, its payload and its
-// position, so that a truncation or a flipped bit is reported and never read as something else.
+// A recording is a sequence of chunks. Each chunk is readable by itself: it begins with a header frame and the engine's
+// state. A chunk without a state begins with a new engine that has received no event. Every frame carries a CRC-32C
+// over its length, its payload and its position, so that a truncation or a flipped bit is reported and never decoded as
+// other data.
 package flightrecorder
 
 import (
@@ -17,8 +19,8 @@
 const (
 	// Format is the newest version of the format that this package reads.
 	Format = 2
-	// formatWithoutFleet has no frames of the fleet's state. It is written unless RecordFleet was called, so that
-	// earlier versions read it.
+	// formatWithoutFleet is the version without frames of the fleet agent. It is written unless RecordFleet was
+	// called, so that earlier versions of the program can read the recording.
 	formatWithoutFleet = 1
 )
 
@@ -26,13 +28,15 @@
 const (
 	magic           = "CTFLIGHT"
 	idSize          = 8
-	preambleSize    = len(magic) + idSize + 4 // and the chunk's number
+	preambleSize    = len(magic) + idSize + 4 // magic, recording id and chunk number
 	frameHeaderSize = 8                       // length and checksum
-	// MaxFrameSize bounds a frame's payload. A step that does not fit is reported as lost, and a new chunk begins.
+	// MaxFrameSize limits a frame's payload. A step that exceeds it is not recorded: a new chunk begins, with a note
+	// that the step is missing.
 	MaxFrameSize = 64 << 20
-	// maxEntries bounds the events, and the actions, of a step.
+	// maxEntries limits the number of events in a step, the number of actions, and the length of any list that is read.
 	maxEntries = 1 << 20
-	// positionSize is that of what a frame's checksum covers beside its payload: recording, chunk, offset and length.
+	// positionSize is the size of the values that a frame's checksum covers besides the payload: recording id, chunk
+	// number, offset and length.
 	positionSize = 20
 	float64Size  = 8
 )
@@ -45,11 +49,11 @@
 	frameSendChecked byte = 'C'
 	frameLabel       byte = 'L'
 	frameNote        byte = 'N'
-	frameFleetState  byte = 'G' // behind the module's state in each chunk
-	frameFleetStep   byte = 'F' // what the fleet's agent got and returned in a step
+	frameFleetState  byte = 'G' // state of the fleet agent, at the start of each chunk
+	frameFleetStep   byte = 'F' // what the fleet agent received and returned in a step
 )
 
-// The bits of an event that say which of its fields follow.
+// The flags of an encoded event. They mark optional fields that follow, or are the value of a boolean field.
 const (
 	hasMessageEnded byte = 1 << iota
 	hasRetryAfter
@@ -59,14 +63,14 @@
 	hasKey
 )
 
-// The bits of an endpoint.
+// The flags of an encoded endpoint.
 const (
 	endpointInService byte = 1 << iota
 	endpointRemoved
 	endpointRelisted
 )
 
-// Errors of reading.
+// Errors returned when a recording is read.
 var (
 	ErrNoRecording    = errors.New("flightrecorder: not a recording")
 	ErrNewerFormat    = errors.New("flightrecorder: written by a newer version")
@@ -75,8 +79,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameChecksum is a frame's checksum: of its length, payload and position within a chunk of one recording. buf is
-// scratch: a variable of its own would be an allocation with each frame.
+// frameChecksum returns the checksum of a frame, over its length, its payload and its position: recording id, chunk
+// number and offset in the chunk. buf is scratch space: a local variable would be allocated on the heap for each frame.
 func frameChecksum(buf *[positionSize]byte, id uint64, chunk uint32, offset int, payload []byte) uint32 {
 	binary.LittleEndian.PutUint64(buf[:], id)
 	binary.LittleEndian.PutUint32(buf[8:], chunk)
@@ -85,7 +89,7 @@
 	return crc32.Update(crc32.Checksum(buf[:], castagnoli), castagnoli, payload)
 }
 
-// readFrame reads the frame at an offset of a chunk's bytes.
+// readFrame reads the frame at an offset in a chunk's bytes. It returns the payload and the offset of the next frame.
 func readFrame(id uint64, chunk uint32, data []byte, offset int) (payload []byte, next int, err error) {
 	rest := data[offset:]
 	if len(rest) < frameHeaderSize {
--- a/internal/recording/flightrecorder/golden_keys_test.go
+++ b/internal/recording/flightrecorder/golden_keys_test.go
@@ -8,11 +8,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-// TestGoldenKeys pins the keys under which recordings begin a chunk: other builds of the program read them.
+// TestGoldenKeys checks the JSON keys of a chunk's header, which other builds of the program read.
 func TestGoldenKeys(t *testing.T) {
-	var x flightrecorder.Head
-	golden.Fill(&x)
-	data, err := json.MarshalIndent(x, "", " ")
+	var header flightrecorder.ChunkHeader
+	golden.Fill(&header)
+	data, err := json.MarshalIndent(header, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/recording/flightrecorder/golden_test.go
+++ b/internal/recording/flightrecorder/golden_test.go
@@ -18,7 +18,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const (
 	goldenID       = 0x1122334455667788
@@ -27,7 +27,7 @@
 	goldenInterval = 100 * time.Millisecond
 )
 
-// goldenRun is a short run of a module, with the agent of its fleet or without.
+// goldenRun is a short run of an engine, with or without the fleet agent.
 type goldenRun struct {
 	engine   *policy.Engine
 	agent    *agent.Agent // nil: the fleet is off
@@ -73,7 +73,7 @@
 	}
 }
 
-// goldenInput is what another member sends in a step.
+// goldenInput returns what the agent receives from another member in a step.
 func goldenInput(step int) agent.Input {
 	incarnation := loadreport.Incarnation{Generation: 4, Boot: 5}
 	scope := quota.Scope{Destination: 1}
@@ -106,7 +106,7 @@
 	return agent.Input{}
 }
 
-// step does a step of the module and the agent, and records it as the relay does.
+// step steps the engine and the agent, records the step as the relay does, and collects the events of the next step.
 func (r *goldenRun) step(number int, now time.Duration) {
 	events := r.events
 	r.events = nil
@@ -119,14 +119,14 @@
 	for _, action := range actions {
 		switch action.Kind {
 		case policy.Send:
-			r.events = append(r.events, goldenAnswer(number, action))
+			r.events = append(r.events, goldenOutcome(number, action))
 		case policy.SetTimer:
 			r.events = append(r.events, policy.Event{Kind: policy.TimerFired})
 		}
 	}
 }
 
-// stepFleet does a step of the agent, and records it with the module's.
+// stepFleet steps the agent, and records its step together with the engine's.
 func (r *goldenRun) stepFleet(number int, now time.Duration, events []policy.Event, actions []policy.Action) {
 	in := goldenInput(number)
 	in.Events = events
@@ -146,8 +146,8 @@
 	r.events = out.Events
 }
 
-// goldenAnswer returns the outcome of an attempt.
-func goldenAnswer(number int, action policy.Action) policy.Event {
+// goldenOutcome returns the outcome of an attempt.
+func goldenOutcome(number int, action policy.Action) policy.Event {
 	e := policy.Event{
 		Kind:         policy.AttemptFinished,
 		MessageID:    action.MessageID,
@@ -166,7 +166,7 @@
 	return e
 }
 
-// acceptMessages adds two messages to the events of the next step, and in some steps another event.
+// acceptMessages adds the acceptance of two messages to the events of the next step, and in some steps another event.
 func (r *goldenRun) acceptMessages(number int) {
 	id := policy.MessageID(number + 1)
 	r.recorder.Label(id, fmt.Sprintf("trace-%d", id))
@@ -198,14 +198,14 @@
 	case 11:
 		r.events = append(r.events, policy.Event{Kind: policy.WatchFailed})
 	case 13:
-		gone := goldenEndpoints()[1]
-		gone.InService = false
-		gone.Removed = true
-		r.events = append(r.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{gone}})
+		removed := goldenEndpoints()[1]
+		removed.InService = false
+		removed.Removed = true
+		r.events = append(r.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: []policy.Endpoint{removed}})
 	}
 }
 
-// record runs the module, and returns its recording.
+// record runs the engine and returns its recording.
 func (r *goldenRun) record(t *testing.T) []byte {
 	t.Helper()
 	r.events = []policy.Event{{Kind: policy.EndpointSnapshot, Endpoints: goldenEndpoints()}}
@@ -219,13 +219,13 @@
 			r.recorder.SendChecked(now, "s-1", ids, r.engine.StillAllowed("s-1", ids, now))
 		case 20:
 			r.recorder.Note("a remark")
-			r.recorder.Reconfigured(recordertest.Settings()) // a chunk with snapshots begins
+			r.recorder.Reconfigured(recordertest.Settings()) // begins a chunk with snapshots
 		}
 	}
-	return written(t, r.recorder)
+	return ringData(t, r.recorder)
 }
 
-// rewrite records entries anew.
+// rewrite records the entries of a recording with a new Recorder, and returns the new recording.
 func rewrite(t *testing.T, entries []flightrecorder.Entry) []byte {
 	t.Helper()
 	var recorder *flightrecorder.Recorder
@@ -261,10 +261,11 @@
 			recorder.Note(e.Text)
 		}
 	}
-	return written(t, recorder)
+	return ringData(t, recorder)
 }
 
-// playGolden plays a recording whole, compares the module's state at its second chunk, and plays it from there.
+// playGolden replays a whole recording and compares the engine's state at the second chunk. Then it replays the
+// recording from that chunk.
 func playGolden(t *testing.T, data []byte, entries []flightrecorder.Entry, fleet bool) {
 	t.Helper()
 	second := slices.IndexFunc(entries, func(e flightrecorder.Entry) bool {
@@ -278,7 +279,7 @@
 		if !compared && e.At > entries[second].At {
 			compared = true
 			if !bytes.Equal(s.Snapshot(nil), entries[second].State) {
-				t.Error("the module reaches another state than was recorded")
+				t.Error("the engine's state differs from the recorded snapshot")
 			}
 		}
 	}
@@ -301,7 +302,8 @@
 	}
 }
 
-// Recordings of earlier builds are read, played without a difference, and written again as the same bytes.
+// TestGoldenRecordings checks that this build makes the same recordings as earlier builds, reads them, replays them
+// without a difference, and writes their entries again as the same bytes.
 func TestGoldenRecordings(t *testing.T) {
 	for name, fleet := range map[string]bool{"fleet-off": false, "fleet-on": true} {
 		t.Run(name, func(t *testing.T) {
@@ -313,7 +315,7 @@
 			grant := fmt.Appendf(nil, "  event {%d ", policy.QuotaGranted)
 			granted := bytes.Contains(golden.Read(t, name+".txt"), grant)
 			if granted != fleet {
-				t.Errorf("quota is granted: %t", granted)
+				t.Errorf("recording has a QuotaGranted event: %t, want %t", granted, fleet)
 			}
 		})
 	}
--- a/internal/recording/flightrecorder/load.go
+++ b/internal/recording/flightrecorder/load.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Recording is the bytes of one recording, put together from wherever its chunks were found.
+// Recording holds the chunks of one recording, joined from one or more files.
 type Recording struct {
 	ID     uint64
-	Chunks int
+	Chunks int // number of chunks in Data
 	Data   []byte
-	Meta   Meta // of its first chunk
+	Meta   Meta // of the first chunk
 }
 
-// Load finds the recordings in files: what a sink wrote, a dump of a ring, or the log of a relay that records into it.
-// Parts of one recording in several files are joined; where two hold the same chunk the longer one counts. Recordings
-// are in the order of their processes' starts.
+// Load reads all recordings in files. A file may be a recording written by a sink, a dump of a ring, or a log that
+// holds recordings. Parts of one recording in several files are joined. Of several copies of a chunk, the longest is
+// used. Recordings are sorted by the start times of their processes.
 func Load(paths ...string) ([]Recording, error) {
 	var all [][]byte
 	for _, path := range paths {
@@ -41,7 +41,7 @@
 	return found, nil
 }
 
-// Split finds the recordings in the bytes of several files.
+// Split finds the recordings in the contents of files and joins their parts as Load does.
 func Split(files ...[]byte) ([]Recording, error) {
 	c := collector{chunks: map[chunkKey]foundChunk{}}
 	for _, data := range files {
@@ -55,29 +55,29 @@
 	return c.recordings(), nil
 }
 
-// chunkKey names a chunk of a recording.
+// chunkKey identifies a chunk of a recording.
 type chunkKey struct {
-	recording uint64
-	chunk     uint32
+	recording uint64 // id of the recording
+	chunk     uint32 // number of the chunk
 }
 
-// foundChunk is a chunk as files hold it.
+// foundChunk is a chunk that was found in one or more files.
 type foundChunk struct {
 	meta Meta
-	data []byte // the longest found
+	data []byte // the longest copy found
 }
 
 // collector collects the chunks of several files.
 type collector struct {
 	chunks map[chunkKey]foundChunk
-	order  []chunkKey // in which they were found
+	order  []chunkKey // keys of chunks, in the order in which the chunks were found
 }
 
-// addFile adds the chunks of a file, if there are any.
+// addFile adds the chunks in the contents of a file, if there are any.
 func (c *collector) addFile(data []byte) error {
 	r, err := NewReader(data)
 	if err != nil {
-		return nil // a file without a recording: Split fails if none has one
+		return nil // no recording in this file: Split fails if no file holds one
 	}
 	r.allRecordings = true
 	var open chunkKey
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// addChunk adds a chunk, unless another file had it already.
+// addChunk adds a chunk without its data, unless the chunk was found before.
 func (c *collector) addChunk(key chunkKey, meta Meta) {
 	if _, known := c.chunks[key]; !known {
 		c.chunks[key] = foundChunk{meta: meta}
@@ -114,7 +114,7 @@
 	}
 }
 
-// addData takes a chunk's data if no file had more of it.
+// addData sets a chunk's data, unless a copy of the chunk that was found before is at least as long.
 func (c *collector) addData(key chunkKey, data []byte) {
 	if chunk := c.chunks[key]; len(data) > len(chunk.data) {
 		chunk.data = data
@@ -131,7 +131,7 @@
 		return cmp.Compare(a.chunk, b.chunk)
 	})
 	var found []Recording
-	indexes := map[uint64]int{} // of found, by id
+	indexes := map[uint64]int{} // indexes in found, by recording id
 	for _, key := range c.order {
 		i, known := indexes[key.recording]
 		if !known {
--- a/internal/recording/flightrecorder/log.go
+++ b/internal/recording/flightrecorder/log.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// logPrefix stands before a part of a recording in a line of a log.
+	// logPrefix precedes the encoded part of a recording in a line of a log.
 	logPrefix = "flight "
-	// maxLineSize bounds such a line in bytes.
+	// maxLineSize limits the length of a line with a part of a recording, in bytes.
 	maxLineSize = 64 << 10
-	// lineDataSize is how many bytes of a recording a line holds: base64 makes four bytes of three, and the rest is for
-	// the prefix and what collectors of logs put before the line.
+	// lineDataSize is the number of bytes of a recording in a line. Base64 turns three bytes into four. The remaining
+	// space is for logPrefix and for what log collectors add in front of the line.
 	lineDataSize = maxLineSize / 8 * 5
 )
 
-// FollowLog writes a recording into a log, as lines of text, as Folder.Follow does into files. It is for platforms that
-// keep nothing of a process but its log.
+// FollowLog writes a recording to a log as lines of text, in the same way as Folder.Follow writes it to files. It is
+// for platforms that keep only the log of a process.
 func FollowLog(ctx context.Context, r *Recorder, log io.Writer) error {
 	return followChunks(ctx, r, func(p piece) error { return writeLines(log, p.data) })
 }
 
-// DumpToLog writes what a Recorder's ring holds into a log.
+// DumpToLog writes the contents of a Recorder's ring to a log. The reason becomes a note in the recording.
 func DumpToLog(r *Recorder, reason string, log io.Writer) error {
 	r.Note("kept: " + reason)
 	var ring bytes.Buffer
@@ -41,8 +41,8 @@
 		line := make([]byte, 0, len(logPrefix)+base64.StdEncoding.EncodedLen(n)+1)
 		line = append(line, logPrefix...)
 		line = base64.StdEncoding.AppendEncode(line, data[:n])
-		if _, err := log.Write(append(line, '\n')); err != nil { // one write, so that no other line gets between
-			return fmt.Errorf("flightrecorder: log: %w", err)
+		if _, err := log.Write(append(line, '\n')); err != nil { // A single write keeps the line in one piece.
+			return fmt.Errorf("flightrecorder: write to the log: %w", err)
 		}
 		data = data[n:]
 	}
@@ -50,12 +50,12 @@
 }
 
 // FromLog decodes the lines of a log that hold parts of recordings, in their order. A line that cannot be decoded is
-// skipped: the Reader reports what it held as lost.
+// skipped: the Reader reports its contents as lost. The first line that is longer than maxLineSize ends the reading.
 func FromLog(log []byte) (data []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(log))
 	lines.Buffer(nil, maxLineSize)
 	for lines.Scan() {
-		// Whoever collected the log may have put something before the line.
+		// A log collector may have added text in front of the prefix.
 		_, text, ok := bytes.Cut(lines.Bytes(), []byte(logPrefix))
 		if !ok {
 			continue
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -11,25 +11,25 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// EntryKind says what an Entry of a recording is.
+// EntryKind is the kind of an Entry.
 type EntryKind int
 
 const (
-	// Begin is the begin of a chunk: Meta, Fresh and State describe the module there.
+	// Begin is the start of a chunk: ID, Chunk and Now identify it; Meta, Fresh and State describe the engine there.
 	Begin EntryKind = iota
-	// Step is a step of the module: Now, Events, Actions.
+	// Step is a step of the engine: Now, Events, Actions.
 	Step
-	// SendChecked is an answer of policy.Engine.StillAllowed: Now, Endpoint, MessageIDs, Allowed.
+	// SendChecked is a result of policy.Engine.StillAllowed: Now, Endpoint, MessageIDs, Allowed.
 	SendChecked
 	// Label is the trace id of a message: MessageID, Text.
 	Label
 	// Note is a remark: Text.
 	Note
-	// FleetState is the state of the fleet's agent: State.
+	// FleetState is the state of the fleet agent: State.
 	FleetState
-	// FleetStep is what the fleet's agent got and returned in the step before: State.
+	// FleetStep is the agent.Record of the preceding step, with what the fleet agent received and returned: State.
 	FleetStep
-	// Lost is something that could not be read, or is missing: Text says what.
+	// Lost is a part of the recording that is missing or cannot be read: Text gives the reason.
 	Lost
 )
 
@@ -55,15 +55,15 @@
 // Entry is one entry of a recording. Its kind says which fields are set.
 type Entry struct {
 	Kind EntryKind
-	At   int64 // offset in the recording's bytes
+	At   int64 // offset in the recording, in bytes
 
 	ID    uint64 // Begin: of the recording
-	Chunk uint32 // Begin
+	Chunk uint32 // Begin: number of the chunk
 	Meta  Meta   // Begin
-	Fresh bool   // Begin: the module had got no event yet
+	Fresh bool   // Begin: the engine had received no event yet
 	State []byte // Begin, unless Fresh; FleetState, FleetStep
 
-	Now        time.Duration // the module's time: Begin, Step, SendChecked
+	Now        time.Duration // engine time: Begin, Step, SendChecked
 	Events     []policy.Event
 	Actions    []policy.Action
 	Endpoint   string
@@ -73,28 +73,28 @@
 	Text       string
 }
 
-// Reader reads a recording, entry by entry. What is damaged or truncated is skipped and reported as Lost entries;
-// reading goes on with the next chunk of the same recording. Its bytes may have been written by anyone: whatever
-// lengths they state, it uses no more memory than a small multiple of the recording's own size.
+// Reader reads a recording, entry by entry. Damaged and truncated parts are skipped and reported as Lost entries.
+// Reading then continues with the next chunk of the same recording. The data may come from an untrusted source:
+// whatever lengths it states, the Reader uses no more memory than a small multiple of the recording's size.
 type Reader struct {
 	data          []byte
-	offset        int // of the next frame, or of the next chunk's preamble
-	id            uint64
+	offset        int    // of the next frame, or of the next chunk's preamble
+	id            uint64 // of the recording
 	idKnown       bool
-	allRecordings bool // chunks of any recording are read
-	chunkStart    int  // noChunk: none is open
-	chunk         uint32
-	lastChunk     uint32 // number of the last chunk that was read
-	chunkRead     bool   // there is a last chunk
+	allRecordings bool   // chunks of any recording are read
+	chunkStart    int    // offset of the open chunk; noChunk: none is open
+	chunk         uint32 // number of the open chunk
+	lastChunk     uint32 // number of the last chunk that was opened
+	chunkRead     bool   // a chunk was opened, and lastChunk is set
 	decoder       decoder
-	lossReported  bool // the loss before the next chunk was reported
-	afterDamage   bool // what comes next may lie inside a payload
+	lossReported  bool // the gap before the next chunk was reported
+	afterDamage   bool // the next preamble may lie inside the payload of a damaged frame
 }
 
-// noChunk is Reader.chunkStart where no chunk is open.
+// noChunk is the value of Reader.chunkStart if no chunk is open.
 const noChunk = -1
 
-// NewReader returns a Reader of a recording, or ErrNoRecording if no chunk begins anywhere in it.
+// NewReader returns a Reader of a recording. It fails with ErrNoRecording if no chunk begins anywhere in data.
 func NewReader(data []byte) (*Reader, error) {
 	if i := bytes.Index(data, []byte(magic)); i < 0 || len(data)-i < preambleSize {
 		return nil, ErrNoRecording
@@ -102,8 +102,8 @@
 	return &Reader{data: data, chunkStart: noChunk}, nil
 }
 
-// Next returns the next entry; ok is false at the end of the recording. The error is ErrNewerFormat for a chunk of a
-// newer format, which cannot be read.
+// Next returns the next entry; ok is false at the end of the recording. It fails with ErrNewerFormat if a chunk has a
+// newer format than this package reads.
 func (r *Reader) Next() (e Entry, ok bool, err error) {
 	for {
 		if r.chunkStart == noChunk {
@@ -133,7 +133,7 @@
 		e, err = r.readEntry(payload)
 	}
 	if err != nil {
-		// The frames behind it depend on what it held: the chunk ends here.
+		// The chunk ends here: decoding its later frames requires the strings and values of this frame.
 		r.chunkStart = noChunk
 		r.offset = offset + 1
 		r.afterDamage = true
@@ -144,8 +144,8 @@
 	return e
 }
 
-// isPreamble reports whether a chunk of this recording begins at an offset. Frames begin with their lengths: the magic
-// as one would be longer than any frame.
+// isPreamble reports whether a chunk of this recording begins at an offset. A frame is never taken for a chunk: it
+// begins with its length, and the first bytes of the magic are a length above MaxFrameSize.
 func (r *Reader) isPreamble(offset int) bool {
 	rest := r.data[offset:]
 	if len(rest) < preambleSize || string(rest[:len(magic)]) != magic {
@@ -154,8 +154,9 @@
 	return !r.idKnown || r.allRecordings || binary.LittleEndian.Uint64(rest[len(magic):]) == r.id
 }
 
-// beginChunk finds the next chunk. Bytes that a client sent may look like one, also like one of an older recording: it
-// must carry this recording's id, and its header's checksum must match.
+// beginChunk finds the next chunk and opens it. A payload may hold bytes from a client that look like a chunk, or that
+// are a copy of an older recording. Therefore a chunk must carry this recording's id, and its header's checksum must
+// match.
 func (r *Reader) beginChunk() (Entry, bool, error) {
 	from := r.offset
 	for r.findPreamble() {
@@ -163,9 +164,10 @@
 		number := binary.LittleEndian.Uint32(r.data[r.offset+len(magic)+idSize:])
 		e, next, err := r.readHeader(r.offset, id, number)
 		if errors.Is(err, ErrNewerFormat) {
-			return Entry{}, false, fmt.Errorf("%w: format %d, this version reads %d", err, e.Meta.Format, Format)
+			return Entry{}, false, fmt.Errorf("%w: format %d, this version reads up to %d", err, e.Meta.Format, Format)
 		}
-		// A payload may hold an earlier chunk of this recording, if someone could read that: chunks only go forward.
+		// A client that could read an earlier part of this recording may have sent a copy of a chunk in a payload.
+		// Chunk numbers only increase, so a chunk found after damage with an earlier number is such a copy.
 		repeated := r.afterDamage && r.chunkRead && id == r.id && number <= r.lastChunk
 		if err != nil || repeated {
 			r.offset++
@@ -188,7 +190,7 @@
 	return Entry{}, false, nil
 }
 
-// findPreamble moves to the next preamble of the recording. It reports whether there is one.
+// findPreamble advances the offset to the recording's next preamble. It reports whether there is one.
 func (r *Reader) findPreamble() bool {
 	for {
 		i := bytes.Index(r.data[r.offset:], []byte(magic))
@@ -203,7 +205,8 @@
 	}
 }
 
-// openChunk goes on reading in the chunk at the reader's offset, whose frames behind the header begin at next.
+// openChunk opens the chunk at the reader's offset and advances the offset to next, the first frame after the chunk's
+// header and state.
 func (r *Reader) openChunk(id uint64, number uint32, next int) {
 	r.lossReported = false
 	r.afterDamage = false
@@ -217,7 +220,8 @@
 	r.decoder = decoder{}
 }
 
-// readHeader reads a chunk's header, and its state. It returns the offset behind them.
+// readHeader reads a chunk's header and, unless the chunk is fresh, the engine's state. It returns the offset of the
+// next frame.
 func (r *Reader) readHeader(start int, id uint64, number uint32) (Entry, int, error) {
 	data := r.data[start:]
 	payload, offset, err := readFrame(id, number, data, preambleSize)
@@ -229,7 +233,7 @@
 	}
 	var h chunkHeader
 	if err := json.Unmarshal(payload[1:], &h); err != nil {
-		return Entry{}, 0, fmt.Errorf("flightrecorder: header: %w", err)
+		return Entry{}, 0, fmt.Errorf("flightrecorder: header of chunk %d: %w", number, err)
 	}
 	e := Entry{Kind: Begin, At: int64(start), ID: id, Chunk: number, Meta: h.Meta, Fresh: h.Fresh, Now: h.At}
 	if h.Format > Format {
@@ -249,7 +253,7 @@
 	return e, start + offset, nil
 }
 
-// readEntry reads a frame's payload.
+// readEntry decodes a frame's payload.
 func (r *Reader) readEntry(payload []byte) (Entry, error) {
 	d := &r.decoder
 	d.data = payload[1:]
--- a/internal/recording/flightrecorder/reader_test.go
+++ b/internal/recording/flightrecorder/reader_test.go
@@ -15,21 +15,22 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Bytes that clients send are never read as a chunk or a frame: a key that holds a whole recording, also this one's own
-// earlier bytes, changes nothing, and is not read after damage either.
+// TestPayloadsAreNeverReadAsChunks checks that bytes from clients are never read as a chunk or a frame. Two ordering
+// keys hold whole recordings: a copy of the earlier part of this recording, and another recording. The recording is
+// read undamaged, and then with damage to its last frame and to the frame that holds the copy.
 func TestPayloadsAreNeverReadAsChunks(t *testing.T) {
 	rec := newRecorder(64 << 20)
 	accept := func(key string) {
 		rec.Step(time.Second, []policy.Event{{Kind: policy.MessageAccepted, Key: key}}, nil)
 	}
 	accept("first")
-	old := string(written(t, rec))
+	old := string(ringData(t, rec))
 	accept(old)
 	other := newRecorder(64 << 20)
 	other.Note("hidden")
-	accept(string(written(t, other)))
+	accept(string(ringData(t, other)))
 	accept("last")
-	data := written(t, rec)
+	data := ringData(t, rec)
 	all := entries(t, data)
 	if len(all) != 5 || all[4].Events[0].Key != "last" || all[2].Events[0].Key != old {
 		t.Fatalf("%d entries", len(all))
@@ -39,7 +40,7 @@
 		t.Errorf("%d recordings, %v", len(found), err)
 	}
 	data[len(data)-1] ^= 1
-	data[all[2].At+9] ^= 1 // the frame that holds the recording
+	data[all[2].At+9] ^= 1 // the frame that holds the copy of this recording
 	for _, e := range entries(t, data) {
 		if e.Kind == flightrecorder.Begin && e.At > 0 || e.Kind == flightrecorder.Note {
 			t.Errorf("a payload is read as part of the recording: %+v", e)
@@ -69,7 +70,7 @@
 	if _, err := flightrecorder.Load(path + "y"); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	newer := bytes.Replace(written(t, newRecorder(0)), []byte(`"format":1`), []byte(`"format":9`), 1)
+	newer := bytes.Replace(ringData(t, newRecorder(0)), []byte(`"format":1`), []byte(`"format":9`), 1)
 	flightrecorder.Reseal(newer)
 	r, err := flightrecorder.NewReader(newer)
 	if err != nil {
@@ -81,20 +82,20 @@
 	}
 }
 
-// Parts of one recording in several files, some of them twice, are joined.
+// TestPartsAreJoined checks that parts of one recording are joined if they are in several files, some of them twice.
 func TestPartsAreJoined(t *testing.T) {
 	var dumps [][]byte
 	n := 0
 	afterStep := func(_ *policy.Engine, rec *flightrecorder.Recorder) {
 		n++
 		if n%1200 == 0 {
-			dumps = append(dumps, written(t, rec))
+			dumps = append(dumps, ringData(t, rec))
 		}
 	}
 	_, rec := recordertest.Drive(2, 40*time.Second, flightrecorder.MinRingSize, afterStep)
-	dumps = append(dumps, written(t, rec))
+	dumps = append(dumps, ringData(t, rec))
 	_, other := recordertest.Drive(9, 3*time.Second, flightrecorder.MinRingSize, nil)
-	found, err := flightrecorder.Split(append([][]byte{written(t, other), []byte("junk")}, dumps...)...)
+	found, err := flightrecorder.Split(append([][]byte{ringData(t, other), []byte("junk")}, dumps...)...)
 	if err != nil || len(found) != 2 {
 		t.Fatalf("%d recordings, %v", len(found), err)
 	}
@@ -116,11 +117,11 @@
 
 func FuzzReader(f *testing.F) {
 	_, rec := recordertest.Drive(1, 1500*time.Millisecond, flightrecorder.MinRingSize, nil)
-	data := written(f, rec)
+	data := ringData(f, rec)
 	f.Add(data)
 	f.Add(append(data[:len(data)/2:len(data)/2], data...))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		flightrecorder.Reseal(data) // so that what is behind the checksums is reached, too
+		flightrecorder.Reseal(data) // without valid checksums, most frames would not be decoded
 		r, err := flightrecorder.NewReader(data)
 		if err != nil {
 			return
@@ -135,7 +136,7 @@
 
 func BenchmarkReader(b *testing.B) {
 	_, rec := recordertest.Drive(4, 30*time.Second, 64<<20, nil)
-	data := written(b, rec)
+	data := ringData(b, rec)
 	b.SetBytes(int64(len(data)))
 	for b.Loop() {
 		if got := entries(b, data); binary.Size(got) == 0 {
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -13,77 +13,80 @@
 )
 
 const (
-	// DefaultRingSize is the size of a ring, in bytes, where none is set.
+	// DefaultRingSize is the size of a ring if none is set, in bytes.
 	DefaultRingSize = 4 << 20
-	// MinRingSize holds a few chunks of the smallest size.
+	// MinRingSize is the smallest size of a ring, in bytes. It holds a few of the smallest chunks.
 	MinRingSize = 256 << 10
 
-	// chunksPerRing is about how many chunks a ring holds: it drops the oldest as a whole.
+	// chunksPerRing is the approximate number of chunks in a ring. The ring drops whole chunks, the oldest first.
 	chunksPerRing = 8
-	// minChunkToStateRatio bounds what states add to a recording: a chunk is at least so many times as long as the
-	// state that it begins with.
+	// minChunkToStateRatio limits the share of a recording that states take: a chunk is not full before it is this many
+	// times as long as its header and states.
 	minChunkToStateRatio = 4
-	// maxNames is how many strings a chunk names. The table is memory: a chunk with more of them ends.
+	// maxNames limits the number of distinct strings in a chunk, and so the memory of the encoder's string table. A
+	// chunk that exceeds it ends.
 	maxNames = 1 << 16
 )
 
-// Meta is what a recording's chunks say of the process that made it. Its JSON is stored.
+// Meta describes the process that made a recording. Each chunk stores it as JSON.
 type Meta struct {
 	Format   int             `json:"format"`
 	Name     string          `json:"name"`     // the relay's
-	Revision string          `json:"revision"` // of the decision module: policy.Revision
-	Program  string          `json:"program"`  // version of the program, if it is known
+	Revision string          `json:"revision"` // of the decision engine: policy.Revision
+	Program  string          `json:"program"`  // version of the program, if known
 	Seed     uint64          `json:"seed,string"`
 	Settings policy.Settings `json:"settings"`
-	Started  time.Time       `json:"started"` // wall time at the module's time 0
+	Started  time.Time       `json:"started"` // wall-clock time at engine time 0
 }
 
 // chunkHeader is the payload of a chunk's first frame, as JSON.
 type chunkHeader struct {
 	Meta
 	Chunk uint32        `json:"chunk"`
-	At    time.Duration `json:"at"`    // the module's time at the chunk's begin, in ns
-	Fresh bool          `json:"fresh"` // the module had got no event yet: no state follows
+	At    time.Duration `json:"at"`    // engine time at the start of the chunk, in ns
+	Fresh bool          `json:"fresh"` // the engine had received no event yet, and no state follows
 }
 
-// Recorder holds a recording's last chunks. Its methods may be called from any goroutine, also on a nil Recorder, which
-// records nothing.
+// Recorder records the steps of an engine, and holds the last chunks of the recording in a ring. Its methods may be
+// called from any goroutine. A nil Recorder records nothing.
 type Recorder struct {
 	mu         sync.Mutex
 	meta       Meta
-	state      func([]byte) []byte
-	fleetState func([]byte) []byte // appends the state of the fleet's agent; nil: there is none
-	now        time.Duration
+	state      func([]byte) []byte // appends the engine's state
+	fleetState func([]byte) []byte // appends the state of the fleet agent; nil: there is none
+	now        time.Duration       // engine time of the last step
 
 	id           uint64
 	enc          encoder
-	chunkLimit   int // bytes beyond which the open chunk, which is enc's, ends
-	minChunkSize int
+	chunkLimit   int // size at which the open chunk, in enc, is full; in bytes
+	minChunkSize int // smallest chunkLimit
 
-	ringSize     int
+	ringSize     int     // bytes
 	closedChunks []chunk // oldest first
-	closedSize   int     // bytes of closedChunks
-	spare        []byte  // buffer of a chunk that was dropped
+	closedSize   int     // bytes in closedChunks
+	spare        []byte  // buffer of a dropped chunk, for reuse
 
 	followed bool          // a sink follows the recording
-	appended chan struct{} // notifies the sink that there is something new
+	appended chan struct{} // notifies the sink that the recording has grown
 }
 
+// chunk is the number of a chunk and its encoded data.
 type chunk struct {
 	number uint32
 	data   []byte
 }
 
-// NewRecorder returns a Recorder of a module that has got no event yet, with a ring of ringSize bytes (0:
-// DefaultRingSize, at least MinRingSize). state appends the module's state as policy.Engine.Snapshot does; it is called
-// from Step, after the module has done its step.
+// NewRecorder returns a Recorder of an engine that has received no event yet. The ring has ringSize bytes, but at least
+// MinRingSize; 0 selects DefaultRingSize. state appends the engine's state, as policy.Engine.Snapshot does. It is
+// called whenever a chunk begins: mostly from Step, after the engine's own Step.
 func NewRecorder(meta Meta, ringSize int, state func([]byte) []byte) *Recorder {
 	r := newRecorder(meta, ringSize, state)
 	r.beginChunk(true)
 	return r
 }
 
-// ResumeRecorder is NewRecorder for a module that was restored, at now: the recording begins with its state.
+// ResumeRecorder is NewRecorder for an engine that was restored at engine time now. The recording begins with the
+// engine's state.
 func ResumeRecorder(meta Meta, ringSize int, state func([]byte) []byte, now time.Duration) *Recorder {
 	r := newRecorder(meta, ringSize, state)
 	r.now = now
@@ -108,8 +111,9 @@
 	}
 }
 
-// RecordFleet has the fleet's agent recorded beside the module: state appends the agent's state as Snapshot does. It is
-// called before the first step, on a recorder that nobody follows yet; each step is then StepWithFleet.
+// RecordFleet adds the fleet agent to the recording. state appends the agent's state, as agent.Agent.Snapshot does.
+// RecordFleet must be called before the first step and before a sink follows the recording, since it replaces the open
+// chunk. Each step must then be recorded with StepWithFleet.
 func (r *Recorder) RecordFleet(state func([]byte) []byte) {
 	if r == nil {
 		return
@@ -121,7 +125,7 @@
 	r.beginChunk(len(r.closedChunks) == 0 && r.now == 0)
 }
 
-// beginChunk opens a chunk. A fresh one has no state: the module has got no event yet.
+// beginChunk opens a chunk. A fresh chunk has no engine state, since the engine has received no event yet.
 func (r *Recorder) beginChunk(fresh bool) {
 	number := r.enc.chunk
 	if !fresh {
@@ -134,7 +138,7 @@
 	}
 	r.enc.begin(r.id, number, buf)
 	data, err := json.Marshal(chunkHeader{Meta: r.meta, Chunk: number, At: r.now, Fresh: fresh})
-	if err != nil { // a setting that is not a number, which the module rejects
+	if err != nil { // a setting is NaN or infinite: the engine rejects such settings
 		data = []byte("{}")
 	}
 	r.enc.frame(frameChunkHeader, data)
@@ -147,7 +151,7 @@
 	r.chunkLimit = max(r.minChunkSize, minChunkToStateRatio*len(r.enc.buf))
 }
 
-// endChunk closes the open chunk and drops the oldest ones that no longer fit.
+// endChunk closes the open chunk and drops the oldest chunks, so that a chunk of chunkLimit bytes fits into the ring.
 func (r *Recorder) endChunk() {
 	r.closedChunks = append(r.closedChunks, chunk{r.enc.chunk, r.enc.buf})
 	r.closedSize += len(r.enc.buf)
@@ -160,13 +164,14 @@
 	r.closedChunks = slices.Delete(r.closedChunks, 0, drop)
 }
 
-// Step records a step: the events that the module got at now, and its actions. It is called after the module's own
-// Step.
+// Step records a step: the events that the engine received at engine time now, and its actions. It must be called
+// after the engine's own Step.
 func (r *Recorder) Step(now time.Duration, events []policy.Event, actions []policy.Action) {
 	r.StepWithFleet(now, events, actions, nil)
 }
 
-// StepWithFleet is Step, with what the fleet's agent got and returned in the same step; empty: nothing.
+// StepWithFleet records a step as Step does, and the fleet agent's step that belongs to it. fleet is the encoded
+// agent.Record of that step, with what the agent received and returned. It is empty if the agent did neither.
 func (r *Recorder) StepWithFleet(now time.Duration, events []policy.Event, actions []policy.Action, fleet []byte) {
 	if r == nil {
 		return
@@ -186,7 +191,7 @@
 		e.action(&actions[i])
 	}
 	if e.frameSize() > MaxFrameSize || max(len(events), len(actions)) > maxEntries {
-		e.dropFrame() // the chunk that begins here holds the state after the step
+		e.dropFrame() // the next chunk begins with the state after the step
 		r.nextChunk()
 		r.appendNote("a step was too large for a frame, and is missing before this")
 		return
@@ -198,7 +203,7 @@
 	r.rollIfFull()
 }
 
-// rollIfFull begins a new chunk if the open one is full, and notifies the sink.
+// rollIfFull begins a new chunk if the open one is full, and notifies the sink that the recording has grown.
 func (r *Recorder) rollIfFull() {
 	if len(r.enc.buf) >= r.chunkLimit || len(r.enc.names) > maxNames {
 		r.nextChunk()
@@ -211,13 +216,14 @@
 	}
 }
 
+// nextChunk closes the open chunk and begins one with the engine's state.
 func (r *Recorder) nextChunk() {
 	r.endChunk()
 	r.beginChunk(false)
 }
 
-// Reconfigured records that other settings are in force: a chunk with them begins. It is called after the module has
-// applied them.
+// Reconfigured records a change of settings by beginning a chunk with the new ones. It must be called after the engine
+// has applied them.
 func (r *Recorder) Reconfigured(settings policy.Settings) {
 	if r == nil {
 		return
@@ -228,7 +234,7 @@
 	r.nextChunk()
 }
 
-// SendChecked records an answer of policy.Engine.StillAllowed.
+// SendChecked records a result of policy.Engine.StillAllowed.
 func (r *Recorder) SendChecked(now time.Duration, endpoint string, messageIDs []policy.MessageID, allowed bool) {
 	if r == nil {
 		return
@@ -247,8 +253,8 @@
 	e.closeFrame()
 }
 
-// Label records the trace id by which clients and endpoints know a message. It is called before the step that accepts
-// the message.
+// Label records the trace id that identifies a message for clients and endpoints. It must be called before the step
+// that accepts the message.
 func (r *Recorder) Label(id policy.MessageID, trace string) {
 	if r == nil {
 		return
@@ -262,7 +268,7 @@
 	e.closeFrame()
 }
 
-// Note records a remark: a signal, a crash, the reason for a dump.
+// Note records a remark, for example a signal, a crash, or the reason for a dump.
 func (r *Recorder) Note(text string) {
 	if r == nil {
 		return
@@ -279,7 +285,8 @@
 	r.rollIfFull()
 }
 
-// WriteTo writes what the ring holds: closed chunks, oldest first, and the open one. Recording goes on meanwhile.
+// WriteTo writes the contents of the ring: the closed chunks, oldest first, and the open one. Writing to w does not
+// block recording.
 func (r *Recorder) WriteTo(w io.Writer) (int64, error) {
 	if r == nil {
 		return 0, nil
@@ -298,7 +305,7 @@
 	return int64(n), err
 }
 
-// Size returns how many bytes the ring holds.
+// Size returns the number of bytes in the ring.
 func (r *Recorder) Size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/recording/flightrecorder/recorder_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// written returns what a recorder's ring holds.
-func written(t testing.TB, rec *flightrecorder.Recorder) []byte {
+// ringData returns the contents of a recorder's ring.
+func ringData(t testing.TB, rec *flightrecorder.Recorder) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if _, err := rec.WriteTo(&b); err != nil {
@@ -167,7 +167,7 @@
 	return a
 }
 
-// recordEntry records a random entry, and returns what must be read.
+// recordEntry records a random entry, and returns the entry that must be read.
 func recordEntry(t *rapid.T, rec *flightrecorder.Recorder, i int) flightrecorder.Entry {
 	now := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "now"))
 	var e flightrecorder.Entry
@@ -202,7 +202,7 @@
 	return e
 }
 
-// Whatever is recorded is read back as it was, also over the ends of chunks.
+// TestReaderReadsWhatWasRecorded checks that random entries are read back as they were recorded.
 func TestReaderReadsWhatWasRecorded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rec := newRecorder(64 << 20)
@@ -210,7 +210,7 @@
 		for i := range rapid.IntRange(0, 60).Draw(rt, "entries") {
 			want = append(want, recordEntry(rt, rec, i))
 		}
-		got := entries(t, written(t, rec))
+		got := entries(t, ringData(t, rec))
 		if got[0].Kind != flightrecorder.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" ||
 			!reflect.DeepEqual(got[0].Meta.Settings, recordertest.Settings()) {
 			rt.Fatalf("begins with %+v", got[0])
@@ -228,7 +228,8 @@
 	})
 }
 
-// format formats an entry with what its pointers point to; an empty list is as none.
+// format formats an entry for comparison: pointers are replaced by the values that they point to, and empty lists equal
+// nil ones.
 func format(e flightrecorder.Entry) string {
 	text := fmt.Sprintf("%+v", e)
 	for _, x := range e.Events {
@@ -238,7 +239,7 @@
 	return text
 }
 
-// A nil Recorder records nothing.
+// TestNilRecorder checks that the methods of a nil Recorder do nothing.
 func TestNilRecorder(t *testing.T) {
 	var rec *flightrecorder.Recorder
 	rec.Step(1, nil, nil)
@@ -250,12 +251,13 @@
 	}
 }
 
-// A step too large for a frame is lost, and the recording goes on behind it from the state.
+// TestStepTooLarge checks that a step too large for a frame is left out, and that the recording continues after it with
+// a chunk that begins with the engine's state.
 func TestStepTooLarge(t *testing.T) {
 	rec := newRecorder(0)
 	rec.Step(1, make([]policy.Event, 1<<20+1), nil)
 	rec.Note("behind")
-	all := entries(t, written(t, rec))
+	all := entries(t, ringData(t, rec))
 	last := all[len(all)-3:]
 	if last[0].Kind != flightrecorder.Begin || string(last[0].State) != "state" ||
 		!strings.Contains(last[1].Text, "is missing") ||
@@ -297,8 +299,8 @@
 		rec.Step(now, events, actions)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(4*b.N), "ns/event")
-	before := rec.Written()
+	before := rec.OpenChunkSize()
 	rec.Label(events[0].MessageID, "9b1f03aa5c7e2d41")
 	rec.Step(now, events, actions)
-	b.ReportMetric(float64(rec.Written()-before), "bytes/message")
+	b.ReportMetric(float64(rec.OpenChunkSize()-before), "bytes/message")
 }
--- a/internal/recording/flightrecorder/recordertest/driver.go
+++ b/internal/recording/flightrecorder/recordertest/driver.go
@@ -1,6 +1,6 @@
-// Package recordertest drives a decision module through random but legal histories, for tests of what records and
-// replays them: outages, rejections with and without Retry-After, endpoints that drain or are replaced, messages
-// recovered after a restart, and messages that clients cancel.
+// Package recordertest drives a decision engine through random but valid event histories, for tests of recording and
+// replay. The histories have outages, rejections with and without Retry-After, endpoints that drain or are replaced,
+// messages recovered after a restart, and messages that clients cancel.
 package recordertest
 
 import (
@@ -15,13 +15,14 @@
 
 const (
 	destinations       = 5
-	failedDestinations = 3 // the first ones have an outage each
+	failedDestinations = 3 // destinations 0 to 2 have an outage each
 	classes            = 3
 	orderedClass       = 1 // messages of this class have keys
 	tenants            = 2
 )
 
-// Settings are those of a small site with all kinds of class and destination.
+// Settings returns the settings of a small site. Its classes and destination kinds cover all message effects, ordering
+// and both scopes of a rate limit.
 func Settings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
@@ -60,8 +61,8 @@
 	}
 }
 
-// Drive has a relay of its own run for a duration, and records it. afterStep is called after every step, unless it is
-// nil. Equal arguments give equal histories.
+// Drive runs a new engine for a duration of simulated time, and records it. afterStep is called after every step,
+// unless it is nil. Equal arguments give equal histories.
 func Drive(
 	seed uint64,
 	duration time.Duration,
@@ -84,29 +85,29 @@
 	return d.engine, d.recorder
 }
 
-// driver is the surroundings of a decision module: clients, endpoints and discovery. All of them draw from one
-// generator, so that the order of draws is part of the history.
+// driver simulates the environment of an engine: clients, endpoints and discovery. All of them draw from one random
+// generator, so a change in the order of draws changes the history.
 type driver struct {
 	rng       *rand.Rand
 	engine    *policy.Engine
 	recorder  *flightrecorder.Recorder
 	endpoints []policy.Endpoint
-	outages   map[policy.DestinationID]outage // by destination
+	outages   map[policy.DestinationID]outage
 
 	events  []policy.Event // of the next step
 	pending []pendingEvent
 
 	lastID       policy.MessageID
-	attempts     map[policy.MessageID]int                  // by message
-	destinations map[policy.MessageID]policy.DestinationID // by message
+	attempts     map[policy.MessageID]int // attempts started
+	destinations map[policy.MessageID]policy.DestinationID
 }
 
-// outage is a time in which calls to a destination mostly fail.
+// outage is the period in which most calls to a destination fail.
 type outage struct{ from, to time.Duration }
 
 func (o outage) contains(now time.Duration) bool { return now >= o.from && now < o.to }
 
-// pendingEvent is an event that comes later.
+// pendingEvent is an event that the engine receives in a later step.
 type pendingEvent struct {
 	at    time.Duration
 	event policy.Event
@@ -156,7 +157,7 @@
 // pause returns the time to the next step.
 func (d *driver) pause() time.Duration { return time.Duration(1+d.rng.IntN(9)) * time.Millisecond }
 
-// acceptMessages has clients send some messages.
+// acceptMessages adds a random number of accepted messages to the events of the next step.
 func (d *driver) acceptMessages() {
 	for d.rng.IntN(3) == 0 {
 		d.lastID++
@@ -187,7 +188,8 @@
 	}
 }
 
-// changeEndpoints has, now and then, an endpoint drain, come back or be replaced, or a client cancel a message.
+// changeEndpoints occasionally adds an event in which an endpoint drains, returns to service or is replaced, or in
+// which a client cancels a message.
 func (d *driver) changeEndpoints() {
 	switch d.rng.IntN(300) {
 	case 0:
@@ -216,7 +218,7 @@
 	d.events = append(d.events, policy.Event{Kind: policy.EndpointDelta, Endpoints: endpoints})
 }
 
-// takeDueEvents adds the pending events whose time has come.
+// takeDueEvents moves the pending events that are due at now to the events of the next step.
 func (d *driver) takeDueEvents(now time.Duration) {
 	slices.SortStableFunc(d.pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
 	for len(d.pending) > 0 && d.pending[0].at <= now {
@@ -225,7 +227,7 @@
 	}
 }
 
-// step has the module do a step with the collected events, and carries out its actions.
+// step steps the engine with the collected events, records the step, and carries out the actions.
 func (d *driver) step(now time.Duration) {
 	actions := d.engine.Step(now, d.events)
 	d.recorder.Step(now, d.events, actions)
@@ -246,7 +248,7 @@
 	}
 }
 
-// call carries out a Send, and returns the outcome and when it comes.
+// call carries out a Send action. It returns the event with the outcome and the time at which the event is due.
 func (d *driver) call(now time.Duration, action policy.Action) pendingEvent {
 	e := policy.Event{
 		Kind:      policy.AttemptFinished,
@@ -266,7 +268,7 @@
 	return pendingEvent{at: at, event: e}
 }
 
-// drawOutcome fills in what a call meets. In an outage most calls fail.
+// drawOutcome draws a call's outcome, Retry-After and limit report. In an outage most calls fail.
 func (d *driver) drawOutcome(e *policy.Event, inOutage bool) {
 	switch k := d.rng.IntN(30); {
 	case inOutage && d.rng.IntN(3) > 0:
--- a/internal/recording/flightrecorder/sink_test.go
+++ b/internal/recording/flightrecorder/sink_test.go
@@ -17,11 +17,11 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// logWriter is a log that other lines go into, too.
+// logWriter is a log that gets a foreign line before each line of a recording.
 type logWriter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	fail error
+	fail error // returned by Write, unless nil
 }
 
 func (l *logWriter) Write(p []byte) (int, error) {
@@ -34,7 +34,8 @@
 	return l.text.Write(p)
 }
 
-// A recording that goes into a log as it comes is complete, also where the ring has long dropped it.
+// TestFollowLog checks that a recording followed into a log is complete, including the chunks that the ring has
+// dropped.
 func TestFollowLog(t *testing.T) {
 	var out logWriter
 	path := filepath.Join(t.TempDir(), "log")
@@ -47,7 +48,8 @@
 	checkComplete(t, []string{path}, steps, size)
 }
 
-// So is one that goes into files.
+// TestFollowFolder checks that a recording followed into files is complete, including the chunks that the ring has
+// dropped.
 func TestFollowFolder(t *testing.T) {
 	folder := flightrecorder.Folder{Path: filepath.Join(t.TempDir(), "new"), Limit: 64 << 20, Name: "n 1/x"}
 	steps, size := driveFollowed(t, folder.Follow)
@@ -58,7 +60,8 @@
 	checkComplete(t, paths, steps, size)
 }
 
-// driveFollowed drives a module whose recording is followed, and returns the number of steps and the ring's size.
+// driveFollowed drives an engine while follow writes out its recording. It returns the number of steps and the number
+// of bytes in the ring at the end.
 func driveFollowed(t *testing.T, follow func(context.Context, *flightrecorder.Recorder) error) (steps, ringSize int) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -70,7 +73,7 @@
 		})
 		steps++
 		if steps%500 == 0 {
-			time.Sleep(120 * time.Millisecond) // real time for the sink, which looks every 100 ms
+			time.Sleep(120 * time.Millisecond) // real time for the sink, which reads every 100 ms
 		}
 	}
 	_, rec := recordertest.Drive(6, 30*time.Second, flightrecorder.MinRingSize, afterStep)
@@ -81,7 +84,7 @@
 	return steps, rec.Size()
 }
 
-// checkComplete checks that files hold one recording with all steps, more of it than the ring does.
+// checkComplete checks that files hold one recording with all steps, and more bytes than the ring holds.
 func checkComplete(t *testing.T, paths []string, steps, ringSize int) {
 	t.Helper()
 	found, err := flightrecorder.Load(paths...)
@@ -102,7 +105,8 @@
 	}
 }
 
-// The folder's limit holds, the oldest files are removed first, files of others stay, and abandoned ones are removed.
+// TestFolderKeepsItsLimit checks that dumps stay within the folder's limit: the oldest recordings and abandoned
+// temporary files are removed, and other files stay.
 func TestFolderKeepsItsLimit(t *testing.T) {
 	dir := t.TempDir()
 	foreign := filepath.Join(dir, "notes.txt")
@@ -138,7 +142,7 @@
 	}
 }
 
-// checkFolder checks a folder's limit after a dump, whose file must be the last one.
+// checkFolder checks after a dump that the folder is within its limit, and that the dump's file sorts last.
 func checkFolder(t *testing.T, folder flightrecorder.Folder, path string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder.Path, "*"+flightrecorder.FileExtension))
@@ -166,14 +170,14 @@
 	}
 	_, rec := recordertest.Drive(1, time.Minute, 400<<10, nil)
 	if _, err := (flightrecorder.Folder{Path: dir, Limit: 1000}).Dump(rec, "x"); err == nil {
-		t.Error("a ring is written that is larger than the folder's limit")
+		t.Error("a ring larger than the folder's limit was written")
 	}
 	if _, err := (flightrecorder.Folder{Path: file, Limit: 1 << 20}).Dump(rec, "x"); err == nil {
-		t.Error("a file is accepted as a folder")
+		t.Error("a file was accepted as a folder")
 	}
 }
 
-// The error of a sink is returned, and blocks nothing.
+// TestSinkFails checks that an error of the log is returned by FollowLog and DumpToLog, and that neither blocks.
 func TestSinkFails(t *testing.T) {
 	rec := newRecorder(0)
 	rec.Note("x")
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -17,22 +17,22 @@
 )
 
 // ErrNoStart reports that a recording has no chunk at which a replay can start.
-var ErrNoStart = errors.New("replay: no chunk of the recording can be played from")
+var ErrNoStart = errors.New("replay: the recording has no chunk at which a replay can start")
 
-// maxLost bounds the entries of Result.Lost.
+// maxLost limits the number of entries in Result.Lost.
 const maxLost = 100
 
-// Visitor has functions that are called during a replay. Any of them may be nil. They must not step the engine.
+// Visitor holds functions that are called during a replay. Any of them may be nil. They must not step the engine.
 type Visitor struct {
 	// Begin is called with the engine of each segment, before its first step.
 	Begin func(engine *policy.Engine, entry *flightrecorder.Entry)
-	// Settings is called with the settings that apply from now on.
+	// Settings is called with the settings that apply to the following steps.
 	Settings func(settings policy.Settings)
 	// BeforeStep is called before a step, with the engine in the state after the step before.
 	BeforeStep func(engine *policy.Engine, entry *flightrecorder.Entry)
 	// AfterStep is called after a step without a difference.
 	AfterStep func(engine *policy.Engine, entry *flightrecorder.Entry)
-	// Other is called with labels, notes and lost parts.
+	// Other is called with Label, Note and Lost entries.
 	Other func(entry *flightrecorder.Entry)
 }
 
@@ -40,15 +40,15 @@
 type player struct {
 	visitor  Visitor
 	result   Result
-	engine   *policy.Engine // nil until a chunk at which the replay can start
+	engine   *policy.Engine // nil until a chunk at which the replay can start, and again after a Lost entry
 	settings policy.Settings
 
-	agent       *agent.Agent          // nil if the recording has none, and until an entry with its state
-	lastStep    *flightrecorder.Entry // the engine's last step, if the agent's step after it has not been replayed
+	agent       *agent.Agent          // nil until an entry with its state, and again after a Lost entry
+	lastStep    *flightrecorder.Entry // the engine's last step; nil after the fleet agent's step that belongs to it
 	lastActions []policy.Action       // of the engine's last step
 }
 
-// Play replays a recording up to the first difference. It fails if nothing could be replayed.
+// Play replays a recording up to the first difference. It fails with ErrNoStart if nothing could be replayed.
 func Play(data []byte, visitor Visitor) (Result, error) {
 	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// continueChunk applies a chunk's settings. It compares the state that the chunk begins with to the engine's, which
-// finds engines that differ although their actions have been the same.
+// continueChunk applies a chunk's settings. It also compares the engine's state with the state that the chunk begins
+// with, which finds a difference that has not changed any action yet.
 func (p *player) continueChunk(e *flightrecorder.Entry) {
 	if !reflect.DeepEqual(e.Meta.Settings, p.settings) {
 		if err := p.engine.Reconfigure(e.Meta.Settings); err != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// compareState compares a replayed state to the recorded one.
+// compareState compares a replayed state with the recorded one.
 func (p *player) compareState(e *flightrecorder.Entry, what string, replayed []byte) {
 	if bytes.Equal(replayed, e.State) {
 		return
@@ -147,7 +147,7 @@
 	p.setDifference(e, what, recorded, fmt.Sprintf("%d bytes, from byte %d on", len(replayed), at))
 }
 
-// startSegment starts the replay at a chunk. If that is impossible the replay waits for the next chunk.
+// startSegment starts the replay at a chunk. If that is impossible, entries are skipped until the next chunk.
 func (p *player) startSegment(e *flightrecorder.Entry) {
 	var engine *policy.Engine
 	var err error
@@ -175,8 +175,8 @@
 	}
 }
 
-// Restore restores the engine from the state that a chunk begins with. It fails for a state of another build that this
-// build's engine cannot have.
+// Restore restores the engine from the state that a chunk begins with. It fails if this build's engine cannot read the
+// state, for example one that another build wrote.
 func Restore(e *flightrecorder.Entry) (engine *policy.Engine, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -187,7 +187,8 @@
 	return policy.Restore(e.Meta.Settings, e.State)
 }
 
-// firstDifferentByte returns the index of the first byte that differs.
+// firstDifferentByte returns the index of the first byte that differs, or the length of the shorter slice if the other
+// begins with it.
 func firstDifferentByte(a, b []byte) int {
 	n := min(len(a), len(b))
 	for i := range n {
@@ -249,7 +250,8 @@
 	}
 }
 
-// playFleetState restores the fleet's agent from a recorded state or, if it is being replayed, compares its state.
+// playFleetState restores the fleet agent from a recorded state. If the agent is already being replayed, it compares
+// the agent's state with the recorded one instead.
 func (p *player) playFleetState(e *flightrecorder.Entry) {
 	if p.agent != nil {
 		p.compareState(e, "the fleet agent's state", p.agent.Snapshot(nil))
@@ -263,7 +265,7 @@
 	p.agent = restored
 }
 
-// playFleetStep replays a step of the fleet's agent, which follows the engine's step with the same events.
+// playFleetStep replays a step of the fleet agent, which receives the events and actions of the engine's last step.
 func (p *player) playFleetStep(e *flightrecorder.Entry) {
 	if p.engine == nil || p.agent == nil || p.lastStep == nil {
 		return
@@ -290,7 +292,7 @@
 	p.compareFleetOutput(e, &record, &output)
 }
 
-// compareFleetOutput compares the load reports and quota messages of a step of the fleet's agent to the recorded ones.
+// compareFleetOutput compares the load reports and quota messages of a step of the fleet agent with the recorded ones.
 func (p *player) compareFleetOutput(e *flightrecorder.Entry, record *agent.Record, output *agent.Output) {
 	sameReports := slices.EqualFunc(output.Published, record.Published, func(a, b loadreport.Report) bool {
 		return reflect.DeepEqual(a, b)
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -25,8 +25,8 @@
 	return b.Bytes()
 }
 
-// TestRecordingReplays checks that random histories replay without a difference, both those that are recorded from the
-// start and those of which the ring has only the last chunks.
+// TestRecordingReplays checks that random histories replay without a difference, both complete recordings and those of
+// which the ring holds only the last chunks.
 func TestRecordingReplays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestRingIsBoundedAndReplays records far more than the ring's size: the ring stays within its bound, and what it has
-// at the end replays.
+// TestRingIsBoundedAndReplays records far more than the ring's size. The ring must stay within its bound, and its
+// contents at the end must replay.
 func TestRingIsBoundedAndReplays(t *testing.T) {
 	maxSize := 0
 	measureSize := func(_ *policy.Engine, rec *flightrecorder.Recorder) { maxSize = max(maxSize, rec.Size()) }
@@ -56,7 +56,8 @@
 	}
 }
 
-// edit returns a recording with another revision, and with its entries changed by change, which has their index.
+// edit returns a copy of a recording with another revision. change is called with each entry and its index, and may
+// modify the entry.
 func edit(t *testing.T, data []byte, revision string, change func(n int, e *flightrecorder.Entry)) []byte {
 	t.Helper()
 	reader, err := flightrecorder.NewReader(data)
@@ -88,8 +89,8 @@
 	}
 }
 
-// changeFirst changes the first action for which change returns true, some entries after the recording's start. It
-// returns the changed recording and the time of that step.
+// changeFirst replaces one action of a recording: the first one after entry 20 for which change returns true. It
+// returns the changed recording and the time of the action's step.
 func changeFirst(t *testing.T, data []byte, change func(a *policy.Action) bool) (changed []byte, at time.Duration) {
 	t.Helper()
 	done := false
@@ -109,7 +110,8 @@
 	return changed, at
 }
 
-// TestFirstDifferenceIsReported changes one action of a recording: the replay reports the step and both actions.
+// TestFirstDifferenceIsReported checks that the replay of a recording with one changed action reports the step and
+// both actions.
 func TestFirstDifferenceIsReported(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	data := recordingOf(t, rec)
@@ -164,8 +166,8 @@
 	}
 }
 
-// TestRecordingOfAnotherRevision checks that a recording of another revision is replayed, and reported as such. One
-// that begins with a state that this build cannot read is an error.
+// TestRecordingOfAnotherRevision checks that a recording of another revision is replayed, and that the result reports
+// the other revision. A recording that begins with a state that this build cannot read is an error.
 func TestRecordingOfAnotherRevision(t *testing.T) {
 	_, rec := recordertest.Drive(5, 10*time.Second, 64<<20, nil)
 	res, err := Play(edit(t, recordingOf(t, rec), "0123", func(int, *flightrecorder.Entry) {}), Visitor{})
@@ -179,17 +181,17 @@
 	meta := flightrecorder.Meta{Revision: "0123", Settings: recordertest.Settings()}
 	unknownState := func(b []byte) []byte { return append(b, 0xfe, 0xff, 1) }
 	recorder := flightrecorder.NewRecorder(meta, flightrecorder.MinRingSize, unknownState)
-	for i := range 40000 { // more than the ring has space for, so that it begins with a state
+	for i := range 40000 { // more steps than the ring holds, so that its first chunk begins with a state
 		now := time.Second + time.Duration(i)*time.Millisecond
 		events := []policy.Event{{Kind: policy.TimerFired}}
 		recorder.Step(now, events, engine.Step(now, events))
 	}
 	if res, err := Play(recordingOf(t, recorder), Visitor{}); err == nil || len(res.Lost) == 0 {
-		t.Errorf("a state of no known form: %v, %+v", err, res)
+		t.Errorf("an unreadable state was accepted: %v, %+v", err, res)
 	}
 }
 
-// changedSettings are other settings than those of a recordertest run.
+// changedSettings returns settings that differ from those of recordertest.
 func changedSettings() policy.Settings {
 	settings := recordertest.Settings()
 	settings.MaxAttempts = 2
@@ -259,7 +261,8 @@
 	}
 }
 
-// TestClockStepsAreReplayed checks that steps have the recorded times, also where the clock went forwards or backwards.
+// TestClockStepsAreReplayed checks that the engine is stepped with the recorded times, also where the clock jumped
+// forwards or backwards.
 func TestClockStepsAreReplayed(t *testing.T) {
 	engine, err := policy.New(recordertest.Settings(), 9)
 	if err != nil {
@@ -291,8 +294,8 @@
 	}
 }
 
-// TestTruncatedAndDamagedRecordings cuts a recording at each byte: all steps before the cut replay. Then it changes one
-// byte at many places: the replay fails or reports a lost part, and finds no difference.
+// TestTruncatedAndDamagedRecordings cuts a recording at each byte. The steps before the cut must replay. Then it flips
+// one bit at many places. The replay must fail or report a lost part, and must not find a difference.
 func TestTruncatedAndDamagedRecordings(t *testing.T) {
 	_, rec := recordertest.Drive(7, 2500*time.Millisecond, flightrecorder.MinRingSize, nil)
 	data := recordingOf(t, rec)
@@ -350,10 +353,10 @@
 		if len(data) > 1<<20 {
 			return
 		}
-		_, _ = Play(data, Visitor{}) // may fail, must end, and must not panic
+		_, _ = Play(data, Visitor{}) // may fail, but must return and must not panic
 		if found, err := flightrecorder.Split(data); err == nil {
 			for _, recording := range found {
-				_, _ = Play(recording.Data, Visitor{}) // as above
+				_, _ = Play(recording.Data, Visitor{}) // the same requirements as above
 			}
 		}
 	})
--- a/internal/recording/replay/result.go
+++ b/internal/recording/replay/result.go
@@ -9,18 +9,18 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Difference is the first difference of a replay from its recording. Its fields' names are keys of a command's JSON
-// output.
+// Difference is the first difference of a replay from its recording. Its field names are keys of the JSON output of the
+// explain command.
 type Difference struct {
 	Step     int           // number of the step, from 1
-	Offset   int64         // in the recording
-	Now      time.Duration // the engine's time
-	What     string
-	Recorded string // the first action that differs; empty: none
-	Replayed string
+	Offset   int64         // of the entry in the recording, in bytes
+	Now      time.Duration // engine time
+	What     string        // what differs, for example "action 1 of 2" or "state"
+	Recorded string        // the action or other recorded value; empty: none
+	Replayed string        // the action or other value of the replay; empty: none
 }
 
-// String returns the difference in one line.
+// String describes the difference in one line.
 func (d *Difference) String() string {
 	return fmt.Sprintf("step %d at %v (offset %d): %s: recorded %s, replayed %s", d.Step, d.Now, d.Offset, d.What,
 		orNone(d.Recorded), orNone(d.Replayed))
@@ -33,22 +33,22 @@
 	return action
 }
 
-// Result counts what was replayed, and has the first difference.
+// Result describes what was replayed, and the first difference.
 type Result struct {
 	Meta       flightrecorder.Meta // of the recording's first chunk
-	Revision   string              // of the engine that replayed
+	Revision   string              // of the engine in this build
 	Chunks     int
 	Segments   int // parts of the recording that were each replayed without a gap
 	Steps      int
 	Events     int
 	Actions    int
 	SendChecks int
-	States     int // snapshots of the engine that were compared at the start of a chunk
-	FleetSteps int // steps of the fleet's agent
-	From       time.Duration
-	To         time.Duration
-	Lost       []string    // what could not be read or replayed, at most maxLost
-	Difference *Difference // nil: none
+	States     int           // snapshots of the engine that were compared at the start of a chunk
+	FleetSteps int           // steps of the fleet agent
+	From       time.Duration // engine time at the start of the first chunk
+	To         time.Duration // engine time of the last replayed step
+	Lost       []string      // parts that could not be read or replayed; at most maxLost
+	Difference *Difference   // nil: none
 }
 
 // SameRevision reports whether the recording was made by the engine's revision in this build.
@@ -67,7 +67,7 @@
 	return min(len(a), len(b))
 }
 
-// describeAt returns the text of the action with an index, or "" if there is none.
+// describeAt describes the action at an index. It returns "" if there is none.
 func describeAt(actions []policy.Action, i int) string {
 	if i >= len(actions) {
 		return ""
@@ -75,7 +75,7 @@
 	return Describe(actions[i])
 }
 
-// Describe returns an action as text.
+// Describe describes an action in a few words.
 func Describe(a policy.Action) string {
 	switch a.Kind {
 	case policy.Send:
--- a/internal/recording/statecodec/coder.go
+++ b/internal/recording/statecodec/coder.go
@@ -1,6 +1,7 @@
-// Package statecodec writes and reads the state of a pure state machine by one description for both directions: each
-// method of a Coder takes a pointer, and writes what it points to or fills it in. It knows nothing of the state and
-// does no I/O. Pointers that several records share are written once, and are shared again when read.
+// Package statecodec encodes and decodes the state of a pure state machine with one description for both directions:
+// each method of a Coder takes pointers, and either writes the values that they point to or reads into them. A value
+// that several pointers share is written once, and is shared again after reading. The package does no I/O and does not
+// depend on the types of the state.
 package statecodec
 
 import (
@@ -13,29 +14,29 @@
 	"time"
 )
 
-// ErrMalformed reports that what was read is not what the same description wrote.
+// ErrMalformed reports that the data cannot have been written with the description that reads it.
 var ErrMalformed = errors.New("statecodec: malformed")
 
-// maxDepth bounds how deep pointers nest in what is read, and so the stack.
+// maxDepth limits the nesting of pointers in the data that is read, and so the size of the stack.
 const maxDepth = 1000
 
 const float64Size = 8
 
-// Coder goes through a state in one direction. The first error is kept; values filled in after it are zero.
+// Coder encodes or decodes a state. It keeps the first error; values read after it are zero.
 type Coder struct {
 	reading         bool
 	buf             []byte // written so far, or left to read
 	err             error
-	writtenPointers map[any]uint64 // their numbers, from 1
-	readPointers    []any          // by number
-	depth           int
+	writtenPointers map[any]uint64 // numbers of the pointers written so far, from 1
+	readPointers    []any          // pointers read so far; number n is at index n-1
+	depth           int            // nesting of the pointer being read
 }
 
 // NewWriter returns a Coder that appends to buf.
 func NewWriter(buf []byte) *Coder { return &Coder{buf: buf, writtenPointers: map[any]uint64{}} }
 
-// NewReader returns a Coder that reads data. Whatever lengths data states, it uses no more memory than a small multiple
-// of data's.
+// NewReader returns a Coder that reads data. Whatever lengths data states, the Coder uses no more memory than a small
+// multiple of data's size.
 func NewReader(data []byte) *Coder { return &Coder{reading: true, buf: data} }
 
 // Reading reports whether the Coder reads.
@@ -44,7 +45,7 @@
 // Bytes returns what was written.
 func (c *Coder) Bytes() []byte { return c.buf }
 
-// Close returns the first error. Bytes that were not read are one.
+// Close returns the first error. If a reader has no error but bytes are left, it returns ErrMalformed.
 func (c *Coder) Close() error {
 	if c.err == nil && c.reading && len(c.buf) > 0 {
 		c.err = ErrMalformed
@@ -52,7 +53,7 @@
 	return c.err
 }
 
-// Fail makes what is read malformed.
+// Fail marks the data as malformed, so that Close returns ErrMalformed unless there was an earlier error.
 func (c *Coder) Fail() {
 	if c.err == nil {
 		c.err = ErrMalformed
@@ -75,14 +76,14 @@
 	c.buf = c.buf[n:]
 }
 
-// Int carries a signed integer, zigzag encoded.
+// Int writes or reads a signed integer in zigzag encoding.
 func Int[T ~int | ~int64](c *Coder, x *T) {
 	value := uint64(*x)<<1 ^ uint64(int64(*x)>>63)
 	c.uvarint(&value)
 	*x = T(int64(value>>1) ^ -int64(value&1))
 }
 
-// Uint carries an unsigned integer.
+// Uint writes or reads an unsigned integer.
 func Uint[T ~uint8 | ~uint32 | ~uint64](c *Coder, x *T) {
 	value := uint64(*x)
 	c.uvarint(&value)
@@ -92,21 +93,21 @@
 	*x = T(value)
 }
 
-// Durations carries durations.
+// Durations writes or reads durations.
 func (c *Coder) Durations(xs ...*time.Duration) {
 	for _, x := range xs {
 		Int(c, x)
 	}
 }
 
-// Ints carries integers.
+// Ints writes or reads integers.
 func (c *Coder) Ints(xs ...*int) {
 	for _, x := range xs {
 		Int(c, x)
 	}
 }
 
-// Bools carries booleans.
+// Bools writes or reads booleans.
 func (c *Coder) Bools(xs ...*bool) {
 	for _, x := range xs {
 		value := uint64(0)
@@ -121,7 +122,7 @@
 	}
 }
 
-// Floats carries floating-point numbers, bit by bit.
+// Floats writes or reads floating-point numbers. Every bit is preserved.
 func (c *Coder) Floats(xs ...*float64) {
 	for _, x := range xs {
 		if !c.reading {
@@ -138,7 +139,7 @@
 	}
 }
 
-// Text carries a string.
+// Text writes or reads a string.
 func (c *Coder) Text(x *string) {
 	n := uint64(len(*x))
 	c.uvarint(&n)
@@ -155,7 +156,7 @@
 	c.buf = c.buf[n:]
 }
 
-// List carries a slice, entry by entry. An empty one is read as nil.
+// List writes or reads a slice. It calls each for every entry. An empty slice is read as nil.
 func List[T any](c *Coder, xs *[]T, each func(*T)) {
 	n := uint64(len(*xs))
 	c.uvarint(&n)
@@ -166,7 +167,7 @@
 		return
 	}
 	*xs = nil
-	if n > uint64(len(c.buf)) { // an entry takes at least a byte
+	if n > uint64(len(c.buf)) { // an entry takes at least one byte
 		c.Fail()
 		return
 	}
@@ -180,7 +181,8 @@
 	}
 }
 
-// Map carries a map, in the order of its keys. A reader fills in m, which must exist.
+// Map writes or reads a map, in the order of its keys. It calls each for every entry. A reader adds the entries to m,
+// which must not be nil.
 func Map[K cmp.Ordered, V any](c *Coder, m map[K]V, each func(*K, *V)) {
 	var keys []K
 	if !c.reading {
@@ -195,8 +197,8 @@
 	})
 }
 
-// Pointer carries a pointer as its number, 0 for nil. body carries what it points to, the first time that the pointer
-// comes.
+// Pointer writes or reads a pointer as a number, 0 for nil. At the first occurrence of a pointer, body writes or reads
+// the value that it points to.
 func Pointer[T any](c *Coder, p **T, body func(*T)) {
 	if c.reading {
 		readPointer(c, p, body)
@@ -250,7 +252,7 @@
 	}
 }
 
-// NonNil is Pointer for a pointer that is never nil.
+// NonNil is Pointer for a pointer that must not be nil.
 func NonNil[T any](c *Coder, p **T, body func(*T)) {
 	Pointer(c, p, body)
 	if *p == nil {
--- a/internal/recording/statecodec/coder_test.go
+++ b/internal/recording/statecodec/coder_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// node is a state with every kind of field, shared pointers and a circle.
+// node is a state with every kind of field. Its pointers may be shared and may form cycles.
 type node struct {
 	name   string
 	n      int
@@ -94,7 +94,7 @@
 
 func TestReaderRejectsMalformed(t *testing.T) {
 	deep := []byte{}
-	for i := range 3000 { // each one the parent of the one before
+	for i := range 3000 { // the pointer numbers 1, 2, 3 and so on, two bytes each
 		deep = append(deep, byte(i+1)&0x7f|0x80, byte((i+1)>>7))
 	}
 	for name, data := range map[string][]byte{
@@ -124,11 +124,11 @@
 	r := NewReader([]byte{0})
 	NonNil(r, &p, func(*node) {})
 	if err := r.Close(); !errors.Is(err, ErrMalformed) || p == nil {
-		t.Errorf("a pointer that is never nil is read as %v: %v", p, err)
+		t.Errorf("a nil pointer is read as %v: %v", p, err)
 	}
 }
 
-// A pointer of one type where one of another type was written is rejected.
+// TestPointerRejectsOtherType checks that a pointer's number is rejected where it is read as a pointer of another type.
 func TestPointerRejectsOtherType(t *testing.T) {
 	r := NewReader([]byte{1, 1})
 	var a *int
@@ -140,7 +140,7 @@
 	}
 }
 
-// What a reader accepts is written again as something that it accepts.
+// FuzzReader checks that data accepted by a reader, written again, is accepted again.
 func FuzzReader(f *testing.F) {
 	x := &node{name: "a", list: []int{1, 2}, named: map[string]int{"k": 1}}
 	x.parent = x
--- a/internal/recording/statecodec/golden_test.go
+++ b/internal/recording/statecodec/golden_test.go
@@ -9,9 +9,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenNode is a state with a value of every kind, a shared pointer and a circle.
+// goldenNode returns a state with a value of every kind, a shared pointer and a cycle of pointers.
 func goldenNode() *node {
 	child := &node{name: "child", n: -2, list: []int{3}, named: map[string]int{}}
 	root := &node{
@@ -30,7 +30,7 @@
 	return root
 }
 
-// Another build reads and writes the same bytes.
+// TestGoldenArchive checks that this build writes and reads the same bytes as earlier builds.
 func TestGoldenArchive(t *testing.T) {
 	const name = "node.archive"
 	want := goldenNode()
