--- a/internal/recording/flightrecorder/format.go
+++ b/internal/recording/flightrecorder/format.go
@@ -3,10 +3,9 @@
 // files or to the log. It takes no decisions, and no step waits for its I/O. docs/design/flight-recorder.md describes
 // the format.
 //
-// A recording is a sequence of chunks. Each chunk is readable by itself: it begins with a header frame and the engine's
-// state. A chunk without a state begins with a new engine that has received no event. Every frame carries a CRC-32C
-// over its length, its payload and its position, so that a truncation or a flipped bit is reported and never decoded as
-// other data.
+// A recording is a sequence of chunks. Each chunk is readable by itself: it begins with a header frame and, unless the
+// engine had received no event yet, with the engine's state. Every frame carries a CRC-32C over its length, its payload
+// and its position, so that a truncation or a flipped bit is reported and never decoded as other data.
 package flightrecorder
 
 import (
@@ -53,7 +52,8 @@
 	frameFleetStep   byte = 'F' // what the fleet agent received and returned in a step
 )
 
-// The flags of an encoded event. They mark optional fields that follow, or are the value of a boolean field.
+// The flags of an encoded event. hasMessageEnded is the value of the field MessageEnded. Each other flag states that
+// optional fields follow.
 const (
 	hasMessageEnded byte = 1 << iota
 	hasRetryAfter
--- a/internal/recording/flightrecorder/log.go
+++ b/internal/recording/flightrecorder/log.go
@@ -12,7 +12,7 @@
 const (
 	// logPrefix precedes the encoded part of a recording in a line of a log.
 	logPrefix = "flight "
-	// maxLineSize limits the length of a line with a part of a recording, in bytes.
+	// maxLineSize limits the lines that FromLog reads, in bytes.
 	maxLineSize = 64 << 10
 	// lineDataSize is the number of bytes of a recording in a line. Base64 turns three bytes into four. The remaining
 	// space is for logPrefix and for what log collectors add in front of the line.
--- a/internal/recording/flightrecorder/reader.go
+++ b/internal/recording/flightrecorder/reader.go
@@ -15,7 +15,7 @@
 type EntryKind int
 
 const (
-	// Begin is the start of a chunk: ID, Chunk and Now identify it; Meta, Fresh and State describe the engine there.
+	// Begin is the start of a chunk, with the engine's state at that point: ID, Chunk, Now, Meta, Fresh, State.
 	Begin EntryKind = iota
 	// Step is a step of the engine: Now, Events, Actions.
 	Step
@@ -52,7 +52,7 @@
 	return entryKindNames[k]
 }
 
-// Entry is one entry of a recording. Its kind says which fields are set.
+// Entry is one entry of a recording. Its kind determines which fields are set.
 type Entry struct {
 	Kind EntryKind
 	At   int64 // offset in the recording, in bytes
@@ -167,7 +167,7 @@
 			return Entry{}, false, fmt.Errorf("%w: format %d, this version reads up to %d", err, e.Meta.Format, Format)
 		}
 		// A client that could read an earlier part of this recording may have sent a copy of a chunk in a payload.
-		// Chunk numbers only increase, so a chunk found after damage with an earlier number is such a copy.
+		// Chunk numbers only increase, so a chunk found after damage without a higher number is such a copy.
 		repeated := r.afterDamage && r.chunkRead && id == r.id && number <= r.lastChunk
 		if err != nil || repeated {
 			r.offset++
--- a/internal/recording/flightrecorder/recorder.go
+++ b/internal/recording/flightrecorder/recorder.go
@@ -59,7 +59,7 @@
 	id           uint64
 	enc          encoder
 	chunkLimit   int // size at which the open chunk, in enc, is full; in bytes
-	minChunkSize int // smallest chunkLimit
+	minChunkSize int // lower bound of chunkLimit, in bytes
 
 	ringSize     int     // bytes
 	closedChunks []chunk // oldest first
--- a/internal/recording/flightrecorder/recorder_test.go
+++ b/internal/recording/flightrecorder/recorder_test.go
@@ -213,7 +213,7 @@
 		got := entries(t, ringData(t, rec))
 		if got[0].Kind != flightrecorder.Begin || !got[0].Fresh || got[0].Meta.Name != "n1" ||
 			!reflect.DeepEqual(got[0].Meta.Settings, recordertest.Settings()) {
-			rt.Fatalf("begins with %+v", got[0])
+			rt.Fatalf("first entry: %+v", got[0])
 		}
 		got = got[1:]
 		if len(got) != len(want) {
--- a/internal/recording/flightrecorder/recordertest/driver.go
+++ b/internal/recording/flightrecorder/recordertest/driver.go
@@ -21,8 +21,8 @@
 	tenants            = 2
 )
 
-// Settings returns the settings of a small site. Its classes and destination kinds cover all message effects, ordering
-// and both scopes of a rate limit.
+// Settings returns settings for a fleet of two relays. The classes cover all message effects and ordering, and the
+// destination kinds cover rate limits per destination and per endpoint.
 func Settings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
--- a/internal/recording/flightrecorder/sink_test.go
+++ b/internal/recording/flightrecorder/sink_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if size := len(found[0].Data); got != steps || ringSize >= size {
-		t.Errorf("%d steps of %d, %d bytes of which the ring holds %d", got, steps, size, ringSize)
+		t.Errorf("got %d steps, want %d; the recording has %d bytes, the ring %d", got, steps, size, ringSize)
 	}
 }
 
--- a/internal/recording/replay/replay.go
+++ b/internal/recording/replay/replay.go
@@ -44,7 +44,7 @@
 	settings policy.Settings
 
 	agent       *agent.Agent          // nil until an entry with its state, and again after a Lost entry
-	lastStep    *flightrecorder.Entry // the engine's last step; nil after the fleet agent's step that belongs to it
+	lastStep    *flightrecorder.Entry // the engine's last step; nil after the fleet agent's step that follows it
 	lastActions []policy.Action       // of the engine's last step
 }
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// continueChunk applies a chunk's settings. It also compares the engine's state with the state that the chunk begins
-// with, which finds a difference that has not changed any action yet.
+// continueChunk applies a chunk's settings. If this build has the recording's revision, it also compares the engine's
+// state with the state that the chunk begins with, which finds a difference that has not changed any action yet.
 func (p *player) continueChunk(e *flightrecorder.Entry) {
 	if !reflect.DeepEqual(e.Meta.Settings, p.settings) {
 		if err := p.engine.Reconfigure(e.Meta.Settings); err != nil {
--- a/internal/recording/replay/replay_test.go
+++ b/internal/recording/replay/replay_test.go
@@ -48,7 +48,8 @@
 	_, rec := recordertest.Drive(3, 4*time.Minute, flightrecorder.MinRingSize, measureSize)
 	data := recordingOf(t, rec)
 	if maxSize > flightrecorder.MinRingSize*5/4 || len(data) < flightrecorder.MinRingSize/2 {
-		t.Errorf("held %d bytes at most, %d at the end, of %d", maxSize, len(data), flightrecorder.MinRingSize)
+		t.Errorf("ring held up to %d bytes, %d at the end, want about %d",
+			maxSize, len(data), flightrecorder.MinRingSize)
 	}
 	res, err := Play(data, Visitor{})
 	if err != nil || res.Difference != nil || res.From == 0 || res.Chunks < 2 || res.States != res.Chunks-1 {
@@ -105,7 +106,7 @@
 		}
 	})
 	if !done {
-		t.Error("nothing was changed")
+		t.Error("no action was changed")
 	}
 	return changed, at
 }
--- a/internal/recording/replay/result.go
+++ b/internal/recording/replay/result.go
@@ -54,7 +54,7 @@
 // SameRevision reports whether the recording was made by the engine's revision in this build.
 func (r *Result) SameRevision() bool { return r.Meta.Revision == r.Revision }
 
-// firstDifference returns the index of the first action that differs, or -1. Missing actions differ.
+// firstDifference returns the index of the first action that differs, or -1. A missing action counts as a difference.
 func firstDifference(a, b []policy.Action) int {
 	if slices.Equal(a, b) {
 		return -1
