--- a/internal/recording/chart/canvas.go
+++ b/internal/recording/chart/canvas.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The sizes of a chart, in SVG's units.
+// The width of a chart and the margins around its plot area, in SVG user units.
 const (
 	plotWidth  = 960.0
 	plotLeft   = 46.0
@@ -16,7 +16,7 @@
 	plotBottom = 18.0
 )
 
-// The colours of the charts.
+// The colours of lines, bars and bands, as SVG colour values.
 const (
 	Green  = "#2e8b57"
 	Blue   = "#2a6fbb"
@@ -25,13 +25,13 @@
 	Grey   = "#8a8f98"
 )
 
-// Style is the part of a page's style sheet that the charts need.
+// Style holds the CSS rules for charts. A page with charts includes them in its style sheet.
 const Style = `svg { display: block; width: 100%; margin: .5em 0 } .grid { stroke: #e4e4e4 } ` +
 	`.mark { stroke: #6b4ba1; stroke-dasharray: 3 2 }
 .shade { fill: #e08a1e; opacity: .13 } .tick, .note { font-size: 9px; fill: #666 } ` +
 	`.title { font-size: 11px; fill: #222 }`
 
-// canvas is an SVG image with a plot area.
+// canvas builds an SVG image with a plot area.
 type canvas struct {
 	b      strings.Builder
 	height float64
@@ -48,7 +48,8 @@
 	_, _ = fmt.Fprintf(&c.b, format, args...) // writes to a strings.Builder never fail
 }
 
-// y returns the vertical position of a value, given as a fraction of the axis. Values off the axis are clamped to it.
+// y returns the vertical position of a fraction of the value axis: 0 is its lower end, 1 its upper end. Fractions
+// outside this range are clamped to it.
 func (c *canvas) y(fraction float64) float64 {
 	return plotTop + c.inner*(1-min(1, max(0, fraction)))
 }
@@ -67,13 +68,14 @@
 	)
 }
 
-// close returns the image. It is safe as HTML, because all text in it was escaped.
+// close ends the SVG element and returns the image. The image is safe as HTML, because the titles and names in it are
+// escaped.
 func (c *canvas) close() template.HTML {
 	c.b.WriteString("</svg>")
 	return template.HTML(c.b.String())
 }
 
-// titleWidth estimates the width of a title and the gap after it.
+// titleWidth estimates the width of a title with its unit, plus the gap after them, in SVG user units.
 func titleWidth(title, unit string) float64 { return 7*float64(len(title)+len(unit)) + 30 }
 
 func escape(text string) string { return template.HTMLEscapeString(text) }
--- a/internal/recording/chart/chart_test.go
+++ b/internal/recording/chart/chart_test.go
@@ -23,7 +23,7 @@
 				t.Errorf("%d bins of %v, want %d of %v", axis.Bins, axis.Bin, test.bins, test.bin)
 			}
 			if first, last := axis.BinAt(-time.Second), axis.BinAt(time.Hour); first != 0 || last != test.bins-1 {
-				t.Errorf("times off the axis are in bins %d and %d", first, last)
+				t.Errorf("times before and after the axis are in bins %d and %d of %d", first, last, test.bins)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 		"empty": string(XY{Title: text}.Draw()),
 	} {
 		if strings.Contains(svg, "<script") || !strings.Contains(svg, "&lt;script&gt;") {
-			t.Errorf("%s: %s", name, svg)
+			t.Errorf("%s: text is not escaped: %s", name, svg)
 		}
 	}
 }
@@ -58,6 +58,6 @@
 	_, path, _ := strings.Cut(svg, `stroke-width="1.5" d="`)
 	path, _, _ = strings.Cut(path, `"`)
 	if moves := strings.Count(path, "M"); moves != 2 {
-		t.Errorf("%d parts of a line with one gap: %s", moves, path)
+		t.Errorf("a line with one gap has %d parts, want 2: %s", moves, path)
 	}
 }
--- a/internal/recording/chart/timeline.go
+++ b/internal/recording/chart/timeline.go
@@ -8,13 +8,15 @@
 	"time"
 )
 
-// maxBins bounds the bins along a time axis that NewTimeline chooses.
+// maxBins is the maximum number of whole bins on a time axis from NewTimeline. A partial last bin may be added.
 const maxBins = 240
 
-// minLabelledHeight is the least height of a plot in which the names of shades are written.
+// minLabelledHeight is a plot's height, in SVG user units, above which the names of shades are written in the plot.
+// In lower plots they are only tooltips.
 const minLabelledHeight = 100
 
-// Series is one line, or one layer of a stack, with a value for each bin; NaN leaves a gap.
+// Series is one line, or one layer of a stack, with a value for each bin. NaN leaves a gap in a line; a stack must
+// not contain NaN.
 type Series struct {
 	Name, Colour string
 	Values       []float64
@@ -24,12 +26,12 @@
 type Plot struct {
 	Title, Unit string
 	Height      float64
-	Max         float64 // of the value axis; 0: what the values need
+	Max         float64 // upper end of the value axis; 0: derived from the highest value
 	Stacked     bool
 	Series      []Series
 }
 
-// Timeline is the time axis that all plots of a page share, with its marks.
+// Timeline is a time axis for several plots, with the intervals and times that are highlighted in each of them.
 type Timeline struct {
 	Length time.Duration
 	Bin    time.Duration
@@ -44,14 +46,14 @@
 	From, To time.Duration
 }
 
-// Mark marks a point of the time axis.
+// Mark is a vertical line at a time of the axis. Text is its tooltip.
 type Mark struct {
 	At   time.Duration
 	Text string
 }
 
-// NewTimeline returns a time axis of a length, in bins of a second, or in longer ones if there would be more than
-// maxBins.
+// NewTimeline returns a time axis of the given length, but at least one second. Bins start at one second and are
+// doubled until at most maxBins whole bins fit on the axis.
 func NewTimeline(length time.Duration) *Timeline {
 	t := &Timeline{Length: max(length, time.Second), Bin: time.Second}
 	for t.Length/t.Bin > maxBins {
@@ -61,7 +63,8 @@
 	return t
 }
 
-// BinAt returns the bin of a time; times off the axis are in the first or the last bin.
+// BinAt returns the index of the bin that contains a time. A time before the axis belongs to the first bin, a time
+// after it to the last bin.
 func (t *Timeline) BinAt(d time.Duration) int { return min(t.Bins-1, max(0, int(d/t.Bin))) }
 
 // Zeros returns a series with the value 0 in each bin.
@@ -133,7 +136,7 @@
 	}
 }
 
-// drawLegend writes the title and, after it, the series' names.
+// drawLegend writes the title with its unit and, after them, the names of the series.
 func (t *Timeline) drawLegend(c *canvas, p Plot) {
 	c.printf(`<text class="title" x="%g" y="11">%s</text>`, plotLeft, escape(p.Title+", "+p.Unit))
 	x := plotLeft + titleWidth(p.Title, p.Unit)
@@ -143,7 +146,7 @@
 	}
 }
 
-// highest returns the highest value of a plot: of a series or, if it is stacked, of the sums.
+// highest returns the highest value of any series or, for a stacked plot, the highest sum of a bin. It is at least 0.
 func (p Plot) highest() (highest float64) {
 	for i := range p.Series[0].Values {
 		value := 0.0
@@ -160,7 +163,7 @@
 	return highest
 }
 
-// drawSteps draws a series as steps, with gaps where there is no value.
+// drawSteps draws a series as a step line, with gaps where the value is NaN.
 func (t *Timeline) drawSteps(c *canvas, s Series, y func(float64) float64) {
 	c.printf(`<path fill="none" stroke="%s" stroke-width="1.5" d="`, s.Colour)
 	penDown := false
@@ -198,7 +201,7 @@
 	}
 }
 
-// roundUp returns the least of the numbers 1, 2, 4, 5 and 10 times a power of ten that is not below x.
+// roundUp rounds x up to 1, 2, 4, 5 or 10 times a power of ten. It returns 1 if x is not positive.
 func roundUp(x float64) float64 {
 	if x <= 0 {
 		return 1
@@ -212,7 +215,8 @@
 	return 10 * scale
 }
 
-// maxTicks bounds the ticks of a time axis.
+// maxTicks is the maximum number of intervals between ticks on a time axis. Axes longer than maxTicks times ten
+// minutes have more.
 const maxTicks = 20
 
 func tickInterval(length time.Duration) time.Duration {
--- a/internal/recording/chart/xy.go
+++ b/internal/recording/chart/xy.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Point is a value Y for X. The value lies in the interval from Low to High; both are NaN or infinite if unknown.
+// Point is the value Y at the parameter value X. The interval around Y goes from Low to High; both are NaN or
+// infinite if the interval is unknown.
 type Point struct{ X, Y, Low, High float64 }
 
 // Line is a series of points, ordered by X.
@@ -16,29 +17,30 @@
 	Points       []Point
 }
 
-// XY is a chart of values over a parameter: lines with the intervals of their points as bands.
+// XY is a chart of values over a parameter. Each line has a band that shows the intervals of its points. Axis is the
+// label of the parameter's axis.
 type XY struct {
 	Title, Unit, Axis string
 	Height            float64
-	Log               bool // the parameter's axis is logarithmic
+	Log               bool // the parameter's axis is logarithmic, if all its values are positive
 	Lines             []Line
 }
 
-// Colours are those of the lines of a chart, in order, for lines without a colour.
+// Colours are the default colours of a chart's lines, by the line's index. They repeat after the last one.
 var Colours = []string{Blue, Orange, Green, Red, Grey, "#6b4ba1", "#00838f", "#8d6e63"}
 
 const (
-	maxXTicks    = 20  // on the parameter's axis
-	xMargin      = 20  // between the plot area's edges and the first and last point
-	legendOffset = 110 // between the starts of two legend entries
-	// minAxisRatio is the ratio of the lowest value to the highest below which the value axis begins at 0.
+	maxXTicks    = 20  // maximum number of ticks on the parameter's axis
+	xMargin      = 20  // SVG user units between the plot area's edges and the first and last points
+	legendOffset = 110 // SVG user units between the starts of two legend entries
+	// minAxisRatio is the ratio of the lowest to the highest value below which the value axis starts at 0.
 	minAxisRatio = 0.6
 )
 
-// valueRange has the ends of both axes.
+// valueRange holds the ends of both axes.
 type valueRange struct{ lowX, highX, lowY, highY float64 }
 
-// valueRange returns the range of all points; ok is false if there are none.
+// valueRange returns the ends of the axes that include all points. ok is false if no point has a finite value.
 func (p XY) valueRange() (r valueRange, ok bool) {
 	r = valueRange{math.Inf(1), math.Inf(-1), math.Inf(1), math.Inf(-1)}
 	for _, line := range p.Lines {
@@ -59,14 +61,14 @@
 	if r.lowY > 0 && r.lowY < minAxisRatio*r.highY {
 		r.lowY = 0
 	}
-	if r.highY == r.lowY { // an axis needs a length
+	if r.highY == r.lowY { // the axis needs a length above 0, because py divides by it
 		r.highY += 0.5*math.Abs(r.highY) + 1e-9
 		r.lowY -= 0.5*math.Abs(r.lowY) + 1e-9
 	}
 	return r, true
 }
 
-// xyDrawing is an XY that is being drawn.
+// xyDrawing is the state of drawing an XY chart.
 type xyDrawing struct {
 	*canvas
 	valueRange
@@ -78,7 +80,7 @@
 func (p XY) Draw() template.HTML {
 	values, ok := p.valueRange()
 	if !ok {
-		return template.HTML(`<p>` + escape(p.Title) + `: nothing to draw</p>`)
+		return template.HTML(`<p>` + escape(p.Title) + `: no data</p>`)
 	}
 	d := &xyDrawing{
 		canvas:     newCanvas(p.Title, p.Height),
@@ -121,8 +123,8 @@
 	return x
 }
 
-// drawLine draws a line's points, the line between them and the band of their intervals. The band's outline follows the
-// upper ends, and returns along the lower ones.
+// drawLine draws a line's points, the line between them and the band of their intervals. The outline of the band
+// follows the upper ends of the intervals, and returns along their lower ends.
 func (d *xyDrawing) drawLine(line Line) {
 	var upper, values strings.Builder
 	lower := ""
@@ -149,7 +151,7 @@
 
 func pathStep(command string, x, y float64) string { return fmt.Sprintf("%s%.1f %.1f", command, x, y) }
 
-// drawPoint draws a point, and the tick of its X if that has none yet.
+// drawPoint draws a point. It also draws a tick at the point's X, unless there is one or the axis has maxXTicks.
 func (d *xyDrawing) drawPoint(line Line, point Point) {
 	d.printf(
 		`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: %g, %.4g [%.4g, %.4g]</title></circle>`,
