--- a/internal/recording/fleetstats/fleetstats.go
+++ b/internal/recording/fleetstats/fleetstats.go
@@ -1,5 +1,5 @@
-// Package fleetstats counts, over the recordings of all relays of a fleet, their messages and calls to each destination
-// and the outcomes. It is pure: its input are recordings that the caller has loaded.
+// Package fleetstats counts messages, calls and their outcomes over the recordings of all relays of a fleet, by
+// rate-limit scope and time. The caller loads the recordings: the package does no I/O except for writing its table.
 package fleetstats
 
 import (
@@ -9,17 +9,18 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/flightrecorder"
 )
 
-// Fleet has the counts of all recordings. The name of a limit scope is its destination or, where each endpoint has a
-// limit of its own, DESTINATION/ENDPOINT.
+// Fleet holds the counts of all recordings. A rate-limit scope is named after its destination or, where each endpoint
+// has its own limit, DESTINATION/ENDPOINT.
 type Fleet struct {
 	Relays int
-	Start  time.Time // of the process that started first
+	Start  time.Time // start of the earliest process
 	Bin    time.Duration
-	Bins   map[int]map[string]Counts // by number of the bin, from Start, and by limit scope
-	Limits map[string]float64        // the last limit of each scope in the endpoint list, in calls a second
+	Bins   map[int]map[string]Counts // by index of the bin, counted from Start, and by scope name
+	Limits map[string]float64        // by scope name: the last listed limit, in calls per second
 }
 
-// Read counts over recordings, in bins of a length. It skips damaged parts.
+// Read counts the messages, calls and outcomes in recordings, in time bins of the given length. It skips damaged
+// parts of recordings.
 func Read(recordings []flightrecorder.Recording, bin time.Duration) (*Fleet, error) {
 	f := &Fleet{Bins: map[int]map[string]Counts{}, Limits: map[string]float64{}, Bin: bin}
 	names := map[string]bool{}
@@ -38,7 +39,8 @@
 	return f, nil
 }
 
-// counts returns the bin of a time and a scope's counts in it. The caller changes the counts and stores them in bin.
+// counts returns the bin that contains a time, and a copy of a scope's counts in this bin. The caller changes the
+// copy and stores it in the bin.
 func (f *Fleet) counts(at time.Time, scope string) (bin map[string]Counts, counts Counts) {
 	number := int(at.Sub(f.Start) / f.Bin)
 	if f.Bins[number] == nil {
--- a/internal/recording/fleetstats/fleetstats_test.go
+++ b/internal/recording/fleetstats/fleetstats_test.go
@@ -85,7 +85,7 @@
 	return recordingOf(t, recorder, meta)
 }
 
-// readTwoRelays counts over the recordings of two relays, of which the second started a second later.
+// readTwoRelays returns the counts of two relays with equal recordings. The second relay started a second later.
 func readTwoRelays(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := Read([]flightrecorder.Recording{
@@ -101,7 +101,7 @@
 func TestCountsAcrossRelays(t *testing.T) {
 	f := readTwoRelays(t)
 	if f.Relays != 2 || f.Limits["1"] != 7 || f.Limits["2/b"] != 3 {
-		t.Errorf("relays %d, limits %v", f.Relays, f.Limits)
+		t.Errorf("relays %d, limits %v, want 2 relays and the limits 1: 7, 2/b: 3", f.Relays, f.Limits)
 	}
 	all := map[string]Counts{}
 	for _, scopes := range f.Bins {
@@ -127,26 +127,27 @@
 		"2/b": {Calls: 2, Sent: 2, FailedCalls: 2},
 	} {
 		if all[scope] != want {
-			t.Errorf("scope %s: %+v, want %+v", scope, all[scope], want)
+			t.Errorf("scope %s: counts %+v, want %+v", scope, all[scope], want)
 		}
 	}
 	// The first step of the second relay falls into the next bin.
 	if a, b := f.Bins[1]["1"].Accepted, f.Bins[2]["1"].Accepted; a != 2 || b != 2 {
-		t.Errorf("accepted in the first bins: %d, %d", a, b)
+		t.Errorf("accepted in bins 1 and 2: %d and %d, want 2 and 2", a, b)
 	}
 }
 
-// TestWriteOneScope prints one scope by bin: two lines of header and, up to 2 s, one bin.
+// TestWriteOneScope checks that the table of one scope up to 2 s has two header lines and one bin.
 func TestWriteOneScope(t *testing.T) {
 	var out bytes.Buffer
 	err := readTwoRelays(t).Write(&out, 0, 2*time.Second, "1")
 	if err != nil || strings.Count(out.String(), "\n") != 3 {
-		t.Errorf("one scope up to 2 s: %v\n%s", err, out.String())
+		t.Errorf("table of one scope up to 2 s: error %v, want 3 lines:\n%s", err, out.String())
 	}
 }
 
-// TestRecordingThatStartsWithASnapshot counts over a recording without an endpoint list, as in a dump of the ring: the
-// limit scopes are those of the engine's state. Messages that were accepted before it are not counted as accepted.
+// TestRecordingThatStartsWithASnapshot reads a recording that starts with a snapshot and has no endpoint list, like a
+// dump of the recorder's ring. The rate-limit scopes must be those in the snapshot. Messages that were accepted
+// before the snapshot must not be counted as accepted.
 func TestRecordingThatStartsWithASnapshot(t *testing.T) {
 	settings := policy.Settings{
 		Classes:          []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second}},
@@ -181,6 +182,6 @@
 		t.Errorf("limits %v, counts %+v", f.Limits, f.Bins)
 	}
 	if c := f.Bins[0]["2/b"]; c.Calls == 0 || c.FailedCalls != 1 {
-		t.Errorf("calls of an endpoint with a limit of its own: %+v", c)
+		t.Errorf("calls of an endpoint with its own limit: %+v", c)
 	}
 }
--- a/internal/recording/fleetstats/reader.go
+++ b/internal/recording/fleetstats/reader.go
@@ -10,39 +10,40 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// unknownScope is the scope of messages that were accepted before their recording begins, and of unlisted endpoints.
+// unknownScope is the scope name for messages that were accepted before the start of their recording, and for
+// unlisted endpoints.
 const unknownScope = "?"
 
-// message is an accepted message.
+// message holds the scope and the latency objective of an accepted message.
 type message struct {
 	scope       string
-	objectiveAt time.Duration // the time until which its latency objective is met
+	objectiveAt time.Duration // the latest time of a delivery that meets the latency objective
 }
 
-// call is a call to an endpoint, which has an attempt of each of its messages. A recording has only the attempts: those
-// of one call are sent in one step and finish in one step.
+// call is a call to an endpoint, with an attempt for each of its messages. Calls are reconstructed, because a
+// recording contains only attempts: the attempts of one call are sent in one step and finish in one step.
 type call struct {
 	scope      string
-	unfinished int // attempts
+	unfinished int // attempts that have not finished
 	rejected   bool
 	retryAfter bool
 	delivered  bool
 }
 
-// endpoint is the part of a listed endpoint that decides to which limit scope its calls belong.
+// endpoint holds the properties of a listed endpoint that assign its attempts to calls and to a rate-limit scope.
 type endpoint struct {
 	destination string
 	scope       string
-	maxBatch    int // messages in a call
+	maxBatch    int // maximum number of messages in a call
 }
 
-// recordingReader counts over one recording.
+// recordingReader adds the counts of one recording to those of the fleet.
 type recordingReader struct {
 	*Fleet
 	meta      flightrecorder.Meta
 	endpoints map[string]endpoint
 	messages  map[policy.MessageID]message
-	calls     map[policy.MessageID]*call // of the attempt in flight, by message
+	calls     map[policy.MessageID]*call // the call of the attempt in flight, by message
 }
 
 func (f *Fleet) read(recording flightrecorder.Recording) error {
@@ -71,8 +72,9 @@
 	}
 }
 
-// begin applies the settings of a chunk. In a recording that begins with a snapshot it reads the endpoints from the
-// engine's state. If this build cannot restore that, calls count for an unknown scope until the next endpoint list.
+// begin applies the settings of a chunk. If the chunk starts with a snapshot of the engine and no endpoint is known
+// yet, begin reads the endpoints from the snapshot. If this build cannot restore the snapshot, calls are counted for
+// unknownScope until the next endpoint list.
 func (r *recordingReader) begin(entry *flightrecorder.Entry) {
 	r.meta.Settings = entry.Meta.Settings
 	if entry.Fresh || len(r.endpoints) > 0 {
@@ -99,7 +101,8 @@
 	r.Limits[e.scope] = listed.Weight
 }
 
-// endpoint returns the listed endpoint with a name, or one with an unknown scope.
+// endpoint returns the listed endpoint with a name. For an unlisted endpoint, the scope is unknownScope and each call
+// has one message.
 func (r *recordingReader) endpoint(name string) endpoint {
 	if e, ok := r.endpoints[name]; ok {
 		return e
@@ -107,7 +110,8 @@
 	return endpoint{unknownScope, unknownScope, 1}
 }
 
-// message returns an accepted message, or one with an unknown scope that is never late.
+// message returns the accepted message with an id. For an unknown message, the scope is unknownScope and no delivery
+// is late.
 func (r *recordingReader) message(id policy.MessageID) message {
 	if m, ok := r.messages[id]; ok {
 		return m
@@ -115,7 +119,7 @@
 	return message{scope: unknownScope, objectiveAt: math.MaxInt64}
 }
 
-// count changes a scope's counts at a time.
+// count changes a scope's counts in the bin that contains a time of the engine's clock.
 func (r *recordingReader) count(now time.Duration, scope string, change func(*Counts)) {
 	bin, counts := r.counts(r.meta.Started.Add(now), scope)
 	change(&counts)
@@ -126,7 +130,7 @@
 	for i := range entry.Events {
 		r.event(entry.Now, &entry.Events[i])
 	}
-	openCalls := map[string]*call{} // the last call of this step, by endpoint
+	openCalls := map[string]*call{} // the last call to each endpoint in this step
 	for i := range entry.Actions {
 		action := &entry.Actions[i]
 		switch action.Kind {
@@ -140,7 +144,8 @@
 	}
 }
 
-// messageSent counts a message as part of the open call to its endpoint, or of a new one if that is full.
+// messageSent counts a sent message as part of the last call to its endpoint in this step. If there is no such call,
+// or it has the maximum number of messages, the message starts a new call.
 func (r *recordingReader) messageSent(now time.Duration, action *policy.Action, openCalls map[string]*call) {
 	to := r.endpoint(action.Endpoint)
 	open := openCalls[action.Endpoint]
--- a/internal/recording/fleetstats/write.go
+++ b/internal/recording/fleetstats/write.go
@@ -10,17 +10,19 @@
 	"time"
 )
 
-// allScopes is the scope for which Write prints the sums of all scopes, by bin.
+// allScopes is the value of Write's scope parameter that selects the sums over all scopes, in a row for each bin.
 const allScopes = "all"
 
-const tableHeader = "place\ttold/s\ttaken\tresumed\tcalls\tsent\tfull\twaits\tbad\tok\tlate\tdeferred\tfailed\t"
+// tableHeader names the columns: the scope or the bin's start, the scope's limit, and the fields of Counts in order.
+const tableHeader = "scope\tlimit/s\taccept\trecover\tcalls\tsent\tbusy\tretry-after\terrors\tok\tlate\treject\tfail\t"
 
-// Write prints the counts between two times as a table: a row for each limit scope or, if a scope is given, a row for
-// each bin. If to is 0 the table has everything from the time from on.
+// Write prints the counts of the bins that start at or after from and before to, as a table: a row for each
+// rate-limit scope or, if a scope is given, a row for each bin. Times are relative to Start. If to is 0, the table
+// has no end.
 func (f *Fleet) Write(w io.Writer, from, to time.Duration, scope string) error {
 	rows := f.rows(from, to, scope)
 	keys := slices.SortedFunc(maps.Keys(rows), compareKeys)
-	if _, err := fmt.Fprintf(w, "%d relays, from %s\n", f.Relays, f.Start.Format(time.RFC3339)); err != nil {
+	if _, err := fmt.Fprintf(w, "%d relays, time 0 is %s\n", f.Relays, f.Start.Format(time.RFC3339)); err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -46,7 +48,7 @@
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 }
 
-// rows returns the sums of the counts between two times, by the key of their row.
+// rows returns the counts for each row of Write's table. The key of a row is its first column.
 func (f *Fleet) rows(from, to time.Duration, scope string) map[string]*Counts {
 	rows := map[string]*Counts{}
 	for bin, scopes := range f.Bins {
