--- a/internal/recording/explain/events.go
+++ b/internal/recording/explain/events.go
@@ -74,7 +74,8 @@
 	endMessage(message, now, end)
 }
 
-// addOutcome adds an outcome to the texts that its endpoint's transitions in this step are reported with.
+// addOutcome adds an outcome to the text of its endpoint's outcomes in this step, unless the text consists of this
+// outcome already. The text is reported with the endpoint's transitions in this step.
 func (b *builder) addOutcome(event *policy.Event) {
 	text := OutcomeName(event.Outcome)
 	if event.RetryAfter > 0 {
@@ -86,8 +87,8 @@
 	b.outcomes[event.Endpoint] = text
 }
 
-// endMessage records the end of a message, and reports whether it had not ended before. It ignores a nil message, whose
-// history is not kept.
+// endMessage records the end of a message and reports whether it did. It ignores a message that has ended before, and
+// nil, which means that the message's history is not kept.
 func endMessage(message *Message, now time.Duration, end string) bool {
 	if message == nil || message.ended() {
 		return false
@@ -114,8 +115,8 @@
 	}
 }
 
-// countingDestination returns the destination whose counts include an action, or nil if the destination is unknown or
-// the time is out of the report's range.
+// countingDestination returns the destination whose counts include an action, or nil if the message's destination is
+// unknown or the time is outside the report's interval.
 func (b *builder) countingDestination(now time.Duration, action *policy.Action) *Destination {
 	id, known := b.destinationOf[action.MessageID]
 	if !known || !b.report.inRange(now) {
--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain finds the causes for which messages waited, from a recording: for one message, a destination or an
-// interval of time. It replays the recording and, between steps, inspects a copy of the decision engine. It does no I/O
-// but for writing its reports.
+// Package explain determines from a recording why messages waited: for one message, a destination or an interval of
+// time. It replays the recording and, between steps, inspects a copy of the decision engine. It does no I/O except
+// for writing its reports.
 package explain
 
 import (
@@ -16,22 +16,22 @@
 )
 
 const (
-	// minBin is the least length of a bin of the time axis. Bins are longer if there would be more than maxBins.
+	// minBin is the minimum length of a bin of the time axis. Bins are longer if there would be more than maxBins.
 	minBin  = 250 * time.Millisecond
 	maxBins = 600
-	// maxTransitions and maxSpans bound the memory of a report; maxSpans applies to each message.
+	// maxTransitions and maxSpans limit the memory of a report. maxSpans applies to each message.
 	maxTransitions = 100_000
 	maxSpans       = 1000
 )
 
-// Options select what is explained.
+// Options select the part of a recording to explain, and the detail of the report.
 type Options struct {
-	From time.Duration // in the engine's time
-	To   time.Duration // 0: to the end
-	// SampleInterval is the interval, in recorded time, at which the engine is inspected; 0: after each step. The cause
-	// that blocks a message at one sample counts until the next one.
+	From time.Duration // time of the engine's clock
+	To   time.Duration // 0: the end of the recording
+	// SampleInterval is the recorded time between two samples of the engine's state; 0: a sample after each step. The
+	// cause that blocks a message at one sample is assumed to block it until the next sample.
 	SampleInterval time.Duration
-	// Messages adds the history of each message to the report, which needs memory for each of them.
+	// Messages adds the history of each message to the report, which needs memory for each message.
 	Messages bool
 }
 
@@ -43,7 +43,7 @@
 	destinations  map[policy.DestinationID]*Destination
 	endpoints     map[string]*Endpoint
 	destinationOf map[policy.MessageID]policy.DestinationID // by message
-	traces        map[policy.MessageID]string               // trace ids of messages that are not accepted yet
+	traces        map[policy.MessageID]string               // trace ids of messages that are not yet accepted
 	outcomes      map[string]string                         // texts of the current step's outcomes, by endpoint
 
 	steppedAt time.Duration    // the time of the last step
@@ -54,7 +54,7 @@
 	err error
 }
 
-// Explain replays a recording and explains it.
+// Explain replays a recording and returns a report of why its messages waited.
 func Explain(data []byte, options Options) (*Report, error) {
 	report, err := newReport(data, options)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return report, nil
 }
 
-// newReport returns an empty report with the time axis of a recording.
+// newReport returns an empty report. Its time axis covers the part of the recording that the options select.
 func newReport(data []byte, options Options) (*Report, error) {
 	from, to, meta, err := recordedInterval(data)
 	if err != nil {
@@ -95,7 +95,9 @@
 		to = min(to, options.To)
 	}
 	if to < from {
-		return nil, fmt.Errorf("explain: the recording holds nothing from %v to %v", from, to)
+		return nil, fmt.Errorf(
+			"explain: the selected interval does not overlap the recording: start %v is after end %v", from, to,
+		)
 	}
 	bin := minBin
 	for (to-from)/bin >= maxBins {
@@ -115,7 +117,8 @@
 	}, nil
 }
 
-// recordedInterval returns the times of a recording's first and last steps, and the meta data of its last chunk.
+// recordedInterval returns the earliest and the latest time of a recording's steps, and the metadata of its last
+// chunk.
 func recordedInterval(data []byte) (from, to time.Duration, meta flightrecorder.Meta, err error) {
 	reader, err := flightrecorder.NewReader(data)
 	if err != nil {
@@ -133,7 +136,7 @@
 		switch entry.Kind {
 		case flightrecorder.Begin:
 			meta = entry.Meta
-		case flightrecorder.Step: // not in the order of time: the clock may go backwards
+		case flightrecorder.Step: // not always in order of time: the clock may go backwards
 			from = min(from, entry.Now)
 			to = max(to, entry.Now)
 		}
@@ -150,7 +153,7 @@
 	slices.SortFunc(b.report.Destinations, func(x, y *Destination) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// destination returns the destination with an id, which it creates if there is none.
+// destination returns the destination with an id, and creates it if there is none.
 func (b *builder) destination(id policy.DestinationID) *Destination {
 	destination := b.destinations[id]
 	if destination == nil {
@@ -160,7 +163,7 @@
 	return destination
 }
 
-// endpoint returns the endpoint of a view, which it creates if there is none.
+// endpoint returns the endpoint of a view, and creates it if there is none.
 func (b *builder) endpoint(view policy.EndpointView) *Endpoint {
 	endpoint := b.endpoints[view.ID]
 	if endpoint == nil {
@@ -177,9 +180,9 @@
 	b.sample(engine, entry.Now)
 }
 
-// beforeStep samples the state after the previous step if that step was not sampled, because it followed a sample too
-// soon, and if at least a sample interval has passed since. Otherwise that time would be attributed to the causes that
-// the earlier sample found.
+// beforeStep samples the state after the previous step if that step was not sampled because it followed a sample too
+// soon, and if at least a sample interval has passed since that step. Without this sample, the time since that step
+// would be attributed to the causes found by the earlier sample.
 func (b *builder) beforeStep(engine *policy.Engine, entry *flightrecorder.Entry) {
 	if b.sampled && b.steppedAt > b.sampledAt && entry.Now-b.steppedAt >= b.options.SampleInterval {
 		b.sample(engine, b.steppedAt)
@@ -200,7 +203,7 @@
 	switch {
 	case !b.sampled || now < b.sampledAt || now-b.sampledAt >= b.options.SampleInterval:
 		b.sample(engine, now)
-	case len(b.outcomes) > 0: // transitions are reported with the outcomes of their step
+	case len(b.outcomes) > 0: // transitions are reported with the outcomes of this step only
 		views, _ := engine.Views()
 		b.updateEndpoints(now, views)
 	}
--- a/internal/recording/explain/explain_test.go
+++ b/internal/recording/explain/explain_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// advanceTo sets the clock, and fires the timer each time that it is due before.
+// advanceTo advances the clock to a time, and fires the timer whenever it is due on the way.
 func (e *recordedEngine) advanceTo(at time.Duration) {
 	for e.timerAt > e.now && e.timerAt <= at {
 		e.now = e.timerAt
@@ -79,12 +79,12 @@
 	}
 	report, err := Explain(b.Bytes(), options)
 	if err != nil || report.Replay.Difference != nil {
-		t.Fatalf("%v, %+v", err, report)
+		t.Fatalf("explain: error %v, report %+v", err, report)
 	}
 	return report
 }
 
-// endpointSnapshot has the one endpoint of destination 7.
+// endpointSnapshot returns an endpoint list with one endpoint, which belongs to destination 7.
 func endpointSnapshot() policy.Event {
 	return policy.Event{
 		Kind:      policy.EndpointSnapshot,
@@ -139,7 +139,7 @@
 	report := recordRetryAfter(t).explain(t, Options{Messages: true})
 	d := report.Destinations[0]
 	if d.ID != 7 || d.Accepted != 1 || d.Sent != 2 {
-		t.Errorf("%+v", d)
+		t.Errorf("destination %+v", d)
 	}
 	if d.Calls[policy.OK] != 1 || d.Calls[policy.Overloaded] != 1 {
 		t.Errorf("calls %v", d.Calls)
@@ -152,7 +152,7 @@
 		t.Errorf("spans %+v", m.Spans)
 	}
 	if len(m.Attempts) != 2 || m.Attempts[0].RetryAfter != 2*time.Second || m.End != "delivered" {
-		t.Errorf("%+v", m)
+		t.Errorf("message %+v", m)
 	}
 }
 
@@ -166,7 +166,7 @@
 		"trace-one",
 		"waits  2.000s: told to wait r",
 		"refused after 0.100s, told to wait 2s",
-		"delivered, 3.000s after it was taken",
+		"delivered, 3.000s after it was accepted",
 	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is missing:\n%s", want, text.String())
@@ -189,7 +189,7 @@
 		kinds[record.Kind]++
 	}
 	if kinds["report"] != 1 || kinds["destination"] != 1 || kinds["message"] != 1 || kinds["transition"] < 2 {
-		t.Errorf("%v", kinds)
+		t.Errorf("lines by kind: %v", kinds)
 	}
 }
 
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(html.String(), "<script") || strings.Count(html.String(), "<svg") < 4 {
-		t.Errorf("%d bytes", html.Len())
+		t.Errorf("a page of %d bytes has a script or fewer than 4 plots", html.Len())
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-// TestWaitsForAnEjectedEndpoint checks that the time after failures in a row is attributed to the ejection.
+// TestWaitsForAnEjectedEndpoint checks that the time after consecutive failures is attributed to the ejection.
 func TestWaitsForAnEjectedEndpoint(t *testing.T) {
 	e := newRecordedEngine(t)
 	e.step(endpointSnapshot(), accepted(1), accepted(2), accepted(3))
@@ -241,11 +241,11 @@
 	d := report.Destinations[0]
 	ratio := d.Waits[policy.EndpointEjected] / d.Waits.Sum()
 	if ratio < 0.99 || d.Waits.Sum() < 2.5 || d.MaxQueued != 3 {
-		t.Errorf("%v, %+v", ratio, d)
+		t.Errorf("share of the ejection in the waits: %v, destination %+v", ratio, d)
 	}
 	var text strings.Builder
 	if err := WriteText(&text, report); err != nil || !strings.Contains(text.String(), "skipped 100 %") {
-		t.Errorf("%v\n%s", err, text.String())
+		t.Errorf("error %v, text:\n%s", err, text.String())
 	}
 }
 
@@ -261,7 +261,7 @@
 			}
 			report, err := Explain(b.Bytes(), Options{Messages: true})
 			if err != nil || report.Replay.Difference != nil || len(report.Destinations) != 5 {
-				t.Fatalf("%v, %+v", err, report.Replay)
+				t.Fatalf("explain: error %v, replay %+v", err, report.Replay)
 			}
 			byDestination := 0.0
 			causes := Waits{}
@@ -279,13 +279,14 @@
 				t.Errorf("%v message-seconds by destination, %v by message", byDestination, byMessage)
 			}
 			if len(causes.Sorted()) < 5 {
-				t.Errorf("few causes: %v", causes)
+				t.Errorf("waits for fewer than 5 causes: %v", causes)
 			}
 		})
 	}
 }
 
-// messageWait returns the time that a message waited, and checks that it is not longer than the message's life.
+// messageWait returns the time that a message waited, in seconds. It checks that this is not longer than the time
+// from the message's acceptance to its end.
 func messageWait(t *testing.T, report *Report, m *Message) (waited float64) {
 	t.Helper()
 	for _, s := range m.Spans {
@@ -303,7 +304,7 @@
 
 func TestEmptyRecordingIsAnError(t *testing.T) {
 	if _, err := Explain(nil, Options{}); err == nil {
-		t.Error("nothing was explained")
+		t.Error("no error for an empty recording")
 	}
 }
 
@@ -314,6 +315,6 @@
 		}
 	}
 	if CauseName(-1) != "cause -1" || OutcomeName(99) != "outcome 99" || OutcomeName(policy.NotSent) == "" {
-		t.Error("odd causes and outcomes have no name")
+		t.Error("wrong names for unknown causes and outcomes, or no name for NotSent")
 	}
 }
--- a/internal/recording/explain/html.go
+++ b/internal/recording/explain/html.go
@@ -12,10 +12,10 @@
 	"cherrytrestle.example/cherrytrestle/internal/recording/chart"
 )
 
-// maxPlottedDestinations bounds the destinations that a page plots.
+// maxPlottedDestinations is the maximum number of destinations on a page.
 const maxPlottedDestinations = 40
 
-// pageData is what the page's template shows.
+// pageData is the input of the page's template.
 type pageData struct {
 	Name    string
 	Text    string
@@ -23,8 +23,8 @@
 	Changes string
 }
 
-// WriteHTML writes one page with plots, all on one time axis, without a script. The times in which an endpoint was
-// ejected, warming up or under a Retry-After are shaded.
+// WriteHTML writes a report as one HTML page without scripts. All plots share one time axis. The times in which an
+// endpoint was ejected, warming up or under a Retry-After are shaded.
 func WriteHTML(w io.Writer, report *Report) error {
 	var text, transitions strings.Builder
 	if err := WriteText(&text, report); err != nil {
@@ -41,22 +41,23 @@
 	})
 }
 
-// plots draws the relay's queue and calls, then the endpoints of the destinations whose messages waited longest.
+// plots draws the relay's waiting messages and calls in flight, then the endpoints of the destinations whose messages
+// waited longest.
 func plots(report *Report) []template.HTML {
 	axis := chart.Timeline{Length: max(time.Millisecond, report.To-report.From), Bin: report.Bin, Bins: report.Bins}
 	drawn := []template.HTML{
 		axis.Draw(chart.Plot{
 			Title:  "messages waiting",
-			Unit:   "the most in a bin",
+			Unit:   "maximum per bin",
 			Height: 110,
 			Series: []chart.Series{{Name: "all destinations", Colour: chart.Blue, Values: report.Queued}},
 		}),
 		axis.Draw(chart.Plot{
-			Title:  "slots",
-			Unit:   "taken, the most in a bin",
+			Title:  "calls in flight",
+			Unit:   "maximum per bin",
 			Height: 90,
 			Max:    float64(report.MaxInFlightCalls),
-			Series: []chart.Series{{Name: "taken", Colour: chart.Orange, Values: report.InFlightCalls}},
+			Series: []chart.Series{{Name: "in flight", Colour: chart.Orange, Values: report.InFlightCalls}},
 		}),
 	}
 	sorted := DestinationsByWait(report)
@@ -73,30 +74,30 @@
 	return drawn
 }
 
-// endpointPlots draws an endpoint's outcomes. If it is the first endpoint of its limit scope, a plot of the scope's
-// limit and pacing rate precedes them.
+// endpointPlots draws an endpoint's outcomes. For the first endpoint of a rate-limit scope, a plot of the scope's
+// limit and pacing rate comes before them.
 func endpointPlots(axis *chart.Timeline, endpoint *Endpoint, bin time.Duration) (drawn []template.HTML) {
 	if endpoint.LimitScope == endpoint.Name {
 		drawn = append(drawn, axis.Draw(chart.Plot{
 			Title:  fmt.Sprintf("destination %d, %s", endpoint.Destination, endpoint.Name),
-			Unit:   "calls a second",
+			Unit:   "calls/s",
 			Height: 120,
 			Series: []chart.Series{
-				{Name: "limit believed", Colour: chart.Grey, Values: withGaps(endpoint.EstimatedLimit)},
-				{Name: "refused last", Colour: chart.Red, Values: withGaps(endpoint.LastRejectedRate)},
-				{Name: "pace", Colour: chart.Blue, Values: withGaps(endpoint.PacingRate)},
+				{Name: "estimated limit", Colour: chart.Grey, Values: withGaps(endpoint.EstimatedLimit)},
+				{Name: "last rejected rate", Colour: chart.Red, Values: withGaps(endpoint.LastRejectedRate)},
+				{Name: "pacing rate", Colour: chart.Blue, Values: withGaps(endpoint.PacingRate)},
 			},
 		}))
 	}
 	perSecond := 1 / bin.Seconds()
 	return append(drawn, axis.Draw(chart.Plot{
 		Title:   "outcomes, " + endpoint.Name,
-		Unit:    "a second",
+		Unit:    "attempts/s",
 		Height:  90,
 		Stacked: true,
 		Series: []chart.Series{
 			{Name: "delivered", Colour: chart.Green, Values: scaled(endpoint.Delivered, perSecond)},
-			{Name: "refused", Colour: chart.Orange, Values: scaled(endpoint.Rejected, perSecond)},
+			{Name: "rejected", Colour: chart.Orange, Values: scaled(endpoint.Rejected, perSecond)},
 			{Name: "failed", Colour: chart.Red, Values: scaled(endpoint.Failed, perSecond)},
 		},
 	}))
@@ -111,7 +112,7 @@
 	})
 }
 
-// withGaps returns a series in which the value 0, which means unknown, is a gap.
+// withGaps returns a copy of a series in which 0, which means that there is no value, is replaced by a gap.
 func withGaps(values []float64) []float64 {
 	out := slices.Clone(values)
 	for i, v := range out {
@@ -136,11 +137,11 @@
 		name  string
 		inBin []bool
 	}{
-		{"skipped", endpoint.Ejected},
-		{"in doubt", endpoint.WarmingUp},
-		{"told to wait", endpoint.RetryAfter},
+		{"ejected", endpoint.Ejected},
+		{"warming up", endpoint.WarmingUp},
+		{"Retry-After", endpoint.RetryAfter},
 	} {
-		start := -1 // of the span that is open
+		start := -1 // first bin of the open span; -1: no span is open
 		for i, set := range append(slices.Clone(state.inBin), false) {
 			switch {
 			case set && start < 0:
@@ -159,17 +160,19 @@
 }
 
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
-<html lang="en"><meta charset="utf-8"><title>What held messages up: {{.Name}}</title>
+<html lang="en"><meta charset="utf-8"><title>Why messages waited: {{.Name}}</title>
 <style>
 body { font: 14px/1.4 system-ui, sans-serif; color: #222; max-width: 1100px; margin: 1.5em auto; padding: 0 1em }
 pre { background: #f6f4f0; padding: .6em; overflow-x: auto; font-size: 12px }
 ` + chart.Style + `
 </style>
-<h1>What held messages up: {{.Name}}</h1>
+<h1>Why messages waited: {{.Name}}</h1>
 <pre>{{.Text}}</pre>
-<p>Time runs from the begin of the stretch. Skips, doubts and told waits are shaded: point at them for their names.</p>
+<p>Time 0 of the plots is the start of the explained interval. The times in which an endpoint was ejected, warming up
+or under a Retry-After are shaded. Hover over a shaded area for its name. The texts on this page name these states "skipped",
+"in doubt" and "told to wait".</p>
 {{range .Plots}}{{.}}
-{{end}}<h2>What changed</h2>
+{{end}}<h2>Changes of endpoint state</h2>
 <pre>{{.Changes}}</pre>
 </html>
 `))
--- a/internal/recording/explain/json.go
+++ b/internal/recording/explain/json.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// The lines of the JSON form. Fields stand in the order of their keys. Times are in seconds.
+// The lines of the JSON form, and the records in them. Fields are sorted by key. Times are in seconds.
 type (
 	reportLine struct {
 		Difference  *replay.Difference `json:"differs"`
@@ -75,7 +75,7 @@
 )
 
 // WriteJSON writes a report as JSON Lines: one line for the report, and one for each destination, transition and
-// message. The key "kind" says which of these a line is. Times are in seconds of the engine's clock.
+// message. The key "kind" identifies the kind of a line. Times are in seconds of the engine's clock.
 func WriteJSON(w io.Writer, report *Report) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(newReportLine(report)); err != nil {
--- a/internal/recording/explain/names.go
+++ b/internal/recording/explain/names.go
@@ -6,7 +6,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// causeNames are the texts for the causes that block a message. They are keys in the JSON form.
+// causeNames are the names of the causes that block a message. They are keys and values in the JSON form.
 var causeNames = [...]string{
 	policy.NotBlocked:        "its turn in the queue",
 	policy.AttemptsExhausted: "no attempt or time left",
@@ -25,7 +25,7 @@
 	policy.NoEndpoint:        "no route listed",
 }
 
-// CauseName returns the text for a cause.
+// CauseName returns the name of a cause in reports.
 func CauseName(cause policy.BlockCause) string {
 	if cause < 0 || int(cause) >= len(causeNames) {
 		return fmt.Sprintf("cause %d", int(cause))
@@ -33,7 +33,7 @@
 	return causeNames[cause]
 }
 
-// outcomeNames are the texts for the outcomes of calls. They are keys and values in the JSON form.
+// outcomeNames are the names of the outcomes of attempts. They are keys and values in the JSON form.
 var outcomeNames = [...]string{
 	policy.OK:            "delivered",
 	policy.Error:         "error",
@@ -45,7 +45,7 @@
 	policy.NotSent:       "not sent",
 }
 
-// OutcomeName returns the text for an outcome.
+// OutcomeName returns the name of an outcome in reports.
 func OutcomeName(outcome policy.Outcome) string {
 	if outcome < 0 || int(outcome) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome %d", int(outcome))
--- a/internal/recording/explain/report.go
+++ b/internal/recording/explain/report.go
@@ -11,7 +11,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// Report explains one recording. Slices of numbers are series with a value for each bin of the time axis.
+// Report explains why the messages of one recording waited. Slices of numbers are series with a value for each bin of
+// the time axis.
 type Report struct {
 	Meta             flightrecorder.Meta
 	Replay           replay.Result
@@ -19,33 +20,34 @@
 	To               time.Duration
 	Bin              time.Duration // the length of a bin
 	Bins             int
-	Destinations     []*Destination // ordered by number
+	Destinations     []*Destination // ordered by ID
 	Transitions      []Transition
 	InFlightCalls    []float64 // the maximum in each bin
-	MaxInFlightCalls int       // as configured
+	MaxInFlightCalls int       // from the settings; 0: no limit
 	Queued           []float64 // messages waiting, the maximum in each bin
 	Messages         map[policy.MessageID]*Message
 	Notes            []string
-	Truncated        bool // there were more transitions or spans than maxTransitions or maxSpans
+	Truncated        bool // transitions or spans beyond maxTransitions or maxSpans were dropped
 }
 
-// bin returns the bin of a time; times off the axis are in the first or the last bin.
+// bin returns the index of the bin that contains a time. A time before the axis belongs to the first bin, a time
+// after it to the last bin.
 func (r *Report) bin(at time.Duration) int {
 	return min(r.Bins-1, max(0, int((at-r.From)/r.Bin)))
 }
 
 func (r *Report) inRange(at time.Duration) bool { return at >= r.From && at <= r.To }
 
-// Destination has the counts of one destination. Except for Calls they count messages.
+// Destination holds the counts of one destination in the report's interval.
 type Destination struct {
 	ID        policy.DestinationID
-	Accepted  int
+	Accepted  int                    // messages
 	Calls     map[policy.Outcome]int // attempts that ended, by outcome
-	Sent      int
-	Rejected  int
-	Failed    int
+	Sent      int                    // attempts that were sent
+	Rejected  int                    // messages rejected with the advice to retry
+	Failed    int                    // messages that failed
 	Waits     Waits
-	MaxQueued int
+	MaxQueued int // maximum number of waiting messages
 	Endpoints []*Endpoint
 }
 
@@ -53,9 +55,9 @@
 type Endpoint struct {
 	Name        string
 	Destination policy.DestinationID
-	LimitScope  string // the name of the first endpoint of its limit scope
+	LimitScope  string // the name of the first endpoint in its rate-limit scope
 
-	// The state of its limit scope at the end of each bin, in calls a second; 0: unknown.
+	// The state of its rate-limit scope at the end of each bin, in calls per second; 0: no value.
 	PacingRate       []float64
 	LastRejectedRate []float64
 	EstimatedLimit   []float64
@@ -66,7 +68,7 @@
 	Failed    []float64
 	Sent      []float64 // attempts that were sent in each bin
 
-	// Whether the endpoint was in the state at some time of the bin.
+	// Whether the endpoint was in the named state at some time of the bin.
 	Ejected    []bool
 	WarmingUp  []bool
 	RetryAfter []bool
@@ -94,7 +96,7 @@
 	}
 }
 
-// outcomeSeries returns the series that counts an outcome.
+// outcomeSeries returns the series that counts attempts with an outcome.
 func (e *Endpoint) outcomeSeries(outcome policy.Outcome) []float64 {
 	switch outcome {
 	case policy.OK:
@@ -112,7 +114,7 @@
 	Destination policy.DestinationID
 	Endpoint    string
 	Text        string
-	Outcome     string // that caused it, where one did
+	Outcome     string // outcomes of the endpoint's attempts in the same step; empty: none
 }
 
 // Span is an interval in which one cause blocked a message.
@@ -120,7 +122,7 @@
 	From, To time.Duration
 	Cause    policy.BlockCause
 	Endpoint string
-	Until    time.Duration // the end that the engine expected; math.MaxInt64: unknown
+	Until    time.Duration // when the engine expected the cause to end; math.MaxInt64: unknown
 }
 
 // Attempt is an attempt to send a message, and its outcome.
@@ -129,10 +131,10 @@
 	Endpoint   string
 	SentAt     time.Duration
 	TimeoutAt  time.Duration
-	EndedAt    time.Duration // 0: not by the end of the recording
+	EndedAt    time.Duration // 0: not ended in the recording
 	Outcome    policy.Outcome
 	Latency    time.Duration
-	RetryAfter time.Duration
+	RetryAfter time.Duration // Retry-After of the answer; 0: none
 }
 
 // Message is the history of one message.
@@ -142,14 +144,14 @@
 	Destination     policy.DestinationID
 	Class           int
 	AcceptedAt      time.Duration
-	TimeLeft        time.Duration // to its deadline, when it was accepted
-	Recovered       bool          // from an earlier process
-	EarlierAttempts int           // of the earlier process
+	TimeLeft        time.Duration // time to the deadline at acceptance
+	Recovered       bool          // accepted by an earlier process
+	EarlierAttempts int           // attempts by the earlier process
 	Spans           []Span
 	Attempts        []Attempt
-	EndedAt         time.Duration // 0: not by the end of the recording
-	End             string
-	RetryAfter      time.Duration // that a rejection advises
+	EndedAt         time.Duration // 0: not ended in the recording
+	End             string        // how the message ended
+	RetryAfter      time.Duration // delay that a rejection asks the client for; 0: none
 }
 
 // ended reports whether the message has ended.
@@ -179,10 +181,10 @@
 	return causes
 }
 
-// minShownRatio is the least share of the time with which FormatShares lists a cause.
+// minShownRatio is the minimum share of the waiting time for which FormatShares lists a cause.
 const minShownRatio = 0.005
 
-// FormatShares lists the causes with their shares of the time, the largest first.
+// FormatShares lists the causes with their shares of the waiting time, the largest share first.
 func FormatShares(w Waits) string {
 	sum := w.Sum()
 	if sum == 0 {
@@ -197,8 +199,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// DestinationsByWait returns the destinations of a report, ordered by the time that their messages waited, the longest
-// first.
+// DestinationsByWait returns the destinations of a report, ordered by the total time that their messages waited, the
+// longest first.
 func DestinationsByWait(report *Report) []*Destination {
 	sorted := slices.Clone(report.Destinations)
 	slices.SortStableFunc(sorted, func(a, b *Destination) int {
--- a/internal/recording/explain/sample.go
+++ b/internal/recording/explain/sample.go
@@ -9,8 +9,8 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// sample attributes the time since the last sample, records the state of the engine and finds what blocks each waiting
-// message.
+// sample attributes the time since the last sample to the causes found by that sample. Then it records the engine's
+// state and finds the cause that blocks each waiting message.
 func (b *builder) sample(engine *policy.Engine, now time.Duration) {
 	b.attributeWaits(now)
 	views, inFlight := engine.Views()
@@ -27,17 +27,18 @@
 	if !waiting && len(b.destinations) > 0 && len(views) > 0 {
 		return
 	}
-	// Blockers changes the engine, as a dispatch does. A copy is inspected, so that the replay stays as recorded.
+	// Blockers may change the state of the engine, as a dispatch does. It is called on a copy, because the replayed
+	// engine must stay in the recorded state.
 	copied, err := policy.Restore(b.settings, engine.Snapshot(nil))
 	if err != nil {
-		b.err = cmp.Or(b.err, fmt.Errorf("explain: %w", err))
+		b.err = cmp.Or(b.err, fmt.Errorf("explain: copy the engine for inspection: %w", err))
 		return
 	}
 	b.blockers = earliestBlockers(copied.Blockers())
 }
 
-// queuedMessages returns the number of messages waiting at all destinations. The views of all endpoints of a
-// destination have the number of the destination.
+// queuedMessages returns the number of messages waiting at all destinations. It counts each destination once, because
+// each view of its endpoints holds the number for the whole destination.
 func queuedMessages(views []policy.EndpointView) (queued int) {
 	counted := map[policy.DestinationID]bool{}
 	for i := range views {
@@ -49,8 +50,8 @@
 	return queued
 }
 
-// earliestBlockers returns, for each message, the blocker that ends first, which is that of the endpoint that the
-// message will be sent to.
+// earliestBlockers returns, for each message, the blocker that ends first. Its endpoint is the one that the message
+// is expected to be sent to. The result reuses the memory of the argument.
 func earliestBlockers(blockers []policy.Blocker) []policy.Blocker {
 	kept := blockers[:0]
 	for _, blocker := range blockers {
@@ -67,7 +68,7 @@
 	return kept
 }
 
-// attributeWaits adds the time since the last sample to the waits of the causes that were found at that sample.
+// attributeWaits adds the time since the last sample to the waits for the causes found by that sample.
 func (b *builder) attributeWaits(now time.Duration) {
 	from, to := max(b.sampledAt, b.report.From), min(now, b.report.To)
 	if !b.sampled || to <= from {
@@ -93,7 +94,8 @@
 	}
 }
 
-// addSpan adds a span to a message, or extends its last one if the cause is the same.
+// addSpan adds a span to a message. If the message's last span ends where the new one starts, with the same cause and
+// endpoint, it is extended instead.
 func (b *builder) addSpan(message *Message, span Span) {
 	n := len(message.Spans)
 	if n > 0 {
@@ -111,9 +113,9 @@
 	message.Spans = append(message.Spans, span)
 }
 
-// updateEndpoints records the state of the endpoints, and its transitions since the last call.
+// updateEndpoints records the state of the endpoints, and the transitions since the last call.
 func (b *builder) updateEndpoints(now time.Duration, views []policy.EndpointView) {
-	firstOfDestination := map[policy.DestinationID]string{} // of the endpoints that share the destination's limit
+	firstOfDestination := map[policy.DestinationID]string{} // first endpoint that shares the destination's limit
 	for i := range views {
 		view := &views[i]
 		endpoint := b.endpoint(*view)
@@ -143,8 +145,8 @@
 	return !b.settings.DestinationKind(view.Kind).LimitPerEndpoint
 }
 
-// fillBins fills an endpoint's series up to now: the bins since the last call with the last state, the current one with
-// the present state.
+// fillBins fills an endpoint's series up to the current bin: the bins since the last call with the last state, the
+// current bin with the current state. On the first call, all of these bins get the current state.
 func (b *builder) fillBins(endpoint *Endpoint, now time.Duration, view *policy.EndpointView) {
 	first, current := 0, b.report.bin(now)
 	if endpoint.seen {
@@ -166,7 +168,7 @@
 	}
 }
 
-// addTransitions adds a transition for each difference between an endpoint's last state and its present one.
+// addTransitions adds a transition for each difference between an endpoint's last state and its current state.
 func (b *builder) addTransitions(now time.Duration, endpoint *Endpoint, view *policy.EndpointView) {
 	last := &endpoint.last
 	if view.InService != last.InService {
@@ -195,7 +197,7 @@
 	}
 }
 
-// addScopeTransitions adds the transitions of an endpoint's limit scope.
+// addScopeTransitions adds the transitions of an endpoint's rate-limit scope.
 func (b *builder) addScopeTransitions(now time.Duration, last, view *policy.EndpointView) {
 	if view.DecreasedAt != last.DecreasedAt {
 		b.addTransition(
--- a/internal/recording/explain/text.go
+++ b/internal/recording/explain/text.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/policy"
 )
 
-// printer writes lines, and keeps the first error.
+// printer writes lines until the first error, which it keeps.
 type printer struct {
 	w   io.Writer
 	err error
@@ -23,18 +23,20 @@
 	}
 }
 
-// formatShare returns the text for a cause with its share of the time.
+// formatShare returns the text for a cause with its share of the waiting time.
 func formatShare(cause policy.BlockCause, ratio float64) string {
 	return fmt.Sprintf("%s %.0f %%", CauseName(cause), 100*ratio)
 }
 
-// WriteText writes a table of a report's destinations, ordered by the time that their messages waited.
+// WriteText writes a table of a report's destinations, ordered by the total time that their messages waited. The
+// columns accept, reject and fail count messages, the columns sent, ok, busy and errors attempts. Busy attempts were
+// rejected as overloaded; errors are all other attempts that delivered nothing.
 func WriteText(w io.Writer, report *Report) error {
 	p := &printer{w: w}
 	p.header(report)
 	p.line(
 		"%-6s %6s %6s %6s %6s %6s %6s %6s %8s %6s  %s",
-		"dest", "taken", "sent", "ok", "full", "bad", "refuse", "fail", "waited", "queue", "what held its messages",
+		"dest", "accept", "sent", "ok", "busy", "errors", "reject", "fail", "waited", "queue", "blocked by",
 	)
 	for _, d := range DestinationsByWait(report) {
 		failedCalls := 0
@@ -59,16 +61,16 @@
 		report.Meta.Started.UTC().Format(time.RFC3339Nano),
 	)
 	if !report.Replay.SameRevision() {
-		p.line("recorded by revision %s of the module, explained by %s", report.Meta.Revision, report.Replay.Revision)
+		p.line("recorded by engine revision %s, replayed by revision %s", report.Meta.Revision, report.Replay.Revision)
 	}
 	if difference := report.Replay.Difference; difference != nil {
-		p.line("NOT EXPLAINED beyond here: the module as built here decides otherwise: %v", difference)
+		p.line("NOT EXPLAINED from here on: the engine of this build decides differently: %v", difference)
 	}
 	for _, lost := range report.Replay.Lost {
-		p.line("not read: %s", lost)
+		p.line("not read or not replayed: %s", lost)
 	}
 	if report.Truncated {
-		p.line("more happened than is kept: look at a shorter stretch")
+		p.line("report truncated: too many transitions or spans, select a shorter interval")
 	}
 }
 
@@ -88,7 +90,7 @@
 	return p.err
 }
 
-// historyLine is a line of a message's history.
+// historyLine is a line of a message's history, and its time.
 type historyLine struct {
 	at   time.Duration
 	text string
@@ -99,10 +101,10 @@
 	p := &printer{w: w}
 	recovered := ""
 	if m.Recovered {
-		recovered = ", from an earlier process"
+		recovered = ", recovered from an earlier process"
 	}
 	p.line(
-		"message %d (%s) for destination %d, class %d, taken at %.3fs with %.3fs left%s",
+		"message %d (%s) for destination %d, class %d, accepted at %.3fs with %.3fs left%s",
 		m.ID, m.Trace, m.Destination, m.Class, m.AcceptedAt.Seconds(), m.TimeLeft.Seconds(), recovered,
 	)
 	var lines []historyLine
@@ -125,7 +127,7 @@
 func (s Span) line() historyLine {
 	until := ""
 	if s.Until != math.MaxInt64 && s.Until > s.To {
-		until = fmt.Sprintf(", by then until %.3fs", s.Until.Seconds())
+		until = fmt.Sprintf(", expected until %.3fs", s.Until.Seconds())
 	}
 	length := (s.To - s.From).Seconds()
 	text := fmt.Sprintf("waits %6.3fs: %s %s%s", length, CauseName(s.Cause), s.Endpoint, until)
@@ -134,7 +136,7 @@
 
 func (a Attempt) lines() []historyLine {
 	sent := fmt.Sprintf(
-		"attempt %d leaves for %s, to be cut off at %.3fs", a.Number, a.Endpoint, a.TimeoutAt.Seconds(),
+		"attempt %d sent to %s, times out at %.3fs", a.Number, a.Endpoint, a.TimeoutAt.Seconds(),
 	)
 	lines := []historyLine{{at: a.SentAt, text: sent}}
 	if a.EndedAt <= 0 {
@@ -153,9 +155,9 @@
 func (m *Message) endLine() historyLine {
 	retryAfter := ""
 	if m.RetryAfter > 0 {
-		retryAfter = fmt.Sprintf(", to come again after %v", m.RetryAfter)
+		retryAfter = fmt.Sprintf(", client asked to retry after %v", m.RetryAfter)
 	}
 	age := (m.EndedAt - m.AcceptedAt).Seconds()
-	text := fmt.Sprintf("%s, %.3fs after it was taken%s", m.End, age, retryAfter)
+	text := fmt.Sprintf("%s, %.3fs after it was accepted%s", m.End, age, retryAfter)
 	return historyLine{at: m.EndedAt, text: text}
 }
