--- a/internal/recording/chart/timeline.go
+++ b/internal/recording/chart/timeline.go
@@ -215,8 +215,8 @@
 	return 10 * scale
 }
 
-// maxTicks is the maximum number of intervals between ticks on a time axis. Axes longer than maxTicks times ten
-// minutes have more.
+// maxTicks is the maximum number of intervals between ticks on a time axis. It is exceeded on axes that are longer
+// than maxTicks times 10 minutes, the longest interval.
 const maxTicks = 20
 
 func tickInterval(length time.Duration) time.Duration {
--- a/internal/recording/explain/html.go
+++ b/internal/recording/explain/html.go
@@ -169,8 +169,8 @@
 <h1>Why messages waited: {{.Name}}</h1>
 <pre>{{.Text}}</pre>
 <p>Time 0 of the plots is the start of the explained interval. The times in which an endpoint was ejected, warming up
-or under a Retry-After are shaded. Hover over a shaded area for its name. The texts on this page name these states "skipped",
-"in doubt" and "told to wait".</p>
+or under a Retry-After are shaded. Hover over a shaded area for its name. The texts on this page name these
+states "skipped", "in doubt" and "told to wait".</p>
 {{range .Plots}}{{.}}
 {{end}}<h2>Changes of endpoint state</h2>
 <pre>{{.Changes}}</pre>
--- a/internal/recording/fleetstats/write.go
+++ b/internal/recording/fleetstats/write.go
@@ -16,9 +16,9 @@
 // tableHeader names the columns: the scope or the bin's start, the scope's limit, and the fields of Counts in order.
 const tableHeader = "scope\tlimit/s\taccept\trecover\tcalls\tsent\tbusy\tretry-after\terrors\tok\tlate\treject\tfail\t"
 
-// Write prints the counts of the bins that start at or after from and before to, as a table: a row for each
-// rate-limit scope or, if a scope is given, a row for each bin. Times are relative to Start. If to is 0, the table
-// has no end.
+// Write prints a table of the counts in the bins that start at or after from and before to. The table has a row for
+// each rate-limit scope or, if a scope is given, a row for each bin. Times are relative to Start. If to is 0, the
+// bins up to the last one are included.
 func (f *Fleet) Write(w io.Writer, from, to time.Duration, scope string) error {
 	rows := f.rows(from, to, scope)
 	keys := slices.SortedFunc(maps.Keys(rows), compareKeys)
