--- a/internal/recording/explain/explain.go
+++ b/internal/recording/explain/explain.go
@@ -49,7 +49,7 @@
 	steppedAt time.Duration    // the time of the last step
 	sampledAt time.Duration    // the time of the last sample
 	sampled   bool             // sampledAt and blockers are valid
-	blockers  []policy.Blocker // of each waiting message, at the last sample
+	blockers  []policy.Blocker // for each waiting message, the blocker that ends first, at the last sample
 
 	err error
 }
