--- a/internal/testkit/checker/checker_test.go
+++ b/internal/testkit/checker/checker_test.go
@@ -38,11 +38,12 @@
 	}
 }
 
-// conformingRelay sends a message again only if it may, and ends each message in time, whatever the endpoints answer.
+// conformingRelay simulates a relay that keeps the rules whatever the endpoints answer: it sends a message again
+// only if the message's class allows it, and ends each message in time.
 type conformingRelay struct {
 	*script
 	now          time.Duration
-	blockedUntil time.Duration // by a Retry-After
+	blockedUntil time.Duration // end of the latest Retry-After
 }
 
 // testMessage is a message of a conforming relay.
@@ -51,7 +52,7 @@
 	class       int
 	submittedAt time.Duration
 	firstRisk   time.Duration // when the first attempt that may have run was sent, or never
-	riskZone    string
+	riskZone    string        // the zone that this attempt was sent to
 }
 
 // mayRepeat reports whether a message may be sent now to a zone.
@@ -68,7 +69,8 @@
 	}
 }
 
-// attempt sends a message once, and reports whether it may be sent again.
+// attempt sends a message once if it may be sent. It reports whether another attempt may follow, and whether the
+// message was delivered.
 func (r *conformingRelay) attempt(t *rapid.T, m *testMessage) (again, delivered bool) {
 	r.now = max(r.now, r.blockedUntil)
 	endpoint := rapid.SampledFrom([]string{"a1", "a2"}).Draw(t, "endpoint")
@@ -94,7 +96,7 @@
 	return status != 200, status == 200
 }
 
-// send makes some attempts of a message, and gives it up if none delivers it.
+// send makes a random number of attempts of a message, and sends a notice if none delivers the message.
 func (r *conformingRelay) send(t *rapid.T, m *testMessage) {
 	again, delivered := true, false
 	for range rapid.IntRange(0, 4).Draw(t, "attempts") {
@@ -121,7 +123,7 @@
 				class:     rapid.SampledFrom(classes).Draw(t, "class"),
 				firstRisk: never,
 			}
-			// One message after another, so that no Retry-After concerns calls that are under way.
+			// Messages are sent one after another, so that no call is under way when a Retry-After is sent.
 			m.submittedAt = r.now + time.Duration(rapid.Int64Range(0, int64(second)).Draw(t, "gap"))
 			r.submit(m.id, m.class, m.submittedAt, 16*second, 202)
 			r.now = m.submittedAt + 2*ms
@@ -135,7 +137,7 @@
 	})
 }
 
-// The time of a check is proportional to the length of the run.
+// BenchmarkCheck reports the time per message at three lengths of a run. The time per message should stay constant.
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		s := newScript()
--- a/internal/testkit/checker/customershares.go
+++ b/internal/testkit/checker/customershares.go
@@ -6,8 +6,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// CustomerShares tell which messages exceed their customers' shares. Each customer with a share has a token bucket that
-// holds one second's worth of it, and at least one message.
+// CustomerShares determines which messages exceed their customers' shares. Each customer with a share has a token
+// bucket, from which each message takes a token. The bucket holds the tokens of one second, and at least one.
 type CustomerShares struct {
 	customers []eventlog.Customer
 	buckets   []tokenBucket
@@ -18,7 +18,7 @@
 	updatedAt time.Duration
 }
 
-// NewCustomerShares returns the shares at the beginning of a run.
+// NewCustomerShares returns the shares at the start of a run, with full buckets.
 func NewCustomerShares(h eventlog.Header) CustomerShares {
 	s := CustomerShares{customers: h.Customers, buckets: make([]tokenBucket, len(h.Customers))}
 	for i, c := range h.Customers {
@@ -29,8 +29,9 @@
 
 func bucketSize(c eventlog.Customer) float64 { return max(1, c.RateShare) }
 
-// Exceeded reports whether a customer's message at a time exceeds its share, and takes a token if it does not. Times
-// must not go back.
+// Exceeded reports whether a message that a customer submits at a time exceeds the customer's share, and takes a
+// token if it does not. The calls for a customer should be in the order of their times: a time before the previous
+// one adds no tokens.
 func (s *CustomerShares) Exceeded(customer int, at time.Duration) bool {
 	if customer < 0 || customer >= len(s.customers) || s.customers[customer].RateShare <= 0 {
 		return false
--- a/internal/testkit/checker/drain.go
+++ b/internal/testkit/checker/drain.go
@@ -6,17 +6,17 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// relayEndpoint is an endpoint as one relay sees it.
+// relayEndpoint is a map key for one relay and one endpoint.
 type relayEndpoint struct{ relay, endpoint string }
 
-// relayDestination is a destination as one relay sees it.
+// relayDestination is a map key for one relay and one destination.
 type relayDestination struct {
 	relay       string
 	destination int
 }
 
-// checkDrainRespected checks that no relay calls an endpoint after it was notified that the endpoint is draining or
-// gone, and a grace period has passed.
+// checkDrainRespected checks that no relay calls an endpoint later than the drain grace after the relay was
+// notified that the endpoint is draining or gone.
 func checkDrainRespected(r *record, result *RuleResult) {
 	restrictions := r.drainRestrictions()
 	for _, c := range r.allCalls {
@@ -39,7 +39,8 @@
 	}
 }
 
-// drainRestrictions returns from when to when each relay knows an endpoint to be out of service.
+// drainRestrictions returns the time spans from the notification of a relay that an endpoint is draining or gone
+// until the notification that the endpoint is ready.
 func (r *record) drainRestrictions() map[relayEndpoint][]restriction {
 	restrictions := map[relayEndpoint][]restriction{}
 	for i, e := range r.events {
@@ -60,7 +61,8 @@
 	return restrictions
 }
 
-// lastActive returns when a relay last had a message or a call for a destination. A drain after that is not exercised.
+// lastActive returns when each relay last received a message for a destination or called one of its endpoints. A
+// drain is exercised only if its grace ends before that time.
 func (r *record) lastActive() map[relayDestination]time.Duration {
 	last := map[relayDestination]time.Duration{}
 	for _, m := range r.submissions {
--- a/internal/testkit/checker/drain_test.go
+++ b/internal/testkit/checker/drain_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// Only a relay that had something to send to the destination after the grace could violate the rule.
+// A relay can violate the rule only if it has a submission or a call for the destination after the grace.
 func TestDrainsThatAreExercised(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -57,7 +57,7 @@
 	wantViolated(t, s, DrainRespected)
 }
 
-// A call that is cut before its last byte is one more call to the endpoint all the same.
+// A call that ends before its last byte also counts as a call to the endpoint.
 func TestTruncatedCallAfterADrain(t *testing.T) {
 	s := newScript()
 	s.submit("m", nonIdempotent, second, 15*second, 202)
--- a/internal/testkit/checker/duplicate.go
+++ b/internal/testkit/checker/duplicate.go
@@ -6,8 +6,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// checkNoDuplicateEffect checks that a message is repeated only as its class allows, by the relay or by a client that
-// is asked to submit it again.
+// checkNoDuplicateEffect checks that a message is sent again only as its class allows, whether by the relay or by a
+// client that the relay asks to submit the message again.
 func checkNoDuplicateEffect(r *record, result *RuleResult) {
 	for _, m := range r.submissions {
 		uncertain := false
@@ -47,7 +47,8 @@
 	}
 }
 
-// checkRepeatByKey checks that the endpoint of a repeat recognizes the idempotency key of an earlier attempt.
+// checkRepeatByKey checks that the endpoint of a repeat recognizes the idempotency key of an earlier attempt: the
+// repeat must come within the deduplication window, and from the same zone unless keys are recognized across zones.
 func (r *record) checkRepeatByKey(result *RuleResult, m *message, earlier, repeat attempt) {
 	at := repeat.FirstByteAt
 	evidence := []int{m.index, earlier.index, repeat.index}
@@ -63,8 +64,9 @@
 	}
 }
 
-// checkResubmission checks that a client is not asked to submit a message again that may have run, and reports whether
-// a client was asked to after an attempt. A resubmission may reach any zone.
+// checkResubmission checks that no client is asked to submit a message again that may have run. It reports whether
+// a client was asked to after an attempt. A resubmission may reach any zone, so deduplication by key protects
+// against a second effect only if it works across zones.
 func (r *record) checkResubmission(result *RuleResult, m *message) (exercised bool) {
 	if m.class.Effect == eventlog.Idempotent ||
 		m.class.Effect == eventlog.IdempotentByKey && m.class.DedupAcrossZones {
--- a/internal/testkit/checker/duplicate_test.go
+++ b/internal/testkit/checker/duplicate_test.go
@@ -59,8 +59,8 @@
 	wantViolated(t, s, NoDuplicateEffect)
 }
 
-// A call that is cut before its last byte did not run, and the message may be sent anywhere; one that is cut after it
-// may have run.
+// A call that ends before its last byte did not run, so its message may be sent to any endpoint. A call whose
+// connection ends after the last byte may have run.
 func TestRepeatsAfterAbortedCalls(t *testing.T) {
 	s := newScript()
 	s.submit("m", nonIdempotent, second, 15*second, 202)
--- a/internal/testkit/checker/lost.go
+++ b/internal/testkit/checker/lost.go
@@ -6,8 +6,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// checkNoMessageLost checks that each submission is answered, and that each accepted message has one final answer in
-// time and is not sent after it.
+// checkNoMessageLost checks that a relay closes no client connection without an answer unless it is down, that each
+// accepted message gets one final answer in time, and that no message is sent after its notice or rejection.
 func checkNoMessageLost(r *record, result *RuleResult) {
 	for _, m := range r.submissions {
 		if m.noAnswer != noEvent && r.events[m.noAnswer].Cause == eventlog.CauseClosed {
@@ -30,7 +30,8 @@
 	}
 }
 
-// checkClosedConnection checks that a relay ended a client's connection without an answer only because of a restart.
+// checkClosedConnection checks that a relay that closed a client's connection without an answer was down, as in a
+// restart.
 func (r *record) checkClosedConnection(result *RuleResult, m *message) {
 	at := r.events[m.noAnswer].At
 	if _, down := r.downUntil(m.Relay, at); !down {
@@ -60,7 +61,8 @@
 	}
 }
 
-// finalAnswerDue returns until when a message needs its final answer. No answer is overdue while the relay is down.
+// finalAnswerDue returns the time by which a message needs its final answer. If the relay is down at that time, the
+// limit moves to the end of the downtime.
 func (r *record) finalAnswerDue(m *message) time.Duration {
 	due := m.At + m.Duration + FinalAnswerTimeout + Tolerance
 	for {
@@ -72,7 +74,7 @@
 	}
 }
 
-// checkNoticesAgree checks that later notices about a message repeat the first one.
+// checkNoticesAgree checks that later notices about a message have the same state as the first one.
 func (r *record) checkNoticesAgree(result *RuleResult, m *message) {
 	if len(m.notices) == 0 {
 		return
@@ -86,7 +88,8 @@
 	}
 }
 
-// checkNothingSentAfter checks that a message is not sent after the event that ended it.
+// checkNothingSentAfter checks that a message is not sent after the answer or notice that ended it, whose event
+// index is final.
 func (r *record) checkNothingSentAfter(result *RuleResult, m *message, final int) {
 	finalAt := r.events[final].At
 	for _, a := range m.attempts {
--- a/internal/testkit/checker/lost_test.go
+++ b/internal/testkit/checker/lost_test.go
@@ -37,7 +37,8 @@
 	})
 }
 
-// A message without a final answer violates the rule once the answer is due, and not if the run ends before.
+// A message without a final answer violates the rule if the answer is due before the run ends, and not if it is due
+// later.
 func TestAMessageWithoutAFinalAnswer(t *testing.T) {
 	due := FinalAnswerTimeout + Tolerance
 	cases := []struct {
--- a/internal/testkit/checker/messageoutcome.go
+++ b/internal/testkit/checker/messageoutcome.go
@@ -6,15 +6,15 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// MessageOutcome is a message of a client, with all its submissions, and what became of it.
+// MessageOutcome is the result of a client's message over all its submissions.
 type MessageOutcome struct {
-	DueAt           time.Duration // when the plan submits it first
+	DueAt           time.Duration // when the plan first submits the message
 	Customer        int
 	Class           int
 	Destination     int
-	Weight          float64       // reduced if it exceeds the customer's share
-	OverShare       bool          // it exceeds the customer's share
-	DeliveredWeight float64       // the part of Weight that its delivery is worth
+	Weight          float64       // reduced if the message exceeds the customer's share
+	OverShare       bool          // the message exceeds the customer's share
+	DeliveredWeight float64       // the part of Weight that counts as delivered
 	DeliveredAt     time.Duration // 0: not delivered
 }
 
@@ -51,8 +51,8 @@
 	return outcomes
 }
 
-// firstSubmissions returns the first submission of each message, and by its id when any accepted submission of the
-// message was delivered.
+// firstSubmissions returns the first submission of each message. For each message of which an accepted submission
+// was delivered, it also returns the time of the earliest delivery, by the id of the first submission.
 func (r *record) firstSubmissions() (firsts []*message, deliveredAt map[string]time.Duration) {
 	seen := map[string]bool{}
 	deliveredAt = map[string]time.Duration{}
@@ -73,8 +73,9 @@
 	return firsts, deliveredAt
 }
 
-// WeightRatioAfter returns the ratio of its weight that a message of a class has if it is delivered after a latency:
-// all of it up to the objective, then less, and none after the deadline.
+// WeightRatioAfter returns the ratio of the weight of a message that counts if the message is delivered with a
+// latency: 1 up to the latency objective of its class, then falling linearly to LateWeightRatio at the deadline,
+// and 0 after the deadline.
 func WeightRatioAfter(c eventlog.Class, latency time.Duration) float64 {
 	switch {
 	case latency <= c.LatencyObjective:
--- a/internal/testkit/checker/order.go
+++ b/internal/testkit/checker/order.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// orderingKey is an ordering key at one relay.
+// orderingKey is a map key for an ordering key at one relay. There is no order between relays.
 type orderingKey struct{ relay, key string }
 
 // checkOrderKept checks that a relay sends the messages of an ordering key one after another.
@@ -27,15 +27,17 @@
 	}
 }
 
-// mustPrecede reports whether an earlier message of a key must end before a later one is sent. Which of the two came
-// first is certain only if the one was accepted before the other was submitted. A restart between them ends the order.
+// mustPrecede reports whether the earlier message of a key must end before the later one is sent. Their order is
+// certain only if the earlier message was accepted before the later one was submitted. A restart of the relay
+// between the submission of the earlier message and the first attempt of the later one ends the order.
 func (r *record) mustPrecede(earlier, later *message) bool {
 	return r.accepted(earlier) && r.events[earlier.answer].At <= later.At && len(later.attempts) > 0 &&
 		!r.startedBetween(later.Relay, earlier.At, later.attempts[0].FirstByteAt)
 }
 
-// orderConflict returns the first attempt of the later message that was sent too early, and what the earlier message
-// was then; "" if there is none.
+// orderConflict returns the index of the call event of the first attempt of the later message that was sent too
+// early, and a text with the state of the earlier message at that time. The text is "" if no attempt was sent too
+// early.
 func (r *record) orderConflict(earlier, later *message) (event int, text string) {
 	finalAt := r.finalDecisionAt(earlier)
 	for _, next := range later.attempts {
@@ -51,7 +53,8 @@
 	return noEvent, ""
 }
 
-// finalDecisionAt returns when a message was delivered or given up. A notice is sent after its decision.
+// finalDecisionAt returns when a message was delivered or given up, or never. A relay sends a notice after it has
+// given up the message, so Tolerance is subtracted from the time of the notice.
 func (r *record) finalDecisionAt(m *message) time.Duration {
 	at, _, _ := r.delivery(m)
 	for _, notice := range m.notices {
@@ -60,22 +63,22 @@
 	return at
 }
 
-// attemptConflict returns why an attempt of the next message of a key was sent too early after an attempt of the
-// previous one; "" if it was not.
+// attemptConflict returns a text with the reason why an attempt of the next message of a key was sent too early
+// after an attempt of the previous message, or "" if it was not.
 func (r *record) attemptConflict(previous, next attempt) string {
 	if previous.FirstByteAt > next.FirstByteAt {
 		return ""
 	}
 	o, endedAt := r.outcome(previous, next.FirstByteAt)
 	if o == mayHaveRun && previous.reply != noEvent {
-		return "" // an error was answered: the call runs no more
+		return "" // the endpoint answered with an error, so the call no longer runs
 	}
 	if o != pending && o != mayHaveRun {
 		return ""
 	}
 	if len(previous.IDs) > 1 {
-		// The relay may give up one message of a batch at any time while the call goes on for the others, and the
-		// ordering pause begins then. No endpoint observes when that was.
+		// The relay may give up one message of a batch at any time while the call continues for the others. The
+		// ordering pause begins at that time, which no endpoint observes.
 		return ""
 	}
 	switch {
--- a/internal/testkit/checker/order_test.go
+++ b/internal/testkit/checker/order_test.go
@@ -31,8 +31,9 @@
 	})
 }
 
-// A relay may give up one message of a batch while the call goes on for the others: the ordering pause begins then,
-// which no endpoint observes. It does observe the end of a call with one message.
+// A relay may give up one message of a batch while the call continues for the others. The ordering pause begins at
+// that time, which no endpoint observes, so that the pause cannot be checked. The end of a call with only one
+// message is observed.
 func TestOrderAfterAMessageIsGivenUp(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/testkit/checker/outcome.go
+++ b/internal/testkit/checker/outcome.go
@@ -7,25 +7,25 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// outcome is what a relay can know about an attempt.
+// outcome is the result of an attempt, as far as the relay can determine it.
 type outcome int
 
 const (
 	pending    outcome = iota // neither answered nor aborted
-	delivered                 // it ran, once
-	mayHaveRun                // an error or an aborted connection, which leave it open
-	didNotRun                 // the endpoint answered so
+	delivered                 // the message ran, once
+	mayHaveRun                // an error or an aborted connection, after which the message may or may not have run
+	didNotRun                 // the endpoint answered that the message did not run
 )
 
-// What an endpoint's answer to a batch says of each message. Any other word leaves open whether the message ran.
+// States of a message in an endpoint's answer to a batch. A message with any other state may have run.
 const (
 	batchDelivered = "ok"
 	batchOverload  = "later"
-	batchEnded     = "gone"      // the message has ended for its client
-	batchExhausted = "exhausted" // the message has no attempt left
+	batchEnded     = "gone"      // the message was withdrawn, or is past its deadline
+	batchExhausted = "exhausted" // the message has had all attempts that it may have
 )
 
-// outcome returns how an attempt had ended by a time, and when it ended.
+// outcome returns the outcome of an attempt as of a time, and when the attempt ended, or 0 if it is pending.
 func (r *record) outcome(a attempt, by time.Duration) (outcome, time.Duration) {
 	if a.reply != noEvent && r.events[a.reply].At <= by {
 		reply := r.events[a.reply]
@@ -37,7 +37,7 @@
 	return pending, 0
 }
 
-// replyOutcome returns what an endpoint's answer says about the message at a position of the call.
+// replyOutcome returns the outcome that an endpoint's answer gives for the message at a position in the call's IDs.
 func replyOutcome(reply eventlog.Event, position int) outcome {
 	switch reply.Status {
 	case http.StatusOK:
@@ -65,7 +65,8 @@
 	}
 }
 
-// delivery returns when a message was first delivered, and the endpoint's answer that shows it.
+// delivery returns when a message was first delivered, and the index of the endpoint's answer that shows the
+// delivery. If the message was not delivered, at is never and ok is false.
 func (r *record) delivery(m *message) (at time.Duration, event int, ok bool) {
 	at = never
 	for _, a := range m.attempts {
@@ -76,7 +77,7 @@
 	return at, event, ok
 }
 
-// accepted reports whether the client had the answer that the relay accepts the message.
+// accepted reports whether the client received the answer that the relay accepted the message.
 func (r *record) accepted(m *message) bool {
 	if m.answer == noEvent {
 		return false
@@ -85,7 +86,7 @@
 	return status == http.StatusAccepted || status == http.StatusOK
 }
 
-// asksForResubmission reports whether an answer or a notice tells the client to submit the message again later.
+// asksForResubmission reports whether an answer or a notice asks the client to submit the message again later.
 func asksForResubmission(e eventlog.Event) bool {
 	switch e.Kind {
 	case eventlog.SubmissionAnswered:
@@ -97,7 +98,7 @@
 	}
 }
 
-// isOverloaded reports whether a status rejects a request because of load.
+// isOverloaded reports whether a status rejects a request because of overload.
 func isOverloaded(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
--- a/internal/testkit/checker/peerknowledge.go
+++ b/internal/testkit/checker/peerknowledge.go
@@ -7,13 +7,13 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// peerKnowledge follows the newest state of each relay that each other relay can know, directly or over third ones.
-// Relays are given by their index.
+// peerKnowledge tracks how recent the newest report is that each relay can have received of each other relay,
+// directly or through other relays. Relays are identified by their index in the header.
 type peerKnowledge struct {
 	running      []bool
-	links        [][]string        // from, to: the state of the link, "" if it is unchanged
-	newest       [][]time.Duration // of the second relay, at the first one; below 0: nothing
-	healthySince [][]time.Duration // since when both relays run and the links between them are healthy, or never
+	links        [][]string        // [from][to]: the state of the link, "" until its first change
+	newest       [][]time.Duration // [receiver][subject]: when the newest report was sent; below 0: there is none
+	healthySince [][]time.Duration // since when both relays run and both links between them are healthy, or never
 }
 
 func newPeerKnowledge(relays int) *peerKnowledge {
@@ -26,22 +26,23 @@
 	return k
 }
 
-// setRunning notes that a relay runs, or does not, from a time on.
+// setRunning records that a relay runs, or does not run, from a time on.
 func (k *peerKnowledge) setRunning(at time.Duration, relay int, running bool) {
 	k.advance(at)
 	k.running[relay] = running
 	k.updateHealthy(at)
 }
 
-// setLink notes the state of the link from one relay to another from a time on.
+// setLink records the state of the link from one relay to another from a time on.
 func (k *peerKnowledge) setLink(at time.Duration, from, to int, state string) {
 	k.advance(at)
 	k.links[from][to] = state
 	k.updateHealthy(at)
 }
 
-// advance lets time pass in which nothing changes. A running relay can then know the present state of each running
-// relay from which reports reach it, and what that one knew before.
+// advance updates newest for the time up to at, during which no relay or link changes. By then each running relay
+// can have a report sent at that time by every running relay whose reports reach it, and all reports that the
+// sender had before.
 func (k *peerKnowledge) advance(at time.Duration) {
 	reachable := k.reachability()
 	before := make([][]time.Duration, len(k.newest))
@@ -53,8 +54,8 @@
 			if !k.running[to] || !reachable[from][to] {
 				continue
 			}
-			for of := range k.running {
-				k.newest[to][of] = max(k.newest[to][of], before[from][of])
+			for subject := range k.running {
+				k.newest[to][subject] = max(k.newest[to][subject], before[from][subject])
 			}
 			if k.running[from] {
 				k.newest[to][from] = at
@@ -63,10 +64,10 @@
 	}
 }
 
-// reachability returns from which relays reports reach which others, over any number of links. It is the transitive
-// closure of the links that are not cut.
+// reachability returns whether reports of one relay reach another, directly or through other relays. It is the
+// transitive closure of the links between running relays that are not cut.
 func (k *peerKnowledge) reachability() [][]bool {
-	reachable := make([][]bool, len(k.running)) // from, to
+	reachable := make([][]bool, len(k.running)) // [from][to]
 	for from := range k.running {
 		reachable[from] = make([]bool, len(k.running))
 		for to := range k.running {
@@ -74,10 +75,10 @@
 			reachable[from][to] = from == to || linked
 		}
 	}
-	for over := range k.running {
+	for via := range k.running {
 		for from := range k.running {
 			for to := range k.running {
-				if reachable[from][over] && reachable[over][to] {
+				if reachable[from][via] && reachable[via][to] {
 					reachable[from][to] = true
 				}
 			}
@@ -86,7 +87,7 @@
 	return reachable
 }
 
-// updateHealthy follows since when each pair of relays is connected in both directions, after a change.
+// updateHealthy updates healthySince after a change of a relay or a link.
 func (k *peerKnowledge) updateHealthy(at time.Duration) {
 	for i := range k.running {
 		for j := range k.running {
--- a/internal/testkit/checker/peerview.go
+++ b/internal/testkit/checker/peerview.go
@@ -8,32 +8,35 @@
 )
 
 const (
-	// peerReportTolerance is how much younger a report may seem than it can be: the query takes time, and so does the
-	// datagram, which nobody observes.
+	// peerReportTolerance is how much fresher a report may appear than any that the relay can have received. It
+	// allows for the time of the query and for that of the datagram with the report, which is not observed.
 	peerReportTolerance = 400 * time.Millisecond
-	// peerDiscoveryTimeout is the time within which two relays that run, with healthy links between them, need to have
-	// received a report of each other. A relay that was taken to be dead is contacted again within seconds.
+	// peerDiscoveryTimeout is the time within which two running relays with healthy links between them must receive
+	// a report of each other. It includes the seconds until a relay again contacts a peer that it considered dead.
 	peerDiscoveryTimeout = 20 * time.Second
-	// maxPeerReportAge is how old the newest report may be from then on.
+	// maxPeerReportAge is the greatest allowed age of the newest report after peerDiscoveryTimeout.
 	maxPeerReportAge = 8 * time.Second
-	// peerActivityWindow is how recently a relay must have had a submission for others to need reports of it.
+	// peerActivityWindow is the time after a submission to a relay in which other relays need recent reports of
+	// that relay.
 	peerActivityWindow = 3 * time.Second
 )
 
-// PeerViewResult is what the relays stated of each other, against what they can have known.
+// PeerViewResult compares the age of the reports that relays hold of each other with the age that these reports can
+// have.
 type PeerViewResult struct {
-	Queried      int        `json:"asked"`
-	Disconnected int        `json:"apart"` // queried while one of the two did not run or a link was not healthy
-	TooFresh     RuleResult `json:"young"` // reports that are younger than any that can have been received
+	Queried      int        `json:"asked"` // peer views
+	Disconnected int        `json:"apart"` // peer views while a relay of the pair was down or a link was not healthy
+	TooFresh     RuleResult `json:"young"` // reports that are fresher than any that can have been received
 	Stale        RuleResult `json:"deaf"`  // reports that are old or missing, though the links are healthy
 }
 
-// violated reports whether a statement was wrong. A nil result has none.
+// violated reports whether any report was too fresh or stale. It is false for a nil result.
 func (p *PeerViewResult) violated() bool {
 	return p != nil && p.TooFresh.ViolationCount+p.Stale.ViolationCount > 0
 }
 
-// State sums the result up.
+// State returns Violated if any report was too fresh or stale, NotExercised if no relay was queried, and otherwise
+// Held.
 func (p *PeerViewResult) State() State {
 	switch {
 	case p.violated():
@@ -45,15 +48,15 @@
 	}
 }
 
-// peerViewChecker checks the peer views of a run, in the order of the events.
+// peerViewChecker processes the events of a run in their order, and checks the peer views among them.
 type peerViewChecker struct {
 	relays        []string
 	knowledge     *peerKnowledge
-	lastSubmitted []time.Duration
+	lastSubmitted []time.Duration // by relay: the time of its last submission
 	result        *PeerViewResult
 }
 
-// checkPeerViews checks what relays stated of each other. It returns nil if none was queried.
+// checkPeerViews checks the peer views of a run. It returns nil if the run has none.
 func checkPeerViews(r *record) *PeerViewResult {
 	if !slices.ContainsFunc(r.events, func(e eventlog.Event) bool { return e.Kind == eventlog.PeerView }) {
 		return nil
@@ -77,7 +80,7 @@
 	return c.result
 }
 
-// add takes the next event, which concerns a relay.
+// add processes the next event. relay is the index of the event's relay.
 func (c *peerViewChecker) add(i int, e eventlog.Event, relay int) {
 	switch e.Kind {
 	case eventlog.MessageSubmitted:
--- a/internal/testkit/checker/peerview_test.go
+++ b/internal/testkit/checker/peerview_test.go
@@ -16,24 +16,24 @@
 	return eventlog.Event{At: at, Kind: eventlog.LinkChanged, Relay: from, Name: to, State: state}
 }
 
-// viewEvent is the statement of a relay that its newest report of another has an age; below 0: it has none.
+// viewEvent returns a peer view: the age of the newest report that a relay has of another; below 0: it has none.
 func viewEvent(at time.Duration, relay, of string, age time.Duration) eventlog.Event {
 	return eventlog.Event{At: at, Kind: eventlog.PeerView, Relay: relay, Name: of, Duration: age}
 }
 
-// submissionToB is a submission to relay b: the others need reports of b then.
+// submissionToB returns a submission to relay b, of which the other relays need recent reports for some seconds.
 func submissionToB(at time.Duration) eventlog.Event {
 	return eventlog.Event{At: at, Kind: eventlog.MessageSubmitted, Relay: "b", ID: "x"}
 }
 
-// peerViewCase is what happens between three relays, a, b and c, and how many statements about it are wrong.
+// peerViewCase holds the events of the three relays a, b and c, and the number of wrong peer views among them.
 type peerViewCase struct {
 	name            string
 	events          []eventlog.Event
 	tooFresh, stale int
 }
 
-// freshCases are about reports that may be too young to have been received: directly, or over a third relay.
+// freshCases have reports that may be too fresh to have been received, directly or through a third relay.
 var freshCases = []peerViewCase{
 	{name: "fresh over healthy links", events: []eventlog.Event{
 		submissionToB(29 * second),
@@ -81,7 +81,7 @@
 	}},
 }
 
-// staleCases are about reports that are old or missing.
+// staleCases have reports that are old or missing.
 var staleCases = []peerViewCase{
 	{name: "never received", stale: 1, events: []eventlog.Event{
 		submissionToB(19 * second),
--- a/internal/testkit/checker/record.go
+++ b/internal/testkit/checker/record.go
@@ -10,25 +10,26 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// never is later than all times.
+// never is later than the time of any event.
 const never = time.Duration(math.MaxInt64)
 
-// noEvent stands for the index of an event that the record does not have.
+// noEvent is the index that stands for an event that the record does not have.
 const noEvent = -1
 
-// record is the record of a run, indexed by what the checks look up. All indexes are those of events.
+// record holds the events of a run, with indexes for the lookups of the checks. The checks refer to an event by its
+// index in events.
 type record struct {
 	eventlog.Header
 	events      []eventlog.Event
-	messages    map[string]*message
-	submissions []*message // in the order of submission
-	calls       map[uint64]*call
-	allCalls    []*call // in the order of their first bytes
-	received    []*call // the complete ones, in the order of their last bytes
-	endpoints   map[string]endpoint
-	downtimes   map[string][]timeSpan      // by relay: from the signal until restartGrace after it is ready again
-	starts      map[string][]time.Duration // by relay: when its processes began
-	end         time.Duration              // of the last event
+	messages    map[string]*message        // by id of the submission
+	submissions []*message                 // in the order of submission
+	calls       map[uint64]*call           // by number
+	allCalls    []*call                    // in the order of their first bytes
+	received    []*call                    // the complete calls, in the order of their last bytes
+	endpoints   map[string]endpoint        // by id
+	downtimes   map[string][]timeSpan      // by relay: from its signal until restartGrace after the relay is ready
+	starts      map[string][]time.Duration // by relay: when each of its processes started
+	end         time.Duration              // the time of the last event
 	complete    bool                       // the run was recorded to its planned end
 
 	runErrors           []Violation
@@ -36,46 +37,46 @@
 	clockSteps          int
 }
 
-// message is one submission, and what became of it.
+// message is one submission of a message, with the events that concern it.
 type message struct {
-	eventlog.Event // its submission
-	index          int
-	class          eventlog.Class // the class at the submission's index Class
-	answer         int            // the client's answer, or noEvent
-	noAnswer       int            // the event that the client got no answer, or noEvent
-	notices        []int
-	attempts       []attempt // its part in complete calls, in the order of their last bytes
+	eventlog.Event                // MessageSubmitted
+	index          int            // of the MessageSubmitted event
+	class          eventlog.Class // Classes[Event.Class] of the header, zero if there is no such entry
+	answer         int            // index of the SubmissionAnswered event, or noEvent
+	noAnswer       int            // index of the SubmissionUnanswered event, or noEvent
+	notices        []int          // indexes of the MessageNotice events
+	attempts       []attempt      // one for each complete call with the message, in the order of the calls' last bytes
 }
 
 // call is one call to an endpoint.
 type call struct {
-	eventlog.Event // the reception of its last byte, or its truncation
-	index          int
-	complete       bool // its last byte was received
-	reply          int  // the endpoint's answer, or noEvent
-	aborted        int  // the end of its connection before an answer, or noEvent
+	eventlog.Event      // CallReceived or CallTruncated
+	index          int  // of that event
+	complete       bool // the endpoint received the last byte
+	reply          int  // index of the CallAnswered event, or noEvent
+	aborted        int  // index of the CallAborted event, or noEvent
 }
 
-// attempt is a message's part in a call.
+// attempt is one message in a complete call.
 type attempt struct {
 	*call
-	position int // of the message in the call's batch
+	position int // index of the message in the call's IDs
 }
 
-// endpoint is an entry of the endpoint list. Changes of the list leave these fields as they are.
+// endpoint holds the fields of an entry of the endpoint list that do not change during a run.
 type endpoint struct {
 	zone        string
-	service     string // what it shares limits with: its destination, or itself if it has limits of its own
+	service     string // whose limits apply: the destination's, or the endpoint's own if it has any
 	destination int
 }
 
-// timeSpan is the time from an instant until just before another.
+// timeSpan is the half-open interval [from, to).
 type timeSpan struct{ from, to time.Duration }
 
-// restriction is a time during which a relay must not call, from the event that notified the relay of it.
+// restriction is a time span in which a relay must not call an endpoint or a service.
 type restriction struct {
 	timeSpan
-	event int
+	event int // index of the event that imposed the restriction
 }
 
 // newRecord indexes the events of a run.
@@ -184,7 +185,8 @@
 	}
 }
 
-// checkAddress checks that a message is sent by the relay that has it, and to its destination.
+// checkAddress checks that a call with a message was made by the relay that the message was submitted to, and to an
+// endpoint of the message's destination.
 func (r *record) checkAddress(m *message, c *call) {
 	evidence := []int{m.index, c.index}
 	destination := r.endpoints[c.Endpoint].destination
@@ -208,7 +210,8 @@
 	}
 }
 
-// addProcessEvent follows when a relay is down.
+// addProcessEvent updates the downtimes and process starts of a relay. A process that exits while its relay is not
+// down is a run error.
 func (r *record) addProcessEvent(e eventlog.Event) {
 	downtimes := r.downtimes[e.Relay]
 	down := len(downtimes) > 0 && downtimes[len(downtimes)-1].to == never
@@ -242,7 +245,7 @@
 	r.inconclusiveReasons = append(r.inconclusiveReasons, fmt.Sprintf(format, args...))
 }
 
-// loadLag returns how late the submissions were against their plan, at the 99th percentile.
+// loadLag returns the 99th percentile of the submissions' lag behind their plan.
 func (r *record) loadLag() time.Duration {
 	lags := make([]time.Duration, len(r.submissions))
 	for i, m := range r.submissions {
@@ -251,7 +254,7 @@
 	return percentile(lags, 0.99)
 }
 
-// downUntil reports whether a relay is down at a time, and until when.
+// downUntil reports whether a relay is down at a time, and when that downtime ends.
 func (r *record) downUntil(relay string, at time.Duration) (until time.Duration, down bool) {
 	for _, downtime := range r.downtimes[relay] {
 		if at >= downtime.from && at < downtime.to {
@@ -261,7 +264,7 @@
 	return 0, false
 }
 
-// startedBetween reports whether a process of a relay began after a time and not after another.
+// startedBetween reports whether a process of a relay started later than after and no later than until.
 func (r *record) startedBetween(relay string, after, until time.Duration) bool {
 	return slices.ContainsFunc(r.starts[relay], func(t time.Duration) bool { return t > after && t <= until })
 }
--- a/internal/testkit/checker/recovery.go
+++ b/internal/testkit/checker/recovery.go
@@ -10,11 +10,11 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/upstream"
 )
 
-// recovery is the time after an outage of a service, until it is warm or the next outage begins.
+// recovery is the time after an outage of a service, until the service is warm or its next outage begins.
 type recovery struct {
 	outageStart, outageEnd eventlog.Event
-	startIndex, endIndex   int // of these events
-	until                  time.Duration
+	startIndex, endIndex   int            // of the two events
+	until                  time.Duration  // when the recovery ends
 	informedBy             map[string]int // by relay: the event by which it observed the outage, or noEvent
 }
 
@@ -34,7 +34,8 @@
 	}
 }
 
-// recovery returns the recovery after an OutageEnded event, if the record has the beginning of the outage.
+// recovery returns the recovery after an OutageEnded event. It reports false if the record lacks the start of the
+// outage.
 func (r *record) recovery(index int) (recovery, bool) {
 	v := recovery{outageEnd: r.events[index], endIndex: index, startIndex: noEvent}
 	v.until = v.outageEnd.At + v.outageEnd.Duration
@@ -68,7 +69,7 @@
 	return !listed || event != noEvent
 }
 
-// checkRecovery checks the load of a recovery, until the first overload.
+// checkRecovery checks the load during a recovery, up to the first overload.
 func (r *record) checkRecovery(result *RuleResult, v recovery) {
 	var calls []*call
 	informed := false
@@ -109,8 +110,8 @@
 		load, r.Rules.OverloadWindow, 100*informedLoad/load)
 }
 
-// firstOverload returns the calls of the first window that overload the service, and their load; none if no window
-// does.
+// firstOverload returns the calls of the first window in which their load overloads the service, and that load. It
+// returns no calls if the service is never overloaded.
 func (r *record) firstOverload(v recovery, calls []*call) (window []*call, load float64) {
 	length := r.Rules.OverloadWindow
 	warmUp := v.warmUp()
@@ -137,10 +138,11 @@
 	}
 }
 
-// load returns a call's part in the load of a service.
+// load returns the load that a call puts on a service: its weight, or 1 if the event has none.
 func (c *call) load() float64 { return cmp.Or(c.Weight, 1) }
 
-// informedRelays returns the event by which each relay of the header observed an outage, noEvent if it did not.
+// informedRelays returns, for each relay of the header, the index of the event by which the relay observed an
+// outage, or noEvent.
 func (r *record) informedRelays(v recovery) map[string]int {
 	informedBy := map[string]int{}
 	for _, relay := range r.Relays {
@@ -163,8 +165,8 @@
 	if v.outageStart.Cause != eventlog.OutageDown {
 		return informedBy
 	}
-	// Connections that are not accepted leave no event at the endpoints. A relay that had a message for the destination
-	// has observed the outage.
+	// Connections that are not accepted leave no event at the endpoints. Instead, a relay that accepted a message
+	// for the destination during the outage counts as having observed it.
 	for _, m := range r.submissions {
 		if duringOutage(m.At) && m.Destination == v.outageEnd.Destination && r.accepted(m) {
 			inform(m.Relay, m.index)
@@ -173,7 +175,7 @@
 	return informedBy
 }
 
-// failure returns the event by which the relay observes that a call failed, or noEvent.
+// failure returns the index of the event by which the relay observes that a call failed, or noEvent.
 func (r *record) failure(c *call) int {
 	switch {
 	case !c.complete:
--- a/internal/testkit/checker/recovery_test.go
+++ b/internal/testkit/checker/recovery_test.go
@@ -8,8 +8,9 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// recoveryWith is a recovery of destination 7, to a capacity of 4 calls a second at first. Right after it, r1, which
-// has observed the outage, makes some calls, and then r2, which has not, makes the others.
+// recoveryWith returns a run in which destination 7 recovers from an outage, at first with a capacity of 4 calls a
+// second. Right after the recovery it receives callsOfR1 calls from r1, which observed the outage, and the other
+// calls from r2, which did not.
 func recoveryWith(calls, callsOfR1 int) *script {
 	s := newScript()
 	s.outage(second, eventlog.OutageSilent, "a1", "a2")
@@ -39,12 +40,12 @@
 	return s
 }
 
-// An overload violates the rule only if enough of it is from relays that had observed the outage.
+// An overload violates the rule only if enough of it comes from relays that had observed the outage.
 func TestOverloadOfARecoveringService(t *testing.T) {
-	capacity := 4 + 16.0*3/14000 // 3 ms after its return
+	capacity := 4 + 16.0*3/14000 // 3 ms after the end of the outage
 	budget := int(2*capacity*3 + math.Sqrt(2*capacity*3))
 	overload := budget + 1
-	// The greatest number of calls below the ratio.
+	// The greatest number of calls by r1 whose part of the overload is below MinInformedRatio.
 	maxUninformed := overload * 2 / 3
 	for float64(maxUninformed) >= MinInformedRatio*float64(overload) {
 		maxUninformed--
@@ -69,8 +70,8 @@
 	}
 }
 
-// Connections that are not accepted leave no event at the endpoint. That a relay had a message for the destination
-// shows that it has observed the outage.
+// Connections that are not accepted leave no event at the endpoint. A relay that accepted a message for the
+// destination during such an outage counts as having observed the outage.
 func TestUnacceptedConnectionsInformARelay(t *testing.T) {
 	for cause, state := range map[string]State{
 		eventlog.OutageDown:   Violated,
--- a/internal/testkit/checker/result.go
+++ b/internal/testkit/checker/result.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// maxViolations bounds how many violations of a rule a result keeps. All are counted.
+// maxViolations is how many violations of each rule, and how many run errors, a result keeps.
+// RuleResult.ViolationCount includes the violations that are not kept.
 const maxViolations = 20
 
-// Rule is one of the six rules. The values stand in reports and in stored results.
+// Rule is the name of a rule, as reports and stored results have it.
 type Rule string
 
-// The six rules.
+// The six rules of the protocol.
 const (
 	NoMessageLost         Rule = "no message is lost"
 	NoDuplicateEffect     Rule = "no effect happens twice"
@@ -22,25 +23,25 @@
 	RetryAfterRespected   Rule = "waits are heeded"
 )
 
-// State is what a run shows about a rule. The values stand in reports and in stored results.
+// State is the outcome of checking a rule or a run, as reports and stored results have it.
 type State string
 
-// The states.
+// States of a rule. The state of a run is never NotExercised.
 const (
 	Held         State = "held"
 	Violated     State = "BROKEN"
-	NotExercised State = "not exercised" // the rule could not have been violated
-	Inconclusive State = "not judged"    // no violation was found, but the record or the load is incomplete
+	NotExercised State = "not exercised" // the run gave no occasion to violate the rule
+	Inconclusive State = "not judged"    // no violation was found, but the record is incomplete or the load was late
 )
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule, or one run error.
 type Violation struct {
 	At       time.Duration `json:"at"`
 	Text     string        `json:"text"`
-	Evidence []int         `json:"events"` // the indexes of the events that show it
+	Evidence []int         `json:"events"` // indexes of the events that show the violation
 }
 
-// RuleResult is what a run shows about one rule.
+// RuleResult is the result of checking a run against one rule.
 type RuleResult struct {
 	Rule           Rule        `json:"rule"`
 	State          State       `json:"state"`
@@ -49,7 +50,8 @@
 	Violations     []Violation `json:"breaks,omitempty"` // the first maxViolations of them
 }
 
-// addViolation counts a violation, and keeps it if the result has few. The evidence need not be sorted.
+// addViolation counts a violation, and keeps it unless the result has maxViolations already. It sorts the evidence
+// and removes duplicates.
 func (r *RuleResult) addViolation(at time.Duration, evidence []int, format string, args ...any) {
 	r.ViolationCount++
 	if len(r.Violations) >= maxViolations {
@@ -63,7 +65,8 @@
 	})
 }
 
-// conclude sets the state once the rule is checked. conclusive is false if the absence of violations shows nothing.
+// conclude sets the state after the check. conclusive is false if a run without violations does not show that the
+// rule was held.
 func (r *RuleResult) conclude(conclusive bool) {
 	switch {
 	case r.ViolationCount > 0:
@@ -77,19 +80,21 @@
 	}
 }
 
-// Result is what a run shows.
+// Result is the result of checking a run.
 type Result struct {
 	Rules []RuleResult `json:"findings"`
-	// RunErrors are what must not happen in any run, whatever the rules, such as a call with an unknown message.
+	// RunErrors are errors that no rule covers, such as a call with an unknown message. Any run error makes the run
+	// Violated.
 	RunErrors []Violation `json:"faults,omitempty"`
-	// InconclusiveReasons say why the absence of violations shows nothing.
+	// InconclusiveReasons say why a run without violations does not show that the rules were held.
 	InconclusiveReasons []string        `json:"doubts,omitempty"`
-	PeerViews           *PeerViewResult `json:"beliefs,omitempty"` // nil if no relay was queried
+	PeerViews           *PeerViewResult `json:"beliefs,omitempty"` // nil if no relay was queried about its peers
 	Service             Service         `json:"service"`
-	ClockSteps          int             `json:"clock_steps,omitempty"` // of the wall clock; nothing here depends on it
+	ClockSteps          int             `json:"clock_steps,omitempty"` // of the wall clock; no result depends on it
 }
 
-// State sums the result up: Violated if a rule was or the run has errors, Inconclusive if it shows nothing, else Held.
+// State returns Violated if a rule or a peer view was violated or the run has errors, Inconclusive if the run is
+// inconclusive, and otherwise Held.
 func (r Result) State() State {
 	switch {
 	case r.violated():
--- a/internal/testkit/checker/retryafter.go
+++ b/internal/testkit/checker/retryafter.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// retryAfterGrace is the time after a Retry-After during which calls are accepted: they were already under way.
+	// retryAfterGrace is the time after an answer with Retry-After during which further calls are allowed, since
+	// they were already under way.
 	retryAfterGrace = 100 * time.Millisecond
-	// retryAfterRounding is how much earlier than its end a Retry-After may be taken to be over: it is sent in whole
-	// milliseconds.
+	// retryAfterRounding is how long before the end of a Retry-After a relay may call again. A Retry-After is sent
+	// in whole milliseconds.
 	retryAfterRounding = time.Millisecond
 )
 
-// relayService is a service, that is a rate-limit scope, as one relay sees it.
+// relayService is a map key for one relay and one service. A service is a rate-limit scope.
 type relayService struct{ relay, service string }
 
-// checkRetryAfterRespected checks that a relay calls no endpoint of a service before the end of a Retry-After.
-// A restart frees the relay.
+// checkRetryAfterRespected checks that a relay calls no endpoint of a service before the end of a Retry-After of
+// that service. A restart of the relay ends the restriction.
 func checkRetryAfterRespected(r *record, result *RuleResult) {
 	restrictions := map[relayService][]restriction{}
 	for i, e := range r.events {
@@ -43,7 +44,8 @@
 	}
 }
 
-// checkCallAllowed checks that a call begins after no restriction that has not ended.
+// checkCallAllowed checks that a call, given by its event index, falls into none of the restrictions that still
+// apply to the service.
 func (r *record) checkCallAllowed(result *RuleResult, call int, restrictions []restriction) {
 	e := r.events[call]
 	for _, w := range restrictions {
--- a/internal/testkit/checker/retryafter_test.go
+++ b/internal/testkit/checker/retryafter_test.go
@@ -7,7 +7,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// overloaded adds a call with a message by r1 to a1 that is answered at 3 s with a Retry-After.
+// overloaded adds a call by r1 to a1 with one message, which is answered at 3 s with a Retry-After.
 func (s *script) overloaded(id string, status int, retryAfter time.Duration) {
 	s.callWith(eventlog.Event{Relay: "r1", Endpoint: "a1", IDs: []string{id}}, 2*second,
 		eventlog.Event{At: 3 * second, Status: status, RetryAfter: retryAfter})
--- a/internal/testkit/checker/script_test.go
+++ b/internal/testkit/checker/script_test.go
@@ -65,14 +65,15 @@
 	return h
 }
 
-// script is the record of a run of relay r1, and in part r2. Events are added in any order.
+// script builds the record of a run of relay r1 and, in some tests, r2. Events may be added in any order.
 type script struct {
 	header eventlog.Header
 	events []eventlog.Event
 	calls  uint64
 }
 
-// newScript begins a run with the endpoints a1 and a2 of destination 7 in the zones a and b, and b1 of destination 8.
+// newScript returns a run in which relay r1 is ready from the start. Destination 7 has the endpoints a1 in zone a
+// and a2 in zone b, and destination 8 has the endpoint b1 in zone a.
 func newScript() *script {
 	s := &script{header: header()}
 	s.endpoint("a1", "a", 7, "")
@@ -85,7 +86,8 @@
 
 func (s *script) add(e eventlog.Event) { s.events = append(s.events, e) }
 
-// endpoint lists an endpoint. service is "" if it shares the limits of its destination.
+// endpoint adds a ready endpoint to the endpoint list. service is "" if the endpoint shares the limits of its
+// destination.
 func (s *script) endpoint(id, zone string, destination int, service string) {
 	s.add(eventlog.Event{
 		Kind:        eventlog.EndpointChanged,
@@ -97,12 +99,12 @@
 	})
 }
 
-// process changes the process of r1.
+// process adds a change of the state of r1's process.
 func (s *script) process(at time.Duration, state string) {
 	s.add(eventlog.Event{At: at, Kind: eventlog.ProcessChanged, Relay: "r1", State: state})
 }
 
-// submission is the submission of a message for destination 7 to r1.
+// submission returns the event of submitting a message for destination 7 to r1.
 func submission(id string, class int, at, deadline time.Duration) eventlog.Event {
 	return eventlog.Event{
 		At:          at,
@@ -116,7 +118,7 @@
 	}
 }
 
-// submit submits a message of an ordering key, which is answered 1 ms later; status 0: it is not answered.
+// submit adds the submission of a message with the ordering key k, answered after 1 ms, or never if status is 0.
 func (s *script) submit(id string, class int, at, deadline time.Duration, status int) {
 	e := submission(id, class, at, deadline)
 	e.OrderingKey = "k"
@@ -126,19 +128,20 @@
 	}
 }
 
-// answer answers a submission to r1.
+// answer adds the answer of r1 to a submission.
 func (s *script) answer(id string, at time.Duration, status int) {
 	s.add(eventlog.Event{At: at, Kind: eventlog.SubmissionAnswered, ID: id, Relay: "r1", Status: status})
 }
 
-// call adds a call with a message by r1, of which the endpoint receives the last byte 1 ms after the first. It is
-// answered at a time; status 0: it is not answered.
+// call adds a call by r1 with one message, and returns the number of the call. The call is answered at answeredAt,
+// or never if status is 0.
 func (s *script) call(endpoint, id string, firstByteAt, answeredAt time.Duration, status int) uint64 {
 	return s.callWith(eventlog.Event{Relay: "r1", Endpoint: endpoint, IDs: []string{id}}, firstByteAt,
 		eventlog.Event{At: answeredAt, Status: status})
 }
 
-// callWith adds a call with the relay, the endpoint and the messages of an event, and its answer.
+// callWith adds a call with the relay, the endpoint and the message ids of e, and its answer unless answer.Status
+// is 0. The endpoint receives the last byte of the call 1 ms after the first.
 func (s *script) callWith(e eventlog.Event, firstByteAt time.Duration, answer eventlog.Event) uint64 {
 	s.calls++
 	e.At, e.FirstByteAt = firstByteAt+ms, firstByteAt
@@ -164,7 +167,7 @@
 	})
 }
 
-// abort ends the connection of a call.
+// abort adds the event that the connection of a call ended before an answer.
 func (s *script) abort(call uint64, at time.Duration) {
 	s.add(eventlog.Event{At: at, Kind: eventlog.CallAborted, Call: call, Relay: "r1", Cause: eventlog.CauseRelay})
 }
@@ -174,12 +177,12 @@
 	s.add(eventlog.Event{At: at, Kind: eventlog.MessageNotice, Relay: "r1", ID: id, State: state})
 }
 
-// notify notifies r1 of the state of a1.
+// notify adds the notification of r1 about the state of a1.
 func (s *script) notify(state string, at time.Duration) {
 	s.add(eventlog.Event{At: at, Kind: eventlog.RelayNotified, Relay: "r1", Endpoint: "a1", State: state})
 }
 
-// outage begins an outage of destination 7.
+// outage adds the start of an outage of destination 7.
 func (s *script) outage(at time.Duration, cause string, endpoints ...string) {
 	s.add(eventlog.Event{
 		At:          at,
@@ -191,7 +194,8 @@
 	})
 }
 
-// recover ends an outage of destination 7, which then warms up from a fifth of its capacity in 14 s.
+// recover adds the end of an outage of destination 7. The destination then warms up from a fifth of its capacity
+// (in calls a second) to all of it in 14 s.
 func (s *script) recover(at time.Duration, capacity float64, endpoints ...string) {
 	s.add(eventlog.Event{
 		At:          at,
@@ -217,7 +221,8 @@
 	return Check(s.header, append(s.sorted(), eventlog.Event{At: runLength, Kind: eventlog.RunEnded}))
 }
 
-// wantViolated checks that a run is conclusive and violates one rule and no other; "": none.
+// wantViolated checks that a run is conclusive and has no run errors, and that it violates only the given rule, or
+// none if violated is "".
 func wantViolated(t *testing.T, s *script, violated Rule) Result {
 	t.Helper()
 	result := s.check()
@@ -237,14 +242,14 @@
 	return result
 }
 
-// limitCase is a run that violates a rule if it exceeds a limit.
+// limitCase is a run that violates a rule if and only if it exceeds a limit.
 type limitCase struct {
 	name string
 	run  func(s *script, excess time.Duration) // below 0: within the limit
 }
 
-// testLimits checks that each run violates the rule, and only that, a microsecond outside its limit, and holds it a
-// microsecond inside.
+// testLimits checks that each run violates only the given rule if it exceeds its limit by a microsecond, and holds
+// the rule if it stays within the limit by a microsecond.
 func testLimits(t *testing.T, rule Rule, cases []limitCase) {
 	t.Helper()
 	for _, c := range cases {
--- a/internal/testkit/checker/service.go
+++ b/internal/testkit/checker/service.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// serviceWindow is the length of the windows of which a service names the worst.
+	// serviceWindow is the length of the windows among which Service reports the worst.
 	serviceWindow = 10 * time.Second
-	// serviceWindowStep is the time between the beginnings of these windows.
+	// serviceWindowStep is the time between the starts of successive windows.
 	serviceWindowStep = time.Second
 )
 
-// Service is how good a run was for the clients: the weight that was delivered over the weight that was submitted, from
-// 0 to 1. A delivery within the latency objective counts in full, one after it in part. All submissions of a message
-// count as one.
+// Service measures how well a run served its clients. The service for a set of messages is their delivered weight
+// divided by their submitted weight, from 0 to 1. A delivery within the latency objective counts in full, a later
+// one in part. A message that is submitted several times counts once.
 type Service struct {
 	Overall              float64           `json:"whole"`
 	WorstWindow          float64           `json:"worst_10s"`
 	WorstWindowAt        time.Duration     `json:"worst_10s_at"`
 	WorstCustomer        string            `json:"worst_customer,omitempty"`
-	WorstCustomerService float64           `json:"worst_customer_service"` // within its share
+	WorstCustomerService float64           `json:"worst_customer_service"` // for messages within the customer's share
 	Customers            []CustomerService `json:"customers"`
 
 	Submitted       int `json:"offered"` // messages
@@ -32,29 +32,29 @@
 	DeliveredLate   int `json:"in_part"`
 	Undelivered     int `json:"undelivered"`
 	Rejected        int `json:"refused"`    // submissions that were answered with 429 or 503
-	Deferred        int `json:"deferred"`   // submissions with a notice to submit again
-	Failed          int `json:"failed"`     // submissions with any other notice, or with an answer that is an error
+	Deferred        int `json:"deferred"`   // submissions whose first notice asks the client to submit again
+	Failed          int `json:"failed"`     // submissions with any other first notice, or with an error as answer
 	Unanswered      int `json:"unanswered"` // submissions
-	Calls           int `json:"calls"`      // that were received completely
+	Calls           int `json:"calls"`      // received completely
 	CallsFailed     int `json:"calls_failed"`
 	CallsRejected   int `json:"calls_refused"`
 	CallsUnanswered int `json:"calls_without_answer"`
 
-	LatencyP50 time.Duration `json:"latency_p50"` // from the due time to the delivery, of the delivered messages
+	LatencyP50 time.Duration `json:"latency_p50"` // from the due time to the delivery, for delivered messages
 	LatencyP95 time.Duration `json:"latency_p95"`
 	LatencyP99 time.Duration `json:"latency_p99"`
-	LoadLagP99 time.Duration `json:"load_lag_p99"` // of the submissions against their plan
+	LoadLagP99 time.Duration `json:"load_lag_p99"` // lag of the submissions behind their plan
 }
 
-// CustomerService is the service of one customer, within its share.
+// CustomerService is the service for the messages of one customer within its share.
 type CustomerService struct {
 	Name      string  `json:"name"`
 	Submitted int     `json:"offered"`    // messages
-	OverShare int     `json:"over_share"` // those of them that exceed its share
+	OverShare int     `json:"over_share"` // messages that exceed the share
 	Service   float64 `json:"service"`
 }
 
-// weightSum adds up the weight of messages.
+// weightSum sums the submitted and the delivered weight of messages.
 type weightSum struct{ submitted, delivered float64 }
 
 func (s *weightSum) add(o MessageOutcome) {
@@ -62,7 +62,7 @@
 	s.delivered += o.DeliveredWeight
 }
 
-// service returns the delivered part of the weight, 1 if nothing was submitted.
+// service returns the delivered weight divided by the submitted weight, or 1 if nothing was submitted.
 func (s *weightSum) service() float64 {
 	if s.submitted <= 0 {
 		return 1
@@ -110,7 +110,7 @@
 	s.LatencyP99 = percentile(latencies, 0.99)
 }
 
-// addCustomers adds the service of each customer, and names the worst-served one.
+// addCustomers adds the service of each customer, and sets the customer with the worst service.
 func (s *Service) addCustomers(r *record, outcomes []MessageOutcome) {
 	s.Customers = make([]CustomerService, len(r.Customers))
 	sums := make([]weightSum, len(r.Customers))
@@ -135,7 +135,7 @@
 	}
 }
 
-// addSubmission counts a submission that did not end in a delivery.
+// addSubmission counts a submission as unanswered, rejected, deferred or failed if it is one of these.
 func (s *Service) addSubmission(r *record, m *message) {
 	switch {
 	case m.noAnswer != noEvent:
@@ -167,8 +167,8 @@
 	}
 }
 
-// worstWindow returns the worst service of any window in which a message was due, and when that window begins. A run
-// that is shorter than a window is one window.
+// worstWindow returns the worst service of any window in which a message was due, and when that window begins. It
+// returns service 1 if no message was due. A run that is shorter than a window is one window.
 func worstWindow(outcomes []MessageOutcome, length time.Duration) (worst float64, at time.Duration) {
 	worst = math.Inf(1)
 	for from := time.Duration(0); from == 0 || from+serviceWindow <= length; from += serviceWindowStep {
@@ -188,7 +188,8 @@
 	return worst, at
 }
 
-// percentile returns the least of the values that is not below a ratio of them, and 0 if there are none.
+// percentile returns the smallest value that is greater than or equal to the given ratio of all values, or 0 if
+// there are no values.
 func percentile(values []time.Duration, ratio float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/internal/testkit/checker/service_test.go
+++ b/internal/testkit/checker/service_test.go
@@ -8,8 +8,8 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/eventlog"
 )
 
-// serviceRun is a run of 30 s with four messages of the first customer, and three of the second, whose share is one a
-// second.
+// serviceRun returns a run of 30 s with four messages of the first customer and three of the second, whose share is
+// one message a second.
 func serviceRun() *script {
 	s := newScript()
 	s.header.Duration = 30 * second
@@ -42,7 +42,7 @@
 	return s
 }
 
-// count is a figure of a service and what it should be.
+// count is a counter of a Service with its expected value.
 type count struct {
 	name      string
 	got, want int
@@ -100,7 +100,7 @@
 	})
 	s.submit("rejected", keyed, second, 5*second, 503)
 	s.submit("invalid", keyed, second, 5*second, 400)
-	s.call("a1", "rejected", 2*second, 3*second, 200) // does not count: it was not accepted
+	s.call("a1", "rejected", 2*second, 3*second, 200) // counts as undelivered: the submission was rejected
 	s.call("a1", "invalid", 2*second, 3*second, 429)
 	s.call("a1", "invalid", 2*second, 3*second, 500)
 	s.call("a1", "invalid", 2*second, 0, 0)
