--- a/internal/testkit/eventlog/event.go
+++ b/internal/testkit/eventlog/event.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Kind is what an event reports. The values are the words of the file.
+// Kind is the type of an event. The values are those of the event log file.
 type Kind string
 
-// The kinds of event, with the fields that each sets besides At and Kind.
+// The kinds of event. Each comment lists the fields that the kind sets besides At and Kind.
 const (
 	// MessageSubmitted: a client is about to send a request. ID, FirstID, Relay, Class, Customer, Destination,
-	// OrderingKey, Duration (until the deadline), Delay (against the plan).
+	// OrderingKey, Duration (until the deadline), Delay (lag behind the plan).
 	MessageSubmitted Kind = "offer"
 	// SubmissionAnswered: the client got an answer. ID, Relay, Status, RetryAfter.
 	SubmissionAnswered Kind = "heard"
 	// SubmissionUnanswered: the client got no answer. ID, Relay, Cause: see the Cause constants.
 	SubmissionUnanswered Kind = "unheard"
 	// CallReceived: an endpoint received the last byte of a call. Call, Relay, Endpoint, IDs, FirstByteAt, Destination,
-	// Weight (its part in the load of the service).
+	// Weight (the load that it puts on the service).
 	CallReceived Kind = "call"
 	// CallTruncated: a call ended before the endpoint received its last byte. Call, Relay, Endpoint, FirstByteAt.
 	CallTruncated Kind = "broken"
@@ -28,7 +28,7 @@
 	// EndpointChanged: the platform changed an entry of its endpoint list. Endpoint, Destination, Service (if the
 	// endpoint has limits of its own), Zone, State.
 	EndpointChanged Kind = "change"
-	// RelayNotified: a relay was notified of an entry. Relay, Endpoint, State, Destination.
+	// RelayNotified: a relay was notified of the state of an endpoint. Relay, Endpoint, State, Destination.
 	RelayNotified Kind = "told"
 	// MessageNotice: a relay notified the platform of how a message ended. Relay, ID, State (undeliverable or
 	// deferred), RetryAfter.
@@ -37,13 +37,13 @@
 	ProcessChanged Kind = "process"
 	// OutageStarted: a service begins to fail. Service, Destination, Endpoints, Cause (see the Outage constants).
 	OutageStarted Kind = "outage"
-	// OutageEnded: a service recovered from an outage and warms up. Service, Destination, Endpoints, Rate (its capacity
-	// when warm, in calls a second), Share (the ratio of it at first), Duration (until it is warm).
+	// OutageEnded: a service recovered from an outage and warms up. Service, Destination, Endpoints, Rate (its
+	// capacity when warm, in calls a second), Share (the initial ratio of Rate), Duration (until it is warm).
 	OutageEnded Kind = "back"
 	// ServiceOverloaded: a service was overloaded while it warmed up. Service, Destination, Endpoints.
 	ServiceOverloaded Kind = "fell"
 	// CapacityChanged: the capacity of an endpoint from now on. Endpoint, Destination, Rate (calls a second), Share
-	// (the ratio of it at first), Duration (until it has all of it).
+	// (the initial ratio of Rate), Duration (until the full Rate).
 	CapacityChanged Kind = "able"
 	// FaultChanged: a fault of the scenario begins or ends. Name, State (begin or end), Cause (its effect).
 	FaultChanged Kind = "trouble"
@@ -52,9 +52,9 @@
 	// LinkChanged: the state of the link from one relay to another. Relay, Name (the other), State (LinkHealthy,
 	// LinkCut or LinkFaulty), Cause.
 	LinkChanged Kind = "link"
-	// PeerView: what a relay states of another. Relay, Name (the other), State (as the relay sees it), Duration (the
-	// age of the newest report that it received, below 0: none), Delay (the time that the query took), Status (the
-	// other's incarnation).
+	// PeerView: a relay was queried about another. Relay, Name (the other), State (as the relay sees it), Duration
+	// (the age of the newest report that the relay has received, below 0: none), Delay (the time that the query
+	// took), Status (the other's incarnation).
 	PeerView Kind = "belief"
 	// RunInvalid: something that makes the run invalid, such as a call with a message that no client submitted. Relay,
 	// Endpoint, ID, Cause.
@@ -63,7 +63,8 @@
 	RunEnded Kind = "end"
 )
 
-// Why a client got no answer, and which side ended a connection.
+// Causes of SubmissionUnanswered (why the client got no answer) and of CallAborted (which side ended the
+// connection).
 const (
 	CauseTimeout  = "timeout" // the client's timeout passed
 	CauseClosed   = "closed"  // the relay ended the connection though the request was sent completely
@@ -90,7 +91,7 @@
 // States of processes.
 const (
 	StateStart = "start"
-	StateUp    = "up"   // it answered that it is ready
+	StateUp    = "up"   // the relay answered that it is ready
 	StateTerm  = "term" // SIGTERM was sent
 	StateKill  = "kill" // SIGKILL was sent
 	StateExit  = "exit" // the process has ended
@@ -120,7 +121,7 @@
 
 // Event is one observation. Each Kind lists the fields that it sets.
 type Event struct {
-	At   time.Duration `json:"at"` // since the run began; in nanoseconds in the file, as all durations
+	At   time.Duration `json:"at"` // since the start of the run; the file stores all durations in nanoseconds
 	Kind Kind          `json:"k"`
 
 	ID        string   `json:"id,omitempty"`
@@ -128,7 +129,7 @@
 	Relay     string   `json:"relay,omitempty"`
 	Endpoint  string   `json:"host,omitempty"`
 	Endpoints []string `json:"hosts,omitempty"`
-	// Service is what has limits of its own: a destination, or one endpoint.
+	// Service is the rate-limit scope: a destination, or one endpoint with limits of its own.
 	Service     string        `json:"place,omitempty"`
 	Destination int           `json:"dest,omitempty"`
 	Zone        string        `json:"zone,omitempty"`
--- a/internal/testkit/eventlog/eventlog_test.go
+++ b/internal/testkit/eventlog/eventlog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// write returns the file and the events of a record with the events that add adds.
+// write records the events that add passes to the Writer, and returns the file and all events of the record.
 func write(t *testing.T, add func(*Writer)) (*bytes.Buffer, []Event) {
 	t.Helper()
 	var file bytes.Buffer
@@ -41,7 +41,7 @@
 	}
 }
 
-// The file is in the order of the events' times also with concurrent writers: the checker relies on it.
+// Concurrent writers keep the file in the order of the event times, on which the checker relies.
 func TestConcurrentWritersKeepOrder(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
 		var writers sync.WaitGroup
@@ -59,7 +59,7 @@
 	}
 }
 
-// A run that was killed leaves a file that ends anywhere. All of its complete lines are read.
+// The file of a run that was killed may end at any byte. Read returns the events of all complete lines.
 func TestReadOfATruncatedFile(t *testing.T) {
 	file, events := write(t, func(w *Writer) {
 		for range 3 {
@@ -92,7 +92,7 @@
 		{"header without a format", "{}\n", "format 0"},
 		{"header that is not JSON", "nonsense\n", "header"},
 		{"event that is not JSON", header + "\n{\"at\":1}\n{\"at\":\n" + rest, "line 3"},
-		{"events out of order", header + "\n{\"at\":9}\n{\"at\":8}\n", "line 3: event at 8ns after one at 9ns"},
+		{"events out of order", header + "\n{\"at\":9}\n{\"at\":8}\n", "line 3: event at 8ns follows an event at 9ns"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testkit/eventlog/golden_test.go
+++ b/internal/testkit/eventlog/golden_test.go
@@ -11,7 +11,7 @@
 	"cherrytrestle.example/cherrytrestle/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 var allKinds = []Kind{
 	MessageSubmitted,
@@ -36,7 +36,8 @@
 	RunInvalid,
 }
 
-var allWords = []string{
+// allValues are the values of the enumerated string fields.
+var allValues = []string{
 	CauseTimeout,
 	CauseClosed,
 	CauseNotSent,
@@ -69,9 +70,10 @@
 	string(NonIdempotent),
 }
 
-// A record with every field set and every kind of event has the bytes that earlier builds wrote, and reads back equal.
+// A record with all fields set and all kinds of event has the bytes that earlier builds wrote, and reads back
+// equal.
 func TestGoldenRecord(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // its clock begins at the same time always
+	synctest.Test(t, func(t *testing.T) { // in a synctest bubble the clock starts at a fixed time
 		var header Header
 		golden.Fill(&header)
 		var file bytes.Buffer
@@ -82,11 +84,11 @@
 		}
 		for _, kind := range allKinds {
 			time.Sleep(time.Millisecond)
-			w.Add(Event{Kind: kind, States: allWords[:1]})
+			w.Add(Event{Kind: kind, States: allValues[:1]})
 		}
 		var filled Event
 		golden.Fill(&filled)
-		filled.Kind, filled.States = CallAnswered, allWords
+		filled.Kind, filled.States = CallAnswered, allValues
 		w.Add(filled)
 		events, err := w.Close("cut")
 		if err != nil {
--- a/internal/testkit/eventlog/reader.go
+++ b/internal/testkit/eventlog/reader.go
@@ -9,14 +9,16 @@
 	"time"
 )
 
-// maxLineBytes bounds a line of the file: a call has few ids, and a header some thousand names.
+// maxLineBytes limits the length of a line. Valid lines are far shorter: a call has few ids, and a header some
+// thousand names.
 const maxLineBytes = 16 << 20
 
 // errNoHeader means that a file has no complete first line.
-var errNoHeader = errors.New("event log: no header")
+var errNoHeader = errors.New("event log: no header: the file has no complete first line")
 
-// Read reads a record. If the file ends within a line, as after a kill, Read returns the events before that line and no
-// error; the missing RunEnded event shows that the record is incomplete. An error names any other line that is invalid.
+// Read reads a record. If the file ends within a line, as after its writer was killed, Read returns the events
+// before that line and no error. The record then has no RunEnded event, which shows that it is incomplete. For any
+// other invalid line Read returns an error with the line number.
 func Read(r io.Reader) (Header, []Event, error) {
 	lines := bufio.NewReaderSize(r, bufferBytes)
 	header, err := readHeader(lines)
@@ -55,23 +57,23 @@
 		return header, lineError(1, err)
 	}
 	if err := json.Unmarshal(line, &header); err != nil {
-		return header, fmt.Errorf("event log: header: %w", err)
+		return header, fmt.Errorf("event log: invalid header: %w", err)
 	}
 	if header.Format != FormatVersion {
-		return header, fmt.Errorf("event log: format %d, this program reads %d", header.Format, FormatVersion)
+		return header, fmt.Errorf("event log: format %d is not supported, only %d", header.Format, FormatVersion)
 	}
 	return header, nil
 }
 
 func lineError(number int, err error) error { return fmt.Errorf("event log: line %d: %w", number, err) }
 
-// checkOrder checks that the time of an event is not before the one that precedes it in the file.
+// checkOrder checks that the time of the next event is not before that of the last event so far.
 func checkOrder(events []Event, next time.Duration) error {
 	if len(events) == 0 {
 		return nil
 	}
 	if last := events[len(events)-1].At; next < last {
-		return fmt.Errorf("event at %v after one at %v", next, last)
+		return fmt.Errorf("event at %v follows an event at %v", next, last)
 	}
 	return nil
 }
--- a/internal/testkit/eventlog/writer.go
+++ b/internal/testkit/eventlog/writer.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// MaxEvents bounds the events of a run, so that a relay that sends without end stops the rehearsal before it exhausts
-// the machine's memory.
+// MaxEvents is the greatest number of events in a run. It stops a rehearsal in which a relay sends endlessly before
+// the events exhaust the machine's memory.
 const MaxEvents = 8 << 20
 
 // bufferBytes is the size of the buffers between a record and its file.
@@ -20,7 +20,7 @@
 // ErrTooManyEvents means that a run had more than MaxEvents events.
 var ErrTooManyEvents = errors.New("event log: too many events")
 
-// Writer records events as they happen. It is safe for concurrent use, and its events are in order.
+// Writer records events as they happen, in the order of their times. It is safe for concurrent use.
 type Writer struct {
 	startedAt time.Time
 
@@ -29,11 +29,12 @@
 	encoder   *json.Encoder
 	events    []Event
 	maxEvents int
-	err       error // the first error
+	err       error // ErrTooManyEvents, or the first write error
 	closed    bool
 }
 
-// NewWriter begins a record in w. startedAt is event time 0, and must carry a monotonic clock reading.
+// NewWriter writes the header of a record to w, and returns a Writer for the events. startedAt is event time 0 and
+// must have a monotonic clock reading.
 func NewWriter(w io.Writer, startedAt time.Time, header Header) (*Writer, error) {
 	header.Format = FormatVersion
 	header.StartedAt = startedAt.Round(0)
@@ -48,15 +49,15 @@
 // Now returns the time since the run began.
 func (w *Writer) Now() time.Duration { return time.Since(w.startedAt) }
 
-// Add records an event that happens now, and returns its time. After Close it does nothing: what fakes observe while
-// they are shut down is not part of the run.
+// Add records an event at the current time, and returns that time. After Close it records nothing: events that the
+// fakes observe while they shut down are not part of the run.
 func (w *Writer) Add(e Event) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return w.Now()
 	}
-	e.At = w.Now() // under the lock, so that the file is in order
+	e.At = w.Now() // read under the lock, so that the times of the events do not decrease
 	if len(w.events) >= w.maxEvents {
 		w.err = ErrTooManyEvents
 		return e.At
@@ -75,7 +76,7 @@
 	return w.events[:len(w.events):len(w.events)]
 }
 
-// Flush writes what is buffered, so that the file of a run that is cut short holds its events.
+// Flush writes the buffered events, so that the file contains them even if the run is cut short.
 func (w *Writer) Flush() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,8 +90,8 @@
 	return w.err
 }
 
-// Close ends the record with a RunEnded event and returns all events. cause is what cut the run short, "" if nothing
-// did.
+// Close ends the record with a RunEnded event and returns all events. cause says what cut the run short, and is ""
+// for a complete run.
 func (w *Writer) Close(cause string) ([]Event, error) {
 	w.Add(Event{Kind: RunEnded, Cause: cause})
 	w.mu.Lock()
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what the program writes with golden files that an earlier build wrote, and fills values for
-// such comparisons. It is for tests only.
+// Package golden compares the output of the program with golden files that an earlier build wrote, and fills values
+// with data for such comparisons. It is for tests only.
 package golden
 
 import (
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// folder holds the golden files, beside the package under test.
-const folder = "testdata/golden"
+// directory holds the golden files, relative to the package under test.
+const directory = "testdata/golden"
 
-// maxPrinted bounds how much of a file a failed comparison prints, in bytes.
+// maxPrinted is how many bytes of each quoted text Check prints if the texts differ.
 const maxPrinted = 2000
 
 // Path returns the path of a golden file of the package under test.
-func Path(name string) string { return filepath.Join(folder, name) }
+func Path(name string) string { return filepath.Join(directory, name) }
 
 // Read returns the content of a golden file.
 func Read(t testing.TB, name string) []byte {
@@ -57,7 +57,8 @@
 	return want
 }
 
-// Compare compares text with a golden file and prints both as they are. With update it writes the file instead.
+// Compare compares text with a golden file. If they differ, it prints both in full. With update it writes the file
+// instead.
 func Compare(t testing.TB, update bool, name, got string) {
 	t.Helper()
 	if update {
@@ -74,8 +75,7 @@
 	return text[:min(len(text), maxPrinted)]
 }
 
-// Fill sets every exported field that v reaches to a value that is not zero, and returns v. Slices and maps get one
-// entry.
+// Fill sets v, with every exported field in it, to non-zero values and returns v. Slices and maps get one entry.
 func Fill[T any](v *T) *T {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem())
@@ -136,6 +136,6 @@
 	case v.CanFloat():
 		v.SetFloat(float64(f.next) + 0.5)
 	default:
-		panic(fmt.Sprintf("golden: no value of %v", v.Type()))
+		panic(fmt.Sprintf("golden: cannot fill a value of type %v", v.Type()))
 	}
 }
--- a/internal/testkit/golden/help.go
+++ b/internal/testkit/golden/help.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// helpFile is the golden file of a program's help, and helpColumns the width that it is written for.
+// helpFile is the golden file of a program's help. helpColumns is the terminal width of that help.
 const (
 	helpFile    = "help.txt"
 	helpColumns = "100"
@@ -17,8 +17,8 @@
 // Run runs a command line of a program and returns its exit status.
 type Run func(ctx context.Context, args []string, stdout, stderr io.Writer) int
 
-// CheckHelp compares the help of a program and of its commands ("": of the program itself) with a golden file: the
-// commands, their flags and defaults, and the names of environment variables.
+// CheckHelp compares the help of a program's commands with a golden file. The command "" is the program itself. The
+// help lists the commands, their flags and defaults, and the names of environment variables.
 func CheckHelp(t *testing.T, update bool, program string, commands []string, run Run) {
 	t.Helper()
 	t.Setenv("COLUMNS", helpColumns)
--- a/internal/testkit/nettest/nettest.go
+++ b/internal/testkit/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest has the means that tests of network code share: connections of real sockets, a server that works on
-// plain sockets, and a wait for a condition.
+// Package nettest has helpers for tests of network code: connections over real sockets, servers that work on plain
+// sockets, and a wait for a condition.
 package nettest
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Patience is longer than any condition takes to come true.
+// Patience is the time after which a wait in a test fails. It is longer than any awaited condition takes.
 const Patience = 10 * time.Second
 
 // OKResponse is the shortest response that reports success and keeps its connection open.
@@ -24,33 +24,34 @@
 	t.Helper()
 	for end := time.Now().Add(Patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within %v: %s", Patience, what)
 		}
 	}
 }
 
-// Close closes what a test is done with: an error would change nothing.
+// Close closes what a test no longer needs. It ignores the error, which does not affect the test.
 func Close(closer io.Closer) { _ = closer.Close() }
 
-// CloseAtEnd closes it when the test ends.
+// CloseAtEnd closes closer when the test ends.
 func CloseAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { Close(closer) })
 }
 
-// Send writes text as far as the reader takes it. One that closes first does so for the test to see.
+// Send writes text and ignores errors. If the reader closes first, the test observes that at the reader.
 func Send(writer io.Writer, text string) { _, _ = io.WriteString(writer, text) }
 
-// CloseWrite ends a TCP connection's sending side.
+// CloseWrite shuts down the sending side of a TCP connection.
 func CloseWrite(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() }
 
-// Reset closes a TCP connection in such a way that its peer sees a reset.
+// Reset closes a TCP connection so that its peer receives a reset.
 func Reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	Close(conn)
 }
 
-// Pair returns the two ends of a TCP connection: the tested side and its peer. Both close with the test.
+// Pair returns the two ends of a TCP connection: that of the code under test and that of its peer. Both are closed
+// when the test ends.
 func Pair(t *testing.T) (tested, peer net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +75,8 @@
 	return tested, peer
 }
 
-// EchoServer returns the address of a server that sends back all that it receives. It closes with the test.
+// EchoServer returns the address of a server that sends back all that it receives. Its listener is closed when the
+// test ends.
 func EchoServer(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,8 +99,10 @@
 	return listener.Addr().String()
 }
 
-// RawServer reads whole requests on plain sockets and hands each to serve, with its number among all requests, from 1.
-// serve writes the response and returns false to close the connection. The server closes with the test.
+// RawServer starts an HTTP server on plain sockets. It reads each request whole and passes it to serve with its
+// number, which counts the requests of all connections from 1. serve writes the response, and returns false to
+// close the connection. RawServer returns the server's address and the number of requests so far. The listener is
+// closed when the test ends.
 func RawServer(
 	t *testing.T,
 	serve func(number int, conn net.Conn, request *http.Request) bool,
@@ -142,7 +146,7 @@
 	}
 }
 
-// Dial opens a connection that closes with the test, and writes text on it.
+// Dial opens a connection that is closed when the test ends, and writes text to it.
 func Dial(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -159,40 +163,41 @@
 	return conn
 }
 
-// ReadResponse reads a response with its body, which it throws away.
+// ReadResponse reads a response and discards its body.
 func ReadResponse(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("no response: %v", err)
+		t.Fatalf("read response: %v", err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		t.Fatalf("response: %v", err)
+		t.Fatalf("read response body: %v", err)
 	}
 	return response
 }
 
-// ExpectEnd reads a connection to its end. It fails the test if anything came before that, or the connection was reset.
+// ExpectEnd reads a connection to its end. It fails the test if data arrives before the end, or if the connection
+// is reset.
 func ExpectEnd(t *testing.T, what string, reader *bufio.Reader) {
 	t.Helper()
 	if rest, err := io.ReadAll(reader); err != nil || len(rest) > 0 {
-		t.Errorf("%s: %d more bytes, then %v", what, len(rest), err)
+		t.Errorf("%s: read %d bytes before the end, error %v", what, len(rest), err)
 	}
 }
 
-// ObservedConn is a TCP connection that counts the reads that ended with an error. Tests wrap the connections of the
-// code under test in it, to see when that code has noticed the peer's end or a deadline.
+// ObservedConn is a TCP connection that counts the reads that ended with an error. Tests pass it to the code under
+// test, to observe when that code has received the peer's end of stream or reached a deadline.
 type ObservedConn struct {
 	*net.TCPConn
 	failedReads atomic.Int32
 
-	// Of a connection whose reads are held after the first one:
+	// The fields below are set only if reads after the first one are held: see ListenHolding.
 	reads    atomic.Int32
-	held     chan struct{} // closed when a read waits
-	released chan struct{} // closed when reads may go on
+	held     chan struct{} // closed when the second read begins
+	released chan struct{} // closed when held reads may continue
 }
 
-// Read reads from the connection.
+// Read reads from the connection. If reads are held, all but the first wait for ReleaseReads.
 func (c *ObservedConn) Read(b []byte) (int, error) {
 	if c.held != nil && c.reads.Add(1) > 1 {
 		if c.reads.Load() == 2 {
@@ -207,33 +212,33 @@
 	return n, err
 }
 
-// FailedReads returns how many reads ended with an error so far.
+// FailedReads returns how many reads have ended with an error so far.
 func (c *ObservedConn) FailedReads() int { return int(c.failedReads.Load()) }
 
-// AwaitHeld waits until the connection's second read is held: see ListenHolding.
+// AwaitHeld waits until the second read of the connection is held: see ListenHolding.
 func (c *ObservedConn) AwaitHeld(t *testing.T) {
 	t.Helper()
 	select {
 	case <-c.held:
 	case <-time.After(Patience):
-		t.Fatal("no second read began")
+		t.Fatalf("no second read began within %v", Patience)
 	}
 }
 
-// ReleaseReads lets held reads go on. It may be called once.
+// ReleaseReads lets held reads continue. It may be called only once.
 func (c *ObservedConn) ReleaseReads() { close(c.released) }
 
-// Listener accepts TCP connections as ObservedConn.
+// Listener accepts TCP connections and wraps each in an ObservedConn.
 type Listener struct {
 	net.Listener
 	accepted chan *ObservedConn
 	holding  bool
 }
 
-// maxAccepted is how many connections a Listener accepts at most.
+// maxAccepted is how many connections a Listener keeps for Accepted. If it is reached, Accept blocks.
 const maxAccepted = 1024
 
-// Listen listens on a free port of this host until the test ends.
+// Listen listens on a free port of the loopback interface until the test ends.
 func Listen(t *testing.T) *Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,8 +249,8 @@
 	return &Listener{Listener: listener, accepted: make(chan *ObservedConn, maxAccepted)}
 }
 
-// ListenHolding is like Listen. Of each connection all reads but the first are held until ReleaseReads, so that what
-// the peer sends meanwhile is in the system's hands and not read.
+// ListenHolding is like Listen, but all reads of a connection after the first are held until ReleaseReads. What the
+// peer sends meanwhile stays unread in the kernel's socket buffer.
 func ListenHolding(t *testing.T) *Listener {
 	t.Helper()
 	listener := Listen(t)
@@ -268,14 +273,14 @@
 	return observed, nil
 }
 
-// Accepted returns the connections in the order in which they were accepted, one a call.
+// Accepted returns the next connection in the order in which they were accepted, and waits until there is one.
 func (l *Listener) Accepted(t *testing.T) *ObservedConn {
 	t.Helper()
 	select {
 	case conn := <-l.accepted:
 		return conn
 	case <-time.After(Patience):
-		t.Fatal("no connection was accepted")
+		t.Fatalf("no connection was accepted within %v", Patience)
 		return nil
 	}
 }
--- a/internal/testkit/scaletest/scaletest.go
+++ b/internal/testkit/scaletest/scaletest.go
@@ -1,5 +1,5 @@
-// Package scaletest has the flags that tests of large sizes share, and records what such tests measure. It is for tests
-// only.
+// Package scaletest has the flags that tests with large input sizes share, and records the values that such tests
+// measure. It is for tests only.
 package scaletest
 
 import (
@@ -14,15 +14,15 @@
 )
 
 var (
-	full  = flag.Bool("full", false, "measure at all sizes that fit a machine, for up to half an hour and gigabytes")
-	sizes = flag.String("sizes", "", "with -full: a JSON array of the sizes instead of the usual ones")
-	file  = flag.String("readings", "", "file that readings are added to, one JSON object a line")
+	full  = flag.Bool("full", false, "run at all sizes that fit one machine: takes up to half an hour and gigabytes")
+	sizes = flag.String("sizes", "", "JSON array of sizes that replace the usual ones of -full")
+	file  = flag.String("readings", "", "file to which measured values are appended, one JSON object per line")
 )
 
 // Full reports whether the test runs with -full.
 func Full() bool { return *full }
 
-// Sizes returns the short sizes or, with -full, the long ones or those of -sizes.
+// Sizes returns the short sizes. With -full it returns those of -sizes, or the long ones if -sizes is not set.
 func Sizes(t testing.TB, short []int, long ...int) []int {
 	t.Helper()
 	if !*full {
@@ -33,19 +33,19 @@
 	}
 	var chosen []int
 	if err := json.Unmarshal([]byte(*sizes), &chosen); err != nil {
-		t.Fatalf("-sizes: %v", err)
+		t.Fatalf("-sizes %q is not a JSON array of integers: %v", *sizes, err)
 	}
 	return chosen
 }
 
-// record is a line of the file of -readings.
+// record is a line of the -readings file.
 type record[Metric ~string] struct {
 	Case   string             `json:"what"`
 	Size   int                `json:"n"`
 	Values map[Metric]float64 `json:"values"`
 }
 
-// Record logs the values that a case has at one size, and appends them to the file of -readings.
+// Record logs the values of a case at one size, and appends them to the -readings file if that flag is set.
 func Record[Metric ~string](t testing.TB, name string, size int, values map[Metric]float64) {
 	t.Helper()
 	text := fmt.Sprintf("%s, %d:", name, size)
@@ -57,7 +57,7 @@
 		return
 	}
 	if err := appendLine(*file, record[Metric]{name, size, values}); err != nil {
-		t.Fatalf("-readings: %v", err)
+		t.Fatalf("append to the -readings file: %v", err)
 	}
 }
 
--- a/internal/testkit/scaletest/scaletest_test.go
+++ b/internal/testkit/scaletest/scaletest_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// set gives a flag a value for the length of a test.
+// set sets a flag to a value until the test ends.
 func set[T any](t *testing.T, flag *T, value T) {
 	t.Helper()
 	before := *flag
