--- a/internal/testkit/checker/drain.go
+++ b/internal/testkit/checker/drain.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// drainRestrictions returns the time spans from the notification of a relay that an endpoint is draining or gone
-// until the notification that the endpoint is ready.
+// drainRestrictions returns, for each relay and endpoint, the time spans from the notification of the relay that
+// the endpoint is draining or gone until the notification that it is ready.
 func (r *record) drainRestrictions() map[relayEndpoint][]restriction {
 	restrictions := map[relayEndpoint][]restriction{}
 	for i, e := range r.events {
--- a/internal/testkit/checker/duplicate.go
+++ b/internal/testkit/checker/duplicate.go
@@ -48,7 +48,7 @@
 }
 
 // checkRepeatByKey checks that the endpoint of a repeat recognizes the idempotency key of an earlier attempt: the
-// repeat must come within the deduplication window, and from the same zone unless keys are recognized across zones.
+// repeat must come within the deduplication window, and in the same zone unless keys are recognized across zones.
 func (r *record) checkRepeatByKey(result *RuleResult, m *message, earlier, repeat attempt) {
 	at := repeat.FirstByteAt
 	evidence := []int{m.index, earlier.index, repeat.index}
@@ -65,8 +65,8 @@
 }
 
 // checkResubmission checks that no client is asked to submit a message again that may have run. It reports whether
-// a client was asked to after an attempt. A resubmission may reach any zone, so deduplication by key protects
-// against a second effect only if it works across zones.
+// a client was asked to do so after an attempt of the message. A resubmission may reach any zone, so deduplication
+// by key protects against a second effect only if it works across zones.
 func (r *record) checkResubmission(result *RuleResult, m *message) (exercised bool) {
 	if m.class.Effect == eventlog.Idempotent ||
 		m.class.Effect == eventlog.IdempotentByKey && m.class.DedupAcrossZones {
--- a/internal/testkit/checker/lost.go
+++ b/internal/testkit/checker/lost.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// checkNothingSentAfter checks that a message is not sent after the answer or notice that ended it, whose event
-// index is final.
+// checkNothingSentAfter checks that a message is not sent after the answer or notice that ended it. final is the
+// index of that event.
 func (r *record) checkNothingSentAfter(result *RuleResult, m *message, final int) {
 	finalAt := r.events[final].At
 	for _, a := range m.attempts {
--- a/internal/testkit/checker/messageoutcome.go
+++ b/internal/testkit/checker/messageoutcome.go
@@ -73,9 +73,9 @@
 	return firsts, deliveredAt
 }
 
-// WeightRatioAfter returns the ratio of the weight of a message that counts if the message is delivered with a
-// latency: 1 up to the latency objective of its class, then falling linearly to LateWeightRatio at the deadline,
-// and 0 after the deadline.
+// WeightRatioAfter returns the part of its weight, from 0 to 1, that a message of a class contributes if it is
+// delivered after a latency: 1 up to the latency objective, then falling linearly to LateWeightRatio at the
+// deadline, and 0 after the deadline.
 func WeightRatioAfter(c eventlog.Class, latency time.Duration) float64 {
 	switch {
 	case latency <= c.LatencyObjective:
--- a/internal/testkit/checker/order.go
+++ b/internal/testkit/checker/order.go
@@ -35,9 +35,9 @@
 		!r.startedBetween(later.Relay, earlier.At, later.attempts[0].FirstByteAt)
 }
 
-// orderConflict returns the index of the call event of the first attempt of the later message that was sent too
-// early, and a text with the state of the earlier message at that time. The text is "" if no attempt was sent too
-// early.
+// orderConflict finds the first attempt of the later message that was sent too early. It returns the index of the
+// call event and a text with the state of the earlier message at that time, or noEvent and "" if there is no such
+// attempt.
 func (r *record) orderConflict(earlier, later *message) (event int, text string) {
 	finalAt := r.finalDecisionAt(earlier)
 	for _, next := range later.attempts {
--- a/internal/testkit/checker/peerview.go
+++ b/internal/testkit/checker/peerview.go
@@ -12,7 +12,7 @@
 	// allows for the time of the query and for that of the datagram with the report, which is not observed.
 	peerReportTolerance = 400 * time.Millisecond
 	// peerDiscoveryTimeout is the time within which two running relays with healthy links between them must receive
-	// a report of each other. It includes the seconds until a relay again contacts a peer that it considered dead.
+	// a report of each other. A relay takes seconds to contact a peer again that it considered dead.
 	peerDiscoveryTimeout = 20 * time.Second
 	// maxPeerReportAge is the greatest allowed age of the newest report after peerDiscoveryTimeout.
 	maxPeerReportAge = 8 * time.Second
@@ -21,8 +21,8 @@
 	peerActivityWindow = 3 * time.Second
 )
 
-// PeerViewResult compares the age of the reports that relays hold of each other with the age that these reports can
-// have.
+// PeerViewResult is the result of checking peer views: whether relays hold reports of each other that are fresher
+// or older than the links and processes of the run allow.
 type PeerViewResult struct {
 	Queried      int        `json:"asked"` // peer views
 	Disconnected int        `json:"apart"` // peer views while a relay of the pair was down or a link was not healthy
--- a/internal/testkit/checker/record.go
+++ b/internal/testkit/checker/record.go
@@ -21,16 +21,18 @@
 type record struct {
 	eventlog.Header
 	events      []eventlog.Event
-	messages    map[string]*message        // by id of the submission
-	submissions []*message                 // in the order of submission
-	calls       map[uint64]*call           // by number
-	allCalls    []*call                    // in the order of their first bytes
-	received    []*call                    // the complete calls, in the order of their last bytes
-	endpoints   map[string]endpoint        // by id
-	downtimes   map[string][]timeSpan      // by relay: from its signal until restartGrace after the relay is ready
-	starts      map[string][]time.Duration // by relay: when each of its processes started
-	end         time.Duration              // the time of the last event
-	complete    bool                       // the run was recorded to its planned end
+	messages    map[string]*message // by id of the submission
+	submissions []*message          // in the order of submission
+	calls       map[uint64]*call    // by number
+	allCalls    []*call             // in the order of their first bytes
+	received    []*call             // the complete calls, in the order of their last bytes
+	endpoints   map[string]endpoint // by id
+	// downtimes are, by relay, the spans from a SIGTERM, SIGKILL or SIGSTOP until restartGrace after the relay is ready
+	// or continues.
+	downtimes map[string][]timeSpan
+	starts    map[string][]time.Duration // by relay: when each of its processes started
+	end       time.Duration              // the time of the last event
+	complete  bool                       // the run was recorded to its planned end
 
 	runErrors           []Violation
 	inconclusiveReasons []string
--- a/internal/testkit/checker/recovery.go
+++ b/internal/testkit/checker/recovery.go
@@ -13,7 +13,7 @@
 // recovery is the time after an outage of a service, until the service is warm or its next outage begins.
 type recovery struct {
 	outageStart, outageEnd eventlog.Event
-	startIndex, endIndex   int            // of the two events
+	startIndex, endIndex   int            // indexes of these two events
 	until                  time.Duration  // when the recovery ends
 	informedBy             map[string]int // by relay: the event by which it observed the outage, or noEvent
 }
--- a/internal/testkit/checker/service.go
+++ b/internal/testkit/checker/service.go
@@ -188,7 +188,7 @@
 	return worst, at
 }
 
-// percentile returns the smallest value that is greater than or equal to the given ratio of all values, or 0 if
+// percentile returns the smallest value that has at least the given ratio of all values at or below it, or 0 if
 // there are no values.
 func percentile(values []time.Duration, ratio float64) time.Duration {
 	if len(values) == 0 {
--- a/internal/testkit/nettest/nettest.go
+++ b/internal/testkit/nettest/nettest.go
@@ -191,7 +191,7 @@
 	*net.TCPConn
 	failedReads atomic.Int32
 
-	// The fields below are set only if reads after the first one are held: see ListenHolding.
+	// The fields below are used only if reads after the first one are held: see ListenHolding.
 	reads    atomic.Int32
 	held     chan struct{} // closed when the second read begins
 	released chan struct{} // closed when held reads may continue
