--- a/internal/testkit/scenario/duration.go
+++ b/internal/testkit/scenario/duration.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Duration is a time.Duration that a file gives as text, such as "1.5s".
+// Duration is a time.Duration that scenario files hold as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText parses what time.ParseDuration accepts.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no duration such as \"1.5s\" or \"400ms\"", text)
+		return fmt.Errorf("%q is not a duration; expected a value such as \"1.5s\" or \"400ms\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
--- a/internal/testkit/scenario/load.go
+++ b/internal/testkit/scenario/load.go
@@ -18,11 +18,11 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Shipped returns the names of the scenarios that come with the program.
+// Shipped returns the names of the scenarios that are embedded in the program.
 func Shipped() []string {
 	entries, err := fs.ReadDir(shipped, "shipped")
 	if err != nil {
-		panic(err) // the folder is part of the program
+		panic(err) // the folder is embedded in the program
 	}
 	names := make([]string, 0, len(entries))
 	for _, entry := range entries {
@@ -31,10 +31,10 @@
 	return names
 }
 
-// Load reads a shipped scenario by its name, or a file by its path, for a rehearsal with processes.
+// Load reads a shipped scenario by its name, or a file by its path, and validates it for a rehearsal with processes.
 func Load(name string) (File, error) { return LoadWithin(name, RehearsalBounds) }
 
-// LoadWithin is Load for a scenario that is to run within bounds.
+// LoadWithin is like Load, but validates the scenario for a runner with the given bounds.
 func LoadWithin(name string, bounds Bounds) (File, error) {
 	if slices.Contains(Shipped(), name) {
 		data, err := fs.ReadFile(shipped, path.Join("shipped", name+".toml"))
@@ -58,22 +58,22 @@
 		}
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only: an error loses no data
 	data, err = io.ReadAll(io.LimitReader(file, maxFileSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	if len(data) > maxFileSize {
-		return nil, fmt.Errorf("scenario %s: over %d bytes", name, maxFileSize)
+		return nil, fmt.Errorf("scenario %s: file is larger than %d bytes", name, maxFileSize)
 	}
 	return data, nil
 }
 
-// Parse reads a scenario for a rehearsal with processes. Errors name the file, and the line where it is known; one
-// error describes all values that are invalid.
+// Parse decodes a scenario and validates it for a rehearsal with processes. Errors name the file, and the line where it
+// is known. One error describes all invalid values.
 func Parse(name string, data []byte) (File, error) { return ParseWithin(name, data, RehearsalBounds) }
 
-// ParseWithin is Parse for a scenario that is to run within bounds.
+// ParseWithin is like Parse, but validates the scenario for a runner with the given bounds.
 func ParseWithin(name string, data []byte, bounds Bounds) (File, error) {
 	var f File
 	if err := stricttoml.Decode("scenario "+name, data, &f); err != nil {
--- a/internal/testkit/scenario/load_test.go
+++ b/internal/testkit/scenario/load_test.go
@@ -12,7 +12,7 @@
 
 func TestShippedScenariosLoad(t *testing.T) {
 	if len(Shipped()) < 10 {
-		t.Errorf("shipped: %v", Shipped())
+		t.Errorf("%d shipped scenarios, want at least 10: %v", len(Shipped()), Shipped())
 	}
 	for _, name := range Shipped() {
 		f, err := Load(name)
@@ -21,11 +21,11 @@
 			continue
 		}
 		if f.Name != name || f.Description == "" {
-			t.Errorf("%s is named %q, about %q", name, f.Name, f.Description)
+			t.Errorf("%s: name %q, about %q; want its file name and a description", name, f.Name, f.Description)
 		}
 		p := f.Draw(0)
 		if len(p.Arrivals) == 0 || text(t, p) != text(t, f.Draw(0)) {
-			t.Errorf("%s: no plan, or another one the second time", name)
+			t.Errorf("%s: the plan has no arrivals or is not the same when drawn again", name)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	if err := os.WriteFile(path, bytes.Repeat([]byte("#"), maxFileSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "over") {
+	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "larger than") {
 		t.Errorf("%v", err)
 	}
 }
@@ -71,10 +71,10 @@
 			messages += traffic.Rate * (traffic.To - traffic.From).AsDuration().Seconds()
 		}
 		if messages > 10000 {
-			return // valid, but drawing it here would take too long
+			return // valid, but drawing its plan would take too long
 		}
 		if a, b := file.Draw(0).Digest(), file.Draw(0).Digest(); a != b {
-			t.Errorf("two plans: %s and %s", a, b)
+			t.Errorf("two digests of the same plan: %s and %s", a, b)
 		}
 	})
 }
--- a/internal/testkit/scenario/validate.go
+++ b/internal/testkit/scenario/validate.go
@@ -14,28 +14,28 @@
 const (
 	maxLength            = 2 * time.Hour
 	maxBodySize          = 64 << 10 // bytes
-	maxBurstSize         = 10000
+	maxBurstSize         = 10000    // messages
 	maxMessagesPerCall   = 1000
 	maxTick              = time.Second
-	minSockets           = 64
-	maxRelayVariation    = 10
-	minPlausibleDuration = time.Millisecond
+	minSockets           = 64               // of a relay
+	maxRelayVariation    = 10               // coefficient of variation
+	minPlausibleDuration = time.Millisecond // see validateDurations
 )
 
-// Bounds are what a runner of scenarios can run.
+// Bounds limits the scenarios that a runner accepts.
 type Bounds struct {
 	MaxRelays, MaxEndpoints, MaxArrivals int
 
-	SettableClocks bool // the relays' wall clocks can be stepped
+	SettableClocks bool // the runner can step the wall clocks of relays
 }
 
-// The bounds of one machine with processes and sockets, and of the emulator in virtual time.
+// The bounds of rehearsals, with processes and sockets on one machine, and of the emulator, in virtual time.
 var (
 	RehearsalBounds = Bounds{MaxRelays: 20, MaxEndpoints: 500, MaxArrivals: 2_000_000}
 	EmulatorBounds  = Bounds{MaxRelays: 5000, MaxEndpoints: 1_000_000, MaxArrivals: 100_000_000, SettableClocks: true}
 )
 
-// problems collects what is invalid.
+// problems collects the errors of an invalid scenario.
 type problems []error
 
 func (p *problems) add(format string, args ...any) { *p = append(*p, fmt.Errorf(format, args...)) }
@@ -46,7 +46,7 @@
 	}
 }
 
-// requireOneOf adds a problem unless the value is one of those allowed; its text ends with the value.
+// requireOneOf adds a problem unless the value is one of those allowed. The value is the last argument of the format.
 func requireOneOf[T ~string](p *problems, value T, allowed []T, format string, args ...any) {
 	p.require(slices.Contains(allowed, value), format, append(args, value)...)
 }
@@ -56,7 +56,7 @@
 // ValidateWithin returns an error that describes everything that is invalid in a scenario that is to run within bounds.
 func (f *File) ValidateWithin(bounds Bounds) error {
 	var p problems
-	p.require(f.Name != "", "no name")
+	p.require(f.Name != "", "name must not be empty")
 	p.require(
 		f.Length > 0 && f.Length.AsDuration() <= maxLength,
 		"length must be above 0 and at most %v", maxLength,
@@ -88,11 +88,11 @@
 	p.require(s.Tick > 0 && s.Tick.AsDuration() <= maxTick, "settings: tick must be above 0 and at most %v", maxTick)
 	p.require(
 		s.ConnectTimeout > 0 && s.KeepAliveTimeout > 0 && s.MaxRetryAfter >= 0,
-		"settings: connect_timeout and keep_alive must be above 0",
+		"settings: connect_timeout and keep_alive must be above 0, and max_retry_after must not be below 0",
 	)
 	p.require(
 		s.MemoryMB > 0 && s.MaxSockets >= minSockets && s.DiskMB > 0,
-		"settings: memory_mb and disk_mb must be above 0, sockets at least %d", minSockets,
+		"settings: memory_mb and disk_mb must be above 0, and sockets must be at least %d", minSockets,
 	)
 	p.require(
 		s.DrainGrace > 0 && s.OverloadFactor > 0 && s.OverloadWindow > 0 && s.OrderingPause > 0,
@@ -104,7 +104,7 @@
 func (c *Clients) validate(p *problems) {
 	p.require(
 		c.AnswerTimeout > 0 && c.RetryBackoff > 0 && isRatio(*c.RetryRatio),
-		"clients: answer_within and backoff must be above 0, again 0 to 1",
+		"clients: answer_within and backoff must be above 0, and again must be 0 to 1",
 	)
 	p.require(
 		c.RelayVariation >= 0 && c.RelayVariation <= maxRelayVariation,
@@ -112,13 +112,13 @@
 	)
 }
 
-// validateDurations finds durations that are given as plain numbers, which the decoder takes for nanoseconds: none that
-// is meant is so short.
+// validateDurations rejects durations of less than minPlausibleDuration, except 0. A file that gives a plain number
+// instead of a text such as "1.5s" gets such a duration, since the decoder reads the number as nanoseconds.
 func validateDurations(p *problems, value reflect.Value, key string) {
 	if duration, ok := value.Interface().(Duration); ok {
 		p.require(
 			duration == 0 || duration.AsDuration().Abs() >= minPlausibleDuration,
-			"%s: give a duration such as \"1.5s\", %v at least", strings.TrimPrefix(key, "."), minPlausibleDuration,
+			"%s: must be a duration such as \"1.5s\", at least %v", strings.TrimPrefix(key, "."), minPlausibleDuration,
 		)
 		return
 	}
@@ -141,14 +141,17 @@
 	validateUnique(p, "kind", f.DestinationKinds, func(k DestinationKind) string { return k.Name })
 }
 
-// validateUnique requires that there is at least one item, and that each has a valid name of its own.
+// validateUnique requires at least one item, and that each has a valid and unique name.
 func validateUnique[T any](p *problems, what string, items []T, nameOf func(T) string) {
-	p.require(len(items) > 0, "no %s", what)
+	p.require(len(items) > 0, "at least one %s is required", what)
 	seen := map[string]bool{}
 	for _, item := range items {
 		name := nameOf(item)
-		p.require(name != "" && !strings.ContainsAny(name, " /?,;=\r\n"), "%s: bad name %q", what, name)
-		p.require(!seen[name], "%s: two are named %q", what, name)
+		p.require(
+			name != "" && !strings.ContainsAny(name, " /?,;=\r\n"),
+			"%s: name %q must not be empty or contain a space, a line break or any of / ? , ; =", what, name,
+		)
+		p.require(!seen[name], "%s: duplicate name %q", what, name)
 		seen[name] = true
 	}
 }
@@ -166,7 +169,7 @@
 		)
 		p.require(
 			c.LatencyObjective > 0 && c.Deadline > c.LatencyObjective,
-			"%s: give_up must be after aim, and aim above 0", at,
+			"%s: give_up must be longer than aim, and aim must be above 0", at,
 		)
 		p.require(isRatio(c.LateWeightRatio), "%s: late_worth must be 0 to 1", at)
 		p.require(c.TrafficShare > 0 && c.Weight > 0, "%s: share and worth must be above 0", at)
@@ -174,7 +177,7 @@
 	for _, c := range f.Customers {
 		p.require(
 			c.TrafficShare > 0 && c.Quota >= 0,
-			"customer %s: share must be above 0, quota not below", c.Name,
+			"customer %s: share must be above 0, and quota must not be below 0", c.Name,
 		)
 	}
 }
@@ -184,7 +187,7 @@
 		k.validate(p)
 	}
 	endpoints := 0
-	p.require(len(f.Destinations) > 0, "no destination")
+	p.require(len(f.Destinations) > 0, "at least one [[destination]] table is required")
 	for i, d := range f.Destinations {
 		f.validateDestination(p, fmt.Sprintf("destination %d", i+1), d)
 		endpoints += d.Count * d.Endpoints
@@ -202,7 +205,7 @@
 	}
 	p.require(
 		validDistribution,
-		"kind %s: law must be lognormal or exponential, the latter without spread", k.Name,
+		"kind %s: law must be lognormal or exponential, and spread must not be set for exponential", k.Name,
 	)
 	p.require(
 		k.MaxMessagesPerCall >= 1 && k.MaxMessagesPerCall <= maxMessagesPerCall,
@@ -228,16 +231,16 @@
 	}
 }
 
-// validateDestinationNumbers requires that each is the number of a destination, counted from 1.
+// validateDestinationNumbers requires that each number is that of a destination, counted from 1.
 func (f *File) validateDestinationNumbers(p *problems, at string, numbers []int) {
 	count := f.destinationCount()
 	for _, number := range numbers {
-		p.require(number >= 1 && number <= count, "%s: no destination %d, there are %d", at, number, count)
+		p.require(number >= 1 && number <= count, "%s: destination %d does not exist, there are %d", at, number, count)
 	}
 }
 
 func (f *File) validateTraffic(p *problems, bounds Bounds) {
-	p.require(len(f.Traffic) > 0, "no traffic")
+	p.require(len(f.Traffic) > 0, "at least one [[traffic]] table is required")
 	messages := 0.0
 	for i, t := range f.Traffic {
 		f.validateTrafficEntry(p, fmt.Sprintf("traffic %d", i+1), t)
@@ -249,7 +252,7 @@
 func (f *File) validateTrafficEntry(p *problems, at string, t Traffic) {
 	p.require(
 		t.From >= 0 && t.To > t.From && t.To <= f.Length,
-		"%s: from must be before to, both within length", at,
+		"%s: from must be before to, and both within length", at,
 	)
 	p.require(t.Rate > 0, "%s: rate must be above 0", at)
 	shapes := []TrafficShape{ShapeSteady, ShapeBursts, ShapeDinner}
--- a/internal/testkit/scenario/validate_test.go
+++ b/internal/testkit/scenario/validate_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// checkParseError parses a scenario that is invalid, and checks what the error says.
+// checkParseError parses an invalid scenario, and checks that the error contains want.
 func checkParseError(t *testing.T, file, want string) {
 	t.Helper()
 	_, err := Parse("test", []byte(file))
@@ -31,21 +31,21 @@
 func TestInvalidValuesAreRejectedWithAReason(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`length = "20s"`, `length = "20"`, "test:3"},
-		{`length = "20s"`, "length = 20", `length: give a duration such as "1.5s"`},
+		{`length = "20s"`, "length = 20", `length: must be a duration such as "1.5s"`},
 		{`length = "20s"`, `length = "-1s"`, "length must be above 0"},
 		{"relays = 2", "relays = 21", "relays must be 1 to 20"},
 		{"relays = 2", "relays = ", "test:4"},
-		{`name = "base"`, "", "no name"},
+		{`name = "base"`, "", "name must not be empty"},
 		{`effect = "keyed"`, `effect = "keyd"`, `not "keyd"`},
 		{`window = "10s"`, "", "needs a window"},
-		{`give_up = "12s"`, `give_up = "2s"`, "give_up must be after aim"},
+		{`give_up = "12s"`, `give_up = "2s"`, "give_up must be longer than aim"},
 		{"late_worth = 0.4", "late_worth = 4", "late_worth must be 0 to 1"},
 		{`pace = "100ms"`, "", "must be above 0"},
 		{`kind = "store"`, `kind = "shop"`, `unknown kind "shop"`},
 		{"count = 3", "count = 400", "endpoints, 500 at most"},
 		{"rate = 50", "rate = 0", "rate must be above 0"},
 		{"rate = 50", "rate = 1e6", "2000000 at most"},
-		{"slots = 2", "slots = 2\nrefused_debt = \"2s\"", "debt 2s needs a limit by rate"},
+		{"slots = 2", "slots = 2\nrefused_debt = \"2s\"", `refused_debt 2s needs limit = "rate"`},
 	} {
 		t.Run(c.replacement, func(t *testing.T) {
 			if !strings.Contains(base, c.old) {
@@ -56,7 +56,8 @@
 	}
 }
 
-// invalidTables are lines that make the base scenario invalid; those without a table belong to its traffic.
+// invalidTables are lines that make the base scenario invalid when they are appended to it. Lines without a table
+// header belong to its [[traffic]] table.
 var invalidTables = []struct{ name, lines, want string }{
 	{
 		name:  "shape square",
@@ -76,12 +77,12 @@
 	{
 		name:  "destinations 9:",
 		lines: `destinations = [9]`,
-		want:  "no destination 9, there are 4",
+		want:  "destination 9 does not exist, there are 4",
 	},
 	{
 		name:  "to 30s",
 		lines: `to = "30s"`,
-		want:  "both within length",
+		want:  "and both within length",
 	},
 	{
 		name:  "body 70000",
@@ -92,7 +93,7 @@
 		name: "trouble: kind quake",
 		lines: `[[trouble]]
 kind = "quake"`,
-		want: "unknown kind, one of drain",
+		want: "unknown kind, must be one of drain",
 	},
 	{
 		name: "trouble: kind shut share 0.5",
@@ -126,7 +127,7 @@
 		lines: `[[trouble]]
 kind = "kill"
 relays = [3]`,
-		want: "no relay 3, there are 2",
+		want: "relay 3 does not exist, there are 2",
 	},
 	{
 		name: "trouble: kind discovery-late for 1s",
@@ -151,19 +152,19 @@
 effect = "safe"
 aim = "1s"
 give_up = "2s"`,
-		want: `two are named "order"`,
+		want: `duplicate name "order"`,
 	},
 	{
 		name: "settings: sockets 3",
 		lines: `[settings]
 sockets = 3`,
-		want: "sockets at least 64",
+		want: "sockets must be at least 64",
 	},
 	{
 		name: "clients: again 2.0",
 		lines: `[clients]
 again = 2.0`,
-		want: "again 0 to 1",
+		want: "again must be 0 to 1",
 	},
 	{
 		name: "clients: uneven -1.0",
--- a/internal/testkit/upstream/limit.go
+++ b/internal/testkit/upstream/limit.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// LimitKind is how a service limits the rate of calls. The values are those of scenario files.
+// LimitKind is how a service limits the rate of calls. The values appear in scenario files.
 type LimitKind string
 
 // The kinds of limit.
 const (
 	NoLimit     LimitKind = "none"
-	TokenBucket LimitKind = "rate"   // calls a second, with bursts up to burstRatio of a second's calls
+	TokenBucket LimitKind = "rate"   // calls a second, with bursts of up to burstRatio times that
 	FixedWindow LimitKind = "window" // calls in each window of a fixed length
 )
 
-// burstRatio is the size of a token bucket relative to the calls of one second.
+// burstRatio is the size of a token bucket, relative to the calls of one second.
 const burstRatio = 0.25
 
 // limiter is the state of a service's rate limit.
 type limiter struct {
-	tokens      float64       // TokenBucket; below 0 while rejected calls are in debt
-	refilledAt  time.Duration // TokenBucket
-	windowIndex int64         // FixedWindow
-	windowCalls int           // FixedWindow: calls served in the window
+	tokens      float64       // TokenBucket; below 0 if rejected calls used up tokens in advance
+	refilledAt  time.Duration // TokenBucket: time of the last refill
+	windowIndex int64         // FixedWindow: number of the current window, counted from time 0
+	windowCalls int           // FixedWindow: calls served in the current window
 }
 
-// effectiveLimitRate returns the limit under the present divisor, in calls a second.
+// effectiveLimitRate returns the limit divided by limitDivisor, in calls a second.
 func (s *Service) effectiveLimitRate() float64 { return s.LimitRate / s.limitDivisor }
 
-// burstSize returns the size of the token bucket.
+// burstSize returns the size of the token bucket, in calls.
 func (s *Service) burstSize() float64 { return max(1, s.effectiveLimitRate()*burstRatio) }
 
-// maxDebtCalls returns how many tokens below zero rejected calls may take the bucket.
+// maxDebtCalls returns how far below 0 rejected calls may take the tokens of the bucket.
 func (s *Service) maxDebtCalls() float64 {
 	if s.MaxDebt > 0 {
 		return s.effectiveLimitRate() * s.MaxDebt.Seconds()
@@ -40,7 +40,7 @@
 	return s.burstSize()
 }
 
-// checkLimit reports whether the limit rejects a call at a time, and how long until it admits one.
+// checkLimit reports whether the limit rejects a call at a time. If so, wait is the time until the limit admits one.
 func (s *Service) checkLimit(at time.Duration) (wait time.Duration, limited bool) {
 	switch s.Limit {
 	case TokenBucket:
--- a/internal/testkit/upstream/limit_test.go
+++ b/internal/testkit/upstream/limit_test.go
@@ -38,20 +38,20 @@
 	spec.CountsRejected = true
 	service := newTestService(spec)
 	service.HandleCall(0, "a", 1)
-	service.HandleCall(0, "a", 1) // rejected, and counted
+	service.HandleCall(0, "a", 1) // rejected, and counts against the limit
 	if r := service.HandleCall(250*time.Millisecond, "a", 1); r.Result != Rejected {
-		t.Errorf("%+v", r)
+		t.Errorf("after a rejected call: %+v, want rejected", r)
 	}
 }
 
-// How far ahead rejected calls use up a limit is bounded: by the bucket's size, or by the debt that is set.
+// Rejected calls may use up a limit in advance only up to a bound: the size of the bucket, or MaxDebt if it is set.
 func TestRejectedCallsUseUpAtMostTheDebt(t *testing.T) {
 	cases := []struct {
-		name         string
-		debt, closed time.Duration
+		name       string
+		debt, wait time.Duration // MaxDebt, and the time until a call is served again
 	}{
-		{name: "bucket size", closed: 500 * time.Millisecond},
-		{name: "debt", debt: 3 * time.Second, closed: 3250 * time.Millisecond},
+		{name: "bucket size", wait: 500 * time.Millisecond},
+		{name: "debt", debt: 3 * time.Second, wait: 3250 * time.Millisecond},
 	}
 	for _, c := range cases {
 		spec := tokenBucketSpec()
@@ -65,17 +65,17 @@
 			return service.HandleCall(at, "a", 1)
 		}
 		t.Run(c.name, func(t *testing.T) {
-			if r := respondAt(c.closed + time.Millisecond); r.Result != Served {
-				t.Errorf("debt %v: %+v once it is paid", c.debt, r)
+			if r := respondAt(c.wait + time.Millisecond); r.Result != Served {
+				t.Errorf("debt %v: %+v after %v, want served", c.debt, r, c.wait+time.Millisecond)
 			}
-			if r := respondAt(c.closed - time.Millisecond); r.Result != Rejected {
-				t.Errorf("debt %v: %+v before it is paid", c.debt, r)
+			if r := respondAt(c.wait - time.Millisecond); r.Result != Rejected {
+				t.Errorf("debt %v: %+v after %v, want rejected", c.debt, r, c.wait-time.Millisecond)
 			}
 		})
 	}
 }
 
-// A limit of either kind admits less while it is divided, and its full rate after that.
+// A limit of either kind admits fewer calls while a divisor is set, and its full rate after that.
 func TestLimitDivisor(t *testing.T) {
 	for _, limit := range []LimitKind{TokenBucket, FixedWindow} {
 		t.Run(string(limit), func(t *testing.T) {
@@ -96,7 +96,7 @@
 			}
 			checkServed(t, "before", served(0), 200, 211)
 			service.SetLimitDivisor(4)
-			checkServed(t, "while divided", served(10*time.Second), 50, 64)
+			checkServed(t, "with divisor", served(10*time.Second), 50, 64)
 			service.SetLimitDivisor(1)
 			checkServed(t, "after", served(20*time.Second), 200, 211)
 		})
@@ -104,10 +104,10 @@
 }
 
 // checkServed checks the number of calls that were served in five seconds.
-func checkServed(t *testing.T, when string, served, least, most int) {
+func checkServed(t *testing.T, phase string, served, least, most int) {
 	t.Helper()
 	if served < least || served > most {
-		t.Errorf("%s: %d served, want %d to %d", when, served, least, most)
+		t.Errorf("%s: %d calls served, want %d to %d", phase, served, least, most)
 	}
 }
 
@@ -125,7 +125,7 @@
 			t.Errorf("call %d: %+v", i, r)
 		}
 		if r.Result == Rejected && r.RetryAfter != 600*time.Millisecond {
-			t.Errorf("Retry-After %v, the window ends after 600ms", r.RetryAfter)
+			t.Errorf("Retry-After %v, want 600ms, the rest of the window", r.RetryAfter)
 		}
 	}
 	if r := service.HandleCall(time.Second, "a", 1); r.Result != Served {
--- a/internal/testkit/upstream/service.go
+++ b/internal/testkit/upstream/service.go
@@ -1,9 +1,9 @@
-// Package upstream is a model of the services that a relay delivers to: how fast they are, what they reject, how they
-// fail, and how they recover. It does no I/O and reads no clock: the caller passes the time of each call and gets the
-// service's response, so that the same calls at the same times always get the same responses.
+// Package upstream models the services to which relays deliver messages: how long they take to serve a call, which
+// calls they reject, how they fail and how they recover. It does no I/O and reads no clock: the caller passes the
+// time of each call and gets the response. The same calls at the same times always get the same responses.
 //
-// A Service is what shares one rate limit, one service time and one outage: a destination with all its endpoints, or
-// one endpoint if the endpoints of the destination have limits of their own.
+// A Service has one rate limit, one distribution of service times and one outage state. It models a destination with
+// all its endpoints, or a single endpoint if the endpoints of the destination have limits of their own.
 package upstream
 
 import (
@@ -13,18 +13,18 @@
 )
 
 const (
-	// errorLatency is the time to a rejection or an error, which need no work.
+	// errorLatency is the latency of rejections and errors, for which the service does no work.
 	errorLatency = 2 * time.Millisecond
-	// minRetryAfter is the least Retry-After that is sent at all, since 0 means none.
+	// minRetryAfter is the shortest Retry-After that is sent, since 0 means that none is sent.
 	minRetryAfter = time.Millisecond
-	// randomStream is the second half of the generator's seed: the fraction of the golden ratio in 64 bits.
+	// randomStream is the second half of the random generator's seed: the fraction of the golden ratio, in 64 bits.
 	randomStream = 0x9e3779b97f4a7c15
 )
 
 // Result is the kind of a response.
 type Result int
 
-// The results.
+// The kinds of response.
 const (
 	Served Result = iota
 	Rejected
@@ -36,34 +36,35 @@
 type Response struct {
 	Result         Result
 	Latency        time.Duration // from the call's arrival to its answer; not set if Unanswered
-	RetryAfter     time.Duration // Rejected: the Retry-After; 0: none
+	RetryAfter     time.Duration // Rejected: the Retry-After that is sent; 0: none
 	CausedOverload bool          // this call overloaded the service
-	ResponseLost   bool          // Served: the answer is lost, together with the connection that it is sent on
+	ResponseLost   bool          // Served: the answer is lost, together with its connection
 }
 
-// Service is an upstream service at work. It is not safe for concurrent use.
+// Service is the state of an upstream service. It is not safe for concurrent use.
 type Service struct {
 	Spec
 	random    *rand.Rand
-	endpoints map[string][]time.Duration // when each slot of an endpoint becomes free
+	endpoints map[string][]time.Duration // by endpoint: the time at which each slot becomes free
 	limiter   limiter
 
 	// Faults, set by the caller.
-	slowdown          float64 // factor on service times; 1: none
+	slowdown          float64 // multiplies service times; 1: none
 	limitDivisor      float64 // divides the limit's rate; 1: none
-	failureRatio      float64 // the ratio of calls that fail
-	responseLossRatio float64 // the ratio of answers that are lost
+	failureRatio      float64 // ratio of calls that fail
+	responseLossRatio float64 // ratio of answers to served calls that are lost
 	suspended         bool
-	suspendedUntil    time.Duration // as Retry-After says; 0: no Retry-After
+	suspendedUntil    time.Duration // the time that Retry-After refers to; 0: no Retry-After
 	silent            bool
 
 	overloaded bool
 	warmUp     WarmUp
 	warmingUp  bool
-	arrivals   []arrival // within the overload window, while warming up
+	arrivals   []arrival // calls within the overload window; used while warming up
 }
 
-// New returns a service at full capacity without endpoints. The seed determines its service times and rejections.
+// New returns a service at full capacity, without endpoints. The seed determines its random choices, such as service
+// times.
 func New(spec Spec, seed uint64) *Service {
 	s := &Service{
 		Spec:         spec,
@@ -83,10 +84,10 @@
 	}
 }
 
-// RemoveEndpoint removes an endpoint. Calls that it is serving go on.
+// RemoveEndpoint removes an endpoint. Calls that it has begun to serve complete.
 func (s *Service) RemoveEndpoint(endpoint string) { delete(s.endpoints, endpoint) }
 
-// Capacity returns how many calls a second the service can serve when warm.
+// Capacity returns the number of calls a second that the service can serve when warm.
 func (s *Service) Capacity() float64 { return float64(len(s.endpoints)) * s.EndpointCapacity() }
 
 // SetSlowdown multiplies service times by a factor; 1 ends the fault.
@@ -95,13 +96,14 @@
 // SetLimitDivisor divides the limit's rate without notice to callers; 1 ends the fault.
 func (s *Service) SetLimitDivisor(factor float64) { s.limitDivisor = factor }
 
-// SetFailureRatio makes a ratio of the calls fail quickly; 0 ends the fault.
+// SetFailureRatio sets the ratio of calls that fail immediately; 0 ends the fault.
 func (s *Service) SetFailureRatio(ratio float64) { s.failureRatio = ratio }
 
-// SetResponseLossRatio makes a ratio of the answers to served calls get lost; 0 ends the fault.
+// SetResponseLossRatio sets the ratio of answers to served calls that are lost; 0 ends the fault.
 func (s *Service) SetResponseLossRatio(ratio float64) { s.responseLossRatio = ratio }
 
-// Suspend makes the service reject all calls. Its Retry-After refers to until; 0 sends none.
+// Suspend makes the service reject all calls until Resume is called. A Retry-After that is sent with a rejection
+// refers to until; if until is 0 or over, none is sent.
 func (s *Service) Suspend(until time.Duration) {
 	s.suspended = true
 	s.suspendedUntil = until
@@ -113,14 +115,14 @@
 	s.suspendedUntil = 0
 }
 
-// SetSilent makes the service leave all calls unanswered, or ends that.
+// SetSilent sets whether the service leaves all calls unanswered.
 func (s *Service) SetSilent(on bool) { s.silent = on }
 
-// Overloaded reports whether the service was overloaded while it warmed up. It then stays out of service.
+// Overloaded reports whether the service was overloaded while it warmed up. An overloaded service never recovers.
 func (s *Service) Overloaded() bool { return s.overloaded }
 
-// HandleCall returns the response to a call with a number of messages that reaches an endpoint at a time. Times must
-// not decrease from call to call.
+// HandleCall returns the response to a call that reaches an endpoint at a time with a number of messages. The times
+// must not decrease from call to call.
 func (s *Service) HandleCall(at time.Duration, endpoint string, messages int) Response {
 	if s.recordArrival(at, messages) {
 		return Response{Result: Unanswered, CausedOverload: true}
@@ -139,7 +141,8 @@
 	return s.serve(at, endpoint, messages)
 }
 
-// serve assigns a call to the slot of the endpoint that is free first.
+// serve assigns a call to the slot of the endpoint that becomes free first. It rejects a call that would wait longer
+// than MaxQueueTime for the slot.
 func (s *Service) serve(at time.Duration, endpoint string, messages int) Response {
 	slots := s.endpoints[endpoint]
 	if slots == nil {
@@ -164,7 +167,7 @@
 	}
 }
 
-// reject rejects a call. wait is the time until the service admits one, 0 if that is not known.
+// reject returns a rejection. wait is the time until the service admits a call; 0: unknown.
 func (s *Service) reject(wait time.Duration) Response {
 	response := Response{Result: Rejected, Latency: errorLatency}
 	if s.random.Float64() < s.RetryAfterRatio {
@@ -173,7 +176,7 @@
 	return response
 }
 
-// rejectSuspended rejects a call while the service is suspended.
+// rejectSuspended returns the rejection of a call while the service is suspended.
 func (s *Service) rejectSuspended(at time.Duration) Response {
 	response := s.reject(0)
 	if s.suspendedUntil > at && response.RetryAfter > 0 {
@@ -184,7 +187,7 @@
 	return response
 }
 
-// drawServiceTime draws how long a call takes to serve.
+// drawServiceTime draws the time that the service takes to serve a call.
 func (s *Service) drawServiceTime(at time.Duration, messages int) time.Duration {
 	nanoseconds := float64(s.ServiceTime) * s.slowdown * s.CallWeight(messages)
 	if s.warmingUp {
--- a/internal/testkit/upstream/service_test.go
+++ b/internal/testkit/upstream/service_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// testSpec is a service without a limit whose endpoint serves 20 calls a second.
+// testSpec specifies a service without a limit, whose endpoints serve 20 calls a second each.
 func testSpec() Spec {
 	return Spec{
 		ServiceTime:           100 * time.Millisecond,
@@ -73,7 +73,7 @@
 	service.SetSilent(false)
 	service.RemoveEndpoint("a")
 	if r := service.HandleCall(10*time.Second, "a", 1); r.Result != Rejected {
-		t.Errorf("an endpoint that was removed: %+v", r)
+		t.Errorf("after the endpoint was removed: %+v", r)
 	}
 }
 
@@ -84,7 +84,7 @@
 	for i := range 1000 {
 		r := service.HandleCall(time.Duration(10+i)*time.Second, "a", 1)
 		if r.Result != Served {
-			t.Fatalf("losing responses: %+v", r)
+			t.Fatalf("a call while responses are lost: %+v, want served", r)
 		}
 		if r.ResponseLost {
 			lost++
@@ -95,16 +95,16 @@
 	}
 	service.SetResponseLossRatio(0)
 	if r := service.HandleCall(1011*time.Second, "a", 1); r.ResponseLost {
-		t.Errorf("lost after the end of the fault: %+v", r)
+		t.Errorf("response lost after the end of the fault: %+v", r)
 	}
 	service.RemoveEndpoint("a")
 	if r := service.HandleCall(1012*time.Second, "a", 1); r.Result != Rejected {
-		t.Errorf("an endpoint that was removed: %+v", r)
+		t.Errorf("after the endpoint was removed: %+v", r)
 	}
 }
 
-// Whatever the calls: no more are served than the limit and the slots allow, a lone caller that waits for Retry-After
-// is served, and the same calls get the same responses.
+// For any sequence of calls: the service serves no more calls than the limit allows, a single caller that waits for
+// Retry-After is served, and the same calls get the same responses.
 func TestServiceProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -112,7 +112,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		responses, end := playCalls(t, spec, seed, gaps)
 		if again, _ := playCalls(t, spec, seed, gaps); !reflect.DeepEqual(responses, again) {
-			t.Fatal("the same calls got other responses")
+			t.Fatal("the same calls got different responses")
 		}
 		served := 0
 		for _, r := range responses {
@@ -121,7 +121,7 @@
 			}
 		}
 		if float64(served) > maxServed(spec, end) {
-			t.Fatalf("%d served in %v at %v a second", served, end, spec.LimitRate)
+			t.Fatalf("%d calls served in %v, with a limit of %v a second", served, end, spec.LimitRate)
 		}
 	})
 }
@@ -140,7 +140,7 @@
 	return spec
 }
 
-// playCalls plays calls with gaps between them, and returns the responses and the time of the last call.
+// playCalls makes calls with the given gaps between them, and returns the responses and the time of the last call.
 func playCalls(t *rapid.T, spec Spec, seed uint64, gaps []int64) (responses []Response, end time.Duration) {
 	service := New(spec, seed)
 	service.AddEndpoint("a")
@@ -155,7 +155,7 @@
 	return responses, end
 }
 
-// checkRetryAfter checks on a copy of a service that the next call is served once Retry-After is over.
+// checkRetryAfter checks, on a copy of the service, that a call is served once Retry-After is over.
 func checkRetryAfter(t *rapid.T, service Service, at time.Duration, rejection Response) {
 	service.endpoints = map[string][]time.Duration{"a": make([]time.Duration, 1)}
 	retry := service.HandleCall(at+rejection.RetryAfter+time.Microsecond, "a", 1)
@@ -164,7 +164,7 @@
 	}
 }
 
-// maxServed returns how many calls a limit admits from time 0 to end.
+// maxServed returns the number of calls that a limit admits from time 0 to end.
 func maxServed(spec Spec, end time.Duration) float64 {
 	switch spec.Limit {
 	case TokenBucket:
--- a/internal/testkit/upstream/spec_test.go
+++ b/internal/testkit/upstream/spec_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The text form is what fmt printed for the struct when plans were first drawn: digests in stored records depend on it.
+// The text form must stay what fmt printed for the struct before String existed: the digests of plans in stored records
+// depend on it.
 func TestSpecTextIsStable(t *testing.T) {
 	every := Spec{
 		ServiceTime:            1500 * time.Microsecond,
@@ -58,8 +59,8 @@
 		t.Fatal(err)
 	}
 	cases := []struct {
-		name  string
-		spoil func(*Spec)
+		name   string
+		mutate func(*Spec)
 	}{
 		{"no service time", func(s *Spec) { s.ServiceTime = 0 }},
 		{"no concurrent calls", func(s *Spec) { s.MaxConcurrentCalls = 0 }},
@@ -80,9 +81,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			spec := testSpec()
-			c.spoil(&spec)
+			c.mutate(&spec)
 			if spec.Validate() == nil {
-				t.Errorf("passes: %+v", spec)
+				t.Errorf("no error for %+v", spec)
 			}
 		})
 	}
--- a/internal/testkit/upstream/warmup.go
+++ b/internal/testkit/upstream/warmup.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// WarmUp describes the capacity of a service after it has recovered from an outage.
+// WarmUp describes how the capacity of a service rises after an outage.
 type WarmUp struct {
 	StartedAt       time.Duration // when the service recovered
 	FullCapacity    float64       // calls a second when warm
-	InitialCapacity float64       // the ratio of FullCapacity at StartedAt
+	InitialCapacity float64       // capacity at StartedAt, relative to FullCapacity
 	Duration        time.Duration // time from StartedAt to full capacity
 }
 
-// CapacityAt returns the capacity at a time, in calls a second. It rises linearly.
+// CapacityAt returns the capacity at a time, in calls a second. The capacity rises linearly.
 func (w WarmUp) CapacityAt(at time.Duration) float64 {
 	switch elapsed := at - w.StartedAt; {
 	case elapsed >= w.Duration:
@@ -26,21 +26,22 @@
 	}
 }
 
-// OverloadBudget returns how many calls a service of a capacity (calls a second) bears within a window if it bears a
-// multiple of its capacity. The square root allows for chance: it is one standard deviation of as many independent
-// arrivals.
+// OverloadBudget returns the number of calls that a service with a capacity (calls a second) can receive within a
+// window without being overloaded. It is factor times the capacity, and the square root of that number as an
+// allowance for random variation: one standard deviation of the number of calls if they arrive independently.
 func OverloadBudget(factor, capacity float64, window time.Duration) float64 {
 	calls := factor * capacity * window.Seconds()
 	return calls + math.Sqrt(calls)
 }
 
-// arrival is a call that reached a service while it warmed up.
+// arrival is a call that reached a service while the service warmed up.
 type arrival struct {
 	at     time.Duration
-	weight float64
+	weight float64 // see Spec.CallWeight
 }
 
-// Recover ends an outage at a time: the service warms up, and calls from before the outage occupy no slot any more.
+// Recover starts the warm-up of a service at the end of an outage. Calls from before the outage no longer occupy slots.
+// Recover does not end the fault that caused the outage: the caller does, for example with Resume.
 func (s *Service) Recover(at time.Duration) WarmUp {
 	s.warmUp = WarmUp{
 		StartedAt:       at,
@@ -56,7 +57,7 @@
 	return s.warmUp
 }
 
-// recordArrival adds a call to the load of a service that warms up, and reports whether this call overloads it.
+// recordArrival adds a call to the load of a service that is warming up, and reports whether the call overloads it.
 func (s *Service) recordArrival(at time.Duration, messages int) bool {
 	if !s.warmingUp || s.overloaded || s.OverloadFactor <= 0 {
 		return false
--- a/internal/testkit/upstream/warmup_test.go
+++ b/internal/testkit/upstream/warmup_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// The service recovers with a fifth of 20 calls a second. Twice that for 3 s overloads it, and it stays out of service.
+// The service recovers with a capacity of 4 calls a second, a fifth of 20. Calls at more than twice that rate over 3 s
+// overload it, and it stays out of service.
 func TestOverloadWhileWarmingUp(t *testing.T) {
 	service := newTestService(testSpec())
 	service.Recover(0)
-	budget := OverloadBudget(2, 4, 3*time.Second) // at recovery; it grows later
+	budget := OverloadBudget(2, 4, 3*time.Second) // at the time of recovery; it grows with the capacity
 	admitted := 0
 	for admitted < 100 && !service.HandleCall(0, "a", 1).CausedOverload {
 		admitted++
 	}
 	if admitted != int(budget) {
-		t.Errorf("overloaded by call %d, the budget is %.2f", admitted+1, budget)
+		t.Errorf("overloaded by call %d, the budget is %.2f calls", admitted+1, budget)
 	}
 	if r := service.HandleCall(time.Hour, "a", 1); r.Result != Unanswered || !service.Overloaded() {
 		t.Errorf("an hour later: %+v", r)
